--- /dev/null
+++ b/internal/accord/stored_test.go
@@ -0,0 +1,54 @@
+package accord
+
+import (
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	pb "go.etcd.io/raft/v3/raftpb"
+)
+
+// TestStoredFormsDataDir: a voter's directory written by release 63fa232 (one voter, three commands agreed; its hard state as the disk last had it) is read whole and opened
+// under the identity it holds, with its hard state and entries.
+func TestStoredFormsDataDir(t *testing.T) {
+	written, err := os.ReadFile(filepath.Join("testdata", "head", dbName))
+	if err != nil {
+		t.Fatal(err)
+	}
+	h, err := load(written)
+	if err != nil {
+		t.Fatal(err)
+	}
+	const identity = 4286738726500800039
+	if h.identity != identity || h.hard.GetTerm() != 2 || h.hard.GetCommit() != 1 {
+		t.Errorf("identity %d, hard state %v", h.identity, h.hard)
+	}
+	var commands []string
+	for _, e := range h.entries {
+		if e.GetType() == pb.EntryNormal && len(e.GetData()) > 0 {
+			commands = append(commands, string(e.GetData()))
+		}
+	}
+	for _, c := range []string{"alpha", "beta", "gamma"} {
+		if !slices.ContainsFunc(commands, func(data string) bool { return strings.Contains(data, c) }) {
+			t.Errorf("no entry carries %q: %q", c, commands)
+		}
+	}
+	dir := t.TempDir()
+	if err := os.WriteFile(filepath.Join(dir, dbName), written, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	d := &disk{dir: dir}
+	opened, note, err := d.open(1)
+	if err != nil || note != "" {
+		t.Fatalf("opened with %v: %s", err, note)
+	}
+	if err := d.close(); err != nil {
+		t.Fatal(err)
+	}
+	if opened.identity != identity || len(opened.entries) != len(h.entries) {
+		t.Errorf("opened as %d with %d entries, read as %d with %d", opened.identity, len(opened.entries), h.identity, len(h.entries))
+	}
+}
--- /dev/null
+++ b/internal/bans/stored_test.go
@@ -0,0 +1,35 @@
+package bans
+
+import (
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+)
+
+// TestStoredFormsBans: the file of banned names written by release 63fa232 is read, and a change to it is written in the same form.
+func TestStoredFormsBans(t *testing.T) {
+	written, err := os.ReadFile(filepath.Join("testdata", "head", "bans.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	names, err := File{Dir: filepath.Join("testdata", "head")}.Read()
+	if err != nil || !slices.Equal(names, []string{"s-7", "s-9"}) {
+		t.Fatalf("read %q, %v", names, err)
+	}
+	dir := t.TempDir()
+	if err := os.WriteFile(filepath.Join(dir, "bans.json"), written, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	f := File{Dir: dir}
+	if err := f.Set("s-1", true); err != nil {
+		t.Fatal(err)
+	}
+	if err := f.Set("s-7", false); err != nil {
+		t.Fatal(err)
+	}
+	changed, err := os.ReadFile(filepath.Join(dir, "bans.json"))
+	if err != nil || string(changed) != `["s-9","s-1"]` {
+		t.Errorf("written %q, %v", changed, err)
+	}
+}
--- /dev/null
+++ b/internal/snapshot/stored_test.go
@@ -0,0 +1,32 @@
+package snapshot
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+)
+
+// TestStoredFormsSnapshot: a snapshot file written by release 63fa232 is read whole, and encoding what was read gives the same bytes again.
+func TestStoredFormsSnapshot(t *testing.T) {
+	dir := filepath.Join("testdata", "head")
+	s, err := Read(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(s, sample()) {
+		t.Fatalf("read %+v", s)
+	}
+	written, err := os.ReadFile(filepath.Join(dir, file))
+	if err != nil {
+		t.Fatal(err)
+	}
+	again, err := s.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(again, written) {
+		t.Errorf("encoded anew:\n%q\nwritten by 63fa232:\n%q", again, written)
+	}
+}
