--- a/integration/crossing_rig_test.go
+++ b/integration/crossing_rig_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"dahliarudder/internal/standin"
+	"dahliarudder/internal/fakes"
 )
 
 // The tests named Crossing let two events meet at the built program. Their members answer only what the test tells them to, so that the
@@ -37,7 +37,7 @@
 	t       testing.TB
 	id      string
 	addr    string
-	tries   *standin.Tries
+	tries   *fakes.Tries
 	arrived chan *attempt
 
 	mu    sync.Mutex
@@ -61,7 +61,7 @@
 	over   func()
 }
 
-func newScriptedMember(t testing.TB, id string, tries *standin.Tries) *scriptedMember {
+func newScriptedMember(t testing.TB, id string, tries *fakes.Tries) *scriptedMember {
 	m := &scriptedMember{t: t, id: id, tries: tries, arrived: make(chan *attempt, arrivalsMost)}
 	m.addr = listen(t, m.serve).Addr().String()
 	return m
@@ -179,10 +179,10 @@
 	*relay
 	d       *discovery
 	members []*scriptedMember
-	tries   *standin.Tries
+	tries   *fakes.Tries
 }
 
-func newMembers(t testing.TB, n int, tries *standin.Tries) (members []*scriptedMember, list []member) {
+func newMembers(t testing.TB, n int, tries *fakes.Tries) (members []*scriptedMember, list []member) {
 	for i := range n {
 		m := newScriptedMember(t, fmt.Sprintf("s-%08x", 0x5be2a000+i*0x01234567), tries)
 		members, list = append(members, m), append(list, m.entry())
@@ -192,7 +192,7 @@
 
 func newCrossing(t *testing.T, members int, more map[string]any) *crossing {
 	t.Helper()
-	s := &crossing{tries: standin.NewTries()}
+	s := &crossing{tries: fakes.NewTries()}
 	var list []member
 	s.members, list = newMembers(t, members, s.tries)
 	s.d = newDiscovery(t, list...)
--- a/integration/crossing_stop_test.go
+++ b/integration/crossing_stop_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"dahliarudder/internal/standin"
+	"dahliarudder/internal/fakes"
 )
 
 // TestCrossingStopAnswered: an attempt is held by its member when SIGTERM comes, and answered after. The client gets UP, then MOVE, before the
@@ -278,7 +278,7 @@
 	for what, leave := range clientEnds {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			tries := standin.NewTries()
+			tries := fakes.NewTries()
 			members, list := newMembers(t, 1, tries)
 			shut := newDoor(t, members[0].serve)
 			list[0].Addr = shut.addr()
--- a/integration/crossing_watch_test.go
+++ b/integration/crossing_watch_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"dahliarudder/internal/standin"
+	"dahliarudder/internal/fakes"
 )
 
 // scriptedDiscovery answers calls as the test says, byte by byte.
@@ -109,7 +109,7 @@
 
 // text is the answer to who holds a generation.
 func (d *scriptedDiscovery) text(since int, indent string) string {
-	out := standin.List{Generation: d.at, Reset: since < 0, Instances: []member{}}
+	out := fakes.List{Generation: d.at, Reset: since < 0, Instances: []member{}}
 	for _, m := range d.list {
 		if since < 0 || d.changed[m.ID] > since {
 			out.Instances = append(out.Instances, m)
@@ -188,14 +188,14 @@
 // watchSite is a relay whose members take all, and discovery by script.
 func watchSite(t *testing.T) (*crossing, *scriptedDiscovery) {
 	t.Helper()
-	s := &crossing{tries: standin.NewTries()}
+	s := &crossing{tries: fakes.NewTries()}
 	var list []member
 	s.members, list = newMembers(t, 2, s.tries)
 	for _, m := range s.members {
 		m.answers(true)
 	}
 	d := newScriptedDiscovery(t, list)
-	s.relay = start(t, configure(t, &discovery{Discovery: standin.NewDiscovery(list...), addr: d.addr}, nil), 1)
+	s.relay = start(t, configure(t, &discovery{Discovery: fakes.NewDiscovery(list...), addr: d.addr}, nil), 1)
 	until(t, "a watch", d.watched)
 	return s, d
 }
--- a/integration/fleet_test.go
+++ b/integration/fleet_test.go
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
+	"dahliarudder/internal/fakes"
 	"dahliarudder/internal/rollout"
-	"dahliarudder/internal/standin"
 )
 
 // fleet is several relays that agree on one record. The ways between their records are pipes that can be cut; what tells who lives goes
@@ -29,7 +29,7 @@
 	relays  []*relay
 	conf    []string
 	listen  []string // of the record
-	pipes   [][]*standin.Pipe
+	pipes   [][]*fakes.Pipe
 	groups  int // of flows that were opened
 }
 
@@ -60,12 +60,12 @@
 	}
 	for i := range n {
 		reach := map[string]string{}
-		row := make([]*standin.Pipe, n)
+		row := make([]*fakes.Pipe, n)
 		for j := range min(n, 2*voters) { // those who vote, and as many that may take their place
 			if i == j {
 				continue
 			}
-			p, err := standin.NewPipe(f.listen[j])
+			p, err := fakes.NewPipe(f.listen[j])
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -332,7 +332,7 @@
 
 // apart cuts a relay's record off from all others, or brings it back.
 func (f *fleetRig) apart(i int, on bool) {
-	way := standin.Rough{Cut: on}
+	way := fakes.Rough{Cut: on}
 	for from, row := range f.pipes {
 		for to, p := range row {
 			if p != nil && (from == i || to == i) {
@@ -420,7 +420,7 @@
 	if n := before["s0"]; n < 18 || n > 60 {
 		t.Errorf("%d of 120 flows at an arm that is to get three in ten", n)
 	}
-	f.members[0].Set(standin.ModeErr)
+	f.members[0].Set(fakes.ModeErr)
 	n := 120
 	var all json.RawMessage
 	t.Cleanup(func() {
--- a/integration/line_test.go
+++ b/integration/line_test.go
@@ -11,7 +11,7 @@
 	"strings"
 	"testing"
 
-	"dahliarudder/internal/standin"
+	"dahliarudder/internal/fakes"
 )
 
 // site is a relay with its discovery and members.
@@ -19,12 +19,12 @@
 	*relay
 	d        *discovery
 	backends []*backend
-	tries    *standin.Tries
+	tries    *fakes.Tries
 }
 
 func newSite(t *testing.T, members int, more map[string]any) *site {
 	t.Helper()
-	s := &site{tries: standin.NewTries()}
+	s := &site{tries: fakes.NewTries()}
 	var list []member
 	for i := range members {
 		b := newBackend(t, fmt.Sprintf("s-%08x", 0x5be2a000+i*0x01234567), s.tries)
--- a/integration/nats_chaos_test.go
+++ b/integration/nats_chaos_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/nats-io/nats.go"
 
-	"dahliarudder/internal/standin"
+	"dahliarudder/internal/fakes"
 )
 
 // ledger is what each publication's client has heard, and the order in which members took them.
@@ -89,8 +89,8 @@
 					d.Set(o.ID, "DRAINING")
 					undo = func() { d.Set(o.ID, "SERVING") }
 				case 2, 3, 4:
-					o.Set([]standin.Mode{standin.Refuses, standin.Resets, standin.Silent}[rng.IntN(3)])
-					undo = func() { o.Set(standin.Works) }
+					o.Set([]fakes.Mode{fakes.Refuses, fakes.Resets, fakes.Silent}[rng.IntN(3)])
+					undo = func() { o.Set(fakes.Works) }
 				case 5:
 					o.DropAll()
 				}
--- a/integration/nats_conformance_own_test.go
+++ b/integration/nats_conformance_own_test.go
@@ -24,7 +24,7 @@
 	"github.com/nats-io/nkeys"
 	"golang.org/x/crypto/bcrypt"
 
-	"dahliarudder/internal/standin"
+	"dahliarudder/internal/fakes"
 )
 
 // direct is a client of a node itself, which plays a service there.
@@ -319,7 +319,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		k, err := standin.NewCluster(2)
+		k, err := fakes.NewCluster(2)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/integration/nats_conformance_test.go
+++ b/integration/nats_conformance_test.go
@@ -13,7 +13,7 @@
 	"github.com/nats-io/nats.go"
 	"github.com/nats-io/nats.go/micro"
 
-	"dahliarudder/internal/standin"
+	"dahliarudder/internal/fakes"
 )
 
 // clause is a case of the conformance suite: what of the public protocol it holds the front to, and
@@ -27,7 +27,7 @@
 // confSite is a relay with small limits before three nodes.
 type confSite struct {
 	*relay
-	k *standin.Cluster
+	k *fakes.Cluster
 	d *discovery
 }
 
@@ -444,10 +444,10 @@
 		c.says("SUB torn 1", "PING")
 		c.gets("PONG")
 		at := slices.IndexFunc(s.k.Subscriptions("torn"), func(n int) bool { return n > 0 })
-		s.k.Nodes[at].Set(standin.Cuts)
+		s.k.Nodes[at].Set(fakes.Cuts)
 		p.says("PUB torn 5", "first", "PING")
 		p.gets("PONG")
-		s.k.Nodes[at].Set(standin.Works)
+		s.k.Nodes[at].Set(fakes.Works)
 		stop := make(chan bool)
 		go func() { // some of these come before it has a place again, perhaps at the same node
 			for range time.Tick(20 * time.Millisecond) {
--- a/integration/nats_load_test.go
+++ b/integration/nats_load_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/nats-io/nats.go"
 
-	"dahliarudder/internal/standin"
+	"dahliarudder/internal/fakes"
 )
 
 // patient is the settings with classes that wait so long that a machine busy with other tests has
@@ -22,7 +22,7 @@
 
 // natsRelay starts a relay with the NATS front alone, set up so, before a cluster that counts
 // nothing and reports no load.
-func natsRelay(t testing.TB, k *standin.Cluster, front map[string]any) *relay {
+func natsRelay(t testing.TB, k *fakes.Cluster, front map[string]any) *relay {
 	t.Helper()
 	d := newDiscovery(t, natsMembers(k)...)
 	set := map[string]any{"listen": "127.0.0.1:0", "class": "pay-status", "tenant": "water"}
--- a/integration/nats_test.go
+++ b/integration/nats_test.go
@@ -14,14 +14,14 @@
 
 	"github.com/nats-io/nats.go"
 
-	"dahliarudder/internal/standin"
+	"dahliarudder/internal/fakes"
 	_ "modernc.org/sqlite"
 )
 
 // natsSite is a relay with its NATS front on, before a cluster.
 type natsSite struct {
 	*relay
-	k  *standin.Cluster
+	k  *fakes.Cluster
 	d  *discovery
 	db string
 }
@@ -214,7 +214,7 @@
 // TestNATSRetry: a publication that a node refuses at once is tried elsewhere, and
 // never has two attempts out; each has one final answer.
 func TestNATSRetry(t *testing.T) {
-	for name, mode := range map[string]standin.Mode{"err": standin.Refuses, "silent": standin.Silent, "reset": standin.Resets} {
+	for name, mode := range map[string]fakes.Mode{"err": fakes.Refuses, "silent": fakes.Silent, "reset": fakes.Resets} {
 		t.Run(name, func(t *testing.T) {
 			s := newNATSSite(t, 3)
 			c := s.connect()
@@ -475,7 +475,7 @@
 // TestNATSLeft: publications of a client that goes while they are out, or wait for a place, are not tried again; those of
 // others are.
 func TestNATSLeft(t *testing.T) {
-	for what, mode := range map[string]standin.Mode{"out at a silent node": standin.Silent, "refused by a node": standin.Refuses, "reset by a node": standin.Resets} {
+	for what, mode := range map[string]fakes.Mode{"out at a silent node": fakes.Silent, "refused by a node": fakes.Refuses, "reset by a node": fakes.Resets} {
 		t.Run(what, func(t *testing.T) {
 			k := newCluster(t, 2)
 			r := natsRelay(t, k, nil)
@@ -497,7 +497,7 @@
 			until(t, "the end of its links", func() bool { return k.Nodes[0].Conns()+k.Nodes[1].Conns() == 0 })
 			before := taken()
 			for _, o := range k.Nodes {
-				o.Set(standin.Works)
+				o.Set(fakes.Works)
 			}
 			other := r.natsDial() // what it says is taken after all that was under way
 			other.want("INFO ")
--- a/integration/peers_test.go
+++ b/integration/peers_test.go
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
+	"dahliarudder/internal/fakes"
 	"dahliarudder/internal/peers"
-	"dahliarudder/internal/standin"
 )
 
 // circle is several relays that know of each other, each reaching each other by a link of its own.
@@ -25,7 +25,7 @@
 	d      *discovery
 	relays []*relay
 	conf   []string
-	links  [][]*standin.Link // from, to
+	links  [][]*fakes.Link // from, to
 	addrs  []string
 }
 
@@ -40,12 +40,12 @@
 	}
 	for i := range n {
 		reach := map[string]string{}
-		row := make([]*standin.Link, n)
+		row := make([]*fakes.Link, n)
 		for j := range n {
 			if !linked || i == j {
 				continue
 			}
-			l, err := standin.NewLink(uint64(i*n + j))
+			l, err := fakes.NewLink(uint64(i*n + j))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -287,8 +287,8 @@
 // TestPeersSeen: what one relay sees of its members reaches the others.
 func TestPeersSeen(t *testing.T) {
 	c := newCircle(t, 2, false)
-	b := newBackend(t, "s-5be2a000", standin.NewTries())
-	b.Set(standin.ModeErr)
+	b := newBackend(t, "s-5be2a000", fakes.NewTries())
+	b.Set(fakes.ModeErr)
 	c.d.Put(b.member())
 	until(t, "n1 to hear what n0 saw", func() bool {
 		c.relays[0].open(int(time.Now().UnixNano()&0xffffff), "").line()
@@ -306,10 +306,10 @@
 // newer list, asks anew, and sends nothing more to the member that drains, seconds before its own call would have been given up.
 func TestPeersStale(t *testing.T) {
 	c := newCircle(t, 3, false)
-	a, b := newBackend(t, "s-5be2a000", standin.NewTries()), newBackend(t, "s-5be2a001", standin.NewTries())
+	a, b := newBackend(t, "s-5be2a000", fakes.NewTries()), newBackend(t, "s-5be2a001", fakes.NewTries())
 	c.d.Put(a.member())
 	c.d.Put(b.member())
-	pipe, err := standin.NewPipe(c.d.addr)
+	pipe, err := fakes.NewPipe(c.d.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/integration/pushed_test.go
+++ b/integration/pushed_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"dahliarudder/internal/standin"
+	"dahliarudder/internal/fakes"
 )
 
 // pushedText are the settings used here where lists are pushed: an agent beside the relay has them, and what it has counts as
@@ -19,7 +19,7 @@
 	t.Helper()
 	s := &crossing{}
 	var list []member
-	s.members, list = newMembers(t, 2, standin.NewTries())
+	s.members, list = newMembers(t, 2, fakes.NewTries())
 	s.tries = s.members[0].tries
 	for _, m := range s.members {
 		m.answers(true)
--- a/integration/rig_test.go
+++ b/integration/rig_test.go
@@ -23,7 +23,7 @@
 	"testing"
 	"time"
 
-	"dahliarudder/internal/standin"
+	"dahliarudder/internal/fakes"
 )
 
 // patience is how long a test waits for what must come; only a failing test
@@ -134,16 +134,16 @@
 // ---- Stand-ins ----
 
 // member is an entry of discovery's list.
-type member = standin.Entry
+type member = fakes.Entry
 
 // discovery is the stand-in for discovery, at one address.
 type discovery struct {
-	*standin.Discovery
+	*fakes.Discovery
 	addr string
 }
 
 func newDiscovery(t testing.TB, members ...member) *discovery {
-	d := &discovery{Discovery: standin.NewDiscovery(members...)}
+	d := &discovery{Discovery: fakes.NewDiscovery(members...)}
 	t.Cleanup(d.Close)
 	d.addr = d.open(t)
 	return d
@@ -161,12 +161,12 @@
 
 // backend is a pool member that bears everything.
 type backend struct {
-	*standin.Member
+	*fakes.Member
 	id string
 }
 
-func newBackend(t *testing.T, id string, c *standin.Tries) *backend {
-	b := &backend{standin.NewMember(id), id}
+func newBackend(t *testing.T, id string, c *fakes.Tries) *backend {
+	b := &backend{fakes.NewMember(id), id}
 	b.Tries = c
 	if _, err := b.Open(""); err != nil {
 		t.Fatal(err)
--- a/integration/syscalls_test.go
+++ b/integration/syscalls_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"dahliarudder/internal/standin"
+	"dahliarudder/internal/fakes"
 )
 
 // troubles is the ways in which the relay's system calls fail for a while, all that Linux documents of them.
@@ -32,7 +32,7 @@
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
 			const members, before, amid, after = 3, 6, 12, 6
-			tries := standin.NewTries()
+			tries := fakes.NewTries()
 			var list []member
 			var all []*backend
 			for i := range members {
--- a/internal/standin/link.go
+++ b/internal/fakes/link.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"math/rand/v2"
--- a/internal/standin/nats.go
+++ b/internal/fakes/nats.go
@@ -1,7 +1,7 @@
-// Package standin plays the outside systems that the relay speaks to, for tests, benchmarks and
-// the laboratory. This file is a cluster of servers of the NATS client protocol, written from its
-// public description: its nodes share one space of subjects.
-package standin
+// Package fakes implements fake versions of the outside systems that the relay talks to (discovery, pool members, NATS
+// servers), for tests, benchmarks and rehearsals; each is written from the protocol's public description. This file is a
+// cluster of servers of the NATS client protocol: its nodes share one space of subjects.
+package fakes
 
 import (
 	"bufio"
--- a/internal/rehearse/false_test.go
+++ b/internal/rehearse/false_test.go
@@ -18,8 +18,8 @@
 	"testing"
 	"time"
 
+	"dahliarudder/internal/fakes"
 	"dahliarudder/internal/rehearsal"
-	"dahliarudder/internal/standin"
 )
 
 // The test's own program is also the relay that it rehearses: one that breaks a rule as its configuration's "script" says.
@@ -34,14 +34,14 @@
 func falseRelay(path string) {
 	var c struct {
 		Listen, Discovery, Script string
-		Known                     standin.List
+		Known                     fakes.List
 	}
 	text, _ := os.ReadFile(path)
 	json.Unmarshal(text, &c)
 	var mu sync.Mutex
-	members := map[string]standin.Entry{}
+	members := map[string]fakes.Entry{}
 	order := []string{}
-	learn := func(l standin.List) {
+	learn := func(l fakes.List) {
 		mu.Lock()
 		defer mu.Unlock()
 		for _, e := range l.Instances {
@@ -58,7 +58,7 @@
 			if err != nil {
 				continue
 			}
-			var l standin.List
+			var l fakes.List
 			json.NewDecoder(answer.Body).Decode(&l)
 			answer.Body.Close()
 			learn(l)
--- a/internal/rehearse/faults.go
+++ b/internal/rehearse/faults.go
@@ -9,8 +9,8 @@
 	"syscall"
 	"time"
 
+	"dahliarudder/internal/fakes"
 	"dahliarudder/internal/rehearsal"
-	"dahliarudder/internal/standin"
 )
 
 const (
@@ -52,16 +52,16 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w, at := r.ways[[2]string{s.Who, s.To}], r.now()
-	rough := standin.Rough{Delay: rehearsal.Millis(s.Rough.Delay), Jitter: rehearsal.Millis(s.Rough.Jitter), Rate: int(s.Rough.Rate * 1000)}
+	rough := fakes.Rough{Delay: rehearsal.Millis(s.Rough.Delay), Jitter: rehearsal.Millis(s.Rough.Jitter), Rate: int(s.Rough.Rate * 1000)}
 	switch s.Do {
 	case "cut":
-		w.there, w.back = standin.Rough{Cut: true}, standin.Rough{Cut: true}
+		w.there, w.back = fakes.Rough{Cut: true}, fakes.Rough{Cut: true}
 	case "cut_one_way":
-		w.there, w.back = standin.Rough{Cut: true}, standin.Rough{}
+		w.there, w.back = fakes.Rough{Cut: true}, fakes.Rough{}
 	case "rough":
 		w.there, w.back = rough, rough
 	case "heal":
-		w.there, w.back = standin.Rough{}, standin.Rough{}
+		w.there, w.back = fakes.Rough{}, fakes.Rough{}
 		if s.To == "discovery" {
 			r.tellBehind(s.Who)
 		}
@@ -291,27 +291,27 @@
 	m := r.byIndex[i]
 	r.mu.Unlock()
 	leave := func() {
-		m.Set(standin.ModeBusy)
+		m.Set(fakes.ModeBusy)
 		r.disc.Set(m.ID, "DRAINING")
 		go func() {
 			if sleep(ctx, rehearsal.Millis(r.File.Members.Leave)) {
 				m.SendAway()
 				sleep(ctx, time.Second)
 				m.Kill()
-				r.disc.Set(m.ID, standin.Deleted)
+				r.disc.Set(m.ID, fakes.Deleted)
 			}
 		}()
 	}
 	switch s.Do {
 	case "silent":
-		m.Set(standin.ModeMute)
+		m.Set(fakes.ModeMute)
 	case "failing":
-		m.Set(standin.ModeErr)
+		m.Set(fakes.ModeErr)
 	case "well":
-		m.Set(standin.ModeWell)
+		m.Set(fakes.ModeWell)
 	case "die":
 		m.Kill()
-		r.disc.Set(m.ID, standin.Deleted)
+		r.disc.Set(m.ID, fakes.Deleted)
 	case "return":
 		r.begin(m)
 	case "drain":
@@ -332,7 +332,7 @@
 	now := time.Now()
 	m.Start(now)
 	r.mu.Lock()
-	m.entry.Started, m.entry.Lifecycle = now.UnixMilli(), standin.Serving
+	m.entry.Started, m.entry.Lifecycle = now.UnixMilli(), fakes.Serving
 	r.judge.Member(m.name, r.plan.Cores[m.index], r.since(m.entry.Started))
 	entry := m.entry
 	r.mu.Unlock()
--- a/internal/rehearse/fleet.go
+++ b/internal/rehearse/fleet.go
@@ -12,9 +12,9 @@
 	"time"
 
 	"dahliarudder/internal/drift"
+	"dahliarudder/internal/fakes"
 	"dahliarudder/internal/rehearsal"
 	"dahliarudder/internal/rollout"
-	"dahliarudder/internal/standin"
 )
 
 // What the host and the owner of members do, who are stand-ins: a relay that ends because it was told to is started again, and a
@@ -179,13 +179,13 @@
 	next, err := r.newMember(m.index, m.lives+1)
 	m.SendAway()
 	m.Kill()
-	r.disc.Set(m.ID, standin.Deleted)
+	r.disc.Set(m.ID, fakes.Deleted)
 	if err != nil {
 		r.Say("%s has no successor: %v\n", name, err)
 		return
 	}
 	if old {
-		next.Flaw = standin.Flaw{}
+		next.Flaw = fakes.Flaw{}
 	}
 	r.begin(next)
 }
--- a/internal/rehearse/run.go
+++ b/internal/rehearse/run.go
@@ -17,9 +17,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"dahliarudder/internal/fakes"
 	"dahliarudder/internal/rehearsal"
 	"dahliarudder/internal/settings"
-	"dahliarudder/internal/standin"
 )
 
 // Rehearsal is a file with what it needs to be played.
@@ -51,7 +51,7 @@
 	byIndex []*member          // who stands for s0 and on now
 	ways    map[[2]string]*way
 	front   *front
-	disc    *standin.Discovery
+	disc    *fakes.Discovery
 	views   *views
 	setUp   *hdrhistogram.Histogram // microseconds
 	late    *hdrhistogram.Histogram // of the rehearsal itself, microseconds
@@ -65,8 +65,8 @@
 	most    int               // of one
 	open    int
 	closing bool
-	written map[[2]string]int           // by relay and member: how many times discovery has written to the one of the other
-	behind  map[[2]string]standin.Entry // and the last of it that was written behind a cut
+	written map[[2]string]int         // by relay and member: how many times discovery has written to the one of the other
+	behind  map[[2]string]fakes.Entry // and the last of it that was written behind a cut
 }
 
 // usage is what a relay has used of others, and the most descriptors that it was seen to hold.
@@ -96,17 +96,17 @@
 
 // way is one link, which all connections of a pair pass that the file breaks.
 type way struct {
-	there, back standin.Rough
-	pipes       []*standin.Pipe
-	udp         *standin.Link
+	there, back fakes.Rough
+	pipes       []*fakes.Pipe
+	udp         *fakes.Link
 }
 
 type member struct {
-	*standin.Member
+	*fakes.Member
 	name, zone string
 	index      int
 	doors      map[string]string // by relay
-	entry      standin.Entry
+	entry      fakes.Entry
 	lives      int
 }
 
@@ -169,7 +169,7 @@
 
 // All plays every variant on every draw as often as the file says, in turn.
 func (r *Rehearsal) All(ctx context.Context) (all []*Result, err error) {
-	standin.Host = fmt.Sprintf("127.%d.%d.1", 64+rand.IntN(128), rand.IntN(256)) // other rehearsals on this machine have others
+	fakes.Host = fmt.Sprintf("127.%d.%d.1", 64+rand.IntN(128), rand.IntN(256)) // other rehearsals on this machine have others
 	for k := range r.File.Repetitions * r.File.Seeds {
 		seed := r.File.Seed + uint64(k%r.File.Seeds)
 		for _, v := range r.File.Variants {
@@ -198,7 +198,7 @@
 	own.File = r.File.For(v)
 	x := &run{Rehearsal: &own, set: set, config: config, program: r.Program, plan: rehearsal.Draw(own.File, site(set), seed),
 		dir:   filepath.Join(r.Work, fmt.Sprintf("%s-%d", strings.Map(plain, v.Name), repetition)),
-		given: map[string]bool{}, led: map[int]string{}, members: map[string]*member{}, ways: map[[2]string]*way{}, fresh: map[string]*rehearsal.Peak{}, answers: map[string]int{}, used: map[string]*usage{}, written: map[[2]string]int{}, behind: map[[2]string]standin.Entry{},
+		given: map[string]bool{}, led: map[int]string{}, members: map[string]*member{}, ways: map[[2]string]*way{}, fresh: map[string]*rehearsal.Peak{}, answers: map[string]int{}, used: map[string]*usage{}, written: map[[2]string]int{}, behind: map[[2]string]fakes.Entry{},
 		setUp: hdrhistogram.New(1, 600e6, 3), late: hdrhistogram.New(1, 600e6, 3),
 		lists: &rehearsal.Peak{Over: 100 * time.Millisecond}, probes: &rehearsal.Peak{Over: time.Second}}
 	if v.Program != "" {
@@ -242,7 +242,7 @@
 	for pair := range broken {
 		w := &way{}
 		if pair[0][0] == 'n' && pair[1][0] == 'n' {
-			udp, err := standin.NewLink(r.plan.Seed + uint64(len(r.ways)))
+			udp, err := fakes.NewLink(r.plan.Seed + uint64(len(r.ways)))
 			if err != nil {
 				return err
 			}
@@ -263,7 +263,7 @@
 		}
 		r.relays, r.used[n.name] = append(r.relays, n), &usage{}
 	}
-	var list []standin.Entry
+	var list []fakes.Entry
 	for i := range r.File.Members.Count {
 		m, err := r.newMember(i, 0)
 		if err != nil {
@@ -271,7 +271,7 @@
 		}
 		list = append(list, m.entry)
 	}
-	r.disc = standin.NewDiscovery(list...)
+	r.disc = fakes.NewDiscovery(list...)
 	r.disc.SetLag(rehearsal.Millis(r.File.Discovery.Lag))
 	r.disc.Called = func(string) { r.with(func(at time.Duration) { r.lists.Add(at, 1) }) }
 	r.disc.Told = r.told
@@ -290,7 +290,7 @@
 		}
 	}
 	for _, n := range r.relays {
-		at, err := r.disc.Open(n.name, func(e standin.Entry) string { return r.door(n.name, e) })
+		at, err := r.disc.Open(n.name, func(e fakes.Entry) string { return r.door(n.name, e) })
 		if err != nil {
 			return err
 		}
@@ -320,7 +320,7 @@
 	if w == nil {
 		return addr, nil
 	}
-	p, err := standin.NewPipe(addr)
+	p, err := fakes.NewPipe(addr)
 	if err != nil {
 		return "", err
 	}
@@ -331,7 +331,7 @@
 }
 
 // door is a relay's own address of a member.
-func (r *run) door(relay string, e standin.Entry) string {
+func (r *run) door(relay string, e fakes.Entry) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if m := r.members[e.ID]; m != nil {
@@ -344,9 +344,9 @@
 func (r *run) newMember(i, lives int) (*member, error) {
 	f, g := r.File.Members, r.set.Guarantees
 	zones := site(r.set)
-	m := &member{Member: standin.NewMember(fmt.Sprintf("s%d", i)), index: i, zone: zones.Zone(i), doors: map[string]string{}, lives: lives}
+	m := &member{Member: fakes.NewMember(fmt.Sprintf("s%d", i)), index: i, zone: zones.Zone(i), doors: map[string]string{}, lives: lives}
 	if lives > 0 {
-		m.Flaw = standin.Flaw{Fail: f.Flaw.Fail, Delay: rehearsal.Millis(f.Flaw.Delay)}
+		m.Flaw = fakes.Flaw{Fail: f.Flaw.Fail, Delay: rehearsal.Millis(f.Flaw.Delay)}
 		for k, n := range r.relays {
 			if f.Flaw.Zone != "" && zones.Zone(k) == f.Flaw.Zone {
 				m.Flaw.Via = append(m.Flaw.Via, n.name)
@@ -355,17 +355,17 @@
 		m.ID = fmt.Sprintf("s%d.%d", i, lives)
 	}
 	m.name = m.ID
-	m.Bearing = standin.Bearing{Cores: r.plan.Cores[i], Most: f.Most, Open: rehearsal.Millis(f.Open), Group: rehearsal.Millis(f.Group),
+	m.Bearing = fakes.Bearing{Cores: r.plan.Cores[i], Most: f.Most, Open: rehearsal.Millis(f.Open), Group: rehearsal.Millis(f.Group),
 		ColdFrom: g.ColdFrom, ColdFor: settings.Span(g.Cold), Every: rehearsal.Millis(f.Report), Rough: f.Rough, Names: r.set.Report.Names}
 	open := map[string]string{} // attempts by the sending address: only one end of each is told
 	var mu sync.Mutex
-	m.Begun = func(a standin.Attempt) {
+	m.Begun = func(a fakes.Attempt) {
 		mu.Lock()
 		open[a.From] = a.ID
 		mu.Unlock()
 		r.begun(m, a)
 	}
-	over := func(a standin.Attempt, itself bool) {
+	over := func(a fakes.Attempt, itself bool) {
 		mu.Lock()
 		was := open[a.From] == a.ID
 		delete(open, a.From)
@@ -374,7 +374,7 @@
 			r.with(func(at time.Duration) { r.judge.Over(at, a.ID, m.name, a.Load, itself, a.Turned) })
 		}
 	}
-	m.Made = func(a standin.Attempt, up string) { r.with(func(time.Duration) { r.judge.Made(a.ID, up) }) }
+	m.Made = func(a fakes.Attempt, up string) { r.with(func(time.Duration) { r.judge.Made(a.ID, up) }) }
 	m.Ended = over
 	m.Joined = func(via string) { r.with(func(time.Duration) { r.used[via].connections++ }) }
 	m.Probed = func() { r.with(func(at time.Duration) { r.probes.Add(at, 1) }) }
@@ -389,7 +389,7 @@
 			id, ok := open[from]
 			mu.Unlock()
 			if ok {
-				over(standin.Attempt{ID: id, From: from}, false)
+				over(fakes.Attempt{ID: id, From: from}, false)
 			}
 		}
 		if m.doors[n.name], err = r.via(n.name, fmt.Sprintf("s%d", i), addr, gone); err != nil {
@@ -400,7 +400,7 @@
 	if len(r.set.HostTypes) > 0 {
 		kind = r.set.HostTypes[i%len(r.set.HostTypes)]
 	}
-	m.entry = standin.Entry{ID: m.ID, Addr: m.Addr(), Zone: m.zone, Kind: kind, Lifecycle: standin.Serving, Weight: 1}
+	m.entry = fakes.Entry{ID: m.ID, Addr: m.Addr(), Zone: m.zone, Kind: kind, Lifecycle: fakes.Serving, Weight: 1}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.members[m.ID] = m
@@ -415,7 +415,7 @@
 }
 
 // begun is an attempt at a member.
-func (r *run) begun(m *member, a standin.Attempt) {
+func (r *run) begun(m *member, a fakes.Attempt) {
 	falls := false
 	r.with(func(at time.Duration) {
 		falls = r.judge.Begun(at, a.ID, a.Via, m.name, a.Work, a.Load)
@@ -438,7 +438,7 @@
 const toldWithin = 6 * time.Second
 
 // told is what discovery has written to a relay. Behind a cut it was written to the forwarder alone, see tellBehind.
-func (r *run) told(relay string, entries []standin.Entry) {
+func (r *run) told(relay string, entries []fakes.Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range entries {
@@ -461,7 +461,7 @@
 			continue
 		}
 		delete(r.behind, key)
-		if e.Lifecycle == standin.Serving {
+		if e.Lifecycle == fakes.Serving {
 			r.judgeTold(relay, e)
 			continue
 		}
@@ -482,7 +482,7 @@
 	return w != nil && (w.there.Cut || w.back.Cut) && !r.closing
 }
 
-func (r *run) judgeTold(relay string, e standin.Entry) {
+func (r *run) judgeTold(relay string, e fakes.Entry) {
 	r.judge.Told(r.now(), relay, e.ID, e.Lifecycle, r.since(e.Started))
 }
 
@@ -662,7 +662,7 @@
 // free is an address of the loopback that nobody listens at now, by TCP and UDP, and that it has not given before.
 func (r *run) free() (string, error) {
 	for range 200 {
-		addr := fmt.Sprintf("%s:%d", standin.Host, firstPort+rand.IntN(lastPort-firstPort))
+		addr := fmt.Sprintf("%s:%d", fakes.Host, firstPort+rand.IntN(lastPort-firstPort))
 		if r.given[addr] {
 			continue
 		}
--- a/internal/rehearse/soak_test.go
+++ b/internal/rehearse/soak_test.go
@@ -11,8 +11,8 @@
 	"sync"
 	"testing"
 
+	"dahliarudder/internal/fakes"
 	"dahliarudder/internal/rehearsal"
-	"dahliarudder/internal/standin"
 )
 
 // The soak plays soakSeeds seeds from soakFrom on. By hand these variables say otherwise; soakKeep names a directory for
@@ -49,8 +49,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if standin.Host == "127.0.0.1" { // another run of the tests on this machine has another
-		standin.Host = fmt.Sprintf("127.%d.%d.2", 64+os.Getpid()%128, os.Getpid()/128%250)
+	if fakes.Host == "127.0.0.1" { // another run of the tests on this machine has another
+		fakes.Host = fmt.Sprintf("127.%d.%d.2", 64+os.Getpid()%128, os.Getpid()/128%250)
 	}
 	seeds := make(chan uint64)
 	var players sync.WaitGroup
