--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -14,7 +14,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"dahliarudder/internal/accord"
+	"dahliarudder/internal/consensus"
 	"dahliarudder/internal/core"
 	"dahliarudder/internal/drift"
 	"dahliarudder/internal/fleet"
@@ -214,7 +214,7 @@
 			done(nil)
 		case err == nil:
 			r.follow(member, false, done)
-		case errors.Is(err, accord.ErrNoMajority), errors.Is(err, accord.ErrFull):
+		case errors.Is(err, consensus.ErrNoMajority), errors.Is(err, consensus.ErrFull):
 			r.log.WithError(err).WithField("member", member).Warn("fleet: the call holds at this relay alone")
 			r.follow(member, out, done)
 		default:
--- a/integration/fleet_voters_test.go
+++ b/integration/fleet_voters_test.go
@@ -8,12 +8,12 @@
 	"testing"
 	"time"
 
-	"dahliarudder/internal/accord"
+	"dahliarudder/internal/consensus"
 )
 
 // engine is what a relay says of its part in the record.
-func (f *fleetRig) engine(i int) accord.Status {
-	var a struct{ Engine accord.Status }
+func (f *fleetRig) engine(i int) consensus.Status {
+	var a struct{ Engine consensus.Status }
 	f.call(i, "GET", "/-/fleet", nil, &a)
 	return a.Engine
 }
@@ -35,7 +35,7 @@
 	f.t.Helper()
 	until(f.t, fmt.Sprintf("n%d to vote", i), func() bool {
 		e := f.engine(i)
-		return e.Term > 0 && (e.Role == accord.RoleVoter || e.Role == accord.RoleLeader)
+		return e.Term > 0 && (e.Role == consensus.RoleVoter || e.Role == consensus.RoleLeader)
 	})
 }
 
@@ -85,7 +85,7 @@
 	f.start(b)
 	f.banned(2, old, 0, 1, 2, 3)
 	until(t, "what was refused to be unknown", func() bool { return f.call(old, "GET", "/-/releases/x", nil, nil) == 404 })
-	if e := f.engine(old); e.Role != accord.RoleFollower || e.Voters[e.Name] != "" {
+	if e := f.engine(old); e.Role != consensus.RoleFollower || e.Voters[e.Name] != "" {
 		t.Errorf("%+v", e)
 	}
 }
--- a/internal/accord/api.go
+++ b/internal/consensus/api.go
@@ -1,7 +1,7 @@
-// Package accord is how relays agree on one sequence of commands, and survive. It carries opaque commands and decides nothing about
+// Package consensus is how relays agree on one sequence of commands, and survive. It carries opaque commands and decides nothing about
 // them. The engine is go.etcd.io/raft/v3 with its log in go.etcd.io/bbolt; a few relays vote, all others follow by a stream.
-// docs/design/accord.md says how, and what it does not promise.
-package accord
+// docs/design/consensus.md says how, and what it does not promise.
+package consensus
 
 import (
 	"context"
--- a/internal/accord/apply.go
+++ b/internal/consensus/apply.go
@@ -1,4 +1,4 @@
-package accord
+package consensus
 
 import (
 	"bytes"
--- a/internal/accord/core.go
+++ b/internal/consensus/core.go
@@ -1,4 +1,4 @@
-package accord
+package consensus
 
 import (
 	"errors"
@@ -12,7 +12,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// A tick is tickEvery; an election begins after electionTicks to twice that without a leader. docs/design/accord.md has what this gives.
+// A tick is tickEvery; an election begins after electionTicks to twice that without a leader. docs/design/consensus.md has what this gives.
 const (
 	heartbeatTicks = 2
 	electionTicks  = 12
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -13,8 +13,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"dahliarudder/internal/accord"
 	"dahliarudder/internal/canary"
+	"dahliarudder/internal/consensus"
 	"dahliarudder/internal/drift"
 	"dahliarudder/internal/peers"
 	"dahliarudder/internal/rollout"
@@ -57,7 +57,7 @@
 type Service struct {
 	Options
 	record *Record
-	node   *accord.Node
+	node   *consensus.Node
 	door   *http.Server
 	quit   chan struct{}
 	done   sync.WaitGroup
@@ -94,7 +94,7 @@
 	if s.known, err = readKept(o.Dir); err != nil {
 		o.Log.WithError(err).Warn("fleet: what was agreed before this start cannot be read: bans hold again when the record is heard")
 	}
-	s.node, err = accord.Start(accord.Options{Name: o.Name, Voters: o.Voters, Reach: o.Reach, Listen: o.Listen, Dir: o.Dir, Keys: o.Keys,
+	s.node, err = consensus.Start(consensus.Options{Name: o.Name, Voters: o.Voters, Reach: o.Reach, Listen: o.Listen, Dir: o.Dir, Keys: o.Keys,
 		Machine: s.record, Heard: s.heard, Told: s.told, Led: s.led, Log: o.Log})
 	if err != nil {
 		return nil, err
@@ -180,7 +180,7 @@
 }
 
 // votersOf is who votes, as this relay's engine has it; nothing before it knows of a record.
-func votersOf(st accord.Status) drift.Item {
+func votersOf(st consensus.Status) drift.Item {
 	it := drift.Item{Name: drift.Voters}
 	if st.Record == 0 {
 		return it
@@ -453,4 +453,4 @@
 }
 
 // Status is the engine's.
-func (s *Service) Status() accord.Status { return s.node.Status() }
+func (s *Service) Status() consensus.Status { return s.node.Status() }
