--- a/cmd/dahliarudder/operate.go
+++ b/cmd/dahliarudder/operate.go
@@ -3,7 +3,7 @@
 import (
 	"errors"
 
-	"dahliarudder/internal/bans"
+	"dahliarudder/internal/ejections"
 	"dahliarudder/internal/handover"
 )
 
@@ -11,11 +11,11 @@
 
 // recall takes over the bans that an earlier process has kept.
 func (r *relay) recall() error {
-	dir, err := bans.Dir(r.cfg.Name)
+	dir, err := ejections.Dir(r.cfg.Name)
 	if err != nil {
 		return err
 	}
-	r.dir, r.bans, r.words = dir, &bans.File{Dir: dir}, make(chan func(), wordsMost)
+	r.dir, r.bans, r.words = dir, &ejections.File{Dir: dir}, make(chan func(), wordsMost)
 	go func() {
 		for word := range r.words {
 			word()
--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -14,9 +14,9 @@
 	"github.com/sirupsen/logrus"
 	"golang.org/x/sys/unix"
 
-	"dahliarudder/internal/bans"
 	"dahliarudder/internal/config"
 	"dahliarudder/internal/core"
+	"dahliarudder/internal/ejections"
 	"dahliarudder/internal/fleet"
 	"dahliarudder/internal/front/line"
 	"dahliarudder/internal/front/nats"
@@ -194,7 +194,7 @@
 
 	// With a second address:
 	dir       string // of the state that outlives this process
-	bans      *bans.File
+	bans      *ejections.File
 	words     chan func()       // what operators have said, to be written in that order
 	door      *netloop.Listener // where a successor comes in
 	twin      *twin             // the other process of this relay; nil if there is none
--- a/internal/bans/bans.go
+++ b/internal/ejections/bans.go
@@ -1,6 +1,6 @@
-// Package bans keeps the names of the members that operators have taken out, in a
+// Package ejections keeps the names of the members that operators have taken out, in a
 // file that outlives the process. It decides nothing.
-package bans
+package ejections
 
 import (
 	"encoding/json"
--- a/internal/bans/bans_test.go
+++ b/internal/ejections/bans_test.go
@@ -1,4 +1,4 @@
-package bans
+package ejections
 
 import (
 	"fmt"
