--- a/internal/front/nats/nats.go
+++ b/internal/front/nats/nats.go
@@ -16,7 +16,7 @@
 	"github.com/sirupsen/logrus"
 
 	"dahliarudder/internal/core"
-	"dahliarudder/internal/gauge"
+	"dahliarudder/internal/loadestimate"
 	"dahliarudder/internal/netloop"
 	"dahliarudder/policy"
 )
@@ -61,7 +61,7 @@
 	carried map[string]*asked // requests that proxies carry themselves, by login and name
 	probes  map[policy.ServerID]*probe
 	routes  []route
-	gauge   *gauge.Gauge
+	gauge   *loadestimate.Gauge
 	members map[policy.ServerID]*told
 	offers  offers
 	lastID  uint64
@@ -100,7 +100,7 @@
 	cfg.fill()
 	f := &Front{Loop: loop, Core: c, Log: log, Config: cfg, Name: name, clients: map[*client]struct{}{}, carried: map[string]*asked{},
 		probes: map[policy.ServerID]*probe{}, members: map[policy.ServerID]*told{},
-		gauge: gauge.New(cfg.MemberFlows, c.Limits().Balancers), offers: offers{payload: cfg.MaxPayload}}
+		gauge: loadestimate.New(cfg.MemberFlows, c.Limits().Balancers), offers: offers{payload: cfg.MaxPayload}}
 	for _, r := range append(cfg.Routes, Route{">", cfg.Class, cfg.Tenant}) {
 		n := route{subject: r.Subject}
 		n.to.class, _ = c.Settings.Class(r.Class)
--- a/internal/gauge/gauge.go
+++ b/internal/loadestimate/gauge.go
@@ -1,7 +1,7 @@
-// Package gauge takes a pool member's load from what this relay sees of it, for members that
+// Package loadestimate takes a pool member's load from what this relay sees of it, for members that
 // report none, and says how wide a member is that reports but stands idle. It does no I/O. See
 // docs/design/nats.md, "Members without load reports".
-package gauge
+package loadestimate
 
 import (
 	"time"
--- a/internal/gauge/gauge_test.go
+++ b/internal/loadestimate/gauge_test.go
@@ -1,4 +1,4 @@
-package gauge
+package loadestimate
 
 import (
 	"testing"
