--- a/cmd/dahliarudder/meet.go
+++ b/cmd/dahliarudder/meet.go
@@ -5,7 +5,7 @@
 
 	"dahliarudder/internal/config"
 	"dahliarudder/internal/core"
-	"dahliarudder/internal/peering"
+	"dahliarudder/internal/gossiptransport"
 	"dahliarudder/internal/peers"
 	"dahliarudder/policy"
 )
@@ -37,7 +37,7 @@
 	if r.came != nil { // those that it knew: all that are configured may be down
 		known = append(slices.Clone(known), r.came.peers...)
 	}
-	r.peers = peering.New(peering.Options{Seen: func() peers.Digest { return book.Digest(r.clock()) }, Loop: r.loop, Log: r.log, Name: r.cfg.Name, Zone: zone, Listen: p.Listen, Address: p.Address,
+	r.peers = gossiptransport.New(gossiptransport.Options{Seen: func() peers.Digest { return book.Digest(r.clock()) }, Loop: r.loop, Log: r.log, Name: r.cfg.Name, Zone: zone, Listen: p.Listen, Address: p.Address,
 		Known: known, Reach: p.Reach, Keys: p.Keys(), Configured: max(set.Balancers, 1), Seed: r.cfg.SeedNumber(), Wall: wallClock,
 		Share: r.core.Relays, Noted: func(_ string, note []byte) { r.trial.noted(note) }, Ahead: func() {
 			r.log.Warn("other relays hold a newer list; members are asked for anew")
--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -20,10 +20,10 @@
 	"dahliarudder/internal/fleet"
 	"dahliarudder/internal/front/line"
 	"dahliarudder/internal/front/nats"
+	"dahliarudder/internal/gossiptransport"
 	"dahliarudder/internal/handover"
 	"dahliarudder/internal/netloop"
 	"dahliarudder/internal/operator"
-	"dahliarudder/internal/peering"
 	"dahliarudder/internal/pool"
 	"dahliarudder/internal/rollout"
 	"dahliarudder/internal/settings"
@@ -165,24 +165,24 @@
 	names     pool.Names
 	watch     *pool.Watch
 	core      *core.Core
-	next      *netloop.Timer    // when the core is due
-	nats      *nats.Front       // nil if it is off
-	store     *store.Store      // nil if it is off
-	peers     *peering.Service  // nil if it is off
-	came      *recovery         // nil if no state is kept
-	fleet     *fleet.Service    // nil if nothing is agreed with others
-	follows   uint64            // the version of the fleet's record that this relay goes by
-	agreed    []string          // the members that are out by it
-	stood     time.Duration     // of all flows together, as looked at
-	looked    time.Duration     // when it last was
-	permits   uint64            // what stands for the permits in force
-	shut      uint64            // the number of the order by which it takes no clients; 0: it takes them
-	sections  map[string]string // digests of the configuration that it runs
-	refused   string            // why it did not take the file that it last read; "" if it did
-	trial     *trial            // of canaries; nil without a fleet
-	drained   bool              // by an operator
-	leaving   *leaving          // it was told to leave; nil if not
-	ordered   bool              // it ends because it was told to
+	next      *netloop.Timer           // when the core is due
+	nats      *nats.Front              // nil if it is off
+	store     *store.Store             // nil if it is off
+	peers     *gossiptransport.Service // nil if it is off
+	came      *recovery                // nil if no state is kept
+	fleet     *fleet.Service           // nil if nothing is agreed with others
+	follows   uint64                   // the version of the fleet's record that this relay goes by
+	agreed    []string                 // the members that are out by it
+	stood     time.Duration            // of all flows together, as looked at
+	looked    time.Duration            // when it last was
+	permits   uint64                   // what stands for the permits in force
+	shut      uint64                   // the number of the order by which it takes no clients; 0: it takes them
+	sections  map[string]string        // digests of the configuration that it runs
+	refused   string                   // why it did not take the file that it last read; "" if it did
+	trial     *trial                   // of canaries; nil without a fleet
+	drained   bool                     // by an operator
+	leaving   *leaving                 // it was told to leave; nil if not
+	ordered   bool                     // it ends because it was told to
 	ending    bool
 	caught    bool // it has heard what was agreed while it was down, or waited long enough
 	listeners []*netloop.Listener
--- a/internal/peering/peering.go
+++ b/internal/gossiptransport/peering.go
@@ -1,6 +1,6 @@
-// Package peering carries what package peers decides: datagrams on the loop, and knocks at the doors of relays that
+// Package gossiptransport carries what package peers decides: datagrams on the loop, and knocks at the doors of relays that
 // fell silent. It decides nothing.
-package peering
+package gossiptransport
 
 import (
 	"encoding/json"
--- a/internal/peering/peering_test.go
+++ b/internal/gossiptransport/peering_test.go
@@ -1,4 +1,4 @@
-package peering
+package gossiptransport
 
 import (
 	"fmt"
