--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -18,7 +18,7 @@
 	"dahliarudder/internal/core"
 	"dahliarudder/internal/drift"
 	"dahliarudder/internal/fleet"
-	"dahliarudder/internal/peers"
+	"dahliarudder/internal/gossip"
 	"dahliarudder/internal/rollout"
 	"dahliarudder/internal/settings"
 	"dahliarudder/policy"
@@ -132,8 +132,8 @@
 	}
 	l.Weighs, l.Counts = r.trial.weighs, r.trial.counts()
 	for _, p := range r.peers.Known() {
-		l.Peers = append(l.Peers, fleet.Peer{Name: p.Name, Zone: p.Zone, Alive: p.State <= peers.Suspect, Gone: p.State >= peers.Gone,
-			Serving: p.Phase == peers.Serving, Incarnation: p.Incarnation})
+		l.Peers = append(l.Peers, fleet.Peer{Name: p.Name, Zone: p.Zone, Alive: p.State <= gossip.Suspect, Gone: p.State >= gossip.Gone,
+			Serving: p.Phase == gossip.Serving, Incarnation: p.Incarnation})
 	}
 	return l
 }
--- a/cmd/dahliarudder/meet.go
+++ b/cmd/dahliarudder/meet.go
@@ -5,16 +5,16 @@
 
 	"dahliarudder/internal/config"
 	"dahliarudder/internal/core"
+	"dahliarudder/internal/gossip"
 	"dahliarudder/internal/gossiptransport"
-	"dahliarudder/internal/peers"
 	"dahliarudder/policy"
 )
 
 // This file is how this relay knows the others.
 
 // outcomes are the results that say something of a member: a client that leaves says nothing.
-var outcomes = map[policy.Result]peers.Outcome{policy.OK: peers.Good, policy.Full: peers.Good, policy.Error: peers.Bad, policy.Reset: peers.Bad,
-	policy.ConnectFailed: peers.Bad, policy.Timeout: peers.Silent}
+var outcomes = map[policy.Result]gossip.Outcome{policy.OK: gossip.Good, policy.Full: gossip.Good, policy.Error: gossip.Bad, policy.Reset: gossip.Bad,
+	policy.ConnectFailed: gossip.Bad, policy.Timeout: gossip.Silent}
 
 // meet begins to know the other relays.
 func (r *relay) meet(p config.Peers) {
@@ -23,7 +23,7 @@
 	if set.Zone >= 0 && set.Zone < len(set.Zones) {
 		zone = string(set.Zones[set.Zone])
 	}
-	book := &peers.Book{}
+	book := &gossip.Book{}
 	r.core.Saw = func(m *core.Member, result policy.Result) {
 		if how, ok := outcomes[result]; ok {
 			in := ""
@@ -37,19 +37,19 @@
 	if r.came != nil { // those that it knew: all that are configured may be down
 		known = append(slices.Clone(known), r.came.peers...)
 	}
-	r.peers = gossiptransport.New(gossiptransport.Options{Seen: func() peers.Digest { return book.Digest(r.clock()) }, Loop: r.loop, Log: r.log, Name: r.cfg.Name, Zone: zone, Listen: p.Listen, Address: p.Address,
+	r.peers = gossiptransport.New(gossiptransport.Options{Seen: func() gossip.Digest { return book.Digest(r.clock()) }, Loop: r.loop, Log: r.log, Name: r.cfg.Name, Zone: zone, Listen: p.Listen, Address: p.Address,
 		Known: known, Reach: p.Reach, Keys: p.Keys(), Configured: max(set.Balancers, 1), Seed: r.cfg.SeedNumber(), Wall: wallClock,
 		Share: r.core.Relays, Noted: func(_ string, note []byte) { r.trial.noted(note) }, Ahead: func() {
 			r.log.Warn("other relays hold a newer list; members are asked for anew")
 			r.watch.Refresh(func() {})
 		},
-		Own: func() (peers.Phase, uint64, uint64, uint64) {
-			phase := peers.Serving
+		Own: func() (gossip.Phase, uint64, uint64, uint64) {
+			phase := gossip.Serving
 			switch {
 			case !r.open || !r.core.Usable() || r.fleet != nil && !r.caught:
-				phase = peers.Starting
+				phase = gossip.Starting
 			case !r.core.Welcomes():
-				phase = peers.Draining
+				phase = gossip.Draining
 			}
 			list, _ := r.watch.List()
 			return phase, list.Generation, uint64(r.core.Held()), uint64(r.core.Counts.Requests)
--- a/cmd/dahliarudder/trial.go
+++ b/cmd/dahliarudder/trial.go
@@ -11,7 +11,7 @@
 	"dahliarudder/internal/canary"
 	"dahliarudder/internal/core"
 	"dahliarudder/internal/fleet"
-	"dahliarudder/internal/peers"
+	"dahliarudder/internal/gossip"
 )
 
 const (
@@ -86,7 +86,7 @@
 // weigh has the module go by the weights of now, and tells the other relays what was heard of pauses.
 func (t *trial) weigh() {
 	use := t.holder.Weights(t.now())
-	t.r.peers.Carry(t.holder.Note(peers.NoteMost))
+	t.r.peers.Carry(t.holder.Note(gossip.NoteMost))
 	if reflect.DeepEqual(use, t.use) {
 		return
 	}
--- a/integration/peers_test.go
+++ b/integration/peers_test.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"dahliarudder/internal/fakes"
-	"dahliarudder/internal/peers"
+	"dahliarudder/internal/gossip"
 )
 
 // circle is several relays that know of each other, each reaching each other by a link of its own.
@@ -87,7 +87,7 @@
 	Peers []struct {
 		Name, State, Phase string
 		Incarnation        uint64
-		Seen               peers.Digest
+		Seen               gossip.Digest
 	}
 	Refused map[string]int
 	Clashes int
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -18,7 +18,7 @@
 
 	"dahliarudder/internal/fleet"
 	"dahliarudder/internal/front/nats"
-	"dahliarudder/internal/peers"
+	"dahliarudder/internal/gossip"
 	"dahliarudder/internal/pool"
 	"dahliarudder/internal/settings"
 	"dahliarudder/internal/store"
@@ -93,11 +93,11 @@
 	KeyFile string            `json:"key_file"` // one or two keys, a line each; relative to the configuration
 	Reach   map[string]string `json:"reach"`    // by name: where this relay reaches one, if not at the address it names
 
-	keys peers.Keys
+	keys gossip.Keys
 }
 
 // Keys is what the file holds.
-func (p *Peers) Keys() peers.Keys { return p.keys }
+func (p *Peers) Keys() gossip.Keys { return p.keys }
 
 func (p *Peers) check(name, dir string) (err error) {
 	if name == "" || len(name) > 64 {
@@ -119,7 +119,7 @@
 	if !filepath.IsAbs(path) {
 		path = filepath.Join(dir, path)
 	}
-	if p.keys, err = peers.ReadKeys(path); err != nil {
+	if p.keys, err = gossip.ReadKeys(path); err != nil {
 		return fmt.Errorf("peers.key_file: %v", err)
 	}
 	return nil
--- a/internal/consensus/api.go
+++ b/internal/consensus/api.go
@@ -10,7 +10,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"dahliarudder/internal/peers"
+	"dahliarudder/internal/gossip"
 )
 
 // What Propose and Barrier may fail with, beside the context's own end, which counts as ErrDoubt once something was sent on.
@@ -59,7 +59,7 @@
 	Listen string
 	// Dir holds the log and snapshots of a voter. "" keeps nothing: each restart is then a return with nothing.
 	Dir     string
-	Keys    peers.Keys
+	Keys    gossip.Keys
 	Machine Machine
 	// Heard is called at the leader with what relays said, its own words included: on a goroutine of its own, from a bounded ring. What it
 	// answers goes back to who said the word, unless it is empty, larger than AnswerMost, or late.
--- a/internal/consensus/seal.go
+++ b/internal/consensus/seal.go
@@ -8,7 +8,7 @@
 	"slices"
 	"sync"
 
-	"dahliarudder/internal/peers"
+	"dahliarudder/internal/gossip"
 )
 
 // A request between relays: version, the key's mark, the receiver's epoch, the sender's start and number, kind, both names, the content, and a tag
@@ -80,7 +80,7 @@
 }
 
 // openRequest checks all but freshness.
-func openRequest(keys peers.Keys, self string, b []byte) (r request, err error) {
+func openRequest(keys gossip.Keys, self string, b []byte) (r request, err error) {
 	if len(b) < sealFixed+2+tagSize {
 		return r, errSize
 	}
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -16,7 +16,7 @@
 	"dahliarudder/internal/canary"
 	"dahliarudder/internal/consensus"
 	"dahliarudder/internal/drift"
-	"dahliarudder/internal/peers"
+	"dahliarudder/internal/gossip"
 	"dahliarudder/internal/rollout"
 )
 
@@ -27,7 +27,7 @@
 	Start      uint64 // of this process; above that of every one before it, as a wall clock in milliseconds is
 	Program    string // what this relay runs
 	Settings   string // the digest of its configuration, as far as all relays have the same
-	Keys       peers.Keys
+	Keys       gossip.Keys
 	ColdFrom   float64       // what a member bears just after its start, as a part
 	ColdFor    time.Duration // until it bears all
 	Wall       func() time.Time
--- a/internal/peers/message.go
+++ b/internal/gossip/message.go
@@ -1,4 +1,4 @@
-package peers
+package gossip
 
 import (
 	"errors"
--- a/internal/peers/peers.go
+++ b/internal/gossip/peers.go
@@ -1,7 +1,7 @@
-// Package peers is how relays of one installation know of each other: who lives, and what each says of itself. This
+// Package gossip is how relays of one installation know of each other: who lives, and what each says of itself. This
 // file is the state machine. It does no I/O and reads no clock: what came in, the time and the randomness are passed in,
 // what to send is returned. docs/design/peers.md says what it follows and where it departs; docs/peers.md is for operators.
-package peers
+package gossip
 
 import (
 	"bytes"
--- a/internal/gossiptransport/peering.go
+++ b/internal/gossiptransport/peering.go
@@ -11,8 +11,8 @@
 	"github.com/sirupsen/logrus"
 	"golang.org/x/sys/unix"
 
+	"dahliarudder/internal/gossip"
 	"dahliarudder/internal/netloop"
-	"dahliarudder/internal/peers"
 )
 
 const (
@@ -33,14 +33,14 @@
 	Address    string // as others reach it
 	Known      []string
 	Reach      map[string]string
-	Keys       peers.Keys
+	Keys       gossip.Keys
 	Configured int // relays
 	Seed       uint64
 	Wall       func() time.Time // numbers this process, above the earlier ones of its name
 	// Own says what this relay does: its phase, the generation of its list, its open flows, and how many requests it has had.
-	Own func() (phase peers.Phase, generation, flows, requests uint64)
+	Own func() (phase gossip.Phase, generation, flows, requests uint64)
 	// Seen is what it saw itself of members and zones.
-	Seen func() peers.Digest
+	Seen func() gossip.Digest
 	// Ahead is called when others have held a newer list than this relay for a while.
 	Ahead func()
 	// Noted is told what other relays pass on for others than this package; nil if nobody wants it.
@@ -52,14 +52,14 @@
 // Service is this relay among its peers.
 type Service struct {
 	Options
-	m         *peers.Machine
-	seal      peers.Sealer
-	open      peers.Opener
+	m         *gossip.Machine
+	seal      gossip.Sealer
+	open      gossip.Opener
 	sock      *netloop.Datagrams
 	door      *netloop.Listener
 	tick      *netloop.Timer
-	div       peers.Divisor
-	stale     peers.Stale
+	div       gossip.Divisor
+	stale     gossip.Stale
 	share     float64
 	malformed int
 	requests  uint64         // when they were last told
@@ -71,11 +71,11 @@
 // New begins, also where the address is still held by another process: then it is tried again.
 func New(o Options) *Service {
 	start := uint64(o.Wall().UnixMilli())
-	s := &Service{Options: o, seal: peers.Sealer{Keys: o.Keys, Name: o.Name, Start: start}, open: peers.Opener{Keys: o.Keys},
-		div: peers.Divisor{Configured: o.Configured}, share: float64(o.Configured), in: map[string]int{}, out: map[string]int{}}
+	s := &Service{Options: o, seal: gossip.Sealer{Keys: o.Keys, Name: o.Name, Start: start}, open: gossip.Opener{Keys: o.Keys},
+		div: gossip.Divisor{Configured: o.Configured}, share: float64(o.Configured), in: map[string]int{}, out: map[string]int{}}
 	s.start = start
-	self := peers.Update{Name: o.Name, Addr: o.Address, Zone: o.Zone, Incarnation: start}
-	s.m = peers.New(o.Loop.Now(), self, o.Known, rand.New(rand.NewPCG(o.Seed, start)))
+	self := gossip.Update{Name: o.Name, Addr: o.Address, Zone: o.Zone, Incarnation: start}
+	s.m = gossip.New(o.Loop.Now(), self, o.Known, rand.New(rand.NewPCG(o.Seed, start)))
 	s.m.Noted = o.Noted
 	s.listen()
 	return s
@@ -156,12 +156,12 @@
 	if err != nil {
 		return // counted by its reason
 	}
-	m, err := peers.Decode(content)
+	m, err := gossip.Decode(content)
 	if err != nil {
 		s.malformed++
 		return
 	}
-	if _, known := s.in[name]; known || len(s.in) < peers.PeersMost {
+	if _, known := s.in[name]; known || len(s.in) < gossip.PeersMost {
 		s.in[name] += len(b)
 	}
 	s.send(s.m.Receive(now, name, m))
@@ -171,7 +171,7 @@
 	}
 }
 
-func (s *Service) send(out []peers.Out) {
+func (s *Service) send(out []gossip.Out) {
 	for _, o := range out {
 		to, elsewhere := s.Reach[o.Name]
 		if !elsewhere {
@@ -184,9 +184,9 @@
 			}
 			continue
 		}
-		content, _ := o.Message.Append(nil, peers.DatagramMost-peers.Overhead)
+		content, _ := o.Message.Append(nil, gossip.DatagramMost-gossip.Overhead)
 		b := s.seal.Seal(content, milliseconds(s.Loop.Now()))
-		if _, known := s.out[o.Name]; known || len(s.out) < peers.PeersMost {
+		if _, known := s.out[o.Name]; known || len(s.out) < gossip.PeersMost {
 			s.out[o.Name] += len(b)
 		}
 		s.sock.Send(to, b)
@@ -209,7 +209,7 @@
 // Addresses are those of the relays that live, as this one reaches them.
 func (s *Service) Addresses() (all []string) {
 	for _, p := range s.m.Peers() {
-		if p.State <= peers.Suspect {
+		if p.State <= gossip.Suspect {
 			at, elsewhere := s.Reach[p.Name]
 			if !elsewhere {
 				at = p.Addr
@@ -224,7 +224,7 @@
 func (s *Service) Start() uint64 { return s.start }
 
 // Known is what is held of the other relays.
-func (s *Service) Known() []*peers.Peer { return s.m.Peers() }
+func (s *Service) Known() []*gossip.Peer { return s.m.Peers() }
 
 // Shares says how many relays live, and by how many budgets are divided.
 func (s *Service) Shares() (live int, share float64) {
@@ -232,9 +232,9 @@
 	return live, s.share
 }
 
-var stateNames = map[peers.State]string{peers.Alive: "alive", peers.Suspect: "suspect", peers.Dead: "dead", peers.Gone: "gone", peers.Left: "left"}
-var phaseNames = map[peers.Phase]string{peers.Starting: "starting", peers.Recovering: "recovering", peers.Serving: "serving",
-	peers.Draining: "draining", peers.Leaving: "leaving"}
+var stateNames = map[gossip.State]string{gossip.Alive: "alive", gossip.Suspect: "suspect", gossip.Dead: "dead", gossip.Gone: "gone", gossip.Left: "left"}
+var phaseNames = map[gossip.Phase]string{gossip.Starting: "starting", gossip.Recovering: "recovering", gossip.Serving: "serving",
+	gossip.Draining: "draining", gossip.Leaving: "leaving"}
 
 // Account is what operators are told of one relay. Times are milliseconds ago.
 type Account struct {
@@ -253,14 +253,14 @@
 	Out         int    `json:"bytes_out"`
 	Accuser     string `json:"accuser,omitempty"`
 	// Seen is what it saw itself of zones and of the members that fail most; SeenAgo is when it said so, -1: never.
-	Seen    peers.Digest `json:"seen"`
-	SeenAgo int64        `json:"seen_ms"`
+	Seen    gossip.Digest `json:"seen"`
+	SeenAgo int64         `json:"seen_ms"`
 }
 
 // Text is the whole account, as JSON.
 func (s *Service) Text() string {
 	now := s.Loop.Now()
-	account := func(u peers.Update) Account {
+	account := func(u gossip.Update) Account {
 		return Account{Name: u.Name, Address: u.Addr, Zone: u.Zone, State: stateNames[u.State], Phase: phaseNames[u.Phase],
 			Incarnation: u.Incarnation, Generation: u.Generation, Flows: u.Flows, Rate: u.Rate, Accuser: u.Accuser, In: s.in[u.Name], Out: s.out[u.Name]}
 	}
--- a/internal/gossiptransport/peering_test.go
+++ b/internal/gossiptransport/peering_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/sirupsen/logrus"
 
+	"dahliarudder/internal/gossip"
 	"dahliarudder/internal/netloop/looptest"
-	"dahliarudder/internal/peers"
 )
 
 // freeAddress is an address of the loopback that nobody has now.
@@ -32,10 +32,10 @@
 	var known []string
 	for i := range n {
 		addr := freeAddress(t)
-		s := New(Options{Loop: b.Loop, Log: log, Name: fmt.Sprint("n", i), Listen: addr, Address: addr, Known: known, Keys: peers.Keys{[]byte("a key of thirty-two bytes or more")},
+		s := New(Options{Loop: b.Loop, Log: log, Name: fmt.Sprint("n", i), Listen: addr, Address: addr, Known: known, Keys: gossip.Keys{[]byte("a key of thirty-two bytes or more")},
 			Configured: n, Seed: uint64(i), Wall: func() time.Time { return time.UnixMilli(1700000000000).Add(b.Loop.Now() + steps[i]) },
-			Own:  func() (peers.Phase, uint64, uint64, uint64) { return peers.Serving, 1, 0, 0 },
-			Seen: func() peers.Digest { return peers.Digest{} }, Ahead: func() {}, Share: func(float64) {}})
+			Own:  func() (gossip.Phase, uint64, uint64, uint64) { return gossip.Serving, 1, 0, 0 },
+			Seen: func() gossip.Digest { return gossip.Digest{} }, Ahead: func() {}, Share: func(float64) {}})
 		if s.sock == nil {
 			t.Fatal("no address")
 		}
