--- a/cmd/dahliarudder-rehearse/main.go
+++ b/cmd/dahliarudder-rehearse/main.go
@@ -16,8 +16,8 @@
 	"github.com/mattn/go-isatty"
 	"github.com/spf13/cobra"
 
-	"dahliarudder/internal/rehearsal"
 	"dahliarudder/internal/rehearse"
+	"dahliarudder/internal/scenario"
 )
 
 // errBroken makes the exit code say that a rule was broken or a play was not valid.
@@ -47,7 +47,7 @@
 			if err != nil {
 				return err
 			}
-			f, err := rehearsal.Decode(text)
+			f, err := scenario.Decode(text)
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
--- a/internal/rehearse/clients.go
+++ b/internal/rehearse/clients.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"dahliarudder/internal/rehearsal"
+	"dahliarudder/internal/scenario"
 	"dahliarudder/internal/settings"
 	"dahliarudder/policy"
 )
@@ -41,12 +41,12 @@
 				f.lock.Lock()
 				if now := time.Now(); ok {
 					f.heard[n.name], f.in[n.name] = now, true
-				} else if now.Sub(f.heard[n.name]) > rehearsal.Millis(f.File.Front.Notice) {
+				} else if now.Sub(f.heard[n.name]) > scenario.Millis(f.File.Front.Notice) {
 					f.in[n.name] = false
 				}
 				admitted := f.in[n.name]
 				f.lock.Unlock()
-				wait := rehearsal.Millis(f.File.Front.Ping)
+				wait := scenario.Millis(f.File.Front.Ping)
 				if !admitted { // who starts is asked for more often
 					wait = min(wait, 50*time.Millisecond)
 				}
@@ -120,7 +120,7 @@
 }
 
 // session is one client, from its arrival to its end.
-func (r *run) session(ctx context.Context, s rehearsal.Session) {
+func (r *run) session(ctx context.Context, s scenario.Session) {
 	zones := site(r.set).Zones
 	class := r.set.Classes[s.Class]
 	tags := []string{"class " + class.Name, "zone " + zones[s.Zone]}
@@ -180,11 +180,11 @@
 type flow struct {
 	*run
 	n        *relay
-	s        rehearsal.Session
+	s        scenario.Session
 	tags     []string
 	id, line string
 	patience time.Duration
-	effect   rehearsal.Effect
+	effect   scenario.Effect
 	leaves   *leaving // nil: its client waits
 	end      time.Duration
 	wanted   time.Duration // since when the client wants to be connected
@@ -246,7 +246,7 @@
 		case strings.HasPrefix(line, "BUSY"):
 			f.rest()
 			ms, _ := strconv.ParseFloat(strings.TrimSpace(strings.TrimPrefix(line, "BUSY")), 64)
-			return "rejected", rehearsal.Millis(ms)
+			return "rejected", scenario.Millis(ms)
 		}
 		f.rest()
 		return "failed", 0
@@ -283,8 +283,8 @@
 			good = at
 		})
 	}
-	every := rehearsal.Millis(f.File.Clients.Line)
-	well := rehearsal.Millis(f.File.Clients.Well)
+	every := scenario.Millis(f.File.Clients.Line)
+	well := scenario.Millis(f.File.Clients.Well)
 	tick := time.NewTimer(time.Duration(rand.Float64() * float64(every)))
 	defer tick.Stop()
 	asked := time.Duration(-1) // when the line that is out was sent
@@ -403,12 +403,12 @@
 }
 
 // effectOf is what the judge is told of a class.
-func effectOf(class policy.Class) rehearsal.Effect {
+func effectOf(class policy.Class) scenario.Effect {
 	switch class.Effect {
 	case policy.Unsafe:
-		return rehearsal.Effect{Kind: rehearsal.Unsafe}
+		return scenario.Effect{Kind: scenario.Unsafe}
 	case policy.Keyed:
-		return rehearsal.Effect{Kind: rehearsal.Keyed, Window: class.Window}
+		return scenario.Effect{Kind: scenario.Keyed, Window: class.Window}
 	}
-	return rehearsal.Effect{}
+	return scenario.Effect{}
 }
--- a/internal/rehearse/false_test.go
+++ b/internal/rehearse/false_test.go
@@ -19,7 +19,7 @@
 	"time"
 
 	"dahliarudder/internal/fakes"
-	"dahliarudder/internal/rehearsal"
+	"dahliarudder/internal/scenario"
 )
 
 // The test's own program is also the relay that it rehearses: one that breaks a rule as its configuration's "script" says.
@@ -219,11 +219,11 @@
 		t.Fatal(err)
 	}
 	for script, rule := range map[string]string{
-		"honest": "", "two answers": rehearsal.TwoAnswers, "no answer": rehearsal.NoAnswer, "false answer": rehearsal.FalseAnswer,
-		"two out": rehearsal.TwoOut, "too many": rehearsal.TooMany, "draining": rehearsal.Draining, "cold": rehearsal.Overdriven,
-		"cut off": rehearsal.CutOff, "waiting": rehearsal.LeftWaiting, "crash": rehearsal.Crash,
-		"sent late": rehearsal.SentForGone, "repeats": rehearsal.Repeated, "false hope": rehearsal.FalseHope, "leaks": rehearsal.Leaking,
-		"deaf": rehearsal.NoAnswer, "ends at once": rehearsal.CutOff,
+		"honest": "", "two answers": scenario.TwoAnswers, "no answer": scenario.NoAnswer, "false answer": scenario.FalseAnswer,
+		"two out": scenario.TwoOut, "too many": scenario.TooMany, "draining": scenario.Draining, "cold": scenario.Overdriven,
+		"cut off": scenario.CutOff, "waiting": scenario.LeftWaiting, "crash": scenario.Crash,
+		"sent late": scenario.SentForGone, "repeats": scenario.Repeated, "false hope": scenario.FalseHope, "leaks": scenario.Leaking,
+		"deaf": scenario.NoAnswer, "ends at once": scenario.CutOff,
 	} {
 		t.Run(script, func(t *testing.T) {
 			t.Parallel()
@@ -242,7 +242,7 @@
 			case "ends at once":
 				step = `{"at_ms":3000,"do":"term","who":["n0"]}`
 			}
-			f, err := rehearsal.Decode(fmt.Appendf(nil, `{"config":"config.json","settle":true,"change":{"script":%q,"settings":{"classes":[{"name":"pay","aim-ms":500,"deadline-ms":2500,"worth":1,"effect":%q,"key-scope":"all"}]}},"seed":3,"seconds":%d,"from_ms":1000,
+			f, err := scenario.Decode(fmt.Appendf(nil, `{"config":"config.json","settle":true,"change":{"script":%q,"settings":{"classes":[{"name":"pay","aim-ms":500,"deadline-ms":2500,"worth":1,"effect":%q,"key-scope":"all"}]}},"seed":3,"seconds":%d,"from_ms":1000,
 			 "relays":{"count":1},"members":{"count":3,"cores":[1,1],"open_ms":40,"leave_ms":3000},"front":{"ping_ms":200},
 			 "clients":{"standing":5,"per_second":%d,"stay_ms":20000,"load":[0.001,0.001],"line_ms":200,"leave":%g},"faults":[%s]}`,
 				script, effect, seconds, map[bool]int{true: 24, false: 6}[script == "cold"], leave, step))
@@ -259,12 +259,12 @@
 				broken[b.Rule]++
 			}
 			if script == "ends at once" { // it may have taken a request just then, which is the same fault
-				delete(broken, rehearsal.NoAnswer)
+				delete(broken, scenario.NoAnswer)
 			}
 			if rule != "" && broken[rule] == 0 || len(broken) > 1 || rule == "" && len(broken) > 0 {
 				t.Errorf("found %v, want %q\n%v", broken, rule, x.Broken)
 			}
-			if rule == rehearsal.CutOff && script == "ends at once" && broken[rule] < 3 {
+			if rule == scenario.CutOff && script == "ends at once" && broken[rule] < 3 {
 				t.Errorf("%d clients cut off as the relay ended at once", broken[rule])
 			}
 			if rule == "" && x.Service < 0.5 {
@@ -292,7 +292,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f, err := rehearsal.Decode(text)
+		f, err := scenario.Decode(text)
 		if err != nil {
 			t.Errorf("%s: %v", path, err)
 			continue
--- a/internal/rehearse/faults.go
+++ b/internal/rehearse/faults.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"dahliarudder/internal/fakes"
-	"dahliarudder/internal/rehearsal"
+	"dahliarudder/internal/scenario"
 )
 
 const (
@@ -36,7 +36,7 @@
 			r.breakLink(s)
 		case s.Who == "discovery":
 			r.breakDiscovery(s)
-		case s.Who == rehearsal.Leader:
+		case s.Who == scenario.Leader:
 			if s.Who = r.leader(s); s.Who != "" {
 				r.breakRelay(s)
 			}
@@ -48,11 +48,11 @@
 	}
 }
 
-func (r *run) breakLink(s rehearsal.Step) {
+func (r *run) breakLink(s scenario.Step) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w, at := r.ways[[2]string{s.Who, s.To}], r.now()
-	rough := fakes.Rough{Delay: rehearsal.Millis(s.Rough.Delay), Jitter: rehearsal.Millis(s.Rough.Jitter), Rate: int(s.Rough.Rate * 1000)}
+	rough := fakes.Rough{Delay: scenario.Millis(s.Rough.Delay), Jitter: scenario.Millis(s.Rough.Jitter), Rate: int(s.Rough.Rate * 1000)}
 	switch s.Do {
 	case "cut":
 		w.there, w.back = fakes.Rough{Cut: true}, fakes.Rough{Cut: true}
@@ -69,7 +69,7 @@
 	if w.udp != nil {
 		w.udp.Cut(w.there.Cut)
 		if s.Do == "heal" {
-			s.Rough = rehearsal.Rough{}
+			s.Rough = scenario.Rough{}
 		}
 		w.udp.Rough(s.Rough.Loss, s.Rough.Repeat, w.there.Delay, w.there.Jitter)
 		w.udp.Rate(w.there.Rate)
@@ -102,7 +102,7 @@
 	}
 }
 
-func (r *run) breakDiscovery(s rehearsal.Step) {
+func (r *run) breakDiscovery(s scenario.Step) {
 	switch s.Do {
 	case "down", "up":
 		r.disc.SetDown(s.Do == "down")
@@ -125,7 +125,7 @@
 	})
 }
 
-func (r *run) breakRelay(s rehearsal.Step) {
+func (r *run) breakRelay(s scenario.Step) {
 	i, _ := strconv.Atoi(s.Who[1:])
 	n := r.relays[i]
 	switch s.Do {
@@ -285,7 +285,7 @@
 	}
 }
 
-func (r *run) breakMember(ctx context.Context, s rehearsal.Step) {
+func (r *run) breakMember(ctx context.Context, s scenario.Step) {
 	i, _ := strconv.Atoi(s.Who[1:])
 	r.mu.Lock()
 	m := r.byIndex[i]
@@ -294,7 +294,7 @@
 		m.Set(fakes.ModeBusy)
 		r.disc.Set(m.ID, "DRAINING")
 		go func() {
-			if sleep(ctx, rehearsal.Millis(r.File.Members.Leave)) {
+			if sleep(ctx, scenario.Millis(r.File.Members.Leave)) {
 				m.SendAway()
 				sleep(ctx, time.Second)
 				m.Kill()
--- a/internal/rehearse/fleet.go
+++ b/internal/rehearse/fleet.go
@@ -13,8 +13,8 @@
 
 	"dahliarudder/internal/drift"
 	"dahliarudder/internal/fakes"
-	"dahliarudder/internal/rehearsal"
 	"dahliarudder/internal/rollout"
+	"dahliarudder/internal/scenario"
 )
 
 // What the host and the owner of members do, who are stand-ins: a relay that ends because it was told to is started again, and a
@@ -29,7 +29,7 @@
 // host starts a relay again that has ended by order.
 func (n *relay) host() {
 	n.down(n)
-	time.Sleep(rehearsal.Millis(n.File.Relays.Host))
+	time.Sleep(scenario.Millis(n.File.Relays.Host))
 	n.again()
 }
 
@@ -54,7 +54,7 @@
 }
 
 // call is an operator's, who asks again while nobody can say yes.
-func (r *run) call(n *relay, s rehearsal.Step) {
+func (r *run) call(n *relay, s scenario.Step) {
 	method, path, _ := strings.Cut(s.Call, " ")
 	for end := time.Now().Add(callFor); ; time.Sleep(ownerEvery) {
 		var a rollout.Answer
@@ -71,7 +71,7 @@
 }
 
 // leader is the relay that leads when its turn comes, and for what undoes that fault the one that led then; "" if nobody says who leads.
-func (r *run) leader(s rehearsal.Step) string {
+func (r *run) leader(s scenario.Step) string {
 	if was := r.led[s.Fault]; was != "" {
 		return was
 	}
--- a/internal/rehearse/floors_test.go
+++ b/internal/rehearse/floors_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"dahliarudder/internal/rehearsal"
+	"dahliarudder/internal/scenario"
 )
 
 // floorLeast is the part of what was asked for that has to be served, in all, of each class, each tenant and in each third of
@@ -33,7 +33,7 @@
 	} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			f, err := rehearsal.Decode(fmt.Appendf(nil, `{"config":%q,"seed":9,"seconds":18,"from_ms":2000,
+			f, err := scenario.Decode(fmt.Appendf(nil, `{"config":%q,"seed":9,"seconds":18,"from_ms":2000,
 			 "change":{"peers":null,"state":null,"counts_ms":0,"settings":{"zones":["north"],"guarantees":{"cold-ms":3000}}},
 			 "relays":{"count":3},"members":{"count":8,"cores":[2,3],"open_ms":5},"front":{"ping_ms":100,"notice_ms":500},
 			 "clients":{"standing":60,"per_second":20,"stay_ms":5000,"load":[0.02,0.04],"groups":50,"line_ms":300},"faults":[%s]}`, config, faults))
--- a/internal/rehearse/growth_test.go
+++ b/internal/rehearse/growth_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"dahliarudder/internal/rehearsal"
+	"dahliarudder/internal/scenario"
 )
 
 // growthMembers names, by hand, the sizes to play, the usual one first; here a small fleet and sixteen times as many.
@@ -82,7 +82,7 @@
 	t.Helper()
 	const cores = 36.0 // of all members
 	each := cores / float64(members)
-	f, err := rehearsal.Decode(fmt.Appendf(nil, `{"config":%q,"seed":5,"seconds":14,"from_ms":2000,
+	f, err := scenario.Decode(fmt.Appendf(nil, `{"config":%q,"seed":5,"seconds":14,"from_ms":2000,
 	 "change":{"peers":null,"state":null,"counts_ms":0,"settings":{"zones":["north"],"guarantees":{"cold-ms":4000}}},
 	 "relays":{"count":1},"members":{"count":%d,"cores":[%g,%g],"open_ms":1,"leave_ms":500},"discovery":{"lag_ms":100},
 	 "clients":{"standing":60,"per_second":15,"stay_ms":6000,"load":[0.002,0.004],"groups":200,"line_ms":300},
--- a/internal/rehearse/relay.go
+++ b/internal/rehearse/relay.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"dahliarudder/internal/atomicfile"
-	"dahliarudder/internal/rehearsal"
 	"dahliarudder/internal/rollout"
+	"dahliarudder/internal/scenario"
 )
 
 // userHertz is the unit of processor time in /proc.
@@ -195,7 +195,7 @@
 }
 
 // prepare has the next process find no state, or an older one.
-func (n *relay) prepare(s rehearsal.Step) error {
+func (n *relay) prepare(s scenario.Step) error {
 	state, old := filepath.Join(n.dir, "state"), filepath.Join(n.dir, "old")
 	switch {
 	case s.Lose:
@@ -225,7 +225,7 @@
 	if err != nil {
 		return err
 	}
-	if text, err = rehearsal.Merge(text, body); err != nil {
+	if text, err = scenario.Merge(text, body); err != nil {
 		return err
 	}
 	return os.WriteFile(path, text, 0o600)
--- a/internal/rehearse/result.go
+++ b/internal/rehearse/result.go
@@ -11,7 +11,7 @@
 	"text/tabwriter"
 	"time"
 
-	"dahliarudder/internal/rehearsal"
+	"dahliarudder/internal/scenario"
 )
 
 const (
@@ -31,7 +31,7 @@
 	Seconds float64 `json:"seconds"`
 	// Invalid says why the play says nothing of the relays; empty if it does.
 	Invalid string             `json:"invalid,omitempty"`
-	Broken  []rehearsal.Break  `json:"broken"`
+	Broken  []scenario.Break   `json:"broken"`
 	Service float64            `json:"service"` // part of the connection seconds asked for
 	Worst   float64            `json:"worst_10_s"`
 	WorstAt float64            `json:"worst_10_s_at_s"`
@@ -91,8 +91,8 @@
 	What string  `json:"what"`
 }
 
-func (r *run) result(v rehearsal.Variant, repetition int) *Result {
-	x := &Result{Variant: v.Name, Play: repetition, Seed: r.plan.Seed, SetUp: map[string]float64{}, Late: map[string]float64{}, Broken: []rehearsal.Break{}}
+func (r *run) result(v scenario.Variant, repetition int) *Result {
+	x := &Result{Variant: v.Name, Play: repetition, Seed: r.plan.Seed, SetUp: map[string]float64{}, Late: map[string]float64{}, Broken: []scenario.Break{}}
 	for _, n := range r.relays {
 		cpu, memory, bytes := n.look()
 		x.Relays = append(x.Relays, Relay{Name: n.name, Starts: n.starts, CPU: cpu, Memory: memory, Peers: n.bytes + bytes,
@@ -131,7 +131,7 @@
 	x.Asked, x.Served = r.service.At()
 	if _, on := r.config["peers"]; on && r.File.Relays.Views > 0 {
 		v := r.views
-		x.Peers = &Peers{len(v.noticed), rehearsal.Quantile(v.noticed, 0.5), rehearsal.Quantile(v.noticed, 0.99), v.false_, v.dead}
+		x.Peers = &Peers{len(v.noticed), scenario.Quantile(v.noticed, 0.5), scenario.Quantile(v.noticed, 0.99), v.false_, v.dead}
 	}
 	x.Out.Relays, x.Out.Members, x.Out.Cores, x.Releases = r.out.relays, r.out.members, 1-r.out.lost, r.out.states
 	x.Done, x.Drift = r.out.done(), r.out.drift
@@ -248,7 +248,7 @@
 		}
 		first := values(names[0])
 		for i, n := range names {
-			c := rehearsal.Compare(first, values(n))
+			c := scenario.Compare(first, values(n))
 			fmt.Fprintf(t, "\t%s", figure(c.Mean, f.unit))
 			if len(by[n]) > 1 {
 				fmt.Fprintf(t, " (%s to %s)", figure(c.Least, ""), figure(c.Most, ""))
--- a/internal/rehearse/run.go
+++ b/internal/rehearse/run.go
@@ -18,13 +18,13 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"dahliarudder/internal/fakes"
-	"dahliarudder/internal/rehearsal"
+	"dahliarudder/internal/scenario"
 	"dahliarudder/internal/settings"
 )
 
 // Rehearsal is a file with what it needs to be played.
 type Rehearsal struct {
-	File    *rehearsal.File
+	File    *scenario.File
 	Dir     string // of the file
 	Program string // the relay
 	Work    string // where the relays' files and logs are
@@ -34,7 +34,7 @@
 // run is one play of it.
 type run struct {
 	*Rehearsal
-	plan    *rehearsal.Plan
+	plan    *scenario.Plan
 	set     *settings.Settings
 	config  map[string]json.RawMessage // of a relay, before what is each one's own
 	program string
@@ -44,8 +44,8 @@
 	led     map[int]string // by fault of the time line: the relay that led then; the time line's own
 
 	mu      sync.Mutex // guards all below, and the judge
-	judge   *rehearsal.Judge
-	service *rehearsal.Service
+	judge   *scenario.Judge
+	service *scenario.Service
 	relays  []*relay
 	members map[string]*member // by name now
 	byIndex []*member          // who stands for s0 and on now
@@ -55,9 +55,9 @@
 	views   *views
 	setUp   *hdrhistogram.Histogram // microseconds
 	late    *hdrhistogram.Histogram // of the rehearsal itself, microseconds
-	lists   *rehearsal.Peak
-	probes  *rehearsal.Peak
-	fresh   map[string]*rehearsal.Peak // new connections of each member, as part of what it can take
+	lists   *scenario.Peak
+	probes  *scenario.Peak
+	fresh   map[string]*scenario.Peak // new connections of each member, as part of what it can take
 	out     outs
 	answers map[string]int
 	used    map[string]*usage // by relay
@@ -120,8 +120,8 @@
 }
 
 // site is what the plan is drawn from.
-func site(set *settings.Settings) rehearsal.Site {
-	s := rehearsal.Site{}
+func site(set *settings.Settings) scenario.Site {
+	s := scenario.Site{}
 	for _, c := range set.Classes {
 		s.Classes = append(s.Classes, c.Worth)
 	}
@@ -138,31 +138,31 @@
 }
 
 // Settings are those of the configuration that the file names, with its changes.
-func (r *Rehearsal) Settings(v rehearsal.Variant) (map[string]json.RawMessage, *settings.Settings, error) {
+func (r *Rehearsal) Settings(v scenario.Variant) (map[string]json.RawMessage, *settings.Settings, error) {
 	path := r.File.Config
 	if !filepath.IsAbs(path) {
 		path = filepath.Join(r.Dir, path)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, nil, fmt.Errorf("%w: config: %v", rehearsal.ErrInvalid, err)
+		return nil, nil, fmt.Errorf("%w: config: %v", scenario.ErrInvalid, err)
 	}
 	merged := json.RawMessage(text)
 	for _, change := range []json.RawMessage{r.File.Change, v.Change} {
-		if merged, err = rehearsal.Merge(merged, change); err != nil {
-			return nil, nil, fmt.Errorf("%w: %s: %v", rehearsal.ErrInvalid, path, err)
+		if merged, err = scenario.Merge(merged, change); err != nil {
+			return nil, nil, fmt.Errorf("%w: %s: %v", scenario.ErrInvalid, path, err)
 		}
 	}
 	config := map[string]json.RawMessage{}
 	if err := json.Unmarshal(merged, &config); err != nil {
-		return nil, nil, fmt.Errorf("%w: %s: %v", rehearsal.ErrInvalid, path, err)
+		return nil, nil, fmt.Errorf("%w: %s: %v", scenario.ErrInvalid, path, err)
 	}
 	set, err := settings.Decode(config["settings"])
 	if err != nil {
-		return nil, nil, fmt.Errorf("%w: %s: %v", rehearsal.ErrInvalid, path, err)
+		return nil, nil, fmt.Errorf("%w: %s: %v", scenario.ErrInvalid, path, err)
 	}
 	if len(set.Classes) == 0 {
-		return nil, nil, fmt.Errorf("%w: %s: settings name no classes", rehearsal.ErrInvalid, path)
+		return nil, nil, fmt.Errorf("%w: %s: settings name no classes", scenario.ErrInvalid, path)
 	}
 	return config, set, r.File.CheckZones(site(set).Zones)
 }
@@ -189,27 +189,27 @@
 }
 
 // Play plays one variant once. A context that ends cuts it short; what was measured until then is returned.
-func (r *Rehearsal) Play(ctx context.Context, v rehearsal.Variant, repetition int, seed uint64) (*Result, error) {
+func (r *Rehearsal) Play(ctx context.Context, v scenario.Variant, repetition int, seed uint64) (*Result, error) {
 	config, set, err := r.Settings(v)
 	if err != nil {
 		return nil, err
 	}
 	own := *r
 	own.File = r.File.For(v)
-	x := &run{Rehearsal: &own, set: set, config: config, program: r.Program, plan: rehearsal.Draw(own.File, site(set), seed),
+	x := &run{Rehearsal: &own, set: set, config: config, program: r.Program, plan: scenario.Draw(own.File, site(set), seed),
 		dir:   filepath.Join(r.Work, fmt.Sprintf("%s-%d", strings.Map(plain, v.Name), repetition)),
-		given: map[string]bool{}, led: map[int]string{}, members: map[string]*member{}, ways: map[[2]string]*way{}, fresh: map[string]*rehearsal.Peak{}, answers: map[string]int{}, used: map[string]*usage{}, written: map[[2]string]int{}, behind: map[[2]string]fakes.Entry{},
+		given: map[string]bool{}, led: map[int]string{}, members: map[string]*member{}, ways: map[[2]string]*way{}, fresh: map[string]*scenario.Peak{}, answers: map[string]int{}, used: map[string]*usage{}, written: map[[2]string]int{}, behind: map[[2]string]fakes.Entry{},
 		setUp: hdrhistogram.New(1, 600e6, 3), late: hdrhistogram.New(1, 600e6, 3),
-		lists: &rehearsal.Peak{Over: 100 * time.Millisecond}, probes: &rehearsal.Peak{Over: time.Second}}
+		lists: &scenario.Peak{Over: 100 * time.Millisecond}, probes: &scenario.Peak{Over: time.Second}}
 	if v.Program != "" {
 		if x.program = v.Program; !filepath.IsAbs(x.program) {
 			x.program = filepath.Join(r.Dir, x.program)
 		}
 	}
 	x.views = &views{run: x, down: map[string]time.Duration{}, up: map[string]time.Duration{}, have: map[[2]string]string{}, told: map[[2]string]bool{}}
-	x.service = rehearsal.NewService(x.plan.From, x.plan.To)
+	x.service = scenario.NewService(x.plan.From, x.plan.To)
 	g := set.Guarantees
-	x.judge = rehearsal.NewJudge(rehearsal.Rules{Attempts: set.Limits.MaxAttempts, Slack: settings.Span(g.Slack), Grace: settings.Span(g.Grace),
+	x.judge = scenario.NewJudge(scenario.Rules{Attempts: set.Limits.MaxAttempts, Slack: settings.Span(g.Slack), Grace: settings.Span(g.Grace),
 		ColdFrom: g.ColdFrom, ColdFor: settings.Span(g.Cold), Overload: g.Overload, FallFor: settings.Span(g.Fall)})
 	if err := os.RemoveAll(x.dir); err != nil { // of an earlier rehearsal
 		return nil, err
@@ -272,7 +272,7 @@
 		list = append(list, m.entry)
 	}
 	r.disc = fakes.NewDiscovery(list...)
-	r.disc.SetLag(rehearsal.Millis(r.File.Discovery.Lag))
+	r.disc.SetLag(scenario.Millis(r.File.Discovery.Lag))
 	r.disc.Called = func(string) { r.with(func(at time.Duration) { r.lists.Add(at, 1) }) }
 	r.disc.Told = r.told
 	r.disc.Wrote = func(relay string, bytes int) { r.with(func(time.Duration) { r.used[relay].listBytes += bytes }) }
@@ -346,7 +346,7 @@
 	zones := site(r.set)
 	m := &member{Member: fakes.NewMember(fmt.Sprintf("s%d", i)), index: i, zone: zones.Zone(i), doors: map[string]string{}, lives: lives}
 	if lives > 0 {
-		m.Flaw = fakes.Flaw{Fail: f.Flaw.Fail, Delay: rehearsal.Millis(f.Flaw.Delay)}
+		m.Flaw = fakes.Flaw{Fail: f.Flaw.Fail, Delay: scenario.Millis(f.Flaw.Delay)}
 		for k, n := range r.relays {
 			if f.Flaw.Zone != "" && zones.Zone(k) == f.Flaw.Zone {
 				m.Flaw.Via = append(m.Flaw.Via, n.name)
@@ -355,8 +355,8 @@
 		m.ID = fmt.Sprintf("s%d.%d", i, lives)
 	}
 	m.name = m.ID
-	m.Bearing = fakes.Bearing{Cores: r.plan.Cores[i], Most: f.Most, Open: rehearsal.Millis(f.Open), Group: rehearsal.Millis(f.Group),
-		ColdFrom: g.ColdFrom, ColdFor: settings.Span(g.Cold), Every: rehearsal.Millis(f.Report), Rough: f.Rough, Names: r.set.Report.Names}
+	m.Bearing = fakes.Bearing{Cores: r.plan.Cores[i], Most: f.Most, Open: scenario.Millis(f.Open), Group: scenario.Millis(f.Group),
+		ColdFrom: g.ColdFrom, ColdFor: settings.Span(g.Cold), Every: scenario.Millis(f.Report), Rough: f.Rough, Names: r.set.Report.Names}
 	open := map[string]string{} // attempts by the sending address: only one end of each is told
 	var mu sync.Mutex
 	m.Begun = func(a fakes.Attempt) {
@@ -409,7 +409,7 @@
 	} else {
 		r.byIndex = append(r.byIndex, m)
 	}
-	r.fresh[m.ID] = &rehearsal.Peak{Over: time.Second}
+	r.fresh[m.ID] = &scenario.Peak{Over: time.Second}
 	r.judge.Member(m.name, r.plan.Cores[i], 0)
 	return m, nil
 }
@@ -682,5 +682,5 @@
 }
 
 func between(rng *rand.Rand, b [2]float64) time.Duration {
-	return rehearsal.Millis(b[0] + (b[1]-b[0])*rng.Float64())
+	return scenario.Millis(b[0] + (b[1]-b[0])*rng.Float64())
 }
--- a/internal/rehearse/soak_test.go
+++ b/internal/rehearse/soak_test.go
@@ -12,7 +12,7 @@
 	"testing"
 
 	"dahliarudder/internal/fakes"
-	"dahliarudder/internal/rehearsal"
+	"dahliarudder/internal/scenario"
 )
 
 // The soak plays soakSeeds seeds from soakFrom on. By hand these variables say otherwise; soakKeep names a directory for
@@ -73,7 +73,7 @@
 
 // soak plays one seed.
 func soak(t *testing.T, seed uint64, config, program string) {
-	f, err := rehearsal.Soak(seed, config, true)
+	f, err := scenario.Soak(seed, config, true)
 	if err != nil {
 		t.Errorf("seed %d: %v", seed, err)
 		return
@@ -117,7 +117,7 @@
 }
 
 // breaks is a line for each rule broken.
-func breaks(all []rehearsal.Break) string {
+func breaks(all []scenario.Break) string {
 	var b strings.Builder
 	for _, x := range all {
 		fmt.Fprintf(&b, "  at %.2f s, %s: %s: %s\n", x.At.Seconds(), x.Relay, x.Rule, x.What)
--- a/internal/rehearse/views.go
+++ b/internal/rehearse/views.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"dahliarudder/internal/rehearsal"
+	"dahliarudder/internal/scenario"
 )
 
 // views counts how soon relays notice that another is down, and how often they suspect one that is not.
@@ -30,7 +30,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			for sleep(ctx, rehearsal.Millis(v.File.Relays.Views)) {
+			for sleep(ctx, scenario.Millis(v.File.Relays.Views)) {
 				if n.ended() == "" && !v.isDown(n.name) {
 					said := n.account()
 					v.with(func(at time.Duration) { v.take(at, n.name, said) })
--- a/internal/rehearsal/file.go
+++ b/internal/scenario/file.go
@@ -1,6 +1,6 @@
-// Package rehearsal holds the decisions of a rehearsal, with no I/O: what a file may say, what is drawn from its seed, what
+// Package scenario holds the decisions of a rehearsal, with no I/O: what a file may say, what is drawn from its seed, what
 // breaks a rule, and what clients got. Times are since the rehearsal began.
-package rehearsal
+package scenario
 
 import (
 	"encoding/json"
--- a/internal/rehearsal/soak.go
+++ b/internal/scenario/soak.go
@@ -1,4 +1,4 @@
-package rehearsal
+package scenario
 
 import (
 	"encoding/json"
