--- a/cmd/dahliarudder-rehearse/main.go
+++ b/cmd/dahliarudder-rehearse/main.go
@@ -16,8 +16,8 @@
 	"github.com/mattn/go-isatty"
 	"github.com/spf13/cobra"
 
-	"dahliarudder/internal/rehearse"
 	"dahliarudder/internal/scenario"
+	"dahliarudder/internal/scenariorunner"
 )
 
 // errBroken makes the exit code say that a rule was broken or a play was not valid.
@@ -75,7 +75,7 @@
 			if work, err = filepath.Abs(work); err != nil {
 				return err
 			}
-			r := &rehearse.Rehearsal{File: f, Dir: filepath.Dir(args[0]), Program: program, Work: work,
+			r := &scenariorunner.Rehearsal{File: f, Dir: filepath.Dir(args[0]), Program: program, Work: work,
 				Say: teller(cmd.ErrOrStderr())}
 			for _, v := range f.Variants {
 				if _, _, err := r.Settings(v); err != nil {
@@ -92,12 +92,12 @@
 			if err != nil {
 				return err
 			}
-			rehearse.Table(cmd.OutOrStdout(), all)
+			scenariorunner.Table(cmd.OutOrStdout(), all)
 			base := out
 			if base == "" {
 				base = strings.TrimSuffix(filepath.Base(args[0]), filepath.Ext(args[0])) + "-result"
 			}
-			if err := errors.Join(rehearse.WriteJSON(base+".json", all), rehearse.WritePage(base+".html", f.About, all)); err != nil {
+			if err := errors.Join(scenariorunner.WriteJSON(base+".json", all), scenariorunner.WritePage(base+".html", f.About, all)); err != nil {
 				return err
 			}
 			cmd.Printf("%s.html and %s.json hold the rest\n", base, base)
--- a/internal/rehearse/run.go
+++ b/internal/scenariorunner/run.go
@@ -1,6 +1,6 @@
-// Package rehearse plays a rehearsal: it starts processes of the program with stand-ins for all around them, breaks what the
+// Package scenariorunner plays a rehearsal: it starts processes of the program with stand-ins for all around them, breaks what the
 // file says, and carries what crossed the sockets to the judge.
-package rehearse
+package scenariorunner
 
 import (
 	"context"
--- a/internal/rehearse/soak_test.go
+++ b/internal/scenariorunner/soak_test.go
@@ -1,4 +1,4 @@
-package rehearse
+package scenariorunner
 
 import (
 	"context"
