--- a/internal/knownred/gotest/main.go
+++ b/internal/knownfailures/gotest/main.go
@@ -16,7 +16,7 @@
 	"os/exec"
 	"strings"
 
-	"dahliarudder/internal/knownred"
+	"dahliarudder/internal/knownfailures"
 )
 
 const prefix = "go test "
@@ -47,7 +47,7 @@
 	if err := exist(entries); err != nil {
 		return false, err
 	}
-	tests := knownred.NewRun()
+	tests := knownfailures.NewRun()
 	exit, err := events("go test -json "+arguments, func(line string) { tests.Line(line, out) })
 	if err != nil {
 		return false, err
@@ -63,7 +63,7 @@
 	return passes, nil
 }
 
-func read(list string) ([]knownred.Entry, error) {
+func read(list string) ([]knownfailures.Entry, error) {
 	text, err := os.ReadFile(list)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -71,11 +71,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return knownred.Parse(string(text))
+	return knownfailures.Parse(string(text))
 }
 
 // exist fails if a listed test does not exist.
-func exist(entries []knownred.Entry) error {
+func exist(entries []knownfailures.Entry) error {
 	for _, entry := range entries {
 		list := exec.Command("go", "test", "-list", "^"+entry.Test+"$", entry.Package)
 		list.Stderr = os.Stderr
--- a/internal/knownred/knownred_test.go
+++ b/internal/knownfailures/knownred_test.go
@@ -1,4 +1,4 @@
-package knownred
+package knownfailures
 
 import (
 	"slices"
--- a/internal/knownred/list.go
+++ b/internal/knownfailures/list.go
@@ -1,9 +1,9 @@
-// Package knownred judges a run of go test against a short list of tests that are known to fail.
+// Package knownfailures judges a run of go test against a short list of tests that are known to fail.
 //
 // The list, KNOWN-RED.txt, has one line for each test: its full name, its package's import path, the cause and the issue,
 // with " | " between them. A run passes if nothing failed but tests of the list, by their own verdict: a package that does not
 // build, panics, times out or ends before its verdict is not excused.
-package knownred
+package knownfailures
 
 import (
 	"fmt"
