--- a/cmd/dahliarudder/trial.go
+++ b/cmd/dahliarudder/trial.go
@@ -28,10 +28,10 @@
 // trial is this relay's side of a canary: which weight it uses, and what it counts. On the loop alone.
 type trial struct {
 	r       *relay
-	holder  *canary.Holder
+	holder  *canary.WeightResolver
 	weighs  uint64
 	use     []canary.Weight // as the module has them
-	counter *canary.Counter
+	counter *canary.Collector
 	salt    uint64
 	flows   map[*core.Request]flowTrial // that stand
 }
@@ -44,16 +44,16 @@
 }
 
 func newTrial(r *relay) *trial {
-	return &trial{r: r, holder: canary.NewHolder(trialCut.Milliseconds()), flows: map[*core.Request]flowTrial{}}
+	return &trial{r: r, holder: canary.NewWeightResolver(trialCut.Milliseconds()), flows: map[*core.Request]flowTrial{}}
 }
 
 func (t *trial) now() int64 { return t.r.loop.Now().Milliseconds() }
 
 // agreed takes what the record says.
 func (t *trial) agreed(o fleet.Orders) {
-	t.holder.Agreed(t.now(), o.Index, o.Weights)
+	t.holder.ApplyRecord(t.now(), o.Index, o.Weights)
 	if o.Reached {
-		t.holder.Reached(t.now(), o.Index)
+		t.holder.ConfirmRecord(t.now(), o.Index)
 	}
 	t.weigh()
 	t.weighs = o.Weighed
@@ -62,12 +62,12 @@
 // noted takes what another relay passes on.
 func (t *trial) noted(note []byte) {
 	var list []canary.Notice
-	if t == nil || json.Unmarshal(note, &list) != nil || len(list) > canary.NoticesMost {
+	if t == nil || json.Unmarshal(note, &list) != nil || len(list) > canary.MaxNotices {
 		return
 	}
 	news := false
 	for _, n := range list {
-		news = t.holder.Heard(n) || news
+		news = t.holder.HandleNotice(n) || news
 	}
 	if news {
 		t.weigh()
@@ -85,8 +85,8 @@
 
 // weigh has the module go by the weights of now, and tells the other relays what was heard of pauses.
 func (t *trial) weigh() {
-	use := t.holder.Weights(t.now())
-	t.r.peers.Carry(t.holder.Note(gossip.NoteMost))
+	use := t.holder.EffectiveWeights(t.now())
+	t.r.peers.Carry(t.holder.EncodeNotices(gossip.NoteMost))
 	if reflect.DeepEqual(use, t.use) {
 		return
 	}
@@ -99,12 +99,12 @@
 		return
 	}
 	if w := use[0]; w.Salt != t.salt {
-		t.salt, t.counter = w.Salt, canary.NewCounter(w.Salt, t.r.peers.Start())
+		t.salt, t.counter = w.Salt, canary.NewCollector(w.Salt, t.r.peers.Start())
 		clear(t.flows)
 		t.r.core.Happened = t.happened
 	}
 	t.r.core.Arm(t.inArm, func(group uint64) bool {
-		return slices.ContainsFunc(t.use, func(w canary.Weight) bool { return canary.InArm(w.Salt, group, w.PerMille) })
+		return slices.ContainsFunc(t.use, func(w canary.Weight) bool { return canary.RoutedToCanary(w.Salt, group, w.PerMille) })
 	})
 }
 
@@ -119,8 +119,8 @@
 // inArm says whether a member is of an arm: it is named, or it has started since.
 func (t *trial) inArm(m *core.Member) bool {
 	return slices.ContainsFunc(t.use, func(w canary.Weight) bool {
-		return slices.Contains(w.Arm.Members, m.Name) ||
-			w.Arm.Since > 0 && m.Started != 0 && t.r.names.Starts.UnixMilli(m.Name, m.Started) >= w.Arm.Since
+		return slices.Contains(w.Target.Members, m.Name) ||
+			w.Target.Since > 0 && m.Started != 0 && t.r.names.Starts.UnixMilli(m.Name, m.Started) >= w.Target.Since
 	})
 }
 
@@ -131,14 +131,14 @@
 		age := t.r.loop.Now() - h.Member.Started
 		cold := h.Member.Started != 0 && age < t.r.core.Limits().ColdFor
 		f = flowTrial{at: t.r.loop.Now(), arm: t.inArm(h.Member),
-			place: canary.Stratum{Class: uint8(h.Request.Class), Zone: uint8(h.Member.Zone), Cold: cold}}
+			place: canary.Stratum{Class: uint8(h.Request.Class), Zone: uint8(h.Member.Zone), WarmingUp: cold}}
 	}
-	tally := t.counter.At(f.place, f.arm)
+	tally := t.counter.Tally(f.place, f.arm)
 	ms := float64(h.Took) / float64(time.Millisecond)
 	switch h.What {
 	case core.Stood:
 		tally.Attempts++
-		tally.SetUp.Add(ms)
+		tally.SetupTime.Add(ms)
 		if len(t.flows) < flowsMost {
 			t.flows[h.Request] = f
 		}
@@ -152,16 +152,16 @@
 		if stands && !f.told {
 			f.told = true
 			t.flows[h.Request] = f
-			tally.Message.Add(ms)
+			tally.MessageTime.Add(ms)
 		}
 	case core.EndedWell, core.EndedEarly, core.Parted:
 		if !stands {
 			return
 		}
 		stood := t.r.loop.Now() - f.at
-		tally.Held += uint64(min(stood, heldMost) / time.Second)
+		tally.OpenSeconds += uint64(min(stood, heldMost) / time.Second)
 		if h.What == core.EndedEarly && stood < heldMost {
-			tally.Early++
+			tally.EarlyDisconnects++
 		}
 		delete(t.flows, h.Request)
 	}
@@ -172,5 +172,5 @@
 	if t.counter == nil {
 		return nil
 	}
-	return t.counter.Append(nil, trialBytes)
+	return t.counter.AppendReport(nil, trialBytes)
 }
--- a/internal/canary/arm.go
+++ b/internal/canary/arm.go
@@ -2,9 +2,9 @@
 
 import "math/bits"
 
-// InArm says whether a group's new flows go to the arm. The same at every relay; a higher weight adds groups and swaps none, since
+// RoutedToCanary says whether a group's new flows go to the arm. The same at every relay; a higher weight adds groups and swaps none, since
 // each group has one place between 0 and 1000 and the arm is all that lie below the weight.
-func InArm(salt, group uint64, perMille int) bool {
+func RoutedToCanary(salt, group uint64, perMille int) bool {
 	if perMille <= 0 {
 		return false
 	}
--- a/internal/canary/counts.go
+++ b/internal/canary/counts.go
@@ -10,15 +10,15 @@
 
 // Stratum is what is compared with its like alone.
 type Stratum struct {
-	Class uint8
-	Zone  uint8 // of the member, by its place among the sorted names of zones
-	Cold  bool
-	Load  uint8 // Band
+	Class     uint8
+	Zone      uint8 // of the member, by its place among the sorted names of zones
+	WarmingUp bool
+	Load      uint8 // Band
 }
 
 func (s Stratum) flags() uint8 {
 	f := s.Load << 1
-	if s.Cold {
+	if s.WarmingUp {
 		f |= 1
 	}
 	return f
@@ -28,13 +28,13 @@
 	return cmp.Or(cmp.Compare(x.Class, y.Class), cmp.Compare(x.Zone, y.Zone), cmp.Compare(x.flags(), y.flags()))
 }
 
-// Bands of load.
-const Bands = 4
+// LoadBands of load.
+const LoadBands = 4
 
-// Band is a member's load (flows offered to it, as a part of what its cores bear) in halves of what is left: waiting times go as one over
+// LoadBand is a member's load (flows offered to it, as a part of what its cores bear) in halves of what is left: waiting times go as one over
 // that, so within a band they differ by 2 at most. It is what is offered, not how busy the member is: a build that burns more must
 // not hide in a band of its own.
-func Band(load float64) uint8 {
+func LoadBand(load float64) uint8 {
 	switch {
 	case load < 0.5:
 		return 0
@@ -46,26 +46,26 @@
 	return 3
 }
 
-// Buckets of a histogram: two an octave, up to 2 minutes.
-const Buckets = 40
+// HistogramBuckets of a histogram: two an octave, up to 2 minutes.
+const HistogramBuckets = 40
 
 const leastMS = 0.125
 
-// Times is a histogram: bucket i holds what took up to 1/8 ms times the square root of 2 to the i.
-type Times [Buckets]uint64
+// Histogram is a histogram: bucket i holds what took up to 1/8 ms times the square root of 2 to the i.
+type Histogram [HistogramBuckets]uint64
 
 // Add counts one time.
-func (t *Times) Add(ms float64) {
+func (t *Histogram) Add(ms float64) {
 	i := 0
 	if ms > leastMS { // not NaN
-		i = min(int(math.Ceil(2*math.Log2(ms/leastMS))), Buckets-1)
+		i = min(int(math.Ceil(2*math.Log2(ms/leastMS))), HistogramBuckets-1)
 	}
 	t[i]++
 }
 
 // above is how many took longer than bucket i.
-func (t *Times) above(i int) (n uint64) {
-	for _, k := range t[min(i+1, Buckets):] {
+func (t *Histogram) above(i int) (n uint64) {
+	for _, k := range t[min(i+1, HistogramBuckets):] {
 		n += k
 	}
 	return n
@@ -74,47 +74,47 @@
 // Tally is what one arm of one stratum was counted at.
 type Tally struct {
 	Attempts, Failed, Reset, TimedOut uint64
-	Held                              uint64 // whole seconds that flows stood, each flow's first minute alone: arms then have flows of one age
-	Early                             uint64 // of these flows, ended in that minute by the member
-	SetUp                             Times  // one for each attempt that came to stand
-	Message                           Times  // one for each flow, of its first minute: messages of one flow are alike and count once
+	OpenSeconds                       uint64    // whole seconds that flows stood, each flow's first minute alone: arms then have flows of one age
+	EarlyDisconnects                  uint64    // of these flows, ended in that minute by the member
+	SetupTime                         Histogram // one for each attempt that came to stand
+	MessageTime                       Histogram // one for each flow, of its first minute: messages of one flow are alike and count once
 }
 
 // each visits all numbers of a tally in one order.
 func (t *Tally) each(visit func(*uint64)) {
-	for _, n := range []*uint64{&t.Attempts, &t.Failed, &t.Reset, &t.TimedOut, &t.Held, &t.Early} {
+	for _, n := range []*uint64{&t.Attempts, &t.Failed, &t.Reset, &t.TimedOut, &t.OpenSeconds, &t.EarlyDisconnects} {
 		visit(n)
 	}
-	for i := range Buckets {
-		visit(&t.SetUp[i])
-		visit(&t.Message[i])
+	for i := range HistogramBuckets {
+		visit(&t.SetupTime[i])
+		visit(&t.MessageTime[i])
 	}
 }
 
-// Pair is a stratum with both arms.
-type Pair struct {
+// StratumCounts is a stratum with both arms.
+type StratumCounts struct {
 	Stratum
-	Base, Arm Tally
+	Baseline, Canary Tally
 }
 
-// Counts is a relay's word: all since its start, whole strata at a time, so that a lost word costs nothing once the next is there.
-type Counts struct {
-	Salt   uint64 // of the canary
-	Start  uint64 // of the relay's process; rises with each start
-	Seq    uint64 // of this word
-	Strata []Pair // in order
+// CountReport is a relay's word: all since its start, whole strata at a time, so that a lost word costs nothing once the next is there.
+type CountReport struct {
+	Salt        uint64          // of the canary
+	Incarnation uint64          // of the relay's process; rises with each start
+	Seq         uint64          // of this word
+	Strata      []StratumCounts // in order
 }
 
-// Counter counts at one relay for one canary. One goroutine at a time.
-type Counter struct {
+// Collector counts at one relay for one canary. One goroutine at a time.
+type Collector struct {
 	salt, start, seq uint64
 	strata           []*counted
 	spare            Tally
-	Refused          uint64 // counts of strata beyond StrataMost
+	Rejected         uint64 // counts of strata beyond MaxStrata
 }
 
 type counted struct {
-	Pair
+	StratumCounts
 	owed int    // words that it is still to be in
 	sent uint64 // the last word that it was in
 }
@@ -122,26 +122,26 @@
 // owedFor is in how many words a change is told: with every third lost, one in 27 waits for the next change or for its turn.
 const owedFor = 3
 
-// NewCounter begins at nothing.
-func NewCounter(salt, start uint64) *Counter { return &Counter{salt: salt, start: start} }
+// NewCollector begins at nothing.
+func NewCollector(salt, start uint64) *Collector { return &Collector{salt: salt, start: start} }
 
 // At is where to count. It is told in the next words; hold it for no longer than the call.
-func (c *Counter) At(s Stratum, arm bool) *Tally {
-	s.Load = min(s.Load, Bands-1)
+func (c *Collector) Tally(s Stratum, arm bool) *Tally {
+	s.Load = min(s.Load, LoadBands-1)
 	i, found := slices.BinarySearchFunc(c.strata, s, func(k *counted, s Stratum) int { return compare(k.Stratum, s) })
 	if !found {
-		if len(c.strata) >= StrataMost {
-			c.Refused++
+		if len(c.strata) >= MaxStrata {
+			c.Rejected++
 			return &c.spare
 		}
-		c.strata = slices.Insert(c.strata, i, &counted{Pair: Pair{Stratum: s}})
+		c.strata = slices.Insert(c.strata, i, &counted{StratumCounts: StratumCounts{Stratum: s}})
 	}
 	k := c.strata[i]
 	k.owed = owedFor
 	if arm {
-		return &k.Arm
+		return &k.Canary
 	}
-	return &k.Base
+	return &k.Baseline
 }
 
 const (
@@ -151,8 +151,8 @@
 	countMost   = 1 << 48
 )
 
-// Append adds the next word to dst, of most bytes at most: the strata that changed, those that waited longest first, and one more by turns.
-func (c *Counter) Append(dst []byte, most int) []byte {
+// AppendReport adds the next word to dst, of most bytes at most: the strata that changed, those that waited longest first, and one more by turns.
+func (c *Collector) AppendReport(dst []byte, most int) []byte {
 	c.seq++
 	begin := len(dst)
 	dst = append(dst, wireVersion)
@@ -170,7 +170,7 @@
 		if k.owed == 0 && len(picked) > 0 {
 			break
 		}
-		part = appendPair(part[:0], &k.Pair)
+		part = appendPair(part[:0], &k.StratumCounts)
 		if size+len(part) > most {
 			break // it is the first in the next word
 		}
@@ -180,7 +180,7 @@
 	}
 	slices.SortFunc(picked, func(x, y *counted) int { return compare(x.Stratum, y.Stratum) })
 	for _, k := range picked {
-		dst = appendPair(dst, &k.Pair)
+		dst = appendPair(dst, &k.StratumCounts)
 	}
 	return dst
 }
@@ -192,34 +192,34 @@
 	return 0
 }
 
-func appendPair(dst []byte, p *Pair) []byte {
+func appendPair(dst []byte, p *StratumCounts) []byte {
 	flags := p.flags()
-	if p.Base != (Tally{}) {
+	if p.Baseline != (Tally{}) {
 		flags |= hasBase
 	}
-	if p.Arm != (Tally{}) {
+	if p.Canary != (Tally{}) {
 		flags |= hasArm
 	}
 	dst = append(dst, p.Class, p.Zone, flags)
 	if flags&hasBase != 0 {
-		dst = appendTally(dst, &p.Base)
+		dst = appendTally(dst, &p.Baseline)
 	}
 	if flags&hasArm != 0 {
-		dst = appendTally(dst, &p.Arm)
+		dst = appendTally(dst, &p.Canary)
 	}
 	return dst
 }
 
 func appendTally(dst []byte, t *Tally) []byte {
-	for _, n := range [...]uint64{t.Attempts, t.Failed, t.Reset, t.TimedOut, t.Held, t.Early} {
+	for _, n := range [...]uint64{t.Attempts, t.Failed, t.Reset, t.TimedOut, t.OpenSeconds, t.EarlyDisconnects} {
 		dst = binary.AppendUvarint(dst, n)
 	}
-	return appendTimes(appendTimes(dst, &t.SetUp), &t.Message)
+	return appendTimes(appendTimes(dst, &t.SetupTime), &t.MessageTime)
 }
 
 // appendTimes writes where the buckets in use begin, how many there are, and each.
-func appendTimes(dst []byte, t *Times) []byte {
-	first, end := 0, Buckets
+func appendTimes(dst []byte, t *Histogram) []byte {
+	first, end := 0, HistogramBuckets
 	for end > 0 && t[end-1] == 0 {
 		end--
 	}
@@ -270,9 +270,9 @@
 	return n
 }
 
-func (r *reader) times(t *Times) (sum uint64) {
+func (r *reader) times(t *Histogram) (sum uint64) {
 	first, n := int(r.byte()), int(r.byte())
-	if first+n > Buckets {
+	if first+n > HistogramBuckets {
 		r.broken = true
 		return 0
 	}
@@ -284,46 +284,46 @@
 }
 
 func (r *reader) tally(t *Tally) {
-	for _, n := range []*uint64{&t.Attempts, &t.Failed, &t.Reset, &t.TimedOut, &t.Held, &t.Early} {
+	for _, n := range []*uint64{&t.Attempts, &t.Failed, &t.Reset, &t.TimedOut, &t.OpenSeconds, &t.EarlyDisconnects} {
 		*n = r.count()
 	}
-	stood := r.times(&t.SetUp)
-	r.times(&t.Message)
-	if t.Failed+t.Reset+t.TimedOut > t.Attempts || stood > t.Attempts || t.Early > t.Attempts {
+	stood := r.times(&t.SetupTime)
+	r.times(&t.MessageTime)
+	if t.Failed+t.Reset+t.TimedOut > t.Attempts || stood > t.Attempts || t.EarlyDisconnects > t.Attempts {
 		r.broken = true // more came of it than was tried
 	}
 }
 
-// DecodeCounts takes a word apart. What no Counter can have written is refused.
-func DecodeCounts(b []byte) (Counts, error) {
-	var c Counts
+// DecodeCountReport takes a word apart. What no Counter can have written is refused.
+func DecodeCountReport(b []byte) (CountReport, error) {
+	var c CountReport
 	r := reader{rest: b}
 	if r.byte() != wireVersion || len(r.rest) < 8 {
 		return c, errCounts
 	}
 	c.Salt = binary.LittleEndian.Uint64(r.rest)
 	r.rest = r.rest[8:]
-	c.Start, c.Seq = r.number(), r.number()
-	c.Strata = make([]Pair, 0, 12) // as many as usual
+	c.Incarnation, c.Seq = r.number(), r.number()
+	c.Strata = make([]StratumCounts, 0, 12) // as many as usual
 	for len(r.rest) > 0 && !r.broken {
 		s := Stratum{Class: r.byte(), Zone: r.byte()}
 		flags := r.byte()
-		s.Cold, s.Load = flags&1 != 0, flags>>1&(Bands-1)
-		if flags&^(hasBase|hasArm|7) != 0 || len(c.Strata) == StrataMost ||
+		s.WarmingUp, s.Load = flags&1 != 0, flags>>1&(LoadBands-1)
+		if flags&^(hasBase|hasArm|7) != 0 || len(c.Strata) == MaxStrata ||
 			len(c.Strata) > 0 && compare(c.Strata[len(c.Strata)-1].Stratum, s) >= 0 {
-			return Counts{}, errCounts
+			return CountReport{}, errCounts
 		}
-		c.Strata = append(c.Strata, Pair{Stratum: s})
+		c.Strata = append(c.Strata, StratumCounts{Stratum: s})
 		p := &c.Strata[len(c.Strata)-1]
 		if flags&hasBase != 0 {
-			r.tally(&p.Base)
+			r.tally(&p.Baseline)
 		}
 		if flags&hasArm != 0 {
-			r.tally(&p.Arm)
+			r.tally(&p.Canary)
 		}
 	}
 	if r.broken {
-		return Counts{}, errCounts
+		return CountReport{}, errCounts
 	}
 	return c, nil
 }
--- a/internal/canary/counts_test.go
+++ b/internal/canary/counts_test.go
@@ -11,28 +11,28 @@
 // A relay of thirty flows a second, two classes, three zones, members warm and cold: a word a second, for an hour.
 func TestWordSize(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
-	c := NewCounter(1<<63, 1_733_100_000_000)
+	c := NewCollector(1<<63, 1_733_100_000_000)
 	sum, largest := 0, 0
 	const seconds = 3600
 	for range seconds {
 		for range 30 {
-			s := Stratum{Class: uint8(rng.IntN(10) / 7), Load: 1, Cold: rng.IntN(30) == 0}
+			s := Stratum{Class: uint8(rng.IntN(10) / 7), Load: 1, WarmingUp: rng.IntN(30) == 0}
 			if rng.IntN(5) == 0 {
 				s.Zone = uint8(rng.IntN(3))
 			}
-			k := c.At(s, rng.IntN(20) == 0)
+			k := c.Tally(s, rng.IntN(20) == 0)
 			k.Attempts++
-			k.Held += 60
-			k.SetUp.Add(20 * math.Exp(0.6*rng.NormFloat64()))
-			k.Message.Add(5 * math.Exp(0.6*rng.NormFloat64()))
+			k.OpenSeconds += 60
+			k.SetupTime.Add(20 * math.Exp(0.6*rng.NormFloat64()))
+			k.MessageTime.Add(5 * math.Exp(0.6*rng.NormFloat64()))
 			if rng.IntN(50) == 0 {
 				k.Failed++
 			}
 		}
-		b := c.Append(nil, 600)
+		b := c.AppendReport(nil, 600)
 		sum += len(b)
 		largest = max(largest, len(b))
-		if _, err := DecodeCounts(b); err != nil {
+		if _, err := DecodeCountReport(b); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -46,11 +46,11 @@
 func TestWordsArrive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		c := NewCounter(7, 1)
-		got := map[Stratum]Pair{}
+		c := NewCollector(7, 1)
+		got := map[Stratum]StratumCounts{}
 		hear := func() {
-			b := c.Append(nil, 1400)
-			w, err := DecodeCounts(b)
+			b := c.AppendReport(nil, 1400)
+			w, err := DecodeCountReport(b)
 			if err != nil || len(b) > 1400 {
 				t.Fatalf("%d bytes: %v", len(b), err)
 			}
@@ -61,10 +61,10 @@
 			}
 		}
 		for range rapid.IntRange(1, 200).Draw(t, "counts") {
-			s := Stratum{Class: uint8(rng.IntN(3)), Zone: uint8(rng.IntN(4)), Cold: rng.IntN(2) == 0, Load: uint8(rng.IntN(5))}
-			k := c.At(s, rng.IntN(2) == 0)
+			s := Stratum{Class: uint8(rng.IntN(3)), Zone: uint8(rng.IntN(4)), WarmingUp: rng.IntN(2) == 0, Load: uint8(rng.IntN(5))}
+			k := c.Tally(s, rng.IntN(2) == 0)
 			k.Attempts += rng.Uint64N(1 << 40)
-			k.SetUp[rng.IntN(Buckets)] += k.Attempts / (Buckets * 200)
+			k.SetupTime[rng.IntN(HistogramBuckets)] += k.Attempts / (HistogramBuckets * 200)
 			if rng.IntN(3) == 0 {
 				hear()
 			}
@@ -73,50 +73,50 @@
 			hear()
 		}
 		for _, k := range c.strata {
-			if got[k.Stratum] != k.Pair {
+			if got[k.Stratum] != k.StratumCounts {
 				t.Fatalf("%v did not arrive", k.Stratum)
 			}
 		}
 	})
-	c := NewCounter(7, 1)
-	for i := range 3 * StrataMost {
-		c.At(Stratum{Class: uint8(i)}, true).Attempts++
+	c := NewCollector(7, 1)
+	for i := range 3 * MaxStrata {
+		c.Tally(Stratum{Class: uint8(i)}, true).Attempts++
 	}
-	if len(c.strata) != StrataMost || c.Refused != 2*StrataMost {
-		t.Errorf("%d strata are held, %d counts were refused", len(c.strata), c.Refused)
+	if len(c.strata) != MaxStrata || c.Rejected != 2*MaxStrata {
+		t.Errorf("%d strata are held, %d counts were refused", len(c.strata), c.Rejected)
 	}
 }
 
 func FuzzDecodeCounts(f *testing.F) {
-	c := NewCounter(5, 6)
-	f.Add(c.Append(nil, 600))
-	k := c.At(Stratum{Class: 1, Zone: 2, Cold: true, Load: 3}, true)
-	k.Attempts, k.Failed, k.Held, k.Early = 300, 20, 9000, 3
-	k.SetUp.Add(12)
-	k.Message.Add(1e9)
-	c.At(Stratum{}, false).Attempts++
-	f.Add(c.Append(nil, 600))
+	c := NewCollector(5, 6)
+	f.Add(c.AppendReport(nil, 600))
+	k := c.Tally(Stratum{Class: 1, Zone: 2, WarmingUp: true, Load: 3}, true)
+	k.Attempts, k.Failed, k.OpenSeconds, k.EarlyDisconnects = 300, 20, 9000, 3
+	k.SetupTime.Add(12)
+	k.MessageTime.Add(1e9)
+	c.Tally(Stratum{}, false).Attempts++
+	f.Add(c.AppendReport(nil, 600))
 	f.Add([]byte{wireVersion})
-	j := NewJudge(Settings{Spec: spec("r"), Epoch: 1})
+	j := NewJudge(JudgeSettings{Spec: spec("r"), Epoch: 1})
 	j.relayOf("n", "z")
 	j.zoneOf("z")
 	f.Add(j.keep())
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if v := NewJudge(Settings{Spec: spec("r"), Epoch: 1, Kept: b}).Verdict(60_000); math.IsNaN(v.Evidence) {
+		if v := NewJudge(JudgeSettings{Spec: spec("r"), Epoch: 1, Checkpoint: b}).Verdict(60_000); math.IsNaN(v.LogEValue) {
 			t.Fatalf("%+v", v)
 		}
-		w, err := DecodeCounts(b)
+		w, err := DecodeCountReport(b)
 		if err != nil {
 			return
 		}
-		j := NewJudge(Settings{Spec: spec("r"), Epoch: 1})
+		j := NewJudge(JudgeSettings{Spec: spec("r"), Epoch: 1})
 		w.Salt = j.set.Salt
-		for i, start := range []uint64{0, w.Start, w.Start} { // what was before, from nothing, and as a restart
+		for i, start := range []uint64{0, w.Incarnation, w.Incarnation} { // what was before, from nothing, and as a restart
 			heard := w
-			heard.Start, heard.Seq = start, uint64(i+1)
-			j.Hear(int64(1000*i), "n", "z", heard)
+			heard.Incarnation, heard.Seq = start, uint64(i+1)
+			j.Observe(int64(1000*i), "n", "z", heard)
 		}
-		if v := j.Verdict(60_000); math.IsNaN(v.Evidence) {
+		if v := j.Verdict(60_000); math.IsNaN(v.LogEValue) {
 			t.Fatalf("%+v", v)
 		}
 	})
--- a/internal/canary/forms_test.go
+++ b/internal/canary/forms_test.go
@@ -61,11 +61,11 @@
 		}
 		lines = append(lines, string(text))
 	}
-	c := NewCounter(5, 6)
+	c := NewCollector(5, 6)
 	next := 0
-	fill(reflect.ValueOf(c.At(Stratum{Class: 1, Zone: 2, Cold: true, Load: 3}, true)).Elem(), &next)
-	fill(reflect.ValueOf(c.At(Stratum{Class: 1}, false)).Elem(), &next)
-	lines = append(lines, hex.EncodeToString(c.Append(nil, 1400)))
+	fill(reflect.ValueOf(c.Tally(Stratum{Class: 1, Zone: 2, WarmingUp: true, Load: 3}, true)).Elem(), &next)
+	fill(reflect.ValueOf(c.Tally(Stratum{Class: 1}, false)).Elem(), &next)
+	lines = append(lines, hex.EncodeToString(c.AppendReport(nil, 1400)))
 	w := newWorld(1, flaw{points: 0.05})
 	for range 60 {
 		w.second()
--- a/internal/canary/holder.go
+++ b/internal/canary/holder.go
@@ -8,9 +8,9 @@
 	"slices"
 )
 
-// Holder is one relay's side: the weights that it uses now. The record alone raises them; anybody's notice lowers them.
+// WeightResolver is one relay's side: the weights that it uses now. The record alone raises them; anybody's notice lowers them.
 // Its time is the relay's own clock in milliseconds, one that never steps back.
-type Holder struct {
+type WeightResolver struct {
 	cut      int64
 	index    uint64 // of the record, up to which it is applied here
 	agreed   []Weight
@@ -22,8 +22,8 @@
 	waitsFor uint64
 	top      uint64 // the highest epoch that the record has shown here
 	heard    map[string]heard
-	Refused  uint64 // notices beyond the bounds
-	Old      uint64 // states of the record older than the one held
+	Rejected uint64 // notices beyond the bounds
+	Stale    uint64 // states of the record older than the one held
 }
 
 type heard struct {
@@ -31,14 +31,16 @@
 	low   Notice // what was agreed at a higher number than is known here
 }
 
-// NewHolder begins with no weights. Cut is for how long the record may be out of reach before news of it raises nothing any more.
-func NewHolder(cut int64) *Holder { return &Holder{cut: cut, heard: map[string]heard{}} }
+// NewWeightResolver begins with no weights. Cut is for how long the record may be out of reach before news of it raises nothing any more.
+func NewWeightResolver(cut int64) *WeightResolver {
+	return &WeightResolver{cut: cut, heard: map[string]heard{}}
+}
 
-// Agreed takes the weights as applied from the record up to an index, from disk too. It is to be called for every index, or before
+// ApplyRecord takes the weights as applied from the record up to an index, from disk too. It is to be called for every index, or before
 // Reached at least: a relay that does not show its index counts as behind.
-func (h *Holder) Agreed(now int64, index uint64, weights []Weight) {
+func (h *WeightResolver) ApplyRecord(now int64, index uint64, weights []Weight) {
 	if index < h.index {
-		h.Old++
+		h.Stale++
 		return
 	}
 	h.index, h.agreed = index, slices.Clone(weights)
@@ -50,7 +52,7 @@
 			if k.pause != 0 && k.pause < w.Epoch {
 				k.pause = 0 // resumed since
 			}
-			if k.low.Number != 0 && (k.low.Epoch < w.Epoch || k.low.Number <= w.Number) {
+			if k.low.Revision != 0 && (k.low.Epoch < w.Epoch || k.low.Revision <= w.Revision) {
 				k.low = Notice{}
 			}
 		} else {
@@ -72,8 +74,8 @@
 	}
 }
 
-// Reached says that at this time a majority stood behind the record up to an index.
-func (h *Holder) Reached(now int64, index uint64) {
+// ConfirmRecord says that at this time a majority stood behind the record up to an index.
+func (h *WeightResolver) ConfirmRecord(now int64, index uint64) {
 	if index <= h.index {
 		h.touch(now)
 	} else if !h.waits {
@@ -81,15 +83,15 @@
 	}
 }
 
-func (h *Holder) touch(at int64) {
+func (h *WeightResolver) touch(at int64) {
 	h.waits = false
 	h.reached, h.at, h.sure = true, max(h.at, at), h.agreed
 }
 
-// Heard takes a notice from anybody, and says whether it was new.
-func (h *Holder) Heard(n Notice) bool {
+// HandleNotice takes a notice from anybody, and says whether it was new.
+func (h *WeightResolver) HandleNotice(n Notice) bool {
 	if n.Release == "" || len(n.Release) > 128 || n.PerMille < 0 || n.Epoch == 0 || n.Epoch > h.top && n.Epoch-h.top > epochsAhead {
-		h.Refused++
+		h.Rejected++
 		return false
 	}
 	w := h.find(h.agreed, n.Release)
@@ -97,15 +99,15 @@
 		return false // closed or resumed since
 	}
 	k, known := h.heard[n.Release]
-	if !known && len(h.heard) >= NoticesMost && !h.room(n, w != nil) {
-		h.Refused++
+	if !known && len(h.heard) >= MaxNotices && !h.room(n, w != nil) {
+		h.Rejected++
 		return false
 	}
 	switch {
 	case n.Pause && n.Epoch > k.pause:
 		k.pause = n.Epoch
-	case !n.Pause && (w == nil || n.Epoch > w.Epoch || n.Number > w.Number) &&
-		(n.Epoch > k.low.Epoch || n.Epoch == k.low.Epoch && n.Number > k.low.Number):
+	case !n.Pause && (w == nil || n.Epoch > w.Epoch || n.Revision > w.Revision) &&
+		(n.Epoch > k.low.Epoch || n.Epoch == k.low.Epoch && n.Revision > k.low.Revision):
 		k.low = n
 	default:
 		return false
@@ -115,7 +117,7 @@
 }
 
 // room drops the oldest that is held of a release unknown here, for a newer one or one that is known.
-func (h *Holder) room(n Notice, known bool) bool {
+func (h *WeightResolver) room(n Notice, known bool) bool {
 	oldest, epoch := "", uint64(0)
 	for _, name := range slices.Sorted(maps.Keys(h.heard)) {
 		if h.find(h.agreed, name) != nil {
@@ -134,7 +136,7 @@
 
 // Pause holds a release at zero here and now, and gives the notice that tells others. It needs no record: what others passed on tells which
 // epoch it is for, where that is newer than what is applied here. False if the release is unknown here.
-func (h *Holder) Pause(release string) (Notice, bool) {
+func (h *WeightResolver) Pause(release string) (Notice, bool) {
 	k := h.heard[release]
 	n := Notice{Release: release, Pause: true, Epoch: max(k.pause, k.low.Epoch)}
 	if w := h.find(h.agreed, release); w != nil {
@@ -143,31 +145,31 @@
 	if n.Epoch == 0 {
 		return Notice{}, false
 	}
-	h.Heard(n)
+	h.HandleNotice(n)
 	return n, true
 }
 
 // Notices is what to tell others: the weights agreed here, and what was heard that the record does not know yet.
-func (h *Holder) Notices() []Notice {
+func (h *WeightResolver) Notices() []Notice {
 	var list []Notice
 	for _, w := range h.agreed {
-		list = append(list, Notice{Release: w.Release, Epoch: w.Epoch, Number: w.Number, PerMille: w.PerMille})
+		list = append(list, Notice{Release: w.Release, Epoch: w.Epoch, Revision: w.Revision, PerMille: w.PerMille})
 	}
 	for _, name := range slices.Sorted(maps.Keys(h.heard)) {
 		k := h.heard[name]
 		if k.pause != 0 {
 			list = append(list, Notice{Release: name, Pause: true, Epoch: k.pause})
 		}
-		if k.low.Number != 0 {
+		if k.low.Revision != 0 {
 			list = append(list, k.low)
 		}
 	}
 	return list
 }
 
-// Note is as many of the notices as most bytes hold, as JSON: pauses first, then what is lower than others may know, then what is agreed,
+// EncodeNotices is as many of the notices as most bytes hold, as JSON: pauses first, then what is lower than others may know, then what is agreed,
 // which the record tells too. Empty without any. Whatever else there is to tell, and however long the names are, a pause goes round.
-func (h *Holder) Note(most int) []byte {
+func (h *WeightResolver) EncodeNotices(most int) []byte {
 	list := h.Notices()
 	rank := func(n Notice) int {
 		switch known := h.find(h.agreed, n.Release); {
@@ -175,7 +177,7 @@
 			return 0
 		case n.Pause:
 			return 1
-		case known == nil || n.Epoch != known.Epoch || n.Number != known.Number:
+		case known == nil || n.Epoch != known.Epoch || n.Revision != known.Revision:
 			return 2
 		}
 		return 3
@@ -198,8 +200,8 @@
 	return note
 }
 
-// Weights is what this relay is to use now, by name of the release.
-func (h *Holder) Weights(now int64) []Weight {
+// EffectiveWeights is what this relay is to use now, by name of the release.
+func (h *WeightResolver) EffectiveWeights(now int64) []Weight {
 	list := slices.Clone(h.agreed)
 	for i := range list {
 		list[i].PerMille = h.weight(now, list[i])
@@ -208,7 +210,7 @@
 	return list
 }
 
-func (h *Holder) weight(now int64, w Weight) int {
+func (h *WeightResolver) weight(now int64, w Weight) int {
 	use := w.PerMille
 	if !h.reached {
 		return 0 // what stood on disk may be an old weight, and a higher one than now's
@@ -224,13 +226,13 @@
 	if k.pause >= w.Epoch {
 		return 0
 	}
-	if k.low.Number != 0 {
+	if k.low.Revision != 0 {
 		use = min(use, k.low.PerMille)
 	}
 	return use
 }
 
-func (h *Holder) find(list []Weight, release string) *Weight {
+func (h *WeightResolver) find(list []Weight, release string) *Weight {
 	for i := range list {
 		if list[i].Release == release {
 			return &list[i]
--- a/internal/canary/holder_test.go
+++ b/internal/canary/holder_test.go
@@ -20,23 +20,23 @@
 		c  Canary
 	}
 	type relay struct {
-		*Holder
+		*WeightResolver
 		born    int64
 		applied int
 		cut     bool
 		paused  uint64 // the highest epoch heard
 	}
 	sp := spec("r")
-	s := New()
-	s.Apply(0, "op", Command{Do: "open", Release: "r", Spec: &sp}.Body())
+	s := NewState()
+	s.Apply(0, "op", Command{Op: OpOpen, Release: "r", Spec: &sp}.Encode())
 	snap := func() []Weight { return s.Weights() }
 	c, _ := s.Canary("r")
 	log := []entry{{0, c}}
 	weights := [][]Weight{snap()}
 	relays := make([]*relay, 5)
 	begin := func(now int64, applied int) *relay {
-		r := &relay{Holder: NewHolder(cutMS), born: now, applied: applied}
-		r.Agreed(now, uint64(applied), weights[applied-1]) // from disk
+		r := &relay{WeightResolver: NewWeightResolver(cutMS), born: now, applied: applied}
+		r.ApplyRecord(now, uint64(applied), weights[applied-1]) // from disk
 		if trusts {
 			r.touch(now) // as if it were of now
 		}
@@ -48,17 +48,17 @@
 	for now := int64(100); now < 60_000; now += 100 {
 		if rng.IntN(15) == 0 {
 			c, _ := s.Canary("r")
-			cmd := Command{Do: []string{"rung", "rung", "rung", "pause", "resume", "resume"}[rng.IntN(6)], Release: "r", Number: c.Number}
-			if cmd.Do == "pause" {
-				cmd.Kind = Diverge // and a weight that is kept or lowered
+			cmd := Command{Op: []Op{OpAdvance, OpAdvance, OpAdvance, OpPause, OpResume, OpResume}[rng.IntN(6)], Release: "r", Revision: c.Revision}
+			if cmd.Op == OpPause {
+				cmd.Outcome = Divergent // and a weight that is kept or lowered
 			}
-			s.Apply(now, "op", cmd.Body())
-			if after, _ := s.Canary("r"); after.Number != c.Number {
+			s.Apply(now, "op", cmd.Encode())
+			if after, _ := s.Canary("r"); after.Revision != c.Revision {
 				log, weights = append(log, entry{now, after}), append(weights, snap())
 			}
-			if c.Status == Back {
-				s.Apply(now, "op", Command{Do: "close", Release: "r"}.Body())
-				s.Apply(now, "op", Command{Do: "open", Release: "r", Spec: &sp}.Body())
+			if c.Status == RolledBack {
+				s.Apply(now, "op", Command{Op: OpClose, Release: "r"}.Encode())
+				s.Apply(now, "op", Command{Op: OpOpen, Release: "r", Spec: &sp}.Encode())
 				c, _ := s.Canary("r")
 				log, weights = append(log, entry{now, c}), append(weights, snap())
 			}
@@ -77,26 +77,26 @@
 				}
 			}
 			if !r.cut && rng.IntN(3) == 0 {
-				r.Reached(now, uint64(len(log)))
+				r.ConfirmRecord(now, uint64(len(log)))
 				for r.applied < len(log) && rng.IntN(4) > 0 {
 					r.applied++
-					r.Agreed(now, uint64(r.applied), weights[r.applied-1])
+					r.ApplyRecord(now, uint64(r.applied), weights[r.applied-1])
 				}
 			}
 			if rng.IntN(4) == 0 { // notices pass between any two
 				for _, n := range relays[rng.IntN(len(relays))].Notices() {
-					r.Heard(n)
+					r.HandleNotice(n)
 					if n.Pause {
 						r.paused = max(r.paused, n.Epoch)
 					}
 				}
 			}
-			use := r.Weights(now)[0]
+			use := r.EffectiveWeights(now)[0]
 			most := 0 // of what was agreed at any time that this relay may still go by
 			for k := len(log) - 1; k >= 0; k-- {
 				most = max(most, log[k].c.PerMille)
-				// Agreed at or before the time from which it must know better: nothing older counts.
-				if known := max(r.born, lastReach(r.Holder)); log[k].at <= known {
+				// ApplyRecord at or before the time from which it must know better: nothing older counts.
+				if known := max(r.born, lastReach(r.WeightResolver)); log[k].at <= known {
 					break
 				}
 			}
@@ -111,7 +111,7 @@
 	return nil
 }
 
-func lastReach(h *Holder) int64 { return h.at }
+func lastReach(h *WeightResolver) int64 { return h.at }
 
 func TestHolders(t *testing.T) {
 	for seed := range uint64(200) {
@@ -136,72 +136,72 @@
 }
 
 func TestHolderCut(t *testing.T) {
-	h := NewHolder(cutMS)
-	w := Weight{Release: "r", PerMille: 50, Epoch: 1, Number: 2, Rung: 1}
+	h := NewWeightResolver(cutMS)
+	w := Weight{Release: "r", PerMille: 50, Epoch: 1, Revision: 2, Step: 1}
 	is := func(now int64, want int, why string) {
 		t.Helper()
-		if got := h.Weights(now)[0].PerMille; got != want {
+		if got := h.EffectiveWeights(now)[0].PerMille; got != want {
 			t.Errorf("%s: %d, not %d", why, got, want)
 		}
 	}
-	h.Agreed(0, 5, []Weight{w})
+	h.ApplyRecord(0, 5, []Weight{w})
 	is(0, 0, "from disk")
-	h.Reached(10, 7)
+	h.ConfirmRecord(10, 7)
 	is(10, 0, "reached, and behind")
-	h.Agreed(20, 7, []Weight{w})
+	h.ApplyRecord(20, 7, []Weight{w})
 	is(20, 50, "reached")
-	w.PerMille, w.Number, w.Rung = 250, 3, 2
-	h.Agreed(4000, 8, []Weight{w})
+	w.PerMille, w.Revision, w.Step = 250, 3, 2
+	h.ApplyRecord(4000, 8, []Weight{w})
 	is(4000, 50, "raised while cut off")
-	h.Reached(4001, 8)
+	h.ConfirmRecord(4001, 8)
 	is(4001, 250, "raised")
-	h.Agreed(4002, 7, []Weight{{Release: "r", PerMille: 1000, Epoch: 1, Number: 9}})
+	h.ApplyRecord(4002, 7, []Weight{{Release: "r", PerMille: 1000, Epoch: 1, Revision: 9}})
 	is(4002, 250, "an older index")
-	if !h.Heard(Notice{Release: "r", Epoch: 1, Number: 4, PerMille: 10}) || h.Heard(Notice{Release: "r", Epoch: 1, Number: 4, PerMille: 10}) {
+	if !h.HandleNotice(Notice{Release: "r", Epoch: 1, Revision: 4, PerMille: 10}) || h.HandleNotice(Notice{Release: "r", Epoch: 1, Revision: 4, PerMille: 10}) {
 		t.Error("a notice is new once")
 	}
 	is(4002, 10, "lowered as heard from another")
-	h.Heard(Notice{Release: "r", Epoch: 1, Number: 3, PerMille: 1})
+	h.HandleNotice(Notice{Release: "r", Epoch: 1, Revision: 3, PerMille: 1})
 	is(4002, 10, "older news")
-	h.Heard(Notice{Release: "r", Pause: true, Epoch: 1})
+	h.HandleNotice(Notice{Release: "r", Pause: true, Epoch: 1})
 	is(4002, 0, "paused by another")
-	w.Epoch, w.Number, w.PerMille = 2, 5, 50
-	h.Agreed(5000, 9, []Weight{w})
+	w.Epoch, w.Revision, w.PerMille = 2, 5, 50
+	h.ApplyRecord(5000, 9, []Weight{w})
 	is(5000, 50, "resumed")
-	if len(h.heard) != 0 || h.Heard(Notice{Release: "r", Pause: true, Epoch: 1}) {
+	if len(h.heard) != 0 || h.HandleNotice(Notice{Release: "r", Pause: true, Epoch: 1}) {
 		t.Error("a pause of before the resume")
 	}
 	if n, ok := h.Pause("r"); !ok || n.Epoch != 2 || len(h.Notices()) != 2 {
 		t.Errorf("%v %v", n, ok)
 	}
 	is(5000, 0, "paused here")
-	if h.Heard(Notice{Release: "r", Pause: true, Epoch: 1 << 40}) || h.Refused != 1 {
+	if h.HandleNotice(Notice{Release: "r", Pause: true, Epoch: 1 << 40}) || h.Rejected != 1 {
 		t.Error("an epoch out of reach was taken")
 	}
-	for i := range 3 * NoticesMost { // of releases that are not known here
-		h.Heard(Notice{Release: fmt.Sprint("x", i), Pause: true, Epoch: uint64(3 + i%7)})
+	for i := range 3 * MaxNotices { // of releases that are not known here
+		h.HandleNotice(Notice{Release: fmt.Sprint("x", i), Pause: true, Epoch: uint64(3 + i%7)})
 	}
 	is(5000, 0, "the pause of a known release is kept")
-	if len(h.heard) > NoticesMost {
+	if len(h.heard) > MaxNotices {
 		t.Errorf("%d held", len(h.heard))
 	}
 }
 
 // A pause said at one relay of a chain of 40, no majority there: each hears its neighbour alone, and passes on what it heard.
 func TestPauseReachesAll(t *testing.T) {
-	var relays []*Holder
+	var relays []*WeightResolver
 	for range 40 {
-		h := NewHolder(cutMS)
-		h.Agreed(0, 1, []Weight{{Release: "r", PerMille: 250, Epoch: 3, Number: 9}})
-		h.Reached(0, 1)
+		h := NewWeightResolver(cutMS)
+		h.ApplyRecord(0, 1, []Weight{{Release: "r", PerMille: 250, Epoch: 3, Revision: 9}})
+		h.ConfirmRecord(0, 1)
 		relays = append(relays, h)
 	}
 	relays[0].Pause("r")
 	for i, h := range relays[1:] {
 		for _, n := range relays[i].Notices() {
-			h.Heard(n)
+			h.HandleNotice(n)
 		}
-		if use := h.Weights(1)[0].PerMille; use != 0 {
+		if use := h.EffectiveWeights(1)[0].PerMille; use != 0 {
 			t.Fatalf("relay %d uses %d", i+1, use)
 		}
 	}
@@ -212,17 +212,17 @@
 func TestNotePauses(t *testing.T) {
 	const most = 400 // a note's, as peers have it
 	name := strings.Repeat("<", 128)
-	h := NewHolder(cutMS)
-	h.Agreed(0, 1, []Weight{{Release: name, PerMille: 300, Epoch: 7, Number: 12}})
-	h.Heard(Notice{Release: name, PerMille: 100, Epoch: 7, Number: 13})
-	for i := range NoticesMost {
-		h.Heard(Notice{Release: fmt.Sprintf("a%d", i), Pause: i%2 == 0, Epoch: 8, Number: 1})
+	h := NewWeightResolver(cutMS)
+	h.ApplyRecord(0, 1, []Weight{{Release: name, PerMille: 300, Epoch: 7, Revision: 12}})
+	h.HandleNotice(Notice{Release: name, PerMille: 100, Epoch: 7, Revision: 13})
+	for i := range MaxNotices {
+		h.HandleNotice(Notice{Release: fmt.Sprintf("a%d", i), Pause: i%2 == 0, Epoch: 8, Revision: 1})
 	}
 	h.Pause(name)
 	if all, _ := json.Marshal(h.Notices()); len(all) <= most {
 		t.Fatalf("%d bytes: nothing is left out", len(all))
 	}
-	note := h.Note(most)
+	note := h.EncodeNotices(most)
 	var list []Notice
 	if err := json.Unmarshal(note, &list); err != nil || len(note) > most {
 		t.Fatalf("%d bytes, %v: %s", len(note), err, note)
@@ -230,7 +230,7 @@
 	if len(list) < 2 || list[0] != (Notice{Release: name, Pause: true, Epoch: 7}) {
 		t.Errorf("%s", note)
 	}
-	if empty := NewHolder(cutMS).Note(most); empty != nil {
+	if empty := NewWeightResolver(cutMS).EncodeNotices(most); empty != nil {
 		t.Errorf("nothing to tell is %q", empty)
 	}
 }
@@ -238,20 +238,20 @@
 // A relay that has started since the record was last in reach, or has missed a resume, can be told to pause too: which epoch goes on elsewhere it
 // knows by what others pass on.
 func TestPauseByNotices(t *testing.T) {
-	for _, applied := range [][]Weight{nil, {{Release: "r", PerMille: 300, Epoch: 4, Number: 8}}} {
-		other, h := NewHolder(cutMS), NewHolder(cutMS)
-		other.Agreed(0, 9, []Weight{{Release: "r", PerMille: 300, Epoch: 5, Number: 9}})
-		other.Reached(0, 9)
-		h.Agreed(0, 1, applied)
+	for _, applied := range [][]Weight{nil, {{Release: "r", PerMille: 300, Epoch: 4, Revision: 8}}} {
+		other, h := NewWeightResolver(cutMS), NewWeightResolver(cutMS)
+		other.ApplyRecord(0, 9, []Weight{{Release: "r", PerMille: 300, Epoch: 5, Revision: 9}})
+		other.ConfirmRecord(0, 9)
+		h.ApplyRecord(0, 1, applied)
 		for _, n := range other.Notices() {
-			h.Heard(n)
+			h.HandleNotice(n)
 		}
 		n, ok := h.Pause("r")
-		if !ok || !other.Heard(n) || other.Weights(0)[0].PerMille != 0 {
-			t.Errorf("applied %v: %+v, %v: the other one uses %+v", applied, n, ok, other.Weights(0))
+		if !ok || !other.HandleNotice(n) || other.EffectiveWeights(0)[0].PerMille != 0 {
+			t.Errorf("applied %v: %+v, %v: the other one uses %+v", applied, n, ok, other.EffectiveWeights(0))
 		}
 	}
-	if n, ok := NewHolder(cutMS).Pause("r"); ok {
+	if n, ok := NewWeightResolver(cutMS).Pause("r"); ok {
 		t.Errorf("a pause of what nobody has told of: %+v", n)
 	}
 }
--- a/internal/canary/judge.go
+++ b/internal/canary/judge.go
@@ -31,7 +31,7 @@
 
 // Judge weighs what relays counted for one canary on one rung. Begin starts the next rung with no evidence; what is known of relays stays.
 type Judge struct {
-	set      Settings
+	set      JudgeSettings
 	tests    []*test
 	relays   []*relay // by name
 	zones    []string // by name
@@ -43,15 +43,15 @@
 	decided  bool
 	slices   int // of this rung
 	due      int // slices left to find a name; 0 for no evidence yet
-	Refused  uint64
-	Old      uint64 // words that came again, or after a later one
-	Bad      uint64 // counts that ran back without a restart, and kept evidence that is none
+	Rejected uint64
+	Stale    uint64 // words that came again, or after a later one
+	Invalid  uint64 // counts that ran back without a restart, and kept evidence that is none
 	keepAt   int64  // when the evidence is next told to the record
 }
 
 // test is one guard, with the harms that it looks for.
 type test struct {
-	Guard
+	Guardrail
 	factor   float64 // the claim: bad at most so many times as often as the base,
 	delta    float64 // and by so much more
 	shift    int     // buckets
@@ -76,7 +76,7 @@
 
 type stratum struct {
 	Stratum
-	last      Pair // as told
+	last      StratumCounts // as told
 	base, arm Tally
 	waited    int
 	past      past
@@ -91,24 +91,24 @@
 }
 
 // NewJudge begins with the evidence that is kept in the record, or with none. The spec has passed Check.
-func NewJudge(s Settings) *Judge {
+func NewJudge(s JudgeSettings) *Judge {
 	j := begun(s)
-	if len(s.Kept) > 0 && !j.restore(s.Kept) {
+	if len(s.Checkpoint) > 0 && !j.restore(s.Checkpoint) {
 		j = begun(s)
-		j.Bad++
+		j.Invalid++
 	}
 	return j
 }
 
-func begun(s Settings) *Judge {
+func begun(s JudgeSettings) *Judge {
 	j := &Judge{set: s}
-	j.set.Kept = nil
-	for _, g := range s.Guards {
-		t := &test{Guard: g, factor: 1}
+	j.set.Checkpoint = nil
+	for _, g := range s.Guardrails {
+		t := &test{Guardrail: g, factor: 1}
 		switch g.Metric {
-		case Failures, EarlyEnds:
-			t.factor, t.delta = cmp.Or(g.Factor, few), float64(g.Points)/1000
-			if g.Metric == EarlyEnds {
+		case Failures, EarlyDisconnects:
+			t.factor, t.delta = cmp.Or(g.Factor, few), float64(g.MarginPerMille)/1000
+			if g.Metric == EarlyDisconnects {
 				t.delta /= 60 // of a second, not of a minute
 			}
 			t.sought, t.gross = 2, 3
@@ -125,16 +125,16 @@
 			}
 		}
 		// The error is shared by the guards and the rungs, each of which begins anew.
-		t.needed = math.Log(float64(len(s.Guards)*len(s.Ladder)) / s.Error)
+		t.needed = math.Log(float64(len(s.Guardrails)*len(s.Steps)) / s.FalsePositiveRate)
 		j.tests = append(j.tests, t)
 	}
-	j.Begin(s.Epoch, s.Rung)
+	j.BeginStep(s.Epoch, s.Step)
 	return j
 }
 
-// Begin starts a rung: all evidence is forgotten, ill relays count again.
-func (j *Judge) Begin(epoch uint64, rung int) {
-	j.set.Epoch, j.set.Rung = epoch, rung
+// BeginStep starts a rung: all evidence is forgotten, ill relays count again.
+func (j *Judge) BeginStep(epoch uint64, rung int) {
+	j.set.Epoch, j.set.Step = epoch, rung
 	j.decided, j.due, j.compared, j.armed, j.slices = false, 0, 0, 0, 0
 	j.verdict = Verdict{}
 	for _, t := range j.tests {
@@ -160,8 +160,8 @@
 	}
 }
 
-// Hear takes a relay's word. What a relay counted before its first word here is nobody's evidence.
-func (j *Judge) Hear(now int64, name, zone string, c Counts) {
+// Observe takes a relay's word. What a relay counted before its first word here is nobody's evidence.
+func (j *Judge) Observe(now int64, name, zone string, c CountReport) {
 	j.tick(now)
 	if c.Salt != j.set.Salt {
 		return // of another canary
@@ -173,16 +173,16 @@
 	if r == nil {
 		return
 	}
-	if found && (c.Start < r.start || c.Start == r.start && c.Seq <= r.seq) {
-		j.Old++
+	if found && (c.Incarnation < r.start || c.Incarnation == r.start && c.Seq <= r.seq) {
+		j.Stale++
 		return
 	}
-	if found && c.Start > r.start { // it counts from nothing again
+	if found && c.Incarnation > r.start { // it counts from nothing again
 		for _, s := range r.strata {
-			s.last.Base, s.last.Arm = Tally{}, Tally{}
+			s.last.Baseline, s.last.Canary = Tally{}, Tally{}
 		}
 	}
-	r.zone, r.start, r.seq, r.heard = zone, c.Start, c.Seq, j.slices
+	r.zone, r.start, r.seq, r.heard = zone, c.Incarnation, c.Seq, j.slices
 	for _, p := range c.Strata {
 		j.take(r, p)
 	}
@@ -192,8 +192,8 @@
 func (j *Judge) zoneOf(name string) (int, bool) {
 	z, known := slices.BinarySearch(j.zones, name)
 	if !known {
-		if len(j.zones) >= RelaysMost {
-			j.Refused++
+		if len(j.zones) >= MaxRelays {
+			j.Rejected++
 			return 0, false
 		}
 		j.zones = slices.Insert(j.zones, z, name)
@@ -208,8 +208,8 @@
 func (j *Judge) relayOf(name, zone string) (*relay, bool) {
 	i, found := slices.BinarySearchFunc(j.relays, name, func(r *relay, n string) int { return strings.Compare(r.name, n) })
 	if !found {
-		if len(j.relays) >= RelaysMost {
-			j.Refused++
+		if len(j.relays) >= MaxRelays {
+			j.Rejected++
 			return nil, false
 		}
 		r := &relay{name: name, zone: zone}
@@ -219,11 +219,11 @@
 	return j.relays[i], found
 }
 
-func (j *Judge) take(r *relay, p Pair) {
+func (j *Judge) take(r *relay, p StratumCounts) {
 	i, found := slices.BinarySearchFunc(r.strata, p.Stratum, func(s *stratum, k Stratum) int { return compare(s.Stratum, k) })
 	if !found {
-		if len(r.strata) >= StrataMost {
-			j.Refused++
+		if len(r.strata) >= MaxStrata {
+			j.Rejected++
 			return
 		}
 		s := &stratum{Stratum: p.Stratum, last: p, shared: j.pastOf(p.Stratum)}
@@ -231,11 +231,11 @@
 		return // when it was counted is not known
 	}
 	s := r.strata[i]
-	base, ok := since(&p.Base, &s.last.Base)
-	arm, ok2 := since(&p.Arm, &s.last.Arm)
+	base, ok := since(&p.Baseline, &s.last.Baseline)
+	arm, ok2 := since(&p.Canary, &s.last.Canary)
 	s.last = p
 	if !ok || !ok2 {
-		j.Bad++
+		j.Invalid++
 		return
 	}
 	add(&s.base, &base)
@@ -266,9 +266,9 @@
 	}
 	d.Attempts, d.Failed = less(now.Attempts, last.Attempts), less(now.Failed, last.Failed)
 	d.Reset, d.TimedOut = less(now.Reset, last.Reset), less(now.TimedOut, last.TimedOut)
-	d.Held, d.Early = less(now.Held, last.Held), less(now.Early, last.Early)
-	for i := range Buckets {
-		d.SetUp[i], d.Message[i] = less(now.SetUp[i], last.SetUp[i]), less(now.Message[i], last.Message[i])
+	d.OpenSeconds, d.EarlyDisconnects = less(now.OpenSeconds, last.OpenSeconds), less(now.EarlyDisconnects, last.EarlyDisconnects)
+	for i := range HistogramBuckets {
+		d.SetupTime[i], d.MessageTime[i] = less(now.SetupTime[i], last.SetupTime[i]), less(now.MessageTime[i], last.MessageTime[i])
 	}
 	return d, ok
 }
@@ -278,11 +278,11 @@
 	to.Failed += more.Failed
 	to.Reset += more.Reset
 	to.TimedOut += more.TimedOut
-	to.Held += more.Held
-	to.Early += more.Early
-	for i := range Buckets {
-		to.SetUp[i] += more.SetUp[i]
-		to.Message[i] += more.Message[i]
+	to.OpenSeconds += more.OpenSeconds
+	to.EarlyDisconnects += more.EarlyDisconnects
+	for i := range HistogramBuckets {
+		to.SetupTime[i] += more.SetupTime[i]
+		to.MessageTime[i] += more.MessageTime[i]
 	}
 }
 
@@ -300,18 +300,18 @@
 	switch t.Metric {
 	case Failures:
 		return c.Attempts, c.Failed + c.Reset + c.TimedOut
-	case EarlyEnds:
-		return c.Held + c.Early, c.Early // each second is a trial
+	case EarlyDisconnects:
+		return c.OpenSeconds + c.EarlyDisconnects, c.EarlyDisconnects // each second is a trial
 	}
 	times := t.times(c)
 	return times.above(-1), times.above(cut)
 }
 
-func (t *test) times(c *Tally) *Times {
-	if t.Metric == SetUp {
-		return &c.SetUp
+func (t *test) times(c *Tally) *Histogram {
+	if t.Metric == SetupTime {
+		return &c.SetupTime
 	}
-	return &c.Message
+	return &c.MessageTime
 }
 
 // cut is the highest bucket that at least this part of the base was above (a bucket is wide: at most, and it may be next to none); its own relay's if that is known well enough.
@@ -325,7 +325,7 @@
 		return -1
 	}
 	above := 0.0
-	for b := Buckets - 1; b > 0; b-- {
+	for b := HistogramBuckets - 1; b > 0; b-- {
 		if above += float64(times[b]); above >= part*n {
 			return b - 1
 		}
@@ -412,7 +412,7 @@
 
 // block weighs one stratum, once both arms have something in it.
 func (j *Judge) block(r *relay, s *stratum, brings [][]float64) {
-	if s.arm.Attempts+s.arm.Held+s.arm.Early == 0 && s.arm.Message.above(-1) == 0 {
+	if s.arm.Attempts+s.arm.OpenSeconds+s.arm.EarlyDisconnects == 0 && s.arm.MessageTime.above(-1) == 0 {
 		s.base, s.waited = Tally{}, 0 // alone it says nothing of the arm
 		return
 	}
@@ -460,9 +460,9 @@
 	if r.ill != "" || len(j.relays) < 3 {
 		return // of two that differ, neither is known to be the ill one
 	}
-	needed := math.Log(float64(len(j.relays)*len(j.tests)*len(j.set.Ladder)) / j.set.Error)
+	needed := math.Log(float64(len(j.relays)*len(j.tests)*len(j.set.Steps)) / j.set.FalsePositiveRate)
 	for k, t := range j.tests {
-		if t.Metric == EarlyEnds {
+		if t.Metric == EarlyDisconnects {
 			continue // its rates are of seconds: a bound in points means nothing there
 		}
 		delta, shift := float64(illPoints)/1000, 0
@@ -528,8 +528,8 @@
 		}
 	}
 	t := j.tests[worst]
-	j.verdict.Metric, j.verdict.Needed, j.verdict.Evidence = t.Metric, t.needed, most+t.needed
-	j.verdict.Doubt = most+t.needed >= t.needed/2
+	j.verdict.Metric, j.verdict.Threshold, j.verdict.LogEValue = t.Metric, t.needed, most+t.needed
+	j.verdict.Suspected = most+t.needed >= t.needed/2
 	if j.due == 0 && most < 0 {
 		return
 	}
@@ -542,9 +542,9 @@
 		return
 	}
 	j.decided = true
-	j.verdict.Kind = Worse
+	j.verdict.Outcome = Regressed
 	if ahead > 0 {
-		j.verdict.Kind, j.verdict.Zones, j.verdict.Relays = Diverge, zones, relays
+		j.verdict.Outcome, j.verdict.Zones, j.verdict.Relays = Divergent, zones, relays
 	}
 }
 
@@ -603,8 +603,8 @@
 
 // widens says whether the next step is to a weight where the flows of one zone, or of single relays, would pay.
 func (j *Judge) widens() bool {
-	next := j.set.Rung + 1
-	return next < len(j.set.Ladder) && j.set.Ladder[next] >= wide
+	next := j.set.Step + 1
+	return next < len(j.set.Steps) && j.set.Steps[next] >= wide
 }
 
 // ruledOut says whether the harm that is looked for is unlikely by now, by every guard, in each zone that counts. A number of attempts alone
@@ -693,30 +693,30 @@
 func (j *Judge) Verdict(now int64) Verdict {
 	j.tick(now)
 	v := j.verdict
-	v.At, v.Release, v.Epoch, v.Rung, v.Compared = now, j.set.Release, j.set.Epoch, j.set.Rung, j.compared
+	v.At, v.Release, v.Epoch, v.Step, v.Compared = now, j.set.Release, j.set.Epoch, j.set.Step, j.compared
 	for _, r := range j.relays {
 		if r.ill != "" {
-			v.Ill = append(v.Ill, Illness{r.name, Metric(r.ill)})
+			v.Faulty = append(v.Faulty, FaultyRelay{r.name, Metric(r.ill)})
 		}
 	}
 	if now >= j.keepAt {
-		if v.Keep = j.keep(); len(v.Keep) > KeptMost {
-			v.Keep = nil
+		if v.Checkpoint = j.keep(); len(v.Checkpoint) > MaxCheckpointBytes {
+			v.Checkpoint = nil
 		}
-		j.keepAt = now + max(keepMS, int64(len(v.Keep))*1000/keepRate)
+		j.keepAt = now + max(keepMS, int64(len(v.Checkpoint))*1000/keepRate)
 	}
 	if j.decided {
 		return v
 	}
-	v.Kind = NotEnough
+	v.Outcome = Inconclusive
 	switch {
 	case j.due > 0 || j.slices < shortest: // there is a verdict without a name yet, or there can be none
-	case j.set.Ladder[j.set.Rung] == 1000: // there is no base left to compare with
-		if j.armed >= j.set.Floor {
-			v.Kind = Sound
+	case j.set.Steps[j.set.Step] == 1000: // there is no base left to compare with
+		if j.armed >= j.set.MinAttempts {
+			v.Outcome = Healthy
 		}
-	case j.compared >= j.set.Floor && j.ruledOut() && (!j.widens() || j.set.Ladder[j.set.Rung] >= wide || j.eachRuledOut()):
-		v.Kind = Sound
+	case j.compared >= j.set.MinAttempts && j.ruledOut() && (!j.widens() || j.set.Steps[j.set.Step] >= wide || j.eachRuledOut()):
+		v.Outcome = Healthy
 	}
 	return v
 }
--- a/internal/canary/kept.go
+++ b/internal/canary/kept.go
@@ -12,11 +12,11 @@
 // stand the words it is of, and the first word after them is nobody's evidence, as ever.
 
 const (
-	KeptMost    = 128 << 10 // bytes; 1,024 relays need less, and in JSON, a third longer, it goes into one command of the record
-	keepMS      = 5000      // at the soonest: so much is lost with a leader
-	keepRate    = 1000      // bytes a second that this may cost each relay that follows the record: as much as two words
-	keptVersion = 1
-	keptSteps   = 256 // evidence is held in parts of so many, downwards: less is still evidence
+	MaxCheckpointBytes = 128 << 10 // bytes; 1,024 relays need less, and in JSON, a third longer, it goes into one command of the record
+	keepMS             = 5000      // at the soonest: so much is lost with a leader
+	keepRate           = 1000      // bytes a second that this may cost each relay that follows the record: as much as two words
+	keptVersion        = 1
+	keptSteps          = 256 // evidence is held in parts of so many, downwards: less is still evidence
 )
 
 // keep is the rung's evidence as the record holds it.
@@ -106,8 +106,8 @@
 	for ; pasts > 0 && !r.broken; pasts-- {
 		s := Stratum{Class: r.byte()}
 		flags := r.byte()
-		s.Cold, s.Load = flags&1 != 0, flags>>1&(Bands-1)
-		if r.broken || len(j.shared) >= RelaysMost {
+		s.WarmingUp, s.Load = flags&1 != 0, flags>>1&(LoadBands-1)
+		if r.broken || len(j.shared) >= MaxRelays {
 			return false
 		}
 		p := j.pastOf(s)
--- a/internal/canary/model_test.go
+++ b/internal/canary/model_test.go
@@ -55,8 +55,8 @@
 	fails      float64
 	setUp, msg float64
 	ill        bool
-	counter    *Counter
-	holder     *Holder
+	counter    *Collector
+	holder     *WeightResolver
 	start      uint64
 	applied    int
 	old        []byte
@@ -65,7 +65,7 @@
 type member struct{ fails, slow, hiccup float64 }
 
 func newWorld(seed uint64, f flaw) *world {
-	w := &world{flaw: f, rng: rand.New(rand.NewPCG(seed, 77)), now: 1000, state: New(), shock: 1}
+	w := &world{flaw: f, rng: rand.New(rand.NewPCG(seed, 77)), now: 1000, state: NewState(), shock: 1}
 	n := []int{3, 3, 5, 8, 12, 12, 20, 40, 40, 80, 300}[w.rng.IntN(11)]
 	if f.crowded {
 		n = 300
@@ -83,7 +83,7 @@
 	fails := 0.002 + 0.018*w.rng.Float64()
 	for i := range n {
 		p := &place{name: "n" + strconv.Itoa(i), zone: "z" + strconv.Itoa(i%3), rate: 20 * normal(0.5), fails: fails * normal(0.7),
-			setUp: 20 * normal(0.4), msg: 5 * normal(0.4), ill: i < f.ill, start: 1, holder: NewHolder(5000)}
+			setUp: 20 * normal(0.4), msg: 5 * normal(0.4), ill: i < f.ill, start: 1, holder: NewWeightResolver(5000)}
 		p.rate = min(p.rate, 100)
 		w.relays = append(w.relays, p)
 	}
@@ -96,11 +96,11 @@
 	sp := spec("r")
 	sp.Salt = w.rng.Uint64() | 1
 	if f.plain {
-		sp.Ladder = []int{100, 500, 1000} // more to look at in less time
+		sp.Steps = []int{100, 500, 1000} // more to look at in less time
 	}
-	w.apply(Command{Do: "open", Release: "r", Spec: &sp})
+	w.apply(Command{Op: OpOpen, Release: "r", Spec: &sp})
 	for _, p := range w.relays {
-		p.counter = NewCounter(sp.Salt, p.start)
+		p.counter = NewCollector(sp.Salt, p.start)
 	}
 	w.lead()
 	return w
@@ -109,12 +109,12 @@
 // lead has a new leader begin: all that it knows is in the record.
 func (w *world) lead() {
 	c, _ := w.state.Canary("r")
-	w.judge = NewJudge(Settings{Spec: c.Spec, Epoch: c.Epoch, Rung: c.Rung, Kept: w.state.Kept("r")})
+	w.judge = NewJudge(JudgeSettings{Spec: c.Spec, Epoch: c.Epoch, Step: c.Step, Checkpoint: w.state.Checkpoint("r")})
 }
 
 func (w *world) apply(cmd Command) {
 	was := w.state.Version()
-	w.state.Apply(w.now, "pilot", cmd.Body())
+	w.state.Apply(w.now, "pilot", cmd.Encode())
 	if w.state.Version() != was { // relays wait for no evidence
 		w.log, w.logAt = append(w.log, w.state.Weights()), append(w.logAt, w.now)
 	}
@@ -146,22 +146,22 @@
 	for _, p := range w.relays {
 		if w.rng.IntN(600) == 0 { // it comes back: counts begin at nothing, its record is of some time ago
 			p.start++
-			p.counter = NewCounter(w.log[0][0].Salt, p.start)
-			p.holder = NewHolder(5000)
+			p.counter = NewCollector(w.log[0][0].Salt, p.start)
+			p.holder = NewWeightResolver(5000)
 			p.applied = 1 + w.rng.IntN(max(p.applied, 1))
-			p.holder.Agreed(w.now, uint64(p.applied), w.log[p.applied-1])
+			p.holder.ApplyRecord(w.now, uint64(p.applied), w.log[p.applied-1])
 		} else if w.rng.IntN(20) != 0 {
-			p.holder.Reached(w.now, uint64(len(w.log)))
+			p.holder.ConfirmRecord(w.now, uint64(len(w.log)))
 			if p.applied < len(w.log) {
 				p.applied = len(w.log)
-				p.holder.Agreed(w.now, uint64(p.applied), w.log[p.applied-1])
+				p.holder.ApplyRecord(w.now, uint64(p.applied), w.log[p.applied-1])
 			}
 		}
 		for _, n := range w.relays[w.rng.IntN(len(w.relays))].holder.Notices() {
-			p.holder.Heard(n)
+			p.holder.HandleNotice(n)
 		}
 		use := 0
-		if ws := p.holder.Weights(w.now); len(ws) > 0 {
+		if ws := p.holder.EffectiveWeights(w.now); len(ws) > 0 {
 			use = ws[0].PerMille
 		}
 		for k := len(w.log) - 1; ; k-- { // never more than was agreed within the cut
@@ -173,27 +173,27 @@
 			}
 		}
 		w.flows(p, use)
-		word := p.counter.Append(nil, 1400)
+		word := p.counter.AppendReport(nil, 1400)
 		for range w.rng.IntN(20) / 19 * 2 { // an old one, again
 			if p.old != nil {
-				c, _ := DecodeCounts(p.old)
-				w.judge.Hear(w.now, p.name, p.zone, c)
+				c, _ := DecodeCountReport(p.old)
+				w.judge.Observe(w.now, p.name, p.zone, c)
 			}
 		}
 		if w.rng.IntN(20) != 0 {
-			c, err := DecodeCounts(word)
+			c, err := DecodeCountReport(word)
 			if err != nil {
 				return true, err
 			}
-			w.judge.Hear(w.now, p.name, p.zone, c)
+			w.judge.Observe(w.now, p.name, p.zone, c)
 			p.old = word
 		}
 	}
 	v := w.judge.Verdict(w.now)
 	w.last = v
-	w.mark(math.Float64bits(v.Evidence), v.Kind, v.Zones, v.Relays, v.Ill)
+	w.mark(math.Float64bits(v.LogEValue), v.Outcome, v.Zones, v.Relays, v.Faulty)
 	if z := w.z.o / math.Sqrt(w.z.v); w.peek && z > 2.326 {
-		v.Kind = Worse
+		v.Outcome = Regressed
 	}
 	c, _ := w.state.Canary("r")
 	applied := true
@@ -203,13 +203,13 @@
 	for _, cmd := range w.state.Plan(w.now, v, applied) {
 		w.apply(cmd)
 		after, _ := w.state.Canary("r")
-		if after.Epoch != c.Epoch || after.Rung != c.Rung {
-			w.judge.Begin(after.Epoch, after.Rung)
+		if after.Epoch != c.Epoch || after.Step != c.Step {
+			w.judge.BeginStep(after.Epoch, after.Step)
 			w.z.o, w.z.v = 0, 0
 		}
 		c = after
 	}
-	return c.Status != Going, nil
+	return c.Status != Progressing, nil
 }
 
 func (w *world) flows(p *place, perMille int) {
@@ -218,19 +218,19 @@
 		n := int(p.rate*part) + map[bool]int{true: 1}[w.rng.Float64() < p.rate*part-math.Floor(p.rate*part)]
 		var tried, bad [2][2]float64 // by warmth and arm, for who peeks
 		for range n {
-			arm := InArm(w.log[0][0].Salt, w.rng.Uint64(), perMille)
+			arm := RoutedToCanary(w.log[0][0].Salt, w.rng.Uint64(), perMille)
 			var m *member
 			s := Stratum{Class: uint8(class), Load: 1}
 			if arm {
-				m, s.Cold = w.arm[w.rng.IntN(len(w.arm))], cold
+				m, s.WarmingUp = w.arm[w.rng.IntN(len(w.arm))], cold
 			} else {
-				m, s.Cold = w.base[w.rng.IntN(len(w.base))], w.rng.IntN(50) == 0 // some of the base start again too
+				m, s.WarmingUp = w.base[w.rng.IntN(len(w.base))], w.rng.IntN(50) == 0 // some of the base start again too
 			}
 			if w.rng.IntN(5) == 0 {
 				s.Zone = uint8(w.rng.IntN(3))
 			}
 			fails, slow, early := p.fails*m.fails*w.shock*float64(1+class), m.slow, 0.003
-			if s.Cold {
+			if s.WarmingUp {
 				fails, slow = 2*fails, 3*slow
 			}
 			if arm && (w.zone == "" || w.zone == p.zone) && (w.only == "" || w.only == p.name) {
@@ -245,11 +245,11 @@
 			if m.hiccup > 0 {
 				fails += 0.5
 			}
-			t := p.counter.At(s, arm)
+			t := p.counter.Tally(s, arm)
 			t.Attempts++
 			u := w.rng.Float64()
-			tried[b2i(s.Cold)][b2i(arm)]++
-			bad[b2i(s.Cold)][b2i(arm)] += float64(b2i(u < fails))
+			tried[b2i(s.WarmingUp)][b2i(arm)]++
+			bad[b2i(s.WarmingUp)][b2i(arm)] += float64(b2i(u < fails))
 			switch {
 			case u < fails/3:
 				t.Failed++
@@ -258,11 +258,11 @@
 			case u < fails:
 				t.TimedOut++
 			default:
-				t.SetUp.Add(p.setUp * slow * math.Exp(0.6*w.rng.NormFloat64()))
-				t.Message.Add(p.msg * slow * math.Exp(0.6*w.rng.NormFloat64()))
-				if t.Held += 60; w.rng.Float64() < early {
-					t.Held -= uint64(w.rng.IntN(60))
-					t.Early++
+				t.SetupTime.Add(p.setUp * slow * math.Exp(0.6*w.rng.NormFloat64()))
+				t.MessageTime.Add(p.msg * slow * math.Exp(0.6*w.rng.NormFloat64()))
+				if t.OpenSeconds += 60; w.rng.Float64() < early {
+					t.OpenSeconds -= uint64(w.rng.IntN(60))
+					t.EarlyDisconnects++
 				}
 			}
 		}
@@ -281,7 +281,7 @@
 	took     int // seconds
 	relays   int
 	weight   int // when it was stopped
-	ill      []Illness
+	ill      []FaultyRelay
 	verdict  Verdict
 	trace    uint64
 	err      error
@@ -301,8 +301,8 @@
 		if o.err = err; stop {
 			break
 		}
-		for _, ill := range w.last.Ill {
-			if !slices.Contains(o.ill, ill) && !slices.ContainsFunc(o.ill, func(k Illness) bool { return k.Relay == ill.Relay }) {
+		for _, ill := range w.last.Faulty {
+			if !slices.Contains(o.ill, ill) && !slices.ContainsFunc(o.ill, func(k FaultyRelay) bool { return k.Relay == ill.Relay }) {
 				o.ill = append(o.ill, ill)
 			}
 		}
@@ -383,9 +383,9 @@
 		first := len(list)
 		list = append(list, seeds(min(n-first, 100), flaw{}, first)...)
 		for i, o := range list[first:] {
-			if o.Status != Done {
+			if o.Status != Completed {
 				paused++
-				t.Logf("seed %d, %d relays: %s at %d per mille after %d s: %s %s %v", from()+first+i, o.relays, o.Status, o.weight, o.took, o.Kind, o.Why, o.Named)
+				t.Logf("seed %d, %d relays: %s at %d per mille after %d s: %s %s %v", from()+first+i, o.relays, o.Status, o.weight, o.took, o.Outcome, o.Reason, o.Divergent)
 			}
 		}
 		tell(t, fmt.Sprintf("sound, %d of %d paused", paused, len(list)), list)
@@ -399,15 +399,15 @@
 	for _, c := range []struct {
 		name string
 		flaw
-		kind Kind
+		kind Outcome
 	}{
-		{"5 points", flaw{points: 0.05}, Worse},
-		{"twice as slow", flaw{slow: 2}, Worse},
-		{"ends early", flaw{early: 0.1}, Worse},
-		{"5 points in a zone", flaw{points: 0.05, zone: "z1"}, Diverge},
-		{"slow in a zone", flaw{slow: 2, zone: "z1"}, Diverge},
-		{"a third fails at a relay", flaw{points: 0.33, only: "n4", zone: "z1"}, Diverge},
-		{"5 points, 300 relays", flaw{points: 0.05, crowded: true}, Worse},
+		{"5 points", flaw{points: 0.05}, Regressed},
+		{"twice as slow", flaw{slow: 2}, Regressed},
+		{"ends early", flaw{early: 0.1}, Regressed},
+		{"5 points in a zone", flaw{points: 0.05, zone: "z1"}, Divergent},
+		{"slow in a zone", flaw{slow: 2, zone: "z1"}, Divergent},
+		{"a third fails at a relay", flaw{points: 0.33, only: "n4", zone: "z1"}, Divergent},
+		{"5 points, 300 relays", flaw{points: 0.05, crowded: true}, Regressed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n := max(many(12)/6, 2)
@@ -419,19 +419,19 @@
 			missed, late, named, undecided := 0, 0, 0, 0
 			for i, o := range list {
 				switch {
-				case o.Status != Done && o.Kind == Late && o.weight < 250: // stopped, neither shown nor ruled out
+				case o.Status != Completed && o.Outcome == Overdue && o.weight < 250: // stopped, neither shown nor ruled out
 					undecided++
-				case o.Status == Done || o.verdict.Kind != Worse && o.verdict.Kind != Diverge:
+				case o.Status == Completed || o.verdict.Outcome != Regressed && o.verdict.Outcome != Divergent:
 					missed++
-					t.Logf("%s, seed %d, %d relays: %s, %s", c.name, from()+i, o.relays, o.Status, o.Why)
+					t.Logf("%s, seed %d, %d relays: %s, %s", c.name, from()+i, o.relays, o.Status, o.Reason)
 				case o.weight >= 250:
 					late++
 					t.Logf("%s, seed %d, %d relays: paused at %d per mille", c.name, from()+i, o.relays, o.weight)
 				}
-				if o.verdict.Kind == c.kind && (c.kind == Worse || slices.Equal(o.verdict.Zones, []string{c.zone}) || slices.Equal(o.verdict.Relays, []string{c.only})) {
+				if o.verdict.Outcome == c.kind && (c.kind == Regressed || slices.Equal(o.verdict.Zones, []string{c.zone}) || slices.Equal(o.verdict.Relays, []string{c.only})) {
 					named++
 				} else {
-					t.Logf("%s, seed %d, %d relays: %s %v %v", c.name, from()+i, o.relays, o.verdict.Kind, o.verdict.Zones, o.verdict.Relays)
+					t.Logf("%s, seed %d, %d relays: %s %v %v", c.name, from()+i, o.relays, o.verdict.Outcome, o.verdict.Zones, o.verdict.Relays)
 				}
 			}
 			t.Logf("%s: of %d missed %d, at a quarter or later %d, no verdict in the longest time %d, named right %d", c.name, n, missed, late, undecided, named)
@@ -456,11 +456,11 @@
 	tell(t, "an ill relay", list)
 	paused, missed := 0, 0
 	for i, o := range list {
-		if o.Status == Paused || o.Status == Back {
+		if o.Status == Paused || o.Status == RolledBack {
 			paused++
-			t.Logf("seed %d, %d relays: %s %s %v", i, o.relays, o.Status, o.Why, o.Named)
+			t.Logf("seed %d, %d relays: %s %s %v", i, o.relays, o.Status, o.Reason, o.Divergent)
 		}
-		if !slices.Contains(o.ill, Illness{"n0", Failures}) {
+		if !slices.Contains(o.ill, FaultyRelay{"n0", Failures}) {
 			missed++
 		}
 	}
@@ -516,7 +516,7 @@
 	w.now += 1000
 	w.judge.Verdict(w.now) // all that was heard is in the evidence
 	set := w.judge.set
-	set.Kept = w.judge.keep()
+	set.Checkpoint = w.judge.keep()
 	next, forgets := NewJudge(set), NewJudge(set)
 	for k := range next.tests {
 		if e, was := next.evidence(k), w.judge.evidence(k); !(e <= was && e >= was-1.0/keptSteps) {
@@ -528,27 +528,27 @@
 	}
 	for _, j := range []*Judge{next, forgets} { // a word that was counted comes late, as if from a rung's beginning, and then one of now
 		for _, p := range w.relays {
-			now, _ := DecodeCounts(p.counter.Append(nil, 1400))
+			now, _ := DecodeCountReport(p.counter.AppendReport(nil, 1400))
 			late := now
 			late.Seq, late.Strata = 1, slices.Clone(now.Strata)
 			for i := range late.Strata {
-				late.Strata[i].Base, late.Strata[i].Arm = Tally{}, Tally{}
+				late.Strata[i].Baseline, late.Strata[i].Canary = Tally{}, Tally{}
 			}
-			j.Hear(1, p.name, p.zone, late)
+			j.Observe(1, p.name, p.zone, late)
 			for _, past := range j.shared {
 				past.Attempts = known
 			}
-			j.Hear(2, p.name, p.zone, now)
+			j.Observe(2, p.name, p.zone, now)
 		}
 		j.Verdict(5000)
 	}
 	if next.compared != w.judge.compared || forgets.compared <= next.compared {
 		t.Errorf("compared %d, %d after; and %d where words count twice", w.judge.compared, next.compared, forgets.compared)
 	}
-	for cut := range set.Kept {
+	for cut := range set.Checkpoint {
 		part := set
-		if part.Kept = set.Kept[:cut]; len(NewJudge(part).relays) > 0 {
-			t.Errorf("%d bytes of %d were taken", cut, len(set.Kept))
+		if part.Checkpoint = set.Checkpoint[:cut]; len(NewJudge(part).relays) > 0 {
+			t.Errorf("%d bytes of %d were taken", cut, len(set.Checkpoint))
 		}
 	}
 }
--- a/internal/canary/state.go
+++ b/internal/canary/state.go
@@ -31,42 +31,42 @@
 // epochsAhead bounds by how much a claimed epoch may be above the last agreed one: a false one must not use them up.
 const epochsAhead = 1 << 32
 
-// New is a state with nothing agreed.
-func New() *State { return &State{} }
+// NewState is a state with nothing agreed.
+func NewState() *State { return &State{} }
 
 // Encode is the state as a snapshot holds it.
 func (s *State) Encode() []byte {
 	b, err := json.Marshal(s.held)
 	if err != nil {
-		panic(err) // Check keeps out what JSON cannot say
+		panic(err) // ValidateSpec keeps out what JSON cannot say
 	}
 	return b
 }
 
-// Decode is the state of a snapshot.
-func Decode(b []byte) (*State, error) {
-	s := New()
+// DecodeState is the state of a snapshot.
+func DecodeState(b []byte) (*State, error) {
+	s := NewState()
 	if err := json.Unmarshal(b, &s.held); err != nil {
 		return nil, fmt.Errorf("canary: snapshot: %w", err)
 	}
-	if len(s.held.Canaries) > CanariesMost {
-		return nil, fmt.Errorf("canary: snapshot: %d canaries, at most %d", len(s.held.Canaries), CanariesMost)
+	if len(s.held.Canaries) > MaxCanaries {
+		return nil, fmt.Errorf("canary: snapshot: %d canaries, at most %d", len(s.held.Canaries), MaxCanaries)
 	}
 	for name, k := range s.held.Kept {
-		if s.find(name) == nil || len(k.Evidence) > KeptMost {
+		if s.find(name) == nil || len(k.Evidence) > MaxCheckpointBytes {
 			return nil, errors.New("canary: snapshot: evidence of nothing, or too much")
 		}
 	}
 	for i, c := range s.held.Canaries {
-		if err := Check(c.Spec); err != nil {
+		if err := ValidateSpec(c.Spec); err != nil {
 			return nil, fmt.Errorf("canary: snapshot: %s: %w", c.Release, err)
 		}
 		switch {
 		case i > 0 && s.held.Canaries[i-1].Release >= c.Release:
 			return nil, errors.New("canary: snapshot: not in order")
-		case c.Rung < 0 || c.Rung >= len(c.Ladder) || c.PerMille < 0 || c.PerMille > c.Ladder[c.Rung] || c.Epoch > s.held.Epochs:
+		case c.Step < 0 || c.Step >= len(c.Steps) || c.PerMille < 0 || c.PerMille > c.Steps[c.Step] || c.Epoch > s.held.Epochs:
 			return nil, fmt.Errorf("canary: snapshot: %s: it cannot stand where it does", c.Release)
-		case !slices.Contains([]Status{Going, Paused, Back, Done}, c.Status):
+		case !slices.Contains([]Status{Progressing, Paused, RolledBack, Completed}, c.Status):
 			return nil, fmt.Errorf("canary: snapshot: %s: unknown status %q", c.Release, c.Status)
 		}
 	}
@@ -100,14 +100,14 @@
 func (s *State) Weights() []Weight {
 	var list []Weight
 	for _, c := range s.held.Canaries {
-		list = append(list, Weight{Release: c.Release, Arm: c.Arm, Salt: c.Salt, PerMille: c.PerMille, Rung: c.Rung, Epoch: c.Epoch, Number: c.Number})
+		list = append(list, Weight{Release: c.Release, Target: c.Target, Salt: c.Salt, PerMille: c.PerMille, Step: c.Step, Epoch: c.Epoch, Revision: c.Revision})
 	}
 	return list
 }
 
-// Kept is the evidence of the rung that a canary is on, nil if there is none.
-func (s *State) Kept(release string) []byte {
-	if c := s.find(release); c != nil && s.held.Kept[release].Number == c.Number {
+// Checkpoint is the evidence of the rung that a canary is on, nil if there is none.
+func (s *State) Checkpoint(release string) []byte {
+	if c := s.find(release); c != nil && s.held.Kept[release].Number == c.Revision {
 		return s.held.Kept[release].Evidence
 	}
 	return nil
@@ -139,35 +139,35 @@
 }
 
 func (s *State) apply(at int64, by string, cmd Command) error {
-	if cmd.Do == "open" {
+	if cmd.Op == OpOpen {
 		return s.open(at, by, cmd)
 	}
 	c := s.find(cmd.Release)
 	if c == nil {
 		return fmt.Errorf("no canary of release %q", cmd.Release)
 	}
-	if cmd.Number != 0 && cmd.Number != c.Number {
-		return fmt.Errorf("overtaken: it was reckoned at %d and the canary is at %d", cmd.Number, c.Number)
+	if cmd.Revision != 0 && cmd.Revision != c.Revision {
+		return fmt.Errorf("overtaken: it was reckoned at %d and the canary is at %d", cmd.Revision, c.Revision)
 	}
-	switch cmd.Do {
-	case "rung":
+	switch cmd.Op {
+	case OpAdvance:
 		switch {
-		case cmd.Number == 0:
+		case cmd.Revision == 0:
 			return errors.New("a step up names the number that it was reckoned at")
-		case c.Status != Going:
+		case c.Status != Progressing:
 			return fmt.Errorf("no step up: it is %s", c.Status)
-		case c.Rung == len(c.Ladder)-1:
-			c.Status = Done
+		case c.Step == len(c.Steps)-1:
+			c.Status = Completed
 		default:
-			c.Rung++
-			c.PerMille, c.RungAt = c.Ladder[c.Rung], at
+			c.Step++
+			c.PerMille, c.StepStartedAt = c.Steps[c.Step], at
 		}
-		c.Kind, c.Named = "", nil
-	case "pause":
+		c.Outcome, c.Divergent = "", nil
+	case OpPause:
 		if err := s.pause(c, cmd); err != nil {
 			return err
 		}
-	case "resume":
+	case OpResume:
 		if c.Status != Paused {
 			return fmt.Errorf("nothing to resume: it is %s", c.Status)
 		}
@@ -175,26 +175,26 @@
 			return fmt.Errorf("no epoch comes near %d", cmd.Epoch)
 		}
 		s.held.Epochs = max(s.held.Epochs, cmd.Epoch) + 1
-		c.Status, c.Epoch = Going, s.held.Epochs
-		c.Rung = max(c.Rung-1, 0)
-		c.PerMille, c.RungAt = c.Ladder[c.Rung], at
-		c.Kind, c.Named = "", nil
-	case "back":
-		if c.Status == Back {
+		c.Status, c.Epoch = Progressing, s.held.Epochs
+		c.Step = max(c.Step-1, 0)
+		c.PerMille, c.StepStartedAt = c.Steps[c.Step], at
+		c.Outcome, c.Divergent = "", nil
+	case OpRollBack:
+		if c.Status == RolledBack {
 			return nil
 		}
-		c.Status, c.PerMille = Back, 0
-	case "keep": // it changes no weight: neither a number nor a version
-		if cmd.Number == 0 || c.Status != Going || len(cmd.Keep) == 0 || len(cmd.Keep) > KeptMost {
+		c.Status, c.PerMille = RolledBack, 0
+	case OpCheckpoint: // it changes no weight: neither a number nor a version
+		if cmd.Revision == 0 || c.Status != Progressing || len(cmd.Checkpoint) == 0 || len(cmd.Checkpoint) > MaxCheckpointBytes {
 			return errors.New("no evidence of a rung that is going")
 		}
 		if s.held.Kept == nil {
 			s.held.Kept = map[string]kept{}
 		}
-		s.held.Kept[cmd.Release] = kept{c.Number, cmd.Keep}
+		s.held.Kept[cmd.Release] = kept{c.Revision, cmd.Checkpoint}
 		return nil
-	case "close":
-		if c.Status != Back && c.Status != Done {
+	case OpClose:
+		if c.Status != RolledBack && c.Status != Completed {
 			return fmt.Errorf("not over: it is %s", c.Status)
 		}
 		name := c.Release
@@ -203,10 +203,10 @@
 		s.held.Version++
 		return nil
 	default:
-		return fmt.Errorf("unknown command %q", cmd.Do)
+		return fmt.Errorf("unknown command %q", cmd.Op)
 	}
-	c.By, c.Why = by, cmd.Why
-	c.Number++
+	c.ChangedBy, c.Reason = by, cmd.Reason
+	c.Revision++
 	s.held.Version++
 	delete(s.held.Kept, c.Release)
 	return nil
@@ -220,18 +220,18 @@
 	if spec.Release != cmd.Release {
 		return errors.New("two names of a release")
 	}
-	if err := Check(spec); err != nil {
+	if err := ValidateSpec(spec); err != nil {
 		return err
 	}
-	if len(s.held.Canaries) >= CanariesMost {
-		return fmt.Errorf("%d canaries are held, close one that is over", CanariesMost)
+	if len(s.held.Canaries) >= MaxCanaries {
+		return fmt.Errorf("%d canaries are held, close one that is over", MaxCanaries)
 	}
 	at0, found := slices.BinarySearchFunc(s.held.Canaries, spec.Release, func(c Canary, name string) int { return strings.Compare(c.Release, name) })
 	if found {
 		return fmt.Errorf("release %q has one", spec.Release)
 	}
 	for _, c := range s.held.Canaries {
-		if overlap(c.Arm, spec.Arm) {
+		if overlap(c.Target, spec.Target) {
 			return fmt.Errorf("its arm may hold members of release %q", c.Release)
 		}
 		if c.Salt == spec.Salt {
@@ -239,14 +239,14 @@
 		}
 	}
 	s.held.Epochs++
-	c := Canary{Spec: spec, Status: Going, PerMille: spec.Ladder[0], Epoch: s.held.Epochs, Number: 1, RungAt: at, By: by, Why: cmd.Why}
+	c := Canary{Spec: spec, Status: Progressing, PerMille: spec.Steps[0], Epoch: s.held.Epochs, Revision: 1, StepStartedAt: at, ChangedBy: by, Reason: cmd.Reason}
 	s.held.Canaries = slices.Insert(s.held.Canaries, at0, c)
 	s.held.Version++
 	return nil
 }
 
 // overlap says whether a member may belong to both: then whose share it gets would depend on the order.
-func overlap(x, y Arm) bool {
+func overlap(x, y Selector) bool {
 	if len(x.Members) == 0 || len(y.Members) == 0 {
 		return true // all that started since may be any
 	}
@@ -259,30 +259,30 @@
 		return fmt.Errorf("it was resumed since, in epoch %d", c.Epoch)
 	}
 	weight := 0
-	if cmd.Kind == Diverge {
+	if cmd.Outcome == Divergent {
 		switch {
-		case c.Diverge == "keep":
-			weight = c.Ladder[c.Rung]
-		case c.Diverge == "lower" && c.Rung > 0:
-			weight = c.Ladder[c.Rung-1]
+		case c.OnDivergence == KeepWeight:
+			weight = c.Steps[c.Step]
+		case c.OnDivergence == LowerWeight && c.Step > 0:
+			weight = c.Steps[c.Step-1]
 		}
 	}
 	switch c.Status {
-	case Going, Done:
+	case Progressing, Completed:
 		c.Status = Paused
-		if slices.Contains(c.Paused, c.Rung) { // the second time here
-			c.Status, weight = Back, 0
+		if slices.Contains(c.PausedSteps, c.Step) { // the second time here
+			c.Status, weight = RolledBack, 0
 		} else {
-			c.Paused = append(slices.Clone(c.Paused), c.Rung)
+			c.PausedSteps = append(slices.Clone(c.PausedSteps), c.Step)
 		}
-	case Back:
+	case RolledBack:
 		return errors.New("it has gone back")
 	case Paused:
-		if weight >= c.PerMille && cmd.Kind != Worse {
+		if weight >= c.PerMille && cmd.Outcome != Regressed {
 			return errors.New("it is paused")
 		}
 	}
 	c.PerMille = min(c.PerMille, weight)
-	c.Kind, c.Named = cmd.Kind, slices.Clone(cmd.Named)
+	c.Outcome, c.Divergent = cmd.Outcome, slices.Clone(cmd.Divergent)
 	return nil
 }
--- a/internal/canary/state_test.go
+++ b/internal/canary/state_test.go
@@ -12,9 +12,9 @@
 )
 
 func spec(release string) Spec {
-	return Spec{Release: release, Arm: Arm{Members: []string{release + "-1", release + "-2"}}, Salt: mix(uint64(len(release)) + uint64(release[0])),
-		Ladder: []int{10, 50, 250, 500, 1000}, Floor: 600, Longest: 4 * 3600_000, Error: 0.01,
-		Guards: []Guard{{Metric: Failures, Points: 10}, {Metric: SetUp, Factor: 1.4}, {Metric: Message, Factor: 1.4}, {Metric: EarlyEnds, Points: 10}}}
+	return Spec{Release: release, Target: Selector{Members: []string{release + "-1", release + "-2"}}, Salt: mix(uint64(len(release)) + uint64(release[0])),
+		Steps: []int{10, 50, 250, 500, 1000}, MinAttempts: 600, MaxStepMS: 4 * 3600_000, FalsePositiveRate: 0.01,
+		Guardrails: []Guardrail{{Metric: Failures, MarginPerMille: 10}, {Metric: SetupTime, Factor: 1.4}, {Metric: MessageTime, Factor: 1.4}, {Metric: EarlyDisconnects, MarginPerMille: 10}}}
 }
 
 func do(t interface{ Fatalf(string, ...any) }, s *State, at int64, cmd Command) (Canary, string) {
@@ -22,14 +22,14 @@
 		Error  string
 		Canary Canary
 	}
-	if err := json.Unmarshal(s.Apply(at, "op", cmd.Body()), &answer); err != nil {
+	if err := json.Unmarshal(s.Apply(at, "op", cmd.Encode()), &answer); err != nil {
 		t.Fatalf("%v: %v", cmd, err)
 	}
 	return answer.Canary, answer.Error
 }
 
 func TestLife(t *testing.T) {
-	s := New()
+	s := NewState()
 	sp := spec("r")
 	steps := []struct {
 		cmd    Command
@@ -37,63 +37,63 @@
 		rung   int
 		weight int
 	}{
-		{Command{Do: "open", Spec: &sp}, Going, 0, 10},
-		{Command{Do: "rung", Number: 1}, Going, 1, 50},
-		{Command{Do: "rung", Number: 1}, "", 0, 0}, // the same step again
-		{Command{Do: "rung"}, "", 0, 0},
-		{Command{Do: "resume"}, "", 0, 0},
-		{Command{Do: "rung", Number: 2}, Going, 2, 250},
-		{Command{Do: "pause", Epoch: 1}, Paused, 2, 0},
-		{Command{Do: "rung", Number: 4}, "", 0, 0},
-		{Command{Do: "resume", Epoch: 5}, Going, 1, 50}, // somebody paused an epoch that was never agreed
-		{Command{Do: "pause", Epoch: 1}, "", 0, 0},      // of before the resume
-		{Command{Do: "rung", Number: 5}, Going, 2, 250},
-		{Command{Do: "pause", Kind: Diverge}, Back, 2, 0}, // the second time on this rung
-		{Command{Do: "resume"}, "", 0, 0},
-		{Command{Do: "close"}, "", 0, 0},
-		{Command{Do: "what"}, "", 0, 0},
+		{Command{Op: OpOpen, Spec: &sp}, Progressing, 0, 10},
+		{Command{Op: OpAdvance, Revision: 1}, Progressing, 1, 50},
+		{Command{Op: OpAdvance, Revision: 1}, "", 0, 0}, // the same step again
+		{Command{Op: OpAdvance}, "", 0, 0},
+		{Command{Op: OpResume}, "", 0, 0},
+		{Command{Op: OpAdvance, Revision: 2}, Progressing, 2, 250},
+		{Command{Op: OpPause, Epoch: 1}, Paused, 2, 0},
+		{Command{Op: OpAdvance, Revision: 4}, "", 0, 0},
+		{Command{Op: OpResume, Epoch: 5}, Progressing, 1, 50}, // somebody paused an epoch that was never agreed
+		{Command{Op: OpPause, Epoch: 1}, "", 0, 0},            // of before the resume
+		{Command{Op: OpAdvance, Revision: 5}, Progressing, 2, 250},
+		{Command{Op: OpPause, Outcome: Divergent}, RolledBack, 2, 0}, // the second time on this rung
+		{Command{Op: OpResume}, "", 0, 0},
+		{Command{Op: OpClose}, "", 0, 0},
+		{Command{Op: "what"}, "", 0, 0},
 	}
 	for i, st := range steps {
 		st.cmd.Release = "r"
 		c, failed := do(t, s, int64(i), st.cmd)
-		if c.Status != st.status || c.Rung != st.rung || c.PerMille != st.weight || (failed == "") == (st.status == "" && st.cmd.Do != "close") {
-			t.Errorf("%d %v: %s rung %d at %d, %q", i, st.cmd, c.Status, c.Rung, c.PerMille, failed)
+		if c.Status != st.status || c.Step != st.rung || c.PerMille != st.weight || (failed == "") == (st.status == "" && st.cmd.Op != OpClose) {
+			t.Errorf("%d %v: %s rung %d at %d, %q", i, st.cmd, c.Status, c.Step, c.PerMille, failed)
 		}
 	}
 	if len(s.Canaries()) != 0 {
 		t.Error("closed and still held")
 	}
-	for diverge, want := range map[string]int{"": 0, "zero": 0, "lower": 10, "keep": 50} {
-		s, sp := New(), spec("r")
-		sp.Diverge = diverge
-		do(t, s, 0, Command{Do: "open", Release: "r", Spec: &sp})
-		do(t, s, 0, Command{Do: "rung", Release: "r", Number: 1})
-		if c, _ := do(t, s, 0, Command{Do: "pause", Release: "r", Kind: Diverge}); c.PerMille != want {
+	for diverge, want := range map[DivergencePolicy]int{"": 0, ZeroWeight: 0, LowerWeight: 10, KeepWeight: 50} {
+		s, sp := NewState(), spec("r")
+		sp.OnDivergence = diverge
+		do(t, s, 0, Command{Op: OpOpen, Release: "r", Spec: &sp})
+		do(t, s, 0, Command{Op: OpAdvance, Release: "r", Revision: 1})
+		if c, _ := do(t, s, 0, Command{Op: OpPause, Release: "r", Outcome: Divergent}); c.PerMille != want {
 			t.Errorf("%q while outcomes diverge: %d", diverge, c.PerMille)
 		}
-		if c, _ := do(t, s, 0, Command{Do: "pause", Release: "r", Kind: Worse}); c.PerMille != 0 || len(c.Paused) != 1 {
+		if c, _ := do(t, s, 0, Command{Op: OpPause, Release: "r", Outcome: Regressed}); c.PerMille != 0 || len(c.PausedSteps) != 1 {
 			t.Errorf("%q and then worse: %d", diverge, c.PerMille)
 		}
 	}
 }
 
 func TestCheck(t *testing.T) {
-	if err := Check(spec("r")); err != nil {
+	if err := ValidateSpec(spec("r")); err != nil {
 		t.Fatal(err)
 	}
 	for name, spoil := range map[string]func(*Spec){
-		"ladder": func(s *Spec) { s.Ladder = []int{10, 10} }, "empty ladder": func(s *Spec) { s.Ladder = nil },
-		"above all": func(s *Spec) { s.Ladder = []int{10, 1001} }, "none": func(s *Spec) { s.Ladder = []int{0, 10} },
-		"long": func(s *Spec) { s.Ladder = make([]int, RungsMost+1) }, "arm": func(s *Spec) { s.Arm = Arm{} },
-		"two arms": func(s *Spec) { s.Arm.Since = 1 }, "member twice": func(s *Spec) { s.Arm.Members = []string{"a", "a"} },
-		"floor": func(s *Spec) { s.Floor = 0 }, "longest": func(s *Spec) { s.Longest = 15_000 }, "error": func(s *Spec) { s.Error = 0 },
-		"guards": func(s *Spec) { s.Guards = nil }, "guard": func(s *Spec) { s.Guards[0].Metric = "?" }, "points": func(s *Spec) { s.Guards[0].Points = 0 },
-		"factor": func(s *Spec) { s.Guards[1].Factor = 1 }, "twice": func(s *Spec) { s.Guards[1] = s.Guards[2] },
-		"diverge": func(s *Spec) { s.Diverge = "?" }, "name": func(s *Spec) { s.Release = "" }, "salt": func(s *Spec) { s.Salt = 0 },
+		"ladder": func(s *Spec) { s.Steps = []int{10, 10} }, "empty ladder": func(s *Spec) { s.Steps = nil },
+		"above all": func(s *Spec) { s.Steps = []int{10, 1001} }, "none": func(s *Spec) { s.Steps = []int{0, 10} },
+		"long": func(s *Spec) { s.Steps = make([]int, MaxSteps+1) }, "arm": func(s *Spec) { s.Target = Selector{} },
+		"two arms": func(s *Spec) { s.Target.Since = 1 }, "member twice": func(s *Spec) { s.Target.Members = []string{"a", "a"} },
+		"floor": func(s *Spec) { s.MinAttempts = 0 }, "longest": func(s *Spec) { s.MaxStepMS = 15_000 }, "error": func(s *Spec) { s.FalsePositiveRate = 0 },
+		"guards": func(s *Spec) { s.Guardrails = nil }, "guard": func(s *Spec) { s.Guardrails[0].Metric = "?" }, "points": func(s *Spec) { s.Guardrails[0].MarginPerMille = 0 },
+		"factor": func(s *Spec) { s.Guardrails[1].Factor = 1 }, "twice": func(s *Spec) { s.Guardrails[1] = s.Guardrails[2] },
+		"diverge": func(s *Spec) { s.OnDivergence = "?" }, "name": func(s *Spec) { s.Release = "" }, "salt": func(s *Spec) { s.Salt = 0 },
 	} {
 		sp := spec("r")
 		spoil(&sp)
-		if Check(sp) == nil {
+		if ValidateSpec(sp) == nil {
 			t.Errorf("%s: nothing refused", name)
 		}
 	}
@@ -104,22 +104,22 @@
 func TestRandomCommands(t *testing.T) {
 	planted := 0
 	rapid.Check(t, func(t *rapid.T) {
-		s, twin := New(), New()
+		s, twin := NewState(), NewState()
 		names := []string{"a", "bb", "ccc"}
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			name := rapid.SampledFrom(names).Draw(t, "release")
 			sp := spec(name)
-			sp.Diverge = rapid.SampledFrom([]string{"", "keep", "lower"}).Draw(t, "diverge")
+			sp.OnDivergence = rapid.SampledFrom([]DivergencePolicy{"", KeepWeight, LowerWeight}).Draw(t, "diverge")
 			before, had := s.Canary(name)
-			cmd := Command{Release: name, Do: rapid.SampledFrom([]string{"open", "rung", "rung", "rung", "pause", "resume", "back", "close", "keep", "?"}).Draw(t, "do"),
-				Keep: []byte(name), Kind: rapid.SampledFrom([]Kind{"", Worse, Diverge}).Draw(t, "kind"), Epoch: uint64(rapid.IntRange(0, 6).Draw(t, "epoch")),
-				Number: before.Number + uint64(rapid.SampledFrom([]int{0, 0, 0, 1}).Draw(t, "off"))}
-			if cmd.Do == "open" {
-				cmd.Spec, cmd.Number = &sp, 0
+			cmd := Command{Release: name, Op: rapid.SampledFrom([]Op{OpOpen, OpAdvance, OpAdvance, OpAdvance, OpPause, OpResume, OpRollBack, OpClose, OpCheckpoint, "?"}).Draw(t, "do"),
+				Checkpoint: []byte(name), Outcome: rapid.SampledFrom([]Outcome{"", Regressed, Divergent}).Draw(t, "kind"), Epoch: uint64(rapid.IntRange(0, 6).Draw(t, "epoch")),
+				Revision: before.Revision + uint64(rapid.SampledFrom([]int{0, 0, 0, 1}).Draw(t, "off"))}
+			if cmd.Op == OpOpen {
+				cmd.Spec, cmd.Revision = &sp, 0
 			}
 			was, version := s.Encode(), s.Version()
 			c, failed := do(t, s, int64(i), cmd)
-			twin.Apply(int64(i), "op", cmd.Body())
+			twin.Apply(int64(i), "op", cmd.Encode())
 			if failed != "" && (!bytes.Equal(was, s.Encode()) || version != s.Version()) {
 				t.Fatalf("%v was refused and changed something", cmd)
 			}
@@ -129,32 +129,32 @@
 			if jumbled := *twin; len(s.held.Canaries) > 1 {
 				jumbled.held.Canaries = s.Canaries()
 				slices.Reverse(jumbled.held.Canaries)
-				if _, err := Decode(jumbled.Encode()); err != nil && !bytes.Equal(s.Encode(), jumbled.Encode()) {
+				if _, err := DecodeState(jumbled.Encode()); err != nil && !bytes.Equal(s.Encode(), jumbled.Encode()) {
 					planted++
 				}
 			}
 			var err error
-			if twin, err = Decode(s.Encode()); err != nil || !bytes.Equal(s.Encode(), twin.Encode()) {
+			if twin, err = DecodeState(s.Encode()); err != nil || !bytes.Equal(s.Encode(), twin.Encode()) {
 				t.Fatalf("snapshot: %v", err)
 			}
 			if failed != "" {
 				continue
 			}
-			if kept := s.Kept(name) != nil; kept != (cmd.Do == "keep") || kept && version != s.Version() {
-				t.Fatalf("%s: evidence of another rung, or a version of weights that did not change", cmd.Do)
+			if kept := s.Checkpoint(name) != nil; kept != (cmd.Op == OpCheckpoint) || kept && version != s.Version() {
+				t.Fatalf("%s: evidence of another rung, or a version of weights that did not change", cmd.Op)
 			}
 			switch {
-			case c.PerMille > 0 && c.PerMille > c.Ladder[c.Rung]:
-				t.Fatalf("%d on rung %d", c.PerMille, c.Rung)
-			case had && c.PerMille > before.PerMille && cmd.Do != "rung" && cmd.Do != "resume":
-				t.Fatalf("%s raised it", cmd.Do)
-			case cmd.Do == "rung" && (before.Status != Going || cmd.Number != before.Number || c.Rung > before.Rung+1):
-				t.Fatalf("a step up from %s at %d, by %d", before.Status, before.Number, cmd.Number)
-			case cmd.Do == "resume" && (c.Rung != max(before.Rung-1, 0) || c.Epoch <= before.Epoch || c.Epoch <= cmd.Epoch):
-				t.Fatalf("resumed at rung %d from %d, epoch %d", c.Rung, before.Rung, c.Epoch)
-			case cmd.Do == "pause" && before.Status != Paused && slices.Contains(before.Paused, before.Rung) && c.Status != Back:
+			case c.PerMille > 0 && c.PerMille > c.Steps[c.Step]:
+				t.Fatalf("%d on rung %d", c.PerMille, c.Step)
+			case had && c.PerMille > before.PerMille && cmd.Op != OpAdvance && cmd.Op != OpResume:
+				t.Fatalf("%s raised it", cmd.Op)
+			case cmd.Op == OpAdvance && (before.Status != Progressing || cmd.Revision != before.Revision || c.Step > before.Step+1):
+				t.Fatalf("a step up from %s at %d, by %d", before.Status, before.Revision, cmd.Revision)
+			case cmd.Op == OpResume && (c.Step != max(before.Step-1, 0) || c.Epoch <= before.Epoch || c.Epoch <= cmd.Epoch):
+				t.Fatalf("resumed at rung %d from %d, epoch %d", c.Step, before.Step, c.Epoch)
+			case cmd.Op == OpPause && before.Status != Paused && slices.Contains(before.PausedSteps, before.Step) && c.Status != RolledBack:
 				t.Fatal("paused twice on one rung, and not back")
-			case c.Status == Back && c.PerMille != 0:
+			case c.Status == RolledBack && c.PerMille != 0:
 				t.Fatal("back, with a weight")
 			}
 		}
@@ -171,7 +171,7 @@
 	for g := range uint64(groups) {
 		in := false
 		for i, w := range ladder {
-			now := InArm(7, g, w)
+			now := RoutedToCanary(7, g, w)
 			if in && !now {
 				t.Fatalf("group %d left the arm at %d per mille", g, w)
 			}
@@ -179,13 +179,13 @@
 				counts[i]++
 			}
 		}
-		if !in || InArm(7, g, 0) {
+		if !in || RoutedToCanary(7, g, 0) {
 			t.Fatalf("group %d is not in all, or in none", g)
 		}
 	}
 	both := 0
 	for g := range uint64(groups) {
-		if InArm(7, g, 100) && InArm(8, g, 100) {
+		if RoutedToCanary(7, g, 100) && RoutedToCanary(8, g, 100) {
 			both++
 		}
 	}
@@ -198,23 +198,23 @@
 }
 
 func TestDecodeRefuses(t *testing.T) {
-	s, sp := New(), spec("r")
-	do(t, s, 0, Command{Do: "open", Release: "r", Spec: &sp})
+	s, sp := NewState(), spec("r")
+	do(t, s, 0, Command{Op: OpOpen, Release: "r", Spec: &sp})
 	text := string(s.Encode())
 	for _, change := range [][2]string{{`"rung":0`, `"rung":9`}, {`"per_mille":10`, `"per_mille":11`}, {`"going"`, `"flying"`},
 		{`[10,50,`, `[50,10,`}, {`"epoch":1`, `"epoch":2`}, {`}`, ``}} {
 		bad := strings.Replace(text, change[0], change[1], 1)
-		if _, err := Decode([]byte(bad)); err == nil || bad == text {
+		if _, err := DecodeState([]byte(bad)); err == nil || bad == text {
 			t.Errorf("%v was not refused", change)
 		}
 	}
 }
 
 func TestPlan(t *testing.T) {
-	s, sp := New(), spec("r")
-	do(t, s, 1000, Command{Do: "open", Release: "r", Spec: &sp})
-	v := Verdict{Release: "r", Epoch: 1, Kind: Sound}
-	late := 1000 + sp.Longest + 1
+	s, sp := NewState(), spec("r")
+	do(t, s, 1000, Command{Op: OpOpen, Release: "r", Spec: &sp})
+	v := Verdict{Release: "r", Epoch: 1, Outcome: Healthy}
+	late := 1000 + sp.MaxStepMS + 1
 	for i, c := range []struct {
 		now     int64
 		v       Verdict
@@ -222,35 +222,35 @@
 		want    string
 	}{
 		{2000, v, true, "rung"}, {2000, v, false, ""}, {late, v, false, ""},
-		{2000, Verdict{Release: "r", Epoch: 1, Kind: Sound, Doubt: true}, true, ""},
-		{late, Verdict{Release: "r", Epoch: 1, Kind: Sound, Doubt: true}, true, "pause late"},
-		{2000, Verdict{Release: "r", Epoch: 1, Kind: NotEnough}, true, ""},
-		{late, Verdict{Release: "r", Epoch: 1, Kind: NotEnough, Keep: []byte{1}}, true, "pause late"},
-		{2000, Verdict{Release: "r", Epoch: 1, Kind: NotEnough, Keep: []byte{1}}, true, "keep"},
-		{2000, Verdict{Release: "r", Epoch: 1, Kind: Sound, Keep: []byte{1}}, false, "keep"},
-		{2000, Verdict{Release: "r", Epoch: 2, Kind: NotEnough, Keep: []byte{1}}, true, ""},
-		{2000, Verdict{Release: "r", Epoch: 1, Kind: Worse}, false, "pause worse"},
-		{2000, Verdict{Release: "r", Epoch: 1, Kind: Diverge, Zones: []string{"z"}, Relays: []string{"n"}}, false, "pause diverge [zone z relay n]"},
-		{2000, Verdict{Release: "r", Epoch: 1, Rung: 1, Kind: Worse}, true, ""}, // of another rung
-		{2000, Verdict{Release: "r", Epoch: 2, Kind: Sound}, true, ""},
-		{2000, Verdict{Release: "x", Epoch: 1, Kind: Worse}, true, ""},
+		{2000, Verdict{Release: "r", Epoch: 1, Outcome: Healthy, Suspected: true}, true, ""},
+		{late, Verdict{Release: "r", Epoch: 1, Outcome: Healthy, Suspected: true}, true, "pause late"},
+		{2000, Verdict{Release: "r", Epoch: 1, Outcome: Inconclusive}, true, ""},
+		{late, Verdict{Release: "r", Epoch: 1, Outcome: Inconclusive, Checkpoint: []byte{1}}, true, "pause late"},
+		{2000, Verdict{Release: "r", Epoch: 1, Outcome: Inconclusive, Checkpoint: []byte{1}}, true, "keep"},
+		{2000, Verdict{Release: "r", Epoch: 1, Outcome: Healthy, Checkpoint: []byte{1}}, false, "keep"},
+		{2000, Verdict{Release: "r", Epoch: 2, Outcome: Inconclusive, Checkpoint: []byte{1}}, true, ""},
+		{2000, Verdict{Release: "r", Epoch: 1, Outcome: Regressed}, false, "pause worse"},
+		{2000, Verdict{Release: "r", Epoch: 1, Outcome: Divergent, Zones: []string{"z"}, Relays: []string{"n"}}, false, "pause diverge [zone z relay n]"},
+		{2000, Verdict{Release: "r", Epoch: 1, Step: 1, Outcome: Regressed}, true, ""}, // of another rung
+		{2000, Verdict{Release: "r", Epoch: 2, Outcome: Healthy}, true, ""},
+		{2000, Verdict{Release: "x", Epoch: 1, Outcome: Regressed}, true, ""},
 	} {
 		got := ""
 		for _, cmd := range s.Plan(c.now, c.v, c.applied) {
-			got = strings.TrimSpace(cmd.Do + " " + string(cmd.Kind))
-			if cmd.Named != nil {
-				got += " " + fmt.Sprint(cmd.Named)
+			got = strings.TrimSpace(string(cmd.Op) + " " + string(cmd.Outcome))
+			if cmd.Divergent != nil {
+				got += " " + fmt.Sprint(cmd.Divergent)
 			}
 		}
 		if got != c.want {
 			t.Errorf("%d: %q, not %q", i, got, c.want)
 		}
 	}
-	cmd := s.Plan(2000, Verdict{Release: "r", Epoch: 1, Kind: Worse}, true)[0]
+	cmd := s.Plan(2000, Verdict{Release: "r", Epoch: 1, Outcome: Regressed}, true)[0]
 	do(t, s, 2000, cmd)
-	if next := s.Plan(2001, Verdict{Release: "r"}, true); len(next) != 1 || next[0].Do != "back" {
+	if next := s.Plan(2001, Verdict{Release: "r"}, true); len(next) != 1 || next[0].Op != OpRollBack {
 		t.Errorf("after worse: %v", next)
-	} else if c, failed := do(t, s, 2001, next[0]); failed != "" || c.Status != Back {
+	} else if c, failed := do(t, s, 2001, next[0]); failed != "" || c.Status != RolledBack {
 		t.Errorf("%v %s", c, failed)
 	}
 }
--- a/internal/fleet/calls.go
+++ b/internal/fleet/calls.go
@@ -186,21 +186,21 @@
 		if !take(w, r, &spec) {
 			return
 		}
-		if len(spec.Arm.Members) == 0 && spec.Arm.Since == 0 { // all that start after the release
+		if len(spec.Target.Members) == 0 && spec.Target.Since == 0 { // all that start after the release
 			s.record.read(func(st *rollout.State, _ held) {
 				a, _ := st.Release(spec.Release)
-				spec.Arm.Since = a.Opened
+				spec.Target.Since = a.Opened
 			})
 		}
 		salt(&spec)
-		s.agreeTrial(w, r, canary.Command{Do: "open", Release: spec.Release, Spec: &spec})
+		s.agreeTrial(w, r, canary.Command{Op: canary.OpOpen, Release: spec.Release, Spec: &spec})
 	})
 	m.HandleFunc("PUT /-/canaries/{name}/{verb}", func(w http.ResponseWriter, r *http.Request) {
-		c := canary.Command{Do: r.PathValue("verb"), Release: r.PathValue("name"), Why: r.URL.Query().Get("why")}
-		switch c.Do {
-		case "pause":
+		c := canary.Command{Op: canary.Op(r.PathValue("verb")), Release: r.PathValue("name"), Reason: r.URL.Query().Get("why")}
+		switch c.Op {
+		case canary.OpPause:
 			s.Post(func() { s.Pause(c.Release) }) // here at once, and round without a majority; the record follows
-		case "resume", "back", "close":
+		case canary.OpResume, canary.OpRollBack, canary.OpClose:
 		default:
 			say(w, http.StatusNotFound, rollout.Answer{Error: "a canary can be told to pause, resume, go back, or be closed"})
 			return
@@ -274,12 +274,12 @@
 	switch err := s.proposeTrial(r.Context(), c); {
 	case errors.Is(err, errRefused):
 		say(w, http.StatusConflict, rollout.Answer{Error: err.Error()})
-	case err != nil && c.Do == "pause": // it was posted before: who is told only that it was not agreed would take the arm for open
+	case err != nil && c.Op == canary.OpPause: // it was posted before: who is told only that it was not agreed would take the arm for open
 		say(w, status(err), rollout.Answer{Error: err.Error(), State: "paused here, and at all that can be reached; say it again when there is a majority"})
 	case err != nil:
 		say(w, status(err), rollout.Answer{Error: err.Error()})
 	default:
-		say(w, http.StatusOK, rollout.Answer{Name: c.Release, State: c.Do})
+		say(w, http.StatusOK, rollout.Answer{Name: c.Release, State: string(c.Op)})
 	}
 }
 
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -353,8 +353,8 @@
 		}},
 		{drift.Weights, drift.Late, func(m *model, r *mrelay) {
 			r.frozen[drift.Weights] = true
-			m.agree(partCanary, canary.Command{Do: "open", Release: "c", Spec: &canary.Spec{Release: "c", Salt: 5, Ladder: []int{10}, Floor: 9, Longest: 9e8,
-				Error: 0.1, Guards: []canary.Guard{{Metric: canary.Failures, Points: 10}}, Arm: canary.Arm{Members: []string{"m1"}}}}.Body())
+			m.agree(partCanary, canary.Command{Op: canary.OpOpen, Release: "c", Spec: &canary.Spec{Release: "c", Salt: 5, Steps: []int{10}, MinAttempts: 9, MaxStepMS: 9e8,
+				FalsePositiveRate: 0.1, Guardrails: []canary.Guardrail{{Metric: canary.Failures, MarginPerMille: 10}}, Target: canary.Selector{Members: []string{"m1"}}}}.Encode())
 			if m.lead.record.canary.Version() == 0 {
 				m.t.Fatal("no canary")
 			}
--- a/internal/fleet/open.go
+++ b/internal/fleet/open.go
@@ -26,10 +26,10 @@
 	if c.Release.Kind != rollout.KindMember || c.Release.Drain {
 		return refusal("a canary is of members that are replaced")
 	}
-	if o.Canary.Release = c.Name; len(o.Canary.Arm.Members) == 0 && o.Canary.Arm.Since == 0 {
-		o.Canary.Arm.Since = at
+	if o.Canary.Release = c.Name; len(o.Canary.Target.Members) == 0 && o.Canary.Target.Since == 0 {
+		o.Canary.Target.Since = at
 	}
-	trial := canary.Command{Do: "open", Release: c.Name, Spec: &o.Canary}.Body()
+	trial := canary.Command{Op: canary.OpOpen, Release: c.Name, Spec: &o.Canary}.Encode()
 	if why := r.second(trial); why != "" {
 		return refusal(why)
 	}
--- a/internal/fleet/open_test.go
+++ b/internal/fleet/open_test.go
@@ -11,7 +11,7 @@
 
 // TestOpenBoth: a release and its canary are opened together, and a refusal of either leaves neither.
 func TestOpenBoth(t *testing.T) {
-	spec := canary.Spec{Salt: 7, Ladder: []int{10, 1000}, Floor: 100, Longest: 600_000, Error: 0.01, Guards: []canary.Guard{{Metric: canary.Failures, Points: 20}}}
+	spec := canary.Spec{Salt: 7, Steps: []int{10, 1000}, MinAttempts: 100, MaxStepMS: 600_000, FalsePositiveRate: 0.01, Guardrails: []canary.Guardrail{{Metric: canary.Failures, MarginPerMille: 20}}}
 	wish := rollout.Wish{Kind: rollout.KindMember, All: true}
 	for _, c := range []struct {
 		what string
@@ -19,7 +19,7 @@
 		want string // of the refusal; "" if it is agreed
 	}{
 		{"sound", func(*opening, *rollout.Wish) {}, ""},
-		{"a ladder that falls", func(o *opening, _ *rollout.Wish) { o.Canary.Ladder = []int{50, 10} }, "rise"},
+		{"a ladder that falls", func(o *opening, _ *rollout.Wish) { o.Canary.Steps = []int{50, 10} }, "rise"},
 		{"of relays", func(_ *opening, w *rollout.Wish) { w.Kind = rollout.KindRelay }, "members"},
 		{"of nothing", func(_ *opening, w *rollout.Wish) { w.All = false }, ""},
 	} {
@@ -37,8 +37,8 @@
 		if refused(answer) == sound || release != sound || trial != sound || !strings.Contains(string(answer), c.want) {
 			t.Errorf("%s: %s; release %v, canary %v", c.what, answer, release, trial)
 		}
-		if sound && k.Arm.Since != 5000 {
-			t.Errorf("the arm is %+v, not all that start from now on", k.Arm)
+		if sound && k.Target.Since != 5000 {
+			t.Errorf("the arm is %+v, not all that start from now on", k.Target)
 		}
 	}
 }
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -59,7 +59,7 @@
 
 // NewRecord is one in which nothing was agreed.
 func NewRecord() *Record {
-	return &Record{rollout: rollout.New(), canary: canary.New(), intent: &intent{}, news: make(chan struct{}, 1),
+	return &Record{rollout: rollout.New(), canary: canary.NewState(), intent: &intent{}, news: make(chan struct{}, 1),
 		held: held{Bans: drift.Item{Name: drift.Bans}, Drains: drift.Item{Name: drift.Drains}, Permits: drift.Item{Name: drift.Permits},
 			Weights: drift.Item{Name: drift.Weights}}}
 }
@@ -107,7 +107,7 @@
 // second says why a canary cannot be opened beside another: the module keeps one arm apart.
 func (r *Record) second(body []byte) string {
 	var c canary.Command
-	if json.Unmarshal(body, &c) != nil || c.Do != "open" {
+	if json.Unmarshal(body, &c) != nil || c.Op != canary.OpOpen {
 		return ""
 	}
 	for _, other := range r.canary.Canaries() {
@@ -200,7 +200,7 @@
 	if err != nil {
 		return fmt.Errorf("record: %w", err)
 	}
-	ca, err := canary.Decode(s.Canary)
+	ca, err := canary.DecodeState(s.Canary)
 	if err != nil {
 		return fmt.Errorf("record: %w", err)
 	}
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -280,8 +280,8 @@
 	now := s.now()
 	answer = s.helm.hear(now, from, w)
 	if len(w.Counts) > 0 && s.judge != nil {
-		if c, err := canary.DecodeCounts(w.Counts); err == nil {
-			s.judge.Hear(now, from, w.Zone, c)
+		if c, err := canary.DecodeCountReport(w.Counts); err == nil {
+			s.judge.Observe(now, from, w.Zone, c)
 		} else {
 			s.bad++
 		}
@@ -339,7 +339,7 @@
 		reported = s.report(reported)
 		for _, c := range trials {
 			if err := s.proposeTrial(context.Background(), c); err != nil {
-				s.failed("canary "+c.Do, err)
+				s.failed("canary "+string(c.Op), err)
 				return
 			}
 		}
--- a/internal/fleet/trial.go
+++ b/internal/fleet/trial.go
@@ -26,21 +26,21 @@
 	c := all[0] // one at a time
 	switch {
 	case s.judge == nil || s.judged.Salt != c.Salt:
-		s.judge = canary.NewJudge(canary.Settings{Spec: c.Spec, Epoch: c.Epoch, Rung: c.Rung, Kept: s.record.canary.Kept(c.Release)})
-	case s.judged.Epoch != c.Epoch || s.judged.Rung != c.Rung:
-		s.judge.Begin(c.Epoch, c.Rung)
+		s.judge = canary.NewJudge(canary.JudgeSettings{Spec: c.Spec, Epoch: c.Epoch, Step: c.Step, Checkpoint: s.record.canary.Checkpoint(c.Release)})
+	case s.judged.Epoch != c.Epoch || s.judged.Step != c.Step:
+		s.judge.BeginStep(c.Epoch, c.Step)
 	}
 	s.judged = c
 	release, _ := s.record.rollout.Release(c.Release)
 	switch {
-	case c.Status == canary.Done, c.Status == canary.Back && (release.Name == "" || release.State == rollout.Undone || release.State == rollout.Ended):
-		return []canary.Command{{Do: "close", Release: c.Release}}
-	case c.Status != canary.Going:
-		v.Worse, v.WorseOf = cmpOr(c.Why, string(c.Status)), c.Release
+	case c.Status == canary.Completed, c.Status == canary.RolledBack && (release.Name == "" || release.State == rollout.Undone || release.State == rollout.Ended):
+		return []canary.Command{{Op: canary.OpClose, Release: c.Release}}
+	case c.Status != canary.Progressing:
+		v.Worse, v.WorseOf = cmpOr(c.Reason, string(c.Status)), c.Release
 	}
-	was := s.verdict.Kind
-	if s.verdict = s.judge.Verdict(now); s.verdict.Kind != was {
-		s.Log.WithFields(logrus.Fields{"release": c.Release, "rung": c.Rung, "per_mille": c.PerMille, "verdict": s.verdict.Kind, "metric": s.verdict.Metric,
+	was := s.verdict.Outcome
+	if s.verdict = s.judge.Verdict(now); s.verdict.Outcome != was {
+		s.Log.WithFields(logrus.Fields{"release": c.Release, "rung": c.Step, "per_mille": c.PerMille, "verdict": s.verdict.Outcome, "metric": s.verdict.Metric,
 			"zones": s.verdict.Zones, "relays": s.verdict.Relays}).Info("fleet: canary")
 	}
 	applied := !slices.ContainsFunc(v.Relays, func(r rollout.Relay) bool {
@@ -67,9 +67,9 @@
 		r, ok := s.record.rollout.Release(c.Release)
 		switch {
 		case !ok || r.Backing:
-		case c.Status == canary.Back && (r.State == rollout.Halted || r.State == rollout.Running):
-			out = append(out, rollout.Command{Kind: rollout.Back, Name: r.Name, Who: "canary", Why: c.Why})
-		case c.Status != canary.Done && slices.ContainsFunc(r.Units, func(u rollout.Unit) bool { return u.Phase != rollout.Waiting }):
+		case c.Status == canary.RolledBack && (r.State == rollout.Halted || r.State == rollout.Running):
+			out = append(out, rollout.Command{Kind: rollout.Back, Name: r.Name, Who: "canary", Why: c.Reason})
+		case c.Status != canary.Completed && slices.ContainsFunc(r.Units, func(u rollout.Unit) bool { return u.Phase != rollout.Waiting }):
 			hold[c.Release] = true
 		}
 	}
@@ -90,7 +90,7 @@
 func (s *Service) proposeTrial(ctx context.Context, c canary.Command) error {
 	ctx, cancel := context.WithTimeout(ctx, callWithin)
 	defer cancel()
-	text, err := json.Marshal(command{Part: partCanary, At: s.now(), By: s.Name, Body: c.Body()})
+	text, err := json.Marshal(command{Part: partCanary, At: s.now(), By: s.Name, Body: c.Encode()})
 	if err != nil {
 		return err
 	}
