--- a/cmd/dahliarudder/main.go
+++ b/cmd/dahliarudder/main.go
@@ -115,7 +115,7 @@
 			cmd.Printf("dahliarudder %s (%s)\n", version, toolchain)
 		},
 	})
-	root.AddCommand(keysCommand(), rehearseCommand())
+	root.AddCommand(keysCommand(), scenarioCommand())
 	root.SetOut(os.Stdout)
 	return root
 }
--- /dev/null
+++ b/cmd/dahliarudder/scenario.go
@@ -0,0 +1,35 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"syscall"
+
+	"github.com/spf13/cobra"
+)
+
+// scenarioProgram runs scenario files. The build puts it in this program's directory.
+const scenarioProgram = "dahliarudder-scenario"
+
+// scenarioCommand replaces this process by scenarioProgram: the relay itself does not link the plotting library that the reports
+// need. The alias is the command's earlier name, which operators' scripts use.
+func scenarioCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:                "scenario FILE",
+		Aliases:            []string{"rehearse"},
+		Short:              "Start many relays among fakes of the systems around them, inject faults, and report what clients got",
+		DisableFlagParsing: true,
+		RunE: func(_ *cobra.Command, args []string) error {
+			self, err := os.Executable()
+			if err != nil {
+				return err
+			}
+			path := filepath.Join(filepath.Dir(self), scenarioProgram)
+			if err := syscall.Exec(path, append([]string{path}, args...), os.Environ()); err != nil {
+				return fmt.Errorf("%s: %w; the build makes it beside this program", path, err)
+			}
+			return nil
+		},
+	}
+}
--- /dev/null
+++ b/cmd/dahliarudder/scenario_test.go
@@ -0,0 +1,21 @@
+package main
+
+import (
+	"testing"
+
+	"github.com/sirupsen/logrus"
+)
+
+// TestScenarioCommandNames: the command is found by its name and by the earlier one, which operators' scripts use, and takes all
+// that follows as its own arguments.
+func TestScenarioCommandNames(t *testing.T) {
+	for _, name := range []string{"scenario", "rehearse"} {
+		found, rest, err := command(logrus.New(), nil).Find([]string{name, "--check", "file.json"})
+		if err != nil {
+			t.Fatalf("%s: %v", name, err)
+		}
+		if found.Name() != "scenario" || !found.DisableFlagParsing || len(rest) != 2 {
+			t.Errorf("%s is %q with arguments %q", name, found.Name(), rest)
+		}
+	}
+}
--- a/internal/scenariorunner/false_test.go
+++ b/internal/scenariorunner/false_test.go
@@ -283,7 +283,7 @@
 
 // TestFiles: the rehearsals that are shipped can be used, with the configurations that they name.
 func TestFiles(t *testing.T) {
-	all, err := filepath.Glob("../../deploy/rehearsals/*.json")
+	all, err := filepath.Glob("../../deploy/scenarios/*.json")
 	if err != nil || len(all) == 0 {
 		t.Fatal(err, all)
 	}
