--- a/cmd/dahliarudder/operate.go
+++ b/cmd/dahliarudder/operate.go
@@ -103,8 +103,8 @@
 	switch {
 	case r.nats == nil:
 	case on:
-		r.nats.Leave()
+		r.nats.EnterLameDuck()
 	case r.core.Welcomes():
-		r.nats.Stay()
+		r.nats.ExitLameDuck()
 	}
 }
--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -53,7 +53,7 @@
 	stopLinger = 200 * time.Millisecond
 	// stopOver is what flows that are moved at the very end have for the end of a line. SIGKILL comes 0.7 s after the
 	// longest deadline, at which a stop ends at the latest.
-	stopOver = line.MoveWithin + stopLinger/2
+	stopOver = line.MoveTimeout + stopLinger/2
 )
 
 // wallClock is the machine's clock, which may be stepped. Nothing that lasts is measured by it. Only tests change it.
@@ -235,11 +235,11 @@
 	}
 	if cfg.Fronts.NATS != nil {
 		r.nats = nats.New(loop, r.core, r.log, cfg.Name, *cfg.Fronts.NATS, cfg.Security())
-		probe = r.nats.Probe
+		probe = r.nats.CheckHealth
 	}
 	if cfg.Fronts.Line != nil {
 		r.lines = line.New(loop, r.core, r.log)
-		probe = r.lines.Probe
+		probe = r.lines.CheckHealth
 	}
 	if cfg.Operator != "" {
 		if err := r.recall(); err != nil {
@@ -350,7 +350,7 @@
 	r.log.WithField("discovery", fresh.Discovery).Info("configuration read again")
 	r.watch.Move(fresh.Discovery)
 	if r.nats != nil && fresh.Security() != nil && !slices.Contains(keys, "fronts") {
-		r.nats.Renew(fresh.Security())
+		r.nats.ReloadSecurity(fresh.Security())
 	}
 }
 
@@ -372,7 +372,7 @@
 		r.core.Stop()
 	}
 	if r.nats != nil {
-		r.nats.Leave()
+		r.nats.EnterLameDuck()
 	}
 	r.await(func() bool {
 		now := loop.Now()
@@ -393,7 +393,7 @@
 func (r *relay) held() int {
 	held := r.core.Held()
 	if r.lines != nil {
-		held = max(held, r.lines.Held())
+		held = max(held, r.lines.OpenRequests())
 	}
 	return held
 }
@@ -416,7 +416,7 @@
 // leaveFresh ends connections on which nothing was asked yet.
 func (r *relay) leaveFresh() {
 	if r.lines != nil {
-		r.lines.Leave()
+		r.lines.CloseIdle()
 	}
 }
 
--- a/cmd/dahliarudder/upgrade.go
+++ b/cmd/dahliarudder/upgrade.go
@@ -125,7 +125,7 @@
 	case n.Open != nil:
 		r.share(n.Open.Limit)
 		if r.lines != nil {
-			r.lines.Elsewhere(n.Open.IDs)
+			r.lines.SetRemoteIDs(n.Open.IDs)
 		}
 	case r.take(n, fds):
 		return
@@ -142,10 +142,10 @@
 		return false
 	case n.Client != nil && len(fds) == 1:
 		r.loop.Grant(len(fds))
-		r.lines.TakeFresh(*n.Client, fds[0])
+		r.lines.AdoptIdle(*n.Client, fds[0])
 	case n.Flow != nil && len(fds) == 2:
 		r.loop.Grant(len(fds))
-		r.lines.TakeFlow(*n.Flow, fds[0], fds[1])
+		r.lines.AdoptFlow(*n.Flow, fds[0], fds[1])
 	default:
 		return false
 	}
@@ -158,16 +158,16 @@
 	if !r.passes() {
 		return
 	}
-	r.lines.GiveFresh(r.window(), func(p line.Fresh, fd int) {
+	r.lines.HandOffIdle(r.window(), func(p line.IdleConn, fd int) {
 		r.give(handover.Note{Client: &p}, fd)
 	})
 	if r.ending {
-		r.lines.GiveFlows(r.window(), func(f line.Flow, client, member int) {
+		r.lines.HandOffFlows(r.window(), func(f line.FlowHandoff, client, member int) {
 			r.give(handover.Note{Flow: &f}, client, member)
 		})
 	}
 	again := newsEvery
-	if r.ending || r.twin.peer.Pending() > 0 || r.lines.FreshCount() > 0 {
+	if r.ending || r.twin.peer.Pending() > 0 || r.lines.IdleCount() > 0 {
 		again = passEvery
 	}
 	r.twin.passing.Stop()
@@ -184,7 +184,7 @@
 	if r.twin == nil {
 		return true
 	}
-	return r.twin.peer.Quiet() && (!r.passes() || r.lines.FreshCount() == 0)
+	return r.twin.peer.Quiet() && (!r.passes() || r.lines.IdleCount() == 0)
 }
 
 // window is how many connections may be handed over now.
@@ -255,7 +255,7 @@
 	before := r.twin.told
 	r.confine()
 	if r.lines != nil && r.twin.stage == serving {
-		r.twin.told.IDs = r.lines.IDs()
+		r.twin.told.IDs = r.lines.OpenRequestIDs()
 		slices.Sort(r.twin.told.IDs)
 	}
 	if now := r.twin.told; now.Limit != before.Limit || !slices.Equal(now.IDs, before.IDs) {
@@ -289,8 +289,8 @@
 	r.loop.Limit(r.sockets)
 	r.loop.Memory(r.memory)
 	if r.lines != nil {
-		r.lines.Elsewhere(nil)
-		r.lines.KeepFresh()
+		r.lines.SetRemoteIDs(nil)
+		r.lines.ResumeIdle()
 	}
 	for _, t := range was.peer.Unconfirmed() {
 		r.take(&t.Note, t.FDs)
@@ -341,7 +341,7 @@
 func (r *relay) otherLeaves() {
 	r.twin.stage = stopping
 	if r.lines != nil {
-		r.lines.KeepFresh() // nothing more is handed over
+		r.lines.ResumeIdle() // nothing more is handed over
 	}
 	if !r.open {
 		return // it takes no clients in yet, and the other one knows that
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -146,7 +146,7 @@
 	return out
 }
 
-// Load reads the file, if path is not empty, and lets the variables that env
+// LoadSecurity reads the file, if path is not empty, and lets the variables that env
 // knows take precedence.
 func Load(path string, env func(string) string) (*Config, error) {
 	c, err := read(path)
@@ -265,14 +265,14 @@
 		return fmt.Errorf("%w: settings name no classes", ErrInvalid)
 	}
 	if c.Fronts.NATS != nil {
-		if err := c.Fronts.NATS.Check(c.decoded); err != nil {
+		if err := c.Fronts.NATS.Validate(c.decoded); err != nil {
 			return fmt.Errorf("%w: fronts.nats: %v", ErrInvalid, err)
 		}
-		if c.security, err = c.Fronts.NATS.Load(); err != nil {
+		if c.security, err = c.Fronts.NATS.LoadSecurity(); err != nil {
 			return fmt.Errorf("%w: fronts.nats.%v", ErrInvalid, err)
 		}
 		if c.Fronts.Line == nil {
-			c.Fronts.NATS.Adapt(c.decoded)
+			c.Fronts.NATS.AdaptSettings(c.decoded)
 		}
 	}
 	if c.Peers != nil {
--- a/internal/front/line/client.go
+++ b/internal/front/line/client.go
@@ -80,9 +80,9 @@
 		v.upstream.clientLeft(v.upstream.c.Reset)
 	case leaveDraining:
 		v.upstream.clientLeft(func() {}) // its connection ends once it has been drained
-		v.timeOut(MoveWithin)
+		v.timeOut(MoveTimeout)
 	case awaitLineEnd:
-		v.timeOut(MoveWithin)
+		v.timeOut(MoveTimeout)
 	case sendMove:
 		v.c.Write([]byte("MOVE\r\n"))
 		v.endBoth()
--- a/internal/front/line/first_line_test.go
+++ b/internal/front/line/first_line_test.go
@@ -196,7 +196,7 @@
 	m.Line()
 	m.Say("UP y\r\n")
 	c.Lines("UP y")
-	g.f.Probe(&g.Members[0])
+	g.f.CheckHealth(&g.Members[0])
 	next.Accept().Lines("STATS")
 }
 
--- a/internal/front/line/flow_end_test.go
+++ b/internal/front/line/flow_end_test.go
@@ -64,7 +64,7 @@
 }
 
 // TestClientEndsNoRoom: the same of what had no room in the relay's buffers to the member; to the core the client has
-// left at once, and a member that never reads is waited for no longer than MoveWithin.
+// left at once, and a member that never reads is waited for no longer than MoveTimeout.
 func TestClientEndsNoRoom(t *testing.T) {
 	for _, reads := range []bool{true, false} {
 		g := newRig(t, 1)
@@ -77,7 +77,7 @@
 		c.Finish()
 		g.Until("the end of the request", func() bool { return g.Core.Held() == 0 })
 		if !reads {
-			g.Pass(MoveWithin)
+			g.Pass(MoveTimeout)
 		} else if got := g.all(m); !bytes.Equal(got, sent) {
 			t.Errorf("%d bytes of %d", len(got), len(sent))
 		}
--- a/internal/front/line/flow_fuzz_test.go
+++ b/internal/front/line/flow_fuzz_test.go
@@ -73,7 +73,7 @@
 		}
 		if drained || ended {
 			r.Turn()
-			r.Pass(MoveWithin)
+			r.Pass(MoveTimeout)
 			r.Until("the client's end", func() bool { c.Poll(); return c.Over != nil })
 			r.Until("the member's end", func() bool { m.Poll(); return m.Over != nil })
 			if c.Over != io.EOF || m.Over != io.EOF {
--- a/internal/front/line/flow_test.go
+++ b/internal/front/line/flow_test.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// TestMoveUnended: where the member does not end its line, the flow is over within MoveWithin, with no MOVE in the line.
+// TestMoveUnended: where the member does not end its line, the flow is over within MoveTimeout, with no MOVE in the line.
 func TestMoveUnended(t *testing.T) {
 	g := newFlow(t)
 	g.m.Say("half a ")
@@ -109,7 +109,7 @@
 	g.Turn()
 	g.m.Say("li")
 	g.c.Want("li")
-	g.Pass(MoveWithin - time.Millisecond)
+	g.Pass(MoveTimeout - time.Millisecond)
 	if g.c.Poll(); g.c.Over != nil {
 		t.Fatal("ended too soon")
 	}
--- a/internal/front/line/give_test.go
+++ b/internal/front/line/give_test.go
@@ -17,8 +17,8 @@
 	c := r.Dial(r.Serve(f.Accept))
 	c.Say("PING\r\n")
 	c.Lines("PONG")
-	f.GiveFresh(1, func(p Fresh, fd int) {
-		next.TakeFresh(p, fd)
+	f.HandOffIdle(1, func(p IdleConn, fd int) {
+		next.AdoptIdle(p, fd)
 	})
 	r.Pass(firstWithin + time.Second)
 	c.Say("PING\r\n")
@@ -37,7 +37,7 @@
 	c.Lines("UP x")
 	given := 0
 	withDescriptors(t, 1, func() {
-		f.GiveFlows(1, func(Flow, int, int) { given++ })
+		f.HandOffFlows(1, func(FlowHandoff, int, int) { given++ })
 	})
 	if given != 0 {
 		t.Errorf("%d flows were given", given)
--- a/internal/front/line/line.go
+++ b/internal/front/line/line.go
@@ -24,7 +24,7 @@
 	pingIdle    = 30 * time.Second       // a connection that was answered PONG may stay without a request
 	clientGone  = 30 * time.Second       // a client that sends no line for so long; each sends one every 2 s
 	sweepEvery  = 250 * time.Millisecond // how often that is looked for
-	MoveWithin  = 500 * time.Millisecond // for the line to end after which MOVE may stand; a stop waits for it too
+	MoveTimeout  = 500 * time.Millisecond // for the line to end after which MOVE may stand; a stop waits for it too
 	crowdAfter  = 500 * time.Millisecond // when a client may come again that found no descriptors
 )
 
@@ -69,12 +69,12 @@
 	c.Handle(v)
 }
 
-// Held is how many clients have asked and are not done with: they wait, their flow stands, or it waits for the end
+// OpenRequests is how many clients have asked and are not done with: they wait, their flow stands, or it waits for the end
 // of a line to be moved.
-func (f *Front) Held() int { return len(f.ids) }
+func (f *Front) OpenRequests() int { return len(f.ids) }
 
-// Leave ends the connections on which nothing was asked yet. BUSY answers who asks in that very moment.
-func (f *Front) Leave() {
+// CloseIdle ends the connections on which nothing was asked yet. BUSY answers who asks in that very moment.
+func (f *Front) CloseIdle() {
 	for v := range f.fresh {
 		v.retryAfter = f.Core.Advice(crowdAfter)
 		v.on(clientStopped)
--- a/internal/front/line/line_test.go
+++ b/internal/front/line/line_test.go
@@ -36,16 +36,16 @@
 // that goes between processes.
 func pass(t testing.TB, from, to *Front) {
 	t.Helper()
-	from.GiveFlows(100, func(p Flow, client, member int) {
+	from.HandOffFlows(100, func(p FlowHandoff, client, member int) {
 		text, err := json.Marshal(p)
 		if err != nil {
 			t.Fatal(err)
 		}
-		p = Flow{}
+		p = FlowHandoff{}
 		if err := json.Unmarshal(text, &p); err != nil {
 			t.Fatal(err)
 		}
-		to.TakeFlow(p, client, member)
+		to.AdoptFlow(p, client, member)
 	})
 }
 
@@ -248,23 +248,23 @@
 	r.Until("both", func() bool { return len(f.fresh) == 2 })
 	r.Turn()
 	given := 0
-	f.GiveFresh(2, func(p Fresh, fd int) {
+	f.HandOffIdle(2, func(p IdleConn, fd int) {
 		given++
-		next.TakeFresh(p, fd)
+		next.AdoptIdle(p, fd)
 	})
 	if given != 2 || len(f.fresh) != 0 || len(next.fresh) != 2 {
 		t.Fatalf("%d given, %d left, %d taken", given, len(f.fresh), len(next.fresh))
 	}
-	next.Elsewhere([]uint64{0xaa})
+	next.SetRemoteIDs([]uint64{0xaa})
 	half.Say(firstLine[20:] + "\r\n")
 	half.Lines("ERR")
-	next.Elsewhere(nil)
+	next.SetRemoteIDs(nil)
 	quiet.Say(firstLine + "\r\n")
 	_, m2 := r.AcceptAny(0)
 	m2.Line()
 	m2.Say("UP y\r\n")
 	quiet.Lines("UP y")
-	if ids := next.IDs(); len(ids) != 1 || ids[0] != 0xaa {
+	if ids := next.OpenRequestIDs(); len(ids) != 1 || ids[0] != 0xaa {
 		t.Errorf("ids %v", ids)
 	}
 	m.Say("GOT\r\n")
@@ -291,16 +291,16 @@
 	c.Lines("MOVE")
 	c.WantEnd()
 
-	for _, unlike := range []func(*Flow){
-		func(p *Flow) { p.Flow.Member = "unheard of" },
-		func(*Flow) { r.Drain(0) },
+	for _, unlike := range []func(*FlowHandoff){
+		func(p *FlowHandoff) { p.Placement.Member = "unheard of" },
+		func(*FlowHandoff) { r.Drain(0) },
 	} {
 		c, m = askedOf(r, first)
 		m.Say("UP y\r\n")
 		c.Lines("UP y")
-		first.GiveFlows(1, func(p Flow, client, member int) {
+		first.HandOffFlows(1, func(p FlowHandoff, client, member int) {
 			unlike(&p)
-			second.TakeFlow(p, client, member)
+			second.AdoptFlow(p, client, member)
 		})
 		r.Pass(time.Millisecond)
 		c.Lines("MOVE")
--- a/internal/front/line/malformed.go
+++ b/internal/front/line/malformed.go
@@ -76,8 +76,8 @@
 	r.told, r.toldAt = r.count, now
 }
 
-// Malformed is how many clients were refused for what they sent, by cause. Causes that nobody gave are left out.
-func (f *Front) Malformed() map[string]uint64 {
+// MalformedCounts is how many clients were refused for what they sent, by cause. Causes that nobody gave are left out.
+func (f *Front) MalformedCounts() map[string]uint64 {
 	counts := map[string]uint64{}
 	for c, r := range f.refused {
 		if r.count > 0 {
--- a/internal/front/line/malformed_test.go
+++ b/internal/front/line/malformed_test.go
@@ -39,7 +39,7 @@
 	if got := strings.Join(said, ", "); got != "not OPEN: 1, class: 1" {
 		t.Errorf("the log says %s", got)
 	}
-	if n := g.f.Malformed(); n["not OPEN"] != 50 || n["class"] != 50 || len(n) != 2 {
+	if n := g.f.MalformedCounts(); n["not OPEN"] != 50 || n["class"] != 50 || len(n) != 2 {
 		t.Errorf("%v", n)
 	}
 	g.Pass(refusalsEvery)
--- a/internal/front/line/planned_stop_test.go
+++ b/internal/front/line/planned_stop_test.go
@@ -102,7 +102,7 @@
 	g.Turn()
 	g.Core.Stop()
 	g.Core.Finish()
-	g.f.Leave()
+	g.f.CloseIdle()
 	late(silent, firstLine+"\r\n")
 	late(front, firstLine+"\r\n")
 	late(half, firstLine[20:]+"\r\n")
@@ -136,7 +136,7 @@
 			g.c.Lines("line", "MOVE")
 			g.c.WantEnd()
 		} else {
-			g.Pass(MoveWithin)
+			g.Pass(MoveTimeout)
 			g.ends("", "")
 		}
 		g.finished(policy.Cancelled)
--- a/internal/front/line/probe.go
+++ b/internal/front/line/probe.go
@@ -87,8 +87,8 @@
 	due   *netloop.Timer // when the answer is late, or the connection has been kept for long enough
 }
 
-// Probe asks a member for its load; the answer goes to the core.
-func (f *Front) Probe(to *core.Member) {
+// CheckHealth asks a member for its load; the answer goes to the core.
+func (f *Front) CheckHealth(to *core.Member) {
 	p := f.probes[to.ID]
 	if p == nil {
 		p = &probe{f: f, id: to.ID}
--- a/internal/front/line/probe_test.go
+++ b/internal/front/line/probe_test.go
@@ -24,7 +24,7 @@
 }
 
 // probe probes a member.
-func (p *probing) probe(member int) { p.f.Probe(&p.Members[member]) }
+func (p *probing) probe(member int) { p.f.CheckHealth(&p.Members[member]) }
 
 // asked is the member's end of a probe that has been sent on a new connection.
 func (p *probing) asked(member int) *looptest.Peer {
--- a/internal/front/line/rig_test.go
+++ b/internal/front/line/rig_test.go
@@ -217,7 +217,7 @@
 	}
 	var next *netloop.Timer
 	g.Core = core.New(core.Options{Settings: set, Seed: 7, Clock: g.Now, Watch: func() {},
-		Probe: func(to *core.Member) { g.f.Probe(to) },
+		Probe: func(to *core.Member) { g.f.CheckHealth(to) },
 		Wake: func(at time.Duration) {
 			next.Stop()
 			if at < math.MaxInt64 {
--- a/internal/front/line/silence.go
+++ b/internal/front/line/silence.go
@@ -12,7 +12,7 @@
 // silentAfter is how long a member may owe an answer. The 7 s count from the last line that came
 // back, and the client's next one may start 2 s later: an own clock of 5 s from there was over them by the
 // sweep. What is left has to do for the sweep, for a half line that MOVE waits for, and for a busy loop.
-const silentAfter = silentMost - clientEvery - sweepEvery - MoveWithin - lateMost
+const silentAfter = silentMost - clientEvery - sweepEvery - MoveTimeout - lateMost
 
 const (
 	endedAfter = endMost - sweepEvery - lateMost // after a member's last word, when no end of the connection follows
@@ -50,7 +50,7 @@
 
 // silent says that the member has stopped. To half a line it owes nothing, and to one that took long it has a moment.
 func (s *silence) silent(now time.Duration) bool {
-	return s.asked > 0 && now-s.owed > silentAfter && now-s.asked > MoveWithin
+	return s.asked > 0 && now-s.owed > silentAfter && now-s.asked > MoveTimeout
 }
 
 // ended says that the member has said its last word but its connection has not ended, gone that the client has gone.
--- a/internal/front/line/stop_test.go
+++ b/internal/front/line/stop_test.go
@@ -47,14 +47,14 @@
 	r.Until("half a line", func() bool { c.Poll(); return string(c.Got) == "half a " })
 	r.Core.Stop()
 	r.Core.Finish()
-	if r.Core.Held() != 0 || f.Held() != 1 {
-		t.Fatalf("the core holds %d, the front %d", r.Core.Held(), f.Held())
+	if r.Core.Held() != 0 || f.OpenRequests() != 1 {
+		t.Fatalf("the core holds %d, the front %d", r.Core.Held(), f.OpenRequests())
 	}
 	m.Say("line\r\n")
 	c.Lines("half a line", "MOVE")
 	c.WantEnd()
-	if f.Held() != 0 {
-		t.Errorf("the front holds %d", f.Held())
+	if f.OpenRequests() != 0 {
+		t.Errorf("the front holds %d", f.OpenRequests())
 	}
 }
 
@@ -70,7 +70,7 @@
 	r.Until("both", func() bool { return len(f.fresh) == 2 })
 	r.Core.Stop()
 	asking.Say(firstLine + "\r\n")
-	f.Leave()
+	f.CloseIdle()
 	for _, c := range []*looptest.Peer{resting, asking} {
 		c.Want("BUSY 500\r\n")
 		c.WantEnd()
@@ -90,7 +90,7 @@
 	_, m := r.AcceptAny(0)
 	r.Until("the client's end", func() bool { return r.Core.Counts.Left == 1 })
 	r.Until("the attempt's end", func() bool { m.Poll(); return m.Over != nil })
-	if f.Held() != 0 || r.Core.Held() != 0 {
-		t.Errorf("the front holds %d, the core %d", f.Held(), r.Core.Held())
+	if f.OpenRequests() != 0 || r.Core.Held() != 0 {
+		t.Errorf("the front holds %d, the core %d", f.OpenRequests(), r.Core.Held())
 	}
 }
--- a/internal/front/line/two.go
+++ b/internal/front/line/two.go
@@ -10,20 +10,20 @@
 // This file passes connections on to another process of the same relay, and takes up
 // those of another.
 
-// Fresh is a connection on its way to another process on which no first line has come.
-type Fresh struct {
+// IdleConn is a connection on its way to another process on which no first line has come.
+type IdleConn struct {
 	Unread  []byte `json:"unread"`            // what has come of one
-	Resting bool   `json:"resting,omitempty"` // it has been answered PONG
+	AfterPong bool   `json:"resting,omitempty"` // it has been answered PONG
 }
 
-// GiveFresh hands at most so many such connections to give, which owns the descriptor then. Nothing more is read on the others, which are to follow.
-func (f *Front) GiveFresh(most int, give func(p Fresh, fd int)) {
+// HandOffIdle hands at most so many such connections to give, which owns the descriptor then. Nothing more is read on the others, which are to follow.
+func (f *Front) HandOffIdle(most int, give func(p IdleConn, fd int)) {
 	for v := range f.fresh {
 		if most <= 0 {
 			v.c.Rest()
 			continue
 		}
-		p := Fresh{Resting: v.state == clientResting}
+		p := IdleConn{AfterPong: v.state == clientResting}
 		var fd int
 		if fd, p.Unread = v.c.Detach(); fd >= 0 {
 			most--
@@ -33,40 +33,40 @@
 	}
 }
 
-// FreshCount is how many connections there are on which no first line has come.
-func (f *Front) FreshCount() int { return len(f.fresh) }
+// IdleCount is how many connections there are on which no first line has come.
+func (f *Front) IdleCount() int { return len(f.fresh) }
 
-// KeepFresh goes on with those that GiveFresh has left.
-func (f *Front) KeepFresh() {
+// ResumeIdle goes on with those that HandOffIdle has left.
+func (f *Front) ResumeIdle() {
 	for v := range f.fresh {
 		f.Loop.After(0, v.c.Resume)
 	}
 }
 
-// TakeFresh serves such a connection of another process.
-func (f *Front) TakeFresh(p Fresh, fd int) {
+// AdoptIdle serves such a connection of another process.
+func (f *Front) AdoptIdle(p IdleConn, fd int) {
 	c := f.Loop.Attach(fd, p.Unread, nil)
-	f.accept(c, p.Resting)
+	f.accept(c, p.AfterPong)
 	f.Loop.After(0, c.Resume)
 }
 
-// Flow is an open flow on its way to another process. Times are ages.
-type Flow struct {
-	ID         uint64        `json:"id"` // the client's
-	Flow       core.Passed   `json:"flow"`
+// FlowHandoff is an open flow on its way to another process. Times are ages.
+type FlowHandoff struct {
+	ClientID         uint64        `json:"id"` // the client's
+	Placement       core.Passed   `json:"flow"`
 	FromClient []byte        `json:"from_client"` // came, but has not gone on
 	FromMember []byte        `json:"from_member"`
-	Within     bool          `json:"within"`
-	Tail       []byte        `json:"tail"`
-	Last       string        `json:"last"`
-	Asked      time.Duration `json:"asked"` // 0 if no answer is owed
-	Heard      time.Duration `json:"heard"`
+	MidLine     bool          `json:"within"`
+	LinePrefix       []byte        `json:"tail"`
+	FinalCommand       string        `json:"last"`
+	AnswerPending      time.Duration `json:"asked"` // 0 if no answer is owed
+	ClientQuiet      time.Duration `json:"heard"`
 }
 
-// GiveFlows hands at most so many open flows, and the sockets to the client and to
+// HandOffFlows hands at most so many open flows, and the sockets to the client and to
 // the member, to give, which owns these then. A flow with something unsent, or about
 // to move, stays for now.
-func (f *Front) GiveFlows(most int, give func(p Flow, client, member int)) {
+func (f *Front) HandOffFlows(most int, give func(p FlowHandoff, client, member int)) {
 	now := f.Loop.Now()
 	for v := range f.open {
 		s := v.upstream
@@ -76,23 +76,23 @@
 		if most--; most < 0 {
 			return
 		}
-		p := Flow{ID: v.open.id, Within: v.state == clientMidLine, Tail: s.tail, Last: s.state.lastWord(), Heard: now - s.heard}
+		p := FlowHandoff{ClientID: v.open.id, MidLine: v.state == clientMidLine, LinePrefix: s.tail, FinalCommand: s.state.lastWord(), ClientQuiet: now - s.heard}
 		if s.asked > 0 {
-			p.Asked = max(now-s.owed, 1)
+			p.AnswerPending = max(now-s.owed, 1)
 		}
 		client, member := f.detach(v, &p)
 		if client < 0 {
 			return // no descriptors now
 		}
-		p.Flow, _ = f.Core.Pass(v.id)
-		p.Flow.Request.Load = s.load
+		p.Placement, _ = f.Core.Pass(v.id)
+		p.Placement.Request.Load = s.load
 		v.close()
 		give(p, client, member)
 	}
 }
 
 // detach takes both sides of an open flow off the loop. Without a descriptor for either it returns -1, and the flow goes on here.
-func (f *Front) detach(v *clientConn, p *Flow) (client, member int) {
+func (f *Front) detach(v *clientConn, p *FlowHandoff) (client, member int) {
 	if client, p.FromClient = v.c.Detach(); client < 0 {
 		return -1, -1
 	}
@@ -104,31 +104,31 @@
 	return -1, -1
 }
 
-// TakeFlow goes on with such a flow. One whose member is not known here is moved.
-func (f *Front) TakeFlow(p Flow, client, member int) {
+// AdoptFlow goes on with such a flow. One whose member is not known here is moved.
+func (f *Front) AdoptFlow(p FlowHandoff, client, member int) {
 	now := f.Loop.Now()
-	v := &clientConn{f: f, state: openState(p.Within), open: opening{id: p.ID}}
-	s := &upstream{v: v, state: saying(p.Last), tail: p.Tail, load: p.Flow.Request.Load, report: policy.NoReport}
-	s.heard = now - p.Heard
-	if p.Last != "" {
+	v := &clientConn{f: f, state: openState(p.MidLine), open: opening{id: p.ClientID}}
+	s := &upstream{v: v, state: saying(p.FinalCommand), tail: p.LinePrefix, load: p.Placement.Request.Load, report: policy.NoReport}
+	s.heard = now - p.ClientQuiet
+	if p.FinalCommand != "" {
 		s.last = now
 	}
-	if v.upstream = s; p.Asked > 0 {
-		s.owed, s.asked = now-p.Asked, now-p.Asked
+	if v.upstream = s; p.AnswerPending > 0 {
+		s.owed, s.asked = now-p.AnswerPending, now-p.AnswerPending
 	}
 	v.c = f.Loop.Attach(client, p.FromClient, v)
 	s.c = f.Loop.Attach(member, p.FromMember, s)
-	f.open[v], f.ids[p.ID] = struct{}{}, v
+	f.open[v], f.ids[p.ClientID] = struct{}{}, v
 	var known bool
-	if v.id, s.member, known = f.Core.Take(p.Flow, v); !known {
+	if v.id, s.member, known = f.Core.Take(p.Placement, v); !known {
 		v.Move()
 		return
 	}
 	f.Loop.After(0, func() { v.c.Resume(); s.c.Resume() })
 }
 
-// IDs are the clients' ids of the requests that are held here.
-func (f *Front) IDs() []uint64 {
+// OpenRequestIDs are the clients' ids of the requests that are held here.
+func (f *Front) OpenRequestIDs() []uint64 {
 	ids := make([]uint64, 0, len(f.ids))
 	for id := range f.ids {
 		ids = append(ids, id)
@@ -136,8 +136,8 @@
 	return ids
 }
 
-// Elsewhere says which ids another process holds.
-func (f *Front) Elsewhere(ids []uint64) {
+// SetRemoteIDs says which ids another process holds.
+func (f *Front) SetRemoteIDs(ids []uint64) {
 	clear(f.elsewhere)
 	for _, id := range ids {
 		f.elsewhere[id] = true
--- a/internal/front/nats/client.go
+++ b/internal/front/nats/client.go
@@ -142,7 +142,7 @@
 	}
 	used := 0
 	for !c.over {
-		m, n, err := parse(b[used:], c.f.MaxControl, c.f.MaxPayload)
+		m, n, err := parse(b[used:], c.f.MaxControlLine, c.f.MaxPayload)
 		if err != nil {
 			c.fail(err.Error())
 			break
@@ -250,7 +250,7 @@
 		c.fail("Authorization Violation")
 		return true
 	}
-	if len(c.answers) > c.f.MaxSubs+c.f.WindowMessages {
+	if len(c.answers) > c.f.MaxSubscriptions+c.f.WindowMessages {
 		return false // who asks without end waits for the answers
 	}
 	switch m.op {
@@ -317,7 +317,7 @@
 func (c *client) keepAlive() {
 	c.timer.Stop()
 	c.timer = c.f.Loop.After(c.f.pingEvery(), func() {
-		if c.pings++; c.pings > c.f.PingMost {
+		if c.pings++; c.pings > c.f.MaxPingsOut {
 			c.fail("Stale Connection")
 			return
 		}
--- a/internal/front/nats/config.go
+++ b/internal/front/nats/config.go
@@ -13,12 +13,12 @@
 type Config struct {
 	Listen         string `json:"listen"`
 	MaxPayload     int    `json:"max_payload"`       // bytes; 1 MiB
-	MaxControl     int    `json:"max_control_line"`  // bytes; 4 KiB
-	MaxSubs        int    `json:"max_subscriptions"` // of one client; 4096
+	MaxControlLine     int    `json:"max_control_line"`  // bytes; 4 KiB
+	MaxSubscriptions        int    `json:"max_subscriptions"` // of one client; 4096
 	MaxConnections int    `json:"max_connections"`   // of all clients; no bound but descriptors
-	PingMS         int    `json:"ping_interval_ms"`  // 30,000
-	PingMost       int    `json:"ping_max"`          // unanswered ones that end a client; 2
-	SlowMS         int    `json:"slow_after_ms"`     // a client may leave 64 KiB unread; 2,000
+	PingIntervalMS         int    `json:"ping_interval_ms"`  // 30,000
+	MaxPingsOut       int    `json:"ping_max"`          // unanswered ones that end a client; 2
+	SlowAfterMS         int    `json:"slow_after_ms"`     // a client may leave 64 KiB unread; 2,000
 	WindowMessages int    `json:"window_messages"`   // of one feed; 512
 	WindowBytes    int    `json:"window_bytes"`      // likewise; 1 MiB
 	// LoadSubject is where members answer a request with their load report; empty
@@ -33,7 +33,7 @@
 	TLS       *ServerTLS   `json:"tls"`          // nil: clients are spoken to in plain
 	MemberTLS *MemberTLS   `json:"member_tls"`   // nil: members are
 	Auth      *auth.Config `json:"auth"`         // nil: all may enter
-	Login     *Login       `json:"member_login"` // nil: members are told the client's own
+	MemberLogin     *MemberLogin       `json:"member_login"` // nil: members are told the client's own
 
 	Dir      string `json:"-"` // of the file, for paths that are not absolute
 	unprobed bool   // the settings allow no probes: the relay goes by its own view alone
@@ -57,12 +57,12 @@
 func (c *Config) bounds() []bound {
 	return []bound{
 		{"max_payload", &c.MaxPayload, 1 << 20, 1, 8 << 20},
-		{"max_control_line", &c.MaxControl, maxControl, 256, maxInfo},
-		{"max_subscriptions", &c.MaxSubs, 4096, 1, 1 << 20},
+		{"max_control_line", &c.MaxControlLine, maxControl, 256, maxInfo},
+		{"max_subscriptions", &c.MaxSubscriptions, 4096, 1, 1 << 20},
 		{"max_connections", &c.MaxConnections, 0, 0, 1 << 20},
-		{"ping_interval_ms", &c.PingMS, 30_000, 100, 3_600_000},
-		{"ping_max", &c.PingMost, 2, 1, 100},
-		{"slow_after_ms", &c.SlowMS, 2000, 100, 60_000},
+		{"ping_interval_ms", &c.PingIntervalMS, 30_000, 100, 3_600_000},
+		{"ping_max", &c.MaxPingsOut, 2, 1, 100},
+		{"slow_after_ms", &c.SlowAfterMS, 2000, 100, 60_000},
 		{"window_messages", &c.WindowMessages, 512, 1, 1 << 16},
 		{"window_bytes", &c.WindowBytes, 1 << 20, 1, 64 << 20},
 		{"member_flows", &c.MemberFlows, 10_000, 1, 1 << 24},
@@ -77,11 +77,11 @@
 	}
 }
 
-func (c *Config) slowAfter() time.Duration { return time.Duration(c.SlowMS) * time.Millisecond }
-func (c *Config) pingEvery() time.Duration { return time.Duration(c.PingMS) * time.Millisecond }
+func (c *Config) slowAfter() time.Duration { return time.Duration(c.SlowAfterMS) * time.Millisecond }
+func (c *Config) pingEvery() time.Duration { return time.Duration(c.PingIntervalMS) * time.Millisecond }
 
-// Check says what is wrong with the configuration, by its key.
-func (c *Config) Check(set *settings.Settings) error {
+// Validate says what is wrong with the configuration, by its key.
+func (c *Config) Validate(set *settings.Settings) error {
 	for _, b := range c.bounds() {
 		if n := *b.at; n != 0 && (n < b.least || n > b.most) {
 			return fmt.Errorf("%s: %d is not between %d and %d", b.key, n, b.least, b.most)
@@ -116,9 +116,9 @@
 	return nil
 }
 
-// Adapt makes the settings those of a relay whose members all stand behind this front. Every
+// AdaptSettings makes the settings those of a relay whose members all stand behind this front. Every
 // one is then reported of: by itself, or by the relay's own view.
-func (c *Config) Adapt(set *settings.Settings) {
+func (c *Config) AdaptSettings(set *settings.Settings) {
 	c.unprobed = !set.Limits.Probes
 	set.Limits.Probes, set.Report.Source = true, "on_probe"
 }
--- a/internal/front/nats/config_test.go
+++ b/internal/front/nats/config_test.go
@@ -54,9 +54,9 @@
 			t.Fatal(text, err)
 		}
 		c.Dir = dir
-		err := c.Check(set)
+		err := c.Validate(set)
 		if err == nil {
-			_, err = c.Load()
+			_, err = c.LoadSecurity()
 		}
 		switch {
 		case key == "" && err != nil:
--- a/internal/front/nats/nats.go
+++ b/internal/front/nats/nats.go
@@ -72,7 +72,7 @@
 }
 
 // Counts is what has happened at this front.
-type Counts struct{ SlowConsumers, Turned, Denied int }
+type Counts struct{ SlowConsumers, Rejected, Denied int }
 
 // route is a Route with its names looked up.
 type route struct {
@@ -107,20 +107,20 @@
 		n.to.tenant, _ = c.Settings.Tenant(r.Tenant)
 		f.routes = append(f.routes, n)
 	}
-	f.Renew(sec)
+	f.ReloadSecurity(sec)
 	loop.After(sweepEvery, f.sweep)
 	return f
 }
 
-// Leave tells clients that the relay is leaving. The core then moves their
+// EnterLameDuck tells clients that the relay is leaving. The core then moves their
 // subscriptions, which ends their connections; who has none is ended by the sweep.
-func (f *Front) Leave() {
+func (f *Front) EnterLameDuck() {
 	f.leaving, f.since = true, f.Loop.Now()
 	f.announce()
 }
 
-// Stay takes that back.
-func (f *Front) Stay() {
+// ExitLameDuck takes that back.
+func (f *Front) ExitLameDuck() {
 	f.leaving = false
 	f.announce()
 }
@@ -183,7 +183,7 @@
 	c := &client{f: f, c: conn, id: f.lastID, local: conn.Addr(), remote: conn.Peer()}
 	f.clients[c] = struct{}{}
 	conn.Handle(c)
-	conn.Bound(f.MaxPayload+f.MaxControl+2, 2*f.MaxPayload+4*highWater)
+	conn.Bound(f.MaxPayload+f.MaxControlLine+2, 2*f.MaxPayload+4*highWater)
 	if f.sec.server != nil && f.TLS.HandshakeFirst {
 		c.sniffed = true
 		conn.Secure(f.sec.server, false, connectWithin, func(tls.ConnectionState) { c.write(f.info(c)) })
--- a/internal/front/nats/probe.go
+++ b/internal/front/nats/probe.go
@@ -26,9 +26,9 @@
 
 const probeReply = "_dahlia.load.reply"
 
-// Probe asks a member for its load; the answer goes to the core. Of a member that reports
+// CheckHealth asks a member for its load; the answer goes to the core. Of a member that reports
 // none, the relay's own view is the report.
-func (f *Front) Probe(to *core.Member) {
+func (f *Front) CheckHealth(to *core.Member) {
 	if f.unprobed {
 		f.Core.Probed(to.ID, policy.OK, f.gauge.Report(to.ID, f.Core.Flows(to.ID)))
 		return
--- a/internal/front/nats/processor.go
+++ b/internal/front/nats/processor.go
@@ -125,7 +125,7 @@
 	if q.Group != "" {
 		r.Group = hash(q.Group)
 	}
-	if len(c.asked) >= c.f.MaxSubs { // each is held until it has ended and is forgotten
+	if len(c.asked) >= c.f.MaxSubscriptions { // each is held until it has ended and is forgotten
 		c.say(reply, verdict{Verdict: "reject", AfterMS: keepVerdict.Milliseconds()})
 		return
 	}
--- a/internal/front/nats/publish.go
+++ b/internal/front/nats/publish.go
@@ -212,7 +212,7 @@
 	if a == core.Served {
 		return
 	}
-	c.f.Counts.Turned++
+	c.f.Counts.Rejected++
 	for i := range c.answers { // its +OK will not come
 		if t := &c.answers[i]; t.mark == m.Mark && t.text == "+OK\r\n" {
 			t.text = ""
--- a/internal/front/nats/security.go
+++ b/internal/front/nats/security.go
@@ -41,13 +41,13 @@
 	MinVersion     string `json:"min_version"`
 }
 
-// Login is the relay's own at members, in the place of each client's.
-type Login struct {
+// MemberLogin is the relay's own at members, in the place of each client's.
+type MemberLogin struct {
 	User     string `json:"user"`
 	Password string `json:"password"`
 	Token    string `json:"token"`
-	Seed     string `json:"nkey_seed_file"`
-	Creds    string `json:"credentials_file"` // a user's JWT and seed
+	NKeySeedFile     string `json:"nkey_seed_file"`
+	CredentialsFile    string `json:"credentials_file"` // a user's JWT and seed
 }
 
 // Security is what a Config's files hold; it can be read again while the relay runs.
@@ -60,8 +60,8 @@
 	enterer chan func() // to the workers that check passwords
 }
 
-// Load reads the files that the configuration names. Errors name the key.
-func (c *Config) Load() (*Security, error) {
+// LoadSecurity reads the files that the configuration names. Errors name the key.
+func (c *Config) LoadSecurity() (*Security, error) {
 	s := &Security{}
 	if t := c.TLS; t != nil {
 		cfg, err := pair("tls", c.file(t.Cert), c.file(t.Key), t.MinVersion, true)
@@ -101,8 +101,8 @@
 		}
 		s.book = book
 	}
-	if c.Login != nil {
-		if err := s.login(c.Login, c.file); err != nil {
+	if c.MemberLogin != nil {
+		if err := s.login(c.MemberLogin, c.file); err != nil {
 			return nil, fmt.Errorf("member_login.%w", err)
 		}
 	}
@@ -163,13 +163,13 @@
 	return p, nil
 }
 
-func (s *Security) login(l *Login, file func(string) string) error {
-	if !auth.One(l.User, l.Token, l.Seed, l.Creds) {
+func (s *Security) login(l *MemberLogin, file func(string) string) error {
+	if !auth.One(l.User, l.Token, l.NKeySeedFile, l.CredentialsFile) {
 		return errors.New("user: want exactly one of user, token, nkey_seed_file and credentials_file")
 	}
-	at, path := "nkey_seed_file", l.Seed
-	if l.Creds != "" {
-		at, path = "credentials_file", l.Creds
+	at, path := "nkey_seed_file", l.NKeySeedFile
+	if l.CredentialsFile != "" {
+		at, path = "credentials_file", l.CredentialsFile
 	}
 	if path == "" {
 		return nil
@@ -179,7 +179,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %v", at, err)
 	}
-	if l.Creds != "" {
+	if l.CredentialsFile != "" {
 		if s.jwt, err = jwt.ParseDecoratedJWT(text); err == nil {
 			s.key, err = jwt.ParseDecoratedNKey(text)
 		}
@@ -201,8 +201,8 @@
 	enterMost = 256
 )
 
-// Renew takes over what was read again. Who has entered stays.
-func (f *Front) Renew(s *Security) {
+// ReloadSecurity takes over what was read again. Who has entered stays.
+func (f *Front) ReloadSecurity(s *Security) {
 	if f.sec != nil && f.sec.enterer != nil {
 		close(f.sec.enterer) // its workers end when they are done
 	}
@@ -343,7 +343,7 @@
 // logIn puts the relay's own login into a CONNECT, where one is configured or the client's cannot be
 // passed on.
 func (f *Front) logIn(connect map[string]any, info []byte) error {
-	if f.Login == nil {
+	if f.MemberLogin == nil {
 		for _, key := range []string{"nkey", "sig", "jwt"} { // answers to the relay's own challenge
 			delete(connect, key)
 		}
@@ -368,10 +368,10 @@
 		} else if connect["nkey"], err = f.sec.key.PublicKey(); err != nil {
 			return err
 		}
-	case f.Login.Token != "":
-		connect["auth_token"] = f.Login.Token
+	case f.MemberLogin.Token != "":
+		connect["auth_token"] = f.MemberLogin.Token
 	default:
-		connect["user"], connect["pass"] = f.Login.User, f.Login.Password
+		connect["user"], connect["pass"] = f.MemberLogin.User, f.MemberLogin.Password
 	}
 	return nil
 }
--- a/internal/front/nats/sub.go
+++ b/internal/front/nats/sub.go
@@ -59,7 +59,7 @@
 		c.ok()
 		return
 	}
-	if len(c.subs) >= c.f.MaxSubs {
+	if len(c.subs) >= c.f.MaxSubscriptions {
 		c.warn("maximum subscriptions exceeded")
 		return
 	}
@@ -237,7 +237,7 @@
 	}
 	if to := f.destination([]byte(s.subject)); !s.warned && f.Loop.Now()+after-s.since >= f.Core.Limits().Classes[to.class].Deadline {
 		s.warned = true
-		f.Counts.Turned++
+		f.Counts.Rejected++
 		s.c.warn(fmt.Sprintf("Permissions Violation for Subscription to %q: rejected, asked for again in %d ms", s.subject, after.Milliseconds()))
 		s.tell()
 	}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -42,8 +42,8 @@
 	Bans     bool        `json:"bans,omitempty"`     // the file of bans has changed
 	Drain    *bool       `json:"drain,omitempty"`    // an operator has drained the relay, or resumed
 	Open     *Open       `json:"open,omitempty"`     // the requests that the first holds
-	Flow     *line.Flow  `json:"flow,omitempty"`     // an open flow, with the client's socket and the member's
-	Client   *line.Fresh `json:"client,omitempty"`   // a client that has asked for nothing yet, with its socket
+	Flow     *line.FlowHandoff  `json:"flow,omitempty"`     // an open flow, with the client's socket and the member's
+	Client   *line.IdleConn `json:"client,omitempty"`   // a client that has asked for nothing yet, with its socket
 }
 
 // Open is what the first holds: clients' ids of the line front, and how many
@@ -272,7 +272,7 @@
 // Quiet says that all that was told has left, and all that was given is confirmed.
 func (p *Peer) Quiet() bool { return p.channel.Quiet() && len(p.out) == 0 }
 
-// Leave ends the conversation; nobody here is told.
+// CloseIdle ends the conversation; nobody here is told.
 func (p *Peer) Leave() {
 	closeAll(p.fds)
 	p.fds = nil
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -169,7 +169,7 @@
 		p.b.T.Fatal(err)
 	}
 	p.b.T.Cleanup(func() { unix.Close(ends[0]) })
-	if err := p.first.Give(Note{Client: &line.Fresh{Unread: []byte(name)}}, ends[1]); err != nil {
+	if err := p.first.Give(Note{Client: &line.IdleConn{Unread: []byte(name)}}, ends[1]); err != nil {
 		p.b.T.Error(err)
 	}
 	return ends[0]
