--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -146,7 +146,7 @@
 	return out
 }
 
-// LoadSecurity reads the file, if path is not empty, and lets the variables that env
+// Load reads the file, if path is not empty, and lets the variables that env
 // knows take precedence.
 func Load(path string, env func(string) string) (*Config, error) {
 	c, err := read(path)
--- a/internal/front/line/line.go
+++ b/internal/front/line/line.go
@@ -24,7 +24,7 @@
 	pingIdle    = 30 * time.Second       // a connection that was answered PONG may stay without a request
 	clientGone  = 30 * time.Second       // a client that sends no line for so long; each sends one every 2 s
 	sweepEvery  = 250 * time.Millisecond // how often that is looked for
-	MoveTimeout  = 500 * time.Millisecond // for the line to end after which MOVE may stand; a stop waits for it too
+	MoveTimeout = 500 * time.Millisecond // for the line to end after which MOVE may stand; a stop waits for it too
 	crowdAfter  = 500 * time.Millisecond // when a client may come again that found no descriptors
 )
 
--- a/internal/front/line/two.go
+++ b/internal/front/line/two.go
@@ -12,7 +12,7 @@
 
 // IdleConn is a connection on its way to another process on which no first line has come.
 type IdleConn struct {
-	Unread  []byte `json:"unread"`            // what has come of one
+	Unread    []byte `json:"unread"`            // what has come of one
 	AfterPong bool   `json:"resting,omitempty"` // it has been answered PONG
 }
 
@@ -52,15 +52,15 @@
 
 // FlowHandoff is an open flow on its way to another process. Times are ages.
 type FlowHandoff struct {
-	ClientID         uint64        `json:"id"` // the client's
-	Placement       core.Passed   `json:"flow"`
-	FromClient []byte        `json:"from_client"` // came, but has not gone on
-	FromMember []byte        `json:"from_member"`
-	MidLine     bool          `json:"within"`
-	LinePrefix       []byte        `json:"tail"`
-	FinalCommand       string        `json:"last"`
-	AnswerPending      time.Duration `json:"asked"` // 0 if no answer is owed
-	ClientQuiet      time.Duration `json:"heard"`
+	ClientID      uint64        `json:"id"` // the client's
+	Placement     core.Passed   `json:"flow"`
+	FromClient    []byte        `json:"from_client"` // came, but has not gone on
+	FromMember    []byte        `json:"from_member"`
+	MidLine       bool          `json:"within"`
+	LinePrefix    []byte        `json:"tail"`
+	FinalCommand  string        `json:"last"`
+	AnswerPending time.Duration `json:"asked"` // 0 if no answer is owed
+	ClientQuiet   time.Duration `json:"heard"`
 }
 
 // HandOffFlows hands at most so many open flows, and the sockets to the client and to
--- a/internal/front/nats/config.go
+++ b/internal/front/nats/config.go
@@ -11,16 +11,16 @@
 
 // Config is how the operator's file sets the front up. A zero stands for the default.
 type Config struct {
-	Listen         string `json:"listen"`
-	MaxPayload     int    `json:"max_payload"`       // bytes; 1 MiB
-	MaxControlLine     int    `json:"max_control_line"`  // bytes; 4 KiB
-	MaxSubscriptions        int    `json:"max_subscriptions"` // of one client; 4096
-	MaxConnections int    `json:"max_connections"`   // of all clients; no bound but descriptors
-	PingIntervalMS         int    `json:"ping_interval_ms"`  // 30,000
-	MaxPingsOut       int    `json:"ping_max"`          // unanswered ones that end a client; 2
-	SlowAfterMS         int    `json:"slow_after_ms"`     // a client may leave 64 KiB unread; 2,000
-	WindowMessages int    `json:"window_messages"`   // of one feed; 512
-	WindowBytes    int    `json:"window_bytes"`      // likewise; 1 MiB
+	Listen           string `json:"listen"`
+	MaxPayload       int    `json:"max_payload"`       // bytes; 1 MiB
+	MaxControlLine   int    `json:"max_control_line"`  // bytes; 4 KiB
+	MaxSubscriptions int    `json:"max_subscriptions"` // of one client; 4096
+	MaxConnections   int    `json:"max_connections"`   // of all clients; no bound but descriptors
+	PingIntervalMS   int    `json:"ping_interval_ms"`  // 30,000
+	MaxPingsOut      int    `json:"ping_max"`          // unanswered ones that end a client; 2
+	SlowAfterMS      int    `json:"slow_after_ms"`     // a client may leave 64 KiB unread; 2,000
+	WindowMessages   int    `json:"window_messages"`   // of one feed; 512
+	WindowBytes      int    `json:"window_bytes"`      // likewise; 1 MiB
 	// LoadSubject is where members answer a request with their load report; empty
 	// if they do not.
 	LoadSubject string   `json:"load_subject"`
@@ -30,10 +30,10 @@
 	Tenant      string   `json:"tenant"`       // likewise
 	Routes      []Route  `json:"routes"`
 
-	TLS       *ServerTLS   `json:"tls"`          // nil: clients are spoken to in plain
-	MemberTLS *MemberTLS   `json:"member_tls"`   // nil: members are
-	Auth      *auth.Config `json:"auth"`         // nil: all may enter
-	MemberLogin     *MemberLogin       `json:"member_login"` // nil: members are told the client's own
+	TLS         *ServerTLS   `json:"tls"`          // nil: clients are spoken to in plain
+	MemberTLS   *MemberTLS   `json:"member_tls"`   // nil: members are
+	Auth        *auth.Config `json:"auth"`         // nil: all may enter
+	MemberLogin *MemberLogin `json:"member_login"` // nil: members are told the client's own
 
 	Dir      string `json:"-"` // of the file, for paths that are not absolute
 	unprobed bool   // the settings allow no probes: the relay goes by its own view alone
--- a/internal/front/nats/security.go
+++ b/internal/front/nats/security.go
@@ -43,11 +43,11 @@
 
 // MemberLogin is the relay's own at members, in the place of each client's.
 type MemberLogin struct {
-	User     string `json:"user"`
-	Password string `json:"password"`
-	Token    string `json:"token"`
-	NKeySeedFile     string `json:"nkey_seed_file"`
-	CredentialsFile    string `json:"credentials_file"` // a user's JWT and seed
+	User            string `json:"user"`
+	Password        string `json:"password"`
+	Token           string `json:"token"`
+	NKeySeedFile    string `json:"nkey_seed_file"`
+	CredentialsFile string `json:"credentials_file"` // a user's JWT and seed
 }
 
 // Security is what a Config's files hold; it can be read again while the relay runs.
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -34,16 +34,16 @@
 	Transfer  uint64 `json:"transfer,omitempty"`  // the number of a note that carries a connection, if it is to be confirmed
 	Confirmed uint64 `json:"confirmed,omitempty"` // what that note carried has been taken over
 
-	Hello    int         `json:"hello,omitempty"` // the second's version
-	State    *State      `json:"state,omitempty"` // the first's answer, with the listening sockets
-	Serving  bool        `json:"serving,omitempty"`
-	Leaving  bool        `json:"leaving,omitempty"`  // the sender was told to stop
-	Relieves bool        `json:"relieves,omitempty"` // the sender takes clients in, and the other may end
-	Bans     bool        `json:"bans,omitempty"`     // the file of bans has changed
-	Drain    *bool       `json:"drain,omitempty"`    // an operator has drained the relay, or resumed
-	Open     *Open       `json:"open,omitempty"`     // the requests that the first holds
-	Flow     *line.FlowHandoff  `json:"flow,omitempty"`     // an open flow, with the client's socket and the member's
-	Client   *line.IdleConn `json:"client,omitempty"`   // a client that has asked for nothing yet, with its socket
+	Hello    int               `json:"hello,omitempty"` // the second's version
+	State    *State            `json:"state,omitempty"` // the first's answer, with the listening sockets
+	Serving  bool              `json:"serving,omitempty"`
+	Leaving  bool              `json:"leaving,omitempty"`  // the sender was told to stop
+	Relieves bool              `json:"relieves,omitempty"` // the sender takes clients in, and the other may end
+	Bans     bool              `json:"bans,omitempty"`     // the file of bans has changed
+	Drain    *bool             `json:"drain,omitempty"`    // an operator has drained the relay, or resumed
+	Open     *Open             `json:"open,omitempty"`     // the requests that the first holds
+	Flow     *line.FlowHandoff `json:"flow,omitempty"`     // an open flow, with the client's socket and the member's
+	Client   *line.IdleConn    `json:"client,omitempty"`   // a client that has asked for nothing yet, with its socket
 }
 
 // Open is what the first holds: clients' ids of the line front, and how many
@@ -272,7 +272,7 @@
 // Quiet says that all that was told has left, and all that was given is confirmed.
 func (p *Peer) Quiet() bool { return p.channel.Quiet() && len(p.out) == 0 }
 
-// CloseIdle ends the conversation; nobody here is told.
+// Leave ends the conversation; nobody here is told.
 func (p *Peer) Leave() {
 	closeAll(p.fds)
 	p.fds = nil
