--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -197,8 +197,8 @@
 	bans      *ejections.File
 	words     chan func()       // what operators have said, to be written in that order
 	door      *netloop.Listener // where a successor comes in
-	twin      *twin             // the other process of this relay; nil if there is none
-	relief    relief            // what that one does when this one stops
+	sibling   *siblingProcess   // the other process of this relay; nil if there is none
+	takeover  takeoverState     // what that one does when this one stops
 	inherited map[string]int    // the listening sockets of an older one, until they are used
 	state     *handover.State   // what it knew, until that is taken over
 }
@@ -287,7 +287,7 @@
 	if r.came != nil {
 		r.keep(time.Duration(cfg.State.EveryMS * float64(time.Millisecond)))
 	}
-	if r.twin != nil {
+	if r.sibling != nil {
 		r.exchange()
 	} else if r.open = true; cfg.Operator != "" {
 		r.wait()
@@ -376,7 +376,7 @@
 	}
 	r.await(func() bool {
 		now := loop.Now()
-		return now >= deadline || (now >= least || r.relief == relieved) && r.held() == 0 && r.handedOver()
+		return now >= deadline || (now >= least || r.takeover == takeoverConfirmed) && r.held() == 0 && r.handedOver()
 	}, r.finish)
 }
 
--- a/cmd/dahliarudder/upgrade.go
+++ b/cmd/dahliarudder/upgrade.go
@@ -26,39 +26,39 @@
 	upgradeSockets = 4
 )
 
-// origin is which of the two processes the other one is.
-type origin int
+// siblingOrigin is which of the two processes the other one is.
+type siblingOrigin int
 
 const (
-	newer origin = iota // it was started beside this one
-	older               // it was here first
+	originNewer siblingOrigin = iota // it was started beside this one
+	originOlder                      // it was here first
 )
 
-// stage is how far the other process is.
-type stage int
+// siblingStage is how far the other process is.
+type siblingStage int
 
 const (
-	starting stage = iota // it takes no clients in yet; only a newer one is in this stage
-	serving               // it takes clients in, or did before this one
-	stopping              // it was told to stop
+	stageStarting siblingStage = iota // it takes no clients in yet; only a newer one is in this stage
+	stageServing                      // it takes clients in, or did before this one
+	stageStopping                     // it was told to stop
 )
 
-// relief says whether this process, which was told to stop, leaves clients to the other one.
-type relief int
+// takeoverState says whether this process, which was told to stop, leaves clients to the other one.
+type takeoverState int
 
 const (
-	unrelieved relief = iota // it answers them itself
-	asked                    // it takes none in, but the other one has not said that it does
-	relieved                 // the other one takes them in
+	takeoverNone      takeoverState = iota // it answers them itself
+	takeoverRequested                      // it takes none in, but the other one has not said that it does
+	takeoverConfirmed                      // the other one takes them in
 )
 
-// twin is the other process of this relay while there are two.
-type twin struct {
-	peer    *handover.Peer
-	origin  origin
-	stage   stage
-	told    handover.Open  // what a newer one was told last
-	passing *netloop.Timer // when the next connections are handed over to it
+// sibling is the other process of this relay while there are two.
+type siblingProcess struct {
+	peer     *handover.Peer
+	origin   siblingOrigin
+	stage    siblingStage
+	sentOpen handover.Open  // what a newer one was told last
+	passing  *netloop.Timer // when the next connections are handed over to it
 }
 
 // succeed asks for the state of the process whose place this one takes, if there is
@@ -73,12 +73,12 @@
 		r.inherited[front] = fds[i]
 	}
 	r.state = state
-	r.twin = &twin{origin: older, stage: serving}
+	r.sibling = &siblingProcess{origin: originOlder, stage: stageServing}
 	r.share(state.Limit)
-	if r.twin.peer, err = handover.Join(r.loop, fd, r.heard, r.remains); err != nil {
+	if r.sibling.peer, err = handover.Join(r.loop, fd, r.heard, r.remains); err != nil {
 		return err
 	}
-	r.twin.peer.Speaks(state.Version)
+	r.sibling.peer.Speaks(state.Version)
 	return nil
 }
 
@@ -87,14 +87,14 @@
 	r.door.Close()
 	var err error
 	r.door, err = r.loop.ListenChannel(handover.Path(r.dir), func(fd int) {
-		if r.twin != nil { // one at a time
+		if r.sibling != nil { // one at a time
 			unix.Close(fd)
 			return
 		}
-		r.twin = &twin{}
-		if r.twin.peer, err = handover.Join(r.loop, fd, r.heard, r.remains); err != nil {
+		r.sibling = &siblingProcess{}
+		if r.sibling.peer, err = handover.Join(r.loop, fd, r.heard, r.remains); err != nil {
 			r.log.WithError(err).Error("a successor cannot be heard")
-			r.twin = nil
+			r.sibling = nil
 		}
 	})
 	if err != nil {
@@ -109,7 +109,7 @@
 		r.introduce(n.Hello)
 	case n.Serving:
 		r.log.Info("a successor serves")
-		r.twin.stage = serving
+		r.sibling.stage = stageServing
 		r.hold(true)
 		r.news()
 		r.pass()
@@ -167,32 +167,32 @@
 		})
 	}
 	again := newsEvery
-	if r.ending || r.twin.peer.Pending() > 0 || r.lines.FreshCount() > 0 {
+	if r.ending || r.sibling.peer.Pending() > 0 || r.lines.FreshCount() > 0 {
 		again = passEvery
 	}
-	r.twin.passing.Stop()
-	r.twin.passing = r.loop.After(again, r.pass)
+	r.sibling.passing.Stop()
+	r.sibling.passing = r.loop.After(again, r.pass)
 }
 
 // passes says whether connections go to a successor that serves.
 func (r *relay) passes() bool {
-	return r.twin != nil && r.twin.origin == newer && r.twin.stage == serving && r.lines != nil
+	return r.sibling != nil && r.sibling.origin == originNewer && r.sibling.stage == stageServing && r.lines != nil
 }
 
 // handedOver says that nothing waits for the other process.
 func (r *relay) handedOver() bool {
-	if r.twin == nil {
+	if r.sibling == nil {
 		return true
 	}
-	return r.twin.peer.Quiet() && (!r.passes() || r.lines.FreshCount() == 0)
+	return r.sibling.peer.Quiet() && (!r.passes() || r.lines.FreshCount() == 0)
 }
 
 // window is how many connections may be handed over now.
-func (r *relay) window() int { return passBurst - r.twin.peer.Pending() }
+func (r *relay) window() int { return passBurst - r.sibling.peer.Pending() }
 
 // give hands a connection over. What cannot be handed over goes on here.
 func (r *relay) give(n handover.Note, fds ...int) {
-	if err := r.twin.peer.Give(n, fds...); err != nil {
+	if err := r.sibling.peer.Give(n, fds...); err != nil {
 		r.log.WithError(err).Error("the other process does not hear")
 		r.loop.After(0, func() { r.take(&n, fds) })
 	}
@@ -200,7 +200,7 @@
 
 // introduce tells a successor all that it starts with.
 func (r *relay) introduce(hello int) {
-	r.twin.peer.Speaks(hello)
+	r.sibling.peer.Speaks(hello)
 	state := handover.NewState(r.core.Learned(), hello)
 	var fds []int
 	for front, l := range r.fronts {
@@ -212,7 +212,7 @@
 		state.Watched = r.watch.Addr
 	}
 	r.confine()
-	state.Limit = r.twin.told.Limit
+	state.Limit = r.sibling.sentOpen.Limit
 	r.log.WithField("held", r.core.Held()).Info("a successor starts")
 	r.tell(handover.Note{State: state}, fds...)
 	r.exchange()
@@ -220,12 +220,12 @@
 
 // confine leaves what this process does not need to its successor.
 func (r *relay) confine() {
-	passing := r.twin.peer.PendingFDs()
+	passing := r.sibling.peer.PendingFDs()
 	limit := r.loop.Held() + passing + spareSockets
-	if r.twin.told.Limit > 0 {
-		limit = min(limit, r.twin.told.Limit)
+	if r.sibling.sentOpen.Limit > 0 {
+		limit = min(limit, r.sibling.sentOpen.Limit)
 	}
-	r.twin.told.Limit = limit
+	r.sibling.sentOpen.Limit = limit
 	r.loop.Limit(limit - passing)
 	r.loop.Memory(r.memory / 2)
 }
@@ -238,11 +238,11 @@
 
 // exchange tells the other process what changes, as long as there is one.
 func (r *relay) exchange() {
-	if r.twin == nil {
+	if r.sibling == nil {
 		return
 	}
 	switch {
-	case r.twin.origin == newer:
+	case r.sibling.origin == originNewer:
 		r.news()
 	case !r.open && !r.ending && r.core.Usable():
 		r.begin()
@@ -252,22 +252,22 @@
 
 // news tells the successor what is held here, if that has changed.
 func (r *relay) news() {
-	before := r.twin.told
+	before := r.sibling.sentOpen
 	r.confine()
-	if r.lines != nil && r.twin.stage == serving {
-		r.twin.told.IDs = r.lines.IDs()
-		slices.Sort(r.twin.told.IDs)
+	if r.lines != nil && r.sibling.stage == stageServing {
+		r.sibling.sentOpen.IDs = r.lines.IDs()
+		slices.Sort(r.sibling.sentOpen.IDs)
 	}
-	if now := r.twin.told; now.Limit != before.Limit || !slices.Equal(now.IDs, before.IDs) {
+	if now := r.sibling.sentOpen; now.Limit != before.Limit || !slices.Equal(now.IDs, before.IDs) {
 		r.tell(handover.Note{Open: &now})
 	}
 }
 
 func (r *relay) tell(n handover.Note, fds ...int) {
-	if r.twin == nil {
+	if r.sibling == nil {
 		return
 	}
-	if err := r.twin.peer.Tell(n, fds...); err != nil {
+	if err := r.sibling.peer.Tell(n, fds...); err != nil {
 		r.log.WithError(err).Error("the other process does not hear")
 	}
 }
@@ -282,10 +282,10 @@
 // remains goes on as the only process. A successor that has ended without taking over
 // leaves its clients to this one, and what was on its way to it comes back.
 func (r *relay) remains(err error) {
-	was := r.twin
-	r.twin, r.relief = nil, unrelieved
+	was := r.sibling
+	r.sibling, r.takeover = nil, takeoverNone
 	was.passing.Stop()
-	r.log.WithError(err).WithField("older", was.origin == older).Info("the other process is gone")
+	r.log.WithError(err).WithField("older", was.origin == originOlder).Info("the other process is gone")
 	r.loop.Limit(r.sockets)
 	r.loop.Memory(r.memory)
 	if r.lines != nil {
@@ -296,12 +296,12 @@
 		r.take(&t.Note, t.FDs)
 	}
 	r.loop.Limit(r.sockets)
-	if was.origin == older && !r.open {
+	if was.origin == originOlder && !r.open {
 		r.begin()
 		return
 	}
 	r.hold(false)
-	if was.origin == newer {
+	if was.origin == originNewer {
 		r.wait()
 	}
 }
@@ -322,16 +322,16 @@
 // is one. A second process that is stopped before the first leaves them to that one. The other one may have been told to stop too: only
 // when it says that it goes on may this one end before its time.
 func (r *relay) yield() bool {
-	if r.twin == nil {
+	if r.sibling == nil {
 		return false
 	}
 	r.tell(handover.Note{Leaving: true})
-	if r.twin.stage != serving {
+	if r.sibling.stage != stageServing {
 		return false
 	}
 	r.hold(true)
-	r.relief = asked
-	if !r.twin.peer.Confirms() { // it answers nothing
+	r.takeover = takeoverRequested
+	if !r.sibling.peer.Confirms() { // it answers nothing
 		r.otherRelieves()
 	}
 	return true
@@ -339,7 +339,7 @@
 
 // otherLeaves is told that the other process was told to stop. If this one was too, each answers who comes to it.
 func (r *relay) otherLeaves() {
-	r.twin.stage = stopping
+	r.sibling.stage = stageStopping
 	if r.lines != nil {
 		r.lines.KeepFresh() // nothing more is handed over
 	}
@@ -348,7 +348,7 @@
 	}
 	r.hold(false)
 	if r.ending {
-		r.relief = unrelieved
+		r.takeover = takeoverNone
 		return
 	}
 	r.tell(handover.Note{Relieves: true})
@@ -356,13 +356,13 @@
 
 // otherRelieves is told that the other process takes clients in.
 func (r *relay) otherRelieves() {
-	if r.relief != asked {
+	if r.takeover != takeoverRequested {
 		return
 	}
-	r.relief = relieved
-	if r.twin.origin == older {
-		r.twin.peer.Leave()
-		r.twin = nil
+	r.takeover = takeoverConfirmed
+	if r.sibling.origin == originOlder {
+		r.sibling.peer.Leave()
+		r.sibling = nil
 	}
 }
 
