--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -29,17 +29,17 @@
 
 func (e orderedExit) Error() string { return fmt.Sprintf("told to leave: exit status %d", int(e)) }
 
-// leaving is how far this relay is with an order to leave.
-type leaving struct {
+// shutdownOrder is how far this relay is with an order to leave.
+type shutdownOrder struct {
 	number uint64
 	since  time.Duration
 }
 
-// leaveWithin is when a relay that was told to leave ends although some flow is left: its drain takes three seconds, and a stop moves the rest.
-const leaveWithin = 4 * time.Second
+// orderedDrainTimeout is when a relay that was told to leave ends although some flow is left: its drain takes three seconds, and a stop moves the rest.
+const orderedDrainTimeout = 4 * time.Second
 
-// departEvery is how often it looks whether it may end.
-const departEvery = 100 * time.Millisecond
+// orderedDrainPoll is how often it looks whether it may end.
+const orderedDrainPoll = 100 * time.Millisecond
 
 // join begins to agree with the other relays.
 func (r *relay) join(c fleet.Config) error {
@@ -49,7 +49,7 @@
 	if set.Zone >= 0 && set.Zone < len(set.Zones) {
 		zone = string(set.Zones[set.Zone])
 	}
-	r.trial, r.sections = newTrial(r), r.cfg.Sections()
+	r.trial, r.configDigests = newTrial(r), r.cfg.Sections()
 	var err error
 	r.fleet, err = fleet.Start(fleet.Options{Config: c, Name: r.cfg.Name, Zone: zone, Start: r.peers.Start(), Program: program,
 		Settings: r.cfg.Digest(), Keys: r.cfg.Peers.Keys(), ColdFrom: set.Guarantees.ColdFrom, ColdFor: settings.Span(set.Guarantees.Cold),
@@ -58,19 +58,19 @@
 	if err != nil {
 		return err
 	}
-	// What was agreed while it was down is heard first: until then nothing new goes to a member, for catchUp at most.
+	// What was agreed while it was down is heard first: until then nothing new goes to a member, for finishCatchUp at most.
 	r.core.Doubt()
 	r.core.Expect(true)
-	r.loop.After(catchUp, r.catchUp)
+	r.loop.After(catchUpTimeout, r.finishCatchUp)
 	return nil
 }
 
-// catchUp is how long a relay that starts waits for the record: an election takes two seconds at most, and without a majority it serves.
-const catchUp = 2 * time.Second
+// finishCatchUp is how long a relay that starts waits for the record: an election takes two seconds at most, and without a majority it serves.
+const catchUpTimeout = 2 * time.Second
 
-func (r *relay) catchUp() {
-	if !r.caught {
-		r.caught = true
+func (r *relay) finishCatchUp() {
+	if !r.caughtUp {
+		r.caughtUp = true
 		r.core.Expect(false)
 		r.core.Sure()
 	}
@@ -101,21 +101,21 @@
 	set, n := r.names.Settings, r.core.Counts
 	list, _ := r.watch.List()
 	now := r.loop.Now()
-	if r.looked > 0 {
-		r.stood += time.Duration(r.core.Held()) * (now - r.looked)
+	if r.statusAt > 0 {
+		r.flowTime += time.Duration(r.core.Held()) * (now - r.statusAt)
 	}
-	r.looked = now
-	l := fleet.Look{Phase: "serving", Flows: r.core.Held(), Asked: uint64((r.stood + n.Away).Milliseconds()), Served: uint64(r.stood.Milliseconds()), Astray: uint64(n.Astray),
-		Local: r.core.Banned(), Agreed: r.agreed, Follows: r.follows, List: list.Generation, Sections: r.sections, Permits: r.permits, Shut: r.shut}
-	if r.refused != "" {
-		l.Refused = map[string]string{drift.Config + ".settings": r.refused}
+	r.statusAt = now
+	l := fleet.Look{Phase: "serving", Flows: r.core.Held(), Asked: uint64((r.flowTime + n.Away).Milliseconds()), Served: uint64(r.flowTime.Milliseconds()), Astray: uint64(n.Astray),
+		Local: r.core.Banned(), Agreed: r.fleetEjected, Follows: r.recordVersion, List: list.Generation, Sections: r.configDigests, Permits: r.permits, Shut: r.closeOrder}
+	if r.reloadError != "" {
+		l.Refused = map[string]string{drift.Config + ".settings": r.reloadError}
 	}
 	switch {
-	case r.ending:
+	case r.stopping:
 		l.Phase = "leaving"
-	case !r.open || !r.core.Usable() || !r.caught:
+	case !r.accepting || !r.core.Usable() || !r.caughtUp:
 		l.Phase = "starting"
-	case r.shut != 0:
+	case r.closeOrder != 0:
 		l.Phase = "shut"
 	case !r.core.Welcomes():
 		l.Phase = "draining"
@@ -147,57 +147,57 @@
 		out[name] = core.Leaving{Over: time.Duration(i.MoveOver) * time.Millisecond, Ban: i.Why == rollout.Ban}
 	}
 	if o.Reached {
-		defer r.catchUp()
+		defer r.finishCatchUp()
 	}
 	names := slices.Sorted(maps.Keys(out))
-	if !slices.Equal(names, r.agreed) {
+	if !slices.Equal(names, r.fleetEjected) {
 		r.log.WithFields(logrus.Fields{"out": names, "version": version}).Info("fleet: members that are out")
 	}
 	r.core.Agree(out)
-	r.agreed, r.follows, r.permits = names, version, o.Permits
+	r.fleetEjected, r.recordVersion, r.permits = names, version, o.Permits
 	mine := o.Leave != nil && o.Leave.Start >= r.peers.Start() // else it was for the process before this one
 	switch {
-	case mine && r.leaving == nil:
+	case mine && r.shutdownOrder == nil:
 		r.log.WithFields(logrus.Fields{"release": o.Leave.Release, "number": o.Leave.Number}).Info("fleet: told to leave")
-		r.leaving = &leaving{o.Leave.Number, r.loop.Now()}
+		r.shutdownOrder = &shutdownOrder{o.Leave.Number, r.loop.Now()}
 		r.settle()
 		r.depart()
-	case !mine && r.leaving != nil && !r.ending:
+	case !mine && r.shutdownOrder != nil && !r.stopping:
 		r.log.Info("fleet: may stay")
-		r.leaving = nil
+		r.shutdownOrder = nil
 		r.settle()
 	}
 	shut := uint64(0)
 	if o.Shut != nil && o.Shut.Start >= r.peers.Start() {
 		shut = o.Shut.Number
 	}
-	if shut != r.shut && !r.ending {
+	if shut != r.closeOrder && !r.stopping {
 		if shut != 0 {
 			r.log.WithFields(logrus.Fields{"number": shut, "why": o.Shut.Why}).Warn("fleet: shut")
 		} else {
 			r.log.Info("fleet: admitted")
 		}
-		r.shut = shut
+		r.closeOrder = shut
 		r.settle()
 	}
 }
 
 // depart ends this relay once its clients are moved, and a majority says that the order stands. Without a majority it stays drained.
 func (r *relay) depart() {
-	l := r.leaving
-	r.loop.After(departEvery, func() {
+	l := r.shutdownOrder
+	r.loop.After(orderedDrainPoll, func() {
 		switch {
-		case r.leaving != l || r.ending: // it may stay, or was told anew, or ends already
-		case r.core.Held() > 0 && r.loop.Now()-l.since < leaveWithin, r.loop.Now()-l.since < core.StopNotice:
+		case r.shutdownOrder != l || r.stopping: // it may stay, or was told anew, or ends already
+		case r.core.Held() > 0 && r.loop.Now()-l.since < orderedDrainTimeout, r.loop.Now()-l.since < core.StopNotice:
 			r.depart()
 		default:
 			r.fleet.Stands(l.number, func(stands, sound bool) {
 				switch {
-				case r.leaving != l || r.ending:
+				case r.shutdownOrder != l || r.stopping:
 				case !stands || !sound:
 					r.depart()
 				default:
-					r.ordered = true
+					r.exitOrdered = true
 					r.stop()
 				}
 			})
--- a/cmd/dahliarudder/meet.go
+++ b/cmd/dahliarudder/meet.go
@@ -34,8 +34,8 @@
 		}
 	}
 	known := p.Known
-	if r.came != nil { // those that it knew: all that are configured may be down
-		known = append(slices.Clone(known), r.came.peers...)
+	if r.recovery != nil { // those that it knew: all that are configured may be down
+		known = append(slices.Clone(known), r.recovery.peers...)
 	}
 	r.peers = gossiptransport.New(gossiptransport.Options{Seen: func() gossip.Digest { return book.Digest(r.clock()) }, Loop: r.loop, Log: r.log, Name: r.cfg.Name, Zone: zone, Listen: p.Listen, Address: p.Address,
 		Known: known, Reach: p.Reach, Keys: p.Keys(), Configured: max(set.Balancers, 1), Seed: r.cfg.SeedNumber(), Wall: wallClock,
@@ -46,7 +46,7 @@
 		Own: func() (gossip.Phase, uint64, uint64, uint64) {
 			phase := gossip.Serving
 			switch {
-			case !r.open || !r.core.Usable() || r.fleet != nil && !r.caught:
+			case !r.accepting || !r.core.Usable() || r.fleet != nil && !r.caughtUp:
 				phase = gossip.Starting
 			case !r.core.Welcomes():
 				phase = gossip.Draining
--- a/cmd/dahliarudder/operate.go
+++ b/cmd/dahliarudder/operate.go
@@ -15,9 +15,9 @@
 	if err != nil {
 		return err
 	}
-	r.dir, r.bans, r.words = dir, &ejections.File{Dir: dir}, make(chan func(), wordsMost)
+	r.stateDir, r.ejections, r.ejectionWrites = dir, &ejections.File{Dir: dir}, make(chan func(), maxEjectionWrites)
 	go func() {
-		for word := range r.words {
+		for word := range r.ejectionWrites {
 			word()
 		}
 	}()
@@ -25,7 +25,7 @@
 		return err
 	}
 	// Only now: the older process, if there is one, tells of what changes from here on.
-	names, err := r.bans.Read()
+	names, err := r.ejections.Read()
 	if err != nil {
 		r.log.WithError(err).Error("no ban is in force")
 	}
@@ -38,7 +38,7 @@
 
 // Ready says whether clients can be served: every listener is up, and the pool has
 // a member to send to.
-func (r *relay) Ready() bool { return r.open && r.core.Usable() }
+func (r *relay) Ready() bool { return r.accepting && r.core.Usable() }
 
 // Known says whether operators may speak of a member by that name.
 func (r *relay) Known(member string) bool { return r.core.Known(member) }
@@ -59,9 +59,9 @@
 	word := func() {
 		var err error
 		if member != "" {
-			err = r.bans.Set(member, out)
+			err = r.ejections.Set(member, out)
 		}
-		names, unread := r.bans.Read()
+		names, unread := r.ejections.Read()
 		err = errors.Join(err, unread)
 		r.loop.Post(func() {
 			if err == nil {
@@ -74,22 +74,22 @@
 		})
 	}
 	select {
-	case r.words <- word:
+	case r.ejectionWrites <- word:
 	default:
 		done(errors.New("too many calls are waiting"))
 	}
 }
 
 // Drain empties the relay.
-func (r *relay) Drain() { r.drained = true; r.settle() }
+func (r *relay) Drain() { r.drainedByOperator = true; r.settle() }
 
 // Resume ends that. What the fleet has ordered holds on.
-func (r *relay) Resume() { r.drained = false; r.settle() }
+func (r *relay) Resume() { r.drainedByOperator = false; r.settle() }
 
 // settle drains or resumes both processes of the relay. An operator, an order to leave and one for drift each keep it drained, so that the end of one
 // does not end another.
 func (r *relay) settle() {
-	drain := r.drained || r.leaving != nil || r.shut != 0
+	drain := r.drainedByOperator || r.shutdownOrder != nil || r.closeOrder != 0
 	r.drain(drain)
 	r.tell(handover.Note{Drain: &drain})
 }
@@ -101,10 +101,10 @@
 		r.core.Resume()
 	}
 	switch {
-	case r.nats == nil:
+	case r.natsFront == nil:
 	case on:
-		r.nats.Leave()
+		r.natsFront.Leave()
 	case r.core.Welcomes():
-		r.nats.Stay()
+		r.natsFront.Stay()
 	}
 }
--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -33,27 +33,27 @@
 )
 
 const (
-	// ownSockets are the descriptors that are not within the loop's limit: standard streams,
+	// reservedSockets are the descriptors that are not within the loop's limit: standard streams,
 	// epoll, the wakeup, what the runtime opens, and what is kept for discovery.
-	ownSockets = 16 + pool.Descriptors
-	// bufferPart of the memory is what the connections' buffers may hold together;
+	reservedSockets = 16 + pool.Descriptors
+	// bufferMemoryFraction of the memory is what the connections' buffers may hold together;
 	// slices that grow take up to twice their length.
-	bufferPart = 0.25
-	// feedPart is for the messages on feeds, which wait or are out.
-	feedPart = 0.125
-	// flushWithin is what the store has for its last records; a platform that kills
+	bufferMemoryFraction = 0.25
+	// feedMemoryFraction is for the messages on feeds, which wait or are out.
+	feedMemoryFraction = 0.125
+	// storeFlushTimeout is what the store has for its last records; a platform that kills
 	// sooner has no store.
-	flushWithin = 3 * time.Second
-	// wordsMost is how many calls of operators may wait for the disk.
-	wordsMost = 64
-	// gapPart of the time within which a relay must ask for the list is how long it may stand still and believe what it holds.
-	gapPart = 10
-	// stopLook is how often a stop looks whether it is over, and stopLinger what the last answers have to leave.
-	stopLook   = 20 * time.Millisecond
-	stopLinger = 200 * time.Millisecond
-	// stopOver is what flows that are moved at the very end have for the end of a line. SIGKILL comes 0.7 s after the
+	storeFlushTimeout = 3 * time.Second
+	// maxEjectionWrites is how many calls of operators may wait for the disk.
+	maxEjectionWrites = 64
+	// suspensionFraction of the time within which a relay must ask for the list is how long it may stand still and believe what it holds.
+	suspensionFraction = 10
+	// stopPollInterval is how often a stop looks whether it is over, and stopLingerTime what the last answers have to leave.
+	stopPollInterval = 20 * time.Millisecond
+	stopLingerTime   = 200 * time.Millisecond
+	// stopOverrun is what flows that are moved at the very end have for the end of a line. SIGKILL comes 0.7 s after the
 	// longest deadline, at which a stop ends at the latest.
-	stopOver = line.MoveWithin + stopLinger/2
+	stopOverrun = line.MoveWithin + stopLingerTime/2
 )
 
 // wallClock is the machine's clock, which may be stepped. Nothing that lasts is measured by it. Only tests change it.
@@ -82,19 +82,19 @@
 	const zero = time.Hour
 	clock := func() time.Duration { return zero + time.Since(began) }
 	r := &relay{cfg: cfg, log: log, clock: clock, signals: caught, names: pool.Names{Settings: set, Starts: &pool.Starts{Clock: clock, Wall: wallClock, Believed: policy.Sane(set.Policy()).AskWithin}},
-		memory: int(cfg.Limits.MemoryMB * bufferPart * (1 << 20))}
-	r.sockets = sockets(cfg) - ownSockets - r.callers()
-	loop, err := netloop.New(clock, r.sockets)
+		maxBufferBytes: int(cfg.Limits.MemoryMB * bufferMemoryFraction * (1 << 20))}
+	r.maxSockets = sockets(cfg) - reservedSockets - r.callers()
+	loop, err := netloop.New(clock, r.maxSockets)
 	if err != nil {
 		return err
 	}
 	r.loop = loop
-	loop.Memory(r.memory)
+	loop.Memory(r.maxBufferBytes)
 	if err := r.build(); err != nil {
 		loop.Close()
 		return errors.Join(err, r.closeStore())
 	}
-	loop.Gap(r.core.Limits().AskWithin/gapPart, r.woke)
+	loop.Gap(r.core.Limits().AskWithin/suspensionFraction, r.woke)
 	if cfg.CountsMS > 0 {
 		r.count(time.Duration(cfg.CountsMS*float64(time.Millisecond)), core.Counts{})
 	}
@@ -105,7 +105,7 @@
 	go r.reloads(caught.reload, reload)
 	err = loop.Run()
 	r.fleet.Close()
-	if err == nil && r.ordered {
+	if err == nil && r.exitOrdered {
 		err = orderedExit(rollout.ExitOrdered)
 	}
 	log.WithField("counts", fmt.Sprintf("%+v", r.core.Counts)).Info("stopped")
@@ -120,7 +120,7 @@
 		fresh, err := reload(held)
 		if err != nil {
 			r.log.WithError(err).Error("the old configuration stays")
-			r.loop.Post(func() { r.refused = err.Error() })
+			r.loop.Post(func() { r.reloadError = err.Error() })
 			continue
 		}
 		held = fresh
@@ -157,50 +157,50 @@
 
 // relay is what serve puts together.
 type relay struct {
-	cfg       *config.Config
-	signals   *signals
-	log       *logrus.Logger
-	loop      *netloop.Loop
-	clock     func() time.Duration
-	names     pool.Names
-	watch     *pool.Watch
-	core      *core.Core
-	next      *netloop.Timer           // when the core is due
-	nats      *nats.Front              // nil if it is off
-	store     *store.Store             // nil if it is off
-	peers     *gossiptransport.Service // nil if it is off
-	came      *recovery                // nil if no state is kept
-	fleet     *fleet.Service           // nil if nothing is agreed with others
-	follows   uint64                   // the version of the fleet's record that this relay goes by
-	agreed    []string                 // the members that are out by it
-	stood     time.Duration            // of all flows together, as looked at
-	looked    time.Duration            // when it last was
-	permits   uint64                   // what stands for the permits in force
-	shut      uint64                   // the number of the order by which it takes no clients; 0: it takes them
-	sections  map[string]string        // digests of the configuration that it runs
-	refused   string                   // why it did not take the file that it last read; "" if it did
-	trial     *trial                   // of canaries; nil without a fleet
-	drained   bool                     // by an operator
-	leaving   *leaving                 // it was told to leave; nil if not
-	ordered   bool                     // it ends because it was told to
-	ending    bool
-	caught    bool // it has heard what was agreed while it was down, or waited long enough
-	listeners []*netloop.Listener
-	sockets   int                          // descriptors that the loop may hold
-	memory    int                          // bytes that its buffers may
-	lines     *line.Front                  // nil if it is off
-	fronts    map[string]*netloop.Listener // where clients come in
-	open      bool                         // and they may
+	cfg               *config.Config
+	signals           *signals
+	log               *logrus.Logger
+	loop              *netloop.Loop
+	clock             func() time.Duration
+	names             pool.Names
+	watch             *pool.Watch
+	core              *core.Core
+	coreTimer         *netloop.Timer           // when the core is due
+	natsFront         *nats.Front              // nil if it is off
+	store             *store.Store             // nil if it is off
+	peers             *gossiptransport.Service // nil if it is off
+	recovery          *recoveryReport          // nil if no state is kept
+	fleet             *fleet.Service           // nil if nothing is agreed with others
+	recordVersion     uint64                   // the version of the fleet's record that this relay goes by
+	fleetEjected      []string                 // the members that are out by it
+	flowTime          time.Duration            // of all flows together, as looked at
+	statusAt          time.Duration            // when it last was
+	permits           uint64                   // what stands for the permits in force
+	closeOrder        uint64                   // the number of the order by which it takes no clients; 0: it takes them
+	configDigests     map[string]string        // digests of the configuration that it runs
+	reloadError       string                   // why it did not take the file that it last read; "" if it did
+	trial             *trial                   // of canaries; nil without a fleet
+	drainedByOperator bool                     // by an operator
+	shutdownOrder     *shutdownOrder           // it was told to leave; nil if not
+	exitOrdered       bool                     // it ends because it was told to
+	stopping          bool
+	caughtUp          bool // it has heard what was agreed while it was down, or waited long enough
+	listeners         []*netloop.Listener
+	maxSockets        int                          // descriptors that the loop may hold
+	maxBufferBytes    int                          // bytes that its buffers may
+	lineFront         *line.Front                  // nil if it is off
+	clientListeners   map[string]*netloop.Listener // where clients come in
+	accepting         bool                         // and they may
 
 	// With a second address:
-	dir       string // of the state that outlives this process
-	bans      *ejections.File
-	words     chan func()       // what operators have said, to be written in that order
-	door      *netloop.Listener // where a successor comes in
-	sibling   *siblingProcess   // the other process of this relay; nil if there is none
-	takeover  takeoverState     // what that one does when this one stops
-	inherited map[string]int    // the listening sockets of an older one, until they are used
-	state     *handover.State   // what it knew, until that is taken over
+	stateDir          string // of the state that outlives this process
+	ejections         *ejections.File
+	ejectionWrites    chan func()       // what operators have said, to be written in that order
+	successorListener *netloop.Listener // where a successor comes in
+	sibling           *siblingProcess   // the other process of this relay; nil if there is none
+	takeover          takeoverState     // what that one does when this one stops
+	inheritedSockets  map[string]int    // the listening sockets of an older one, until they are used
+	inheritedState    *handover.State   // what it knew, until that is taken over
 }
 
 func (r *relay) build() (err error) {
@@ -217,12 +217,12 @@
 		Dial: loop.Reserve(pool.Descriptors).Dial, Random: drawn(cfg.SeedNumber())}
 	var probe func(*core.Member)
 	r.core = core.New(core.Options{Settings: r.names.Settings, Seed: cfg.SeedNumber(), Clock: r.clock, Round: loop.Round, Ledger: ledger,
-		Watch: r.watch.Ask, FeedMemory: int(cfg.Limits.MemoryMB * feedPart * (1 << 20)),
+		Watch: r.watch.Ask, FeedMemory: int(cfg.Limits.MemoryMB * feedMemoryFraction * (1 << 20)),
 		Probe: func(to *core.Member) { probe(to) },
 		Wake: func(at time.Duration) {
-			r.next.Stop()
+			r.coreTimer.Stop()
 			if at < math.MaxInt64 {
-				r.next = loop.After(at-r.clock(), func() { r.core.Tick() })
+				r.coreTimer = loop.After(at-r.clock(), func() { r.core.Tick() })
 			}
 		},
 	})
@@ -234,35 +234,35 @@
 		r.watch.Ask()
 	}
 	if cfg.Fronts.NATS != nil {
-		r.nats = nats.New(loop, r.core, r.log, cfg.Name, *cfg.Fronts.NATS, cfg.Security())
-		probe = r.nats.Probe
+		r.natsFront = nats.New(loop, r.core, r.log, cfg.Name, *cfg.Fronts.NATS, cfg.Security())
+		probe = r.natsFront.Probe
 	}
 	if cfg.Fronts.Line != nil {
-		r.lines = line.New(loop, r.core, r.log)
-		probe = r.lines.Probe
+		r.lineFront = line.New(loop, r.core, r.log)
+		probe = r.lineFront.Probe
 	}
 	if cfg.Operator != "" {
 		if err := r.recall(); err != nil {
 			return err
 		}
 	}
-	if known := cfg.KnownList(); known != nil && r.state == nil {
+	if known := cfg.KnownList(); known != nil && r.inheritedState == nil {
 		r.watch.Hold(known)
 		r.core.Pool(policy.ListCached, r.names.Members(known))
 	}
-	succeeds := r.state != nil
+	succeeds := r.inheritedState != nil
 	r.remember()
 	if cfg.State != nil && !succeeds { // an older process knows more
 		r.resumeFrom(*cfg.State)
 	} else if cfg.State != nil {
-		r.came = &recovery{From: "an older process", Away: []snapshot.Part{}, dir: cfg.State.Dir, out: make(chan []byte, 1)}
+		r.recovery = &recoveryReport{From: "an older process", Away: []snapshot.Part{}, dir: cfg.State.Dir, out: make(chan []byte, 1)}
 	}
-	r.fronts = map[string]*netloop.Listener{}
-	if r.nats != nil {
-		err = r.listen("nats", cfg.Fronts.NATS.Listen, r.nats.Accept)
+	r.clientListeners = map[string]*netloop.Listener{}
+	if r.natsFront != nil {
+		err = r.listen("nats", cfg.Fronts.NATS.Listen, r.natsFront.Accept)
 	}
-	if r.lines != nil && err == nil {
-		err = r.listen("line", cfg.Listen, r.lines.Accept)
+	if r.lineFront != nil && err == nil {
+		err = r.listen("line", cfg.Listen, r.lineFront.Accept)
 	}
 	if cfg.Operator != "" && err == nil {
 		desk := &operator.Front{Loop: loop, Relay: r, Log: r.log}
@@ -284,12 +284,12 @@
 			return err
 		}
 	}
-	if r.came != nil {
+	if r.recovery != nil {
 		r.keep(time.Duration(cfg.State.EveryMS * float64(time.Millisecond)))
 	}
 	if r.sibling != nil {
 		r.exchange()
-	} else if r.open = true; cfg.Operator != "" {
+	} else if r.accepting = true; cfg.Operator != "" {
 		r.wait()
 	}
 	return nil
@@ -304,22 +304,22 @@
 	l, err := r.inherit(front, addr, accept)
 	r.took(front, l, err)
 	if err == nil {
-		r.fronts[front] = l
+		r.clientListeners[front] = l
 	}
 	return err
 }
 
 const (
-	// listenWithin is how long a start waits for an address that cannot be had yet: the process before it may still be
+	// listenTimeout is how long a start waits for an address that cannot be had yet: the process before it may still be
 	// ending. It leaves half of the 10 s within which nine in ten restarted relays have to be ready.
-	listenWithin = 5 * time.Second
-	listenPause  = 20 * time.Millisecond
+	listenTimeout    = 5 * time.Second
+	listenRetryPause = 20 * time.Millisecond
 )
 
 // insist listens, again and again where the system refuses that for a moment.
 func (r *relay) insist(listen func() (*netloop.Listener, error)) (*netloop.Listener, error) {
-	by := r.clock() + listenWithin
-	for told := false; ; time.Sleep(listenPause) {
+	by := r.clock() + listenTimeout
+	for told := false; ; time.Sleep(listenRetryPause) {
 		l, err := listen()
 		if err == nil || !netloop.MayPass(err) || r.clock() >= by || r.signals.stopping() {
 			return l, err
@@ -342,24 +342,24 @@
 // reload takes over what a configuration that was read again may change: where
 // discovery is.
 func (r *relay) reload(fresh *config.Config) {
-	r.refused = ""
+	r.reloadError = ""
 	keys := r.cfg.NeedRestart(fresh)
 	if len(keys) > 0 {
 		r.log.WithField("keys", keys).Warn("changed, but only a restart takes them")
 	}
 	r.log.WithField("discovery", fresh.Discovery).Info("configuration read again")
 	r.watch.Move(fresh.Discovery)
-	if r.nats != nil && fresh.Security() != nil && !slices.Contains(keys, "fronts") {
-		r.nats.Renew(fresh.Security())
+	if r.natsFront != nil && fresh.Security() != nil && !slices.Contains(keys, "fronts") {
+		r.natsFront.Renew(fresh.Security())
 	}
 }
 
 // stop ends the relay once nothing is held any more, and in any case in time.
 func (r *relay) stop() {
-	if r.ending { // a signal and an order may both come
+	if r.stopping { // a signal and an order may both come
 		return
 	}
-	r.ending = true
+	r.stopping = true
 	loop := r.loop
 	r.log.WithField("held", r.core.Held()).Info("stopping")
 	r.peers.Leave() // nothing new is placed from here on
@@ -371,8 +371,8 @@
 	} else {
 		r.core.Stop()
 	}
-	if r.nats != nil {
-		r.nats.Leave()
+	if r.natsFront != nil {
+		r.natsFront.Leave()
 	}
 	r.await(func() bool {
 		now := loop.Now()
@@ -386,14 +386,14 @@
 		then()
 		return
 	}
-	r.loop.After(stopLook, func() { r.await(so, then) })
+	r.loop.After(stopPollInterval, func() { r.await(so, then) })
 }
 
 // held is how many clients are not done with.
 func (r *relay) held() int {
 	held := r.core.Held()
-	if r.lines != nil {
-		held = max(held, r.lines.Held())
+	if r.lineFront != nil {
+		held = max(held, r.lineFront.Held())
 	}
 	return held
 }
@@ -402,10 +402,10 @@
 func (r *relay) finish() {
 	r.core.Finish()
 	r.leaveFresh() // their descriptors are free for who is in a listener's queue
-	for _, l := range append(r.listeners, r.door) {
+	for _, l := range append(r.listeners, r.successorListener) {
 		l.Close()
 	}
-	least, most := r.loop.Now()+stopLinger, r.loop.Now()+stopOver
+	least, most := r.loop.Now()+stopLingerTime, r.loop.Now()+stopOverrun
 	r.await(func() bool {
 		r.leaveFresh() // who was in the queue
 		now := r.loop.Now()
@@ -415,8 +415,8 @@
 
 // leaveFresh ends connections on which nothing was asked yet.
 func (r *relay) leaveFresh() {
-	if r.lines != nil {
-		r.lines.Leave()
+	if r.lineFront != nil {
+		r.lineFront.Leave()
 	}
 }
 
@@ -434,7 +434,7 @@
 	if r.store == nil {
 		return nil
 	}
-	return r.store.Close(flushWithin)
+	return r.store.Close(storeFlushTimeout)
 }
 
 // callers is how many descriptors are kept back for the second address and upgrades.
@@ -442,7 +442,7 @@
 	if r.cfg.Operator == "" {
 		return 0
 	}
-	return operator.Callers + upgradeSockets
+	return operator.Callers + upgradeDescriptors
 }
 
 // limits keeps the runtime within the machine that the relay is given.
@@ -456,7 +456,7 @@
 	}
 }
 
-// sockets is how many descriptors the process may hold.
+// maxSockets is how many descriptors the process may hold.
 func sockets(cfg *config.Config) int {
 	most := 1 << 20
 	var r unix.Rlimit
--- a/cmd/dahliarudder/state.go
+++ b/cmd/dahliarudder/state.go
@@ -12,8 +12,8 @@
 	"dahliarudder/policy"
 )
 
-// recovery is what this relay came back with.
-type recovery struct {
+// recoveryReport is what this relay came back with.
+type recoveryReport struct {
 	From   string          `json:"from"` // "snapshot", "an older process", or "nothing"
 	Age    int64           `json:"age_ms"`
 	Away   []snapshot.Part `json:"thrown_away"`
@@ -46,7 +46,7 @@
 
 // resumeFrom goes on from the snapshot, if there is one to be believed. The list that is held already stands.
 func (r *relay) resumeFrom(c config.State) {
-	r.came = &recovery{From: "nothing", Away: []snapshot.Part{}, dir: c.Dir, out: make(chan []byte, 1)}
+	r.recovery = &recoveryReport{From: "nothing", Away: []snapshot.Part{}, dir: c.Dir, out: make(chan []byte, 1)}
 	if err := os.MkdirAll(c.Dir, 0o700); err != nil {
 		r.log.WithError(err).Error("state: nothing can be kept")
 	}
@@ -64,8 +64,8 @@
 		r.thrown("snapshot", err)
 		return
 	}
-	r.came.From, r.came.Age, r.came.peers = "snapshot", age.Milliseconds(), s.Peers
-	r.came.Away = append(r.came.Away, away...)
+	r.recovery.From, r.recovery.Age, r.recovery.peers = "snapshot", age.Milliseconds(), s.Peers
+	r.recovery.Away = append(r.recovery.Away, away...)
 	for _, p := range away {
 		r.log.WithField("what", p.What).WithField("why", p.Why).Info("state: not believed")
 	}
@@ -81,14 +81,14 @@
 
 func (r *relay) thrown(what string, err error) {
 	if err != nil {
-		r.came.Away = append(r.came.Away, snapshot.Part{What: what, Why: err.Error()})
+		r.recovery.Away = append(r.recovery.Away, snapshot.Part{What: what, Why: err.Error()})
 		r.log.WithError(err).Error("state: the snapshot is not used")
 	}
 }
 
 // wrote notes how the last write of a snapshot went, and tells when that has changed.
 func (r *relay) wrote(err error) {
-	failed := r.came.Failed != ""
+	failed := r.recovery.Failed != ""
 	switch {
 	case err == nil && failed:
 		r.log.Info("state: snapshots are written again")
@@ -96,15 +96,15 @@
 		r.log.WithError(err).Error("state: a snapshot could not be written")
 	}
 	if err != nil {
-		r.came.Failed = err.Error()
+		r.recovery.Failed = err.Error()
 		return
 	}
-	r.came.Failed, r.came.at = "", r.clock()
+	r.recovery.Failed, r.recovery.at = "", r.clock()
 }
 
 // keep writes a snapshot now and then, off the loop: a slow disk holds nobody up, and what it has not taken is not queued.
 func (r *relay) keep(every time.Duration) {
-	c := r.came
+	c := r.recovery
 	go func() {
 		for b := range c.out {
 			err := snapshot.Write(c.dir, b)
@@ -142,10 +142,10 @@
 
 // Recovery is what this relay came back with, as JSON; empty where no state is kept.
 func (r *relay) Recovery() string {
-	if r.came == nil {
+	if r.recovery == nil {
 		return ""
 	}
-	c := *r.came
+	c := *r.recovery
 	if c.Wrote = -1; c.at > 0 {
 		c.Wrote = (r.clock() - c.at).Milliseconds()
 	}
--- a/cmd/dahliarudder/upgrade.go
+++ b/cmd/dahliarudder/upgrade.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// newsEvery is how often a process tells the other what it holds.
-	newsEvery = 50 * time.Millisecond
-	// spareSockets is what the first process may open beyond what it holds: retries of
+	// openStateInterval is how often a process tells the other what it holds.
+	openStateInterval = 50 * time.Millisecond
+	// retrySockets is what the first process may open beyond what it holds: retries of
 	// requests that are on their way.
-	spareSockets = 16
-	// passBurst flows are handed over each passEvery.
-	passBurst = 8
-	passEvery = 5 * time.Millisecond
-	// upgradeSockets are the socket at which a successor is waited for, the channel to
+	retrySockets = 16
+	// handoverBurst flows are handed over each handoverInterval.
+	handoverBurst    = 8
+	handoverInterval = 5 * time.Millisecond
+	// upgradeDescriptors are the socket at which a successor is waited for, the channel to
 	// it, and a descriptor on its way through it.
-	upgradeSockets = 4
+	upgradeDescriptors = 4
 )
 
 // siblingOrigin is which of the two processes the other one is.
@@ -68,11 +68,11 @@
 	if err != nil || state == nil {
 		return err
 	}
-	r.inherited = map[string]int{}
+	r.inheritedSockets = map[string]int{}
 	for i, front := range state.Fronts {
-		r.inherited[front] = fds[i]
+		r.inheritedSockets[front] = fds[i]
 	}
-	r.state = state
+	r.inheritedState = state
 	r.sibling = &siblingProcess{origin: originOlder, stage: stageServing}
 	r.share(state.Limit)
 	if r.sibling.peer, err = handover.Join(r.loop, fd, r.heard, r.remains); err != nil {
@@ -84,9 +84,9 @@
 
 // wait has a successor find this process.
 func (r *relay) wait() {
-	r.door.Close()
+	r.successorListener.Close()
 	var err error
-	r.door, err = r.loop.ListenChannel(handover.Path(r.dir), func(fd int) {
+	r.successorListener, err = r.loop.ListenChannel(handover.Path(r.stateDir), func(fd int) {
 		if r.sibling != nil { // one at a time
 			unix.Close(fd)
 			return
@@ -120,12 +120,12 @@
 	case n.Bans:
 		r.follow("", false, func(error) {})
 	case n.Drain != nil:
-		r.drained = *n.Drain
+		r.drainedByOperator = *n.Drain
 		r.drain(*n.Drain)
 	case n.Open != nil:
 		r.share(n.Open.Limit)
-		if r.lines != nil {
-			r.lines.Elsewhere(n.Open.IDs)
+		if r.lineFront != nil {
+			r.lineFront.Elsewhere(n.Open.IDs)
 		}
 	case r.take(n, fds):
 		return
@@ -138,14 +138,14 @@
 // take takes a connection over, with its descriptors. It returns false if none came.
 func (r *relay) take(n *handover.Note, fds []int) bool {
 	switch {
-	case r.lines == nil:
+	case r.lineFront == nil:
 		return false
 	case n.Client != nil && len(fds) == 1:
 		r.loop.Grant(len(fds))
-		r.lines.TakeFresh(*n.Client, fds[0])
+		r.lineFront.TakeFresh(*n.Client, fds[0])
 	case n.Flow != nil && len(fds) == 2:
 		r.loop.Grant(len(fds))
-		r.lines.TakeFlow(*n.Flow, fds[0], fds[1])
+		r.lineFront.TakeFlow(*n.Flow, fds[0], fds[1])
 	default:
 		return false
 	}
@@ -158,17 +158,17 @@
 	if !r.passes() {
 		return
 	}
-	r.lines.GiveFresh(r.window(), func(p line.Fresh, fd int) {
+	r.lineFront.GiveFresh(r.window(), func(p line.Fresh, fd int) {
 		r.give(handover.Note{Client: &p}, fd)
 	})
-	if r.ending {
-		r.lines.GiveFlows(r.window(), func(f line.Flow, client, member int) {
+	if r.stopping {
+		r.lineFront.GiveFlows(r.window(), func(f line.Flow, client, member int) {
 			r.give(handover.Note{Flow: &f}, client, member)
 		})
 	}
-	again := newsEvery
-	if r.ending || r.sibling.peer.Pending() > 0 || r.lines.FreshCount() > 0 {
-		again = passEvery
+	again := openStateInterval
+	if r.stopping || r.sibling.peer.Pending() > 0 || r.lineFront.FreshCount() > 0 {
+		again = handoverInterval
 	}
 	r.sibling.passing.Stop()
 	r.sibling.passing = r.loop.After(again, r.pass)
@@ -176,7 +176,7 @@
 
 // passes says whether connections go to a successor that serves.
 func (r *relay) passes() bool {
-	return r.sibling != nil && r.sibling.origin == originNewer && r.sibling.stage == stageServing && r.lines != nil
+	return r.sibling != nil && r.sibling.origin == originNewer && r.sibling.stage == stageServing && r.lineFront != nil
 }
 
 // handedOver says that nothing waits for the other process.
@@ -184,11 +184,11 @@
 	if r.sibling == nil {
 		return true
 	}
-	return r.sibling.peer.Quiet() && (!r.passes() || r.lines.FreshCount() == 0)
+	return r.sibling.peer.Quiet() && (!r.passes() || r.lineFront.FreshCount() == 0)
 }
 
 // window is how many connections may be handed over now.
-func (r *relay) window() int { return passBurst - r.sibling.peer.Pending() }
+func (r *relay) window() int { return handoverBurst - r.sibling.peer.Pending() }
 
 // give hands a connection over. What cannot be handed over goes on here.
 func (r *relay) give(n handover.Note, fds ...int) {
@@ -203,7 +203,7 @@
 	r.sibling.peer.Speaks(hello)
 	state := handover.NewState(r.core.Learned(), hello)
 	var fds []int
-	for front, l := range r.fronts {
+	for front, l := range r.clientListeners {
 		state.Fronts = append(state.Fronts, front)
 		fds = append(fds, l.Fd())
 	}
@@ -221,19 +221,19 @@
 // confine leaves what this process does not need to its successor.
 func (r *relay) confine() {
 	passing := r.sibling.peer.PendingFDs()
-	limit := r.loop.Held() + passing + spareSockets
+	limit := r.loop.Held() + passing + retrySockets
 	if r.sibling.sentOpen.Limit > 0 {
 		limit = min(limit, r.sibling.sentOpen.Limit)
 	}
 	r.sibling.sentOpen.Limit = limit
 	r.loop.Limit(limit - passing)
-	r.loop.Memory(r.memory / 2)
+	r.loop.Memory(r.maxBufferBytes / 2)
 }
 
 // share takes what the first process leaves.
 func (r *relay) share(theirs int) {
-	r.loop.Limit(r.sockets - theirs - ownSockets - r.callers())
-	r.loop.Memory(r.memory / 2)
+	r.loop.Limit(r.maxSockets - theirs - reservedSockets - r.callers())
+	r.loop.Memory(r.maxBufferBytes / 2)
 }
 
 // exchange tells the other process what changes, as long as there is one.
@@ -244,18 +244,18 @@
 	switch {
 	case r.sibling.origin == originNewer:
 		r.news()
-	case !r.open && !r.ending && r.core.Usable():
+	case !r.accepting && !r.stopping && r.core.Usable():
 		r.begin()
 	}
-	r.loop.After(newsEvery, r.exchange)
+	r.loop.After(openStateInterval, r.exchange)
 }
 
 // news tells the successor what is held here, if that has changed.
 func (r *relay) news() {
 	before := r.sibling.sentOpen
 	r.confine()
-	if r.lines != nil && r.sibling.stage == stageServing {
-		r.sibling.sentOpen.IDs = r.lines.IDs()
+	if r.lineFront != nil && r.sibling.stage == stageServing {
+		r.sibling.sentOpen.IDs = r.lineFront.IDs()
 		slices.Sort(r.sibling.sentOpen.IDs)
 	}
 	if now := r.sibling.sentOpen; now.Limit != before.Limit || !slices.Equal(now.IDs, before.IDs) {
@@ -274,7 +274,7 @@
 
 // hold has the fronts take no client in, or go on.
 func (r *relay) hold(held bool) {
-	for _, l := range r.fronts {
+	for _, l := range r.clientListeners {
 		l.Hold(held)
 	}
 }
@@ -286,17 +286,17 @@
 	r.sibling, r.takeover = nil, takeoverNone
 	was.passing.Stop()
 	r.log.WithError(err).WithField("older", was.origin == originOlder).Info("the other process is gone")
-	r.loop.Limit(r.sockets)
-	r.loop.Memory(r.memory)
-	if r.lines != nil {
-		r.lines.Elsewhere(nil)
-		r.lines.KeepFresh()
+	r.loop.Limit(r.maxSockets)
+	r.loop.Memory(r.maxBufferBytes)
+	if r.lineFront != nil {
+		r.lineFront.Elsewhere(nil)
+		r.lineFront.KeepFresh()
 	}
 	for _, t := range was.peer.Unconfirmed() {
 		r.take(&t.Note, t.FDs)
 	}
-	r.loop.Limit(r.sockets)
-	if was.origin == originOlder && !r.open {
+	r.loop.Limit(r.maxSockets)
+	if was.origin == originOlder && !r.accepting {
 		r.begin()
 		return
 	}
@@ -309,10 +309,10 @@
 // begin takes clients in. A process that is to take another's place does so once it
 // has members to send to.
 func (r *relay) begin() {
-	if r.open {
+	if r.accepting {
 		return
 	}
-	r.open = true
+	r.accepting = true
 	r.hold(false)
 	r.tell(handover.Note{Serving: true})
 	r.wait()
@@ -340,14 +340,14 @@
 // otherLeaves is told that the other process was told to stop. If this one was too, each answers who comes to it.
 func (r *relay) otherLeaves() {
 	r.sibling.stage = stageStopping
-	if r.lines != nil {
-		r.lines.KeepFresh() // nothing more is handed over
+	if r.lineFront != nil {
+		r.lineFront.KeepFresh() // nothing more is handed over
 	}
-	if !r.open {
+	if !r.accepting {
 		return // it takes no clients in yet, and the other one knows that
 	}
 	r.hold(false)
-	if r.ending {
+	if r.stopping {
 		r.takeover = takeoverNone
 		return
 	}
@@ -368,32 +368,32 @@
 
 // remember takes over what the first process knew. It comes before any client.
 func (r *relay) remember() {
-	if r.state == nil {
+	if r.inheritedState == nil {
 		return
 	}
-	if r.cfg.Succeed(r.state.Watched) {
+	if r.cfg.Succeed(r.inheritedState.Watched) {
 		r.watch.Addr = r.cfg.Discovery
-		r.watch.Hold(r.state.Pool)
+		r.watch.Hold(r.inheritedState.Pool)
 	}
-	if len(r.state.Pool.Instances) > 0 {
-		r.core.Pool(policy.ListCached, r.names.Members(r.state.Pool))
+	if len(r.inheritedState.Pool.Instances) > 0 {
+		r.core.Pool(policy.ListCached, r.names.Members(r.inheritedState.Pool))
 	}
-	r.core.Recall(r.state.Learned)
-	r.state = nil
+	r.core.Recall(r.inheritedState.Learned)
+	r.inheritedState = nil
 }
 
 // decline gives back the first process's sockets of fronts that are off here.
 func (r *relay) decline() {
-	for _, fd := range r.inherited {
+	for _, fd := range r.inheritedSockets {
 		unix.Close(fd)
 	}
-	r.inherited = nil
+	r.inheritedSockets = nil
 }
 
 // inherit listens by the first process's socket, if it has one at that address.
 func (r *relay) inherit(front, addr string, accept func(*netloop.Conn)) (*netloop.Listener, error) {
-	fd, ok := r.inherited[front]
-	delete(r.inherited, front)
+	fd, ok := r.inheritedSockets[front]
+	delete(r.inheritedSockets, front)
 	if !ok {
 		return r.listenAnew(addr, accept)
 	}
