--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -41,8 +41,8 @@
 // orderedDrainPoll is how often it looks whether it may end.
 const orderedDrainPoll = 100 * time.Millisecond
 
-// join begins to agree with the other relays.
-func (r *relay) join(c fleet.Config) error {
+// startFleet begins to agree with the other relays.
+func (r *relay) startFleet(c fleet.Config) error {
 	set := r.names.Settings
 	program := cmp.Or(c.Program, version+"-"+fileDigest(os.Executable))
 	zone := ""
@@ -53,7 +53,7 @@
 	var err error
 	r.fleet, err = fleet.Start(fleet.Options{Config: c, Name: r.cfg.Name, Zone: zone, Start: r.peers.Start(), Program: program,
 		Settings: r.cfg.Digest(), Keys: r.cfg.Peers.Keys(), ColdFrom: set.Guarantees.ColdFrom, ColdFor: settings.Span(set.Guarantees.Cold),
-		Wall: steadyWall(), Log: r.log, Post: r.loop.Post, Look: r.look, Follow: r.heed,
+		Wall: steadyWall(), Log: r.log, Post: r.loop.Post, Look: r.fleetStatus, Follow: r.applyOrders,
 		Pause: r.pauseTrial})
 	if err != nil {
 		return err
@@ -94,10 +94,10 @@
 	return hex.EncodeToString(h.Sum(nil)[:4])
 }
 
-var listed = map[policy.State]string{policy.Ready: "ready", policy.Draining: "draining", policy.Gone: "gone"}
+var stateNames = map[policy.State]string{policy.Ready: "ready", policy.Draining: "draining", policy.Gone: "gone"}
 
-// look is what this relay does now.
-func (r *relay) look() fleet.Look {
+// fleetStatus is what this relay does now.
+func (r *relay) fleetStatus() fleet.Look {
 	set, n := r.names.Settings, r.core.Counts
 	list, _ := r.watch.List()
 	now := r.loop.Now()
@@ -121,7 +121,7 @@
 		l.Phase = "draining"
 	}
 	for _, m := range r.core.Members() {
-		p := fleet.Pooled{Name: m.Name, Listed: listed[m.State], Out: m.Out, Flows: m.Flows, Capacity: m.Capacity, Good: m.Good, Bad: m.Bad}
+		p := fleet.Pooled{Name: m.Name, Listed: stateNames[m.State], Out: m.Out, Flows: m.Flows, Capacity: m.Capacity, Good: m.Good, Bad: m.Bad}
 		if m.Zone < len(set.Zones) {
 			p.Zone = string(set.Zones[m.Zone])
 		}
@@ -138,8 +138,8 @@
 	return l
 }
 
-// heed does what was agreed.
-func (r *relay) heed(o fleet.Orders) {
+// applyOrders does what was agreed.
+func (r *relay) applyOrders(o fleet.Orders) {
 	version := o.Version
 	r.trial.agreed(o)
 	out := map[string]core.Leaving{}
@@ -160,12 +160,12 @@
 	case mine && r.shutdownOrder == nil:
 		r.log.WithFields(logrus.Fields{"release": o.Leave.Release, "number": o.Leave.Number}).Info("fleet: told to leave")
 		r.shutdownOrder = &shutdownOrder{o.Leave.Number, r.loop.Now()}
-		r.settle()
-		r.depart()
+		r.applyDrainState()
+		r.exitWhenDrained()
 	case !mine && r.shutdownOrder != nil && !r.stopping:
 		r.log.Info("fleet: may stay")
 		r.shutdownOrder = nil
-		r.settle()
+		r.applyDrainState()
 	}
 	shut := uint64(0)
 	if o.Shut != nil && o.Shut.Start >= r.peers.Start() {
@@ -178,24 +178,24 @@
 			r.log.Info("fleet: admitted")
 		}
 		r.closeOrder = shut
-		r.settle()
+		r.applyDrainState()
 	}
 }
 
-// depart ends this relay once its clients are moved, and a majority says that the order stands. Without a majority it stays drained.
-func (r *relay) depart() {
+// exitWhenDrained ends this relay once its clients are moved, and a majority says that the order stands. Without a majority it stays drained.
+func (r *relay) exitWhenDrained() {
 	l := r.shutdownOrder
 	r.loop.After(orderedDrainPoll, func() {
 		switch {
 		case r.shutdownOrder != l || r.stopping: // it may stay, or was told anew, or ends already
 		case r.core.Held() > 0 && r.loop.Now()-l.since < orderedDrainTimeout, r.loop.Now()-l.since < core.StopNotice:
-			r.depart()
+			r.exitWhenDrained()
 		default:
 			r.fleet.Stands(l.number, func(stands, sound bool) {
 				switch {
 				case r.shutdownOrder != l || r.stopping:
 				case !stands || !sound:
-					r.depart()
+					r.exitWhenDrained()
 				default:
 					r.exitOrdered = true
 					r.stop()
@@ -205,18 +205,18 @@
 	})
 }
 
-// banAll has a member taken out, or put back, at all relays. Without a majority it holds at this relay alone, and is shown as drift
+// ejectFleetWide has a member taken out, or put back, at all relays. Without a majority it holds at this relay alone, and is shown as drift
 // when the majority is back.
-func (r *relay) banAll(member string, out bool, done func(error)) {
+func (r *relay) ejectFleetWide(member string, out bool, done func(error)) {
 	r.fleet.Ban(member, out, func(err error) {
 		switch {
 		case err == nil && out: // agreed: a word of this relay's own would outlive it
 			done(nil)
 		case err == nil:
-			r.follow(member, false, done)
+			r.applyEjections(member, false, done)
 		case errors.Is(err, consensus.ErrNoMajority), errors.Is(err, consensus.ErrFull):
 			r.log.WithError(err).WithField("member", member).Warn("fleet: the call holds at this relay alone")
-			r.follow(member, out, done)
+			r.applyEjections(member, out, done)
 		default:
 			done(err)
 		}
--- a/cmd/dahliarudder/meet.go
+++ b/cmd/dahliarudder/meet.go
@@ -12,12 +12,12 @@
 
 // This file is how this relay knows the others.
 
-// outcomes are the results that say something of a member: a client that leaves says nothing.
-var outcomes = map[policy.Result]gossip.Outcome{policy.OK: gossip.Good, policy.Full: gossip.Good, policy.Error: gossip.Bad, policy.Reset: gossip.Bad,
+// outcomeOfResult are the results that say something of a member: a client that leaves says nothing.
+var outcomeOfResult = map[policy.Result]gossip.Outcome{policy.OK: gossip.Good, policy.Full: gossip.Good, policy.Error: gossip.Bad, policy.Reset: gossip.Bad,
 	policy.ConnectFailed: gossip.Bad, policy.Timeout: gossip.Silent}
 
-// meet begins to know the other relays.
-func (r *relay) meet(p config.Peers) {
+// startGossip begins to know the other relays.
+func (r *relay) startGossip(p config.Peers) {
 	set := r.names.Settings
 	zone := ""
 	if set.Zone >= 0 && set.Zone < len(set.Zones) {
@@ -25,7 +25,7 @@
 	}
 	book := &gossip.Book{}
 	r.core.Saw = func(m *core.Member, result policy.Result) {
-		if how, ok := outcomes[result]; ok {
+		if how, ok := outcomeOfResult[result]; ok {
 			in := ""
 			if m.Zone < len(set.Zones) {
 				in = string(set.Zones[m.Zone])
--- a/cmd/dahliarudder/operate.go
+++ b/cmd/dahliarudder/operate.go
@@ -9,8 +9,8 @@
 
 // This file is what operators tell this relay at its second address.
 
-// recall takes over the bans that an earlier process has kept.
-func (r *relay) recall() error {
+// restoreEjections takes over the bans that an earlier process has kept.
+func (r *relay) restoreEjections() error {
 	dir, err := ejections.Dir(r.cfg.Name)
 	if err != nil {
 		return err
@@ -21,7 +21,7 @@
 			word()
 		}
 	}()
-	if err := r.succeed(dir); err != nil {
+	if err := r.joinPredecessor(dir); err != nil {
 		return err
 	}
 	// Only now: the older process, if there is one, tells of what changes from here on.
@@ -47,15 +47,15 @@
 // up, and then follows it.
 func (r *relay) Ban(member string, out bool, done func(error)) {
 	if r.fleet != nil {
-		r.banAll(member, out, done)
+		r.ejectFleetWide(member, out, done)
 		return
 	}
-	r.follow(member, out, done)
+	r.applyEjections(member, out, done)
 }
 
-// follow writes a ban, if member names one, and then does as the file says, which
+// applyEjections writes a ban, if member names one, and then does as the file says, which
 // another process of this relay may have written too.
-func (r *relay) follow(member string, out bool, done func(error)) {
+func (r *relay) applyEjections(member string, out bool, done func(error)) {
 	word := func() {
 		var err error
 		if member != "" {
@@ -67,7 +67,7 @@
 			if err == nil {
 				r.core.Bans(names)
 				if member != "" {
-					r.tell(handover.Note{Bans: true})
+					r.sendNote(handover.Note{Bans: true})
 				}
 			}
 			done(err)
@@ -81,20 +81,20 @@
 }
 
 // Drain empties the relay.
-func (r *relay) Drain() { r.drainedByOperator = true; r.settle() }
+func (r *relay) Drain() { r.drainedByOperator = true; r.applyDrainState() }
 
 // Resume ends that. What the fleet has ordered holds on.
-func (r *relay) Resume() { r.drainedByOperator = false; r.settle() }
+func (r *relay) Resume() { r.drainedByOperator = false; r.applyDrainState() }
 
-// settle drains or resumes both processes of the relay. An operator, an order to leave and one for drift each keep it drained, so that the end of one
+// applyDrainState drains or resumes both processes of the relay. An operator, an order to leave and one for drift each keep it drained, so that the end of one
 // does not end another.
-func (r *relay) settle() {
+func (r *relay) applyDrainState() {
 	drain := r.drainedByOperator || r.shutdownOrder != nil || r.closeOrder != 0
-	r.drain(drain)
-	r.tell(handover.Note{Drain: &drain})
+	r.setDraining(drain)
+	r.sendNote(handover.Note{Drain: &drain})
 }
 
-func (r *relay) drain(on bool) {
+func (r *relay) setDraining(on bool) {
 	if on {
 		r.core.Drain()
 	} else {
--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -74,7 +74,7 @@
 // serve runs the relay until it is told to stop. Reload reads the configuration
 // again.
 func serve(cfg *config.Config, reload func(*config.Config) (*config.Config, error), caught *signals, log *logrus.Logger) error {
-	limits(cfg)
+	applyRuntimeLimits(cfg)
 	set := cfg.Decoded()
 	began := time.Now()
 	// The clock starts an hour in, so that no time of this process is the 0 that
@@ -83,7 +83,7 @@
 	clock := func() time.Duration { return zero + time.Since(began) }
 	r := &relay{cfg: cfg, log: log, clock: clock, signals: caught, names: pool.Names{Settings: set, Starts: &pool.Starts{Clock: clock, Wall: wallClock, Believed: policy.Sane(set.Policy()).AskWithin}},
 		maxBufferBytes: int(cfg.Limits.MemoryMB * bufferMemoryFraction * (1 << 20))}
-	r.maxSockets = sockets(cfg) - reservedSockets - r.callers()
+	r.maxSockets = descriptorLimit(cfg) - reservedSockets - r.operatorDescriptors()
 	loop, err := netloop.New(clock, r.maxSockets)
 	if err != nil {
 		return err
@@ -94,15 +94,15 @@
 		loop.Close()
 		return errors.Join(err, r.closeStore())
 	}
-	loop.Gap(r.core.Limits().AskWithin/suspensionFraction, r.woke)
+	loop.Gap(r.core.Limits().AskWithin/suspensionFraction, r.afterSuspension)
 	if cfg.CountsMS > 0 {
-		r.count(time.Duration(cfg.CountsMS*float64(time.Millisecond)), core.Counts{})
+		r.logCounts(time.Duration(cfg.CountsMS*float64(time.Millisecond)), core.Counts{})
 	}
 	go func() {
 		<-caught.stop
 		loop.Post(r.stop)
 	}()
-	go r.reloads(caught.reload, reload)
+	go r.watchReloads(caught.reload, reload)
 	err = loop.Run()
 	r.fleet.Close()
 	if err == nil && r.exitOrdered {
@@ -112,9 +112,9 @@
 	return errors.Join(err, r.closeStore())
 }
 
-// reloads reads the configuration again for each signal. It has a goroutine of its own: a slow disk holds up neither
+// watchReloads reads the configuration again for each signal. It has a goroutine of its own: a slow disk holds up neither
 // the loop nor a stop.
-func (r *relay) reloads(asked <-chan os.Signal, reload func(*config.Config) (*config.Config, error)) {
+func (r *relay) watchReloads(asked <-chan os.Signal, reload func(*config.Config) (*config.Config, error)) {
 	held := r.cfg
 	for range asked {
 		fresh, err := reload(held)
@@ -128,9 +128,9 @@
 	}
 }
 
-// count logs what the core counted in each span, as fields that many relays' logs can be
+// logCounts logs what the core counted in each span, as fields that many relays' logs can be
 // added up by: the relay's clock in seconds, then one field a count.
-func (r *relay) count(every time.Duration, before core.Counts) {
+func (r *relay) logCounts(every time.Duration, before core.Counts) {
 	r.loop.After(every, func() {
 		now := r.core.Counts
 		line := logrus.Fields{"at": math.Round(r.clock().Seconds()*1e3) / 1e3,
@@ -142,13 +142,13 @@
 			line["relays"], line["shared_by"] = r.peers.Shares()
 		}
 		r.log.WithFields(line).Info("counts")
-		r.count(every, now)
+		r.logCounts(every, now)
 	})
 }
 
-// woke is told that this process stood still: what it knows of members is as old as that, and nothing new is sent by it until discovery has
+// afterSuspension is told that this process stood still: what it knows of members is as old as that, and nothing new is sent by it until discovery has
 // said what has changed, or for as long as a change may take to be heeded anyway.
-func (r *relay) woke(gap time.Duration) {
+func (r *relay) afterSuspension(gap time.Duration) {
 	r.log.WithField("gap", gap).Warn("this process stood still; members are asked for anew")
 	r.core.Doubt()
 	r.watch.Refresh(r.core.Sure)
@@ -214,7 +214,7 @@
 		ledger = r.store
 	}
 	r.watch = &pool.Watch{Loop: loop, Addr: cfg.Discovery, Log: r.log, Names: r.names,
-		Dial: loop.Reserve(pool.Descriptors).Dial, Random: drawn(cfg.SeedNumber())}
+		Dial: loop.Reserve(pool.Descriptors).Dial, Random: newRandom(cfg.SeedNumber())}
 	var probe func(*core.Member)
 	r.core = core.New(core.Options{Settings: r.names.Settings, Seed: cfg.SeedNumber(), Clock: r.clock, Round: loop.Round, Ledger: ledger,
 		Watch: r.watch.Ask, FeedMemory: int(cfg.Limits.MemoryMB * feedMemoryFraction * (1 << 20)),
@@ -242,7 +242,7 @@
 		probe = r.lineFront.Probe
 	}
 	if cfg.Operator != "" {
-		if err := r.recall(); err != nil {
+		if err := r.restoreEjections(); err != nil {
 			return err
 		}
 	}
@@ -251,11 +251,11 @@
 		r.core.Pool(policy.ListCached, r.names.Members(known))
 	}
 	succeeds := r.inheritedState != nil
-	r.remember()
+	r.restorePredecessorState()
 	if cfg.State != nil && !succeeds { // an older process knows more
-		r.resumeFrom(*cfg.State)
+		r.resumeFromSnapshot(*cfg.State)
 	} else if cfg.State != nil {
-		r.recovery = &recoveryReport{From: "an older process", Away: []snapshot.Part{}, dir: cfg.State.Dir, out: make(chan []byte, 1)}
+		r.recovery = &recoveryReport{From: "an older process", Discarded: []snapshot.Part{}, dir: cfg.State.Dir, pending: make(chan []byte, 1)}
 	}
 	r.clientListeners = map[string]*netloop.Listener{}
 	if r.natsFront != nil {
@@ -267,42 +267,44 @@
 	if cfg.Operator != "" && err == nil {
 		desk := &operator.Front{Loop: loop, Relay: r, Log: r.log}
 		var l *netloop.Listener
-		l, err = r.insist(func() (*netloop.Listener, error) {
+		l, err = r.listenWithRetry(func() (*netloop.Listener, error) {
 			return loop.ListenApart(cfg.Operator, operator.Callers, desk.Accept)
 		})
-		r.took("operator", l, err)
+		r.addListener("operator", l, err)
 	}
 	if err != nil {
 		return err
 	}
-	r.decline()
+	r.closeUnusedSockets()
 	if cfg.Peers != nil {
-		r.meet(*cfg.Peers)
+		r.startGossip(*cfg.Peers)
 	}
 	if cfg.Fleet != nil {
-		if err := r.join(*cfg.Fleet); err != nil {
+		if err := r.startFleet(*cfg.Fleet); err != nil {
 			return err
 		}
 	}
 	if r.recovery != nil {
-		r.keep(time.Duration(cfg.State.EveryMS * float64(time.Millisecond)))
+		r.writeSnapshots(time.Duration(cfg.State.EveryMS * float64(time.Millisecond)))
 	}
 	if r.sibling != nil {
-		r.exchange()
+		r.syncSibling()
 	} else if r.accepting = true; cfg.Operator != "" {
-		r.wait()
+		r.awaitSuccessor()
 	}
 	return nil
 }
 
-// watchStream tells the random numbers of the watch from those of the decision module, which come of the same seed.
-const watchStream = 1
+// watchRandomStream tells the random numbers of the watch from those of the decision module, which come of the same seed.
+const watchRandomStream = 1
 
-func drawn(seed uint64) func() float64 { return rand.New(rand.NewPCG(seed, watchStream)).Float64 }
+func newRandom(seed uint64) func() float64 {
+	return rand.New(rand.NewPCG(seed, watchRandomStream)).Float64
+}
 
 func (r *relay) listen(front, addr string, accept func(*netloop.Conn)) error {
-	l, err := r.inherit(front, addr, accept)
-	r.took(front, l, err)
+	l, err := r.inheritOrListen(front, addr, accept)
+	r.addListener(front, l, err)
 	if err == nil {
 		r.clientListeners[front] = l
 	}
@@ -316,8 +318,8 @@
 	listenRetryPause = 20 * time.Millisecond
 )
 
-// insist listens, again and again where the system refuses that for a moment.
-func (r *relay) insist(listen func() (*netloop.Listener, error)) (*netloop.Listener, error) {
+// listenWithRetry listens, again and again where the system refuses that for a moment.
+func (r *relay) listenWithRetry(listen func() (*netloop.Listener, error)) (*netloop.Listener, error) {
 	by := r.clock() + listenTimeout
 	for told := false; ; time.Sleep(listenRetryPause) {
 		l, err := listen()
@@ -331,8 +333,8 @@
 	}
 }
 
-// took keeps a listener, unless there is none.
-func (r *relay) took(front string, l *netloop.Listener, err error) {
+// addListener keeps a listener, unless there is none.
+func (r *relay) addListener(front string, l *netloop.Listener, err error) {
 	if err == nil {
 		r.listeners = append(r.listeners, l)
 		r.log.WithFields(logrus.Fields{"front": front, "listen": l.Addr()}).Info("serving")
@@ -365,32 +367,32 @@
 	r.peers.Leave() // nothing new is placed from here on
 	deadline := loop.Now() + r.core.StopWithin()
 	least := loop.Now() + core.StopNotice
-	if r.yield() {
+	if r.requestTakeover() {
 		r.core.GiveUp()
-		r.pass()
+		r.handOverConnections()
 	} else {
 		r.core.Stop()
 	}
 	if r.natsFront != nil {
 		r.natsFront.Leave()
 	}
-	r.await(func() bool {
+	r.pollUntil(func() bool {
 		now := loop.Now()
-		return now >= deadline || (now >= least || r.takeover == takeoverConfirmed) && r.held() == 0 && r.handedOver()
-	}, r.finish)
+		return now >= deadline || (now >= least || r.takeover == takeoverConfirmed) && r.openRequests() == 0 && r.handoverComplete()
+	}, r.closeAndExit)
 }
 
-// await looks until something is so, and then goes on.
-func (r *relay) await(so func() bool, then func()) {
+// pollUntil looks until something is so, and then goes on.
+func (r *relay) pollUntil(so func() bool, then func()) {
 	if so() {
 		then()
 		return
 	}
-	r.loop.After(stopPollInterval, func() { r.await(so, then) })
+	r.loop.After(stopPollInterval, func() { r.pollUntil(so, then) })
 }
 
-// held is how many clients are not done with.
-func (r *relay) held() int {
+// openRequests is how many clients are not done with.
+func (r *relay) openRequests() int {
 	held := r.core.Held()
 	if r.lineFront != nil {
 		held = max(held, r.lineFront.Held())
@@ -398,30 +400,30 @@
 	return held
 }
 
-// finish ends a stop: nobody comes any more, who waits is answered, and the loop ends once what that takes has left.
-func (r *relay) finish() {
+// closeAndExit ends a stop: nobody comes any more, who waits is answered, and the loop ends once what that takes has left.
+func (r *relay) closeAndExit() {
 	r.core.Finish()
-	r.leaveFresh() // their descriptors are free for who is in a listener's queue
+	r.closeIdleConnections() // their descriptors are free for who is in a listener's queue
 	for _, l := range append(r.listeners, r.successorListener) {
 		l.Close()
 	}
 	least, most := r.loop.Now()+stopLingerTime, r.loop.Now()+stopOverrun
-	r.await(func() bool {
-		r.leaveFresh() // who was in the queue
+	r.pollUntil(func() bool {
+		r.closeIdleConnections() // who was in the queue
 		now := r.loop.Now()
-		return now >= most || now >= least && r.held() == 0 && r.isDeaf()
+		return now >= most || now >= least && r.openRequests() == 0 && r.listenersClosed()
 	}, r.loop.Stop)
 }
 
-// leaveFresh ends connections on which nothing was asked yet.
-func (r *relay) leaveFresh() {
+// closeIdleConnections ends connections on which nothing was asked yet.
+func (r *relay) closeIdleConnections() {
 	if r.lineFront != nil {
 		r.lineFront.Leave()
 	}
 }
 
-// isDeaf says that no listener takes connections in any more.
-func (r *relay) isDeaf() bool {
+// listenersClosed says that no listener takes connections in any more.
+func (r *relay) listenersClosed() bool {
 	for _, l := range r.listeners {
 		if !l.Closed() {
 			return false
@@ -437,16 +439,16 @@
 	return r.store.Close(storeFlushTimeout)
 }
 
-// callers is how many descriptors are kept back for the second address and upgrades.
-func (r *relay) callers() int {
+// operatorDescriptors is how many descriptors are kept back for the second address and upgrades.
+func (r *relay) operatorDescriptors() int {
 	if r.cfg.Operator == "" {
 		return 0
 	}
 	return operator.Callers + upgradeDescriptors
 }
 
-// limits keeps the runtime within the machine that the relay is given.
-func limits(cfg *config.Config) {
+// applyRuntimeLimits keeps the runtime within the machine that the relay is given.
+func applyRuntimeLimits(cfg *config.Config) {
 	if cores := cfg.Limits.Cores; cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(cores)))
 	}
@@ -457,7 +459,7 @@
 }
 
 // maxSockets is how many descriptors the process may hold.
-func sockets(cfg *config.Config) int {
+func descriptorLimit(cfg *config.Config) int {
 	most := 1 << 20
 	var r unix.Rlimit
 	if unix.Getrlimit(unix.RLIMIT_NOFILE, &r) == nil && r.Cur < uint64(most) {
--- a/cmd/dahliarudder/state.go
+++ b/cmd/dahliarudder/state.go
@@ -14,20 +14,20 @@
 
 // recoveryReport is what this relay came back with.
 type recoveryReport struct {
-	From   string          `json:"from"` // "snapshot", "an older process", or "nothing"
-	Age    int64           `json:"age_ms"`
-	Away   []snapshot.Part `json:"thrown_away"`
-	Wrote  int64           `json:"written_ms_ago"` // the last snapshot; -1: none yet
-	Failed string          `json:"write_failed,omitempty"`
-	peers  []string
-	at     time.Duration // of the last write
-	dir    string
-	out    chan []byte // what is to be written; one waits at most
+	From       string          `json:"from"` // "snapshot", "an older process", or "nothing"
+	Age        int64           `json:"age_ms"`
+	Discarded  []snapshot.Part `json:"thrown_away"`
+	WrittenAgo int64           `json:"written_ms_ago"` // the last snapshot; -1: none yet
+	WriteError string          `json:"write_failed,omitempty"`
+	peers      []string
+	writtenAt  time.Duration // of the last write
+	dir        string
+	pending    chan []byte // what is to be written; one waits at most
 }
 
-// moment is now by both clocks of this machine. Where the system does not tell how long it has been up, the wall clock
+// clocksNow is now by both clocks of this machine. Where the system does not tell how long it has been up, the wall clock
 // stands alone.
-func moment() snapshot.Moment {
+func clocksNow() snapshot.Moment {
 	m := snapshot.Moment{Wall: wallClock()}
 	boot, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
@@ -44,28 +44,28 @@
 	return m
 }
 
-// resumeFrom goes on from the snapshot, if there is one to be believed. The list that is held already stands.
-func (r *relay) resumeFrom(c config.State) {
-	r.recovery = &recoveryReport{From: "nothing", Away: []snapshot.Part{}, dir: c.Dir, out: make(chan []byte, 1)}
+// resumeFromSnapshot goes on from the snapshot, if there is one to be believed. The list that is held already stands.
+func (r *relay) resumeFromSnapshot(c config.State) {
+	r.recovery = &recoveryReport{From: "nothing", Discarded: []snapshot.Part{}, dir: c.Dir, pending: make(chan []byte, 1)}
 	if err := os.MkdirAll(c.Dir, 0o700); err != nil {
 		r.log.WithError(err).Error("state: nothing can be kept")
 	}
 	s, err := snapshot.Read(c.Dir)
 	if err != nil || s == nil {
-		r.thrown("snapshot", err)
+		r.discardSnapshot("snapshot", err)
 		return
 	}
 	held, known := r.watch.List()
 	if !known || s.Watched != r.cfg.Discovery { // a generation means nothing but where it was given
 		held.Generation = 0
 	}
-	age, away, err := s.Believe(moment(), r.cfg.Name, held.Generation, snapshot.Ages(r.core.Limits().AskWithin))
+	age, away, err := s.Believe(clocksNow(), r.cfg.Name, held.Generation, snapshot.Ages(r.core.Limits().AskWithin))
 	if err != nil {
-		r.thrown("snapshot", err)
+		r.discardSnapshot("snapshot", err)
 		return
 	}
 	r.recovery.From, r.recovery.Age, r.recovery.peers = "snapshot", age.Milliseconds(), s.Peers
-	r.recovery.Away = append(r.recovery.Away, away...)
+	r.recovery.Discarded = append(r.recovery.Discarded, away...)
 	for _, p := range away {
 		r.log.WithField("what", p.What).WithField("why", p.Why).Info("state: not believed")
 	}
@@ -79,16 +79,16 @@
 	r.log.WithField("age", age).Info("state: goes on from its snapshot")
 }
 
-func (r *relay) thrown(what string, err error) {
+func (r *relay) discardSnapshot(what string, err error) {
 	if err != nil {
-		r.recovery.Away = append(r.recovery.Away, snapshot.Part{What: what, Why: err.Error()})
+		r.recovery.Discarded = append(r.recovery.Discarded, snapshot.Part{What: what, Why: err.Error()})
 		r.log.WithError(err).Error("state: the snapshot is not used")
 	}
 }
 
-// wrote notes how the last write of a snapshot went, and tells when that has changed.
-func (r *relay) wrote(err error) {
-	failed := r.recovery.Failed != ""
+// onSnapshotWritten notes how the last write of a snapshot went, and tells when that has changed.
+func (r *relay) onSnapshotWritten(err error) {
+	failed := r.recovery.WriteError != ""
 	switch {
 	case err == nil && failed:
 		r.log.Info("state: snapshots are written again")
@@ -96,20 +96,20 @@
 		r.log.WithError(err).Error("state: a snapshot could not be written")
 	}
 	if err != nil {
-		r.recovery.Failed = err.Error()
+		r.recovery.WriteError = err.Error()
 		return
 	}
-	r.recovery.Failed, r.recovery.at = "", r.clock()
+	r.recovery.WriteError, r.recovery.writtenAt = "", r.clock()
 }
 
-// keep writes a snapshot now and then, off the loop: a slow disk holds nobody up, and what it has not taken is not queued.
-func (r *relay) keep(every time.Duration) {
+// writeSnapshots writes a snapshot now and then, off the loop: a slow disk holds nobody up, and what it has not taken is not queued.
+func (r *relay) writeSnapshots(every time.Duration) {
 	c := r.recovery
 	go func() {
-		for b := range c.out {
+		for b := range c.pending {
 			err := snapshot.Write(c.dir, b)
 			r.loop.Post(func() {
-				r.wrote(err)
+				r.onSnapshotWritten(err)
 			})
 		}
 	}()
@@ -117,10 +117,10 @@
 	again = func() {
 		if r.core.Usable() { // one who knows nothing does not write that over what it knew
 			if b, err := r.snapshot().Encode(); err != nil { // here: what it holds is the module's own
-				r.wrote(err)
+				r.onSnapshotWritten(err)
 			} else {
 				select {
-				case c.out <- b:
+				case c.pending <- b:
 				default:
 				}
 			}
@@ -133,7 +133,7 @@
 func (r *relay) snapshot() *snapshot.Snapshot {
 	list, _ := r.watch.List()
 	s := &snapshot.Snapshot{Name: r.cfg.Name, List: list, Watched: r.cfg.Discovery, Learned: r.core.Learned()}
-	s.Mark(moment())
+	s.Mark(clocksNow())
 	if r.peers != nil {
 		s.Peers = r.peers.Addresses()
 	}
@@ -146,8 +146,8 @@
 		return ""
 	}
 	c := *r.recovery
-	if c.Wrote = -1; c.at > 0 {
-		c.Wrote = (r.clock() - c.at).Milliseconds()
+	if c.WrittenAgo = -1; c.writtenAt > 0 {
+		c.WrittenAgo = (r.clock() - c.writtenAt).Milliseconds()
 	}
 	text, _ := json.MarshalIndent(c, "", " ")
 	return string(text)
--- a/cmd/dahliarudder/upgrade.go
+++ b/cmd/dahliarudder/upgrade.go
@@ -61,9 +61,9 @@
 	passing  *netloop.Timer // when the next connections are handed over to it
 }
 
-// succeed asks for the state of the process whose place this one takes, if there is
+// joinPredecessor asks for the state of the process whose place this one takes, if there is
 // one, and listens by its sockets.
-func (r *relay) succeed(dir string) error {
+func (r *relay) joinPredecessor(dir string) error {
 	fd, state, fds, err := handover.Find(dir)
 	if err != nil || state == nil {
 		return err
@@ -74,16 +74,16 @@
 	}
 	r.inheritedState = state
 	r.sibling = &siblingProcess{origin: originOlder, stage: stageServing}
-	r.share(state.Limit)
-	if r.sibling.peer, err = handover.Join(r.loop, fd, r.heard, r.remains); err != nil {
+	r.limitToRemainingSockets(state.Limit)
+	if r.sibling.peer, err = handover.Join(r.loop, fd, r.onNote, r.onSiblingGone); err != nil {
 		return err
 	}
 	r.sibling.peer.Speaks(state.Version)
 	return nil
 }
 
-// wait has a successor find this process.
-func (r *relay) wait() {
+// awaitSuccessor has a successor find this process.
+func (r *relay) awaitSuccessor() {
 	r.successorListener.Close()
 	var err error
 	r.successorListener, err = r.loop.ListenChannel(handover.Path(r.stateDir), func(fd int) {
@@ -92,7 +92,7 @@
 			return
 		}
 		r.sibling = &siblingProcess{}
-		if r.sibling.peer, err = handover.Join(r.loop, fd, r.heard, r.remains); err != nil {
+		if r.sibling.peer, err = handover.Join(r.loop, fd, r.onNote, r.onSiblingGone); err != nil {
 			r.log.WithError(err).Error("a successor cannot be heard")
 			r.sibling = nil
 		}
@@ -102,32 +102,32 @@
 	}
 }
 
-// heard is told what the other process says.
-func (r *relay) heard(n *handover.Note, fds []int) {
+// onNote is told what the other process says.
+func (r *relay) onNote(n *handover.Note, fds []int) {
 	switch {
 	case n.Hello > 0:
-		r.introduce(n.Hello)
+		r.sendStateToSuccessor(n.Hello)
 	case n.Serving:
 		r.log.Info("a successor serves")
 		r.sibling.stage = stageServing
-		r.hold(true)
-		r.news()
-		r.pass()
+		r.pauseAccepting(true)
+		r.sendOpenState()
+		r.handOverConnections()
 	case n.Leaving:
-		r.otherLeaves()
+		r.onSiblingStopping()
 	case n.Relieves:
-		r.otherRelieves()
+		r.onTakeoverConfirmed()
 	case n.Bans:
-		r.follow("", false, func(error) {})
+		r.applyEjections("", false, func(error) {})
 	case n.Drain != nil:
 		r.drainedByOperator = *n.Drain
-		r.drain(*n.Drain)
+		r.setDraining(*n.Drain)
 	case n.Open != nil:
-		r.share(n.Open.Limit)
+		r.limitToRemainingSockets(n.Open.Limit)
 		if r.lineFront != nil {
 			r.lineFront.Elsewhere(n.Open.IDs)
 		}
-	case r.take(n, fds):
+	case r.adoptConnection(n, fds):
 		return
 	}
 	for _, fd := range fds {
@@ -135,8 +135,8 @@
 	}
 }
 
-// take takes a connection over, with its descriptors. It returns false if none came.
-func (r *relay) take(n *handover.Note, fds []int) bool {
+// adoptConnection takes a connection over, with its descriptors. It returns false if none came.
+func (r *relay) adoptConnection(n *handover.Note, fds []int) bool {
 	switch {
 	case r.lineFront == nil:
 		return false
@@ -152,18 +152,18 @@
 	return true
 }
 
-// pass hands connections over to a successor that serves, a few at a time, so that the others are served meanwhile: those that have asked for
+// handOverConnections hands connections over to a successor that serves, a few at a time, so that the others are served meanwhile: those that have asked for
 // nothing, and once this process is told to stop its open flows.
-func (r *relay) pass() {
-	if !r.passes() {
+func (r *relay) handOverConnections() {
+	if !r.handsOver() {
 		return
 	}
-	r.lineFront.GiveFresh(r.window(), func(p line.Fresh, fd int) {
-		r.give(handover.Note{Client: &p}, fd)
+	r.lineFront.GiveFresh(r.handoverWindow(), func(p line.Fresh, fd int) {
+		r.sendConnection(handover.Note{Client: &p}, fd)
 	})
 	if r.stopping {
-		r.lineFront.GiveFlows(r.window(), func(f line.Flow, client, member int) {
-			r.give(handover.Note{Flow: &f}, client, member)
+		r.lineFront.GiveFlows(r.handoverWindow(), func(f line.Flow, client, member int) {
+			r.sendConnection(handover.Note{Flow: &f}, client, member)
 		})
 	}
 	again := openStateInterval
@@ -171,35 +171,35 @@
 		again = handoverInterval
 	}
 	r.sibling.passing.Stop()
-	r.sibling.passing = r.loop.After(again, r.pass)
+	r.sibling.passing = r.loop.After(again, r.handOverConnections)
 }
 
-// passes says whether connections go to a successor that serves.
-func (r *relay) passes() bool {
+// handsOver says whether connections go to a successor that serves.
+func (r *relay) handsOver() bool {
 	return r.sibling != nil && r.sibling.origin == originNewer && r.sibling.stage == stageServing && r.lineFront != nil
 }
 
-// handedOver says that nothing waits for the other process.
-func (r *relay) handedOver() bool {
+// handoverComplete says that nothing waits for the other process.
+func (r *relay) handoverComplete() bool {
 	if r.sibling == nil {
 		return true
 	}
-	return r.sibling.peer.Quiet() && (!r.passes() || r.lineFront.FreshCount() == 0)
+	return r.sibling.peer.Quiet() && (!r.handsOver() || r.lineFront.FreshCount() == 0)
 }
 
-// window is how many connections may be handed over now.
-func (r *relay) window() int { return handoverBurst - r.sibling.peer.Pending() }
+// handoverWindow is how many connections may be handed over now.
+func (r *relay) handoverWindow() int { return handoverBurst - r.sibling.peer.Pending() }
 
-// give hands a connection over. What cannot be handed over goes on here.
-func (r *relay) give(n handover.Note, fds ...int) {
+// sendConnection hands a connection over. What cannot be handed over goes on here.
+func (r *relay) sendConnection(n handover.Note, fds ...int) {
 	if err := r.sibling.peer.Give(n, fds...); err != nil {
 		r.log.WithError(err).Error("the other process does not hear")
-		r.loop.After(0, func() { r.take(&n, fds) })
+		r.loop.After(0, func() { r.adoptConnection(&n, fds) })
 	}
 }
 
-// introduce tells a successor all that it starts with.
-func (r *relay) introduce(hello int) {
+// sendStateToSuccessor tells a successor all that it starts with.
+func (r *relay) sendStateToSuccessor(hello int) {
 	r.sibling.peer.Speaks(hello)
 	state := handover.NewState(r.core.Learned(), hello)
 	var fds []int
@@ -211,15 +211,15 @@
 	if state.Pool, known = r.watch.List(); known {
 		state.Watched = r.watch.Addr
 	}
-	r.confine()
+	r.limitToOwnSockets()
 	state.Limit = r.sibling.sentOpen.Limit
 	r.log.WithField("held", r.core.Held()).Info("a successor starts")
-	r.tell(handover.Note{State: state}, fds...)
-	r.exchange()
+	r.sendNote(handover.Note{State: state}, fds...)
+	r.syncSibling()
 }
 
-// confine leaves what this process does not need to its successor.
-func (r *relay) confine() {
+// limitToOwnSockets leaves what this process does not need to its successor.
+func (r *relay) limitToOwnSockets() {
 	passing := r.sibling.peer.PendingFDs()
 	limit := r.loop.Held() + passing + retrySockets
 	if r.sibling.sentOpen.Limit > 0 {
@@ -230,40 +230,40 @@
 	r.loop.Memory(r.maxBufferBytes / 2)
 }
 
-// share takes what the first process leaves.
-func (r *relay) share(theirs int) {
-	r.loop.Limit(r.maxSockets - theirs - reservedSockets - r.callers())
+// limitToRemainingSockets takes what the first process leaves.
+func (r *relay) limitToRemainingSockets(theirs int) {
+	r.loop.Limit(r.maxSockets - theirs - reservedSockets - r.operatorDescriptors())
 	r.loop.Memory(r.maxBufferBytes / 2)
 }
 
-// exchange tells the other process what changes, as long as there is one.
-func (r *relay) exchange() {
+// syncSibling tells the other process what changes, as long as there is one.
+func (r *relay) syncSibling() {
 	if r.sibling == nil {
 		return
 	}
 	switch {
 	case r.sibling.origin == originNewer:
-		r.news()
+		r.sendOpenState()
 	case !r.accepting && !r.stopping && r.core.Usable():
-		r.begin()
+		r.startAccepting()
 	}
-	r.loop.After(openStateInterval, r.exchange)
+	r.loop.After(openStateInterval, r.syncSibling)
 }
 
-// news tells the successor what is held here, if that has changed.
-func (r *relay) news() {
+// sendOpenState tells the successor what is held here, if that has changed.
+func (r *relay) sendOpenState() {
 	before := r.sibling.sentOpen
-	r.confine()
+	r.limitToOwnSockets()
 	if r.lineFront != nil && r.sibling.stage == stageServing {
 		r.sibling.sentOpen.IDs = r.lineFront.IDs()
 		slices.Sort(r.sibling.sentOpen.IDs)
 	}
 	if now := r.sibling.sentOpen; now.Limit != before.Limit || !slices.Equal(now.IDs, before.IDs) {
-		r.tell(handover.Note{Open: &now})
+		r.sendNote(handover.Note{Open: &now})
 	}
 }
 
-func (r *relay) tell(n handover.Note, fds ...int) {
+func (r *relay) sendNote(n handover.Note, fds ...int) {
 	if r.sibling == nil {
 		return
 	}
@@ -272,16 +272,16 @@
 	}
 }
 
-// hold has the fronts take no client in, or go on.
-func (r *relay) hold(held bool) {
+// pauseAccepting has the fronts take no client in, or go on.
+func (r *relay) pauseAccepting(held bool) {
 	for _, l := range r.clientListeners {
 		l.Hold(held)
 	}
 }
 
-// remains goes on as the only process. A successor that has ended without taking over
+// onSiblingGone goes on as the only process. A successor that has ended without taking over
 // leaves its clients to this one, and what was on its way to it comes back.
-func (r *relay) remains(err error) {
+func (r *relay) onSiblingGone(err error) {
 	was := r.sibling
 	r.sibling, r.takeover = nil, takeoverNone
 	was.passing.Stop()
@@ -293,52 +293,52 @@
 		r.lineFront.KeepFresh()
 	}
 	for _, t := range was.peer.Unconfirmed() {
-		r.take(&t.Note, t.FDs)
+		r.adoptConnection(&t.Note, t.FDs)
 	}
 	r.loop.Limit(r.maxSockets)
 	if was.origin == originOlder && !r.accepting {
-		r.begin()
+		r.startAccepting()
 		return
 	}
-	r.hold(false)
+	r.pauseAccepting(false)
 	if was.origin == originNewer {
-		r.wait()
+		r.awaitSuccessor()
 	}
 }
 
-// begin takes clients in. A process that is to take another's place does so once it
+// startAccepting takes clients in. A process that is to take another's place does so once it
 // has members to send to.
-func (r *relay) begin() {
+func (r *relay) startAccepting() {
 	if r.accepting {
 		return
 	}
 	r.accepting = true
-	r.hold(false)
-	r.tell(handover.Note{Serving: true})
-	r.wait()
+	r.pauseAccepting(false)
+	r.sendNote(handover.Note{Serving: true})
+	r.awaitSuccessor()
 }
 
-// yield leaves clients to the other process, if one serves, and says whether there
+// requestTakeover leaves clients to the other process, if one serves, and says whether there
 // is one. A second process that is stopped before the first leaves them to that one. The other one may have been told to stop too: only
 // when it says that it goes on may this one end before its time.
-func (r *relay) yield() bool {
+func (r *relay) requestTakeover() bool {
 	if r.sibling == nil {
 		return false
 	}
-	r.tell(handover.Note{Leaving: true})
+	r.sendNote(handover.Note{Leaving: true})
 	if r.sibling.stage != stageServing {
 		return false
 	}
-	r.hold(true)
+	r.pauseAccepting(true)
 	r.takeover = takeoverRequested
 	if !r.sibling.peer.Confirms() { // it answers nothing
-		r.otherRelieves()
+		r.onTakeoverConfirmed()
 	}
 	return true
 }
 
-// otherLeaves is told that the other process was told to stop. If this one was too, each answers who comes to it.
-func (r *relay) otherLeaves() {
+// onSiblingStopping is told that the other process was told to stop. If this one was too, each answers who comes to it.
+func (r *relay) onSiblingStopping() {
 	r.sibling.stage = stageStopping
 	if r.lineFront != nil {
 		r.lineFront.KeepFresh() // nothing more is handed over
@@ -346,16 +346,16 @@
 	if !r.accepting {
 		return // it takes no clients in yet, and the other one knows that
 	}
-	r.hold(false)
+	r.pauseAccepting(false)
 	if r.stopping {
 		r.takeover = takeoverNone
 		return
 	}
-	r.tell(handover.Note{Relieves: true})
+	r.sendNote(handover.Note{Relieves: true})
 }
 
-// otherRelieves is told that the other process takes clients in.
-func (r *relay) otherRelieves() {
+// onTakeoverConfirmed is told that the other process takes clients in.
+func (r *relay) onTakeoverConfirmed() {
 	if r.takeover != takeoverRequested {
 		return
 	}
@@ -366,8 +366,8 @@
 	}
 }
 
-// remember takes over what the first process knew. It comes before any client.
-func (r *relay) remember() {
+// restorePredecessorState takes over what the first process knew. It comes before any client.
+func (r *relay) restorePredecessorState() {
 	if r.inheritedState == nil {
 		return
 	}
@@ -382,24 +382,24 @@
 	r.inheritedState = nil
 }
 
-// decline gives back the first process's sockets of fronts that are off here.
-func (r *relay) decline() {
+// closeUnusedSockets gives back the first process's sockets of fronts that are off here.
+func (r *relay) closeUnusedSockets() {
 	for _, fd := range r.inheritedSockets {
 		unix.Close(fd)
 	}
 	r.inheritedSockets = nil
 }
 
-// inherit listens by the first process's socket, if it has one at that address.
-func (r *relay) inherit(front, addr string, accept func(*netloop.Conn)) (*netloop.Listener, error) {
+// inheritOrListen listens by the first process's socket, if it has one at that address.
+func (r *relay) inheritOrListen(front, addr string, accept func(*netloop.Conn)) (*netloop.Listener, error) {
 	fd, ok := r.inheritedSockets[front]
 	delete(r.inheritedSockets, front)
 	if !ok {
-		return r.listenAnew(addr, accept)
+		return r.listenOnNewSocket(addr, accept)
 	}
 	if !netloop.ListensAt(fd, addr) {
 		unix.Close(fd)
-		return r.listenAnew(addr, accept)
+		return r.listenOnNewSocket(addr, accept)
 	}
 	l, err := r.loop.Inherit(fd, accept)
 	if err == nil {
@@ -408,7 +408,7 @@
 	return l, err
 }
 
-// listenAnew listens by a socket of this process's own.
-func (r *relay) listenAnew(addr string, accept func(*netloop.Conn)) (*netloop.Listener, error) {
-	return r.insist(func() (*netloop.Listener, error) { return r.loop.Listen(addr, accept) })
+// listenOnNewSocket listens by a socket of this process's own.
+func (r *relay) listenOnNewSocket(addr string, accept func(*netloop.Conn)) (*netloop.Listener, error) {
+	return r.listenWithRetry(func() (*netloop.Listener, error) { return r.loop.Listen(addr, accept) })
 }
