--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -49,12 +49,12 @@
 	if set.Zone >= 0 && set.Zone < len(set.Zones) {
 		zone = string(set.Zones[set.Zone])
 	}
-	r.trial, r.configDigests = newTrial(r), r.cfg.Sections()
+	r.trial, r.configDigests = newCanaryTrial(r), r.cfg.Sections()
 	var err error
 	r.fleet, err = fleet.Start(fleet.Options{Config: c, Name: r.cfg.Name, Zone: zone, Start: r.peers.Start(), Program: program,
 		Settings: r.cfg.Digest(), Keys: r.cfg.Peers.Keys(), ColdFrom: set.Guarantees.ColdFrom, ColdFor: settings.Span(set.Guarantees.Cold),
 		Wall: steadyWall(), Log: r.log, Post: r.loop.Post, Look: r.fleetStatus, Follow: r.applyOrders,
-		Pause: r.pauseTrial})
+		Pause: r.pauseCanary})
 	if err != nil {
 		return err
 	}
@@ -130,7 +130,7 @@
 		}
 		l.Members = append(l.Members, p)
 	}
-	l.Weighs, l.Counts = r.trial.weighs, r.trial.counts()
+	l.Weighs, l.Counts = r.trial.appliedVersion, r.trial.counts()
 	for _, p := range r.peers.Known() {
 		l.Peers = append(l.Peers, fleet.Peer{Name: p.Name, Zone: p.Zone, Alive: p.State <= gossip.Suspect, Gone: p.State >= gossip.Gone,
 			Serving: p.Phase == gossip.Serving, Incarnation: p.Incarnation})
@@ -141,7 +141,7 @@
 // applyOrders does what was agreed.
 func (r *relay) applyOrders(o fleet.Orders) {
 	version := o.Version
-	r.trial.agreed(o)
+	r.trial.applyOrders(o)
 	out := map[string]core.Leaving{}
 	for name, i := range o.Out {
 		out[name] = core.Leaving{Over: time.Duration(i.MoveOver) * time.Millisecond, Ban: i.Why == rollout.Ban}
--- a/cmd/dahliarudder/meet.go
+++ b/cmd/dahliarudder/meet.go
@@ -39,7 +39,7 @@
 	}
 	r.peers = gossiptransport.New(gossiptransport.Options{Seen: func() gossip.Digest { return book.Digest(r.clock()) }, Loop: r.loop, Log: r.log, Name: r.cfg.Name, Zone: zone, Listen: p.Listen, Address: p.Address,
 		Known: known, Reach: p.Reach, Keys: p.Keys(), Configured: max(set.Balancers, 1), Seed: r.cfg.SeedNumber(), Wall: wallClock,
-		Share: r.core.Relays, Noted: func(_ string, note []byte) { r.trial.noted(note) }, Ahead: func() {
+		Share: r.core.Relays, Noted: func(_ string, note []byte) { r.trial.onNotices(note) }, Ahead: func() {
 			r.log.Warn("other relays hold a newer list; members are asked for anew")
 			r.watch.Refresh(func() {})
 		},
--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -179,7 +179,7 @@
 	closeOrder        uint64                   // the number of the order by which it takes no clients; 0: it takes them
 	configDigests     map[string]string        // digests of the configuration that it runs
 	reloadError       string                   // why it did not take the file that it last read; "" if it did
-	trial             *trial                   // of canaries; nil without a fleet
+	trial             *canaryTrial             // of canaries; nil without a fleet
 	drainedByOperator bool                     // by an operator
 	shutdownOrder     *shutdownOrder           // it was told to leave; nil if not
 	exitOrdered       bool                     // it ends because it was told to
