--- a/integration/asleep_test.go
+++ b/integration/asleep_test.go
@@ -21,7 +21,7 @@
 	s.cmd.Process.Signal(syscall.SIGSTOP)
 	time.Sleep(4500 * time.Millisecond) // the call that was out has its answer
 	for _, b := range s.backends[1:] {
-		s.d.Set(b.id, "DRAINING")
+		s.d.SetLifecycle(b.id, "DRAINING")
 	}
 	before := make([]int, len(s.backends))
 	for i, b := range s.backends {
--- a/integration/crossing_full_test.go
+++ b/integration/crossing_full_test.go
@@ -19,7 +19,7 @@
 func (s *site) returns(stands *client, b *backend) {
 	s.t.Helper()
 	s.d.SetDown(false)
-	s.d.Set(b.id, "DRAINING")
+	s.d.SetLifecycle(b.id, "DRAINING")
 	stands.want("MOVE")
 }
 
--- a/integration/crossing_rig_test.go
+++ b/integration/crossing_rig_test.go
@@ -37,7 +37,7 @@
 	t       testing.TB
 	id      string
 	addr    string
-	tries   *fakes.Tries
+	tries   *fakes.AttemptCounter
 	arrived chan *attempt
 
 	mu    sync.Mutex
@@ -61,7 +61,7 @@
 	over   func()
 }
 
-func newScriptedMember(t testing.TB, id string, tries *fakes.Tries) *scriptedMember {
+func newScriptedMember(t testing.TB, id string, tries *fakes.AttemptCounter) *scriptedMember {
 	m := &scriptedMember{t: t, id: id, tries: tries, arrived: make(chan *attempt, arrivalsMost)}
 	m.addr = listen(t, m.serve).Addr().String()
 	return m
@@ -179,10 +179,10 @@
 	*relay
 	d       *discovery
 	members []*scriptedMember
-	tries   *fakes.Tries
+	tries   *fakes.AttemptCounter
 }
 
-func newMembers(t testing.TB, n int, tries *fakes.Tries) (members []*scriptedMember, list []member) {
+func newMembers(t testing.TB, n int, tries *fakes.AttemptCounter) (members []*scriptedMember, list []member) {
 	for i := range n {
 		m := newScriptedMember(t, fmt.Sprintf("s-%08x", 0x5be2a000+i*0x01234567), tries)
 		members, list = append(members, m), append(list, m.entry())
@@ -192,7 +192,7 @@
 
 func newCrossing(t *testing.T, members int, more map[string]any) *crossing {
 	t.Helper()
-	s := &crossing{tries: fakes.NewTries()}
+	s := &crossing{tries: fakes.NewAttemptCounter()}
 	var list []member
 	s.members, list = newMembers(t, members, s.tries)
 	s.d = newDiscovery(t, list...)
@@ -285,7 +285,7 @@
 
 func (s *crossing) checkTries() {
 	s.t.Helper()
-	for _, broken := range s.tries.Broken() {
+	for _, broken := range s.tries.Violations() {
 		s.t.Error(broken)
 	}
 }
--- a/integration/crossing_stop_test.go
+++ b/integration/crossing_stop_test.go
@@ -278,7 +278,7 @@
 	for what, leave := range clientEnds {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			tries := fakes.NewTries()
+			tries := fakes.NewAttemptCounter()
 			members, list := newMembers(t, 1, tries)
 			shut := newDoor(t, members[0].serve)
 			list[0].Addr = shut.addr()
--- a/integration/crossing_upgrade_test.go
+++ b/integration/crossing_upgrade_test.go
@@ -150,7 +150,7 @@
 			next := s.successor(2)
 			since := s.passes(next)
 			for _, m := range s.members {
-				s.d.Set(m.id, lifecycle)
+				s.d.SetLifecycle(m.id, lifecycle)
 			}
 			next.thaw()
 			moved(clients...)
@@ -182,7 +182,7 @@
 	s := newCrossing(t, 2, map[string]any{"operator": "127.0.0.1:0"})
 	for _, m := range s.members {
 		m.answers(true)
-		s.d.Set(m.id, "DRAINING")
+		s.d.SetLifecycle(m.id, "DRAINING")
 	}
 	until(t, "no member", func() bool { return s.call("GET", "/-/ready") == 503 })
 	quiet, half, asks, front := s.dial(), s.dial(), s.dial(), s.dial()
@@ -195,7 +195,7 @@
 	s.freeze()
 	before := s.socketOf()
 	for _, m := range s.members {
-		s.d.Set(m.id, "SERVING")
+		s.d.SetLifecycle(m.id, "SERVING")
 	}
 	until(t, "the successor's beginning", func() bool { now := s.socketOf(); return now != 0 && now != before })
 	next.freeze()
@@ -242,7 +242,7 @@
 	s := newCrossing(t, 8, map[string]any{"operator": "127.0.0.1:0"})
 	for _, m := range s.members {
 		m.answers(true)
-		s.d.Set(m.id, "DRAINING")
+		s.d.SetLifecycle(m.id, "DRAINING")
 	}
 	until(t, "no member", func() bool { return s.call("GET", "/-/ready") == 503 })
 	var all []*client
@@ -257,7 +257,7 @@
 	s.freeze()
 	before := s.socketOf()
 	for _, m := range s.members {
-		s.d.Set(m.id, "SERVING")
+		s.d.SetLifecycle(m.id, "SERVING")
 	}
 	until(t, "the successor's beginning", func() bool { now := s.socketOf(); return now != 0 && now != before })
 	next.freeze()
--- a/integration/crossing_waiting_test.go
+++ b/integration/crossing_waiting_test.go
@@ -21,14 +21,14 @@
 			c := s.dial()
 			c.say("PING")
 			c.want("PONG")
-			s.d.SetLate(patience) // the relay is to be sure only after the grace
+			s.d.SetAnswerDelay(patience) // the relay is to be sure only after the grace
 			s.freeze()
 			time.Sleep(doubtAfter) // its clock goes on; that is the event
 			c.say(firstLine(1, 2900*time.Millisecond))
 			s.thaw()
 			s.logged("this process stood still")
 			leave(c)
-			s.d.SetLate(0)
+			s.d.SetAnswerDelay(0)
 			s.fence(2)
 			s.settled(before)
 			s.gone(s.terminate())
--- a/integration/crossing_watch_test.go
+++ b/integration/crossing_watch_test.go
@@ -188,7 +188,7 @@
 // watchSite is a relay whose members take all, and discovery by script.
 func watchSite(t *testing.T) (*crossing, *scriptedDiscovery) {
 	t.Helper()
-	s := &crossing{tries: fakes.NewTries()}
+	s := &crossing{tries: fakes.NewAttemptCounter()}
 	var list []member
 	s.members, list = newMembers(t, 2, s.tries)
 	for _, m := range s.members {
--- a/integration/fleet_test.go
+++ b/integration/fleet_test.go
@@ -29,7 +29,7 @@
 	relays  []*relay
 	conf    []string
 	listen  []string // of the record
-	pipes   [][]*fakes.Pipe
+	pipes   [][]*fakes.TCPProxy
 	groups  int // of flows that were opened
 }
 
@@ -60,12 +60,12 @@
 	}
 	for i := range n {
 		reach := map[string]string{}
-		row := make([]*fakes.Pipe, n)
+		row := make([]*fakes.TCPProxy, n)
 		for j := range min(n, 2*voters) { // those who vote, and as many that may take their place
 			if i == j {
 				continue
 			}
-			p, err := fakes.NewPipe(f.listen[j])
+			p, err := fakes.NewTCPProxy(f.listen[j])
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -332,11 +332,11 @@
 
 // apart cuts a relay's record off from all others, or brings it back.
 func (f *fleetRig) apart(i int, on bool) {
-	way := fakes.Rough{Cut: on}
+	way := fakes.Impairment{Cut: on}
 	for from, row := range f.pipes {
 		for to, p := range row {
 			if p != nil && (from == i || to == i) {
-				p.Set(way, way)
+				p.SetImpairment(way, way)
 			}
 		}
 	}
@@ -420,7 +420,7 @@
 	if n := before["s0"]; n < 18 || n > 60 {
 		t.Errorf("%d of 120 flows at an arm that is to get three in ten", n)
 	}
-	f.members[0].Set(fakes.ModeErr)
+	f.members[0].SetMode(fakes.ModeErr)
 	n := 120
 	var all json.RawMessage
 	t.Cleanup(func() {
--- a/integration/line_test.go
+++ b/integration/line_test.go
@@ -19,12 +19,12 @@
 	*relay
 	d        *discovery
 	backends []*backend
-	tries    *fakes.Tries
+	tries    *fakes.AttemptCounter
 }
 
 func newSite(t *testing.T, members int, more map[string]any) *site {
 	t.Helper()
-	s := &site{tries: fakes.NewTries()}
+	s := &site{tries: fakes.NewAttemptCounter()}
 	var list []member
 	for i := range members {
 		b := newBackend(t, fmt.Sprintf("s-%08x", 0x5be2a000+i*0x01234567), s.tries)
@@ -102,8 +102,8 @@
 	for _, mode := range []string{"busy", "err", "reset"} {
 		t.Run(mode, func(t *testing.T) {
 			s := newSite(t, 3, nil)
-			s.backends[0].Set(mode)
-			s.backends[1].Set(mode)
+			s.backends[0].SetMode(mode)
+			s.backends[1].SetMode(mode)
 			answers := map[string]int{}
 			for n := range 12 {
 				c := s.open(n, "")
@@ -128,7 +128,7 @@
 func TestAllBad(t *testing.T) {
 	s := newSite(t, 2, nil)
 	for _, b := range s.backends {
-		b.Set("err")
+		b.SetMode("err")
 	}
 	c := s.open(1, "")
 	if answer := c.line(); !strings.HasPrefix(answer, "BUSY") && answer != "ERR" {
@@ -143,7 +143,7 @@
 func TestSilentMember(t *testing.T) {
 	s := newSite(t, 2, nil)
 	for _, b := range s.backends {
-		b.Set("silent")
+		b.SetMode("silent")
 	}
 	c := s.open(1, "")
 	if answer := c.line(); !strings.HasPrefix(answer, "BUSY") && answer != "ERR" {
@@ -166,12 +166,12 @@
 	for b := range held {
 		leaving = b
 	}
-	s.d.Set(leaving.id, "DRAINING")
+	s.d.SetLifecycle(leaving.id, "DRAINING")
 	for _, c := range held[leaving] {
 		c.want("MOVE")
 		c.want(io.EOF.Error())
 	}
-	until(t, "the member to be left", func() bool { return leaving.Holds() == 0 })
+	until(t, "the member to be left", func() bool { return leaving.OpenFlows() == 0 })
 	for n := range 12 {
 		c := s.open(100+n, "")
 		if b := s.holder(c.want("UP ")); b == leaving {
@@ -233,22 +233,22 @@
 	c := s.open(1, "")
 	c.want("UP ")
 	c.Conn.(*net.TCPConn).CloseWrite()
-	until(t, "the member's end", func() bool { return b.Holds() == 0 })
+	until(t, "the member's end", func() bool { return b.OpenFlows() == 0 })
 	c = s.open(2, "")
 	c.want("UP ")
-	b.Each(func(m net.Conn) { m.(*net.TCPConn).SetLinger(0); m.Close() })
+	b.EachConnection(func(m net.Conn) { m.(*net.TCPConn).SetLinger(0); m.Close() })
 	if end := c.line(); !strings.Contains(end, "reset") {
 		t.Errorf("a member's reset reached the client as %q", end)
 	}
 	c = s.open(3, "")
 	c.want("UP ")
-	b.Each(func(m net.Conn) { m.(*net.TCPConn).CloseWrite() })
+	b.EachConnection(func(m net.Conn) { m.(*net.TCPConn).CloseWrite() })
 	c.want(io.EOF.Error())
 	c = s.open(4, "")
 	c.want("UP ")
 	c.Conn.(*net.TCPConn).SetLinger(0)
 	c.Close()
-	until(t, "the member's end", func() bool { return b.Holds() == 0 })
+	until(t, "the member's end", func() bool { return b.OpenFlows() == 0 })
 	s.stop()
 }
 
@@ -262,7 +262,7 @@
 	c := s.open(1, "")
 	b := s.holder(c.want("UP "))
 	s.d.SetDown(false)
-	s.d.Set(b.id, "DRAINING")
+	s.d.SetLifecycle(b.id, "DRAINING")
 	c.want("MOVE")
 	s.open(2, "").want("UP ")
 	s.stop()
@@ -304,7 +304,7 @@
 			t.Error("sent to a member that the new address says is draining")
 		}
 	}
-	next.Set(b.id, "DRAINING")
+	next.SetLifecycle(b.id, "DRAINING")
 	c.want("MOVE")
 	s.reload(next.addr, silent.Addr().String())
 	s.logged("read again")
@@ -401,7 +401,7 @@
 	for _, c := range clients {
 		c.Close()
 	}
-	until(t, "the flows' end", func() bool { return s.backends[0].Holds() == 0 })
+	until(t, "the flows' end", func() bool { return s.backends[0].OpenFlows() == 0 })
 	n := 1000
 	until(t, "room", func() bool { n++; return strings.HasPrefix(s.open(n, "").line(), "UP ") })
 	s.stop()
--- a/integration/nats_bench_test.go
+++ b/integration/nats_bench_test.go
@@ -19,7 +19,7 @@
 // ways are the two that every figure is taken by in one run: to the nodes directly, and through
 // the relay before the same nodes.
 func ways(b *testing.B, run func(b *testing.B, url string, r *relay)) {
-	k, err := fakes.NewCluster(3)
+	k, err := fakes.NewNATSCluster(3)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -157,7 +157,7 @@
 func BenchmarkNATSIdle(b *testing.B) {
 	for _, clients := range []int{1000, 7000} {
 		b.Run(strconv.Itoa(clients), func(b *testing.B) {
-			k, err := fakes.NewCluster(3)
+			k, err := fakes.NewNATSCluster(3)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/integration/nats_chaos_test.go
+++ b/integration/nats_chaos_test.go
@@ -86,13 +86,13 @@
 					o.Kill()
 					undo = func() { until(t, "a restart", func() bool { return o.Restart() == nil }) }
 				case 1:
-					d.Set(o.ID, "DRAINING")
-					undo = func() { d.Set(o.ID, "SERVING") }
+					d.SetLifecycle(o.ID, "DRAINING")
+					undo = func() { d.SetLifecycle(o.ID, "SERVING") }
 				case 2, 3, 4:
-					o.Set([]fakes.Mode{fakes.Refuses, fakes.Resets, fakes.Silent}[rng.IntN(3)])
-					undo = func() { o.Set(fakes.Works) }
+					o.SetMode([]fakes.NodeMode{fakes.NodeRefuses, fakes.NodeResets, fakes.NodeSilent}[rng.IntN(3)])
+					undo = func() { o.SetMode(fakes.NodeHealthy) }
 				case 5:
-					o.DropAll()
+					o.ResetConnections()
 				}
 				for i, c := range all {
 					for range rng.IntN(burst) {
@@ -111,7 +111,7 @@
 				flush(t, c) // every publication before it has its answer
 				total += sent[i]
 			}
-			for _, broken := range k.Tries.Broken() {
+			for _, broken := range k.Attempts.Violations() {
 				t.Error(broken)
 			}
 			led.mu.Lock()
@@ -201,7 +201,7 @@
 func TestNATSDrainUnderLoad(t *testing.T) {
 	const allowance, many = 3 * time.Second, 60
 	k := newCluster(t, 3)
-	k.Tries = nil
+	k.Attempts = nil
 	d := newDiscovery(t, natsMembers(k)...)
 	r := start(t, configure(t, d, map[string]any{"fronts": map[string]any{"nats": map[string]any{"listen": "127.0.0.1:0",
 		"class": "pay-status", "tenant": "water"}}}), 1)
@@ -227,7 +227,7 @@
 		}
 	}()
 	for at, o := range k.Nodes {
-		d.Set(o.ID, "DRAINING")
+		d.SetLifecycle(o.ID, "DRAINING")
 		began, last := time.Now(), ""
 		for {
 			held, left := map[int]int{}, 0
@@ -254,7 +254,7 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 		t.Logf("node %d is left after %v", at, time.Since(began))
-		d.Set(o.ID, "SERVING")
+		d.SetLifecycle(o.ID, "SERVING")
 	}
 	close(stop)
 	<-done
@@ -264,7 +264,7 @@
 // connects to the second process, its subscription stands there and its publications arrive.
 func TestNATSUpgrade(t *testing.T) {
 	k := newCluster(t, 2)
-	k.Tries = nil
+	k.Attempts = nil
 	d := newDiscovery(t, natsMembers(k)...)
 	r := start(t, configure(t, d, map[string]any{"operator": "127.0.0.1:0", "fronts": map[string]any{"nats": map[string]any{"listen": "127.0.0.1:0",
 		"class": "pay-status", "tenant": "water"}}}), 2)
--- a/integration/nats_conformance_own_test.go
+++ b/integration/nats_conformance_own_test.go
@@ -319,7 +319,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		k, err := fakes.NewCluster(2)
+		k, err := fakes.NewNATSCluster(2)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -327,7 +327,7 @@
 		var mu sync.Mutex
 		names := map[string]bool{}
 		k.TLS = &tls.Config{Certificates: []tls.Certificate{pair}}
-		k.Login = func(connect map[string]any) bool {
+		k.Authorize = func(connect map[string]any) bool {
 			mu.Lock()
 			defer mu.Unlock()
 			names[fmt.Sprint(connect["user"], connect["pass"], connect["sig"])] = true
--- a/integration/nats_conformance_test.go
+++ b/integration/nats_conformance_test.go
@@ -27,7 +27,7 @@
 // confSite is a relay with small limits before three nodes.
 type confSite struct {
 	*relay
-	k *fakes.Cluster
+	k *fakes.NATSCluster
 	d *discovery
 }
 
@@ -36,7 +36,7 @@
 
 func newConfSite(t *testing.T, front map[string]any) *confSite {
 	s := &confSite{k: newCluster(t, 3)}
-	s.k.Tries = nil // payloads repeat
+	s.k.Attempts = nil // payloads repeat
 	s.d = newDiscovery(t, natsMembers(s.k)...)
 	set := map[string]any{"listen": "127.0.0.1:0", "class": "pay-status", "tenant": "water", "max_payload": 65536,
 		"max_subscriptions": 20, "connect_urls": []string{"127.0.0.1:4999"}}
@@ -100,12 +100,12 @@
 		t.Fatal("no node holds the subscription")
 	}
 	id := s.k.Nodes[at].ID
-	s.d.Set(id, "DRAINING")
+	s.d.SetLifecycle(id, "DRAINING")
 	until(t, "the move", func() bool {
 		n := s.k.Subscriptions(subject)
 		return n[at] == 0 && slices.Max(n) > 0
 	})
-	s.d.Set(id, "SERVING")
+	s.d.SetLifecycle(id, "SERVING")
 }
 
 const headersOn = `"headers":true,"no_responders":true`
@@ -142,7 +142,7 @@
 		k := s.k.Nodes[0]
 		k.SetInfo(map[string]any{"jetstream": true, "max_payload": 4096})
 		defer k.SetInfo(nil)
-		k.DropAll() // who connects again hears it
+		k.ResetConnections() // who connects again hears it
 		d := s.raw(t, "")
 		for i := range 9 { // some flow comes to that node in time
 			d.says(fmt.Sprintf("SUB again.%d %d", i, i+1), "PING")
@@ -444,10 +444,10 @@
 		c.says("SUB torn 1", "PING")
 		c.gets("PONG")
 		at := slices.IndexFunc(s.k.Subscriptions("torn"), func(n int) bool { return n > 0 })
-		s.k.Nodes[at].Set(fakes.Cuts)
+		s.k.Nodes[at].SetMode(fakes.NodeTruncates)
 		p.says("PUB torn 5", "first", "PING")
 		p.gets("PONG")
-		s.k.Nodes[at].Set(fakes.Works)
+		s.k.Nodes[at].SetMode(fakes.NodeHealthy)
 		stop := make(chan bool)
 		go func() { // some of these come before it has a place again, perhaps at the same node
 			for range time.Tick(20 * time.Millisecond) {
--- a/integration/nats_load_test.go
+++ b/integration/nats_load_test.go
@@ -22,7 +22,7 @@
 
 // natsRelay starts a relay with the NATS front alone, set up so, before a cluster that counts
 // nothing and reports no load.
-func natsRelay(t testing.TB, k *fakes.Cluster, front map[string]any) *relay {
+func natsRelay(t testing.TB, k *fakes.NATSCluster, front map[string]any) *relay {
 	t.Helper()
 	d := newDiscovery(t, natsMembers(k)...)
 	set := map[string]any{"listen": "127.0.0.1:0", "class": "pay-status", "tenant": "water"}
@@ -73,7 +73,7 @@
 			if refused > 0 {
 				t.Errorf("%d of %d refused", refused, many)
 			}
-			checkTries(t, k.Tries)
+			checkTries(t, k.Attempts)
 		})
 	}
 }
--- a/integration/nats_test.go
+++ b/integration/nats_test.go
@@ -21,7 +21,7 @@
 // natsSite is a relay with its NATS front on, before a cluster.
 type natsSite struct {
 	*relay
-	k  *fakes.Cluster
+	k  *fakes.NATSCluster
 	d  *discovery
 	db string
 }
@@ -128,7 +128,7 @@
 	if err := b.Publish("status.big", make([]byte, 70000)); !errors.Is(err, nats.ErrMaxPayload) {
 		t.Errorf("a payload over the limit: %v", err)
 	}
-	checkTries(t, s.k.Tries)
+	checkTries(t, s.k.Attempts)
 	s.stop()
 }
 
@@ -154,7 +154,7 @@
 			leaving = i
 		}
 	}
-	s.d.Set(s.k.Nodes[leaving].ID, "DRAINING")
+	s.d.SetLifecycle(s.k.Nodes[leaving].ID, "DRAINING")
 	until(t, "the move", func() bool {
 		held := s.k.Subscriptions("feed")
 		return held[leaving] == 0 && sum(held) == 8
@@ -170,7 +170,7 @@
 	}
 	c.Close()
 	p.Close()
-	checkTries(t, s.k.Tries)
+	checkTries(t, s.k.Attempts)
 	s.stop()
 	s.record(map[string]int{"served": 8 + 1}) // the record also holds the moved ones
 }
@@ -214,15 +214,15 @@
 // TestNATSRetry: a publication that a node refuses at once is tried elsewhere, and
 // never has two attempts out; each has one final answer.
 func TestNATSRetry(t *testing.T) {
-	for name, mode := range map[string]fakes.Mode{"err": fakes.Refuses, "silent": fakes.Silent, "reset": fakes.Resets} {
+	for name, mode := range map[string]fakes.NodeMode{"err": fakes.NodeRefuses, "silent": fakes.NodeSilent, "reset": fakes.NodeResets} {
 		t.Run(name, func(t *testing.T) {
 			s := newNATSSite(t, 3)
 			c := s.connect()
 			c.Publish("job.first", []byte("first"))
 			s.flush(c)
 			for _, n := range s.k.Nodes { // the feed stands here
-				if n.Taken() > 0 {
-					n.Set(mode)
+				if n.Published() > 0 {
+					n.SetMode(mode)
 				}
 			}
 			const jobs = 12
@@ -232,7 +232,7 @@
 				}
 			}
 			s.flush(c)
-			checkTries(t, s.k.Tries)
+			checkTries(t, s.k.Attempts)
 			c.Close()
 			s.stop()
 			s.record(map[string]int{"served": 1})
@@ -316,7 +316,7 @@
 	if v := report(open, "up"); v.Verdict != "up" {
 		t.Errorf("verdict %+v", v)
 	}
-	s.d.Set(open.Member, "DRAINING")
+	s.d.SetLifecycle(open.Member, "DRAINING")
 	next := func(want string) {
 		t.Helper()
 		m := must[*nats.Msg](t)(control.NextMsg(patience))
@@ -475,29 +475,29 @@
 // TestNATSLeft: publications of a client that goes while they are out, or wait for a place, are not tried again; those of
 // others are.
 func TestNATSLeft(t *testing.T) {
-	for what, mode := range map[string]fakes.Mode{"out at a silent node": fakes.Silent, "refused by a node": fakes.Refuses, "reset by a node": fakes.Resets} {
+	for what, mode := range map[string]fakes.NodeMode{"out at a silent node": fakes.NodeSilent, "refused by a node": fakes.NodeRefuses, "reset by a node": fakes.NodeResets} {
 		t.Run(what, func(t *testing.T) {
 			k := newCluster(t, 2)
 			r := natsRelay(t, k, nil)
 			for _, o := range k.Nodes {
-				o.Set(mode)
+				o.SetMode(mode)
 			}
 			c := r.natsDial()
 			c.want("INFO ")
 			c.say("CONNECT {}\r\nPUB s 7\r\nleaving")
 			taken := func() (n int) {
 				for _, o := range k.Nodes {
-					n += o.Taken()
+					n += o.Published()
 				}
 				return n
 			}
 			until(t, "the first attempt", func() bool { return taken() > 0 })
 			c.Conn.(*net.TCPConn).SetLinger(0)
 			c.Close()
-			until(t, "the end of its links", func() bool { return k.Nodes[0].Conns()+k.Nodes[1].Conns() == 0 })
+			until(t, "the end of its links", func() bool { return k.Nodes[0].Connections()+k.Nodes[1].Connections() == 0 })
 			before := taken()
 			for _, o := range k.Nodes {
-				o.Set(fakes.Works)
+				o.SetMode(fakes.NodeHealthy)
 			}
 			other := r.natsDial() // what it says is taken after all that was under way
 			other.want("INFO ")
@@ -506,7 +506,7 @@
 			if n := taken() - before; n != 1 {
 				t.Errorf("%d publications after the client had gone, one of them another's", n)
 			}
-			for _, broken := range k.Tries.Broken() {
+			for _, broken := range k.Attempts.Violations() {
 				t.Error(broken)
 			}
 		})
--- a/integration/peers_test.go
+++ b/integration/peers_test.go
@@ -25,7 +25,7 @@
 	d      *discovery
 	relays []*relay
 	conf   []string
-	links  [][]*fakes.Link // from, to
+	links  [][]*fakes.UDPProxy // from, to
 	addrs  []string
 }
 
@@ -40,17 +40,17 @@
 	}
 	for i := range n {
 		reach := map[string]string{}
-		row := make([]*fakes.Link, n)
+		row := make([]*fakes.UDPProxy, n)
 		for j := range n {
 			if !linked || i == j {
 				continue
 			}
-			l, err := fakes.NewLink(uint64(i*n + j))
+			l, err := fakes.NewUDPProxy(uint64(i*n + j))
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(l.Close)
-			if err := l.To(c.addrs[j]); err != nil {
+			if err := l.SetTarget(c.addrs[j]); err != nil {
 				t.Fatal(err)
 			}
 			row[j] = l
@@ -137,7 +137,7 @@
 	for i, row := range c.links {
 		for j, l := range row {
 			if l != nil && (i < side && j >= side || both && i >= side && j < side) {
-				l.Cut(on)
+				l.SetCut(on)
 			}
 		}
 	}
@@ -203,7 +203,7 @@
 	for _, row := range c.links {
 		for _, l := range row {
 			if l != nil {
-				l.Rough(0.3, 0.2, 50*time.Millisecond, 400*time.Millisecond)
+				l.SetImpairment(0.3, 0.2, 50*time.Millisecond, 400*time.Millisecond)
 			}
 		}
 	}
@@ -211,7 +211,7 @@
 	for _, row := range c.links {
 		for _, l := range row {
 			if l != nil {
-				l.Rough(0, 0, 0, 0)
+				l.SetImpairment(0, 0, 0, 0)
 			}
 		}
 	}
@@ -287,8 +287,8 @@
 // TestPeersSeen: what one relay sees of its members reaches the others.
 func TestPeersSeen(t *testing.T) {
 	c := newCircle(t, 2, false)
-	b := newBackend(t, "s-5be2a000", fakes.NewTries())
-	b.Set(fakes.ModeErr)
+	b := newBackend(t, "s-5be2a000", fakes.NewAttemptCounter())
+	b.SetMode(fakes.ModeErr)
 	c.d.Put(b.member())
 	until(t, "n1 to hear what n0 saw", func() bool {
 		c.relays[0].open(int(time.Now().UnixNano()&0xffffff), "").line()
@@ -306,10 +306,10 @@
 // newer list, asks anew, and sends nothing more to the member that drains, seconds before its own call would have been given up.
 func TestPeersStale(t *testing.T) {
 	c := newCircle(t, 3, false)
-	a, b := newBackend(t, "s-5be2a000", fakes.NewTries()), newBackend(t, "s-5be2a001", fakes.NewTries())
+	a, b := newBackend(t, "s-5be2a000", fakes.NewAttemptCounter()), newBackend(t, "s-5be2a001", fakes.NewAttemptCounter())
 	c.d.Put(a.member())
 	c.d.Put(b.member())
-	pipe, err := fakes.NewPipe(c.d.addr)
+	pipe, err := fakes.NewTCPProxy(c.d.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -320,7 +320,7 @@
 	until(t, "the list", func() bool { return generation(0) == 3 && generation(1) == 3 && generation(2) == 3 })
 	time.Sleep(200 * time.Millisecond) // the next call is out
 	pipe.Stall()
-	c.d.Set(b.id, "DRAINING")
+	c.d.SetLifecycle(b.id, "DRAINING")
 	until(t, "n0 to hold what the others hold", func() bool { time.Sleep(50 * time.Millisecond); return generation(0) == 4 })
 	c.relays[0].logged("other relays hold a newer list")
 	if strings.Contains(c.relays[0].log.String(), "no answer in time") {
--- a/integration/pushed_test.go
+++ b/integration/pushed_test.go
@@ -19,14 +19,14 @@
 	t.Helper()
 	s := &crossing{}
 	var list []member
-	s.members, list = newMembers(t, 2, fakes.NewTries())
+	s.members, list = newMembers(t, 2, fakes.NewAttemptCounter())
 	s.tries = s.members[0].tries
 	for _, m := range s.members {
 		m.answers(true)
 	}
 	s.d = newDiscovery(t, list...)
 	config := configure(t, s.d, map[string]any{"settings": pushedText})
-	s.d.Set(s.members[0].id, lifecycle)
+	s.d.SetLifecycle(s.members[0].id, lifecycle)
 	s.relay = start(t, config, 1)
 	return s
 }
@@ -58,7 +58,7 @@
 		t.Parallel()
 		s := newPushed(t, "SERVING")
 		until(t, "a watch", func() bool { return s.d.Calls() > 1 })
-		s.d.Set(s.members[0].id, "DRAINING")
+		s.d.SetLifecycle(s.members[0].id, "DRAINING")
 		s.avoids(100)
 	})
 	t.Run("after an outage", func(t *testing.T) {
@@ -68,7 +68,7 @@
 		s.d.SetDown(true)
 		calls := s.d.Calls()
 		until(t, "failures in a row", func() bool { return s.d.Calls() > calls+8 })
-		s.d.Set(s.members[0].id, "DRAINING")
+		s.d.SetLifecycle(s.members[0].id, "DRAINING")
 		s.d.SetDown(false)
 		s.avoids(100)
 	})
--- a/integration/ready_test.go
+++ b/integration/ready_test.go
@@ -17,8 +17,8 @@
 	t.Parallel()
 	for what, trouble := range map[string]func(t *testing.T, d *discovery, dir string){
 		"down":  func(_ *testing.T, d *discovery, _ string) { d.SetDown(true) },
-		"slow":  func(_ *testing.T, d *discovery, _ string) { d.SetLate(2 * time.Second) },
-		"mute":  func(_ *testing.T, d *discovery, _ string) { d.SetLate(time.Hour) },
+		"slow":  func(_ *testing.T, d *discovery, _ string) { d.SetAnswerDelay(2 * time.Second) },
+		"mute":  func(_ *testing.T, d *discovery, _ string) { d.SetAnswerDelay(time.Hour) },
 		"gone":  func(_ *testing.T, d *discovery, _ string) { d.Close() },
 		"state": func(t *testing.T, _ *discovery, dir string) { write(t, filepath.Join(dir, "snapshot"), "half of one") },
 	} {
--- a/integration/rig_test.go
+++ b/integration/rig_test.go
@@ -165,9 +165,9 @@
 	id string
 }
 
-func newBackend(t *testing.T, id string, c *fakes.Tries) *backend {
+func newBackend(t *testing.T, id string, c *fakes.AttemptCounter) *backend {
 	b := &backend{fakes.NewMember(id), id}
-	b.Tries = c
+	b.Attempts = c
 	if _, err := b.Open(""); err != nil {
 		t.Fatal(err)
 	}
@@ -237,7 +237,7 @@
 func configure(t testing.TB, d *discovery, more map[string]any) string {
 	t.Helper()
 	c := map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": d.addr, "seed": "8c1f30d27a5be964",
-		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "known": d.Known(nil),
+		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 1024}, "known": d.Snapshot(nil),
 		"settings": json.RawMessage(settingsText)}
 	for k, v := range more {
 		c[k] = v
--- a/integration/store_test.go
+++ b/integration/store_test.go
@@ -12,7 +12,7 @@
 func TestPostgres(t *testing.T) {
 	p := newPostgres(t)
 	s := newSite(t, 3, map[string]any{"store": map[string]any{"driver": "postgres", "dsn": p.dsn()}})
-	s.backends[0].Set("err")
+	s.backends[0].SetMode("err")
 	for n := range 10 {
 		c := s.open(n, "")
 		if answer := c.line(); strings.HasPrefix(answer, "UP ") {
--- a/integration/syscalls_test.go
+++ b/integration/syscalls_test.go
@@ -32,7 +32,7 @@
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
 			const members, before, amid, after = 3, 6, 12, 6
-			tries := fakes.NewTries()
+			tries := fakes.NewAttemptCounter()
 			var list []member
 			var all []*backend
 			for i := range members {
@@ -67,7 +67,7 @@
 			until(t, "room at the members", func() bool {
 				held := 0
 				for _, b := range all {
-					held += b.Holds()
+					held += b.OpenFlows()
 				}
 				return held == before
 			})
@@ -92,7 +92,7 @@
 				c.Close()
 			}
 			r.settled(held)
-			for _, broken := range tries.Broken() {
+			for _, broken := range tries.Violations() {
 				t.Error(broken)
 			}
 		})
--- a/internal/fakes/tries.go
+++ b/internal/fakes/attempt_counter.go
@@ -9,31 +9,33 @@
 	"golang.org/x/sys/unix"
 )
 
-// Tries counts the attempts of each request over all pool members.
-type Tries struct {
+// Attempts counts the attempts of each request over all pool members.
+type AttemptCounter struct {
 	mu       sync.Mutex
-	out      map[string]map[*Try]bool
+	out      map[string]map[*CountedAttempt]bool
 	all      map[string]int
 	overlaps int
 }
 
-// Try is one attempt of a request, on the connection that brought it.
-type Try struct {
-	tries *Tries
+// CountedAttempt is one attempt of a request, on the connection that brought it.
+type CountedAttempt struct {
+	tries *AttemptCounter
 	id    string
 	conn  net.Conn
 }
 
-// NewTries counts from nothing.
-func NewTries() *Tries { return &Tries{out: map[string]map[*Try]bool{}, all: map[string]int{}} }
+// NewAttemptCounter counts from nothing.
+func NewAttemptCounter() *AttemptCounter {
+	return &AttemptCounter{out: map[string]map[*CountedAttempt]bool{}, all: map[string]int{}}
+}
 
 // Begin is called as an attempt has come. Whatever is out of the same request by then overlaps with it, but for what its
 // sender has ended already: the goroutine that serves that connection may not have been told yet.
-func (c *Tries) Begin(id string, conn net.Conn) *Try {
+func (c *AttemptCounter) Begin(id string, conn net.Conn) *CountedAttempt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.out[id] == nil {
-		c.out[id] = map[*Try]bool{}
+		c.out[id] = map[*CountedAttempt]bool{}
 	}
 	overlaps := false
 	for other := range c.out[id] {
@@ -47,13 +49,13 @@
 		c.overlaps++
 	}
 	c.all[id]++
-	t := &Try{c, id, conn}
+	t := &CountedAttempt{c, id, conn}
 	c.out[id][t] = true
 	return t
 }
 
 // End is called as an attempt is over, before its sender can know. A further call does nothing.
-func (t *Try) End() {
+func (t *CountedAttempt) End() {
 	t.tries.mu.Lock()
 	defer t.tries.mu.Unlock()
 	if all := t.tries.out[t.id]; all != nil {
@@ -88,8 +90,8 @@
 	return err != nil || state != established
 }
 
-// Broken lists the rules that were broken: two attempts out at once, or more than three.
-func (c *Tries) Broken() (all []string) {
+// Violations lists the rules that were broken: two attempts out at once, or more than three.
+func (c *AttemptCounter) Violations() (all []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.overlaps > 0 {
--- a/internal/fakes/tries_test.go
+++ b/internal/fakes/attempt_counter_test.go
@@ -8,7 +8,7 @@
 )
 
 // publisherTo is a connection to a node that may publish.
-func publisherTo(t *testing.T, n *Node) net.Conn {
+func publisherTo(t *testing.T, n *NATSNode) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", n.Addr)
 	if err != nil {
@@ -39,28 +39,28 @@
 // TestTriesOrder: an attempt has ended once its connection has: a sender that tries elsewhere as soon as the first
 // connection is over, by whoever's end, is not taken to have two out; one that does not wait is.
 func TestTriesOrder(t *testing.T) {
-	for what, over := range map[string]func(n *Node, c net.Conn){
-		"ended by the node":   func(n *Node, c net.Conn) { n.DropAll(); io.ReadAll(c) },
-		"killed":              func(n *Node, c net.Conn) { n.Kill(); io.ReadAll(c) },
-		"reset by the sender": func(_ *Node, c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
-		"ended by the sender": func(_ *Node, c net.Conn) { c.Close() },
+	for what, over := range map[string]func(n *NATSNode, c net.Conn){
+		"ended by the node":   func(n *NATSNode, c net.Conn) { n.ResetConnections(); io.ReadAll(c) },
+		"killed":              func(n *NATSNode, c net.Conn) { n.Kill(); io.ReadAll(c) },
+		"reset by the sender": func(_ *NATSNode, c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
+		"ended by the sender": func(_ *NATSNode, c net.Conn) { c.Close() },
 		"not ended":           nil,
 	} {
 		t.Run(what, func(t *testing.T) {
 			const rounds = 200
 			broken := 0
 			for range rounds {
-				k, err := NewCluster(2)
+				k, err := NewNATSCluster(2)
 				if err != nil {
 					t.Fatal(err)
 				}
-				k.Tries = NewTries()
-				k.Nodes[0].Set(Silent)
+				k.Attempts = NewAttemptCounter()
+				k.Nodes[0].SetMode(NodeSilent)
 				first, second := publisherTo(t, k.Nodes[0]), publisherTo(t, k.Nodes[1])
 				for n := range 16 {
 					publishes(first, fmt.Sprint("text ", n), false)
 				}
-				for k.Nodes[0].Taken() < 16 {
+				for k.Nodes[0].Published() < 16 {
 				}
 				if over != nil {
 					over(k.Nodes[0], first)
@@ -68,7 +68,7 @@
 				for n := range 16 {
 					publishes(second, fmt.Sprint("text ", n), true)
 				}
-				if len(k.Tries.Broken()) > 0 {
+				if len(k.Attempts.Violations()) > 0 {
 					broken++
 				}
 				k.Close()
--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -36,35 +36,35 @@
 
 // Discovery is the stand-in for discovery. Its fields are set before it is opened.
 type Discovery struct {
-	// Told is called, if set, with each list that a reader has been written.
-	Told func(reader string, entries []Entry)
-	// Wrote is called, if set, with how many bytes of a list a reader has been written.
-	Wrote func(reader string, bytes int)
-	// Called is called, if set, at the start of each call.
-	Called func(reader string)
-
-	mu      sync.Mutex
-	at      int // the newest generation
-	members map[string]Entry
-	changed map[string]int // when each member changed last
-	news    chan struct{}
-	down    bool
-	late    time.Duration
-	lag     time.Duration
-	calls   int
-	servers []*http.Server
+	// OnDelivered is called, if set, with each list that a reader has been written.
+	OnDelivered func(reader string, entries []Entry)
+	// OnWritten is called, if set, with how many bytes of a list a reader has been written.
+	OnWritten func(reader string, bytes int)
+	// OnCall is called, if set, at the start of each call.
+	OnCall func(reader string)
+
+	mu               sync.Mutex
+	generation       int // the newest generation
+	members          map[string]Entry
+	changedAt        map[string]int // when each member changed last
+	updated          chan struct{}
+	down             bool
+	answerDelay      time.Duration
+	propagationDelay time.Duration
+	calls            int
+	servers          []*http.Server
 }
 
 // NewDiscovery lists these members.
 func NewDiscovery(entries ...Entry) *Discovery {
-	d := &Discovery{at: 1, members: map[string]Entry{}, changed: map[string]int{}, news: make(chan struct{})}
+	d := &Discovery{generation: 1, members: map[string]Entry{}, changedAt: map[string]int{}, updated: make(chan struct{})}
 	for _, e := range entries {
-		d.members[e.ID], d.changed[e.ID] = e, 1
+		d.members[e.ID], d.changedAt[e.ID] = e, 1
 	}
 	return d
 }
 
-// Open has it served at one more address, to a reader of that name. Where is the reader's own address of a member, if
+// ConnectionWork has it served at one more address, to a reader of that name. Where is the reader's own address of a member, if
 // not nil.
 func (d *Discovery) Open(reader string, where func(Entry) string) (string, error) {
 	l, err := net.Listen("tcp", Host+":0")
@@ -88,10 +88,10 @@
 	}
 }
 
-func (d *Discovery) list(since int, where func(Entry) string) List {
-	out := List{Generation: d.at, Reset: since < 0, Instances: []Entry{}}
+func (d *Discovery) entriesSince(since int, where func(Entry) string) List {
+	out := List{Generation: d.generation, Reset: since < 0, Instances: []Entry{}}
 	for id, e := range d.members {
-		if d.changed[id] <= since || since < 0 && e.Lifecycle == Deleted {
+		if d.changedAt[id] <= since || since < 0 && e.Lifecycle == Deleted {
 			continue
 		}
 		if where != nil {
@@ -102,34 +102,34 @@
 	return out
 }
 
-// Known is the whole list, as a relay's configuration holds it.
-func (d *Discovery) Known(where func(Entry) string) List {
+// Snapshot is the whole list, as a relay's configuration holds it.
+func (d *Discovery) Snapshot(where func(Entry) string) List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.list(-1, where)
+	return d.entriesSince(-1, where)
 }
 
 // Put lists a member anew, after the lag.
 func (d *Discovery) Put(e Entry) {
 	d.mu.Lock()
-	lag := d.lag
+	lag := d.propagationDelay
 	d.mu.Unlock()
 	if lag > 0 {
-		time.AfterFunc(lag, func() { d.put(e) })
+		time.AfterFunc(lag, func() { d.publish(e) })
 		return
 	}
-	d.put(e)
+	d.publish(e)
 }
 
-func (d *Discovery) put(e Entry) {
-	d.change(func() {
-		d.at++
-		d.members[e.ID], d.changed[e.ID] = e, d.at
+func (d *Discovery) publish(e Entry) {
+	d.update(func() {
+		d.generation++
+		d.members[e.ID], d.changedAt[e.ID] = e, d.generation
 	})
 }
 
-// Set changes a member's lifecycle, after the lag.
-func (d *Discovery) Set(id, lifecycle string) {
+// SetMode changes a member's lifecycle, after the lag.
+func (d *Discovery) SetLifecycle(id, lifecycle string) {
 	d.mu.Lock()
 	e := d.members[id]
 	d.mu.Unlock()
@@ -138,20 +138,22 @@
 }
 
 // SetDown has all calls and watches fail, or again none.
-func (d *Discovery) SetDown(down bool) { d.change(func() { d.down = down }) }
+func (d *Discovery) SetDown(down bool) { d.update(func() { d.down = down }) }
 
-// SetLate has each answer wait.
-func (d *Discovery) SetLate(late time.Duration) { d.change(func() { d.late = late }) }
+// SetAnswerDelay has each answer wait.
+func (d *Discovery) SetAnswerDelay(late time.Duration) { d.update(func() { d.answerDelay = late }) }
 
-// SetLag is how long after a change it is listed.
-func (d *Discovery) SetLag(lag time.Duration) { d.change(func() { d.lag = lag }) }
+// SetPropagationDelay is how long after a change it is listed.
+func (d *Discovery) SetPropagationDelay(lag time.Duration) {
+	d.update(func() { d.propagationDelay = lag })
+}
 
 // Restart has it forget its generations: they begin again, below what its readers hold.
 func (d *Discovery) Restart() {
-	d.change(func() {
-		d.at = 1
+	d.update(func() {
+		d.generation = 1
 		for id, e := range d.members {
-			if d.changed[id] = 1; e.Lifecycle == Deleted {
+			if d.changedAt[id] = 1; e.Lifecycle == Deleted {
 				delete(d.members, id)
 			}
 		}
@@ -165,17 +167,17 @@
 	return d.calls
 }
 
-func (d *Discovery) change(f func()) {
+func (d *Discovery) update(f func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f()
-	close(d.news)
-	d.news = make(chan struct{})
+	close(d.updated)
+	d.updated = make(chan struct{})
 }
 
 func (d *Discovery) serve(reader string, where func(Entry) string, w http.ResponseWriter, r *http.Request) {
-	if d.Called != nil {
-		d.Called(reader)
+	if d.OnCall != nil {
+		d.OnCall(reader)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -186,8 +188,8 @@
 	}
 	wait, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
 	timer := time.After(time.Duration(wait) * time.Millisecond)
-	for since == d.at && !d.down {
-		news := d.news
+	for since == d.generation && !d.down {
+		news := d.updated
 		d.mu.Unlock()
 		late := false
 		select {
@@ -202,10 +204,10 @@
 			break
 		}
 	}
-	if since > d.at { // from before a restart: nothing it holds can be told apart
+	if since > d.generation { // from before a restart: nothing it holds can be told apart
 		since = -1
 	}
-	if late := d.late; late > 0 {
+	if late := d.answerDelay; late > 0 {
 		d.mu.Unlock()
 		time.Sleep(late)
 		d.mu.Lock()
@@ -214,7 +216,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	list := d.list(since, where)
+	list := d.entriesSince(since, where)
 	text, err := json.Marshal(list)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
@@ -223,10 +225,10 @@
 	if _, err := w.Write(append(text, '\n')); err != nil {
 		return
 	}
-	if d.Wrote != nil {
-		d.Wrote(reader, len(text))
+	if d.OnWritten != nil {
+		d.OnWritten(reader, len(text))
 	}
-	if d.Told != nil {
-		d.Told(reader, list.Instances)
+	if d.OnDelivered != nil {
+		d.OnDelivered(reader, list.Instances)
 	}
 }
--- a/internal/fakes/member.go
+++ b/internal/fakes/member.go
@@ -15,33 +15,33 @@
 
 // How a member answers.
 const (
-	ModeWell  = ""       // UP, and each line at once
-	ModeBusy  = "busy"   // first lines with BUSY
-	ModeErr   = "err"    // first lines with ERR
-	ModeReset = "reset"  // first lines with a reset
-	ModeHold  = "silent" // first lines not at all
-	ModeMute  = "mute"   // nothing at all, probes and open flows too
+	ModeHealthy      = ""       // UP, and each line at once
+	ModeBusy         = "busy"   // first lines with BUSY
+	ModeErr          = "err"    // first lines with ERR
+	ModeReset        = "reset"  // first lines with a reset
+	ModeSilent       = "silent" // first lines not at all
+	ModeUnresponsive = "mute"   // nothing at all, probes and open flows too
 )
 
-// Bearing is what a member can bear. The zero value bears everything, at once.
-type Bearing struct {
-	Cores    float64       // of load that it holds up
-	Most     int           // connections that it holds
-	Open     time.Duration // a core's work for a new connection
-	Group    time.Duration // further work for the first of a group
-	ColdFrom float64       // its share of that just after its start
-	ColdFor  time.Duration // until it is whole
-	Every    time.Duration // how old its report may be
-	Rough    float64       // by which part its report may be off
-	Names    []string      // what a report holds
+// Capacity is what a member can bear. The zero value bears everything, at once.
+type Capacity struct {
+	Cores          float64       // of load that it holds up
+	MaxConnections int           // connections that it holds
+	ConnectionWork time.Duration // a core's work for a new connection
+	GroupWork      time.Duration // further work for the first of a group
+	SlowStartFrom  float64       // its share of that just after its start
+	SlowStartFor   time.Duration // until it is whole
+	ReportInterval time.Duration // how old its report may be
+	ReportError    float64       // by which part its report may be off
+	ReportFields   []string      // what a report holds
 }
 
 // Share is how much of its warm speed a member has so long after its start.
-func (b Bearing) Share(age time.Duration) float64 {
-	if b.ColdFor <= 0 || age >= b.ColdFor {
+func (b Capacity) Share(age time.Duration) float64 {
+	if b.SlowStartFor <= 0 || age >= b.SlowStartFor {
 		return 1
 	}
-	return b.ColdFrom + (1-b.ColdFrom)*age.Seconds()/b.ColdFor.Seconds()
+	return b.SlowStartFrom + (1-b.SlowStartFrom)*age.Seconds()/b.SlowStartFor.Seconds()
 }
 
 // Attempt is one that has reached a member.
@@ -52,20 +52,20 @@
 	Group      string
 	Load       float64
 	Work       time.Duration // of the new connection
-	Turned     bool          // at its end: it was turned away, and has not run
+	Rejected   bool          // at its end: it was turned away, and has not run
 }
 
 // Member is the stand-in for a pool member that speaks the platform's protocol. Its fields are set before it is opened.
 type Member struct {
-	ID      string
-	Bearing Bearing
-	Tries   *Tries                       // may be nil
-	Begun   func(Attempt)                // called with each attempt, if set
-	Made    func(a Attempt, up string)   // called before an UP is sent
-	Ended   func(a Attempt, itself bool) // called at its end; itself: the member ended it
-	Flaw    Flaw                         // of its build
-	Probed  func()                       // called with each probe
-	Joined  func(via string)             // called with each connection
+	ID           string
+	Capacity     Capacity
+	Attempts     *AttemptCounter              // may be nil
+	OnAttempt    func(Attempt)                // called with each attempt, if set
+	OnAccept     func(a Attempt, up string)   // called before an UP is sent
+	OnEnd        func(a Attempt, itself bool) // called at its end; itself: the member ended it
+	Defect       Defect                       // of its build
+	OnProbe      func()                       // called with each probe
+	OnConnection func(via string)             // called with each connection
 
 	mu      sync.Mutex
 	doors   []*door
@@ -93,15 +93,15 @@
 	away bool // the member ends it
 }
 
-// Flaw is what a build does wrong, to what comes from some relays or from all.
-type Flaw struct {
-	Fail  float64       // part of the first lines answered with ERR
-	Delay time.Duration // before each answer to one
-	Via   []string      // from these alone; empty: from all
+// Defect is what a build does wrong, to what comes from some relays or from all.
+type Defect struct {
+	FailureRate float64       // part of the first lines answered with ERR
+	Delay       time.Duration // before each answer to one
+	Via         []string      // from these alone; empty: from all
 }
 
-func (f Flaw) meets(via string) bool {
-	return (f.Fail > 0 || f.Delay > 0) && (len(f.Via) == 0 || slices.Contains(f.Via, via))
+func (f Defect) appliesTo(via string) bool {
+	return (f.FailureRate > 0 || f.Delay > 0) && (len(f.Via) == 0 || slices.Contains(f.Via, via))
 }
 
 // NewMember has been up for long.
@@ -109,7 +109,7 @@
 	return &Member{ID: id, held: map[net.Conn]*flow{}, all: map[net.Conn]bool{}, groups: map[string]int{}}
 }
 
-// Open has it served at one more address.
+// ConnectionWork has it served at one more address.
 func (m *Member) Open(via string) (string, error) {
 	d := &door{via: via, addr: Host + ":0"}
 	if err := m.listen(d); err != nil {
@@ -146,7 +146,7 @@
 func (m *Member) Start(now time.Time) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.started, m.mode, m.busy, m.at = now, ModeWell, time.Time{}, time.Time{}
+	m.started, m.mode, m.busy, m.at = now, ModeHealthy, time.Time{}, time.Time{}
 	for _, d := range m.doors {
 		if d.l == nil {
 			if err := m.listen(d); err != nil {
@@ -185,8 +185,8 @@
 	return m.doors[0].l == nil
 }
 
-// Set says how it answers from now on.
-func (m *Member) Set(mode string) {
+// SetMode says how it answers from now on.
+func (m *Member) SetMode(mode string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.mode = mode
@@ -198,8 +198,8 @@
 	return m.mode == mode
 }
 
-// Holds is how many flows are open.
-func (m *Member) Holds() int {
+// OpenFlows is how many flows are open.
+func (m *Member) OpenFlows() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.held)
@@ -212,8 +212,8 @@
 	return append([]string(nil), m.lines...), append([]string(nil), m.bad...)
 }
 
-// Each calls f with the connection of each flow.
-func (m *Member) Each(f func(net.Conn)) {
+// EachConnection calls f with the connection of each flow.
+func (m *Member) EachConnection(f func(net.Conn)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for c := range m.held {
@@ -221,8 +221,8 @@
 	}
 }
 
-// SendAway ends all flows as a member does that drains.
-func (m *Member) SendAway() {
+// MoveClients ends all flows as a member does that drains.
+func (m *Member) MoveClients() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for c, f := range m.held {
@@ -234,23 +234,23 @@
 
 // strength is how many cores it has now.
 func (m *Member) strength(now time.Time) float64 {
-	return m.Bearing.Cores * m.Bearing.Share(now.Sub(m.started))
+	return m.Capacity.Cores * m.Capacity.Share(now.Sub(m.started))
 }
 
 // stats is the load report.
 func (m *Member) stats() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.Bearing.Cores == 0 {
+	if m.Capacity.Cores == 0 {
 		return fmt.Sprintf("x0=%.2f,x1=0,inflight=%d", 0.1+0.01*float64(len(m.held)), len(m.held))
 	}
 	now := time.Now()
-	if m.report != "" && now.Sub(m.at) < m.Bearing.Every {
+	if m.report != "" && now.Sub(m.at) < m.Capacity.ReportInterval {
 		return m.report
 	}
-	rough := func(v float64) float64 { return v * (1 + m.Bearing.Rough*(2*rand.Float64()-1)) }
+	rough := func(v float64) float64 { return v * (1 + m.Capacity.ReportError*(2*rand.Float64()-1)) }
 	var fields []string
-	for _, name := range m.Bearing.Names {
+	for _, name := range m.Capacity.ReportFields {
 		switch name {
 		case "x0":
 			fields = append(fields, fmt.Sprintf("x0=%.4f", rough(m.load/m.strength(now))))
@@ -264,11 +264,11 @@
 	return m.report
 }
 
-// late is how late a line is answered: not at all while there is room, and longer the more load is over it.
+// answerDelay is how late a line is answered: not at all while there is room, and longer the more load is over it.
 func (m *Member) late() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.Bearing.Cores == 0 {
+	if m.Capacity.Cores == 0 {
 		return 0
 	}
 	over := m.load/m.strength(time.Now()) - 1
@@ -278,8 +278,8 @@
 var openLine = regexp.MustCompile(`^OPEN [0-9a-f]{16} [0-9a-f]{16} \S+$`)
 
 func (m *Member) serve(c net.Conn, via string) {
-	if m.Joined != nil {
-		m.Joined(via)
+	if m.OnConnection != nil {
+		m.OnConnection(via)
 	}
 	m.mu.Lock()
 	m.all[c] = true
@@ -297,13 +297,13 @@
 			return
 		}
 		line = strings.TrimSuffix(line, "\r\n")
-		if m.is(ModeMute) {
+		if m.is(ModeUnresponsive) {
 			in.ReadString(0) // until the end
 			return
 		}
 		if line == "STATS" {
-			if m.Probed != nil {
-				m.Probed()
+			if m.OnProbe != nil {
+				m.OnProbe()
 			}
 			fmt.Fprintf(c, "PONG %s\r\n", m.stats())
 			continue
@@ -337,18 +337,18 @@
 	}
 	f := &flow{Attempt: Attempt{ID: strings.Fields(line)[1], Member: m.ID, Via: via, From: c.RemoteAddr().String(), Group: field(line, "g")}, in: in}
 	f.Load, _ = strconv.ParseFloat(field(line, "h"), 64)
-	f.Work = m.Bearing.Open
+	f.Work = m.Capacity.ConnectionWork
 	m.mu.Lock()
 	if m.groups[f.Group] == 0 {
-		f.Work += m.Bearing.Group
+		f.Work += m.Capacity.GroupWork
 	}
 	m.mu.Unlock()
-	var try *Try
-	if m.Tries != nil {
-		try = m.Tries.Begin(f.ID, c)
+	var try *CountedAttempt
+	if m.Attempts != nil {
+		try = m.Attempts.Begin(f.ID, c)
 	}
-	if m.Begun != nil {
-		m.Begun(f.Attempt)
+	if m.OnAttempt != nil {
+		m.OnAttempt(f.Attempt)
 	}
 	itself := true
 	// Over before the answer is written: the next attempt may be there before this goroutine goes on.
@@ -356,20 +356,20 @@
 		if try != nil {
 			try.End()
 		}
-		if m.Ended != nil {
-			m.Ended(f.Attempt, itself)
+		if m.OnEnd != nil {
+			m.OnEnd(f.Attempt, itself)
 		}
 	})
 	defer over()
-	if m.Flaw.meets(via) {
-		time.Sleep(m.Flaw.Delay)
-		if rand.Float64() < m.Flaw.Fail {
+	if m.Defect.appliesTo(via) {
+		time.Sleep(m.Defect.Delay)
+		if rand.Float64() < m.Defect.FailureRate {
 			mode = ModeErr
 		}
 	}
 	switch mode {
 	case ModeBusy:
-		f.Turned = true
+		f.Rejected = true
 		over()
 		fmt.Fprint(c, "BUSY inflight=9\r\n")
 		return
@@ -380,21 +380,21 @@
 	case ModeReset:
 		c.(*net.TCPConn).SetLinger(0)
 		return
-	case ModeHold:
+	case ModeSilent:
 		in.ReadString('\n')
 		return
 	}
 	if !m.take(c, f) {
-		f.Turned = true
+		f.Rejected = true
 		over()
 		fmt.Fprint(c, "BUSY\r\n")
 		return
 	}
 	defer m.drop(c, f)
-	if m.Made != nil {
-		m.Made(f.Attempt, "UP "+m.ID+"/"+f.ID)
+	if m.OnAccept != nil {
+		m.OnAccept(f.Attempt, "UP "+m.ID+"/"+f.ID)
 	}
-	if m.is(ModeMute) {
+	if m.is(ModeUnresponsive) {
 		in.ReadString(0)
 		return
 	}
@@ -407,7 +407,7 @@
 			m.mu.Unlock()
 			return
 		}
-		if m.is(ModeMute) {
+		if m.is(ModeUnresponsive) {
 			continue
 		}
 		if line == "END\r\n" {
@@ -416,7 +416,7 @@
 		}
 		time.Sleep(m.late())
 		load := 50000 + float64(n)
-		if m.Bearing.Cores > 0 {
+		if m.Capacity.Cores > 0 {
 			load = f.Load
 		}
 		fmt.Fprintf(c, "LOAD %g\r\nGOT %d %s", load, n, line)
@@ -426,7 +426,7 @@
 // take does the work of a new connection. It returns false if there is no room.
 func (m *Member) take(c net.Conn, f *flow) bool {
 	m.mu.Lock()
-	if m.Bearing.Most > 0 && len(m.held) >= m.Bearing.Most {
+	if m.Capacity.MaxConnections > 0 && len(m.held) >= m.Capacity.MaxConnections {
 		m.mu.Unlock()
 		return false
 	}
@@ -434,7 +434,7 @@
 	m.groups[f.Group]++
 	m.load += f.Load
 	now := time.Now()
-	if m.Bearing.Cores > 0 {
+	if m.Capacity.Cores > 0 {
 		if m.busy.Before(now) {
 			m.busy = now
 		}
--- a/internal/fakes/nats.go
+++ b/internal/fakes/nats.go
@@ -17,68 +17,68 @@
 	"time"
 )
 
-// Mode is how a node takes publications.
-type Mode int32
+// NodeMode is how a node takes publications.
+type NodeMode int32
 
 // The modes. In Silent it takes them and acknowledges nothing from then on.
 const (
-	Works Mode = iota
-	Refuses
-	Silent
-	Resets // ends the connection at the first byte of a publication
-	Cuts   // ends it after half of a delivered message
+	NodeHealthy NodeMode = iota
+	NodeRefuses
+	NodeSilent
+	NodeResets    // ends the connection at the first byte of a publication
+	NodeTruncates // ends it after half of a delivered message
 )
 
-// Cluster is nodes that share one space of subjects.
-type Cluster struct {
-	Nodes []*Node
-	Tries *Tries // of publications by their payload; nil while nothing is counted
+// NATSCluster is nodes that share one space of subjects.
+type NATSCluster struct {
+	Nodes    []*NATSNode
+	Attempts *AttemptCounter // of publications by their payload; nil while nothing is counted
 	// Load answers requests on that subject with what the function says of the node.
 	LoadSubject string
-	Load        func(n *Node) string
-	// Login says whether CONNECT may enter; nil lets all in.
-	Login func(connect map[string]any) bool
+	LoadReport  func(n *NATSNode) string
+	// Authorize says whether CONNECT may enter; nil lets all in.
+	Authorize func(connect map[string]any) bool
 	// TLS is asked of clients if it is set.
 	TLS *tls.Config
 
-	mu    sync.RWMutex
-	exact map[string]map[*subscription]bool
-	wild  map[*subscription]bool
-	turn  atomic.Int64 // of queue groups
-	order func(subject, payload string)
+	mu        sync.RWMutex
+	exact     map[string]map[*subscription]bool
+	wild      map[*subscription]bool
+	queueTurn atomic.Int64 // of queue groups
+	onPublish func(subject, payload string)
 }
 
-// Node is one server.
-type Node struct {
-	*Cluster
-	ID    string
-	Addr  string
-	Info  map[string]any // more fields of its INFO
-	l     net.Listener
-	down  bool
-	mode  Mode
-	taken int // publications
-	conns map[*natsConn]bool
-	info  map[string]any // more fields of its INFO
+// NATSNode is one server.
+type NATSNode struct {
+	*NATSCluster
+	ID        string
+	Addr      string
+	Info      map[string]any // more fields of its INFO
+	l         net.Listener
+	down      bool
+	mode      NodeMode
+	published int // publications
+	conns     map[*natsConn]bool
+	info      map[string]any // more fields of its INFO
 }
 
 type subscription struct {
-	c              *natsConn
+	conn           *natsConn
 	sid            string
 	subject, queue string
-	got            atomic.Int64
-	most           int // 0 is without end
+	delivered      atomic.Int64
+	maxMessages    int // 0 is without end
 }
 
 type natsConn struct {
-	node    *Node
-	c       net.Conn
-	subs    map[string]*subscription
-	headers bool
-	noResp  bool
-	echo    bool
-	out     []*Try // counted publications that are not acknowledged
-	hushed  bool   // acknowledges nothing any more
+	node           *NATSNode
+	conn           net.Conn
+	subscriptions  map[string]*subscription
+	headers        bool
+	noResponders   bool
+	echo           bool
+	unacknowledged []*CountedAttempt // counted publications that are not acknowledged
+	acksStopped    bool              // acknowledges nothing any more
 
 	mu     sync.Mutex // of what is written
 	ready  *sync.Cond
@@ -87,14 +87,14 @@
 	closed bool
 }
 
-// bufferMost is what a connection may have unsent before who writes to it waits.
-const bufferMost = 4 << 20
+// maxUnsent is what a connection may have unsent before who writes to it waits.
+const maxUnsent = 4 << 20
 
-// NewCluster starts so many nodes on the loopback.
-func NewCluster(n int) (*Cluster, error) {
-	k := &Cluster{exact: map[string]map[*subscription]bool{}, wild: map[*subscription]bool{}}
+// NewNATSCluster starts so many nodes on the loopback.
+func NewNATSCluster(n int) (*NATSCluster, error) {
+	k := &NATSCluster{exact: map[string]map[*subscription]bool{}, wild: map[*subscription]bool{}}
 	for i := range n {
-		o := &Node{Cluster: k, ID: fmt.Sprintf("s-%08x", 0x71000000+i*0x0234567), conns: map[*natsConn]bool{}}
+		o := &NATSNode{NATSCluster: k, ID: fmt.Sprintf("s-%08x", 0x71000000+i*0x0234567), conns: map[*natsConn]bool{}}
 		k.Nodes = append(k.Nodes, o)
 		if err := o.listen("127.0.0.1:0"); err != nil {
 			k.Close()
@@ -105,13 +105,13 @@
 }
 
 // Close ends all nodes.
-func (k *Cluster) Close() {
+func (k *NATSCluster) Close() {
 	for _, o := range k.Nodes {
 		o.Kill()
 	}
 }
 
-func (o *Node) listen(addr string) error {
+func (o *NATSNode) listen(addr string) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return err
@@ -132,20 +132,20 @@
 }
 
 // Kill resets all connections of a node and has it take none in.
-func (o *Node) Kill() {
+func (o *NATSNode) Kill() {
 	o.mu.Lock()
 	if o.l != nil {
 		o.l.Close()
 	}
 	o.down = true
-	conns := o.list()
+	conns := o.connections()
 	o.mu.Unlock()
 	for _, c := range conns {
 		c.reset()
 	}
 }
 
-func (o *Node) list() (conns []*natsConn) {
+func (o *NATSNode) connections() (conns []*natsConn) {
 	for c := range o.conns {
 		conns = append(conns, c)
 	}
@@ -153,54 +153,54 @@
 }
 
 // Restart has a killed node serve again at its address.
-func (o *Node) Restart() error { return o.listen(o.Addr) }
+func (o *NATSNode) Restart() error { return o.listen(o.Addr) }
 
-// Set sets how a node takes publications.
-func (o *Node) Set(m Mode) {
+// SetMode sets how a node takes publications.
+func (o *NATSNode) SetMode(m NodeMode) {
 	o.mu.Lock()
 	o.mode = m
 	o.mu.Unlock()
 }
 
 // SetInfo sets more fields of a node's INFO, for those who connect from then on.
-func (o *Node) SetInfo(more map[string]any) {
+func (o *NATSNode) SetInfo(more map[string]any) {
 	o.mu.Lock()
 	o.info = more
 	o.mu.Unlock()
 }
 
-// DropAll resets all connections of a node, which takes new ones in.
-func (o *Node) DropAll() {
+// ResetConnections resets all connections of a node, which takes new ones in.
+func (o *NATSNode) ResetConnections() {
 	o.mu.Lock()
-	conns := o.list()
+	conns := o.connections()
 	o.mu.Unlock()
 	for _, c := range conns {
 		c.reset()
 	}
 }
 
-// Taken is how many publications a node has taken.
-func (o *Node) Taken() int {
+// Published is how many publications a node has taken.
+func (o *NATSNode) Published() int {
 	o.mu.RLock()
 	defer o.mu.RUnlock()
-	return o.taken
+	return o.published
 }
 
-// Conns is how many connections a node holds.
-func (o *Node) Conns() int {
+// Connections is how many connections a node holds.
+func (o *NATSNode) Connections() int {
 	o.mu.RLock()
 	defer o.mu.RUnlock()
 	return len(o.conns)
 }
 
 // Subscriptions is how many on that pattern each node holds.
-func (k *Cluster) Subscriptions(pattern string) []int {
+func (k *NATSCluster) Subscriptions(pattern string) []int {
 	k.mu.RLock()
 	defer k.mu.RUnlock()
 	out := make([]int, len(k.Nodes))
 	for i, o := range k.Nodes {
 		for c := range o.conns {
-			for _, s := range c.subs {
+			for _, s := range c.subscriptions {
 				if s.subject == pattern {
 					out[i]++
 				}
@@ -211,14 +211,14 @@
 }
 
 // Watch has f called with every publication that a node takes, in the order in which it does.
-func (k *Cluster) Watch(f func(subject, payload string)) {
+func (k *NATSCluster) Watch(f func(subject, payload string)) {
 	k.mu.Lock()
-	k.order = f
+	k.onPublish = f
 	k.mu.Unlock()
 }
 
-func (o *Node) serve(conn net.Conn) {
-	c := &natsConn{node: o, c: conn, subs: map[string]*subscription{}, echo: true}
+func (o *NATSNode) serve(conn net.Conn) {
+	c := &natsConn{node: o, conn: conn, subscriptions: map[string]*subscription{}, echo: true}
 	c.ready, c.full = sync.NewCond(&c.mu), sync.NewCond(&c.mu)
 	o.mu.Lock()
 	if o.down {
@@ -238,16 +238,16 @@
 	text, _ := json.Marshal(info)
 	fmt.Fprintf(conn, "INFO %s\r\n", text)
 	if o.TLS != nil {
-		c.c = tls.Server(conn, o.TLS)
+		c.conn = tls.Server(conn, o.TLS)
 	}
 	go c.write()
 	c.read()
 	o.mu.Lock()
 	delete(o.conns, c)
-	for _, s := range c.subs {
+	for _, s := range c.subscriptions {
 		o.remove(s)
 	}
-	for _, try := range c.out {
+	for _, try := range c.unacknowledged {
 		try.End()
 	}
 	o.mu.Unlock()
@@ -260,11 +260,11 @@
 	c.ready.Broadcast()
 	c.full.Broadcast()
 	c.mu.Unlock()
-	c.c.Close()
+	c.conn.Close()
 }
 
 func (c *natsConn) reset() {
-	raw := c.c
+	raw := c.conn
 	if t, ok := raw.(*tls.Conn); ok {
 		raw = t.NetConn()
 	}
@@ -284,14 +284,14 @@
 		}
 		if c.closed && len(c.buffer) == 0 {
 			c.mu.Unlock()
-			c.c.Close()
+			c.conn.Close()
 			return
 		}
 		b := c.buffer
 		c.buffer = spare[:0]
 		c.full.Broadcast()
 		c.mu.Unlock()
-		if _, err := c.c.Write(b); err != nil {
+		if _, err := c.conn.Write(b); err != nil {
 			c.close()
 			return
 		}
@@ -299,10 +299,10 @@
 	}
 }
 
-// say has a text sent; append gets the buffer.
-func (c *natsConn) say(add func(b []byte) []byte) {
+// enqueue has a text sent; append gets the buffer.
+func (c *natsConn) enqueue(add func(b []byte) []byte) {
 	c.mu.Lock()
-	for len(c.buffer) > bufferMost && !c.closed {
+	for len(c.buffer) > maxUnsent && !c.closed {
 		c.full.Wait()
 	}
 	if !c.closed {
@@ -313,12 +313,12 @@
 }
 
 func (c *natsConn) line(text string) {
-	c.say(func(b []byte) []byte { return append(append(b, text...), "\r\n"...) })
+	c.enqueue(func(b []byte) []byte { return append(append(b, text...), "\r\n"...) })
 }
 
 func (c *natsConn) read() {
-	in := bufio.NewReaderSize(c.c, 64<<10)
-	k := c.node.Cluster
+	in := bufio.NewReaderSize(c.conn, 64<<10)
+	k := c.node.NATSCluster
 	for {
 		line, err := in.ReadSlice('\n')
 		if err != nil {
@@ -339,22 +339,22 @@
 		case "PING":
 			c.ping()
 		case "SUB":
-			s := &subscription{c: c, subject: w[1], sid: w[len(w)-1]}
+			s := &subscription{conn: c, subject: w[1], sid: w[len(w)-1]}
 			if len(w) == 4 {
 				s.queue = w[2]
 			}
 			k.mu.Lock()
-			c.subs[s.sid] = s
+			c.subscriptions[s.sid] = s
 			k.add(s)
 			k.mu.Unlock()
 		case "UNSUB":
 			k.mu.Lock()
-			if s := c.subs[w[1]]; s != nil {
+			if s := c.subscriptions[w[1]]; s != nil {
 				if len(w) == 3 {
-					s.most, _ = strconv.Atoi(w[2])
+					s.maxMessages, _ = strconv.Atoi(w[2])
 				}
-				if len(w) == 2 || int(s.got.Load()) >= s.most {
-					delete(c.subs, s.sid)
+				if len(w) == 2 || int(s.delivered.Load()) >= s.maxMessages {
+					delete(c.subscriptions, s.sid)
 					k.remove(s)
 				}
 			}
@@ -393,82 +393,82 @@
 		return false
 	}
 	c.headers, _ = o["headers"].(bool)
-	c.noResp, _ = o["no_responders"].(bool)
+	c.noResponders, _ = o["no_responders"].(bool)
 	if echo, ok := o["echo"].(bool); ok {
 		c.echo = echo
 	}
-	return c.node.Login == nil || c.node.Login(o)
+	return c.node.Authorize == nil || c.node.Authorize(o)
 }
 
 // ping acknowledges what came before it.
 func (c *natsConn) ping() {
-	k := c.node.Cluster
-	if k.Tries != nil {
+	k := c.node.NATSCluster
+	if k.Attempts != nil {
 		k.mu.Lock()
-		if c.node.mode == Silent && len(c.out) > 0 {
-			c.hushed = true
+		if c.node.mode == NodeSilent && len(c.unacknowledged) > 0 {
+			c.acksStopped = true
 		}
-		if !c.hushed {
-			for _, try := range c.out {
+		if !c.acksStopped {
+			for _, try := range c.unacknowledged {
 				try.End()
 			}
-			c.out = nil
+			c.unacknowledged = nil
 		}
 		k.mu.Unlock()
 	}
-	if !c.hushed {
+	if !c.acksStopped {
 		c.line("PONG")
 	}
 }
 
 func (c *natsConn) publish(subject, reply string, header int, payload []byte) bool {
-	k := c.node.Cluster
+	k := c.node.NATSCluster
 	if subject == k.LoadSubject && subject != "" {
-		k.deliver(c, reply, "", 0, []byte(k.Load(c.node)))
+		k.deliver(c, reply, "", 0, []byte(k.LoadReport(c.node)))
 		return true
 	}
 	k.mu.RLock()
-	mode, watch := c.node.mode, k.order
+	mode, watch := c.node.mode, k.onPublish
 	k.mu.RUnlock()
-	if c.hushed {
-		mode = Silent
+	if c.acksStopped {
+		mode = NodeSilent
 	}
-	if k.Tries != nil {
-		try := k.Tries.Begin(string(payload[header:]), c.c)
+	if k.Attempts != nil {
+		try := k.Attempts.Begin(string(payload[header:]), c.conn)
 		k.mu.Lock()
-		c.node.taken++
-		if mode == Refuses {
+		c.node.published++
+		if mode == NodeRefuses {
 			try.End()
 		} else {
-			c.out = append(c.out, try)
+			c.unacknowledged = append(c.unacknowledged, try)
 		}
 		k.mu.Unlock()
 	}
 	switch mode {
-	case Refuses:
+	case NodeRefuses:
 		c.line(fmt.Sprintf("-ERR 'Permissions Violation for Publish to \"%s\"'", subject))
 		return true
-	case Silent: // for good: what comes after a hole must not be taken before what fell into it
-		c.hushed = true
+	case NodeSilent: // for good: what comes after a hole must not be taken before what fell into it
+		c.acksStopped = true
 		return true
-	case Resets:
+	case NodeResets:
 		c.reset()
 		return false
 	}
 	if watch != nil {
 		watch(subject, string(payload[header:]))
 	}
-	if k.deliver(c, subject, reply, header, payload) == 0 && reply != "" && c.noResp {
+	if k.deliver(c, subject, reply, header, payload) == 0 && reply != "" && c.noResponders {
 		k.deliverTo(c, reply)
 	}
 	return true
 }
 
 // deliverTo tells the publishing connection alone that nobody listens.
-func (k *Cluster) deliverTo(c *natsConn, reply string) {
+func (k *NATSCluster) deliverTo(c *natsConn, reply string) {
 	k.mu.RLock()
 	var to *subscription
-	for _, s := range c.subs {
+	for _, s := range c.subscriptions {
 		if SubjectMatches(s.subject, reply) {
 			to = s
 		}
@@ -479,7 +479,7 @@
 	}
 }
 
-func (k *Cluster) add(s *subscription) {
+func (k *NATSCluster) add(s *subscription) {
 	if strings.ContainsAny(s.subject, "*>") {
 		k.wild[s] = true
 		return
@@ -490,7 +490,7 @@
 	k.exact[s.subject][s] = true
 }
 
-func (k *Cluster) remove(s *subscription) {
+func (k *NATSCluster) remove(s *subscription) {
 	delete(k.wild, s)
 	if m := k.exact[s.subject]; m != nil {
 		if delete(m, s); len(m) == 0 {
@@ -501,13 +501,13 @@
 
 // deliver hands a message to every subscription, and to one of each queue group. Who has much
 // unsent holds up the publisher, and nobody else.
-func (k *Cluster) deliver(from *natsConn, subject, reply string, header int, payload []byte) int {
+func (k *NATSCluster) deliver(from *natsConn, subject, reply string, header int, payload []byte) int {
 	var buffer [16]*subscription
 	to := buffer[:0]
 	var groups map[string][]*subscription
 	take := func(s *subscription) {
 		switch {
-		case s.c == from && !from.echo:
+		case s.conn == from && !from.echo:
 		case s.queue == "":
 			to = append(to, s)
 		default:
@@ -527,7 +527,7 @@
 		}
 	}
 	for _, g := range groups {
-		to = append(to, g[int(k.turn.Add(1))%len(g)])
+		to = append(to, g[int(k.queueTurn.Add(1))%len(g)])
 	}
 	k.mu.RUnlock()
 	for _, s := range to {
@@ -537,15 +537,15 @@
 }
 
 func (s *subscription) send(subject, reply string, header int, payload []byte) {
-	c, k := s.c, s.c.node.Cluster
-	got := int(s.got.Add(1))
+	c, k := s.conn, s.conn.node.NATSCluster
+	got := int(s.delivered.Add(1))
 	k.mu.RLock()
-	most, cut := s.most, c.node.mode == Cuts
+	most, cut := s.maxMessages, c.node.mode == NodeTruncates
 	k.mu.RUnlock()
 	if most > 0 && got > most {
 		return
 	}
-	c.say(func(b []byte) []byte {
+	c.enqueue(func(b []byte) []byte {
 		start := len(b)
 		if header > 0 {
 			b = append(b, "HMSG "...)
@@ -569,7 +569,7 @@
 	})
 	if most > 0 && got == most {
 		k.mu.Lock()
-		delete(c.subs, s.sid)
+		delete(c.subscriptions, s.sid)
 		k.remove(s)
 		k.mu.Unlock()
 	}
--- a/internal/fakes/pipe_test.go
+++ b/internal/fakes/proxy_test.go
@@ -37,13 +37,13 @@
 			}()
 		}
 	}()
-	p, err := NewPipe(l.Addr().String())
+	p, err := NewTCPProxy(l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer p.Close()
 	gone := make(chan string, 100)
-	p.Gone = func(from string) { gone <- from }
+	p.OnCallerClosed = func(from string) { gone <- from }
 	open := func() (net.Conn, *bufio.Reader) {
 		t.Helper()
 		c, err := net.Dial("tcp", p.Addr())
@@ -63,7 +63,7 @@
 	says(a, ain, "one")
 	b, bin := open()
 	says(b, bin, "two")
-	p.Set(Rough{Cut: true}, Rough{Cut: true})
+	p.SetImpairment(Impairment{Cut: true}, Impairment{Cut: true})
 	if c, err := net.DialTimeout("tcp", p.Addr(), 300*time.Millisecond); err == nil {
 		t.Errorf("a connection came up behind a cut: %v", c.LocalAddr())
 	}
@@ -75,7 +75,7 @@
 	if len(got) > 0 {
 		t.Errorf("%q passed a cut", <-got)
 	}
-	p.Set(Rough{}, Rough{})
+	p.SetImpairment(Impairment{}, Impairment{})
 	if line := <-got; line != "waits\n" {
 		t.Errorf("after the cut came %q", line)
 	}
@@ -84,7 +84,7 @@
 	}
 	c, in := open()
 	says(c, in, "three")
-	p.Set(Rough{}, Rough{Cut: true}) // one way: it arrives, and nothing comes back
+	p.SetImpairment(Impairment{}, Impairment{Cut: true}) // one way: it arrives, and nothing comes back
 	fmt.Fprintln(c, "four")
 	if line := <-got; line != "four\n" {
 		t.Errorf("there came %q", line)
@@ -94,7 +94,7 @@
 		t.Errorf("%q came back by a cut way", line)
 	}
 	p.Reset()
-	p.Set(Rough{}, Rough{})
+	p.SetImpairment(Impairment{}, Impairment{})
 	c, in = open()
 	says(c, in, "five")
 }
@@ -106,13 +106,13 @@
 		t.Fatal(err)
 	}
 	defer to.Close()
-	l, err := NewLink(1)
+	l, err := NewUDPProxy(1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	l.To(to.LocalAddr().String())
-	l.Rate(1000)
+	l.SetTarget(to.LocalAddr().String())
+	l.SetRate(1000)
 	from, err := net.Dial("udp4", l.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -141,13 +141,13 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	p, err := NewPipe(l.Addr().String())
+	p, err := NewTCPProxy(l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer p.Close()
 	gone := make(chan string, 1)
-	p.Gone = func(from string) { gone <- from }
+	p.OnCallerClosed = func(from string) { gone <- from }
 	calling, err := net.Dial("tcp", p.Addr())
 	if err != nil {
 		t.Fatal(err)
@@ -164,7 +164,7 @@
 	}
 	for open := 1; open > 0; { // both ways have ended once the pipe holds nothing
 		p.mu.Lock()
-		open = len(p.all)
+		open = len(p.conns)
 		p.mu.Unlock()
 	}
 	if len(gone) > 0 {
--- a/internal/scenariorunner/faults.go
+++ b/internal/scenariorunner/faults.go
@@ -52,27 +52,27 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w, at := r.ways[[2]string{s.Who, s.To}], r.now()
-	rough := fakes.Rough{Delay: scenario.Millis(s.Rough.Delay), Jitter: scenario.Millis(s.Rough.Jitter), Rate: int(s.Rough.Rate * 1000)}
+	rough := fakes.Impairment{Delay: scenario.Millis(s.Rough.Delay), Jitter: scenario.Millis(s.Rough.Jitter), Rate: int(s.Rough.Rate * 1000)}
 	switch s.Do {
 	case "cut":
-		w.there, w.back = fakes.Rough{Cut: true}, fakes.Rough{Cut: true}
+		w.there, w.back = fakes.Impairment{Cut: true}, fakes.Impairment{Cut: true}
 	case "cut_one_way":
-		w.there, w.back = fakes.Rough{Cut: true}, fakes.Rough{}
+		w.there, w.back = fakes.Impairment{Cut: true}, fakes.Impairment{}
 	case "rough":
 		w.there, w.back = rough, rough
 	case "heal":
-		w.there, w.back = fakes.Rough{}, fakes.Rough{}
+		w.there, w.back = fakes.Impairment{}, fakes.Impairment{}
 		if s.To == "discovery" {
 			r.tellBehind(s.Who)
 		}
 	}
 	if w.udp != nil {
-		w.udp.Cut(w.there.Cut)
+		w.udp.SetCut(w.there.Cut)
 		if s.Do == "heal" {
 			s.Rough = scenario.Rough{}
 		}
-		w.udp.Rough(s.Rough.Loss, s.Rough.Repeat, w.there.Delay, w.there.Jitter)
-		w.udp.Rate(w.there.Rate)
+		w.udp.SetImpairment(s.Rough.Loss, s.Rough.Repeat, w.there.Delay, w.there.Jitter)
+		w.udp.SetRate(w.there.Rate)
 	}
 	for _, p := range w.pipes { // between relays: the record's
 		switch s.Do {
@@ -81,7 +81,7 @@
 		case "stall":
 			p.Stall()
 		default:
-			go p.Set(w.there, w.back) // a cut takes a moment, and the time line goes on
+			go p.SetImpairment(w.there, w.back) // a cut takes a moment, and the time line goes on
 		}
 	}
 	// A relay answers for what is behind it, not for the way to its clients, and not for the way to other relays.
@@ -111,7 +111,7 @@
 		if s.Do == "on_time" {
 			late = 0
 		}
-		r.disc.SetLate(late)
+		r.disc.SetAnswerDelay(late)
 	case "old":
 		r.disc.Restart()
 	}
@@ -291,27 +291,27 @@
 	m := r.byIndex[i]
 	r.mu.Unlock()
 	leave := func() {
-		m.Set(fakes.ModeBusy)
-		r.disc.Set(m.ID, "DRAINING")
+		m.SetMode(fakes.ModeBusy)
+		r.disc.SetLifecycle(m.ID, "DRAINING")
 		go func() {
 			if sleep(ctx, scenario.Millis(r.File.Members.Leave)) {
-				m.SendAway()
+				m.MoveClients()
 				sleep(ctx, time.Second)
 				m.Kill()
-				r.disc.Set(m.ID, fakes.Deleted)
+				r.disc.SetLifecycle(m.ID, fakes.Deleted)
 			}
 		}()
 	}
 	switch s.Do {
 	case "silent":
-		m.Set(fakes.ModeMute)
+		m.SetMode(fakes.ModeUnresponsive)
 	case "failing":
-		m.Set(fakes.ModeErr)
+		m.SetMode(fakes.ModeErr)
 	case "well":
-		m.Set(fakes.ModeWell)
+		m.SetMode(fakes.ModeHealthy)
 	case "die":
 		m.Kill()
-		r.disc.Set(m.ID, fakes.Deleted)
+		r.disc.SetLifecycle(m.ID, fakes.Deleted)
 	case "return":
 		r.begin(m)
 	case "drain":
--- a/internal/scenariorunner/fleet.go
+++ b/internal/scenariorunner/fleet.go
@@ -177,15 +177,15 @@
 	}
 	r.Say("\r%7.1f s: the owner replaces %s%s\n", r.now().Seconds(), name, strings.Repeat(" ", 40))
 	next, err := r.newMember(m.index, m.lives+1)
-	m.SendAway()
+	m.MoveClients()
 	m.Kill()
-	r.disc.Set(m.ID, fakes.Deleted)
+	r.disc.SetLifecycle(m.ID, fakes.Deleted)
 	if err != nil {
 		r.Say("%s has no successor: %v\n", name, err)
 		return
 	}
 	if old {
-		next.Flaw = fakes.Flaw{}
+		next.Defect = fakes.Defect{}
 	}
 	r.begin(next)
 }
@@ -239,9 +239,9 @@
 		r.with(func(time.Duration) {
 			members, all, lost, now := 0, 0.0, 0.0, time.Now()
 			for _, m := range r.byIndex {
-				bears, cores := 1.0, m.Bearing.Cores
+				bears, cores := 1.0, m.Capacity.Cores
 				if m.entry.Started > 0 {
-					bears = m.Bearing.Share(now.Sub(time.UnixMilli(m.entry.Started)))
+					bears = m.Capacity.Share(now.Sub(time.UnixMilli(m.entry.Started)))
 				}
 				if m.Down() {
 					bears = 0
--- a/internal/scenariorunner/relay.go
+++ b/internal/scenariorunner/relay.go
@@ -66,7 +66,7 @@
 	settings["me"], _ = json.Marshal(n.index)
 	c["settings"], c["name"], c["listen"], c["operator"], c["discovery"] = settings, n.name, n.listen, n.operator, n.discovery
 	c["seed"] = fmt.Sprintf("%x", n.plan.Seed+uint64(n.index)*7919+uint64(n.starts))
-	list := n.disc.Known(nil) // outside the lock of door
+	list := n.disc.Snapshot(nil) // outside the lock of door
 	for i, e := range list.Instances {
 		list.Instances[i].Addr = n.door(n.name, e)
 	}
@@ -101,7 +101,7 @@
 			if w := n.ways[[2]string{n.name, o.name}]; w != nil {
 				addr = w.udp.Addr()
 				reach[o.name] = addr
-				w.udp.To(o.peers)
+				w.udp.SetTarget(o.peers)
 			}
 			if len(known) < 3 {
 				known = append(known, addr)
--- a/internal/scenariorunner/run.go
+++ b/internal/scenariorunner/run.go
@@ -96,9 +96,9 @@
 
 // way is one link, which all connections of a pair pass that the file breaks.
 type way struct {
-	there, back fakes.Rough
-	pipes       []*fakes.Pipe
-	udp         *fakes.Link
+	there, back fakes.Impairment
+	pipes       []*fakes.TCPProxy
+	udp         *fakes.UDPProxy
 }
 
 type member struct {
@@ -242,7 +242,7 @@
 	for pair := range broken {
 		w := &way{}
 		if pair[0][0] == 'n' && pair[1][0] == 'n' {
-			udp, err := fakes.NewLink(r.plan.Seed + uint64(len(r.ways)))
+			udp, err := fakes.NewUDPProxy(r.plan.Seed + uint64(len(r.ways)))
 			if err != nil {
 				return err
 			}
@@ -272,10 +272,10 @@
 		list = append(list, m.entry)
 	}
 	r.disc = fakes.NewDiscovery(list...)
-	r.disc.SetLag(scenario.Millis(r.File.Discovery.Lag))
-	r.disc.Called = func(string) { r.with(func(at time.Duration) { r.lists.Add(at, 1) }) }
-	r.disc.Told = r.told
-	r.disc.Wrote = func(relay string, bytes int) { r.with(func(time.Duration) { r.used[relay].listBytes += bytes }) }
+	r.disc.SetPropagationDelay(scenario.Millis(r.File.Discovery.Lag))
+	r.disc.OnCall = func(string) { r.with(func(at time.Duration) { r.lists.Add(at, 1) }) }
+	r.disc.OnDelivered = r.told
+	r.disc.OnWritten = func(relay string, bytes int) { r.with(func(time.Duration) { r.used[relay].listBytes += bytes }) }
 	r.front = &front{run: r, reach: map[string]string{}, heard: map[string]time.Time{}, in: map[string]bool{}}
 	if _, on := r.config["fleet"]; on {
 		for _, n := range r.relays {
@@ -320,12 +320,12 @@
 	if w == nil {
 		return addr, nil
 	}
-	p, err := fakes.NewPipe(addr)
+	p, err := fakes.NewTCPProxy(addr)
 	if err != nil {
 		return "", err
 	}
-	p.Gone = gone
-	p.Set(w.there, w.back)
+	p.OnCallerClosed = gone
+	p.SetImpairment(w.there, w.back)
 	w.pipes = append(w.pipes, p)
 	return p.Addr(), nil
 }
@@ -346,20 +346,20 @@
 	zones := site(r.set)
 	m := &member{Member: fakes.NewMember(fmt.Sprintf("s%d", i)), index: i, zone: zones.Zone(i), doors: map[string]string{}, lives: lives}
 	if lives > 0 {
-		m.Flaw = fakes.Flaw{Fail: f.Flaw.Fail, Delay: scenario.Millis(f.Flaw.Delay)}
+		m.Defect = fakes.Defect{FailureRate: f.Flaw.Fail, Delay: scenario.Millis(f.Flaw.Delay)}
 		for k, n := range r.relays {
 			if f.Flaw.Zone != "" && zones.Zone(k) == f.Flaw.Zone {
-				m.Flaw.Via = append(m.Flaw.Via, n.name)
+				m.Defect.Via = append(m.Defect.Via, n.name)
 			}
 		}
 		m.ID = fmt.Sprintf("s%d.%d", i, lives)
 	}
 	m.name = m.ID
-	m.Bearing = fakes.Bearing{Cores: r.plan.Cores[i], Most: f.Most, Open: scenario.Millis(f.Open), Group: scenario.Millis(f.Group),
-		ColdFrom: g.ColdFrom, ColdFor: settings.Span(g.Cold), Every: scenario.Millis(f.Report), Rough: f.Rough, Names: r.set.Report.Names}
+	m.Capacity = fakes.Capacity{Cores: r.plan.Cores[i], MaxConnections: f.Most, ConnectionWork: scenario.Millis(f.Open), GroupWork: scenario.Millis(f.Group),
+		SlowStartFrom: g.ColdFrom, SlowStartFor: settings.Span(g.Cold), ReportInterval: scenario.Millis(f.Report), ReportError: f.Rough, ReportFields: r.set.Report.Names}
 	open := map[string]string{} // attempts by the sending address: only one end of each is told
 	var mu sync.Mutex
-	m.Begun = func(a fakes.Attempt) {
+	m.OnAttempt = func(a fakes.Attempt) {
 		mu.Lock()
 		open[a.From] = a.ID
 		mu.Unlock()
@@ -371,13 +371,13 @@
 		delete(open, a.From)
 		mu.Unlock()
 		if was {
-			r.with(func(at time.Duration) { r.judge.Over(at, a.ID, m.name, a.Load, itself, a.Turned) })
+			r.with(func(at time.Duration) { r.judge.Over(at, a.ID, m.name, a.Load, itself, a.Rejected) })
 		}
 	}
-	m.Made = func(a fakes.Attempt, up string) { r.with(func(time.Duration) { r.judge.Made(a.ID, up) }) }
-	m.Ended = over
-	m.Joined = func(via string) { r.with(func(time.Duration) { r.used[via].connections++ }) }
-	m.Probed = func() { r.with(func(at time.Duration) { r.probes.Add(at, 1) }) }
+	m.OnAccept = func(a fakes.Attempt, up string) { r.with(func(time.Duration) { r.judge.Made(a.ID, up) }) }
+	m.OnEnd = over
+	m.OnConnection = func(via string) { r.with(func(time.Duration) { r.used[via].connections++ }) }
+	m.OnProbe = func() { r.with(func(at time.Duration) { r.probes.Add(at, 1) }) }
 	for _, n := range r.relays {
 		addr, err := m.Open(n.name)
 		if err != nil {
@@ -425,7 +425,7 @@
 			if m.entry.Started > 0 {
 				age = time.Since(time.UnixMilli(m.entry.Started))
 			}
-			r.fresh[m.ID].Add(at, work/(m.Bearing.Cores*m.Bearing.Share(age)))
+			r.fresh[m.ID].Add(at, work/(m.Capacity.Cores*m.Capacity.Share(age)))
 		}
 	})
 	if falls {
