--- /dev/null
+++ b/cmd/dahliarudder/listen.go
@@ -0,0 +1,90 @@
+package main
+
+import (
+	"time"
+
+	"github.com/sirupsen/logrus"
+	"golang.org/x/sys/unix"
+
+	"dahliarudder/internal/netloop"
+)
+
+func (r *relay) listen(front, addr string, accept func(*netloop.Conn)) error {
+	l, err := r.inheritOrListen(front, addr, accept)
+	r.addListener(front, l, err)
+	if err == nil {
+		r.clientListeners[front] = l
+	}
+	return err
+}
+
+const (
+	// listenTimeout is how long a start waits for an address that cannot be had yet: the process before it may still be
+	// ending. It leaves half of the 10 s within which nine in ten restarted relays have to be ready.
+	listenTimeout    = 5 * time.Second
+	listenRetryPause = 20 * time.Millisecond
+)
+
+// listenWithRetry listens, again and again where the system refuses that for a moment.
+func (r *relay) listenWithRetry(listen func() (*netloop.Listener, error)) (*netloop.Listener, error) {
+	by := r.clock() + listenTimeout
+	for told := false; ; time.Sleep(listenRetryPause) {
+		l, err := listen()
+		if err == nil || !netloop.MayPass(err) || r.clock() >= by || r.signals.stopping() {
+			return l, err
+		}
+		if !told {
+			r.log.WithError(err).Warn("the address cannot be had yet")
+			told = true
+		}
+	}
+}
+
+// addListener keeps a listener, unless there is none.
+func (r *relay) addListener(front string, l *netloop.Listener, err error) {
+	if err == nil {
+		r.listeners = append(r.listeners, l)
+		r.log.WithFields(logrus.Fields{"front": front, "listen": l.Addr()}).Info("serving")
+	}
+}
+
+// listenersClosed says that no listener takes connections in any more.
+func (r *relay) listenersClosed() bool {
+	for _, l := range r.listeners {
+		if !l.Closed() {
+			return false
+		}
+	}
+	return true
+}
+
+// closeUnusedSockets gives back the first process's sockets of fronts that are off here.
+func (r *relay) closeUnusedSockets() {
+	for _, fd := range r.inheritedSockets {
+		unix.Close(fd)
+	}
+	r.inheritedSockets = nil
+}
+
+// inheritOrListen listens by the first process's socket, if it has one at that address.
+func (r *relay) inheritOrListen(front, addr string, accept func(*netloop.Conn)) (*netloop.Listener, error) {
+	fd, ok := r.inheritedSockets[front]
+	delete(r.inheritedSockets, front)
+	if !ok {
+		return r.listenOnNewSocket(addr, accept)
+	}
+	if !netloop.ListensAt(fd, addr) {
+		unix.Close(fd)
+		return r.listenOnNewSocket(addr, accept)
+	}
+	l, err := r.loop.Inherit(fd, accept)
+	if err == nil {
+		l.Hold(true)
+	}
+	return l, err
+}
+
+// listenOnNewSocket listens by a socket of this process's own.
+func (r *relay) listenOnNewSocket(addr string, accept func(*netloop.Conn)) (*netloop.Listener, error) {
+	return r.listenWithRetry(func() (*netloop.Listener, error) { return r.loop.Listen(addr, accept) })
+}
--- a/cmd/dahliarudder/upgrade.go
+++ b/cmd/dahliarudder/upgrade.go
@@ -381,34 +381,3 @@
 	r.core.Recall(r.inheritedState.Learned)
 	r.inheritedState = nil
 }
-
-// closeUnusedSockets gives back the first process's sockets of fronts that are off here.
-func (r *relay) closeUnusedSockets() {
-	for _, fd := range r.inheritedSockets {
-		unix.Close(fd)
-	}
-	r.inheritedSockets = nil
-}
-
-// inheritOrListen listens by the first process's socket, if it has one at that address.
-func (r *relay) inheritOrListen(front, addr string, accept func(*netloop.Conn)) (*netloop.Listener, error) {
-	fd, ok := r.inheritedSockets[front]
-	delete(r.inheritedSockets, front)
-	if !ok {
-		return r.listenOnNewSocket(addr, accept)
-	}
-	if !netloop.ListensAt(fd, addr) {
-		unix.Close(fd)
-		return r.listenOnNewSocket(addr, accept)
-	}
-	l, err := r.loop.Inherit(fd, accept)
-	if err == nil {
-		l.Hold(true)
-	}
-	return l, err
-}
-
-// listenOnNewSocket listens by a socket of this process's own.
-func (r *relay) listenOnNewSocket(addr string, accept func(*netloop.Conn)) (*netloop.Listener, error) {
-	return r.listenWithRetry(func() (*netloop.Listener, error) { return r.loop.Listen(addr, accept) })
-}
