--- a/cmd/dahliarudder/upgrade.go
+++ b/cmd/dahliarudder/upgrade.go
@@ -6,7 +6,6 @@
 
 	"golang.org/x/sys/unix"
 
-	"dahliarudder/internal/front/line"
 	"dahliarudder/internal/handover"
 	"dahliarudder/internal/netloop"
 	"dahliarudder/policy"
@@ -43,15 +42,6 @@
 	stageStopping                     // it was told to stop
 )
 
-// takeoverState says whether this process, which was told to stop, leaves clients to the other one.
-type takeoverState int
-
-const (
-	takeoverNone      takeoverState = iota // it answers them itself
-	takeoverRequested                      // it takes none in, but the other one has not said that it does
-	takeoverConfirmed                      // the other one takes them in
-)
-
 // sibling is the other process of this relay while there are two.
 type siblingProcess struct {
 	peer     *handover.Peer
@@ -135,69 +125,6 @@
 	}
 }
 
-// adoptConnection takes a connection over, with its descriptors. It returns false if none came.
-func (r *relay) adoptConnection(n *handover.Note, fds []int) bool {
-	switch {
-	case r.lineFront == nil:
-		return false
-	case n.Client != nil && len(fds) == 1:
-		r.loop.Grant(len(fds))
-		r.lineFront.TakeFresh(*n.Client, fds[0])
-	case n.Flow != nil && len(fds) == 2:
-		r.loop.Grant(len(fds))
-		r.lineFront.TakeFlow(*n.Flow, fds[0], fds[1])
-	default:
-		return false
-	}
-	return true
-}
-
-// handOverConnections hands connections over to a successor that serves, a few at a time, so that the others are served meanwhile: those that have asked for
-// nothing, and once this process is told to stop its open flows.
-func (r *relay) handOverConnections() {
-	if !r.handsOver() {
-		return
-	}
-	r.lineFront.GiveFresh(r.handoverWindow(), func(p line.Fresh, fd int) {
-		r.sendConnection(handover.Note{Client: &p}, fd)
-	})
-	if r.stopping {
-		r.lineFront.GiveFlows(r.handoverWindow(), func(f line.Flow, client, member int) {
-			r.sendConnection(handover.Note{Flow: &f}, client, member)
-		})
-	}
-	again := openStateInterval
-	if r.stopping || r.sibling.peer.Pending() > 0 || r.lineFront.FreshCount() > 0 {
-		again = handoverInterval
-	}
-	r.sibling.passing.Stop()
-	r.sibling.passing = r.loop.After(again, r.handOverConnections)
-}
-
-// handsOver says whether connections go to a successor that serves.
-func (r *relay) handsOver() bool {
-	return r.sibling != nil && r.sibling.origin == originNewer && r.sibling.stage == stageServing && r.lineFront != nil
-}
-
-// handoverComplete says that nothing waits for the other process.
-func (r *relay) handoverComplete() bool {
-	if r.sibling == nil {
-		return true
-	}
-	return r.sibling.peer.Quiet() && (!r.handsOver() || r.lineFront.FreshCount() == 0)
-}
-
-// handoverWindow is how many connections may be handed over now.
-func (r *relay) handoverWindow() int { return handoverBurst - r.sibling.peer.Pending() }
-
-// sendConnection hands a connection over. What cannot be handed over goes on here.
-func (r *relay) sendConnection(n handover.Note, fds ...int) {
-	if err := r.sibling.peer.Give(n, fds...); err != nil {
-		r.log.WithError(err).Error("the other process does not hear")
-		r.loop.After(0, func() { r.adoptConnection(&n, fds) })
-	}
-}
-
 // sendStateToSuccessor tells a successor all that it starts with.
 func (r *relay) sendStateToSuccessor(hello int) {
 	r.sibling.peer.Speaks(hello)
@@ -272,13 +199,6 @@
 	}
 }
 
-// pauseAccepting has the fronts take no client in, or go on.
-func (r *relay) pauseAccepting(held bool) {
-	for _, l := range r.clientListeners {
-		l.Hold(held)
-	}
-}
-
 // onSiblingGone goes on as the only process. A successor that has ended without taking over
 // leaves its clients to this one, and what was on its way to it comes back.
 func (r *relay) onSiblingGone(err error) {
@@ -306,66 +226,6 @@
 	}
 }
 
-// startAccepting takes clients in. A process that is to take another's place does so once it
-// has members to send to.
-func (r *relay) startAccepting() {
-	if r.accepting {
-		return
-	}
-	r.accepting = true
-	r.pauseAccepting(false)
-	r.sendNote(handover.Note{Serving: true})
-	r.awaitSuccessor()
-}
-
-// requestTakeover leaves clients to the other process, if one serves, and says whether there
-// is one. A second process that is stopped before the first leaves them to that one. The other one may have been told to stop too: only
-// when it says that it goes on may this one end before its time.
-func (r *relay) requestTakeover() bool {
-	if r.sibling == nil {
-		return false
-	}
-	r.sendNote(handover.Note{Leaving: true})
-	if r.sibling.stage != stageServing {
-		return false
-	}
-	r.pauseAccepting(true)
-	r.takeover = takeoverRequested
-	if !r.sibling.peer.Confirms() { // it answers nothing
-		r.onTakeoverConfirmed()
-	}
-	return true
-}
-
-// onSiblingStopping is told that the other process was told to stop. If this one was too, each answers who comes to it.
-func (r *relay) onSiblingStopping() {
-	r.sibling.stage = stageStopping
-	if r.lineFront != nil {
-		r.lineFront.KeepFresh() // nothing more is handed over
-	}
-	if !r.accepting {
-		return // it takes no clients in yet, and the other one knows that
-	}
-	r.pauseAccepting(false)
-	if r.stopping {
-		r.takeover = takeoverNone
-		return
-	}
-	r.sendNote(handover.Note{Relieves: true})
-}
-
-// onTakeoverConfirmed is told that the other process takes clients in.
-func (r *relay) onTakeoverConfirmed() {
-	if r.takeover != takeoverRequested {
-		return
-	}
-	r.takeover = takeoverConfirmed
-	if r.sibling.origin == originOlder {
-		r.sibling.peer.Leave()
-		r.sibling = nil
-	}
-}
-
 // restorePredecessorState takes over what the first process knew. It comes before any client.
 func (r *relay) restorePredecessorState() {
 	if r.inheritedState == nil {
--- /dev/null
+++ b/cmd/dahliarudder/upgrade_connections.go
@@ -0,0 +1,69 @@
+package main
+
+import (
+	"dahliarudder/internal/front/line"
+	"dahliarudder/internal/handover"
+)
+
+// adoptConnection takes a connection over, with its descriptors. It returns false if none came.
+func (r *relay) adoptConnection(n *handover.Note, fds []int) bool {
+	switch {
+	case r.lineFront == nil:
+		return false
+	case n.Client != nil && len(fds) == 1:
+		r.loop.Grant(len(fds))
+		r.lineFront.TakeFresh(*n.Client, fds[0])
+	case n.Flow != nil && len(fds) == 2:
+		r.loop.Grant(len(fds))
+		r.lineFront.TakeFlow(*n.Flow, fds[0], fds[1])
+	default:
+		return false
+	}
+	return true
+}
+
+// handOverConnections hands connections over to a successor that serves, a few at a time, so that the others are served meanwhile: those that have asked for
+// nothing, and once this process is told to stop its open flows.
+func (r *relay) handOverConnections() {
+	if !r.handsOver() {
+		return
+	}
+	r.lineFront.GiveFresh(r.handoverWindow(), func(p line.Fresh, fd int) {
+		r.sendConnection(handover.Note{Client: &p}, fd)
+	})
+	if r.stopping {
+		r.lineFront.GiveFlows(r.handoverWindow(), func(f line.Flow, client, member int) {
+			r.sendConnection(handover.Note{Flow: &f}, client, member)
+		})
+	}
+	again := openStateInterval
+	if r.stopping || r.sibling.peer.Pending() > 0 || r.lineFront.FreshCount() > 0 {
+		again = handoverInterval
+	}
+	r.sibling.passing.Stop()
+	r.sibling.passing = r.loop.After(again, r.handOverConnections)
+}
+
+// handsOver says whether connections go to a successor that serves.
+func (r *relay) handsOver() bool {
+	return r.sibling != nil && r.sibling.origin == originNewer && r.sibling.stage == stageServing && r.lineFront != nil
+}
+
+// handoverComplete says that nothing waits for the other process.
+func (r *relay) handoverComplete() bool {
+	if r.sibling == nil {
+		return true
+	}
+	return r.sibling.peer.Quiet() && (!r.handsOver() || r.lineFront.FreshCount() == 0)
+}
+
+// handoverWindow is how many connections may be handed over now.
+func (r *relay) handoverWindow() int { return handoverBurst - r.sibling.peer.Pending() }
+
+// sendConnection hands a connection over. What cannot be handed over goes on here.
+func (r *relay) sendConnection(n handover.Note, fds ...int) {
+	if err := r.sibling.peer.Give(n, fds...); err != nil {
+		r.log.WithError(err).Error("the other process does not hear")
+		r.loop.After(0, func() { r.adoptConnection(&n, fds) })
+	}
+}
