--- a/cmd/dahliarudder/build.go
+++ b/cmd/dahliarudder/build.go
@@ -48,11 +48,11 @@
 	}
 	if cfg.Fronts.NATS != nil {
 		r.natsFront = nats.New(loop, r.core, r.log, cfg.Name, *cfg.Fronts.NATS, cfg.Security())
-		probe = r.natsFront.Probe
+		probe = r.natsFront.CheckHealth
 	}
 	if cfg.Fronts.Line != nil {
 		r.lineFront = line.New(loop, r.core, r.log)
-		probe = r.lineFront.Probe
+		probe = r.lineFront.CheckHealth
 	}
 	if cfg.Operator != "" {
 		if err := r.restoreEjections(); err != nil {
--- a/cmd/dahliarudder/operator.go
+++ b/cmd/dahliarudder/operator.go
@@ -103,8 +103,8 @@
 	switch {
 	case r.natsFront == nil:
 	case on:
-		r.natsFront.Leave()
+		r.natsFront.EnterLameDuck()
 	case r.core.Welcomes():
-		r.natsFront.Stay()
+		r.natsFront.ExitLameDuck()
 	}
 }
--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -42,7 +42,7 @@
 	stopLingerTime   = 200 * time.Millisecond
 	// stopOverrun is what flows that are moved at the very end have for the end of a line. SIGKILL comes 0.7 s after the
 	// longest deadline, at which a stop ends at the latest.
-	stopOverrun = line.MoveWithin + stopLingerTime/2
+	stopOverrun = line.MoveTimeout + stopLingerTime/2
 )
 
 // wallClock is the machine's clock, which may be stepped. Nothing that lasts is measured by it. Only tests change it.
@@ -155,6 +155,6 @@
 	r.log.WithField("discovery", fresh.Discovery).Info("configuration read again")
 	r.watch.Move(fresh.Discovery)
 	if r.natsFront != nil && fresh.Security() != nil && !slices.Contains(keys, "fronts") {
-		r.natsFront.Renew(fresh.Security())
+		r.natsFront.ReloadSecurity(fresh.Security())
 	}
 }
--- a/cmd/dahliarudder/stop.go
+++ b/cmd/dahliarudder/stop.go
@@ -22,7 +22,7 @@
 		r.core.Stop()
 	}
 	if r.natsFront != nil {
-		r.natsFront.Leave()
+		r.natsFront.EnterLameDuck()
 	}
 	r.pollUntil(func() bool {
 		now := loop.Now()
@@ -43,7 +43,7 @@
 func (r *relay) openRequests() int {
 	held := r.core.Held()
 	if r.lineFront != nil {
-		held = max(held, r.lineFront.Held())
+		held = max(held, r.lineFront.OpenRequests())
 	}
 	return held
 }
@@ -66,7 +66,7 @@
 // closeIdleConnections ends connections on which nothing was asked yet.
 func (r *relay) closeIdleConnections() {
 	if r.lineFront != nil {
-		r.lineFront.Leave()
+		r.lineFront.CloseIdle()
 	}
 }
 
--- a/cmd/dahliarudder/upgrade.go
+++ b/cmd/dahliarudder/upgrade.go
@@ -115,7 +115,7 @@
 	case n.Open != nil:
 		r.limitToRemainingSockets(n.Open.Limit)
 		if r.lineFront != nil {
-			r.lineFront.Elsewhere(n.Open.IDs)
+			r.lineFront.SetRemoteIDs(n.Open.IDs)
 		}
 	case r.adoptConnection(n, fds):
 		return
@@ -182,7 +182,7 @@
 	before := r.sibling.sentOpen
 	r.limitToOwnSockets()
 	if r.lineFront != nil && r.sibling.stage == stageServing {
-		r.sibling.sentOpen.IDs = r.lineFront.IDs()
+		r.sibling.sentOpen.IDs = r.lineFront.OpenRequestIDs()
 		slices.Sort(r.sibling.sentOpen.IDs)
 	}
 	if now := r.sibling.sentOpen; now.Limit != before.Limit || !slices.Equal(now.IDs, before.IDs) {
@@ -209,8 +209,8 @@
 	r.loop.Limit(r.maxSockets)
 	r.loop.Memory(r.maxBufferBytes)
 	if r.lineFront != nil {
-		r.lineFront.Elsewhere(nil)
-		r.lineFront.KeepFresh()
+		r.lineFront.SetRemoteIDs(nil)
+		r.lineFront.ResumeIdle()
 	}
 	for _, t := range was.peer.Unconfirmed() {
 		r.adoptConnection(&t.Note, t.FDs)
--- a/cmd/dahliarudder/upgrade_connections.go
+++ b/cmd/dahliarudder/upgrade_connections.go
@@ -12,10 +12,10 @@
 		return false
 	case n.Client != nil && len(fds) == 1:
 		r.loop.Grant(len(fds))
-		r.lineFront.TakeFresh(*n.Client, fds[0])
+		r.lineFront.AdoptIdle(*n.Client, fds[0])
 	case n.Flow != nil && len(fds) == 2:
 		r.loop.Grant(len(fds))
-		r.lineFront.TakeFlow(*n.Flow, fds[0], fds[1])
+		r.lineFront.AdoptFlow(*n.Flow, fds[0], fds[1])
 	default:
 		return false
 	}
@@ -28,16 +28,16 @@
 	if !r.handsOver() {
 		return
 	}
-	r.lineFront.GiveFresh(r.handoverWindow(), func(p line.Fresh, fd int) {
+	r.lineFront.HandOffIdle(r.handoverWindow(), func(p line.IdleConn, fd int) {
 		r.sendConnection(handover.Note{Client: &p}, fd)
 	})
 	if r.stopping {
-		r.lineFront.GiveFlows(r.handoverWindow(), func(f line.Flow, client, member int) {
+		r.lineFront.HandOffFlows(r.handoverWindow(), func(f line.FlowHandoff, client, member int) {
 			r.sendConnection(handover.Note{Flow: &f}, client, member)
 		})
 	}
 	again := openStateInterval
-	if r.stopping || r.sibling.peer.Pending() > 0 || r.lineFront.FreshCount() > 0 {
+	if r.stopping || r.sibling.peer.Pending() > 0 || r.lineFront.IdleCount() > 0 {
 		again = handoverInterval
 	}
 	r.sibling.passing.Stop()
@@ -54,7 +54,7 @@
 	if r.sibling == nil {
 		return true
 	}
-	return r.sibling.peer.Quiet() && (!r.handsOver() || r.lineFront.FreshCount() == 0)
+	return r.sibling.peer.Quiet() && (!r.handsOver() || r.lineFront.IdleCount() == 0)
 }
 
 // handoverWindow is how many connections may be handed over now.
--- a/cmd/dahliarudder/upgrade_takeover.go
+++ b/cmd/dahliarudder/upgrade_takeover.go
@@ -55,7 +55,7 @@
 func (r *relay) onSiblingStopping() {
 	r.sibling.stage = stageStopping
 	if r.lineFront != nil {
-		r.lineFront.KeepFresh() // nothing more is handed over
+		r.lineFront.ResumeIdle() // nothing more is handed over
 	}
 	if !r.accepting {
 		return // it takes no clients in yet, and the other one knows that
