--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -51,10 +51,10 @@
 	}
 	r.trial, r.sections = newTrial(r), r.cfg.Sections()
 	var err error
-	r.fleet, err = fleet.Start(fleet.Options{Config: c, Name: r.cfg.Name, Zone: zone, Start: r.peers.Start(), Program: program,
-		Settings: r.cfg.Digest(), Keys: r.cfg.Peers.Keys(), ColdFrom: set.Guarantees.ColdFrom, ColdFor: settings.Span(set.Guarantees.Cold),
-		Wall: steadyWall(), Log: r.log, Post: r.loop.Post, Look: r.look, Follow: r.heed,
-		Pause: r.pauseTrial})
+	r.fleet, err = fleet.Start(fleet.Options{Config: c, Name: r.cfg.Name, Zone: zone, Incarnation: r.peers.Start(), Program: program,
+		ConfigDigest: r.cfg.Digest(), Keys: r.cfg.Peers.Keys(), SlowStartShare: set.Guarantees.ColdFrom, SlowStartDuration: settings.Span(set.Guarantees.Cold),
+		WallClock: steadyWall(), Log: r.log, Post: r.loop.Post, Observe: r.look, ApplyDesired: r.heed,
+		PauseCanary: r.pauseTrial})
 	if err != nil {
 		return err
 	}
@@ -97,7 +97,7 @@
 var listed = map[policy.State]string{policy.Ready: "ready", policy.Draining: "draining", policy.Gone: "gone"}
 
 // look is what this relay does now.
-func (r *relay) look() fleet.Look {
+func (r *relay) look() fleet.ObservedState {
 	set, n := r.names.Settings, r.core.Counts
 	list, _ := r.watch.List()
 	now := r.loop.Now()
@@ -105,10 +105,10 @@
 		r.stood += time.Duration(r.core.Held()) * (now - r.looked)
 	}
 	r.looked = now
-	l := fleet.Look{Phase: "serving", Flows: r.core.Held(), Asked: uint64((r.stood + n.Away).Milliseconds()), Served: uint64(r.stood.Milliseconds()), Astray: uint64(n.Astray),
-		Local: r.core.Banned(), Agreed: r.agreed, Follows: r.follows, List: list.Generation, Sections: r.sections, Permits: r.permits, Shut: r.shut}
+	l := fleet.ObservedState{Phase: "serving", Flows: r.core.Held(), DemandMS: uint64((r.stood + n.Away).Milliseconds()), ServedMS: uint64(r.stood.Milliseconds()), MisroutedFlows: uint64(n.Astray),
+		LocalEjections: r.core.Banned(), AppliedOut: r.agreed, AppliedVersion: r.follows, ListGeneration: list.Generation, ConfigSections: r.sections, PermitsVersion: r.permits, ShutOrder: r.shut}
 	if r.refused != "" {
-		l.Refused = map[string]string{drift.Config + ".settings": r.refused}
+		l.RejectedItems = map[string]string{drift.Config + ".settings": r.refused}
 	}
 	switch {
 	case r.ending:
@@ -121,16 +121,16 @@
 		l.Phase = "draining"
 	}
 	for _, m := range r.core.Members() {
-		p := fleet.Pooled{Name: m.Name, Listed: listed[m.State], Out: m.Out, Flows: m.Flows, Capacity: m.Capacity, Good: m.Good, Bad: m.Bad}
+		p := fleet.MemberState{Name: m.Name, DiscoveryState: listed[m.State], Out: m.Out, Flows: m.Flows, Capacity: m.Capacity, Successes: m.Good, Failures: m.Bad}
 		if m.Zone < len(set.Zones) {
 			p.Zone = string(set.Zones[m.Zone])
 		}
 		if m.Started != 0 {
-			p.Started = r.names.Starts.UnixMilli(m.Name, m.Started)
+			p.StartedAt = r.names.Starts.UnixMilli(m.Name, m.Started)
 		}
 		l.Members = append(l.Members, p)
 	}
-	l.Weighs, l.Counts = r.trial.weighs, r.trial.counts()
+	l.CanaryVersion, l.CanaryCounts = r.trial.weighs, r.trial.counts()
 	for _, p := range r.peers.Known() {
 		l.Peers = append(l.Peers, fleet.Peer{Name: p.Name, Zone: p.Zone, Alive: p.State <= gossip.Suspect, Gone: p.State >= gossip.Gone,
 			Serving: p.Phase == gossip.Serving, Incarnation: p.Incarnation})
@@ -139,14 +139,14 @@
 }
 
 // heed does what was agreed.
-func (r *relay) heed(o fleet.Orders) {
-	version := o.Version
+func (r *relay) heed(o fleet.DesiredState) {
+	version := o.RecordVersion
 	r.trial.agreed(o)
 	out := map[string]core.Leaving{}
 	for name, i := range o.Out {
 		out[name] = core.Leaving{Over: time.Duration(i.MoveOver) * time.Millisecond, Ban: i.Why == rollout.Ban}
 	}
-	if o.Reached {
+	if o.MajorityConfirmed {
 		defer r.catchUp()
 	}
 	names := slices.Sorted(maps.Keys(out))
@@ -154,7 +154,7 @@
 		r.log.WithFields(logrus.Fields{"out": names, "version": version}).Info("fleet: members that are out")
 	}
 	r.core.Agree(out)
-	r.agreed, r.follows, r.permits = names, version, o.Permits
+	r.agreed, r.follows, r.permits = names, version, o.PermitsVersion
 	mine := o.Leave != nil && o.Leave.Start >= r.peers.Start() // else it was for the process before this one
 	switch {
 	case mine && r.leaving == nil:
@@ -191,7 +191,7 @@
 		case r.core.Held() > 0 && r.loop.Now()-l.since < leaveWithin, r.loop.Now()-l.since < core.StopNotice:
 			r.depart()
 		default:
-			r.fleet.Stands(l.number, func(stands, sound bool) {
+			r.fleet.ConfirmLeave(l.number, func(stands, sound bool) {
 				switch {
 				case r.leaving != l || r.ending:
 				case !stands || !sound:
@@ -208,7 +208,7 @@
 // banAll has a member taken out, or put back, at all relays. Without a majority it holds at this relay alone, and is shown as drift
 // when the majority is back.
 func (r *relay) banAll(member string, out bool, done func(error)) {
-	r.fleet.Ban(member, out, func(err error) {
+	r.fleet.SetEjected(member, out, func(err error) {
 		switch {
 		case err == nil && out: // agreed: a word of this relay's own would outlive it
 			done(nil)
--- a/cmd/dahliarudder/trial.go
+++ b/cmd/dahliarudder/trial.go
@@ -50,13 +50,13 @@
 func (t *trial) now() int64 { return t.r.loop.Now().Milliseconds() }
 
 // agreed takes what the record says.
-func (t *trial) agreed(o fleet.Orders) {
-	t.holder.Agreed(t.now(), o.Index, o.Weights)
-	if o.Reached {
-		t.holder.Reached(t.now(), o.Index)
+func (t *trial) agreed(o fleet.DesiredState) {
+	t.holder.Agreed(t.now(), o.AppliedIndex, o.CanaryWeights)
+	if o.MajorityConfirmed {
+		t.holder.Reached(t.now(), o.AppliedIndex)
 	}
 	t.weigh()
-	t.weighs = o.Weighed
+	t.weighs = o.CanaryVersion
 }
 
 // noted takes what another relay passes on.
--- a/internal/fleet/calls.go
+++ b/internal/fleet/calls.go
@@ -28,7 +28,7 @@
 
 // open begins to take calls.
 func (s *Service) open() error {
-	l, err := net.Listen("tcp4", s.Calls)
+	l, err := net.Listen("tcp4", s.APIListen)
 	if err != nil {
 		return fmt.Errorf("fleet.calls: %w", err)
 	}
@@ -199,7 +199,7 @@
 		c := canary.Command{Do: r.PathValue("verb"), Release: r.PathValue("name"), Why: r.URL.Query().Get("why")}
 		switch c.Do {
 		case "pause":
-			s.Post(func() { s.Pause(c.Release) }) // here at once, and round without a majority; the record follows
+			s.Post(func() { s.PauseCanary(c.Release) }) // here at once, and round without a majority; the record follows
 		case "resume", "back", "close":
 		default:
 			say(w, http.StatusNotFound, rollout.Answer{Error: "a canary can be told to pause, resume, go back, or be closed"})
@@ -357,7 +357,7 @@
 	for name, h := range s.helm.scene.words {
 		relays[name] = map[string]any{"heard_ms": now - h.at, "phase": h.Phase, "program": h.Program, "config": h.Config, "follows": h.Follows, "flows": h.Flows, "zone": h.Zone}
 	}
-	for k, v := range map[string]any{"name": s.Name, "program": s.Program, "config": s.Settings, "engine": st, "follows": s.look.Follows,
+	for k, v := range map[string]any{"name": s.Name, "program": s.Program, "config": s.ConfigDigest, "engine": st, "follows": s.look.AppliedVersion,
 		"missed_looks": s.missed, "bad_words": s.bad, "said_bytes": s.said, "failed": s.fails} {
 		out[k] = v
 	}
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -16,27 +16,27 @@
 
 // Config is the setting `fleet`.
 type Config struct {
-	Listen string            `json:"listen"` // between relays: HTTP, sealed with the key of peers
-	Calls  string            `json:"calls"`  // for operators and owners of members: HTTP
-	Dir    string            `json:"dir"`    // what was agreed is kept there; "" keeps nothing
-	Voters map[string]string `json:"voters"` // by name, where they listen: 1, 3 or 5; all other relays follow
-	Reach  map[string]string `json:"reach"`  // by name: where this relay reaches one, if not where it listens
-	Out    struct {
-		Relays   Budget  `json:"relays"`
-		Members  Budget  `json:"members"`
-		Headroom float64 `json:"headroom"` // what is left sound carries the load of now and this part more
-		Cost     float64 `json:"cost"`     // the part of the service of before that a release may cost, beyond noise, before it halts
+	Listen        string            `json:"listen"` // between relays: HTTP, sealed with the key of peers
+	APIListen     string            `json:"calls"`  // for operators and owners of members: HTTP
+	Dir           string            `json:"dir"`    // what was agreed is kept there; "" keeps nothing
+	Voters        map[string]string `json:"voters"` // by name, where they listen: 1, 3 or 5; all other relays follow
+	DialAddresses map[string]string `json:"reach"`  // by name: where this relay reaches one, if not where it listens
+	Disruption    struct {
+		Relays         Budget  `json:"relays"`
+		Members        Budget  `json:"members"`
+		SpareLoad      float64 `json:"headroom"` // what is left sound carries the load of now and this part more
+		MaxServiceLoss float64 `json:"cost"`     // the part of the service of before that a release may cost, beyond noise, before it halts
 	} `json:"out"`
-	TakeOut bool   `json:"take_out"` // relays that drift take no clients, as far as the budget bears it; false if absent: drift is only shown
-	Program string `json:"program"`  // what this relay says that it runs; absent: its version and the digest of its file
-	StartMS int64  `json:"start_ms"` // what is replaced may take so long until it serves; 30,000 if absent
+	EjectDrifted   bool   `json:"take_out"` // relays that drift take no clients, as far as the budget bears it; false if absent: drift is only shown
+	Program        string `json:"program"`  // what this relay says that it runs; absent: its version and the digest of its file
+	StartTimeoutMS int64  `json:"start_ms"` // what is replaced may take so long until it serves; 30,000 if absent
 
 	budgets rollout.Budgets
 }
 
 // Budget is how many may be out at once, each a number ("2") or a part ("25%").
 type Budget struct {
-	Whole string `json:"whole"` // "1" if absent
+	Total string `json:"whole"` // "1" if absent
 	Zone  string `json:"zone"`  // of each zone's; as whole if absent
 }
 
@@ -58,7 +58,7 @@
 // Check makes the setting usable, or says why it is not. Dir is where the configuration stands, balancers the number of relays that
 // should run, warm how long a member is cold.
 func (c *Config) Check(dir string, balancers int, warm time.Duration) (err error) {
-	for _, a := range [][2]string{{"listen", c.Listen}, {"calls", c.Calls}} {
+	for _, a := range [][2]string{{"listen", c.Listen}, {"calls", c.APIListen}} {
 		if _, err := netip.ParseAddrPort(a[1]); err != nil {
 			return fmt.Errorf("%s: %v", a[0], err)
 		}
@@ -66,7 +66,7 @@
 	if n := len(c.Voters); n != 1 && n != 3 && n != 5 {
 		return fmt.Errorf("voters: %d of them: 3 or 5 outlive a loss, 1 is for trials, an even number outlives no more than one less", n)
 	}
-	for _, m := range []map[string]string{c.Voters, c.Reach} {
+	for _, m := range []map[string]string{c.Voters, c.DialAddresses} {
 		for name, at := range m {
 			if _, err := netip.ParseAddrPort(at); name == "" || err != nil {
 				return fmt.Errorf("%q: %v", name, err)
@@ -76,24 +76,24 @@
 	if c.Dir != "" && !filepath.IsAbs(c.Dir) {
 		c.Dir = filepath.Join(dir, c.Dir)
 	}
-	if c.Out.Headroom < 0 || c.Out.Headroom > 10 {
-		return fmt.Errorf("out.headroom: %v is no part of the load", c.Out.Headroom)
+	if c.Disruption.SpareLoad < 0 || c.Disruption.SpareLoad > 10 {
+		return fmt.Errorf("out.headroom: %v is no part of the load", c.Disruption.SpareLoad)
 	}
-	if !(c.Out.Cost >= 0 && c.Out.Cost < 1) {
-		return fmt.Errorf("out.cost: %v is no part of the service", c.Out.Cost)
+	if !(c.Disruption.MaxServiceLoss >= 0 && c.Disruption.MaxServiceLoss < 1) {
+		return fmt.Errorf("out.cost: %v is no part of the service", c.Disruption.MaxServiceLoss)
 	}
-	if c.StartMS < 0 {
+	if c.StartTimeoutMS < 0 {
 		return errors.New("start_ms: below zero")
 	}
-	start := cmp.Or(c.StartMS, startMS)
-	c.budgets = rollout.Budgets{Headroom: c.Out.Headroom, Silent: silentAfter.Milliseconds(), Hold: (silentAfter + holdsMost).Milliseconds(),
+	start := cmp.Or(c.StartTimeoutMS, startMS)
+	c.budgets = rollout.Budgets{Headroom: c.Disruption.SpareLoad, Silent: silentAfter.Milliseconds(), Hold: (silentAfter + holdsMost).Milliseconds(),
 		Fresh: freshFor.Milliseconds(), Drain: leaveMost.Milliseconds(), Start: start, Warm: warm.Milliseconds(), Window: windowMS,
-		Clock: clockDrift, Drift: driftMost.Milliseconds(), Slack: cmp.Or(c.Out.Cost, serviceCost)}
+		Clock: clockDrift, Drift: driftMost.Milliseconds(), Slack: cmp.Or(c.Disruption.MaxServiceLoss, serviceCost)}
 	for _, p := range []struct {
 		name, text string
 		to         *rollout.Part
-	}{{"relays.whole", cmp.Or(c.Out.Relays.Whole, "1"), &c.budgets.Relays.Whole}, {"relays.zone", c.Out.Relays.Zone, &c.budgets.Relays.Zone},
-		{"members.whole", cmp.Or(c.Out.Members.Whole, "1"), &c.budgets.Members.Whole}, {"members.zone", c.Out.Members.Zone, &c.budgets.Members.Zone}} {
+	}{{"relays.whole", cmp.Or(c.Disruption.Relays.Total, "1"), &c.budgets.Relays.Whole}, {"relays.zone", c.Disruption.Relays.Zone, &c.budgets.Relays.Zone},
+		{"members.whole", cmp.Or(c.Disruption.Members.Total, "1"), &c.budgets.Members.Whole}, {"members.zone", c.Disruption.Members.Zone, &c.budgets.Members.Zone}} {
 		if p.text == "" {
 			continue
 		}
--- a/internal/fleet/intent.go
+++ b/internal/fleet/intent.go
@@ -22,14 +22,14 @@
 // intent is what is meant of the things that relays run and no order says: program, and configuration by section. Decisions alone; it is
 // the third part of the record. One that was handed out never changes: a command makes another one.
 type intent struct {
-	Version uint64                      `json:"version"`            // of the last change
-	Items   map[string][]Meant          `json:"items,omitempty"`    // of all relays; newest first
-	Of      map[string]map[string]Meant `json:"of,omitempty"`       // of single relays, by a release of a part of them
-	Ended   map[string]ended            `json:"releases,omitempty"` // what ended releases have changed it by, by name
+	Version uint64                              `json:"version"`            // of the last change
+	Items   map[string][]intendedValue          `json:"items,omitempty"`    // of all relays; newest first
+	Of      map[string]map[string]intendedValue `json:"of,omitempty"`       // of single relays, by a release of a part of them
+	Ended   map[string]ended                    `json:"releases,omitempty"` // what ended releases have changed it by, by name
 }
 
-// Meant is the value of an item, and since when it holds. Its version rises with every change of any item.
-type Meant struct {
+// intendedValue is the value of an item, and since when it holds. Its version rises with every change of any item.
+type intendedValue struct {
 	Value   string `json:"value"`
 	Version uint64 `json:"version"`
 	At      int64  `json:"at"`
@@ -87,9 +87,9 @@
 	if len(by) > rollout.NameMost {
 		by = by[:rollout.NameMost]
 	}
-	x := &intent{Version: n.Version, Items: maps.Clone(n.Items), Of: map[string]map[string]Meant{}, Ended: map[string]ended{}}
+	x := &intent{Version: n.Version, Items: maps.Clone(n.Items), Of: map[string]map[string]intendedValue{}, Ended: map[string]ended{}}
 	if x.Items == nil {
-		x.Items = map[string][]Meant{}
+		x.Items = map[string][]intendedValue{}
 	}
 	for relay, of := range n.Of {
 		x.Of[relay] = maps.Clone(of)
@@ -154,7 +154,7 @@
 			continue
 		}
 		e.Version = e.next
-		list = append([]Meant{{value, e.next, e.at, e.by}}, list...)
+		list = append([]intendedValue{{value, e.next, e.at, e.by}}, list...)
 		e.Items[name] = list[:min(len(list), 1+formerMost)]
 	}
 }
@@ -169,7 +169,7 @@
 		}
 	}
 	for relay, of := range e.Of {
-		maps.DeleteFunc(of, func(name string, _ Meant) bool { return gone(name) })
+		maps.DeleteFunc(of, func(name string, _ intendedValue) bool { return gone(name) })
 		if len(of) == 0 {
 			delete(e.Of, relay)
 		}
@@ -183,9 +183,9 @@
 	}
 	e.Version = e.next
 	if e.Of[relay] == nil {
-		e.Of[relay] = map[string]Meant{}
+		e.Of[relay] = map[string]intendedValue{}
 	}
-	e.Of[relay][name] = Meant{value, e.next, e.at, e.by}
+	e.Of[relay][name] = intendedValue{value, e.next, e.at, e.by}
 }
 
 // release follows a release of relays that is over: the new program is what it named, the sections are what the pilot heard of those that run its
@@ -274,14 +274,14 @@
 }
 
 // meant is what is meant of an item at a relay.
-func (n *intent) meant(relay, name string) (Meant, bool) {
+func (n *intent) meant(relay, name string) (intendedValue, bool) {
 	if m, ok := n.Of[relay][name]; ok {
 		return m, true
 	}
 	if list := n.Items[name]; len(list) > 0 {
 		return list[0], true
 	}
-	return Meant{}, false
+	return intendedValue{}, false
 }
 
 // names are all items that are meant of a relay, in order.
--- a/internal/fleet/keep.go
+++ b/internal/fleet/keep.go
@@ -80,12 +80,12 @@
 }
 
 // fill puts what was known before into orders that the record of now does not reach up to.
-func (k kept) fill(o *Orders) {
-	if o.Version < k.Version {
+func (k kept) fill(o *DesiredState) {
+	if o.RecordVersion < k.Version {
 		o.Out = k.Out
 	}
-	if o.Weighed < k.Weighed {
-		o.Weights = k.Weights
+	if o.CanaryVersion < k.Weighed {
+		o.CanaryWeights = k.Weights
 	}
 }
 
--- a/internal/fleet/ledger.go
+++ b/internal/fleet/ledger.go
@@ -15,7 +15,7 @@
 	start                          uint64
 
 	book     *drift.Book
-	before   Look // as last said
+	before   ObservedState // as last said
 	list     uint64
 	anew     bool // the list's generation fell
 	refused  map[string]refusedClaim
@@ -29,30 +29,30 @@
 }
 
 func newLedger(o *Options) *ledger {
-	g := &ledger{relay: o.Name, zone: o.Zone, program: o.Program, settings: o.Settings, start: o.Start, book: drift.NewBook(o.Name, o.Start),
+	g := &ledger{relay: o.Name, zone: o.Zone, program: o.Program, settings: o.ConfigDigest, start: o.Incarnation, book: drift.NewBook(o.Name, o.Incarnation),
 		refused: map[string]refusedClaim{}, sections: map[string]bool{}}
 	g.book.Count(drift.Bans, drift.KindOut, 0, 0) // so that the first time is seen to be one
 	return g
 }
 
 // word is what to say now.
-func (g *ledger) word(now int64, l Look, r *Record, voters drift.Item) word {
-	w := word{Start: g.start, Zone: g.zone, Phase: l.Phase, Program: g.program, Config: g.settings, Follows: l.Follows, List: l.List,
-		Flows: l.Flows, Asked: l.Asked, Served: l.Served, Local: l.Local, Weighs: l.Weighs, Counts: l.Counts, Shut: l.Shut}
-	if l.List > 0 {
-		g.anew, g.list = g.anew || l.List < g.list, l.List
+func (g *ledger) word(now int64, l ObservedState, r *Record, voters drift.Item) word {
+	w := word{Start: g.start, Zone: g.zone, Phase: l.Phase, Program: g.program, Config: g.settings, Follows: l.AppliedVersion, List: l.ListGeneration,
+		Flows: l.Flows, Asked: l.DemandMS, Served: l.ServedMS, Local: l.LocalEjections, Weighs: l.CanaryVersion, Counts: l.CanaryCounts, Shut: l.ShutOrder}
+	if l.ListGeneration > 0 {
+		g.anew, g.list = g.anew || l.ListGeneration < g.list, l.ListGeneration
 	}
 	w.Anew = g.anew
-	last := map[string]Pooled{}
+	last := map[string]MemberState{}
 	for _, m := range g.before.Members {
 		last[m.Name] = m
 	}
 	for _, m := range l.Members {
-		if b, known := last[m.Name]; m.Flows > 0 || !known && m.Good+m.Bad > 0 || m.Good != b.Good || m.Bad != b.Bad {
-			w.Members = append(w.Members, sight{m.Name, m.Flows, m.Capacity, m.Good, m.Bad})
+		if b, known := last[m.Name]; m.Flows > 0 || !known && m.Successes+m.Failures > 0 || m.Successes != b.Successes || m.Failures != b.Failures {
+			w.Members = append(w.Members, sight{m.Name, m.Flows, m.Capacity, m.Successes, m.Failures})
 		}
 	}
-	w.Sections, w.Refused = sectionsOf(l, g.settings), slices.Sorted(maps.Keys(l.Refused))
+	w.Sections, w.Refused = sectionsOf(l, g.settings), slices.Sorted(maps.Keys(l.RejectedItems))
 	w.Refused = slices.DeleteFunc(w.Refused, func(n string) bool { return len(n) > drift.NameMost })
 	w.Refused = w.Refused[:min(len(w.Refused), meantMost)]
 	w.Tells = g.keep(now, l, r, w.Sections, voters)
@@ -62,8 +62,8 @@
 }
 
 // sectionsOf are those of a look, as far as they can be told. Whole stands for all where they are not known apart.
-func sectionsOf(l Look, whole string) map[string]string {
-	all := l.Sections
+func sectionsOf(l ObservedState, whole string) map[string]string {
+	all := l.ConfigSections
 	if all == nil {
 		all = map[string]string{"settings": whole}
 	}
@@ -77,18 +77,18 @@
 }
 
 // keep notes what the relay runs now. It returns the groups of which it tells anything: it is held to these alone.
-func (g *ledger) keep(now int64, l Look, r *Record, sections map[string]string, voters drift.Item) (tells []string) {
+func (g *ledger) keep(now int64, l ObservedState, r *Record, sections map[string]string, voters drift.Item) (tells []string) {
 	r.mu.RLock()
 	h, in := r.held, r.intent
 	bans, drains := split(r.rollout.Orders(g.relay).Out)
 	out := under{}
-	if len(l.Refused) > 0 {
+	if len(l.RejectedItems) > 0 {
 		out = underOf(r.rollout.Releases(), in)[g.relay]
 	}
 	r.mu.RUnlock()
 
 	g.members(now, l, h, bans, drains)
-	if n := l.Astray - g.before.Astray; n > 0 {
+	if n := l.MisroutedFlows - g.before.MisroutedFlows; n > 0 {
 		g.book.Count(drift.Bans, drift.KindOut, n, n)
 	}
 	tells = []string{drift.Bans, drift.Drains}
@@ -113,13 +113,13 @@
 		g.sections[name] = true
 		g.runs(now, l, in, out, drift.Config+"."+name, sections[name])
 	}
-	if told(drift.List, l.List > 0) {
-		g.book.Note(now, listOf(l.List), "discovery")
+	if told(drift.List, l.ListGeneration > 0) {
+		g.book.Note(now, listOf(l.ListGeneration), "discovery")
 	}
-	if told(drift.Weights, true); l.Weighs == h.Weights.Version {
+	if told(drift.Weights, true); l.CanaryVersion == h.Weights.Version {
 		g.book.Note(now, h.Weights, "record")
 	}
-	if told(drift.Permits, l.Permits > 0) && l.Permits == permitsNumber(h) {
+	if told(drift.Permits, l.PermitsVersion > 0) && l.PermitsVersion == permitsNumber(h) {
 		g.book.Note(now, h.Permits, "record")
 	}
 	if told(drift.Voters, voters.Digest != 0) {
@@ -133,9 +133,9 @@
 
 // runs notes program or a section. What it refused is told where it runs something else than is meant, or was sent for a restart with it: one
 // that runs what is meant has nothing to refuse.
-func (g *ledger) runs(now int64, l Look, in *intent, u under, name, value string) {
+func (g *ledger) runs(now int64, l ObservedState, in *intent, u under, name, value string) {
 	it := in.item(g.relay, name, value)
-	why, refused := l.Refused[name]
+	why, refused := l.RejectedItems[name]
 	m, meant := in.meant(g.relay, name)
 	if !refused || !meant || m.Value == value && !(u.out() && u.names(name)) {
 		delete(g.refused, name)
@@ -151,16 +151,16 @@
 }
 
 // members notes bans and drains, as the core has them.
-func (g *ledger) members(now int64, l Look, h held, bans, drains []string) {
+func (g *ledger) members(now int64, l ObservedState, h held, bans, drains []string) {
 	inForce := func(names []string) (in []string) {
 		for _, n := range names {
-			if slices.Contains(l.Agreed, n) {
+			if slices.Contains(l.AppliedOut, n) {
 				in = append(in, n)
 			}
 		}
 		return in
 	}
-	ours := slices.Clone(l.Local)
+	ours := slices.Clone(l.LocalEjections)
 	ours = slices.DeleteFunc(ours, func(n string) bool { return slices.Contains(bans, n) })
 	applied := inForce(bans)
 	if item := (drift.Item{Name: drift.Bans, Version: h.Bans.Version, Digest: digestOf(applied)}); len(ours) > 0 {
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -37,7 +37,7 @@
 	lead    *mrelay
 	led     int64
 	helm    *helm
-	own     Look
+	own     ObservedState
 	view    rollout.View
 	budgets rollout.Budgets
 	takeOut bool
@@ -56,7 +56,7 @@
 	record                *Record
 	applied               int
 	ledger                *ledger
-	look                  Look
+	look                  ObservedState
 	own                   map[string]string // sections changed by hand
 	frozen                map[string]bool   // items that its loop does not follow
 	refuses, leaving      bool              // new configurations; by order
@@ -64,8 +64,8 @@
 }
 
 func newModel(t testing.TB, seed uint64, n int) *model {
-	c := Config{Listen: "127.0.0.1:1", Calls: "127.0.0.1:2", Voters: map[string]string{"n0": "127.0.0.1:1"}}
-	c.Out.Relays.Whole = "2"
+	c := Config{Listen: "127.0.0.1:1", APIListen: "127.0.0.1:2", Voters: map[string]string{"n0": "127.0.0.1:1"}}
+	c.Disruption.Relays.Total = "2"
 	if err := c.Check("", n, 0); err != nil {
 		t.Fatal(err)
 	}
@@ -82,8 +82,8 @@
 
 func (m *model) begin(r *mrelay) {
 	r.start++
-	r.upAt, r.leaving, r.look = 0, false, Look{Phase: "serving", List: m.list}
-	r.ledger = newLedger(&Options{Name: r.name, Start: r.start, Program: r.program, Settings: r.config})
+	r.upAt, r.leaving, r.look = 0, false, ObservedState{Phase: "serving", ListGeneration: m.list}
+	r.ledger = newLedger(&Options{Name: r.name, Incarnation: r.start, Program: r.program, ConfigDigest: r.config})
 	m.follow(r)
 }
 
@@ -112,21 +112,21 @@
 	r.record.read(func(s *rollout.State, h held) {
 		o := s.Orders(r.name)
 		bans, drains := split(o.Out)
-		r.look.Agreed = slices.DeleteFunc(append(bans, drains...), func(n string) bool {
+		r.look.AppliedOut = slices.DeleteFunc(append(bans, drains...), func(n string) bool {
 			return r.frozen[drift.Bans] && slices.Contains(bans, n) || r.frozen[drift.Drains] && slices.Contains(drains, n)
 		})
-		r.look.Follows, r.look.Permits, r.look.Weighs, r.look.Shut = s.Version(), permitsNumber(h), h.Weights.Version, 0
+		r.look.AppliedVersion, r.look.PermitsVersion, r.look.CanaryVersion, r.look.ShutOrder = s.Version(), permitsNumber(h), h.Weights.Version, 0
 		if r.frozen[drift.Permits] {
-			r.look.Permits = max(keep.Permits, 1)
+			r.look.PermitsVersion = max(keep.PermitsVersion, 1)
 		}
 		if r.frozen[drift.Weights] {
-			r.look.Weighs = keep.Weighs
+			r.look.CanaryVersion = keep.CanaryVersion
 		}
 		if o.Shut != nil && o.Shut.Start >= r.start {
-			r.look.Shut = o.Shut.Number
+			r.look.ShutOrder = o.Shut.Number
 		}
 		if !r.leaving {
-			r.look.Phase = map[bool]string{false: "serving", true: "draining"}[r.look.Shut != 0]
+			r.look.Phase = map[bool]string{false: "serving", true: "draining"}[r.look.ShutOrder != 0]
 		}
 		if o.Leave != nil && o.Leave.Start >= r.start && !r.leaving {
 			r.leaving, r.look.Phase = true, "leaving"
@@ -174,10 +174,10 @@
 // say is a word of a relay, and the answer to it.
 func (m *model) say(r *mrelay) {
 	l, voters := r.look, drift.Item{Name: drift.Voters, Version: 7, Digest: 1}
-	l.Sections = map[string]string{"settings": r.config + "s", "limits": r.config + "l"}
-	maps.Copy(l.Sections, r.own)
+	l.ConfigSections = map[string]string{"settings": r.config + "s", "limits": r.config + "l"}
+	maps.Copy(l.ConfigSections, r.own)
 	if r.refuses {
-		l.Refused = map[string]string{"config.settings": "no such key"}
+		l.RejectedItems = map[string]string{"config.settings": "no such key"}
 	}
 	if r.frozen[drift.Voters] {
 		voters.Version = 3
@@ -210,7 +210,7 @@
 }
 
 func (m *model) pilot() {
-	m.own = Look{Members: []Pooled{{Name: "m1", Listed: "ready", Capacity: 9}, {Name: "m2", Listed: "ready", Capacity: 9}}}
+	m.own = ObservedState{Members: []MemberState{{Name: "m1", DiscoveryState: "ready", Capacity: 9}, {Name: "m2", DiscoveryState: "ready", Capacity: 9}}}
 	for _, r := range m.relays {
 		m.own.Peers = append(m.own.Peers, Peer{Name: r.name, Alive: r.upAt == 0, Gone: r.upAt != 0, Serving: r.look.Phase == "serving", Incarnation: r.start})
 	}
@@ -293,8 +293,8 @@
 			late *= 6
 		}
 		m.at(late, func() {
-			if !r.frozen[drift.List] && epoch == m.epoch && (r.look.List < gen || gen == 3) {
-				r.look.List = gen
+			if !r.frozen[drift.List] && epoch == m.epoch && (r.look.ListGeneration < gen || gen == 3) {
+				r.look.ListGeneration = gen
 			}
 		})
 	}
@@ -346,7 +346,7 @@
 		}},
 		{drift.List, drift.Late, func(m *model, r *mrelay) { r.frozen[drift.List] = true; m.discover(m.list + 1) }},
 		{drift.Bans, drift.Late, func(m *model, r *mrelay) { r.frozen[drift.Bans] = true; ban(m) }},
-		{drift.Bans, drift.Local, func(m *model, r *mrelay) { r.look.Local = []string{"m2"} }},
+		{drift.Bans, drift.Local, func(m *model, r *mrelay) { r.look.LocalEjections = []string{"m2"} }},
 		{drift.Drains, drift.Late, func(m *model, r *mrelay) {
 			r.frozen[drift.Drains] = true
 			m.release("d", rollout.Wish{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}})
@@ -519,12 +519,12 @@
 			t.Fatalf("%+v, %+v", m.found, m.helm.watch.Rows())
 		}
 		stuck(false)
-		m.relays[4].look.List, m.relays[5].look.List = m.list, m.list
+		m.relays[4].look.ListGeneration, m.relays[5].look.ListGeneration = m.list, m.list
 		churn(40)
 		clear(m.planted)
 		clear(m.found)
 		m.planted["n4 list"] = drift.Ahead
-		m.relays[4].frozen[drift.List], m.relays[4].look.List = true, 1<<60
+		m.relays[4].frozen[drift.List], m.relays[4].look.ListGeneration = true, 1<<60
 		m.relays[3].slow = 3000
 		churn(400)
 		if m.sound("a high claim"); !m.found["n4 list"] || m.helm.watch.Bound(drift.Permits) < 15_000 { // no list tells how long a permit takes
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -23,34 +23,34 @@
 // Options is what a Service is made of.
 type Options struct {
 	Config
-	Name, Zone string
-	Start      uint64 // of this process; above that of every one before it, as a wall clock in milliseconds is
-	Program    string // what this relay runs
-	Settings   string // the digest of its configuration, as far as all relays have the same
-	Keys       gossip.Keys
-	ColdFrom   float64       // what a member bears just after its start, as a part
-	ColdFor    time.Duration // until it bears all
-	Wall       func() time.Time
-	Log        logrus.FieldLogger
+	Name, Zone        string
+	Incarnation       uint64 // of this process; above that of every one before it, as a wall clock in milliseconds is
+	Program           string // what this relay runs
+	ConfigDigest      string // the digest of its configuration, as far as all relays have the same
+	Keys              gossip.Keys
+	SlowStartShare    float64       // what a member bears just after its start, as a part
+	SlowStartDuration time.Duration // until it bears all
+	WallClock         func() time.Time
+	Log               logrus.FieldLogger
 	// Post has f run on the relay's loop. The service has one look and one order under way at most.
 	Post func(f func())
-	// Look is what the relay does; on the loop.
-	Look func() Look
-	// Follow has the relay do what was agreed; on the loop.
-	Follow func(Orders)
-	// Pause holds a canary's weight at zero at this relay and has the others told, without the record; on the loop.
-	Pause func(release string)
+	// ObservedState is what the relay does; on the loop.
+	Observe func() ObservedState
+	// ApplyDesired has the relay do what was agreed; on the loop.
+	ApplyDesired func(DesiredState)
+	// PauseCanary holds a canary's weight at zero at this relay and has the others told, without the record; on the loop.
+	PauseCanary func(release string)
 }
 
-// Orders are what a relay is to do by the record.
-type Orders struct {
+// DesiredState are what a relay is to do by the record.
+type DesiredState struct {
 	rollout.Orders
-	Version uint64 // of the record
-	Weights []canary.Weight
-	Weighed uint64 // the version of the canaries
-	Permits uint64 // stands for the permits in force; never 0. The loop keeps it, and its Look shows it
-	Index   uint64 // of the engine, up to which this is
-	Reached bool   // a majority stood behind it just now
+	RecordVersion     uint64 // of the record
+	CanaryWeights     []canary.Weight
+	CanaryVersion     uint64 // the version of the canaries
+	PermitsVersion    uint64 // stands for the permits in force; never 0. The loop keeps it, and its Look shows it
+	AppliedIndex      uint64 // of the engine, up to which this is
+	MajorityConfirmed bool   // a majority stood behind it just now
 }
 
 // Service is one relay's part in the fleet. Its threads: the engine's own; words; orders; what is kept; the pilot; calls.
@@ -66,7 +66,7 @@
 	posting sync.Mutex
 
 	mu      sync.Mutex
-	look    Look // the last
+	look    ObservedState // the last
 	helm    *helm
 	ledger  *ledger
 	judge   *canary.Judge // of the canary that is going; nil if there is none
@@ -83,7 +83,7 @@
 	fails   map[string]int
 }
 
-// Start begins. What the engine cannot do with its directory is no error: it says so in its status.
+// Incarnation begins. What the engine cannot do with its directory is no error: it says so in its status.
 func Start(o Options) (*Service, error) {
 	s := &Service{Options: o, record: NewRecord(), quit: make(chan struct{}), ledger: newLedger(&o), fails: map[string]int{}}
 	s.helm = newHelm(s.record)
@@ -94,7 +94,7 @@
 	if s.known, err = readKept(o.Dir); err != nil {
 		o.Log.WithError(err).Warn("fleet: what was agreed before this start cannot be read: bans hold again when the record is heard")
 	}
-	s.node, err = consensus.Start(consensus.Options{Name: o.Name, Voters: o.Voters, Reach: o.Reach, Listen: o.Listen, Dir: o.Dir, Keys: o.Keys,
+	s.node, err = consensus.Start(consensus.Options{Name: o.Name, Voters: o.Voters, Reach: o.DialAddresses, Listen: o.Listen, Dir: o.Dir, Keys: o.Keys,
 		Machine: s.record, Heard: s.heard, Told: s.told, Led: s.led, Log: o.Log})
 	if err != nil {
 		return nil, err
@@ -123,7 +123,7 @@
 	}
 }
 
-func (s *Service) now() int64 { return s.Wall().UnixMilli() }
+func (s *Service) now() int64 { return s.WallClock().UnixMilli() }
 
 // every calls f until the service ends.
 func (s *Service) every(d time.Duration, f func()) {
@@ -143,12 +143,12 @@
 
 // words tells the leader about this relay. A loop that does not answer is not waited for: the leader hears of its silence.
 func (s *Service) words() {
-	looks := make(chan Look, 1)
+	looks := make(chan ObservedState, 1)
 	asked := false
 	s.every(sayEvery, func() {
 		if !asked {
 			asked = true
-			s.Post(func() { looks <- s.Look() }) // one is under way at most, so this never waits
+			s.Post(func() { looks <- s.Observe() }) // one is under way at most, so this never waits
 		}
 		select {
 		case l := <-looks:
@@ -163,7 +163,7 @@
 	})
 }
 
-func (s *Service) say(l Look) {
+func (s *Service) say(l ObservedState) {
 	now := s.now()
 	s.mu.Lock()
 	s.look = l
@@ -222,7 +222,7 @@
 		case <-again.C:
 			s.mu.Lock()
 			// Until it has caught up; a weight that is not confirmed falls; the loop may have been told before a restored record.
-			anew = !s.caught || time.Since(last) >= sayEvery && (s.look.Follows != sent || s.trial)
+			anew = !s.caught || time.Since(last) >= sayEvery && (s.look.AppliedVersion != sent || s.trial)
 			s.mu.Unlock()
 		}
 		if !anew && !first {
@@ -248,22 +248,22 @@
 func (s *Service) post(done func()) (version uint64) {
 	s.posting.Lock()
 	defer s.posting.Unlock()
-	var o Orders
+	var o DesiredState
 	st := s.node.Status() // before the record is read: what is applied later is in it too
-	o.Index, o.Reached = st.Applied, st.Majority && st.Applied == st.Committed
+	o.AppliedIndex, o.MajorityConfirmed = st.Applied, st.Majority && st.Applied == st.Committed
 	s.mu.Lock()
-	s.caught = s.caught || o.Reached
+	s.caught = s.caught || o.MajorityConfirmed
 	caught := s.caught
 	s.mu.Unlock()
 	s.record.read(func(r *rollout.State, h held) {
-		o.Orders, o.Version, o.Permits = r.Orders(s.Name), r.Version(), permitsNumber(h)
+		o.Orders, o.RecordVersion, o.PermitsVersion = r.Orders(s.Name), r.Version(), permitsNumber(h)
 	})
-	o.Weights, o.Weighed = s.record.weights()
+	o.CanaryWeights, o.CanaryVersion = s.record.weights()
 	if !caught {
 		s.known.fill(&o)
 	}
-	s.Post(func() { s.Follow(o); done() })
-	return o.Version
+	s.Post(func() { s.ApplyDesired(o); done() })
+	return o.RecordVersion
 }
 
 // ---- The leader ----
@@ -326,7 +326,7 @@
 			s.mu.Unlock()
 			return
 		}
-		v := seen.view(now, led, s.Budgets().Hold, s.Name, look, warmth{s.ColdFrom, s.ColdFor.Milliseconds()})
+		v := seen.view(now, led, s.Budgets().Hold, s.Name, look, warmth{s.SlowStartShare, s.SlowStartDuration.Milliseconds()})
 		s.watchDrift(now, &v)
 		meant := s.helm.meaning(now, &v)
 		trials := s.weigh(now, &v)
@@ -372,7 +372,7 @@
 	for _, c := range s.helm.look(now, v) {
 		s.Log.WithFields(logrus.Fields{"relay": c.Relay, "item": c.Item, "from": c.From.String(), "to": c.To.String(), "why": c.Why}).Warn("fleet: drift")
 	}
-	if s.TakeOut { // else nobody is unfit, and who is shut is admitted
+	if s.EjectDrifted { // else nobody is unfit, and who is shut is admitted
 		s.helm.unfit(v)
 	}
 }
@@ -417,8 +417,8 @@
 	return a, nil
 }
 
-// Ban has a member taken out, or put back, at all relays. Done is called once, on the loop, when this relay follows it too.
-func (s *Service) Ban(member string, out bool, done func(error)) {
+// SetEjected has a member taken out, or put back, at all relays. Done is called once, on the loop, when this relay follows it too.
+func (s *Service) SetEjected(member string, out bool, done func(error)) {
 	go func() {
 		c := rollout.Command{Kind: rollout.Allow, Names: []string{member}}
 		if out {
@@ -436,9 +436,9 @@
 	}()
 }
 
-// Stands says on the loop whether this relay's order to leave of that number stands, as of a majority; not sound if there is none to
+// ConfirmLeave says on the loop whether this relay's order to leave of that number stands, as of a majority; not sound if there is none to
 // ask. What cannot be taken back is asked for right before it is done: this process may have stood still since it was told.
-func (s *Service) Stands(number uint64, done func(stands, sound bool)) {
+func (s *Service) ConfirmLeave(number uint64, done func(stands, sound bool)) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), callWithin)
 		defer cancel()
@@ -446,7 +446,7 @@
 		stands := false
 		s.record.read(func(r *rollout.State, _ held) {
 			l := r.Orders(s.Name).Leave
-			stands = l != nil && l.Number == number && l.Start >= s.Start
+			stands = l != nil && l.Number == number && l.Start >= s.Incarnation
 		})
 		s.Post(func() { done(stands, err == nil) })
 	}()
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -18,37 +18,37 @@
 	Incarnation uint64
 }
 
-// Pooled is a member as this relay's list has it.
-type Pooled struct {
-	Name, Zone, Listed string // listed: ready, draining, gone
-	Started            int64  // wall clock, ms; 0 long ago
-	Out                bool
-	Flows              int
-	Capacity           float64
-	Good, Bad          uint64
+// MemberState is a member as this relay's list has it.
+type MemberState struct {
+	Name, Zone, DiscoveryState string // listed: ready, draining, gone
+	StartedAt                  int64  // wall clock, ms; 0 long ago
+	Out                        bool
+	Flows                      int
+	Capacity                   float64
+	Successes, Failures        uint64
 }
 
-// Look is what a relay does, as its loop tells.
-type Look struct {
-	Phase         string
-	List          uint64
-	Flows         int
-	Asked, Served uint64 // time of clients, ms: that in which a flow stood, and with that for which they were sent away. One who comes again ten times is no ten who are not served
-	Astray        uint64 // flows begun at members that were out for longer than the grace
-	Members       []Pooled
-	Local         []string // members that its own operators have taken out
-	Agreed        []string // and by the fleet's word, as the core has them
-	Follows       uint64
-	Weighs        uint64 // the version of the canaries that it goes by
-	Counts        []byte // what it counted for a canary
-	Peers         []Peer
-	// Sections is what it runs of its configuration now: the digest by section, of what all relays have the same. A section's name is 29 bytes
+// ObservedState is what a relay does, as its loop tells.
+type ObservedState struct {
+	Phase              string
+	ListGeneration     uint64
+	Flows              int
+	DemandMS, ServedMS uint64 // time of clients, ms: that in which a flow stood, and with that for which they were sent away. One who comes again ten times is no ten who are not served
+	MisroutedFlows     uint64 // flows begun at members that were out for longer than the grace
+	Members            []MemberState
+	LocalEjections     []string // members that its own operators have taken out
+	AppliedOut         []string // and by the fleet's word, as the core has them
+	AppliedVersion     uint64
+	CanaryVersion      uint64 // the version of the canaries that it goes by
+	CanaryCounts       []byte // what it counted for a canary
+	Peers              []Peer
+	// ConfigSections is what it runs of its configuration now: the digest by section, of what all relays have the same. A section's name is 29 bytes
 	// at most. nil: Options.Settings stands for all of it, as the section "settings".
-	Sections map[string]string
-	// Refused is what it was given and did not take, by item ("config.SECTION"): why. An entry goes when a later one was taken.
-	Refused map[string]string
-	Permits uint64 // Orders.Permits as the loop had it last; 0: it does not tell
-	Shut    uint64 // the number of the order by which it takes no clients; 0: it takes them
+	ConfigSections map[string]string
+	// RejectedItems is what it was given and did not take, by item ("config.SECTION"): why. An entry goes when a later one was taken.
+	RejectedItems  map[string]string
+	PermitsVersion uint64 // Orders.Permits as the loop had it last; 0: it does not tell
+	ShutOrder      uint64 // the number of the order by which it takes no clients; 0: it takes them
 }
 
 // heard is the last word of a relay, and what is reckoned from those before.
@@ -157,7 +157,7 @@
 
 // view is what the leader knows, with its own look at the pool and the peers. It has led since ledAt: a relay that it has not heard is silent
 // for so long. One that peers hear lives, whatever keeps its words away: it may hold flows, however long it is not heard (hold).
-func (s *scene) view(now, ledAt, hold int64, self string, own Look, cold warmth) rollout.View {
+func (s *scene) view(now, ledAt, hold int64, self string, own ObservedState, cold warmth) rollout.View {
 	v := rollout.View{At: now}
 	for _, c := range s.windows {
 		if c.At <= now { // whole ones
@@ -196,10 +196,10 @@
 	return v
 }
 
-func (s *scene) members(now int64, own Look, cold warmth, v *rollout.View) {
+func (s *scene) members(now int64, own ObservedState, cold warmth, v *rollout.View) {
 	pool := map[string]*rollout.Member{}
 	for _, m := range own.Members {
-		pool[m.Name] = &rollout.Member{Name: m.Name, Zone: m.Zone, Listed: m.Listed, Started: m.Started, Capacity: m.Capacity, Held: map[string]rollout.Held{}}
+		pool[m.Name] = &rollout.Member{Name: m.Name, Zone: m.Zone, Listed: m.DiscoveryState, Started: m.StartedAt, Capacity: m.Capacity, Held: map[string]rollout.Held{}}
 	}
 	good, bad := map[string]uint64{}, map[string]uint64{}
 	gone := map[string]bool{} // what an ended process held, it holds no more: its last word must not keep a member in the view
--- a/internal/fleet/view_test.go
+++ b/internal/fleet/view_test.go
@@ -21,7 +21,7 @@
 func TestView(t *testing.T) {
 	s, cold := newScene(), warmth{0.25, 8000}
 	const now = 1_000_000
-	own := Look{Members: []Pooled{{Name: "old", Listed: "ready", Capacity: 40}, {Name: "new", Listed: "ready", Started: now - 4000}},
+	own := ObservedState{Members: []MemberState{{Name: "old", DiscoveryState: "ready", Capacity: 40}, {Name: "new", DiscoveryState: "ready", StartedAt: now - 4000}},
 		Peers: []Peer{{Name: "b", Alive: true, Serving: true, Incarnation: 70}, {Name: "c", Gone: true, Incarnation: 5}}}
 	of := func(start, asked, bad uint64, flows int) word {
 		return word{Start: start, Phase: "serving", Asked: asked, Served: asked, Members: []sight{{Name: "old", Flows: flows, Bad: bad}}}
