--- a/cmd/dahliarudder/meet.go
+++ b/cmd/dahliarudder/meet.go
@@ -12,12 +12,12 @@
 
 // This file is how this relay knows the others.
 
-// outcomes are the results that say something of a member: a client that leaves says nothing.
-var outcomes = map[policy.Result]gossip.Outcome{policy.OK: gossip.Good, policy.Full: gossip.Good, policy.Error: gossip.Bad, policy.Reset: gossip.Bad,
+// outcomeOfResult are the results that say something of a member: a client that leaves says nothing.
+var outcomeOfResult = map[policy.Result]gossip.Outcome{policy.OK: gossip.Good, policy.Full: gossip.Good, policy.Error: gossip.Bad, policy.Reset: gossip.Bad,
 	policy.ConnectFailed: gossip.Bad, policy.Timeout: gossip.Silent}
 
-// meet begins to know the other relays.
-func (r *relay) meet(p config.Peers) {
+// startGossip begins to know the other relays.
+func (r *relay) startGossip(p config.Peers) {
 	set := r.names.Settings
 	zone := ""
 	if set.Zone >= 0 && set.Zone < len(set.Zones) {
@@ -25,7 +25,7 @@
 	}
 	book := &gossip.Book{}
 	r.core.Saw = func(m *core.Member, result policy.Result) {
-		if how, ok := outcomes[result]; ok {
+		if how, ok := outcomeOfResult[result]; ok {
 			in := ""
 			if m.Zone < len(set.Zones) {
 				in = string(set.Zones[m.Zone])
@@ -34,19 +34,19 @@
 		}
 	}
 	known := p.Known
-	if r.came != nil { // those that it knew: all that are configured may be down
-		known = append(slices.Clone(known), r.came.peers...)
+	if r.recovery != nil { // those that it knew: all that are configured may be down
+		known = append(slices.Clone(known), r.recovery.peers...)
 	}
 	r.peers = gossiptransport.New(gossiptransport.Options{Seen: func() gossip.Digest { return book.Digest(r.clock()) }, Loop: r.loop, Log: r.log, Name: r.cfg.Name, Zone: zone, Listen: p.Listen, Address: p.Address,
 		Known: known, Reach: p.Reach, Keys: p.Keys(), Configured: max(set.Balancers, 1), Seed: r.cfg.SeedNumber(), Wall: wallClock,
-		Share: r.core.Relays, Noted: func(_ string, note []byte) { r.trial.noted(note) }, Ahead: func() {
+		Share: r.core.Relays, Noted: func(_ string, note []byte) { r.trial.onNotices(note) }, Ahead: func() {
 			r.log.Warn("other relays hold a newer list; members are asked for anew")
 			r.watch.Refresh(func() {})
 		},
 		Own: func() (gossip.Phase, uint64, uint64, uint64) {
 			phase := gossip.Serving
 			switch {
-			case !r.open || !r.core.Usable() || r.fleet != nil && !r.caught:
+			case !r.accepting || !r.core.Usable() || r.fleet != nil && !r.caughtUp:
 				phase = gossip.Starting
 			case !r.core.Welcomes():
 				phase = gossip.Draining
--- a/cmd/dahliarudder/upgrade.go
+++ b/cmd/dahliarudder/upgrade.go
@@ -13,88 +13,88 @@
 )
 
 const (
-	// newsEvery is how often a process tells the other what it holds.
-	newsEvery = 50 * time.Millisecond
-	// spareSockets is what the first process may open beyond what it holds: retries of
+	// openStateInterval is how often a process tells the other what it holds.
+	openStateInterval = 50 * time.Millisecond
+	// retrySockets is what the first process may open beyond what it holds: retries of
 	// requests that are on their way.
-	spareSockets = 16
-	// passBurst flows are handed over each passEvery.
-	passBurst = 8
-	passEvery = 5 * time.Millisecond
-	// upgradeSockets are the socket at which a successor is waited for, the channel to
+	retrySockets = 16
+	// handoverBurst flows are handed over each handoverInterval.
+	handoverBurst    = 8
+	handoverInterval = 5 * time.Millisecond
+	// upgradeDescriptors are the socket at which a successor is waited for, the channel to
 	// it, and a descriptor on its way through it.
-	upgradeSockets = 4
+	upgradeDescriptors = 4
 )
 
-// origin is which of the two processes the other one is.
-type origin int
+// siblingOrigin is which of the two processes the other one is.
+type siblingOrigin int
 
 const (
-	newer origin = iota // it was started beside this one
-	older               // it was here first
+	originNewer siblingOrigin = iota // it was started beside this one
+	originOlder                      // it was here first
 )
 
-// stage is how far the other process is.
-type stage int
+// siblingStage is how far the other process is.
+type siblingStage int
 
 const (
-	starting stage = iota // it takes no clients in yet; only a newer one is in this stage
-	serving               // it takes clients in, or did before this one
-	stopping              // it was told to stop
+	stageStarting siblingStage = iota // it takes no clients in yet; only a newer one is in this stage
+	stageServing                      // it takes clients in, or did before this one
+	stageStopping                     // it was told to stop
 )
 
-// relief says whether this process, which was told to stop, leaves clients to the other one.
-type relief int
+// takeoverState says whether this process, which was told to stop, leaves clients to the other one.
+type takeoverState int
 
 const (
-	unrelieved relief = iota // it answers them itself
-	asked                    // it takes none in, but the other one has not said that it does
-	relieved                 // the other one takes them in
+	takeoverNone      takeoverState = iota // it answers them itself
+	takeoverRequested                      // it takes none in, but the other one has not said that it does
+	takeoverConfirmed                      // the other one takes them in
 )
 
-// twin is the other process of this relay while there are two.
-type twin struct {
-	peer    *handover.Peer
-	origin  origin
-	stage   stage
-	told    handover.Open  // what a newer one was told last
-	passing *netloop.Timer // when the next connections are handed over to it
+// sibling is the other process of this relay while there are two.
+type siblingProcess struct {
+	peer     *handover.Peer
+	origin   siblingOrigin
+	stage    siblingStage
+	sentOpen handover.Open  // what a newer one was told last
+	passing  *netloop.Timer // when the next connections are handed over to it
 }
 
-// succeed asks for the state of the process whose place this one takes, if there is
+// joinPredecessor asks for the state of the process whose place this one takes, if there is
 // one, and listens by its sockets.
-func (r *relay) succeed(dir string) error {
+func (r *relay) joinPredecessor(dir string) error {
 	fd, state, fds, err := handover.Find(dir)
 	if err != nil || state == nil {
 		return err
 	}
-	r.inherited = map[string]int{}
+	r.inheritedSockets = map[string]int{}
 	for i, front := range state.Fronts {
-		r.inherited[front] = fds[i]
+		r.inheritedSockets[front] = fds[i]
 	}
-	r.state = state
-	r.twin = &twin{origin: older, stage: serving}
-	r.share(state.Limit)
-	if r.twin.peer, err = handover.Join(r.loop, fd, r.heard, r.remains); err != nil {
+	r.inheritedState = state
+	r.sibling = &siblingProcess{origin: originOlder, stage: stageServing}
+	r.limitToRemainingSockets(state.Limit)
+	if r.sibling.peer, err = handover.Join(r.loop, fd, r.onNote, r.onSiblingGone); err != nil {
 		return err
 	}
-	r.twin.peer.Speaks(state.Version)
+	r.sibling.peer.Speaks(state.Version)
 	return nil
 }
 
-// wait has a successor find this process.
-func (r *relay) wait() {
-	r.door.Close()
+// awaitSuccessor has a successor find this process.
+func (r *relay) awaitSuccessor() {
+	r.successorListener.Close()
 	var err error
-	r.door, err = r.loop.ListenChannel(handover.Path(r.dir), func(fd int) {
-		if r.twin != nil { // one at a time
+	r.successorListener, err = r.loop.ListenChannel(handover.Path(r.stateDir), func(fd int) {
+		if r.sibling != nil { // one at a time
 			unix.Close(fd)
 			return
 		}
-		r.twin = &twin{}
-		if r.twin.peer, err = handover.Join(r.loop, fd, r.heard, r.remains); err != nil {
+		r.sibling = &siblingProcess{}
+		if r.sibling.peer, err = handover.Join(r.loop, fd, r.onNote, r.onSiblingGone); err != nil {
 			r.log.WithError(err).Error("a successor cannot be heard")
-			r.twin = nil
+			r.sibling = nil
 		}
 	})
 	if err != nil {
@@ -102,32 +102,32 @@
 	}
 }
 
-// heard is told what the other process says.
-func (r *relay) heard(n *handover.Note, fds []int) {
+// onNote is told what the other process says.
+func (r *relay) onNote(n *handover.Note, fds []int) {
 	switch {
 	case n.Hello > 0:
-		r.introduce(n.Hello)
+		r.sendStateToSuccessor(n.Hello)
 	case n.Serving:
 		r.log.Info("a successor serves")
-		r.twin.stage = serving
-		r.hold(true)
-		r.news()
-		r.pass()
+		r.sibling.stage = stageServing
+		r.pauseAccepting(true)
+		r.sendOpenState()
+		r.handOverConnections()
 	case n.Leaving:
-		r.otherLeaves()
+		r.onSiblingStopping()
 	case n.Relieves:
-		r.otherRelieves()
+		r.onTakeoverConfirmed()
 	case n.Bans:
-		r.follow("", false, func(error) {})
+		r.applyEjections("", false, func(error) {})
 	case n.Drain != nil:
-		r.drained = *n.Drain
-		r.drain(*n.Drain)
+		r.drainedByOperator = *n.Drain
+		r.setDraining(*n.Drain)
 	case n.Open != nil:
-		r.share(n.Open.Limit)
-		if r.lines != nil {
-			r.lines.Elsewhere(n.Open.IDs)
+		r.limitToRemainingSockets(n.Open.Limit)
+		if r.lineFront != nil {
+			r.lineFront.Elsewhere(n.Open.IDs)
 		}
-	case r.take(n, fds):
+	case r.adoptConnection(n, fds):
 		return
 	}
 	for _, fd := range fds {
@@ -135,75 +135,75 @@
 	}
 }
 
-// take takes a connection over, with its descriptors. It returns false if none came.
-func (r *relay) take(n *handover.Note, fds []int) bool {
+// adoptConnection takes a connection over, with its descriptors. It returns false if none came.
+func (r *relay) adoptConnection(n *handover.Note, fds []int) bool {
 	switch {
-	case r.lines == nil:
+	case r.lineFront == nil:
 		return false
 	case n.Client != nil && len(fds) == 1:
 		r.loop.Grant(len(fds))
-		r.lines.TakeFresh(*n.Client, fds[0])
+		r.lineFront.TakeFresh(*n.Client, fds[0])
 	case n.Flow != nil && len(fds) == 2:
 		r.loop.Grant(len(fds))
-		r.lines.TakeFlow(*n.Flow, fds[0], fds[1])
+		r.lineFront.TakeFlow(*n.Flow, fds[0], fds[1])
 	default:
 		return false
 	}
 	return true
 }
 
-// pass hands connections over to a successor that serves, a few at a time, so that the others are served meanwhile: those that have asked for
+// handOverConnections hands connections over to a successor that serves, a few at a time, so that the others are served meanwhile: those that have asked for
 // nothing, and once this process is told to stop its open flows.
-func (r *relay) pass() {
-	if !r.passes() {
+func (r *relay) handOverConnections() {
+	if !r.handsOver() {
 		return
 	}
-	r.lines.GiveFresh(r.window(), func(p line.Fresh, fd int) {
-		r.give(handover.Note{Client: &p}, fd)
+	r.lineFront.GiveFresh(r.handoverWindow(), func(p line.Fresh, fd int) {
+		r.sendConnection(handover.Note{Client: &p}, fd)
 	})
-	if r.ending {
-		r.lines.GiveFlows(r.window(), func(f line.Flow, client, member int) {
-			r.give(handover.Note{Flow: &f}, client, member)
+	if r.stopping {
+		r.lineFront.GiveFlows(r.handoverWindow(), func(f line.Flow, client, member int) {
+			r.sendConnection(handover.Note{Flow: &f}, client, member)
 		})
 	}
-	again := newsEvery
-	if r.ending || r.twin.peer.Pending() > 0 || r.lines.FreshCount() > 0 {
-		again = passEvery
+	again := openStateInterval
+	if r.stopping || r.sibling.peer.Pending() > 0 || r.lineFront.FreshCount() > 0 {
+		again = handoverInterval
 	}
-	r.twin.passing.Stop()
-	r.twin.passing = r.loop.After(again, r.pass)
+	r.sibling.passing.Stop()
+	r.sibling.passing = r.loop.After(again, r.handOverConnections)
 }
 
-// passes says whether connections go to a successor that serves.
-func (r *relay) passes() bool {
-	return r.twin != nil && r.twin.origin == newer && r.twin.stage == serving && r.lines != nil
+// handsOver says whether connections go to a successor that serves.
+func (r *relay) handsOver() bool {
+	return r.sibling != nil && r.sibling.origin == originNewer && r.sibling.stage == stageServing && r.lineFront != nil
 }
 
-// handedOver says that nothing waits for the other process.
-func (r *relay) handedOver() bool {
-	if r.twin == nil {
+// handoverComplete says that nothing waits for the other process.
+func (r *relay) handoverComplete() bool {
+	if r.sibling == nil {
 		return true
 	}
-	return r.twin.peer.Quiet() && (!r.passes() || r.lines.FreshCount() == 0)
+	return r.sibling.peer.Quiet() && (!r.handsOver() || r.lineFront.FreshCount() == 0)
 }
 
-// window is how many connections may be handed over now.
-func (r *relay) window() int { return passBurst - r.twin.peer.Pending() }
+// handoverWindow is how many connections may be handed over now.
+func (r *relay) handoverWindow() int { return handoverBurst - r.sibling.peer.Pending() }
 
-// give hands a connection over. What cannot be handed over goes on here.
-func (r *relay) give(n handover.Note, fds ...int) {
-	if err := r.twin.peer.Give(n, fds...); err != nil {
+// sendConnection hands a connection over. What cannot be handed over goes on here.
+func (r *relay) sendConnection(n handover.Note, fds ...int) {
+	if err := r.sibling.peer.Give(n, fds...); err != nil {
 		r.log.WithError(err).Error("the other process does not hear")
-		r.loop.After(0, func() { r.take(&n, fds) })
+		r.loop.After(0, func() { r.adoptConnection(&n, fds) })
 	}
 }
 
-// introduce tells a successor all that it starts with.
-func (r *relay) introduce(hello int) {
-	r.twin.peer.Speaks(hello)
+// sendStateToSuccessor tells a successor all that it starts with.
+func (r *relay) sendStateToSuccessor(hello int) {
+	r.sibling.peer.Speaks(hello)
 	state := handover.NewState(r.core.Learned(), hello)
 	var fds []int
-	for front, l := range r.fronts {
+	for front, l := range r.clientListeners {
 		state.Fronts = append(state.Fronts, front)
 		fds = append(fds, l.Fd())
 	}
@@ -211,195 +211,195 @@
 	if state.Pool, known = r.watch.List(); known {
 		state.Watched = r.watch.Addr
 	}
-	r.confine()
-	state.Limit = r.twin.told.Limit
+	r.limitToOwnSockets()
+	state.Limit = r.sibling.sentOpen.Limit
 	r.log.WithField("held", r.core.Held()).Info("a successor starts")
-	r.tell(handover.Note{State: state}, fds...)
-	r.exchange()
+	r.sendNote(handover.Note{State: state}, fds...)
+	r.syncSibling()
 }
 
-// confine leaves what this process does not need to its successor.
-func (r *relay) confine() {
-	passing := r.twin.peer.PendingFDs()
-	limit := r.loop.Held() + passing + spareSockets
-	if r.twin.told.Limit > 0 {
-		limit = min(limit, r.twin.told.Limit)
+// limitToOwnSockets leaves what this process does not need to its successor.
+func (r *relay) limitToOwnSockets() {
+	passing := r.sibling.peer.PendingFDs()
+	limit := r.loop.Held() + passing + retrySockets
+	if r.sibling.sentOpen.Limit > 0 {
+		limit = min(limit, r.sibling.sentOpen.Limit)
 	}
-	r.twin.told.Limit = limit
+	r.sibling.sentOpen.Limit = limit
 	r.loop.Limit(limit - passing)
-	r.loop.Memory(r.memory / 2)
+	r.loop.Memory(r.maxBufferBytes / 2)
 }
 
-// share takes what the first process leaves.
-func (r *relay) share(theirs int) {
-	r.loop.Limit(r.sockets - theirs - ownSockets - r.callers())
-	r.loop.Memory(r.memory / 2)
+// limitToRemainingSockets takes what the first process leaves.
+func (r *relay) limitToRemainingSockets(theirs int) {
+	r.loop.Limit(r.maxSockets - theirs - reservedSockets - r.operatorDescriptors())
+	r.loop.Memory(r.maxBufferBytes / 2)
 }
 
-// exchange tells the other process what changes, as long as there is one.
-func (r *relay) exchange() {
-	if r.twin == nil {
+// syncSibling tells the other process what changes, as long as there is one.
+func (r *relay) syncSibling() {
+	if r.sibling == nil {
 		return
 	}
 	switch {
-	case r.twin.origin == newer:
-		r.news()
-	case !r.open && !r.ending && r.core.Usable():
-		r.begin()
+	case r.sibling.origin == originNewer:
+		r.sendOpenState()
+	case !r.accepting && !r.stopping && r.core.Usable():
+		r.startAccepting()
 	}
-	r.loop.After(newsEvery, r.exchange)
+	r.loop.After(openStateInterval, r.syncSibling)
 }
 
-// news tells the successor what is held here, if that has changed.
-func (r *relay) news() {
-	before := r.twin.told
-	r.confine()
-	if r.lines != nil && r.twin.stage == serving {
-		r.twin.told.IDs = r.lines.IDs()
-		slices.Sort(r.twin.told.IDs)
+// sendOpenState tells the successor what is held here, if that has changed.
+func (r *relay) sendOpenState() {
+	before := r.sibling.sentOpen
+	r.limitToOwnSockets()
+	if r.lineFront != nil && r.sibling.stage == stageServing {
+		r.sibling.sentOpen.IDs = r.lineFront.IDs()
+		slices.Sort(r.sibling.sentOpen.IDs)
 	}
-	if now := r.twin.told; now.Limit != before.Limit || !slices.Equal(now.IDs, before.IDs) {
-		r.tell(handover.Note{Open: &now})
+	if now := r.sibling.sentOpen; now.Limit != before.Limit || !slices.Equal(now.IDs, before.IDs) {
+		r.sendNote(handover.Note{Open: &now})
 	}
 }
 
-func (r *relay) tell(n handover.Note, fds ...int) {
-	if r.twin == nil {
+func (r *relay) sendNote(n handover.Note, fds ...int) {
+	if r.sibling == nil {
 		return
 	}
-	if err := r.twin.peer.Tell(n, fds...); err != nil {
+	if err := r.sibling.peer.Tell(n, fds...); err != nil {
 		r.log.WithError(err).Error("the other process does not hear")
 	}
 }
 
-// hold has the fronts take no client in, or go on.
-func (r *relay) hold(held bool) {
-	for _, l := range r.fronts {
+// pauseAccepting has the fronts take no client in, or go on.
+func (r *relay) pauseAccepting(held bool) {
+	for _, l := range r.clientListeners {
 		l.Hold(held)
 	}
 }
 
-// remains goes on as the only process. A successor that has ended without taking over
+// onSiblingGone goes on as the only process. A successor that has ended without taking over
 // leaves its clients to this one, and what was on its way to it comes back.
-func (r *relay) remains(err error) {
-	was := r.twin
-	r.twin, r.relief = nil, unrelieved
+func (r *relay) onSiblingGone(err error) {
+	was := r.sibling
+	r.sibling, r.takeover = nil, takeoverNone
 	was.passing.Stop()
-	r.log.WithError(err).WithField("older", was.origin == older).Info("the other process is gone")
-	r.loop.Limit(r.sockets)
-	r.loop.Memory(r.memory)
-	if r.lines != nil {
-		r.lines.Elsewhere(nil)
-		r.lines.KeepFresh()
+	r.log.WithError(err).WithField("older", was.origin == originOlder).Info("the other process is gone")
+	r.loop.Limit(r.maxSockets)
+	r.loop.Memory(r.maxBufferBytes)
+	if r.lineFront != nil {
+		r.lineFront.Elsewhere(nil)
+		r.lineFront.KeepFresh()
 	}
 	for _, t := range was.peer.Unconfirmed() {
-		r.take(&t.Note, t.FDs)
+		r.adoptConnection(&t.Note, t.FDs)
 	}
-	r.loop.Limit(r.sockets)
-	if was.origin == older && !r.open {
-		r.begin()
+	r.loop.Limit(r.maxSockets)
+	if was.origin == originOlder && !r.accepting {
+		r.startAccepting()
 		return
 	}
-	r.hold(false)
-	if was.origin == newer {
-		r.wait()
+	r.pauseAccepting(false)
+	if was.origin == originNewer {
+		r.awaitSuccessor()
 	}
 }
 
-// begin takes clients in. A process that is to take another's place does so once it
+// startAccepting takes clients in. A process that is to take another's place does so once it
 // has members to send to.
-func (r *relay) begin() {
-	if r.open {
+func (r *relay) startAccepting() {
+	if r.accepting {
 		return
 	}
-	r.open = true
-	r.hold(false)
-	r.tell(handover.Note{Serving: true})
-	r.wait()
+	r.accepting = true
+	r.pauseAccepting(false)
+	r.sendNote(handover.Note{Serving: true})
+	r.awaitSuccessor()
 }
 
-// yield leaves clients to the other process, if one serves, and says whether there
+// requestTakeover leaves clients to the other process, if one serves, and says whether there
 // is one. A second process that is stopped before the first leaves them to that one. The other one may have been told to stop too: only
 // when it says that it goes on may this one end before its time.
-func (r *relay) yield() bool {
-	if r.twin == nil {
+func (r *relay) requestTakeover() bool {
+	if r.sibling == nil {
 		return false
 	}
-	r.tell(handover.Note{Leaving: true})
-	if r.twin.stage != serving {
+	r.sendNote(handover.Note{Leaving: true})
+	if r.sibling.stage != stageServing {
 		return false
 	}
-	r.hold(true)
-	r.relief = asked
-	if !r.twin.peer.Confirms() { // it answers nothing
-		r.otherRelieves()
+	r.pauseAccepting(true)
+	r.takeover = takeoverRequested
+	if !r.sibling.peer.Confirms() { // it answers nothing
+		r.onTakeoverConfirmed()
 	}
 	return true
 }
 
-// otherLeaves is told that the other process was told to stop. If this one was too, each answers who comes to it.
-func (r *relay) otherLeaves() {
-	r.twin.stage = stopping
-	if r.lines != nil {
-		r.lines.KeepFresh() // nothing more is handed over
+// onSiblingStopping is told that the other process was told to stop. If this one was too, each answers who comes to it.
+func (r *relay) onSiblingStopping() {
+	r.sibling.stage = stageStopping
+	if r.lineFront != nil {
+		r.lineFront.KeepFresh() // nothing more is handed over
 	}
-	if !r.open {
+	if !r.accepting {
 		return // it takes no clients in yet, and the other one knows that
 	}
-	r.hold(false)
-	if r.ending {
-		r.relief = unrelieved
+	r.pauseAccepting(false)
+	if r.stopping {
+		r.takeover = takeoverNone
 		return
 	}
-	r.tell(handover.Note{Relieves: true})
+	r.sendNote(handover.Note{Relieves: true})
 }
 
-// otherRelieves is told that the other process takes clients in.
-func (r *relay) otherRelieves() {
-	if r.relief != asked {
+// onTakeoverConfirmed is told that the other process takes clients in.
+func (r *relay) onTakeoverConfirmed() {
+	if r.takeover != takeoverRequested {
 		return
 	}
-	r.relief = relieved
-	if r.twin.origin == older {
-		r.twin.peer.Leave()
-		r.twin = nil
+	r.takeover = takeoverConfirmed
+	if r.sibling.origin == originOlder {
+		r.sibling.peer.Leave()
+		r.sibling = nil
 	}
 }
 
-// remember takes over what the first process knew. It comes before any client.
-func (r *relay) remember() {
-	if r.state == nil {
+// restorePredecessorState takes over what the first process knew. It comes before any client.
+func (r *relay) restorePredecessorState() {
+	if r.inheritedState == nil {
 		return
 	}
-	if r.cfg.Succeed(r.state.Watched) {
+	if r.cfg.Succeed(r.inheritedState.Watched) {
 		r.watch.Addr = r.cfg.Discovery
-		r.watch.Hold(r.state.Pool)
+		r.watch.Hold(r.inheritedState.Pool)
 	}
-	if len(r.state.Pool.Instances) > 0 {
-		r.core.Pool(policy.ListCached, r.names.Members(r.state.Pool))
+	if len(r.inheritedState.Pool.Instances) > 0 {
+		r.core.Pool(policy.ListCached, r.names.Members(r.inheritedState.Pool))
 	}
-	r.core.Recall(r.state.Learned)
-	r.state = nil
+	r.core.Recall(r.inheritedState.Learned)
+	r.inheritedState = nil
 }
 
-// decline gives back the first process's sockets of fronts that are off here.
-func (r *relay) decline() {
-	for _, fd := range r.inherited {
+// closeUnusedSockets gives back the first process's sockets of fronts that are off here.
+func (r *relay) closeUnusedSockets() {
+	for _, fd := range r.inheritedSockets {
 		unix.Close(fd)
 	}
-	r.inherited = nil
+	r.inheritedSockets = nil
 }
 
-// inherit listens by the first process's socket, if it has one at that address.
-func (r *relay) inherit(front, addr string, accept func(*netloop.Conn)) (*netloop.Listener, error) {
-	fd, ok := r.inherited[front]
-	delete(r.inherited, front)
+// inheritOrListen listens by the first process's socket, if it has one at that address.
+func (r *relay) inheritOrListen(front, addr string, accept func(*netloop.Conn)) (*netloop.Listener, error) {
+	fd, ok := r.inheritedSockets[front]
+	delete(r.inheritedSockets, front)
 	if !ok {
-		return r.listenAnew(addr, accept)
+		return r.listenOnNewSocket(addr, accept)
 	}
 	if !netloop.ListensAt(fd, addr) {
 		unix.Close(fd)
-		return r.listenAnew(addr, accept)
+		return r.listenOnNewSocket(addr, accept)
 	}
 	l, err := r.loop.Inherit(fd, accept)
 	if err == nil {
@@ -408,7 +408,7 @@
 	return l, err
 }
 
-// listenAnew listens by a socket of this process's own.
-func (r *relay) listenAnew(addr string, accept func(*netloop.Conn)) (*netloop.Listener, error) {
-	return r.insist(func() (*netloop.Listener, error) { return r.loop.Listen(addr, accept) })
+// listenOnNewSocket listens by a socket of this process's own.
+func (r *relay) listenOnNewSocket(addr string, accept func(*netloop.Conn)) (*netloop.Listener, error) {
+	return r.listenWithRetry(func() (*netloop.Listener, error) { return r.loop.Listen(addr, accept) })
 }
