--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -53,7 +53,7 @@
 	stopLingerTime   = 200 * time.Millisecond
 	// stopOverrun is what flows that are moved at the very end have for the end of a line. SIGKILL comes 0.7 s after the
 	// longest deadline, at which a stop ends at the latest.
-	stopOverrun = line.MoveWithin + stopLingerTime/2
+	stopOverrun = line.MoveTimeout + stopLingerTime/2
 )
 
 // wallClock is the machine's clock, which may be stepped. Nothing that lasts is measured by it. Only tests change it.
@@ -235,11 +235,11 @@
 	}
 	if cfg.Fronts.NATS != nil {
 		r.natsFront = nats.New(loop, r.core, r.log, cfg.Name, *cfg.Fronts.NATS, cfg.Security())
-		probe = r.natsFront.Probe
+		probe = r.natsFront.CheckHealth
 	}
 	if cfg.Fronts.Line != nil {
 		r.lineFront = line.New(loop, r.core, r.log)
-		probe = r.lineFront.Probe
+		probe = r.lineFront.CheckHealth
 	}
 	if cfg.Operator != "" {
 		if err := r.restoreEjections(); err != nil {
@@ -352,7 +352,7 @@
 	r.log.WithField("discovery", fresh.Discovery).Info("configuration read again")
 	r.watch.Move(fresh.Discovery)
 	if r.natsFront != nil && fresh.Security() != nil && !slices.Contains(keys, "fronts") {
-		r.natsFront.Renew(fresh.Security())
+		r.natsFront.ReloadSecurity(fresh.Security())
 	}
 }
 
@@ -374,7 +374,7 @@
 		r.core.Stop()
 	}
 	if r.natsFront != nil {
-		r.natsFront.Leave()
+		r.natsFront.EnterLameDuck()
 	}
 	r.pollUntil(func() bool {
 		now := loop.Now()
@@ -395,7 +395,7 @@
 func (r *relay) openRequests() int {
 	held := r.core.Held()
 	if r.lineFront != nil {
-		held = max(held, r.lineFront.Held())
+		held = max(held, r.lineFront.OpenRequests())
 	}
 	return held
 }
@@ -418,7 +418,7 @@
 // closeIdleConnections ends connections on which nothing was asked yet.
 func (r *relay) closeIdleConnections() {
 	if r.lineFront != nil {
-		r.lineFront.Leave()
+		r.lineFront.CloseIdle()
 	}
 }
 
--- a/cmd/dahliarudder/upgrade.go
+++ b/cmd/dahliarudder/upgrade.go
@@ -125,7 +125,7 @@
 	case n.Open != nil:
 		r.limitToRemainingSockets(n.Open.Limit)
 		if r.lineFront != nil {
-			r.lineFront.Elsewhere(n.Open.IDs)
+			r.lineFront.SetRemoteIDs(n.Open.IDs)
 		}
 	case r.adoptConnection(n, fds):
 		return
@@ -142,10 +142,10 @@
 		return false
 	case n.Client != nil && len(fds) == 1:
 		r.loop.Grant(len(fds))
-		r.lineFront.TakeFresh(*n.Client, fds[0])
+		r.lineFront.AdoptIdle(*n.Client, fds[0])
 	case n.Flow != nil && len(fds) == 2:
 		r.loop.Grant(len(fds))
-		r.lineFront.TakeFlow(*n.Flow, fds[0], fds[1])
+		r.lineFront.AdoptFlow(*n.Flow, fds[0], fds[1])
 	default:
 		return false
 	}
@@ -158,16 +158,16 @@
 	if !r.handsOver() {
 		return
 	}
-	r.lineFront.GiveFresh(r.handoverWindow(), func(p line.Fresh, fd int) {
+	r.lineFront.HandOffIdle(r.handoverWindow(), func(p line.IdleConn, fd int) {
 		r.sendConnection(handover.Note{Client: &p}, fd)
 	})
 	if r.stopping {
-		r.lineFront.GiveFlows(r.handoverWindow(), func(f line.Flow, client, member int) {
+		r.lineFront.HandOffFlows(r.handoverWindow(), func(f line.FlowHandoff, client, member int) {
 			r.sendConnection(handover.Note{Flow: &f}, client, member)
 		})
 	}
 	again := openStateInterval
-	if r.stopping || r.sibling.peer.Pending() > 0 || r.lineFront.FreshCount() > 0 {
+	if r.stopping || r.sibling.peer.Pending() > 0 || r.lineFront.IdleCount() > 0 {
 		again = handoverInterval
 	}
 	r.sibling.passing.Stop()
@@ -184,7 +184,7 @@
 	if r.sibling == nil {
 		return true
 	}
-	return r.sibling.peer.Quiet() && (!r.handsOver() || r.lineFront.FreshCount() == 0)
+	return r.sibling.peer.Quiet() && (!r.handsOver() || r.lineFront.IdleCount() == 0)
 }
 
 // handoverWindow is how many connections may be handed over now.
@@ -255,7 +255,7 @@
 	before := r.sibling.sentOpen
 	r.limitToOwnSockets()
 	if r.lineFront != nil && r.sibling.stage == stageServing {
-		r.sibling.sentOpen.IDs = r.lineFront.IDs()
+		r.sibling.sentOpen.IDs = r.lineFront.OpenRequestIDs()
 		slices.Sort(r.sibling.sentOpen.IDs)
 	}
 	if now := r.sibling.sentOpen; now.Limit != before.Limit || !slices.Equal(now.IDs, before.IDs) {
@@ -289,8 +289,8 @@
 	r.loop.Limit(r.maxSockets)
 	r.loop.Memory(r.maxBufferBytes)
 	if r.lineFront != nil {
-		r.lineFront.Elsewhere(nil)
-		r.lineFront.KeepFresh()
+		r.lineFront.SetRemoteIDs(nil)
+		r.lineFront.ResumeIdle()
 	}
 	for _, t := range was.peer.Unconfirmed() {
 		r.adoptConnection(&t.Note, t.FDs)
@@ -341,7 +341,7 @@
 func (r *relay) onSiblingStopping() {
 	r.sibling.stage = stageStopping
 	if r.lineFront != nil {
-		r.lineFront.KeepFresh() // nothing more is handed over
+		r.lineFront.ResumeIdle() // nothing more is handed over
 	}
 	if !r.accepting {
 		return // it takes no clients in yet, and the other one knows that
