--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -48,10 +48,10 @@
 	}
 	r.trial, r.configDigests = newCanaryTrial(r), r.cfg.Sections()
 	var err error
-	r.fleet, err = fleet.Start(fleet.Options{Config: c, Name: r.cfg.Name, Zone: zone, Start: r.peers.Start(), Program: program,
-		Settings: r.cfg.Digest(), Keys: r.cfg.Peers.Keys(), ColdFrom: set.Guarantees.ColdFrom, ColdFor: settings.Span(set.Guarantees.Cold),
-		Wall: steadyWall(), Log: r.log, Post: r.loop.Post, Look: r.fleetStatus, Follow: r.applyOrders,
-		Pause: r.pauseCanary})
+	r.fleet, err = fleet.Start(fleet.Options{Config: c, Name: r.cfg.Name, Zone: zone, Incarnation: r.peers.Start(), Program: program,
+		ConfigDigest: r.cfg.Digest(), Keys: r.cfg.Peers.Keys(), SlowStartShare: set.Guarantees.ColdFrom, SlowStartDuration: settings.Span(set.Guarantees.Cold),
+		WallClock: steadyWall(), Log: r.log, Post: r.loop.Post, Observe: r.fleetStatus, ApplyDesired: r.applyOrders,
+		PauseCanary: r.pauseCanary})
 	if err != nil {
 		return err
 	}
@@ -92,14 +92,14 @@
 }
 
 // applyOrders does what was agreed.
-func (r *relay) applyOrders(o fleet.Orders) {
-	version := o.Version
+func (r *relay) applyOrders(o fleet.DesiredState) {
+	version := o.RecordVersion
 	r.trial.applyOrders(o)
 	out := map[string]core.Leaving{}
 	for name, i := range o.Out {
 		out[name] = core.Leaving{Over: time.Duration(i.MoveOver) * time.Millisecond, Ban: i.Why == rollout.Ban}
 	}
-	if o.Reached {
+	if o.MajorityConfirmed {
 		defer r.finishCatchUp()
 	}
 	names := slices.Sorted(maps.Keys(out))
@@ -107,7 +107,7 @@
 		r.log.WithFields(logrus.Fields{"out": names, "version": version}).Info("fleet: members that are out")
 	}
 	r.core.Agree(out)
-	r.fleetEjected, r.recordVersion, r.permits = names, version, o.Permits
+	r.fleetEjected, r.recordVersion, r.permits = names, version, o.PermitsVersion
 	mine := o.Leave != nil && o.Leave.Start >= r.peers.Start() // else it was for the process before this one
 	switch {
 	case mine && r.shutdownOrder == nil:
@@ -144,7 +144,7 @@
 		case r.core.Held() > 0 && r.loop.Now()-l.since < orderedDrainTimeout, r.loop.Now()-l.since < core.StopNotice:
 			r.exitWhenDrained()
 		default:
-			r.fleet.Stands(l.number, func(stands, sound bool) {
+			r.fleet.ConfirmLeave(l.number, func(stands, sound bool) {
 				switch {
 				case r.shutdownOrder != l || r.stopping:
 				case !stands || !sound:
@@ -161,7 +161,7 @@
 // ejectFleetWide has a member taken out, or put back, at all relays. Without a majority it holds at this relay alone, and is shown as drift
 // when the majority is back.
 func (r *relay) ejectFleetWide(member string, out bool, done func(error)) {
-	r.fleet.Ban(member, out, func(err error) {
+	r.fleet.SetEjected(member, out, func(err error) {
 		switch {
 		case err == nil && out: // agreed: a word of this relay's own would outlive it
 			done(nil)
