--- a/internal/scenario/judge_test.go
+++ b/internal/scenario/judge_test.go
@@ -8,7 +8,7 @@
 // rules counts what a judge found, by rule.
 func rules(j *Judge) map[string]int {
 	found := map[string]int{}
-	for _, b := range j.Close(time.Hour) {
+	for _, b := range j.Finish(time.Hour) {
 		found[b.Rule]++
 	}
 	return found
@@ -18,12 +18,12 @@
 func TestJudgeStarts(t *testing.T) {
 	for _, c := range []struct{ quick, slow, never, want int }{{10, 0, 0, 0}, {9, 1, 0, 0}, {8, 2, 0, 1}, {20, 0, 1, 1}, {0, 1, 1, 2}} {
 		j := NewJudge(Rules{})
-		for took, n := range map[time.Duration]int{time.Second: c.quick, readyMost + 1: c.slow, readyLast + 1: c.never} {
+		for took, n := range map[time.Duration]int{time.Second: c.quick, usualReadyTime + 1: c.slow, maxReadyTime + 1: c.never} {
 			for range n {
-				j.Ready(0, "n0", took)
+				j.RelayReady(0, "n0", took)
 			}
 		}
-		if got := rules(j)[NotReady]; got != c.want {
+		if got := rules(j)[NotReadyInTime]; got != c.want {
 			t.Errorf("%+v: found %d", c, got)
 		}
 	}
@@ -32,13 +32,13 @@
 // TestJudgeKept: what a relay holds in the end, at the limits and beyond.
 func TestJudgeKept(t *testing.T) {
 	j := NewJudge(Rules{})
-	j.Kept(0, "n0", 20, 20, 64, 64)
-	j.Kept(0, "n0", 20, 20, 64, 0)
+	j.CheckResources(0, "n0", 20, 20, 64, 64)
+	j.CheckResources(0, "n0", 20, 20, 64, 0)
 	if found := rules(j); len(found) != 0 {
 		t.Errorf("found %v", found)
 	}
-	j.Kept(0, "n0", 21, 20, 65, 64)
-	if found := rules(j); found[Leaking] != 1 || found[OverLimit] != 1 {
+	j.CheckResources(0, "n0", 21, 20, 65, 64)
+	if found := rules(j); found[DescriptorLeak] != 1 || found[MemoryOverLimit] != 1 {
 		t.Errorf("found %v", found)
 	}
 }
@@ -46,7 +46,7 @@
 // TestJudgeEffects: what may be run again, refused, or sent for a client that has gone, at the limits and beyond.
 func TestJudgeEffects(t *testing.T) {
 	const ms = time.Millisecond
-	window := Effect{Kind: Keyed, Window: 500 * ms}
+	window := Effect{Kind: IdempotencyKeyed, Window: 500 * ms}
 	for what, c := range map[string]struct {
 		effect Effect
 		play   func(j *Judge)
@@ -54,23 +54,27 @@
 	}{
 		"a safe one again":                 {Effect{}, func(j *Judge) { j.attempt(0, false); j.attempt(900*ms, false) }, ""},
 		"within the window":                {window, func(j *Judge) { j.attempt(0, false); j.attempt(500*ms, false) }, ""},
-		"beyond it":                        {window, func(j *Judge) { j.attempt(1, false); j.attempt(600*ms, false) }, Repeated},
+		"beyond it":                        {window, func(j *Judge) { j.attempt(1, false); j.attempt(600*ms, false) }, DisallowedRepeat},
 		"beyond it, the first turned away": {window, func(j *Judge) { j.attempt(1, true); j.attempt(600*ms, false) }, ""},
-		"an unsafe one again":              {Effect{Kind: Unsafe}, func(j *Judge) { j.attempt(1, false); j.attempt(600*ms, false) }, Repeated},
-		"an unsafe one turned away":        {Effect{Kind: Unsafe}, func(j *Judge) { j.attempt(1, true); j.attempt(600*ms, false) }, ""},
-		"refused after it may have run":    {Effect{Kind: Unsafe}, func(j *Judge) { j.attempt(1, false); j.Answered(600*ms, "a", "BUSY 5") }, FalseHope},
-		"refused after it was turned away": {Effect{Kind: Unsafe}, func(j *Judge) { j.attempt(1, true); j.Answered(600*ms, "a", "BUSY 5") }, ""},
-		"failed after it may have run":     {Effect{Kind: Unsafe}, func(j *Judge) { j.attempt(1, false); j.Answered(600*ms, "a", "ERR") }, ""},
-		"sent as its client goes":          {Effect{}, func(j *Judge) { j.Left(100*ms, "a", false); j.attempt(200*ms, false) }, ""},
-		"sent after that":                  {Effect{}, func(j *Judge) { j.Left(100*ms, "a", false); j.attempt(300*ms, false) }, SentForGone},
-		"sent for one that still reads":    {Effect{}, func(j *Judge) { j.Left(100*ms, "a", true); j.attempt(300*ms, false); j.Answered(400*ms, "a", "BUSY") }, SentForGone},
-		"no answer for one that reads":     {Effect{}, func(j *Judge) { j.Left(100*ms, "a", true) }, NoAnswer},
+		"an unsafe one again":              {Effect{Kind: NonIdempotent}, func(j *Judge) { j.attempt(1, false); j.attempt(600*ms, false) }, DisallowedRepeat},
+		"an unsafe one turned away":        {Effect{Kind: NonIdempotent}, func(j *Judge) { j.attempt(1, true); j.attempt(600*ms, false) }, ""},
+		"refused after it may have run":    {Effect{Kind: NonIdempotent}, func(j *Judge) { j.attempt(1, false); j.AnswerReceived(600*ms, "a", "BUSY 5") }, WrongRejection},
+		"refused after it was turned away": {Effect{Kind: NonIdempotent}, func(j *Judge) { j.attempt(1, true); j.AnswerReceived(600*ms, "a", "BUSY 5") }, ""},
+		"failed after it may have run":     {Effect{Kind: NonIdempotent}, func(j *Judge) { j.attempt(1, false); j.AnswerReceived(600*ms, "a", "ERR") }, ""},
+		"sent as its client goes":          {Effect{}, func(j *Judge) { j.ClientLeft(100*ms, "a", false); j.attempt(200*ms, false) }, ""},
+		"sent after that":                  {Effect{}, func(j *Judge) { j.ClientLeft(100*ms, "a", false); j.attempt(300*ms, false) }, SentForGoneClient},
+		"sent for one that still reads": {Effect{}, func(j *Judge) {
+			j.ClientLeft(100*ms, "a", true)
+			j.attempt(300*ms, false)
+			j.AnswerReceived(400*ms, "a", "BUSY")
+		}, SentForGoneClient},
+		"no answer for one that reads": {Effect{}, func(j *Judge) { j.ClientLeft(100*ms, "a", true) }, NoAnswer},
 	} {
-		j := NewJudge(Rules{Attempts: 3})
-		j.Asked(0, "a", "n0", 2*time.Second, c.effect)
+		j := NewJudge(Rules{MaxAttempts: 3})
+		j.RequestSent(0, "a", "n0", 2*time.Second, c.effect)
 		c.play(j)
 		if c.rule == "" {
-			j.GaveUp("a")
+			j.ClientGaveUp("a")
 		}
 		if found := rules(j); c.rule != "" && found[c.rule] != 1 || c.rule == "" && len(found) > 0 {
 			t.Errorf("%s: found %v, want %q", what, found, c.rule)
@@ -80,18 +84,18 @@
 
 // attempt is one at a member, over at once.
 func (j *Judge) attempt(at time.Duration, turned bool) {
-	j.Begun(at, "a", "n0", "s0", 0, 0)
-	j.Over(at, "a", "s0", 0, true, turned)
+	j.AttemptStarted(at, "a", "n0", "s0", 0, 0)
+	j.AttemptEnded(at, "a", "s0", 0, true, turned)
 }
 
 // TestJudgeCrowd: while a crowd fills a relay's descriptors a new connection may be shut unread, and no longer.
 func TestJudgeCrowd(t *testing.T) {
 	j := NewJudge(Rules{})
-	j.Crowd(time.Second, "n0")
-	j.Asked(2*time.Second, "amid", "n0", time.Second, Effect{})
-	j.Disperse(3*time.Second, "n0")
-	j.Asked(5*time.Second, "after", "n0", time.Second, Effect{})
-	if found := j.Close(time.Hour); len(found) != 1 || found[0].Rule != NoAnswer || found[0].At < 5*time.Second {
+	j.BeginIdleFlood(time.Second, "n0")
+	j.RequestSent(2*time.Second, "amid", "n0", time.Second, Effect{})
+	j.EndIdleFlood(3*time.Second, "n0")
+	j.RequestSent(5*time.Second, "after", "n0", time.Second, Effect{})
+	if found := j.Finish(time.Hour); len(found) != 1 || found[0].Rule != NoAnswer || found[0].At < 5*time.Second {
 		t.Errorf("found %v", found)
 	}
 }
--- a/internal/scenario/measure.go
+++ b/internal/scenario/measure.go
@@ -6,65 +6,65 @@
 	"time"
 )
 
-// bin is the grain of all that is counted by time.
-const bin = 100 * time.Millisecond
+// binWidth is the grain of all that is counted by time.
+const binWidth = 100 * time.Millisecond
 
 // Service counts asked and well served connection seconds.
 type Service struct {
 	from, to time.Duration
 	all      series
-	by       map[string]*series // "class pay", "zone north"
+	byTag    map[string]*series // "class pay", "zone north"
 }
 
-type series struct{ asked, served []float64 } // seconds, by bin
+type series struct{ demand, served []float64 } // seconds, by bin
 
 // NewService counts between these times.
 func NewService(from, to time.Duration) *Service {
-	return &Service{from: from, to: to, all: newSeries(to), by: map[string]*series{}}
+	return &Service{from: from, to: to, all: newSeries(to), byTag: map[string]*series{}}
 }
 
-// Cut ends the measuring earlier.
-func (s *Service) Cut(at time.Duration) { s.to = max(min(s.to, at), s.from+bin) }
+// Truncate ends the measuring earlier.
+func (s *Service) Truncate(at time.Duration) { s.to = max(min(s.to, at), s.from+binWidth) }
 
 func newSeries(to time.Duration) series {
-	n := int(to/bin) + 1
+	n := int(to/binWidth) + 1
 	return series{make([]float64, n), make([]float64, n)}
 }
 
 func (s *Service) add(served bool, tags []string, from, to time.Duration) {
 	to = min(to, s.to)
 	for from < to {
-		i := int(from / bin)
-		end := min(to, time.Duration(i+1)*bin)
+		i := int(from / binWidth)
+		end := min(to, time.Duration(i+1)*binWidth)
 		for t := -1; t < len(tags); t++ {
 			x := &s.all
 			if t >= 0 {
-				if x = s.by[tags[t]]; x == nil {
+				if x = s.byTag[tags[t]]; x == nil {
 					n := newSeries(s.to)
 					x = &n
-					s.by[tags[t]] = x
+					s.byTag[tags[t]] = x
 				}
 			}
 			if served {
 				x.served[i] += (end - from).Seconds()
 			} else {
-				x.asked[i] += (end - from).Seconds()
+				x.demand[i] += (end - from).Seconds()
 			}
 		}
 		from = end
 	}
 }
 
-// Asked is a time in which a client wants to be connected.
-func (s *Service) Asked(tags []string, from, to time.Duration) { s.add(false, tags, from, to) }
+// RequestSent is a time in which a client wants to be connected.
+func (s *Service) AddDemand(tags []string, from, to time.Duration) { s.add(false, tags, from, to) }
 
-// Served is a time in which a client was connected, and well.
-func (s *Service) Served(tags []string, from, to time.Duration) { s.add(true, tags, from, to) }
+// AddServed is a time in which a client was connected, and well.
+func (s *Service) AddServed(tags []string, from, to time.Duration) { s.add(true, tags, from, to) }
 
 func (x *series) share(from, to time.Duration) float64 {
 	asked, served := 0.0, 0.0
-	for i := int(from / bin); i < int(to/bin) && i < len(x.asked); i++ {
-		asked += x.asked[i]
+	for i := int(from / binWidth); i < int(to/binWidth) && i < len(x.demand); i++ {
+		asked += x.demand[i]
 		served += x.served[i]
 	}
 	if asked == 0 {
@@ -73,13 +73,13 @@
 	return served / asked
 }
 
-// Whole is the served share of what was asked.
-func (s *Service) Whole() float64 { return s.all.share(s.from, s.to) }
+// Share is the served share of what was asked.
+func (s *Service) Share() float64 { return s.all.share(s.from, s.to) }
 
 // Worst is the least share in any span of so long, and when that begins.
 func (s *Service) Worst(long time.Duration) (share float64, at time.Duration) {
 	share = math.Inf(1)
-	for t := s.from; t == s.from || t+long <= s.to; t += bin {
+	for t := s.from; t == s.from || t+long <= s.to; t += binWidth {
 		if v := s.all.share(t, min(t+long, s.to)); v < share {
 			share, at = v, t
 		}
@@ -88,21 +88,21 @@
 }
 
 // By is the share of each tag.
-func (s *Service) By() map[string]float64 {
+func (s *Service) ByTag() map[string]float64 {
 	out := map[string]float64{}
-	for tag, x := range s.by {
+	for tag, x := range s.byTag {
 		out[tag] = x.share(s.from, s.to)
 	}
 	return out
 }
 
 // At is how many connections were asked for and well served, each second.
-func (s *Service) At() (asked, served []float64) {
-	per := int(time.Second / bin)
-	for i := 0; i+per <= len(s.all.asked); i += per {
+func (s *Service) PerSecond() (asked, served []float64) {
+	per := int(time.Second / binWidth)
+	for i := 0; i+per <= len(s.all.demand); i += per {
 		a, v := 0.0, 0.0
 		for k := i; k < i+per; k++ {
-			a += s.all.asked[k]
+			a += s.all.demand[k]
 			v += s.all.served[k]
 		}
 		asked, served = append(asked, a), append(served, v)
@@ -110,19 +110,19 @@
 	return asked, served
 }
 
-// backFor is how long service must stay.
-const backFor = 5 * time.Second
+// recoveredFor is how long service must stay.
+const recoveredFor = 5 * time.Second
 
-// Back is how long after the last fault's end service was at 99% of what it was before the first one, and stayed there for
+// RecoveryTime is how long after the last fault's end service was at 99% of what it was before the first one, and stayed there for
 // five seconds; false if it never was.
-func (s *Service) Back(first, last time.Duration) (time.Duration, bool) {
+func (s *Service) RecoveryTime(first, last time.Duration) (time.Duration, bool) {
 	before := 1.0
 	if first > s.from {
 		before = s.all.share(s.from, first)
 	}
-	for t := last; t+backFor <= s.to; t += bin {
+	for t := last; t+recoveredFor <= s.to; t += binWidth {
 		good := true
-		for k := t; k < t+backFor && good; k += time.Second {
+		for k := t; k < t+recoveredFor && good; k += time.Second {
 			good = s.all.share(k, k+time.Second) >= 0.99*before
 		}
 		if good {
@@ -134,50 +134,50 @@
 
 // Peak is the most of something in any span of so long.
 type Peak struct {
-	Over time.Duration
-	came []mark
-	sum  float64
-	Most float64
-	At   time.Duration
-	All  float64
+	Window time.Duration
+	events []timedCount
+	sum    float64
+	Max    float64
+	At     time.Duration
+	Total  float64
 }
 
-type mark struct {
+type timedCount struct {
 	at time.Duration
 	n  float64
 }
 
 // Add counts n more. Times do not fall.
 func (p *Peak) Add(at time.Duration, n float64) {
-	p.came = append(p.came, mark{at, n})
+	p.events = append(p.events, timedCount{at, n})
 	p.sum += n
-	p.All += n
-	for p.came[0].at <= at-p.Over {
-		p.sum -= p.came[0].n
-		p.came = p.came[1:]
+	p.Total += n
+	for p.events[0].at <= at-p.Window {
+		p.sum -= p.events[0].n
+		p.events = p.events[1:]
 	}
-	if p.sum > p.Most {
-		p.Most, p.At = p.sum, at
+	if p.sum > p.Max {
+		p.Max, p.At = p.sum, at
 	}
 }
 
-// Compared is how a figure of one variant stands to that of the first.
-type Compared struct {
-	Mean, Least, Most float64
-	Diff              float64 // to the first variant's mean
-	Noise             float64 // what chance alone stays within in 95 of 100 cases
-	Real              bool    // the difference is larger
+// Comparison is how a figure of one variant stands to that of the first.
+type Comparison struct {
+	Mean, Min, Max float64
+	Difference     float64 // to the first variant's mean
+	Noise          float64 // what chance alone stays within in 95 of 100 cases
+	Significant    bool    // the difference is larger
 }
 
-// student holds the two-sided 95% quantiles of Student's t for so many pairs: few plays say little of the noise between them.
-var student = []float64{0, 0, 12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.20, 2.18, 2.16, 2.14, 2.1}
+// studentQuantiles holds the two-sided 95% quantiles of Student's t for so many pairs: few plays say little of the noise between them.
+var studentQuantiles = []float64{0, 0, 12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.20, 2.18, 2.16, 2.14, 2.1}
 
 // Compare holds the plays of a variant against those of the first. They were played in turn on the same draws, so each is held
 // against the one of its own draw: what differs from draw to draw is no noise. With fewer than three nothing is called real.
-func Compare(first, other []float64) Compared {
-	c := Compared{Least: math.Inf(1), Most: math.Inf(-1)}
+func Compare(first, other []float64) Comparison {
+	c := Comparison{Min: math.Inf(1), Max: math.Inf(-1)}
 	for _, v := range other {
-		c.Least, c.Most = min(c.Least, v), max(c.Most, v)
+		c.Min, c.Max = min(c.Min, v), max(c.Max, v)
 	}
 	var apart []float64
 	for i := range min(len(first), len(other)) {
@@ -185,9 +185,9 @@
 	}
 	c.Mean, _ = moments(other)
 	var spread float64
-	c.Diff, spread = moments(apart)
-	c.Noise = student[min(len(apart), len(student)-1)] * math.Sqrt(spread/float64(max(len(apart), 1)))
-	c.Real = len(apart) >= 3 && math.Abs(c.Diff) > c.Noise
+	c.Difference, spread = moments(apart)
+	c.Noise = studentQuantiles[min(len(apart), len(studentQuantiles)-1)] * math.Sqrt(spread/float64(max(len(apart), 1)))
+	c.Significant = len(apart) >= 3 && math.Abs(c.Difference) > c.Noise
 	return c
 }
 
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -53,32 +53,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	site := Site{Classes: []float64{1, 2}, Shares: []float64{0.5, 0.5}, Zones: []string{"a", "b"}}
+	site := Site{ClassWeights: []float64{1, 2}, TenantShares: []float64{0.5, 0.5}, Zones: []string{"a", "b"}}
 	p := Draw(f, site, 4)
 	if !reflect.DeepEqual(p, Draw(f, site, 4)) || reflect.DeepEqual(p.Sessions, Draw(f, site, 5).Sessions) {
 		t.Error("the seed does not make the draw")
 	}
 	killed, started := map[string]time.Duration{}, 0
 	for _, s := range p.Steps {
-		switch s.Do {
+		switch s.Action {
 		case "kill":
-			killed[s.Who] = s.At
+			killed[s.Target] = s.At
 		case "start":
-			if started++; s.At != killed[s.Who]+2*time.Second {
-				t.Errorf("%s is killed at %v and started at %v", s.Who, killed[s.Who], s.At)
+			if started++; s.At != killed[s.Target]+2*time.Second {
+				t.Errorf("%s is killed at %v and started at %v", s.Target, killed[s.Target], s.At)
 			}
 		}
 	}
 	if len(killed) != 3 || started != 3 || p.Steps[1].At != 5100*time.Millisecond {
 		t.Errorf("%d killed, %d started, the second at %v", len(killed), started, p.Steps[1].At)
 	}
-	if b := p.Broken(); len(b) != 3 || !b[[2]string{"n1", "n0"}] { // datagrams have a link for each way
+	if b := p.BrokenLinks(); len(b) != 3 || !b[[2]string{"n1", "n0"}] { // datagrams have a link for each way
 		t.Errorf("links %v", b)
 	}
 	f.Faults[0].Zone = "b"
 	for _, s := range Draw(f, site, 4).Steps {
-		if s.Do == "kill" && s.Who[1]%2 == 0 {
-			t.Errorf("%s is not in b", s.Who)
+		if s.Action == "kill" && s.Target[1]%2 == 0 {
+			t.Errorf("%s is not in b", s.Target)
 		}
 	}
 	if f.Faults[0].Zone = "c"; !strings.Contains(fmt.Sprint(f.CheckZones(site.Zones)), "line 6: faults[0].zone") {
@@ -89,28 +89,28 @@
 // TestService: shares, the worst span, and the time until service is back for good.
 func TestService(t *testing.T) {
 	s := NewService(0, 40*time.Second)
-	s.Asked(nil, 0, time.Minute)
-	s.Served([]string{"class a"}, 0, 10*time.Second)
-	s.Served(nil, 14*time.Second, 15*time.Second) // for too short a time
-	s.Served(nil, 17*time.Second, time.Minute)
-	if v := s.Whole(); v < 0.84 || v > 0.86 {
+	s.AddDemand(nil, 0, time.Minute)
+	s.AddServed([]string{"class a"}, 0, 10*time.Second)
+	s.AddServed(nil, 14*time.Second, 15*time.Second) // for too short a time
+	s.AddServed(nil, 17*time.Second, time.Minute)
+	if v := s.Share(); v < 0.84 || v > 0.86 {
 		t.Errorf("whole %v", v)
 	}
 	if v, at := s.Worst(10 * time.Second); v > 0.41 || at > 10*time.Second || at < 7*time.Second {
 		t.Errorf("worst %v at %v", v, at)
 	}
-	if back, ok := s.Back(10*time.Second, 12*time.Second); !ok || back != 5*time.Second {
+	if back, ok := s.RecoveryTime(10*time.Second, 12*time.Second); !ok || back != 5*time.Second {
 		t.Errorf("back after %v, %v", back, ok)
 	}
-	if _, ok := s.Back(10*time.Second, 38*time.Second); ok {
+	if _, ok := s.RecoveryTime(10*time.Second, 38*time.Second); ok {
 		t.Error("back for good within two seconds")
 	}
-	p := Peak{Over: time.Second}
+	p := Peak{Window: time.Second}
 	for i := range 10 {
 		p.Add(time.Duration(i)*250*time.Millisecond, 1)
 	}
-	if p.Most != 4 || p.All != 10 {
-		t.Errorf("peak %v of %v", p.Most, p.All)
+	if p.Max != 4 || p.Total != 10 {
+		t.Errorf("peak %v of %v", p.Max, p.Total)
 	}
 }
 
@@ -125,11 +125,11 @@
 		{[]float64{1, 5, 9}, []float64{1.3, 5.2, 9.3}, true}, // draws that differ by more than the variants
 		{[]float64{1, 1}, []float64{2, 2}, false},
 	} {
-		if got := Compare(c.a, c.b); got.Real != c.real {
+		if got := Compare(c.a, c.b); got.Significant != c.real {
 			t.Errorf("%v against %v: %+v", c.b, c.a, got)
 		}
 	}
-	if got, err := Merge([]byte(`{"a":{"b":1,"c":2},"d":3}`), []byte(`{"a":{"b":null,"e":[1]},"d":4}`)); err != nil || string(got) != `{"a":{"c":2,"e":[1]},"d":4}` {
+	if got, err := MergePatch([]byte(`{"a":{"b":1,"c":2},"d":3}`), []byte(`{"a":{"b":null,"e":[1]},"d":4}`)); err != nil || string(got) != `{"a":{"c":2,"e":[1]},"d":4}` {
 		t.Errorf("merged to %s, %v", got, err)
 	}
 }
--- a/internal/scenario/soak.go
+++ b/internal/scenario/soak.go
@@ -6,27 +6,27 @@
 	"math/rand/v2"
 )
 
-// Soak draws a whole rehearsal from a seed: settings, sizes, members, and faults of all kinds, two or three of them at a
+// DrawSoak draws a whole rehearsal from a seed: settings, sizes, members, and faults of all kinds, two or three of them at a
 // time. Config is the configuration whose other settings it goes by. Troubled says that the relay is a test program that
 // can be in trouble with its clock and its system calls.
-func Soak(seed uint64, config string, troubled bool) (*File, error) {
+func DrawSoak(seed uint64, config string, troubled bool) (*File, error) {
 	d := &soakDraw{rand.New(rand.NewPCG(seed, soakStream)), troubled}
-	f := &File{About: fmt.Sprintf("Soak, seed %d", seed), Config: config, Seed: seed, From: 2000, Settle: true}
+	f := &File{About: fmt.Sprintf("Soak, seed %d", seed), Config: config, Seed: seed, MeasureFromMs: 2000, CheckLeaks: true}
 	f.Relays.Count, f.Members.Count = d.between(1, 4), d.between(3, 6)
 	f.Seconds = float64(d.between(14, 18))
-	f.Members.Cores, f.Members.Open, f.Members.Leave = [2]float64{1.5, 3}, float64(d.between(1, 8)), float64(d.between(300, 2000))
-	f.Members.Report, f.Members.Rough = float64(d.between(50, 500)), 0.05
-	f.Discovery.Lag = float64(d.between(0, 800))
-	f.Front.Ping, f.Front.Notice = 100, float64(d.between(300, 2000))
-	f.Clients.Standing, f.Clients.Rate = d.between(10, 50), float64(d.between(5, 20))
-	f.Clients.Stay, f.Clients.Line = float64(d.between(2000, 20000)), float64(d.between(50, 400))
+	f.Members.Cores, f.Members.ConnectionWorkMs, f.Members.DrainMs = [2]float64{1.5, 3}, float64(d.between(1, 8)), float64(d.between(300, 2000))
+	f.Members.ReportAgeMs, f.Members.ReportError = float64(d.between(50, 500)), 0.05
+	f.Discovery.PropagationDelayMs = float64(d.between(0, 800))
+	f.Front.PingMs, f.Front.FailureTimeoutMs = 100, float64(d.between(300, 2000))
+	f.Clients.Initial, f.Clients.ArrivalsPerSecond = d.between(10, 50), float64(d.between(5, 20))
+	f.Clients.MeanStayMs, f.Clients.LineIntervalMs = float64(d.between(2000, 20000)), float64(d.between(50, 400))
 	f.Clients.Load, f.Clients.Groups = [2]float64{0.01, 0.03}, d.between(5, 100)
-	f.Clients.Again, f.Clients.Leave = [2]float64{float64(d.between(1, 50)), float64(d.between(100, 1500))}, 0.15
+	f.Clients.ReconnectMs, f.Clients.AbandonRate = [2]float64{float64(d.between(1, 50)), float64(d.between(100, 1500))}, 0.15
 	// Two descriptors a flow, for all that may stand at once, at one relay if need be: the page's limits fit their traffic.
-	flows := float64(f.Clients.Standing) + f.Clients.Rate*min(f.Clients.Stay/1000, f.Seconds)
+	flows := float64(f.Clients.Initial) + f.Clients.ArrivalsPerSecond*min(f.Clients.MeanStayMs/1000, f.Seconds)
 	sockets := 150 + int(3*flows) + d.between(0, 200)
 	var err error
-	if f.Change, err = json.Marshal(d.change(f, sockets)); err != nil {
+	if f.Patch, err = json.Marshal(d.change(f, sockets)); err != nil {
 		return nil, err
 	}
 	// The last window leaves the time that its faults and what follows on them take.
@@ -35,12 +35,12 @@
 		at := 2500 + float64(w)*(f.Seconds*1000-7500)/float64(windows)
 		for range d.between(2, 3) {
 			fault := d.fault(f, sockets)
-			fault.At = at + float64(d.between(0, 1200))
+			fault.AtMs = at + float64(d.between(0, 1200))
 			f.Faults = append(f.Faults, fault)
 		}
 	}
-	f.fill()
-	return f, f.check()
+	f.applyDefaults()
+	return f, f.validate()
 }
 
 // soakStream tells a soak's random numbers from those of the plan, which come of the same seed.
@@ -49,7 +49,7 @@
 // soakDraw draws the parts of a soak.
 type soakDraw struct {
 	*rand.Rand
-	troubled bool
+	systemFaults bool
 }
 
 func (d *soakDraw) between(least, most int) int { return least + d.IntN(most-least+1) }
@@ -81,7 +81,7 @@
 			"zones":  []string{"north", "south"}[:d.between(1, min(2, f.Relays.Count))]}}
 }
 
-// steps of a wall clock, in milliseconds.
+// addSteps of a wall clock, in milliseconds.
 var soakSteps = []float64{-3_600_000, -2000, 2000, 3_600_000}
 
 // soakCalls is how system calls fail, by the calls' names and errors.
@@ -89,7 +89,7 @@
 	{"Connect", "EADDRNOTAVAIL"}, {"Connect", "ENETUNREACH"}, {"EpollCtl", "ENOMEM"}, {"EpollWait", "EINTR"}, {"Read", "EINTR"}, {"Read", "ENOMEM"},
 	{"Write", "ENOBUFS"}, {"Write", "EAGAIN"}}
 
-// fault draws one.
+// keyError draws one.
 func (d *soakDraw) fault(f *File, sockets int) Fault {
 	one := func(kind string) []string {
 		n := f.Relays.Count
@@ -101,37 +101,41 @@
 	some := func(least, most int) float64 { return float64(d.between(least, most)) }
 	kinds := []func() Fault{
 		func() Fault {
-			return Fault{Do: "term", Who: []string{"n*"}, Count: d.between(1, f.Relays.Count), Every: some(0, 600), For: some(1500, 3500), Also: d.chance(0.5)}
+			return Fault{Action: "term", Targets: []string{"n*"}, Count: d.between(1, f.Relays.Count), EveryMs: some(0, 600), ForMs: some(1500, 3500), SignalSeries: d.chance(0.5)}
 		},
-		func() Fault { return Fault{Do: "kill", Who: one("n"), For: some(300, 2000)} },
-		func() Fault { return Fault{Do: "pause", Who: []string{"n*"}, For: 150} },
-		func() Fault { return Fault{Do: "silent", Who: one("s"), For: some(500, 5000)} },
-		func() Fault { return Fault{Do: "failing", Who: one("s"), For: some(500, 4000)} },
-		func() Fault { return Fault{Do: "die", Who: one("s"), For: some(500, 3000)} },
+		func() Fault { return Fault{Action: "kill", Targets: one("n"), ForMs: some(300, 2000)} },
+		func() Fault { return Fault{Action: "pause", Targets: []string{"n*"}, ForMs: 150} },
+		func() Fault { return Fault{Action: "silent", Targets: one("s"), ForMs: some(500, 5000)} },
+		func() Fault { return Fault{Action: "failing", Targets: one("s"), ForMs: some(500, 4000)} },
+		func() Fault { return Fault{Action: "die", Targets: one("s"), ForMs: some(500, 3000)} },
 		func() Fault {
-			return Fault{Do: "drain", Who: one("s"), For: f.Members.Leave + leaveMost + some(0, 1500)}
+			return Fault{Action: "drain", Targets: one("s"), ForMs: f.Members.DrainMs + drainMarginMs + some(0, 1500)}
 		},
-		func() Fault { return Fault{Do: "replace", Who: one("s")} },
-		func() Fault { return Fault{Do: "down", For: some(500, 5000)} },
-		func() Fault { return Fault{Do: "late", For: some(1000, 4000), Late: some(50, 1500)} },
-		func() Fault { return Fault{Do: "old"} },
+		func() Fault { return Fault{Action: "replace", Targets: one("s")} },
+		func() Fault { return Fault{Action: "down", ForMs: some(500, 5000)} },
+		func() Fault { return Fault{Action: "late", ForMs: some(1000, 4000), AnswerDelayMs: some(50, 1500)} },
+		func() Fault { return Fault{Action: "old"} },
 		func() Fault {
-			return Fault{Do: "cut", From: one("n"), To: append(one("s"), one("s")...), For: some(300, 3000)}
+			return Fault{Action: "cut", From: one("n"), To: append(one("s"), one("s")...), ForMs: some(300, 3000)}
 		},
-		func() Fault { return Fault{Do: "cut", From: one("n"), To: []string{"discovery"}, For: some(300, 5000)} },
-		func() Fault { return Fault{Do: "reset", From: one("n"), To: append(one("s"), "discovery")} },
 		func() Fault {
-			return Fault{Do: "rough", From: one("n"), To: []string{"s*"}, For: some(1000, 4000), Rough: Rough{Delay: some(1, 40), Jitter: some(0, 40)}}
+			return Fault{Action: "cut", From: one("n"), To: []string{"discovery"}, ForMs: some(300, 5000)}
 		},
+		func() Fault { return Fault{Action: "reset", From: one("n"), To: append(one("s"), "discovery")} },
 		func() Fault {
-			return Fault{Do: "configure", Who: []string{"n*"}, Every: some(1, 100), Body: json.RawMessage(`{}`)}
+			return Fault{Action: "rough", From: one("n"), To: []string{"s*"}, ForMs: some(1000, 4000), Impairment: Impairment{DelayMs: some(1, 40), JitterMs: some(0, 40)}}
+		},
+		func() Fault {
+			return Fault{Action: "configure", Targets: []string{"n*"}, EveryMs: some(1, 100), Body: json.RawMessage(`{}`)}
+		},
+		func() Fault {
+			return Fault{Action: "crowd", Targets: one("n"), IdleConnections: 2 * sockets, ForMs: some(1000, 3000)}
 		},
-		func() Fault { return Fault{Do: "crowd", Who: one("n"), Idle: 2 * sockets, For: some(1000, 3000)} },
 	}
-	if d.troubled {
+	if d.systemFaults {
 		kinds = append(kinds, func() Fault {
 			body, _ := json.Marshal(map[string]any{"step_ms": soakSteps[d.IntN(len(soakSteps))]})
-			return Fault{Do: "trouble", Who: []string{"n*"}, Count: d.between(1, f.Relays.Count), Body: body}
+			return Fault{Action: "trouble", Targets: []string{"n*"}, Count: d.between(1, f.Relays.Count), Body: body}
 		}, func() Fault {
 			var failing []map[string]any
 			for range d.between(1, 3) {
@@ -140,7 +144,7 @@
 			}
 			failing = append(failing, map[string]any{"call": "Write", "short": true, "part": 0.2}, map[string]any{"call": "Read", "short": true, "part": 0.2})
 			body, _ := json.Marshal(map[string]any{"failing": failing})
-			return Fault{Do: "trouble", Who: one("n"), For: some(300, 2500), Body: body}
+			return Fault{Action: "trouble", Targets: one("n"), ForMs: some(300, 2500), Body: body}
 		})
 	}
 	return kinds[d.IntN(len(kinds))]()
--- a/internal/scenario/where.go
+++ b/internal/scenario/where.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// places tells for each key of a JSON text, as "faults[2].at_ms", on which line it stands.
-func places(text []byte) (map[string]int, error) {
+// keyLines tells for each key of a JSON text, as "faults[2].at_ms", on which line it stands.
+func keyLines(text []byte) (map[string]int, error) {
 	d := json.NewDecoder(bytes.NewReader(text))
 	out := map[string]int{}
 	line := func() int { return 1 + bytes.Count(text[:d.InputOffset()], []byte("\n")) }
@@ -57,8 +57,8 @@
 	return out, nil
 }
 
-// unknown lists the keys of a text that a type has no place for.
-func unknown(places map[string]int, t reflect.Type) (keys []string) {
+// unknownKeys lists the keys of a text that a type has no place for.
+func unknownKeys(places map[string]int, t reflect.Type) (keys []string) {
 	known := map[string]bool{"": true}
 	free := []string{} // below these anything may stand
 	var walk func(path string, t reflect.Type)
@@ -86,7 +86,7 @@
 	walk("", t)
 next:
 	for at := range places {
-		plain := bracket.ReplaceAllString(at, "[]")
+		plain := arrayIndex.ReplaceAllString(at, "[]")
 		if known[plain] {
 			continue
 		}
--- a/internal/scenariorunner/clients.go
+++ b/internal/scenariorunner/clients.go
@@ -41,12 +41,12 @@
 				f.lock.Lock()
 				if now := time.Now(); ok {
 					f.heard[n.name], f.in[n.name] = now, true
-				} else if now.Sub(f.heard[n.name]) > scenario.Millis(f.File.Front.Notice) {
+				} else if now.Sub(f.heard[n.name]) > scenario.Millis(f.File.Front.FailureTimeoutMs) {
 					f.in[n.name] = false
 				}
 				admitted := f.in[n.name]
 				f.lock.Unlock()
-				wait := scenario.Millis(f.File.Front.Ping)
+				wait := scenario.Millis(f.File.Front.PingMs)
 				if !admitted { // who starts is asked for more often
 					wait = min(wait, 50*time.Millisecond)
 				}
@@ -63,7 +63,7 @@
 			return
 		}
 		n.readied = n.starts
-		f.judge.Ready(at, n.name, at-n.began)
+		f.judge.RelayReady(at, n.name, at-n.began)
 	})
 }
 
@@ -96,7 +96,7 @@
 	return n
 }
 
-// out has a relay that was told to end given nothing more.
+// inFlight has a relay that was told to end given nothing more.
 func (f *front) out(name string) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -129,17 +129,17 @@
 		tenant = r.set.Tenants[s.Tenant].Name
 		tags = append(tags, "tenant "+tenant)
 	}
-	end := s.At + s.Stay
-	r.with(func(time.Duration) { r.service.Asked(tags, s.At, end) })
+	end := s.Arrival + s.Stay
+	r.with(func(time.Duration) { r.service.AddDemand(tags, s.Arrival, end) })
 	rng := rand.New(rand.NewPCG(s.Seed, 5))
 	tries, again, retry := 0, false, false
-	wanted := s.At
+	wanted := s.Arrival
 	defer r.with(func(time.Duration) {
 		r.tries += tries
 		r.most = max(r.most, tries)
 	})
 	for ctx.Err() == nil && r.now() < end {
-		wait := between(rng, r.File.Clients.Again)
+		wait := between(rng, r.File.Clients.ReconnectMs)
 		if n := r.front.pick(s.Zone, rng); n != nil {
 			tries++
 			f := &flow{run: r, n: n, s: s, tags: tags, end: end, wanted: wanted, id: fmt.Sprintf("%016x", rng.Uint64())}
@@ -198,9 +198,9 @@
 		return "refused", 0
 	}
 	defer c.Close()
-	f.with(func(at time.Duration) { f.judge.Asked(at, f.id, f.n.name, f.patience, f.effect) })
+	f.with(func(at time.Duration) { f.judge.RequestSent(at, f.id, f.n.name, f.patience, f.effect) })
 	if _, err := io.WriteString(c, f.line+"\r\n"); err != nil {
-		f.with(func(at time.Duration) { f.judge.GaveUp(f.id) })
+		f.with(func(at time.Duration) { f.judge.ClientGaveUp(f.id) })
 		return "refused", 0
 	}
 	f.lines = make(chan string, 16)
@@ -229,7 +229,7 @@
 	}
 	select {
 	case <-ctx.Done():
-		f.with(func(time.Duration) { f.judge.GaveUp(f.id) })
+		f.with(func(time.Duration) { f.judge.ClientGaveUp(f.id) })
 		return "cut short", 0
 	case <-give.C:
 		return "unanswered", 0
@@ -237,7 +237,7 @@
 		if !ok {
 			return "unanswered", 0
 		}
-		f.with(func(at time.Duration) { f.judge.Answered(at, f.id, line) })
+		f.with(func(at time.Duration) { f.judge.AnswerReceived(at, f.id, line) })
 		switch {
 		case f.leaves != nil: // it has ended its sending, and has its answer
 			return "left", 0
@@ -262,7 +262,7 @@
 			if !ok {
 				return
 			}
-			f.with(func(at time.Duration) { f.judge.Answered(at, f.id, line) })
+			f.with(func(at time.Duration) { f.judge.AnswerReceived(at, f.id, line) })
 		case <-end:
 			return
 		}
@@ -279,12 +279,12 @@
 	defer f.with(func(time.Duration) { f.run.open-- })
 	served := func() {
 		f.with(func(at time.Duration) {
-			f.service.Served(f.tags, good, min(at, f.end))
+			f.service.AddServed(f.tags, good, min(at, f.end))
 			good = at
 		})
 	}
-	every := scenario.Millis(f.File.Clients.Line)
-	well := scenario.Millis(f.File.Clients.Well)
+	every := scenario.Millis(f.File.Clients.LineIntervalMs)
+	well := scenario.Millis(f.File.Clients.AnswerWithinMs)
 	tick := time.NewTimer(time.Duration(rand.Float64() * float64(every)))
 	defer tick.Stop()
 	asked := time.Duration(-1) // when the line that is out was sent
@@ -294,16 +294,16 @@
 		case <-ctx.Done():
 			f.with(func(time.Duration) { // what is unanswered so far is well if it is not late yet
 				if at := f.now(); asked < 0 || at-asked <= well {
-					f.service.Served(f.tags, good, min(at, f.end))
+					f.service.AddServed(f.tags, good, min(at, f.end))
 				}
-				f.judge.GaveUp(f.id)
+				f.judge.ClientGaveUp(f.id)
 			})
 			return "cut short"
 		case <-tick.C:
 			now := f.now()
 			switch {
 			case asked >= 0 && now-asked > silentMost:
-				f.with(func(at time.Duration) { f.judge.Waiting(at, f.id, asked) })
+				f.with(func(at time.Duration) { f.judge.LineUnanswered(at, f.id, asked) })
 				return "broken"
 			case asked >= 0:
 			case now >= f.end:
@@ -324,7 +324,7 @@
 				if leaving {
 					return "ended"
 				}
-				f.with(func(at time.Duration) { f.judge.Broke(at, f.id) })
+				f.with(func(at time.Duration) { f.judge.FlowEnded(at, f.id) })
 				return "broken"
 			case strings.HasPrefix(line, "GOT "):
 				if f.now()-asked <= well {
@@ -341,7 +341,7 @@
 				served()
 				return "ended"
 			default:
-				f.with(func(at time.Duration) { f.judge.Answered(at, f.id, line) })
+				f.with(func(at time.Duration) { f.judge.AnswerReceived(at, f.id, line) })
 			}
 		}
 	}
@@ -364,7 +364,7 @@
 
 // leaving draws whether and how a client goes early.
 func (r *run) leaving(rng *rand.Rand, patience time.Duration) *leaving {
-	if rng.Float64() >= r.File.Clients.Leave {
+	if rng.Float64() >= r.File.Clients.AbandonRate {
 		return nil
 	}
 	// Half of them at once, where the relay is still placing them.
@@ -383,7 +383,7 @@
 	case <-wait.C:
 	case line, ok := <-f.lines:
 		if ok {
-			f.with(func(at time.Duration) { f.judge.Answered(at, f.id, line) })
+			f.with(func(at time.Duration) { f.judge.AnswerReceived(at, f.id, line) })
 		}
 		return true // its flow, if it has one, ends here
 	}
@@ -398,7 +398,7 @@
 		tcp.CloseWrite()
 	}
 	reads := f.leaves.how == leaveByHalfClose
-	f.with(func(at time.Duration) { f.judge.Left(at, f.id, reads) })
+	f.with(func(at time.Duration) { f.judge.ClientLeft(at, f.id, reads) })
 	return !reads
 }
 
@@ -406,9 +406,9 @@
 func effectOf(class policy.Class) scenario.Effect {
 	switch class.Effect {
 	case policy.Unsafe:
-		return scenario.Effect{Kind: scenario.Unsafe}
+		return scenario.Effect{Kind: scenario.NonIdempotent}
 	case policy.Keyed:
-		return scenario.Effect{Kind: scenario.Keyed, Window: class.Window}
+		return scenario.Effect{Kind: scenario.IdempotencyKeyed, Window: class.Window}
 	}
 	return scenario.Effect{}
 }
--- a/internal/scenariorunner/false_test.go
+++ b/internal/scenariorunner/false_test.go
@@ -219,11 +219,11 @@
 		t.Fatal(err)
 	}
 	for script, rule := range map[string]string{
-		"honest": "", "two answers": scenario.TwoAnswers, "no answer": scenario.NoAnswer, "false answer": scenario.FalseAnswer,
-		"two out": scenario.TwoOut, "too many": scenario.TooMany, "draining": scenario.Draining, "cold": scenario.Overdriven,
-		"cut off": scenario.CutOff, "waiting": scenario.LeftWaiting, "crash": scenario.Crash,
-		"sent late": scenario.SentForGone, "repeats": scenario.Repeated, "false hope": scenario.FalseHope, "leaks": scenario.Leaking,
-		"deaf": scenario.NoAnswer, "ends at once": scenario.CutOff,
+		"honest": "", "two answers": scenario.MultipleAnswers, "no answer": scenario.NoAnswer, "false answer": scenario.ForgedAnswer,
+		"two out": scenario.ConcurrentAttempts, "too many": scenario.TooManyAttempts, "draining": scenario.SentToDraining, "cold": scenario.OverloadedInSlowStart,
+		"cut off": scenario.FlowCutOff, "waiting": scenario.FlowStalled, "crash": scenario.RelayCrash,
+		"sent late": scenario.SentForGoneClient, "repeats": scenario.DisallowedRepeat, "false hope": scenario.WrongRejection, "leaks": scenario.DescriptorLeak,
+		"deaf": scenario.NoAnswer, "ends at once": scenario.FlowCutOff,
 	} {
 		t.Run(script, func(t *testing.T) {
 			t.Parallel()
@@ -264,7 +264,7 @@
 			if rule != "" && broken[rule] == 0 || len(broken) > 1 || rule == "" && len(broken) > 0 {
 				t.Errorf("found %v, want %q\n%v", broken, rule, x.Broken)
 			}
-			if rule == scenario.CutOff && script == "ends at once" && broken[rule] < 3 {
+			if rule == scenario.FlowCutOff && script == "ends at once" && broken[rule] < 3 {
 				t.Errorf("%d clients cut off as the relay ended at once", broken[rule])
 			}
 			if rule == "" && x.Service < 0.5 {
--- a/internal/scenariorunner/faults.go
+++ b/internal/scenariorunner/faults.go
@@ -20,27 +20,27 @@
 	awakens = time.Second
 )
 
-// steps does what the time line says.
+// addSteps does what the time line says.
 func (r *run) steps(ctx context.Context) {
 	for _, s := range r.plan.Steps {
 		if !sleep(ctx, s.At-r.now()) {
 			return
 		}
-		who := s.Who
-		if s.To != "" {
-			who += " to " + s.To
+		who := s.Target
+		if s.Peer != "" {
+			who += " to " + s.Peer
 		}
-		r.Say("\r%7.1f s: %s %s%s\n", s.At.Seconds(), s.Do, who, strings.Repeat(" ", 40))
+		r.Say("\r%7.1f s: %s %s%s\n", s.At.Seconds(), s.Action, who, strings.Repeat(" ", 40))
 		switch {
-		case s.To != "":
+		case s.Peer != "":
 			r.breakLink(s)
-		case s.Who == "discovery":
+		case s.Target == "discovery":
 			r.breakDiscovery(s)
-		case s.Who == scenario.Leader:
-			if s.Who = r.leader(s); s.Who != "" {
+		case s.Target == scenario.Leader:
+			if s.Target = r.leader(s); s.Target != "" {
 				r.breakRelay(s)
 			}
-		case s.Who[0] == 'n':
+		case s.Target[0] == 'n':
 			r.breakRelay(s)
 		default:
 			r.breakMember(ctx, s)
@@ -51,9 +51,9 @@
 func (r *run) breakLink(s scenario.Step) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w, at := r.ways[[2]string{s.Who, s.To}], r.now()
-	rough := fakes.Impairment{Delay: scenario.Millis(s.Rough.Delay), Jitter: scenario.Millis(s.Rough.Jitter), Rate: int(s.Rough.Rate * 1000)}
-	switch s.Do {
+	w, at := r.ways[[2]string{s.Target, s.Peer}], r.now()
+	rough := fakes.Impairment{Delay: scenario.Millis(s.Impairment.DelayMs), Jitter: scenario.Millis(s.Impairment.JitterMs), Rate: int(s.Impairment.RateKBps * 1000)}
+	switch s.Action {
 	case "cut":
 		w.there, w.back = fakes.Impairment{Cut: true}, fakes.Impairment{Cut: true}
 	case "cut_one_way":
@@ -62,20 +62,20 @@
 		w.there, w.back = rough, rough
 	case "heal":
 		w.there, w.back = fakes.Impairment{}, fakes.Impairment{}
-		if s.To == "discovery" {
-			r.tellBehind(s.Who)
+		if s.Peer == "discovery" {
+			r.tellBehind(s.Target)
 		}
 	}
 	if w.udp != nil {
 		w.udp.SetCut(w.there.Cut)
-		if s.Do == "heal" {
-			s.Rough = scenario.Rough{}
+		if s.Action == "heal" {
+			s.Impairment = scenario.Impairment{}
 		}
-		w.udp.SetImpairment(s.Rough.Loss, s.Rough.Repeat, w.there.Delay, w.there.Jitter)
+		w.udp.SetImpairment(s.Impairment.Loss, s.Impairment.Duplication, w.there.Delay, w.there.Jitter)
 		w.udp.SetRate(w.there.Rate)
 	}
 	for _, p := range w.pipes { // between relays: the record's
-		switch s.Do {
+		switch s.Action {
 		case "reset":
 			p.Reset()
 		case "stall":
@@ -87,28 +87,28 @@
 	// A relay answers for what is behind it, not for the way to its clients, and not for the way to other relays.
 	switch {
 	case w.udp != nil:
-	case s.Do == "reset" || s.Do == "stall":
-		relay := s.To
-		if s.Who != "front" {
-			relay = s.Who // flows end with their member's side, as they should
+	case s.Action == "reset" || s.Action == "stall":
+		relay := s.Peer
+		if s.Target != "front" {
+			relay = s.Target // flows end with their member's side, as they should
 		}
-		r.judge.Trouble(at, relay)
-		r.judge.Calm(at+awakens, relay)
-	case s.Who != "front":
-	case s.Do == "heal":
-		r.judge.Calm(at+awakens, s.To)
+		r.judge.BeginExcuse(at, relay)
+		r.judge.EndExcuse(at+awakens, relay)
+	case s.Target != "front":
+	case s.Action == "heal":
+		r.judge.EndExcuse(at+awakens, s.Peer)
 	default:
-		r.judge.Trouble(at, s.To)
+		r.judge.BeginExcuse(at, s.Peer)
 	}
 }
 
 func (r *run) breakDiscovery(s scenario.Step) {
-	switch s.Do {
+	switch s.Action {
 	case "down", "up":
-		r.disc.SetDown(s.Do == "down")
+		r.disc.SetDown(s.Action == "down")
 	case "late", "on_time":
-		late := s.Late
-		if s.Do == "on_time" {
+		late := s.AnswerDelay
+		if s.Action == "on_time" {
 			late = 0
 		}
 		r.disc.SetAnswerDelay(late)
@@ -120,15 +120,15 @@
 // down notes that a relay says nothing from now on.
 func (r *run) down(n *relay) {
 	r.with(func(at time.Duration) {
-		r.judge.Trouble(at, n.name)
+		r.judge.BeginExcuse(at, n.name)
 		r.views.gone(at, n.name)
 	})
 }
 
 func (r *run) breakRelay(s scenario.Step) {
-	i, _ := strconv.Atoi(s.Who[1:])
+	i, _ := strconv.Atoi(s.Target[1:])
 	n := r.relays[i]
-	switch s.Do {
+	switch s.Action {
 	case "kill":
 		n.remember()
 		r.down(n)
@@ -138,11 +138,11 @@
 		n.signal(syscall.SIGSTOP, false)
 	case "continue":
 		n.signal(syscall.SIGCONT, false)
-		if s.Fault >= 0 && r.File.Faults[s.Fault].Do == "pause" {
+		if s.Fault >= 0 && r.File.Faults[s.Fault].Action == "pause" {
 			return
 		}
 		r.with(func(at time.Duration) {
-			r.judge.Calm(at+awakens, n.name)
+			r.judge.EndExcuse(at+awakens, n.name)
 			r.views.back(at, n.name)
 		})
 	case "call":
@@ -160,18 +160,18 @@
 	case "pause": // too short to excuse anything
 		n.signal(syscall.SIGSTOP, false)
 	case "crowd":
-		r.crowd(n, s.Idle)
+		r.crowd(n, s.IdleConnections)
 	case "disperse":
 		r.disperse(n)
 	case "trouble", "calm":
-		if s.Do == "calm" {
+		if s.Action == "calm" {
 			s.Body = nil
 		}
 		if err := n.trouble(s.Body); err != nil {
 			r.Say("%s has no trouble: %v\n", n.name, err)
 		}
 	case "term":
-		r.terminate(n, s.Also)
+		r.terminate(n, s.SignalSeries)
 	case "start":
 		go func() { // an end that takes its time comes first
 			<-n.done
@@ -228,7 +228,7 @@
 
 // crowd has idle clients come to a relay that say nothing and stay.
 func (r *run) crowd(n *relay, many int) {
-	r.with(func(at time.Duration) { r.judge.Crowd(at, n.name) })
+	r.with(func(at time.Duration) { r.judge.BeginIdleFlood(at, n.name) })
 	go func() {
 		for range many {
 			c, err := net.DialTimeout("tcp", n.listen, time.Second)
@@ -243,7 +243,7 @@
 // disperse ends them.
 func (r *run) disperse(n *relay) {
 	n.idlers.closeAll()
-	r.with(func(at time.Duration) { r.judge.Disperse(at+awakens, n.name) })
+	r.with(func(at time.Duration) { r.judge.EndIdleFlood(at+awakens, n.name) })
 }
 
 // idlers are connections that say nothing. Once closed, no more is taken in until the next crowd.
@@ -270,8 +270,8 @@
 // again starts the next process of a relay that has ended, unless the play is over.
 func (n *relay) again() {
 	n.with(func(at time.Duration) {
-		n.judge.Calm(at, n.name)
-		n.judge.Restarted(n.name)
+		n.judge.EndExcuse(at, n.name)
+		n.judge.RelayRestarted(n.name)
 		n.views.back(at, n.name)
 	})
 	n.mu.Lock()
@@ -281,12 +281,12 @@
 		return
 	}
 	if err := n.start(); err != nil {
-		n.with(func(at time.Duration) { n.judge.Crashed(at, n.name, err.Error()) })
+		n.with(func(at time.Duration) { n.judge.RelayCrashed(at, n.name, err.Error()) })
 	}
 }
 
 func (r *run) breakMember(ctx context.Context, s scenario.Step) {
-	i, _ := strconv.Atoi(s.Who[1:])
+	i, _ := strconv.Atoi(s.Target[1:])
 	r.mu.Lock()
 	m := r.byIndex[i]
 	r.mu.Unlock()
@@ -294,7 +294,7 @@
 		m.SetMode(fakes.ModeBusy)
 		r.disc.SetLifecycle(m.ID, "DRAINING")
 		go func() {
-			if sleep(ctx, scenario.Millis(r.File.Members.Leave)) {
+			if sleep(ctx, scenario.Millis(r.File.Members.DrainMs)) {
 				m.MoveClients()
 				sleep(ctx, time.Second)
 				m.Kill()
@@ -302,7 +302,7 @@
 			}
 		}()
 	}
-	switch s.Do {
+	switch s.Action {
 	case "silent":
 		m.SetMode(fakes.ModeUnresponsive)
 	case "failing":
@@ -333,7 +333,7 @@
 	m.Start(now)
 	r.mu.Lock()
 	m.entry.Started, m.entry.Lifecycle = now.UnixMilli(), fakes.Serving
-	r.judge.Member(m.name, r.plan.Cores[m.index], r.since(m.entry.Started))
+	r.judge.MemberStarted(m.name, r.plan.Cores[m.index], r.since(m.entry.Started))
 	entry := m.entry
 	r.mu.Unlock()
 	r.disc.Put(entry)
--- a/internal/scenariorunner/fleet.go
+++ b/internal/scenariorunner/fleet.go
@@ -29,7 +29,7 @@
 // host starts a relay again that has ended by order.
 func (n *relay) host() {
 	n.down(n)
-	time.Sleep(scenario.Millis(n.File.Relays.Host))
+	time.Sleep(scenario.Millis(n.File.Relays.RestartDelayMs))
 	n.again()
 }
 
--- a/internal/scenariorunner/relay.go
+++ b/internal/scenariorunner/relay.go
@@ -160,7 +160,7 @@
 				go n.host()
 			}
 			if !n.wanted && !n.closing && !ordered {
-				n.judge.Crashed(at, n.name, n.how)
+				n.judge.RelayCrashed(at, n.name, n.how)
 			}
 		})
 		close(done)
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// ended says how its process ended, "" while it runs.
+// endedByMember says how its process ended, "" while it runs.
 func (n *relay) ended() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -198,9 +198,9 @@
 func (n *relay) prepare(s scenario.Step) error {
 	state, old := filepath.Join(n.dir, "state"), filepath.Join(n.dir, "old")
 	switch {
-	case s.Lose:
+	case s.LoseState:
 		return os.RemoveAll(state)
-	case s.Old:
+	case s.OldState:
 		if err := os.RemoveAll(state); err != nil {
 			return err
 		}
@@ -225,7 +225,7 @@
 	if err != nil {
 		return err
 	}
-	if text, err = scenario.Merge(text, body); err != nil {
+	if text, err = scenario.MergePatch(text, body); err != nil {
 		return err
 	}
 	return os.WriteFile(path, text, 0o600)
--- a/internal/scenariorunner/result.go
+++ b/internal/scenariorunner/result.go
@@ -30,21 +30,21 @@
 	Seed    uint64  `json:"seed"`
 	Seconds float64 `json:"seconds"`
 	// Invalid says why the play says nothing of the relays; empty if it does.
-	Invalid string             `json:"invalid,omitempty"`
-	Broken  []scenario.Break   `json:"broken"`
-	Service float64            `json:"service"` // part of the connection seconds asked for
-	Worst   float64            `json:"worst_10_s"`
-	WorstAt float64            `json:"worst_10_s_at_s"`
-	By      map[string]float64 `json:"by"`
-	Back    *float64           `json:"back_after_s"` // from the last fault to full service; null: no faults, or never
-	SetUp   map[string]float64 `json:"set_up_ms"`
-	Answers map[string]int     `json:"answers"`
-	Tries   float64            `json:"tries_a_client"`
-	TryMost int                `json:"tries_of_one_client_most"`
-	Fresh   float64            `json:"new_connections_in_1_s_over_what_the_member_can_take_most"`
-	Lists   float64            `json:"list_calls_in_100_ms_most"`
-	Probes  float64            `json:"probes_a_s"`
-	Relays  []Relay            `json:"relays"`
+	Invalid string               `json:"invalid,omitempty"`
+	Broken  []scenario.Violation `json:"broken"`
+	Service float64              `json:"service"` // part of the connection seconds asked for
+	Worst   float64              `json:"worst_10_s"`
+	WorstAt float64              `json:"worst_10_s_at_s"`
+	By      map[string]float64   `json:"by"`
+	Back    *float64             `json:"back_after_s"` // from the last fault to full service; null: no faults, or never
+	SetUp   map[string]float64   `json:"set_up_ms"`
+	Answers map[string]int       `json:"answers"`
+	Tries   float64              `json:"tries_a_client"`
+	TryMost int                  `json:"tries_of_one_client_most"`
+	Fresh   float64              `json:"new_connections_in_1_s_over_what_the_member_can_take_most"`
+	Lists   float64              `json:"list_calls_in_100_ms_most"`
+	Probes  float64              `json:"probes_a_s"`
+	Relays  []Relay              `json:"relays"`
 	// Spell is the longest time for which some relay has turned away all that came to it, turnedFew or more.
 	Spell time.Duration `json:"refusals_on_end_ns"`
 	// Out is how many were out together at most: relays that no front sends to, members that are down or cold. Cores is the least that members bore.
@@ -78,7 +78,7 @@
 
 // Peers is how relays saw each other, where they do.
 type Peers struct {
-	Noticed   int     `json:"noticed"` // ends of relays, by each that lived
+	Noticed   int     `json:"noticed"` // linkEnds of relays, by each that lived
 	P50       float64 `json:"noticed_p50_s"`
 	P99       float64 `json:"noticed_p99_s"`
 	Suspected int     `json:"live_suspected"`
@@ -92,7 +92,7 @@
 }
 
 func (r *run) result(v scenario.Variant, repetition int) *Result {
-	x := &Result{Variant: v.Name, Play: repetition, Seed: r.plan.Seed, SetUp: map[string]float64{}, Late: map[string]float64{}, Broken: []scenario.Break{}}
+	x := &Result{Variant: v.Name, Play: repetition, Seed: r.plan.Seed, SetUp: map[string]float64{}, Late: map[string]float64{}, Broken: []scenario.Violation{}}
 	for _, n := range r.relays {
 		cpu, memory, bytes := n.look()
 		x.Relays = append(x.Relays, Relay{Name: n.name, Starts: n.starts, CPU: cpu, Memory: memory, Peers: n.bytes + bytes,
@@ -100,22 +100,22 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	end := min(r.now(), r.plan.To)
+	end := min(r.now(), r.plan.End)
 	x.Seconds = end.Seconds()
 	for name, q := range map[string]float64{"p50": 50, "p90": 90, "p99": 99, "most": 100} {
 		x.SetUp[name] = float64(r.setUp.ValueAtPercentile(q)) / 1000
 		x.Late[name] = float64(r.late.ValueAtPercentile(q)) / 1000
 	}
-	r.judge.Late = time.Duration(x.Late["most"] * float64(time.Millisecond))
-	x.Broken = append(x.Broken, r.judge.Close(end)...)
+	r.judge.RunnerDelay = time.Duration(x.Late["most"] * float64(time.Millisecond))
+	x.Broken = append(x.Broken, r.judge.Finish(end)...)
 	if x.Late["p99"] > lateMost {
 		x.Invalid = fmt.Sprintf("the rehearsal itself was late: %.0f ms in one case of a hundred, %.0f ms are allowed", x.Late["p99"], lateMost)
 	}
-	x.Service, x.By = r.service.Whole(), r.service.By()
+	x.Service, x.By = r.service.Share(), r.service.ByTag()
 	worst, at := r.service.Worst(10 * time.Second)
 	x.Worst, x.WorstAt = worst, at.Seconds()
-	first, last, any := r.plan.Faults()
-	if back, ok := r.service.Back(first, last); any && ok {
+	first, last, any := r.plan.FaultSpan()
+	if back, ok := r.service.RecoveryTime(first, last); any && ok {
 		s := back.Seconds()
 		x.Back = &s
 	}
@@ -125,18 +125,18 @@
 	}
 	x.Tries = float64(r.tries) / float64(max(len(r.plan.Sessions), 1))
 	for _, p := range r.fresh {
-		x.Fresh = max(x.Fresh, p.Most)
+		x.Fresh = max(x.Fresh, p.Max)
 	}
-	x.Lists, x.Probes = r.lists.Most, r.probes.All/end.Seconds()
-	x.Asked, x.Served = r.service.At()
-	if _, on := r.config["peers"]; on && r.File.Relays.Views > 0 {
+	x.Lists, x.Probes = r.lists.Max, r.probes.Total/end.Seconds()
+	x.Asked, x.Served = r.service.PerSecond()
+	if _, on := r.config["peers"]; on && r.File.Relays.PollPeersMs > 0 {
 		v := r.views
 		x.Peers = &Peers{len(v.noticed), scenario.Quantile(v.noticed, 0.5), scenario.Quantile(v.noticed, 0.99), v.false_, v.dead}
 	}
 	x.Out.Relays, x.Out.Members, x.Out.Cores, x.Releases = r.out.relays, r.out.members, 1-r.out.lost, r.out.states
 	x.Done, x.Drift = r.out.done(), r.out.drift
 	for _, s := range r.plan.Steps {
-		x.Steps = append(x.Steps, Mark{s.At.Seconds(), strings.TrimSpace(s.Do + " " + s.Who + " " + s.To)})
+		x.Steps = append(x.Steps, Mark{s.At.Seconds(), strings.TrimSpace(s.Action + " " + s.Target + " " + s.Peer)})
 	}
 	return x
 }
@@ -251,17 +251,17 @@
 			c := scenario.Compare(first, values(n))
 			fmt.Fprintf(t, "\t%s", figure(c.Mean, f.unit))
 			if len(by[n]) > 1 {
-				fmt.Fprintf(t, " (%s to %s)", figure(c.Least, ""), figure(c.Most, ""))
+				fmt.Fprintf(t, " (%s to %s)", figure(c.Min, ""), figure(c.Max, ""))
 			}
 			if i > 0 {
 				word := "within it"
-				if c.Real {
+				if c.Significant {
 					word = "larger"
 				}
 				if len(by[n]) < 3 || len(first) < 3 {
 					word = "not known"
 				}
-				fmt.Fprintf(t, "\t%s\t%s\t%s", figure(c.Diff, ""), figure(c.Noise, ""), word)
+				fmt.Fprintf(t, "\t%s\t%s\t%s", figure(c.Difference, ""), figure(c.Noise, ""), word)
 			}
 		}
 		fmt.Fprintln(t)
--- a/internal/scenariorunner/run.go
+++ b/internal/scenariorunner/run.go
@@ -78,7 +78,7 @@
 	longest time.Duration // that a row of turnedFew or more has lasted
 }
 
-// answered notes a final answer of the relay's, attempted that it has tried a member.
+// answeredAt notes a final answer of the relay's, attempted that it has tried a member.
 func (u *usage) answered(at time.Duration, refused bool) {
 	if !refused {
 		u.refused = 0
@@ -123,10 +123,10 @@
 func site(set *settings.Settings) scenario.Site {
 	s := scenario.Site{}
 	for _, c := range set.Classes {
-		s.Classes = append(s.Classes, c.Worth)
+		s.ClassWeights = append(s.ClassWeights, c.Worth)
 	}
 	for _, t := range set.Tenants {
-		s.Shares = append(s.Shares, t.Share)
+		s.TenantShares = append(s.TenantShares, t.Share)
 	}
 	for _, z := range set.Zones {
 		s.Zones = append(s.Zones, string(z))
@@ -148,8 +148,8 @@
 		return nil, nil, fmt.Errorf("%w: config: %v", scenario.ErrInvalid, err)
 	}
 	merged := json.RawMessage(text)
-	for _, change := range []json.RawMessage{r.File.Change, v.Change} {
-		if merged, err = scenario.Merge(merged, change); err != nil {
+	for _, change := range []json.RawMessage{r.File.Patch, v.Patch} {
+		if merged, err = scenario.MergePatch(merged, change); err != nil {
 			return nil, nil, fmt.Errorf("%w: %s: %v", scenario.ErrInvalid, path, err)
 		}
 	}
@@ -167,7 +167,7 @@
 	return config, set, r.File.CheckZones(site(set).Zones)
 }
 
-// All plays every variant on every draw as often as the file says, in turn.
+// Total plays every variant on every draw as often as the file says, in turn.
 func (r *Rehearsal) All(ctx context.Context) (all []*Result, err error) {
 	fakes.Host = fmt.Sprintf("127.%d.%d.1", 64+rand.IntN(128), rand.IntN(256)) // other rehearsals on this machine have others
 	for k := range r.File.Repetitions * r.File.Seeds {
@@ -195,22 +195,22 @@
 		return nil, err
 	}
 	own := *r
-	own.File = r.File.For(v)
+	own.File = r.File.ForVariant(v)
 	x := &run{Rehearsal: &own, set: set, config: config, program: r.Program, plan: scenario.Draw(own.File, site(set), seed),
 		dir:   filepath.Join(r.Work, fmt.Sprintf("%s-%d", strings.Map(plain, v.Name), repetition)),
 		given: map[string]bool{}, led: map[int]string{}, members: map[string]*member{}, ways: map[[2]string]*way{}, fresh: map[string]*scenario.Peak{}, answers: map[string]int{}, used: map[string]*usage{}, written: map[[2]string]int{}, behind: map[[2]string]fakes.Entry{},
 		setUp: hdrhistogram.New(1, 600e6, 3), late: hdrhistogram.New(1, 600e6, 3),
-		lists: &scenario.Peak{Over: 100 * time.Millisecond}, probes: &scenario.Peak{Over: time.Second}}
+		lists: &scenario.Peak{Window: 100 * time.Millisecond}, probes: &scenario.Peak{Window: time.Second}}
 	if v.Program != "" {
 		if x.program = v.Program; !filepath.IsAbs(x.program) {
 			x.program = filepath.Join(r.Dir, x.program)
 		}
 	}
 	x.views = &views{run: x, down: map[string]time.Duration{}, up: map[string]time.Duration{}, have: map[[2]string]string{}, told: map[[2]string]bool{}}
-	x.service = scenario.NewService(x.plan.From, x.plan.To)
+	x.service = scenario.NewService(x.plan.MeasureFrom, x.plan.End)
 	g := set.Guarantees
-	x.judge = scenario.NewJudge(scenario.Rules{Attempts: set.Limits.MaxAttempts, Slack: settings.Span(g.Slack), Grace: settings.Span(g.Grace),
-		ColdFrom: g.ColdFrom, ColdFor: settings.Span(g.Cold), Overload: g.Overload, FallFor: settings.Span(g.Fall)})
+	x.judge = scenario.NewJudge(scenario.Rules{MaxAttempts: set.Limits.MaxAttempts, AnswerSlack: settings.Span(g.Slack), DrainGrace: settings.Span(g.Grace),
+		SlowStartFrom: g.ColdFrom, SlowStartFor: settings.Span(g.Cold), OverloadFactor: g.Overload, OverloadWindow: settings.Span(g.Fall)})
 	if err := os.RemoveAll(x.dir); err != nil { // of an earlier rehearsal
 		return nil, err
 	}
@@ -226,7 +226,7 @@
 	x.began = time.Now() // the time line begins when all are ready
 	x.mu.Unlock()
 	x.play(ctx)
-	if x.File.Settle && ctx.Err() == nil {
+	if x.File.CheckLeaks && ctx.Err() == nil {
 		x.settle(ctx)
 	}
 	out := x.result(v, repetition)
@@ -238,7 +238,7 @@
 
 // build puts the stand-ins up and starts the relays.
 func (r *run) build() error {
-	broken := r.plan.Broken()
+	broken := r.plan.BrokenLinks()
 	for pair := range broken {
 		w := &way{}
 		if pair[0][0] == 'n' && pair[1][0] == 'n' {
@@ -272,7 +272,7 @@
 		list = append(list, m.entry)
 	}
 	r.disc = fakes.NewDiscovery(list...)
-	r.disc.SetPropagationDelay(scenario.Millis(r.File.Discovery.Lag))
+	r.disc.SetPropagationDelay(scenario.Millis(r.File.Discovery.PropagationDelayMs))
 	r.disc.OnCall = func(string) { r.with(func(at time.Duration) { r.lists.Add(at, 1) }) }
 	r.disc.OnDelivered = r.told
 	r.disc.OnWritten = func(relay string, bytes int) { r.with(func(time.Duration) { r.used[relay].listBytes += bytes }) }
@@ -346,17 +346,17 @@
 	zones := site(r.set)
 	m := &member{Member: fakes.NewMember(fmt.Sprintf("s%d", i)), index: i, zone: zones.Zone(i), doors: map[string]string{}, lives: lives}
 	if lives > 0 {
-		m.Defect = fakes.Defect{FailureRate: f.Flaw.Fail, Delay: scenario.Millis(f.Flaw.Delay)}
+		m.Defect = fakes.Defect{FailureRate: f.Defect.FailureRate, Delay: scenario.Millis(f.Defect.DelayMs)}
 		for k, n := range r.relays {
-			if f.Flaw.Zone != "" && zones.Zone(k) == f.Flaw.Zone {
+			if f.Defect.Zone != "" && zones.Zone(k) == f.Defect.Zone {
 				m.Defect.Via = append(m.Defect.Via, n.name)
 			}
 		}
 		m.ID = fmt.Sprintf("s%d.%d", i, lives)
 	}
 	m.name = m.ID
-	m.Capacity = fakes.Capacity{Cores: r.plan.Cores[i], MaxConnections: f.Most, ConnectionWork: scenario.Millis(f.Open), GroupWork: scenario.Millis(f.Group),
-		SlowStartFrom: g.ColdFrom, SlowStartFor: settings.Span(g.Cold), ReportInterval: scenario.Millis(f.Report), ReportError: f.Rough, ReportFields: r.set.Report.Names}
+	m.Capacity = fakes.Capacity{Cores: r.plan.Cores[i], MaxConnections: f.MaxConnections, ConnectionWork: scenario.Millis(f.ConnectionWorkMs), GroupWork: scenario.Millis(f.GroupWorkMs),
+		SlowStartFrom: g.ColdFrom, SlowStartFor: settings.Span(g.Cold), ReportInterval: scenario.Millis(f.ReportAgeMs), ReportError: f.ReportError, ReportFields: r.set.Report.Names}
 	open := map[string]string{} // attempts by the sending address: only one end of each is told
 	var mu sync.Mutex
 	m.OnAttempt = func(a fakes.Attempt) {
@@ -371,10 +371,10 @@
 		delete(open, a.From)
 		mu.Unlock()
 		if was {
-			r.with(func(at time.Duration) { r.judge.Over(at, a.ID, m.name, a.Load, itself, a.Rejected) })
+			r.with(func(at time.Duration) { r.judge.AttemptEnded(at, a.ID, m.name, a.Load, itself, a.Rejected) })
 		}
 	}
-	m.OnAccept = func(a fakes.Attempt, up string) { r.with(func(time.Duration) { r.judge.Made(a.ID, up) }) }
+	m.OnAccept = func(a fakes.Attempt, up string) { r.with(func(time.Duration) { r.judge.AttemptAccepted(a.ID, up) }) }
 	m.OnEnd = over
 	m.OnConnection = func(via string) { r.with(func(time.Duration) { r.used[via].connections++ }) }
 	m.OnProbe = func() { r.with(func(at time.Duration) { r.probes.Add(at, 1) }) }
@@ -409,16 +409,16 @@
 	} else {
 		r.byIndex = append(r.byIndex, m)
 	}
-	r.fresh[m.ID] = &scenario.Peak{Over: time.Second}
-	r.judge.Member(m.name, r.plan.Cores[i], 0)
+	r.fresh[m.ID] = &scenario.Peak{Window: time.Second}
+	r.judge.MemberStarted(m.name, r.plan.Cores[i], 0)
 	return m, nil
 }
 
-// begun is an attempt at a member.
+// lastAttempt is an attempt at a member.
 func (r *run) begun(m *member, a fakes.Attempt) {
 	falls := false
 	r.with(func(at time.Duration) {
-		falls = r.judge.Begun(at, a.ID, a.Via, m.name, a.Work, a.Load)
+		falls = r.judge.AttemptStarted(at, a.ID, a.Via, m.name, a.Work, a.Load)
 		r.used[a.Via].attempted()
 		if work := a.Work.Seconds(); work > 0 {
 			age := time.Duration(1 << 62)
@@ -437,7 +437,7 @@
 // toldWithin is how long after discovery could be reached again what it has to tell counts as told, arrived or not.
 const toldWithin = 6 * time.Second
 
-// told is what discovery has written to a relay. Behind a cut it was written to the forwarder alone, see tellBehind.
+// memberUpdates is what discovery has written to a relay. Behind a cut it was written to the forwarder alone, see tellBehind.
 func (r *run) told(relay string, entries []fakes.Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -483,7 +483,7 @@
 }
 
 func (r *run) judgeTold(relay string, e fakes.Entry) {
-	r.judge.Told(r.now(), relay, e.ID, e.Lifecycle, r.since(e.Started))
+	r.judge.MemberUpdateSent(r.now(), relay, e.ID, e.Lifecycle, r.since(e.Started))
 }
 
 // since is a start in the rehearsal's time; 0: long ago.
@@ -494,7 +494,7 @@
 	return max(time.UnixMilli(started).Sub(r.began), 1)
 }
 
-// ready waits until the front has let every relay in.
+// starts waits until the front has let every relay in.
 func (r *run) ready(ctx context.Context) error {
 	go r.front.run_(ctx)
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(20 * time.Millisecond) {
@@ -521,7 +521,7 @@
 
 // play runs clients and the time line to the end.
 func (r *run) play(ctx context.Context) {
-	ctx, stop := context.WithDeadline(ctx, r.began.Add(r.plan.To))
+	ctx, stop := context.WithDeadline(ctx, r.began.Add(r.plan.End))
 	defer stop()
 	var all sync.WaitGroup
 	all.Add(3)
@@ -534,7 +534,7 @@
 	}
 	all.Add(1)
 	go func() { defer all.Done(); r.countOut(ctx) }()
-	if _, on := r.config["peers"]; on && r.File.Relays.Views > 0 {
+	if _, on := r.config["peers"]; on && r.File.Relays.PollPeersMs > 0 {
 		all.Add(1)
 		go func() { defer all.Done(); r.views.watch(ctx) }()
 	}
@@ -548,10 +548,10 @@
 		}
 	}()
 	for _, s := range r.plan.Sessions {
-		if !sleep(ctx, s.At-r.now()) {
+		if !sleep(ctx, s.Arrival-r.now()) {
 			break
 		}
-		late := r.now() - s.At
+		late := r.now() - s.Arrival
 		r.with(func(time.Duration) { r.late.RecordValue(max(late.Microseconds(), 1)) })
 		all.Add(1)
 		go func() { defer all.Done(); r.session(ctx, s) }()
@@ -560,7 +560,7 @@
 	all.Wait()
 	r.with(func(at time.Duration) {
 		r.closing = true
-		r.service.Cut(at)
+		r.service.Truncate(at)
 	})
 }
 
@@ -588,7 +588,9 @@
 		}
 		held := n.descriptors()
 		_, memory, _ := n.look()
-		r.with(func(at time.Duration) { r.judge.Kept(at, n.name, held, n.held+settleLeast, memory, set.Memory) })
+		r.with(func(at time.Duration) {
+			r.judge.CheckResources(at, n.name, held, n.held+settleLeast, memory, set.Memory)
+		})
 	}
 }
 
@@ -600,7 +602,7 @@
 			r.with(func(time.Duration) { r.used[n.name].descriptors = max(r.used[n.name].descriptors, held) })
 		}
 		r.with(func(at time.Duration) {
-			asked, _ := r.service.At()
+			asked, _ := r.service.PerSecond()
 			if i := int(at/time.Second) - 1; i >= 0 && i < len(asked) {
 				r.Say("\r%7.1f s: %4.0f connections asked for, %4d open, %d relays in front   ", at.Seconds(), asked[i], r.open, r.front.count())
 			}
--- a/internal/scenariorunner/soak_test.go
+++ b/internal/scenariorunner/soak_test.go
@@ -73,7 +73,7 @@
 
 // soak plays one seed.
 func soak(t *testing.T, seed uint64, config, program string) {
-	f, err := scenario.Soak(seed, config, true)
+	f, err := scenario.DrawSoak(seed, config, true)
 	if err != nil {
 		t.Errorf("seed %d: %v", seed, err)
 		return
@@ -116,8 +116,8 @@
 		breaks(x.Broken), soakFrom, seed, soakSeeds, soakKeep)
 }
 
-// breaks is a line for each rule broken.
-func breaks(all []scenario.Break) string {
+// violations is a line for each rule broken.
+func breaks(all []scenario.Violation) string {
 	var b strings.Builder
 	for _, x := range all {
 		fmt.Fprintf(&b, "  at %.2f s, %s: %s: %s\n", x.At.Seconds(), x.Relay, x.Rule, x.What)
--- a/internal/scenariorunner/views.go
+++ b/internal/scenariorunner/views.go
@@ -30,7 +30,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			for sleep(ctx, scenario.Millis(v.File.Relays.Views)) {
+			for sleep(ctx, scenario.Millis(v.File.Relays.PollPeersMs)) {
 				if n.ended() == "" && !v.isDown(n.name) {
 					said := n.account()
 					v.with(func(at time.Duration) { v.take(at, n.name, said) })
