--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -42,17 +42,17 @@
 
 // What a relay's silence and an order's time are measured by. Each stands on a time that another page fixes.
 const (
-	sayEvery    = time.Second            // a relay's word to the leader
-	silentAfter = 4 * sayEvery           // four words missed, as lost datagrams and a new leader cost two
-	holdsMost   = 7 * time.Second        // by then a flow whose relay says nothing is over at its client, by the protocol
-	leaveMost   = 20 * time.Second       // a relay's drain takes 3 s and its stop 3 s; a member's flows go as fast as others bear
-	startMS     = 30_000                 // the platform's time until a relay is ready
-	planEvery   = 200 * time.Millisecond // the leader's look at what is next
-	freshFor    = 3 * time.Second        // from a look until the step that rests on it is agreed: a new leader takes two
-	driftMost   = 10 * time.Second       // a release halts when drift has stood so long
-	windowMS    = 30_000                 // a permit is begun within
-	clockDrift  = 0.01                   // clocks of one machine to another: a hundred times what quartz does
-	serviceCost = 0.05                   // of the service before: what a release may cost beyond noise, if the setting does not say
+	reportInterval     = time.Second            // a relay's word to the leader
+	silenceTimeout     = 4 * reportInterval     // four words missed, as lost datagrams and a new leader cost two
+	flowExpiry         = 7 * time.Second        // by then a flow whose relay says nothing is over at its client, by the protocol
+	maxDrain           = 20 * time.Second       // a relay's drain takes 3 s and its stop 3 s; a member's flows go as fast as others bear
+	defaultStartMS     = 30_000                 // the platform's time until a relay is ready
+	planInterval       = 200 * time.Millisecond // the leader's look at what is next
+	planFreshness      = 3 * time.Second        // from a look until the step that rests on it is agreed: a new leader takes two
+	maxDriftBlock      = 10 * time.Second       // a release halts when drift has stood so long
+	permitWindowMS     = 30_000                 // a permit is begun within
+	maxClockDrift      = 0.01                   // clocks of one machine to another: a hundred times what quartz does
+	defaultServiceLoss = 0.05                   // of the service before: what a release may cost beyond noise, if the setting does not say
 )
 
 // Check makes the setting usable, or says why it is not. Dir is where the configuration stands, balancers the number of relays that
@@ -85,10 +85,10 @@
 	if c.StartTimeoutMS < 0 {
 		return errors.New("start_ms: below zero")
 	}
-	start := cmp.Or(c.StartTimeoutMS, startMS)
-	c.budgets = rollout.Budgets{Headroom: c.Disruption.SpareLoad, Silent: silentAfter.Milliseconds(), Hold: (silentAfter + holdsMost).Milliseconds(),
-		Fresh: freshFor.Milliseconds(), Drain: leaveMost.Milliseconds(), Start: start, Warm: warm.Milliseconds(), Window: windowMS,
-		Clock: clockDrift, Drift: driftMost.Milliseconds(), Slack: cmp.Or(c.Disruption.MaxServiceLoss, serviceCost)}
+	start := cmp.Or(c.StartTimeoutMS, defaultStartMS)
+	c.budgets = rollout.Budgets{Headroom: c.Disruption.SpareLoad, Silent: silenceTimeout.Milliseconds(), Hold: (silenceTimeout + flowExpiry).Milliseconds(),
+		Fresh: planFreshness.Milliseconds(), Drain: maxDrain.Milliseconds(), Start: start, Warm: warm.Milliseconds(), Window: permitWindowMS,
+		Clock: maxClockDrift, Drift: maxDriftBlock.Milliseconds(), Slack: cmp.Or(c.Disruption.MaxServiceLoss, defaultServiceLoss)}
 	for _, p := range []struct {
 		name, text string
 		to         *rollout.Part
--- a/internal/fleet/helm.go
+++ b/internal/fleet/helm.go
@@ -10,72 +10,72 @@
 	"dahliarudder/internal/rollout"
 )
 
-// helm is what the leader knows of all relays, and reckons from that and the record. No I/O, no clock; a new leader begins with an empty one.
-type helm struct {
-	record *Record
-	scene  *scene
-	watch  *drift.Watch
-	voters drift.Item // in force
+// controller is what the leader knows of all relays, and reckons from that and the record. No I/O, no clock; a new leader begins with an empty one.
+type controller struct {
+	record     *Record
+	fleet      *fleetStatus
+	driftWatch *drift.Watch
+	voters     drift.Item // in force
 
 	// Derived from the record at its change count.
-	changes uint64
-	held    held
-	intent  *intent
-	under   map[string]under
-	over    []rollout.Account // releases that are over, and what is meant does not follow them yet
-	shuts   map[string]rollout.Shutting
+	recordChanges   uint64
+	recordItems     recordItems
+	intent          *intent
+	pendingReleases map[string]relayRelease
+	unadopted       []rollout.Account // releases that are over, and what is meant does not follow them yet
+	cordoned        map[string]rollout.Shutting
 
-	sections map[string]map[string]string // by release: the new configuration, from the relays that run it
-	blocks   string                       // why no release may step on, but one that mends it
-	blocked  map[string]string            // by release, where one mends what holds up others; "" is for all that mend nothing
-	runs     map[string]run               // by item that nobody agreed on
-	split    map[string]bool              // sections that nobody agreed on, and half of the relays have: any will do. A rarer one is too much
+	releaseSections map[string]map[string]string // by release: the new configuration, from the relays that run it
+	blockReason     string                       // why no release may step on, but one that mends it
+	blockReasons    map[string]string            // by release, where one mends what holds up others; "" is for all that mend nothing
+	candidates      map[string]candidateValue    // by item that nobody agreed on
+	contested       map[string]bool              // sections that nobody agreed on, and half of the relays have: any will do. A rarer one is too much
 }
 
-// run is what most relays run of an item, and since when.
-type run struct {
-	value string
-	since int64
+// candidateValue is what most relays run of an item, and since when.
+type candidateValue struct {
+	value   string
+	sinceMS int64
 }
 
-func newHelm(r *Record) *helm {
-	return &helm{record: r, scene: newScene(), watch: drift.New(drift.Settings{Period: sayEvery.Milliseconds(), Unpaced: []string{drift.List}}), runs: map[string]run{}}
+func newController(r *Record) *controller {
+	return &controller{record: r, fleet: newFleetStatus(), driftWatch: drift.New(drift.Settings{Period: reportInterval.Milliseconds(), Unpaced: []string{drift.List}}), candidates: map[string]candidateValue{}}
 }
 
-// read takes over what the record has become.
-func (h *helm) read() {
+// refresh takes over what the record has become.
+func (h *controller) refresh() {
 	r := h.record
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	if h.intent != nil && h.changes == r.changes {
+	if h.intent != nil && h.recordChanges == r.changes {
 		return
 	}
-	h.changes, h.held, h.intent = r.changes, r.held, r.intent
+	h.recordChanges, h.recordItems, h.intent = r.changes, r.items, r.intent
 	all := r.rollout.Releases()
-	h.under, h.over, h.shuts = underOf(all, r.intent), nil, map[string]rollout.Shutting{}
+	h.pendingReleases, h.unadopted, h.cordoned = unsettledReleases(all, r.intent), nil, map[string]rollout.Shutting{}
 	for _, x := range r.rollout.Shuts() {
-		h.shuts[x.Name] = x
+		h.cordoned[x.Name] = x
 	}
 	for _, a := range all {
-		if _, settled := r.intent.follows(&a); !settled && a.Wish.Kind == rollout.KindRelay && a.Wish.Program+a.Wish.Config != "" &&
+		if _, settled := r.intent.releaseAdoption(&a); !settled && a.Wish.Kind == rollout.KindRelay && a.Wish.Program+a.Wish.Config != "" &&
 			(a.State == rollout.Ended || a.State == rollout.Undone) {
-			h.over = append(h.over, a)
+			h.unadopted = append(h.unadopted, a)
 		}
 	}
 }
 
-// hear takes a relay's word. What it answers is encoded; nil: nothing.
-func (h *helm) hear(now int64, from string, w word) []byte {
-	h.read()
-	h.scene.hear(now, from, w)
-	d, ok := w.decodeDrift(from)
-	if !ok || h.scene.words[from] == nil {
+// receive takes a relay's word. What it answers is encoded; nil: nothing.
+func (h *controller) receive(now int64, from string, w statusReport) []byte {
+	h.refresh()
+	h.fleet.receive(now, from, w)
+	d, ok := w.driftReport(from)
+	if !ok || h.fleet.relays[from] == nil {
 		return nil
 	}
-	h.scene.relist(now)
-	h.intend(now, from)
-	h.watch.Hear(now, d)
-	if reply, ok := h.watch.Reply(from); ok {
+	h.fleet.updateLists(now)
+	h.updateExpected(now, from)
+	h.driftWatch.Hear(now, d)
+	if reply, ok := h.driftWatch.Reply(from); ok {
 		return reply.Encode()
 	}
 	return nil
@@ -83,107 +83,107 @@
 
 // ---- What is agreed for a relay ----
 
-// intend tells the watch what is agreed for a relay.
-func (h *helm) intend(now int64, relay string) {
-	items := h.items(now, relay)
-	x := h.scene.words[relay]
-	if x != nil && !x.list.forget && slices.Equal(items, x.intended) {
+// updateExpected tells the watch what is agreed for a relay.
+func (h *controller) updateExpected(now int64, relay string) {
+	items := h.expectedItems(now, relay)
+	x := h.fleet.relays[relay]
+	if x != nil && !x.listState.resetWatch && slices.Equal(items, x.expected) {
 		return
 	}
-	if x != nil && x.list.forget {
-		if x.list.forget = false; h.watch.State(relay, drift.List) < drift.Late {
-			h.watch.Intend(now, relay, slices.DeleteFunc(slices.Clone(items), func(i drift.Item) bool { return i.Name == drift.List }))
+	if x != nil && x.listState.resetWatch {
+		if x.listState.resetWatch = false; h.driftWatch.State(relay, drift.List) < drift.Late {
+			h.driftWatch.Intend(now, relay, slices.DeleteFunc(slices.Clone(items), func(i drift.Item) bool { return i.Name == drift.List }))
 		}
 	}
-	if h.watch.Intend(now, relay, items); x != nil {
-		x.intended = items
+	if h.driftWatch.Intend(now, relay, items); x != nil {
+		x.expected = items
 	}
 }
 
-// items are those that a relay is held to: what the record says, of what it tells anything of. One that is of an older program tells less.
-func (h *helm) items(now int64, relay string) []drift.Item {
-	items := []drift.Item{h.held.Bans, h.held.Drains}
-	x := h.scene.words[relay]
+// expectedItems are those that a relay is held to: what the record says, of what it tells anything of. One that is of an older program tells less.
+func (h *controller) expectedItems(now int64, relay string) []drift.Item {
+	items := []drift.Item{h.recordItems.Bans, h.recordItems.Drains}
+	x := h.fleet.relays[relay]
 	if x == nil {
 		return items
 	}
-	if x.tells(drift.Program) {
-		if value := h.program(relay, x); value != "" {
-			items = append(items, h.intent.item(relay, drift.Program, value))
+	if x.reports(drift.Program) {
+		if value := h.expectedProgram(relay, x); value != "" {
+			items = append(items, h.intent.driftItem(relay, drift.Program, value))
 		}
 	}
-	if x.tells(drift.Config) {
-		all := h.config(relay, x)
-		for section, value := range x.Sections {
-			if name := drift.Config + "." + section; h.split[name] && len(all) > 0 && all[name] == "" {
+	if x.reports(drift.Config) {
+		all := h.expectedConfig(relay, x)
+		for section, value := range x.ConfigSections {
+			if name := drift.Config + "." + section; h.contested[name] && len(all) > 0 && all[name] == "" {
 				all = maps.Clone(all)
 				all[name] = value
 			}
 		}
 		for _, name := range slices.Sorted(maps.Keys(all)) {
-			items = append(items, h.intent.item(relay, name, all[name]))
+			items = append(items, h.intent.driftItem(relay, name, all[name]))
 		}
 	}
-	if x.tells(drift.List) && x.list.gen > 0 {
-		items = append(items, h.scene.listItem(now, &x.list))
+	if x.reports(drift.List) && x.listState.generation > 0 {
+		items = append(items, h.fleet.expectedList(now, &x.listState))
 	}
-	if x.tells(drift.Weights) {
-		items = append(items, h.held.Weights)
+	if x.reports(drift.Weights) {
+		items = append(items, h.recordItems.Weights)
 	}
-	if x.tells(drift.Permits) {
-		items = append(items, h.held.Permits)
+	if x.reports(drift.Permits) {
+		items = append(items, h.recordItems.Permits)
 	}
-	if x.tells(drift.Voters) && h.voters.Digest != 0 {
+	if x.reports(drift.Voters) && h.voters.Digest != 0 {
 		items = append(items, h.voters)
 	}
 	return items
 }
 
-func (x *heard) tells(group string) bool { return slices.Contains(x.Tells, group) }
+func (x *relayStatus) reports(group string) bool { return slices.Contains(x.ReportedGroups, group) }
 
-// program is what a relay is to run, "" if nobody has agreed on any. Under a release: what is new once it is through, what it had while it
+// expectedProgram is what a relay is to run, "" if nobody has agreed on any. Under a release: what is new once it is through, what it had while it
 // waits, and either while it is out.
-func (h *helm) program(relay string, x *heard) string {
-	m, _ := h.intent.meant(relay, drift.Program)
-	u, ok := h.under[relay]
-	if !ok || !u.names(drift.Program) {
+func (h *controller) expectedProgram(relay string, x *relayStatus) string {
+	m, _ := h.intent.valueFor(relay, drift.Program)
+	u, ok := h.pendingReleases[relay]
+	if !ok || !u.changes(drift.Program) {
 		return m.Value
 	}
 	old, fresh := m.Value, u.release.Wish.Program
-	if u.taken {
+	if u.adopted {
 		old = u.unit.Program
 	}
 	switch {
-	case u.out() && (x.Program == fresh || slices.Contains(x.Refused, drift.Program)), u.unit.Phase == rollout.Done && u.unit.Got && !u.out():
+	case u.restarting() && (x.Program == fresh || slices.Contains(x.RejectedItems, drift.Program)), u.unit.Phase == rollout.Done && u.unit.Got && !u.restarting():
 		return fresh
 	}
 	return old
 }
 
-// config is the same of the configuration, by item.
-func (h *helm) config(relay string, x *heard) map[string]string {
+// expectedConfig is the same of the configuration, by item.
+func (h *controller) expectedConfig(relay string, x *relayStatus) map[string]string {
 	meant := map[string]string{}
-	for _, name := range h.intent.names(relay) {
-		if m, _ := h.intent.meant(relay, name); name != drift.Program {
+	for _, name := range h.intent.itemNames(relay) {
+		if m, _ := h.intent.valueFor(relay, name); name != drift.Program {
 			meant[name] = m.Value
 		}
 	}
-	u, ok := h.under[relay]
-	if !ok || !u.names(drift.Config) {
+	u, ok := h.pendingReleases[relay]
+	if !ok || !u.changes(drift.Config) {
 		return meant
 	}
-	old, fresh := meant, h.sections[u.release.Name]
-	if u.taken {
+	old, fresh := meant, h.releaseSections[u.release.Name]
+	if u.adopted {
 		old = map[string]string{}
-		for name, value := range u.before {
+		for name, value := range u.previous {
 			if name != drift.Program {
 				old[name] = value
 			}
 		}
 	}
 	switch {
-	case u.out() && x.Config != u.release.Wish.Config:
-		for _, name := range x.Refused { // it was sent for the new one
+	case u.restarting() && x.Config != u.release.Wish.Config:
+		for _, name := range x.RejectedItems { // it was sent for the new one
 			if drift.GroupOf(name) == drift.Config && old[name] != "" {
 				old = maps.Clone(old)
 				if old[name] = fresh[name]; old[name] == "" {
@@ -192,40 +192,40 @@
 			}
 		}
 		return old
-	case u.out(), u.unit.Phase == rollout.Done && u.unit.Got:
+	case u.restarting(), u.unit.Phase == rollout.Done && u.unit.Got:
 		return fresh
 	}
 	return old
 }
 
-// learn takes the sections of new configurations from the units that have them, as most of them say, and which ones nobody agreed on.
-func (h *helm) learn() {
-	h.sections = map[string]map[string]string{}
+// learnReleaseSections takes the sections of new configurations from the units that have them, as most of them say, and which ones nobody agreed on.
+func (h *controller) learnReleaseSections() {
+	h.releaseSections = map[string]map[string]string{}
 	count := map[string]map[string]int{}
-	for relay, u := range h.under {
-		x := h.scene.words[relay]
-		if x == nil || u.release.Wish.Config == "" || x.Config != u.release.Wish.Config || len(x.Sections) == 0 ||
-			!(u.unit.Got || u.out()) {
+	for relay, u := range h.pendingReleases {
+		x := h.fleet.relays[relay]
+		if x == nil || u.release.Wish.Config == "" || x.Config != u.release.Wish.Config || len(x.ConfigSections) == 0 ||
+			!(u.unit.Got || u.restarting()) {
 			continue
 		}
-		text, _ := json.Marshal(x.Sections)
+		text, _ := json.Marshal(x.ConfigSections)
 		if count[u.release.Name] == nil {
 			count[u.release.Name] = map[string]int{}
 		}
 		count[u.release.Name][string(text)]++
 	}
 	has, tell := map[string]int{}, 0
-	for _, x := range h.scene.words {
-		if x.tells(drift.Config) {
+	for _, x := range h.fleet.relays {
+		if x.reports(drift.Config) {
 			tell++
-			for section := range x.Sections {
+			for section := range x.ConfigSections {
 				has[drift.Config+"."+section]++
 			}
 		}
 	}
-	h.split = map[string]bool{}
+	h.contested = map[string]bool{}
 	for name, n := range has {
-		h.split[name] = 2*n >= tell && len(h.intent.Items[name]) == 0
+		h.contested[name] = 2*n >= tell && len(h.intent.Items[name]) == 0
 	}
 	for name, by := range count {
 		best := ""
@@ -236,75 +236,75 @@
 		}
 		var all map[string]string
 		json.Unmarshal([]byte(best), &all)
-		h.sections[name] = map[string]string{}
+		h.releaseSections[name] = map[string]string{}
 		for section, value := range all {
-			h.sections[name][drift.Config+"."+section] = value
+			h.releaseSections[name][drift.Config+"."+section] = value
 		}
 	}
 }
 
 // ---- What is found ----
 
-// look tells the watch what is agreed and who lives, and puts what it finds into the view.
-func (h *helm) look(now int64, v *rollout.View) []drift.Change {
-	h.read()
-	h.scene.relist(now)
-	h.learn()
+// evaluateDrift tells the watch what is agreed and who lives, and puts what it finds into the view.
+func (h *controller) evaluateDrift(now int64, v *rollout.View) []drift.Change {
+	h.refresh()
+	h.fleet.updateLists(now)
+	h.learnReleaseSections()
 	var count []string
 	for _, r := range v.Relays {
-		x, u := h.scene.words[r.Name], h.under[r.Name]
-		h.intend(now, r.Name)
+		x, u := h.fleet.relays[r.Name], h.pendingReleases[r.Name]
+		h.updateExpected(now, r.Name)
 		switch {
 		case r.Gone:
-			h.watch.Alive(now, r.Name, drift.Gone)
-		case x == nil || r.HeardMS > silentAfter.Milliseconds():
-			h.watch.Alive(now, r.Name, drift.Silent)
+			h.driftWatch.Alive(now, r.Name, drift.Gone)
+		case x == nil || r.HeardMS > silenceTimeout.Milliseconds():
+			h.driftWatch.Alive(now, r.Name, drift.Silent)
 		case r.Phase == "leaving" || r.Phase == "starting" || u.unit.Phase == rollout.Told && r.Start <= uint64(u.unit.Start):
-			h.watch.Alive(now, r.Name, drift.Restarting)
+			h.driftWatch.Alive(now, r.Name, drift.Restarting)
 		default:
-			h.watch.Alive(now, r.Name, drift.Live)
-			if _, shut := h.shuts[r.Name]; !shut { // it is out, and counts as that
+			h.driftWatch.Alive(now, r.Name, drift.Live)
+			if _, shut := h.cordoned[r.Name]; !shut { // it is out, and counts as that
 				count = append(count, r.Name)
 			}
 		}
 	}
-	changes := h.watch.Tick(now)
+	changes := h.driftWatch.Tick(now)
 	var since int64
-	if v.Drift, since = h.watch.Blocks(count, h.mends("")); since > 0 {
+	if v.Drift, since = h.driftWatch.Blocks(count, h.repairedBy("")); since > 0 {
 		v.DriftMS = now - since
 	}
-	h.blocked = map[string]string{}
-	if h.blocks, _ = h.watch.Blocks(count, nil); h.blocks != v.Drift {
-		h.blocked[""] = h.blocks
-		for _, u := range h.under {
-			if _, ok := h.blocked[u.release.Name]; !ok {
-				h.blocked[u.release.Name], _ = h.watch.Blocks(count, h.mends(u.release.Name))
+	h.blockReasons = map[string]string{}
+	if h.blockReason, _ = h.driftWatch.Blocks(count, nil); h.blockReason != v.Drift {
+		h.blockReasons[""] = h.blockReason
+		for _, u := range h.pendingReleases {
+			if _, ok := h.blockReasons[u.release.Name]; !ok {
+				h.blockReasons[u.release.Name], _ = h.driftWatch.Blocks(count, h.repairedBy(u.release.Name))
 			}
 		}
 	}
 	return changes
 }
 
-// mends says what a release mends by itself, "" for any release: what a relay takes as it starts, where its restart is still to come. What it does to
+// repairedBy says what a release mends by itself, "" for any release: what a relay takes as it starts, where its restart is still to come. What it does to
 // members it must not is not spared: nothing is to be moved meanwhile.
-func (h *helm) mends(release string) func(relay, item string) bool {
+func (h *controller) repairedBy(release string) func(relay, item string) bool {
 	return func(relay, item string) bool {
-		u := h.under[relay]
-		return u.ahead() && (release == "" || u.release.Name == release) && item != drift.Bans && item != drift.Drains
+		u := h.pendingReleases[relay]
+		return u.restartPending() && (release == "" || u.release.Name == release) && item != drift.Bans && item != drift.Drains
 	}
 }
 
-// gate leaves out what a release would give out while something drifts that it does not mend itself.
-func (h *helm) gate(plan []rollout.Command) (out []rollout.Command) {
+// withholdBlocked leaves out what a release would give out while something drifts that it does not mend itself.
+func (h *controller) withholdBlocked(plan []rollout.Command) (out []rollout.Command) {
 	for _, c := range plan {
-		if c.Kind == rollout.Step && len(h.blocked) > 0 {
+		if c.Kind == rollout.Step && len(h.blockReasons) > 0 {
 			had := len(c.Gives)
 			c.Gives = slices.DeleteFunc(slices.Clone(c.Gives), func(g rollout.Gift) bool {
-				why, ok := h.blocked[g.Release]
+				why, ok := h.blockReasons[g.Release]
 				if !ok {
-					why = h.blocked[""]
+					why = h.blockReasons[""]
 				}
-				return why != "" && g.Permit == 0 && !h.backing(g.Release)
+				return why != "" && g.Permit == 0 && !h.rollingBack(g.Release)
 			})
 			if had > 0 && len(c.Gives) == 0 {
 				continue
@@ -315,60 +315,60 @@
 	return out
 }
 
-// backing says that a release is on its way back, which no drift holds up.
-func (h *helm) backing(release string) bool {
+// rollingBack says that a release is on its way back, which no drift holds up.
+func (h *controller) rollingBack(release string) bool {
 	h.record.mu.RLock()
 	defer h.record.mu.RUnlock()
 	a, _ := h.record.rollout.Release(release)
 	return a.Backing
 }
 
-// unfit puts into the view who is to take no clients, the worst first. Who is shut stays so until it is heard and in step with all, or has started anew: a
+// markUnfit puts into the view who is to take no clients, the worst first. Who is shut stays so until it is heard and in step with all, or has started anew: a
 // new leader knows nothing of it yet, and a silent one has not mended. One whose list alone is newer than others' is not unfit: it may be right.
-func (h *helm) unfit(v *rollout.View) {
+func (h *controller) markUnfit(v *rollout.View) {
 	v.UnfitOrder, v.Unfit = nil, map[string]string{}
-	for _, u := range h.watch.TakeOut(drift.RelaysMost, slices.Sorted(maps.Keys(h.shuts)), func(relay, item string) bool {
-		return item == drift.List && h.watch.State(relay, item) == drift.Ahead
+	for _, u := range h.driftWatch.TakeOut(drift.RelaysMost, slices.Sorted(maps.Keys(h.cordoned)), func(relay, item string) bool {
+		return item == drift.List && h.driftWatch.State(relay, item) == drift.Ahead
 	}) {
 		v.UnfitOrder, v.Unfit[u.Relay] = append(v.UnfitOrder, u.Relay), u.Why
 	}
-	for _, relay := range slices.Sorted(maps.Keys(h.shuts)) {
-		x := h.scene.words[relay]
-		if v.Unfit[relay] == "" && !h.watch.Clear(relay) && (x == nil || x.Start <= h.shuts[relay].Start) {
-			v.UnfitOrder, v.Unfit[relay] = append(v.UnfitOrder, relay), h.shuts[relay].Why
+	for _, relay := range slices.Sorted(maps.Keys(h.cordoned)) {
+		x := h.fleet.relays[relay]
+		if v.Unfit[relay] == "" && !h.driftWatch.Clear(relay) && (x == nil || x.Incarnation <= h.cordoned[relay].Start) {
+			v.UnfitOrder, v.Unfit[relay] = append(v.UnfitOrder, relay), h.cordoned[relay].Why
 		}
 	}
 }
 
 // ---- What is to be meant ----
 
-// meaning is what to have agreed on next.
-func (h *helm) meaning(now int64, v *rollout.View) (list []meaning) {
-	for _, a := range h.over {
-		c := meaning{Do: "adopt", Release: a.Name}
+// planIntent is what to have agreed on next.
+func (h *controller) planIntent(now int64, v *rollout.View) (list []intentCommand) {
+	for _, a := range h.unadopted {
+		c := intentCommand{Action: "adopt", Release: a.Name}
 		if a.State == rollout.Ended && a.Wish.Config != "" {
-			c.Items = h.sections[a.Name]
+			c.Items = h.releaseSections[a.Name]
 			if c.Items == nil && slices.ContainsFunc(a.Units, func(u rollout.Unit) bool { return u.Got }) {
 				continue // until one that runs it has said so
 			}
 		}
 		list = append(list, c)
 	}
-	if c, ok := h.even(v); ok && len(list) == 0 {
+	if c, ok := h.uniformItem(v); ok && len(list) == 0 {
 		list = append(list, c)
 	}
-	if items := h.most(now, v); len(items) > 0 {
-		list = append(list, meaning{Do: "adopt", Items: items})
+	if items := h.majorityItems(now, v); len(items) > 0 {
+		list = append(list, intentCommand{Action: "adopt", Items: items})
 	}
 	return list
 }
 
-// most are the items that nobody agreed on, and more than half of all known relays have run the same of for long enough. Who is silent is known too,
+// majorityItems are the items that nobody agreed on, and more than half of all known relays have run the same of for long enough. Who is silent is known too,
 // and runs nothing.
-func (h *helm) most(now int64, v *rollout.View) map[string]string {
+func (h *controller) majorityItems(now int64, v *rollout.View) map[string]string {
 	count := map[string]map[string]int{}
 	add := func(name, value string) {
-		if len(h.intent.Items[name]) > 0 || meanable(name, value) != "" {
+		if len(h.intent.Items[name]) > 0 || checkIntentItem(name, value) != "" {
 			return
 		}
 		if count[name] == nil {
@@ -377,71 +377,71 @@
 		count[name][value]++
 	}
 	for _, r := range v.Relays {
-		x, u := h.scene.words[r.Name], h.under[r.Name]
-		if x == nil || r.HeardMS > silentAfter.Milliseconds() {
+		x, u := h.fleet.relays[r.Name], h.pendingReleases[r.Name]
+		if x == nil || r.HeardMS > silenceTimeout.Milliseconds() {
 			continue
 		}
-		if x.tells(drift.Program) && !u.names(drift.Program) {
+		if x.reports(drift.Program) && !u.changes(drift.Program) {
 			add(drift.Program, x.Program)
 		}
-		if x.tells(drift.Config) && !u.names(drift.Config+".") {
-			for section, value := range x.Sections {
+		if x.reports(drift.Config) && !u.changes(drift.Config+".") {
+			for section, value := range x.ConfigSections {
 				add(drift.Config+"."+section, value)
 			}
 		}
 	}
-	runs, items := map[string]run{}, map[string]string{}
+	runs, items := map[string]candidateValue{}, map[string]string{}
 	for name, by := range count {
 		for value, n := range by {
 			if 2*n <= len(v.Relays) {
 				continue
 			}
-			if runs[name] = (run{value, now}); h.runs[name].value == value {
-				runs[name] = h.runs[name]
+			if runs[name] = (candidateValue{value, now}); h.candidates[name].value == value {
+				runs[name] = h.candidates[name]
 			}
-			if now-runs[name].since >= silentAfter.Milliseconds() && len(h.intent.Items)+len(items) < meantMost {
+			if now-runs[name].sinceMS >= silenceTimeout.Milliseconds() && len(h.intent.Items)+len(items) < maxIntentItems {
 				items[name] = value
 			}
 		}
 	}
-	h.runs = runs
+	h.candidates = runs
 	return items
 }
 
-// even is an item that is meant of single relays, and has come to be meant the same of all that are known: so it is meant of those that come.
-func (h *helm) even(v *rollout.View) (meaning, bool) {
-	if len(h.intent.Of) == 0 || len(h.over) > 0 || len(v.Relays) == 0 {
-		return meaning{}, false
+// uniformItem is an item that is meant of single relays, and has come to be meant the same of all that are known: so it is meant of those that come.
+func (h *controller) uniformItem(v *rollout.View) (intentCommand, bool) {
+	if len(h.intent.PerRelay) == 0 || len(h.unadopted) > 0 || len(v.Relays) == 0 {
+		return intentCommand{}, false
 	}
 	first := v.Relays[0].Name
-	for _, name := range slices.Sorted(maps.Keys(h.intent.Of[first])) {
-		value := h.intent.Of[first][name].Value
+	for _, name := range slices.Sorted(maps.Keys(h.intent.PerRelay[first])) {
+		value := h.intent.PerRelay[first][name].Value
 		if !slices.ContainsFunc(v.Relays, func(r rollout.Relay) bool {
-			m, _ := h.intent.meant(r.Name, name)
+			m, _ := h.intent.valueFor(r.Name, name)
 			return m.Value != value
 		}) {
-			return meaning{Do: "adopt", Even: true, Base: h.intent.Version, Items: map[string]string{name: value}}, true
+			return intentCommand{Action: "adopt", Uniform: true, BaseVersion: h.intent.Version, Items: map[string]string{name: value}}, true
 		}
 	}
-	return meaning{}, false
+	return intentCommand{}, false
 }
 
 // as is what a relay said last that it runs, as an operator's word on what is meant. Item may be "" for all.
-func (h *helm) as(relay, item, who string) (meaning, error) {
-	x := h.scene.words[relay]
+func (h *controller) intentFromRelay(relay, item, who string) (intentCommand, error) {
+	x := h.fleet.relays[relay]
 	if x == nil {
-		return meaning{}, fmt.Errorf("%q was not heard by this leader", relay)
+		return intentCommand{}, fmt.Errorf("%q was not heard by this leader", relay)
 	}
 	all := map[string]string{drift.Program: x.Program}
-	for section, value := range x.Sections {
+	for section, value := range x.ConfigSections {
 		all[drift.Config+"."+section] = value
 	}
-	c := meaning{Do: "adopt", Who: who, Items: all, Whole: true}
+	c := intentCommand{Action: "adopt", Operator: who, Items: all, ReplaceAll: true}
 	if item != "" {
 		if all[item] == "" {
-			return meaning{}, fmt.Errorf("%q tells nothing of %q", relay, item)
+			return intentCommand{}, fmt.Errorf("%q tells nothing of %q", relay, item)
 		}
-		c.Items, c.Whole = map[string]string{item: all[item]}, false
+		c.Items, c.ReplaceAll = map[string]string{item: all[item]}, false
 	}
 	return c, nil
 }
--- a/internal/fleet/intent.go
+++ b/internal/fleet/intent.go
@@ -14,18 +14,18 @@
 
 // Bounds of what is meant.
 const (
-	meantMost   = 48 // items, the sections of a configuration among them: the others that a relay tells fit beside them
-	formerMost  = 3  // values before the one of now, by which a relay that went back is told apart
-	meaningMost = rollout.NameMost
+	maxIntentItems  = 48 // items, the sections of a configuration among them: the others that a relay tells fit beside them
+	maxFormerValues = 3  // values before the one of now, by which a relay that went back is told apart
+	maxIntentValue  = rollout.NameMost
 )
 
 // intent is what is meant of the things that relays run and no order says: program, and configuration by section. Decisions alone; it is
 // the third part of the record. One that was handed out never changes: a command makes another one.
 type intent struct {
-	Version uint64                              `json:"version"`            // of the last change
-	Items   map[string][]intendedValue          `json:"items,omitempty"`    // of all relays; newest first
-	Of      map[string]map[string]intendedValue `json:"of,omitempty"`       // of single relays, by a release of a part of them
-	Ended   map[string]ended                    `json:"releases,omitempty"` // what ended releases have changed it by, by name
+	Version  uint64                              `json:"version"`            // of the last change
+	Items    map[string][]intendedValue          `json:"items,omitempty"`    // of all relays; newest first
+	PerRelay map[string]map[string]intendedValue `json:"of,omitempty"`       // of single relays, by a release of a part of them
+	Adopted  map[string]adoptedRelease           `json:"releases,omitempty"` // what ended releases have changed it by, by name
 }
 
 // intendedValue is the value of an item, and since when it holds. Its version rises with every change of any item.
@@ -36,30 +36,30 @@
 	By      string `json:"by"`
 }
 
-type ended struct {
-	Opened int64             `json:"opened"`           // a name may be used again
-	Before map[string]string `json:"before,omitempty"` // what was meant of all relays
+type adoptedRelease struct {
+	OpenedAt int64             `json:"opened"`           // a name may be used again
+	Previous map[string]string `json:"before,omitempty"` // what was meant of all relays
 }
 
-// meaning is a command. Adopt without Who or Release is the pilot's for items that nobody agreed on: what is agreed stays, so one that comes late
+// intentCommand is a command. Adopt without Who or Release is the pilot's for items that nobody agreed on: what is agreed stays, so one that comes late
 // changes nothing. With Release it follows one that has ended, or is back; with Who it is an operator's.
-type meaning struct {
-	Do      string            `json:"do"`
-	Items   map[string]string `json:"items,omitempty"`
-	Whole   bool              `json:"whole,omitempty"` // sections that are not named are meant no more
-	Release string            `json:"release,omitempty"`
-	Who     string            `json:"who,omitempty"`
-	Even    bool              `json:"even,omitempty"` // all relays have come to mean the same: it is meant of all, if Base is the version still
-	Base    uint64            `json:"base,omitempty"`
+type intentCommand struct {
+	Action      string            `json:"do"`
+	Items       map[string]string `json:"items,omitempty"`
+	ReplaceAll  bool              `json:"whole,omitempty"` // sections that are not named are meant no more
+	Release     string            `json:"release,omitempty"`
+	Operator    string            `json:"who,omitempty"`
+	Uniform     bool              `json:"even,omitempty"` // setAll relays have come to mean the same: it is meant of all, if Base is the version still
+	BaseVersion uint64            `json:"base,omitempty"`
 }
 
-func meanable(name, value string) string {
+func checkIntentItem(name, value string) string {
 	section, ok := strings.CutPrefix(name, drift.Config+".")
 	switch {
 	case name != drift.Program && (!ok || section == "") || len(name) > drift.NameMost:
 		return fmt.Sprintf("%.40q is no item that is meant", name)
-	case value == "" || len(value) > meaningMost:
-		return fmt.Sprintf("%s: no value, or one of over %d bytes", name, meaningMost)
+	case value == "" || len(value) > maxIntentValue:
+		return fmt.Sprintf("%s: no value, or one of over %d bytes", name, maxIntentValue)
 	}
 	return ""
 }
@@ -69,85 +69,85 @@
 	refuse := func(format string, args ...any) (*intent, rollout.Answer) {
 		return n, rollout.Answer{Error: fmt.Sprintf(format, args...)}
 	}
-	var c meaning
+	var c intentCommand
 	if err := json.Unmarshal(body, &c); err != nil {
 		return refuse("no command: %v", err)
 	}
-	if c.Do != "adopt" {
-		return refuse("no such command: %.40q", c.Do)
+	if c.Action != "adopt" {
+		return refuse("no such command: %.40q", c.Action)
 	}
-	if len(c.Items) > meantMost {
-		return refuse("over %d items", meantMost)
+	if len(c.Items) > maxIntentItems {
+		return refuse("over %d items", maxIntentItems)
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.Items)) {
-		if why := meanable(name, c.Items[name]); why != "" {
+		if why := checkIntentItem(name, c.Items[name]); why != "" {
 			return refuse("%s", why)
 		}
 	}
 	if len(by) > rollout.NameMost {
 		by = by[:rollout.NameMost]
 	}
-	x := &intent{Version: n.Version, Items: maps.Clone(n.Items), Of: map[string]map[string]intendedValue{}, Ended: map[string]ended{}}
+	x := &intent{Version: n.Version, Items: maps.Clone(n.Items), PerRelay: map[string]map[string]intendedValue{}, Adopted: map[string]adoptedRelease{}}
 	if x.Items == nil {
 		x.Items = map[string][]intendedValue{}
 	}
-	for relay, of := range n.Of {
-		x.Of[relay] = maps.Clone(of)
+	for relay, of := range n.PerRelay {
+		x.PerRelay[relay] = maps.Clone(of)
 	}
-	for name, e := range n.Ended { // of those that the record still knows
-		if a, ok := ro.Release(name); ok && a.Opened == e.Opened {
-			x.Ended[name] = e
+	for name, e := range n.Adopted { // of those that the record still knows
+		if a, ok := ro.Release(name); ok && a.Opened == e.OpenedAt {
+			x.Adopted[name] = e
 		}
 	}
-	e := edit{x, at, by, n.Version + 1}
+	e := intentEdit{x, at, by, n.Version + 1}
 	why := ""
 	switch {
 	case c.Release != "":
-		why = e.release(&c, ro)
-	case c.Even:
-		if c.Base != n.Version {
-			return refuse("it was reckoned from version %d, this is %d", c.Base, n.Version)
+		why = e.followRelease(&c, ro)
+	case c.Uniform:
+		if c.BaseVersion != n.Version {
+			return refuse("it was reckoned from version %d, this is %d", c.BaseVersion, n.Version)
 		}
-		e.all(c.Items, true)
-	case c.Who != "":
-		e.by = c.Who[:min(len(c.Who), rollout.NameMost)]
-		if c.Whole {
-			e.drop(c.Items)
+		e.setAll(c.Items, true)
+	case c.Operator != "":
+		e.by = c.Operator[:min(len(c.Operator), rollout.NameMost)]
+		if c.ReplaceAll {
+			e.dropSectionsExcept(c.Items)
 		}
-		e.all(c.Items, true)
+		e.setAll(c.Items, true)
 	default:
-		e.all(c.Items, false)
+		e.setAll(c.Items, false)
 	}
 	switch {
 	case why != "":
 		return refuse("%s", why)
-	case len(x.Items) > meantMost || len(x.Of) > drift.RelaysMost:
-		return refuse("over %d items, or %d relays", meantMost, drift.RelaysMost)
+	case len(x.Items) > maxIntentItems || len(x.PerRelay) > drift.RelaysMost:
+		return refuse("over %d items, or %d relays", maxIntentItems, drift.RelaysMost)
 	}
 	return x, rollout.Answer{State: "meant", Number: x.Version}
 }
 
-// edit is one command's change.
-type edit struct {
+// intentEdit is one command's change.
+type intentEdit struct {
 	*intent
 	at   int64
 	by   string
 	next uint64
 }
 
-// all means values of all relays. Without over, what is meant already stays.
-func (e *edit) all(items map[string]string, over bool) {
+// setAll means values of all relays. Without over, what is meant already stays.
+func (e *intentEdit) setAll(items map[string]string, over bool) {
 	for name, value := range items {
 		list := e.Items[name]
 		if len(list) > 0 && !over {
 			continue
 		}
-		for relay, of := range e.Of {
+		for relay, of := range e.PerRelay {
 			if _, ok := of[name]; ok {
 				e.Version = e.next
 			}
 			if delete(of, name); len(of) == 0 {
-				delete(e.Of, relay)
+				delete(e.PerRelay, relay)
 			}
 		}
 		if len(list) > 0 && list[0].Value == value {
@@ -155,12 +155,12 @@
 		}
 		e.Version = e.next
 		list = append([]intendedValue{{value, e.next, e.at, e.by}}, list...)
-		e.Items[name] = list[:min(len(list), 1+formerMost)]
+		e.Items[name] = list[:min(len(list), 1+maxFormerValues)]
 	}
 }
 
-// drop means no more the sections that are not named.
-func (e *edit) drop(but map[string]string) {
+// dropSectionsExcept means no more the sections that are not named.
+func (e *intentEdit) dropSectionsExcept(but map[string]string) {
 	gone := func(name string) bool { return but[name] == "" && name != drift.Program }
 	for name := range e.Items {
 		if gone(name) {
@@ -168,31 +168,31 @@
 			e.Version = e.next
 		}
 	}
-	for relay, of := range e.Of {
+	for relay, of := range e.PerRelay {
 		maps.DeleteFunc(of, func(name string, _ intendedValue) bool { return gone(name) })
 		if len(of) == 0 {
-			delete(e.Of, relay)
+			delete(e.PerRelay, relay)
 		}
 	}
 }
 
-// one means a value of one relay, if it is not meant of it already.
-func (e *edit) one(relay, name, value string) {
-	if m, ok := e.meant(relay, name); ok && m.Value == value {
+// setOne means a value of one relay, if it is not meant of it already.
+func (e *intentEdit) setOne(relay, name, value string) {
+	if m, ok := e.valueFor(relay, name); ok && m.Value == value {
 		return
 	}
 	e.Version = e.next
-	if e.Of[relay] == nil {
-		e.Of[relay] = map[string]intendedValue{}
+	if e.PerRelay[relay] == nil {
+		e.PerRelay[relay] = map[string]intendedValue{}
 	}
-	e.Of[relay][name] = intendedValue{value, e.next, e.at, e.by}
+	e.PerRelay[relay][name] = intendedValue{value, e.next, e.at, e.by}
 }
 
-// release follows a release of relays that is over: the new program is what it named, the sections are what the pilot heard of those that run its
+// followRelease follows a release of relays that is over: the new program is what it named, the sections are what the pilot heard of those that run its
 // configuration. One that is back means again what was meant before.
-func (e *edit) release(c *meaning, ro *rollout.State) string {
+func (e *intentEdit) followRelease(c *intentCommand, ro *rollout.State) string {
 	a, ok := ro.Release(c.Release)
-	was, taken := e.Ended[c.Release]
+	was, taken := e.Adopted[c.Release]
 	items := map[string]string{}
 	if a.Wish.Program != "" {
 		items[drift.Program] = a.Wish.Program
@@ -214,32 +214,32 @@
 				before[name] = list[0].Value
 			}
 		}
-		e.Ended[c.Release] = ended{a.Opened, before}
+		e.Adopted[c.Release] = adoptedRelease{a.Opened, before}
 		if a.Wish.All {
 			if slices.ContainsFunc(slices.Collect(maps.Keys(items)), func(n string) bool { return n != drift.Program }) {
-				e.drop(items)
+				e.dropSectionsExcept(items)
 			}
-			e.all(items, true)
+			e.setAll(items, true)
 			return ""
 		}
 		for _, u := range a.Units {
 			for name, value := range items {
 				if u.Got {
-					e.one(u.Name, name, value)
+					e.setOne(u.Name, name, value)
 				}
 			}
 		}
 	case a.State == rollout.Undone && taken:
-		delete(e.Ended, c.Release)
+		delete(e.Adopted, c.Release)
 		if a.Wish.All {
 			if a.Wish.Config != "" {
-				e.drop(was.Before)
+				e.dropSectionsExcept(was.Previous)
 			}
-			e.all(was.Before, true)
+			e.setAll(was.Previous, true)
 			return ""
 		}
 		for _, u := range a.Units {
-			if of := e.Of[u.Name]; of != nil && !u.Got {
+			if of := e.PerRelay[u.Name]; of != nil && !u.Got {
 				for name := range of {
 					if name == drift.Program && a.Wish.Program != "" || name != drift.Program && a.Wish.Config != "" {
 						delete(of, name)
@@ -247,11 +247,11 @@
 					}
 				}
 				if len(of) == 0 {
-					delete(e.Of, u.Name)
+					delete(e.PerRelay, u.Name)
 				}
 			}
 			if a.Wish.Program != "" && u.Program != "" && !u.Got {
-				e.one(u.Name, drift.Program, u.Program)
+				e.setOne(u.Name, drift.Program, u.Program)
 			}
 		}
 	default:
@@ -260,10 +260,10 @@
 	return ""
 }
 
-// follows says whether what a release changed is meant as it stands: one that is over is still to be told of if not.
-func (n *intent) follows(a *rollout.Account) (taken, settled bool) {
-	e, ok := n.Ended[a.Name]
-	taken = ok && e.Opened == a.Opened
+// releaseAdoption says whether what a release changed is meant as it stands: one that is over is still to be told of if not.
+func (n *intent) releaseAdoption(a *rollout.Account) (taken, settled bool) {
+	e, ok := n.Adopted[a.Name]
+	taken = ok && e.OpenedAt == a.Opened
 	switch a.State {
 	case rollout.Ended:
 		return taken, taken
@@ -273,9 +273,9 @@
 	return taken, false
 }
 
-// meant is what is meant of an item at a relay.
-func (n *intent) meant(relay, name string) (intendedValue, bool) {
-	if m, ok := n.Of[relay][name]; ok {
+// valueFor is what is meant of an item at a relay.
+func (n *intent) valueFor(relay, name string) (intendedValue, bool) {
+	if m, ok := n.PerRelay[relay][name]; ok {
 		return m, true
 	}
 	if list := n.Items[name]; len(list) > 0 {
@@ -284,10 +284,10 @@
 	return intendedValue{}, false
 }
 
-// names are all items that are meant of a relay, in order.
-func (n *intent) names(relay string) []string {
+// itemNames are all items that are meant of a relay, in order.
+func (n *intent) itemNames(relay string) []string {
 	all := slices.Collect(maps.Keys(n.Items))
-	for name := range n.Of[relay] {
+	for name := range n.PerRelay[relay] {
 		if len(n.Items[name]) == 0 {
 			all = append(all, name)
 		}
@@ -296,11 +296,11 @@
 	return all
 }
 
-// item is a value of a relay's as the drift module takes it: one that was meant before has its version of then, one that never was has the version of
+// driftItem is a value of a relay's as the drift module takes it: one that was meant before has its version of then, one that never was has the version of
 // now, so that it is told apart from an old one. Relays and the leader come to the same.
-func (n *intent) item(relay, name, value string) drift.Item {
+func (n *intent) driftItem(relay, name, value string) drift.Item {
 	it := drift.Item{Name: name, Digest: digestOf([]string{value})}
-	m, ok := n.meant(relay, name)
+	m, ok := n.valueFor(relay, name)
 	it.Version = m.Version
 	if ok && m.Value == value {
 		return it
@@ -322,11 +322,11 @@
 	if err := json.Unmarshal(text, n); err != nil {
 		return nil, fmt.Errorf("intent: %w", err)
 	}
-	if len(n.Items) > meantMost || len(n.Of) > drift.RelaysMost || len(n.Ended) > rollout.ReleasesMost {
+	if len(n.Items) > maxIntentItems || len(n.PerRelay) > drift.RelaysMost || len(n.Adopted) > rollout.ReleasesMost {
 		return nil, fmt.Errorf("intent: a state beyond its bounds")
 	}
 	for _, list := range n.Items {
-		if len(list) == 0 || len(list) > 1+formerMost {
+		if len(list) == 0 || len(list) > 1+maxFormerValues {
 			return nil, fmt.Errorf("intent: a state beyond its bounds")
 		}
 	}
--- a/internal/fleet/keep.go
+++ b/internal/fleet/keep.go
@@ -16,47 +16,47 @@
 // would know of no ban, and would send to a canary's arm as to any other member. It holds to what it knew instead: members that were out stay out, and
 // an arm gets nothing (canary.Holder), until the record is heard.
 
-// keptName is the file, below fleet.dir.
-const keptName = "agreed.json"
+// agreedFile is the file, below fleet.dir.
+const agreedFile = "agreed.json"
 
-// keptMost bounds what is read of it.
-const keptMost = 4 << 20
+// maxAgreedBytes bounds what is read of it.
+const maxAgreedBytes = 4 << 20
 
-// kept is what is in it. Orders to this process are none of the next one's.
-type kept struct {
-	Version uint64                 `json:"version"`
-	Out     map[string]rollout.Out `json:"out,omitempty"`
-	Weighed uint64                 `json:"weighed"`
-	Weights []canary.Weight        `json:"weights,omitempty"`
+// agreedState is what is in it. Orders to this process are none of the next one's.
+type agreedState struct {
+	Version       uint64                 `json:"version"`
+	Out           map[string]rollout.Out `json:"out,omitempty"`
+	CanaryVersion uint64                 `json:"weighed"`
+	CanaryWeights []canary.Weight        `json:"weights,omitempty"`
 }
 
 // read takes it from a directory; there may be none. What cannot be read is not believed.
-func readKept(dir string) (k kept, err error) {
+func readAgreed(dir string) (k agreedState, err error) {
 	if dir == "" {
-		return kept{}, nil
+		return agreedState{}, nil
 	}
-	path := filepath.Join(dir, keptName)
+	path := filepath.Join(dir, agreedFile)
 	i, err := os.Stat(path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		return kept{}, nil
+		return agreedState{}, nil
 	case err != nil:
-		return kept{}, err
-	case i.Size() > keptMost:
-		return kept{}, errors.New("it is too large")
+		return agreedState{}, err
+	case i.Size() > maxAgreedBytes:
+		return agreedState{}, errors.New("it is too large")
 	}
 	text, err := os.ReadFile(path)
 	if err == nil {
 		err = json.Unmarshal(text, &k)
 	}
 	if err != nil {
-		return kept{}, err
+		return agreedState{}, err
 	}
 	return k, nil
 }
 
 // write puts it there, whole or not at all.
-func (k kept) write(dir string) error {
+func (k agreedState) write(dir string) error {
 	text, err := json.Marshal(k)
 	if err != nil {
 		return err
@@ -64,14 +64,14 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
-	f, err := os.CreateTemp(dir, keptName+".*")
+	f, err := os.CreateTemp(dir, agreedFile+".*")
 	if err != nil {
 		return err
 	}
 	_, err = f.Write(text)
 	err = errors.Join(err, f.Sync(), f.Close())
 	if err == nil {
-		err = os.Rename(f.Name(), filepath.Join(dir, keptName))
+		err = os.Rename(f.Name(), filepath.Join(dir, agreedFile))
 	}
 	if err != nil {
 		os.Remove(f.Name())
@@ -79,37 +79,37 @@
 	return err
 }
 
-// fill puts what was known before into orders that the record of now does not reach up to.
-func (k kept) fill(o *DesiredState) {
+// fillIn puts what was known before into orders that the record of now does not reach up to.
+func (k agreedState) fillIn(o *DesiredState) {
 	if o.RecordVersion < k.Version {
 		o.Out = k.Out
 	}
-	if o.CanaryVersion < k.Weighed {
-		o.CanaryWeights = k.Weights
+	if o.CanaryVersion < k.CanaryVersion {
+		o.CanaryWeights = k.CanaryWeights
 	}
 }
 
-// keeps writes what a majority has confirmed, when it has changed: a thread of its own, since a disk may be slow.
-func (s *Service) keeps() {
+// saveAgreed writes what a majority has confirmed, when it has changed: a thread of its own, since a disk may be slow.
+func (s *Service) saveAgreed() {
 	if s.Dir == "" {
 		return
 	}
-	last := s.known
-	s.every(sayEvery, func() {
+	last := s.lastAgreed
+	s.every(reportInterval, func() {
 		s.mu.Lock()
-		caught := s.caught
+		caught := s.caughtUp
 		s.mu.Unlock()
 		if !caught { // what this relay has of the record may be older than what it kept
 			return
 		}
-		var k kept
-		s.record.read(func(r *rollout.State, _ held) { k.Version, k.Out = r.Version(), r.Orders("").Out })
-		k.Weights, k.Weighed = s.record.weights()
+		var k agreedState
+		s.record.read(func(r *rollout.State, _ recordItems) { k.Version, k.Out = r.Version(), r.Orders("").Out })
+		k.CanaryWeights, k.CanaryVersion = s.record.canaryWeights()
 		if reflect.DeepEqual(k, last) {
 			return
 		}
 		if err := k.write(s.Dir); err != nil {
-			s.failed("keep", err)
+			s.noteFailure("keep", err)
 			return
 		}
 		last = k
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -36,7 +36,7 @@
 	wire    map[int64][]func()
 	lead    *mrelay
 	led     int64
-	helm    *helm
+	helm    *controller
 	own     ObservedState
 	view    rollout.View
 	budgets rollout.Budgets
@@ -55,9 +55,9 @@
 	upAt                  int64 // down until then
 	record                *Record
 	applied               int
-	ledger                *ledger
+	ledger                *statusReporter
 	look                  ObservedState
-	own                   map[string]string // sections changed by hand
+	own                   map[string]string // releaseSections changed by hand
 	frozen                map[string]bool   // items that its loop does not follow
 	refuses, leaving      bool              // new configurations; by order
 	slow                  int64             // to hear of lists
@@ -83,13 +83,13 @@
 func (m *model) begin(r *mrelay) {
 	r.start++
 	r.upAt, r.leaving, r.look = 0, false, ObservedState{Phase: "serving", ListGeneration: m.list}
-	r.ledger = newLedger(&Options{Name: r.name, Incarnation: r.start, Program: r.program, ConfigDigest: r.config})
+	r.ledger = newStatusReporter(&Options{Name: r.name, Incarnation: r.start, Program: r.program, ConfigDigest: r.config})
 	m.follow(r)
 }
 
 func (m *model) leads(r *mrelay) {
 	m.catchUp(r, len(m.log))
-	m.lead, m.led, m.helm = r, m.now, newHelm(r.record)
+	m.lead, m.led, m.helm = r, m.now, newController(r.record)
 }
 
 func (m *model) at(late int64, do func()) {
@@ -109,13 +109,13 @@
 // follow is the loop: it does what the record says, but what it is frozen in.
 func (m *model) follow(r *mrelay) {
 	keep := r.look
-	r.record.read(func(s *rollout.State, h held) {
+	r.record.read(func(s *rollout.State, h recordItems) {
 		o := s.Orders(r.name)
-		bans, drains := split(o.Out)
+		bans, drains := splitOut(o.Out)
 		r.look.AppliedOut = slices.DeleteFunc(append(bans, drains...), func(n string) bool {
 			return r.frozen[drift.Bans] && slices.Contains(bans, n) || r.frozen[drift.Drains] && slices.Contains(drains, n)
 		})
-		r.look.AppliedVersion, r.look.PermitsVersion, r.look.CanaryVersion, r.look.ShutOrder = s.Version(), permitsNumber(h), h.Weights.Version, 0
+		r.look.AppliedVersion, r.look.PermitsVersion, r.look.CanaryVersion, r.look.ShutOrder = s.Version(), permitsVersion(h), h.Weights.Version, 0
 		if r.frozen[drift.Permits] {
 			r.look.PermitsVersion = max(keep.PermitsVersion, 1)
 		}
@@ -182,20 +182,20 @@
 	if r.frozen[drift.Voters] {
 		voters.Version = 3
 	}
-	text, _ := json.Marshal(r.ledger.word(m.now, l, r.record, voters))
+	text, _ := json.Marshal(r.ledger.buildReport(m.now, l, r.record, voters))
 	h, start := m.helm, r.start
 	m.send(func() {
-		w, err := decodeWord(text)
+		w, err := decodeStatusReport(text)
 		if err != nil {
 			m.t.Fatal(err)
 		}
 		if h != m.helm {
 			return
 		}
-		answer := h.hear(m.now, r.name, w)
+		answer := h.receive(m.now, r.name, w)
 		m.check()
 		m.send(func() {
-			if a, err := drift.DecodeReply(answer); err == nil && r.start == start && r.upAt == 0 && len(r.ledger.book.Hear(a)) > 0 {
+			if a, err := drift.DecodeReply(answer); err == nil && r.start == start && r.upAt == 0 && len(r.ledger.driftBook.Hear(a)) > 0 {
 				m.follow(r)
 			}
 		})
@@ -214,25 +214,25 @@
 	for _, r := range m.relays {
 		m.own.Peers = append(m.own.Peers, Peer{Name: r.name, Alive: r.upAt == 0, Gone: r.upAt != 0, Serving: r.look.Phase == "serving", Incarnation: r.start})
 	}
-	m.view = m.helm.scene.view(m.now, m.led, m.budgets.Hold, m.lead.name, m.own, warmth{})
+	m.view = m.helm.fleet.buildView(m.now, m.led, m.budgets.Hold, m.lead.name, m.own, slowStart{})
 	m.helm.voters = drift.Item{Name: drift.Voters, Version: 7, Digest: 1}
-	m.helm.look(m.now, &m.view)
+	m.helm.evaluateDrift(m.now, &m.view)
 	if m.takeOut {
-		m.helm.unfit(&m.view)
+		m.helm.markUnfit(&m.view)
 	}
 	m.check()
 	if m.view.Drift != "" {
 		m.blocks++
 	}
-	meant := m.helm.meaning(m.now, &m.view)
-	if m.now-m.led < silentAfter.Milliseconds() {
+	meant := m.helm.planIntent(m.now, &m.view)
+	if m.now-m.led < silenceTimeout.Milliseconds() {
 		return
 	}
 	for _, c := range meant {
 		body, _ := json.Marshal(c)
 		m.agree(partIntent, body)
 	}
-	for _, c := range m.helm.gate(m.lead.record.rollout.Plan(m.now, m.view, m.budgets)) {
+	for _, c := range m.helm.withholdBlocked(m.lead.record.rollout.Plan(m.now, m.view, m.budgets)) {
 		if m.agree(partRollout, c.Encode()).Error != "" {
 			return
 		}
@@ -241,7 +241,7 @@
 
 // check holds what is claimed against what was planted.
 func (m *model) check() {
-	for _, r := range m.helm.watch.Rows() {
+	for _, r := range m.helm.driftWatch.Rows() {
 		key := r.Relay + " " + r.Intent.Name
 		if r.State < drift.Late || r.State == drift.NotHeard {
 			continue
@@ -382,13 +382,15 @@
 				found := m.play(180_000, func() bool { return m.found[key] })
 				m.sound("planted")
 				if !found {
-					t.Fatalf("seed %d: not found; %+v", seed, m.helm.watch.Rows())
+					t.Fatalf("seed %d: not found; %+v", seed, m.helm.driftWatch.Rows())
 				}
 				t.Logf("found %.1f s after the new leader", float64(m.now-from)/1000)
 				r.own, r.frozen, r.refuses, r.program = maps.Clone(m.relays[0].own), map[string]bool{}, false, m.relays[0].program
 				m.begin(r)
-				if !m.play(120_000, func() bool { return m.helm.watch.Clear(r.name) && m.helm.watch.State(r.name, k.item) == drift.InStep }) {
-					t.Fatalf("seed %d: mended, yet %+v", seed, m.helm.watch.Rows())
+				if !m.play(120_000, func() bool {
+					return m.helm.driftWatch.Clear(r.name) && m.helm.driftWatch.State(r.name, k.item) == drift.InStep
+				}) {
+					t.Fatalf("seed %d: mended, yet %+v", seed, m.helm.driftWatch.Rows())
 				}
 				delete(m.planted, key)
 				m.play(20_000, nil)
@@ -424,8 +426,8 @@
 			m.play(15_000, nil)
 			m.sound(name)
 			for relay, want := range map[string]string{"n0": first, "n5": last, "one that comes": next} {
-				program, _ := m.lead.record.intent.meant(relay, drift.Program)
-				limits, _ := m.lead.record.intent.meant(relay, "config.limits")
+				program, _ := m.lead.record.intent.valueFor(relay, drift.Program)
+				limits, _ := m.lead.record.intent.valueFor(relay, "config.limits")
 				if got := program.Value + " " + limits.Value; !ended || got != want || m.blocks > 0 {
 					t.Fatalf("seed %d: %s is %s, %d looks held up; %s: %s, not %s", seed, name, m.state(name), m.blocks, relay, got, want)
 				}
@@ -441,18 +443,18 @@
 		through("part", rollout.Undone, "p1 c1l", "p1 c1l", "p1 c1l")
 		m.release("again", rollout.Wish{Kind: rollout.KindRelay, Names: part, Program: "p3", Config: "c3"})
 		through("again", rollout.Ended, "p3 c3l", "p1 c1l", "p1 c1l")
-		if r := NewRecord(); r.Restore(1, m.lead.record.Snapshot()) != nil || string(r.Snapshot()) != string(m.lead.record.Snapshot()) || len(r.intent.Of) != 3 {
+		if r := NewRecord(); r.Restore(1, m.lead.record.Snapshot()) != nil || string(r.Snapshot()) != string(m.lead.record.Snapshot()) || len(r.intent.PerRelay) != 3 {
 			t.Fatalf("a snapshot loses some: %+v", r.intent)
 		}
 		m.release("rest", rollout.Wish{Kind: rollout.KindRelay, Names: rest, Program: "p3", Config: "c3"})
 		through("rest", rollout.Ended, "p3 c3l", "p3 c3l", "p3 c3l")
-		if len(m.lead.record.intent.Of) > 0 {
+		if len(m.lead.record.intent.PerRelay) > 0 {
 			t.Fatalf("%+v", m.lead.record.intent)
 		}
 		m.relays[5].refuses, m.planted["n5 config.settings"] = true, drift.Refused
 		m.release("bad", rollout.Wish{Kind: rollout.KindRelay, Names: rest, Config: "c4"})
 		if m.play(60_000, func() bool { return len(m.found) > 0 }); len(m.found) == 0 {
-			t.Fatalf("seed %d: %+v", seed, m.helm.watch.Rows())
+			t.Fatalf("seed %d: %+v", seed, m.helm.driftWatch.Rows())
 		}
 		m.sound("refused")
 	}
@@ -474,7 +476,7 @@
 	m.release("drain", rollout.Wish{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}})
 	m.play(5000, nil)
 	m.release("mend", rollout.Wish{Kind: rollout.KindRelay, All: true})
-	// Who is told to leave does not count any more.
+	// Operator is told to leave does not count any more.
 	out := func() bool { return len(m.lead.record.rollout.Orders("").Out) > 0 }
 	early := false
 	ended := m.play(300_000, func() bool {
@@ -483,7 +485,7 @@
 		return m.state("mend") == rollout.Ended
 	})
 	if !ended || early || !m.play(60_000, out) {
-		t.Fatalf("%s, drained early %v, %+v", m.state("mend"), early, m.helm.watch.Rows())
+		t.Fatalf("%s, drained early %v, %+v", m.state("mend"), early, m.helm.driftWatch.Rows())
 	}
 	m.sound("mended")
 }
@@ -510,13 +512,13 @@
 		m.play(9000, nil)
 		churn(40)
 		if m.sound("anew"); len(m.found) != 2 {
-			t.Fatalf("%+v, %+v", m.found, m.helm.watch.Rows())
+			t.Fatalf("%+v, %+v", m.found, m.helm.driftWatch.Rows())
 		}
 		clear(m.found)
 		m.leads(m.relays[2])
 		churn(60)
 		if m.sound("anew, another leader"); len(m.found) != 2 {
-			t.Fatalf("%+v, %+v", m.found, m.helm.watch.Rows())
+			t.Fatalf("%+v, %+v", m.found, m.helm.driftWatch.Rows())
 		}
 		stuck(false)
 		m.relays[4].look.ListGeneration, m.relays[5].look.ListGeneration = m.list, m.list
@@ -527,10 +529,10 @@
 		m.relays[4].frozen[drift.List], m.relays[4].look.ListGeneration = true, 1<<60
 		m.relays[3].slow = 3000
 		churn(400)
-		if m.sound("a high claim"); !m.found["n4 list"] || m.helm.watch.Bound(drift.Permits) < 15_000 { // no list tells how long a permit takes
-			t.Fatalf("%+v, %d", m.helm.watch.Rows(), m.helm.watch.Bound(drift.Permits))
+		if m.sound("a high claim"); !m.found["n4 list"] || m.helm.driftWatch.Bound(drift.Permits) < 15_000 { // no list tells how long a permit takes
+			t.Fatalf("%+v, %d", m.helm.driftWatch.Rows(), m.helm.driftWatch.Bound(drift.Permits))
 		}
-		if m.helm.unfit(&m.view); len(m.view.Unfit) > 0 {
+		if m.helm.markUnfit(&m.view); len(m.view.Unfit) > 0 {
 			t.Fatalf("%v would be shut", m.view.Unfit)
 		}
 	}
@@ -551,9 +553,9 @@
 	delete(m.relays[2].own, "limits")
 	m.planted["n0 config.limits"], m.planted["n1 config.limits"] = drift.Ahead, drift.Ahead
 	if !m.play(120_000, func() bool { return len(m.found) == 2 }) {
-		t.Fatalf("%+v", m.helm.watch.Rows())
+		t.Fatalf("%+v", m.helm.driftWatch.Rows())
 	}
-	c, err := m.helm.as("n1", "config.limits", "ann")
+	c, err := m.helm.intentFromRelay("n1", "config.limits", "ann")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -562,8 +564,8 @@
 	for _, r := range m.relays {
 		r.own["limits"] = "x"
 	}
-	if !m.play(60_000, func() bool { return m.helm.watch.Clear("n0") && m.helm.watch.Clear("n5") }) {
-		t.Fatalf("%+v", m.helm.watch.Rows())
+	if !m.play(60_000, func() bool { return m.helm.driftWatch.Clear("n0") && m.helm.driftWatch.Clear("n5") }) {
+		t.Fatalf("%+v", m.helm.driftWatch.Rows())
 	}
 	m.sound("by an operator")
 	if a := m.agree(partIntent, []byte(`{"do":"adopt","items":{"config.limits":"y"}}`)); a.Error != "" || m.lead.record.intent.Items["config.limits"][0].Value != "x" {
@@ -598,7 +600,7 @@
 		}
 		until := func(what string, ms int64, done func() bool) {
 			if !m.play(ms, done) {
-				t.Fatalf("seed %d: not %s: out %d, %+v, %+v, %s", seed, what, out(), m.lead.record.rollout.Shuts(), m.helm.watch.Rows(), m.view.Drift)
+				t.Fatalf("seed %d: not %s: out %d, %+v, %+v, %s", seed, what, out(), m.lead.record.rollout.Shuts(), m.helm.driftWatch.Rows(), m.view.Drift)
 			}
 		}
 		for _, r := range m.relays[4:] {
@@ -640,9 +642,9 @@
 		}
 	}
 	m.play(20_000, nil)
-	text, _ := json.Marshal(m.helm.scene.words["n7"].word)
+	text, _ := json.Marshal(m.helm.fleet.relays["n7"].statusReport)
 	b.ReportMetric(float64(len(text)), "bytes/word")
 	for b.Loop() {
-		m.helm.look(m.now, &m.view)
+		m.helm.evaluateDrift(m.now, &m.view)
 	}
 }
--- a/internal/fleet/open.go
+++ b/internal/fleet/open.go
@@ -7,38 +7,38 @@
 	"dahliarudder/internal/rollout"
 )
 
-// partBoth is for a release that carries a canary: both are opened, or neither. Between two commands its first members would be out
+// partReleaseWithCanary is for a release that carries a canary: both are opened, or neither. Between two commands its first members would be out
 // before anything holds the others back.
-const partBoth = "both"
+const partReleaseWithCanary = "both"
 
-type opening struct {
+type releaseWithCanary struct {
 	Release json.RawMessage `json:"release"` // of the rollout: open
 	Canary  canary.Spec     `json:"canary"`  // without a release's name; without an arm: all that start from now on
 }
 
-// openBoth is the record's.
-func (r *Record) openBoth(at int64, by string, body []byte) []byte {
-	var o opening
+// openWithCanary is the record's.
+func (r *Record) openWithCanary(at int64, by string, body []byte) []byte {
+	var o releaseWithCanary
 	var c rollout.Command
 	if json.Unmarshal(body, &o) != nil || json.Unmarshal(o.Release, &c) != nil || c.Kind != rollout.Open || c.Release == nil {
-		return refusal("malformed: a release and its canary are wanted")
+		return rejection("malformed: a release and its canary are wanted")
 	}
 	if c.Release.Kind != rollout.KindMember || c.Release.Drain {
-		return refusal("a canary is of members that are replaced")
+		return rejection("a canary is of members that are replaced")
 	}
 	if o.Canary.Release = c.Name; len(o.Canary.Arm.Members) == 0 && o.Canary.Arm.Since == 0 {
 		o.Canary.Arm.Since = at
 	}
 	trial := canary.Command{Do: "open", Release: c.Name, Spec: &o.Canary}.Body()
-	if why := r.second(trial); why != "" {
-		return refusal(why)
+	if why := r.canaryConflict(trial); why != "" {
+		return rejection(why)
 	}
 	before := r.rollout.Encode()
 	answer := r.rollout.Apply(at, by, o.Release)
-	if refused(answer) {
+	if isRejection(answer) {
 		return answer
 	}
-	if a := r.canary.Apply(at, by, trial); refused(a) {
+	if a := r.canary.Apply(at, by, trial); isRejection(a) {
 		was, err := rollout.Decode(before)
 		if err != nil {
 			panic(err) // it was encoded just now
@@ -49,7 +49,7 @@
 	return answer
 }
 
-func refused(answer []byte) bool {
+func isRejection(answer []byte) bool {
 	var a struct{ Error string }
 	return json.Unmarshal(answer, &a) != nil || a.Error != ""
 }
--- a/internal/fleet/open_test.go
+++ b/internal/fleet/open_test.go
@@ -15,26 +15,26 @@
 	wish := rollout.Wish{Kind: rollout.KindMember, All: true}
 	for _, c := range []struct {
 		what string
-		edit func(*opening, *rollout.Wish)
+		edit func(*releaseWithCanary, *rollout.Wish)
 		want string // of the refusal; "" if it is agreed
 	}{
-		{"sound", func(*opening, *rollout.Wish) {}, ""},
-		{"a ladder that falls", func(o *opening, _ *rollout.Wish) { o.Canary.Ladder = []int{50, 10} }, "rise"},
-		{"of relays", func(_ *opening, w *rollout.Wish) { w.Kind = rollout.KindRelay }, "members"},
-		{"of nothing", func(_ *opening, w *rollout.Wish) { w.All = false }, ""},
+		{"sound", func(*releaseWithCanary, *rollout.Wish) {}, ""},
+		{"a ladder that falls", func(o *releaseWithCanary, _ *rollout.Wish) { o.Canary.Ladder = []int{50, 10} }, "rise"},
+		{"of relays", func(_ *releaseWithCanary, w *rollout.Wish) { w.Kind = rollout.KindRelay }, "members"},
+		{"of nothing", func(_ *releaseWithCanary, w *rollout.Wish) { w.All = false }, ""},
 	} {
 		r := NewRecord()
 		w := wish
-		o := opening{Canary: spec}
+		o := releaseWithCanary{Canary: spec}
 		c.edit(&o, &w)
 		o.Release = rollout.Command{Kind: rollout.Open, Name: "b", Who: "anna", Release: &w}.Encode()
 		body, _ := json.Marshal(o)
-		text, _ := json.Marshal(command{Part: partBoth, At: 5000, By: "n1", Body: body})
+		text, _ := json.Marshal(command{Part: partReleaseWithCanary, At: 5000, By: "n1", Body: body})
 		answer := r.Apply(1, text)
 		_, release := r.rollout.Release("b")
 		k, trial := r.canary.Canary("b")
 		sound := c.what == "sound"
-		if refused(answer) == sound || release != sound || trial != sound || !strings.Contains(string(answer), c.want) {
+		if isRejection(answer) == sound || release != sound || trial != sound || !strings.Contains(string(answer), c.want) {
 			t.Errorf("%s: %s; release %v, canary %v", c.what, answer, release, trial)
 		}
 		if sound && k.Arm.Since != 5000 {
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -18,16 +18,16 @@
 // changes it. Readers may come from any goroutine.
 type Record struct {
 	mu      sync.RWMutex
-	held    held
+	items   recordItems
 	rollout *rollout.State
 	canary  *canary.State
 	intent  *intent
 	changes uint64        // counts what may have changed anything: readers keep what they derived
-	news    chan struct{} // one waits at most: something has changed
+	changed chan struct{} // one waits at most: something has changed
 }
 
-// held is what the record adds to its parts.
-type held struct {
+// recordItems is what the record adds to its parts.
+type recordItems struct {
 	At     int64      `json:"at"` // of the last command: it never runs back
 	Bans   drift.Item `json:"bans"`
 	Drains drift.Item `json:"drains"`
@@ -37,7 +37,7 @@
 }
 
 type snapshotForm struct {
-	Held    held            `json:"held"`
+	Held    recordItems     `json:"held"`
 	Rollout json.RawMessage `json:"rollout"`
 	Canary  json.RawMessage `json:"canary"`
 	Intent  json.RawMessage `json:"intent,omitempty"`
@@ -59,8 +59,8 @@
 
 // NewRecord is one in which nothing was agreed.
 func NewRecord() *Record {
-	return &Record{rollout: rollout.New(), canary: canary.New(), intent: &intent{}, news: make(chan struct{}, 1),
-		held: held{Bans: drift.Item{Name: drift.Bans}, Drains: drift.Item{Name: drift.Drains}, Permits: drift.Item{Name: drift.Permits},
+	return &Record{rollout: rollout.New(), canary: canary.New(), intent: &intent{}, changed: make(chan struct{}, 1),
+		items: recordItems{Bans: drift.Item{Name: drift.Bans}, Drains: drift.Item{Name: drift.Drains}, Permits: drift.Item{Name: drift.Permits},
 			Weights: drift.Item{Name: drift.Weights}}}
 }
 
@@ -70,42 +70,42 @@
 	defer r.mu.Unlock()
 	var c command
 	if err := json.Unmarshal(text, &c); err != nil {
-		return refusal("malformed: " + err.Error())
+		return rejection("malformed: " + err.Error())
 	}
-	r.held.At = max(r.held.At, c.At)
+	r.items.At = max(r.items.At, c.At)
 	var answer []byte
 	switch c.Part {
 	case partRollout:
-		answer = r.rollout.Apply(r.held.At, c.By, c.Body)
+		answer = r.rollout.Apply(r.items.At, c.By, c.Body)
 	case partCanary:
-		if why := r.second(c.Body); why != "" {
-			return refusal(why)
+		if why := r.canaryConflict(c.Body); why != "" {
+			return rejection(why)
 		}
-		answer = r.canary.Apply(r.held.At, c.By, c.Body)
-	case partBoth:
-		answer = r.openBoth(r.held.At, c.By, c.Body)
+		answer = r.canary.Apply(r.items.At, c.By, c.Body)
+	case partReleaseWithCanary:
+		answer = r.openWithCanary(r.items.At, c.By, c.Body)
 	case partIntent:
 		var a rollout.Answer
-		r.intent, a = r.intent.apply(r.held.At, c.By, c.Body, r.rollout)
+		r.intent, a = r.intent.apply(r.items.At, c.By, c.Body, r.rollout)
 		answer, _ = json.Marshal(a)
 	default:
-		return refusal("no such part: " + c.Part) // of a newer program: all of this version refuse it alike
+		return rejection("no such part: " + c.Part) // of a newer program: all of this version refuse it alike
 	}
-	r.items()
+	r.updateItems()
 	r.changes++
-	r.tell()
+	r.notifyChanged()
 	return answer
 }
 
-// weights are those of the canaries, with the version of their state.
-func (r *Record) weights() (list []canary.Weight, version uint64) {
+// canaryWeights are those of the canaries, with the version of their state.
+func (r *Record) canaryWeights() (list []canary.Weight, version uint64) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.canary.Weights(), r.canary.Version()
 }
 
-// second says why a canary cannot be opened beside another: the module keeps one arm apart.
-func (r *Record) second(body []byte) string {
+// canaryConflict says why a canary cannot be opened beside another: the module keeps one arm apart.
+func (r *Record) canaryConflict(body []byte) string {
 	var c canary.Command
 	if json.Unmarshal(body, &c) != nil || c.Do != "open" {
 		return ""
@@ -116,22 +116,22 @@
 	return ""
 }
 
-func refusal(why string) []byte {
+func rejection(why string) []byte {
 	text, _ := json.Marshal(map[string]string{"error": why})
 	return text
 }
 
-// tell wakes who follows.
-func (r *Record) tell() {
+// notifyChanged wakes who follows.
+func (r *Record) notifyChanged() {
 	select {
-	case r.news <- struct{}{}:
+	case r.changed <- struct{}{}:
 	default:
 	}
 }
 
-// items keeps the versions of what relays are to apply: the state's version at which each last changed.
-func (r *Record) items() {
-	bans, drains := split(r.rollout.Orders("").Out)
+// updateItems keeps the versions of what relays are to apply: the state's version at which each last changed.
+func (r *Record) updateItems() {
+	bans, drains := splitOut(r.rollout.Orders("").Out)
 	var permits []string
 	for _, p := range r.rollout.Permits() {
 		if p.State == rollout.Granted || p.State == rollout.Begun {
@@ -142,19 +142,19 @@
 		item  *drift.Item
 		name  string
 		names []string
-	}{{&r.held.Bans, drift.Bans, bans}, {&r.held.Drains, drift.Drains, drains}, {&r.held.Permits, drift.Permits, permits}} {
+	}{{&r.items.Bans, drift.Bans, bans}, {&r.items.Drains, drift.Drains, drains}, {&r.items.Permits, drift.Permits, permits}} {
 		if d := digestOf(i.names); d != i.item.Digest {
 			*i.item = drift.Item{Name: i.name, Version: r.rollout.Version(), Digest: d}
 		}
 	}
-	if v := r.canary.Version(); v != r.held.Weights.Version {
+	if v := r.canary.Version(); v != r.items.Weights.Version {
 		text, _ := json.Marshal(r.canary.Canaries())
-		r.held.Weights = drift.Item{Name: drift.Weights, Version: v, Digest: digestOf([]string{string(text)})}
+		r.items.Weights = drift.Item{Name: drift.Weights, Version: v, Digest: digestOf([]string{string(text)})}
 	}
 }
 
-// split parts the members that are out into those that are banned and those that drain, each in order.
-func split(out map[string]rollout.Out) (bans, drains []string) {
+// splitOut parts the members that are out into those that are banned and those that drain, each in order.
+func splitOut(out map[string]rollout.Out) (bans, drains []string) {
 	for name, o := range out {
 		if o.Why == rollout.Ban {
 			bans = append(bans, name)
@@ -186,7 +186,7 @@
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	kept, _ := json.Marshal(r.intent)
-	text, _ := json.Marshal(snapshotForm{r.held, r.rollout.Encode(), r.canary.Encode(), kept})
+	text, _ := json.Marshal(snapshotForm{r.items, r.rollout.Encode(), r.canary.Encode(), kept})
 	return text
 }
 
@@ -210,17 +210,17 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.held, r.rollout, r.canary, r.intent = s.Held, ro, ca, in
-	r.held.Permits.Name, r.held.Weights.Name = drift.Permits, drift.Weights // a snapshot of before there were these
-	r.items()
+	r.items, r.rollout, r.canary, r.intent = s.Held, ro, ca, in
+	r.items.Permits.Name, r.items.Weights.Name = drift.Permits, drift.Weights // a snapshot of before there were these
+	r.updateItems()
 	r.changes++
-	r.tell()
+	r.notifyChanged()
 	return nil
 }
 
 // read lets f look at the parts; it keeps nothing of them.
-func (r *Record) read(f func(*rollout.State, held)) {
+func (r *Record) read(f func(*rollout.State, recordItems)) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	f(r.rollout, r.held)
+	f(r.rollout, r.items)
 }
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -6,11 +6,11 @@
 	"dahliarudder/internal/rollout"
 )
 
-// report logs at the leader what has become of releases since it last did, so that a night's log says when and why one halted.
+// logReleases logs at the leader what has become of releases since it last did, so that a night's log says when and why one halted.
 // Called by the pilot alone.
-func (s *Service) report(was map[string]string) map[string]string {
+func (s *Service) logReleases(was map[string]string) map[string]string {
 	var all []rollout.Account
-	s.record.read(func(r *rollout.State, _ held) { all = r.Releases() })
+	s.record.read(func(r *rollout.State, _ recordItems) { all = r.Releases() })
 	now := map[string]string{}
 	for _, a := range all {
 		line := logrus.Fields{"release": a.Name, "state": a.State, "waiting": a.Counts.Waiting, "out": a.Counts.Out, "done": a.Counts.Done}
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -58,54 +58,54 @@
 	Options
 	record *Record
 	node   *consensus.Node
-	door   *http.Server
-	quit   chan struct{}
-	done   sync.WaitGroup
-
-	known   kept // what was agreed before this process began, as far as it knew
-	posting sync.Mutex
-
-	mu      sync.Mutex
-	look    ObservedState // the last
-	helm    *helm
-	ledger  *ledger
-	judge   *canary.Judge // of the canary that is going; nil if there is none
-	judged  canary.Canary // as it was when the judge last began
-	verdict canary.Verdict
-	caught  bool         // this relay has followed the record as a majority has it, once
-	trial   bool         // there is a canary
-	view    rollout.View // of the pilot's last look
-	ledAt   int64        // when this relay began to lead; 0 while it does not
-	term    uint64
-	bad     int // words that could not be read
-	missed  int // looks that the loop did not answer in time
-	said    int // bytes of words
-	fails   map[string]int
+	api    *http.Server
+	stop   chan struct{}
+	wg     sync.WaitGroup
+
+	lastAgreed agreedState // what was agreed before this process began, as far as it knew
+	postMu     sync.Mutex
+
+	mu                 sync.Mutex
+	lastObserved       ObservedState // the last
+	controller         *controller
+	reporter           *statusReporter
+	judge              *canary.Judge // of the canary that is going; nil if there is none
+	judgedCanary       canary.Canary // as it was when the judge last began
+	verdict            canary.Verdict
+	caughtUp           bool         // this relay has followed the record as a majority has it, once
+	canaryActive       bool         // there is a canary
+	lastView           rollout.View // of the pilot's last look
+	leaderSince        int64        // when this relay began to lead; 0 while it does not
+	term               uint64
+	malformedReports   int // maxRelays that could not be read
+	missedObservations int // looks that the loop did not answer in time
+	reportBytes        int // bytes of words
+	failures           map[string]int
 }
 
 // Incarnation begins. What the engine cannot do with its directory is no error: it says so in its status.
 func Start(o Options) (*Service, error) {
-	s := &Service{Options: o, record: NewRecord(), quit: make(chan struct{}), ledger: newLedger(&o), fails: map[string]int{}}
-	s.helm = newHelm(s.record)
+	s := &Service{Options: o, record: NewRecord(), stop: make(chan struct{}), reporter: newStatusReporter(&o), failures: map[string]int{}}
+	s.controller = newController(s.record)
 	if o.Dir == "" {
 		o.Log.Warn("fleet: what is agreed is kept in memory alone; if all voters end at once, releases, drains and bans are forgotten")
 	}
 	var err error
-	if s.known, err = readKept(o.Dir); err != nil {
+	if s.lastAgreed, err = readAgreed(o.Dir); err != nil {
 		o.Log.WithError(err).Warn("fleet: what was agreed before this start cannot be read: bans hold again when the record is heard")
 	}
 	s.node, err = consensus.Start(consensus.Options{Name: o.Name, Voters: o.Voters, Reach: o.DialAddresses, Listen: o.Listen, Dir: o.Dir, Keys: o.Keys,
-		Machine: s.record, Heard: s.heard, Told: s.told, Led: s.led, Log: o.Log})
+		Machine: s.record, Heard: s.handleReport, Told: s.handleReply, Led: s.leadershipChanged, Log: o.Log})
 	if err != nil {
 		return nil, err
 	}
-	if err := s.open(); err != nil {
+	if err := s.serveAPI(); err != nil {
 		s.node.Close()
 		return nil, err
 	}
-	for _, f := range []func(){s.words, s.orders, s.keeps, s.pilot} {
-		s.done.Add(1)
-		go func() { defer s.done.Done(); f() }()
+	for _, f := range []func(){s.reportLoop, s.applyLoop, s.saveAgreed, s.controlLoop} {
+		s.wg.Add(1)
+		go func() { defer s.wg.Done(); f() }()
 	}
 	return s, nil
 }
@@ -115,9 +115,9 @@
 	if s == nil {
 		return
 	}
-	close(s.quit)
-	s.door.Close()
-	s.done.Wait()
+	close(s.stop)
+	s.api.Close()
+	s.wg.Wait()
 	if err := s.node.Close(); err != nil {
 		s.Log.WithError(err).Error("fleet: the record was not closed")
 	}
@@ -131,7 +131,7 @@
 	defer t.Stop()
 	for {
 		select {
-		case <-s.quit:
+		case <-s.stop:
 			return
 		case <-t.C:
 			f()
@@ -141,46 +141,46 @@
 
 // ---- What this relay says ----
 
-// words tells the leader about this relay. A loop that does not answer is not waited for: the leader hears of its silence.
-func (s *Service) words() {
+// maxRelays tells the leader about this relay. A loop that does not answer is not waited for: the leader hears of its silence.
+func (s *Service) reportLoop() {
 	looks := make(chan ObservedState, 1)
 	asked := false
-	s.every(sayEvery, func() {
+	s.every(reportInterval, func() {
 		if !asked {
 			asked = true
-			s.Post(func() { looks <- s.Observe() }) // one is under way at most, so this never waits
+			s.Post(func() { looks <- s.Observe() }) // setOne is under way at most, so this never waits
 		}
 		select {
 		case l := <-looks:
 			asked = false
-			s.say(l)
-		case <-time.After(sayEvery / 2):
+			s.sendReport(l)
+		case <-time.After(reportInterval / 2):
 			s.mu.Lock()
-			s.missed++
+			s.missedObservations++
 			s.mu.Unlock()
-		case <-s.quit:
+		case <-s.stop:
 		}
 	})
 }
 
-func (s *Service) say(l ObservedState) {
+func (s *Service) sendReport(l ObservedState) {
 	now := s.now()
 	s.mu.Lock()
-	s.look = l
-	w := s.ledger.word(now, l, s.record, votersOf(s.node.Status()))
+	s.lastObserved = l
+	w := s.reporter.buildReport(now, l, s.record, votersDriftItem(s.node.Status()))
 	text, err := json.Marshal(w)
-	s.said += len(text)
+	s.reportBytes += len(text)
 	s.mu.Unlock()
 	if err == nil {
 		err = s.node.Say(text)
 	}
 	if err != nil {
-		s.failed("say", err)
+		s.noteFailure("say", err)
 	}
 }
 
-// votersOf is who votes, as this relay's engine has it; nothing before it knows of a record.
-func votersOf(st consensus.Status) drift.Item {
+// votersDriftItem is who votes, as this relay's engine has it; nothing before it knows of a record.
+func votersDriftItem(st consensus.Status) drift.Item {
 	it := drift.Item{Name: drift.Voters}
 	if st.Record == 0 {
 		return it
@@ -193,19 +193,19 @@
 	return it
 }
 
-func (s *Service) failed(what string, err error) {
+func (s *Service) noteFailure(what string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.fails[what]++; s.fails[what] == 1 {
+	if s.failures[what]++; s.failures[what] == 1 {
 		s.Log.WithError(err).WithField("what", what).Debug("fleet: failed, and is tried again")
 	}
 }
 
 // ---- What this relay is told ----
 
-// orders has the loop follow the record, once for all that changed meanwhile, and again as long as it does not.
-func (s *Service) orders() {
-	again := time.NewTicker(planEvery)
+// applyLoop has the loop follow the record, once for all that changed meanwhile, and again as long as it does not.
+func (s *Service) applyLoop() {
+	again := time.NewTicker(planInterval)
 	defer again.Stop()
 	followed := make(chan struct{}, 1)
 	followed <- struct{}{}
@@ -215,14 +215,14 @@
 	for {
 		anew := false
 		select {
-		case <-s.quit:
+		case <-s.stop:
 			return
-		case <-s.record.news:
+		case <-s.record.changed:
 			anew = true
 		case <-again.C:
 			s.mu.Lock()
 			// Until it has caught up; a weight that is not confirmed falls; the loop may have been told before a restored record.
-			anew = !s.caught || time.Since(last) >= sayEvery && (s.look.AppliedVersion != sent || s.trial)
+			anew = !s.caughtUp || time.Since(last) >= reportInterval && (s.lastObserved.AppliedVersion != sent || s.canaryActive)
 			s.mu.Unlock()
 		}
 		if !anew && !first {
@@ -230,37 +230,37 @@
 		}
 		select {
 		case <-followed: // the loop has done the last ones
-		case <-s.quit:
+		case <-s.stop:
 			return
 		}
 		first = false
-		list, _ := s.record.weights()
+		list, _ := s.record.canaryWeights()
 		s.mu.Lock()
-		s.trial = len(list) > 0
+		s.canaryActive = len(list) > 0
 		s.mu.Unlock()
 		last = time.Now()
-		sent = s.post(func() { followed <- struct{}{} })
+		sent = s.postDesired(func() { followed <- struct{}{} })
 	}
 }
 
-// post has the loop do what the record says now, and then call done there. Posts are in the order of what they read, so that an older
+// postDesired has the loop do what the record says now, and then call done there. Posts are in the order of what they read, so that an older
 // state never comes after a newer one.
-func (s *Service) post(done func()) (version uint64) {
-	s.posting.Lock()
-	defer s.posting.Unlock()
+func (s *Service) postDesired(done func()) (version uint64) {
+	s.postMu.Lock()
+	defer s.postMu.Unlock()
 	var o DesiredState
-	st := s.node.Status() // before the record is read: what is applied later is in it too
+	st := s.node.Status() // previous the record is read: what is applied later is in it too
 	o.AppliedIndex, o.MajorityConfirmed = st.Applied, st.Majority && st.Applied == st.Committed
 	s.mu.Lock()
-	s.caught = s.caught || o.MajorityConfirmed
-	caught := s.caught
+	s.caughtUp = s.caughtUp || o.MajorityConfirmed
+	caught := s.caughtUp
 	s.mu.Unlock()
-	s.record.read(func(r *rollout.State, h held) {
-		o.Orders, o.RecordVersion, o.PermitsVersion = r.Orders(s.Name), r.Version(), permitsNumber(h)
+	s.record.read(func(r *rollout.State, h recordItems) {
+		o.Orders, o.RecordVersion, o.PermitsVersion = r.Orders(s.Name), r.Version(), permitsVersion(h)
 	})
-	o.CanaryWeights, o.CanaryVersion = s.record.weights()
+	o.CanaryWeights, o.CanaryVersion = s.record.canaryWeights()
 	if !caught {
-		s.known.fill(&o)
+		s.lastAgreed.fillIn(&o)
 	}
 	s.Post(func() { s.ApplyDesired(o); done() })
 	return o.RecordVersion
@@ -268,98 +268,98 @@
 
 // ---- The leader ----
 
-// heard takes a word at the leader, and says what the drift module wants of that relay.
-func (s *Service) heard(from string, text []byte) (answer []byte) {
-	w, err := decodeWord(text)
+// relayStatus takes a word at the leader, and says what the drift module wants of that relay.
+func (s *Service) handleReport(from string, text []byte) (answer []byte) {
+	w, err := decodeStatusReport(text)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
-		s.bad++
+		s.malformedReports++
 		return nil
 	}
 	now := s.now()
-	answer = s.helm.hear(now, from, w)
-	if len(w.Counts) > 0 && s.judge != nil {
-		if c, err := canary.DecodeCounts(w.Counts); err == nil {
+	answer = s.controller.receive(now, from, w)
+	if len(w.CanaryCounts) > 0 && s.judge != nil {
+		if c, err := canary.DecodeCounts(w.CanaryCounts); err == nil {
 			s.judge.Hear(now, from, w.Zone, c)
 		} else {
-			s.bad++
+			s.malformedReports++
 		}
 	}
 	return answer
 }
 
-// told takes what the leader wants: details come with the next words, and what this relay lacks is posted anew.
-func (s *Service) told(_ string, answer []byte) {
+// handleReply takes what the leader wants: details come with the next words, and what this relay lacks is posted anew.
+func (s *Service) handleReply(_ string, answer []byte) {
 	r, err := drift.DecodeReply(answer)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
-		s.bad++
+		s.malformedReports++
 		return
 	}
-	if len(s.ledger.book.Hear(r)) > 0 {
-		s.record.tell()
+	if len(s.reporter.driftBook.Hear(r)) > 0 {
+		s.record.notifyChanged()
 	}
 }
 
-// led is told when this relay begins or ends to lead. Who begins has heard nothing: what an earlier time left is no sight of now.
-func (s *Service) led(leads bool, term uint64) {
+// leadershipChanged is told when this relay begins or ends to lead. Who begins has heard nothing: what an earlier time left is no sight of now.
+func (s *Service) leadershipChanged(leads bool, term uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.helm = newHelm(s.record)
-	s.judge, s.ledAt, s.term, s.view = nil, 0, term, rollout.View{}
+	s.controller = newController(s.record)
+	s.judge, s.leaderSince, s.term, s.lastView = nil, 0, term, rollout.View{}
 	if leads {
-		s.ledAt = s.now()
+		s.leaderSince = s.now()
 	}
 	s.Log.WithFields(logrus.Fields{"leads": leads, "term": term}).Info("fleet: leading")
 }
 
-// pilot asks what is next, and has it agreed. Nothing is planned until all relays that are known have been heard, or have had the time.
-func (s *Service) pilot() {
+// controlLoop asks what is next, and has it agreed. Nothing is planned until all relays that are known have been heard, or have had the time.
+func (s *Service) controlLoop() {
 	var reported map[string]string
-	s.every(planEvery, func() {
+	s.every(planInterval, func() {
 		s.mu.Lock()
 		now := s.now()
-		led, look, seen := s.ledAt, s.look, s.helm.scene
+		led, look, seen := s.leaderSince, s.lastObserved, s.controller.fleet
 		if led == 0 {
 			s.mu.Unlock()
 			return
 		}
-		v := seen.view(now, led, s.Budgets().Hold, s.Name, look, warmth{s.SlowStartShare, s.SlowStartDuration.Milliseconds()})
+		v := seen.buildView(now, led, s.Budgets().Hold, s.Name, look, slowStart{s.SlowStartShare, s.SlowStartDuration.Milliseconds()})
 		s.watchDrift(now, &v)
-		meant := s.helm.meaning(now, &v)
-		trials := s.weigh(now, &v)
-		s.view = v
-		unheard := slices.ContainsFunc(v.Relays, func(r rollout.Relay) bool { return seen.words[r.Name] == nil && !r.Gone })
+		meant := s.controller.planIntent(now, &v)
+		trials := s.evaluateCanary(now, &v)
+		s.lastView = v
+		unheard := slices.ContainsFunc(v.Relays, func(r rollout.Relay) bool { return seen.relays[r.Name] == nil && !r.Gone })
 		s.mu.Unlock()
-		if now-led < silentAfter.Milliseconds() && unheard {
+		if now-led < silenceTimeout.Milliseconds() && unheard {
 			return
 		}
-		reported = s.report(reported)
+		reported = s.logReleases(reported)
 		for _, c := range trials {
-			if err := s.proposeTrial(context.Background(), c); err != nil {
-				s.failed("canary "+c.Do, err)
+			if err := s.proposeCanary(context.Background(), c); err != nil {
+				s.noteFailure("canary "+c.Do, err)
 				return
 			}
 		}
 		for _, c := range meant {
-			if a, err := s.proposeMeaning(context.Background(), c); err != nil || a.Error != "" {
-				s.failed("intent", cmp.Or(err, errors.New(a.Error)))
+			if a, err := s.proposeIntent(context.Background(), c); err != nil || a.Error != "" {
+				s.noteFailure("intent", cmp.Or(err, errors.New(a.Error)))
 			}
 		}
 		var plan []rollout.Command
-		s.record.read(func(r *rollout.State, h held) { plan = r.Plan(max(now, h.At), v, s.Budgets()) })
+		s.record.read(func(r *rollout.State, h recordItems) { plan = r.Plan(max(now, h.At), v, s.Budgets()) })
 		s.mu.Lock()
-		plan = s.helm.gate(plan)
+		plan = s.controller.withholdBlocked(plan)
 		s.mu.Unlock()
-		for _, c := range s.gate(plan) {
+		for _, c := range s.gateOnCanary(plan) {
 			answer, err := s.propose(context.Background(), c)
 			if err != nil || answer.Error != "" {
 				if err == nil {
 					err = errors.New(answer.Error)
 				}
-				s.failed("plan "+c.Kind, err)
+				s.noteFailure("plan "+c.Kind, err)
 				return // the next look begins anew
 			}
 		}
@@ -368,39 +368,39 @@
 
 // watchDrift holds what relays run against what is agreed. Called with the lock held.
 func (s *Service) watchDrift(now int64, v *rollout.View) {
-	s.helm.voters = votersOf(s.node.Status())
-	for _, c := range s.helm.look(now, v) {
+	s.controller.voters = votersDriftItem(s.node.Status())
+	for _, c := range s.controller.evaluateDrift(now, v) {
 		s.Log.WithFields(logrus.Fields{"relay": c.Relay, "item": c.Item, "from": c.From.String(), "to": c.To.String(), "why": c.Why}).Warn("fleet: drift")
 	}
 	if s.EjectDrifted { // else nobody is unfit, and who is shut is admitted
-		s.helm.unfit(v)
+		s.controller.markUnfit(v)
 	}
 }
 
 // ---- Having something agreed ----
 
-// callWithin is how long a call waits for a majority.
-const callWithin = 4 * time.Second
+// callTimeout is how long a call waits for a majority.
+const callTimeout = 4 * time.Second
 
 // propose has a command of the rollout's agreed, and waits until this relay's own record has it.
 func (s *Service) propose(ctx context.Context, c rollout.Command) (rollout.Answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return s.agreed(ctx, partRollout, c.Encode())
+	return s.submit(ctx, partRollout, c.Encode())
 }
 
-// proposeMeaning is the same for what is meant.
-func (s *Service) proposeMeaning(ctx context.Context, c meaning) (rollout.Answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+// proposeIntent is the same for what is meant.
+func (s *Service) proposeIntent(ctx context.Context, c intentCommand) (rollout.Answer, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	body, err := json.Marshal(c)
 	if err != nil {
 		return rollout.Answer{}, err
 	}
-	return s.agreed(ctx, partIntent, body)
+	return s.submit(ctx, partIntent, body)
 }
 
-func (s *Service) agreed(ctx context.Context, part string, body []byte) (rollout.Answer, error) {
+func (s *Service) submit(ctx context.Context, part string, body []byte) (rollout.Answer, error) {
 	text, err := json.Marshal(command{Part: part, At: s.now(), By: s.Name, Body: body})
 	if err != nil {
 		return rollout.Answer{}, err
@@ -432,7 +432,7 @@
 			s.Post(func() { done(err) })
 			return
 		}
-		s.post(func() { done(nil) })
+		s.postDesired(func() { done(nil) })
 	}()
 }
 
@@ -440,11 +440,11 @@
 // ask. What cannot be taken back is asked for right before it is done: this process may have stood still since it was told.
 func (s *Service) ConfirmLeave(number uint64, done func(stands, sound bool)) {
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), callWithin)
+		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 		defer cancel()
 		_, err := s.node.Barrier(ctx)
 		stands := false
-		s.record.read(func(r *rollout.State, _ held) {
+		s.record.read(func(r *rollout.State, _ recordItems) {
 			l := r.Orders(s.Name).Leave
 			stands = l != nil && l.Number == number && l.Start >= s.Incarnation
 		})
--- a/internal/fleet/trial.go
+++ b/internal/fleet/trial.go
@@ -13,9 +13,9 @@
 	"dahliarudder/internal/rollout"
 )
 
-// weigh has the judge of the canary say what it thinks, and gives what is to be proposed. What is worse goes into the view, so that the
+// evaluateCanary has the judge of the canary say what it thinks, and gives what is to be proposed. What is worse goes into the view, so that the
 // release halts. Called with the lock held.
-func (s *Service) weigh(now int64, v *rollout.View) (plan []canary.Command) {
+func (s *Service) evaluateCanary(now int64, v *rollout.View) (plan []canary.Command) {
 	s.record.mu.RLock()
 	defer s.record.mu.RUnlock()
 	all := s.record.canary.Canaries()
@@ -25,12 +25,12 @@
 	}
 	c := all[0] // one at a time
 	switch {
-	case s.judge == nil || s.judged.Salt != c.Salt:
+	case s.judge == nil || s.judgedCanary.Salt != c.Salt:
 		s.judge = canary.NewJudge(canary.Settings{Spec: c.Spec, Epoch: c.Epoch, Rung: c.Rung, Kept: s.record.canary.Kept(c.Release)})
-	case s.judged.Epoch != c.Epoch || s.judged.Rung != c.Rung:
+	case s.judgedCanary.Epoch != c.Epoch || s.judgedCanary.Rung != c.Rung:
 		s.judge.Begin(c.Epoch, c.Rung)
 	}
-	s.judged = c
+	s.judgedCanary = c
 	release, _ := s.record.rollout.Release(c.Release)
 	switch {
 	case c.Status == canary.Done, c.Status == canary.Back && (release.Name == "" || release.State == rollout.Undone || release.State == rollout.Ended):
@@ -44,10 +44,10 @@
 			"zones": s.verdict.Zones, "relays": s.verdict.Relays}).Info("fleet: canary")
 	}
 	applied := !slices.ContainsFunc(v.Relays, func(r rollout.Relay) bool {
-		h := s.helm.scene.words[r.Name]
-		return r.HeardMS < silentAfter.Milliseconds() && h != nil && h.Weighs < s.record.canary.Version()
+		h := s.controller.fleet.relays[r.Name]
+		return r.HeardMS < silenceTimeout.Milliseconds() && h != nil && h.CanaryVersion < s.record.canary.Version()
 	})
-	return s.record.canary.Plan(max(now, s.record.held.At), s.verdict, applied)
+	return s.record.canary.Plan(max(now, s.record.items.At), s.verdict, applied)
 }
 
 func cmpOr(a, b string) string {
@@ -57,9 +57,9 @@
 	return b
 }
 
-// gate leaves out what a release would give out while its canary is not over and the arm is there; the way back is never held up. Of a
+// withholdBlocked leaves out what a release would give out while its canary is not over and the arm is there; the way back is never held up. Of a
 // release whose canary went back, it adds that the release goes back too.
-func (s *Service) gate(plan []rollout.Command) (out []rollout.Command) {
+func (s *Service) gateOnCanary(plan []rollout.Command) (out []rollout.Command) {
 	s.record.mu.RLock()
 	defer s.record.mu.RUnlock()
 	hold := map[string]bool{}
@@ -86,9 +86,9 @@
 	return out
 }
 
-// proposeTrial has a command of the canaries agreed.
-func (s *Service) proposeTrial(ctx context.Context, c canary.Command) error {
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+// proposeCanary has a command of the canaries agreed.
+func (s *Service) proposeCanary(ctx context.Context, c canary.Command) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	text, err := json.Marshal(command{Part: partCanary, At: s.now(), By: s.Name, Body: c.Body()})
 	if err != nil {
@@ -103,10 +103,10 @@
 		return err
 	}
 	if a.Error != "" {
-		return fmt.Errorf("%w: %s", errRefused, a.Error)
+		return fmt.Errorf("%w: %s", errRejected, a.Error)
 	}
 	s.node.WaitApplied(ctx, index)
 	return nil
 }
 
-var errRefused = errors.New("refused")
+var errRejected = errors.New("refused")
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -36,7 +36,7 @@
 	DemandMS, ServedMS uint64 // time of clients, ms: that in which a flow stood, and with that for which they were sent away. One who comes again ten times is no ten who are not served
 	MisroutedFlows     uint64 // flows begun at members that were out for longer than the grace
 	Members            []MemberState
-	LocalEjections     []string // members that its own operators have taken out
+	LocalEjections     []string // addMembers that its own operators have taken out
 	AppliedOut         []string // and by the fleet's word, as the core has them
 	AppliedVersion     uint64
 	CanaryVersion      uint64 // the version of the canaries that it goes by
@@ -51,115 +51,117 @@
 	ShutOrder      uint64 // the number of the order by which it takes no clients; 0: it takes them
 }
 
-// heard is the last word of a relay, and what is reckoned from those before.
-type heard struct {
-	word
-	at    int64
-	tried map[string]*trial
-	list  listed
+// relayStatus is the last word of a relay, and what is reckoned from those before.
+type relayStatus struct {
+	statusReport
+	receivedAt int64
+	attempts   map[string]*memberAttempts
+	listState  relayList
 
-	intended []drift.Item // what the watch holds it to
+	expected []drift.Item // what the watch holds it to
 }
 
-// trial counts how attempts at a member went lately, by one relay.
-type trial struct {
-	flows     int
-	capacity  float64
-	good, bad uint64 // as last said
-	marks     []mark
+// memberAttempts counts how attempts at a member went lately, by one relay.
+type memberAttempts struct {
+	flows               int
+	capacity            float64
+	successes, failures uint64 // as last said
+	samples             []attemptSample
 }
 
-type mark struct {
-	at        int64
-	good, bad uint64
+type attemptSample struct {
+	at                  int64
+	successes, failures uint64
 }
 
 // The spans by which the leader judges.
 const (
-	triedMS   = 10_000 // attempts that say how a member does: some ten words
-	windowsMS = 2_000  // of service: two words of each relay
-	windows   = 90
+	attemptWindowMS   = 10_000 // attempts that say how a member does: some ten words
+	serviceWindowMS   = 2_000  // of service: two words of each relay
+	maxServiceWindows = 90
 )
 
-// scene is all that the leader has heard. It decides nothing.
-type scene struct {
-	words   map[string]*heard
-	windows []rollout.Count
-	lists   lists
-	relays  int // most that are held
+// fleetStatus is all that the leader has heard. It decides nothing.
+type fleetStatus struct {
+	relays         map[string]*relayStatus
+	serviceWindows []rollout.Count
+	lists          listTracker
+	maxRelays      int // most that are held
 }
 
-func newScene() *scene { return &scene{words: map[string]*heard{}, relays: 1024} }
+func newFleetStatus() *fleetStatus {
+	return &fleetStatus{relays: map[string]*relayStatus{}, maxRelays: 1024}
+}
 
-// hear takes a relay's word. Words that come late, of an earlier process or out of order, are passed over.
-func (s *scene) hear(now int64, from string, w word) {
-	h := s.words[from]
+// receive takes a relay's word. Words that come late, of an earlier process or out of order, are passed over.
+func (s *fleetStatus) receive(now int64, from string, w statusReport) {
+	h := s.relays[from]
 	switch {
-	case h == nil && len(s.words) >= s.relays:
+	case h == nil && len(s.relays) >= s.maxRelays:
 		return
 	case h == nil:
-		h = &heard{tried: map[string]*trial{}}
-		s.words[from] = h
-	case w.Start < h.Start:
+		h = &relayStatus{attempts: map[string]*memberAttempts{}}
+		s.relays[from] = h
+	case w.Incarnation < h.Incarnation:
 		return
-	case w.Start > h.Start:
-		h.tried = map[string]*trial{}
-	case w.Asked < h.Asked || w.Served < h.Served:
+	case w.Incarnation > h.Incarnation:
+		h.attempts = map[string]*memberAttempts{}
+	case w.DemandMS < h.DemandMS || w.ServedMS < h.ServedMS:
 		return
 	default:
-		s.count(now, float64(w.Asked-h.Asked)/1000, float64(w.Served-h.Served)/1000)
+		s.countService(now, float64(w.DemandMS-h.DemandMS)/1000, float64(w.ServedMS-h.ServedMS)/1000)
 	}
-	for _, t := range h.tried {
+	for _, t := range h.attempts {
 		t.flows = 0 // a member that it does not name it holds nothing at
 	}
 	for _, m := range w.Members {
-		t := h.tried[m.Name]
+		t := h.attempts[m.Name]
 		if t == nil {
-			t = &trial{good: m.Good, bad: m.Bad}
-			h.tried[m.Name] = t
-		} else if m.Good > t.good || m.Bad > t.bad {
-			t.marks = append(t.marks, mark{now, max(m.Good, t.good) - t.good, max(m.Bad, t.bad) - t.bad})
-			t.good, t.bad = max(m.Good, t.good), max(m.Bad, t.bad)
+			t = &memberAttempts{successes: m.Successes, failures: m.Failures}
+			h.attempts[m.Name] = t
+		} else if m.Successes > t.successes || m.Failures > t.failures {
+			t.samples = append(t.samples, attemptSample{now, max(m.Successes, t.successes) - t.successes, max(m.Failures, t.failures) - t.failures})
+			t.successes, t.failures = max(m.Successes, t.successes), max(m.Failures, t.failures)
 		}
 		t.flows, t.capacity = m.Flows, cmp.Or(m.Capacity, t.capacity)
 	}
-	maps.DeleteFunc(h.tried, func(_ string, t *trial) bool {
-		t.marks = slices.DeleteFunc(t.marks, func(m mark) bool { return now-m.at > triedMS })
-		return t.flows == 0 && len(t.marks) == 0 && len(h.tried) > sightsMost/2
+	maps.DeleteFunc(h.attempts, func(_ string, t *memberAttempts) bool {
+		t.samples = slices.DeleteFunc(t.samples, func(m attemptSample) bool { return now-m.at > attemptWindowMS })
+		return t.flows == 0 && len(t.samples) == 0 && len(h.attempts) > maxMemberReports/2
 	})
-	h.word, h.at = w, now
-	h.list.say(now, w.List, w.Anew, s.lists)
+	h.statusReport, h.receivedAt = w, now
+	h.listState.observe(now, w.ListGeneration, w.ListRestarted, s.lists)
 }
 
-// count adds to the window of now.
-func (s *scene) count(now int64, asked, served float64) {
-	end := now - now%windowsMS + windowsMS
-	if n := len(s.windows); n == 0 || s.windows[n-1].At < end {
-		s.windows = append(s.windows, rollout.Count{At: end})
-		s.windows = s.windows[max(0, len(s.windows)-windows):]
+// countService adds to the window of now.
+func (s *fleetStatus) countService(now int64, asked, served float64) {
+	end := now - now%serviceWindowMS + serviceWindowMS
+	if n := len(s.serviceWindows); n == 0 || s.serviceWindows[n-1].At < end {
+		s.serviceWindows = append(s.serviceWindows, rollout.Count{At: end})
+		s.serviceWindows = s.serviceWindows[max(0, len(s.serviceWindows)-maxServiceWindows):]
 	}
-	last := &s.windows[len(s.windows)-1]
+	last := &s.serviceWindows[len(s.serviceWindows)-1]
 	last.Asked, last.Served = last.Asked+asked, last.Served+served
 }
 
-// warmth is what a member bears of its capacity, by its age.
-type warmth struct {
-	From float64 // at the start
-	For  int64   // ms until it bears all
+// slowStart is what a member bears of its capacity, by its age.
+type slowStart struct {
+	startShare float64 // at the start
+	durationMS int64   // ms until it bears all
 }
 
-func (w warmth) at(age int64) float64 {
-	if age >= w.For || w.For <= 0 {
+func (w slowStart) shareAt(age int64) float64 {
+	if age >= w.durationMS || w.durationMS <= 0 {
 		return 1
 	}
-	return w.From + (1-w.From)*float64(max(age, 0))/float64(w.For)
+	return w.startShare + (1-w.startShare)*float64(max(age, 0))/float64(w.durationMS)
 }
 
-// view is what the leader knows, with its own look at the pool and the peers. It has led since ledAt: a relay that it has not heard is silent
+// buildView is what the leader knows, with its own look at the pool and the peers. It has led since ledAt: a relay that it has not heard is silent
 // for so long. One that peers hear lives, whatever keeps its words away: it may hold flows, however long it is not heard (hold).
-func (s *scene) view(now, ledAt, hold int64, self string, own ObservedState, cold warmth) rollout.View {
+func (s *fleetStatus) buildView(now, ledAt, hold int64, self string, own ObservedState, cold slowStart) rollout.View {
 	v := rollout.View{At: now}
-	for _, c := range s.windows {
+	for _, c := range s.serviceWindows {
 		if c.At <= now { // whole ones
 			v.Service = append(v.Service, c)
 		}
@@ -169,7 +171,7 @@
 		peers[p.Name] = p
 	}
 	names := map[string]bool{}
-	for n := range s.words {
+	for n := range s.relays {
 		names[n] = true
 	}
 	for n := range peers {
@@ -178,10 +180,10 @@
 	for _, name := range slices.Sorted(maps.Keys(names)) {
 		r := rollout.Relay{Name: name, HeardMS: now - ledAt}
 		p, known := peers[name]
-		if h := s.words[name]; h != nil {
-			r.Zone, r.HeardMS, r.Start, r.Phase, r.Program, r.Config, r.Applied, r.Flows = h.Zone, now-h.at, h.Start, h.Phase, h.Program, h.Config, h.Follows, h.Flows
+		if h := s.relays[name]; h != nil {
+			r.Zone, r.HeardMS, r.Start, r.Phase, r.Program, r.Config, r.Applied, r.Flows = h.Zone, now-h.receivedAt, h.Incarnation, h.Phase, h.Program, h.Config, h.AppliedVersion, h.Flows
 			// Others see it serve: this relay's peers, of this very process. Of itself the leader knows.
-			r.Full = r.Phase == "serving" && (name == self || known && p.Alive && p.Serving && p.Incarnation >= h.Start)
+			r.Full = r.Phase == "serving" && (name == self || known && p.Alive && p.Serving && p.Incarnation >= h.Incarnation)
 		}
 		if known {
 			r.Zone = cmp.Or(r.Zone, p.Zone)
@@ -192,11 +194,11 @@
 		}
 		v.Relays = append(v.Relays, r)
 	}
-	s.members(now, own, cold, &v)
+	s.addMembers(now, own, cold, &v)
 	return v
 }
 
-func (s *scene) members(now int64, own ObservedState, cold warmth, v *rollout.View) {
+func (s *fleetStatus) addMembers(now int64, own ObservedState, cold slowStart, v *rollout.View) {
 	pool := map[string]*rollout.Member{}
 	for _, m := range own.Members {
 		pool[m.Name] = &rollout.Member{Name: m.Name, Zone: m.Zone, Listed: m.DiscoveryState, Started: m.StartedAt, Capacity: m.Capacity, Held: map[string]rollout.Held{}}
@@ -207,16 +209,16 @@
 		gone[r.Name] = r.Gone
 	}
 	for _, p := range own.Peers { // the next process may be there, and have said nothing yet
-		if h := s.words[p.Name]; h != nil && p.Incarnation > h.Start {
+		if h := s.relays[p.Name]; h != nil && p.Incarnation > h.Incarnation {
 			gone[p.Name] = true
 		}
 	}
-	for _, relay := range slices.Sorted(maps.Keys(s.words)) {
-		h := s.words[relay]
+	for _, relay := range slices.Sorted(maps.Keys(s.relays)) {
+		h := s.relays[relay]
 		if gone[relay] {
 			continue
 		}
-		for name, t := range h.tried {
+		for name, t := range h.attempts {
 			m := pool[name]
 			if m == nil { // only that relay's list has it
 				if t.flows == 0 {
@@ -226,13 +228,13 @@
 				pool[name] = m
 			}
 			if t.flows > 0 {
-				m.Held[relay] = rollout.Held{Flows: t.flows, At: h.at}
+				m.Held[relay] = rollout.Held{Flows: t.flows, At: h.receivedAt}
 				v.Load += float64(t.flows)
 			}
 			m.Capacity = max(m.Capacity, t.capacity)
-			for _, k := range t.marks {
-				if now-k.at <= triedMS {
-					good[name], bad[name] = good[name]+k.good, bad[name]+k.bad
+			for _, k := range t.samples {
+				if now-k.at <= attemptWindowMS {
+					good[name], bad[name] = good[name]+k.successes, bad[name]+k.failures
 				}
 			}
 		}
@@ -250,7 +252,7 @@
 		}
 		m.Bears = m.Capacity
 		if m.Started > 0 {
-			m.Bears = m.Capacity * cold.at(now-m.Started)
+			m.Bears = m.Capacity * cold.shareAt(now-m.Started)
 		}
 		// More went wrong there than went well, and more than once: one failure is no verdict.
 		m.Failing = bad[name] >= 2 && bad[name] > good[name]
--- a/internal/fleet/view_test.go
+++ b/internal/fleet/view_test.go
@@ -19,26 +19,26 @@
 // count while a relay names them; failures of long ago are forgotten; a word of an earlier process, or one that was overtaken, changes
 // nothing; a relay serves in full only if others see this very process serve.
 func TestView(t *testing.T) {
-	s, cold := newScene(), warmth{0.25, 8000}
+	s, cold := newFleetStatus(), slowStart{0.25, 8000}
 	const now = 1_000_000
 	own := ObservedState{Members: []MemberState{{Name: "old", DiscoveryState: "ready", Capacity: 40}, {Name: "new", DiscoveryState: "ready", StartedAt: now - 4000}},
 		Peers: []Peer{{Name: "b", Alive: true, Serving: true, Incarnation: 70}, {Name: "c", Gone: true, Incarnation: 5}}}
-	of := func(start, asked, bad uint64, flows int) word {
-		return word{Start: start, Phase: "serving", Asked: asked, Served: asked, Members: []sight{{Name: "old", Flows: flows, Bad: bad}}}
+	of := func(start, asked, bad uint64, flows int) statusReport {
+		return statusReport{Incarnation: start, Phase: "serving", DemandMS: asked, ServedMS: asked, Members: []memberReport{{Name: "old", Flows: flows, Failures: bad}}}
 	}
-	s.hear(now-3000, "a", of(50, 10, 0, 3))
-	s.hear(now-2500, "b", of(71, 20, 0, 4))
-	s.hear(now-2000, "b", of(71, 30, 5, 6))
-	s.hear(now-1500, "b", of(70, 90, 90, 90)) // an earlier process
-	s.hear(now-1400, "b", of(71, 25, 5, 90))  // overtaken
-	v := s.view(now, now-9000, 8000, "a", own, cold)
+	s.receive(now-3000, "a", of(50, 10, 0, 3))
+	s.receive(now-2500, "b", of(71, 20, 0, 4))
+	s.receive(now-2000, "b", of(71, 30, 5, 6))
+	s.receive(now-1500, "b", of(70, 90, 90, 90)) // an earlier process
+	s.receive(now-1400, "b", of(71, 25, 5, 90))  // overtaken
+	v := s.buildView(now, now-9000, 8000, "a", own, cold)
 	if m := member(v, "new"); m.Capacity != 40 || m.Bears != 25 {
 		t.Errorf("a cold member bears %v of %v", m.Bears, m.Capacity)
 	}
 	if m := member(v, "old"); m.Held["a"].Flows != 3 || m.Held["b"].Flows != 6 || !m.Failing || m.Bears != 40 || v.Load != 9 {
 		t.Errorf("%+v, load %v", m, v.Load)
 	}
-	if m := member(s.view(now+triedMS, now-9000, 8000, "a", own, cold), "old"); m.Failing {
+	if m := member(s.buildView(now+attemptWindowMS, now-9000, 8000, "a", own, cold), "old"); m.Failing {
 		t.Error("failures of long ago count")
 	}
 	for _, r := range v.Relays {
@@ -47,25 +47,25 @@
 			t.Errorf("%+v", r)
 		}
 	}
-	later := s.view(now+60_000, now-9000, 8000, "a", own, cold).Relays
+	later := s.buildView(now+60_000, now-9000, 8000, "a", own, cold).Relays
 	if later[0].HeardMS != 63_000 || later[1].HeardMS != 8000 || later[2].HeardMS != 69_000 {
 		t.Errorf("not heard for %d, %d (peers hear it), %d (never)", later[0].HeardMS, later[1].HeardMS, later[2].HeardMS)
 	}
 	own.Peers[0].Incarnation = 71
-	if v := s.view(now, now-9000, 8000, "a", own, cold); !v.Relays[1].Full {
+	if v := s.buildView(now, now-9000, 8000, "a", own, cold); !v.Relays[1].Full {
 		t.Errorf("%+v", v.Relays[1])
 	}
-	s.hear(now-1000, "a", of(50, 14, 0, 0))
-	if m := member(s.view(now, now-9000, 8000, "a", own, cold), "old"); len(m.Held) != 1 {
+	s.receive(now-1000, "a", of(50, 14, 0, 0))
+	if m := member(s.buildView(now, now-9000, 8000, "a", own, cold), "old"); len(m.Held) != 1 {
 		t.Errorf("held %v", m.Held)
 	}
-	if n := len(s.windows); n == 0 || s.windows[n-1].Served == 0 {
-		t.Errorf("windows %v", s.windows)
+	if n := len(s.serviceWindows); n == 0 || s.serviceWindows[n-1].Served == 0 {
+		t.Errorf("windows %v", s.serviceWindows)
 	}
-	s.hear(now, "c", word{Start: 5, Members: []sight{{Name: "ended", Flows: 2}}})
+	s.receive(now, "c", statusReport{Incarnation: 5, Members: []memberReport{{Name: "ended", Flows: 2}}})
 	for _, next := range []Peer{own.Peers[1], {Name: "c", Alive: true, Incarnation: 6}} {
 		own.Peers[1] = next
-		if m := member(s.view(now, now-9000, 8000, "a", own, cold), "ended"); m.Name != "" {
+		if m := member(s.buildView(now, now-9000, 8000, "a", own, cold), "ended"); m.Name != "" {
 			t.Errorf("what a process that has ended held keeps a member in the view: %+v", m)
 		}
 	}
