--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -144,7 +144,7 @@
 	r.trial.agreed(o)
 	out := map[string]core.Leaving{}
 	for name, i := range o.Out {
-		out[name] = core.Leaving{Over: time.Duration(i.MoveOver) * time.Millisecond, Ban: i.Why == rollout.Ban}
+		out[name] = core.Leaving{Over: time.Duration(i.MoveOver) * time.Millisecond, Ban: i.Why == rollout.CommandEject}
 	}
 	if o.Reached {
 		defer r.catchUp()
--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -106,7 +106,7 @@
 	err = loop.Run()
 	r.fleet.Close()
 	if err == nil && r.ordered {
-		err = orderedExit(rollout.ExitOrdered)
+		err = orderedExit(rollout.ExitOrderedRestart)
 	}
 	log.WithField("counts", fmt.Sprintf("%+v", r.core.Counts)).Info("stopped")
 	return errors.Join(err, r.closeStore())
--- a/integration/fleet_faults_test.go
+++ b/integration/fleet_faults_test.go
@@ -74,13 +74,13 @@
 		t.Errorf("what was refused is answered with %d", code)
 	}
 	f.agreed(1, "POST", "/-/releases", map[string]any{"name": "c", "kind": "member", "drain": true, "wait": true, "names": []string{"s0"}})
-	if a := f.release(2, "c", rollout.Queued); a.Behind != "a" {
+	if a := f.release(2, "c", rollout.ReleaseQueued); a.Behind != "a" {
 		t.Errorf("behind %q", a.Behind)
 	}
 	until(t, "s0 to be out", func() bool { return len(f.outs(2)) == 1 })
 	f.agreed(2, "PUT", "/-/releases/a/back", nil)
-	f.release(0, "a", rollout.Undone)
-	if a := f.release(0, "c", rollout.Running, rollout.Ended); a.Behind != "" {
+	f.release(0, "a", rollout.ReleaseRolledBack)
+	if a := f.release(0, "c", rollout.ReleaseRunning, rollout.ReleaseCompleted); a.Behind != "" {
 		t.Errorf("still behind %q", a.Behind)
 	}
 	until(t, "s0 to be out for the one that waited", func() bool { return f.out(1, "c") == 1 && len(f.outs(1)) == 1 })
@@ -160,7 +160,7 @@
 	f.start(killed)
 	w.dead = -1
 	within(t, 2*patience, "all relays to have left by order", func() bool { w.most(); w.hosts(); return len(w.ended) == 4 })
-	if a := f.release(killed, "r", rollout.Ended); a.Counts.Done != 4 {
+	if a := f.release(killed, "r", rollout.ReleaseCompleted); a.Counts.Done != 4 {
 		t.Errorf("%+v", a)
 	}
 	for i, n := range w.ended {
@@ -198,7 +198,7 @@
 		w.most()
 		w.hosts()
 		var a rollout.Account
-		return f.call(3, "GET", "/-/releases/r", nil, &a) == 200 && a.State == rollout.Ended && a.Counts.Done == 4
+		return f.call(3, "GET", "/-/releases/r", nil, &a) == 200 && a.State == rollout.ReleaseCompleted && a.Counts.Done == 4
 	})
 	for i := range f.relays {
 		if n := w.ended[i]; i != had && n != 1 || i == had && n != before {
@@ -241,9 +241,9 @@
 	empty := func(name string) {
 		t.Helper()
 		within(t, patience, name+" to be empty", func() bool {
-			for _, u := range f.release(3, "m", rollout.Running).Units {
+			for _, u := range f.release(3, "m", rollout.ReleaseRunning).Units {
 				if u.Name == name {
-					return u.Phase == rollout.Empty
+					return u.Phase == rollout.PhaseDrained
 				}
 			}
 			return false
@@ -273,7 +273,7 @@
 	}
 	empty(other)
 	f.again(1 - at)
-	if a := f.release(3, "m", rollout.Ended, rollout.Halted); a.State != rollout.Ended {
+	if a := f.release(3, "m", rollout.ReleaseCompleted, rollout.ReleaseHalted); a.State != rollout.ReleaseCompleted {
 		t.Errorf("%+v", a)
 	}
 }
@@ -296,12 +296,12 @@
 	f.agreed(3, "PUT", "/-/releases/o/halt", nil)
 	f.agreed(3, "PUT", "/-/releases/o/back", nil)
 	time.Sleep(6 * time.Second) // beyond what a drain is waited for
-	if a := f.release(3, "o", rollout.Backing); a.Counts.Out != 1 {
+	if a := f.release(3, "o", rollout.ReleaseRollingBack); a.Counts.Out != 1 {
 		t.Errorf("nobody has seen it serve: %+v", a)
 	}
 	r.cmd.Process.Signal(syscall.SIGCONT)
 	r.logged("fleet: may stay")
-	f.release(3, "o", rollout.Undone)
+	f.release(3, "o", rollout.ReleaseRolledBack)
 	for n := range 6 {
 		r.open(1000+n, "").want("UP ")
 	}
@@ -448,8 +448,8 @@
 	var a, b rollout.Answer
 	first := ask(0, "ann", "s0")
 	second := ask(1, "bob", "s1")
-	until(t, "the first to be granted", func() bool { a = ask(2, "ann", "s0"); return a.State == rollout.Granted })
-	if b = ask(3, "bob", "s1"); b.State != rollout.Wait || b.Why == "" || b.Again <= 0 {
+	until(t, "the first to be granted", func() bool { a = ask(2, "ann", "s0"); return a.State == rollout.PermitGranted })
+	if b = ask(3, "bob", "s1"); b.State != rollout.PermitWaiting || b.Why == "" || b.Again <= 0 {
 		t.Errorf("%+v", b)
 	}
 	if a.Number != first.Number || b.Number != second.Number || a.Number == b.Number || a.Left <= 0 {
@@ -465,7 +465,7 @@
 	within(t, patience, "the second to be granted", func() bool {
 		b = ask(3, "bob", "s1")
 		took = time.Since(begun)
-		return b.State == rollout.Granted
+		return b.State == rollout.PermitGranted
 	})
 	if took < 7*time.Second { // the rule, not a measure: it is cold until then
 		t.Errorf("granted after %v, while the first was cold", took)
--- a/integration/fleet_test.go
+++ b/integration/fleet_test.go
@@ -286,8 +286,8 @@
 		time.Sleep(50 * time.Millisecond)
 		return ended == len(f.relays)
 	})
-	a := f.release(3, "r1", rollout.Ended, rollout.Halted)
-	if a.State != rollout.Ended || a.Counts.Done != 4 {
+	a := f.release(3, "r1", rollout.ReleaseCompleted, rollout.ReleaseHalted)
+	if a.State != rollout.ReleaseCompleted || a.Counts.Done != 4 {
 		t.Fatalf("%+v", a)
 	}
 }
@@ -365,12 +365,12 @@
 	l := f.leader()
 	f.kill(l)
 	f.start(l)
-	f.release(3, "d1", rollout.Halted)
+	f.release(3, "d1", rollout.ReleaseHalted)
 	f.agreed(3, "PUT", "/-/releases/d1/resume", nil)
 	at("the drain again", 1)
 	f.agreed(3, "PUT", "/-/releases/d1/back", nil)
 	at("the way back", 0)
-	f.release(3, "d1", rollout.Undone)
+	f.release(3, "d1", rollout.ReleaseRolledBack)
 }
 
 // TestFleetApart: a relay that is cut off from the record has nothing agreed, and answers so; a ban told to it holds at it alone, and is shown
@@ -492,7 +492,7 @@
 		}
 		heed("a halt, from the call's answer", halted)
 		f.agreed(0, "PUT", "/-/releases/"+name+"/back", nil)
-		f.release(0, name, rollout.Undone)
+		f.release(0, name, rollout.ReleaseRolledBack)
 	}
 	weighed := logs("map[c1:300]")
 	f.agreed(0, "POST", "/-/canaries", map[string]any{"release": "c1", "arm": map[string]any{"members": []string{"s0"}}, "ladder": []int{300, 1000},
--- a/internal/fleet/calls.go
+++ b/internal/fleet/calls.go
@@ -110,7 +110,7 @@
 		if !take(w, r, &c) {
 			return
 		}
-		open := rollout.Command{Kind: rollout.Open, Name: c.Name, Who: c.Who, Release: &c.Wish}
+		open := rollout.Command{Kind: rollout.CommandOpen, Name: c.Name, Who: c.Who, Release: &c.Wish}
 		if c.Canary == nil {
 			s.agree(w, r, open)
 			return
@@ -129,7 +129,7 @@
 	m.HandleFunc("PUT /-/releases/{name}/{verb}", func(w http.ResponseWriter, r *http.Request) {
 		c := rollout.Command{Kind: r.PathValue("verb"), Name: r.PathValue("name"), Who: r.RemoteAddr, Why: r.URL.Query().Get("why")}
 		switch c.Kind {
-		case rollout.Halt, rollout.Resume, rollout.Back:
+		case rollout.CommandHalt, rollout.CommandResume, rollout.CommandRollBack:
 			s.agree(w, r, c)
 		default:
 			say(w, http.StatusNotFound, rollout.Answer{Error: "a release can be told to halt, resume, or go back"})
@@ -144,7 +144,7 @@
 			For  int64  `json:"for_ms"`
 		}
 		if take(w, r, &c) {
-			s.agree(w, r, rollout.Command{Kind: rollout.Ask, Thing: c.Kind, Name: c.Name, Who: c.Who, Why: c.Why, For: c.For})
+			s.agree(w, r, rollout.Command{Kind: rollout.CommandRequestPermit, Thing: c.Kind, Name: c.Name, Who: c.Who, Why: c.Why, For: c.For})
 		}
 	})
 	m.HandleFunc("PUT /-/permits/{number}/{verb}", func(w http.ResponseWriter, r *http.Request) {
@@ -152,9 +152,9 @@
 		c := rollout.Command{Number: n}
 		switch r.PathValue("verb") {
 		case "begin":
-			c.Kind = rollout.Begin
+			c.Kind = rollout.CommandBeginPermit
 		case "done":
-			c.Kind = rollout.Give
+			c.Kind = rollout.CommandReturnPermit
 		}
 		if err != nil || c.Kind == "" {
 			say(w, http.StatusNotFound, rollout.Answer{Error: "a permit's number, and begin or done"})
@@ -163,7 +163,7 @@
 		s.agree(w, r, c)
 	})
 	m.HandleFunc("PUT /-/relays/{name}/admit", func(w http.ResponseWriter, r *http.Request) {
-		s.agree(w, r, rollout.Command{Kind: rollout.Admit, Name: r.PathValue("name"), Who: r.RemoteAddr, Why: r.URL.Query().Get("why")})
+		s.agree(w, r, rollout.Command{Kind: rollout.CommandReadmit, Name: r.PathValue("name"), Who: r.RemoteAddr, Why: r.URL.Query().Get("why")})
 	})
 	m.HandleFunc("GET /-/canaries", func(w http.ResponseWriter, r *http.Request) {
 		if !s.current(w, r) {
--- a/internal/fleet/helm.go
+++ b/internal/fleet/helm.go
@@ -58,7 +58,7 @@
 	}
 	for _, a := range all {
 		if _, settled := r.intent.follows(&a); !settled && a.Wish.Kind == rollout.KindRelay && a.Wish.Program+a.Wish.Config != "" &&
-			(a.State == rollout.Ended || a.State == rollout.Undone) {
+			(a.State == rollout.ReleaseCompleted || a.State == rollout.ReleaseRolledBack) {
 			h.over = append(h.over, a)
 		}
 	}
@@ -154,7 +154,7 @@
 		old = u.unit.Program
 	}
 	switch {
-	case u.out() && (x.Program == fresh || slices.Contains(x.Refused, drift.Program)), u.unit.Phase == rollout.Done && u.unit.Got && !u.out():
+	case u.out() && (x.Program == fresh || slices.Contains(x.Refused, drift.Program)), u.unit.Phase == rollout.PhaseDone && u.unit.Got && !u.out():
 		return fresh
 	}
 	return old
@@ -192,7 +192,7 @@
 			}
 		}
 		return old
-	case u.out(), u.unit.Phase == rollout.Done && u.unit.Got:
+	case u.out(), u.unit.Phase == rollout.PhaseDone && u.unit.Got:
 		return fresh
 	}
 	return old
@@ -259,7 +259,7 @@
 			h.watch.Alive(now, r.Name, drift.Gone)
 		case x == nil || r.HeardMS > silentAfter.Milliseconds():
 			h.watch.Alive(now, r.Name, drift.Silent)
-		case r.Phase == "leaving" || r.Phase == "starting" || u.unit.Phase == rollout.Told && r.Start <= uint64(u.unit.Start):
+		case r.Phase == "leaving" || r.Phase == "starting" || u.unit.Phase == rollout.PhaseLeaving && r.Start <= uint64(u.unit.Start):
 			h.watch.Alive(now, r.Name, drift.Restarting)
 		default:
 			h.watch.Alive(now, r.Name, drift.Live)
@@ -297,7 +297,7 @@
 // gate leaves out what a release would give out while something drifts that it does not mend itself.
 func (h *helm) gate(plan []rollout.Command) (out []rollout.Command) {
 	for _, c := range plan {
-		if c.Kind == rollout.Step && len(h.blocked) > 0 {
+		if c.Kind == rollout.CommandStep && len(h.blocked) > 0 {
 			had := len(c.Gives)
 			c.Gives = slices.DeleteFunc(slices.Clone(c.Gives), func(g rollout.Gift) bool {
 				why, ok := h.blocked[g.Release]
@@ -346,7 +346,7 @@
 func (h *helm) meaning(now int64, v *rollout.View) (list []meaning) {
 	for _, a := range h.over {
 		c := meaning{Do: "adopt", Release: a.Name}
-		if a.State == rollout.Ended && a.Wish.Config != "" {
+		if a.State == rollout.ReleaseCompleted && a.Wish.Config != "" {
 			c.Items = h.sections[a.Name]
 			if c.Items == nil && slices.ContainsFunc(a.Units, func(u rollout.Unit) bool { return u.Got }) {
 				continue // until one that runs it has said so
--- a/internal/fleet/intent.go
+++ b/internal/fleet/intent.go
@@ -16,7 +16,7 @@
 const (
 	meantMost   = 48 // items, the sections of a configuration among them: the others that a relay tells fit beside them
 	formerMost  = 3  // values before the one of now, by which a relay that went back is told apart
-	meaningMost = rollout.NameMost
+	meaningMost = rollout.MaxNameBytes
 )
 
 // intent is what is meant of the things that relays run and no order says: program, and configuration by section. Decisions alone; it is
@@ -84,8 +84,8 @@
 			return refuse("%s", why)
 		}
 	}
-	if len(by) > rollout.NameMost {
-		by = by[:rollout.NameMost]
+	if len(by) > rollout.MaxNameBytes {
+		by = by[:rollout.MaxNameBytes]
 	}
 	x := &intent{Version: n.Version, Items: maps.Clone(n.Items), Of: map[string]map[string]Meant{}, Ended: map[string]ended{}}
 	if x.Items == nil {
@@ -110,7 +110,7 @@
 		}
 		e.all(c.Items, true)
 	case c.Who != "":
-		e.by = c.Who[:min(len(c.Who), rollout.NameMost)]
+		e.by = c.Who[:min(len(c.Who), rollout.MaxNameBytes)]
 		if c.Whole {
 			e.drop(c.Items)
 		}
@@ -207,7 +207,7 @@
 	switch {
 	case !ok || a.Wish.Kind != rollout.KindRelay || a.Wish.Program+a.Wish.Config == "":
 		return "no release of a program or a configuration: " + c.Release
-	case a.State == rollout.Ended && !taken:
+	case a.State == rollout.ReleaseCompleted && !taken:
 		before := map[string]string{}
 		for name, list := range e.Items {
 			if name == drift.Program && a.Wish.Program != "" || name != drift.Program && a.Wish.Config != "" {
@@ -229,7 +229,7 @@
 				}
 			}
 		}
-	case a.State == rollout.Undone && taken:
+	case a.State == rollout.ReleaseRolledBack && taken:
 		delete(e.Ended, c.Release)
 		if a.Wish.All {
 			if a.Wish.Config != "" {
@@ -265,9 +265,9 @@
 	e, ok := n.Ended[a.Name]
 	taken = ok && e.Opened == a.Opened
 	switch a.State {
-	case rollout.Ended:
+	case rollout.ReleaseCompleted:
 		return taken, taken
-	case rollout.Undone:
+	case rollout.ReleaseRolledBack:
 		return taken, !taken
 	}
 	return taken, false
@@ -322,7 +322,7 @@
 	if err := json.Unmarshal(text, n); err != nil {
 		return nil, fmt.Errorf("intent: %w", err)
 	}
-	if len(n.Items) > meantMost || len(n.Of) > drift.RelaysMost || len(n.Ended) > rollout.ReleasesMost {
+	if len(n.Items) > meantMost || len(n.Of) > drift.RelaysMost || len(n.Ended) > rollout.MaxReleases {
 		return nil, fmt.Errorf("intent: a state beyond its bounds")
 	}
 	for _, list := range n.Items {
--- a/internal/fleet/ledger.go
+++ b/internal/fleet/ledger.go
@@ -190,7 +190,7 @@
 	for _, over := range []bool{true, false} {
 		for _, a := range all {
 			taken, settled := in.follows(&a)
-			if a.Wish.Kind != rollout.KindRelay || (a.State == rollout.Ended || a.State == rollout.Undone) != over ||
+			if a.Wish.Kind != rollout.KindRelay || (a.State == rollout.ReleaseCompleted || a.State == rollout.ReleaseRolledBack) != over ||
 				over && (settled || a.Wish.Program+a.Wish.Config == "") {
 				continue
 			}
@@ -215,7 +215,7 @@
 // out says whether the relay may run either: the new thing or what it had.
 func (u *under) out() bool {
 	switch u.unit.Phase {
-	case rollout.Told, rollout.Empty, rollout.Coming, rollout.Revoked:
+	case rollout.PhaseLeaving, rollout.PhaseDrained, rollout.PhaseReplaced, rollout.PhaseRevoked:
 		return true
 	}
 	return u.unit.Stranded
@@ -224,10 +224,10 @@
 // ahead says that the release has a restart of this relay before it.
 func (u *under) ahead() bool {
 	switch {
-	case u.release.Name == "" || u.unit.Phase == rollout.Missing:
+	case u.release.Name == "" || u.unit.Phase == rollout.PhaseMissing:
 		return false
 	case u.release.Backing:
-		return u.out() || u.unit.Phase == rollout.Done && u.unit.Got
+		return u.out() || u.unit.Phase == rollout.PhaseDone && u.unit.Got
 	}
-	return u.out() || u.unit.Phase == rollout.Waiting && !u.unit.Got && u.release.State != rollout.Ended
+	return u.out() || u.unit.Phase == rollout.PhasePending && !u.unit.Got && u.release.State != rollout.ReleaseCompleted
 }
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -163,7 +163,7 @@
 }
 
 func (m *model) release(name string, w rollout.Wish) {
-	m.call(rollout.Command{Kind: rollout.Open, Name: name, Release: &w})
+	m.call(rollout.Command{Kind: rollout.CommandOpen, Name: name, Release: &w})
 }
 
 func (m *model) state(name string) string {
@@ -322,7 +322,7 @@
 // TestModelPlanted: drift of each kind is found at the leader, although another relay leads three seconds after it began, and is gone when it is mended.
 // Guards against an item that relays do not tell, that the leader does not hold them to, or that a new leader takes for right.
 func TestModelPlanted(t *testing.T) {
-	ban := func(m *model) { m.call(rollout.Command{Kind: rollout.Ban, Names: []string{"m1"}}) }
+	ban := func(m *model) { m.call(rollout.Command{Kind: rollout.CommandEject, Names: []string{"m1"}}) }
 	for _, k := range []struct {
 		item  string
 		state drift.State
@@ -361,9 +361,9 @@
 		}},
 		{drift.Permits, drift.Late, func(m *model, r *mrelay) {
 			r.frozen[drift.Permits] = true
-			m.call(rollout.Command{Kind: rollout.Ask, Thing: rollout.KindMember, Name: "m1", Who: "ann", For: 600_000})
+			m.call(rollout.Command{Kind: rollout.CommandRequestPermit, Thing: rollout.KindMember, Name: "m1", Who: "ann", For: 600_000})
 			m.play(1000, nil)
-			m.call(rollout.Command{Kind: rollout.Begin, Number: m.lead.record.rollout.Permits()[0].Number})
+			m.call(rollout.Command{Kind: rollout.CommandBeginPermit, Number: m.lead.record.rollout.Permits()[0].Number})
 		}},
 		{drift.Voters, drift.Late, func(m *model, r *mrelay) { r.frozen[drift.Voters] = true }},
 	} {
@@ -415,7 +415,7 @@
 				}
 				switch m.now - from {
 				case 12_000, 72_000: // it stands half way for long
-					m.agree(partRollout, rollout.Command{Kind: []string{rollout.Halt, rollout.Resume}[(m.now-from)/72_000], Name: name}.Encode())
+					m.agree(partRollout, rollout.Command{Kind: []string{rollout.CommandHalt, rollout.CommandResume}[(m.now-from)/72_000], Name: name}.Encode())
 				case 15_000:
 					m.leads(m.relays[(m.list+seed)%3])
 				}
@@ -432,20 +432,20 @@
 			}
 		}
 		m.release("all", rollout.Wish{Kind: rollout.KindRelay, All: true, Program: "p2", Config: "c2"})
-		through("all", rollout.Ended, "p2 c2l", "p2 c2l", "p2 c2l")
-		m.call(rollout.Command{Kind: rollout.Back, Name: "all"})
-		through("all", rollout.Undone, "p1 c1l", "p1 c1l", "p1 c1l")
+		through("all", rollout.ReleaseCompleted, "p2 c2l", "p2 c2l", "p2 c2l")
+		m.call(rollout.Command{Kind: rollout.CommandRollBack, Name: "all"})
+		through("all", rollout.ReleaseRolledBack, "p1 c1l", "p1 c1l", "p1 c1l")
 		m.release("part", rollout.Wish{Kind: rollout.KindRelay, Names: part, Program: "p3", Config: "c3"})
-		through("part", rollout.Ended, "p3 c3l", "p1 c1l", "p1 c1l")
-		m.call(rollout.Command{Kind: rollout.Back, Name: "part"})
-		through("part", rollout.Undone, "p1 c1l", "p1 c1l", "p1 c1l")
+		through("part", rollout.ReleaseCompleted, "p3 c3l", "p1 c1l", "p1 c1l")
+		m.call(rollout.Command{Kind: rollout.CommandRollBack, Name: "part"})
+		through("part", rollout.ReleaseRolledBack, "p1 c1l", "p1 c1l", "p1 c1l")
 		m.release("again", rollout.Wish{Kind: rollout.KindRelay, Names: part, Program: "p3", Config: "c3"})
-		through("again", rollout.Ended, "p3 c3l", "p1 c1l", "p1 c1l")
+		through("again", rollout.ReleaseCompleted, "p3 c3l", "p1 c1l", "p1 c1l")
 		if r := NewRecord(); r.Restore(1, m.lead.record.Snapshot()) != nil || string(r.Snapshot()) != string(m.lead.record.Snapshot()) || len(r.intent.Of) != 3 {
 			t.Fatalf("a snapshot loses some: %+v", r.intent)
 		}
 		m.release("rest", rollout.Wish{Kind: rollout.KindRelay, Names: rest, Program: "p3", Config: "c3"})
-		through("rest", rollout.Ended, "p3 c3l", "p3 c3l", "p3 c3l")
+		through("rest", rollout.ReleaseCompleted, "p3 c3l", "p3 c3l", "p3 c3l")
 		if len(m.lead.record.intent.Of) > 0 {
 			t.Fatalf("%+v", m.lead.record.intent)
 		}
@@ -480,7 +480,7 @@
 	ended := m.play(300_000, func() bool {
 		r.frozen[drift.List] = r.start == 1
 		early = early || out() && r.start == 1 && m.lead.record.rollout.Orders(r.name).Leave == nil
-		return m.state("mend") == rollout.Ended
+		return m.state("mend") == rollout.ReleaseCompleted
 	})
 	if !ended || early || !m.play(60_000, out) {
 		t.Fatalf("%s, drained early %v, %+v", m.state("mend"), early, m.helm.watch.Rows())
@@ -616,7 +616,7 @@
 			return out() == 2 && len(all) == 2 && all[0].Name != first && all[1].Name != first
 		})
 		m.release("mend", rollout.Wish{Kind: rollout.KindRelay, All: true})
-		until("mended", 600_000, func() bool { return out() >= 0 && m.state("mend") == rollout.Ended })
+		until("mended", 600_000, func() bool { return out() >= 0 && m.state("mend") == rollout.ReleaseCompleted })
 		until("let in", 60_000, func() bool { return out() == 0 })
 		first = ""
 		m.relays[5].own["limits"] = "mine"
--- a/internal/fleet/open.go
+++ b/internal/fleet/open.go
@@ -20,7 +20,7 @@
 func (r *Record) openBoth(at int64, by string, body []byte) []byte {
 	var o opening
 	var c rollout.Command
-	if json.Unmarshal(body, &o) != nil || json.Unmarshal(o.Release, &c) != nil || c.Kind != rollout.Open || c.Release == nil {
+	if json.Unmarshal(body, &o) != nil || json.Unmarshal(o.Release, &c) != nil || c.Kind != rollout.CommandOpen || c.Release == nil {
 		return refusal("malformed: a release and its canary are wanted")
 	}
 	if c.Release.Kind != rollout.KindMember || c.Release.Drain {
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -134,7 +134,7 @@
 	bans, drains := split(r.rollout.Orders("").Out)
 	var permits []string
 	for _, p := range r.rollout.Permits() {
-		if p.State == rollout.Granted || p.State == rollout.Begun {
+		if p.State == rollout.PermitGranted || p.State == rollout.PermitBegun {
 			permits = append(permits, fmt.Sprint(p.Number, p.State))
 		}
 	}
@@ -156,7 +156,7 @@
 // split parts the members that are out into those that are banned and those that drain, each in order.
 func split(out map[string]rollout.Out) (bans, drains []string) {
 	for name, o := range out {
-		if o.Why == rollout.Ban {
+		if o.Why == rollout.CommandEject {
 			bans = append(bans, name)
 		} else {
 			drains = append(drains, name)
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -53,7 +53,7 @@
 	Reached bool   // a majority stood behind it just now
 }
 
-// Service is one relay's part in the fleet. Its threads: the engine's own; words; orders; what is kept; the pilot; calls.
+// HaltServiceDegraded is one relay's part in the fleet. Its threads: the engine's own; words; orders; what is kept; the pilot; calls.
 type Service struct {
 	Options
 	record *Record
@@ -417,12 +417,12 @@
 	return a, nil
 }
 
-// Ban has a member taken out, or put back, at all relays. Done is called once, on the loop, when this relay follows it too.
+// CommandEject has a member taken out, or put back, at all relays. Done is called once, on the loop, when this relay follows it too.
 func (s *Service) Ban(member string, out bool, done func(error)) {
 	go func() {
-		c := rollout.Command{Kind: rollout.Allow, Names: []string{member}}
+		c := rollout.Command{Kind: rollout.CommandReinstate, Names: []string{member}}
 		if out {
-			c.Kind, c.Why = rollout.Ban, "an operator's call"
+			c.Kind, c.Why = rollout.CommandEject, "an operator's call"
 		}
 		a, err := s.propose(context.Background(), c)
 		if err == nil && a.Error != "" {
--- a/internal/fleet/trial.go
+++ b/internal/fleet/trial.go
@@ -33,7 +33,7 @@
 	s.judged = c
 	release, _ := s.record.rollout.Release(c.Release)
 	switch {
-	case c.Status == canary.Done, c.Status == canary.Back && (release.Name == "" || release.State == rollout.Undone || release.State == rollout.Ended):
+	case c.Status == canary.Done, c.Status == canary.Back && (release.Name == "" || release.State == rollout.ReleaseRolledBack || release.State == rollout.ReleaseCompleted):
 		return []canary.Command{{Do: "close", Release: c.Release}}
 	case c.Status != canary.Going:
 		v.Worse, v.WorseOf = cmpOr(c.Why, string(c.Status)), c.Release
@@ -67,14 +67,14 @@
 		r, ok := s.record.rollout.Release(c.Release)
 		switch {
 		case !ok || r.Backing:
-		case c.Status == canary.Back && (r.State == rollout.Halted || r.State == rollout.Running):
-			out = append(out, rollout.Command{Kind: rollout.Back, Name: r.Name, Who: "canary", Why: c.Why})
-		case c.Status != canary.Done && slices.ContainsFunc(r.Units, func(u rollout.Unit) bool { return u.Phase != rollout.Waiting }):
+		case c.Status == canary.Back && (r.State == rollout.ReleaseHalted || r.State == rollout.ReleaseRunning):
+			out = append(out, rollout.Command{Kind: rollout.CommandRollBack, Name: r.Name, Who: "canary", Why: c.Why})
+		case c.Status != canary.Done && slices.ContainsFunc(r.Units, func(u rollout.Unit) bool { return u.Phase != rollout.PhasePending }):
 			hold[c.Release] = true
 		}
 	}
 	for _, c := range plan {
-		if c.Kind == rollout.Step {
+		if c.Kind == rollout.CommandStep {
 			had := len(c.Gives)
 			c.Gives = slices.DeleteFunc(slices.Clone(c.Gives), func(g rollout.Gift) bool { return hold[g.Release] })
 			if had > 0 && len(c.Gives) == 0 {
--- a/internal/rollout/account.go
+++ b/internal/rollout/account.go
@@ -31,7 +31,7 @@
 		}
 	}
 	for _, p := range d.Permits {
-		if p.Kind == kind && (p.State == Granted || p.State == Begun) {
+		if p.Kind == kind && (p.State == PermitGranted || p.State == PermitBegun) {
 			list = append(list, Place{p.Name, p.Zone})
 		}
 	}
@@ -98,7 +98,7 @@
 	covered, coming := d.covered(KindMember), map[string]bool{}
 	for i := range d.Releases {
 		for j := range d.Releases[i].Units {
-			if u := &d.Releases[i].Units[j]; u.Phase == Coming {
+			if u := &d.Releases[i].Units[j]; u.Phase == PhaseReplaced {
 				coming[u.name()] = true
 			}
 		}
--- a/internal/rollout/api.go
+++ b/internal/rollout/api.go
@@ -5,46 +5,46 @@
 
 import "encoding/json"
 
-// ExitOrdered is the status with which a relay ends that was told to leave: its host starts it again.
-const ExitOrdered = 75
+// ExitOrderedRestart is the status with which a relay ends that was told to leave: its host starts it again.
+const ExitOrderedRestart = 75
 
 // Bounds of what is kept, whatever is asked for.
 const (
-	ReleasesMost = 16   // ended ones go first, the oldest of them
-	UnitsMost    = 2048 // over all releases
-	PermitsMost  = 256
-	BansMost     = 1024
-	NameMost     = 128 // bytes of a name, a program, a configuration
-	WhyMost      = 512
-	GivesMost    = 64 // things in one step, relays shut at one look
-	ShutsMost    = 1024
+	MaxReleases      = 16   // ended ones go first, the oldest of them
+	MaxUnits         = 2048 // over all releases
+	MaxPermits       = 256
+	MaxEjections     = 1024
+	MaxNameBytes     = 128 // bytes of a name, a program, a configuration
+	MaxReasonBytes   = 512
+	MaxGrantsPerStep = 64 // things in one step, relays shut at one look
+	MaxQuarantines   = 1024
 )
 
 // Kinds of things.
 const (
-	KindRelay  = "relay"
-	KindMember = "member"
-	KindBan    = "ban" // a member that a release bans
-	KindAllow  = "allow"
+	KindRelay     = "relay"
+	KindMember    = "member"
+	KindEject     = "ban" // a member that a release bans
+	KindReinstate = "allow"
 )
 
 // Kinds of commands. Those of operators and askers first, then the pilot's.
 const (
-	Open   = "open"   // a release or a drain: Name, Release
-	Ask    = "ask"    // a permit: Kind is of the thing; Name, Why, Who, For
-	Begin  = "begin"  // Number: the asker is about to take the thing down
-	Give   = "give"   // Number: the asker is done, or will not
-	Halt   = "halt"   // Name, Why
-	Resume = "resume" // Name
-	Back   = "back"   // Name
-	Ban    = "ban"    // Names, Why
-	Allow  = "allow"  // Names
-	Lay    = "lay"    // Name, Units: a release's things, in order, as they were before
-	Step   = "step"   // Gives, Base, Sight: what goes out now, permits among them
-	Seen   = "seen"   // Saw: units and permits that were seen further by others
-	Void   = "void"   // Numbers: permits not begun in time, askers gone
-	Shut   = "shut"   // Name, Why, Zone, Bears, Start, Base, Sight: a relay that drifted is to take no client
-	Admit  = "admit"  // Name, Why: it may take clients again. By the pilot with Cause and Base; an operator's stands above the drift
+	CommandOpen          = "open"   // a release or a drain: Name, Release
+	CommandRequestPermit = "ask"    // a permit: Kind is of the thing; Name, Why, Who, For
+	CommandBeginPermit   = "begin"  // Number: the asker is about to take the thing down
+	CommandReturnPermit  = "give"   // Number: the asker is done, or will not
+	CommandHalt          = "halt"   // Name, Why
+	CommandResume        = "resume" // Name
+	CommandRollBack      = "back"   // Name
+	CommandEject         = "ban"    // Names, Why
+	CommandReinstate     = "allow"  // Names
+	CommandSetUnits      = "lay"    // Name, Units: a release's things, in order, as they were before
+	CommandStep          = "step"   // Gives, Base, Sight: what goes out now, permits among them
+	CommandObserve       = "seen"   // Saw: units and permits that were seen further by others
+	CommandExpirePermits = "void"   // Numbers: permits not begun in time, askers gone
+	CommandQuarantine    = "shut"   // Name, Why, Zone, Bears, Start, Base, Sight: a relay that drifted is to take no client
+	CommandReadmit       = "admit"  // Name, Why: it may take clients again. By the pilot with Cause and Base; an operator's stands above the drift
 )
 
 // Command is the body of a command, one struct for all kinds.
@@ -98,13 +98,13 @@
 
 // Phases of a unit.
 const (
-	Waiting = ""       // not touched, or as it was
-	Told    = "out"    // told to leave
-	Empty   = "empty"  // a member that no relay holds a flow at: its owner may replace it
-	Coming  = "coming" // replaced, not yet in full service
-	Revoked = "revoked"
-	Done    = "done"
-	Missing = "missing" // was not there any more
+	PhasePending  = ""       // not touched, or as it was
+	PhaseLeaving  = "out"    // told to leave
+	PhaseDrained  = "empty"  // a member that no relay holds a flow at: its owner may replace it
+	PhaseReplaced = "coming" // replaced, not yet in full service
+	PhaseRevoked  = "revoked"
+	PhaseDone     = "done"
+	PhaseMissing  = "missing" // was not there any more
 )
 
 // Unit is one thing of a release.
@@ -181,7 +181,7 @@
 	Back   bool   `json:"back,omitempty"`   // it serves: kept for Let alone
 }
 
-// Leave is the order to drain, move the clients and end with ExitOrdered.
+// Leave is the order to drain, move the clients and end with ExitOrderedRestart.
 type Leave struct {
 	Number  uint64 `json:"number"`
 	Release string `json:"release"`
@@ -312,23 +312,23 @@
 
 // States of a release.
 const (
-	Queued  = "queued" // behind another, or not yet laid out
-	Running = "running"
-	Halted  = "halted"
-	Backing = "backing"
-	Ended   = "done"
-	Undone  = "back"
+	ReleaseQueued      = "queued" // behind another, or not yet laid out
+	ReleaseRunning     = "running"
+	ReleaseHalted      = "halted"
+	ReleaseRollingBack = "backing"
+	ReleaseCompleted   = "done"
+	ReleaseRolledBack  = "back"
 )
 
 // Causes of a halt.
 const (
-	ByOperator = "operator"
-	Verdict    = "verdict"
-	Overdrawn  = "overdrawn"
-	Overdue    = "overdue"
-	Service    = "service"
-	Drifted    = "drift"
-	Stalled    = "stalled"
+	HaltByOperator      = "operator"
+	HaltVerdict         = "verdict"
+	HaltOverBudget      = "overdrawn"
+	HaltOverdue         = "overdue"
+	HaltServiceDegraded = "service"
+	HaltDrift           = "drift"
+	HaltStalled         = "stalled"
 )
 
 // Account is a release as operators are shown it.
@@ -365,9 +365,9 @@
 
 // Permits' states.
 const (
-	Wait    = "wait"
-	Granted = "granted"
-	Begun   = "begun"
+	PermitWaiting = "wait"
+	PermitGranted = "granted"
+	PermitBegun   = "begun"
 )
 
 // Answer is what Apply says. Error alone means that nothing changed.
--- a/internal/rollout/apply.go
+++ b/internal/rollout/apply.go
@@ -24,7 +24,7 @@
 	if err := json.Unmarshal(body, &c); err != nil {
 		a = refuse("no command: %v", err)
 	} else {
-		a = s.d.apply(max(at, s.d.At), cut(by, NameMost), &c)
+		a = s.d.apply(max(at, s.d.At), cut(by, MaxNameBytes), &c)
 	}
 	b, err := json.Marshal(a)
 	if err != nil {
@@ -44,36 +44,36 @@
 
 // apply checks all before it changes anything.
 func (d *data) apply(at int64, by string, c *Command) Answer {
-	c.Why, c.Who = cut(c.Why, WhyMost), cmp.Or(cut(c.Who, NameMost), by)
-	if len(c.Name) > NameMost {
-		return refuse("a name of over %d bytes", NameMost)
+	c.Why, c.Who = cut(c.Why, MaxReasonBytes), cmp.Or(cut(c.Who, MaxNameBytes), by)
+	if len(c.Name) > MaxNameBytes {
+		return refuse("a name of over %d bytes", MaxNameBytes)
 	}
 	var a Answer
 	switch c.Kind {
-	case Open:
+	case CommandOpen:
 		a = d.open(at, c)
-	case Ask:
+	case CommandRequestPermit:
 		a = d.ask(at, c)
-	case Begin, Give:
+	case CommandBeginPermit, CommandReturnPermit:
 		a = d.begin(at, c)
-	case Halt, Resume, Back:
+	case CommandHalt, CommandResume, CommandRollBack:
 		a = d.steer(at, by, c)
-	case Ban, Allow:
+	case CommandEject, CommandReinstate:
 		a = d.ban(at, c)
-	case Lay:
+	case CommandSetUnits:
 		a = d.lay(at, c)
-	case Step:
+	case CommandStep:
 		a = d.step(at, c)
-	case Seen:
+	case CommandObserve:
 		a = d.seen(at, c)
-	case Void:
+	case CommandExpirePermits:
 		a = d.void(at, c)
-	case Shut:
+	case CommandQuarantine:
 		a = d.shut(at, c)
-	case Admit:
+	case CommandReadmit:
 		a = d.admit(c)
 	default:
-		a = refuse("no such command: %q", cut(c.Kind, NameMost))
+		a = refuse("no such command: %q", cut(c.Kind, MaxNameBytes))
 	}
 	if a.Error == "" {
 		d.At = at
@@ -105,24 +105,24 @@
 		return refuse("release %q touches the same things", behind)
 	}
 	drop := -1
-	if len(d.Releases) >= ReleasesMost {
+	if len(d.Releases) >= MaxReleases {
 		drop = slices.IndexFunc(d.Releases, func(r release) bool {
 			return r.ended() && !slices.ContainsFunc(r.Units, func(u Unit) bool { return u.isOut() })
 		})
 		if drop < 0 {
-			return refuse("%d releases are open or still hold something out", ReleasesMost)
+			return refuse("%d releases are open or still hold something out", MaxReleases)
 		}
 		d.Releases = slices.Delete(d.Releases, drop, drop+1)
 	}
-	d.Releases = append(d.Releases, release{Account: Account{Name: c.Name, State: Queued, Wish: *w, By: c.Who, Opened: at, Behind: behind}, Moved: at})
+	d.Releases = append(d.Releases, release{Account: Account{Name: c.Name, State: ReleaseQueued, Wish: *w, By: c.Who, Opened: at, Behind: behind}, Moved: at})
 	d.Version++
-	return Answer{Name: c.Name, State: Queued, Why: behind}
+	return Answer{Name: c.Name, State: ReleaseQueued, Why: behind}
 }
 
 // wrong says what cannot be released.
 func (w *Wish) wrong() string {
 	named := len(w.Names)
-	if w.Kind == KindBan {
+	if w.Kind == KindEject {
 		if named+len(w.Zones) > 0 || w.All || w.Drain {
 			return "a change of bans names them in ban and allow alone"
 		}
@@ -131,25 +131,25 @@
 		return "ban and allow are of a change of bans"
 	}
 	switch {
-	case w.Kind != KindRelay && w.Kind != KindMember && w.Kind != KindBan:
+	case w.Kind != KindRelay && w.Kind != KindMember && w.Kind != KindEject:
 		return "a release is of relays, members or bans"
 	case named == 0 && len(w.Zones) == 0 && !w.All:
 		return "it names nothing"
-	case named+len(w.Zones) > UnitsMost:
-		return fmt.Sprintf("over %d things", UnitsMost)
-	case len(w.Program) > NameMost || len(w.Config) > NameMost:
-		return fmt.Sprintf("a version of over %d bytes", NameMost)
+	case named+len(w.Zones) > MaxUnits:
+		return fmt.Sprintf("over %d things", MaxUnits)
+	case len(w.Program) > MaxNameBytes || len(w.Config) > MaxNameBytes:
+		return fmt.Sprintf("a version of over %d bytes", MaxNameBytes)
 	}
 	all := slices.Concat(w.Names, w.Ban, w.Allow)
 	slices.Sort(all)
 	for i, n := range all {
-		if n == "" || len(n) > NameMost || i > 0 && all[i-1] == n {
-			return fmt.Sprintf("%q is no name, or stands twice", cut(n, NameMost))
+		if n == "" || len(n) > MaxNameBytes || i > 0 && all[i-1] == n {
+			return fmt.Sprintf("%q is no name, or stands twice", cut(n, MaxNameBytes))
 		}
 	}
 	for _, z := range w.Zones {
-		if len(z) > NameMost {
-			return fmt.Sprintf("a zone of over %d bytes", NameMost)
+		if len(z) > MaxNameBytes {
+			return fmt.Sprintf("a zone of over %d bytes", MaxNameBytes)
 		}
 	}
 	return ""
@@ -166,25 +166,25 @@
 			continue
 		}
 		if p.Who != c.Who {
-			return Answer{State: Wait, Again: againAfter, Why: fmt.Sprintf("%s holds permit %d for it", p.Who, p.Number)}
+			return Answer{State: PermitWaiting, Again: againAfter, Why: fmt.Sprintf("%s holds permit %d for it", p.Who, p.Number)}
 		}
 		a := Answer{State: p.State, Number: p.Number}
 		switch {
-		case p.State == Wait:
+		case p.State == PermitWaiting:
 			p.Asked, a.Again, a.Why = at, againAfter, d.waits(p)
-		case p.State == Granted && at < p.At+p.Window:
+		case p.State == PermitGranted && at < p.At+p.Window:
 			a.Left = p.At + p.Window - at
-		case p.State == Granted: // about to be void
-			a.State, a.Again, a.Why = Wait, againAfter, "it was not begun in time"
+		case p.State == PermitGranted: // about to be void
+			a.State, a.Again, a.Why = PermitWaiting, againAfter, "it was not begun in time"
 		}
 		return a
 	}
-	if len(d.Permits) >= PermitsMost {
-		return refuse("%d permits are asked for or in force", PermitsMost)
+	if len(d.Permits) >= MaxPermits {
+		return refuse("%d permits are asked for or in force", MaxPermits)
 	}
 	d.Number++
-	d.Permits = append(d.Permits, Pass{Number: d.Number, Kind: c.Thing, Name: c.Name, Who: c.Who, Why: c.Why, For: c.For, State: Wait, Asked: at})
-	return Answer{State: Wait, Number: d.Number, Again: againAfter, Why: d.waits(&d.Permits[len(d.Permits)-1])}
+	d.Permits = append(d.Permits, Pass{Number: d.Number, Kind: c.Thing, Name: c.Name, Who: c.Who, Why: c.Why, For: c.For, State: PermitWaiting, Asked: at})
+	return Answer{State: PermitWaiting, Number: d.Number, Again: againAfter, Why: d.waits(&d.Permits[len(d.Permits)-1])}
 }
 
 // waits says why a permit waits, as far as the record knows: who is out by plan, and who waits before it.
@@ -197,7 +197,7 @@
 	}
 	before := 0
 	for i := range d.Permits {
-		if x := &d.Permits[i]; x.State == Wait && x.Kind == p.Kind && x.Number < p.Number {
+		if x := &d.Permits[i]; x.State == PermitWaiting && x.Kind == p.Kind && x.Number < p.Number {
 			before++
 		}
 	}
@@ -211,20 +211,20 @@
 		return refuse("there is no permit %d, or no more", c.Number)
 	}
 	switch {
-	case c.Kind == Give && p.State == Begun && p.Given > 0:
+	case c.Kind == CommandReturnPermit && p.State == PermitBegun && p.Given > 0:
 		return Answer{Number: p.Number, State: p.State}
-	case c.Kind == Give && p.State == Begun:
+	case c.Kind == CommandReturnPermit && p.State == PermitBegun:
 		p.Given = at
-	case c.Kind == Give:
+	case c.Kind == CommandReturnPermit:
 		d.Permits = slices.DeleteFunc(d.Permits, func(p Pass) bool { return p.Number == c.Number })
 		d.Version++
 		return Answer{Number: c.Number, State: "given"}
-	case p.State == Wait:
+	case p.State == PermitWaiting:
 		return refuse("permit %d is not granted", c.Number)
-	case p.State == Granted && at > p.Until:
+	case p.State == PermitGranted && at > p.Until:
 		return refuse("permit %d was not begun in time", c.Number)
-	case p.State == Granted:
-		p.State, p.At, p.Until = Begun, at, at+stretch(p.Window, p.Clock)
+	case p.State == PermitGranted:
+		p.State, p.At, p.Until = PermitBegun, at, at+stretch(p.Window, p.Clock)
 	}
 	d.Version++
 	return Answer{Number: p.Number, State: p.State}
@@ -236,32 +236,32 @@
 // steer halts a release, resumes it or sends it back.
 func (d *data) steer(at int64, by string, c *Command) Answer {
 	r := d.release(c.Name)
-	itself := c.Cause != "" && c.Cause != ByOperator
+	itself := c.Cause != "" && c.Cause != HaltByOperator
 	switch {
 	case r == nil:
 		return refuse("there is no release %q", c.Name)
 	case itself && c.Base != d.Version:
 		return refuse("it was reckoned from version %d, this is %d", c.Base, d.Version)
-	case c.Kind != Back && r.ended():
+	case c.Kind != CommandRollBack && r.ended():
 		return refuse("release %q has ended", c.Name)
-	case c.Kind == Back && r.ended() && !r.Wish.Drain && r.Wish.Kind != KindBan && d.inTheWay(r) != "":
+	case c.Kind == CommandRollBack && r.ended() && !r.Wish.Drain && r.Wish.Kind != KindEject && d.inTheWay(r) != "":
 		return refuse("release %q touches the same things, and is not through", d.inTheWay(r))
 	}
 	switch c.Kind {
-	case Halt:
-		if r.Halt != nil && (r.Halt.Stays || itself && c.Cause != Verdict) {
+	case CommandHalt:
+		if r.Halt != nil && (r.Halt.Stays || itself && c.Cause != HaltVerdict) {
 			return refuse("release %q is halted: %s %s", c.Name, r.Halt.Cause, r.Halt.Why)
 		}
 		again := slices.Contains(r.Causes, c.Cause)
 		if itself && !again && len(r.Causes) < 8 {
-			r.Causes = append(r.Causes, cut(c.Cause, NameMost))
+			r.Causes = append(r.Causes, cut(c.Cause, MaxNameBytes))
 		}
-		r.Halt = &Stop{Cause: cut(cmp.Or(c.Cause, ByOperator), NameMost), Why: c.Why, By: c.Who, At: at}
-		r.Halt.Stays = !itself || c.Cause == Verdict || again && (c.Cause == Service || c.Cause == Overdue)
-		r.State = Halted
+		r.Halt = &Stop{Cause: cut(cmp.Or(c.Cause, HaltByOperator), MaxNameBytes), Why: c.Why, By: c.Who, At: at}
+		r.Halt.Stays = !itself || c.Cause == HaltVerdict || again && (c.Cause == HaltServiceDegraded || c.Cause == HaltOverdue)
+		r.State = ReleaseHalted
 		d.Version++
 		r.revoke(d.Version)
-	case Resume:
+	case CommandResume:
 		if r.Halt == nil {
 			return refuse("release %q is not halted", c.Name)
 		}
@@ -271,7 +271,7 @@
 		r.Halt, r.Resumed, r.Moved = nil, at, at
 		r.State = r.going()
 		d.Version++
-	case Back:
+	case CommandRollBack:
 		r.Halt, r.Resumed, r.Moved, r.Backing, r.Ended = nil, at, at, true, 0
 		r.State = r.going()
 		d.Version++
@@ -298,66 +298,66 @@
 func (r *release) going() string {
 	switch {
 	case r.Backing:
-		return Backing
+		return ReleaseRollingBack
 	case !r.Laid:
-		return Queued
+		return ReleaseQueued
 	}
-	return Running
+	return ReleaseRunning
 }
 
 // takeBack ends the drain of a member that was to stay out.
 func (u *Unit) takeBack(r *release, version uint64) bool {
-	if !r.Wish.Drain || u.Kind != KindMember || u.Phase == Waiting || u.Phase == Revoked || u.Phase == Missing {
+	if !r.Wish.Drain || u.Kind != KindMember || u.Phase == PhasePending || u.Phase == PhaseRevoked || u.Phase == PhaseMissing {
 		return false
 	}
-	if u.Phase == Done { // it is not even there
-		u.Phase, u.Got = Waiting, false
+	if u.Phase == PhaseDone { // it is not even there
+		u.Phase, u.Got = PhasePending, false
 		return true
 	}
-	u.Phase, u.Order = Revoked, version
+	u.Phase, u.Order = PhaseRevoked, version
 	return true
 }
 
 // revoke takes back what can be: a relay that has not begun to end, a member that is not empty. They count as out until they are seen.
 func (r *release) revoke(version uint64) {
 	for i := range r.Units {
-		if u := &r.Units[i]; u.Phase == Told && (u.Kind == KindRelay || u.Kind == KindMember) {
+		if u := &r.Units[i]; u.Phase == PhaseLeaving && (u.Kind == KindRelay || u.Kind == KindMember) {
 			if planted == "half forgotten" && r.Backing {
-				u.Phase, u.Undo = Waiting, false
+				u.Phase, u.Undo = PhasePending, false
 				continue
 			}
-			u.Phase, u.Order = Revoked, version
+			u.Phase, u.Order = PhaseRevoked, version
 		}
 	}
 }
 
 // ban and allow by operators need no budget: they are not held back, and what is banned counts as lost.
 func (d *data) ban(at int64, c *Command) Answer {
-	if len(c.Names) == 0 || len(c.Names) > BansMost {
-		return refuse("no names, or over %d", BansMost)
+	if len(c.Names) == 0 || len(c.Names) > MaxEjections {
+		return refuse("no names, or over %d", MaxEjections)
 	}
 	for _, n := range c.Names {
-		if n == "" || len(n) > NameMost {
-			return refuse("%q is no name", cut(n, NameMost))
+		if n == "" || len(n) > MaxNameBytes {
+			return refuse("%q is no name", cut(n, MaxNameBytes))
 		}
 	}
-	if c.Kind == Ban && len(d.Bans)+len(c.Names) > BansMost {
-		return refuse("over %d bans", BansMost)
+	if c.Kind == CommandEject && len(d.Bans)+len(c.Names) > MaxEjections {
+		return refuse("over %d bans", MaxEjections)
 	}
 	changed := false
 	for _, n := range c.Names {
-		changed = d.setBan(at, n, c.Why, c.Who, c.Kind == Ban) || changed
+		changed = d.setBan(at, n, c.Why, c.Who, c.Kind == CommandEject) || changed
 		for i := range d.Releases {
 			r := &d.Releases[i]
 			for j := range r.Units {
 				u := &r.Units[j]
 				switch {
-				case c.Kind != Allow || u.name() != n:
+				case c.Kind != CommandReinstate || u.name() != n:
 				case u.takeBack(r, d.Version+1):
 					r.Backing, r.Resumed, r.Moved, r.Ended, r.Halt, changed = true, at, at, 0, nil, true
 					r.State = r.going()
 				case u.Stranded && u.Kind == KindMember && r.ended() && u.isOut(): // an operator takes it as it is: nothing else ever might
-					u.Phase, changed = Missing, true
+					u.Phase, changed = PhaseMissing, true
 				}
 			}
 		}
@@ -385,21 +385,21 @@
 // lay fixes a release's things, their order, and how they were before.
 func (d *data) lay(at int64, c *Command) Answer {
 	r := d.release(c.Name)
-	if r == nil || r.Laid || r.State != Queued || r.Behind != "" {
+	if r == nil || r.Laid || r.State != ReleaseQueued || r.Behind != "" {
 		return refuse("release %q is not to be laid out", c.Name)
 	}
 	total := len(c.Units)
 	for i := range d.Releases {
 		total += len(d.Releases[i].Units)
 	}
-	if total > UnitsMost || len(c.Before) > countsMost {
-		return refuse("over %d things in all, or %d windows", UnitsMost, countsMost)
+	if total > MaxUnits || len(c.Before) > countsMost {
+		return refuse("over %d things in all, or %d windows", MaxUnits, countsMost)
 	}
 	names := map[string]bool{}
 	for _, u := range c.Units {
-		fits := u.Kind == r.Wish.Kind || r.Wish.Kind == KindBan && u.Kind == KindAllow
-		if u.Name == "" || max(len(u.Name), len(u.Zone), len(u.Program), len(u.Config)) > NameMost || names[u.Name] || !fits {
-			return refuse("unit %q is no thing of this release, or stands twice", cut(u.Name, NameMost))
+		fits := u.Kind == r.Wish.Kind || r.Wish.Kind == KindEject && u.Kind == KindReinstate
+		if u.Name == "" || max(len(u.Name), len(u.Zone), len(u.Program), len(u.Config)) > MaxNameBytes || names[u.Name] || !fits {
+			return refuse("unit %q is no thing of this release, or stands twice", cut(u.Name, MaxNameBytes))
 		}
 		names[u.Name] = true
 	}
@@ -410,15 +410,15 @@
 	}
 	for _, u := range c.Units {
 		_, banned := d.banned(u.Name)
-		phase := Waiting
-		if u.Phase == Missing {
-			phase = Missing
+		phase := PhasePending
+		if u.Phase == PhaseMissing {
+			phase = PhaseMissing
 		}
 		r.Units = append(r.Units, Unit{Name: u.Name, Zone: u.Zone, Kind: u.Kind, Size: u.Size, Program: u.Program, Config: u.Config,
 			Banned: banned, Phase: phase})
 	}
 	r.Asked, r.Served, r.Spread = before(c.Before)
-	r.Laid, r.Since, r.Moved, r.State = true, at, at, Running
+	r.Laid, r.Since, r.Moved, r.State = true, at, at, ReleaseRunning
 	d.Version++
 	return Answer{Name: r.Name, State: r.State}
 }
@@ -439,8 +439,8 @@
 
 // step gives things out: all of it, or nothing.
 func (d *data) step(at int64, c *Command) Answer {
-	if c.Sight == nil || len(c.Gives) == 0 || len(c.Gives) > GivesMost {
-		return refuse("a step names one to %d things, and what it was reckoned from", GivesMost)
+	if c.Sight == nil || len(c.Gives) == 0 || len(c.Gives) > MaxGrantsPerStep {
+		return refuse("a step names one to %d things, and what it was reckoned from", MaxGrantsPerStep)
 	}
 	if why := d.stale(at, c); why != "" {
 		return refuse("%s", why)
@@ -448,27 +448,27 @@
 	v, b := c.Sight, c.Sight.Budgets
 	rooms := map[string]*room{KindRelay: d.room(KindRelay, v.Relays, b), KindMember: d.room(KindMember, v.Members, b)}
 	for _, g := range c.Gives {
-		if len(g.Zone) > NameMost {
-			return refuse("a zone of over %d bytes", NameMost)
+		if len(g.Zone) > MaxNameBytes {
+			return refuse("a zone of over %d bytes", MaxNameBytes)
 		}
 		kind, name, zone := "", "", g.Zone
 		if g.Permit != 0 {
 			p := d.permit(g.Permit)
-			if p == nil || p.State != Wait {
+			if p == nil || p.State != PermitWaiting {
 				return refuse("permit %d does not wait", g.Permit)
 			}
 			kind, name = p.Kind, p.Name
 		} else {
 			r := d.release(g.Release)
 			if r == nil || r.unit(g.Unit) == nil {
-				return refuse("no unit %q of release %q", cut(g.Unit, NameMost), cut(g.Release, NameMost))
+				return refuse("no unit %q of release %q", cut(g.Unit, MaxNameBytes), cut(g.Release, MaxNameBytes))
 			}
 			u := r.unit(g.Unit)
 			if !r.may(u) {
 				return refuse("unit %q of release %q may not go out now", u.Name, r.Name)
 			}
 			if u.bans() != 0 {
-				kind = KindBan
+				kind = KindEject
 			}
 			kind, name, zone = cmp.Or(kind, u.Kind), u.name(), u.Zone
 			if u.bans() < 0 {
@@ -478,14 +478,14 @@
 		if why := rooms[side(kind)].take(name, zone, g.Bears); why != "" {
 			return refuse("%s", why)
 		}
-		if kind == KindBan && len(d.Bans)+len(c.Gives) > BansMost {
-			return refuse("over %d bans", BansMost)
+		if kind == KindEject && len(d.Bans)+len(c.Gives) > MaxEjections {
+			return refuse("over %d bans", MaxEjections)
 		}
 	}
 	d.Version++
 	for _, g := range c.Gives {
 		if p := d.permit(g.Permit); p != nil {
-			p.State, p.At, p.Window, p.Until, p.Clock, p.Zone = Granted, at, b.Window,
+			p.State, p.At, p.Window, p.Until, p.Clock, p.Zone = PermitGranted, at, b.Window,
 				at+stretch(b.Window, b.Clock), b.Clock, g.Zone
 			continue
 		}
@@ -493,7 +493,7 @@
 		u := r.unit(g.Unit)
 		d.Number++
 		u.Undo = u.Got
-		u.Phase, u.Number, u.Order, u.At, u.Start, u.MoveOver = Told, d.Number, d.Version, at, g.Start, g.MoveOver
+		u.Phase, u.Number, u.Order, u.At, u.Start, u.MoveOver = PhaseLeaving, d.Number, d.Version, at, g.Start, g.MoveOver
 		if ban := u.bans(); ban != 0 {
 			d.setBan(at, u.Name, "release "+r.Name, r.By, ban > 0)
 		}
@@ -505,10 +505,10 @@
 // may says whether a unit may be given out: the new thing, or back what it had.
 func (r *release) may(u *Unit) bool {
 	switch r.State {
-	case Running:
-		return u.Phase == Waiting && !u.Got
-	case Backing:
-		return u.Phase == Done && r.undoable(u)
+	case ReleaseRunning:
+		return u.Phase == PhasePending && !u.Got
+	case ReleaseRollingBack:
+		return u.Phase == PhaseDone && r.undoable(u)
 	}
 	return false
 }
@@ -516,9 +516,9 @@
 // bans says what giving the unit out does to the bans: 1 sets, -1 lifts. Its undoing is the reverse.
 func (u *Unit) bans() int {
 	switch {
-	case u.Kind == KindBan && !u.Got, u.Kind == KindAllow && u.Got:
+	case u.Kind == KindEject && !u.Got, u.Kind == KindReinstate && u.Got:
 		return 1
-	case u.Kind == KindAllow, u.Kind == KindBan:
+	case u.Kind == KindReinstate, u.Kind == KindEject:
 		return -1
 	}
 	return 0
@@ -526,12 +526,12 @@
 
 // seen takes over what others saw. What does not fit the state any more is left aside.
 func (d *data) seen(at int64, c *Command) Answer {
-	if len(c.Saw) > UnitsMost+PermitsMost {
-		return refuse("over %d sights", UnitsMost+PermitsMost)
+	if len(c.Saw) > MaxUnits+MaxPermits {
+		return refuse("over %d sights", MaxUnits+MaxPermits)
 	}
 	changed := false
 	for _, s := range c.Saw {
-		if max(len(s.Now), len(s.Zone)) > NameMost {
+		if max(len(s.Now), len(s.Zone)) > MaxNameBytes {
 			continue
 		}
 		if s.Shut != 0 {
@@ -539,7 +539,7 @@
 			continue
 		}
 		if p := d.permit(s.Permit); s.Permit != 0 {
-			if p != nil && p.State == Begun {
+			if p != nil && p.State == PermitBegun {
 				d.Permits = slices.DeleteFunc(d.Permits, func(p Pass) bool { return p.Number == s.Permit })
 				changed = true
 			}
@@ -567,38 +567,38 @@
 	next := d.Version + 1
 	switch {
 	case s.Strand:
-		if !r.Backing || u.Stranded || !u.isOut() && !(u.Phase == Done && r.undoable(u)) {
+		if !r.Backing || u.Stranded || !u.isOut() && !(u.Phase == PhaseDone && r.undoable(u)) {
 			return false
 		}
 		u.Stranded = true
-		if u.Phase == Told {
-			u.Phase, u.Order = Revoked, next
-		}
-	case s.Phase == Missing && (u.Phase == Waiting || u.Stranded && u.isOut() && r.ended()):
-		u.Phase = Missing
-	case s.Phase == Empty && u.Kind == KindMember && (u.Phase == Told || u.Phase == Done && r.Wish.Drain):
-		u.Phase, u.Start = Empty, s.Start
-	case s.Phase == Coming && u.Kind == KindMember && (u.Phase == Empty || u.Phase == Revoked || u.Phase == Coming && u.name() != cmp.Or(s.Now, u.Name)) && !r.Wish.Drain:
-		u.Phase, u.Order, u.Now, u.Zone = Coming, next, s.Now, s.Zone
+		if u.Phase == PhaseLeaving {
+			u.Phase, u.Order = PhaseRevoked, next
+		}
+	case s.Phase == PhaseMissing && (u.Phase == PhasePending || u.Stranded && u.isOut() && r.ended()):
+		u.Phase = PhaseMissing
+	case s.Phase == PhaseDrained && u.Kind == KindMember && (u.Phase == PhaseLeaving || u.Phase == PhaseDone && r.Wish.Drain):
+		u.Phase, u.Start = PhaseDrained, s.Start
+	case s.Phase == PhaseReplaced && u.Kind == KindMember && (u.Phase == PhaseDrained || u.Phase == PhaseRevoked || u.Phase == PhaseReplaced && u.name() != cmp.Or(s.Now, u.Name)) && !r.Wish.Drain:
+		u.Phase, u.Order, u.Now, u.Zone = PhaseReplaced, next, s.Now, s.Zone
 		if u.Now == u.Name {
 			u.Now = ""
 		}
-	case s.Phase == Done && u.isOut():
-		if u.Phase != Revoked && !u.Stranded && !r.Wish.Drain {
+	case s.Phase == PhaseDone && u.isOut():
+		if u.Phase != PhaseRevoked && !u.Stranded && !r.Wish.Drain {
 			d.note(u.Kind, at-u.At)
 		}
-		u.Phase, u.Got = Done, !r.Wish.Drain
+		u.Phase, u.Got = PhaseDone, !r.Wish.Drain
 		if u.Undo {
-			u.Phase, u.Got = Waiting, false
+			u.Phase, u.Got = PhasePending, false
 		}
 		u.Undo, u.Stranded, u.Order = false, false, next
-	case s.Phase == Waiting && (u.Phase == Revoked || u.Phase == Coming && !u.Undo):
-		u.Phase = Waiting
+	case s.Phase == PhasePending && (u.Phase == PhaseRevoked || u.Phase == PhaseReplaced && !u.Undo):
+		u.Phase = PhasePending
 		if u.Got {
-			u.Phase = Done
+			u.Phase = PhaseDone
 		}
 		u.Undo, u.Stranded, u.Order = false, false, next
-	case s.Phase == Waiting && u.Phase == Done && u.Stranded: // it is there again, to be undone after all
+	case s.Phase == PhasePending && u.Phase == PhaseDone && u.Stranded: // it is there again, to be undone after all
 		u.Stranded = false
 	default:
 		return false
@@ -611,7 +611,7 @@
 	switch kind {
 	case KindRelay:
 		list = &d.Relays
-	case KindBan, KindAllow:
+	case KindEject, KindReinstate:
 		return
 	}
 	*list = append(*list, max(took, 0))
@@ -632,12 +632,12 @@
 }
 
 func (p *Pass) void(at int64) bool {
-	return p.State == Granted && at > p.Until || p.State == Wait && at-p.Asked > staleAfter
+	return p.State == PermitGranted && at > p.Until || p.State == PermitWaiting && at-p.Asked > staleAfter
 }
 
 // shut takes a relay that drifted out of the service, within the budget: drift at half of the fleet must not empty it.
 func (d *data) shut(at int64, c *Command) Answer {
-	if c.Sight == nil || c.Name == "" || len(c.Zone) > NameMost {
+	if c.Sight == nil || c.Name == "" || len(c.Zone) > MaxNameBytes {
 		return refuse("who is shut has a name and a zone, and what it was reckoned from")
 	}
 	if why := d.stale(at, c); why != "" {
@@ -649,8 +649,8 @@
 		return refuse("%s is shut", s.Name)
 	case s != nil && s.Let:
 		return refuse("an operator admitted %s as it is", s.Name)
-	case s == nil && len(d.Shuts) >= ShutsMost:
-		return refuse("%d relays are shut", ShutsMost)
+	case s == nil && len(d.Shuts) >= MaxQuarantines:
+		return refuse("%d relays are shut", MaxQuarantines)
 	}
 	if why := d.room(KindRelay, c.Sight.Relays, c.Sight.Budgets).shut(c.Name, c.Zone, c.Bears); why != "" {
 		return refuse("%s", why)
@@ -659,7 +659,7 @@
 	d.Number++
 	d.Shuts = slices.DeleteFunc(d.Shuts, func(x Shutting) bool { return x.Name == c.Name })
 	d.Shuts = append(d.Shuts, Shutting{Name: c.Name, Zone: c.Zone, Why: c.Why, Since: at, Start: c.Start, Number: d.Number})
-	return Answer{Name: c.Name, State: Shut, Number: d.Number}
+	return Answer{Name: c.Name, State: CommandQuarantine, Number: d.Number}
 }
 
 // admit lets a relay serve again. It counts as out until it is seen to.
@@ -673,7 +673,7 @@
 	}
 	d.Version++
 	s.Opened, s.Let = cmp.Or(s.Opened, d.Version), !itself
-	return Answer{Name: s.Name, State: Admit}
+	return Answer{Name: s.Name, State: CommandReadmit}
 }
 
 // opened takes over that one that was admitted serves, or is nothing to be spoken of any more.
@@ -682,9 +682,9 @@
 	switch {
 	case i < 0:
 		return false
-	case saw.Phase == Missing || saw.Phase == Done && !d.Shuts[i].Let:
+	case saw.Phase == PhaseMissing || saw.Phase == PhaseDone && !d.Shuts[i].Let:
 		d.Shuts = slices.Delete(d.Shuts, i, i+1)
-	case saw.Phase == Done && !d.Shuts[i].Back:
+	case saw.Phase == PhaseDone && !d.Shuts[i].Back:
 		d.Shuts[i].Back = true
 	default:
 		return false
@@ -696,13 +696,13 @@
 func (d *data) settle(at int64) {
 	for i := range d.Releases {
 		if r := &d.Releases[i]; r.through() {
-			r.State, r.Ended = map[string]string{Running: Ended, Backing: Undone}[r.State], at
+			r.State, r.Ended = map[string]string{ReleaseRunning: ReleaseCompleted, ReleaseRollingBack: ReleaseRolledBack}[r.State], at
 		}
 	}
 	for i := range d.Releases {
 		r := &d.Releases[i]
-		if r.State == Undone && d.inTheWay(r) == "" && slices.ContainsFunc(r.Units, func(u Unit) bool { return u.Phase == Done && !u.Stranded && r.undoable(&u) }) {
-			r.State, r.Ended, r.Resumed, r.Moved = Backing, 0, at, at // one that was stranded came back with the new thing
+		if r.State == ReleaseRolledBack && d.inTheWay(r) == "" && slices.ContainsFunc(r.Units, func(u Unit) bool { return u.Phase == PhaseDone && !u.Stranded && r.undoable(&u) }) {
+			r.State, r.Ended, r.Resumed, r.Moved = ReleaseRollingBack, 0, at, at // one that was stranded came back with the new thing
 		}
 		if r.Behind == "" {
 			continue
@@ -725,10 +725,10 @@
 func (r *release) through() bool {
 	for i := range r.Units {
 		u := &r.Units[i]
-		if r.State == Running && u.Phase != Done && u.Phase != Missing && !(r.Wish.Drain && u.Phase == Empty) ||
-			r.State == Backing && !u.Stranded && (u.isOut() || u.Phase == Done && r.undoable(u)) {
+		if r.State == ReleaseRunning && u.Phase != PhaseDone && u.Phase != PhaseMissing && !(r.Wish.Drain && u.Phase == PhaseDrained) ||
+			r.State == ReleaseRollingBack && !u.Stranded && (u.isOut() || u.Phase == PhaseDone && r.undoable(u)) {
 			return false
 		}
 	}
-	return r.State == Running || r.State == Backing
+	return r.State == ReleaseRunning || r.State == ReleaseRollingBack
 }
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -36,7 +36,7 @@
 		}
 	}
 	if len(saw) > 0 {
-		add(Command{Kind: Seen, Saw: saw})
+		add(Command{Kind: CommandObserve, Saw: saw})
 		gone := p.gone
 		p = next.d.planner(now, v, b)
 		p.gone = gone
@@ -47,7 +47,7 @@
 		add(*c)
 	}
 	if numbers := p.void(); len(numbers) > 0 {
-		add(Command{Kind: Void, Numbers: numbers})
+		add(Command{Kind: CommandExpirePermits, Numbers: numbers})
 	}
 	if len(s.d.Shuts)+len(v.Unfit) > 0 {
 		p = next.d.planner(now, v, b)
@@ -115,12 +115,12 @@
 		for j := range r.Units {
 			u := &r.Units[j]
 			s, ok := p.look(r, u)
-			if !ok && r.State == Backing && p.late(r, u) && !u.Stranded {
+			if !ok && r.State == ReleaseRollingBack && p.late(r, u) && !u.Stranded {
 				s, ok = Saw{Strand: true}, true
 			}
 			if ok {
 				s.Release, s.Unit, s.Order = r.Name, u.Name, u.Order
-				if m := p.members[s.Now]; m != nil && s.Phase == Coming {
+				if m := p.members[s.Now]; m != nil && s.Phase == PhaseReplaced {
 					s.Zone = m.Zone
 				}
 				list = append(list, s)
@@ -129,7 +129,7 @@
 		}
 	}
 	for i := range p.d.Permits {
-		if x := &p.d.Permits[i]; x.State == Begun && p.returned(x) {
+		if x := &p.d.Permits[i]; x.State == PermitBegun && p.returned(x) {
 			list = append(list, Saw{Permit: x.Number})
 		}
 	}
@@ -139,9 +139,9 @@
 		switch _, unfit := p.v.Unfit[x.Name]; {
 		case x.Opened == 0:
 		case r == nil || x.Back && r.live(p.b) && (!unfit || r.Start > x.Start):
-			list = append(list, Saw{Shut: x.Number, Phase: Missing})
+			list = append(list, Saw{Shut: x.Number, Phase: PhaseMissing})
 		case !x.Back && r.sound(p.b) && r.Applied >= x.Opened: // before that it may yet heed the order that was taken back
-			list = append(list, Saw{Shut: x.Number, Phase: Done})
+			list = append(list, Saw{Shut: x.Number, Phase: PhaseDone})
 		}
 	}
 	return list
@@ -150,21 +150,21 @@
 // look says how a unit is seen further.
 func (p *planner) look(r *release, u *Unit) (Saw, bool) {
 	none := Saw{}
-	if u.Kind == KindBan || u.Kind == KindAllow {
-		return Saw{Phase: Done}, u.Phase == Told && p.heeded(u.Order)
+	if u.Kind == KindEject || u.Kind == KindReinstate {
+		return Saw{Phase: PhaseDone}, u.Phase == PhaseLeaving && p.heeded(u.Order)
 	}
-	if u.Phase == Waiting && r.State == Running && p.there(u) == nil && p.alone(r, u) && !p.rooms[side(u.Kind)].planned[u.name()] &&
+	if u.Phase == PhasePending && r.State == ReleaseRunning && p.there(u) == nil && p.alone(r, u) && !p.rooms[side(u.Kind)].planned[u.name()] &&
 		p.now-max(r.Moved, r.Resumed) > p.b.Start+p.b.Silent { // longer than one that fell over takes
-		return Saw{Phase: Missing}, true
+		return Saw{Phase: PhaseMissing}, true
 	}
-	if u.Phase == Done && u.Stranded {
-		return Saw{Phase: Waiting}, p.there(u) != nil && !p.rooms[side(u.Kind)].planned[u.name()]
+	if u.Phase == PhaseDone && u.Stranded {
+		return Saw{Phase: PhasePending}, p.there(u) != nil && !p.rooms[side(u.Kind)].planned[u.name()]
 	}
 	if u.Stranded && u.isOut() && r.ended() && p.there(u) == nil {
-		return Saw{Phase: Missing}, true // nobody knows of it any more
+		return Saw{Phase: PhaseMissing}, true // nobody knows of it any more
 	}
-	if u.Phase == Done && r.Wish.Drain && u.Kind == KindMember {
-		return Saw{Phase: Empty, Start: u.Start}, p.there(u) != nil
+	if u.Phase == PhaseDone && r.Wish.Drain && u.Kind == KindMember {
+		return Saw{Phase: PhaseDrained, Start: u.Start}, p.there(u) != nil
 	}
 	switch {
 	case !u.isOut():
@@ -185,7 +185,7 @@
 		sound = x.Phase == "serving"
 	}
 	// One that is shut serves nobody, and counts as shut: that it is not about to leave is enough.
-	if shut := p.d.shutting(u.Name); u.Phase == Revoked && shut != nil && !shut.Back {
+	if shut := p.d.shutting(u.Name); u.Phase == PhaseRevoked && shut != nil && !shut.Back {
 		sound = x.live(p.b) && (x.Phase == "serving" || x.Phase == "shut")
 	}
 	if !sound {
@@ -195,14 +195,14 @@
 	fits := (program == "" || program == x.Program) && (config == "" || config == x.Config)
 	later := x.Start > uint64(u.Start)
 	switch {
-	case u.Phase == Told:
-		return Saw{Phase: Done}, later && fits
+	case u.Phase == PhaseLeaving:
+		return Saw{Phase: PhaseDone}, later && fits
 	case x.Applied < u.Order:
 		return Saw{}, false // it may yet heed the order that was taken back
 	case fits && (later || program+config != ""):
-		return Saw{Phase: Done}, true
+		return Saw{Phase: PhaseDone}, true
 	}
-	return Saw{Phase: Waiting}, true
+	return Saw{Phase: PhasePending}, true
 }
 
 func (p *planner) lookMember(r *release, u *Unit) (Saw, bool) {
@@ -213,29 +213,29 @@
 		return program == "" || m.Program == "" || m.Program == program || r.Backing && m.Program == u.Program
 	}
 	switch {
-	case u.Phase == Told:
-		s := Saw{Phase: Empty, Start: u.Start}
+	case u.Phase == PhaseLeaving:
+		s := Saw{Phase: PhaseDrained, Start: u.Start}
 		if m != nil {
 			s.Start = m.Started
 		}
 		return s, p.empty(u, m)
-	case r.Wish.Drain && u.Phase != Revoked:
-		return Saw{Phase: Done}, m == nil // gone for good: no member any more, so not out
+	case r.Wish.Drain && u.Phase != PhaseRevoked:
+		return Saw{Phase: PhaseDone}, m == nil // gone for good: no member any more, so not out
 	case m == nil && r.Wish.Drain:
 		return Saw{}, false
 	case m == nil:
 		name := p.newcomer(u, fits)
-		return Saw{Phase: Coming, Now: name}, name != ""
-	case u.Phase == Empty: // one that fell over and came back as it was is still to be replaced
-		return Saw{Phase: Coming, Now: m.Name}, m.Started > u.Start && fits(m)
-	case !p.full(m) || u.Phase == Revoked && !p.heeded(u.Order):
+		return Saw{Phase: PhaseReplaced, Now: name}, name != ""
+	case u.Phase == PhaseDrained: // one that fell over and came back as it was is still to be replaced
+		return Saw{Phase: PhaseReplaced, Now: m.Name}, m.Started > u.Start && fits(m)
+	case !p.full(m) || u.Phase == PhaseRevoked && !p.heeded(u.Order):
 		return Saw{}, false
-	case u.Phase == Revoked && !(program != "" && program == m.Program):
-		return Saw{Phase: Waiting}, true
+	case u.Phase == PhaseRevoked && !(program != "" && program == m.Program):
+		return Saw{Phase: PhasePending}, true
 	case program != "" && m.Program != "" && program != m.Program: // not what was wanted. It is in service all the same, once nobody waits for it
-		return Saw{Phase: Waiting}, !u.Undo && r.State != Running
+		return Saw{Phase: PhasePending}, !u.Undo && r.State != ReleaseRunning
 	}
-	return Saw{Phase: Done}, true
+	return Saw{Phase: PhaseDone}, true
 }
 
 // there is the thing of a unit, if it is in the view.
@@ -255,7 +255,7 @@
 // alone says that all else of a release is through, so that one that is not there holds it up.
 func (p *planner) alone(r *release, u *Unit) bool {
 	for i := range r.Units {
-		if x := &r.Units[i]; x.isOut() || x.Phase == Waiting && p.there(x) != nil {
+		if x := &r.Units[i]; x.isOut() || x.Phase == PhasePending && p.there(x) != nil {
 			return false
 		}
 	}
@@ -356,9 +356,9 @@
 	if !u.isOut() {
 		// Not there, or held out by another release or a permit.
 		kept := p.there(u) == nil || p.rooms[side(u.Kind)].planned[u.name()]
-		return r.State == Backing && u.Phase == Done && r.undoable(u) && kept && p.now-max(r.Moved, r.Resumed) > p.d.bound(u.Kind, p.b)
+		return r.State == ReleaseRollingBack && u.Phase == PhaseDone && r.undoable(u) && kept && p.now-max(r.Moved, r.Resumed) > p.d.bound(u.Kind, p.b)
 	}
-	if r.Wish.Drain && u.Phase == Empty {
+	if r.Wish.Drain && u.Phase == PhaseDrained {
 		return false
 	}
 	return p.now-max(u.At, r.Resumed) > p.d.bound(u.Kind, p.b)
@@ -383,7 +383,7 @@
 			cause = "fit"
 		}
 		if cause != "" {
-			list = append(list, Command{Kind: Admit, Name: s.Name, Cause: cause})
+			list = append(list, Command{Kind: CommandReadmit, Name: s.Name, Cause: cause})
 		}
 	}
 	return list
@@ -399,11 +399,11 @@
 	for _, n := range slices.Concat(p.v.UnfitOrder, slices.Sorted(maps.Keys(p.v.Unfit))) {
 		why, unfit := p.v.Unfit[n]
 		r, s := p.relays[n], p.d.shutting(n)
-		if !unfit || seen[n] || r == nil || !r.live(p.b) || s != nil && (s.Opened == 0 || s.Let) || len(list) >= GivesMost {
+		if !unfit || seen[n] || r == nil || !r.live(p.b) || s != nil && (s.Opened == 0 || s.Let) || len(list) >= MaxGrantsPerStep {
 			continue
 		}
 		seen[n] = true
-		c := Command{Kind: Shut, Name: n, Why: cut(why, WhyMost), Zone: r.Zone, Bears: p.bears(&Unit{Name: n, Kind: KindRelay}), Start: r.Start,
+		c := Command{Kind: CommandQuarantine, Name: n, Why: cut(why, MaxReasonBytes), Zone: r.Zone, Bears: p.bears(&Unit{Name: n, Kind: KindRelay}), Start: r.Start,
 			Sight: p.sight()}
 		if p.rooms[KindRelay].shut(n, r.Zone, c.Bears) == "" {
 			list = append(list, c)
@@ -424,12 +424,12 @@
 	for i := range p.d.Releases {
 		r := &p.d.Releases[i]
 		verdict := p.v.Worse != "" && (p.v.WorseOf == "" || p.v.WorseOf == r.Name)
-		if r.State != Running && r.State != Backing && !(r.State == Halted && verdict && !r.Halt.Stays && !r.Backing) {
+		if r.State != ReleaseRunning && r.State != ReleaseRollingBack && !(r.State == ReleaseHalted && verdict && !r.Halt.Stays && !r.Backing) {
 			continue
 		}
 		cause, why := p.cause(r, verdict, stalled)
 		if cause != "" {
-			return &Command{Kind: Halt, Name: r.Name, Cause: cause, Why: cut(why, WhyMost), Base: p.d.Version}
+			return &Command{Kind: CommandHalt, Name: r.Name, Cause: cause, Why: cut(why, MaxReasonBytes), Base: p.d.Version}
 		}
 	}
 	return nil
@@ -442,32 +442,32 @@
 		cause, why = p.bad(r, verdict)
 	}
 	if cause == "" && stalled[r.Name] != "" && p.now-max(r.Moved, r.Resumed) > p.d.bound(r.Wish.Kind, p.b) {
-		return Stalled, stalled[r.Name]
+		return HaltStalled, stalled[r.Name]
 	}
 	return cause, why
 }
 
 func (p *planner) bad(r *release, verdict bool) (cause, why string) {
 	if verdict {
-		return Verdict, p.v.Worse
+		return HaltVerdict, p.v.Worse
 	}
 	if p.v.Drift != "" && p.v.DriftMS > p.b.Drift {
-		return Drifted, p.v.Drift
+		return HaltDrift, p.v.Drift
 	}
 	room := p.rooms[side(r.Wish.Kind)]
 	if over := room.over(); over != "" {
-		return Overdrawn, over
+		return HaltOverBudget, over
 	}
 	if short := room.short(); short != "" {
-		return Overdrawn, short
+		return HaltOverBudget, short
 	}
 	for j := range r.Units {
 		if u := &r.Units[j]; u.isOut() && p.late(r, u) && !p.gone[r.Name+"\n"+u.Name] {
-			return Overdue, fmt.Sprintf("%s %s is %s for %d ms", u.Kind, u.name(), u.Phase, p.now-u.At)
+			return HaltOverdue, fmt.Sprintf("%s %s is %s for %d ms", u.Kind, u.name(), u.Phase, p.now-u.At)
 		}
 	}
 	if worse(r.Asked, r.Served, r.Spread, p.b.Slack, p.v.Service, max(r.Since, r.Resumed)) {
-		return Service, fmt.Sprintf("it was %.4f before", r.Served/r.Asked)
+		return HaltServiceDegraded, fmt.Sprintf("it was %.4f before", r.Served/r.Asked)
 	}
 	return "", ""
 }
@@ -476,25 +476,25 @@
 func (p *planner) resume() *Command {
 	for i := range p.d.Releases {
 		r := &p.d.Releases[i]
-		if r.State != Halted || r.Halt.Stays || p.now-r.Halt.At < p.b.Silent {
+		if r.State != ReleaseHalted || r.Halt.Stays || p.now-r.Halt.At < p.b.Silent {
 			continue
 		}
-		out := slices.ContainsFunc(r.Units, func(u Unit) bool { return u.isOut() && !(r.Wish.Drain && u.Phase == Empty) })
+		out := slices.ContainsFunc(r.Units, func(u Unit) bool { return u.isOut() && !(r.Wish.Drain && u.Phase == PhaseDrained) })
 		room, gone := p.rooms[side(r.Wish.Kind)], false
 		switch r.Halt.Cause {
-		case Overdrawn:
+		case HaltOverBudget:
 			gone = room.over() == "" && room.short() == ""
-		case Overdue:
+		case HaltOverdue:
 			gone = !out
-		case Service:
+		case HaltServiceDegraded:
 			gone = !out && !worse(r.Asked, r.Served, r.Spread, p.b.Slack, p.v.Service, r.Halt.At)
-		case Drifted:
+		case HaltDrift:
 			gone = p.v.Drift == ""
-		case Stalled:
+		case HaltStalled:
 			gone = p.could(r)
 		}
 		if gone {
-			return &Command{Kind: Resume, Name: r.Name, Cause: r.Halt.Cause, Base: p.d.Version}
+			return &Command{Kind: CommandResume, Name: r.Name, Cause: r.Halt.Cause, Base: p.d.Version}
 		}
 	}
 	return nil
@@ -518,7 +518,7 @@
 // lay lays the first release out that waits for it: from the smallest risk up, zone by zone where the budget lets no more than one zone's
 // things out anyway, else spread over the zones.
 func (p *planner) lay() *Command {
-	i := slices.IndexFunc(p.d.Releases, func(r release) bool { return r.State == Queued && !r.Laid && r.Behind == "" && !p.unknown(&r) })
+	i := slices.IndexFunc(p.d.Releases, func(r release) bool { return r.State == ReleaseQueued && !r.Laid && r.Behind == "" && !p.unknown(&r) })
 	if i < 0 || len(p.v.Relays) == 0 {
 		return nil
 	}
@@ -528,14 +528,14 @@
 	risk := map[string]float64{}
 	there := map[string]bool{}
 	switch w.Kind {
-	case KindBan:
+	case KindEject:
 		for _, n := range slices.Sorted(slices.Values(w.Allow)) {
-			units = append(units, p.place(Unit{Name: n, Kind: KindAllow}))
+			units = append(units, p.place(Unit{Name: n, Kind: KindReinstate}))
 		}
 		for _, n := range slices.Sorted(slices.Values(w.Ban)) {
-			units = append(units, p.place(Unit{Name: n, Kind: KindBan}))
+			units = append(units, p.place(Unit{Name: n, Kind: KindEject}))
 		}
-		return &Command{Kind: Lay, Name: r.Name, Units: units, Before: p.before()}
+		return &Command{Kind: CommandSetUnits, Name: r.Name, Units: units, Before: p.before()}
 	case KindRelay:
 		for _, x := range p.v.Relays {
 			if w.of(x.Name, x.Zone) {
@@ -561,10 +561,10 @@
 	units = spread(units, p.zonal(w), risk)
 	for _, n := range w.Names {
 		if !there[n] {
-			units = append(units, Unit{Name: n, Kind: w.Kind, Phase: Missing})
+			units = append(units, Unit{Name: n, Kind: w.Kind, Phase: PhaseMissing})
 		}
 	}
-	return &Command{Kind: Lay, Name: r.Name, Units: units, Before: p.before()}
+	return &Command{Kind: CommandSetUnits, Name: r.Name, Units: units, Before: p.before()}
 }
 
 // unknown says that a relay of the release has not yet said what it runs: it could not be given back. One that is silent for good is not waited for.
@@ -642,13 +642,13 @@
 // step is what goes out now: permits first, whose askers wait outside, then releases as they were opened; releases first once one has waited
 // for half of its bound, else askers who never rest would hold it up. It also says of which release nothing is out and nothing may go.
 func (p *planner) step() (*Command, map[string]string) {
-	c := Command{Kind: Step, Base: p.d.Version, Sight: p.sight()}
+	c := Command{Kind: CommandStep, Base: p.d.Version, Sight: p.sight()}
 	stalled := map[string]string{}
 	if len(p.v.Relays) == 0 || p.now-p.v.At > p.b.Fresh {
 		return nil, stalled
 	}
 	starved := slices.ContainsFunc(p.d.Releases, func(r release) bool {
-		return (r.State == Running || r.State == Backing) && !slices.ContainsFunc(r.Units, func(u Unit) bool { return u.isOut() }) &&
+		return (r.State == ReleaseRunning || r.State == ReleaseRollingBack) && !slices.ContainsFunc(r.Units, func(u Unit) bool { return u.isOut() }) &&
 			p.now-max(r.Moved, r.Resumed) > p.d.bound(r.Wish.Kind, p.b)/2
 	})
 	if !starved {
@@ -657,12 +657,12 @@
 	moving := p.moving()
 	for i := range p.d.Releases {
 		r := &p.d.Releases[i]
-		if r.State != Backing && (r.State != Running || p.v.Drift != "") {
+		if r.State != ReleaseRollingBack && (r.State != ReleaseRunning || p.v.Drift != "") {
 			continue
 		}
 		n, why := len(c.Gives), p.v.Drift
 		for _, u := range p.candidates(r) {
-			if len(c.Gives) >= GivesMost {
+			if len(c.Gives) >= MaxGrantsPerStep {
 				break
 			}
 			g := p.gift(u)
@@ -705,7 +705,7 @@
 	for i := range p.d.Permits {
 		x := &p.d.Permits[i]
 		u := Unit{Name: x.Name, Kind: x.Kind}
-		if x.State != Wait || p.now-x.Asked > staleAfter || p.there(&u) == nil || len(c.Gives) >= GivesMost {
+		if x.State != PermitWaiting || p.now-x.Asked > staleAfter || p.there(&u) == nil || len(c.Gives) >= MaxGrantsPerStep {
 			continue
 		}
 		g := p.gift(&u)
@@ -756,12 +756,12 @@
 func (p *planner) candidates(r *release) []*Unit {
 	var list, lost []*Unit
 	zone, found := "", false // of a zonal release: the first zone that is not through
-	if r.Wish.Lone && r.State == Running && !p.proved(r) && slices.ContainsFunc(r.Units, func(u Unit) bool { return u.isOut() }) {
+	if r.Wish.Lone && r.State == ReleaseRunning && !p.proved(r) && slices.ContainsFunc(r.Units, func(u Unit) bool { return u.isOut() }) {
 		return nil
 	}
 	for i := range r.Units {
 		u := &r.Units[i]
-		if !found && r.Wish.Zonal && r.State == Running && (u.Phase == Waiting || u.isOut()) {
+		if !found && r.Wish.Zonal && r.State == ReleaseRunning && (u.Phase == PhasePending || u.isOut()) {
 			zone, found = u.Zone, true
 		}
 		if !r.may(u) || u.Stranded || found && u.Zone != zone {
@@ -773,7 +773,7 @@
 			list = append(list, u)
 		}
 	}
-	if r.State == Backing {
+	if r.State == ReleaseRollingBack {
 		newest := func(x, y *Unit) int { return cmp.Compare(y.Number, x.Number) }
 		slices.SortStableFunc(list, newest)
 		slices.SortStableFunc(lost, newest)
@@ -783,7 +783,7 @@
 
 // proved says that the first unit of a release is back.
 func (p *planner) proved(r *release) bool {
-	return slices.ContainsFunc(r.Units, func(u Unit) bool { return u.Phase == Done })
+	return slices.ContainsFunc(r.Units, func(u Unit) bool { return u.Phase == PhaseDone })
 }
 
 // moving are the flows of members that are told to leave.
@@ -792,7 +792,7 @@
 	for i := range p.d.Releases {
 		for j := range p.d.Releases[i].Units {
 			u := &p.d.Releases[i].Units[j]
-			if m := p.members[u.name()]; u.Kind == KindMember && u.Phase == Told && m != nil {
+			if m := p.members[u.name()]; u.Kind == KindMember && u.Phase == PhaseLeaving && m != nil {
 				n += m.flows()
 			}
 		}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -70,11 +70,11 @@
 		w.tick()
 	}
 	opens := []Command{
-		{Kind: Open, Name: "relays", Release: &Wish{Kind: KindRelay, All: true, Program: "p2", Lone: pick.IntN(4) == 0, Zonal: pick.IntN(4) == 0}},
-		{Kind: Open, Name: "members", Release: &Wish{Kind: KindMember, All: true, Program: "b2", Wait: true}},
+		{Kind: CommandOpen, Name: "relays", Release: &Wish{Kind: KindRelay, All: true, Program: "p2", Lone: pick.IntN(4) == 0, Zonal: pick.IntN(4) == 0}},
+		{Kind: CommandOpen, Name: "members", Release: &Wish{Kind: KindMember, All: true, Program: "b2", Wait: true}},
 	}
 	if pick.IntN(3) == 0 {
-		opens = append(opens, Command{Kind: Open, Name: "drain", Release: &Wish{Kind: KindMember, Drain: true, Names: []string{"m0"}, Wait: true}})
+		opens = append(opens, Command{Kind: CommandOpen, Name: "drain", Release: &Wish{Kind: KindMember, Drain: true, Names: []string{"m0"}, Wait: true}})
 	}
 	for _, c := range opens {
 		w.order(c)
@@ -96,41 +96,41 @@
 		w.half = w.now + w.rnd(1000, 20000)
 	}
 	if pick.IntN(4) == 0 { // bans: by a release, and by an operator at once
-		w.order(Command{Kind: Open, Name: "bans", Release: &Wish{Kind: KindBan, Ban: []string{"m1"}, Wait: true}})
-		w.order(Command{Kind: Ban, Names: []string{"m2"}})
+		w.order(Command{Kind: CommandOpen, Name: "bans", Release: &Wish{Kind: KindEject, Ban: []string{"m1"}, Wait: true}})
+		w.order(Command{Kind: CommandEject, Names: []string{"m2"}})
 	}
 	for i := range 400 {
 		if i == 100 {
-			w.order(Command{Kind: Allow, Names: []string{"m2"}})
+			w.order(Command{Kind: CommandReinstate, Names: []string{"m2"}})
 		}
 		w.tick()
 		name := []string{"relays", "members"}[w.rng.IntN(2)]
 		if backAt > 0 && w.now >= backAt {
-			w.order(Command{Kind: Back, Name: name})
+			w.order(Command{Kind: CommandRollBack, Name: name})
 			backAt = 0
 			if w.rng.IntN(3) == 0 {
 				haltAt = w.now + w.rnd(100, 3000) // a second halt, on the way back
 			}
 		}
 		if haltAt > 0 && w.now >= haltAt {
-			w.order(Command{Kind: Halt, Name: name, Why: "by hand"})
+			w.order(Command{Kind: CommandHalt, Name: name, Why: "by hand"})
 			haltAt = 0
 		}
 		if w.rng.IntN(300) == 0 {
-			w.order(Command{Kind: Resume, Name: name})
+			w.order(Command{Kind: CommandResume, Name: name})
 		}
 	}
 	w.calm, w.drop, w.drift = true, 0, 0
-	w.settleDown(600, Resume)
-	w.settleDown(1000, Back)
+	w.settleDown(600, CommandResume)
+	w.settleDown(1000, CommandRollBack)
 	if w.s.d.release("drain") != nil {
-		w.order(Command{Kind: Back, Name: "drain"}) // it may have held up what else is to go back
+		w.order(Command{Kind: CommandRollBack, Name: "drain"}) // it may have held up what else is to go back
 	}
 	if w.s.d.release("bans") != nil {
-		w.order(Command{Kind: Back, Name: "bans"})
+		w.order(Command{Kind: CommandRollBack, Name: "bans"})
 	}
 	for range 4 { // one may have stalled behind another
-		w.settleDown(1500, Back)
+		w.settleDown(1500, CommandRollBack)
 	}
 	w.settleDown(1500, "")
 	for still, n := 0, 0; still < 50; n++ { // a fleet in which nothing happens is to agree on nothing
@@ -164,12 +164,12 @@
 func (w *world) settleDown(ticks int, call string) {
 	for i := range ticks {
 		w.tick()
-		if i > 30 && !slices.ContainsFunc(w.s.d.Releases, func(r release) bool { return !r.ended() && r.State != Halted }) {
+		if i > 30 && !slices.ContainsFunc(w.s.d.Releases, func(r release) bool { return !r.ended() && r.State != ReleaseHalted }) {
 			break
 		}
 	}
 	for _, r := range w.s.Releases() {
-		if r.State == Halted && call != "" {
+		if r.State == ReleaseHalted && call != "" {
 			w.order(Command{Kind: call, Name: r.Name})
 		}
 	}
@@ -184,13 +184,13 @@
 		w.fault("bans stand: %v", w.s.d.Bans)
 	}
 	for _, r := range w.s.d.Releases {
-		if !r.ended() && r.State != Halted {
+		if !r.ended() && r.State != ReleaseHalted {
 			w.fault("release %s is %s behind %q: %+v", r.Name, r.State, r.Behind, slices.DeleteFunc(slices.Clone(r.Units), func(u Unit) bool {
-				return u.Phase == Waiting || u.Phase == Done && !r.undoable(&u)
+				return u.Phase == PhasePending || u.Phase == PhaseDone && !r.undoable(&u)
 			}))
 			continue
 		}
-		if r.Wish.Drain || r.State == Halted || r.Wish.Kind == KindBan {
+		if r.Wish.Drain || r.State == ReleaseHalted || r.Wish.Kind == KindEject {
 			continue
 		}
 		for _, u := range r.Units {
@@ -210,12 +210,12 @@
 				w.fault("%s was never told, and left", u.Name)
 			}
 			unknown = unknown || u.Kind == KindRelay && u.Program == "" // it was silent for as long as it may be waited for
-			wrong := r.State == Undone && is != was || r.State == Ended && is != r.Wish.Program
-			if w.units++; w.faulty && (unknown || u.Phase == Missing || u.Now != "" && !strings.HasPrefix(u.Now, u.Name)) {
+			wrong := r.State == ReleaseRolledBack && is != was || r.State == ReleaseCompleted && is != r.Wish.Program
+			if w.units++; w.faulty && (unknown || u.Phase == PhaseMissing || u.Now != "" && !strings.HasPrefix(u.Now, u.Name)) {
 				if wrong { // it was down while all else was through, and is named; or one that was down when all was laid out stands for it
 					w.excused++
 				}
-			} else if wrong || u.Stranded || u.Phase == Missing {
+			} else if wrong || u.Stranded || u.Phase == PhaseMissing {
 				w.fault("%s: %s runs %q, before %q: %+v", r.State, u.Name, is, was, u)
 			}
 		}
@@ -269,9 +269,9 @@
 		traces.Add(w.trace)
 		for _, r := range w.s.Releases() {
 			switch r.State {
-			case Ended:
+			case ReleaseCompleted:
 				ended.Add(1)
-			case Undone:
+			case ReleaseRolledBack:
 				undone.Add(1)
 			default:
 				halted.Add(1)
@@ -300,41 +300,41 @@
 		}
 		ok := true
 		switch c.Kind {
-		case Ask:
+		case CommandRequestPermit:
 			number := things[c.Thing+" "+c.Name]
 			switch is := states[number]; is {
 			case "":
-				ok = a.State == Wait && a.Number > number
-				things[c.Thing+" "+c.Name], states[a.Number] = a.Number, Wait
+				ok = a.State == PermitWaiting && a.Number > number
+				things[c.Thing+" "+c.Name], states[a.Number] = a.Number, PermitWaiting
 			default:
-				ok = a.Number == number && (a.State == is || a.State == Wait && is == Granted && a.Left == 0)
+				ok = a.Number == number && (a.State == is || a.State == PermitWaiting && is == PermitGranted && a.Left == 0)
 			}
-			if a.State == Granted {
+			if a.State == PermitGranted {
 				w.granted++
 			}
-		case Begin:
-			ok = is == Granted || is == Begun
-			states[c.Number] = Begun
-		case Give:
-			if ok = is != ""; is != Begun {
+		case CommandBeginPermit:
+			ok = is == PermitGranted || is == PermitBegun
+			states[c.Number] = PermitBegun
+		case CommandReturnPermit:
+			if ok = is != ""; is != PermitBegun {
 				delete(states, c.Number)
 			}
-		case Step:
+		case CommandStep:
 			for _, g := range c.Gives {
 				if g.Permit != 0 {
-					ok = ok && states[g.Permit] == Wait
-					states[g.Permit] = Granted
+					ok = ok && states[g.Permit] == PermitWaiting
+					states[g.Permit] = PermitGranted
 				}
 			}
-		case Seen:
+		case CommandObserve:
 			for _, x := range c.Saw {
-				if states[x.Permit] == Begun {
+				if states[x.Permit] == PermitBegun {
 					delete(states, x.Permit)
 				}
 			}
-		case Void:
+		case CommandExpirePermits:
 			for _, number := range c.Numbers {
-				ok = ok && states[number] != Begun
+				ok = ok && states[number] != PermitBegun
 				delete(states, number)
 			}
 		}
@@ -388,8 +388,8 @@
 func TestRandomCalls(t *testing.T) {
 	var history []op
 	w := young(2, &history)
-	pool := []Command{{Kind: Halt, Name: "relays"}, {Kind: Resume, Name: "relays"}, {Kind: Back, Name: "relays"}, {Kind: Give}, {Kind: Begin},
-		{Kind: Open, Name: "bans", Release: &Wish{Kind: KindBan, Ban: []string{"m1"}}}, {Kind: Admit, Name: "n2"}, {Kind: Allow, Names: []string{"m3"}}, {Kind: Void, Numbers: []uint64{1, 2, 3, 4, 5, 6, 7, 8}}}
+	pool := []Command{{Kind: CommandHalt, Name: "relays"}, {Kind: CommandResume, Name: "relays"}, {Kind: CommandRollBack, Name: "relays"}, {Kind: CommandReturnPermit}, {Kind: CommandBeginPermit},
+		{Kind: CommandOpen, Name: "bans", Release: &Wish{Kind: KindEject, Ban: []string{"m1"}}}, {Kind: CommandReadmit, Name: "n2"}, {Kind: CommandReinstate, Names: []string{"m3"}}, {Kind: CommandExpirePermits, Numbers: []uint64{1, 2, 3, 4, 5, 6, 7, 8}}}
 	for _, o := range history {
 		pool = append(pool, o.c)
 	}
@@ -441,7 +441,7 @@
 			s, _ = try(t, s, w.now, c.Encode())
 		}
 	}
-	for _, kind := range []string{Open, Ask, Begin, Give, Halt, Resume, Back, Ban, Allow, Lay, Step, Seen, Void, Shut, Admit} {
+	for _, kind := range []string{CommandOpen, CommandRequestPermit, CommandBeginPermit, CommandReturnPermit, CommandHalt, CommandResume, CommandRollBack, CommandEject, CommandReinstate, CommandSetUnits, CommandStep, CommandObserve, CommandExpirePermits, CommandQuarantine, CommandReadmit} {
 		if accepted[kind] == 0 {
 			t.Errorf("no %s was ever accepted: %v", kind, accepted)
 		}
@@ -452,14 +452,14 @@
 func young(seed uint64, history *[]op) *world {
 	w := newWorld(seed, 4, 4, 2)
 	w.calm, w.history = true, history
-	w.order(Command{Kind: Open, Name: "relays", Release: &Wish{Kind: KindRelay, All: true, Program: "p2"}})
-	w.order(Command{Kind: Open, Name: "members", Release: &Wish{Kind: KindMember, All: true}})
-	w.order(Command{Kind: Ban, Names: []string{"m3"}})
-	w.order(Command{Kind: Ask, Thing: KindRelay, Name: "n1", Who: "a", For: 1000})
+	w.order(Command{Kind: CommandOpen, Name: "relays", Release: &Wish{Kind: KindRelay, All: true, Program: "p2"}})
+	w.order(Command{Kind: CommandOpen, Name: "members", Release: &Wish{Kind: KindMember, All: true}})
+	w.order(Command{Kind: CommandEject, Names: []string{"m3"}})
+	w.order(Command{Kind: CommandRequestPermit, Thing: KindRelay, Name: "n1", Who: "a", For: 1000})
 	for range 30 {
 		w.tick()
 	}
-	w.order(Command{Kind: Back, Name: "members"})
+	w.order(Command{Kind: CommandRollBack, Name: "members"})
 	w.relays[2].unfit = w.now + 9000
 	for range 20 {
 		w.tick()
@@ -519,64 +519,64 @@
 func TestHalts(t *testing.T) {
 	open := func() *State {
 		s := New()
-		calls(t, s, 1, Queued, Command{Kind: Open, Name: "r", Release: &Wish{Kind: KindRelay, Names: []string{"a", "b"}}})
-		calls(t, s, 2, Running, Command{Kind: Lay, Name: "r", Units: []Unit{{Name: "a", Kind: KindRelay}, {Name: "b", Kind: KindRelay}}})
+		calls(t, s, 1, ReleaseQueued, Command{Kind: CommandOpen, Name: "r", Release: &Wish{Kind: KindRelay, Names: []string{"a", "b"}}})
+		calls(t, s, 2, ReleaseRunning, Command{Kind: CommandSetUnits, Name: "r", Units: []Unit{{Name: "a", Kind: KindRelay}, {Name: "b", Kind: KindRelay}}})
 		return s
 	}
 	itself := func(s *State, kind, cause string) Command {
 		return Command{Kind: kind, Name: "r", Cause: cause, Base: s.Version()}
 	}
-	for _, cause := range []string{Overdrawn, Overdue, Service, Drifted, Stalled, Verdict, ""} {
+	for _, cause := range []string{HaltOverBudget, HaltOverdue, HaltServiceDegraded, HaltDrift, HaltStalled, HaltVerdict, ""} {
 		s := open()
-		halt := itself(s, Halt, cause)
-		calls(t, s, 3, Halted, halt)
-		calls(t, s, 4, "", itself(s, Resume, cmp.Or(cause, Overdue)))
-		stays := cause == Verdict || cause == ""
-		if a, _ := s.Release("r"); (a.State == Halted) != stays {
+		halt := itself(s, CommandHalt, cause)
+		calls(t, s, 3, ReleaseHalted, halt)
+		calls(t, s, 4, "", itself(s, CommandResume, cmp.Or(cause, HaltOverdue)))
+		stays := cause == HaltVerdict || cause == ""
+		if a, _ := s.Release("r"); (a.State == ReleaseHalted) != stays {
 			t.Errorf("%q: %s after it resumed by itself", cause, a.State)
 		}
 		if !stays {
-			calls(t, s, 5, Halted, itself(s, Halt, cause))
-			s.Apply(6, "n1", itself(s, Resume, cause).Encode())
-			if a, _ := s.Release("r"); (a.State == Halted) != (cause == Service || cause == Overdue) {
+			calls(t, s, 5, ReleaseHalted, itself(s, CommandHalt, cause))
+			s.Apply(6, "n1", itself(s, CommandResume, cause).Encode())
+			if a, _ := s.Release("r"); (a.State == ReleaseHalted) != (cause == HaltServiceDegraded || cause == HaltOverdue) {
 				t.Errorf("%q a second time: %s", cause, a.State)
 			}
 		}
-		s.Apply(7, "n1", Command{Kind: Resume, Name: "r"}.Encode())
-		if a, _ := s.Release("r"); a.State != Running {
+		s.Apply(7, "n1", Command{Kind: CommandResume, Name: "r"}.Encode())
+		if a, _ := s.Release("r"); a.State != ReleaseRunning {
 			t.Errorf("%q: an operator could not resume it", cause)
 		}
 	}
 	s := open()
-	calls(t, s, 3, "version", Command{Kind: Halt, Name: "r", Cause: Drifted, Base: s.Version() - 1})
-	calls(t, s, 3, Halted, itself(s, Halt, Drifted))
-	calls(t, s, 4, Halted, Command{Kind: Halt, Name: "r"}) // an operator's stands above
-	calls(t, s, 5, "operator", itself(s, Resume, Drifted))
+	calls(t, s, 3, "version", Command{Kind: CommandHalt, Name: "r", Cause: HaltDrift, Base: s.Version() - 1})
+	calls(t, s, 3, ReleaseHalted, itself(s, CommandHalt, HaltDrift))
+	calls(t, s, 4, ReleaseHalted, Command{Kind: CommandHalt, Name: "r"}) // an operator's stands above
+	calls(t, s, 5, "operator", itself(s, CommandResume, HaltDrift))
 }
 
 // Two releases that touch the same things: the second waits, or is refused with the first's name.
 func TestTwo(t *testing.T) {
 	s := New()
-	calls(t, s, 1, Queued, Command{Kind: Open, Name: "first", Release: &Wish{Kind: KindMember, Names: []string{"a", "b"}}})
-	calls(t, s, 1, `"first"`, Command{Kind: Open, Name: "second", Release: &Wish{Kind: KindMember, Zones: []string{"z"}}})
-	calls(t, s, 1, `"first"`, Command{Kind: Open, Name: "second", Release: &Wish{Kind: KindBan, Ban: []string{"b"}}})
-	calls(t, s, 1, Queued, Command{Kind: Open, Name: "other", Release: &Wish{Kind: KindMember, Names: []string{"c"}}})
-	calls(t, s, 1, Queued, Command{Kind: Open, Name: "second", Release: &Wish{Kind: KindMember, All: true, Wait: true}})
-	calls(t, s, 2, "laid out", Command{Kind: Lay, Name: "second", Units: []Unit{{Name: "a", Kind: KindMember}}})
-	calls(t, s, 3, Undone, Command{Kind: Back, Name: "first"})
+	calls(t, s, 1, ReleaseQueued, Command{Kind: CommandOpen, Name: "first", Release: &Wish{Kind: KindMember, Names: []string{"a", "b"}}})
+	calls(t, s, 1, `"first"`, Command{Kind: CommandOpen, Name: "second", Release: &Wish{Kind: KindMember, Zones: []string{"z"}}})
+	calls(t, s, 1, `"first"`, Command{Kind: CommandOpen, Name: "second", Release: &Wish{Kind: KindEject, Ban: []string{"b"}}})
+	calls(t, s, 1, ReleaseQueued, Command{Kind: CommandOpen, Name: "other", Release: &Wish{Kind: KindMember, Names: []string{"c"}}})
+	calls(t, s, 1, ReleaseQueued, Command{Kind: CommandOpen, Name: "second", Release: &Wish{Kind: KindMember, All: true, Wait: true}})
+	calls(t, s, 2, "laid out", Command{Kind: CommandSetUnits, Name: "second", Units: []Unit{{Name: "a", Kind: KindMember}}})
+	calls(t, s, 3, ReleaseRolledBack, Command{Kind: CommandRollBack, Name: "first"})
 	if a, _ := s.Release("second"); a.Behind != "other" {
 		t.Errorf("it waits behind %q", a.Behind)
 	}
-	calls(t, s, 3, Undone, Command{Kind: Back, Name: "other"})
-	calls(t, s, 4, Running, Command{Kind: Lay, Name: "second", Units: []Unit{{Name: "a", Kind: KindMember}}})
-	calls(t, s, 5, `"second"`, Command{Kind: Back, Name: "first"})
+	calls(t, s, 3, ReleaseRolledBack, Command{Kind: CommandRollBack, Name: "other"})
+	calls(t, s, 4, ReleaseRunning, Command{Kind: CommandSetUnits, Name: "second", Units: []Unit{{Name: "a", Kind: KindMember}}})
+	calls(t, s, 5, `"second"`, Command{Kind: CommandRollBack, Name: "first"})
 
 	// One that was stranded is undone as soon as what was in its way has ended: nothing else may ever be called.
 	s = New()
-	s.d.Releases = []release{{Account: Account{Name: "first", State: Undone, Wish: Wish{Kind: KindMember, All: true}, Units: []Unit{{Name: "a", Kind: KindMember, Phase: Done, Got: true}}}},
-		{Account: Account{Name: "second", State: Backing, Wish: Wish{Kind: KindBan, Ban: []string{"a"}}, Units: []Unit{{Name: "a", Kind: KindBan, Phase: Told, Undo: true}}}}}
-	calls(t, s, 6, "", Command{Kind: Seen, Saw: []Saw{{Release: "second", Unit: "a", Phase: Done}}})
-	for name, want := range map[string]string{"first": Backing, "second": Undone} {
+	s.d.Releases = []release{{Account: Account{Name: "first", State: ReleaseRolledBack, Wish: Wish{Kind: KindMember, All: true}, Units: []Unit{{Name: "a", Kind: KindMember, Phase: PhaseDone, Got: true}}}},
+		{Account: Account{Name: "second", State: ReleaseRollingBack, Wish: Wish{Kind: KindEject, Ban: []string{"a"}}, Units: []Unit{{Name: "a", Kind: KindEject, Phase: PhaseLeaving, Undo: true}}}}}
+	calls(t, s, 6, "", Command{Kind: CommandObserve, Saw: []Saw{{Release: "second", Unit: "a", Phase: PhaseDone}}})
+	for name, want := range map[string]string{"first": ReleaseRollingBack, "second": ReleaseRolledBack} {
 		if a, _ := s.Release(name); a.State != want {
 			t.Errorf("%s is %s", name, a.State)
 		}
@@ -588,13 +588,13 @@
 	b := Budgets{Silent: 100, Fresh: 100, Drain: 100, Start: 100, Window: 100}
 	for _, allow := range []bool{false, true} {
 		s, v := New(), View{At: 1e6, Relays: []Relay{{Name: "n", Full: true}}, Members: []Member{{Name: "a", Program: "b3", Started: 9, Capacity: 1, Bears: 1}}}
-		s.d.Releases = []release{{Account: Account{Name: "r", State: Undone, Backing: true, Wish: Wish{Kind: KindMember, All: true, Program: "b2"}, Units: []Unit{
-			{Name: "a", Kind: KindMember, Program: "b1", Phase: Empty, Stranded: true, Number: 1, Start: 5}}}}}
+		s.d.Releases = []release{{Account: Account{Name: "r", State: ReleaseRolledBack, Backing: true, Wish: Wish{Kind: KindMember, All: true, Program: "b2"}, Units: []Unit{
+			{Name: "a", Kind: KindMember, Program: "b1", Phase: PhaseDrained, Stranded: true, Number: 1, Start: 5}}}}}
 		if plan := s.Plan(v.At, v, b); plan != nil || s.Orders("n").Out["a"].Why != "drain" {
 			t.Errorf("%+v, %+v", plan, s.Orders("n"))
 		}
 		if allow {
-			calls(t, s, v.At, "", Command{Kind: Allow, Names: []string{"a"}})
+			calls(t, s, v.At, "", Command{Kind: CommandReinstate, Names: []string{"a"}})
 		} else {
 			v.Members = nil
 			calls(t, s, v.At, "", s.Plan(v.At, v, b)[0])
@@ -670,8 +670,8 @@
 		for range 40 {
 			w.tick()
 		}
-		w.order(Command{Kind: Open, Name: "r", Release: &Wish{Kind: KindRelay, All: true, Program: "p2"}})
-		w.order(Command{Kind: Open, Name: "m", Release: &Wish{Kind: KindMember, All: true, Program: "b2"}})
+		w.order(Command{Kind: CommandOpen, Name: "r", Release: &Wish{Kind: KindRelay, All: true, Program: "p2"}})
+		w.order(Command{Kind: CommandOpen, Name: "m", Release: &Wish{Kind: KindMember, All: true, Program: "b2"}})
 		from := w.now
 		out := map[string]int64{} // ms that things were out in truth, not until they were seen to be back
 		for !w.s.d.Releases[0].ended() || !w.s.d.Releases[1].ended() {
@@ -695,8 +695,8 @@
 	for range 40 {
 		w.tick()
 	}
-	w.order(Command{Kind: Open, Name: "r", Release: &Wish{Kind: KindRelay, All: true, Program: "p2"}})
-	w.order(Command{Kind: Open, Name: "m", Release: &Wish{Kind: KindMember, All: true, Program: "b2"}})
+	w.order(Command{Kind: CommandOpen, Name: "r", Release: &Wish{Kind: KindRelay, All: true, Program: "p2"}})
+	w.order(Command{Kind: CommandOpen, Name: "m", Release: &Wish{Kind: KindMember, All: true, Program: "b2"}})
 	var all []time.Duration
 	largest := 0
 	for range 100 {
@@ -716,16 +716,16 @@
 func TestUnknown(t *testing.T) {
 	s, b := New(), Budgets{Silent: 100, Fresh: 100, Drain: 500, Start: 500, Window: 100}
 	v := View{At: 1000, Relays: []Relay{{Name: "a", HeardMS: 1}, {Name: "b", Program: "p1", Start: 1, Full: true}}}
-	calls(t, s, v.At, Queued, Command{Kind: Open, Name: "first", Release: &Wish{Kind: KindRelay, Names: []string{"b"}}})
-	calls(t, s, v.At, Queued, Command{Kind: Open, Name: "r", Release: &Wish{Kind: KindRelay, All: true, Program: "p2", Wait: true}})
+	calls(t, s, v.At, ReleaseQueued, Command{Kind: CommandOpen, Name: "first", Release: &Wish{Kind: KindRelay, Names: []string{"b"}}})
+	calls(t, s, v.At, ReleaseQueued, Command{Kind: CommandOpen, Name: "r", Release: &Wish{Kind: KindRelay, All: true, Program: "p2", Wait: true}})
 	v.At += 5000
-	calls(t, s, v.At, Undone, Command{Kind: Back, Name: "first"})
+	calls(t, s, v.At, ReleaseRolledBack, Command{Kind: CommandRollBack, Name: "first"})
 	v.At += 1000 // since it waits behind none
 	if plan := s.Plan(v.At, v, b); plan != nil {
 		t.Errorf("%+v", plan)
 	}
 	v.At++
-	calls(t, s, v.At, Running, s.Plan(v.At, v, b)[0])
+	calls(t, s, v.At, ReleaseRunning, s.Plan(v.At, v, b)[0])
 	r := s.d.release("r")
 	for i := range r.Units {
 		r.Units[i].Got = true
@@ -746,7 +746,7 @@
 		"m3 m1 m2 m0 ": {Whole: Part{Count: 1}, Zone: Part{Count: 1}},
 	} {
 		s := New()
-		calls(t, s, 1, Queued, Command{Kind: Open, Name: "r", Release: &Wish{Kind: KindMember, All: true}})
+		calls(t, s, 1, ReleaseQueued, Command{Kind: CommandOpen, Name: "r", Release: &Wish{Kind: KindMember, All: true}})
 		got := ""
 		for _, u := range s.Plan(1, v, Budgets{Members: budget})[0].Units {
 			got += u.Name + " "
@@ -802,14 +802,14 @@
 		t.Error("a state of before", err)
 	}
 	// What was reckoned from an old state, or by who saw less, takes nothing out.
-	c := Command{Kind: Shut, Name: "n4", Zone: "z0", Start: 5, Base: s.Version(), Sight: s.d.planner(v.At, v, b).sight()}
+	c := Command{Kind: CommandQuarantine, Name: "n4", Zone: "z0", Start: 5, Base: s.Version(), Sight: s.d.planner(v.At, v, b).sight()}
 	calls(t, s, v.At, "3 of 3", c)
 	calls(t, s, v.At+101, "ms old", c)
 	c.Base--
 	calls(t, s, v.At, "version", c)
 
 	// A release takes those that are shut though the budget is full, and no other.
-	calls(t, s, v.At, Queued, Command{Kind: Open, Name: "r", Release: &Wish{Kind: KindRelay, All: true}})
+	calls(t, s, v.At, ReleaseQueued, Command{Kind: CommandOpen, Name: "r", Release: &Wish{Kind: KindRelay, All: true}})
 	plan(b, "n6 n2 n0 ")
 	plan(b, "n6 n2 n0 ")
 	for _, r := range v.Relays {
@@ -818,7 +818,7 @@
 		}
 	}
 	// What a halt takes back of it is as it was once it has heeded that, though it does not serve; so it may go again.
-	calls(t, s, v.At, Halted, Command{Kind: Halt, Name: "r"})
+	calls(t, s, v.At, ReleaseHalted, Command{Kind: CommandHalt, Name: "r"})
 	for i := range v.Relays {
 		if x := &v.Relays[i]; v.Unfit[x.Name] != "" && x.Name != "n4" {
 			x.Phase, x.Full = "shut", false
@@ -827,7 +827,7 @@
 		}
 	}
 	plan(b, "n6 n2 n0 ")
-	calls(t, s, v.At, Running, Command{Kind: Resume, Name: "r"})
+	calls(t, s, v.At, ReleaseRunning, Command{Kind: CommandResume, Name: "r"})
 	plan(b, "n6 n2 n0 ")
 	if s.Orders("n2").Leave == nil {
 		t.Errorf("%+v", s.d.release("r").unit("n2"))
@@ -855,8 +855,8 @@
 	begin()
 	r = &v.Relays[6]
 	plan(b, "n6 n2 n0 ")
-	calls(t, s, v.At, Admit, Command{Kind: Admit, Name: "n6"})
-	calls(t, s, v.At, "not shut", Command{Kind: Admit, Name: "n6"})
+	calls(t, s, v.At, CommandReadmit, Command{Kind: CommandReadmit, Name: "n6"})
+	calls(t, s, v.At, "not shut", Command{Kind: CommandReadmit, Name: "n6"})
 	plan(b, "n2 n0 ")
 	r.Applied = s.Version()
 	plan(b, "n2 n0 n4 ")
@@ -884,10 +884,10 @@
 			calls(t, s, v.At, "", c)
 		}
 	}
-	calls(t, s, v.At, Wait, Command{Kind: Ask, Thing: KindRelay, Name: "n0", Who: "a", For: 50})
+	calls(t, s, v.At, PermitWaiting, Command{Kind: CommandRequestPermit, Thing: KindRelay, Name: "n0", Who: "a", For: 50})
 	plan()
-	calls(t, s, v.At, Begun, Command{Kind: Begin, Number: 1})
-	calls(t, s, v.At, Begun, Command{Kind: Give, Number: 1})
+	calls(t, s, v.At, PermitBegun, Command{Kind: CommandBeginPermit, Number: 1})
+	calls(t, s, v.At, PermitBegun, Command{Kind: CommandReturnPermit, Number: 1})
 	gone, all := slices.Clone(v.Relays[1:]), v.Relays
 	v.Relays = gone // nothing tells one that is down and not listed from one that is no more
 	v.At += 1100
@@ -904,16 +904,16 @@
 	}
 
 	v.Relays[0].Full = true
-	calls(t, s, v.At, Queued, Command{Kind: Open, Name: "r", Release: &Wish{Kind: KindRelay, Names: []string{"n3"}}})
+	calls(t, s, v.At, ReleaseQueued, Command{Kind: CommandOpen, Name: "r", Release: &Wish{Kind: KindRelay, Names: []string{"n3"}}})
 	plan()
 	told := 0
 	for number := uint64(2); number < 20 && told == 0; number++ { // there is always one who waits
-		calls(t, s, v.At, Wait, Command{Kind: Ask, Thing: KindRelay, Name: "n" + strconv.Itoa(int(number%2)), Who: "a", For: 50})
+		calls(t, s, v.At, PermitWaiting, Command{Kind: CommandRequestPermit, Thing: KindRelay, Name: "n" + strconv.Itoa(int(number%2)), Who: "a", For: 50})
 		plan()
 		if s.Orders("n3").Leave != nil {
 			told = int(v.At)
 		} else {
-			calls(t, s, v.At, "given", Command{Kind: Give, Number: number})
+			calls(t, s, v.At, "given", Command{Kind: CommandReturnPermit, Number: number})
 		}
 		v.At += 90
 	}
@@ -927,12 +927,12 @@
 	b := Budgets{Silent: 100, Fresh: 100, Drain: 1000, Start: 1000, Warm: 1000, Window: 100}
 	v := View{At: 1000, Relays: []Relay{{Name: "n", Full: true}}, Members: []Member{{Name: "a.1", Started: 990, Capacity: 1, Bears: 0.3}, {Name: "b", Capacity: 1, Bears: 1}}}
 	s := New()
-	s.d.Releases = []release{{Laid: true, Account: Account{Name: "r", State: Running, Wish: Wish{Kind: KindMember, All: true}, Units: []Unit{
-		{Name: "a", Kind: KindMember, Phase: Empty, Number: 1, At: 900, Start: 5}, {Name: "b", Kind: KindMember}}}}}
+	s.d.Releases = []release{{Laid: true, Account: Account{Name: "r", State: ReleaseRunning, Wish: Wish{Kind: KindMember, All: true}, Units: []Unit{
+		{Name: "a", Kind: KindMember, Phase: PhaseDrained, Number: 1, At: 900, Start: 5}, {Name: "b", Kind: KindMember}}}}}
 	for _, c := range s.Plan(v.At, v, b) {
 		calls(t, s, v.At, "", c)
 	}
-	if a, _ := s.Release("r"); a.State != Running || a.Units[0].Phase != Coming || a.Units[0].Now != "a.1" {
+	if a, _ := s.Release("r"); a.State != ReleaseRunning || a.Units[0].Phase != PhaseReplaced || a.Units[0].Now != "a.1" {
 		t.Errorf("%+v, %+v", a, a.Halt)
 	}
 }
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -64,7 +64,7 @@
 	for _, r := range s.d.Releases {
 		units += len(r.Units)
 	}
-	if len(s.d.Releases) > ReleasesMost || units > UnitsMost || len(s.d.Permits) > PermitsMost || len(s.d.Bans) > BansMost || len(s.d.Shuts) > ShutsMost {
+	if len(s.d.Releases) > MaxReleases || units > MaxUnits || len(s.d.Permits) > MaxPermits || len(s.d.Bans) > MaxEjections || len(s.d.Shuts) > MaxQuarantines {
 		return nil, fmt.Errorf("rollout: a state beyond its bounds")
 	}
 	return s, nil
@@ -82,12 +82,12 @@
 	for _, r := range s.d.Releases {
 		for _, u := range r.Units {
 			switch {
-			case u.Kind == KindRelay && u.Name == relay && u.Phase == Told:
+			case u.Kind == KindRelay && u.Name == relay && u.Phase == PhaseLeaving:
 				o.Leave = &Leave{Number: u.Number, Release: r.Name, Start: uint64(u.Start), Program: r.Wish.Program, Config: r.Wish.Config}
 				if u.Undo {
 					o.Leave.Program, o.Leave.Config = u.Program, u.Config
 				}
-			case u.Kind == KindMember && (u.Phase == Told || u.Phase == Empty || u.Phase == Done && r.Wish.Drain):
+			case u.Kind == KindMember && (u.Phase == PhaseLeaving || u.Phase == PhaseDrained || u.Phase == PhaseDone && r.Wish.Drain):
 				out(u.name(), Out{Why: "drain", Number: u.Number, Since: u.At, MoveOver: u.MoveOver})
 			}
 		}
@@ -153,7 +153,7 @@
 	for i := range a.Units {
 		u := &a.Units[i]
 		switch {
-		case u.Phase == Done:
+		case u.Phase == PhaseDone:
 			a.Counts.Done++
 		case u.isOut():
 			a.Counts.Out++
@@ -163,9 +163,9 @@
 		switch {
 		case u.Stranded:
 			a.Except = append(a.Except, u.Name+": not seen back in time")
-		case u.Phase == Missing:
+		case u.Phase == PhaseMissing:
 			a.Except = append(a.Except, u.Name+": was not there")
-		case r.Backing && u.Phase == Done && !r.undoable(u):
+		case r.Backing && u.Phase == PhaseDone && !r.undoable(u):
 			a.Except = append(a.Except, u.Name+": was restarted, which has no way back")
 		}
 	}
@@ -212,14 +212,14 @@
 	return slices.BinarySearchFunc(d.Bans, name, func(b Banned, name string) int { return cmp.Compare(b.Name, name) })
 }
 
-func (r *release) ended() bool { return r.State == Ended || r.State == Undone }
+func (r *release) ended() bool { return r.State == ReleaseCompleted || r.State == ReleaseRolledBack }
 
 // name is what the thing is called now.
 func (u *Unit) name() string { return cmp.Or(u.Now, u.Name) }
 
 // isOut says whether it counts as out by plan.
 func (u *Unit) isOut() bool {
-	return u.Phase == Told || u.Phase == Empty || u.Phase == Coming || u.Phase == Revoked
+	return u.Phase == PhaseLeaving || u.Phase == PhaseDrained || u.Phase == PhaseReplaced || u.Phase == PhaseRevoked
 }
 
 // undoable says whether there is a way back for a unit that has the new thing. A relay's restart alone has none.
@@ -231,9 +231,9 @@
 	case KindRelay:
 		other := func(now, before string) bool { return now != "" && before != "" && now != before } // what it ran may not be known
 		return other(r.Wish.Program, u.Program) || other(r.Wish.Config, u.Config)
-	case KindBan:
+	case KindEject:
 		return !u.Banned
-	case KindAllow:
+	case KindReinstate:
 		return u.Banned
 	}
 	return true
--- a/internal/rollout/world_test.go
+++ b/internal/rollout/world_test.go
@@ -203,7 +203,7 @@
 	}
 	for _, r := range w.s.d.Releases {
 		for _, u := range r.Units {
-			if u.Kind == KindRelay && u.Phase == Told {
+			if u.Kind == KindRelay && u.Phase == PhaseLeaving {
 				a.leave[u.Name] = w.s.Orders(u.Name).Leave
 			}
 		}
@@ -329,7 +329,7 @@
 		}
 	}
 	if list := w.s.Shuts(); len(list) > 0 && !w.calm && w.rng.IntN(200) == 0 {
-		w.propose("operator", Command{Kind: Admit, Name: list[w.rng.IntN(len(list))].Name}, func(Answer) {})
+		w.propose("operator", Command{Kind: CommandReadmit, Name: list[w.rng.IntN(len(list))].Name}, func(Answer) {})
 	}
 }
 
@@ -426,7 +426,7 @@
 		r := &w.s.d.Releases[i]
 		for j := range r.Units {
 			u := &r.Units[j]
-			if u.Phase != Empty || u.Kind != KindMember || u.name() != x.name || u.Number == x.number || r.Wish.Drain || x.up && w.rng.IntN(4) > 0 {
+			if u.Phase != PhaseDrained || u.Kind != KindMember || u.name() != x.name || u.Number == x.number || r.Wish.Drain || x.up && w.rng.IntN(4) > 0 {
 				continue
 			}
 			x.number, x.next = u.Number, r.Wish.Program
@@ -451,7 +451,7 @@
 		if a.down && w.now >= a.doneAt {
 			a.down, a.end = false, true
 			if w.rng.IntN(2) == 0 {
-				w.propose(a.who, Command{Kind: Give, Number: a.number}, func(Answer) {})
+				w.propose(a.who, Command{Kind: CommandReturnPermit, Number: a.number}, func(Answer) {})
 			}
 		}
 		return
@@ -469,8 +469,8 @@
 	}
 	sent := w.now
 	if a.number != 0 && w.now < a.deadline {
-		w.propose(a.who, Command{Kind: Begin, Number: a.number}, func(x Answer) {
-			if x.State == Begun {
+		w.propose(a.who, Command{Kind: CommandBeginPermit, Number: a.number}, func(x Answer) {
+			if x.State == PermitBegun {
 				a.begun, a.may = true, sent+int64(float64(w.budgets.Window)*a.rate*(1-w.budgets.Clock))
 			} else if x.Error != "" {
 				a.number = 0
@@ -478,9 +478,9 @@
 		})
 		return
 	}
-	w.propose(a.who, Command{Kind: Ask, Thing: a.kind, Name: a.name, Who: a.who, For: 4000}, func(x Answer) {
+	w.propose(a.who, Command{Kind: CommandRequestPermit, Thing: a.kind, Name: a.name, Who: a.who, For: 4000}, func(x Answer) {
 		a.number = 0
-		if x.State == Granted {
+		if x.State == PermitGranted {
 			a.number, a.deadline = x.Number, sent+int64(float64(x.Left)*a.rate*(1-w.budgets.Clock))
 		}
 	})
@@ -583,21 +583,21 @@
 // judge looks at each step that was agreed: what was given out and is, what is lost for so long that it had to be known, against
 // the budgets, in truth.
 func (w *world) judge(c Command) {
-	if c.Kind == Seen {
+	if c.Kind == CommandObserve {
 		for _, s := range c.Saw {
-			if s.Phase == Empty {
+			if s.Phase == PhaseDrained {
 				w.judgeEmpty(s)
 			}
 		}
 	}
 	w.forget()
-	fresh, bears := map[string]bool{}, c.Kind == Shut && c.Bears > 0
+	fresh, bears := map[string]bool{}, c.Kind == CommandQuarantine && c.Bears > 0
 	switch c.Kind {
-	case Shut:
+	case CommandQuarantine:
 		w.shuts++
 		fresh[KindRelay+" "+c.Name] = true
 		w.give(KindRelay, c.Name, 0)
-	case Step:
+	case CommandStep:
 	default:
 		return
 	}
@@ -724,7 +724,7 @@
 			mayBegin := a.number == permit && !a.begun && !a.end && w.now < a.deadline
 			mayTake := a.number == permit && a.begun && !a.end && (a.down || w.now < a.may)
 			granted := w.s.d.permit(permit)
-			return granted != nil && granted.State == Granted || mayBegin || mayTake || thing()
+			return granted != nil && granted.State == PermitGranted || mayBegin || mayTake || thing()
 		}
 	}
 	w.given[kind+" "+name] = truth
@@ -732,7 +732,7 @@
 
 func (w *world) judgeEmpty(s Saw) {
 	r := w.s.d.release(s.Release)
-	if r == nil || r.unit(s.Unit) == nil || r.unit(s.Unit).Phase != Empty {
+	if r == nil || r.unit(s.Unit) == nil || r.unit(s.Unit).Phase != PhaseDrained {
 		return
 	}
 	name := r.unit(s.Unit).name()
--- a/internal/scenariorunner/fleet.go
+++ b/internal/scenariorunner/fleet.go
@@ -87,7 +87,7 @@
 	return ""
 }
 
-// Drifted is a pair of relay and item that was shown as drift, and from when to when.
+// HaltDrift is a pair of relay and item that was shown as drift, and from when to when.
 type Drifted struct {
 	Relay string  `json:"relay"`
 	Item  string  `json:"item"`
@@ -158,7 +158,7 @@
 			})
 			for _, u := range whole.Units {
 				name := cmp.Or(u.Now, u.Name) // on the way back it is the successor that is replaced, by the build of before
-				if u.Kind == rollout.KindMember && u.Phase == rollout.Empty && !replaced[name] {
+				if u.Kind == rollout.KindMember && u.Phase == rollout.PhaseDrained && !replaced[name] {
 					replaced[name] = true
 					r.succeed(name, u.Undo)
 				}
@@ -206,7 +206,7 @@
 		o.states, o.ended = map[string]string{}, map[string]time.Duration{}
 	}
 	state := a.State
-	if a.Halt != nil && state == rollout.Halted {
+	if a.Halt != nil && state == rollout.ReleaseHalted {
 		state += ": " + a.Halt.Cause + ": " + a.Halt.Why
 	}
 	if o.states[a.Name] != state {
@@ -223,7 +223,7 @@
 	}
 	last := time.Duration(0)
 	for name, state := range o.states {
-		if state != rollout.Ended && state != rollout.Undone {
+		if state != rollout.ReleaseCompleted && state != rollout.ReleaseRolledBack {
 			return nil
 		}
 		last = max(last, o.ended[name])
--- a/internal/scenariorunner/relay.go
+++ b/internal/scenariorunner/relay.go
@@ -155,7 +155,7 @@
 				n.how = err.Error()
 			}
 			n.cpu += (cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()).Seconds()
-			ordered := cmd.ProcessState.ExitCode() == rollout.ExitOrdered
+			ordered := cmd.ProcessState.ExitCode() == rollout.ExitOrderedRestart
 			if ordered && !n.closing {
 				go n.host()
 			}
