--- a/integration/fleet_faults_test.go
+++ b/integration/fleet_faults_test.go
@@ -45,7 +45,7 @@
 
 // out is how many things a release has out, by the record of a relay as it is.
 func (f *fleetRig) out(i int, name string) int {
-	var a rollout.Account
+	var a rollout.ReleaseStatus
 	if f.call(i, "GET", "/-/releases/"+name+"?stale", nil, &a) != 200 {
 		return 0
 	}
@@ -65,7 +65,7 @@
 	f := newFleet(t, 3, 3, 3, nil)
 	f.leader()
 	f.agreed(0, "POST", "/-/releases", map[string]any{"name": "a", "kind": "member", "drain": true, "names": []string{"s0"}})
-	var a rollout.Answer
+	var a rollout.Result
 	code := f.call(1, "POST", "/-/releases", map[string]any{"name": "b", "kind": "member", "drain": true, "names": []string{"s0", "s1"}}, &a)
 	if code != 409 || !strings.Contains(a.Error, `"a"`) {
 		t.Errorf("%d %+v", code, a)
@@ -197,7 +197,7 @@
 	within(t, 3*patience, "the release to end", func() bool {
 		w.most()
 		w.hosts()
-		var a rollout.Account
+		var a rollout.ReleaseStatus
 		return f.call(3, "GET", "/-/releases/r", nil, &a) == 200 && a.State == rollout.ReleaseCompleted && a.Counts.Done == 4
 	})
 	for i := range f.relays {
@@ -439,13 +439,13 @@
 		f.takes(i)
 		r.hold(6) // so that what members bear is known
 	}
-	ask := func(i int, who, name string) rollout.Answer {
+	ask := func(i int, who, name string) rollout.Result {
 		t.Helper()
 		a := f.agreed(i, "POST", "/-/permits", map[string]any{"kind": "member", "name": name, "who": who, "for_ms": 60000, "why": "a kernel"})
 		time.Sleep(100 * time.Millisecond)
 		return a
 	}
-	var a, b rollout.Answer
+	var a, b rollout.Result
 	first := ask(0, "ann", "s0")
 	second := ask(1, "bob", "s1")
 	until(t, "the first to be granted", func() bool { a = ask(2, "ann", "s0"); return a.State == rollout.PermitGranted })
--- a/integration/fleet_test.go
+++ b/integration/fleet_test.go
@@ -174,10 +174,10 @@
 }
 
 // agreed repeats a call until it is answered with yes: a leader may be sought just then.
-func (f *fleetRig) agreed(i int, method, path string, body any) (a rollout.Answer) {
+func (f *fleetRig) agreed(i int, method, path string, body any) (a rollout.Result) {
 	f.t.Helper()
 	until(f.t, method+" "+path, func() bool {
-		a = rollout.Answer{}
+		a = rollout.Result{}
 		if f.call(i, method, path, body, &a) == 200 {
 			return true
 		}
@@ -188,10 +188,10 @@
 }
 
 // release waits until one is in one of these states.
-func (f *fleetRig) release(i int, name string, states ...string) (a rollout.Account) {
+func (f *fleetRig) release(i int, name string, states ...string) (a rollout.ReleaseStatus) {
 	f.t.Helper()
 	until(f.t, fmt.Sprintf("release %s to be %v", name, states), func() bool {
-		a = rollout.Account{}
+		a = rollout.ReleaseStatus{}
 		f.call(i, "GET", "/-/releases/"+name, nil, &a)
 		for _, s := range states {
 			if a.State == s {
--- a/internal/fleet/calls.go
+++ b/internal/fleet/calls.go
@@ -40,7 +40,7 @@
 			defer func() { <-room }()
 			mux.ServeHTTP(w, r)
 		default:
-			say(w, http.StatusServiceUnavailable, rollout.Answer{Error: "too many calls"})
+			say(w, http.StatusServiceUnavailable, rollout.Result{Error: "too many calls"})
 		}
 	})}
 	s.Log.WithField("listen", l.Addr().String()).WithField("front", "fleet").Info("serving")
@@ -72,9 +72,9 @@
 			return
 		}
 		var all struct {
-			Releases []rollout.Account `json:"releases"`
-			Permits  []rollout.Pass    `json:"permits"`
-			Bans     []rollout.Banned  `json:"bans"`
+			Releases []rollout.ReleaseStatus `json:"releases"`
+			Permits  []rollout.Permit        `json:"permits"`
+			Bans     []rollout.Ejection      `json:"bans"`
 		}
 		s.record.read(func(st *rollout.State, _ held) {
 			all.Releases, all.Permits, all.Bans = st.Releases(), st.Permits(), st.Bans()
@@ -88,15 +88,15 @@
 		if !s.current(w, r) {
 			return
 		}
-		var a rollout.Account
+		var a rollout.ReleaseStatus
 		var ok bool
 		s.record.read(func(st *rollout.State, _ held) { a, ok = st.Release(r.PathValue("name")) })
 		if !ok {
-			say(w, http.StatusNotFound, rollout.Answer{Error: "no such release"})
+			say(w, http.StatusNotFound, rollout.Result{Error: "no such release"})
 			return
 		}
 		say(w, http.StatusOK, struct {
-			rollout.Account
+			rollout.ReleaseStatus
 			Waits string `json:"waits,omitempty"`
 		}{a, s.waits(a.Name)})
 	})
@@ -104,13 +104,13 @@
 		var c struct {
 			Name string `json:"name"`
 			Who  string `json:"who"`
-			rollout.Wish
+			rollout.ReleaseSpec
 			Canary *canary.Spec `json:"canary"`
 		}
 		if !take(w, r, &c) {
 			return
 		}
-		open := rollout.Command{Kind: rollout.CommandOpen, Name: c.Name, Who: c.Who, Release: &c.Wish}
+		open := rollout.Command{Kind: rollout.CommandOpen, Name: c.Name, Who: c.Who, Release: &c.ReleaseSpec}
 		if c.Canary == nil {
 			s.agree(w, r, open)
 			return
@@ -118,7 +118,7 @@
 		salt(c.Canary)
 		body, err := json.Marshal(opening{open.Encode(), *c.Canary})
 		if err != nil {
-			say(w, http.StatusBadRequest, rollout.Answer{Error: err.Error()})
+			say(w, http.StatusBadRequest, rollout.Result{Error: err.Error()})
 			return
 		}
 		ctx, cancel := context.WithTimeout(r.Context(), callWithin)
@@ -132,7 +132,7 @@
 		case rollout.CommandHalt, rollout.CommandResume, rollout.CommandRollBack:
 			s.agree(w, r, c)
 		default:
-			say(w, http.StatusNotFound, rollout.Answer{Error: "a release can be told to halt, resume, or go back"})
+			say(w, http.StatusNotFound, rollout.Result{Error: "a release can be told to halt, resume, or go back"})
 		}
 	})
 	m.HandleFunc("POST /-/permits", func(w http.ResponseWriter, r *http.Request) {
@@ -157,7 +157,7 @@
 			c.Kind = rollout.CommandReturnPermit
 		}
 		if err != nil || c.Kind == "" {
-			say(w, http.StatusNotFound, rollout.Answer{Error: "a permit's number, and begin or done"})
+			say(w, http.StatusNotFound, rollout.Result{Error: "a permit's number, and begin or done"})
 			return
 		}
 		s.agree(w, r, c)
@@ -202,7 +202,7 @@
 			s.Post(func() { s.Pause(c.Release) }) // here at once, and round without a majority; the record follows
 		case "resume", "back", "close":
 		default:
-			say(w, http.StatusNotFound, rollout.Answer{Error: "a canary can be told to pause, resume, go back, or be closed"})
+			say(w, http.StatusNotFound, rollout.Result{Error: "a canary can be told to pause, resume, go back, or be closed"})
 			return
 		}
 		s.agreeTrial(w, r, c)
@@ -211,10 +211,10 @@
 		ctx, cancel := context.WithTimeout(r.Context(), callWithin)
 		defer cancel()
 		if err := s.node.Replace(ctx, r.PathValue("old"), r.PathValue("new"), r.URL.Query().Get("address")); err != nil {
-			say(w, status(err), rollout.Answer{Error: err.Error()})
+			say(w, status(err), rollout.Result{Error: err.Error()})
 			return
 		}
-		say(w, http.StatusOK, rollout.Answer{State: "replaced"})
+		say(w, http.StatusOK, rollout.Result{State: "replaced"})
 	})
 	return m
 }
@@ -227,7 +227,7 @@
 	ctx, cancel := context.WithTimeout(r.Context(), callWithin)
 	defer cancel()
 	if _, err := s.node.Barrier(ctx); err != nil {
-		say(w, status(err), rollout.Answer{Error: err.Error() + "; ?stale shows what this relay has"})
+		say(w, status(err), rollout.Result{Error: err.Error() + "; ?stale shows what this relay has"})
 		return false
 	}
 	return true
@@ -259,10 +259,10 @@
 	s.answer(w, a, err)
 }
 
-func (s *Service) answer(w http.ResponseWriter, a rollout.Answer, err error) {
+func (s *Service) answer(w http.ResponseWriter, a rollout.Result, err error) {
 	switch {
 	case err != nil:
-		say(w, status(err), rollout.Answer{Error: err.Error()})
+		say(w, status(err), rollout.Result{Error: err.Error()})
 	case a.Error != "":
 		say(w, http.StatusConflict, a)
 	default:
@@ -273,13 +273,13 @@
 func (s *Service) agreeTrial(w http.ResponseWriter, r *http.Request, c canary.Command) {
 	switch err := s.proposeTrial(r.Context(), c); {
 	case errors.Is(err, errRefused):
-		say(w, http.StatusConflict, rollout.Answer{Error: err.Error()})
+		say(w, http.StatusConflict, rollout.Result{Error: err.Error()})
 	case err != nil && c.Do == "pause": // it was posted before: who is told only that it was not agreed would take the arm for open
-		say(w, status(err), rollout.Answer{Error: err.Error(), State: "paused here, and at all that can be reached; say it again when there is a majority"})
+		say(w, status(err), rollout.Result{Error: err.Error(), State: "paused here, and at all that can be reached; say it again when there is a majority"})
 	case err != nil:
-		say(w, status(err), rollout.Answer{Error: err.Error()})
+		say(w, status(err), rollout.Result{Error: err.Error()})
 	default:
-		say(w, http.StatusOK, rollout.Answer{Name: c.Release, State: c.Do})
+		say(w, http.StatusOK, rollout.Result{Name: c.Release, State: c.Do})
 	}
 }
 
@@ -299,7 +299,7 @@
 	d := json.NewDecoder(io.LimitReader(r.Body, callMost))
 	d.DisallowUnknownFields() // a misspelt bound must not be taken for none
 	if err := d.Decode(to); err != nil {
-		say(w, http.StatusBadRequest, rollout.Answer{Error: err.Error()})
+		say(w, http.StatusBadRequest, rollout.Result{Error: err.Error()})
 		return false
 	}
 	return true
@@ -323,9 +323,9 @@
 	switch {
 	case !leads:
 		w.Header().Set("Leader", st.Leader)
-		say(w, http.StatusMisdirectedRequest, rollout.Answer{Error: "ask the leader", Name: st.Leader})
+		say(w, http.StatusMisdirectedRequest, rollout.Result{Error: "ask the leader", Name: st.Leader})
 	case err != nil:
-		say(w, http.StatusNotFound, rollout.Answer{Error: err.Error()})
+		say(w, http.StatusNotFound, rollout.Result{Error: err.Error()})
 	default:
 		a, err := s.proposeMeaning(r.Context(), c)
 		s.answer(w, a, err)
@@ -339,7 +339,7 @@
 	defer s.mu.Unlock()
 	if s.ledAt == 0 {
 		w.Header().Set("Leader", st.Leader)
-		say(w, http.StatusMisdirectedRequest, rollout.Answer{Error: "ask the leader", Name: st.Leader})
+		say(w, http.StatusMisdirectedRequest, rollout.Result{Error: "ask the leader", Name: st.Leader})
 		return
 	}
 	say(w, http.StatusOK, s.helm.page(s.now()))
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -91,13 +91,13 @@
 		Clock: clockDrift, Drift: driftMost.Milliseconds(), Slack: cmp.Or(c.Out.Cost, serviceCost)}
 	for _, p := range []struct {
 		name, text string
-		to         *rollout.Part
+		to         *rollout.Limit
 	}{{"relays.whole", cmp.Or(c.Out.Relays.Whole, "1"), &c.budgets.Relays.Whole}, {"relays.zone", c.Out.Relays.Zone, &c.budgets.Relays.Zone},
 		{"members.whole", cmp.Or(c.Out.Members.Whole, "1"), &c.budgets.Members.Whole}, {"members.zone", c.Out.Members.Zone, &c.budgets.Members.Zone}} {
 		if p.text == "" {
 			continue
 		}
-		if *p.to, err = rollout.ParsePart(p.text); err != nil {
+		if *p.to, err = rollout.ParseLimit(p.text); err != nil {
 			return fmt.Errorf("out.%s: %v", p.name, err)
 		}
 	}
--- a/internal/fleet/helm.go
+++ b/internal/fleet/helm.go
@@ -22,8 +22,8 @@
 	held    held
 	intent  *intent
 	under   map[string]under
-	over    []rollout.Account // releases that are over, and what is meant does not follow them yet
-	shuts   map[string]rollout.Shutting
+	over    []rollout.ReleaseStatus // releases that are over, and what is meant does not follow them yet
+	shuts   map[string]rollout.Quarantine
 
 	sections map[string]map[string]string // by release: the new configuration, from the relays that run it
 	blocks   string                       // why no release may step on, but one that mends it
@@ -52,7 +52,7 @@
 	}
 	h.changes, h.held, h.intent = r.changes, r.held, r.intent
 	all := r.rollout.Releases()
-	h.under, h.over, h.shuts = underOf(all, r.intent), nil, map[string]rollout.Shutting{}
+	h.under, h.over, h.shuts = underOf(all, r.intent), nil, map[string]rollout.Quarantine{}
 	for _, x := range r.rollout.Shuts() {
 		h.shuts[x.Name] = x
 	}
@@ -299,7 +299,7 @@
 	for _, c := range plan {
 		if c.Kind == rollout.CommandStep && len(h.blocked) > 0 {
 			had := len(c.Gives)
-			c.Gives = slices.DeleteFunc(slices.Clone(c.Gives), func(g rollout.Gift) bool {
+			c.Gives = slices.DeleteFunc(slices.Clone(c.Gives), func(g rollout.Grant) bool {
 				why, ok := h.blocked[g.Release]
 				if !ok {
 					why = h.blocked[""]
--- a/internal/fleet/intent.go
+++ b/internal/fleet/intent.go
@@ -65,9 +65,9 @@
 }
 
 // apply is the state after a command; an error changes nothing.
-func (n *intent) apply(at int64, by string, body []byte, ro *rollout.State) (*intent, rollout.Answer) {
-	refuse := func(format string, args ...any) (*intent, rollout.Answer) {
-		return n, rollout.Answer{Error: fmt.Sprintf(format, args...)}
+func (n *intent) apply(at int64, by string, body []byte, ro *rollout.State) (*intent, rollout.Result) {
+	refuse := func(format string, args ...any) (*intent, rollout.Result) {
+		return n, rollout.Result{Error: fmt.Sprintf(format, args...)}
 	}
 	var c meaning
 	if err := json.Unmarshal(body, &c); err != nil {
@@ -124,7 +124,7 @@
 	case len(x.Items) > meantMost || len(x.Of) > drift.RelaysMost:
 		return refuse("over %d items, or %d relays", meantMost, drift.RelaysMost)
 	}
-	return x, rollout.Answer{State: "meant", Number: x.Version}
+	return x, rollout.Result{State: "meant", Number: x.Version}
 }
 
 // edit is one command's change.
@@ -261,7 +261,7 @@
 }
 
 // follows says whether what a release changed is meant as it stands: one that is over is still to be told of if not.
-func (n *intent) follows(a *rollout.Account) (taken, settled bool) {
+func (n *intent) follows(a *rollout.ReleaseStatus) (taken, settled bool) {
 	e, ok := n.Ended[a.Name]
 	taken = ok && e.Opened == a.Opened
 	switch a.State {
--- a/internal/fleet/keep.go
+++ b/internal/fleet/keep.go
@@ -24,10 +24,10 @@
 
 // kept is what is in it. Orders to this process are none of the next one's.
 type kept struct {
-	Version uint64                 `json:"version"`
-	Out     map[string]rollout.Out `json:"out,omitempty"`
-	Weighed uint64                 `json:"weighed"`
-	Weights []canary.Weight        `json:"weights,omitempty"`
+	Version uint64                       `json:"version"`
+	Out     map[string]rollout.Exclusion `json:"out,omitempty"`
+	Weighed uint64                       `json:"weighed"`
+	Weights []canary.Weight              `json:"weights,omitempty"`
 }
 
 // read takes it from a directory; there may be none. What cannot be read is not believed.
--- a/internal/fleet/ledger.go
+++ b/internal/fleet/ledger.go
@@ -178,14 +178,14 @@
 
 // under is a relay's part in a release of relays that is not settled yet: it goes on, or what is meant does not follow it so far.
 type under struct {
-	release rollout.Account // without its units
+	release rollout.ReleaseStatus // without its units
 	unit    rollout.Unit
 	taken   bool              // what is meant is what the release brought, though it goes back now
 	before  map[string]string // and this is what was meant before
 }
 
 // underOf is by relay. Releases that go on come before those that are over.
-func underOf(all []rollout.Account, in *intent) map[string]under {
+func underOf(all []rollout.ReleaseStatus, in *intent) map[string]under {
 	out := map[string]under{}
 	for _, over := range []bool{true, false} {
 		for _, a := range all {
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -140,7 +140,7 @@
 	})
 }
 
-func (m *model) agree(part string, body []byte) (a rollout.Answer) {
+func (m *model) agree(part string, body []byte) (a rollout.Result) {
 	text, _ := json.Marshal(command{part, m.now, m.lead.name, body})
 	m.log = append(m.log, text)
 	n := len(m.log)
@@ -162,7 +162,7 @@
 	}
 }
 
-func (m *model) release(name string, w rollout.Wish) {
+func (m *model) release(name string, w rollout.ReleaseSpec) {
 	m.call(rollout.Command{Kind: rollout.CommandOpen, Name: name, Release: &w})
 }
 
@@ -349,7 +349,7 @@
 		{drift.Bans, drift.Local, func(m *model, r *mrelay) { r.look.Local = []string{"m2"} }},
 		{drift.Drains, drift.Late, func(m *model, r *mrelay) {
 			r.frozen[drift.Drains] = true
-			m.release("d", rollout.Wish{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}})
+			m.release("d", rollout.ReleaseSpec{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}})
 		}},
 		{drift.Weights, drift.Late, func(m *model, r *mrelay) {
 			r.frozen[drift.Weights] = true
@@ -431,26 +431,26 @@
 				}
 			}
 		}
-		m.release("all", rollout.Wish{Kind: rollout.KindRelay, All: true, Program: "p2", Config: "c2"})
+		m.release("all", rollout.ReleaseSpec{Kind: rollout.KindRelay, All: true, Program: "p2", Config: "c2"})
 		through("all", rollout.ReleaseCompleted, "p2 c2l", "p2 c2l", "p2 c2l")
 		m.call(rollout.Command{Kind: rollout.CommandRollBack, Name: "all"})
 		through("all", rollout.ReleaseRolledBack, "p1 c1l", "p1 c1l", "p1 c1l")
-		m.release("part", rollout.Wish{Kind: rollout.KindRelay, Names: part, Program: "p3", Config: "c3"})
+		m.release("part", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: part, Program: "p3", Config: "c3"})
 		through("part", rollout.ReleaseCompleted, "p3 c3l", "p1 c1l", "p1 c1l")
 		m.call(rollout.Command{Kind: rollout.CommandRollBack, Name: "part"})
 		through("part", rollout.ReleaseRolledBack, "p1 c1l", "p1 c1l", "p1 c1l")
-		m.release("again", rollout.Wish{Kind: rollout.KindRelay, Names: part, Program: "p3", Config: "c3"})
+		m.release("again", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: part, Program: "p3", Config: "c3"})
 		through("again", rollout.ReleaseCompleted, "p3 c3l", "p1 c1l", "p1 c1l")
 		if r := NewRecord(); r.Restore(1, m.lead.record.Snapshot()) != nil || string(r.Snapshot()) != string(m.lead.record.Snapshot()) || len(r.intent.Of) != 3 {
 			t.Fatalf("a snapshot loses some: %+v", r.intent)
 		}
-		m.release("rest", rollout.Wish{Kind: rollout.KindRelay, Names: rest, Program: "p3", Config: "c3"})
+		m.release("rest", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: rest, Program: "p3", Config: "c3"})
 		through("rest", rollout.ReleaseCompleted, "p3 c3l", "p3 c3l", "p3 c3l")
 		if len(m.lead.record.intent.Of) > 0 {
 			t.Fatalf("%+v", m.lead.record.intent)
 		}
 		m.relays[5].refuses, m.planted["n5 config.settings"] = true, drift.Refused
-		m.release("bad", rollout.Wish{Kind: rollout.KindRelay, Names: rest, Config: "c4"})
+		m.release("bad", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: rest, Config: "c4"})
 		if m.play(60_000, func() bool { return len(m.found) > 0 }); len(m.found) == 0 {
 			t.Fatalf("seed %d: %+v", seed, m.helm.watch.Rows())
 		}
@@ -471,9 +471,9 @@
 	if !m.play(180_000, func() bool { return m.found["n3 list"] }) {
 		t.Fatal("not found")
 	}
-	m.release("drain", rollout.Wish{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}})
+	m.release("drain", rollout.ReleaseSpec{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}})
 	m.play(5000, nil)
-	m.release("mend", rollout.Wish{Kind: rollout.KindRelay, All: true})
+	m.release("mend", rollout.ReleaseSpec{Kind: rollout.KindRelay, All: true})
 	// Who is told to leave does not count any more.
 	out := func() bool { return len(m.lead.record.rollout.Orders("").Out) > 0 }
 	early := false
@@ -615,13 +615,13 @@
 			all := m.lead.record.rollout.Shuts()
 			return out() == 2 && len(all) == 2 && all[0].Name != first && all[1].Name != first
 		})
-		m.release("mend", rollout.Wish{Kind: rollout.KindRelay, All: true})
+		m.release("mend", rollout.ReleaseSpec{Kind: rollout.KindRelay, All: true})
 		until("mended", 600_000, func() bool { return out() >= 0 && m.state("mend") == rollout.ReleaseCompleted })
 		until("let in", 60_000, func() bool { return out() == 0 })
 		first = ""
 		m.relays[5].own["limits"] = "mine"
 		until("shut again", 120_000, func() bool { return out() == 1 })
-		m.release("drain", rollout.Wish{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}}) // which one that is shut does not hold up
+		m.release("drain", rollout.ReleaseSpec{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}}) // which one that is shut does not hold up
 		until("drained", 10_000, func() bool { return len(m.lead.record.rollout.Orders("").Out) > 0 })
 		m.takeOut = false
 		until("let in without the setting", 60_000, func() bool { return out() == 0 })
--- a/internal/fleet/open_test.go
+++ b/internal/fleet/open_test.go
@@ -12,16 +12,16 @@
 // TestOpenBoth: a release and its canary are opened together, and a refusal of either leaves neither.
 func TestOpenBoth(t *testing.T) {
 	spec := canary.Spec{Salt: 7, Ladder: []int{10, 1000}, Floor: 100, Longest: 600_000, Error: 0.01, Guards: []canary.Guard{{Metric: canary.Failures, Points: 20}}}
-	wish := rollout.Wish{Kind: rollout.KindMember, All: true}
+	wish := rollout.ReleaseSpec{Kind: rollout.KindMember, All: true}
 	for _, c := range []struct {
 		what string
-		edit func(*opening, *rollout.Wish)
+		edit func(*opening, *rollout.ReleaseSpec)
 		want string // of the refusal; "" if it is agreed
 	}{
-		{"sound", func(*opening, *rollout.Wish) {}, ""},
-		{"a ladder that falls", func(o *opening, _ *rollout.Wish) { o.Canary.Ladder = []int{50, 10} }, "rise"},
-		{"of relays", func(_ *opening, w *rollout.Wish) { w.Kind = rollout.KindRelay }, "members"},
-		{"of nothing", func(_ *opening, w *rollout.Wish) { w.All = false }, ""},
+		{"sound", func(*opening, *rollout.ReleaseSpec) {}, ""},
+		{"a ladder that falls", func(o *opening, _ *rollout.ReleaseSpec) { o.Canary.Ladder = []int{50, 10} }, "rise"},
+		{"of relays", func(_ *opening, w *rollout.ReleaseSpec) { w.Kind = rollout.KindRelay }, "members"},
+		{"of nothing", func(_ *opening, w *rollout.ReleaseSpec) { w.All = false }, ""},
 	} {
 		r := NewRecord()
 		w := wish
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -85,7 +85,7 @@
 	case partBoth:
 		answer = r.openBoth(r.held.At, c.By, c.Body)
 	case partIntent:
-		var a rollout.Answer
+		var a rollout.Result
 		r.intent, a = r.intent.apply(r.held.At, c.By, c.Body, r.rollout)
 		answer, _ = json.Marshal(a)
 	default:
@@ -154,7 +154,7 @@
 }
 
 // split parts the members that are out into those that are banned and those that drain, each in order.
-func split(out map[string]rollout.Out) (bans, drains []string) {
+func split(out map[string]rollout.Exclusion) (bans, drains []string) {
 	for name, o := range out {
 		if o.Why == rollout.CommandEject {
 			bans = append(bans, name)
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -9,7 +9,7 @@
 // report logs at the leader what has become of releases since it last did, so that a night's log says when and why one halted.
 // Called by the pilot alone.
 func (s *Service) report(was map[string]string) map[string]string {
-	var all []rollout.Account
+	var all []rollout.ReleaseStatus
 	s.record.read(func(r *rollout.State, _ held) { all = r.Releases() })
 	now := map[string]string{}
 	for _, a := range all {
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -383,35 +383,35 @@
 const callWithin = 4 * time.Second
 
 // propose has a command of the rollout's agreed, and waits until this relay's own record has it.
-func (s *Service) propose(ctx context.Context, c rollout.Command) (rollout.Answer, error) {
+func (s *Service) propose(ctx context.Context, c rollout.Command) (rollout.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, callWithin)
 	defer cancel()
 	return s.agreed(ctx, partRollout, c.Encode())
 }
 
 // proposeMeaning is the same for what is meant.
-func (s *Service) proposeMeaning(ctx context.Context, c meaning) (rollout.Answer, error) {
+func (s *Service) proposeMeaning(ctx context.Context, c meaning) (rollout.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, callWithin)
 	defer cancel()
 	body, err := json.Marshal(c)
 	if err != nil {
-		return rollout.Answer{}, err
+		return rollout.Result{}, err
 	}
 	return s.agreed(ctx, partIntent, body)
 }
 
-func (s *Service) agreed(ctx context.Context, part string, body []byte) (rollout.Answer, error) {
+func (s *Service) agreed(ctx context.Context, part string, body []byte) (rollout.Result, error) {
 	text, err := json.Marshal(command{Part: part, At: s.now(), By: s.Name, Body: body})
 	if err != nil {
-		return rollout.Answer{}, err
+		return rollout.Result{}, err
 	}
 	answer, index, err := s.node.Propose(ctx, text)
 	if err != nil {
-		return rollout.Answer{}, err
+		return rollout.Result{}, err
 	}
-	var a rollout.Answer
+	var a rollout.Result
 	if err := json.Unmarshal(answer, &a); err != nil {
-		return rollout.Answer{}, err
+		return rollout.Result{}, err
 	}
 	s.node.WaitApplied(ctx, index) // at another relay it is agreed all the same
 	return a, nil
--- a/internal/fleet/trial.go
+++ b/internal/fleet/trial.go
@@ -76,7 +76,7 @@
 	for _, c := range plan {
 		if c.Kind == rollout.CommandStep {
 			had := len(c.Gives)
-			c.Gives = slices.DeleteFunc(slices.Clone(c.Gives), func(g rollout.Gift) bool { return hold[g.Release] })
+			c.Gives = slices.DeleteFunc(slices.Clone(c.Gives), func(g rollout.Grant) bool { return hold[g.Release] })
 			if had > 0 && len(c.Gives) == 0 {
 				continue
 			}
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -84,7 +84,7 @@
 // scene is all that the leader has heard. It decides nothing.
 type scene struct {
 	words   map[string]*heard
-	windows []rollout.Count
+	windows []rollout.ServiceWindow
 	lists   lists
 	relays  int // most that are held
 }
@@ -135,7 +135,7 @@
 func (s *scene) count(now int64, asked, served float64) {
 	end := now - now%windowsMS + windowsMS
 	if n := len(s.windows); n == 0 || s.windows[n-1].At < end {
-		s.windows = append(s.windows, rollout.Count{At: end})
+		s.windows = append(s.windows, rollout.ServiceWindow{At: end})
 		s.windows = s.windows[max(0, len(s.windows)-windows):]
 	}
 	last := &s.windows[len(s.windows)-1]
@@ -199,7 +199,7 @@
 func (s *scene) members(now int64, own Look, cold warmth, v *rollout.View) {
 	pool := map[string]*rollout.Member{}
 	for _, m := range own.Members {
-		pool[m.Name] = &rollout.Member{Name: m.Name, Zone: m.Zone, Listed: m.Listed, Started: m.Started, Capacity: m.Capacity, Held: map[string]rollout.Held{}}
+		pool[m.Name] = &rollout.Member{Name: m.Name, Zone: m.Zone, Listed: m.Listed, Started: m.Started, Capacity: m.Capacity, Held: map[string]rollout.RelayFlows{}}
 	}
 	good, bad := map[string]uint64{}, map[string]uint64{}
 	gone := map[string]bool{} // what an ended process held, it holds no more: its last word must not keep a member in the view
@@ -222,11 +222,11 @@
 				if t.flows == 0 {
 					continue
 				}
-				m = &rollout.Member{Name: name, Held: map[string]rollout.Held{}}
+				m = &rollout.Member{Name: name, Held: map[string]rollout.RelayFlows{}}
 				pool[name] = m
 			}
 			if t.flows > 0 {
-				m.Held[relay] = rollout.Held{Flows: t.flows, At: h.at}
+				m.Held[relay] = rollout.RelayFlows{Flows: t.flows, At: h.at}
 				v.Load += float64(t.flows)
 			}
 			m.Capacity = max(m.Capacity, t.capacity)
--- a/internal/rollout/account.go
+++ b/internal/rollout/account.go
@@ -10,29 +10,29 @@
 // count by the same code: Plan from the view, Apply from the state and the sight that stands in the command.
 
 // planned is what is out by plan.
-func (d *data) planned(kind string) []Place {
+func (d *data) planned(kind string) []ZonedName {
 	list := d.given(kind)
 	for i := range d.Shuts {
 		if s := &d.Shuts[i]; kind == KindRelay && !s.Back {
-			list = append(list, Place{s.Name, s.Zone})
+			list = append(list, ZonedName{s.Name, s.Zone})
 		}
 	}
 	return list
 }
 
 // given is what is out by plan to go and come back. A relay that is shut may be given out beside: that is how it is mended.
-func (d *data) given(kind string) []Place {
-	var list []Place
+func (d *data) given(kind string) []ZonedName {
+	var list []ZonedName
 	for i := range d.Releases {
 		for j := range d.Releases[i].Units {
 			if u := &d.Releases[i].Units[j]; u.Kind == kind && u.isOut() {
-				list = append(list, Place{u.name(), u.Zone})
+				list = append(list, ZonedName{u.name(), u.Zone})
 			}
 		}
 	}
 	for _, p := range d.Permits {
 		if p.Kind == kind && (p.State == PermitGranted || p.State == PermitBegun) {
-			list = append(list, Place{p.Name, p.Zone})
+			list = append(list, ZonedName{p.Name, p.Zone})
 		}
 	}
 	return list
@@ -72,8 +72,8 @@
 }
 
 // relays is the relays' side of a view.
-func (d *data) relays(v *View, b Budgets) Side {
-	s := Side{Zones: map[string]int{}, Known: len(v.Relays) > 0}
+func (d *data) relays(v *View, b Budgets) KindSummary {
+	s := KindSummary{Zones: map[string]int{}, Known: len(v.Relays) > 0}
 	covered := d.covered(KindRelay)
 	for i := range v.Relays {
 		r := &v.Relays[i]
@@ -85,7 +85,7 @@
 		case r.sound(b):
 			s.Left += r.Capacity
 		default:
-			s.Lost = append(s.Lost, Place{r.Name, r.Zone})
+			s.Lost = append(s.Lost, ZonedName{r.Name, r.Zone})
 		}
 		s.Zones[r.Zone]++
 	}
@@ -93,8 +93,8 @@
 }
 
 // members is the members' side. Those that come back bear what they bear.
-func (d *data) members(v *View) Side {
-	s := Side{Zones: map[string]int{}, Load: v.Load, Known: len(v.Members) > 0}
+func (d *data) members(v *View) KindSummary {
+	s := KindSummary{Zones: map[string]int{}, Load: v.Load, Known: len(v.Members) > 0}
 	covered, coming := d.covered(KindMember), map[string]bool{}
 	for i := range d.Releases {
 		for j := range d.Releases[i].Units {
@@ -114,7 +114,7 @@
 			continue
 		}
 		if banned || !m.sound() {
-			s.Lost = append(s.Lost, Place{m.Name, m.Zone})
+			s.Lost = append(s.Lost, ZonedName{m.Name, m.Zone})
 		}
 		s.Zones[m.Zone]++
 	}
@@ -122,7 +122,7 @@
 }
 
 // with counts those out by plan among what there is: each once.
-func (s Side) with(planned []Place) Side {
+func (s KindSummary) with(planned []ZonedName) KindSummary {
 	seen := map[string]bool{}
 	for _, p := range planned {
 		if !seen[p.Name] {
@@ -137,14 +137,14 @@
 type room struct {
 	budget   Budget
 	headroom float64
-	side     Side
+	side     KindSummary
 	zones    map[string]int // out, by zone
 	out      map[string]bool
 	planned  map[string]bool // out to go and come back
 	total    int
 }
 
-func (d *data) room(kind string, s Side, b Budgets) *room {
+func (d *data) room(kind string, s KindSummary, b Budgets) *room {
 	r := &room{budget: b.Members, headroom: b.Headroom, side: s, zones: map[string]int{}, out: map[string]bool{}, planned: map[string]bool{}}
 	if kind == KindRelay {
 		r.budget = b.Relays
@@ -169,7 +169,7 @@
 // planted is a defect that a test switches on to see that it is found; "" else.
 var planted string
 
-func (r *room) add(p Place) {
+func (r *room) add(p ZonedName) {
 	if !r.out[p.Name] {
 		r.out[p.Name] = true
 		r.zones[p.Zone]++
@@ -216,7 +216,7 @@
 	if r.side.Known && bears > 0 && r.side.Left-bears < r.side.Load*(1+r.headroom) {
 		return fmt.Sprintf("what is left would bear %.0f, the load with headroom is %.0f", r.side.Left-bears, r.side.Load*(1+r.headroom))
 	}
-	r.add(Place{name, zone})
+	r.add(ZonedName{name, zone})
 	r.planned[name] = true
 	r.side.Left -= bears
 	return ""
--- a/internal/rollout/api.go
+++ b/internal/rollout/api.go
@@ -49,26 +49,26 @@
 
 // Command is the body of a command, one struct for all kinds.
 type Command struct {
-	Kind    string   `json:"kind"`
-	Thing   string   `json:"thing,omitempty"` // ask: relay or member
-	Name    string   `json:"name,omitempty"`
-	Names   []string `json:"names,omitempty"`
-	Why     string   `json:"why,omitempty"`
-	Who     string   `json:"who,omitempty"` // ask: whose permit; repeated asking by the same gets the same. open, halt: the operator
-	For     int64    `json:"for,omitempty"` // ask: how long it will be out, ms
-	Number  uint64   `json:"number,omitempty"`
-	Numbers []uint64 `json:"numbers,omitempty"`
-	Release *Wish    `json:"release,omitempty"`
-	Cause   string   `json:"cause,omitempty"` // halt by itself: one of the causes; resume by itself: the cause that is gone
-	Base    uint64   `json:"base,omitempty"`  // the version that it was reckoned from
-	Sight   *Sight   `json:"sight,omitempty"`
-	Units   []Unit   `json:"units,omitempty"`
-	Gives   []Gift   `json:"gives,omitempty"`
-	Saw     []Saw    `json:"saw,omitempty"`
-	Before  []Count  `json:"before,omitempty"` // lay: the fleet's service before the release
-	Zone    string   `json:"zone,omitempty"`   // shut: of the relay
-	Bears   float64  `json:"bears,omitempty"`  // shut: what goes with it
-	Start   uint64   `json:"start,omitempty"`  // shut: the start number that was seen to drift
+	Kind    string          `json:"kind"`
+	Thing   string          `json:"thing,omitempty"` // ask: relay or member
+	Name    string          `json:"name,omitempty"`
+	Names   []string        `json:"names,omitempty"`
+	Why     string          `json:"why,omitempty"`
+	Who     string          `json:"who,omitempty"` // ask: whose permit; repeated asking by the same gets the same. open, halt: the operator
+	For     int64           `json:"for,omitempty"` // ask: how long it will be out, ms
+	Number  uint64          `json:"number,omitempty"`
+	Numbers []uint64        `json:"numbers,omitempty"`
+	Release *ReleaseSpec    `json:"release,omitempty"`
+	Cause   string          `json:"cause,omitempty"` // halt by itself: one of the causes; resume by itself: the cause that is gone
+	Base    uint64          `json:"base,omitempty"`  // the version that it was reckoned from
+	Sight   *ViewSummary    `json:"sight,omitempty"`
+	Units   []Unit          `json:"units,omitempty"`
+	Gives   []Grant         `json:"gives,omitempty"`
+	Saw     []Observation   `json:"saw,omitempty"`
+	Before  []ServiceWindow `json:"before,omitempty"` // lay: the fleet's service before the release
+	Zone    string          `json:"zone,omitempty"`   // shut: of the relay
+	Bears   float64         `json:"bears,omitempty"`  // shut: what goes with it
+	Start   uint64          `json:"start,omitempty"`  // shut: the start number that was seen to drift
 }
 
 // Encode is the command as the record's body.
@@ -80,8 +80,8 @@
 	return b
 }
 
-// Wish is what an operator wants to release.
-type Wish struct {
+// ReleaseSpec is what an operator wants to release.
+type ReleaseSpec struct {
 	Kind    string   `json:"kind"`            // relay, member, or ban (a change of bans: Ban and Allow)
 	Drain   bool     `json:"drain,omitempty"` // no return is wanted of members: they stay out until back
 	All     bool     `json:"all,omitempty"`
@@ -128,8 +128,8 @@
 	MoveOver int64   `json:"move_over,omitempty"`
 }
 
-// Gift is one thing that a step gives out: a unit, or a permit.
-type Gift struct {
+// Grant is one thing that a step gives out: a unit, or a permit.
+type Grant struct {
 	Release  string  `json:"release,omitempty"`
 	Unit     string  `json:"unit,omitempty"` // its first name
 	Permit   uint64  `json:"permit,omitempty"`
@@ -139,8 +139,8 @@
 	MoveOver int64   `json:"move_over,omitempty"`
 }
 
-// Saw is one thing that others saw further.
-type Saw struct {
+// Observation is one thing that others saw further.
+type Observation struct {
 	Release string `json:"release,omitempty"`
 	Unit    string `json:"unit,omitempty"`
 	Permit  uint64 `json:"permit,omitempty"`
@@ -155,21 +155,21 @@
 
 // Orders are what one relay is to do now.
 type Orders struct {
-	Leave *Leave         `json:"leave,omitempty"`
-	Out   map[string]Out `json:"out,omitempty"` // members that get nothing new
-	Shut  *Closed        `json:"shut,omitempty"`
+	Leave *LeaveOrder          `json:"leave,omitempty"`
+	Out   map[string]Exclusion `json:"out,omitempty"` // members that get nothing new
+	Shut  *QuarantineOrder     `json:"shut,omitempty"`
 }
 
-// Closed is the order to take no client, and to move those that are there.
-type Closed struct {
+// QuarantineOrder is the order to take no client, and to move those that are there.
+type QuarantineOrder struct {
 	Number uint64 `json:"number"`
 	Since  int64  `json:"since"`
 	Why    string `json:"why"`
 	Start  uint64 `json:"start"` // a later process may ignore it: it is admitted once it is seen
 }
 
-// Shutting is one relay that is shut for drift, or was and is not yet seen to serve.
-type Shutting struct {
+// Quarantine is one relay that is shut for drift, or was and is not yet seen to serve.
+type Quarantine struct {
 	Name   string `json:"name"`
 	Zone   string `json:"zone,omitempty"`
 	Why    string `json:"why,omitempty"`
@@ -181,8 +181,8 @@
 	Back   bool   `json:"back,omitempty"`   // it serves: kept for Let alone
 }
 
-// Leave is the order to drain, move the clients and end with ExitOrderedRestart.
-type Leave struct {
+// LeaveOrder is the order to drain, move the clients and end with ExitOrderedRestart.
+type LeaveOrder struct {
 	Number  uint64 `json:"number"`
 	Release string `json:"release"`
 	Start   uint64 `json:"start"`             // it is for the process with this start number or an earlier one; a later one ignores it
@@ -190,8 +190,8 @@
 	Config  string `json:"config,omitempty"`
 }
 
-// Out says why a member is out.
-type Out struct {
+// Exclusion says why a member is out.
+type Exclusion struct {
 	Why      string `json:"why"` // ban or drain
 	Number   uint64 `json:"number"`
 	Since    int64  `json:"since"`
@@ -200,23 +200,23 @@
 
 // View is what the leader knows. A relay's fields and its Held are of one word. Names are unique.
 type View struct {
-	At      int64    `json:"at"`
-	Relays  []Relay  `json:"relays"`
-	Members []Member `json:"members"`
-	Load    float64  `json:"load"`    // connections of members in use, or asked for
-	Service []Count  `json:"service"` // windows in which all relays counted, oldest first
-	Worse   string   `json:"worse,omitempty"`
-	WorseOf string   `json:"worse_of,omitempty"` // the release; "" for all
-	Drift   string   `json:"drift,omitempty"`    // of relays that are not shut: it holds releases up, and one of them may be the mending
-	DriftMS int64    `json:"drift_ms,omitempty"` // for how long
+	At      int64           `json:"at"`
+	Relays  []Relay         `json:"relays"`
+	Members []Member        `json:"members"`
+	Load    float64         `json:"load"`    // connections of members in use, or asked for
+	Service []ServiceWindow `json:"service"` // windows in which all relays counted, oldest first
+	Worse   string          `json:"worse,omitempty"`
+	WorseOf string          `json:"worse_of,omitempty"` // the release; "" for all
+	Drift   string          `json:"drift,omitempty"`    // of relays that are not shut: it holds releases up, and one of them may be the mending
+	DriftMS int64           `json:"drift_ms,omitempty"` // for how long
 	// Relays that should be shut, with why, and the worst first. Who is shut and not here is admitted: a leader that does not know yet names
 	// those that are shut.
 	Unfit      map[string]string `json:"unfit,omitempty"`
 	UnfitOrder []string          `json:"unfit_order,omitempty"`
 }
 
-// Count is the service of one window, over all relays.
-type Count struct {
+// ServiceWindow is the service of one window, over all relays.
+type ServiceWindow struct {
 	At     int64   `json:"at"` // its end
 	Asked  float64 `json:"asked"`
 	Served float64 `json:"served"`
@@ -240,20 +240,20 @@
 
 // Member is one as the fleet sees it. One that is not listed any more stays in the view as long as a relay holds flows there.
 type Member struct {
-	Name     string          `json:"name"`
-	Zone     string          `json:"zone"`
-	Listed   string          `json:"listed"`
-	Program  string          `json:"program"`
-	Started  int64           `json:"started"` // wall clock
-	Capacity float64         `json:"capacity"`
-	Bears    float64         `json:"bears"` // now; below Capacity while it is cold
-	Takes    float64         `json:"takes"` // new flows a second; 0 unknown
-	Failing  bool            `json:"failing"`
-	Held     map[string]Held `json:"held"` // by relay; no entry: its last word named none
+	Name     string                `json:"name"`
+	Zone     string                `json:"zone"`
+	Listed   string                `json:"listed"`
+	Program  string                `json:"program"`
+	Started  int64                 `json:"started"` // wall clock
+	Capacity float64               `json:"capacity"`
+	Bears    float64               `json:"bears"` // now; below Capacity while it is cold
+	Takes    float64               `json:"takes"` // new flows a second; 0 unknown
+	Failing  bool                  `json:"failing"`
+	Held     map[string]RelayFlows `json:"held"` // by relay; no entry: its last word named none
 }
 
-// Held is what a relay said that it holds at a member.
-type Held struct {
+// RelayFlows is what a relay said that it holds at a member.
+type RelayFlows struct {
 	Flows int   `json:"flows"`
 	At    int64 `json:"at"`
 }
@@ -277,35 +277,35 @@
 
 // Budget is how many may be out at once.
 type Budget struct {
-	Whole Part `json:"whole"` // not set: 1
-	Zone  Part `json:"zone"`  // of each zone's things; not set: no bound but Whole
+	Whole Limit `json:"whole"` // not set: 1
+	Zone  Limit `json:"zone"`  // of each zone's things; not set: no bound but Whole
 }
 
-// Part is a number, or a part of all. The zero value is not set.
-type Part struct {
+// Limit is a number, or a part of all. The zero value is not set.
+type Limit struct {
 	Count int     `json:"count,omitempty"`
 	Share float64 `json:"share,omitempty"`
 }
 
-// Sight is what of a view a step rests on.
-type Sight struct {
-	At      int64   `json:"at"`
-	Budgets Budgets `json:"budgets"`
-	Relays  Side    `json:"relays"`
-	Members Side    `json:"members"`
+// ViewSummary is what of a view a step rests on.
+type ViewSummary struct {
+	At      int64       `json:"at"`
+	Budgets Budgets     `json:"budgets"`
+	Relays  KindSummary `json:"relays"`
+	Members KindSummary `json:"members"`
 }
 
-// Side is the relays' or the members' part of it.
-type Side struct {
+// KindSummary is the relays' or the members' part of it.
+type KindSummary struct {
 	Zones map[string]int `json:"zones,omitempty"` // how many there are, those out included
-	Lost  []Place        `json:"lost,omitempty"`  // unplanned: silent, dead, failing, cold, banned
+	Lost  []ZonedName    `json:"lost,omitempty"`  // unplanned: silent, dead, failing, cold, banned
 	Left  float64        `json:"left,omitempty"`  // what is borne by all that is sound and not out; cold ones by what they bear now
 	Load  float64        `json:"load,omitempty"`
 	Known bool           `json:"known,omitempty"` // capacities are
 }
 
-// Place is a thing and its zone.
-type Place struct {
+// ZonedName is a thing and its zone.
+type ZonedName struct {
 	Name string `json:"name"`
 	Zone string `json:"zone,omitempty"`
 }
@@ -331,31 +331,31 @@
 	HaltStalled         = "stalled"
 )
 
-// Account is a release as operators are shown it.
-type Account struct {
-	Name    string   `json:"name"`
-	State   string   `json:"state"`
-	Backing bool     `json:"backing,omitempty"` // its direction, also while halted
-	Wish    Wish     `json:"wish"`
-	By      string   `json:"by"`
-	Opened  int64    `json:"opened"`
-	Ended   int64    `json:"ended,omitempty"`
-	Behind  string   `json:"behind,omitempty"`
-	Halt    *Stop    `json:"halt,omitempty"`
-	Units   []Unit   `json:"units,omitempty"`
-	Counts  Counts   `json:"counts"`
-	Except  []string `json:"except,omitempty"` // what could not be done or undone
+// ReleaseStatus is a release as operators are shown it.
+type ReleaseStatus struct {
+	Name    string      `json:"name"`
+	State   string      `json:"state"`
+	Backing bool        `json:"backing,omitempty"` // its direction, also while halted
+	Wish    ReleaseSpec `json:"wish"`
+	By      string      `json:"by"`
+	Opened  int64       `json:"opened"`
+	Ended   int64       `json:"ended,omitempty"`
+	Behind  string      `json:"behind,omitempty"`
+	Halt    *HaltInfo   `json:"halt,omitempty"`
+	Units   []Unit      `json:"units,omitempty"`
+	Counts  UnitCounts  `json:"counts"`
+	Except  []string    `json:"except,omitempty"` // what could not be done or undone
 }
 
-// Counts of units.
-type Counts struct {
+// UnitCounts of units.
+type UnitCounts struct {
 	Waiting int `json:"waiting"`
 	Out     int `json:"out"`
 	Done    int `json:"done"`
 }
 
-// Stop is why a release halted.
-type Stop struct {
+// HaltInfo is why a release halted.
+type HaltInfo struct {
 	Cause string `json:"cause"`
 	Why   string `json:"why,omitempty"`
 	By    string `json:"by"`
@@ -370,8 +370,8 @@
 	PermitBegun   = "begun"
 )
 
-// Answer is what Apply says. Error alone means that nothing changed.
-type Answer struct {
+// Result is what Apply says. Error alone means that nothing changed.
+type Result struct {
 	Error  string `json:"error,omitempty"`
 	Name   string `json:"name,omitempty"`
 	State  string `json:"state,omitempty"`  // of the release or permit
@@ -381,8 +381,8 @@
 	Again  int64  `json:"again,omitempty"` // wait: ask again in ms
 }
 
-// Pass is a permit as operators are shown it.
-type Pass struct {
+// Permit is a permit as operators are shown it.
+type Permit struct {
 	Number uint64  `json:"number"`
 	Kind   string  `json:"kind"`
 	Name   string  `json:"name"`
@@ -399,8 +399,8 @@
 	Clock  float64 `json:"clock,omitempty"`
 }
 
-// Banned is one ban.
-type Banned struct {
+// Ejection is one ban.
+type Ejection struct {
 	Name   string `json:"name"`
 	Why    string `json:"why,omitempty"`
 	By     string `json:"by"`
--- a/internal/rollout/apply.go
+++ b/internal/rollout/apply.go
@@ -20,7 +20,7 @@
 // time never runs back.
 func (s *State) Apply(at int64, by string, body []byte) []byte {
 	var c Command
-	a := Answer{}
+	a := Result{}
 	if err := json.Unmarshal(body, &c); err != nil {
 		a = refuse("no command: %v", err)
 	} else {
@@ -33,7 +33,7 @@
 	return b
 }
 
-func refuse(format string, args ...any) Answer { return Answer{Error: fmt.Sprintf(format, args...)} }
+func refuse(format string, args ...any) Result { return Result{Error: fmt.Sprintf(format, args...)} }
 
 func cut(text string, most int) string {
 	if len(text) > most {
@@ -43,12 +43,12 @@
 }
 
 // apply checks all before it changes anything.
-func (d *data) apply(at int64, by string, c *Command) Answer {
+func (d *data) apply(at int64, by string, c *Command) Result {
 	c.Why, c.Who = cut(c.Why, MaxReasonBytes), cmp.Or(cut(c.Who, MaxNameBytes), by)
 	if len(c.Name) > MaxNameBytes {
 		return refuse("a name of over %d bytes", MaxNameBytes)
 	}
-	var a Answer
+	var a Result
 	switch c.Kind {
 	case CommandOpen:
 		a = d.open(at, c)
@@ -83,7 +83,7 @@
 }
 
 // open takes a release up. It is laid out by the pilot, who knows what there is.
-func (d *data) open(at int64, c *Command) Answer {
+func (d *data) open(at int64, c *Command) Result {
 	w := c.Release
 	if w == nil || c.Name == "" {
 		return refuse("a release has a name, and says what it releases")
@@ -114,13 +114,13 @@
 		}
 		d.Releases = slices.Delete(d.Releases, drop, drop+1)
 	}
-	d.Releases = append(d.Releases, release{Account: Account{Name: c.Name, State: ReleaseQueued, Wish: *w, By: c.Who, Opened: at, Behind: behind}, Moved: at})
+	d.Releases = append(d.Releases, release{ReleaseStatus: ReleaseStatus{Name: c.Name, State: ReleaseQueued, Wish: *w, By: c.Who, Opened: at, Behind: behind}, Moved: at})
 	d.Version++
-	return Answer{Name: c.Name, State: ReleaseQueued, Why: behind}
+	return Result{Name: c.Name, State: ReleaseQueued, Why: behind}
 }
 
 // wrong says what cannot be released.
-func (w *Wish) wrong() string {
+func (w *ReleaseSpec) wrong() string {
 	named := len(w.Names)
 	if w.Kind == KindEject {
 		if named+len(w.Zones) > 0 || w.All || w.Drain {
@@ -156,7 +156,7 @@
 }
 
 // ask notes who wants a permit; the pilot grants. The same by the same asker for the same thing is the same permit.
-func (d *data) ask(at int64, c *Command) Answer {
+func (d *data) ask(at int64, c *Command) Result {
 	if c.Thing != KindRelay && c.Thing != KindMember || c.Name == "" || c.For <= 0 || c.For > forMost {
 		return refuse("a permit is for a relay or a member, by name, for up to %d ms", forMost)
 	}
@@ -166,9 +166,9 @@
 			continue
 		}
 		if p.Who != c.Who {
-			return Answer{State: PermitWaiting, Again: againAfter, Why: fmt.Sprintf("%s holds permit %d for it", p.Who, p.Number)}
+			return Result{State: PermitWaiting, Again: againAfter, Why: fmt.Sprintf("%s holds permit %d for it", p.Who, p.Number)}
 		}
-		a := Answer{State: p.State, Number: p.Number}
+		a := Result{State: p.State, Number: p.Number}
 		switch {
 		case p.State == PermitWaiting:
 			p.Asked, a.Again, a.Why = at, againAfter, d.waits(p)
@@ -183,12 +183,12 @@
 		return refuse("%d permits are asked for or in force", MaxPermits)
 	}
 	d.Number++
-	d.Permits = append(d.Permits, Pass{Number: d.Number, Kind: c.Thing, Name: c.Name, Who: c.Who, Why: c.Why, For: c.For, State: PermitWaiting, Asked: at})
-	return Answer{State: PermitWaiting, Number: d.Number, Again: againAfter, Why: d.waits(&d.Permits[len(d.Permits)-1])}
+	d.Permits = append(d.Permits, Permit{Number: d.Number, Kind: c.Thing, Name: c.Name, Who: c.Who, Why: c.Why, For: c.For, State: PermitWaiting, Asked: at})
+	return Result{State: PermitWaiting, Number: d.Number, Again: againAfter, Why: d.waits(&d.Permits[len(d.Permits)-1])}
 }
 
 // waits says why a permit waits, as far as the record knows: who is out by plan, and who waits before it.
-func (d *data) waits(p *Pass) string {
+func (d *data) waits(p *Permit) string {
 	var names []string
 	for _, x := range d.planned(p.Kind) {
 		if len(names) < 8 {
@@ -205,20 +205,20 @@
 }
 
 // begin and give: by number, so that an old one does nothing.
-func (d *data) begin(at int64, c *Command) Answer {
+func (d *data) begin(at int64, c *Command) Result {
 	p := d.permit(c.Number)
 	if p == nil {
 		return refuse("there is no permit %d, or no more", c.Number)
 	}
 	switch {
 	case c.Kind == CommandReturnPermit && p.State == PermitBegun && p.Given > 0:
-		return Answer{Number: p.Number, State: p.State}
+		return Result{Number: p.Number, State: p.State}
 	case c.Kind == CommandReturnPermit && p.State == PermitBegun:
 		p.Given = at
 	case c.Kind == CommandReturnPermit:
-		d.Permits = slices.DeleteFunc(d.Permits, func(p Pass) bool { return p.Number == c.Number })
+		d.Permits = slices.DeleteFunc(d.Permits, func(p Permit) bool { return p.Number == c.Number })
 		d.Version++
-		return Answer{Number: c.Number, State: "given"}
+		return Result{Number: c.Number, State: "given"}
 	case p.State == PermitWaiting:
 		return refuse("permit %d is not granted", c.Number)
 	case p.State == PermitGranted && at > p.Until:
@@ -227,14 +227,14 @@
 		p.State, p.At, p.Until = PermitBegun, at, at+stretch(p.Window, p.Clock)
 	}
 	d.Version++
-	return Answer{Number: p.Number, State: p.State}
+	return Result{Number: p.Number, State: p.State}
 }
 
 // stretch is a time as the slowest clock would count it.
 func stretch(ms int64, part float64) int64 { return ms + int64(math.Ceil(float64(ms)*part)) }
 
 // steer halts a release, resumes it or sends it back.
-func (d *data) steer(at int64, by string, c *Command) Answer {
+func (d *data) steer(at int64, by string, c *Command) Result {
 	r := d.release(c.Name)
 	itself := c.Cause != "" && c.Cause != HaltByOperator
 	switch {
@@ -256,7 +256,7 @@
 		if itself && !again && len(r.Causes) < 8 {
 			r.Causes = append(r.Causes, cut(c.Cause, MaxNameBytes))
 		}
-		r.Halt = &Stop{Cause: cut(cmp.Or(c.Cause, HaltByOperator), MaxNameBytes), Why: c.Why, By: c.Who, At: at}
+		r.Halt = &HaltInfo{Cause: cut(cmp.Or(c.Cause, HaltByOperator), MaxNameBytes), Why: c.Why, By: c.Who, At: at}
 		r.Halt.Stays = !itself || c.Cause == HaltVerdict || again && (c.Cause == HaltServiceDegraded || c.Cause == HaltOverdue)
 		r.State = ReleaseHalted
 		d.Version++
@@ -281,7 +281,7 @@
 		}
 	}
 	d.settle(at)
-	return Answer{Name: r.Name, State: r.State}
+	return Result{Name: r.Name, State: r.State}
 }
 
 // inTheWay is a release that goes on at the same things as one that has ended.
@@ -332,7 +332,7 @@
 }
 
 // ban and allow by operators need no budget: they are not held back, and what is banned counts as lost.
-func (d *data) ban(at int64, c *Command) Answer {
+func (d *data) ban(at int64, c *Command) Result {
 	if len(c.Names) == 0 || len(c.Names) > MaxEjections {
 		return refuse("no names, or over %d", MaxEjections)
 	}
@@ -365,7 +365,7 @@
 	if changed {
 		d.Version++
 	}
-	return Answer{}
+	return Result{}
 }
 
 func (d *data) setBan(at int64, name, why, by string, on bool) bool {
@@ -377,13 +377,13 @@
 		d.Bans = slices.Delete(d.Bans, i, i+1)
 	default:
 		d.Number++
-		d.Bans = slices.Insert(d.Bans, i, Banned{Name: name, Why: why, By: by, Since: at, Number: d.Number})
+		d.Bans = slices.Insert(d.Bans, i, Ejection{Name: name, Why: why, By: by, Since: at, Number: d.Number})
 	}
 	return true
 }
 
 // lay fixes a release's things, their order, and how they were before.
-func (d *data) lay(at int64, c *Command) Answer {
+func (d *data) lay(at int64, c *Command) Result {
 	r := d.release(c.Name)
 	if r == nil || r.Laid || r.State != ReleaseQueued || r.Behind != "" {
 		return refuse("release %q is not to be laid out", c.Name)
@@ -420,7 +420,7 @@
 	r.Asked, r.Served, r.Spread = before(c.Before)
 	r.Laid, r.Since, r.Moved, r.State = true, at, at, ReleaseRunning
 	d.Version++
-	return Answer{Name: r.Name, State: r.State}
+	return Result{Name: r.Name, State: r.State}
 }
 
 // stale says why what a command was reckoned from does not hold any more.
@@ -438,7 +438,7 @@
 }
 
 // step gives things out: all of it, or nothing.
-func (d *data) step(at int64, c *Command) Answer {
+func (d *data) step(at int64, c *Command) Result {
 	if c.Sight == nil || len(c.Gives) == 0 || len(c.Gives) > MaxGrantsPerStep {
 		return refuse("a step names one to %d things, and what it was reckoned from", MaxGrantsPerStep)
 	}
@@ -499,7 +499,7 @@
 		}
 		r.Moved = at
 	}
-	return Answer{}
+	return Result{}
 }
 
 // may says whether a unit may be given out: the new thing, or back what it had.
@@ -525,7 +525,7 @@
 }
 
 // seen takes over what others saw. What does not fit the state any more is left aside.
-func (d *data) seen(at int64, c *Command) Answer {
+func (d *data) seen(at int64, c *Command) Result {
 	if len(c.Saw) > MaxUnits+MaxPermits {
 		return refuse("over %d sights", MaxUnits+MaxPermits)
 	}
@@ -540,7 +540,7 @@
 		}
 		if p := d.permit(s.Permit); s.Permit != 0 {
 			if p != nil && p.State == PermitBegun {
-				d.Permits = slices.DeleteFunc(d.Permits, func(p Pass) bool { return p.Number == s.Permit })
+				d.Permits = slices.DeleteFunc(d.Permits, func(p Permit) bool { return p.Number == s.Permit })
 				changed = true
 			}
 			continue
@@ -559,11 +559,11 @@
 		return refuse("nothing of this is so any more")
 	}
 	d.Version++
-	return Answer{}
+	return Result{}
 }
 
 // move is one transition of a unit. Order is the version that this command makes.
-func (d *data) move(at int64, r *release, u *Unit, s Saw) bool {
+func (d *data) move(at int64, r *release, u *Unit, s Observation) bool {
 	next := d.Version + 1
 	switch {
 	case s.Strand:
@@ -621,22 +621,22 @@
 }
 
 // void forgets permits whose time is over, and askers who are gone.
-func (d *data) void(at int64, c *Command) Answer {
+func (d *data) void(at int64, c *Command) Result {
 	n := len(d.Permits)
-	d.Permits = slices.DeleteFunc(d.Permits, func(p Pass) bool { return slices.Contains(c.Numbers, p.Number) && p.void(at) })
+	d.Permits = slices.DeleteFunc(d.Permits, func(p Permit) bool { return slices.Contains(c.Numbers, p.Number) && p.void(at) })
 	if len(d.Permits) == n {
 		return refuse("none of these is void")
 	}
 	d.Version++
-	return Answer{}
+	return Result{}
 }
 
-func (p *Pass) void(at int64) bool {
+func (p *Permit) void(at int64) bool {
 	return p.State == PermitGranted && at > p.Until || p.State == PermitWaiting && at-p.Asked > staleAfter
 }
 
 // shut takes a relay that drifted out of the service, within the budget: drift at half of the fleet must not empty it.
-func (d *data) shut(at int64, c *Command) Answer {
+func (d *data) shut(at int64, c *Command) Result {
 	if c.Sight == nil || c.Name == "" || len(c.Zone) > MaxNameBytes {
 		return refuse("who is shut has a name and a zone, and what it was reckoned from")
 	}
@@ -657,13 +657,13 @@
 	}
 	d.Version++
 	d.Number++
-	d.Shuts = slices.DeleteFunc(d.Shuts, func(x Shutting) bool { return x.Name == c.Name })
-	d.Shuts = append(d.Shuts, Shutting{Name: c.Name, Zone: c.Zone, Why: c.Why, Since: at, Start: c.Start, Number: d.Number})
-	return Answer{Name: c.Name, State: CommandQuarantine, Number: d.Number}
+	d.Shuts = slices.DeleteFunc(d.Shuts, func(x Quarantine) bool { return x.Name == c.Name })
+	d.Shuts = append(d.Shuts, Quarantine{Name: c.Name, Zone: c.Zone, Why: c.Why, Since: at, Start: c.Start, Number: d.Number})
+	return Result{Name: c.Name, State: CommandQuarantine, Number: d.Number}
 }
 
 // admit lets a relay serve again. It counts as out until it is seen to.
-func (d *data) admit(c *Command) Answer {
+func (d *data) admit(c *Command) Result {
 	s, itself := d.shutting(c.Name), c.Cause != ""
 	switch {
 	case s == nil || s.Opened != 0 && (itself || s.Let):
@@ -673,12 +673,12 @@
 	}
 	d.Version++
 	s.Opened, s.Let = cmp.Or(s.Opened, d.Version), !itself
-	return Answer{Name: s.Name, State: CommandReadmit}
+	return Result{Name: s.Name, State: CommandReadmit}
 }
 
 // opened takes over that one that was admitted serves, or is nothing to be spoken of any more.
-func (d *data) opened(saw Saw) bool {
-	i := slices.IndexFunc(d.Shuts, func(x Shutting) bool { return x.Number == saw.Shut && x.Opened != 0 })
+func (d *data) opened(saw Observation) bool {
+	i := slices.IndexFunc(d.Shuts, func(x Quarantine) bool { return x.Number == saw.Shut && x.Opened != 0 })
 	switch {
 	case i < 0:
 		return false
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -108,15 +108,15 @@
 
 // ---- What others saw ----
 
-func (p *planner) seen() []Saw {
-	var list []Saw
+func (p *planner) seen() []Observation {
+	var list []Observation
 	for i := range p.d.Releases {
 		r := &p.d.Releases[i]
 		for j := range r.Units {
 			u := &r.Units[j]
 			s, ok := p.look(r, u)
 			if !ok && r.State == ReleaseRollingBack && p.late(r, u) && !u.Stranded {
-				s, ok = Saw{Strand: true}, true
+				s, ok = Observation{Strand: true}, true
 			}
 			if ok {
 				s.Release, s.Unit, s.Order = r.Name, u.Name, u.Order
@@ -130,7 +130,7 @@
 	}
 	for i := range p.d.Permits {
 		if x := &p.d.Permits[i]; x.State == PermitBegun && p.returned(x) {
-			list = append(list, Saw{Permit: x.Number})
+			list = append(list, Observation{Permit: x.Number})
 		}
 	}
 	for i := range p.d.Shuts {
@@ -139,32 +139,32 @@
 		switch _, unfit := p.v.Unfit[x.Name]; {
 		case x.Opened == 0:
 		case r == nil || x.Back && r.live(p.b) && (!unfit || r.Start > x.Start):
-			list = append(list, Saw{Shut: x.Number, Phase: PhaseMissing})
+			list = append(list, Observation{Shut: x.Number, Phase: PhaseMissing})
 		case !x.Back && r.sound(p.b) && r.Applied >= x.Opened: // before that it may yet heed the order that was taken back
-			list = append(list, Saw{Shut: x.Number, Phase: PhaseDone})
+			list = append(list, Observation{Shut: x.Number, Phase: PhaseDone})
 		}
 	}
 	return list
 }
 
 // look says how a unit is seen further.
-func (p *planner) look(r *release, u *Unit) (Saw, bool) {
-	none := Saw{}
+func (p *planner) look(r *release, u *Unit) (Observation, bool) {
+	none := Observation{}
 	if u.Kind == KindEject || u.Kind == KindReinstate {
-		return Saw{Phase: PhaseDone}, u.Phase == PhaseLeaving && p.heeded(u.Order)
+		return Observation{Phase: PhaseDone}, u.Phase == PhaseLeaving && p.heeded(u.Order)
 	}
 	if u.Phase == PhasePending && r.State == ReleaseRunning && p.there(u) == nil && p.alone(r, u) && !p.rooms[side(u.Kind)].planned[u.name()] &&
 		p.now-max(r.Moved, r.Resumed) > p.b.Start+p.b.Silent { // longer than one that fell over takes
-		return Saw{Phase: PhaseMissing}, true
+		return Observation{Phase: PhaseMissing}, true
 	}
 	if u.Phase == PhaseDone && u.Stranded {
-		return Saw{Phase: PhasePending}, p.there(u) != nil && !p.rooms[side(u.Kind)].planned[u.name()]
+		return Observation{Phase: PhasePending}, p.there(u) != nil && !p.rooms[side(u.Kind)].planned[u.name()]
 	}
 	if u.Stranded && u.isOut() && r.ended() && p.there(u) == nil {
-		return Saw{Phase: PhaseMissing}, true // nobody knows of it any more
+		return Observation{Phase: PhaseMissing}, true // nobody knows of it any more
 	}
 	if u.Phase == PhaseDone && r.Wish.Drain && u.Kind == KindMember {
-		return Saw{Phase: PhaseDrained, Start: u.Start}, p.there(u) != nil
+		return Observation{Phase: PhaseDrained, Start: u.Start}, p.there(u) != nil
 	}
 	switch {
 	case !u.isOut():
@@ -175,10 +175,10 @@
 	return p.lookMember(r, u)
 }
 
-func (p *planner) lookRelay(r *release, u *Unit) (Saw, bool) {
+func (p *planner) lookRelay(r *release, u *Unit) (Observation, bool) {
 	x := p.relays[u.Name]
 	if x == nil {
-		return Saw{}, false
+		return Observation{}, false
 	}
 	sound := x.sound(p.b)
 	if planted == "own word" {
@@ -189,23 +189,23 @@
 		sound = x.live(p.b) && (x.Phase == "serving" || x.Phase == "shut")
 	}
 	if !sound {
-		return Saw{}, false
+		return Observation{}, false
 	}
 	program, config := r.wants(u, u.Undo)
 	fits := (program == "" || program == x.Program) && (config == "" || config == x.Config)
 	later := x.Start > uint64(u.Start)
 	switch {
 	case u.Phase == PhaseLeaving:
-		return Saw{Phase: PhaseDone}, later && fits
+		return Observation{Phase: PhaseDone}, later && fits
 	case x.Applied < u.Order:
-		return Saw{}, false // it may yet heed the order that was taken back
+		return Observation{}, false // it may yet heed the order that was taken back
 	case fits && (later || program+config != ""):
-		return Saw{Phase: PhaseDone}, true
+		return Observation{Phase: PhaseDone}, true
 	}
-	return Saw{Phase: PhasePending}, true
+	return Observation{Phase: PhasePending}, true
 }
 
-func (p *planner) lookMember(r *release, u *Unit) (Saw, bool) {
+func (p *planner) lookMember(r *release, u *Unit) (Observation, bool) {
 	m := p.members[u.name()]
 	program, _ := r.wants(u, u.Undo)
 	// Who does not say what it runs fits. On the way back an owner may put back at once what was there before.
@@ -214,28 +214,28 @@
 	}
 	switch {
 	case u.Phase == PhaseLeaving:
-		s := Saw{Phase: PhaseDrained, Start: u.Start}
+		s := Observation{Phase: PhaseDrained, Start: u.Start}
 		if m != nil {
 			s.Start = m.Started
 		}
 		return s, p.empty(u, m)
 	case r.Wish.Drain && u.Phase != PhaseRevoked:
-		return Saw{Phase: PhaseDone}, m == nil // gone for good: no member any more, so not out
+		return Observation{Phase: PhaseDone}, m == nil // gone for good: no member any more, so not out
 	case m == nil && r.Wish.Drain:
-		return Saw{}, false
+		return Observation{}, false
 	case m == nil:
 		name := p.newcomer(u, fits)
-		return Saw{Phase: PhaseReplaced, Now: name}, name != ""
+		return Observation{Phase: PhaseReplaced, Now: name}, name != ""
 	case u.Phase == PhaseDrained: // one that fell over and came back as it was is still to be replaced
-		return Saw{Phase: PhaseReplaced, Now: m.Name}, m.Started > u.Start && fits(m)
+		return Observation{Phase: PhaseReplaced, Now: m.Name}, m.Started > u.Start && fits(m)
 	case !p.full(m) || u.Phase == PhaseRevoked && !p.heeded(u.Order):
-		return Saw{}, false
+		return Observation{}, false
 	case u.Phase == PhaseRevoked && !(program != "" && program == m.Program):
-		return Saw{Phase: PhasePending}, true
+		return Observation{Phase: PhasePending}, true
 	case program != "" && m.Program != "" && program != m.Program: // not what was wanted. It is in service all the same, once nobody waits for it
-		return Saw{Phase: PhasePending}, !u.Undo && r.State != ReleaseRunning
+		return Observation{Phase: PhasePending}, !u.Undo && r.State != ReleaseRunning
 	}
-	return Saw{Phase: PhaseDone}, true
+	return Observation{Phase: PhaseDone}, true
 }
 
 // there is the thing of a unit, if it is in the view.
@@ -324,7 +324,7 @@
 // over, or it gave the permit back; and so long ago that what is seen is of after that. A later start proves nothing: it may have fallen over
 // by itself just before. One that is not back in the time that a thing may take is lost, and counts as that; if it is not even in the view it
 // would count nowhere, so its permit has to be given back.
-func (p *planner) returned(x *Pass) bool {
+func (p *planner) returned(x *Permit) bool {
 	over := cmp.Or(x.Given, x.Until) + p.b.Silent
 	if p.now <= over && planted != "own word" {
 		return false
@@ -413,8 +413,8 @@
 }
 
 // sight is what a command rests on that gives something out.
-func (p *planner) sight() *Sight {
-	return &Sight{At: p.v.At, Budgets: p.b, Relays: p.rooms[KindRelay].side, Members: p.rooms[KindMember].side}
+func (p *planner) sight() *ViewSummary {
+	return &ViewSummary{At: p.v.At, Budgets: p.b, Relays: p.rooms[KindRelay].side, Members: p.rooms[KindMember].side}
 }
 
 // ---- Halts ----
@@ -575,11 +575,11 @@
 	})
 }
 
-func (p *planner) before() []Count {
-	var list []Count
+func (p *planner) before() []ServiceWindow {
+	var list []ServiceWindow
 	for _, c := range p.v.Service[max(0, len(p.v.Service)-countsMost):] {
 		if c.Asked >= 0 && c.Served >= 0 && c.Asked <= countMost {
-			list = append(list, Count{c.At, c.Asked, min(c.Served, c.Asked)})
+			list = append(list, ServiceWindow{c.At, c.Asked, min(c.Served, c.Asked)})
 		}
 	}
 	return list
@@ -593,7 +593,7 @@
 }
 
 // zonal says that one zone's things come before the next: all that may be out at once fits into one zone.
-func (p *planner) zonal(w *Wish) bool {
+func (p *planner) zonal(w *ReleaseSpec) bool {
 	room := p.rooms[side(w.Kind)]
 	if w.Zonal || !room.budget.Zone.set() {
 		return w.Zonal
@@ -721,8 +721,8 @@
 }
 
 // gift is what goes with a thing, as it is seen now.
-func (p *planner) gift(u *Unit) Gift {
-	g := Gift{Bears: p.bears(u)}
+func (p *planner) gift(u *Unit) Grant {
+	g := Grant{Bears: p.bears(u)}
 	if u.Kind == KindRelay {
 		if x := p.relays[u.Name]; x != nil {
 			g.Zone, g.Start = x.Zone, int64(x.Start)
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -21,7 +21,7 @@
 // op is one call to the record.
 type op struct {
 	c          Command
-	a          Answer
+	a          Result
 	call, back int64
 }
 
@@ -46,7 +46,7 @@
 	}
 	w := newWorld(seed, n, m, 1+pick.IntN(3))
 	if large(seed) { // so that it ends in the time of a play
-		w.budgets.Relays, w.budgets.Members = Budget{Whole: Part{Share: 0.2}}, Budget{Whole: Part{Share: 0.2}, Zone: Part{Share: 0.3}}
+		w.budgets.Relays, w.budgets.Members = Budget{Whole: Limit{Share: 0.2}}, Budget{Whole: Limit{Share: 0.2}, Zone: Limit{Share: 0.3}}
 	}
 	w.roundtrip, w.history = roundtrip, history
 	w.calm = seed%5 == 0 // some without faults
@@ -70,11 +70,11 @@
 		w.tick()
 	}
 	opens := []Command{
-		{Kind: CommandOpen, Name: "relays", Release: &Wish{Kind: KindRelay, All: true, Program: "p2", Lone: pick.IntN(4) == 0, Zonal: pick.IntN(4) == 0}},
-		{Kind: CommandOpen, Name: "members", Release: &Wish{Kind: KindMember, All: true, Program: "b2", Wait: true}},
+		{Kind: CommandOpen, Name: "relays", Release: &ReleaseSpec{Kind: KindRelay, All: true, Program: "p2", Lone: pick.IntN(4) == 0, Zonal: pick.IntN(4) == 0}},
+		{Kind: CommandOpen, Name: "members", Release: &ReleaseSpec{Kind: KindMember, All: true, Program: "b2", Wait: true}},
 	}
 	if pick.IntN(3) == 0 {
-		opens = append(opens, Command{Kind: CommandOpen, Name: "drain", Release: &Wish{Kind: KindMember, Drain: true, Names: []string{"m0"}, Wait: true}})
+		opens = append(opens, Command{Kind: CommandOpen, Name: "drain", Release: &ReleaseSpec{Kind: KindMember, Drain: true, Names: []string{"m0"}, Wait: true}})
 	}
 	for _, c := range opens {
 		w.order(c)
@@ -96,7 +96,7 @@
 		w.half = w.now + w.rnd(1000, 20000)
 	}
 	if pick.IntN(4) == 0 { // bans: by a release, and by an operator at once
-		w.order(Command{Kind: CommandOpen, Name: "bans", Release: &Wish{Kind: KindEject, Ban: []string{"m1"}, Wait: true}})
+		w.order(Command{Kind: CommandOpen, Name: "bans", Release: &ReleaseSpec{Kind: KindEject, Ban: []string{"m1"}, Wait: true}})
 		w.order(Command{Kind: CommandEject, Names: []string{"m2"}})
 	}
 	for i := range 400 {
@@ -151,7 +151,7 @@
 func (w *world) order(c Command) {
 	for {
 		done := false
-		w.propose("operator", c, func(Answer) { done = true })
+		w.propose("operator", c, func(Result) { done = true })
 		for range 20 {
 			if w.tick(); done {
 				return
@@ -369,9 +369,9 @@
 }
 
 // try has a state apply anything at all: what is refused changes nothing, and what comes of it goes through Encode and Decode.
-func try(t *testing.T, s *State, at int64, body []byte) (*State, Answer) {
+func try(t *testing.T, s *State, at int64, body []byte) (*State, Result) {
 	before := s.Encode()
-	var a Answer
+	var a Result
 	if err := json.Unmarshal(s.Apply(at, "n2", body), &a); err != nil || a.Error != "" && !bytes.Equal(before, s.Encode()) {
 		t.Fatalf("%s: %+v, %v", body, a, err)
 	}
@@ -389,7 +389,7 @@
 	var history []op
 	w := young(2, &history)
 	pool := []Command{{Kind: CommandHalt, Name: "relays"}, {Kind: CommandResume, Name: "relays"}, {Kind: CommandRollBack, Name: "relays"}, {Kind: CommandReturnPermit}, {Kind: CommandBeginPermit},
-		{Kind: CommandOpen, Name: "bans", Release: &Wish{Kind: KindEject, Ban: []string{"m1"}}}, {Kind: CommandReadmit, Name: "n2"}, {Kind: CommandReinstate, Names: []string{"m3"}}, {Kind: CommandExpirePermits, Numbers: []uint64{1, 2, 3, 4, 5, 6, 7, 8}}}
+		{Kind: CommandOpen, Name: "bans", Release: &ReleaseSpec{Kind: KindEject, Ban: []string{"m1"}}}, {Kind: CommandReadmit, Name: "n2"}, {Kind: CommandReinstate, Names: []string{"m3"}}, {Kind: CommandExpirePermits, Numbers: []uint64{1, 2, 3, 4, 5, 6, 7, 8}}}
 	for _, o := range history {
 		pool = append(pool, o.c)
 	}
@@ -424,7 +424,7 @@
 				}
 				return len(names)
 			}
-			relays, members, a := out(KindRelay), out(KindMember), Answer{}
+			relays, members, a := out(KindRelay), out(KindMember), Result{}
 			if s, a = try(t, s, s.d.At+int64(rng.IntN(10)/9)*40000, c.Encode()); a.Error != "" {
 				continue
 			}
@@ -432,7 +432,7 @@
 				continue
 			}
 			for kind, is := range map[string]bool{KindRelay: out(KindRelay) > relays, KindMember: out(KindMember) > members} {
-				if most := s.d.room(kind, map[string]Side{KindRelay: c.Sight.Relays, KindMember: c.Sight.Members}[kind], c.Sight.Budgets); is && most.over() != "" {
+				if most := s.d.room(kind, map[string]KindSummary{KindRelay: c.Sight.Relays, KindMember: c.Sight.Members}[kind], c.Sight.Budgets); is && most.over() != "" {
 					t.Fatalf("%s: %s", c.Encode(), most.over())
 				}
 			}
@@ -452,8 +452,8 @@
 func young(seed uint64, history *[]op) *world {
 	w := newWorld(seed, 4, 4, 2)
 	w.calm, w.history = true, history
-	w.order(Command{Kind: CommandOpen, Name: "relays", Release: &Wish{Kind: KindRelay, All: true, Program: "p2"}})
-	w.order(Command{Kind: CommandOpen, Name: "members", Release: &Wish{Kind: KindMember, All: true}})
+	w.order(Command{Kind: CommandOpen, Name: "relays", Release: &ReleaseSpec{Kind: KindRelay, All: true, Program: "p2"}})
+	w.order(Command{Kind: CommandOpen, Name: "members", Release: &ReleaseSpec{Kind: KindMember, All: true}})
 	w.order(Command{Kind: CommandEject, Names: []string{"m3"}})
 	w.order(Command{Kind: CommandRequestPermit, Thing: KindRelay, Name: "n1", Who: "a", For: 1000})
 	for range 30 {
@@ -509,7 +509,7 @@
 // calls applies commands, one after another, and wants each answered with a state, or an error that holds a word.
 func calls(t *testing.T, s *State, at int64, want string, c Command) {
 	t.Helper()
-	var a Answer
+	var a Result
 	if err := json.Unmarshal(s.Apply(at, "n1", c.Encode()), &a); err != nil || !strings.Contains(a.State+a.Error, want) {
 		t.Fatalf("%+v: %+v, %v, not %q", c, a, err, want)
 	}
@@ -519,7 +519,7 @@
 func TestHalts(t *testing.T) {
 	open := func() *State {
 		s := New()
-		calls(t, s, 1, ReleaseQueued, Command{Kind: CommandOpen, Name: "r", Release: &Wish{Kind: KindRelay, Names: []string{"a", "b"}}})
+		calls(t, s, 1, ReleaseQueued, Command{Kind: CommandOpen, Name: "r", Release: &ReleaseSpec{Kind: KindRelay, Names: []string{"a", "b"}}})
 		calls(t, s, 2, ReleaseRunning, Command{Kind: CommandSetUnits, Name: "r", Units: []Unit{{Name: "a", Kind: KindRelay}, {Name: "b", Kind: KindRelay}}})
 		return s
 	}
@@ -557,11 +557,11 @@
 // Two releases that touch the same things: the second waits, or is refused with the first's name.
 func TestTwo(t *testing.T) {
 	s := New()
-	calls(t, s, 1, ReleaseQueued, Command{Kind: CommandOpen, Name: "first", Release: &Wish{Kind: KindMember, Names: []string{"a", "b"}}})
-	calls(t, s, 1, `"first"`, Command{Kind: CommandOpen, Name: "second", Release: &Wish{Kind: KindMember, Zones: []string{"z"}}})
-	calls(t, s, 1, `"first"`, Command{Kind: CommandOpen, Name: "second", Release: &Wish{Kind: KindEject, Ban: []string{"b"}}})
-	calls(t, s, 1, ReleaseQueued, Command{Kind: CommandOpen, Name: "other", Release: &Wish{Kind: KindMember, Names: []string{"c"}}})
-	calls(t, s, 1, ReleaseQueued, Command{Kind: CommandOpen, Name: "second", Release: &Wish{Kind: KindMember, All: true, Wait: true}})
+	calls(t, s, 1, ReleaseQueued, Command{Kind: CommandOpen, Name: "first", Release: &ReleaseSpec{Kind: KindMember, Names: []string{"a", "b"}}})
+	calls(t, s, 1, `"first"`, Command{Kind: CommandOpen, Name: "second", Release: &ReleaseSpec{Kind: KindMember, Zones: []string{"z"}}})
+	calls(t, s, 1, `"first"`, Command{Kind: CommandOpen, Name: "second", Release: &ReleaseSpec{Kind: KindEject, Ban: []string{"b"}}})
+	calls(t, s, 1, ReleaseQueued, Command{Kind: CommandOpen, Name: "other", Release: &ReleaseSpec{Kind: KindMember, Names: []string{"c"}}})
+	calls(t, s, 1, ReleaseQueued, Command{Kind: CommandOpen, Name: "second", Release: &ReleaseSpec{Kind: KindMember, All: true, Wait: true}})
 	calls(t, s, 2, "laid out", Command{Kind: CommandSetUnits, Name: "second", Units: []Unit{{Name: "a", Kind: KindMember}}})
 	calls(t, s, 3, ReleaseRolledBack, Command{Kind: CommandRollBack, Name: "first"})
 	if a, _ := s.Release("second"); a.Behind != "other" {
@@ -573,9 +573,9 @@
 
 	// One that was stranded is undone as soon as what was in its way has ended: nothing else may ever be called.
 	s = New()
-	s.d.Releases = []release{{Account: Account{Name: "first", State: ReleaseRolledBack, Wish: Wish{Kind: KindMember, All: true}, Units: []Unit{{Name: "a", Kind: KindMember, Phase: PhaseDone, Got: true}}}},
-		{Account: Account{Name: "second", State: ReleaseRollingBack, Wish: Wish{Kind: KindEject, Ban: []string{"a"}}, Units: []Unit{{Name: "a", Kind: KindEject, Phase: PhaseLeaving, Undo: true}}}}}
-	calls(t, s, 6, "", Command{Kind: CommandObserve, Saw: []Saw{{Release: "second", Unit: "a", Phase: PhaseDone}}})
+	s.d.Releases = []release{{ReleaseStatus: ReleaseStatus{Name: "first", State: ReleaseRolledBack, Wish: ReleaseSpec{Kind: KindMember, All: true}, Units: []Unit{{Name: "a", Kind: KindMember, Phase: PhaseDone, Got: true}}}},
+		{ReleaseStatus: ReleaseStatus{Name: "second", State: ReleaseRollingBack, Wish: ReleaseSpec{Kind: KindEject, Ban: []string{"a"}}, Units: []Unit{{Name: "a", Kind: KindEject, Phase: PhaseLeaving, Undo: true}}}}}
+	calls(t, s, 6, "", Command{Kind: CommandObserve, Saw: []Observation{{Release: "second", Unit: "a", Phase: PhaseDone}}})
 	for name, want := range map[string]string{"first": ReleaseRollingBack, "second": ReleaseRolledBack} {
 		if a, _ := s.Release(name); a.State != want {
 			t.Errorf("%s is %s", name, a.State)
@@ -588,7 +588,7 @@
 	b := Budgets{Silent: 100, Fresh: 100, Drain: 100, Start: 100, Window: 100}
 	for _, allow := range []bool{false, true} {
 		s, v := New(), View{At: 1e6, Relays: []Relay{{Name: "n", Full: true}}, Members: []Member{{Name: "a", Program: "b3", Started: 9, Capacity: 1, Bears: 1}}}
-		s.d.Releases = []release{{Account: Account{Name: "r", State: ReleaseRolledBack, Backing: true, Wish: Wish{Kind: KindMember, All: true, Program: "b2"}, Units: []Unit{
+		s.d.Releases = []release{{ReleaseStatus: ReleaseStatus{Name: "r", State: ReleaseRolledBack, Backing: true, Wish: ReleaseSpec{Kind: KindMember, All: true, Program: "b2"}, Units: []Unit{
 			{Name: "a", Kind: KindMember, Program: "b1", Phase: PhaseDrained, Stranded: true, Number: 1, Start: 5}}}}}
 		if plan := s.Plan(v.At, v, b); plan != nil || s.Orders("n").Out["a"].Why != "drain" {
 			t.Errorf("%+v, %+v", plan, s.Orders("n"))
@@ -608,12 +608,12 @@
 
 // Budgets as operators write them, and those with which nothing ever could go out.
 func TestBudgets(t *testing.T) {
-	for text, want := range map[string]Part{"25%": {Share: 0.25}, "2": {Count: 2}, "0": {}, "-1": {}, "0%": {}, "101%": {}, "x": {}, "NaN%": {}} {
-		if got, err := ParsePart(text); got != want || (err == nil) != want.set() {
+	for text, want := range map[string]Limit{"25%": {Share: 0.25}, "2": {Count: 2}, "0": {}, "-1": {}, "0%": {}, "101%": {}, "x": {}, "NaN%": {}} {
+		if got, err := ParseLimit(text); got != want || (err == nil) != want.set() {
 			t.Errorf("%s: %v, %v", text, got, err)
 		}
 	}
-	b := Budgets{Relays: Budget{Whole: Part{Share: 0.25}}, Members: Budget{Whole: Part{Count: 1}, Zone: Part{Share: 0.3}}}
+	b := Budgets{Relays: Budget{Whole: Limit{Share: 0.25}}, Members: Budget{Whole: Limit{Count: 1}, Zone: Limit{Share: 0.3}}}
 	if why := b.Never(map[string]int{"a": 2, "b": 2}, map[string]int{"a": 4, "b": 3}); why != "members: the budget of a zone lets none out in b" {
 		t.Error(why)
 	}
@@ -625,7 +625,7 @@
 // What the service was before, and what is more than noise: neither its own spread nor a single bad window halts.
 func TestService(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
-	window := func(p float64) Count {
+	window := func(p float64) ServiceWindow {
 		n, served := 400+rng.IntN(200), 0
 		p += (rng.Float64() - 0.5) / 50 // windows differ by more than chance
 		for range n {
@@ -633,19 +633,19 @@
 				served++
 			}
 		}
-		return Count{1, float64(n), float64(served)}
+		return ServiceWindow{1, float64(n), float64(served)}
 	}
 	halted, found := 0, 0
 	for range 2000 {
-		var counts []Count
+		var counts []ServiceWindow
 		for range 30 {
 			counts = append(counts, window(0.97))
 		}
 		asked, served, spread := before(counts)
-		if worse(asked, served, spread, 0.01, []Count{window(0.97), window(0.97), window(0.97)}, 0) {
+		if worse(asked, served, spread, 0.01, []ServiceWindow{window(0.97), window(0.97), window(0.97)}, 0) {
 			halted++
 		}
-		if worse(asked, served, spread, 0.01, []Count{window(0.85), window(0.85), window(0.85)}, 0) {
+		if worse(asked, served, spread, 0.01, []ServiceWindow{window(0.85), window(0.85), window(0.85)}, 0) {
 			found++
 		}
 	}
@@ -661,7 +661,7 @@
 	for seed := range uint64(5) {
 		w := newWorld(seed, 12, 12, 3)
 		w.calm = true
-		w.budgets.Relays, w.budgets.Members = Budget{Whole: Part{Share: 0.25}}, Budget{Whole: Part{Share: 0.25}}
+		w.budgets.Relays, w.budgets.Members = Budget{Whole: Limit{Share: 0.25}}, Budget{Whole: Limit{Share: 0.25}}
 		w.load = 0
 		for _, x := range w.members {
 			x.capacity = 100
@@ -670,8 +670,8 @@
 		for range 40 {
 			w.tick()
 		}
-		w.order(Command{Kind: CommandOpen, Name: "r", Release: &Wish{Kind: KindRelay, All: true, Program: "p2"}})
-		w.order(Command{Kind: CommandOpen, Name: "m", Release: &Wish{Kind: KindMember, All: true, Program: "b2"}})
+		w.order(Command{Kind: CommandOpen, Name: "r", Release: &ReleaseSpec{Kind: KindRelay, All: true, Program: "p2"}})
+		w.order(Command{Kind: CommandOpen, Name: "m", Release: &ReleaseSpec{Kind: KindMember, All: true, Program: "b2"}})
 		from := w.now
 		out := map[string]int64{} // ms that things were out in truth, not until they were seen to be back
 		for !w.s.d.Releases[0].ended() || !w.s.d.Releases[1].ended() {
@@ -695,8 +695,8 @@
 	for range 40 {
 		w.tick()
 	}
-	w.order(Command{Kind: CommandOpen, Name: "r", Release: &Wish{Kind: KindRelay, All: true, Program: "p2"}})
-	w.order(Command{Kind: CommandOpen, Name: "m", Release: &Wish{Kind: KindMember, All: true, Program: "b2"}})
+	w.order(Command{Kind: CommandOpen, Name: "r", Release: &ReleaseSpec{Kind: KindRelay, All: true, Program: "p2"}})
+	w.order(Command{Kind: CommandOpen, Name: "m", Release: &ReleaseSpec{Kind: KindMember, All: true, Program: "b2"}})
 	var all []time.Duration
 	largest := 0
 	for range 100 {
@@ -716,8 +716,8 @@
 func TestUnknown(t *testing.T) {
 	s, b := New(), Budgets{Silent: 100, Fresh: 100, Drain: 500, Start: 500, Window: 100}
 	v := View{At: 1000, Relays: []Relay{{Name: "a", HeardMS: 1}, {Name: "b", Program: "p1", Start: 1, Full: true}}}
-	calls(t, s, v.At, ReleaseQueued, Command{Kind: CommandOpen, Name: "first", Release: &Wish{Kind: KindRelay, Names: []string{"b"}}})
-	calls(t, s, v.At, ReleaseQueued, Command{Kind: CommandOpen, Name: "r", Release: &Wish{Kind: KindRelay, All: true, Program: "p2", Wait: true}})
+	calls(t, s, v.At, ReleaseQueued, Command{Kind: CommandOpen, Name: "first", Release: &ReleaseSpec{Kind: KindRelay, Names: []string{"b"}}})
+	calls(t, s, v.At, ReleaseQueued, Command{Kind: CommandOpen, Name: "r", Release: &ReleaseSpec{Kind: KindRelay, All: true, Program: "p2", Wait: true}})
 	v.At += 5000
 	calls(t, s, v.At, ReleaseRolledBack, Command{Kind: CommandRollBack, Name: "first"})
 	v.At += 1000 // since it waits behind none
@@ -742,11 +742,11 @@
 		v.Members = append(v.Members, Member{Name: "m" + strconv.Itoa(i), Zone: zone, Capacity: 9, Bears: float64(9 - i)})
 	}
 	for want, budget := range map[string]Budget{
-		"m3 m2 m1 m0 ": {Whole: Part{Count: 2}, Zone: Part{Count: 1}},
-		"m3 m1 m2 m0 ": {Whole: Part{Count: 1}, Zone: Part{Count: 1}},
+		"m3 m2 m1 m0 ": {Whole: Limit{Count: 2}, Zone: Limit{Count: 1}},
+		"m3 m1 m2 m0 ": {Whole: Limit{Count: 1}, Zone: Limit{Count: 1}},
 	} {
 		s := New()
-		calls(t, s, 1, ReleaseQueued, Command{Kind: CommandOpen, Name: "r", Release: &Wish{Kind: KindMember, All: true}})
+		calls(t, s, 1, ReleaseQueued, Command{Kind: CommandOpen, Name: "r", Release: &ReleaseSpec{Kind: KindMember, All: true}})
 		got := ""
 		for _, u := range s.Plan(1, v, Budgets{Members: budget})[0].Units {
 			got += u.Name + " "
@@ -760,7 +760,7 @@
 // Half of the fleet drifts: the worst go first, no more than the budget lets out by number, zone and capacity. Who is shut may be released,
 // costs no more for it, and counts until it is seen to serve again.
 func TestShut(t *testing.T) {
-	b := Budgets{Relays: Budget{Whole: Part{Count: 3}}, Silent: 100, Fresh: 100, Drain: 100, Start: 100, Window: 100}
+	b := Budgets{Relays: Budget{Whole: Limit{Count: 3}}, Silent: 100, Fresh: 100, Drain: 100, Start: 100, Window: 100}
 	var s *State
 	var v View
 	begin := func() {
@@ -787,7 +787,7 @@
 		}
 	}
 	zonal, tight, wide := b, b, b
-	zonal.Relays.Zone, tight.Headroom, wide.Relays.Whole = Part{Count: 2}, 0.7, Part{Count: 9}
+	zonal.Relays.Zone, tight.Headroom, wide.Relays.Whole = Limit{Count: 2}, 0.7, Limit{Count: 9}
 	for want, budgets := range map[string]Budgets{"n6 n2 ": zonal, "n6 ": tight, "n6 n2 n0 n4 ": wide} {
 		begin()
 		plan(budgets, want)
@@ -809,7 +809,7 @@
 	calls(t, s, v.At, "version", c)
 
 	// A release takes those that are shut though the budget is full, and no other.
-	calls(t, s, v.At, ReleaseQueued, Command{Kind: CommandOpen, Name: "r", Release: &Wish{Kind: KindRelay, All: true}})
+	calls(t, s, v.At, ReleaseQueued, Command{Kind: CommandOpen, Name: "r", Release: &ReleaseSpec{Kind: KindRelay, All: true}})
 	plan(b, "n6 n2 n0 ")
 	plan(b, "n6 n2 n0 ")
 	for _, r := range v.Relays {
@@ -904,7 +904,7 @@
 	}
 
 	v.Relays[0].Full = true
-	calls(t, s, v.At, ReleaseQueued, Command{Kind: CommandOpen, Name: "r", Release: &Wish{Kind: KindRelay, Names: []string{"n3"}}})
+	calls(t, s, v.At, ReleaseQueued, Command{Kind: CommandOpen, Name: "r", Release: &ReleaseSpec{Kind: KindRelay, Names: []string{"n3"}}})
 	plan()
 	told := 0
 	for number := uint64(2); number < 20 && told == 0; number++ { // there is always one who waits
@@ -927,7 +927,7 @@
 	b := Budgets{Silent: 100, Fresh: 100, Drain: 1000, Start: 1000, Warm: 1000, Window: 100}
 	v := View{At: 1000, Relays: []Relay{{Name: "n", Full: true}}, Members: []Member{{Name: "a.1", Started: 990, Capacity: 1, Bears: 0.3}, {Name: "b", Capacity: 1, Bears: 1}}}
 	s := New()
-	s.d.Releases = []release{{Laid: true, Account: Account{Name: "r", State: ReleaseRunning, Wish: Wish{Kind: KindMember, All: true}, Units: []Unit{
+	s.d.Releases = []release{{Laid: true, ReleaseStatus: ReleaseStatus{Name: "r", State: ReleaseRunning, Wish: ReleaseSpec{Kind: KindMember, All: true}, Units: []Unit{
 		{Name: "a", Kind: KindMember, Phase: PhaseDrained, Number: 1, At: 900, Start: 5}, {Name: "b", Kind: KindMember}}}}}
 	for _, c := range s.Plan(v.At, v, b) {
 		calls(t, s, v.At, "", c)
--- a/internal/rollout/service.go
+++ b/internal/rollout/service.go
@@ -10,7 +10,7 @@
 const recent = 3
 
 // before sums up the service before a release, and by how much its windows differ beyond chance (1: not).
-func before(counts []Count) (asked, served, spread float64) {
+func before(counts []ServiceWindow) (asked, served, spread float64) {
 	spread = 1
 	for _, c := range counts {
 		asked, served = asked+c.Asked, served+c.Served
@@ -36,7 +36,7 @@
 }
 
 // worse says whether the service of the last windows is below that of before by more than slack and noise.
-func worse(asked, served, spread, slack float64, counts []Count, since int64) bool {
+func worse(asked, served, spread, slack float64, counts []ServiceWindow, since int64) bool {
 	var a, s float64
 	n := 0
 	for i := len(counts) - 1; i >= 0 && n < recent && counts[i].At > since; i-- {
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -14,21 +14,21 @@
 type State struct{ d data }
 
 type data struct {
-	Version  uint64     `json:"version"` // rises with every change of what is out or ordered
-	At       int64      `json:"at"`
-	Number   uint64     `json:"number"` // the last given to an order, a ban or a permit
-	Releases []release  `json:"releases,omitempty"`
-	Permits  []Pass     `json:"permits,omitempty"`
-	Bans     []Banned   `json:"bans,omitempty"` // by name
-	Shuts    []Shutting `json:"shuts,omitempty"`
-	Relays   []int64    `json:"relays,omitempty"` // ms that the last units took until they were back
-	Members  []int64    `json:"members,omitempty"`
+	Version  uint64       `json:"version"` // rises with every change of what is out or ordered
+	At       int64        `json:"at"`
+	Number   uint64       `json:"number"` // the last given to an order, a ban or a permit
+	Releases []release    `json:"releases,omitempty"`
+	Permits  []Permit     `json:"permits,omitempty"`
+	Bans     []Ejection   `json:"bans,omitempty"` // by name
+	Shuts    []Quarantine `json:"shuts,omitempty"`
+	Relays   []int64      `json:"relays,omitempty"` // ms that the last units took until they were back
+	Members  []int64      `json:"members,omitempty"`
 }
 
 const tookMost = 32
 
 type release struct {
-	Account
+	ReleaseStatus
 	Laid    bool     `json:"laid,omitempty"`
 	Since   int64    `json:"since,omitempty"`   // when it was laid out: the service after it is held against that of before
 	Resumed int64    `json:"resumed,omitempty"` // what is overdue counts from here
@@ -73,9 +73,9 @@
 // Orders are what a relay is to do now.
 func (s *State) Orders(relay string) Orders {
 	var o Orders
-	out := func(name string, x Out) {
+	out := func(name string, x Exclusion) {
 		if o.Out == nil {
-			o.Out = map[string]Out{}
+			o.Out = map[string]Exclusion{}
 		}
 		o.Out[name] = x
 	}
@@ -83,27 +83,27 @@
 		for _, u := range r.Units {
 			switch {
 			case u.Kind == KindRelay && u.Name == relay && u.Phase == PhaseLeaving:
-				o.Leave = &Leave{Number: u.Number, Release: r.Name, Start: uint64(u.Start), Program: r.Wish.Program, Config: r.Wish.Config}
+				o.Leave = &LeaveOrder{Number: u.Number, Release: r.Name, Start: uint64(u.Start), Program: r.Wish.Program, Config: r.Wish.Config}
 				if u.Undo {
 					o.Leave.Program, o.Leave.Config = u.Program, u.Config
 				}
 			case u.Kind == KindMember && (u.Phase == PhaseLeaving || u.Phase == PhaseDrained || u.Phase == PhaseDone && r.Wish.Drain):
-				out(u.name(), Out{Why: "drain", Number: u.Number, Since: u.At, MoveOver: u.MoveOver})
+				out(u.name(), Exclusion{Why: "drain", Number: u.Number, Since: u.At, MoveOver: u.MoveOver})
 			}
 		}
 	}
 	for _, b := range s.d.Bans {
-		out(b.Name, Out{Why: "ban", Number: b.Number, Since: b.Since})
+		out(b.Name, Exclusion{Why: "ban", Number: b.Number, Since: b.Since})
 	}
 	if x := s.d.shutting(relay); x != nil && x.Opened == 0 {
-		o.Shut = &Closed{Number: x.Number, Since: x.Since, Why: x.Why, Start: x.Start}
+		o.Shut = &QuarantineOrder{Number: x.Number, Since: x.Since, Why: x.Why, Start: x.Start}
 	}
 	return o
 }
 
 // Releases are all that are kept, in the order in which they were opened.
-func (s *State) Releases() []Account {
-	var list []Account
+func (s *State) Releases() []ReleaseStatus {
+	var list []ReleaseStatus
 	for i := range s.d.Releases {
 		list = append(list, s.d.Releases[i].account())
 	}
@@ -111,22 +111,22 @@
 }
 
 // Release is one of them.
-func (s *State) Release(name string) (Account, bool) {
+func (s *State) Release(name string) (ReleaseStatus, bool) {
 	if r := s.d.release(name); r != nil {
 		return r.account(), true
 	}
-	return Account{}, false
+	return ReleaseStatus{}, false
 }
 
 // Permits are those that wait or are in force, the oldest first.
-func (s *State) Permits() []Pass { return slices.Clone(s.d.Permits) }
+func (s *State) Permits() []Permit { return slices.Clone(s.d.Permits) }
 
 // Bans are all that stand, by name.
-func (s *State) Bans() []Banned { return slices.Clone(s.d.Bans) }
+func (s *State) Bans() []Ejection { return slices.Clone(s.d.Bans) }
 
 // Shuts are the relays that are shut.
-func (s *State) Shuts() []Shutting {
-	return slices.DeleteFunc(slices.Clone(s.d.Shuts), func(x Shutting) bool { return x.Opened != 0 })
+func (s *State) Shuts() []Quarantine {
+	return slices.DeleteFunc(slices.Clone(s.d.Shuts), func(x Quarantine) bool { return x.Opened != 0 })
 }
 
 // clone shares nothing that a command changes.
@@ -146,10 +146,10 @@
 	return c
 }
 
-func (r *release) account() Account {
-	a := r.Account
+func (r *release) account() ReleaseStatus {
+	a := r.ReleaseStatus
 	a.Units = slices.Clone(a.Units)
-	a.Counts = Counts{}
+	a.Counts = UnitCounts{}
 	for i := range a.Units {
 		u := &a.Units[i]
 		switch {
@@ -190,7 +190,7 @@
 	return nil
 }
 
-func (d *data) shutting(name string) *Shutting {
+func (d *data) shutting(name string) *Quarantine {
 	for i := range d.Shuts {
 		if d.Shuts[i].Name == name {
 			return &d.Shuts[i]
@@ -199,7 +199,7 @@
 	return nil
 }
 
-func (d *data) permit(number uint64) *Pass {
+func (d *data) permit(number uint64) *Permit {
 	for i := range d.Permits {
 		if d.Permits[i].Number == number {
 			return &d.Permits[i]
@@ -209,7 +209,7 @@
 }
 
 func (d *data) banned(name string) (int, bool) {
-	return slices.BinarySearchFunc(d.Bans, name, func(b Banned, name string) int { return cmp.Compare(b.Name, name) })
+	return slices.BinarySearchFunc(d.Bans, name, func(b Ejection, name string) int { return cmp.Compare(b.Name, name) })
 }
 
 func (r *release) ended() bool { return r.State == ReleaseCompleted || r.State == ReleaseRolledBack }
@@ -263,12 +263,12 @@
 }
 
 // of says whether a thing is one of the wish's.
-func (w *Wish) of(name, zone string) bool {
+func (w *ReleaseSpec) of(name, zone string) bool {
 	return w.All || slices.Contains(w.Names, name) || slices.Contains(w.Zones, zone)
 }
 
 // overlaps says whether two wishes touch the same things. Whoever names all, or zones, may touch any.
-func (w *Wish) overlaps(x *Wish) bool {
+func (w *ReleaseSpec) overlaps(x *ReleaseSpec) bool {
 	if side(w.Kind) != side(x.Kind) {
 		return false
 	}
@@ -281,26 +281,26 @@
 
 // ---- Settings ----
 
-// ParsePart reads "25%" or "2".
-func ParsePart(text string) (Part, error) {
+// ParseLimit reads "25%" or "2".
+func ParseLimit(text string) (Limit, error) {
 	if number, ok := strings.CutSuffix(text, "%"); ok {
 		p, err := strconv.ParseFloat(number, 64)
 		if err != nil || !(p > 0 && p <= 100) {
-			return Part{}, fmt.Errorf("%q is no part between 0%% and 100%%", text)
+			return Limit{}, fmt.Errorf("%q is no part between 0%% and 100%%", text)
 		}
-		return Part{Share: p / 100}, nil
+		return Limit{Share: p / 100}, nil
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil || n < 1 {
-		return Part{}, fmt.Errorf("%q is no number from 1 up, and no part as \"25%%\"", text)
+		return Limit{}, fmt.Errorf("%q is no number from 1 up, and no part as \"25%%\"", text)
 	}
-	return Part{Count: n}, nil
+	return Limit{Count: n}, nil
 }
 
-func (p Part) set() bool { return p.Count > 0 || p.Share > 0 }
+func (p Limit) set() bool { return p.Count > 0 || p.Share > 0 }
 
 // of is how many of so many things. A part is rounded down: a quarter of three is none.
-func (p Part) of(n int) int {
+func (p Limit) of(n int) int {
 	if p.Count > 0 {
 		return min(p.Count, n)
 	}
--- a/internal/rollout/world_test.go
+++ b/internal/rollout/world_test.go
@@ -35,7 +35,7 @@
 	faults    []string
 	roundtrip bool
 	peak      int
-	service   []Count
+	service   []ServiceWindow
 	history   *[]op
 	drift     int64
 	half      int64 // when half of the relays drift
@@ -50,16 +50,16 @@
 type agreed struct {
 	at      int64
 	version uint64
-	leave   map[string]*Leave
-	shut    map[string]*Closed
-	out     map[string]Out
+	leave   map[string]*LeaveOrder
+	shut    map[string]*QuarantineOrder
+	out     map[string]Exclusion
 }
 
 type proposal struct {
 	at, sent int64
 	by       string
 	c        Command
-	answer   func(Answer)
+	answer   func(Result)
 }
 
 // host is a relay's host: it starts the relay again, whatever ended it.
@@ -111,13 +111,13 @@
 
 func newWorld(seed uint64, n, m, zones int) *world {
 	w := &world{rng: rand.New(rand.NewPCG(seed, 31)), now: 1e6, s: New(), given: map[string]func() bool{}, log: []agreed{{}}}
-	w.budgets = Budgets{Relays: Budget{Whole: Part{Share: 0.34}}, Members: Budget{Whole: Part{Share: 0.34}}, Headroom: 0.05, Silent: 1500, Hold: 3000,
+	w.budgets = Budgets{Relays: Budget{Whole: Limit{Share: 0.34}}, Members: Budget{Whole: Limit{Share: 0.34}}, Headroom: 0.05, Silent: 1500, Hold: 3000,
 		Fresh: 1500, Drain: 4000, Start: 4000, Warm: 4000, Window: 3000, Clock: 0.02, Drift: 2000, Slack: 0.05}
 	if w.rng.IntN(2) == 0 {
-		w.budgets.Relays.Zone, w.budgets.Members.Zone = Part{Count: 1 + w.rng.IntN(2)}, Part{Share: 0.5}
+		w.budgets.Relays.Zone, w.budgets.Members.Zone = Limit{Count: 1 + w.rng.IntN(2)}, Limit{Share: 0.5}
 	}
 	if w.rng.IntN(3) == 0 {
-		w.budgets.Relays.Whole, w.budgets.Members.Whole = Part{Count: 1}, Part{Count: 2}
+		w.budgets.Relays.Whole, w.budgets.Members.Whole = Limit{Count: 1}, Limit{Count: 2}
 	}
 	sum, sumOf := 0.0, 0.0
 	for i := range n {
@@ -146,7 +146,7 @@
 func (w *world) rnd(low, high int64) int64 { return low + w.rng.Int64N(high-low+1) }
 
 // propose is a call to the record: it comes to be agreed later, or never, or the answer is lost.
-func (w *world) propose(by string, c Command, answer func(Answer)) {
+func (w *world) propose(by string, c Command, answer func(Result)) {
 	p := proposal{w.now + w.rnd(30, 200), w.now, by, c, answer}
 	if !w.calm {
 		switch w.rng.IntN(30) {
@@ -172,7 +172,7 @@
 	before := w.s.Version()
 	body := p.c.Encode()
 	answer := w.s.Apply(at, p.by, body)
-	var a Answer
+	var a Result
 	if err := json.Unmarshal(answer, &a); err != nil {
 		w.fault("answer: %v", err)
 	}
@@ -197,7 +197,7 @@
 }
 
 func (w *world) remember() {
-	a := agreed{at: w.now, version: w.s.Version(), leave: map[string]*Leave{}, shut: map[string]*Closed{}, out: w.s.Orders("").Out}
+	a := agreed{at: w.now, version: w.s.Version(), leave: map[string]*LeaveOrder{}, shut: map[string]*QuarantineOrder{}, out: w.s.Orders("").Out}
 	for _, x := range w.s.Shuts() {
 		a.shut[x.Name] = w.s.Orders(x.Name).Shut
 	}
@@ -313,7 +313,7 @@
 		if w.now < w.drop {
 			served *= 0.8
 		}
-		w.service = append(w.service, Count{w.now + w.skew, asked, served})
+		w.service = append(w.service, ServiceWindow{w.now + w.skew, asked, served})
 		w.service = w.service[max(0, len(w.service)-30):]
 	}
 	if w.now%200 == 0 && w.live(w.now) {
@@ -329,7 +329,7 @@
 		}
 	}
 	if list := w.s.Shuts(); len(list) > 0 && !w.calm && w.rng.IntN(200) == 0 {
-		w.propose("operator", Command{Kind: CommandReadmit, Name: list[w.rng.IntN(len(list))].Name}, func(Answer) {})
+		w.propose("operator", Command{Kind: CommandReadmit, Name: list[w.rng.IntN(len(list))].Name}, func(Result) {})
 	}
 }
 
@@ -451,7 +451,7 @@
 		if a.down && w.now >= a.doneAt {
 			a.down, a.end = false, true
 			if w.rng.IntN(2) == 0 {
-				w.propose(a.who, Command{Kind: CommandReturnPermit, Number: a.number}, func(Answer) {})
+				w.propose(a.who, Command{Kind: CommandReturnPermit, Number: a.number}, func(Result) {})
 			}
 		}
 		return
@@ -469,7 +469,7 @@
 	}
 	sent := w.now
 	if a.number != 0 && w.now < a.deadline {
-		w.propose(a.who, Command{Kind: CommandBeginPermit, Number: a.number}, func(x Answer) {
+		w.propose(a.who, Command{Kind: CommandBeginPermit, Number: a.number}, func(x Result) {
 			if x.State == PermitBegun {
 				a.begun, a.may = true, sent+int64(float64(w.budgets.Window)*a.rate*(1-w.budgets.Clock))
 			} else if x.Error != "" {
@@ -478,7 +478,7 @@
 		})
 		return
 	}
-	w.propose(a.who, Command{Kind: CommandRequestPermit, Thing: a.kind, Name: a.name, Who: a.who, For: 4000}, func(x Answer) {
+	w.propose(a.who, Command{Kind: CommandRequestPermit, Thing: a.kind, Name: a.name, Who: a.who, For: 4000}, func(x Result) {
 		a.number = 0
 		if x.State == PermitGranted {
 			a.number, a.deadline = x.Number, sent+int64(float64(x.Left)*a.rate*(1-w.budgets.Clock))
@@ -528,7 +528,7 @@
 		if w.now < x.warmAt {
 			bears = x.capacity * cold
 		}
-		m := Member{Name: x.name, Zone: x.zone, Started: x.started, Capacity: x.capacity, Bears: bears, Failing: !x.up, Program: x.program, Held: map[string]Held{}}
+		m := Member{Name: x.name, Zone: x.zone, Started: x.started, Capacity: x.capacity, Bears: bears, Failing: !x.up, Program: x.program, Held: map[string]RelayFlows{}}
 		if !x.labels {
 			m.Program = "" // not all say what they run
 		}
@@ -537,9 +537,9 @@
 				continue
 			}
 			if _, moving := h.held[x.name]; moving {
-				m.Held[h.name] = Held{1, h.wordAt}
+				m.Held[h.name] = RelayFlows{1, h.wordAt}
 			} else if _, out := w.log[h.saw].out[x.name]; !out && len(w.relays) <= 40 {
-				m.Held[h.name] = Held{2, h.wordAt}
+				m.Held[h.name] = RelayFlows{2, h.wordAt}
 			}
 		}
 		if x.rename && !x.up {
@@ -730,7 +730,7 @@
 	w.given[kind+" "+name] = truth
 }
 
-func (w *world) judgeEmpty(s Saw) {
+func (w *world) judgeEmpty(s Observation) {
 	r := w.s.d.release(s.Release)
 	if r == nil || r.unit(s.Unit) == nil || r.unit(s.Unit).Phase != PhaseDrained {
 		return
--- a/internal/scenariorunner/fleet.go
+++ b/internal/scenariorunner/fleet.go
@@ -57,7 +57,7 @@
 func (r *run) call(n *relay, s scenario.Step) {
 	method, path, _ := strings.Cut(s.Call, " ")
 	for end := time.Now().Add(callFor); ; time.Sleep(ownerEvery) {
-		var a rollout.Answer
+		var a rollout.Result
 		code := ask(method, n.calls, path, s.Body, &a)
 		if code == http.StatusOK {
 			r.with(func(at time.Duration) { r.out.calls = append(r.out.calls, at) })
@@ -142,12 +142,12 @@
 	replaced := map[string]bool{}
 	for k := 0; sleep(ctx, ownerEvery); k++ {
 		n := r.relays[k%len(r.relays)]
-		var all struct{ Releases []rollout.Account }
+		var all struct{ Releases []rollout.ReleaseStatus }
 		if ask("GET", n.calls, "/-/releases?stale", nil, &all) != http.StatusOK {
 			continue
 		}
 		for _, a := range all.Releases {
-			var whole rollout.Account
+			var whole rollout.ReleaseStatus
 			if ask("GET", n.calls, "/-/releases/"+a.Name+"?stale", nil, &whole) != http.StatusOK {
 				continue
 			}
@@ -201,7 +201,7 @@
 }
 
 // release remembers how one stands, and says so if it is new.
-func (o *outs) release(at time.Duration, a rollout.Account) (news string) {
+func (o *outs) release(at time.Duration, a rollout.ReleaseStatus) (news string) {
 	if o.states == nil {
 		o.states, o.ended = map[string]string{}, map[string]time.Duration{}
 	}
