--- a/internal/fleet/calls.go
+++ b/internal/fleet/calls.go
@@ -110,7 +110,7 @@
 		if !take(w, r, &c) {
 			return
 		}
-		open := rollout.Command{Kind: rollout.CommandOpen, Name: c.Name, Who: c.Who, Release: &c.ReleaseSpec}
+		open := rollout.Command{Kind: rollout.CommandOpen, Name: c.Name, Requester: c.Who, Release: &c.ReleaseSpec}
 		if c.Canary == nil {
 			s.agree(w, r, open)
 			return
@@ -127,7 +127,7 @@
 		s.answer(w, a, err)
 	})
 	m.HandleFunc("PUT /-/releases/{name}/{verb}", func(w http.ResponseWriter, r *http.Request) {
-		c := rollout.Command{Kind: r.PathValue("verb"), Name: r.PathValue("name"), Who: r.RemoteAddr, Why: r.URL.Query().Get("why")}
+		c := rollout.Command{Kind: r.PathValue("verb"), Name: r.PathValue("name"), Requester: r.RemoteAddr, Reason: r.URL.Query().Get("why")}
 		switch c.Kind {
 		case rollout.CommandHalt, rollout.CommandResume, rollout.CommandRollBack:
 			s.agree(w, r, c)
@@ -144,12 +144,12 @@
 			For  int64  `json:"for_ms"`
 		}
 		if take(w, r, &c) {
-			s.agree(w, r, rollout.Command{Kind: rollout.CommandRequestPermit, Thing: c.Kind, Name: c.Name, Who: c.Who, Why: c.Why, For: c.For})
+			s.agree(w, r, rollout.Command{Kind: rollout.CommandRequestPermit, TargetKind: c.Kind, Name: c.Name, Requester: c.Who, Reason: c.Why, DurationMS: c.For})
 		}
 	})
 	m.HandleFunc("PUT /-/permits/{number}/{verb}", func(w http.ResponseWriter, r *http.Request) {
 		n, err := strconv.ParseUint(r.PathValue("number"), 10, 64)
-		c := rollout.Command{Number: n}
+		c := rollout.Command{PermitNumber: n}
 		switch r.PathValue("verb") {
 		case "begin":
 			c.Kind = rollout.CommandBeginPermit
@@ -163,7 +163,7 @@
 		s.agree(w, r, c)
 	})
 	m.HandleFunc("PUT /-/relays/{name}/admit", func(w http.ResponseWriter, r *http.Request) {
-		s.agree(w, r, rollout.Command{Kind: rollout.CommandReadmit, Name: r.PathValue("name"), Who: r.RemoteAddr, Why: r.URL.Query().Get("why")})
+		s.agree(w, r, rollout.Command{Kind: rollout.CommandReadmit, Name: r.PathValue("name"), Requester: r.RemoteAddr, Reason: r.URL.Query().Get("why")})
 	})
 	m.HandleFunc("GET /-/canaries", func(w http.ResponseWriter, r *http.Request) {
 		if !s.current(w, r) {
--- a/internal/fleet/helm.go
+++ b/internal/fleet/helm.go
@@ -298,15 +298,15 @@
 func (h *helm) gate(plan []rollout.Command) (out []rollout.Command) {
 	for _, c := range plan {
 		if c.Kind == rollout.CommandStep && len(h.blocked) > 0 {
-			had := len(c.Gives)
-			c.Gives = slices.DeleteFunc(slices.Clone(c.Gives), func(g rollout.Grant) bool {
+			had := len(c.Grants)
+			c.Grants = slices.DeleteFunc(slices.Clone(c.Grants), func(g rollout.Grant) bool {
 				why, ok := h.blocked[g.Release]
 				if !ok {
 					why = h.blocked[""]
 				}
 				return why != "" && g.Permit == 0 && !h.backing(g.Release)
 			})
-			if had > 0 && len(c.Gives) == 0 {
+			if had > 0 && len(c.Grants) == 0 {
 				continue
 			}
 		}
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -361,9 +361,9 @@
 		}},
 		{drift.Permits, drift.Late, func(m *model, r *mrelay) {
 			r.frozen[drift.Permits] = true
-			m.call(rollout.Command{Kind: rollout.CommandRequestPermit, Thing: rollout.KindMember, Name: "m1", Who: "ann", For: 600_000})
+			m.call(rollout.Command{Kind: rollout.CommandRequestPermit, TargetKind: rollout.KindMember, Name: "m1", Requester: "ann", DurationMS: 600_000})
 			m.play(1000, nil)
-			m.call(rollout.Command{Kind: rollout.CommandBeginPermit, Number: m.lead.record.rollout.Permits()[0].Number})
+			m.call(rollout.Command{Kind: rollout.CommandBeginPermit, PermitNumber: m.lead.record.rollout.Permits()[0].Number})
 		}},
 		{drift.Voters, drift.Late, func(m *model, r *mrelay) { r.frozen[drift.Voters] = true }},
 	} {
@@ -474,7 +474,7 @@
 	m.release("drain", rollout.ReleaseSpec{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}})
 	m.play(5000, nil)
 	m.release("mend", rollout.ReleaseSpec{Kind: rollout.KindRelay, All: true})
-	// Who is told to leave does not count any more.
+	// Requester is told to leave does not count any more.
 	out := func() bool { return len(m.lead.record.rollout.Orders("").Out) > 0 }
 	early := false
 	ended := m.play(300_000, func() bool {
--- a/internal/fleet/open_test.go
+++ b/internal/fleet/open_test.go
@@ -27,7 +27,7 @@
 		w := wish
 		o := opening{Canary: spec}
 		c.edit(&o, &w)
-		o.Release = rollout.Command{Kind: rollout.CommandOpen, Name: "b", Who: "anna", Release: &w}.Encode()
+		o.Release = rollout.Command{Kind: rollout.CommandOpen, Name: "b", Requester: "anna", Release: &w}.Encode()
 		body, _ := json.Marshal(o)
 		text, _ := json.Marshal(command{Part: partBoth, At: 5000, By: "n1", Body: body})
 		answer := r.Apply(1, text)
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -83,7 +83,7 @@
 	fails   map[string]int
 }
 
-// Start begins. What the engine cannot do with its directory is no error: it says so in its status.
+// SeenStart begins. What the engine cannot do with its directory is no error: it says so in its status.
 func Start(o Options) (*Service, error) {
 	s := &Service{Options: o, record: NewRecord(), quit: make(chan struct{}), ledger: newLedger(&o), fails: map[string]int{}}
 	s.helm = newHelm(s.record)
@@ -422,7 +422,7 @@
 	go func() {
 		c := rollout.Command{Kind: rollout.CommandReinstate, Names: []string{member}}
 		if out {
-			c.Kind, c.Why = rollout.CommandEject, "an operator's call"
+			c.Kind, c.Reason = rollout.CommandEject, "an operator's call"
 		}
 		a, err := s.propose(context.Background(), c)
 		if err == nil && a.Error != "" {
--- a/internal/fleet/trial.go
+++ b/internal/fleet/trial.go
@@ -68,16 +68,16 @@
 		switch {
 		case !ok || r.Backing:
 		case c.Status == canary.Back && (r.State == rollout.ReleaseHalted || r.State == rollout.ReleaseRunning):
-			out = append(out, rollout.Command{Kind: rollout.CommandRollBack, Name: r.Name, Who: "canary", Why: c.Why})
+			out = append(out, rollout.Command{Kind: rollout.CommandRollBack, Name: r.Name, Requester: "canary", Reason: c.Why})
 		case c.Status != canary.Done && slices.ContainsFunc(r.Units, func(u rollout.Unit) bool { return u.Phase != rollout.PhasePending }):
 			hold[c.Release] = true
 		}
 	}
 	for _, c := range plan {
 		if c.Kind == rollout.CommandStep {
-			had := len(c.Gives)
-			c.Gives = slices.DeleteFunc(slices.Clone(c.Gives), func(g rollout.Grant) bool { return hold[g.Release] })
-			if had > 0 && len(c.Gives) == 0 {
+			had := len(c.Grants)
+			c.Grants = slices.DeleteFunc(slices.Clone(c.Grants), func(g rollout.Grant) bool { return hold[g.Release] })
+			if had > 0 && len(c.Grants) == 0 {
 				continue
 			}
 		}
--- a/internal/rollout/api.go
+++ b/internal/rollout/api.go
@@ -49,26 +49,26 @@
 
 // Command is the body of a command, one struct for all kinds.
 type Command struct {
-	Kind    string          `json:"kind"`
-	Thing   string          `json:"thing,omitempty"` // ask: relay or member
-	Name    string          `json:"name,omitempty"`
-	Names   []string        `json:"names,omitempty"`
-	Why     string          `json:"why,omitempty"`
-	Who     string          `json:"who,omitempty"` // ask: whose permit; repeated asking by the same gets the same. open, halt: the operator
-	For     int64           `json:"for,omitempty"` // ask: how long it will be out, ms
-	Number  uint64          `json:"number,omitempty"`
-	Numbers []uint64        `json:"numbers,omitempty"`
-	Release *ReleaseSpec    `json:"release,omitempty"`
-	Cause   string          `json:"cause,omitempty"` // halt by itself: one of the causes; resume by itself: the cause that is gone
-	Base    uint64          `json:"base,omitempty"`  // the version that it was reckoned from
-	Sight   *ViewSummary    `json:"sight,omitempty"`
-	Units   []Unit          `json:"units,omitempty"`
-	Gives   []Grant         `json:"gives,omitempty"`
-	Saw     []Observation   `json:"saw,omitempty"`
-	Before  []ServiceWindow `json:"before,omitempty"` // lay: the fleet's service before the release
-	Zone    string          `json:"zone,omitempty"`   // shut: of the relay
-	Bears   float64         `json:"bears,omitempty"`  // shut: what goes with it
-	Start   uint64          `json:"start,omitempty"`  // shut: the start number that was seen to drift
+	Kind          string          `json:"kind"`
+	TargetKind    string          `json:"thing,omitempty"` // ask: relay or member
+	Name          string          `json:"name,omitempty"`
+	Names         []string        `json:"names,omitempty"`
+	Reason        string          `json:"why,omitempty"`
+	Requester     string          `json:"who,omitempty"` // ask: whose permit; repeated asking by the same gets the same. open, halt: the operator
+	DurationMS    int64           `json:"for,omitempty"` // ask: how long it will be out, ms
+	PermitNumber  uint64          `json:"number,omitempty"`
+	PermitNumbers []uint64        `json:"numbers,omitempty"`
+	Release       *ReleaseSpec    `json:"release,omitempty"`
+	Cause         string          `json:"cause,omitempty"` // halt by itself: one of the causes; resume by itself: the cause that is gone
+	BaseVersion   uint64          `json:"base,omitempty"`  // the version that it was reckoned from
+	Basis         *ViewSummary    `json:"sight,omitempty"`
+	Units         []Unit          `json:"units,omitempty"`
+	Grants        []Grant         `json:"gives,omitempty"`
+	Observations  []Observation   `json:"saw,omitempty"`
+	Baseline      []ServiceWindow `json:"before,omitempty"` // lay: the fleet's service before the release
+	Zone          string          `json:"zone,omitempty"`   // shut: of the relay
+	Capacity      float64         `json:"bears,omitempty"`  // shut: what goes with it
+	StartNumber   uint64          `json:"start,omitempty"`  // shut: the start number that was seen to drift
 }
 
 // Encode is the command as the record's body.
@@ -130,27 +130,27 @@
 
 // Grant is one thing that a step gives out: a unit, or a permit.
 type Grant struct {
-	Release  string  `json:"release,omitempty"`
-	Unit     string  `json:"unit,omitempty"` // its first name
-	Permit   uint64  `json:"permit,omitempty"`
-	Zone     string  `json:"zone,omitempty"`
-	Bears    float64 `json:"bears,omitempty"` // what goes with it
-	Start    int64   `json:"start,omitempty"`
-	MoveOver int64   `json:"move_over,omitempty"`
+	Release       string  `json:"release,omitempty"`
+	Unit          string  `json:"unit,omitempty"` // its first name
+	Permit        uint64  `json:"permit,omitempty"`
+	Zone          string  `json:"zone,omitempty"`
+	Capacity      float64 `json:"bears,omitempty"` // what goes with it
+	SeenStart     int64   `json:"start,omitempty"`
+	MigrateOverMS int64   `json:"move_over,omitempty"`
 }
 
 // Observation is one thing that others saw further.
 type Observation struct {
-	Release string `json:"release,omitempty"`
-	Unit    string `json:"unit,omitempty"`
-	Permit  uint64 `json:"permit,omitempty"`
-	Shut    uint64 `json:"shut,omitempty"`  // the number of one that was admitted: done (it serves), or missing (nothing is left to say of it)
-	Order   uint64 `json:"order"`           // of the unit, so that an old sight changes nothing; 0 for a permit
-	Phase   string `json:"phase"`           // empty, coming, done (with the new thing), waiting (as before), missing
-	Now     string `json:"now,omitempty"`   // successor
-	Zone    string `json:"zone,omitempty"`  // its
-	Start   int64  `json:"start,omitempty"` // seen at empty
-	Strand  bool   `json:"strand,omitempty"`
+	Release      string `json:"release,omitempty"`
+	Unit         string `json:"unit,omitempty"`
+	Permit       uint64 `json:"permit,omitempty"`
+	Quarantine   uint64 `json:"shut,omitempty"`  // the number of one that was admitted: done (it serves), or missing (nothing is left to say of it)
+	OrderVersion uint64 `json:"order"`           // of the unit, so that an old sight changes nothing; 0 for a permit
+	Phase        string `json:"phase"`           // empty, coming, done (with the new thing), waiting (as before), missing
+	Successor    string `json:"now,omitempty"`   // successor
+	Zone         string `json:"zone,omitempty"`  // its
+	SeenStart    int64  `json:"start,omitempty"` // seen at empty
+	Stranded     bool   `json:"strand,omitempty"`
 }
 
 // Orders are what one relay is to do now.
--- a/internal/rollout/apply.go
+++ b/internal/rollout/apply.go
@@ -44,7 +44,7 @@
 
 // apply checks all before it changes anything.
 func (d *data) apply(at int64, by string, c *Command) Result {
-	c.Why, c.Who = cut(c.Why, MaxReasonBytes), cmp.Or(cut(c.Who, MaxNameBytes), by)
+	c.Reason, c.Requester = cut(c.Reason, MaxReasonBytes), cmp.Or(cut(c.Requester, MaxNameBytes), by)
 	if len(c.Name) > MaxNameBytes {
 		return refuse("a name of over %d bytes", MaxNameBytes)
 	}
@@ -114,7 +114,7 @@
 		}
 		d.Releases = slices.Delete(d.Releases, drop, drop+1)
 	}
-	d.Releases = append(d.Releases, release{ReleaseStatus: ReleaseStatus{Name: c.Name, State: ReleaseQueued, Wish: *w, By: c.Who, Opened: at, Behind: behind}, Moved: at})
+	d.Releases = append(d.Releases, release{ReleaseStatus: ReleaseStatus{Name: c.Name, State: ReleaseQueued, Wish: *w, By: c.Requester, Opened: at, Behind: behind}, Moved: at})
 	d.Version++
 	return Result{Name: c.Name, State: ReleaseQueued, Why: behind}
 }
@@ -157,15 +157,15 @@
 
 // ask notes who wants a permit; the pilot grants. The same by the same asker for the same thing is the same permit.
 func (d *data) ask(at int64, c *Command) Result {
-	if c.Thing != KindRelay && c.Thing != KindMember || c.Name == "" || c.For <= 0 || c.For > forMost {
+	if c.TargetKind != KindRelay && c.TargetKind != KindMember || c.Name == "" || c.DurationMS <= 0 || c.DurationMS > forMost {
 		return refuse("a permit is for a relay or a member, by name, for up to %d ms", forMost)
 	}
 	for i := range d.Permits {
 		p := &d.Permits[i]
-		if p.Kind != c.Thing || p.Name != c.Name {
+		if p.Kind != c.TargetKind || p.Name != c.Name {
 			continue
 		}
-		if p.Who != c.Who {
+		if p.Who != c.Requester {
 			return Result{State: PermitWaiting, Again: againAfter, Why: fmt.Sprintf("%s holds permit %d for it", p.Who, p.Number)}
 		}
 		a := Result{State: p.State, Number: p.Number}
@@ -183,7 +183,7 @@
 		return refuse("%d permits are asked for or in force", MaxPermits)
 	}
 	d.Number++
-	d.Permits = append(d.Permits, Permit{Number: d.Number, Kind: c.Thing, Name: c.Name, Who: c.Who, Why: c.Why, For: c.For, State: PermitWaiting, Asked: at})
+	d.Permits = append(d.Permits, Permit{Number: d.Number, Kind: c.TargetKind, Name: c.Name, Who: c.Requester, Why: c.Reason, For: c.DurationMS, State: PermitWaiting, Asked: at})
 	return Result{State: PermitWaiting, Number: d.Number, Again: againAfter, Why: d.waits(&d.Permits[len(d.Permits)-1])}
 }
 
@@ -206,9 +206,9 @@
 
 // begin and give: by number, so that an old one does nothing.
 func (d *data) begin(at int64, c *Command) Result {
-	p := d.permit(c.Number)
+	p := d.permit(c.PermitNumber)
 	if p == nil {
-		return refuse("there is no permit %d, or no more", c.Number)
+		return refuse("there is no permit %d, or no more", c.PermitNumber)
 	}
 	switch {
 	case c.Kind == CommandReturnPermit && p.State == PermitBegun && p.Given > 0:
@@ -216,13 +216,13 @@
 	case c.Kind == CommandReturnPermit && p.State == PermitBegun:
 		p.Given = at
 	case c.Kind == CommandReturnPermit:
-		d.Permits = slices.DeleteFunc(d.Permits, func(p Permit) bool { return p.Number == c.Number })
+		d.Permits = slices.DeleteFunc(d.Permits, func(p Permit) bool { return p.Number == c.PermitNumber })
 		d.Version++
-		return Result{Number: c.Number, State: "given"}
+		return Result{Number: c.PermitNumber, State: "given"}
 	case p.State == PermitWaiting:
-		return refuse("permit %d is not granted", c.Number)
+		return refuse("permit %d is not granted", c.PermitNumber)
 	case p.State == PermitGranted && at > p.Until:
-		return refuse("permit %d was not begun in time", c.Number)
+		return refuse("permit %d was not begun in time", c.PermitNumber)
 	case p.State == PermitGranted:
 		p.State, p.At, p.Until = PermitBegun, at, at+stretch(p.Window, p.Clock)
 	}
@@ -240,8 +240,8 @@
 	switch {
 	case r == nil:
 		return refuse("there is no release %q", c.Name)
-	case itself && c.Base != d.Version:
-		return refuse("it was reckoned from version %d, this is %d", c.Base, d.Version)
+	case itself && c.BaseVersion != d.Version:
+		return refuse("it was reckoned from version %d, this is %d", c.BaseVersion, d.Version)
 	case c.Kind != CommandRollBack && r.ended():
 		return refuse("release %q has ended", c.Name)
 	case c.Kind == CommandRollBack && r.ended() && !r.Wish.Drain && r.Wish.Kind != KindEject && d.inTheWay(r) != "":
@@ -256,7 +256,7 @@
 		if itself && !again && len(r.Causes) < 8 {
 			r.Causes = append(r.Causes, cut(c.Cause, MaxNameBytes))
 		}
-		r.Halt = &HaltInfo{Cause: cut(cmp.Or(c.Cause, HaltByOperator), MaxNameBytes), Why: c.Why, By: c.Who, At: at}
+		r.Halt = &HaltInfo{Cause: cut(cmp.Or(c.Cause, HaltByOperator), MaxNameBytes), Why: c.Reason, By: c.Requester, At: at}
 		r.Halt.Stays = !itself || c.Cause == HaltVerdict || again && (c.Cause == HaltServiceDegraded || c.Cause == HaltOverdue)
 		r.State = ReleaseHalted
 		d.Version++
@@ -346,7 +346,7 @@
 	}
 	changed := false
 	for _, n := range c.Names {
-		changed = d.setBan(at, n, c.Why, c.Who, c.Kind == CommandEject) || changed
+		changed = d.setBan(at, n, c.Reason, c.Requester, c.Kind == CommandEject) || changed
 		for i := range d.Releases {
 			r := &d.Releases[i]
 			for j := range r.Units {
@@ -392,7 +392,7 @@
 	for i := range d.Releases {
 		total += len(d.Releases[i].Units)
 	}
-	if total > MaxUnits || len(c.Before) > countsMost {
+	if total > MaxUnits || len(c.Baseline) > countsMost {
 		return refuse("over %d things in all, or %d windows", MaxUnits, countsMost)
 	}
 	names := map[string]bool{}
@@ -403,7 +403,7 @@
 		}
 		names[u.Name] = true
 	}
-	for _, w := range c.Before {
+	for _, w := range c.Baseline {
 		if !(w.Asked >= 0 && w.Served >= 0 && w.Served <= w.Asked && w.Asked <= countMost) {
 			return refuse("a window that served more than was asked")
 		}
@@ -417,7 +417,7 @@
 		r.Units = append(r.Units, Unit{Name: u.Name, Zone: u.Zone, Kind: u.Kind, Size: u.Size, Program: u.Program, Config: u.Config,
 			Banned: banned, Phase: phase})
 	}
-	r.Asked, r.Served, r.Spread = before(c.Before)
+	r.Asked, r.Served, r.Spread = before(c.Baseline)
 	r.Laid, r.Since, r.Moved, r.State = true, at, at, ReleaseRunning
 	d.Version++
 	return Result{Name: r.Name, State: r.State}
@@ -425,10 +425,10 @@
 
 // stale says why what a command was reckoned from does not hold any more.
 func (d *data) stale(at int64, c *Command) string {
-	v, b := c.Sight, c.Sight.Budgets
+	v, b := c.Basis, c.Basis.Budgets
 	switch {
-	case c.Base != d.Version && planted != "no fencing":
-		return fmt.Sprintf("it was reckoned from version %d, this is %d", c.Base, d.Version)
+	case c.BaseVersion != d.Version && planted != "no fencing":
+		return fmt.Sprintf("it was reckoned from version %d, this is %d", c.BaseVersion, d.Version)
 	case at-v.At > b.Fresh:
 		return fmt.Sprintf("what it was reckoned from is %d ms old", at-v.At)
 	case b.Window <= 0 || b.Window > forMost || !(b.Clock >= 0 && b.Clock < 1):
@@ -439,15 +439,15 @@
 
 // step gives things out: all of it, or nothing.
 func (d *data) step(at int64, c *Command) Result {
-	if c.Sight == nil || len(c.Gives) == 0 || len(c.Gives) > MaxGrantsPerStep {
+	if c.Basis == nil || len(c.Grants) == 0 || len(c.Grants) > MaxGrantsPerStep {
 		return refuse("a step names one to %d things, and what it was reckoned from", MaxGrantsPerStep)
 	}
 	if why := d.stale(at, c); why != "" {
 		return refuse("%s", why)
 	}
-	v, b := c.Sight, c.Sight.Budgets
+	v, b := c.Basis, c.Basis.Budgets
 	rooms := map[string]*room{KindRelay: d.room(KindRelay, v.Relays, b), KindMember: d.room(KindMember, v.Members, b)}
-	for _, g := range c.Gives {
+	for _, g := range c.Grants {
 		if len(g.Zone) > MaxNameBytes {
 			return refuse("a zone of over %d bytes", MaxNameBytes)
 		}
@@ -475,15 +475,15 @@
 				continue // gives back
 			}
 		}
-		if why := rooms[side(kind)].take(name, zone, g.Bears); why != "" {
+		if why := rooms[side(kind)].take(name, zone, g.Capacity); why != "" {
 			return refuse("%s", why)
 		}
-		if kind == KindEject && len(d.Bans)+len(c.Gives) > MaxEjections {
+		if kind == KindEject && len(d.Bans)+len(c.Grants) > MaxEjections {
 			return refuse("over %d bans", MaxEjections)
 		}
 	}
 	d.Version++
-	for _, g := range c.Gives {
+	for _, g := range c.Grants {
 		if p := d.permit(g.Permit); p != nil {
 			p.State, p.At, p.Window, p.Until, p.Clock, p.Zone = PermitGranted, at, b.Window,
 				at+stretch(b.Window, b.Clock), b.Clock, g.Zone
@@ -493,7 +493,7 @@
 		u := r.unit(g.Unit)
 		d.Number++
 		u.Undo = u.Got
-		u.Phase, u.Number, u.Order, u.At, u.Start, u.MoveOver = PhaseLeaving, d.Number, d.Version, at, g.Start, g.MoveOver
+		u.Phase, u.Number, u.Order, u.At, u.Start, u.MoveOver = PhaseLeaving, d.Number, d.Version, at, g.SeenStart, g.MigrateOverMS
 		if ban := u.bans(); ban != 0 {
 			d.setBan(at, u.Name, "release "+r.Name, r.By, ban > 0)
 		}
@@ -526,15 +526,15 @@
 
 // seen takes over what others saw. What does not fit the state any more is left aside.
 func (d *data) seen(at int64, c *Command) Result {
-	if len(c.Saw) > MaxUnits+MaxPermits {
+	if len(c.Observations) > MaxUnits+MaxPermits {
 		return refuse("over %d sights", MaxUnits+MaxPermits)
 	}
 	changed := false
-	for _, s := range c.Saw {
-		if max(len(s.Now), len(s.Zone)) > MaxNameBytes {
+	for _, s := range c.Observations {
+		if max(len(s.Successor), len(s.Zone)) > MaxNameBytes {
 			continue
 		}
-		if s.Shut != 0 {
+		if s.Quarantine != 0 {
 			changed = d.opened(s) || changed
 			continue
 		}
@@ -550,7 +550,7 @@
 			continue
 		}
 		u := r.unit(s.Unit)
-		if u == nil || u.Order != s.Order || !d.move(at, r, u, s) {
+		if u == nil || u.Order != s.OrderVersion || !d.move(at, r, u, s) {
 			continue
 		}
 		r.Moved, changed = at, true
@@ -566,7 +566,7 @@
 func (d *data) move(at int64, r *release, u *Unit, s Observation) bool {
 	next := d.Version + 1
 	switch {
-	case s.Strand:
+	case s.Stranded:
 		if !r.Backing || u.Stranded || !u.isOut() && !(u.Phase == PhaseDone && r.undoable(u)) {
 			return false
 		}
@@ -577,9 +577,9 @@
 	case s.Phase == PhaseMissing && (u.Phase == PhasePending || u.Stranded && u.isOut() && r.ended()):
 		u.Phase = PhaseMissing
 	case s.Phase == PhaseDrained && u.Kind == KindMember && (u.Phase == PhaseLeaving || u.Phase == PhaseDone && r.Wish.Drain):
-		u.Phase, u.Start = PhaseDrained, s.Start
-	case s.Phase == PhaseReplaced && u.Kind == KindMember && (u.Phase == PhaseDrained || u.Phase == PhaseRevoked || u.Phase == PhaseReplaced && u.name() != cmp.Or(s.Now, u.Name)) && !r.Wish.Drain:
-		u.Phase, u.Order, u.Now, u.Zone = PhaseReplaced, next, s.Now, s.Zone
+		u.Phase, u.Start = PhaseDrained, s.SeenStart
+	case s.Phase == PhaseReplaced && u.Kind == KindMember && (u.Phase == PhaseDrained || u.Phase == PhaseRevoked || u.Phase == PhaseReplaced && u.name() != cmp.Or(s.Successor, u.Name)) && !r.Wish.Drain:
+		u.Phase, u.Order, u.Now, u.Zone = PhaseReplaced, next, s.Successor, s.Zone
 		if u.Now == u.Name {
 			u.Now = ""
 		}
@@ -623,7 +623,7 @@
 // void forgets permits whose time is over, and askers who are gone.
 func (d *data) void(at int64, c *Command) Result {
 	n := len(d.Permits)
-	d.Permits = slices.DeleteFunc(d.Permits, func(p Permit) bool { return slices.Contains(c.Numbers, p.Number) && p.void(at) })
+	d.Permits = slices.DeleteFunc(d.Permits, func(p Permit) bool { return slices.Contains(c.PermitNumbers, p.Number) && p.void(at) })
 	if len(d.Permits) == n {
 		return refuse("none of these is void")
 	}
@@ -637,7 +637,7 @@
 
 // shut takes a relay that drifted out of the service, within the budget: drift at half of the fleet must not empty it.
 func (d *data) shut(at int64, c *Command) Result {
-	if c.Sight == nil || c.Name == "" || len(c.Zone) > MaxNameBytes {
+	if c.Basis == nil || c.Name == "" || len(c.Zone) > MaxNameBytes {
 		return refuse("who is shut has a name and a zone, and what it was reckoned from")
 	}
 	if why := d.stale(at, c); why != "" {
@@ -652,13 +652,13 @@
 	case s == nil && len(d.Shuts) >= MaxQuarantines:
 		return refuse("%d relays are shut", MaxQuarantines)
 	}
-	if why := d.room(KindRelay, c.Sight.Relays, c.Sight.Budgets).shut(c.Name, c.Zone, c.Bears); why != "" {
+	if why := d.room(KindRelay, c.Basis.Relays, c.Basis.Budgets).shut(c.Name, c.Zone, c.Capacity); why != "" {
 		return refuse("%s", why)
 	}
 	d.Version++
 	d.Number++
 	d.Shuts = slices.DeleteFunc(d.Shuts, func(x Quarantine) bool { return x.Name == c.Name })
-	d.Shuts = append(d.Shuts, Quarantine{Name: c.Name, Zone: c.Zone, Why: c.Why, Since: at, Start: c.Start, Number: d.Number})
+	d.Shuts = append(d.Shuts, Quarantine{Name: c.Name, Zone: c.Zone, Why: c.Reason, Since: at, Start: c.StartNumber, Number: d.Number})
 	return Result{Name: c.Name, State: CommandQuarantine, Number: d.Number}
 }
 
@@ -668,8 +668,8 @@
 	switch {
 	case s == nil || s.Opened != 0 && (itself || s.Let):
 		return refuse("%q is not shut", c.Name)
-	case itself && c.Base != d.Version:
-		return refuse("it was reckoned from version %d, this is %d", c.Base, d.Version)
+	case itself && c.BaseVersion != d.Version:
+		return refuse("it was reckoned from version %d, this is %d", c.BaseVersion, d.Version)
 	}
 	d.Version++
 	s.Opened, s.Let = cmp.Or(s.Opened, d.Version), !itself
@@ -678,7 +678,7 @@
 
 // opened takes over that one that was admitted serves, or is nothing to be spoken of any more.
 func (d *data) opened(saw Observation) bool {
-	i := slices.IndexFunc(d.Shuts, func(x Quarantine) bool { return x.Number == saw.Shut && x.Opened != 0 })
+	i := slices.IndexFunc(d.Shuts, func(x Quarantine) bool { return x.Number == saw.Quarantine && x.Opened != 0 })
 	switch {
 	case i < 0:
 		return false
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -36,7 +36,7 @@
 		}
 	}
 	if len(saw) > 0 {
-		add(Command{Kind: CommandObserve, Saw: saw})
+		add(Command{Kind: CommandObserve, Observations: saw})
 		gone := p.gone
 		p = next.d.planner(now, v, b)
 		p.gone = gone
@@ -47,12 +47,12 @@
 		add(*c)
 	}
 	if numbers := p.void(); len(numbers) > 0 {
-		add(Command{Kind: CommandExpirePermits, Numbers: numbers})
+		add(Command{Kind: CommandExpirePermits, PermitNumbers: numbers})
 	}
 	if len(s.d.Shuts)+len(v.Unfit) > 0 {
 		p = next.d.planner(now, v, b)
 		for _, c := range append(p.admits(), p.shuts()...) {
-			c.Base = next.Version()
+			c.BaseVersion = next.Version()
 			add(c)
 		}
 	}
@@ -116,11 +116,11 @@
 			u := &r.Units[j]
 			s, ok := p.look(r, u)
 			if !ok && r.State == ReleaseRollingBack && p.late(r, u) && !u.Stranded {
-				s, ok = Observation{Strand: true}, true
+				s, ok = Observation{Stranded: true}, true
 			}
 			if ok {
-				s.Release, s.Unit, s.Order = r.Name, u.Name, u.Order
-				if m := p.members[s.Now]; m != nil && s.Phase == PhaseReplaced {
+				s.Release, s.Unit, s.OrderVersion = r.Name, u.Name, u.Order
+				if m := p.members[s.Successor]; m != nil && s.Phase == PhaseReplaced {
 					s.Zone = m.Zone
 				}
 				list = append(list, s)
@@ -139,9 +139,9 @@
 		switch _, unfit := p.v.Unfit[x.Name]; {
 		case x.Opened == 0:
 		case r == nil || x.Back && r.live(p.b) && (!unfit || r.Start > x.Start):
-			list = append(list, Observation{Shut: x.Number, Phase: PhaseMissing})
+			list = append(list, Observation{Quarantine: x.Number, Phase: PhaseMissing})
 		case !x.Back && r.sound(p.b) && r.Applied >= x.Opened: // before that it may yet heed the order that was taken back
-			list = append(list, Observation{Shut: x.Number, Phase: PhaseDone})
+			list = append(list, Observation{Quarantine: x.Number, Phase: PhaseDone})
 		}
 	}
 	return list
@@ -164,7 +164,7 @@
 		return Observation{Phase: PhaseMissing}, true // nobody knows of it any more
 	}
 	if u.Phase == PhaseDone && r.Wish.Drain && u.Kind == KindMember {
-		return Observation{Phase: PhaseDrained, Start: u.Start}, p.there(u) != nil
+		return Observation{Phase: PhaseDrained, SeenStart: u.Start}, p.there(u) != nil
 	}
 	switch {
 	case !u.isOut():
@@ -208,15 +208,15 @@
 func (p *planner) lookMember(r *release, u *Unit) (Observation, bool) {
 	m := p.members[u.name()]
 	program, _ := r.wants(u, u.Undo)
-	// Who does not say what it runs fits. On the way back an owner may put back at once what was there before.
+	// Requester does not say what it runs fits. On the way back an owner may put back at once what was there before.
 	fits := func(m *Member) bool {
 		return program == "" || m.Program == "" || m.Program == program || r.Backing && m.Program == u.Program
 	}
 	switch {
 	case u.Phase == PhaseLeaving:
-		s := Observation{Phase: PhaseDrained, Start: u.Start}
+		s := Observation{Phase: PhaseDrained, SeenStart: u.Start}
 		if m != nil {
-			s.Start = m.Started
+			s.SeenStart = m.Started
 		}
 		return s, p.empty(u, m)
 	case r.Wish.Drain && u.Phase != PhaseRevoked:
@@ -225,9 +225,9 @@
 		return Observation{}, false
 	case m == nil:
 		name := p.newcomer(u, fits)
-		return Observation{Phase: PhaseReplaced, Now: name}, name != ""
+		return Observation{Phase: PhaseReplaced, Successor: name}, name != ""
 	case u.Phase == PhaseDrained: // one that fell over and came back as it was is still to be replaced
-		return Observation{Phase: PhaseReplaced, Now: m.Name}, m.Started > u.Start && fits(m)
+		return Observation{Phase: PhaseReplaced, Successor: m.Name}, m.Started > u.Start && fits(m)
 	case !p.full(m) || u.Phase == PhaseRevoked && !p.heeded(u.Order):
 		return Observation{}, false
 	case u.Phase == PhaseRevoked && !(program != "" && program == m.Program):
@@ -403,9 +403,9 @@
 			continue
 		}
 		seen[n] = true
-		c := Command{Kind: CommandQuarantine, Name: n, Why: cut(why, MaxReasonBytes), Zone: r.Zone, Bears: p.bears(&Unit{Name: n, Kind: KindRelay}), Start: r.Start,
-			Sight: p.sight()}
-		if p.rooms[KindRelay].shut(n, r.Zone, c.Bears) == "" {
+		c := Command{Kind: CommandQuarantine, Name: n, Reason: cut(why, MaxReasonBytes), Zone: r.Zone, Capacity: p.bears(&Unit{Name: n, Kind: KindRelay}), StartNumber: r.Start,
+			Basis: p.sight()}
+		if p.rooms[KindRelay].shut(n, r.Zone, c.Capacity) == "" {
 			list = append(list, c)
 		}
 	}
@@ -429,7 +429,7 @@
 		}
 		cause, why := p.cause(r, verdict, stalled)
 		if cause != "" {
-			return &Command{Kind: CommandHalt, Name: r.Name, Cause: cause, Why: cut(why, MaxReasonBytes), Base: p.d.Version}
+			return &Command{Kind: CommandHalt, Name: r.Name, Cause: cause, Reason: cut(why, MaxReasonBytes), BaseVersion: p.d.Version}
 		}
 	}
 	return nil
@@ -494,7 +494,7 @@
 			gone = p.could(r)
 		}
 		if gone {
-			return &Command{Kind: CommandResume, Name: r.Name, Cause: r.Halt.Cause, Base: p.d.Version}
+			return &Command{Kind: CommandResume, Name: r.Name, Cause: r.Halt.Cause, BaseVersion: p.d.Version}
 		}
 	}
 	return nil
@@ -535,7 +535,7 @@
 		for _, n := range slices.Sorted(slices.Values(w.Ban)) {
 			units = append(units, p.place(Unit{Name: n, Kind: KindEject}))
 		}
-		return &Command{Kind: CommandSetUnits, Name: r.Name, Units: units, Before: p.before()}
+		return &Command{Kind: CommandSetUnits, Name: r.Name, Units: units, Baseline: p.before()}
 	case KindRelay:
 		for _, x := range p.v.Relays {
 			if w.of(x.Name, x.Zone) {
@@ -564,7 +564,7 @@
 			units = append(units, Unit{Name: n, Kind: w.Kind, Phase: PhaseMissing})
 		}
 	}
-	return &Command{Kind: CommandSetUnits, Name: r.Name, Units: units, Before: p.before()}
+	return &Command{Kind: CommandSetUnits, Name: r.Name, Units: units, Baseline: p.before()}
 }
 
 // unknown says that a relay of the release has not yet said what it runs: it could not be given back. One that is silent for good is not waited for.
@@ -642,7 +642,7 @@
 // step is what goes out now: permits first, whose askers wait outside, then releases as they were opened; releases first once one has waited
 // for half of its bound, else askers who never rest would hold it up. It also says of which release nothing is out and nothing may go.
 func (p *planner) step() (*Command, map[string]string) {
-	c := Command{Kind: CommandStep, Base: p.d.Version, Sight: p.sight()}
+	c := Command{Kind: CommandStep, BaseVersion: p.d.Version, Basis: p.sight()}
 	stalled := map[string]string{}
 	if len(p.v.Relays) == 0 || p.now-p.v.At > p.b.Fresh {
 		return nil, stalled
@@ -660,9 +660,9 @@
 		if r.State != ReleaseRollingBack && (r.State != ReleaseRunning || p.v.Drift != "") {
 			continue
 		}
-		n, why := len(c.Gives), p.v.Drift
+		n, why := len(c.Grants), p.v.Drift
 		for _, u := range p.candidates(r) {
-			if len(c.Gives) >= MaxGrantsPerStep {
+			if len(c.Grants) >= MaxGrantsPerStep {
 				break
 			}
 			g := p.gift(u)
@@ -672,29 +672,29 @@
 					why = u.name() + " is not there"
 					continue
 				}
-				if no := p.take(u, u.Zone, g.Bears); no != "" {
+				if no := p.take(u, u.Zone, g.Capacity); no != "" {
 					why = no
 					continue
 				}
 			}
 			if u.Kind == KindMember {
 				moving += p.members[u.name()].flows()
-				g.MoveOver = p.pace(moving)
+				g.MigrateOverMS = p.pace(moving)
 			}
-			c.Gives = append(c.Gives, g)
+			c.Grants = append(c.Grants, g)
 			if r.Wish.Lone && !p.proved(r) {
 				break
 			}
 		}
 		out := slices.ContainsFunc(r.Units, func(u Unit) bool { return u.isOut() && !u.Stranded })
-		if len(c.Gives) == n && !out && why != "" {
+		if len(c.Grants) == n && !out && why != "" {
 			stalled[r.Name] = why
 		}
 	}
 	if starved {
 		p.permits(&c)
 	}
-	if len(c.Gives) == 0 {
+	if len(c.Grants) == 0 {
 		return nil, stalled
 	}
 	return &c, stalled
@@ -705,13 +705,13 @@
 	for i := range p.d.Permits {
 		x := &p.d.Permits[i]
 		u := Unit{Name: x.Name, Kind: x.Kind}
-		if x.State != PermitWaiting || p.now-x.Asked > staleAfter || p.there(&u) == nil || len(c.Gives) >= MaxGrantsPerStep {
+		if x.State != PermitWaiting || p.now-x.Asked > staleAfter || p.there(&u) == nil || len(c.Grants) >= MaxGrantsPerStep {
 			continue
 		}
 		g := p.gift(&u)
-		if p.take(&u, g.Zone, g.Bears) == "" {
+		if p.take(&u, g.Zone, g.Capacity) == "" {
 			g.Permit = x.Number
-			c.Gives = append(c.Gives, g)
+			c.Grants = append(c.Grants, g)
 		}
 	}
 }
@@ -722,13 +722,13 @@
 
 // gift is what goes with a thing, as it is seen now.
 func (p *planner) gift(u *Unit) Grant {
-	g := Grant{Bears: p.bears(u)}
+	g := Grant{Capacity: p.bears(u)}
 	if u.Kind == KindRelay {
 		if x := p.relays[u.Name]; x != nil {
-			g.Zone, g.Start = x.Zone, int64(x.Start)
+			g.Zone, g.SeenStart = x.Zone, int64(x.Start)
 		}
 	} else if m := p.members[u.name()]; m != nil {
-		g.Zone, g.Start = m.Zone, m.Started
+		g.Zone, g.SeenStart = m.Zone, m.Started
 	}
 	return g
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -113,7 +113,7 @@
 			}
 		}
 		if haltAt > 0 && w.now >= haltAt {
-			w.order(Command{Kind: CommandHalt, Name: name, Why: "by hand"})
+			w.order(Command{Kind: CommandHalt, Name: name, Reason: "by hand"})
 			haltAt = 0
 		}
 		if w.rng.IntN(300) == 0 {
@@ -294,18 +294,18 @@
 func permits(w *world, history []op) {
 	states, things := map[uint64]string{}, map[string]uint64{}
 	for _, o := range history {
-		c, a, is := o.c, o.a, states[o.c.Number]
+		c, a, is := o.c, o.a, states[o.c.PermitNumber]
 		if a.Error != "" {
 			continue
 		}
 		ok := true
 		switch c.Kind {
 		case CommandRequestPermit:
-			number := things[c.Thing+" "+c.Name]
+			number := things[c.TargetKind+" "+c.Name]
 			switch is := states[number]; is {
 			case "":
 				ok = a.State == PermitWaiting && a.Number > number
-				things[c.Thing+" "+c.Name], states[a.Number] = a.Number, PermitWaiting
+				things[c.TargetKind+" "+c.Name], states[a.Number] = a.Number, PermitWaiting
 			default:
 				ok = a.Number == number && (a.State == is || a.State == PermitWaiting && is == PermitGranted && a.Left == 0)
 			}
@@ -314,26 +314,26 @@
 			}
 		case CommandBeginPermit:
 			ok = is == PermitGranted || is == PermitBegun
-			states[c.Number] = PermitBegun
+			states[c.PermitNumber] = PermitBegun
 		case CommandReturnPermit:
 			if ok = is != ""; is != PermitBegun {
-				delete(states, c.Number)
+				delete(states, c.PermitNumber)
 			}
 		case CommandStep:
-			for _, g := range c.Gives {
+			for _, g := range c.Grants {
 				if g.Permit != 0 {
 					ok = ok && states[g.Permit] == PermitWaiting
 					states[g.Permit] = PermitGranted
 				}
 			}
 		case CommandObserve:
-			for _, x := range c.Saw {
+			for _, x := range c.Observations {
 				if states[x.Permit] == PermitBegun {
 					delete(states, x.Permit)
 				}
 			}
 		case CommandExpirePermits:
-			for _, number := range c.Numbers {
+			for _, number := range c.PermitNumbers {
 				ok = ok && states[number] != PermitBegun
 				delete(states, number)
 			}
@@ -389,7 +389,7 @@
 	var history []op
 	w := young(2, &history)
 	pool := []Command{{Kind: CommandHalt, Name: "relays"}, {Kind: CommandResume, Name: "relays"}, {Kind: CommandRollBack, Name: "relays"}, {Kind: CommandReturnPermit}, {Kind: CommandBeginPermit},
-		{Kind: CommandOpen, Name: "bans", Release: &ReleaseSpec{Kind: KindEject, Ban: []string{"m1"}}}, {Kind: CommandReadmit, Name: "n2"}, {Kind: CommandReinstate, Names: []string{"m3"}}, {Kind: CommandExpirePermits, Numbers: []uint64{1, 2, 3, 4, 5, 6, 7, 8}}}
+		{Kind: CommandOpen, Name: "bans", Release: &ReleaseSpec{Kind: KindEject, Ban: []string{"m1"}}}, {Kind: CommandReadmit, Name: "n2"}, {Kind: CommandReinstate, Names: []string{"m3"}}, {Kind: CommandExpirePermits, PermitNumbers: []uint64{1, 2, 3, 4, 5, 6, 7, 8}}}
 	for _, o := range history {
 		pool = append(pool, o.c)
 	}
@@ -402,20 +402,20 @@
 		}
 		for range 40 {
 			c, other := one(), one()
-			c.Number = uint64(rng.IntN(8))
-			if c.Sight != nil {
-				seen := *c.Sight
-				seen.At, c.Base, c.Sight = s.d.At, s.Version(), &seen
+			c.PermitNumber = uint64(rng.IntN(8))
+			if c.Basis != nil {
+				seen := *c.Basis
+				seen.At, c.BaseVersion, c.Basis = s.d.At, s.Version(), &seen
 			}
 			switch rng.IntN(5) {
 			case 0:
-				c.Name, c.Names, c.Start = other.Name, other.Names, other.Start
+				c.Name, c.Names, c.StartNumber = other.Name, other.Names, other.StartNumber
 			case 1:
-				c.Saw = other.Saw
+				c.Observations = other.Observations
 			case 2:
-				c.Kind, c.Thing, c.Cause = other.Kind, other.Thing, other.Cause
+				c.Kind, c.TargetKind, c.Cause = other.Kind, other.TargetKind, other.Cause
 			case 3:
-				c.Gives, c.Units, c.Sight = other.Gives, other.Units, other.Sight
+				c.Grants, c.Units, c.Basis = other.Grants, other.Units, other.Basis
 			}
 			out := func(kind string) int {
 				names := map[string]bool{}
@@ -428,11 +428,11 @@
 			if s, a = try(t, s, s.d.At+int64(rng.IntN(10)/9)*40000, c.Encode()); a.Error != "" {
 				continue
 			}
-			if accepted[c.Kind]++; c.Sight == nil {
+			if accepted[c.Kind]++; c.Basis == nil {
 				continue
 			}
 			for kind, is := range map[string]bool{KindRelay: out(KindRelay) > relays, KindMember: out(KindMember) > members} {
-				if most := s.d.room(kind, map[string]KindSummary{KindRelay: c.Sight.Relays, KindMember: c.Sight.Members}[kind], c.Sight.Budgets); is && most.over() != "" {
+				if most := s.d.room(kind, map[string]KindSummary{KindRelay: c.Basis.Relays, KindMember: c.Basis.Members}[kind], c.Basis.Budgets); is && most.over() != "" {
 					t.Fatalf("%s: %s", c.Encode(), most.over())
 				}
 			}
@@ -455,7 +455,7 @@
 	w.order(Command{Kind: CommandOpen, Name: "relays", Release: &ReleaseSpec{Kind: KindRelay, All: true, Program: "p2"}})
 	w.order(Command{Kind: CommandOpen, Name: "members", Release: &ReleaseSpec{Kind: KindMember, All: true}})
 	w.order(Command{Kind: CommandEject, Names: []string{"m3"}})
-	w.order(Command{Kind: CommandRequestPermit, Thing: KindRelay, Name: "n1", Who: "a", For: 1000})
+	w.order(Command{Kind: CommandRequestPermit, TargetKind: KindRelay, Name: "n1", Requester: "a", DurationMS: 1000})
 	for range 30 {
 		w.tick()
 	}
@@ -515,7 +515,7 @@
 	}
 }
 
-// Who may resume what: nobody but an operator after an operator or a verdict, nor after a second time for the same cause.
+// Requester may resume what: nobody but an operator after an operator or a verdict, nor after a second time for the same cause.
 func TestHalts(t *testing.T) {
 	open := func() *State {
 		s := New()
@@ -524,7 +524,7 @@
 		return s
 	}
 	itself := func(s *State, kind, cause string) Command {
-		return Command{Kind: kind, Name: "r", Cause: cause, Base: s.Version()}
+		return Command{Kind: kind, Name: "r", Cause: cause, BaseVersion: s.Version()}
 	}
 	for _, cause := range []string{HaltOverBudget, HaltOverdue, HaltServiceDegraded, HaltDrift, HaltStalled, HaltVerdict, ""} {
 		s := open()
@@ -548,7 +548,7 @@
 		}
 	}
 	s := open()
-	calls(t, s, 3, "version", Command{Kind: CommandHalt, Name: "r", Cause: HaltDrift, Base: s.Version() - 1})
+	calls(t, s, 3, "version", Command{Kind: CommandHalt, Name: "r", Cause: HaltDrift, BaseVersion: s.Version() - 1})
 	calls(t, s, 3, ReleaseHalted, itself(s, CommandHalt, HaltDrift))
 	calls(t, s, 4, ReleaseHalted, Command{Kind: CommandHalt, Name: "r"}) // an operator's stands above
 	calls(t, s, 5, "operator", itself(s, CommandResume, HaltDrift))
@@ -575,7 +575,7 @@
 	s = New()
 	s.d.Releases = []release{{ReleaseStatus: ReleaseStatus{Name: "first", State: ReleaseRolledBack, Wish: ReleaseSpec{Kind: KindMember, All: true}, Units: []Unit{{Name: "a", Kind: KindMember, Phase: PhaseDone, Got: true}}}},
 		{ReleaseStatus: ReleaseStatus{Name: "second", State: ReleaseRollingBack, Wish: ReleaseSpec{Kind: KindEject, Ban: []string{"a"}}, Units: []Unit{{Name: "a", Kind: KindEject, Phase: PhaseLeaving, Undo: true}}}}}
-	calls(t, s, 6, "", Command{Kind: CommandObserve, Saw: []Observation{{Release: "second", Unit: "a", Phase: PhaseDone}}})
+	calls(t, s, 6, "", Command{Kind: CommandObserve, Observations: []Observation{{Release: "second", Unit: "a", Phase: PhaseDone}}})
 	for name, want := range map[string]string{"first": ReleaseRollingBack, "second": ReleaseRolledBack} {
 		if a, _ := s.Release(name); a.State != want {
 			t.Errorf("%s is %s", name, a.State)
@@ -712,7 +712,7 @@
 	t.Logf("Plan with 300 relays and 300 members: median %v, most %v; the largest command %d bytes, the state %d", all[50], all[99], largest, len(w.s.Encode()))
 }
 
-// Who has not said yet what it runs could not be given back: such a release is not laid out, unless it is silent for good. Then there is no way back.
+// Requester has not said yet what it runs could not be given back: such a release is not laid out, unless it is silent for good. Then there is no way back.
 func TestUnknown(t *testing.T) {
 	s, b := New(), Budgets{Silent: 100, Fresh: 100, Drain: 500, Start: 500, Window: 100}
 	v := View{At: 1000, Relays: []Relay{{Name: "a", HeardMS: 1}, {Name: "b", Program: "p1", Start: 1, Full: true}}}
@@ -802,10 +802,10 @@
 		t.Error("a state of before", err)
 	}
 	// What was reckoned from an old state, or by who saw less, takes nothing out.
-	c := Command{Kind: CommandQuarantine, Name: "n4", Zone: "z0", Start: 5, Base: s.Version(), Sight: s.d.planner(v.At, v, b).sight()}
+	c := Command{Kind: CommandQuarantine, Name: "n4", Zone: "z0", StartNumber: 5, BaseVersion: s.Version(), Basis: s.d.planner(v.At, v, b).sight()}
 	calls(t, s, v.At, "3 of 3", c)
 	calls(t, s, v.At+101, "ms old", c)
-	c.Base--
+	c.BaseVersion--
 	calls(t, s, v.At, "version", c)
 
 	// A release takes those that are shut though the budget is full, and no other.
@@ -884,10 +884,10 @@
 			calls(t, s, v.At, "", c)
 		}
 	}
-	calls(t, s, v.At, PermitWaiting, Command{Kind: CommandRequestPermit, Thing: KindRelay, Name: "n0", Who: "a", For: 50})
+	calls(t, s, v.At, PermitWaiting, Command{Kind: CommandRequestPermit, TargetKind: KindRelay, Name: "n0", Requester: "a", DurationMS: 50})
 	plan()
-	calls(t, s, v.At, PermitBegun, Command{Kind: CommandBeginPermit, Number: 1})
-	calls(t, s, v.At, PermitBegun, Command{Kind: CommandReturnPermit, Number: 1})
+	calls(t, s, v.At, PermitBegun, Command{Kind: CommandBeginPermit, PermitNumber: 1})
+	calls(t, s, v.At, PermitBegun, Command{Kind: CommandReturnPermit, PermitNumber: 1})
 	gone, all := slices.Clone(v.Relays[1:]), v.Relays
 	v.Relays = gone // nothing tells one that is down and not listed from one that is no more
 	v.At += 1100
@@ -908,12 +908,12 @@
 	plan()
 	told := 0
 	for number := uint64(2); number < 20 && told == 0; number++ { // there is always one who waits
-		calls(t, s, v.At, PermitWaiting, Command{Kind: CommandRequestPermit, Thing: KindRelay, Name: "n" + strconv.Itoa(int(number%2)), Who: "a", For: 50})
+		calls(t, s, v.At, PermitWaiting, Command{Kind: CommandRequestPermit, TargetKind: KindRelay, Name: "n" + strconv.Itoa(int(number%2)), Requester: "a", DurationMS: 50})
 		plan()
 		if s.Orders("n3").Leave != nil {
 			told = int(v.At)
 		} else {
-			calls(t, s, v.At, "given", Command{Kind: CommandReturnPermit, Number: number})
+			calls(t, s, v.At, "given", Command{Kind: CommandReturnPermit, PermitNumber: number})
 		}
 		v.At += 90
 	}
--- a/internal/rollout/world_test.go
+++ b/internal/rollout/world_test.go
@@ -451,7 +451,7 @@
 		if a.down && w.now >= a.doneAt {
 			a.down, a.end = false, true
 			if w.rng.IntN(2) == 0 {
-				w.propose(a.who, Command{Kind: CommandReturnPermit, Number: a.number}, func(Result) {})
+				w.propose(a.who, Command{Kind: CommandReturnPermit, PermitNumber: a.number}, func(Result) {})
 			}
 		}
 		return
@@ -469,7 +469,7 @@
 	}
 	sent := w.now
 	if a.number != 0 && w.now < a.deadline {
-		w.propose(a.who, Command{Kind: CommandBeginPermit, Number: a.number}, func(x Result) {
+		w.propose(a.who, Command{Kind: CommandBeginPermit, PermitNumber: a.number}, func(x Result) {
 			if x.State == PermitBegun {
 				a.begun, a.may = true, sent+int64(float64(w.budgets.Window)*a.rate*(1-w.budgets.Clock))
 			} else if x.Error != "" {
@@ -478,7 +478,7 @@
 		})
 		return
 	}
-	w.propose(a.who, Command{Kind: CommandRequestPermit, Thing: a.kind, Name: a.name, Who: a.who, For: 4000}, func(x Result) {
+	w.propose(a.who, Command{Kind: CommandRequestPermit, TargetKind: a.kind, Name: a.name, Requester: a.who, DurationMS: 4000}, func(x Result) {
 		a.number = 0
 		if x.State == PermitGranted {
 			a.number, a.deadline = x.Number, sent+int64(float64(x.Left)*a.rate*(1-w.budgets.Clock))
@@ -584,14 +584,14 @@
 // the budgets, in truth.
 func (w *world) judge(c Command) {
 	if c.Kind == CommandObserve {
-		for _, s := range c.Saw {
+		for _, s := range c.Observations {
 			if s.Phase == PhaseDrained {
 				w.judgeEmpty(s)
 			}
 		}
 	}
 	w.forget()
-	fresh, bears := map[string]bool{}, c.Kind == CommandQuarantine && c.Bears > 0
+	fresh, bears := map[string]bool{}, c.Kind == CommandQuarantine && c.Capacity > 0
 	switch c.Kind {
 	case CommandQuarantine:
 		w.shuts++
@@ -601,7 +601,7 @@
 	default:
 		return
 	}
-	for _, g := range c.Gives {
+	for _, g := range c.Grants {
 		var kind, name string
 		if p := w.s.d.permit(g.Permit); p != nil {
 			kind, name = p.Kind, p.Name
@@ -610,7 +610,7 @@
 		} else {
 			continue
 		}
-		bears = bears || kind == KindRelay && g.Bears > 0
+		bears = bears || kind == KindRelay && g.Capacity > 0
 		fresh[kind+" "+name] = true
 		w.give(kind, name, g.Permit)
 	}
@@ -641,7 +641,7 @@
 		}
 		count(KindRelay, h.name, h.zone, h.lostSince, bears)
 	}
-	if need := c.Sight.Relays.Load * (1 + w.budgets.Headroom); bears && serve < need {
+	if need := c.Basis.Relays.Load * (1 + w.budgets.Headroom); bears && serve < need {
 		w.fault("the relays that are left bear %.0f, %.0f are needed:%s", serve, need, who)
 	}
 	for _, x := range w.members {
