--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -143,8 +143,8 @@
 	version := o.Version
 	r.trial.agreed(o)
 	out := map[string]core.Leaving{}
-	for name, i := range o.Out {
-		out[name] = core.Leaving{Over: time.Duration(i.MoveOver) * time.Millisecond, Ban: i.Why == rollout.CommandEject}
+	for name, i := range o.Exclusions {
+		out[name] = core.Leaving{Over: time.Duration(i.MigrateOverMS) * time.Millisecond, Ban: i.Reason == rollout.CommandEject}
 	}
 	if o.Reached {
 		defer r.catchUp()
@@ -155,7 +155,7 @@
 	}
 	r.core.Agree(out)
 	r.agreed, r.follows, r.permits = names, version, o.Permits
-	mine := o.Leave != nil && o.Leave.Start >= r.peers.Start() // else it was for the process before this one
+	mine := o.Leave != nil && o.Leave.StartNumber >= r.peers.Start() // else it was for the process before this one
 	switch {
 	case mine && r.leaving == nil:
 		r.log.WithFields(logrus.Fields{"release": o.Leave.Release, "number": o.Leave.Number}).Info("fleet: told to leave")
@@ -168,12 +168,12 @@
 		r.settle()
 	}
 	shut := uint64(0)
-	if o.Shut != nil && o.Shut.Start >= r.peers.Start() {
-		shut = o.Shut.Number
+	if o.Quarantine != nil && o.Quarantine.StartNumber >= r.peers.Start() {
+		shut = o.Quarantine.Number
 	}
 	if shut != r.shut && !r.ending {
 		if shut != 0 {
-			r.log.WithFields(logrus.Fields{"number": shut, "why": o.Shut.Why}).Warn("fleet: shut")
+			r.log.WithFields(logrus.Fields{"number": shut, "why": o.Quarantine.Reason}).Warn("fleet: shut")
 		} else {
 			r.log.Info("fleet: admitted")
 		}
--- a/integration/fleet_test.go
+++ b/integration/fleet_test.go
@@ -259,7 +259,7 @@
 				Orders           rollout.Orders
 			}
 			f.call(i, "GET", "/-/fleet", nil, &a)
-			return a.Version == a.Follows && len(a.Orders.Out) == 0
+			return a.Version == a.Follows && len(a.Orders.Exclusions) == 0
 		})
 	}
 }
@@ -309,7 +309,7 @@
 func (f *fleetRig) outs(i int) []string {
 	var a struct{ Orders rollout.Orders }
 	f.call(i, "GET", "/-/fleet", nil, &a)
-	return slices.Sorted(maps.Keys(a.Orders.Out))
+	return slices.Sorted(maps.Keys(a.Orders.Exclusions))
 }
 
 // local is how many rows the leader shows of bans of a relay's own, -1 if no leader says so now.
--- a/internal/fleet/helm.go
+++ b/internal/fleet/helm.go
@@ -151,10 +151,10 @@
 	}
 	old, fresh := m.Value, u.release.Wish.Program
 	if u.taken {
-		old = u.unit.Program
+		old = u.unit.PreviousProgram
 	}
 	switch {
-	case u.out() && (x.Program == fresh || slices.Contains(x.Refused, drift.Program)), u.unit.Phase == rollout.PhaseDone && u.unit.Got && !u.out():
+	case u.out() && (x.Program == fresh || slices.Contains(x.Refused, drift.Program)), u.unit.Phase == rollout.PhaseDone && u.unit.Updated && !u.out():
 		return fresh
 	}
 	return old
@@ -192,7 +192,7 @@
 			}
 		}
 		return old
-	case u.out(), u.unit.Phase == rollout.PhaseDone && u.unit.Got:
+	case u.out(), u.unit.Phase == rollout.PhaseDone && u.unit.Updated:
 		return fresh
 	}
 	return old
@@ -205,7 +205,7 @@
 	for relay, u := range h.under {
 		x := h.scene.words[relay]
 		if x == nil || u.release.Wish.Config == "" || x.Config != u.release.Wish.Config || len(x.Sections) == 0 ||
-			!(u.unit.Got || u.out()) {
+			!(u.unit.Updated || u.out()) {
 			continue
 		}
 		text, _ := json.Marshal(x.Sections)
@@ -259,7 +259,7 @@
 			h.watch.Alive(now, r.Name, drift.Gone)
 		case x == nil || r.HeardMS > silentAfter.Milliseconds():
 			h.watch.Alive(now, r.Name, drift.Silent)
-		case r.Phase == "leaving" || r.Phase == "starting" || u.unit.Phase == rollout.PhaseLeaving && r.Start <= uint64(u.unit.Start):
+		case r.Phase == "leaving" || r.Phase == "starting" || u.unit.Phase == rollout.PhaseLeaving && r.Start <= uint64(u.unit.SeenStart):
 			h.watch.Alive(now, r.Name, drift.Restarting)
 		default:
 			h.watch.Alive(now, r.Name, drift.Live)
@@ -334,8 +334,8 @@
 	}
 	for _, relay := range slices.Sorted(maps.Keys(h.shuts)) {
 		x := h.scene.words[relay]
-		if v.Unfit[relay] == "" && !h.watch.Clear(relay) && (x == nil || x.Start <= h.shuts[relay].Start) {
-			v.UnfitOrder, v.Unfit[relay] = append(v.UnfitOrder, relay), h.shuts[relay].Why
+		if v.Unfit[relay] == "" && !h.watch.Clear(relay) && (x == nil || x.Start <= h.shuts[relay].StartNumber) {
+			v.UnfitOrder, v.Unfit[relay] = append(v.UnfitOrder, relay), h.shuts[relay].Reason
 		}
 	}
 }
@@ -348,7 +348,7 @@
 		c := meaning{Do: "adopt", Release: a.Name}
 		if a.State == rollout.ReleaseCompleted && a.Wish.Config != "" {
 			c.Items = h.sections[a.Name]
-			if c.Items == nil && slices.ContainsFunc(a.Units, func(u rollout.Unit) bool { return u.Got }) {
+			if c.Items == nil && slices.ContainsFunc(a.Units, func(u rollout.Unit) bool { return u.Updated }) {
 				continue // until one that runs it has said so
 			}
 		}
--- a/internal/fleet/intent.go
+++ b/internal/fleet/intent.go
@@ -224,7 +224,7 @@
 		}
 		for _, u := range a.Units {
 			for name, value := range items {
-				if u.Got {
+				if u.Updated {
 					e.one(u.Name, name, value)
 				}
 			}
@@ -239,7 +239,7 @@
 			return ""
 		}
 		for _, u := range a.Units {
-			if of := e.Of[u.Name]; of != nil && !u.Got {
+			if of := e.Of[u.Name]; of != nil && !u.Updated {
 				for name := range of {
 					if name == drift.Program && a.Wish.Program != "" || name != drift.Program && a.Wish.Config != "" {
 						delete(of, name)
@@ -250,8 +250,8 @@
 					delete(e.Of, u.Name)
 				}
 			}
-			if a.Wish.Program != "" && u.Program != "" && !u.Got {
-				e.one(u.Name, drift.Program, u.Program)
+			if a.Wish.Program != "" && u.PreviousProgram != "" && !u.Updated {
+				e.one(u.Name, drift.Program, u.PreviousProgram)
 			}
 		}
 	default:
--- a/internal/fleet/keep.go
+++ b/internal/fleet/keep.go
@@ -82,7 +82,7 @@
 // fill puts what was known before into orders that the record of now does not reach up to.
 func (k kept) fill(o *Orders) {
 	if o.Version < k.Version {
-		o.Out = k.Out
+		o.Exclusions = k.Out
 	}
 	if o.Weighed < k.Weighed {
 		o.Weights = k.Weights
@@ -103,7 +103,7 @@
 			return
 		}
 		var k kept
-		s.record.read(func(r *rollout.State, _ held) { k.Version, k.Out = r.Version(), r.Orders("").Out })
+		s.record.read(func(r *rollout.State, _ held) { k.Version, k.Out = r.Version(), r.Orders("").Exclusions })
 		k.Weights, k.Weighed = s.record.weights()
 		if reflect.DeepEqual(k, last) {
 			return
--- a/internal/fleet/ledger.go
+++ b/internal/fleet/ledger.go
@@ -80,7 +80,7 @@
 func (g *ledger) keep(now int64, l Look, r *Record, sections map[string]string, voters drift.Item) (tells []string) {
 	r.mu.RLock()
 	h, in := r.held, r.intent
-	bans, drains := split(r.rollout.Orders(g.relay).Out)
+	bans, drains := split(r.rollout.Orders(g.relay).Exclusions)
 	out := under{}
 	if len(l.Refused) > 0 {
 		out = underOf(r.rollout.Releases(), in)[g.relay]
@@ -227,7 +227,7 @@
 	case u.release.Name == "" || u.unit.Phase == rollout.PhaseMissing:
 		return false
 	case u.release.Backing:
-		return u.out() || u.unit.Phase == rollout.PhaseDone && u.unit.Got
+		return u.out() || u.unit.Phase == rollout.PhaseDone && u.unit.Updated
 	}
-	return u.out() || u.unit.Phase == rollout.PhasePending && !u.unit.Got && u.release.State != rollout.ReleaseCompleted
+	return u.out() || u.unit.Phase == rollout.PhasePending && !u.unit.Updated && u.release.State != rollout.ReleaseCompleted
 }
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -111,7 +111,7 @@
 	keep := r.look
 	r.record.read(func(s *rollout.State, h held) {
 		o := s.Orders(r.name)
-		bans, drains := split(o.Out)
+		bans, drains := split(o.Exclusions)
 		r.look.Agreed = slices.DeleteFunc(append(bans, drains...), func(n string) bool {
 			return r.frozen[drift.Bans] && slices.Contains(bans, n) || r.frozen[drift.Drains] && slices.Contains(drains, n)
 		})
@@ -122,13 +122,13 @@
 		if r.frozen[drift.Weights] {
 			r.look.Weighs = keep.Weighs
 		}
-		if o.Shut != nil && o.Shut.Start >= r.start {
-			r.look.Shut = o.Shut.Number
+		if o.Quarantine != nil && o.Quarantine.StartNumber >= r.start {
+			r.look.Shut = o.Quarantine.Number
 		}
 		if !r.leaving {
 			r.look.Phase = map[bool]string{false: "serving", true: "draining"}[r.look.Shut != 0]
 		}
-		if o.Leave != nil && o.Leave.Start >= r.start && !r.leaving {
+		if o.Leave != nil && o.Leave.StartNumber >= r.start && !r.leaving {
 			r.leaving, r.look.Phase = true, "leaving"
 			m.at(3000, func() {
 				r.upAt, r.program = m.now+2000+m.rng.Int64N(9000), cmp.Or(o.Leave.Program, r.program)
@@ -475,7 +475,7 @@
 	m.play(5000, nil)
 	m.release("mend", rollout.ReleaseSpec{Kind: rollout.KindRelay, All: true})
 	// Requester is told to leave does not count any more.
-	out := func() bool { return len(m.lead.record.rollout.Orders("").Out) > 0 }
+	out := func() bool { return len(m.lead.record.rollout.Orders("").Exclusions) > 0 }
 	early := false
 	ended := m.play(300_000, func() bool {
 		r.frozen[drift.List] = r.start == 1
@@ -622,7 +622,7 @@
 		m.relays[5].own["limits"] = "mine"
 		until("shut again", 120_000, func() bool { return out() == 1 })
 		m.release("drain", rollout.ReleaseSpec{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}}) // which one that is shut does not hold up
-		until("drained", 10_000, func() bool { return len(m.lead.record.rollout.Orders("").Out) > 0 })
+		until("drained", 10_000, func() bool { return len(m.lead.record.rollout.Orders("").Exclusions) > 0 })
 		m.takeOut = false
 		until("let in without the setting", 60_000, func() bool { return out() == 0 })
 		if m.sound("taken out"); most > 2 {
--- a/internal/fleet/page.go
+++ b/internal/fleet/page.go
@@ -57,7 +57,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(h.shuts)) {
 		x, w := h.shuts[name], h.scene.words[name]
-		p.Shut = append(p.Shut, driftShut{name, x.Why, now - x.Since, w != nil && w.Shut == x.Number})
+		p.Shut = append(p.Shut, driftShut{name, x.Reason, now - x.Since, w != nil && w.Shut == x.Number})
 	}
 	return p
 }
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -131,7 +131,7 @@
 
 // items keeps the versions of what relays are to apply: the state's version at which each last changed.
 func (r *Record) items() {
-	bans, drains := split(r.rollout.Orders("").Out)
+	bans, drains := split(r.rollout.Orders("").Exclusions)
 	var permits []string
 	for _, p := range r.rollout.Permits() {
 		if p.State == rollout.PermitGranted || p.State == rollout.PermitBegun {
@@ -156,7 +156,7 @@
 // split parts the members that are out into those that are banned and those that drain, each in order.
 func split(out map[string]rollout.Exclusion) (bans, drains []string) {
 	for name, o := range out {
-		if o.Why == rollout.CommandEject {
+		if o.Reason == rollout.CommandEject {
 			bans = append(bans, name)
 		} else {
 			drains = append(drains, name)
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -446,7 +446,7 @@
 		stands := false
 		s.record.read(func(r *rollout.State, _ held) {
 			l := r.Orders(s.Name).Leave
-			stands = l != nil && l.Number == number && l.Start >= s.Start
+			stands = l != nil && l.Number == number && l.StartNumber >= s.Start
 		})
 		s.Post(func() { done(stands, err == nil) })
 	}()
--- a/internal/rollout/account.go
+++ b/internal/rollout/account.go
@@ -13,7 +13,7 @@
 func (d *data) planned(kind string) []ZonedName {
 	list := d.given(kind)
 	for i := range d.Shuts {
-		if s := &d.Shuts[i]; kind == KindRelay && !s.Back {
+		if s := &d.Shuts[i]; kind == KindRelay && !s.InService {
 			list = append(list, ZonedName{s.Name, s.Zone})
 		}
 	}
--- a/internal/rollout/api.go
+++ b/internal/rollout/api.go
@@ -109,23 +109,23 @@
 
 // Unit is one thing of a release.
 type Unit struct {
-	Name     string  `json:"name"`
-	Zone     string  `json:"zone,omitempty"`
-	Kind     string  `json:"kind"`
-	Size     float64 `json:"size,omitempty"`    // its capacity when laid out
-	Program  string  `json:"program,omitempty"` // before
-	Config   string  `json:"config,omitempty"`  // before
-	Banned   bool    `json:"banned,omitempty"`  // before
-	Now      string  `json:"now,omitempty"`     // the successor's name, where it has another
-	Phase    string  `json:"phase,omitempty"`
-	Got      bool    `json:"got,omitempty"`      // it has the new thing
-	Undo     bool    `json:"undo,omitempty"`     // it is out to get back what it had
-	Stranded bool    `json:"stranded,omitempty"` // it did not come in time while the release went back; still out until seen
-	Number   uint64  `json:"number,omitempty"`   // of the order
-	Order    uint64  `json:"order,omitempty"`    // the version that changed its orders last
-	At       int64   `json:"at,omitempty"`       // when it was told
-	Start    int64   `json:"start,omitempty"`    // start number or time that was seen when it was told, or empty
-	MoveOver int64   `json:"move_over,omitempty"`
+	Name              string  `json:"name"`
+	Zone              string  `json:"zone,omitempty"`
+	Kind              string  `json:"kind"`
+	Capacity          float64 `json:"size,omitempty"`    // its capacity when laid out
+	PreviousProgram   string  `json:"program,omitempty"` // before
+	PreviousConfig    string  `json:"config,omitempty"`  // before
+	PreviouslyEjected bool    `json:"banned,omitempty"`  // before
+	Successor         string  `json:"now,omitempty"`     // the successor's name, where it has another
+	Phase             string  `json:"phase,omitempty"`
+	Updated           bool    `json:"got,omitempty"`      // it has the new thing
+	Reverting         bool    `json:"undo,omitempty"`     // it is out to get back what it had
+	Stranded          bool    `json:"stranded,omitempty"` // it did not come in time while the release went back; still out until seen
+	OrderNumber       uint64  `json:"number,omitempty"`   // of the order
+	OrderVersion      uint64  `json:"order,omitempty"`    // the version that changed its orders last
+	OrderedAt         int64   `json:"at,omitempty"`       // when it was told
+	SeenStart         int64   `json:"start,omitempty"`    // start number or time that was seen when it was told, or empty
+	MigrateOverMS     int64   `json:"move_over,omitempty"`
 }
 
 // Grant is one thing that a step gives out: a unit, or a permit.
@@ -155,47 +155,47 @@
 
 // Orders are what one relay is to do now.
 type Orders struct {
-	Leave *LeaveOrder          `json:"leave,omitempty"`
-	Out   map[string]Exclusion `json:"out,omitempty"` // members that get nothing new
-	Shut  *QuarantineOrder     `json:"shut,omitempty"`
+	Leave      *LeaveOrder          `json:"leave,omitempty"`
+	Exclusions map[string]Exclusion `json:"out,omitempty"` // members that get nothing new
+	Quarantine *QuarantineOrder     `json:"shut,omitempty"`
 }
 
 // QuarantineOrder is the order to take no client, and to move those that are there.
 type QuarantineOrder struct {
-	Number uint64 `json:"number"`
-	Since  int64  `json:"since"`
-	Why    string `json:"why"`
-	Start  uint64 `json:"start"` // a later process may ignore it: it is admitted once it is seen
+	Number      uint64 `json:"number"`
+	Since       int64  `json:"since"`
+	Reason      string `json:"why"`
+	StartNumber uint64 `json:"start"` // a later process may ignore it: it is admitted once it is seen
 }
 
 // Quarantine is one relay that is shut for drift, or was and is not yet seen to serve.
 type Quarantine struct {
-	Name   string `json:"name"`
-	Zone   string `json:"zone,omitempty"`
-	Why    string `json:"why,omitempty"`
-	Since  int64  `json:"since"`
-	Start  uint64 `json:"start"`
-	Number uint64 `json:"number"`
-	Opened uint64 `json:"opened,omitempty"` // the version that admitted it; out until it has applied that and serves
-	Let    bool   `json:"let,omitempty"`    // an operator admitted it: it is not shut again until it is in step, or starts anew
-	Back   bool   `json:"back,omitempty"`   // it serves: kept for Let alone
+	Name              string `json:"name"`
+	Zone              string `json:"zone,omitempty"`
+	Reason            string `json:"why,omitempty"`
+	Since             int64  `json:"since"`
+	StartNumber       uint64 `json:"start"`
+	Number            uint64 `json:"number"`
+	ReadmittedVersion uint64 `json:"opened,omitempty"` // the version that admitted it; out until it has applied that and serves
+	OperatorOverride  bool   `json:"let,omitempty"`    // an operator admitted it: it is not shut again until it is in step, or starts anew
+	InService         bool   `json:"back,omitempty"`   // it serves: kept for Let alone
 }
 
 // LeaveOrder is the order to drain, move the clients and end with ExitOrderedRestart.
 type LeaveOrder struct {
-	Number  uint64 `json:"number"`
-	Release string `json:"release"`
-	Start   uint64 `json:"start"`             // it is for the process with this start number or an earlier one; a later one ignores it
-	Program string `json:"program,omitempty"` // what is to be started after it
-	Config  string `json:"config,omitempty"`
+	Number      uint64 `json:"number"`
+	Release     string `json:"release"`
+	StartNumber uint64 `json:"start"`             // it is for the process with this start number or an earlier one; a later one ignores it
+	Program     string `json:"program,omitempty"` // what is to be started after it
+	Config      string `json:"config,omitempty"`
 }
 
 // Exclusion says why a member is out.
 type Exclusion struct {
-	Why      string `json:"why"` // ban or drain
-	Number   uint64 `json:"number"`
-	Since    int64  `json:"since"`
-	MoveOver int64  `json:"move_over,omitempty"` // its flows are moved over so many ms; 0 leaves them with a ban
+	Reason        string `json:"why"` // ban or drain
+	Number        uint64 `json:"number"`
+	Since         int64  `json:"since"`
+	MigrateOverMS int64  `json:"move_over,omitempty"` // its flows are moved over so many ms; 0 leaves them with a ban
 }
 
 // View is what the leader knows. A relay's fields and its Held are of one word. Names are unique.
--- a/internal/rollout/apply.go
+++ b/internal/rollout/apply.go
@@ -311,10 +311,10 @@
 		return false
 	}
 	if u.Phase == PhaseDone { // it is not even there
-		u.Phase, u.Got = PhasePending, false
+		u.Phase, u.Updated = PhasePending, false
 		return true
 	}
-	u.Phase, u.Order = PhaseRevoked, version
+	u.Phase, u.OrderVersion = PhaseRevoked, version
 	return true
 }
 
@@ -323,10 +323,10 @@
 	for i := range r.Units {
 		if u := &r.Units[i]; u.Phase == PhaseLeaving && (u.Kind == KindRelay || u.Kind == KindMember) {
 			if planted == "half forgotten" && r.Backing {
-				u.Phase, u.Undo = PhasePending, false
+				u.Phase, u.Reverting = PhasePending, false
 				continue
 			}
-			u.Phase, u.Order = PhaseRevoked, version
+			u.Phase, u.OrderVersion = PhaseRevoked, version
 		}
 	}
 }
@@ -398,7 +398,7 @@
 	names := map[string]bool{}
 	for _, u := range c.Units {
 		fits := u.Kind == r.Wish.Kind || r.Wish.Kind == KindEject && u.Kind == KindReinstate
-		if u.Name == "" || max(len(u.Name), len(u.Zone), len(u.Program), len(u.Config)) > MaxNameBytes || names[u.Name] || !fits {
+		if u.Name == "" || max(len(u.Name), len(u.Zone), len(u.PreviousProgram), len(u.PreviousConfig)) > MaxNameBytes || names[u.Name] || !fits {
 			return refuse("unit %q is no thing of this release, or stands twice", cut(u.Name, MaxNameBytes))
 		}
 		names[u.Name] = true
@@ -414,8 +414,8 @@
 		if u.Phase == PhaseMissing {
 			phase = PhaseMissing
 		}
-		r.Units = append(r.Units, Unit{Name: u.Name, Zone: u.Zone, Kind: u.Kind, Size: u.Size, Program: u.Program, Config: u.Config,
-			Banned: banned, Phase: phase})
+		r.Units = append(r.Units, Unit{Name: u.Name, Zone: u.Zone, Kind: u.Kind, Capacity: u.Capacity, PreviousProgram: u.PreviousProgram, PreviousConfig: u.PreviousConfig,
+			PreviouslyEjected: banned, Phase: phase})
 	}
 	r.Asked, r.Served, r.Spread = before(c.Baseline)
 	r.Laid, r.Since, r.Moved, r.State = true, at, at, ReleaseRunning
@@ -492,8 +492,8 @@
 		r := d.release(g.Release)
 		u := r.unit(g.Unit)
 		d.Number++
-		u.Undo = u.Got
-		u.Phase, u.Number, u.Order, u.At, u.Start, u.MoveOver = PhaseLeaving, d.Number, d.Version, at, g.SeenStart, g.MigrateOverMS
+		u.Reverting = u.Updated
+		u.Phase, u.OrderNumber, u.OrderVersion, u.OrderedAt, u.SeenStart, u.MigrateOverMS = PhaseLeaving, d.Number, d.Version, at, g.SeenStart, g.MigrateOverMS
 		if ban := u.bans(); ban != 0 {
 			d.setBan(at, u.Name, "release "+r.Name, r.By, ban > 0)
 		}
@@ -506,7 +506,7 @@
 func (r *release) may(u *Unit) bool {
 	switch r.State {
 	case ReleaseRunning:
-		return u.Phase == PhasePending && !u.Got
+		return u.Phase == PhasePending && !u.Updated
 	case ReleaseRollingBack:
 		return u.Phase == PhaseDone && r.undoable(u)
 	}
@@ -516,7 +516,7 @@
 // bans says what giving the unit out does to the bans: 1 sets, -1 lifts. Its undoing is the reverse.
 func (u *Unit) bans() int {
 	switch {
-	case u.Kind == KindEject && !u.Got, u.Kind == KindReinstate && u.Got:
+	case u.Kind == KindEject && !u.Updated, u.Kind == KindReinstate && u.Updated:
 		return 1
 	case u.Kind == KindReinstate, u.Kind == KindEject:
 		return -1
@@ -550,7 +550,7 @@
 			continue
 		}
 		u := r.unit(s.Unit)
-		if u == nil || u.Order != s.OrderVersion || !d.move(at, r, u, s) {
+		if u == nil || u.OrderVersion != s.OrderVersion || !d.move(at, r, u, s) {
 			continue
 		}
 		r.Moved, changed = at, true
@@ -572,32 +572,32 @@
 		}
 		u.Stranded = true
 		if u.Phase == PhaseLeaving {
-			u.Phase, u.Order = PhaseRevoked, next
+			u.Phase, u.OrderVersion = PhaseRevoked, next
 		}
 	case s.Phase == PhaseMissing && (u.Phase == PhasePending || u.Stranded && u.isOut() && r.ended()):
 		u.Phase = PhaseMissing
 	case s.Phase == PhaseDrained && u.Kind == KindMember && (u.Phase == PhaseLeaving || u.Phase == PhaseDone && r.Wish.Drain):
-		u.Phase, u.Start = PhaseDrained, s.SeenStart
+		u.Phase, u.SeenStart = PhaseDrained, s.SeenStart
 	case s.Phase == PhaseReplaced && u.Kind == KindMember && (u.Phase == PhaseDrained || u.Phase == PhaseRevoked || u.Phase == PhaseReplaced && u.name() != cmp.Or(s.Successor, u.Name)) && !r.Wish.Drain:
-		u.Phase, u.Order, u.Now, u.Zone = PhaseReplaced, next, s.Successor, s.Zone
-		if u.Now == u.Name {
-			u.Now = ""
+		u.Phase, u.OrderVersion, u.Successor, u.Zone = PhaseReplaced, next, s.Successor, s.Zone
+		if u.Successor == u.Name {
+			u.Successor = ""
 		}
 	case s.Phase == PhaseDone && u.isOut():
 		if u.Phase != PhaseRevoked && !u.Stranded && !r.Wish.Drain {
-			d.note(u.Kind, at-u.At)
+			d.note(u.Kind, at-u.OrderedAt)
 		}
-		u.Phase, u.Got = PhaseDone, !r.Wish.Drain
-		if u.Undo {
-			u.Phase, u.Got = PhasePending, false
+		u.Phase, u.Updated = PhaseDone, !r.Wish.Drain
+		if u.Reverting {
+			u.Phase, u.Updated = PhasePending, false
 		}
-		u.Undo, u.Stranded, u.Order = false, false, next
-	case s.Phase == PhasePending && (u.Phase == PhaseRevoked || u.Phase == PhaseReplaced && !u.Undo):
+		u.Reverting, u.Stranded, u.OrderVersion = false, false, next
+	case s.Phase == PhasePending && (u.Phase == PhaseRevoked || u.Phase == PhaseReplaced && !u.Reverting):
 		u.Phase = PhasePending
-		if u.Got {
+		if u.Updated {
 			u.Phase = PhaseDone
 		}
-		u.Undo, u.Stranded, u.Order = false, false, next
+		u.Reverting, u.Stranded, u.OrderVersion = false, false, next
 	case s.Phase == PhasePending && u.Phase == PhaseDone && u.Stranded: // it is there again, to be undone after all
 		u.Stranded = false
 	default:
@@ -645,9 +645,9 @@
 	}
 	s := d.shutting(c.Name)
 	switch {
-	case s != nil && s.Opened == 0:
+	case s != nil && s.ReadmittedVersion == 0:
 		return refuse("%s is shut", s.Name)
-	case s != nil && s.Let:
+	case s != nil && s.OperatorOverride:
 		return refuse("an operator admitted %s as it is", s.Name)
 	case s == nil && len(d.Shuts) >= MaxQuarantines:
 		return refuse("%d relays are shut", MaxQuarantines)
@@ -658,7 +658,7 @@
 	d.Version++
 	d.Number++
 	d.Shuts = slices.DeleteFunc(d.Shuts, func(x Quarantine) bool { return x.Name == c.Name })
-	d.Shuts = append(d.Shuts, Quarantine{Name: c.Name, Zone: c.Zone, Why: c.Reason, Since: at, Start: c.StartNumber, Number: d.Number})
+	d.Shuts = append(d.Shuts, Quarantine{Name: c.Name, Zone: c.Zone, Reason: c.Reason, Since: at, StartNumber: c.StartNumber, Number: d.Number})
 	return Result{Name: c.Name, State: CommandQuarantine, Number: d.Number}
 }
 
@@ -666,26 +666,26 @@
 func (d *data) admit(c *Command) Result {
 	s, itself := d.shutting(c.Name), c.Cause != ""
 	switch {
-	case s == nil || s.Opened != 0 && (itself || s.Let):
+	case s == nil || s.ReadmittedVersion != 0 && (itself || s.OperatorOverride):
 		return refuse("%q is not shut", c.Name)
 	case itself && c.BaseVersion != d.Version:
 		return refuse("it was reckoned from version %d, this is %d", c.BaseVersion, d.Version)
 	}
 	d.Version++
-	s.Opened, s.Let = cmp.Or(s.Opened, d.Version), !itself
+	s.ReadmittedVersion, s.OperatorOverride = cmp.Or(s.ReadmittedVersion, d.Version), !itself
 	return Result{Name: s.Name, State: CommandReadmit}
 }
 
 // opened takes over that one that was admitted serves, or is nothing to be spoken of any more.
 func (d *data) opened(saw Observation) bool {
-	i := slices.IndexFunc(d.Shuts, func(x Quarantine) bool { return x.Number == saw.Quarantine && x.Opened != 0 })
+	i := slices.IndexFunc(d.Shuts, func(x Quarantine) bool { return x.Number == saw.Quarantine && x.ReadmittedVersion != 0 })
 	switch {
 	case i < 0:
 		return false
-	case saw.Phase == PhaseMissing || saw.Phase == PhaseDone && !d.Shuts[i].Let:
+	case saw.Phase == PhaseMissing || saw.Phase == PhaseDone && !d.Shuts[i].OperatorOverride:
 		d.Shuts = slices.Delete(d.Shuts, i, i+1)
-	case saw.Phase == PhaseDone && !d.Shuts[i].Back:
-		d.Shuts[i].Back = true
+	case saw.Phase == PhaseDone && !d.Shuts[i].InService:
+		d.Shuts[i].InService = true
 	default:
 		return false
 	}
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -119,7 +119,7 @@
 				s, ok = Observation{Stranded: true}, true
 			}
 			if ok {
-				s.Release, s.Unit, s.OrderVersion = r.Name, u.Name, u.Order
+				s.Release, s.Unit, s.OrderVersion = r.Name, u.Name, u.OrderVersion
 				if m := p.members[s.Successor]; m != nil && s.Phase == PhaseReplaced {
 					s.Zone = m.Zone
 				}
@@ -137,10 +137,10 @@
 		x := &p.d.Shuts[i]
 		r := p.relays[x.Name]
 		switch _, unfit := p.v.Unfit[x.Name]; {
-		case x.Opened == 0:
-		case r == nil || x.Back && r.live(p.b) && (!unfit || r.Start > x.Start):
+		case x.ReadmittedVersion == 0:
+		case r == nil || x.InService && r.live(p.b) && (!unfit || r.Start > x.StartNumber):
 			list = append(list, Observation{Quarantine: x.Number, Phase: PhaseMissing})
-		case !x.Back && r.sound(p.b) && r.Applied >= x.Opened: // before that it may yet heed the order that was taken back
+		case !x.InService && r.sound(p.b) && r.Applied >= x.ReadmittedVersion: // before that it may yet heed the order that was taken back
 			list = append(list, Observation{Quarantine: x.Number, Phase: PhaseDone})
 		}
 	}
@@ -151,7 +151,7 @@
 func (p *planner) look(r *release, u *Unit) (Observation, bool) {
 	none := Observation{}
 	if u.Kind == KindEject || u.Kind == KindReinstate {
-		return Observation{Phase: PhaseDone}, u.Phase == PhaseLeaving && p.heeded(u.Order)
+		return Observation{Phase: PhaseDone}, u.Phase == PhaseLeaving && p.heeded(u.OrderVersion)
 	}
 	if u.Phase == PhasePending && r.State == ReleaseRunning && p.there(u) == nil && p.alone(r, u) && !p.rooms[side(u.Kind)].planned[u.name()] &&
 		p.now-max(r.Moved, r.Resumed) > p.b.Start+p.b.Silent { // longer than one that fell over takes
@@ -164,7 +164,7 @@
 		return Observation{Phase: PhaseMissing}, true // nobody knows of it any more
 	}
 	if u.Phase == PhaseDone && r.Wish.Drain && u.Kind == KindMember {
-		return Observation{Phase: PhaseDrained, SeenStart: u.Start}, p.there(u) != nil
+		return Observation{Phase: PhaseDrained, SeenStart: u.SeenStart}, p.there(u) != nil
 	}
 	switch {
 	case !u.isOut():
@@ -185,19 +185,19 @@
 		sound = x.Phase == "serving"
 	}
 	// One that is shut serves nobody, and counts as shut: that it is not about to leave is enough.
-	if shut := p.d.shutting(u.Name); u.Phase == PhaseRevoked && shut != nil && !shut.Back {
+	if shut := p.d.shutting(u.Name); u.Phase == PhaseRevoked && shut != nil && !shut.InService {
 		sound = x.live(p.b) && (x.Phase == "serving" || x.Phase == "shut")
 	}
 	if !sound {
 		return Observation{}, false
 	}
-	program, config := r.wants(u, u.Undo)
+	program, config := r.wants(u, u.Reverting)
 	fits := (program == "" || program == x.Program) && (config == "" || config == x.Config)
-	later := x.Start > uint64(u.Start)
+	later := x.Start > uint64(u.SeenStart)
 	switch {
 	case u.Phase == PhaseLeaving:
 		return Observation{Phase: PhaseDone}, later && fits
-	case x.Applied < u.Order:
+	case x.Applied < u.OrderVersion:
 		return Observation{}, false // it may yet heed the order that was taken back
 	case fits && (later || program+config != ""):
 		return Observation{Phase: PhaseDone}, true
@@ -207,14 +207,14 @@
 
 func (p *planner) lookMember(r *release, u *Unit) (Observation, bool) {
 	m := p.members[u.name()]
-	program, _ := r.wants(u, u.Undo)
+	program, _ := r.wants(u, u.Reverting)
 	// Requester does not say what it runs fits. On the way back an owner may put back at once what was there before.
 	fits := func(m *Member) bool {
-		return program == "" || m.Program == "" || m.Program == program || r.Backing && m.Program == u.Program
+		return program == "" || m.Program == "" || m.Program == program || r.Backing && m.Program == u.PreviousProgram
 	}
 	switch {
 	case u.Phase == PhaseLeaving:
-		s := Observation{Phase: PhaseDrained, SeenStart: u.Start}
+		s := Observation{Phase: PhaseDrained, SeenStart: u.SeenStart}
 		if m != nil {
 			s.SeenStart = m.Started
 		}
@@ -227,13 +227,13 @@
 		name := p.newcomer(u, fits)
 		return Observation{Phase: PhaseReplaced, Successor: name}, name != ""
 	case u.Phase == PhaseDrained: // one that fell over and came back as it was is still to be replaced
-		return Observation{Phase: PhaseReplaced, Successor: m.Name}, m.Started > u.Start && fits(m)
-	case !p.full(m) || u.Phase == PhaseRevoked && !p.heeded(u.Order):
+		return Observation{Phase: PhaseReplaced, Successor: m.Name}, m.Started > u.SeenStart && fits(m)
+	case !p.full(m) || u.Phase == PhaseRevoked && !p.heeded(u.OrderVersion):
 		return Observation{}, false
 	case u.Phase == PhaseRevoked && !(program != "" && program == m.Program):
 		return Observation{Phase: PhasePending}, true
 	case program != "" && m.Program != "" && program != m.Program: // not what was wanted. It is in service all the same, once nobody waits for it
-		return Observation{Phase: PhasePending}, !u.Undo && r.State != ReleaseRunning
+		return Observation{Phase: PhasePending}, !u.Reverting && r.State != ReleaseRunning
 	}
 	return Observation{Phase: PhaseDone}, true
 }
@@ -275,7 +275,7 @@
 // empty says that no relay holds a flow at a member: each that lives has said so after it heeded the order, each silent one is
 // past the time in which it still could.
 func (p *planner) empty(u *Unit, m *Member) bool {
-	if !p.heeded(u.Order) {
+	if !p.heeded(u.OrderVersion) {
 		return false
 	}
 	for i := range p.v.Relays {
@@ -305,7 +305,7 @@
 	var best *Member
 	for i := range p.v.Members {
 		m := &p.v.Members[i]
-		if p.used[m.Name] || m.Started <= u.At || !fits(m) || m.Zone != u.Zone && p.now-u.At < p.b.Drain+p.b.Start {
+		if p.used[m.Name] || m.Started <= u.OrderedAt || !fits(m) || m.Zone != u.Zone && p.now-u.OrderedAt < p.b.Drain+p.b.Start {
 			continue
 		}
 		near, nearer := best != nil && best.Zone == u.Zone, m.Zone == u.Zone
@@ -337,7 +337,7 @@
 	if m := p.members[x.Name]; m != nil {
 		return late || p.full(m)
 	}
-	name := p.newcomer(&Unit{Zone: x.Zone, At: x.At}, func(*Member) bool { return true })
+	name := p.newcomer(&Unit{Zone: x.Zone, OrderedAt: x.At}, func(*Member) bool { return true })
 	return x.Given > 0 && late || name != "" && p.full(p.members[name])
 }
 
@@ -361,7 +361,7 @@
 	if r.Wish.Drain && u.Phase == PhaseDrained {
 		return false
 	}
-	return p.now-max(u.At, r.Resumed) > p.d.bound(u.Kind, p.b)
+	return p.now-max(u.OrderedAt, r.Resumed) > p.d.bound(u.Kind, p.b)
 }
 
 // ---- Drift ----
@@ -374,10 +374,10 @@
 		r, cause := p.relays[s.Name], ""
 		_, unfit := p.v.Unfit[s.Name]
 		switch {
-		case s.Opened != 0 || r != nil && !r.live(p.b):
+		case s.ReadmittedVersion != 0 || r != nil && !r.live(p.b):
 		case r == nil:
 			cause = "gone"
-		case r.Start > s.Start:
+		case r.Start > s.StartNumber:
 			cause = "started"
 		case !unfit && p.now-s.Since >= p.b.Silent: // one that comes and goes is not let in and out at each look
 			cause = "fit"
@@ -399,7 +399,7 @@
 	for _, n := range slices.Concat(p.v.UnfitOrder, slices.Sorted(maps.Keys(p.v.Unfit))) {
 		why, unfit := p.v.Unfit[n]
 		r, s := p.relays[n], p.d.shutting(n)
-		if !unfit || seen[n] || r == nil || !r.live(p.b) || s != nil && (s.Opened == 0 || s.Let) || len(list) >= MaxGrantsPerStep {
+		if !unfit || seen[n] || r == nil || !r.live(p.b) || s != nil && (s.ReadmittedVersion == 0 || s.OperatorOverride) || len(list) >= MaxGrantsPerStep {
 			continue
 		}
 		seen[n] = true
@@ -463,7 +463,7 @@
 	}
 	for j := range r.Units {
 		if u := &r.Units[j]; u.isOut() && p.late(r, u) && !p.gone[r.Name+"\n"+u.Name] {
-			return HaltOverdue, fmt.Sprintf("%s %s is %s for %d ms", u.Kind, u.name(), u.Phase, p.now-u.At)
+			return HaltOverdue, fmt.Sprintf("%s %s is %s for %d ms", u.Kind, u.name(), u.Phase, p.now-u.OrderedAt)
 		}
 	}
 	if worse(r.Asked, r.Served, r.Spread, p.b.Slack, p.v.Service, max(r.Since, r.Resumed)) {
@@ -539,7 +539,7 @@
 	case KindRelay:
 		for _, x := range p.v.Relays {
 			if w.of(x.Name, x.Zone) {
-				units = append(units, Unit{Name: x.Name, Zone: x.Zone, Kind: w.Kind, Size: x.Capacity, Program: x.Program, Config: x.Config})
+				units = append(units, Unit{Name: x.Name, Zone: x.Zone, Kind: w.Kind, Capacity: x.Capacity, PreviousProgram: x.Program, PreviousConfig: x.Config})
 				risk[x.Name] = float64(x.Flows)
 				there[x.Name] = true
 			}
@@ -547,7 +547,7 @@
 	default:
 		for _, m := range p.v.Members {
 			if w.of(m.Name, m.Zone) {
-				units = append(units, Unit{Name: m.Name, Zone: m.Zone, Kind: w.Kind, Size: m.Capacity, Program: m.Program})
+				units = append(units, Unit{Name: m.Name, Zone: m.Zone, Kind: w.Kind, Capacity: m.Capacity, PreviousProgram: m.Program})
 				risk[m.Name] = m.Bears
 				there[m.Name] = true
 			}
@@ -587,7 +587,7 @@
 
 func (p *planner) place(u Unit) Unit {
 	if m := p.members[u.Name]; m != nil {
-		u.Zone, u.Size = m.Zone, m.Capacity
+		u.Zone, u.Capacity = m.Zone, m.Capacity
 	}
 	return u
 }
@@ -737,7 +737,7 @@
 func (p *planner) bears(u *Unit) float64 {
 	if u.Kind == KindRelay {
 		shut := p.d.shutting(u.Name)
-		if x := p.relays[u.Name]; x != nil && x.sound(p.b) && (shut == nil || shut.Back) {
+		if x := p.relays[u.Name]; x != nil && x.sound(p.b) && (shut == nil || shut.InService) {
 			return x.Capacity
 		}
 		return 0
@@ -774,7 +774,7 @@
 		}
 	}
 	if r.State == ReleaseRollingBack {
-		newest := func(x, y *Unit) int { return cmp.Compare(y.Number, x.Number) }
+		newest := func(x, y *Unit) int { return cmp.Compare(y.OrderNumber, x.OrderNumber) }
 		slices.SortStableFunc(list, newest)
 		slices.SortStableFunc(lost, newest)
 	}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -203,15 +203,15 @@
 			for _, x := range w.members {
 				if u.Kind == KindMember && x.name == u.name() {
 					is, was = x.program, x.was
-					unknown = !x.labels && x.number != u.Number // it fell over before its owner came, and does not say what it runs
+					unknown = !x.labels && x.number != u.OrderNumber // it fell over before its owner came, and does not say what it runs
 				}
 			}
-			if u.Number == 0 && ordered > 0 {
+			if u.OrderNumber == 0 && ordered > 0 {
 				w.fault("%s was never told, and left", u.Name)
 			}
-			unknown = unknown || u.Kind == KindRelay && u.Program == "" // it was silent for as long as it may be waited for
+			unknown = unknown || u.Kind == KindRelay && u.PreviousProgram == "" // it was silent for as long as it may be waited for
 			wrong := r.State == ReleaseRolledBack && is != was || r.State == ReleaseCompleted && is != r.Wish.Program
-			if w.units++; w.faulty && (unknown || u.Phase == PhaseMissing || u.Now != "" && !strings.HasPrefix(u.Now, u.Name)) {
+			if w.units++; w.faulty && (unknown || u.Phase == PhaseMissing || u.Successor != "" && !strings.HasPrefix(u.Successor, u.Name)) {
 				if wrong { // it was down while all else was through, and is named; or one that was down when all was laid out stands for it
 					w.excused++
 				}
@@ -573,8 +573,8 @@
 
 	// One that was stranded is undone as soon as what was in its way has ended: nothing else may ever be called.
 	s = New()
-	s.d.Releases = []release{{ReleaseStatus: ReleaseStatus{Name: "first", State: ReleaseRolledBack, Wish: ReleaseSpec{Kind: KindMember, All: true}, Units: []Unit{{Name: "a", Kind: KindMember, Phase: PhaseDone, Got: true}}}},
-		{ReleaseStatus: ReleaseStatus{Name: "second", State: ReleaseRollingBack, Wish: ReleaseSpec{Kind: KindEject, Ban: []string{"a"}}, Units: []Unit{{Name: "a", Kind: KindEject, Phase: PhaseLeaving, Undo: true}}}}}
+	s.d.Releases = []release{{ReleaseStatus: ReleaseStatus{Name: "first", State: ReleaseRolledBack, Wish: ReleaseSpec{Kind: KindMember, All: true}, Units: []Unit{{Name: "a", Kind: KindMember, Phase: PhaseDone, Updated: true}}}},
+		{ReleaseStatus: ReleaseStatus{Name: "second", State: ReleaseRollingBack, Wish: ReleaseSpec{Kind: KindEject, Ban: []string{"a"}}, Units: []Unit{{Name: "a", Kind: KindEject, Phase: PhaseLeaving, Reverting: true}}}}}
 	calls(t, s, 6, "", Command{Kind: CommandObserve, Observations: []Observation{{Release: "second", Unit: "a", Phase: PhaseDone}}})
 	for name, want := range map[string]string{"first": ReleaseRollingBack, "second": ReleaseRolledBack} {
 		if a, _ := s.Release(name); a.State != want {
@@ -589,8 +589,8 @@
 	for _, allow := range []bool{false, true} {
 		s, v := New(), View{At: 1e6, Relays: []Relay{{Name: "n", Full: true}}, Members: []Member{{Name: "a", Program: "b3", Started: 9, Capacity: 1, Bears: 1}}}
 		s.d.Releases = []release{{ReleaseStatus: ReleaseStatus{Name: "r", State: ReleaseRolledBack, Backing: true, Wish: ReleaseSpec{Kind: KindMember, All: true, Program: "b2"}, Units: []Unit{
-			{Name: "a", Kind: KindMember, Program: "b1", Phase: PhaseDrained, Stranded: true, Number: 1, Start: 5}}}}}
-		if plan := s.Plan(v.At, v, b); plan != nil || s.Orders("n").Out["a"].Why != "drain" {
+			{Name: "a", Kind: KindMember, PreviousProgram: "b1", Phase: PhaseDrained, Stranded: true, OrderNumber: 1, SeenStart: 5}}}}}
+		if plan := s.Plan(v.At, v, b); plan != nil || s.Orders("n").Exclusions["a"].Reason != "drain" {
 			t.Errorf("%+v, %+v", plan, s.Orders("n"))
 		}
 		if allow {
@@ -600,7 +600,7 @@
 			calls(t, s, v.At, "", s.Plan(v.At, v, b)[0])
 		}
 		a, _ := s.Release("r")
-		if plan := s.Plan(v.At, v, b); plan != nil || s.Orders("n").Out != nil || len(s.d.planned(KindMember)) > 0 || len(a.Except) != 1 {
+		if plan := s.Plan(v.At, v, b); plan != nil || s.Orders("n").Exclusions != nil || len(s.d.planned(KindMember)) > 0 || len(a.Except) != 1 {
 			t.Errorf("allowed %v: %+v, %+v", allow, plan, a)
 		}
 	}
@@ -728,7 +728,7 @@
 	calls(t, s, v.At, ReleaseRunning, s.Plan(v.At, v, b)[0])
 	r := s.d.release("r")
 	for i := range r.Units {
-		r.Units[i].Got = true
+		r.Units[i].Updated = true
 	}
 	if r.undoable(r.unit("a")) || !r.undoable(r.unit("b")) {
 		t.Errorf("%+v", r.Units)
@@ -795,7 +795,7 @@
 	}
 	begin()
 	plan(b, "n6 n2 n0 ")
-	if o := s.Orders("n6").Shut; o == nil || o.Why != "late" || o.Start != 5 || s.Orders("n1").Shut != nil {
+	if o := s.Orders("n6").Quarantine; o == nil || o.Reason != "late" || o.StartNumber != 5 || s.Orders("n1").Quarantine != nil {
 		t.Errorf("%+v", o)
 	}
 	if old, err := Decode([]byte(`{"version":3,"at":9,"number":1}`)); err != nil || len(old.Shuts()) > 0 {
@@ -813,7 +813,7 @@
 	plan(b, "n6 n2 n0 ")
 	plan(b, "n6 n2 n0 ")
 	for _, r := range v.Relays {
-		if o := s.Orders(r.Name); (o.Leave != nil) != (o.Shut != nil) {
+		if o := s.Orders(r.Name); (o.Leave != nil) != (o.Quarantine != nil) {
 			t.Errorf("%s: %+v", r.Name, o)
 		}
 	}
@@ -928,11 +928,11 @@
 	v := View{At: 1000, Relays: []Relay{{Name: "n", Full: true}}, Members: []Member{{Name: "a.1", Started: 990, Capacity: 1, Bears: 0.3}, {Name: "b", Capacity: 1, Bears: 1}}}
 	s := New()
 	s.d.Releases = []release{{Laid: true, ReleaseStatus: ReleaseStatus{Name: "r", State: ReleaseRunning, Wish: ReleaseSpec{Kind: KindMember, All: true}, Units: []Unit{
-		{Name: "a", Kind: KindMember, Phase: PhaseDrained, Number: 1, At: 900, Start: 5}, {Name: "b", Kind: KindMember}}}}}
+		{Name: "a", Kind: KindMember, Phase: PhaseDrained, OrderNumber: 1, OrderedAt: 900, SeenStart: 5}, {Name: "b", Kind: KindMember}}}}}
 	for _, c := range s.Plan(v.At, v, b) {
 		calls(t, s, v.At, "", c)
 	}
-	if a, _ := s.Release("r"); a.State != ReleaseRunning || a.Units[0].Phase != PhaseReplaced || a.Units[0].Now != "a.1" {
+	if a, _ := s.Release("r"); a.State != ReleaseRunning || a.Units[0].Phase != PhaseReplaced || a.Units[0].Successor != "a.1" {
 		t.Errorf("%+v, %+v", a, a.Halt)
 	}
 }
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -74,29 +74,29 @@
 func (s *State) Orders(relay string) Orders {
 	var o Orders
 	out := func(name string, x Exclusion) {
-		if o.Out == nil {
-			o.Out = map[string]Exclusion{}
+		if o.Exclusions == nil {
+			o.Exclusions = map[string]Exclusion{}
 		}
-		o.Out[name] = x
+		o.Exclusions[name] = x
 	}
 	for _, r := range s.d.Releases {
 		for _, u := range r.Units {
 			switch {
 			case u.Kind == KindRelay && u.Name == relay && u.Phase == PhaseLeaving:
-				o.Leave = &LeaveOrder{Number: u.Number, Release: r.Name, Start: uint64(u.Start), Program: r.Wish.Program, Config: r.Wish.Config}
-				if u.Undo {
-					o.Leave.Program, o.Leave.Config = u.Program, u.Config
+				o.Leave = &LeaveOrder{Number: u.OrderNumber, Release: r.Name, StartNumber: uint64(u.SeenStart), Program: r.Wish.Program, Config: r.Wish.Config}
+				if u.Reverting {
+					o.Leave.Program, o.Leave.Config = u.PreviousProgram, u.PreviousConfig
 				}
 			case u.Kind == KindMember && (u.Phase == PhaseLeaving || u.Phase == PhaseDrained || u.Phase == PhaseDone && r.Wish.Drain):
-				out(u.name(), Exclusion{Why: "drain", Number: u.Number, Since: u.At, MoveOver: u.MoveOver})
+				out(u.name(), Exclusion{Reason: "drain", Number: u.OrderNumber, Since: u.OrderedAt, MigrateOverMS: u.MigrateOverMS})
 			}
 		}
 	}
 	for _, b := range s.d.Bans {
-		out(b.Name, Exclusion{Why: "ban", Number: b.Number, Since: b.Since})
+		out(b.Name, Exclusion{Reason: "ban", Number: b.Number, Since: b.Since})
 	}
-	if x := s.d.shutting(relay); x != nil && x.Opened == 0 {
-		o.Shut = &QuarantineOrder{Number: x.Number, Since: x.Since, Why: x.Why, Start: x.Start}
+	if x := s.d.shutting(relay); x != nil && x.ReadmittedVersion == 0 {
+		o.Quarantine = &QuarantineOrder{Number: x.Number, Since: x.Since, Reason: x.Reason, StartNumber: x.StartNumber}
 	}
 	return o
 }
@@ -126,7 +126,7 @@
 
 // Shuts are the relays that are shut.
 func (s *State) Shuts() []Quarantine {
-	return slices.DeleteFunc(slices.Clone(s.d.Shuts), func(x Quarantine) bool { return x.Opened != 0 })
+	return slices.DeleteFunc(slices.Clone(s.d.Shuts), func(x Quarantine) bool { return x.ReadmittedVersion != 0 })
 }
 
 // clone shares nothing that a command changes.
@@ -215,7 +215,7 @@
 func (r *release) ended() bool { return r.State == ReleaseCompleted || r.State == ReleaseRolledBack }
 
 // name is what the thing is called now.
-func (u *Unit) name() string { return cmp.Or(u.Now, u.Name) }
+func (u *Unit) name() string { return cmp.Or(u.Successor, u.Name) }
 
 // isOut says whether it counts as out by plan.
 func (u *Unit) isOut() bool {
@@ -224,17 +224,17 @@
 
 // undoable says whether there is a way back for a unit that has the new thing. A relay's restart alone has none.
 func (r *release) undoable(u *Unit) bool {
-	if !u.Got || r.Wish.Drain {
+	if !u.Updated || r.Wish.Drain {
 		return false
 	}
 	switch u.Kind {
 	case KindRelay:
 		other := func(now, before string) bool { return now != "" && before != "" && now != before } // what it ran may not be known
-		return other(r.Wish.Program, u.Program) || other(r.Wish.Config, u.Config)
+		return other(r.Wish.Program, u.PreviousProgram) || other(r.Wish.Config, u.PreviousConfig)
 	case KindEject:
-		return !u.Banned
+		return !u.PreviouslyEjected
 	case KindReinstate:
-		return u.Banned
+		return u.PreviouslyEjected
 	}
 	return true
 }
@@ -245,11 +245,11 @@
 	case !undo:
 		return r.Wish.Program, r.Wish.Config
 	case r.Wish.Program != "" && r.Wish.Config != "":
-		return u.Program, u.Config
+		return u.PreviousProgram, u.PreviousConfig
 	case r.Wish.Program != "":
-		return u.Program, ""
+		return u.PreviousProgram, ""
 	case r.Wish.Config != "":
-		return "", u.Config
+		return "", u.PreviousConfig
 	}
 	return "", ""
 }
--- a/internal/rollout/world_test.go
+++ b/internal/rollout/world_test.go
@@ -197,9 +197,9 @@
 }
 
 func (w *world) remember() {
-	a := agreed{at: w.now, version: w.s.Version(), leave: map[string]*LeaveOrder{}, shut: map[string]*QuarantineOrder{}, out: w.s.Orders("").Out}
+	a := agreed{at: w.now, version: w.s.Version(), leave: map[string]*LeaveOrder{}, shut: map[string]*QuarantineOrder{}, out: w.s.Orders("").Exclusions}
 	for _, x := range w.s.Shuts() {
-		a.shut[x.Name] = w.s.Orders(x.Name).Shut
+		a.shut[x.Name] = w.s.Orders(x.Name).Quarantine
 	}
 	for _, r := range w.s.d.Releases {
 		for _, u := range r.Units {
@@ -253,13 +253,13 @@
 // shutBy says whether what was agreed then shuts the process that runs.
 func (h *host) shutBy(a agreed) bool {
 	c := a.shut[h.name]
-	return c != nil && (h.literal || h.start <= c.Start)
+	return c != nil && (h.literal || h.start <= c.StartNumber)
 }
 
 // mayLeave says whether the process that runs may still be told to leave, or is shut, by what it has not applied yet.
 func (w *world) mayLeave(h *host) bool {
 	for _, a := range w.log[h.applied:] {
-		if l := a.leave[h.name]; l != nil && h.start <= l.Start || h.shutBy(a) {
+		if l := a.leave[h.name]; l != nil && h.start <= l.StartNumber || h.shutBy(a) {
 			return true
 		}
 	}
@@ -401,14 +401,14 @@
 	a := w.log[h.applied]
 	l := a.leave[h.name]
 	switch {
-	case l != nil && h.start <= l.Start && h.endAt == 0:
+	case l != nil && h.start <= l.StartNumber && h.endAt == 0:
 		h.endAt, h.next = w.now+w.rnd(300, 2000), l.Program
 	case l == nil && h.endAt > w.now+200: // it was taken back, and it has not begun to end
 		h.endAt, h.next = 0, ""
 	}
 	for m, o := range a.out {
 		if _, told := w.log[h.applied-1].out[m]; !told {
-			h.held[m] = w.now + o.MoveOver
+			h.held[m] = w.now + o.MigrateOverMS
 		}
 	}
 }
@@ -426,11 +426,11 @@
 		r := &w.s.d.Releases[i]
 		for j := range r.Units {
 			u := &r.Units[j]
-			if u.Phase != PhaseDrained || u.Kind != KindMember || u.name() != x.name || u.Number == x.number || r.Wish.Drain || x.up && w.rng.IntN(4) > 0 {
+			if u.Phase != PhaseDrained || u.Kind != KindMember || u.name() != x.name || u.OrderNumber == x.number || r.Wish.Drain || x.up && w.rng.IntN(4) > 0 {
 				continue
 			}
-			x.number, x.next = u.Number, r.Wish.Program
-			if u.Undo || r.Backing {
+			x.number, x.next = u.OrderNumber, r.Wish.Program
+			if u.Reverting || r.Backing {
 				x.next = x.was // its owner knows, whether or not it says so to the fleet
 			}
 			if x.up {
@@ -518,7 +518,7 @@
 		r.Gone = !h.up
 		r.Full = w.serves(h) && h.start == r.Start
 		v.Relays = append(v.Relays, r)
-		if was := w.s.d.shutting(h.name); h.wordAt >= w.leader && w.now < h.unfit || h.wordAt < w.leader && was != nil && was.Opened == 0 {
+		if was := w.s.d.shutting(h.name); h.wordAt >= w.leader && w.now < h.unfit || h.wordAt < w.leader && was != nil && was.ReadmittedVersion == 0 {
 			v.Unfit[h.name] = "it does not do what was agreed"
 			v.UnfitOrder = append(v.UnfitOrder, h.name)
 		}
--- a/internal/scenariorunner/fleet.go
+++ b/internal/scenariorunner/fleet.go
@@ -157,10 +157,10 @@
 				}
 			})
 			for _, u := range whole.Units {
-				name := cmp.Or(u.Now, u.Name) // on the way back it is the successor that is replaced, by the build of before
+				name := cmp.Or(u.Successor, u.Name) // on the way back it is the successor that is replaced, by the build of before
 				if u.Kind == rollout.KindMember && u.Phase == rollout.PhaseDrained && !replaced[name] {
 					replaced[name] = true
-					r.succeed(name, u.Undo)
+					r.succeed(name, u.Reverting)
 				}
 			}
 		}
