--- a/internal/fleet/helm.go
+++ b/internal/fleet/helm.go
@@ -255,11 +255,11 @@
 		x, u := h.scene.words[r.Name], h.under[r.Name]
 		h.intend(now, r.Name)
 		switch {
-		case r.Gone:
+		case r.Exited:
 			h.watch.Alive(now, r.Name, drift.Gone)
-		case x == nil || r.HeardMS > silentAfter.Milliseconds():
+		case x == nil || r.ReportAgeMS > silentAfter.Milliseconds():
 			h.watch.Alive(now, r.Name, drift.Silent)
-		case r.Phase == "leaving" || r.Phase == "starting" || u.unit.Phase == rollout.PhaseLeaving && r.Start <= uint64(u.unit.SeenStart):
+		case r.Phase == "leaving" || r.Phase == "starting" || u.unit.Phase == rollout.PhaseLeaving && r.StartNumber <= uint64(u.unit.SeenStart):
 			h.watch.Alive(now, r.Name, drift.Restarting)
 		default:
 			h.watch.Alive(now, r.Name, drift.Live)
@@ -378,7 +378,7 @@
 	}
 	for _, r := range v.Relays {
 		x, u := h.scene.words[r.Name], h.under[r.Name]
-		if x == nil || r.HeardMS > silentAfter.Milliseconds() {
+		if x == nil || r.ReportAgeMS > silentAfter.Milliseconds() {
 			continue
 		}
 		if x.tells(drift.Program) && !u.names(drift.Program) {
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -331,7 +331,7 @@
 		meant := s.helm.meaning(now, &v)
 		trials := s.weigh(now, &v)
 		s.view = v
-		unheard := slices.ContainsFunc(v.Relays, func(r rollout.Relay) bool { return seen.words[r.Name] == nil && !r.Gone })
+		unheard := slices.ContainsFunc(v.Relays, func(r rollout.Relay) bool { return seen.words[r.Name] == nil && !r.Exited })
 		s.mu.Unlock()
 		if now-led < silentAfter.Milliseconds() && unheard {
 			return
--- a/internal/fleet/trial.go
+++ b/internal/fleet/trial.go
@@ -36,7 +36,7 @@
 	case c.Status == canary.Done, c.Status == canary.Back && (release.Name == "" || release.State == rollout.ReleaseRolledBack || release.State == rollout.ReleaseCompleted):
 		return []canary.Command{{Do: "close", Release: c.Release}}
 	case c.Status != canary.Going:
-		v.Worse, v.WorseOf = cmpOr(c.Why, string(c.Status)), c.Release
+		v.Degraded, v.DegradedRelease = cmpOr(c.Why, string(c.Status)), c.Release
 	}
 	was := s.verdict.Kind
 	if s.verdict = s.judge.Verdict(now); s.verdict.Kind != was {
@@ -45,7 +45,7 @@
 	}
 	applied := !slices.ContainsFunc(v.Relays, func(r rollout.Relay) bool {
 		h := s.helm.scene.words[r.Name]
-		return r.HeardMS < silentAfter.Milliseconds() && h != nil && h.Weighs < s.record.canary.Version()
+		return r.ReportAgeMS < silentAfter.Milliseconds() && h != nil && h.Weighs < s.record.canary.Version()
 	})
 	return s.record.canary.Plan(max(now, s.record.held.At), s.verdict, applied)
 }
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -134,12 +134,12 @@
 // count adds to the window of now.
 func (s *scene) count(now int64, asked, served float64) {
 	end := now - now%windowsMS + windowsMS
-	if n := len(s.windows); n == 0 || s.windows[n-1].At < end {
-		s.windows = append(s.windows, rollout.ServiceWindow{At: end})
+	if n := len(s.windows); n == 0 || s.windows[n-1].EndsAt < end {
+		s.windows = append(s.windows, rollout.ServiceWindow{EndsAt: end})
 		s.windows = s.windows[max(0, len(s.windows)-windows):]
 	}
 	last := &s.windows[len(s.windows)-1]
-	last.Asked, last.Served = last.Asked+asked, last.Served+served
+	last.Requested, last.Served = last.Requested+asked, last.Served+served
 }
 
 // warmth is what a member bears of its capacity, by its age.
@@ -160,7 +160,7 @@
 func (s *scene) view(now, ledAt, hold int64, self string, own Look, cold warmth) rollout.View {
 	v := rollout.View{At: now}
 	for _, c := range s.windows {
-		if c.At <= now { // whole ones
+		if c.EndsAt <= now { // whole ones
 			v.Service = append(v.Service, c)
 		}
 	}
@@ -176,18 +176,18 @@
 		names[n] = true
 	}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		r := rollout.Relay{Name: name, HeardMS: now - ledAt}
+		r := rollout.Relay{Name: name, ReportAgeMS: now - ledAt}
 		p, known := peers[name]
 		if h := s.words[name]; h != nil {
-			r.Zone, r.HeardMS, r.Start, r.Phase, r.Program, r.Config, r.Applied, r.Flows = h.Zone, now-h.at, h.Start, h.Phase, h.Program, h.Config, h.Follows, h.Flows
+			r.Zone, r.ReportAgeMS, r.StartNumber, r.Phase, r.Program, r.Config, r.AppliedVersion, r.Flows = h.Zone, now-h.at, h.Start, h.Phase, h.Program, h.Config, h.Follows, h.Flows
 			// Others see it serve: this relay's peers, of this very process. Of itself the leader knows.
-			r.Full = r.Phase == "serving" && (name == self || known && p.Alive && p.Serving && p.Incarnation >= h.Start)
+			r.InService = r.Phase == "serving" && (name == self || known && p.Alive && p.Serving && p.Incarnation >= h.Start)
 		}
 		if known {
 			r.Zone = cmp.Or(r.Zone, p.Zone)
-			r.Gone = p.Gone && p.Incarnation >= r.Start
+			r.Exited = p.Gone && p.Incarnation >= r.StartNumber
 			if p.Alive {
-				r.HeardMS = min(r.HeardMS, hold)
+				r.ReportAgeMS = min(r.ReportAgeMS, hold)
 			}
 		}
 		v.Relays = append(v.Relays, r)
@@ -199,12 +199,12 @@
 func (s *scene) members(now int64, own Look, cold warmth, v *rollout.View) {
 	pool := map[string]*rollout.Member{}
 	for _, m := range own.Members {
-		pool[m.Name] = &rollout.Member{Name: m.Name, Zone: m.Zone, Listed: m.Listed, Started: m.Started, Capacity: m.Capacity, Held: map[string]rollout.RelayFlows{}}
+		pool[m.Name] = &rollout.Member{Name: m.Name, Zone: m.Zone, Listed: m.Listed, Started: m.Started, Capacity: m.Capacity, FlowsByRelay: map[string]rollout.RelayFlows{}}
 	}
 	good, bad := map[string]uint64{}, map[string]uint64{}
 	gone := map[string]bool{} // what an ended process held, it holds no more: its last word must not keep a member in the view
 	for _, r := range v.Relays {
-		gone[r.Name] = r.Gone
+		gone[r.Name] = r.Exited
 	}
 	for _, p := range own.Peers { // the next process may be there, and have said nothing yet
 		if h := s.words[p.Name]; h != nil && p.Incarnation > h.Start {
@@ -222,11 +222,11 @@
 				if t.flows == 0 {
 					continue
 				}
-				m = &rollout.Member{Name: name, Held: map[string]rollout.RelayFlows{}}
+				m = &rollout.Member{Name: name, FlowsByRelay: map[string]rollout.RelayFlows{}}
 				pool[name] = m
 			}
 			if t.flows > 0 {
-				m.Held[relay] = rollout.RelayFlows{Flows: t.flows, At: h.at}
+				m.FlowsByRelay[relay] = rollout.RelayFlows{Flows: t.flows, ReportedAt: h.at}
 				v.Load += float64(t.flows)
 			}
 			m.Capacity = max(m.Capacity, t.capacity)
@@ -248,9 +248,9 @@
 		if m.Capacity == 0 && known > 0 { // a new one of which no report told yet: without a capacity it would not look cold
 			m.Capacity = sum / known
 		}
-		m.Bears = m.Capacity
+		m.UsableCapacity = m.Capacity
 		if m.Started > 0 {
-			m.Bears = m.Capacity * cold.at(now-m.Started)
+			m.UsableCapacity = m.Capacity * cold.at(now-m.Started)
 		}
 		// More went wrong there than went well, and more than once: one failure is no verdict.
 		m.Failing = bad[name] >= 2 && bad[name] > good[name]
--- a/internal/fleet/view_test.go
+++ b/internal/fleet/view_test.go
@@ -32,10 +32,10 @@
 	s.hear(now-1500, "b", of(70, 90, 90, 90)) // an earlier process
 	s.hear(now-1400, "b", of(71, 25, 5, 90))  // overtaken
 	v := s.view(now, now-9000, 8000, "a", own, cold)
-	if m := member(v, "new"); m.Capacity != 40 || m.Bears != 25 {
-		t.Errorf("a cold member bears %v of %v", m.Bears, m.Capacity)
+	if m := member(v, "new"); m.Capacity != 40 || m.UsableCapacity != 25 {
+		t.Errorf("a cold member bears %v of %v", m.UsableCapacity, m.Capacity)
 	}
-	if m := member(v, "old"); m.Held["a"].Flows != 3 || m.Held["b"].Flows != 6 || !m.Failing || m.Bears != 40 || v.Load != 9 {
+	if m := member(v, "old"); m.FlowsByRelay["a"].Flows != 3 || m.FlowsByRelay["b"].Flows != 6 || !m.Failing || m.UsableCapacity != 40 || v.Load != 9 {
 		t.Errorf("%+v, load %v", m, v.Load)
 	}
 	if m := member(s.view(now+triedMS, now-9000, 8000, "a", own, cold), "old"); m.Failing {
@@ -43,21 +43,21 @@
 	}
 	for _, r := range v.Relays {
 		want := map[string][2]bool{"a": {true, false}, "b": {false, false}, "c": {false, true}}[r.Name]
-		if r.Full != want[0] || r.Gone != want[1] {
+		if r.InService != want[0] || r.Exited != want[1] {
 			t.Errorf("%+v", r)
 		}
 	}
 	later := s.view(now+60_000, now-9000, 8000, "a", own, cold).Relays
-	if later[0].HeardMS != 63_000 || later[1].HeardMS != 8000 || later[2].HeardMS != 69_000 {
-		t.Errorf("not heard for %d, %d (peers hear it), %d (never)", later[0].HeardMS, later[1].HeardMS, later[2].HeardMS)
+	if later[0].ReportAgeMS != 63_000 || later[1].ReportAgeMS != 8000 || later[2].ReportAgeMS != 69_000 {
+		t.Errorf("not heard for %d, %d (peers hear it), %d (never)", later[0].ReportAgeMS, later[1].ReportAgeMS, later[2].ReportAgeMS)
 	}
 	own.Peers[0].Incarnation = 71
-	if v := s.view(now, now-9000, 8000, "a", own, cold); !v.Relays[1].Full {
+	if v := s.view(now, now-9000, 8000, "a", own, cold); !v.Relays[1].InService {
 		t.Errorf("%+v", v.Relays[1])
 	}
 	s.hear(now-1000, "a", of(50, 14, 0, 0))
-	if m := member(s.view(now, now-9000, 8000, "a", own, cold), "old"); len(m.Held) != 1 {
-		t.Errorf("held %v", m.Held)
+	if m := member(s.view(now, now-9000, 8000, "a", own, cold), "old"); len(m.FlowsByRelay) != 1 {
+		t.Errorf("held %v", m.FlowsByRelay)
 	}
 	if n := len(s.windows); n == 0 || s.windows[n-1].Served == 0 {
 		t.Errorf("windows %v", s.windows)
--- a/internal/rollout/account.go
+++ b/internal/rollout/account.go
@@ -56,16 +56,18 @@
 
 // sound says that others see the relay serve, and that nothing it says itself speaks against it.
 func (r *Relay) sound(b Budgets) bool {
-	return r.Full && !r.Gone && r.live(b) && (r.Phase == "serving" || r.Phase == "")
+	return r.InService && !r.Exited && r.live(b) && (r.Phase == "serving" || r.Phase == "")
 }
 
-func (r *Relay) live(b Budgets) bool { return !r.Gone && r.HeardMS >= 0 && r.HeardMS <= b.Silent }
+func (r *Relay) live(b Budgets) bool {
+	return !r.Exited && r.ReportAgeMS >= 0 && r.ReportAgeMS <= b.Silent
+}
 
-func (m *Member) sound() bool { return !m.Failing && m.Bears >= m.Capacity }
+func (m *Member) sound() bool { return !m.Failing && m.UsableCapacity >= m.Capacity }
 
 func (m *Member) flows() int {
 	n := 0
-	for _, h := range m.Held {
+	for _, h := range m.FlowsByRelay {
 		n += h.Flows
 	}
 	return n
@@ -73,28 +75,28 @@
 
 // relays is the relays' side of a view.
 func (d *data) relays(v *View, b Budgets) KindSummary {
-	s := KindSummary{Zones: map[string]int{}, Known: len(v.Relays) > 0}
+	s := KindSummary{CountByZone: map[string]int{}, CapacityKnown: len(v.Relays) > 0}
 	covered := d.covered(KindRelay)
 	for i := range v.Relays {
 		r := &v.Relays[i]
 		s.Load += float64(r.Flows)
-		s.Known = s.Known && r.Capacity > 0
+		s.CapacityKnown = s.CapacityKnown && r.Capacity > 0
 		switch {
 		case covered[r.Name]:
 			continue
 		case r.sound(b):
-			s.Left += r.Capacity
+			s.RemainingCapacity += r.Capacity
 		default:
-			s.Lost = append(s.Lost, ZonedName{r.Name, r.Zone})
+			s.Unavailable = append(s.Unavailable, ZonedName{r.Name, r.Zone})
 		}
-		s.Zones[r.Zone]++
+		s.CountByZone[r.Zone]++
 	}
 	return s.with(d.planned(KindRelay))
 }
 
 // members is the members' side. Those that come back bear what they bear.
 func (d *data) members(v *View) KindSummary {
-	s := KindSummary{Zones: map[string]int{}, Load: v.Load, Known: len(v.Members) > 0}
+	s := KindSummary{CountByZone: map[string]int{}, Load: v.Load, CapacityKnown: len(v.Members) > 0}
 	covered, coming := d.covered(KindMember), map[string]bool{}
 	for i := range d.Releases {
 		for j := range d.Releases[i].Units {
@@ -105,18 +107,18 @@
 	}
 	for i := range v.Members {
 		m := &v.Members[i]
-		s.Known = s.Known && m.Capacity > 0
+		s.CapacityKnown = s.CapacityKnown && m.Capacity > 0
 		_, banned := d.banned(m.Name)
 		if !m.Failing && !banned && (!covered[m.Name] || coming[m.Name]) {
-			s.Left += m.Bears
+			s.RemainingCapacity += m.UsableCapacity
 		}
 		if covered[m.Name] {
 			continue
 		}
 		if banned || !m.sound() {
-			s.Lost = append(s.Lost, ZonedName{m.Name, m.Zone})
+			s.Unavailable = append(s.Unavailable, ZonedName{m.Name, m.Zone})
 		}
-		s.Zones[m.Zone]++
+		s.CountByZone[m.Zone]++
 	}
 	return s.with(d.planned(KindMember))
 }
@@ -127,7 +129,7 @@
 	for _, p := range planned {
 		if !seen[p.Name] {
 			seen[p.Name] = true
-			s.Zones[p.Zone]++
+			s.CountByZone[p.Zone]++
 		}
 	}
 	return s
@@ -149,7 +151,7 @@
 	if kind == KindRelay {
 		r.budget = b.Relays
 	}
-	for _, n := range s.Zones {
+	for _, n := range s.CountByZone {
 		r.total += n
 	}
 	for _, p := range d.planned(kind) {
@@ -158,7 +160,7 @@
 	for _, p := range d.given(kind) {
 		r.planned[p.Name] = true
 	}
-	for _, p := range s.Lost {
+	for _, p := range s.Unavailable {
 		if planted != "no failures" {
 			r.add(p)
 		}
@@ -182,7 +184,7 @@
 		return fmt.Sprintf("%d are out, of %d that may be", len(r.out), most)
 	}
 	for _, z := range slices.Sorted(maps.Keys(r.zones)) {
-		if most := r.budget.zone(r.side.Zones[z]); r.zones[z] > most {
+		if most := r.budget.zone(r.side.CountByZone[z]); r.zones[z] > most {
 			return fmt.Sprintf("%d are out in zone %q, of %d that may be", r.zones[z], z, most)
 		}
 	}
@@ -191,8 +193,8 @@
 
 // short says that what is left does not even carry the load, headroom left aside.
 func (r *room) short() string {
-	if r.side.Known && r.side.Left < r.side.Load {
-		return fmt.Sprintf("what is left bears %.0f, the load is %.0f", r.side.Left, r.side.Load)
+	if r.side.CapacityKnown && r.side.RemainingCapacity < r.side.Load {
+		return fmt.Sprintf("what is left bears %.0f, the load is %.0f", r.side.RemainingCapacity, r.side.Load)
 	}
 	return ""
 }
@@ -209,16 +211,16 @@
 		if most := r.budget.whole(r.total); len(r.out)+1 > most {
 			return fmt.Sprintf("%d of %d that may be are out", len(r.out), most)
 		}
-		if most := r.budget.zone(r.side.Zones[zone]); r.zones[zone]+1 > most {
+		if most := r.budget.zone(r.side.CountByZone[zone]); r.zones[zone]+1 > most {
 			return fmt.Sprintf("%d of %d that may be are out in zone %q", r.zones[zone], most, zone)
 		}
 	}
-	if r.side.Known && bears > 0 && r.side.Left-bears < r.side.Load*(1+r.headroom) {
-		return fmt.Sprintf("what is left would bear %.0f, the load with headroom is %.0f", r.side.Left-bears, r.side.Load*(1+r.headroom))
+	if r.side.CapacityKnown && bears > 0 && r.side.RemainingCapacity-bears < r.side.Load*(1+r.headroom) {
+		return fmt.Sprintf("what is left would bear %.0f, the load with headroom is %.0f", r.side.RemainingCapacity-bears, r.side.Load*(1+r.headroom))
 	}
 	r.add(ZonedName{name, zone})
 	r.planned[name] = true
-	r.side.Left -= bears
+	r.side.RemainingCapacity -= bears
 	return ""
 }
 
--- a/internal/rollout/api.go
+++ b/internal/rollout/api.go
@@ -200,15 +200,15 @@
 
 // View is what the leader knows. A relay's fields and its Held are of one word. Names are unique.
 type View struct {
-	At      int64           `json:"at"`
-	Relays  []Relay         `json:"relays"`
-	Members []Member        `json:"members"`
-	Load    float64         `json:"load"`    // connections of members in use, or asked for
-	Service []ServiceWindow `json:"service"` // windows in which all relays counted, oldest first
-	Worse   string          `json:"worse,omitempty"`
-	WorseOf string          `json:"worse_of,omitempty"` // the release; "" for all
-	Drift   string          `json:"drift,omitempty"`    // of relays that are not shut: it holds releases up, and one of them may be the mending
-	DriftMS int64           `json:"drift_ms,omitempty"` // for how long
+	At              int64           `json:"at"`
+	Relays          []Relay         `json:"relays"`
+	Members         []Member        `json:"members"`
+	Load            float64         `json:"load"`    // connections of members in use, or asked for
+	Service         []ServiceWindow `json:"service"` // windows in which all relays counted, oldest first
+	Degraded        string          `json:"worse,omitempty"`
+	DegradedRelease string          `json:"worse_of,omitempty"` // the release; "" for all
+	Drift           string          `json:"drift,omitempty"`    // of relays that are not shut: it holds releases up, and one of them may be the mending
+	DriftMS         int64           `json:"drift_ms,omitempty"` // for how long
 	// Relays that should be shut, with why, and the worst first. Who is shut and not here is admitted: a leader that does not know yet names
 	// those that are shut.
 	Unfit      map[string]string `json:"unfit,omitempty"`
@@ -217,45 +217,45 @@
 
 // ServiceWindow is the service of one window, over all relays.
 type ServiceWindow struct {
-	At     int64   `json:"at"` // its end
-	Asked  float64 `json:"asked"`
-	Served float64 `json:"served"`
+	EndsAt    int64   `json:"at"` // its end
+	Requested float64 `json:"asked"`
+	Served    float64 `json:"served"`
 }
 
 // Relay is one as the leader sees it.
 type Relay struct {
-	Name     string  `json:"name"`
-	Zone     string  `json:"zone"`
-	HeardMS  int64   `json:"heard_ms"` // ago; -1 never
-	Gone     bool    `json:"gone"`     // no process, for certain
-	Start    uint64  `json:"start"`    // rises with every process
-	Phase    string  `json:"phase"`    // its own word: serving, or shut, or another
-	Program  string  `json:"program"`
-	Config   string  `json:"config"`
-	Applied  uint64  `json:"applied"` // the Version that it has applied
-	Full     bool    `json:"full"`    // others see it serve
-	Flows    int     `json:"flows"`
-	Capacity float64 `json:"capacity"` // flows; 0 unknown
+	Name           string  `json:"name"`
+	Zone           string  `json:"zone"`
+	ReportAgeMS    int64   `json:"heard_ms"` // ago; -1 never
+	Exited         bool    `json:"gone"`     // no process, for certain
+	StartNumber    uint64  `json:"start"`    // rises with every process
+	Phase          string  `json:"phase"`    // its own word: serving, or shut, or another
+	Program        string  `json:"program"`
+	Config         string  `json:"config"`
+	AppliedVersion uint64  `json:"applied"` // the Version that it has applied
+	InService      bool    `json:"full"`    // others see it serve
+	Flows          int     `json:"flows"`
+	Capacity       float64 `json:"capacity"` // flows; 0 unknown
 }
 
 // Member is one as the fleet sees it. One that is not listed any more stays in the view as long as a relay holds flows there.
 type Member struct {
-	Name     string                `json:"name"`
-	Zone     string                `json:"zone"`
-	Listed   string                `json:"listed"`
-	Program  string                `json:"program"`
-	Started  int64                 `json:"started"` // wall clock
-	Capacity float64               `json:"capacity"`
-	Bears    float64               `json:"bears"` // now; below Capacity while it is cold
-	Takes    float64               `json:"takes"` // new flows a second; 0 unknown
-	Failing  bool                  `json:"failing"`
-	Held     map[string]RelayFlows `json:"held"` // by relay; no entry: its last word named none
+	Name              string                `json:"name"`
+	Zone              string                `json:"zone"`
+	Listed            string                `json:"listed"`
+	Program           string                `json:"program"`
+	Started           int64                 `json:"started"` // wall clock
+	Capacity          float64               `json:"capacity"`
+	UsableCapacity    float64               `json:"bears"` // now; below Capacity while it is cold
+	NewFlowsPerSecond float64               `json:"takes"` // new flows a second; 0 unknown
+	Failing           bool                  `json:"failing"`
+	FlowsByRelay      map[string]RelayFlows `json:"held"` // by relay; no entry: its last word named none
 }
 
 // RelayFlows is what a relay said that it holds at a member.
 type RelayFlows struct {
-	Flows int   `json:"flows"`
-	At    int64 `json:"at"`
+	Flows      int   `json:"flows"`
+	ReportedAt int64 `json:"at"`
 }
 
 // Budgets are settings.
@@ -297,11 +297,11 @@
 
 // KindSummary is the relays' or the members' part of it.
 type KindSummary struct {
-	Zones map[string]int `json:"zones,omitempty"` // how many there are, those out included
-	Lost  []ZonedName    `json:"lost,omitempty"`  // unplanned: silent, dead, failing, cold, banned
-	Left  float64        `json:"left,omitempty"`  // what is borne by all that is sound and not out; cold ones by what they bear now
-	Load  float64        `json:"load,omitempty"`
-	Known bool           `json:"known,omitempty"` // capacities are
+	CountByZone       map[string]int `json:"zones,omitempty"` // how many there are, those out included
+	Unavailable       []ZonedName    `json:"lost,omitempty"`  // unplanned: silent, dead, failing, cold, banned
+	RemainingCapacity float64        `json:"left,omitempty"`  // what is borne by all that is sound and not out; cold ones by what they bear now
+	Load              float64        `json:"load,omitempty"`
+	CapacityKnown     bool           `json:"known,omitempty"` // capacities are
 }
 
 // ZonedName is a thing and its zone.
--- a/internal/rollout/apply.go
+++ b/internal/rollout/apply.go
@@ -404,7 +404,7 @@
 		names[u.Name] = true
 	}
 	for _, w := range c.Baseline {
-		if !(w.Asked >= 0 && w.Served >= 0 && w.Served <= w.Asked && w.Asked <= countMost) {
+		if !(w.Requested >= 0 && w.Served >= 0 && w.Served <= w.Requested && w.Requested <= countMost) {
 			return refuse("a window that served more than was asked")
 		}
 	}
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -22,7 +22,7 @@
 
 // Plan says what to propose next, in this order: a few commands, the same for the same state and view. What others saw comes first, then a halt
 // (a successor that is not yet known to be one would count as a cold member beside the empty one), then who is admitted and who is shut, then what goes out. Each is reckoned as if those before it were agreed, and names the version that they make: if one of them is
-// not, the rest is refused and the next look plans anew. A relay that was never heard is to have the age of the view as HeardMS, else
+// not, the rest is refused and the next look plans anew. A relay that was never heard is to have the age of the view as ReportAgeMS, else
 // nothing of it is ever past its time.
 func (s *State) Plan(now int64, v View, b Budgets) []Command {
 	p := s.d.planner(now, v, b)
@@ -138,9 +138,9 @@
 		r := p.relays[x.Name]
 		switch _, unfit := p.v.Unfit[x.Name]; {
 		case x.ReadmittedVersion == 0:
-		case r == nil || x.InService && r.live(p.b) && (!unfit || r.Start > x.StartNumber):
+		case r == nil || x.InService && r.live(p.b) && (!unfit || r.StartNumber > x.StartNumber):
 			list = append(list, Observation{Quarantine: x.Number, Phase: PhaseMissing})
-		case !x.InService && r.sound(p.b) && r.Applied >= x.ReadmittedVersion: // before that it may yet heed the order that was taken back
+		case !x.InService && r.sound(p.b) && r.AppliedVersion >= x.ReadmittedVersion: // before that it may yet heed the order that was taken back
 			list = append(list, Observation{Quarantine: x.Number, Phase: PhaseDone})
 		}
 	}
@@ -193,11 +193,11 @@
 	}
 	program, config := r.wants(u, u.Reverting)
 	fits := (program == "" || program == x.Program) && (config == "" || config == x.Config)
-	later := x.Start > uint64(u.SeenStart)
+	later := x.StartNumber > uint64(u.SeenStart)
 	switch {
 	case u.Phase == PhaseLeaving:
 		return Observation{Phase: PhaseDone}, later && fits
-	case x.Applied < u.OrderVersion:
+	case x.AppliedVersion < u.OrderVersion:
 		return Observation{}, false // it may yet heed the order that was taken back
 	case fits && (later || program+config != ""):
 		return Observation{Phase: PhaseDone}, true
@@ -265,7 +265,7 @@
 // heeded says that every relay that lives has applied a version.
 func (p *planner) heeded(version uint64) bool {
 	for i := range p.v.Relays {
-		if x := &p.v.Relays[i]; x.live(p.b) && x.Applied < version {
+		if x := &p.v.Relays[i]; x.live(p.b) && x.AppliedVersion < version {
 			return false
 		}
 	}
@@ -281,12 +281,12 @@
 	for i := range p.v.Relays {
 		x := &p.v.Relays[i]
 		switch {
-		case x.Gone:
+		case x.Exited:
 		case !x.live(p.b):
-			if x.HeardMS <= p.b.Hold {
+			if x.ReportAgeMS <= p.b.Hold {
 				return false
 			}
-		case m != nil && m.Held[x.Name].Flows > 0:
+		case m != nil && m.FlowsByRelay[x.Name].Flows > 0:
 			return false
 		}
 	}
@@ -377,7 +377,7 @@
 		case s.ReadmittedVersion != 0 || r != nil && !r.live(p.b):
 		case r == nil:
 			cause = "gone"
-		case r.Start > s.StartNumber:
+		case r.StartNumber > s.StartNumber:
 			cause = "started"
 		case !unfit && p.now-s.Since >= p.b.Silent: // one that comes and goes is not let in and out at each look
 			cause = "fit"
@@ -403,7 +403,7 @@
 			continue
 		}
 		seen[n] = true
-		c := Command{Kind: CommandQuarantine, Name: n, Reason: cut(why, MaxReasonBytes), Zone: r.Zone, Capacity: p.bears(&Unit{Name: n, Kind: KindRelay}), StartNumber: r.Start,
+		c := Command{Kind: CommandQuarantine, Name: n, Reason: cut(why, MaxReasonBytes), Zone: r.Zone, Capacity: p.bears(&Unit{Name: n, Kind: KindRelay}), StartNumber: r.StartNumber,
 			Basis: p.sight()}
 		if p.rooms[KindRelay].shut(n, r.Zone, c.Capacity) == "" {
 			list = append(list, c)
@@ -423,7 +423,7 @@
 func (p *planner) halt(stalled map[string]string) *Command {
 	for i := range p.d.Releases {
 		r := &p.d.Releases[i]
-		verdict := p.v.Worse != "" && (p.v.WorseOf == "" || p.v.WorseOf == r.Name)
+		verdict := p.v.Degraded != "" && (p.v.DegradedRelease == "" || p.v.DegradedRelease == r.Name)
 		if r.State != ReleaseRunning && r.State != ReleaseRollingBack && !(r.State == ReleaseHalted && verdict && !r.Halt.Stays && !r.Backing) {
 			continue
 		}
@@ -449,7 +449,7 @@
 
 func (p *planner) bad(r *release, verdict bool) (cause, why string) {
 	if verdict {
-		return HaltVerdict, p.v.Worse
+		return HaltVerdict, p.v.Degraded
 	}
 	if p.v.Drift != "" && p.v.DriftMS > p.b.Drift {
 		return HaltDrift, p.v.Drift
@@ -548,7 +548,7 @@
 		for _, m := range p.v.Members {
 			if w.of(m.Name, m.Zone) {
 				units = append(units, Unit{Name: m.Name, Zone: m.Zone, Kind: w.Kind, Capacity: m.Capacity, PreviousProgram: m.Program})
-				risk[m.Name] = m.Bears
+				risk[m.Name] = m.UsableCapacity
 				there[m.Name] = true
 			}
 		}
@@ -578,8 +578,8 @@
 func (p *planner) before() []ServiceWindow {
 	var list []ServiceWindow
 	for _, c := range p.v.Service[max(0, len(p.v.Service)-countsMost):] {
-		if c.Asked >= 0 && c.Served >= 0 && c.Asked <= countMost {
-			list = append(list, ServiceWindow{c.At, c.Asked, min(c.Served, c.Asked)})
+		if c.Requested >= 0 && c.Served >= 0 && c.Requested <= countMost {
+			list = append(list, ServiceWindow{c.EndsAt, c.Requested, min(c.Served, c.Requested)})
 		}
 	}
 	return list
@@ -598,12 +598,12 @@
 	if w.Zonal || !room.budget.Zone.set() {
 		return w.Zonal
 	}
-	for _, n := range room.side.Zones {
+	for _, n := range room.side.CountByZone {
 		if room.budget.zone(n) < room.budget.whole(room.total) {
 			return false
 		}
 	}
-	return len(room.side.Zones) > 1
+	return len(room.side.CountByZone) > 1
 }
 
 // spread orders units: those of the zone with the smallest risk first, or one of each zone in turn.
@@ -725,7 +725,7 @@
 	g := Grant{Capacity: p.bears(u)}
 	if u.Kind == KindRelay {
 		if x := p.relays[u.Name]; x != nil {
-			g.Zone, g.SeenStart = x.Zone, int64(x.Start)
+			g.Zone, g.SeenStart = x.Zone, int64(x.StartNumber)
 		}
 	} else if m := p.members[u.name()]; m != nil {
 		g.Zone, g.SeenStart = m.Zone, m.Started
@@ -749,7 +749,7 @@
 	if _, banned := p.d.banned(m.Name); banned {
 		return 0
 	}
-	return m.Bears
+	return m.UsableCapacity
 }
 
 // candidates are the units of a release that may go out, in order: those that are sound first. The way back is in reverse.
@@ -807,11 +807,11 @@
 	covered := p.d.covered(KindMember)
 	for i := range p.v.Members {
 		if m := &p.v.Members[i]; !covered[m.Name] && !p.rooms[KindMember].planned[m.Name] && p.bears(&Unit{Name: m.Name, Kind: KindMember}) > 0 {
-			rate, known = rate+m.Takes, known && m.Takes > 0
+			rate, known = rate+m.NewFlowsPerSecond, known && m.NewFlowsPerSecond > 0
 		}
 	}
 	if !known || rate <= 0 {
-		rate = p.rooms[KindMember].side.Left / (float64(max(p.b.Warm, 1)) / 1000)
+		rate = p.rooms[KindMember].side.RemainingCapacity / (float64(max(p.b.Warm, 1)) / 1000)
 	}
 	if flows == 0 || rate <= 0 {
 		return 0
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -587,7 +587,7 @@
 func TestStranded(t *testing.T) {
 	b := Budgets{Silent: 100, Fresh: 100, Drain: 100, Start: 100, Window: 100}
 	for _, allow := range []bool{false, true} {
-		s, v := New(), View{At: 1e6, Relays: []Relay{{Name: "n", Full: true}}, Members: []Member{{Name: "a", Program: "b3", Started: 9, Capacity: 1, Bears: 1}}}
+		s, v := New(), View{At: 1e6, Relays: []Relay{{Name: "n", InService: true}}, Members: []Member{{Name: "a", Program: "b3", Started: 9, Capacity: 1, UsableCapacity: 1}}}
 		s.d.Releases = []release{{ReleaseStatus: ReleaseStatus{Name: "r", State: ReleaseRolledBack, Backing: true, Wish: ReleaseSpec{Kind: KindMember, All: true, Program: "b2"}, Units: []Unit{
 			{Name: "a", Kind: KindMember, PreviousProgram: "b1", Phase: PhaseDrained, Stranded: true, OrderNumber: 1, SeenStart: 5}}}}}
 		if plan := s.Plan(v.At, v, b); plan != nil || s.Orders("n").Exclusions["a"].Reason != "drain" {
@@ -715,7 +715,7 @@
 // Requester has not said yet what it runs could not be given back: such a release is not laid out, unless it is silent for good. Then there is no way back.
 func TestUnknown(t *testing.T) {
 	s, b := New(), Budgets{Silent: 100, Fresh: 100, Drain: 500, Start: 500, Window: 100}
-	v := View{At: 1000, Relays: []Relay{{Name: "a", HeardMS: 1}, {Name: "b", Program: "p1", Start: 1, Full: true}}}
+	v := View{At: 1000, Relays: []Relay{{Name: "a", ReportAgeMS: 1}, {Name: "b", Program: "p1", StartNumber: 1, InService: true}}}
 	calls(t, s, v.At, ReleaseQueued, Command{Kind: CommandOpen, Name: "first", Release: &ReleaseSpec{Kind: KindRelay, Names: []string{"b"}}})
 	calls(t, s, v.At, ReleaseQueued, Command{Kind: CommandOpen, Name: "r", Release: &ReleaseSpec{Kind: KindRelay, All: true, Program: "p2", Wait: true}})
 	v.At += 5000
@@ -739,7 +739,7 @@
 func TestOrder(t *testing.T) {
 	v := View{At: 1, Relays: []Relay{{Name: "r", Zone: "a"}}}
 	for i, zone := range []string{"a", "b", "a", "b"} {
-		v.Members = append(v.Members, Member{Name: "m" + strconv.Itoa(i), Zone: zone, Capacity: 9, Bears: float64(9 - i)})
+		v.Members = append(v.Members, Member{Name: "m" + strconv.Itoa(i), Zone: zone, Capacity: 9, UsableCapacity: float64(9 - i)})
 	}
 	for want, budget := range map[string]Budget{
 		"m3 m2 m1 m0 ": {Whole: Limit{Count: 2}, Zone: Limit{Count: 1}},
@@ -766,7 +766,7 @@
 	begin := func() {
 		s, v = New(), View{At: 1e6, Unfit: map[string]string{}, UnfitOrder: []string{"n6", "n2", "n1"}}
 		for i := range 8 {
-			r := Relay{Name: "n" + strconv.Itoa(i), Zone: "z" + strconv.Itoa(i%2), Start: 5, Phase: "serving", Full: true, Flows: 50, Capacity: 100}
+			r := Relay{Name: "n" + strconv.Itoa(i), Zone: "z" + strconv.Itoa(i%2), StartNumber: 5, Phase: "serving", InService: true, Flows: 50, Capacity: 100}
 			if v.Relays = append(v.Relays, r); i%2 == 0 {
 				v.Unfit[r.Name] = "late"
 			}
@@ -821,9 +821,9 @@
 	calls(t, s, v.At, ReleaseHalted, Command{Kind: CommandHalt, Name: "r"})
 	for i := range v.Relays {
 		if x := &v.Relays[i]; v.Unfit[x.Name] != "" && x.Name != "n4" {
-			x.Phase, x.Full = "shut", false
+			x.Phase, x.InService = "shut", false
 			plan(b, "n6 n2 n0 ")
-			x.Applied = s.Version()
+			x.AppliedVersion = s.Version()
 		}
 	}
 	plan(b, "n6 n2 n0 ")
@@ -834,21 +834,21 @@
 	}
 	// One comes back: it is admitted, and counts until it is seen to serve by that; then the next is shut.
 	r := &v.Relays[6]
-	r.Start, r.Phase, r.Full = 6, "shut", false
+	r.StartNumber, r.Phase, r.InService = 6, "shut", false
 	delete(v.Unfit, "n6")
 	plan(b, "n2 n0 ")
-	r.Phase, r.Full = "serving", true
+	r.Phase, r.InService = "serving", true
 	plan(b, "n2 n0 ")
-	r.Applied = s.Version()
+	r.AppliedVersion = s.Version()
 	plan(b, "n2 n0 n4 ")
 
 	// One that is not unfit any more is admitted, but not at each look; and not while it is silent.
 	delete(v.Unfit, "n4")
 	plan(b, "n2 n0 n4 ")
 	v.At += b.Silent
-	v.Relays[4].HeardMS = b.Silent + 1
+	v.Relays[4].ReportAgeMS = b.Silent + 1
 	plan(b, "n2 n0 n4 ")
-	v.Relays[4].HeardMS = 0
+	v.Relays[4].ReportAgeMS = 0
 	plan(b, "n2 n0 ")
 
 	// An operator's word stands above the drift, until it starts anew. One that is there no more is nothing to speak of.
@@ -858,10 +858,10 @@
 	calls(t, s, v.At, CommandReadmit, Command{Kind: CommandReadmit, Name: "n6"})
 	calls(t, s, v.At, "not shut", Command{Kind: CommandReadmit, Name: "n6"})
 	plan(b, "n2 n0 ")
-	r.Applied = s.Version()
+	r.AppliedVersion = s.Version()
 	plan(b, "n2 n0 n4 ")
 	plan(b, "n2 n0 n4 ")
-	r.Start = 6
+	r.StartNumber = 6
 	v.Relays = slices.DeleteFunc(v.Relays, func(r Relay) bool { return r.Name == "n2" })
 	plan(b, "n0 n4 ")
 	plan(b, "n0 n4 n6 ")
@@ -877,7 +877,7 @@
 	b := Budgets{Silent: 100, Fresh: 100, Drain: 500, Start: 500, Window: 100, Clock: 0.01}
 	v := View{At: 1000}
 	for i := range 4 {
-		v.Relays = append(v.Relays, Relay{Name: "n" + strconv.Itoa(i), Zone: "z", Start: 5, Phase: "serving", Full: true, Capacity: 100})
+		v.Relays = append(v.Relays, Relay{Name: "n" + strconv.Itoa(i), Zone: "z", StartNumber: 5, Phase: "serving", InService: true, Capacity: 100})
 	}
 	plan := func() {
 		for _, c := range s.Plan(v.At, v, b) {
@@ -896,14 +896,14 @@
 		t.Error("it may come back yet")
 	}
 	v.Relays = all
-	v.Relays[0].Full = false
+	v.Relays[0].InService = false
 	v.At++
 	plan()
 	if room := s.d.room(KindRelay, s.d.relays(&v, b), b); len(s.Permits()) != 0 || !room.out["n0"] || len(room.out) != 1 {
 		t.Errorf("%+v, out %v", s.Permits(), room.out)
 	}
 
-	v.Relays[0].Full = true
+	v.Relays[0].InService = true
 	calls(t, s, v.At, ReleaseQueued, Command{Kind: CommandOpen, Name: "r", Release: &ReleaseSpec{Kind: KindRelay, Names: []string{"n3"}}})
 	plan()
 	told := 0
@@ -925,7 +925,7 @@
 // A successor that has another name is no loss beside the member that it stands for: its release does not halt for it.
 func TestSuccessorIsNoLoss(t *testing.T) {
 	b := Budgets{Silent: 100, Fresh: 100, Drain: 1000, Start: 1000, Warm: 1000, Window: 100}
-	v := View{At: 1000, Relays: []Relay{{Name: "n", Full: true}}, Members: []Member{{Name: "a.1", Started: 990, Capacity: 1, Bears: 0.3}, {Name: "b", Capacity: 1, Bears: 1}}}
+	v := View{At: 1000, Relays: []Relay{{Name: "n", InService: true}}, Members: []Member{{Name: "a.1", Started: 990, Capacity: 1, UsableCapacity: 0.3}, {Name: "b", Capacity: 1, UsableCapacity: 1}}}
 	s := New()
 	s.d.Releases = []release{{Laid: true, ReleaseStatus: ReleaseStatus{Name: "r", State: ReleaseRunning, Wish: ReleaseSpec{Kind: KindMember, All: true}, Units: []Unit{
 		{Name: "a", Kind: KindMember, Phase: PhaseDrained, OrderNumber: 1, OrderedAt: 900, SeenStart: 5}, {Name: "b", Kind: KindMember}}}}}
--- a/internal/rollout/service.go
+++ b/internal/rollout/service.go
@@ -13,7 +13,7 @@
 func before(counts []ServiceWindow) (asked, served, spread float64) {
 	spread = 1
 	for _, c := range counts {
-		asked, served = asked+c.Asked, served+c.Served
+		asked, served = asked+c.Requested, served+c.Served
 	}
 	if asked <= 0 {
 		return 0, 0, 1
@@ -24,8 +24,8 @@
 	}
 	sum, n := 0.0, 0.0
 	for _, c := range counts {
-		if c.Asked > 0 {
-			sum += (c.Served - c.Asked*p) * (c.Served - c.Asked*p) / (c.Asked * p * (1 - p))
+		if c.Requested > 0 {
+			sum += (c.Served - c.Requested*p) * (c.Served - c.Requested*p) / (c.Requested * p * (1 - p))
 			n++
 		}
 	}
@@ -39,8 +39,8 @@
 func worse(asked, served, spread, slack float64, counts []ServiceWindow, since int64) bool {
 	var a, s float64
 	n := 0
-	for i := len(counts) - 1; i >= 0 && n < recent && counts[i].At > since; i-- {
-		a, s, n = a+counts[i].Asked, s+counts[i].Served, n+1
+	for i := len(counts) - 1; i >= 0 && n < recent && counts[i].EndsAt > since; i-- {
+		a, s, n = a+counts[i].Requested, s+counts[i].Served, n+1
 	}
 	if n < recent || asked <= 0 || a <= 0 {
 		return false
--- a/internal/rollout/world_test.go
+++ b/internal/rollout/world_test.go
@@ -390,7 +390,7 @@
 		} else if h.shutBy(w.log[h.applied]) {
 			phase = "shut"
 		}
-		h.word = Relay{Name: h.name, Zone: h.zone, Start: h.start, Phase: phase, Program: h.program, Applied: w.log[h.applied].version,
+		h.word = Relay{Name: h.name, Zone: h.zone, StartNumber: h.start, Phase: phase, Program: h.program, AppliedVersion: w.log[h.applied].version,
 			Flows: int(h.capacity * w.busy), Capacity: h.capacity}
 		h.saw = h.applied
 	}
@@ -511,12 +511,12 @@
 	}
 	for _, h := range w.relays {
 		r := h.word
-		r.Name, r.Zone, r.HeardMS = h.name, h.zone, w.now-h.wordAt
+		r.Name, r.Zone, r.ReportAgeMS = h.name, h.zone, w.now-h.wordAt
 		if h.wordAt < w.leader {
-			r = Relay{Name: h.name, Zone: h.zone, HeardMS: w.now - w.leader, Start: h.word.Start, Capacity: h.capacity}
+			r = Relay{Name: h.name, Zone: h.zone, ReportAgeMS: w.now - w.leader, StartNumber: h.word.StartNumber, Capacity: h.capacity}
 		}
-		r.Gone = !h.up
-		r.Full = w.serves(h) && h.start == r.Start
+		r.Exited = !h.up
+		r.InService = w.serves(h) && h.start == r.StartNumber
 		v.Relays = append(v.Relays, r)
 		if was := w.s.d.shutting(h.name); h.wordAt >= w.leader && w.now < h.unfit || h.wordAt < w.leader && was != nil && was.ReadmittedVersion == 0 {
 			v.Unfit[h.name] = "it does not do what was agreed"
@@ -528,7 +528,7 @@
 		if w.now < x.warmAt {
 			bears = x.capacity * cold
 		}
-		m := Member{Name: x.name, Zone: x.zone, Started: x.started, Capacity: x.capacity, Bears: bears, Failing: !x.up, Program: x.program, Held: map[string]RelayFlows{}}
+		m := Member{Name: x.name, Zone: x.zone, Started: x.started, Capacity: x.capacity, UsableCapacity: bears, Failing: !x.up, Program: x.program, FlowsByRelay: map[string]RelayFlows{}}
 		if !x.labels {
 			m.Program = "" // not all say what they run
 		}
@@ -537,9 +537,9 @@
 				continue
 			}
 			if _, moving := h.held[x.name]; moving {
-				m.Held[h.name] = RelayFlows{1, h.wordAt}
+				m.FlowsByRelay[h.name] = RelayFlows{1, h.wordAt}
 			} else if _, out := w.log[h.saw].out[x.name]; !out && len(w.relays) <= 40 {
-				m.Held[h.name] = RelayFlows{2, h.wordAt}
+				m.FlowsByRelay[h.name] = RelayFlows{2, h.wordAt}
 			}
 		}
 		if x.rename && !x.up {
