--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -86,14 +86,14 @@
 		return errors.New("start_ms: below zero")
 	}
 	start := cmp.Or(c.StartMS, startMS)
-	c.budgets = rollout.Budgets{Headroom: c.Out.Headroom, Silent: silentAfter.Milliseconds(), Hold: (silentAfter + holdsMost).Milliseconds(),
-		Fresh: freshFor.Milliseconds(), Drain: leaveMost.Milliseconds(), Start: start, Warm: warm.Milliseconds(), Window: windowMS,
-		Clock: clockDrift, Drift: driftMost.Milliseconds(), Slack: cmp.Or(c.Out.Cost, serviceCost)}
+	c.budgets = rollout.Budgets{CapacityReserve: c.Out.Headroom, SilentAfterMS: silentAfter.Milliseconds(), FlowHoldMS: (silentAfter + holdsMost).Milliseconds(),
+		ViewMaxAgeMS: freshFor.Milliseconds(), DrainMS: leaveMost.Milliseconds(), StartMS: start, WarmupMS: warm.Milliseconds(), PermitWindowMS: windowMS,
+		ClockDrift: clockDrift, DriftHaltMS: driftMost.Milliseconds(), ServiceTolerance: cmp.Or(c.Out.Cost, serviceCost)}
 	for _, p := range []struct {
 		name, text string
 		to         *rollout.Limit
-	}{{"relays.whole", cmp.Or(c.Out.Relays.Whole, "1"), &c.budgets.Relays.Whole}, {"relays.zone", c.Out.Relays.Zone, &c.budgets.Relays.Zone},
-		{"members.whole", cmp.Or(c.Out.Members.Whole, "1"), &c.budgets.Members.Whole}, {"members.zone", c.Out.Members.Zone, &c.budgets.Members.Zone}} {
+	}{{"relays.whole", cmp.Or(c.Out.Relays.Whole, "1"), &c.budgets.Relays.Total}, {"relays.zone", c.Out.Relays.Zone, &c.budgets.Relays.PerZone},
+		{"members.whole", cmp.Or(c.Out.Members.Whole, "1"), &c.budgets.Members.Total}, {"members.zone", c.Out.Members.Zone, &c.budgets.Members.PerZone}} {
 		if p.text == "" {
 			continue
 		}
@@ -101,7 +101,7 @@
 			return fmt.Errorf("out.%s: %v", p.name, err)
 		}
 	}
-	if why := c.budgets.Never(map[string]int{"": balancers}, nil); why != "" {
+	if why := c.budgets.Unusable(map[string]int{"": balancers}, nil); why != "" {
 		return fmt.Errorf("out: %s", why)
 	}
 	return nil
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -214,7 +214,7 @@
 	for _, r := range m.relays {
 		m.own.Peers = append(m.own.Peers, Peer{Name: r.name, Alive: r.upAt == 0, Gone: r.upAt != 0, Serving: r.look.Phase == "serving", Incarnation: r.start})
 	}
-	m.view = m.helm.scene.view(m.now, m.led, m.budgets.Hold, m.lead.name, m.own, warmth{})
+	m.view = m.helm.scene.view(m.now, m.led, m.budgets.FlowHoldMS, m.lead.name, m.own, warmth{})
 	m.helm.voters = drift.Item{Name: drift.Voters, Version: 7, Digest: 1}
 	m.helm.look(m.now, &m.view)
 	if m.takeOut {
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -326,7 +326,7 @@
 			s.mu.Unlock()
 			return
 		}
-		v := seen.view(now, led, s.Budgets().Hold, s.Name, look, warmth{s.ColdFrom, s.ColdFor.Milliseconds()})
+		v := seen.view(now, led, s.Budgets().FlowHoldMS, s.Name, look, warmth{s.ColdFrom, s.ColdFor.Milliseconds()})
 		s.watchDrift(now, &v)
 		meant := s.helm.meaning(now, &v)
 		trials := s.weigh(now, &v)
--- a/internal/rollout/account.go
+++ b/internal/rollout/account.go
@@ -60,7 +60,7 @@
 }
 
 func (r *Relay) live(b Budgets) bool {
-	return !r.Exited && r.ReportAgeMS >= 0 && r.ReportAgeMS <= b.Silent
+	return !r.Exited && r.ReportAgeMS >= 0 && r.ReportAgeMS <= b.SilentAfterMS
 }
 
 func (m *Member) sound() bool { return !m.Failing && m.UsableCapacity >= m.Capacity }
@@ -147,7 +147,7 @@
 }
 
 func (d *data) room(kind string, s KindSummary, b Budgets) *room {
-	r := &room{budget: b.Members, headroom: b.Headroom, side: s, zones: map[string]int{}, out: map[string]bool{}, planned: map[string]bool{}}
+	r := &room{budget: b.Members, headroom: b.CapacityReserve, side: s, zones: map[string]int{}, out: map[string]bool{}, planned: map[string]bool{}}
 	if kind == KindRelay {
 		r.budget = b.Relays
 	}
@@ -234,12 +234,12 @@
 
 // bound is how long a unit may be out: by what the last ones took, at first by the budgets.
 func (d *data) bound(kind string, b Budgets) int64 {
-	first, took := b.Drain+b.Start+b.Warm, d.Members
+	first, took := b.DrainMS+b.StartMS+b.WarmupMS, d.Members
 	if kind == KindRelay {
-		first, took = b.Drain+b.Start, d.Relays
+		first, took = b.DrainMS+b.StartMS, d.Relays
 	}
 	if len(took) < 3 {
 		return first
 	}
-	return min(first, max(3*slices.Max(took), b.Silent))
+	return min(first, max(3*slices.Max(took), b.SilentAfterMS))
 }
--- a/internal/rollout/api.go
+++ b/internal/rollout/api.go
@@ -260,25 +260,25 @@
 
 // Budgets are settings.
 type Budgets struct {
-	Relays   Budget  `json:"relays"`
-	Members  Budget  `json:"members"`
-	Headroom float64 `json:"headroom"` // what is left must carry 1+Headroom times the load
-	Silent   int64   `json:"silent"`   // ms without a word after which a relay counts as lost
-	Hold     int64   `json:"hold"`     // ms without a word after which a relay holds no flow any more at a member that is out
-	Fresh    int64   `json:"fresh"`    // ms that a view may be old when its step is agreed
-	Drain    int64   `json:"drain"`    // ms that a relay or member may take to be empty
-	Start    int64   `json:"start"`    // ms that it may take to serve
-	Warm     int64   `json:"warm"`     // ms that a cold member takes until it bears all
-	Window   int64   `json:"window"`   // ms in which a permit is to be begun
-	Clock    float64 `json:"clock"`    // how much faster or slower a clock may run: 0.01
-	Drift    int64   `json:"drift"`    // ms of View.Drift after which a release halts
-	Slack    float64 `json:"slack"`    // how much of the service a release may cost: 0.05; beyond it and noise it halts
+	Relays           Budget  `json:"relays"`
+	Members          Budget  `json:"members"`
+	CapacityReserve  float64 `json:"headroom"` // what is left must carry 1+Headroom times the load
+	SilentAfterMS    int64   `json:"silent"`   // ms without a word after which a relay counts as lost
+	FlowHoldMS       int64   `json:"hold"`     // ms without a word after which a relay holds no flow any more at a member that is out
+	ViewMaxAgeMS     int64   `json:"fresh"`    // ms that a view may be old when its step is agreed
+	DrainMS          int64   `json:"drain"`    // ms that a relay or member may take to be empty
+	StartMS          int64   `json:"start"`    // ms that it may take to serve
+	WarmupMS         int64   `json:"warm"`     // ms that a cold member takes until it bears all
+	PermitWindowMS   int64   `json:"window"`   // ms in which a permit is to be begun
+	ClockDrift       float64 `json:"clock"`    // how much faster or slower a clock may run: 0.01
+	DriftHaltMS      int64   `json:"drift"`    // ms of View.Drift after which a release halts
+	ServiceTolerance float64 `json:"slack"`    // how much of the service a release may cost: 0.05; beyond it and noise it halts
 }
 
 // Budget is how many may be out at once.
 type Budget struct {
-	Whole Limit `json:"whole"` // not set: 1
-	Zone  Limit `json:"zone"`  // of each zone's things; not set: no bound but Whole
+	Total   Limit `json:"whole"` // not set: 1
+	PerZone Limit `json:"zone"`  // of each zone's things; not set: no bound but Whole
 }
 
 // Limit is a number, or a part of all. The zero value is not set.
--- a/internal/rollout/apply.go
+++ b/internal/rollout/apply.go
@@ -429,9 +429,9 @@
 	switch {
 	case c.BaseVersion != d.Version && planted != "no fencing":
 		return fmt.Sprintf("it was reckoned from version %d, this is %d", c.BaseVersion, d.Version)
-	case at-v.At > b.Fresh:
+	case at-v.At > b.ViewMaxAgeMS:
 		return fmt.Sprintf("what it was reckoned from is %d ms old", at-v.At)
-	case b.Window <= 0 || b.Window > forMost || !(b.Clock >= 0 && b.Clock < 1):
+	case b.PermitWindowMS <= 0 || b.PermitWindowMS > forMost || !(b.ClockDrift >= 0 && b.ClockDrift < 1):
 		return "a sight without window or clock"
 	}
 	return ""
@@ -485,8 +485,8 @@
 	d.Version++
 	for _, g := range c.Grants {
 		if p := d.permit(g.Permit); p != nil {
-			p.State, p.At, p.Window, p.Until, p.Clock, p.Zone = PermitGranted, at, b.Window,
-				at+stretch(b.Window, b.Clock), b.Clock, g.Zone
+			p.State, p.At, p.Window, p.Until, p.Clock, p.Zone = PermitGranted, at, b.PermitWindowMS,
+				at+stretch(b.PermitWindowMS, b.ClockDrift), b.ClockDrift, g.Zone
 			continue
 		}
 		r := d.release(g.Release)
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -154,7 +154,7 @@
 		return Observation{Phase: PhaseDone}, u.Phase == PhaseLeaving && p.heeded(u.OrderVersion)
 	}
 	if u.Phase == PhasePending && r.State == ReleaseRunning && p.there(u) == nil && p.alone(r, u) && !p.rooms[side(u.Kind)].planned[u.name()] &&
-		p.now-max(r.Moved, r.Resumed) > p.b.Start+p.b.Silent { // longer than one that fell over takes
+		p.now-max(r.Moved, r.Resumed) > p.b.StartMS+p.b.SilentAfterMS { // longer than one that fell over takes
 		return Observation{Phase: PhaseMissing}, true
 	}
 	if u.Phase == PhaseDone && u.Stranded {
@@ -283,7 +283,7 @@
 		switch {
 		case x.Exited:
 		case !x.live(p.b):
-			if x.ReportAgeMS <= p.b.Hold {
+			if x.ReportAgeMS <= p.b.FlowHoldMS {
 				return false
 			}
 		case m != nil && m.FlowsByRelay[x.Name].Flows > 0:
@@ -305,7 +305,7 @@
 	var best *Member
 	for i := range p.v.Members {
 		m := &p.v.Members[i]
-		if p.used[m.Name] || m.Started <= u.OrderedAt || !fits(m) || m.Zone != u.Zone && p.now-u.OrderedAt < p.b.Drain+p.b.Start {
+		if p.used[m.Name] || m.Started <= u.OrderedAt || !fits(m) || m.Zone != u.Zone && p.now-u.OrderedAt < p.b.DrainMS+p.b.StartMS {
 			continue
 		}
 		near, nearer := best != nil && best.Zone == u.Zone, m.Zone == u.Zone
@@ -325,7 +325,7 @@
 // by itself just before. One that is not back in the time that a thing may take is lost, and counts as that; if it is not even in the view it
 // would count nowhere, so its permit has to be given back.
 func (p *planner) returned(x *Permit) bool {
-	over := cmp.Or(x.Given, x.Until) + p.b.Silent
+	over := cmp.Or(x.Given, x.Until) + p.b.SilentAfterMS
 	if p.now <= over && planted != "own word" {
 		return false
 	}
@@ -379,7 +379,7 @@
 			cause = "gone"
 		case r.StartNumber > s.StartNumber:
 			cause = "started"
-		case !unfit && p.now-s.Since >= p.b.Silent: // one that comes and goes is not let in and out at each look
+		case !unfit && p.now-s.Since >= p.b.SilentAfterMS: // one that comes and goes is not let in and out at each look
 			cause = "fit"
 		}
 		if cause != "" {
@@ -392,7 +392,7 @@
 // shuts are the relays that drifted, the worst first, as far as the budget bears it.
 func (p *planner) shuts() []Command {
 	var list []Command
-	if p.now-p.v.At > p.b.Fresh {
+	if p.now-p.v.At > p.b.ViewMaxAgeMS {
 		return nil
 	}
 	seen := map[string]bool{}
@@ -451,7 +451,7 @@
 	if verdict {
 		return HaltVerdict, p.v.Degraded
 	}
-	if p.v.Drift != "" && p.v.DriftMS > p.b.Drift {
+	if p.v.Drift != "" && p.v.DriftMS > p.b.DriftHaltMS {
 		return HaltDrift, p.v.Drift
 	}
 	room := p.rooms[side(r.Wish.Kind)]
@@ -466,7 +466,7 @@
 			return HaltOverdue, fmt.Sprintf("%s %s is %s for %d ms", u.Kind, u.name(), u.Phase, p.now-u.OrderedAt)
 		}
 	}
-	if worse(r.Asked, r.Served, r.Spread, p.b.Slack, p.v.Service, max(r.Since, r.Resumed)) {
+	if worse(r.Asked, r.Served, r.Spread, p.b.ServiceTolerance, p.v.Service, max(r.Since, r.Resumed)) {
 		return HaltServiceDegraded, fmt.Sprintf("it was %.4f before", r.Served/r.Asked)
 	}
 	return "", ""
@@ -476,7 +476,7 @@
 func (p *planner) resume() *Command {
 	for i := range p.d.Releases {
 		r := &p.d.Releases[i]
-		if r.State != ReleaseHalted || r.Halt.Stays || p.now-r.Halt.At < p.b.Silent {
+		if r.State != ReleaseHalted || r.Halt.Stays || p.now-r.Halt.At < p.b.SilentAfterMS {
 			continue
 		}
 		out := slices.ContainsFunc(r.Units, func(u Unit) bool { return u.isOut() && !(r.Wish.Drain && u.Phase == PhaseDrained) })
@@ -487,7 +487,7 @@
 		case HaltOverdue:
 			gone = !out
 		case HaltServiceDegraded:
-			gone = !out && !worse(r.Asked, r.Served, r.Spread, p.b.Slack, p.v.Service, r.Halt.At)
+			gone = !out && !worse(r.Asked, r.Served, r.Spread, p.b.ServiceTolerance, p.v.Service, r.Halt.At)
 		case HaltDrift:
 			gone = p.v.Drift == ""
 		case HaltStalled:
@@ -570,7 +570,7 @@
 // unknown says that a relay of the release has not yet said what it runs: it could not be given back. One that is silent for good is not waited for.
 func (p *planner) unknown(r *release) bool {
 	w := &r.Wish
-	return w.Kind == KindRelay && p.now-r.Moved <= p.b.Drain+p.b.Start && slices.ContainsFunc(p.v.Relays, func(x Relay) bool {
+	return w.Kind == KindRelay && p.now-r.Moved <= p.b.DrainMS+p.b.StartMS && slices.ContainsFunc(p.v.Relays, func(x Relay) bool {
 		return w.of(x.Name, x.Zone) && (w.Program != "" && x.Program == "" || w.Config != "" && x.Config == "")
 	})
 }
@@ -595,7 +595,7 @@
 // zonal says that one zone's things come before the next: all that may be out at once fits into one zone.
 func (p *planner) zonal(w *ReleaseSpec) bool {
 	room := p.rooms[side(w.Kind)]
-	if w.Zonal || !room.budget.Zone.set() {
+	if w.Zonal || !room.budget.PerZone.set() {
 		return w.Zonal
 	}
 	for _, n := range room.side.CountByZone {
@@ -644,7 +644,7 @@
 func (p *planner) step() (*Command, map[string]string) {
 	c := Command{Kind: CommandStep, BaseVersion: p.d.Version, Basis: p.sight()}
 	stalled := map[string]string{}
-	if len(p.v.Relays) == 0 || p.now-p.v.At > p.b.Fresh {
+	if len(p.v.Relays) == 0 || p.now-p.v.At > p.b.ViewMaxAgeMS {
 		return nil, stalled
 	}
 	starved := slices.ContainsFunc(p.d.Releases, func(r release) bool {
@@ -811,10 +811,10 @@
 		}
 	}
 	if !known || rate <= 0 {
-		rate = p.rooms[KindMember].side.RemainingCapacity / (float64(max(p.b.Warm, 1)) / 1000)
+		rate = p.rooms[KindMember].side.RemainingCapacity / (float64(max(p.b.WarmupMS, 1)) / 1000)
 	}
 	if flows == 0 || rate <= 0 {
 		return 0
 	}
-	return min(int64(float64(flows)/rate*1000)+1, p.b.Drain)
+	return min(int64(float64(flows)/rate*1000)+1, p.b.DrainMS)
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -46,7 +46,7 @@
 	}
 	w := newWorld(seed, n, m, 1+pick.IntN(3))
 	if large(seed) { // so that it ends in the time of a play
-		w.budgets.Relays, w.budgets.Members = Budget{Whole: Limit{Share: 0.2}}, Budget{Whole: Limit{Share: 0.2}, Zone: Limit{Share: 0.3}}
+		w.budgets.Relays, w.budgets.Members = Budget{Total: Limit{Share: 0.2}}, Budget{Total: Limit{Share: 0.2}, PerZone: Limit{Share: 0.3}}
 	}
 	w.roundtrip, w.history = roundtrip, history
 	w.calm = seed%5 == 0 // some without faults
@@ -585,7 +585,7 @@
 
 // A member that was stranded is out until it is there as it was, is there no more, or an operator takes it as it is. Each is said once.
 func TestStranded(t *testing.T) {
-	b := Budgets{Silent: 100, Fresh: 100, Drain: 100, Start: 100, Window: 100}
+	b := Budgets{SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainMS: 100, StartMS: 100, PermitWindowMS: 100}
 	for _, allow := range []bool{false, true} {
 		s, v := New(), View{At: 1e6, Relays: []Relay{{Name: "n", InService: true}}, Members: []Member{{Name: "a", Program: "b3", Started: 9, Capacity: 1, UsableCapacity: 1}}}
 		s.d.Releases = []release{{ReleaseStatus: ReleaseStatus{Name: "r", State: ReleaseRolledBack, Backing: true, Wish: ReleaseSpec{Kind: KindMember, All: true, Program: "b2"}, Units: []Unit{
@@ -613,11 +613,11 @@
 			t.Errorf("%s: %v, %v", text, got, err)
 		}
 	}
-	b := Budgets{Relays: Budget{Whole: Limit{Share: 0.25}}, Members: Budget{Whole: Limit{Count: 1}, Zone: Limit{Share: 0.3}}}
-	if why := b.Never(map[string]int{"a": 2, "b": 2}, map[string]int{"a": 4, "b": 3}); why != "members: the budget of a zone lets none out in b" {
+	b := Budgets{Relays: Budget{Total: Limit{Share: 0.25}}, Members: Budget{Total: Limit{Count: 1}, PerZone: Limit{Share: 0.3}}}
+	if why := b.Unusable(map[string]int{"a": 2, "b": 2}, map[string]int{"a": 4, "b": 3}); why != "members: the budget of a zone lets none out in b" {
 		t.Error(why)
 	}
-	if why := b.Never(map[string]int{"a": 3}, nil); why == "" {
+	if why := b.Unusable(map[string]int{"a": 3}, nil); why == "" {
 		t.Error("a quarter of three is none")
 	}
 }
@@ -661,7 +661,7 @@
 	for seed := range uint64(5) {
 		w := newWorld(seed, 12, 12, 3)
 		w.calm = true
-		w.budgets.Relays, w.budgets.Members = Budget{Whole: Limit{Share: 0.25}}, Budget{Whole: Limit{Share: 0.25}}
+		w.budgets.Relays, w.budgets.Members = Budget{Total: Limit{Share: 0.25}}, Budget{Total: Limit{Share: 0.25}}
 		w.load = 0
 		for _, x := range w.members {
 			x.capacity = 100
@@ -714,7 +714,7 @@
 
 // Requester has not said yet what it runs could not be given back: such a release is not laid out, unless it is silent for good. Then there is no way back.
 func TestUnknown(t *testing.T) {
-	s, b := New(), Budgets{Silent: 100, Fresh: 100, Drain: 500, Start: 500, Window: 100}
+	s, b := New(), Budgets{SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainMS: 500, StartMS: 500, PermitWindowMS: 100}
 	v := View{At: 1000, Relays: []Relay{{Name: "a", ReportAgeMS: 1}, {Name: "b", Program: "p1", StartNumber: 1, InService: true}}}
 	calls(t, s, v.At, ReleaseQueued, Command{Kind: CommandOpen, Name: "first", Release: &ReleaseSpec{Kind: KindRelay, Names: []string{"b"}}})
 	calls(t, s, v.At, ReleaseQueued, Command{Kind: CommandOpen, Name: "r", Release: &ReleaseSpec{Kind: KindRelay, All: true, Program: "p2", Wait: true}})
@@ -742,8 +742,8 @@
 		v.Members = append(v.Members, Member{Name: "m" + strconv.Itoa(i), Zone: zone, Capacity: 9, UsableCapacity: float64(9 - i)})
 	}
 	for want, budget := range map[string]Budget{
-		"m3 m2 m1 m0 ": {Whole: Limit{Count: 2}, Zone: Limit{Count: 1}},
-		"m3 m1 m2 m0 ": {Whole: Limit{Count: 1}, Zone: Limit{Count: 1}},
+		"m3 m2 m1 m0 ": {Total: Limit{Count: 2}, PerZone: Limit{Count: 1}},
+		"m3 m1 m2 m0 ": {Total: Limit{Count: 1}, PerZone: Limit{Count: 1}},
 	} {
 		s := New()
 		calls(t, s, 1, ReleaseQueued, Command{Kind: CommandOpen, Name: "r", Release: &ReleaseSpec{Kind: KindMember, All: true}})
@@ -760,7 +760,7 @@
 // Half of the fleet drifts: the worst go first, no more than the budget lets out by number, zone and capacity. Who is shut may be released,
 // costs no more for it, and counts until it is seen to serve again.
 func TestShut(t *testing.T) {
-	b := Budgets{Relays: Budget{Whole: Limit{Count: 3}}, Silent: 100, Fresh: 100, Drain: 100, Start: 100, Window: 100}
+	b := Budgets{Relays: Budget{Total: Limit{Count: 3}}, SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainMS: 100, StartMS: 100, PermitWindowMS: 100}
 	var s *State
 	var v View
 	begin := func() {
@@ -787,7 +787,7 @@
 		}
 	}
 	zonal, tight, wide := b, b, b
-	zonal.Relays.Zone, tight.Headroom, wide.Relays.Whole = Limit{Count: 2}, 0.7, Limit{Count: 9}
+	zonal.Relays.PerZone, tight.CapacityReserve, wide.Relays.Total = Limit{Count: 2}, 0.7, Limit{Count: 9}
 	for want, budgets := range map[string]Budgets{"n6 n2 ": zonal, "n6 ": tight, "n6 n2 n0 n4 ": wide} {
 		begin()
 		plan(budgets, want)
@@ -845,8 +845,8 @@
 	// One that is not unfit any more is admitted, but not at each look; and not while it is silent.
 	delete(v.Unfit, "n4")
 	plan(b, "n2 n0 n4 ")
-	v.At += b.Silent
-	v.Relays[4].ReportAgeMS = b.Silent + 1
+	v.At += b.SilentAfterMS
+	v.Relays[4].ReportAgeMS = b.SilentAfterMS + 1
 	plan(b, "n2 n0 n4 ")
 	v.Relays[4].ReportAgeMS = 0
 	plan(b, "n2 n0 ")
@@ -874,7 +874,7 @@
 // never rest hold no release up for good.
 func TestAskers(t *testing.T) {
 	s := New()
-	b := Budgets{Silent: 100, Fresh: 100, Drain: 500, Start: 500, Window: 100, Clock: 0.01}
+	b := Budgets{SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainMS: 500, StartMS: 500, PermitWindowMS: 100, ClockDrift: 0.01}
 	v := View{At: 1000}
 	for i := range 4 {
 		v.Relays = append(v.Relays, Relay{Name: "n" + strconv.Itoa(i), Zone: "z", StartNumber: 5, Phase: "serving", InService: true, Capacity: 100})
@@ -924,7 +924,7 @@
 
 // A successor that has another name is no loss beside the member that it stands for: its release does not halt for it.
 func TestSuccessorIsNoLoss(t *testing.T) {
-	b := Budgets{Silent: 100, Fresh: 100, Drain: 1000, Start: 1000, Warm: 1000, Window: 100}
+	b := Budgets{SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainMS: 1000, StartMS: 1000, WarmupMS: 1000, PermitWindowMS: 100}
 	v := View{At: 1000, Relays: []Relay{{Name: "n", InService: true}}, Members: []Member{{Name: "a.1", Started: 990, Capacity: 1, UsableCapacity: 0.3}, {Name: "b", Capacity: 1, UsableCapacity: 1}}}
 	s := New()
 	s.d.Releases = []release{{Laid: true, ReleaseStatus: ReleaseStatus{Name: "r", State: ReleaseRunning, Wish: ReleaseSpec{Kind: KindMember, All: true}, Units: []Unit{
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -308,21 +308,21 @@
 }
 
 func (b Budget) whole(n int) int {
-	if !b.Whole.set() {
+	if !b.Total.set() {
 		return min(1, n)
 	}
-	return b.Whole.of(n)
+	return b.Total.of(n)
 }
 
 func (b Budget) zone(n int) int {
-	if !b.Zone.set() {
+	if !b.PerZone.set() {
 		return n
 	}
-	return b.Zone.of(n)
+	return b.PerZone.of(n)
 }
 
-// Never says what of the budgets can never let anything out, for a fleet with so many things in each zone; "" if nothing.
-func (b Budgets) Never(relays, members map[string]int) string {
+// Unusable says what of the budgets can never let anything out, for a fleet with so many things in each zone; "" if nothing.
+func (b Budgets) Unusable(relays, members map[string]int) string {
 	var all []string
 	for _, x := range []struct {
 		what   string
--- a/internal/rollout/world_test.go
+++ b/internal/rollout/world_test.go
@@ -111,13 +111,13 @@
 
 func newWorld(seed uint64, n, m, zones int) *world {
 	w := &world{rng: rand.New(rand.NewPCG(seed, 31)), now: 1e6, s: New(), given: map[string]func() bool{}, log: []agreed{{}}}
-	w.budgets = Budgets{Relays: Budget{Whole: Limit{Share: 0.34}}, Members: Budget{Whole: Limit{Share: 0.34}}, Headroom: 0.05, Silent: 1500, Hold: 3000,
-		Fresh: 1500, Drain: 4000, Start: 4000, Warm: 4000, Window: 3000, Clock: 0.02, Drift: 2000, Slack: 0.05}
+	w.budgets = Budgets{Relays: Budget{Total: Limit{Share: 0.34}}, Members: Budget{Total: Limit{Share: 0.34}}, CapacityReserve: 0.05, SilentAfterMS: 1500, FlowHoldMS: 3000,
+		ViewMaxAgeMS: 1500, DrainMS: 4000, StartMS: 4000, WarmupMS: 4000, PermitWindowMS: 3000, ClockDrift: 0.02, DriftHaltMS: 2000, ServiceTolerance: 0.05}
 	if w.rng.IntN(2) == 0 {
-		w.budgets.Relays.Zone, w.budgets.Members.Zone = Limit{Count: 1 + w.rng.IntN(2)}, Limit{Share: 0.5}
+		w.budgets.Relays.PerZone, w.budgets.Members.PerZone = Limit{Count: 1 + w.rng.IntN(2)}, Limit{Share: 0.5}
 	}
 	if w.rng.IntN(3) == 0 {
-		w.budgets.Relays.Whole, w.budgets.Members.Whole = Limit{Count: 1}, Limit{Count: 2}
+		w.budgets.Relays.Total, w.budgets.Members.Total = Limit{Count: 1}, Limit{Count: 2}
 	}
 	sum, sumOf := 0.0, 0.0
 	for i := range n {
@@ -274,7 +274,7 @@
 }
 
 // letsGo is after how long without the record a relay lets go of flows at members that may be out: as much before Hold as words take.
-func (w *world) letsGo() int64 { return w.budgets.Hold - w.budgets.Silent }
+func (w *world) letsGo() int64 { return w.budgets.FlowHoldMS - w.budgets.SilentAfterMS }
 
 func (w *world) live(at int64) bool { return w.leader <= at }
 
@@ -471,7 +471,7 @@
 	if a.number != 0 && w.now < a.deadline {
 		w.propose(a.who, Command{Kind: CommandBeginPermit, PermitNumber: a.number}, func(x Result) {
 			if x.State == PermitBegun {
-				a.begun, a.may = true, sent+int64(float64(w.budgets.Window)*a.rate*(1-w.budgets.Clock))
+				a.begun, a.may = true, sent+int64(float64(w.budgets.PermitWindowMS)*a.rate*(1-w.budgets.ClockDrift))
 			} else if x.Error != "" {
 				a.number = 0
 			}
@@ -481,7 +481,7 @@
 	w.propose(a.who, Command{Kind: CommandRequestPermit, TargetKind: a.kind, Name: a.name, Requester: a.who, DurationMS: 4000}, func(x Result) {
 		a.number = 0
 		if x.State == PermitGranted {
-			a.number, a.deadline = x.Number, sent+int64(float64(x.Left)*a.rate*(1-w.budgets.Clock))
+			a.number, a.deadline = x.Number, sent+int64(float64(x.Left)*a.rate*(1-w.budgets.ClockDrift))
 		}
 	})
 }
@@ -552,7 +552,7 @@
 }
 
 func (w *world) lead() {
-	if w.now-w.leader < w.budgets.Silent && w.leader > 1e6 {
+	if w.now-w.leader < w.budgets.SilentAfterMS && w.leader > 1e6 {
 		return // it has not yet heard all
 	}
 	v := w.view()
@@ -616,7 +616,7 @@
 	}
 	w.forget()
 	// Long enough that the view had it.
-	known := w.budgets.Silent + w.budgets.Fresh + 3500
+	known := w.budgets.SilentAfterMS + w.budgets.ViewMaxAgeMS + 3500
 	out, zones, total := map[string]int{}, map[string]int{}, map[string]int{}
 	left, serve, who := 0.0, 0.0, ""
 	count := func(kind, name, zone string, lost int64, bears float64) {
@@ -641,7 +641,7 @@
 		}
 		count(KindRelay, h.name, h.zone, h.lostSince, bears)
 	}
-	if need := c.Basis.Relays.Load * (1 + w.budgets.Headroom); bears && serve < need {
+	if need := c.Basis.Relays.Load * (1 + w.budgets.CapacityReserve); bears && serve < need {
 		w.fault("the relays that are left bear %.0f, %.0f are needed:%s", serve, need, who)
 	}
 	for _, x := range w.members {
@@ -678,7 +678,7 @@
 				w.fault("%d are out in %s of %d:%s", n, z, b.zone(total[z]), who)
 			}
 		}
-		if kind == KindMember && left < w.load*(1+w.budgets.Headroom) {
+		if kind == KindMember && left < w.load*(1+w.budgets.CapacityReserve) {
 			for key := range fresh {
 				i := slices.IndexFunc(w.members, func(x *slot) bool { return KindMember+" "+x.name == key })
 				if i >= 0 && w.members[i].lostSince == 0 {
