--- a/integration/fleet_faults_test.go
+++ b/integration/fleet_faults_test.go
@@ -74,14 +74,14 @@
 		t.Errorf("what was refused is answered with %d", code)
 	}
 	f.agreed(1, "POST", "/-/releases", map[string]any{"name": "c", "kind": "member", "drain": true, "wait": true, "names": []string{"s0"}})
-	if a := f.release(2, "c", rollout.ReleaseQueued); a.Behind != "a" {
-		t.Errorf("behind %q", a.Behind)
+	if a := f.release(2, "c", rollout.ReleaseQueued); a.QueuedBehind != "a" {
+		t.Errorf("behind %q", a.QueuedBehind)
 	}
 	until(t, "s0 to be out", func() bool { return len(f.outs(2)) == 1 })
 	f.agreed(2, "PUT", "/-/releases/a/back", nil)
 	f.release(0, "a", rollout.ReleaseRolledBack)
-	if a := f.release(0, "c", rollout.ReleaseRunning, rollout.ReleaseCompleted); a.Behind != "" {
-		t.Errorf("still behind %q", a.Behind)
+	if a := f.release(0, "c", rollout.ReleaseRunning, rollout.ReleaseCompleted); a.QueuedBehind != "" {
+		t.Errorf("still behind %q", a.QueuedBehind)
 	}
 	until(t, "s0 to be out for the one that waited", func() bool { return f.out(1, "c") == 1 && len(f.outs(1)) == 1 })
 }
@@ -449,10 +449,10 @@
 	first := ask(0, "ann", "s0")
 	second := ask(1, "bob", "s1")
 	until(t, "the first to be granted", func() bool { a = ask(2, "ann", "s0"); return a.State == rollout.PermitGranted })
-	if b = ask(3, "bob", "s1"); b.State != rollout.PermitWaiting || b.Why == "" || b.Again <= 0 {
+	if b = ask(3, "bob", "s1"); b.State != rollout.PermitWaiting || b.Reason == "" || b.RetryAfterMS <= 0 {
 		t.Errorf("%+v", b)
 	}
-	if a.Number != first.Number || b.Number != second.Number || a.Number == b.Number || a.Left <= 0 {
+	if a.Number != first.Number || b.Number != second.Number || a.Number == b.Number || a.RemainingMS <= 0 {
 		t.Errorf("%+v, before %+v; %+v, before %+v", a, first, b, second)
 	}
 	if code := f.call(0, "PUT", fmt.Sprintf("/-/permits/%d/begin", b.Number), nil, nil); code != 409 {
--- a/internal/fleet/calls.go
+++ b/internal/fleet/calls.go
@@ -189,7 +189,7 @@
 		if len(spec.Arm.Members) == 0 && spec.Arm.Since == 0 { // all that start after the release
 			s.record.read(func(st *rollout.State, _ held) {
 				a, _ := st.Release(spec.Release)
-				spec.Arm.Since = a.Opened
+				spec.Arm.Since = a.OpenedAt
 			})
 		}
 		salt(&spec)
--- a/internal/fleet/helm.go
+++ b/internal/fleet/helm.go
@@ -57,7 +57,7 @@
 		h.shuts[x.Name] = x
 	}
 	for _, a := range all {
-		if _, settled := r.intent.follows(&a); !settled && a.Wish.Kind == rollout.KindRelay && a.Wish.Program+a.Wish.Config != "" &&
+		if _, settled := r.intent.follows(&a); !settled && a.Spec.Kind == rollout.KindRelay && a.Spec.Program+a.Spec.Config != "" &&
 			(a.State == rollout.ReleaseCompleted || a.State == rollout.ReleaseRolledBack) {
 			h.over = append(h.over, a)
 		}
@@ -149,7 +149,7 @@
 	if !ok || !u.names(drift.Program) {
 		return m.Value
 	}
-	old, fresh := m.Value, u.release.Wish.Program
+	old, fresh := m.Value, u.release.Spec.Program
 	if u.taken {
 		old = u.unit.PreviousProgram
 	}
@@ -182,7 +182,7 @@
 		}
 	}
 	switch {
-	case u.out() && x.Config != u.release.Wish.Config:
+	case u.out() && x.Config != u.release.Spec.Config:
 		for _, name := range x.Refused { // it was sent for the new one
 			if drift.GroupOf(name) == drift.Config && old[name] != "" {
 				old = maps.Clone(old)
@@ -204,7 +204,7 @@
 	count := map[string]map[string]int{}
 	for relay, u := range h.under {
 		x := h.scene.words[relay]
-		if x == nil || u.release.Wish.Config == "" || x.Config != u.release.Wish.Config || len(x.Sections) == 0 ||
+		if x == nil || u.release.Spec.Config == "" || x.Config != u.release.Spec.Config || len(x.Sections) == 0 ||
 			!(u.unit.Updated || u.out()) {
 			continue
 		}
@@ -320,7 +320,7 @@
 	h.record.mu.RLock()
 	defer h.record.mu.RUnlock()
 	a, _ := h.record.rollout.Release(release)
-	return a.Backing
+	return a.RollingBack
 }
 
 // unfit puts into the view who is to take no clients, the worst first. Who is shut stays so until it is heard and in step with all, or has started anew: a
@@ -346,7 +346,7 @@
 func (h *helm) meaning(now int64, v *rollout.View) (list []meaning) {
 	for _, a := range h.over {
 		c := meaning{Do: "adopt", Release: a.Name}
-		if a.State == rollout.ReleaseCompleted && a.Wish.Config != "" {
+		if a.State == rollout.ReleaseCompleted && a.Spec.Config != "" {
 			c.Items = h.sections[a.Name]
 			if c.Items == nil && slices.ContainsFunc(a.Units, func(u rollout.Unit) bool { return u.Updated }) {
 				continue // until one that runs it has said so
--- a/internal/fleet/intent.go
+++ b/internal/fleet/intent.go
@@ -95,7 +95,7 @@
 		x.Of[relay] = maps.Clone(of)
 	}
 	for name, e := range n.Ended { // of those that the record still knows
-		if a, ok := ro.Release(name); ok && a.Opened == e.Opened {
+		if a, ok := ro.Release(name); ok && a.OpenedAt == e.Opened {
 			x.Ended[name] = e
 		}
 	}
@@ -194,10 +194,10 @@
 	a, ok := ro.Release(c.Release)
 	was, taken := e.Ended[c.Release]
 	items := map[string]string{}
-	if a.Wish.Program != "" {
-		items[drift.Program] = a.Wish.Program
+	if a.Spec.Program != "" {
+		items[drift.Program] = a.Spec.Program
 	}
-	if a.Wish.Config != "" {
+	if a.Spec.Config != "" {
 		for name, value := range c.Items {
 			if name != drift.Program {
 				items[name] = value
@@ -205,17 +205,17 @@
 		}
 	}
 	switch {
-	case !ok || a.Wish.Kind != rollout.KindRelay || a.Wish.Program+a.Wish.Config == "":
+	case !ok || a.Spec.Kind != rollout.KindRelay || a.Spec.Program+a.Spec.Config == "":
 		return "no release of a program or a configuration: " + c.Release
 	case a.State == rollout.ReleaseCompleted && !taken:
 		before := map[string]string{}
 		for name, list := range e.Items {
-			if name == drift.Program && a.Wish.Program != "" || name != drift.Program && a.Wish.Config != "" {
+			if name == drift.Program && a.Spec.Program != "" || name != drift.Program && a.Spec.Config != "" {
 				before[name] = list[0].Value
 			}
 		}
-		e.Ended[c.Release] = ended{a.Opened, before}
-		if a.Wish.All {
+		e.Ended[c.Release] = ended{a.OpenedAt, before}
+		if a.Spec.All {
 			if slices.ContainsFunc(slices.Collect(maps.Keys(items)), func(n string) bool { return n != drift.Program }) {
 				e.drop(items)
 			}
@@ -231,8 +231,8 @@
 		}
 	case a.State == rollout.ReleaseRolledBack && taken:
 		delete(e.Ended, c.Release)
-		if a.Wish.All {
-			if a.Wish.Config != "" {
+		if a.Spec.All {
+			if a.Spec.Config != "" {
 				e.drop(was.Before)
 			}
 			e.all(was.Before, true)
@@ -241,7 +241,7 @@
 		for _, u := range a.Units {
 			if of := e.Of[u.Name]; of != nil && !u.Updated {
 				for name := range of {
-					if name == drift.Program && a.Wish.Program != "" || name != drift.Program && a.Wish.Config != "" {
+					if name == drift.Program && a.Spec.Program != "" || name != drift.Program && a.Spec.Config != "" {
 						delete(of, name)
 						e.Version = e.next
 					}
@@ -250,7 +250,7 @@
 					delete(e.Of, u.Name)
 				}
 			}
-			if a.Wish.Program != "" && u.PreviousProgram != "" && !u.Updated {
+			if a.Spec.Program != "" && u.PreviousProgram != "" && !u.Updated {
 				e.one(u.Name, drift.Program, u.PreviousProgram)
 			}
 		}
@@ -263,7 +263,7 @@
 // follows says whether what a release changed is meant as it stands: one that is over is still to be told of if not.
 func (n *intent) follows(a *rollout.ReleaseStatus) (taken, settled bool) {
 	e, ok := n.Ended[a.Name]
-	taken = ok && e.Opened == a.Opened
+	taken = ok && e.Opened == a.OpenedAt
 	switch a.State {
 	case rollout.ReleaseCompleted:
 		return taken, taken
--- a/internal/fleet/ledger.go
+++ b/internal/fleet/ledger.go
@@ -190,8 +190,8 @@
 	for _, over := range []bool{true, false} {
 		for _, a := range all {
 			taken, settled := in.follows(&a)
-			if a.Wish.Kind != rollout.KindRelay || (a.State == rollout.ReleaseCompleted || a.State == rollout.ReleaseRolledBack) != over ||
-				over && (settled || a.Wish.Program+a.Wish.Config == "") {
+			if a.Spec.Kind != rollout.KindRelay || (a.State == rollout.ReleaseCompleted || a.State == rollout.ReleaseRolledBack) != over ||
+				over && (settled || a.Spec.Program+a.Spec.Config == "") {
 				continue
 			}
 			units := a.Units
@@ -207,9 +207,9 @@
 // names says whether the release brings a new value of an item.
 func (u *under) names(item string) bool {
 	if item == drift.Program {
-		return u.release.Wish.Program != ""
+		return u.release.Spec.Program != ""
 	}
-	return u.release.Wish.Config != "" && drift.GroupOf(item) == drift.Config
+	return u.release.Spec.Config != "" && drift.GroupOf(item) == drift.Config
 }
 
 // out says whether the relay may run either: the new thing or what it had.
@@ -226,7 +226,7 @@
 	switch {
 	case u.release.Name == "" || u.unit.Phase == rollout.PhaseMissing:
 		return false
-	case u.release.Backing:
+	case u.release.RollingBack:
 		return u.out() || u.unit.Phase == rollout.PhaseDone && u.unit.Updated
 	}
 	return u.out() || u.unit.Phase == rollout.PhasePending && !u.unit.Updated && u.release.State != rollout.ReleaseCompleted
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -13,10 +13,10 @@
 	s.record.read(func(r *rollout.State, _ held) { all = r.Releases() })
 	now := map[string]string{}
 	for _, a := range all {
-		line := logrus.Fields{"release": a.Name, "state": a.State, "waiting": a.Counts.Waiting, "out": a.Counts.Out, "done": a.Counts.Done}
+		line := logrus.Fields{"release": a.Name, "state": a.State, "waiting": a.Counts.Pending, "out": a.Counts.Out, "done": a.Counts.Done}
 		now[a.Name] = a.State
 		if a.Halt != nil {
-			line["cause"], line["why"], line["by"], line["stays"] = a.Halt.Cause, a.Halt.Why, a.Halt.By, a.Halt.Stays
+			line["cause"], line["why"], line["by"], line["stays"] = a.Halt.Cause, a.Halt.Reason, a.Halt.HaltedBy, a.Halt.NeedsOperator
 			now[a.Name] += a.Halt.Cause
 		}
 		if was[a.Name] != now[a.Name] {
--- a/internal/fleet/trial.go
+++ b/internal/fleet/trial.go
@@ -66,7 +66,7 @@
 	for _, c := range s.record.canary.Canaries() {
 		r, ok := s.record.rollout.Release(c.Release)
 		switch {
-		case !ok || r.Backing:
+		case !ok || r.RollingBack:
 		case c.Status == canary.Back && (r.State == rollout.ReleaseHalted || r.State == rollout.ReleaseRunning):
 			out = append(out, rollout.Command{Kind: rollout.CommandRollBack, Name: r.Name, Requester: "canary", Reason: c.Why})
 		case c.Status != canary.Done && slices.ContainsFunc(r.Units, func(u rollout.Unit) bool { return u.Phase != rollout.PhasePending }):
--- a/internal/rollout/api.go
+++ b/internal/rollout/api.go
@@ -82,18 +82,18 @@
 
 // ReleaseSpec is what an operator wants to release.
 type ReleaseSpec struct {
-	Kind    string   `json:"kind"`            // relay, member, or ban (a change of bans: Ban and Allow)
-	Drain   bool     `json:"drain,omitempty"` // no return is wanted of members: they stay out until back
-	All     bool     `json:"all,omitempty"`
-	Zones   []string `json:"zones,omitempty"` // all things of these zones
-	Names   []string `json:"names,omitempty"`
-	Program string   `json:"program,omitempty"` // what it is to say that it runs when it is back
-	Config  string   `json:"config,omitempty"`
-	Ban     []string `json:"ban,omitempty"`
-	Allow   []string `json:"allow,omitempty"`
-	Wait    bool     `json:"wait,omitempty"` // wait for a release that touches the same things; else refuse
-	Lone    bool     `json:"lone,omitempty"` // the first thing goes alone, and has to be back
-	Zonal   bool     `json:"zonal,omitempty"`
+	Kind       string   `json:"kind"`            // relay, member, or ban (a change of bans: Ban and Allow)
+	Drain      bool     `json:"drain,omitempty"` // no return is wanted of members: they stay out until back
+	All        bool     `json:"all,omitempty"`
+	Zones      []string `json:"zones,omitempty"` // all things of these zones
+	Names      []string `json:"names,omitempty"`
+	Program    string   `json:"program,omitempty"` // what it is to say that it runs when it is back
+	Config     string   `json:"config,omitempty"`
+	Eject      []string `json:"ban,omitempty"`
+	Reinstate  []string `json:"allow,omitempty"`
+	Queue      bool     `json:"wait,omitempty"` // wait for a release that touches the same things; else refuse
+	FirstAlone bool     `json:"lone,omitempty"` // the first thing goes alone, and has to be back
+	ZoneByZone bool     `json:"zonal,omitempty"`
 }
 
 // Phases of a unit.
@@ -333,34 +333,34 @@
 
 // ReleaseStatus is a release as operators are shown it.
 type ReleaseStatus struct {
-	Name    string      `json:"name"`
-	State   string      `json:"state"`
-	Backing bool        `json:"backing,omitempty"` // its direction, also while halted
-	Wish    ReleaseSpec `json:"wish"`
-	By      string      `json:"by"`
-	Opened  int64       `json:"opened"`
-	Ended   int64       `json:"ended,omitempty"`
-	Behind  string      `json:"behind,omitempty"`
-	Halt    *HaltInfo   `json:"halt,omitempty"`
-	Units   []Unit      `json:"units,omitempty"`
-	Counts  UnitCounts  `json:"counts"`
-	Except  []string    `json:"except,omitempty"` // what could not be done or undone
+	Name         string      `json:"name"`
+	State        string      `json:"state"`
+	RollingBack  bool        `json:"backing,omitempty"` // its direction, also while halted
+	Spec         ReleaseSpec `json:"wish"`
+	OpenedBy     string      `json:"by"`
+	OpenedAt     int64       `json:"opened"`
+	EndedAt      int64       `json:"ended,omitempty"`
+	QueuedBehind string      `json:"behind,omitempty"`
+	Halt         *HaltInfo   `json:"halt,omitempty"`
+	Units        []Unit      `json:"units,omitempty"`
+	Counts       UnitCounts  `json:"counts"`
+	Exceptions   []string    `json:"except,omitempty"` // what could not be done or undone
 }
 
 // UnitCounts of units.
 type UnitCounts struct {
-	Waiting int `json:"waiting"`
+	Pending int `json:"waiting"`
 	Out     int `json:"out"`
 	Done    int `json:"done"`
 }
 
 // HaltInfo is why a release halted.
 type HaltInfo struct {
-	Cause string `json:"cause"`
-	Why   string `json:"why,omitempty"`
-	By    string `json:"by"`
-	At    int64  `json:"at"`
-	Stays bool   `json:"stays"` // only an operator resumes it
+	Cause         string `json:"cause"`
+	Reason        string `json:"why,omitempty"`
+	HaltedBy      string `json:"by"`
+	HaltedAt      int64  `json:"at"`
+	NeedsOperator bool   `json:"stays"` // only an operator resumes it
 }
 
 // Permits' states.
@@ -372,38 +372,38 @@
 
 // Result is what Apply says. Error alone means that nothing changed.
 type Result struct {
-	Error  string `json:"error,omitempty"`
-	Name   string `json:"name,omitempty"`
-	State  string `json:"state,omitempty"`  // of the release or permit
-	Number uint64 `json:"number,omitempty"` // of the permit
-	Left   int64  `json:"left,omitempty"`   // granted: ms in which it has to be begun, from when the ask was sent
-	Why    string `json:"why,omitempty"`
-	Again  int64  `json:"again,omitempty"` // wait: ask again in ms
+	Error        string `json:"error,omitempty"`
+	Name         string `json:"name,omitempty"`
+	State        string `json:"state,omitempty"`  // of the release or permit
+	Number       uint64 `json:"number,omitempty"` // of the permit
+	RemainingMS  int64  `json:"left,omitempty"`   // granted: ms in which it has to be begun, from when the ask was sent
+	Reason       string `json:"why,omitempty"`
+	RetryAfterMS int64  `json:"again,omitempty"` // wait: ask again in ms
 }
 
 // Permit is a permit as operators are shown it.
 type Permit struct {
-	Number uint64  `json:"number"`
-	Kind   string  `json:"kind"`
-	Name   string  `json:"name"`
-	Zone   string  `json:"zone,omitempty"`
-	Who    string  `json:"who"`
-	Why    string  `json:"why,omitempty"`
-	For    int64   `json:"for"`
-	State  string  `json:"state"`
-	Asked  int64   `json:"asked"`            // last
-	At     int64   `json:"at,omitempty"`     // granted, or begun
-	Window int64   `json:"window,omitempty"` // to begin in, ms
-	Until  int64   `json:"until,omitempty"`  // the record's: granted: not begun after it; begun: not taken down after it
-	Given  int64   `json:"given,omitempty"`  // when the asker gave it back
-	Clock  float64 `json:"clock,omitempty"`
+	Number      uint64  `json:"number"`
+	Kind        string  `json:"kind"`
+	Name        string  `json:"name"`
+	Zone        string  `json:"zone,omitempty"`
+	Holder      string  `json:"who"`
+	Reason      string  `json:"why,omitempty"`
+	DurationMS  int64   `json:"for"`
+	State       string  `json:"state"`
+	RequestedAt int64   `json:"asked"`            // last
+	StateSince  int64   `json:"at,omitempty"`     // granted, or begun
+	WindowMS    int64   `json:"window,omitempty"` // to begin in, ms
+	ExpiresAt   int64   `json:"until,omitempty"`  // the record's: granted: not begun after it; begun: not taken down after it
+	ReturnedAt  int64   `json:"given,omitempty"`  // when the asker gave it back
+	ClockDrift  float64 `json:"clock,omitempty"`
 }
 
 // Ejection is one ban.
 type Ejection struct {
-	Name   string `json:"name"`
-	Why    string `json:"why,omitempty"`
-	By     string `json:"by"`
-	Since  int64  `json:"since"`
-	Number uint64 `json:"number"`
+	Name      string `json:"name"`
+	Reason    string `json:"why,omitempty"`
+	EjectedBy string `json:"by"`
+	Since     int64  `json:"since"`
+	Number    uint64 `json:"number"`
 }
--- a/internal/rollout/apply.go
+++ b/internal/rollout/apply.go
@@ -96,12 +96,12 @@
 	}
 	behind := ""
 	for i := range d.Releases {
-		if r := &d.Releases[i]; !r.ended() && r.Wish.overlaps(w) {
+		if r := &d.Releases[i]; !r.ended() && r.Spec.overlaps(w) {
 			behind = r.Name
 			break
 		}
 	}
-	if behind != "" && !w.Wait {
+	if behind != "" && !w.Queue {
 		return refuse("release %q touches the same things", behind)
 	}
 	drop := -1
@@ -114,9 +114,9 @@
 		}
 		d.Releases = slices.Delete(d.Releases, drop, drop+1)
 	}
-	d.Releases = append(d.Releases, release{ReleaseStatus: ReleaseStatus{Name: c.Name, State: ReleaseQueued, Wish: *w, By: c.Requester, Opened: at, Behind: behind}, Moved: at})
+	d.Releases = append(d.Releases, release{ReleaseStatus: ReleaseStatus{Name: c.Name, State: ReleaseQueued, Spec: *w, OpenedBy: c.Requester, OpenedAt: at, QueuedBehind: behind}, Moved: at})
 	d.Version++
-	return Result{Name: c.Name, State: ReleaseQueued, Why: behind}
+	return Result{Name: c.Name, State: ReleaseQueued, Reason: behind}
 }
 
 // wrong says what cannot be released.
@@ -126,8 +126,8 @@
 		if named+len(w.Zones) > 0 || w.All || w.Drain {
 			return "a change of bans names them in ban and allow alone"
 		}
-		named = len(w.Ban) + len(w.Allow)
-	} else if len(w.Ban)+len(w.Allow) > 0 {
+		named = len(w.Eject) + len(w.Reinstate)
+	} else if len(w.Eject)+len(w.Reinstate) > 0 {
 		return "ban and allow are of a change of bans"
 	}
 	switch {
@@ -140,7 +140,7 @@
 	case len(w.Program) > MaxNameBytes || len(w.Config) > MaxNameBytes:
 		return fmt.Sprintf("a version of over %d bytes", MaxNameBytes)
 	}
-	all := slices.Concat(w.Names, w.Ban, w.Allow)
+	all := slices.Concat(w.Names, w.Eject, w.Reinstate)
 	slices.Sort(all)
 	for i, n := range all {
 		if n == "" || len(n) > MaxNameBytes || i > 0 && all[i-1] == n {
@@ -165,17 +165,17 @@
 		if p.Kind != c.TargetKind || p.Name != c.Name {
 			continue
 		}
-		if p.Who != c.Requester {
-			return Result{State: PermitWaiting, Again: againAfter, Why: fmt.Sprintf("%s holds permit %d for it", p.Who, p.Number)}
+		if p.Holder != c.Requester {
+			return Result{State: PermitWaiting, RetryAfterMS: againAfter, Reason: fmt.Sprintf("%s holds permit %d for it", p.Holder, p.Number)}
 		}
 		a := Result{State: p.State, Number: p.Number}
 		switch {
 		case p.State == PermitWaiting:
-			p.Asked, a.Again, a.Why = at, againAfter, d.waits(p)
-		case p.State == PermitGranted && at < p.At+p.Window:
-			a.Left = p.At + p.Window - at
+			p.RequestedAt, a.RetryAfterMS, a.Reason = at, againAfter, d.waits(p)
+		case p.State == PermitGranted && at < p.StateSince+p.WindowMS:
+			a.RemainingMS = p.StateSince + p.WindowMS - at
 		case p.State == PermitGranted: // about to be void
-			a.State, a.Again, a.Why = PermitWaiting, againAfter, "it was not begun in time"
+			a.State, a.RetryAfterMS, a.Reason = PermitWaiting, againAfter, "it was not begun in time"
 		}
 		return a
 	}
@@ -183,8 +183,8 @@
 		return refuse("%d permits are asked for or in force", MaxPermits)
 	}
 	d.Number++
-	d.Permits = append(d.Permits, Permit{Number: d.Number, Kind: c.TargetKind, Name: c.Name, Who: c.Requester, Why: c.Reason, For: c.DurationMS, State: PermitWaiting, Asked: at})
-	return Result{State: PermitWaiting, Number: d.Number, Again: againAfter, Why: d.waits(&d.Permits[len(d.Permits)-1])}
+	d.Permits = append(d.Permits, Permit{Number: d.Number, Kind: c.TargetKind, Name: c.Name, Holder: c.Requester, Reason: c.Reason, DurationMS: c.DurationMS, State: PermitWaiting, RequestedAt: at})
+	return Result{State: PermitWaiting, Number: d.Number, RetryAfterMS: againAfter, Reason: d.waits(&d.Permits[len(d.Permits)-1])}
 }
 
 // waits says why a permit waits, as far as the record knows: who is out by plan, and who waits before it.
@@ -211,20 +211,20 @@
 		return refuse("there is no permit %d, or no more", c.PermitNumber)
 	}
 	switch {
-	case c.Kind == CommandReturnPermit && p.State == PermitBegun && p.Given > 0:
+	case c.Kind == CommandReturnPermit && p.State == PermitBegun && p.ReturnedAt > 0:
 		return Result{Number: p.Number, State: p.State}
 	case c.Kind == CommandReturnPermit && p.State == PermitBegun:
-		p.Given = at
+		p.ReturnedAt = at
 	case c.Kind == CommandReturnPermit:
 		d.Permits = slices.DeleteFunc(d.Permits, func(p Permit) bool { return p.Number == c.PermitNumber })
 		d.Version++
 		return Result{Number: c.PermitNumber, State: "given"}
 	case p.State == PermitWaiting:
 		return refuse("permit %d is not granted", c.PermitNumber)
-	case p.State == PermitGranted && at > p.Until:
+	case p.State == PermitGranted && at > p.ExpiresAt:
 		return refuse("permit %d was not begun in time", c.PermitNumber)
 	case p.State == PermitGranted:
-		p.State, p.At, p.Until = PermitBegun, at, at+stretch(p.Window, p.Clock)
+		p.State, p.StateSince, p.ExpiresAt = PermitBegun, at, at+stretch(p.WindowMS, p.ClockDrift)
 	}
 	d.Version++
 	return Result{Number: p.Number, State: p.State}
@@ -244,20 +244,20 @@
 		return refuse("it was reckoned from version %d, this is %d", c.BaseVersion, d.Version)
 	case c.Kind != CommandRollBack && r.ended():
 		return refuse("release %q has ended", c.Name)
-	case c.Kind == CommandRollBack && r.ended() && !r.Wish.Drain && r.Wish.Kind != KindEject && d.inTheWay(r) != "":
+	case c.Kind == CommandRollBack && r.ended() && !r.Spec.Drain && r.Spec.Kind != KindEject && d.inTheWay(r) != "":
 		return refuse("release %q touches the same things, and is not through", d.inTheWay(r))
 	}
 	switch c.Kind {
 	case CommandHalt:
-		if r.Halt != nil && (r.Halt.Stays || itself && c.Cause != HaltVerdict) {
-			return refuse("release %q is halted: %s %s", c.Name, r.Halt.Cause, r.Halt.Why)
+		if r.Halt != nil && (r.Halt.NeedsOperator || itself && c.Cause != HaltVerdict) {
+			return refuse("release %q is halted: %s %s", c.Name, r.Halt.Cause, r.Halt.Reason)
 		}
 		again := slices.Contains(r.Causes, c.Cause)
 		if itself && !again && len(r.Causes) < 8 {
 			r.Causes = append(r.Causes, cut(c.Cause, MaxNameBytes))
 		}
-		r.Halt = &HaltInfo{Cause: cut(cmp.Or(c.Cause, HaltByOperator), MaxNameBytes), Why: c.Reason, By: c.Requester, At: at}
-		r.Halt.Stays = !itself || c.Cause == HaltVerdict || again && (c.Cause == HaltServiceDegraded || c.Cause == HaltOverdue)
+		r.Halt = &HaltInfo{Cause: cut(cmp.Or(c.Cause, HaltByOperator), MaxNameBytes), Reason: c.Reason, HaltedBy: c.Requester, HaltedAt: at}
+		r.Halt.NeedsOperator = !itself || c.Cause == HaltVerdict || again && (c.Cause == HaltServiceDegraded || c.Cause == HaltOverdue)
 		r.State = ReleaseHalted
 		d.Version++
 		r.revoke(d.Version)
@@ -265,14 +265,14 @@
 		if r.Halt == nil {
 			return refuse("release %q is not halted", c.Name)
 		}
-		if itself && (r.Halt.Stays || r.Halt.Cause != c.Cause) {
+		if itself && (r.Halt.NeedsOperator || r.Halt.Cause != c.Cause) {
 			return refuse("release %q is resumed by an operator alone", c.Name)
 		}
 		r.Halt, r.Resumed, r.Moved = nil, at, at
 		r.State = r.going()
 		d.Version++
 	case CommandRollBack:
-		r.Halt, r.Resumed, r.Moved, r.Backing, r.Ended = nil, at, at, true, 0
+		r.Halt, r.Resumed, r.Moved, r.RollingBack, r.EndedAt = nil, at, at, true, 0
 		r.State = r.going()
 		d.Version++
 		r.revoke(d.Version)
@@ -287,7 +287,7 @@
 // inTheWay is a release that goes on at the same things as one that has ended.
 func (d *data) inTheWay(r *release) string {
 	for i := range d.Releases {
-		if o := &d.Releases[i]; o.Name != r.Name && !o.ended() && o.Behind == "" && o.Wish.overlaps(&r.Wish) {
+		if o := &d.Releases[i]; o.Name != r.Name && !o.ended() && o.QueuedBehind == "" && o.Spec.overlaps(&r.Spec) {
 			return o.Name
 		}
 	}
@@ -297,7 +297,7 @@
 // going is the state of a release that is not halted.
 func (r *release) going() string {
 	switch {
-	case r.Backing:
+	case r.RollingBack:
 		return ReleaseRollingBack
 	case !r.Laid:
 		return ReleaseQueued
@@ -307,7 +307,7 @@
 
 // takeBack ends the drain of a member that was to stay out.
 func (u *Unit) takeBack(r *release, version uint64) bool {
-	if !r.Wish.Drain || u.Kind != KindMember || u.Phase == PhasePending || u.Phase == PhaseRevoked || u.Phase == PhaseMissing {
+	if !r.Spec.Drain || u.Kind != KindMember || u.Phase == PhasePending || u.Phase == PhaseRevoked || u.Phase == PhaseMissing {
 		return false
 	}
 	if u.Phase == PhaseDone { // it is not even there
@@ -322,7 +322,7 @@
 func (r *release) revoke(version uint64) {
 	for i := range r.Units {
 		if u := &r.Units[i]; u.Phase == PhaseLeaving && (u.Kind == KindRelay || u.Kind == KindMember) {
-			if planted == "half forgotten" && r.Backing {
+			if planted == "half forgotten" && r.RollingBack {
 				u.Phase, u.Reverting = PhasePending, false
 				continue
 			}
@@ -354,7 +354,7 @@
 				switch {
 				case c.Kind != CommandReinstate || u.name() != n:
 				case u.takeBack(r, d.Version+1):
-					r.Backing, r.Resumed, r.Moved, r.Ended, r.Halt, changed = true, at, at, 0, nil, true
+					r.RollingBack, r.Resumed, r.Moved, r.EndedAt, r.Halt, changed = true, at, at, 0, nil, true
 					r.State = r.going()
 				case u.Stranded && u.Kind == KindMember && r.ended() && u.isOut(): // an operator takes it as it is: nothing else ever might
 					u.Phase, changed = PhaseMissing, true
@@ -377,7 +377,7 @@
 		d.Bans = slices.Delete(d.Bans, i, i+1)
 	default:
 		d.Number++
-		d.Bans = slices.Insert(d.Bans, i, Ejection{Name: name, Why: why, By: by, Since: at, Number: d.Number})
+		d.Bans = slices.Insert(d.Bans, i, Ejection{Name: name, Reason: why, EjectedBy: by, Since: at, Number: d.Number})
 	}
 	return true
 }
@@ -385,7 +385,7 @@
 // lay fixes a release's things, their order, and how they were before.
 func (d *data) lay(at int64, c *Command) Result {
 	r := d.release(c.Name)
-	if r == nil || r.Laid || r.State != ReleaseQueued || r.Behind != "" {
+	if r == nil || r.Laid || r.State != ReleaseQueued || r.QueuedBehind != "" {
 		return refuse("release %q is not to be laid out", c.Name)
 	}
 	total := len(c.Units)
@@ -397,7 +397,7 @@
 	}
 	names := map[string]bool{}
 	for _, u := range c.Units {
-		fits := u.Kind == r.Wish.Kind || r.Wish.Kind == KindEject && u.Kind == KindReinstate
+		fits := u.Kind == r.Spec.Kind || r.Spec.Kind == KindEject && u.Kind == KindReinstate
 		if u.Name == "" || max(len(u.Name), len(u.Zone), len(u.PreviousProgram), len(u.PreviousConfig)) > MaxNameBytes || names[u.Name] || !fits {
 			return refuse("unit %q is no thing of this release, or stands twice", cut(u.Name, MaxNameBytes))
 		}
@@ -485,7 +485,7 @@
 	d.Version++
 	for _, g := range c.Grants {
 		if p := d.permit(g.Permit); p != nil {
-			p.State, p.At, p.Window, p.Until, p.Clock, p.Zone = PermitGranted, at, b.PermitWindowMS,
+			p.State, p.StateSince, p.WindowMS, p.ExpiresAt, p.ClockDrift, p.Zone = PermitGranted, at, b.PermitWindowMS,
 				at+stretch(b.PermitWindowMS, b.ClockDrift), b.ClockDrift, g.Zone
 			continue
 		}
@@ -495,7 +495,7 @@
 		u.Reverting = u.Updated
 		u.Phase, u.OrderNumber, u.OrderVersion, u.OrderedAt, u.SeenStart, u.MigrateOverMS = PhaseLeaving, d.Number, d.Version, at, g.SeenStart, g.MigrateOverMS
 		if ban := u.bans(); ban != 0 {
-			d.setBan(at, u.Name, "release "+r.Name, r.By, ban > 0)
+			d.setBan(at, u.Name, "release "+r.Name, r.OpenedBy, ban > 0)
 		}
 		r.Moved = at
 	}
@@ -567,7 +567,7 @@
 	next := d.Version + 1
 	switch {
 	case s.Stranded:
-		if !r.Backing || u.Stranded || !u.isOut() && !(u.Phase == PhaseDone && r.undoable(u)) {
+		if !r.RollingBack || u.Stranded || !u.isOut() && !(u.Phase == PhaseDone && r.undoable(u)) {
 			return false
 		}
 		u.Stranded = true
@@ -576,18 +576,18 @@
 		}
 	case s.Phase == PhaseMissing && (u.Phase == PhasePending || u.Stranded && u.isOut() && r.ended()):
 		u.Phase = PhaseMissing
-	case s.Phase == PhaseDrained && u.Kind == KindMember && (u.Phase == PhaseLeaving || u.Phase == PhaseDone && r.Wish.Drain):
+	case s.Phase == PhaseDrained && u.Kind == KindMember && (u.Phase == PhaseLeaving || u.Phase == PhaseDone && r.Spec.Drain):
 		u.Phase, u.SeenStart = PhaseDrained, s.SeenStart
-	case s.Phase == PhaseReplaced && u.Kind == KindMember && (u.Phase == PhaseDrained || u.Phase == PhaseRevoked || u.Phase == PhaseReplaced && u.name() != cmp.Or(s.Successor, u.Name)) && !r.Wish.Drain:
+	case s.Phase == PhaseReplaced && u.Kind == KindMember && (u.Phase == PhaseDrained || u.Phase == PhaseRevoked || u.Phase == PhaseReplaced && u.name() != cmp.Or(s.Successor, u.Name)) && !r.Spec.Drain:
 		u.Phase, u.OrderVersion, u.Successor, u.Zone = PhaseReplaced, next, s.Successor, s.Zone
 		if u.Successor == u.Name {
 			u.Successor = ""
 		}
 	case s.Phase == PhaseDone && u.isOut():
-		if u.Phase != PhaseRevoked && !u.Stranded && !r.Wish.Drain {
+		if u.Phase != PhaseRevoked && !u.Stranded && !r.Spec.Drain {
 			d.note(u.Kind, at-u.OrderedAt)
 		}
-		u.Phase, u.Updated = PhaseDone, !r.Wish.Drain
+		u.Phase, u.Updated = PhaseDone, !r.Spec.Drain
 		if u.Reverting {
 			u.Phase, u.Updated = PhasePending, false
 		}
@@ -632,7 +632,7 @@
 }
 
 func (p *Permit) void(at int64) bool {
-	return p.State == PermitGranted && at > p.Until || p.State == PermitWaiting && at-p.Asked > staleAfter
+	return p.State == PermitGranted && at > p.ExpiresAt || p.State == PermitWaiting && at-p.RequestedAt > staleAfter
 }
 
 // shut takes a relay that drifted out of the service, within the budget: drift at half of the fleet must not empty it.
@@ -696,26 +696,26 @@
 func (d *data) settle(at int64) {
 	for i := range d.Releases {
 		if r := &d.Releases[i]; r.through() {
-			r.State, r.Ended = map[string]string{ReleaseRunning: ReleaseCompleted, ReleaseRollingBack: ReleaseRolledBack}[r.State], at
+			r.State, r.EndedAt = map[string]string{ReleaseRunning: ReleaseCompleted, ReleaseRollingBack: ReleaseRolledBack}[r.State], at
 		}
 	}
 	for i := range d.Releases {
 		r := &d.Releases[i]
 		if r.State == ReleaseRolledBack && d.inTheWay(r) == "" && slices.ContainsFunc(r.Units, func(u Unit) bool { return u.Phase == PhaseDone && !u.Stranded && r.undoable(&u) }) {
-			r.State, r.Ended, r.Resumed, r.Moved = ReleaseRollingBack, 0, at, at // one that was stranded came back with the new thing
+			r.State, r.EndedAt, r.Resumed, r.Moved = ReleaseRollingBack, 0, at, at // one that was stranded came back with the new thing
 		}
-		if r.Behind == "" {
+		if r.QueuedBehind == "" {
 			continue
 		}
-		was := r.Behind
-		r.Behind = ""
+		was := r.QueuedBehind
+		r.QueuedBehind = ""
 		for j := range i {
-			if o := &d.Releases[j]; !o.ended() && o.Wish.overlaps(&r.Wish) {
-				r.Behind = o.Name
+			if o := &d.Releases[j]; !o.ended() && o.Spec.overlaps(&r.Spec) {
+				r.QueuedBehind = o.Name
 				break
 			}
 		}
-		if r.Behind != was {
+		if r.QueuedBehind != was {
 			r.Moved = at
 		}
 	}
@@ -725,7 +725,7 @@
 func (r *release) through() bool {
 	for i := range r.Units {
 		u := &r.Units[i]
-		if r.State == ReleaseRunning && u.Phase != PhaseDone && u.Phase != PhaseMissing && !(r.Wish.Drain && u.Phase == PhaseDrained) ||
+		if r.State == ReleaseRunning && u.Phase != PhaseDone && u.Phase != PhaseMissing && !(r.Spec.Drain && u.Phase == PhaseDrained) ||
 			r.State == ReleaseRollingBack && !u.Stranded && (u.isOut() || u.Phase == PhaseDone && r.undoable(u)) {
 			return false
 		}
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -163,7 +163,7 @@
 	if u.Stranded && u.isOut() && r.ended() && p.there(u) == nil {
 		return Observation{Phase: PhaseMissing}, true // nobody knows of it any more
 	}
-	if u.Phase == PhaseDone && r.Wish.Drain && u.Kind == KindMember {
+	if u.Phase == PhaseDone && r.Spec.Drain && u.Kind == KindMember {
 		return Observation{Phase: PhaseDrained, SeenStart: u.SeenStart}, p.there(u) != nil
 	}
 	switch {
@@ -210,7 +210,7 @@
 	program, _ := r.wants(u, u.Reverting)
 	// Requester does not say what it runs fits. On the way back an owner may put back at once what was there before.
 	fits := func(m *Member) bool {
-		return program == "" || m.Program == "" || m.Program == program || r.Backing && m.Program == u.PreviousProgram
+		return program == "" || m.Program == "" || m.Program == program || r.RollingBack && m.Program == u.PreviousProgram
 	}
 	switch {
 	case u.Phase == PhaseLeaving:
@@ -219,9 +219,9 @@
 			s.SeenStart = m.Started
 		}
 		return s, p.empty(u, m)
-	case r.Wish.Drain && u.Phase != PhaseRevoked:
+	case r.Spec.Drain && u.Phase != PhaseRevoked:
 		return Observation{Phase: PhaseDone}, m == nil // gone for good: no member any more, so not out
-	case m == nil && r.Wish.Drain:
+	case m == nil && r.Spec.Drain:
 		return Observation{}, false
 	case m == nil:
 		name := p.newcomer(u, fits)
@@ -325,20 +325,20 @@
 // by itself just before. One that is not back in the time that a thing may take is lost, and counts as that; if it is not even in the view it
 // would count nowhere, so its permit has to be given back.
 func (p *planner) returned(x *Permit) bool {
-	over := cmp.Or(x.Given, x.Until) + p.b.SilentAfterMS
+	over := cmp.Or(x.ReturnedAt, x.ExpiresAt) + p.b.SilentAfterMS
 	if p.now <= over && planted != "own word" {
 		return false
 	}
 	late := p.now > over+p.d.bound(x.Kind, p.b)
 	if x.Kind == KindRelay {
 		r := p.relays[x.Name]
-		return r == nil && x.Given > 0 && late || r != nil && (late || r.sound(p.b) || planted == "own word" && r.Phase == "serving")
+		return r == nil && x.ReturnedAt > 0 && late || r != nil && (late || r.sound(p.b) || planted == "own word" && r.Phase == "serving")
 	}
 	if m := p.members[x.Name]; m != nil {
 		return late || p.full(m)
 	}
-	name := p.newcomer(&Unit{Zone: x.Zone, OrderedAt: x.At}, func(*Member) bool { return true })
-	return x.Given > 0 && late || name != "" && p.full(p.members[name])
+	name := p.newcomer(&Unit{Zone: x.Zone, OrderedAt: x.StateSince}, func(*Member) bool { return true })
+	return x.ReturnedAt > 0 && late || name != "" && p.full(p.members[name])
 }
 
 func (p *planner) void() []uint64 {
@@ -358,7 +358,7 @@
 		kept := p.there(u) == nil || p.rooms[side(u.Kind)].planned[u.name()]
 		return r.State == ReleaseRollingBack && u.Phase == PhaseDone && r.undoable(u) && kept && p.now-max(r.Moved, r.Resumed) > p.d.bound(u.Kind, p.b)
 	}
-	if r.Wish.Drain && u.Phase == PhaseDrained {
+	if r.Spec.Drain && u.Phase == PhaseDrained {
 		return false
 	}
 	return p.now-max(u.OrderedAt, r.Resumed) > p.d.bound(u.Kind, p.b)
@@ -424,7 +424,7 @@
 	for i := range p.d.Releases {
 		r := &p.d.Releases[i]
 		verdict := p.v.Degraded != "" && (p.v.DegradedRelease == "" || p.v.DegradedRelease == r.Name)
-		if r.State != ReleaseRunning && r.State != ReleaseRollingBack && !(r.State == ReleaseHalted && verdict && !r.Halt.Stays && !r.Backing) {
+		if r.State != ReleaseRunning && r.State != ReleaseRollingBack && !(r.State == ReleaseHalted && verdict && !r.Halt.NeedsOperator && !r.RollingBack) {
 			continue
 		}
 		cause, why := p.cause(r, verdict, stalled)
@@ -438,10 +438,10 @@
 // cause is why a release is to halt. One on its way back does so only where nothing of it can go: what is bad about the fleet then may be
 // what it undoes.
 func (p *planner) cause(r *release, verdict bool, stalled map[string]string) (cause, why string) {
-	if !r.Backing {
+	if !r.RollingBack {
 		cause, why = p.bad(r, verdict)
 	}
-	if cause == "" && stalled[r.Name] != "" && p.now-max(r.Moved, r.Resumed) > p.d.bound(r.Wish.Kind, p.b) {
+	if cause == "" && stalled[r.Name] != "" && p.now-max(r.Moved, r.Resumed) > p.d.bound(r.Spec.Kind, p.b) {
 		return HaltStalled, stalled[r.Name]
 	}
 	return cause, why
@@ -454,7 +454,7 @@
 	if p.v.Drift != "" && p.v.DriftMS > p.b.DriftHaltMS {
 		return HaltDrift, p.v.Drift
 	}
-	room := p.rooms[side(r.Wish.Kind)]
+	room := p.rooms[side(r.Spec.Kind)]
 	if over := room.over(); over != "" {
 		return HaltOverBudget, over
 	}
@@ -476,18 +476,18 @@
 func (p *planner) resume() *Command {
 	for i := range p.d.Releases {
 		r := &p.d.Releases[i]
-		if r.State != ReleaseHalted || r.Halt.Stays || p.now-r.Halt.At < p.b.SilentAfterMS {
+		if r.State != ReleaseHalted || r.Halt.NeedsOperator || p.now-r.Halt.HaltedAt < p.b.SilentAfterMS {
 			continue
 		}
-		out := slices.ContainsFunc(r.Units, func(u Unit) bool { return u.isOut() && !(r.Wish.Drain && u.Phase == PhaseDrained) })
-		room, gone := p.rooms[side(r.Wish.Kind)], false
+		out := slices.ContainsFunc(r.Units, func(u Unit) bool { return u.isOut() && !(r.Spec.Drain && u.Phase == PhaseDrained) })
+		room, gone := p.rooms[side(r.Spec.Kind)], false
 		switch r.Halt.Cause {
 		case HaltOverBudget:
 			gone = room.over() == "" && room.short() == ""
 		case HaltOverdue:
 			gone = !out
 		case HaltServiceDegraded:
-			gone = !out && !worse(r.Asked, r.Served, r.Spread, p.b.ServiceTolerance, p.v.Service, r.Halt.At)
+			gone = !out && !worse(r.Asked, r.Served, r.Spread, p.b.ServiceTolerance, p.v.Service, r.Halt.HaltedAt)
 		case HaltDrift:
 			gone = p.v.Drift == ""
 		case HaltStalled:
@@ -504,7 +504,7 @@
 func (p *planner) could(r *release) bool {
 	x := *r
 	x.State = x.going()
-	room := p.d.room(side(r.Wish.Kind), p.rooms[side(r.Wish.Kind)].side, p.b)
+	room := p.d.room(side(r.Spec.Kind), p.rooms[side(r.Spec.Kind)].side, p.b)
 	for _, u := range p.candidates(&x) {
 		if u.bans() < 0 || p.there(u) != nil && room.take(u.name(), u.Zone, p.bears(u)) == "" {
 			return true
@@ -518,21 +518,23 @@
 // lay lays the first release out that waits for it: from the smallest risk up, zone by zone where the budget lets no more than one zone's
 // things out anyway, else spread over the zones.
 func (p *planner) lay() *Command {
-	i := slices.IndexFunc(p.d.Releases, func(r release) bool { return r.State == ReleaseQueued && !r.Laid && r.Behind == "" && !p.unknown(&r) })
+	i := slices.IndexFunc(p.d.Releases, func(r release) bool {
+		return r.State == ReleaseQueued && !r.Laid && r.QueuedBehind == "" && !p.unknown(&r)
+	})
 	if i < 0 || len(p.v.Relays) == 0 {
 		return nil
 	}
 	r := &p.d.Releases[i]
-	w := &r.Wish
+	w := &r.Spec
 	var units []Unit
 	risk := map[string]float64{}
 	there := map[string]bool{}
 	switch w.Kind {
 	case KindEject:
-		for _, n := range slices.Sorted(slices.Values(w.Allow)) {
+		for _, n := range slices.Sorted(slices.Values(w.Reinstate)) {
 			units = append(units, p.place(Unit{Name: n, Kind: KindReinstate}))
 		}
-		for _, n := range slices.Sorted(slices.Values(w.Ban)) {
+		for _, n := range slices.Sorted(slices.Values(w.Eject)) {
 			units = append(units, p.place(Unit{Name: n, Kind: KindEject}))
 		}
 		return &Command{Kind: CommandSetUnits, Name: r.Name, Units: units, Baseline: p.before()}
@@ -569,7 +571,7 @@
 
 // unknown says that a relay of the release has not yet said what it runs: it could not be given back. One that is silent for good is not waited for.
 func (p *planner) unknown(r *release) bool {
-	w := &r.Wish
+	w := &r.Spec
 	return w.Kind == KindRelay && p.now-r.Moved <= p.b.DrainMS+p.b.StartMS && slices.ContainsFunc(p.v.Relays, func(x Relay) bool {
 		return w.of(x.Name, x.Zone) && (w.Program != "" && x.Program == "" || w.Config != "" && x.Config == "")
 	})
@@ -595,8 +597,8 @@
 // zonal says that one zone's things come before the next: all that may be out at once fits into one zone.
 func (p *planner) zonal(w *ReleaseSpec) bool {
 	room := p.rooms[side(w.Kind)]
-	if w.Zonal || !room.budget.PerZone.set() {
-		return w.Zonal
+	if w.ZoneByZone || !room.budget.PerZone.set() {
+		return w.ZoneByZone
 	}
 	for _, n := range room.side.CountByZone {
 		if room.budget.zone(n) < room.budget.whole(room.total) {
@@ -649,7 +651,7 @@
 	}
 	starved := slices.ContainsFunc(p.d.Releases, func(r release) bool {
 		return (r.State == ReleaseRunning || r.State == ReleaseRollingBack) && !slices.ContainsFunc(r.Units, func(u Unit) bool { return u.isOut() }) &&
-			p.now-max(r.Moved, r.Resumed) > p.d.bound(r.Wish.Kind, p.b)/2
+			p.now-max(r.Moved, r.Resumed) > p.d.bound(r.Spec.Kind, p.b)/2
 	})
 	if !starved {
 		p.permits(&c)
@@ -682,7 +684,7 @@
 				g.MigrateOverMS = p.pace(moving)
 			}
 			c.Grants = append(c.Grants, g)
-			if r.Wish.Lone && !p.proved(r) {
+			if r.Spec.FirstAlone && !p.proved(r) {
 				break
 			}
 		}
@@ -705,7 +707,7 @@
 	for i := range p.d.Permits {
 		x := &p.d.Permits[i]
 		u := Unit{Name: x.Name, Kind: x.Kind}
-		if x.State != PermitWaiting || p.now-x.Asked > staleAfter || p.there(&u) == nil || len(c.Grants) >= MaxGrantsPerStep {
+		if x.State != PermitWaiting || p.now-x.RequestedAt > staleAfter || p.there(&u) == nil || len(c.Grants) >= MaxGrantsPerStep {
 			continue
 		}
 		g := p.gift(&u)
@@ -756,12 +758,12 @@
 func (p *planner) candidates(r *release) []*Unit {
 	var list, lost []*Unit
 	zone, found := "", false // of a zonal release: the first zone that is not through
-	if r.Wish.Lone && r.State == ReleaseRunning && !p.proved(r) && slices.ContainsFunc(r.Units, func(u Unit) bool { return u.isOut() }) {
+	if r.Spec.FirstAlone && r.State == ReleaseRunning && !p.proved(r) && slices.ContainsFunc(r.Units, func(u Unit) bool { return u.isOut() }) {
 		return nil
 	}
 	for i := range r.Units {
 		u := &r.Units[i]
-		if !found && r.Wish.Zonal && r.State == ReleaseRunning && (u.Phase == PhasePending || u.isOut()) {
+		if !found && r.Spec.ZoneByZone && r.State == ReleaseRunning && (u.Phase == PhasePending || u.isOut()) {
 			zone, found = u.Zone, true
 		}
 		if !r.may(u) || u.Stranded || found && u.Zone != zone {
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -70,11 +70,11 @@
 		w.tick()
 	}
 	opens := []Command{
-		{Kind: CommandOpen, Name: "relays", Release: &ReleaseSpec{Kind: KindRelay, All: true, Program: "p2", Lone: pick.IntN(4) == 0, Zonal: pick.IntN(4) == 0}},
-		{Kind: CommandOpen, Name: "members", Release: &ReleaseSpec{Kind: KindMember, All: true, Program: "b2", Wait: true}},
+		{Kind: CommandOpen, Name: "relays", Release: &ReleaseSpec{Kind: KindRelay, All: true, Program: "p2", FirstAlone: pick.IntN(4) == 0, ZoneByZone: pick.IntN(4) == 0}},
+		{Kind: CommandOpen, Name: "members", Release: &ReleaseSpec{Kind: KindMember, All: true, Program: "b2", Queue: true}},
 	}
 	if pick.IntN(3) == 0 {
-		opens = append(opens, Command{Kind: CommandOpen, Name: "drain", Release: &ReleaseSpec{Kind: KindMember, Drain: true, Names: []string{"m0"}, Wait: true}})
+		opens = append(opens, Command{Kind: CommandOpen, Name: "drain", Release: &ReleaseSpec{Kind: KindMember, Drain: true, Names: []string{"m0"}, Queue: true}})
 	}
 	for _, c := range opens {
 		w.order(c)
@@ -96,7 +96,7 @@
 		w.half = w.now + w.rnd(1000, 20000)
 	}
 	if pick.IntN(4) == 0 { // bans: by a release, and by an operator at once
-		w.order(Command{Kind: CommandOpen, Name: "bans", Release: &ReleaseSpec{Kind: KindEject, Ban: []string{"m1"}, Wait: true}})
+		w.order(Command{Kind: CommandOpen, Name: "bans", Release: &ReleaseSpec{Kind: KindEject, Eject: []string{"m1"}, Queue: true}})
 		w.order(Command{Kind: CommandEject, Names: []string{"m2"}})
 	}
 	for i := range 400 {
@@ -185,12 +185,12 @@
 	}
 	for _, r := range w.s.d.Releases {
 		if !r.ended() && r.State != ReleaseHalted {
-			w.fault("release %s is %s behind %q: %+v", r.Name, r.State, r.Behind, slices.DeleteFunc(slices.Clone(r.Units), func(u Unit) bool {
+			w.fault("release %s is %s behind %q: %+v", r.Name, r.State, r.QueuedBehind, slices.DeleteFunc(slices.Clone(r.Units), func(u Unit) bool {
 				return u.Phase == PhasePending || u.Phase == PhaseDone && !r.undoable(&u)
 			}))
 			continue
 		}
-		if r.Wish.Drain || r.State == ReleaseHalted || r.Wish.Kind == KindEject {
+		if r.Spec.Drain || r.State == ReleaseHalted || r.Spec.Kind == KindEject {
 			continue
 		}
 		for _, u := range r.Units {
@@ -210,7 +210,7 @@
 				w.fault("%s was never told, and left", u.Name)
 			}
 			unknown = unknown || u.Kind == KindRelay && u.PreviousProgram == "" // it was silent for as long as it may be waited for
-			wrong := r.State == ReleaseRolledBack && is != was || r.State == ReleaseCompleted && is != r.Wish.Program
+			wrong := r.State == ReleaseRolledBack && is != was || r.State == ReleaseCompleted && is != r.Spec.Program
 			if w.units++; w.faulty && (unknown || u.Phase == PhaseMissing || u.Successor != "" && !strings.HasPrefix(u.Successor, u.Name)) {
 				if wrong { // it was down while all else was through, and is named; or one that was down when all was laid out stands for it
 					w.excused++
@@ -275,7 +275,7 @@
 				undone.Add(1)
 			default:
 				halted.Add(1)
-				t.Logf("seed %d: %s is %s, back %v: %+v", seed, r.Name, r.State, r.Backing, r.Halt)
+				t.Logf("seed %d: %s is %s, back %v: %+v", seed, r.Name, r.State, r.RollingBack, r.Halt)
 			}
 		}
 		return w.faults
@@ -307,7 +307,7 @@
 				ok = a.State == PermitWaiting && a.Number > number
 				things[c.TargetKind+" "+c.Name], states[a.Number] = a.Number, PermitWaiting
 			default:
-				ok = a.Number == number && (a.State == is || a.State == PermitWaiting && is == PermitGranted && a.Left == 0)
+				ok = a.Number == number && (a.State == is || a.State == PermitWaiting && is == PermitGranted && a.RemainingMS == 0)
 			}
 			if a.State == PermitGranted {
 				w.granted++
@@ -389,7 +389,7 @@
 	var history []op
 	w := young(2, &history)
 	pool := []Command{{Kind: CommandHalt, Name: "relays"}, {Kind: CommandResume, Name: "relays"}, {Kind: CommandRollBack, Name: "relays"}, {Kind: CommandReturnPermit}, {Kind: CommandBeginPermit},
-		{Kind: CommandOpen, Name: "bans", Release: &ReleaseSpec{Kind: KindEject, Ban: []string{"m1"}}}, {Kind: CommandReadmit, Name: "n2"}, {Kind: CommandReinstate, Names: []string{"m3"}}, {Kind: CommandExpirePermits, PermitNumbers: []uint64{1, 2, 3, 4, 5, 6, 7, 8}}}
+		{Kind: CommandOpen, Name: "bans", Release: &ReleaseSpec{Kind: KindEject, Eject: []string{"m1"}}}, {Kind: CommandReadmit, Name: "n2"}, {Kind: CommandReinstate, Names: []string{"m3"}}, {Kind: CommandExpirePermits, PermitNumbers: []uint64{1, 2, 3, 4, 5, 6, 7, 8}}}
 	for _, o := range history {
 		pool = append(pool, o.c)
 	}
@@ -559,13 +559,13 @@
 	s := New()
 	calls(t, s, 1, ReleaseQueued, Command{Kind: CommandOpen, Name: "first", Release: &ReleaseSpec{Kind: KindMember, Names: []string{"a", "b"}}})
 	calls(t, s, 1, `"first"`, Command{Kind: CommandOpen, Name: "second", Release: &ReleaseSpec{Kind: KindMember, Zones: []string{"z"}}})
-	calls(t, s, 1, `"first"`, Command{Kind: CommandOpen, Name: "second", Release: &ReleaseSpec{Kind: KindEject, Ban: []string{"b"}}})
+	calls(t, s, 1, `"first"`, Command{Kind: CommandOpen, Name: "second", Release: &ReleaseSpec{Kind: KindEject, Eject: []string{"b"}}})
 	calls(t, s, 1, ReleaseQueued, Command{Kind: CommandOpen, Name: "other", Release: &ReleaseSpec{Kind: KindMember, Names: []string{"c"}}})
-	calls(t, s, 1, ReleaseQueued, Command{Kind: CommandOpen, Name: "second", Release: &ReleaseSpec{Kind: KindMember, All: true, Wait: true}})
+	calls(t, s, 1, ReleaseQueued, Command{Kind: CommandOpen, Name: "second", Release: &ReleaseSpec{Kind: KindMember, All: true, Queue: true}})
 	calls(t, s, 2, "laid out", Command{Kind: CommandSetUnits, Name: "second", Units: []Unit{{Name: "a", Kind: KindMember}}})
 	calls(t, s, 3, ReleaseRolledBack, Command{Kind: CommandRollBack, Name: "first"})
-	if a, _ := s.Release("second"); a.Behind != "other" {
-		t.Errorf("it waits behind %q", a.Behind)
+	if a, _ := s.Release("second"); a.QueuedBehind != "other" {
+		t.Errorf("it waits behind %q", a.QueuedBehind)
 	}
 	calls(t, s, 3, ReleaseRolledBack, Command{Kind: CommandRollBack, Name: "other"})
 	calls(t, s, 4, ReleaseRunning, Command{Kind: CommandSetUnits, Name: "second", Units: []Unit{{Name: "a", Kind: KindMember}}})
@@ -573,8 +573,8 @@
 
 	// One that was stranded is undone as soon as what was in its way has ended: nothing else may ever be called.
 	s = New()
-	s.d.Releases = []release{{ReleaseStatus: ReleaseStatus{Name: "first", State: ReleaseRolledBack, Wish: ReleaseSpec{Kind: KindMember, All: true}, Units: []Unit{{Name: "a", Kind: KindMember, Phase: PhaseDone, Updated: true}}}},
-		{ReleaseStatus: ReleaseStatus{Name: "second", State: ReleaseRollingBack, Wish: ReleaseSpec{Kind: KindEject, Ban: []string{"a"}}, Units: []Unit{{Name: "a", Kind: KindEject, Phase: PhaseLeaving, Reverting: true}}}}}
+	s.d.Releases = []release{{ReleaseStatus: ReleaseStatus{Name: "first", State: ReleaseRolledBack, Spec: ReleaseSpec{Kind: KindMember, All: true}, Units: []Unit{{Name: "a", Kind: KindMember, Phase: PhaseDone, Updated: true}}}},
+		{ReleaseStatus: ReleaseStatus{Name: "second", State: ReleaseRollingBack, Spec: ReleaseSpec{Kind: KindEject, Eject: []string{"a"}}, Units: []Unit{{Name: "a", Kind: KindEject, Phase: PhaseLeaving, Reverting: true}}}}}
 	calls(t, s, 6, "", Command{Kind: CommandObserve, Observations: []Observation{{Release: "second", Unit: "a", Phase: PhaseDone}}})
 	for name, want := range map[string]string{"first": ReleaseRollingBack, "second": ReleaseRolledBack} {
 		if a, _ := s.Release(name); a.State != want {
@@ -588,7 +588,7 @@
 	b := Budgets{SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainMS: 100, StartMS: 100, PermitWindowMS: 100}
 	for _, allow := range []bool{false, true} {
 		s, v := New(), View{At: 1e6, Relays: []Relay{{Name: "n", InService: true}}, Members: []Member{{Name: "a", Program: "b3", Started: 9, Capacity: 1, UsableCapacity: 1}}}
-		s.d.Releases = []release{{ReleaseStatus: ReleaseStatus{Name: "r", State: ReleaseRolledBack, Backing: true, Wish: ReleaseSpec{Kind: KindMember, All: true, Program: "b2"}, Units: []Unit{
+		s.d.Releases = []release{{ReleaseStatus: ReleaseStatus{Name: "r", State: ReleaseRolledBack, RollingBack: true, Spec: ReleaseSpec{Kind: KindMember, All: true, Program: "b2"}, Units: []Unit{
 			{Name: "a", Kind: KindMember, PreviousProgram: "b1", Phase: PhaseDrained, Stranded: true, OrderNumber: 1, SeenStart: 5}}}}}
 		if plan := s.Plan(v.At, v, b); plan != nil || s.Orders("n").Exclusions["a"].Reason != "drain" {
 			t.Errorf("%+v, %+v", plan, s.Orders("n"))
@@ -600,7 +600,7 @@
 			calls(t, s, v.At, "", s.Plan(v.At, v, b)[0])
 		}
 		a, _ := s.Release("r")
-		if plan := s.Plan(v.At, v, b); plan != nil || s.Orders("n").Exclusions != nil || len(s.d.planned(KindMember)) > 0 || len(a.Except) != 1 {
+		if plan := s.Plan(v.At, v, b); plan != nil || s.Orders("n").Exclusions != nil || len(s.d.planned(KindMember)) > 0 || len(a.Exceptions) != 1 {
 			t.Errorf("allowed %v: %+v, %+v", allow, plan, a)
 		}
 	}
@@ -717,7 +717,7 @@
 	s, b := New(), Budgets{SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainMS: 500, StartMS: 500, PermitWindowMS: 100}
 	v := View{At: 1000, Relays: []Relay{{Name: "a", ReportAgeMS: 1}, {Name: "b", Program: "p1", StartNumber: 1, InService: true}}}
 	calls(t, s, v.At, ReleaseQueued, Command{Kind: CommandOpen, Name: "first", Release: &ReleaseSpec{Kind: KindRelay, Names: []string{"b"}}})
-	calls(t, s, v.At, ReleaseQueued, Command{Kind: CommandOpen, Name: "r", Release: &ReleaseSpec{Kind: KindRelay, All: true, Program: "p2", Wait: true}})
+	calls(t, s, v.At, ReleaseQueued, Command{Kind: CommandOpen, Name: "r", Release: &ReleaseSpec{Kind: KindRelay, All: true, Program: "p2", Queue: true}})
 	v.At += 5000
 	calls(t, s, v.At, ReleaseRolledBack, Command{Kind: CommandRollBack, Name: "first"})
 	v.At += 1000 // since it waits behind none
@@ -927,7 +927,7 @@
 	b := Budgets{SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainMS: 1000, StartMS: 1000, WarmupMS: 1000, PermitWindowMS: 100}
 	v := View{At: 1000, Relays: []Relay{{Name: "n", InService: true}}, Members: []Member{{Name: "a.1", Started: 990, Capacity: 1, UsableCapacity: 0.3}, {Name: "b", Capacity: 1, UsableCapacity: 1}}}
 	s := New()
-	s.d.Releases = []release{{Laid: true, ReleaseStatus: ReleaseStatus{Name: "r", State: ReleaseRunning, Wish: ReleaseSpec{Kind: KindMember, All: true}, Units: []Unit{
+	s.d.Releases = []release{{Laid: true, ReleaseStatus: ReleaseStatus{Name: "r", State: ReleaseRunning, Spec: ReleaseSpec{Kind: KindMember, All: true}, Units: []Unit{
 		{Name: "a", Kind: KindMember, Phase: PhaseDrained, OrderNumber: 1, OrderedAt: 900, SeenStart: 5}, {Name: "b", Kind: KindMember}}}}}
 	for _, c := range s.Plan(v.At, v, b) {
 		calls(t, s, v.At, "", c)
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -83,11 +83,11 @@
 		for _, u := range r.Units {
 			switch {
 			case u.Kind == KindRelay && u.Name == relay && u.Phase == PhaseLeaving:
-				o.Leave = &LeaveOrder{Number: u.OrderNumber, Release: r.Name, StartNumber: uint64(u.SeenStart), Program: r.Wish.Program, Config: r.Wish.Config}
+				o.Leave = &LeaveOrder{Number: u.OrderNumber, Release: r.Name, StartNumber: uint64(u.SeenStart), Program: r.Spec.Program, Config: r.Spec.Config}
 				if u.Reverting {
 					o.Leave.Program, o.Leave.Config = u.PreviousProgram, u.PreviousConfig
 				}
-			case u.Kind == KindMember && (u.Phase == PhaseLeaving || u.Phase == PhaseDrained || u.Phase == PhaseDone && r.Wish.Drain):
+			case u.Kind == KindMember && (u.Phase == PhaseLeaving || u.Phase == PhaseDrained || u.Phase == PhaseDone && r.Spec.Drain):
 				out(u.name(), Exclusion{Reason: "drain", Number: u.OrderNumber, Since: u.OrderedAt, MigrateOverMS: u.MigrateOverMS})
 			}
 		}
@@ -158,15 +158,15 @@
 		case u.isOut():
 			a.Counts.Out++
 		default:
-			a.Counts.Waiting++
+			a.Counts.Pending++
 		}
 		switch {
 		case u.Stranded:
-			a.Except = append(a.Except, u.Name+": not seen back in time")
+			a.Exceptions = append(a.Exceptions, u.Name+": not seen back in time")
 		case u.Phase == PhaseMissing:
-			a.Except = append(a.Except, u.Name+": was not there")
-		case r.Backing && u.Phase == PhaseDone && !r.undoable(u):
-			a.Except = append(a.Except, u.Name+": was restarted, which has no way back")
+			a.Exceptions = append(a.Exceptions, u.Name+": was not there")
+		case r.RollingBack && u.Phase == PhaseDone && !r.undoable(u):
+			a.Exceptions = append(a.Exceptions, u.Name+": was restarted, which has no way back")
 		}
 	}
 	return a
@@ -224,13 +224,13 @@
 
 // undoable says whether there is a way back for a unit that has the new thing. A relay's restart alone has none.
 func (r *release) undoable(u *Unit) bool {
-	if !u.Updated || r.Wish.Drain {
+	if !u.Updated || r.Spec.Drain {
 		return false
 	}
 	switch u.Kind {
 	case KindRelay:
 		other := func(now, before string) bool { return now != "" && before != "" && now != before } // what it ran may not be known
-		return other(r.Wish.Program, u.PreviousProgram) || other(r.Wish.Config, u.PreviousConfig)
+		return other(r.Spec.Program, u.PreviousProgram) || other(r.Spec.Config, u.PreviousConfig)
 	case KindEject:
 		return !u.PreviouslyEjected
 	case KindReinstate:
@@ -243,12 +243,12 @@
 func (r *release) wants(u *Unit, undo bool) (program, config string) {
 	switch {
 	case !undo:
-		return r.Wish.Program, r.Wish.Config
-	case r.Wish.Program != "" && r.Wish.Config != "":
+		return r.Spec.Program, r.Spec.Config
+	case r.Spec.Program != "" && r.Spec.Config != "":
 		return u.PreviousProgram, u.PreviousConfig
-	case r.Wish.Program != "":
+	case r.Spec.Program != "":
 		return u.PreviousProgram, ""
-	case r.Wish.Config != "":
+	case r.Spec.Config != "":
 		return "", u.PreviousConfig
 	}
 	return "", ""
@@ -275,8 +275,8 @@
 	if w.All || x.All || len(w.Zones) > 0 || len(x.Zones) > 0 {
 		return true
 	}
-	mine := slices.Concat(w.Names, w.Ban, w.Allow)
-	return slices.ContainsFunc(slices.Concat(x.Names, x.Ban, x.Allow), func(n string) bool { return slices.Contains(mine, n) })
+	mine := slices.Concat(w.Names, w.Eject, w.Reinstate)
+	return slices.ContainsFunc(slices.Concat(x.Names, x.Eject, x.Reinstate), func(n string) bool { return slices.Contains(mine, n) })
 }
 
 // ---- Settings ----
--- a/internal/rollout/world_test.go
+++ b/internal/rollout/world_test.go
@@ -426,11 +426,11 @@
 		r := &w.s.d.Releases[i]
 		for j := range r.Units {
 			u := &r.Units[j]
-			if u.Phase != PhaseDrained || u.Kind != KindMember || u.name() != x.name || u.OrderNumber == x.number || r.Wish.Drain || x.up && w.rng.IntN(4) > 0 {
+			if u.Phase != PhaseDrained || u.Kind != KindMember || u.name() != x.name || u.OrderNumber == x.number || r.Spec.Drain || x.up && w.rng.IntN(4) > 0 {
 				continue
 			}
-			x.number, x.next = u.OrderNumber, r.Wish.Program
-			if u.Reverting || r.Backing {
+			x.number, x.next = u.OrderNumber, r.Spec.Program
+			if u.Reverting || r.RollingBack {
 				x.next = x.was // its owner knows, whether or not it says so to the fleet
 			}
 			if x.up {
@@ -481,7 +481,7 @@
 	w.propose(a.who, Command{Kind: CommandRequestPermit, TargetKind: a.kind, Name: a.name, Requester: a.who, DurationMS: 4000}, func(x Result) {
 		a.number = 0
 		if x.State == PermitGranted {
-			a.number, a.deadline = x.Number, sent+int64(float64(x.Left)*a.rate*(1-w.budgets.ClockDrift))
+			a.number, a.deadline = x.Number, sent+int64(float64(x.RemainingMS)*a.rate*(1-w.budgets.ClockDrift))
 		}
 	})
 }
--- a/internal/scenariorunner/fleet.go
+++ b/internal/scenariorunner/fleet.go
@@ -207,7 +207,7 @@
 	}
 	state := a.State
 	if a.Halt != nil && state == rollout.ReleaseHalted {
-		state += ": " + a.Halt.Cause + ": " + a.Halt.Why
+		state += ": " + a.Halt.Cause + ": " + a.Halt.Reason
 	}
 	if o.states[a.Name] != state {
 		o.states[a.Name], o.ended[a.Name] = state, at
