--- a/internal/fleet/calls.go
+++ b/internal/fleet/calls.go
@@ -77,7 +77,7 @@
 			Bans     []rollout.Ejection      `json:"bans"`
 		}
 		s.record.read(func(st *rollout.State, _ held) {
-			all.Releases, all.Permits, all.Bans = st.Releases(), st.Permits(), st.Bans()
+			all.Releases, all.Permits, all.Bans = st.Releases(), st.Permits(), st.Ejections()
 		})
 		for i := range all.Releases {
 			all.Releases[i].Units = nil // by name
@@ -241,7 +241,7 @@
 	if led == 0 || v.At == 0 {
 		return ""
 	}
-	s.record.read(func(r *rollout.State, h held) { why = r.Waits(max(v.At, h.At), v, s.Budgets())[release] })
+	s.record.read(func(r *rollout.State, h held) { why = r.BlockReasons(max(v.At, h.At), v, s.Budgets())[release] })
 	return why
 }
 
--- a/internal/fleet/helm.go
+++ b/internal/fleet/helm.go
@@ -53,7 +53,7 @@
 	h.changes, h.held, h.intent = r.changes, r.held, r.intent
 	all := r.rollout.Releases()
 	h.under, h.over, h.shuts = underOf(all, r.intent), nil, map[string]rollout.Quarantine{}
-	for _, x := range r.rollout.Shuts() {
+	for _, x := range r.rollout.Quarantines() {
 		h.shuts[x.Name] = x
 	}
 	for _, a := range all {
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -598,7 +598,7 @@
 		}
 		until := func(what string, ms int64, done func() bool) {
 			if !m.play(ms, done) {
-				t.Fatalf("seed %d: not %s: out %d, %+v, %+v, %s", seed, what, out(), m.lead.record.rollout.Shuts(), m.helm.watch.Rows(), m.view.Drift)
+				t.Fatalf("seed %d: not %s: out %d, %+v, %+v, %s", seed, what, out(), m.lead.record.rollout.Quarantines(), m.helm.watch.Rows(), m.view.Drift)
 			}
 		}
 		for _, r := range m.relays[4:] {
@@ -610,9 +610,9 @@
 		if m.play(90_000, func() bool { return out() < 2 }) {
 			t.Fatalf("seed %d: a new leader lets them in: %+v", seed, m.view.Unfit)
 		}
-		first = m.lead.record.rollout.Shuts()[0].Name
+		first = m.lead.record.rollout.Quarantines()[0].Name
 		until("the next in its place", 120_000, func() bool {
-			all := m.lead.record.rollout.Shuts()
+			all := m.lead.record.rollout.Quarantines()
 			return out() == 2 && len(all) == 2 && all[0].Name != first && all[1].Name != first
 		})
 		m.release("mend", rollout.ReleaseSpec{Kind: rollout.KindRelay, All: true})
--- a/internal/rollout/account.go
+++ b/internal/rollout/account.go
@@ -10,10 +10,10 @@
 // count by the same code: Plan from the view, Apply from the state and the sight that stands in the command.
 
 // planned is what is out by plan.
-func (d *data) planned(kind string) []ZonedName {
+func (d *record) planned(kind string) []ZonedName {
 	list := d.given(kind)
-	for i := range d.Shuts {
-		if s := &d.Shuts[i]; kind == KindRelay && !s.InService {
+	for i := range d.Quarantines {
+		if s := &d.Quarantines[i]; kind == KindRelay && !s.InService {
 			list = append(list, ZonedName{s.Name, s.Zone})
 		}
 	}
@@ -21,7 +21,7 @@
 }
 
 // given is what is out by plan to go and come back. A relay that is shut may be given out beside: that is how it is mended.
-func (d *data) given(kind string) []ZonedName {
+func (d *record) given(kind string) []ZonedName {
 	var list []ZonedName
 	for i := range d.Releases {
 		for j := range d.Releases[i].Units {
@@ -39,7 +39,7 @@
 }
 
 // covered are the names that a planned one stands for: its own, and its first.
-func (d *data) covered(kind string) map[string]bool {
+func (d *record) covered(kind string) map[string]bool {
 	names := map[string]bool{}
 	for _, p := range d.planned(kind) {
 		names[p.Name] = true
@@ -74,7 +74,7 @@
 }
 
 // relays is the relays' side of a view.
-func (d *data) relays(v *View, b Budgets) KindSummary {
+func (d *record) relays(v *View, b Budgets) KindSummary {
 	s := KindSummary{CountByZone: map[string]int{}, CapacityKnown: len(v.Relays) > 0}
 	covered := d.covered(KindRelay)
 	for i := range v.Relays {
@@ -95,7 +95,7 @@
 }
 
 // members is the members' side. Those that come back bear what they bear.
-func (d *data) members(v *View) KindSummary {
+func (d *record) members(v *View) KindSummary {
 	s := KindSummary{CountByZone: map[string]int{}, Load: v.Load, CapacityKnown: len(v.Members) > 0}
 	covered, coming := d.covered(KindMember), map[string]bool{}
 	for i := range d.Releases {
@@ -146,7 +146,7 @@
 	total    int
 }
 
-func (d *data) room(kind string, s KindSummary, b Budgets) *room {
+func (d *record) room(kind string, s KindSummary, b Budgets) *room {
 	r := &room{budget: b.Members, headroom: b.CapacityReserve, side: s, zones: map[string]int{}, out: map[string]bool{}, planned: map[string]bool{}}
 	if kind == KindRelay {
 		r.budget = b.Relays
@@ -233,10 +233,10 @@
 }
 
 // bound is how long a unit may be out: by what the last ones took, at first by the budgets.
-func (d *data) bound(kind string, b Budgets) int64 {
-	first, took := b.DrainMS+b.StartMS+b.WarmupMS, d.Members
+func (d *record) bound(kind string, b Budgets) int64 {
+	first, took := b.DrainMS+b.StartMS+b.WarmupMS, d.MemberDurationsMS
 	if kind == KindRelay {
-		first, took = b.DrainMS+b.StartMS, d.Relays
+		first, took = b.DrainMS+b.StartMS, d.RelayDurationsMS
 	}
 	if len(took) < 3 {
 		return first
--- a/internal/rollout/apply.go
+++ b/internal/rollout/apply.go
@@ -24,7 +24,7 @@
 	if err := json.Unmarshal(body, &c); err != nil {
 		a = refuse("no command: %v", err)
 	} else {
-		a = s.d.apply(max(at, s.d.At), cut(by, MaxNameBytes), &c)
+		a = s.record.apply(max(at, s.record.Time), cut(by, MaxNameBytes), &c)
 	}
 	b, err := json.Marshal(a)
 	if err != nil {
@@ -43,7 +43,7 @@
 }
 
 // apply checks all before it changes anything.
-func (d *data) apply(at int64, by string, c *Command) Result {
+func (d *record) apply(at int64, by string, c *Command) Result {
 	c.Reason, c.Requester = cut(c.Reason, MaxReasonBytes), cmp.Or(cut(c.Requester, MaxNameBytes), by)
 	if len(c.Name) > MaxNameBytes {
 		return refuse("a name of over %d bytes", MaxNameBytes)
@@ -76,14 +76,14 @@
 		a = refuse("no such command: %q", cut(c.Kind, MaxNameBytes))
 	}
 	if a.Error == "" {
-		d.At = at
+		d.Time = at
 		d.settle(at)
 	}
 	return a
 }
 
 // open takes a release up. It is laid out by the pilot, who knows what there is.
-func (d *data) open(at int64, c *Command) Result {
+func (d *record) open(at int64, c *Command) Result {
 	w := c.Release
 	if w == nil || c.Name == "" {
 		return refuse("a release has a name, and says what it releases")
@@ -114,7 +114,7 @@
 		}
 		d.Releases = slices.Delete(d.Releases, drop, drop+1)
 	}
-	d.Releases = append(d.Releases, release{ReleaseStatus: ReleaseStatus{Name: c.Name, State: ReleaseQueued, Spec: *w, OpenedBy: c.Requester, OpenedAt: at, QueuedBehind: behind}, Moved: at})
+	d.Releases = append(d.Releases, release{ReleaseStatus: ReleaseStatus{Name: c.Name, State: ReleaseQueued, Spec: *w, OpenedBy: c.Requester, OpenedAt: at, QueuedBehind: behind}, ProgressAt: at})
 	d.Version++
 	return Result{Name: c.Name, State: ReleaseQueued, Reason: behind}
 }
@@ -156,7 +156,7 @@
 }
 
 // ask notes who wants a permit; the pilot grants. The same by the same asker for the same thing is the same permit.
-func (d *data) ask(at int64, c *Command) Result {
+func (d *record) ask(at int64, c *Command) Result {
 	if c.TargetKind != KindRelay && c.TargetKind != KindMember || c.Name == "" || c.DurationMS <= 0 || c.DurationMS > forMost {
 		return refuse("a permit is for a relay or a member, by name, for up to %d ms", forMost)
 	}
@@ -182,13 +182,13 @@
 	if len(d.Permits) >= MaxPermits {
 		return refuse("%d permits are asked for or in force", MaxPermits)
 	}
-	d.Number++
-	d.Permits = append(d.Permits, Permit{Number: d.Number, Kind: c.TargetKind, Name: c.Name, Holder: c.Requester, Reason: c.Reason, DurationMS: c.DurationMS, State: PermitWaiting, RequestedAt: at})
-	return Result{State: PermitWaiting, Number: d.Number, RetryAfterMS: againAfter, Reason: d.waits(&d.Permits[len(d.Permits)-1])}
+	d.LastNumber++
+	d.Permits = append(d.Permits, Permit{Number: d.LastNumber, Kind: c.TargetKind, Name: c.Name, Holder: c.Requester, Reason: c.Reason, DurationMS: c.DurationMS, State: PermitWaiting, RequestedAt: at})
+	return Result{State: PermitWaiting, Number: d.LastNumber, RetryAfterMS: againAfter, Reason: d.waits(&d.Permits[len(d.Permits)-1])}
 }
 
 // waits says why a permit waits, as far as the record knows: who is out by plan, and who waits before it.
-func (d *data) waits(p *Permit) string {
+func (d *record) waits(p *Permit) string {
 	var names []string
 	for _, x := range d.planned(p.Kind) {
 		if len(names) < 8 {
@@ -205,7 +205,7 @@
 }
 
 // begin and give: by number, so that an old one does nothing.
-func (d *data) begin(at int64, c *Command) Result {
+func (d *record) begin(at int64, c *Command) Result {
 	p := d.permit(c.PermitNumber)
 	if p == nil {
 		return refuse("there is no permit %d, or no more", c.PermitNumber)
@@ -234,7 +234,7 @@
 func stretch(ms int64, part float64) int64 { return ms + int64(math.Ceil(float64(ms)*part)) }
 
 // steer halts a release, resumes it or sends it back.
-func (d *data) steer(at int64, by string, c *Command) Result {
+func (d *record) steer(at int64, by string, c *Command) Result {
 	r := d.release(c.Name)
 	itself := c.Cause != "" && c.Cause != HaltByOperator
 	switch {
@@ -252,9 +252,9 @@
 		if r.Halt != nil && (r.Halt.NeedsOperator || itself && c.Cause != HaltVerdict) {
 			return refuse("release %q is halted: %s %s", c.Name, r.Halt.Cause, r.Halt.Reason)
 		}
-		again := slices.Contains(r.Causes, c.Cause)
-		if itself && !again && len(r.Causes) < 8 {
-			r.Causes = append(r.Causes, cut(c.Cause, MaxNameBytes))
+		again := slices.Contains(r.HaltCauses, c.Cause)
+		if itself && !again && len(r.HaltCauses) < 8 {
+			r.HaltCauses = append(r.HaltCauses, cut(c.Cause, MaxNameBytes))
 		}
 		r.Halt = &HaltInfo{Cause: cut(cmp.Or(c.Cause, HaltByOperator), MaxNameBytes), Reason: c.Reason, HaltedBy: c.Requester, HaltedAt: at}
 		r.Halt.NeedsOperator = !itself || c.Cause == HaltVerdict || again && (c.Cause == HaltServiceDegraded || c.Cause == HaltOverdue)
@@ -268,11 +268,11 @@
 		if itself && (r.Halt.NeedsOperator || r.Halt.Cause != c.Cause) {
 			return refuse("release %q is resumed by an operator alone", c.Name)
 		}
-		r.Halt, r.Resumed, r.Moved = nil, at, at
+		r.Halt, r.ResumedAt, r.ProgressAt = nil, at, at
 		r.State = r.going()
 		d.Version++
 	case CommandRollBack:
-		r.Halt, r.Resumed, r.Moved, r.RollingBack, r.EndedAt = nil, at, at, true, 0
+		r.Halt, r.ResumedAt, r.ProgressAt, r.RollingBack, r.EndedAt = nil, at, at, true, 0
 		r.State = r.going()
 		d.Version++
 		r.revoke(d.Version)
@@ -285,7 +285,7 @@
 }
 
 // inTheWay is a release that goes on at the same things as one that has ended.
-func (d *data) inTheWay(r *release) string {
+func (d *record) inTheWay(r *release) string {
 	for i := range d.Releases {
 		if o := &d.Releases[i]; o.Name != r.Name && !o.ended() && o.QueuedBehind == "" && o.Spec.overlaps(&r.Spec) {
 			return o.Name
@@ -299,7 +299,7 @@
 	switch {
 	case r.RollingBack:
 		return ReleaseRollingBack
-	case !r.Laid:
+	case !r.UnitsSet:
 		return ReleaseQueued
 	}
 	return ReleaseRunning
@@ -332,7 +332,7 @@
 }
 
 // ban and allow by operators need no budget: they are not held back, and what is banned counts as lost.
-func (d *data) ban(at int64, c *Command) Result {
+func (d *record) ban(at int64, c *Command) Result {
 	if len(c.Names) == 0 || len(c.Names) > MaxEjections {
 		return refuse("no names, or over %d", MaxEjections)
 	}
@@ -341,7 +341,7 @@
 			return refuse("%q is no name", cut(n, MaxNameBytes))
 		}
 	}
-	if c.Kind == CommandEject && len(d.Bans)+len(c.Names) > MaxEjections {
+	if c.Kind == CommandEject && len(d.Ejections)+len(c.Names) > MaxEjections {
 		return refuse("over %d bans", MaxEjections)
 	}
 	changed := false
@@ -354,7 +354,7 @@
 				switch {
 				case c.Kind != CommandReinstate || u.name() != n:
 				case u.takeBack(r, d.Version+1):
-					r.RollingBack, r.Resumed, r.Moved, r.EndedAt, r.Halt, changed = true, at, at, 0, nil, true
+					r.RollingBack, r.ResumedAt, r.ProgressAt, r.EndedAt, r.Halt, changed = true, at, at, 0, nil, true
 					r.State = r.going()
 				case u.Stranded && u.Kind == KindMember && r.ended() && u.isOut(): // an operator takes it as it is: nothing else ever might
 					u.Phase, changed = PhaseMissing, true
@@ -368,24 +368,24 @@
 	return Result{}
 }
 
-func (d *data) setBan(at int64, name, why, by string, on bool) bool {
+func (d *record) setBan(at int64, name, why, by string, on bool) bool {
 	i, is := d.banned(name)
 	switch {
 	case is == on:
 		return false
 	case !on:
-		d.Bans = slices.Delete(d.Bans, i, i+1)
+		d.Ejections = slices.Delete(d.Ejections, i, i+1)
 	default:
-		d.Number++
-		d.Bans = slices.Insert(d.Bans, i, Ejection{Name: name, Reason: why, EjectedBy: by, Since: at, Number: d.Number})
+		d.LastNumber++
+		d.Ejections = slices.Insert(d.Ejections, i, Ejection{Name: name, Reason: why, EjectedBy: by, Since: at, Number: d.LastNumber})
 	}
 	return true
 }
 
 // lay fixes a release's things, their order, and how they were before.
-func (d *data) lay(at int64, c *Command) Result {
+func (d *record) lay(at int64, c *Command) Result {
 	r := d.release(c.Name)
-	if r == nil || r.Laid || r.State != ReleaseQueued || r.QueuedBehind != "" {
+	if r == nil || r.UnitsSet || r.State != ReleaseQueued || r.QueuedBehind != "" {
 		return refuse("release %q is not to be laid out", c.Name)
 	}
 	total := len(c.Units)
@@ -417,14 +417,14 @@
 		r.Units = append(r.Units, Unit{Name: u.Name, Zone: u.Zone, Kind: u.Kind, Capacity: u.Capacity, PreviousProgram: u.PreviousProgram, PreviousConfig: u.PreviousConfig,
 			PreviouslyEjected: banned, Phase: phase})
 	}
-	r.Asked, r.Served, r.Spread = before(c.Baseline)
-	r.Laid, r.Since, r.Moved, r.State = true, at, at, ReleaseRunning
+	r.BaselineRequested, r.BaselineServed, r.BaselineDispersion = before(c.Baseline)
+	r.UnitsSet, r.UnitsSetAt, r.ProgressAt, r.State = true, at, at, ReleaseRunning
 	d.Version++
 	return Result{Name: r.Name, State: r.State}
 }
 
 // stale says why what a command was reckoned from does not hold any more.
-func (d *data) stale(at int64, c *Command) string {
+func (d *record) stale(at int64, c *Command) string {
 	v, b := c.Basis, c.Basis.Budgets
 	switch {
 	case c.BaseVersion != d.Version && planted != "no fencing":
@@ -438,7 +438,7 @@
 }
 
 // step gives things out: all of it, or nothing.
-func (d *data) step(at int64, c *Command) Result {
+func (d *record) step(at int64, c *Command) Result {
 	if c.Basis == nil || len(c.Grants) == 0 || len(c.Grants) > MaxGrantsPerStep {
 		return refuse("a step names one to %d things, and what it was reckoned from", MaxGrantsPerStep)
 	}
@@ -478,7 +478,7 @@
 		if why := rooms[side(kind)].take(name, zone, g.Capacity); why != "" {
 			return refuse("%s", why)
 		}
-		if kind == KindEject && len(d.Bans)+len(c.Grants) > MaxEjections {
+		if kind == KindEject && len(d.Ejections)+len(c.Grants) > MaxEjections {
 			return refuse("over %d bans", MaxEjections)
 		}
 	}
@@ -491,13 +491,13 @@
 		}
 		r := d.release(g.Release)
 		u := r.unit(g.Unit)
-		d.Number++
+		d.LastNumber++
 		u.Reverting = u.Updated
-		u.Phase, u.OrderNumber, u.OrderVersion, u.OrderedAt, u.SeenStart, u.MigrateOverMS = PhaseLeaving, d.Number, d.Version, at, g.SeenStart, g.MigrateOverMS
+		u.Phase, u.OrderNumber, u.OrderVersion, u.OrderedAt, u.SeenStart, u.MigrateOverMS = PhaseLeaving, d.LastNumber, d.Version, at, g.SeenStart, g.MigrateOverMS
 		if ban := u.bans(); ban != 0 {
 			d.setBan(at, u.Name, "release "+r.Name, r.OpenedBy, ban > 0)
 		}
-		r.Moved = at
+		r.ProgressAt = at
 	}
 	return Result{}
 }
@@ -525,7 +525,7 @@
 }
 
 // seen takes over what others saw. What does not fit the state any more is left aside.
-func (d *data) seen(at int64, c *Command) Result {
+func (d *record) seen(at int64, c *Command) Result {
 	if len(c.Observations) > MaxUnits+MaxPermits {
 		return refuse("over %d sights", MaxUnits+MaxPermits)
 	}
@@ -553,7 +553,7 @@
 		if u == nil || u.OrderVersion != s.OrderVersion || !d.move(at, r, u, s) {
 			continue
 		}
-		r.Moved, changed = at, true
+		r.ProgressAt, changed = at, true
 	}
 	if !changed {
 		return refuse("nothing of this is so any more")
@@ -563,7 +563,7 @@
 }
 
 // move is one transition of a unit. Order is the version that this command makes.
-func (d *data) move(at int64, r *release, u *Unit, s Observation) bool {
+func (d *record) move(at int64, r *release, u *Unit, s Observation) bool {
 	next := d.Version + 1
 	switch {
 	case s.Stranded:
@@ -606,11 +606,11 @@
 	return true
 }
 
-func (d *data) note(kind string, took int64) {
-	list := &d.Members
+func (d *record) note(kind string, took int64) {
+	list := &d.MemberDurationsMS
 	switch kind {
 	case KindRelay:
-		list = &d.Relays
+		list = &d.RelayDurationsMS
 	case KindEject, KindReinstate:
 		return
 	}
@@ -621,7 +621,7 @@
 }
 
 // void forgets permits whose time is over, and askers who are gone.
-func (d *data) void(at int64, c *Command) Result {
+func (d *record) void(at int64, c *Command) Result {
 	n := len(d.Permits)
 	d.Permits = slices.DeleteFunc(d.Permits, func(p Permit) bool { return slices.Contains(c.PermitNumbers, p.Number) && p.void(at) })
 	if len(d.Permits) == n {
@@ -636,7 +636,7 @@
 }
 
 // shut takes a relay that drifted out of the service, within the budget: drift at half of the fleet must not empty it.
-func (d *data) shut(at int64, c *Command) Result {
+func (d *record) shut(at int64, c *Command) Result {
 	if c.Basis == nil || c.Name == "" || len(c.Zone) > MaxNameBytes {
 		return refuse("who is shut has a name and a zone, and what it was reckoned from")
 	}
@@ -649,21 +649,21 @@
 		return refuse("%s is shut", s.Name)
 	case s != nil && s.OperatorOverride:
 		return refuse("an operator admitted %s as it is", s.Name)
-	case s == nil && len(d.Shuts) >= MaxQuarantines:
+	case s == nil && len(d.Quarantines) >= MaxQuarantines:
 		return refuse("%d relays are shut", MaxQuarantines)
 	}
 	if why := d.room(KindRelay, c.Basis.Relays, c.Basis.Budgets).shut(c.Name, c.Zone, c.Capacity); why != "" {
 		return refuse("%s", why)
 	}
 	d.Version++
-	d.Number++
-	d.Shuts = slices.DeleteFunc(d.Shuts, func(x Quarantine) bool { return x.Name == c.Name })
-	d.Shuts = append(d.Shuts, Quarantine{Name: c.Name, Zone: c.Zone, Reason: c.Reason, Since: at, StartNumber: c.StartNumber, Number: d.Number})
-	return Result{Name: c.Name, State: CommandQuarantine, Number: d.Number}
+	d.LastNumber++
+	d.Quarantines = slices.DeleteFunc(d.Quarantines, func(x Quarantine) bool { return x.Name == c.Name })
+	d.Quarantines = append(d.Quarantines, Quarantine{Name: c.Name, Zone: c.Zone, Reason: c.Reason, Since: at, StartNumber: c.StartNumber, Number: d.LastNumber})
+	return Result{Name: c.Name, State: CommandQuarantine, Number: d.LastNumber}
 }
 
 // admit lets a relay serve again. It counts as out until it is seen to.
-func (d *data) admit(c *Command) Result {
+func (d *record) admit(c *Command) Result {
 	s, itself := d.shutting(c.Name), c.Cause != ""
 	switch {
 	case s == nil || s.ReadmittedVersion != 0 && (itself || s.OperatorOverride):
@@ -677,15 +677,15 @@
 }
 
 // opened takes over that one that was admitted serves, or is nothing to be spoken of any more.
-func (d *data) opened(saw Observation) bool {
-	i := slices.IndexFunc(d.Shuts, func(x Quarantine) bool { return x.Number == saw.Quarantine && x.ReadmittedVersion != 0 })
+func (d *record) opened(saw Observation) bool {
+	i := slices.IndexFunc(d.Quarantines, func(x Quarantine) bool { return x.Number == saw.Quarantine && x.ReadmittedVersion != 0 })
 	switch {
 	case i < 0:
 		return false
-	case saw.Phase == PhaseMissing || saw.Phase == PhaseDone && !d.Shuts[i].OperatorOverride:
-		d.Shuts = slices.Delete(d.Shuts, i, i+1)
-	case saw.Phase == PhaseDone && !d.Shuts[i].InService:
-		d.Shuts[i].InService = true
+	case saw.Phase == PhaseMissing || saw.Phase == PhaseDone && !d.Quarantines[i].OperatorOverride:
+		d.Quarantines = slices.Delete(d.Quarantines, i, i+1)
+	case saw.Phase == PhaseDone && !d.Quarantines[i].InService:
+		d.Quarantines[i].InService = true
 	default:
 		return false
 	}
@@ -693,7 +693,7 @@
 }
 
 // settle ends what is through, then lets go on what waited for it: first an ended one that has something left to undo, else the next.
-func (d *data) settle(at int64) {
+func (d *record) settle(at int64) {
 	for i := range d.Releases {
 		if r := &d.Releases[i]; r.through() {
 			r.State, r.EndedAt = map[string]string{ReleaseRunning: ReleaseCompleted, ReleaseRollingBack: ReleaseRolledBack}[r.State], at
@@ -702,7 +702,7 @@
 	for i := range d.Releases {
 		r := &d.Releases[i]
 		if r.State == ReleaseRolledBack && d.inTheWay(r) == "" && slices.ContainsFunc(r.Units, func(u Unit) bool { return u.Phase == PhaseDone && !u.Stranded && r.undoable(&u) }) {
-			r.State, r.EndedAt, r.Resumed, r.Moved = ReleaseRollingBack, 0, at, at // one that was stranded came back with the new thing
+			r.State, r.EndedAt, r.ResumedAt, r.ProgressAt = ReleaseRollingBack, 0, at, at // one that was stranded came back with the new thing
 		}
 		if r.QueuedBehind == "" {
 			continue
@@ -716,7 +716,7 @@
 			}
 		}
 		if r.QueuedBehind != was {
-			r.Moved = at
+			r.ProgressAt = at
 		}
 	}
 }
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -9,7 +9,7 @@
 
 // planner is one look of the leader.
 type planner struct {
-	d       *data
+	d       *record
 	now     int64
 	v       View
 	b       Budgets
@@ -25,9 +25,9 @@
 // not, the rest is refused and the next look plans anew. A relay that was never heard is to have the age of the view as ReportAgeMS, else
 // nothing of it is ever past its time.
 func (s *State) Plan(now int64, v View, b Budgets) []Command {
-	p := s.d.planner(now, v, b)
+	p := s.record.planner(now, v, b)
 	saw := p.seen()
-	next := State{s.d.clone()}
+	next := State{s.record.clone()}
 	var list []Command
 	add := func(c Command) {
 		version := next.Version()
@@ -38,7 +38,7 @@
 	if len(saw) > 0 {
 		add(Command{Kind: CommandObserve, Observations: saw})
 		gone := p.gone
-		p = next.d.planner(now, v, b)
+		p = next.record.planner(now, v, b)
 		p.gone = gone
 	}
 	_, stalled := p.step()
@@ -49,15 +49,15 @@
 	if numbers := p.void(); len(numbers) > 0 {
 		add(Command{Kind: CommandExpirePermits, PermitNumbers: numbers})
 	}
-	if len(s.d.Shuts)+len(v.Unfit) > 0 {
-		p = next.d.planner(now, v, b)
+	if len(s.record.Quarantines)+len(v.Unfit) > 0 {
+		p = next.record.planner(now, v, b)
 		for _, c := range append(p.admits(), p.shuts()...) {
 			c.BaseVersion = next.Version()
 			add(c)
 		}
 	}
 	if len(list) > 0 {
-		if c, _ := next.d.planner(now, v, b).step(); c != nil {
+		if c, _ := next.record.planner(now, v, b).step(); c != nil {
 			list = append(list, *c)
 		}
 		return list
@@ -74,14 +74,14 @@
 	return nil
 }
 
-// Waits says, by release, why nothing of it may go out now, where nothing is. For operators, at the leader.
-func (s *State) Waits(now int64, v View, b Budgets) map[string]string {
-	p := s.d.planner(now, v, b)
+// BlockReasons says, by release, why nothing of it may go out now, where nothing is. For operators, at the leader.
+func (s *State) BlockReasons(now int64, v View, b Budgets) map[string]string {
+	p := s.record.planner(now, v, b)
 	_, why := p.step()
 	return why
 }
 
-func (d *data) planner(now int64, v View, b Budgets) *planner {
+func (d *record) planner(now int64, v View, b Budgets) *planner {
 	p := &planner{d: d, now: now, v: v, b: b, relays: map[string]*Relay{}, members: map[string]*Member{}, gone: map[string]bool{}, used: map[string]bool{}}
 	p.v.Relays, p.v.Members = slices.Clone(v.Relays), slices.Clone(v.Members)
 	slices.SortFunc(p.v.Relays, func(x, y Relay) int { return cmp.Compare(x.Name, y.Name) })
@@ -133,8 +133,8 @@
 			list = append(list, Observation{Permit: x.Number})
 		}
 	}
-	for i := range p.d.Shuts {
-		x := &p.d.Shuts[i]
+	for i := range p.d.Quarantines {
+		x := &p.d.Quarantines[i]
 		r := p.relays[x.Name]
 		switch _, unfit := p.v.Unfit[x.Name]; {
 		case x.ReadmittedVersion == 0:
@@ -154,7 +154,7 @@
 		return Observation{Phase: PhaseDone}, u.Phase == PhaseLeaving && p.heeded(u.OrderVersion)
 	}
 	if u.Phase == PhasePending && r.State == ReleaseRunning && p.there(u) == nil && p.alone(r, u) && !p.rooms[side(u.Kind)].planned[u.name()] &&
-		p.now-max(r.Moved, r.Resumed) > p.b.StartMS+p.b.SilentAfterMS { // longer than one that fell over takes
+		p.now-max(r.ProgressAt, r.ResumedAt) > p.b.StartMS+p.b.SilentAfterMS { // longer than one that fell over takes
 		return Observation{Phase: PhaseMissing}, true
 	}
 	if u.Phase == PhaseDone && u.Stranded {
@@ -356,12 +356,12 @@
 	if !u.isOut() {
 		// Not there, or held out by another release or a permit.
 		kept := p.there(u) == nil || p.rooms[side(u.Kind)].planned[u.name()]
-		return r.State == ReleaseRollingBack && u.Phase == PhaseDone && r.undoable(u) && kept && p.now-max(r.Moved, r.Resumed) > p.d.bound(u.Kind, p.b)
+		return r.State == ReleaseRollingBack && u.Phase == PhaseDone && r.undoable(u) && kept && p.now-max(r.ProgressAt, r.ResumedAt) > p.d.bound(u.Kind, p.b)
 	}
 	if r.Spec.Drain && u.Phase == PhaseDrained {
 		return false
 	}
-	return p.now-max(u.OrderedAt, r.Resumed) > p.d.bound(u.Kind, p.b)
+	return p.now-max(u.OrderedAt, r.ResumedAt) > p.d.bound(u.Kind, p.b)
 }
 
 // ---- Drift ----
@@ -369,8 +369,8 @@
 // admits are the relays that need not be shut any more. One that is silent may be as it was.
 func (p *planner) admits() []Command {
 	var list []Command
-	for i := range p.d.Shuts {
-		s := &p.d.Shuts[i]
+	for i := range p.d.Quarantines {
+		s := &p.d.Quarantines[i]
 		r, cause := p.relays[s.Name], ""
 		_, unfit := p.v.Unfit[s.Name]
 		switch {
@@ -441,7 +441,7 @@
 	if !r.RollingBack {
 		cause, why = p.bad(r, verdict)
 	}
-	if cause == "" && stalled[r.Name] != "" && p.now-max(r.Moved, r.Resumed) > p.d.bound(r.Spec.Kind, p.b) {
+	if cause == "" && stalled[r.Name] != "" && p.now-max(r.ProgressAt, r.ResumedAt) > p.d.bound(r.Spec.Kind, p.b) {
 		return HaltStalled, stalled[r.Name]
 	}
 	return cause, why
@@ -466,8 +466,8 @@
 			return HaltOverdue, fmt.Sprintf("%s %s is %s for %d ms", u.Kind, u.name(), u.Phase, p.now-u.OrderedAt)
 		}
 	}
-	if worse(r.Asked, r.Served, r.Spread, p.b.ServiceTolerance, p.v.Service, max(r.Since, r.Resumed)) {
-		return HaltServiceDegraded, fmt.Sprintf("it was %.4f before", r.Served/r.Asked)
+	if worse(r.BaselineRequested, r.BaselineServed, r.BaselineDispersion, p.b.ServiceTolerance, p.v.Service, max(r.UnitsSetAt, r.ResumedAt)) {
+		return HaltServiceDegraded, fmt.Sprintf("it was %.4f before", r.BaselineServed/r.BaselineRequested)
 	}
 	return "", ""
 }
@@ -487,7 +487,7 @@
 		case HaltOverdue:
 			gone = !out
 		case HaltServiceDegraded:
-			gone = !out && !worse(r.Asked, r.Served, r.Spread, p.b.ServiceTolerance, p.v.Service, r.Halt.HaltedAt)
+			gone = !out && !worse(r.BaselineRequested, r.BaselineServed, r.BaselineDispersion, p.b.ServiceTolerance, p.v.Service, r.Halt.HaltedAt)
 		case HaltDrift:
 			gone = p.v.Drift == ""
 		case HaltStalled:
@@ -519,7 +519,7 @@
 // things out anyway, else spread over the zones.
 func (p *planner) lay() *Command {
 	i := slices.IndexFunc(p.d.Releases, func(r release) bool {
-		return r.State == ReleaseQueued && !r.Laid && r.QueuedBehind == "" && !p.unknown(&r)
+		return r.State == ReleaseQueued && !r.UnitsSet && r.QueuedBehind == "" && !p.unknown(&r)
 	})
 	if i < 0 || len(p.v.Relays) == 0 {
 		return nil
@@ -572,7 +572,7 @@
 // unknown says that a relay of the release has not yet said what it runs: it could not be given back. One that is silent for good is not waited for.
 func (p *planner) unknown(r *release) bool {
 	w := &r.Spec
-	return w.Kind == KindRelay && p.now-r.Moved <= p.b.DrainMS+p.b.StartMS && slices.ContainsFunc(p.v.Relays, func(x Relay) bool {
+	return w.Kind == KindRelay && p.now-r.ProgressAt <= p.b.DrainMS+p.b.StartMS && slices.ContainsFunc(p.v.Relays, func(x Relay) bool {
 		return w.of(x.Name, x.Zone) && (w.Program != "" && x.Program == "" || w.Config != "" && x.Config == "")
 	})
 }
@@ -651,7 +651,7 @@
 	}
 	starved := slices.ContainsFunc(p.d.Releases, func(r release) bool {
 		return (r.State == ReleaseRunning || r.State == ReleaseRollingBack) && !slices.ContainsFunc(r.Units, func(u Unit) bool { return u.isOut() }) &&
-			p.now-max(r.Moved, r.Resumed) > p.d.bound(r.Spec.Kind, p.b)/2
+			p.now-max(r.ProgressAt, r.ResumedAt) > p.d.bound(r.Spec.Kind, p.b)/2
 	})
 	if !starved {
 		p.permits(&c)
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -123,10 +123,10 @@
 	w.calm, w.drop, w.drift = true, 0, 0
 	w.settleDown(600, CommandResume)
 	w.settleDown(1000, CommandRollBack)
-	if w.s.d.release("drain") != nil {
+	if w.s.record.release("drain") != nil {
 		w.order(Command{Kind: CommandRollBack, Name: "drain"}) // it may have held up what else is to go back
 	}
-	if w.s.d.release("bans") != nil {
+	if w.s.record.release("bans") != nil {
 		w.order(Command{Kind: CommandRollBack, Name: "bans"})
 	}
 	for range 4 { // one may have stalled behind another
@@ -164,7 +164,7 @@
 func (w *world) settleDown(ticks int, call string) {
 	for i := range ticks {
 		w.tick()
-		if i > 30 && !slices.ContainsFunc(w.s.d.Releases, func(r release) bool { return !r.ended() && r.State != ReleaseHalted }) {
+		if i > 30 && !slices.ContainsFunc(w.s.record.Releases, func(r release) bool { return !r.ended() && r.State != ReleaseHalted }) {
 			break
 		}
 	}
@@ -177,13 +177,13 @@
 
 // last is what has to be so at the end.
 func (w *world) last() {
-	if len(w.s.d.Shuts) > 0 {
-		w.fault("shut in the calm: %+v", w.s.d.Shuts)
+	if len(w.s.record.Quarantines) > 0 {
+		w.fault("shut in the calm: %+v", w.s.record.Quarantines)
 	}
-	if len(w.s.d.Bans) > 0 {
-		w.fault("bans stand: %v", w.s.d.Bans)
+	if len(w.s.record.Ejections) > 0 {
+		w.fault("bans stand: %v", w.s.record.Ejections)
 	}
-	for _, r := range w.s.d.Releases {
+	for _, r := range w.s.record.Releases {
 		if !r.ended() && r.State != ReleaseHalted {
 			w.fault("release %s is %s behind %q: %+v", r.Name, r.State, r.QueuedBehind, slices.DeleteFunc(slices.Clone(r.Units), func(u Unit) bool {
 				return u.Phase == PhasePending || u.Phase == PhaseDone && !r.undoable(&u)
@@ -405,7 +405,7 @@
 			c.PermitNumber = uint64(rng.IntN(8))
 			if c.Basis != nil {
 				seen := *c.Basis
-				seen.At, c.BaseVersion, c.Basis = s.d.At, s.Version(), &seen
+				seen.At, c.BaseVersion, c.Basis = s.record.Time, s.Version(), &seen
 			}
 			switch rng.IntN(5) {
 			case 0:
@@ -419,20 +419,20 @@
 			}
 			out := func(kind string) int {
 				names := map[string]bool{}
-				for _, p := range s.d.planned(kind) {
+				for _, p := range s.record.planned(kind) {
 					names[p.Name] = true
 				}
 				return len(names)
 			}
 			relays, members, a := out(KindRelay), out(KindMember), Result{}
-			if s, a = try(t, s, s.d.At+int64(rng.IntN(10)/9)*40000, c.Encode()); a.Error != "" {
+			if s, a = try(t, s, s.record.Time+int64(rng.IntN(10)/9)*40000, c.Encode()); a.Error != "" {
 				continue
 			}
 			if accepted[c.Kind]++; c.Basis == nil {
 				continue
 			}
 			for kind, is := range map[string]bool{KindRelay: out(KindRelay) > relays, KindMember: out(KindMember) > members} {
-				if most := s.d.room(kind, map[string]KindSummary{KindRelay: c.Basis.Relays, KindMember: c.Basis.Members}[kind], c.Basis.Budgets); is && most.over() != "" {
+				if most := s.record.room(kind, map[string]KindSummary{KindRelay: c.Basis.Relays, KindMember: c.Basis.Members}[kind], c.Basis.Budgets); is && most.over() != "" {
 					t.Fatalf("%s: %s", c.Encode(), most.over())
 				}
 			}
@@ -573,7 +573,7 @@
 
 	// One that was stranded is undone as soon as what was in its way has ended: nothing else may ever be called.
 	s = New()
-	s.d.Releases = []release{{ReleaseStatus: ReleaseStatus{Name: "first", State: ReleaseRolledBack, Spec: ReleaseSpec{Kind: KindMember, All: true}, Units: []Unit{{Name: "a", Kind: KindMember, Phase: PhaseDone, Updated: true}}}},
+	s.record.Releases = []release{{ReleaseStatus: ReleaseStatus{Name: "first", State: ReleaseRolledBack, Spec: ReleaseSpec{Kind: KindMember, All: true}, Units: []Unit{{Name: "a", Kind: KindMember, Phase: PhaseDone, Updated: true}}}},
 		{ReleaseStatus: ReleaseStatus{Name: "second", State: ReleaseRollingBack, Spec: ReleaseSpec{Kind: KindEject, Eject: []string{"a"}}, Units: []Unit{{Name: "a", Kind: KindEject, Phase: PhaseLeaving, Reverting: true}}}}}
 	calls(t, s, 6, "", Command{Kind: CommandObserve, Observations: []Observation{{Release: "second", Unit: "a", Phase: PhaseDone}}})
 	for name, want := range map[string]string{"first": ReleaseRollingBack, "second": ReleaseRolledBack} {
@@ -588,7 +588,7 @@
 	b := Budgets{SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainMS: 100, StartMS: 100, PermitWindowMS: 100}
 	for _, allow := range []bool{false, true} {
 		s, v := New(), View{At: 1e6, Relays: []Relay{{Name: "n", InService: true}}, Members: []Member{{Name: "a", Program: "b3", Started: 9, Capacity: 1, UsableCapacity: 1}}}
-		s.d.Releases = []release{{ReleaseStatus: ReleaseStatus{Name: "r", State: ReleaseRolledBack, RollingBack: true, Spec: ReleaseSpec{Kind: KindMember, All: true, Program: "b2"}, Units: []Unit{
+		s.record.Releases = []release{{ReleaseStatus: ReleaseStatus{Name: "r", State: ReleaseRolledBack, RollingBack: true, Spec: ReleaseSpec{Kind: KindMember, All: true, Program: "b2"}, Units: []Unit{
 			{Name: "a", Kind: KindMember, PreviousProgram: "b1", Phase: PhaseDrained, Stranded: true, OrderNumber: 1, SeenStart: 5}}}}}
 		if plan := s.Plan(v.At, v, b); plan != nil || s.Orders("n").Exclusions["a"].Reason != "drain" {
 			t.Errorf("%+v, %+v", plan, s.Orders("n"))
@@ -600,7 +600,7 @@
 			calls(t, s, v.At, "", s.Plan(v.At, v, b)[0])
 		}
 		a, _ := s.Release("r")
-		if plan := s.Plan(v.At, v, b); plan != nil || s.Orders("n").Exclusions != nil || len(s.d.planned(KindMember)) > 0 || len(a.Exceptions) != 1 {
+		if plan := s.Plan(v.At, v, b); plan != nil || s.Orders("n").Exclusions != nil || len(s.record.planned(KindMember)) > 0 || len(a.Exceptions) != 1 {
 			t.Errorf("allowed %v: %+v, %+v", allow, plan, a)
 		}
 	}
@@ -674,7 +674,7 @@
 		w.order(Command{Kind: CommandOpen, Name: "m", Release: &ReleaseSpec{Kind: KindMember, All: true, Program: "b2"}})
 		from := w.now
 		out := map[string]int64{} // ms that things were out in truth, not until they were seen to be back
-		for !w.s.d.Releases[0].ended() || !w.s.d.Releases[1].ended() {
+		for !w.s.record.Releases[0].ended() || !w.s.record.Releases[1].ended() {
 			w.tick()
 			for key, is := range w.given {
 				if kind, _, _ := strings.Cut(key, " "); is() {
@@ -726,7 +726,7 @@
 	}
 	v.At++
 	calls(t, s, v.At, ReleaseRunning, s.Plan(v.At, v, b)[0])
-	r := s.d.release("r")
+	r := s.record.release("r")
 	for i := range r.Units {
 		r.Units[i].Updated = true
 	}
@@ -779,7 +779,7 @@
 			calls(t, s, v.At, "", c)
 		}
 		got := ""
-		for _, x := range s.Shuts() {
+		for _, x := range s.Quarantines() {
 			got += x.Name + " "
 		}
 		if got != want {
@@ -798,11 +798,11 @@
 	if o := s.Orders("n6").Quarantine; o == nil || o.Reason != "late" || o.StartNumber != 5 || s.Orders("n1").Quarantine != nil {
 		t.Errorf("%+v", o)
 	}
-	if old, err := Decode([]byte(`{"version":3,"at":9,"number":1}`)); err != nil || len(old.Shuts()) > 0 {
+	if old, err := Decode([]byte(`{"version":3,"at":9,"number":1}`)); err != nil || len(old.Quarantines()) > 0 {
 		t.Error("a state of before", err)
 	}
 	// What was reckoned from an old state, or by who saw less, takes nothing out.
-	c := Command{Kind: CommandQuarantine, Name: "n4", Zone: "z0", StartNumber: 5, BaseVersion: s.Version(), Basis: s.d.planner(v.At, v, b).sight()}
+	c := Command{Kind: CommandQuarantine, Name: "n4", Zone: "z0", StartNumber: 5, BaseVersion: s.Version(), Basis: s.record.planner(v.At, v, b).sight()}
 	calls(t, s, v.At, "3 of 3", c)
 	calls(t, s, v.At+101, "ms old", c)
 	c.BaseVersion--
@@ -830,7 +830,7 @@
 	calls(t, s, v.At, ReleaseRunning, Command{Kind: CommandResume, Name: "r"})
 	plan(b, "n6 n2 n0 ")
 	if s.Orders("n2").Leave == nil {
-		t.Errorf("%+v", s.d.release("r").unit("n2"))
+		t.Errorf("%+v", s.record.release("r").unit("n2"))
 	}
 	// One comes back: it is admitted, and counts until it is seen to serve by that; then the next is shut.
 	r := &v.Relays[6]
@@ -865,7 +865,7 @@
 	v.Relays = slices.DeleteFunc(v.Relays, func(r Relay) bool { return r.Name == "n2" })
 	plan(b, "n0 n4 ")
 	plan(b, "n0 n4 n6 ")
-	if s.d.shutting("n2") != nil {
+	if s.record.shutting("n2") != nil {
 		t.Error("it is gone, and still counts")
 	}
 }
@@ -899,7 +899,7 @@
 	v.Relays[0].InService = false
 	v.At++
 	plan()
-	if room := s.d.room(KindRelay, s.d.relays(&v, b), b); len(s.Permits()) != 0 || !room.out["n0"] || len(room.out) != 1 {
+	if room := s.record.room(KindRelay, s.record.relays(&v, b), b); len(s.Permits()) != 0 || !room.out["n0"] || len(room.out) != 1 {
 		t.Errorf("%+v, out %v", s.Permits(), room.out)
 	}
 
@@ -927,7 +927,7 @@
 	b := Budgets{SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainMS: 1000, StartMS: 1000, WarmupMS: 1000, PermitWindowMS: 100}
 	v := View{At: 1000, Relays: []Relay{{Name: "n", InService: true}}, Members: []Member{{Name: "a.1", Started: 990, Capacity: 1, UsableCapacity: 0.3}, {Name: "b", Capacity: 1, UsableCapacity: 1}}}
 	s := New()
-	s.d.Releases = []release{{Laid: true, ReleaseStatus: ReleaseStatus{Name: "r", State: ReleaseRunning, Spec: ReleaseSpec{Kind: KindMember, All: true}, Units: []Unit{
+	s.record.Releases = []release{{UnitsSet: true, ReleaseStatus: ReleaseStatus{Name: "r", State: ReleaseRunning, Spec: ReleaseSpec{Kind: KindMember, All: true}, Units: []Unit{
 		{Name: "a", Kind: KindMember, Phase: PhaseDrained, OrderNumber: 1, OrderedAt: 900, SeenStart: 5}, {Name: "b", Kind: KindMember}}}}}
 	for _, c := range s.Plan(v.At, v, b) {
 		calls(t, s, v.At, "", c)
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -11,43 +11,43 @@
 )
 
 // State is what the fleet has agreed on. Made by New or Decode.
-type State struct{ d data }
-
-type data struct {
-	Version  uint64       `json:"version"` // rises with every change of what is out or ordered
-	At       int64        `json:"at"`
-	Number   uint64       `json:"number"` // the last given to an order, a ban or a permit
-	Releases []release    `json:"releases,omitempty"`
-	Permits  []Permit     `json:"permits,omitempty"`
-	Bans     []Ejection   `json:"bans,omitempty"` // by name
-	Shuts    []Quarantine `json:"shuts,omitempty"`
-	Relays   []int64      `json:"relays,omitempty"` // ms that the last units took until they were back
-	Members  []int64      `json:"members,omitempty"`
+type State struct{ record record }
+
+type record struct {
+	Version           uint64       `json:"version"` // rises with every change of what is out or ordered
+	Time              int64        `json:"at"`
+	LastNumber        uint64       `json:"number"` // the last given to an order, a ban or a permit
+	Releases          []release    `json:"releases,omitempty"`
+	Permits           []Permit     `json:"permits,omitempty"`
+	Ejections         []Ejection   `json:"bans,omitempty"` // by name
+	Quarantines       []Quarantine `json:"shuts,omitempty"`
+	RelayDurationsMS  []int64      `json:"relays,omitempty"` // ms that the last units took until they were back
+	MemberDurationsMS []int64      `json:"members,omitempty"`
 }
 
 const tookMost = 32
 
 type release struct {
 	ReleaseStatus
-	Laid    bool     `json:"laid,omitempty"`
-	Since   int64    `json:"since,omitempty"`   // when it was laid out: the service after it is held against that of before
-	Resumed int64    `json:"resumed,omitempty"` // what is overdue counts from here
-	Moved   int64    `json:"moved,omitempty"`   // the last time that something went on
-	Asked   float64  `json:"asked,omitempty"`   // before it
-	Served  float64  `json:"served,omitempty"`
-	Spread  float64  `json:"spread,omitempty"` // by how much windows differed beyond chance
-	Causes  []string `json:"causes,omitempty"` // of its halts by itself so far
+	UnitsSet           bool     `json:"laid,omitempty"`
+	UnitsSetAt         int64    `json:"since,omitempty"`   // when it was laid out: the service after it is held against that of before
+	ResumedAt          int64    `json:"resumed,omitempty"` // what is overdue counts from here
+	ProgressAt         int64    `json:"moved,omitempty"`   // the last time that something went on
+	BaselineRequested  float64  `json:"asked,omitempty"`   // before it
+	BaselineServed     float64  `json:"served,omitempty"`
+	BaselineDispersion float64  `json:"spread,omitempty"` // by how much windows differed beyond chance
+	HaltCauses         []string `json:"causes,omitempty"` // of its halts by itself so far
 }
 
 // New is a state in which nothing was agreed.
 func New() *State { return &State{} }
 
 // Version rises with every change of what is out or ordered.
-func (s *State) Version() uint64 { return s.d.Version }
+func (s *State) Version() uint64 { return s.record.Version }
 
 // Encode is the whole state.
 func (s *State) Encode() []byte {
-	b, err := json.Marshal(s.d)
+	b, err := json.Marshal(s.record)
 	if err != nil {
 		panic(err) // only a float that is no number, and Apply lets none in
 	}
@@ -57,14 +57,14 @@
 // Decode is the reverse. What is beyond the bounds is refused.
 func Decode(b []byte) (*State, error) {
 	s := New()
-	if err := json.Unmarshal(b, &s.d); err != nil {
+	if err := json.Unmarshal(b, &s.record); err != nil {
 		return nil, fmt.Errorf("rollout: %w", err)
 	}
 	units := 0
-	for _, r := range s.d.Releases {
+	for _, r := range s.record.Releases {
 		units += len(r.Units)
 	}
-	if len(s.d.Releases) > MaxReleases || units > MaxUnits || len(s.d.Permits) > MaxPermits || len(s.d.Bans) > MaxEjections || len(s.d.Shuts) > MaxQuarantines {
+	if len(s.record.Releases) > MaxReleases || units > MaxUnits || len(s.record.Permits) > MaxPermits || len(s.record.Ejections) > MaxEjections || len(s.record.Quarantines) > MaxQuarantines {
 		return nil, fmt.Errorf("rollout: a state beyond its bounds")
 	}
 	return s, nil
@@ -79,7 +79,7 @@
 		}
 		o.Exclusions[name] = x
 	}
-	for _, r := range s.d.Releases {
+	for _, r := range s.record.Releases {
 		for _, u := range r.Units {
 			switch {
 			case u.Kind == KindRelay && u.Name == relay && u.Phase == PhaseLeaving:
@@ -92,10 +92,10 @@
 			}
 		}
 	}
-	for _, b := range s.d.Bans {
+	for _, b := range s.record.Ejections {
 		out(b.Name, Exclusion{Reason: "ban", Number: b.Number, Since: b.Since})
 	}
-	if x := s.d.shutting(relay); x != nil && x.ReadmittedVersion == 0 {
+	if x := s.record.shutting(relay); x != nil && x.ReadmittedVersion == 0 {
 		o.Quarantine = &QuarantineOrder{Number: x.Number, Since: x.Since, Reason: x.Reason, StartNumber: x.StartNumber}
 	}
 	return o
@@ -104,40 +104,40 @@
 // Releases are all that are kept, in the order in which they were opened.
 func (s *State) Releases() []ReleaseStatus {
 	var list []ReleaseStatus
-	for i := range s.d.Releases {
-		list = append(list, s.d.Releases[i].account())
+	for i := range s.record.Releases {
+		list = append(list, s.record.Releases[i].account())
 	}
 	return list
 }
 
 // Release is one of them.
 func (s *State) Release(name string) (ReleaseStatus, bool) {
-	if r := s.d.release(name); r != nil {
+	if r := s.record.release(name); r != nil {
 		return r.account(), true
 	}
 	return ReleaseStatus{}, false
 }
 
 // Permits are those that wait or are in force, the oldest first.
-func (s *State) Permits() []Permit { return slices.Clone(s.d.Permits) }
+func (s *State) Permits() []Permit { return slices.Clone(s.record.Permits) }
 
-// Bans are all that stand, by name.
-func (s *State) Bans() []Ejection { return slices.Clone(s.d.Bans) }
+// Ejections are all that stand, by name.
+func (s *State) Ejections() []Ejection { return slices.Clone(s.record.Ejections) }
 
-// Shuts are the relays that are shut.
-func (s *State) Shuts() []Quarantine {
-	return slices.DeleteFunc(slices.Clone(s.d.Shuts), func(x Quarantine) bool { return x.ReadmittedVersion != 0 })
+// Quarantines are the relays that are shut.
+func (s *State) Quarantines() []Quarantine {
+	return slices.DeleteFunc(slices.Clone(s.record.Quarantines), func(x Quarantine) bool { return x.ReadmittedVersion != 0 })
 }
 
 // clone shares nothing that a command changes.
-func (d *data) clone() data {
+func (d *record) clone() record {
 	c := *d
-	c.Releases, c.Permits, c.Bans = slices.Clone(d.Releases), slices.Clone(d.Permits), slices.Clone(d.Bans)
-	c.Shuts = slices.Clone(d.Shuts)
-	c.Relays, c.Members = slices.Clone(d.Relays), slices.Clone(d.Members)
+	c.Releases, c.Permits, c.Ejections = slices.Clone(d.Releases), slices.Clone(d.Permits), slices.Clone(d.Ejections)
+	c.Quarantines = slices.Clone(d.Quarantines)
+	c.RelayDurationsMS, c.MemberDurationsMS = slices.Clone(d.RelayDurationsMS), slices.Clone(d.MemberDurationsMS)
 	for i := range c.Releases {
 		r := &c.Releases[i]
-		r.Units, r.Causes = slices.Clone(r.Units), slices.Clone(r.Causes)
+		r.Units, r.HaltCauses = slices.Clone(r.Units), slices.Clone(r.HaltCauses)
 		if r.Halt != nil {
 			stop := *r.Halt
 			r.Halt = &stop
@@ -172,7 +172,7 @@
 	return a
 }
 
-func (d *data) release(name string) *release {
+func (d *record) release(name string) *release {
 	for i := range d.Releases {
 		if d.Releases[i].Name == name {
 			return &d.Releases[i]
@@ -190,16 +190,16 @@
 	return nil
 }
 
-func (d *data) shutting(name string) *Quarantine {
-	for i := range d.Shuts {
-		if d.Shuts[i].Name == name {
-			return &d.Shuts[i]
+func (d *record) shutting(name string) *Quarantine {
+	for i := range d.Quarantines {
+		if d.Quarantines[i].Name == name {
+			return &d.Quarantines[i]
 		}
 	}
 	return nil
 }
 
-func (d *data) permit(number uint64) *Permit {
+func (d *record) permit(number uint64) *Permit {
 	for i := range d.Permits {
 		if d.Permits[i].Number == number {
 			return &d.Permits[i]
@@ -208,8 +208,8 @@
 	return nil
 }
 
-func (d *data) banned(name string) (int, bool) {
-	return slices.BinarySearchFunc(d.Bans, name, func(b Ejection, name string) int { return cmp.Compare(b.Name, name) })
+func (d *record) banned(name string) (int, bool) {
+	return slices.BinarySearchFunc(d.Ejections, name, func(b Ejection, name string) int { return cmp.Compare(b.Name, name) })
 }
 
 func (r *release) ended() bool { return r.State == ReleaseCompleted || r.State == ReleaseRolledBack }
--- a/internal/rollout/world_test.go
+++ b/internal/rollout/world_test.go
@@ -198,10 +198,10 @@
 
 func (w *world) remember() {
 	a := agreed{at: w.now, version: w.s.Version(), leave: map[string]*LeaveOrder{}, shut: map[string]*QuarantineOrder{}, out: w.s.Orders("").Exclusions}
-	for _, x := range w.s.Shuts() {
+	for _, x := range w.s.Quarantines() {
 		a.shut[x.Name] = w.s.Orders(x.Name).Quarantine
 	}
-	for _, r := range w.s.d.Releases {
+	for _, r := range w.s.record.Releases {
 		for _, u := range r.Units {
 			if u.Kind == KindRelay && u.Phase == PhaseLeaving {
 				a.leave[u.Name] = w.s.Orders(u.Name).Leave
@@ -328,7 +328,7 @@
 			w.relays[i].unfit = w.now + w.rnd(3000, 15000)
 		}
 	}
-	if list := w.s.Shuts(); len(list) > 0 && !w.calm && w.rng.IntN(200) == 0 {
+	if list := w.s.Quarantines(); len(list) > 0 && !w.calm && w.rng.IntN(200) == 0 {
 		w.propose("operator", Command{Kind: CommandReadmit, Name: list[w.rng.IntN(len(list))].Name}, func(Result) {})
 	}
 }
@@ -422,8 +422,8 @@
 		x.lostSince = 0
 	}
 	// Its owner replaces it when the record says that it is empty; should it fall over just then, it is replaced as it starts.
-	for i := range w.s.d.Releases {
-		r := &w.s.d.Releases[i]
+	for i := range w.s.record.Releases {
+		r := &w.s.record.Releases[i]
 		for j := range r.Units {
 			u := &r.Units[j]
 			if u.Phase != PhaseDrained || u.Kind != KindMember || u.name() != x.name || u.OrderNumber == x.number || r.Spec.Drain || x.up && w.rng.IntN(4) > 0 {
@@ -518,7 +518,7 @@
 		r.Exited = !h.up
 		r.InService = w.serves(h) && h.start == r.StartNumber
 		v.Relays = append(v.Relays, r)
-		if was := w.s.d.shutting(h.name); h.wordAt >= w.leader && w.now < h.unfit || h.wordAt < w.leader && was != nil && was.ReadmittedVersion == 0 {
+		if was := w.s.record.shutting(h.name); h.wordAt >= w.leader && w.now < h.unfit || h.wordAt < w.leader && was != nil && was.ReadmittedVersion == 0 {
 			v.Unfit[h.name] = "it does not do what was agreed"
 			v.UnfitOrder = append(v.UnfitOrder, h.name)
 		}
@@ -603,9 +603,9 @@
 	}
 	for _, g := range c.Grants {
 		var kind, name string
-		if p := w.s.d.permit(g.Permit); p != nil {
+		if p := w.s.record.permit(g.Permit); p != nil {
 			kind, name = p.Kind, p.Name
-		} else if u := w.s.d.release(g.Release).unit(g.Unit); u.Kind == KindRelay || u.Kind == KindMember {
+		} else if u := w.s.record.release(g.Release).unit(g.Unit); u.Kind == KindRelay || u.Kind == KindMember {
 			kind, name = u.Kind, u.name()
 		} else {
 			continue
@@ -723,7 +723,7 @@
 		truth = func() bool {
 			mayBegin := a.number == permit && !a.begun && !a.end && w.now < a.deadline
 			mayTake := a.number == permit && a.begun && !a.end && (a.down || w.now < a.may)
-			granted := w.s.d.permit(permit)
+			granted := w.s.record.permit(permit)
 			return granted != nil && granted.State == PermitGranted || mayBegin || mayTake || thing()
 		}
 	}
@@ -731,7 +731,7 @@
 }
 
 func (w *world) judgeEmpty(s Observation) {
-	r := w.s.d.release(s.Release)
+	r := w.s.record.release(s.Release)
 	if r == nil || r.unit(s.Unit) == nil || r.unit(s.Unit).Phase != PhaseDrained {
 		return
 	}
