--- a/cmd/dahliarudder/build.go
+++ b/cmd/dahliarudder/build.go
@@ -27,9 +27,9 @@
 		ledger = r.store
 	}
 	r.watch = &pool.Watch{Loop: loop, Addr: cfg.Discovery, Log: r.log, Names: r.names,
-		Dial: loop.Reserve(pool.Descriptors).Dial, Random: newRandom(cfg.SeedNumber())}
+		Dial: loop.NewDescriptorReserve(pool.Descriptors).Dial, Random: newRandom(cfg.SeedNumber())}
 	var probe func(*core.Member)
-	r.core = core.New(core.Options{Settings: r.names.Settings, Seed: cfg.SeedNumber(), Clock: r.clock, Round: loop.Round, Ledger: ledger,
+	r.core = core.New(core.Options{Settings: r.names.Settings, Seed: cfg.SeedNumber(), Clock: r.clock, Round: loop.RoundStart, Ledger: ledger,
 		Watch: r.watch.Ask, FeedMemory: int(cfg.Limits.MemoryMB * feedMemoryFraction * (1 << 20)),
 		Probe: func(to *core.Member) { probe(to) },
 		Wake: func(at time.Duration) {
@@ -81,7 +81,7 @@
 		desk := &operator.Front{Loop: loop, Relay: r, Log: r.log}
 		var l *netloop.Listener
 		l, err = r.listenWithRetry(func() (*netloop.Listener, error) {
-			return loop.ListenApart(cfg.Operator, operator.Callers, desk.Accept)
+			return loop.ListenReserved(cfg.Operator, operator.Callers, desk.Accept)
 		})
 		r.addListener("operator", l, err)
 	}
--- a/cmd/dahliarudder/listen.go
+++ b/cmd/dahliarudder/listen.go
@@ -30,7 +30,7 @@
 	by := r.clock() + listenTimeout
 	for told := false; ; time.Sleep(listenRetryPause) {
 		l, err := listen()
-		if err == nil || !netloop.MayPass(err) || r.clock() >= by || r.signals.stopping() {
+		if err == nil || !netloop.IsTransientListenError(err) || r.clock() >= by || r.signals.stopping() {
 			return l, err
 		}
 		if !told {
@@ -73,13 +73,13 @@
 	if !ok {
 		return r.listenOnNewSocket(addr, accept)
 	}
-	if !netloop.ListensAt(fd, addr) {
+	if !netloop.IsBoundTo(fd, addr) {
 		unix.Close(fd)
 		return r.listenOnNewSocket(addr, accept)
 	}
 	l, err := r.loop.Inherit(fd, accept)
 	if err == nil {
-		l.Hold(true)
+		l.SetPaused(true)
 	}
 	return l, err
 }
--- a/cmd/dahliarudder/relay_test.go
+++ b/cmd/dahliarudder/relay_test.go
@@ -45,14 +45,14 @@
 	begin := func(t trouble) {
 		plan := []looptest.Fault{}
 		for _, f := range t.Failing {
-			plan = append(plan, looptest.Fault{Call: f.Call, Errno: errno(f.Errno), Short: f.Short, Part: f.Part, Times: f.Times})
+			plan = append(plan, looptest.Fault{Syscall: f.Call, Errno: errno(f.Errno), Short: f.Short, Probability: f.Part, MaxCount: f.Times})
 		}
 		step.Store(int64(t.StepMS * float64(time.Millisecond)))
 		faults.Set(plan...)
 		fmt.Fprintf(os.Stderr, "trouble %d begins\n", t.Number)
 	}
 	begin(t)
-	netloop.System = faults.Calls()
+	netloop.DefaultSyscalls = faults.Syscalls()
 	wallClock = func() time.Time { return time.Now().Add(time.Duration(step.Load())) }
 	go func() {
 		for last := t.Number; ; time.Sleep(troubleEvery) {
--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -78,12 +78,12 @@
 		return err
 	}
 	r.loop = loop
-	loop.Memory(r.maxBufferBytes)
+	loop.SetMemoryLimit(r.maxBufferBytes)
 	if err := r.build(); err != nil {
 		loop.Close()
 		return errors.Join(err, r.closeStore())
 	}
-	loop.Gap(r.core.Limits().AskWithin/suspensionFraction, r.afterSuspension)
+	loop.OnStall(r.core.Limits().AskWithin/suspensionFraction, r.afterSuspension)
 	if cfg.CountsMS > 0 {
 		r.logCounts(time.Duration(cfg.CountsMS*float64(time.Millisecond)), core.Counts{})
 	}
--- a/cmd/dahliarudder/upgrade.go
+++ b/cmd/dahliarudder/upgrade.go
@@ -132,7 +132,7 @@
 	var fds []int
 	for front, l := range r.clientListeners {
 		state.Fronts = append(state.Fronts, front)
-		fds = append(fds, l.Fd())
+		fds = append(fds, l.FD())
 	}
 	var known bool
 	if state.Pool, known = r.watch.List(); known {
@@ -148,19 +148,19 @@
 // limitToOwnSockets leaves what this process does not need to its successor.
 func (r *relay) limitToOwnSockets() {
 	passing := r.sibling.peer.PendingFDs()
-	limit := r.loop.Held() + passing + retrySockets
+	limit := r.loop.OpenDescriptors() + passing + retrySockets
 	if r.sibling.sentOpen.Limit > 0 {
 		limit = min(limit, r.sibling.sentOpen.Limit)
 	}
 	r.sibling.sentOpen.Limit = limit
-	r.loop.Limit(limit - passing)
-	r.loop.Memory(r.maxBufferBytes / 2)
+	r.loop.SetDescriptorLimit(limit - passing)
+	r.loop.SetMemoryLimit(r.maxBufferBytes / 2)
 }
 
 // limitToRemainingSockets takes what the first process leaves.
 func (r *relay) limitToRemainingSockets(theirs int) {
-	r.loop.Limit(r.maxSockets - theirs - reservedSockets - r.operatorDescriptors())
-	r.loop.Memory(r.maxBufferBytes / 2)
+	r.loop.SetDescriptorLimit(r.maxSockets - theirs - reservedSockets - r.operatorDescriptors())
+	r.loop.SetMemoryLimit(r.maxBufferBytes / 2)
 }
 
 // syncSibling tells the other process what changes, as long as there is one.
@@ -206,8 +206,8 @@
 	r.sibling, r.takeover = nil, takeoverNone
 	was.passing.Stop()
 	r.log.WithError(err).WithField("older", was.origin == originOlder).Info("the other process is gone")
-	r.loop.Limit(r.maxSockets)
-	r.loop.Memory(r.maxBufferBytes)
+	r.loop.SetDescriptorLimit(r.maxSockets)
+	r.loop.SetMemoryLimit(r.maxBufferBytes)
 	if r.lineFront != nil {
 		r.lineFront.SetRemoteIDs(nil)
 		r.lineFront.ResumeIdle()
@@ -215,7 +215,7 @@
 	for _, t := range was.peer.Unconfirmed() {
 		r.adoptConnection(&t.Note, t.FDs)
 	}
-	r.loop.Limit(r.maxSockets)
+	r.loop.SetDescriptorLimit(r.maxSockets)
 	if was.origin == originOlder && !r.accepting {
 		r.startAccepting()
 		return
--- a/cmd/dahliarudder/upgrade_connections.go
+++ b/cmd/dahliarudder/upgrade_connections.go
@@ -11,10 +11,10 @@
 	case r.lineFront == nil:
 		return false
 	case n.Client != nil && len(fds) == 1:
-		r.loop.Grant(len(fds))
+		r.loop.RaiseDescriptorLimit(len(fds))
 		r.lineFront.AdoptIdle(*n.Client, fds[0])
 	case n.Flow != nil && len(fds) == 2:
-		r.loop.Grant(len(fds))
+		r.loop.RaiseDescriptorLimit(len(fds))
 		r.lineFront.AdoptFlow(*n.Flow, fds[0], fds[1])
 	default:
 		return false
--- a/cmd/dahliarudder/upgrade_takeover.go
+++ b/cmd/dahliarudder/upgrade_takeover.go
@@ -16,7 +16,7 @@
 // pauseAccepting has the fronts take no client in, or go on.
 func (r *relay) pauseAccepting(held bool) {
 	for _, l := range r.clientListeners {
-		l.Hold(held)
+		l.SetPaused(held)
 	}
 }
 
--- a/internal/front/line/ask_test.go
+++ b/internal/front/line/ask_test.go
@@ -17,8 +17,8 @@
 		g.Core.Doubt()
 		g.ask(firstLine)
 		g.Core.Sure()
-		g.Pass(late) // the connection comes up in this round
-		line := g.servers[0].Accept().Line()
+		g.Advance(late) // the connection comes up in this round
+		line := g.servers[0].Accept().ReadLine()
 		var d int
 		if _, err := fmt.Sscanf(line[strings.Index(line, ",d="):], ",d=%d", &d); err != nil {
 			t.Fatalf("%q: %v", line, err)
@@ -36,11 +36,11 @@
 	g := newRig(t, 1)
 	c := g.ask(firstLine)
 	g.list(0, policy.Draining)
-	g.Pass(time.Duration(g.Core.Settings.Guarantees.Grace)*time.Millisecond + time.Millisecond)
+	g.Advance(time.Duration(g.Core.Settings.Guarantees.Grace)*time.Millisecond + time.Millisecond)
 	g.unsent()
-	if got := c.Line(); !strings.HasPrefix(got, "BUSY") {
+	if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
 		t.Errorf("got %q", got)
 	}
-	c.WantEnd()
+	c.ExpectEOF()
 	g.clean()
 }
--- a/internal/front/line/attempt_test.go
+++ b/internal/front/line/attempt_test.go
@@ -13,7 +13,7 @@
 // over waits until the relay has ended a connection.
 func (g *rig) over(p *looptest.Peer) {
 	g.T.Helper()
-	g.Until("the end", func() bool { p.Poll(); return p.Over != nil })
+	g.WaitFor("the end", func() bool { p.Poll(); return p.EndErr != nil })
 }
 
 // late is what a member sends when nobody may be listening any more.
@@ -25,40 +25,40 @@
 	want policy.Result
 }{
 	"resets":                      {func(_ *rig, m *looptest.Peer) { m.Reset() }, policy.Reset},
-	"ends":                        {func(_ *rig, m *looptest.Peer) { m.Finish() }, policy.Reset},
-	"resets after half a line":    {func(g *rig, m *looptest.Peer) { m.Say("UP"); g.Turn(); m.Reset() }, policy.Reset},
-	"ends after half a line":      {func(_ *rig, m *looptest.Peer) { m.Say("UP x"); m.Finish() }, policy.Reset},
-	"ends within its CRLF":        {func(_ *rig, m *looptest.Peer) { m.Say("UP x\r"); m.Finish() }, policy.Reset},
+	"ends":                        {func(_ *rig, m *looptest.Peer) { m.CloseWrite() }, policy.Reset},
+	"resets after half a line":    {func(g *rig, m *looptest.Peer) { m.Send("UP"); g.RunOnce(); m.Reset() }, policy.Reset},
+	"ends after half a line":      {func(_ *rig, m *looptest.Peer) { m.Send("UP x"); m.CloseWrite() }, policy.Reset},
+	"ends within its CRLF":        {func(_ *rig, m *looptest.Peer) { m.Send("UP x\r"); m.CloseWrite() }, policy.Reset},
 	"says nothing":                {func(g *rig, m *looptest.Peer) { g.outlast(m) }, policy.Timeout},
-	"says half a line":            {func(g *rig, m *looptest.Peer) { m.Say("UP x"); g.Turn(); g.outlast(m) }, policy.Timeout},
+	"says half a line":            {func(g *rig, m *looptest.Peer) { m.Send("UP x"); g.RunOnce(); g.outlast(m) }, policy.Timeout},
 	"says UP once it is too late": {func(g *rig, m *looptest.Peer) { g.outlast(m); late(m, "UP x\r\n") }, policy.Timeout},
-	"says a line over the bound":  {func(_ *rig, m *looptest.Peer) { m.Say("UP " + strings.Repeat("x", maxLine) + "\r\n") }, policy.Error},
-	"says a line without end":     {func(_ *rig, m *looptest.Peer) { m.Say(strings.Repeat("x", 64*maxLine)) }, policy.Error},
-	"says UP without CR":          {func(_ *rig, m *looptest.Peer) { m.Say("UP x\n") }, policy.Error},
-	"says an empty line":          {func(_ *rig, m *looptest.Peer) { m.Say("\r\nUP x\r\n") }, policy.Error},
-	"says what is no text":        {func(_ *rig, m *looptest.Peer) { m.Say("\x00\xff\x16\x03\r\n") }, policy.Error},
-	"says UPPER":                  {func(_ *rig, m *looptest.Peer) { m.Say("UPPER x\r\n") }, policy.Error},
-	"says ERR":                    {func(_ *rig, m *looptest.Peer) { m.Say("ERR\r\n") }, policy.Error},
-	"says ERR and UP":             {func(_ *rig, m *looptest.Peer) { m.Say("ERR\r\nUP x\r\n") }, policy.Error},
-	"says ERR, and UP later":      {func(g *rig, m *looptest.Peer) { m.Say("ERR\r\n"); g.Turn(); late(m, "UP x\r\n") }, policy.Error},
-	"says BUSY":                   {func(_ *rig, m *looptest.Peer) { m.Say("BUSY\r\n") }, policy.Full},
-	"says BUSY and UP":            {func(_ *rig, m *looptest.Peer) { m.Say("BUSY\r\nUP x\r\n") }, policy.Full},
-	"says BUSY, and UP later":     {func(g *rig, m *looptest.Peer) { m.Say("BUSY\r\n"); g.Turn(); late(m, "UP x\r\n") }, policy.Full},
+	"says a line over the bound":  {func(_ *rig, m *looptest.Peer) { m.Send("UP " + strings.Repeat("x", maxLine) + "\r\n") }, policy.Error},
+	"says a line without end":     {func(_ *rig, m *looptest.Peer) { m.Send(strings.Repeat("x", 64*maxLine)) }, policy.Error},
+	"says UP without CR":          {func(_ *rig, m *looptest.Peer) { m.Send("UP x\n") }, policy.Error},
+	"says an empty line":          {func(_ *rig, m *looptest.Peer) { m.Send("\r\nUP x\r\n") }, policy.Error},
+	"says what is no text":        {func(_ *rig, m *looptest.Peer) { m.Send("\x00\xff\x16\x03\r\n") }, policy.Error},
+	"says UPPER":                  {func(_ *rig, m *looptest.Peer) { m.Send("UPPER x\r\n") }, policy.Error},
+	"says ERR":                    {func(_ *rig, m *looptest.Peer) { m.Send("ERR\r\n") }, policy.Error},
+	"says ERR and UP":             {func(_ *rig, m *looptest.Peer) { m.Send("ERR\r\nUP x\r\n") }, policy.Error},
+	"says ERR, and UP later":      {func(g *rig, m *looptest.Peer) { m.Send("ERR\r\n"); g.RunOnce(); late(m, "UP x\r\n") }, policy.Error},
+	"says BUSY":                   {func(_ *rig, m *looptest.Peer) { m.Send("BUSY\r\n") }, policy.Full},
+	"says BUSY and UP":            {func(_ *rig, m *looptest.Peer) { m.Send("BUSY\r\nUP x\r\n") }, policy.Full},
+	"says BUSY, and UP later":     {func(g *rig, m *looptest.Peer) { m.Send("BUSY\r\n"); g.RunOnce(); late(m, "UP x\r\n") }, policy.Full},
 	"says BUSY in pieces":         {func(g *rig, m *looptest.Peer) { g.pieces(m, "BUSY\r\n") }, policy.Full},
-	"says MOVE":                   {func(_ *rig, m *looptest.Peer) { m.Say("MOVE\r\n") }, policy.Cancelled},
+	"says MOVE":                   {func(_ *rig, m *looptest.Peer) { m.Send("MOVE\r\n") }, policy.Cancelled},
 }
 
 // outlast passes the time of the attempt that is out.
 func (g *rig) outlast(m *looptest.Peer) {
 	g.T.Helper()
-	g.Until("the end of the attempt", func() bool { g.Pass(10 * time.Millisecond); m.Poll(); return m.Over != nil })
+	g.WaitFor("the end of the attempt", func() bool { g.Advance(10 * time.Millisecond); m.Poll(); return m.EndErr != nil })
 }
 
 // pieces sends text byte by byte, with a round after each.
 func (g *rig) pieces(p *looptest.Peer, text string) {
 	for i := range text {
-		p.Say(text[i : i+1])
-		g.Turn()
+		p.Send(text[i : i+1])
+		g.RunOnce()
 	}
 }
 
@@ -73,7 +73,7 @@
 			c := g.ask(firstLine)
 			at, m := g.anyAttempt()
 			one.does(g, m)
-			g.Until("the next attempt", func() bool { g.Pass(time.Millisecond); return g.Core.Counts.Attempts == 2 })
+			g.WaitFor("the next attempt", func() bool { g.Advance(time.Millisecond); return g.Core.Counts.Attempts == 2 })
 			if len(ended) != 1 || ended[0] != one.want {
 				t.Errorf("results %v, want %v", ended, one.want)
 			}
@@ -81,15 +81,15 @@
 				g.over(m)
 			}
 			next := g.attempt(1 - at)
-			if c.Poll(); len(c.Got) > 0 {
-				t.Errorf("the client got %q", c.Got)
+			if c.Poll(); len(c.Received) > 0 {
+				t.Errorf("the client got %q", c.Received)
 			}
 			late(m, "UP late\r\n")
-			g.Turn()
-			next.Say("UP y\r\n")
-			c.Lines("UP y")
-			next.Finish()
-			c.WantEnd()
+			g.RunOnce()
+			next.Send("UP y\r\n")
+			c.ExpectLines("UP y")
+			next.CloseWrite()
+			c.ExpectEOF()
 			g.clean()
 			if n := g.Core.Counts; n.Served != 1 || n.Rejected+n.Failed+n.Left != 0 || n.Attempts != 2 {
 				t.Errorf("%+v", n)
@@ -115,13 +115,13 @@
 					t.Fatalf("%d attempts are out", out)
 				}
 				if out == 0 {
-					g.Pass(time.Millisecond)
+					g.Advance(time.Millisecond)
 				} else {
 					_, m := g.anyAttempt()
 					before := g.Core.Counts.Attempts
 					one.does(g, m)
-					g.Until("the result", func() bool {
-						g.Turn()
+					g.WaitFor("the result", func() bool {
+						g.RunOnce()
 						return g.Core.Held() == 0 || g.Core.Counts.Attempts > before || g.Core.Flows(1)+g.Core.Flows(2) == 0
 					})
 				}
@@ -129,10 +129,10 @@
 					t.Fatal("no answer in time")
 				}
 			}
-			if got := c.Line(); !strings.HasPrefix(got, "BUSY") && got != "ERR" {
+			if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") && got != "ERR" {
 				t.Errorf("got %q", got)
 			}
-			c.WantEnd()
+			c.ExpectEOF()
 			g.clean()
 			if n := g.Core.Counts; n.Attempts > 3 || n.Rejected+n.Failed != 1 {
 				t.Errorf("%+v", n)
@@ -150,11 +150,11 @@
 		s.Listener.Close()
 	}
 	c := g.ask(firstLine)
-	g.Until("the answer", func() bool { g.Pass(10 * time.Millisecond); return g.Core.Held() == 0 })
-	if got := c.Line(); !strings.HasPrefix(got, "BUSY") {
+	g.WaitFor("the answer", func() bool { g.Advance(10 * time.Millisecond); return g.Core.Held() == 0 })
+	if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
 		t.Errorf("got %q", got)
 	}
-	c.WantEnd()
+	c.ExpectEOF()
 	g.clean()
 	for _, result := range ended {
 		if result != policy.ConnectFailed {
@@ -174,21 +174,21 @@
 	g.Core.Ledger = &ended
 	g.join(fullQueue(t))
 	c := g.ask(firstLine)
-	g.Pass(g.f.connectWithin)
+	g.Advance(g.f.connectWithin)
 	if len(ended) == 0 || ended[0] != policy.ConnectFailed {
 		t.Errorf("results %v", ended)
 	}
-	g.Until("the answer", func() bool { g.Pass(10 * time.Millisecond); return g.Core.Held() == 0 })
-	if got := c.Line(); !strings.HasPrefix(got, "BUSY") {
+	g.WaitFor("the answer", func() bool { g.Advance(10 * time.Millisecond); return g.Core.Held() == 0 })
+	if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
 		t.Errorf("got %q", got)
 	}
 	g.clean()
 
 	g = newRig(t, 1)
 	c = g.ask(firstLine)
-	g.Pass(g.f.connectWithin)
-	g.attempt(0).Say("UP x\r\n")
-	c.Lines("UP x")
+	g.Advance(g.f.connectWithin)
+	g.attempt(0).Send("UP x\r\n")
+	c.ExpectLines("UP x")
 	if g.Core.Counts.Attempts != 1 {
 		t.Errorf("%+v", g.Core.Counts)
 	}
@@ -202,14 +202,14 @@
 			c := g.ask(firstLine)
 			m := g.attempt(0)
 			if once {
-				m.Say("UP x\r\n" + more)
+				m.Send("UP x\r\n" + more)
 			} else {
-				m.Say("UP x\r\n")
-				c.Lines("UP x")
-				m.Say(more)
-				c.Got = append([]byte("UP x\r\n"), c.Got...)
+				m.Send("UP x\r\n")
+				c.ExpectLines("UP x")
+				m.Send(more)
+				c.Received = append([]byte("UP x\r\n"), c.Received...)
 			}
-			c.Want("UP x\r\n" + more)
+			c.Expect("UP x\r\n" + more)
 			if n := g.Core.Counts; n.Served != 1 || n.Attempts != 1 || g.Core.Held() != 1 {
 				t.Errorf("%+v", n)
 			}
@@ -231,10 +231,10 @@
 	}
 	g.Core.Doubt()
 	c := g.ask(firstLine)
-	g.Limit(g.Held())
+	g.SetDescriptorLimit(g.OpenDescriptors())
 	g.Core.Sure()
-	g.Until("the answer", func() bool { g.Pass(10 * time.Millisecond); return g.Core.Held() == 0 })
-	if got := c.Line(); !strings.HasPrefix(got, "BUSY") {
+	g.WaitFor("the answer", func() bool { g.Advance(10 * time.Millisecond); return g.Core.Held() == 0 })
+	if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
 		t.Errorf("got %q", got)
 	}
 	if len(ended) == 0 || ended[0] != policy.Moot || saw != 0 {
--- a/internal/front/line/client.go
+++ b/internal/front/line/client.go
@@ -63,8 +63,8 @@
 	case sendBusy:
 		v.sendBusy()
 	case openFlow:
-		v.c.EndFirst(false) // what the client has sent by then goes on
-		v.f.Loop.After(0, v.c.Resume)
+		v.c.SetEarlyEOF(false) // what the client has sent by then goes on
+		v.f.Loop.After(0, v.c.ResumeReading)
 	case endClient:
 		v.close()
 	case resetClient:
@@ -103,7 +103,7 @@
 }
 
 // spare lets the connection be given up when descriptors run short.
-func (v *clientConn) spare() { v.c.Spare(func() { v.on(clientShed) }) }
+func (v *clientConn) spare() { v.c.SetEvictable(func() { v.on(clientShed) }) }
 
 // Open is told by the loop; the connection stands already.
 func (v *clientConn) Open() {}
@@ -175,9 +175,9 @@
 // place hands the request to the core.
 func (v *clientConn) place() {
 	v.due.Stop()
-	v.c.Spare(nil)
+	v.c.SetEvictable(nil)
 	v.f.ids[v.open.id] = v
-	if v.f.Loop.Short() {
+	if v.f.Loop.DescriptorsLow() {
 		v.Reject(v.f.Core.Advice(crowdAfter))
 		return
 	}
@@ -187,7 +187,7 @@
 // Drained is told by the loop.
 func (v *clientConn) Drained() {
 	if v.state.isOpen() || v.state == clientDraining {
-		v.upstream.c.Resume()
+		v.upstream.c.ResumeReading()
 	}
 }
 
--- a/internal/front/line/crossing_test.go
+++ b/internal/front/line/crossing_test.go
@@ -71,9 +71,9 @@
 			x.stopped = true
 		}
 	case 11:
-		x.Pass(time.Duration(x.rng.IntN([]int{50, 300, 1500}[x.rng.IntN(3)])) * time.Millisecond)
+		x.Advance(time.Duration(x.rng.IntN([]int{50, 300, 1500}[x.rng.IntN(3)])) * time.Millisecond)
 	default:
-		x.Turn()
+		x.RunOnce()
 	}
 	x.see()
 }
@@ -153,9 +153,9 @@
 		x.ended()
 		x.leave()
 	}
-	x.Until("the client's end", func() bool { return len(x.f.ids)+len(x.f.fresh) == 0 })
+	x.WaitFor("the client's end", func() bool { return len(x.f.ids)+len(x.f.fresh) == 0 })
 	for _, m := range x.attempts {
-		x.Until("the end of the attempt", func() bool { m.over = m.over || read(m.Conn, &m.got); return m.over })
+		x.WaitFor("the end of the attempt", func() bool { m.over = m.over || read(m.Conn, &m.got); return m.over })
 		m.Close()
 	}
 	x.Core.Sure()
@@ -200,7 +200,7 @@
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			x := &crossing{rig: newRig(t, 2), rng: rand.New(rand.NewPCG(uint64(seed), 1))}
 			x.client = x.Dial(x.addr).Conn
-			x.Until("the connection", func() bool { return len(x.f.fresh) == 1 })
+			x.WaitFor("the connection", func() bool { return len(x.f.fresh) == 1 })
 			for range 40 {
 				x.step()
 			}
--- a/internal/front/line/doubt_test.go
+++ b/internal/front/line/doubt_test.go
@@ -14,7 +14,7 @@
 	c := g.ask(firstLine)
 	g.Core.Doubt()
 	for range 4 {
-		g.Turn()
+		g.RunOnce()
 	}
 	if dialled := g.pending(0); dialled != nil {
 		buffer := make([]byte, 100)
@@ -24,11 +24,11 @@
 	}
 	g.Core.Sure()
 	for range 8 { // the module looks for a place again
-		g.Pass(50 * time.Millisecond)
+		g.Advance(50 * time.Millisecond)
 	}
 	m := g.attempt(0)
-	m.Say("UP x\r\n")
-	c.Lines("UP x")
+	m.Send("UP x\r\n")
+	c.ExpectLines("UP x")
 }
 
 // TestUpAtDraining: a flow that comes up at a member that has begun to drain since is moved off it.
@@ -37,14 +37,14 @@
 	c := g.ask(firstLine)
 	m := g.attempt(0)
 	g.list(0, policy.Draining)
-	m.Say("UP x\r\n")
-	c.Lines("UP x")
-	g.Until("MOVE", func() bool {
-		g.Pass(50 * time.Millisecond)
+	m.Send("UP x\r\n")
+	c.ExpectLines("UP x")
+	g.WaitFor("MOVE", func() bool {
+		g.Advance(50 * time.Millisecond)
 		c.Poll()
-		return len(c.Got) > 0 || g.Now() > time.Hour+4*time.Second
+		return len(c.Received) > 0 || g.Now() > time.Hour+4*time.Second
 	})
-	c.Lines("MOVE")
-	c.WantEnd()
+	c.ExpectLines("MOVE")
+	c.ExpectEOF()
 	g.clean()
 }
--- a/internal/front/line/early_test.go
+++ b/internal/front/line/early_test.go
@@ -13,9 +13,9 @@
 	g := newRig(t, 1)
 	g.list(0, policy.Draining)
 	c := g.ask(firstLine)
-	c.Say(string(bytes.Repeat([]byte("more\r\n"), 4<<10)))
-	c.Finish()
-	g.Until("the client's end", func() bool { return len(g.f.ids) == 0 })
+	c.Send(string(bytes.Repeat([]byte("more\r\n"), 4<<10)))
+	c.CloseWrite()
+	g.WaitFor("the client's end", func() bool { return len(g.f.ids) == 0 })
 	g.list(0, policy.Ready)
 	g.gone()
 }
@@ -27,15 +27,15 @@
 	c := g.ask(firstLine)
 	m := g.attempt(0)
 	early := bytes.Repeat([]byte("more\r\n"), 32<<10)
-	c.Say(string(early))
+	c.Send(string(early))
 	for range 8 {
-		g.Turn()
+		g.RunOnce()
 	}
-	m.Say("UP x\r\n")
-	c.Lines("UP x")
-	g.Until("the early lines", func() bool { m.Poll(); return len(m.Got) >= len(early) })
-	if !bytes.Equal(m.Got, early) {
-		t.Errorf("%d bytes of %d", len(m.Got), len(early))
+	m.Send("UP x\r\n")
+	c.ExpectLines("UP x")
+	g.WaitFor("the early lines", func() bool { m.Poll(); return len(m.Received) >= len(early) })
+	if !bytes.Equal(m.Received, early) {
+		t.Errorf("%d bytes of %d", len(m.Received), len(early))
 	}
 }
 
@@ -46,17 +46,17 @@
 	c := g.ask(firstLine)
 	at, m := g.anyAttempt()
 	early := bytes.Repeat([]byte("more\r\n"), 5<<10)
-	c.Say(string(early))
-	g.Turn()
-	m.Say("BUSY\r\n")
-	g.Until("the answer", func() bool { return g.Core.Counts.Attempts == 2 })
-	if _, m = at, g.attempt(1-at); len(m.Got) > 0 {
-		t.Errorf("with the first line came %q", m.Got)
+	c.Send(string(early))
+	g.RunOnce()
+	m.Send("BUSY\r\n")
+	g.WaitFor("the answer", func() bool { return g.Core.Counts.Attempts == 2 })
+	if _, m = at, g.attempt(1-at); len(m.Received) > 0 {
+		t.Errorf("with the first line came %q", m.Received)
 	}
-	m.Say("UP x\r\n")
-	c.Lines("UP x")
-	g.Until("the early lines", func() bool { m.Poll(); return len(m.Got) >= len(early) })
-	if !bytes.Equal(m.Got, early) {
-		t.Errorf("%d bytes of %d", len(m.Got), len(early))
+	m.Send("UP x\r\n")
+	c.ExpectLines("UP x")
+	g.WaitFor("the early lines", func() bool { m.Poll(); return len(m.Received) >= len(early) })
+	if !bytes.Equal(m.Received, early) {
+		t.Errorf("%d bytes of %d", len(m.Received), len(early))
 	}
 }
--- a/internal/front/line/first_line_test.go
+++ b/internal/front/line/first_line_test.go
@@ -15,28 +15,28 @@
 func TestFirstLineInPieces(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.Dial(g.addr)
-	g.Until("the connection", func() bool { return len(g.f.fresh) == 1 })
+	g.WaitFor("the connection", func() bool { return len(g.f.fresh) == 1 })
 	each := firstWithin / time.Duration(len(firstLine)+3)
 	for _, b := range []byte(firstLine + "\r\n") {
-		c.Say(string(b))
-		g.Turn()
-		g.Pass(each)
+		c.Send(string(b))
+		g.RunOnce()
+		g.Advance(each)
 	}
-	g.attempt(0).Say("UP x\r\n")
-	c.Lines("UP x")
+	g.attempt(0).Send("UP x\r\n")
+	c.ExpectLines("UP x")
 }
 
 // TestFirstLineTooSlow: one that takes longer gets one answer, and its rest is no second request.
 func TestFirstLineTooSlow(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.Dial(g.addr)
-	g.Until("the connection", func() bool { return len(g.f.fresh) == 1 })
-	c.Say(firstLine[:30])
-	g.Turn()
-	g.Pass(firstWithin)
+	g.WaitFor("the connection", func() bool { return len(g.f.fresh) == 1 })
+	c.Send(firstLine[:30])
+	g.RunOnce()
+	g.Advance(firstWithin)
 	late(c, firstLine[30:]+"\r\n"+firstLine+"\r\n")
-	c.Lines("ERR")
-	c.WantEnd()
+	c.ExpectLines("ERR")
+	c.ExpectEOF()
 	c.Close()
 	g.unsent()
 	g.clean()
@@ -51,20 +51,20 @@
 		c := g.Dial(g.addr)
 		text := "PING\r\nPING\r\n" + firstLine + "\r\n" + other + "data"
 		if all {
-			c.Say(text)
+			c.Send(text)
 		} else {
 			g.pieces(c, text)
 		}
-		c.Lines("PONG", "PONG")
+		c.ExpectLines("PONG", "PONG")
 		m := g.attempt(0)
-		if g.Turn(); len(m.Got) > 0 || g.Core.Counts.Requests != 1 {
-			t.Errorf("%q, %+v", m.Got, g.Core.Counts)
+		if g.RunOnce(); len(m.Received) > 0 || g.Core.Counts.Requests != 1 {
+			t.Errorf("%q, %+v", m.Received, g.Core.Counts)
 		}
-		m.Say("UP x\r\n")
-		c.Lines("UP x")
-		m.Want(other + "data")
-		m.Finish()
-		c.WantEnd()
+		m.Send("UP x\r\n")
+		c.ExpectLines("UP x")
+		m.Expect(other + "data")
+		m.CloseWrite()
+		c.ExpectEOF()
 		g.clean()
 		if g.Core.Counts.Requests != 1 {
 			t.Errorf("%+v", g.Core.Counts)
@@ -78,10 +78,10 @@
 	g.Core.Stop()
 	c := g.ask(firstLine)
 	late(c, firstLine+"\r\n")
-	if got := c.Line(); !strings.HasPrefix(got, "BUSY") {
+	if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
 		t.Errorf("got %q", got)
 	}
-	c.WantEnd()
+	c.ExpectEOF()
 	c.Close()
 	g.unsent()
 	g.clean()
@@ -123,19 +123,19 @@
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1)
 			good, m := g.openFlow()
-			held, free := g.Core.Counts, g.Free()
+			held, free := g.Core.Counts, g.FreeDescriptors()
 			c := g.Dial(g.addr)
 			late(c, text+"\r\n"+firstLine+"\r\n")
-			g.Until("the end", func() bool { c.Poll(); return c.Over != nil })
-			if !bytes.Equal(c.Got, []byte("ERR\r\n")) {
-				t.Errorf("got %q", c.Got)
+			g.WaitFor("the end", func() bool { c.Poll(); return c.EndErr != nil })
+			if !bytes.Equal(c.Received, []byte("ERR\r\n")) {
+				t.Errorf("got %q", c.Received)
 			}
 			c.Close()
-			g.Pass(time.Second)
-			good.Say("hello\r\n")
-			m.Lines("hello")
-			if g.Core.Counts != held || g.Free() != free || g.pending(0) != nil {
-				t.Errorf("%+v, %d descriptors", g.Core.Counts, free-g.Free())
+			g.Advance(time.Second)
+			good.Send("hello\r\n")
+			m.ExpectLines("hello")
+			if g.Core.Counts != held || g.FreeDescriptors() != free || g.pending(0) != nil {
+				t.Errorf("%+v, %d descriptors", g.Core.Counts, free-g.FreeDescriptors())
 			}
 		})
 	}
@@ -147,10 +147,10 @@
 		t.Run(name, func(t *testing.T) {
 			everyLeaving(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
 				c := g.Dial(g.addr)
-				g.Until("the connection", func() bool { return len(g.f.fresh) == 1 })
+				g.WaitFor("the connection", func() bool { return len(g.f.fresh) == 1 })
 				late(c, text)
 				leave(c)
-				g.Until("the connection's end", func() bool { return len(g.f.fresh) == 0 && g.Free() == g.free })
+				g.WaitFor("the connection's end", func() bool { return len(g.f.fresh) == 0 && g.FreeDescriptors() == g.free })
 				g.unsent()
 				g.clean()
 			})
@@ -168,19 +168,19 @@
 		c := g.Dial(g.addr)
 		pad := ",x="
 		pad += strings.Repeat("y", longestLine+extra-len(firstLine)-len(pad)-2)
-		c.Say(firstLine + pad + "\r\n")
+		c.Send(firstLine + pad + "\r\n")
 		if !served {
-			c.Lines("ERR")
-			c.WantEnd()
+			c.ExpectLines("ERR")
+			c.ExpectEOF()
 			g.unsent()
 			continue
 		}
 		m := g.servers[0].Accept()
-		if got := m.Line(); !strings.HasSuffix(got, pad) || len(got) > longestLine-2 {
+		if got := m.ReadLine(); !strings.HasSuffix(got, pad) || len(got) > longestLine-2 {
 			t.Errorf("the member got %d bytes", len(got))
 		}
-		m.Say("UP x\r\n")
-		c.Lines("UP x")
+		m.Send("UP x\r\n")
+		c.ExpectLines("UP x")
 	}
 }
 
@@ -193,11 +193,11 @@
 	g.Core.Pool(policy.ListDelta, g.Members[:1])
 	c := g.ask(firstLineOf(2))
 	m := next.Accept()
-	m.Line()
-	m.Say("UP y\r\n")
-	c.Lines("UP y")
+	m.ReadLine()
+	m.Send("UP y\r\n")
+	c.ExpectLines("UP y")
 	g.f.CheckHealth(&g.Members[0])
-	next.Accept().Lines("STATS")
+	next.Accept().ExpectLines("STATS")
 }
 
 // firstLineOf is firstLine with another id.
--- a/internal/front/line/flow_end_test.go
+++ b/internal/front/line/flow_end_test.go
@@ -28,10 +28,10 @@
 func (g *rig) fill(from *looptest.Peer, full func() bool) (sent []byte) {
 	g.T.Helper()
 	line := append(bytes.Repeat([]byte{'x'}, 4<<10-2), "\r\n"...)
-	g.Until("the buffers to fill", func() bool {
-		from.Say(string(line))
+	g.WaitFor("the buffers to fill", func() bool {
+		from.Send(string(line))
 		sent = append(sent, line...)
-		g.Turn()
+		g.RunOnce()
 		return full()
 	})
 	return sent
@@ -41,11 +41,11 @@
 func (g *rig) all(p *looptest.Peer) []byte {
 	g.T.Helper()
 	p.Conn.(*net.TCPConn).SetReadBuffer(4 << 20) // or the system's own timers set the pace
-	g.Until("the end", func() bool { p.Poll(); return p.Over != nil })
-	if p.Over != io.EOF {
-		g.T.Errorf("ended with %v", p.Over)
+	g.WaitFor("the end", func() bool { p.Poll(); return p.EndErr != nil })
+	if p.EndErr != io.EOF {
+		g.T.Errorf("ended with %v", p.EndErr)
 	}
-	return p.Got
+	return p.Received
 }
 
 // TestClientEndsUnread: what a client sent before it ended politely still reaches a member that is slow to read.
@@ -55,8 +55,8 @@
 	narrow(m)
 	v := g.onlyFlow()
 	sent := g.fill(c, func() bool { return v.upstream.c.Unsent() > 0 })
-	c.Finish()
-	g.Until("the end of the request", func() bool { return g.Core.Held() == 0 })
+	c.CloseWrite()
+	g.WaitFor("the end of the request", func() bool { return g.Core.Held() == 0 })
 	if got := g.all(m); !bytes.Equal(got, sent) {
 		t.Errorf("%d bytes of %d", len(got), len(sent))
 	}
@@ -71,13 +71,13 @@
 		c, m := g.openFlow()
 		narrow(m)
 		v := g.onlyFlow()
-		sent := g.fill(c, func() bool { return v.upstream.c.Room() == 0 })
-		c.Say("the last line\r\n")
+		sent := g.fill(c, func() bool { return v.upstream.c.WriteCapacity() == 0 })
+		c.Send("the last line\r\n")
 		sent = append(sent, "the last line\r\n"...)
-		c.Finish()
-		g.Until("the end of the request", func() bool { return g.Core.Held() == 0 })
+		c.CloseWrite()
+		g.WaitFor("the end of the request", func() bool { return g.Core.Held() == 0 })
 		if !reads {
-			g.Pass(MoveTimeout)
+			g.Advance(MoveTimeout)
 		} else if got := g.all(m); !bytes.Equal(got, sent) {
 			t.Errorf("%d bytes of %d", len(got), len(sent))
 		}
@@ -92,17 +92,17 @@
 	c, m := g.openFlow()
 	narrow(c)
 	v := g.onlyFlow()
-	sent := g.fill(m, func() bool { return v.c.Room() == 0 })
-	m.Say("the last line\r\n")
+	sent := g.fill(m, func() bool { return v.c.WriteCapacity() == 0 })
+	m.Send("the last line\r\n")
 	sent = append(sent, "the last line\r\n"...)
-	m.Finish()
+	m.CloseWrite()
 	for range 4 {
-		g.Turn()
+		g.RunOnce()
 	}
 	if got := g.all(c); !bytes.Equal(got, sent) {
 		t.Errorf("%d bytes of %d", len(got), len(sent))
 	}
-	g.Until("the end of the request", func() bool { return g.Core.Held() == 0 })
+	g.WaitFor("the end of the request", func() bool { return g.Core.Held() == 0 })
 	g.clean()
 }
 
@@ -113,10 +113,10 @@
 	c, m := g.openFlow()
 	narrow(c)
 	v := g.onlyFlow()
-	g.fill(m, func() bool { return v.c.Room() == 0 })
-	m.Say("the last line\r\n")
-	m.Finish()
-	g.Until("the member's end", func() bool { return len(g.f.open) == 0 })
-	g.Pass(endedAfter)
+	g.fill(m, func() bool { return v.c.WriteCapacity() == 0 })
+	m.Send("the last line\r\n")
+	m.CloseWrite()
+	g.WaitFor("the member's end", func() bool { return len(g.f.open) == 0 })
+	g.Advance(endedAfter)
 	g.clean()
 }
--- a/internal/front/line/flow_fuzz_test.go
+++ b/internal/front/line/flow_fuzz_test.go
@@ -25,8 +25,8 @@
 		r := looptest.NewRelay(t, 1)
 		from, to := New(r.Loop, r.Core, r.Log), New(r.Loop, r.Core, r.Log)
 		c, m := askedOf(r, from)
-		m.Say("UP x\r\n")
-		c.Lines("UP x")
+		m.Send("UP x\r\n")
+		c.ExpectLines("UP x")
 		var byClient, byMember, seen []byte
 		drained, between, ended := false, false, false
 		for i := 0; i+1 < len(steps) && i < 80; i += 2 {
@@ -40,56 +40,56 @@
 				from, to = to, from
 			case 0:
 				if !ended && !drained {
-					c.Say(string(chunk))
+					c.Send(string(chunk))
 					byClient = append(byClient, chunk...)
 				}
 			case 1:
 				if !ended && !drained {
-					m.Say(string(chunk))
+					m.Send(string(chunk))
 					byMember = append(byMember, chunk...)
 				}
 			case 2:
-				r.Turn()
+				r.RunOnce()
 			case 3:
 				c.Poll()
 				m.Poll()
 			case 4:
 				if !drained && !ended {
-					r.Until("the member's bytes", func() bool { c.Poll(); return len(c.Got) == len(byMember) })
+					r.WaitFor("the member's bytes", func() bool { c.Poll(); return len(c.Received) == len(byMember) })
 					drained, between = true, len(byMember) == 0 || bytes.HasSuffix(byMember, []byte("\n"))
 					r.Drain(0)
 				}
 			case 5:
 				if !ended && !drained {
-					m.Finish()
+					m.CloseWrite()
 					ended = true
 				}
 			case 6:
 				if !ended && !drained {
-					c.Finish()
+					c.CloseWrite()
 					ended = true
 				}
 			}
 		}
 		if drained || ended {
-			r.Turn()
-			r.Pass(MoveTimeout)
-			r.Until("the client's end", func() bool { c.Poll(); return c.Over != nil })
-			r.Until("the member's end", func() bool { m.Poll(); return m.Over != nil })
-			if c.Over != io.EOF || m.Over != io.EOF {
-				t.Errorf("ended with %v and %v", c.Over, m.Over)
+			r.RunOnce()
+			r.Advance(MoveTimeout)
+			r.WaitFor("the client's end", func() bool { c.Poll(); return c.EndErr != nil })
+			r.WaitFor("the member's end", func() bool { m.Poll(); return m.EndErr != nil })
+			if c.EndErr != io.EOF || m.EndErr != io.EOF {
+				t.Errorf("ended with %v and %v", c.EndErr, m.EndErr)
 			}
 		} else {
-			r.Until("the member's bytes", func() bool { c.Poll(); return len(c.Got) >= len(byMember) })
-			r.Until("the client's bytes", func() bool { m.Poll(); return len(m.Got) >= len(byClient) })
+			r.WaitFor("the member's bytes", func() bool { c.Poll(); return len(c.Received) >= len(byMember) })
+			r.WaitFor("the client's bytes", func() bool { m.Poll(); return len(m.Received) >= len(byClient) })
 		}
-		seen, moved := bytes.CutSuffix(c.Got, []byte("MOVE\r\n"))
-		if !bytes.HasPrefix(byMember, seen) || !bytes.HasPrefix(byClient, m.Got) {
-			t.Errorf("client got %q of %q, member %q of %q", c.Got, byMember, m.Got, byClient)
+		seen, moved := bytes.CutSuffix(c.Received, []byte("MOVE\r\n"))
+		if !bytes.HasPrefix(byMember, seen) || !bytes.HasPrefix(byClient, m.Received) {
+			t.Errorf("client got %q of %q, member %q of %q", c.Received, byMember, m.Received, byClient)
 		}
 		if moved != (drained && between) || moved && len(seen) > 0 && !bytes.HasSuffix(seen, []byte("\n")) {
 			t.Errorf("moved %v, drained %v between lines %v, after %q", moved, drained, between, seen)
 		}
-		r.Until("the flow's end", func() bool { return r.Core.Held() == 0 || !(drained || ended) })
+		r.WaitFor("the flow's end", func() bool { return r.Core.Held() == 0 || !(drained || ended) })
 	})
 }
--- a/internal/front/line/flow_test.go
+++ b/internal/front/line/flow_test.go
@@ -28,7 +28,7 @@
 // finished checks that the flow has ended so, once, and that nothing is left of it.
 func (g *flowRig) finished(want policy.Result) {
 	g.T.Helper()
-	g.Until("the end of the request", func() bool { return g.Core.Held() == 0 })
+	g.WaitFor("the end of the request", func() bool { return g.Core.Held() == 0 })
 	g.clean()
 	if len(g.ended) != 1 || g.ended[0] != want {
 		g.T.Errorf("results %v, want %v", g.ended, want)
@@ -42,14 +42,14 @@
 func (g *flowRig) ends(toClient, toMember string) {
 	g.T.Helper()
 	for p, want := range map[*looptest.Peer]string{g.c: toClient, g.m: toMember} {
-		if p.Over == nil {
+		if p.EndErr == nil {
 			g.over(p)
 		}
-		if string(p.Got) != want {
-			g.T.Errorf("got %q, want %q", p.Got, want)
+		if string(p.Received) != want {
+			g.T.Errorf("got %q, want %q", p.Received, want)
 		}
-		p.Got = nil
-		p.WantEnd()
+		p.Received = nil
+		p.ExpectEOF()
 	}
 }
 
@@ -62,8 +62,8 @@
 	} {
 		t.Run(text, func(t *testing.T) {
 			g := newFlow(t)
-			g.m.Say(text)
-			g.m.Finish()
+			g.m.Send(text)
+			g.m.CloseWrite()
 			g.ends(text, "")
 			g.finished(want)
 		})
@@ -71,7 +71,7 @@
 	t.Run("reset", func(t *testing.T) {
 		g := newFlow(t)
 		g.m.Reset()
-		g.c.WantReset()
+		g.c.ExpectReset()
 		g.finished(policy.Reset)
 	})
 }
@@ -82,15 +82,15 @@
 		first, second func(g *flowRig)
 		want          []policy.Result
 	}{
-		"client, member": {func(g *flowRig) { g.c.Finish() }, func(g *flowRig) { g.m.Finish() }, []policy.Result{policy.Cancelled}},
-		"member, client": {func(g *flowRig) { g.m.Finish() }, func(g *flowRig) { g.c.Finish() }, []policy.Result{policy.Reset}},
-		"client, BYE":    {func(g *flowRig) { g.c.Finish() }, func(g *flowRig) { g.m.Say("BYE\r\n"); g.m.Finish() }, []policy.Result{policy.Cancelled}},
-		"BYE, client":    {func(g *flowRig) { g.m.Say("BYE\r\n"); g.m.Finish() }, func(g *flowRig) { g.c.Finish() }, []policy.Result{policy.OK}},
+		"client, member": {func(g *flowRig) { g.c.CloseWrite() }, func(g *flowRig) { g.m.CloseWrite() }, []policy.Result{policy.Cancelled}},
+		"member, client": {func(g *flowRig) { g.m.CloseWrite() }, func(g *flowRig) { g.c.CloseWrite() }, []policy.Result{policy.Reset}},
+		"client, BYE":    {func(g *flowRig) { g.c.CloseWrite() }, func(g *flowRig) { g.m.Send("BYE\r\n"); g.m.CloseWrite() }, []policy.Result{policy.Cancelled}},
+		"BYE, client":    {func(g *flowRig) { g.m.Send("BYE\r\n"); g.m.CloseWrite() }, func(g *flowRig) { g.c.CloseWrite() }, []policy.Result{policy.OK}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newFlow(t)
-			g.Turn()
-			g.Turn() // neither connection has anything to say now
+			g.RunOnce()
+			g.RunOnce() // neither connection has anything to say now
 			one.first(g)
 			one.second(g)
 			g.over(g.c)
@@ -103,17 +103,17 @@
 // TestMoveUnended: where the member does not end its line, the flow is over within MoveTimeout, with no MOVE in the line.
 func TestMoveUnended(t *testing.T) {
 	g := newFlow(t)
-	g.m.Say("half a ")
-	g.c.Want("half a ")
+	g.m.Send("half a ")
+	g.c.Expect("half a ")
 	g.list(0, policy.Draining)
-	g.Turn()
-	g.m.Say("li")
-	g.c.Want("li")
-	g.Pass(MoveTimeout - time.Millisecond)
-	if g.c.Poll(); g.c.Over != nil {
+	g.RunOnce()
+	g.m.Send("li")
+	g.c.Expect("li")
+	g.Advance(MoveTimeout - time.Millisecond)
+	if g.c.Poll(); g.c.EndErr != nil {
 		t.Fatal("ended too soon")
 	}
-	g.Pass(time.Millisecond)
+	g.Advance(time.Millisecond)
 	g.ends("", "")
 	g.finished(policy.Cancelled)
 }
@@ -121,26 +121,26 @@
 // TestMoveCrosses: one end in the place of the line's while MOVE waits for it is the flow's end, and no second one is told.
 func TestMoveCrosses(t *testing.T) {
 	for name, end := range map[string]func(g *flowRig){
-		"member ends":         func(g *flowRig) { g.m.Finish() },
+		"member ends":         func(g *flowRig) { g.m.CloseWrite() },
 		"member resets":       func(g *flowRig) { g.m.Reset() },
-		"client ends":         func(g *flowRig) { g.c.Finish() },
+		"client ends":         func(g *flowRig) { g.c.CloseWrite() },
 		"client resets":       func(g *flowRig) { g.c.Reset() },
-		"line ends, it ends":  func(g *flowRig) { g.m.Say("line\r\n"); g.m.Finish() },
-		"line ends, as BYE":   func(g *flowRig) { g.m.Say("line\r\nBYE\r\n"); g.m.Finish() },
-		"the planned stop":    func(g *flowRig) { g.Core.Stop(); g.Core.Finish(); g.m.Say("line\r\n") },
-		"member gone as well": func(g *flowRig) { g.list(0, policy.Gone); g.m.Say("line\r\n") },
+		"line ends, it ends":  func(g *flowRig) { g.m.Send("line\r\n"); g.m.CloseWrite() },
+		"line ends, as BYE":   func(g *flowRig) { g.m.Send("line\r\nBYE\r\n"); g.m.CloseWrite() },
+		"the planned stop":    func(g *flowRig) { g.Core.Stop(); g.Core.Finish(); g.m.Send("line\r\n") },
+		"member gone as well": func(g *flowRig) { g.list(0, policy.Gone); g.m.Send("line\r\n") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newFlow(t)
-			g.m.Say("half a ")
-			g.c.Want("half a ")
+			g.m.Send("half a ")
+			g.c.Expect("half a ")
 			g.list(0, policy.Draining)
-			g.Turn()
+			g.RunOnce()
 			end(g)
-			g.Until("the end", func() bool { return len(g.f.ids) == 0 })
+			g.WaitFor("the end", func() bool { return len(g.f.ids) == 0 })
 			if !strings.HasPrefix(name, "client") && !strings.HasPrefix(name, "member ") || strings.HasPrefix(name, "member gone") {
-				g.c.Lines("line", "MOVE")
-				g.c.WantEnd()
+				g.c.ExpectLines("line", "MOVE")
+				g.c.ExpectEOF()
 			}
 			g.finished(policy.Cancelled)
 			if g.Core.Counts.Moves != 1 {
@@ -167,25 +167,25 @@
 		g := newFlow(t)
 		narrow(g.c)
 		v := g.onlyFlow()
-		g.fill(g.m, func() bool { return v.c.Room() == 0 })
+		g.fill(g.m, func() bool { return v.c.WriteCapacity() == 0 })
 		for range 8 {
 			late(g.m, string(bytes.Repeat([]byte("x"), 4<<10)))
-			g.Turn()
+			g.RunOnce()
 		}
-		if unsent := v.c.Unsent(); unsent > netloop.OutBound {
+		if unsent := v.c.Unsent(); unsent > netloop.DefaultWriteLimit {
 			t.Errorf("%d bytes wait for the client", unsent)
 		}
-		if v.upstream.unread > netloop.InBound {
+		if v.upstream.unread > netloop.DefaultReadLimit {
 			t.Errorf("%d bytes of the member's wait", v.upstream.unread)
 		}
 		start := g.Now()
 		for at := start; g.Core.Held() > 0; at += clientEvery {
 			if talks {
 				late(g.c, "hello\r\n")
-				g.Turn()
+				g.RunOnce()
 			}
-			g.Pass(clientEvery)
-			g.Pass(sweepEvery)
+			g.Advance(clientEvery)
+			g.Advance(sweepEvery)
 			if g.Now()-start > clientGone+2*clientEvery || talks && g.Now()-start > silentMost+clientEvery {
 				t.Fatalf("still held after %v", g.Now()-start)
 			}
--- a/internal/front/line/give_test.go
+++ b/internal/front/line/give_test.go
@@ -15,17 +15,17 @@
 	r := looptest.NewRelay(t, 1)
 	f, next := New(r.Loop, r.Core, r.Log), New(r.Loop, r.Core, r.Log)
 	c := r.Dial(r.Serve(f.Accept))
-	c.Say("PING\r\n")
-	c.Lines("PONG")
+	c.Send("PING\r\n")
+	c.ExpectLines("PONG")
 	f.HandOffIdle(1, func(p IdleConn, fd int) {
 		next.AdoptIdle(p, fd)
 	})
-	r.Pass(firstWithin + time.Second)
-	c.Say("PING\r\n")
-	c.Lines("PONG")
-	r.Pass(pingIdle + time.Second)
-	c.Lines("BUSY")
-	c.WantEnd()
+	r.Advance(firstWithin + time.Second)
+	c.Send("PING\r\n")
+	c.ExpectLines("PONG")
+	r.Advance(pingIdle + time.Second)
+	c.ExpectLines("BUSY")
+	c.ExpectEOF()
 }
 
 // TestGiveWithoutDescriptors: a flow of which one side alone can be handed over goes on here. Guards against a client that is cut off.
@@ -33,8 +33,8 @@
 	r := looptest.NewRelay(t, 1)
 	f := New(r.Loop, r.Core, r.Log)
 	c, m := askedOf(r, f)
-	m.Say("UP x\r\n")
-	c.Lines("UP x")
+	m.Send("UP x\r\n")
+	c.ExpectLines("UP x")
 	given := 0
 	withDescriptors(t, 1, func() {
 		f.HandOffFlows(1, func(FlowHandoff, int, int) { given++ })
@@ -42,10 +42,10 @@
 	if given != 0 {
 		t.Errorf("%d flows were given", given)
 	}
-	c.Say("still here\r\n")
-	m.Lines("still here")
-	m.Say("GOT\r\n")
-	c.Lines("GOT")
+	c.Send("still here\r\n")
+	m.ExpectLines("still here")
+	m.Send("GOT\r\n")
+	c.ExpectLines("GOT")
 }
 
 // withDescriptors runs f while the process may open so many more descriptors.
--- a/internal/front/line/half_test.go
+++ b/internal/front/line/half_test.go
@@ -23,29 +23,29 @@
 			all := []*looptest.Peer{stays, goesOn, rests}
 			for range pings {
 				for _, c := range all {
-					c.Say("PING\r\n")
-					c.Lines("PONG")
+					c.Send("PING\r\n")
+					c.ExpectLines("PONG")
 				}
 			}
-			g.Pass(20 * time.Second) // they rest, as they may
-			stays.Say(firstLine[:20])
-			goesOn.Say(firstLine[:20])
-			rests.Say("PI")
-			g.Turn()
-			g.Turn()
-			g.Pass(badClientWithin / 2)
-			goesOn.Say(firstLine[20:] + "\r\n")
-			rests.Say("NG\r\n")
-			rests.Lines("PONG")
-			g.attempt(0).Say("UP x\r\n")
-			goesOn.Lines("UP x")
-			g.Pass(badClientWithin / 2)
+			g.Advance(20 * time.Second) // they rest, as they may
+			stays.Send(firstLine[:20])
+			goesOn.Send(firstLine[:20])
+			rests.Send("PI")
+			g.RunOnce()
+			g.RunOnce()
+			g.Advance(badClientWithin / 2)
+			goesOn.Send(firstLine[20:] + "\r\n")
+			rests.Send("NG\r\n")
+			rests.ExpectLines("PONG")
+			g.attempt(0).Send("UP x\r\n")
+			goesOn.ExpectLines("UP x")
+			g.Advance(badClientWithin / 2)
 			if len(g.f.fresh) != 1 {
 				t.Fatalf("%d connections without a first line, want the resting one", len(g.f.fresh))
 			}
-			stays.Lines("ERR")
-			stays.WantEnd()
-			g.Pass(20 * time.Second)
+			stays.ExpectLines("ERR")
+			stays.ExpectEOF()
+			g.Advance(20 * time.Second)
 			if len(g.f.fresh) != 1 {
 				t.Error("a client that was answered PONG once more may rest")
 			}
@@ -61,14 +61,14 @@
 	"asked":   func(g *rig) *looptest.Peer { c := g.ask(firstLine); g.attempt(0); return c },
 	"half answered": func(g *rig) *looptest.Peer {
 		c := g.ask(firstLine)
-		g.attempt(0).Say("UP ")
-		g.Turn()
+		g.attempt(0).Send("UP ")
+		g.RunOnce()
 		return c
 	},
 	"between two attempts": func(g *rig) *looptest.Peer {
 		c := g.ask(firstLine)
-		g.attempt(0).Say("BUSY\r\n")
-		g.Until("the answer", func() bool { return g.Core.Flows(1) == 0 })
+		g.attempt(0).Send("BUSY\r\n")
+		g.WaitFor("the answer", func() bool { return g.Core.Flows(1) == 0 })
 		return c
 	},
 	"with bytes behind its line": func(g *rig) *looptest.Peer {
@@ -86,9 +86,9 @@
 			g := newRig(t, 1)
 			c := bring(g)
 			before := g.Core.Counts.Attempts
-			c.Finish()
-			c.Lines("BUSY")
-			c.WantEnd()
+			c.CloseWrite()
+			c.ExpectLines("BUSY")
+			c.ExpectEOF()
 			if n := g.Core.Counts; n.Attempts != before || n.Left != 1 {
 				t.Errorf("%+v, %d attempts before", n, before)
 			}
@@ -100,10 +100,10 @@
 	t.Run("at once with its request", func(t *testing.T) {
 		g := newRig(t, 1)
 		c := g.Dial(g.addr)
-		c.Say(firstLine + "\r\n")
-		c.Finish()
-		c.Lines("BUSY")
-		c.WantEnd()
+		c.Send(firstLine + "\r\n")
+		c.CloseWrite()
+		c.ExpectLines("BUSY")
+		c.ExpectEOF()
 		g.unsent()
 		g.clean()
 		if n := g.Core.Counts; n != (core.Counts{Requests: 1, Attempts: n.Attempts, Left: 1}) {
--- a/internal/front/line/leave_test.go
+++ b/internal/front/line/leave_test.go
@@ -13,11 +13,11 @@
 func TestLeavesFirstLine(t *testing.T) {
 	everyLeaving(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
 		c := g.Dial(g.addr)
-		c.Say(firstLine[:20])
-		g.Until("the connection", func() bool { return len(g.f.fresh) == 1 })
-		g.Turn()
+		c.Send(firstLine[:20])
+		g.WaitFor("the connection", func() bool { return len(g.f.fresh) == 1 })
+		g.RunOnce()
 		leave(c)
-		g.Until("its end", func() bool { return len(g.f.fresh) == 0 })
+		g.WaitFor("its end", func() bool { return len(g.f.fresh) == 0 })
 		g.unsent()
 		g.clean()
 		if g.Core.Counts.Requests != 0 {
@@ -29,7 +29,7 @@
 // gone waits until the relay has seen that the client is gone, and checks that it has let go of its request.
 func (g *rig) gone() {
 	g.T.Helper()
-	g.Until("the client's end", func() bool { return len(g.f.ids) == 0 })
+	g.WaitFor("the client's end", func() bool { return len(g.f.ids) == 0 })
 	g.unsent()
 	g.clean()
 	if g.Core.Counts.Left != 1 {
@@ -44,7 +44,7 @@
 		g.list(0, policy.Draining)
 		c := g.ask(firstLine)
 		leave(c)
-		g.Until("the client's end", func() bool { return len(g.f.ids) == 0 })
+		g.WaitFor("the client's end", func() bool { return len(g.f.ids) == 0 })
 		g.list(0, policy.Ready)
 		g.gone()
 	})
@@ -52,7 +52,7 @@
 		g.Core.Doubt()
 		c := g.ask(firstLine)
 		leave(c)
-		g.Until("the client's end", func() bool { return len(g.f.ids) == 0 })
+		g.WaitFor("the client's end", func() bool { return len(g.f.ids) == 0 })
 		g.Core.Sure()
 		g.gone()
 	})
@@ -62,8 +62,8 @@
 func TestLeavesBetween(t *testing.T) {
 	everyLeaving(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
 		c := g.ask(firstLine)
-		g.attempt(0).Say("BUSY\r\n")
-		g.Until("the answer", func() bool { return g.Core.Flows(1) == 0 })
+		g.attempt(0).Send("BUSY\r\n")
+		g.WaitFor("the answer", func() bool { return g.Core.Flows(1) == 0 })
 		if g.Core.Held() != 1 {
 			t.Fatal("the request is not held for another attempt")
 		}
@@ -92,7 +92,7 @@
 		}
 		leave(c)
 		g.gone()
-		conn.SetReadDeadline(time.Now().Add(looptest.Patience))
+		conn.SetReadDeadline(time.Now().Add(looptest.Timeout))
 		if sent, _ := io.ReadAll(conn); len(sent) > 0 {
 			t.Errorf("the member was sent %q", sent)
 		}
@@ -104,8 +104,8 @@
 	everyLeaving(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
 		g.Core.Doubt()
 		c := g.ask(firstLine)
-		g.Turn() // the client's connection is no longer among those that have something to say
-		g.Turn()
+		g.RunOnce() // the client's connection is no longer among those that have something to say
+		g.RunOnce()
 		g.Core.Sure()
 		conn := g.pending(0)
 		if conn == nil {
@@ -113,7 +113,7 @@
 		}
 		leave(c)
 		g.gone()
-		conn.SetReadDeadline(time.Now().Add(looptest.Patience))
+		conn.SetReadDeadline(time.Now().Add(looptest.Timeout))
 		if sent, _ := io.ReadAll(conn); len(sent) > 0 {
 			t.Errorf("the member was sent %q", sent)
 		}
@@ -125,12 +125,12 @@
 	everyLeaving(t, 2, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
 		c := g.ask(firstLine)
 		at, m := g.anyAttempt()
-		m.Say("half an ans")
-		g.Turn()
+		m.Send("half an ans")
+		g.RunOnce()
 		leave(c)
-		g.Until("the end of the attempt", func() bool { m.Poll(); return m.Over != nil })
-		if len(m.Got) > 0 {
-			t.Errorf("member %d got %q", at, m.Got)
+		g.WaitFor("the end of the attempt", func() bool { m.Poll(); return m.EndErr != nil })
+		if len(m.Received) > 0 {
+			t.Errorf("member %d got %q", at, m.Received)
 		}
 		g.gone()
 	})
@@ -143,14 +143,14 @@
 			c := g.ask(firstLine)
 			m := g.attempt(0)
 			if upFirst {
-				m.Say("UP x\r\n")
+				m.Send("UP x\r\n")
 				leave(c)
 			} else {
 				leave(c)
-				m.Say("UP x\r\n")
+				m.Send("UP x\r\n")
 			}
-			g.Until("the end of the flow", func() bool { m.Poll(); return m.Over != nil })
-			g.Until("the end of the request", func() bool { return g.Core.Held() == 0 })
+			g.WaitFor("the end of the flow", func() bool { m.Poll(); return m.EndErr != nil })
+			g.WaitFor("the end of the request", func() bool { return g.Core.Held() == 0 })
 			g.unsent()
 			g.clean()
 			if n := g.Core.Counts; n.Left+n.Served != 1 || n.Attempts != 1 {
@@ -164,7 +164,7 @@
 func (g *rig) anyAttempt() (int, *looptest.Peer) {
 	g.T.Helper()
 	at := -1
-	g.Until("an attempt", func() bool {
+	g.WaitFor("an attempt", func() bool {
 		for i := range g.servers {
 			if g.Core.Flows(policy.ServerID(i+1)) > 0 {
 				at = i
@@ -184,15 +184,15 @@
 			t.Fatalf("%d probes, %+v", len(g.f.probes), g.Core.Counts)
 		}
 		leave(c)
-		g.Until("the client's end", func() bool { return len(g.f.ids) == 0 })
+		g.WaitFor("the client's end", func() bool { return len(g.f.ids) == 0 })
 		for i, p := range g.servers {
 			if g.f.probes[policy.ServerID(i+1)] != nil {
 				m := p.Accept()
-				m.Lines("STATS")
-				m.Say("PONG x0=0.1\r\n")
+				m.ExpectLines("STATS")
+				m.Send("PONG x0=0.1\r\n")
 			}
 		}
-		g.Until("the answers", func() bool {
+		g.WaitFor("the answers", func() bool {
 			for _, p := range g.f.probes {
 				if p.state.owes() {
 					return false
@@ -200,7 +200,7 @@
 			}
 			return true
 		})
-		g.Pass(g.f.probeIdle)
+		g.Advance(g.f.probeIdle)
 		g.gone()
 	})
 }
--- a/internal/front/line/line.go
+++ b/internal/front/line/line.go
@@ -65,8 +65,8 @@
 		v.timeOut(pingIdle)
 	}
 	v.spare()
-	c.EndFirst(true)
-	c.Handle(v)
+	c.SetEarlyEOF(true)
+	c.SetHandler(v)
 }
 
 // OpenRequests is how many clients have asked and are not done with: they wait, their flow stands, or it waits for the end
--- a/internal/front/line/line_test.go
+++ b/internal/front/line/line_test.go
@@ -26,9 +26,9 @@
 
 func askedOf(r *looptest.Relay, f *Front) (c, m *looptest.Peer) {
 	c = r.Dial(r.Serve(f.Accept))
-	c.Say(firstLine + "\r\n")
+	c.Send(firstLine + "\r\n")
 	_, m = r.AcceptAny(0)
-	m.Line()
+	m.ReadLine()
 	return c, m
 }
 
@@ -52,40 +52,40 @@
 // standingFlow is the same, up.
 func standingFlow(t testing.TB) (*looptest.Relay, *looptest.Peer, *looptest.Peer) {
 	r, c, m := asked(t)
-	m.Say("UP x\r\n")
-	c.Lines("UP x")
+	m.Send("UP x\r\n")
+	c.ExpectLines("UP x")
 	return r, c, m
 }
 
 // TestMoveWaits: MOVE that is asked for within a line stands after it.
 func TestMoveWaits(t *testing.T) {
 	r, c, m := standingFlow(t)
-	m.Say("half a ")
-	c.Want("half a ")
+	m.Send("half a ")
+	c.Expect("half a ")
 	r.Drain(0)
-	r.Turn()
-	m.Say("line\r\nand what is lost")
-	c.Lines("line", "MOVE")
-	c.WantEnd()
+	r.RunOnce()
+	m.Send("line\r\nand what is lost")
+	c.ExpectLines("line", "MOVE")
+	c.ExpectEOF()
 }
 
 // TestResets: a reset is answered by a reset, both ways.
 func TestResets(t *testing.T) {
 	_, c, m := standingFlow(t)
 	m.Reset()
-	c.WantReset()
+	c.ExpectReset()
 	_, c, m = standingFlow(t)
 	c.Reset()
-	m.WantReset()
+	m.ExpectReset()
 }
 
 // TestClientLeaves: who leaves before an answer leaves no attempt behind, and may still read its one answer.
 func TestClientLeaves(t *testing.T) {
 	r, c, m := asked(t)
-	c.Finish()
-	r.Until("the member's end", func() bool { m.Poll(); return m.Over != nil })
-	c.Lines("BUSY")
-	c.WantEnd()
+	c.CloseWrite()
+	r.WaitFor("the member's end", func() bool { m.Poll(); return m.EndErr != nil })
+	c.ExpectLines("BUSY")
+	c.ExpectEOF()
 	if r.Core.Held() != 0 || r.Core.Counts.Left != 1 {
 		t.Errorf("held %d, %+v", r.Core.Held(), r.Core.Counts)
 	}
@@ -103,12 +103,12 @@
 	} {
 		t.Run(answer, func(t *testing.T) {
 			r, c, m := asked(t)
-			m.Say(answer + "\r\n")
-			r.Until("an answer", func() bool { r.Pass(50 * time.Millisecond); c.Poll(); return len(c.Got) > 0 })
-			if got := c.Line(); !strings.HasPrefix(got, want) {
+			m.Send(answer + "\r\n")
+			r.WaitFor("an answer", func() bool { r.Advance(50 * time.Millisecond); c.Poll(); return len(c.Received) > 0 })
+			if got := c.ReadLine(); !strings.HasPrefix(got, want) {
 				t.Errorf("got %q, want %q", got, want)
 			}
-			c.WantEnd()
+			c.ExpectEOF()
 		})
 	}
 }
@@ -118,24 +118,24 @@
 func TestFirstLine(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	addr := r.Serve(New(r.Loop, r.Core, r.Log).Accept)
-	free := r.Free()
+	free := r.FreeDescriptors()
 	silent, slow, front := r.Dial(addr), r.Dial(addr), r.Dial(addr)
-	slow.Say("OPEN 00")
-	front.Say("PING\r\n")
-	front.Lines("PONG")
-	r.Until("three connections", func() bool { return r.Free() == free-3 })
-	r.Pass(firstWithin)
+	slow.Send("OPEN 00")
+	front.Send("PING\r\n")
+	front.ExpectLines("PONG")
+	r.WaitFor("three connections", func() bool { return r.FreeDescriptors() == free-3 })
+	r.Advance(firstWithin)
 	for _, c := range []*looptest.Peer{silent, slow} {
-		c.Lines("ERR")
-		c.WantEnd()
+		c.ExpectLines("ERR")
+		c.ExpectEOF()
 		c.Close()
 	}
-	r.Until("the descriptors", func() bool { return r.Free() == free-1 })
-	front.Say("PING\r\n")
-	front.Lines("PONG")
-	r.Pass(pingIdle)
-	front.Lines("BUSY")
-	front.WantEnd()
+	r.WaitFor("the descriptors", func() bool { return r.FreeDescriptors() == free-1 })
+	front.Send("PING\r\n")
+	front.ExpectLines("PONG")
+	r.Advance(pingIdle)
+	front.ExpectLines("BUSY")
+	front.ExpectEOF()
 }
 
 // TestClash: the id of an open request is no new request's, however it is written;
@@ -144,24 +144,24 @@
 	r, c, m := standingFlow(t)
 	addr := r.Serve(New(r.Loop, r.Core, r.Log).Accept)
 	first := r.Dial(addr)
-	first.Say(firstLine + "\r\n")
+	first.Send(firstLine + "\r\n")
 	_, n := r.AcceptAny(0)
-	n.Line()
+	n.ReadLine()
 	for _, id := range []string{"00000000000000aa", "aa", "00000000000000AA"} {
 		other := r.Dial(addr)
-		other.Say(strings.Replace(firstLine, "00000000000000aa", id, 1) + "\r\n")
-		other.Lines("ERR")
-		other.WantEnd()
+		other.Send(strings.Replace(firstLine, "00000000000000aa", id, 1) + "\r\n")
+		other.ExpectLines("ERR")
+		other.ExpectEOF()
 	}
-	n.Say("UP y\r\nBYE\r\n")
-	n.Finish()
-	first.Lines("UP y", "BYE")
-	first.WantEnd()
+	n.Send("UP y\r\nBYE\r\n")
+	n.CloseWrite()
+	first.ExpectLines("UP y", "BYE")
+	first.ExpectEOF()
 	again := r.Dial(addr)
-	again.Say(firstLine + "\r\n")
+	again.Send(firstLine + "\r\n")
 	r.AcceptAny(0)
-	c.Say("hello\r\n") // another front's, with the same id
-	m.Lines("hello")
+	c.Send("hello\r\n") // another front's, with the same id
+	m.ExpectLines("hello")
 }
 
 // results is a ledger of how attempts ended.
@@ -177,15 +177,15 @@
 // the member's failure; one that the member refused is.
 func TestBlame(t *testing.T) {
 	for err, want := range map[error]policy.Result{
-		netloop.ErrFull: policy.Moot, netloop.ErrDialTimeout: policy.ConnectFailed, io.EOF: policy.ConnectFailed,
+		netloop.ErrNoDescriptors: policy.Moot, netloop.ErrDialTimeout: policy.ConnectFailed, io.EOF: policy.ConnectFailed,
 	} {
 		r := looptest.NewRelay(t, 1)
 		var ended results
 		r.Core.Ledger = &ended
 		f := New(r.Loop, r.Core, r.Log)
 		c := r.Dial(r.Serve(f.Accept))
-		c.Say(firstLine + "\r\n")
-		r.Until("the request", func() bool { return r.Core.Counts.Attempts == 1 })
+		c.Send(firstLine + "\r\n")
+		r.WaitFor("the request", func() bool { return r.Core.Counts.Attempts == 1 })
 		for _, v := range f.ids {
 			v.upstream.state = attemptDialing
 			v.upstream.End(fmt.Errorf("dialling: %w", err))
@@ -244,9 +244,9 @@
 	f, next := New(r.Loop, r.Core, r.Log), New(r.Loop, r.Core, r.Log)
 	addr := r.Serve(f.Accept)
 	half, quiet := r.Dial(addr), r.Dial(addr)
-	half.Say(firstLine[:20])
-	r.Until("both", func() bool { return len(f.fresh) == 2 })
-	r.Turn()
+	half.Send(firstLine[:20])
+	r.WaitFor("both", func() bool { return len(f.fresh) == 2 })
+	r.RunOnce()
 	given := 0
 	f.HandOffIdle(2, func(p IdleConn, fd int) {
 		given++
@@ -256,19 +256,19 @@
 		t.Fatalf("%d given, %d left, %d taken", given, len(f.fresh), len(next.fresh))
 	}
 	next.SetRemoteIDs([]uint64{0xaa})
-	half.Say(firstLine[20:] + "\r\n")
-	half.Lines("ERR")
+	half.Send(firstLine[20:] + "\r\n")
+	half.ExpectLines("ERR")
 	next.SetRemoteIDs(nil)
-	quiet.Say(firstLine + "\r\n")
+	quiet.Send(firstLine + "\r\n")
 	_, m2 := r.AcceptAny(0)
-	m2.Line()
-	m2.Say("UP y\r\n")
-	quiet.Lines("UP y")
+	m2.ReadLine()
+	m2.Send("UP y\r\n")
+	quiet.ExpectLines("UP y")
 	if ids := next.OpenRequestIDs(); len(ids) != 1 || ids[0] != 0xaa {
 		t.Errorf("ids %v", ids)
 	}
-	m.Say("GOT\r\n")
-	c.Lines("GOT")
+	m.Send("GOT\r\n")
+	c.ExpectLines("GOT")
 }
 
 // TestTakeFlow: a flow that was passed on keeps what it owes: an unanswered line counts
@@ -278,32 +278,32 @@
 	r := looptest.NewRelay(t, 1)
 	first, second := New(r.Loop, r.Core, r.Log), New(r.Loop, r.Core, r.Log)
 	c, m := askedOf(r, first)
-	m.Say("UP x\r\n")
-	c.Lines("UP x")
-	c.Say("anyone?\r\n")
-	m.Lines("anyone?")
-	r.Pass(silentAfter - time.Second)
+	m.Send("UP x\r\n")
+	c.ExpectLines("UP x")
+	c.Send("anyone?\r\n")
+	m.ExpectLines("anyone?")
+	r.Advance(silentAfter - time.Second)
 	pass(t, first, second)
 	if r.Core.Held() != 1 || len(first.open) != 0 || len(first.ids) != 0 || len(second.ids) != 1 {
 		t.Fatalf("held %d, %d left, %d taken", r.Core.Held(), len(first.open), len(second.open))
 	}
-	r.Pass(2 * time.Second)
-	c.Lines("MOVE")
-	c.WantEnd()
+	r.Advance(2 * time.Second)
+	c.ExpectLines("MOVE")
+	c.ExpectEOF()
 
 	for _, unlike := range []func(*FlowHandoff){
 		func(p *FlowHandoff) { p.Placement.Member = "unheard of" },
 		func(*FlowHandoff) { r.Drain(0) },
 	} {
 		c, m = askedOf(r, first)
-		m.Say("UP y\r\n")
-		c.Lines("UP y")
+		m.Send("UP y\r\n")
+		c.ExpectLines("UP y")
 		first.HandOffFlows(1, func(p FlowHandoff, client, member int) {
 			unlike(&p)
 			second.AdoptFlow(p, client, member)
 		})
-		r.Pass(time.Millisecond)
-		c.Lines("MOVE")
-		c.WantEnd()
+		r.Advance(time.Millisecond)
+		c.ExpectLines("MOVE")
+		c.ExpectEOF()
 	}
 }
--- a/internal/front/line/malformed_test.go
+++ b/internal/front/line/malformed_test.go
@@ -28,8 +28,8 @@
 	send := func(text string) {
 		t.Helper()
 		c := g.Dial(g.addr)
-		c.Say(text)
-		c.Lines("ERR")
+		c.Send(text)
+		c.ExpectLines("ERR")
 		c.Close()
 	}
 	for range 50 {
@@ -42,7 +42,7 @@
 	if n := g.f.MalformedCounts(); n["not OPEN"] != 50 || n["class"] != 50 || len(n) != 2 {
 		t.Errorf("%v", n)
 	}
-	g.Pass(refusalsEvery)
+	g.Advance(refusalsEvery)
 	send("HELLO\r\n")
 	send("HELLO\r\n")
 	if got := strings.Join(said, ", "); got != "not OPEN: 1, class: 1, not OPEN: 50" {
--- a/internal/front/line/planned_stop_test.go
+++ b/internal/front/line/planned_stop_test.go
@@ -16,14 +16,14 @@
 	c := g.ask(firstLine)
 	m := g.attempt(0)
 	g.Core.Stop()
-	g.Pass(100 * time.Millisecond)
-	m.Say("UP x\r\n")
-	c.Lines("UP x")
-	g.Pass(g.Core.StopWithin())
+	g.Advance(100 * time.Millisecond)
+	m.Send("UP x\r\n")
+	c.ExpectLines("UP x")
+	g.Advance(g.Core.StopWithin())
 	g.Core.Finish()
-	c.Lines("MOVE")
-	c.WantEnd()
-	m.WantEnd()
+	c.ExpectLines("MOVE")
+	c.ExpectEOF()
+	m.ExpectEOF()
 	g.clean()
 	if n := g.Core.Counts; n.Served != 1 || n.Moves != 1 || n.Rejected+n.Failed+n.Left != 0 {
 		t.Errorf("%+v", n)
@@ -40,15 +40,15 @@
 			}
 			c := g.ask(firstLine)
 			if !held {
-				g.attempt(0).Say("half an ans")
+				g.attempt(0).Send("half an ans")
 			}
 			g.Core.Stop()
-			g.Turn()
+			g.RunOnce()
 			g.Core.Finish()
-			if got := c.Line(); !strings.HasPrefix(got, "BUSY") {
+			if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
 				t.Errorf("got %q", got)
 			}
-			c.WantEnd()
+			c.ExpectEOF()
 			c.Close()
 			g.Core.Sure()
 			g.unsent()
@@ -65,23 +65,23 @@
 func TestStopArrives(t *testing.T) {
 	g := newRig(t, 1)
 	half, front := g.Dial(g.addr), g.Dial(g.addr)
-	half.Say(firstLine[:20])
-	g.Until("both", func() bool { return len(g.f.fresh) == 2 })
-	g.Turn()
+	half.Send(firstLine[:20])
+	g.WaitFor("both", func() bool { return len(g.f.fresh) == 2 })
+	g.RunOnce()
 	g.Core.Stop()
-	half.Say(firstLine[20:] + "\r\n")
-	front.Say("PING\r\n")
-	front.Lines("ERR")
-	front.Say(strings.Replace(firstLine, "aa", "ab", 1) + "\r\n")
+	half.Send(firstLine[20:] + "\r\n")
+	front.Send("PING\r\n")
+	front.ExpectLines("ERR")
+	front.Send(strings.Replace(firstLine, "aa", "ab", 1) + "\r\n")
 	for _, c := range []interface {
-		Line() string
-		WantEnd()
+		ReadLine() string
+		ExpectEOF()
 		Close() error
 	}{half, front, g.ask(strings.Replace(firstLine, "aa", "ac", 1))} {
-		if got := c.Line(); !strings.HasPrefix(got, "BUSY") {
+		if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
 			t.Errorf("got %q", got)
 		}
-		c.WantEnd()
+		c.ExpectEOF()
 		c.Close()
 	}
 	g.unsent()
@@ -95,11 +95,11 @@
 func TestStopRests(t *testing.T) {
 	g := newRig(t, 1)
 	silent, front, half := g.Dial(g.addr), g.Dial(g.addr), g.Dial(g.addr)
-	front.Say("PING\r\n")
-	front.Lines("PONG")
-	half.Say(firstLine[:20])
-	g.Until("all", func() bool { return len(g.f.fresh) == 3 })
-	g.Turn()
+	front.Send("PING\r\n")
+	front.ExpectLines("PONG")
+	half.Send(firstLine[:20])
+	g.WaitFor("all", func() bool { return len(g.f.fresh) == 3 })
+	g.RunOnce()
 	g.Core.Stop()
 	g.Core.Finish()
 	g.f.CloseIdle()
@@ -107,12 +107,12 @@
 	late(front, firstLine+"\r\n")
 	late(half, firstLine[20:]+"\r\n")
 	for _, c := range []interface {
-		Lines(...string)
-		WantEnd()
+		ExpectLines(...string)
+		ExpectEOF()
 		Close() error
 	}{silent, front, half} {
-		c.Lines("BUSY 500")
-		c.WantEnd()
+		c.ExpectLines("BUSY 500")
+		c.ExpectEOF()
 		c.Close()
 	}
 	g.unsent()
@@ -126,17 +126,17 @@
 func TestStopHalfLine(t *testing.T) {
 	for _, whole := range []bool{true, false} {
 		g := newFlow(t)
-		g.m.Say("half a ")
-		g.c.Want("half a ")
+		g.m.Send("half a ")
+		g.c.Expect("half a ")
 		g.Core.Stop()
 		g.Core.Finish()
-		g.Turn()
+		g.RunOnce()
 		if whole {
-			g.m.Say("line\r\n")
-			g.c.Lines("line", "MOVE")
-			g.c.WantEnd()
+			g.m.Send("line\r\n")
+			g.c.ExpectLines("line", "MOVE")
+			g.c.ExpectEOF()
 		} else {
-			g.Pass(MoveTimeout)
+			g.Advance(MoveTimeout)
 			g.ends("", "")
 		}
 		g.finished(policy.Cancelled)
--- a/internal/front/line/probe.go
+++ b/internal/front/line/probe.go
@@ -191,7 +191,7 @@
 }
 
 // isOwn says that a connection ended for want of the relay's own means.
-func isOwn(err error) bool { return errors.Is(err, netloop.ErrFull) }
+func isOwn(err error) bool { return errors.Is(err, netloop.ErrNoDescriptors) }
 
 // broken is the result of a probe whose connection has ended.
 func (p *probe) broken(err error) policy.Result {
--- a/internal/front/line/probe_test.go
+++ b/internal/front/line/probe_test.go
@@ -31,14 +31,14 @@
 	p.T.Helper()
 	p.probe(member)
 	m := p.servers[member].Accept()
-	m.Lines("STATS")
+	m.ExpectLines("STATS")
 	return m
 }
 
 // want waits for the results of all probes so far.
 func (p *probing) want(results ...policy.Result) {
 	p.T.Helper()
-	p.Until("the results", func() bool { return len(p.results) >= len(results) })
+	p.WaitFor("the results", func() bool { return len(p.results) >= len(results) })
 	if !slices.Equal(p.results, results) {
 		p.T.Fatalf("results %v, want %v", p.results, results)
 	}
@@ -48,7 +48,7 @@
 func (p *probing) ended() {
 	p.T.Helper()
 	n := len(p.results)
-	p.Pass(p.f.probeIdle)
+	p.Advance(p.f.probeIdle)
 	p.clean()
 	if len(p.results) != n {
 		p.T.Errorf("results %v", p.results)
@@ -61,21 +61,21 @@
 		does func(p *probing, m *looptest.Peer)
 		want policy.Result
 	}{
-		"PONG":                  {func(_ *probing, m *looptest.Peer) { m.Say("PONG x0=0.5\r\n") }, policy.OK},
-		"BUSY":                  {func(_ *probing, m *looptest.Peer) { m.Say("BUSY\r\n") }, policy.Full},
-		"ERR":                   {func(_ *probing, m *looptest.Peer) { m.Say("ERR\r\n") }, policy.Error},
-		"ERR, PONG":             {func(_ *probing, m *looptest.Peer) { m.Say("ERR\r\nPONG\r\n") }, policy.Error},
-		"PONG, PONG":            {func(_ *probing, m *looptest.Peer) { m.Say("PONG\r\nPONG\r\n") }, policy.OK},
-		"no CRLF":               {func(_ *probing, m *looptest.Peer) { m.Say("PONG\n") }, policy.Error},
-		"a line over the bound": {func(_ *probing, m *looptest.Peer) { m.Say(strings.Repeat("x", maxLine)) }, policy.Error},
-		"the end":               {func(_ *probing, m *looptest.Peer) { m.Finish() }, policy.Reset},
-		"half a line, the end":  {func(_ *probing, m *looptest.Peer) { m.Say("PON"); m.Finish() }, policy.Reset},
+		"PONG":                  {func(_ *probing, m *looptest.Peer) { m.Send("PONG x0=0.5\r\n") }, policy.OK},
+		"BUSY":                  {func(_ *probing, m *looptest.Peer) { m.Send("BUSY\r\n") }, policy.Full},
+		"ERR":                   {func(_ *probing, m *looptest.Peer) { m.Send("ERR\r\n") }, policy.Error},
+		"ERR, PONG":             {func(_ *probing, m *looptest.Peer) { m.Send("ERR\r\nPONG\r\n") }, policy.Error},
+		"PONG, PONG":            {func(_ *probing, m *looptest.Peer) { m.Send("PONG\r\nPONG\r\n") }, policy.OK},
+		"no CRLF":               {func(_ *probing, m *looptest.Peer) { m.Send("PONG\n") }, policy.Error},
+		"a line over the bound": {func(_ *probing, m *looptest.Peer) { m.Send(strings.Repeat("x", maxLine)) }, policy.Error},
+		"the end":               {func(_ *probing, m *looptest.Peer) { m.CloseWrite() }, policy.Reset},
+		"half a line, the end":  {func(_ *probing, m *looptest.Peer) { m.Send("PON"); m.CloseWrite() }, policy.Reset},
 		"a reset":               {func(_ *probing, m *looptest.Peer) { m.Reset() }, policy.Reset},
-		"half a line, a reset":  {func(_ *probing, m *looptest.Peer) { m.Say("PON"); m.Reset() }, policy.Reset},
-		"half a line, nothing":  {func(p *probing, m *looptest.Peer) { m.Say("PON"); p.Turn(); p.Pass(probeWithin) }, policy.Timeout},
-		"nothing":               {func(p *probing, _ *looptest.Peer) { p.Pass(probeWithin) }, policy.Timeout},
-		"PONG once it is late":  {func(p *probing, m *looptest.Peer) { p.Pass(probeWithin); m.Say("PONG\r\n") }, policy.Timeout},
-		"PONG as it becomes so": {func(p *probing, m *looptest.Peer) { m.Say("PONG\r\n"); p.Pass(probeWithin) }, policy.OK},
+		"half a line, a reset":  {func(_ *probing, m *looptest.Peer) { m.Send("PON"); m.Reset() }, policy.Reset},
+		"half a line, nothing":  {func(p *probing, m *looptest.Peer) { m.Send("PON"); p.RunOnce(); p.Advance(probeWithin) }, policy.Timeout},
+		"nothing":               {func(p *probing, _ *looptest.Peer) { p.Advance(probeWithin) }, policy.Timeout},
+		"PONG once it is late":  {func(p *probing, m *looptest.Peer) { p.Advance(probeWithin); m.Send("PONG\r\n") }, policy.Timeout},
+		"PONG as it becomes so": {func(p *probing, m *looptest.Peer) { m.Send("PONG\r\n"); p.Advance(probeWithin) }, policy.OK},
 		"nobody is there":       {func(p *probing, m *looptest.Peer) { m.Close() }, policy.Reset},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -99,8 +99,8 @@
 	p = newProbing(t, 0)
 	p.join(fullQueue(t))
 	p.probe(0)
-	p.Turn()
-	p.Pass(p.f.connectWithin)
+	p.RunOnce()
+	p.Advance(p.f.connectWithin)
 	p.want(policy.Timeout)
 	p.ended()
 }
@@ -109,11 +109,11 @@
 func TestProbeLateAnswer(t *testing.T) {
 	p := newProbing(t, 1)
 	m := p.asked(0)
-	m.Say("PONG x0=0.1\r\n")
+	m.Send("PONG x0=0.1\r\n")
 	p.want(policy.OK)
-	m.Say("ERR\r\n")
-	m.WantEnd()
-	p.asked(0).Say("PONG x0=0.2\r\n")
+	m.Send("ERR\r\n")
+	m.ExpectEOF()
+	p.asked(0).Send("PONG x0=0.2\r\n")
 	p.want(policy.OK, policy.OK)
 	p.ended()
 }
@@ -122,15 +122,15 @@
 // second connection, and no result.
 func TestProbeEndsAsUsed(t *testing.T) {
 	for name, end := range map[string]func(*looptest.Peer){
-		"ends": func(m *looptest.Peer) { m.Close() }, "half-closes": func(m *looptest.Peer) { m.Finish() }, "resets": func(m *looptest.Peer) { m.Reset() },
+		"ends": func(m *looptest.Peer) { m.Close() }, "half-closes": func(m *looptest.Peer) { m.CloseWrite() }, "resets": func(m *looptest.Peer) { m.Reset() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newProbing(t, 1)
 			m := p.asked(0)
-			m.Say("PONG\r\n")
+			m.Send("PONG\r\n")
 			p.want(policy.OK)
 			end(m)
-			p.asked(0).Say("PONG\r\n")
+			p.asked(0).Send("PONG\r\n")
 			p.want(policy.OK, policy.OK)
 			p.ended()
 		})
@@ -141,12 +141,12 @@
 func TestProbeEndsAsMemberLeft(t *testing.T) {
 	p := newProbing(t, 1)
 	m := p.asked(0)
-	m.Say("PONG\r\n")
+	m.Send("PONG\r\n")
 	p.want(policy.OK)
-	m.Finish()
+	m.CloseWrite()
 	p.probe(0)
 	p.list(0, policy.Draining)
-	p.Pass(time.Duration(p.Core.Settings.Guarantees.Grace)*time.Millisecond + time.Millisecond)
+	p.Advance(time.Duration(p.Core.Settings.Guarantees.Grace)*time.Millisecond + time.Millisecond)
 	p.want(policy.OK, policy.Reset)
 	if p.pending(0) != nil {
 		t.Error("a connection to a member that has left")
@@ -158,10 +158,10 @@
 func TestProbeSecondAnswer(t *testing.T) {
 	p := newProbing(t, 1)
 	m := p.asked(0)
-	m.Say("PONG x0=0.1\r\nERR\r\n")
+	m.Send("PONG x0=0.1\r\nERR\r\n")
 	p.want(policy.OK)
 	m = p.asked(0)
-	m.Say("PONG x0=0.2\r\n")
+	m.Send("PONG x0=0.2\r\n")
 	p.want(policy.OK, policy.OK)
 	p.ended()
 }
@@ -172,7 +172,7 @@
 	p := newProbing(t, 1)
 	p.probe(0)
 	p.list(0, policy.Draining)
-	p.Pass(time.Duration(p.Core.Settings.Guarantees.Grace)*time.Millisecond + time.Millisecond)
+	p.Advance(time.Duration(p.Core.Settings.Guarantees.Grace)*time.Millisecond + time.Millisecond)
 	p.want(policy.Moot)
 	p.unsent()
 	p.ended()
@@ -182,8 +182,8 @@
 func TestProbeForgets(t *testing.T) {
 	p := newProbing(t, 3)
 	for i := range p.servers {
-		p.asked(i).Say("PONG\r\n")
-		p.Until("the result", func() bool { return len(p.results) == i+1 })
+		p.asked(i).Send("PONG\r\n")
+		p.WaitFor("the result", func() bool { return len(p.results) == i+1 })
 	}
 	p.ended()
 	if len(p.f.probes) != 0 {
@@ -201,10 +201,10 @@
 		}
 	}
 	m := p.asked(0)
-	m.Say("PONG x0=0.1\r\nERR\r\n")
+	m.Send("PONG x0=0.1\r\nERR\r\n")
 	m = p.servers[0].Accept()
-	m.Lines("STATS")
-	m.Say("PONG x0=0.2\r\n")
+	m.ExpectLines("STATS")
+	m.Send("PONG x0=0.2\r\n")
 	p.want(policy.OK, policy.OK)
 	p.ended()
 }
--- a/internal/front/line/quiet_test.go
+++ b/internal/front/line/quiet_test.go
@@ -15,18 +15,18 @@
 	for _, quiet := range []time.Duration{time.Hour, 30 * 24 * time.Hour} {
 		g := newRig(t, 2)
 		for range 100 {
-			g.Pass(quiet / 100)
+			g.Advance(quiet / 100)
 		}
 		c, at, m := g.flowAnywhere()
-		c.Say("a line\r\n")
-		m.Lines("a line")
+		c.Send("a line\r\n")
+		m.ExpectLines("a line")
 		for range 7 * 4 { // nothing comes back
-			g.Pass(sweepEvery)
+			g.Advance(sweepEvery)
 		}
-		c.Lines("MOVE")
-		c.WantEnd()
+		c.ExpectLines("MOVE")
+		c.ExpectEOF()
 		for range 100 {
-			g.Pass(quiet / 100)
+			g.Advance(quiet / 100)
 		}
 		g.list(at, policy.Draining)
 		before := g.Core.Counts.Attempts
@@ -35,10 +35,10 @@
 		if other == at {
 			t.Errorf("%v: an attempt at a member that drains", quiet)
 		}
-		c.Finish()
-		c.Lines("BUSY")
-		c.WantEnd()
-		m.WantReset()
+		c.CloseWrite()
+		c.ExpectLines("BUSY")
+		c.ExpectEOF()
+		m.ExpectReset()
 		g.unsent()
 		g.clean()
 		if g.Core.Counts.Attempts != before+1 {
@@ -52,7 +52,7 @@
 	g.T.Helper()
 	c = g.ask(firstLine)
 	at, m = g.anyAttempt()
-	m.Say("UP x\r\n")
-	c.Lines("UP x")
+	m.Send("UP x\r\n")
+	c.ExpectLines("UP x")
 	return c, at, m
 }
--- a/internal/front/line/report_test.go
+++ b/internal/front/line/report_test.go
@@ -13,8 +13,8 @@
 	r := looptest.NewRelay(t, 1)
 	first, second := New(r.Loop, r.Core, r.Log), New(r.Loop, r.Core, r.Log)
 	c, m := askedOf(r, first)
-	m.Say("UP x\r\n")
-	c.Lines("UP x")
+	m.Send("UP x\r\n")
+	c.ExpectLines("UP x")
 	for _, f := range []*Front{first, second} {
 		if len(f.open) != 1 {
 			t.Fatalf("%d open flows", len(f.open))
--- a/internal/front/line/rest_test.go
+++ b/internal/front/line/rest_test.go
@@ -14,14 +14,14 @@
 			g := newRig(t, 1)
 			c := g.Dial(g.addr)
 			if rest == pingIdle {
-				c.Say("PING\r\n")
-				c.Lines("PONG")
+				c.Send("PING\r\n")
+				c.ExpectLines("PONG")
 			}
-			g.Until("the connection", func() bool { return len(g.f.fresh) == 1 })
-			c.Say(firstLine + "\r\n")
-			g.Pass(rest)
-			g.attempt(0).Say("UP x\r\n")
-			c.Lines("UP x")
+			g.WaitFor("the connection", func() bool { return len(g.f.fresh) == 1 })
+			c.Send(firstLine + "\r\n")
+			g.Advance(rest)
+			g.attempt(0).Send("UP x\r\n")
+			c.ExpectLines("UP x")
 		})
 	}
 }
@@ -30,26 +30,26 @@
 // sent on, and coming again is harmless.
 func TestRestsTooLong(t *testing.T) {
 	for name, end := range map[string]func(*rig){
-		"idle": func(g *rig) { g.Pass(pingIdle) },
+		"idle": func(g *rig) { g.Advance(pingIdle) },
 		"shed": func(g *rig) {
 			for range 2 {
-				g.Limit(g.Held()) // the next connection has to be made room for
+				g.SetDescriptorLimit(g.OpenDescriptors()) // the next connection has to be made room for
 				g.Dial(g.addr)
-				g.Turn()
-				g.Turn()
+				g.RunOnce()
+				g.RunOnce()
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1)
 			c := g.Dial(g.addr)
-			c.Say("PING\r\n")
-			c.Lines("PONG")
+			c.Send("PING\r\n")
+			c.ExpectLines("PONG")
 			end(g)
 			c.Write([]byte(firstLine + "\r\n"))
-			g.Until("the end", func() bool { c.Poll(); return c.Over != nil })
-			if string(c.Got) != "BUSY\r\n" {
-				t.Errorf("got %q", c.Got)
+			g.WaitFor("the end", func() bool { c.Poll(); return c.EndErr != nil })
+			if string(c.Received) != "BUSY\r\n" {
+				t.Errorf("got %q", c.Received)
 			}
 			if g.Core.Counts != (core.Counts{}) {
 				t.Errorf("%+v", g.Core.Counts)
@@ -67,19 +67,19 @@
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1)
 			c := g.Dial(g.addr)
-			g.Until("the connection", func() bool { return len(g.f.fresh) == 1 })
-			if c.Say(one.first); one.first != "" {
-				c.Lines("PONG")
+			g.WaitFor("the connection", func() bool { return len(g.f.fresh) == 1 })
+			if c.Send(one.first); one.first != "" {
+				c.ExpectLines("PONG")
 			}
-			g.Turn()
-			g.Turn() // it has nothing to say now, so the loop hears of the new one first
-			g.Limit(g.Held() + 1)
+			g.RunOnce()
+			g.RunOnce() // it has nothing to say now, so the loop hears of the new one first
+			g.SetDescriptorLimit(g.OpenDescriptors() + 1)
 			g.Dial(g.addr)
-			c.Say(firstLine + "\r\n")
-			g.Turn()
-			g.Until("the end", func() bool { c.Poll(); return c.Over != nil })
-			if string(c.Got) != one.answer {
-				t.Errorf("got %q, ended with %v", c.Got, c.Over)
+			c.Send(firstLine + "\r\n")
+			g.RunOnce()
+			g.WaitFor("the end", func() bool { c.Poll(); return c.EndErr != nil })
+			if string(c.Received) != one.answer {
+				t.Errorf("got %q, ended with %v", c.Received, c.EndErr)
 			}
 			if g.Core.Counts != (core.Counts{}) || g.pending(0) != nil {
 				t.Errorf("%+v", g.Core.Counts)
--- a/internal/front/line/rig_test.go
+++ b/internal/front/line/rig_test.go
@@ -37,7 +37,7 @@
 		g.join(s.Addr())
 	}
 	g.addr = r.Serve(g.f.Accept)
-	g.free = r.Free()
+	g.free = r.FreeDescriptors()
 	return g
 }
 
@@ -54,8 +54,8 @@
 func (g *rig) ask(line string) *looptest.Peer {
 	g.T.Helper()
 	c, before := g.Dial(g.addr), g.Core.Counts.Requests
-	c.Say(line + "\r\n")
-	g.Until("the request", func() bool { return g.Core.Counts.Requests > before })
+	c.Send(line + "\r\n")
+	g.WaitFor("the request", func() bool { return g.Core.Counts.Requests > before })
 	return c
 }
 
@@ -63,7 +63,7 @@
 func (g *rig) attempt(member int) *looptest.Peer {
 	g.T.Helper()
 	m := g.servers[member].Accept()
-	m.Line()
+	m.ReadLine()
 	return m
 }
 
@@ -72,8 +72,8 @@
 	g.T.Helper()
 	c = g.ask(firstLine)
 	m = g.attempt(0)
-	m.Say("UP x\r\n")
-	c.Lines("UP x")
+	m.Send("UP x\r\n")
+	c.ExpectLines("UP x")
 	return c, m
 }
 
@@ -130,7 +130,7 @@
 func (g *rig) unsent() {
 	g.T.Helper()
 	for range 30 {
-		g.Pass(100 * time.Millisecond)
+		g.Advance(100 * time.Millisecond)
 	}
 	for i := range g.servers {
 		for c := g.pending(i); c != nil; c = g.pending(i) {
@@ -152,9 +152,9 @@
 	if len(g.f.open)+len(g.f.fresh)+len(g.f.ids) != 0 {
 		g.T.Errorf("%d open, %d fresh, %d ids", len(g.f.open), len(g.f.fresh), len(g.f.ids))
 	}
-	g.Pass(time.Second) // for which ended connections may linger
-	g.Turn()
-	if open := g.free - g.Free(); open != 0 {
+	g.Advance(time.Second) // for which ended connections may linger
+	g.RunOnce()
+	if open := g.free - g.FreeDescriptors(); open != 0 {
 		g.T.Errorf("%d descriptors are open", open)
 	}
 }
@@ -163,7 +163,7 @@
 var leaving = map[string]func(*looptest.Peer){
 	"closes":      func(c *looptest.Peer) { c.Close() },
 	"resets":      func(c *looptest.Peer) { c.Reset() },
-	"half-closes": func(c *looptest.Peer) { c.Finish() },
+	"half-closes": func(c *looptest.Peer) { c.CloseWrite() },
 }
 
 // everyLeaving runs a test for each of them.
--- a/internal/front/line/silence_test.go
+++ b/internal/front/line/silence_test.go
@@ -12,17 +12,17 @@
 // is asked to come again; one that answers is not.
 func TestSilent(t *testing.T) {
 	r, c, m := standingFlow(t)
-	c.Say("hello\r\n")
-	m.Lines("hello")
-	r.Pass(silentAfter)
-	m.Say("well\r\n")
-	c.Lines("well")
-	c.Say("hello?\r\n")
-	m.Lines("hello?")
-	r.Pass(silentAfter + sweepEvery)
-	r.Pass(sweepEvery)
-	c.Lines("MOVE")
-	c.WantEnd()
+	c.Send("hello\r\n")
+	m.ExpectLines("hello")
+	r.Advance(silentAfter)
+	m.Send("well\r\n")
+	c.ExpectLines("well")
+	c.Send("hello?\r\n")
+	m.ExpectLines("hello?")
+	r.Advance(silentAfter + sweepEvery)
+	r.Advance(sweepEvery)
+	c.ExpectLines("MOVE")
+	c.ExpectEOF()
 	if r.Core.Held() != 0 {
 		t.Error("the flow is still held")
 	}
@@ -48,32 +48,32 @@
 					pieces = append(pieces, strings.TrimPrefix("line\r\n", whole))
 				}
 			}
-			if len(pieces) > 0 && c.Over == nil {
-				c.Say(pieces[0])
+			if len(pieces) > 0 && c.EndErr == nil {
+				c.Send(pieces[0])
 				pieces = pieces[1:]
-				r.Until("the client's bytes", func() bool { m.Poll(); return bytes.Contains(m.Got, []byte("l")) || r.Core.Held() == 0 })
+				r.WaitFor("the client's bytes", func() bool { m.Poll(); return bytes.Contains(m.Received, []byte("l")) || r.Core.Held() == 0 })
 			}
 			switch {
 			case now < stops:
-				if bytes.Contains(m.Got, []byte("\n")) {
-					m.Say("back\r\n")
-					back, m.Got = now, nil
+				if bytes.Contains(m.Received, []byte("\n")) {
+					m.Send("back\r\n")
+					back, m.Received = now, nil
 				}
 			case half || parting > 0:
 			case seed%4 == 0:
-				m.Say("LOAD 7\r\n")
-			case seed%4 == 1 && bytes.Contains(m.Got, []byte("\n")):
-				m.Say("bac")
+				m.Send("LOAD 7\r\n")
+			case seed%4 == 1 && bytes.Contains(m.Received, []byte("\n")):
+				m.Send("bac")
 				half = true
 			case seed%4 == 2:
-				m.Say("BYE\r\n")
+				m.Send("BYE\r\n")
 				parting = now
 			}
 			if now == back && now > start {
-				r.Until("the answer", func() bool { c.Poll(); return len(c.Got) > 0 })
+				r.WaitFor("the answer", func() bool { c.Poll(); return len(c.Received) > 0 })
 			}
-			c.Got = nil
-			r.Pass(step)
+			c.Received = nil
+			r.Advance(step)
 			if r.Core.Held() == 0 && r.Now() < stops {
 				t.Fatalf("seed %d: a flow that was answered is over", seed)
 			}
@@ -90,17 +90,17 @@
 // TestHalfLine: a client that takes long over a line is not sent away for the member's silence, nor as the line ends.
 func TestHalfLine(t *testing.T) {
 	r, c, m := standingFlow(t)
-	c.Say("hel")
-	m.Want("hel")
+	c.Send("hel")
+	m.Expect("hel")
 	for range 30 {
-		r.Pass(sweepEvery)
+		r.Advance(sweepEvery)
 	}
-	c.Say("lo\r\n")
-	m.Lines("lo")
-	r.Pass(sweepEvery)
-	m.Say("well\r\n")
-	c.Lines("well")
-	r.Pass(sweepEvery)
+	c.Send("lo\r\n")
+	m.ExpectLines("lo")
+	r.Advance(sweepEvery)
+	m.Send("well\r\n")
+	c.ExpectLines("well")
+	r.Advance(sweepEvery)
 	if r.Core.Held() != 1 {
 		t.Error("the flow is over")
 	}
@@ -109,14 +109,14 @@
 // TestClientGone: a client's machine that vanished must not hold a flow for ever.
 func TestClientGone(t *testing.T) {
 	r, c, m := standingFlow(t)
-	r.Pass(clientGone)
-	c.Say("still here\r\n")
-	m.Lines("still here")
-	m.Say("well\r\n")
-	c.Lines("well")
-	r.Pass(clientGone + sweepEvery)
-	r.Pass(sweepEvery)
-	m.WantEnd()
+	r.Advance(clientGone)
+	c.Send("still here\r\n")
+	m.ExpectLines("still here")
+	m.Send("well\r\n")
+	c.ExpectLines("well")
+	r.Advance(clientGone + sweepEvery)
+	r.Advance(sweepEvery)
+	m.ExpectEOF()
 	if r.Core.Held() != 0 {
 		t.Error("the flow is still held")
 	}
--- a/internal/front/line/stop_test.go
+++ b/internal/front/line/stop_test.go
@@ -14,8 +14,8 @@
 	r := looptest.NewRelay(t, 2)
 	f := New(r.Loop, r.Core, r.Log)
 	c := r.Dial(r.Serve(f.Accept))
-	c.Say(firstLine + "\r\n")
-	r.Until("an attempt", func() bool { return r.Core.Counts.Attempts == 1 })
+	c.Send(firstLine + "\r\n")
+	r.WaitFor("an attempt", func() bool { return r.Core.Counts.Attempts == 1 })
 	first := 0
 	if r.Core.Flows(r.Members[1].ID) == 1 {
 		first = 1
@@ -24,14 +24,14 @@
 	for {
 		i, m := r.AcceptAny(0)
 		if i == first {
-			m.WantEnd()
+			m.ExpectEOF()
 			continue
 		}
-		if got := m.Line(); !strings.HasPrefix(got, "OPEN 00000000000000aa") {
+		if got := m.ReadLine(); !strings.HasPrefix(got, "OPEN 00000000000000aa") {
 			t.Fatalf("got %q", got)
 		}
-		m.Say("UP x\r\n")
-		c.Lines("UP x")
+		m.Send("UP x\r\n")
+		c.ExpectLines("UP x")
 		return
 	}
 }
@@ -42,17 +42,17 @@
 	r := looptest.NewRelay(t, 1)
 	f := New(r.Loop, r.Core, r.Log)
 	c, m := askedOf(r, f)
-	m.Say("UP x\r\nhalf a ")
-	c.Lines("UP x")
-	r.Until("half a line", func() bool { c.Poll(); return string(c.Got) == "half a " })
+	m.Send("UP x\r\nhalf a ")
+	c.ExpectLines("UP x")
+	r.WaitFor("half a line", func() bool { c.Poll(); return string(c.Received) == "half a " })
 	r.Core.Stop()
 	r.Core.Finish()
 	if r.Core.Held() != 0 || f.OpenRequests() != 1 {
 		t.Fatalf("the core holds %d, the front %d", r.Core.Held(), f.OpenRequests())
 	}
-	m.Say("line\r\n")
-	c.Lines("half a line", "MOVE")
-	c.WantEnd()
+	m.Send("line\r\n")
+	c.ExpectLines("half a line", "MOVE")
+	c.ExpectEOF()
 	if f.OpenRequests() != 0 {
 		t.Errorf("the front holds %d", f.OpenRequests())
 	}
@@ -65,15 +65,15 @@
 	f := New(r.Loop, r.Core, r.Log)
 	at := r.Serve(f.Accept)
 	resting, asking := r.Dial(at), r.Dial(at)
-	resting.Say("PING\r\n")
-	resting.Want("PONG\r\n")
-	r.Until("both", func() bool { return len(f.fresh) == 2 })
+	resting.Send("PING\r\n")
+	resting.Expect("PONG\r\n")
+	r.WaitFor("both", func() bool { return len(f.fresh) == 2 })
 	r.Core.Stop()
-	asking.Say(firstLine + "\r\n")
+	asking.Send(firstLine + "\r\n")
 	f.CloseIdle()
 	for _, c := range []*looptest.Peer{resting, asking} {
-		c.Want("BUSY 500\r\n")
-		c.WantEnd()
+		c.Expect("BUSY 500\r\n")
+		c.ExpectEOF()
 	}
 	if r.Core.Counts.Attempts != 0 || len(f.fresh) != 0 {
 		t.Errorf("%d attempts, %d fresh", r.Core.Counts.Attempts, len(f.fresh))
@@ -85,11 +85,11 @@
 	r := looptest.NewRelay(t, 1)
 	f := New(r.Loop, r.Core, r.Log)
 	c := r.Dial(r.Serve(f.Accept))
-	c.Say(firstLine + "\r\n" + strings.Repeat("x", 2*netloop.InBound))
-	c.Finish()
+	c.Send(firstLine + "\r\n" + strings.Repeat("x", 2*netloop.DefaultReadLimit))
+	c.CloseWrite()
 	_, m := r.AcceptAny(0)
-	r.Until("the client's end", func() bool { return r.Core.Counts.Left == 1 })
-	r.Until("the attempt's end", func() bool { m.Poll(); return m.Over != nil })
+	r.WaitFor("the client's end", func() bool { return r.Core.Counts.Left == 1 })
+	r.WaitFor("the attempt's end", func() bool { m.Poll(); return m.EndErr != nil })
 	if f.OpenRequests() != 0 || r.Core.Held() != 0 {
 		t.Errorf("the front holds %d, the core %d", f.OpenRequests(), r.Core.Held())
 	}
--- a/internal/front/line/two.go
+++ b/internal/front/line/two.go
@@ -20,7 +20,7 @@
 func (f *Front) HandOffIdle(most int, give func(p IdleConn, fd int)) {
 	for v := range f.fresh {
 		if most <= 0 {
-			v.c.Rest()
+			v.c.PauseReading()
 			continue
 		}
 		p := IdleConn{AfterPong: v.state == clientResting}
@@ -39,7 +39,7 @@
 // ResumeIdle goes on with those that HandOffIdle has left.
 func (f *Front) ResumeIdle() {
 	for v := range f.fresh {
-		f.Loop.After(0, v.c.Resume)
+		f.Loop.After(0, v.c.ResumeReading)
 	}
 }
 
@@ -47,7 +47,7 @@
 func (f *Front) AdoptIdle(p IdleConn, fd int) {
 	c := f.Loop.Attach(fd, p.Unread, nil)
 	f.accept(c, p.AfterPong)
-	f.Loop.After(0, c.Resume)
+	f.Loop.After(0, c.ResumeReading)
 }
 
 // FlowHandoff is an open flow on its way to another process. Times are ages.
@@ -100,7 +100,7 @@
 		return client, member
 	}
 	v.c = f.Loop.Attach(client, p.FromClient, v)
-	f.Loop.After(0, v.c.Resume)
+	f.Loop.After(0, v.c.ResumeReading)
 	return -1, -1
 }
 
@@ -124,7 +124,7 @@
 		v.Move()
 		return
 	}
-	f.Loop.After(0, func() { v.c.Resume(); s.c.Resume() })
+	f.Loop.After(0, func() { v.c.ResumeReading(); s.c.ResumeReading() })
 }
 
 // OpenRequestIDs are the clients' ids of the requests that are held here.
--- a/internal/front/line/upstream.go
+++ b/internal/front/line/upstream.go
@@ -82,13 +82,13 @@
 	}
 	s.on(attemptAsks)
 	s.c.Write(s.v.open.line(s.until - s.v.f.Loop.Now()))
-	s.c.Resume() // a member may have spoken before it was asked
+	s.c.ResumeReading() // a member may have spoken before it was asked
 }
 
 // Drained is told by the loop.
 func (s *upstream) Drained() {
 	if s.state.isOpen() || s.v.state == clientParting {
-		s.v.c.Resume()
+		s.v.c.ResumeReading()
 	}
 }
 
@@ -165,7 +165,7 @@
 		s.endClient(err)
 	}
 	switch {
-	case !open && errors.Is(err, netloop.ErrFull):
+	case !open && errors.Is(err, netloop.ErrNoDescriptors):
 		s.on(attemptUnmade)
 	case !open && (s.state.isUnasked() || s.c.Unsent() > 0):
 		s.on(attemptUnwritten)
@@ -185,7 +185,7 @@
 
 // forward passes a client's bytes on, and notes when a line of it went.
 func (s *upstream) forward(b []byte) int {
-	n := min(len(b), s.c.Room())
+	n := min(len(b), s.c.WriteCapacity())
 	s.c.Write(b[:n])
 	if n > 0 {
 		s.sent(s.v.f.Loop.Now(), bytes.IndexByte(b[:n], '\n') >= 0)
@@ -208,7 +208,7 @@
 // backward passes a member's bytes on, line by line, and reads what they tell.
 func (s *upstream) backward(b []byte) int {
 	v := s.v
-	b = b[:min(len(b), v.c.Room())]
+	b = b[:min(len(b), v.c.WriteCapacity())]
 	used := 0
 	for used < len(b) && v.state != clientClosed {
 		part := b[used:]
--- a/internal/front/nats/client.go
+++ b/internal/front/nats/client.go
@@ -120,7 +120,7 @@
 func (c *client) Drained() {
 	c.slowSince = 0
 	for _, l := range c.links {
-		l.c.Resume()
+		l.c.ResumeReading()
 	}
 }
 
@@ -151,7 +151,7 @@
 			return used
 		}
 		if !c.do(&m) {
-			c.c.Rest() // goOn resumes
+			c.c.PauseReading() // goOn resumes
 			return used
 		}
 		used += n
@@ -168,7 +168,7 @@
 	c.f.Loop.After(0, func() {
 		c.later = false
 		c.settle()
-		c.c.Resume()
+		c.c.ResumeReading()
 		if c.leftBytes && c.quiet() {
 			c.close()
 		}
@@ -304,7 +304,7 @@
 	connect := append([]byte(nil), text...)
 	c.enter(connect, func() {
 		c.connect = connect
-		c.c.Spare(nil)
+		c.c.SetEvictable(nil)
 		c.keepAlive()
 		c.ok()
 	})
--- a/internal/front/nats/link.go
+++ b/internal/front/nats/link.go
@@ -45,9 +45,9 @@
 	l := &link{f: c.f, client: c, member: to, feed: p}
 	c.links = append(c.links, l)
 	l.c = c.f.Loop.Dial(to.Addr, c.f.Core.Limits().ConnectTimeout, l)
-	l.c.Bound(c.f.MaxPayload+maxInfo+2, 2*c.f.MaxPayload+4*highWater+c.f.WindowBytes)
-	if c.f.Loop.Short() {
-		c.f.Loop.After(0, func() { l.lose(netloop.ErrFull) })
+	l.c.SetBufferLimits(c.f.MaxPayload+maxInfo+2, 2*c.f.MaxPayload+4*highWater+c.f.WindowBytes)
+	if c.f.Loop.DescriptorsLow() {
+		c.f.Loop.After(0, func() { l.lose(netloop.ErrNoDescriptors) })
 	}
 	return l
 }
@@ -157,7 +157,7 @@
 	used := 0
 	for !l.over {
 		if l.client.crowded() {
-			l.c.Rest() // the client's Drained goes on
+			l.c.PauseReading() // the client's Drained goes on
 			l.rested = true
 			return used
 		}
@@ -207,20 +207,20 @@
 // Open is told by the loop; the member speaks first, but where TLS does.
 func (l *link) Open() {
 	if cfg := l.f.memberTLS(l.member.Addr); cfg != nil && l.f.MemberTLS.HandshakeFirst {
-		l.c.Secure(cfg, true, l.f.Core.Limits().ConnectTimeout, func(tls.ConnectionState) {})
+		l.c.StartTLS(cfg, true, l.f.Core.Limits().ConnectTimeout, func(tls.ConnectionState) {})
 	}
 }
 
 // greet answers the member's INFO, by TLS if that is configured.
 func (l *link) greet(info []byte) {
 	cfg := l.f.memberTLS(l.member.Addr)
-	if cfg == nil || l.c.Secured() {
+	if cfg == nil || l.c.IsTLS() {
 		l.connect(info)
 		return
 	}
-	l.c.Rest()
+	l.c.PauseReading()
 	l.f.Loop.After(0, func() {
-		l.c.Secure(cfg, true, l.f.Core.Limits().ConnectTimeout, func(tls.ConnectionState) { l.connect(info) })
+		l.c.StartTLS(cfg, true, l.f.Core.Limits().ConnectTimeout, func(tls.ConnectionState) { l.connect(info) })
 	})
 }
 
@@ -294,7 +294,7 @@
 	if l.greeted && !l.ready && err == io.EOF {
 		result = policy.Error // it did not take CONNECT
 	}
-	if errors.Is(err, netloop.ErrFull) { // the relay's own want, not the member's failure
+	if errors.Is(err, netloop.ErrNoDescriptors) { // the relay's own want, not the member's failure
 		result = policy.Moot
 	}
 	left := l.written - min(l.written, uint64(l.c.Unsent()))
@@ -383,5 +383,5 @@
 // took is how long a member has taken for an answer, the relay's own work taken off; false if that
 // cannot be told.
 func (f *Front) took(since time.Duration) (time.Duration, bool) {
-	return max(f.Loop.Now()-since-2*f.Loop.Spell(), 0), f.Loop.Busy() < ownBusy
+	return max(f.Loop.Now()-since-2*f.Loop.LastRoundDuration(), 0), f.Loop.Utilization() < ownBusy
 }
--- a/internal/front/nats/nats.go
+++ b/internal/front/nats/nats.go
@@ -43,7 +43,7 @@
 
 // water is a mark of unsent bytes, lowered while the buffers of all connections hold much.
 func (f *Front) water(mark int) int {
-	if f.Loop.Tight() {
+	if f.Loop.MemoryPressure() {
 		return mark / 4
 	}
 	return mark
@@ -180,21 +180,21 @@
 // Accept serves a client's connection.
 func (f *Front) Accept(conn *netloop.Conn) {
 	f.lastID++
-	c := &client{f: f, c: conn, id: f.lastID, local: conn.Addr(), remote: conn.Peer()}
+	c := &client{f: f, c: conn, id: f.lastID, local: conn.LocalAddr(), remote: conn.RemoteIP()}
 	f.clients[c] = struct{}{}
-	conn.Handle(c)
-	conn.Bound(f.MaxPayload+f.MaxControlLine+2, 2*f.MaxPayload+4*highWater)
+	conn.SetHandler(c)
+	conn.SetBufferLimits(f.MaxPayload+f.MaxControlLine+2, 2*f.MaxPayload+4*highWater)
 	if f.sec.server != nil && f.TLS.HandshakeFirst {
 		c.sniffed = true
-		conn.Secure(f.sec.server, false, connectWithin, func(tls.ConnectionState) { c.write(f.info(c)) })
+		conn.StartTLS(f.sec.server, false, connectWithin, func(tls.ConnectionState) { c.write(f.info(c)) })
 	} else {
 		c.write(f.info(c))
 	}
-	if f.Loop.Short() || f.MaxConnections > 0 && len(f.clients) > f.MaxConnections {
+	if f.Loop.DescriptorsLow() || f.MaxConnections > 0 && len(f.clients) > f.MaxConnections {
 		c.fail("maximum connections exceeded")
 		return
 	}
-	conn.Spare(func() { c.fail("maximum connections exceeded") })
+	conn.SetEvictable(func() { c.fail("maximum connections exceeded") })
 	c.timer = f.Loop.After(connectWithin, func() { c.fail("Authentication Timeout") })
 }
 
--- a/internal/front/nats/nats_test.go
+++ b/internal/front/nats/nats_test.go
@@ -92,9 +92,9 @@
 	r := looptest.NewRelay(t, members)
 	f := New(r.Loop, r.Core, r.Log, "n0", Config{Class: "pay", Tenant: "water"}, &Security{})
 	s := &site{r, r.Dial(r.Serve(f.Accept))}
-	s.c.Line()
-	s.c.Say("CONNECT {\"verbose\":true}\r\n")
-	s.c.Lines("+OK")
+	s.c.ReadLine()
+	s.c.Send("CONNECT {\"verbose\":true}\r\n")
+	s.c.ExpectLines("+OK")
 	return s
 }
 
@@ -102,12 +102,12 @@
 func (s *site) link(step time.Duration) (int, *looptest.Peer) {
 	s.T.Helper()
 	i, m := s.AcceptAny(step)
-	m.Say("INFO {\"headers\":true}\r\n")
-	if got := m.Line(); !strings.HasPrefix(got, "CONNECT {") {
+	m.Send("INFO {\"headers\":true}\r\n")
+	if got := m.ReadLine(); !strings.HasPrefix(got, "CONNECT {") {
 		s.T.Fatalf("got %q", got)
 	}
-	m.Lines("PING")
-	m.Say("PONG\r\n")
+	m.ExpectLines("PING")
+	m.Send("PONG\r\n")
 	return i, m
 }
 
@@ -116,25 +116,25 @@
 // member never has to end anything itself, and no two places hold it at once.
 func TestDrainAtOnce(t *testing.T) {
 	s := newSite(t, 2)
-	s.c.Say("SUB feed q 7\r\n")
+	s.c.Send("SUB feed q 7\r\n")
 	i, m := s.link(0)
-	m.Lines("SUB feed q 1", "PING")
-	m.Say("PONG\r\nMSG feed 1 2\r\nhi\r\n")
-	s.c.Lines("+OK", "MSG feed 7 2", "hi")
+	m.ExpectLines("SUB feed q 1", "PING")
+	m.Send("PONG\r\nMSG feed 1 2\r\nhi\r\n")
+	s.c.ExpectLines("+OK", "MSG feed 7 2", "hi")
 	s.Drain(i)
-	m.Lines("UNSUB 1", "PING")
-	m.Say("MSG feed 1 4\r\nsent\r\n") // before it knew
-	s.c.Lines("MSG feed 7 4", "sent")
+	m.ExpectLines("UNSUB 1", "PING")
+	m.Send("MSG feed 1 4\r\nsent\r\n") // before it knew
+	s.c.ExpectLines("MSG feed 7 4", "sent")
 	j, n := s.link(0)
 	if j == i {
 		t.Fatal("placed on the draining member again")
 	}
-	n.Say("PING\r\n")
-	n.Lines("PONG")                           // and nothing else, while the first still holds it
-	m.Say("PONG\r\nMSG feed 1 4\r\nlate\r\n") // now it is not held there any more
-	n.Lines("SUB feed q 1", "PING")
-	n.Say("PONG\r\nMSG feed 1 3\r\nnew\r\n")
-	s.c.Lines("MSG feed 7 3", "new")
+	n.Send("PING\r\n")
+	n.ExpectLines("PONG")                      // and nothing else, while the first still holds it
+	m.Send("PONG\r\nMSG feed 1 4\r\nlate\r\n") // now it is not held there any more
+	n.ExpectLines("SUB feed q 1", "PING")
+	n.Send("PONG\r\nMSG feed 1 3\r\nnew\r\n")
+	s.c.ExpectLines("MSG feed 7 3", "new")
 	if c := s.Core.Counts; c.Requests != 2 || c.Served != 2 || c.Moves != 1 {
 		t.Errorf("%+v", c)
 	}
@@ -144,40 +144,40 @@
 // starts only when the last one is over, its connection ended.
 func TestPublishRetry(t *testing.T) {
 	s := newSite(t, 3)
-	s.c.Say("PUB job 1\r\nx\r\nPING\r\n")
+	s.c.Send("PUB job 1\r\nx\r\nPING\r\n")
 	_, m := s.link(0)
-	m.Lines("PUB job 1", "x", "PING")
+	m.ExpectLines("PUB job 1", "x", "PING")
 	m.Reset()
 	_, n := s.link(0)
-	n.Lines("PUB job 1", "x", "PING")
-	n.Say("PONG\r\n")
-	s.c.Lines("+OK", "PONG")
+	n.ExpectLines("PUB job 1", "x", "PING")
+	n.Send("PONG\r\n")
+	s.c.ExpectLines("+OK", "PONG")
 	if c := s.Core.Counts.Messages; c.Attempts != 2 || c.Served != 1 || c.Repeated != 1 {
 		t.Errorf("%+v", c)
 	}
-	s.c.Say("PUB job 1\r\ny\r\n")
+	s.c.Send("PUB job 1\r\ny\r\n")
 	silent := n
-	silent.Lines("PUB job 1", "y", "PING")
-	s.Until("the end of the silent attempt", func() bool {
-		s.Pass(10 * time.Millisecond)
+	silent.ExpectLines("PUB job 1", "y", "PING")
+	s.WaitFor("the end of the silent attempt", func() bool {
+		s.Advance(10 * time.Millisecond)
 		silent.Poll()
-		return silent.Over != nil
+		return silent.EndErr != nil
 	})
 }
 
 // TestLinkLost: subscriptions on a connection that breaks are placed again.
 func TestLinkLost(t *testing.T) {
 	s := newSite(t, 2)
-	s.c.Say("SUB feed 7\r\n")
+	s.c.Send("SUB feed 7\r\n")
 	_, m := s.link(0)
-	m.Lines("SUB feed 1", "PING")
-	m.Say("PONG\r\n")
-	s.c.Lines("+OK")
+	m.ExpectLines("SUB feed 1", "PING")
+	m.Send("PONG\r\n")
+	s.c.ExpectLines("+OK")
 	m.Reset()
 	_, n := s.link(0)
-	n.Lines("SUB feed 1", "PING")
-	n.Say("PONG\r\nMSG feed 1 2\r\nhi\r\n")
-	s.c.Lines("MSG feed 7 2", "hi")
+	n.ExpectLines("SUB feed 1", "PING")
+	n.Send("PONG\r\nMSG feed 1 2\r\nhi\r\n")
+	s.c.ExpectLines("MSG feed 7 2", "hi")
 }
 
 // TestConnectWithin: who says no CONNECT, or half of one, gets an error well before
@@ -186,13 +186,13 @@
 	s := newSite(t, 1)
 	f := New(s.Loop, s.Core, s.Log, "n0", Config{Class: "pay", Tenant: "water"}, &Security{})
 	silent := s.Dial(s.Serve(f.Accept))
-	silent.Line()
-	silent.Say("CONNECT {")
-	s.Pass(connectWithin)
-	silent.Lines("-ERR 'Authentication Timeout'")
-	silent.WantEnd()
-	s.c.Say("PING\r\n")
-	s.c.Lines("PONG")
+	silent.ReadLine()
+	silent.Send("CONNECT {")
+	s.Advance(connectWithin)
+	silent.ExpectLines("-ERR 'Authentication Timeout'")
+	silent.ExpectEOF()
+	s.c.Send("PING\r\n")
+	s.c.ExpectLines("PONG")
 }
 
 // TestLeave: a drained relay tells its clients, ends those for whom it holds nothing
@@ -203,50 +203,50 @@
 	c := r.Dial(r.Serve(f.Accept))
 	info := func(ldm bool) {
 		t.Helper()
-		if line := c.Line(); !strings.Contains(line, fmt.Sprintf(`"ldm":%v`, ldm)) {
+		if line := c.ReadLine(); !strings.Contains(line, fmt.Sprintf(`"ldm":%v`, ldm)) {
 			t.Fatalf("got %q, want ldm %v", line, ldm)
 		}
 	}
 	info(false)
-	c.Say("CONNECT {\"verbose\":true,\"protocol\":1}\r\n")
-	c.Lines("+OK")
+	c.Send("CONNECT {\"verbose\":true,\"protocol\":1}\r\n")
+	c.ExpectLines("+OK")
 	f.EnterLameDuck()
 	info(true)
-	r.Pass(core.StopNotice - time.Millisecond)
+	r.Advance(core.StopNotice - time.Millisecond)
 	f.ExitLameDuck()
 	info(false)
-	r.Pass(sweepEvery)
-	c.Say("PING\r\n")
-	c.Lines("PONG")
+	r.Advance(sweepEvery)
+	c.Send("PING\r\n")
+	c.ExpectLines("PONG")
 	f.EnterLameDuck()
 	info(true)
-	r.Pass(core.StopNotice)
-	r.Pass(sweepEvery)
-	c.WantEnd()
+	r.Advance(core.StopNotice)
+	r.Advance(sweepEvery)
+	c.ExpectEOF()
 }
 
 // TestLeftWhileConnecting: a member that has left while the connection to it was being set up is asked for no
 // subscription; another one is.
 func TestLeftWhileConnecting(t *testing.T) {
 	s := newSite(t, 2)
-	s.c.Say("SUB a.b 1\r\n")
+	s.c.Send("SUB a.b 1\r\n")
 	first, m := s.AcceptAny(0)
-	m.Say("INFO {\"headers\":true}\r\n")
-	if got := m.Line(); !strings.HasPrefix(got, "CONNECT {") {
+	m.Send("INFO {\"headers\":true}\r\n")
+	if got := m.ReadLine(); !strings.HasPrefix(got, "CONNECT {") {
 		t.Fatalf("got %q", got)
 	}
-	m.Lines("PING")
+	m.ExpectLines("PING")
 	s.Drain(first) // before the member has confirmed
-	m.Say("PONG\r\n")
+	m.Send("PONG\r\n")
 	second, other := s.link(0)
 	if second == first {
 		t.Fatal("the member that has left is connected to again")
 	}
-	if got := other.Line(); !strings.HasPrefix(got, "SUB a.b ") {
+	if got := other.ReadLine(); !strings.HasPrefix(got, "SUB a.b ") {
 		t.Fatalf("got %q", got)
 	}
-	if m.Poll(); strings.Contains(string(m.Got), "SUB") {
-		t.Errorf("the member that has left got %q", m.Got)
+	if m.Poll(); strings.Contains(string(m.Received), "SUB") {
+		t.Errorf("the member that has left got %q", m.Received)
 	}
 }
 
@@ -257,11 +257,11 @@
 	f := New(r.Loop, r.Core, r.Log, "n0", Config{Class: "pay", Tenant: "water", LoadSubject: "node.load"}, &Security{})
 	f.CheckHealth(&r.Members[0])
 	_, m := r.AcceptAny(0)
-	m.Say("INFO {\"headers\":true}\r\n")
-	if got := m.Line(); !strings.HasPrefix(got, "CONNECT {") {
+	m.Send("INFO {\"headers\":true}\r\n")
+	if got := m.ReadLine(); !strings.HasPrefix(got, "CONNECT {") {
 		t.Fatalf("got %q", got)
 	}
-	m.Lines("SUB "+probeReply+" 1", "PUB node.load "+probeReply+" 0", "", "PING")
-	m.Say("MSG " + probeReply + " 1 9\r\n{\"x0\":0.5}\r\n")
-	r.Until("the answer", func() bool { return len(f.probes) == 0 })
+	m.ExpectLines("SUB "+probeReply+" 1", "PUB node.load "+probeReply+" 0", "", "PING")
+	m.Send("MSG " + probeReply + " 1 9\r\n{\"x0\":0.5}\r\n")
+	r.WaitFor("the answer", func() bool { return len(f.probes) == 0 })
 }
--- a/internal/front/nats/probe.go
+++ b/internal/front/nats/probe.go
@@ -45,7 +45,7 @@
 // Open is told by the loop.
 func (p *probe) Open() {
 	if cfg := p.f.memberTLS(p.addr); cfg != nil && p.f.MemberTLS.HandshakeFirst {
-		p.c.Secure(cfg, true, probeWithin, func(tls.ConnectionState) {})
+		p.c.StartTLS(cfg, true, probeWithin, func(tls.ConnectionState) {})
 	}
 }
 
@@ -56,7 +56,7 @@
 func (p *probe) Data(b []byte) int {
 	used := 0
 	for p.f.probes[p.id] == p {
-		m, n, err := parse(b[used:], maxControl, netloop.InBound)
+		m, n, err := parse(b[used:], maxControl, netloop.DefaultReadLimit)
 		if err != nil {
 			p.done(policy.Error, policy.NoReport)
 		}
@@ -75,14 +75,14 @@
 		p.f.hear(p.id, m.rest)
 		info := append([]byte(nil), m.rest...)
 		cfg := p.f.memberTLS(p.addr)
-		if cfg == nil || p.c.Secured() {
+		if cfg == nil || p.c.IsTLS() {
 			p.ask(info)
 			return
 		}
-		p.c.Rest()
+		p.c.PauseReading()
 		p.f.Loop.After(0, func() {
 			if p.f.probes[p.id] == p {
-				p.c.Secure(cfg, true, probeWithin, func(tls.ConnectionState) { p.ask(info) })
+				p.c.StartTLS(cfg, true, probeWithin, func(tls.ConnectionState) { p.ask(info) })
 			}
 		})
 	case opPong:
@@ -123,7 +123,7 @@
 // End is told by the loop.
 func (p *probe) End(err error) {
 	switch {
-	case errors.Is(err, netloop.ErrFull):
+	case errors.Is(err, netloop.ErrNoDescriptors):
 		p.done(policy.Moot, policy.NoReport)
 	case errors.Is(err, netloop.ErrDialTimeout): // it says nothing at all
 		p.done(policy.Timeout, policy.NoReport)
--- a/internal/front/nats/publish.go
+++ b/internal/front/nats/publish.go
@@ -58,7 +58,7 @@
 			return true
 		}
 		if c.may != nil && !c.may.MayPublish(string(m.subject)) {
-			if !c.replies.MayAnswer(c.f.Loop.Round(), string(m.subject)) {
+			if !c.replies.MayAnswer(c.f.Loop.RoundStart(), string(m.subject)) {
 				c.forbid(m.subject)
 				return true
 			}
@@ -139,7 +139,7 @@
 	}
 }
 
-// Free says whether the link has sent most of what it was given; the feed's Drained follows.
+// FreeDescriptors says whether the link has sent most of what it was given; the feed's Drained follows.
 func (p *publisher) Free() bool { return p.link.c.Unsent() < p.c.f.water(linkWater) }
 
 // Carry hands a message to the link. Who may publish may hear on the reply subject that nobody
@@ -235,7 +235,7 @@
 	c.warn(fmt.Sprintf("Permissions Violation for Publish to %q: %s", q.subject, why))
 }
 
-// Room has the client's commands go on.
+// WriteCapacity has the client's commands go on.
 func (p *publisher) Room() { p.c.goOn() }
 
 // ---- echo:false ----
--- a/internal/front/nats/security.go
+++ b/internal/front/nats/security.go
@@ -249,11 +249,11 @@
 	c.sniffed = true
 	const record = 0x16 // the first byte of a TLS handshake
 	switch {
-	case c.f.sec.server == nil || c.c.Secured():
+	case c.f.sec.server == nil || c.c.IsTLS():
 		return true
 	case first == record:
-		c.c.Rest()
-		c.f.Loop.After(0, func() { c.c.Secure(c.f.sec.server, false, connectWithin, func(tls.ConnectionState) {}) })
+		c.c.PauseReading()
+		c.f.Loop.After(0, func() { c.c.StartTLS(c.f.sec.server, false, connectWithin, func(tls.ConnectionState) {}) })
 		return false
 	case c.f.TLS.Optional:
 		return true
@@ -320,7 +320,7 @@
 	if c.may == nil || c.may.MayPublish(string(subject)) {
 		return true
 	}
-	return c.replies.MayAnswer(c.f.Loop.Round(), string(subject))
+	return c.replies.MayAnswer(c.f.Loop.RoundStart(), string(subject))
 }
 
 // ---- Members ----
--- a/internal/front/nats/sub.go
+++ b/internal/front/nats/sub.go
@@ -264,7 +264,7 @@
 	if s.filter && c.may.Hides(string(m.subject)) {
 		return
 	}
-	c.replies.Asked(c.f.Loop.Round(), m.reply)
+	c.replies.Asked(c.f.Loop.RoundStart(), m.reply)
 	if m.header > 0 {
 		if who := untag(m); who != nil && !c.echo() && string(who) == c.origin() {
 			return
--- a/internal/gossiptransport/peering.go
+++ b/internal/gossiptransport/peering.go
@@ -55,7 +55,7 @@
 	m         *gossip.Machine
 	seal      gossip.Sealer
 	open      gossip.Opener
-	sock      *netloop.Datagrams
+	sock      *netloop.UDPSocket
 	door      *netloop.Listener
 	tick      *netloop.Timer
 	div       gossip.Divisor
@@ -97,14 +97,14 @@
 	}
 	var err error
 	if s.sock == nil {
-		if s.sock, err = s.Loop.Datagrams(s.Listen, s.heard); err == nil {
+		if s.sock, err = s.Loop.ListenUDP(s.Listen, s.heard); err == nil {
 			s.Log.WithField("listen", s.sock.Addr()).Info("peers")
 			s.say()
 			s.due()
 		}
 	}
 	if err == nil {
-		s.door, err = s.Loop.ListenApart(s.Listen, doorMost, func(c *netloop.Conn) { c.Handle(shut{}); c.Finish() })
+		s.door, err = s.Loop.ListenReserved(s.Listen, doorMost, func(c *netloop.Conn) { c.SetHandler(shut{}); c.Finish() })
 	}
 	if err != nil {
 		s.Log.WithError(err).WithField("datagrams", s.sock != nil).Warn("peers: the address cannot be had yet")
--- a/internal/gossiptransport/peering_test.go
+++ b/internal/gossiptransport/peering_test.go
@@ -24,7 +24,7 @@
 }
 
 // among makes services that know of each other, each with a wall clock that the test steps.
-func among(t *testing.T, b *looptest.Bench, n int) (all []*Service, steps []time.Duration) {
+func among(t *testing.T, b *looptest.Harness, n int) (all []*Service, steps []time.Duration) {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(t.Output())
@@ -62,7 +62,7 @@
 		}
 		passes := func(d time.Duration) {
 			for range int(d / (20 * time.Millisecond)) {
-				b.Pass(20 * time.Millisecond)
+				b.Advance(20 * time.Millisecond)
 			}
 		}
 		passes(10 * time.Second)
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -108,13 +108,13 @@
 	}
 	text, err := json.Marshal(Note{Hello: version})
 	if err == nil {
-		err = netloop.Say(fd, append([]byte{last}, text...))
+		err = netloop.SendBlocking(fd, append([]byte{last}, text...))
 	}
 	var p parts
 	for err == nil && state == nil {
 		var frame []byte
 		var some []int
-		if frame, some, err = netloop.Hear(fd); err != nil {
+		if frame, some, err = netloop.ReceiveBlocking(fd); err != nil {
 			break
 		}
 		fds = append(fds, some...)
@@ -158,7 +158,7 @@
 	FDs  []int
 }
 
-// Peer is the other process.
+// RemoteIP is the other process.
 type Peer struct {
 	channel  *netloop.Channel
 	parts    parts
@@ -269,8 +269,8 @@
 	return nil
 }
 
-// Quiet says that all that was told has left, and all that was given is confirmed.
-func (p *Peer) Quiet() bool { return p.channel.Quiet() && len(p.out) == 0 }
+// Idle says that all that was told has left, and all that was given is confirmed.
+func (p *Peer) Quiet() bool { return p.channel.Idle() && len(p.out) == 0 }
 
 // Leave ends the conversation; nobody here is told.
 func (p *Peer) Leave() {
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -17,7 +17,7 @@
 
 // first plays the process that serves: it answers a hello with its state, and a
 // descriptor for each front named there.
-func first(b *looptest.Bench, dir string, state *State) (heard *[]*Note) {
+func first(b *looptest.Harness, dir string, state *State) (heard *[]*Note) {
 	heard = &[]*Note{}
 	_, err := b.ListenChannel(Path(dir), func(fd int) {
 		var p *Peer
@@ -37,13 +37,13 @@
 }
 
 // find asks for the state, while the loop turns.
-func find(b *looptest.Bench, dir string) (fd int, state *State, fds []int, err error) {
+func find(b *looptest.Harness, dir string) (fd int, state *State, fds []int, err error) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		fd, state, fds, err = Find(dir)
 	}()
-	b.Until("an answer", func() bool {
+	b.WaitFor("an answer", func() bool {
 		select {
 		case <-done:
 			return true
@@ -117,7 +117,7 @@
 	if err := p.Tell(Note{Serving: true}); err != nil {
 		t.Fatal(err)
 	}
-	b.Until("the note", func() bool { return len(*heard) == 2 })
+	b.WaitFor("the note", func() bool { return len(*heard) == 2 })
 	if !(*heard)[1].Serving {
 		t.Errorf("heard %+v", (*heard)[1])
 	}
@@ -135,7 +135,7 @@
 
 // peers are two ends of one conversation, on one loop.
 type peers struct {
-	b           *looptest.Bench
+	b           *looptest.Harness
 	first, next *Peer
 	taken       []*Note
 	ended       bool
@@ -188,7 +188,7 @@
 	if p.first.Pending() != 1 || p.first.PendingFDs() != 1 || p.first.Quiet() || closed(end) {
 		t.Fatalf("%d pending with %d descriptors", p.first.Pending(), p.first.PendingFDs())
 	}
-	p.b.Until("the confirmation", func() bool { return p.first.Quiet() })
+	p.b.WaitFor("the confirmation", func() bool { return p.first.Quiet() })
 	if len(p.taken) != 1 || p.first.Pending() != 0 || !closed(end) {
 		t.Errorf("%d taken, %d pending", len(p.taken), p.first.Pending())
 	}
@@ -199,7 +199,7 @@
 	p := newPeers(t, version)
 	ends := []int{p.give("a"), p.give("b")}
 	p.next.Leave() // it has read nothing
-	p.b.Until("the end", func() bool { return p.ended })
+	p.b.WaitFor("the end", func() bool { return p.ended })
 	back := p.first.Unconfirmed()
 	if len(back) != 2 || string(back[0].Note.Client.Unread) != "a" || string(back[1].Note.Client.Unread) != "b" {
 		t.Fatalf("back came %+v", back)
@@ -222,7 +222,7 @@
 	if p.first.Pending() != 0 || !p.first.Quiet() {
 		t.Errorf("%d pending", p.first.Pending())
 	}
-	p.b.Until("the note", func() bool { return len(p.taken) == 1 })
+	p.b.WaitFor("the note", func() bool { return len(p.taken) == 1 })
 	if p.taken[0].Transfer != 0 || !closed(end) {
 		t.Errorf("transfer %d", p.taken[0].Transfer)
 	}
--- a/internal/netloop/address.go
+++ b/internal/netloop/address.go
@@ -37,8 +37,8 @@
 	return ""
 }
 
-// ListensAt says whether a socket stands at an address.
-func ListensAt(fd int, addr string) bool {
+// IsBoundTo says whether a socket stands at an address.
+func IsBoundTo(fd int, addr string) bool {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return false
--- a/internal/netloop/bytes_test.go
+++ b/internal/netloop/bytes_test.go
@@ -18,13 +18,13 @@
 func TestBytesFail(t *testing.T) {
 	text := bytes.Repeat([]byte("0123456789abcdef"), 16)
 	plans := map[string][]looptest.Fault{
-		"short": {{Call: "Read", Short: true}, {Call: "Write", Short: true}},
+		"short": {{Syscall: "Read", Short: true}, {Syscall: "Write", Short: true}},
 	}
 	for _, errno := range passingErrors {
-		plans["read "+unix.ErrnoName(errno)] = []looptest.Fault{{Call: "Read", Errno: errno, Times: 5}}
-		plans["write "+unix.ErrnoName(errno)] = []looptest.Fault{{Call: "Write", Errno: errno, Times: 5}}
-		plans["often "+unix.ErrnoName(errno)] = []looptest.Fault{{Call: "Read", Errno: errno, Part: 0.3}, {Call: "Write", Errno: errno, Part: 0.3},
-			{Call: "Read", Short: true, Part: 0.3}, {Call: "Write", Short: true, Part: 0.3}}
+		plans["read "+unix.ErrnoName(errno)] = []looptest.Fault{{Syscall: "Read", Errno: errno, MaxCount: 5}}
+		plans["write "+unix.ErrnoName(errno)] = []looptest.Fault{{Syscall: "Write", Errno: errno, MaxCount: 5}}
+		plans["often "+unix.ErrnoName(errno)] = []looptest.Fault{{Syscall: "Read", Errno: errno, Probability: 0.3}, {Syscall: "Write", Errno: errno, Probability: 0.3},
+			{Syscall: "Read", Short: true, Probability: 0.3}, {Syscall: "Write", Short: true, Probability: 0.3}}
 	}
 	for name, plan := range plans {
 		for how, write := range map[string]func(*netloop.Conn, []byte){"Write": (*netloop.Conn).Write, "Queue": (*netloop.Conn).Queue} {
@@ -33,22 +33,22 @@
 				e, p := pair(b)
 				e.take = 1 << 20
 				f.Set(plan...)
-				p.Say(string(text))
+				p.Send(string(text))
 				write(e.c, text[:100])
 				write(e.c, text[100:])
 				e.c.Finish()
-				passUntil(b, "all bytes and the end", func() bool { p.Poll(); return p.Over != nil || len(e.over) > 0 })
-				if !bytes.Equal(p.Got, text) {
-					t.Errorf("%d of %d bytes came", len(p.Got), len(text))
+				passUntil(b, "all bytes and the end", func() bool { p.Poll(); return p.EndErr != nil || len(e.over) > 0 })
+				if !bytes.Equal(p.Received, text) {
+					t.Errorf("%d of %d bytes came", len(p.Received), len(text))
 				}
-				p.Got = nil
-				p.WantEnd()
+				p.Received = nil
+				p.ExpectEOF()
 
 				e, p = pair(b)
 				e.take = 1 << 20
 				f.Set(plan...)
-				p.Say(string(text))
-				p.Finish()
+				p.Send(string(text))
+				p.CloseWrite()
 				passUntil(b, "the end", func() bool { return len(e.over) > 0 })
 				if !bytes.Equal(e.got, text) {
 					t.Errorf("%d of %d bytes came, ended with %v", len(e.got), len(text), e.over)
@@ -64,16 +64,16 @@
 		for _, call := range []string{"Read", "Write"} {
 			t.Run(call+" "+unix.ErrnoName(errno), func(t *testing.T) {
 				b, f := faulty(t)
-				free := b.Free()
+				free := b.FreeDescriptors()
 				e, p := pair(b)
 				e.take = 1 << 20
-				f.Set(looptest.Fault{Call: call, Errno: errno})
-				p.Say("x")
+				f.Set(looptest.Fault{Syscall: call, Errno: errno})
+				p.Send("x")
 				e.c.Write([]byte("y"))
 				passUntil(b, "its end", func() bool { return len(e.over) > 0 })
-				b.Pass(moment)
-				if b.Turn(); len(e.over) != 1 || e.over[0] != errno || b.Free() != free {
-					t.Errorf("ended with %v, %d descriptors left", e.over, free-b.Free())
+				b.Advance(moment)
+				if b.RunOnce(); len(e.over) != 1 || e.over[0] != errno || b.FreeDescriptors() != free {
+					t.Errorf("ended with %v, %d descriptors left", e.over, free-b.FreeDescriptors())
 				}
 			})
 		}
@@ -85,12 +85,12 @@
 	b, f := faulty(t)
 	e, p := pair(b)
 	e.take = 1 << 20
-	f.Set(looptest.Fault{Call: "EpollWait", Errno: unix.EINTR, Part: 0.7})
+	f.Set(looptest.Fault{Syscall: "EpollWait", Errno: unix.EINTR, Probability: 0.7})
 	fired := 0
 	for range 20 {
 		b.Loop.After(0, func() { fired++ })
-		p.Say("x")
-		b.Pass(1)
+		p.Send("x")
+		b.Advance(1)
 	}
 	passUntil(b, "all bytes", func() bool { return len(e.got) == 20 })
 	if fired != 20 {
@@ -100,7 +100,7 @@
 
 // TestNoDelay: small writes leave at once on every kind of connection: one the system still held back would go with a reset.
 func TestNoDelay(t *testing.T) {
-	calls := netloop.Kernel()
+	calls := netloop.KernelSyscalls()
 	set := map[int]bool{} // descriptors
 	calls.SetsockoptInt = func(fd, level, option, value int) error {
 		if level == unix.IPPROTO_TCP && option == unix.TCP_NODELAY && value == 1 {
@@ -108,7 +108,7 @@
 		}
 		return unix.SetsockoptInt(fd, level, option, value)
 	}
-	b := looptest.NewFaulty(t, 16, calls)
+	b := looptest.NewWithSyscalls(t, 16, calls)
 	wants := func(what string, n int) {
 		t.Helper()
 		if len(set) != n {
@@ -119,7 +119,7 @@
 	e, _ := pair(b)
 	wants("accepted", 1)
 	fd, _ := e.c.Detach()
-	b.Turn()
+	b.RunOnce()
 	b.Loop.Attach(fd, nil, e)
 	wants("attached", 1)
 	s := b.Listen()
--- a/internal/netloop/channel.go
+++ b/internal/netloop/channel.go
@@ -44,7 +44,7 @@
 	c := &Channel{l: l, fd: fd, heard: heard, end: end}
 	err := unix.SetNonblock(fd, true)
 	if err == nil {
-		err = l.add(fd, unix.EPOLLIN, c, &l.budget)
+		err = l.add(fd, unix.EPOLLIN, c, &l.descriptorBudget)
 	}
 	if err != nil {
 		unix.Close(fd)
@@ -96,7 +96,7 @@
 		m.close()
 	}
 	c.retry.Stop()
-	c.l.drop(c.fd, &c.l.budget)
+	c.l.drop(c.fd, &c.l.descriptorBudget)
 	c.fd, c.wait = -1, nil
 }
 
@@ -233,11 +233,11 @@
 	return fd, nil
 }
 
-// Say sends a message on a socket of DialChannel's.
-func Say(fd int, text []byte) error { return send(fd, text, nil) }
+// SendBlocking sends a message on a socket of DialChannel's.
+func SendBlocking(fd int, text []byte) error { return send(fd, text, nil) }
 
-// Hear waits for one there.
-func Hear(fd int) (text []byte, fds []int, err error) { return receive(fd, 0) }
+// ReceiveBlocking waits for one there.
+func ReceiveBlocking(fd int) (text []byte, fds []int, err error) { return receive(fd, 0) }
 
 // ListenChannel takes in processes that connect there. A socket that a process left
 // behind there is replaced.
@@ -252,7 +252,7 @@
 		return nil, fmt.Errorf("channel: %w", err)
 	}
 	os.Remove(path)
-	s := &Listener{l: l, fd: fd, take: accept, budget: &l.budget}
+	s := &Listener{l: l, fd: fd, take: accept, budget: &l.descriptorBudget}
 	if err = unix.Bind(fd, at); err == nil {
 		err = s.start(1)
 	}
@@ -263,5 +263,5 @@
 	return s, nil
 }
 
-// Quiet says that nothing waits to be sent.
-func (c *Channel) Quiet() bool { return len(c.wait) == 0 }
+// Idle says that nothing waits to be sent.
+func (c *Channel) Idle() bool { return len(c.wait) == 0 }
--- a/internal/netloop/channel_test.go
+++ b/internal/netloop/channel_test.go
@@ -23,7 +23,7 @@
 	over error
 }
 
-func (e *ends) join(b *looptest.Bench, fd int) {
+func (e *ends) join(b *looptest.Harness, fd int) {
 	b.T.Helper()
 	var err error
 	e.c, err = b.Channel(fd, func(text []byte, fds []int) { e.got, e.fds = append(e.got, text), append(e.fds, fds...) },
@@ -34,14 +34,14 @@
 }
 
 // channel is both ends of one, on a path longer than an address has room for.
-func channel(b *looptest.Bench) (near, far *ends) {
+func channel(b *looptest.Harness) (near, far *ends) {
 	b.T.Helper()
 	dir := filepath.Join(b.T.TempDir(), strings.Repeat("d", 120))
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		b.T.Fatal(err)
 	}
 	path := filepath.Join(dir, "sock")
-	if _, err := netloop.DialChannel(path, looptest.Patience); !os.IsNotExist(err) {
+	if _, err := netloop.DialChannel(path, looptest.Timeout); !os.IsNotExist(err) {
 		b.T.Errorf("nobody is there: %v", err)
 	}
 	near, far = &ends{}, &ends{}
@@ -52,12 +52,12 @@
 		}
 		b.T.Cleanup(l.Close)
 	}
-	fd, err := netloop.DialChannel(path, looptest.Patience)
+	fd, err := netloop.DialChannel(path, looptest.Timeout)
 	if err != nil {
 		b.T.Fatal(err)
 	}
 	far.join(b, fd)
-	b.Until("the other end", func() bool { return near.c != nil })
+	b.WaitFor("the other end", func() bool { return near.c != nil })
 	return near, far
 }
 
@@ -78,7 +78,7 @@
 			t.Fatal(err)
 		}
 		if n%100 == 99 { // descriptors on their way are bounded
-			b.Until("the messages", func() bool { return len(far.got) == n+1 })
+			b.WaitFor("the messages", func() bool { return len(far.got) == n+1 })
 		}
 	}
 	for n, text := range far.got {
@@ -101,7 +101,7 @@
 		t.Error("a message over the bound was taken")
 	}
 	near.c.Close()
-	b.Until("the end", func() bool { return far.over != nil })
+	b.WaitFor("the end", func() bool { return far.over != nil })
 	if far.c.Send([]byte("more")) == nil || near.over != nil {
 		t.Error("the end is not the end")
 	}
@@ -113,24 +113,24 @@
 func TestDetach(t *testing.T) {
 	b := looptest.New(t, 16)
 	e, p := pair(b)
-	p.Say("hello, ")
-	b.Until("bytes", func() bool { return e.offers == len("hello, ") })
+	p.Send("hello, ")
+	b.WaitFor("bytes", func() bool { return e.offers == len("hello, ") })
 	fd, unread := e.c.Detach()
-	if b.Turn(); fd < 0 || string(unread) != "hello, " || b.Held() != 0 {
-		t.Fatalf("descriptor %d, %q unread, %d held", fd, unread, b.Held())
+	if b.RunOnce(); fd < 0 || string(unread) != "hello, " || b.OpenDescriptors() != 0 {
+		t.Fatalf("descriptor %d, %q unread, %d held", fd, unread, b.OpenDescriptors())
 	}
-	p.Say("world")
+	p.Send("world")
 	next := &end{take: 1 << 10}
 	c := b.Attach(fd, unread, next)
-	c.Resume()
-	b.Until("the rest", func() bool { return string(next.got) == "hello, world" })
+	c.ResumeReading()
+	b.WaitFor("the rest", func() bool { return string(next.got) == "hello, world" })
 	c.Write([]byte("back"))
-	p.Want("back")
+	p.Expect("back")
 	c.Finish()
 	if fd, _ := c.Detach(); fd >= 0 {
 		t.Error("an ending connection was taken off")
 	}
-	p.WantEnd()
+	p.ExpectEOF()
 	if len(e.over) > 0 {
 		t.Errorf("the first handler was told %v", e.over)
 	}
@@ -143,36 +143,36 @@
 	b := looptest.New(t, 32)
 	var got []string
 	listener := func(name string) func(*netloop.Conn) {
-		return func(c *netloop.Conn) { got = append(got, name); c.Handle(&end{}) }
+		return func(c *netloop.Conn) { got = append(got, name); c.SetHandler(&end{}) }
 	}
 	old, err := b.Loop.Listen("127.0.0.1:0", listener("old"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	twin, err := unix.FcntlInt(uintptr(old.Fd()), unix.F_DUPFD_CLOEXEC, 0)
+	twin, err := unix.FcntlInt(uintptr(old.FD()), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !netloop.ListensAt(twin, old.Addr()) || netloop.ListensAt(twin, "127.0.0.1:1") || !netloop.ListensAt(twin, "127.0.0.1:0") {
+	if !netloop.IsBoundTo(twin, old.Addr()) || netloop.IsBoundTo(twin, "127.0.0.1:1") || !netloop.IsBoundTo(twin, "127.0.0.1:0") {
 		t.Error("where it listens is not known")
 	}
 	heir, err := b.Inherit(twin, listener("heir"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	old.Hold(true)
-	heir.Hold(true)
+	old.SetPaused(true)
+	heir.SetPaused(true)
 	for range 5 {
 		b.Dial(old.Addr())
 	}
-	b.Turn()
+	b.RunOnce()
 	if len(got) > 0 {
 		t.Errorf("taken in by %v", got)
 	}
 	old.Close()
-	b.Turn()
-	heir.Hold(false)
-	b.Until("those that waited", func() bool { return len(got) == 5 })
+	b.RunOnce()
+	heir.SetPaused(false)
+	b.WaitFor("those that waited", func() bool { return len(got) == 5 })
 	if strings.Join(got, "") != strings.Repeat("heir", 5) {
 		t.Errorf("taken in by %v", got)
 	}
@@ -190,16 +190,16 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(l.Close)
-		far, err := netloop.DialChannel(path, looptest.Patience)
+		far, err := netloop.DialChannel(path, looptest.Timeout)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Until("the other end", func() bool { return near.c != nil })
+		b.WaitFor("the other end", func() bool { return near.c != nil })
 		if err := near.c.Send([]byte("unread")); err != nil {
 			t.Fatal(err)
 		}
 		for n := range 3 {
-			if err := netloop.Say(far, fmt.Append(nil, "note ", n)); err != nil {
+			if err := netloop.SendBlocking(far, fmt.Append(nil, "note ", n)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -207,7 +207,7 @@
 		if send {
 			near.c.Send([]byte("more"))
 		}
-		b.Until("the end", func() bool { return near.over != nil })
+		b.WaitFor("the end", func() bool { return near.over != nil })
 		if got := string(bytes.Join(near.got, []byte(","))); got != "note 0,note 1,note 2" {
 			t.Errorf("%s: got %q, ended with %v", what, got, near.over)
 		}
--- a/internal/netloop/conn.go
+++ b/internal/netloop/conn.go
@@ -12,10 +12,10 @@
 // Bounds of a connection's buffers unless Bound sets others, and how long an
 // ended one may linger.
 const (
-	InBound  = 8 << 10  // unread bytes kept; beyond it reading rests
-	OutBound = 64 << 10 // unsent bytes at which Room is used up
-	outOver  = 32 << 10 // what may be written beyond, for answers
-	linger   = time.Second
+	DefaultReadLimit  = 8 << 10  // unread bytes kept; beyond it reading rests
+	DefaultWriteLimit = 64 << 10 // unsent bytes at which Room is used up
+	outOver           = 32 << 10 // what may be written beyond, for answers
+	linger            = time.Second
 	// lingerMost is how much of an ended connection's rest is read, so that who
 	// sends without end costs no more than that.
 	lingerMost = 256 << 10
@@ -69,7 +69,7 @@
 	rest     int    // bytes thrown away after Finish
 	spare    *list.Element
 	giveUp   func()
-	budget   *budget
+	budget   *descriptorBudget
 	dirty    bool // what Queue has kept leaves at the end of the round
 	sec      *secure
 	resting  bool // the handler has no use for more bytes before Resume
@@ -77,8 +77,8 @@
 }
 
 // newConn makes a connection, which owns the descriptor if there is one yet.
-func newConn(l *Loop, fd int, from *budget) *Conn {
-	c := &Conn{l: l, fd: -1, inMost: InBound, outMost: OutBound, budget: from}
+func newConn(l *Loop, fd int, from *descriptorBudget) *Conn {
+	c := &Conn{l: l, fd: -1, inMost: DefaultReadLimit, outMost: DefaultWriteLimit, budget: from}
 	if fd >= 0 {
 		c.takeOver(fd)
 	}
@@ -92,17 +92,17 @@
 	c.l.own(fd, c, c.budget)
 }
 
-// Handle names who is told from now on.
-func (c *Conn) Handle(h Handler) { c.h = h }
+// SetHandler names who is told from now on.
+func (c *Conn) SetHandler(h Handler) { c.h = h }
 
-// Bound sets how many bytes may be unread and unsent.
-func (c *Conn) Bound(in, out int) { c.inMost, c.outMost = in, out }
+// SetBufferLimits sets how many bytes may be unread and unsent.
+func (c *Conn) SetBufferLimits(in, out int) { c.inMost, c.outMost = in, out }
 
-// Addr is the connection's own address.
-func (c *Conn) Addr() string { return ownAddr(c.fd) }
+// LocalAddr is the connection's own address.
+func (c *Conn) LocalAddr() string { return ownAddr(c.fd) }
 
-// Peer is the other end's IP address.
-func (c *Conn) Peer() string {
+// RemoteIP is the other end's IP address.
+func (c *Conn) RemoteIP() string {
 	at, err := unix.Getpeername(c.fd)
 	if err != nil {
 		return ""
@@ -114,10 +114,10 @@
 	return ip.Addr().Unmap().String()
 }
 
-// Spare says that the connection may be given up when descriptors run short: then
+// SetEvictable says that the connection may be given up when descriptors run short: then
 // end is called, and what has left by then still arrives. Who was spared longest
 // ago goes first. Nil takes it back.
-func (c *Conn) Spare(end func()) {
+func (c *Conn) SetEvictable(end func()) {
 	if c.spare != nil {
 		c.budget.spare.Remove(c.spare)
 		c.spare = nil
--- a/internal/netloop/conn_dial.go
+++ b/internal/netloop/conn_dial.go
@@ -12,29 +12,31 @@
 // Dial starts a connection. Its end, also at once, is told by the handler's End,
 // never from within Dial.
 func (l *Loop) Dial(addr string, within time.Duration, h Handler) *Conn {
-	return l.dial(addr, within, h, &l.budget)
+	return l.dial(addr, within, h, &l.descriptorBudget)
 }
 
-// Reserve is room for connections of one purpose beside the loop's limit: what the rest of the loop holds cannot
+// NewDescriptorReserve is room for connections of one purpose beside the loop's limit: what the rest of the loop holds cannot
 // keep them from being dialled.
-type Reserve struct {
+type DescriptorReserve struct {
 	loop *Loop
-	budget
+	descriptorBudget
 }
 
-// Reserve makes room for so many connections.
-func (l *Loop) Reserve(most int) *Reserve { return &Reserve{l, budget{limit: most}} }
+// NewDescriptorReserve makes room for so many connections.
+func (l *Loop) NewDescriptorReserve(most int) *DescriptorReserve {
+	return &DescriptorReserve{l, descriptorBudget{limit: most}}
+}
 
 // Dial is the loop's Dial within the reserve. Where that is used up, a connection that has ended and lingers makes
 // room, which the dial after this one finds.
-func (r *Reserve) Dial(addr string, within time.Duration, h Handler) *Conn {
-	if r.Free() <= 0 {
+func (r *DescriptorReserve) Dial(addr string, within time.Duration, h Handler) *Conn {
+	if r.FreeDescriptors() <= 0 {
 		r.giveUp()
 	}
-	return r.loop.dial(addr, within, h, &r.budget)
+	return r.loop.dial(addr, within, h, &r.descriptorBudget)
 }
 
-func (l *Loop) dial(addr string, within time.Duration, h Handler, from *budget) *Conn {
+func (l *Loop) dial(addr string, within time.Duration, h Handler, from *descriptorBudget) *Conn {
 	c := newConn(l, -1, from)
 	c.h = h
 	if err := c.connect(addr, within); err != nil {
@@ -48,8 +50,8 @@
 	if err != nil {
 		return err
 	}
-	if c.budget.Free() <= 0 {
-		return ErrFull
+	if c.budget.FreeDescriptors() <= 0 {
+		return ErrNoDescriptors
 	}
 	fd, err := c.l.sys.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -78,7 +80,7 @@
 }
 
 // local marks an error as a want of this machine's own means, which the peer has nothing to do with.
-func local(err error) error { return fmt.Errorf("%w: %w", ErrFull, err) }
+func local(err error) error { return fmt.Errorf("%w: %w", ErrNoDescriptors, err) }
 
 // opened finishes a dial; false if the connection is still on its way or over.
 func (c *Conn) opened() bool {
--- a/internal/netloop/conn_end.go
+++ b/internal/netloop/conn_end.go
@@ -21,7 +21,7 @@
 	c.count()
 	// A peer that neither reads nor ends must not hold the descriptor.
 	c.farewell = c.l.After(linger, c.release)
-	c.Spare(c.release)
+	c.SetEvictable(c.release)
 	c.flushed()
 	c.update()
 }
@@ -59,7 +59,7 @@
 // Attach takes over a descriptor that was detached, here or in another process, and
 // the bytes that were not taken there; they are handed to the handler by Resume.
 func (l *Loop) Attach(fd int, unread []byte, h Handler) *Conn {
-	c := newConn(l, fd, &l.budget)
+	c := newConn(l, fd, &l.descriptorBudget)
 	c.h = h
 	if len(unread) > 0 {
 		c.in.add(l, unread)
@@ -74,7 +74,7 @@
 	for _, t := range []*Timer{c.dialling, c.failing, c.farewell, c.retry} {
 		t.Stop()
 	}
-	c.Spare(nil)
+	c.SetEvictable(nil)
 	c.left += c.unsent()
 	c.out.free(c.l)
 	if c.sec != nil {
--- a/internal/netloop/conn_read.go
+++ b/internal/netloop/conn_read.go
@@ -8,19 +8,19 @@
 
 // This file is how bytes, and the end of the peer, come in on a connection.
 
-// Rest has nothing more read before Resume: for a handler that leaves bytes for want of room,
+// PauseReading has nothing more read before Resume: for a handler that leaves bytes for want of room,
 // not because it needs more of them. Without this all that a peer sends is kept up to the bound.
-func (c *Conn) Rest() { c.resting = true }
+func (c *Conn) PauseReading() { c.resting = true }
 
-// EndFirst has the peer's end told as soon as it comes, or again only after all bytes that came before it: for a
+// SetEarlyEOF has the peer's end told as soon as it comes, or again only after all bytes that came before it: for a
 // handler that leaves bytes in the kernel, and to which they mean nothing once their sender has gone.
-func (c *Conn) EndFirst(on bool) {
+func (c *Conn) SetEarlyEOF(on bool) {
 	c.endFirst = on
 	c.update()
 }
 
-// Resume hands over bytes that the handler left, and reads on.
-func (c *Conn) Resume() {
+// ResumeReading hands over bytes that the handler left, and reads on.
+func (c *Conn) ResumeReading() {
 	c.resting = false
 	if c.fd < 0 || c.busy || c.dialling != nil || c.failing != nil {
 		return
@@ -57,9 +57,9 @@
 			if room = min(room, c.inMost-c.in.size()); room == 0 || c.resting {
 				break
 			}
-			if c.l.Tight() { // no more than fits the basic share, or completes a large message
-				if room = min(room, InBound); c.in.size() < InBound {
-					room = min(room, InBound-c.in.size())
+			if c.l.MemoryPressure() { // no more than fits the basic share, or completes a large message
+				if room = min(room, DefaultReadLimit); c.in.size() < DefaultReadLimit {
+					room = min(room, DefaultReadLimit-c.in.size())
 				}
 			}
 		}
@@ -81,7 +81,7 @@
 		}
 		if !c.ending {
 			c.takeIn(chunk[:n])
-			if c.in.size() > InBound && c.l.crammed() {
+			if c.in.size() > DefaultReadLimit && c.l.overMemoryLimit() {
 				c.fail(ErrOverflow)
 				return
 			}
--- a/internal/netloop/conn_test.go
+++ b/internal/netloop/conn_test.go
@@ -35,16 +35,16 @@
 func (e *end) End(err error) { e.over = append(e.over, err) }
 
 // pair is a connection of the loop and the peer that made it.
-func pair(b *looptest.Bench) (*end, *looptest.Peer) {
+func pair(b *looptest.Harness) (*end, *looptest.Peer) {
 	e := &end{}
-	l, err := b.Loop.Listen("127.0.0.1:0", func(c *netloop.Conn) { e.c = c; c.Handle(e) })
+	l, err := b.Loop.Listen("127.0.0.1:0", func(c *netloop.Conn) { e.c = c; c.SetHandler(e) })
 	if err != nil {
 		b.T.Fatal(err)
 	}
 	p := b.Dial(l.Addr())
-	b.Until("accepting", func() bool { return e.c != nil })
+	b.WaitFor("accepting", func() bool { return e.c != nil })
 	l.Close()
-	b.Turn()
+	b.RunOnce()
 	return e, p
 }
 
@@ -60,7 +60,7 @@
 	f.Add([]byte{3, 99, 0, 1, 5, 0})
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		b := looptest.New(t, 16)
-		free := b.Free()
+		free := b.FreeDescriptors()
 		e, p := pair(b)
 		var sent, written []byte // by the peer, by us
 		peerOver, weOver, reset := false, false, false
@@ -69,15 +69,15 @@
 			chunk := bytes.Repeat([]byte{byte(i)}, n*16)
 			switch steps[i] % 9 {
 			case 0: // the peer sends, if that cannot block
-				if !peerOver && !reset && len(sent)-len(e.got)+len(chunk) < netloop.InBound {
-					p.Say(string(chunk))
+				if !peerOver && !reset && len(sent)-len(e.got)+len(chunk) < netloop.DefaultReadLimit {
+					p.Send(string(chunk))
 					sent = append(sent, chunk...)
 				}
 			case 1: // the handler takes more
 				e.take += n * 16
-				e.c.Resume()
+				e.c.ResumeReading()
 			case 2: // we write
-				if !weOver && len(e.over) == 0 && e.c.Room() >= len(chunk) {
+				if !weOver && len(e.over) == 0 && e.c.WriteCapacity() >= len(chunk) {
 					e.c.Write(chunk)
 					written = append(written, chunk...)
 				}
@@ -85,7 +85,7 @@
 				p.Poll()
 			case 4:
 				if !peerOver {
-					p.Finish()
+					p.CloseWrite()
 					peerOver = true
 				}
 			case 5:
@@ -95,7 +95,7 @@
 				e.c.Finish()
 				weOver = true
 			case 7:
-				b.Turn()
+				b.RunOnce()
 			case 8:
 				e.c.Reset()
 				weOver, reset = true, true
@@ -110,21 +110,21 @@
 		told := len(e.over)
 		if !reset {
 			e.take = 1 << 20
-			e.c.Resume()
+			e.c.ResumeReading()
 			if !weOver {
-				b.Until("all that was sent", func() bool { return bytes.Equal(e.got, sent) })
+				b.WaitFor("all that was sent", func() bool { return bytes.Equal(e.got, sent) })
 			}
 			e.c.Finish()
 			if !peerOver {
-				b.Until("all that was written", func() bool { p.Poll(); return p.Over != nil })
-				if p.Over != io.EOF || !bytes.Equal(p.Got, written) {
-					t.Fatalf("the peer got %d of %d bytes, then %v", len(p.Got), len(written), p.Over)
+				b.WaitFor("all that was written", func() bool { p.Poll(); return p.EndErr != nil })
+				if p.EndErr != io.EOF || !bytes.Equal(p.Received, written) {
+					t.Fatalf("the peer got %d of %d bytes, then %v", len(p.Received), len(written), p.EndErr)
 				}
 			}
 		}
 		e.c.Finish()
 		p.Close()
-		b.Until("the descriptor", func() bool { b.Pass(time.Second); return b.Free() == free })
+		b.WaitFor("the descriptor", func() bool { b.Advance(time.Second); return b.FreeDescriptors() == free })
 		if weOver && told == 0 && len(e.over) > 0 {
 			t.Fatal("told of the end after ending it")
 		}
@@ -146,7 +146,7 @@
 	}{
 		{"refused", refused.Addr().String(), 8, func(err error) bool { return err != nil && err != io.EOF }},
 		{"no address", "nowhere", 8, func(err error) bool { return err != nil }},
-		{"no descriptors", refused.Addr().String(), 0, func(err error) bool { return errors.Is(err, netloop.ErrFull) }},
+		{"no descriptors", refused.Addr().String(), 0, func(err error) bool { return errors.Is(err, netloop.ErrNoDescriptors) }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -156,9 +156,9 @@
 			if len(e.over) > 0 {
 				t.Fatal("told from within Dial")
 			}
-			b.Until("the end", func() bool { return len(e.over) > 0 })
-			if !tt.want(e.over[0]) || e.opened || b.Free() != tt.limit {
-				t.Errorf("ended %v, opened %v, %d free", e.over, e.opened, b.Free())
+			b.WaitFor("the end", func() bool { return len(e.over) > 0 })
+			if !tt.want(e.over[0]) || e.opened || b.FreeDescriptors() != tt.limit {
+				t.Errorf("ended %v, opened %v, %d free", e.over, e.opened, b.FreeDescriptors())
 			}
 		})
 	}
@@ -170,8 +170,8 @@
 	b := looptest.New(t, 8)
 	e := &end{}
 	b.Loop.Dial("nowhere", time.Second, e).Finish()
-	b.Turn()
-	b.Turn()
+	b.RunOnce()
+	b.RunOnce()
 	if len(e.over) > 0 {
 		t.Errorf("told %v", e.over)
 	}
@@ -182,20 +182,20 @@
 func TestExhaustion(t *testing.T) {
 	b := looptest.New(t, 2)
 	var taken []*netloop.Conn
-	l, err := b.Loop.Listen("127.0.0.1:0", func(c *netloop.Conn) { c.Handle(&end{c: c}); taken = append(taken, c) })
+	l, err := b.Loop.Listen("127.0.0.1:0", func(c *netloop.Conn) { c.SetHandler(&end{c: c}); taken = append(taken, c) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	b.Dial(l.Addr())
 	b.Dial(l.Addr())
-	b.Until("the first", func() bool { return len(taken) == 1 })
-	b.Turn()
-	b.Pass(time.Second)
-	if len(taken) != 1 || b.Free() != 0 {
-		t.Fatalf("%d taken, %d free", len(taken), b.Free())
+	b.WaitFor("the first", func() bool { return len(taken) == 1 })
+	b.RunOnce()
+	b.Advance(time.Second)
+	if len(taken) != 1 || b.FreeDescriptors() != 0 {
+		t.Fatalf("%d taken, %d free", len(taken), b.FreeDescriptors())
 	}
 	taken[0].Reset()
-	b.Until("the second", func() bool { b.Pass(time.Second); return len(taken) == 2 })
+	b.WaitFor("the second", func() bool { b.Advance(time.Second); return len(taken) == 2 })
 }
 
 // TestSpare: when descriptors run short, who may be spared is given up for those
@@ -209,13 +209,13 @@
 	l, err := b.Loop.Listen("127.0.0.1:0", func(c *netloop.Conn) {
 		n := len(taken)
 		taken = append(taken, c)
-		c.Handle(&end{c: c})
-		c.Spare(func() { given = append(given, n); c.Write([]byte("bye")) })
+		c.SetHandler(&end{c: c})
+		c.SetEvictable(func() { given = append(given, n); c.Write([]byte("bye")) })
 		if n == 0 {
-			c.Spare(nil)
+			c.SetEvictable(nil)
 		}
 		if n == 3 {
-			taken[1].Spare(func() { given = append(given, 1) })
+			taken[1].SetEvictable(func() { given = append(given, 1) })
 		}
 	})
 	if err != nil {
@@ -224,19 +224,19 @@
 	var peers []*looptest.Peer
 	for n := range 2 * limit {
 		peers = append(peers, b.Dial(l.Addr()))
-		b.Until("accepting", func() bool { return len(taken) == n+1 })
-		if b.Free() == 0 {
+		b.WaitFor("accepting", func() bool { return len(taken) == n+1 })
+		if b.FreeDescriptors() == 0 {
 			t.Fatalf("none free after %d connections", n+1)
 		}
 	}
 	if len(given) < limit || given[0] != 2 || given[1] != 3 || given[2] != 1 || given[3] != 4 {
 		t.Errorf("given up: %v", given)
 	}
-	peers[2].Want("bye")
-	peers[2].WantEnd()
-	peers[0].Say("still here")
+	peers[2].Expect("bye")
+	peers[2].ExpectEOF()
+	peers[0].Send("still here")
 	taken[0].Write([]byte("yes"))
-	peers[0].Want("yes")
+	peers[0].Expect("yes")
 }
 
 // TestSpareNew: while descriptors are short and nobody else can be spared, who comes
@@ -249,22 +249,22 @@
 	full := false
 	l, err := b.Loop.Listen("127.0.0.1:0", func(c *netloop.Conn) {
 		last = &end{c: c, take: 100}
-		c.Handle(last)
+		c.SetHandler(last)
 		if full {
-			c.Spare(func() { t.Error("given up") })
+			c.SetEvictable(func() { t.Error("given up") })
 		}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for b.Free() >= limit/4 {
+	for b.FreeDescriptors() >= limit/4 {
 		b.Dial(l.Addr())
-		b.Turn()
+		b.RunOnce()
 	}
 	full = true
 	p := b.Dial(l.Addr())
-	p.Say("hello")
-	b.Until("the word", func() bool { return string(last.got) == "hello" })
+	p.Send("hello")
+	b.WaitFor("the word", func() bool { return string(last.got) == "hello" })
 }
 
 // TestFlood: who sends without end has its turn and no more, and after Finish only
@@ -282,16 +282,16 @@
 			}
 		}
 	}()
-	b.Until("bytes", func() bool { return len(e.got) > 0 })
+	b.WaitFor("bytes", func() bool { return len(e.got) > 0 })
 	for range 20 {
 		before := len(e.got)
-		b.Turn()
-		if n := len(e.got) - before; n > 8*netloop.InBound {
+		b.RunOnce()
+		if n := len(e.got) - before; n > 8*netloop.DefaultReadLimit {
 			t.Fatalf("%d bytes read in one turn", n)
 		}
 	}
 	e.c.Finish()
-	b.Until("the descriptor", func() bool { return b.Free() == 8 }) // the clock stands still
+	b.WaitFor("the descriptor", func() bool { return b.FreeDescriptors() == 8 }) // the clock stands still
 	<-done
 }
 
@@ -301,19 +301,19 @@
 // connections.
 func TestMemory(t *testing.T) {
 	b := looptest.New(t, 16)
-	b.Memory(128 << 10)
+	b.SetMemoryLimit(128 << 10)
 	grow := func() (*end, *looptest.Peer) {
 		e, p := pair(b)
-		e.c.Bound(1<<20, 1<<20)
+		e.c.SetBufferLimits(1<<20, 1<<20)
 		return e, p
 	}
 	var big []*end
 	for range 4 {
 		e, p := grow()
 		big = append(big, e)
-		p.Say(strings.Repeat("x", 60<<10))
+		p.Send(strings.Repeat("x", 60<<10))
 		for range 40 {
-			b.Turn()
+			b.RunOnce()
 		}
 	}
 	over := 0
@@ -326,15 +326,15 @@
 		t.Fatalf("%d of %d ended", over, len(big))
 	}
 	small, p := grow()
-	p.Say("hello")
+	p.Send("hello")
 	small.take = 5
-	b.Until("a small message", func() bool { return string(small.got) == "hello" })
+	b.WaitFor("a small message", func() bool { return string(small.got) == "hello" })
 	for _, e := range big { // what they held is free again
 		e.c.Reset()
 	}
 	e, p := grow()
-	p.Say(strings.Repeat("y", 60<<10))
-	b.Until("all of it", func() bool { e.take = 1 << 20; e.c.Resume(); return len(e.got) == 60<<10 })
+	p.Send(strings.Repeat("y", 60<<10))
+	b.WaitFor("all of it", func() bool { e.take = 1 << 20; e.c.ResumeReading(); return len(e.got) == 60<<10 })
 }
 
 // TestTimers: they run in order of time, none before its time, a stopped one
@@ -349,11 +349,11 @@
 	rounds := 0
 	again = func() { rounds++; b.After(0, again) }
 	again()
-	b.Turn()
+	b.RunOnce()
 	if len(ran) != 0 || rounds != 2 {
 		t.Errorf("ran %v, %d rounds", ran, rounds)
 	}
-	b.Pass(3 * time.Second)
+	b.Advance(3 * time.Second)
 	if len(ran) != 2 || ran[0] != 1 || ran[1] != 2 {
 		t.Errorf("ran %v", ran)
 	}
--- a/internal/netloop/conn_write.go
+++ b/internal/netloop/conn_write.go
@@ -16,8 +16,8 @@
 	return c.out.size()
 }
 
-// Room is how many bytes may be written before the reader should rest.
-func (c *Conn) Room() int { return max(0, c.outMost-c.out.size()) }
+// WriteCapacity is how many bytes may be written before the reader should rest.
+func (c *Conn) WriteCapacity() int { return max(0, c.outMost-c.out.size()) }
 
 // Write sends b, or keeps what cannot leave yet. It must not be called before
 // Open on a dialled connection. After the end it does nothing.
@@ -47,7 +47,7 @@
 	}
 	c.out.add(c.l, b)
 	c.count()
-	if c.out.size() > c.outMost+outOver || c.out.size() > OutBound+outOver && c.l.crammed() {
+	if c.out.size() > c.outMost+outOver || c.out.size() > DefaultWriteLimit+outOver && c.l.overMemoryLimit() {
 		c.later(ErrOverflow)
 		return
 	}
@@ -79,7 +79,7 @@
 		c.dirty = true
 		c.l.dirty = append(c.l.dirty, c)
 	}
-	if c.out.size() > c.outMost+outOver || c.out.size() > OutBound+outOver && c.l.crammed() {
+	if c.out.size() > c.outMost+outOver || c.out.size() > DefaultWriteLimit+outOver && c.l.overMemoryLimit() {
 		c.later(ErrOverflow)
 	}
 }
--- a/internal/netloop/datagram.go
+++ b/internal/netloop/datagram.go
@@ -9,17 +9,17 @@
 // datagramBurst bounds the datagrams that are read before other sockets have a turn.
 const datagramBurst = 64
 
-// Datagrams is a UDP socket.
-type Datagrams struct {
+// ListenUDP is a UDP socket.
+type UDPSocket struct {
 	l       *Loop
 	fd      int // -1 once given back
 	heard   func(from string, b []byte)
 	Dropped int // that could not leave: the next ones say the same
 }
 
-// Datagrams opens a UDP socket. Heard may keep nothing of b. What is longer than the loop's own buffer, which is longer than
+// ListenUDP opens a UDP socket. Heard may keep nothing of b. What is longer than the loop's own buffer, which is longer than
 // any datagram, does not exist.
-func (l *Loop) Datagrams(addr string, heard func(from string, b []byte)) (*Datagrams, error) {
+func (l *Loop) ListenUDP(addr string, heard func(from string, b []byte)) (*UDPSocket, error) {
 	at, family, err := address(addr)
 	if err != nil {
 		return nil, err
@@ -28,9 +28,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("datagrams at %s: %w", addr, err)
 	}
-	d := &Datagrams{l: l, fd: fd, heard: heard}
+	d := &UDPSocket{l: l, fd: fd, heard: heard}
 	if err = unix.Bind(fd, at); err == nil {
-		err = l.add(fd, unix.EPOLLIN, d, &l.budget)
+		err = l.add(fd, unix.EPOLLIN, d, &l.descriptorBudget)
 	}
 	if err != nil {
 		unix.Close(fd)
@@ -39,11 +39,11 @@
 	return d, nil
 }
 
-// Addr is where the socket is.
-func (d *Datagrams) Addr() string { return ownAddr(d.fd) }
+// LocalAddr is where the socket is.
+func (d *UDPSocket) Addr() string { return ownAddr(d.fd) }
 
 // Send sends one, or drops it where there is no room: nothing waits.
-func (d *Datagrams) Send(to string, b []byte) {
+func (d *UDPSocket) Send(to string, b []byte) {
 	at, _, err := address(to)
 	if err == nil && d.fd >= 0 {
 		err = unix.Sendto(d.fd, b, unix.MSG_DONTWAIT, at)
@@ -54,14 +54,14 @@
 }
 
 // Close gives the socket back. A nil one may be closed.
-func (d *Datagrams) Close() {
+func (d *UDPSocket) Close() {
 	if d != nil && d.fd >= 0 {
-		d.l.drop(d.fd, &d.l.budget)
+		d.l.drop(d.fd, &d.l.descriptorBudget)
 		d.fd = -1
 	}
 }
 
-func (d *Datagrams) ready(uint32) {
+func (d *UDPSocket) ready(uint32) {
 	for range datagramBurst {
 		if d.fd < 0 {
 			return
--- a/internal/netloop/ending_test.go
+++ b/internal/netloop/ending_test.go
@@ -19,25 +19,25 @@
 	for _, first := range []bool{true, false} {
 		b := looptest.New(t, 8)
 		e, p := pair(b)
-		e.c.EndFirst(first)
-		p.Say(string(bytes.Repeat([]byte("x"), 2*netloop.InBound)))
-		p.Finish()
-		b.Until("a full buffer", func() bool { return e.offers == netloop.InBound })
+		e.c.SetEarlyEOF(first)
+		p.Send(string(bytes.Repeat([]byte("x"), 2*netloop.DefaultReadLimit)))
+		p.CloseWrite()
+		b.WaitFor("a full buffer", func() bool { return e.offers == netloop.DefaultReadLimit })
 		for range 10 {
-			b.Turn()
+			b.RunOnce()
 		}
 		if first {
-			b.Until("the end", func() bool { return len(e.over) > 0 })
+			b.WaitFor("the end", func() bool { return len(e.over) > 0 })
 		} else if len(e.over) > 0 {
 			t.Fatalf("told of the end before the bytes: %v", e.over)
 		}
 		e.take = 1 << 20
-		e.c.Resume()
-		b.Until("the end", func() bool { return len(e.over) > 0 })
-		if b.Turn(); len(e.over) != 1 || e.over[0] != io.EOF {
+		e.c.ResumeReading()
+		b.WaitFor("the end", func() bool { return len(e.over) > 0 })
+		if b.RunOnce(); len(e.over) != 1 || e.over[0] != io.EOF {
 			t.Errorf("ended with %v", e.over)
 		}
-		if !first && len(e.got) != 2*netloop.InBound {
+		if !first && len(e.got) != 2*netloop.DefaultReadLimit {
 			t.Errorf("%d bytes before the end", len(e.got))
 		}
 		e.c.Reset()
@@ -48,33 +48,33 @@
 func TestListenerCloseTakesQueue(t *testing.T) {
 	b := looptest.New(t, 8)
 	var taken []*netloop.Conn
-	l, err := b.Loop.Listen("127.0.0.1:0", func(c *netloop.Conn) { c.Handle(&end{}); taken = append(taken, c) })
+	l, err := b.Loop.Listen("127.0.0.1:0", func(c *netloop.Conn) { c.SetHandler(&end{}); taken = append(taken, c) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	first, second := b.Dial(l.Addr()), b.Dial(l.Addr()) // no round of the loop until Close
-	second.Say("a request")
+	second.Send("a request")
 	l.Close()
 	for _, c := range taken {
 		c.Write([]byte("answer"))
 		c.Finish()
 	}
-	b.Turn()
+	b.RunOnce()
 	for _, p := range []*looptest.Peer{first, second} {
-		p.Want("answer")
-		p.WantEnd()
+		p.Expect("answer")
+		p.ExpectEOF()
 	}
 }
 
 // TestNoResetAfterAnswer: bytes that come after the last answer, and are unread when the connection is given back
 // after its time or as the loop ends, do not have it reset.
 func TestNoResetAfterAnswer(t *testing.T) {
-	for name, over := range map[string]func(*looptest.Bench, func()){
-		"time": func(b *looptest.Bench, say func()) {
+	for name, over := range map[string]func(*looptest.Harness, func()){
+		"time": func(b *looptest.Harness, say func()) {
 			b.Loop.After(0, say) // after the round's events, before the connection's own time is up
-			b.Pass(time.Hour)
+			b.Advance(time.Hour)
 		},
-		"loop end": func(b *looptest.Bench, say func()) {
+		"loop end": func(b *looptest.Harness, say func()) {
 			say()
 			b.Loop.Close()
 		},
@@ -84,10 +84,10 @@
 			e, p := pair(b)
 			e.c.Write([]byte("answer"))
 			e.c.Finish()
-			b.Turn()
-			over(b, func() { p.Say("more of the request") })
-			p.Want("answer")
-			p.WantEnd()
+			b.RunOnce()
+			over(b, func() { p.Send("more of the request") })
+			p.Expect("answer")
+			p.ExpectEOF()
 			if state := tcpState(t, p); state != closeWait {
 				t.Errorf("TCP state %d: reset", state)
 			}
@@ -123,18 +123,18 @@
 	b.Loop.Dial(other.Addr(), time.Second, &end{})
 	full := &end{}
 	b.Loop.Dial(other.Addr(), time.Second, full)
-	b.Until("exhaustion", func() bool { return len(full.over) == 1 })
-	reserve := b.Loop.Reserve(1)
+	b.WaitFor("exhaustion", func() bool { return len(full.over) == 1 })
+	reserve := b.Loop.NewDescriptorReserve(1)
 	kept := &end{}
 	c := reserve.Dial(other.Addr(), time.Second, kept)
-	b.Until("a connection", func() bool { return kept.opened })
+	b.WaitFor("a connection", func() bool { return kept.opened })
 	over := &end{}
 	reserve.Dial(other.Addr(), time.Second, over)
-	b.Until("the reserve's end", func() bool { return len(over.over) == 1 && over.over[0] == netloop.ErrFull })
+	b.WaitFor("the reserve's end", func() bool { return len(over.over) == 1 && over.over[0] == netloop.ErrNoDescriptors })
 	c.Finish()
 	reserve.Dial(other.Addr(), time.Second, &end{}) // makes room
-	b.Turn()
+	b.RunOnce()
 	again := &end{}
 	reserve.Dial(other.Addr(), time.Second, again)
-	b.Until("a connection again", func() bool { return again.opened })
+	b.WaitFor("a connection again", func() bool { return again.opened })
 }
--- a/internal/netloop/gap_test.go
+++ b/internal/netloop/gap_test.go
@@ -15,10 +15,10 @@
 	defer l.Close()
 	told := []time.Duration{}
 	now += 5 * time.Second // a slow start
-	l.Gap(time.Second, func(gap time.Duration) { told = append(told, gap) })
+	l.OnStall(time.Second, func(gap time.Duration) { told = append(told, gap) })
 	for _, pass := range []time.Duration{0, 900 * time.Millisecond, 10 * time.Second, 100 * time.Millisecond} {
 		now += pass
-		if err := l.Turn(0); err != nil {
+		if err := l.RunOnce(0); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/netloop/listener.go
+++ b/internal/netloop/listener.go
@@ -26,25 +26,25 @@
 	take    func(fd int) // in the place of accept, for connections that are none of Conn's
 	rest    *Timer
 	held    bool
-	closing bool    // it ends once its queue is empty
-	endBy   *Timer  // or then
-	aborted int     // connections in a row that were gone before they could be taken in
-	budget  *budget // of the connections it takes in
+	closing bool              // it ends once its queue is empty
+	endBy   *Timer            // or then
+	aborted int               // connections in a row that were gone before they could be taken in
+	budget  *descriptorBudget // of the connections it takes in
 }
 
 // Listen opens a listening socket. For each connection it calls accept, which
 // must give the Conn a handler by Handle.
 func (l *Loop) Listen(addr string, accept func(*Conn)) (*Listener, error) {
-	return l.listen(addr, accept, &l.budget)
+	return l.listen(addr, accept, &l.descriptorBudget)
 }
 
-// ListenApart does the same with room for so many connections beside the loop's
+// ListenReserved does the same with room for so many connections beside the loop's
 // limit: what the rest of the loop holds cannot keep them out, nor they the rest.
-func (l *Loop) ListenApart(addr string, most int, accept func(*Conn)) (*Listener, error) {
-	return l.listen(addr, accept, &budget{limit: most})
+func (l *Loop) ListenReserved(addr string, most int, accept func(*Conn)) (*Listener, error) {
+	return l.listen(addr, accept, &descriptorBudget{limit: most})
 }
 
-func (l *Loop) listen(addr string, accept func(*Conn), from *budget) (*Listener, error) {
+func (l *Loop) listen(addr string, accept func(*Conn), from *descriptorBudget) (*Listener, error) {
 	at, family, err := address(addr)
 	if err != nil {
 		return nil, err
@@ -68,9 +68,9 @@
 	return s, nil
 }
 
-// MayPass says that listening has failed by what may be over in a moment: another process holds the address, or the
+// IsTransientListenError says that listening has failed by what may be over in a moment: another process holds the address, or the
 // system has no means now.
-func MayPass(err error) bool {
+func IsTransientListenError(err error) bool {
 	for _, passing := range []unix.Errno{unix.EADDRINUSE, unix.EADDRNOTAVAIL, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM,
 		unix.ENOSPC, unix.EINTR, unix.EAGAIN} {
 		if errors.Is(err, passing) {
@@ -84,13 +84,13 @@
 	if err := s.l.sys.Listen(s.fd, backlog); err != nil {
 		return err
 	}
-	return s.l.add(s.fd, unix.EPOLLIN, s, &s.l.budget)
+	return s.l.add(s.fd, unix.EPOLLIN, s, &s.l.descriptorBudget)
 }
 
 // Inherit listens by a socket that another process has opened and listens by too.
 func (l *Loop) Inherit(fd int, accept func(*Conn)) (*Listener, error) {
-	s := &Listener{l: l, fd: fd, accept: accept, budget: &l.budget}
-	if err := l.add(fd, unix.EPOLLIN, s, &l.budget); err != nil {
+	s := &Listener{l: l, fd: fd, accept: accept, budget: &l.descriptorBudget}
+	if err := l.add(fd, unix.EPOLLIN, s, &l.descriptorBudget); err != nil {
 		unix.Close(fd)
 		return nil, fmt.Errorf("listening: %w", err)
 	}
@@ -98,18 +98,18 @@
 }
 
 // Fd is the socket, to be handed over.
-func (s *Listener) Fd() int { return s.fd }
+func (s *Listener) FD() int { return s.fd }
 
-// Hold has the listener take nothing in, or go on. What waits in the queue of a
+// SetPaused has the listener take nothing in, or go on. What waits in the queue of a
 // socket that another process shares is that one's.
-func (s *Listener) Hold(held bool) {
+func (s *Listener) SetPaused(held bool) {
 	if s.held = held; s.fd >= 0 {
 		s.rest.Stop()
 		s.watch()
 	}
 }
 
-// Addr is the address that the socket is bound to.
+// LocalAddr is the address that the socket is bound to.
 func (s *Listener) Addr() string { return ownAddr(s.fd) }
 
 // Close ends listening; connections already taken in stay. Those in the queue are taken in first: closing the socket
@@ -144,7 +144,7 @@
 func (s *Listener) end() {
 	s.rest.Stop()
 	s.endBy.Stop()
-	s.l.drop(s.fd, &s.l.budget)
+	s.l.drop(s.fd, &s.l.descriptorBudget)
 	s.fd = -1
 }
 
@@ -174,7 +174,7 @@
 
 // next takes a connection in.
 func (s *Listener) next() queued {
-	if s.budget.Free() <= 0 {
+	if s.budget.FreeDescriptors() <= 0 {
 		rest := meansPause
 		if s.budget.relieve() {
 			rest = relievePause
--- a/internal/netloop/loop.go
+++ b/internal/netloop/loop.go
@@ -18,8 +18,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrFull is how a dial ends when no more descriptors may be opened.
-var ErrFull = errors.New("no descriptors left")
+// ErrNoDescriptors is how a dial ends when no more descriptors may be opened.
+var ErrNoDescriptors = errors.New("no descriptors left")
 
 // When descriptors run short: under the first part of the limit, two connections
 // that may be spared are given up for each one accepted; under the second, fronts
@@ -33,8 +33,8 @@
 // source is what an epoll event goes to.
 type source interface{ ready(events uint32) }
 
-// budget is how many descriptors some part of the loop may hold.
-type budget struct {
+// descriptorBudget is how many descriptors some part of the loop may hold.
+type descriptorBudget struct {
 	limit, open int
 	spare       list.List // of *Conn: those that may be given up, longest so first
 }
@@ -42,34 +42,34 @@
 // spent is a descriptor that is given back, and to whom.
 type spent struct {
 	fd   int
-	from *budget
+	from *descriptorBudget
 }
 
 // Loop is an event loop.
 type Loop struct {
-	sys        Calls
-	poll, wake int
-	now        func() time.Duration
-	sources    map[int]source
-	timers     timers
-	spent      []spent // descriptors to close after the batch, so that no event of it meets a new one
-	budget             // of all but the listeners that have their own
-	held       int     // bytes in all buffers
-	most       int     // how many that may be; 0 for no bound
-	events     [256]unix.EpollEvent
-	stopped    bool
-	round      time.Duration // when this one began
-	spell      time.Duration // how long the last one took
-	busy       float64
-	gapMost    time.Duration
-	gapped     func(time.Duration) // nil: nobody wants to know
-	chunk      []byte              // what one read may bring
-	plain      []byte              // where TLS records are decrypted; nil until there are any
-	shaking    int                 // TLS handshakes under way
-	dirty      []*Conn             // that have something queued
-	free       [][]byte            // buffers that nothing is in
-	freeBytes  int
-	scrap      []byte // where writing goes that nobody sends
+	sys              Syscalls
+	poll, wake       int
+	now              func() time.Duration
+	sources          map[int]source
+	timers           timers
+	spent            []spent // descriptors to close after the batch, so that no event of it meets a new one
+	descriptorBudget         // of all but the listeners that have their own
+	held             int     // bytes in all buffers
+	most             int     // how many that may be; 0 for no bound
+	events           [256]unix.EpollEvent
+	stopped          bool
+	round            time.Duration // when this one began
+	spell            time.Duration // how long the last one took
+	busy             float64
+	gapMost          time.Duration
+	gapped           func(time.Duration) // nil: nobody wants to know
+	chunk            []byte              // what one read may bring
+	plain            []byte              // where TLS records are decrypted; nil until there are any
+	shaking          int                 // TLS handshakes under way
+	dirty            []*Conn             // that have something queued
+	free             [][]byte            // buffers that nothing is in
+	freeBytes        int
+	scrap            []byte // where writing goes that nobody sends
 
 	mu     sync.Mutex
 	posted []func()
@@ -88,7 +88,7 @@
 		unix.Close(poll)
 		return nil, fmt.Errorf("eventfd: %w", err)
 	}
-	l := &Loop{sys: System, poll: poll, wake: wake, now: now, round: now(), sources: map[int]source{}, budget: budget{limit: limit}, chunk: make([]byte, chunkSize)}
+	l := &Loop{sys: DefaultSyscalls, poll: poll, wake: wake, now: now, round: now(), sources: map[int]source{}, descriptorBudget: descriptorBudget{limit: limit}, chunk: make([]byte, chunkSize)}
 	if err := l.watch(unix.EPOLL_CTL_ADD, wake, unix.EPOLLIN); err != nil {
 		unix.Close(poll)
 		unix.Close(wake)
@@ -111,27 +111,29 @@
 
 const busyOver = 500 * time.Millisecond
 
-// Busy is the part of the last half second or so that the loop has worked and not waited.
-func (l *Loop) Busy() float64 { return l.busy }
+// Utilization is the part of the last half second or so that the loop has worked and not waited.
+func (l *Loop) Utilization() float64 { return l.busy }
 
-// Round is when this round began, for who needs the time often and not to the microsecond.
-func (l *Loop) Round() time.Duration { return l.round }
+// RoundStart is when this round began, for who needs the time often and not to the microsecond.
+func (l *Loop) RoundStart() time.Duration { return l.round }
 
-// Spell is how long the last round took: what is timed by this loop may be later by so much
+// LastRoundDuration is how long the last round took: what is timed by this loop may be later by so much
 // for the loop's own work.
-func (l *Loop) Spell() time.Duration { return l.spell }
+func (l *Loop) LastRoundDuration() time.Duration { return l.spell }
 
-// Free is how many more descriptors may be opened.
-func (b *budget) Free() int { return b.limit - b.open }
+// FreeDescriptors is how many more descriptors may be opened.
+func (b *descriptorBudget) FreeDescriptors() int { return b.limit - b.open }
 
-// Short says that hardly any more descriptors may be opened.
-func (b *budget) Short() bool { return b.Free() < max(b.limit/shortPart, shortLeast) }
+// DescriptorsLow says that hardly any more descriptors may be opened.
+func (b *descriptorBudget) DescriptorsLow() bool {
+	return b.FreeDescriptors() < max(b.limit/shortPart, shortLeast)
+}
 
 // relieve gives up connections that may be spared, so that those who connect and
 // say nothing cannot keep others out. It returns whether there were any.
-func (b *budget) relieve() (some bool) {
+func (b *descriptorBudget) relieve() (some bool) {
 	for range 2 {
-		if b.Free() < max(b.limit/sparePart, 1) && b.giveUp() {
+		if b.FreeDescriptors() < max(b.limit/sparePart, 1) && b.giveUp() {
 			some = true
 		}
 	}
@@ -139,7 +141,7 @@
 }
 
 // giveUp gives up the connection that was spared longest ago; false if there is none.
-func (b *budget) giveUp() bool {
+func (b *descriptorBudget) giveUp() bool {
 	e := b.spare.Front()
 	if e == nil {
 		return false
@@ -150,16 +152,16 @@
 	return true
 }
 
-// Memory bounds the bytes that all buffers hold together. While they hold more, a
+// SetMemoryLimit bounds the bytes that all buffers hold together. While they hold more, a
 // connection that keeps more than its basic share is ended when it wants yet more:
 // each may have the room of one large message, all at once may not.
-func (l *Loop) Memory(most int) { l.most = most }
+func (l *Loop) SetMemoryLimit(most int) { l.most = most }
 
-// Tight says that the buffers hold half of what they may. Who can do with less then should, well
+// MemoryPressure says that the buffers hold half of what they may. Who can do with less then should, well
 // before connections are ended for it.
-func (l *Loop) Tight() bool { return l.most > 0 && l.held > l.most/2 }
+func (l *Loop) MemoryPressure() bool { return l.most > 0 && l.held > l.most/2 }
 
-func (l *Loop) crammed() bool { return l.most > 0 && l.held > l.most }
+func (l *Loop) overMemoryLimit() bool { return l.most > 0 && l.held > l.most }
 
 // Post has f run on the loop. It may be called from any goroutine. After Close it does nothing.
 func (l *Loop) Post(f func()) {
@@ -173,9 +175,9 @@
 	unix.Write(l.wake, one[:]) // a full counter wakes the loop as well
 }
 
-// Gap has gapped called, before anything else of its round, when this process has stood still for longer than most: it was stopped,
+// OnStall has gapped called, before anything else of its round, when this process has stood still for longer than most: it was stopped,
 // its machine slept, or one round took as long.
-func (l *Loop) Gap(most time.Duration, gapped func(time.Duration)) {
+func (l *Loop) OnStall(most time.Duration, gapped func(time.Duration)) {
 	l.gapMost, l.gapped, l.round = most, gapped, l.now() // a start that took its time is none
 }
 
@@ -186,16 +188,16 @@
 func (l *Loop) Run() error {
 	defer l.Close()
 	for !l.stopped {
-		if err := l.Turn(l.patience()); err != nil {
+		if err := l.RunOnce(l.patience()); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Turn does one round: it waits for events for at most so many milliseconds,
+// RunOnce does one round: it waits for events for at most so many milliseconds,
 // serves them and runs what is due.
-func (l *Loop) Turn(patience int) error {
+func (l *Loop) RunOnce(patience int) error {
 	n, err := l.sys.EpollWait(l.poll, l.events[:], patience)
 	if err == unix.EINTR {
 		// So ends the wait of a process that was stopped and goes on: what has come meanwhile goes before what is overdue.
@@ -266,7 +268,7 @@
 }
 
 // add takes a descriptor over, at the cost of that budget, and has it watched.
-func (l *Loop) add(fd int, events uint32, s source, from *budget) error {
+func (l *Loop) add(fd int, events uint32, s source, from *descriptorBudget) error {
 	if err := l.watch(unix.EPOLL_CTL_ADD, fd, events); err != nil {
 		return err
 	}
@@ -275,13 +277,13 @@
 }
 
 // own takes a descriptor over, at the cost of that budget. It is not watched yet.
-func (l *Loop) own(fd int, s source, from *budget) {
+func (l *Loop) own(fd int, s source, from *descriptorBudget) {
 	l.sources[fd] = s
 	from.open++
 }
 
 // drop is where every descriptor but the loop's own two is given back.
-func (l *Loop) drop(fd int, from *budget) {
+func (l *Loop) drop(fd int, from *descriptorBudget) {
 	delete(l.sources, fd)
 	l.watch(unix.EPOLL_CTL_DEL, fd, 0)
 	l.spent = append(l.spent, spent{fd, from})
@@ -301,12 +303,12 @@
 	}
 }
 
-// Limit sets how many descriptors the loop may hold.
-func (l *Loop) Limit(most int) { l.limit = most }
+// SetDescriptorLimit sets how many descriptors the loop may hold.
+func (l *Loop) SetDescriptorLimit(most int) { l.limit = most }
 
-// Held is how many it holds.
-func (l *Loop) Held() int { return l.open }
+// OpenDescriptors is how many it holds.
+func (l *Loop) OpenDescriptors() int { return l.open }
 
-// Grant lets the loop hold so many more, which came from another process that holds
+// RaiseDescriptorLimit lets the loop hold so many more, which came from another process that holds
 // them no longer.
-func (l *Loop) Grant(more int) { l.limit += more }
+func (l *Loop) RaiseDescriptorLimit(more int) { l.limit += more }
--- a/internal/netloop/looptest/faults.go
+++ b/internal/netloop/looptest/faults.go
@@ -11,11 +11,11 @@
 
 // Fault is what befalls some of the calls of one kind.
 type Fault struct {
-	Call  string     // as the field of netloop.Calls
-	Errno unix.Errno // 0: the call is made
-	Short bool       // of Read and Write: one byte alone is moved
-	Part  float64    // of the calls, drawn; 0: all
-	Times int        // after so many it is over; 0: it goes on
+	Syscall     string     // as the field of netloop.Calls
+	Errno       unix.Errno // 0: the call is made
+	Short       bool       // of Read and Write: one byte alone is moved
+	Probability float64    // of the calls, drawn; 0: all
+	MaxCount    int        // after so many it is over; 0: it goes on
 }
 
 // Faults makes system calls fail by a plan and a seed. It may be used from any goroutine.
@@ -47,8 +47,8 @@
 	}
 }
 
-// Struck is how many calls of a kind have met a fault.
-func (f *Faults) Struck(call string) int {
+// Injected is how many calls of a kind have met a fault.
+func (f *Faults) Injected(call string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.struck[call]
@@ -60,7 +60,7 @@
 	defer f.mu.Unlock()
 	for i := range f.plan {
 		p := &f.plan[i]
-		if p.Call != call || p.Times > 0 && p.met >= p.Times || p.Part > 0 && f.rng.Float64() >= p.Part {
+		if p.Syscall != call || p.MaxCount > 0 && p.met >= p.MaxCount || p.Probability > 0 && f.rng.Float64() >= p.Probability {
 			continue
 		}
 		p.met++
@@ -78,9 +78,9 @@
 	return nil
 }
 
-// Calls are the kernel's, but for those that meet a fault.
-func (f *Faults) Calls() netloop.Calls {
-	k := netloop.Kernel()
+// Syscalls are the kernel's, but for those that meet a fault.
+func (f *Faults) Syscalls() netloop.Syscalls {
+	k := netloop.KernelSyscalls()
 	moves := func(call string, move func(int, []byte) (int, error)) func(int, []byte) (int, error) {
 		return func(fd int, p []byte) (int, error) {
 			errno, short := f.meets(call)
--- a/internal/netloop/looptest/looptest.go
+++ b/internal/netloop/looptest/looptest.go
@@ -14,31 +14,31 @@
 	"dahliarudder/internal/netloop"
 )
 
-// Patience is how long a test waits for what must come; only a failing test
+// Timeout is how long a test waits for what must come; only a failing test
 // waits that long.
-const Patience = 20 * time.Second
+const Timeout = 20 * time.Second
 
-// Bench is a loop and its clock.
-type Bench struct {
+// Harness is a loop and its clock.
+type Harness struct {
 	*netloop.Loop
 	T   testing.TB
 	now time.Duration
 }
 
 // New makes a loop that may hold limit descriptors.
-func New(t testing.TB, limit int) *Bench {
+func New(t testing.TB, limit int) *Harness {
 	t.Helper()
-	return NewFaulty(t, limit, netloop.Kernel())
+	return NewWithSyscalls(t, limit, netloop.KernelSyscalls())
 }
 
-// NewFaulty makes one that reaches the kernel by other calls.
-func NewFaulty(t testing.TB, limit int, calls netloop.Calls) *Bench {
+// NewWithSyscalls makes one that reaches the kernel by other calls.
+func NewWithSyscalls(t testing.TB, limit int, calls netloop.Syscalls) *Harness {
 	t.Helper()
-	b := &Bench{T: t, now: time.Hour}
-	system := netloop.System
-	netloop.System = calls
+	b := &Harness{T: t, now: time.Hour}
+	system := netloop.DefaultSyscalls
+	netloop.DefaultSyscalls = calls
 	l, err := netloop.New(func() time.Duration { return b.now }, limit)
-	netloop.System = system
+	netloop.DefaultSyscalls = system
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,42 +47,42 @@
 	return b
 }
 
-// Pass moves the clock on and runs what is due.
-func (b *Bench) Pass(d time.Duration) {
+// Advance moves the clock on and runs what is due.
+func (b *Harness) Advance(d time.Duration) {
 	b.T.Helper()
 	b.now += d
-	b.Turn()
+	b.RunOnce()
 }
 
-// Turn does one round without waiting.
-func (b *Bench) Turn() {
+// RunOnce does one round without waiting.
+func (b *Harness) RunOnce() {
 	b.T.Helper()
-	if err := b.Loop.Turn(0); err != nil {
+	if err := b.Loop.RunOnce(0); err != nil {
 		b.T.Fatal(err)
 	}
 }
 
-// Until turns the loop until ok, the clock standing still.
-func (b *Bench) Until(what string, ok func() bool) {
+// WaitFor turns the loop until ok, the clock standing still.
+func (b *Harness) WaitFor(what string, ok func() bool) {
 	b.T.Helper()
-	for end := time.Now().Add(Patience); !ok(); {
+	for end := time.Now().Add(Timeout); !ok(); {
 		if time.Now().After(end) {
 			b.T.Fatalf("waited in vain: %s", what)
 		}
-		b.Turn()
+		b.RunOnce()
 	}
 }
 
-// Peer is the other end of a connection.
+// RemoteIP is the other end of a connection.
 type Peer struct {
 	net.Conn
-	b    *Bench
-	Got  []byte // what has come
-	Over error  // how it ended, nil while it has not
+	b        *Harness
+	Received []byte // what has come
+	EndErr   error  // how it ended, nil while it has not
 }
 
 // Dial connects a peer to a listener of the loop.
-func (b *Bench) Dial(addr string) *Peer {
+func (b *Harness) Dial(addr string) *Peer {
 	b.T.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -91,7 +91,7 @@
 	return b.peer(c)
 }
 
-func (b *Bench) peer(c net.Conn) *Peer {
+func (b *Harness) peer(c net.Conn) *Peer {
 	b.T.Cleanup(func() { c.Close() })
 	return &Peer{Conn: c, b: b}
 }
@@ -99,11 +99,11 @@
 // Server is a listener of the test's.
 type Server struct {
 	net.Listener
-	b *Bench
+	b *Harness
 }
 
 // Listen makes one on an address of the loopback.
-func (b *Bench) Listen() *Server {
+func (b *Harness) Listen() *Server {
 	b.T.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -113,14 +113,14 @@
 	return &Server{l, b}
 }
 
-// Addr is where it listens.
+// LocalAddr is where it listens.
 func (s *Server) Addr() string { return s.Listener.Addr().String() }
 
 // Accept takes the next connection in, turning the loop meanwhile.
 func (s *Server) Accept() *Peer {
 	s.b.T.Helper()
 	var c net.Conn
-	s.b.Until("a connection", func() bool {
+	s.b.WaitFor("a connection", func() bool {
 		s.Listener.(*net.TCPListener).SetDeadline(time.Now().Add(time.Millisecond))
 		got, err := s.Listener.Accept()
 		c = got
@@ -132,49 +132,49 @@
 // Poll takes in what is there.
 func (p *Peer) Poll() {
 	buf := make([]byte, 64<<10)
-	for p.Over == nil {
+	for p.EndErr == nil {
 		p.SetReadDeadline(time.Now().Add(time.Millisecond))
 		n, err := p.Read(buf)
-		p.Got = append(p.Got, buf[:n]...)
+		p.Received = append(p.Received, buf[:n]...)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			return
 		}
-		p.Over = err
+		p.EndErr = err
 	}
 }
 
-// Say sends text.
-func (p *Peer) Say(text string) {
+// SendBlocking sends text.
+func (p *Peer) Send(text string) {
 	p.b.T.Helper()
 	if _, err := p.Write([]byte(text)); err != nil {
 		p.b.T.Fatalf("sending %q: %v", text, err)
 	}
 }
 
-// Want waits until text, and no more, has come, and forgets it.
-func (p *Peer) Want(text string) {
+// Expect waits until text, and no more, has come, and forgets it.
+func (p *Peer) Expect(text string) {
 	p.b.T.Helper()
-	p.b.Until("bytes", func() bool { p.Poll(); return len(p.Got) >= len(text) || p.Over != nil })
-	if string(p.Got) != text {
-		p.b.T.Fatalf("got %q (ended: %v), want %q", p.Got, p.Over, text)
+	p.b.WaitFor("bytes", func() bool { p.Poll(); return len(p.Received) >= len(text) || p.EndErr != nil })
+	if string(p.Received) != text {
+		p.b.T.Fatalf("got %q (ended: %v), want %q", p.Received, p.EndErr, text)
 	}
-	p.Got = nil
+	p.Received = nil
 }
 
-// WantEnd waits for a polite end.
-func (p *Peer) WantEnd() {
+// ExpectEOF waits for a polite end.
+func (p *Peer) ExpectEOF() {
 	p.b.T.Helper()
-	p.b.Until("the end", func() bool { p.Poll(); return p.Over != nil })
-	if p.Over != io.EOF || len(p.Got) > 0 {
-		p.b.T.Fatalf("ended with %v after %q, want a polite end", p.Over, p.Got)
+	p.b.WaitFor("the end", func() bool { p.Poll(); return p.EndErr != nil })
+	if p.EndErr != io.EOF || len(p.Received) > 0 {
+		p.b.T.Fatalf("ended with %v after %q, want a polite end", p.EndErr, p.Received)
 	}
 }
 
-// WantReset waits for a reset.
-func (p *Peer) WantReset() {
+// ExpectReset waits for a reset.
+func (p *Peer) ExpectReset() {
 	p.b.T.Helper()
-	p.b.Until("the reset", func() bool { p.Poll(); return p.Over != nil })
-	if p.Over == io.EOF {
+	p.b.WaitFor("the reset", func() bool { p.Poll(); return p.EndErr != nil })
+	if p.EndErr == io.EOF {
 		p.b.T.Fatal("ended politely, want a reset")
 	}
 }
@@ -185,5 +185,5 @@
 	p.Conn.Close()
 }
 
-// Finish ends the peer's sending; it still reads.
-func (p *Peer) Finish() { p.Conn.(*net.TCPConn).CloseWrite() }
+// CloseWrite ends the peer's sending; it still reads.
+func (p *Peer) CloseWrite() { p.Conn.(*net.TCPConn).CloseWrite() }
--- a/internal/netloop/looptest/relay.go
+++ b/internal/netloop/looptest/relay.go
@@ -24,7 +24,7 @@
 
 // Relay is a core on a loop, before members that the test plays.
 type Relay struct {
-	*Bench
+	*Harness
 	Core    *core.Core
 	Log     *logrus.Logger
 	Members []core.Member
@@ -37,9 +37,9 @@
 }
 
 // NewRelayOn makes one on that loop.
-func NewRelayOn(b *Bench, members int) *Relay {
+func NewRelayOn(b *Harness, members int) *Relay {
 	t := b.T
-	r := &Relay{Bench: b, Log: logrus.New()}
+	r := &Relay{Harness: b, Log: logrus.New()}
 	r.Log.SetOutput(t.Output())
 	set, err := settings.Decode([]byte(settingsText))
 	if err != nil {
@@ -84,8 +84,8 @@
 func (r *Relay) AcceptAny(step time.Duration) (int, *Peer) {
 	r.T.Helper()
 	at, c := -1, net.Conn(nil)
-	r.Until("a connection to a member", func() bool {
-		r.Pass(step)
+	r.WaitFor("a connection to a member", func() bool {
+		r.Advance(step)
 		for i, s := range r.servers {
 			s.Listener.(*net.TCPListener).SetDeadline(time.Now().Add(time.Millisecond))
 			if got, err := s.Listener.Accept(); err == nil {
@@ -98,28 +98,28 @@
 	return at, r.peer(c)
 }
 
-// Line waits for a line and takes it off what has come.
-func (p *Peer) Line() string {
+// ReadLine waits for a line and takes it off what has come.
+func (p *Peer) ReadLine() string {
 	p.b.T.Helper()
 	end := -1
-	p.b.Until("a line", func() bool {
+	p.b.WaitFor("a line", func() bool {
 		p.Poll()
-		end = bytes.IndexByte(p.Got, '\n')
-		return end >= 0 || p.Over != nil
+		end = bytes.IndexByte(p.Received, '\n')
+		return end >= 0 || p.EndErr != nil
 	})
 	if end < 0 {
-		p.b.T.Fatalf("ended with %v after %q, want a line", p.Over, p.Got)
+		p.b.T.Fatalf("ended with %v after %q, want a line", p.EndErr, p.Received)
 	}
-	line := string(bytes.TrimSuffix(p.Got[:end], []byte("\r")))
-	p.Got = p.Got[end+1:]
+	line := string(bytes.TrimSuffix(p.Received[:end], []byte("\r")))
+	p.Received = p.Received[end+1:]
 	return line
 }
 
-// Lines waits for these lines.
-func (p *Peer) Lines(want ...string) {
+// ExpectLines waits for these lines.
+func (p *Peer) ExpectLines(want ...string) {
 	p.b.T.Helper()
 	for _, w := range want {
-		if got := p.Line(); got != w {
+		if got := p.ReadLine(); got != w {
 			p.b.T.Fatalf("got line %q, want %q", got, w)
 		}
 	}
--- a/internal/netloop/secure.go
+++ b/internal/netloop/secure.go
@@ -32,9 +32,9 @@
 	byed   bool // the peer was told that nothing more comes
 }
 
-// Secure has all further bytes go by TLS: what was written before leaves as it is. Done is called
+// StartTLS has all further bytes go by TLS: what was written before leaves as it is. Done is called
 // from the loop once the handshake has succeeded; if it fails the handler is told by End.
-func (c *Conn) Secure(cfg *tls.Config, client bool, within time.Duration, done func(tls.ConnectionState)) {
+func (c *Conn) StartTLS(cfg *tls.Config, client bool, within time.Duration, done func(tls.ConnectionState)) {
 	if c.fd < 0 || c.sec != nil || c.failing != nil {
 		return
 	}
@@ -73,8 +73,8 @@
 	}()
 }
 
-// Secured says whether the connection speaks TLS.
-func (c *Conn) Secured() bool { return c.sec != nil && c.sec.up }
+// IsTLS says whether the connection speaks TLS.
+func (c *Conn) IsTLS() bool { return c.sec != nil && c.sec.up }
 
 // shaken takes the connection over from the handshake's goroutine.
 func (s *secure) shaken(err error, done func(tls.ConnectionState)) {
@@ -142,7 +142,7 @@
 // write encrypts what waits, as far as the kernel may take it soon.
 func (s *secure) write() error {
 	c := s.c
-	for s.up && c.out.size() > 0 && s.cipher.size() < OutBound {
+	for s.up && c.out.size() > 0 && s.cipher.size() < DefaultWriteLimit {
 		b := c.out.data()
 		n, err := s.t.Write(b[:min(len(b), 16<<10)])
 		c.out.drop(c.l, n)
--- a/internal/netloop/secure_test.go
+++ b/internal/netloop/secure_test.go
@@ -59,14 +59,14 @@
 			e, p := pair(b)
 			cfg := certificate(t)
 			cfg.MaxVersion = version
-			e.c.Bound(1<<20, 1<<20)
+			e.c.SetBufferLimits(1<<20, 1<<20)
 			e.take = 1 << 20
 			up := false
 			e.c.Write([]byte("plain\n"))
-			e.c.Secure(cfg, client, looptest.Patience, func(tls.ConnectionState) { up = true })
+			e.c.StartTLS(cfg, client, looptest.Timeout, func(tls.ConnectionState) { up = true })
 			// No more than that is read: a client's first record may be right behind it.
 			plain := make([]byte, len("plain\n"))
-			p.SetReadDeadline(time.Now().Add(looptest.Patience))
+			p.SetReadDeadline(time.Now().Add(looptest.Timeout))
 			if _, err := io.ReadFull(p, plain); err != nil || string(plain) != "plain\n" {
 				t.Fatalf("got %q (%v) before the handshake", plain, err)
 			}
@@ -79,7 +79,7 @@
 			}
 			shaken := make(chan error, 1)
 			go func() { shaken <- far.Handshake() }()
-			b.Until("the handshake", func() bool { return up })
+			b.WaitFor("the handshake", func() bool { return up })
 			if err := <-shaken; err != nil {
 				t.Fatal(err)
 			}
@@ -97,15 +97,15 @@
 				n := min(1+own.IntN(30000), len(rest))
 				e.c.Write([]byte(rest[:n]))
 				rest = rest[n:]
-				b.Turn()
+				b.RunOnce()
 			}
-			b.Until("all bytes", func() bool { return len(e.got) == len(there) })
+			b.WaitFor("all bytes", func() bool { return len(e.got) == len(there) })
 			if string(e.got) != there {
 				t.Error("other bytes came")
 			}
 			e.c.Finish()
 			var got []byte
-			b.Until("the end", func() bool {
+			b.WaitFor("the end", func() bool {
 				select {
 				case got = <-far.got:
 					return true
@@ -128,15 +128,15 @@
 	cfg := certificate(t)
 	start := func() (*end, *looptest.Peer) {
 		e, p := pair(b)
-		e.c.Secure(cfg, false, time.Second, func(tls.ConnectionState) { t.Error("a handshake succeeded") })
+		e.c.StartTLS(cfg, false, time.Second, func(tls.ConnectionState) { t.Error("a handshake succeeded") })
 		return e, p
 	}
 	e, p := start()
-	p.Say(strings.Repeat("no handshake ", 100))
-	b.Until("its end", func() bool { return len(e.over) > 0 })
+	p.Send(strings.Repeat("no handshake ", 100))
+	b.WaitFor("its end", func() bool { return len(e.over) > 0 })
 	e, p = start()
-	p.Finish()
-	b.Until("its end", func() bool { return len(e.over) > 0 })
+	p.CloseWrite()
+	b.WaitFor("its end", func() bool { return len(e.over) > 0 })
 
 	// On a loop of its own: who ended above may have a goroutine, and so a place, for a while yet.
 	b = looptest.New(t, 512)
@@ -146,23 +146,23 @@
 		slow = append(slow, e)
 	}
 	e, _ = start()
-	b.Until("the refusal", func() bool { return len(e.over) > 0 })
+	b.WaitFor("the refusal", func() bool { return len(e.over) > 0 })
 	if !errors.Is(e.over[0], netloop.ErrHandshakes) {
 		t.Errorf("one too many ends with %v", e.over[0])
 	}
-	b.Pass(time.Second)
+	b.Advance(time.Second)
 	for _, e := range slow {
 		if len(e.over) != 1 || !errors.Is(e.over[0], netloop.ErrDialTimeout) {
 			t.Fatalf("a slow handshake ends with %v", e.over)
 		}
 	}
-	b.Until("room for others", func() bool {
+	b.WaitFor("room for others", func() bool {
 		e, p := pair(b)
 		up := false
-		e.c.Secure(cfg, false, looptest.Patience, func(tls.ConnectionState) { up = true })
+		e.c.StartTLS(cfg, false, looptest.Timeout, func(tls.ConnectionState) { up = true })
 		p.SetReadDeadline(time.Time{})
 		go tls.Client(p.Conn, cfg).Handshake()
-		b.Until("a handshake or a refusal", func() bool { return up || len(e.over) > 0 })
+		b.WaitFor("a handshake or a refusal", func() bool { return up || len(e.over) > 0 })
 		if !up {
 			p.Close()
 		}
--- a/internal/netloop/system.go
+++ b/internal/netloop/system.go
@@ -2,8 +2,8 @@
 
 import "golang.org/x/sys/unix"
 
-// Calls is the system calls by which a loop reaches the kernel. Tests put calls that fail in the place of some of them.
-type Calls struct {
+// Syscalls is the system calls by which a loop reaches the kernel. Tests put calls that fail in the place of some of them.
+type Syscalls struct {
 	EpollWait     func(poll int, events []unix.EpollEvent, milliseconds int) (int, error)
 	EpollCtl      func(poll, op, fd int, event *unix.EpollEvent) error
 	Socket        func(domain, kind, protocol int) (int, error)
@@ -16,11 +16,11 @@
 	SetsockoptInt func(fd, level, option, value int) error
 }
 
-// Kernel is the calls of the system itself.
-func Kernel() Calls {
-	return Calls{EpollWait: unix.EpollWait, EpollCtl: unix.EpollCtl, Socket: unix.Socket, Bind: unix.Bind, Listen: unix.Listen,
+// KernelSyscalls is the calls of the system itself.
+func KernelSyscalls() Syscalls {
+	return Syscalls{EpollWait: unix.EpollWait, EpollCtl: unix.EpollCtl, Socket: unix.Socket, Bind: unix.Bind, Listen: unix.Listen,
 		Accept: unix.Accept4, Connect: unix.Connect, Read: unix.Read, Write: unix.Write, SetsockoptInt: unix.SetsockoptInt}
 }
 
-// System is the calls of the loops that are made from now on. Only tests change it.
-var System = Kernel()
+// DefaultSyscalls is the calls of the loops that are made from now on. Only tests change it.
+var DefaultSyscalls = KernelSyscalls()
--- a/internal/netloop/system_test.go
+++ b/internal/netloop/system_test.go
@@ -20,16 +20,16 @@
 const moment = time.Second
 
 // faulty is a loop whose calls fail as the returned plan says.
-func faulty(t *testing.T) (*looptest.Bench, *looptest.Faults) {
+func faulty(t *testing.T) (*looptest.Harness, *looptest.Faults) {
 	f := looptest.NewFaults(1)
-	return looptest.NewFaulty(t, 64, f.Calls()), f
+	return looptest.NewWithSyscalls(t, 64, f.Syscalls()), f
 }
 
 // answering is a listener that greets who comes, politely.
-func answering(b *looptest.Bench) *netloop.Listener {
+func answering(b *looptest.Harness) *netloop.Listener {
 	b.T.Helper()
 	l, err := b.Loop.Listen("127.0.0.1:0", func(c *netloop.Conn) {
-		c.Handle(&end{take: 1 << 20})
+		c.SetHandler(&end{take: 1 << 20})
 		c.Write([]byte("hello"))
 		c.Finish()
 	})
@@ -40,31 +40,31 @@
 }
 
 // passUntil moves the clock on until ok, for a moment at most.
-func passUntil(b *looptest.Bench, what string, ok func() bool) {
+func passUntil(b *looptest.Harness, what string, ok func() bool) {
 	b.T.Helper()
 	for range int(moment / time.Millisecond) {
 		if ok() {
 			return
 		}
-		b.Pass(time.Millisecond)
+		b.Advance(time.Millisecond)
 	}
 	b.T.Fatalf("not within a moment: %s", what)
 }
 
 // greeted wants each peer to be greeted within a moment of the loop's clock.
-func greeted(b *looptest.Bench, peers ...*looptest.Peer) {
+func greeted(b *looptest.Harness, peers ...*looptest.Peer) {
 	b.T.Helper()
 	passUntil(b, "an answer for each", func() bool {
 		for _, p := range peers {
-			if p.Poll(); string(p.Got) != "hello" && p.Over == nil {
+			if p.Poll(); string(p.Received) != "hello" && p.EndErr == nil {
 				return false
 			}
 		}
 		return true
 	})
 	for _, p := range peers {
-		p.Want("hello")
-		p.WantEnd()
+		p.Expect("hello")
+		p.ExpectEOF()
 	}
 }
 
@@ -80,19 +80,19 @@
 			b, f := faulty(t)
 			l := answering(b)
 			first, second := b.Dial(l.Addr()), b.Dial(l.Addr())
-			f.Set(looptest.Fault{Call: "Accept", Errno: errno, Times: 5})
+			f.Set(looptest.Fault{Syscall: "Accept", Errno: errno, MaxCount: 5})
 			greeted(b, first, second)
-			f.Set(looptest.Fault{Call: "Accept", Errno: errno})
-			before, third := f.Struck("Accept"), b.Dial(l.Addr())
+			f.Set(looptest.Fault{Syscall: "Accept", Errno: errno})
+			before, third := f.Injected("Accept"), b.Dial(l.Addr())
 			const rounds = 200
 			for range rounds {
-				b.Pass(time.Millisecond)
+				b.Advance(time.Millisecond)
 			}
 			most := rounds * 16 // who is in the queue is not asked about without end in one round
 			if slices.Contains(ownWants, errno) {
 				most = rounds / 10 // nor is the system, which has nothing to give
 			}
-			if asked := f.Struck("Accept") - before; asked < 2 || asked > most {
+			if asked := f.Injected("Accept") - before; asked < 2 || asked > most {
 				t.Errorf("asked %d times in %d ms, %d at most", asked, rounds, most)
 			}
 			f.Set()
@@ -102,7 +102,7 @@
 			b, f := faulty(t)
 			l := answering(b)
 			first, second := b.Dial(l.Addr()), b.Dial(l.Addr())
-			f.Set(looptest.Fault{Call: "Accept", Errno: errno, Times: 5})
+			f.Set(looptest.Fault{Syscall: "Accept", Errno: errno, MaxCount: 5})
 			l.Close()
 			greeted(b, first, second)
 			passUntil(b, "the end of listening", l.Closed)
@@ -114,16 +114,16 @@
 // connection is lost.
 func TestWatchFails(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ENOMEM, unix.ENOSPC} {
-		fails := looptest.Fault{Call: "EpollCtl", Errno: errno, Times: 5}
+		fails := looptest.Fault{Syscall: "EpollCtl", Errno: errno, MaxCount: 5}
 		t.Run(unix.ErrnoName(errno)+" accepted", func(t *testing.T) {
 			b, f := faulty(t)
 			e := &end{take: 1 << 20}
-			l, err := b.Loop.Listen("127.0.0.1:0", func(c *netloop.Conn) { e.c = c; c.Handle(e) })
+			l, err := b.Loop.Listen("127.0.0.1:0", func(c *netloop.Conn) { e.c = c; c.SetHandler(e) })
 			if err != nil {
 				t.Fatal(err)
 			}
 			p := b.Dial(l.Addr())
-			p.Say("a request")
+			p.Send("a request")
 			f.Set(fails)
 			passUntil(b, "the request", func() bool { return string(e.got) == "a request" })
 		})
@@ -139,29 +139,29 @@
 				t.Fatalf("ended with %v", e.over)
 			}
 			e.c.Write([]byte("a line"))
-			p.Want("a line")
+			p.Expect("a line")
 		})
 		t.Run(unix.ErrnoName(errno)+" going on", func(t *testing.T) {
 			b, f := faulty(t)
 			e, p := pair(b)
-			p.Say("x")
-			b.Until("a byte", func() bool { return e.offers == 1 })
-			e.c.Rest()
-			p.Say("more")
-			b.Turn() // from here on nothing more is asked of epoll
-			b.Turn()
+			p.Send("x")
+			b.WaitFor("a byte", func() bool { return e.offers == 1 })
+			e.c.PauseReading()
+			p.Send("more")
+			b.RunOnce() // from here on nothing more is asked of epoll
+			b.RunOnce()
 			f.Set(fails)
 			e.take = 1 << 20
-			e.c.Resume()
+			e.c.ResumeReading()
 			passUntil(b, "the rest", func() bool { return string(e.got) == "xmore" })
 		})
 		t.Run(unix.ErrnoName(errno)+" listening again", func(t *testing.T) {
 			b, f := faulty(t)
 			l := answering(b)
-			l.Hold(true)
+			l.SetPaused(true)
 			p := b.Dial(l.Addr())
 			f.Set(fails)
-			l.Hold(false)
+			l.SetPaused(false)
 			greeted(b, p)
 		})
 		t.Run(unix.ErrnoName(errno)+" attached", func(t *testing.T) {
@@ -171,7 +171,7 @@
 			again := &end{take: 1 << 20}
 			f.Set(fails)
 			b.Loop.Attach(fd, unread, again)
-			p.Say("more")
+			p.Send("more")
 			passUntil(b, "what came after", func() bool { return string(again.got) == "more" })
 		})
 	}
@@ -192,16 +192,16 @@
 		for _, errno := range c.errnos {
 			t.Run(fmt.Sprint(c.call, " ", unix.ErrnoName(errno)), func(t *testing.T) {
 				b, f := faulty(t)
-				s, free := b.Listen(), b.Free()
-				f.Set(looptest.Fault{Call: c.call, Errno: errno, Times: 1})
+				s, free := b.Listen(), b.FreeDescriptors()
+				f.Set(looptest.Fault{Syscall: c.call, Errno: errno, MaxCount: 1})
 				e := &end{}
 				b.Loop.Dial(s.Addr(), moment, e)
 				passUntil(b, "its end", func() bool { return len(e.over) > 0 })
-				if err := e.over[0]; errors.Is(err, netloop.ErrFull) != c.own || !errors.Is(err, errno) {
+				if err := e.over[0]; errors.Is(err, netloop.ErrNoDescriptors) != c.own || !errors.Is(err, errno) {
 					t.Errorf("ended with %v, the relay's own want: %v", err, c.own)
 				}
-				if b.Turn(); b.Free() != free {
-					t.Errorf("%d descriptors are left", free-b.Free())
+				if b.RunOnce(); b.FreeDescriptors() != free {
+					t.Errorf("%d descriptors are left", free-b.FreeDescriptors())
 				}
 			})
 		}
@@ -209,7 +209,7 @@
 	t.Run("EINTR", func(t *testing.T) {
 		b, f := faulty(t)
 		s := b.Listen()
-		f.Set(looptest.Fault{Call: "Connect", Errno: unix.EINTR, Times: 1})
+		f.Set(looptest.Fault{Syscall: "Connect", Errno: unix.EINTR, MaxCount: 1})
 		e := &end{}
 		b.Loop.Dial(s.Addr(), moment, e)
 		passUntil(b, "the connection", func() bool { return e.opened || len(e.over) > 0 })
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -53,8 +53,8 @@
 	c.parser.Call = true
 	late := func() { c.answer(http.StatusRequestTimeout, "no whole call came") }
 	c.timer = f.Loop.After(callWithin, late)
-	conn.Spare(late)
-	conn.Handle(c)
+	conn.SetEvictable(late)
+	conn.SetHandler(c)
 }
 
 // caller is one connection, good for one call.
@@ -83,7 +83,7 @@
 		c.answer(http.StatusBadRequest, err.Error())
 	case done:
 		c.called = true
-		c.c.Spare(nil)
+		c.c.SetEvictable(nil)
 		c.call(c.parser.Method, c.parser.Target)
 	}
 	return used
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -30,11 +30,11 @@
 }
 
 // desk is the second address on a loop of the test's.
-func desk(t testing.TB) (*looptest.Bench, *relay, string) {
+func desk(t testing.TB) (*looptest.Harness, *relay, string) {
 	b, r, log := looptest.New(t, 8), &relay{ready: true}, logrus.New()
 	log.SetOutput(t.Output())
 	f := &Front{Loop: b.Loop, Relay: r, Log: log}
-	l, err := b.ListenApart("127.0.0.1:0", Callers, f.Accept)
+	l, err := b.ListenReserved("127.0.0.1:0", Callers, f.Accept)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,7 +42,7 @@
 }
 
 func status(p *looptest.Peer) string {
-	_, code, _ := strings.Cut(p.Line(), " ")
+	_, code, _ := strings.Cut(p.ReadLine(), " ")
 	code, _, _ = strings.Cut(code, " ")
 	return code
 }
@@ -78,23 +78,23 @@
 			text += " HTTP/1.1\r\nHost: relay"
 		}
 		for i := range len(text) + 4 { // in pieces, as a slow network brings it
-			p.Say((text + "\r\n\r\n")[i : i+1])
+			p.Send((text + "\r\n\r\n")[i : i+1])
 			if i%7 == 0 {
-				b.Turn()
+				b.RunOnce()
 			}
 			if call.code == "400" && i > len(text) {
 				break // it may be ended by now
 			}
 		}
-		b.Until("the relay to be asked", func() bool { p.Poll(); return r.done != nil || len(p.Got) > 0 })
+		b.WaitFor("the relay to be asked", func() bool { p.Poll(); return r.done != nil || len(p.Received) > 0 })
 		if r.done != nil {
 			r.done(nil)
 		}
 		if code := status(p); code != call.code || strings.Join(r.said, ",") != call.said {
 			t.Errorf("%s: %s, said %q", call.first, code, r.said)
 		}
-		p.Got = nil
-		b.Until("the end", func() bool { p.Poll(); return p.Over != nil })
+		p.Received = nil
+		b.WaitFor("the end", func() bool { p.Poll(); return p.EndErr != nil })
 	}
 }
 
@@ -103,14 +103,14 @@
 	b, r, addr := desk(t)
 	r.ready = false
 	p := b.Dial(addr)
-	p.Say("GET /-/ready HTTP/1.1\r\n\r\n")
+	p.Send("GET /-/ready HTTP/1.1\r\n\r\n")
 	if code := status(p); code != "503" {
 		t.Errorf("not ready: %s", code)
 	}
 	p = b.Dial(addr)
-	p.Say("PUT /-/backends/s-1/disable HTTP/1.1\r\n\r\n")
-	p.Finish() // a caller that ends its sending still waits
-	b.Until("the relay to be asked", func() bool { return r.done != nil })
+	p.Send("PUT /-/backends/s-1/disable HTTP/1.1\r\n\r\n")
+	p.CloseWrite() // a caller that ends its sending still waits
+	b.WaitFor("the relay to be asked", func() bool { return r.done != nil })
 	r.done(errors.New("no disk"))
 	if code := status(p); code != "500" {
 		t.Errorf("not kept: %s", code)
@@ -122,22 +122,22 @@
 // are answered and ended in time.
 func TestSlow(t *testing.T) {
 	b, _, addr := desk(t)
-	for b.Free() > 0 {
+	for b.FreeDescriptors() > 0 {
 		b.Loop.Dial(addr, callWithin, idle{})
 	}
 	var slow []*looptest.Peer
 	for range 3 * Callers {
 		p := b.Dial(addr)
-		p.Say("GET /-/ready HTTP")
-		b.Turn()
+		p.Send("GET /-/ready HTTP")
+		b.RunOnce()
 		slow = append(slow, p)
 	}
 	p := b.Dial(addr)
-	p.Say("GET /-/ready HTTP/1.1\r\n\r\n")
+	p.Send("GET /-/ready HTTP/1.1\r\n\r\n")
 	if code := status(p); code != "200" {
 		t.Errorf("among slow callers: %s", code)
 	}
-	b.Pass(callWithin)
+	b.Advance(callWithin)
 	for _, p := range slow {
 		if code := status(p); code != "408" {
 			t.Errorf("a slow caller: %s", code)
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -46,10 +46,10 @@
 }
 
 // watch is one that holds a list.
-func watch(b *looptest.Bench, at *looptest.Server, told func(policy.ListKind, []core.Member)) *Watch {
+func watch(b *looptest.Harness, at *looptest.Server, told func(policy.ListKind, []core.Member)) *Watch {
 	log := logrus.New()
 	log.SetOutput(b.T.Output())
-	w := &Watch{Loop: b.Loop, Addr: at.Addr(), Names: names(), Log: log, Told: told, Random: func() float64 { return 1 }, Dial: b.Reserve(Descriptors).Dial}
+	w := &Watch{Loop: b.Loop, Addr: at.Addr(), Names: names(), Log: log, Told: told, Random: func() float64 { return 1 }, Dial: b.NewDescriptorReserve(Descriptors).Dial}
 	w.Hold(&List{Generation: 41})
 	return w
 }
@@ -66,20 +66,20 @@
 	before := old.Accept()
 	w.Move(next.Addr())
 	p := next.Accept()
-	before.Say("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
+	before.Send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
 	host := " HTTP/1.1\r\nHost: " + next.Addr() + "\r\nAccept: application/json\r\n\r\n"
-	p.Want("GET /api/targets" + host)
-	p.Say("HTTP/1.1 200 OK\r\nContent-Length: 44\r\n\r\n" + `{"generation":3,"reset":true,"instances":[]}`)
-	p.Want("GET /api/targets?since=3&timeout_ms=4000" + host)
+	p.Expect("GET /api/targets" + host)
+	p.Send("HTTP/1.1 200 OK\r\nContent-Length: 44\r\n\r\n" + `{"generation":3,"reset":true,"instances":[]}`)
+	p.Expect("GET /api/targets?since=3&timeout_ms=4000" + host)
 	if told != 100*int(policy.ListFull) {
 		t.Errorf("told %d", told)
 	}
 	w.Move(next.Addr()) // no change: the watch goes on
-	p.Say("HTTP/1.1 200 OK\r\nContent-Length: 45\r\n\r\n" + `{"generation":4,"reset":false,"instances":[]}`)
-	p.Want("GET /api/targets?since=4&timeout_ms=4000" + host)
+	p.Send("HTTP/1.1 200 OK\r\nContent-Length: 45\r\n\r\n" + `{"generation":4,"reset":false,"instances":[]}`)
+	p.Expect("GET /api/targets?since=4&timeout_ms=4000" + host)
 	w.Stop()
 	w.Move(old.Addr())
-	b.Turn()
+	b.RunOnce()
 	if len(w.calls) > 0 {
 		t.Error("moved after the stop")
 	}
