--- a/internal/pool/watch_test.go
+++ b/internal/pool/watch_test.go
@@ -12,7 +12,7 @@
 
 // rig is a watch, the list of what it told, and discovery's end of its calls.
 type rig struct {
-	*looptest.Bench
+	*looptest.Harness
 	*Watch
 	server *looptest.Server
 	told   []string
@@ -20,9 +20,9 @@
 
 // newRig has a watch that holds generation 41 and has begun.
 func newRig(t *testing.T) *rig {
-	r := &rig{Bench: looptest.New(t, 16)}
+	r := &rig{Harness: looptest.New(t, 16)}
 	r.server = r.Listen()
-	r.Watch = watch(r.Bench, r.server, func(kind policy.ListKind, list []core.Member) {
+	r.Watch = watch(r.Harness, r.server, func(kind policy.ListKind, list []core.Member) {
 		names := ""
 		for _, m := range list {
 			names += fmt.Sprintf(" %s:%d", m.Name, m.State)
@@ -59,8 +59,8 @@
 // mute says that nothing has come since, and that the connection stands.
 func mute(t *testing.T, p *looptest.Peer) {
 	t.Helper()
-	if p.Poll(); len(p.Got) > 0 || p.Over != nil {
-		t.Fatalf("got %q, ended %v", p.Got, p.Over)
+	if p.Poll(); len(p.Received) > 0 || p.EndErr != nil {
+		t.Fatalf("got %q, ended %v", p.Received, p.EndErr)
 	}
 }
 
@@ -70,17 +70,17 @@
 	r := newRig(t)
 	r.Ask()
 	p := r.server.Accept()
-	p.Want(r.text(41, watchWait))
-	p.Say(changes(43))
-	p.Want(r.text(43, watchWait))
-	p.Say(message(`{"generation":44,"reset":true,"instances":[]}`))
-	p.Want(r.text(44, watchWait))
+	p.Expect(r.text(41, watchWait))
+	p.Send(changes(43))
+	p.Expect(r.text(43, watchWait))
+	p.Send(message(`{"generation":44,"reset":true,"instances":[]}`))
+	p.Expect(r.text(44, watchWait))
 	r.want(drained, fmt.Sprint(policy.ListFull, ""))
 	r.Stop()
 	r.Ask()
-	p.WantEnd()
-	if r.Pass(time.Hour); r.Held() > 2 { // the loop's own wakeup is not counted; the connection may linger
-		t.Errorf("%d descriptors after the stop", r.Held())
+	p.ExpectEOF()
+	if r.Advance(time.Hour); r.OpenDescriptors() > 2 { // the loop's own wakeup is not counted; the connection may linger
+		t.Errorf("%d descriptors after the stop", r.OpenDescriptors())
 	}
 	r.want(drained, fmt.Sprint(policy.ListFull, ""))
 }
@@ -108,22 +108,22 @@
 			r := newRig(t)
 			r.Ask()
 			p := r.server.Accept()
-			p.Want(r.text(41, watchWait))
+			p.Expect(r.text(41, watchWait))
 			step := c.pieces
 			if step == 0 {
 				step = len(c.answer)
 			}
 			for rest := c.answer; rest != ""; {
 				n := min(step, len(rest))
-				p.Say(rest[:n])
+				p.Send(rest[:n])
 				rest = rest[n:]
-				r.Turn()
+				r.RunOnce()
 			}
 			if c.closes {
-				p.Finish()
+				p.CloseWrite()
 				p = r.server.Accept()
 			}
-			p.Want(r.text(43, watchWait))
+			p.Expect(r.text(43, watchWait))
 			r.want(c.want)
 		})
 	}
@@ -137,17 +137,17 @@
 	r.Ask()
 	began := r.Now()
 	silent := r.server.Accept()
-	silent.Want(r.text(41, watchWait))
-	r.Pass(watchWait)
+	silent.Expect(r.text(41, watchWait))
+	r.Advance(watchWait)
 	mute(t, silent)
-	r.Pass(lateAfter)
+	r.Advance(lateAfter)
 	second := r.server.Accept()
-	second.Want(r.text(41, 0))
+	second.Expect(r.text(41, 0))
 	mute(t, silent) // it may only be late: it stays
-	second.Say(changes(43))
-	second.Want(r.text(43, watchWait))
+	second.Send(changes(43))
+	second.Expect(r.text(43, watchWait))
 	r.want(drained)
-	silent.WantEnd()
+	silent.ExpectEOF()
 	if late := r.Now() - began - toldWithin; late >= 0 {
 		t.Errorf("told %v too late", late)
 	}
@@ -158,13 +158,13 @@
 	r := newRig(t)
 	r.Ask()
 	first := r.server.Accept()
-	first.Want(r.text(41, watchWait))
-	r.Pass(watchWait + lateAfter)
+	first.Expect(r.text(41, watchWait))
+	r.Advance(watchWait + lateAfter)
 	second := r.server.Accept()
-	second.Want(r.text(41, 0))
-	first.Say(changes(43))
-	first.Want(r.text(43, watchWait))
-	second.WantEnd()
+	second.Expect(r.text(41, 0))
+	first.Send(changes(43))
+	first.Expect(r.text(43, watchWait))
+	second.ExpectEOF()
 	r.want(drained)
 }
 
@@ -172,29 +172,29 @@
 // change arrives in time.
 func TestSecondCallFails(t *testing.T) {
 	for name, fail := range map[string]func(*looptest.Peer){
-		"refused":  func(p *looptest.Peer) { p.Say("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n") },
+		"refused":  func(p *looptest.Peer) { p.Send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n") },
 		"reset":    (*looptest.Peer).Reset,
-		"ended":    (*looptest.Peer).Finish,
-		"rubbish":  func(p *looptest.Peer) { p.Say("rubbish\r\n") },
-		"no list":  func(p *looptest.Peer) { p.Say(message("[]")) },
-		"half one": func(p *looptest.Peer) { p.Say(changes(43)[:90]); p.Finish() },
+		"ended":    (*looptest.Peer).CloseWrite,
+		"rubbish":  func(p *looptest.Peer) { p.Send("rubbish\r\n") },
+		"no list":  func(p *looptest.Peer) { p.Send(message("[]")) },
+		"half one": func(p *looptest.Peer) { p.Send(changes(43)[:90]); p.CloseWrite() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
 			r.Ask()
 			began := r.Now()
 			silent := r.server.Accept()
-			silent.Want(r.text(41, watchWait))
-			r.Pass(watchWait + lateAfter)
+			silent.Expect(r.text(41, watchWait))
+			r.Advance(watchWait + lateAfter)
 			second := r.server.Accept()
-			second.Want(r.text(41, 0))
+			second.Expect(r.text(41, 0))
 			fail(second)
-			r.Until("the failure", func() bool { return r.state == watchPausing })
-			r.Pass(pauseFirst)
+			r.WaitFor("the failure", func() bool { return r.state == watchPausing })
+			r.Advance(pauseFirst)
 			third := r.server.Accept()
-			third.Want(r.text(41, 0))
-			third.Say(changes(43))
-			third.Want(r.text(43, watchWait))
+			third.Expect(r.text(41, 0))
+			third.Send(changes(43))
+			third.Expect(r.text(43, watchWait))
 			r.want(drained)
 			if late := r.Now() - began - toldWithin; late >= 0 {
 				t.Errorf("told %v too late", late)
@@ -210,35 +210,35 @@
 	r.Ask()
 	failures := 0
 	for i, fail := range []func(*looptest.Peer){
-		func(p *looptest.Peer) { p.Say("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n") },
-		func(p *looptest.Peer) { p.Say(message("[]")) },
-		func(p *looptest.Peer) { p.Say("rubbish\r\n") },
+		func(p *looptest.Peer) { p.Send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n") },
+		func(p *looptest.Peer) { p.Send(message("[]")) },
+		func(p *looptest.Peer) { p.Send("rubbish\r\n") },
 		(*looptest.Peer).Reset,
-		(*looptest.Peer).Finish,
+		(*looptest.Peer).CloseWrite,
 	} {
 		wait := time.Duration(0)
 		if i == 0 {
 			wait = watchWait
 		}
 		p := r.server.Accept()
-		p.Want(r.text(41, wait))
+		p.Expect(r.text(41, wait))
 		fail(p)
 		failures++
-		r.Until("the failure", func() bool { return r.failures == failures })
+		r.WaitFor("the failure", func() bool { return r.failures == failures })
 		if r.state != watchPausing || len(r.calls) != 0 {
 			t.Fatalf("failure %d: state %d, %d calls", i, r.state, len(r.calls))
 		}
 		r.Ask() // the decision module's wish changes nothing
-		r.Pass(asking.pause(failures, 1) - time.Millisecond)
+		r.Advance(asking.pause(failures, 1) - time.Millisecond)
 		if len(r.calls) != 0 {
 			t.Fatalf("failure %d: no pause", i)
 		}
-		r.Pass(time.Millisecond)
+		r.Advance(time.Millisecond)
 	}
 	p := r.server.Accept()
-	p.Want(r.text(41, 0))
-	p.Say(changes(43))
-	p.Want(r.text(43, watchWait))
+	p.Expect(r.text(41, 0))
+	p.Send(changes(43))
+	p.Expect(r.text(43, watchWait))
 	r.want(drained)
 	if r.failures != 0 {
 		t.Errorf("%d failures counted after an answer", r.failures)
@@ -258,28 +258,28 @@
 	r := newRig(t)
 	r.Ask()
 	p := r.server.Accept()
-	p.Want(r.text(41, watchWait))
+	p.Expect(r.text(41, watchWait))
 	p.Reset()
-	r.Until("the failure", func() bool { return r.state == watchPausing })
-	r.Pass(pauseFirst)
+	r.WaitFor("the failure", func() bool { return r.state == watchPausing })
+	r.Advance(pauseFirst)
 	first := r.server.Accept()
-	first.Want(r.text(41, 0))
-	r.Pass(queueMost)
+	first.Expect(r.text(41, 0))
+	r.Advance(queueMost)
 	second := r.server.Accept()
-	second.Want(r.text(41, 0))
-	r.Pass(queueMost - time.Millisecond)
+	second.Expect(r.text(41, 0))
+	r.Advance(queueMost - time.Millisecond)
 	mute(t, first)
 	if len(r.calls) != callsMost {
 		t.Fatalf("%d calls", len(r.calls))
 	}
-	r.Pass(time.Millisecond) // the first is given up, and the second is late by now
-	first.WantEnd()
-	r.Pass(pauseMost)
+	r.Advance(time.Millisecond) // the first is given up, and the second is late by now
+	first.ExpectEOF()
+	r.Advance(pauseMost)
 	third := r.server.Accept()
-	third.Want(r.text(41, 0))
-	third.Say(changes(43))
-	third.Want(r.text(43, watchWait))
-	second.WantEnd()
+	third.Expect(r.text(41, 0))
+	third.Send(changes(43))
+	third.Expect(r.text(43, watchWait))
+	second.ExpectEOF()
 	r.want(drained)
 }
 
@@ -289,20 +289,20 @@
 	r := newRig(t)
 	r.Ask()
 	p := r.server.Accept()
-	p.Want(r.text(41, watchWait))
+	p.Expect(r.text(41, watchWait))
 	p.Reset()
-	r.Until("the failure", func() bool { return r.state == watchPausing })
-	r.Pass(pauseFirst)
+	r.WaitFor("the failure", func() bool { return r.state == watchPausing })
+	r.Advance(pauseFirst)
 	queued := r.server.Accept()
-	queued.Want(r.text(41, 0))
-	r.Pass(queueMost)
+	queued.Expect(r.text(41, 0))
+	r.Advance(queueMost)
 	refused := r.server.Accept()
-	refused.Want(r.text(41, 0))
-	refused.Say("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
-	r.Until("the failure", func() bool { return r.state == watchPausing })
-	r.Pass(time.Second)
-	queued.Say(changes(43))
-	queued.Want(r.text(43, watchWait))
+	refused.Expect(r.text(41, 0))
+	refused.Send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
+	r.WaitFor("the failure", func() bool { return r.state == watchPausing })
+	r.Advance(time.Second)
+	queued.Send(changes(43))
+	queued.Expect(r.text(43, watchWait))
 	r.want(drained)
 }
 
@@ -313,23 +313,23 @@
 	r := newRig(t)
 	r.Ask()
 	p := r.server.Accept()
-	p.Want(r.text(41, watchWait))
-	p.Say("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
-	r.Until("the failure", func() bool { return r.state == watchPausing })
-	r.Pass(pauseFirst)
+	p.Expect(r.text(41, watchWait))
+	p.Send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
+	r.WaitFor("the failure", func() bool { return r.state == watchPausing })
+	r.Advance(pauseFirst)
 	queued := r.server.Accept()
-	queued.Want(r.text(41, 0))
-	r.Pass(queue)
+	queued.Expect(r.text(41, 0))
+	r.Advance(queue)
 	if len(r.calls) != 1 {
 		t.Fatalf("%d calls while one stands in the queue", len(r.calls))
 	}
-	r.Pass(lateAfter)
+	r.Advance(lateAfter)
 	if len(r.calls) != callsMost {
 		t.Fatalf("%d calls after the longest queue", len(r.calls))
 	}
-	r.server.Accept().Want(r.text(41, 0))
-	queued.Say(changes(43))
-	queued.Want(r.text(43, watchWait))
+	r.server.Accept().Expect(r.text(41, 0))
+	queued.Send(changes(43))
+	queued.Expect(r.text(43, watchWait))
 	r.want(drained)
 }
 
@@ -376,21 +376,21 @@
 	r.Refresh(func() { t.Error("refreshed a watch that had not begun") })
 	r.Ask()
 	p := r.server.Accept()
-	p.Want(r.text(41, watchWait))
+	p.Expect(r.text(41, watchWait))
 	done := 0
 	r.Refresh(func() { done++ })
-	p.WantEnd()
+	p.ExpectEOF()
 	p = r.server.Accept()
-	p.Want(r.text(41, 0))
+	p.Expect(r.text(41, 0))
 	p.Reset()
-	r.Until("the failure", func() bool { return r.state == watchPausing })
+	r.WaitFor("the failure", func() bool { return r.state == watchPausing })
 	r.Refresh(func() { done += 10 })
 	p = r.server.Accept()
-	p.Want(r.text(41, 0))
-	p.Say(changes(43))
-	p.Want(r.text(43, watchWait))
+	p.Expect(r.text(41, 0))
+	p.Send(changes(43))
+	p.Expect(r.text(43, watchWait))
 	r.want(drained)
-	if r.Pass(pauseMost); done != 10 {
+	if r.Advance(pauseMost); done != 10 {
 		t.Errorf("done %d", done)
 	}
 	mute(t, p)
@@ -399,22 +399,25 @@
 // TestMoveAmidFailure: a new address counts at once, whatever was under way at the old one.
 func TestMoveAmidFailure(t *testing.T) {
 	for name, before := range map[string]func(*rig, *looptest.Peer){
-		"late":    func(r *rig, p *looptest.Peer) { r.Pass(watchWait + lateAfter); r.server.Accept() },
-		"pausing": func(r *rig, p *looptest.Peer) { p.Reset(); r.Until("", func() bool { return r.state == watchPausing }) },
+		"late": func(r *rig, p *looptest.Peer) { r.Advance(watchWait + lateAfter); r.server.Accept() },
+		"pausing": func(r *rig, p *looptest.Peer) {
+			p.Reset()
+			r.WaitFor("", func() bool { return r.state == watchPausing })
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
 			next := r.Listen()
 			r.Ask()
 			p := r.server.Accept()
-			p.Want(r.text(41, watchWait))
+			p.Expect(r.text(41, watchWait))
 			before(r, p)
 			r.Move(next.Addr())
 			q := next.Accept()
-			q.Want("GET /api/targets HTTP/1.1\r\nHost: " + next.Addr() + "\r\nAccept: application/json\r\n\r\n")
-			q.Say(message(`{"generation":3,"reset":true,"instances":[]}`))
-			r.Until("the list", func() bool { return len(r.told) == 1 })
-			r.Pass(pauseMost)
+			q.Expect("GET /api/targets HTTP/1.1\r\nHost: " + next.Addr() + "\r\nAccept: application/json\r\n\r\n")
+			q.Send(message(`{"generation":3,"reset":true,"instances":[]}`))
+			r.WaitFor("the list", func() bool { return len(r.told) == 1 })
+			r.Advance(pauseMost)
 			if len(r.calls) != 1 || r.state != watchCalling {
 				t.Errorf("%d calls, state %d", len(r.calls), r.state)
 			}
