--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -214,7 +214,7 @@
 			done(nil)
 		case err == nil:
 			r.follow(member, false, done)
-		case errors.Is(err, consensus.ErrNoMajority), errors.Is(err, consensus.ErrFull):
+		case errors.Is(err, consensus.ErrNoQuorum), errors.Is(err, consensus.ErrQueueFull):
 			r.log.WithError(err).WithField("member", member).Warn("fleet: the call holds at this relay alone")
 			r.follow(member, out, done)
 		default:
--- a/integration/fleet_voters_test.go
+++ b/integration/fleet_voters_test.go
@@ -24,7 +24,7 @@
 	for _, i := range all {
 		until(f.t, fmt.Sprintf("n%d to miss the majority", i), func() bool {
 			e := f.engine(i)
-			return e.Name != "" && !e.Majority && e.Leader == ""
+			return e.Name != "" && !e.HasQuorum && e.Leader == ""
 		})
 	}
 }
@@ -70,7 +70,7 @@
 	f.lost(a, old)
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) { // elections take 1.2 s
 		for _, i := range []int{old, a} {
-			if e := f.engine(i); e.Majority || e.Leader != "" {
+			if e := f.engine(i); e.HasQuorum || e.Leader != "" {
 				t.Fatalf("n%d has a majority with one of three voters there: %+v", i, e)
 			}
 		}
@@ -102,7 +102,7 @@
 	out := 0
 	ban := func(at ...int) { f.banned(out, at...); out++ }
 	ban(3, 0, 1, 2)
-	record := f.engine(l).Record
+	record := f.engine(l).RecordID
 	f.kill(older)
 	kept := filepath.Join(t.TempDir(), "kept")
 	if err := os.CopyFS(kept, os.DirFS(dir(older))); err != nil {
@@ -127,7 +127,7 @@
 		f.start(i)
 		until(t, fmt.Sprintf("n%d to be another voter", i), func() bool {
 			e := f.engine(i)
-			return e.Identity != 0 && e.Identity != id && strings.Contains(e.Taken, why)
+			return e.Identity != 0 && e.Identity != id && strings.Contains(e.IdentityReason, why)
 		})
 		f.votes(i)
 		ban(3, 0, 1, 2)
@@ -140,8 +140,8 @@
 	anew(older, emptied, "older", kept)
 	anew(emptied, older, "", "")
 	for i := range f.relays {
-		if e := f.engine(i); e.Record != record {
-			t.Errorf("n%d is of record %d, which was %d", i, e.Record, record)
+		if e := f.engine(i); e.RecordID != record {
+			t.Errorf("n%d is of record %d, which was %d", i, e.RecordID, record)
 		}
 	}
 }
--- a/internal/consensus/apply.go
+++ b/internal/consensus/apply.go
@@ -70,7 +70,7 @@
 	}
 	if it.kind == entryCommand {
 		answer = a.machine.Apply(it.index, it.data)
-		answer = answer[:min(len(answer), ResultMost)]
+		answer = answer[:min(len(answer), MaxResultSize)]
 	}
 	if it.kind == entryVoters {
 		if !maps.Equal(it.members, a.now.members) { // the end of a change has an entry too
@@ -106,7 +106,7 @@
 	c := a.now
 	c.machine = bytes.Clone(a.machine.Snapshot())
 	a.since, a.sinceB = 0, 0
-	if a.tooBig = len(c.machine) > SnapshotMost; a.tooBig {
+	if a.tooBig = len(c.machine) > MaxSnapshotSize; a.tooBig {
 		return nil, nil
 	}
 	a.last, a.raw = &c, c.encode()
@@ -222,7 +222,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if w := p.byIndex[index]; w != nil && w.id != id {
-		p.end(w, result{err: ErrNoMajority})
+		p.end(w, result{err: ErrNoQuorum})
 	}
 	if w := p.byID[id]; w != nil {
 		p.end(w, result{answer: answer, index: index})
@@ -234,10 +234,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if w := p.byIndex[index]; w != nil && w.id != id {
-		p.end(w, result{err: ErrNoMajority})
+		p.end(w, result{err: ErrNoQuorum})
 	}
 	if w := p.byID[id]; w != nil {
-		p.end(w, result{err: ErrDoubt})
+		p.end(w, result{err: ErrOutcomeUnknown})
 	}
 }
 
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -224,7 +224,7 @@
 		return errNoLeader
 	}
 	if err := c.rn.Propose(data); errors.Is(err, raft.ErrProposalDropped) {
-		return ErrFull
+		return ErrQueueFull
 	} else {
 		return err
 	}
--- a/internal/consensus/fault_test.go
+++ b/internal/consensus/fault_test.go
@@ -113,7 +113,7 @@
 	f.down(second)
 	f.wait("all that are left know", func() bool { // one that still passes calls on to the old leader ends in doubt, by rights
 		for _, n := range f.nodes {
-			if s := n.Status(); s.Majority || s.Leader != "" {
+			if s := n.Status(); s.HasQuorum || s.Leader != "" {
 				return false
 			}
 		}
@@ -122,11 +122,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	_, _, err := f.nodes["r0"].Propose(ctx, []byte("refused"))
 	cancel()
-	if !errors.Is(err, ErrNoMajority) {
+	if !errors.Is(err, ErrNoQuorum) {
 		t.Fatalf("without a majority: %v", err)
 	}
 	ctx, cancel = context.WithTimeout(context.Background(), time.Second)
-	if _, err := f.nodes["r0"].Barrier(ctx); !errors.Is(err, ErrNoMajority) {
+	if _, err := f.nodes["r0"].Barrier(ctx); !errors.Is(err, ErrNoQuorum) {
 		t.Fatalf("barrier without a majority: %v", err)
 	}
 	cancel()
@@ -147,10 +147,10 @@
 	f.up("r0")
 	f.propose("r0", "a")
 	// The follower's stream falls silent: it takes another voter.
-	f.wait("a stream", func() bool { return f.nodes["r0"].Status().Follows != "" })
-	via := f.nodes["r0"].Status().Follows
+	f.wait("a stream", func() bool { return f.nodes["r0"].Status().StreamSource != "" })
+	via := f.nodes["r0"].Status().StreamSource
 	ws["r0>"+via].cut.Store(true)
-	f.wait("another voter", func() bool { s := f.nodes["r0"].Status().Follows; return s != "" && s != via })
+	f.wait("another voter", func() bool { s := f.nodes["r0"].Status().StreamSource; return s != "" && s != via })
 	ws["r0>"+via].cut.Store(false)
 	// The leader is cut off from the voters: they choose another, it steps down.
 	l := f.leader()
@@ -199,7 +199,7 @@
 		f.propose(l, big)
 	}
 	s := f.nodes[l].Status()
-	if s.LogBytes > ringBytes+CommandMost || s.SnapshotIndex == 0 {
+	if s.LogBytes > ringBytes+MaxCommandSize || s.SnapshotIndex == 0 {
 		t.Fatalf("%+v", s)
 	}
 	f.wait("the log is truncated", func() bool { s := f.nodes[l].Status(); return s.LogLast-s.LogFirst < 16 })
@@ -234,11 +234,11 @@
 		for i := range 3 {
 			f.propose("v0", fmt.Sprint("b", i))
 		}
-		f.wait("it says so", func() bool { s := f.nodes["v1"].Status(); return s.Role == RoleMute && s.Disk != "" })
+		f.wait("it says so", func() bool { s := f.nodes["v1"].Status(); return s.Role == RoleDiskFailed && s.DiskError != "" })
 		f.propose("v2", "c")
 		f.wait("it follows all the same", func() bool { n, _ := f.ms["v1"].now(); return n == 5 })
 		failing.Store(false)
-		f.wait("it votes again", func() bool { s := f.nodes["v1"].Status(); return s.Role != RoleMute && s.Disk == "" })
+		f.wait("it votes again", func() bool { s := f.nodes["v1"].Status(); return s.Role != RoleDiskFailed && s.DiskError == "" })
 		other := "v0"
 		if f.leader() == other {
 			other = "v2"
@@ -266,7 +266,7 @@
 	}
 	f.dirs["v0"] = filepath.Join(file, "dir") // cannot be made
 	f.up("v0")
-	f.wait("it says so", func() bool { s := f.nodes["v0"].Status(); return s.Disk != "" && s.Role == RoleMute })
+	f.wait("it says so", func() bool { s := f.nodes["v0"].Status(); return s.DiskError != "" && s.Role == RoleDiskFailed })
 }
 
 // changed waits until a change of voters is through: before that it takes a majority of the old ones too.
@@ -306,7 +306,7 @@
 			}
 			if how == "older" {
 				f.up("v2")
-				f.wait("it votes", func() bool { return f.nodes["v2"].Status().Role != RoleWaiting })
+				f.wait("it votes", func() bool { return f.nodes["v2"].Status().Role != RoleJoining })
 				f.propose("v2", "forgotten")
 				f.same()
 				time.Sleep(3 * heartbeatTicks * tickEvery) // until the others have heard what it acknowledged
@@ -327,7 +327,7 @@
 			f.up("v2")
 			f.wait("it says so, and is taken in", func() bool {
 				s := f.nodes["v2"].Status()
-				return s.Identity != id && (s.Role == RoleVoter || s.Role == RoleLeader) && (strings.Contains(s.Taken, how) || how == "emptied" || how == "in memory")
+				return s.Identity != id && (s.Role == RoleVoter || s.Role == RoleLeader) && (strings.Contains(s.IdentityReason, how) || how == "emptied" || how == "in memory")
 			})
 			f.changed("v2")
 			f.down("v1")
@@ -349,9 +349,9 @@
 	f.propose("r0", "a")
 	f.same()
 	votersAt := func() (at uint64, same bool) {
-		at, same = f.nodes["r1"].Status().VotersAt, true
+		at, same = f.nodes["r1"].Status().VotersIndex, true
 		for _, n := range f.nodes {
-			same = same && n.Status().VotersAt == at
+			same = same && n.Status().VotersIndex == at
 		}
 		return at, same
 	}
@@ -409,7 +409,7 @@
 		note(from, "said", string(word))
 		switch string(word) {
 		case "large":
-			return make([]byte, AnswerMost+1)
+			return make([]byte, MaxReplySize+1)
 		case "slow":
 			<-slow
 		}
@@ -428,7 +428,7 @@
 	f.reach["r0"] = map[string]string{l: freeAddr(t)} // nobody is there: all that it says goes by another voter
 	f.up("r0")
 	say := func(name, word string) {
-		if err := f.nodes[name].Say([]byte(word)); err != nil && !errors.Is(err, ErrFull) {
+		if err := f.nodes[name].Report([]byte(word)); err != nil && !errors.Is(err, ErrQueueFull) {
 			t.Fatal(err)
 		}
 	}
@@ -475,7 +475,7 @@
 	for range saidMost + 1 {
 		say("r0", "x")
 	}
-	if has("r0", "told", "alone") || has("r0", "told", string(make([]byte, AnswerMost+1))) {
+	if has("r0", "told", "alone") || has("r0", "told", string(make([]byte, MaxReplySize+1))) {
 		t.Error("an answer that nobody could wait for, or that is too large")
 	}
 	if !dropped("said") {
@@ -500,7 +500,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			n.Barrier(ctx) // anything that it sends; it may fail
 			cancel()
-			for _, twin := range n.Status().Twins {
+			for _, twin := range n.Status().DuplicateNames {
 				if twin != "r0" {
 					t.Fatalf("%s names %s", name, twin)
 				}
--- a/internal/consensus/figures_test.go
+++ b/internal/consensus/figures_test.go
@@ -31,7 +31,7 @@
 func usedBy(n *Node) (u used) {
 	u.Status = n.Status()
 	e := n.engine()
-	u.Sound = e != nil && !e.view.Load().unsure && u.Majority
+	u.Sound = e != nil && !e.view.Load().unsure && u.HasQuorum
 	var r unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &r); err == nil {
 		u.CPU = time.Duration(r.Utime.Nano() + r.Stime.Nano())
@@ -53,15 +53,15 @@
 	if err := json.Unmarshal([]byte(args), &o); err != nil {
 		t.Fatal(err)
 	}
-	o.Machine, o.Heard = &sum{}, func(string, []byte) []byte { return make([]byte, 100) }
-	n, err := start(o)
+	o.Machine, o.OnReport = &sum{}, func(string, []byte) []byte { return make([]byte, 100) }
+	n, err := Start(o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	out := json.NewEncoder(os.Stdout)
 	for in := bufio.NewScanner(os.Stdin); in.Scan(); {
 		if in.Text() == "say" {
-			n.Say(make([]byte, 400))
+			n.Report(make([]byte, 400))
 		} else if err := out.Encode(usedBy(n)); err != nil {
 			t.Fatal(err)
 		}
@@ -125,7 +125,7 @@
 		if err == nil {
 			return
 		}
-		if !errors.Is(err, ErrDoubt) && !errors.Is(err, ErrNoMajority) {
+		if !errors.Is(err, ErrOutcomeUnknown) && !errors.Is(err, ErrNoQuorum) {
 			f.t.Fatal(err)
 		}
 	}
@@ -177,8 +177,8 @@
 				for _, p := range ps {
 					if u := p.used(); u.Sound {
 						n++
-						if u.Taken != "" {
-							t.Errorf("a killed process left its directory so that it %s", u.Taken)
+						if u.IdentityReason != "" {
+							t.Errorf("a killed process left its directory so that it %s", u.IdentityReason)
 						}
 					}
 				}
@@ -267,7 +267,7 @@
 						proposed++
 						if i%10 == 0 {
 							for _, n := range f.nodes {
-								if err := n.Say(make([]byte, 400)); err != nil {
+								if err := n.Report(make([]byte, 400)); err != nil {
 									t.Error(err)
 								}
 							}
@@ -291,7 +291,7 @@
 					k.cpu += float64(u.CPU-b.CPU) / 1e6 / secs
 					k.heap += float64(u.Heap) / 1e6
 					rows[role] = k
-					streams[u.Follows]++
+					streams[u.StreamSource]++
 				}
 				t.Logf("%d followers, busy %v: %.1f orders a second, streams %v, load %s", followers, busy, float64(proposed)/secs, streams, load())
 				for _, role := range []string{RoleLeader, RoleVoter, RoleFollower} {
--- a/internal/consensus/http.go
+++ b/internal/consensus/http.go
@@ -46,7 +46,7 @@
 const (
 	path         = "/accord"
 	smallMost    = 2 << 20 // bytes of a request that is no snapshot
-	largeMost    = SnapshotMost + 1<<20
+	largeMost    = MaxSnapshotSize + 1<<20
 	requestsMost = 512 // served at a time, beside streams
 	streamsMost  = 1024
 	dialMost     = time.Second
@@ -123,7 +123,7 @@
 
 // open sends a request. An error that is errUnsent says that nobody acted on it.
 func (c *caller) open(ctx context.Context, name, addr string, kind byte, body []byte) (*sent, error) {
-	if reach, ok := c.n.o.Reach[name]; ok {
+	if reach, ok := c.n.o.AddressOverrides[name]; ok {
 		addr = reach
 	}
 	c.mu.Lock()
@@ -438,10 +438,10 @@
 		w := &waiter{read: req.kind == kindBarrier, done: make(chan result, 1)}
 		copy(w.id[:], r.bytes())
 		w.data = r.bytes()
-		if r.end() != nil || len(w.data) > CommandMost {
+		if r.end() != nil || len(w.data) > MaxCommandSize {
 			return refused(errShort)
 		}
-		ctx, cancel := context.WithTimeout(ctx, min(time.Duration(ms)*time.Millisecond, ProposeMost))
+		ctx, cancel := context.WithTimeout(ctx, min(time.Duration(ms)*time.Millisecond, ProposeTimeout))
 		defer cancel()
 		res := n.passOn(ctx, w, int(hops))
 		switch {
@@ -449,9 +449,9 @@
 			return putBytes(put([]byte{codeOK}, res.index), res.answer)
 		case errors.Is(res.err, errNoLeader):
 			return []byte{codeNoLeader}
-		case errors.Is(res.err, ErrFull):
+		case errors.Is(res.err, ErrQueueFull):
 			return []byte{codeFull}
-		case errors.Is(res.err, ErrNoMajority):
+		case errors.Is(res.err, ErrNoQuorum):
 			return []byte{codeLost}
 		}
 		return []byte{codeDoubt}
--- a/internal/consensus/model_test.go
+++ b/internal/consensus/model_test.go
@@ -728,7 +728,7 @@
 				}
 			}
 			wait()
-		case r.err == errNoLeader || r.err == ErrNoMajority || r.err == ErrFull:
+		case r.err == errNoLeader || r.err == ErrNoQuorum || r.err == ErrQueueFull:
 			if in.write {
 				w.never[pid] = true
 			}
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -123,8 +123,6 @@
 	return binary.BigEndian.Uint64(b[:])>>2 | 1
 }
 
-func start(o Options) (*Node, error) { return startWith(o, nil) }
-
 func startWith(o Options, fault func(string) error) (*Node, error) {
 	switch {
 	case o.Name == "" || len(o.Name) > nameMost:
@@ -167,13 +165,13 @@
 	n.wg.Go(n.sayThread)
 	each(n, n.heard, n.answer)
 	each(n, n.told, func(s saidWord) {
-		if o.Told != nil {
-			o.Told(s.from, s.word)
+		if o.OnReply != nil {
+			o.OnReply(s.from, s.word)
 		}
 	})
 	each(n, n.led, func(l ledNews) {
-		if o.Led != nil {
-			o.Led(l.leading, l.term)
+		if o.OnLeadership != nil {
+			o.OnLeadership(l.leading, l.term)
 		}
 	})
 	n.wg.Go(func() {
@@ -259,10 +257,10 @@
 // answer has a word heard, and gives the answer to who waits for it.
 func (n *Node) answer(s saidWord) {
 	var a []byte
-	if n.o.Heard != nil {
-		a = n.o.Heard(s.from, s.word)
+	if n.o.OnReport != nil {
+		a = n.o.OnReport(s.from, s.word)
 	}
-	if len(a) > AnswerMost {
+	if len(a) > MaxReplySize {
 		n.drop("answersize")
 		a = nil
 	}
@@ -373,7 +371,7 @@
 		if n.o.Dir != "" && (disk == nil || bad != "") {
 			n.setRole(RoleFollower)
 			if n.isVoter() {
-				n.setRole(RoleMute)
+				n.setRole(RoleDiskFailed)
 			}
 			if time.Since(opened) > 5*time.Second {
 				opened = time.Now()
@@ -382,7 +380,7 @@
 			continue
 		}
 		if gave != "" {
-			n.setRole(RoleMute)
+			n.setRole(RoleDiskFailed)
 			continue
 		}
 		record, _, _ := n.ap.at()
@@ -395,10 +393,10 @@
 		case !n.isVoter():
 			n.setRole(RoleFollower)
 		case record == 0:
-			n.setRole(RoleWaiting)
+			n.setRole(RoleJoining)
 			n.found(id)
 		default:
-			n.setRole(RoleWaiting)
+			n.setRole(RoleJoining)
 			if time.Since(wished) > wishEvery {
 				wished = time.Now()
 				n.wish(wish{old: n.o.Name, name: n.o.Name, addr: n.ownAddr(ms), id: id})
@@ -566,7 +564,7 @@
 	n.mu.Unlock()
 	n.tellLed(false, 0)
 	n.peers.know(nil, 0)
-	n.pend.failAll(ErrDoubt)
+	n.pend.failAll(ErrOutcomeUnknown)
 	switch {
 	case e.removed:
 		n.anew(d, "replaced as a voter")
@@ -650,13 +648,13 @@
 	}
 	if !n.pend.add(w) {
 		n.drop("pending")
-		return result{err: ErrFull}
+		return result{err: ErrQueueFull}
 	}
 	select {
 	case e.calls <- w:
 	default:
 		n.drop("calls")
-		n.pend.fail(w, ErrFull)
+		n.pend.fail(w, ErrQueueFull)
 	}
 	select {
 	case r := <-w.done:
@@ -665,7 +663,7 @@
 	case <-e.ended:
 	case <-n.quit:
 	}
-	n.pend.fail(w, ErrDoubt)
+	n.pend.fail(w, ErrOutcomeUnknown)
 	return <-w.done
 }
 
@@ -682,7 +680,7 @@
 }
 
 func (n *Node) send(ctx context.Context, m member, w *waiter, hops int) result {
-	left := ProposeMost
+	left := ProposeTimeout
 	if t, ok := ctx.Deadline(); ok {
 		left = time.Until(t)
 	}
@@ -696,29 +694,29 @@
 	case errors.Is(err, errUnsent):
 		return result{err: errNoLeader}
 	case err != nil:
-		return result{err: ErrDoubt}
+		return result{err: ErrOutcomeUnknown}
 	}
 	switch b[0] {
 	case codeOK:
 		r := reader{b: b[1:]}
 		res := result{index: r.uint(), answer: r.bytes()}
 		if r.end() != nil {
-			res.err = ErrDoubt
+			res.err = ErrOutcomeUnknown
 		}
 		return res
 	case codeNoLeader:
 		return result{err: errNoLeader}
 	case codeFull:
-		return result{err: ErrFull}
+		return result{err: ErrQueueFull}
 	case codeLost, codeRefused:
-		return result{err: ErrNoMajority}
+		return result{err: ErrNoQuorum}
 	}
-	return result{err: ErrDoubt}
+	return result{err: ErrOutcomeUnknown}
 }
 
 // call tries until something was sent on, or the time is over.
 func (n *Node) call(ctx context.Context, data []byte, read bool) result {
-	ctx, cancel := context.WithTimeout(ctx, ProposeMost)
+	ctx, cancel := context.WithTimeout(ctx, ProposeTimeout)
 	defer cancel()
 	for {
 		try := func(f func(context.Context, *waiter) result) (result, bool) {
@@ -732,7 +730,7 @@
 				defer end()
 			}
 			r := f(c, w)
-			return r, !errors.Is(r.err, errNoLeader) && !(read && errors.Is(r.err, ErrDoubt))
+			return r, !errors.Is(r.err, errNoLeader) && !(read && errors.Is(r.err, ErrOutcomeUnknown))
 		}
 		if r, ok := try(func(c context.Context, w *waiter) result { return n.passOn(c, w, 0) }); ok {
 			return r
@@ -747,7 +745,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return result{err: ErrNoMajority}
+			return result{err: ErrNoQuorum}
 		case <-n.quit:
 			return result{err: ErrClosed}
 		case <-time.After(tryPause):
@@ -756,8 +754,8 @@
 }
 
 func (n *Node) propose(ctx context.Context, command []byte) ([]byte, uint64, error) {
-	if len(command) > CommandMost {
-		return nil, 0, ErrSize
+	if len(command) > MaxCommandSize {
+		return nil, 0, ErrTooLarge
 	}
 	r := n.call(ctx, command, false)
 	return r.answer, r.index, r.err
@@ -797,7 +795,7 @@
 		ok = v.leader != 0 && v.mute == nil
 		switch {
 		case v.mute != nil:
-			role = RoleMute
+			role = RoleDiskFailed
 		case v.leads:
 			role = RoleLeader
 		default:
@@ -843,9 +841,9 @@
 func (n *Node) status() Status {
 	n.watchMajority()
 	s := Status{Name: n.o.Name, Voters: map[string]string{}, BytesIn: n.bytesIn.Load(), BytesOut: n.bytesOut.Load()}
-	s.Record, s.Applied, _ = n.ap.at()
+	s.RecordID, s.Applied, _ = n.ap.at()
 	ms, at := n.ap.votersNow()
-	s.VotersAt = at
+	s.VotersIndex = at
 	for _, m := range ms {
 		s.Voters[m.Name] = m.Addr
 	}
@@ -855,18 +853,18 @@
 	e := n.engine()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	s.Role, s.Identity, s.Majority, s.Since, s.Disk, s.Engine, s.Taken = n.role, n.identity, n.majority, n.since, n.diskSays, n.engSays, n.taken
+	s.Role, s.Identity, s.HasQuorum, s.QuorumSince, s.DiskError, s.EngineError, s.IdentityReason = n.role, n.identity, n.majority, n.since, n.diskSays, n.engSays, n.taken
 	s.Committed = n.followed.committed
-	s.Follows, s.Twins = n.followed.voter, slices.Clone(n.twins)
+	s.StreamSource, s.DuplicateNames = n.followed.voter, slices.Clone(n.twins)
 	if e != nil {
 		v := e.view.Load()
 		s.Term, s.Committed, s.LogFirst, s.LogLast, s.SnapshotIndex, s.SnapshotBytes = v.term, v.committed, v.first, v.last, v.snapIndex, v.snapBytes
-		s.Engine = v.held
+		s.EngineError = v.held
 		if v.mute != nil {
-			s.Disk = v.mute.Error()
+			s.DiskError = v.mute.Error()
 		}
 	}
-	s.Dropped, s.Refused = maps.Clone(n.dropped), maps.Clone(n.refusals)
+	s.Dropped, s.Rejected = maps.Clone(n.dropped), maps.Clone(n.refusals)
 	s.LogBytes = n.ap.size()
 	return s
 }
--- a/internal/consensus/node_test.go
+++ b/internal/consensus/node_test.go
@@ -117,7 +117,7 @@
 			f.told(name, from, string(answer))
 		}
 	}
-	n, err := startWith(Options{Name: name, Voters: f.voters, Reach: f.reach[name], Listen: f.addrs[name], Dir: f.dirs[name], Keys: f.keys, Machine: m, Heard: f.heard, Told: told}, f.fault[name])
+	n, err := startWith(Options{Name: name, Voters: f.voters, AddressOverrides: f.reach[name], Listen: f.addrs[name], Dir: f.dirs[name], Keys: f.keys, Machine: m, OnReport: f.heard, OnReply: told}, f.fault[name])
 	if err != nil {
 		f.t.Fatal(err)
 	}
--- a/internal/consensus/say.go
+++ b/internal/consensus/say.go
@@ -10,14 +10,14 @@
 
 // say puts a word into the ring for the leader.
 func (n *Node) say(word []byte) error {
-	if len(word) > WordMost {
-		return ErrSize
+	if len(word) > MaxReportSize {
+		return ErrTooLarge
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(n.said) >= saidMost || n.saidSize+len(word) > saidBytes {
 		n.dropped["said"]++
-		return ErrFull
+		return ErrQueueFull
 	}
 	n.said = append(n.said, bytes.Clone(word))
 	n.saidSize += len(word)
@@ -162,7 +162,7 @@
 
 // replace asks the leader for a change of voters and waits until the record here has it.
 func (n *Node) replace(ctx context.Context, old, new, address string) error {
-	ctx, cancel := context.WithTimeout(ctx, ProposeMost)
+	ctx, cancel := context.WithTimeout(ctx, ProposeTimeout)
 	defer cancel()
 	var identity uint64
 	if old == new {
@@ -198,7 +198,7 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return ErrDoubt
+			return ErrOutcomeUnknown
 		case <-n.quit:
 			return ErrClosed
 		}
@@ -222,7 +222,7 @@
 			switch {
 			case errors.Is(err, errUnsent):
 			case err != nil:
-				return ErrDoubt
+				return ErrOutcomeUnknown
 			case a[0] == codeOK:
 				return nil
 			case a[0] == codeRefused:
@@ -231,7 +231,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return ErrNoMajority
+			return ErrNoQuorum
 		case <-n.quit:
 			return ErrClosed
 		case <-time.After(tryPause):
--- a/internal/fleet/calls.go
+++ b/internal/fleet/calls.go
@@ -286,9 +286,9 @@
 // status is 503 where a call may be repeated, 504 where it is not known whether it counts: the record tells.
 func status(err error) int {
 	switch {
-	case errors.Is(err, consensus.ErrNoMajority), errors.Is(err, consensus.ErrFull), errors.Is(err, consensus.ErrClosed):
+	case errors.Is(err, consensus.ErrNoQuorum), errors.Is(err, consensus.ErrQueueFull), errors.Is(err, consensus.ErrClosed):
 		return http.StatusServiceUnavailable
-	case errors.Is(err, consensus.ErrSize):
+	case errors.Is(err, consensus.ErrTooLarge):
 		return http.StatusRequestEntityTooLarge
 	default:
 		return http.StatusGatewayTimeout
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -94,8 +94,8 @@
 	if s.known, err = readKept(o.Dir); err != nil {
 		o.Log.WithError(err).Warn("fleet: what was agreed before this start cannot be read: bans hold again when the record is heard")
 	}
-	s.node, err = consensus.Start(consensus.Options{Name: o.Name, Voters: o.Voters, Reach: o.Reach, Listen: o.Listen, Dir: o.Dir, Keys: o.Keys,
-		Machine: s.record, Heard: s.heard, Told: s.told, Led: s.led, Log: o.Log})
+	s.node, err = consensus.Start(consensus.Options{Name: o.Name, Voters: o.Voters, AddressOverrides: o.Reach, Listen: o.Listen, Dir: o.Dir, Keys: o.Keys,
+		Machine: s.record, OnReport: s.heard, OnReply: s.told, OnLeadership: s.led, Log: o.Log})
 	if err != nil {
 		return nil, err
 	}
@@ -172,7 +172,7 @@
 	s.said += len(text)
 	s.mu.Unlock()
 	if err == nil {
-		err = s.node.Say(text)
+		err = s.node.Report(text)
 	}
 	if err != nil {
 		s.failed("say", err)
@@ -182,14 +182,14 @@
 // votersOf is who votes, as this relay's engine has it; nothing before it knows of a record.
 func votersOf(st consensus.Status) drift.Item {
 	it := drift.Item{Name: drift.Voters}
-	if st.Record == 0 {
+	if st.RecordID == 0 {
 		return it
 	}
 	var names []string
 	for _, name := range slices.Sorted(maps.Keys(st.Voters)) {
 		names = append(names, name+" "+st.Voters[name])
 	}
-	it.Version, it.Digest = st.VotersAt, digestOf(names)
+	it.Version, it.Digest = st.VotersIndex, digestOf(names)
 	return it
 }
 
@@ -250,7 +250,7 @@
 	defer s.posting.Unlock()
 	var o Orders
 	st := s.node.Status() // before the record is read: what is applied later is in it too
-	o.Index, o.Reached = st.Applied, st.Majority && st.Applied == st.Committed
+	o.Index, o.Reached = st.Applied, st.HasQuorum && st.Applied == st.Committed
 	s.mu.Lock()
 	s.caught = s.caught || o.Reached
 	caught := s.caught
