--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -16,12 +16,9 @@
 
 	"dahliarudder/internal/consensus"
 	"dahliarudder/internal/core"
-	"dahliarudder/internal/drift"
 	"dahliarudder/internal/fleet"
-	"dahliarudder/internal/gossip"
 	"dahliarudder/internal/rollout"
 	"dahliarudder/internal/settings"
-	"dahliarudder/policy"
 )
 
 // orderedExit is the end of a relay that the fleet told to leave: whatever started it is to start it again.
@@ -29,48 +26,48 @@
 
 func (e orderedExit) Error() string { return fmt.Sprintf("told to leave: exit status %d", int(e)) }
 
-// leaving is how far this relay is with an order to leave.
-type leaving struct {
+// shutdownOrder is how far this relay is with an order to leave.
+type shutdownOrder struct {
 	number uint64
 	since  time.Duration
 }
 
-// leaveWithin is when a relay that was told to leave ends although some flow is left: its drain takes three seconds, and a stop moves the rest.
-const leaveWithin = 4 * time.Second
+// orderedDrainTimeout is when a relay that was told to leave ends although some flow is left: its drain takes three seconds, and a stop moves the rest.
+const orderedDrainTimeout = 4 * time.Second
 
-// departEvery is how often it looks whether it may end.
-const departEvery = 100 * time.Millisecond
+// orderedDrainPoll is how often it looks whether it may end.
+const orderedDrainPoll = 100 * time.Millisecond
 
-// join begins to agree with the other relays.
-func (r *relay) join(c fleet.Config) error {
+// startFleet begins to agree with the other relays.
+func (r *relay) startFleet(c fleet.Config) error {
 	set := r.names.Settings
 	program := cmp.Or(c.Program, version+"-"+fileDigest(os.Executable))
 	zone := ""
 	if set.Zone >= 0 && set.Zone < len(set.Zones) {
 		zone = string(set.Zones[set.Zone])
 	}
-	r.trial, r.sections = newTrial(r), r.cfg.Sections()
+	r.trial, r.configDigests = newCanaryTrial(r), r.cfg.Sections()
 	var err error
-	r.fleet, err = fleet.Start(fleet.Options{Config: c, Name: r.cfg.Name, Zone: zone, Start: r.peers.Start(), Program: program,
-		Settings: r.cfg.Digest(), Keys: r.cfg.Peers.Keys(), ColdFrom: set.Guarantees.ColdFrom, ColdFor: settings.Span(set.Guarantees.Cold),
-		Wall: steadyWall(), Log: r.log, Post: r.loop.Post, Look: r.look, Follow: r.heed,
-		Pause: r.pauseTrial})
+	r.fleet, err = fleet.Start(fleet.Options{Config: c, Name: r.cfg.Name, Zone: zone, Incarnation: r.peers.Start(), Program: program,
+		ConfigDigest: r.cfg.Digest(), Keys: r.cfg.Peers.Keys(), SlowStartShare: set.Guarantees.ColdFrom, SlowStartDuration: settings.Span(set.Guarantees.Cold),
+		WallClock: steadyWall(), Log: r.log, Post: r.loop.Post, Observe: r.fleetStatus, ApplyDesired: r.applyOrders,
+		PauseCanary: r.pauseCanary})
 	if err != nil {
 		return err
 	}
-	// What was agreed while it was down is heard first: until then nothing new goes to a member, for catchUp at most.
+	// What was agreed while it was down is heard first: until then nothing new goes to a member, for finishCatchUp at most.
 	r.core.Doubt()
 	r.core.Expect(true)
-	r.loop.After(catchUp, r.catchUp)
+	r.loop.After(catchUpTimeout, r.finishCatchUp)
 	return nil
 }
 
-// catchUp is how long a relay that starts waits for the record: an election takes two seconds at most, and without a majority it serves.
-const catchUp = 2 * time.Second
+// finishCatchUp is how long a relay that starts waits for the record: an election takes two seconds at most, and without a majority it serves.
+const catchUpTimeout = 2 * time.Second
 
-func (r *relay) catchUp() {
-	if !r.caught {
-		r.caught = true
+func (r *relay) finishCatchUp() {
+	if !r.caughtUp {
+		r.caughtUp = true
 		r.core.Expect(false)
 		r.core.Sure()
 	}
@@ -94,110 +91,66 @@
 	return hex.EncodeToString(h.Sum(nil)[:4])
 }
 
-var listed = map[policy.State]string{policy.Ready: "ready", policy.Draining: "draining", policy.Gone: "gone"}
-
-// look is what this relay does now.
-func (r *relay) look() fleet.Look {
-	set, n := r.names.Settings, r.core.Counts
-	list, _ := r.watch.List()
-	now := r.loop.Now()
-	if r.looked > 0 {
-		r.stood += time.Duration(r.core.Held()) * (now - r.looked)
-	}
-	r.looked = now
-	l := fleet.Look{Phase: "serving", Flows: r.core.Held(), Asked: uint64((r.stood + n.Away).Milliseconds()), Served: uint64(r.stood.Milliseconds()), Astray: uint64(n.Astray),
-		Local: r.core.Banned(), Agreed: r.agreed, Follows: r.follows, List: list.Generation, Sections: r.sections, Permits: r.permits, Shut: r.shut}
-	if r.refused != "" {
-		l.Refused = map[string]string{drift.Config + ".settings": r.refused}
-	}
-	switch {
-	case r.ending:
-		l.Phase = "leaving"
-	case !r.open || !r.core.Usable() || !r.caught:
-		l.Phase = "starting"
-	case r.shut != 0:
-		l.Phase = "shut"
-	case !r.core.Welcomes():
-		l.Phase = "draining"
-	}
-	for _, m := range r.core.Members() {
-		p := fleet.Pooled{Name: m.Name, Listed: listed[m.State], Out: m.Out, Flows: m.Flows, Capacity: m.Capacity, Good: m.Good, Bad: m.Bad}
-		if m.Zone < len(set.Zones) {
-			p.Zone = string(set.Zones[m.Zone])
-		}
-		if m.Started != 0 {
-			p.Started = r.names.Starts.UnixMilli(m.Name, m.Started)
-		}
-		l.Members = append(l.Members, p)
-	}
-	l.Weighs, l.Counts = r.trial.weighs, r.trial.counts()
-	for _, p := range r.peers.Known() {
-		l.Peers = append(l.Peers, fleet.Peer{Name: p.Name, Zone: p.Zone, Alive: p.State <= gossip.Suspect, Gone: p.State >= gossip.Gone,
-			Serving: p.Phase == gossip.Serving, Incarnation: p.Incarnation})
-	}
-	return l
-}
-
-// heed does what was agreed.
-func (r *relay) heed(o fleet.Orders) {
-	version := o.Version
-	r.trial.agreed(o)
+// applyOrders does what was agreed.
+func (r *relay) applyOrders(o fleet.DesiredState) {
+	version := o.RecordVersion
+	r.trial.applyOrders(o)
 	out := map[string]core.Leaving{}
 	for name, i := range o.Out {
 		out[name] = core.Leaving{Over: time.Duration(i.MoveOver) * time.Millisecond, Ban: i.Why == rollout.Ban}
 	}
-	if o.Reached {
-		defer r.catchUp()
+	if o.MajorityConfirmed {
+		defer r.finishCatchUp()
 	}
 	names := slices.Sorted(maps.Keys(out))
-	if !slices.Equal(names, r.agreed) {
+	if !slices.Equal(names, r.fleetEjected) {
 		r.log.WithFields(logrus.Fields{"out": names, "version": version}).Info("fleet: members that are out")
 	}
 	r.core.Agree(out)
-	r.agreed, r.follows, r.permits = names, version, o.Permits
+	r.fleetEjected, r.recordVersion, r.permits = names, version, o.PermitsVersion
 	mine := o.Leave != nil && o.Leave.Start >= r.peers.Start() // else it was for the process before this one
 	switch {
-	case mine && r.leaving == nil:
+	case mine && r.shutdownOrder == nil:
 		r.log.WithFields(logrus.Fields{"release": o.Leave.Release, "number": o.Leave.Number}).Info("fleet: told to leave")
-		r.leaving = &leaving{o.Leave.Number, r.loop.Now()}
-		r.settle()
-		r.depart()
-	case !mine && r.leaving != nil && !r.ending:
+		r.shutdownOrder = &shutdownOrder{o.Leave.Number, r.loop.Now()}
+		r.applyDrainState()
+		r.exitWhenDrained()
+	case !mine && r.shutdownOrder != nil && !r.stopping:
 		r.log.Info("fleet: may stay")
-		r.leaving = nil
-		r.settle()
+		r.shutdownOrder = nil
+		r.applyDrainState()
 	}
 	shut := uint64(0)
 	if o.Shut != nil && o.Shut.Start >= r.peers.Start() {
 		shut = o.Shut.Number
 	}
-	if shut != r.shut && !r.ending {
+	if shut != r.closeOrder && !r.stopping {
 		if shut != 0 {
 			r.log.WithFields(logrus.Fields{"number": shut, "why": o.Shut.Why}).Warn("fleet: shut")
 		} else {
 			r.log.Info("fleet: admitted")
 		}
-		r.shut = shut
-		r.settle()
+		r.closeOrder = shut
+		r.applyDrainState()
 	}
 }
 
-// depart ends this relay once its clients are moved, and a majority says that the order stands. Without a majority it stays drained.
-func (r *relay) depart() {
-	l := r.leaving
-	r.loop.After(departEvery, func() {
+// exitWhenDrained ends this relay once its clients are moved, and a majority says that the order stands. Without a majority it stays drained.
+func (r *relay) exitWhenDrained() {
+	l := r.shutdownOrder
+	r.loop.After(orderedDrainPoll, func() {
 		switch {
-		case r.leaving != l || r.ending: // it may stay, or was told anew, or ends already
-		case r.core.Held() > 0 && r.loop.Now()-l.since < leaveWithin, r.loop.Now()-l.since < core.StopNotice:
-			r.depart()
+		case r.shutdownOrder != l || r.stopping: // it may stay, or was told anew, or ends already
+		case r.core.Held() > 0 && r.loop.Now()-l.since < orderedDrainTimeout, r.loop.Now()-l.since < core.StopNotice:
+			r.exitWhenDrained()
 		default:
-			r.fleet.Stands(l.number, func(stands, sound bool) {
+			r.fleet.ConfirmLeave(l.number, func(stands, sound bool) {
 				switch {
-				case r.leaving != l || r.ending:
+				case r.shutdownOrder != l || r.stopping:
 				case !stands || !sound:
-					r.depart()
+					r.exitWhenDrained()
 				default:
-					r.ordered = true
+					r.exitOrdered = true
 					r.stop()
 				}
 			})
@@ -205,18 +158,18 @@
 	})
 }
 
-// banAll has a member taken out, or put back, at all relays. Without a majority it holds at this relay alone, and is shown as drift
+// ejectFleetWide has a member taken out, or put back, at all relays. Without a majority it holds at this relay alone, and is shown as drift
 // when the majority is back.
-func (r *relay) banAll(member string, out bool, done func(error)) {
-	r.fleet.Ban(member, out, func(err error) {
+func (r *relay) ejectFleetWide(member string, out bool, done func(error)) {
+	r.fleet.SetEjected(member, out, func(err error) {
 		switch {
 		case err == nil && out: // agreed: a word of this relay's own would outlive it
 			done(nil)
 		case err == nil:
-			r.follow(member, false, done)
+			r.applyEjections(member, false, done)
 		case errors.Is(err, consensus.ErrNoQuorum), errors.Is(err, consensus.ErrQueueFull):
 			r.log.WithError(err).WithField("member", member).Warn("fleet: the call holds at this relay alone")
-			r.follow(member, out, done)
+			r.applyEjections(member, out, done)
 		default:
 			done(err)
 		}
--- a/internal/consensus/api.go
+++ b/internal/consensus/api.go
@@ -58,8 +58,8 @@
 	// Voters maps names to addresses (of fleet.listen): 1, 3 or 5. It is the configuration that the record is bootstrapped with, and whom
 	// a relay contacts first; later the record itself says who votes. All of them have to be up once for the bootstrap.
 	Voters map[string]string
-	// AddressOverrides maps names to the addresses at which this relay reaches them, where these differ from those in the record.
-	AddressOverrides map[string]string
+	// DialAddresses maps names to the addresses at which this relay reaches them, where these differ from those in the record.
+	DialAddresses map[string]string
 	// Listen is host:port; ":0" takes any port (tests).
 	Listen string
 	// Dir holds a voter's log and snapshots. If it is empty, nothing is stored, and each restart is that of a voter that lost its directory.
--- a/internal/consensus/http.go
+++ b/internal/consensus/http.go
@@ -123,7 +123,7 @@
 
 // open sends a request. An error that is errUnsent says that nobody acted on it.
 func (c *caller) open(ctx context.Context, name, addr string, kind byte, body []byte) (*sent, error) {
-	if reach, ok := c.n.o.AddressOverrides[name]; ok {
+	if reach, ok := c.n.o.DialAddresses[name]; ok {
 		addr = reach
 	}
 	c.mu.Lock()
