--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -167,7 +167,7 @@
 			done(nil)
 		case err == nil:
 			r.applyEjections(member, false, done)
-		case errors.Is(err, consensus.ErrNoMajority), errors.Is(err, consensus.ErrFull):
+		case errors.Is(err, consensus.ErrNoQuorum), errors.Is(err, consensus.ErrQueueFull):
 			r.log.WithError(err).WithField("member", member).Warn("fleet: the call holds at this relay alone")
 			r.applyEjections(member, out, done)
 		default:
