--- a/internal/front/nats/client.go
+++ b/internal/front/nats/client.go
@@ -120,7 +120,7 @@
 func (c *client) Drained() {
 	c.slowSince = 0
 	for _, l := range c.links {
-		l.c.Resume()
+		l.c.ResumeReading()
 	}
 }
 
@@ -142,7 +142,7 @@
 	}
 	used := 0
 	for !c.over {
-		m, n, err := parse(b[used:], c.f.MaxControl, c.f.MaxPayload)
+		m, n, err := parse(b[used:], c.f.MaxControlLine, c.f.MaxPayload)
 		if err != nil {
 			c.fail(err.Error())
 			break
@@ -151,7 +151,7 @@
 			return used
 		}
 		if !c.do(&m) {
-			c.c.Rest() // goOn resumes
+			c.c.PauseReading() // goOn resumes
 			return used
 		}
 		used += n
@@ -168,7 +168,7 @@
 	c.f.Loop.After(0, func() {
 		c.later = false
 		c.settle()
-		c.c.Resume()
+		c.c.ResumeReading()
 		if c.leftBytes && c.quiet() {
 			c.close()
 		}
@@ -250,7 +250,7 @@
 		c.fail("Authorization Violation")
 		return true
 	}
-	if len(c.answers) > c.f.MaxSubs+c.f.WindowMessages {
+	if len(c.answers) > c.f.MaxSubscriptions+c.f.WindowMessages {
 		return false // who asks without end waits for the answers
 	}
 	switch m.op {
@@ -304,7 +304,7 @@
 	connect := append([]byte(nil), text...)
 	c.enter(connect, func() {
 		c.connect = connect
-		c.c.Spare(nil)
+		c.c.SetEvictable(nil)
 		c.keepAlive()
 		c.ok()
 	})
@@ -317,7 +317,7 @@
 func (c *client) keepAlive() {
 	c.timer.Stop()
 	c.timer = c.f.Loop.After(c.f.pingEvery(), func() {
-		if c.pings++; c.pings > c.f.PingMost {
+		if c.pings++; c.pings > c.f.MaxPingsOut {
 			c.fail("Stale Connection")
 			return
 		}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -34,16 +34,16 @@
 	Transfer  uint64 `json:"transfer,omitempty"`  // the number of a note that carries a connection, if it is to be confirmed
 	Confirmed uint64 `json:"confirmed,omitempty"` // what that note carried has been taken over
 
-	Hello    int         `json:"hello,omitempty"` // the second's version
-	State    *State      `json:"state,omitempty"` // the first's answer, with the listening sockets
-	Serving  bool        `json:"serving,omitempty"`
-	Leaving  bool        `json:"leaving,omitempty"`  // the sender was told to stop
-	Relieves bool        `json:"relieves,omitempty"` // the sender takes clients in, and the other may end
-	Bans     bool        `json:"bans,omitempty"`     // the file of bans has changed
-	Drain    *bool       `json:"drain,omitempty"`    // an operator has drained the relay, or resumed
-	Open     *Open       `json:"open,omitempty"`     // the requests that the first holds
-	Flow     *line.Flow  `json:"flow,omitempty"`     // an open flow, with the client's socket and the member's
-	Client   *line.Fresh `json:"client,omitempty"`   // a client that has asked for nothing yet, with its socket
+	Hello    int               `json:"hello,omitempty"` // the second's version
+	State    *State            `json:"state,omitempty"` // the first's answer, with the listening sockets
+	Serving  bool              `json:"serving,omitempty"`
+	Leaving  bool              `json:"leaving,omitempty"`  // the sender was told to stop
+	Relieves bool              `json:"relieves,omitempty"` // the sender takes clients in, and the other may end
+	Bans     bool              `json:"bans,omitempty"`     // the file of bans has changed
+	Drain    *bool             `json:"drain,omitempty"`    // an operator has drained the relay, or resumed
+	Open     *Open             `json:"open,omitempty"`     // the requests that the first holds
+	Flow     *line.FlowHandoff `json:"flow,omitempty"`     // an open flow, with the client's socket and the member's
+	Client   *line.IdleConn    `json:"client,omitempty"`   // a client that has asked for nothing yet, with its socket
 }
 
 // Open is what the first holds: clients' ids of the line front, and how many
@@ -108,13 +108,13 @@
 	}
 	text, err := json.Marshal(Note{Hello: version})
 	if err == nil {
-		err = netloop.Say(fd, append([]byte{last}, text...))
+		err = netloop.SendBlocking(fd, append([]byte{last}, text...))
 	}
 	var p parts
 	for err == nil && state == nil {
 		var frame []byte
 		var some []int
-		if frame, some, err = netloop.Hear(fd); err != nil {
+		if frame, some, err = netloop.ReceiveBlocking(fd); err != nil {
 			break
 		}
 		fds = append(fds, some...)
@@ -158,7 +158,7 @@
 	FDs  []int
 }
 
-// Peer is the other process.
+// RemoteIP is the other process.
 type Peer struct {
 	channel  *netloop.Channel
 	parts    parts
@@ -269,8 +269,8 @@
 	return nil
 }
 
-// Quiet says that all that was told has left, and all that was given is confirmed.
-func (p *Peer) Quiet() bool { return p.channel.Quiet() && len(p.out) == 0 }
+// Idle says that all that was told has left, and all that was given is confirmed.
+func (p *Peer) Quiet() bool { return p.channel.Idle() && len(p.out) == 0 }
 
 // Leave ends the conversation; nobody here is told.
 func (p *Peer) Leave() {
