--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -16,12 +16,9 @@
 
 	"dahliarudder/internal/consensus"
 	"dahliarudder/internal/core"
-	"dahliarudder/internal/drift"
 	"dahliarudder/internal/fleet"
-	"dahliarudder/internal/gossip"
 	"dahliarudder/internal/rollout"
 	"dahliarudder/internal/settings"
-	"dahliarudder/policy"
 )
 
 // orderedExit is the end of a relay that the fleet told to leave: whatever started it is to start it again.
@@ -94,57 +91,13 @@
 	return hex.EncodeToString(h.Sum(nil)[:4])
 }
 
-var stateNames = map[policy.State]string{policy.Ready: "ready", policy.Draining: "draining", policy.Gone: "gone"}
-
-// fleetStatus is what this relay does now.
-func (r *relay) fleetStatus() fleet.ObservedState {
-	set, n := r.names.Settings, r.core.Counts
-	list, _ := r.watch.List()
-	now := r.loop.Now()
-	if r.statusAt > 0 {
-		r.flowTime += time.Duration(r.core.Held()) * (now - r.statusAt)
-	}
-	r.statusAt = now
-	l := fleet.ObservedState{Phase: "serving", Flows: r.core.Held(), DemandMS: uint64((r.flowTime + n.Away).Milliseconds()), ServedMS: uint64(r.flowTime.Milliseconds()), MisroutedFlows: uint64(n.Astray),
-		LocalEjections: r.core.Banned(), AppliedOut: r.fleetEjected, AppliedVersion: r.recordVersion, ListGeneration: list.Generation, ConfigSections: r.configDigests, PermitsVersion: r.permits, ShutOrder: r.closeOrder}
-	if r.reloadError != "" {
-		l.RejectedItems = map[string]string{drift.Config + ".settings": r.reloadError}
-	}
-	switch {
-	case r.stopping:
-		l.Phase = "leaving"
-	case !r.accepting || !r.core.Usable() || !r.caughtUp:
-		l.Phase = "starting"
-	case r.closeOrder != 0:
-		l.Phase = "shut"
-	case !r.core.Welcomes():
-		l.Phase = "draining"
-	}
-	for _, m := range r.core.Members() {
-		p := fleet.MemberState{Name: m.Name, DiscoveryState: stateNames[m.State], Out: m.Out, Flows: m.Flows, Capacity: m.Capacity, Successes: m.Good, Failures: m.Bad}
-		if m.Zone < len(set.Zones) {
-			p.Zone = string(set.Zones[m.Zone])
-		}
-		if m.Started != 0 {
-			p.StartedAt = r.names.Starts.UnixMilli(m.Name, m.Started)
-		}
-		l.Members = append(l.Members, p)
-	}
-	l.CanaryVersion, l.CanaryCounts = r.trial.appliedVersion, r.trial.counts()
-	for _, p := range r.peers.Known() {
-		l.Peers = append(l.Peers, fleet.Peer{Name: p.Name, Zone: p.Zone, Alive: p.State <= gossip.Suspect, Gone: p.State >= gossip.Gone,
-			Serving: p.Phase == gossip.Serving, Incarnation: p.Incarnation})
-	}
-	return l
-}
-
 // applyOrders does what was agreed.
 func (r *relay) applyOrders(o fleet.DesiredState) {
 	version := o.RecordVersion
 	r.trial.applyOrders(o)
 	out := map[string]core.Leaving{}
-	for name, i := range o.Out {
-		out[name] = core.Leaving{Over: time.Duration(i.MoveOver) * time.Millisecond, Ban: i.Why == rollout.Ban}
+	for name, i := range o.Exclusions {
+		out[name] = core.Leaving{Over: time.Duration(i.MigrateOverMS) * time.Millisecond, Ban: i.Reason == rollout.CommandEject}
 	}
 	if o.MajorityConfirmed {
 		defer r.finishCatchUp()
@@ -155,7 +108,7 @@
 	}
 	r.core.Agree(out)
 	r.fleetEjected, r.recordVersion, r.permits = names, version, o.PermitsVersion
-	mine := o.Leave != nil && o.Leave.Start >= r.peers.Start() // else it was for the process before this one
+	mine := o.Leave != nil && o.Leave.StartNumber >= r.peers.Start() // else it was for the process before this one
 	switch {
 	case mine && r.shutdownOrder == nil:
 		r.log.WithFields(logrus.Fields{"release": o.Leave.Release, "number": o.Leave.Number}).Info("fleet: told to leave")
@@ -168,12 +121,12 @@
 		r.applyDrainState()
 	}
 	shut := uint64(0)
-	if o.Shut != nil && o.Shut.Start >= r.peers.Start() {
-		shut = o.Shut.Number
+	if o.Quarantine != nil && o.Quarantine.StartNumber >= r.peers.Start() {
+		shut = o.Quarantine.Number
 	}
 	if shut != r.closeOrder && !r.stopping {
 		if shut != 0 {
-			r.log.WithFields(logrus.Fields{"number": shut, "why": o.Shut.Why}).Warn("fleet: shut")
+			r.log.WithFields(logrus.Fields{"number": shut, "why": o.Quarantine.Reason}).Warn("fleet: shut")
 		} else {
 			r.log.Info("fleet: admitted")
 		}
@@ -214,7 +167,7 @@
 			done(nil)
 		case err == nil:
 			r.applyEjections(member, false, done)
-		case errors.Is(err, consensus.ErrNoMajority), errors.Is(err, consensus.ErrFull):
+		case errors.Is(err, consensus.ErrNoQuorum), errors.Is(err, consensus.ErrQueueFull):
 			r.log.WithError(err).WithField("member", member).Warn("fleet: the call holds at this relay alone")
 			r.applyEjections(member, out, done)
 		default:
--- /dev/null
+++ b/cmd/dahliarudder/fleet_status.go
@@ -0,0 +1,54 @@
+package main
+
+import (
+	"time"
+
+	"dahliarudder/internal/drift"
+	"dahliarudder/internal/fleet"
+	"dahliarudder/internal/gossip"
+	"dahliarudder/policy"
+)
+
+var stateNames = map[policy.State]string{policy.Ready: "ready", policy.Draining: "draining", policy.Gone: "gone"}
+
+// fleetStatus is what this relay does now.
+func (r *relay) fleetStatus() fleet.ObservedState {
+	set, n := r.names.Settings, r.core.Counts
+	list, _ := r.watch.List()
+	now := r.loop.Now()
+	if r.statusAt > 0 {
+		r.flowTime += time.Duration(r.core.Held()) * (now - r.statusAt)
+	}
+	r.statusAt = now
+	l := fleet.ObservedState{Phase: "serving", Flows: r.core.Held(), DemandMS: uint64((r.flowTime + n.Away).Milliseconds()), ServedMS: uint64(r.flowTime.Milliseconds()), MisroutedFlows: uint64(n.Astray),
+		LocalEjections: r.core.Banned(), AppliedOut: r.fleetEjected, AppliedVersion: r.recordVersion, ListGeneration: list.Generation, ConfigSections: r.configDigests, PermitsVersion: r.permits, ShutOrder: r.closeOrder}
+	if r.reloadError != "" {
+		l.RejectedItems = map[string]string{drift.Config + ".settings": r.reloadError}
+	}
+	switch {
+	case r.stopping:
+		l.Phase = "leaving"
+	case !r.accepting || !r.core.Usable() || !r.caughtUp:
+		l.Phase = "starting"
+	case r.closeOrder != 0:
+		l.Phase = "shut"
+	case !r.core.Welcomes():
+		l.Phase = "draining"
+	}
+	for _, m := range r.core.Members() {
+		p := fleet.MemberState{Name: m.Name, DiscoveryState: stateNames[m.State], Out: m.Out, Flows: m.Flows, Capacity: m.Capacity, Successes: m.Good, Failures: m.Bad}
+		if m.Zone < len(set.Zones) {
+			p.Zone = string(set.Zones[m.Zone])
+		}
+		if m.Started != 0 {
+			p.StartedAt = r.names.Starts.UnixMilli(m.Name, m.Started)
+		}
+		l.Members = append(l.Members, p)
+	}
+	l.CanaryVersion, l.CanaryCounts = r.trial.appliedVersion, r.trial.counts()
+	for _, p := range r.peers.Known() {
+		l.Peers = append(l.Peers, fleet.Peer{Name: p.Name, Zone: p.Zone, Alive: p.State <= gossip.Suspect, Gone: p.State >= gossip.Gone,
+			Serving: p.Phase == gossip.Serving, Incarnation: p.Incarnation})
+	}
+	return l
+}
--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -6,29 +6,18 @@
 	"math"
 	"math/rand/v2"
 	"os"
-	"runtime"
-	"runtime/debug"
 	"slices"
 	"time"
 
 	"github.com/sirupsen/logrus"
-	"golang.org/x/sys/unix"
 
 	"dahliarudder/internal/config"
 	"dahliarudder/internal/core"
-	"dahliarudder/internal/ejections"
-	"dahliarudder/internal/fleet"
 	"dahliarudder/internal/front/line"
-	"dahliarudder/internal/front/nats"
-	"dahliarudder/internal/gossiptransport"
-	"dahliarudder/internal/handover"
 	"dahliarudder/internal/netloop"
-	"dahliarudder/internal/operator"
 	"dahliarudder/internal/pool"
 	"dahliarudder/internal/rollout"
 	"dahliarudder/internal/settings"
-	"dahliarudder/internal/snapshot"
-	"dahliarudder/internal/store"
 	"dahliarudder/policy"
 )
 
@@ -89,12 +78,12 @@
 		return err
 	}
 	r.loop = loop
-	loop.Memory(r.maxBufferBytes)
+	loop.SetMemoryLimit(r.maxBufferBytes)
 	if err := r.build(); err != nil {
 		loop.Close()
 		return errors.Join(err, r.closeStore())
 	}
-	loop.Gap(r.core.Limits().AskWithin/suspensionFraction, r.afterSuspension)
+	loop.OnStall(r.core.Limits().AskWithin/suspensionFraction, r.afterSuspension)
 	if cfg.CountsMS > 0 {
 		r.logCounts(time.Duration(cfg.CountsMS*float64(time.Millisecond)), core.Counts{})
 	}
@@ -106,7 +95,7 @@
 	err = loop.Run()
 	r.fleet.Close()
 	if err == nil && r.exitOrdered {
-		err = orderedExit(rollout.ExitOrdered)
+		err = orderedExit(rollout.ExitOrderedRestart)
 	}
 	log.WithField("counts", fmt.Sprintf("%+v", r.core.Counts)).Info("stopped")
 	return errors.Join(err, r.closeStore())
@@ -155,192 +144,6 @@
 	r.loop.After(settings.Span(r.names.Settings.Guarantees.Grace), r.core.Sure)
 }
 
-// relay is what serve puts together.
-type relay struct {
-	cfg               *config.Config
-	signals           *signals
-	log               *logrus.Logger
-	loop              *netloop.Loop
-	clock             func() time.Duration
-	names             pool.Names
-	watch             *pool.Watch
-	core              *core.Core
-	coreTimer         *netloop.Timer           // when the core is due
-	natsFront         *nats.Front              // nil if it is off
-	store             *store.Store             // nil if it is off
-	peers             *gossiptransport.Service // nil if it is off
-	recovery          *recoveryReport          // nil if no state is kept
-	fleet             *fleet.Service           // nil if nothing is agreed with others
-	recordVersion     uint64                   // the version of the fleet's record that this relay goes by
-	fleetEjected      []string                 // the members that are out by it
-	flowTime          time.Duration            // of all flows together, as looked at
-	statusAt          time.Duration            // when it last was
-	permits           uint64                   // what stands for the permits in force
-	closeOrder        uint64                   // the number of the order by which it takes no clients; 0: it takes them
-	configDigests     map[string]string        // digests of the configuration that it runs
-	reloadError       string                   // why it did not take the file that it last read; "" if it did
-	trial             *canaryTrial             // of canaries; nil without a fleet
-	drainedByOperator bool                     // by an operator
-	shutdownOrder     *shutdownOrder           // it was told to leave; nil if not
-	exitOrdered       bool                     // it ends because it was told to
-	stopping          bool
-	caughtUp          bool // it has heard what was agreed while it was down, or waited long enough
-	listeners         []*netloop.Listener
-	maxSockets        int                          // descriptors that the loop may hold
-	maxBufferBytes    int                          // bytes that its buffers may
-	lineFront         *line.Front                  // nil if it is off
-	clientListeners   map[string]*netloop.Listener // where clients come in
-	accepting         bool                         // and they may
-
-	// With a second address:
-	stateDir          string // of the state that outlives this process
-	ejections         *ejections.File
-	ejectionWrites    chan func()       // what operators have said, to be written in that order
-	successorListener *netloop.Listener // where a successor comes in
-	sibling           *siblingProcess   // the other process of this relay; nil if there is none
-	takeover          takeoverState     // what that one does when this one stops
-	inheritedSockets  map[string]int    // the listening sockets of an older one, until they are used
-	inheritedState    *handover.State   // what it knew, until that is taken over
-}
-
-func (r *relay) build() (err error) {
-	cfg, loop := r.cfg, r.loop
-	var ledger core.Ledger
-	if cfg.Store != nil {
-		run := runName(cfg.Name, cfg.Seed, wallClock())
-		if r.store, err = store.Open(*cfg.Store, run, wallClock().Add(-r.clock()), r.log); err != nil {
-			return err
-		}
-		ledger = r.store
-	}
-	r.watch = &pool.Watch{Loop: loop, Addr: cfg.Discovery, Log: r.log, Names: r.names,
-		Dial: loop.Reserve(pool.Descriptors).Dial, Random: newRandom(cfg.SeedNumber())}
-	var probe func(*core.Member)
-	r.core = core.New(core.Options{Settings: r.names.Settings, Seed: cfg.SeedNumber(), Clock: r.clock, Round: loop.Round, Ledger: ledger,
-		Watch: r.watch.Ask, FeedMemory: int(cfg.Limits.MemoryMB * feedMemoryFraction * (1 << 20)),
-		Probe: func(to *core.Member) { probe(to) },
-		Wake: func(at time.Duration) {
-			r.coreTimer.Stop()
-			if at < math.MaxInt64 {
-				r.coreTimer = loop.After(at-r.clock(), func() { r.core.Tick() })
-			}
-		},
-	})
-	r.watch.Told = r.core.Pool
-	if set := r.core.Limits(); set.Subscribe {
-		loop.After(pool.FirstBy(set.AskWithin, r.watch.Random), r.watch.Ask)
-	} else { // what the agent has counts from the first moment
-		r.watch.Pushed = r.core.Grace()
-		r.watch.Ask()
-	}
-	if cfg.Fronts.NATS != nil {
-		r.natsFront = nats.New(loop, r.core, r.log, cfg.Name, *cfg.Fronts.NATS, cfg.Security())
-		probe = r.natsFront.CheckHealth
-	}
-	if cfg.Fronts.Line != nil {
-		r.lineFront = line.New(loop, r.core, r.log)
-		probe = r.lineFront.CheckHealth
-	}
-	if cfg.Operator != "" {
-		if err := r.restoreEjections(); err != nil {
-			return err
-		}
-	}
-	if known := cfg.KnownList(); known != nil && r.inheritedState == nil {
-		r.watch.Hold(known)
-		r.core.Pool(policy.ListCached, r.names.Members(known))
-	}
-	succeeds := r.inheritedState != nil
-	r.restorePredecessorState()
-	if cfg.State != nil && !succeeds { // an older process knows more
-		r.resumeFromSnapshot(*cfg.State)
-	} else if cfg.State != nil {
-		r.recovery = &recoveryReport{From: "an older process", Discarded: []snapshot.Part{}, dir: cfg.State.Dir, pending: make(chan []byte, 1)}
-	}
-	r.clientListeners = map[string]*netloop.Listener{}
-	if r.natsFront != nil {
-		err = r.listen("nats", cfg.Fronts.NATS.Listen, r.natsFront.Accept)
-	}
-	if r.lineFront != nil && err == nil {
-		err = r.listen("line", cfg.Listen, r.lineFront.Accept)
-	}
-	if cfg.Operator != "" && err == nil {
-		desk := &operator.Front{Loop: loop, Relay: r, Log: r.log}
-		var l *netloop.Listener
-		l, err = r.listenWithRetry(func() (*netloop.Listener, error) {
-			return loop.ListenApart(cfg.Operator, operator.Callers, desk.Accept)
-		})
-		r.addListener("operator", l, err)
-	}
-	if err != nil {
-		return err
-	}
-	r.closeUnusedSockets()
-	if cfg.Peers != nil {
-		r.startGossip(*cfg.Peers)
-	}
-	if cfg.Fleet != nil {
-		if err := r.startFleet(*cfg.Fleet); err != nil {
-			return err
-		}
-	}
-	if r.recovery != nil {
-		r.writeSnapshots(time.Duration(cfg.State.EveryMS * float64(time.Millisecond)))
-	}
-	if r.sibling != nil {
-		r.syncSibling()
-	} else if r.accepting = true; cfg.Operator != "" {
-		r.awaitSuccessor()
-	}
-	return nil
-}
-
-// watchRandomStream tells the random numbers of the watch from those of the decision module, which come of the same seed.
-const watchRandomStream = 1
-
-func newRandom(seed uint64) func() float64 {
-	return rand.New(rand.NewPCG(seed, watchRandomStream)).Float64
-}
-
-func (r *relay) listen(front, addr string, accept func(*netloop.Conn)) error {
-	l, err := r.inheritOrListen(front, addr, accept)
-	r.addListener(front, l, err)
-	if err == nil {
-		r.clientListeners[front] = l
-	}
-	return err
-}
-
-const (
-	// listenTimeout is how long a start waits for an address that cannot be had yet: the process before it may still be
-	// ending. It leaves half of the 10 s within which nine in ten restarted relays have to be ready.
-	listenTimeout    = 5 * time.Second
-	listenRetryPause = 20 * time.Millisecond
-)
-
-// listenWithRetry listens, again and again where the system refuses that for a moment.
-func (r *relay) listenWithRetry(listen func() (*netloop.Listener, error)) (*netloop.Listener, error) {
-	by := r.clock() + listenTimeout
-	for told := false; ; time.Sleep(listenRetryPause) {
-		l, err := listen()
-		if err == nil || !netloop.MayPass(err) || r.clock() >= by || r.signals.stopping() {
-			return l, err
-		}
-		if !told {
-			r.log.WithError(err).Warn("the address cannot be had yet")
-			told = true
-		}
-	}
-}
-
-// addListener keeps a listener, unless there is none.
-func (r *relay) addListener(front string, l *netloop.Listener, err error) {
-	if err == nil {
-		r.listeners = append(r.listeners, l)
-		r.log.WithFields(logrus.Fields{"front": front, "listen": l.Addr()}).Info("serving")
-	}
-}
-
 // reload takes over what a configuration that was read again may change: where
 // discovery is.
 func (r *relay) reload(fresh *config.Config) {
@@ -355,118 +158,3 @@
 		r.natsFront.ReloadSecurity(fresh.Security())
 	}
 }
-
-// stop ends the relay once nothing is held any more, and in any case in time.
-func (r *relay) stop() {
-	if r.stopping { // a signal and an order may both come
-		return
-	}
-	r.stopping = true
-	loop := r.loop
-	r.log.WithField("held", r.core.Held()).Info("stopping")
-	r.peers.Leave() // nothing new is placed from here on
-	deadline := loop.Now() + r.core.StopWithin()
-	least := loop.Now() + core.StopNotice
-	if r.requestTakeover() {
-		r.core.GiveUp()
-		r.handOverConnections()
-	} else {
-		r.core.Stop()
-	}
-	if r.natsFront != nil {
-		r.natsFront.EnterLameDuck()
-	}
-	r.pollUntil(func() bool {
-		now := loop.Now()
-		return now >= deadline || (now >= least || r.takeover == takeoverConfirmed) && r.openRequests() == 0 && r.handoverComplete()
-	}, r.closeAndExit)
-}
-
-// pollUntil looks until something is so, and then goes on.
-func (r *relay) pollUntil(so func() bool, then func()) {
-	if so() {
-		then()
-		return
-	}
-	r.loop.After(stopPollInterval, func() { r.pollUntil(so, then) })
-}
-
-// openRequests is how many clients are not done with.
-func (r *relay) openRequests() int {
-	held := r.core.Held()
-	if r.lineFront != nil {
-		held = max(held, r.lineFront.OpenRequests())
-	}
-	return held
-}
-
-// closeAndExit ends a stop: nobody comes any more, who waits is answered, and the loop ends once what that takes has left.
-func (r *relay) closeAndExit() {
-	r.core.Finish()
-	r.closeIdleConnections() // their descriptors are free for who is in a listener's queue
-	for _, l := range append(r.listeners, r.successorListener) {
-		l.Close()
-	}
-	least, most := r.loop.Now()+stopLingerTime, r.loop.Now()+stopOverrun
-	r.pollUntil(func() bool {
-		r.closeIdleConnections() // who was in the queue
-		now := r.loop.Now()
-		return now >= most || now >= least && r.openRequests() == 0 && r.listenersClosed()
-	}, r.loop.Stop)
-}
-
-// closeIdleConnections ends connections on which nothing was asked yet.
-func (r *relay) closeIdleConnections() {
-	if r.lineFront != nil {
-		r.lineFront.CloseIdle()
-	}
-}
-
-// listenersClosed says that no listener takes connections in any more.
-func (r *relay) listenersClosed() bool {
-	for _, l := range r.listeners {
-		if !l.Closed() {
-			return false
-		}
-	}
-	return true
-}
-
-func (r *relay) closeStore() error {
-	if r.store == nil {
-		return nil
-	}
-	return r.store.Close(storeFlushTimeout)
-}
-
-// operatorDescriptors is how many descriptors are kept back for the second address and upgrades.
-func (r *relay) operatorDescriptors() int {
-	if r.cfg.Operator == "" {
-		return 0
-	}
-	return operator.Callers + upgradeDescriptors
-}
-
-// applyRuntimeLimits keeps the runtime within the machine that the relay is given.
-func applyRuntimeLimits(cfg *config.Config) {
-	if cores := cfg.Limits.Cores; cores > 0 {
-		runtime.GOMAXPROCS(max(1, int(cores)))
-	}
-	if mb := cfg.Limits.MemoryMB; mb > 0 {
-		debug.SetMemoryLimit(int64(mb * 0.7 * (1 << 20)))
-		debug.SetGCPercent(300) // the live heap is small; the limit rules when it is not
-	}
-}
-
-// maxSockets is how many descriptors the process may hold.
-func descriptorLimit(cfg *config.Config) int {
-	most := 1 << 20
-	var r unix.Rlimit
-	if unix.Getrlimit(unix.RLIMIT_NOFILE, &r) == nil && r.Cur < uint64(most) {
-		most = int(r.Cur)
-	}
-	if s := cfg.Limits.Sockets; s > 0 {
-		most = min(most, s)
-	}
-	return most
-}
--- a/internal/fleet/calls.go
+++ b/internal/fleet/calls.go
@@ -40,7 +40,7 @@
 			defer func() { <-room }()
 			mux.ServeHTTP(w, r)
 		default:
-			writeJSON(w, http.StatusServiceUnavailable, rollout.Answer{Error: "too many calls"})
+			writeJSON(w, http.StatusServiceUnavailable, rollout.Result{Error: "too many calls"})
 		}
 	})}
 	s.Log.WithField("listen", l.Addr().String()).WithField("front", "fleet").Info("serving")
@@ -72,12 +72,12 @@
 			return
 		}
 		var all struct {
-			Releases []rollout.Account `json:"releases"`
-			Permits  []rollout.Pass    `json:"permits"`
-			Bans     []rollout.Banned  `json:"bans"`
+			Releases []rollout.ReleaseStatus `json:"releases"`
+			Permits  []rollout.Permit        `json:"permits"`
+			Bans     []rollout.Ejection      `json:"bans"`
 		}
 		s.record.read(func(st *rollout.State, _ recordItems) {
-			all.Releases, all.Permits, all.Bans = st.Releases(), st.Permits(), st.Bans()
+			all.Releases, all.Permits, all.Bans = st.Releases(), st.Permits(), st.Ejections()
 		})
 		for i := range all.Releases {
 			all.Releases[i].Units = nil // by name
@@ -88,15 +88,15 @@
 		if !s.ensureCurrent(w, r) {
 			return
 		}
-		var a rollout.Account
+		var a rollout.ReleaseStatus
 		var ok bool
 		s.record.read(func(st *rollout.State, _ recordItems) { a, ok = st.Release(r.PathValue("name")) })
 		if !ok {
-			writeJSON(w, http.StatusNotFound, rollout.Answer{Error: "no such release"})
+			writeJSON(w, http.StatusNotFound, rollout.Result{Error: "no such release"})
 			return
 		}
 		writeJSON(w, http.StatusOK, struct {
-			rollout.Account
+			rollout.ReleaseStatus
 			Waits string `json:"waits,omitempty"`
 		}{a, s.waitReason(a.Name)})
 	})
@@ -104,13 +104,13 @@
 		var c struct {
 			Name string `json:"name"`
 			Who  string `json:"who"`
-			rollout.Wish
+			rollout.ReleaseSpec
 			Canary *canary.Spec `json:"canary"`
 		}
 		if !decodeBody(w, r, &c) {
 			return
 		}
-		open := rollout.Command{Kind: rollout.Open, Name: c.Name, Who: c.Who, Release: &c.Wish}
+		open := rollout.Command{Kind: rollout.CommandOpen, Name: c.Name, Requester: c.Who, Release: &c.ReleaseSpec}
 		if c.Canary == nil {
 			s.proposeAndAnswer(w, r, open)
 			return
@@ -118,7 +118,7 @@
 		ensureSalt(c.Canary)
 		body, err := json.Marshal(releaseWithCanary{open.Encode(), *c.Canary})
 		if err != nil {
-			writeJSON(w, http.StatusBadRequest, rollout.Answer{Error: err.Error()})
+			writeJSON(w, http.StatusBadRequest, rollout.Result{Error: err.Error()})
 			return
 		}
 		ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
@@ -127,12 +127,12 @@
 		s.answer(w, a, err)
 	})
 	m.HandleFunc("PUT /-/releases/{name}/{verb}", func(w http.ResponseWriter, r *http.Request) {
-		c := rollout.Command{Kind: r.PathValue("verb"), Name: r.PathValue("name"), Who: r.RemoteAddr, Why: r.URL.Query().Get("why")}
+		c := rollout.Command{Kind: r.PathValue("verb"), Name: r.PathValue("name"), Requester: r.RemoteAddr, Reason: r.URL.Query().Get("why")}
 		switch c.Kind {
-		case rollout.Halt, rollout.Resume, rollout.Back:
+		case rollout.CommandHalt, rollout.CommandResume, rollout.CommandRollBack:
 			s.proposeAndAnswer(w, r, c)
 		default:
-			writeJSON(w, http.StatusNotFound, rollout.Answer{Error: "a release can be told to halt, resume, or go back"})
+			writeJSON(w, http.StatusNotFound, rollout.Result{Error: "a release can be told to halt, resume, or go back"})
 		}
 	})
 	m.HandleFunc("POST /-/permits", func(w http.ResponseWriter, r *http.Request) {
@@ -144,26 +144,26 @@
 			For  int64  `json:"for_ms"`
 		}
 		if decodeBody(w, r, &c) {
-			s.proposeAndAnswer(w, r, rollout.Command{Kind: rollout.Ask, Thing: c.Kind, Name: c.Name, Who: c.Who, Why: c.Why, For: c.For})
+			s.proposeAndAnswer(w, r, rollout.Command{Kind: rollout.CommandRequestPermit, TargetKind: c.Kind, Name: c.Name, Requester: c.Who, Reason: c.Why, DurationMS: c.For})
 		}
 	})
 	m.HandleFunc("PUT /-/permits/{number}/{verb}", func(w http.ResponseWriter, r *http.Request) {
 		n, err := strconv.ParseUint(r.PathValue("number"), 10, 64)
-		c := rollout.Command{Number: n}
+		c := rollout.Command{PermitNumber: n}
 		switch r.PathValue("verb") {
 		case "begin":
-			c.Kind = rollout.Begin
+			c.Kind = rollout.CommandBeginPermit
 		case "done":
-			c.Kind = rollout.Give
+			c.Kind = rollout.CommandReturnPermit
 		}
 		if err != nil || c.Kind == "" {
-			writeJSON(w, http.StatusNotFound, rollout.Answer{Error: "a permit's number, and begin or done"})
+			writeJSON(w, http.StatusNotFound, rollout.Result{Error: "a permit's number, and begin or done"})
 			return
 		}
 		s.proposeAndAnswer(w, r, c)
 	})
 	m.HandleFunc("PUT /-/relays/{name}/admit", func(w http.ResponseWriter, r *http.Request) {
-		s.proposeAndAnswer(w, r, rollout.Command{Kind: rollout.Admit, Name: r.PathValue("name"), Who: r.RemoteAddr, Why: r.URL.Query().Get("why")})
+		s.proposeAndAnswer(w, r, rollout.Command{Kind: rollout.CommandReadmit, Name: r.PathValue("name"), Requester: r.RemoteAddr, Reason: r.URL.Query().Get("why")})
 	})
 	m.HandleFunc("GET /-/canaries", func(w http.ResponseWriter, r *http.Request) {
 		if !s.ensureCurrent(w, r) {
@@ -189,7 +189,7 @@
 		if len(spec.Arm.Members) == 0 && spec.Arm.Since == 0 { // all that start after the release
 			s.record.read(func(st *rollout.State, _ recordItems) {
 				a, _ := st.Release(spec.Release)
-				spec.Arm.Since = a.Opened
+				spec.Arm.Since = a.OpenedAt
 			})
 		}
 		ensureSalt(&spec)
@@ -202,7 +202,7 @@
 			s.Post(func() { s.PauseCanary(c.Release) }) // here at once, and round without a majority; the record follows
 		case "resume", "back", "close":
 		default:
-			writeJSON(w, http.StatusNotFound, rollout.Answer{Error: "a canary can be told to pause, resume, go back, or be closed"})
+			writeJSON(w, http.StatusNotFound, rollout.Result{Error: "a canary can be told to pause, resume, go back, or be closed"})
 			return
 		}
 		s.proposeCanaryAndAnswer(w, r, c)
@@ -211,10 +211,10 @@
 		ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 		defer cancel()
 		if err := s.node.Replace(ctx, r.PathValue("old"), r.PathValue("new"), r.URL.Query().Get("address")); err != nil {
-			writeJSON(w, statusCode(err), rollout.Answer{Error: err.Error()})
+			writeJSON(w, statusCode(err), rollout.Result{Error: err.Error()})
 			return
 		}
-		writeJSON(w, http.StatusOK, rollout.Answer{State: "replaced"})
+		writeJSON(w, http.StatusOK, rollout.Result{State: "replaced"})
 	})
 	return m
 }
@@ -227,7 +227,7 @@
 	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
 	if _, err := s.node.Barrier(ctx); err != nil {
-		writeJSON(w, statusCode(err), rollout.Answer{Error: err.Error() + "; ?stale shows what this relay has"})
+		writeJSON(w, statusCode(err), rollout.Result{Error: err.Error() + "; ?stale shows what this relay has"})
 		return false
 	}
 	return true
@@ -241,7 +241,7 @@
 	if led == 0 || v.At == 0 {
 		return ""
 	}
-	s.record.read(func(r *rollout.State, h recordItems) { why = r.Waits(max(v.At, h.At), v, s.Budgets())[release] })
+	s.record.read(func(r *rollout.State, h recordItems) { why = r.BlockReasons(max(v.At, h.At), v, s.Budgets())[release] })
 	return why
 }
 
@@ -259,10 +259,10 @@
 	s.answer(w, a, err)
 }
 
-func (s *Service) answer(w http.ResponseWriter, a rollout.Answer, err error) {
+func (s *Service) answer(w http.ResponseWriter, a rollout.Result, err error) {
 	switch {
 	case err != nil:
-		writeJSON(w, statusCode(err), rollout.Answer{Error: err.Error()})
+		writeJSON(w, statusCode(err), rollout.Result{Error: err.Error()})
 	case a.Error != "":
 		writeJSON(w, http.StatusConflict, a)
 	default:
@@ -273,22 +273,22 @@
 func (s *Service) proposeCanaryAndAnswer(w http.ResponseWriter, r *http.Request, c canary.Command) {
 	switch err := s.proposeCanary(r.Context(), c); {
 	case errors.Is(err, errRejected):
-		writeJSON(w, http.StatusConflict, rollout.Answer{Error: err.Error()})
+		writeJSON(w, http.StatusConflict, rollout.Result{Error: err.Error()})
 	case err != nil && c.Do == "pause": // it was posted before: who is told only that it was not agreed would take the arm for open
-		writeJSON(w, statusCode(err), rollout.Answer{Error: err.Error(), State: "paused here, and at all that can be reached; say it again when there is a majority"})
+		writeJSON(w, statusCode(err), rollout.Result{Error: err.Error(), State: "paused here, and at all that can be reached; say it again when there is a majority"})
 	case err != nil:
-		writeJSON(w, statusCode(err), rollout.Answer{Error: err.Error()})
+		writeJSON(w, statusCode(err), rollout.Result{Error: err.Error()})
 	default:
-		writeJSON(w, http.StatusOK, rollout.Answer{Name: c.Release, State: c.Do})
+		writeJSON(w, http.StatusOK, rollout.Result{Name: c.Release, State: c.Do})
 	}
 }
 
 // statusCode is 503 where a call may be repeated, 504 where it is not known whether it counts: the record tells.
 func statusCode(err error) int {
 	switch {
-	case errors.Is(err, consensus.ErrNoMajority), errors.Is(err, consensus.ErrFull), errors.Is(err, consensus.ErrClosed):
+	case errors.Is(err, consensus.ErrNoQuorum), errors.Is(err, consensus.ErrQueueFull), errors.Is(err, consensus.ErrClosed):
 		return http.StatusServiceUnavailable
-	case errors.Is(err, consensus.ErrSize):
+	case errors.Is(err, consensus.ErrTooLarge):
 		return http.StatusRequestEntityTooLarge
 	default:
 		return http.StatusGatewayTimeout
@@ -299,7 +299,7 @@
 	d := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes))
 	d.DisallowUnknownFields() // a misspelt bound must not be taken for none
 	if err := d.Decode(to); err != nil {
-		writeJSON(w, http.StatusBadRequest, rollout.Answer{Error: err.Error()})
+		writeJSON(w, http.StatusBadRequest, rollout.Result{Error: err.Error()})
 		return false
 	}
 	return true
@@ -323,9 +323,9 @@
 	switch {
 	case !leads:
 		w.Header().Set("Leader", st.Leader)
-		writeJSON(w, http.StatusMisdirectedRequest, rollout.Answer{Error: "ask the leader", Name: st.Leader})
+		writeJSON(w, http.StatusMisdirectedRequest, rollout.Result{Error: "ask the leader", Name: st.Leader})
 	case err != nil:
-		writeJSON(w, http.StatusNotFound, rollout.Answer{Error: err.Error()})
+		writeJSON(w, http.StatusNotFound, rollout.Result{Error: err.Error()})
 	default:
 		a, err := s.proposeIntent(r.Context(), c)
 		s.answer(w, a, err)
@@ -339,7 +339,7 @@
 	defer s.mu.Unlock()
 	if s.leaderSince == 0 {
 		w.Header().Set("Leader", st.Leader)
-		writeJSON(w, http.StatusMisdirectedRequest, rollout.Answer{Error: "ask the leader", Name: st.Leader})
+		writeJSON(w, http.StatusMisdirectedRequest, rollout.Result{Error: "ask the leader", Name: st.Leader})
 		return
 	}
 	writeJSON(w, http.StatusOK, s.controller.driftStatus(s.now()))
--- a/internal/fleet/helm.go
+++ b/internal/fleet/helm.go
@@ -22,8 +22,8 @@
 	recordItems     recordItems
 	intent          *intent
 	pendingReleases map[string]relayRelease
-	unadopted       []rollout.Account // releases that are over, and what is meant does not follow them yet
-	cordoned        map[string]rollout.Shutting
+	unadopted       []rollout.ReleaseStatus // releases that are over, and what is meant does not follow them yet
+	cordoned        map[string]rollout.Quarantine
 
 	releaseSections map[string]map[string]string // by release: the new configuration, from the relays that run it
 	blockReason     string                       // why no release may step on, but one that mends it
@@ -52,13 +52,13 @@
 	}
 	h.recordChanges, h.recordItems, h.intent = r.changes, r.items, r.intent
 	all := r.rollout.Releases()
-	h.pendingReleases, h.unadopted, h.cordoned = unsettledReleases(all, r.intent), nil, map[string]rollout.Shutting{}
-	for _, x := range r.rollout.Shuts() {
+	h.pendingReleases, h.unadopted, h.cordoned = unsettledReleases(all, r.intent), nil, map[string]rollout.Quarantine{}
+	for _, x := range r.rollout.Quarantines() {
 		h.cordoned[x.Name] = x
 	}
 	for _, a := range all {
-		if _, settled := r.intent.releaseAdoption(&a); !settled && a.Wish.Kind == rollout.KindRelay && a.Wish.Program+a.Wish.Config != "" &&
-			(a.State == rollout.Ended || a.State == rollout.Undone) {
+		if _, settled := r.intent.releaseAdoption(&a); !settled && a.Spec.Kind == rollout.KindRelay && a.Spec.Program+a.Spec.Config != "" &&
+			(a.State == rollout.ReleaseCompleted || a.State == rollout.ReleaseRolledBack) {
 			h.unadopted = append(h.unadopted, a)
 		}
 	}
@@ -149,12 +149,12 @@
 	if !ok || !u.changes(drift.Program) {
 		return m.Value
 	}
-	old, fresh := m.Value, u.release.Wish.Program
+	old, fresh := m.Value, u.release.Spec.Program
 	if u.adopted {
-		old = u.unit.Program
+		old = u.unit.PreviousProgram
 	}
 	switch {
-	case u.restarting() && (x.Program == fresh || slices.Contains(x.RejectedItems, drift.Program)), u.unit.Phase == rollout.Done && u.unit.Got && !u.restarting():
+	case u.restarting() && (x.Program == fresh || slices.Contains(x.RejectedItems, drift.Program)), u.unit.Phase == rollout.PhaseDone && u.unit.Updated && !u.restarting():
 		return fresh
 	}
 	return old
@@ -182,7 +182,7 @@
 		}
 	}
 	switch {
-	case u.restarting() && x.Config != u.release.Wish.Config:
+	case u.restarting() && x.Config != u.release.Spec.Config:
 		for _, name := range x.RejectedItems { // it was sent for the new one
 			if drift.GroupOf(name) == drift.Config && old[name] != "" {
 				old = maps.Clone(old)
@@ -192,7 +192,7 @@
 			}
 		}
 		return old
-	case u.restarting(), u.unit.Phase == rollout.Done && u.unit.Got:
+	case u.restarting(), u.unit.Phase == rollout.PhaseDone && u.unit.Updated:
 		return fresh
 	}
 	return old
@@ -204,8 +204,8 @@
 	count := map[string]map[string]int{}
 	for relay, u := range h.pendingReleases {
 		x := h.fleet.relays[relay]
-		if x == nil || u.release.Wish.Config == "" || x.Config != u.release.Wish.Config || len(x.ConfigSections) == 0 ||
-			!(u.unit.Got || u.restarting()) {
+		if x == nil || u.release.Spec.Config == "" || x.Config != u.release.Spec.Config || len(x.ConfigSections) == 0 ||
+			!(u.unit.Updated || u.restarting()) {
 			continue
 		}
 		text, _ := json.Marshal(x.ConfigSections)
@@ -255,11 +255,11 @@
 		x, u := h.fleet.relays[r.Name], h.pendingReleases[r.Name]
 		h.updateExpected(now, r.Name)
 		switch {
-		case r.Gone:
+		case r.Exited:
 			h.driftWatch.Alive(now, r.Name, drift.Gone)
-		case x == nil || r.HeardMS > silenceTimeout.Milliseconds():
+		case x == nil || r.ReportAgeMS > silenceTimeout.Milliseconds():
 			h.driftWatch.Alive(now, r.Name, drift.Silent)
-		case r.Phase == "leaving" || r.Phase == "starting" || u.unit.Phase == rollout.Told && r.Start <= uint64(u.unit.Start):
+		case r.Phase == "leaving" || r.Phase == "starting" || u.unit.Phase == rollout.PhaseLeaving && r.StartNumber <= uint64(u.unit.SeenStart):
 			h.driftWatch.Alive(now, r.Name, drift.Restarting)
 		default:
 			h.driftWatch.Alive(now, r.Name, drift.Live)
@@ -297,16 +297,16 @@
 // withholdBlocked leaves out what a release would give out while something drifts that it does not mend itself.
 func (h *controller) withholdBlocked(plan []rollout.Command) (out []rollout.Command) {
 	for _, c := range plan {
-		if c.Kind == rollout.Step && len(h.blockReasons) > 0 {
-			had := len(c.Gives)
-			c.Gives = slices.DeleteFunc(slices.Clone(c.Gives), func(g rollout.Gift) bool {
+		if c.Kind == rollout.CommandStep && len(h.blockReasons) > 0 {
+			had := len(c.Grants)
+			c.Grants = slices.DeleteFunc(slices.Clone(c.Grants), func(g rollout.Grant) bool {
 				why, ok := h.blockReasons[g.Release]
 				if !ok {
 					why = h.blockReasons[""]
 				}
 				return why != "" && g.Permit == 0 && !h.rollingBack(g.Release)
 			})
-			if had > 0 && len(c.Gives) == 0 {
+			if had > 0 && len(c.Grants) == 0 {
 				continue
 			}
 		}
@@ -320,7 +320,7 @@
 	h.record.mu.RLock()
 	defer h.record.mu.RUnlock()
 	a, _ := h.record.rollout.Release(release)
-	return a.Backing
+	return a.RollingBack
 }
 
 // markUnfit puts into the view who is to take no clients, the worst first. Who is shut stays so until it is heard and in step with all, or has started anew: a
@@ -334,8 +334,8 @@
 	}
 	for _, relay := range slices.Sorted(maps.Keys(h.cordoned)) {
 		x := h.fleet.relays[relay]
-		if v.Unfit[relay] == "" && !h.driftWatch.Clear(relay) && (x == nil || x.Incarnation <= h.cordoned[relay].Start) {
-			v.UnfitOrder, v.Unfit[relay] = append(v.UnfitOrder, relay), h.cordoned[relay].Why
+		if v.Unfit[relay] == "" && !h.driftWatch.Clear(relay) && (x == nil || x.Incarnation <= h.cordoned[relay].StartNumber) {
+			v.UnfitOrder, v.Unfit[relay] = append(v.UnfitOrder, relay), h.cordoned[relay].Reason
 		}
 	}
 }
@@ -346,9 +346,9 @@
 func (h *controller) planIntent(now int64, v *rollout.View) (list []intentCommand) {
 	for _, a := range h.unadopted {
 		c := intentCommand{Action: "adopt", Release: a.Name}
-		if a.State == rollout.Ended && a.Wish.Config != "" {
+		if a.State == rollout.ReleaseCompleted && a.Spec.Config != "" {
 			c.Items = h.releaseSections[a.Name]
-			if c.Items == nil && slices.ContainsFunc(a.Units, func(u rollout.Unit) bool { return u.Got }) {
+			if c.Items == nil && slices.ContainsFunc(a.Units, func(u rollout.Unit) bool { return u.Updated }) {
 				continue // until one that runs it has said so
 			}
 		}
@@ -378,7 +378,7 @@
 	}
 	for _, r := range v.Relays {
 		x, u := h.fleet.relays[r.Name], h.pendingReleases[r.Name]
-		if x == nil || r.HeardMS > silenceTimeout.Milliseconds() {
+		if x == nil || r.ReportAgeMS > silenceTimeout.Milliseconds() {
 			continue
 		}
 		if x.reports(drift.Program) && !u.changes(drift.Program) {
--- a/internal/fleet/intent.go
+++ b/internal/fleet/intent.go
@@ -16,7 +16,7 @@
 const (
 	maxIntentItems  = 48 // items, the sections of a configuration among them: the others that a relay tells fit beside them
 	maxFormerValues = 3  // values before the one of now, by which a relay that went back is told apart
-	maxIntentValue  = rollout.NameMost
+	maxIntentValue  = rollout.MaxNameBytes
 )
 
 // intent is what is meant of the things that relays run and no order says: program, and configuration by section. Decisions alone; it is
@@ -65,9 +65,9 @@
 }
 
 // apply is the state after a command; an error changes nothing.
-func (n *intent) apply(at int64, by string, body []byte, ro *rollout.State) (*intent, rollout.Answer) {
-	refuse := func(format string, args ...any) (*intent, rollout.Answer) {
-		return n, rollout.Answer{Error: fmt.Sprintf(format, args...)}
+func (n *intent) apply(at int64, by string, body []byte, ro *rollout.State) (*intent, rollout.Result) {
+	refuse := func(format string, args ...any) (*intent, rollout.Result) {
+		return n, rollout.Result{Error: fmt.Sprintf(format, args...)}
 	}
 	var c intentCommand
 	if err := json.Unmarshal(body, &c); err != nil {
@@ -84,8 +84,8 @@
 			return refuse("%s", why)
 		}
 	}
-	if len(by) > rollout.NameMost {
-		by = by[:rollout.NameMost]
+	if len(by) > rollout.MaxNameBytes {
+		by = by[:rollout.MaxNameBytes]
 	}
 	x := &intent{Version: n.Version, Items: maps.Clone(n.Items), PerRelay: map[string]map[string]intendedValue{}, Adopted: map[string]adoptedRelease{}}
 	if x.Items == nil {
@@ -95,7 +95,7 @@
 		x.PerRelay[relay] = maps.Clone(of)
 	}
 	for name, e := range n.Adopted { // of those that the record still knows
-		if a, ok := ro.Release(name); ok && a.Opened == e.OpenedAt {
+		if a, ok := ro.Release(name); ok && a.OpenedAt == e.OpenedAt {
 			x.Adopted[name] = e
 		}
 	}
@@ -110,7 +110,7 @@
 		}
 		e.setAll(c.Items, true)
 	case c.Operator != "":
-		e.by = c.Operator[:min(len(c.Operator), rollout.NameMost)]
+		e.by = c.Operator[:min(len(c.Operator), rollout.MaxNameBytes)]
 		if c.ReplaceAll {
 			e.dropSectionsExcept(c.Items)
 		}
@@ -124,7 +124,7 @@
 	case len(x.Items) > maxIntentItems || len(x.PerRelay) > drift.RelaysMost:
 		return refuse("over %d items, or %d relays", maxIntentItems, drift.RelaysMost)
 	}
-	return x, rollout.Answer{State: "meant", Number: x.Version}
+	return x, rollout.Result{State: "meant", Number: x.Version}
 }
 
 // intentEdit is one command's change.
@@ -194,10 +194,10 @@
 	a, ok := ro.Release(c.Release)
 	was, taken := e.Adopted[c.Release]
 	items := map[string]string{}
-	if a.Wish.Program != "" {
-		items[drift.Program] = a.Wish.Program
+	if a.Spec.Program != "" {
+		items[drift.Program] = a.Spec.Program
 	}
-	if a.Wish.Config != "" {
+	if a.Spec.Config != "" {
 		for name, value := range c.Items {
 			if name != drift.Program {
 				items[name] = value
@@ -205,17 +205,17 @@
 		}
 	}
 	switch {
-	case !ok || a.Wish.Kind != rollout.KindRelay || a.Wish.Program+a.Wish.Config == "":
+	case !ok || a.Spec.Kind != rollout.KindRelay || a.Spec.Program+a.Spec.Config == "":
 		return "no release of a program or a configuration: " + c.Release
-	case a.State == rollout.Ended && !taken:
+	case a.State == rollout.ReleaseCompleted && !taken:
 		before := map[string]string{}
 		for name, list := range e.Items {
-			if name == drift.Program && a.Wish.Program != "" || name != drift.Program && a.Wish.Config != "" {
+			if name == drift.Program && a.Spec.Program != "" || name != drift.Program && a.Spec.Config != "" {
 				before[name] = list[0].Value
 			}
 		}
-		e.Adopted[c.Release] = adoptedRelease{a.Opened, before}
-		if a.Wish.All {
+		e.Adopted[c.Release] = adoptedRelease{a.OpenedAt, before}
+		if a.Spec.All {
 			if slices.ContainsFunc(slices.Collect(maps.Keys(items)), func(n string) bool { return n != drift.Program }) {
 				e.dropSectionsExcept(items)
 			}
@@ -224,24 +224,24 @@
 		}
 		for _, u := range a.Units {
 			for name, value := range items {
-				if u.Got {
+				if u.Updated {
 					e.setOne(u.Name, name, value)
 				}
 			}
 		}
-	case a.State == rollout.Undone && taken:
+	case a.State == rollout.ReleaseRolledBack && taken:
 		delete(e.Adopted, c.Release)
-		if a.Wish.All {
-			if a.Wish.Config != "" {
+		if a.Spec.All {
+			if a.Spec.Config != "" {
 				e.dropSectionsExcept(was.Previous)
 			}
 			e.setAll(was.Previous, true)
 			return ""
 		}
 		for _, u := range a.Units {
-			if of := e.PerRelay[u.Name]; of != nil && !u.Got {
+			if of := e.PerRelay[u.Name]; of != nil && !u.Updated {
 				for name := range of {
-					if name == drift.Program && a.Wish.Program != "" || name != drift.Program && a.Wish.Config != "" {
+					if name == drift.Program && a.Spec.Program != "" || name != drift.Program && a.Spec.Config != "" {
 						delete(of, name)
 						e.Version = e.next
 					}
@@ -250,8 +250,8 @@
 					delete(e.PerRelay, u.Name)
 				}
 			}
-			if a.Wish.Program != "" && u.Program != "" && !u.Got {
-				e.setOne(u.Name, drift.Program, u.Program)
+			if a.Spec.Program != "" && u.PreviousProgram != "" && !u.Updated {
+				e.setOne(u.Name, drift.Program, u.PreviousProgram)
 			}
 		}
 	default:
@@ -261,13 +261,13 @@
 }
 
 // releaseAdoption says whether what a release changed is meant as it stands: one that is over is still to be told of if not.
-func (n *intent) releaseAdoption(a *rollout.Account) (taken, settled bool) {
+func (n *intent) releaseAdoption(a *rollout.ReleaseStatus) (taken, settled bool) {
 	e, ok := n.Adopted[a.Name]
-	taken = ok && e.OpenedAt == a.Opened
+	taken = ok && e.OpenedAt == a.OpenedAt
 	switch a.State {
-	case rollout.Ended:
+	case rollout.ReleaseCompleted:
 		return taken, taken
-	case rollout.Undone:
+	case rollout.ReleaseRolledBack:
 		return taken, !taken
 	}
 	return taken, false
@@ -322,7 +322,7 @@
 	if err := json.Unmarshal(text, n); err != nil {
 		return nil, fmt.Errorf("intent: %w", err)
 	}
-	if len(n.Items) > maxIntentItems || len(n.PerRelay) > drift.RelaysMost || len(n.Adopted) > rollout.ReleasesMost {
+	if len(n.Items) > maxIntentItems || len(n.PerRelay) > drift.RelaysMost || len(n.Adopted) > rollout.MaxReleases {
 		return nil, fmt.Errorf("intent: a state beyond its bounds")
 	}
 	for _, list := range n.Items {
--- a/internal/fleet/ledger.go
+++ b/internal/fleet/ledger.go
@@ -80,7 +80,7 @@
 func (g *statusReporter) noteApplied(now int64, l ObservedState, r *Record, sections map[string]string, voters drift.Item) (tells []string) {
 	r.mu.RLock()
 	h, in := r.items, r.intent
-	bans, drains := splitOut(r.rollout.Orders(g.relay).Out)
+	bans, drains := splitOut(r.rollout.Orders(g.relay).Exclusions)
 	out := relayRelease{}
 	if len(l.RejectedItems) > 0 {
 		out = unsettledReleases(r.rollout.Releases(), in)[g.relay]
@@ -178,20 +178,20 @@
 
 // relayRelease is a relay's part in a release of relays that is not settled yet: it goes on, or what is meant does not follow it so far.
 type relayRelease struct {
-	release  rollout.Account // without its units
+	release  rollout.ReleaseStatus // without its units
 	unit     rollout.Unit
 	adopted  bool              // what is meant is what the release brought, though it goes back now
 	previous map[string]string // and this is what was meant before
 }
 
 // unsettledReleases is by relay. Releases that go on come before those that are over.
-func unsettledReleases(all []rollout.Account, in *intent) map[string]relayRelease {
+func unsettledReleases(all []rollout.ReleaseStatus, in *intent) map[string]relayRelease {
 	out := map[string]relayRelease{}
 	for _, over := range []bool{true, false} {
 		for _, a := range all {
 			taken, settled := in.releaseAdoption(&a)
-			if a.Wish.Kind != rollout.KindRelay || (a.State == rollout.Ended || a.State == rollout.Undone) != over ||
-				over && (settled || a.Wish.Program+a.Wish.Config == "") {
+			if a.Spec.Kind != rollout.KindRelay || (a.State == rollout.ReleaseCompleted || a.State == rollout.ReleaseRolledBack) != over ||
+				over && (settled || a.Spec.Program+a.Spec.Config == "") {
 				continue
 			}
 			units := a.Units
@@ -207,15 +207,15 @@
 // changes says whether the release brings a new value of an item.
 func (u *relayRelease) changes(item string) bool {
 	if item == drift.Program {
-		return u.release.Wish.Program != ""
+		return u.release.Spec.Program != ""
 	}
-	return u.release.Wish.Config != "" && drift.GroupOf(item) == drift.Config
+	return u.release.Spec.Config != "" && drift.GroupOf(item) == drift.Config
 }
 
 // restarting says whether the relay may run either: the new thing or what it had.
 func (u *relayRelease) restarting() bool {
 	switch u.unit.Phase {
-	case rollout.Told, rollout.Empty, rollout.Coming, rollout.Revoked:
+	case rollout.PhaseLeaving, rollout.PhaseDrained, rollout.PhaseReplaced, rollout.PhaseRevoked:
 		return true
 	}
 	return u.unit.Stranded
@@ -224,10 +224,10 @@
 // restartPending says that the release has a restart of this relay before it.
 func (u *relayRelease) restartPending() bool {
 	switch {
-	case u.release.Name == "" || u.unit.Phase == rollout.Missing:
+	case u.release.Name == "" || u.unit.Phase == rollout.PhaseMissing:
 		return false
-	case u.release.Backing:
-		return u.restarting() || u.unit.Phase == rollout.Done && u.unit.Got
+	case u.release.RollingBack:
+		return u.restarting() || u.unit.Phase == rollout.PhaseDone && u.unit.Updated
 	}
-	return u.restarting() || u.unit.Phase == rollout.Waiting && !u.unit.Got && u.release.State != rollout.Ended
+	return u.restarting() || u.unit.Phase == rollout.PhasePending && !u.unit.Updated && u.release.State != rollout.ReleaseCompleted
 }
--- a/internal/fleet/open.go
+++ b/internal/fleet/open.go
@@ -20,7 +20,7 @@
 func (r *Record) openWithCanary(at int64, by string, body []byte) []byte {
 	var o releaseWithCanary
 	var c rollout.Command
-	if json.Unmarshal(body, &o) != nil || json.Unmarshal(o.Release, &c) != nil || c.Kind != rollout.Open || c.Release == nil {
+	if json.Unmarshal(body, &o) != nil || json.Unmarshal(o.Release, &c) != nil || c.Kind != rollout.CommandOpen || c.Release == nil {
 		return rejection("malformed: a release and its canary are wanted")
 	}
 	if c.Release.Kind != rollout.KindMember || c.Release.Drain {
--- a/internal/fleet/page.go
+++ b/internal/fleet/page.go
@@ -57,7 +57,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(h.cordoned)) {
 		x, w := h.cordoned[name], h.fleet.relays[name]
-		p.Cordoned = append(p.Cordoned, cordonedRelay{name, x.Why, now - x.Since, w != nil && w.ShutOrder == x.Number})
+		p.Cordoned = append(p.Cordoned, cordonedRelay{name, x.Reason, now - x.Since, w != nil && w.ShutOrder == x.Number})
 	}
 	return p
 }
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -85,7 +85,7 @@
 	case partReleaseWithCanary:
 		answer = r.openWithCanary(r.items.At, c.By, c.Body)
 	case partIntent:
-		var a rollout.Answer
+		var a rollout.Result
 		r.intent, a = r.intent.apply(r.items.At, c.By, c.Body, r.rollout)
 		answer, _ = json.Marshal(a)
 	default:
@@ -131,10 +131,10 @@
 
 // updateItems keeps the versions of what relays are to apply: the state's version at which each last changed.
 func (r *Record) updateItems() {
-	bans, drains := splitOut(r.rollout.Orders("").Out)
+	bans, drains := splitOut(r.rollout.Orders("").Exclusions)
 	var permits []string
 	for _, p := range r.rollout.Permits() {
-		if p.State == rollout.Granted || p.State == rollout.Begun {
+		if p.State == rollout.PermitGranted || p.State == rollout.PermitBegun {
 			permits = append(permits, fmt.Sprint(p.Number, p.State))
 		}
 	}
@@ -154,9 +154,9 @@
 }
 
 // splitOut parts the members that are out into those that are banned and those that drain, each in order.
-func splitOut(out map[string]rollout.Out) (bans, drains []string) {
+func splitOut(out map[string]rollout.Exclusion) (bans, drains []string) {
 	for name, o := range out {
-		if o.Why == rollout.Ban {
+		if o.Reason == rollout.CommandEject {
 			bans = append(bans, name)
 		} else {
 			drains = append(drains, name)
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -94,8 +94,8 @@
 	if s.lastAgreed, err = readAgreed(o.Dir); err != nil {
 		o.Log.WithError(err).Warn("fleet: what was agreed before this start cannot be read: bans hold again when the record is heard")
 	}
-	s.node, err = consensus.Start(consensus.Options{Name: o.Name, Voters: o.Voters, Reach: o.DialAddresses, Listen: o.Listen, Dir: o.Dir, Keys: o.Keys,
-		Machine: s.record, Heard: s.handleReport, Told: s.handleReply, Led: s.leadershipChanged, Log: o.Log})
+	s.node, err = consensus.Start(consensus.Options{Name: o.Name, Voters: o.Voters, DialAddresses: o.DialAddresses, Listen: o.Listen, Dir: o.Dir, Keys: o.Keys,
+		Machine: s.record, OnReport: s.handleReport, OnReply: s.handleReply, OnLeadership: s.leadershipChanged, Log: o.Log})
 	if err != nil {
 		return nil, err
 	}
@@ -172,7 +172,7 @@
 	s.reportBytes += len(text)
 	s.mu.Unlock()
 	if err == nil {
-		err = s.node.Say(text)
+		err = s.node.Report(text)
 	}
 	if err != nil {
 		s.noteFailure("say", err)
@@ -182,14 +182,14 @@
 // votersDriftItem is who votes, as this relay's engine has it; nothing before it knows of a record.
 func votersDriftItem(st consensus.Status) drift.Item {
 	it := drift.Item{Name: drift.Voters}
-	if st.Record == 0 {
+	if st.RecordID == 0 {
 		return it
 	}
 	var names []string
 	for _, name := range slices.Sorted(maps.Keys(st.Voters)) {
 		names = append(names, name+" "+st.Voters[name])
 	}
-	it.Version, it.Digest = st.VotersAt, digestOf(names)
+	it.Version, it.Digest = st.VotersIndex, digestOf(names)
 	return it
 }
 
@@ -250,7 +250,7 @@
 	defer s.postMu.Unlock()
 	var o DesiredState
 	st := s.node.Status() // previous the record is read: what is applied later is in it too
-	o.AppliedIndex, o.MajorityConfirmed = st.Applied, st.Majority && st.Applied == st.Committed
+	o.AppliedIndex, o.MajorityConfirmed = st.Applied, st.HasQuorum && st.Applied == st.Committed
 	s.mu.Lock()
 	s.caughtUp = s.caughtUp || o.MajorityConfirmed
 	caught := s.caughtUp
@@ -326,12 +326,12 @@
 			s.mu.Unlock()
 			return
 		}
-		v := seen.buildView(now, led, s.Budgets().Hold, s.Name, look, slowStart{s.SlowStartShare, s.SlowStartDuration.Milliseconds()})
+		v := seen.buildView(now, led, s.Budgets().FlowHoldMS, s.Name, look, slowStart{s.SlowStartShare, s.SlowStartDuration.Milliseconds()})
 		s.watchDrift(now, &v)
 		meant := s.controller.planIntent(now, &v)
 		trials := s.evaluateCanary(now, &v)
 		s.lastView = v
-		unheard := slices.ContainsFunc(v.Relays, func(r rollout.Relay) bool { return seen.relays[r.Name] == nil && !r.Gone })
+		unheard := slices.ContainsFunc(v.Relays, func(r rollout.Relay) bool { return seen.relays[r.Name] == nil && !r.Exited })
 		s.mu.Unlock()
 		if now-led < silenceTimeout.Milliseconds() && unheard {
 			return
@@ -383,35 +383,35 @@
 const callTimeout = 4 * time.Second
 
 // propose has a command of the rollout's agreed, and waits until this relay's own record has it.
-func (s *Service) propose(ctx context.Context, c rollout.Command) (rollout.Answer, error) {
+func (s *Service) propose(ctx context.Context, c rollout.Command) (rollout.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return s.submit(ctx, partRollout, c.Encode())
 }
 
 // proposeIntent is the same for what is meant.
-func (s *Service) proposeIntent(ctx context.Context, c intentCommand) (rollout.Answer, error) {
+func (s *Service) proposeIntent(ctx context.Context, c intentCommand) (rollout.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	body, err := json.Marshal(c)
 	if err != nil {
-		return rollout.Answer{}, err
+		return rollout.Result{}, err
 	}
 	return s.submit(ctx, partIntent, body)
 }
 
-func (s *Service) submit(ctx context.Context, part string, body []byte) (rollout.Answer, error) {
+func (s *Service) submit(ctx context.Context, part string, body []byte) (rollout.Result, error) {
 	text, err := json.Marshal(command{Part: part, At: s.now(), By: s.Name, Body: body})
 	if err != nil {
-		return rollout.Answer{}, err
+		return rollout.Result{}, err
 	}
 	answer, index, err := s.node.Propose(ctx, text)
 	if err != nil {
-		return rollout.Answer{}, err
+		return rollout.Result{}, err
 	}
-	var a rollout.Answer
+	var a rollout.Result
 	if err := json.Unmarshal(answer, &a); err != nil {
-		return rollout.Answer{}, err
+		return rollout.Result{}, err
 	}
 	s.node.WaitApplied(ctx, index) // at another relay it is agreed all the same
 	return a, nil
@@ -420,9 +420,9 @@
 // SetEjected has a member taken out, or put back, at all relays. Done is called once, on the loop, when this relay follows it too.
 func (s *Service) SetEjected(member string, out bool, done func(error)) {
 	go func() {
-		c := rollout.Command{Kind: rollout.Allow, Names: []string{member}}
+		c := rollout.Command{Kind: rollout.CommandReinstate, Names: []string{member}}
 		if out {
-			c.Kind, c.Why = rollout.Ban, "an operator's call"
+			c.Kind, c.Reason = rollout.CommandEject, "an operator's call"
 		}
 		a, err := s.propose(context.Background(), c)
 		if err == nil && a.Error != "" {
@@ -446,7 +446,7 @@
 		stands := false
 		s.record.read(func(r *rollout.State, _ recordItems) {
 			l := r.Orders(s.Name).Leave
-			stands = l != nil && l.Number == number && l.Start >= s.Incarnation
+			stands = l != nil && l.Number == number && l.StartNumber >= s.Incarnation
 		})
 		s.Post(func() { done(stands, err == nil) })
 	}()
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -84,7 +84,7 @@
 // fleetStatus is all that the leader has heard. It decides nothing.
 type fleetStatus struct {
 	relays         map[string]*relayStatus
-	serviceWindows []rollout.Count
+	serviceWindows []rollout.ServiceWindow
 	lists          listTracker
 	maxRelays      int // most that are held
 }
@@ -136,12 +136,12 @@
 // countService adds to the window of now.
 func (s *fleetStatus) countService(now int64, asked, served float64) {
 	end := now - now%serviceWindowMS + serviceWindowMS
-	if n := len(s.serviceWindows); n == 0 || s.serviceWindows[n-1].At < end {
-		s.serviceWindows = append(s.serviceWindows, rollout.Count{At: end})
+	if n := len(s.serviceWindows); n == 0 || s.serviceWindows[n-1].EndsAt < end {
+		s.serviceWindows = append(s.serviceWindows, rollout.ServiceWindow{EndsAt: end})
 		s.serviceWindows = s.serviceWindows[max(0, len(s.serviceWindows)-maxServiceWindows):]
 	}
 	last := &s.serviceWindows[len(s.serviceWindows)-1]
-	last.Asked, last.Served = last.Asked+asked, last.Served+served
+	last.Requested, last.Served = last.Requested+asked, last.Served+served
 }
 
 // slowStart is what a member bears of its capacity, by its age.
@@ -162,7 +162,7 @@
 func (s *fleetStatus) buildView(now, ledAt, hold int64, self string, own ObservedState, cold slowStart) rollout.View {
 	v := rollout.View{At: now}
 	for _, c := range s.serviceWindows {
-		if c.At <= now { // whole ones
+		if c.EndsAt <= now { // whole ones
 			v.Service = append(v.Service, c)
 		}
 	}
@@ -178,18 +178,18 @@
 		names[n] = true
 	}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		r := rollout.Relay{Name: name, HeardMS: now - ledAt}
+		r := rollout.Relay{Name: name, ReportAgeMS: now - ledAt}
 		p, known := peers[name]
 		if h := s.relays[name]; h != nil {
-			r.Zone, r.HeardMS, r.Start, r.Phase, r.Program, r.Config, r.Applied, r.Flows = h.Zone, now-h.receivedAt, h.Incarnation, h.Phase, h.Program, h.Config, h.AppliedVersion, h.Flows
+			r.Zone, r.ReportAgeMS, r.StartNumber, r.Phase, r.Program, r.Config, r.AppliedVersion, r.Flows = h.Zone, now-h.receivedAt, h.Incarnation, h.Phase, h.Program, h.Config, h.AppliedVersion, h.Flows
 			// Others see it serve: this relay's peers, of this very process. Of itself the leader knows.
-			r.Full = r.Phase == "serving" && (name == self || known && p.Alive && p.Serving && p.Incarnation >= h.Incarnation)
+			r.InService = r.Phase == "serving" && (name == self || known && p.Alive && p.Serving && p.Incarnation >= h.Incarnation)
 		}
 		if known {
 			r.Zone = cmp.Or(r.Zone, p.Zone)
-			r.Gone = p.Gone && p.Incarnation >= r.Start
+			r.Exited = p.Gone && p.Incarnation >= r.StartNumber
 			if p.Alive {
-				r.HeardMS = min(r.HeardMS, hold)
+				r.ReportAgeMS = min(r.ReportAgeMS, hold)
 			}
 		}
 		v.Relays = append(v.Relays, r)
@@ -201,12 +201,12 @@
 func (s *fleetStatus) addMembers(now int64, own ObservedState, cold slowStart, v *rollout.View) {
 	pool := map[string]*rollout.Member{}
 	for _, m := range own.Members {
-		pool[m.Name] = &rollout.Member{Name: m.Name, Zone: m.Zone, Listed: m.DiscoveryState, Started: m.StartedAt, Capacity: m.Capacity, Held: map[string]rollout.Held{}}
+		pool[m.Name] = &rollout.Member{Name: m.Name, Zone: m.Zone, Listed: m.DiscoveryState, Started: m.StartedAt, Capacity: m.Capacity, FlowsByRelay: map[string]rollout.RelayFlows{}}
 	}
 	good, bad := map[string]uint64{}, map[string]uint64{}
 	gone := map[string]bool{} // what an ended process held, it holds no more: its last word must not keep a member in the view
 	for _, r := range v.Relays {
-		gone[r.Name] = r.Gone
+		gone[r.Name] = r.Exited
 	}
 	for _, p := range own.Peers { // the next process may be there, and have said nothing yet
 		if h := s.relays[p.Name]; h != nil && p.Incarnation > h.Incarnation {
@@ -224,11 +224,11 @@
 				if t.flows == 0 {
 					continue
 				}
-				m = &rollout.Member{Name: name, Held: map[string]rollout.Held{}}
+				m = &rollout.Member{Name: name, FlowsByRelay: map[string]rollout.RelayFlows{}}
 				pool[name] = m
 			}
 			if t.flows > 0 {
-				m.Held[relay] = rollout.Held{Flows: t.flows, At: h.receivedAt}
+				m.FlowsByRelay[relay] = rollout.RelayFlows{Flows: t.flows, ReportedAt: h.receivedAt}
 				v.Load += float64(t.flows)
 			}
 			m.Capacity = max(m.Capacity, t.capacity)
@@ -250,9 +250,9 @@
 		if m.Capacity == 0 && known > 0 { // a new one of which no report told yet: without a capacity it would not look cold
 			m.Capacity = sum / known
 		}
-		m.Bears = m.Capacity
+		m.UsableCapacity = m.Capacity
 		if m.Started > 0 {
-			m.Bears = m.Capacity * cold.shareAt(now-m.Started)
+			m.UsableCapacity = m.Capacity * cold.shareAt(now-m.Started)
 		}
 		// More went wrong there than went well, and more than once: one failure is no verdict.
 		m.Failing = bad[name] >= 2 && bad[name] > good[name]
--- a/internal/rollout/api.go
+++ b/internal/rollout/api.go
@@ -5,70 +5,70 @@
 
 import "encoding/json"
 
-// ExitOrdered is the status with which a relay ends that was told to leave: its host starts it again.
-const ExitOrdered = 75
+// ExitOrderedRestart is the status with which a relay ends that was told to leave: its host starts it again.
+const ExitOrderedRestart = 75
 
 // Bounds of what is kept, whatever is asked for.
 const (
-	ReleasesMost = 16   // ended ones go first, the oldest of them
-	UnitsMost    = 2048 // over all releases
-	PermitsMost  = 256
-	BansMost     = 1024
-	NameMost     = 128 // bytes of a name, a program, a configuration
-	WhyMost      = 512
-	GivesMost    = 64 // things in one step, relays shut at one look
-	ShutsMost    = 1024
+	MaxReleases      = 16   // ended ones go first, the oldest of them
+	MaxUnits         = 2048 // over all releases
+	MaxPermits       = 256
+	MaxEjections     = 1024
+	MaxNameBytes     = 128 // bytes of a name, a program, a configuration
+	MaxReasonBytes   = 512
+	MaxGrantsPerStep = 64 // things in one step, relays shut at one look
+	MaxQuarantines   = 1024
 )
 
 // Kinds of things.
 const (
-	KindRelay  = "relay"
-	KindMember = "member"
-	KindBan    = "ban" // a member that a release bans
-	KindAllow  = "allow"
+	KindRelay     = "relay"
+	KindMember    = "member"
+	KindEject     = "ban" // a member that a release bans
+	KindReinstate = "allow"
 )
 
 // Kinds of commands. Those of operators and askers first, then the pilot's.
 const (
-	Open   = "open"   // a release or a drain: Name, Release
-	Ask    = "ask"    // a permit: Kind is of the thing; Name, Why, Who, For
-	Begin  = "begin"  // Number: the asker is about to take the thing down
-	Give   = "give"   // Number: the asker is done, or will not
-	Halt   = "halt"   // Name, Why
-	Resume = "resume" // Name
-	Back   = "back"   // Name
-	Ban    = "ban"    // Names, Why
-	Allow  = "allow"  // Names
-	Lay    = "lay"    // Name, Units: a release's things, in order, as they were before
-	Step   = "step"   // Gives, Base, Sight: what goes out now, permits among them
-	Seen   = "seen"   // Saw: units and permits that were seen further by others
-	Void   = "void"   // Numbers: permits not begun in time, askers gone
-	Shut   = "shut"   // Name, Why, Zone, Bears, Start, Base, Sight: a relay that drifted is to take no client
-	Admit  = "admit"  // Name, Why: it may take clients again. By the pilot with Cause and Base; an operator's stands above the drift
+	CommandOpen          = "open"   // a release or a drain: Name, Release
+	CommandRequestPermit = "ask"    // a permit: Kind is of the thing; Name, Why, Who, For
+	CommandBeginPermit   = "begin"  // Number: the asker is about to take the thing down
+	CommandReturnPermit  = "give"   // Number: the asker is done, or will not
+	CommandHalt          = "halt"   // Name, Why
+	CommandResume        = "resume" // Name
+	CommandRollBack      = "back"   // Name
+	CommandEject         = "ban"    // Names, Why
+	CommandReinstate     = "allow"  // Names
+	CommandSetUnits      = "lay"    // Name, Units: a release's things, in order, as they were before
+	CommandStep          = "step"   // Gives, Base, Sight: what goes out now, permits among them
+	CommandObserve       = "seen"   // Saw: units and permits that were seen further by others
+	CommandExpirePermits = "void"   // Numbers: permits not begun in time, askers gone
+	CommandQuarantine    = "shut"   // Name, Why, Zone, Bears, Start, Base, Sight: a relay that drifted is to take no client
+	CommandReadmit       = "admit"  // Name, Why: it may take clients again. By the pilot with Cause and Base; an operator's stands above the drift
 )
 
 // Command is the body of a command, one struct for all kinds.
 type Command struct {
-	Kind    string   `json:"kind"`
-	Thing   string   `json:"thing,omitempty"` // ask: relay or member
-	Name    string   `json:"name,omitempty"`
-	Names   []string `json:"names,omitempty"`
-	Why     string   `json:"why,omitempty"`
-	Who     string   `json:"who,omitempty"` // ask: whose permit; repeated asking by the same gets the same. open, halt: the operator
-	For     int64    `json:"for,omitempty"` // ask: how long it will be out, ms
-	Number  uint64   `json:"number,omitempty"`
-	Numbers []uint64 `json:"numbers,omitempty"`
-	Release *Wish    `json:"release,omitempty"`
-	Cause   string   `json:"cause,omitempty"` // halt by itself: one of the causes; resume by itself: the cause that is gone
-	Base    uint64   `json:"base,omitempty"`  // the version that it was reckoned from
-	Sight   *Sight   `json:"sight,omitempty"`
-	Units   []Unit   `json:"units,omitempty"`
-	Gives   []Gift   `json:"gives,omitempty"`
-	Saw     []Saw    `json:"saw,omitempty"`
-	Before  []Count  `json:"before,omitempty"` // lay: the fleet's service before the release
-	Zone    string   `json:"zone,omitempty"`   // shut: of the relay
-	Bears   float64  `json:"bears,omitempty"`  // shut: what goes with it
-	Start   uint64   `json:"start,omitempty"`  // shut: the start number that was seen to drift
+	Kind          string          `json:"kind"`
+	TargetKind    string          `json:"thing,omitempty"` // ask: relay or member
+	Name          string          `json:"name,omitempty"`
+	Names         []string        `json:"names,omitempty"`
+	Reason        string          `json:"why,omitempty"`
+	Requester     string          `json:"who,omitempty"` // ask: whose permit; repeated asking by the same gets the same. open, halt: the operator
+	DurationMS    int64           `json:"for,omitempty"` // ask: how long it will be out, ms
+	PermitNumber  uint64          `json:"number,omitempty"`
+	PermitNumbers []uint64        `json:"numbers,omitempty"`
+	Release       *ReleaseSpec    `json:"release,omitempty"`
+	Cause         string          `json:"cause,omitempty"` // halt by itself: one of the causes; resume by itself: the cause that is gone
+	BaseVersion   uint64          `json:"base,omitempty"`  // the version that it was reckoned from
+	Basis         *ViewSummary    `json:"sight,omitempty"`
+	Units         []Unit          `json:"units,omitempty"`
+	Grants        []Grant         `json:"gives,omitempty"`
+	Observations  []Observation   `json:"saw,omitempty"`
+	Baseline      []ServiceWindow `json:"before,omitempty"` // lay: the fleet's service before the release
+	Zone          string          `json:"zone,omitempty"`   // shut: of the relay
+	Capacity      float64         `json:"bears,omitempty"`  // shut: what goes with it
+	StartNumber   uint64          `json:"start,omitempty"`  // shut: the start number that was seen to drift
 }
 
 // Encode is the command as the record's body.
@@ -80,330 +80,330 @@
 	return b
 }
 
-// Wish is what an operator wants to release.
-type Wish struct {
-	Kind    string   `json:"kind"`            // relay, member, or ban (a change of bans: Ban and Allow)
-	Drain   bool     `json:"drain,omitempty"` // no return is wanted of members: they stay out until back
-	All     bool     `json:"all,omitempty"`
-	Zones   []string `json:"zones,omitempty"` // all things of these zones
-	Names   []string `json:"names,omitempty"`
-	Program string   `json:"program,omitempty"` // what it is to say that it runs when it is back
-	Config  string   `json:"config,omitempty"`
-	Ban     []string `json:"ban,omitempty"`
-	Allow   []string `json:"allow,omitempty"`
-	Wait    bool     `json:"wait,omitempty"` // wait for a release that touches the same things; else refuse
-	Lone    bool     `json:"lone,omitempty"` // the first thing goes alone, and has to be back
-	Zonal   bool     `json:"zonal,omitempty"`
+// ReleaseSpec is what an operator wants to release.
+type ReleaseSpec struct {
+	Kind       string   `json:"kind"`            // relay, member, or ban (a change of bans: Ban and Allow)
+	Drain      bool     `json:"drain,omitempty"` // no return is wanted of members: they stay out until back
+	All        bool     `json:"all,omitempty"`
+	Zones      []string `json:"zones,omitempty"` // all things of these zones
+	Names      []string `json:"names,omitempty"`
+	Program    string   `json:"program,omitempty"` // what it is to say that it runs when it is back
+	Config     string   `json:"config,omitempty"`
+	Eject      []string `json:"ban,omitempty"`
+	Reinstate  []string `json:"allow,omitempty"`
+	Queue      bool     `json:"wait,omitempty"` // wait for a release that touches the same things; else refuse
+	FirstAlone bool     `json:"lone,omitempty"` // the first thing goes alone, and has to be back
+	ZoneByZone bool     `json:"zonal,omitempty"`
 }
 
 // Phases of a unit.
 const (
-	Waiting = ""       // not touched, or as it was
-	Told    = "out"    // told to leave
-	Empty   = "empty"  // a member that no relay holds a flow at: its owner may replace it
-	Coming  = "coming" // replaced, not yet in full service
-	Revoked = "revoked"
-	Done    = "done"
-	Missing = "missing" // was not there any more
+	PhasePending  = ""       // not touched, or as it was
+	PhaseLeaving  = "out"    // told to leave
+	PhaseDrained  = "empty"  // a member that no relay holds a flow at: its owner may replace it
+	PhaseReplaced = "coming" // replaced, not yet in full service
+	PhaseRevoked  = "revoked"
+	PhaseDone     = "done"
+	PhaseMissing  = "missing" // was not there any more
 )
 
 // Unit is one thing of a release.
 type Unit struct {
-	Name     string  `json:"name"`
-	Zone     string  `json:"zone,omitempty"`
-	Kind     string  `json:"kind"`
-	Size     float64 `json:"size,omitempty"`    // its capacity when laid out
-	Program  string  `json:"program,omitempty"` // before
-	Config   string  `json:"config,omitempty"`  // before
-	Banned   bool    `json:"banned,omitempty"`  // before
-	Now      string  `json:"now,omitempty"`     // the successor's name, where it has another
-	Phase    string  `json:"phase,omitempty"`
-	Got      bool    `json:"got,omitempty"`      // it has the new thing
-	Undo     bool    `json:"undo,omitempty"`     // it is out to get back what it had
-	Stranded bool    `json:"stranded,omitempty"` // it did not come in time while the release went back; still out until seen
-	Number   uint64  `json:"number,omitempty"`   // of the order
-	Order    uint64  `json:"order,omitempty"`    // the version that changed its orders last
-	At       int64   `json:"at,omitempty"`       // when it was told
-	Start    int64   `json:"start,omitempty"`    // start number or time that was seen when it was told, or empty
-	MoveOver int64   `json:"move_over,omitempty"`
+	Name              string  `json:"name"`
+	Zone              string  `json:"zone,omitempty"`
+	Kind              string  `json:"kind"`
+	Capacity          float64 `json:"size,omitempty"`    // its capacity when laid out
+	PreviousProgram   string  `json:"program,omitempty"` // before
+	PreviousConfig    string  `json:"config,omitempty"`  // before
+	PreviouslyEjected bool    `json:"banned,omitempty"`  // before
+	Successor         string  `json:"now,omitempty"`     // the successor's name, where it has another
+	Phase             string  `json:"phase,omitempty"`
+	Updated           bool    `json:"got,omitempty"`      // it has the new thing
+	Reverting         bool    `json:"undo,omitempty"`     // it is out to get back what it had
+	Stranded          bool    `json:"stranded,omitempty"` // it did not come in time while the release went back; still out until seen
+	OrderNumber       uint64  `json:"number,omitempty"`   // of the order
+	OrderVersion      uint64  `json:"order,omitempty"`    // the version that changed its orders last
+	OrderedAt         int64   `json:"at,omitempty"`       // when it was told
+	SeenStart         int64   `json:"start,omitempty"`    // start number or time that was seen when it was told, or empty
+	MigrateOverMS     int64   `json:"move_over,omitempty"`
 }
 
-// Gift is one thing that a step gives out: a unit, or a permit.
-type Gift struct {
-	Release  string  `json:"release,omitempty"`
-	Unit     string  `json:"unit,omitempty"` // its first name
-	Permit   uint64  `json:"permit,omitempty"`
-	Zone     string  `json:"zone,omitempty"`
-	Bears    float64 `json:"bears,omitempty"` // what goes with it
-	Start    int64   `json:"start,omitempty"`
-	MoveOver int64   `json:"move_over,omitempty"`
+// Grant is one thing that a step gives out: a unit, or a permit.
+type Grant struct {
+	Release       string  `json:"release,omitempty"`
+	Unit          string  `json:"unit,omitempty"` // its first name
+	Permit        uint64  `json:"permit,omitempty"`
+	Zone          string  `json:"zone,omitempty"`
+	Capacity      float64 `json:"bears,omitempty"` // what goes with it
+	SeenStart     int64   `json:"start,omitempty"`
+	MigrateOverMS int64   `json:"move_over,omitempty"`
 }
 
-// Saw is one thing that others saw further.
-type Saw struct {
-	Release string `json:"release,omitempty"`
-	Unit    string `json:"unit,omitempty"`
-	Permit  uint64 `json:"permit,omitempty"`
-	Shut    uint64 `json:"shut,omitempty"`  // the number of one that was admitted: done (it serves), or missing (nothing is left to say of it)
-	Order   uint64 `json:"order"`           // of the unit, so that an old sight changes nothing; 0 for a permit
-	Phase   string `json:"phase"`           // empty, coming, done (with the new thing), waiting (as before), missing
-	Now     string `json:"now,omitempty"`   // successor
-	Zone    string `json:"zone,omitempty"`  // its
-	Start   int64  `json:"start,omitempty"` // seen at empty
-	Strand  bool   `json:"strand,omitempty"`
+// Observation is one thing that others saw further.
+type Observation struct {
+	Release      string `json:"release,omitempty"`
+	Unit         string `json:"unit,omitempty"`
+	Permit       uint64 `json:"permit,omitempty"`
+	Quarantine   uint64 `json:"shut,omitempty"`  // the number of one that was admitted: done (it serves), or missing (nothing is left to say of it)
+	OrderVersion uint64 `json:"order"`           // of the unit, so that an old sight changes nothing; 0 for a permit
+	Phase        string `json:"phase"`           // empty, coming, done (with the new thing), waiting (as before), missing
+	Successor    string `json:"now,omitempty"`   // successor
+	Zone         string `json:"zone,omitempty"`  // its
+	SeenStart    int64  `json:"start,omitempty"` // seen at empty
+	Stranded     bool   `json:"strand,omitempty"`
 }
 
 // Orders are what one relay is to do now.
 type Orders struct {
-	Leave *Leave         `json:"leave,omitempty"`
-	Out   map[string]Out `json:"out,omitempty"` // members that get nothing new
-	Shut  *Closed        `json:"shut,omitempty"`
+	Leave      *LeaveOrder          `json:"leave,omitempty"`
+	Exclusions map[string]Exclusion `json:"out,omitempty"` // members that get nothing new
+	Quarantine *QuarantineOrder     `json:"shut,omitempty"`
 }
 
-// Closed is the order to take no client, and to move those that are there.
-type Closed struct {
-	Number uint64 `json:"number"`
-	Since  int64  `json:"since"`
-	Why    string `json:"why"`
-	Start  uint64 `json:"start"` // a later process may ignore it: it is admitted once it is seen
+// QuarantineOrder is the order to take no client, and to move those that are there.
+type QuarantineOrder struct {
+	Number      uint64 `json:"number"`
+	Since       int64  `json:"since"`
+	Reason      string `json:"why"`
+	StartNumber uint64 `json:"start"` // a later process may ignore it: it is admitted once it is seen
 }
 
-// Shutting is one relay that is shut for drift, or was and is not yet seen to serve.
-type Shutting struct {
-	Name   string `json:"name"`
-	Zone   string `json:"zone,omitempty"`
-	Why    string `json:"why,omitempty"`
-	Since  int64  `json:"since"`
-	Start  uint64 `json:"start"`
-	Number uint64 `json:"number"`
-	Opened uint64 `json:"opened,omitempty"` // the version that admitted it; out until it has applied that and serves
-	Let    bool   `json:"let,omitempty"`    // an operator admitted it: it is not shut again until it is in step, or starts anew
-	Back   bool   `json:"back,omitempty"`   // it serves: kept for Let alone
+// Quarantine is one relay that is shut for drift, or was and is not yet seen to serve.
+type Quarantine struct {
+	Name              string `json:"name"`
+	Zone              string `json:"zone,omitempty"`
+	Reason            string `json:"why,omitempty"`
+	Since             int64  `json:"since"`
+	StartNumber       uint64 `json:"start"`
+	Number            uint64 `json:"number"`
+	ReadmittedVersion uint64 `json:"opened,omitempty"` // the version that admitted it; out until it has applied that and serves
+	OperatorOverride  bool   `json:"let,omitempty"`    // an operator admitted it: it is not shut again until it is in step, or starts anew
+	InService         bool   `json:"back,omitempty"`   // it serves: kept for Let alone
 }
 
-// Leave is the order to drain, move the clients and end with ExitOrdered.
-type Leave struct {
-	Number  uint64 `json:"number"`
-	Release string `json:"release"`
-	Start   uint64 `json:"start"`             // it is for the process with this start number or an earlier one; a later one ignores it
-	Program string `json:"program,omitempty"` // what is to be started after it
-	Config  string `json:"config,omitempty"`
+// LeaveOrder is the order to drain, move the clients and end with ExitOrderedRestart.
+type LeaveOrder struct {
+	Number      uint64 `json:"number"`
+	Release     string `json:"release"`
+	StartNumber uint64 `json:"start"`             // it is for the process with this start number or an earlier one; a later one ignores it
+	Program     string `json:"program,omitempty"` // what is to be started after it
+	Config      string `json:"config,omitempty"`
 }
 
-// Out says why a member is out.
-type Out struct {
-	Why      string `json:"why"` // ban or drain
-	Number   uint64 `json:"number"`
-	Since    int64  `json:"since"`
-	MoveOver int64  `json:"move_over,omitempty"` // its flows are moved over so many ms; 0 leaves them with a ban
+// Exclusion says why a member is out.
+type Exclusion struct {
+	Reason        string `json:"why"` // ban or drain
+	Number        uint64 `json:"number"`
+	Since         int64  `json:"since"`
+	MigrateOverMS int64  `json:"move_over,omitempty"` // its flows are moved over so many ms; 0 leaves them with a ban
 }
 
 // View is what the leader knows. A relay's fields and its Held are of one word. Names are unique.
 type View struct {
-	At      int64    `json:"at"`
-	Relays  []Relay  `json:"relays"`
-	Members []Member `json:"members"`
-	Load    float64  `json:"load"`    // connections of members in use, or asked for
-	Service []Count  `json:"service"` // windows in which all relays counted, oldest first
-	Worse   string   `json:"worse,omitempty"`
-	WorseOf string   `json:"worse_of,omitempty"` // the release; "" for all
-	Drift   string   `json:"drift,omitempty"`    // of relays that are not shut: it holds releases up, and one of them may be the mending
-	DriftMS int64    `json:"drift_ms,omitempty"` // for how long
+	At              int64           `json:"at"`
+	Relays          []Relay         `json:"relays"`
+	Members         []Member        `json:"members"`
+	Load            float64         `json:"load"`    // connections of members in use, or asked for
+	Service         []ServiceWindow `json:"service"` // windows in which all relays counted, oldest first
+	Degraded        string          `json:"worse,omitempty"`
+	DegradedRelease string          `json:"worse_of,omitempty"` // the release; "" for all
+	Drift           string          `json:"drift,omitempty"`    // of relays that are not shut: it holds releases up, and one of them may be the mending
+	DriftMS         int64           `json:"drift_ms,omitempty"` // for how long
 	// Relays that should be shut, with why, and the worst first. Who is shut and not here is admitted: a leader that does not know yet names
 	// those that are shut.
 	Unfit      map[string]string `json:"unfit,omitempty"`
 	UnfitOrder []string          `json:"unfit_order,omitempty"`
 }
 
-// Count is the service of one window, over all relays.
-type Count struct {
-	At     int64   `json:"at"` // its end
-	Asked  float64 `json:"asked"`
-	Served float64 `json:"served"`
+// ServiceWindow is the service of one window, over all relays.
+type ServiceWindow struct {
+	EndsAt    int64   `json:"at"` // its end
+	Requested float64 `json:"asked"`
+	Served    float64 `json:"served"`
 }
 
 // Relay is one as the leader sees it.
 type Relay struct {
-	Name     string  `json:"name"`
-	Zone     string  `json:"zone"`
-	HeardMS  int64   `json:"heard_ms"` // ago; -1 never
-	Gone     bool    `json:"gone"`     // no process, for certain
-	Start    uint64  `json:"start"`    // rises with every process
-	Phase    string  `json:"phase"`    // its own word: serving, or shut, or another
-	Program  string  `json:"program"`
-	Config   string  `json:"config"`
-	Applied  uint64  `json:"applied"` // the Version that it has applied
-	Full     bool    `json:"full"`    // others see it serve
-	Flows    int     `json:"flows"`
-	Capacity float64 `json:"capacity"` // flows; 0 unknown
+	Name           string  `json:"name"`
+	Zone           string  `json:"zone"`
+	ReportAgeMS    int64   `json:"heard_ms"` // ago; -1 never
+	Exited         bool    `json:"gone"`     // no process, for certain
+	StartNumber    uint64  `json:"start"`    // rises with every process
+	Phase          string  `json:"phase"`    // its own word: serving, or shut, or another
+	Program        string  `json:"program"`
+	Config         string  `json:"config"`
+	AppliedVersion uint64  `json:"applied"` // the Version that it has applied
+	InService      bool    `json:"full"`    // others see it serve
+	Flows          int     `json:"flows"`
+	Capacity       float64 `json:"capacity"` // flows; 0 unknown
 }
 
 // Member is one as the fleet sees it. One that is not listed any more stays in the view as long as a relay holds flows there.
 type Member struct {
-	Name     string          `json:"name"`
-	Zone     string          `json:"zone"`
-	Listed   string          `json:"listed"`
-	Program  string          `json:"program"`
-	Started  int64           `json:"started"` // wall clock
-	Capacity float64         `json:"capacity"`
-	Bears    float64         `json:"bears"` // now; below Capacity while it is cold
-	Takes    float64         `json:"takes"` // new flows a second; 0 unknown
-	Failing  bool            `json:"failing"`
-	Held     map[string]Held `json:"held"` // by relay; no entry: its last word named none
+	Name              string                `json:"name"`
+	Zone              string                `json:"zone"`
+	Listed            string                `json:"listed"`
+	Program           string                `json:"program"`
+	Started           int64                 `json:"started"` // wall clock
+	Capacity          float64               `json:"capacity"`
+	UsableCapacity    float64               `json:"bears"` // now; below Capacity while it is cold
+	NewFlowsPerSecond float64               `json:"takes"` // new flows a second; 0 unknown
+	Failing           bool                  `json:"failing"`
+	FlowsByRelay      map[string]RelayFlows `json:"held"` // by relay; no entry: its last word named none
 }
 
-// Held is what a relay said that it holds at a member.
-type Held struct {
-	Flows int   `json:"flows"`
-	At    int64 `json:"at"`
+// RelayFlows is what a relay said that it holds at a member.
+type RelayFlows struct {
+	Flows      int   `json:"flows"`
+	ReportedAt int64 `json:"at"`
 }
 
 // Budgets are settings.
 type Budgets struct {
-	Relays   Budget  `json:"relays"`
-	Members  Budget  `json:"members"`
-	Headroom float64 `json:"headroom"` // what is left must carry 1+Headroom times the load
-	Silent   int64   `json:"silent"`   // ms without a word after which a relay counts as lost
-	Hold     int64   `json:"hold"`     // ms without a word after which a relay holds no flow any more at a member that is out
-	Fresh    int64   `json:"fresh"`    // ms that a view may be old when its step is agreed
-	Drain    int64   `json:"drain"`    // ms that a relay or member may take to be empty
-	Start    int64   `json:"start"`    // ms that it may take to serve
-	Warm     int64   `json:"warm"`     // ms that a cold member takes until it bears all
-	Window   int64   `json:"window"`   // ms in which a permit is to be begun
-	Clock    float64 `json:"clock"`    // how much faster or slower a clock may run: 0.01
-	Drift    int64   `json:"drift"`    // ms of View.Drift after which a release halts
-	Slack    float64 `json:"slack"`    // how much of the service a release may cost: 0.05; beyond it and noise it halts
+	Relays           Budget  `json:"relays"`
+	Members          Budget  `json:"members"`
+	CapacityReserve  float64 `json:"headroom"` // what is left must carry 1+Headroom times the load
+	SilentAfterMS    int64   `json:"silent"`   // ms without a word after which a relay counts as lost
+	FlowHoldMS       int64   `json:"hold"`     // ms without a word after which a relay holds no flow any more at a member that is out
+	ViewMaxAgeMS     int64   `json:"fresh"`    // ms that a view may be old when its step is agreed
+	DrainMS          int64   `json:"drain"`    // ms that a relay or member may take to be empty
+	StartMS          int64   `json:"start"`    // ms that it may take to serve
+	WarmupMS         int64   `json:"warm"`     // ms that a cold member takes until it bears all
+	PermitWindowMS   int64   `json:"window"`   // ms in which a permit is to be begun
+	ClockDrift       float64 `json:"clock"`    // how much faster or slower a clock may run: 0.01
+	DriftHaltMS      int64   `json:"drift"`    // ms of View.Drift after which a release halts
+	ServiceTolerance float64 `json:"slack"`    // how much of the service a release may cost: 0.05; beyond it and noise it halts
 }
 
 // Budget is how many may be out at once.
 type Budget struct {
-	Whole Part `json:"whole"` // not set: 1
-	Zone  Part `json:"zone"`  // of each zone's things; not set: no bound but Whole
+	Total   Limit `json:"whole"` // not set: 1
+	PerZone Limit `json:"zone"`  // of each zone's things; not set: no bound but Whole
 }
 
-// Part is a number, or a part of all. The zero value is not set.
-type Part struct {
+// Limit is a number, or a part of all. The zero value is not set.
+type Limit struct {
 	Count int     `json:"count,omitempty"`
 	Share float64 `json:"share,omitempty"`
 }
 
-// Sight is what of a view a step rests on.
-type Sight struct {
-	At      int64   `json:"at"`
-	Budgets Budgets `json:"budgets"`
-	Relays  Side    `json:"relays"`
-	Members Side    `json:"members"`
+// ViewSummary is what of a view a step rests on.
+type ViewSummary struct {
+	At      int64       `json:"at"`
+	Budgets Budgets     `json:"budgets"`
+	Relays  KindSummary `json:"relays"`
+	Members KindSummary `json:"members"`
 }
 
-// Side is the relays' or the members' part of it.
-type Side struct {
-	Zones map[string]int `json:"zones,omitempty"` // how many there are, those out included
-	Lost  []Place        `json:"lost,omitempty"`  // unplanned: silent, dead, failing, cold, banned
-	Left  float64        `json:"left,omitempty"`  // what is borne by all that is sound and not out; cold ones by what they bear now
-	Load  float64        `json:"load,omitempty"`
-	Known bool           `json:"known,omitempty"` // capacities are
+// KindSummary is the relays' or the members' part of it.
+type KindSummary struct {
+	CountByZone       map[string]int `json:"zones,omitempty"` // how many there are, those out included
+	Unavailable       []ZonedName    `json:"lost,omitempty"`  // unplanned: silent, dead, failing, cold, banned
+	RemainingCapacity float64        `json:"left,omitempty"`  // what is borne by all that is sound and not out; cold ones by what they bear now
+	Load              float64        `json:"load,omitempty"`
+	CapacityKnown     bool           `json:"known,omitempty"` // capacities are
 }
 
-// Place is a thing and its zone.
-type Place struct {
+// ZonedName is a thing and its zone.
+type ZonedName struct {
 	Name string `json:"name"`
 	Zone string `json:"zone,omitempty"`
 }
 
 // States of a release.
 const (
-	Queued  = "queued" // behind another, or not yet laid out
-	Running = "running"
-	Halted  = "halted"
-	Backing = "backing"
-	Ended   = "done"
-	Undone  = "back"
+	ReleaseQueued      = "queued" // behind another, or not yet laid out
+	ReleaseRunning     = "running"
+	ReleaseHalted      = "halted"
+	ReleaseRollingBack = "backing"
+	ReleaseCompleted   = "done"
+	ReleaseRolledBack  = "back"
 )
 
 // Causes of a halt.
 const (
-	ByOperator = "operator"
-	Verdict    = "verdict"
-	Overdrawn  = "overdrawn"
-	Overdue    = "overdue"
-	Service    = "service"
-	Drifted    = "drift"
-	Stalled    = "stalled"
+	HaltByOperator      = "operator"
+	HaltVerdict         = "verdict"
+	HaltOverBudget      = "overdrawn"
+	HaltOverdue         = "overdue"
+	HaltServiceDegraded = "service"
+	HaltDrift           = "drift"
+	HaltStalled         = "stalled"
 )
 
-// Account is a release as operators are shown it.
-type Account struct {
-	Name    string   `json:"name"`
-	State   string   `json:"state"`
-	Backing bool     `json:"backing,omitempty"` // its direction, also while halted
-	Wish    Wish     `json:"wish"`
-	By      string   `json:"by"`
-	Opened  int64    `json:"opened"`
-	Ended   int64    `json:"ended,omitempty"`
-	Behind  string   `json:"behind,omitempty"`
-	Halt    *Stop    `json:"halt,omitempty"`
-	Units   []Unit   `json:"units,omitempty"`
-	Counts  Counts   `json:"counts"`
-	Except  []string `json:"except,omitempty"` // what could not be done or undone
+// ReleaseStatus is a release as operators are shown it.
+type ReleaseStatus struct {
+	Name         string      `json:"name"`
+	State        string      `json:"state"`
+	RollingBack  bool        `json:"backing,omitempty"` // its direction, also while halted
+	Spec         ReleaseSpec `json:"wish"`
+	OpenedBy     string      `json:"by"`
+	OpenedAt     int64       `json:"opened"`
+	EndedAt      int64       `json:"ended,omitempty"`
+	QueuedBehind string      `json:"behind,omitempty"`
+	Halt         *HaltInfo   `json:"halt,omitempty"`
+	Units        []Unit      `json:"units,omitempty"`
+	Counts       UnitCounts  `json:"counts"`
+	Exceptions   []string    `json:"except,omitempty"` // what could not be done or undone
 }
 
-// Counts of units.
-type Counts struct {
-	Waiting int `json:"waiting"`
+// UnitCounts of units.
+type UnitCounts struct {
+	Pending int `json:"waiting"`
 	Out     int `json:"out"`
 	Done    int `json:"done"`
 }
 
-// Stop is why a release halted.
-type Stop struct {
-	Cause string `json:"cause"`
-	Why   string `json:"why,omitempty"`
-	By    string `json:"by"`
-	At    int64  `json:"at"`
-	Stays bool   `json:"stays"` // only an operator resumes it
+// HaltInfo is why a release halted.
+type HaltInfo struct {
+	Cause         string `json:"cause"`
+	Reason        string `json:"why,omitempty"`
+	HaltedBy      string `json:"by"`
+	HaltedAt      int64  `json:"at"`
+	NeedsOperator bool   `json:"stays"` // only an operator resumes it
 }
 
 // Permits' states.
 const (
-	Wait    = "wait"
-	Granted = "granted"
-	Begun   = "begun"
+	PermitWaiting = "wait"
+	PermitGranted = "granted"
+	PermitBegun   = "begun"
 )
 
-// Answer is what Apply says. Error alone means that nothing changed.
-type Answer struct {
-	Error  string `json:"error,omitempty"`
-	Name   string `json:"name,omitempty"`
-	State  string `json:"state,omitempty"`  // of the release or permit
-	Number uint64 `json:"number,omitempty"` // of the permit
-	Left   int64  `json:"left,omitempty"`   // granted: ms in which it has to be begun, from when the ask was sent
-	Why    string `json:"why,omitempty"`
-	Again  int64  `json:"again,omitempty"` // wait: ask again in ms
+// Result is what Apply says. Error alone means that nothing changed.
+type Result struct {
+	Error        string `json:"error,omitempty"`
+	Name         string `json:"name,omitempty"`
+	State        string `json:"state,omitempty"`  // of the release or permit
+	Number       uint64 `json:"number,omitempty"` // of the permit
+	RemainingMS  int64  `json:"left,omitempty"`   // granted: ms in which it has to be begun, from when the ask was sent
+	Reason       string `json:"why,omitempty"`
+	RetryAfterMS int64  `json:"again,omitempty"` // wait: ask again in ms
 }
 
-// Pass is a permit as operators are shown it.
-type Pass struct {
-	Number uint64  `json:"number"`
-	Kind   string  `json:"kind"`
-	Name   string  `json:"name"`
-	Zone   string  `json:"zone,omitempty"`
-	Who    string  `json:"who"`
-	Why    string  `json:"why,omitempty"`
-	For    int64   `json:"for"`
-	State  string  `json:"state"`
-	Asked  int64   `json:"asked"`            // last
-	At     int64   `json:"at,omitempty"`     // granted, or begun
-	Window int64   `json:"window,omitempty"` // to begin in, ms
-	Until  int64   `json:"until,omitempty"`  // the record's: granted: not begun after it; begun: not taken down after it
-	Given  int64   `json:"given,omitempty"`  // when the asker gave it back
-	Clock  float64 `json:"clock,omitempty"`
+// Permit is a permit as operators are shown it.
+type Permit struct {
+	Number      uint64  `json:"number"`
+	Kind        string  `json:"kind"`
+	Name        string  `json:"name"`
+	Zone        string  `json:"zone,omitempty"`
+	Holder      string  `json:"who"`
+	Reason      string  `json:"why,omitempty"`
+	DurationMS  int64   `json:"for"`
+	State       string  `json:"state"`
+	RequestedAt int64   `json:"asked"`            // last
+	StateSince  int64   `json:"at,omitempty"`     // granted, or begun
+	WindowMS    int64   `json:"window,omitempty"` // to begin in, ms
+	ExpiresAt   int64   `json:"until,omitempty"`  // the record's: granted: not begun after it; begun: not taken down after it
+	ReturnedAt  int64   `json:"given,omitempty"`  // when the asker gave it back
+	ClockDrift  float64 `json:"clock,omitempty"`
 }
 
-// Banned is one ban.
-type Banned struct {
-	Name   string `json:"name"`
-	Why    string `json:"why,omitempty"`
-	By     string `json:"by"`
-	Since  int64  `json:"since"`
-	Number uint64 `json:"number"`
+// Ejection is one ban.
+type Ejection struct {
+	Name      string `json:"name"`
+	Reason    string `json:"why,omitempty"`
+	EjectedBy string `json:"by"`
+	Since     int64  `json:"since"`
+	Number    uint64 `json:"number"`
 }
--- a/internal/rollout/apply.go
+++ b/internal/rollout/apply.go
@@ -20,11 +20,11 @@
 // time never runs back.
 func (s *State) Apply(at int64, by string, body []byte) []byte {
 	var c Command
-	a := Answer{}
+	a := Result{}
 	if err := json.Unmarshal(body, &c); err != nil {
 		a = refuse("no command: %v", err)
 	} else {
-		a = s.d.apply(max(at, s.d.At), cut(by, NameMost), &c)
+		a = s.record.apply(max(at, s.record.Time), cut(by, MaxNameBytes), &c)
 	}
 	b, err := json.Marshal(a)
 	if err != nil {
@@ -33,7 +33,7 @@
 	return b
 }
 
-func refuse(format string, args ...any) Answer { return Answer{Error: fmt.Sprintf(format, args...)} }
+func refuse(format string, args ...any) Result { return Result{Error: fmt.Sprintf(format, args...)} }
 
 func cut(text string, most int) string {
 	if len(text) > most {
@@ -43,47 +43,47 @@
 }
 
 // apply checks all before it changes anything.
-func (d *data) apply(at int64, by string, c *Command) Answer {
-	c.Why, c.Who = cut(c.Why, WhyMost), cmp.Or(cut(c.Who, NameMost), by)
-	if len(c.Name) > NameMost {
-		return refuse("a name of over %d bytes", NameMost)
+func (d *record) apply(at int64, by string, c *Command) Result {
+	c.Reason, c.Requester = cut(c.Reason, MaxReasonBytes), cmp.Or(cut(c.Requester, MaxNameBytes), by)
+	if len(c.Name) > MaxNameBytes {
+		return refuse("a name of over %d bytes", MaxNameBytes)
 	}
-	var a Answer
+	var a Result
 	switch c.Kind {
-	case Open:
+	case CommandOpen:
 		a = d.open(at, c)
-	case Ask:
+	case CommandRequestPermit:
 		a = d.ask(at, c)
-	case Begin, Give:
+	case CommandBeginPermit, CommandReturnPermit:
 		a = d.begin(at, c)
-	case Halt, Resume, Back:
+	case CommandHalt, CommandResume, CommandRollBack:
 		a = d.steer(at, by, c)
-	case Ban, Allow:
+	case CommandEject, CommandReinstate:
 		a = d.ban(at, c)
-	case Lay:
+	case CommandSetUnits:
 		a = d.lay(at, c)
-	case Step:
+	case CommandStep:
 		a = d.step(at, c)
-	case Seen:
+	case CommandObserve:
 		a = d.seen(at, c)
-	case Void:
+	case CommandExpirePermits:
 		a = d.void(at, c)
-	case Shut:
+	case CommandQuarantine:
 		a = d.shut(at, c)
-	case Admit:
+	case CommandReadmit:
 		a = d.admit(c)
 	default:
-		a = refuse("no such command: %q", cut(c.Kind, NameMost))
+		a = refuse("no such command: %q", cut(c.Kind, MaxNameBytes))
 	}
 	if a.Error == "" {
-		d.At = at
+		d.Time = at
 		d.settle(at)
 	}
 	return a
 }
 
 // open takes a release up. It is laid out by the pilot, who knows what there is.
-func (d *data) open(at int64, c *Command) Answer {
+func (d *record) open(at int64, c *Command) Result {
 	w := c.Release
 	if w == nil || c.Name == "" {
 		return refuse("a release has a name, and says what it releases")
@@ -96,99 +96,99 @@
 	}
 	behind := ""
 	for i := range d.Releases {
-		if r := &d.Releases[i]; !r.ended() && r.Wish.overlaps(w) {
+		if r := &d.Releases[i]; !r.ended() && r.Spec.overlaps(w) {
 			behind = r.Name
 			break
 		}
 	}
-	if behind != "" && !w.Wait {
+	if behind != "" && !w.Queue {
 		return refuse("release %q touches the same things", behind)
 	}
 	drop := -1
-	if len(d.Releases) >= ReleasesMost {
+	if len(d.Releases) >= MaxReleases {
 		drop = slices.IndexFunc(d.Releases, func(r release) bool {
 			return r.ended() && !slices.ContainsFunc(r.Units, func(u Unit) bool { return u.isOut() })
 		})
 		if drop < 0 {
-			return refuse("%d releases are open or still hold something out", ReleasesMost)
+			return refuse("%d releases are open or still hold something out", MaxReleases)
 		}
 		d.Releases = slices.Delete(d.Releases, drop, drop+1)
 	}
-	d.Releases = append(d.Releases, release{Account: Account{Name: c.Name, State: Queued, Wish: *w, By: c.Who, Opened: at, Behind: behind}, Moved: at})
+	d.Releases = append(d.Releases, release{ReleaseStatus: ReleaseStatus{Name: c.Name, State: ReleaseQueued, Spec: *w, OpenedBy: c.Requester, OpenedAt: at, QueuedBehind: behind}, ProgressAt: at})
 	d.Version++
-	return Answer{Name: c.Name, State: Queued, Why: behind}
+	return Result{Name: c.Name, State: ReleaseQueued, Reason: behind}
 }
 
 // wrong says what cannot be released.
-func (w *Wish) wrong() string {
+func (w *ReleaseSpec) wrong() string {
 	named := len(w.Names)
-	if w.Kind == KindBan {
+	if w.Kind == KindEject {
 		if named+len(w.Zones) > 0 || w.All || w.Drain {
 			return "a change of bans names them in ban and allow alone"
 		}
-		named = len(w.Ban) + len(w.Allow)
-	} else if len(w.Ban)+len(w.Allow) > 0 {
+		named = len(w.Eject) + len(w.Reinstate)
+	} else if len(w.Eject)+len(w.Reinstate) > 0 {
 		return "ban and allow are of a change of bans"
 	}
 	switch {
-	case w.Kind != KindRelay && w.Kind != KindMember && w.Kind != KindBan:
+	case w.Kind != KindRelay && w.Kind != KindMember && w.Kind != KindEject:
 		return "a release is of relays, members or bans"
 	case named == 0 && len(w.Zones) == 0 && !w.All:
 		return "it names nothing"
-	case named+len(w.Zones) > UnitsMost:
-		return fmt.Sprintf("over %d things", UnitsMost)
-	case len(w.Program) > NameMost || len(w.Config) > NameMost:
-		return fmt.Sprintf("a version of over %d bytes", NameMost)
+	case named+len(w.Zones) > MaxUnits:
+		return fmt.Sprintf("over %d things", MaxUnits)
+	case len(w.Program) > MaxNameBytes || len(w.Config) > MaxNameBytes:
+		return fmt.Sprintf("a version of over %d bytes", MaxNameBytes)
 	}
-	all := slices.Concat(w.Names, w.Ban, w.Allow)
+	all := slices.Concat(w.Names, w.Eject, w.Reinstate)
 	slices.Sort(all)
 	for i, n := range all {
-		if n == "" || len(n) > NameMost || i > 0 && all[i-1] == n {
-			return fmt.Sprintf("%q is no name, or stands twice", cut(n, NameMost))
+		if n == "" || len(n) > MaxNameBytes || i > 0 && all[i-1] == n {
+			return fmt.Sprintf("%q is no name, or stands twice", cut(n, MaxNameBytes))
 		}
 	}
 	for _, z := range w.Zones {
-		if len(z) > NameMost {
-			return fmt.Sprintf("a zone of over %d bytes", NameMost)
+		if len(z) > MaxNameBytes {
+			return fmt.Sprintf("a zone of over %d bytes", MaxNameBytes)
 		}
 	}
 	return ""
 }
 
 // ask notes who wants a permit; the pilot grants. The same by the same asker for the same thing is the same permit.
-func (d *data) ask(at int64, c *Command) Answer {
-	if c.Thing != KindRelay && c.Thing != KindMember || c.Name == "" || c.For <= 0 || c.For > forMost {
+func (d *record) ask(at int64, c *Command) Result {
+	if c.TargetKind != KindRelay && c.TargetKind != KindMember || c.Name == "" || c.DurationMS <= 0 || c.DurationMS > forMost {
 		return refuse("a permit is for a relay or a member, by name, for up to %d ms", forMost)
 	}
 	for i := range d.Permits {
 		p := &d.Permits[i]
-		if p.Kind != c.Thing || p.Name != c.Name {
+		if p.Kind != c.TargetKind || p.Name != c.Name {
 			continue
 		}
-		if p.Who != c.Who {
-			return Answer{State: Wait, Again: againAfter, Why: fmt.Sprintf("%s holds permit %d for it", p.Who, p.Number)}
+		if p.Holder != c.Requester {
+			return Result{State: PermitWaiting, RetryAfterMS: againAfter, Reason: fmt.Sprintf("%s holds permit %d for it", p.Holder, p.Number)}
 		}
-		a := Answer{State: p.State, Number: p.Number}
+		a := Result{State: p.State, Number: p.Number}
 		switch {
-		case p.State == Wait:
-			p.Asked, a.Again, a.Why = at, againAfter, d.waits(p)
-		case p.State == Granted && at < p.At+p.Window:
-			a.Left = p.At + p.Window - at
-		case p.State == Granted: // about to be void
-			a.State, a.Again, a.Why = Wait, againAfter, "it was not begun in time"
+		case p.State == PermitWaiting:
+			p.RequestedAt, a.RetryAfterMS, a.Reason = at, againAfter, d.waits(p)
+		case p.State == PermitGranted && at < p.StateSince+p.WindowMS:
+			a.RemainingMS = p.StateSince + p.WindowMS - at
+		case p.State == PermitGranted: // about to be void
+			a.State, a.RetryAfterMS, a.Reason = PermitWaiting, againAfter, "it was not begun in time"
 		}
 		return a
 	}
-	if len(d.Permits) >= PermitsMost {
-		return refuse("%d permits are asked for or in force", PermitsMost)
+	if len(d.Permits) >= MaxPermits {
+		return refuse("%d permits are asked for or in force", MaxPermits)
 	}
-	d.Number++
-	d.Permits = append(d.Permits, Pass{Number: d.Number, Kind: c.Thing, Name: c.Name, Who: c.Who, Why: c.Why, For: c.For, State: Wait, Asked: at})
-	return Answer{State: Wait, Number: d.Number, Again: againAfter, Why: d.waits(&d.Permits[len(d.Permits)-1])}
+	d.LastNumber++
+	d.Permits = append(d.Permits, Permit{Number: d.LastNumber, Kind: c.TargetKind, Name: c.Name, Holder: c.Requester, Reason: c.Reason, DurationMS: c.DurationMS, State: PermitWaiting, RequestedAt: at})
+	return Result{State: PermitWaiting, Number: d.LastNumber, RetryAfterMS: againAfter, Reason: d.waits(&d.Permits[len(d.Permits)-1])}
 }
 
 // waits says why a permit waits, as far as the record knows: who is out by plan, and who waits before it.
-func (d *data) waits(p *Pass) string {
+func (d *record) waits(p *Permit) string {
 	var names []string
 	for _, x := range d.planned(p.Kind) {
 		if len(names) < 8 {
@@ -197,7 +197,7 @@
 	}
 	before := 0
 	for i := range d.Permits {
-		if x := &d.Permits[i]; x.State == Wait && x.Kind == p.Kind && x.Number < p.Number {
+		if x := &d.Permits[i]; x.State == PermitWaiting && x.Kind == p.Kind && x.Number < p.Number {
 			before++
 		}
 	}
@@ -205,74 +205,74 @@
 }
 
 // begin and give: by number, so that an old one does nothing.
-func (d *data) begin(at int64, c *Command) Answer {
-	p := d.permit(c.Number)
+func (d *record) begin(at int64, c *Command) Result {
+	p := d.permit(c.PermitNumber)
 	if p == nil {
-		return refuse("there is no permit %d, or no more", c.Number)
+		return refuse("there is no permit %d, or no more", c.PermitNumber)
 	}
 	switch {
-	case c.Kind == Give && p.State == Begun && p.Given > 0:
-		return Answer{Number: p.Number, State: p.State}
-	case c.Kind == Give && p.State == Begun:
-		p.Given = at
-	case c.Kind == Give:
-		d.Permits = slices.DeleteFunc(d.Permits, func(p Pass) bool { return p.Number == c.Number })
+	case c.Kind == CommandReturnPermit && p.State == PermitBegun && p.ReturnedAt > 0:
+		return Result{Number: p.Number, State: p.State}
+	case c.Kind == CommandReturnPermit && p.State == PermitBegun:
+		p.ReturnedAt = at
+	case c.Kind == CommandReturnPermit:
+		d.Permits = slices.DeleteFunc(d.Permits, func(p Permit) bool { return p.Number == c.PermitNumber })
 		d.Version++
-		return Answer{Number: c.Number, State: "given"}
-	case p.State == Wait:
-		return refuse("permit %d is not granted", c.Number)
-	case p.State == Granted && at > p.Until:
-		return refuse("permit %d was not begun in time", c.Number)
-	case p.State == Granted:
-		p.State, p.At, p.Until = Begun, at, at+stretch(p.Window, p.Clock)
+		return Result{Number: c.PermitNumber, State: "given"}
+	case p.State == PermitWaiting:
+		return refuse("permit %d is not granted", c.PermitNumber)
+	case p.State == PermitGranted && at > p.ExpiresAt:
+		return refuse("permit %d was not begun in time", c.PermitNumber)
+	case p.State == PermitGranted:
+		p.State, p.StateSince, p.ExpiresAt = PermitBegun, at, at+stretch(p.WindowMS, p.ClockDrift)
 	}
 	d.Version++
-	return Answer{Number: p.Number, State: p.State}
+	return Result{Number: p.Number, State: p.State}
 }
 
 // stretch is a time as the slowest clock would count it.
 func stretch(ms int64, part float64) int64 { return ms + int64(math.Ceil(float64(ms)*part)) }
 
 // steer halts a release, resumes it or sends it back.
-func (d *data) steer(at int64, by string, c *Command) Answer {
+func (d *record) steer(at int64, by string, c *Command) Result {
 	r := d.release(c.Name)
-	itself := c.Cause != "" && c.Cause != ByOperator
+	itself := c.Cause != "" && c.Cause != HaltByOperator
 	switch {
 	case r == nil:
 		return refuse("there is no release %q", c.Name)
-	case itself && c.Base != d.Version:
-		return refuse("it was reckoned from version %d, this is %d", c.Base, d.Version)
-	case c.Kind != Back && r.ended():
+	case itself && c.BaseVersion != d.Version:
+		return refuse("it was reckoned from version %d, this is %d", c.BaseVersion, d.Version)
+	case c.Kind != CommandRollBack && r.ended():
 		return refuse("release %q has ended", c.Name)
-	case c.Kind == Back && r.ended() && !r.Wish.Drain && r.Wish.Kind != KindBan && d.inTheWay(r) != "":
+	case c.Kind == CommandRollBack && r.ended() && !r.Spec.Drain && r.Spec.Kind != KindEject && d.inTheWay(r) != "":
 		return refuse("release %q touches the same things, and is not through", d.inTheWay(r))
 	}
 	switch c.Kind {
-	case Halt:
-		if r.Halt != nil && (r.Halt.Stays || itself && c.Cause != Verdict) {
-			return refuse("release %q is halted: %s %s", c.Name, r.Halt.Cause, r.Halt.Why)
+	case CommandHalt:
+		if r.Halt != nil && (r.Halt.NeedsOperator || itself && c.Cause != HaltVerdict) {
+			return refuse("release %q is halted: %s %s", c.Name, r.Halt.Cause, r.Halt.Reason)
 		}
-		again := slices.Contains(r.Causes, c.Cause)
-		if itself && !again && len(r.Causes) < 8 {
-			r.Causes = append(r.Causes, cut(c.Cause, NameMost))
+		again := slices.Contains(r.HaltCauses, c.Cause)
+		if itself && !again && len(r.HaltCauses) < 8 {
+			r.HaltCauses = append(r.HaltCauses, cut(c.Cause, MaxNameBytes))
 		}
-		r.Halt = &Stop{Cause: cut(cmp.Or(c.Cause, ByOperator), NameMost), Why: c.Why, By: c.Who, At: at}
-		r.Halt.Stays = !itself || c.Cause == Verdict || again && (c.Cause == Service || c.Cause == Overdue)
-		r.State = Halted
+		r.Halt = &HaltInfo{Cause: cut(cmp.Or(c.Cause, HaltByOperator), MaxNameBytes), Reason: c.Reason, HaltedBy: c.Requester, HaltedAt: at}
+		r.Halt.NeedsOperator = !itself || c.Cause == HaltVerdict || again && (c.Cause == HaltServiceDegraded || c.Cause == HaltOverdue)
+		r.State = ReleaseHalted
 		d.Version++
 		r.revoke(d.Version)
-	case Resume:
+	case CommandResume:
 		if r.Halt == nil {
 			return refuse("release %q is not halted", c.Name)
 		}
-		if itself && (r.Halt.Stays || r.Halt.Cause != c.Cause) {
+		if itself && (r.Halt.NeedsOperator || r.Halt.Cause != c.Cause) {
 			return refuse("release %q is resumed by an operator alone", c.Name)
 		}
-		r.Halt, r.Resumed, r.Moved = nil, at, at
+		r.Halt, r.ResumedAt, r.ProgressAt = nil, at, at
 		r.State = r.going()
 		d.Version++
-	case Back:
-		r.Halt, r.Resumed, r.Moved, r.Backing, r.Ended = nil, at, at, true, 0
+	case CommandRollBack:
+		r.Halt, r.ResumedAt, r.ProgressAt, r.RollingBack, r.EndedAt = nil, at, at, true, 0
 		r.State = r.going()
 		d.Version++
 		r.revoke(d.Version)
@@ -281,13 +281,13 @@
 		}
 	}
 	d.settle(at)
-	return Answer{Name: r.Name, State: r.State}
+	return Result{Name: r.Name, State: r.State}
 }
 
 // inTheWay is a release that goes on at the same things as one that has ended.
-func (d *data) inTheWay(r *release) string {
+func (d *record) inTheWay(r *release) string {
 	for i := range d.Releases {
-		if o := &d.Releases[i]; o.Name != r.Name && !o.ended() && o.Behind == "" && o.Wish.overlaps(&r.Wish) {
+		if o := &d.Releases[i]; o.Name != r.Name && !o.ended() && o.QueuedBehind == "" && o.Spec.overlaps(&r.Spec) {
 			return o.Name
 		}
 	}
@@ -297,67 +297,67 @@
 // going is the state of a release that is not halted.
 func (r *release) going() string {
 	switch {
-	case r.Backing:
-		return Backing
-	case !r.Laid:
-		return Queued
+	case r.RollingBack:
+		return ReleaseRollingBack
+	case !r.UnitsSet:
+		return ReleaseQueued
 	}
-	return Running
+	return ReleaseRunning
 }
 
 // takeBack ends the drain of a member that was to stay out.
 func (u *Unit) takeBack(r *release, version uint64) bool {
-	if !r.Wish.Drain || u.Kind != KindMember || u.Phase == Waiting || u.Phase == Revoked || u.Phase == Missing {
+	if !r.Spec.Drain || u.Kind != KindMember || u.Phase == PhasePending || u.Phase == PhaseRevoked || u.Phase == PhaseMissing {
 		return false
 	}
-	if u.Phase == Done { // it is not even there
-		u.Phase, u.Got = Waiting, false
+	if u.Phase == PhaseDone { // it is not even there
+		u.Phase, u.Updated = PhasePending, false
 		return true
 	}
-	u.Phase, u.Order = Revoked, version
+	u.Phase, u.OrderVersion = PhaseRevoked, version
 	return true
 }
 
 // revoke takes back what can be: a relay that has not begun to end, a member that is not empty. They count as out until they are seen.
 func (r *release) revoke(version uint64) {
 	for i := range r.Units {
-		if u := &r.Units[i]; u.Phase == Told && (u.Kind == KindRelay || u.Kind == KindMember) {
-			if planted == "half forgotten" && r.Backing {
-				u.Phase, u.Undo = Waiting, false
+		if u := &r.Units[i]; u.Phase == PhaseLeaving && (u.Kind == KindRelay || u.Kind == KindMember) {
+			if planted == "half forgotten" && r.RollingBack {
+				u.Phase, u.Reverting = PhasePending, false
 				continue
 			}
-			u.Phase, u.Order = Revoked, version
+			u.Phase, u.OrderVersion = PhaseRevoked, version
 		}
 	}
 }
 
 // ban and allow by operators need no budget: they are not held back, and what is banned counts as lost.
-func (d *data) ban(at int64, c *Command) Answer {
-	if len(c.Names) == 0 || len(c.Names) > BansMost {
-		return refuse("no names, or over %d", BansMost)
+func (d *record) ban(at int64, c *Command) Result {
+	if len(c.Names) == 0 || len(c.Names) > MaxEjections {
+		return refuse("no names, or over %d", MaxEjections)
 	}
 	for _, n := range c.Names {
-		if n == "" || len(n) > NameMost {
-			return refuse("%q is no name", cut(n, NameMost))
+		if n == "" || len(n) > MaxNameBytes {
+			return refuse("%q is no name", cut(n, MaxNameBytes))
 		}
 	}
-	if c.Kind == Ban && len(d.Bans)+len(c.Names) > BansMost {
-		return refuse("over %d bans", BansMost)
+	if c.Kind == CommandEject && len(d.Ejections)+len(c.Names) > MaxEjections {
+		return refuse("over %d bans", MaxEjections)
 	}
 	changed := false
 	for _, n := range c.Names {
-		changed = d.setBan(at, n, c.Why, c.Who, c.Kind == Ban) || changed
+		changed = d.setBan(at, n, c.Reason, c.Requester, c.Kind == CommandEject) || changed
 		for i := range d.Releases {
 			r := &d.Releases[i]
 			for j := range r.Units {
 				u := &r.Units[j]
 				switch {
-				case c.Kind != Allow || u.name() != n:
+				case c.Kind != CommandReinstate || u.name() != n:
 				case u.takeBack(r, d.Version+1):
-					r.Backing, r.Resumed, r.Moved, r.Ended, r.Halt, changed = true, at, at, 0, nil, true
+					r.RollingBack, r.ResumedAt, r.ProgressAt, r.EndedAt, r.Halt, changed = true, at, at, 0, nil, true
 					r.State = r.going()
 				case u.Stranded && u.Kind == KindMember && r.ended() && u.isOut(): // an operator takes it as it is: nothing else ever might
-					u.Phase, changed = Missing, true
+					u.Phase, changed = PhaseMissing, true
 				}
 			}
 		}
@@ -365,150 +365,150 @@
 	if changed {
 		d.Version++
 	}
-	return Answer{}
+	return Result{}
 }
 
-func (d *data) setBan(at int64, name, why, by string, on bool) bool {
+func (d *record) setBan(at int64, name, why, by string, on bool) bool {
 	i, is := d.banned(name)
 	switch {
 	case is == on:
 		return false
 	case !on:
-		d.Bans = slices.Delete(d.Bans, i, i+1)
+		d.Ejections = slices.Delete(d.Ejections, i, i+1)
 	default:
-		d.Number++
-		d.Bans = slices.Insert(d.Bans, i, Banned{Name: name, Why: why, By: by, Since: at, Number: d.Number})
+		d.LastNumber++
+		d.Ejections = slices.Insert(d.Ejections, i, Ejection{Name: name, Reason: why, EjectedBy: by, Since: at, Number: d.LastNumber})
 	}
 	return true
 }
 
 // lay fixes a release's things, their order, and how they were before.
-func (d *data) lay(at int64, c *Command) Answer {
+func (d *record) lay(at int64, c *Command) Result {
 	r := d.release(c.Name)
-	if r == nil || r.Laid || r.State != Queued || r.Behind != "" {
+	if r == nil || r.UnitsSet || r.State != ReleaseQueued || r.QueuedBehind != "" {
 		return refuse("release %q is not to be laid out", c.Name)
 	}
 	total := len(c.Units)
 	for i := range d.Releases {
 		total += len(d.Releases[i].Units)
 	}
-	if total > UnitsMost || len(c.Before) > countsMost {
-		return refuse("over %d things in all, or %d windows", UnitsMost, countsMost)
+	if total > MaxUnits || len(c.Baseline) > countsMost {
+		return refuse("over %d things in all, or %d windows", MaxUnits, countsMost)
 	}
 	names := map[string]bool{}
 	for _, u := range c.Units {
-		fits := u.Kind == r.Wish.Kind || r.Wish.Kind == KindBan && u.Kind == KindAllow
-		if u.Name == "" || max(len(u.Name), len(u.Zone), len(u.Program), len(u.Config)) > NameMost || names[u.Name] || !fits {
-			return refuse("unit %q is no thing of this release, or stands twice", cut(u.Name, NameMost))
+		fits := u.Kind == r.Spec.Kind || r.Spec.Kind == KindEject && u.Kind == KindReinstate
+		if u.Name == "" || max(len(u.Name), len(u.Zone), len(u.PreviousProgram), len(u.PreviousConfig)) > MaxNameBytes || names[u.Name] || !fits {
+			return refuse("unit %q is no thing of this release, or stands twice", cut(u.Name, MaxNameBytes))
 		}
 		names[u.Name] = true
 	}
-	for _, w := range c.Before {
-		if !(w.Asked >= 0 && w.Served >= 0 && w.Served <= w.Asked && w.Asked <= countMost) {
+	for _, w := range c.Baseline {
+		if !(w.Requested >= 0 && w.Served >= 0 && w.Served <= w.Requested && w.Requested <= countMost) {
 			return refuse("a window that served more than was asked")
 		}
 	}
 	for _, u := range c.Units {
 		_, banned := d.banned(u.Name)
-		phase := Waiting
-		if u.Phase == Missing {
-			phase = Missing
+		phase := PhasePending
+		if u.Phase == PhaseMissing {
+			phase = PhaseMissing
 		}
-		r.Units = append(r.Units, Unit{Name: u.Name, Zone: u.Zone, Kind: u.Kind, Size: u.Size, Program: u.Program, Config: u.Config,
-			Banned: banned, Phase: phase})
+		r.Units = append(r.Units, Unit{Name: u.Name, Zone: u.Zone, Kind: u.Kind, Capacity: u.Capacity, PreviousProgram: u.PreviousProgram, PreviousConfig: u.PreviousConfig,
+			PreviouslyEjected: banned, Phase: phase})
 	}
-	r.Asked, r.Served, r.Spread = before(c.Before)
-	r.Laid, r.Since, r.Moved, r.State = true, at, at, Running
+	r.BaselineRequested, r.BaselineServed, r.BaselineDispersion = before(c.Baseline)
+	r.UnitsSet, r.UnitsSetAt, r.ProgressAt, r.State = true, at, at, ReleaseRunning
 	d.Version++
-	return Answer{Name: r.Name, State: r.State}
+	return Result{Name: r.Name, State: r.State}
 }
 
 // stale says why what a command was reckoned from does not hold any more.
-func (d *data) stale(at int64, c *Command) string {
-	v, b := c.Sight, c.Sight.Budgets
+func (d *record) stale(at int64, c *Command) string {
+	v, b := c.Basis, c.Basis.Budgets
 	switch {
-	case c.Base != d.Version && planted != "no fencing":
-		return fmt.Sprintf("it was reckoned from version %d, this is %d", c.Base, d.Version)
-	case at-v.At > b.Fresh:
+	case c.BaseVersion != d.Version && planted != "no fencing":
+		return fmt.Sprintf("it was reckoned from version %d, this is %d", c.BaseVersion, d.Version)
+	case at-v.At > b.ViewMaxAgeMS:
 		return fmt.Sprintf("what it was reckoned from is %d ms old", at-v.At)
-	case b.Window <= 0 || b.Window > forMost || !(b.Clock >= 0 && b.Clock < 1):
+	case b.PermitWindowMS <= 0 || b.PermitWindowMS > forMost || !(b.ClockDrift >= 0 && b.ClockDrift < 1):
 		return "a sight without window or clock"
 	}
 	return ""
 }
 
 // step gives things out: all of it, or nothing.
-func (d *data) step(at int64, c *Command) Answer {
-	if c.Sight == nil || len(c.Gives) == 0 || len(c.Gives) > GivesMost {
-		return refuse("a step names one to %d things, and what it was reckoned from", GivesMost)
+func (d *record) step(at int64, c *Command) Result {
+	if c.Basis == nil || len(c.Grants) == 0 || len(c.Grants) > MaxGrantsPerStep {
+		return refuse("a step names one to %d things, and what it was reckoned from", MaxGrantsPerStep)
 	}
 	if why := d.stale(at, c); why != "" {
 		return refuse("%s", why)
 	}
-	v, b := c.Sight, c.Sight.Budgets
+	v, b := c.Basis, c.Basis.Budgets
 	rooms := map[string]*room{KindRelay: d.room(KindRelay, v.Relays, b), KindMember: d.room(KindMember, v.Members, b)}
-	for _, g := range c.Gives {
-		if len(g.Zone) > NameMost {
-			return refuse("a zone of over %d bytes", NameMost)
+	for _, g := range c.Grants {
+		if len(g.Zone) > MaxNameBytes {
+			return refuse("a zone of over %d bytes", MaxNameBytes)
 		}
 		kind, name, zone := "", "", g.Zone
 		if g.Permit != 0 {
 			p := d.permit(g.Permit)
-			if p == nil || p.State != Wait {
+			if p == nil || p.State != PermitWaiting {
 				return refuse("permit %d does not wait", g.Permit)
 			}
 			kind, name = p.Kind, p.Name
 		} else {
 			r := d.release(g.Release)
 			if r == nil || r.unit(g.Unit) == nil {
-				return refuse("no unit %q of release %q", cut(g.Unit, NameMost), cut(g.Release, NameMost))
+				return refuse("no unit %q of release %q", cut(g.Unit, MaxNameBytes), cut(g.Release, MaxNameBytes))
 			}
 			u := r.unit(g.Unit)
 			if !r.may(u) {
 				return refuse("unit %q of release %q may not go out now", u.Name, r.Name)
 			}
 			if u.bans() != 0 {
-				kind = KindBan
+				kind = KindEject
 			}
 			kind, name, zone = cmp.Or(kind, u.Kind), u.name(), u.Zone
 			if u.bans() < 0 {
 				continue // gives back
 			}
 		}
-		if why := rooms[side(kind)].take(name, zone, g.Bears); why != "" {
+		if why := rooms[side(kind)].take(name, zone, g.Capacity); why != "" {
 			return refuse("%s", why)
 		}
-		if kind == KindBan && len(d.Bans)+len(c.Gives) > BansMost {
-			return refuse("over %d bans", BansMost)
+		if kind == KindEject && len(d.Ejections)+len(c.Grants) > MaxEjections {
+			return refuse("over %d bans", MaxEjections)
 		}
 	}
 	d.Version++
-	for _, g := range c.Gives {
+	for _, g := range c.Grants {
 		if p := d.permit(g.Permit); p != nil {
-			p.State, p.At, p.Window, p.Until, p.Clock, p.Zone = Granted, at, b.Window,
-				at+stretch(b.Window, b.Clock), b.Clock, g.Zone
+			p.State, p.StateSince, p.WindowMS, p.ExpiresAt, p.ClockDrift, p.Zone = PermitGranted, at, b.PermitWindowMS,
+				at+stretch(b.PermitWindowMS, b.ClockDrift), b.ClockDrift, g.Zone
 			continue
 		}
 		r := d.release(g.Release)
 		u := r.unit(g.Unit)
-		d.Number++
-		u.Undo = u.Got
-		u.Phase, u.Number, u.Order, u.At, u.Start, u.MoveOver = Told, d.Number, d.Version, at, g.Start, g.MoveOver
+		d.LastNumber++
+		u.Reverting = u.Updated
+		u.Phase, u.OrderNumber, u.OrderVersion, u.OrderedAt, u.SeenStart, u.MigrateOverMS = PhaseLeaving, d.LastNumber, d.Version, at, g.SeenStart, g.MigrateOverMS
 		if ban := u.bans(); ban != 0 {
-			d.setBan(at, u.Name, "release "+r.Name, r.By, ban > 0)
+			d.setBan(at, u.Name, "release "+r.Name, r.OpenedBy, ban > 0)
 		}
-		r.Moved = at
+		r.ProgressAt = at
 	}
-	return Answer{}
+	return Result{}
 }
 
 // may says whether a unit may be given out: the new thing, or back what it had.
 func (r *release) may(u *Unit) bool {
 	switch r.State {
-	case Running:
-		return u.Phase == Waiting && !u.Got
-	case Backing:
-		return u.Phase == Done && r.undoable(u)
+	case ReleaseRunning:
+		return u.Phase == PhasePending && !u.Updated
+	case ReleaseRollingBack:
+		return u.Phase == PhaseDone && r.undoable(u)
 	}
 	return false
 }
@@ -516,31 +516,31 @@
 // bans says what giving the unit out does to the bans: 1 sets, -1 lifts. Its undoing is the reverse.
 func (u *Unit) bans() int {
 	switch {
-	case u.Kind == KindBan && !u.Got, u.Kind == KindAllow && u.Got:
+	case u.Kind == KindEject && !u.Updated, u.Kind == KindReinstate && u.Updated:
 		return 1
-	case u.Kind == KindAllow, u.Kind == KindBan:
+	case u.Kind == KindReinstate, u.Kind == KindEject:
 		return -1
 	}
 	return 0
 }
 
 // seen takes over what others saw. What does not fit the state any more is left aside.
-func (d *data) seen(at int64, c *Command) Answer {
-	if len(c.Saw) > UnitsMost+PermitsMost {
-		return refuse("over %d sights", UnitsMost+PermitsMost)
+func (d *record) seen(at int64, c *Command) Result {
+	if len(c.Observations) > MaxUnits+MaxPermits {
+		return refuse("over %d sights", MaxUnits+MaxPermits)
 	}
 	changed := false
-	for _, s := range c.Saw {
-		if max(len(s.Now), len(s.Zone)) > NameMost {
+	for _, s := range c.Observations {
+		if max(len(s.Successor), len(s.Zone)) > MaxNameBytes {
 			continue
 		}
-		if s.Shut != 0 {
+		if s.Quarantine != 0 {
 			changed = d.opened(s) || changed
 			continue
 		}
 		if p := d.permit(s.Permit); s.Permit != 0 {
-			if p != nil && p.State == Begun {
-				d.Permits = slices.DeleteFunc(d.Permits, func(p Pass) bool { return p.Number == s.Permit })
+			if p != nil && p.State == PermitBegun {
+				d.Permits = slices.DeleteFunc(d.Permits, func(p Permit) bool { return p.Number == s.Permit })
 				changed = true
 			}
 			continue
@@ -550,55 +550,55 @@
 			continue
 		}
 		u := r.unit(s.Unit)
-		if u == nil || u.Order != s.Order || !d.move(at, r, u, s) {
+		if u == nil || u.OrderVersion != s.OrderVersion || !d.move(at, r, u, s) {
 			continue
 		}
-		r.Moved, changed = at, true
+		r.ProgressAt, changed = at, true
 	}
 	if !changed {
 		return refuse("nothing of this is so any more")
 	}
 	d.Version++
-	return Answer{}
+	return Result{}
 }
 
 // move is one transition of a unit. Order is the version that this command makes.
-func (d *data) move(at int64, r *release, u *Unit, s Saw) bool {
+func (d *record) move(at int64, r *release, u *Unit, s Observation) bool {
 	next := d.Version + 1
 	switch {
-	case s.Strand:
-		if !r.Backing || u.Stranded || !u.isOut() && !(u.Phase == Done && r.undoable(u)) {
+	case s.Stranded:
+		if !r.RollingBack || u.Stranded || !u.isOut() && !(u.Phase == PhaseDone && r.undoable(u)) {
 			return false
 		}
 		u.Stranded = true
-		if u.Phase == Told {
-			u.Phase, u.Order = Revoked, next
-		}
-	case s.Phase == Missing && (u.Phase == Waiting || u.Stranded && u.isOut() && r.ended()):
-		u.Phase = Missing
-	case s.Phase == Empty && u.Kind == KindMember && (u.Phase == Told || u.Phase == Done && r.Wish.Drain):
-		u.Phase, u.Start = Empty, s.Start
-	case s.Phase == Coming && u.Kind == KindMember && (u.Phase == Empty || u.Phase == Revoked || u.Phase == Coming && u.name() != cmp.Or(s.Now, u.Name)) && !r.Wish.Drain:
-		u.Phase, u.Order, u.Now, u.Zone = Coming, next, s.Now, s.Zone
-		if u.Now == u.Name {
-			u.Now = ""
-		}
-	case s.Phase == Done && u.isOut():
-		if u.Phase != Revoked && !u.Stranded && !r.Wish.Drain {
-			d.note(u.Kind, at-u.At)
-		}
-		u.Phase, u.Got = Done, !r.Wish.Drain
-		if u.Undo {
-			u.Phase, u.Got = Waiting, false
-		}
-		u.Undo, u.Stranded, u.Order = false, false, next
-	case s.Phase == Waiting && (u.Phase == Revoked || u.Phase == Coming && !u.Undo):
-		u.Phase = Waiting
-		if u.Got {
-			u.Phase = Done
-		}
-		u.Undo, u.Stranded, u.Order = false, false, next
-	case s.Phase == Waiting && u.Phase == Done && u.Stranded: // it is there again, to be undone after all
+		if u.Phase == PhaseLeaving {
+			u.Phase, u.OrderVersion = PhaseRevoked, next
+		}
+	case s.Phase == PhaseMissing && (u.Phase == PhasePending || u.Stranded && u.isOut() && r.ended()):
+		u.Phase = PhaseMissing
+	case s.Phase == PhaseDrained && u.Kind == KindMember && (u.Phase == PhaseLeaving || u.Phase == PhaseDone && r.Spec.Drain):
+		u.Phase, u.SeenStart = PhaseDrained, s.SeenStart
+	case s.Phase == PhaseReplaced && u.Kind == KindMember && (u.Phase == PhaseDrained || u.Phase == PhaseRevoked || u.Phase == PhaseReplaced && u.name() != cmp.Or(s.Successor, u.Name)) && !r.Spec.Drain:
+		u.Phase, u.OrderVersion, u.Successor, u.Zone = PhaseReplaced, next, s.Successor, s.Zone
+		if u.Successor == u.Name {
+			u.Successor = ""
+		}
+	case s.Phase == PhaseDone && u.isOut():
+		if u.Phase != PhaseRevoked && !u.Stranded && !r.Spec.Drain {
+			d.note(u.Kind, at-u.OrderedAt)
+		}
+		u.Phase, u.Updated = PhaseDone, !r.Spec.Drain
+		if u.Reverting {
+			u.Phase, u.Updated = PhasePending, false
+		}
+		u.Reverting, u.Stranded, u.OrderVersion = false, false, next
+	case s.Phase == PhasePending && (u.Phase == PhaseRevoked || u.Phase == PhaseReplaced && !u.Reverting):
+		u.Phase = PhasePending
+		if u.Updated {
+			u.Phase = PhaseDone
+		}
+		u.Reverting, u.Stranded, u.OrderVersion = false, false, next
+	case s.Phase == PhasePending && u.Phase == PhaseDone && u.Stranded: // it is there again, to be undone after all
 		u.Stranded = false
 	default:
 		return false
@@ -606,12 +606,12 @@
 	return true
 }
 
-func (d *data) note(kind string, took int64) {
-	list := &d.Members
+func (d *record) note(kind string, took int64) {
+	list := &d.MemberDurationsMS
 	switch kind {
 	case KindRelay:
-		list = &d.Relays
-	case KindBan, KindAllow:
+		list = &d.RelayDurationsMS
+	case KindEject, KindReinstate:
 		return
 	}
 	*list = append(*list, max(took, 0))
@@ -621,23 +621,23 @@
 }
 
 // void forgets permits whose time is over, and askers who are gone.
-func (d *data) void(at int64, c *Command) Answer {
+func (d *record) void(at int64, c *Command) Result {
 	n := len(d.Permits)
-	d.Permits = slices.DeleteFunc(d.Permits, func(p Pass) bool { return slices.Contains(c.Numbers, p.Number) && p.void(at) })
+	d.Permits = slices.DeleteFunc(d.Permits, func(p Permit) bool { return slices.Contains(c.PermitNumbers, p.Number) && p.void(at) })
 	if len(d.Permits) == n {
 		return refuse("none of these is void")
 	}
 	d.Version++
-	return Answer{}
+	return Result{}
 }
 
-func (p *Pass) void(at int64) bool {
-	return p.State == Granted && at > p.Until || p.State == Wait && at-p.Asked > staleAfter
+func (p *Permit) void(at int64) bool {
+	return p.State == PermitGranted && at > p.ExpiresAt || p.State == PermitWaiting && at-p.RequestedAt > staleAfter
 }
 
 // shut takes a relay that drifted out of the service, within the budget: drift at half of the fleet must not empty it.
-func (d *data) shut(at int64, c *Command) Answer {
-	if c.Sight == nil || c.Name == "" || len(c.Zone) > NameMost {
+func (d *record) shut(at int64, c *Command) Result {
+	if c.Basis == nil || c.Name == "" || len(c.Zone) > MaxNameBytes {
 		return refuse("who is shut has a name and a zone, and what it was reckoned from")
 	}
 	if why := d.stale(at, c); why != "" {
@@ -645,47 +645,47 @@
 	}
 	s := d.shutting(c.Name)
 	switch {
-	case s != nil && s.Opened == 0:
+	case s != nil && s.ReadmittedVersion == 0:
 		return refuse("%s is shut", s.Name)
-	case s != nil && s.Let:
+	case s != nil && s.OperatorOverride:
 		return refuse("an operator admitted %s as it is", s.Name)
-	case s == nil && len(d.Shuts) >= ShutsMost:
-		return refuse("%d relays are shut", ShutsMost)
+	case s == nil && len(d.Quarantines) >= MaxQuarantines:
+		return refuse("%d relays are shut", MaxQuarantines)
 	}
-	if why := d.room(KindRelay, c.Sight.Relays, c.Sight.Budgets).shut(c.Name, c.Zone, c.Bears); why != "" {
+	if why := d.room(KindRelay, c.Basis.Relays, c.Basis.Budgets).shut(c.Name, c.Zone, c.Capacity); why != "" {
 		return refuse("%s", why)
 	}
 	d.Version++
-	d.Number++
-	d.Shuts = slices.DeleteFunc(d.Shuts, func(x Shutting) bool { return x.Name == c.Name })
-	d.Shuts = append(d.Shuts, Shutting{Name: c.Name, Zone: c.Zone, Why: c.Why, Since: at, Start: c.Start, Number: d.Number})
-	return Answer{Name: c.Name, State: Shut, Number: d.Number}
+	d.LastNumber++
+	d.Quarantines = slices.DeleteFunc(d.Quarantines, func(x Quarantine) bool { return x.Name == c.Name })
+	d.Quarantines = append(d.Quarantines, Quarantine{Name: c.Name, Zone: c.Zone, Reason: c.Reason, Since: at, StartNumber: c.StartNumber, Number: d.LastNumber})
+	return Result{Name: c.Name, State: CommandQuarantine, Number: d.LastNumber}
 }
 
 // admit lets a relay serve again. It counts as out until it is seen to.
-func (d *data) admit(c *Command) Answer {
+func (d *record) admit(c *Command) Result {
 	s, itself := d.shutting(c.Name), c.Cause != ""
 	switch {
-	case s == nil || s.Opened != 0 && (itself || s.Let):
+	case s == nil || s.ReadmittedVersion != 0 && (itself || s.OperatorOverride):
 		return refuse("%q is not shut", c.Name)
-	case itself && c.Base != d.Version:
-		return refuse("it was reckoned from version %d, this is %d", c.Base, d.Version)
+	case itself && c.BaseVersion != d.Version:
+		return refuse("it was reckoned from version %d, this is %d", c.BaseVersion, d.Version)
 	}
 	d.Version++
-	s.Opened, s.Let = cmp.Or(s.Opened, d.Version), !itself
-	return Answer{Name: s.Name, State: Admit}
+	s.ReadmittedVersion, s.OperatorOverride = cmp.Or(s.ReadmittedVersion, d.Version), !itself
+	return Result{Name: s.Name, State: CommandReadmit}
 }
 
 // opened takes over that one that was admitted serves, or is nothing to be spoken of any more.
-func (d *data) opened(saw Saw) bool {
-	i := slices.IndexFunc(d.Shuts, func(x Shutting) bool { return x.Number == saw.Shut && x.Opened != 0 })
+func (d *record) opened(saw Observation) bool {
+	i := slices.IndexFunc(d.Quarantines, func(x Quarantine) bool { return x.Number == saw.Quarantine && x.ReadmittedVersion != 0 })
 	switch {
 	case i < 0:
 		return false
-	case saw.Phase == Missing || saw.Phase == Done && !d.Shuts[i].Let:
-		d.Shuts = slices.Delete(d.Shuts, i, i+1)
-	case saw.Phase == Done && !d.Shuts[i].Back:
-		d.Shuts[i].Back = true
+	case saw.Phase == PhaseMissing || saw.Phase == PhaseDone && !d.Quarantines[i].OperatorOverride:
+		d.Quarantines = slices.Delete(d.Quarantines, i, i+1)
+	case saw.Phase == PhaseDone && !d.Quarantines[i].InService:
+		d.Quarantines[i].InService = true
 	default:
 		return false
 	}
@@ -693,30 +693,30 @@
 }
 
 // settle ends what is through, then lets go on what waited for it: first an ended one that has something left to undo, else the next.
-func (d *data) settle(at int64) {
+func (d *record) settle(at int64) {
 	for i := range d.Releases {
 		if r := &d.Releases[i]; r.through() {
-			r.State, r.Ended = map[string]string{Running: Ended, Backing: Undone}[r.State], at
+			r.State, r.EndedAt = map[string]string{ReleaseRunning: ReleaseCompleted, ReleaseRollingBack: ReleaseRolledBack}[r.State], at
 		}
 	}
 	for i := range d.Releases {
 		r := &d.Releases[i]
-		if r.State == Undone && d.inTheWay(r) == "" && slices.ContainsFunc(r.Units, func(u Unit) bool { return u.Phase == Done && !u.Stranded && r.undoable(&u) }) {
-			r.State, r.Ended, r.Resumed, r.Moved = Backing, 0, at, at // one that was stranded came back with the new thing
+		if r.State == ReleaseRolledBack && d.inTheWay(r) == "" && slices.ContainsFunc(r.Units, func(u Unit) bool { return u.Phase == PhaseDone && !u.Stranded && r.undoable(&u) }) {
+			r.State, r.EndedAt, r.ResumedAt, r.ProgressAt = ReleaseRollingBack, 0, at, at // one that was stranded came back with the new thing
 		}
-		if r.Behind == "" {
+		if r.QueuedBehind == "" {
 			continue
 		}
-		was := r.Behind
-		r.Behind = ""
+		was := r.QueuedBehind
+		r.QueuedBehind = ""
 		for j := range i {
-			if o := &d.Releases[j]; !o.ended() && o.Wish.overlaps(&r.Wish) {
-				r.Behind = o.Name
+			if o := &d.Releases[j]; !o.ended() && o.Spec.overlaps(&r.Spec) {
+				r.QueuedBehind = o.Name
 				break
 			}
 		}
-		if r.Behind != was {
-			r.Moved = at
+		if r.QueuedBehind != was {
+			r.ProgressAt = at
 		}
 	}
 }
@@ -725,10 +725,10 @@
 func (r *release) through() bool {
 	for i := range r.Units {
 		u := &r.Units[i]
-		if r.State == Running && u.Phase != Done && u.Phase != Missing && !(r.Wish.Drain && u.Phase == Empty) ||
-			r.State == Backing && !u.Stranded && (u.isOut() || u.Phase == Done && r.undoable(u)) {
+		if r.State == ReleaseRunning && u.Phase != PhaseDone && u.Phase != PhaseMissing && !(r.Spec.Drain && u.Phase == PhaseDrained) ||
+			r.State == ReleaseRollingBack && !u.Stranded && (u.isOut() || u.Phase == PhaseDone && r.undoable(u)) {
 			return false
 		}
 	}
-	return r.State == Running || r.State == Backing
+	return r.State == ReleaseRunning || r.State == ReleaseRollingBack
 }
