--- a/cmd/dahliarudder/build.go
+++ b/cmd/dahliarudder/build.go
@@ -11,104 +11,163 @@
 	"dahliarudder/internal/netloop"
 	"dahliarudder/internal/operator"
 	"dahliarudder/internal/pool"
-	"dahliarudder/internal/snapshot"
 	"dahliarudder/internal/store"
 	"dahliarudder/policy"
 )
 
-func (r *relay) build() (err error) {
-	cfg, loop := r.cfg, r.loop
-	var ledger core.Ledger
-	if cfg.Store != nil {
-		run := runName(cfg.Name, cfg.Seed, wallClock())
-		if r.store, err = store.Open(*cfg.Store, run, wallClock().Add(-r.clock()), r.log); err != nil {
+// build puts the relay together on its loop. The order matters: the decisions first, then what an earlier process or a
+// snapshot knew, then the listeners, and last what speaks to other relays.
+func (r *relay) build() error {
+	if err := r.openStore(); err != nil {
+		return err
+	}
+	r.buildCore()
+	r.startDiscovery()
+	r.buildFronts()
+	if r.cfg.Operator != "" {
+		if err := r.restoreEjections(); err != nil {
 			return err
 		}
-		ledger = r.store
 	}
+	r.restoreState()
+	if err := r.listenOnAll(); err != nil {
+		return err
+	}
+	r.closeUnusedSockets()
+	if err := r.startClustering(); err != nil {
+		return err
+	}
+	if r.recovery != nil {
+		r.writeSnapshots(time.Duration(r.cfg.State.EveryMS * float64(time.Millisecond)))
+	}
+	switch {
+	case r.sibling != nil: // it accepts clients once it has members to send to
+		r.syncSibling()
+	default:
+		r.accepting = true
+		if r.cfg.Operator != "" {
+			r.awaitSuccessor()
+		}
+	}
+	return nil
+}
+
+// openStore opens the store of record, if one is configured.
+func (r *relay) openStore() (err error) {
+	if r.cfg.Store == nil {
+		return nil
+	}
+	run := runName(r.cfg.Name, r.cfg.Seed, wallClock())
+	r.store, err = store.Open(*r.cfg.Store, run, wallClock().Add(-r.clock()), r.log)
+	return err
+}
+
+// buildCore makes the endpoint watch and the core, which call each other.
+func (r *relay) buildCore() {
+	cfg, loop := r.cfg, r.loop
 	r.watch = &pool.Watch{Loop: loop, Addr: cfg.Discovery, Log: r.log, Names: r.names,
 		Dial: loop.Reserve(pool.Descriptors).Dial, Random: newRandom(cfg.SeedNumber())}
-	var probe func(*core.Member)
+	var ledger core.Ledger
+	if r.store != nil { // a nil *store.Store in the interface would not be nil
+		ledger = r.store
+	}
 	r.core = core.New(core.Options{Settings: r.names.Settings, Seed: cfg.SeedNumber(), Clock: r.clock, Round: loop.Round, Ledger: ledger,
 		Watch: r.watch.Ask, FeedMemory: int(cfg.Limits.MemoryMB * feedMemoryFraction * (1 << 20)),
-		Probe: func(to *core.Member) { probe(to) },
-		Wake: func(at time.Duration) {
-			r.coreTimer.Stop()
-			if at < math.MaxInt64 {
-				r.coreTimer = loop.After(at-r.clock(), func() { r.core.Tick() })
-			}
-		},
-	})
+		Probe: r.checkHealth, Wake: r.scheduleTick})
 	r.watch.Told = r.core.Pool
+}
+
+// checkHealth sends a health check by the line front if it is on, otherwise by the NATS front.
+func (r *relay) checkHealth(member *core.Member) {
+	if r.lineFront != nil {
+		r.lineFront.CheckHealth(member)
+	} else {
+		r.natsFront.CheckHealth(member)
+	}
+}
+
+// scheduleTick has the core run again at a time; math.MaxInt64 is never.
+func (r *relay) scheduleTick(at time.Duration) {
+	r.coreTimer.Stop()
+	if at < math.MaxInt64 {
+		r.coreTimer = r.loop.After(at-r.clock(), func() { r.core.Tick() })
+	}
+}
+
+// startDiscovery begins to poll or watch the endpoint list.
+func (r *relay) startDiscovery() {
 	if set := r.core.Limits(); set.Subscribe {
-		loop.After(pool.FirstBy(set.AskWithin, r.watch.Random), r.watch.Ask)
-	} else { // what the agent has counts from the first moment
-		r.watch.Pushed = r.core.Grace()
-		r.watch.Ask()
+		r.loop.After(pool.FirstBy(set.AskWithin, r.watch.Random), r.watch.Ask)
+		return
 	}
+	r.watch.Pushed = r.core.Grace() // what the agent holds counts from the first moment
+	r.watch.Ask()
+}
+
+func (r *relay) buildFronts() {
+	cfg := r.cfg
 	if cfg.Fronts.NATS != nil {
-		r.natsFront = nats.New(loop, r.core, r.log, cfg.Name, *cfg.Fronts.NATS, cfg.Security())
-		probe = r.natsFront.CheckHealth
+		r.natsFront = nats.New(r.loop, r.core, r.log, cfg.Name, *cfg.Fronts.NATS, cfg.Security())
 	}
 	if cfg.Fronts.Line != nil {
-		r.lineFront = line.New(loop, r.core, r.log)
-		probe = r.lineFront.CheckHealth
+		r.lineFront = line.New(r.loop, r.core, r.log)
 	}
-	if cfg.Operator != "" {
-		if err := r.restoreEjections(); err != nil {
-			return err
-		}
-	}
-	if known := cfg.KnownList(); known != nil && r.inheritedState == nil {
+}
+
+// restoreState takes over what is known from before: from the older process of an upgrade, which knows most, otherwise
+// from the configured endpoint list and the snapshot.
+func (r *relay) restoreState() {
+	upgrading := r.inheritedState != nil
+	if known := r.cfg.KnownList(); known != nil && !upgrading {
 		r.watch.Hold(known)
 		r.core.Pool(policy.ListCached, r.names.Members(known))
 	}
-	succeeds := r.inheritedState != nil
 	r.restorePredecessorState()
-	if cfg.State != nil && !succeeds { // an older process knows more
-		r.resumeFromSnapshot(*cfg.State)
-	} else if cfg.State != nil {
-		r.recovery = &recoveryReport{From: "an older process", Discarded: []snapshot.Part{}, dir: cfg.State.Dir, pending: make(chan []byte, 1)}
+	switch {
+	case r.cfg.State == nil:
+	case upgrading:
+		r.recovery = newRecoveryReport("an older process", r.cfg.State.Dir)
+	default:
+		r.resumeFromSnapshot(*r.cfg.State)
 	}
+}
+
+// listenOnAll opens the listeners of the fronts and of the operators' address.
+func (r *relay) listenOnAll() error {
 	r.clientListeners = map[string]*netloop.Listener{}
 	if r.natsFront != nil {
-		err = r.listen("nats", cfg.Fronts.NATS.Listen, r.natsFront.Accept)
-	}
-	if r.lineFront != nil && err == nil {
-		err = r.listen("line", cfg.Listen, r.lineFront.Accept)
-	}
-	if cfg.Operator != "" && err == nil {
-		desk := &operator.Front{Loop: loop, Relay: r, Log: r.log}
-		var l *netloop.Listener
-		l, err = r.listenWithRetry(func() (*netloop.Listener, error) {
-			return loop.ListenApart(cfg.Operator, operator.Callers, desk.Accept)
-		})
-		r.addListener("operator", l, err)
-	}
-	if err != nil {
-		return err
-	}
-	r.closeUnusedSockets()
-	if cfg.Peers != nil {
-		r.startGossip(*cfg.Peers)
+		if err := r.listen("nats", r.cfg.Fronts.NATS.Listen, r.natsFront.Accept); err != nil {
+			return err
+		}
 	}
-	if cfg.Fleet != nil {
-		if err := r.startFleet(*cfg.Fleet); err != nil {
+	if r.lineFront != nil {
+		if err := r.listen("line", r.cfg.Listen, r.lineFront.Accept); err != nil {
 			return err
 		}
 	}
-	if r.recovery != nil {
-		r.writeSnapshots(time.Duration(cfg.State.EveryMS * float64(time.Millisecond)))
+	if r.cfg.Operator == "" {
+		return nil
 	}
-	if r.sibling != nil {
-		r.syncSibling()
-	} else if r.accepting = true; cfg.Operator != "" {
-		r.awaitSuccessor()
+	front := &operator.Front{Loop: r.loop, Relay: r, Log: r.log}
+	l, err := r.listenWithRetry(func() (*netloop.Listener, error) {
+		return r.loop.ListenApart(r.cfg.Operator, operator.Callers, front.Accept)
+	})
+	r.addListener("operator", l, err)
+	return err
+}
+
+// startClustering joins the gossip and the fleet record, as far as they are configured.
+func (r *relay) startClustering() error {
+	if r.cfg.Peers != nil {
+		r.startGossip(*r.cfg.Peers)
+	}
+	if r.cfg.Fleet != nil {
+		return r.startFleet(*r.cfg.Fleet)
 	}
 	return nil
 }
 
-// watchRandomStream tells the random numbers of the watch from those of the decision module, which come of the same seed.
+// watchRandomStream separates the watch's random numbers from those of the decision module, which use the same seed.
 const watchRandomStream = 1
 
 func newRandom(seed uint64) func() float64 {
--- a/cmd/dahliarudder/snapshot.go
+++ b/cmd/dahliarudder/snapshot.go
@@ -25,6 +25,11 @@
 	pending    chan []byte // what is to be written; one waits at most
 }
 
+// newRecoveryReport reports a start that has restored its state from one source so far.
+func newRecoveryReport(from, dir string) *recoveryReport {
+	return &recoveryReport{From: from, Discarded: []snapshot.Part{}, dir: dir, pending: make(chan []byte, 1)}
+}
+
 // clocksNow is now by both clocks of this machine. Where the system does not tell how long it has been up, the wall clock
 // stands alone.
 func clocksNow() snapshot.Moment {
@@ -46,7 +51,7 @@
 
 // resumeFromSnapshot goes on from the snapshot, if there is one to be believed. The list that is held already stands.
 func (r *relay) resumeFromSnapshot(c config.State) {
-	r.recovery = &recoveryReport{From: "nothing", Discarded: []snapshot.Part{}, dir: c.Dir, pending: make(chan []byte, 1)}
+	r.recovery = newRecoveryReport("nothing", c.Dir)
 	if err := os.MkdirAll(c.Dir, 0o700); err != nil {
 		r.log.WithError(err).Error("state: nothing can be kept")
 	}
