--- a/cmd/dahliarudder/upgrade.go
+++ b/cmd/dahliarudder/upgrade.go
@@ -47,14 +47,14 @@
 	peer     *handover.Peer
 	origin   siblingOrigin
 	stage    siblingStage
-	sentOpen handover.Open  // what a newer one was told last
-	passing  *netloop.Timer // when the next connections are handed over to it
+	sentOpen handover.OpenRequests // what a newer one was told last
+	passing  *netloop.Timer        // when the next connections are handed over to it
 }
 
 // joinPredecessor asks for the state of the process whose place this one takes, if there is
 // one, and listens by its sockets.
 func (r *relay) joinPredecessor(dir string) error {
-	fd, state, fds, err := handover.Find(dir)
+	fd, state, fds, err := handover.RequestState(dir)
 	if err != nil || state == nil {
 		return err
 	}
@@ -65,10 +65,10 @@
 	r.inheritedState = state
 	r.sibling = &siblingProcess{origin: originOlder, stage: stageServing}
 	r.limitToRemainingSockets(state.Limit)
-	if r.sibling.peer, err = handover.Join(r.loop, fd, r.onNote, r.onSiblingGone); err != nil {
+	if r.sibling.peer, err = handover.NewPeer(r.loop, fd, r.onNote, r.onSiblingGone); err != nil {
 		return err
 	}
-	r.sibling.peer.Speaks(state.Version)
+	r.sibling.peer.SetVersion(state.Version)
 	return nil
 }
 
@@ -82,7 +82,7 @@
 			return
 		}
 		r.sibling = &siblingProcess{}
-		if r.sibling.peer, err = handover.Join(r.loop, fd, r.onNote, r.onSiblingGone); err != nil {
+		if r.sibling.peer, err = handover.NewPeer(r.loop, fd, r.onNote, r.onSiblingGone); err != nil {
 			r.log.WithError(err).Error("a successor cannot be heard")
 			r.sibling = nil
 		}
@@ -93,7 +93,7 @@
 }
 
 // onNote is told what the other process says.
-func (r *relay) onNote(n *handover.Note, fds []int) {
+func (r *relay) onNote(n *handover.Message, fds []int) {
 	switch {
 	case n.Hello > 0:
 		r.sendStateToSuccessor(n.Hello)
@@ -103,19 +103,19 @@
 		r.pauseAccepting(true)
 		r.sendOpenState()
 		r.handOverConnections()
-	case n.Leaving:
+	case n.Stopping:
 		r.onSiblingStopping()
-	case n.Relieves:
+	case n.TakingOver:
 		r.onTakeoverConfirmed()
-	case n.Bans:
+	case n.EjectionsChanged:
 		r.applyEjections("", false, func(error) {})
 	case n.Drain != nil:
 		r.drainedByOperator = *n.Drain
 		r.setDraining(*n.Drain)
-	case n.Open != nil:
-		r.limitToRemainingSockets(n.Open.Limit)
+	case n.OpenRequests != nil:
+		r.limitToRemainingSockets(n.OpenRequests.Limit)
 		if r.lineFront != nil {
-			r.lineFront.SetRemoteIDs(n.Open.IDs)
+			r.lineFront.SetRemoteIDs(n.OpenRequests.IDs)
 		}
 	case r.adoptConnection(n, fds):
 		return
@@ -127,7 +127,7 @@
 
 // sendStateToSuccessor tells a successor all that it starts with.
 func (r *relay) sendStateToSuccessor(hello int) {
-	r.sibling.peer.Speaks(hello)
+	r.sibling.peer.SetVersion(hello)
 	state := handover.NewState(r.core.Learned(), hello)
 	var fds []int
 	for front, l := range r.clientListeners {
@@ -136,12 +136,12 @@
 	}
 	var known bool
 	if state.Pool, known = r.watch.List(); known {
-		state.Watched = r.watch.Addr
+		state.DiscoveryAddr = r.watch.Addr
 	}
 	r.limitToOwnSockets()
 	state.Limit = r.sibling.sentOpen.Limit
 	r.log.WithField("held", r.core.Held()).Info("a successor starts")
-	r.sendNote(handover.Note{State: state}, fds...)
+	r.sendNote(handover.Message{State: state}, fds...)
 	r.syncSibling()
 }
 
@@ -186,15 +186,15 @@
 		slices.Sort(r.sibling.sentOpen.IDs)
 	}
 	if now := r.sibling.sentOpen; now.Limit != before.Limit || !slices.Equal(now.IDs, before.IDs) {
-		r.sendNote(handover.Note{Open: &now})
+		r.sendNote(handover.Message{OpenRequests: &now})
 	}
 }
 
-func (r *relay) sendNote(n handover.Note, fds ...int) {
+func (r *relay) sendNote(n handover.Message, fds ...int) {
 	if r.sibling == nil {
 		return
 	}
-	if err := r.sibling.peer.Tell(n, fds...); err != nil {
+	if err := r.sibling.peer.Send(n, fds...); err != nil {
 		r.log.WithError(err).Error("the other process does not hear")
 	}
 }
@@ -231,7 +231,7 @@
 	if r.inheritedState == nil {
 		return
 	}
-	if r.cfg.Succeed(r.inheritedState.Watched) {
+	if r.cfg.Succeed(r.inheritedState.DiscoveryAddr) {
 		r.watch.Addr = r.cfg.Discovery
 		r.watch.Hold(r.inheritedState.Pool)
 	}
--- a/cmd/dahliarudder/upgrade_connections.go
+++ b/cmd/dahliarudder/upgrade_connections.go
@@ -6,7 +6,7 @@
 )
 
 // adoptConnection takes a connection over, with its descriptors. It returns false if none came.
-func (r *relay) adoptConnection(n *handover.Note, fds []int) bool {
+func (r *relay) adoptConnection(n *handover.Message, fds []int) bool {
 	switch {
 	case r.lineFront == nil:
 		return false
@@ -29,11 +29,11 @@
 		return
 	}
 	r.lineFront.HandOffIdle(r.handoverWindow(), func(p line.IdleConn, fd int) {
-		r.sendConnection(handover.Note{Client: &p}, fd)
+		r.sendConnection(handover.Message{Client: &p}, fd)
 	})
 	if r.stopping {
 		r.lineFront.HandOffFlows(r.handoverWindow(), func(f line.FlowHandoff, client, member int) {
-			r.sendConnection(handover.Note{Flow: &f}, client, member)
+			r.sendConnection(handover.Message{Flow: &f}, client, member)
 		})
 	}
 	again := openStateInterval
@@ -54,15 +54,15 @@
 	if r.sibling == nil {
 		return true
 	}
-	return r.sibling.peer.Quiet() && (!r.handsOver() || r.lineFront.IdleCount() == 0)
+	return r.sibling.peer.Idle() && (!r.handsOver() || r.lineFront.IdleCount() == 0)
 }
 
 // handoverWindow is how many connections may be handed over now.
 func (r *relay) handoverWindow() int { return handoverBurst - r.sibling.peer.Pending() }
 
 // sendConnection hands a connection over. What cannot be handed over goes on here.
-func (r *relay) sendConnection(n handover.Note, fds ...int) {
-	if err := r.sibling.peer.Give(n, fds...); err != nil {
+func (r *relay) sendConnection(n handover.Message, fds ...int) {
+	if err := r.sibling.peer.SendConnection(n, fds...); err != nil {
 		r.log.WithError(err).Error("the other process does not hear")
 		r.loop.After(0, func() { r.adoptConnection(&n, fds) })
 	}
--- a/cmd/dahliarudder/upgrade_takeover.go
+++ b/cmd/dahliarudder/upgrade_takeover.go
@@ -28,7 +28,7 @@
 	}
 	r.accepting = true
 	r.pauseAccepting(false)
-	r.sendNote(handover.Note{Serving: true})
+	r.sendNote(handover.Message{Serving: true})
 	r.awaitSuccessor()
 }
 
@@ -39,13 +39,13 @@
 	if r.sibling == nil {
 		return false
 	}
-	r.sendNote(handover.Note{Leaving: true})
+	r.sendNote(handover.Message{Stopping: true})
 	if r.sibling.stage != stageServing {
 		return false
 	}
 	r.pauseAccepting(true)
 	r.takeover = takeoverRequested
-	if !r.sibling.peer.Confirms() { // it answers nothing
+	if !r.sibling.peer.ConfirmsTransfers() { // it answers nothing
 		r.onTakeoverConfirmed()
 	}
 	return true
@@ -65,7 +65,7 @@
 		r.takeover = takeoverNone
 		return
 	}
-	r.sendNote(handover.Note{Relieves: true})
+	r.sendNote(handover.Message{TakingOver: true})
 }
 
 // onTakeoverConfirmed is told that the other process takes clients in.
@@ -75,7 +75,7 @@
 	}
 	r.takeover = takeoverConfirmed
 	if r.sibling.origin == originOlder {
-		r.sibling.peer.Leave()
+		r.sibling.peer.Close()
 		r.sibling = nil
 	}
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -17,14 +17,14 @@
 
 // first plays the process that serves: it answers a hello with its state, and a
 // descriptor for each front named there.
-func first(b *looptest.Bench, dir string, state *State) (heard *[]*Note) {
-	heard = &[]*Note{}
+func first(b *looptest.Bench, dir string, state *State) (heard *[]*Message) {
+	heard = &[]*Message{}
 	_, err := b.ListenChannel(Path(dir), func(fd int) {
 		var p *Peer
-		p, _ = Join(b.Loop, fd, func(n *Note, fds []int) {
+		p, _ = NewPeer(b.Loop, fd, func(n *Message, fds []int) {
 			*heard = append(*heard, n)
 			if n.Hello > 0 {
-				if err := p.Tell(Note{State: state}, 0); err != nil {
+				if err := p.Send(Message{State: state}, 0); err != nil {
 					b.T.Error(err)
 				}
 			}
@@ -41,7 +41,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		fd, state, fds, err = Find(dir)
+		fd, state, fds, err = RequestState(dir)
 	}()
 	b.Until("an answer", func() bool {
 		select {
@@ -78,7 +78,7 @@
 // any other. Guards against a relay that a leftover socket keeps from starting.
 func TestFind(t *testing.T) {
 	dir := t.TempDir()
-	if fd, state, _, err := Find(dir); fd >= 0 || state != nil || err != nil {
+	if fd, state, _, err := RequestState(dir); fd >= 0 || state != nil || err != nil {
 		t.Errorf("alone: %d, %v, %v", fd, state, err)
 	}
 	at := &unix.SockaddrUnix{Name: filepath.Join(dir, filepath.Base(Path(dir)))}
@@ -89,7 +89,7 @@
 	if unix.Close(fd); err != nil {
 		t.Fatal(err)
 	}
-	if fd, state, _, err := Find(dir); fd >= 0 || state != nil || err != nil {
+	if fd, state, _, err := RequestState(dir); fd >= 0 || state != nil || err != nil {
 		t.Errorf("beside a dead one: %d, %v, %v", fd, state, err)
 	}
 	os.Remove(Path(dir))
@@ -110,18 +110,18 @@
 		t.Fatalf("%v, %d descriptors, %v", got, len(fds), err)
 	}
 	closeAll(fds)
-	p, err := Join(b.Loop, fd, func(*Note, []int) {}, func(error) {})
+	p, err := NewPeer(b.Loop, fd, func(*Message, []int) {}, func(error) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := p.Tell(Note{Serving: true}); err != nil {
+	if err := p.Send(Message{Serving: true}); err != nil {
 		t.Fatal(err)
 	}
 	b.Until("the note", func() bool { return len(*heard) == 2 })
 	if !(*heard)[1].Serving {
 		t.Errorf("heard %+v", (*heard)[1])
 	}
-	p.Leave()
+	p.Close()
 }
 
 // TestOtherVersion: a process that speaks otherwise is not succeeded, and says so.
@@ -137,7 +137,7 @@
 type peers struct {
 	b           *looptest.Bench
 	first, next *Peer
-	taken       []*Note
+	taken       []*Message
 	ended       bool
 }
 
@@ -147,9 +147,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.first, err = Join(p.b.Loop, pair[0], func(*Note, []int) {}, func(error) { p.ended = true })
+	p.first, err = NewPeer(p.b.Loop, pair[0], func(*Message, []int) {}, func(error) { p.ended = true })
 	if err == nil {
-		p.next, err = Join(p.b.Loop, pair[1], func(n *Note, fds []int) {
+		p.next, err = NewPeer(p.b.Loop, pair[1], func(n *Message, fds []int) {
 			p.taken = append(p.taken, n)
 			closeAll(fds)
 		}, func(error) {})
@@ -157,8 +157,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.first.Speaks(version)
-	p.next.Speaks(version)
+	p.first.SetVersion(version)
+	p.next.SetVersion(version)
 	return p
 }
 
@@ -169,7 +169,7 @@
 		p.b.T.Fatal(err)
 	}
 	p.b.T.Cleanup(func() { unix.Close(ends[0]) })
-	if err := p.first.Give(Note{Client: &line.IdleConn{Unread: []byte(name)}}, ends[1]); err != nil {
+	if err := p.first.SendConnection(Message{Client: &line.IdleConn{Unread: []byte(name)}}, ends[1]); err != nil {
 		p.b.T.Error(err)
 	}
 	return ends[0]
@@ -185,10 +185,10 @@
 func TestGive(t *testing.T) {
 	p := newPeers(t, version)
 	end := p.give("a")
-	if p.first.Pending() != 1 || p.first.PendingFDs() != 1 || p.first.Quiet() || closed(end) {
+	if p.first.Pending() != 1 || p.first.PendingFDs() != 1 || p.first.Idle() || closed(end) {
 		t.Fatalf("%d pending with %d descriptors", p.first.Pending(), p.first.PendingFDs())
 	}
-	p.b.Until("the confirmation", func() bool { return p.first.Quiet() })
+	p.b.Until("the confirmation", func() bool { return p.first.Idle() })
 	if len(p.taken) != 1 || p.first.Pending() != 0 || !closed(end) {
 		t.Errorf("%d taken, %d pending", len(p.taken), p.first.Pending())
 	}
@@ -198,7 +198,7 @@
 func TestGiveBack(t *testing.T) {
 	p := newPeers(t, version)
 	ends := []int{p.give("a"), p.give("b")}
-	p.next.Leave() // it has read nothing
+	p.next.Close() // it has read nothing
 	p.b.Until("the end", func() bool { return p.ended })
 	back := p.first.Unconfirmed()
 	if len(back) != 2 || string(back[0].Note.Client.Unread) != "a" || string(back[1].Note.Client.Unread) != "b" {
@@ -217,9 +217,9 @@
 
 // TestGivePlain: a process of the version before confirms nothing, and nothing waits for that.
 func TestGivePlain(t *testing.T) {
-	p := newPeers(t, plain)
+	p := newPeers(t, versionUnconfirmed)
 	end := p.give("a")
-	if p.first.Pending() != 0 || !p.first.Quiet() {
+	if p.first.Pending() != 0 || !p.first.Idle() {
 		t.Errorf("%d pending", p.first.Pending())
 	}
 	p.b.Until("the note", func() bool { return len(p.taken) == 1 })
@@ -231,13 +231,13 @@
 // TestVersions: a process succeeds one of the version before, and is succeeded by one.
 func TestVersions(t *testing.T) {
 	b, dir := looptest.New(t, 16), t.TempDir()
-	first(b, dir, &State{Version: plain, Fronts: []string{"line"}})
+	first(b, dir, &State{Version: versionUnconfirmed, Fronts: []string{"line"}})
 	fd, state, fds, err := find(b, dir)
-	if err != nil || state == nil || state.Version != plain {
+	if err != nil || state == nil || state.Version != versionUnconfirmed {
 		t.Fatalf("%v, %v", state, err)
 	}
 	closeAll(append(fds, fd))
-	if told := NewState(core.Learned{}, plain); told.Version != plain {
+	if told := NewState(core.Learned{}, versionUnconfirmed); told.Version != versionUnconfirmed {
 		t.Errorf("told version %d", told.Version)
 	}
 }
