--- a/cmd/dahliarudder/build.go
+++ b/cmd/dahliarudder/build.go
@@ -66,12 +66,12 @@
 func (r *relay) buildCore() {
 	cfg, loop := r.cfg, r.loop
 	r.watch = &pool.Watch{Loop: loop, Addr: cfg.Discovery, Log: r.log, Names: r.names,
-		Dial: loop.Reserve(pool.Descriptors).Dial, Random: newRandom(cfg.SeedNumber())}
+		Dial: loop.NewDescriptorReserve(pool.Descriptors).Dial, Random: newRandom(cfg.SeedNumber())}
 	var ledger core.Ledger
 	if r.store != nil { // a nil *store.Store in the interface would not be nil
 		ledger = r.store
 	}
-	r.core = core.New(core.Options{Settings: r.names.Settings, Seed: cfg.SeedNumber(), Clock: r.clock, Round: loop.Round, Ledger: ledger,
+	r.core = core.New(core.Options{Settings: r.names.Settings, Seed: cfg.SeedNumber(), Clock: r.clock, Round: loop.RoundStart, Ledger: ledger,
 		Watch: r.watch.Ask, FeedMemory: int(cfg.Limits.MemoryMB * feedMemoryFraction * (1 << 20)),
 		Probe: r.checkHealth, Wake: r.scheduleTick})
 	r.watch.Told = r.core.Pool
@@ -150,7 +150,7 @@
 	}
 	front := &operator.Front{Loop: r.loop, Relay: r, Log: r.log}
 	l, err := r.listenWithRetry(func() (*netloop.Listener, error) {
-		return r.loop.ListenApart(r.cfg.Operator, operator.Callers, front.Accept)
+		return r.loop.ListenReserved(r.cfg.Operator, operator.Callers, front.Accept)
 	})
 	r.addListener("operator", l, err)
 	return err
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -108,13 +108,13 @@
 	}
 	text, err := json.Marshal(Message{Hello: version})
 	if err == nil {
-		err = netloop.Say(fd, append([]byte{frameFinal}, text...))
+		err = netloop.SendBlocking(fd, append([]byte{frameFinal}, text...))
 	}
 	var p noteAssembler
 	for err == nil && state == nil {
 		var frame []byte
 		var some []int
-		if frame, some, err = netloop.Hear(fd); err != nil {
+		if frame, some, err = netloop.ReceiveBlocking(fd); err != nil {
 			break
 		}
 		fds = append(fds, some...)
@@ -270,7 +270,7 @@
 }
 
 // Idle says that all that was told has left, and all that was given is confirmed.
-func (p *Peer) Idle() bool { return p.channel.Quiet() && len(p.unconfirmed) == 0 }
+func (p *Peer) Idle() bool { return p.channel.Idle() && len(p.unconfirmed) == 0 }
 
 // Close ends the conversation; nobody here is told.
 func (p *Peer) Close() {
