--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -86,22 +86,22 @@
 		return errors.New("start_ms: below zero")
 	}
 	start := cmp.Or(c.StartTimeoutMS, startMS)
-	c.budgets = rollout.Budgets{Headroom: c.Disruption.SpareLoad, Silent: silentAfter.Milliseconds(), Hold: (silentAfter + holdsMost).Milliseconds(),
-		Fresh: freshFor.Milliseconds(), Drain: leaveMost.Milliseconds(), Start: start, Warm: warm.Milliseconds(), Window: windowMS,
-		Clock: clockDrift, Drift: driftMost.Milliseconds(), Slack: cmp.Or(c.Disruption.MaxServiceLoss, serviceCost)}
+	c.budgets = rollout.Budgets{CapacityReserve: c.Disruption.SpareLoad, SilentAfterMS: silentAfter.Milliseconds(), FlowHoldMS: (silentAfter + holdsMost).Milliseconds(),
+		ViewMaxAgeMS: freshFor.Milliseconds(), DrainMS: leaveMost.Milliseconds(), StartMS: start, WarmupMS: warm.Milliseconds(), PermitWindowMS: windowMS,
+		ClockDrift: clockDrift, DriftHaltMS: driftMost.Milliseconds(), ServiceTolerance: cmp.Or(c.Disruption.MaxServiceLoss, serviceCost)}
 	for _, p := range []struct {
 		name, text string
-		to         *rollout.Part
-	}{{"relays.whole", cmp.Or(c.Disruption.Relays.Total, "1"), &c.budgets.Relays.Whole}, {"relays.zone", c.Disruption.Relays.Zone, &c.budgets.Relays.Zone},
-		{"members.whole", cmp.Or(c.Disruption.Members.Total, "1"), &c.budgets.Members.Whole}, {"members.zone", c.Disruption.Members.Zone, &c.budgets.Members.Zone}} {
+		to         *rollout.Limit
+	}{{"relays.whole", cmp.Or(c.Disruption.Relays.Total, "1"), &c.budgets.Relays.Total}, {"relays.zone", c.Disruption.Relays.Zone, &c.budgets.Relays.PerZone},
+		{"members.whole", cmp.Or(c.Disruption.Members.Total, "1"), &c.budgets.Members.Total}, {"members.zone", c.Disruption.Members.Zone, &c.budgets.Members.PerZone}} {
 		if p.text == "" {
 			continue
 		}
-		if *p.to, err = rollout.ParsePart(p.text); err != nil {
+		if *p.to, err = rollout.ParseLimit(p.text); err != nil {
 			return fmt.Errorf("out.%s: %v", p.name, err)
 		}
 	}
-	if why := c.budgets.Never(map[string]int{"": balancers}, nil); why != "" {
+	if why := c.budgets.Unusable(map[string]int{"": balancers}, nil); why != "" {
 		return fmt.Errorf("out: %s", why)
 	}
 	return nil
--- a/internal/fleet/helm.go
+++ b/internal/fleet/helm.go
@@ -22,8 +22,8 @@
 	held    held
 	intent  *intent
 	under   map[string]under
-	over    []rollout.Account // releases that are over, and what is meant does not follow them yet
-	shuts   map[string]rollout.Shutting
+	over    []rollout.ReleaseStatus // releases that are over, and what is meant does not follow them yet
+	shuts   map[string]rollout.Quarantine
 
 	sections map[string]map[string]string // by release: the new configuration, from the relays that run it
 	blocks   string                       // why no release may step on, but one that mends it
@@ -52,13 +52,13 @@
 	}
 	h.changes, h.held, h.intent = r.changes, r.held, r.intent
 	all := r.rollout.Releases()
-	h.under, h.over, h.shuts = underOf(all, r.intent), nil, map[string]rollout.Shutting{}
-	for _, x := range r.rollout.Shuts() {
+	h.under, h.over, h.shuts = underOf(all, r.intent), nil, map[string]rollout.Quarantine{}
+	for _, x := range r.rollout.Quarantines() {
 		h.shuts[x.Name] = x
 	}
 	for _, a := range all {
-		if _, settled := r.intent.follows(&a); !settled && a.Wish.Kind == rollout.KindRelay && a.Wish.Program+a.Wish.Config != "" &&
-			(a.State == rollout.Ended || a.State == rollout.Undone) {
+		if _, settled := r.intent.follows(&a); !settled && a.Spec.Kind == rollout.KindRelay && a.Spec.Program+a.Spec.Config != "" &&
+			(a.State == rollout.ReleaseCompleted || a.State == rollout.ReleaseRolledBack) {
 			h.over = append(h.over, a)
 		}
 	}
@@ -149,12 +149,12 @@
 	if !ok || !u.names(drift.Program) {
 		return m.Value
 	}
-	old, fresh := m.Value, u.release.Wish.Program
+	old, fresh := m.Value, u.release.Spec.Program
 	if u.taken {
-		old = u.unit.Program
+		old = u.unit.PreviousProgram
 	}
 	switch {
-	case u.out() && (x.Program == fresh || slices.Contains(x.Refused, drift.Program)), u.unit.Phase == rollout.Done && u.unit.Got && !u.out():
+	case u.out() && (x.Program == fresh || slices.Contains(x.Refused, drift.Program)), u.unit.Phase == rollout.PhaseDone && u.unit.Updated && !u.out():
 		return fresh
 	}
 	return old
@@ -182,7 +182,7 @@
 		}
 	}
 	switch {
-	case u.out() && x.Config != u.release.Wish.Config:
+	case u.out() && x.Config != u.release.Spec.Config:
 		for _, name := range x.Refused { // it was sent for the new one
 			if drift.GroupOf(name) == drift.Config && old[name] != "" {
 				old = maps.Clone(old)
@@ -192,7 +192,7 @@
 			}
 		}
 		return old
-	case u.out(), u.unit.Phase == rollout.Done && u.unit.Got:
+	case u.out(), u.unit.Phase == rollout.PhaseDone && u.unit.Updated:
 		return fresh
 	}
 	return old
@@ -204,8 +204,8 @@
 	count := map[string]map[string]int{}
 	for relay, u := range h.under {
 		x := h.scene.words[relay]
-		if x == nil || u.release.Wish.Config == "" || x.Config != u.release.Wish.Config || len(x.Sections) == 0 ||
-			!(u.unit.Got || u.out()) {
+		if x == nil || u.release.Spec.Config == "" || x.Config != u.release.Spec.Config || len(x.Sections) == 0 ||
+			!(u.unit.Updated || u.out()) {
 			continue
 		}
 		text, _ := json.Marshal(x.Sections)
@@ -255,11 +255,11 @@
 		x, u := h.scene.words[r.Name], h.under[r.Name]
 		h.intend(now, r.Name)
 		switch {
-		case r.Gone:
+		case r.Exited:
 			h.watch.Alive(now, r.Name, drift.Gone)
-		case x == nil || r.HeardMS > silentAfter.Milliseconds():
+		case x == nil || r.ReportAgeMS > silentAfter.Milliseconds():
 			h.watch.Alive(now, r.Name, drift.Silent)
-		case r.Phase == "leaving" || r.Phase == "starting" || u.unit.Phase == rollout.Told && r.Start <= uint64(u.unit.Start):
+		case r.Phase == "leaving" || r.Phase == "starting" || u.unit.Phase == rollout.PhaseLeaving && r.StartNumber <= uint64(u.unit.SeenStart):
 			h.watch.Alive(now, r.Name, drift.Restarting)
 		default:
 			h.watch.Alive(now, r.Name, drift.Live)
@@ -297,16 +297,16 @@
 // gate leaves out what a release would give out while something drifts that it does not mend itself.
 func (h *helm) gate(plan []rollout.Command) (out []rollout.Command) {
 	for _, c := range plan {
-		if c.Kind == rollout.Step && len(h.blocked) > 0 {
-			had := len(c.Gives)
-			c.Gives = slices.DeleteFunc(slices.Clone(c.Gives), func(g rollout.Gift) bool {
+		if c.Kind == rollout.CommandStep && len(h.blocked) > 0 {
+			had := len(c.Grants)
+			c.Grants = slices.DeleteFunc(slices.Clone(c.Grants), func(g rollout.Grant) bool {
 				why, ok := h.blocked[g.Release]
 				if !ok {
 					why = h.blocked[""]
 				}
 				return why != "" && g.Permit == 0 && !h.backing(g.Release)
 			})
-			if had > 0 && len(c.Gives) == 0 {
+			if had > 0 && len(c.Grants) == 0 {
 				continue
 			}
 		}
@@ -320,7 +320,7 @@
 	h.record.mu.RLock()
 	defer h.record.mu.RUnlock()
 	a, _ := h.record.rollout.Release(release)
-	return a.Backing
+	return a.RollingBack
 }
 
 // unfit puts into the view who is to take no clients, the worst first. Who is shut stays so until it is heard and in step with all, or has started anew: a
@@ -334,8 +334,8 @@
 	}
 	for _, relay := range slices.Sorted(maps.Keys(h.shuts)) {
 		x := h.scene.words[relay]
-		if v.Unfit[relay] == "" && !h.watch.Clear(relay) && (x == nil || x.Start <= h.shuts[relay].Start) {
-			v.UnfitOrder, v.Unfit[relay] = append(v.UnfitOrder, relay), h.shuts[relay].Why
+		if v.Unfit[relay] == "" && !h.watch.Clear(relay) && (x == nil || x.Start <= h.shuts[relay].StartNumber) {
+			v.UnfitOrder, v.Unfit[relay] = append(v.UnfitOrder, relay), h.shuts[relay].Reason
 		}
 	}
 }
@@ -346,9 +346,9 @@
 func (h *helm) meaning(now int64, v *rollout.View) (list []meaning) {
 	for _, a := range h.over {
 		c := meaning{Do: "adopt", Release: a.Name}
-		if a.State == rollout.Ended && a.Wish.Config != "" {
+		if a.State == rollout.ReleaseCompleted && a.Spec.Config != "" {
 			c.Items = h.sections[a.Name]
-			if c.Items == nil && slices.ContainsFunc(a.Units, func(u rollout.Unit) bool { return u.Got }) {
+			if c.Items == nil && slices.ContainsFunc(a.Units, func(u rollout.Unit) bool { return u.Updated }) {
 				continue // until one that runs it has said so
 			}
 		}
@@ -378,7 +378,7 @@
 	}
 	for _, r := range v.Relays {
 		x, u := h.scene.words[r.Name], h.under[r.Name]
-		if x == nil || r.HeardMS > silentAfter.Milliseconds() {
+		if x == nil || r.ReportAgeMS > silentAfter.Milliseconds() {
 			continue
 		}
 		if x.tells(drift.Program) && !u.names(drift.Program) {
--- a/internal/fleet/intent.go
+++ b/internal/fleet/intent.go
@@ -16,7 +16,7 @@
 const (
 	meantMost   = 48 // items, the sections of a configuration among them: the others that a relay tells fit beside them
 	formerMost  = 3  // values before the one of now, by which a relay that went back is told apart
-	meaningMost = rollout.NameMost
+	meaningMost = rollout.MaxNameBytes
 )
 
 // intent is what is meant of the things that relays run and no order says: program, and configuration by section. Decisions alone; it is
@@ -65,9 +65,9 @@
 }
 
 // apply is the state after a command; an error changes nothing.
-func (n *intent) apply(at int64, by string, body []byte, ro *rollout.State) (*intent, rollout.Answer) {
-	refuse := func(format string, args ...any) (*intent, rollout.Answer) {
-		return n, rollout.Answer{Error: fmt.Sprintf(format, args...)}
+func (n *intent) apply(at int64, by string, body []byte, ro *rollout.State) (*intent, rollout.Result) {
+	refuse := func(format string, args ...any) (*intent, rollout.Result) {
+		return n, rollout.Result{Error: fmt.Sprintf(format, args...)}
 	}
 	var c meaning
 	if err := json.Unmarshal(body, &c); err != nil {
@@ -84,8 +84,8 @@
 			return refuse("%s", why)
 		}
 	}
-	if len(by) > rollout.NameMost {
-		by = by[:rollout.NameMost]
+	if len(by) > rollout.MaxNameBytes {
+		by = by[:rollout.MaxNameBytes]
 	}
 	x := &intent{Version: n.Version, Items: maps.Clone(n.Items), Of: map[string]map[string]intendedValue{}, Ended: map[string]ended{}}
 	if x.Items == nil {
@@ -95,7 +95,7 @@
 		x.Of[relay] = maps.Clone(of)
 	}
 	for name, e := range n.Ended { // of those that the record still knows
-		if a, ok := ro.Release(name); ok && a.Opened == e.Opened {
+		if a, ok := ro.Release(name); ok && a.OpenedAt == e.Opened {
 			x.Ended[name] = e
 		}
 	}
@@ -110,7 +110,7 @@
 		}
 		e.all(c.Items, true)
 	case c.Who != "":
-		e.by = c.Who[:min(len(c.Who), rollout.NameMost)]
+		e.by = c.Who[:min(len(c.Who), rollout.MaxNameBytes)]
 		if c.Whole {
 			e.drop(c.Items)
 		}
@@ -124,7 +124,7 @@
 	case len(x.Items) > meantMost || len(x.Of) > drift.RelaysMost:
 		return refuse("over %d items, or %d relays", meantMost, drift.RelaysMost)
 	}
-	return x, rollout.Answer{State: "meant", Number: x.Version}
+	return x, rollout.Result{State: "meant", Number: x.Version}
 }
 
 // edit is one command's change.
@@ -194,10 +194,10 @@
 	a, ok := ro.Release(c.Release)
 	was, taken := e.Ended[c.Release]
 	items := map[string]string{}
-	if a.Wish.Program != "" {
-		items[drift.Program] = a.Wish.Program
+	if a.Spec.Program != "" {
+		items[drift.Program] = a.Spec.Program
 	}
-	if a.Wish.Config != "" {
+	if a.Spec.Config != "" {
 		for name, value := range c.Items {
 			if name != drift.Program {
 				items[name] = value
@@ -205,17 +205,17 @@
 		}
 	}
 	switch {
-	case !ok || a.Wish.Kind != rollout.KindRelay || a.Wish.Program+a.Wish.Config == "":
+	case !ok || a.Spec.Kind != rollout.KindRelay || a.Spec.Program+a.Spec.Config == "":
 		return "no release of a program or a configuration: " + c.Release
-	case a.State == rollout.Ended && !taken:
+	case a.State == rollout.ReleaseCompleted && !taken:
 		before := map[string]string{}
 		for name, list := range e.Items {
-			if name == drift.Program && a.Wish.Program != "" || name != drift.Program && a.Wish.Config != "" {
+			if name == drift.Program && a.Spec.Program != "" || name != drift.Program && a.Spec.Config != "" {
 				before[name] = list[0].Value
 			}
 		}
-		e.Ended[c.Release] = ended{a.Opened, before}
-		if a.Wish.All {
+		e.Ended[c.Release] = ended{a.OpenedAt, before}
+		if a.Spec.All {
 			if slices.ContainsFunc(slices.Collect(maps.Keys(items)), func(n string) bool { return n != drift.Program }) {
 				e.drop(items)
 			}
@@ -224,24 +224,24 @@
 		}
 		for _, u := range a.Units {
 			for name, value := range items {
-				if u.Got {
+				if u.Updated {
 					e.one(u.Name, name, value)
 				}
 			}
 		}
-	case a.State == rollout.Undone && taken:
+	case a.State == rollout.ReleaseRolledBack && taken:
 		delete(e.Ended, c.Release)
-		if a.Wish.All {
-			if a.Wish.Config != "" {
+		if a.Spec.All {
+			if a.Spec.Config != "" {
 				e.drop(was.Before)
 			}
 			e.all(was.Before, true)
 			return ""
 		}
 		for _, u := range a.Units {
-			if of := e.Of[u.Name]; of != nil && !u.Got {
+			if of := e.Of[u.Name]; of != nil && !u.Updated {
 				for name := range of {
-					if name == drift.Program && a.Wish.Program != "" || name != drift.Program && a.Wish.Config != "" {
+					if name == drift.Program && a.Spec.Program != "" || name != drift.Program && a.Spec.Config != "" {
 						delete(of, name)
 						e.Version = e.next
 					}
@@ -250,8 +250,8 @@
 					delete(e.Of, u.Name)
 				}
 			}
-			if a.Wish.Program != "" && u.Program != "" && !u.Got {
-				e.one(u.Name, drift.Program, u.Program)
+			if a.Spec.Program != "" && u.PreviousProgram != "" && !u.Updated {
+				e.one(u.Name, drift.Program, u.PreviousProgram)
 			}
 		}
 	default:
@@ -261,13 +261,13 @@
 }
 
 // follows says whether what a release changed is meant as it stands: one that is over is still to be told of if not.
-func (n *intent) follows(a *rollout.Account) (taken, settled bool) {
+func (n *intent) follows(a *rollout.ReleaseStatus) (taken, settled bool) {
 	e, ok := n.Ended[a.Name]
-	taken = ok && e.Opened == a.Opened
+	taken = ok && e.Opened == a.OpenedAt
 	switch a.State {
-	case rollout.Ended:
+	case rollout.ReleaseCompleted:
 		return taken, taken
-	case rollout.Undone:
+	case rollout.ReleaseRolledBack:
 		return taken, !taken
 	}
 	return taken, false
@@ -322,7 +322,7 @@
 	if err := json.Unmarshal(text, n); err != nil {
 		return nil, fmt.Errorf("intent: %w", err)
 	}
-	if len(n.Items) > meantMost || len(n.Of) > drift.RelaysMost || len(n.Ended) > rollout.ReleasesMost {
+	if len(n.Items) > meantMost || len(n.Of) > drift.RelaysMost || len(n.Ended) > rollout.MaxReleases {
 		return nil, fmt.Errorf("intent: a state beyond its bounds")
 	}
 	for _, list := range n.Items {
--- a/internal/fleet/keep.go
+++ b/internal/fleet/keep.go
@@ -24,10 +24,10 @@
 
 // kept is what is in it. Orders to this process are none of the next one's.
 type kept struct {
-	Version uint64                 `json:"version"`
-	Out     map[string]rollout.Out `json:"out,omitempty"`
-	Weighed uint64                 `json:"weighed"`
-	Weights []canary.Weight        `json:"weights,omitempty"`
+	Version uint64                       `json:"version"`
+	Out     map[string]rollout.Exclusion `json:"out,omitempty"`
+	Weighed uint64                       `json:"weighed"`
+	Weights []canary.Weight              `json:"weights,omitempty"`
 }
 
 // read takes it from a directory; there may be none. What cannot be read is not believed.
@@ -82,7 +82,7 @@
 // fill puts what was known before into orders that the record of now does not reach up to.
 func (k kept) fill(o *DesiredState) {
 	if o.RecordVersion < k.Version {
-		o.Out = k.Out
+		o.Exclusions = k.Out
 	}
 	if o.CanaryVersion < k.Weighed {
 		o.CanaryWeights = k.Weights
@@ -103,7 +103,7 @@
 			return
 		}
 		var k kept
-		s.record.read(func(r *rollout.State, _ held) { k.Version, k.Out = r.Version(), r.Orders("").Out })
+		s.record.read(func(r *rollout.State, _ held) { k.Version, k.Out = r.Version(), r.Orders("").Exclusions })
 		k.Weights, k.Weighed = s.record.weights()
 		if reflect.DeepEqual(k, last) {
 			return
--- a/internal/fleet/ledger.go
+++ b/internal/fleet/ledger.go
@@ -80,7 +80,7 @@
 func (g *ledger) keep(now int64, l ObservedState, r *Record, sections map[string]string, voters drift.Item) (tells []string) {
 	r.mu.RLock()
 	h, in := r.held, r.intent
-	bans, drains := split(r.rollout.Orders(g.relay).Out)
+	bans, drains := split(r.rollout.Orders(g.relay).Exclusions)
 	out := under{}
 	if len(l.RejectedItems) > 0 {
 		out = underOf(r.rollout.Releases(), in)[g.relay]
@@ -178,20 +178,20 @@
 
 // under is a relay's part in a release of relays that is not settled yet: it goes on, or what is meant does not follow it so far.
 type under struct {
-	release rollout.Account // without its units
+	release rollout.ReleaseStatus // without its units
 	unit    rollout.Unit
 	taken   bool              // what is meant is what the release brought, though it goes back now
 	before  map[string]string // and this is what was meant before
 }
 
 // underOf is by relay. Releases that go on come before those that are over.
-func underOf(all []rollout.Account, in *intent) map[string]under {
+func underOf(all []rollout.ReleaseStatus, in *intent) map[string]under {
 	out := map[string]under{}
 	for _, over := range []bool{true, false} {
 		for _, a := range all {
 			taken, settled := in.follows(&a)
-			if a.Wish.Kind != rollout.KindRelay || (a.State == rollout.Ended || a.State == rollout.Undone) != over ||
-				over && (settled || a.Wish.Program+a.Wish.Config == "") {
+			if a.Spec.Kind != rollout.KindRelay || (a.State == rollout.ReleaseCompleted || a.State == rollout.ReleaseRolledBack) != over ||
+				over && (settled || a.Spec.Program+a.Spec.Config == "") {
 				continue
 			}
 			units := a.Units
@@ -207,15 +207,15 @@
 // names says whether the release brings a new value of an item.
 func (u *under) names(item string) bool {
 	if item == drift.Program {
-		return u.release.Wish.Program != ""
+		return u.release.Spec.Program != ""
 	}
-	return u.release.Wish.Config != "" && drift.GroupOf(item) == drift.Config
+	return u.release.Spec.Config != "" && drift.GroupOf(item) == drift.Config
 }
 
 // out says whether the relay may run either: the new thing or what it had.
 func (u *under) out() bool {
 	switch u.unit.Phase {
-	case rollout.Told, rollout.Empty, rollout.Coming, rollout.Revoked:
+	case rollout.PhaseLeaving, rollout.PhaseDrained, rollout.PhaseReplaced, rollout.PhaseRevoked:
 		return true
 	}
 	return u.unit.Stranded
@@ -224,10 +224,10 @@
 // ahead says that the release has a restart of this relay before it.
 func (u *under) ahead() bool {
 	switch {
-	case u.release.Name == "" || u.unit.Phase == rollout.Missing:
+	case u.release.Name == "" || u.unit.Phase == rollout.PhaseMissing:
 		return false
-	case u.release.Backing:
-		return u.out() || u.unit.Phase == rollout.Done && u.unit.Got
+	case u.release.RollingBack:
+		return u.out() || u.unit.Phase == rollout.PhaseDone && u.unit.Updated
 	}
-	return u.out() || u.unit.Phase == rollout.Waiting && !u.unit.Got && u.release.State != rollout.Ended
+	return u.out() || u.unit.Phase == rollout.PhasePending && !u.unit.Updated && u.release.State != rollout.ReleaseCompleted
 }
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -111,7 +111,7 @@
 	keep := r.look
 	r.record.read(func(s *rollout.State, h held) {
 		o := s.Orders(r.name)
-		bans, drains := split(o.Out)
+		bans, drains := split(o.Exclusions)
 		r.look.AppliedOut = slices.DeleteFunc(append(bans, drains...), func(n string) bool {
 			return r.frozen[drift.Bans] && slices.Contains(bans, n) || r.frozen[drift.Drains] && slices.Contains(drains, n)
 		})
@@ -122,13 +122,13 @@
 		if r.frozen[drift.Weights] {
 			r.look.CanaryVersion = keep.CanaryVersion
 		}
-		if o.Shut != nil && o.Shut.Start >= r.start {
-			r.look.ShutOrder = o.Shut.Number
+		if o.Quarantine != nil && o.Quarantine.StartNumber >= r.start {
+			r.look.ShutOrder = o.Quarantine.Number
 		}
 		if !r.leaving {
 			r.look.Phase = map[bool]string{false: "serving", true: "draining"}[r.look.ShutOrder != 0]
 		}
-		if o.Leave != nil && o.Leave.Start >= r.start && !r.leaving {
+		if o.Leave != nil && o.Leave.StartNumber >= r.start && !r.leaving {
 			r.leaving, r.look.Phase = true, "leaving"
 			m.at(3000, func() {
 				r.upAt, r.program = m.now+2000+m.rng.Int64N(9000), cmp.Or(o.Leave.Program, r.program)
@@ -140,7 +140,7 @@
 	})
 }
 
-func (m *model) agree(part string, body []byte) (a rollout.Answer) {
+func (m *model) agree(part string, body []byte) (a rollout.Result) {
 	text, _ := json.Marshal(command{part, m.now, m.lead.name, body})
 	m.log = append(m.log, text)
 	n := len(m.log)
@@ -162,8 +162,8 @@
 	}
 }
 
-func (m *model) release(name string, w rollout.Wish) {
-	m.call(rollout.Command{Kind: rollout.Open, Name: name, Release: &w})
+func (m *model) release(name string, w rollout.ReleaseSpec) {
+	m.call(rollout.Command{Kind: rollout.CommandOpen, Name: name, Release: &w})
 }
 
 func (m *model) state(name string) string {
@@ -214,7 +214,7 @@
 	for _, r := range m.relays {
 		m.own.Peers = append(m.own.Peers, Peer{Name: r.name, Alive: r.upAt == 0, Gone: r.upAt != 0, Serving: r.look.Phase == "serving", Incarnation: r.start})
 	}
-	m.view = m.helm.scene.view(m.now, m.led, m.budgets.Hold, m.lead.name, m.own, warmth{})
+	m.view = m.helm.scene.view(m.now, m.led, m.budgets.FlowHoldMS, m.lead.name, m.own, warmth{})
 	m.helm.voters = drift.Item{Name: drift.Voters, Version: 7, Digest: 1}
 	m.helm.look(m.now, &m.view)
 	if m.takeOut {
@@ -322,7 +322,7 @@
 // TestModelPlanted: drift of each kind is found at the leader, although another relay leads three seconds after it began, and is gone when it is mended.
 // Guards against an item that relays do not tell, that the leader does not hold them to, or that a new leader takes for right.
 func TestModelPlanted(t *testing.T) {
-	ban := func(m *model) { m.call(rollout.Command{Kind: rollout.Ban, Names: []string{"m1"}}) }
+	ban := func(m *model) { m.call(rollout.Command{Kind: rollout.CommandEject, Names: []string{"m1"}}) }
 	for _, k := range []struct {
 		item  string
 		state drift.State
@@ -349,7 +349,7 @@
 		{drift.Bans, drift.Local, func(m *model, r *mrelay) { r.look.LocalEjections = []string{"m2"} }},
 		{drift.Drains, drift.Late, func(m *model, r *mrelay) {
 			r.frozen[drift.Drains] = true
-			m.release("d", rollout.Wish{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}})
+			m.release("d", rollout.ReleaseSpec{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}})
 		}},
 		{drift.Weights, drift.Late, func(m *model, r *mrelay) {
 			r.frozen[drift.Weights] = true
@@ -361,9 +361,9 @@
 		}},
 		{drift.Permits, drift.Late, func(m *model, r *mrelay) {
 			r.frozen[drift.Permits] = true
-			m.call(rollout.Command{Kind: rollout.Ask, Thing: rollout.KindMember, Name: "m1", Who: "ann", For: 600_000})
+			m.call(rollout.Command{Kind: rollout.CommandRequestPermit, TargetKind: rollout.KindMember, Name: "m1", Requester: "ann", DurationMS: 600_000})
 			m.play(1000, nil)
-			m.call(rollout.Command{Kind: rollout.Begin, Number: m.lead.record.rollout.Permits()[0].Number})
+			m.call(rollout.Command{Kind: rollout.CommandBeginPermit, PermitNumber: m.lead.record.rollout.Permits()[0].Number})
 		}},
 		{drift.Voters, drift.Late, func(m *model, r *mrelay) { r.frozen[drift.Voters] = true }},
 	} {
@@ -415,7 +415,7 @@
 				}
 				switch m.now - from {
 				case 12_000, 72_000: // it stands half way for long
-					m.agree(partRollout, rollout.Command{Kind: []string{rollout.Halt, rollout.Resume}[(m.now-from)/72_000], Name: name}.Encode())
+					m.agree(partRollout, rollout.Command{Kind: []string{rollout.CommandHalt, rollout.CommandResume}[(m.now-from)/72_000], Name: name}.Encode())
 				case 15_000:
 					m.leads(m.relays[(m.list+seed)%3])
 				}
@@ -431,26 +431,26 @@
 				}
 			}
 		}
-		m.release("all", rollout.Wish{Kind: rollout.KindRelay, All: true, Program: "p2", Config: "c2"})
-		through("all", rollout.Ended, "p2 c2l", "p2 c2l", "p2 c2l")
-		m.call(rollout.Command{Kind: rollout.Back, Name: "all"})
-		through("all", rollout.Undone, "p1 c1l", "p1 c1l", "p1 c1l")
-		m.release("part", rollout.Wish{Kind: rollout.KindRelay, Names: part, Program: "p3", Config: "c3"})
-		through("part", rollout.Ended, "p3 c3l", "p1 c1l", "p1 c1l")
-		m.call(rollout.Command{Kind: rollout.Back, Name: "part"})
-		through("part", rollout.Undone, "p1 c1l", "p1 c1l", "p1 c1l")
-		m.release("again", rollout.Wish{Kind: rollout.KindRelay, Names: part, Program: "p3", Config: "c3"})
-		through("again", rollout.Ended, "p3 c3l", "p1 c1l", "p1 c1l")
+		m.release("all", rollout.ReleaseSpec{Kind: rollout.KindRelay, All: true, Program: "p2", Config: "c2"})
+		through("all", rollout.ReleaseCompleted, "p2 c2l", "p2 c2l", "p2 c2l")
+		m.call(rollout.Command{Kind: rollout.CommandRollBack, Name: "all"})
+		through("all", rollout.ReleaseRolledBack, "p1 c1l", "p1 c1l", "p1 c1l")
+		m.release("part", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: part, Program: "p3", Config: "c3"})
+		through("part", rollout.ReleaseCompleted, "p3 c3l", "p1 c1l", "p1 c1l")
+		m.call(rollout.Command{Kind: rollout.CommandRollBack, Name: "part"})
+		through("part", rollout.ReleaseRolledBack, "p1 c1l", "p1 c1l", "p1 c1l")
+		m.release("again", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: part, Program: "p3", Config: "c3"})
+		through("again", rollout.ReleaseCompleted, "p3 c3l", "p1 c1l", "p1 c1l")
 		if r := NewRecord(); r.Restore(1, m.lead.record.Snapshot()) != nil || string(r.Snapshot()) != string(m.lead.record.Snapshot()) || len(r.intent.Of) != 3 {
 			t.Fatalf("a snapshot loses some: %+v", r.intent)
 		}
-		m.release("rest", rollout.Wish{Kind: rollout.KindRelay, Names: rest, Program: "p3", Config: "c3"})
-		through("rest", rollout.Ended, "p3 c3l", "p3 c3l", "p3 c3l")
+		m.release("rest", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: rest, Program: "p3", Config: "c3"})
+		through("rest", rollout.ReleaseCompleted, "p3 c3l", "p3 c3l", "p3 c3l")
 		if len(m.lead.record.intent.Of) > 0 {
 			t.Fatalf("%+v", m.lead.record.intent)
 		}
 		m.relays[5].refuses, m.planted["n5 config.settings"] = true, drift.Refused
-		m.release("bad", rollout.Wish{Kind: rollout.KindRelay, Names: rest, Config: "c4"})
+		m.release("bad", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: rest, Config: "c4"})
 		if m.play(60_000, func() bool { return len(m.found) > 0 }); len(m.found) == 0 {
 			t.Fatalf("seed %d: %+v", seed, m.helm.watch.Rows())
 		}
@@ -471,16 +471,16 @@
 	if !m.play(180_000, func() bool { return m.found["n3 list"] }) {
 		t.Fatal("not found")
 	}
-	m.release("drain", rollout.Wish{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}})
+	m.release("drain", rollout.ReleaseSpec{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}})
 	m.play(5000, nil)
-	m.release("mend", rollout.Wish{Kind: rollout.KindRelay, All: true})
+	m.release("mend", rollout.ReleaseSpec{Kind: rollout.KindRelay, All: true})
 	// Who is told to leave does not count any more.
-	out := func() bool { return len(m.lead.record.rollout.Orders("").Out) > 0 }
+	out := func() bool { return len(m.lead.record.rollout.Orders("").Exclusions) > 0 }
 	early := false
 	ended := m.play(300_000, func() bool {
 		r.frozen[drift.List] = r.start == 1
 		early = early || out() && r.start == 1 && m.lead.record.rollout.Orders(r.name).Leave == nil
-		return m.state("mend") == rollout.Ended
+		return m.state("mend") == rollout.ReleaseCompleted
 	})
 	if !ended || early || !m.play(60_000, out) {
 		t.Fatalf("%s, drained early %v, %+v", m.state("mend"), early, m.helm.watch.Rows())
@@ -598,7 +598,7 @@
 		}
 		until := func(what string, ms int64, done func() bool) {
 			if !m.play(ms, done) {
-				t.Fatalf("seed %d: not %s: out %d, %+v, %+v, %s", seed, what, out(), m.lead.record.rollout.Shuts(), m.helm.watch.Rows(), m.view.Drift)
+				t.Fatalf("seed %d: not %s: out %d, %+v, %+v, %s", seed, what, out(), m.lead.record.rollout.Quarantines(), m.helm.watch.Rows(), m.view.Drift)
 			}
 		}
 		for _, r := range m.relays[4:] {
@@ -610,19 +610,19 @@
 		if m.play(90_000, func() bool { return out() < 2 }) {
 			t.Fatalf("seed %d: a new leader lets them in: %+v", seed, m.view.Unfit)
 		}
-		first = m.lead.record.rollout.Shuts()[0].Name
+		first = m.lead.record.rollout.Quarantines()[0].Name
 		until("the next in its place", 120_000, func() bool {
-			all := m.lead.record.rollout.Shuts()
+			all := m.lead.record.rollout.Quarantines()
 			return out() == 2 && len(all) == 2 && all[0].Name != first && all[1].Name != first
 		})
-		m.release("mend", rollout.Wish{Kind: rollout.KindRelay, All: true})
-		until("mended", 600_000, func() bool { return out() >= 0 && m.state("mend") == rollout.Ended })
+		m.release("mend", rollout.ReleaseSpec{Kind: rollout.KindRelay, All: true})
+		until("mended", 600_000, func() bool { return out() >= 0 && m.state("mend") == rollout.ReleaseCompleted })
 		until("let in", 60_000, func() bool { return out() == 0 })
 		first = ""
 		m.relays[5].own["limits"] = "mine"
 		until("shut again", 120_000, func() bool { return out() == 1 })
-		m.release("drain", rollout.Wish{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}}) // which one that is shut does not hold up
-		until("drained", 10_000, func() bool { return len(m.lead.record.rollout.Orders("").Out) > 0 })
+		m.release("drain", rollout.ReleaseSpec{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}}) // which one that is shut does not hold up
+		until("drained", 10_000, func() bool { return len(m.lead.record.rollout.Orders("").Exclusions) > 0 })
 		m.takeOut = false
 		until("let in without the setting", 60_000, func() bool { return out() == 0 })
 		if m.sound("taken out"); most > 2 {
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -326,12 +326,12 @@
 			s.mu.Unlock()
 			return
 		}
-		v := seen.view(now, led, s.Budgets().Hold, s.Name, look, warmth{s.SlowStartShare, s.SlowStartDuration.Milliseconds()})
+		v := seen.view(now, led, s.Budgets().FlowHoldMS, s.Name, look, warmth{s.SlowStartShare, s.SlowStartDuration.Milliseconds()})
 		s.watchDrift(now, &v)
 		meant := s.helm.meaning(now, &v)
 		trials := s.weigh(now, &v)
 		s.view = v
-		unheard := slices.ContainsFunc(v.Relays, func(r rollout.Relay) bool { return seen.words[r.Name] == nil && !r.Gone })
+		unheard := slices.ContainsFunc(v.Relays, func(r rollout.Relay) bool { return seen.words[r.Name] == nil && !r.Exited })
 		s.mu.Unlock()
 		if now-led < silentAfter.Milliseconds() && unheard {
 			return
@@ -383,35 +383,35 @@
 const callWithin = 4 * time.Second
 
 // propose has a command of the rollout's agreed, and waits until this relay's own record has it.
-func (s *Service) propose(ctx context.Context, c rollout.Command) (rollout.Answer, error) {
+func (s *Service) propose(ctx context.Context, c rollout.Command) (rollout.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, callWithin)
 	defer cancel()
 	return s.agreed(ctx, partRollout, c.Encode())
 }
 
 // proposeMeaning is the same for what is meant.
-func (s *Service) proposeMeaning(ctx context.Context, c meaning) (rollout.Answer, error) {
+func (s *Service) proposeMeaning(ctx context.Context, c meaning) (rollout.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, callWithin)
 	defer cancel()
 	body, err := json.Marshal(c)
 	if err != nil {
-		return rollout.Answer{}, err
+		return rollout.Result{}, err
 	}
 	return s.agreed(ctx, partIntent, body)
 }
 
-func (s *Service) agreed(ctx context.Context, part string, body []byte) (rollout.Answer, error) {
+func (s *Service) agreed(ctx context.Context, part string, body []byte) (rollout.Result, error) {
 	text, err := json.Marshal(command{Part: part, At: s.now(), By: s.Name, Body: body})
 	if err != nil {
-		return rollout.Answer{}, err
+		return rollout.Result{}, err
 	}
 	answer, index, err := s.node.Propose(ctx, text)
 	if err != nil {
-		return rollout.Answer{}, err
+		return rollout.Result{}, err
 	}
-	var a rollout.Answer
+	var a rollout.Result
 	if err := json.Unmarshal(answer, &a); err != nil {
-		return rollout.Answer{}, err
+		return rollout.Result{}, err
 	}
 	s.node.WaitApplied(ctx, index) // at another relay it is agreed all the same
 	return a, nil
@@ -420,9 +420,9 @@
 // SetEjected has a member taken out, or put back, at all relays. Done is called once, on the loop, when this relay follows it too.
 func (s *Service) SetEjected(member string, out bool, done func(error)) {
 	go func() {
-		c := rollout.Command{Kind: rollout.Allow, Names: []string{member}}
+		c := rollout.Command{Kind: rollout.CommandReinstate, Names: []string{member}}
 		if out {
-			c.Kind, c.Why = rollout.Ban, "an operator's call"
+			c.Kind, c.Reason = rollout.CommandEject, "an operator's call"
 		}
 		a, err := s.propose(context.Background(), c)
 		if err == nil && a.Error != "" {
@@ -446,7 +446,7 @@
 		stands := false
 		s.record.read(func(r *rollout.State, _ held) {
 			l := r.Orders(s.Name).Leave
-			stands = l != nil && l.Number == number && l.Start >= s.Incarnation
+			stands = l != nil && l.Number == number && l.StartNumber >= s.Incarnation
 		})
 		s.Post(func() { done(stands, err == nil) })
 	}()
--- a/internal/fleet/trial.go
+++ b/internal/fleet/trial.go
@@ -33,10 +33,10 @@
 	s.judged = c
 	release, _ := s.record.rollout.Release(c.Release)
 	switch {
-	case c.Status == canary.Done, c.Status == canary.Back && (release.Name == "" || release.State == rollout.Undone || release.State == rollout.Ended):
+	case c.Status == canary.Done, c.Status == canary.Back && (release.Name == "" || release.State == rollout.ReleaseRolledBack || release.State == rollout.ReleaseCompleted):
 		return []canary.Command{{Do: "close", Release: c.Release}}
 	case c.Status != canary.Going:
-		v.Worse, v.WorseOf = cmpOr(c.Why, string(c.Status)), c.Release
+		v.Degraded, v.DegradedRelease = cmpOr(c.Why, string(c.Status)), c.Release
 	}
 	was := s.verdict.Kind
 	if s.verdict = s.judge.Verdict(now); s.verdict.Kind != was {
@@ -45,7 +45,7 @@
 	}
 	applied := !slices.ContainsFunc(v.Relays, func(r rollout.Relay) bool {
 		h := s.helm.scene.words[r.Name]
-		return r.HeardMS < silentAfter.Milliseconds() && h != nil && h.Weighs < s.record.canary.Version()
+		return r.ReportAgeMS < silentAfter.Milliseconds() && h != nil && h.Weighs < s.record.canary.Version()
 	})
 	return s.record.canary.Plan(max(now, s.record.held.At), s.verdict, applied)
 }
@@ -66,18 +66,18 @@
 	for _, c := range s.record.canary.Canaries() {
 		r, ok := s.record.rollout.Release(c.Release)
 		switch {
-		case !ok || r.Backing:
-		case c.Status == canary.Back && (r.State == rollout.Halted || r.State == rollout.Running):
-			out = append(out, rollout.Command{Kind: rollout.Back, Name: r.Name, Who: "canary", Why: c.Why})
-		case c.Status != canary.Done && slices.ContainsFunc(r.Units, func(u rollout.Unit) bool { return u.Phase != rollout.Waiting }):
+		case !ok || r.RollingBack:
+		case c.Status == canary.Back && (r.State == rollout.ReleaseHalted || r.State == rollout.ReleaseRunning):
+			out = append(out, rollout.Command{Kind: rollout.CommandRollBack, Name: r.Name, Requester: "canary", Reason: c.Why})
+		case c.Status != canary.Done && slices.ContainsFunc(r.Units, func(u rollout.Unit) bool { return u.Phase != rollout.PhasePending }):
 			hold[c.Release] = true
 		}
 	}
 	for _, c := range plan {
-		if c.Kind == rollout.Step {
-			had := len(c.Gives)
-			c.Gives = slices.DeleteFunc(slices.Clone(c.Gives), func(g rollout.Gift) bool { return hold[g.Release] })
-			if had > 0 && len(c.Gives) == 0 {
+		if c.Kind == rollout.CommandStep {
+			had := len(c.Grants)
+			c.Grants = slices.DeleteFunc(slices.Clone(c.Grants), func(g rollout.Grant) bool { return hold[g.Release] })
+			if had > 0 && len(c.Grants) == 0 {
 				continue
 			}
 		}
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -11,43 +11,43 @@
 )
 
 // State is what the fleet has agreed on. Made by New or Decode.
-type State struct{ d data }
-
-type data struct {
-	Version  uint64     `json:"version"` // rises with every change of what is out or ordered
-	At       int64      `json:"at"`
-	Number   uint64     `json:"number"` // the last given to an order, a ban or a permit
-	Releases []release  `json:"releases,omitempty"`
-	Permits  []Pass     `json:"permits,omitempty"`
-	Bans     []Banned   `json:"bans,omitempty"` // by name
-	Shuts    []Shutting `json:"shuts,omitempty"`
-	Relays   []int64    `json:"relays,omitempty"` // ms that the last units took until they were back
-	Members  []int64    `json:"members,omitempty"`
+type State struct{ record record }
+
+type record struct {
+	Version           uint64       `json:"version"` // rises with every change of what is out or ordered
+	Time              int64        `json:"at"`
+	LastNumber        uint64       `json:"number"` // the last given to an order, a ban or a permit
+	Releases          []release    `json:"releases,omitempty"`
+	Permits           []Permit     `json:"permits,omitempty"`
+	Ejections         []Ejection   `json:"bans,omitempty"` // by name
+	Quarantines       []Quarantine `json:"shuts,omitempty"`
+	RelayDurationsMS  []int64      `json:"relays,omitempty"` // ms that the last units took until they were back
+	MemberDurationsMS []int64      `json:"members,omitempty"`
 }
 
 const tookMost = 32
 
 type release struct {
-	Account
-	Laid    bool     `json:"laid,omitempty"`
-	Since   int64    `json:"since,omitempty"`   // when it was laid out: the service after it is held against that of before
-	Resumed int64    `json:"resumed,omitempty"` // what is overdue counts from here
-	Moved   int64    `json:"moved,omitempty"`   // the last time that something went on
-	Asked   float64  `json:"asked,omitempty"`   // before it
-	Served  float64  `json:"served,omitempty"`
-	Spread  float64  `json:"spread,omitempty"` // by how much windows differed beyond chance
-	Causes  []string `json:"causes,omitempty"` // of its halts by itself so far
+	ReleaseStatus
+	UnitsSet           bool     `json:"laid,omitempty"`
+	UnitsSetAt         int64    `json:"since,omitempty"`   // when it was laid out: the service after it is held against that of before
+	ResumedAt          int64    `json:"resumed,omitempty"` // what is overdue counts from here
+	ProgressAt         int64    `json:"moved,omitempty"`   // the last time that something went on
+	BaselineRequested  float64  `json:"asked,omitempty"`   // before it
+	BaselineServed     float64  `json:"served,omitempty"`
+	BaselineDispersion float64  `json:"spread,omitempty"` // by how much windows differed beyond chance
+	HaltCauses         []string `json:"causes,omitempty"` // of its halts by itself so far
 }
 
 // New is a state in which nothing was agreed.
 func New() *State { return &State{} }
 
 // Version rises with every change of what is out or ordered.
-func (s *State) Version() uint64 { return s.d.Version }
+func (s *State) Version() uint64 { return s.record.Version }
 
 // Encode is the whole state.
 func (s *State) Encode() []byte {
-	b, err := json.Marshal(s.d)
+	b, err := json.Marshal(s.record)
 	if err != nil {
 		panic(err) // only a float that is no number, and Apply lets none in
 	}
@@ -57,14 +57,14 @@
 // Decode is the reverse. What is beyond the bounds is refused.
 func Decode(b []byte) (*State, error) {
 	s := New()
-	if err := json.Unmarshal(b, &s.d); err != nil {
+	if err := json.Unmarshal(b, &s.record); err != nil {
 		return nil, fmt.Errorf("rollout: %w", err)
 	}
 	units := 0
-	for _, r := range s.d.Releases {
+	for _, r := range s.record.Releases {
 		units += len(r.Units)
 	}
-	if len(s.d.Releases) > ReleasesMost || units > UnitsMost || len(s.d.Permits) > PermitsMost || len(s.d.Bans) > BansMost || len(s.d.Shuts) > ShutsMost {
+	if len(s.record.Releases) > MaxReleases || units > MaxUnits || len(s.record.Permits) > MaxPermits || len(s.record.Ejections) > MaxEjections || len(s.record.Quarantines) > MaxQuarantines {
 		return nil, fmt.Errorf("rollout: a state beyond its bounds")
 	}
 	return s, nil
@@ -73,71 +73,71 @@
 // Orders are what a relay is to do now.
 func (s *State) Orders(relay string) Orders {
 	var o Orders
-	out := func(name string, x Out) {
-		if o.Out == nil {
-			o.Out = map[string]Out{}
+	out := func(name string, x Exclusion) {
+		if o.Exclusions == nil {
+			o.Exclusions = map[string]Exclusion{}
 		}
-		o.Out[name] = x
+		o.Exclusions[name] = x
 	}
-	for _, r := range s.d.Releases {
+	for _, r := range s.record.Releases {
 		for _, u := range r.Units {
 			switch {
-			case u.Kind == KindRelay && u.Name == relay && u.Phase == Told:
-				o.Leave = &Leave{Number: u.Number, Release: r.Name, Start: uint64(u.Start), Program: r.Wish.Program, Config: r.Wish.Config}
-				if u.Undo {
-					o.Leave.Program, o.Leave.Config = u.Program, u.Config
+			case u.Kind == KindRelay && u.Name == relay && u.Phase == PhaseLeaving:
+				o.Leave = &LeaveOrder{Number: u.OrderNumber, Release: r.Name, StartNumber: uint64(u.SeenStart), Program: r.Spec.Program, Config: r.Spec.Config}
+				if u.Reverting {
+					o.Leave.Program, o.Leave.Config = u.PreviousProgram, u.PreviousConfig
 				}
-			case u.Kind == KindMember && (u.Phase == Told || u.Phase == Empty || u.Phase == Done && r.Wish.Drain):
-				out(u.name(), Out{Why: "drain", Number: u.Number, Since: u.At, MoveOver: u.MoveOver})
+			case u.Kind == KindMember && (u.Phase == PhaseLeaving || u.Phase == PhaseDrained || u.Phase == PhaseDone && r.Spec.Drain):
+				out(u.name(), Exclusion{Reason: "drain", Number: u.OrderNumber, Since: u.OrderedAt, MigrateOverMS: u.MigrateOverMS})
 			}
 		}
 	}
-	for _, b := range s.d.Bans {
-		out(b.Name, Out{Why: "ban", Number: b.Number, Since: b.Since})
+	for _, b := range s.record.Ejections {
+		out(b.Name, Exclusion{Reason: "ban", Number: b.Number, Since: b.Since})
 	}
-	if x := s.d.shutting(relay); x != nil && x.Opened == 0 {
-		o.Shut = &Closed{Number: x.Number, Since: x.Since, Why: x.Why, Start: x.Start}
+	if x := s.record.shutting(relay); x != nil && x.ReadmittedVersion == 0 {
+		o.Quarantine = &QuarantineOrder{Number: x.Number, Since: x.Since, Reason: x.Reason, StartNumber: x.StartNumber}
 	}
 	return o
 }
 
 // Releases are all that are kept, in the order in which they were opened.
-func (s *State) Releases() []Account {
-	var list []Account
-	for i := range s.d.Releases {
-		list = append(list, s.d.Releases[i].account())
+func (s *State) Releases() []ReleaseStatus {
+	var list []ReleaseStatus
+	for i := range s.record.Releases {
+		list = append(list, s.record.Releases[i].account())
 	}
 	return list
 }
 
 // Release is one of them.
-func (s *State) Release(name string) (Account, bool) {
-	if r := s.d.release(name); r != nil {
+func (s *State) Release(name string) (ReleaseStatus, bool) {
+	if r := s.record.release(name); r != nil {
 		return r.account(), true
 	}
-	return Account{}, false
+	return ReleaseStatus{}, false
 }
 
 // Permits are those that wait or are in force, the oldest first.
-func (s *State) Permits() []Pass { return slices.Clone(s.d.Permits) }
+func (s *State) Permits() []Permit { return slices.Clone(s.record.Permits) }
 
-// Bans are all that stand, by name.
-func (s *State) Bans() []Banned { return slices.Clone(s.d.Bans) }
+// Ejections are all that stand, by name.
+func (s *State) Ejections() []Ejection { return slices.Clone(s.record.Ejections) }
 
-// Shuts are the relays that are shut.
-func (s *State) Shuts() []Shutting {
-	return slices.DeleteFunc(slices.Clone(s.d.Shuts), func(x Shutting) bool { return x.Opened != 0 })
+// Quarantines are the relays that are shut.
+func (s *State) Quarantines() []Quarantine {
+	return slices.DeleteFunc(slices.Clone(s.record.Quarantines), func(x Quarantine) bool { return x.ReadmittedVersion != 0 })
 }
 
 // clone shares nothing that a command changes.
-func (d *data) clone() data {
+func (d *record) clone() record {
 	c := *d
-	c.Releases, c.Permits, c.Bans = slices.Clone(d.Releases), slices.Clone(d.Permits), slices.Clone(d.Bans)
-	c.Shuts = slices.Clone(d.Shuts)
-	c.Relays, c.Members = slices.Clone(d.Relays), slices.Clone(d.Members)
+	c.Releases, c.Permits, c.Ejections = slices.Clone(d.Releases), slices.Clone(d.Permits), slices.Clone(d.Ejections)
+	c.Quarantines = slices.Clone(d.Quarantines)
+	c.RelayDurationsMS, c.MemberDurationsMS = slices.Clone(d.RelayDurationsMS), slices.Clone(d.MemberDurationsMS)
 	for i := range c.Releases {
 		r := &c.Releases[i]
-		r.Units, r.Causes = slices.Clone(r.Units), slices.Clone(r.Causes)
+		r.Units, r.HaltCauses = slices.Clone(r.Units), slices.Clone(r.HaltCauses)
 		if r.Halt != nil {
 			stop := *r.Halt
 			r.Halt = &stop
@@ -146,33 +146,33 @@
 	return c
 }
 
-func (r *release) account() Account {
-	a := r.Account
+func (r *release) account() ReleaseStatus {
+	a := r.ReleaseStatus
 	a.Units = slices.Clone(a.Units)
-	a.Counts = Counts{}
+	a.Counts = UnitCounts{}
 	for i := range a.Units {
 		u := &a.Units[i]
 		switch {
-		case u.Phase == Done:
+		case u.Phase == PhaseDone:
 			a.Counts.Done++
 		case u.isOut():
 			a.Counts.Out++
 		default:
-			a.Counts.Waiting++
+			a.Counts.Pending++
 		}
 		switch {
 		case u.Stranded:
-			a.Except = append(a.Except, u.Name+": not seen back in time")
-		case u.Phase == Missing:
-			a.Except = append(a.Except, u.Name+": was not there")
-		case r.Backing && u.Phase == Done && !r.undoable(u):
-			a.Except = append(a.Except, u.Name+": was restarted, which has no way back")
+			a.Exceptions = append(a.Exceptions, u.Name+": not seen back in time")
+		case u.Phase == PhaseMissing:
+			a.Exceptions = append(a.Exceptions, u.Name+": was not there")
+		case r.RollingBack && u.Phase == PhaseDone && !r.undoable(u):
+			a.Exceptions = append(a.Exceptions, u.Name+": was restarted, which has no way back")
 		}
 	}
 	return a
 }
 
-func (d *data) release(name string) *release {
+func (d *record) release(name string) *release {
 	for i := range d.Releases {
 		if d.Releases[i].Name == name {
 			return &d.Releases[i]
@@ -190,16 +190,16 @@
 	return nil
 }
 
-func (d *data) shutting(name string) *Shutting {
-	for i := range d.Shuts {
-		if d.Shuts[i].Name == name {
-			return &d.Shuts[i]
+func (d *record) shutting(name string) *Quarantine {
+	for i := range d.Quarantines {
+		if d.Quarantines[i].Name == name {
+			return &d.Quarantines[i]
 		}
 	}
 	return nil
 }
 
-func (d *data) permit(number uint64) *Pass {
+func (d *record) permit(number uint64) *Permit {
 	for i := range d.Permits {
 		if d.Permits[i].Number == number {
 			return &d.Permits[i]
@@ -208,33 +208,33 @@
 	return nil
 }
 
-func (d *data) banned(name string) (int, bool) {
-	return slices.BinarySearchFunc(d.Bans, name, func(b Banned, name string) int { return cmp.Compare(b.Name, name) })
+func (d *record) banned(name string) (int, bool) {
+	return slices.BinarySearchFunc(d.Ejections, name, func(b Ejection, name string) int { return cmp.Compare(b.Name, name) })
 }
 
-func (r *release) ended() bool { return r.State == Ended || r.State == Undone }
+func (r *release) ended() bool { return r.State == ReleaseCompleted || r.State == ReleaseRolledBack }
 
 // name is what the thing is called now.
-func (u *Unit) name() string { return cmp.Or(u.Now, u.Name) }
+func (u *Unit) name() string { return cmp.Or(u.Successor, u.Name) }
 
 // isOut says whether it counts as out by plan.
 func (u *Unit) isOut() bool {
-	return u.Phase == Told || u.Phase == Empty || u.Phase == Coming || u.Phase == Revoked
+	return u.Phase == PhaseLeaving || u.Phase == PhaseDrained || u.Phase == PhaseReplaced || u.Phase == PhaseRevoked
 }
 
 // undoable says whether there is a way back for a unit that has the new thing. A relay's restart alone has none.
 func (r *release) undoable(u *Unit) bool {
-	if !u.Got || r.Wish.Drain {
+	if !u.Updated || r.Spec.Drain {
 		return false
 	}
 	switch u.Kind {
 	case KindRelay:
 		other := func(now, before string) bool { return now != "" && before != "" && now != before } // what it ran may not be known
-		return other(r.Wish.Program, u.Program) || other(r.Wish.Config, u.Config)
-	case KindBan:
-		return !u.Banned
-	case KindAllow:
-		return u.Banned
+		return other(r.Spec.Program, u.PreviousProgram) || other(r.Spec.Config, u.PreviousConfig)
+	case KindEject:
+		return !u.PreviouslyEjected
+	case KindReinstate:
+		return u.PreviouslyEjected
 	}
 	return true
 }
@@ -243,13 +243,13 @@
 func (r *release) wants(u *Unit, undo bool) (program, config string) {
 	switch {
 	case !undo:
-		return r.Wish.Program, r.Wish.Config
-	case r.Wish.Program != "" && r.Wish.Config != "":
-		return u.Program, u.Config
-	case r.Wish.Program != "":
-		return u.Program, ""
-	case r.Wish.Config != "":
-		return "", u.Config
+		return r.Spec.Program, r.Spec.Config
+	case r.Spec.Program != "" && r.Spec.Config != "":
+		return u.PreviousProgram, u.PreviousConfig
+	case r.Spec.Program != "":
+		return u.PreviousProgram, ""
+	case r.Spec.Config != "":
+		return "", u.PreviousConfig
 	}
 	return "", ""
 }
@@ -263,44 +263,44 @@
 }
 
 // of says whether a thing is one of the wish's.
-func (w *Wish) of(name, zone string) bool {
+func (w *ReleaseSpec) of(name, zone string) bool {
 	return w.All || slices.Contains(w.Names, name) || slices.Contains(w.Zones, zone)
 }
 
 // overlaps says whether two wishes touch the same things. Whoever names all, or zones, may touch any.
-func (w *Wish) overlaps(x *Wish) bool {
+func (w *ReleaseSpec) overlaps(x *ReleaseSpec) bool {
 	if side(w.Kind) != side(x.Kind) {
 		return false
 	}
 	if w.All || x.All || len(w.Zones) > 0 || len(x.Zones) > 0 {
 		return true
 	}
-	mine := slices.Concat(w.Names, w.Ban, w.Allow)
-	return slices.ContainsFunc(slices.Concat(x.Names, x.Ban, x.Allow), func(n string) bool { return slices.Contains(mine, n) })
+	mine := slices.Concat(w.Names, w.Eject, w.Reinstate)
+	return slices.ContainsFunc(slices.Concat(x.Names, x.Eject, x.Reinstate), func(n string) bool { return slices.Contains(mine, n) })
 }
 
 // ---- Settings ----
 
-// ParsePart reads "25%" or "2".
-func ParsePart(text string) (Part, error) {
+// ParseLimit reads "25%" or "2".
+func ParseLimit(text string) (Limit, error) {
 	if number, ok := strings.CutSuffix(text, "%"); ok {
 		p, err := strconv.ParseFloat(number, 64)
 		if err != nil || !(p > 0 && p <= 100) {
-			return Part{}, fmt.Errorf("%q is no part between 0%% and 100%%", text)
+			return Limit{}, fmt.Errorf("%q is no part between 0%% and 100%%", text)
 		}
-		return Part{Share: p / 100}, nil
+		return Limit{Share: p / 100}, nil
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil || n < 1 {
-		return Part{}, fmt.Errorf("%q is no number from 1 up, and no part as \"25%%\"", text)
+		return Limit{}, fmt.Errorf("%q is no number from 1 up, and no part as \"25%%\"", text)
 	}
-	return Part{Count: n}, nil
+	return Limit{Count: n}, nil
 }
 
-func (p Part) set() bool { return p.Count > 0 || p.Share > 0 }
+func (p Limit) set() bool { return p.Count > 0 || p.Share > 0 }
 
 // of is how many of so many things. A part is rounded down: a quarter of three is none.
-func (p Part) of(n int) int {
+func (p Limit) of(n int) int {
 	if p.Count > 0 {
 		return min(p.Count, n)
 	}
@@ -308,21 +308,21 @@
 }
 
 func (b Budget) whole(n int) int {
-	if !b.Whole.set() {
+	if !b.Total.set() {
 		return min(1, n)
 	}
-	return b.Whole.of(n)
+	return b.Total.of(n)
 }
 
 func (b Budget) zone(n int) int {
-	if !b.Zone.set() {
+	if !b.PerZone.set() {
 		return n
 	}
-	return b.Zone.of(n)
+	return b.PerZone.of(n)
 }
 
-// Never says what of the budgets can never let anything out, for a fleet with so many things in each zone; "" if nothing.
-func (b Budgets) Never(relays, members map[string]int) string {
+// Unusable says what of the budgets can never let anything out, for a fleet with so many things in each zone; "" if nothing.
+func (b Budgets) Unusable(relays, members map[string]int) string {
 	var all []string
 	for _, x := range []struct {
 		what   string
--- a/internal/scenariorunner/fleet.go
+++ b/internal/scenariorunner/fleet.go
@@ -57,7 +57,7 @@
 func (r *run) call(n *relay, s scenario.Step) {
 	method, path, _ := strings.Cut(s.Call, " ")
 	for end := time.Now().Add(callFor); ; time.Sleep(ownerEvery) {
-		var a rollout.Answer
+		var a rollout.Result
 		code := ask(method, n.calls, path, s.Body, &a)
 		if code == http.StatusOK {
 			r.with(func(at time.Duration) { r.out.calls = append(r.out.calls, at) })
@@ -142,12 +142,12 @@
 	replaced := map[string]bool{}
 	for k := 0; sleep(ctx, ownerEvery); k++ {
 		n := r.relays[k%len(r.relays)]
-		var all struct{ Releases []rollout.Account }
+		var all struct{ Releases []rollout.ReleaseStatus }
 		if ask("GET", n.calls, "/-/releases?stale", nil, &all) != http.StatusOK {
 			continue
 		}
 		for _, a := range all.Releases {
-			var whole rollout.Account
+			var whole rollout.ReleaseStatus
 			if ask("GET", n.calls, "/-/releases/"+a.Name+"?stale", nil, &whole) != http.StatusOK {
 				continue
 			}
@@ -157,10 +157,10 @@
 				}
 			})
 			for _, u := range whole.Units {
-				name := cmp.Or(u.Now, u.Name) // on the way back it is the successor that is replaced, by the build of before
-				if u.Kind == rollout.KindMember && u.Phase == rollout.Empty && !replaced[name] {
+				name := cmp.Or(u.Successor, u.Name) // on the way back it is the successor that is replaced, by the build of before
+				if u.Kind == rollout.KindMember && u.Phase == rollout.PhaseDrained && !replaced[name] {
 					replaced[name] = true
-					r.succeed(name, u.Undo)
+					r.succeed(name, u.Reverting)
 				}
 			}
 		}
@@ -201,13 +201,13 @@
 }
 
 // release remembers how one stands, and says so if it is new.
-func (o *outs) release(at time.Duration, a rollout.Account) (news string) {
+func (o *outs) release(at time.Duration, a rollout.ReleaseStatus) (news string) {
 	if o.states == nil {
 		o.states, o.ended = map[string]string{}, map[string]time.Duration{}
 	}
 	state := a.State
-	if a.Halt != nil && state == rollout.Halted {
-		state += ": " + a.Halt.Cause + ": " + a.Halt.Why
+	if a.Halt != nil && state == rollout.ReleaseHalted {
+		state += ": " + a.Halt.Cause + ": " + a.Halt.Reason
 	}
 	if o.states[a.Name] != state {
 		o.states[a.Name], o.ended[a.Name] = state, at
@@ -223,7 +223,7 @@
 	}
 	last := time.Duration(0)
 	for name, state := range o.states {
-		if state != rollout.Ended && state != rollout.Undone {
+		if state != rollout.ReleaseCompleted && state != rollout.ReleaseRolledBack {
 			return nil
 		}
 		last = max(last, o.ended[name])
