--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -36,8 +36,8 @@
 	wire    map[int64][]func()
 	lead    *mrelay
 	led     int64
-	helm    *helm
-	own     Look
+	helm    *controller
+	own     ObservedState
 	view    rollout.View
 	budgets rollout.Budgets
 	takeOut bool
@@ -55,17 +55,17 @@
 	upAt                  int64 // down until then
 	record                *Record
 	applied               int
-	ledger                *ledger
-	look                  Look
-	own                   map[string]string // sections changed by hand
+	ledger                *statusReporter
+	look                  ObservedState
+	own                   map[string]string // releaseSections changed by hand
 	frozen                map[string]bool   // items that its loop does not follow
 	refuses, leaving      bool              // new configurations; by order
 	slow                  int64             // to hear of lists
 }
 
 func newModel(t testing.TB, seed uint64, n int) *model {
-	c := Config{Listen: "127.0.0.1:1", Calls: "127.0.0.1:2", Voters: map[string]string{"n0": "127.0.0.1:1"}}
-	c.Out.Relays.Whole = "2"
+	c := Config{Listen: "127.0.0.1:1", APIListen: "127.0.0.1:2", Voters: map[string]string{"n0": "127.0.0.1:1"}}
+	c.Disruption.Relays.Total = "2"
 	if err := c.Check("", n, 0); err != nil {
 		t.Fatal(err)
 	}
@@ -82,14 +82,14 @@
 
 func (m *model) begin(r *mrelay) {
 	r.start++
-	r.upAt, r.leaving, r.look = 0, false, Look{Phase: "serving", List: m.list}
-	r.ledger = newLedger(&Options{Name: r.name, Start: r.start, Program: r.program, Settings: r.config})
+	r.upAt, r.leaving, r.look = 0, false, ObservedState{Phase: "serving", ListGeneration: m.list}
+	r.ledger = newStatusReporter(&Options{Name: r.name, Incarnation: r.start, Program: r.program, ConfigDigest: r.config})
 	m.follow(r)
 }
 
 func (m *model) leads(r *mrelay) {
 	m.catchUp(r, len(m.log))
-	m.lead, m.led, m.helm = r, m.now, newHelm(r.record)
+	m.lead, m.led, m.helm = r, m.now, newController(r.record)
 }
 
 func (m *model) at(late int64, do func()) {
@@ -109,26 +109,26 @@
 // follow is the loop: it does what the record says, but what it is frozen in.
 func (m *model) follow(r *mrelay) {
 	keep := r.look
-	r.record.read(func(s *rollout.State, h held) {
+	r.record.read(func(s *rollout.State, h recordItems) {
 		o := s.Orders(r.name)
-		bans, drains := split(o.Out)
-		r.look.Agreed = slices.DeleteFunc(append(bans, drains...), func(n string) bool {
+		bans, drains := splitOut(o.Exclusions)
+		r.look.AppliedOut = slices.DeleteFunc(append(bans, drains...), func(n string) bool {
 			return r.frozen[drift.Bans] && slices.Contains(bans, n) || r.frozen[drift.Drains] && slices.Contains(drains, n)
 		})
-		r.look.Follows, r.look.Permits, r.look.Weighs, r.look.Shut = s.Version(), permitsNumber(h), h.Weights.Version, 0
+		r.look.AppliedVersion, r.look.PermitsVersion, r.look.CanaryVersion, r.look.ShutOrder = s.Version(), permitsVersion(h), h.Weights.Version, 0
 		if r.frozen[drift.Permits] {
-			r.look.Permits = max(keep.Permits, 1)
+			r.look.PermitsVersion = max(keep.PermitsVersion, 1)
 		}
 		if r.frozen[drift.Weights] {
-			r.look.Weighs = keep.Weighs
+			r.look.CanaryVersion = keep.CanaryVersion
 		}
-		if o.Shut != nil && o.Shut.Start >= r.start {
-			r.look.Shut = o.Shut.Number
+		if o.Quarantine != nil && o.Quarantine.StartNumber >= r.start {
+			r.look.ShutOrder = o.Quarantine.Number
 		}
 		if !r.leaving {
-			r.look.Phase = map[bool]string{false: "serving", true: "draining"}[r.look.Shut != 0]
+			r.look.Phase = map[bool]string{false: "serving", true: "draining"}[r.look.ShutOrder != 0]
 		}
-		if o.Leave != nil && o.Leave.Start >= r.start && !r.leaving {
+		if o.Leave != nil && o.Leave.StartNumber >= r.start && !r.leaving {
 			r.leaving, r.look.Phase = true, "leaving"
 			m.at(3000, func() {
 				r.upAt, r.program = m.now+2000+m.rng.Int64N(9000), cmp.Or(o.Leave.Program, r.program)
@@ -140,7 +140,7 @@
 	})
 }
 
-func (m *model) agree(part string, body []byte) (a rollout.Answer) {
+func (m *model) agree(part string, body []byte) (a rollout.Result) {
 	text, _ := json.Marshal(command{part, m.now, m.lead.name, body})
 	m.log = append(m.log, text)
 	n := len(m.log)
@@ -162,8 +162,8 @@
 	}
 }
 
-func (m *model) release(name string, w rollout.Wish) {
-	m.call(rollout.Command{Kind: rollout.Open, Name: name, Release: &w})
+func (m *model) release(name string, w rollout.ReleaseSpec) {
+	m.call(rollout.Command{Kind: rollout.CommandOpen, Name: name, Release: &w})
 }
 
 func (m *model) state(name string) string {
@@ -174,28 +174,28 @@
 // say is a word of a relay, and the answer to it.
 func (m *model) say(r *mrelay) {
 	l, voters := r.look, drift.Item{Name: drift.Voters, Version: 7, Digest: 1}
-	l.Sections = map[string]string{"settings": r.config + "s", "limits": r.config + "l"}
-	maps.Copy(l.Sections, r.own)
+	l.ConfigSections = map[string]string{"settings": r.config + "s", "limits": r.config + "l"}
+	maps.Copy(l.ConfigSections, r.own)
 	if r.refuses {
-		l.Refused = map[string]string{"config.settings": "no such key"}
+		l.RejectedItems = map[string]string{"config.settings": "no such key"}
 	}
 	if r.frozen[drift.Voters] {
 		voters.Version = 3
 	}
-	text, _ := json.Marshal(r.ledger.word(m.now, l, r.record, voters))
+	text, _ := json.Marshal(r.ledger.buildReport(m.now, l, r.record, voters))
 	h, start := m.helm, r.start
 	m.send(func() {
-		w, err := decodeWord(text)
+		w, err := decodeStatusReport(text)
 		if err != nil {
 			m.t.Fatal(err)
 		}
 		if h != m.helm {
 			return
 		}
-		answer := h.hear(m.now, r.name, w)
+		answer := h.receive(m.now, r.name, w)
 		m.check()
 		m.send(func() {
-			if a, err := drift.DecodeReply(answer); err == nil && r.start == start && r.upAt == 0 && len(r.ledger.book.Hear(a)) > 0 {
+			if a, err := drift.DecodeReply(answer); err == nil && r.start == start && r.upAt == 0 && len(r.ledger.driftBook.Hear(a)) > 0 {
 				m.follow(r)
 			}
 		})
@@ -210,29 +210,29 @@
 }
 
 func (m *model) pilot() {
-	m.own = Look{Members: []Pooled{{Name: "m1", Listed: "ready", Capacity: 9}, {Name: "m2", Listed: "ready", Capacity: 9}}}
+	m.own = ObservedState{Members: []MemberState{{Name: "m1", DiscoveryState: "ready", Capacity: 9}, {Name: "m2", DiscoveryState: "ready", Capacity: 9}}}
 	for _, r := range m.relays {
 		m.own.Peers = append(m.own.Peers, Peer{Name: r.name, Alive: r.upAt == 0, Gone: r.upAt != 0, Serving: r.look.Phase == "serving", Incarnation: r.start})
 	}
-	m.view = m.helm.scene.view(m.now, m.led, m.budgets.Hold, m.lead.name, m.own, warmth{})
+	m.view = m.helm.fleet.buildView(m.now, m.led, m.budgets.FlowHoldMS, m.lead.name, m.own, slowStart{})
 	m.helm.voters = drift.Item{Name: drift.Voters, Version: 7, Digest: 1}
-	m.helm.look(m.now, &m.view)
+	m.helm.evaluateDrift(m.now, &m.view)
 	if m.takeOut {
-		m.helm.unfit(&m.view)
+		m.helm.markUnfit(&m.view)
 	}
 	m.check()
 	if m.view.Drift != "" {
 		m.blocks++
 	}
-	meant := m.helm.meaning(m.now, &m.view)
-	if m.now-m.led < silentAfter.Milliseconds() {
+	meant := m.helm.planIntent(m.now, &m.view)
+	if m.now-m.led < silenceTimeout.Milliseconds() {
 		return
 	}
 	for _, c := range meant {
 		body, _ := json.Marshal(c)
 		m.agree(partIntent, body)
 	}
-	for _, c := range m.helm.gate(m.lead.record.rollout.Plan(m.now, m.view, m.budgets)) {
+	for _, c := range m.helm.withholdBlocked(m.lead.record.rollout.Plan(m.now, m.view, m.budgets)) {
 		if m.agree(partRollout, c.Encode()).Error != "" {
 			return
 		}
@@ -241,7 +241,7 @@
 
 // check holds what is claimed against what was planted.
 func (m *model) check() {
-	for _, r := range m.helm.watch.Rows() {
+	for _, r := range m.helm.driftWatch.Rows() {
 		key := r.Relay + " " + r.Intent.Name
 		if r.State < drift.Late || r.State == drift.NotHeard {
 			continue
@@ -293,8 +293,8 @@
 			late *= 6
 		}
 		m.at(late, func() {
-			if !r.frozen[drift.List] && epoch == m.epoch && (r.look.List < gen || gen == 3) {
-				r.look.List = gen
+			if !r.frozen[drift.List] && epoch == m.epoch && (r.look.ListGeneration < gen || gen == 3) {
+				r.look.ListGeneration = gen
 			}
 		})
 	}
@@ -322,7 +322,7 @@
 // TestModelPlanted: drift of each kind is found at the leader, although another relay leads three seconds after it began, and is gone when it is mended.
 // Guards against an item that relays do not tell, that the leader does not hold them to, or that a new leader takes for right.
 func TestModelPlanted(t *testing.T) {
-	ban := func(m *model) { m.call(rollout.Command{Kind: rollout.Ban, Names: []string{"m1"}}) }
+	ban := func(m *model) { m.call(rollout.Command{Kind: rollout.CommandEject, Names: []string{"m1"}}) }
 	for _, k := range []struct {
 		item  string
 		state drift.State
@@ -346,10 +346,10 @@
 		}},
 		{drift.List, drift.Late, func(m *model, r *mrelay) { r.frozen[drift.List] = true; m.discover(m.list + 1) }},
 		{drift.Bans, drift.Late, func(m *model, r *mrelay) { r.frozen[drift.Bans] = true; ban(m) }},
-		{drift.Bans, drift.Local, func(m *model, r *mrelay) { r.look.Local = []string{"m2"} }},
+		{drift.Bans, drift.Local, func(m *model, r *mrelay) { r.look.LocalEjections = []string{"m2"} }},
 		{drift.Drains, drift.Late, func(m *model, r *mrelay) {
 			r.frozen[drift.Drains] = true
-			m.release("d", rollout.Wish{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}})
+			m.release("d", rollout.ReleaseSpec{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}})
 		}},
 		{drift.Weights, drift.Late, func(m *model, r *mrelay) {
 			r.frozen[drift.Weights] = true
@@ -361,9 +361,9 @@
 		}},
 		{drift.Permits, drift.Late, func(m *model, r *mrelay) {
 			r.frozen[drift.Permits] = true
-			m.call(rollout.Command{Kind: rollout.Ask, Thing: rollout.KindMember, Name: "m1", Who: "ann", For: 600_000})
+			m.call(rollout.Command{Kind: rollout.CommandRequestPermit, TargetKind: rollout.KindMember, Name: "m1", Requester: "ann", DurationMS: 600_000})
 			m.play(1000, nil)
-			m.call(rollout.Command{Kind: rollout.Begin, Number: m.lead.record.rollout.Permits()[0].Number})
+			m.call(rollout.Command{Kind: rollout.CommandBeginPermit, PermitNumber: m.lead.record.rollout.Permits()[0].Number})
 		}},
 		{drift.Voters, drift.Late, func(m *model, r *mrelay) { r.frozen[drift.Voters] = true }},
 	} {
@@ -382,13 +382,15 @@
 				found := m.play(180_000, func() bool { return m.found[key] })
 				m.sound("planted")
 				if !found {
-					t.Fatalf("seed %d: not found; %+v", seed, m.helm.watch.Rows())
+					t.Fatalf("seed %d: not found; %+v", seed, m.helm.driftWatch.Rows())
 				}
 				t.Logf("found %.1f s after the new leader", float64(m.now-from)/1000)
 				r.own, r.frozen, r.refuses, r.program = maps.Clone(m.relays[0].own), map[string]bool{}, false, m.relays[0].program
 				m.begin(r)
-				if !m.play(120_000, func() bool { return m.helm.watch.Clear(r.name) && m.helm.watch.State(r.name, k.item) == drift.InStep }) {
-					t.Fatalf("seed %d: mended, yet %+v", seed, m.helm.watch.Rows())
+				if !m.play(120_000, func() bool {
+					return m.helm.driftWatch.Clear(r.name) && m.helm.driftWatch.State(r.name, k.item) == drift.InStep
+				}) {
+					t.Fatalf("seed %d: mended, yet %+v", seed, m.helm.driftWatch.Rows())
 				}
 				delete(m.planted, key)
 				m.play(20_000, nil)
@@ -415,7 +417,7 @@
 				}
 				switch m.now - from {
 				case 12_000, 72_000: // it stands half way for long
-					m.agree(partRollout, rollout.Command{Kind: []string{rollout.Halt, rollout.Resume}[(m.now-from)/72_000], Name: name}.Encode())
+					m.agree(partRollout, rollout.Command{Kind: []string{rollout.CommandHalt, rollout.CommandResume}[(m.now-from)/72_000], Name: name}.Encode())
 				case 15_000:
 					m.leads(m.relays[(m.list+seed)%3])
 				}
@@ -424,35 +426,35 @@
 			m.play(15_000, nil)
 			m.sound(name)
 			for relay, want := range map[string]string{"n0": first, "n5": last, "one that comes": next} {
-				program, _ := m.lead.record.intent.meant(relay, drift.Program)
-				limits, _ := m.lead.record.intent.meant(relay, "config.limits")
+				program, _ := m.lead.record.intent.valueFor(relay, drift.Program)
+				limits, _ := m.lead.record.intent.valueFor(relay, "config.limits")
 				if got := program.Value + " " + limits.Value; !ended || got != want || m.blocks > 0 {
 					t.Fatalf("seed %d: %s is %s, %d looks held up; %s: %s, not %s", seed, name, m.state(name), m.blocks, relay, got, want)
 				}
 			}
 		}
-		m.release("all", rollout.Wish{Kind: rollout.KindRelay, All: true, Program: "p2", Config: "c2"})
-		through("all", rollout.Ended, "p2 c2l", "p2 c2l", "p2 c2l")
-		m.call(rollout.Command{Kind: rollout.Back, Name: "all"})
-		through("all", rollout.Undone, "p1 c1l", "p1 c1l", "p1 c1l")
-		m.release("part", rollout.Wish{Kind: rollout.KindRelay, Names: part, Program: "p3", Config: "c3"})
-		through("part", rollout.Ended, "p3 c3l", "p1 c1l", "p1 c1l")
-		m.call(rollout.Command{Kind: rollout.Back, Name: "part"})
-		through("part", rollout.Undone, "p1 c1l", "p1 c1l", "p1 c1l")
-		m.release("again", rollout.Wish{Kind: rollout.KindRelay, Names: part, Program: "p3", Config: "c3"})
-		through("again", rollout.Ended, "p3 c3l", "p1 c1l", "p1 c1l")
-		if r := NewRecord(); r.Restore(1, m.lead.record.Snapshot()) != nil || string(r.Snapshot()) != string(m.lead.record.Snapshot()) || len(r.intent.Of) != 3 {
+		m.release("all", rollout.ReleaseSpec{Kind: rollout.KindRelay, All: true, Program: "p2", Config: "c2"})
+		through("all", rollout.ReleaseCompleted, "p2 c2l", "p2 c2l", "p2 c2l")
+		m.call(rollout.Command{Kind: rollout.CommandRollBack, Name: "all"})
+		through("all", rollout.ReleaseRolledBack, "p1 c1l", "p1 c1l", "p1 c1l")
+		m.release("part", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: part, Program: "p3", Config: "c3"})
+		through("part", rollout.ReleaseCompleted, "p3 c3l", "p1 c1l", "p1 c1l")
+		m.call(rollout.Command{Kind: rollout.CommandRollBack, Name: "part"})
+		through("part", rollout.ReleaseRolledBack, "p1 c1l", "p1 c1l", "p1 c1l")
+		m.release("again", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: part, Program: "p3", Config: "c3"})
+		through("again", rollout.ReleaseCompleted, "p3 c3l", "p1 c1l", "p1 c1l")
+		if r := NewRecord(); r.Restore(1, m.lead.record.Snapshot()) != nil || string(r.Snapshot()) != string(m.lead.record.Snapshot()) || len(r.intent.PerRelay) != 3 {
 			t.Fatalf("a snapshot loses some: %+v", r.intent)
 		}
-		m.release("rest", rollout.Wish{Kind: rollout.KindRelay, Names: rest, Program: "p3", Config: "c3"})
-		through("rest", rollout.Ended, "p3 c3l", "p3 c3l", "p3 c3l")
-		if len(m.lead.record.intent.Of) > 0 {
+		m.release("rest", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: rest, Program: "p3", Config: "c3"})
+		through("rest", rollout.ReleaseCompleted, "p3 c3l", "p3 c3l", "p3 c3l")
+		if len(m.lead.record.intent.PerRelay) > 0 {
 			t.Fatalf("%+v", m.lead.record.intent)
 		}
 		m.relays[5].refuses, m.planted["n5 config.settings"] = true, drift.Refused
-		m.release("bad", rollout.Wish{Kind: rollout.KindRelay, Names: rest, Config: "c4"})
+		m.release("bad", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: rest, Config: "c4"})
 		if m.play(60_000, func() bool { return len(m.found) > 0 }); len(m.found) == 0 {
-			t.Fatalf("seed %d: %+v", seed, m.helm.watch.Rows())
+			t.Fatalf("seed %d: %+v", seed, m.helm.driftWatch.Rows())
 		}
 		m.sound("refused")
 	}
@@ -471,19 +473,19 @@
 	if !m.play(180_000, func() bool { return m.found["n3 list"] }) {
 		t.Fatal("not found")
 	}
-	m.release("drain", rollout.Wish{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}})
+	m.release("drain", rollout.ReleaseSpec{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}})
 	m.play(5000, nil)
-	m.release("mend", rollout.Wish{Kind: rollout.KindRelay, All: true})
-	// Who is told to leave does not count any more.
-	out := func() bool { return len(m.lead.record.rollout.Orders("").Out) > 0 }
+	m.release("mend", rollout.ReleaseSpec{Kind: rollout.KindRelay, All: true})
+	// Operator is told to leave does not count any more.
+	out := func() bool { return len(m.lead.record.rollout.Orders("").Exclusions) > 0 }
 	early := false
 	ended := m.play(300_000, func() bool {
 		r.frozen[drift.List] = r.start == 1
 		early = early || out() && r.start == 1 && m.lead.record.rollout.Orders(r.name).Leave == nil
-		return m.state("mend") == rollout.Ended
+		return m.state("mend") == rollout.ReleaseCompleted
 	})
 	if !ended || early || !m.play(60_000, out) {
-		t.Fatalf("%s, drained early %v, %+v", m.state("mend"), early, m.helm.watch.Rows())
+		t.Fatalf("%s, drained early %v, %+v", m.state("mend"), early, m.helm.driftWatch.Rows())
 	}
 	m.sound("mended")
 }
@@ -510,27 +512,27 @@
 		m.play(9000, nil)
 		churn(40)
 		if m.sound("anew"); len(m.found) != 2 {
-			t.Fatalf("%+v, %+v", m.found, m.helm.watch.Rows())
+			t.Fatalf("%+v, %+v", m.found, m.helm.driftWatch.Rows())
 		}
 		clear(m.found)
 		m.leads(m.relays[2])
 		churn(60)
 		if m.sound("anew, another leader"); len(m.found) != 2 {
-			t.Fatalf("%+v, %+v", m.found, m.helm.watch.Rows())
+			t.Fatalf("%+v, %+v", m.found, m.helm.driftWatch.Rows())
 		}
 		stuck(false)
-		m.relays[4].look.List, m.relays[5].look.List = m.list, m.list
+		m.relays[4].look.ListGeneration, m.relays[5].look.ListGeneration = m.list, m.list
 		churn(40)
 		clear(m.planted)
 		clear(m.found)
 		m.planted["n4 list"] = drift.Ahead
-		m.relays[4].frozen[drift.List], m.relays[4].look.List = true, 1<<60
+		m.relays[4].frozen[drift.List], m.relays[4].look.ListGeneration = true, 1<<60
 		m.relays[3].slow = 3000
 		churn(400)
-		if m.sound("a high claim"); !m.found["n4 list"] || m.helm.watch.Bound(drift.Permits) < 15_000 { // no list tells how long a permit takes
-			t.Fatalf("%+v, %d", m.helm.watch.Rows(), m.helm.watch.Bound(drift.Permits))
+		if m.sound("a high claim"); !m.found["n4 list"] || m.helm.driftWatch.Bound(drift.Permits) < 15_000 { // no list tells how long a permit takes
+			t.Fatalf("%+v, %d", m.helm.driftWatch.Rows(), m.helm.driftWatch.Bound(drift.Permits))
 		}
-		if m.helm.unfit(&m.view); len(m.view.Unfit) > 0 {
+		if m.helm.markUnfit(&m.view); len(m.view.Unfit) > 0 {
 			t.Fatalf("%v would be shut", m.view.Unfit)
 		}
 	}
@@ -551,9 +553,9 @@
 	delete(m.relays[2].own, "limits")
 	m.planted["n0 config.limits"], m.planted["n1 config.limits"] = drift.Ahead, drift.Ahead
 	if !m.play(120_000, func() bool { return len(m.found) == 2 }) {
-		t.Fatalf("%+v", m.helm.watch.Rows())
+		t.Fatalf("%+v", m.helm.driftWatch.Rows())
 	}
-	c, err := m.helm.as("n1", "config.limits", "ann")
+	c, err := m.helm.intentFromRelay("n1", "config.limits", "ann")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -562,8 +564,8 @@
 	for _, r := range m.relays {
 		r.own["limits"] = "x"
 	}
-	if !m.play(60_000, func() bool { return m.helm.watch.Clear("n0") && m.helm.watch.Clear("n5") }) {
-		t.Fatalf("%+v", m.helm.watch.Rows())
+	if !m.play(60_000, func() bool { return m.helm.driftWatch.Clear("n0") && m.helm.driftWatch.Clear("n5") }) {
+		t.Fatalf("%+v", m.helm.driftWatch.Rows())
 	}
 	m.sound("by an operator")
 	if a := m.agree(partIntent, []byte(`{"do":"adopt","items":{"config.limits":"y"}}`)); a.Error != "" || m.lead.record.intent.Items["config.limits"][0].Value != "x" {
@@ -598,7 +600,7 @@
 		}
 		until := func(what string, ms int64, done func() bool) {
 			if !m.play(ms, done) {
-				t.Fatalf("seed %d: not %s: out %d, %+v, %+v, %s", seed, what, out(), m.lead.record.rollout.Shuts(), m.helm.watch.Rows(), m.view.Drift)
+				t.Fatalf("seed %d: not %s: out %d, %+v, %+v, %s", seed, what, out(), m.lead.record.rollout.Quarantines(), m.helm.driftWatch.Rows(), m.view.Drift)
 			}
 		}
 		for _, r := range m.relays[4:] {
@@ -610,19 +612,19 @@
 		if m.play(90_000, func() bool { return out() < 2 }) {
 			t.Fatalf("seed %d: a new leader lets them in: %+v", seed, m.view.Unfit)
 		}
-		first = m.lead.record.rollout.Shuts()[0].Name
+		first = m.lead.record.rollout.Quarantines()[0].Name
 		until("the next in its place", 120_000, func() bool {
-			all := m.lead.record.rollout.Shuts()
+			all := m.lead.record.rollout.Quarantines()
 			return out() == 2 && len(all) == 2 && all[0].Name != first && all[1].Name != first
 		})
-		m.release("mend", rollout.Wish{Kind: rollout.KindRelay, All: true})
-		until("mended", 600_000, func() bool { return out() >= 0 && m.state("mend") == rollout.Ended })
+		m.release("mend", rollout.ReleaseSpec{Kind: rollout.KindRelay, All: true})
+		until("mended", 600_000, func() bool { return out() >= 0 && m.state("mend") == rollout.ReleaseCompleted })
 		until("let in", 60_000, func() bool { return out() == 0 })
 		first = ""
 		m.relays[5].own["limits"] = "mine"
 		until("shut again", 120_000, func() bool { return out() == 1 })
-		m.release("drain", rollout.Wish{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}}) // which one that is shut does not hold up
-		until("drained", 10_000, func() bool { return len(m.lead.record.rollout.Orders("").Out) > 0 })
+		m.release("drain", rollout.ReleaseSpec{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}}) // which one that is shut does not hold up
+		until("drained", 10_000, func() bool { return len(m.lead.record.rollout.Orders("").Exclusions) > 0 })
 		m.takeOut = false
 		until("let in without the setting", 60_000, func() bool { return out() == 0 })
 		if m.sound("taken out"); most > 2 {
@@ -640,9 +642,9 @@
 		}
 	}
 	m.play(20_000, nil)
-	text, _ := json.Marshal(m.helm.scene.words["n7"].word)
+	text, _ := json.Marshal(m.helm.fleet.relays["n7"].statusReport)
 	b.ReportMetric(float64(len(text)), "bytes/word")
 	for b.Loop() {
-		m.helm.look(m.now, &m.view)
+		m.helm.evaluateDrift(m.now, &m.view)
 	}
 }
--- a/internal/fleet/trial.go
+++ b/internal/fleet/trial.go
@@ -13,9 +13,9 @@
 	"dahliarudder/internal/rollout"
 )
 
-// weigh has the judge of the canary say what it thinks, and gives what is to be proposed. What is worse goes into the view, so that the
+// evaluateCanary has the judge of the canary say what it thinks, and gives what is to be proposed. What is worse goes into the view, so that the
 // release halts. Called with the lock held.
-func (s *Service) weigh(now int64, v *rollout.View) (plan []canary.Command) {
+func (s *Service) evaluateCanary(now int64, v *rollout.View) (plan []canary.Command) {
 	s.record.mu.RLock()
 	defer s.record.mu.RUnlock()
 	all := s.record.canary.Canaries()
@@ -25,18 +25,18 @@
 	}
 	c := all[0] // one at a time
 	switch {
-	case s.judge == nil || s.judged.Salt != c.Salt:
+	case s.judge == nil || s.judgedCanary.Salt != c.Salt:
 		s.judge = canary.NewJudge(canary.JudgeSettings{Spec: c.Spec, Epoch: c.Epoch, Step: c.Step, Checkpoint: s.record.canary.Checkpoint(c.Release)})
-	case s.judged.Epoch != c.Epoch || s.judged.Step != c.Step:
+	case s.judgedCanary.Epoch != c.Epoch || s.judgedCanary.Step != c.Step:
 		s.judge.BeginStep(c.Epoch, c.Step)
 	}
-	s.judged = c
+	s.judgedCanary = c
 	release, _ := s.record.rollout.Release(c.Release)
 	switch {
-	case c.Status == canary.Completed, c.Status == canary.RolledBack && (release.Name == "" || release.State == rollout.Undone || release.State == rollout.Ended):
+	case c.Status == canary.Completed, c.Status == canary.RolledBack && (release.Name == "" || release.State == rollout.ReleaseRolledBack || release.State == rollout.ReleaseCompleted):
 		return []canary.Command{{Op: canary.OpClose, Release: c.Release}}
 	case c.Status != canary.Progressing:
-		v.Worse, v.WorseOf = cmpOr(c.Reason, string(c.Status)), c.Release
+		v.Degraded, v.DegradedRelease = cmpOr(c.Reason, string(c.Status)), c.Release
 	}
 	was := s.verdict.Outcome
 	if s.verdict = s.judge.Verdict(now); s.verdict.Outcome != was {
@@ -44,10 +44,10 @@
 			"zones": s.verdict.Zones, "relays": s.verdict.Relays}).Info("fleet: canary")
 	}
 	applied := !slices.ContainsFunc(v.Relays, func(r rollout.Relay) bool {
-		h := s.helm.scene.words[r.Name]
-		return r.HeardMS < silentAfter.Milliseconds() && h != nil && h.Weighs < s.record.canary.Version()
+		h := s.controller.fleet.relays[r.Name]
+		return r.ReportAgeMS < silenceTimeout.Milliseconds() && h != nil && h.CanaryVersion < s.record.canary.Version()
 	})
-	return s.record.canary.Plan(max(now, s.record.held.At), s.verdict, applied)
+	return s.record.canary.Plan(max(now, s.record.items.At), s.verdict, applied)
 }
 
 func cmpOr(a, b string) string {
@@ -57,27 +57,27 @@
 	return b
 }
 
-// gate leaves out what a release would give out while its canary is not over and the arm is there; the way back is never held up. Of a
+// withholdBlocked leaves out what a release would give out while its canary is not over and the arm is there; the way back is never held up. Of a
 // release whose canary went back, it adds that the release goes back too.
-func (s *Service) gate(plan []rollout.Command) (out []rollout.Command) {
+func (s *Service) gateOnCanary(plan []rollout.Command) (out []rollout.Command) {
 	s.record.mu.RLock()
 	defer s.record.mu.RUnlock()
 	hold := map[string]bool{}
 	for _, c := range s.record.canary.Canaries() {
 		r, ok := s.record.rollout.Release(c.Release)
 		switch {
-		case !ok || r.Backing:
-		case c.Status == canary.RolledBack && (r.State == rollout.Halted || r.State == rollout.Running):
-			out = append(out, rollout.Command{Kind: rollout.Back, Name: r.Name, Who: "canary", Why: c.Reason})
-		case c.Status != canary.Completed && slices.ContainsFunc(r.Units, func(u rollout.Unit) bool { return u.Phase != rollout.Waiting }):
+		case !ok || r.RollingBack:
+		case c.Status == canary.RolledBack && (r.State == rollout.ReleaseHalted || r.State == rollout.ReleaseRunning):
+			out = append(out, rollout.Command{Kind: rollout.CommandRollBack, Name: r.Name, Requester: "canary", Reason: c.Reason})
+		case c.Status != canary.Completed && slices.ContainsFunc(r.Units, func(u rollout.Unit) bool { return u.Phase != rollout.PhasePending }):
 			hold[c.Release] = true
 		}
 	}
 	for _, c := range plan {
-		if c.Kind == rollout.Step {
-			had := len(c.Gives)
-			c.Gives = slices.DeleteFunc(slices.Clone(c.Gives), func(g rollout.Gift) bool { return hold[g.Release] })
-			if had > 0 && len(c.Gives) == 0 {
+		if c.Kind == rollout.CommandStep {
+			had := len(c.Grants)
+			c.Grants = slices.DeleteFunc(slices.Clone(c.Grants), func(g rollout.Grant) bool { return hold[g.Release] })
+			if had > 0 && len(c.Grants) == 0 {
 				continue
 			}
 		}
@@ -86,9 +86,9 @@
 	return out
 }
 
-// proposeTrial has a command of the canaries agreed.
-func (s *Service) proposeTrial(ctx context.Context, c canary.Command) error {
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+// proposeCanary has a command of the canaries agreed.
+func (s *Service) proposeCanary(ctx context.Context, c canary.Command) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	text, err := json.Marshal(command{Part: partCanary, At: s.now(), By: s.Name, Body: c.Encode()})
 	if err != nil {
@@ -103,10 +103,10 @@
 		return err
 	}
 	if a.Error != "" {
-		return fmt.Errorf("%w: %s", errRefused, a.Error)
+		return fmt.Errorf("%w: %s", errRejected, a.Error)
 	}
 	s.node.WaitApplied(ctx, index)
 	return nil
 }
 
-var errRefused = errors.New("refused")
+var errRejected = errors.New("refused")
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -21,7 +21,7 @@
 // op is one call to the record.
 type op struct {
 	c          Command
-	a          Answer
+	a          Result
 	call, back int64
 }
 
@@ -46,7 +46,7 @@
 	}
 	w := newWorld(seed, n, m, 1+pick.IntN(3))
 	if large(seed) { // so that it ends in the time of a play
-		w.budgets.Relays, w.budgets.Members = Budget{Whole: Part{Share: 0.2}}, Budget{Whole: Part{Share: 0.2}, Zone: Part{Share: 0.3}}
+		w.budgets.Relays, w.budgets.Members = Budget{Total: Limit{Share: 0.2}}, Budget{Total: Limit{Share: 0.2}, PerZone: Limit{Share: 0.3}}
 	}
 	w.roundtrip, w.history = roundtrip, history
 	w.calm = seed%5 == 0 // some without faults
@@ -70,11 +70,11 @@
 		w.tick()
 	}
 	opens := []Command{
-		{Kind: Open, Name: "relays", Release: &Wish{Kind: KindRelay, All: true, Program: "p2", Lone: pick.IntN(4) == 0, Zonal: pick.IntN(4) == 0}},
-		{Kind: Open, Name: "members", Release: &Wish{Kind: KindMember, All: true, Program: "b2", Wait: true}},
+		{Kind: CommandOpen, Name: "relays", Release: &ReleaseSpec{Kind: KindRelay, All: true, Program: "p2", FirstAlone: pick.IntN(4) == 0, ZoneByZone: pick.IntN(4) == 0}},
+		{Kind: CommandOpen, Name: "members", Release: &ReleaseSpec{Kind: KindMember, All: true, Program: "b2", Queue: true}},
 	}
 	if pick.IntN(3) == 0 {
-		opens = append(opens, Command{Kind: Open, Name: "drain", Release: &Wish{Kind: KindMember, Drain: true, Names: []string{"m0"}, Wait: true}})
+		opens = append(opens, Command{Kind: CommandOpen, Name: "drain", Release: &ReleaseSpec{Kind: KindMember, Drain: true, Names: []string{"m0"}, Queue: true}})
 	}
 	for _, c := range opens {
 		w.order(c)
@@ -96,41 +96,41 @@
 		w.half = w.now + w.rnd(1000, 20000)
 	}
 	if pick.IntN(4) == 0 { // bans: by a release, and by an operator at once
-		w.order(Command{Kind: Open, Name: "bans", Release: &Wish{Kind: KindBan, Ban: []string{"m1"}, Wait: true}})
-		w.order(Command{Kind: Ban, Names: []string{"m2"}})
+		w.order(Command{Kind: CommandOpen, Name: "bans", Release: &ReleaseSpec{Kind: KindEject, Eject: []string{"m1"}, Queue: true}})
+		w.order(Command{Kind: CommandEject, Names: []string{"m2"}})
 	}
 	for i := range 400 {
 		if i == 100 {
-			w.order(Command{Kind: Allow, Names: []string{"m2"}})
+			w.order(Command{Kind: CommandReinstate, Names: []string{"m2"}})
 		}
 		w.tick()
 		name := []string{"relays", "members"}[w.rng.IntN(2)]
 		if backAt > 0 && w.now >= backAt {
-			w.order(Command{Kind: Back, Name: name})
+			w.order(Command{Kind: CommandRollBack, Name: name})
 			backAt = 0
 			if w.rng.IntN(3) == 0 {
 				haltAt = w.now + w.rnd(100, 3000) // a second halt, on the way back
 			}
 		}
 		if haltAt > 0 && w.now >= haltAt {
-			w.order(Command{Kind: Halt, Name: name, Why: "by hand"})
+			w.order(Command{Kind: CommandHalt, Name: name, Reason: "by hand"})
 			haltAt = 0
 		}
 		if w.rng.IntN(300) == 0 {
-			w.order(Command{Kind: Resume, Name: name})
+			w.order(Command{Kind: CommandResume, Name: name})
 		}
 	}
 	w.calm, w.drop, w.drift = true, 0, 0
-	w.settleDown(600, Resume)
-	w.settleDown(1000, Back)
-	if w.s.d.release("drain") != nil {
-		w.order(Command{Kind: Back, Name: "drain"}) // it may have held up what else is to go back
+	w.settleDown(600, CommandResume)
+	w.settleDown(1000, CommandRollBack)
+	if w.s.record.release("drain") != nil {
+		w.order(Command{Kind: CommandRollBack, Name: "drain"}) // it may have held up what else is to go back
 	}
-	if w.s.d.release("bans") != nil {
-		w.order(Command{Kind: Back, Name: "bans"})
+	if w.s.record.release("bans") != nil {
+		w.order(Command{Kind: CommandRollBack, Name: "bans"})
 	}
 	for range 4 { // one may have stalled behind another
-		w.settleDown(1500, Back)
+		w.settleDown(1500, CommandRollBack)
 	}
 	w.settleDown(1500, "")
 	for still, n := 0, 0; still < 50; n++ { // a fleet in which nothing happens is to agree on nothing
@@ -151,7 +151,7 @@
 func (w *world) order(c Command) {
 	for {
 		done := false
-		w.propose("operator", c, func(Answer) { done = true })
+		w.propose("operator", c, func(Result) { done = true })
 		for range 20 {
 			if w.tick(); done {
 				return
@@ -164,12 +164,12 @@
 func (w *world) settleDown(ticks int, call string) {
 	for i := range ticks {
 		w.tick()
-		if i > 30 && !slices.ContainsFunc(w.s.d.Releases, func(r release) bool { return !r.ended() && r.State != Halted }) {
+		if i > 30 && !slices.ContainsFunc(w.s.record.Releases, func(r release) bool { return !r.ended() && r.State != ReleaseHalted }) {
 			break
 		}
 	}
 	for _, r := range w.s.Releases() {
-		if r.State == Halted && call != "" {
+		if r.State == ReleaseHalted && call != "" {
 			w.order(Command{Kind: call, Name: r.Name})
 		}
 	}
@@ -177,20 +177,20 @@
 
 // last is what has to be so at the end.
 func (w *world) last() {
-	if len(w.s.d.Shuts) > 0 {
-		w.fault("shut in the calm: %+v", w.s.d.Shuts)
+	if len(w.s.record.Quarantines) > 0 {
+		w.fault("shut in the calm: %+v", w.s.record.Quarantines)
 	}
-	if len(w.s.d.Bans) > 0 {
-		w.fault("bans stand: %v", w.s.d.Bans)
+	if len(w.s.record.Ejections) > 0 {
+		w.fault("bans stand: %v", w.s.record.Ejections)
 	}
-	for _, r := range w.s.d.Releases {
-		if !r.ended() && r.State != Halted {
-			w.fault("release %s is %s behind %q: %+v", r.Name, r.State, r.Behind, slices.DeleteFunc(slices.Clone(r.Units), func(u Unit) bool {
-				return u.Phase == Waiting || u.Phase == Done && !r.undoable(&u)
+	for _, r := range w.s.record.Releases {
+		if !r.ended() && r.State != ReleaseHalted {
+			w.fault("release %s is %s behind %q: %+v", r.Name, r.State, r.QueuedBehind, slices.DeleteFunc(slices.Clone(r.Units), func(u Unit) bool {
+				return u.Phase == PhasePending || u.Phase == PhaseDone && !r.undoable(&u)
 			}))
 			continue
 		}
-		if r.Wish.Drain || r.State == Halted || r.Wish.Kind == KindBan {
+		if r.Spec.Drain || r.State == ReleaseHalted || r.Spec.Kind == KindEject {
 			continue
 		}
 		for _, u := range r.Units {
@@ -203,19 +203,19 @@
 			for _, x := range w.members {
 				if u.Kind == KindMember && x.name == u.name() {
 					is, was = x.program, x.was
-					unknown = !x.labels && x.number != u.Number // it fell over before its owner came, and does not say what it runs
+					unknown = !x.labels && x.number != u.OrderNumber // it fell over before its owner came, and does not say what it runs
 				}
 			}
-			if u.Number == 0 && ordered > 0 {
+			if u.OrderNumber == 0 && ordered > 0 {
 				w.fault("%s was never told, and left", u.Name)
 			}
-			unknown = unknown || u.Kind == KindRelay && u.Program == "" // it was silent for as long as it may be waited for
-			wrong := r.State == Undone && is != was || r.State == Ended && is != r.Wish.Program
-			if w.units++; w.faulty && (unknown || u.Phase == Missing || u.Now != "" && !strings.HasPrefix(u.Now, u.Name)) {
+			unknown = unknown || u.Kind == KindRelay && u.PreviousProgram == "" // it was silent for as long as it may be waited for
+			wrong := r.State == ReleaseRolledBack && is != was || r.State == ReleaseCompleted && is != r.Spec.Program
+			if w.units++; w.faulty && (unknown || u.Phase == PhaseMissing || u.Successor != "" && !strings.HasPrefix(u.Successor, u.Name)) {
 				if wrong { // it was down while all else was through, and is named; or one that was down when all was laid out stands for it
 					w.excused++
 				}
-			} else if wrong || u.Stranded || u.Phase == Missing {
+			} else if wrong || u.Stranded || u.Phase == PhaseMissing {
 				w.fault("%s: %s runs %q, before %q: %+v", r.State, u.Name, is, was, u)
 			}
 		}
@@ -269,13 +269,13 @@
 		traces.Add(w.trace)
 		for _, r := range w.s.Releases() {
 			switch r.State {
-			case Ended:
+			case ReleaseCompleted:
 				ended.Add(1)
-			case Undone:
+			case ReleaseRolledBack:
 				undone.Add(1)
 			default:
 				halted.Add(1)
-				t.Logf("seed %d: %s is %s, back %v: %+v", seed, r.Name, r.State, r.Backing, r.Halt)
+				t.Logf("seed %d: %s is %s, back %v: %+v", seed, r.Name, r.State, r.RollingBack, r.Halt)
 			}
 		}
 		return w.faults
@@ -294,47 +294,47 @@
 func permits(w *world, history []op) {
 	states, things := map[uint64]string{}, map[string]uint64{}
 	for _, o := range history {
-		c, a, is := o.c, o.a, states[o.c.Number]
+		c, a, is := o.c, o.a, states[o.c.PermitNumber]
 		if a.Error != "" {
 			continue
 		}
 		ok := true
 		switch c.Kind {
-		case Ask:
-			number := things[c.Thing+" "+c.Name]
+		case CommandRequestPermit:
+			number := things[c.TargetKind+" "+c.Name]
 			switch is := states[number]; is {
 			case "":
-				ok = a.State == Wait && a.Number > number
-				things[c.Thing+" "+c.Name], states[a.Number] = a.Number, Wait
+				ok = a.State == PermitWaiting && a.Number > number
+				things[c.TargetKind+" "+c.Name], states[a.Number] = a.Number, PermitWaiting
 			default:
-				ok = a.Number == number && (a.State == is || a.State == Wait && is == Granted && a.Left == 0)
+				ok = a.Number == number && (a.State == is || a.State == PermitWaiting && is == PermitGranted && a.RemainingMS == 0)
 			}
-			if a.State == Granted {
+			if a.State == PermitGranted {
 				w.granted++
 			}
-		case Begin:
-			ok = is == Granted || is == Begun
-			states[c.Number] = Begun
-		case Give:
-			if ok = is != ""; is != Begun {
-				delete(states, c.Number)
+		case CommandBeginPermit:
+			ok = is == PermitGranted || is == PermitBegun
+			states[c.PermitNumber] = PermitBegun
+		case CommandReturnPermit:
+			if ok = is != ""; is != PermitBegun {
+				delete(states, c.PermitNumber)
 			}
-		case Step:
-			for _, g := range c.Gives {
+		case CommandStep:
+			for _, g := range c.Grants {
 				if g.Permit != 0 {
-					ok = ok && states[g.Permit] == Wait
-					states[g.Permit] = Granted
+					ok = ok && states[g.Permit] == PermitWaiting
+					states[g.Permit] = PermitGranted
 				}
 			}
-		case Seen:
-			for _, x := range c.Saw {
-				if states[x.Permit] == Begun {
+		case CommandObserve:
+			for _, x := range c.Observations {
+				if states[x.Permit] == PermitBegun {
 					delete(states, x.Permit)
 				}
 			}
-		case Void:
-			for _, number := range c.Numbers {
-				ok = ok && states[number] != Begun
+		case CommandExpirePermits:
+			for _, number := range c.PermitNumbers {
+				ok = ok && states[number] != PermitBegun
 				delete(states, number)
 			}
 		}
@@ -369,9 +369,9 @@
 }
 
 // try has a state apply anything at all: what is refused changes nothing, and what comes of it goes through Encode and Decode.
-func try(t *testing.T, s *State, at int64, body []byte) (*State, Answer) {
+func try(t *testing.T, s *State, at int64, body []byte) (*State, Result) {
 	before := s.Encode()
-	var a Answer
+	var a Result
 	if err := json.Unmarshal(s.Apply(at, "n2", body), &a); err != nil || a.Error != "" && !bytes.Equal(before, s.Encode()) {
 		t.Fatalf("%s: %+v, %v", body, a, err)
 	}
@@ -388,8 +388,8 @@
 func TestRandomCalls(t *testing.T) {
 	var history []op
 	w := young(2, &history)
-	pool := []Command{{Kind: Halt, Name: "relays"}, {Kind: Resume, Name: "relays"}, {Kind: Back, Name: "relays"}, {Kind: Give}, {Kind: Begin},
-		{Kind: Open, Name: "bans", Release: &Wish{Kind: KindBan, Ban: []string{"m1"}}}, {Kind: Admit, Name: "n2"}, {Kind: Allow, Names: []string{"m3"}}, {Kind: Void, Numbers: []uint64{1, 2, 3, 4, 5, 6, 7, 8}}}
+	pool := []Command{{Kind: CommandHalt, Name: "relays"}, {Kind: CommandResume, Name: "relays"}, {Kind: CommandRollBack, Name: "relays"}, {Kind: CommandReturnPermit}, {Kind: CommandBeginPermit},
+		{Kind: CommandOpen, Name: "bans", Release: &ReleaseSpec{Kind: KindEject, Eject: []string{"m1"}}}, {Kind: CommandReadmit, Name: "n2"}, {Kind: CommandReinstate, Names: []string{"m3"}}, {Kind: CommandExpirePermits, PermitNumbers: []uint64{1, 2, 3, 4, 5, 6, 7, 8}}}
 	for _, o := range history {
 		pool = append(pool, o.c)
 	}
@@ -402,37 +402,37 @@
 		}
 		for range 40 {
 			c, other := one(), one()
-			c.Number = uint64(rng.IntN(8))
-			if c.Sight != nil {
-				seen := *c.Sight
-				seen.At, c.Base, c.Sight = s.d.At, s.Version(), &seen
+			c.PermitNumber = uint64(rng.IntN(8))
+			if c.Basis != nil {
+				seen := *c.Basis
+				seen.At, c.BaseVersion, c.Basis = s.record.Time, s.Version(), &seen
 			}
 			switch rng.IntN(5) {
 			case 0:
-				c.Name, c.Names, c.Start = other.Name, other.Names, other.Start
+				c.Name, c.Names, c.StartNumber = other.Name, other.Names, other.StartNumber
 			case 1:
-				c.Saw = other.Saw
+				c.Observations = other.Observations
 			case 2:
-				c.Kind, c.Thing, c.Cause = other.Kind, other.Thing, other.Cause
+				c.Kind, c.TargetKind, c.Cause = other.Kind, other.TargetKind, other.Cause
 			case 3:
-				c.Gives, c.Units, c.Sight = other.Gives, other.Units, other.Sight
+				c.Grants, c.Units, c.Basis = other.Grants, other.Units, other.Basis
 			}
 			out := func(kind string) int {
 				names := map[string]bool{}
-				for _, p := range s.d.planned(kind) {
+				for _, p := range s.record.planned(kind) {
 					names[p.Name] = true
 				}
 				return len(names)
 			}
-			relays, members, a := out(KindRelay), out(KindMember), Answer{}
-			if s, a = try(t, s, s.d.At+int64(rng.IntN(10)/9)*40000, c.Encode()); a.Error != "" {
+			relays, members, a := out(KindRelay), out(KindMember), Result{}
+			if s, a = try(t, s, s.record.Time+int64(rng.IntN(10)/9)*40000, c.Encode()); a.Error != "" {
 				continue
 			}
-			if accepted[c.Kind]++; c.Sight == nil {
+			if accepted[c.Kind]++; c.Basis == nil {
 				continue
 			}
 			for kind, is := range map[string]bool{KindRelay: out(KindRelay) > relays, KindMember: out(KindMember) > members} {
-				if most := s.d.room(kind, map[string]Side{KindRelay: c.Sight.Relays, KindMember: c.Sight.Members}[kind], c.Sight.Budgets); is && most.over() != "" {
+				if most := s.record.room(kind, map[string]KindSummary{KindRelay: c.Basis.Relays, KindMember: c.Basis.Members}[kind], c.Basis.Budgets); is && most.over() != "" {
 					t.Fatalf("%s: %s", c.Encode(), most.over())
 				}
 			}
@@ -441,7 +441,7 @@
 			s, _ = try(t, s, w.now, c.Encode())
 		}
 	}
-	for _, kind := range []string{Open, Ask, Begin, Give, Halt, Resume, Back, Ban, Allow, Lay, Step, Seen, Void, Shut, Admit} {
+	for _, kind := range []string{CommandOpen, CommandRequestPermit, CommandBeginPermit, CommandReturnPermit, CommandHalt, CommandResume, CommandRollBack, CommandEject, CommandReinstate, CommandSetUnits, CommandStep, CommandObserve, CommandExpirePermits, CommandQuarantine, CommandReadmit} {
 		if accepted[kind] == 0 {
 			t.Errorf("no %s was ever accepted: %v", kind, accepted)
 		}
@@ -452,14 +452,14 @@
 func young(seed uint64, history *[]op) *world {
 	w := newWorld(seed, 4, 4, 2)
 	w.calm, w.history = true, history
-	w.order(Command{Kind: Open, Name: "relays", Release: &Wish{Kind: KindRelay, All: true, Program: "p2"}})
-	w.order(Command{Kind: Open, Name: "members", Release: &Wish{Kind: KindMember, All: true}})
-	w.order(Command{Kind: Ban, Names: []string{"m3"}})
-	w.order(Command{Kind: Ask, Thing: KindRelay, Name: "n1", Who: "a", For: 1000})
+	w.order(Command{Kind: CommandOpen, Name: "relays", Release: &ReleaseSpec{Kind: KindRelay, All: true, Program: "p2"}})
+	w.order(Command{Kind: CommandOpen, Name: "members", Release: &ReleaseSpec{Kind: KindMember, All: true}})
+	w.order(Command{Kind: CommandEject, Names: []string{"m3"}})
+	w.order(Command{Kind: CommandRequestPermit, TargetKind: KindRelay, Name: "n1", Requester: "a", DurationMS: 1000})
 	for range 30 {
 		w.tick()
 	}
-	w.order(Command{Kind: Back, Name: "members"})
+	w.order(Command{Kind: CommandRollBack, Name: "members"})
 	w.relays[2].unfit = w.now + 9000
 	for range 20 {
 		w.tick()
@@ -509,74 +509,74 @@
 // calls applies commands, one after another, and wants each answered with a state, or an error that holds a word.
 func calls(t *testing.T, s *State, at int64, want string, c Command) {
 	t.Helper()
-	var a Answer
+	var a Result
 	if err := json.Unmarshal(s.Apply(at, "n1", c.Encode()), &a); err != nil || !strings.Contains(a.State+a.Error, want) {
 		t.Fatalf("%+v: %+v, %v, not %q", c, a, err, want)
 	}
 }
 
-// Who may resume what: nobody but an operator after an operator or a verdict, nor after a second time for the same cause.
+// Requester may resume what: nobody but an operator after an operator or a verdict, nor after a second time for the same cause.
 func TestHalts(t *testing.T) {
 	open := func() *State {
 		s := New()
-		calls(t, s, 1, Queued, Command{Kind: Open, Name: "r", Release: &Wish{Kind: KindRelay, Names: []string{"a", "b"}}})
-		calls(t, s, 2, Running, Command{Kind: Lay, Name: "r", Units: []Unit{{Name: "a", Kind: KindRelay}, {Name: "b", Kind: KindRelay}}})
+		calls(t, s, 1, ReleaseQueued, Command{Kind: CommandOpen, Name: "r", Release: &ReleaseSpec{Kind: KindRelay, Names: []string{"a", "b"}}})
+		calls(t, s, 2, ReleaseRunning, Command{Kind: CommandSetUnits, Name: "r", Units: []Unit{{Name: "a", Kind: KindRelay}, {Name: "b", Kind: KindRelay}}})
 		return s
 	}
 	itself := func(s *State, kind, cause string) Command {
-		return Command{Kind: kind, Name: "r", Cause: cause, Base: s.Version()}
+		return Command{Kind: kind, Name: "r", Cause: cause, BaseVersion: s.Version()}
 	}
-	for _, cause := range []string{Overdrawn, Overdue, Service, Drifted, Stalled, Verdict, ""} {
+	for _, cause := range []string{HaltOverBudget, HaltOverdue, HaltServiceDegraded, HaltDrift, HaltStalled, HaltVerdict, ""} {
 		s := open()
-		halt := itself(s, Halt, cause)
-		calls(t, s, 3, Halted, halt)
-		calls(t, s, 4, "", itself(s, Resume, cmp.Or(cause, Overdue)))
-		stays := cause == Verdict || cause == ""
-		if a, _ := s.Release("r"); (a.State == Halted) != stays {
+		halt := itself(s, CommandHalt, cause)
+		calls(t, s, 3, ReleaseHalted, halt)
+		calls(t, s, 4, "", itself(s, CommandResume, cmp.Or(cause, HaltOverdue)))
+		stays := cause == HaltVerdict || cause == ""
+		if a, _ := s.Release("r"); (a.State == ReleaseHalted) != stays {
 			t.Errorf("%q: %s after it resumed by itself", cause, a.State)
 		}
 		if !stays {
-			calls(t, s, 5, Halted, itself(s, Halt, cause))
-			s.Apply(6, "n1", itself(s, Resume, cause).Encode())
-			if a, _ := s.Release("r"); (a.State == Halted) != (cause == Service || cause == Overdue) {
+			calls(t, s, 5, ReleaseHalted, itself(s, CommandHalt, cause))
+			s.Apply(6, "n1", itself(s, CommandResume, cause).Encode())
+			if a, _ := s.Release("r"); (a.State == ReleaseHalted) != (cause == HaltServiceDegraded || cause == HaltOverdue) {
 				t.Errorf("%q a second time: %s", cause, a.State)
 			}
 		}
-		s.Apply(7, "n1", Command{Kind: Resume, Name: "r"}.Encode())
-		if a, _ := s.Release("r"); a.State != Running {
+		s.Apply(7, "n1", Command{Kind: CommandResume, Name: "r"}.Encode())
+		if a, _ := s.Release("r"); a.State != ReleaseRunning {
 			t.Errorf("%q: an operator could not resume it", cause)
 		}
 	}
 	s := open()
-	calls(t, s, 3, "version", Command{Kind: Halt, Name: "r", Cause: Drifted, Base: s.Version() - 1})
-	calls(t, s, 3, Halted, itself(s, Halt, Drifted))
-	calls(t, s, 4, Halted, Command{Kind: Halt, Name: "r"}) // an operator's stands above
-	calls(t, s, 5, "operator", itself(s, Resume, Drifted))
+	calls(t, s, 3, "version", Command{Kind: CommandHalt, Name: "r", Cause: HaltDrift, BaseVersion: s.Version() - 1})
+	calls(t, s, 3, ReleaseHalted, itself(s, CommandHalt, HaltDrift))
+	calls(t, s, 4, ReleaseHalted, Command{Kind: CommandHalt, Name: "r"}) // an operator's stands above
+	calls(t, s, 5, "operator", itself(s, CommandResume, HaltDrift))
 }
 
 // Two releases that touch the same things: the second waits, or is refused with the first's name.
 func TestTwo(t *testing.T) {
 	s := New()
-	calls(t, s, 1, Queued, Command{Kind: Open, Name: "first", Release: &Wish{Kind: KindMember, Names: []string{"a", "b"}}})
-	calls(t, s, 1, `"first"`, Command{Kind: Open, Name: "second", Release: &Wish{Kind: KindMember, Zones: []string{"z"}}})
-	calls(t, s, 1, `"first"`, Command{Kind: Open, Name: "second", Release: &Wish{Kind: KindBan, Ban: []string{"b"}}})
-	calls(t, s, 1, Queued, Command{Kind: Open, Name: "other", Release: &Wish{Kind: KindMember, Names: []string{"c"}}})
-	calls(t, s, 1, Queued, Command{Kind: Open, Name: "second", Release: &Wish{Kind: KindMember, All: true, Wait: true}})
-	calls(t, s, 2, "laid out", Command{Kind: Lay, Name: "second", Units: []Unit{{Name: "a", Kind: KindMember}}})
-	calls(t, s, 3, Undone, Command{Kind: Back, Name: "first"})
-	if a, _ := s.Release("second"); a.Behind != "other" {
-		t.Errorf("it waits behind %q", a.Behind)
-	}
-	calls(t, s, 3, Undone, Command{Kind: Back, Name: "other"})
-	calls(t, s, 4, Running, Command{Kind: Lay, Name: "second", Units: []Unit{{Name: "a", Kind: KindMember}}})
-	calls(t, s, 5, `"second"`, Command{Kind: Back, Name: "first"})
+	calls(t, s, 1, ReleaseQueued, Command{Kind: CommandOpen, Name: "first", Release: &ReleaseSpec{Kind: KindMember, Names: []string{"a", "b"}}})
+	calls(t, s, 1, `"first"`, Command{Kind: CommandOpen, Name: "second", Release: &ReleaseSpec{Kind: KindMember, Zones: []string{"z"}}})
+	calls(t, s, 1, `"first"`, Command{Kind: CommandOpen, Name: "second", Release: &ReleaseSpec{Kind: KindEject, Eject: []string{"b"}}})
+	calls(t, s, 1, ReleaseQueued, Command{Kind: CommandOpen, Name: "other", Release: &ReleaseSpec{Kind: KindMember, Names: []string{"c"}}})
+	calls(t, s, 1, ReleaseQueued, Command{Kind: CommandOpen, Name: "second", Release: &ReleaseSpec{Kind: KindMember, All: true, Queue: true}})
+	calls(t, s, 2, "laid out", Command{Kind: CommandSetUnits, Name: "second", Units: []Unit{{Name: "a", Kind: KindMember}}})
+	calls(t, s, 3, ReleaseRolledBack, Command{Kind: CommandRollBack, Name: "first"})
+	if a, _ := s.Release("second"); a.QueuedBehind != "other" {
+		t.Errorf("it waits behind %q", a.QueuedBehind)
+	}
+	calls(t, s, 3, ReleaseRolledBack, Command{Kind: CommandRollBack, Name: "other"})
+	calls(t, s, 4, ReleaseRunning, Command{Kind: CommandSetUnits, Name: "second", Units: []Unit{{Name: "a", Kind: KindMember}}})
+	calls(t, s, 5, `"second"`, Command{Kind: CommandRollBack, Name: "first"})
 
 	// One that was stranded is undone as soon as what was in its way has ended: nothing else may ever be called.
 	s = New()
-	s.d.Releases = []release{{Account: Account{Name: "first", State: Undone, Wish: Wish{Kind: KindMember, All: true}, Units: []Unit{{Name: "a", Kind: KindMember, Phase: Done, Got: true}}}},
-		{Account: Account{Name: "second", State: Backing, Wish: Wish{Kind: KindBan, Ban: []string{"a"}}, Units: []Unit{{Name: "a", Kind: KindBan, Phase: Told, Undo: true}}}}}
-	calls(t, s, 6, "", Command{Kind: Seen, Saw: []Saw{{Release: "second", Unit: "a", Phase: Done}}})
-	for name, want := range map[string]string{"first": Backing, "second": Undone} {
+	s.record.Releases = []release{{ReleaseStatus: ReleaseStatus{Name: "first", State: ReleaseRolledBack, Spec: ReleaseSpec{Kind: KindMember, All: true}, Units: []Unit{{Name: "a", Kind: KindMember, Phase: PhaseDone, Updated: true}}}},
+		{ReleaseStatus: ReleaseStatus{Name: "second", State: ReleaseRollingBack, Spec: ReleaseSpec{Kind: KindEject, Eject: []string{"a"}}, Units: []Unit{{Name: "a", Kind: KindEject, Phase: PhaseLeaving, Reverting: true}}}}}
+	calls(t, s, 6, "", Command{Kind: CommandObserve, Observations: []Observation{{Release: "second", Unit: "a", Phase: PhaseDone}}})
+	for name, want := range map[string]string{"first": ReleaseRollingBack, "second": ReleaseRolledBack} {
 		if a, _ := s.Release(name); a.State != want {
 			t.Errorf("%s is %s", name, a.State)
 		}
@@ -585,22 +585,22 @@
 
 // A member that was stranded is out until it is there as it was, is there no more, or an operator takes it as it is. Each is said once.
 func TestStranded(t *testing.T) {
-	b := Budgets{Silent: 100, Fresh: 100, Drain: 100, Start: 100, Window: 100}
+	b := Budgets{SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainMS: 100, StartMS: 100, PermitWindowMS: 100}
 	for _, allow := range []bool{false, true} {
-		s, v := New(), View{At: 1e6, Relays: []Relay{{Name: "n", Full: true}}, Members: []Member{{Name: "a", Program: "b3", Started: 9, Capacity: 1, Bears: 1}}}
-		s.d.Releases = []release{{Account: Account{Name: "r", State: Undone, Backing: true, Wish: Wish{Kind: KindMember, All: true, Program: "b2"}, Units: []Unit{
-			{Name: "a", Kind: KindMember, Program: "b1", Phase: Empty, Stranded: true, Number: 1, Start: 5}}}}}
-		if plan := s.Plan(v.At, v, b); plan != nil || s.Orders("n").Out["a"].Why != "drain" {
+		s, v := New(), View{At: 1e6, Relays: []Relay{{Name: "n", InService: true}}, Members: []Member{{Name: "a", Program: "b3", Started: 9, Capacity: 1, UsableCapacity: 1}}}
+		s.record.Releases = []release{{ReleaseStatus: ReleaseStatus{Name: "r", State: ReleaseRolledBack, RollingBack: true, Spec: ReleaseSpec{Kind: KindMember, All: true, Program: "b2"}, Units: []Unit{
+			{Name: "a", Kind: KindMember, PreviousProgram: "b1", Phase: PhaseDrained, Stranded: true, OrderNumber: 1, SeenStart: 5}}}}}
+		if plan := s.Plan(v.At, v, b); plan != nil || s.Orders("n").Exclusions["a"].Reason != "drain" {
 			t.Errorf("%+v, %+v", plan, s.Orders("n"))
 		}
 		if allow {
-			calls(t, s, v.At, "", Command{Kind: Allow, Names: []string{"a"}})
+			calls(t, s, v.At, "", Command{Kind: CommandReinstate, Names: []string{"a"}})
 		} else {
 			v.Members = nil
 			calls(t, s, v.At, "", s.Plan(v.At, v, b)[0])
 		}
 		a, _ := s.Release("r")
-		if plan := s.Plan(v.At, v, b); plan != nil || s.Orders("n").Out != nil || len(s.d.planned(KindMember)) > 0 || len(a.Except) != 1 {
+		if plan := s.Plan(v.At, v, b); plan != nil || s.Orders("n").Exclusions != nil || len(s.record.planned(KindMember)) > 0 || len(a.Exceptions) != 1 {
 			t.Errorf("allowed %v: %+v, %+v", allow, plan, a)
 		}
 	}
@@ -608,16 +608,16 @@
 
 // Budgets as operators write them, and those with which nothing ever could go out.
 func TestBudgets(t *testing.T) {
-	for text, want := range map[string]Part{"25%": {Share: 0.25}, "2": {Count: 2}, "0": {}, "-1": {}, "0%": {}, "101%": {}, "x": {}, "NaN%": {}} {
-		if got, err := ParsePart(text); got != want || (err == nil) != want.set() {
+	for text, want := range map[string]Limit{"25%": {Share: 0.25}, "2": {Count: 2}, "0": {}, "-1": {}, "0%": {}, "101%": {}, "x": {}, "NaN%": {}} {
+		if got, err := ParseLimit(text); got != want || (err == nil) != want.set() {
 			t.Errorf("%s: %v, %v", text, got, err)
 		}
 	}
-	b := Budgets{Relays: Budget{Whole: Part{Share: 0.25}}, Members: Budget{Whole: Part{Count: 1}, Zone: Part{Share: 0.3}}}
-	if why := b.Never(map[string]int{"a": 2, "b": 2}, map[string]int{"a": 4, "b": 3}); why != "members: the budget of a zone lets none out in b" {
+	b := Budgets{Relays: Budget{Total: Limit{Share: 0.25}}, Members: Budget{Total: Limit{Count: 1}, PerZone: Limit{Share: 0.3}}}
+	if why := b.Unusable(map[string]int{"a": 2, "b": 2}, map[string]int{"a": 4, "b": 3}); why != "members: the budget of a zone lets none out in b" {
 		t.Error(why)
 	}
-	if why := b.Never(map[string]int{"a": 3}, nil); why == "" {
+	if why := b.Unusable(map[string]int{"a": 3}, nil); why == "" {
 		t.Error("a quarter of three is none")
 	}
 }
@@ -625,7 +625,7 @@
 // What the service was before, and what is more than noise: neither its own spread nor a single bad window halts.
 func TestService(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
-	window := func(p float64) Count {
+	window := func(p float64) ServiceWindow {
 		n, served := 400+rng.IntN(200), 0
 		p += (rng.Float64() - 0.5) / 50 // windows differ by more than chance
 		for range n {
@@ -633,19 +633,19 @@
 				served++
 			}
 		}
-		return Count{1, float64(n), float64(served)}
+		return ServiceWindow{1, float64(n), float64(served)}
 	}
 	halted, found := 0, 0
 	for range 2000 {
-		var counts []Count
+		var counts []ServiceWindow
 		for range 30 {
 			counts = append(counts, window(0.97))
 		}
 		asked, served, spread := before(counts)
-		if worse(asked, served, spread, 0.01, []Count{window(0.97), window(0.97), window(0.97)}, 0) {
+		if worse(asked, served, spread, 0.01, []ServiceWindow{window(0.97), window(0.97), window(0.97)}, 0) {
 			halted++
 		}
-		if worse(asked, served, spread, 0.01, []Count{window(0.85), window(0.85), window(0.85)}, 0) {
+		if worse(asked, served, spread, 0.01, []ServiceWindow{window(0.85), window(0.85), window(0.85)}, 0) {
 			found++
 		}
 	}
@@ -661,7 +661,7 @@
 	for seed := range uint64(5) {
 		w := newWorld(seed, 12, 12, 3)
 		w.calm = true
-		w.budgets.Relays, w.budgets.Members = Budget{Whole: Part{Share: 0.25}}, Budget{Whole: Part{Share: 0.25}}
+		w.budgets.Relays, w.budgets.Members = Budget{Total: Limit{Share: 0.25}}, Budget{Total: Limit{Share: 0.25}}
 		w.load = 0
 		for _, x := range w.members {
 			x.capacity = 100
@@ -670,11 +670,11 @@
 		for range 40 {
 			w.tick()
 		}
-		w.order(Command{Kind: Open, Name: "r", Release: &Wish{Kind: KindRelay, All: true, Program: "p2"}})
-		w.order(Command{Kind: Open, Name: "m", Release: &Wish{Kind: KindMember, All: true, Program: "b2"}})
+		w.order(Command{Kind: CommandOpen, Name: "r", Release: &ReleaseSpec{Kind: KindRelay, All: true, Program: "p2"}})
+		w.order(Command{Kind: CommandOpen, Name: "m", Release: &ReleaseSpec{Kind: KindMember, All: true, Program: "b2"}})
 		from := w.now
 		out := map[string]int64{} // ms that things were out in truth, not until they were seen to be back
-		for !w.s.d.Releases[0].ended() || !w.s.d.Releases[1].ended() {
+		for !w.s.record.Releases[0].ended() || !w.s.record.Releases[1].ended() {
 			w.tick()
 			for key, is := range w.given {
 				if kind, _, _ := strings.Cut(key, " "); is() {
@@ -695,8 +695,8 @@
 	for range 40 {
 		w.tick()
 	}
-	w.order(Command{Kind: Open, Name: "r", Release: &Wish{Kind: KindRelay, All: true, Program: "p2"}})
-	w.order(Command{Kind: Open, Name: "m", Release: &Wish{Kind: KindMember, All: true, Program: "b2"}})
+	w.order(Command{Kind: CommandOpen, Name: "r", Release: &ReleaseSpec{Kind: KindRelay, All: true, Program: "p2"}})
+	w.order(Command{Kind: CommandOpen, Name: "m", Release: &ReleaseSpec{Kind: KindMember, All: true, Program: "b2"}})
 	var all []time.Duration
 	largest := 0
 	for range 100 {
@@ -712,23 +712,23 @@
 	t.Logf("Plan with 300 relays and 300 members: median %v, most %v; the largest command %d bytes, the state %d", all[50], all[99], largest, len(w.s.Encode()))
 }
 
-// Who has not said yet what it runs could not be given back: such a release is not laid out, unless it is silent for good. Then there is no way back.
+// Requester has not said yet what it runs could not be given back: such a release is not laid out, unless it is silent for good. Then there is no way back.
 func TestUnknown(t *testing.T) {
-	s, b := New(), Budgets{Silent: 100, Fresh: 100, Drain: 500, Start: 500, Window: 100}
-	v := View{At: 1000, Relays: []Relay{{Name: "a", HeardMS: 1}, {Name: "b", Program: "p1", Start: 1, Full: true}}}
-	calls(t, s, v.At, Queued, Command{Kind: Open, Name: "first", Release: &Wish{Kind: KindRelay, Names: []string{"b"}}})
-	calls(t, s, v.At, Queued, Command{Kind: Open, Name: "r", Release: &Wish{Kind: KindRelay, All: true, Program: "p2", Wait: true}})
+	s, b := New(), Budgets{SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainMS: 500, StartMS: 500, PermitWindowMS: 100}
+	v := View{At: 1000, Relays: []Relay{{Name: "a", ReportAgeMS: 1}, {Name: "b", Program: "p1", StartNumber: 1, InService: true}}}
+	calls(t, s, v.At, ReleaseQueued, Command{Kind: CommandOpen, Name: "first", Release: &ReleaseSpec{Kind: KindRelay, Names: []string{"b"}}})
+	calls(t, s, v.At, ReleaseQueued, Command{Kind: CommandOpen, Name: "r", Release: &ReleaseSpec{Kind: KindRelay, All: true, Program: "p2", Queue: true}})
 	v.At += 5000
-	calls(t, s, v.At, Undone, Command{Kind: Back, Name: "first"})
+	calls(t, s, v.At, ReleaseRolledBack, Command{Kind: CommandRollBack, Name: "first"})
 	v.At += 1000 // since it waits behind none
 	if plan := s.Plan(v.At, v, b); plan != nil {
 		t.Errorf("%+v", plan)
 	}
 	v.At++
-	calls(t, s, v.At, Running, s.Plan(v.At, v, b)[0])
-	r := s.d.release("r")
+	calls(t, s, v.At, ReleaseRunning, s.Plan(v.At, v, b)[0])
+	r := s.record.release("r")
 	for i := range r.Units {
-		r.Units[i].Got = true
+		r.Units[i].Updated = true
 	}
 	if r.undoable(r.unit("a")) || !r.undoable(r.unit("b")) {
 		t.Errorf("%+v", r.Units)
@@ -739,14 +739,14 @@
 func TestOrder(t *testing.T) {
 	v := View{At: 1, Relays: []Relay{{Name: "r", Zone: "a"}}}
 	for i, zone := range []string{"a", "b", "a", "b"} {
-		v.Members = append(v.Members, Member{Name: "m" + strconv.Itoa(i), Zone: zone, Capacity: 9, Bears: float64(9 - i)})
+		v.Members = append(v.Members, Member{Name: "m" + strconv.Itoa(i), Zone: zone, Capacity: 9, UsableCapacity: float64(9 - i)})
 	}
 	for want, budget := range map[string]Budget{
-		"m3 m2 m1 m0 ": {Whole: Part{Count: 2}, Zone: Part{Count: 1}},
-		"m3 m1 m2 m0 ": {Whole: Part{Count: 1}, Zone: Part{Count: 1}},
+		"m3 m2 m1 m0 ": {Total: Limit{Count: 2}, PerZone: Limit{Count: 1}},
+		"m3 m1 m2 m0 ": {Total: Limit{Count: 1}, PerZone: Limit{Count: 1}},
 	} {
 		s := New()
-		calls(t, s, 1, Queued, Command{Kind: Open, Name: "r", Release: &Wish{Kind: KindMember, All: true}})
+		calls(t, s, 1, ReleaseQueued, Command{Kind: CommandOpen, Name: "r", Release: &ReleaseSpec{Kind: KindMember, All: true}})
 		got := ""
 		for _, u := range s.Plan(1, v, Budgets{Members: budget})[0].Units {
 			got += u.Name + " "
@@ -760,13 +760,13 @@
 // Half of the fleet drifts: the worst go first, no more than the budget lets out by number, zone and capacity. Who is shut may be released,
 // costs no more for it, and counts until it is seen to serve again.
 func TestShut(t *testing.T) {
-	b := Budgets{Relays: Budget{Whole: Part{Count: 3}}, Silent: 100, Fresh: 100, Drain: 100, Start: 100, Window: 100}
+	b := Budgets{Relays: Budget{Total: Limit{Count: 3}}, SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainMS: 100, StartMS: 100, PermitWindowMS: 100}
 	var s *State
 	var v View
 	begin := func() {
 		s, v = New(), View{At: 1e6, Unfit: map[string]string{}, UnfitOrder: []string{"n6", "n2", "n1"}}
 		for i := range 8 {
-			r := Relay{Name: "n" + strconv.Itoa(i), Zone: "z" + strconv.Itoa(i%2), Start: 5, Phase: "serving", Full: true, Flows: 50, Capacity: 100}
+			r := Relay{Name: "n" + strconv.Itoa(i), Zone: "z" + strconv.Itoa(i%2), StartNumber: 5, Phase: "serving", InService: true, Flows: 50, Capacity: 100}
 			if v.Relays = append(v.Relays, r); i%2 == 0 {
 				v.Unfit[r.Name] = "late"
 			}
@@ -779,7 +779,7 @@
 			calls(t, s, v.At, "", c)
 		}
 		got := ""
-		for _, x := range s.Shuts() {
+		for _, x := range s.Quarantines() {
 			got += x.Name + " "
 		}
 		if got != want {
@@ -787,7 +787,7 @@
 		}
 	}
 	zonal, tight, wide := b, b, b
-	zonal.Relays.Zone, tight.Headroom, wide.Relays.Whole = Part{Count: 2}, 0.7, Part{Count: 9}
+	zonal.Relays.PerZone, tight.CapacityReserve, wide.Relays.Total = Limit{Count: 2}, 0.7, Limit{Count: 9}
 	for want, budgets := range map[string]Budgets{"n6 n2 ": zonal, "n6 ": tight, "n6 n2 n0 n4 ": wide} {
 		begin()
 		plan(budgets, want)
@@ -795,77 +795,77 @@
 	}
 	begin()
 	plan(b, "n6 n2 n0 ")
-	if o := s.Orders("n6").Shut; o == nil || o.Why != "late" || o.Start != 5 || s.Orders("n1").Shut != nil {
+	if o := s.Orders("n6").Quarantine; o == nil || o.Reason != "late" || o.StartNumber != 5 || s.Orders("n1").Quarantine != nil {
 		t.Errorf("%+v", o)
 	}
-	if old, err := Decode([]byte(`{"version":3,"at":9,"number":1}`)); err != nil || len(old.Shuts()) > 0 {
+	if old, err := Decode([]byte(`{"version":3,"at":9,"number":1}`)); err != nil || len(old.Quarantines()) > 0 {
 		t.Error("a state of before", err)
 	}
 	// What was reckoned from an old state, or by who saw less, takes nothing out.
-	c := Command{Kind: Shut, Name: "n4", Zone: "z0", Start: 5, Base: s.Version(), Sight: s.d.planner(v.At, v, b).sight()}
+	c := Command{Kind: CommandQuarantine, Name: "n4", Zone: "z0", StartNumber: 5, BaseVersion: s.Version(), Basis: s.record.planner(v.At, v, b).sight()}
 	calls(t, s, v.At, "3 of 3", c)
 	calls(t, s, v.At+101, "ms old", c)
-	c.Base--
+	c.BaseVersion--
 	calls(t, s, v.At, "version", c)
 
 	// A release takes those that are shut though the budget is full, and no other.
-	calls(t, s, v.At, Queued, Command{Kind: Open, Name: "r", Release: &Wish{Kind: KindRelay, All: true}})
+	calls(t, s, v.At, ReleaseQueued, Command{Kind: CommandOpen, Name: "r", Release: &ReleaseSpec{Kind: KindRelay, All: true}})
 	plan(b, "n6 n2 n0 ")
 	plan(b, "n6 n2 n0 ")
 	for _, r := range v.Relays {
-		if o := s.Orders(r.Name); (o.Leave != nil) != (o.Shut != nil) {
+		if o := s.Orders(r.Name); (o.Leave != nil) != (o.Quarantine != nil) {
 			t.Errorf("%s: %+v", r.Name, o)
 		}
 	}
 	// What a halt takes back of it is as it was once it has heeded that, though it does not serve; so it may go again.
-	calls(t, s, v.At, Halted, Command{Kind: Halt, Name: "r"})
+	calls(t, s, v.At, ReleaseHalted, Command{Kind: CommandHalt, Name: "r"})
 	for i := range v.Relays {
 		if x := &v.Relays[i]; v.Unfit[x.Name] != "" && x.Name != "n4" {
-			x.Phase, x.Full = "shut", false
+			x.Phase, x.InService = "shut", false
 			plan(b, "n6 n2 n0 ")
-			x.Applied = s.Version()
+			x.AppliedVersion = s.Version()
 		}
 	}
 	plan(b, "n6 n2 n0 ")
-	calls(t, s, v.At, Running, Command{Kind: Resume, Name: "r"})
+	calls(t, s, v.At, ReleaseRunning, Command{Kind: CommandResume, Name: "r"})
 	plan(b, "n6 n2 n0 ")
 	if s.Orders("n2").Leave == nil {
-		t.Errorf("%+v", s.d.release("r").unit("n2"))
+		t.Errorf("%+v", s.record.release("r").unit("n2"))
 	}
 	// One comes back: it is admitted, and counts until it is seen to serve by that; then the next is shut.
 	r := &v.Relays[6]
-	r.Start, r.Phase, r.Full = 6, "shut", false
+	r.StartNumber, r.Phase, r.InService = 6, "shut", false
 	delete(v.Unfit, "n6")
 	plan(b, "n2 n0 ")
-	r.Phase, r.Full = "serving", true
+	r.Phase, r.InService = "serving", true
 	plan(b, "n2 n0 ")
-	r.Applied = s.Version()
+	r.AppliedVersion = s.Version()
 	plan(b, "n2 n0 n4 ")
 
 	// One that is not unfit any more is admitted, but not at each look; and not while it is silent.
 	delete(v.Unfit, "n4")
 	plan(b, "n2 n0 n4 ")
-	v.At += b.Silent
-	v.Relays[4].HeardMS = b.Silent + 1
+	v.At += b.SilentAfterMS
+	v.Relays[4].ReportAgeMS = b.SilentAfterMS + 1
 	plan(b, "n2 n0 n4 ")
-	v.Relays[4].HeardMS = 0
+	v.Relays[4].ReportAgeMS = 0
 	plan(b, "n2 n0 ")
 
 	// An operator's word stands above the drift, until it starts anew. One that is there no more is nothing to speak of.
 	begin()
 	r = &v.Relays[6]
 	plan(b, "n6 n2 n0 ")
-	calls(t, s, v.At, Admit, Command{Kind: Admit, Name: "n6"})
-	calls(t, s, v.At, "not shut", Command{Kind: Admit, Name: "n6"})
+	calls(t, s, v.At, CommandReadmit, Command{Kind: CommandReadmit, Name: "n6"})
+	calls(t, s, v.At, "not shut", Command{Kind: CommandReadmit, Name: "n6"})
 	plan(b, "n2 n0 ")
-	r.Applied = s.Version()
+	r.AppliedVersion = s.Version()
 	plan(b, "n2 n0 n4 ")
 	plan(b, "n2 n0 n4 ")
-	r.Start = 6
+	r.StartNumber = 6
 	v.Relays = slices.DeleteFunc(v.Relays, func(r Relay) bool { return r.Name == "n2" })
 	plan(b, "n0 n4 ")
 	plan(b, "n0 n4 n6 ")
-	if s.d.shutting("n2") != nil {
+	if s.record.shutting("n2") != nil {
 		t.Error("it is gone, and still counts")
 	}
 }
@@ -874,20 +874,20 @@
 // never rest hold no release up for good.
 func TestAskers(t *testing.T) {
 	s := New()
-	b := Budgets{Silent: 100, Fresh: 100, Drain: 500, Start: 500, Window: 100, Clock: 0.01}
+	b := Budgets{SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainMS: 500, StartMS: 500, PermitWindowMS: 100, ClockDrift: 0.01}
 	v := View{At: 1000}
 	for i := range 4 {
-		v.Relays = append(v.Relays, Relay{Name: "n" + strconv.Itoa(i), Zone: "z", Start: 5, Phase: "serving", Full: true, Capacity: 100})
+		v.Relays = append(v.Relays, Relay{Name: "n" + strconv.Itoa(i), Zone: "z", StartNumber: 5, Phase: "serving", InService: true, Capacity: 100})
 	}
 	plan := func() {
 		for _, c := range s.Plan(v.At, v, b) {
 			calls(t, s, v.At, "", c)
 		}
 	}
-	calls(t, s, v.At, Wait, Command{Kind: Ask, Thing: KindRelay, Name: "n0", Who: "a", For: 50})
+	calls(t, s, v.At, PermitWaiting, Command{Kind: CommandRequestPermit, TargetKind: KindRelay, Name: "n0", Requester: "a", DurationMS: 50})
 	plan()
-	calls(t, s, v.At, Begun, Command{Kind: Begin, Number: 1})
-	calls(t, s, v.At, Begun, Command{Kind: Give, Number: 1})
+	calls(t, s, v.At, PermitBegun, Command{Kind: CommandBeginPermit, PermitNumber: 1})
+	calls(t, s, v.At, PermitBegun, Command{Kind: CommandReturnPermit, PermitNumber: 1})
 	gone, all := slices.Clone(v.Relays[1:]), v.Relays
 	v.Relays = gone // nothing tells one that is down and not listed from one that is no more
 	v.At += 1100
@@ -896,24 +896,24 @@
 		t.Error("it may come back yet")
 	}
 	v.Relays = all
-	v.Relays[0].Full = false
+	v.Relays[0].InService = false
 	v.At++
 	plan()
-	if room := s.d.room(KindRelay, s.d.relays(&v, b), b); len(s.Permits()) != 0 || !room.out["n0"] || len(room.out) != 1 {
+	if room := s.record.room(KindRelay, s.record.relays(&v, b), b); len(s.Permits()) != 0 || !room.out["n0"] || len(room.out) != 1 {
 		t.Errorf("%+v, out %v", s.Permits(), room.out)
 	}
 
-	v.Relays[0].Full = true
-	calls(t, s, v.At, Queued, Command{Kind: Open, Name: "r", Release: &Wish{Kind: KindRelay, Names: []string{"n3"}}})
+	v.Relays[0].InService = true
+	calls(t, s, v.At, ReleaseQueued, Command{Kind: CommandOpen, Name: "r", Release: &ReleaseSpec{Kind: KindRelay, Names: []string{"n3"}}})
 	plan()
 	told := 0
 	for number := uint64(2); number < 20 && told == 0; number++ { // there is always one who waits
-		calls(t, s, v.At, Wait, Command{Kind: Ask, Thing: KindRelay, Name: "n" + strconv.Itoa(int(number%2)), Who: "a", For: 50})
+		calls(t, s, v.At, PermitWaiting, Command{Kind: CommandRequestPermit, TargetKind: KindRelay, Name: "n" + strconv.Itoa(int(number%2)), Requester: "a", DurationMS: 50})
 		plan()
 		if s.Orders("n3").Leave != nil {
 			told = int(v.At)
 		} else {
-			calls(t, s, v.At, "given", Command{Kind: Give, Number: number})
+			calls(t, s, v.At, "given", Command{Kind: CommandReturnPermit, PermitNumber: number})
 		}
 		v.At += 90
 	}
@@ -924,15 +924,15 @@
 
 // A successor that has another name is no loss beside the member that it stands for: its release does not halt for it.
 func TestSuccessorIsNoLoss(t *testing.T) {
-	b := Budgets{Silent: 100, Fresh: 100, Drain: 1000, Start: 1000, Warm: 1000, Window: 100}
-	v := View{At: 1000, Relays: []Relay{{Name: "n", Full: true}}, Members: []Member{{Name: "a.1", Started: 990, Capacity: 1, Bears: 0.3}, {Name: "b", Capacity: 1, Bears: 1}}}
+	b := Budgets{SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainMS: 1000, StartMS: 1000, WarmupMS: 1000, PermitWindowMS: 100}
+	v := View{At: 1000, Relays: []Relay{{Name: "n", InService: true}}, Members: []Member{{Name: "a.1", Started: 990, Capacity: 1, UsableCapacity: 0.3}, {Name: "b", Capacity: 1, UsableCapacity: 1}}}
 	s := New()
-	s.d.Releases = []release{{Laid: true, Account: Account{Name: "r", State: Running, Wish: Wish{Kind: KindMember, All: true}, Units: []Unit{
-		{Name: "a", Kind: KindMember, Phase: Empty, Number: 1, At: 900, Start: 5}, {Name: "b", Kind: KindMember}}}}}
+	s.record.Releases = []release{{UnitsSet: true, ReleaseStatus: ReleaseStatus{Name: "r", State: ReleaseRunning, Spec: ReleaseSpec{Kind: KindMember, All: true}, Units: []Unit{
+		{Name: "a", Kind: KindMember, Phase: PhaseDrained, OrderNumber: 1, OrderedAt: 900, SeenStart: 5}, {Name: "b", Kind: KindMember}}}}}
 	for _, c := range s.Plan(v.At, v, b) {
 		calls(t, s, v.At, "", c)
 	}
-	if a, _ := s.Release("r"); a.State != Running || a.Units[0].Phase != Coming || a.Units[0].Now != "a.1" {
+	if a, _ := s.Release("r"); a.State != ReleaseRunning || a.Units[0].Phase != PhaseReplaced || a.Units[0].Successor != "a.1" {
 		t.Errorf("%+v, %+v", a, a.Halt)
 	}
 }
