--- a/cmd/dahliarudder/build.go
+++ b/cmd/dahliarudder/build.go
@@ -150,7 +150,7 @@
 	}
 	front := &operator.Front{Loop: r.loop, Relay: r, Log: r.log}
 	l, err := r.listenWithRetry(func() (*netloop.Listener, error) {
-		return r.loop.ListenReserved(r.cfg.Operator, operator.Callers, front.Accept)
+		return r.loop.ListenReserved(r.cfg.Operator, operator.MaxCallers, front.Accept)
 	})
 	r.addListener("operator", l, err)
 	return err
--- a/cmd/dahliarudder/limits.go
+++ b/cmd/dahliarudder/limits.go
@@ -15,7 +15,7 @@
 	if r.cfg.Operator == "" {
 		return 0
 	}
-	return operator.Callers + upgradeDescriptors
+	return operator.MaxCallers + upgradeDescriptors
 }
 
 // applyRuntimeLimits keeps the runtime within the machine that the relay is given.
--- a/cmd/dahliarudder/operator.go
+++ b/cmd/dahliarudder/operator.go
@@ -43,9 +43,9 @@
 // Known says whether operators may speak of a member by that name.
 func (r *relay) Known(member string) bool { return r.core.Known(member) }
 
-// Ban keeps an operator's word off the loop, so that a slow disk does not hold it
+// SetEjected keeps an operator's call off the loop, so that a slow disk does not hold it
 // up, and then follows it.
-func (r *relay) Ban(member string, out bool, done func(error)) {
+func (r *relay) SetEjected(member string, out bool, done func(error)) {
 	if r.fleet != nil {
 		r.ejectFleetWide(member, out, done)
 		return
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	// Callers is how many connections have room at once.
-	Callers = 12
-	// callWithin is how long a caller may take to send its call.
-	callWithin = 5 * time.Second
+	// MaxCallers is how many connections have room at once.
+	MaxCallers = 12
+	// callTimeout is how long a caller may take to send its call.
+	callTimeout = 5 * time.Second
 )
 
 // Relay is what calls are handed to.
@@ -29,9 +29,9 @@
 	Ready() bool
 	// Known says whether there is such a member.
 	Known(member string) bool
-	// Ban takes a member out, or puts it back, and then calls done, once, from the
+	// SetEjected takes a member out, or puts it back, and then calls done, once, from the
 	// loop.
-	Ban(member string, out bool, done func(error))
+	SetEjected(member string, out bool, done func(error))
 	Drain()
 	Resume()
 	// Peers is what is known of the other relays, as JSON; empty if this one knows of none.
@@ -49,18 +49,18 @@
 
 // Accept serves a caller.
 func (f *Front) Accept(conn *netloop.Conn) {
-	c := &caller{f: f, c: conn}
+	c := &caller{front: f, conn: conn}
 	c.parser.Call = true
 	late := func() { c.answer(http.StatusRequestTimeout, "no whole call came") }
-	c.timer = f.Loop.After(callWithin, late)
+	c.timer = f.Loop.After(callTimeout, late)
 	conn.SetEvictable(late)
 	conn.SetHandler(c)
 }
 
 // caller is one connection, good for one call.
 type caller struct {
-	f      *Front
-	c      *netloop.Conn
+	front  *Front
+	conn   *netloop.Conn
 	parser http1.Parser
 	timer  *netloop.Timer
 	called bool
@@ -83,8 +83,8 @@
 		c.answer(http.StatusBadRequest, err.Error())
 	case done:
 		c.called = true
-		c.c.SetEvictable(nil)
-		c.call(c.parser.Method, c.parser.Target)
+		c.conn.SetEvictable(nil)
+		c.dispatch(c.parser.Method, c.parser.Target)
 	}
 	return used
 }
@@ -99,55 +99,55 @@
 
 // The calls and their methods.
 const (
-	ready    = "/-/ready"
-	drain    = "/-/drain"
-	resume   = "/-/resume"
-	peers    = "/-/peers"
-	recovery = "/-/recovery"
-	backends = "/-/backends/"
+	pathReady    = "/-/ready"
+	pathDrain    = "/-/drain"
+	pathResume   = "/-/resume"
+	pathPeers    = "/-/peers"
+	pathRecovery = "/-/recovery"
+	pathBackends = "/-/backends/"
 )
 
-func (c *caller) call(method, target string) {
+func (c *caller) dispatch(method, target string) {
 	path, _, _ := strings.Cut(target, "?")
 	want := http.MethodPut
 	var do func()
 	switch path {
-	case ready:
+	case pathReady:
 		want, do = http.MethodGet, func() {
-			if c.f.Relay.Ready() {
+			if c.front.Relay.Ready() {
 				c.answer(http.StatusOK, "ready")
 			} else {
 				c.answer(http.StatusServiceUnavailable, "not ready")
 			}
 		}
-	case peers:
+	case pathPeers:
 		want, do = http.MethodGet, func() {
-			if text := c.f.Relay.Peers(); text != "" {
+			if text := c.front.Relay.Peers(); text != "" {
 				c.answer(http.StatusOK, text)
 			} else {
 				c.answer(http.StatusNotFound, "peers are not set up")
 			}
 		}
-	case recovery:
+	case pathRecovery:
 		want, do = http.MethodGet, func() {
-			if text := c.f.Relay.Recovery(); text != "" {
+			if text := c.front.Relay.Recovery(); text != "" {
 				c.answer(http.StatusOK, text)
 			} else {
 				c.answer(http.StatusNotFound, "no state is kept")
 			}
 		}
-	case drain:
-		do = func() { c.f.Relay.Drain(); c.answer(http.StatusOK, "draining") }
-	case resume:
-		do = func() { c.f.Relay.Resume(); c.answer(http.StatusOK, "serving") }
+	case pathDrain:
+		do = func() { c.front.Relay.Drain(); c.answer(http.StatusOK, "draining") }
+	case pathResume:
+		do = func() { c.front.Relay.Resume(); c.answer(http.StatusOK, "serving") }
 	default:
-		id, verb, ok := strings.Cut(strings.TrimPrefix(path, backends), "/")
+		id, verb, ok := strings.Cut(strings.TrimPrefix(path, pathBackends), "/")
 		id, err := url.PathUnescape(id)
-		if !strings.HasPrefix(path, backends) || !ok || err != nil || id == "" || verb != "disable" && verb != "enable" {
+		if !strings.HasPrefix(path, pathBackends) || !ok || err != nil || id == "" || verb != "disable" && verb != "enable" {
 			c.answer(http.StatusNotFound, "no such call")
 			return
 		}
-		do = func() { c.ban(id, verb == "disable") }
+		do = func() { c.setEjected(id, verb == "disable") }
 	}
 	if method != want {
 		c.answer(http.StatusMethodNotAllowed, "use "+want)
@@ -156,15 +156,15 @@
 	do()
 }
 
-func (c *caller) ban(member string, out bool) {
-	if !c.f.Relay.Known(member) {
+func (c *caller) setEjected(member string, out bool) {
+	if !c.front.Relay.Known(member) {
 		c.answer(http.StatusNotFound, "no such backend")
 		return
 	}
-	c.f.Relay.Ban(member, out, func(err error) {
+	c.front.Relay.SetEjected(member, out, func(err error) {
 		switch {
 		case err != nil:
-			c.f.Log.WithError(err).WithField("member", member).Error("an operator's call failed")
+			c.front.Log.WithError(err).WithField("member", member).Error("an operator's call failed")
 			c.answer(http.StatusInternalServerError, "could not be kept")
 		case out:
 			c.answer(http.StatusOK, "disabled")
@@ -179,13 +179,13 @@
 	c.called = true
 	c.timer.Stop()
 	if c.parser.Target != "" {
-		c.f.Log.WithFields(logrus.Fields{"call": c.parser.Method + " " + c.parser.Target, "status": status}).Info("operator")
+		c.front.Log.WithFields(logrus.Fields{"call": c.parser.Method + " " + c.parser.Target, "status": status}).Info("operator")
 	}
 	allow := ""
 	if status == http.StatusMethodNotAllowed {
 		allow = "Allow: " + strings.TrimPrefix(text, "use ") + "\r\n"
 	}
-	c.c.Write(fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Type: text/plain\r\n%sContent-Length: %d\r\nConnection: close\r\n\r\n%s\n",
+	c.conn.Write(fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Type: text/plain\r\n%sContent-Length: %d\r\nConnection: close\r\n\r\n%s\n",
 		status, http.StatusText(status), allow, len(text)+1, text))
-	c.c.Finish()
+	c.conn.Finish()
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -25,7 +25,7 @@
 func (r *relay) Resume()              { r.said = append(r.said, "resume") }
 func (r *relay) Peers() string        { return r.peers }
 func (r *relay) Recovery() string     { return "" }
-func (r *relay) Ban(id string, out bool, done func(error)) {
+func (r *relay) SetEjected(id string, out bool, done func(error)) {
 	r.said, r.done = append(r.said, fmt.Sprint(id, " ", out)), done
 }
 
@@ -34,7 +34,7 @@
 	b, r, log := looptest.New(t, 8), &relay{ready: true}, logrus.New()
 	log.SetOutput(t.Output())
 	f := &Front{Loop: b.Loop, Relay: r, Log: log}
-	l, err := b.ListenReserved("127.0.0.1:0", Callers, f.Accept)
+	l, err := b.ListenReserved("127.0.0.1:0", MaxCallers, f.Accept)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -123,10 +123,10 @@
 func TestSlow(t *testing.T) {
 	b, _, addr := desk(t)
 	for b.FreeDescriptors() > 0 {
-		b.Loop.Dial(addr, callWithin, idle{})
+		b.Loop.Dial(addr, callTimeout, idle{})
 	}
 	var slow []*looptest.Peer
-	for range 3 * Callers {
+	for range 3 * MaxCallers {
 		p := b.Dial(addr)
 		p.Send("GET /-/ready HTTP")
 		b.RunOnce()
@@ -137,7 +137,7 @@
 	if code := status(p); code != "200" {
 		t.Errorf("among slow callers: %s", code)
 	}
-	b.Advance(callWithin)
+	b.Advance(callTimeout)
 	for _, p := range slow {
 		if code := status(p); code != "408" {
 			t.Errorf("a slow caller: %s", code)
