--- a/cmd/dahliarudder/snapshot.go
+++ b/cmd/dahliarudder/snapshot.go
@@ -14,11 +14,11 @@
 
 // recoveryReport is what this relay came back with.
 type recoveryReport struct {
-	From       string          `json:"from"` // "snapshot", "an older process", or "nothing"
-	Age        int64           `json:"age_ms"`
-	Discarded  []snapshot.Part `json:"thrown_away"`
-	WrittenAgo int64           `json:"written_ms_ago"` // the last snapshot; -1: none yet
-	WriteError string          `json:"write_failed,omitempty"`
+	From       string                   `json:"from"` // "snapshot", "an older process", or "nothing"
+	Age        int64                    `json:"age_ms"`
+	Discarded  []snapshot.DiscardedPart `json:"thrown_away"`
+	WrittenAgo int64                    `json:"written_ms_ago"` // the last snapshot; -1: none yet
+	WriteError string                   `json:"write_failed,omitempty"`
 	peers      []string
 	writtenAt  time.Duration // of the last write
 	dir        string
@@ -27,13 +27,13 @@
 
 // newRecoveryReport reports a start that has restored its state from one source so far.
 func newRecoveryReport(from, dir string) *recoveryReport {
-	return &recoveryReport{From: from, Discarded: []snapshot.Part{}, dir: dir, pending: make(chan []byte, 1)}
+	return &recoveryReport{From: from, Discarded: []snapshot.DiscardedPart{}, dir: dir, pending: make(chan []byte, 1)}
 }
 
 // clocksNow is now by both clocks of this machine. Where the system does not tell how long it has been up, the wall clock
 // stands alone.
-func clocksNow() snapshot.Moment {
-	m := snapshot.Moment{Wall: wallClock()}
+func clocksNow() snapshot.Clocks {
+	m := snapshot.Clocks{Wall: wallClock()}
 	boot, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
 		return m
@@ -61,10 +61,10 @@
 		return
 	}
 	held, known := r.watch.List()
-	if !known || s.Watched != r.cfg.Discovery { // a generation means nothing but where it was given
+	if !known || s.DiscoveryAddr != r.cfg.Discovery { // a generation means nothing but where it was given
 		held.Generation = 0
 	}
-	age, away, err := s.Believe(clocksNow(), r.cfg.Name, held.Generation, snapshot.Ages(r.core.Limits().AskWithin))
+	age, away, err := s.Validate(clocksNow(), r.cfg.Name, held.Generation, snapshot.LimitsFor(r.core.Limits().AskWithin))
 	if err != nil {
 		r.discardSnapshot("snapshot", err)
 		return
@@ -75,7 +75,7 @@
 		r.log.WithField("what", p.What).WithField("why", p.Why).Info("state: not believed")
 	}
 	if s.List != nil {
-		if s.Watched == r.cfg.Discovery {
+		if s.DiscoveryAddr == r.cfg.Discovery {
 			r.watch.Hold(s.List)
 		}
 		r.core.Pool(policy.ListCached, r.names.Members(s.List))
@@ -86,7 +86,7 @@
 
 func (r *relay) discardSnapshot(what string, err error) {
 	if err != nil {
-		r.recovery.Discarded = append(r.recovery.Discarded, snapshot.Part{What: what, Why: err.Error()})
+		r.recovery.Discarded = append(r.recovery.Discarded, snapshot.DiscardedPart{What: what, Why: err.Error()})
 		r.log.WithError(err).Error("state: the snapshot is not used")
 	}
 }
@@ -137,8 +137,8 @@
 
 func (r *relay) snapshot() *snapshot.Snapshot {
 	list, _ := r.watch.List()
-	s := &snapshot.Snapshot{Name: r.cfg.Name, List: list, Watched: r.cfg.Discovery, Learned: r.core.Learned()}
-	s.Mark(clocksNow())
+	s := &snapshot.Snapshot{Name: r.cfg.Name, List: list, DiscoveryAddr: r.cfg.Discovery, Learned: r.core.Learned()}
+	s.Stamp(clocksNow())
 	if r.peers != nil {
 		s.Peers = r.peers.Addresses()
 	}
--- a/internal/snapshot/file.go
+++ b/internal/snapshot/file.go
@@ -12,27 +12,27 @@
 	"dahliarudder/internal/atomicfile"
 )
 
-const file = "snapshot"
+const fileName = "snapshot"
 
 // Write puts an encoded snapshot in the place of the one in a directory: whole, or not at all.
-func Write(dir string, b []byte) error { return atomicfile.Write(filepath.Join(dir, file), b) }
+func Write(dir string, b []byte) error { return atomicfile.Write(filepath.Join(dir, fileName), b) }
 
 // Read reads what is there. Nothing there is no error, and no snapshot.
 func Read(dir string) (*Snapshot, error) {
 	// Not to be held up by what is no file.
-	f, err := os.OpenFile(filepath.Join(dir, file), os.O_RDONLY|unix.O_NONBLOCK, 0)
+	f, err := os.OpenFile(filepath.Join(dir, fileName), os.O_RDONLY|unix.O_NONBLOCK, 0)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	} else if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	b, err := io.ReadAll(io.LimitReader(f, Most+1))
+	b, err := io.ReadAll(io.LimitReader(f, MaxSize+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(b) > Most {
-		return nil, fmt.Errorf("%w: over %d bytes", ErrTorn, Most)
+	if len(b) > MaxSize {
+		return nil, fmt.Errorf("%w: over %d bytes", ErrCorrupt, MaxSize)
 	}
 	return Decode(b)
 }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -18,15 +18,15 @@
 var wall = time.UnixMilli(1_800_000_000_000)
 
 func sample() *Snapshot {
-	return &Snapshot{Name: "n1", Written: wall.UnixMilli(), Boot: "b1", Up: int64(time.Hour), Watched: "127.0.0.1:1", Peers: []string{"127.0.0.1:2"},
+	return &Snapshot{Name: "n1", Written: wall.UnixMilli(), Boot: "b1", Up: int64(time.Hour), DiscoveryAddr: "127.0.0.1:1", Peers: []string{"127.0.0.1:2"},
 		List: &pool.List{Generation: 7, Full: true, Instances: []pool.Entry{{ID: "s-1", Lifecycle: "SERVING", Weight: 1}}},
 		Learned: core.Learned{Policy: policy.Learned{MeanLoad: 0.03, Fill: []float64{0.4}, Daring: 0.2, Servers: map[policy.ServerID]policy.LearnedServer{
 			5: {Capacity: 40, Reports: 9, Load: 0.5, Age: time.Second, Fails: 3, Bad: true, Pause: 3 * time.Second, Up: 4 * time.Second}}},
 			Back: map[string]time.Duration{"s-1": time.Second}}}
 }
 
-// TestWhole: what is written is read again, and nothing of what is cut at any byte, changed in any, of another version or too long.
-func TestWhole(t *testing.T) {
+// TestDecodeIntact: what is written is read again, and nothing of what is cut at any byte, changed in any, of another version or too long.
+func TestDecodeIntact(t *testing.T) {
 	b, err := sample().Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -35,7 +35,7 @@
 		t.Fatalf("%v, %+v", err, s)
 	}
 	for i := range b {
-		if _, err := Decode(b[:i]); !errors.Is(err, ErrTorn) {
+		if _, err := Decode(b[:i]); !errors.Is(err, ErrCorrupt) {
 			t.Fatalf("cut at %d: %v", i, err)
 		}
 		wrong := append([]byte(nil), b...)
@@ -51,9 +51,9 @@
 	}
 }
 
-// TestBelieve: what is believed, by its age and whose it is.
-func TestBelieve(t *testing.T) {
-	l := Ages(10 * time.Second)
+// TestValidate: what is believed, by its age and whose it is.
+func TestValidate(t *testing.T) {
+	l := LimitsFor(10 * time.Second)
 	for _, c := range []struct {
 		what string
 		name string
@@ -65,13 +65,13 @@
 		{"fresh", "n1", 2 * time.Second, 6, nil, 0},
 		{"a list that is no newer", "n1", 2 * time.Second, 7, nil, 1},
 		{"an hour old", "n1", time.Hour, 6, nil, 1},
-		{"two days old", "n1", 48 * time.Hour, 6, ErrOld, 0},
-		{"another relay's", "n2", 0, 6, ErrName, 0},
+		{"two days old", "n1", 48 * time.Hour, 6, ErrExpired, 0},
+		{"another relay's", "n2", 0, 6, ErrOtherRelay, 0},
 		{"from the future", "n1", -time.Hour, 6, ErrFuture, 0},
 		{"by a clock some seconds ahead", "n1", -5 * time.Second, 6, nil, 0},
 	} {
 		s := sample()
-		age, away, err := s.Believe(Moment{Wall: wall.Add(c.ago)}, c.name, c.held, l)
+		age, away, err := s.Validate(Clocks{Wall: wall.Add(c.ago)}, c.name, c.held, l)
 		if !errors.Is(err, c.err) || len(away) != c.away {
 			t.Errorf("%s: %v, thrown away %v", c.what, err, away)
 			continue
@@ -80,7 +80,7 @@
 			continue
 		}
 		m := s.Learned.Policy.Servers[5]
-		old := c.ago > l.State
+		old := c.ago > l.Transient
 		if (s.List == nil) != (c.held >= 7) || age < 0 || m.Bad == old || (m.Load < 0) != old || (s.Learned.Policy.Daring == 1) != old ||
 			m.Capacity != 40 || m.Up != 4*time.Second || m.Pause != max(3*time.Second-age, 0) || s.Learned.Policy.Ago != age {
 			t.Errorf("%s: age %v, %+v, daring %v", c.what, age, m, s.Learned.Policy.Daring)
@@ -88,20 +88,20 @@
 	}
 }
 
-// TestBelieveStepped: while the machine stays up a snapshot is as old as it really is, whatever its wall clock says; after
+// TestValidateSteppedClock: while the machine stays up a snapshot is as old as it really is, whatever its wall clock says; after
 // that what has just come up is not aged by a clock that may be wrong.
-func TestBelieveStepped(t *testing.T) {
-	l := Ages(10 * time.Second)
+func TestValidateSteppedClock(t *testing.T) {
+	l := LimitsFor(10 * time.Second)
 	const down = 2 * time.Second
 	for _, step := range []time.Duration{0, 2 * time.Second, -2 * time.Second, time.Hour, -time.Hour, 48 * time.Hour} {
 		s := sample()
-		age, _, err := s.Believe(Moment{wall.Add(down + step), "b1", time.Hour + down}, "n1", 6, l)
+		age, _, err := s.Validate(Clocks{wall.Add(down + step), "b1", time.Hour + down}, "n1", 6, l)
 		m := s.Learned.Policy.Servers[5]
 		if err != nil || age != down || m.Up != 4*time.Second+down || s.Learned.Back["s-1"] != time.Second+down || m.Pause != time.Second {
 			t.Errorf("stepped by %v: %v, age %v, %+v, back %v", step, err, age, m, s.Learned.Back)
 		}
 		s = sample()
-		if _, _, err := s.Believe(Moment{wall.Add(down + step), "b2", down}, "n1", 6, l); err != nil {
+		if _, _, err := s.Validate(Clocks{wall.Add(down + step), "b2", down}, "n1", 6, l); err != nil {
 			continue
 		}
 		if m := s.Learned.Policy.Servers[5]; m.Up != 4*time.Second || s.Learned.Back["s-1"] != time.Second {
@@ -121,7 +121,7 @@
 	if err := Write(dir, b); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Mkdir(filepath.Join(dir, file+".new"), 0o700); err != nil { // the next write fails
+	if err := os.Mkdir(filepath.Join(dir, fileName+".new"), 0o700); err != nil { // the next write fails
 		t.Fatal(err)
 	}
 	if err := Write(dir, b[:10]); err == nil {
@@ -134,7 +134,7 @@
 		t.Error("no directory is no error")
 	}
 	other := t.TempDir()
-	if err := os.Mkdir(filepath.Join(other, file), 0o700); err != nil {
+	if err := os.Mkdir(filepath.Join(other, fileName), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Read(other); err == nil {
@@ -177,7 +177,7 @@
 	f.Add(b[:20])
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if s, err := Decode(b); err == nil {
-			s.Believe(Moment{Wall: wall}, "n1", 0, Ages(10*time.Second))
+			s.Validate(Clocks{Wall: wall}, "n1", 0, LimitsFor(10*time.Second))
 		}
 	})
 }
--- a/internal/snapshot/stored_test.go
+++ b/internal/snapshot/stored_test.go
@@ -18,7 +18,7 @@
 	if !reflect.DeepEqual(s, sample()) {
 		t.Fatalf("read %+v", s)
 	}
-	written, err := os.ReadFile(filepath.Join(dir, file))
+	written, err := os.ReadFile(filepath.Join(dir, fileName))
 	if err != nil {
 		t.Fatal(err)
 	}
