--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -148,7 +148,7 @@
 // discovery is.
 func (r *relay) reload(fresh *config.Config) {
 	r.reloadError = ""
-	keys := r.cfg.NeedRestart(fresh)
+	keys := r.cfg.KeysNeedingRestart(fresh)
 	if len(keys) > 0 {
 		r.log.WithField("keys", keys).Warn("changed, but only a restart takes them")
 	}
--- a/cmd/dahliarudder/upgrade.go
+++ b/cmd/dahliarudder/upgrade.go
@@ -231,7 +231,7 @@
 	if r.inheritedState == nil {
 		return
 	}
-	if r.cfg.Succeed(r.inheritedState.DiscoveryAddr) {
+	if r.cfg.AdoptDiscovery(r.inheritedState.DiscoveryAddr) {
 		r.watch.Addr = r.cfg.Discovery
 		r.watch.Hold(r.inheritedState.Pool)
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -25,7 +25,7 @@
 )
 
 // The bounds of counts_ms: at most ten lines a second, at least one an hour.
-const leastCountsMS, mostCountsMS = 100, 3_600_000
+const minCountsMS, mostCountsMS = 100, 3_600_000
 
 // ErrInvalid is wrapped by every error about a configuration that cannot be used.
 var ErrInvalid = errors.New("invalid configuration")
@@ -53,11 +53,11 @@
 	// last time; 0: never.
 	CountsMS float64 `json:"counts_ms"`
 
-	decoded  *settings.Settings
-	known    *pool.List
-	security *nats.Security // of the NATS front
-	dir      string         // of the file
-	written  string         // discovery as the file has it
+	decoded         *settings.Settings
+	known           *pool.List
+	security        *nats.Security // of the NATS front
+	dir             string         // of the file
+	discoveryInFile string         // discovery as the file has it
 }
 
 // State is where and how often a relay keeps what its next start can use.
@@ -67,9 +67,9 @@
 }
 
 // The bounds of state.every_ms.
-const leastStateMS, usualStateMS, mostStateMS = 1000, 5000, 600_000
+const minStateMS, usualStateMS, mostStateMS = 1000, 5000, 600_000
 
-func (s *State) check(dir string) error {
+func (s *State) validate(dir string) error {
 	if s.Dir == "" {
 		return errors.New("state.dir: names no directory")
 	}
@@ -79,8 +79,8 @@
 	if s.EveryMS == 0 {
 		s.EveryMS = usualStateMS
 	}
-	if !(s.EveryMS >= leastStateMS && s.EveryMS <= mostStateMS) {
-		return fmt.Errorf("state.every_ms: %v is not from %d to %d", s.EveryMS, leastStateMS, mostStateMS)
+	if !(s.EveryMS >= minStateMS && s.EveryMS <= mostStateMS) {
+		return fmt.Errorf("state.every_ms: %v is not from %d to %d", s.EveryMS, minStateMS, mostStateMS)
 	}
 	return nil
 }
@@ -99,7 +99,7 @@
 // Keys is what the file holds.
 func (p *Peers) Keys() gossip.Keys { return p.keys }
 
-func (p *Peers) check(name, dir string) (err error) {
+func (p *Peers) validate(name, dir string) (err error) {
 	if name == "" || len(name) > 64 {
 		return fmt.Errorf("name: %q: peers know each other by names of 1 to 64 bytes", name)
 	}
@@ -132,8 +132,8 @@
 	NATS *nats.Config `json:"nats"`
 }
 
-// lasting is what only a start takes: who may enter is read again on SIGHUP.
-func (f *Fronts) lasting() Fronts {
+// restartOnly is what only a start takes: who may enter is read again on SIGHUP.
+func (f *Fronts) restartOnly() Fronts {
 	if f == nil {
 		return Fronts{}
 	}
@@ -149,35 +149,35 @@
 // Load reads the file, if path is not empty, and lets the variables that env
 // knows take precedence.
 func Load(path string, env func(string) string) (*Config, error) {
-	c, err := read(path)
+	c, err := readFile(path)
 	if err != nil {
 		return nil, err
 	}
 	c.override(env)
-	return c, c.check()
+	return c, c.validate()
 }
 
 // Reload reads the file again. The variables cannot change while the program
 // runs, so a discovery address that the file has changed since takes precedence
 // over them.
 func (c *Config) Reload(path string, env func(string) string) (*Config, error) {
-	fresh, err := read(path)
+	fresh, err := readFile(path)
 	if err != nil {
 		return nil, err
 	}
 	fresh.override(env)
-	switch fresh.written {
-	case c.written:
+	switch fresh.discoveryInFile {
+	case c.discoveryInFile:
 		fresh.Discovery = c.Discovery
 	case "":
 	default:
-		fresh.Discovery = fresh.written
+		fresh.Discovery = fresh.discoveryInFile
 	}
-	return fresh, fresh.check()
+	return fresh, fresh.validate()
 }
 
-// NeedRestart names the keys in which fresh differs and which only a start takes.
-func (c *Config) NeedRestart(fresh *Config) []string {
+// KeysNeedingRestart names the keys in which fresh differs and which only a start takes.
+func (c *Config) KeysNeedingRestart(fresh *Config) []string {
 	var keys []string
 	for _, k := range []struct {
 		key      string
@@ -186,7 +186,7 @@
 		{"name", c.Name, fresh.Name}, {"listen", c.Listen, fresh.Listen},
 		{"operator", c.Operator, fresh.Operator}, {"seed", c.Seed, fresh.Seed},
 		{"limits", c.Limits, fresh.Limits}, {"known", c.known, fresh.known}, {"settings", c.decoded, fresh.decoded},
-		{"fronts", c.Fronts.lasting(), fresh.Fronts.lasting()}, {"store", c.Store, fresh.Store},
+		{"fronts", c.Fronts.restartOnly(), fresh.Fronts.restartOnly()}, {"store", c.Store, fresh.Store},
 		{"counts_ms", c.CountsMS, fresh.CountsMS}, {"peers", c.Peers, fresh.Peers},
 		{"state", c.State, fresh.State}, {"fleet", c.Fleet, fresh.Fleet},
 	} {
@@ -197,8 +197,8 @@
 	return keys
 }
 
-// read reads the file, if path is not empty.
-func read(path string) (*Config, error) {
+// readFile reads the file, if path is not empty.
+func readFile(path string) (*Config, error) {
 	c := &Config{}
 	if path != "" {
 		text, err := os.ReadFile(path)
@@ -209,7 +209,7 @@
 			return nil, fmt.Errorf("%w: %s: %v", ErrInvalid, path, err)
 		}
 	}
-	c.written, c.dir = c.Discovery, filepath.Dir(path)
+	c.discoveryInFile, c.dir = c.Discovery, filepath.Dir(path)
 	if c.Fronts != nil && c.Fronts.NATS != nil {
 		c.Fronts.NATS.Dir = filepath.Dir(path)
 	}
@@ -228,7 +228,7 @@
 	}
 }
 
-func (c *Config) check() error {
+func (c *Config) validate() error {
 	if c.Fronts == nil {
 		c.Fronts = &Fronts{Line: &struct{}{}}
 	}
@@ -276,12 +276,12 @@
 		}
 	}
 	if c.Peers != nil {
-		if err := c.Peers.check(c.Name, c.dir); err != nil {
+		if err := c.Peers.validate(c.Name, c.dir); err != nil {
 			return fmt.Errorf("%w: %v", ErrInvalid, err)
 		}
 	}
 	if c.State != nil {
-		if err := c.State.check(c.dir); err != nil {
+		if err := c.State.validate(c.dir); err != nil {
 			return fmt.Errorf("%w: %v", ErrInvalid, err)
 		}
 	}
@@ -304,10 +304,10 @@
 			return fmt.Errorf("%w: known: %v", ErrInvalid, err)
 		}
 	}
-	if c.CountsMS != 0 && !(c.CountsMS >= leastCountsMS && c.CountsMS <= mostCountsMS) {
+	if c.CountsMS != 0 && !(c.CountsMS >= minCountsMS && c.CountsMS <= mostCountsMS) {
 		// Guards against a log that costs the processor time it is meant to account for.
 		return fmt.Errorf("%w: counts_ms: %v is neither 0 nor from %d to %d", ErrInvalid, c.CountsMS,
-			leastCountsMS, mostCountsMS)
+			minCountsMS, mostCountsMS)
 	}
 	if c.Seed != "" {
 		if _, err := strconv.ParseUint(c.Seed, 16, 64); err != nil {
@@ -317,18 +317,18 @@
 	return nil
 }
 
-// Succeed takes over where discovery is from the process whose place this one takes,
+// AdoptDiscovery takes over where discovery is from the process whose place this one takes,
 // if the file names that: a variable may be older than what SIGHUP has brought there.
 // It returns whether both ask at the same address.
-func (c *Config) Succeed(discovery string) bool {
-	if discovery != "" && c.written == discovery {
+func (c *Config) AdoptDiscovery(discovery string) bool {
+	if discovery != "" && c.discoveryInFile == discovery {
 		c.Discovery = discovery
 	}
 	return c.Discovery == discovery
 }
 
-// own are keys of what is each relay's own, in whatever section: where it is and what it is called.
-var own = []string{"zone", "me", "listen", "address", "calls", "reach", "known", "dir", "key_file", "program"}
+// perRelayKeys are keys of what is each relay's own, in whatever section: where it is and what it is called.
+var perRelayKeys = []string{"zone", "me", "listen", "address", "calls", "reach", "known", "dir", "key_file", "program"}
 
 // Sections is what all relays of an installation have the same of their configurations: a digest of each section that is set.
 func (c *Config) Sections() map[string]string {
@@ -340,7 +340,7 @@
 		if err != nil || json.Unmarshal(text, &all) != nil || all == nil {
 			continue
 		}
-		without(all, own)
+		removeKeys(all, perRelayKeys)
 		text, _ = json.Marshal(all) // keys in order, so that one digest is of one meaning
 		out[name] = digest(text)
 	}
@@ -358,19 +358,19 @@
 	return hex.EncodeToString(sum[:4])
 }
 
-func without(all any, keys []string) {
+func removeKeys(all any, keys []string) {
 	switch x := all.(type) {
 	case map[string]any:
 		for k, v := range x {
 			if slices.Contains(keys, k) {
 				delete(x, k)
 			} else {
-				without(v, keys)
+				removeKeys(v, keys)
 			}
 		}
 	case []any:
 		for _, v := range x {
-			without(v, keys)
+			removeKeys(v, keys)
 		}
 	}
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -120,7 +120,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := fmt.Sprint(c.NeedRestart(fresh)); fresh.Discovery != step.discovery || got != step.restart {
+		if got := fmt.Sprint(c.KeysNeedingRestart(fresh)); fresh.Discovery != step.discovery || got != step.restart {
 			t.Errorf("%s: discovery %s, restart for %s", step.text, fresh.Discovery, got)
 		}
 		c = fresh
@@ -151,7 +151,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if same := cfg.Succeed(c.first); same != c.same || cfg.Discovery != c.want || cfg.Operator != "127.0.0.1:5" {
+		if same := cfg.AdoptDiscovery(c.first); same != c.same || cfg.Discovery != c.want || cfg.Operator != "127.0.0.1:5" {
 			t.Errorf("%+v: %s, same %v", c, cfg.Discovery, same)
 		}
 	}
