--- a/internal/fleet/helm.go
+++ b/internal/fleet/controller.go
@@ -23,7 +23,7 @@
 	intent          *intent
 	pendingReleases map[string]relayRelease
 	unadopted       []rollout.ReleaseStatus // releases that are over, and what is meant does not follow them yet
-	cordoned        map[string]rollout.Quarantine
+	quarantined     map[string]rollout.Quarantine
 
 	releaseSections map[string]map[string]string // by release: the new configuration, from the relays that run it
 	blockReason     string                       // why no release may step on, but one that mends it
@@ -52,9 +52,9 @@
 	}
 	h.recordChanges, h.recordItems, h.intent = r.changes, r.items, r.intent
 	all := r.rollout.Releases()
-	h.pendingReleases, h.unadopted, h.cordoned = unsettledReleases(all, r.intent), nil, map[string]rollout.Quarantine{}
+	h.pendingReleases, h.unadopted, h.quarantined = unsettledReleases(all, r.intent), nil, map[string]rollout.Quarantine{}
 	for _, x := range r.rollout.Quarantines() {
-		h.cordoned[x.Name] = x
+		h.quarantined[x.Name] = x
 	}
 	for _, a := range all {
 		if _, settled := r.intent.releaseAdoption(&a); !settled && a.Spec.Kind == rollout.KindRelay && a.Spec.Program+a.Spec.Config != "" &&
@@ -263,7 +263,7 @@
 			h.driftWatch.Alive(now, r.Name, drift.Restarting)
 		default:
 			h.driftWatch.Alive(now, r.Name, drift.Live)
-			if _, shut := h.cordoned[r.Name]; !shut { // it is out, and counts as that
+			if _, shut := h.quarantined[r.Name]; !shut { // it is out, and counts as that
 				count = append(count, r.Name)
 			}
 		}
@@ -327,15 +327,15 @@
 // new leader knows nothing of it yet, and a silent one has not mended. One whose list alone is newer than others' is not unfit: it may be right.
 func (h *controller) markUnfit(v *rollout.View) {
 	v.UnfitOrder, v.Unfit = nil, map[string]string{}
-	for _, u := range h.driftWatch.TakeOut(drift.RelaysMost, slices.Sorted(maps.Keys(h.cordoned)), func(relay, item string) bool {
+	for _, u := range h.driftWatch.TakeOut(drift.RelaysMost, slices.Sorted(maps.Keys(h.quarantined)), func(relay, item string) bool {
 		return item == drift.List && h.driftWatch.State(relay, item) == drift.Ahead
 	}) {
 		v.UnfitOrder, v.Unfit[u.Relay] = append(v.UnfitOrder, u.Relay), u.Why
 	}
-	for _, relay := range slices.Sorted(maps.Keys(h.cordoned)) {
+	for _, relay := range slices.Sorted(maps.Keys(h.quarantined)) {
 		x := h.fleet.relays[relay]
-		if v.Unfit[relay] == "" && !h.driftWatch.Clear(relay) && (x == nil || x.Incarnation <= h.cordoned[relay].StartNumber) {
-			v.UnfitOrder, v.Unfit[relay] = append(v.UnfitOrder, relay), h.cordoned[relay].Reason
+		if v.Unfit[relay] == "" && !h.driftWatch.Clear(relay) && (x == nil || x.Incarnation <= h.quarantined[relay].StartNumber) {
+			v.UnfitOrder, v.Unfit[relay] = append(v.UnfitOrder, relay), h.quarantined[relay].Reason
 		}
 	}
 }
--- a/internal/fleet/page.go
+++ b/internal/fleet/drift_status.go
@@ -10,11 +10,11 @@
 
 // driftStatus is what operators are shown of drift: who, what, since when, why; the bound in force; who is shut.
 type driftStatus struct {
-	Rows        []driftRow       `json:"rows"`
-	BlockReason string           `json:"blocks,omitempty"` // reason no release steps on but those that mend it
-	Bounds      map[string]int64 `json:"bounds_ms"`        // how long a version may be on its way, by group
-	Cordoned    []cordonedRelay  `json:"shut"`
-	Counts      drift.Counts     `json:"counts"`
+	Rows        []driftRow         `json:"rows"`
+	BlockReason string             `json:"blocks,omitempty"` // reason no release steps on but those that mend it
+	Bounds      map[string]int64   `json:"bounds_ms"`        // how long a version may be on its way, by group
+	Quarantined []quarantinedRelay `json:"shut"`
+	Counts      drift.Counts       `json:"counts"`
 }
 
 type driftRow struct {
@@ -31,7 +31,7 @@
 	Evidence []string `json:"evidence,omitempty"`
 }
 
-type cordonedRelay struct {
+type quarantinedRelay struct {
 	Relay        string `json:"relay"`
 	Why          string `json:"why"`
 	Since        int64  `json:"since_ms"`
@@ -40,7 +40,7 @@
 
 func (h *controller) driftStatus(now int64) driftStatus {
 	h.refresh()
-	p := driftStatus{Rows: []driftRow{}, BlockReason: h.blockReason, Bounds: map[string]int64{}, Cordoned: []cordonedRelay{}, Counts: h.driftWatch.Counts()}
+	p := driftStatus{Rows: []driftRow{}, BlockReason: h.blockReason, Bounds: map[string]int64{}, Quarantined: []quarantinedRelay{}, Counts: h.driftWatch.Counts()}
 	for _, r := range h.driftWatch.Rows() {
 		row := driftRow{Relay: r.Relay, Item: r.Intent.Name, State: r.State.String(), Since: now - r.Since, Intent: r.Intent.Version,
 			Applied: r.Applied.Version, Why: r.Why, Evidence: r.Evidence}
@@ -55,9 +55,9 @@
 	for _, group := range []string{drift.Program, drift.Config, drift.List, drift.Bans, drift.Drains, drift.Weights, drift.Voters, drift.Permits} {
 		p.Bounds[group] = h.driftWatch.Bound(group)
 	}
-	for _, name := range slices.Sorted(maps.Keys(h.cordoned)) {
-		x, w := h.cordoned[name], h.fleet.relays[name]
-		p.Cordoned = append(p.Cordoned, cordonedRelay{name, x.Reason, now - x.Since, w != nil && w.ShutOrder == x.Number})
+	for _, name := range slices.Sorted(maps.Keys(h.quarantined)) {
+		x, w := h.quarantined[name], h.fleet.relays[name]
+		p.Quarantined = append(p.Quarantined, quarantinedRelay{name, x.Reason, now - x.Since, w != nil && w.QuarantineOrder == x.Number})
 	}
 	return p
 }
--- a/internal/fleet/view.go
+++ b/internal/fleet/fleet_status.go
@@ -46,9 +46,9 @@
 	// at most. nil: Options.Settings stands for all of it, as the section "settings".
 	ConfigSections map[string]string
 	// RejectedItems is what it was given and did not take, by item ("config.SECTION"): why. An entry goes when a later one was taken.
-	RejectedItems  map[string]string
-	PermitsVersion uint64 // Orders.Permits as the loop had it last; 0: it does not tell
-	ShutOrder      uint64 // the number of the order by which it takes no clients; 0: it takes them
+	RejectedItems   map[string]string
+	PermitsVersion  uint64 // Orders.Permits as the loop had it last; 0: it does not tell
+	QuarantineOrder uint64 // the number of the order by which it takes no clients; 0: it takes them
 }
 
 // relayStatus is the last word of a relay, and what is reckoned from those before.
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/simulation_test.go
@@ -115,7 +115,7 @@
 		r.look.AppliedOut = slices.DeleteFunc(append(bans, drains...), func(n string) bool {
 			return r.frozen[drift.Bans] && slices.Contains(bans, n) || r.frozen[drift.Drains] && slices.Contains(drains, n)
 		})
-		r.look.AppliedVersion, r.look.PermitsVersion, r.look.CanaryVersion, r.look.ShutOrder = s.Version(), permitsVersion(h), h.Weights.Version, 0
+		r.look.AppliedVersion, r.look.PermitsVersion, r.look.CanaryVersion, r.look.QuarantineOrder = s.Version(), permitsVersion(h), h.Weights.Version, 0
 		if r.frozen[drift.Permits] {
 			r.look.PermitsVersion = max(keep.PermitsVersion, 1)
 		}
@@ -123,10 +123,10 @@
 			r.look.CanaryVersion = keep.CanaryVersion
 		}
 		if o.Quarantine != nil && o.Quarantine.StartNumber >= r.start {
-			r.look.ShutOrder = o.Quarantine.Number
+			r.look.QuarantineOrder = o.Quarantine.Number
 		}
 		if !r.leaving {
-			r.look.Phase = map[bool]string{false: "serving", true: "draining"}[r.look.ShutOrder != 0]
+			r.look.Phase = map[bool]string{false: "serving", true: "draining"}[r.look.QuarantineOrder != 0]
 		}
 		if o.Leave != nil && o.Leave.StartNumber >= r.start && !r.leaving {
 			r.leaving, r.look.Phase = true, "leaving"
--- a/internal/fleet/word.go
+++ b/internal/fleet/status_report.go
@@ -27,11 +27,11 @@
 	CanaryCounts   []byte         `json:"counts,omitempty"` // of a canary
 	LocalEjections []string       `json:"local,omitempty"`  // what its own operators have taken out
 	// What it runs of its configuration, by section; items that it refused; the groups of items of which it tells; by which order it is shut.
-	ConfigSections map[string]string `json:"sections,omitempty"`
-	RejectedItems  []string          `json:"refused,omitempty"`
-	ReportedGroups []string          `json:"tells,omitempty"`
-	ShutOrder      uint64            `json:"shut,omitempty"`
-	ListRestarted  bool              `json:"anew,omitempty"` // the generation of its list has fallen since it started
+	ConfigSections  map[string]string `json:"sections,omitempty"`
+	RejectedItems   []string          `json:"refused,omitempty"`
+	ReportedGroups  []string          `json:"tells,omitempty"`
+	QuarantineOrder uint64            `json:"shut,omitempty"`
+	ListRestarted   bool              `json:"anew,omitempty"` // the generation of its list has fallen since it started
 }
 
 // memberReport is what a relay knows of a member. Names are short: there are many.
--- a/internal/fleet/ledger.go
+++ b/internal/fleet/status_reporter.go
@@ -38,7 +38,7 @@
 // statusReport is what to say now.
 func (g *statusReporter) buildReport(now int64, l ObservedState, r *Record, voters drift.Item) statusReport {
 	w := statusReport{Incarnation: g.incarnation, Zone: g.zone, Phase: l.Phase, Program: g.program, Config: g.configDigest, AppliedVersion: l.AppliedVersion, ListGeneration: l.ListGeneration,
-		Flows: l.Flows, DemandMS: l.DemandMS, ServedMS: l.ServedMS, LocalEjections: l.LocalEjections, CanaryVersion: l.CanaryVersion, CanaryCounts: l.CanaryCounts, ShutOrder: l.ShutOrder}
+		Flows: l.Flows, DemandMS: l.DemandMS, ServedMS: l.ServedMS, LocalEjections: l.LocalEjections, CanaryVersion: l.CanaryVersion, CanaryCounts: l.CanaryCounts, QuarantineOrder: l.QuarantineOrder}
 	if l.ListGeneration > 0 {
 		g.listRestarted, g.listGeneration = g.listRestarted || l.ListGeneration < g.listGeneration, l.ListGeneration
 	}
