--- a/cmd/dahliarudder/canary.go
+++ b/cmd/dahliarudder/canary.go
@@ -86,7 +86,7 @@
 // applyWeights has the module go by the weights of now, and tells the other relays what was heard of pauses.
 func (t *canaryTrial) applyWeights() {
 	use := t.weights.Weights(t.now())
-	t.r.peers.Carry(t.weights.Note(gossip.NoteMost))
+	t.r.peers.SetUserData(t.weights.Note(gossip.MaxUserData))
 	if reflect.DeepEqual(use, t.applied) {
 		return
 	}
@@ -99,7 +99,7 @@
 		return
 	}
 	if w := use[0]; w.Salt != t.salt {
-		t.salt, t.counter = w.Salt, canary.NewCounter(w.Salt, t.r.peers.Start())
+		t.salt, t.counter = w.Salt, canary.NewCounter(w.Salt, t.r.peers.Incarnation())
 		clear(t.flows)
 		t.r.core.Happened = t.observe
 	}
--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -48,7 +48,7 @@
 	}
 	r.trial, r.configDigests = newCanaryTrial(r), r.cfg.Sections()
 	var err error
-	r.fleet, err = fleet.Start(fleet.Options{Config: c, Name: r.cfg.Name, Zone: zone, Incarnation: r.peers.Start(), Program: program,
+	r.fleet, err = fleet.Start(fleet.Options{Config: c, Name: r.cfg.Name, Zone: zone, Incarnation: r.peers.Incarnation(), Program: program,
 		ConfigDigest: r.cfg.Digest(), Keys: r.cfg.Peers.Keys(), SlowStartShare: set.Guarantees.ColdFrom, SlowStartDuration: settings.Span(set.Guarantees.Cold),
 		WallClock: steadyWall(), Log: r.log, Post: r.loop.Post, Observe: r.fleetStatus, ApplyDesired: r.applyOrders,
 		PauseCanary: r.pauseCanary})
@@ -108,7 +108,7 @@
 	}
 	r.core.Agree(out)
 	r.fleetEjected, r.recordVersion, r.permits = names, version, o.PermitsVersion
-	mine := o.Leave != nil && o.Leave.StartNumber >= r.peers.Start() // else it was for the process before this one
+	mine := o.Leave != nil && o.Leave.StartNumber >= r.peers.Incarnation() // else it was for the process before this one
 	switch {
 	case mine && r.shutdownOrder == nil:
 		r.log.WithFields(logrus.Fields{"release": o.Leave.Release, "number": o.Leave.Number}).Info("fleet: told to leave")
@@ -121,7 +121,7 @@
 		r.applyDrainState()
 	}
 	shut := uint64(0)
-	if o.Quarantine != nil && o.Quarantine.StartNumber >= r.peers.Start() {
+	if o.Quarantine != nil && o.Quarantine.StartNumber >= r.peers.Incarnation() {
 		shut = o.Quarantine.Number
 	}
 	if shut != r.closeOrder && !r.stopping {
--- a/cmd/dahliarudder/fleet_status.go
+++ b/cmd/dahliarudder/fleet_status.go
@@ -46,7 +46,7 @@
 		l.Members = append(l.Members, p)
 	}
 	l.CanaryVersion, l.CanaryCounts = r.trial.appliedVersion, r.trial.counts()
-	for _, p := range r.peers.Known() {
+	for _, p := range r.peers.Peers() {
 		l.Peers = append(l.Peers, fleet.Peer{Name: p.Name, Zone: p.Zone, Alive: p.State <= gossip.Suspect, Gone: p.State >= gossip.Gone,
 			Serving: p.Phase == gossip.Serving, Incarnation: p.Incarnation})
 	}
--- a/cmd/dahliarudder/gossip.go
+++ b/cmd/dahliarudder/gossip.go
@@ -13,8 +13,8 @@
 // This file is how this relay knows the others.
 
 // outcomeOfResult are the results that say something of a member: a client that leaves says nothing.
-var outcomeOfResult = map[policy.Result]gossip.Outcome{policy.OK: gossip.Good, policy.Full: gossip.Good, policy.Error: gossip.Bad, policy.Reset: gossip.Bad,
-	policy.ConnectFailed: gossip.Bad, policy.Timeout: gossip.Silent}
+var outcomeOfResult = map[policy.Result]gossip.Outcome{policy.OK: gossip.Success, policy.Full: gossip.Success, policy.Error: gossip.Failure, policy.Reset: gossip.Failure,
+	policy.ConnectFailed: gossip.Failure, policy.Timeout: gossip.Timeout}
 
 // startGossip begins to know the other relays.
 func (r *relay) startGossip(p config.Peers) {
@@ -23,27 +23,27 @@
 	if set.Zone >= 0 && set.Zone < len(set.Zones) {
 		zone = string(set.Zones[set.Zone])
 	}
-	book := &gossip.Book{}
+	book := &gossip.ObservationWindow{}
 	r.core.Saw = func(m *core.Member, result policy.Result) {
 		if how, ok := outcomeOfResult[result]; ok {
 			in := ""
 			if m.Zone < len(set.Zones) {
 				in = string(set.Zones[m.Zone])
 			}
-			book.Note(r.clock(), m.Name, in, how)
+			book.Record(r.clock(), m.Name, in, how)
 		}
 	}
 	known := p.Known
 	if r.recovery != nil { // those that it knew: all that are configured may be down
 		known = append(slices.Clone(known), r.recovery.peers...)
 	}
-	r.peers = gossiptransport.New(gossiptransport.Options{Seen: func() gossip.Digest { return book.Digest(r.clock()) }, Loop: r.loop, Log: r.log, Name: r.cfg.Name, Zone: zone, Listen: p.Listen, Address: p.Address,
-		Known: known, Reach: p.Reach, Keys: p.Keys(), Configured: max(set.Balancers, 1), Seed: r.cfg.SeedNumber(), Wall: wallClock,
-		Share: r.core.Relays, Noted: func(_ string, note []byte) { r.trial.onNotices(note) }, Ahead: func() {
+	r.peers = gossiptransport.New(gossiptransport.Options{Observations: func() gossip.Digest { return book.Digest(r.clock()) }, Loop: r.loop, Log: r.log, Name: r.cfg.Name, Zone: zone, Listen: p.Listen, Address: p.Address,
+		Seeds: known, AddressOverrides: p.Reach, Keys: p.Keys(), Configured: max(set.Balancers, 1), Seed: r.cfg.SeedNumber(), WallClock: wallClock,
+		OnDivisorChange: r.core.Relays, OnUserData: func(_ string, note []byte) { r.trial.onNotices(note) }, OnStaleList: func() {
 			r.log.Warn("other relays hold a newer list; members are asked for anew")
 			r.watch.Refresh(func() {})
 		},
-		Own: func() (gossip.Phase, uint64, uint64, uint64) {
+		LocalStatus: func() (gossip.Phase, uint64, uint64, uint64) {
 			phase := gossip.Serving
 			switch {
 			case !r.accepting || !r.core.Usable() || r.fleet != nil && !r.caughtUp:
@@ -61,5 +61,5 @@
 	if r.peers == nil {
 		return ""
 	}
-	return r.peers.Text()
+	return r.peers.StatusJSON()
 }
--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -128,7 +128,7 @@
 			"left": now.Left - before.Left, "attempts": now.Attempts - before.Attempts,
 			"moves": now.Moves - before.Moves, "barred": now.Barred - before.Barred}
 		if r.peers != nil {
-			line["relays"], line["shared_by"] = r.peers.Shares()
+			line["relays"], line["shared_by"] = r.peers.BudgetDivisor()
 		}
 		r.log.WithFields(line).Info("counts")
 		r.logCounts(every, now)
--- a/cmd/dahliarudder/snapshot.go
+++ b/cmd/dahliarudder/snapshot.go
@@ -140,7 +140,7 @@
 	s := &snapshot.Snapshot{Name: r.cfg.Name, List: list, Watched: r.cfg.Discovery, Learned: r.core.Learned()}
 	s.Mark(clocksNow())
 	if r.peers != nil {
-		s.Peers = r.peers.Addresses()
+		s.Peers = r.peers.LiveAddresses()
 	}
 	return s
 }
--- a/integration/peers_test.go
+++ b/integration/peers_test.go
@@ -293,7 +293,7 @@
 	until(t, "n1 to hear what n0 saw", func() bool {
 		c.relays[0].open(int(time.Now().UnixNano()&0xffffff), "").line()
 		for _, p := range c.account(1).Peers {
-			if len(p.Seen.Members) == 1 && p.Seen.Members[0].Name == b.id && p.Seen.Members[0].Bad > 0 && p.Seen.Zones[0].Name == "a" {
+			if len(p.Seen.Members) == 1 && p.Seen.Members[0].Name == b.id && p.Seen.Members[0].Failures > 0 && p.Seen.Zones[0].Name == "a" {
 				return true
 			}
 		}
--- a/internal/gossip/count.go
+++ b/internal/gossip/count.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Divisor is by how many relays a budget is divided that all of them share, as a budget for members that have just started
+// BudgetDivisor is by how many relays a budget is divided that all of them share, as a budget for members that have just started
 // is. It does no I/O. docs/design/peers.md, "What it changes", has why no group of relays that cannot see each other can
 // spend more than a third over the budget together, which is what the decision module leaves of the rule.
-type Divisor struct {
+type BudgetDivisor struct {
 	Configured int
 	now, want  float64
 	at         time.Duration
@@ -20,7 +20,7 @@
 )
 
 // At is the divisor, given how many relays live, this one included, and how many are known for certain to be down.
-func (d *Divisor) At(now time.Duration, live, down int) float64 {
+func (d *BudgetDivisor) Update(now time.Duration, live, down int) float64 {
 	all := float64(d.Configured)
 	l := min(float64(live), all)
 	// Who was known to be down may be back on the far side of a cut, and all that are there, a majority by themselves, take plain parts.
--- a/internal/gossip/envelope.go
+++ b/internal/gossip/envelope.go
@@ -14,13 +14,13 @@
 
 // What is refused before a byte of the content is read.
 var (
-	ErrSize    = errors.New("size")
-	ErrVersion = errors.New("version")
-	ErrKey     = errors.New("key")
-	ErrTag     = errors.New("tag")
-	ErrOld     = errors.New("old")
-	ErrRepeat  = errors.New("repeated")
-	ErrOther   = errors.New("two relays of one name")
+	ErrSize         = errors.New("size")
+	ErrVersion      = errors.New("version")
+	ErrUnknownKey   = errors.New("key")
+	ErrBadTag       = errors.New("tag")
+	ErrTooOld       = errors.New("old")
+	ErrReplayed     = errors.New("repeated")
+	ErrNameConflict = errors.New("two relays of one name")
 )
 
 // An envelope: version, the key's mark, start and number and clock of the sender, its name, the content, a tag.
@@ -114,24 +114,24 @@
 
 // Opener takes envelopes apart. What it keeps is bounded.
 type Opener struct {
-	Keys    Keys
-	senders map[string]*sender
-	Refused map[string]int // by reason
+	Keys     Keys
+	senders  map[string]*sender
+	Rejected map[string]int // by reason
 }
 
 // Open returns the sender's name and the content. Clock is the receiver's, in milliseconds from any zero; it only runs on.
 func (o *Opener) Open(now time.Duration, clock uint64, from string, b []byte) (name string, content []byte, err error) {
 	if name, content, err = o.open(now, clock, from, b); err != nil {
-		if o.Refused == nil {
-			o.Refused = map[string]int{}
+		if o.Rejected == nil {
+			o.Rejected = map[string]int{}
 		}
-		o.Refused[err.Error()]++
+		o.Rejected[err.Error()]++
 	}
 	return name, content, err
 }
 
 func (o *Opener) open(now time.Duration, clock uint64, from string, b []byte) (string, []byte, error) {
-	if len(b) < fixed+tagSize || len(b) > DatagramMost {
+	if len(b) < fixed+tagSize || len(b) > MaxDatagramSize {
 		return "", nil, ErrSize
 	}
 	if b[0] != version {
@@ -145,10 +145,10 @@
 		}
 	}
 	if key == nil {
-		return "", nil, ErrKey
+		return "", nil, ErrUnknownKey
 	}
 	if !hmac.Equal(tag(key, body), sum) {
-		return "", nil, ErrTag
+		return "", nil, ErrBadTag
 	}
 	at := body[1+markSize:]
 	start, seq, sent := binary.BigEndian.Uint64(at), binary.BigEndian.Uint64(at[8:]), binary.BigEndian.Uint64(at[16:])
@@ -175,9 +175,9 @@
 	}
 	switch {
 	case start < s.start && now-s.heard < lateMost && from != s.from:
-		return ErrOther // the earlier one lives on beside the later
+		return ErrNameConflict // the earlier one lives on beside the later
 	case start < s.start, apart-s.least > lateMost.Milliseconds():
-		return ErrOld
+		return ErrTooOld
 	case seq > s.newest:
 		shift := seq - s.newest
 		s.window = s.window<<min(shift, windowSize) | 1<<min(shift-1, windowSize-1)
@@ -186,7 +186,7 @@
 		}
 		s.newest = seq
 	case seq == s.newest || s.newest-seq > windowSize || s.window>>(s.newest-seq-1)&1 == 1:
-		return ErrRepeat
+		return ErrReplayed
 	default:
 		s.window |= 1 << (s.newest - seq - 1)
 	}
@@ -194,8 +194,8 @@
 	return nil
 }
 
-// Forget drops senders that have been silent for long.
-func (o *Opener) Forget(now time.Duration) {
+// Prune drops senders that have been silent for long.
+func (o *Opener) Prune(now time.Duration) {
 	for name, s := range o.senders {
 		if now-s.heard > 10*forgetAfter {
 			delete(o.senders, name)
--- a/internal/gossip/envelope_test.go
+++ b/internal/gossip/envelope_test.go
@@ -39,38 +39,38 @@
 	take(sealed[0], now, nil)
 	take(sealed[2], now, nil)
 	take(sealed[1], now, nil)
-	take(sealed[1], now, ErrRepeat)
-	take(sealed[2], now, ErrRepeat)
+	take(sealed[1], now, ErrReplayed)
+	take(sealed[2], now, ErrReplayed)
 	take(sealed[79], now, nil)
-	take(sealed[10], now, ErrRepeat) // too far behind to know
+	take(sealed[10], now, ErrReplayed) // too far behind to know
 	take(sealed[20], now, nil)
-	take(sealed[20], now, ErrRepeat)
-	take(sealed[50], now+31*time.Second, ErrOld)
+	take(sealed[20], now, ErrReplayed)
+	take(sealed[50], now+31*time.Second, ErrTooOld)
 	take(sealed[3][:30], now, ErrSize)
 	take(make([]byte, 9000), now, ErrSize)
 	changed := bytes.Clone(sealed[4])
 	changed[len(changed)-1] ^= 1
-	take(changed, now, ErrTag)
+	take(changed, now, ErrBadTag)
 	other := Sealer{Keys: Keys{[]byte("a key that nobody here has, 32 and more")}, Name: "n1", Start: 9000}
-	take(other.Seal([]byte{1}, far), now, ErrKey)
+	take(other.Seal([]byte{1}, far), now, ErrUnknownKey)
 	newer := bytes.Clone(sealed[5])
 	newer[0] = 2
 	take(newer, now, ErrVersion)
 
 	next := Sealer{Keys: Keys{newKey}, Name: "n1", Start: 8000} // it was restarted, and signs by the new key
 	take(next.Seal([]byte{1}, far+1000), now+time.Second, nil)
-	take(sealed[60], now+time.Second, ErrOld) // of the process before
+	take(sealed[60], now+time.Second, ErrTooOld) // of the process before
 	name, _, err := o.Open(now+time.Second, wall, "10.0.0.2:7", s.Seal([]byte{1}, far+1000))
-	if !errors.Is(err, ErrOther) {
+	if !errors.Is(err, ErrNameConflict) {
 		t.Errorf("two of one name: %q, %v", name, err)
 	}
 	back := Sealer{Keys: Keys{newKey}, Name: "n1", Start: 100} // its clock was set back
-	take(back.Seal([]byte{1}, far+2000), now+2*time.Second, ErrOld)
+	take(back.Seal([]byte{1}, far+2000), now+2*time.Second, ErrTooOld)
 	take(back.Seal([]byte{1}, far), now+2*forgetAfter, nil)
-	if o.Refused["repeated"] != 4 || o.Refused["tag"] != 1 {
-		t.Errorf("counted %v", o.Refused)
+	if o.Rejected["repeated"] != 4 || o.Rejected["tag"] != 1 {
+		t.Errorf("counted %v", o.Rejected)
 	}
-	o.Forget(now + time.Hour)
+	o.Prune(now + time.Hour)
 	if len(o.senders) != 0 {
 		t.Error("a sender long gone is kept")
 	}
@@ -96,9 +96,9 @@
 
 // FuzzDecode: whatever the bytes, decoding ends within its bounds, and what was read is written and read the same.
 func FuzzDecode(f *testing.F) {
-	m := Message{Kind: Ask, Seq: 7, Target: "n2", At: "10.0.0.2:1", Updates: []Update{{Name: "n1", Addr: "10.0.0.1:1", State: Suspect,
+	m := Message{Kind: PingReq, Seq: 7, Target: "n2", TargetAddr: "10.0.0.2:1", Updates: []Update{{Name: "n1", Addr: "10.0.0.1:1", State: Suspect,
 		Incarnation: math.MaxUint64, Zone: "a", Phase: Draining, Generation: 4, Flows: 5, Rate: 6, Accuser: "n3", Unknown: []byte{0x78, 1}}}}
-	b, _ := m.Append(nil, DatagramMost)
+	b, _ := m.Append(nil, MaxDatagramSize)
 	f.Add(b)
 	f.Add(b[:len(b)-3])
 	f.Add([]byte{0x2a, 0xff, 0xff, 0xff, 0xff, 0x0f})
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -14,8 +14,8 @@
 	nameMost    = 64
 	addrMost    = 64
 	updatesMost = 64
-	// DatagramMost fits one packet on any path with room to spare.
-	DatagramMost = 1200
+	// MaxDatagramSize fits one packet on any path with room to spare.
+	MaxDatagramSize = 1200
 )
 
 // Kind is what a message asks for or answers.
@@ -23,11 +23,11 @@
 
 // The kinds. An unknown one is still heard for what it says of relays.
 const (
-	Ping   Kind = 1 // answer with Ack
-	Ack    Kind = 2
-	Ask    Kind = 3 // ping Target for me, and pass its Ack on
-	Gossip Kind = 4
-	Sync   Kind = 5 // say all that you know
+	Ping    Kind = 1 // answer with Ack
+	Ack     Kind = 2
+	PingReq Kind = 3 // ping Target for me, and pass its Ack on
+	Gossip  Kind = 4
+	Sync    Kind = 5 // say all that you know
 )
 
 // State is what is held of a relay's life.
@@ -68,18 +68,18 @@
 	Unknown     []byte // fields of newer versions, passed on as they came
 }
 
-// NoteMost bounds a message's note.
-const NoteMost = 400
+// MaxUserData bounds a message's note.
+const MaxUserData = 400
 
 // Message is one datagram's content.
 type Message struct {
-	Kind    Kind
-	Seq     uint64
-	Target  string // of Ask: the name; of a passed Ack: whom it is from
-	At      string // of Ask: the address
-	Updates []Update
-	Seen    Digest // what the sender saw itself; with pings and answers
-	Note    []byte // what it passes on for others than this package; at most NoteMost bytes
+	Kind       Kind
+	Seq        uint64
+	Target     string // of Ask: the name; of a passed Ack: whom it is from
+	TargetAddr string // of Ask: the address
+	Updates    []Update
+	Observed   Digest // what the sender saw itself; with pings and answers
+	UserData   []byte // what it passes on for others than this package; at most MaxUserData bytes
 }
 
 func (u *Update) append(b []byte) []byte {
@@ -111,17 +111,17 @@
 	for n, v := range []uint64{uint64(m.Kind), m.Seq} {
 		b = protowire.AppendVarint(protowire.AppendTag(b, protowire.Number(n+1), protowire.VarintType), v)
 	}
-	for n, s := range []string{m.Target, m.At} {
+	for n, s := range []string{m.Target, m.TargetAddr} {
 		if s != "" {
 			b = protowire.AppendString(protowire.AppendTag(b, protowire.Number(n+3), protowire.BytesType), s)
 		}
 	}
 	var one []byte
-	if one = m.Seen.append(one); len(one) > 0 {
+	if one = m.Observed.append(one); len(one) > 0 {
 		b = protowire.AppendBytes(protowire.AppendTag(b, 6, protowire.BytesType), one)
 	}
-	if len(m.Note) > 0 {
-		b = protowire.AppendBytes(protowire.AppendTag(b, 7, protowire.BytesType), m.Note)
+	if len(m.UserData) > 0 {
+		b = protowire.AppendBytes(protowire.AppendTag(b, 7, protowire.BytesType), m.UserData)
 	}
 	for i := range m.Updates {
 		one = m.Updates[i].append(one[:0])
@@ -175,7 +175,7 @@
 		case 3:
 			m.Target = string(s)
 		case 4:
-			m.At = string(s)
+			m.TargetAddr = string(s)
 		case 5:
 			u, err := decodeUpdate(s)
 			if err != nil || len(m.Updates) == updatesMost {
@@ -184,17 +184,17 @@
 			m.Updates = append(m.Updates, u)
 		case 6:
 			seen, err := decodeDigest(s)
-			if m.Seen = seen; err != nil {
+			if m.Observed = seen; err != nil {
 				inner = ErrMalformed
 			}
 		case 7:
-			if m.Note = s; len(s) > NoteMost {
+			if m.UserData = s; len(s) > MaxUserData {
 				inner = ErrMalformed
 			}
 		}
 		return true
 	})
-	if len(m.Target) > nameMost || len(m.At) > addrMost {
+	if len(m.Target) > nameMost || len(m.TargetAddr) > addrMost {
 		inner = ErrMalformed
 	}
 	return m, errors.Join(err, inner)
--- a/internal/gossip/peers.go
+++ b/internal/gossip/peers.go
@@ -37,54 +37,54 @@
 	passOn        = 3   // times log2 of the group: how often news is passed on
 	ridersMost    = 8   // pieces of news that ride on a ping or an answer
 	errandsMost   = 256 // pings on behalf of others
-	// PeersMost bounds what is held, whatever is claimed.
-	PeersMost = 1024
+	// MaxPeers bounds what is held, whatever is claimed.
+	MaxPeers = 1024
 )
 
-// Out is something to send: to a relay by its name, or to an address where no name is known.
-type Out struct {
+// Outbound is something to send: to a relay by its name, or to an address where no name is known.
+type Outbound struct {
 	Name, Addr string
 	Message    Message
-	Knock      bool // no message: connect, and call Refused if that is refused
+	DialProbe  bool // no message: connect, and call Refused if that is refused
 }
 
 // Peer is what is held of another relay.
 type Peer struct {
 	Update
-	Since     time.Duration // in this state
-	Heard     time.Duration // by its own datagram; 0 for never
-	Seen      Digest        // what it last said that it saw
-	SeenAt    time.Duration // when it said so
-	until     time.Duration // when a suspect counts as dead
-	accusers  []string
-	sent      int // how often this was passed on
-	suspected time.Duration
+	Since       time.Duration // in this state
+	LastContact time.Duration // by its own datagram; 0 for never
+	Observed    Digest        // what it last said that it saw
+	ObservedAt  time.Duration // when it said so
+	until       time.Duration // when a suspect counts as dead
+	accusers    []string
+	sent        int // how often this was passed on
+	suspected   time.Duration
 }
 
-// Machine is one relay's view. All calls come from one goroutine.
-type Machine struct {
-	self      Update
-	seen      Digest
-	sent      int
-	seeds     []string
-	rng       *rand.Rand
-	peers     map[string]*Peer
-	suspects  map[string]*Peer // of them
-	fresh     map[string]*Peer // of them: what is to be passed on
-	syncs     int
-	order     []string // names still to be pinged in this round
-	seq       uint64
-	target    *Peer // being pinged; nil once it has answered
-	targetSeq uint64
-	errands   map[uint64]errand
-	awareness int
-	leaving   bool
-	ticked    time.Duration
-	at        struct{ probe, ask, gossip, sync, reach, sweep time.Duration }
-	note      []byte
-	Noted     func(from string, note []byte) // is told of others' notes, if set
-	Clashes   int                            // datagrams that another relay sent under this one's name
-	Refusals  int                            // relays that were claimed beyond PeersMost
+// Membership is one relay's view. All calls come from one goroutine.
+type Membership struct {
+	self          Update
+	seen          Digest
+	sent          int
+	seeds         []string
+	rng           *rand.Rand
+	peers         map[string]*Peer
+	suspects      map[string]*Peer // of them
+	fresh         map[string]*Peer // of them: what is to be passed on
+	syncs         int
+	order         []string // names still to be pinged in this round
+	seq           uint64
+	target        *Peer // being pinged; nil once it has answered
+	targetSeq     uint64
+	errands       map[uint64]errand
+	awareness     int
+	leaving       bool
+	ticked        time.Duration
+	at            struct{ probe, ask, gossip, sync, reach, sweep time.Duration }
+	note          []byte
+	OnUserData    func(from string, note []byte) // is told of others' notes, if set
+	NameConflicts int                            // datagrams that another relay sent under this one's name
+	RejectedPeers int                            // relays that were claimed beyond MaxPeers
 }
 
 type errand struct {
@@ -95,9 +95,9 @@
 
 // New makes a Machine. Self has Name, Addr, Zone and an incarnation above all that this relay ever used, as a wall clock in
 // milliseconds is; should one it has forgotten be higher, it goes above that as soon as it hears of it.
-func New(now time.Duration, self Update, seeds []string, rng *rand.Rand) *Machine {
+func New(now time.Duration, self Update, seeds []string, rng *rand.Rand) *Membership {
 	self.State, self.Phase = Alive, cmp.Or(self.Phase, Starting)
-	m := &Machine{self: self, seeds: seeds, rng: rng, peers: map[string]*Peer{}, suspects: map[string]*Peer{},
+	m := &Membership{self: self, seeds: seeds, rng: rng, peers: map[string]*Peer{}, suspects: map[string]*Peer{},
 		fresh: map[string]*Peer{}, errands: map[uint64]errand{}, ticked: now}
 	m.at.probe = now + m.jitter(period)
 	m.at.sync = now // at once: nobody is known
@@ -106,18 +106,18 @@
 	return m
 }
 
-func (m *Machine) jitter(d time.Duration) time.Duration {
+func (m *Membership) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.5 + m.rng.Float64()))
 }
 
 // slow is a time as this relay's own slowness asks for.
-func (m *Machine) slow(d time.Duration) time.Duration { return d * time.Duration(1+m.awareness) }
+func (m *Membership) slow(d time.Duration) time.Duration { return d * time.Duration(1+m.awareness) }
 
 // Self is what this relay says of itself.
-func (m *Machine) Self() Update { return m.self }
+func (m *Membership) Self() Update { return m.self }
 
-// Say changes what it says. A new phase is news; figures travel with its own pings alone.
-func (m *Machine) Say(now time.Duration, phase Phase, generation, flows, rate uint64) {
+// SetStatus changes what it says. A new phase is news; figures travel with its own pings alone.
+func (m *Membership) SetStatus(now time.Duration, phase Phase, generation, flows, rate uint64) {
 	m.self.Generation, m.self.Flows, m.self.Rate = generation, flows, rate
 	if phase != m.self.Phase {
 		m.self.Phase = phase
@@ -126,13 +126,13 @@
 	}
 }
 
-// Show changes what it tells of members and zones. It rides on pings and answers, to one relay or two in each period: what is bounded
+// SetObservations changes what it tells of members and zones. It rides on pings and answers, to one relay or two in each period: what is bounded
 // there stays bounded in bytes a second.
-func (m *Machine) Show(d Digest) { m.seen = d }
+func (m *Membership) SetObservations(d Digest) { m.seen = d }
 
-// Carry changes the note that rides on all that this relay sends; a new one is news, and goes round as fast as that.
-func (m *Machine) Carry(now time.Duration, note []byte) {
-	if len(note) > NoteMost || bytes.Equal(note, m.note) {
+// SetUserData changes the note that rides on all that this relay sends; a new one is news, and goes round as fast as that.
+func (m *Membership) SetUserData(now time.Duration, note []byte) {
+	if len(note) > MaxUserData || bytes.Equal(note, m.note) {
 		return
 	}
 	if m.note = note; len(note) > 0 {
@@ -140,11 +140,11 @@
 	}
 }
 
-// Shown is what it tells.
-func (m *Machine) Shown() Digest { return m.seen }
+// Observations is what it tells.
+func (m *Membership) Observations() Digest { return m.seen }
 
 // Peers is all that is held of others, by name.
-func (m *Machine) Peers() []*Peer {
+func (m *Membership) Peers() []*Peer {
 	var list []*Peer
 	for _, p := range m.peers {
 		list = append(list, p)
@@ -155,21 +155,21 @@
 
 // Counts says how many relays live, this one included, and how many that this one has itself heard are known to be down: they
 // said so, or their address refused.
-func (m *Machine) Counts() (live, down int) {
+func (m *Membership) Counts() (live, down int) {
 	live = 1
 	for _, p := range m.peers {
 		switch {
 		case p.State <= Suspect:
 			live++
-		case p.State >= Gone && p.Heard > 0:
+		case p.State >= Gone && p.LastContact > 0:
 			down++
 		}
 	}
 	return live, down
 }
 
-// Next is when Tick is due.
-func (m *Machine) Next() time.Duration {
+// NextTick is when Tick is due.
+func (m *Membership) NextTick() time.Duration {
 	next := min(m.at.probe, m.at.ask, m.at.gossip, m.at.sync, m.at.reach, m.at.sweep)
 	for _, p := range m.suspects {
 		next = min(next, p.until)
@@ -180,9 +180,9 @@
 // ---- What comes in ----
 
 // Receive takes a message that a relay has sent.
-func (m *Machine) Receive(now time.Duration, from string, msg Message) []Out {
+func (m *Membership) Receive(now time.Duration, from string, msg Message) []Outbound {
 	if from == m.self.Name {
-		m.Clashes++
+		m.NameConflicts++
 		return nil
 	}
 	down := m.peers[from] != nil && m.peers[from].State >= Dead
@@ -193,25 +193,25 @@
 	if p == nil {
 		return nil // beyond the bound, or it said nothing of itself
 	}
-	p.Heard = now
-	if len(msg.Note) > 0 && m.Noted != nil {
-		m.Noted(from, msg.Note)
+	p.LastContact = now
+	if len(msg.UserData) > 0 && m.OnUserData != nil {
+		m.OnUserData(from, msg.UserData)
 	}
 	if msg.Kind == Ping || msg.Kind == Ack {
-		p.Seen, p.SeenAt = msg.Seen, now
+		p.Observed, p.ObservedAt = msg.Observed, now
 	}
-	var out []Out
+	var out []Outbound
 	if down && p.State == Alive {
 		out = m.tell(out, from, p.Addr, Sync) // it may know nothing, or what the other side of a cut knew
 	}
 	switch msg.Kind {
 	case Ping:
 		out = m.send(out, p, Message{Kind: Ack, Seq: msg.Seq})
-	case Ask:
-		if len(m.errands) < errandsMost && msg.At != "" {
+	case PingReq:
+		if len(m.errands) < errandsMost && msg.TargetAddr != "" {
 			m.seq++
 			m.errands[m.seq] = errand{from, msg.Seq, now + 4*period}
-			out = append(out, Out{Name: msg.Target, Addr: msg.At, Message: m.load(Message{Kind: Ping, Seq: m.seq}, nil)})
+			out = append(out, Outbound{Name: msg.Target, Addr: msg.TargetAddr, Message: m.load(Message{Kind: Ping, Seq: m.seq}, nil)})
 		}
 	case Ack:
 		if m.target != nil && msg.Seq == m.targetSeq && (from == m.target.Name || msg.Target == m.target.Name) {
@@ -229,13 +229,13 @@
 	}
 	if p.State != Alive && msg.Kind != Sync {
 		// It lives, yet only its own word of a higher incarnation says so to all: have it hear what is said of it.
-		out = append(out, Out{Name: p.Name, Addr: p.Addr, Message: m.load(Message{Kind: Gossip}, []Update{p.Update})})
+		out = append(out, Outbound{Name: p.Name, Addr: p.Addr, Message: m.load(Message{Kind: Gossip}, []Update{p.Update})})
 	}
 	return out
 }
 
 // merge takes one piece of news over if it is newer than what is held.
-func (m *Machine) merge(now time.Duration, u Update, own bool) {
+func (m *Membership) merge(now time.Duration, u Update, own bool) {
 	if u.Name == m.self.Name {
 		if u.Incarnation > m.self.Incarnation || u.Incarnation == m.self.Incarnation && u.State != Alive && !m.leaving {
 			if u.State == Suspect {
@@ -252,8 +252,8 @@
 	p := m.peers[u.Name]
 	switch {
 	case p == nil:
-		if len(m.peers) >= PeersMost {
-			m.Refusals++
+		if len(m.peers) >= MaxPeers {
+			m.RejectedPeers++
 			return
 		}
 		p = &Peer{Update: u}
@@ -269,7 +269,7 @@
 }
 
 // enter has a relay be in a state.
-func (m *Machine) enter(now time.Duration, p *Peer, u Update) {
+func (m *Membership) enter(now time.Duration, p *Peer, u Update) {
 	p.Update, p.Since, p.accusers = u, now, nil
 	delete(m.suspects, p.Name)
 	m.fresh[p.Name] = p
@@ -281,7 +281,7 @@
 }
 
 // accuse notes who suspects a relay: the more do, the sooner it counts as dead.
-func (m *Machine) accuse(now time.Duration, p *Peer, accuser string) {
+func (m *Membership) accuse(now time.Duration, p *Peer, accuser string) {
 	if slices.Contains(p.accusers, accuser) || len(p.accusers) > accusersMost {
 		return
 	}
@@ -300,13 +300,13 @@
 	}
 }
 
-func (m *Machine) news(now time.Duration, sent *int) {
+func (m *Membership) news(now time.Duration, sent *int) {
 	*sent = 0
 	m.at.gossip = min(m.at.gossip, now+m.jitter(gossipEvery)/2)
 }
 
-// Refused says that a relay's address refused a connection: no process is there.
-func (m *Machine) Refused(now time.Duration, name string, incarnation uint64) {
+// ConnectionRefused says that a relay's address refused a connection: no process is there.
+func (m *Membership) ConnectionRefused(now time.Duration, name string, incarnation uint64) {
 	if p := m.peers[name]; p != nil && p.Incarnation == incarnation && (p.State == Suspect || p.State == Dead) {
 		u := p.Update
 		u.State, u.Accuser = Gone, m.self.Name
@@ -317,7 +317,7 @@
 // ---- What is due ----
 
 // Tick does what is due.
-func (m *Machine) Tick(now time.Duration) (out []Out) {
+func (m *Membership) Tick(now time.Duration) (out []Outbound) {
 	if now-m.ticked > lateTick+m.slow(period) {
 		// It was this process that stood still: what it waited for is no sign, and its view is old.
 		m.awareness, m.target, m.at.ask = awarenessMost, nil, math.MaxInt64
@@ -358,7 +358,7 @@
 }
 
 // probe ends the last ping and begins the next.
-func (m *Machine) probe(now time.Duration, out []Out) []Out {
+func (m *Membership) probe(now time.Duration, out []Outbound) []Outbound {
 	if p := m.target; p != nil {
 		m.target, m.at.ask = nil, math.MaxInt64
 		if p.State <= Suspect && m.peers[p.Name] == p {
@@ -371,8 +371,8 @@
 				m.enter(now, p, u)
 			}
 			// It should hear of it first, and a refusal at its address ends all doubt.
-			out = append(out, Out{Name: p.Name, Addr: p.Addr, Message: m.load(Message{Kind: Ping, Seq: 0}, []Update{p.Update})},
-				Out{Name: p.Name, Addr: p.Addr, Knock: true, Message: Message{Updates: []Update{p.Update}}})
+			out = append(out, Outbound{Name: p.Name, Addr: p.Addr, Message: m.load(Message{Kind: Ping, Seq: 0}, []Update{p.Update})},
+				Outbound{Name: p.Name, Addr: p.Addr, DialProbe: true, Message: Message{Updates: []Update{p.Update}}})
 		}
 	}
 	for range 2 {
@@ -395,20 +395,20 @@
 }
 
 // askOthers has some others ping who has not answered, and pings once more: the first may have been lost.
-func (m *Machine) askOthers(out []Out) []Out {
+func (m *Membership) askOthers(out []Outbound) []Outbound {
 	p := m.target
 	if p == nil {
 		return out
 	}
 	out = m.send(out, p, Message{Kind: Ping, Seq: m.targetSeq})
 	for _, other := range m.some(fanout, p.Name) {
-		out = m.send(out, other, Message{Kind: Ask, Seq: m.targetSeq, Target: p.Name, At: p.Addr})
+		out = m.send(out, other, Message{Kind: PingReq, Seq: m.targetSeq, Target: p.Name, TargetAddr: p.Addr})
 	}
 	return out
 }
 
 // some draws so many living relays but one.
-func (m *Machine) some(n int, but string) []*Peer {
+func (m *Membership) some(n int, but string) []*Peer {
 	var list []*Peer
 	for _, p := range m.Peers() {
 		if p.State <= Suspect && p.Name != but {
@@ -419,11 +419,11 @@
 	return list[:min(n, len(list))]
 }
 
-func (m *Machine) gossip(now time.Duration, out []Out) []Out {
+func (m *Membership) gossip(now time.Duration, out []Outbound) []Outbound {
 	m.at.gossip = math.MaxInt64
 	for _, p := range m.some(fanout, "") {
 		if msg := m.load(Message{Kind: Gossip}, nil); len(msg.Updates) > 1 || m.sent <= m.often() {
-			out = append(out, Out{Name: p.Name, Addr: p.Addr, Message: msg})
+			out = append(out, Outbound{Name: p.Name, Addr: p.Addr, Message: msg})
 			m.at.gossip = now + m.jitter(gossipEvery)
 		}
 	}
@@ -431,7 +431,7 @@
 }
 
 // sync tells one relay all, and has it tell all; now and then one at an address that was configured.
-func (m *Machine) sync(now time.Duration, out []Out) []Out {
+func (m *Membership) sync(now time.Duration, out []Outbound) []Outbound {
 	live := m.some(1, "")
 	m.syncs++
 	m.at.sync = now + time.Duration(float64(m.jitter(syncEvery))*max(1, float64(len(m.peers))/syncFor))
@@ -451,7 +451,7 @@
 
 // reach pings one that looks down, whatever is held of it: who was cut off, or is back at its old address and knows
 // nobody, hears so what is said of it, and answers with a higher incarnation.
-func (m *Machine) reach(now time.Duration, out []Out) []Out {
+func (m *Membership) reach(now time.Duration, out []Outbound) []Outbound {
 	var down []*Peer
 	for _, p := range m.Peers() {
 		if p.State >= Dead {
@@ -461,13 +461,13 @@
 	m.at.reach = now + m.jitter(reachEvery)
 	if len(down) > 0 {
 		p := down[m.rng.IntN(len(down))]
-		out = append(out, Out{Name: p.Name, Addr: p.Addr, Message: m.load(Message{Kind: Ping}, []Update{p.Update})})
+		out = append(out, Outbound{Name: p.Name, Addr: p.Addr, Message: m.load(Message{Kind: Ping}, []Update{p.Update})})
 	}
 	return out
 }
 
 // sweep forgets who is long gone.
-func (m *Machine) sweep(now time.Duration) {
+func (m *Membership) sweep(now time.Duration) {
 	m.at.sweep = now + forgetGone
 	for name, p := range m.peers {
 		if p.State >= Gone && now-p.Since > forgetGone || p.State == Dead && now-p.Since > forgetDead {
@@ -483,28 +483,28 @@
 }
 
 // Leave says farewell: the relay is about to end by itself.
-func (m *Machine) Leave(now time.Duration) (out []Out) {
+func (m *Membership) Leave(now time.Duration) (out []Outbound) {
 	m.leaving = true
 	m.self.State, m.self.Phase = Left, Leaving
 	m.self.Incarnation++
 	m.sent = 0
 	for _, p := range m.some(4*fanout, "") {
-		out = append(out, Out{Name: p.Name, Addr: p.Addr, Message: m.load(Message{Kind: Gossip}, nil)})
+		out = append(out, Outbound{Name: p.Name, Addr: p.Addr, Message: m.load(Message{Kind: Gossip}, nil)})
 	}
 	return out
 }
 
 // ---- What goes out ----
 
-func (m *Machine) often() int {
+func (m *Membership) often() int {
 	return passOn * int(math.Ceil(math.Log2(float64(len(m.peers)+2))))
 }
 
 // load puts what this relay says of itself on a message, what is given, and the news that was passed on least.
-func (m *Machine) load(msg Message, first []Update) Message {
-	msg.Updates, msg.Note = append([]Update{m.self}, first...), m.note
+func (m *Membership) load(msg Message, first []Update) Message {
+	msg.Updates, msg.UserData = append([]Update{m.self}, first...), m.note
 	if msg.Kind == Ping || msg.Kind == Ack {
-		msg.Seen = m.seen
+		msg.Observed = m.seen
 	}
 	m.sent++
 	fresh := slices.Collect(maps.Values(m.fresh))
@@ -518,18 +518,18 @@
 	return msg
 }
 
-func (m *Machine) send(out []Out, p *Peer, msg Message) []Out {
-	return append(out, Out{Name: p.Name, Addr: p.Addr, Message: m.load(msg, nil)})
+func (m *Membership) send(out []Outbound, p *Peer, msg Message) []Outbound {
+	return append(out, Outbound{Name: p.Name, Addr: p.Addr, Message: m.load(msg, nil)})
 }
 
 // tell sends all that is known, in as many datagrams as it takes. Each piece stands for itself, so a lost one costs only what it
 // held, until the next time.
-func (m *Machine) tell(out []Out, name, addr string, kind Kind) []Out {
+func (m *Membership) tell(out []Outbound, name, addr string, kind Kind) []Outbound {
 	all := []Update{m.self}
 	for _, p := range m.Peers() {
 		all = append(all, p.Update)
 	}
-	const most = DatagramMost - Overhead
+	const most = MaxDatagramSize - Overhead
 	for len(all) > 0 {
 		msg := Message{Kind: kind, Updates: all[:min(len(all), updatesMost)]}
 		if kind = Gossip; all[0].Name != m.self.Name {
@@ -537,7 +537,7 @@
 		}
 		_, fit := msg.Append(nil, most)
 		msg.Updates = msg.Updates[:max(fit, 1)]
-		out = append(out, Out{Name: name, Addr: addr, Message: msg})
+		out = append(out, Outbound{Name: name, Addr: addr, Message: msg})
 		if used := len(msg.Updates); msg.Updates[0].Name == m.self.Name && all[0].Name != m.self.Name {
 			all = all[max(used-1, 1):]
 		} else {
--- a/internal/gossip/peers_test.go
+++ b/internal/gossip/peers_test.go
@@ -32,12 +32,12 @@
 }
 
 type node struct {
-	*Machine
+	*Membership
 	at        int
 	up        bool
 	stopped   bool // SIGSTOP
 	held      []event
-	div       Divisor
+	div       BudgetDivisor
 	incarnate uint64
 }
 
@@ -86,9 +86,9 @@
 	nd.incarnate++
 	nd.up, nd.stopped, nd.held = true, false, nil
 	self := Update{Name: name(i), Addr: addr(i), Zone: "z" + strconv.Itoa(i%3), Incarnation: nd.incarnate << 20, Phase: Serving}
-	nd.Machine = New(w.now, self, []string{addr(0), addr(len(w.nodes) - 1)}, rand.New(rand.NewPCG(w.rng.Uint64(), uint64(i))))
-	nd.div = Divisor{Configured: len(w.nodes)}
-	nd.div.At(w.now, 1, 0) // as the service does: it has heard nobody yet
+	nd.Membership = New(w.now, self, []string{addr(0), addr(len(w.nodes) - 1)}, rand.New(rand.NewPCG(w.rng.Uint64(), uint64(i))))
+	nd.div = BudgetDivisor{Configured: len(w.nodes)}
+	nd.div.Update(w.now, 1, 0) // as the service does: it has heard nobody yet
 	w.push(event{at: w.now, to: i, life: nd.incarnate})
 }
 
@@ -102,20 +102,20 @@
 	return slices.IndexFunc(w.nodes, func(n *node) bool { return addr(n.at) == at })
 }
 
-func (w *world) out(from int, outs []Out) {
+func (w *world) out(from int, outs []Outbound) {
 	for _, o := range outs {
 		to := w.index(o.Addr)
 		if to < 0 {
 			continue
 		}
-		if o.Knock {
-			b, _ := (&Message{Updates: o.Message.Updates}).Append(nil, DatagramMost)
+		if o.DialProbe {
+			b, _ := (&Message{Updates: o.Message.Updates}).Append(nil, MaxDatagramSize)
 			if !w.cut(from, to) && !w.cut(to, from) && !w.nodes[to].up {
 				w.push(event{at: w.now + time.Millisecond, to: from, from: to, life: w.nodes[from].incarnate, knock: b})
 			}
 			continue
 		}
-		b, n := o.Message.Append(nil, DatagramMost-Overhead)
+		b, n := o.Message.Append(nil, MaxDatagramSize-Overhead)
 		if n < len(o.Message.Updates) && o.Message.Kind != Gossip && n == 0 {
 			panic("nothing fits")
 		}
@@ -148,7 +148,7 @@
 			}
 		case e.knock != nil:
 			m, _ := Decode(e.knock)
-			nd.Refused(w.now, m.Updates[0].Name, m.Updates[0].Incarnation)
+			nd.ConnectionRefused(w.now, m.Updates[0].Name, m.Updates[0].Incarnation)
 		case e.bytes != nil:
 			m, err := Decode(e.bytes)
 			if err != nil {
@@ -164,7 +164,7 @@
 					}
 				}
 			}
-			w.push(event{at: max(min(nd.Next(), w.now+time.Second), w.now+tickEvery), to: e.to, life: nd.incarnate})
+			w.push(event{at: max(min(nd.NextTick(), w.now+time.Second), w.now+tickEvery), to: e.to, life: nd.incarnate})
 		}
 	}
 	w.now = until
@@ -286,7 +286,7 @@
 				t.Errorf("seed %d: %d peers, %d errands", seed, len(nd.peers), len(nd.errands))
 			}
 		}
-		if w.largest > DatagramMost {
+		if w.largest > MaxDatagramSize {
 			t.Errorf("seed %d: a datagram of %d bytes", seed, w.largest)
 		}
 	})
@@ -403,7 +403,7 @@
 			for _, nd := range w.nodes {
 				if nd.up && !nd.stopped {
 					live, down := nd.Counts()
-					sum += 1 / nd.div.At(w.now, live, down)
+					sum += 1 / nd.div.Update(w.now, live, down)
 				}
 			}
 			if sum > 4.0/3+1e-9 {
@@ -459,11 +459,11 @@
 		w.more(100 * time.Millisecond)
 		for _, nd := range w.nodes[8:] {
 			live, down := nd.Counts()
-			nd.div.At(w.now, live, down)
+			nd.div.Update(w.now, live, down)
 		}
 	}
 	live, down := w.nodes[9].Counts()
-	if got := w.nodes[9].div.At(w.now, live, down); got > 7.51 {
+	if got := w.nodes[9].div.Update(w.now, live, down); got > 7.51 {
 		t.Errorf("four of twelve live, %d known to be down, and the budget is divided by %.1f", down, got)
 	}
 }
@@ -492,7 +492,7 @@
 				if live, down := nd.Counts(); down > 0 || live > 5 {
 					t.Fatalf("%d live, %d down", live, down)
 				}
-				if len(nd.peers) > PeersMost {
+				if len(nd.peers) > MaxPeers {
 					t.Fatalf("%d peers", len(nd.peers))
 				}
 			}
--- a/internal/gossip/seen.go
+++ b/internal/gossip/seen.go
@@ -22,28 +22,28 @@
 
 // The outcomes.
 const (
-	Good   Outcome = iota // it answered, be it that it is full
-	Bad                   // an error, a reset, a connection that did not come up
-	Silent                // no answer in time
+	Success Outcome = iota // it answered, be it that it is full
+	Failure                // an error, a reset, a connection that did not come up
+	Timeout                // no answer in time
 )
 
-// Sight is what a relay saw itself of one member or zone in the last seconds.
-type Sight struct {
-	Name string `json:"name"`
-	Good uint64 `json:"good"`
-	Bad  uint64 `json:"bad"`
-	Mute uint64 `json:"silent"`
-	Age  uint64 `json:"age_ms"` // of the last one, as it was told
+// Observation is what a relay saw itself of one member or zone in the last seconds.
+type Observation struct {
+	Name      string `json:"name"`
+	Successes uint64 `json:"good"`
+	Failures  uint64 `json:"bad"`
+	Timeouts  uint64 `json:"silent"`
+	AgeMS     uint64 `json:"age_ms"` // of the last one, as it was told
 }
 
 // Digest is what a relay tells others of what it saw: its zones, and the members that look worst.
 type Digest struct {
-	Zones   []Sight `json:"zones"`
-	Members []Sight `json:"members"`
+	Zones   []Observation `json:"zones"`
+	Members []Observation `json:"members"`
 }
 
-// Book counts what this relay sees. It does no I/O; the time is passed in.
-type Book struct {
+// ObservationWindow counts what this relay sees. It does no I/O; the time is passed in.
+type ObservationWindow struct {
 	turned   time.Duration
 	new, old [2]map[string]*tally // zones and members
 }
@@ -53,8 +53,8 @@
 	last time.Duration
 }
 
-// Note counts one attempt or probe.
-func (b *Book) Note(now time.Duration, member, zone string, how Outcome) {
+// UserData counts one attempt or probe.
+func (b *ObservationWindow) Record(now time.Duration, member, zone string, how Outcome) {
 	b.turn(now)
 	for i, name := range []string{zone, member} {
 		if b.new[i] == nil {
@@ -74,7 +74,7 @@
 }
 
 // turn forgets what is older than two spans.
-func (b *Book) turn(now time.Duration) {
+func (b *ObservationWindow) turn(now time.Duration) {
 	if now-b.turned < bookSpan {
 		return
 	}
@@ -85,29 +85,29 @@
 }
 
 // Digest is what to tell by now.
-func (b *Book) Digest(now time.Duration) (d Digest) {
+func (b *ObservationWindow) Digest(now time.Duration) (d Digest) {
 	b.turn(now)
-	for i, to := range []*[]Sight{&d.Zones, &d.Members} {
-		sum := map[string]*Sight{}
+	for i, to := range []*[]Observation{&d.Zones, &d.Members} {
+		sum := map[string]*Observation{}
 		for _, half := range []map[string]*tally{b.new[i], b.old[i]} {
 			for name, t := range half {
 				s := sum[name]
 				if s == nil {
-					s = &Sight{Name: name, Age: uint64((now - t.last).Milliseconds())}
+					s = &Observation{Name: name, AgeMS: uint64((now - t.last).Milliseconds())}
 					sum[name] = s
 				}
-				s.Good, s.Bad, s.Mute = s.Good+t.n[Good], s.Bad+t.n[Bad], s.Mute+t.n[Silent]
-				s.Age = min(s.Age, uint64((now - t.last).Milliseconds()))
+				s.Successes, s.Failures, s.Timeouts = s.Successes+t.n[Success], s.Failures+t.n[Failure], s.Timeouts+t.n[Timeout]
+				s.AgeMS = min(s.AgeMS, uint64((now - t.last).Milliseconds()))
 			}
 		}
 		for _, s := range sum {
-			if i == 1 && s.Bad+s.Mute == 0 || len(s.Name) > nameMost {
+			if i == 1 && s.Failures+s.Timeouts == 0 || len(s.Name) > nameMost {
 				continue // of members only those that fail are told
 			}
 			*to = append(*to, *s)
 		}
-		slices.SortFunc(*to, func(x, y Sight) int {
-			return cmp.Or(cmp.Compare(y.Bad+y.Mute, x.Bad+x.Mute), cmp.Compare(x.Name, y.Name))
+		slices.SortFunc(*to, func(x, y Observation) int {
+			return cmp.Or(cmp.Compare(y.Failures+y.Timeouts, x.Failures+x.Timeouts), cmp.Compare(x.Name, y.Name))
 		})
 		*to = (*to)[:min(len(*to), sightsMost)]
 	}
@@ -116,10 +116,10 @@
 
 func (d Digest) append(b []byte) []byte {
 	var one []byte
-	for i, all := range [][]Sight{d.Zones, d.Members} {
+	for i, all := range [][]Observation{d.Zones, d.Members} {
 		for _, s := range all[:min(len(all), sightsMost)] {
 			one = protowire.AppendString(protowire.AppendTag(one[:0], 1, protowire.BytesType), s.Name)
-			for n, v := range []uint64{s.Good, s.Bad, s.Mute, s.Age} {
+			for n, v := range []uint64{s.Successes, s.Failures, s.Timeouts, s.AgeMS} {
 				one = protowire.AppendVarint(protowire.AppendTag(one, protowire.Number(n+2), protowire.VarintType), v)
 			}
 			b = protowire.AppendBytes(protowire.AppendTag(b, protowire.Number(i+1), protowire.BytesType), one)
@@ -138,19 +138,19 @@
 		if n > 2 {
 			return true // of a newer version
 		}
-		var one Sight
+		var one Observation
 		_, err := fields(s, func(n protowire.Number, v uint64, s []byte) bool {
 			switch n {
 			case 1:
 				one.Name = string(s)
 			case 2:
-				one.Good = v
+				one.Successes = v
 			case 3:
-				one.Bad = v
+				one.Failures = v
 			case 4:
-				one.Mute = v
+				one.Timeouts = v
 			case 5:
-				one.Age = v
+				one.AgeMS = v
 			}
 			return true
 		})
--- a/internal/gossip/seen_test.go
+++ b/internal/gossip/seen_test.go
@@ -10,23 +10,23 @@
 // TestBook: counts of the last spans, worst first, bounded, gone when they are old; what is told fits a datagram and is read
 // again as it was.
 func TestBook(t *testing.T) {
-	var b Book
+	var b ObservationWindow
 	for i := range 100 {
 		name := fmt.Sprintf("s%02d", i)
 		for range i {
-			b.Note(time.Second, name, fmt.Sprintf("z%d", i%3), Silent)
+			b.Record(time.Second, name, fmt.Sprintf("z%d", i%3), Timeout)
 		}
-		b.Note(2*time.Second, name, fmt.Sprintf("z%d", i%3), Good)
+		b.Record(2*time.Second, name, fmt.Sprintf("z%d", i%3), Success)
 	}
 	d := b.Digest(3 * time.Second)
-	if len(d.Zones) != 3 || len(d.Members) != sightsMost || !reflect.DeepEqual(d.Members[0], Sight{"s99", 1, 0, 99, 1000}) {
+	if len(d.Zones) != 3 || len(d.Members) != sightsMost || !reflect.DeepEqual(d.Members[0], Observation{"s99", 1, 0, 99, 1000}) {
 		t.Errorf("%+v", d)
 	}
-	m := Message{Kind: Ping, Seen: d, Updates: []Update{{Name: "n1", Addr: "127.0.0.1:1", State: Alive}}}
-	text, fit := m.Append(nil, DatagramMost-Overhead)
+	m := Message{Kind: Ping, Observed: d, Updates: []Update{{Name: "n1", Addr: "127.0.0.1:1", State: Alive}}}
+	text, fit := m.Append(nil, MaxDatagramSize-Overhead)
 	got, err := Decode(text)
-	if err != nil || fit != 1 || !reflect.DeepEqual(got.Seen, d) || len(text) > 600 {
-		t.Errorf("%v, %d fit in %d bytes, %+v", err, fit, len(text), got.Seen)
+	if err != nil || fit != 1 || !reflect.DeepEqual(got.Observed, d) || len(text) > 600 {
+		t.Errorf("%v, %d fit in %d bytes, %+v", err, fit, len(text), got.Observed)
 	}
 	if d := b.Digest(7 * time.Second); len(d.Members) != sightsMost {
 		t.Error("forgotten too soon")
@@ -34,7 +34,7 @@
 	if d := b.Digest(20 * time.Second); len(d.Zones)+len(d.Members) != 0 {
 		t.Errorf("not forgotten: %+v", d)
 	}
-	long := Digest{Zones: make([]Sight, sightsMost+1)}
+	long := Digest{Zones: make([]Observation, sightsMost+1)}
 	all := append(long.Zones[:0:0], long.Zones...)
 	var raw []byte
 	for range 2 { // nine zones in two halves: more than may be told
@@ -48,7 +48,7 @@
 // TestStale: a relay asks when others stay ahead, less and less often while nothing comes of it, and not for one of several.
 func TestStale(t *testing.T) {
 	peer := func(generation uint64, state State) *Peer {
-		return &Peer{Update: Update{State: state, Phase: Serving, Generation: generation}, Heard: 1}
+		return &Peer{Update: Update{State: state, Phase: Serving, Generation: generation}, LastContact: 1}
 	}
 	for _, c := range []struct {
 		what  string
@@ -61,10 +61,10 @@
 		{"two of three", []*Peer{peer(8, Alive), peer(9, Alive), peer(7, Alive)}, 5},
 		{"two that are gone", []*Peer{peer(8, Gone), peer(9, Dead), peer(7, Alive)}, 0},
 	} {
-		var s Stale
+		var s StaleListDetector
 		asks, first := 0, time.Duration(0)
 		for now := time.Second; now <= time.Minute; now += 250 * time.Millisecond {
-			if s.Ask(now, 7, c.peers) {
+			if s.ShouldRefresh(now, 7, c.peers) {
 				if asks++; asks == 1 {
 					first = now
 				}
@@ -74,13 +74,13 @@
 			t.Errorf("%s: %d calls, the first after %v", c.what, asks, first)
 		}
 	}
-	var s Stale
+	var s StaleListDetector
 	for now := time.Second; now < 5*time.Second; now += 250 * time.Millisecond {
 		own := uint64(7)
 		if now > 1500*time.Millisecond {
 			own = 8 // its own watch has told it a little later
 		}
-		if s.Ask(now, own, []*Peer{peer(8, Alive)}) {
+		if s.ShouldRefresh(now, own, []*Peer{peer(8, Alive)}) {
 			t.Errorf("asked at %v for what it holds", now)
 		}
 	}
--- a/internal/gossip/stale.go
+++ b/internal/gossip/stale.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Stale says when a relay should ask discovery at once, since others hold a newer list: its own watch may be dead and not know it. It
+// StaleListDetector says when a relay should ask discovery at once, since others hold a newer list: its own watch may be dead and not know it. It
 // decides by what peers say of themselves, believes none of them about any member, and asks the less often the longer nothing comes of it, so
 // that a peer that claims what is not so costs a call now and then.
-type Stale struct {
+type StaleListDetector struct {
 	since time.Duration // when others were first seen to be ahead; 0: they are not
 	asked time.Duration
 	wait  time.Duration // until the next call, at least
@@ -18,11 +18,11 @@
 	staleMost = 32 * time.Second
 )
 
-// Ask says whether to ask now, given the generation that this relay holds.
-func (s *Stale) Ask(now time.Duration, own uint64, peers []*Peer) bool {
+// PingReq says whether to ask now, given the generation that this relay holds.
+func (s *StaleListDetector) ShouldRefresh(now time.Duration, own uint64, peers []*Peer) bool {
 	ahead, live := 0, 0
 	for _, p := range peers {
-		if p.State == Alive && p.Phase == Serving && p.Heard > 0 {
+		if p.State == Alive && p.Phase == Serving && p.LastContact > 0 {
 			if live++; p.Generation > own {
 				ahead++
 			}
--- a/internal/gossiptransport/peering.go
+++ b/internal/gossiptransport/peering.go
@@ -26,40 +26,40 @@
 
 // Options is what a Service is made of.
 type Options struct {
-	Loop       *netloop.Loop
-	Log        logrus.FieldLogger
-	Name, Zone string
-	Listen     string
-	Address    string // as others reach it
-	Known      []string
-	Reach      map[string]string
-	Keys       gossip.Keys
-	Configured int // relays
-	Seed       uint64
-	Wall       func() time.Time // numbers this process, above the earlier ones of its name
+	Loop             *netloop.Loop
+	Log              logrus.FieldLogger
+	Name, Zone       string
+	Listen           string
+	Address          string // as others reach it
+	Seeds            []string
+	AddressOverrides map[string]string
+	Keys             gossip.Keys
+	Configured       int // relays
+	Seed             uint64
+	WallClock        func() time.Time // numbers this process, above the earlier ones of its name
 	// Own says what this relay does: its phase, the generation of its list, its open flows, and how many requests it has had.
-	Own func() (phase gossip.Phase, generation, flows, requests uint64)
-	// Seen is what it saw itself of members and zones.
-	Seen func() gossip.Digest
-	// Ahead is called when others have held a newer list than this relay for a while.
-	Ahead func()
-	// Noted is told what other relays pass on for others than this package; nil if nobody wants it.
-	Noted func(from string, note []byte)
-	// Share is told by how many the budgets are divided that all relays share, when that changes.
-	Share func(float64)
+	LocalStatus func() (phase gossip.Phase, generation, flows, requests uint64)
+	// Observed is what it saw itself of members and zones.
+	Observations func() gossip.Digest
+	// OnStaleList is called when others have held a newer list than this relay for a while.
+	OnStaleList func()
+	// OnUserData is told what other relays pass on for others than this package; nil if nobody wants it.
+	OnUserData func(from string, note []byte)
+	// OnDivisorChange is told by how many the budgets are divided that all relays share, when that changes.
+	OnDivisorChange func(float64)
 }
 
 // Service is this relay among its peers.
 type Service struct {
 	Options
-	m         *gossip.Machine
+	m         *gossip.Membership
 	seal      gossip.Sealer
 	open      gossip.Opener
 	sock      *netloop.UDPSocket
 	door      *netloop.Listener
 	tick      *netloop.Timer
-	div       gossip.Divisor
-	stale     gossip.Stale
+	div       gossip.BudgetDivisor
+	stale     gossip.StaleListDetector
 	share     float64
 	malformed int
 	requests  uint64         // when they were last told
@@ -70,20 +70,20 @@
 
 // New begins, also where the address is still held by another process: then it is tried again.
 func New(o Options) *Service {
-	start := uint64(o.Wall().UnixMilli())
+	start := uint64(o.WallClock().UnixMilli())
 	s := &Service{Options: o, seal: gossip.Sealer{Keys: o.Keys, Name: o.Name, Start: start}, open: gossip.Opener{Keys: o.Keys},
-		div: gossip.Divisor{Configured: o.Configured}, share: float64(o.Configured), in: map[string]int{}, out: map[string]int{}}
+		div: gossip.BudgetDivisor{Configured: o.Configured}, share: float64(o.Configured), in: map[string]int{}, out: map[string]int{}}
 	s.start = start
 	self := gossip.Update{Name: o.Name, Addr: o.Address, Zone: o.Zone, Incarnation: start}
-	s.m = gossip.New(o.Loop.Now(), self, o.Known, rand.New(rand.NewPCG(o.Seed, start)))
-	s.m.Noted = o.Noted
+	s.m = gossip.New(o.Loop.Now(), self, o.Seeds, rand.New(rand.NewPCG(o.Seed, start)))
+	s.m.OnUserData = o.OnUserData
 	s.listen()
 	return s
 }
 
-// Carry has a note go round: with each datagram, and at once if it is a new one.
-func (s *Service) Carry(note []byte) {
-	s.m.Carry(s.Loop.Now(), note)
+// SetUserData has a note go round: with each datagram, and at once if it is a new one.
+func (s *Service) SetUserData(note []byte) {
+	s.m.SetUserData(s.Loop.Now(), note)
 	if !s.closed && s.sock != nil {
 		s.due()
 	}
@@ -117,20 +117,20 @@
 	if s.closed {
 		return
 	}
-	phase, generation, flows, requests := s.Own()
+	phase, generation, flows, requests := s.LocalStatus()
 	now := s.Loop.Now()
-	s.m.Say(now, phase, generation, flows, requests-s.requests) // as sayEvery is a second
+	s.m.SetStatus(now, phase, generation, flows, requests-s.requests) // as sayEvery is a second
 	s.requests = requests
-	s.m.Show(s.Seen())
-	if s.stale.Ask(now, generation, s.m.Peers()) {
-		s.Ahead()
+	s.m.SetObservations(s.Observations())
+	if s.stale.ShouldRefresh(now, generation, s.m.Peers()) {
+		s.OnStaleList()
 	}
-	s.open.Forget(now)
+	s.open.Prune(now)
 	live, down := s.m.Counts()
-	if share := s.div.At(now, live, down); share != s.share {
+	if share := s.div.Update(now, live, down); share != s.share {
 		s.Log.WithFields(logrus.Fields{"from": s.share, "to": share}).Info("peers: budgets are divided anew")
 		s.share = share
-		s.Share(share)
+		s.OnDivisorChange(share)
 	}
 	s.Loop.After(sayEvery, s.say)
 }
@@ -142,7 +142,7 @@
 		return
 	}
 	s.send(s.m.Tick(s.Loop.Now()))
-	s.tick = s.Loop.After(s.m.Next()-s.Loop.Now(), s.due)
+	s.tick = s.Loop.After(s.m.NextTick()-s.Loop.Now(), s.due)
 }
 
 // milliseconds is the relay's own clock as it stands on a datagram. Only its differences count, so it need not be the
@@ -161,32 +161,32 @@
 		s.malformed++
 		return
 	}
-	if _, known := s.in[name]; known || len(s.in) < gossip.PeersMost {
+	if _, known := s.in[name]; known || len(s.in) < gossip.MaxPeers {
 		s.in[name] += len(b)
 	}
 	s.send(s.m.Receive(now, name, m))
-	if next := s.m.Next(); !s.closed && next < now+time.Second {
+	if next := s.m.NextTick(); !s.closed && next < now+time.Second {
 		s.tick.Stop()
 		s.tick = s.Loop.After(next-now, s.due)
 	}
 }
 
-func (s *Service) send(out []gossip.Out) {
+func (s *Service) send(out []gossip.Outbound) {
 	for _, o := range out {
-		to, elsewhere := s.Reach[o.Name]
+		to, elsewhere := s.AddressOverrides[o.Name]
 		if !elsewhere {
 			to = o.Addr
 		}
-		if o.Knock {
+		if o.DialProbe {
 			if u := o.Message.Updates[0]; !elsewhere { // a refusal counts at a relay's own door alone
 				k := &knock{s: s, name: u.Name, incarnation: u.Incarnation}
 				k.c = s.Loop.Dial(to, knockWithin, k)
 			}
 			continue
 		}
-		content, _ := o.Message.Append(nil, gossip.DatagramMost-gossip.Overhead)
+		content, _ := o.Message.Append(nil, gossip.MaxDatagramSize-gossip.Overhead)
 		b := s.seal.Seal(content, milliseconds(s.Loop.Now()))
-		if _, known := s.out[o.Name]; known || len(s.out) < gossip.PeersMost {
+		if _, known := s.out[o.Name]; known || len(s.out) < gossip.MaxPeers {
 			s.out[o.Name] += len(b)
 		}
 		s.sock.Send(to, b)
@@ -206,11 +206,11 @@
 	s.door.Close()
 }
 
-// Addresses are those of the relays that live, as this one reaches them.
-func (s *Service) Addresses() (all []string) {
+// LiveAddresses are those of the relays that live, as this one reaches them.
+func (s *Service) LiveAddresses() (all []string) {
 	for _, p := range s.m.Peers() {
 		if p.State <= gossip.Suspect {
-			at, elsewhere := s.Reach[p.Name]
+			at, elsewhere := s.AddressOverrides[p.Name]
 			if !elsewhere {
 				at = p.Addr
 			}
@@ -220,14 +220,14 @@
 	return all
 }
 
-// Start is this process's first incarnation: all that others hold of it is at least that.
-func (s *Service) Start() uint64 { return s.start }
+// Incarnation is this process's first incarnation: all that others hold of it is at least that.
+func (s *Service) Incarnation() uint64 { return s.start }
 
-// Known is what is held of the other relays.
-func (s *Service) Known() []*gossip.Peer { return s.m.Peers() }
+// Seeds is what is held of the other relays.
+func (s *Service) Peers() []*gossip.Peer { return s.m.Peers() }
 
-// Shares says how many relays live, and by how many budgets are divided.
-func (s *Service) Shares() (live int, share float64) {
+// BudgetDivisor says how many relays live, and by how many budgets are divided.
+func (s *Service) BudgetDivisor() (live int, share float64) {
 	live, _ = s.m.Counts()
 	return live, s.share
 }
@@ -236,8 +236,8 @@
 var phaseNames = map[gossip.Phase]string{gossip.Starting: "starting", gossip.Recovering: "recovering", gossip.Serving: "serving",
 	gossip.Draining: "draining", gossip.Leaving: "leaving"}
 
-// Account is what operators are told of one relay. Times are milliseconds ago.
-type Account struct {
+// PeerStatus is what operators are told of one relay. Times are milliseconds ago.
+type PeerStatus struct {
 	Name        string `json:"name"`
 	Address     string `json:"address"`
 	Zone        string `json:"zone"`
@@ -248,25 +248,25 @@
 	Flows       uint64 `json:"flows"`
 	Rate        uint64 `json:"requests_per_s"`
 	Since       int64  `json:"since_ms"`
-	Heard       int64  `json:"heard_ms"` // -1: never by its own word
+	LastContact int64  `json:"heard_ms"` // -1: never by its own word
 	In          int    `json:"bytes_in"`
 	Out         int    `json:"bytes_out"`
 	Accuser     string `json:"accuser,omitempty"`
-	// Seen is what it saw itself of zones and of the members that fail most; SeenAgo is when it said so, -1: never.
-	Seen    gossip.Digest `json:"seen"`
-	SeenAgo int64         `json:"seen_ms"`
+	// Observed is what it saw itself of zones and of the members that fail most; ObservedAgo is when it said so, -1: never.
+	Observed    gossip.Digest `json:"seen"`
+	ObservedAgo int64         `json:"seen_ms"`
 }
 
-// Text is the whole account, as JSON.
-func (s *Service) Text() string {
+// StatusJSON is the whole account, as JSON.
+func (s *Service) StatusJSON() string {
 	now := s.Loop.Now()
-	account := func(u gossip.Update) Account {
-		return Account{Name: u.Name, Address: u.Addr, Zone: u.Zone, State: stateNames[u.State], Phase: phaseNames[u.Phase],
+	account := func(u gossip.Update) PeerStatus {
+		return PeerStatus{Name: u.Name, Address: u.Addr, Zone: u.Zone, State: stateNames[u.State], Phase: phaseNames[u.Phase],
 			Incarnation: u.Incarnation, Generation: u.Generation, Flows: u.Flows, Rate: u.Rate, Accuser: u.Accuser, In: s.in[u.Name], Out: s.out[u.Name]}
 	}
 	live, down := s.m.Counts()
 	all := struct {
-		Self       Account        `json:"self"`
+		Self       PeerStatus     `json:"self"`
 		Live       int            `json:"live"`
 		Down       int            `json:"down"`
 		Configured int            `json:"configured"`
@@ -274,11 +274,11 @@
 		Refused    map[string]int `json:"refused"`
 		Clashes    int            `json:"clashes"`
 		Beyond     int            `json:"beyond_the_bound"`
-		Peers      []Account      `json:"peers"`
+		Peers      []PeerStatus   `json:"peers"`
 	}{Self: account(s.m.Self()), Live: live, Down: down, Configured: s.Configured, Share: s.share, Refused: map[string]int{},
-		Clashes: s.m.Clashes, Beyond: s.m.Refusals, Peers: []Account{}}
-	all.Self.Seen = s.m.Shown()
-	for reason, n := range s.open.Refused {
+		Clashes: s.m.NameConflicts, Beyond: s.m.RejectedPeers, Peers: []PeerStatus{}}
+	all.Self.Observed = s.m.Observations()
+	for reason, n := range s.open.Rejected {
 		all.Refused[reason] = n
 	}
 	if s.malformed > 0 {
@@ -286,12 +286,12 @@
 	}
 	for _, p := range s.m.Peers() {
 		a := account(p.Update)
-		a.Since, a.Heard, a.Seen, a.SeenAgo = (now - p.Since).Milliseconds(), -1, p.Seen, -1
-		if p.SeenAt > 0 {
-			a.SeenAgo = (now - p.SeenAt).Milliseconds()
+		a.Since, a.LastContact, a.Observed, a.ObservedAgo = (now - p.Since).Milliseconds(), -1, p.Observed, -1
+		if p.ObservedAt > 0 {
+			a.ObservedAgo = (now - p.ObservedAt).Milliseconds()
 		}
-		if p.Heard > 0 {
-			a.Heard = (now - p.Heard).Milliseconds()
+		if p.LastContact > 0 {
+			a.LastContact = (now - p.LastContact).Milliseconds()
 		}
 		all.Peers = append(all.Peers, a)
 	}
@@ -319,7 +319,7 @@
 // End is told by the loop.
 func (k *knock) End(err error) {
 	if errors.Is(err, unix.ECONNREFUSED) && !k.s.closed {
-		k.s.m.Refused(k.s.Loop.Now(), k.name, k.incarnation)
+		k.s.m.ConnectionRefused(k.s.Loop.Now(), k.name, k.incarnation)
 		k.s.due()
 	}
 	k.c.Finish()
--- a/internal/gossiptransport/peering_test.go
+++ b/internal/gossiptransport/peering_test.go
@@ -32,10 +32,10 @@
 	var known []string
 	for i := range n {
 		addr := freeAddress(t)
-		s := New(Options{Loop: b.Loop, Log: log, Name: fmt.Sprint("n", i), Listen: addr, Address: addr, Known: known, Keys: gossip.Keys{[]byte("a key of thirty-two bytes or more")},
-			Configured: n, Seed: uint64(i), Wall: func() time.Time { return time.UnixMilli(1700000000000).Add(b.Loop.Now() + steps[i]) },
-			Own:  func() (gossip.Phase, uint64, uint64, uint64) { return gossip.Serving, 1, 0, 0 },
-			Seen: func() gossip.Digest { return gossip.Digest{} }, Ahead: func() {}, Share: func(float64) {}})
+		s := New(Options{Loop: b.Loop, Log: log, Name: fmt.Sprint("n", i), Listen: addr, Address: addr, Seeds: known, Keys: gossip.Keys{[]byte("a key of thirty-two bytes or more")},
+			Configured: n, Seed: uint64(i), WallClock: func() time.Time { return time.UnixMilli(1700000000000).Add(b.Loop.Now() + steps[i]) },
+			LocalStatus:  func() (gossip.Phase, uint64, uint64, uint64) { return gossip.Serving, 1, 0, 0 },
+			Observations: func() gossip.Digest { return gossip.Digest{} }, OnStaleList: func() {}, OnDivisorChange: func(float64) {}})
 		if s.sock == nil {
 			t.Fatal("no address")
 		}
@@ -55,7 +55,7 @@
 		live := func() int {
 			least := len(all)
 			for _, s := range all {
-				n, _ := s.Shares()
+				n, _ := s.BudgetDivisor()
 				least = min(least, n)
 			}
 			return least
