--- a/internal/rollout/account.go
+++ b/internal/rollout/account.go
@@ -9,9 +9,9 @@
 // The account: what is out by plan (units, permits, relays that are shut) and what is lost beside it, against the budgets. Plan and Apply
 // count by the same code: Plan from the view, Apply from the state and the sight that stands in the command.
 
-// planned is what is out by plan.
-func (d *record) planned(kind string) []ZonedName {
-	list := d.given(kind)
+// plannedOut is what is out by plan.
+func (d *record) plannedOut(kind string) []ZonedName {
+	list := d.grantedOut(kind)
 	for i := range d.Quarantines {
 		if s := &d.Quarantines[i]; kind == KindRelay && !s.InService {
 			list = append(list, ZonedName{s.Name, s.Zone})
@@ -20,13 +20,13 @@
 	return list
 }
 
-// given is what is out by plan to go and come back. A relay that is shut may be given out beside: that is how it is mended.
-func (d *record) given(kind string) []ZonedName {
+// grantedOut is what is out by plan to go and come back. A relay that is shut may be given out beside: that is how it is mended.
+func (d *record) grantedOut(kind string) []ZonedName {
 	var list []ZonedName
 	for i := range d.Releases {
 		for j := range d.Releases[i].Units {
 			if u := &d.Releases[i].Units[j]; u.Kind == kind && u.isOut() {
-				list = append(list, ZonedName{u.name(), u.Zone})
+				list = append(list, ZonedName{u.currentName(), u.Zone})
 			}
 		}
 	}
@@ -38,10 +38,10 @@
 	return list
 }
 
-// covered are the names that a planned one stands for: its own, and its first.
-func (d *record) covered(kind string) map[string]bool {
+// coveredNames are the names that a planned one stands for: its own, and its first.
+func (d *record) coveredNames(kind string) map[string]bool {
 	names := map[string]bool{}
-	for _, p := range d.planned(kind) {
+	for _, p := range d.plannedOut(kind) {
 		names[p.Name] = true
 	}
 	for i := range d.Releases {
@@ -54,18 +54,18 @@
 	return names
 }
 
-// sound says that others see the relay serve, and that nothing it says itself speaks against it.
-func (r *Relay) sound(b Budgets) bool {
-	return r.InService && !r.Exited && r.live(b) && (r.Phase == "serving" || r.Phase == "")
+// healthy says that others see the relay serve, and that nothing it says itself speaks against it.
+func (r *Relay) healthy(b Budgets) bool {
+	return r.InService && !r.Exited && r.reporting(b) && (r.Phase == "serving" || r.Phase == "")
 }
 
-func (r *Relay) live(b Budgets) bool {
+func (r *Relay) reporting(b Budgets) bool {
 	return !r.Exited && r.ReportAgeMS >= 0 && r.ReportAgeMS <= b.SilentAfterMS
 }
 
-func (m *Member) sound() bool { return !m.Failing && m.UsableCapacity >= m.Capacity }
+func (m *Member) healthy() bool { return !m.Failing && m.UsableCapacity >= m.Capacity }
 
-func (m *Member) flows() int {
+func (m *Member) totalFlows() int {
 	n := 0
 	for _, h := range m.FlowsByRelay {
 		n += h.Flows
@@ -73,10 +73,10 @@
 	return n
 }
 
-// relays is the relays' side of a view.
-func (d *record) relays(v *View, b Budgets) KindSummary {
+// summarizeRelays is the relays' side of a view.
+func (d *record) summarizeRelays(v *View, b Budgets) KindSummary {
 	s := KindSummary{CountByZone: map[string]int{}, CapacityKnown: len(v.Relays) > 0}
-	covered := d.covered(KindRelay)
+	covered := d.coveredNames(KindRelay)
 	for i := range v.Relays {
 		r := &v.Relays[i]
 		s.Load += float64(r.Flows)
@@ -84,47 +84,47 @@
 		switch {
 		case covered[r.Name]:
 			continue
-		case r.sound(b):
+		case r.healthy(b):
 			s.RemainingCapacity += r.Capacity
 		default:
 			s.Unavailable = append(s.Unavailable, ZonedName{r.Name, r.Zone})
 		}
 		s.CountByZone[r.Zone]++
 	}
-	return s.with(d.planned(KindRelay))
+	return s.withPlanned(d.plannedOut(KindRelay))
 }
 
-// members is the members' side. Those that come back bear what they bear.
-func (d *record) members(v *View) KindSummary {
+// summarizeMembers is the members' side. Those that come back bear what they bear.
+func (d *record) summarizeMembers(v *View) KindSummary {
 	s := KindSummary{CountByZone: map[string]int{}, Load: v.Load, CapacityKnown: len(v.Members) > 0}
-	covered, coming := d.covered(KindMember), map[string]bool{}
+	covered, coming := d.coveredNames(KindMember), map[string]bool{}
 	for i := range d.Releases {
 		for j := range d.Releases[i].Units {
 			if u := &d.Releases[i].Units[j]; u.Phase == PhaseReplaced {
-				coming[u.name()] = true
+				coming[u.currentName()] = true
 			}
 		}
 	}
 	for i := range v.Members {
 		m := &v.Members[i]
 		s.CapacityKnown = s.CapacityKnown && m.Capacity > 0
-		_, banned := d.banned(m.Name)
+		_, banned := d.findEjection(m.Name)
 		if !m.Failing && !banned && (!covered[m.Name] || coming[m.Name]) {
 			s.RemainingCapacity += m.UsableCapacity
 		}
 		if covered[m.Name] {
 			continue
 		}
-		if banned || !m.sound() {
+		if banned || !m.healthy() {
 			s.Unavailable = append(s.Unavailable, ZonedName{m.Name, m.Zone})
 		}
 		s.CountByZone[m.Zone]++
 	}
-	return s.with(d.planned(KindMember))
+	return s.withPlanned(d.plannedOut(KindMember))
 }
 
-// with counts those out by plan among what there is: each once.
-func (s KindSummary) with(planned []ZonedName) KindSummary {
+// withPlanned counts those out by plan among what there is: each once.
+func (s KindSummary) withPlanned(planned []ZonedName) KindSummary {
 	seen := map[string]bool{}
 	for _, p := range planned {
 		if !seen[p.Name] {
@@ -135,105 +135,105 @@
 	return s
 }
 
-// room is what may still go out on one side.
-type room struct {
-	budget   Budget
-	headroom float64
-	side     KindSummary
-	zones    map[string]int // out, by zone
-	out      map[string]bool
-	planned  map[string]bool // out to go and come back
-	total    int
+// allowance is what may still go out on one side.
+type allowance struct {
+	budget          Budget
+	capacityReserve float64
+	summary         KindSummary
+	outByZone       map[string]int // out, by zone
+	out             map[string]bool
+	granted         map[string]bool // out to go and come back
+	total           int
 }
 
-func (d *record) room(kind string, s KindSummary, b Budgets) *room {
-	r := &room{budget: b.Members, headroom: b.CapacityReserve, side: s, zones: map[string]int{}, out: map[string]bool{}, planned: map[string]bool{}}
+func (d *record) allowance(kind string, s KindSummary, b Budgets) *allowance {
+	r := &allowance{budget: b.Members, capacityReserve: b.CapacityReserve, summary: s, outByZone: map[string]int{}, out: map[string]bool{}, granted: map[string]bool{}}
 	if kind == KindRelay {
 		r.budget = b.Relays
 	}
 	for _, n := range s.CountByZone {
 		r.total += n
 	}
-	for _, p := range d.planned(kind) {
+	for _, p := range d.plannedOut(kind) {
 		r.add(p)
 	}
-	for _, p := range d.given(kind) {
-		r.planned[p.Name] = true
+	for _, p := range d.grantedOut(kind) {
+		r.granted[p.Name] = true
 	}
 	for _, p := range s.Unavailable {
-		if planted != "no failures" {
+		if plantedDefect != "no failures" {
 			r.add(p)
 		}
 	}
 	return r
 }
 
-// planted is a defect that a test switches on to see that it is found; "" else.
-var planted string
+// plantedDefect is a defect that a test switches on to see that it is found; "" else.
+var plantedDefect string
 
-func (r *room) add(p ZonedName) {
+func (r *allowance) add(p ZonedName) {
 	if !r.out[p.Name] {
 		r.out[p.Name] = true
-		r.zones[p.Zone]++
+		r.outByZone[p.Zone]++
 	}
 }
 
-// over says what is overdrawn.
-func (r *room) over() string {
-	if most := r.budget.whole(r.total); len(r.out) > most {
+// overdrawn says what is overdrawn.
+func (r *allowance) overdrawn() string {
+	if most := r.budget.totalLimit(r.total); len(r.out) > most {
 		return fmt.Sprintf("%d are out, of %d that may be", len(r.out), most)
 	}
-	for _, z := range slices.Sorted(maps.Keys(r.zones)) {
-		if most := r.budget.zone(r.side.CountByZone[z]); r.zones[z] > most {
-			return fmt.Sprintf("%d are out in zone %q, of %d that may be", r.zones[z], z, most)
+	for _, z := range slices.Sorted(maps.Keys(r.outByZone)) {
+		if most := r.budget.zoneLimit(r.summary.CountByZone[z]); r.outByZone[z] > most {
+			return fmt.Sprintf("%d are out in zone %q, of %d that may be", r.outByZone[z], z, most)
 		}
 	}
 	return ""
 }
 
-// short says that what is left does not even carry the load, headroom left aside.
-func (r *room) short() string {
-	if r.side.CapacityKnown && r.side.RemainingCapacity < r.side.Load {
-		return fmt.Sprintf("what is left bears %.0f, the load is %.0f", r.side.RemainingCapacity, r.side.Load)
+// shortfall says that what is left does not even carry the load, headroom left aside.
+func (r *allowance) shortfall() string {
+	if r.summary.CapacityKnown && r.summary.RemainingCapacity < r.summary.Load {
+		return fmt.Sprintf("what is left bears %.0f, the load is %.0f", r.summary.RemainingCapacity, r.summary.Load)
 	}
 	return ""
 }
 
-// take counts a thing as out, or says why it may not be. What is lost already costs nothing more, and goes out only while nothing is overdrawn.
-func (r *room) take(name, zone string, bears float64) string {
-	if r.planned[name] {
+// reserve counts a thing as out, or says why it may not be. What is lost already costs nothing more, and goes out only while nothing is overdrawn.
+func (r *allowance) reserve(name, zone string, bears float64) string {
+	if r.granted[name] {
 		return name + " is out already"
 	}
-	if why := r.over(); why != "" {
+	if why := r.overdrawn(); why != "" {
 		return why
 	}
 	if !r.out[name] {
-		if most := r.budget.whole(r.total); len(r.out)+1 > most {
+		if most := r.budget.totalLimit(r.total); len(r.out)+1 > most {
 			return fmt.Sprintf("%d of %d that may be are out", len(r.out), most)
 		}
-		if most := r.budget.zone(r.side.CountByZone[zone]); r.zones[zone]+1 > most {
-			return fmt.Sprintf("%d of %d that may be are out in zone %q", r.zones[zone], most, zone)
+		if most := r.budget.zoneLimit(r.summary.CountByZone[zone]); r.outByZone[zone]+1 > most {
+			return fmt.Sprintf("%d of %d that may be are out in zone %q", r.outByZone[zone], most, zone)
 		}
 	}
-	if r.side.CapacityKnown && bears > 0 && r.side.RemainingCapacity-bears < r.side.Load*(1+r.headroom) {
-		return fmt.Sprintf("what is left would bear %.0f, the load with headroom is %.0f", r.side.RemainingCapacity-bears, r.side.Load*(1+r.headroom))
+	if r.summary.CapacityKnown && bears > 0 && r.summary.RemainingCapacity-bears < r.summary.Load*(1+r.capacityReserve) {
+		return fmt.Sprintf("what is left would bear %.0f, the load with headroom is %.0f", r.summary.RemainingCapacity-bears, r.summary.Load*(1+r.capacityReserve))
 	}
 	r.add(ZonedName{name, zone})
-	r.planned[name] = true
-	r.side.RemainingCapacity -= bears
+	r.granted[name] = true
+	r.summary.RemainingCapacity -= bears
 	return ""
 }
 
-// shut is take for a relay that is to be shut.
-func (r *room) shut(name, zone string, bears float64) string {
-	if planted == "shut without budget" {
+// reserveQuarantine is take for a relay that is to be shut.
+func (r *allowance) reserveQuarantine(name, zone string, bears float64) string {
+	if plantedDefect == "shut without budget" {
 		return ""
 	}
-	return r.take(name, zone, bears)
+	return r.reserve(name, zone, bears)
 }
 
-// bound is how long a unit may be out: by what the last ones took, at first by the budgets.
-func (d *record) bound(kind string, b Budgets) int64 {
+// maxOutMS is how long a unit may be out: by what the last ones took, at first by the budgets.
+func (d *record) maxOutMS(kind string, b Budgets) int64 {
 	first, took := b.DrainMS+b.StartMS+b.WarmupMS, d.MemberDurationsMS
 	if kind == KindRelay {
 		first, took = b.DrainMS+b.StartMS, d.RelayDurationsMS
--- a/internal/rollout/apply.go
+++ b/internal/rollout/apply.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	forMost    = 7 * 24 * 3600 * 1000 // ms that a permit may be asked for
-	againAfter = 1000                 // ms: ask again; the pilot looks several times a second
-	staleAfter = 30 * againAfter      // ms after which one who waits and does not ask again is forgotten
-	countsMost = 4096                 // windows before a release
-	countMost  = 1e15
+	maxPermitMS        = 7 * 24 * 3600 * 1000 // ms that a permit may be asked for
+	permitRetryMS      = 1000                 // ms: ask again; the pilot looks several times a second
+	permitForgetMS     = 30 * permitRetryMS   // ms after which one who waits and does not ask again is forgotten
+	maxBaselineWindows = 4096                 // windows before a release
+	maxWindowCount     = 1e15
 )
 
 // Apply changes the state by one command, and answers with an Answer as JSON. It is deterministic; an error changes nothing. The record's
@@ -22,9 +22,9 @@
 	var c Command
 	a := Result{}
 	if err := json.Unmarshal(body, &c); err != nil {
-		a = refuse("no command: %v", err)
+		a = reject("no command: %v", err)
 	} else {
-		a = s.record.apply(max(at, s.record.Time), cut(by, MaxNameBytes), &c)
+		a = s.record.apply(max(at, s.record.Time), truncate(by, MaxNameBytes), &c)
 	}
 	b, err := json.Marshal(a)
 	if err != nil {
@@ -33,9 +33,9 @@
 	return b
 }
 
-func refuse(format string, args ...any) Result { return Result{Error: fmt.Sprintf(format, args...)} }
+func reject(format string, args ...any) Result { return Result{Error: fmt.Sprintf(format, args...)} }
 
-func cut(text string, most int) string {
+func truncate(text string, most int) string {
 	if len(text) > most {
 		return text[:most]
 	}
@@ -44,55 +44,55 @@
 
 // apply checks all before it changes anything.
 func (d *record) apply(at int64, by string, c *Command) Result {
-	c.Reason, c.Requester = cut(c.Reason, MaxReasonBytes), cmp.Or(cut(c.Requester, MaxNameBytes), by)
+	c.Reason, c.Requester = truncate(c.Reason, MaxReasonBytes), cmp.Or(truncate(c.Requester, MaxNameBytes), by)
 	if len(c.Name) > MaxNameBytes {
-		return refuse("a name of over %d bytes", MaxNameBytes)
+		return reject("a name of over %d bytes", MaxNameBytes)
 	}
 	var a Result
 	switch c.Kind {
 	case CommandOpen:
-		a = d.open(at, c)
+		a = d.openRelease(at, c)
 	case CommandRequestPermit:
-		a = d.ask(at, c)
+		a = d.requestPermit(at, c)
 	case CommandBeginPermit, CommandReturnPermit:
-		a = d.begin(at, c)
+		a = d.beginOrReturnPermit(at, c)
 	case CommandHalt, CommandResume, CommandRollBack:
-		a = d.steer(at, by, c)
+		a = d.steerRelease(at, by, c)
 	case CommandEject, CommandReinstate:
-		a = d.ban(at, c)
+		a = d.changeEjections(at, c)
 	case CommandSetUnits:
-		a = d.lay(at, c)
+		a = d.setUnits(at, c)
 	case CommandStep:
-		a = d.step(at, c)
+		a = d.applyStep(at, c)
 	case CommandObserve:
-		a = d.seen(at, c)
+		a = d.observe(at, c)
 	case CommandExpirePermits:
-		a = d.void(at, c)
+		a = d.expirePermits(at, c)
 	case CommandQuarantine:
-		a = d.shut(at, c)
+		a = d.quarantine(at, c)
 	case CommandReadmit:
-		a = d.admit(c)
+		a = d.readmit(c)
 	default:
-		a = refuse("no such command: %q", cut(c.Kind, MaxNameBytes))
+		a = reject("no such command: %q", truncate(c.Kind, MaxNameBytes))
 	}
 	if a.Error == "" {
 		d.Time = at
-		d.settle(at)
+		d.settleReleases(at)
 	}
 	return a
 }
 
-// open takes a release up. It is laid out by the pilot, who knows what there is.
-func (d *record) open(at int64, c *Command) Result {
+// openRelease takes a release up. It is laid out by the pilot, who knows what there is.
+func (d *record) openRelease(at int64, c *Command) Result {
 	w := c.Release
 	if w == nil || c.Name == "" {
-		return refuse("a release has a name, and says what it releases")
+		return reject("a release has a name, and says what it releases")
 	}
-	if why := w.wrong(); why != "" {
-		return refuse("%s", why)
+	if why := w.invalidReason(); why != "" {
+		return reject("%s", why)
 	}
-	if d.release(c.Name) != nil {
-		return refuse("there is a release %q", c.Name)
+	if d.findRelease(c.Name) != nil {
+		return reject("there is a release %q", c.Name)
 	}
 	behind := ""
 	for i := range d.Releases {
@@ -102,7 +102,7 @@
 		}
 	}
 	if behind != "" && !w.Queue {
-		return refuse("release %q touches the same things", behind)
+		return reject("release %q touches the same things", behind)
 	}
 	drop := -1
 	if len(d.Releases) >= MaxReleases {
@@ -110,7 +110,7 @@
 			return r.ended() && !slices.ContainsFunc(r.Units, func(u Unit) bool { return u.isOut() })
 		})
 		if drop < 0 {
-			return refuse("%d releases are open or still hold something out", MaxReleases)
+			return reject("%d releases are open or still hold something out", MaxReleases)
 		}
 		d.Releases = slices.Delete(d.Releases, drop, drop+1)
 	}
@@ -119,8 +119,8 @@
 	return Result{Name: c.Name, State: ReleaseQueued, Reason: behind}
 }
 
-// wrong says what cannot be released.
-func (w *ReleaseSpec) wrong() string {
+// invalidReason says what cannot be released.
+func (w *ReleaseSpec) invalidReason() string {
 	named := len(w.Names)
 	if w.Kind == KindEject {
 		if named+len(w.Zones) > 0 || w.All || w.Drain {
@@ -144,7 +144,7 @@
 	slices.Sort(all)
 	for i, n := range all {
 		if n == "" || len(n) > MaxNameBytes || i > 0 && all[i-1] == n {
-			return fmt.Sprintf("%q is no name, or stands twice", cut(n, MaxNameBytes))
+			return fmt.Sprintf("%q is no name, or stands twice", truncate(n, MaxNameBytes))
 		}
 	}
 	for _, z := range w.Zones {
@@ -155,10 +155,10 @@
 	return ""
 }
 
-// ask notes who wants a permit; the pilot grants. The same by the same asker for the same thing is the same permit.
-func (d *record) ask(at int64, c *Command) Result {
-	if c.TargetKind != KindRelay && c.TargetKind != KindMember || c.Name == "" || c.DurationMS <= 0 || c.DurationMS > forMost {
-		return refuse("a permit is for a relay or a member, by name, for up to %d ms", forMost)
+// requestPermit notes who wants a permit; the pilot grants. The same by the same asker for the same thing is the same permit.
+func (d *record) requestPermit(at int64, c *Command) Result {
+	if c.TargetKind != KindRelay && c.TargetKind != KindMember || c.Name == "" || c.DurationMS <= 0 || c.DurationMS > maxPermitMS {
+		return reject("a permit is for a relay or a member, by name, for up to %d ms", maxPermitMS)
 	}
 	for i := range d.Permits {
 		p := &d.Permits[i]
@@ -166,31 +166,31 @@
 			continue
 		}
 		if p.Holder != c.Requester {
-			return Result{State: PermitWaiting, RetryAfterMS: againAfter, Reason: fmt.Sprintf("%s holds permit %d for it", p.Holder, p.Number)}
+			return Result{State: PermitWaiting, RetryAfterMS: permitRetryMS, Reason: fmt.Sprintf("%s holds permit %d for it", p.Holder, p.Number)}
 		}
 		a := Result{State: p.State, Number: p.Number}
 		switch {
 		case p.State == PermitWaiting:
-			p.RequestedAt, a.RetryAfterMS, a.Reason = at, againAfter, d.waits(p)
+			p.RequestedAt, a.RetryAfterMS, a.Reason = at, permitRetryMS, d.permitWaitReason(p)
 		case p.State == PermitGranted && at < p.StateSince+p.WindowMS:
 			a.RemainingMS = p.StateSince + p.WindowMS - at
 		case p.State == PermitGranted: // about to be void
-			a.State, a.RetryAfterMS, a.Reason = PermitWaiting, againAfter, "it was not begun in time"
+			a.State, a.RetryAfterMS, a.Reason = PermitWaiting, permitRetryMS, "it was not begun in time"
 		}
 		return a
 	}
 	if len(d.Permits) >= MaxPermits {
-		return refuse("%d permits are asked for or in force", MaxPermits)
+		return reject("%d permits are asked for or in force", MaxPermits)
 	}
 	d.LastNumber++
 	d.Permits = append(d.Permits, Permit{Number: d.LastNumber, Kind: c.TargetKind, Name: c.Name, Holder: c.Requester, Reason: c.Reason, DurationMS: c.DurationMS, State: PermitWaiting, RequestedAt: at})
-	return Result{State: PermitWaiting, Number: d.LastNumber, RetryAfterMS: againAfter, Reason: d.waits(&d.Permits[len(d.Permits)-1])}
+	return Result{State: PermitWaiting, Number: d.LastNumber, RetryAfterMS: permitRetryMS, Reason: d.permitWaitReason(&d.Permits[len(d.Permits)-1])}
 }
 
-// waits says why a permit waits, as far as the record knows: who is out by plan, and who waits before it.
-func (d *record) waits(p *Permit) string {
+// permitWaitReason says why a permit waits, as far as the record knows: who is out by plan, and who waits before it.
+func (d *record) permitWaitReason(p *Permit) string {
 	var names []string
-	for _, x := range d.planned(p.Kind) {
+	for _, x := range d.plannedOut(p.Kind) {
 		if len(names) < 8 {
 			names = append(names, x.Name)
 		}
@@ -201,14 +201,14 @@
 			before++
 		}
 	}
-	return fmt.Sprintf("out by plan: %d %v; waiting before it: %d", len(d.planned(p.Kind)), names, before)
+	return fmt.Sprintf("out by plan: %d %v; waiting before it: %d", len(d.plannedOut(p.Kind)), names, before)
 }
 
-// begin and give: by number, so that an old one does nothing.
-func (d *record) begin(at int64, c *Command) Result {
-	p := d.permit(c.PermitNumber)
+// beginOrReturnPermit and give: by number, so that an old one does nothing.
+func (d *record) beginOrReturnPermit(at int64, c *Command) Result {
+	p := d.findPermit(c.PermitNumber)
 	if p == nil {
-		return refuse("there is no permit %d, or no more", c.PermitNumber)
+		return reject("there is no permit %d, or no more", c.PermitNumber)
 	}
 	switch {
 	case c.Kind == CommandReturnPermit && p.State == PermitBegun && p.ReturnedAt > 0:
@@ -220,72 +220,72 @@
 		d.Version++
 		return Result{Number: c.PermitNumber, State: "given"}
 	case p.State == PermitWaiting:
-		return refuse("permit %d is not granted", c.PermitNumber)
+		return reject("permit %d is not granted", c.PermitNumber)
 	case p.State == PermitGranted && at > p.ExpiresAt:
-		return refuse("permit %d was not begun in time", c.PermitNumber)
+		return reject("permit %d was not begun in time", c.PermitNumber)
 	case p.State == PermitGranted:
-		p.State, p.StateSince, p.ExpiresAt = PermitBegun, at, at+stretch(p.WindowMS, p.ClockDrift)
+		p.State, p.StateSince, p.ExpiresAt = PermitBegun, at, at+onSlowestClock(p.WindowMS, p.ClockDrift)
 	}
 	d.Version++
 	return Result{Number: p.Number, State: p.State}
 }
 
-// stretch is a time as the slowest clock would count it.
-func stretch(ms int64, part float64) int64 { return ms + int64(math.Ceil(float64(ms)*part)) }
+// onSlowestClock is a time as the slowest clock would count it.
+func onSlowestClock(ms int64, part float64) int64 { return ms + int64(math.Ceil(float64(ms)*part)) }
 
-// steer halts a release, resumes it or sends it back.
-func (d *record) steer(at int64, by string, c *Command) Result {
-	r := d.release(c.Name)
+// steerRelease halts a release, resumes it or sends it back.
+func (d *record) steerRelease(at int64, by string, c *Command) Result {
+	r := d.findRelease(c.Name)
 	itself := c.Cause != "" && c.Cause != HaltByOperator
 	switch {
 	case r == nil:
-		return refuse("there is no release %q", c.Name)
+		return reject("there is no release %q", c.Name)
 	case itself && c.BaseVersion != d.Version:
-		return refuse("it was reckoned from version %d, this is %d", c.BaseVersion, d.Version)
+		return reject("it was reckoned from version %d, this is %d", c.BaseVersion, d.Version)
 	case c.Kind != CommandRollBack && r.ended():
-		return refuse("release %q has ended", c.Name)
-	case c.Kind == CommandRollBack && r.ended() && !r.Spec.Drain && r.Spec.Kind != KindEject && d.inTheWay(r) != "":
-		return refuse("release %q touches the same things, and is not through", d.inTheWay(r))
+		return reject("release %q has ended", c.Name)
+	case c.Kind == CommandRollBack && r.ended() && !r.Spec.Drain && r.Spec.Kind != KindEject && d.conflictingRelease(r) != "":
+		return reject("release %q touches the same things, and is not through", d.conflictingRelease(r))
 	}
 	switch c.Kind {
 	case CommandHalt:
 		if r.Halt != nil && (r.Halt.NeedsOperator || itself && c.Cause != HaltVerdict) {
-			return refuse("release %q is halted: %s %s", c.Name, r.Halt.Cause, r.Halt.Reason)
+			return reject("release %q is halted: %s %s", c.Name, r.Halt.Cause, r.Halt.Reason)
 		}
 		again := slices.Contains(r.HaltCauses, c.Cause)
 		if itself && !again && len(r.HaltCauses) < 8 {
-			r.HaltCauses = append(r.HaltCauses, cut(c.Cause, MaxNameBytes))
+			r.HaltCauses = append(r.HaltCauses, truncate(c.Cause, MaxNameBytes))
 		}
-		r.Halt = &HaltInfo{Cause: cut(cmp.Or(c.Cause, HaltByOperator), MaxNameBytes), Reason: c.Reason, HaltedBy: c.Requester, HaltedAt: at}
+		r.Halt = &HaltInfo{Cause: truncate(cmp.Or(c.Cause, HaltByOperator), MaxNameBytes), Reason: c.Reason, HaltedBy: c.Requester, HaltedAt: at}
 		r.Halt.NeedsOperator = !itself || c.Cause == HaltVerdict || again && (c.Cause == HaltServiceDegraded || c.Cause == HaltOverdue)
 		r.State = ReleaseHalted
 		d.Version++
-		r.revoke(d.Version)
+		r.revokeOrders(d.Version)
 	case CommandResume:
 		if r.Halt == nil {
-			return refuse("release %q is not halted", c.Name)
+			return reject("release %q is not halted", c.Name)
 		}
 		if itself && (r.Halt.NeedsOperator || r.Halt.Cause != c.Cause) {
-			return refuse("release %q is resumed by an operator alone", c.Name)
+			return reject("release %q is resumed by an operator alone", c.Name)
 		}
 		r.Halt, r.ResumedAt, r.ProgressAt = nil, at, at
-		r.State = r.going()
+		r.State = r.activeState()
 		d.Version++
 	case CommandRollBack:
 		r.Halt, r.ResumedAt, r.ProgressAt, r.RollingBack, r.EndedAt = nil, at, at, true, 0
-		r.State = r.going()
+		r.State = r.activeState()
 		d.Version++
-		r.revoke(d.Version)
+		r.revokeOrders(d.Version)
 		for i := range r.Units {
-			r.Units[i].takeBack(r, d.Version)
+			r.Units[i].cancelDrain(r, d.Version)
 		}
 	}
-	d.settle(at)
+	d.settleReleases(at)
 	return Result{Name: r.Name, State: r.State}
 }
 
-// inTheWay is a release that goes on at the same things as one that has ended.
-func (d *record) inTheWay(r *release) string {
+// conflictingRelease is a release that goes on at the same things as one that has ended.
+func (d *record) conflictingRelease(r *release) string {
 	for i := range d.Releases {
 		if o := &d.Releases[i]; o.Name != r.Name && !o.ended() && o.QueuedBehind == "" && o.Spec.overlaps(&r.Spec) {
 			return o.Name
@@ -294,8 +294,8 @@
 	return ""
 }
 
-// going is the state of a release that is not halted.
-func (r *release) going() string {
+// activeState is the state of a release that is not halted.
+func (r *release) activeState() string {
 	switch {
 	case r.RollingBack:
 		return ReleaseRollingBack
@@ -305,8 +305,8 @@
 	return ReleaseRunning
 }
 
-// takeBack ends the drain of a member that was to stay out.
-func (u *Unit) takeBack(r *release, version uint64) bool {
+// cancelDrain ends the drain of a member that was to stay out.
+func (u *Unit) cancelDrain(r *release, version uint64) bool {
 	if !r.Spec.Drain || u.Kind != KindMember || u.Phase == PhasePending || u.Phase == PhaseRevoked || u.Phase == PhaseMissing {
 		return false
 	}
@@ -318,11 +318,11 @@
 	return true
 }
 
-// revoke takes back what can be: a relay that has not begun to end, a member that is not empty. They count as out until they are seen.
-func (r *release) revoke(version uint64) {
+// revokeOrders takes back what can be: a relay that has not begun to end, a member that is not empty. They count as out until they are seen.
+func (r *release) revokeOrders(version uint64) {
 	for i := range r.Units {
 		if u := &r.Units[i]; u.Phase == PhaseLeaving && (u.Kind == KindRelay || u.Kind == KindMember) {
-			if planted == "half forgotten" && r.RollingBack {
+			if plantedDefect == "half forgotten" && r.RollingBack {
 				u.Phase, u.Reverting = PhasePending, false
 				continue
 			}
@@ -331,31 +331,31 @@
 	}
 }
 
-// ban and allow by operators need no budget: they are not held back, and what is banned counts as lost.
-func (d *record) ban(at int64, c *Command) Result {
+// changeEjections and allow by operators need no budget: they are not held back, and what is banned counts as lost.
+func (d *record) changeEjections(at int64, c *Command) Result {
 	if len(c.Names) == 0 || len(c.Names) > MaxEjections {
-		return refuse("no names, or over %d", MaxEjections)
+		return reject("no names, or over %d", MaxEjections)
 	}
 	for _, n := range c.Names {
 		if n == "" || len(n) > MaxNameBytes {
-			return refuse("%q is no name", cut(n, MaxNameBytes))
+			return reject("%q is no name", truncate(n, MaxNameBytes))
 		}
 	}
 	if c.Kind == CommandEject && len(d.Ejections)+len(c.Names) > MaxEjections {
-		return refuse("over %d bans", MaxEjections)
+		return reject("over %d bans", MaxEjections)
 	}
 	changed := false
 	for _, n := range c.Names {
-		changed = d.setBan(at, n, c.Reason, c.Requester, c.Kind == CommandEject) || changed
+		changed = d.setEjected(at, n, c.Reason, c.Requester, c.Kind == CommandEject) || changed
 		for i := range d.Releases {
 			r := &d.Releases[i]
 			for j := range r.Units {
 				u := &r.Units[j]
 				switch {
-				case c.Kind != CommandReinstate || u.name() != n:
-				case u.takeBack(r, d.Version+1):
+				case c.Kind != CommandReinstate || u.currentName() != n:
+				case u.cancelDrain(r, d.Version+1):
 					r.RollingBack, r.ResumedAt, r.ProgressAt, r.EndedAt, r.Halt, changed = true, at, at, 0, nil, true
-					r.State = r.going()
+					r.State = r.activeState()
 				case u.Stranded && u.Kind == KindMember && r.ended() && u.isOut(): // an operator takes it as it is: nothing else ever might
 					u.Phase, changed = PhaseMissing, true
 				}
@@ -368,8 +368,8 @@
 	return Result{}
 }
 
-func (d *record) setBan(at int64, name, why, by string, on bool) bool {
-	i, is := d.banned(name)
+func (d *record) setEjected(at int64, name, why, by string, on bool) bool {
+	i, is := d.findEjection(name)
 	switch {
 	case is == on:
 		return false
@@ -382,34 +382,34 @@
 	return true
 }
 
-// lay fixes a release's things, their order, and how they were before.
-func (d *record) lay(at int64, c *Command) Result {
-	r := d.release(c.Name)
+// setUnits fixes a release's things, their order, and how they were before.
+func (d *record) setUnits(at int64, c *Command) Result {
+	r := d.findRelease(c.Name)
 	if r == nil || r.UnitsSet || r.State != ReleaseQueued || r.QueuedBehind != "" {
-		return refuse("release %q is not to be laid out", c.Name)
+		return reject("release %q is not to be laid out", c.Name)
 	}
 	total := len(c.Units)
 	for i := range d.Releases {
 		total += len(d.Releases[i].Units)
 	}
-	if total > MaxUnits || len(c.Baseline) > countsMost {
-		return refuse("over %d things in all, or %d windows", MaxUnits, countsMost)
+	if total > MaxUnits || len(c.Baseline) > maxBaselineWindows {
+		return reject("over %d things in all, or %d windows", MaxUnits, maxBaselineWindows)
 	}
 	names := map[string]bool{}
 	for _, u := range c.Units {
 		fits := u.Kind == r.Spec.Kind || r.Spec.Kind == KindEject && u.Kind == KindReinstate
 		if u.Name == "" || max(len(u.Name), len(u.Zone), len(u.PreviousProgram), len(u.PreviousConfig)) > MaxNameBytes || names[u.Name] || !fits {
-			return refuse("unit %q is no thing of this release, or stands twice", cut(u.Name, MaxNameBytes))
+			return reject("unit %q is no thing of this release, or stands twice", truncate(u.Name, MaxNameBytes))
 		}
 		names[u.Name] = true
 	}
 	for _, w := range c.Baseline {
-		if !(w.Requested >= 0 && w.Served >= 0 && w.Served <= w.Requested && w.Requested <= countMost) {
-			return refuse("a window that served more than was asked")
+		if !(w.Requested >= 0 && w.Served >= 0 && w.Served <= w.Requested && w.Requested <= maxWindowCount) {
+			return reject("a window that served more than was asked")
 		}
 	}
 	for _, u := range c.Units {
-		_, banned := d.banned(u.Name)
+		_, banned := d.findEjection(u.Name)
 		phase := PhasePending
 		if u.Phase == PhaseMissing {
 			phase = PhaseMissing
@@ -417,104 +417,104 @@
 		r.Units = append(r.Units, Unit{Name: u.Name, Zone: u.Zone, Kind: u.Kind, Capacity: u.Capacity, PreviousProgram: u.PreviousProgram, PreviousConfig: u.PreviousConfig,
 			PreviouslyEjected: banned, Phase: phase})
 	}
-	r.BaselineRequested, r.BaselineServed, r.BaselineDispersion = before(c.Baseline)
+	r.BaselineRequested, r.BaselineServed, r.BaselineDispersion = baseline(c.Baseline)
 	r.UnitsSet, r.UnitsSetAt, r.ProgressAt, r.State = true, at, at, ReleaseRunning
 	d.Version++
 	return Result{Name: r.Name, State: r.State}
 }
 
-// stale says why what a command was reckoned from does not hold any more.
-func (d *record) stale(at int64, c *Command) string {
+// staleBasis says why what a command was reckoned from does not hold any more.
+func (d *record) staleBasis(at int64, c *Command) string {
 	v, b := c.Basis, c.Basis.Budgets
 	switch {
-	case c.BaseVersion != d.Version && planted != "no fencing":
+	case c.BaseVersion != d.Version && plantedDefect != "no fencing":
 		return fmt.Sprintf("it was reckoned from version %d, this is %d", c.BaseVersion, d.Version)
 	case at-v.At > b.ViewMaxAgeMS:
 		return fmt.Sprintf("what it was reckoned from is %d ms old", at-v.At)
-	case b.PermitWindowMS <= 0 || b.PermitWindowMS > forMost || !(b.ClockDrift >= 0 && b.ClockDrift < 1):
+	case b.PermitWindowMS <= 0 || b.PermitWindowMS > maxPermitMS || !(b.ClockDrift >= 0 && b.ClockDrift < 1):
 		return "a sight without window or clock"
 	}
 	return ""
 }
 
-// step gives things out: all of it, or nothing.
-func (d *record) step(at int64, c *Command) Result {
+// stepCommand gives things out: all of it, or nothing.
+func (d *record) applyStep(at int64, c *Command) Result {
 	if c.Basis == nil || len(c.Grants) == 0 || len(c.Grants) > MaxGrantsPerStep {
-		return refuse("a step names one to %d things, and what it was reckoned from", MaxGrantsPerStep)
+		return reject("a step names one to %d things, and what it was reckoned from", MaxGrantsPerStep)
 	}
-	if why := d.stale(at, c); why != "" {
-		return refuse("%s", why)
+	if why := d.staleBasis(at, c); why != "" {
+		return reject("%s", why)
 	}
 	v, b := c.Basis, c.Basis.Budgets
-	rooms := map[string]*room{KindRelay: d.room(KindRelay, v.Relays, b), KindMember: d.room(KindMember, v.Members, b)}
+	rooms := map[string]*allowance{KindRelay: d.allowance(KindRelay, v.Relays, b), KindMember: d.allowance(KindMember, v.Members, b)}
 	for _, g := range c.Grants {
 		if len(g.Zone) > MaxNameBytes {
-			return refuse("a zone of over %d bytes", MaxNameBytes)
+			return reject("a zone of over %d bytes", MaxNameBytes)
 		}
 		kind, name, zone := "", "", g.Zone
 		if g.Permit != 0 {
-			p := d.permit(g.Permit)
+			p := d.findPermit(g.Permit)
 			if p == nil || p.State != PermitWaiting {
-				return refuse("permit %d does not wait", g.Permit)
+				return reject("permit %d does not wait", g.Permit)
 			}
 			kind, name = p.Kind, p.Name
 		} else {
-			r := d.release(g.Release)
-			if r == nil || r.unit(g.Unit) == nil {
-				return refuse("no unit %q of release %q", cut(g.Unit, MaxNameBytes), cut(g.Release, MaxNameBytes))
+			r := d.findRelease(g.Release)
+			if r == nil || r.findUnit(g.Unit) == nil {
+				return reject("no unit %q of release %q", truncate(g.Unit, MaxNameBytes), truncate(g.Release, MaxNameBytes))
 			}
-			u := r.unit(g.Unit)
-			if !r.may(u) {
-				return refuse("unit %q of release %q may not go out now", u.Name, r.Name)
+			u := r.findUnit(g.Unit)
+			if !r.grantable(u) {
+				return reject("unit %q of release %q may not go out now", u.Name, r.Name)
 			}
-			if u.bans() != 0 {
+			if u.ejectionChange() != 0 {
 				kind = KindEject
 			}
-			kind, name, zone = cmp.Or(kind, u.Kind), u.name(), u.Zone
-			if u.bans() < 0 {
+			kind, name, zone = cmp.Or(kind, u.Kind), u.currentName(), u.Zone
+			if u.ejectionChange() < 0 {
 				continue // gives back
 			}
 		}
-		if why := rooms[side(kind)].take(name, zone, g.Capacity); why != "" {
-			return refuse("%s", why)
+		if why := rooms[budgetKind(kind)].reserve(name, zone, g.Capacity); why != "" {
+			return reject("%s", why)
 		}
 		if kind == KindEject && len(d.Ejections)+len(c.Grants) > MaxEjections {
-			return refuse("over %d bans", MaxEjections)
+			return reject("over %d bans", MaxEjections)
 		}
 	}
 	d.Version++
 	for _, g := range c.Grants {
-		if p := d.permit(g.Permit); p != nil {
+		if p := d.findPermit(g.Permit); p != nil {
 			p.State, p.StateSince, p.WindowMS, p.ExpiresAt, p.ClockDrift, p.Zone = PermitGranted, at, b.PermitWindowMS,
-				at+stretch(b.PermitWindowMS, b.ClockDrift), b.ClockDrift, g.Zone
+				at+onSlowestClock(b.PermitWindowMS, b.ClockDrift), b.ClockDrift, g.Zone
 			continue
 		}
-		r := d.release(g.Release)
-		u := r.unit(g.Unit)
+		r := d.findRelease(g.Release)
+		u := r.findUnit(g.Unit)
 		d.LastNumber++
 		u.Reverting = u.Updated
 		u.Phase, u.OrderNumber, u.OrderVersion, u.OrderedAt, u.SeenStart, u.MigrateOverMS = PhaseLeaving, d.LastNumber, d.Version, at, g.SeenStart, g.MigrateOverMS
-		if ban := u.bans(); ban != 0 {
-			d.setBan(at, u.Name, "release "+r.Name, r.OpenedBy, ban > 0)
+		if ban := u.ejectionChange(); ban != 0 {
+			d.setEjected(at, u.Name, "release "+r.Name, r.OpenedBy, ban > 0)
 		}
 		r.ProgressAt = at
 	}
 	return Result{}
 }
 
-// may says whether a unit may be given out: the new thing, or back what it had.
-func (r *release) may(u *Unit) bool {
+// grantable says whether a unit may be given out: the new thing, or back what it had.
+func (r *release) grantable(u *Unit) bool {
 	switch r.State {
 	case ReleaseRunning:
 		return u.Phase == PhasePending && !u.Updated
 	case ReleaseRollingBack:
-		return u.Phase == PhaseDone && r.undoable(u)
+		return u.Phase == PhaseDone && r.revertible(u)
 	}
 	return false
 }
 
-// bans says what giving the unit out does to the bans: 1 sets, -1 lifts. Its undoing is the reverse.
-func (u *Unit) bans() int {
+// ejectionChange says what giving the unit out does to the bans: 1 sets, -1 lifts. Its undoing is the reverse.
+func (u *Unit) ejectionChange() int {
 	switch {
 	case u.Kind == KindEject && !u.Updated, u.Kind == KindReinstate && u.Updated:
 		return 1
@@ -524,10 +524,10 @@
 	return 0
 }
 
-// seen takes over what others saw. What does not fit the state any more is left aside.
-func (d *record) seen(at int64, c *Command) Result {
+// observations takes over what others saw. What does not fit the state any more is left aside.
+func (d *record) observe(at int64, c *Command) Result {
 	if len(c.Observations) > MaxUnits+MaxPermits {
-		return refuse("over %d sights", MaxUnits+MaxPermits)
+		return reject("over %d sights", MaxUnits+MaxPermits)
 	}
 	changed := false
 	for _, s := range c.Observations {
@@ -535,39 +535,39 @@
 			continue
 		}
 		if s.Quarantine != 0 {
-			changed = d.opened(s) || changed
+			changed = d.confirmReadmitted(s) || changed
 			continue
 		}
-		if p := d.permit(s.Permit); s.Permit != 0 {
+		if p := d.findPermit(s.Permit); s.Permit != 0 {
 			if p != nil && p.State == PermitBegun {
 				d.Permits = slices.DeleteFunc(d.Permits, func(p Permit) bool { return p.Number == s.Permit })
 				changed = true
 			}
 			continue
 		}
-		r := d.release(s.Release)
+		r := d.findRelease(s.Release)
 		if r == nil {
 			continue
 		}
-		u := r.unit(s.Unit)
-		if u == nil || u.OrderVersion != s.OrderVersion || !d.move(at, r, u, s) {
+		u := r.findUnit(s.Unit)
+		if u == nil || u.OrderVersion != s.OrderVersion || !d.advanceUnit(at, r, u, s) {
 			continue
 		}
 		r.ProgressAt, changed = at, true
 	}
 	if !changed {
-		return refuse("nothing of this is so any more")
+		return reject("nothing of this is so any more")
 	}
 	d.Version++
 	return Result{}
 }
 
-// move is one transition of a unit. Order is the version that this command makes.
-func (d *record) move(at int64, r *release, u *Unit, s Observation) bool {
+// advanceUnit is one transition of a unit. Order is the version that this command makes.
+func (d *record) advanceUnit(at int64, r *release, u *Unit, s Observation) bool {
 	next := d.Version + 1
 	switch {
 	case s.Stranded:
-		if !r.RollingBack || u.Stranded || !u.isOut() && !(u.Phase == PhaseDone && r.undoable(u)) {
+		if !r.RollingBack || u.Stranded || !u.isOut() && !(u.Phase == PhaseDone && r.revertible(u)) {
 			return false
 		}
 		u.Stranded = true
@@ -578,14 +578,14 @@
 		u.Phase = PhaseMissing
 	case s.Phase == PhaseDrained && u.Kind == KindMember && (u.Phase == PhaseLeaving || u.Phase == PhaseDone && r.Spec.Drain):
 		u.Phase, u.SeenStart = PhaseDrained, s.SeenStart
-	case s.Phase == PhaseReplaced && u.Kind == KindMember && (u.Phase == PhaseDrained || u.Phase == PhaseRevoked || u.Phase == PhaseReplaced && u.name() != cmp.Or(s.Successor, u.Name)) && !r.Spec.Drain:
+	case s.Phase == PhaseReplaced && u.Kind == KindMember && (u.Phase == PhaseDrained || u.Phase == PhaseRevoked || u.Phase == PhaseReplaced && u.currentName() != cmp.Or(s.Successor, u.Name)) && !r.Spec.Drain:
 		u.Phase, u.OrderVersion, u.Successor, u.Zone = PhaseReplaced, next, s.Successor, s.Zone
 		if u.Successor == u.Name {
 			u.Successor = ""
 		}
 	case s.Phase == PhaseDone && u.isOut():
 		if u.Phase != PhaseRevoked && !u.Stranded && !r.Spec.Drain {
-			d.note(u.Kind, at-u.OrderedAt)
+			d.recordDuration(u.Kind, at-u.OrderedAt)
 		}
 		u.Phase, u.Updated = PhaseDone, !r.Spec.Drain
 		if u.Reverting {
@@ -606,7 +606,7 @@
 	return true
 }
 
-func (d *record) note(kind string, took int64) {
+func (d *record) recordDuration(kind string, took int64) {
 	list := &d.MemberDurationsMS
 	switch kind {
 	case KindRelay:
@@ -615,45 +615,45 @@
 		return
 	}
 	*list = append(*list, max(took, 0))
-	if len(*list) > tookMost {
-		*list = slices.Delete(*list, 0, len(*list)-tookMost)
+	if len(*list) > maxDurations {
+		*list = slices.Delete(*list, 0, len(*list)-maxDurations)
 	}
 }
 
-// void forgets permits whose time is over, and askers who are gone.
-func (d *record) void(at int64, c *Command) Result {
+// expiredPermits forgets permits whose time is over, and askers who are gone.
+func (d *record) expirePermits(at int64, c *Command) Result {
 	n := len(d.Permits)
-	d.Permits = slices.DeleteFunc(d.Permits, func(p Permit) bool { return slices.Contains(c.PermitNumbers, p.Number) && p.void(at) })
+	d.Permits = slices.DeleteFunc(d.Permits, func(p Permit) bool { return slices.Contains(c.PermitNumbers, p.Number) && p.expired(at) })
 	if len(d.Permits) == n {
-		return refuse("none of these is void")
+		return reject("none of these is void")
 	}
 	d.Version++
 	return Result{}
 }
 
-func (p *Permit) void(at int64) bool {
-	return p.State == PermitGranted && at > p.ExpiresAt || p.State == PermitWaiting && at-p.RequestedAt > staleAfter
+func (p *Permit) expired(at int64) bool {
+	return p.State == PermitGranted && at > p.ExpiresAt || p.State == PermitWaiting && at-p.RequestedAt > permitForgetMS
 }
 
-// shut takes a relay that drifted out of the service, within the budget: drift at half of the fleet must not empty it.
-func (d *record) shut(at int64, c *Command) Result {
+// reserveQuarantine takes a relay that drifted out of the service, within the budget: drift at half of the fleet must not empty it.
+func (d *record) quarantine(at int64, c *Command) Result {
 	if c.Basis == nil || c.Name == "" || len(c.Zone) > MaxNameBytes {
-		return refuse("who is shut has a name and a zone, and what it was reckoned from")
+		return reject("who is shut has a name and a zone, and what it was reckoned from")
 	}
-	if why := d.stale(at, c); why != "" {
-		return refuse("%s", why)
+	if why := d.staleBasis(at, c); why != "" {
+		return reject("%s", why)
 	}
-	s := d.shutting(c.Name)
+	s := d.findQuarantine(c.Name)
 	switch {
 	case s != nil && s.ReadmittedVersion == 0:
-		return refuse("%s is shut", s.Name)
+		return reject("%s is shut", s.Name)
 	case s != nil && s.OperatorOverride:
-		return refuse("an operator admitted %s as it is", s.Name)
+		return reject("an operator admitted %s as it is", s.Name)
 	case s == nil && len(d.Quarantines) >= MaxQuarantines:
-		return refuse("%d relays are shut", MaxQuarantines)
+		return reject("%d relays are shut", MaxQuarantines)
 	}
-	if why := d.room(KindRelay, c.Basis.Relays, c.Basis.Budgets).shut(c.Name, c.Zone, c.Capacity); why != "" {
-		return refuse("%s", why)
+	if why := d.allowance(KindRelay, c.Basis.Relays, c.Basis.Budgets).reserveQuarantine(c.Name, c.Zone, c.Capacity); why != "" {
+		return reject("%s", why)
 	}
 	d.Version++
 	d.LastNumber++
@@ -662,22 +662,22 @@
 	return Result{Name: c.Name, State: CommandQuarantine, Number: d.LastNumber}
 }
 
-// admit lets a relay serve again. It counts as out until it is seen to.
-func (d *record) admit(c *Command) Result {
-	s, itself := d.shutting(c.Name), c.Cause != ""
+// readmit lets a relay serve again. It counts as out until it is seen to.
+func (d *record) readmit(c *Command) Result {
+	s, itself := d.findQuarantine(c.Name), c.Cause != ""
 	switch {
 	case s == nil || s.ReadmittedVersion != 0 && (itself || s.OperatorOverride):
-		return refuse("%q is not shut", c.Name)
+		return reject("%q is not shut", c.Name)
 	case itself && c.BaseVersion != d.Version:
-		return refuse("it was reckoned from version %d, this is %d", c.BaseVersion, d.Version)
+		return reject("it was reckoned from version %d, this is %d", c.BaseVersion, d.Version)
 	}
 	d.Version++
 	s.ReadmittedVersion, s.OperatorOverride = cmp.Or(s.ReadmittedVersion, d.Version), !itself
 	return Result{Name: s.Name, State: CommandReadmit}
 }
 
-// opened takes over that one that was admitted serves, or is nothing to be spoken of any more.
-func (d *record) opened(saw Observation) bool {
+// confirmReadmitted takes over that one that was admitted serves, or is nothing to be spoken of any more.
+func (d *record) confirmReadmitted(saw Observation) bool {
 	i := slices.IndexFunc(d.Quarantines, func(x Quarantine) bool { return x.Number == saw.Quarantine && x.ReadmittedVersion != 0 })
 	switch {
 	case i < 0:
@@ -692,16 +692,16 @@
 	return true
 }
 
-// settle ends what is through, then lets go on what waited for it: first an ended one that has something left to undo, else the next.
-func (d *record) settle(at int64) {
+// settleReleases ends what is through, then lets go on what waited for it: first an ended one that has something left to undo, else the next.
+func (d *record) settleReleases(at int64) {
 	for i := range d.Releases {
-		if r := &d.Releases[i]; r.through() {
+		if r := &d.Releases[i]; r.finished() {
 			r.State, r.EndedAt = map[string]string{ReleaseRunning: ReleaseCompleted, ReleaseRollingBack: ReleaseRolledBack}[r.State], at
 		}
 	}
 	for i := range d.Releases {
 		r := &d.Releases[i]
-		if r.State == ReleaseRolledBack && d.inTheWay(r) == "" && slices.ContainsFunc(r.Units, func(u Unit) bool { return u.Phase == PhaseDone && !u.Stranded && r.undoable(&u) }) {
+		if r.State == ReleaseRolledBack && d.conflictingRelease(r) == "" && slices.ContainsFunc(r.Units, func(u Unit) bool { return u.Phase == PhaseDone && !u.Stranded && r.revertible(&u) }) {
 			r.State, r.EndedAt, r.ResumedAt, r.ProgressAt = ReleaseRollingBack, 0, at, at // one that was stranded came back with the new thing
 		}
 		if r.QueuedBehind == "" {
@@ -721,12 +721,12 @@
 	}
 }
 
-// through says that a release has nothing left to do.
-func (r *release) through() bool {
+// finished says that a release has nothing left to do.
+func (r *release) finished() bool {
 	for i := range r.Units {
 		u := &r.Units[i]
 		if r.State == ReleaseRunning && u.Phase != PhaseDone && u.Phase != PhaseMissing && !(r.Spec.Drain && u.Phase == PhaseDrained) ||
-			r.State == ReleaseRollingBack && !u.Stranded && (u.isOut() || u.Phase == PhaseDone && r.undoable(u)) {
+			r.State == ReleaseRollingBack && !u.Stranded && (u.isOut() || u.Phase == PhaseDone && r.revertible(u)) {
 			return false
 		}
 	}
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -9,15 +9,15 @@
 
 // planner is one look of the leader.
 type planner struct {
-	d       *record
-	now     int64
-	v       View
-	b       Budgets
-	relays  map[string]*Relay
-	members map[string]*Member
-	gone    map[string]bool // units that this look sees further, by release and name
-	used    map[string]bool // newcomers that stand for something by now
-	rooms   map[string]*room
+	record     *record
+	now        int64
+	view       View
+	budgets    Budgets
+	relays     map[string]*Relay
+	members    map[string]*Member
+	observed   map[string]bool // units that this look sees further, by release and name
+	claimed    map[string]bool // newcomers that stand for something by now
+	allowances map[string]*allowance
 }
 
 // Plan says what to propose next, in this order: a few commands, the same for the same state and view. What others saw comes first, then a halt
@@ -26,7 +26,7 @@
 // nothing of it is ever past its time.
 func (s *State) Plan(now int64, v View, b Budgets) []Command {
 	p := s.record.planner(now, v, b)
-	saw := p.seen()
+	saw := p.observations()
 	next := State{s.record.clone()}
 	var list []Command
 	add := func(c Command) {
@@ -37,38 +37,38 @@
 	}
 	if len(saw) > 0 {
 		add(Command{Kind: CommandObserve, Observations: saw})
-		gone := p.gone
+		gone := p.observed
 		p = next.record.planner(now, v, b)
-		p.gone = gone
+		p.observed = gone
 	}
-	_, stalled := p.step()
+	_, stalled := p.stepCommand()
 	p.reset()
-	if c := p.halt(stalled); c != nil {
+	if c := p.haltCommand(stalled); c != nil {
 		add(*c)
 	}
-	if numbers := p.void(); len(numbers) > 0 {
+	if numbers := p.expiredPermits(); len(numbers) > 0 {
 		add(Command{Kind: CommandExpirePermits, PermitNumbers: numbers})
 	}
 	if len(s.record.Quarantines)+len(v.Unfit) > 0 {
 		p = next.record.planner(now, v, b)
-		for _, c := range append(p.admits(), p.shuts()...) {
+		for _, c := range append(p.readmissions(), p.quarantines()...) {
 			c.BaseVersion = next.Version()
 			add(c)
 		}
 	}
 	if len(list) > 0 {
-		if c, _ := next.record.planner(now, v, b).step(); c != nil {
+		if c, _ := next.record.planner(now, v, b).stepCommand(); c != nil {
 			list = append(list, *c)
 		}
 		return list
 	}
-	if c := p.resume(); c != nil {
+	if c := p.resumeCommand(); c != nil {
 		return []Command{*c}
 	}
-	if c := p.lay(); c != nil {
+	if c := p.setUnitsCommand(); c != nil {
 		return []Command{*c}
 	}
-	if c, _ := p.step(); c != nil {
+	if c, _ := p.stepCommand(); c != nil {
 		return []Command{*c}
 	}
 	return nil
@@ -77,25 +77,25 @@
 // BlockReasons says, by release, why nothing of it may go out now, where nothing is. For operators, at the leader.
 func (s *State) BlockReasons(now int64, v View, b Budgets) map[string]string {
 	p := s.record.planner(now, v, b)
-	_, why := p.step()
+	_, why := p.stepCommand()
 	return why
 }
 
 func (d *record) planner(now int64, v View, b Budgets) *planner {
-	p := &planner{d: d, now: now, v: v, b: b, relays: map[string]*Relay{}, members: map[string]*Member{}, gone: map[string]bool{}, used: map[string]bool{}}
-	p.v.Relays, p.v.Members = slices.Clone(v.Relays), slices.Clone(v.Members)
-	slices.SortFunc(p.v.Relays, func(x, y Relay) int { return cmp.Compare(x.Name, y.Name) })
-	slices.SortFunc(p.v.Members, func(x, y Member) int { return cmp.Compare(x.Name, y.Name) })
-	for i := range p.v.Relays {
-		p.relays[p.v.Relays[i].Name] = &p.v.Relays[i]
+	p := &planner{record: d, now: now, view: v, budgets: b, relays: map[string]*Relay{}, members: map[string]*Member{}, observed: map[string]bool{}, claimed: map[string]bool{}}
+	p.view.Relays, p.view.Members = slices.Clone(v.Relays), slices.Clone(v.Members)
+	slices.SortFunc(p.view.Relays, func(x, y Relay) int { return cmp.Compare(x.Name, y.Name) })
+	slices.SortFunc(p.view.Members, func(x, y Member) int { return cmp.Compare(x.Name, y.Name) })
+	for i := range p.view.Relays {
+		p.relays[p.view.Relays[i].Name] = &p.view.Relays[i]
 	}
-	for i := range p.v.Members {
-		p.members[p.v.Members[i].Name] = &p.v.Members[i]
+	for i := range p.view.Members {
+		p.members[p.view.Members[i].Name] = &p.view.Members[i]
 	}
 	for i := range d.Releases {
 		for j := range d.Releases[i].Units {
 			u := &d.Releases[i].Units[j]
-			p.used[u.Name], p.used[u.name()] = true, true
+			p.claimed[u.Name], p.claimed[u.currentName()] = true, true
 		}
 	}
 	p.reset()
@@ -103,19 +103,19 @@
 }
 
 func (p *planner) reset() {
-	p.rooms = map[string]*room{KindRelay: p.d.room(KindRelay, p.d.relays(&p.v, p.b), p.b), KindMember: p.d.room(KindMember, p.d.members(&p.v), p.b)}
+	p.allowances = map[string]*allowance{KindRelay: p.record.allowance(KindRelay, p.record.summarizeRelays(&p.view, p.budgets), p.budgets), KindMember: p.record.allowance(KindMember, p.record.summarizeMembers(&p.view), p.budgets)}
 }
 
 // ---- What others saw ----
 
-func (p *planner) seen() []Observation {
+func (p *planner) observations() []Observation {
 	var list []Observation
-	for i := range p.d.Releases {
-		r := &p.d.Releases[i]
+	for i := range p.record.Releases {
+		r := &p.record.Releases[i]
 		for j := range r.Units {
 			u := &r.Units[j]
-			s, ok := p.look(r, u)
-			if !ok && r.State == ReleaseRollingBack && p.late(r, u) && !u.Stranded {
+			s, ok := p.observeUnit(r, u)
+			if !ok && r.State == ReleaseRollingBack && p.overdue(r, u) && !u.Stranded {
 				s, ok = Observation{Stranded: true}, true
 			}
 			if ok {
@@ -124,74 +124,74 @@
 					s.Zone = m.Zone
 				}
 				list = append(list, s)
-				p.gone[r.Name+"\n"+u.Name] = true
+				p.observed[r.Name+"\n"+u.Name] = true
 			}
 		}
 	}
-	for i := range p.d.Permits {
-		if x := &p.d.Permits[i]; x.State == PermitBegun && p.returned(x) {
+	for i := range p.record.Permits {
+		if x := &p.record.Permits[i]; x.State == PermitBegun && p.permitReturned(x) {
 			list = append(list, Observation{Permit: x.Number})
 		}
 	}
-	for i := range p.d.Quarantines {
-		x := &p.d.Quarantines[i]
+	for i := range p.record.Quarantines {
+		x := &p.record.Quarantines[i]
 		r := p.relays[x.Name]
-		switch _, unfit := p.v.Unfit[x.Name]; {
+		switch _, unfit := p.view.Unfit[x.Name]; {
 		case x.ReadmittedVersion == 0:
-		case r == nil || x.InService && r.live(p.b) && (!unfit || r.StartNumber > x.StartNumber):
+		case r == nil || x.InService && r.reporting(p.budgets) && (!unfit || r.StartNumber > x.StartNumber):
 			list = append(list, Observation{Quarantine: x.Number, Phase: PhaseMissing})
-		case !x.InService && r.sound(p.b) && r.AppliedVersion >= x.ReadmittedVersion: // before that it may yet heed the order that was taken back
+		case !x.InService && r.healthy(p.budgets) && r.AppliedVersion >= x.ReadmittedVersion: // baseline that it may yet heed the order that was taken back
 			list = append(list, Observation{Quarantine: x.Number, Phase: PhaseDone})
 		}
 	}
 	return list
 }
 
-// look says how a unit is seen further.
-func (p *planner) look(r *release, u *Unit) (Observation, bool) {
+// observeUnit says how a unit is seen further.
+func (p *planner) observeUnit(r *release, u *Unit) (Observation, bool) {
 	none := Observation{}
 	if u.Kind == KindEject || u.Kind == KindReinstate {
-		return Observation{Phase: PhaseDone}, u.Phase == PhaseLeaving && p.heeded(u.OrderVersion)
+		return Observation{Phase: PhaseDone}, u.Phase == PhaseLeaving && p.appliedEverywhere(u.OrderVersion)
 	}
-	if u.Phase == PhasePending && r.State == ReleaseRunning && p.there(u) == nil && p.alone(r, u) && !p.rooms[side(u.Kind)].planned[u.name()] &&
-		p.now-max(r.ProgressAt, r.ResumedAt) > p.b.StartMS+p.b.SilentAfterMS { // longer than one that fell over takes
+	if u.Phase == PhasePending && r.State == ReleaseRunning && p.present(u) == nil && p.onlyMissingLeft(r, u) && !p.allowances[budgetKind(u.Kind)].granted[u.currentName()] &&
+		p.now-max(r.ProgressAt, r.ResumedAt) > p.budgets.StartMS+p.budgets.SilentAfterMS { // longer than one that fell over takes
 		return Observation{Phase: PhaseMissing}, true
 	}
 	if u.Phase == PhaseDone && u.Stranded {
-		return Observation{Phase: PhasePending}, p.there(u) != nil && !p.rooms[side(u.Kind)].planned[u.name()]
+		return Observation{Phase: PhasePending}, p.present(u) != nil && !p.allowances[budgetKind(u.Kind)].granted[u.currentName()]
 	}
-	if u.Stranded && u.isOut() && r.ended() && p.there(u) == nil {
+	if u.Stranded && u.isOut() && r.ended() && p.present(u) == nil {
 		return Observation{Phase: PhaseMissing}, true // nobody knows of it any more
 	}
 	if u.Phase == PhaseDone && r.Spec.Drain && u.Kind == KindMember {
-		return Observation{Phase: PhaseDrained, SeenStart: u.SeenStart}, p.there(u) != nil
+		return Observation{Phase: PhaseDrained, SeenStart: u.SeenStart}, p.present(u) != nil
 	}
 	switch {
 	case !u.isOut():
 		return none, false
 	case u.Kind == KindRelay:
-		return p.lookRelay(r, u)
+		return p.observeRelay(r, u)
 	}
-	return p.lookMember(r, u)
+	return p.observeMember(r, u)
 }
 
-func (p *planner) lookRelay(r *release, u *Unit) (Observation, bool) {
+func (p *planner) observeRelay(r *release, u *Unit) (Observation, bool) {
 	x := p.relays[u.Name]
 	if x == nil {
 		return Observation{}, false
 	}
-	sound := x.sound(p.b)
-	if planted == "own word" {
+	sound := x.healthy(p.budgets)
+	if plantedDefect == "own word" {
 		sound = x.Phase == "serving"
 	}
 	// One that is shut serves nobody, and counts as shut: that it is not about to leave is enough.
-	if shut := p.d.shutting(u.Name); u.Phase == PhaseRevoked && shut != nil && !shut.InService {
-		sound = x.live(p.b) && (x.Phase == "serving" || x.Phase == "shut")
+	if shut := p.record.findQuarantine(u.Name); u.Phase == PhaseRevoked && shut != nil && !shut.InService {
+		sound = x.reporting(p.budgets) && (x.Phase == "serving" || x.Phase == "shut")
 	}
 	if !sound {
 		return Observation{}, false
 	}
-	program, config := r.wants(u, u.Reverting)
+	program, config := r.targetVersion(u, u.Reverting)
 	fits := (program == "" || program == x.Program) && (config == "" || config == x.Config)
 	later := x.StartNumber > uint64(u.SeenStart)
 	switch {
@@ -205,9 +205,9 @@
 	return Observation{Phase: PhasePending}, true
 }
 
-func (p *planner) lookMember(r *release, u *Unit) (Observation, bool) {
-	m := p.members[u.name()]
-	program, _ := r.wants(u, u.Reverting)
+func (p *planner) observeMember(r *release, u *Unit) (Observation, bool) {
+	m := p.members[u.currentName()]
+	program, _ := r.targetVersion(u, u.Reverting)
 	// Requester does not say what it runs fits. On the way back an owner may put back at once what was there before.
 	fits := func(m *Member) bool {
 		return program == "" || m.Program == "" || m.Program == program || r.RollingBack && m.Program == u.PreviousProgram
@@ -218,17 +218,17 @@
 		if m != nil {
 			s.SeenStart = m.Started
 		}
-		return s, p.empty(u, m)
+		return s, p.drained(u, m)
 	case r.Spec.Drain && u.Phase != PhaseRevoked:
-		return Observation{Phase: PhaseDone}, m == nil // gone for good: no member any more, so not out
+		return Observation{Phase: PhaseDone}, m == nil // observed for good: no member any more, so not out
 	case m == nil && r.Spec.Drain:
 		return Observation{}, false
 	case m == nil:
-		name := p.newcomer(u, fits)
+		name := p.findSuccessor(u, fits)
 		return Observation{Phase: PhaseReplaced, Successor: name}, name != ""
 	case u.Phase == PhaseDrained: // one that fell over and came back as it was is still to be replaced
 		return Observation{Phase: PhaseReplaced, Successor: m.Name}, m.Started > u.SeenStart && fits(m)
-	case !p.full(m) || u.Phase == PhaseRevoked && !p.heeded(u.OrderVersion):
+	case !p.inFullService(m) || u.Phase == PhaseRevoked && !p.appliedEverywhere(u.OrderVersion):
 		return Observation{}, false
 	case u.Phase == PhaseRevoked && !(program != "" && program == m.Program):
 		return Observation{Phase: PhasePending}, true
@@ -238,52 +238,52 @@
 	return Observation{Phase: PhaseDone}, true
 }
 
-// there is the thing of a unit, if it is in the view.
-func (p *planner) there(u *Unit) any {
+// present is the thing of a unit, if it is in the view.
+func (p *planner) present(u *Unit) any {
 	if u.Kind == KindRelay {
 		if x := p.relays[u.Name]; x != nil {
 			return x
 		}
 		return nil
 	}
-	if m := p.members[u.name()]; m != nil {
+	if m := p.members[u.currentName()]; m != nil {
 		return m
 	}
 	return nil
 }
 
-// alone says that all else of a release is through, so that one that is not there holds it up.
-func (p *planner) alone(r *release, u *Unit) bool {
+// onlyMissingLeft says that all else of a release is through, so that one that is not there holds it up.
+func (p *planner) onlyMissingLeft(r *release, u *Unit) bool {
 	for i := range r.Units {
-		if x := &r.Units[i]; x.isOut() || x.Phase == PhasePending && p.there(x) != nil {
+		if x := &r.Units[i]; x.isOut() || x.Phase == PhasePending && p.present(x) != nil {
 			return false
 		}
 	}
 	return true
 }
 
-// heeded says that every relay that lives has applied a version.
-func (p *planner) heeded(version uint64) bool {
-	for i := range p.v.Relays {
-		if x := &p.v.Relays[i]; x.live(p.b) && x.AppliedVersion < version {
+// appliedEverywhere says that every relay that lives has applied a version.
+func (p *planner) appliedEverywhere(version uint64) bool {
+	for i := range p.view.Relays {
+		if x := &p.view.Relays[i]; x.reporting(p.budgets) && x.AppliedVersion < version {
 			return false
 		}
 	}
-	return len(p.v.Relays) > 0
+	return len(p.view.Relays) > 0
 }
 
-// empty says that no relay holds a flow at a member: each that lives has said so after it heeded the order, each silent one is
+// drained says that no relay holds a flow at a member: each that lives has said so after it heeded the order, each silent one is
 // past the time in which it still could.
-func (p *planner) empty(u *Unit, m *Member) bool {
-	if !p.heeded(u.OrderVersion) {
+func (p *planner) drained(u *Unit, m *Member) bool {
+	if !p.appliedEverywhere(u.OrderVersion) {
 		return false
 	}
-	for i := range p.v.Relays {
-		x := &p.v.Relays[i]
+	for i := range p.view.Relays {
+		x := &p.view.Relays[i]
 		switch {
 		case x.Exited:
-		case !x.live(p.b):
-			if x.ReportAgeMS <= p.b.FlowHoldMS {
+		case !x.reporting(p.budgets):
+			if x.ReportAgeMS <= p.budgets.FlowHoldMS {
 				return false
 			}
 		case m != nil && m.FlowsByRelay[x.Name].Flows > 0:
@@ -293,19 +293,19 @@
 	return true
 }
 
-// full says that a member takes its whole share.
-func (p *planner) full(m *Member) bool {
-	_, banned := p.d.banned(m.Name)
-	return m.sound() && !banned
+// inFullService says that a member takes its whole share.
+func (p *planner) inFullService(m *Member) bool {
+	_, banned := p.record.findEjection(m.Name)
+	return m.healthy() && !banned
 }
 
-// newcomer is a member that has come in the place of one that is gone: the earliest of its zone; one of another only once its own has
+// findSuccessor is a member that has come in the place of one that is gone: the earliest of its zone; one of another only once its own has
 // had the time to come.
-func (p *planner) newcomer(u *Unit, fits func(*Member) bool) string {
+func (p *planner) findSuccessor(u *Unit, fits func(*Member) bool) string {
 	var best *Member
-	for i := range p.v.Members {
-		m := &p.v.Members[i]
-		if p.used[m.Name] || m.Started <= u.OrderedAt || !fits(m) || m.Zone != u.Zone && p.now-u.OrderedAt < p.b.DrainMS+p.b.StartMS {
+	for i := range p.view.Members {
+		m := &p.view.Members[i]
+		if p.claimed[m.Name] || m.Started <= u.OrderedAt || !fits(m) || m.Zone != u.Zone && p.now-u.OrderedAt < p.budgets.DrainMS+p.budgets.StartMS {
 			continue
 		}
 		near, nearer := best != nil && best.Zone == u.Zone, m.Zone == u.Zone
@@ -316,70 +316,70 @@
 	if best == nil {
 		return ""
 	}
-	p.used[best.Name] = true
+	p.claimed[best.Name] = true
 	return best.Name
 }
 
-// returned says that others see the thing of a begun permit in full service, when its asker may not take it down any more: its time for that is
+// permitReturned says that others see the thing of a begun permit in full service, when its asker may not take it down any more: its time for that is
 // over, or it gave the permit back; and so long ago that what is seen is of after that. A later start proves nothing: it may have fallen over
 // by itself just before. One that is not back in the time that a thing may take is lost, and counts as that; if it is not even in the view it
 // would count nowhere, so its permit has to be given back.
-func (p *planner) returned(x *Permit) bool {
-	over := cmp.Or(x.ReturnedAt, x.ExpiresAt) + p.b.SilentAfterMS
-	if p.now <= over && planted != "own word" {
+func (p *planner) permitReturned(x *Permit) bool {
+	over := cmp.Or(x.ReturnedAt, x.ExpiresAt) + p.budgets.SilentAfterMS
+	if p.now <= over && plantedDefect != "own word" {
 		return false
 	}
-	late := p.now > over+p.d.bound(x.Kind, p.b)
+	late := p.now > over+p.record.maxOutMS(x.Kind, p.budgets)
 	if x.Kind == KindRelay {
 		r := p.relays[x.Name]
-		return r == nil && x.ReturnedAt > 0 && late || r != nil && (late || r.sound(p.b) || planted == "own word" && r.Phase == "serving")
+		return r == nil && x.ReturnedAt > 0 && late || r != nil && (late || r.healthy(p.budgets) || plantedDefect == "own word" && r.Phase == "serving")
 	}
 	if m := p.members[x.Name]; m != nil {
-		return late || p.full(m)
+		return late || p.inFullService(m)
 	}
-	name := p.newcomer(&Unit{Zone: x.Zone, OrderedAt: x.StateSince}, func(*Member) bool { return true })
-	return x.ReturnedAt > 0 && late || name != "" && p.full(p.members[name])
+	name := p.findSuccessor(&Unit{Zone: x.Zone, OrderedAt: x.StateSince}, func(*Member) bool { return true })
+	return x.ReturnedAt > 0 && late || name != "" && p.inFullService(p.members[name])
 }
 
-func (p *planner) void() []uint64 {
+func (p *planner) expiredPermits() []uint64 {
 	var list []uint64
-	for i := range p.d.Permits {
-		if p.d.Permits[i].void(p.now) {
-			list = append(list, p.d.Permits[i].Number)
+	for i := range p.record.Permits {
+		if p.record.Permits[i].expired(p.now) {
+			list = append(list, p.record.Permits[i].Number)
 		}
 	}
 	return list
 }
 
-// late says that a unit is out for longer than its kind takes.
-func (p *planner) late(r *release, u *Unit) bool {
+// overdue says that a unit is out for longer than its kind takes.
+func (p *planner) overdue(r *release, u *Unit) bool {
 	if !u.isOut() {
 		// Not there, or held out by another release or a permit.
-		kept := p.there(u) == nil || p.rooms[side(u.Kind)].planned[u.name()]
-		return r.State == ReleaseRollingBack && u.Phase == PhaseDone && r.undoable(u) && kept && p.now-max(r.ProgressAt, r.ResumedAt) > p.d.bound(u.Kind, p.b)
+		kept := p.present(u) == nil || p.allowances[budgetKind(u.Kind)].granted[u.currentName()]
+		return r.State == ReleaseRollingBack && u.Phase == PhaseDone && r.revertible(u) && kept && p.now-max(r.ProgressAt, r.ResumedAt) > p.record.maxOutMS(u.Kind, p.budgets)
 	}
 	if r.Spec.Drain && u.Phase == PhaseDrained {
 		return false
 	}
-	return p.now-max(u.OrderedAt, r.ResumedAt) > p.d.bound(u.Kind, p.b)
+	return p.now-max(u.OrderedAt, r.ResumedAt) > p.record.maxOutMS(u.Kind, p.budgets)
 }
 
 // ---- Drift ----
 
-// admits are the relays that need not be shut any more. One that is silent may be as it was.
-func (p *planner) admits() []Command {
+// readmissions are the relays that need not be shut any more. One that is silent may be as it was.
+func (p *planner) readmissions() []Command {
 	var list []Command
-	for i := range p.d.Quarantines {
-		s := &p.d.Quarantines[i]
+	for i := range p.record.Quarantines {
+		s := &p.record.Quarantines[i]
 		r, cause := p.relays[s.Name], ""
-		_, unfit := p.v.Unfit[s.Name]
+		_, unfit := p.view.Unfit[s.Name]
 		switch {
-		case s.ReadmittedVersion != 0 || r != nil && !r.live(p.b):
+		case s.ReadmittedVersion != 0 || r != nil && !r.reporting(p.budgets):
 		case r == nil:
 			cause = "gone"
 		case r.StartNumber > s.StartNumber:
 			cause = "started"
-		case !unfit && p.now-s.Since >= p.b.SilentAfterMS: // one that comes and goes is not let in and out at each look
+		case !unfit && p.now-s.Since >= p.budgets.SilentAfterMS: // one that comes and goes is not let in and out at each look
 			cause = "fit"
 		}
 		if cause != "" {
@@ -389,124 +389,124 @@
 	return list
 }
 
-// shuts are the relays that drifted, the worst first, as far as the budget bears it.
-func (p *planner) shuts() []Command {
+// quarantines are the relays that drifted, the worst first, as far as the budget bears it.
+func (p *planner) quarantines() []Command {
 	var list []Command
-	if p.now-p.v.At > p.b.ViewMaxAgeMS {
+	if p.now-p.view.At > p.budgets.ViewMaxAgeMS {
 		return nil
 	}
 	seen := map[string]bool{}
-	for _, n := range slices.Concat(p.v.UnfitOrder, slices.Sorted(maps.Keys(p.v.Unfit))) {
-		why, unfit := p.v.Unfit[n]
-		r, s := p.relays[n], p.d.shutting(n)
-		if !unfit || seen[n] || r == nil || !r.live(p.b) || s != nil && (s.ReadmittedVersion == 0 || s.OperatorOverride) || len(list) >= MaxGrantsPerStep {
+	for _, n := range slices.Concat(p.view.UnfitOrder, slices.Sorted(maps.Keys(p.view.Unfit))) {
+		why, unfit := p.view.Unfit[n]
+		r, s := p.relays[n], p.record.findQuarantine(n)
+		if !unfit || seen[n] || r == nil || !r.reporting(p.budgets) || s != nil && (s.ReadmittedVersion == 0 || s.OperatorOverride) || len(list) >= MaxGrantsPerStep {
 			continue
 		}
 		seen[n] = true
-		c := Command{Kind: CommandQuarantine, Name: n, Reason: cut(why, MaxReasonBytes), Zone: r.Zone, Capacity: p.bears(&Unit{Name: n, Kind: KindRelay}), StartNumber: r.StartNumber,
-			Basis: p.sight()}
-		if p.rooms[KindRelay].shut(n, r.Zone, c.Capacity) == "" {
+		c := Command{Kind: CommandQuarantine, Name: n, Reason: truncate(why, MaxReasonBytes), Zone: r.Zone, Capacity: p.usableCapacity(&Unit{Name: n, Kind: KindRelay}), StartNumber: r.StartNumber,
+			Basis: p.basis()}
+		if p.allowances[KindRelay].reserveQuarantine(n, r.Zone, c.Capacity) == "" {
 			list = append(list, c)
 		}
 	}
 	return list
 }
 
-// sight is what a command rests on that gives something out.
-func (p *planner) sight() *ViewSummary {
-	return &ViewSummary{At: p.v.At, Budgets: p.b, Relays: p.rooms[KindRelay].side, Members: p.rooms[KindMember].side}
+// basis is what a command rests on that gives something out.
+func (p *planner) basis() *ViewSummary {
+	return &ViewSummary{At: p.view.At, Budgets: p.budgets, Relays: p.allowances[KindRelay].summary, Members: p.allowances[KindMember].summary}
 }
 
 // ---- Halts ----
 
-// halt is the first release that is to halt, with the cause.
-func (p *planner) halt(stalled map[string]string) *Command {
-	for i := range p.d.Releases {
-		r := &p.d.Releases[i]
-		verdict := p.v.Degraded != "" && (p.v.DegradedRelease == "" || p.v.DegradedRelease == r.Name)
+// haltCommand is the first release that is to halt, with the cause.
+func (p *planner) haltCommand(stalled map[string]string) *Command {
+	for i := range p.record.Releases {
+		r := &p.record.Releases[i]
+		verdict := p.view.Degraded != "" && (p.view.DegradedRelease == "" || p.view.DegradedRelease == r.Name)
 		if r.State != ReleaseRunning && r.State != ReleaseRollingBack && !(r.State == ReleaseHalted && verdict && !r.Halt.NeedsOperator && !r.RollingBack) {
 			continue
 		}
-		cause, why := p.cause(r, verdict, stalled)
+		cause, why := p.haltCause(r, verdict, stalled)
 		if cause != "" {
-			return &Command{Kind: CommandHalt, Name: r.Name, Cause: cause, Reason: cut(why, MaxReasonBytes), BaseVersion: p.d.Version}
+			return &Command{Kind: CommandHalt, Name: r.Name, Cause: cause, Reason: truncate(why, MaxReasonBytes), BaseVersion: p.record.Version}
 		}
 	}
 	return nil
 }
 
-// cause is why a release is to halt. One on its way back does so only where nothing of it can go: what is bad about the fleet then may be
+// haltCause is why a release is to halt. One on its way back does so only where nothing of it can go: what is bad about the fleet then may be
 // what it undoes.
-func (p *planner) cause(r *release, verdict bool, stalled map[string]string) (cause, why string) {
+func (p *planner) haltCause(r *release, verdict bool, stalled map[string]string) (cause, why string) {
 	if !r.RollingBack {
-		cause, why = p.bad(r, verdict)
+		cause, why = p.forwardHaltCause(r, verdict)
 	}
-	if cause == "" && stalled[r.Name] != "" && p.now-max(r.ProgressAt, r.ResumedAt) > p.d.bound(r.Spec.Kind, p.b) {
+	if cause == "" && stalled[r.Name] != "" && p.now-max(r.ProgressAt, r.ResumedAt) > p.record.maxOutMS(r.Spec.Kind, p.budgets) {
 		return HaltStalled, stalled[r.Name]
 	}
 	return cause, why
 }
 
-func (p *planner) bad(r *release, verdict bool) (cause, why string) {
+func (p *planner) forwardHaltCause(r *release, verdict bool) (cause, why string) {
 	if verdict {
-		return HaltVerdict, p.v.Degraded
+		return HaltVerdict, p.view.Degraded
 	}
-	if p.v.Drift != "" && p.v.DriftMS > p.b.DriftHaltMS {
-		return HaltDrift, p.v.Drift
+	if p.view.Drift != "" && p.view.DriftMS > p.budgets.DriftHaltMS {
+		return HaltDrift, p.view.Drift
 	}
-	room := p.rooms[side(r.Spec.Kind)]
-	if over := room.over(); over != "" {
+	room := p.allowances[budgetKind(r.Spec.Kind)]
+	if over := room.overdrawn(); over != "" {
 		return HaltOverBudget, over
 	}
-	if short := room.short(); short != "" {
+	if short := room.shortfall(); short != "" {
 		return HaltOverBudget, short
 	}
 	for j := range r.Units {
-		if u := &r.Units[j]; u.isOut() && p.late(r, u) && !p.gone[r.Name+"\n"+u.Name] {
-			return HaltOverdue, fmt.Sprintf("%s %s is %s for %d ms", u.Kind, u.name(), u.Phase, p.now-u.OrderedAt)
+		if u := &r.Units[j]; u.isOut() && p.overdue(r, u) && !p.observed[r.Name+"\n"+u.Name] {
+			return HaltOverdue, fmt.Sprintf("%s %s is %s for %d ms", u.Kind, u.currentName(), u.Phase, p.now-u.OrderedAt)
 		}
 	}
-	if worse(r.BaselineRequested, r.BaselineServed, r.BaselineDispersion, p.b.ServiceTolerance, p.v.Service, max(r.UnitsSetAt, r.ResumedAt)) {
+	if degraded(r.BaselineRequested, r.BaselineServed, r.BaselineDispersion, p.budgets.ServiceTolerance, p.view.Service, max(r.UnitsSetAt, r.ResumedAt)) {
 		return HaltServiceDegraded, fmt.Sprintf("it was %.4f before", r.BaselineServed/r.BaselineRequested)
 	}
 	return "", ""
 }
 
-// resume lets a release go on whose halt's cause is gone, if it may by itself. The cause has to be gone for as long as a silence takes to be one.
-func (p *planner) resume() *Command {
-	for i := range p.d.Releases {
-		r := &p.d.Releases[i]
-		if r.State != ReleaseHalted || r.Halt.NeedsOperator || p.now-r.Halt.HaltedAt < p.b.SilentAfterMS {
+// resumeCommand lets a release go on whose halt's cause is gone, if it may by itself. The cause has to be gone for as long as a silence takes to be one.
+func (p *planner) resumeCommand() *Command {
+	for i := range p.record.Releases {
+		r := &p.record.Releases[i]
+		if r.State != ReleaseHalted || r.Halt.NeedsOperator || p.now-r.Halt.HaltedAt < p.budgets.SilentAfterMS {
 			continue
 		}
 		out := slices.ContainsFunc(r.Units, func(u Unit) bool { return u.isOut() && !(r.Spec.Drain && u.Phase == PhaseDrained) })
-		room, gone := p.rooms[side(r.Spec.Kind)], false
+		room, gone := p.allowances[budgetKind(r.Spec.Kind)], false
 		switch r.Halt.Cause {
 		case HaltOverBudget:
-			gone = room.over() == "" && room.short() == ""
+			gone = room.overdrawn() == "" && room.shortfall() == ""
 		case HaltOverdue:
 			gone = !out
 		case HaltServiceDegraded:
-			gone = !out && !worse(r.BaselineRequested, r.BaselineServed, r.BaselineDispersion, p.b.ServiceTolerance, p.v.Service, r.Halt.HaltedAt)
+			gone = !out && !degraded(r.BaselineRequested, r.BaselineServed, r.BaselineDispersion, p.budgets.ServiceTolerance, p.view.Service, r.Halt.HaltedAt)
 		case HaltDrift:
-			gone = p.v.Drift == ""
+			gone = p.view.Drift == ""
 		case HaltStalled:
-			gone = p.could(r)
+			gone = p.canGrant(r)
 		}
 		if gone {
-			return &Command{Kind: CommandResume, Name: r.Name, Cause: r.Halt.Cause, BaseVersion: p.d.Version}
+			return &Command{Kind: CommandResume, Name: r.Name, Cause: r.Halt.Cause, BaseVersion: p.record.Version}
 		}
 	}
 	return nil
 }
 
-// could says whether a halted release could give something out.
-func (p *planner) could(r *release) bool {
+// canGrant says whether a halted release could give something out.
+func (p *planner) canGrant(r *release) bool {
 	x := *r
-	x.State = x.going()
-	room := p.d.room(side(r.Spec.Kind), p.rooms[side(r.Spec.Kind)].side, p.b)
+	x.State = x.activeState()
+	room := p.record.allowance(budgetKind(r.Spec.Kind), p.allowances[budgetKind(r.Spec.Kind)].summary, p.budgets)
 	for _, u := range p.candidates(&x) {
-		if u.bans() < 0 || p.there(u) != nil && room.take(u.name(), u.Zone, p.bears(u)) == "" {
+		if u.ejectionChange() < 0 || p.present(u) != nil && room.reserve(u.currentName(), u.Zone, p.usableCapacity(u)) == "" {
 			return true
 		}
 	}
@@ -515,16 +515,16 @@
 
 // ---- Laying out ----
 
-// lay lays the first release out that waits for it: from the smallest risk up, zone by zone where the budget lets no more than one zone's
+// setUnits lays the first release out that waits for it: from the smallest risk up, zone by zone where the budget lets no more than one zone's
 // things out anyway, else spread over the zones.
-func (p *planner) lay() *Command {
-	i := slices.IndexFunc(p.d.Releases, func(r release) bool {
-		return r.State == ReleaseQueued && !r.UnitsSet && r.QueuedBehind == "" && !p.unknown(&r)
+func (p *planner) setUnitsCommand() *Command {
+	i := slices.IndexFunc(p.record.Releases, func(r release) bool {
+		return r.State == ReleaseQueued && !r.UnitsSet && r.QueuedBehind == "" && !p.versionsUnknown(&r)
 	})
-	if i < 0 || len(p.v.Relays) == 0 {
+	if i < 0 || len(p.view.Relays) == 0 {
 		return nil
 	}
-	r := &p.d.Releases[i]
+	r := &p.record.Releases[i]
 	w := &r.Spec
 	var units []Unit
 	risk := map[string]float64{}
@@ -532,84 +532,84 @@
 	switch w.Kind {
 	case KindEject:
 		for _, n := range slices.Sorted(slices.Values(w.Reinstate)) {
-			units = append(units, p.place(Unit{Name: n, Kind: KindReinstate}))
+			units = append(units, p.locate(Unit{Name: n, Kind: KindReinstate}))
 		}
 		for _, n := range slices.Sorted(slices.Values(w.Eject)) {
-			units = append(units, p.place(Unit{Name: n, Kind: KindEject}))
+			units = append(units, p.locate(Unit{Name: n, Kind: KindEject}))
 		}
-		return &Command{Kind: CommandSetUnits, Name: r.Name, Units: units, Baseline: p.before()}
+		return &Command{Kind: CommandSetUnits, Name: r.Name, Units: units, Baseline: p.baselineWindows()}
 	case KindRelay:
-		for _, x := range p.v.Relays {
-			if w.of(x.Name, x.Zone) {
+		for _, x := range p.view.Relays {
+			if w.selects(x.Name, x.Zone) {
 				units = append(units, Unit{Name: x.Name, Zone: x.Zone, Kind: w.Kind, Capacity: x.Capacity, PreviousProgram: x.Program, PreviousConfig: x.Config})
 				risk[x.Name] = float64(x.Flows)
 				there[x.Name] = true
 			}
 		}
 	default:
-		for _, m := range p.v.Members {
-			if w.of(m.Name, m.Zone) {
+		for _, m := range p.view.Members {
+			if w.selects(m.Name, m.Zone) {
 				units = append(units, Unit{Name: m.Name, Zone: m.Zone, Kind: w.Kind, Capacity: m.Capacity, PreviousProgram: m.Program})
 				risk[m.Name] = m.UsableCapacity
 				there[m.Name] = true
 			}
 		}
 	}
-	if planted != "a map's order" {
+	if plantedDefect != "a map's order" {
 		slices.SortFunc(units, func(x, y Unit) int {
 			return cmp.Or(cmp.Compare(risk[x.Name], risk[y.Name]), cmp.Compare(x.Name, y.Name))
 		})
 	}
-	units = spread(units, p.zonal(w), risk)
+	units = orderByZone(units, p.zoneByZone(w), risk)
 	for _, n := range w.Names {
 		if !there[n] {
 			units = append(units, Unit{Name: n, Kind: w.Kind, Phase: PhaseMissing})
 		}
 	}
-	return &Command{Kind: CommandSetUnits, Name: r.Name, Units: units, Baseline: p.before()}
+	return &Command{Kind: CommandSetUnits, Name: r.Name, Units: units, Baseline: p.baselineWindows()}
 }
 
-// unknown says that a relay of the release has not yet said what it runs: it could not be given back. One that is silent for good is not waited for.
-func (p *planner) unknown(r *release) bool {
+// versionsUnknown says that a relay of the release has not yet said what it runs: it could not be given back. One that is silent for good is not waited for.
+func (p *planner) versionsUnknown(r *release) bool {
 	w := &r.Spec
-	return w.Kind == KindRelay && p.now-r.ProgressAt <= p.b.DrainMS+p.b.StartMS && slices.ContainsFunc(p.v.Relays, func(x Relay) bool {
-		return w.of(x.Name, x.Zone) && (w.Program != "" && x.Program == "" || w.Config != "" && x.Config == "")
+	return w.Kind == KindRelay && p.now-r.ProgressAt <= p.budgets.DrainMS+p.budgets.StartMS && slices.ContainsFunc(p.view.Relays, func(x Relay) bool {
+		return w.selects(x.Name, x.Zone) && (w.Program != "" && x.Program == "" || w.Config != "" && x.Config == "")
 	})
 }
 
-func (p *planner) before() []ServiceWindow {
+func (p *planner) baselineWindows() []ServiceWindow {
 	var list []ServiceWindow
-	for _, c := range p.v.Service[max(0, len(p.v.Service)-countsMost):] {
-		if c.Requested >= 0 && c.Served >= 0 && c.Requested <= countMost {
+	for _, c := range p.view.Service[max(0, len(p.view.Service)-maxBaselineWindows):] {
+		if c.Requested >= 0 && c.Served >= 0 && c.Requested <= maxWindowCount {
 			list = append(list, ServiceWindow{c.EndsAt, c.Requested, min(c.Served, c.Requested)})
 		}
 	}
 	return list
 }
 
-func (p *planner) place(u Unit) Unit {
+func (p *planner) locate(u Unit) Unit {
 	if m := p.members[u.Name]; m != nil {
 		u.Zone, u.Capacity = m.Zone, m.Capacity
 	}
 	return u
 }
 
-// zonal says that one zone's things come before the next: all that may be out at once fits into one zone.
-func (p *planner) zonal(w *ReleaseSpec) bool {
-	room := p.rooms[side(w.Kind)]
-	if w.ZoneByZone || !room.budget.PerZone.set() {
+// zoneByZone says that one zone's things come before the next: all that may be out at once fits into one zone.
+func (p *planner) zoneByZone(w *ReleaseSpec) bool {
+	room := p.allowances[budgetKind(w.Kind)]
+	if w.ZoneByZone || !room.budget.PerZone.isSet() {
 		return w.ZoneByZone
 	}
-	for _, n := range room.side.CountByZone {
-		if room.budget.zone(n) < room.budget.whole(room.total) {
+	for _, n := range room.summary.CountByZone {
+		if room.budget.zoneLimit(n) < room.budget.totalLimit(room.total) {
 			return false
 		}
 	}
-	return len(room.side.CountByZone) > 1
+	return len(room.summary.CountByZone) > 1
 }
 
-// spread orders units: those of the zone with the smallest risk first, or one of each zone in turn.
-func spread(units []Unit, zonal bool, risk map[string]float64) []Unit {
+// orderByZone orders units: those of the zone with the smallest risk first, or one of each zone in turn.
+func orderByZone(units []Unit, zonal bool, risk map[string]float64) []Unit {
 	zones, total, names := map[string][]Unit{}, map[string]float64{}, []string{}
 	for _, u := range units {
 		if zones[u.Zone] == nil {
@@ -618,7 +618,7 @@
 		zones[u.Zone] = append(zones[u.Zone], u)
 		total[u.Zone] += risk[u.Name]
 	}
-	if planted == "a map's order" {
+	if plantedDefect == "a map's order" {
 		names = nil
 		for z := range zones {
 			names = append(names, z)
@@ -641,50 +641,50 @@
 
 // ---- Giving out ----
 
-// step is what goes out now: permits first, whose askers wait outside, then releases as they were opened; releases first once one has waited
+// stepCommand is what goes out now: permits first, whose askers wait outside, then releases as they were opened; releases first once one has waited
 // for half of its bound, else askers who never rest would hold it up. It also says of which release nothing is out and nothing may go.
-func (p *planner) step() (*Command, map[string]string) {
-	c := Command{Kind: CommandStep, BaseVersion: p.d.Version, Basis: p.sight()}
+func (p *planner) stepCommand() (*Command, map[string]string) {
+	c := Command{Kind: CommandStep, BaseVersion: p.record.Version, Basis: p.basis()}
 	stalled := map[string]string{}
-	if len(p.v.Relays) == 0 || p.now-p.v.At > p.b.ViewMaxAgeMS {
+	if len(p.view.Relays) == 0 || p.now-p.view.At > p.budgets.ViewMaxAgeMS {
 		return nil, stalled
 	}
-	starved := slices.ContainsFunc(p.d.Releases, func(r release) bool {
+	starved := slices.ContainsFunc(p.record.Releases, func(r release) bool {
 		return (r.State == ReleaseRunning || r.State == ReleaseRollingBack) && !slices.ContainsFunc(r.Units, func(u Unit) bool { return u.isOut() }) &&
-			p.now-max(r.ProgressAt, r.ResumedAt) > p.d.bound(r.Spec.Kind, p.b)/2
+			p.now-max(r.ProgressAt, r.ResumedAt) > p.record.maxOutMS(r.Spec.Kind, p.budgets)/2
 	})
 	if !starved {
-		p.permits(&c)
+		p.grantPermits(&c)
 	}
-	moving := p.moving()
-	for i := range p.d.Releases {
-		r := &p.d.Releases[i]
-		if r.State != ReleaseRollingBack && (r.State != ReleaseRunning || p.v.Drift != "") {
+	moving := p.migratingFlows()
+	for i := range p.record.Releases {
+		r := &p.record.Releases[i]
+		if r.State != ReleaseRollingBack && (r.State != ReleaseRunning || p.view.Drift != "") {
 			continue
 		}
-		n, why := len(c.Grants), p.v.Drift
+		n, why := len(c.Grants), p.view.Drift
 		for _, u := range p.candidates(r) {
 			if len(c.Grants) >= MaxGrantsPerStep {
 				break
 			}
-			g := p.gift(u)
+			g := p.newGrant(u)
 			g.Release, g.Unit, g.Zone = r.Name, u.Name, ""
-			if u.bans() >= 0 {
-				if p.there(u) == nil && u.bans() == 0 {
-					why = u.name() + " is not there"
+			if u.ejectionChange() >= 0 {
+				if p.present(u) == nil && u.ejectionChange() == 0 {
+					why = u.currentName() + " is not there"
 					continue
 				}
-				if no := p.take(u, u.Zone, g.Capacity); no != "" {
+				if no := p.reserve(u, u.Zone, g.Capacity); no != "" {
 					why = no
 					continue
 				}
 			}
 			if u.Kind == KindMember {
-				moving += p.members[u.name()].flows()
-				g.MigrateOverMS = p.pace(moving)
+				moving += p.members[u.currentName()].totalFlows()
+				g.MigrateOverMS = p.migrateOverMS(moving)
 			}
 			c.Grants = append(c.Grants, g)
-			if r.Spec.FirstAlone && !p.proved(r) {
+			if r.Spec.FirstAlone && !p.firstDone(r) {
 				break
 			}
 		}
@@ -694,7 +694,7 @@
 		}
 	}
 	if starved {
-		p.permits(&c)
+		p.grantPermits(&c)
 	}
 	if len(c.Grants) == 0 {
 		return nil, stalled
@@ -702,53 +702,53 @@
 	return &c, stalled
 }
 
-// permits adds to a step the permits that may be granted, as they were asked for.
-func (p *planner) permits(c *Command) {
-	for i := range p.d.Permits {
-		x := &p.d.Permits[i]
+// grantPermits adds to a step the permits that may be granted, as they were asked for.
+func (p *planner) grantPermits(c *Command) {
+	for i := range p.record.Permits {
+		x := &p.record.Permits[i]
 		u := Unit{Name: x.Name, Kind: x.Kind}
-		if x.State != PermitWaiting || p.now-x.RequestedAt > staleAfter || p.there(&u) == nil || len(c.Grants) >= MaxGrantsPerStep {
+		if x.State != PermitWaiting || p.now-x.RequestedAt > permitForgetMS || p.present(&u) == nil || len(c.Grants) >= MaxGrantsPerStep {
 			continue
 		}
-		g := p.gift(&u)
-		if p.take(&u, g.Zone, g.Capacity) == "" {
+		g := p.newGrant(&u)
+		if p.reserve(&u, g.Zone, g.Capacity) == "" {
 			g.Permit = x.Number
 			c.Grants = append(c.Grants, g)
 		}
 	}
 }
 
-func (p *planner) take(u *Unit, zone string, bears float64) string {
-	return p.rooms[side(u.Kind)].take(u.name(), zone, bears)
+func (p *planner) reserve(u *Unit, zone string, bears float64) string {
+	return p.allowances[budgetKind(u.Kind)].reserve(u.currentName(), zone, bears)
 }
 
-// gift is what goes with a thing, as it is seen now.
-func (p *planner) gift(u *Unit) Grant {
-	g := Grant{Capacity: p.bears(u)}
+// newGrant is what goes with a thing, as it is seen now.
+func (p *planner) newGrant(u *Unit) Grant {
+	g := Grant{Capacity: p.usableCapacity(u)}
 	if u.Kind == KindRelay {
 		if x := p.relays[u.Name]; x != nil {
 			g.Zone, g.SeenStart = x.Zone, int64(x.StartNumber)
 		}
-	} else if m := p.members[u.name()]; m != nil {
+	} else if m := p.members[u.currentName()]; m != nil {
 		g.Zone, g.SeenStart = m.Zone, m.Started
 	}
 	return g
 }
 
-// bears is what is lost to the rest when a thing goes out: nothing, if it is lost already.
-func (p *planner) bears(u *Unit) float64 {
+// usableCapacity is what is lost to the rest when a thing goes out: nothing, if it is lost already.
+func (p *planner) usableCapacity(u *Unit) float64 {
 	if u.Kind == KindRelay {
-		shut := p.d.shutting(u.Name)
-		if x := p.relays[u.Name]; x != nil && x.sound(p.b) && (shut == nil || shut.InService) {
+		shut := p.record.findQuarantine(u.Name)
+		if x := p.relays[u.Name]; x != nil && x.healthy(p.budgets) && (shut == nil || shut.InService) {
 			return x.Capacity
 		}
 		return 0
 	}
-	m := p.members[u.name()]
+	m := p.members[u.currentName()]
 	if m == nil || m.Failing {
 		return 0
 	}
-	if _, banned := p.d.banned(m.Name); banned {
+	if _, banned := p.record.findEjection(m.Name); banned {
 		return 0
 	}
 	return m.UsableCapacity
@@ -758,7 +758,7 @@
 func (p *planner) candidates(r *release) []*Unit {
 	var list, lost []*Unit
 	zone, found := "", false // of a zonal release: the first zone that is not through
-	if r.Spec.FirstAlone && r.State == ReleaseRunning && !p.proved(r) && slices.ContainsFunc(r.Units, func(u Unit) bool { return u.isOut() }) {
+	if r.Spec.FirstAlone && r.State == ReleaseRunning && !p.firstDone(r) && slices.ContainsFunc(r.Units, func(u Unit) bool { return u.isOut() }) {
 		return nil
 	}
 	for i := range r.Units {
@@ -766,10 +766,10 @@
 		if !found && r.Spec.ZoneByZone && r.State == ReleaseRunning && (u.Phase == PhasePending || u.isOut()) {
 			zone, found = u.Zone, true
 		}
-		if !r.may(u) || u.Stranded || found && u.Zone != zone {
+		if !r.grantable(u) || u.Stranded || found && u.Zone != zone {
 			continue
 		}
-		if p.rooms[side(u.Kind)].out[u.name()] && u.bans() >= 0 {
+		if p.allowances[budgetKind(u.Kind)].out[u.currentName()] && u.ejectionChange() >= 0 {
 			lost = append(lost, u)
 		} else {
 			list = append(list, u)
@@ -783,40 +783,40 @@
 	return append(list, lost...)
 }
 
-// proved says that the first unit of a release is back.
-func (p *planner) proved(r *release) bool {
+// firstDone says that the first unit of a release is back.
+func (p *planner) firstDone(r *release) bool {
 	return slices.ContainsFunc(r.Units, func(u Unit) bool { return u.Phase == PhaseDone })
 }
 
-// moving are the flows of members that are told to leave.
-func (p *planner) moving() int {
+// migratingFlows are the flows of members that are told to leave.
+func (p *planner) migratingFlows() int {
 	n := 0
-	for i := range p.d.Releases {
-		for j := range p.d.Releases[i].Units {
-			u := &p.d.Releases[i].Units[j]
-			if m := p.members[u.name()]; u.Kind == KindMember && u.Phase == PhaseLeaving && m != nil {
-				n += m.flows()
+	for i := range p.record.Releases {
+		for j := range p.record.Releases[i].Units {
+			u := &p.record.Releases[i].Units[j]
+			if m := p.members[u.currentName()]; u.Kind == KindMember && u.Phase == PhaseLeaving && m != nil {
+				n += m.totalFlows()
 			}
 		}
 	}
 	return n
 }
 
-// pace is over how many ms so many flows are moved: by the new flows a second that the rest takes, where it is known; else by what a
+// migrateOverMS is over how many ms so many flows are moved: by the new flows a second that the rest takes, where it is known; else by what a
 // cold member takes until it bears all.
-func (p *planner) pace(flows int) int64 {
+func (p *planner) migrateOverMS(flows int) int64 {
 	rate, known := 0.0, true
-	covered := p.d.covered(KindMember)
-	for i := range p.v.Members {
-		if m := &p.v.Members[i]; !covered[m.Name] && !p.rooms[KindMember].planned[m.Name] && p.bears(&Unit{Name: m.Name, Kind: KindMember}) > 0 {
+	covered := p.record.coveredNames(KindMember)
+	for i := range p.view.Members {
+		if m := &p.view.Members[i]; !covered[m.Name] && !p.allowances[KindMember].granted[m.Name] && p.usableCapacity(&Unit{Name: m.Name, Kind: KindMember}) > 0 {
 			rate, known = rate+m.NewFlowsPerSecond, known && m.NewFlowsPerSecond > 0
 		}
 	}
 	if !known || rate <= 0 {
-		rate = p.rooms[KindMember].side.RemainingCapacity / (float64(max(p.b.WarmupMS, 1)) / 1000)
+		rate = p.allowances[KindMember].summary.RemainingCapacity / (float64(max(p.budgets.WarmupMS, 1)) / 1000)
 	}
 	if flows == 0 || rate <= 0 {
 		return 0
 	}
-	return min(int64(float64(flows)/rate*1000)+1, p.b.DrainMS)
+	return min(int64(float64(flows)/rate*1000)+1, p.budgets.DrainMS)
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -51,7 +51,7 @@
 	w.roundtrip, w.history = roundtrip, history
 	w.calm = seed%5 == 0 // some without faults
 	w.faulty = !w.calm
-	if w.two = planted == "no fencing"; w.two { // what is left is what a step from an old state overdraws
+	if w.two = plantedDefect == "no fencing"; w.two { // what is left is what a step from an old state overdraws
 		w.load = 0
 		for _, x := range w.members {
 			w.load += x.capacity
@@ -123,10 +123,10 @@
 	w.calm, w.drop, w.drift = true, 0, 0
 	w.settleDown(600, CommandResume)
 	w.settleDown(1000, CommandRollBack)
-	if w.s.record.release("drain") != nil {
+	if w.s.record.findRelease("drain") != nil {
 		w.order(Command{Kind: CommandRollBack, Name: "drain"}) // it may have held up what else is to go back
 	}
-	if w.s.record.release("bans") != nil {
+	if w.s.record.findRelease("bans") != nil {
 		w.order(Command{Kind: CommandRollBack, Name: "bans"})
 	}
 	for range 4 { // one may have stalled behind another
@@ -186,7 +186,7 @@
 	for _, r := range w.s.record.Releases {
 		if !r.ended() && r.State != ReleaseHalted {
 			w.fault("release %s is %s behind %q: %+v", r.Name, r.State, r.QueuedBehind, slices.DeleteFunc(slices.Clone(r.Units), func(u Unit) bool {
-				return u.Phase == PhasePending || u.Phase == PhaseDone && !r.undoable(&u)
+				return u.Phase == PhasePending || u.Phase == PhaseDone && !r.revertible(&u)
 			}))
 			continue
 		}
@@ -201,7 +201,7 @@
 				}
 			}
 			for _, x := range w.members {
-				if u.Kind == KindMember && x.name == u.name() {
+				if u.Kind == KindMember && x.name == u.currentName() {
 					is, was = x.program, x.was
 					unknown = !x.labels && x.number != u.OrderNumber // it fell over before its owner came, and does not say what it runs
 				}
@@ -290,7 +290,7 @@
 		ended.Load(), undone.Load(), halted.Load(), shuts.Load(), units.Load(), excused.Load(), len(wrong), traces.Load())
 }
 
-// permits holds what askers and pilots were answered, in the order in which it was agreed, against one permit at a time for each thing.
+// grantPermits holds what askers and pilots were answered, in the order in which it was agreed, against one permit at a time for each thing.
 func permits(w *world, history []op) {
 	states, things := map[uint64]string{}, map[string]uint64{}
 	for _, o := range history {
@@ -346,9 +346,9 @@
 
 // Each defect is found by the judge, or by the trace.
 func TestPlanted(t *testing.T) {
-	defer func() { planted = "" }()
+	defer func() { plantedDefect = "" }()
 	for _, defect := range []string{"no failures", "no fencing", "a map's order", "own word", "half forgotten", "shut without budget"} {
-		planted = defect
+		plantedDefect = defect
 		wrong := all(0, 400, true, func(seed uint64) []string {
 			if large(seed) {
 				return nil
@@ -419,7 +419,7 @@
 			}
 			out := func(kind string) int {
 				names := map[string]bool{}
-				for _, p := range s.record.planned(kind) {
+				for _, p := range s.record.plannedOut(kind) {
 					names[p.Name] = true
 				}
 				return len(names)
@@ -432,8 +432,8 @@
 				continue
 			}
 			for kind, is := range map[string]bool{KindRelay: out(KindRelay) > relays, KindMember: out(KindMember) > members} {
-				if most := s.record.room(kind, map[string]KindSummary{KindRelay: c.Basis.Relays, KindMember: c.Basis.Members}[kind], c.Basis.Budgets); is && most.over() != "" {
-					t.Fatalf("%s: %s", c.Encode(), most.over())
+				if most := s.record.allowance(kind, map[string]KindSummary{KindRelay: c.Basis.Relays, KindMember: c.Basis.Members}[kind], c.Basis.Budgets); is && most.overdrawn() != "" {
+					t.Fatalf("%s: %s", c.Encode(), most.overdrawn())
 				}
 			}
 		}
@@ -600,7 +600,7 @@
 			calls(t, s, v.At, "", s.Plan(v.At, v, b)[0])
 		}
 		a, _ := s.Release("r")
-		if plan := s.Plan(v.At, v, b); plan != nil || s.Orders("n").Exclusions != nil || len(s.record.planned(KindMember)) > 0 || len(a.Exceptions) != 1 {
+		if plan := s.Plan(v.At, v, b); plan != nil || s.Orders("n").Exclusions != nil || len(s.record.plannedOut(KindMember)) > 0 || len(a.Exceptions) != 1 {
 			t.Errorf("allowed %v: %+v, %+v", allow, plan, a)
 		}
 	}
@@ -609,7 +609,7 @@
 // Budgets as operators write them, and those with which nothing ever could go out.
 func TestBudgets(t *testing.T) {
 	for text, want := range map[string]Limit{"25%": {Share: 0.25}, "2": {Count: 2}, "0": {}, "-1": {}, "0%": {}, "101%": {}, "x": {}, "NaN%": {}} {
-		if got, err := ParseLimit(text); got != want || (err == nil) != want.set() {
+		if got, err := ParseLimit(text); got != want || (err == nil) != want.isSet() {
 			t.Errorf("%s: %v, %v", text, got, err)
 		}
 	}
@@ -641,11 +641,11 @@
 		for range 30 {
 			counts = append(counts, window(0.97))
 		}
-		asked, served, spread := before(counts)
-		if worse(asked, served, spread, 0.01, []ServiceWindow{window(0.97), window(0.97), window(0.97)}, 0) {
+		asked, served, spread := baseline(counts)
+		if degraded(asked, served, spread, 0.01, []ServiceWindow{window(0.97), window(0.97), window(0.97)}, 0) {
 			halted++
 		}
-		if worse(asked, served, spread, 0.01, []ServiceWindow{window(0.85), window(0.85), window(0.85)}, 0) {
+		if degraded(asked, served, spread, 0.01, []ServiceWindow{window(0.85), window(0.85), window(0.85)}, 0) {
 			found++
 		}
 	}
@@ -726,11 +726,11 @@
 	}
 	v.At++
 	calls(t, s, v.At, ReleaseRunning, s.Plan(v.At, v, b)[0])
-	r := s.record.release("r")
+	r := s.record.findRelease("r")
 	for i := range r.Units {
 		r.Units[i].Updated = true
 	}
-	if r.undoable(r.unit("a")) || !r.undoable(r.unit("b")) {
+	if r.revertible(r.findUnit("a")) || !r.revertible(r.findUnit("b")) {
 		t.Errorf("%+v", r.Units)
 	}
 }
@@ -802,7 +802,7 @@
 		t.Error("a state of before", err)
 	}
 	// What was reckoned from an old state, or by who saw less, takes nothing out.
-	c := Command{Kind: CommandQuarantine, Name: "n4", Zone: "z0", StartNumber: 5, BaseVersion: s.Version(), Basis: s.record.planner(v.At, v, b).sight()}
+	c := Command{Kind: CommandQuarantine, Name: "n4", Zone: "z0", StartNumber: 5, BaseVersion: s.Version(), Basis: s.record.planner(v.At, v, b).basis()}
 	calls(t, s, v.At, "3 of 3", c)
 	calls(t, s, v.At+101, "ms old", c)
 	c.BaseVersion--
@@ -830,7 +830,7 @@
 	calls(t, s, v.At, ReleaseRunning, Command{Kind: CommandResume, Name: "r"})
 	plan(b, "n6 n2 n0 ")
 	if s.Orders("n2").Leave == nil {
-		t.Errorf("%+v", s.record.release("r").unit("n2"))
+		t.Errorf("%+v", s.record.findRelease("r").findUnit("n2"))
 	}
 	// One comes back: it is admitted, and counts until it is seen to serve by that; then the next is shut.
 	r := &v.Relays[6]
@@ -865,7 +865,7 @@
 	v.Relays = slices.DeleteFunc(v.Relays, func(r Relay) bool { return r.Name == "n2" })
 	plan(b, "n0 n4 ")
 	plan(b, "n0 n4 n6 ")
-	if s.record.shutting("n2") != nil {
+	if s.record.findQuarantine("n2") != nil {
 		t.Error("it is gone, and still counts")
 	}
 }
@@ -899,7 +899,7 @@
 	v.Relays[0].InService = false
 	v.At++
 	plan()
-	if room := s.record.room(KindRelay, s.record.relays(&v, b), b); len(s.Permits()) != 0 || !room.out["n0"] || len(room.out) != 1 {
+	if room := s.record.allowance(KindRelay, s.record.summarizeRelays(&v, b), b); len(s.Permits()) != 0 || !room.out["n0"] || len(room.out) != 1 {
 		t.Errorf("%+v, out %v", s.Permits(), room.out)
 	}
 
@@ -907,7 +907,7 @@
 	calls(t, s, v.At, ReleaseQueued, Command{Kind: CommandOpen, Name: "r", Release: &ReleaseSpec{Kind: KindRelay, Names: []string{"n3"}}})
 	plan()
 	told := 0
-	for number := uint64(2); number < 20 && told == 0; number++ { // there is always one who waits
+	for number := uint64(2); number < 20 && told == 0; number++ { // present is always one who waits
 		calls(t, s, v.At, PermitWaiting, Command{Kind: CommandRequestPermit, TargetKind: KindRelay, Name: "n" + strconv.Itoa(int(number%2)), Requester: "a", DurationMS: 50})
 		plan()
 		if s.Orders("n3").Leave != nil {
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -25,7 +25,7 @@
 	MemberDurationsMS []int64      `json:"members,omitempty"`
 }
 
-const tookMost = 32
+const maxDurations = 32
 
 type release struct {
 	ReleaseStatus
@@ -88,14 +88,14 @@
 					o.Leave.Program, o.Leave.Config = u.PreviousProgram, u.PreviousConfig
 				}
 			case u.Kind == KindMember && (u.Phase == PhaseLeaving || u.Phase == PhaseDrained || u.Phase == PhaseDone && r.Spec.Drain):
-				out(u.name(), Exclusion{Reason: "drain", Number: u.OrderNumber, Since: u.OrderedAt, MigrateOverMS: u.MigrateOverMS})
+				out(u.currentName(), Exclusion{Reason: "drain", Number: u.OrderNumber, Since: u.OrderedAt, MigrateOverMS: u.MigrateOverMS})
 			}
 		}
 	}
 	for _, b := range s.record.Ejections {
 		out(b.Name, Exclusion{Reason: "ban", Number: b.Number, Since: b.Since})
 	}
-	if x := s.record.shutting(relay); x != nil && x.ReadmittedVersion == 0 {
+	if x := s.record.findQuarantine(relay); x != nil && x.ReadmittedVersion == 0 {
 		o.Quarantine = &QuarantineOrder{Number: x.Number, Since: x.Since, Reason: x.Reason, StartNumber: x.StartNumber}
 	}
 	return o
@@ -105,15 +105,15 @@
 func (s *State) Releases() []ReleaseStatus {
 	var list []ReleaseStatus
 	for i := range s.record.Releases {
-		list = append(list, s.record.Releases[i].account())
+		list = append(list, s.record.Releases[i].status())
 	}
 	return list
 }
 
 // Release is one of them.
 func (s *State) Release(name string) (ReleaseStatus, bool) {
-	if r := s.record.release(name); r != nil {
-		return r.account(), true
+	if r := s.record.findRelease(name); r != nil {
+		return r.status(), true
 	}
 	return ReleaseStatus{}, false
 }
@@ -146,7 +146,7 @@
 	return c
 }
 
-func (r *release) account() ReleaseStatus {
+func (r *release) status() ReleaseStatus {
 	a := r.ReleaseStatus
 	a.Units = slices.Clone(a.Units)
 	a.Counts = UnitCounts{}
@@ -165,14 +165,14 @@
 			a.Exceptions = append(a.Exceptions, u.Name+": not seen back in time")
 		case u.Phase == PhaseMissing:
 			a.Exceptions = append(a.Exceptions, u.Name+": was not there")
-		case r.RollingBack && u.Phase == PhaseDone && !r.undoable(u):
+		case r.RollingBack && u.Phase == PhaseDone && !r.revertible(u):
 			a.Exceptions = append(a.Exceptions, u.Name+": was restarted, which has no way back")
 		}
 	}
 	return a
 }
 
-func (d *record) release(name string) *release {
+func (d *record) findRelease(name string) *release {
 	for i := range d.Releases {
 		if d.Releases[i].Name == name {
 			return &d.Releases[i]
@@ -181,7 +181,7 @@
 	return nil
 }
 
-func (r *release) unit(name string) *Unit {
+func (r *release) findUnit(name string) *Unit {
 	for i := range r.Units {
 		if r.Units[i].Name == name {
 			return &r.Units[i]
@@ -190,7 +190,7 @@
 	return nil
 }
 
-func (d *record) shutting(name string) *Quarantine {
+func (d *record) findQuarantine(name string) *Quarantine {
 	for i := range d.Quarantines {
 		if d.Quarantines[i].Name == name {
 			return &d.Quarantines[i]
@@ -199,7 +199,7 @@
 	return nil
 }
 
-func (d *record) permit(number uint64) *Permit {
+func (d *record) findPermit(number uint64) *Permit {
 	for i := range d.Permits {
 		if d.Permits[i].Number == number {
 			return &d.Permits[i]
@@ -208,22 +208,22 @@
 	return nil
 }
 
-func (d *record) banned(name string) (int, bool) {
+func (d *record) findEjection(name string) (int, bool) {
 	return slices.BinarySearchFunc(d.Ejections, name, func(b Ejection, name string) int { return cmp.Compare(b.Name, name) })
 }
 
 func (r *release) ended() bool { return r.State == ReleaseCompleted || r.State == ReleaseRolledBack }
 
-// name is what the thing is called now.
-func (u *Unit) name() string { return cmp.Or(u.Successor, u.Name) }
+// currentName is what the thing is called now.
+func (u *Unit) currentName() string { return cmp.Or(u.Successor, u.Name) }
 
 // isOut says whether it counts as out by plan.
 func (u *Unit) isOut() bool {
 	return u.Phase == PhaseLeaving || u.Phase == PhaseDrained || u.Phase == PhaseReplaced || u.Phase == PhaseRevoked
 }
 
-// undoable says whether there is a way back for a unit that has the new thing. A relay's restart alone has none.
-func (r *release) undoable(u *Unit) bool {
+// revertible says whether there is a way back for a unit that has the new thing. A relay's restart alone has none.
+func (r *release) revertible(u *Unit) bool {
 	if !u.Updated || r.Spec.Drain {
 		return false
 	}
@@ -239,8 +239,8 @@
 	return true
 }
 
-// wants are program and configuration that a unit is to come back with; "" for any.
-func (r *release) wants(u *Unit, undo bool) (program, config string) {
+// targetVersion are program and configuration that a unit is to come back with; "" for any.
+func (r *release) targetVersion(u *Unit, undo bool) (program, config string) {
 	switch {
 	case !undo:
 		return r.Spec.Program, r.Spec.Config
@@ -254,8 +254,8 @@
 	return "", ""
 }
 
-// side is whose budget a kind of thing draws on.
-func side(kind string) string {
+// summary is whose budget a kind of thing draws on.
+func budgetKind(kind string) string {
 	if kind == KindRelay {
 		return KindRelay
 	}
@@ -263,13 +263,13 @@
 }
 
 // of says whether a thing is one of the wish's.
-func (w *ReleaseSpec) of(name, zone string) bool {
+func (w *ReleaseSpec) selects(name, zone string) bool {
 	return w.All || slices.Contains(w.Names, name) || slices.Contains(w.Zones, zone)
 }
 
 // overlaps says whether two wishes touch the same things. Whoever names all, or zones, may touch any.
 func (w *ReleaseSpec) overlaps(x *ReleaseSpec) bool {
-	if side(w.Kind) != side(x.Kind) {
+	if budgetKind(w.Kind) != budgetKind(x.Kind) {
 		return false
 	}
 	if w.All || x.All || len(w.Zones) > 0 || len(x.Zones) > 0 {
@@ -297,28 +297,28 @@
 	return Limit{Count: n}, nil
 }
 
-func (p Limit) set() bool { return p.Count > 0 || p.Share > 0 }
+func (p Limit) isSet() bool { return p.Count > 0 || p.Share > 0 }
 
 // of is how many of so many things. A part is rounded down: a quarter of three is none.
-func (p Limit) of(n int) int {
+func (p Limit) resolve(n int) int {
 	if p.Count > 0 {
 		return min(p.Count, n)
 	}
 	return int(math.Floor(p.Share*float64(n) + 1e-9))
 }
 
-func (b Budget) whole(n int) int {
-	if !b.Total.set() {
+func (b Budget) totalLimit(n int) int {
+	if !b.Total.isSet() {
 		return min(1, n)
 	}
-	return b.Total.of(n)
+	return b.Total.resolve(n)
 }
 
-func (b Budget) zone(n int) int {
-	if !b.PerZone.set() {
+func (b Budget) zoneLimit(n int) int {
+	if !b.PerZone.isSet() {
 		return n
 	}
-	return b.PerZone.of(n)
+	return b.PerZone.resolve(n)
 }
 
 // Unusable says what of the budgets can never let anything out, for a fleet with so many things in each zone; "" if nothing.
@@ -333,12 +333,12 @@
 		for _, n := range x.zones {
 			total += n
 		}
-		if total > 0 && x.budget.whole(total) < 1 {
+		if total > 0 && x.budget.totalLimit(total) < 1 {
 			all = append(all, fmt.Sprintf("%s: the budget of the whole lets none of %d out", x.what, total))
 		}
 		var none []string
 		for zone, n := range x.zones {
-			if n > 0 && x.budget.zone(n) < 1 {
+			if n > 0 && x.budget.zoneLimit(n) < 1 {
 				none = append(none, zone)
 			}
 		}
--- a/internal/rollout/world_test.go
+++ b/internal/rollout/world_test.go
@@ -377,7 +377,7 @@
 		h.ordered++
 		return
 	}
-	for m, until := range h.held { // flows at members that are out
+	for m, until := range h.held { // totalFlows at members that are out
 		if w.now >= until || w.now-h.contact > w.letsGo() {
 			delete(h.held, m)
 		}
@@ -426,7 +426,7 @@
 		r := &w.s.record.Releases[i]
 		for j := range r.Units {
 			u := &r.Units[j]
-			if u.Phase != PhaseDrained || u.Kind != KindMember || u.name() != x.name || u.OrderNumber == x.number || r.Spec.Drain || x.up && w.rng.IntN(4) > 0 {
+			if u.Phase != PhaseDrained || u.Kind != KindMember || u.currentName() != x.name || u.OrderNumber == x.number || r.Spec.Drain || x.up && w.rng.IntN(4) > 0 {
 				continue
 			}
 			x.number, x.next = u.OrderNumber, r.Spec.Program
@@ -518,7 +518,7 @@
 		r.Exited = !h.up
 		r.InService = w.serves(h) && h.start == r.StartNumber
 		v.Relays = append(v.Relays, r)
-		if was := w.s.record.shutting(h.name); h.wordAt >= w.leader && w.now < h.unfit || h.wordAt < w.leader && was != nil && was.ReadmittedVersion == 0 {
+		if was := w.s.record.findQuarantine(h.name); h.wordAt >= w.leader && w.now < h.unfit || h.wordAt < w.leader && was != nil && was.ReadmittedVersion == 0 {
 			v.Unfit[h.name] = "it does not do what was agreed"
 			v.UnfitOrder = append(v.UnfitOrder, h.name)
 		}
@@ -603,10 +603,10 @@
 	}
 	for _, g := range c.Grants {
 		var kind, name string
-		if p := w.s.record.permit(g.Permit); p != nil {
+		if p := w.s.record.findPermit(g.Permit); p != nil {
 			kind, name = p.Kind, p.Name
-		} else if u := w.s.record.release(g.Release).unit(g.Unit); u.Kind == KindRelay || u.Kind == KindMember {
-			kind, name = u.Kind, u.name()
+		} else if u := w.s.record.findRelease(g.Release).findUnit(g.Unit); u.Kind == KindRelay || u.Kind == KindMember {
+			kind, name = u.Kind, u.currentName()
 		} else {
 			continue
 		}
@@ -670,12 +670,12 @@
 		if !any {
 			continue
 		}
-		if most := b.whole(total[kind]); out[kind] > most {
+		if most := b.totalLimit(total[kind]); out[kind] > most {
 			w.fault("%d of kind %s are out, of %d:%s", out[kind], kind, most, who)
 		}
 		for z, n := range zones {
-			if len(z) > len(kind) && z[:len(kind)] == kind && n > b.zone(total[z]) {
-				w.fault("%d are out in %s of %d:%s", n, z, b.zone(total[z]), who)
+			if len(z) > len(kind) && z[:len(kind)] == kind && n > b.zoneLimit(total[z]) {
+				w.fault("%d are out in %s of %d:%s", n, z, b.zoneLimit(total[z]), who)
 			}
 		}
 		if kind == KindMember && left < w.load*(1+w.budgets.CapacityReserve) {
@@ -723,7 +723,7 @@
 		truth = func() bool {
 			mayBegin := a.number == permit && !a.begun && !a.end && w.now < a.deadline
 			mayTake := a.number == permit && a.begun && !a.end && (a.down || w.now < a.may)
-			granted := w.s.record.permit(permit)
+			granted := w.s.record.findPermit(permit)
 			return granted != nil && granted.State == PermitGranted || mayBegin || mayTake || thing()
 		}
 	}
@@ -731,11 +731,11 @@
 }
 
 func (w *world) judgeEmpty(s Observation) {
-	r := w.s.record.release(s.Release)
-	if r == nil || r.unit(s.Unit) == nil || r.unit(s.Unit).Phase != PhaseDrained {
+	r := w.s.record.findRelease(s.Release)
+	if r == nil || r.findUnit(s.Unit) == nil || r.findUnit(s.Unit).Phase != PhaseDrained {
 		return
 	}
-	name := r.unit(s.Unit).name()
+	name := r.findUnit(s.Unit).currentName()
 	if slices.ContainsFunc(w.members, func(x *slot) bool { return x.name == name && !x.up }) {
 		return // no flow outlives it
 	}
