--- a/internal/fleet/canary.go
+++ b/internal/fleet/canary.go
@@ -1,10 +1,6 @@
 package fleet
 
 import (
-	"context"
-	"encoding/json"
-	"errors"
-	"fmt"
 	"slices"
 
 	"github.com/sirupsen/logrus"
@@ -85,28 +81,3 @@
 	}
 	return out
 }
-
-// proposeCanary has a command of the canaries agreed.
-func (s *Service) proposeCanary(ctx context.Context, c canary.Command) error {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
-	defer cancel()
-	text, err := json.Marshal(command{Part: partCanary, At: s.now(), By: s.Name, Body: c.Body()})
-	if err != nil {
-		return err
-	}
-	answer, index, err := s.node.Propose(ctx, text)
-	if err != nil {
-		return err
-	}
-	var a struct{ Error string }
-	if err := json.Unmarshal(answer, &a); err != nil {
-		return err
-	}
-	if a.Error != "" {
-		return fmt.Errorf("%w: %s", errRejected, a.Error)
-	}
-	s.node.WaitApplied(ctx, index)
-	return nil
-}
-
-var errRejected = errors.New("refused")
