--- a/cmd/dahliarudder/operator.go
+++ b/cmd/dahliarudder/operator.go
@@ -43,9 +43,9 @@
 // Known says whether operators may speak of a member by that name.
 func (r *relay) Known(member string) bool { return r.core.Known(member) }
 
-// Ban keeps an operator's word off the loop, so that a slow disk does not hold it
+// SetEjected keeps an operator's call off the loop, so that a slow disk does not hold it
 // up, and then follows it.
-func (r *relay) Ban(member string, out bool, done func(error)) {
+func (r *relay) SetEjected(member string, out bool, done func(error)) {
 	if r.fleet != nil {
 		r.ejectFleetWide(member, out, done)
 		return
@@ -67,7 +67,7 @@
 			if err == nil {
 				r.core.Bans(names)
 				if member != "" {
-					r.sendNote(handover.Note{Bans: true})
+					r.sendNote(handover.Message{EjectionsChanged: true})
 				}
 			}
 			done(err)
@@ -91,7 +91,7 @@
 func (r *relay) applyDrainState() {
 	drain := r.drainedByOperator || r.shutdownOrder != nil || r.closeOrder != 0
 	r.setDraining(drain)
-	r.sendNote(handover.Note{Drain: &drain})
+	r.sendNote(handover.Message{Drain: &drain})
 }
 
 func (r *relay) setDraining(on bool) {
