--- a/cmd/dahliarudder/build.go
+++ b/cmd/dahliarudder/build.go
@@ -65,16 +65,16 @@
 // buildCore makes the endpoint watch and the core, which call each other.
 func (r *relay) buildCore() {
 	cfg, loop := r.cfg, r.loop
-	r.watch = &pool.Watch{Loop: loop, Addr: cfg.Discovery, Log: r.log, Names: r.names,
-		Dial: loop.NewDescriptorReserve(pool.Descriptors).Dial, Random: newRandom(cfg.SeedNumber())}
+	r.watch = &pool.Watcher{Loop: loop, Addr: cfg.Discovery, Log: r.log, Mapper: r.names,
+		Dial: loop.NewDescriptorReserve(pool.MaxDescriptors).Dial, Random: newRandom(cfg.SeedNumber())}
 	var ledger core.Ledger
 	if r.store != nil { // a nil *store.Store in the interface would not be nil
 		ledger = r.store
 	}
 	r.core = core.New(core.Options{Settings: r.names.Settings, Seed: cfg.SeedNumber(), Clock: r.clock, Round: loop.RoundStart, Ledger: ledger,
-		Watch: r.watch.Ask, FeedMemory: int(cfg.Limits.MemoryMB * feedMemoryFraction * (1 << 20)),
+		Watch: r.watch.Start, FeedMemory: int(cfg.Limits.MemoryMB * feedMemoryFraction * (1 << 20)),
 		Probe: r.checkHealth, Wake: r.scheduleTick})
-	r.watch.Told = r.core.Pool
+	r.watch.OnUpdate = r.core.Pool
 }
 
 // checkHealth sends a health check by the line front if it is on, otherwise by the NATS front.
@@ -97,11 +97,11 @@
 // startDiscovery begins to poll or watch the endpoint list.
 func (r *relay) startDiscovery() {
 	if set := r.core.Limits(); set.Subscribe {
-		r.loop.After(pool.FirstBy(set.AskWithin, r.watch.Random), r.watch.Ask)
+		r.loop.After(pool.InitialDelay(set.AskWithin, r.watch.Random), r.watch.Start)
 		return
 	}
-	r.watch.Pushed = r.core.Grace() // what the agent holds counts from the first moment
-	r.watch.Ask()
+	r.watch.PushGrace = r.core.Grace() // what the agent holds counts from the first moment
+	r.watch.Start()
 }
 
 func (r *relay) buildFronts() {
@@ -119,7 +119,7 @@
 func (r *relay) restoreState() {
 	upgrading := r.inheritedState != nil
 	if known := r.cfg.KnownList(); known != nil && !upgrading {
-		r.watch.Hold(known)
+		r.watch.SetInitialList(known)
 		r.core.Pool(policy.ListCached, r.names.Members(known))
 	}
 	r.restorePredecessorState()
--- a/cmd/dahliarudder/canary.go
+++ b/cmd/dahliarudder/canary.go
@@ -120,7 +120,7 @@
 func (t *canaryTrial) inCanary(m *core.Member) bool {
 	return slices.ContainsFunc(t.applied, func(w canary.Weight) bool {
 		return slices.Contains(w.Arm.Members, m.Name) ||
-			w.Arm.Since > 0 && m.Started != 0 && t.r.names.Starts.UnixMilli(m.Name, m.Started) >= w.Arm.Since
+			w.Arm.Since > 0 && m.Started != 0 && t.r.names.StartTimes.UnixMilli(m.Name, m.Started) >= w.Arm.Since
 	})
 }
 
--- a/cmd/dahliarudder/fleet_status.go
+++ b/cmd/dahliarudder/fleet_status.go
@@ -14,7 +14,7 @@
 // fleetStatus is what this relay does now.
 func (r *relay) fleetStatus() fleet.ObservedState {
 	set, n := r.names.Settings, r.core.Counts
-	list, _ := r.watch.List()
+	list, _ := r.watch.Snapshot()
 	now := r.loop.Now()
 	if r.statusAt > 0 {
 		r.flowTime += time.Duration(r.core.Held()) * (now - r.statusAt)
@@ -41,7 +41,7 @@
 			p.Zone = string(set.Zones[m.Zone])
 		}
 		if m.Started != 0 {
-			p.StartedAt = r.names.Starts.UnixMilli(m.Name, m.Started)
+			p.StartedAt = r.names.StartTimes.UnixMilli(m.Name, m.Started)
 		}
 		l.Members = append(l.Members, p)
 	}
--- a/cmd/dahliarudder/gossip.go
+++ b/cmd/dahliarudder/gossip.go
@@ -51,7 +51,7 @@
 			case !r.core.Welcomes():
 				phase = gossip.Draining
 			}
-			list, _ := r.watch.List()
+			list, _ := r.watch.Snapshot()
 			return phase, list.Generation, uint64(r.core.Held()), uint64(r.core.Counts.Requests)
 		}})
 }
--- a/cmd/dahliarudder/relay.go
+++ b/cmd/dahliarudder/relay.go
@@ -25,8 +25,8 @@
 	log               *logrus.Logger
 	loop              *netloop.Loop
 	clock             func() time.Duration
-	names             pool.Names
-	watch             *pool.Watch
+	names             pool.MemberMapper
+	watch             *pool.Watcher
 	core              *core.Core
 	coreTimer         *netloop.Timer           // when the core is due
 	natsFront         *nats.Front              // nil if it is off
--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -24,7 +24,7 @@
 const (
 	// reservedSockets are the descriptors that are not within the loop's limit: standard streams,
 	// epoll, the wakeup, what the runtime opens, and what is kept for discovery.
-	reservedSockets = 16 + pool.Descriptors
+	reservedSockets = 16 + pool.MaxDescriptors
 	// bufferMemoryFraction of the memory is what the connections' buffers may hold together;
 	// slices that grow take up to twice their length.
 	bufferMemoryFraction = 0.25
@@ -70,7 +70,7 @@
 	// means "long ago" to the decision module.
 	const zero = time.Hour
 	clock := func() time.Duration { return zero + time.Since(began) }
-	r := &relay{cfg: cfg, log: log, clock: clock, signals: caught, names: pool.Names{Settings: set, Starts: &pool.Starts{Clock: clock, Wall: wallClock, Believed: policy.Sane(set.Policy()).AskWithin}},
+	r := &relay{cfg: cfg, log: log, clock: clock, signals: caught, names: pool.MemberMapper{Settings: set, StartTimes: &pool.StartTimes{Clock: clock, WallClock: wallClock, MaxListingDelay: policy.Sane(set.Policy()).AskWithin}},
 		maxBufferBytes: int(cfg.Limits.MemoryMB * bufferMemoryFraction * (1 << 20))}
 	r.maxSockets = descriptorLimit(cfg) - reservedSockets - r.operatorDescriptors()
 	loop, err := netloop.New(clock, r.maxSockets)
@@ -153,7 +153,7 @@
 		r.log.WithField("keys", keys).Warn("changed, but only a restart takes them")
 	}
 	r.log.WithField("discovery", fresh.Discovery).Info("configuration read again")
-	r.watch.Move(fresh.Discovery)
+	r.watch.SwitchAddress(fresh.Discovery)
 	if r.natsFront != nil && fresh.Security() != nil && !slices.Contains(keys, "fronts") {
 		r.natsFront.ReloadSecurity(fresh.Security())
 	}
--- a/cmd/dahliarudder/snapshot.go
+++ b/cmd/dahliarudder/snapshot.go
@@ -60,7 +60,7 @@
 		r.discardSnapshot("snapshot", err)
 		return
 	}
-	held, known := r.watch.List()
+	held, known := r.watch.Snapshot()
 	if !known || s.DiscoveryAddr != r.cfg.Discovery { // a generation means nothing but where it was given
 		held.Generation = 0
 	}
@@ -76,7 +76,7 @@
 	}
 	if s.List != nil {
 		if s.DiscoveryAddr == r.cfg.Discovery {
-			r.watch.Hold(s.List)
+			r.watch.SetInitialList(s.List)
 		}
 		r.core.Pool(policy.ListCached, r.names.Members(s.List))
 	}
@@ -136,7 +136,7 @@
 }
 
 func (r *relay) snapshot() *snapshot.Snapshot {
-	list, _ := r.watch.List()
+	list, _ := r.watch.Snapshot()
 	s := &snapshot.Snapshot{Name: r.cfg.Name, List: list, DiscoveryAddr: r.cfg.Discovery, Learned: r.core.Learned()}
 	s.Stamp(clocksNow())
 	if r.peers != nil {
--- a/cmd/dahliarudder/upgrade.go
+++ b/cmd/dahliarudder/upgrade.go
@@ -135,7 +135,7 @@
 		fds = append(fds, l.FD())
 	}
 	var known bool
-	if state.Pool, known = r.watch.List(); known {
+	if state.Pool, known = r.watch.Snapshot(); known {
 		state.DiscoveryAddr = r.watch.Addr
 	}
 	r.limitToOwnSockets()
@@ -233,7 +233,7 @@
 	}
 	if r.cfg.AdoptDiscovery(r.inheritedState.DiscoveryAddr) {
 		r.watch.Addr = r.cfg.Discovery
-		r.watch.Hold(r.inheritedState.Pool)
+		r.watch.SetInitialList(r.inheritedState.Pool)
 	}
 	if len(r.inheritedState.Pool.Instances) > 0 {
 		r.core.Pool(policy.ListCached, r.names.Members(r.inheritedState.Pool))
--- a/internal/auth/auth.go
+++ b/internal/auth/auth.go
@@ -21,20 +21,20 @@
 	Permissions *Permissions `json:"permissions"`
 }
 
-// Trust is whose JWT credentials are taken.
-type Trust struct {
+// JWTTrust is whose JWT credentials are taken.
+type JWTTrust struct {
 	Operators []string `json:"operators"` // public keys, signing keys among them
 	Accounts  []string `json:"accounts"`  // public keys, or JWTs that one of the operators has signed
 }
 
 // Config is all who may enter.
 type Config struct {
-	Users []User `json:"users"`
-	JWT   *Trust `json:"jwt"`
+	Users []User    `json:"users"`
+	JWT   *JWTTrust `json:"jwt"`
 }
 
-// Book is a Config that was read.
-type Book struct {
+// Authenticator is a Config that was read.
+type Authenticator struct {
 	names    map[string]*User
 	tokens   []*User
 	keys     map[string]*User
@@ -42,8 +42,8 @@
 	signed   bool                          // somebody signs a nonce
 }
 
-// Claims is what a client says in CONNECT.
-type Claims struct {
+// Credentials is what a client says in CONNECT.
+type Credentials struct {
 	User      string `json:"user"`
 	Pass      string `json:"pass"`
 	Token     string `json:"auth_token"`
@@ -52,15 +52,15 @@
 	JWT       string `json:"jwt"`
 }
 
-// Parse reads the claims of a CONNECT.
-func Parse(connect []byte) (*Claims, error) {
-	c := &Claims{}
+// ParseConnect reads the claims of a CONNECT.
+func ParseConnect(connect []byte) (*Credentials, error) {
+	c := &Credentials{}
 	return c, json.Unmarshal(connect, c)
 }
 
-// Strip takes what proves who a client is out of its CONNECT, for a member that is told another
+// StripCredentials takes what proves who a client is out of its CONNECT, for a member that is told another
 // login.
-func Strip(connect map[string]any) {
+func StripCredentials(connect map[string]any) {
 	for _, key := range []string{"user", "pass", "auth_token", "nkey", "sig", "jwt"} {
 		delete(connect, key)
 	}
@@ -83,9 +83,9 @@
 // costMost bounds the work that a configured hash may ask for: at 14 one check takes a second.
 const costMost = 14
 
-// Read checks a configuration and makes it a Book. Errors name the key.
-func Read(c *Config) (*Book, error) {
-	b := &Book{names: map[string]*User{}, keys: map[string]*User{}, accounts: map[string]*jwt.AccountClaims{}}
+// NewAuthenticator checks a configuration and makes it a Book. Errors name the key.
+func NewAuthenticator(c *Config) (*Authenticator, error) {
+	b := &Authenticator{names: map[string]*User{}, keys: map[string]*User{}, accounts: map[string]*jwt.AccountClaims{}}
 	for i := range c.Users {
 		if err := b.user(&c.Users[i]); err != nil {
 			return nil, fmt.Errorf("users[%d]%w", i, err)
@@ -102,8 +102,8 @@
 	return b, nil
 }
 
-// One says whether exactly one of these is set.
-func One(words ...string) bool {
+// ExactlyOne says whether exactly one of these is set.
+func ExactlyOne(words ...string) bool {
 	n := 0
 	for _, w := range words {
 		if w != "" {
@@ -113,8 +113,8 @@
 	return n == 1
 }
 
-func (b *Book) user(u *User) error {
-	if !One(u.User, u.Token, u.NKey) {
+func (b *Authenticator) user(u *User) error {
+	if !ExactlyOne(u.User, u.Token, u.NKey) {
 		return errors.New(": want exactly one of user, token and nkey")
 	}
 	key, hash := "password", u.Password
@@ -151,7 +151,7 @@
 	return nil
 }
 
-func (b *Book) trust(t *Trust) error {
+func (b *Authenticator) trust(t *JWTTrust) error {
 	operators := map[string]bool{}
 	for i, key := range t.Operators {
 		if !nkeys.IsValidPublicOperatorKey(key) {
@@ -182,14 +182,14 @@
 	return nil
 }
 
-// Signed says whether clients need a nonce to sign.
-func (b *Book) Signed() bool { return b.signed }
+// RequiresNonce says whether clients need a nonce to sign.
+func (b *Authenticator) RequiresNonce() bool { return b.signed }
 
-// Slow says whether Enter would check a bcrypt hash.
-func (b *Book) Slow(c *Claims) bool { return c.JWT == "" && c.NKey == "" }
+// ChecksPassword says whether Enter would check a bcrypt hash.
+func (b *Authenticator) ChecksPassword(c *Credentials) bool { return c.JWT == "" && c.NKey == "" }
 
-// Enter says who a client is. It changes nothing in the book and may run in any goroutine.
-func (b *Book) Enter(c *Claims, nonce string, now time.Time) (*Identity, error) {
+// Authenticate says who a client is. It changes nothing in the book and may run in any goroutine.
+func (b *Authenticator) Authenticate(c *Credentials, nonce string, now time.Time) (*Identity, error) {
 	switch {
 	case c.JWT != "":
 		return b.byJWT(c, nonce, now)
@@ -232,7 +232,7 @@
 }
 
 // byJWT enters by a user's JWT, which its account has signed, and by the user's signature.
-func (b *Book) byJWT(c *Claims, nonce string, now time.Time) (*Identity, error) {
+func (b *Authenticator) byJWT(c *Credentials, nonce string, now time.Time) (*Identity, error) {
 	claims, err := jwt.DecodeUserClaims(c.JWT) // checks the issuer's signature
 	if err != nil {
 		return nil, ErrDenied
@@ -265,7 +265,7 @@
 	case !claims.BearerToken && !verify(claims.Subject, c.Signature, nonce):
 		return nil, ErrDenied
 	}
-	p := &Permissions{Publish: List{claims.Pub.Allow, claims.Pub.Deny}, Subscribe: List{claims.Sub.Allow, claims.Sub.Deny}}
+	p := &Permissions{Publish: SubjectRules{claims.Pub.Allow, claims.Pub.Deny}, Subscribe: SubjectRules{claims.Sub.Allow, claims.Sub.Deny}}
 	if claims.Resp != nil {
 		p.Responses = &Responses{Max: claims.Resp.MaxMsgs, ExpiresMS: int(claims.Resp.Expires.Milliseconds())}
 	}
--- a/internal/auth/auth_test.go
+++ b/internal/auth/auth_test.go
@@ -26,36 +26,36 @@
 
 // TestPermissions: deny goes before allow, groups are named, wildcards are filtered.
 func TestPermissions(t *testing.T) {
-	p := &Permissions{Publish: List{Allow: []string{"a.>"}, Deny: []string{"a.x"}}, Subscribe: List{Allow: []string{"s.*", "w crew.*"}, Deny: []string{"s.x"}}}
-	got := fmt.Sprint(p.MayPublish("a.b"), p.MayPublish("a.x"), p.MayPublish("b"), " ", p.MaySubscribe("s.a", ""), p.MaySubscribe("s.x", ""), p.MaySubscribe("s.>", ""),
-		p.MaySubscribe("w", ""), p.MaySubscribe("w", "crew.1"), " ", p.Filters("s.*"), p.Filters("s.a"), p.Hides("s.x"), p.Hides("s.a"))
+	p := &Permissions{Publish: SubjectRules{Allow: []string{"a.>"}, Deny: []string{"a.x"}}, Subscribe: SubjectRules{Allow: []string{"s.*", "w crew.*"}, Deny: []string{"s.x"}}}
+	got := fmt.Sprint(p.CanPublish("a.b"), p.CanPublish("a.x"), p.CanPublish("b"), " ", p.CanSubscribe("s.a", ""), p.CanSubscribe("s.x", ""), p.CanSubscribe("s.>", ""),
+		p.CanSubscribe("w", ""), p.CanSubscribe("w", "crew.1"), " ", p.NeedsFilter("s.*"), p.NeedsFilter("s.a"), p.Denies("s.x"), p.Denies("s.a"))
 	if want := "true false false true false false false true true false true false"; got != want {
 		t.Errorf("got  %s\nwant %s", got, want)
 	}
 	var none *Permissions
-	if !none.MayPublish("x") || !none.MaySubscribe("x", "q") || none.Filters("*") {
+	if !none.CanPublish("x") || !none.CanSubscribe("x", "q") || none.NeedsFilter("*") {
 		t.Error("no permissions are a bound")
 	}
 }
 
 // TestReplies: so many answers, for so long, to the newest requests.
 func TestReplies(t *testing.T) {
-	r := NewReplies(&Permissions{Responses: &Responses{Max: 2, ExpiresMS: 1000}})
-	r.Asked(0, []byte("box"))
-	if !r.MayAnswer(1, "box") || !r.MayAnswer(2, "box") || r.MayAnswer(3, "box") || r.MayAnswer(3, "other") {
+	r := NewReplyTracker(&Permissions{Responses: &Responses{Max: 2, ExpiresMS: 1000}})
+	r.RecordRequest(0, []byte("box"))
+	if !r.AllowReply(1, "box") || !r.AllowReply(2, "box") || r.AllowReply(3, "box") || r.AllowReply(3, "other") {
 		t.Error("not two answers to one request")
 	}
-	r.Asked(0, []byte("late"))
-	if r.MayAnswer(time.Second, "late") {
+	r.RecordRequest(0, []byte("late"))
+	if r.AllowReply(time.Second, "late") {
 		t.Error("an answer after its time")
 	}
 	for i := range 3 * repliesMost {
-		r.Asked(time.Minute, fmt.Append(nil, i))
+		r.RecordRequest(time.Minute, fmt.Append(nil, i))
 	}
-	if len(r.open) > repliesMost || len(r.order) > repliesMost || !r.MayAnswer(time.Minute, fmt.Sprint(3*repliesMost-1)) {
+	if len(r.open) > repliesMost || len(r.order) > repliesMost || !r.AllowReply(time.Minute, fmt.Sprint(3*repliesMost-1)) {
 		t.Errorf("%d requests are kept", len(r.open))
 	}
-	if NewReplies(&Permissions{}).MayAnswer(0, "x") {
+	if NewReplyTracker(&Permissions{}).AllowReply(0, "x") {
 		t.Error("answers without a rule")
 	}
 }
@@ -79,7 +79,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b, err := Read(&Config{JWT: &Trust{Operators: []string{op}, Accounts: []string{text}}})
+		b, err := NewAuthenticator(&Config{JWT: &JWTTrust{Operators: []string{op}, Accounts: []string{text}}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -89,7 +89,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, err = b.Enter(&Claims{JWT: word}, "", now)
+		_, err = b.Authenticate(&Credentials{JWT: word}, "", now)
 		return err
 	}
 	for name, c := range map[string]struct {
--- a/internal/auth/permissions.go
+++ b/internal/auth/permissions.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// List is what one direction is allowed and denied: patterns of subjects, for subscriptions with the
+// SubjectRules is what one direction is allowed and denied: patterns of subjects, for subscriptions with the
 // pattern of a queue group behind a blank. An empty Allow allows all.
-type List struct {
+type SubjectRules struct {
 	Allow []string `json:"allow"`
 	Deny  []string `json:"deny"`
 }
@@ -24,9 +24,9 @@
 
 // Permissions is what a user may do.
 type Permissions struct {
-	Publish   List       `json:"publish"`
-	Subscribe List       `json:"subscribe"`
-	Responses *Responses `json:"allow_responses"`
+	Publish   SubjectRules `json:"publish"`
+	Subscribe SubjectRules `json:"subscribe"`
+	Responses *Responses   `json:"allow_responses"`
 }
 
 // check says what is wrong with the patterns.
@@ -46,24 +46,24 @@
 	return nil
 }
 
-// MayPublish says whether a subject may be published to; answers to requests aside.
-func (p *Permissions) MayPublish(subject string) bool {
+// CanPublish says whether a subject may be published to; answers to requests aside.
+func (p *Permissions) CanPublish(subject string) bool {
 	return p == nil || p.Publish.lets(subject, "")
 }
 
-// MaySubscribe says whether a subscription may be made. One that only touches what is denied may, but
+// CanSubscribe says whether a subscription may be made. One that only touches what is denied may, but
 // see Hides.
-func (p *Permissions) MaySubscribe(subject, queue string) bool {
+func (p *Permissions) CanSubscribe(subject, queue string) bool {
 	return p == nil || p.Subscribe.lets(subject, queue)
 }
 
-// Filters says whether a subscription may bring messages that Hides must look at.
-func (p *Permissions) Filters(subject string) bool {
+// NeedsFilter says whether a subscription may bring messages that Hides must look at.
+func (p *Permissions) NeedsFilter(subject string) bool {
 	return p != nil && len(p.Subscribe.Deny) > 0 && strings.ContainsAny(subject, "*>")
 }
 
-// Hides says whether a message on a subscription with wildcards must not be delivered.
-func (p *Permissions) Hides(subject string) bool {
+// Denies says whether a message on a subscription with wildcards must not be delivered.
+func (p *Permissions) Denies(subject string) bool {
 	for _, d := range p.Subscribe.Deny {
 		if pattern, _, named := strings.Cut(d, " "); !named && Covers(pattern, subject) {
 			return true
@@ -72,7 +72,7 @@
 	return false
 }
 
-func (l *List) lets(subject, queue string) bool {
+func (l *SubjectRules) lets(subject, queue string) bool {
 	for _, d := range l.Deny {
 		if covers(d, subject, queue) {
 			return false
@@ -109,8 +109,8 @@
 	}
 }
 
-// Replies remembers the reply subjects that a client may answer to. It is bounded: the oldest goes.
-type Replies struct {
+// ReplyTracker remembers the reply subjects that a client may answer to. It is bounded: the oldest goes.
+type ReplyTracker struct {
 	rule  Responses
 	open  map[string]reply
 	order []string
@@ -124,12 +124,12 @@
 // repliesMost is how many requests a client may leave unanswered before the oldest is forgotten.
 const repliesMost = 1024
 
-// NewReplies makes the memory for what a user may do; nil if no answers are allowed apart.
-func NewReplies(p *Permissions) *Replies {
+// NewReplyTracker makes the memory for what a user may do; nil if no answers are allowed apart.
+func NewReplyTracker(p *Permissions) *ReplyTracker {
 	if p == nil || p.Responses == nil {
 		return nil
 	}
-	r := &Replies{rule: *p.Responses, open: map[string]reply{}}
+	r := &ReplyTracker{rule: *p.Responses, open: map[string]reply{}}
 	if r.rule.Max == 0 {
 		r.rule.Max = 1
 	}
@@ -139,8 +139,8 @@
 	return r
 }
 
-// Asked notes that the client got a request.
-func (r *Replies) Asked(now time.Duration, subject []byte) {
+// RecordRequest notes that the client got a request.
+func (r *ReplyTracker) RecordRequest(now time.Duration, subject []byte) {
 	if r == nil || len(subject) == 0 {
 		return
 	}
@@ -155,8 +155,8 @@
 	}
 }
 
-// MayAnswer says whether the client may publish to a reply subject now, and counts it.
-func (r *Replies) MayAnswer(now time.Duration, subject string) bool {
+// AllowReply says whether the client may publish to a reply subject now, and counts it.
+func (r *ReplyTracker) AllowReply(now time.Duration, subject string) bool {
 	if r == nil {
 		return false
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -54,7 +54,7 @@
 	CountsMS float64 `json:"counts_ms"`
 
 	decoded         *settings.Settings
-	known           *pool.List
+	known           *pool.EndpointList
 	security        *nats.Security // of the NATS front
 	dir             string         // of the file
 	discoveryInFile string         // discovery as the file has it
@@ -382,7 +382,7 @@
 func (c *Config) Decoded() *settings.Settings { return c.decoded }
 
 // KnownList is the list of members as last held, nil if there is none.
-func (c *Config) KnownList() *pool.List { return c.known }
+func (c *Config) KnownList() *pool.EndpointList { return c.known }
 
 // SeedNumber is the seed of random numbers.
 func (c *Config) SeedNumber() uint64 {
--- a/internal/front/nats/client.go
+++ b/internal/front/nats/client.go
@@ -42,14 +42,14 @@
 	placing       int      // subscriptions that publications wait for
 	pings         int      // that the client has not answered
 	timer         *netloop.Timer
-	nonce         string            // that it may sign
-	may           *auth.Permissions // nil for all
-	replies       *auth.Replies     // what it may answer to besides; nil for nothing
-	expires       *netloop.Timer    // when its login does
-	sniffed       bool              // its first byte was looked at
-	entering      bool              // its password is being checked
-	slowSince     time.Duration     // since when its links rest; 0 if they do not
-	later         bool              // goOn is on its way
+	nonce         string             // that it may sign
+	may           *auth.Permissions  // nil for all
+	replies       *auth.ReplyTracker // what it may answer to besides; nil for nothing
+	expires       *netloop.Timer     // when its login does
+	sniffed       bool               // its first byte was looked at
+	entering      bool               // its password is being checked
+	slowSince     time.Duration      // since when its links rest; 0 if they do not
+	later         bool               // goOn is on its way
 	fencing       bool
 	fenced        uint64 // the mark that all links are past
 	leftBytes     bool   // the client has ended its sending, but what it sent is not done yet
--- a/internal/front/nats/publish.go
+++ b/internal/front/nats/publish.go
@@ -57,8 +57,8 @@
 			c.warn("Invalid Publish Subject")
 			return true
 		}
-		if c.may != nil && !c.may.MayPublish(string(m.subject)) {
-			if !c.replies.MayAnswer(c.f.Loop.RoundStart(), string(m.subject)) {
+		if c.may != nil && !c.may.CanPublish(string(m.subject)) {
+			if !c.replies.AllowReply(c.f.Loop.RoundStart(), string(m.subject)) {
 				c.forbid(m.subject)
 				return true
 			}
--- a/internal/front/nats/security.go
+++ b/internal/front/nats/security.go
@@ -54,7 +54,7 @@
 type Security struct {
 	server  *tls.Config
 	member  *tls.Config
-	book    *auth.Book // nil where all may enter
+	book    *auth.Authenticator // nil where all may enter
 	key     nkeys.KeyPair
 	jwt     string
 	enterer chan func() // to the workers that check passwords
@@ -95,7 +95,7 @@
 		s.member = cfg
 	}
 	if c.Auth != nil {
-		book, err := auth.Read(c.Auth)
+		book, err := auth.NewAuthenticator(c.Auth)
 		if err != nil {
 			return nil, fmt.Errorf("auth.%w", err)
 		}
@@ -164,7 +164,7 @@
 }
 
 func (s *Security) login(l *MemberLogin, file func(string) string) error {
-	if !auth.One(l.User, l.Token, l.NKeySeedFile, l.CredentialsFile) {
+	if !auth.ExactlyOne(l.User, l.Token, l.NKeySeedFile, l.CredentialsFile) {
 		return errors.New("user: want exactly one of user, token, nkey_seed_file and credentials_file")
 	}
 	at, path := "nkey_seed_file", l.NKeySeedFile
@@ -232,7 +232,7 @@
 	}
 	if f.sec.book != nil {
 		v["auth_required"] = true
-		if f.sec.book.Signed() {
+		if f.sec.book.RequiresNonce() {
 			if c.nonce == "" {
 				var b [16]byte
 				rand.Read(b[:])
@@ -269,7 +269,7 @@
 		then()
 		return
 	}
-	claims, err := auth.Parse(connect)
+	claims, err := auth.ParseConnect(connect)
 	if err != nil {
 		c.fail(errParse.Error())
 		return
@@ -289,19 +289,19 @@
 			return
 		}
 		c.may = id.Permissions
-		c.replies = auth.NewReplies(id.Permissions)
+		c.replies = auth.NewReplyTracker(id.Permissions)
 		if !id.Expires.IsZero() {
 			c.expires = c.f.Loop.After(time.Until(id.Expires), func() { c.fail("User Authentication Expired") })
 		}
 		then()
 	}
-	if !book.Slow(claims) {
-		decide(book.Enter(claims, c.nonce, time.Now()))
+	if !book.ChecksPassword(claims) {
+		decide(book.Authenticate(claims, c.nonce, time.Now()))
 		return
 	}
 	c.entering = true
 	work := func() {
-		id, err := book.Enter(claims, c.nonce, time.Now())
+		id, err := book.Authenticate(claims, c.nonce, time.Now())
 		c.f.Loop.Post(func() {
 			c.entering = false
 			decide(id, err)
@@ -317,10 +317,10 @@
 
 // mayPublish says whether the client may publish to a subject.
 func (c *client) mayPublish(subject []byte) bool {
-	if c.may == nil || c.may.MayPublish(string(subject)) {
+	if c.may == nil || c.may.CanPublish(string(subject)) {
 		return true
 	}
-	return c.replies.MayAnswer(c.f.Loop.RoundStart(), string(subject))
+	return c.replies.AllowReply(c.f.Loop.RoundStart(), string(subject))
 }
 
 // ---- Members ----
@@ -349,7 +349,7 @@
 		}
 		return nil
 	}
-	auth.Strip(connect)
+	auth.StripCredentials(connect)
 	switch {
 	case f.sec.key != nil:
 		var said struct {
--- a/internal/front/nats/sub.go
+++ b/internal/front/nats/sub.go
@@ -47,7 +47,7 @@
 		c.warn("Invalid Subject")
 		return
 	}
-	if !c.may.MaySubscribe(string(m.subject), string(m.queue)) {
+	if !c.may.CanSubscribe(string(m.subject), string(m.queue)) {
 		text := fmt.Sprintf("Permissions Violation for Subscription to %q", m.subject)
 		if len(m.queue) > 0 {
 			text += fmt.Sprintf(" using queue %q", m.queue)
@@ -64,7 +64,7 @@
 		return
 	}
 	s := &sub{c: c, sid: string(m.sid), subject: string(m.subject), queue: string(m.queue), local: ownSubject(m.subject),
-		since: c.f.Loop.Now(), filter: c.may.Filters(string(m.subject))}
+		since: c.f.Loop.Now(), filter: c.may.NeedsFilter(string(m.subject))}
 	if c.subs == nil {
 		c.subs = map[string]*sub{}
 	}
@@ -261,10 +261,10 @@
 	if c.over || s.over && !s.draining {
 		return
 	}
-	if s.filter && c.may.Hides(string(m.subject)) {
+	if s.filter && c.may.Denies(string(m.subject)) {
 		return
 	}
-	c.replies.Asked(c.f.Loop.RoundStart(), m.reply)
+	c.replies.RecordRequest(c.f.Loop.RoundStart(), m.reply)
 	if m.header > 0 {
 		if who := untag(m); who != nil && !c.echo() && string(who) == c.origin() {
 			return
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -55,12 +55,12 @@
 
 // State is what the second starts with.
 type State struct {
-	Version       int          `json:"version"`
-	Fronts        []string     `json:"fronts"` // whose listening sockets come with it, in that order
-	Limit         int          `json:"limit"`
-	Pool          *pool.List   `json:"pool"`
-	DiscoveryAddr string       `json:"watched"` // at which discovery that list goes on; empty if at none
-	Learned       core.Learned `json:"learned"`
+	Version       int                `json:"version"`
+	Fronts        []string           `json:"fronts"` // whose listening sockets come with it, in that order
+	Limit         int                `json:"limit"`
+	Pool          *pool.EndpointList `json:"pool"`
+	DiscoveryAddr string             `json:"watched"` // at which discovery that list goes on; empty if at none
+	Learned       core.Learned       `json:"learned"`
 }
 
 // NewState is a state for a second process of that version.
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -100,9 +100,9 @@
 func TestState(t *testing.T) {
 	b, dir := looptest.New(t, 16), t.TempDir()
 	state := NewState(core.Learned{}, version)
-	state.Fronts, state.Limit, state.Pool = []string{"line"}, 77, &pool.List{Generation: 9}
+	state.Fronts, state.Limit, state.Pool = []string{"line"}, 77, &pool.EndpointList{Generation: 9}
 	for n := range 3000 {
-		state.Pool.Instances = append(state.Pool.Instances, pool.Entry{ID: fmt.Sprint("s-", n), Addr: "127.0.0.1:9", Zone: "a"})
+		state.Pool.Instances = append(state.Pool.Instances, pool.Instance{ID: fmt.Sprint("s-", n), Addr: "127.0.0.1:9", Zone: "a"})
 	}
 	heard := first(b, dir, state)
 	fd, got, fds, err := find(b, dir)
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -27,12 +27,12 @@
 
 // Parser reads one HTTP/1.1 message. Its zero value is ready for an answer.
 type Parser struct {
-	Call           bool // it is a call that is read
-	Method, Target string
-	Status         int
-	Closes         bool      // the connection ends with this answer
-	Date           time.Time // when the answer was made, by the other side's clock; zero if it does not say
-	Body           []byte
+	Request         bool // it is a call that is read
+	Method, Target  string
+	Status          int
+	ConnectionClose bool      // the connection ends with this answer
+	Date            time.Time // when the answer was made, by the other side's clock; zero if it does not say
+	Body            []byte
 
 	state   int
 	lines   int
@@ -98,17 +98,17 @@
 }
 
 func (p *Parser) bodyMost() int {
-	if p.Call {
+	if p.Request {
 		return maxCall
 	}
 	return maxBody
 }
 
-// Finish says whether the end of the connection makes the answer whole.
-func (p *Parser) Finish() bool {
+// FinishAtEOF says whether the end of the connection makes the answer whole.
+func (p *Parser) FinishAtEOF() bool {
 	if p.state == readToEnd {
 		p.state = readDone
-		p.Closes = true
+		p.ConnectionClose = true
 		return true
 	}
 	return false
@@ -120,7 +120,7 @@
 	}
 	switch p.state {
 	case readStart:
-		if p.Call {
+		if p.Request {
 			return p.callLine(s)
 		}
 		version, rest, _ := strings.Cut(s, " ")
@@ -129,7 +129,7 @@
 		if err != nil || !strings.HasPrefix(version, "HTTP/1.") || status < 100 || status > 999 {
 			return fmt.Errorf("%w: status line %q", ErrMalformed, s)
 		}
-		p.Status, p.Closes, p.state = status, version == "HTTP/1.0", readHeader
+		p.Status, p.ConnectionClose, p.state = status, version == "HTTP/1.0", readHeader
 	case readHeader:
 		if s == "" {
 			return p.headEnds()
@@ -190,9 +190,9 @@
 	case "connection":
 		switch value {
 		case "close":
-			p.Closes = true
+			p.ConnectionClose = true
 		case "keep-alive":
-			p.Closes = false
+			p.ConnectionClose = false
 		}
 	}
 	return nil
@@ -200,7 +200,7 @@
 
 func (p *Parser) headEnds() error {
 	switch {
-	case !p.Call && p.Status < 200: // an interim answer: the real one follows
+	case !p.Request && p.Status < 200: // an interim answer: the real one follows
 		*p = Parser{}
 	case p.Status == 204 || p.Status == 304:
 		p.state = readDone
@@ -210,7 +210,7 @@
 		p.state = readDone
 	case p.sized:
 		p.state = readBody
-	case p.Call: // it has no body
+	case p.Request: // it has no body
 		p.state = readDone
 	default:
 		p.state = readToEnd
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -28,7 +28,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte, step uint8, call bool) {
 		read := func(step int) (p Parser, done bool, err error) {
-			p.Call = call
+			p.Request = call
 			held := []byte{}
 			for rest := text; len(rest) > 0 && !done && err == nil; {
 				n := min(step, len(rest))
@@ -64,7 +64,7 @@
 	} {
 		var p Parser
 		_, done, err := p.Feed([]byte(text))
-		got := fmt.Sprint(p.Status, " ", string(p.Body), " ", p.Closes)
+		got := fmt.Sprint(p.Status, " ", string(p.Body), " ", p.ConnectionClose)
 		if errors.Is(err, ErrMalformed) {
 			got = "malformed"
 		} else if !done {
@@ -90,7 +90,7 @@
 		"PUT / HTTP/1.1\r\nContent-Length: 5000\r\n\r\n" + long(5000): "malformed",
 		"GET /" + long(5000) + " HTTP/1.1\r\n\r\n":                    "malformed",
 	} {
-		p := Parser{Call: true}
+		p := Parser{Request: true}
 		_, done, err := p.Feed([]byte(text))
 		got := fmt.Sprint(p.Method, " ", p.Target, " ", string(p.Body), " ", done)
 		if errors.Is(err, ErrMalformed) {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -50,7 +50,7 @@
 // Accept serves a caller.
 func (f *Front) Accept(conn *netloop.Conn) {
 	c := &caller{front: f, conn: conn}
-	c.parser.Call = true
+	c.parser.Request = true
 	late := func() { c.answer(http.StatusRequestTimeout, "no whole call came") }
 	c.timer = f.Loop.After(callTimeout, late)
 	conn.SetEvictable(late)
--- a/internal/pool/budget.go
+++ b/internal/pool/budget.go
@@ -69,11 +69,11 @@
 // discovery had before a process started counts as told by the same 6 s; half of them is left for a crowd's queue.
 const firstWithin = toldWithin / 2
 
-// FirstBy is when a watch is begun at the latest; random draws from 0 to 1. A relay has to ask within askWithin anyway.
-func FirstBy(askWithin time.Duration, random func() float64) time.Duration {
+// InitialDelay is when a watch is begun at the latest; random draws from 0 to 1. A relay has to ask within askWithin anyway.
+func InitialDelay(askWithin time.Duration, random func() float64) time.Duration {
 	return time.Duration(random() * float64(min(firstWithin, askWithin/2)))
 }
 
-// Descriptors is how many a watch may hold: two calls, and what has ended and lingers of those before, of which the
+// MaxDescriptors is how many a watch may hold: two calls, and what has ended and lingers of those before, of which the
 // pauses let no more than six come in the second that they linger for.
-const Descriptors = 8
+const MaxDescriptors = 8
--- a/internal/pool/call.go
+++ b/internal/pool/call.go
@@ -9,8 +9,8 @@
 	"dahliarudder/internal/netloop"
 )
 
-// ErrLate is wrapped by the error of a call whose answer has not come in time.
-var ErrLate = errors.New("no answer in time")
+// ErrTimeout is wrapped by the error of a call whose answer has not come in time.
+var ErrTimeout = errors.New("no answer in time")
 
 // callState is where a call stands.
 type callState int
@@ -49,7 +49,7 @@
 
 // call is one call of discovery, and the owner of the connection that it is made on.
 type call struct {
-	w      *Watch
+	w      *Watcher
 	conn   *netloop.Conn
 	parser http1.Parser
 	state  callState
@@ -59,7 +59,7 @@
 }
 
 // dial makes a call on a connection of its own.
-func (w *Watch) dial(wait time.Duration) {
+func (w *Watcher) dial(wait time.Duration) {
 	c := &call{w: w, wait: wait}
 	w.calls = append(w.calls, c)
 	c.conn = w.Dial(w.Addr, w.timing().dial, c)
@@ -119,10 +119,10 @@
 	c.state = c.state.next(callOverdue)
 	c.w.refused = false
 	if c.giveUpAfter() == 0 {
-		c.w.failed(c, ErrLate)
+		c.w.failed(c, ErrTimeout)
 		return
 	}
-	c.await(c.giveUpAfter(), func() { c.w.failed(c, ErrLate) })
+	c.await(c.giveUpAfter(), func() { c.w.failed(c, ErrTimeout) })
 	c.w.late()
 }
 
@@ -151,7 +151,7 @@
 
 // End is told by the loop.
 func (c *call) End(err error) {
-	if c.parser.Finish() {
+	if c.parser.FinishAtEOF() {
 		c.w.answered(c)
 		return
 	}
--- a/internal/pool/list.go
+++ b/internal/pool/list.go
@@ -18,15 +18,15 @@
 // ErrMalformed is wrapped by every error about a list that is none.
 var ErrMalformed = errors.New("malformed list")
 
-// List is discovery's list, or changes of it, as it stands on the wire.
-type List struct {
-	Generation uint64  `json:"generation"`
-	Full       bool    `json:"reset"`
-	Instances  []Entry `json:"instances"`
+// Snapshot is discovery's list, or changes of it, as it stands on the wire.
+type EndpointList struct {
+	Generation uint64     `json:"generation"`
+	Full       bool       `json:"reset"`
+	Instances  []Instance `json:"instances"`
 }
 
-// Entry is one member on the wire.
-type Entry struct {
+// Instance is one member on the wire.
+type Instance struct {
 	ID        string  `json:"instanceId"`
 	Addr      string  `json:"hostPort"`
 	Zone      string  `json:"zone"`
@@ -38,8 +38,8 @@
 }
 
 // Decode reads a list.
-func Decode(text []byte) (*List, error) {
-	l := &List{}
+func Decode(text []byte) (*EndpointList, error) {
+	l := &EndpointList{}
 	if err := json.Unmarshal(text, l); err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrMalformed, err)
 	}
@@ -51,10 +51,10 @@
 	return l, nil
 }
 
-// Names translates entries of the list into members.
-type Names struct {
-	Settings *settings.Settings
-	Starts   *Starts
+// Mapper translates entries of the list into members.
+type MemberMapper struct {
+	Settings   *settings.Settings
+	StartTimes *StartTimes
 }
 
 var states = map[string]policy.State{
@@ -63,11 +63,11 @@
 
 // Members are the entries as members. An unknown lifecycle counts as draining,
 // the state that neither takes new flows nor forgets the member.
-func (n Names) Members(l *List) []core.Member {
+func (n MemberMapper) Members(l *EndpointList) []core.Member {
 	list := make([]core.Member, 0, len(l.Instances))
 	for _, e := range l.Instances {
 		m := core.Member{Name: e.ID, Addr: e.Addr}
-		m.ID, m.Cell, m.Weight = Number(e.ID), e.Cell, e.Weight
+		m.ID, m.Cell, m.Weight = DeriveServerID(e.ID), e.Cell, e.Weight
 		for i, zone := range n.Settings.Zones {
 			if string(zone) == e.Zone {
 				m.Zone = i
@@ -83,16 +83,16 @@
 			state = policy.Draining
 		}
 		m.State = state
-		m.Started = n.Starts.At(e.ID, e.Started)
+		m.Started = n.StartTimes.Resolve(e.ID, e.Started)
 		list = append(list, m)
 	}
 	return list
 }
 
-// Number is the member's number in the decision module. It depends on the name
+// DeriveServerID is the member's number in the decision module. It depends on the name
 // alone, so that all relays share members out alike: the eight hexadecimal
 // digits that end it, or a hash.
-func Number(name string) policy.ServerID {
+func DeriveServerID(name string) policy.ServerID {
 	if i := strings.LastIndexByte(name, '-'); len(name)-i-1 == 8 {
 		if n, err := strconv.ParseUint(name[i+1:], 16, 32); err == nil {
 			return policy.ServerID(n)
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -15,9 +15,9 @@
 
 const entry = `{"instanceId":"s-5be2a07c","hostPort":"127.0.0.1:9","zone":"b","machineType":"m2","cell":3,"lifecycle":"SERVING","weight":1.5,"startedAtMs":1700000000500}`
 
-func names() Names {
-	return Names{Settings: &settings.Settings{Zones: []settings.Zone{"a", "b"}, HostTypes: []string{"m1", "m2"}},
-		Starts: &Starts{Clock: func() time.Duration { return time.Second }, Wall: func() time.Time { return time.UnixMilli(1700000001000) }}}
+func names() MemberMapper {
+	return MemberMapper{Settings: &settings.Settings{Zones: []settings.Zone{"a", "b"}, HostTypes: []string{"m1", "m2"}},
+		StartTimes: &StartTimes{Clock: func() time.Duration { return time.Second }, WallClock: func() time.Time { return time.UnixMilli(1700000001000) }}}
 }
 
 // TestMembers: an entry of the list as the decision module gets it.
@@ -35,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m := names().Members(odd)[0]; m.State != policy.Draining || m.Started != 0 || m.ID != Number("one") || m.ID == Number("two") {
+	if m := names().Members(odd)[0]; m.State != policy.Draining || m.Started != 0 || m.ID != DeriveServerID("one") || m.ID == DeriveServerID("two") {
 		t.Errorf("odd entry %+v", m)
 	}
 	for _, bad := range []string{``, `[]`, `{"instances":[{}]}`, `{"generation":-1}`, `{"instances":[{"instanceId":"a","cell":"x"}]}`} {
@@ -46,11 +46,11 @@
 }
 
 // watch is one that holds a list.
-func watch(b *looptest.Harness, at *looptest.Server, told func(policy.ListKind, []core.Member)) *Watch {
+func watch(b *looptest.Harness, at *looptest.Server, told func(policy.ListKind, []core.Member)) *Watcher {
 	log := logrus.New()
 	log.SetOutput(b.T.Output())
-	w := &Watch{Loop: b.Loop, Addr: at.Addr(), Names: names(), Log: log, Told: told, Random: func() float64 { return 1 }, Dial: b.NewDescriptorReserve(Descriptors).Dial}
-	w.Hold(&List{Generation: 41})
+	w := &Watcher{Loop: b.Loop, Addr: at.Addr(), Mapper: names(), Log: log, OnUpdate: told, Random: func() float64 { return 1 }, Dial: b.NewDescriptorReserve(MaxDescriptors).Dial}
+	w.SetInitialList(&EndpointList{Generation: 41})
 	return w
 }
 
@@ -62,9 +62,9 @@
 	old, next := b.Listen(), b.Listen()
 	told := 0
 	w := watch(b, old, func(kind policy.ListKind, list []core.Member) { told += 100*int(kind) + len(list) })
-	w.Ask()
+	w.Start()
 	before := old.Accept()
-	w.Move(next.Addr())
+	w.SwitchAddress(next.Addr())
 	p := next.Accept()
 	before.Send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
 	host := " HTTP/1.1\r\nHost: " + next.Addr() + "\r\nAccept: application/json\r\n\r\n"
@@ -74,11 +74,11 @@
 	if told != 100*int(policy.ListFull) {
 		t.Errorf("told %d", told)
 	}
-	w.Move(next.Addr()) // no change: the watch goes on
+	w.SwitchAddress(next.Addr()) // no change: the watch goes on
 	p.Send("HTTP/1.1 200 OK\r\nContent-Length: 45\r\n\r\n" + `{"generation":4,"reset":false,"instances":[]}`)
 	p.Expect("GET /api/targets?since=4&timeout_ms=4000" + host)
 	w.Stop()
-	w.Move(old.Addr())
+	w.SwitchAddress(old.Addr())
 	b.RunOnce()
 	if len(w.calls) > 0 {
 		t.Error("moved after the stop")
--- a/internal/pool/starts.go
+++ b/internal/pool/starts.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Starts tells when members started, on the relay's own clock, by what discovery says in Unix time. The wall clock of
+// StartTimes tells when members started, on the relay's own clock, by what discovery says in Unix time. The wall clock of
 // any machine may have been stepped, by seconds or by an hour, so a start is read against every way in which the two
 // clocks have stood to each other. Where these differ the latest start that is not ahead of now counts: a member that is
 // taken for younger than it is gets less for a while, one that is taken for older may be brought down.
-type Starts struct {
+type StartTimes struct {
 	// Clock is the relay's own clock, which only runs on; Wall is the machine's.
-	Clock func() time.Duration
-	Wall  func() time.Time
-	// Believed is how late discovery may list a start.
-	Believed time.Duration
+	Clock     func() time.Duration
+	WallClock func() time.Time
+	// MaxListingDelay is how late discovery may list a start.
+	MaxListingDelay time.Duration
 
 	offsets []time.Duration // of Unix time from the relay's clock, those that were seen; the newest last
 	kept    map[string]start
@@ -43,7 +43,7 @@
 
 // At is the start of a member on the relay's clock; 0 if it was long ago. It stays the same however often that start is
 // listed.
-func (s *Starts) At(name string, unixMilli float64) time.Duration {
+func (s *StartTimes) Resolve(name string, unixMilli float64) time.Duration {
 	if unixMilli == 0 {
 		return 0
 	}
@@ -59,7 +59,7 @@
 }
 
 // read reads a start that was not listed before; of a member that was, it is the start of another process after that.
-func (s *Starts) read(now time.Duration, unixMilli float64, after time.Duration) time.Duration {
+func (s *StartTimes) read(now time.Duration, unixMilli float64, after time.Duration) time.Duration {
 	at, found := time.Duration(0), false
 	for _, offset := range s.offsets {
 		if by := time.Duration(unixMilli*float64(time.Millisecond)) - offset; by <= now && (!found || by > at) {
@@ -69,7 +69,7 @@
 	switch {
 	case !found, after != 0 && at <= after: // it contradicts the clock, or the start before it
 		at = now
-	case s.heard != 0 && now-at > now-s.heard+s.Believed: // it was not in the list before
+	case s.heard != 0 && now-at > now-s.heard+s.MaxListingDelay: // it was not in the list before
 		at = now
 	}
 	if at == 0 { // 0 means long ago
@@ -79,12 +79,12 @@
 }
 
 // observe notes how the machine's clock stands to the relay's own now.
-func (s *Starts) observe(now time.Duration) {
-	s.note(time.Duration(s.Wall().UnixNano())-now, stepLeast)
+func (s *StartTimes) observe(now time.Duration) {
+	s.note(time.Duration(s.WallClock().UnixNano())-now, stepLeast)
 }
 
 // note keeps an offset that differs by so much from all that are kept.
-func (s *Starts) note(offset, least time.Duration) {
+func (s *StartTimes) note(offset, least time.Duration) {
 	for _, other := range s.offsets {
 		if (offset - other).Abs() < least {
 			return
@@ -94,27 +94,27 @@
 	s.offsets = s.offsets[max(0, len(s.offsets)-offsetsMost):]
 }
 
-// Heard says that a list has come from discovery, of which At was told.
-func (s *Starts) Heard() { s.heard = s.Clock() }
+// ListReceived says that a list has come from discovery, of which At was told.
+func (s *StartTimes) ListReceived() { s.heard = s.Clock() }
 
-// Dated says what discovery's own clock showed as it answered.
-func (s *Starts) Dated(date time.Time) {
+// ObserveServerDate says what discovery's own clock showed as it answered.
+func (s *StartTimes) ObserveServerDate(date time.Time) {
 	now := s.Clock()
 	s.observe(now)
 	s.note(time.Duration(date.UnixNano())-now, datedLeast)
 }
 
 // UnixMilli is a time of the relay's clock in Unix milliseconds; of a member's start it is what discovery says.
-func (s *Starts) UnixMilli(name string, at time.Duration) int64 {
+func (s *StartTimes) UnixMilli(name string, at time.Duration) int64 {
 	if listed, known := s.kept[name]; known && listed.at == at {
 		return int64(listed.unixMilli)
 	}
 	now := s.Clock()
-	return s.Wall().Add(at - now).UnixMilli()
+	return s.WallClock().Add(at - now).UnixMilli()
 }
 
 // keep keeps a start, and lets go of those that were not listed for longest when there are too many.
-func (s *Starts) keep(name string, read start) {
+func (s *StartTimes) keep(name string, read start) {
 	if s.kept == nil {
 		s.kept = map[string]start{}
 	}
--- a/internal/pool/starts_test.go
+++ b/internal/pool/starts_test.go
@@ -14,9 +14,9 @@
 // switchedOn is when by a right wall clock.
 var switchedOn = time.UnixMilli(1700000000000)
 
-func (m *machine) starts() *Starts {
-	return &Starts{Clock: func() time.Duration { return m.now }, Wall: func() time.Time { return switchedOn.Add(m.now - m.behind) },
-		Believed: 10 * time.Second}
+func (m *machine) starts() *StartTimes {
+	return &StartTimes{Clock: func() time.Duration { return m.now }, WallClock: func() time.Time { return switchedOn.Add(m.now - m.behind) },
+		MaxListingDelay: 10 * time.Second}
 }
 
 // stamp is what discovery says of a member that starts at a time by a clock that is wrong by so much.
@@ -43,22 +43,22 @@
 				s := m.starts()
 				theirs := time.Duration(0)
 				warm := stamp(m.now-time.Minute, 0)
-				first := s.At("warm", warm)
-				s.Heard()
+				first := s.Resolve("warm", warm)
+				s.ListReceived()
 				check := func(name string, began time.Duration) {
 					t.Helper()
-					at := s.At(name, stamp(began, theirs))
+					at := s.Resolve(name, stamp(began, theirs))
 					if at < began-startsOff || at > m.now {
 						t.Errorf("%s, up for %v: taken for up for %v", name, m.now-began, m.now-at)
 					}
-					if again := s.At(name, stamp(began, theirs)); again != at {
+					if again := s.Resolve(name, stamp(began, theirs)); again != at {
 						t.Errorf("%s: %v, listed again %v", name, at, again)
 					}
 				}
 				for round, name := range []string{"one", "two", "three"} {
 					m.now += 3 * time.Second
-					s.At("warm", warm)
-					s.Heard()
+					s.Resolve("warm", warm)
+					s.ListReceived()
 					if m.behind -= step; all {
 						theirs -= step
 					}
@@ -68,9 +68,9 @@
 					m.now += 2 * time.Second
 					began := m.now - time.Second
 					check(name, began)
-					s.Heard()
+					s.ListReceived()
 				}
-				if again := s.At("warm", warm); again != first {
+				if again := s.Resolve("warm", warm); again != first {
 					t.Errorf("a member that is up for long: %v, then %v", first, again)
 				}
 			})
@@ -83,10 +83,10 @@
 	for _, step := range steps {
 		m := &machine{now: time.Hour}
 		s := m.starts()
-		first := s.At("s", stamp(m.now-time.Second, 0))
-		s.Heard()
+		first := s.Resolve("s", stamp(m.now-time.Second, 0))
+		s.ListReceived()
 		m.now += 5 * time.Second
-		again := s.At("s", stamp(m.now-time.Second, -step))
+		again := s.Resolve("s", stamp(m.now-time.Second, -step))
 		// Two seconds back of that member's machine alone cannot be told from a start two seconds earlier.
 		earliest := m.now - time.Second - startsOff + min(0, step%time.Hour)
 		if again <= first || again > m.now || again < earliest {
@@ -102,22 +102,22 @@
 		t.Run(behind.String(), func(t *testing.T) {
 			m := &machine{now: time.Hour, behind: behind}
 			s := m.starts()
-			long := s.At("long", stamp(m.now-24*time.Hour, 0))
+			long := s.Resolve("long", stamp(m.now-24*time.Hour, 0))
 			if m.now-long < coldFor {
 				t.Errorf("a member that is up for a day is taken for up for %v", m.now-long)
 			}
-			if at := s.At("known", stamp(m.now-time.Second, 0)); at > m.now {
+			if at := s.Resolve("known", stamp(m.now-time.Second, 0)); at > m.now {
 				t.Errorf("a start %v ahead of now", at-m.now)
 			}
-			s.Heard()
+			s.ListReceived()
 			m.now += 3 * time.Second
-			if at := s.At("joined", stamp(m.now-time.Second, 0)); m.now-at > 3*time.Second+s.Believed {
+			if at := s.Resolve("joined", stamp(m.now-time.Second, 0)); m.now-at > 3*time.Second+s.MaxListingDelay {
 				t.Errorf("one that was listed within 3 s is taken for up for %v", m.now-at)
 			}
-			s.Heard()
-			s.Dated(switchedOn.Add(m.now).Truncate(time.Second))
+			s.ListReceived()
+			s.ObserveServerDate(switchedOn.Add(m.now).Truncate(time.Second))
 			m.now += 3 * time.Second
-			if at := s.At("later", stamp(m.now-time.Second, 0)); behind.Abs() > time.Minute && (at > m.now || m.now-at > time.Second+startsOff) {
+			if at := s.Resolve("later", stamp(m.now-time.Second, 0)); behind.Abs() > time.Minute && (at > m.now || m.now-at > time.Second+startsOff) {
 				t.Errorf("up for 1 s, with discovery's date: taken for up for %v", m.now-at)
 			}
 		})
@@ -131,7 +131,7 @@
 	for range 20 * keptMost {
 		m.now += time.Millisecond
 		m.behind += time.Second
-		s.At(m.now.String(), stamp(m.now, 0))
+		s.Resolve(m.now.String(), stamp(m.now, 0))
 	}
 	if len(s.kept) > 2*keptMost || len(s.offsets) > offsetsMost {
 		t.Errorf("%d starts and %d offsets are kept", len(s.kept), len(s.offsets))
--- a/internal/pool/watch.go
+++ b/internal/pool/watch.go
@@ -13,25 +13,25 @@
 	"dahliarudder/policy"
 )
 
-// Watch asks discovery for the list and then for its changes, one call after another. A call that is late gets a
+// Watcher asks discovery for the list and then for its changes, one call after another. A call that is late gets a
 // second one beside it, and after calls have failed the next one is made after a pause: whatever fails, a change
 // has to arrive within the time of budget.go.
-type Watch struct {
-	Loop  *netloop.Loop
-	Addr  string
-	Names Names
-	Told  func(kind policy.ListKind, list []core.Member)
-	Log   logrus.FieldLogger
+type Watcher struct {
+	Loop     *netloop.Loop
+	Addr     string
+	Mapper   MemberMapper
+	OnUpdate func(kind policy.ListKind, list []core.Member)
+	Log      logrus.FieldLogger
 	// Dial connects to discovery, by descriptors that clients cannot use up.
 	Dial func(addr string, within time.Duration, h netloop.Handler) *netloop.Conn
-	// Pushed is, where lists are pushed, the grace after what the agent has counts as told; 0 where discovery is asked.
-	Pushed time.Duration
+	// PushGrace is, where lists are pushed, the grace after what the agent has counts as told; 0 where discovery is asked.
+	PushGrace time.Duration
 	// Random draws from 0 to 1, for pauses.
 	Random func() float64
 
 	generation uint64
-	known      bool             // the list of that generation is held
-	entries    map[string]Entry // and this is it
+	known      bool                // the list of that generation is held
+	entries    map[string]Instance // and this is it
 	state      watchState
 	calls      []*call // that are out, the oldest first
 	failures   int     // in a row
@@ -79,18 +79,20 @@
 	return s, false
 }
 
-func (w *Watch) step(e watchEvent) (ok bool) {
+func (w *Watcher) step(e watchEvent) (ok bool) {
 	w.state, ok = w.state.next(e)
 	return ok
 }
 
-// Hold says which list is held from the start.
-func (w *Watch) Hold(l *List) { w.hold(&List{l.Generation, true, l.Instances}) }
+// SetInitialList says which list is held from the start.
+func (w *Watcher) SetInitialList(l *EndpointList) {
+	w.hold(&EndpointList{l.Generation, true, l.Instances})
+}
 
-func (w *Watch) hold(l *List) {
+func (w *Watcher) hold(l *EndpointList) {
 	w.generation, w.known = l.Generation, true
 	if l.Full || w.entries == nil {
-		w.entries = map[string]Entry{}
+		w.entries = map[string]Instance{}
 	}
 	for _, e := range l.Instances {
 		if w.entries[e.ID] = e; states[e.Lifecycle] == policy.Gone {
@@ -99,17 +101,17 @@
 	}
 }
 
-// List is the list that is held, and whether a watch can go on from it.
-func (w *Watch) List() (l *List, known bool) {
-	l = &List{Generation: w.generation, Full: true}
+// Snapshot is the list that is held, and whether a watch can go on from it.
+func (w *Watcher) Snapshot() (l *EndpointList, known bool) {
+	l = &EndpointList{Generation: w.generation, Full: true}
 	for _, e := range w.entries {
 		l.Instances = append(l.Instances, e)
 	}
 	return l, w.known
 }
 
-// Ask starts to watch; once begun a watch goes on by itself, and this does nothing.
-func (w *Watch) Ask() {
+// Start starts to watch; once begun a watch goes on by itself, and this does nothing.
+func (w *Watcher) Start() {
 	if w.step(watchAsked) {
 		w.dial(watchWait)
 	}
@@ -117,7 +119,7 @@
 
 // Refresh asks at once for what has changed, in the place of the calls that are out, whose answers may be as old as
 // they are; done is called when it is told. Before the watch has begun it does nothing.
-func (w *Watch) Refresh(done func()) {
+func (w *Watcher) Refresh(done func()) {
 	if w.state == watchIdle || !w.step(watchRestart) {
 		return
 	}
@@ -126,9 +128,9 @@
 	w.dial(0)
 }
 
-// Move has the watch go on at another address. The first call there asks for the whole list: a generation means
+// SwitchAddress has the watch go on at another address. The first call there asks for the whole list: a generation means
 // nothing but where it was given.
-func (w *Watch) Move(addr string) {
+func (w *Watcher) SwitchAddress(addr string) {
 	if addr == w.Addr || !w.step(watchRestart) {
 		return
 	}
@@ -138,23 +140,23 @@
 }
 
 // Stop ends watching.
-func (w *Watch) Stop() {
+func (w *Watcher) Stop() {
 	w.step(watchStop)
 	w.hangUp()
 }
 
 // answered takes the answer of a call; the others that are out have asked for the same.
-func (w *Watch) answered(c *call) {
+func (w *Watcher) answered(c *call) {
 	list, err := w.read(c)
 	if !c.parser.Date.IsZero() {
-		w.Names.Starts.Dated(c.parser.Date)
+		w.Mapper.StartTimes.ObserveServerDate(c.parser.Date)
 	}
 	if err != nil {
 		w.failed(c, err)
 		return
 	}
 	w.step(watchAnswered)
-	keep := !c.parser.Closes && c.conn != nil
+	keep := !c.parser.ConnectionClose && c.conn != nil
 	w.drop(c, keep)
 	w.hangUp()
 	w.failures, w.refused = 0, false
@@ -168,16 +170,16 @@
 	if list.Full {
 		kind = policy.ListFull
 	}
-	members := w.Names.Members(list)
-	w.Names.Starts.Heard()
-	w.Told(kind, members)
+	members := w.Mapper.Members(list)
+	w.Mapper.StartTimes.ListReceived()
+	w.OnUpdate(kind, members)
 	if done := w.refreshed; done != nil {
 		w.refreshed = nil
 		done()
 	}
 }
 
-func (w *Watch) read(c *call) (*List, error) {
+func (w *Watcher) read(c *call) (*EndpointList, error) {
 	if c.parser.Status != 200 {
 		return nil, refusal(c.parser.Status)
 	}
@@ -194,7 +196,7 @@
 const callsMost = 2
 
 // late makes a second call beside one whose answer is late.
-func (w *Watch) late() {
+func (w *Watcher) late() {
 	if len(w.calls) < callsMost {
 		w.Log.Debug("discovery is late: a second call")
 		w.dial(0)
@@ -202,7 +204,7 @@
 }
 
 // failed ends a call that has failed. While another one is out that is in time, that is waited for.
-func (w *Watch) failed(c *call, err error) {
+func (w *Watcher) failed(c *call, err error) {
 	w.drop(c, false)
 	var refused refusal
 	w.refused = errors.As(err, &refused)
@@ -218,27 +220,27 @@
 }
 
 // timing is that of the calls that do not wait.
-func (w *Watch) timing() timing {
-	if w.Pushed > 0 {
-		return pushing(w.Pushed)
+func (w *Watcher) timing() timing {
+	if w.PushGrace > 0 {
+		return pushing(w.PushGrace)
 	}
 	return asking
 }
 
 // resume makes the next call after a pause. It does not wait for news: whether it is answered shows at once.
-func (w *Watch) resume() {
+func (w *Watcher) resume() {
 	if w.step(watchPaused) {
 		w.dial(0)
 	}
 }
 
-func (w *Watch) drop(c *call, keep bool) {
+func (w *Watcher) drop(c *call, keep bool) {
 	c.end(keep)
 	w.calls = slices.DeleteFunc(w.calls, func(other *call) bool { return other == c })
 }
 
 // hangUp gives up all that is under way.
-func (w *Watch) hangUp() {
+func (w *Watcher) hangUp() {
 	w.pausing.Stop()
 	for _, c := range w.calls {
 		c.end(false)
--- a/internal/pool/watch_test.go
+++ b/internal/pool/watch_test.go
@@ -13,7 +13,7 @@
 // rig is a watch, the list of what it told, and discovery's end of its calls.
 type rig struct {
 	*looptest.Harness
-	*Watch
+	*Watcher
 	server *looptest.Server
 	told   []string
 }
@@ -22,7 +22,7 @@
 func newRig(t *testing.T) *rig {
 	r := &rig{Harness: looptest.New(t, 16)}
 	r.server = r.Listen()
-	r.Watch = watch(r.Harness, r.server, func(kind policy.ListKind, list []core.Member) {
+	r.Watcher = watch(r.Harness, r.server, func(kind policy.ListKind, list []core.Member) {
 		names := ""
 		for _, m := range list {
 			names += fmt.Sprintf(" %s:%d", m.Name, m.State)
@@ -68,7 +68,7 @@
 // connection.
 func TestWatch(t *testing.T) {
 	r := newRig(t)
-	r.Ask()
+	r.Start()
 	p := r.server.Accept()
 	p.Expect(r.text(41, watchWait))
 	p.Send(changes(43))
@@ -77,7 +77,7 @@
 	p.Expect(r.text(44, watchWait))
 	r.want(drained, fmt.Sprint(policy.ListFull, ""))
 	r.Stop()
-	r.Ask()
+	r.Start()
 	p.ExpectEOF()
 	if r.Advance(time.Hour); r.OpenDescriptors() > 2 { // the loop's own wakeup is not counted; the connection may linger
 		t.Errorf("%d descriptors after the stop", r.OpenDescriptors())
@@ -106,7 +106,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
-			r.Ask()
+			r.Start()
 			p := r.server.Accept()
 			p.Expect(r.text(41, watchWait))
 			step := c.pieces
@@ -134,7 +134,7 @@
 // and the next one left to the decision module, up to half a second later.
 func TestSilentWatch(t *testing.T) {
 	r := newRig(t)
-	r.Ask()
+	r.Start()
 	began := r.Now()
 	silent := r.server.Accept()
 	silent.Expect(r.text(41, watchWait))
@@ -156,7 +156,7 @@
 // TestLateAnswer: the answer of a call that is late counts, and its second call is given up.
 func TestLateAnswer(t *testing.T) {
 	r := newRig(t)
-	r.Ask()
+	r.Start()
 	first := r.server.Accept()
 	first.Expect(r.text(41, watchWait))
 	r.Advance(watchWait + lateAfter)
@@ -181,7 +181,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
-			r.Ask()
+			r.Start()
 			began := r.Now()
 			silent := r.server.Accept()
 			silent.Expect(r.text(41, watchWait))
@@ -207,7 +207,7 @@
 // was missed.
 func TestCallFails(t *testing.T) {
 	r := newRig(t)
-	r.Ask()
+	r.Start()
 	failures := 0
 	for i, fail := range []func(*looptest.Peer){
 		func(p *looptest.Peer) { p.Send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n") },
@@ -228,7 +228,7 @@
 		if r.state != watchPausing || len(r.calls) != 0 {
 			t.Fatalf("failure %d: state %d, %d calls", i, r.state, len(r.calls))
 		}
-		r.Ask() // the decision module's wish changes nothing
+		r.Start() // the decision module's wish changes nothing
 		r.Advance(asking.pause(failures, 1) - time.Millisecond)
 		if len(r.calls) != 0 {
 			t.Fatalf("failure %d: no pause", i)
@@ -256,7 +256,7 @@
 		t.Fatalf("%v are left after a refused call", left)
 	}
 	r := newRig(t)
-	r.Ask()
+	r.Start()
 	p := r.server.Accept()
 	p.Expect(r.text(41, watchWait))
 	p.Reset()
@@ -287,7 +287,7 @@
 // Before, calls were given up after 2 s where discovery let them stand for 2.5 s, and nobody was answered.
 func TestQueue(t *testing.T) {
 	r := newRig(t)
-	r.Ask()
+	r.Start()
 	p := r.server.Accept()
 	p.Expect(r.text(41, watchWait))
 	p.Reset()
@@ -311,7 +311,7 @@
 func TestQueueAfterRefusal(t *testing.T) {
 	const queue = 3 * time.Second // the longest of three sites
 	r := newRig(t)
-	r.Ask()
+	r.Start()
 	p := r.server.Accept()
 	p.Expect(r.text(41, watchWait))
 	p.Send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
@@ -361,7 +361,7 @@
 func TestFirstBy(t *testing.T) {
 	const queue = 3 * time.Second
 	for askWithin, most := range map[time.Duration]time.Duration{10 * time.Second: firstWithin, 2 * time.Second: time.Second} {
-		if low, high := FirstBy(askWithin, func() float64 { return 0 }), FirstBy(askWithin, func() float64 { return 1 }); low != 0 || high != most {
+		if low, high := InitialDelay(askWithin, func() float64 { return 0 }), InitialDelay(askWithin, func() float64 { return 1 }); low != 0 || high != most {
 			t.Errorf("asking within %v: from %v to %v", askWithin, low, high)
 		}
 	}
@@ -374,7 +374,7 @@
 func TestRefresh(t *testing.T) {
 	r := newRig(t)
 	r.Refresh(func() { t.Error("refreshed a watch that had not begun") })
-	r.Ask()
+	r.Start()
 	p := r.server.Accept()
 	p.Expect(r.text(41, watchWait))
 	done := 0
@@ -408,11 +408,11 @@
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
 			next := r.Listen()
-			r.Ask()
+			r.Start()
 			p := r.server.Accept()
 			p.Expect(r.text(41, watchWait))
 			before(r, p)
-			r.Move(next.Addr())
+			r.SwitchAddress(next.Addr())
 			q := next.Accept()
 			q.Expect("GET /api/targets HTTP/1.1\r\nHost: " + next.Addr() + "\r\nAccept: application/json\r\n\r\n")
 			q.Send(message(`{"generation":3,"reset":true,"instances":[]}`))
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -43,14 +43,14 @@
 
 // Snapshot is what is kept.
 type Snapshot struct {
-	Name          string       `json:"name"`
-	Written       int64        `json:"written_ms"` // Unix time
-	Boot          string       `json:"boot,omitempty"`
-	Up            int64        `json:"up_ns,omitempty"` // with Boot: as in Moment
-	List          *pool.List   `json:"list"`
-	DiscoveryAddr string       `json:"watched"` // where that list's generation means something
-	Learned       core.Learned `json:"learned"`
-	Peers         []string     `json:"peers"` // addresses
+	Name          string             `json:"name"`
+	Written       int64              `json:"written_ms"` // Unix time
+	Boot          string             `json:"boot,omitempty"`
+	Up            int64              `json:"up_ns,omitempty"` // with Boot: as in Moment
+	List          *pool.EndpointList `json:"list"`
+	DiscoveryAddr string             `json:"watched"` // where that list's generation means something
+	Learned       core.Learned       `json:"learned"`
+	Peers         []string           `json:"peers"` // addresses
 }
 
 // Encode is its form on the disk.
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -19,7 +19,7 @@
 
 func sample() *Snapshot {
 	return &Snapshot{Name: "n1", Written: wall.UnixMilli(), Boot: "b1", Up: int64(time.Hour), DiscoveryAddr: "127.0.0.1:1", Peers: []string{"127.0.0.1:2"},
-		List: &pool.List{Generation: 7, Full: true, Instances: []pool.Entry{{ID: "s-1", Lifecycle: "SERVING", Weight: 1}}},
+		List: &pool.EndpointList{Generation: 7, Full: true, Instances: []pool.Instance{{ID: "s-1", Lifecycle: "SERVING", Weight: 1}}},
 		Learned: core.Learned{Policy: policy.Learned{MeanLoad: 0.03, Fill: []float64{0.4}, Daring: 0.2, Servers: map[policy.ServerID]policy.LearnedServer{
 			5: {Capacity: 40, Reports: 9, Load: 0.5, Age: time.Second, Fails: 3, Bad: true, Pause: 3 * time.Second, Up: 4 * time.Second}}},
 			Back: map[string]time.Duration{"s-1": time.Second}}}
