--- /dev/null
+++ b/internal/config/peers.go
@@ -0,0 +1,49 @@
+package config
+
+import (
+	"fmt"
+	"net/netip"
+	"path/filepath"
+
+	"dahliarudder/internal/gossip"
+)
+
+// Peers is how this relay and the others of its installation know of each other.
+type Peers struct {
+	Listen  string            `json:"listen"`   // UDP, and TCP that says no more than that a process is there
+	Address string            `json:"address"`  // what others reach it at, if not Listen
+	Known   []string          `json:"known"`    // addresses to begin with
+	KeyFile string            `json:"key_file"` // one or two keys, a line each; relative to the configuration
+	Reach   map[string]string `json:"reach"`    // by name: where this relay reaches one, if not at the address it names
+
+	keys gossip.Keys
+}
+
+// Keys is what the file holds.
+func (p *Peers) Keys() gossip.Keys { return p.keys }
+
+func (p *Peers) validate(name, dir string) (err error) {
+	if name == "" || len(name) > 64 {
+		return fmt.Errorf("name: %q: peers know each other by names of 1 to 64 bytes", name)
+	}
+	if p.Address == "" {
+		p.Address = p.Listen
+	}
+	addresses := append([]string{p.Listen, p.Address}, p.Known...)
+	for _, at := range p.Reach {
+		addresses = append(addresses, at)
+	}
+	for _, at := range addresses {
+		if _, err := netip.ParseAddrPort(at); err != nil {
+			return fmt.Errorf("peers: %w", err)
+		}
+	}
+	path := p.KeyFile
+	if !filepath.IsAbs(path) {
+		path = filepath.Join(dir, path)
+	}
+	if p.keys, err = gossip.ReadKeys(path); err != nil {
+		return fmt.Errorf("peers.key_file: %w", err)
+	}
+	return nil
+}
