--- a/internal/fleet/agreed_state.go
+++ b/internal/fleet/agreed_state.go
@@ -25,7 +25,7 @@
 // agreedState is what is in it. Orders to this process are none of the next one's.
 type agreedState struct {
 	Version       uint64                       `json:"version"`
-	Out           map[string]rollout.Exclusion `json:"out,omitempty"`
+	Exclusions    map[string]rollout.Exclusion `json:"out,omitempty"`
 	CanaryVersion uint64                       `json:"weighed"`
 	CanaryWeights []canary.Weight              `json:"weights,omitempty"`
 }
@@ -82,7 +82,7 @@
 // fillIn puts what was known before into orders that the record of now does not reach up to.
 func (k agreedState) fillIn(o *DesiredState) {
 	if o.RecordVersion < k.Version {
-		o.Exclusions = k.Out
+		o.Exclusions = k.Exclusions
 	}
 	if o.CanaryVersion < k.CanaryVersion {
 		o.CanaryWeights = k.CanaryWeights
@@ -103,7 +103,7 @@
 			return
 		}
 		var k agreedState
-		s.record.read(func(r *rollout.State, _ recordItems) { k.Version, k.Out = r.Version(), r.Orders("").Exclusions })
+		s.record.read(func(r *rollout.State, _ recordItems) { k.Version, k.Exclusions = r.Version(), r.Orders("").Exclusions })
 		k.CanaryWeights, k.CanaryVersion = s.record.canaryWeights()
 		if reflect.DeepEqual(k, last) {
 			return
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -27,9 +27,9 @@
 		SpareLoad      float64 `json:"headroom"` // what is left sound carries the load of now and this part more
 		MaxServiceLoss float64 `json:"cost"`     // the part of the service of before that a release may cost, beyond noise, before it halts
 	} `json:"out"`
-	EjectDrifted   bool   `json:"take_out"` // relays that drift take no clients, as far as the budget bears it; false if absent: drift is only shown
-	Program        string `json:"program"`  // what this relay says that it runs; absent: its version and the digest of its file
-	StartTimeoutMS int64  `json:"start_ms"` // what is replaced may take so long until it serves; 30,000 if absent
+	QuarantineDrifted bool   `json:"take_out"` // relays that drift take no clients, as far as the budget bears it; false if absent: drift is only shown
+	Program           string `json:"program"`  // what this relay says that it runs; absent: its version and the digest of its file
+	StartTimeoutMS    int64  `json:"start_ms"` // what is replaced may take so long until it serves; 30,000 if absent
 
 	budgets rollout.Budgets
 }
--- a/internal/fleet/expected_items.go
+++ b/internal/fleet/expected_items.go
@@ -28,7 +28,7 @@
 
 // expectedItems are those that a relay is held to: what the record says, of what it tells anything of. One that is of an older program tells less.
 func (h *controller) expectedItems(now int64, relay string) []drift.Item {
-	items := []drift.Item{h.recordItems.Bans, h.recordItems.Drains}
+	items := []drift.Item{h.recordItems.Ejections, h.recordItems.Drains}
 	x := h.fleet.relays[relay]
 	if x == nil {
 		return items
@@ -54,7 +54,7 @@
 		items = append(items, h.fleet.expectedList(now, &x.listState))
 	}
 	if x.reports(drift.Weights) {
-		items = append(items, h.recordItems.Weights)
+		items = append(items, h.recordItems.CanaryWeights)
 	}
 	if x.reports(drift.Permits) {
 		items = append(items, h.recordItems.Permits)
--- a/internal/fleet/leader.go
+++ b/internal/fleet/leader.go
@@ -102,7 +102,7 @@
 	for _, c := range s.controller.evaluateDrift(now, v) {
 		s.Log.WithFields(logrus.Fields{"relay": c.Relay, "item": c.Item, "from": c.From.String(), "to": c.To.String(), "why": c.Why}).Warn("fleet: drift")
 	}
-	if s.EjectDrifted { // else nobody is unfit, and who is shut is admitted
+	if s.QuarantineDrifted { // else nobody is unfit, and who is shut is admitted
 		s.controller.markUnfit(v)
 	}
 }
--- a/internal/fleet/observed_state.go
+++ b/internal/fleet/observed_state.go
@@ -9,7 +9,7 @@
 	MisroutedFlows     uint64 // flows begun at members that were out for longer than the grace
 	Members            []MemberState
 	LocalEjections     []string // addMembers that its own operators have taken out
-	AppliedOut         []string // and by the fleet's word, as the core has them
+	AppliedExclusions  []string // and by the fleet's word, as the core has them
 	AppliedVersion     uint64
 	CanaryVersion      uint64 // the version of the canaries that it goes by
 	CanaryCounts       []byte // what it counted for a canary
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -28,16 +28,16 @@
 
 // recordItems is what the record adds to its parts.
 type recordItems struct {
-	At     int64      `json:"at"` // of the last command: it never runs back
-	Bans   drift.Item `json:"bans"`
-	Drains drift.Item `json:"drains"`
+	At        int64      `json:"at"` // of the last command: it never runs back
+	Ejections drift.Item `json:"bans"`
+	Drains    drift.Item `json:"drains"`
 
-	Permits drift.Item `json:"permits"` // those in force
-	Weights drift.Item `json:"weights"` // the canaries' state
+	Permits       drift.Item `json:"permits"` // those in force
+	CanaryWeights drift.Item `json:"weights"` // the canaries' state
 }
 
-type snapshotForm struct {
-	Held    recordItems     `json:"held"`
+type recordSnapshot struct {
+	Items   recordItems     `json:"held"`
 	Rollout json.RawMessage `json:"rollout"`
 	Canary  json.RawMessage `json:"canary"`
 	Intent  json.RawMessage `json:"intent,omitempty"`
@@ -60,8 +60,8 @@
 // NewRecord is one in which nothing was agreed.
 func NewRecord() *Record {
 	return &Record{rollout: rollout.New(), canary: canary.New(), intent: &intent{}, changed: make(chan struct{}, 1),
-		items: recordItems{Bans: drift.Item{Name: drift.Bans}, Drains: drift.Item{Name: drift.Drains}, Permits: drift.Item{Name: drift.Permits},
-			Weights: drift.Item{Name: drift.Weights}}}
+		items: recordItems{Ejections: drift.Item{Name: drift.Bans}, Drains: drift.Item{Name: drift.Drains}, Permits: drift.Item{Name: drift.Permits},
+			CanaryWeights: drift.Item{Name: drift.Weights}}}
 }
 
 // Apply is the engine's: the next command. What it answers depends on the commands alone.
@@ -131,7 +131,7 @@
 
 // updateItems keeps the versions of what relays are to apply: the state's version at which each last changed.
 func (r *Record) updateItems() {
-	bans, drains := splitOut(r.rollout.Orders("").Exclusions)
+	bans, drains := splitExclusions(r.rollout.Orders("").Exclusions)
 	var permits []string
 	for _, p := range r.rollout.Permits() {
 		if p.State == rollout.PermitGranted || p.State == rollout.PermitBegun {
@@ -142,19 +142,19 @@
 		item  *drift.Item
 		name  string
 		names []string
-	}{{&r.items.Bans, drift.Bans, bans}, {&r.items.Drains, drift.Drains, drains}, {&r.items.Permits, drift.Permits, permits}} {
+	}{{&r.items.Ejections, drift.Bans, bans}, {&r.items.Drains, drift.Drains, drains}, {&r.items.Permits, drift.Permits, permits}} {
 		if d := digestOf(i.names); d != i.item.Digest {
 			*i.item = drift.Item{Name: i.name, Version: r.rollout.Version(), Digest: d}
 		}
 	}
-	if v := r.canary.Version(); v != r.items.Weights.Version {
+	if v := r.canary.Version(); v != r.items.CanaryWeights.Version {
 		text, _ := json.Marshal(r.canary.Canaries())
-		r.items.Weights = drift.Item{Name: drift.Weights, Version: v, Digest: digestOf([]string{string(text)})}
+		r.items.CanaryWeights = drift.Item{Name: drift.Weights, Version: v, Digest: digestOf([]string{string(text)})}
 	}
 }
 
-// splitOut parts the members that are out into those that are banned and those that drain, each in order.
-func splitOut(out map[string]rollout.Exclusion) (bans, drains []string) {
+// splitExclusions parts the members that are out into those that are banned and those that drain, each in order.
+func splitExclusions(out map[string]rollout.Exclusion) (bans, drains []string) {
 	for name, o := range out {
 		if o.Reason == rollout.CommandEject {
 			bans = append(bans, name)
@@ -186,13 +186,13 @@
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	kept, _ := json.Marshal(r.intent)
-	text, _ := json.Marshal(snapshotForm{r.items, r.rollout.Encode(), r.canary.Encode(), kept})
+	text, _ := json.Marshal(recordSnapshot{r.items, r.rollout.Encode(), r.canary.Encode(), kept})
 	return text
 }
 
 // Restore is the engine's. What cannot be read changes nothing.
 func (r *Record) Restore(_ uint64, text []byte) error {
-	var s snapshotForm
+	var s recordSnapshot
 	if err := json.Unmarshal(text, &s); err != nil {
 		return fmt.Errorf("record: %w", err)
 	}
@@ -210,8 +210,8 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.items, r.rollout, r.canary, r.intent = s.Held, ro, ca, in
-	r.items.Permits.Name, r.items.Weights.Name = drift.Permits, drift.Weights // a snapshot of before there were these
+	r.items, r.rollout, r.canary, r.intent = s.Items, ro, ca, in
+	r.items.Permits.Name, r.items.CanaryWeights.Name = drift.Permits, drift.Weights // a snapshot of before there were these
 	r.updateItems()
 	r.changes++
 	r.notifyChanged()
--- a/internal/fleet/simulation_test.go
+++ b/internal/fleet/simulation_test.go
@@ -111,11 +111,11 @@
 	keep := r.look
 	r.record.read(func(s *rollout.State, h recordItems) {
 		o := s.Orders(r.name)
-		bans, drains := splitOut(o.Exclusions)
-		r.look.AppliedOut = slices.DeleteFunc(append(bans, drains...), func(n string) bool {
+		bans, drains := splitExclusions(o.Exclusions)
+		r.look.AppliedExclusions = slices.DeleteFunc(append(bans, drains...), func(n string) bool {
 			return r.frozen[drift.Bans] && slices.Contains(bans, n) || r.frozen[drift.Drains] && slices.Contains(drains, n)
 		})
-		r.look.AppliedVersion, r.look.PermitsVersion, r.look.CanaryVersion, r.look.QuarantineOrder = s.Version(), permitsVersion(h), h.Weights.Version, 0
+		r.look.AppliedVersion, r.look.PermitsVersion, r.look.CanaryVersion, r.look.QuarantineOrder = s.Version(), permitsVersion(h), h.CanaryWeights.Version, 0
 		if r.frozen[drift.Permits] {
 			r.look.PermitsVersion = max(keep.PermitsVersion, 1)
 		}
--- a/internal/fleet/status_reporter.go
+++ b/internal/fleet/status_reporter.go
@@ -79,7 +79,7 @@
 func (g *statusReporter) noteApplied(now int64, l ObservedState, r *Record, sections map[string]string, voters drift.Item) (tells []string) {
 	r.mu.RLock()
 	h, in := r.items, r.intent
-	bans, drains := splitOut(r.rollout.Orders(g.relay).Exclusions)
+	bans, drains := splitExclusions(r.rollout.Orders(g.relay).Exclusions)
 	out := relayRelease{}
 	if len(l.RejectedItems) > 0 {
 		out = unsettledReleases(r.rollout.Releases(), in)[g.relay]
@@ -115,8 +115,8 @@
 	if told(drift.List, l.ListGeneration > 0) {
 		g.driftBook.Note(now, listDriftItem(l.ListGeneration), "discovery")
 	}
-	if told(drift.Weights, true); l.CanaryVersion == h.Weights.Version {
-		g.driftBook.Note(now, h.Weights, "record")
+	if told(drift.Weights, true); l.CanaryVersion == h.CanaryWeights.Version {
+		g.driftBook.Note(now, h.CanaryWeights, "record")
 	}
 	if told(drift.Permits, l.PermitsVersion > 0) && l.PermitsVersion == permitsVersion(h) {
 		g.driftBook.Note(now, h.Permits, "record")
@@ -153,7 +153,7 @@
 func (g *statusReporter) noteMembers(now int64, l ObservedState, h recordItems, bans, drains []string) {
 	inForce := func(names []string) (in []string) {
 		for _, n := range names {
-			if slices.Contains(l.AppliedOut, n) {
+			if slices.Contains(l.AppliedExclusions, n) {
 				in = append(in, n)
 			}
 		}
@@ -162,12 +162,12 @@
 	ours := slices.Clone(l.LocalEjections)
 	ours = slices.DeleteFunc(ours, func(n string) bool { return slices.Contains(bans, n) })
 	applied := inForce(bans)
-	if item := (drift.Item{Name: drift.Bans, Version: h.Bans.Version, Digest: digestOf(applied)}); len(ours) > 0 {
+	if item := (drift.Item{Name: drift.Bans, Version: h.Ejections.Version, Digest: digestOf(applied)}); len(ours) > 0 {
 		all := append(applied, ours...)
 		slices.Sort(all)
 		item.Digest = digestOf(all)
 		g.driftBook.Local(now, item, "an operator's call")
-	} else if item.Digest == h.Bans.Digest {
+	} else if item.Digest == h.Ejections.Digest {
 		g.driftBook.Note(now, item, "record")
 	}
 	if d := digestOf(inForce(drains)); d == h.Drains.Digest {
