--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -26,15 +26,15 @@
 
 // Request is what a client asks for.
 type Request struct {
-	Name   string // the client's own name for it, for the record
-	Class  int
-	Tenant int
-	Key    uint64
-	Group  uint64
-	Load   float64
-	Wait   time.Duration // how long the client still waits
-	Again  bool          // the client comes again after a break or a move
-	At     string        // the member that already holds the flow; empty for a new one
+	Name   string        `json:"Name"` // the client's own name for it, for the record
+	Class  int           `json:"Class"`
+	Tenant int           `json:"Tenant"`
+	Key    uint64        `json:"Key"`
+	Group  uint64        `json:"Group"`
+	Load   float64       `json:"Load"`
+	Wait   time.Duration `json:"Wait"`  // how long the client still waits
+	Again  bool          `json:"Again"` // the client reconnects after a break or a migration
+	At     string        `json:"At"`    // the member that already holds the flow; empty for a new one
 }
 
 // VirtualServer is the client's side of one request. The core never calls it
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -10,25 +10,26 @@
 
 // Learned is what is worth keeping of a Balancer.
 type Learned struct {
-	MeanLoad  float64
-	ClassLoad []float64
-	Lent      []float64 // h of each tenant's servers
-	Fill      []float64 // of each zone
-	Kinds     map[int][2]float64
-	Daring    float64
-	Servers   map[ServerID]LearnedServer
-	Ago       time.Duration // when all this was learned
+	MeanLoad  float64                    `json:"MeanLoad"`
+	ClassLoad []float64                  `json:"ClassLoad"`
+	Lent      []float64                  `json:"Lent"` // the lending threshold of each tenant's servers
+	Fill      []float64                  `json:"Fill"` // of each zone
+	Kinds     map[int][2]float64         `json:"Kinds"`
+	Daring    float64                    `json:"Daring"`
+	Servers   map[ServerID]LearnedServer `json:"Servers"`
+	Ago       time.Duration              `json:"Ago"` // when all this was learned
 }
 
 // LearnedServer is what is worth keeping of one server.
 type LearnedServer struct {
-	Capacity, Reports float64
-	Load              float64       // its last report's; negative for none
-	Age               time.Duration // of that report
-	Fails             int
-	Bad               bool
-	Pause             time.Duration // until it may be tried again
-	Up                time.Duration // since its start; 0 if long ago
+	Capacity float64       `json:"Capacity"`
+	Reports  float64       `json:"Reports"`
+	Load     float64       `json:"Load"` // its last report's; negative for none
+	Age      time.Duration `json:"Age"`  // of that report
+	Fails    int           `json:"Fails"`
+	Bad      bool          `json:"Bad"`
+	Pause    time.Duration `json:"Pause"` // until it may be tried again
+	Up       time.Duration `json:"Up"`    // since its start; 0 if long ago
 }
 
 // Learned is what b has learned.
