--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -94,7 +94,7 @@
 	return hex.EncodeToString(h.Sum(nil)[:4])
 }
 
-var stateNames = map[policy.State]string{policy.Ready: "ready", policy.Draining: "draining", policy.Gone: "gone"}
+var stateNames = map[policy.ServerState]string{policy.Ready: "ready", policy.Draining: "draining", policy.Gone: "gone"}
 
 // fleetStatus is what this relay does now.
 func (r *relay) fleetStatus() fleet.Look {
--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -81,7 +81,7 @@
 	// means "long ago" to the decision module.
 	const zero = time.Hour
 	clock := func() time.Duration { return zero + time.Since(began) }
-	r := &relay{cfg: cfg, log: log, clock: clock, signals: caught, names: pool.Names{Settings: set, Starts: &pool.Starts{Clock: clock, Wall: wallClock, Believed: policy.Sane(set.Policy()).AskWithin}},
+	r := &relay{cfg: cfg, log: log, clock: clock, signals: caught, names: pool.Names{Settings: set, Starts: &pool.Starts{Clock: clock, Wall: wallClock, Believed: policy.Sane(set.Policy()).MaxPollInterval}},
 		maxBufferBytes: int(cfg.Limits.MemoryMB * bufferMemoryFraction * (1 << 20))}
 	r.maxSockets = descriptorLimit(cfg) - reservedSockets - r.operatorDescriptors()
 	loop, err := netloop.New(clock, r.maxSockets)
@@ -94,7 +94,7 @@
 		loop.Close()
 		return errors.Join(err, r.closeStore())
 	}
-	loop.Gap(r.core.Limits().AskWithin/suspensionFraction, r.afterSuspension)
+	loop.Gap(r.core.Limits().MaxPollInterval/suspensionFraction, r.afterSuspension)
 	if cfg.CountsMS > 0 {
 		r.logCounts(time.Duration(cfg.CountsMS*float64(time.Millisecond)), core.Counts{})
 	}
@@ -228,7 +228,7 @@
 	})
 	r.watch.Told = r.core.Pool
 	if set := r.core.Limits(); set.Subscribe {
-		loop.After(pool.FirstBy(set.AskWithin, r.watch.Random), r.watch.Ask)
+		loop.After(pool.FirstBy(set.MaxPollInterval, r.watch.Random), r.watch.Ask)
 	} else { // what the agent has counts from the first moment
 		r.watch.Pushed = r.core.Grace()
 		r.watch.Ask()
--- a/cmd/dahliarudder/state.go
+++ b/cmd/dahliarudder/state.go
@@ -59,7 +59,7 @@
 	if !known || s.Watched != r.cfg.Discovery { // a generation means nothing but where it was given
 		held.Generation = 0
 	}
-	age, away, err := s.Believe(clocksNow(), r.cfg.Name, held.Generation, snapshot.Ages(r.core.Limits().AskWithin))
+	age, away, err := s.Believe(clocksNow(), r.cfg.Name, held.Generation, snapshot.Ages(r.core.Limits().MaxPollInterval))
 	if err != nil {
 		r.discardSnapshot("snapshot", err)
 		return
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -220,7 +220,7 @@
 	m, now, slow := r.member, c.Clock(), false
 	c.happens(r, m, Answered, took)
 	for _, class := range c.set.Classes {
-		slow = slow || took > class.MessageAim/3
+		slow = slow || took > class.MessageLatencyObjective/3
 	}
 	if slow && now-m.noted < noteEvery || !slow && !m.slow {
 		return
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -84,7 +84,7 @@
 	return r
 }
 
-func list(n int, state policy.State) []Member {
+func list(n int, state policy.ServerState) []Member {
 	out := make([]Member, n)
 	for i := range out {
 		out[i].Server = policy.Server{ID: policy.ServerID(10 + i), State: state, Weight: 1}
@@ -519,7 +519,7 @@
 		rng := rand.New(rand.NewPCG(seed, 1))
 		r := newRig(t, 4)
 		var all []*side
-		states := []policy.State{policy.Ready, policy.Ready, policy.Ready, policy.Draining, policy.Gone}
+		states := []policy.ServerState{policy.Ready, policy.Ready, policy.Ready, policy.Draining, policy.Gone}
 		results := []policy.Result{policy.OK, policy.Error, policy.Full, policy.ConnectFailed, policy.Reset}
 		for range min(steps, 2000) {
 			if rng.IntN(3) == 0 || len(all) == 0 {
--- a/internal/core/crossings_test.go
+++ b/internal/core/crossings_test.go
@@ -167,7 +167,7 @@
 // TestStandingEnds: a flow that goes on to its own member has one answer however that ends, before it is up, and none after; its end
 // leaves nothing in the module.
 func TestStandingEnds(t *testing.T) {
-	for result := policy.OK; result <= policy.Moot; result++ {
+	for result := policy.OK; result <= policy.NotSent; result++ {
 		for _, up := range []bool{false, true} {
 			r := newRigOf(t, classesText, list(2, policy.Ready))
 			s := &side{r: r}
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -10,7 +10,7 @@
 
 // mayHaveRun says whether an attempt that ended so may have run at its member.
 func mayHaveRun(result policy.Result) bool {
-	return result != policy.Full && result != policy.ConnectFailed && result != policy.Moot
+	return result != policy.Full && result != policy.ConnectFailed && result != policy.NotSent
 }
 
 // trace is the first attempt of a request that may have run.
@@ -23,9 +23,9 @@
 func (c *Core) repeatable(now time.Duration, r *request, m *member) bool {
 	class := c.set.Classes[r.Class]
 	switch {
-	case r.ran == nil, class.Effect == policy.Safe:
+	case r.ran == nil, class.Idempotency == policy.Idempotent:
 		return true
-	case class.Effect == policy.Unsafe, now >= r.ran.sent+class.Window:
+	case class.Idempotency == policy.NonIdempotent, now >= r.ran.sent+class.DedupWindow:
 		return false
 	}
 	return class.Scope == policy.ScopeAll || class.Scope == policy.ScopeZone && m.Zone == r.ran.on.Zone ||
@@ -35,6 +35,6 @@
 // harmless says whether the client of a request may be told that coming again does no harm.
 func (c *Core) harmless(r *request) bool {
 	class := c.set.Classes[r.Class]
-	return class.Effect == policy.Safe || class.Effect == policy.Keyed && class.Scope == policy.ScopeAll ||
+	return class.Idempotency == policy.Idempotent || class.Idempotency == policy.IdempotencyKey && class.Scope == policy.ScopeAll ||
 		r.state == placing && r.ran == nil
 }
--- a/internal/core/feed.go
+++ b/internal/core/feed.go
@@ -90,12 +90,12 @@
 func (c *Core) Feed(q Request, l FeedLimits, carrier Carrier) *Feed {
 	c.last++
 	class := c.set.Classes[q.Class]
-	limits := window.Limits{Messages: l.Messages, Most: l.Bytes, Attempts: c.set.MaxAttempts, Aim: class.Aim}
+	limits := window.Limits{Messages: l.Messages, Most: l.Bytes, Attempts: c.set.MaxAttempts, Aim: class.LatencyObjective}
 	switch {
-	case class.Effect == policy.Safe:
+	case class.Idempotency == policy.Idempotent:
 		limits.Repeat = true
-	case class.Effect == policy.Keyed && class.Scope == policy.ScopeAll:
-		limits.Repeat, limits.Within = class.Window > 0, class.Window
+	case class.Idempotency == policy.IdempotencyKey && class.Scope == policy.ScopeAll:
+		limits.Repeat, limits.Within = class.DedupWindow > 0, class.DedupWindow
 	}
 	f := &Feed{c: c, q: q, carrier: carrier, name: c.last, w: window.New(limits)}
 	c.feeds[f.name] = f
@@ -369,7 +369,7 @@
 // paceOf is what bounds the messages to a member that has just started.
 func (m *member) paceOf(c *Core) *window.Pace {
 	if started := max(m.Started, m.joined); m.pace == nil || m.paced != started {
-		m.pace, m.paced = window.NewPace(started, c.set.ColdFor), started
+		m.pace, m.paced = window.NewPace(started, c.set.SlowStartDuration), started
 	}
 	return m.pace
 }
--- a/internal/core/feed_test.go
+++ b/internal/core/feed_test.go
@@ -340,7 +340,7 @@
 				p.f.Refused(rng.Uint64N(3))
 			case 10:
 				i := rng.IntN(3)
-				members[i].State = []policy.State{policy.Ready, policy.Draining}[rng.IntN(2)]
+				members[i].State = []policy.ServerState{policy.Ready, policy.Draining}[rng.IntN(2)]
 				r.Pool(policy.ListDelta, members[i:i+1])
 			case 11:
 				p.shut = !p.shut
--- a/internal/core/gate.go
+++ b/internal/core/gate.go
@@ -61,7 +61,7 @@
 			c.Probe(&m.Member)
 		default:
 			c.Counts.Barred++
-			c.tell(policy.Probed{Server: v.Server, Result: policy.Moot, Report: policy.NoReport})
+			c.tell(policy.Probed{Server: v.Server, Result: policy.NotSent, Report: policy.NoReport})
 		}
 		return
 	case policy.DoWatch:
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -194,7 +194,7 @@
 type MemberView struct {
 	Name      string
 	Zone      int
-	State     policy.State // as discovery has it
+	State     policy.ServerState // as discovery has it
 	Started   time.Duration
 	Out       bool // by an operator or by agreement
 	Flows     int
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -107,7 +107,7 @@
 // ran is the first attempt that may have run.
 func (x *client) ran() *tried {
 	for _, a := range x.attempts {
-		if !a.over || a.result != policy.Full && a.result != policy.ConnectFailed && a.result != policy.Moot {
+		if !a.over || a.result != policy.Full && a.result != policy.ConnectFailed && a.result != policy.NotSent {
 			return a
 		}
 	}
@@ -169,7 +169,7 @@
 		class := x.class()
 		same := class.Scope == policy.ScopeAll || class.Scope == policy.ScopeZone && p.Zone == first.at.Zone ||
 			class.Scope == policy.ScopeCell && p.Cell == first.at.Cell
-		if class.Effect == policy.Unsafe || class.Effect == policy.Keyed && (!same || w.now >= first.sent+class.Window) {
+		if class.Idempotency == policy.NonIdempotent || class.Idempotency == policy.IdempotencyKey && (!same || w.now >= first.sent+class.DedupWindow) {
 			w.Fatalf("request %d: a double effect: first %v at %s, now %v at %s", id, first.sent, first.at.Name, w.now, p.Name)
 		}
 	}
@@ -189,7 +189,7 @@
 
 func (x *client) Reject(after time.Duration) {
 	class := x.class()
-	if x.ran() != nil && !(class.Effect == policy.Safe || class.Effect == policy.Keyed && class.Scope == policy.ScopeAll) {
+	if x.ran() != nil && !(class.Idempotency == policy.Idempotent || class.Idempotency == policy.IdempotencyKey && class.Scope == policy.ScopeAll) {
 		x.w.Fatalf("request %d: rejected, though it may have run", x.id)
 	}
 	if after < 0 {
@@ -346,7 +346,7 @@
 	x.answers = append(x.answers, "served")
 }
 
-var modelResults = []policy.Result{policy.OK, policy.Error, policy.Full, policy.Timeout, policy.ConnectFailed, policy.Reset, policy.Cancelled, policy.Moot}
+var modelResults = []policy.Result{policy.OK, policy.Error, policy.Full, policy.Timeout, policy.ConnectFailed, policy.Reset, policy.Cancelled, policy.NotSent}
 
 func (w *world) ends() {
 	if x := w.pick(func(x *client) bool { return x.out() != nil }); x != nil {
@@ -406,7 +406,7 @@
 	i := w.draw(len(w.probes), "probe")
 	id := w.probes[i]
 	w.probes = slices.Delete(w.probes, i, i+1)
-	w.c.Probed(id, []policy.Result{policy.OK, policy.OK, policy.Full, policy.Timeout, policy.Moot}[w.draw(5, "result")], w.report())
+	w.c.Probed(id, []policy.Result{policy.OK, policy.OK, policy.Full, policy.Timeout, policy.NotSent}[w.draw(5, "result")], w.report())
 }
 
 // list is what discovery says.
@@ -419,7 +419,7 @@
 	var named []Member
 	for _, p := range w.places {
 		if w.draw(3, "named") == 0 == (kind == policy.ListDelta) { // few of a change, most of a whole list
-			p.State = []policy.State{policy.Ready, policy.Ready, policy.Ready, policy.Draining, policy.Gone}[w.draw(5, "state")]
+			p.State = []policy.ServerState{policy.Ready, policy.Ready, policy.Ready, policy.Draining, policy.Gone}[w.draw(5, "state")]
 			if w.draw(6, "restart") == 0 {
 				p.Started, p.State = w.now, policy.Ready
 			}
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -53,7 +53,7 @@
 
 func (r *request) policy() policy.Request {
 	return policy.Request{ID: r.id, Class: r.Class, Tenant: r.Tenant, Key: r.Key, Group: r.Group,
-		Deadline: r.deadline, Load: r.Load, Again: r.Again}
+		Deadline: r.deadline, Load: r.Load, Reconnect: r.Again}
 }
 
 // current is the request whose attempt of that number is out or open.
@@ -180,7 +180,7 @@
 	if r.standing && was != serving { // the module has not heard of it
 		return
 	}
-	c.tell(policy.End{ID: r.id, Try: r.sends - 1, Server: m.ID, Result: result, Closed: r.state.final(), Report: report})
+	c.tell(policy.End{ID: r.id, Attempt: r.sends - 1, Server: m.ID, Result: result, Final: r.state.final(), Report: report})
 }
 
 // saw counts how an attempt or a probe went. A client that leaves says nothing of the member.
--- a/internal/front/line/attempt_test.go
+++ b/internal/front/line/attempt_test.go
@@ -225,7 +225,7 @@
 	g.Core.Ledger = &ended
 	saw := 0
 	g.Core.Saw = func(_ *core.Member, result policy.Result) {
-		if result != policy.Moot {
+		if result != policy.NotSent {
 			saw++
 		}
 	}
@@ -237,7 +237,7 @@
 	if got := c.Line(); !strings.HasPrefix(got, "BUSY") {
 		t.Errorf("got %q", got)
 	}
-	if len(ended) == 0 || ended[0] != policy.Moot || saw != 0 {
+	if len(ended) == 0 || ended[0] != policy.NotSent || saw != 0 {
 		t.Errorf("results %v, %d blamed", ended, saw)
 	}
 }
--- a/internal/front/line/crossing_test.go
+++ b/internal/front/line/crossing_test.go
@@ -58,7 +58,7 @@
 	case 3, 4, 5, 6:
 		x.answer()
 	case 7:
-		x.list(x.rng.IntN(2), []policy.State{policy.Ready, policy.Draining, policy.Gone}[x.rng.IntN(3)])
+		x.list(x.rng.IntN(2), []policy.ServerState{policy.Ready, policy.Draining, policy.Gone}[x.rng.IntN(3)])
 	case 8:
 		x.Core.Doubt()
 		x.doubting = true
--- a/internal/front/line/line_test.go
+++ b/internal/front/line/line_test.go
@@ -177,7 +177,7 @@
 // the member's failure; one that the member refused is.
 func TestBlame(t *testing.T) {
 	for err, want := range map[error]policy.Result{
-		netloop.ErrFull: policy.Moot, netloop.ErrDialTimeout: policy.ConnectFailed, io.EOF: policy.ConnectFailed,
+		netloop.ErrFull: policy.NotSent, netloop.ErrDialTimeout: policy.ConnectFailed, io.EOF: policy.ConnectFailed,
 	} {
 		r := looptest.NewRelay(t, 1)
 		var ended results
--- a/internal/front/line/probe.go
+++ b/internal/front/line/probe.go
@@ -138,7 +138,7 @@
 // Open is told by the loop.
 func (p *probe) Open() {
 	if !p.f.Core.Reachable(p.id) {
-		p.done(policy.Moot, policy.NoReport)
+		p.done(policy.NotSent, policy.NoReport)
 		return
 	}
 	p.state = p.state.next(probeComesUp)
@@ -197,7 +197,7 @@
 func (p *probe) broken(err error) policy.Result {
 	switch {
 	case isOwn(err):
-		return policy.Moot
+		return policy.NotSent
 	case errors.Is(err, netloop.ErrDialTimeout): // it says nothing at all
 		return policy.Timeout
 	case p.state == probeDialling:
--- a/internal/front/line/probe_test.go
+++ b/internal/front/line/probe_test.go
@@ -173,7 +173,7 @@
 	p.probe(0)
 	p.list(0, policy.Draining)
 	p.Pass(time.Duration(p.Core.Settings.Guarantees.Grace)*time.Millisecond + time.Millisecond)
-	p.want(policy.Moot)
+	p.want(policy.NotSent)
 	p.unsent()
 	p.ended()
 }
--- a/internal/front/line/rig_test.go
+++ b/internal/front/line/rig_test.go
@@ -78,7 +78,7 @@
 }
 
 // list has discovery say a member's state.
-func (g *rig) list(member int, state policy.State) {
+func (g *rig) list(member int, state policy.ServerState) {
 	g.Members[member].State = state
 	g.Core.Pool(policy.ListDelta, g.Members[member:member+1])
 }
--- a/internal/front/line/upstream_state.go
+++ b/internal/front/line/upstream_state.go
@@ -61,7 +61,7 @@
 	case attemptSaysOther:
 		return attemptFinished, policy.Error, true
 	case attemptUnmade: // not the member's failure
-		return attemptFinished, policy.Moot, true
+		return attemptFinished, policy.NotSent, true
 	case attemptUnwritten:
 		return attemptFinished, policy.ConnectFailed, true
 	case attemptBroke:
--- a/internal/front/nats/link.go
+++ b/internal/front/nats/link.go
@@ -295,7 +295,7 @@
 		result = policy.Error // it did not take CONNECT
 	}
 	if errors.Is(err, netloop.ErrFull) { // the relay's own want, not the member's failure
-		result = policy.Moot
+		result = policy.NotSent
 	}
 	left := l.written - min(l.written, uint64(l.c.Unsent()))
 	l.cut()
--- a/internal/front/nats/probe.go
+++ b/internal/front/nats/probe.go
@@ -105,7 +105,7 @@
 func (p *probe) ask(info []byte) {
 	options := map[string]any{"verbose": false, "headers": true, "no_responders": true, "lang": "dahliarudder", "version": "1"}
 	if err := p.f.logIn(options, info); err != nil {
-		p.done(policy.Moot, policy.NoReport)
+		p.done(policy.NotSent, policy.NoReport)
 		return
 	}
 	text, _ := json.Marshal(options)
@@ -124,7 +124,7 @@
 func (p *probe) End(err error) {
 	switch {
 	case errors.Is(err, netloop.ErrFull):
-		p.done(policy.Moot, policy.NoReport)
+		p.done(policy.NotSent, policy.NoReport)
 	case errors.Is(err, netloop.ErrDialTimeout): // it says nothing at all
 		p.done(policy.Timeout, policy.NoReport)
 	case err == io.EOF:
--- a/internal/front/nats/sub.go
+++ b/internal/front/nats/sub.go
@@ -121,7 +121,7 @@
 	}
 	if !s.c.f.Core.Begin(s.id, s.try) { // the member has left while its connection was on its way
 		l.drop(s.lsid)
-		s.lost(policy.Moot)
+		s.lost(policy.NotSent)
 		return
 	}
 	s.base = s.got
--- a/internal/pool/list.go
+++ b/internal/pool/list.go
@@ -57,7 +57,7 @@
 	Starts   *Starts
 }
 
-var states = map[string]policy.State{
+var states = map[string]policy.ServerState{
 	"SERVING": policy.Ready, "DRAINING": policy.Draining, "DELETED": policy.Gone,
 }
 
--- a/internal/scenariorunner/clients.go
+++ b/internal/scenariorunner/clients.go
@@ -404,11 +404,11 @@
 
 // effectOf is what the judge is told of a class.
 func effectOf(class policy.Class) scenario.Effect {
-	switch class.Effect {
-	case policy.Unsafe:
+	switch class.Idempotency {
+	case policy.NonIdempotent:
 		return scenario.Effect{Kind: scenario.Unsafe}
-	case policy.Keyed:
-		return scenario.Effect{Kind: scenario.Keyed, Window: class.Window}
+	case policy.IdempotencyKey:
+		return scenario.Effect{Kind: scenario.Keyed, Window: class.DedupWindow}
 	}
 	return scenario.Effect{}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -95,15 +95,15 @@
 func (s *Settings) Policy() policy.Settings {
 	set := policy.Settings{
 		Balancers: s.Balancers, Zone: s.Zone, Zones: len(s.Zones), Groups: s.Extra.Groups,
-		Pass: s.Extra.Mode == "pass", Subscribe: s.Discovery == "subscribe",
+		PassThrough: s.Extra.Mode == "pass", Subscribe: s.Discovery == "subscribe",
 		CanProbe: s.Limits.Probes, CanCancel: s.Limits.Cancel,
 		MaxAttempts:    s.Limits.MaxAttempts,
 		ConnectTimeout: Span(s.Limits.ConnectTimeout), MaxRetryAfter: Span(s.Limits.MaxRetryAfter),
-		AskWithin: Span(s.Guarantees.AskWithin), AnswerSlack: Span(s.Guarantees.Slack),
-		ColdFrom: s.Guarantees.ColdFrom, ColdFor: Span(s.Guarantees.Cold),
-		FallMultiple: s.Guarantees.Overload, FallFor: Span(s.Guarantees.Fall),
-		PriceCross: s.Prices.CrossZone,
-		PriceProbe: s.Prices.Probe,
+		MaxPollInterval: Span(s.Guarantees.AskWithin), AnswerSlack: Span(s.Guarantees.Slack),
+		SlowStartMinCapacity: s.Guarantees.ColdFrom, SlowStartDuration: Span(s.Guarantees.Cold),
+		OverloadFactor: s.Guarantees.Overload, OverloadWindow: Span(s.Guarantees.Fall),
+		CrossZonePrice: s.Prices.CrossZone,
+		ProbePrice:     s.Prices.Probe,
 	}
 	switch s.Report.Source {
 	case "on_probe":
@@ -112,16 +112,16 @@
 		set.Reports = policy.ReportsInline
 	}
 	for i, c := range s.Classes {
-		class := policy.Class{Aim: Span(c.Aim), Deadline: Span(c.Deadline), Window: Span(c.Window), Worth: c.Worth}
+		class := policy.Class{LatencyObjective: Span(c.Aim), Deadline: Span(c.Deadline), DedupWindow: Span(c.Window), PriorityWeight: c.Worth}
 		if i < len(s.Extra.MessageAim) {
-			class.MessageAim = Span(s.Extra.MessageAim[i])
+			class.MessageLatencyObjective = Span(s.Extra.MessageAim[i])
 		}
 		switch c.Effect {
 		case "read_like":
 		case "idempotency_key":
-			class.Effect = policy.Keyed
+			class.Idempotency = policy.IdempotencyKey
 		default: // unknown effects are handled as the most delicate one
-			class.Effect = policy.Unsafe
+			class.Idempotency = policy.NonIdempotent
 		}
 		switch c.Scope {
 		case "all":
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -25,9 +25,9 @@
 		t.Fatal(err)
 	}
 	set, names := s.Policy(), s.Report.Names
-	if set.Balancers != 2 || set.Zones != 2 || set.Classes[0].Aim != 400*time.Millisecond ||
-		set.Classes[0].MessageAim != 150*time.Millisecond || set.Tenants[0].Quota != 40 || set.MaxAttempts != 3 ||
-		set.CanProbe || !set.CanCancel || set.Reports != policy.ReportsOnProbe || set.ColdFrom != 0.3 || set.Subscribe {
+	if set.Balancers != 2 || set.Zones != 2 || set.Classes[0].LatencyObjective != 400*time.Millisecond ||
+		set.Classes[0].MessageLatencyObjective != 150*time.Millisecond || set.Tenants[0].Quota != 40 || set.MaxAttempts != 3 ||
+		set.CanProbe || !set.CanCancel || set.Reports != policy.ReportsOnProbe || set.SlowStartMinCapacity != 0.3 || set.Subscribe {
 		t.Errorf("settings %+v", set)
 	}
 	if len(names) != 2 || names[1] != "x0" {
@@ -42,8 +42,8 @@
 		t.Fatal(err)
 	}
 	odd := oddText.Policy()
-	if odd.Classes[0].Effect != policy.Unsafe || odd.Classes[1].Scope != policy.ScopeZone ||
-		!odd.Pass || !odd.Groups || !odd.Subscribe || odd.Reports != policy.ReportsInline {
+	if odd.Classes[0].Idempotency != policy.NonIdempotent || odd.Classes[1].Scope != policy.ScopeZone ||
+		!odd.PassThrough || !odd.Groups || !odd.Subscribe || odd.Reports != policy.ReportsInline {
 		t.Errorf("odd settings %+v, %v", odd, err)
 	}
 	if _, err := Decode([]byte(`{"classes":7}`)); !errors.Is(err, ErrMalformed) {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -148,7 +148,7 @@
 
 var resultNames = map[policy.Result]string{
 	policy.OK: "ok", policy.Error: "error", policy.Full: "full", policy.Timeout: "timeout",
-	policy.ConnectFailed: "connect_failed", policy.Reset: "reset", policy.Cancelled: "cancelled", policy.Moot: "moot",
+	policy.ConnectFailed: "connect_failed", policy.Reset: "reset", policy.Cancelled: "cancelled", policy.NotSent: "moot",
 }
 
 // Attempt records the end of an attempt.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -269,8 +269,8 @@
 	c.skip(8)
 	result, err := c.result()
 	o.Result = result
-	o.Closed = c.u8() != 0
-	o.Try = int(c.u8())
+	o.Final = c.u8() != 0
+	o.Attempt = int(c.u8())
 	o.Server = policy.ServerID(c.u32())
 	o.Report = c.report(d.reports[id])
 	if err == nil && !c.short {
@@ -311,11 +311,11 @@
 	0: policy.ListFailed, 1: policy.ListDelta, 3: policy.ListFull, 4: policy.ListCached,
 }
 
-var states = map[uint8]policy.State{0: policy.Gone, 1: policy.Ready, 2: policy.Draining}
+var states = map[uint8]policy.ServerState{0: policy.Gone, 1: policy.Ready, 2: policy.Draining}
 
 var results = [...]policy.Result{
 	0: policy.Error, 1: policy.OK, 2: policy.Full, 3: policy.Timeout,
-	4: policy.ConnectFailed, 5: policy.Reset, 6: policy.Cancelled, 7: policy.Moot,
+	4: policy.ConnectFailed, 5: policy.Reset, 6: policy.Cancelled, 7: policy.NotSent,
 }
 
 // Flags of a request.
@@ -330,7 +330,7 @@
 
 // set takes the flags, and the hint, which only counts if they say so.
 func (q *call) set(flags uint16, hint float64) {
-	q.MidFlow, q.Again = flags&flagMidFlow != 0, flags&flagAgain != 0
+	q.MidFlow, q.Reconnect = flags&flagMidFlow != 0, flags&flagAgain != 0
 	if flags&flagHint != 0 {
 		q.Load = hint / 1e3
 	}
--- a/policy/api.go
+++ b/policy/api.go
@@ -15,14 +15,14 @@
 // RequestID names a request; it must be under 1<<52 and never be used again.
 type RequestID uint64
 
-// Effect says what repeating a request of a class does.
-type Effect int
+// Idempotency says what repeating a request of a class does.
+type Idempotency int
 
 // The effects of a class.
 const (
-	Safe   Effect = iota // may be repeated and refused freely
-	Keyed                // servers of one scope discard repeats for a while
-	Unsafe               // must not be repeated unless no attempt ran
+	Idempotent     Idempotency = iota // may be repeated and refused freely
+	IdempotencyKey                    // servers of one scope discard repeats for a while
+	NonIdempotent                     // must not be repeated unless no attempt ran
 )
 
 // Scope says which servers discard repeats of a keyed request.
@@ -37,13 +37,13 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Aim        time.Duration // a connection is wanted within this time
-	Deadline   time.Duration // the client waits no longer than this
-	MessageAim time.Duration // a message on an open connection is wanted within this time
-	Worth      float64       // of a second in which a connection is well served
-	Effect     Effect
-	Scope      Scope
-	Window     time.Duration // how long repeats of a keyed request are discarded
+	LatencyObjective        time.Duration // a connection is wanted within this time
+	Deadline                time.Duration // the client waits no longer than this
+	MessageLatencyObjective time.Duration // a message on an open connection is wanted within this time
+	PriorityWeight          float64       // of a second in which a connection is well served
+	Idempotency             Idempotency
+	Scope                   Scope
+	DedupWindow             time.Duration // how long repeats of a keyed request are discarded
 }
 
 // Tenant is one of those that share the servers.
@@ -65,15 +65,15 @@
 // Settings is what a Balancer is told at its start. New puts safe values in
 // place of missing or senseless ones.
 type Settings struct {
-	Balancers int // proxies in this tier, this one included
-	Zone      int // the zone of this proxy
-	Zones     int
-	Classes   []Class
-	Tenants   []Tenant
-	Groups    bool // connections of one group share work on a server
-	Pass      bool // packets pass through: open connections may reach another proxy
-	Subscribe bool // the server list comes only when asked for
-	Reports   Source
+	Balancers   int // proxies in this tier, this one included
+	Zone        int // the zone of this proxy
+	Zones       int
+	Classes     []Class
+	Tenants     []Tenant
+	Groups      bool // connections of one group share work on a server
+	PassThrough bool // packets pass through: open connections may reach another proxy
+	Subscribe   bool // the server list comes only when asked for
+	Reports     Source
 
 	CanProbe       bool
 	CanCancel      bool
@@ -81,23 +81,23 @@
 	ConnectTimeout time.Duration
 	MaxRetryAfter  time.Duration // the longest that a client heeds
 
-	AskWithin    time.Duration // longest time without asking for the list
-	AnswerSlack  time.Duration // how long after the deadline an answer still counts
-	ColdFrom     float64       // least part of its capacity a started server has
-	ColdFor      time.Duration // time after which it is warm at the latest
-	FallMultiple float64       // more than this multiple of its present capacity pushes it over
-	FallFor      time.Duration // when kept up for so long
+	MaxPollInterval      time.Duration // longest time without asking for the list
+	AnswerSlack          time.Duration // how long after the deadline an answer still counts
+	SlowStartMinCapacity float64       // least part of its capacity a started server has
+	SlowStartDuration    time.Duration // time after which it is warm at the latest
+	OverloadFactor       float64       // more than this multiple of its present capacity pushes it over
+	OverloadWindow       time.Duration // when kept up for so long
 
-	PriceCross float64 // each price: what one a request costs, as a part of all worth
-	PriceProbe float64
+	CrossZonePrice float64 // each price: what one a request costs, as a part of all worth
+	ProbePrice     float64
 }
 
-// State is the state of a server as the list has it.
-type State int
+// ServerState is the state of a server as the list has it.
+type ServerState int
 
 // The states of a server.
 const (
-	Gone State = iota
+	Gone ServerState = iota
 	Ready
 	Draining
 )
@@ -108,7 +108,7 @@
 	Zone    int
 	Kind    int
 	Cell    int
-	State   State
+	State   ServerState
 	Weight  float64       // relative size; at most a guide
 	Started time.Duration // time of the latest start; 0 if long ago
 }
@@ -126,15 +126,15 @@
 
 // Request is a connection that a client wants.
 type Request struct {
-	ID       RequestID
-	Class    int
-	Tenant   int
-	Key      uint64        // subject of the request; 0 if none
-	Group    uint64        // connections of one group share work; 0 if none
-	Deadline time.Duration // clock time at which the client gives up
-	Load     float64       // expected load, as work a second; 0 if unknown
-	MidFlow  bool          // packets of a connection that is already open
-	Again    bool          // its client came again after a break or a move
+	ID        RequestID
+	Class     int
+	Tenant    int
+	Key       uint64        // subject of the request; 0 if none
+	Group     uint64        // connections of one group share work; 0 if none
+	Deadline  time.Duration // clock time at which the client gives up
+	Load      float64       // expected load, as work a second; 0 if unknown
+	MidFlow   bool          // packets of a connection that is already open
+	Reconnect bool          // its client came again after a break or a move
 }
 
 // Result is how an attempt or a probe ended.
@@ -149,7 +149,7 @@
 	ConnectFailed
 	Reset
 	Cancelled
-	Moot
+	NotSent
 )
 
 // Report is a server's own account of its load. A negative field is missing.
@@ -165,12 +165,12 @@
 
 // Outcome is the end of one attempt.
 type Outcome struct {
-	ID     RequestID
-	Try    int // attempts are numbered from 0 in the order of Send
-	Server ServerID
-	Result Result
-	Closed bool // the request has its final answer, by this outcome or before
-	Report Report
+	ID      RequestID
+	Attempt int // attempts are numbered from 0 in the order of Send
+	Server  ServerID
+	Result  Result
+	Final   bool // the request has its final answer, by this outcome or before
+	Report  Report
 }
 
 // Actions carries out what a Balancer decides.
--- a/policy/arrival.go
+++ b/policy/arrival.go
@@ -68,7 +68,7 @@
 	if !b.set.CanProbe || b.set.Reports == ReportsOff {
 		return 0
 	}
-	return min(probeBudget/max(b.set.PriceProbe, 1e-9), probeMost)
+	return min(probeBudget/max(b.set.ProbePrice, 1e-9), probeMost)
 }
 
 // affinity is the key by which connections belong on one server, 0 if none.
@@ -76,7 +76,7 @@
 	if b.set.Groups && r.Group != 0 {
 		return r.Group
 	}
-	if b.set.Pass { // another proxy must find the same server for packets of an open connection
+	if b.set.PassThrough { // another proxy must find the same server for packets of an open connection
 		return r.Key
 	}
 	return 0
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -40,8 +40,8 @@
 	if id != p.cold.ID {
 		return bears
 	}
-	risen := min((now-p.cold.Started).Seconds()/p.set.ColdFor.Seconds(), 1)
-	return bears * (p.set.ColdFrom + (1-p.set.ColdFrom)*risen)
+	risen := min((now-p.cold.Started).Seconds()/p.set.SlowStartDuration.Seconds(), 1)
+	return bears * (p.set.SlowStartMinCapacity + (1-p.set.SlowStartMinCapacity)*risen)
 }
 
 func (p *coldPlay) report(now time.Duration, id ServerID) Report {
@@ -64,7 +64,7 @@
 			p.do(now, f, f.Report(now, Probed{v.Server, OK, p.report(now, v.Server)}))
 		case DoMove:
 			p.held[p.placed[v.ID]]--
-			p.do(now, f, f.Report(now, End{ID: v.ID, Server: p.placed[v.ID], Result: Cancelled, Closed: true, Report: NoReport}))
+			p.do(now, f, f.Report(now, End{ID: v.ID, Server: p.placed[v.ID], Result: Cancelled, Final: true, Report: NoReport}))
 		}
 	}
 }
@@ -74,7 +74,7 @@
 	const every = 12 * ms
 	now, joins := t0, t0+3*time.Second
 	p.cold.Started = joins
-	for id := RequestID(1); now < joins+p.set.ColdFor; id++ {
+	for id := RequestID(1); now < joins+p.set.SlowStartDuration; id++ {
 		now += every
 		for i, f := range p.relays {
 			if heard := joins + time.Duration(i)*500*ms/time.Duration(len(p.relays)); now-every < heard && heard <= now {
@@ -87,20 +87,20 @@
 	}
 }
 
-// over is by how much the sends of the worst window of FallFor pass what it allows, N + 2 x root of N + 2; the budget N
+// over is by how much the sends of the worst window of OverloadWindow pass what it allows, N + 2 x root of N + 2; the budget N
 // is the stated multiple of what fills the member over its warm-up, at its present capacity.
 func (p *coldPlay) over() float64 {
 	worst := math.Inf(-1)
 	for i, from := range p.sent {
 		n, budget := 0.0, 0.0
 		for _, at := range p.sent[i:] {
-			if at-from < p.set.FallFor {
+			if at-from < p.set.OverloadWindow {
 				n++
 			}
 		}
 		const step = 50 * ms
-		for at := from; at < from+p.set.FallFor; at += step {
-			budget += p.set.FallMultiple * p.capacity(at, p.cold.ID) / p.set.ColdFor.Seconds() * step.Seconds()
+		for at := from; at < from+p.set.OverloadWindow; at += step {
+			budget += p.set.OverloadFactor * p.capacity(at, p.cold.ID) / p.set.SlowStartDuration.Seconds() * step.Seconds()
 		}
 		worst = max(worst, n-(budget+2*math.Sqrt(budget)+2))
 	}
@@ -119,7 +119,7 @@
 			} {
 				t.Run(fmt.Sprint(relays, fallFor, name), func(t *testing.T) {
 					set := settings()
-					set.FallFor, set.Groups = fallFor, name != "no groups"
+					set.OverloadWindow, set.Groups = fallFor, name != "no groups"
 					got := 0
 					for seed := range uint64(5) {
 						p := newColdPlay(seed, relays, set)
@@ -145,7 +145,7 @@
 	for _, f := range p.relays {
 		p.do(joins, f, f.Report(joins, Pool{ListDelta, []Server{p.cold}}))
 	}
-	for now = joins; now < joins+time.Duration(part*float64(p.set.ColdFor)); now += 100 * ms {
+	for now = joins; now < joins+time.Duration(part*float64(p.set.SlowStartDuration)); now += 100 * ms {
 		for _, f := range p.relays {
 			p.do(now, f, f.Tick(now))
 		}
@@ -164,7 +164,7 @@
 		for _, part := range []float64{0.3, 0.6, 0.85} {
 			t.Run(fmt.Sprintf("%d relays, %.0f%% warm", relays, 100*part), func(t *testing.T) {
 				set := settings()
-				set.FallFor = 1500 * ms
+				set.OverloadWindow = 1500 * ms
 				sent := 0
 				for seed := range uint64(5) {
 					p := newColdPlay(seed, relays, set)
--- a/policy/cost_test.go
+++ b/policy/cost_test.go
@@ -47,7 +47,7 @@
 		runtime.ReadMemStats(&before)
 		for i := range changes {
 			changed := all[i%servers]
-			changed.State = []State{Draining, Ready}[i%2]
+			changed.State = []ServerState{Draining, Ready}[i%2]
 			f.Report(t0, Pool{Kind: ListDelta, Servers: []Server{changed}})
 			f.Pick(t0, Request{ID: RequestID(i + 1), Group: 7, Deadline: t0 + 2*time.Second, Load: 0.01})
 			f.Report(t0, Left{ID: RequestID(i + 1)})
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -25,7 +25,7 @@
 	p := &proxy{}
 	b := policy.New(policy.Settings{
 		Balancers: 2, Zones: 1, MaxAttempts: 3, CanProbe: true, Reports: policy.ReportsOnProbe,
-		Classes: []policy.Class{{Aim: 500 * time.Millisecond, Deadline: 2 * time.Second}},
+		Classes: []policy.Class{{LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second}},
 		Tenants: []policy.Tenant{{Share: 0.7}, {Share: 0.3}},
 	}, 1, p)
 	b.Start()
@@ -36,7 +36,7 @@
 		b.Probed(now, server, policy.OK, policy.Report{Connections: 3, Load: 0.4, Util: -1})
 	}
 	b.First(now+20*time.Millisecond, 42)
-	b.Outcome(now+time.Minute, policy.Outcome{ID: 42, Server: 1, Result: policy.Cancelled, Closed: true,
+	b.Outcome(now+time.Minute, policy.Outcome{ID: 42, Server: 1, Result: policy.Cancelled, Final: true,
 		Report: policy.NoReport})
 	// Output: connect client 42 to server 1 within 1.2s
 }
--- a/policy/facade.go
+++ b/policy/facade.go
@@ -92,7 +92,7 @@
 func (n End) tell(b *Balancer, now time.Duration)      { b.Outcome(now, Outcome(n)) }
 func (n Unsent) tell(b *Balancer, now time.Duration) {
 	if r := b.requests[n.ID]; r != nil && r.at != nil {
-		b.Outcome(now, Outcome{ID: n.ID, Try: r.tries - 1, Server: r.at.ID, Result: Moot, Closed: n.Closed, Report: NoReport})
+		b.Outcome(now, Outcome{ID: n.ID, Attempt: r.tries - 1, Server: r.at.ID, Result: NotSent, Final: n.Closed, Report: NoReport})
 	}
 }
 func (n Left) tell(b *Balancer, now time.Duration)     { b.Ended(now, n.ID) }
--- a/policy/facade_test.go
+++ b/policy/facade_test.go
@@ -35,7 +35,7 @@
 	if list = f.Report(t0, Pool{Kind: ListFull}); len(list) != 1 || list[0].Do != DoMove {
 		t.Errorf("verdicts %v on a server that is gone", list)
 	}
-	f.Report(t0, End{ID: 1, Server: server, Result: Cancelled, Closed: true, Report: NoReport})
+	f.Report(t0, End{ID: 1, Server: server, Result: Cancelled, Final: true, Report: NoReport})
 	q.ID, q.Deadline = 2, t0+3*time.Second
 	f.Pick(t0, q)
 	if list = f.Tick(q.Deadline); len(list) == 0 || list[0].Do != DoReject || list[0].ID != 2 {
@@ -63,14 +63,14 @@
 	all, _ := refuse(60)
 	seen, last := map[time.Duration]bool{}, time.Duration(0)
 	for i, d := range all {
-		if seen[d] = true; d < set.Classes[0].Aim/2 || d > f.b.set.MaxRetryAfter {
+		if seen[d] = true; d < set.Classes[0].LatencyObjective/2 || d > f.b.set.MaxRetryAfter {
 			t.Errorf("come again in %v", d)
 		}
 		if i >= len(all)-10 {
 			last += d / 10
 		}
 	}
-	if len(all) != 60 || len(seen) < 30 || last < 2*set.Classes[0].Aim {
+	if len(all) != 60 || len(seen) < 30 || last < 2*set.Classes[0].LatencyObjective {
 		t.Errorf("%d refused, %d different times, the last ten in %v on average", len(all), len(seen), last)
 	}
 	f.Report(t0, Pool{Kind: ListFull, Servers: []Server{{ID: 5, State: Ready, Weight: 1}}})
@@ -79,7 +79,7 @@
 		for _, v := range f.Pick(t0, Request{ID: id + 1, Load: 0.01, Deadline: t0 + time.Second}) {
 			if v.Do == DoSend {
 				f.Report(t0, Up{ID: v.ID})
-				f.Report(t0, End{ID: v.ID, Server: v.Server, Result: OK, Closed: true, Report: NoReport})
+				f.Report(t0, End{ID: v.ID, Server: v.Server, Result: OK, Final: true, Report: NoReport})
 			}
 		}
 	}
@@ -105,7 +105,7 @@
 
 // TestOwnWant guards against blaming a server for a probe or an attempt that the relay could not even start.
 func TestOwnWant(t *testing.T) {
-	for result, bad := range map[Result]bool{Moot: false, Timeout: true} {
+	for result, bad := range map[Result]bool{NotSent: false, Timeout: true} {
 		f := Begin(t0, settings(), 7)
 		f.Report(t0, Pool{Kind: ListCached, Servers: fleet(1, 1)})
 		server := fleet(1, 1)[0].ID
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -59,7 +59,7 @@
 			for _, at := range p.held {
 				delete(at, v.ID)
 			}
-			p.do(now, f, f.Report(now, End{ID: v.ID, Result: Cancelled, Closed: true, Report: NoReport}))
+			p.do(now, f, f.Report(now, End{ID: v.ID, Result: Cancelled, Final: true, Report: NoReport}))
 		}
 	}
 }
@@ -89,7 +89,7 @@
 		if !again {
 			p.group[id] = 100 + uint64([]int{0, 0, 0, 0, 1, 1, 2, 3, 4}[p.rng.IntN(9)])
 		}
-		p.do(now, f, f.Pick(now, Request{ID: id, Group: p.group[id], Load: 1, Deadline: now + 2*time.Second, Again: again}))
+		p.do(now, f, f.Pick(now, Request{ID: id, Group: p.group[id], Load: 1, Deadline: now + 2*time.Second, Reconnect: again}))
 	}
 	return now
 }
@@ -149,7 +149,7 @@
 func TestColdAtOnce(t *testing.T) {
 	const proxies, trials = 300, 20
 	set := settings()
-	set.Balancers, set.FallFor, set.Groups = proxies, 3*time.Second, true
+	set.Balancers, set.OverloadWindow, set.Groups = proxies, 3*time.Second, true
 	for _, group := range []uint64{0, 77} {
 		rng := rand.New(rand.NewPCG(3, 4))
 		sent, bears, allowed := 0.0, 0.0, 0.0
@@ -165,12 +165,12 @@
 				}
 				if p == 0 {
 					if group != 0 {
-						want = uint64(groupRush * easy * g.capacityOf(t0+set.ColdFor, s))
+						want = uint64(groupRush * easy * g.capacityOf(t0+set.SlowStartDuration, s))
 					}
 					bears += brim * g.capacityOf(t0, s)
 					// What the rate allows by the end of the half second, with the part of a window there at once.
-					early := set.FallFor.Seconds()*(1/coldPart-1) + 0.5
-					allowed += coldPart * set.FallMultiple * g.capacityOf(t0+500*ms, s) / set.ColdFor.Seconds() * early
+					early := set.OverloadWindow.Seconds()*(1/coldPart-1) + 0.5
+					allowed += coldPart * set.OverloadFactor * g.capacityOf(t0+500*ms, s) / set.SlowStartDuration.Seconds() * early
 				}
 			}
 		}
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -13,7 +13,7 @@
 	now      time.Duration
 	b        *Balancer
 	requests map[RequestID]*life
-	told     map[ServerID]State
+	told     map[ServerID]ServerState
 	list     map[ServerID]Server
 	queue    []timer
 	out      []attempt
@@ -57,12 +57,12 @@
 	to := w.list[server]
 	if r.ran {
 		switch {
-		case c.Effect == Unsafe:
+		case c.Idempotency == NonIdempotent:
 			w.t.Fatalf("unsafe request %d sent again though it may have run", id)
-		case c.Effect == Keyed && w.now >= r.ranAt+c.Window:
+		case c.Idempotency == IdempotencyKey && w.now >= r.ranAt+c.DedupWindow:
 			w.t.Fatalf("keyed request %d sent again after the window", id)
-		case c.Effect == Keyed && c.Scope == ScopeZone && to.Zone != r.ranOn.Zone,
-			c.Effect == Keyed && c.Scope == ScopeCell && to.Cell != r.ranOn.Cell:
+		case c.Idempotency == IdempotencyKey && c.Scope == ScopeZone && to.Zone != r.ranOn.Zone,
+			c.Idempotency == IdempotencyKey && c.Scope == ScopeCell && to.Cell != r.ranOn.Cell:
 			w.t.Fatalf("keyed request %d left its scope", id)
 		}
 	}
@@ -80,8 +80,8 @@
 		w.t.Fatalf("request %d answered %v after its deadline", id, w.now-r.deadline)
 	}
 	c := w.set.Classes[r.class]
-	if refused && c.Effect != Safe && (r.ran || r.open) && !(c.Effect == Keyed && c.Scope == ScopeAll) {
-		w.t.Fatalf("request %d of effect %d refused though it may have run", id, c.Effect)
+	if refused && c.Idempotency != Idempotent && (r.ran || r.open) && !(c.Idempotency == IdempotencyKey && c.Scope == ScopeAll) {
+		w.t.Fatalf("request %d of effect %d refused though it may have run", id, c.Idempotency)
 	}
 	r.ended = true
 }
@@ -127,18 +127,18 @@
 	}
 	set := settings()
 	set.Zones, set.MaxAttempts = 2, 1+draw()%5
-	set.Groups, set.Pass, set.Subscribe = draw()%2 == 0, draw()%4 == 0, draw()%2 == 0
+	set.Groups, set.PassThrough, set.Subscribe = draw()%2 == 0, draw()%4 == 0, draw()%2 == 0
 	set.Reports, set.CanProbe = Source(draw()%3), draw()%3 > 0
 	set.Balancers = 1 + draw()%60
 	classes := []Class{}
-	for _, effect := range []Effect{Safe, Keyed, Unsafe} {
+	for _, effect := range []Idempotency{Idempotent, IdempotencyKey, NonIdempotent} {
 		for _, scope := range []Scope{ScopeAll, ScopeZone, ScopeCell} {
-			classes = append(classes, Class{Aim: 300 * ms, Deadline: 2 * time.Second, Effect: effect, Scope: scope,
-				Window: 600 * ms})
+			classes = append(classes, Class{LatencyObjective: 300 * ms, Deadline: 2 * time.Second, Idempotency: effect, Scope: scope,
+				DedupWindow: 600 * ms})
 		}
 	}
 	set.Classes = classes
-	w := &world{t: t, set: set, now: t0, requests: map[RequestID]*life{}, told: map[ServerID]State{},
+	w := &world{t: t, set: set, now: t0, requests: map[RequestID]*life{}, told: map[ServerID]ServerState{},
 		list: map[ServerID]Server{}}
 	w.b = New(set, 3, w)
 	w.b.Start()
@@ -176,17 +176,17 @@
 			w.out = append(w.out[:i], w.out[i+1:]...)
 			r := w.requests[a.id]
 			result := Result(draw() % 8)
-			if r.stands && (result == Full || result == ConnectFailed || result == Moot) {
+			if r.stands && (result == Full || result == ConnectFailed || result == NotSent) {
 				result = Reset
 			}
 			r.open = false
-			if result != Full && result != ConnectFailed && result != Moot && !r.ran {
+			if result != Full && result != ConnectFailed && result != NotSent && !r.ran {
 				r.ran, r.ranAt, r.ranOn = true, r.lastAt, r.lastOn
 			}
 			if result == OK || r.stands {
 				r.ended = true
 			}
-			w.b.Outcome(w.now, Outcome{ID: a.id, Try: a.try, Server: a.server, Result: result, Closed: r.ended,
+			w.b.Outcome(w.now, Outcome{ID: a.id, Attempt: a.try, Server: a.server, Result: result, Final: r.ended,
 				Report: Report{Connections: float64(draw() % 30), Load: float64(draw()) / 100, Util: -1}})
 		case 6: // a connection stands
 			if len(w.out) > 0 {
@@ -205,7 +205,7 @@
 			}
 		case 8: // the list changes
 			e := list[draw()%len(list)]
-			e.State = State(draw() % 3)
+			e.State = ServerState(draw() % 3)
 			if draw()%3 == 0 {
 				e.Started = w.now
 			}
--- a/policy/members.go
+++ b/policy/members.go
@@ -39,7 +39,7 @@
 	// Guards against a polling storm: proxies that fail together come back spread out, later each time and the
 	// more there are, or all calls wait too long for good. Yet what is not asked for in time counts as told.
 	many := max(b.relays/askTogether, 1)
-	span := min(many*math.Exp2(float64(min(b.asked, 2)))/20, 1) * float64(b.set.AskWithin)
+	span := min(many*math.Exp2(float64(min(b.asked, 2)))/20, 1) * float64(b.set.MaxPollInterval)
 	b.act.Timer(time.Duration(span*b.rng.Float64()), tokenWatch)
 }
 
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -24,7 +24,7 @@
 		b.take(now, s, o.Report)
 	}
 	r := b.requests[o.ID]
-	if r == nil || o.Try != r.tries-1 || r.at == nil {
+	if r == nil || o.Attempt != r.tries-1 || r.at == nil {
 		return
 	}
 	s := r.at
@@ -41,8 +41,8 @@
 		pause := float64(b.horizon) * math.Exp2(float64(min(s.fulls-1, backOffMost)))
 		s.until = now + time.Duration(pause*(0.5+b.rng.Float64()))
 	}
-	r.done = r.done || o.Closed
-	r.ran = r.ran || o.Result != Full && o.Result != ConnectFailed && o.Result != Moot
+	r.done = r.done || o.Final
+	r.ran = r.ran || o.Result != Full && o.Result != ConnectFailed && o.Result != NotSent
 	if r.done {
 		b.forget(r)
 		return
@@ -56,7 +56,7 @@
 		if b.widely() {
 			b.daring = max(b.daring*retreat, daringLeast)
 		}
-		pause := float64(b.set.Classes[r.Class].Aim) / 4 * math.Exp2(float64(r.tries)) * (0.5 + b.rng.Float64())
+		pause := float64(b.set.Classes[r.Class].LatencyObjective) / 4 * math.Exp2(float64(r.tries)) * (0.5 + b.rng.Float64())
 		b.wait(r, time.Duration(pause))
 		return
 	}
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -175,7 +175,7 @@
 		r.waiting++
 	}
 	if r.waiting > 0 {
-		b.wait(r, b.set.Classes[r.Class].Aim/8) // a lost probe must not hold the request up
+		b.wait(r, b.set.Classes[r.Class].LatencyObjective/8) // a lost probe must not hold the request up
 	}
 	return r.waiting > 0
 }
@@ -196,7 +196,7 @@
 func (b *Balancer) pick(now time.Duration, r *request, tier int, list []*server, level float64) *server {
 	guest := tier == foreignHere || tier == foreignAway
 	if tier >= homeAway {
-		level -= crossing * b.set.PriceCross
+		level -= crossing * b.set.CrossZonePrice
 	}
 	ordered, load := b.affinity(r) != 0, b.loadOf(r)
 	var fit []*server
@@ -219,7 +219,7 @@
 			// All proxies know the same order, and few servers are to pay for a group: they fill one after
 			// the other. As its home fills fewer go there, or what all send by one late report would herd.
 			// Packets of an open connection must be found again by another proxy.
-			if b.set.Pass || tier != homeHere || b.rng.Float64()*ramp*k < spare {
+			if b.set.PassThrough || tier != homeHere || b.rng.Float64()*ramp*k < spare {
 				return s
 			}
 			continue
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -50,7 +50,7 @@
 	// retreat is what one failure to set up leaves of the part of its requests that a proxy dares to send, and
 	// daringLeast what it always sends, to see whether setting up works again.
 	retreat, daringLeast = 0.8, 0.03
-	// askTogether is how many proxies may ask for the list within a twentieth of AskWithin.
+	// askTogether is how many proxies may ask for the list within a twentieth of MaxPollInterval.
 	askTogether = 6.0
 	// learn is the weight of one new report in what is learned from reports.
 	learn = 0.1
@@ -69,10 +69,10 @@
 		waiters: map[ServerID][]RequestID{}, kinds: map[int]*kind{},
 		h: slices.Repeat([]float64{1}, len(set.Tenants)), held: make([]float64, len(set.Tenants)),
 		classLoad: make([]float64, len(set.Classes))}
-	b.horizon, b.slowest, b.messageAim = set.Classes[0].Aim, set.Classes[0].Deadline, set.Classes[0].MessageAim
+	b.horizon, b.slowest, b.messageAim = set.Classes[0].LatencyObjective, set.Classes[0].Deadline, set.Classes[0].MessageLatencyObjective
 	for _, c := range set.Classes {
-		b.messageAim = min(b.messageAim, c.MessageAim)
-		b.horizon, b.slowest = min(b.horizon, c.Aim), max(b.slowest, c.Deadline)
+		b.messageAim = min(b.messageAim, c.MessageLatencyObjective)
+		b.horizon, b.slowest = min(b.horizon, c.LatencyObjective), max(b.slowest, c.Deadline)
 	}
 	b.tokens, b.daring, b.relays = 3*b.probeAllowance(), 1, float64(set.Balancers)
 	return b
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -74,11 +74,11 @@
 func settings() Settings {
 	return Settings{
 		Balancers: 1, Zones: 1,
-		Classes: []Class{{Aim: 400 * ms, Deadline: 2 * time.Second, MessageAim: 100 * ms, Window: 5 * time.Second}},
+		Classes: []Class{{LatencyObjective: 400 * ms, Deadline: 2 * time.Second, MessageLatencyObjective: 100 * ms, DedupWindow: 5 * time.Second}},
 		Tenants: []Tenant{{Share: 0.5}, {Share: 0.5}},
 		Reports: ReportsOnProbe, CanProbe: true, CanCancel: true, MaxAttempts: 4,
-		ConnectTimeout: 250 * ms, AskWithin: 10 * time.Second, AnswerSlack: 20 * ms,
-		ColdFrom: 0.3, ColdFor: 9 * time.Second, FallMultiple: 3, PriceProbe: 0.002,
+		ConnectTimeout: 250 * ms, MaxPollInterval: 10 * time.Second, AnswerSlack: 20 * ms,
+		SlowStartMinCapacity: 0.3, SlowStartDuration: 9 * time.Second, OverloadFactor: 3, ProbePrice: 0.002,
 	}
 }
 
@@ -331,7 +331,7 @@
 func TestOverShare(t *testing.T) {
 	set := settings()
 	set.Tenants = []Tenant{{Share: 0.5, Quota: 4}, {Share: 0.5, Quota: 100}}
-	set.PriceProbe = 0
+	set.ProbePrice = 0
 	g := newRig(set, fleet(4, 1))
 	for range 8 {
 		g.now += time.Second
@@ -473,7 +473,7 @@
 // TestPassMode: another proxy sends packets of an open connection where the first sent it, even a full server.
 func TestPassMode(t *testing.T) {
 	set := settings()
-	set.Pass = true
+	set.PassThrough = true
 	a, b := newRig(set, fleet(20, 1)), newRig(set, fleet(20, 1))
 	first := a.where(a.ask(Request{Key: 5, Load: 0.1}))
 	for _, s := range b.servers {
@@ -614,9 +614,9 @@
 	s, now, r := g.servers[0], t0, &request{load: 1}
 	s.Started = t0
 	sent, allowed := 0.0, 0.0
-	for now < t0+set.ColdFor-100*ms {
+	for now < t0+set.SlowStartDuration-100*ms {
 		now += 10 * ms
-		allowed += set.FallMultiple * g.capacityOf(now, s) / set.ColdFor.Seconds() * 0.01
+		allowed += set.OverloadFactor * g.capacityOf(now, s) / set.SlowStartDuration.Seconds() * 0.01
 		if g.warmEnough(now, r, s) {
 			spendCold(s)
 			sent++
@@ -633,7 +633,7 @@
 func TestColdFirstWindow(t *testing.T) {
 	for _, proxies := range []int{4, 80} {
 		set := settings()
-		set.Balancers, set.FallFor = proxies, 3*time.Second
+		set.Balancers, set.OverloadWindow = proxies, 3*time.Second
 		rng := rand.New(rand.NewPCG(1, 2))
 		sent, allowed, bears := 0.0, 0.0, 0.0
 		for trial := range uint64(40) {
@@ -644,14 +644,14 @@
 				g.Members(t0, ListDelta, []Server{{ID: 1, State: Ready, Weight: 1, Started: t0}})
 				all = append(all, g)
 			}
-			for now := t0; now < t0+set.FallFor; now += 10 * ms {
+			for now := t0; now < t0+set.OverloadWindow; now += 10 * ms {
 				g := all[rng.IntN(proxies)]
 				s := g.servers[0]
 				if g.warmEnough(now, &request{load: 1}, s) {
 					spendCold(s)
 					sent++
 				}
-				allowed += set.FallMultiple * g.capacityOf(now, s) / set.ColdFor.Seconds() * 0.01
+				allowed += set.OverloadFactor * g.capacityOf(now, s) / set.SlowStartDuration.Seconds() * 0.01
 			}
 			bears += brim * all[0].capacityOf(t0, all[0].servers[0])
 		}
@@ -666,28 +666,28 @@
 func TestEffects(t *testing.T) {
 	tests := []struct {
 		name    string
-		effect  Effect
+		effect  Idempotency
 		scope   Scope
 		result  Result
 		resend  bool
 		refused bool // how it ends if no try is left
 	}{
-		{"safe after time-out", Safe, ScopeAll, Timeout, true, true},
-		{"keyed, all, after time-out", Keyed, ScopeAll, Timeout, true, true},
-		{"keyed, zone, after time-out", Keyed, ScopeZone, Timeout, true, false},
-		{"keyed, cell, after error", Keyed, ScopeCell, Error, true, false},
-		{"keyed, cell, after full", Keyed, ScopeCell, Full, true, true},
-		{"unsafe after time-out", Unsafe, ScopeAll, Timeout, false, false},
-		{"unsafe after reset", Unsafe, ScopeAll, Reset, false, false},
-		{"unsafe after cancelled", Unsafe, ScopeAll, Cancelled, false, false},
-		{"unsafe after full", Unsafe, ScopeAll, Full, true, true},
-		{"unsafe after connect failed", Unsafe, ScopeAll, ConnectFailed, true, true},
+		{"safe after time-out", Idempotent, ScopeAll, Timeout, true, true},
+		{"keyed, all, after time-out", IdempotencyKey, ScopeAll, Timeout, true, true},
+		{"keyed, zone, after time-out", IdempotencyKey, ScopeZone, Timeout, true, false},
+		{"keyed, cell, after error", IdempotencyKey, ScopeCell, Error, true, false},
+		{"keyed, cell, after full", IdempotencyKey, ScopeCell, Full, true, true},
+		{"unsafe after time-out", NonIdempotent, ScopeAll, Timeout, false, false},
+		{"unsafe after reset", NonIdempotent, ScopeAll, Reset, false, false},
+		{"unsafe after cancelled", NonIdempotent, ScopeAll, Cancelled, false, false},
+		{"unsafe after full", NonIdempotent, ScopeAll, Full, true, true},
+		{"unsafe after connect failed", NonIdempotent, ScopeAll, ConnectFailed, true, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			set := settings()
 			set.Zones = 2
-			set.Classes[0].Effect, set.Classes[0].Scope = tt.effect, tt.scope
+			set.Classes[0].Idempotency, set.Classes[0].Scope = tt.effect, tt.scope
 			g := newRig(set, fleet(20, 2))
 			id := g.ask(Request{Load: 0.1})
 			first := g.byID[g.where(id)].Server
@@ -701,14 +701,14 @@
 			ran := tt.result != Full && tt.result != ConnectFailed
 			for range 10 {
 				at := g.byID[g.where(id)].Server
-				if ran && tt.effect == Keyed && (tt.scope == ScopeZone && at.Zone != first.Zone ||
+				if ran && tt.effect == IdempotencyKey && (tt.scope == ScopeZone && at.Zone != first.Zone ||
 					tt.scope == ScopeCell && at.Cell != first.Cell) {
 					t.Fatalf("sent to zone %d cell %d after zone %d cell %d", at.Zone, at.Cell, first.Zone, first.Cell)
 				}
 				if g.ends[id] != "" {
 					break
 				}
-				g.Outcome(g.now, Outcome{ID: id, Try: g.requests[id].tries - 1, Server: at.ID, Result: tt.result, Report: NoReport})
+				g.Outcome(g.now, Outcome{ID: id, Attempt: g.requests[id].tries - 1, Server: at.ID, Result: tt.result, Report: NoReport})
 				g.answer()
 				g.fire(1900 * ms)
 			}
@@ -752,7 +752,7 @@
 			if result == OK {
 				g.First(g.now, id)
 			}
-			g.Outcome(g.now, Outcome{ID: id, Server: g.where(id), Result: result, Closed: result == OK, Report: NoReport})
+			g.Outcome(g.now, Outcome{ID: id, Server: g.where(id), Result: result, Final: result == OK, Report: NoReport})
 			g.answer()
 			g.fire(10 * time.Second)
 		}
@@ -854,7 +854,7 @@
 // TestWindow: a keyed request is not sent again once the servers may have forgotten it.
 func TestWindow(t *testing.T) {
 	set := settings()
-	set.Classes[0].Effect, set.Classes[0].Window = Keyed, 100*ms
+	set.Classes[0].Idempotency, set.Classes[0].DedupWindow = IdempotencyKey, 100*ms
 	g := newRig(set, fleet(10, 1))
 	id := g.ask(Request{Load: 0.1})
 	g.now += 150 * ms
@@ -875,8 +875,8 @@
 		t.Fatalf("at the deadline: %q", g.ends[id])
 	}
 	sends := len(g.sends)
-	g.Outcome(g.now+2*time.Second, Outcome{ID: id, Server: g.where(id), Result: Cancelled, Closed: true, Report: NoReport})
-	g.Outcome(g.now+2*time.Second, Outcome{ID: id, Server: g.where(id), Result: Cancelled, Closed: true, Report: NoReport})
+	g.Outcome(g.now+2*time.Second, Outcome{ID: id, Server: g.where(id), Result: Cancelled, Final: true, Report: NoReport})
+	g.Outcome(g.now+2*time.Second, Outcome{ID: id, Server: g.where(id), Result: Cancelled, Final: true, Report: NoReport})
 	g.fire(time.Hour)
 	g.Ended(g.now, id)
 	if g.ends[id] != "refused" || len(g.sends) != sends || len(g.requests) != 0 {
@@ -1020,9 +1020,9 @@
 func sites() map[string]Settings {
 	both := settings()
 	both.Classes = append(both.Classes, both.Classes[0])
-	both.Classes[0].Worth, both.Classes[1].Worth = 2, 1
+	both.Classes[0].PriorityWeight, both.Classes[1].PriorityWeight = 2, 1
 	wide := both
-	wide.Balancers, wide.FallFor, wide.Groups, wide.Zones = 4, time.Second, true, 4
+	wide.Balancers, wide.OverloadWindow, wide.Groups, wide.Zones = 4, time.Second, true, 4
 	return map[string]Settings{"few": both, "zones and groups": wide}
 }
 
@@ -1199,7 +1199,7 @@
 		most  float64
 	}{{"priced", 0.002, true, 4}, {"dear", 0.01, true, 1}, {"free", 0, true, probeMost + 1}, {"forbidden", 0, false, 0}} {
 		set := settings()
-		set.PriceProbe, set.CanProbe = tt.price, tt.can
+		set.ProbePrice, set.CanProbe = tt.price, tt.can
 		g := newRig(set, fleet(100, 1))
 		for i := range 200 {
 			g.now += 300 * ms
@@ -1236,8 +1236,8 @@
 func TestBadSettings(t *testing.T) {
 	absurd := settings()
 	absurd.Balancers, absurd.Zone, absurd.Zones, absurd.MaxAttempts = -3, 900, -1, -1
-	absurd.ColdFrom, absurd.FallMultiple, absurd.PriceProbe = -1, 0, -5
-	absurd.Classes[0].Aim = -time.Hour
+	absurd.SlowStartMinCapacity, absurd.OverloadFactor, absurd.ProbePrice = -1, 0, -5
+	absurd.Classes[0].LatencyObjective = -time.Hour
 	for _, set := range []Settings{{}, absurd} {
 		g := newRig(set, fleet(4, 1))
 		g.ask(Request{Load: math.Inf(1)})
@@ -1259,7 +1259,7 @@
 	g.Ended(g.now, 5)
 	g.Load(g.now, 5, 1)
 	g.Slow(g.now, 5, time.Second)
-	g.Outcome(g.now, Outcome{ID: 5, Server: 4, Try: 9, Report: NoReport})
+	g.Outcome(g.now, Outcome{ID: 5, Server: 4, Attempt: 9, Report: NoReport})
 	g.Probed(g.now, 4, Error, NoReport)
 	g.Existing(g.now, Request{ID: 6}, 4)
 	g.Balancer.Timer(g.now, tokenDeadline|5)
@@ -1345,7 +1345,7 @@
 	// What ends frees what it was last said to weigh, not what was guessed when it came.
 	s.recent = nil
 	before := g.usedOf(g.now, s)
-	g.Outcome(g.now, Outcome{ID: 900, Server: id, Result: OK, Closed: true, Report: NoReport})
+	g.Outcome(g.now, Outcome{ID: 900, Server: id, Result: OK, Final: true, Report: NoReport})
 	if freed := before - g.usedOf(g.now, s); freed < 0.039 || freed > 0.041 {
 		t.Errorf("a connection of 0.04 freed %.3f", freed)
 	}
@@ -1419,7 +1419,7 @@
 	set.Subscribe, set.CanProbe = true, false // no timers for probes
 	g := newRig(set, fleet(2, 1))
 	for range 40 {
-		if wait := g.timers[len(g.timers)-1].delay; wait > set.AskWithin/5 {
+		if wait := g.timers[len(g.timers)-1].delay; wait > set.MaxPollInterval/5 {
 			t.Fatalf("asks again after %v", wait)
 		}
 		g.Members(g.now, ListFailed, nil)
@@ -1443,7 +1443,7 @@
 		}
 		last = max(last, rec.timers[len(rec.timers)-1].delay)
 	}
-	if first < 2*time.Second || first > 3*time.Second || last < 8*time.Second || last > set.AskWithin {
+	if first < 2*time.Second || first > 3*time.Second || last < 8*time.Second || last > set.MaxPollInterval {
 		t.Errorf("the first calls come within %v, repeated ones within %v", first, last)
 	}
 }
--- a/policy/relief.go
+++ b/policy/relief.go
@@ -42,7 +42,7 @@
 	if b.overShare(r.Tenant) {
 		return 0
 	}
-	return b.set.Classes[r.Class].Worth / b.loadOf(r)
+	return b.set.Classes[r.Class].PriorityWeight / b.loadOf(r)
 }
 
 // isCheap says whether a class earns less for its load, once that is known, than a part of what others do.
@@ -50,10 +50,10 @@
 	best, load := 0.0, b.classLoad[class]
 	for i, other := range b.classLoad {
 		if other > 0 {
-			best = max(best, b.set.Classes[i].Worth/other)
+			best = max(best, b.set.Classes[i].PriorityWeight/other)
 		}
 	}
-	return load > 0 && b.set.Classes[class].Worth/load < cheapPart*best
+	return load > 0 && b.set.Classes[class].PriorityWeight/load < cheapPart*best
 }
 
 // move asks the client of an open connection to come again, once.
--- a/policy/reports.go
+++ b/policy/reports.go
@@ -24,7 +24,7 @@
 			}
 		case Full: // it answers, but too many ask: not a failure
 			b.answers(s)
-		case Moot: // it was not asked
+		case NotSent: // it was not asked
 		default:
 			if b.fail(now, s); s.bad && result == Timeout {
 				b.empty(s) // it says nothing at all, and so nothing to its clients
@@ -91,7 +91,7 @@
 		return
 	}
 	s := r.at
-	if aim := b.set.Classes[r.Class].MessageAim; message > aim {
+	if aim := b.set.Classes[r.Class].MessageLatencyObjective; message > aim {
 		s.report.Load, s.since = max(s.report.Load, 1), now
 	} else if message < aim/2 {
 		return
--- a/policy/sending.go
+++ b/policy/sending.go
@@ -14,11 +14,11 @@
 	if !r.ran || s.arm != r.arm {
 		return s.arm == r.arm
 	}
-	switch c := b.set.Classes[r.Class]; c.Effect {
-	case Safe:
+	switch c := b.set.Classes[r.Class]; c.Idempotency {
+	case Idempotent:
 		return true
-	case Keyed:
-		return now < r.ranAt+c.Window && (c.Scope == ScopeAll || c.Scope == ScopeZone && s.Zone == r.ranOn.Zone ||
+	case IdempotencyKey:
+		return now < r.ranAt+c.DedupWindow && (c.Scope == ScopeAll || c.Scope == ScopeZone && s.Zone == r.ranOn.Zone ||
 			c.Scope == ScopeCell && s.Cell == r.ranOn.Cell)
 	}
 	return false
@@ -26,7 +26,7 @@
 
 func (r *request) mayRefuse(b *Balancer) bool {
 	c := b.set.Classes[r.Class]
-	return c.Effect == Safe || !r.ran && !r.open || c.Effect == Keyed && c.Scope == ScopeAll
+	return c.Idempotency == Idempotent || !r.ran && !r.open || c.Idempotency == IdempotencyKey && c.Scope == ScopeAll
 }
 
 func (b *Balancer) send(now time.Duration, r *request, s *server, foreign bool) {
@@ -35,7 +35,7 @@
 	}
 	left := r.Deadline - now
 	// A server that takes an attempt and never answers must leave time for another try.
-	timeout := max(b.set.Classes[r.Class].Aim, left*6/10)
+	timeout := max(b.set.Classes[r.Class].LatencyObjective, left*6/10)
 	if r.tries+1 >= b.set.MaxAttempts || timeout >= left {
 		timeout = 0
 	}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -28,10 +28,10 @@
 	for i := range s.Classes {
 		c := &s.Classes[i]
 		span(&c.Deadline, 2*time.Second)
-		span(&c.Aim, c.Deadline/4)
-		span(&c.MessageAim, c.Aim)
-		c.Window = max(c.Window, 0) // without one a repeat is never known to be harmless
-		c.Worth = within(c.Worth, 1e-6, 1e9, 1)
+		span(&c.LatencyObjective, c.Deadline/4)
+		span(&c.MessageLatencyObjective, c.LatencyObjective)
+		c.DedupWindow = max(c.DedupWindow, 0) // without one a repeat is never known to be harmless
+		c.PriorityWeight = within(c.PriorityWeight, 1e-6, 1e9, 1)
 	}
 	s.Tenants = slices.Clone(s.Tenants)
 	if len(s.Tenants) == 0 {
@@ -43,14 +43,14 @@
 	}
 	s.MaxAttempts = max(s.MaxAttempts, 1)
 	span(&s.ConnectTimeout, 250*time.Millisecond)
-	span(&s.AskWithin, 10*time.Second)
+	span(&s.MaxPollInterval, 10*time.Second)
 	span(&s.MaxRetryAfter, 2*time.Second)
-	span(&s.ColdFor, 10*time.Second)
-	span(&s.FallFor, 3*time.Second)
+	span(&s.SlowStartDuration, 10*time.Second)
+	span(&s.OverloadWindow, 3*time.Second)
 	s.AnswerSlack = max(s.AnswerSlack, 0)
-	s.ColdFrom = within(s.ColdFrom, 0.01, 1, 0.1)
-	s.FallMultiple = within(s.FallMultiple, 1, 1e3, 1)
-	s.PriceCross, s.PriceProbe = within(s.PriceCross, 0, 1, 0), within(s.PriceProbe, 0, 1, 0)
+	s.SlowStartMinCapacity = within(s.SlowStartMinCapacity, 0.01, 1, 0.1)
+	s.OverloadFactor = within(s.OverloadFactor, 1, 1e3, 1)
+	s.CrossZonePrice, s.ProbePrice = within(s.CrossZonePrice, 0, 1, 0), within(s.ProbePrice, 0, 1, 0)
 	return s
 }
 
--- a/policy/waiting.go
+++ b/policy/waiting.go
@@ -10,10 +10,10 @@
 // hold keeps a request that found no room for another look, and refuses it once that would come too
 // late.
 func (b *Balancer) hold(now time.Duration, r *request) {
-	aim := b.set.Classes[r.Class].Aim
+	aim := b.set.Classes[r.Class].LatencyObjective
 	again := time.Duration(float64(aim) / 4 * (0.5 + b.rng.Float64()))
 	if b.overShare(r.Tenant) || r.tries >= b.set.MaxAttempts || now+again > min(r.arrived+aim, r.Deadline) ||
-		r.ran && b.set.Classes[r.Class].Effect == Unsafe {
+		r.ran && b.set.Classes[r.Class].Idempotency == NonIdempotent {
 		if r.arm { // its arm has no room: limits, drains and cold budgets go before the arm's share
 			r.arm, r.stage, r.asked = false, 0, 0
 			b.strayed++
