--- a/internal/wire/encoder.go
+++ b/internal/wire/encoder.go
@@ -64,8 +64,8 @@
 	e.u32(uint32(server))
 }
 
-// Refuse writes a refusal.
-func (e *Encoder) Refuse(id policy.RequestID, retryAfter time.Duration) {
+// Reject writes a refusal.
+func (e *Encoder) Reject(id policy.RequestID, retryAfter time.Duration) {
 	e.start(acRefuse)
 	e.u64(uint64(id))
 	e.ms(retryAfter)
@@ -84,8 +84,8 @@
 	e.buf = append(e.buf, uint8(try))
 }
 
-// Move writes the polite end of a connection.
-func (e *Encoder) Move(id policy.RequestID) {
+// Migrate writes the polite end of a connection.
+func (e *Encoder) Migrate(id policy.RequestID) {
 	e.start(acMigrate)
 	e.u64(uint64(id))
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -143,13 +143,13 @@
 		want string
 	}{
 		{"send", func(e *Encoder) { e.Send(1, 2, 500*time.Millisecond) }, "00" + "0100000000000000" + "0000000000407f40" + "02000000"},
-		{"refuse", func(e *Encoder) { e.Refuse(1, 0) }, "01" + "0100000000000000" + "0000000000000000"},
+		{"refuse", func(e *Encoder) { e.Reject(1, 0) }, "01" + "0100000000000000" + "0000000000000000"},
 		{"fail", func(e *Encoder) { e.Fail(1) }, "02" + "0100000000000000"},
 		{"cancel", func(e *Encoder) { e.Cancel(1, 3) }, "03" + "0100000000000000" + "03"},
 		{"timer", func(e *Encoder) { e.Timer(500*time.Millisecond, 77) }, "04" + "0000000000407f40" + "4d00000000000000"},
 		{"probe", func(e *Encoder) { e.Probe(2) }, "05" + "02000000"},
 		{"watch", func(e *Encoder) { e.Watch() }, "0a" + "01"},
-		{"move", func(e *Encoder) { e.Move(1) }, "0c" + "0100000000000000"},
+		{"move", func(e *Encoder) { e.Migrate(1) }, "0c" + "0100000000000000"},
 	}
 	for _, tt := range tests {
 		var out bytes.Buffer
--- a/policy/api.go
+++ b/policy/api.go
@@ -173,18 +173,18 @@
 	Report  Report
 }
 
-// Actions carries out what a Balancer decides.
-type Actions interface {
+// Executor carries out what a Balancer decides.
+type Executor interface {
 	// Send starts an attempt. A timeout of 0 lasts until the client gives up.
 	Send(id RequestID, server ServerID, timeout time.Duration)
-	// Refuse is a final answer that tells the client a further try is harmless.
-	Refuse(id RequestID, retryAfter time.Duration)
+	// Reject is a final answer that tells the client a further try is harmless.
+	Reject(id RequestID, retryAfter time.Duration)
 	// Fail is a final answer without any promise.
 	Fail(id RequestID)
 	// Cancel gives up waiting for an attempt.
 	Cancel(id RequestID, try int)
-	// Move ends an open connection politely; its client comes again.
-	Move(id RequestID)
+	// Migrate ends an open connection politely; its client comes again.
+	Migrate(id RequestID)
 	// Probe asks a server for its report.
 	Probe(server ServerID)
 	// Timer asks for a Timer event after the delay.
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -13,10 +13,10 @@
 func (p *proxy) Send(id policy.RequestID, server policy.ServerID, timeout time.Duration) {
 	fmt.Printf("connect client %d to server %d within %v\n", id, server, timeout)
 }
-func (p *proxy) Refuse(id policy.RequestID, _ time.Duration) { fmt.Printf("refuse client %d\n", id) }
+func (p *proxy) Reject(id policy.RequestID, _ time.Duration) { fmt.Printf("refuse client %d\n", id) }
 func (p *proxy) Fail(id policy.RequestID)                    { fmt.Printf("fail client %d\n", id) }
 func (p *proxy) Cancel(id policy.RequestID, try int)         { fmt.Printf("give up try %d of %d\n", try, id) }
-func (p *proxy) Move(id policy.RequestID)                    { fmt.Printf("ask client %d to reconnect\n", id) }
+func (p *proxy) Migrate(id policy.RequestID)                 { fmt.Printf("ask client %d to reconnect\n", id) }
 func (p *proxy) Probe(server policy.ServerID)                { p.probes = append(p.probes, server) }
 func (p *proxy) Timer(time.Duration, uint64)                 {} // a real proxy calls Timer with the token then
 func (p *proxy) Watch()                                      {} // a real proxy subscribes to the server list
--- a/policy/facade.go
+++ b/policy/facade.go
@@ -190,12 +190,12 @@
 func (g *gather) Send(id RequestID, server ServerID, timeout time.Duration) {
 	g.add(Verdict{Do: DoSend, ID: id, Server: server, For: timeout})
 }
-func (g *gather) Refuse(id RequestID, retryAfter time.Duration) {
+func (g *gather) Reject(id RequestID, retryAfter time.Duration) {
 	g.add(Verdict{Do: DoReject, ID: id, For: retryAfter})
 }
 func (g *gather) Fail(id RequestID)            { g.add(Verdict{Do: DoFail, ID: id}) }
 func (g *gather) Cancel(id RequestID, try int) { g.add(Verdict{Do: DoCancel, ID: id, Try: try}) }
-func (g *gather) Move(id RequestID)            { g.add(Verdict{Do: DoMove, ID: id}) }
+func (g *gather) Migrate(id RequestID)         { g.add(Verdict{Do: DoMove, ID: id}) }
 func (g *gather) Probe(server ServerID)        { g.add(Verdict{Do: DoProbe, Server: server}) }
 func (g *gather) Watch()                       { g.add(Verdict{Do: DoWatch}) }
 func (g *gather) Timer(delay time.Duration, token uint64) {
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -86,7 +86,7 @@
 	r.ended = true
 }
 
-func (w *world) Refuse(id RequestID, d time.Duration) { w.recorder.Refuse(id, d); w.final(id, true) }
+func (w *world) Reject(id RequestID, d time.Duration) { w.recorder.Reject(id, d); w.final(id, true) }
 func (w *world) Fail(id RequestID)                    { w.recorder.Fail(id); w.final(id, false) }
 func (w *world) Probe(s ServerID)                     { w.recorder.Probe(s); w.probing = append(w.probing, s) }
 func (w *world) Timer(d time.Duration, token uint64) {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -59,10 +59,10 @@
 	r.note("%s %d", how, id)
 }
 
-func (r *recorder) Refuse(id RequestID, _ time.Duration) { r.end(id, "refused") }
+func (r *recorder) Reject(id RequestID, _ time.Duration) { r.end(id, "refused") }
 func (r *recorder) Fail(id RequestID)                    { r.end(id, "failed") }
 func (r *recorder) Cancel(id RequestID, try int)         { r.note("cancel %d %d", id, try) }
-func (r *recorder) Move(id RequestID)                    { r.moves = append(r.moves, id); r.note("move %d", id) }
+func (r *recorder) Migrate(id RequestID)                 { r.moves = append(r.moves, id); r.note("move %d", id) }
 func (r *recorder) Probe(s ServerID)                     { r.probes = append(r.probes, s); r.note("probe %d", s) }
 func (r *recorder) Watch()                               { r.watch++; r.note("watch") }
 func (r *recorder) Timer(d time.Duration, token uint64) {
--- a/policy/relief.go
+++ b/policy/relief.go
@@ -60,7 +60,7 @@
 func (b *Balancer) move(r *request) {
 	if r.established && !r.moved {
 		r.moved = true
-		b.act.Move(r.ID)
+		b.act.Migrate(r.ID)
 	}
 }
 
--- a/policy/sending.go
+++ b/policy/sending.go
@@ -63,7 +63,7 @@
 		// who were refused together do not come back together. docs/design.md, "Coming again".
 		b.pressed += learn * (1 - b.pressed)
 		wait := min(float64(b.horizon)/max(1-b.pressed, learn), float64(b.set.MaxRetryAfter)/1.5)
-		b.act.Refuse(r.ID, time.Duration(wait*(0.5+b.rng.Float64())))
+		b.act.Reject(r.ID, time.Duration(wait*(0.5+b.rng.Float64())))
 	} else {
 		b.act.Fail(r.ID)
 	}
--- a/policy/state.go
+++ b/policy/state.go
@@ -92,7 +92,7 @@
 // Balancer decides for one proxy.
 type Balancer struct {
 	set        Settings
-	act        Actions
+	act        Executor
 	rng        *rand.Rand
 	servers    []*server // in order of id
 	byID       map[ServerID]*server
