--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -123,7 +123,7 @@
 	last      ID
 	members   map[policy.ServerID]*member
 	byName    map[string]*member
-	pending   []policy.Verdict
+	pending   []policy.Action
 	running   bool
 	alarms    alarms
 	armed     time.Duration
@@ -136,9 +136,9 @@
 	paced     bool // some move was ever put off
 	doubting  bool
 	expecting bool
-	strict    bool             // nothing goes to a member that has left, within the grace neither
-	later     []policy.Verdict // what waits for the end of the doubt
-	moveAt    time.Duration    // during a stop or a drain nobody is moved before
+	strict    bool            // nothing goes to a member that has left, within the grace neither
+	later     []policy.Action // what waits for the end of the doubt
+	moveAt    time.Duration   // during a stop or a drain nobody is moved before
 	Counts    Counts
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -287,7 +287,7 @@
 	if r.Open(Request{At: "m0", Wait: time.Second}, at); at.tries != 0 || len(at.answers) != 1 || at.answers[0] != "rejected" {
 		t.Errorf("a standing flow of a banned member: %d tries, %v", at.tries, at.answers)
 	}
-	r.do(policy.Verdict{Do: policy.DoProbe, Server: 10})
+	r.do(policy.Action{Kind: policy.ActionProbe, Server: 10})
 	if probed != 0 || r.Reachable(10) {
 		t.Error("a banned member was probed")
 	}
--- a/internal/core/gate.go
+++ b/internal/core/gate.go
@@ -32,7 +32,7 @@
 func (c *Core) tell(n policy.News) { c.apply(c.facade.Report(c.Clock(), n)) }
 
 // apply carries verdicts out in their order; what they lead to comes after them.
-func (c *Core) apply(verdicts []policy.Verdict) {
+func (c *Core) apply(verdicts []policy.Action) {
 	c.pending = append(c.pending, verdicts...)
 	if c.running {
 		return
@@ -47,14 +47,14 @@
 	c.arm()
 }
 
-func (c *Core) do(v policy.Verdict) {
+func (c *Core) do(v policy.Action) {
 	r := c.requests[v.ID]
-	if c.doubting && (v.Do == policy.DoSend || v.Do == policy.DoProbe) {
+	if c.doubting && (v.Kind == policy.ActionSend || v.Kind == policy.ActionProbe) {
 		c.later = append(c.later, v)
 		return
 	}
-	switch v.Do {
-	case policy.DoProbe:
+	switch v.Kind {
+	case policy.ActionProbe:
 		switch m := c.members[v.Server]; {
 		case m == nil:
 		case c.reachable(c.Clock(), m):
@@ -64,29 +64,29 @@
 			c.tell(policy.Probed{Server: v.Server, Result: policy.NotSent, Report: policy.NoReport})
 		}
 		return
-	case policy.DoWatch:
+	case policy.ActionWatch:
 		c.Watch()
 		return
 	}
 	if r == nil {
-		if v.Do == policy.DoSend { // it has ended since this was asked for
+		if v.Kind == policy.ActionSend { // it has ended since this was asked for
 			c.tell(policy.Unsent{ID: v.ID, Closed: true})
 		}
 		return
 	}
-	switch v.Do {
-	case policy.DoSend:
+	switch v.Kind {
+	case policy.ActionSend:
 		c.send(r, v)
-	case policy.DoReject:
-		c.refuse(r, v.For)
-	case policy.DoFail: // or rejected: the module takes a send that waits for the end of a doubt for an attempt
+	case policy.ActionReject:
+		c.refuse(r, v.Duration)
+	case policy.ActionFail: // or rejected: the module takes a send that waits for the end of a doubt for an attempt
 		c.refuse(r, stopAfter)
-	case policy.DoCancel:
-		if v.Try == r.sends-1 && r.state == attempting {
+	case policy.ActionCancel:
+		if v.Attempt == r.sends-1 && r.state == attempting {
 			r.v.Cancel(r.tries - 1)
 			c.end(r, policy.Cancelled, policy.NoReport)
 		}
-	case policy.DoMove:
+	case policy.ActionMigrate:
 		if !c.pace(r) {
 			c.move(r)
 		}
@@ -115,12 +115,12 @@
 // decided says whether a final answer of that request is among the verdicts that are still to be carried out: the module's timers of
 // a late Tick come together.
 func (c *Core) decided(id ID) bool {
-	return slices.ContainsFunc(c.pending, func(v policy.Verdict) bool {
-		return v.ID == id && (v.Do == policy.DoReject || v.Do == policy.DoFail)
+	return slices.ContainsFunc(c.pending, func(v policy.Action) bool {
+		return v.ID == id && (v.Kind == policy.ActionReject || v.Kind == policy.ActionFail)
 	})
 }
 
-func (c *Core) send(r *request, v policy.Verdict) {
+func (c *Core) send(r *request, v policy.Action) {
 	now, m := c.Clock(), c.members[v.Server]
 	r.sends++
 	if c.decided(r.id) || !c.gate(now, r.state != placing, r.tries, r.deadline, m) || !c.repeatable(now, r, m) {
@@ -131,8 +131,8 @@
 		return
 	}
 	wait := r.deadline - now
-	if v.For > 0 && v.For < wait {
-		wait = v.For
+	if v.Duration > 0 && v.Duration < wait {
+		wait = v.Duration
 		c.alarm(now+wait, r.id, r.tries)
 	}
 	c.start(now, r, m, wait)
--- a/internal/core/lifecycle_test.go
+++ b/internal/core/lifecycle_test.go
@@ -47,9 +47,9 @@
 	if r.Up(s.id, 0) || r.Counts.Ignored != 1 {
 		t.Errorf("up twice, %d ignored", r.Counts.Ignored)
 	}
-	r.do(policy.Verdict{Do: policy.DoReject, ID: s.id, For: time.Second})
-	r.do(policy.Verdict{Do: policy.DoFail, ID: s.id})
-	r.do(policy.Verdict{Do: policy.DoCancel, ID: s.id})
+	r.do(policy.Action{Kind: policy.ActionReject, ID: s.id, Duration: time.Second})
+	r.do(policy.Action{Kind: policy.ActionFail, ID: s.id})
+	r.do(policy.Action{Kind: policy.ActionCancel, ID: s.id})
 	if len(s.answers) != 0 || s.out != 1 || !r.Holds(s.id) {
 		t.Errorf("an open flow got %v, %d out", s.answers, s.out)
 	}
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -617,13 +617,13 @@
 	if x == nil {
 		return
 	}
-	do := policy.DoSend
+	do := policy.ActionSend
 	if w.draw(2, "send") == 0 {
-		do = policy.Do(w.draw(int(policy.DoWait)+1, "do"))
+		do = policy.ActionKind(w.draw(int(policy.ActionWait)+1, "do"))
 	}
-	v := policy.Verdict{Do: do, ID: x.id, Server: policy.ServerID(10 + w.draw(7, "member")),
-		Try: w.draw(4, "try"), For: time.Duration(w.draw(900, "for")) * time.Millisecond}
-	w.c.apply([]policy.Verdict{v})
+	v := policy.Action{Kind: do, ID: x.id, Server: policy.ServerID(10 + w.draw(7, "member")),
+		Attempt: w.draw(4, "try"), Duration: time.Duration(w.draw(900, "for")) * time.Millisecond}
+	w.c.apply([]policy.Action{v})
 }
 
 // step is what happens next, the likelier ones several times.
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -50,19 +50,19 @@
 	return Report{n, load, load, max(load-1, 0)}
 }
 
-func (p *coldPlay) do(now time.Duration, f *Facade, verdicts []Verdict) {
-	for _, v := range append([]Verdict(nil), verdicts...) {
-		switch v.Do {
-		case DoSend:
+func (p *coldPlay) do(now time.Duration, f *Facade, verdicts []Action) {
+	for _, v := range append([]Action(nil), verdicts...) {
+		switch v.Kind {
+		case ActionSend:
 			p.placed[v.ID] = v.Server
 			p.held[v.Server]++
 			if v.Server == p.cold.ID {
 				p.sent = append(p.sent, now)
 			}
 			p.do(now, f, f.Report(now, Up{v.ID}))
-		case DoProbe:
+		case ActionProbe:
 			p.do(now, f, f.Report(now, Probed{v.Server, OK, p.report(now, v.Server)}))
-		case DoMove:
+		case ActionMigrate:
 			p.held[p.placed[v.ID]]--
 			p.do(now, f, f.Report(now, End{ID: v.ID, Server: p.placed[v.ID], Result: Cancelled, Final: true, Report: NoReport}))
 		}
--- a/policy/facade.go
+++ b/policy/facade.go
@@ -10,27 +10,27 @@
 // "The facade".
 
 // Do says what a Verdict asks for.
-type Do int
+type ActionKind int
 
 // What a Verdict may ask for.
 const (
-	DoSend   Do = iota // start a server-side flow to Server, for at most For (0: until the client gives up)
-	DoReject           // final answer: a further try is harmless, after For
-	DoFail             // final answer without any promise
-	DoCancel           // give up waiting for attempt Try
-	DoMove             // ask the client of an open flow to come again
-	DoProbe            // ask Server for its load report
-	DoWatch            // ask discovery for the pool and its changes from now on
-	DoWait             // nothing yet: the request is held until a later call
+	ActionSend    ActionKind = iota // start a server-side flow to Server, for at most For (0: until the client gives up)
+	ActionReject                    // final answer: a further try is harmless, after For
+	ActionFail                      // final answer without any promise
+	ActionCancel                    // give up waiting for attempt Try
+	ActionMigrate                   // ask the client of an open flow to come again
+	ActionProbe                     // ask Server for its load report
+	ActionWatch                     // ask discovery for the pool and its changes from now on
+	ActionWait                      // nothing yet: the request is held until a later call
 )
 
-// Verdict is one thing to do. Fields that its Do does not mention are zero.
-type Verdict struct {
-	Do     Do
-	ID     RequestID
-	Server ServerID
-	Try    int
-	For    time.Duration
+// Action is one thing to do. Fields that its Do does not mention are zero.
+type Action struct {
+	Kind     ActionKind
+	ID       RequestID
+	Server   ServerID
+	Attempt  int
+	Duration time.Duration
 }
 
 // News is something a relay has learned: one of the types below.
@@ -135,28 +135,28 @@
 }
 
 // Pick asks where a new request goes. Without a verdict on the request itself
-// the answer holds DoWait, and a later Report or Tick brings the verdict.
-func (f *Facade) Pick(now time.Duration, q Request) []Verdict {
+// the answer holds ActionWait, and a later Report or Tick brings the verdict.
+func (f *Facade) Pick(now time.Duration, q Request) []Action {
 	f.a.begin(now)
 	f.b.Request(now, q)
 	for _, v := range f.a.out {
-		if v.ID == q.ID && v.Do <= DoFail {
+		if v.ID == q.ID && v.Kind <= ActionFail {
 			return f.a.out
 		}
 	}
-	f.a.add(Verdict{Do: DoWait, ID: q.ID})
+	f.a.add(Action{Kind: ActionWait, ID: q.ID})
 	return f.a.out
 }
 
 // Report tells what the relay has learned.
-func (f *Facade) Report(now time.Duration, n News) []Verdict {
+func (f *Facade) Report(now time.Duration, n News) []Action {
 	f.a.begin(now)
 	n.tell(f.b, now)
 	return f.a.out
 }
 
 // Tick does what is due by now. It never runs timers that it has itself set.
-func (f *Facade) Tick(now time.Duration) []Verdict {
+func (f *Facade) Tick(now time.Duration) []Action {
 	f.a.begin(now)
 	var due []uint64
 	for len(f.a.timers) > 0 && f.a.timers[0].at <= now {
@@ -179,25 +179,27 @@
 // gather is the Actions that collects verdicts and keeps the timers.
 type gather struct {
 	now    time.Duration
-	out    []Verdict
+	out    []Action
 	timers alarms
 	set    uint64
 }
 
 func (g *gather) begin(now time.Duration) { g.now, g.out = now, g.out[:0] }
-func (g *gather) add(v Verdict)           { g.out = append(g.out, v) }
+func (g *gather) add(v Action)            { g.out = append(g.out, v) }
 
 func (g *gather) Send(id RequestID, server ServerID, timeout time.Duration) {
-	g.add(Verdict{Do: DoSend, ID: id, Server: server, For: timeout})
+	g.add(Action{Kind: ActionSend, ID: id, Server: server, Duration: timeout})
 }
 func (g *gather) Reject(id RequestID, retryAfter time.Duration) {
-	g.add(Verdict{Do: DoReject, ID: id, For: retryAfter})
+	g.add(Action{Kind: ActionReject, ID: id, Duration: retryAfter})
 }
-func (g *gather) Fail(id RequestID)            { g.add(Verdict{Do: DoFail, ID: id}) }
-func (g *gather) Cancel(id RequestID, try int) { g.add(Verdict{Do: DoCancel, ID: id, Try: try}) }
-func (g *gather) Migrate(id RequestID)         { g.add(Verdict{Do: DoMove, ID: id}) }
-func (g *gather) Probe(server ServerID)        { g.add(Verdict{Do: DoProbe, Server: server}) }
-func (g *gather) Watch()                       { g.add(Verdict{Do: DoWatch}) }
+func (g *gather) Fail(id RequestID) { g.add(Action{Kind: ActionFail, ID: id}) }
+func (g *gather) Cancel(id RequestID, try int) {
+	g.add(Action{Kind: ActionCancel, ID: id, Attempt: try})
+}
+func (g *gather) Migrate(id RequestID)  { g.add(Action{Kind: ActionMigrate, ID: id}) }
+func (g *gather) Probe(server ServerID) { g.add(Action{Kind: ActionProbe, Server: server}) }
+func (g *gather) Watch()                { g.add(Action{Kind: ActionWatch}) }
 func (g *gather) Timer(delay time.Duration, token uint64) {
 	g.set++
 	heap.Push(&g.timers, alarm{at: g.now + max(delay, 0), order: g.set, token: token})
--- a/policy/facade_test.go
+++ b/policy/facade_test.go
@@ -14,31 +14,31 @@
 	f.Report(t0, Pool{Kind: ListCached, Servers: fleet(1, 1)})
 	server := fleet(1, 1)[0].ID
 	q := Request{ID: 1, Deadline: t0 + 2*time.Second, Load: 0.1}
-	kinds := func(list []Verdict) (out []Do) {
+	kinds := func(list []Action) (out []ActionKind) {
 		for _, v := range list {
-			out = append(out, v.Do)
+			out = append(out, v.Kind)
 		}
 		return out
 	}
 	got := kinds(f.Pick(t0, q))
-	if len(got) != 2 || got[0] != DoProbe || got[1] != DoWait {
+	if len(got) != 2 || got[0] != ActionProbe || got[1] != ActionWait {
 		t.Fatalf("verdicts %v on a request while nothing is known", got)
 	}
 	if at, ok := f.Next(); !ok || at <= t0 {
 		t.Errorf("next tick at %v, %v", at, ok)
 	}
 	list := f.Report(t0, Probed{Server: server, Result: OK, Report: Report{Connections: 1, Load: 0.1, Util: -1}})
-	if len(list) != 1 || list[0].Do != DoSend || list[0].ID != 1 || list[0].Server != server {
+	if len(list) != 1 || list[0].Kind != ActionSend || list[0].ID != 1 || list[0].Server != server {
 		t.Fatalf("verdicts %v on the report", list)
 	}
 	f.Report(t0, Up{ID: 1})
-	if list = f.Report(t0, Pool{Kind: ListFull}); len(list) != 1 || list[0].Do != DoMove {
+	if list = f.Report(t0, Pool{Kind: ListFull}); len(list) != 1 || list[0].Kind != ActionMigrate {
 		t.Errorf("verdicts %v on a server that is gone", list)
 	}
 	f.Report(t0, End{ID: 1, Server: server, Result: Cancelled, Final: true, Report: NoReport})
 	q.ID, q.Deadline = 2, t0+3*time.Second
 	f.Pick(t0, q)
-	if list = f.Tick(q.Deadline); len(list) == 0 || list[0].Do != DoReject || list[0].ID != 2 {
+	if list = f.Tick(q.Deadline); len(list) == 0 || list[0].Kind != ActionReject || list[0].ID != 2 {
 		t.Errorf("verdicts %v at the deadline", list)
 	}
 }
@@ -54,8 +54,8 @@
 			f.Pick(t0, Request{ID: 1000 + id, Deadline: t0 + time.Second})
 		}
 		for _, v := range f.Tick(t0 + time.Second) {
-			if v.Do == DoReject {
-				all, mean = append(all, v.For), mean+v.For/time.Duration(n)
+			if v.Kind == ActionReject {
+				all, mean = append(all, v.Duration), mean+v.Duration/time.Duration(n)
 			}
 		}
 		return all, mean
@@ -77,7 +77,7 @@
 	f.Report(t0, Probed{Server: 5, Result: OK, Report: Report{Connections: 1, Load: 0.1, Util: -1, Backlog: -1}})
 	for id := range RequestID(40) { // let in again
 		for _, v := range f.Pick(t0, Request{ID: id + 1, Load: 0.01, Deadline: t0 + time.Second}) {
-			if v.Do == DoSend {
+			if v.Kind == ActionSend {
 				f.Report(t0, Up{ID: v.ID})
 				f.Report(t0, End{ID: v.ID, Server: v.Server, Result: OK, Final: true, Report: NoReport})
 			}
@@ -189,9 +189,9 @@
 			v := todo[0]
 			todo = todo[1:]
 			switch {
-			case v.Do == DoProbe:
+			case v.Kind == ActionProbe:
 				todo = append(todo, f.Report(t0, Probed{Server: v.Server, Result: OK, Report: Report{Connections: 1, Load: 0.1, Util: -1}})...)
-			case v.Do == DoSend && v.ID == next:
+			case v.Kind == ActionSend && v.ID == next:
 				at = v.Server
 			}
 		}
@@ -211,7 +211,7 @@
 	strayed := false
 	for at := t0; at < t0+2*time.Second; at += 10 * time.Millisecond {
 		for _, v := range f.Tick(at) {
-			strayed = strayed || v.Do == DoSend && v.ID == next && v.Server != arm
+			strayed = strayed || v.Kind == ActionSend && v.ID == next && v.Server != arm
 		}
 	}
 	if !strayed || f.Strayed() != 1 {
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -44,18 +44,18 @@
 	return len(groups)
 }
 
-func (p *fleetPlay) do(now time.Duration, f *Facade, verdicts []Verdict) {
-	for _, v := range append([]Verdict(nil), verdicts...) {
-		switch v.Do {
-		case DoSend:
+func (p *fleetPlay) do(now time.Duration, f *Facade, verdicts []Action) {
+	for _, v := range append([]Action(nil), verdicts...) {
+		switch v.Kind {
+		case ActionSend:
 			p.held[v.Server][v.ID] = p.group[v.ID]
 			p.do(now, f, f.Report(now, Up{v.ID}))
-		case DoProbe:
+		case ActionProbe:
 			p.probes++
 			p.do(now, f, f.Report(now, Probed{v.Server, OK, p.reports[v.Server]}))
-		case DoReject, DoFail:
+		case ActionReject, ActionFail:
 			p.turned++
-		case DoMove:
+		case ActionMigrate:
 			for _, at := range p.held {
 				delete(at, v.ID)
 			}
