--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -226,16 +226,16 @@
 		return
 	}
 	m.slow, m.noted = slow, now
-	c.tell(policy.FlowDelay{ID: id, Took: took})
+	c.tell(policy.MessageLatency{ID: id, Latency: took})
 }
 
-// Relays is by how many the budgets are divided that all relays share.
-func (c *Core) Relays(share float64) { c.tell(policy.Relays{Share: share}) }
+// ActiveRelays is by how many the budgets are divided that all relays share.
+func (c *Core) Relays(share float64) { c.tell(policy.ActiveRelays{Count: share}) }
 
-// Probed is the answer to a probe.
+// ProbeResult is the answer to a probe.
 func (c *Core) Probed(server policy.ServerID, result policy.Result, report policy.Report) {
 	if m := c.members[server]; m != nil {
 		c.saw(m, result)
 	}
-	c.tell(policy.Probed{Server: server, Result: result, Report: report})
+	c.tell(policy.ProbeResult{Server: server, Result: result, Report: report})
 }
--- a/internal/core/gate.go
+++ b/internal/core/gate.go
@@ -29,7 +29,7 @@
 
 // ---- What the module's verdicts do ----
 
-func (c *Core) tell(n policy.News) { c.apply(c.facade.Report(c.Clock(), n)) }
+func (c *Core) tell(n policy.Event) { c.apply(c.facade.Report(c.Clock(), n)) }
 
 // apply carries verdicts out in their order; what they lead to comes after them.
 func (c *Core) apply(verdicts []policy.Action) {
@@ -61,7 +61,7 @@
 			c.Probe(&m.Member)
 		default:
 			c.Counts.Barred++
-			c.tell(policy.Probed{Server: v.Server, Result: policy.NotSent, Report: policy.NoReport})
+			c.tell(policy.ProbeResult{Server: v.Server, Result: policy.NotSent, Report: policy.NoReport})
 		}
 		return
 	case policy.ActionWatch:
@@ -70,7 +70,7 @@
 	}
 	if r == nil {
 		if v.Kind == policy.ActionSend { // it has ended since this was asked for
-			c.tell(policy.Unsent{ID: v.ID, Closed: true})
+			c.tell(policy.SendSkipped{ID: v.ID, Final: true})
 		}
 		return
 	}
@@ -126,7 +126,7 @@
 	if c.decided(r.id) || !c.gate(now, r.state != placing, r.tries, r.deadline, m) || !c.repeatable(now, r, m) {
 		c.Counts.Barred++
 		if r.state == placing { // else the module hears of what is out as that ends
-			c.tell(policy.Unsent{ID: r.id})
+			c.tell(policy.SendSkipped{ID: r.id})
 		}
 		return
 	}
--- a/internal/core/happen.go
+++ b/internal/core/happen.go
@@ -50,10 +50,10 @@
 // Arm keeps a canary's arm apart: of says which members are of it, drawn whose flows go there, and nobody else's do. Nil: there is none.
 func (c *Core) Arm(of func(*Member) bool, drawn func(group uint64) bool) {
 	if of == nil {
-		c.tell(policy.Arms{})
+		c.tell(policy.CanaryGroup{})
 		return
 	}
-	c.tell(policy.Arms{Drawn: drawn, Of: func(id policy.ServerID) bool {
+	c.tell(policy.CanaryGroup{Assigned: drawn, Contains: func(id policy.ServerID) bool {
 		m := c.members[id]
 		return m != nil && of(&m.Member)
 	}})
--- a/internal/core/leave.go
+++ b/internal/core/leave.go
@@ -104,7 +104,7 @@
 	c.Counts.Requests++
 	c.Counts.Attempts++
 	c.record(r, Served)
-	c.tell(policy.Standing{Request: r.policy(), Server: m.ID})
+	c.tell(policy.ExistingFlow{Request: r.policy(), Server: m.ID})
 	if !c.Welcomes() {
 		c.leaveAt(r, c.moveAt)
 	}
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -11,7 +11,7 @@
 
 // This file is what the core holds of pool members: what discovery says of them, what operators do, and what is passed on.
 
-// Pool is what discovery says of the members.
+// ServerList is what discovery says of the members.
 func (c *Core) Pool(kind policy.ListKind, list []Member) {
 	now := c.Clock()
 	servers := make([]policy.Server, len(list))
@@ -39,7 +39,7 @@
 			}
 		}
 	}
-	c.tell(policy.Pool{Kind: kind, Servers: servers})
+	c.tell(policy.ServerList{Kind: kind, Servers: servers})
 }
 
 // see makes of what discovery and the operators say of a member what the module
@@ -135,7 +135,7 @@
 // word tells the module of a member about which somebody has spoken.
 func (c *Core) word(m *member) {
 	c.see(c.Clock(), m)
-	c.tell(policy.Pool{Kind: policy.ListDelta, Servers: []policy.Server{m.Server}})
+	c.tell(policy.ServerList{Kind: policy.ListDelta, Servers: []policy.Server{m.Server}})
 }
 
 // Bans puts these names in the place of all that are banned.
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -77,9 +77,9 @@
 		c.happens(r, r.member, Stood, c.Clock()-r.sent)
 	}
 	if r.standing {
-		c.tell(policy.Standing{Request: r.policy(), Server: r.member.ID})
+		c.tell(policy.ExistingFlow{Request: r.policy(), Server: r.member.ID})
 	} else {
-		c.tell(policy.Up{ID: id})
+		c.tell(policy.FlowEstablished{ID: id})
 	}
 	if !c.Welcomes() {
 		c.leaveAt(r, max(c.moveAt, c.Clock()+StopNotice/2))
@@ -97,7 +97,7 @@
 	}
 }
 
-// Left says that the client of a request went away. It returns whether a client that still listens may be told that
+// ClientGone says that the client of a request went away. It returns whether a client that still listens may be told that
 // coming again is harmless.
 func (c *Core) Left(id ID) (harmless bool) {
 	r := c.requests[id]
@@ -110,7 +110,7 @@
 	if !was.final() {
 		c.record(r, Lost)
 		if !r.standing {
-			c.tell(policy.Left{ID: id})
+			c.tell(policy.ClientGone{ID: id})
 		}
 	}
 	c.abandon(r, was)
@@ -180,7 +180,7 @@
 	if r.standing && was != serving { // the module has not heard of it
 		return
 	}
-	c.tell(policy.End{ID: r.id, Attempt: r.sends - 1, Server: m.ID, Result: result, Final: r.state.final(), Report: report})
+	c.tell(policy.AttemptEnded{ID: r.id, Attempt: r.sends - 1, Server: m.ID, Result: result, Final: r.state.final(), Report: report})
 }
 
 // saw counts how an attempt or a probe went. A client that leaves says nothing of the member.
@@ -200,7 +200,7 @@
 
 // giveUp answers a request without the module's word, and tells it so.
 func (c *Core) giveUp(r *request) {
-	c.tell(policy.Left{ID: r.id})
+	c.tell(policy.ClientGone{ID: r.id})
 	c.refuse(r, stopAfter)
 }
 
--- a/policy/facade.go
+++ b/policy/facade.go
@@ -33,35 +33,35 @@
 	Duration time.Duration
 }
 
-// News is something a relay has learned: one of the types below.
-type News interface {
-	tell(b *Balancer, now time.Duration)
+// Event is something a relay has learned: one of the types below.
+type Event interface {
+	apply(b *Balancer, now time.Duration)
 }
 
 type (
-	// Pool is what discovery says of the servers.
-	Pool struct {
+	// ServerList is what discovery says of the servers.
+	ServerList struct {
 		Kind    ListKind
 		Servers []Server
 	}
-	// Standing is a flow that was open before the relay knew of it.
-	Standing struct {
+	// ExistingFlow is a flow that was open before the relay knew of it.
+	ExistingFlow struct {
 		Request Request
 		Server  ServerID
 	}
 	// Up says that an attempt stands as an open flow.
-	Up struct{ ID RequestID }
-	// End is the end of an attempt or of an open flow.
-	End Outcome
-	// Unsent says that the latest send for a request was not carried out; Closed is as of an End.
-	Unsent struct {
-		ID     RequestID
-		Closed bool
+	FlowEstablished struct{ ID RequestID }
+	// AttemptEnded is the end of an attempt or of an open flow.
+	AttemptEnded Outcome
+	// SendSkipped says that the latest send for a request was not carried out; Closed is as of an End.
+	SendSkipped struct {
+		ID    RequestID
+		Final bool
 	}
-	// Left says that the client of a request went away.
-	Left struct{ ID RequestID }
-	// Probed is the answer to a probe.
-	Probed struct {
+	// ClientGone says that the client of a request went away.
+	ClientGone struct{ ID RequestID }
+	// ProbeResult is the answer to a probe.
+	ProbeResult struct {
 		Server ServerID
 		Result Result
 		Report Report
@@ -71,45 +71,47 @@
 		ID   RequestID
 		Load float64
 	}
-	// Relays is by how many the budgets are divided that all relays share.
-	Relays struct{ Share float64 }
-	// Arms is which servers are of a canary's arm, and whose connections go there: by the group, or the key where there is none. Nobody
+	// ActiveRelays is by how many the budgets are divided that all relays share.
+	ActiveRelays struct{ Count float64 }
+	// CanaryGroup is which servers are of a canary's arm, and whose connections go there: by the group, or the key where there is none. Nobody
 	// else's do. Nil: none.
-	Arms struct {
-		Of    func(ServerID) bool
-		Drawn func(group uint64) bool
+	CanaryGroup struct {
+		Contains func(ServerID) bool
+		Assigned func(group uint64) bool
 	}
-	// FlowDelay is how long a message on an open flow takes at its server.
-	FlowDelay struct {
-		ID   RequestID
-		Took time.Duration
+	// MessageLatency is how long a message on an open flow takes at its server.
+	MessageLatency struct {
+		ID      RequestID
+		Latency time.Duration
 	}
 )
 
-func (n Pool) tell(b *Balancer, now time.Duration)     { b.Members(now, n.Kind, n.Servers) }
-func (n Standing) tell(b *Balancer, now time.Duration) { b.Existing(now, n.Request, n.Server) }
-func (n Up) tell(b *Balancer, now time.Duration)       { b.First(now, n.ID) }
-func (n End) tell(b *Balancer, now time.Duration)      { b.Outcome(now, Outcome(n)) }
-func (n Unsent) tell(b *Balancer, now time.Duration) {
+func (n ServerList) apply(b *Balancer, now time.Duration)      { b.Members(now, n.Kind, n.Servers) }
+func (n ExistingFlow) apply(b *Balancer, now time.Duration)    { b.Existing(now, n.Request, n.Server) }
+func (n FlowEstablished) apply(b *Balancer, now time.Duration) { b.First(now, n.ID) }
+func (n AttemptEnded) apply(b *Balancer, now time.Duration)    { b.Outcome(now, Outcome(n)) }
+func (n SendSkipped) apply(b *Balancer, now time.Duration) {
 	if r := b.requests[n.ID]; r != nil && r.at != nil {
-		b.Outcome(now, Outcome{ID: n.ID, Attempt: r.tries - 1, Server: r.at.ID, Result: NotSent, Final: n.Closed, Report: NoReport})
+		b.Outcome(now, Outcome{ID: n.ID, Attempt: r.tries - 1, Server: r.at.ID, Result: NotSent, Final: n.Final, Report: NoReport})
 	}
 }
-func (n Left) tell(b *Balancer, now time.Duration)     { b.Ended(now, n.ID) }
-func (n Probed) tell(b *Balancer, now time.Duration)   { b.Probed(now, n.Server, n.Result, n.Report) }
-func (n FlowLoad) tell(b *Balancer, now time.Duration) { b.Load(now, n.ID, n.Load) }
-func (n Relays) tell(b *Balancer, _ time.Duration) {
-	if n.Share >= 1 { // a senseless one moves nothing
-		b.relays = n.Share
+func (n ClientGone) apply(b *Balancer, now time.Duration) { b.Ended(now, n.ID) }
+func (n ProbeResult) apply(b *Balancer, now time.Duration) {
+	b.Probed(now, n.Server, n.Result, n.Report)
+}
+func (n FlowLoad) apply(b *Balancer, now time.Duration) { b.Load(now, n.ID, n.Load) }
+func (n ActiveRelays) apply(b *Balancer, _ time.Duration) {
+	if n.Count >= 1 { // a senseless one moves nothing
+		b.relays = n.Count
 	}
 }
-func (n Arms) tell(b *Balancer, _ time.Duration) {
+func (n CanaryGroup) apply(b *Balancer, _ time.Duration) {
 	b.arms = n
 	for _, s := range b.servers {
 		s.arm = b.inArm(s.ID)
 	}
 }
-func (n FlowDelay) tell(b *Balancer, now time.Duration) { b.Slow(now, n.ID, n.Took) }
+func (n MessageLatency) apply(b *Balancer, now time.Duration) { b.Slow(now, n.ID, n.Latency) }
 
 // Strayed is how many connections were drawn for an arm and went elsewhere, since it had no room.
 func (f *Facade) Strayed() uint64 { return f.b.strayed }
@@ -149,9 +151,9 @@
 }
 
 // Report tells what the relay has learned.
-func (f *Facade) Report(now time.Duration, n News) []Action {
+func (f *Facade) Report(now time.Duration, n Event) []Action {
 	f.a.begin(now)
-	n.tell(f.b, now)
+	n.apply(f.b, now)
 	return f.a.out
 }
 
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -567,7 +567,7 @@
 			for _, s := range list[1:] {
 				g.load[s.ID] = 0.7
 			}
-			Relays{Share: share}.tell(g.Balancer, t0)
+			ActiveRelays{Count: share}.apply(g.Balancer, t0)
 			for range 40 {
 				g.now += 50 * ms
 				if g.where(g.ask(Request{Tenant: g.byID[list[0].ID].owner, Load: 1})) == list[0].ID {
--- a/policy/state.go
+++ b/policy/state.go
@@ -116,14 +116,14 @@
 	horizon    time.Duration
 	slowest    time.Duration
 	messageAim time.Duration // the shortest of all classes
-	arms       Arms
+	arms       CanaryGroup
 	strayed    uint64 // connections that were drawn for an arm and went elsewhere
 }
 
 // inArm and isDrawn ask the news of arms, if there was any.
-func (b *Balancer) inArm(id ServerID) bool { return b.arms.Of != nil && b.arms.Of(id) }
+func (b *Balancer) inArm(id ServerID) bool { return b.arms.Contains != nil && b.arms.Contains(id) }
 func (b *Balancer) isDrawn(q Request) bool {
-	return b.arms.Drawn != nil && !q.MidFlow && b.arms.Drawn(cmp.Or(q.Group, q.Key))
+	return b.arms.Assigned != nil && !q.MidFlow && b.arms.Assigned(cmp.Or(q.Group, q.Key))
 }
 
 // holds says whether own connections of a group are there.
