--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -81,7 +81,7 @@
 	// means "long ago" to the decision module.
 	const zero = time.Hour
 	clock := func() time.Duration { return zero + time.Since(began) }
-	r := &relay{cfg: cfg, log: log, clock: clock, signals: caught, names: pool.Names{Settings: set, Starts: &pool.Starts{Clock: clock, Wall: wallClock, Believed: policy.Sane(set.Policy()).MaxPollInterval}},
+	r := &relay{cfg: cfg, log: log, clock: clock, signals: caught, names: pool.Names{Settings: set, Starts: &pool.Starts{Clock: clock, Wall: wallClock, Believed: policy.Normalize(set.Policy()).MaxPollInterval}},
 		maxBufferBytes: int(cfg.Limits.MemoryMB * bufferMemoryFraction * (1 << 20))}
 	r.maxSockets = descriptorLimit(cfg) - reservedSockets - r.operatorDescriptors()
 	loop, err := netloop.New(clock, r.maxSockets)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -153,7 +153,7 @@
 
 // New makes a Core.
 func New(o Options) *Core {
-	c := &Core{Options: o, set: policy.Sane(o.Settings.Policy()), requests: map[ID]*request{},
+	c := &Core{Options: o, set: policy.Normalize(o.Settings.Policy()), requests: map[ID]*request{},
 		members: map[policy.ServerID]*member{}, byName: map[string]*member{}, feeds: map[ID]*Feed{}, bans: map[string]bool{}, armed: math.MaxInt64}
 	if c.grace = settings.Span(o.Settings.Guarantees.Grace); c.grace <= 0 {
 		c.grace = 250 * time.Millisecond
@@ -161,7 +161,7 @@
 	if c.Round == nil {
 		c.Round = c.Clock
 	}
-	c.facade = policy.Begin(c.Clock(), c.set, o.Seed)
+	c.facade = policy.NewFacade(c.Clock(), c.set, o.Seed)
 	c.arm()
 	return c
 }
--- a/internal/core/crossings_test.go
+++ b/internal/core/crossings_test.go
@@ -159,7 +159,7 @@
 		r.Left(s.id)
 	}
 	r.Pool(policy.ListFull, nil)
-	if learned := r.facade.Learned(r.now); len(learned.Servers) != 0 {
+	if learned := r.facade.LearnedState(r.now); len(learned.Servers) != 0 {
 		t.Errorf("the module still holds %v", learned.Servers)
 	}
 }
@@ -184,7 +184,7 @@
 				t.Errorf("result %d, up %v: answers %v, %d tries, held %d, counts %+v", result, up, s.answers, s.tries, r.Held(), r.Counts)
 			}
 			r.Pool(policy.ListFull, nil)
-			if learned := r.facade.Learned(r.now); len(learned.Servers) != 0 {
+			if learned := r.facade.LearnedState(r.now); len(learned.Servers) != 0 {
 				t.Errorf("result %d, up %v: the module still holds %v", result, up, learned.Servers)
 			}
 		}
--- a/internal/core/gate.go
+++ b/internal/core/gate.go
@@ -29,7 +29,7 @@
 
 // ---- What the module's verdicts do ----
 
-func (c *Core) tell(n policy.Event) { c.apply(c.facade.Report(c.Clock(), n)) }
+func (c *Core) tell(n policy.Event) { c.apply(c.facade.Observe(c.Clock(), n)) }
 
 // apply carries verdicts out in their order; what they lead to comes after them.
 func (c *Core) apply(verdicts []policy.Action) {
@@ -138,7 +138,7 @@
 	c.start(now, r, m, wait)
 }
 
-// Begin says whether an attempt may be sent now that its connection stands. One whose member has left meanwhile may
+// NewFacade says whether an attempt may be sent now that its connection stands. One whose member has left meanwhile may
 // not, however long ago that was told: its first byte would come later than the gate has judged by. Nor may any
 // during a doubt, nor a repeat whose window is over by now. It ends as one that was never made. A flow that its
 // member holds already is exempt.
--- a/internal/core/happen.go
+++ b/internal/core/happen.go
@@ -59,5 +59,5 @@
 	}})
 }
 
-// Strayed is how many flows were drawn for an arm that had no room for them.
-func (c *Core) Strayed() uint64 { return c.facade.Strayed() }
+// CanaryOverflows is how many flows were drawn for an arm that had no room for them.
+func (c *Core) Strayed() uint64 { return c.facade.CanaryOverflows() }
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -204,7 +204,7 @@
 
 // Members is what is held of all members that discovery names, by name.
 func (c *Core) Members() (all []MemberView) {
-	learned := c.facade.Learned(c.Clock()).Servers
+	learned := c.facade.LearnedState(c.Clock()).Servers
 	for _, name := range slices.Sorted(maps.Keys(c.byName)) {
 		m := c.byName[name]
 		v := MemberView{Name: name, Zone: m.Zone, State: m.listed.State, Started: m.listed.Started, Out: m.banned, Flows: m.flows, Good: m.good, Bad: m.bad}
@@ -218,16 +218,16 @@
 	return all
 }
 
-// Learned is what another core can go on from. Times are ages.
+// LearnedState is what another core can go on from. Times are ages.
 type Learned struct {
-	Policy policy.Learned           `json:"policy"`
+	Policy policy.LearnedState      `json:"policy"`
 	Back   map[string]time.Duration `json:"back"` // how long ago members were put back
 }
 
-// Learned is what has been learned so far.
+// LearnedState is what has been learned so far.
 func (c *Core) Learned() Learned {
 	now := c.Clock()
-	l := Learned{Policy: c.facade.Learned(now), Back: map[string]time.Duration{}}
+	l := Learned{Policy: c.facade.LearnedState(now), Back: map[string]time.Duration{}}
 	for name, m := range c.byName {
 		if m.back > 0 {
 			l.Back[name] = now - m.back
@@ -236,7 +236,7 @@
 	return l
 }
 
-// Recall goes on from what another core has learned. It comes after Pool.
+// Restore goes on from what another core has learned. It comes after Pool.
 func (c *Core) Recall(l Learned) {
 	now := c.Clock()
 	for name, ago := range l.Back {
@@ -245,5 +245,5 @@
 			c.see(now, m)
 		}
 	}
-	c.facade.Recall(now, l.Policy)
+	c.facade.Restore(now, l.Policy)
 }
--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -127,7 +127,7 @@
 	}
 	r.Ended(s.id, 1, policy.OK, policy.NoReport)
 	r.Pool(policy.ListFull, nil)
-	if learned := r.facade.Learned(r.now); len(learned.Servers) != 0 {
+	if learned := r.facade.LearnedState(r.now); len(learned.Servers) != 0 {
 		t.Errorf("%s is still held in the module: %v", at, learned.Servers)
 	}
 }
@@ -157,7 +157,7 @@
 				t.Errorf("%s, class %d: %d tries, answers %v, held %d", name, class, s.tries, s.answers, r.Held())
 			}
 			r.Pool(policy.ListFull, nil)
-			if learned := r.facade.Learned(r.now); len(learned.Servers) != 0 {
+			if learned := r.facade.LearnedState(r.now); len(learned.Servers) != 0 {
 				t.Errorf("%s, class %d: the module still holds %v", name, class, learned.Servers)
 			}
 		}
@@ -407,7 +407,7 @@
 		t.Errorf("%d tries, answers %v, held %d", s.tries, s.answers, r.Held())
 	}
 	r.Pool(policy.ListFull, nil)
-	if learned := r.facade.Learned(r.now); len(learned.Servers) != 0 {
+	if learned := r.facade.LearnedState(r.now); len(learned.Servers) != 0 {
 		t.Errorf("the module still holds %v", learned.Servers)
 	}
 }
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -149,22 +149,22 @@
 		s.List = nil
 	}
 	p := &s.Learned.Policy
-	p.Ago += age
+	p.Age += age
 	if age > l.State {
 		away("fill of zones, daring, failures and loads of members", "%v old, believed for %v", age.Round(time.Second), l.State)
-		for i := range p.Fill {
-			p.Fill[i] = 0.65 // as at a start that knows nothing; the module's own first guess
+		for i := range p.ZoneFill {
+			p.ZoneFill[i] = 0.65 // as at a start that knows nothing; the module's own first guess
 		}
-		p.Daring = 1
+		p.AdmissionRate = 1
 	}
 	p.Servers = maps.Clone(p.Servers)
 	for id, m := range p.Servers {
-		if m.Pause = max(m.Pause-age, 0); age > l.State {
-			m.Fails, m.Bad, m.Pause, m.Load = 0, false, 0, -1
+		if m.Backoff = max(m.Backoff-age, 0); age > l.State {
+			m.Failures, m.Ejected, m.Backoff, m.Load = 0, false, 0, -1
 		}
 		m.Age += age
-		if m.Up > 0 {
-			m.Up += grown
+		if m.Uptime > 0 {
+			m.Uptime += grown
 		}
 		p.Servers[id] = m
 	}
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -20,8 +20,8 @@
 func sample() *Snapshot {
 	return &Snapshot{Name: "n1", Written: wall.UnixMilli(), Boot: "b1", Up: int64(time.Hour), Watched: "127.0.0.1:1", Peers: []string{"127.0.0.1:2"},
 		List: &pool.List{Generation: 7, Full: true, Instances: []pool.Entry{{ID: "s-1", Lifecycle: "SERVING", Weight: 1}}},
-		Learned: core.Learned{Policy: policy.Learned{MeanLoad: 0.03, Fill: []float64{0.4}, Daring: 0.2, Servers: map[policy.ServerID]policy.LearnedServer{
-			5: {Capacity: 40, Reports: 9, Load: 0.5, Age: time.Second, Fails: 3, Bad: true, Pause: 3 * time.Second, Up: 4 * time.Second}}},
+		Learned: core.Learned{Policy: policy.LearnedState{MeanLoad: 0.03, ZoneFill: []float64{0.4}, AdmissionRate: 0.2, Servers: map[policy.ServerID]policy.LearnedServer{
+			5: {Capacity: 40, Reports: 9, Load: 0.5, Age: time.Second, Failures: 3, Ejected: true, Backoff: 3 * time.Second, Uptime: 4 * time.Second}}},
 			Back: map[string]time.Duration{"s-1": time.Second}}}
 }
 
@@ -81,9 +81,9 @@
 		}
 		m := s.Learned.Policy.Servers[5]
 		old := c.ago > l.State
-		if (s.List == nil) != (c.held >= 7) || age < 0 || m.Bad == old || (m.Load < 0) != old || (s.Learned.Policy.Daring == 1) != old ||
-			m.Capacity != 40 || m.Up != 4*time.Second || m.Pause != max(3*time.Second-age, 0) || s.Learned.Policy.Ago != age {
-			t.Errorf("%s: age %v, %+v, daring %v", c.what, age, m, s.Learned.Policy.Daring)
+		if (s.List == nil) != (c.held >= 7) || age < 0 || m.Ejected == old || (m.Load < 0) != old || (s.Learned.Policy.AdmissionRate == 1) != old ||
+			m.Capacity != 40 || m.Uptime != 4*time.Second || m.Backoff != max(3*time.Second-age, 0) || s.Learned.Policy.Age != age {
+			t.Errorf("%s: age %v, %+v, daring %v", c.what, age, m, s.Learned.Policy.AdmissionRate)
 		}
 	}
 }
@@ -97,14 +97,14 @@
 		s := sample()
 		age, _, err := s.Believe(Moment{wall.Add(down + step), "b1", time.Hour + down}, "n1", 6, l)
 		m := s.Learned.Policy.Servers[5]
-		if err != nil || age != down || m.Up != 4*time.Second+down || s.Learned.Back["s-1"] != time.Second+down || m.Pause != time.Second {
+		if err != nil || age != down || m.Uptime != 4*time.Second+down || s.Learned.Back["s-1"] != time.Second+down || m.Backoff != time.Second {
 			t.Errorf("stepped by %v: %v, age %v, %+v, back %v", step, err, age, m, s.Learned.Back)
 		}
 		s = sample()
 		if _, _, err := s.Believe(Moment{wall.Add(down + step), "b2", down}, "n1", 6, l); err != nil {
 			continue
 		}
-		if m := s.Learned.Policy.Servers[5]; m.Up != 4*time.Second || s.Learned.Back["s-1"] != time.Second {
+		if m := s.Learned.Policy.Servers[5]; m.Uptime != 4*time.Second || s.Learned.Back["s-1"] != time.Second {
 			t.Errorf("switched on anew, stepped by %v: %+v, back %v", step, m, s.Learned.Back)
 		}
 	}
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -28,8 +28,8 @@
 	list := fleet(7, 1)
 	p.warm, p.cold = list[:6], list[6]
 	for i := range relays {
-		f := Begin(t0, set, 1000*seed+uint64(i))
-		f.Report(t0, ServerList{ListFull, p.warm})
+		f := NewFacade(t0, set, 1000*seed+uint64(i))
+		f.Observe(t0, ServerList{ListFull, p.warm})
 		p.relays = append(p.relays, f)
 	}
 	return p
@@ -59,12 +59,12 @@
 			if v.Server == p.cold.ID {
 				p.sent = append(p.sent, now)
 			}
-			p.do(now, f, f.Report(now, FlowEstablished{v.ID}))
+			p.do(now, f, f.Observe(now, FlowEstablished{v.ID}))
 		case ActionProbe:
-			p.do(now, f, f.Report(now, ProbeResult{v.Server, OK, p.report(now, v.Server)}))
+			p.do(now, f, f.Observe(now, ProbeResult{v.Server, OK, p.report(now, v.Server)}))
 		case ActionMigrate:
 			p.held[p.placed[v.ID]]--
-			p.do(now, f, f.Report(now, AttemptEnded{ID: v.ID, Server: p.placed[v.ID], Result: Cancelled, Final: true, Report: NoReport}))
+			p.do(now, f, f.Observe(now, AttemptEnded{ID: v.ID, Server: p.placed[v.ID], Result: Cancelled, Final: true, Report: NoReport}))
 		}
 	}
 }
@@ -78,7 +78,7 @@
 		now += every
 		for i, f := range p.relays {
 			if heard := joins + time.Duration(i)*500*ms/time.Duration(len(p.relays)); now-every < heard && heard <= now {
-				p.do(now, f, f.Report(now, ServerList{ListDelta, []Server{p.cold}}))
+				p.do(now, f, f.Observe(now, ServerList{ListDelta, []Server{p.cold}}))
 			}
 			p.do(now, f, f.Tick(now))
 		}
@@ -143,7 +143,7 @@
 	now, joins := t0, t0+3*time.Second
 	p.cold.Started = joins
 	for _, f := range p.relays {
-		p.do(joins, f, f.Report(joins, ServerList{ListDelta, []Server{p.cold}}))
+		p.do(joins, f, f.Observe(joins, ServerList{ListDelta, []Server{p.cold}}))
 	}
 	for now = joins; now < joins+time.Duration(part*float64(p.set.SlowStartDuration)); now += 100 * ms {
 		for _, f := range p.relays {
--- a/policy/cost_test.go
+++ b/policy/cost_test.go
@@ -14,14 +14,14 @@
 	cost := func(servers int) float64 {
 		set := settings()
 		set.Groups = true
-		f := Begin(t0, set, 1)
-		f.Report(t0, ServerList{Kind: ListFull, Servers: fleet(servers, 2)})
+		f := NewFacade(t0, set, 1)
+		f.Observe(t0, ServerList{Kind: ListFull, Servers: fleet(servers, 2)})
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		for i := range requests {
 			id := RequestID(i + 1)
 			f.Pick(t0, Request{ID: id, Group: uint64(i%100 + 1), Deadline: t0 + 2*time.Second, Load: 0.01})
-			f.Report(t0, ClientGone{ID: id})
+			f.Observe(t0, ClientGone{ID: id})
 		}
 		runtime.ReadMemStats(&after)
 		return float64(after.TotalAlloc-before.TotalAlloc) / requests
@@ -40,17 +40,17 @@
 	cost := func(servers int) float64 {
 		set := settings()
 		set.Groups = true
-		f := Begin(t0, set, 1)
+		f := NewFacade(t0, set, 1)
 		all := fleet(servers, 2)
-		f.Report(t0, ServerList{Kind: ListFull, Servers: all})
+		f.Observe(t0, ServerList{Kind: ListFull, Servers: all})
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		for i := range changes {
 			changed := all[i%servers]
 			changed.State = []ServerState{Draining, Ready}[i%2]
-			f.Report(t0, ServerList{Kind: ListDelta, Servers: []Server{changed}})
+			f.Observe(t0, ServerList{Kind: ListDelta, Servers: []Server{changed}})
 			f.Pick(t0, Request{ID: RequestID(i + 1), Group: 7, Deadline: t0 + 2*time.Second, Load: 0.01})
-			f.Report(t0, ClientGone{ID: RequestID(i + 1)})
+			f.Observe(t0, ClientGone{ID: RequestID(i + 1)})
 		}
 		runtime.ReadMemStats(&after)
 		return float64(after.TotalAlloc-before.TotalAlloc) / changes
--- a/policy/facade.go
+++ b/policy/facade.go
@@ -113,8 +113,8 @@
 }
 func (n MessageLatency) apply(b *Balancer, now time.Duration) { b.Slow(now, n.ID, n.Latency) }
 
-// Strayed is how many connections were drawn for an arm and went elsewhere, since it had no room.
-func (f *Facade) Strayed() uint64 { return f.b.strayed }
+// CanaryOverflows is how many connections were drawn for an arm and went elsewhere, since it had no room.
+func (f *Facade) CanaryOverflows() uint64 { return f.b.strayed }
 
 // Facade drives a Balancer by calls that return verdicts. The slice that a call
 // returns is valid until the next call.
@@ -123,12 +123,12 @@
 	a gather
 }
 
-// Sane returns the settings as a Balancer reads them, with safe values in place
+// Normalize returns the settings as a Balancer reads them, with safe values in place
 // of missing or senseless ones.
-func Sane(set Settings) Settings { return sane(set) }
+func Normalize(set Settings) Settings { return normalize(set) }
 
-// Begin makes a Facade for one relay; the settings are made sane as by New.
-func Begin(now time.Duration, set Settings, seed uint64) *Facade {
+// NewFacade makes a Facade for one relay; the settings are made sane as by New.
+func NewFacade(now time.Duration, set Settings, seed uint64) *Facade {
 	f := &Facade{}
 	f.a.now = now
 	f.b = New(set, seed, &f.a)
@@ -150,8 +150,8 @@
 	return f.a.out
 }
 
-// Report tells what the relay has learned.
-func (f *Facade) Report(now time.Duration, n Event) []Action {
+// Observe tells what the relay has learned.
+func (f *Facade) Observe(now time.Duration, n Event) []Action {
 	f.a.begin(now)
 	n.apply(f.b, now)
 	return f.a.out
--- a/policy/facade_test.go
+++ b/policy/facade_test.go
@@ -10,8 +10,8 @@
 // TestFacade drives a request from its arrival to its end by verdicts alone.
 func TestFacade(t *testing.T) {
 	set := settings()
-	f := Begin(t0, set, 7)
-	f.Report(t0, ServerList{Kind: ListCached, Servers: fleet(1, 1)})
+	f := NewFacade(t0, set, 7)
+	f.Observe(t0, ServerList{Kind: ListCached, Servers: fleet(1, 1)})
 	server := fleet(1, 1)[0].ID
 	q := Request{ID: 1, Deadline: t0 + 2*time.Second, Load: 0.1}
 	kinds := func(list []Action) (out []ActionKind) {
@@ -27,15 +27,15 @@
 	if at, ok := f.Next(); !ok || at <= t0 {
 		t.Errorf("next tick at %v, %v", at, ok)
 	}
-	list := f.Report(t0, ProbeResult{Server: server, Result: OK, Report: Report{Connections: 1, Load: 0.1, Util: -1}})
+	list := f.Observe(t0, ProbeResult{Server: server, Result: OK, Report: Report{Connections: 1, Load: 0.1, Util: -1}})
 	if len(list) != 1 || list[0].Kind != ActionSend || list[0].ID != 1 || list[0].Server != server {
 		t.Fatalf("verdicts %v on the report", list)
 	}
-	f.Report(t0, FlowEstablished{ID: 1})
-	if list = f.Report(t0, ServerList{Kind: ListFull}); len(list) != 1 || list[0].Kind != ActionMigrate {
+	f.Observe(t0, FlowEstablished{ID: 1})
+	if list = f.Observe(t0, ServerList{Kind: ListFull}); len(list) != 1 || list[0].Kind != ActionMigrate {
 		t.Errorf("verdicts %v on a server that is gone", list)
 	}
-	f.Report(t0, AttemptEnded{ID: 1, Server: server, Result: Cancelled, Final: true, Report: NoReport})
+	f.Observe(t0, AttemptEnded{ID: 1, Server: server, Result: Cancelled, Final: true, Report: NoReport})
 	q.ID, q.Deadline = 2, t0+3*time.Second
 	f.Pick(t0, q)
 	if list = f.Tick(q.Deadline); len(list) == 0 || list[0].Kind != ActionReject || list[0].ID != 2 {
@@ -47,8 +47,8 @@
 // to all, later the fewer are let in, and never later than clients heed.
 func TestRejectTellsWhen(t *testing.T) {
 	set := settings()
-	f := Begin(t0, set, 7)
-	f.Report(t0, ServerList{Kind: ListCached})
+	f := NewFacade(t0, set, 7)
+	f.Observe(t0, ServerList{Kind: ListCached})
 	refuse := func(n int) (all []time.Duration, mean time.Duration) {
 		for id := range RequestID(n) {
 			f.Pick(t0, Request{ID: 1000 + id, Deadline: t0 + time.Second})
@@ -73,17 +73,17 @@
 	if len(all) != 60 || len(seen) < 30 || last < 2*set.Classes[0].LatencyObjective {
 		t.Errorf("%d refused, %d different times, the last ten in %v on average", len(all), len(seen), last)
 	}
-	f.Report(t0, ServerList{Kind: ListFull, Servers: []Server{{ID: 5, State: Ready, Weight: 1}}})
-	f.Report(t0, ProbeResult{Server: 5, Result: OK, Report: Report{Connections: 1, Load: 0.1, Util: -1, Backlog: -1}})
+	f.Observe(t0, ServerList{Kind: ListFull, Servers: []Server{{ID: 5, State: Ready, Weight: 1}}})
+	f.Observe(t0, ProbeResult{Server: 5, Result: OK, Report: Report{Connections: 1, Load: 0.1, Util: -1, Backlog: -1}})
 	for id := range RequestID(40) { // let in again
 		for _, v := range f.Pick(t0, Request{ID: id + 1, Load: 0.01, Deadline: t0 + time.Second}) {
 			if v.Kind == ActionSend {
-				f.Report(t0, FlowEstablished{ID: v.ID})
-				f.Report(t0, AttemptEnded{ID: v.ID, Server: v.Server, Result: OK, Final: true, Report: NoReport})
+				f.Observe(t0, FlowEstablished{ID: v.ID})
+				f.Observe(t0, AttemptEnded{ID: v.ID, Server: v.Server, Result: OK, Final: true, Report: NoReport})
 			}
 		}
 	}
-	f.Report(t0, ServerList{Kind: ListFull})
+	f.Observe(t0, ServerList{Kind: ListFull})
 	if _, mean := refuse(5); mean > last*3/4 {
 		t.Errorf("come again in %v on average, %v while nobody was let in", mean, last)
 	}
@@ -106,11 +106,11 @@
 // TestOwnWant guards against blaming a server for a probe or an attempt that the relay could not even start.
 func TestOwnWant(t *testing.T) {
 	for result, bad := range map[Result]bool{NotSent: false, Timeout: true} {
-		f := Begin(t0, settings(), 7)
-		f.Report(t0, ServerList{Kind: ListCached, Servers: fleet(1, 1)})
+		f := NewFacade(t0, settings(), 7)
+		f.Observe(t0, ServerList{Kind: ListCached, Servers: fleet(1, 1)})
 		server := fleet(1, 1)[0].ID
 		for range 2 * failsServer {
-			f.Report(t0, ProbeResult{Server: server, Result: result, Report: NoReport})
+			f.Observe(t0, ProbeResult{Server: server, Result: result, Report: NoReport})
 		}
 		if got := f.b.byID[server].bad; got != bad {
 			t.Errorf("after probes that ended %v: bad %v", result, got)
@@ -124,20 +124,20 @@
 	set := settings()
 	servers := fleet(2, 1)
 	begin := func(now time.Duration) *Facade {
-		f := Begin(now, set, 7)
-		f.Report(now, ServerList{Kind: ListCached, Servers: servers})
+		f := NewFacade(now, set, 7)
+		f.Observe(now, ServerList{Kind: ListCached, Servers: servers})
 		return f
 	}
 	old := begin(t0)
 	s := old.b.byID[servers[0].ID]
 	for range 40 {
-		old.Report(t0, ProbeResult{Server: s.ID, Result: OK, Report: Report{Connections: 40, Load: 0.5, Util: -1}})
+		old.Observe(t0, ProbeResult{Server: s.ID, Result: OK, Report: Report{Connections: 40, Load: 0.5, Util: -1}})
 	}
-	old.Report(t0, ProbeResult{Server: servers[1].ID, Result: Timeout, Report: NoReport})
-	old.Report(t0, ProbeResult{Server: servers[1].ID, Result: Timeout, Report: NoReport})
+	old.Observe(t0, ProbeResult{Server: servers[1].ID, Result: Timeout, Report: NoReport})
+	old.Observe(t0, ProbeResult{Server: servers[1].ID, Result: Timeout, Report: NoReport})
 	now := t0 + time.Hour
 	next := begin(now)
-	next.Recall(now, old.Learned(t0+time.Second))
+	next.Restore(now, old.LearnedState(t0+time.Second))
 	got, bad := next.b.byID[servers[0].ID], next.b.byID[servers[1].ID]
 	if got.capacity != s.capacity || got.capacity == 0 || !got.has || got.report.Load != 0.5 || got.since != now-time.Second {
 		t.Errorf("learned %+v, recalled %+v", s, got)
@@ -146,25 +146,25 @@
 		t.Errorf("a condemned server is taken for %+v", bad.health)
 	}
 	// From hours ago, on a clock that is younger than that: what was there before is known, and what has started since is not.
-	kept := old.Learned(t0)
-	kept.Ago = now + time.Hour
+	kept := old.LearnedState(t0)
+	kept.Age = now + time.Hour
 	long := begin(now)
-	long.Recall(now, kept)
+	long.Restore(now, kept)
 	if got := long.b.byID[servers[0].ID]; got.capacity != s.capacity {
 		t.Errorf("of long ago %+v is left", got)
 	}
-	kept.Ago = 10 * time.Second
+	kept.Age = 10 * time.Second
 	fresh := slices.Clone(servers)
 	fresh[0].Started = now - time.Second
-	long.Report(now, ServerList{Kind: ListFull, Servers: fresh})
+	long.Observe(now, ServerList{Kind: ListFull, Servers: fresh})
 	long.b.byID[servers[0].ID].capacity = 0
-	long.Recall(now, kept)
+	long.Restore(now, kept)
 	if got := long.b.byID[servers[0].ID]; got.capacity != 0 {
 		t.Errorf("of an ended process %+v is believed", got)
 	}
 	set.Zones++
 	other := begin(now)
-	other.Recall(now, old.Learned(t0))
+	other.Restore(now, old.LearnedState(t0))
 	if len(other.b.zones) != set.Zones {
 		t.Error("zones of other settings were taken over")
 	}
@@ -175,12 +175,12 @@
 func TestArms(t *testing.T) {
 	set := settings()
 	set.Groups = true
-	f := Begin(t0, set, 7)
+	f := NewFacade(t0, set, 7)
 	all := fleet(6, 1)
 	arm := all[0].ID
-	f.Report(t0, ServerList{Kind: ListCached, Servers: all})
+	f.Observe(t0, ServerList{Kind: ListCached, Servers: all})
 	weight := uint64(2) // groups below it
-	f.Report(t0, CanaryGroup{Contains: func(id ServerID) bool { return id == arm }, Assigned: func(group uint64) bool { return group <= weight }})
+	f.Observe(t0, CanaryGroup{Contains: func(id ServerID) bool { return id == arm }, Assigned: func(group uint64) bool { return group <= weight }})
 	next := RequestID(0)
 	sent := func(group uint64) (at ServerID) {
 		next++
@@ -190,7 +190,7 @@
 			todo = todo[1:]
 			switch {
 			case v.Kind == ActionProbe:
-				todo = append(todo, f.Report(t0, ProbeResult{Server: v.Server, Result: OK, Report: Report{Connections: 1, Load: 0.1, Util: -1}})...)
+				todo = append(todo, f.Observe(t0, ProbeResult{Server: v.Server, Result: OK, Report: Report{Connections: 1, Load: 0.1, Util: -1}})...)
 			case v.Kind == ActionSend && v.ID == next:
 				at = v.Server
 			}
@@ -204,8 +204,8 @@
 	}
 	gone := all[0]
 	gone.State = Draining
-	f.Report(t0, ServerList{Kind: ListDelta, Servers: []Server{gone}})
-	if sent(1); f.Strayed() != 0 {
+	f.Observe(t0, ServerList{Kind: ListDelta, Servers: []Server{gone}})
+	if sent(1); f.CanaryOverflows() != 0 {
 		t.Error("given up before it was held")
 	}
 	strayed := false
@@ -214,23 +214,23 @@
 			strayed = strayed || v.Kind == ActionSend && v.ID == next && v.Server != arm
 		}
 	}
-	if !strayed || f.Strayed() != 1 {
-		t.Errorf("with the arm draining: sent elsewhere %v, counted %d", strayed, f.Strayed())
+	if !strayed || f.CanaryOverflows() != 1 {
+		t.Errorf("with the arm draining: sent elsewhere %v, counted %d", strayed, f.CanaryOverflows())
 	}
 }
 
 // TestUnsent: a send that was not carried out leaves nothing on its server. The request goes on if it may, and numbers go on.
 func TestUnsent(t *testing.T) {
 	for _, closed := range []bool{false, true} {
-		f := Begin(t0, settings(), 7)
-		f.Report(t0, ServerList{Kind: ListCached, Servers: fleet(1, 1)})
+		f := NewFacade(t0, settings(), 7)
+		f.Observe(t0, ServerList{Kind: ListCached, Servers: fleet(1, 1)})
 		server := fleet(1, 1)[0].ID
 		f.Pick(t0, Request{ID: 1, Deadline: t0 + 2*time.Second, Load: 0.1})
-		f.Report(t0, ProbeResult{Server: server, Result: OK, Report: Report{Connections: 1, Load: 0.1, Util: -1}})
+		f.Observe(t0, ProbeResult{Server: server, Result: OK, Report: Report{Connections: 1, Load: 0.1, Util: -1}})
 		if s, r := f.b.byID[server], f.b.requests[1]; s.mine != 1 || r == nil || !r.open {
 			t.Fatalf("%v connections, request %+v", s.mine, r)
 		}
-		f.Report(t0, SendSkipped{ID: 1, Final: closed})
+		f.Observe(t0, SendSkipped{ID: 1, Final: closed})
 		r := f.b.requests[1]
 		if s := f.b.byID[server]; s.mine != 0 || len(s.conns) != 0 || closed != (r == nil) {
 			t.Errorf("closed %v: %v connections, request %+v", closed, s.mine, r)
@@ -238,10 +238,10 @@
 		if r != nil && (r.tries != 1 || r.ran || r.open) {
 			t.Errorf("%d tries, ran %v, open %v", r.tries, r.ran, r.open)
 		}
-		if list := f.Report(t0, SendSkipped{ID: 1}); len(list) != 0 {
+		if list := f.Observe(t0, SendSkipped{ID: 1}); len(list) != 0 {
 			t.Errorf("closed %v: verdicts %v on a second word", closed, list)
 		}
-		if list := f.Report(t0, SendSkipped{ID: 9}); len(list) != 0 {
+		if list := f.Observe(t0, SendSkipped{ID: 9}); len(list) != 0 {
 			t.Errorf("verdicts %v of a request that is not known", list)
 		}
 	}
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -29,8 +29,8 @@
 		p.held[s.ID] = map[RequestID]uint64{}
 	}
 	for i := range relays {
-		f := Begin(t0, set, 1000*seed+uint64(i))
-		f.Report(t0, ServerList{ListFull, p.list})
+		f := NewFacade(t0, set, 1000*seed+uint64(i))
+		f.Observe(t0, ServerList{ListFull, p.list})
 		p.relays = append(p.relays, f)
 	}
 	return p
@@ -49,17 +49,17 @@
 		switch v.Kind {
 		case ActionSend:
 			p.held[v.Server][v.ID] = p.group[v.ID]
-			p.do(now, f, f.Report(now, FlowEstablished{v.ID}))
+			p.do(now, f, f.Observe(now, FlowEstablished{v.ID}))
 		case ActionProbe:
 			p.probes++
-			p.do(now, f, f.Report(now, ProbeResult{v.Server, OK, p.reports[v.Server]}))
+			p.do(now, f, f.Observe(now, ProbeResult{v.Server, OK, p.reports[v.Server]}))
 		case ActionReject, ActionFail:
 			p.turned++
 		case ActionMigrate:
 			for _, at := range p.held {
 				delete(at, v.ID)
 			}
-			p.do(now, f, f.Report(now, AttemptEnded{ID: v.ID, Result: Cancelled, Final: true, Report: NoReport}))
+			p.do(now, f, f.Observe(now, AttemptEnded{ID: v.ID, Result: Cancelled, Final: true, Report: NoReport}))
 		}
 	}
 }
@@ -132,7 +132,7 @@
 			clear(p.held[p.list[i].ID])
 		}
 		for _, f := range p.relays {
-			p.do(now, f, f.Report(now, ServerList{ListDelta, p.list[gone : gone+2]}))
+			p.do(now, f, f.Observe(now, ServerList{ListDelta, p.list[gone : gone+2]}))
 		}
 		now = p.place(now, ids) + time.Second
 	}
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -8,16 +8,16 @@
 // This file passes what a Balancer has learned on to the one that takes its place. It
 // decides nothing. Times are ages, since the two have clocks of their own.
 
-// Learned is what is worth keeping of a Balancer.
-type Learned struct {
-	MeanLoad  float64                    `json:"MeanLoad"`
-	ClassLoad []float64                  `json:"ClassLoad"`
-	Lent      []float64                  `json:"Lent"` // the lending threshold of each tenant's servers
-	Fill      []float64                  `json:"Fill"` // of each zone
-	Kinds     map[int][2]float64         `json:"Kinds"`
-	Daring    float64                    `json:"Daring"`
-	Servers   map[ServerID]LearnedServer `json:"Servers"`
-	Ago       time.Duration              `json:"Ago"` // when all this was learned
+// LearnedState is what is worth keeping of a Balancer.
+type LearnedState struct {
+	MeanLoad          float64                    `json:"MeanLoad"`
+	ClassLoad         []float64                  `json:"ClassLoad"`
+	LendingThresholds []float64                  `json:"Lent"` // the lending threshold of each tenant's servers
+	ZoneFill          []float64                  `json:"Fill"` // of each zone
+	Kinds             map[int][2]float64         `json:"Kinds"`
+	AdmissionRate     float64                    `json:"Daring"`
+	Servers           map[ServerID]LearnedServer `json:"Servers"`
+	Age               time.Duration              `json:"Ago"` // when all this was learned
 }
 
 // LearnedServer is what is worth keeping of one server.
@@ -26,62 +26,62 @@
 	Reports  float64       `json:"Reports"`
 	Load     float64       `json:"Load"` // its last report's; negative for none
 	Age      time.Duration `json:"Age"`  // of that report
-	Fails    int           `json:"Fails"`
-	Bad      bool          `json:"Bad"`
-	Pause    time.Duration `json:"Pause"` // until it may be tried again
-	Up       time.Duration `json:"Up"`    // since its start; 0 if long ago
+	Failures int           `json:"Fails"`
+	Ejected  bool          `json:"Bad"`
+	Backoff  time.Duration `json:"Pause"` // until it may be tried again
+	Uptime   time.Duration `json:"Up"`    // since its start; 0 if long ago
 }
 
-// Learned is what b has learned.
-func (f *Facade) Learned(now time.Duration) Learned {
+// LearnedState is what b has learned.
+func (f *Facade) LearnedState(now time.Duration) LearnedState {
 	b := f.b
-	l := Learned{MeanLoad: b.meanLoad, ClassLoad: b.classLoad, Lent: b.h, Kinds: map[int][2]float64{},
-		Daring: b.daring, Servers: map[ServerID]LearnedServer{}}
+	l := LearnedState{MeanLoad: b.meanLoad, ClassLoad: b.classLoad, LendingThresholds: b.h, Kinds: map[int][2]float64{},
+		AdmissionRate: b.daring, Servers: map[ServerID]LearnedServer{}}
 	for _, z := range b.zones {
-		l.Fill = append(l.Fill, z.fill)
+		l.ZoneFill = append(l.ZoneFill, z.fill)
 	}
 	for kind, k := range b.kinds {
 		l.Kinds[kind] = [2]float64{k.inflight, k.capacity}
 	}
 	for _, s := range b.servers {
-		kept := LearnedServer{Capacity: s.capacity, Reports: s.reports, Load: -1, Fails: s.fails, Bad: s.bad,
-			Pause: max(s.until-now, 0)}
+		kept := LearnedServer{Capacity: s.capacity, Reports: s.reports, Load: -1, Failures: s.fails, Ejected: s.bad,
+			Backoff: max(s.until-now, 0)}
 		if s.has && s.report.Load <= math.MaxFloat64 {
 			kept.Load, kept.Age = s.report.Load, now-s.since
 		}
 		if s.Started != 0 {
-			kept.Up = now - s.Started
+			kept.Uptime = now - s.Started
 		}
 		l.Servers[s.ID] = kept
 	}
 	return l
 }
 
-// Recall takes over what another has learned of the same deployment. It comes after
+// Restore takes over what another has learned of the same deployment. It comes after
 // the list of servers; what does not fit the settings is left out.
-func (f *Facade) Recall(now time.Duration, l Learned) {
+func (f *Facade) Restore(now time.Duration, l LearnedState) {
 	b := f.b
-	if len(l.ClassLoad) == len(b.classLoad) && len(l.Lent) == len(b.h) && len(l.Fill) == len(b.zones) {
+	if len(l.ClassLoad) == len(b.classLoad) && len(l.LendingThresholds) == len(b.h) && len(l.ZoneFill) == len(b.zones) {
 		copy(b.classLoad, l.ClassLoad)
-		copy(b.h, l.Lent)
-		for i, fill := range l.Fill {
+		copy(b.h, l.LendingThresholds)
+		for i, fill := range l.ZoneFill {
 			b.zones[i].fill = fill
 		}
-		b.meanLoad, b.daring = l.MeanLoad, l.Daring
+		b.meanLoad, b.daring = l.MeanLoad, l.AdmissionRate
 	}
 	for id, k := range l.Kinds {
 		b.kinds[id] = &kind{k[0], k[1]}
 	}
 	for _, s := range b.servers {
 		kept, known := l.Servers[s.ID]
-		if !known || s.Started != 0 && s.Started > now-l.Ago { // it is another process by now
+		if !known || s.Started != 0 && s.Started > now-l.Age { // it is another process by now
 			continue
 		}
 		s.capacity, s.reports = kept.Capacity, kept.Reports
-		if up := now - kept.Up; kept.Up > 0 && up > s.Started {
+		if up := now - kept.Uptime; kept.Uptime > 0 && up > s.Started {
 			s.Started = up
 		}
-		s.fails, s.bad, s.until = kept.Fails, kept.Bad, now+kept.Pause
+		s.fails, s.bad, s.until = kept.Failures, kept.Ejected, now+kept.Backoff
 		if kept.Load >= 0 {
 			s.report, s.has = Report{Connections: -1, Load: kept.Load, Util: -1, Backlog: -1}, true
 			s.since, s.reported = now-kept.Age, now-kept.Age
--- a/policy/members.go
+++ b/policy/members.go
@@ -97,7 +97,7 @@
 }
 
 func (b *Balancer) listed(now time.Duration, how ListKind, e Server) {
-	e = saneServer(e, b.set.Zones)
+	e = normalizeServer(e, b.set.Zones)
 	s := b.byID[e.ID]
 	if s == nil {
 		if e.State == Gone {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -62,7 +62,7 @@
 
 // New makes a Balancer. It puts safe values in place of senseless settings.
 func New(set Settings, seed uint64, actions Executor) *Balancer {
-	set = sane(set)
+	set = normalize(set)
 	b := &Balancer{set: set, act: actions, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
 		byID: map[ServerID]*server{}, requests: map[RequestID]*request{},
 		zones:   slices.Repeat([]zone{{fill: easy}}, set.Zones), // until reports say otherwise
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// sane returns settings that every decision below can rely on.
-func sane(s Settings) Settings {
+// normalize returns settings that every decision below can rely on.
+func normalize(s Settings) Settings {
 	within := func(v, lo, hi, otherwise float64) float64 {
 		if math.IsNaN(v) || v < lo || v > hi {
 			return otherwise
@@ -54,8 +54,8 @@
 	return s
 }
 
-// saneServer does the same for an entry of the server list.
-func saneServer(e Server, zones int) Server {
+// normalizeServer does the same for an entry of the server list.
+func normalizeServer(e Server, zones int) Server {
 	e.Zone = min(max(e.Zone, 0), zones-1)
 	if math.IsNaN(e.Weight) || e.Weight <= 0 || e.Weight > 1e9 {
 		e.Weight = 1
