--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -190,7 +190,7 @@
 		if kind != policy.ListFailed {
 			servers = d.lists[list]
 		}
-		b.Members(now, kind, servers)
+		b.UpdateServers(now, kind, servers)
 	case evCall:
 		q := call{ID: policy.RequestID(c.u64()), Group: c.u64()}
 		q.Deadline = c.ms()
@@ -209,19 +209,19 @@
 		q.Group = c.u64()
 		q.set(c.u16(), load)
 		if server := policy.ServerID(c.u32()); !c.short {
-			b.Existing(now, policy.Request(q), server)
+			b.AddExisting(now, policy.Request(q), server)
 		}
 	case evFirst:
 		r := policy.RequestID(c.u64())
 		c.skip(1 + 8 + 4)
 		if !c.short {
-			b.First(now, r)
+			b.Established(now, r)
 		}
 	case evResolved:
 		return d.resolved(c, b, id, now)
 	case evAborted:
 		if r := policy.RequestID(c.u64()); !c.short {
-			b.Ended(now, r)
+			b.RequestEnded(now, r)
 		}
 	case evTimer:
 		if token := c.u64(); !c.short {
@@ -236,7 +236,7 @@
 			return err
 		}
 		if !c.short {
-			b.Probed(now, server, result, report)
+			b.ProbeResult(now, server, result, report)
 		}
 	case evNote:
 		r := policy.RequestID(c.u64())
@@ -247,10 +247,10 @@
 		}
 		switch what {
 		case noteLoad:
-			b.Load(now, r, value/1e6)
+			b.UpdateLoad(now, r, value/1e6)
 		case noteSlow:
 			if slow, ok := settings.Millis(value); ok {
-				b.Slow(now, r, slow)
+				b.ObserveLatency(now, r, slow)
 			}
 		}
 	case evPeer:
@@ -274,7 +274,7 @@
 	o.Server = policy.ServerID(c.u32())
 	o.Report = c.report(d.reports[id])
 	if err == nil && !c.short {
-		b.Outcome(now, o)
+		b.AttemptEnded(now, o)
 	}
 	return err
 }
--- a/policy/arrival.go
+++ b/policy/arrival.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// Existing takes a connection that was open through this proxy at its start.
-func (b *Balancer) Existing(now time.Duration, q Request, id ServerID) {
+// AddExisting takes a connection that was open through this proxy at its start.
+func (b *Balancer) AddExisting(now time.Duration, q Request, id ServerID) {
 	if b.requests[q.ID] != nil {
 		return
 	}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -30,13 +30,13 @@
 	}, 1, p)
 	b.Start()
 	now := time.Hour // any monotonic clock
-	b.Members(now, policy.ListFull, []policy.Server{{ID: 1, State: policy.Ready, Weight: 1}})
+	b.UpdateServers(now, policy.ListFull, []policy.Server{{ID: 1, State: policy.Ready, Weight: 1}})
 	b.Request(now, policy.Request{ID: 42, Tenant: 1, Deadline: now + 2*time.Second})
 	for _, server := range p.probes { // the proxy asks the servers and hands in what they say
-		b.Probed(now, server, policy.OK, policy.Report{Connections: 3, Load: 0.4, Util: -1})
+		b.ProbeResult(now, server, policy.OK, policy.Report{Connections: 3, Load: 0.4, Util: -1})
 	}
-	b.First(now+20*time.Millisecond, 42)
-	b.Outcome(now+time.Minute, policy.Outcome{ID: 42, Server: 1, Result: policy.Cancelled, Final: true,
+	b.Established(now+20*time.Millisecond, 42)
+	b.AttemptEnded(now+time.Minute, policy.Outcome{ID: 42, Server: 1, Result: policy.Cancelled, Final: true,
 		Report: policy.NoReport})
 	// Output: connect client 42 to server 1 within 1.2s
 }
--- a/policy/facade.go
+++ b/policy/facade.go
@@ -86,20 +86,20 @@
 	}
 )
 
-func (n ServerList) apply(b *Balancer, now time.Duration)      { b.Members(now, n.Kind, n.Servers) }
-func (n ExistingFlow) apply(b *Balancer, now time.Duration)    { b.Existing(now, n.Request, n.Server) }
-func (n FlowEstablished) apply(b *Balancer, now time.Duration) { b.First(now, n.ID) }
-func (n AttemptEnded) apply(b *Balancer, now time.Duration)    { b.Outcome(now, Outcome(n)) }
+func (n ServerList) apply(b *Balancer, now time.Duration)      { b.UpdateServers(now, n.Kind, n.Servers) }
+func (n ExistingFlow) apply(b *Balancer, now time.Duration)    { b.AddExisting(now, n.Request, n.Server) }
+func (n FlowEstablished) apply(b *Balancer, now time.Duration) { b.Established(now, n.ID) }
+func (n AttemptEnded) apply(b *Balancer, now time.Duration)    { b.AttemptEnded(now, Outcome(n)) }
 func (n SendSkipped) apply(b *Balancer, now time.Duration) {
 	if r := b.requests[n.ID]; r != nil && r.at != nil {
-		b.Outcome(now, Outcome{ID: n.ID, Attempt: r.tries - 1, Server: r.at.ID, Result: NotSent, Final: n.Final, Report: NoReport})
+		b.AttemptEnded(now, Outcome{ID: n.ID, Attempt: r.tries - 1, Server: r.at.ID, Result: NotSent, Final: n.Final, Report: NoReport})
 	}
 }
-func (n ClientGone) apply(b *Balancer, now time.Duration) { b.Ended(now, n.ID) }
+func (n ClientGone) apply(b *Balancer, now time.Duration) { b.RequestEnded(now, n.ID) }
 func (n ProbeResult) apply(b *Balancer, now time.Duration) {
-	b.Probed(now, n.Server, n.Result, n.Report)
+	b.ProbeResult(now, n.Server, n.Result, n.Report)
 }
-func (n FlowLoad) apply(b *Balancer, now time.Duration) { b.Load(now, n.ID, n.Load) }
+func (n FlowLoad) apply(b *Balancer, now time.Duration) { b.UpdateLoad(now, n.ID, n.Load) }
 func (n ActiveRelays) apply(b *Balancer, _ time.Duration) {
 	if n.Count >= 1 { // a senseless one moves nothing
 		b.relays = n.Count
@@ -111,7 +111,7 @@
 		s.arm = b.inArm(s.ID)
 	}
 }
-func (n MessageLatency) apply(b *Balancer, now time.Duration) { b.Slow(now, n.ID, n.Latency) }
+func (n MessageLatency) apply(b *Balancer, now time.Duration) { b.ObserveLatency(now, n.ID, n.Latency) }
 
 // CanaryOverflows is how many connections were drawn for an arm and went elsewhere, since it had no room.
 func (f *Facade) CanaryOverflows() uint64 { return f.b.strayed }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -158,7 +158,7 @@
 			for p := uint64(0); p < want; p++ {
 				g := newRig(set, nil)
 				g.Balancer = New(set, 1000*trial+p, g.recorder)
-				g.Members(t0, ListDelta, []Server{{ID: 1, State: Ready, Weight: 1, Started: t0}})
+				g.UpdateServers(t0, ListDelta, []Server{{ID: 1, State: Ready, Weight: 1, Started: t0}})
 				now, s := t0+time.Duration(rng.Int64N(int64(500*ms))), g.servers[0]
 				if g.warmEnough(now, &request{Request: Request{Group: group}, load: 1}, s) {
 					sent++
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -151,7 +151,7 @@
 		for _, e := range list {
 			w.told[e.ID], w.list[e.ID] = e.State, e
 		}
-		w.b.Members(w.now, how, list)
+		w.b.UpdateServers(w.now, how, list)
 	}
 	list := fleet(8, 2)
 	tell(ListCached, list)
@@ -186,21 +186,21 @@
 			if result == OK || r.stands {
 				r.ended = true
 			}
-			w.b.Outcome(w.now, Outcome{ID: a.id, Attempt: a.try, Server: a.server, Result: result, Final: r.ended,
+			w.b.AttemptEnded(w.now, Outcome{ID: a.id, Attempt: a.try, Server: a.server, Result: result, Final: r.ended,
 				Report: Report{Connections: float64(draw() % 30), Load: float64(draw()) / 100, Util: -1}})
 		case 6: // a connection stands
 			if len(w.out) > 0 {
 				a := w.out[draw()%len(w.out)]
 				if r := w.requests[a.id]; !r.ended && r.open {
 					r.stands, r.ended = true, true
-					w.b.First(w.now, a.id)
+					w.b.Established(w.now, a.id)
 				}
 			}
 		case 7: // a probe is answered
 			if len(w.probing) > 0 {
 				id := w.probing[0]
 				w.probing = w.probing[1:]
-				w.b.Probed(w.now, id, Result(draw()%8), Report{Connections: float64(draw() % 30),
+				w.b.ProbeResult(w.now, id, Result(draw()%8), Report{Connections: float64(draw() % 30),
 					Load: float64(draw()) / 100, Util: -1})
 			}
 		case 8: // the list changes
@@ -211,7 +211,7 @@
 			}
 			switch how := ListKind(draw() % 4); how {
 			case ListFailed:
-				w.b.Members(w.now, ListFailed, nil)
+				w.b.UpdateServers(w.now, ListFailed, nil)
 			case ListDelta:
 				tell(ListDelta, []Server{e})
 			default:
@@ -223,10 +223,10 @@
 			id := RequestID(draw()) % (next + 2)
 			if r := w.requests[id]; r != nil && draw()%2 == 0 {
 				r.ended = true
-				w.b.Ended(w.now, id)
+				w.b.RequestEnded(w.now, id)
 			}
-			w.b.Slow(w.now, id, time.Duration(draw())*ms)
-			w.b.Load(w.now, id, float64(draw()))
+			w.b.ObserveLatency(w.now, id, time.Duration(draw())*ms)
+			w.b.UpdateLoad(w.now, id, float64(draw()))
 			w.b.Timer(w.now, uint64(draw())<<56|uint64(id))
 		}
 	}
--- a/policy/members.go
+++ b/policy/members.go
@@ -43,8 +43,8 @@
 	b.act.Timer(time.Duration(span*b.rng.Float64()), tokenWatch)
 }
 
-// Members takes what discovery says of the servers.
-func (b *Balancer) Members(now time.Duration, how ListKind, list []Server) {
+// UpdateServers takes what discovery says of the servers.
+func (b *Balancer) UpdateServers(now time.Duration, how ListKind, list []Server) {
 	if how == ListFailed {
 		if b.set.Subscribe {
 			b.watching = false
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -7,8 +7,8 @@
 
 // This file is how attempts end, and what falls due.
 
-// First says that a connection stands.
-func (b *Balancer) First(now time.Duration, id RequestID) {
+// Established says that a connection stands.
+func (b *Balancer) Established(now time.Duration, id RequestID) {
 	if r := b.requests[id]; r != nil && r.open {
 		r.established, r.done = true, true
 		b.good(r.at)
@@ -18,8 +18,8 @@
 	}
 }
 
-// Outcome ends an attempt, before the connection stood or after.
-func (b *Balancer) Outcome(now time.Duration, o Outcome) {
+// AttemptEnded ends an attempt, before the connection stood or after.
+func (b *Balancer) AttemptEnded(now time.Duration, o Outcome) {
 	if s := b.byID[o.Server]; s != nil {
 		b.take(now, s, o.Report)
 	}
@@ -74,8 +74,8 @@
 	return 2*failing > len(b.servers)
 }
 
-// Ended says that the client left or that the request is over.
-func (b *Balancer) Ended(now time.Duration, id RequestID) {
+// RequestEnded says that the client left or that the request is over.
+func (b *Balancer) RequestEnded(now time.Duration, id RequestID) {
 	if r := b.requests[id]; r != nil {
 		r.done = true
 		b.forget(r)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -106,7 +106,7 @@
 	g := &rig{recorder: rec, now: t0, load: map[ServerID]float64{}, count: map[ServerID]float64{}}
 	g.Balancer = New(set, 7, rec)
 	g.Start()
-	g.Members(t0, ListCached, list)
+	g.UpdateServers(t0, ListCached, list)
 	return g
 }
 
@@ -119,7 +119,7 @@
 		if !ok {
 			n = 10
 		}
-		g.Probed(g.now, id, OK, Report{Connections: n, Load: g.load[id], Util: -1})
+		g.ProbeResult(g.now, id, OK, Report{Connections: n, Load: g.load[id], Util: -1})
 	}
 }
 
@@ -174,7 +174,7 @@
 	rand.New(rand.NewPCG(1, 2)).Shuffle(len(shuffled), func(i, j int) {
 		shuffled[i], shuffled[j] = shuffled[j], shuffled[i]
 	})
-	b.Members(t0, ListCached, shuffled)
+	b.UpdateServers(t0, ListCached, shuffled)
 	ids := func(b *Balancer, tenant int) (ids []ServerID) {
 		for _, s := range b.homeSlice(tenant) {
 			ids = append(ids, s.ID)
@@ -195,7 +195,7 @@
 	before := ids(a.Balancer, 0)
 	gone := list[0]
 	gone.State = Gone
-	a.Members(t0, ListDelta, []Server{gone})
+	a.UpdateServers(t0, ListDelta, []Server{gone})
 	after := ids(a.Balancer, 0)
 	for _, id := range after {
 		if !contains(before, id) {
@@ -313,12 +313,12 @@
 	for seed := range uint64(200) {
 		rec := &recorder{}
 		b := New(set, seed, rec)
-		b.Members(t0, ListCached, list)
+		b.UpdateServers(t0, ListCached, list)
 		b.Request(t0, Request{ID: 1, Deadline: t0 + time.Second, Load: 0.1})
 		for len(rec.probes) > 0 {
 			id := rec.probes[0]
 			rec.probes = rec.probes[1:]
-			b.Probed(t0, id, OK, Report{Connections: 10, Load: map[bool]float64{true: 0.1, false: 0.3}[id == list[0].ID], Util: -1})
+			b.ProbeResult(t0, id, OK, Report{Connections: 10, Load: map[bool]float64{true: 0.1, false: 0.3}[id == list[0].ID], Util: -1})
 		}
 		hits[rec.sends[0].server]++
 	}
@@ -360,7 +360,7 @@
 	for seed := range uint64(40) {
 		rec := &recorder{}
 		g := &rig{Balancer: New(set, seed, rec), recorder: rec, now: t0, load: map[ServerID]float64{}}
-		g.Members(t0, ListCached, fleet(20, 1))
+		g.UpdateServers(t0, ListCached, fleet(20, 1))
 		used[g.where(g.ask(Request{Tenant: int(seed % 2), Group: 77, Load: 0.1}))] = true
 	}
 	if len(used) > 1 || used[0] {
@@ -382,7 +382,7 @@
 				held = s.ID
 			}
 		}
-		g.Existing(g.now, Request{ID: 500, Group: 77, Load: 0.1}, held)
+		g.AddExisting(g.now, Request{ID: 500, Group: 77, Load: 0.1}, held)
 		g.load[held] = load
 		g.now += time.Second
 		if to := g.where(g.ask(Request{Group: 77, Load: 0.1})); (to == held) != (load < brim) {
@@ -408,7 +408,7 @@
 		for seed := range uint64(40) {
 			rec := &recorder{}
 			g := &rig{Balancer: New(set, seed, rec), recorder: rec, now: t0, load: map[ServerID]float64{}}
-			g.Members(t0, ListCached, fleet(8, 1))
+			g.UpdateServers(t0, ListCached, fleet(8, 1))
 			for _, s := range g.servers {
 				g.load[s.ID] = others
 			}
@@ -432,7 +432,7 @@
 	})
 	for room, want := range map[int]ServerID{groupReach - 1: list[groupReach-1].ID, groupReach: 0} { // the first that has any
 		g := newRig(set, nil)
-		g.Members(t0, ListCached, slices.Clone(list))
+		g.UpdateServers(t0, ListCached, slices.Clone(list))
 		for i, e := range list {
 			g.load[e.ID] = 0.95
 			if i >= room {
@@ -459,7 +459,7 @@
 				list[i].Started = t0 - 3*time.Second
 			}
 		}
-		g.Members(t0-3*time.Second, ListCached, list)
+		g.UpdateServers(t0-3*time.Second, ListCached, list)
 		for _, s := range g.servers {
 			g.load[s.ID] = 0.6
 		}
@@ -503,7 +503,7 @@
 				g.load[s.ID] = 0.6
 			}
 			g.ask(Request{Tenant: g.byID[list[0].ID].owner})
-			g.Members(g.now, tt.how, tt.tell)
+			g.UpdateServers(g.now, tt.how, tt.tell)
 			before := len(g.sends)
 			for i := range 20 {
 				g.now += 500 * ms
@@ -533,7 +533,7 @@
 		g := &rig{Balancer: New(set, seed, rec), recorder: rec, now: t0, load: map[ServerID]float64{}}
 		cold := append([]Server(nil), list...)
 		cold[0].Started = t0 - ms
-		g.Members(t0, ListCached, cold)
+		g.UpdateServers(t0, ListCached, cold)
 		for _, s := range list[1:] {
 			g.load[s.ID] = 0.7
 		}
@@ -563,7 +563,7 @@
 			g.Balancer = New(set, seed, g.recorder)
 			cold := append([]Server(nil), list...)
 			cold[0].Started = t0 - ms
-			g.Members(t0, ListCached, cold)
+			g.UpdateServers(t0, ListCached, cold)
 			for _, s := range list[1:] {
 				g.load[s.ID] = 0.7
 			}
@@ -598,7 +598,7 @@
 			if g.where(id) == 0 {
 				t.Fatalf("%s: client %d found no room, with %v and %v connections", name, n, g.servers[0].mine, g.servers[1].mine)
 			}
-			g.First(g.now, id)
+			g.Established(g.now, id)
 		}
 	}
 }
@@ -641,7 +641,7 @@
 			for p := range uint64(proxies) {
 				g := newRig(set, nil)
 				g.Balancer = New(set, 100*trial+p, g.recorder)
-				g.Members(t0, ListDelta, []Server{{ID: 1, State: Ready, Weight: 1, Started: t0}})
+				g.UpdateServers(t0, ListDelta, []Server{{ID: 1, State: Ready, Weight: 1, Started: t0}})
 				all = append(all, g)
 			}
 			for now := t0; now < t0+set.OverloadWindow; now += 10 * ms {
@@ -691,7 +691,7 @@
 			g := newRig(set, fleet(20, 2))
 			id := g.ask(Request{Load: 0.1})
 			first := g.byID[g.where(id)].Server
-			g.Outcome(g.now, Outcome{ID: id, Server: first.ID, Result: tt.result, Report: NoReport})
+			g.AttemptEnded(g.now, Outcome{ID: id, Server: first.ID, Result: tt.result, Report: NoReport})
 			g.daring = 1 // the storm guard is not what is tested
 			g.answer()
 			g.fire(400 * ms)
@@ -708,7 +708,7 @@
 				if g.ends[id] != "" {
 					break
 				}
-				g.Outcome(g.now, Outcome{ID: id, Attempt: g.requests[id].tries - 1, Server: at.ID, Result: tt.result, Report: NoReport})
+				g.AttemptEnded(g.now, Outcome{ID: id, Attempt: g.requests[id].tries - 1, Server: at.ID, Result: tt.result, Report: NoReport})
 				g.answer()
 				g.fire(1900 * ms)
 			}
@@ -725,7 +725,7 @@
 	for result, wait := range map[Result]bool{Timeout: true, Error: true, Full: false, ConnectFailed: false} {
 		g := newRig(settings(), fleet(10, 1))
 		id := g.ask(Request{Load: 0.1})
-		g.Outcome(g.now, Outcome{ID: id, Server: g.where(id), Result: result, Report: NoReport})
+		g.AttemptEnded(g.now, Outcome{ID: id, Server: g.where(id), Result: result, Report: NoReport})
 		g.answer()
 		if waited := len(g.sends) == 1; waited != wait {
 			t.Errorf("result %d: waited %v, want %v", result, waited, wait)
@@ -750,9 +750,9 @@
 			}
 			sent++
 			if result == OK {
-				g.First(g.now, id)
+				g.Established(g.now, id)
 			}
-			g.Outcome(g.now, Outcome{ID: id, Server: g.where(id), Result: result, Final: result == OK, Report: NoReport})
+			g.AttemptEnded(g.now, Outcome{ID: id, Server: g.where(id), Result: result, Final: result == OK, Report: NoReport})
 			g.answer()
 			g.fire(10 * time.Second)
 		}
@@ -783,10 +783,10 @@
 		t.Run(how.name, func(t *testing.T) {
 			g := newRig(settings(), fleet(2, 1))
 			for id := range RequestID(6) {
-				g.Existing(g.now, Request{ID: 100 + id, Load: 0.1}, fleet(2, 1)[id%2].ID)
+				g.AddExisting(g.now, Request{ID: 100 + id, Load: 0.1}, fleet(2, 1)[id%2].ID)
 			}
 			for range 2 {
-				g.Members(g.now, how.kind, how.list(fleet(2, 1)))
+				g.UpdateServers(g.now, how.kind, how.list(fleet(2, 1)))
 			}
 			if len(g.moves) != 3 || g.moves[0]%2 != 0 || g.moves[1]%2 != 0 || g.moves[2]%2 != 0 {
 				t.Errorf("moved %v", g.moves)
@@ -801,19 +801,19 @@
 	g := newRig(settings(), fleet(4, 1))
 	s := g.servers[0]
 	for id := range RequestID(40) {
-		g.Existing(g.now, Request{ID: 100 + id, Load: 0.1}, s.ID)
+		g.AddExisting(g.now, Request{ID: 100 + id, Load: 0.1}, s.ID)
 	}
 	report := Report{Connections: 40, Load: 2, Util: -1, Backlog: 0.05}
-	if g.Probed(g.now, s.ID, OK, report); len(g.moves) != 0 {
+	if g.ProbeResult(g.now, s.ID, OK, report); len(g.moves) != 0 {
 		t.Fatalf("moved %d with little piled up", len(g.moves))
 	}
 	report.Backlog = 0.5
-	g.Probed(g.now, s.ID, OK, report)
+	g.ProbeResult(g.now, s.ID, OK, report)
 	moved := len(g.moves)
 	if moved == 0 || moved == 40 {
 		t.Fatalf("moved %d of 40", moved)
 	}
-	if g.Probed(g.now, s.ID, OK, report); len(g.moves) != moved {
+	if g.ProbeResult(g.now, s.ID, OK, report); len(g.moves) != moved {
 		t.Error("moved more before the relief can show")
 	}
 }
@@ -824,10 +824,10 @@
 	g := newRig(settings(), fleet(2, 1))
 	full, free := g.servers[0], g.servers[1]
 	for id := range RequestID(30) {
-		g.Existing(g.now, Request{ID: 100 + id, Load: 0.1}, full.ID)
+		g.AddExisting(g.now, Request{ID: 100 + id, Load: 0.1}, full.ID)
 	}
-	g.Probed(g.now, free.ID, OK, Report{Connections: 30, Load: 0.5, Util: -1, Backlog: 0})
-	g.Probed(g.now, full.ID, OK, Report{Connections: 30, Load: 0.3, Util: -1, Backlog: 1.5})
+	g.ProbeResult(g.now, free.ID, OK, Report{Connections: 30, Load: 0.5, Util: -1, Backlog: 0})
+	g.ProbeResult(g.now, full.ID, OK, Report{Connections: 30, Load: 0.3, Util: -1, Backlog: 1.5})
 	if len(g.moves) == 0 || len(g.moves) == 30 {
 		t.Errorf("moved %d of 30", len(g.moves))
 	}
@@ -838,7 +838,7 @@
 			if g.probes[0] == full.ID {
 				again.Load, again.Backlog = 0.3, 1.5
 			}
-			g.Probed(g.now, g.probes[0], OK, again)
+			g.ProbeResult(g.now, g.probes[0], OK, again)
 		}
 	}
 	for _, s := range g.sends {
@@ -858,7 +858,7 @@
 	g := newRig(set, fleet(10, 1))
 	id := g.ask(Request{Load: 0.1})
 	g.now += 150 * ms
-	g.Outcome(g.now, Outcome{ID: id, Server: g.where(id), Result: Timeout, Report: NoReport})
+	g.AttemptEnded(g.now, Outcome{ID: id, Server: g.where(id), Result: Timeout, Report: NoReport})
 	g.answer()
 	g.fire(100 * ms)
 	if len(g.sends) != 1 {
@@ -875,10 +875,10 @@
 		t.Fatalf("at the deadline: %q", g.ends[id])
 	}
 	sends := len(g.sends)
-	g.Outcome(g.now+2*time.Second, Outcome{ID: id, Server: g.where(id), Result: Cancelled, Final: true, Report: NoReport})
-	g.Outcome(g.now+2*time.Second, Outcome{ID: id, Server: g.where(id), Result: Cancelled, Final: true, Report: NoReport})
+	g.AttemptEnded(g.now+2*time.Second, Outcome{ID: id, Server: g.where(id), Result: Cancelled, Final: true, Report: NoReport})
+	g.AttemptEnded(g.now+2*time.Second, Outcome{ID: id, Server: g.where(id), Result: Cancelled, Final: true, Report: NoReport})
 	g.fire(time.Hour)
-	g.Ended(g.now, id)
+	g.RequestEnded(g.now, id)
 	if g.ends[id] != "refused" || len(g.sends) != sends || len(g.requests) != 0 {
 		t.Errorf("after the end: %q, %d requests kept", g.ends[id], len(g.requests))
 	}
@@ -907,11 +907,11 @@
 	if len(g.probes) != 1 || g.probes[0] != s.ID {
 		t.Errorf("after one failure probed %v", g.probes)
 	}
-	g.Probed(g.now, s.ID, Timeout, NoReport)
+	g.ProbeResult(g.now, s.ID, Timeout, NoReport)
 	if !s.bad || s.until <= g.now {
 		t.Error("two failures in a row did not condemn the server")
 	}
-	g.Probed(g.now, s.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
+	g.ProbeResult(g.now, s.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
 	if s.bad {
 		t.Error("a probe that was answered did not bring it back")
 	}
@@ -965,7 +965,7 @@
 		id := g.ask(Request{Tenant: 0})
 		s := g.byID[g.where(id)]
 		s.fulls = 2 * i
-		g.Outcome(g.now, Outcome{ID: id, Server: s.ID, Result: Full, Report: NoReport})
+		g.AttemptEnded(g.now, Outcome{ID: id, Server: s.ID, Result: Full, Report: NoReport})
 		if pause := s.until - g.now; pause <= last {
 			t.Errorf("pause %v after %v", pause, last)
 		} else {
@@ -983,10 +983,10 @@
 		g := newRig(settings(), fleet(4, 1))
 		s := g.servers[0]
 		for id := range RequestID(40) {
-			g.Existing(g.now, Request{ID: 100 + id, Load: 0.1}, s.ID)
+			g.AddExisting(g.now, Request{ID: 100 + id, Load: 0.1}, s.ID)
 		}
 		g.take(g.now, s, Report{Connections: 40, Load: tt.load, Util: -1})
-		g.Slow(g.now, 100, 90*ms)
+		g.ObserveLatency(g.now, 100, 90*ms)
 		if got := len(g.moves) > 0; got != tt.moves {
 			t.Errorf("load %v: moved %d", tt.load, len(g.moves))
 		}
@@ -1003,7 +1003,7 @@
 	g := newRig(set, fleet(4, 1))
 	s := g.servers[0]
 	for id := range RequestID(80) {
-		g.Existing(g.now, Request{ID: 100 + id, Load: 0.1, Tenant: int(id % 2)}, s.ID)
+		g.AddExisting(g.now, Request{ID: 100 + id, Load: 0.1, Tenant: int(id % 2)}, s.ID)
 	}
 	g.take(g.now, s, Report{Connections: 80, Load: 1.1, Util: -1})
 	g.relieve(g.now, s)
@@ -1045,11 +1045,11 @@
 				g := newRig(set, fleet(4, 1))
 				s := g.servers[0]
 				for id := range RequestID(60) { // the second class is five times as heavy
-					g.Existing(g.now, Request{ID: 100 + id, Class: int(id % 2), Load: 0.1 + 0.4*float64(id%2)}, s.ID)
+					g.AddExisting(g.now, Request{ID: 100 + id, Class: int(id % 2), Load: 0.1 + 0.4*float64(id%2)}, s.ID)
 				}
 				for _, load := range tt.loads {
 					g.now += time.Second
-					g.Probed(g.now, s.ID, OK, Report{Connections: 60, Load: load, Util: -1, Backlog: -1})
+					g.ProbeResult(g.now, s.ID, OK, Report{Connections: 60, Load: load, Util: -1, Backlog: -1})
 				}
 				gone, dear := 0.0, 0
 				for _, id := range g.moves {
@@ -1079,8 +1079,8 @@
 		for i, s := range g.servers {
 			g.load[s.ID], g.count[s.ID] = tt.load, 1000
 			for class, load := range []float64{0.1, 0.5} {
-				g.Existing(g.now, Request{ID: RequestID(500 + 2*i + class), Class: class}, s.ID)
-				g.Balancer.Load(g.now, RequestID(500+2*i+class), load)
+				g.AddExisting(g.now, Request{ID: RequestID(500 + 2*i + class), Class: class}, s.ID)
+				g.Balancer.UpdateLoad(g.now, RequestID(500+2*i+class), load)
 			}
 		}
 		id := g.ask(Request{Class: tt.class, Load: []float64{0.1, 0.5}[tt.class]})
@@ -1104,10 +1104,10 @@
 		for result, want := range map[Result]int{Timeout: 5, ConnectFailed: 0, Reset: 0, Error: 0, Full: 0} {
 			g := newRig(set, fleet(4, 1))
 			for id := range RequestID(5) {
-				g.Existing(g.now, Request{ID: 100 + id, Load: 0.1}, g.servers[0].ID)
+				g.AddExisting(g.now, Request{ID: 100 + id, Load: 0.1}, g.servers[0].ID)
 			}
 			for n := range failsServer {
-				if g.Probed(g.now, g.servers[0].ID, result, NoReport); n == 0 && len(g.moves) > 0 {
+				if g.ProbeResult(g.now, g.servers[0].ID, result, NoReport); n == 0 && len(g.moves) > 0 {
 					t.Errorf("%s, %v: moved %d for one", name, result, len(g.moves))
 				}
 			}
@@ -1129,10 +1129,10 @@
 	}{"none tell": {-1, true}, "the other holds as many": {30, true}, "the other is drained": {15, false}} {
 		g := newRig(set, fleet(2, 1))
 		for id := range RequestID(30) {
-			g.Existing(g.now, Request{ID: 100 + id, Load: 0.1}, g.servers[id%2].ID)
+			g.AddExisting(g.now, Request{ID: 100 + id, Load: 0.1}, g.servers[id%2].ID)
 		}
 		for _, s := range g.servers {
-			g.Probed(g.now, s.ID, OK, Report{Connections: c.reported, Load: 0.5, Util: -1, Backlog: -1})
+			g.ProbeResult(g.now, s.ID, OK, Report{Connections: c.reported, Load: 0.5, Util: -1, Backlog: -1})
 		}
 		if g.overShare(0) != c.over {
 			t.Errorf("%s: over its share %v", name, !c.over)
@@ -1153,7 +1153,7 @@
 				g.admit(g.now, q)
 				r := g.requests[q.ID]
 				g.send(g.now, r, s, false)
-				g.Outcome(g.now, Outcome{ID: q.ID, Server: s.ID, Result: Error, Report: NoReport})
+				g.AttemptEnded(g.now, Outcome{ID: q.ID, Server: s.ID, Result: Error, Report: NoReport})
 			}
 		}
 		if got := g.daring < 0.5; got != want {
@@ -1175,7 +1175,7 @@
 	if g.watch != 1 {
 		t.Fatalf("asked %d times, want once", g.watch)
 	}
-	g.Members(g.now, ListFailed, nil)
+	g.UpdateServers(g.now, ListFailed, nil)
 	if len(g.servers) != 4 {
 		t.Error("a failed call emptied the list")
 	}
@@ -1255,13 +1255,13 @@
 // TestStaleIDs: unknown and finished ids, and events out of order, are harmless.
 func TestStaleIDs(t *testing.T) {
 	g := newRig(settings(), fleet(3, 1))
-	g.First(g.now, 5)
-	g.Ended(g.now, 5)
-	g.Load(g.now, 5, 1)
-	g.Slow(g.now, 5, time.Second)
-	g.Outcome(g.now, Outcome{ID: 5, Server: 4, Attempt: 9, Report: NoReport})
-	g.Probed(g.now, 4, Error, NoReport)
-	g.Existing(g.now, Request{ID: 6}, 4)
+	g.Established(g.now, 5)
+	g.RequestEnded(g.now, 5)
+	g.UpdateLoad(g.now, 5, 1)
+	g.ObserveLatency(g.now, 5, time.Second)
+	g.AttemptEnded(g.now, Outcome{ID: 5, Server: 4, Attempt: 9, Report: NoReport})
+	g.ProbeResult(g.now, 4, Error, NoReport)
+	g.AddExisting(g.now, Request{ID: 6}, 4)
 	g.Balancer.Timer(g.now, tokenDeadline|5)
 	g.Balancer.Timer(g.now, tokenWait|5)
 	g.Balancer.Timer(g.now, ^uint64(0))
@@ -1326,16 +1326,16 @@
 	id := fleet(1, 1)[0].ID
 	s := g.byID[id]
 	connections := func() float64 { return g.capacityOf(g.now, s) / g.unit() }
-	g.Existing(g.now, Request{ID: 900}, id)
+	g.AddExisting(g.now, Request{ID: 900}, id)
 	g.load[id], g.count[id] = 0.5, 20
 	report := Report{Connections: 20, Load: 0.5, Util: -1}
 	for range 40 {
-		g.Probed(g.now, id, OK, report)
+		g.ProbeResult(g.now, id, OK, report)
 	}
 	if n := connections(); n < 38 || n > 42 {
 		t.Fatalf("capacity %.1f connections where 20 make a load of 0.5", n)
 	}
-	g.Balancer.Load(g.now, 900, 0.04)
+	g.Balancer.UpdateLoad(g.now, 900, 0.04)
 	for range 3 {
 		g.ask(Request{Load: -1})
 	}
@@ -1345,7 +1345,7 @@
 	// What ends frees what it was last said to weigh, not what was guessed when it came.
 	s.recent = nil
 	before := g.usedOf(g.now, s)
-	g.Outcome(g.now, Outcome{ID: 900, Server: id, Result: OK, Final: true, Report: NoReport})
+	g.AttemptEnded(g.now, Outcome{ID: 900, Server: id, Result: OK, Final: true, Report: NoReport})
 	if freed := before - g.usedOf(g.now, s); freed < 0.039 || freed > 0.041 {
 		t.Errorf("a connection of 0.04 freed %.3f", freed)
 	}
@@ -1356,7 +1356,7 @@
 func TestLook(t *testing.T) {
 	g := newRig(settings(), fleet(3, 1))
 	s := g.servers[1]
-	g.Existing(g.now, Request{ID: 900, Load: 0.1}, s.ID)
+	g.AddExisting(g.now, Request{ID: 900, Load: 0.1}, s.ID)
 	g.load[s.ID] = 0.5
 	for n := range 3 {
 		g.now += 2 * g.lag()
@@ -1396,7 +1396,7 @@
 		t.Fatalf("bad %v, %d failures, pause moved by %v, probed %v", s.bad, s.fails, s.until-until, g.probes)
 	}
 	g.now = until
-	g.Probed(g.now, s.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
+	g.ProbeResult(g.now, s.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
 	if s.bad {
 		t.Fatal("it answered, and is not back")
 	}
@@ -1404,9 +1404,9 @@
 		t.Fatal("it fails on, and is not condemned")
 	}
 	g.now = s.until
-	g.Probed(g.now, s.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
+	g.ProbeResult(g.now, s.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
 	id := g.ask(Request{Load: 0.1})
-	g.First(g.now, id)
+	g.Established(g.now, id)
 	if g.fail(g.now, s); s.bad {
 		t.Error("condemned for one failure after a connection stood")
 	}
@@ -1422,7 +1422,7 @@
 		if wait := g.timers[len(g.timers)-1].delay; wait > set.MaxPollInterval/5 {
 			t.Fatalf("asks again after %v", wait)
 		}
-		g.Members(g.now, ListFailed, nil)
+		g.UpdateServers(g.now, ListFailed, nil)
 	}
 }
 
@@ -1439,7 +1439,7 @@
 		b.Start()
 		first = max(first, rec.timers[0].delay)
 		for range 5 {
-			b.Members(t0, ListFailed, nil)
+			b.UpdateServers(t0, ListFailed, nil)
 		}
 		last = max(last, rec.timers[len(rec.timers)-1].delay)
 	}
--- a/policy/reports.go
+++ b/policy/reports.go
@@ -8,8 +8,8 @@
 
 // This file is what servers and connections report.
 
-// Probed takes the answer to a probe.
-func (b *Balancer) Probed(now time.Duration, id ServerID, result Result, report Report) {
+// ProbeResult takes the answer to a probe.
+func (b *Balancer) ProbeResult(now time.Duration, id ServerID, result Result, report Report) {
 	s := b.byID[id]
 	if s != nil {
 		s.probing = false
@@ -73,8 +73,8 @@
 	}
 }
 
-// Load says what load an open connection has now.
-func (b *Balancer) Load(now time.Duration, id RequestID, load float64) {
+// UpdateLoad says what load an open connection has now.
+func (b *Balancer) UpdateLoad(now time.Duration, id RequestID, load float64) {
 	if r := b.requests[id]; r != nil && load > 0 && !math.IsInf(load, 0) {
 		if b.classLoad[r.Class] == 0 {
 			b.classLoad[r.Class] = load
@@ -84,8 +84,8 @@
 	}
 }
 
-// Slow says how long a message takes at the server of an open connection.
-func (b *Balancer) Slow(now time.Duration, id RequestID, message time.Duration) {
+// ObserveLatency says how long a message takes at the server of an open connection.
+func (b *Balancer) ObserveLatency(now time.Duration, id RequestID, message time.Duration) {
 	r := b.requests[id]
 	if r == nil || r.at == nil {
 		return
