--- a/cmd/dahliarudder/trial.go
+++ b/cmd/dahliarudder/canary.go
@@ -50,13 +50,13 @@
 func (t *canaryTrial) now() int64 { return t.r.loop.Now().Milliseconds() }
 
 // applyOrders takes what the record says.
-func (t *canaryTrial) applyOrders(o fleet.Orders) {
-	t.weights.Agreed(t.now(), o.Index, o.Weights)
-	if o.Reached {
-		t.weights.Reached(t.now(), o.Index)
+func (t *canaryTrial) applyOrders(o fleet.DesiredState) {
+	t.weights.Agreed(t.now(), o.AppliedIndex, o.CanaryWeights)
+	if o.MajorityConfirmed {
+		t.weights.Reached(t.now(), o.AppliedIndex)
 	}
 	t.applyWeights()
-	t.appliedVersion = o.Weighed
+	t.appliedVersion = o.CanaryVersion
 }
 
 // onNotices takes what another relay passes on.
--- a/cmd/dahliarudder/upgrade.go
+++ b/cmd/dahliarudder/upgrade.go
@@ -6,7 +6,6 @@
 
 	"golang.org/x/sys/unix"
 
-	"dahliarudder/internal/front/line"
 	"dahliarudder/internal/handover"
 	"dahliarudder/internal/netloop"
 	"dahliarudder/policy"
@@ -43,28 +42,19 @@
 	stageStopping                     // it was told to stop
 )
 
-// takeoverState says whether this process, which was told to stop, leaves clients to the other one.
-type takeoverState int
-
-const (
-	takeoverNone      takeoverState = iota // it answers them itself
-	takeoverRequested                      // it takes none in, but the other one has not said that it does
-	takeoverConfirmed                      // the other one takes them in
-)
-
 // sibling is the other process of this relay while there are two.
 type siblingProcess struct {
 	peer     *handover.Peer
 	origin   siblingOrigin
 	stage    siblingStage
-	sentOpen handover.Open  // what a newer one was told last
-	passing  *netloop.Timer // when the next connections are handed over to it
+	sentOpen handover.OpenRequests // what a newer one was told last
+	passing  *netloop.Timer        // when the next connections are handed over to it
 }
 
 // joinPredecessor asks for the state of the process whose place this one takes, if there is
 // one, and listens by its sockets.
 func (r *relay) joinPredecessor(dir string) error {
-	fd, state, fds, err := handover.Find(dir)
+	fd, state, fds, err := handover.RequestState(dir)
 	if err != nil || state == nil {
 		return err
 	}
@@ -75,10 +65,10 @@
 	r.inheritedState = state
 	r.sibling = &siblingProcess{origin: originOlder, stage: stageServing}
 	r.limitToRemainingSockets(state.Limit)
-	if r.sibling.peer, err = handover.Join(r.loop, fd, r.onNote, r.onSiblingGone); err != nil {
+	if r.sibling.peer, err = handover.NewPeer(r.loop, fd, r.onNote, r.onSiblingGone); err != nil {
 		return err
 	}
-	r.sibling.peer.Speaks(state.Version)
+	r.sibling.peer.SetVersion(state.Version)
 	return nil
 }
 
@@ -92,7 +82,7 @@
 			return
 		}
 		r.sibling = &siblingProcess{}
-		if r.sibling.peer, err = handover.Join(r.loop, fd, r.onNote, r.onSiblingGone); err != nil {
+		if r.sibling.peer, err = handover.NewPeer(r.loop, fd, r.onNote, r.onSiblingGone); err != nil {
 			r.log.WithError(err).Error("a successor cannot be heard")
 			r.sibling = nil
 		}
@@ -103,7 +93,7 @@
 }
 
 // onNote is told what the other process says.
-func (r *relay) onNote(n *handover.Note, fds []int) {
+func (r *relay) onNote(n *handover.Message, fds []int) {
 	switch {
 	case n.Hello > 0:
 		r.sendStateToSuccessor(n.Hello)
@@ -113,19 +103,19 @@
 		r.pauseAccepting(true)
 		r.sendOpenState()
 		r.handOverConnections()
-	case n.Leaving:
+	case n.Stopping:
 		r.onSiblingStopping()
-	case n.Relieves:
+	case n.TakingOver:
 		r.onTakeoverConfirmed()
-	case n.Bans:
+	case n.EjectionsChanged:
 		r.applyEjections("", false, func(error) {})
 	case n.Drain != nil:
 		r.drainedByOperator = *n.Drain
 		r.setDraining(*n.Drain)
-	case n.Open != nil:
-		r.limitToRemainingSockets(n.Open.Limit)
+	case n.OpenRequests != nil:
+		r.limitToRemainingSockets(n.OpenRequests.Limit)
 		if r.lineFront != nil {
-			r.lineFront.Elsewhere(n.Open.IDs)
+			r.lineFront.SetRemoteIDs(n.OpenRequests.IDs)
 		}
 	case r.adoptConnection(n, fds):
 		return
@@ -135,105 +125,42 @@
 	}
 }
 
-// adoptConnection takes a connection over, with its descriptors. It returns false if none came.
-func (r *relay) adoptConnection(n *handover.Note, fds []int) bool {
-	switch {
-	case r.lineFront == nil:
-		return false
-	case n.Client != nil && len(fds) == 1:
-		r.loop.Grant(len(fds))
-		r.lineFront.TakeFresh(*n.Client, fds[0])
-	case n.Flow != nil && len(fds) == 2:
-		r.loop.Grant(len(fds))
-		r.lineFront.TakeFlow(*n.Flow, fds[0], fds[1])
-	default:
-		return false
-	}
-	return true
-}
-
-// handOverConnections hands connections over to a successor that serves, a few at a time, so that the others are served meanwhile: those that have asked for
-// nothing, and once this process is told to stop its open flows.
-func (r *relay) handOverConnections() {
-	if !r.handsOver() {
-		return
-	}
-	r.lineFront.GiveFresh(r.handoverWindow(), func(p line.Fresh, fd int) {
-		r.sendConnection(handover.Note{Client: &p}, fd)
-	})
-	if r.stopping {
-		r.lineFront.GiveFlows(r.handoverWindow(), func(f line.Flow, client, member int) {
-			r.sendConnection(handover.Note{Flow: &f}, client, member)
-		})
-	}
-	again := openStateInterval
-	if r.stopping || r.sibling.peer.Pending() > 0 || r.lineFront.FreshCount() > 0 {
-		again = handoverInterval
-	}
-	r.sibling.passing.Stop()
-	r.sibling.passing = r.loop.After(again, r.handOverConnections)
-}
-
-// handsOver says whether connections go to a successor that serves.
-func (r *relay) handsOver() bool {
-	return r.sibling != nil && r.sibling.origin == originNewer && r.sibling.stage == stageServing && r.lineFront != nil
-}
-
-// handoverComplete says that nothing waits for the other process.
-func (r *relay) handoverComplete() bool {
-	if r.sibling == nil {
-		return true
-	}
-	return r.sibling.peer.Quiet() && (!r.handsOver() || r.lineFront.FreshCount() == 0)
-}
-
-// handoverWindow is how many connections may be handed over now.
-func (r *relay) handoverWindow() int { return handoverBurst - r.sibling.peer.Pending() }
-
-// sendConnection hands a connection over. What cannot be handed over goes on here.
-func (r *relay) sendConnection(n handover.Note, fds ...int) {
-	if err := r.sibling.peer.Give(n, fds...); err != nil {
-		r.log.WithError(err).Error("the other process does not hear")
-		r.loop.After(0, func() { r.adoptConnection(&n, fds) })
-	}
-}
-
 // sendStateToSuccessor tells a successor all that it starts with.
 func (r *relay) sendStateToSuccessor(hello int) {
-	r.sibling.peer.Speaks(hello)
+	r.sibling.peer.SetVersion(hello)
 	state := handover.NewState(r.core.Learned(), hello)
 	var fds []int
 	for front, l := range r.clientListeners {
 		state.Fronts = append(state.Fronts, front)
-		fds = append(fds, l.Fd())
+		fds = append(fds, l.FD())
 	}
 	var known bool
 	if state.Pool, known = r.watch.List(); known {
-		state.Watched = r.watch.Addr
+		state.DiscoveryAddr = r.watch.Addr
 	}
 	r.limitToOwnSockets()
 	state.Limit = r.sibling.sentOpen.Limit
 	r.log.WithField("held", r.core.Held()).Info("a successor starts")
-	r.sendNote(handover.Note{State: state}, fds...)
+	r.sendNote(handover.Message{State: state}, fds...)
 	r.syncSibling()
 }
 
 // limitToOwnSockets leaves what this process does not need to its successor.
 func (r *relay) limitToOwnSockets() {
 	passing := r.sibling.peer.PendingFDs()
-	limit := r.loop.Held() + passing + retrySockets
+	limit := r.loop.OpenDescriptors() + passing + retrySockets
 	if r.sibling.sentOpen.Limit > 0 {
 		limit = min(limit, r.sibling.sentOpen.Limit)
 	}
 	r.sibling.sentOpen.Limit = limit
-	r.loop.Limit(limit - passing)
-	r.loop.Memory(r.maxBufferBytes / 2)
+	r.loop.SetDescriptorLimit(limit - passing)
+	r.loop.SetMemoryLimit(r.maxBufferBytes / 2)
 }
 
 // limitToRemainingSockets takes what the first process leaves.
 func (r *relay) limitToRemainingSockets(theirs int) {
-	r.loop.Limit(r.maxSockets - theirs - reservedSockets - r.operatorDescriptors())
-	r.loop.Memory(r.maxBufferBytes / 2)
+	r.loop.SetDescriptorLimit(r.maxSockets - theirs - reservedSockets - r.operatorDescriptors())
+	r.loop.SetMemoryLimit(r.maxBufferBytes / 2)
 }
 
 // syncSibling tells the other process what changes, as long as there is one.
@@ -255,30 +182,23 @@
 	before := r.sibling.sentOpen
 	r.limitToOwnSockets()
 	if r.lineFront != nil && r.sibling.stage == stageServing {
-		r.sibling.sentOpen.IDs = r.lineFront.IDs()
+		r.sibling.sentOpen.IDs = r.lineFront.OpenRequestIDs()
 		slices.Sort(r.sibling.sentOpen.IDs)
 	}
 	if now := r.sibling.sentOpen; now.Limit != before.Limit || !slices.Equal(now.IDs, before.IDs) {
-		r.sendNote(handover.Note{Open: &now})
+		r.sendNote(handover.Message{OpenRequests: &now})
 	}
 }
 
-func (r *relay) sendNote(n handover.Note, fds ...int) {
+func (r *relay) sendNote(n handover.Message, fds ...int) {
 	if r.sibling == nil {
 		return
 	}
-	if err := r.sibling.peer.Tell(n, fds...); err != nil {
+	if err := r.sibling.peer.Send(n, fds...); err != nil {
 		r.log.WithError(err).Error("the other process does not hear")
 	}
 }
 
-// pauseAccepting has the fronts take no client in, or go on.
-func (r *relay) pauseAccepting(held bool) {
-	for _, l := range r.clientListeners {
-		l.Hold(held)
-	}
-}
-
 // onSiblingGone goes on as the only process. A successor that has ended without taking over
 // leaves its clients to this one, and what was on its way to it comes back.
 func (r *relay) onSiblingGone(err error) {
@@ -286,16 +206,16 @@
 	r.sibling, r.takeover = nil, takeoverNone
 	was.passing.Stop()
 	r.log.WithError(err).WithField("older", was.origin == originOlder).Info("the other process is gone")
-	r.loop.Limit(r.maxSockets)
-	r.loop.Memory(r.maxBufferBytes)
+	r.loop.SetDescriptorLimit(r.maxSockets)
+	r.loop.SetMemoryLimit(r.maxBufferBytes)
 	if r.lineFront != nil {
-		r.lineFront.Elsewhere(nil)
-		r.lineFront.KeepFresh()
+		r.lineFront.SetRemoteIDs(nil)
+		r.lineFront.ResumeIdle()
 	}
 	for _, t := range was.peer.Unconfirmed() {
 		r.adoptConnection(&t.Note, t.FDs)
 	}
-	r.loop.Limit(r.maxSockets)
+	r.loop.SetDescriptorLimit(r.maxSockets)
 	if was.origin == originOlder && !r.accepting {
 		r.startAccepting()
 		return
@@ -306,72 +226,12 @@
 	}
 }
 
-// startAccepting takes clients in. A process that is to take another's place does so once it
-// has members to send to.
-func (r *relay) startAccepting() {
-	if r.accepting {
-		return
-	}
-	r.accepting = true
-	r.pauseAccepting(false)
-	r.sendNote(handover.Note{Serving: true})
-	r.awaitSuccessor()
-}
-
-// requestTakeover leaves clients to the other process, if one serves, and says whether there
-// is one. A second process that is stopped before the first leaves them to that one. The other one may have been told to stop too: only
-// when it says that it goes on may this one end before its time.
-func (r *relay) requestTakeover() bool {
-	if r.sibling == nil {
-		return false
-	}
-	r.sendNote(handover.Note{Leaving: true})
-	if r.sibling.stage != stageServing {
-		return false
-	}
-	r.pauseAccepting(true)
-	r.takeover = takeoverRequested
-	if !r.sibling.peer.Confirms() { // it answers nothing
-		r.onTakeoverConfirmed()
-	}
-	return true
-}
-
-// onSiblingStopping is told that the other process was told to stop. If this one was too, each answers who comes to it.
-func (r *relay) onSiblingStopping() {
-	r.sibling.stage = stageStopping
-	if r.lineFront != nil {
-		r.lineFront.KeepFresh() // nothing more is handed over
-	}
-	if !r.accepting {
-		return // it takes no clients in yet, and the other one knows that
-	}
-	r.pauseAccepting(false)
-	if r.stopping {
-		r.takeover = takeoverNone
-		return
-	}
-	r.sendNote(handover.Note{Relieves: true})
-}
-
-// onTakeoverConfirmed is told that the other process takes clients in.
-func (r *relay) onTakeoverConfirmed() {
-	if r.takeover != takeoverRequested {
-		return
-	}
-	r.takeover = takeoverConfirmed
-	if r.sibling.origin == originOlder {
-		r.sibling.peer.Leave()
-		r.sibling = nil
-	}
-}
-
 // restorePredecessorState takes over what the first process knew. It comes before any client.
 func (r *relay) restorePredecessorState() {
 	if r.inheritedState == nil {
 		return
 	}
-	if r.cfg.Succeed(r.inheritedState.Watched) {
+	if r.cfg.Succeed(r.inheritedState.DiscoveryAddr) {
 		r.watch.Addr = r.cfg.Discovery
 		r.watch.Hold(r.inheritedState.Pool)
 	}
@@ -381,34 +241,3 @@
 	r.core.Recall(r.inheritedState.Learned)
 	r.inheritedState = nil
 }
-
-// closeUnusedSockets gives back the first process's sockets of fronts that are off here.
-func (r *relay) closeUnusedSockets() {
-	for _, fd := range r.inheritedSockets {
-		unix.Close(fd)
-	}
-	r.inheritedSockets = nil
-}
-
-// inheritOrListen listens by the first process's socket, if it has one at that address.
-func (r *relay) inheritOrListen(front, addr string, accept func(*netloop.Conn)) (*netloop.Listener, error) {
-	fd, ok := r.inheritedSockets[front]
-	delete(r.inheritedSockets, front)
-	if !ok {
-		return r.listenOnNewSocket(addr, accept)
-	}
-	if !netloop.ListensAt(fd, addr) {
-		unix.Close(fd)
-		return r.listenOnNewSocket(addr, accept)
-	}
-	l, err := r.loop.Inherit(fd, accept)
-	if err == nil {
-		l.Hold(true)
-	}
-	return l, err
-}
-
-// listenOnNewSocket listens by a socket of this process's own.
-func (r *relay) listenOnNewSocket(addr string, accept func(*netloop.Conn)) (*netloop.Listener, error) {
-	return r.listenWithRetry(func() (*netloop.Listener, error) { return r.loop.Listen(addr, accept) })
-}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -265,14 +265,14 @@
 		return fmt.Errorf("%w: settings name no classes", ErrInvalid)
 	}
 	if c.Fronts.NATS != nil {
-		if err := c.Fronts.NATS.Check(c.decoded); err != nil {
+		if err := c.Fronts.NATS.Validate(c.decoded); err != nil {
 			return fmt.Errorf("%w: fronts.nats: %v", ErrInvalid, err)
 		}
-		if c.security, err = c.Fronts.NATS.Load(); err != nil {
+		if c.security, err = c.Fronts.NATS.LoadSecurity(); err != nil {
 			return fmt.Errorf("%w: fronts.nats.%v", ErrInvalid, err)
 		}
 		if c.Fronts.Line == nil {
-			c.Fronts.NATS.Adapt(c.decoded)
+			c.Fronts.NATS.AdaptSettings(c.decoded)
 		}
 	}
 	if c.Peers != nil {
--- a/internal/front/nats/nats.go
+++ b/internal/front/nats/nats.go
@@ -43,7 +43,7 @@
 
 // water is a mark of unsent bytes, lowered while the buffers of all connections hold much.
 func (f *Front) water(mark int) int {
-	if f.Loop.Tight() {
+	if f.Loop.MemoryPressure() {
 		return mark / 4
 	}
 	return mark
@@ -72,7 +72,7 @@
 }
 
 // Counts is what has happened at this front.
-type Counts struct{ SlowConsumers, Turned, Denied int }
+type Counts struct{ SlowConsumers, Rejected, Denied int }
 
 // route is a Route with its names looked up.
 type route struct {
@@ -107,20 +107,20 @@
 		n.to.tenant, _ = c.Settings.Tenant(r.Tenant)
 		f.routes = append(f.routes, n)
 	}
-	f.Renew(sec)
+	f.ReloadSecurity(sec)
 	loop.After(sweepEvery, f.sweep)
 	return f
 }
 
-// Leave tells clients that the relay is leaving. The core then moves their
+// EnterLameDuck tells clients that the relay is leaving. The core then moves their
 // subscriptions, which ends their connections; who has none is ended by the sweep.
-func (f *Front) Leave() {
+func (f *Front) EnterLameDuck() {
 	f.leaving, f.since = true, f.Loop.Now()
 	f.announce()
 }
 
-// Stay takes that back.
-func (f *Front) Stay() {
+// ExitLameDuck takes that back.
+func (f *Front) ExitLameDuck() {
 	f.leaving = false
 	f.announce()
 }
@@ -180,21 +180,21 @@
 // Accept serves a client's connection.
 func (f *Front) Accept(conn *netloop.Conn) {
 	f.lastID++
-	c := &client{f: f, c: conn, id: f.lastID, local: conn.Addr(), remote: conn.Peer()}
+	c := &client{f: f, c: conn, id: f.lastID, local: conn.LocalAddr(), remote: conn.RemoteIP()}
 	f.clients[c] = struct{}{}
-	conn.Handle(c)
-	conn.Bound(f.MaxPayload+f.MaxControl+2, 2*f.MaxPayload+4*highWater)
+	conn.SetHandler(c)
+	conn.SetBufferLimits(f.MaxPayload+f.MaxControlLine+2, 2*f.MaxPayload+4*highWater)
 	if f.sec.server != nil && f.TLS.HandshakeFirst {
 		c.sniffed = true
-		conn.Secure(f.sec.server, false, connectWithin, func(tls.ConnectionState) { c.write(f.info(c)) })
+		conn.StartTLS(f.sec.server, false, connectWithin, func(tls.ConnectionState) { c.write(f.info(c)) })
 	} else {
 		c.write(f.info(c))
 	}
-	if f.Loop.Short() || f.MaxConnections > 0 && len(f.clients) > f.MaxConnections {
+	if f.Loop.DescriptorsLow() || f.MaxConnections > 0 && len(f.clients) > f.MaxConnections {
 		c.fail("maximum connections exceeded")
 		return
 	}
-	conn.Spare(func() { c.fail("maximum connections exceeded") })
+	conn.SetEvictable(func() { c.fail("maximum connections exceeded") })
 	c.timer = f.Loop.After(connectWithin, func() { c.fail("Authentication Timeout") })
 }
 
--- a/internal/rollout/world_test.go
+++ b/internal/rollout/world_test.go
@@ -35,7 +35,7 @@
 	faults    []string
 	roundtrip bool
 	peak      int
-	service   []Count
+	service   []ServiceWindow
 	history   *[]op
 	drift     int64
 	half      int64 // when half of the relays drift
@@ -50,16 +50,16 @@
 type agreed struct {
 	at      int64
 	version uint64
-	leave   map[string]*Leave
-	shut    map[string]*Closed
-	out     map[string]Out
+	leave   map[string]*LeaveOrder
+	shut    map[string]*QuarantineOrder
+	out     map[string]Exclusion
 }
 
 type proposal struct {
 	at, sent int64
 	by       string
 	c        Command
-	answer   func(Answer)
+	answer   func(Result)
 }
 
 // host is a relay's host: it starts the relay again, whatever ended it.
@@ -111,13 +111,13 @@
 
 func newWorld(seed uint64, n, m, zones int) *world {
 	w := &world{rng: rand.New(rand.NewPCG(seed, 31)), now: 1e6, s: New(), given: map[string]func() bool{}, log: []agreed{{}}}
-	w.budgets = Budgets{Relays: Budget{Whole: Part{Share: 0.34}}, Members: Budget{Whole: Part{Share: 0.34}}, Headroom: 0.05, Silent: 1500, Hold: 3000,
-		Fresh: 1500, Drain: 4000, Start: 4000, Warm: 4000, Window: 3000, Clock: 0.02, Drift: 2000, Slack: 0.05}
+	w.budgets = Budgets{Relays: Budget{Total: Limit{Share: 0.34}}, Members: Budget{Total: Limit{Share: 0.34}}, CapacityReserve: 0.05, SilentAfterMS: 1500, FlowHoldMS: 3000,
+		ViewMaxAgeMS: 1500, DrainMS: 4000, StartMS: 4000, WarmupMS: 4000, PermitWindowMS: 3000, ClockDrift: 0.02, DriftHaltMS: 2000, ServiceTolerance: 0.05}
 	if w.rng.IntN(2) == 0 {
-		w.budgets.Relays.Zone, w.budgets.Members.Zone = Part{Count: 1 + w.rng.IntN(2)}, Part{Share: 0.5}
+		w.budgets.Relays.PerZone, w.budgets.Members.PerZone = Limit{Count: 1 + w.rng.IntN(2)}, Limit{Share: 0.5}
 	}
 	if w.rng.IntN(3) == 0 {
-		w.budgets.Relays.Whole, w.budgets.Members.Whole = Part{Count: 1}, Part{Count: 2}
+		w.budgets.Relays.Total, w.budgets.Members.Total = Limit{Count: 1}, Limit{Count: 2}
 	}
 	sum, sumOf := 0.0, 0.0
 	for i := range n {
@@ -146,7 +146,7 @@
 func (w *world) rnd(low, high int64) int64 { return low + w.rng.Int64N(high-low+1) }
 
 // propose is a call to the record: it comes to be agreed later, or never, or the answer is lost.
-func (w *world) propose(by string, c Command, answer func(Answer)) {
+func (w *world) propose(by string, c Command, answer func(Result)) {
 	p := proposal{w.now + w.rnd(30, 200), w.now, by, c, answer}
 	if !w.calm {
 		switch w.rng.IntN(30) {
@@ -172,7 +172,7 @@
 	before := w.s.Version()
 	body := p.c.Encode()
 	answer := w.s.Apply(at, p.by, body)
-	var a Answer
+	var a Result
 	if err := json.Unmarshal(answer, &a); err != nil {
 		w.fault("answer: %v", err)
 	}
@@ -197,13 +197,13 @@
 }
 
 func (w *world) remember() {
-	a := agreed{at: w.now, version: w.s.Version(), leave: map[string]*Leave{}, shut: map[string]*Closed{}, out: w.s.Orders("").Out}
-	for _, x := range w.s.Shuts() {
-		a.shut[x.Name] = w.s.Orders(x.Name).Shut
+	a := agreed{at: w.now, version: w.s.Version(), leave: map[string]*LeaveOrder{}, shut: map[string]*QuarantineOrder{}, out: w.s.Orders("").Exclusions}
+	for _, x := range w.s.Quarantines() {
+		a.shut[x.Name] = w.s.Orders(x.Name).Quarantine
 	}
-	for _, r := range w.s.d.Releases {
+	for _, r := range w.s.record.Releases {
 		for _, u := range r.Units {
-			if u.Kind == KindRelay && u.Phase == Told {
+			if u.Kind == KindRelay && u.Phase == PhaseLeaving {
 				a.leave[u.Name] = w.s.Orders(u.Name).Leave
 			}
 		}
@@ -253,13 +253,13 @@
 // shutBy says whether what was agreed then shuts the process that runs.
 func (h *host) shutBy(a agreed) bool {
 	c := a.shut[h.name]
-	return c != nil && (h.literal || h.start <= c.Start)
+	return c != nil && (h.literal || h.start <= c.StartNumber)
 }
 
 // mayLeave says whether the process that runs may still be told to leave, or is shut, by what it has not applied yet.
 func (w *world) mayLeave(h *host) bool {
 	for _, a := range w.log[h.applied:] {
-		if l := a.leave[h.name]; l != nil && h.start <= l.Start || h.shutBy(a) {
+		if l := a.leave[h.name]; l != nil && h.start <= l.StartNumber || h.shutBy(a) {
 			return true
 		}
 	}
@@ -274,7 +274,7 @@
 }
 
 // letsGo is after how long without the record a relay lets go of flows at members that may be out: as much before Hold as words take.
-func (w *world) letsGo() int64 { return w.budgets.Hold - w.budgets.Silent }
+func (w *world) letsGo() int64 { return w.budgets.FlowHoldMS - w.budgets.SilentAfterMS }
 
 func (w *world) live(at int64) bool { return w.leader <= at }
 
@@ -313,7 +313,7 @@
 		if w.now < w.drop {
 			served *= 0.8
 		}
-		w.service = append(w.service, Count{w.now + w.skew, asked, served})
+		w.service = append(w.service, ServiceWindow{w.now + w.skew, asked, served})
 		w.service = w.service[max(0, len(w.service)-30):]
 	}
 	if w.now%200 == 0 && w.live(w.now) {
@@ -328,8 +328,8 @@
 			w.relays[i].unfit = w.now + w.rnd(3000, 15000)
 		}
 	}
-	if list := w.s.Shuts(); len(list) > 0 && !w.calm && w.rng.IntN(200) == 0 {
-		w.propose("operator", Command{Kind: Admit, Name: list[w.rng.IntN(len(list))].Name}, func(Answer) {})
+	if list := w.s.Quarantines(); len(list) > 0 && !w.calm && w.rng.IntN(200) == 0 {
+		w.propose("operator", Command{Kind: CommandReadmit, Name: list[w.rng.IntN(len(list))].Name}, func(Result) {})
 	}
 }
 
@@ -390,7 +390,7 @@
 		} else if h.shutBy(w.log[h.applied]) {
 			phase = "shut"
 		}
-		h.word = Relay{Name: h.name, Zone: h.zone, Start: h.start, Phase: phase, Program: h.program, Applied: w.log[h.applied].version,
+		h.word = Relay{Name: h.name, Zone: h.zone, StartNumber: h.start, Phase: phase, Program: h.program, AppliedVersion: w.log[h.applied].version,
 			Flows: int(h.capacity * w.busy), Capacity: h.capacity}
 		h.saw = h.applied
 	}
@@ -401,14 +401,14 @@
 	a := w.log[h.applied]
 	l := a.leave[h.name]
 	switch {
-	case l != nil && h.start <= l.Start && h.endAt == 0:
+	case l != nil && h.start <= l.StartNumber && h.endAt == 0:
 		h.endAt, h.next = w.now+w.rnd(300, 2000), l.Program
 	case l == nil && h.endAt > w.now+200: // it was taken back, and it has not begun to end
 		h.endAt, h.next = 0, ""
 	}
 	for m, o := range a.out {
 		if _, told := w.log[h.applied-1].out[m]; !told {
-			h.held[m] = w.now + o.MoveOver
+			h.held[m] = w.now + o.MigrateOverMS
 		}
 	}
 }
@@ -422,15 +422,15 @@
 		x.lostSince = 0
 	}
 	// Its owner replaces it when the record says that it is empty; should it fall over just then, it is replaced as it starts.
-	for i := range w.s.d.Releases {
-		r := &w.s.d.Releases[i]
+	for i := range w.s.record.Releases {
+		r := &w.s.record.Releases[i]
 		for j := range r.Units {
 			u := &r.Units[j]
-			if u.Phase != Empty || u.Kind != KindMember || u.name() != x.name || u.Number == x.number || r.Wish.Drain || x.up && w.rng.IntN(4) > 0 {
+			if u.Phase != PhaseDrained || u.Kind != KindMember || u.name() != x.name || u.OrderNumber == x.number || r.Spec.Drain || x.up && w.rng.IntN(4) > 0 {
 				continue
 			}
-			x.number, x.next = u.Number, r.Wish.Program
-			if u.Undo || r.Backing {
+			x.number, x.next = u.OrderNumber, r.Spec.Program
+			if u.Reverting || r.RollingBack {
 				x.next = x.was // its owner knows, whether or not it says so to the fleet
 			}
 			if x.up {
@@ -451,7 +451,7 @@
 		if a.down && w.now >= a.doneAt {
 			a.down, a.end = false, true
 			if w.rng.IntN(2) == 0 {
-				w.propose(a.who, Command{Kind: Give, Number: a.number}, func(Answer) {})
+				w.propose(a.who, Command{Kind: CommandReturnPermit, PermitNumber: a.number}, func(Result) {})
 			}
 		}
 		return
@@ -469,19 +469,19 @@
 	}
 	sent := w.now
 	if a.number != 0 && w.now < a.deadline {
-		w.propose(a.who, Command{Kind: Begin, Number: a.number}, func(x Answer) {
-			if x.State == Begun {
-				a.begun, a.may = true, sent+int64(float64(w.budgets.Window)*a.rate*(1-w.budgets.Clock))
+		w.propose(a.who, Command{Kind: CommandBeginPermit, PermitNumber: a.number}, func(x Result) {
+			if x.State == PermitBegun {
+				a.begun, a.may = true, sent+int64(float64(w.budgets.PermitWindowMS)*a.rate*(1-w.budgets.ClockDrift))
 			} else if x.Error != "" {
 				a.number = 0
 			}
 		})
 		return
 	}
-	w.propose(a.who, Command{Kind: Ask, Thing: a.kind, Name: a.name, Who: a.who, For: 4000}, func(x Answer) {
+	w.propose(a.who, Command{Kind: CommandRequestPermit, TargetKind: a.kind, Name: a.name, Requester: a.who, DurationMS: 4000}, func(x Result) {
 		a.number = 0
-		if x.State == Granted {
-			a.number, a.deadline = x.Number, sent+int64(float64(x.Left)*a.rate*(1-w.budgets.Clock))
+		if x.State == PermitGranted {
+			a.number, a.deadline = x.Number, sent+int64(float64(x.RemainingMS)*a.rate*(1-w.budgets.ClockDrift))
 		}
 	})
 }
@@ -511,14 +511,14 @@
 	}
 	for _, h := range w.relays {
 		r := h.word
-		r.Name, r.Zone, r.HeardMS = h.name, h.zone, w.now-h.wordAt
+		r.Name, r.Zone, r.ReportAgeMS = h.name, h.zone, w.now-h.wordAt
 		if h.wordAt < w.leader {
-			r = Relay{Name: h.name, Zone: h.zone, HeardMS: w.now - w.leader, Start: h.word.Start, Capacity: h.capacity}
+			r = Relay{Name: h.name, Zone: h.zone, ReportAgeMS: w.now - w.leader, StartNumber: h.word.StartNumber, Capacity: h.capacity}
 		}
-		r.Gone = !h.up
-		r.Full = w.serves(h) && h.start == r.Start
+		r.Exited = !h.up
+		r.InService = w.serves(h) && h.start == r.StartNumber
 		v.Relays = append(v.Relays, r)
-		if was := w.s.d.shutting(h.name); h.wordAt >= w.leader && w.now < h.unfit || h.wordAt < w.leader && was != nil && was.Opened == 0 {
+		if was := w.s.record.shutting(h.name); h.wordAt >= w.leader && w.now < h.unfit || h.wordAt < w.leader && was != nil && was.ReadmittedVersion == 0 {
 			v.Unfit[h.name] = "it does not do what was agreed"
 			v.UnfitOrder = append(v.UnfitOrder, h.name)
 		}
@@ -528,7 +528,7 @@
 		if w.now < x.warmAt {
 			bears = x.capacity * cold
 		}
-		m := Member{Name: x.name, Zone: x.zone, Started: x.started, Capacity: x.capacity, Bears: bears, Failing: !x.up, Program: x.program, Held: map[string]Held{}}
+		m := Member{Name: x.name, Zone: x.zone, Started: x.started, Capacity: x.capacity, UsableCapacity: bears, Failing: !x.up, Program: x.program, FlowsByRelay: map[string]RelayFlows{}}
 		if !x.labels {
 			m.Program = "" // not all say what they run
 		}
@@ -537,9 +537,9 @@
 				continue
 			}
 			if _, moving := h.held[x.name]; moving {
-				m.Held[h.name] = Held{1, h.wordAt}
+				m.FlowsByRelay[h.name] = RelayFlows{1, h.wordAt}
 			} else if _, out := w.log[h.saw].out[x.name]; !out && len(w.relays) <= 40 {
-				m.Held[h.name] = Held{2, h.wordAt}
+				m.FlowsByRelay[h.name] = RelayFlows{2, h.wordAt}
 			}
 		}
 		if x.rename && !x.up {
@@ -552,7 +552,7 @@
 }
 
 func (w *world) lead() {
-	if w.now-w.leader < w.budgets.Silent && w.leader > 1e6 {
+	if w.now-w.leader < w.budgets.SilentAfterMS && w.leader > 1e6 {
 		return // it has not yet heard all
 	}
 	v := w.view()
@@ -583,40 +583,40 @@
 // judge looks at each step that was agreed: what was given out and is, what is lost for so long that it had to be known, against
 // the budgets, in truth.
 func (w *world) judge(c Command) {
-	if c.Kind == Seen {
-		for _, s := range c.Saw {
-			if s.Phase == Empty {
+	if c.Kind == CommandObserve {
+		for _, s := range c.Observations {
+			if s.Phase == PhaseDrained {
 				w.judgeEmpty(s)
 			}
 		}
 	}
 	w.forget()
-	fresh, bears := map[string]bool{}, c.Kind == Shut && c.Bears > 0
+	fresh, bears := map[string]bool{}, c.Kind == CommandQuarantine && c.Capacity > 0
 	switch c.Kind {
-	case Shut:
+	case CommandQuarantine:
 		w.shuts++
 		fresh[KindRelay+" "+c.Name] = true
 		w.give(KindRelay, c.Name, 0)
-	case Step:
+	case CommandStep:
 	default:
 		return
 	}
-	for _, g := range c.Gives {
+	for _, g := range c.Grants {
 		var kind, name string
-		if p := w.s.d.permit(g.Permit); p != nil {
+		if p := w.s.record.permit(g.Permit); p != nil {
 			kind, name = p.Kind, p.Name
-		} else if u := w.s.d.release(g.Release).unit(g.Unit); u.Kind == KindRelay || u.Kind == KindMember {
+		} else if u := w.s.record.release(g.Release).unit(g.Unit); u.Kind == KindRelay || u.Kind == KindMember {
 			kind, name = u.Kind, u.name()
 		} else {
 			continue
 		}
-		bears = bears || kind == KindRelay && g.Bears > 0
+		bears = bears || kind == KindRelay && g.Capacity > 0
 		fresh[kind+" "+name] = true
 		w.give(kind, name, g.Permit)
 	}
 	w.forget()
 	// Long enough that the view had it.
-	known := w.budgets.Silent + w.budgets.Fresh + 3500
+	known := w.budgets.SilentAfterMS + w.budgets.ViewMaxAgeMS + 3500
 	out, zones, total := map[string]int{}, map[string]int{}, map[string]int{}
 	left, serve, who := 0.0, 0.0, ""
 	count := func(kind, name, zone string, lost int64, bears float64) {
@@ -641,7 +641,7 @@
 		}
 		count(KindRelay, h.name, h.zone, h.lostSince, bears)
 	}
-	if need := c.Sight.Relays.Load * (1 + w.budgets.Headroom); bears && serve < need {
+	if need := c.Basis.Relays.Load * (1 + w.budgets.CapacityReserve); bears && serve < need {
 		w.fault("the relays that are left bear %.0f, %.0f are needed:%s", serve, need, who)
 	}
 	for _, x := range w.members {
@@ -678,7 +678,7 @@
 				w.fault("%d are out in %s of %d:%s", n, z, b.zone(total[z]), who)
 			}
 		}
-		if kind == KindMember && left < w.load*(1+w.budgets.Headroom) {
+		if kind == KindMember && left < w.load*(1+w.budgets.CapacityReserve) {
 			for key := range fresh {
 				i := slices.IndexFunc(w.members, func(x *slot) bool { return KindMember+" "+x.name == key })
 				if i >= 0 && w.members[i].lostSince == 0 {
@@ -723,16 +723,16 @@
 		truth = func() bool {
 			mayBegin := a.number == permit && !a.begun && !a.end && w.now < a.deadline
 			mayTake := a.number == permit && a.begun && !a.end && (a.down || w.now < a.may)
-			granted := w.s.d.permit(permit)
-			return granted != nil && granted.State == Granted || mayBegin || mayTake || thing()
+			granted := w.s.record.permit(permit)
+			return granted != nil && granted.State == PermitGranted || mayBegin || mayTake || thing()
 		}
 	}
 	w.given[kind+" "+name] = truth
 }
 
-func (w *world) judgeEmpty(s Saw) {
-	r := w.s.d.release(s.Release)
-	if r == nil || r.unit(s.Unit) == nil || r.unit(s.Unit).Phase != Empty {
+func (w *world) judgeEmpty(s Observation) {
+	r := w.s.record.release(s.Release)
+	if r == nil || r.unit(s.Unit) == nil || r.unit(s.Unit).Phase != PhaseDrained {
 		return
 	}
 	name := r.unit(s.Unit).name()
