--- a/cmd/dahliarudder/build.go
+++ b/cmd/dahliarudder/build.go
@@ -97,7 +97,7 @@
 // startDiscovery begins to poll or watch the endpoint list.
 func (r *relay) startDiscovery() {
 	if set := r.core.Limits(); set.Subscribe {
-		r.loop.After(pool.InitialDelay(set.AskWithin, r.watch.Random), r.watch.Start)
+		r.loop.After(pool.InitialDelay(set.MaxPollInterval, r.watch.Random), r.watch.Start)
 		return
 	}
 	r.watch.PushGrace = r.core.Grace() // what the agent holds counts from the first moment
--- a/cmd/dahliarudder/fleet_status.go
+++ b/cmd/dahliarudder/fleet_status.go
@@ -9,7 +9,7 @@
 	"dahliarudder/policy"
 )
 
-var stateNames = map[policy.State]string{policy.Ready: "ready", policy.Draining: "draining", policy.Gone: "gone"}
+var stateNames = map[policy.ServerState]string{policy.Ready: "ready", policy.Draining: "draining", policy.Gone: "gone"}
 
 // fleetStatus is what this relay does now.
 func (r *relay) fleetStatus() fleet.ObservedState {
--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -70,7 +70,7 @@
 	// means "long ago" to the decision module.
 	const zero = time.Hour
 	clock := func() time.Duration { return zero + time.Since(began) }
-	r := &relay{cfg: cfg, log: log, clock: clock, signals: caught, names: pool.MemberMapper{Settings: set, StartTimes: &pool.StartTimes{Clock: clock, WallClock: wallClock, MaxListingDelay: policy.Sane(set.Policy()).AskWithin}},
+	r := &relay{cfg: cfg, log: log, clock: clock, signals: caught, names: pool.MemberMapper{Settings: set, StartTimes: &pool.StartTimes{Clock: clock, WallClock: wallClock, MaxListingDelay: policy.Normalize(set.Policy()).MaxPollInterval}},
 		maxBufferBytes: int(cfg.Limits.MemoryMB * bufferMemoryFraction * (1 << 20))}
 	r.maxSockets = descriptorLimit(cfg) - reservedSockets - r.operatorDescriptors()
 	loop, err := netloop.New(clock, r.maxSockets)
@@ -83,7 +83,7 @@
 		loop.Close()
 		return errors.Join(err, r.closeStore())
 	}
-	loop.OnStall(r.core.Limits().AskWithin/suspensionFraction, r.afterSuspension)
+	loop.OnStall(r.core.Limits().MaxPollInterval/suspensionFraction, r.afterSuspension)
 	if cfg.CountsMS > 0 {
 		r.logCounts(time.Duration(cfg.CountsMS*float64(time.Millisecond)), core.Counts{})
 	}
--- a/cmd/dahliarudder/snapshot.go
+++ b/cmd/dahliarudder/snapshot.go
@@ -64,7 +64,7 @@
 	if !known || s.DiscoveryAddr != r.cfg.Discovery { // a generation means nothing but where it was given
 		held.Generation = 0
 	}
-	age, away, err := s.Validate(clocksNow(), r.cfg.Name, held.Generation, snapshot.LimitsFor(r.core.Limits().AskWithin))
+	age, away, err := s.Validate(clocksNow(), r.cfg.Name, held.Generation, snapshot.LimitsFor(r.core.Limits().MaxPollInterval))
 	if err != nil {
 		r.discardSnapshot("snapshot", err)
 		return
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -84,7 +84,7 @@
 	return r
 }
 
-func list(n int, state policy.State) []Member {
+func list(n int, state policy.ServerState) []Member {
 	out := make([]Member, n)
 	for i := range out {
 		out[i].Server = policy.Server{ID: policy.ServerID(10 + i), State: state, Weight: 1}
@@ -287,7 +287,7 @@
 	if r.Open(Request{At: "m0", Wait: time.Second}, at); at.tries != 0 || len(at.answers) != 1 || at.answers[0] != "rejected" {
 		t.Errorf("a standing flow of a banned member: %d tries, %v", at.tries, at.answers)
 	}
-	r.do(policy.Verdict{Do: policy.DoProbe, Server: 10})
+	r.do(policy.Action{Kind: policy.ActionProbe, Server: 10})
 	if probed != 0 || r.Reachable(10) {
 		t.Error("a banned member was probed")
 	}
@@ -519,7 +519,7 @@
 		rng := rand.New(rand.NewPCG(seed, 1))
 		r := newRig(t, 4)
 		var all []*side
-		states := []policy.State{policy.Ready, policy.Ready, policy.Ready, policy.Draining, policy.Gone}
+		states := []policy.ServerState{policy.Ready, policy.Ready, policy.Ready, policy.Draining, policy.Gone}
 		results := []policy.Result{policy.OK, policy.Error, policy.Full, policy.ConnectFailed, policy.Reset}
 		for range min(steps, 2000) {
 			if rng.IntN(3) == 0 || len(all) == 0 {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -190,7 +190,7 @@
 		if kind != policy.ListFailed {
 			servers = d.lists[list]
 		}
-		b.Members(now, kind, servers)
+		b.UpdateServers(now, kind, servers)
 	case evCall:
 		q := call{ID: policy.RequestID(c.u64()), Group: c.u64()}
 		q.Deadline = c.ms()
@@ -209,19 +209,19 @@
 		q.Group = c.u64()
 		q.set(c.u16(), load)
 		if server := policy.ServerID(c.u32()); !c.short {
-			b.Existing(now, policy.Request(q), server)
+			b.AddExisting(now, policy.Request(q), server)
 		}
 	case evFirst:
 		r := policy.RequestID(c.u64())
 		c.skip(1 + 8 + 4)
 		if !c.short {
-			b.First(now, r)
+			b.Established(now, r)
 		}
 	case evResolved:
 		return d.resolved(c, b, id, now)
 	case evAborted:
 		if r := policy.RequestID(c.u64()); !c.short {
-			b.Ended(now, r)
+			b.RequestEnded(now, r)
 		}
 	case evTimer:
 		if token := c.u64(); !c.short {
@@ -236,7 +236,7 @@
 			return err
 		}
 		if !c.short {
-			b.Probed(now, server, result, report)
+			b.ProbeResult(now, server, result, report)
 		}
 	case evNote:
 		r := policy.RequestID(c.u64())
@@ -247,10 +247,10 @@
 		}
 		switch what {
 		case noteLoad:
-			b.Load(now, r, value/1e6)
+			b.UpdateLoad(now, r, value/1e6)
 		case noteSlow:
 			if slow, ok := settings.Millis(value); ok {
-				b.Slow(now, r, slow)
+				b.ObserveLatency(now, r, slow)
 			}
 		}
 	case evPeer:
@@ -269,12 +269,12 @@
 	c.skip(8)
 	result, err := c.result()
 	o.Result = result
-	o.Closed = c.u8() != 0
-	o.Try = int(c.u8())
+	o.Final = c.u8() != 0
+	o.Attempt = int(c.u8())
 	o.Server = policy.ServerID(c.u32())
 	o.Report = c.report(d.reports[id])
 	if err == nil && !c.short {
-		b.Outcome(now, o)
+		b.AttemptEnded(now, o)
 	}
 	return err
 }
@@ -311,11 +311,11 @@
 	0: policy.ListFailed, 1: policy.ListDelta, 3: policy.ListFull, 4: policy.ListCached,
 }
 
-var states = map[uint8]policy.State{0: policy.Gone, 1: policy.Ready, 2: policy.Draining}
+var states = map[uint8]policy.ServerState{0: policy.Gone, 1: policy.Ready, 2: policy.Draining}
 
 var results = [...]policy.Result{
 	0: policy.Error, 1: policy.OK, 2: policy.Full, 3: policy.Timeout,
-	4: policy.ConnectFailed, 5: policy.Reset, 6: policy.Cancelled, 7: policy.Moot,
+	4: policy.ConnectFailed, 5: policy.Reset, 6: policy.Cancelled, 7: policy.NotSent,
 }
 
 // Flags of a request.
@@ -330,7 +330,7 @@
 
 // set takes the flags, and the hint, which only counts if they say so.
 func (q *call) set(flags uint16, hint float64) {
-	q.MidFlow, q.Again = flags&flagMidFlow != 0, flags&flagAgain != 0
+	q.MidFlow, q.Reconnect = flags&flagMidFlow != 0, flags&flagAgain != 0
 	if flags&flagHint != 0 {
 		q.Load = hint / 1e3
 	}
--- a/policy/members.go
+++ b/policy/members.go
@@ -39,12 +39,12 @@
 	// Guards against a polling storm: proxies that fail together come back spread out, later each time and the
 	// more there are, or all calls wait too long for good. Yet what is not asked for in time counts as told.
 	many := max(b.relays/askTogether, 1)
-	span := min(many*math.Exp2(float64(min(b.asked, 2)))/20, 1) * float64(b.set.AskWithin)
+	span := min(many*math.Exp2(float64(min(b.asked, 2)))/20, 1) * float64(b.set.MaxPollInterval)
 	b.act.Timer(time.Duration(span*b.rng.Float64()), tokenWatch)
 }
 
-// Members takes what discovery says of the servers.
-func (b *Balancer) Members(now time.Duration, how ListKind, list []Server) {
+// UpdateServers takes what discovery says of the servers.
+func (b *Balancer) UpdateServers(now time.Duration, how ListKind, list []Server) {
 	if how == ListFailed {
 		if b.set.Subscribe {
 			b.watching = false
@@ -97,7 +97,7 @@
 }
 
 func (b *Balancer) listed(now time.Duration, how ListKind, e Server) {
-	e = saneServer(e, b.set.Zones)
+	e = normalizeServer(e, b.set.Zones)
 	s := b.byID[e.ID]
 	if s == nil {
 		if e.State == Gone {
