--- a/cmd/dahliarudder/build.go
+++ b/cmd/dahliarudder/build.go
@@ -67,12 +67,12 @@
 	cfg, loop := r.cfg, r.loop
 	r.watch = &pool.Watcher{Loop: loop, Addr: cfg.Discovery, Log: r.log, Mapper: r.names,
 		Dial: loop.NewDescriptorReserve(pool.MaxDescriptors).Dial, Random: newRandom(cfg.SeedNumber())}
-	var ledger core.Ledger
+	var ledger core.Recorder
 	if r.store != nil { // a nil *store.Store in the interface would not be nil
 		ledger = r.store
 	}
-	r.core = core.New(core.Options{Settings: r.names.Settings, Seed: cfg.SeedNumber(), Clock: r.clock, Round: loop.RoundStart, Ledger: ledger,
-		Watch: r.watch.Start, FeedMemory: int(cfg.Limits.MemoryMB * feedMemoryFraction * (1 << 20)),
+	r.core = core.New(core.Options{Settings: r.names.Settings, Seed: cfg.SeedNumber(), Clock: r.clock, LoopTime: loop.RoundStart, Recorder: ledger,
+		Watch: r.watch.Start, FeedMemoryLimit: int(cfg.Limits.MemoryMB * feedMemoryFraction * (1 << 20)),
 		Probe: r.checkHealth, Wake: r.scheduleTick})
 	r.watch.OnUpdate = r.core.Pool
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -26,15 +26,15 @@
 
 // Request is what a client asks for.
 type Request struct {
-	Name   string        `json:"Name"` // the client's own name for it, for the record
-	Class  int           `json:"Class"`
-	Tenant int           `json:"Tenant"`
-	Key    uint64        `json:"Key"`
-	Group  uint64        `json:"Group"`
-	Load   float64       `json:"Load"`
-	Wait   time.Duration `json:"Wait"`  // how long the client still waits
-	Again  bool          `json:"Again"` // the client reconnects after a break or a migration
-	At     string        `json:"At"`    // the member that already holds the flow; empty for a new one
+	Name          string        `json:"Name"` // the client's own name for it, for the record
+	Class         int           `json:"Class"`
+	Tenant        int           `json:"Tenant"`
+	Key           uint64        `json:"Key"`
+	Group         uint64        `json:"Group"`
+	Load          float64       `json:"Load"`
+	TimeLeft      time.Duration `json:"Wait"`  // how long the client still waits
+	Reconnect     bool          `json:"Again"` // the client reconnects after a break or a migration
+	CurrentMember string        `json:"At"`    // the member that already holds the flow; empty for a new one
 }
 
 // VirtualServer is the client's side of one request. The core never calls it
@@ -52,25 +52,25 @@
 	Move()
 }
 
-// Answer is a final answer.
+// RecordAnswer is a final answer.
 type Answer string
 
 // The final answers. Lost is that of a request whose client went away first.
 const (
-	Served   Answer = "served"
-	Rejected Answer = "rejected"
-	Failed   Answer = "failed"
-	Lost     Answer = "left"
+	Served     Answer = "served"
+	Rejected   Answer = "rejected"
+	Failed     Answer = "failed"
+	ClientGone Answer = "left"
 )
 
-// Ledger keeps the record of what happened. Its calls must not block.
-type Ledger interface {
+// Recorder keeps the record of what happened. Its calls must not block.
+type Recorder interface {
 	// Ready says whether what follows will be recorded.
 	Ready() bool
-	// Attempt records the end of a server-side flow, or of its setting up.
-	Attempt(q *Request, id ID, try int, member string, start, end time.Duration, result policy.Result)
-	// Answer records the final answer.
-	Answer(q *Request, id ID, at time.Duration, answer Answer, tries int)
+	// RecordAttempt records the end of a server-side flow, or of its setting up.
+	RecordAttempt(q *Request, id ID, try int, member string, start, end time.Duration, result policy.Result)
+	// RecordAnswer records the final answer.
+	RecordAnswer(q *Request, id ID, at time.Duration, answer Answer, tries int)
 }
 
 // Options is what a Core is made of.
@@ -78,17 +78,17 @@
 	Settings *settings.Settings
 	Seed     uint64
 	Clock    func() time.Duration
-	Round    func() time.Duration   // the time as of the loop's round, for messages; Clock if nil
+	LoopTime func() time.Duration   // the time as of the loop's round, for messages; Clock if nil
 	Wake     func(at time.Duration) // have Tick called once at that time; replaces an earlier wish
 	Probe    func(to *Member)       // ends in Probed
 	Watch    func()                 // ask discovery; ends in Pool
-	Ledger   Ledger                 // nil for none
+	Recorder Recorder               // nil for none
 	// Saw is told how each attempt and probe went; nil if nobody wants to know.
 	Saw func(m *Member, result policy.Result)
 	// Happened is told what happens at members, by request; nil if nobody counts it.
 	Happened func(Happening)
-	// FeedMemory is how many bytes the messages on all feeds may hold; 0 for no bound.
-	FeedMemory int
+	// FeedMemoryLimit is how many bytes the messages on all feeds may hold; 0 for no bound.
+	FeedMemoryLimit int
 }
 
 // noteEvery is how often slow messages at one member are told to the module.
@@ -158,8 +158,8 @@
 	if c.grace = settings.Span(o.Settings.Guarantees.Grace); c.grace <= 0 {
 		c.grace = 250 * time.Millisecond
 	}
-	if c.Round == nil {
-		c.Round = c.Clock
+	if c.LoopTime == nil {
+		c.LoopTime = c.Clock
 	}
 	c.facade = policy.NewFacade(c.Clock(), c.set, o.Seed)
 	c.arm()
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -65,10 +65,10 @@
 }
 
 func (r *rig) Ready() bool { return !r.shut }
-func (r *rig) Attempt(_ *Request, id ID, try int, _ string, _, _ time.Duration, _ policy.Result) {
+func (r *rig) RecordAttempt(_ *Request, id ID, try int, _ string, _, _ time.Duration, _ policy.Result) {
 	r.book = append(r.book, fmt.Sprintf("attempt %d.%d", id, try))
 }
-func (r *rig) Answer(_ *Request, id ID, _ time.Duration, a Answer, _ int) {
+func (r *rig) RecordAnswer(_ *Request, id ID, _ time.Duration, a Answer, _ int) {
 	r.book = append(r.book, fmt.Sprintf("answer %d", id))
 }
 
@@ -79,7 +79,7 @@
 	}
 	r := &rig{t: t, now: time.Hour, out: map[ID]*side{}}
 	r.Core = New(Options{Settings: set, Seed: 7, Clock: func() time.Duration { return r.now },
-		Wake: func(at time.Duration) { r.wake = at }, Probe: func(*Member) {}, Watch: func() {}, Ledger: r})
+		Wake: func(at time.Duration) { r.wake = at }, Probe: func(*Member) {}, Watch: func() {}, Recorder: r})
 	r.Pool(policy.ListCached, list(members, policy.Ready))
 	return r
 }
@@ -96,7 +96,7 @@
 // open brings a request that waits for two seconds.
 func (r *rig) open() *side {
 	s := &side{r: r}
-	s.id = r.Open(Request{Load: 0.01, Wait: 2 * time.Second}, s)
+	s.id = r.Open(Request{Load: 0.01, TimeLeft: 2 * time.Second}, s)
 	return s
 }
 
@@ -210,7 +210,7 @@
 func TestStandingFlow(t *testing.T) {
 	r := newRig(t, 2)
 	s, lost := &side{r: r}, &side{r: r}
-	id := r.Open(Request{At: "m1", Wait: time.Second}, s)
+	id := r.Open(Request{CurrentMember: "m1", TimeLeft: time.Second}, s)
 	if s.out != 1 || !r.Up(id, 0) {
 		t.Fatal("not up")
 	}
@@ -218,7 +218,7 @@
 	if s.moved != 1 {
 		t.Error("not moved from a draining member")
 	}
-	r.Open(Request{At: "elsewhere", Wait: time.Second}, lost)
+	r.Open(Request{CurrentMember: "elsewhere", TimeLeft: time.Second}, lost)
 	if len(lost.answers) != 1 {
 		t.Error("no answer for an unknown member")
 	}
@@ -284,7 +284,7 @@
 		t.Error("sent to a banned member")
 	}
 	at := &side{r: r}
-	if r.Open(Request{At: "m0", Wait: time.Second}, at); at.tries != 0 || len(at.answers) != 1 || at.answers[0] != "rejected" {
+	if r.Open(Request{CurrentMember: "m0", TimeLeft: time.Second}, at); at.tries != 0 || len(at.answers) != 1 || at.answers[0] != "rejected" {
 		t.Errorf("a standing flow of a banned member: %d tries, %v", at.tries, at.answers)
 	}
 	r.do(policy.Action{Kind: policy.ActionProbe, Server: 10})
@@ -639,7 +639,7 @@
 	}
 	r := &rig{t: t, now: time.Hour, out: map[ID]*side{}}
 	r.Core = New(Options{Settings: set, Seed: 7, Clock: func() time.Duration { return r.now },
-		Wake: func(at time.Duration) { r.wake = at }, Probe: func(*Member) {}, Watch: func() {}, Ledger: r})
+		Wake: func(at time.Duration) { r.wake = at }, Probe: func(*Member) {}, Watch: func() {}, Recorder: r})
 	r.Pool(policy.ListCached, list(3, policy.Ready))
 	r.up(3)
 	r.Stop()
--- a/internal/core/crossings_test.go
+++ b/internal/core/crossings_test.go
@@ -146,8 +146,8 @@
 			}
 		}
 	}
-	first.id = r.Open(Request{Load: 0.01, Wait: 2 * time.Second}, rude{first, leave(second)})
-	second.id = r.Open(Request{Load: 0.01, Wait: 2 * time.Second}, rude{second, leave(first)})
+	first.id = r.Open(Request{Load: 0.01, TimeLeft: 2 * time.Second}, rude{first, leave(second)})
+	second.id = r.Open(Request{Load: 0.01, TimeLeft: 2 * time.Second}, rude{second, leave(first)})
 	if first.tries+second.tries > 0 {
 		t.Fatal("sent without a report")
 	}
@@ -171,7 +171,7 @@
 		for _, up := range []bool{false, true} {
 			r := newRigOf(t, classesText, list(2, policy.Ready))
 			s := &side{r: r}
-			s.id = r.Open(Request{Class: unsafeClass, At: "m1", Wait: time.Second}, s)
+			s.id = r.Open(Request{Class: unsafeClass, CurrentMember: "m1", TimeLeft: time.Second}, s)
 			if up {
 				r.Up(s.id, 0)
 			}
--- a/internal/core/feed.go
+++ b/internal/core/feed.go
@@ -29,7 +29,7 @@
 	// Cut ends the link, if there is one, so that nothing more can be taken there. It
 	// returns how many of its bytes have left.
 	Cut() (left uint64)
-	// Answer is the final answer of a message; after is when to come again with one that is
+	// RecordAnswer is the final answer of a message; after is when to come again with one that is
 	// rejected.
 	Answer(m *window.Message, text []byte, a Answer, after time.Duration)
 	// Room says that the window has room again after Put found none.
@@ -114,8 +114,8 @@
 // fair part, and always one message.
 func (f *Feed) hasRoom() bool {
 	c := f.c
-	if c.FeedMemory > 0 && c.feedBytes > c.FeedMemory && f.w.Bytes() > 0 &&
-		f.w.Bytes() >= max(c.FeedMemory/len(c.feeds), feedLeast) {
+	if c.FeedMemoryLimit > 0 && c.feedBytes > c.FeedMemoryLimit && f.w.Bytes() > 0 &&
+		f.w.Bytes() >= max(c.FeedMemoryLimit/len(c.feeds), feedLeast) {
 		return false
 	}
 	return f.w.Room()
@@ -129,13 +129,13 @@
 
 // Put takes a message. Its text was appended to Buffer, its time runs from now.
 func (f *Feed) Put(m window.Message, text []byte) {
-	c, now := f.c, f.c.Round()
+	c, now := f.c, f.c.LoopTime()
 	c.last++
-	m.ID, m.Due = uint64(c.last), now+f.q.Wait
+	m.ID, m.Due = uint64(c.last), now+f.q.TimeLeft
 	c.Counts.Messages.Taken++
 	f.used = now
 	switch {
-	case c.Ledger != nil && !c.Ledger.Ready(): // what cannot be recorded is not sent
+	case c.Recorder != nil && !c.Recorder.Ready(): // what cannot be recorded is not sent
 		f.turnAway(&m, text, stopAfter)
 		return
 	case f.state == feedPausing && m.Due <= f.pauses:
@@ -180,7 +180,7 @@
 
 // Taken says that the member has taken the n oldest messages that are out.
 func (f *Feed) Taken(n int) {
-	c, now := f.c, f.c.Round()
+	c, now := f.c, f.c.LoopTime()
 	settled, served := f.w.Out(), 0
 	f.w.Taken(now, n, func(m *window.Message) {
 		served++
@@ -206,7 +206,7 @@
 // returns whether there is one.
 func (f *Feed) Refused(subject uint64) bool { return f.w.Refused(subject) != nil }
 
-// Lost says that the link is gone, of whose bytes so many have left.
+// ClientGone says that the link is gone, of whose bytes so many have left.
 func (f *Feed) Lost(result policy.Result, left uint64) {
 	f.end(result, left)
 	f.room()
@@ -220,7 +220,7 @@
 	}
 	f.over = true
 	f.back(policy.Cancelled, f.carrier.Cut())
-	f.w.GiveUp(1<<62, func(m *window.Message, _ bool) { f.settle(m, Lost) })
+	f.w.GiveUp(1<<62, func(m *window.Message, _ bool) { f.settle(m, ClientGone) })
 	state := f.state
 	f.state = feedIdle
 	if state == feedPlacing || state == feedUp {
@@ -239,7 +239,7 @@
 	}
 	f.state = feedPlacing
 	q := f.q
-	q.Again = f.stood
+	q.Reconnect = f.stood
 	if id := f.c.Open(q, f); f.state == feedPlacing {
 		f.flow = id
 	}
@@ -445,19 +445,19 @@
 	default:
 		n.Failed++
 	}
-	if f.c.Ledger != nil {
+	if f.c.Recorder != nil {
 		q := f.q
 		q.Name = m.Name
-		f.c.Ledger.Answer(&q, ID(m.ID), f.c.Clock(), a, m.Tries)
+		f.c.Recorder.RecordAnswer(&q, ID(m.ID), f.c.Clock(), a, m.Tries)
 	}
 }
 
 // attempt records the end of an attempt of a message.
 func (f *Feed) attempt(m *window.Message, result policy.Result) {
-	if f.c.Ledger != nil {
+	if f.c.Recorder != nil {
 		q := f.q
 		q.Name = m.Name
-		f.c.Ledger.Attempt(&q, ID(m.ID), m.Tries-1, f.member.Name, m.Sent, f.c.Clock(), result)
+		f.c.Recorder.RecordAttempt(&q, ID(m.ID), m.Tries-1, f.member.Name, m.Sent, f.c.Clock(), result)
 	}
 }
 
--- a/internal/core/feed_test.go
+++ b/internal/core/feed_test.go
@@ -27,7 +27,7 @@
 
 func newPipe(r *rig, messages int) *pipe {
 	p := &pipe{r: r, tries: map[uint64]int{}, due: map[uint64]time.Duration{}, answers: map[uint64]Answer{}}
-	p.f = r.Feed(Request{Load: 0.01, Wait: 2 * time.Second}, FeedLimits{Messages: messages, Bytes: 1 << 20}, p)
+	p.f = r.Feed(Request{Load: 0.01, TimeLeft: 2 * time.Second}, FeedLimits{Messages: messages, Bytes: 1 << 20}, p)
 	return p
 }
 
@@ -156,7 +156,7 @@
 // TestFeedMemory: all feeds together keep within their memory, yet each may hold a message.
 func TestFeedMemory(t *testing.T) {
 	r := newRig(t, 2)
-	r.FeedMemory = 10 << 10
+	r.FeedMemoryLimit = 10 << 10
 	pipes := []*pipe{newPipe(r, 5000), newPipe(r, 5000), newPipe(r, 5000)}
 	for _, p := range pipes {
 		p.put(5000)
@@ -394,7 +394,7 @@
 	r := newRigOf(t, classesText, list(1, policy.Ready))
 	p := newPipe(r, 10)
 	p.f.Close()
-	p.f = r.Feed(Request{Class: unsafeClass, Load: 0.01, Wait: 2 * time.Second}, FeedLimits{Messages: 10, Bytes: 1 << 20}, p)
+	p.f = r.Feed(Request{Class: unsafeClass, Load: 0.01, TimeLeft: 2 * time.Second}, FeedLimits{Messages: 10, Bytes: 1 << 20}, p)
 	if p.put(3); p.to == nil {
 		t.Fatal("no attempt is out")
 	}
@@ -451,7 +451,7 @@
 	} {
 		r := newRigOf(t, classesText, list(2, policy.Ready))
 		p := &pipe{r: r, tries: map[uint64]int{}, due: map[uint64]time.Duration{}, answers: map[uint64]Answer{}}
-		p.f = r.Feed(Request{Class: c.class, Load: 0.01, Wait: 2 * time.Second}, FeedLimits{Messages: 10, Bytes: 1 << 20}, p)
+		p.f = r.Feed(Request{Class: c.class, Load: 0.01, TimeLeft: 2 * time.Second}, FeedLimits{Messages: 10, Bytes: 1 << 20}, p)
 		p.put(1)
 		p.f.Stands()
 		first := r.now
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -158,9 +158,9 @@
 		w.Fatalf("request %d: sent for %v at %v, deadline %v", id, wait, w.now, x.deadline)
 	case x.late:
 		w.Fatalf("request %d: sent, though it came after the stop", id)
-	case x.q.At == "" && p.left && (w.strict || w.now-p.told > 250*time.Millisecond):
+	case x.q.CurrentMember == "" && p.left && (w.strict || w.now-p.told > 250*time.Millisecond):
 		w.Fatalf("request %d: sent to %s, which left %v ago", id, p.Name, w.now-p.told)
-	case x.q.At == "" && w.doubting:
+	case x.q.CurrentMember == "" && w.doubting:
 		w.Fatalf("request %d: sent during a doubt", id)
 	case to.Addr != p.Addr:
 		w.Fatalf("request %d: sent to %s at %s, it is at %s", id, to.Name, to.Addr, p.Addr)
@@ -232,10 +232,10 @@
 // ---- The record ----
 
 func (w *world) Ready() bool { return !w.shut }
-func (w *world) Attempt(_ *Request, id ID, try int, _ string, _, _ time.Duration, _ policy.Result) {
+func (w *world) RecordAttempt(_ *Request, id ID, try int, _ string, _, _ time.Duration, _ policy.Result) {
 	w.note(fmt.Sprintf("attempt %d.%d", id, try))
 }
-func (w *world) Answer(_ *Request, id ID, _ time.Duration, _ Answer, _ int) {
+func (w *world) RecordAnswer(_ *Request, id ID, _ time.Duration, _ Answer, _ int) {
 	w.note(fmt.Sprintf("answer %d", id))
 }
 func (w *world) note(line string) {
@@ -265,7 +265,7 @@
 	w := &world{T: t, now: time.Hour, wake: math.MaxInt64, byID: map[ID]*client{}, names: map[string]*place{},
 		bans: map[string]bool{}, agreed: map[string]Leaving{}, events: map[string]int{}}
 	w.c = New(Options{Settings: set, Seed: uint64(evenly(64).Draw(t, "seed")), Clock: func() time.Duration { return w.now },
-		Wake: func(at time.Duration) { w.wake = at }, Watch: func() {}, Ledger: w,
+		Wake: func(at time.Duration) { w.wake = at }, Watch: func() {}, Recorder: w,
 		Probe: func(to *Member) {
 			if p := w.names[to.Name]; w.doubting || p.left && (w.strict || w.now-p.told > 250*time.Millisecond) {
 				w.Fatalf("%s is probed, which left %v ago; doubt %v", to.Name, w.now-p.told, w.doubting)
@@ -315,12 +315,12 @@
 
 func (w *world) arrive() {
 	x := &client{w: w, late: w.stopped}
-	x.q = Request{Class: w.draw(5, "class"), Load: 0.01, Group: uint64(w.draw(3, "group")), Again: w.draw(4, "again") == 0,
-		Wait: modelWaits[w.draw(len(modelWaits), "wait")]}
+	x.q = Request{Class: w.draw(5, "class"), Load: 0.01, Group: uint64(w.draw(3, "group")), Reconnect: w.draw(4, "again") == 0,
+		TimeLeft: modelWaits[w.draw(len(modelWaits), "wait")]}
 	if w.draw(12, "at") == 0 {
-		x.q.At = fmt.Sprint("m", w.draw(8, "member"))
+		x.q.CurrentMember = fmt.Sprint("m", w.draw(8, "member"))
 	}
-	x.deadline = w.now + x.q.Wait
+	x.deadline = w.now + x.q.TimeLeft
 	w.all = append(w.all, x)
 	before := w.opening // its front does not know the id before Open has returned
 	w.opening = x
@@ -329,7 +329,7 @@
 	if (x.late || w.shut) && (len(x.answers) != 1 || x.answers[0] != "rejected") {
 		w.Fatalf("request %d: came after the stop, or could not be recorded: answers %v", x.id, x.answers)
 	}
-	if x.q.Wait <= 0 && len(x.answers) != 1 {
+	if x.q.TimeLeft <= 0 && len(x.answers) != 1 {
 		w.Fatalf("request %d: came with no time left: answers %v", x.id, x.answers)
 	}
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -15,17 +15,17 @@
 func (c *Core) Open(q Request, v VirtualServer) ID {
 	now := c.Clock()
 	c.last++
-	r := &request{Request: q, id: c.last, v: v, deadline: now + q.Wait}
+	r := &request{Request: q, id: c.last, v: v, deadline: now + q.TimeLeft}
 	c.requests[r.id] = r
 	c.Counts.Requests++
 	switch {
 	case c.stopping:
 		c.answer(r, Rejected, stopAfter)
-	case c.Ledger != nil && !c.Ledger.Ready():
+	case c.Recorder != nil && !c.Recorder.Ready():
 		c.answer(r, Rejected, stopAfter)
-	case q.Wait <= 0:
+	case q.TimeLeft <= 0:
 		c.answer(r, Rejected, stopAfter)
-	case q.At != "":
+	case q.CurrentMember != "":
 		c.stand(now, r)
 	default:
 		c.alarm(r.deadline, r.id, -1)
@@ -36,7 +36,7 @@
 
 // stand sends a flow on to the member that already holds it.
 func (c *Core) stand(now time.Duration, r *request) {
-	m := c.byName[r.At]
+	m := c.byName[r.CurrentMember]
 	if m == nil {
 		c.answer(r, Failed, 0)
 		return
@@ -47,13 +47,13 @@
 	}
 	r.standing, r.sends = true, 1 // the module takes it for sent
 	c.alarm(r.deadline, r.id, -1)
-	c.start(now, r, m, r.Wait)
+	c.start(now, r, m, r.TimeLeft)
 	c.arm()
 }
 
 func (r *request) policy() policy.Request {
 	return policy.Request{ID: r.id, Class: r.Class, Tenant: r.Tenant, Key: r.Key, Group: r.Group,
-		Deadline: r.deadline, Load: r.Load, Reconnect: r.Again}
+		Deadline: r.deadline, Load: r.Load, Reconnect: r.Reconnect}
 }
 
 // current is the request whose attempt of that number is out or open.
@@ -108,7 +108,7 @@
 	harmless = c.harmless(r)
 	c.step(r, left)
 	if !was.final() {
-		c.record(r, Lost)
+		c.record(r, ClientGone)
 		if !r.standing {
 			c.tell(policy.ClientGone{ID: id})
 		}
@@ -174,8 +174,8 @@
 	if what, ok := ends[ending{was == serving, result}]; ok {
 		c.happens(r, m, what, c.Clock()-r.sent)
 	}
-	if c.Ledger != nil {
-		c.Ledger.Attempt(&r.Request, r.id, try, m.Name, r.sent, c.Clock(), result)
+	if c.Recorder != nil {
+		c.Recorder.RecordAttempt(&r.Request, r.id, try, m.Name, r.sent, c.Clock(), result)
 	}
 	if r.standing && was != serving { // the module has not heard of it
 		return
@@ -235,7 +235,7 @@
 		c.Counts.Away += after
 		r.v.Reject(after)
 	} else {
-		c.Counts.Away += r.Wait
+		c.Counts.Away += r.TimeLeft
 		r.v.Fail()
 	}
 }
@@ -249,11 +249,11 @@
 		c.Counts.Rejected++
 	case Failed:
 		c.Counts.Failed++
-	case Lost:
+	case ClientGone:
 		c.Counts.Left++
 	}
-	if c.Ledger != nil {
-		c.Ledger.Answer(&r.Request, r.id, c.Clock(), a, r.tries)
+	if c.Recorder != nil {
+		c.Recorder.RecordAnswer(&r.Request, r.id, c.Clock(), a, r.tries)
 	}
 }
 
--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -37,7 +37,7 @@
 	}
 	r := &rig{t: t, now: time.Hour, wake: math.MaxInt64, out: map[ID]*side{}}
 	r.Core = New(Options{Settings: set, Seed: 7, Clock: func() time.Duration { return r.now },
-		Wake: func(at time.Duration) { r.wake = at }, Probe: func(*Member) {}, Watch: func() {}, Ledger: r})
+		Wake: func(at time.Duration) { r.wake = at }, Probe: func(*Member) {}, Watch: func() {}, Recorder: r})
 	r.Pool(policy.ListCached, members)
 	return r
 }
@@ -45,7 +45,7 @@
 // bring opens a request of a class that waits so long.
 func (r *rig) bring(class int, wait time.Duration) *side {
 	s := &side{r: r}
-	s.id = r.Open(Request{Class: class, Load: 0.01, Wait: wait}, s)
+	s.id = r.Open(Request{Class: class, Load: 0.01, TimeLeft: wait}, s)
 	return s
 }
 
@@ -287,7 +287,7 @@
 			for _, late := range []bool{false, true} {
 				r := newRigOf(t, classesText, away)
 				s := &side{r: r}
-				r.Open(Request{Class: class, At: "m0", Wait: 2 * time.Second}, s)
+				r.Open(Request{Class: class, CurrentMember: "m0", TimeLeft: 2 * time.Second}, s)
 				q := r.requests[s.id]
 				q.standing = false // as any other that had its attempt there
 				s.ends(policy.Reset)
@@ -307,7 +307,7 @@
 func TestStandingDeadline(t *testing.T) {
 	r := newRigOf(t, classesText, list(1, policy.Ready))
 	s := &side{r: r}
-	r.Open(Request{At: "m0", Class: unsafeClass, Wait: time.Second}, s)
+	r.Open(Request{CurrentMember: "m0", Class: unsafeClass, TimeLeft: time.Second}, s)
 	if s.out != 1 || r.wake != r.now+time.Second {
 		t.Errorf("%d out, the core is to be called in %v", s.out, r.wake-r.now)
 	}
--- a/internal/front/line/attempt_test.go
+++ b/internal/front/line/attempt_test.go
@@ -69,7 +69,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 2)
 			var ended results
-			g.Core.Ledger = &ended
+			g.Core.Recorder = &ended
 			c := g.ask(firstLine)
 			at, m := g.anyAttempt()
 			one.does(g, m)
@@ -145,7 +145,7 @@
 func TestAttemptRefused(t *testing.T) {
 	g := newRig(t, 2)
 	var ended results
-	g.Core.Ledger = &ended
+	g.Core.Recorder = &ended
 	for _, s := range g.servers {
 		s.Listener.Close()
 	}
@@ -171,7 +171,7 @@
 func TestAttemptComesUpLate(t *testing.T) {
 	g := newRig(t, 0)
 	var ended results
-	g.Core.Ledger = &ended
+	g.Core.Recorder = &ended
 	g.join(fullQueue(t))
 	c := g.ask(firstLine)
 	g.Advance(g.f.connectWithin)
@@ -222,7 +222,7 @@
 func TestAttemptWithoutMeans(t *testing.T) {
 	g := newRig(t, 1)
 	var ended results
-	g.Core.Ledger = &ended
+	g.Core.Recorder = &ended
 	saw := 0
 	g.Core.Saw = func(_ *core.Member, result policy.Result) {
 		if result != policy.NotSent {
--- a/internal/front/line/flow_test.go
+++ b/internal/front/line/flow_test.go
@@ -20,7 +20,7 @@
 
 func newFlow(t testing.TB) *flowRig {
 	g := &flowRig{rig: newRig(t, 1)}
-	g.Core.Ledger = &g.ended
+	g.Core.Recorder = &g.ended
 	g.c, g.m = g.openFlow()
 	return g
 }
--- a/internal/front/line/line_test.go
+++ b/internal/front/line/line_test.go
@@ -168,10 +168,10 @@
 type results []policy.Result
 
 func (l *results) Ready() bool { return true }
-func (l *results) Attempt(_ *core.Request, _ core.ID, _ int, _ string, _, _ time.Duration, r policy.Result) {
+func (l *results) RecordAttempt(_ *core.Request, _ core.ID, _ int, _ string, _, _ time.Duration, r policy.Result) {
 	*l = append(*l, r)
 }
-func (l *results) Answer(*core.Request, core.ID, time.Duration, core.Answer, int) {}
+func (l *results) RecordAnswer(*core.Request, core.ID, time.Duration, core.Answer, int) {}
 
 // TestBlame: an attempt that failed for want of the relay's own descriptors is not
 // the member's failure; one that the member refused is.
@@ -181,7 +181,7 @@
 	} {
 		r := looptest.NewRelay(t, 1)
 		var ended results
-		r.Core.Ledger = &ended
+		r.Core.Recorder = &ended
 		f := New(r.Loop, r.Core, r.Log)
 		c := r.Dial(r.Serve(f.Accept))
 		c.Send(firstLine + "\r\n")
@@ -201,8 +201,8 @@
 	r := looptest.NewRelay(t, 1)
 	for more, want := range map[string]bool{"": false, ",again=1": true, ",again=0": false} {
 		open, err := parseOpen(r.Core.Settings, firstLine+more)
-		if err != nil || open.request.Again != want {
-			t.Errorf("%q: %v, %v", more, open.request.Again, err)
+		if err != nil || open.request.Reconnect != want {
+			t.Errorf("%q: %v, %v", more, open.request.Reconnect, err)
 		}
 	}
 }
@@ -216,8 +216,8 @@
 		"d=4294967,at=s-1": standingWait, "at=s-1": standingWait,
 	} {
 		open, err := parseOpen(r.Core.Settings, strings.Replace(firstLine, "d=1900", d, 1))
-		if err != nil || open.request.Wait != want {
-			t.Errorf("%s: %v, %v, want %v", d, open.request.Wait, err, want)
+		if err != nil || open.request.TimeLeft != want {
+			t.Errorf("%s: %v, %v, want %v", d, open.request.TimeLeft, err, want)
 		}
 	}
 }
--- a/internal/front/line/open.go
+++ b/internal/front/line/open.go
@@ -68,13 +68,13 @@
 	}
 	q.Tenant = max(q.Tenant, 0)
 	most := settings.Span(set.Classes[q.Class].Deadline)
-	if q.At != "" {
+	if q.CurrentMember != "" {
 		most = standingWait
 	}
 	if !o.timed {
-		o.before, q.Wait = text, most
+		o.before, q.TimeLeft = text, most
 	} else if most > 0 { // a senseless d must not hold a request for days
-		q.Wait = min(q.Wait, most)
+		q.TimeLeft = min(q.TimeLeft, most)
 	}
 	o.request = q
 	return o, nil
@@ -98,7 +98,7 @@
 		if ms, err = strconv.ParseFloat(value, 64); err == nil && (math.IsNaN(ms) || ms < 0 || ms > 1e9) {
 			err = strconv.ErrRange
 		}
-		q.Wait = settings.Span(ms)
+		q.TimeLeft = settings.Span(ms)
 	case "g":
 		q.Group, err = strconv.ParseUint(value, 16, 64)
 	case "h":
@@ -107,9 +107,9 @@
 			q.Load = ms / 1e3
 		}
 	case "again":
-		q.Again = value == "1"
+		q.Reconnect = value == "1"
 	case "at":
-		q.At = value
+		q.CurrentMember = value
 	}
 	if err != nil {
 		return malformed(badValue, "%s=%.*q", name, shown, value)
--- a/internal/front/nats/nats.go
+++ b/internal/front/nats/nats.go
@@ -210,7 +210,7 @@
 
 // request is what the core is asked for.
 func (f *Front) request(name string, to destination) core.Request {
-	return core.Request{Name: name, Class: to.class, Tenant: to.tenant, Wait: f.Core.Limits().Classes[to.class].Deadline}
+	return core.Request{Name: name, Class: to.class, Tenant: to.tenant, TimeLeft: f.Core.Limits().Classes[to.class].Deadline}
 }
 
 func hash(s string) uint64 {
--- a/internal/front/nats/processor.go
+++ b/internal/front/nats/processor.go
@@ -115,9 +115,9 @@
 		c.say(reply, verdict{Verdict: "error", Error: "unknown class or tenant"})
 		return
 	}
-	r := core.Request{Name: q.Name, Class: class, Tenant: tenant, Load: max(q.Load, 0), Wait: settings.Span(q.WaitMS)}
-	if r.Wait <= 0 {
-		r.Wait = c.f.Core.Limits().Classes[class].Deadline
+	r := core.Request{Name: q.Name, Class: class, Tenant: tenant, Load: max(q.Load, 0), TimeLeft: settings.Span(q.WaitMS)}
+	if r.TimeLeft <= 0 {
+		r.TimeLeft = c.f.Core.Limits().Classes[class].Deadline
 	}
 	if q.Key != "" {
 		r.Key = hash(q.Key)
--- a/internal/front/nats/publish.go
+++ b/internal/front/nats/publish.go
@@ -72,7 +72,7 @@
 	}
 	c.mark++
 	q := window.Message{Subject: subjectKey(m.subject), Mark: c.mark, Reply: len(m.reply) > 0 && c.options.NoResponders}
-	if c.f.Core.Ledger != nil {
+	if c.f.Core.Recorder != nil {
 		q.Name = "PUB " + string(m.subject)
 	}
 	if c.options.Verbose {
@@ -204,7 +204,7 @@
 	return left
 }
 
-// Answer tells the client what became of a message. Nothing is said of one that was served, but
+// RecordAnswer tells the client what became of a message. Nothing is said of one that was served, but
 // for the +OK of a verbose client.
 func (p *publisher) Answer(m *window.Message, text []byte, a core.Answer, after time.Duration) {
 	c := p.c
--- a/internal/front/nats/sub.go
+++ b/internal/front/nats/sub.go
@@ -89,11 +89,11 @@
 	}
 	f := s.c.f
 	q := f.request("", f.destination([]byte(s.subject)))
-	if f.Core.Ledger != nil {
+	if f.Core.Recorder != nil {
 		q.Name = "SUB " + s.subject
 	}
 	q.Key = hash(s.subject)
-	q.Group, q.Again = q.Key, s.stood
+	q.Group, q.Reconnect = q.Key, s.stood
 	s.id = f.Core.Open(q, s)
 }
 
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -151,13 +151,13 @@
 	policy.ConnectFailed: "connect_failed", policy.Reset: "reset", policy.Cancelled: "cancelled", policy.NotSent: "moot",
 }
 
-// Attempt records the end of an attempt.
-func (s *Store) Attempt(_ *core.Request, id core.ID, try int, member string, start, end time.Duration, result policy.Result) {
+// RecordAttempt records the end of an attempt.
+func (s *Store) RecordAttempt(_ *core.Request, id core.ID, try int, member string, start, end time.Duration, result policy.Result) {
 	s.put(record{true, []any{s.run, int64(id), int64(try), member, resultNames[result], s.stamp(start), s.stamp(end)}})
 }
 
-// Answer records a final answer.
-func (s *Store) Answer(q *core.Request, id core.ID, at time.Duration, answer core.Answer, tries int) {
+// RecordAnswer records a final answer.
+func (s *Store) RecordAnswer(q *core.Request, id core.ID, at time.Duration, answer core.Answer, tries int) {
 	s.put(record{false, []any{s.run, int64(id), clean(q.Name), int64(q.Class), int64(q.Tenant), string(answer), int64(tries), s.stamp(at)}})
 }
 
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -47,8 +47,8 @@
 	s, _ := open(t, 0)
 	q := &core.Request{Name: "a\x00\xff", Class: 1, Tenant: 2}
 	for range 2 {
-		s.Attempt(q, 5, 0, "s-1", time.Second, 2*time.Second, policy.Reset)
-		s.Answer(q, 5, 3*time.Second, core.Failed, 1)
+		s.RecordAttempt(q, 5, 0, "s-1", time.Second, 2*time.Second, policy.Reset)
+		s.RecordAnswer(q, 5, 3*time.Second, core.Failed, 1)
 	}
 	until(t, "the records", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.waiting) == 0 })
 	if n := s.count(t, "SELECT count(*) FROM requests WHERE name = 'a??' AND answer = 'failed' AND at_us = 3000000"); n != 1 {
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	for id := range core.ID(9) {
-		s.Answer(&core.Request{}, id, 0, core.Served, 0)
+		s.RecordAnswer(&core.Request{}, id, 0, core.Served, 0)
 	}
 	until(t, "the failure", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.failing })
 	if s.Ready() {
@@ -92,7 +92,7 @@
 	if _, err := s.db.Exec("DROP TABLE requests"); err != nil {
 		t.Fatal(err)
 	}
-	s.Answer(&core.Request{}, 1, 0, core.Served, 0)
+	s.RecordAnswer(&core.Request{}, 1, 0, core.Served, 0)
 	if err := s.Close(10 * time.Millisecond); err == nil {
 		t.Error("a lost record was not told")
 	}
@@ -115,7 +115,7 @@
 		if _, err := s.db.Exec("ALTER TABLE requests RENAME TO elsewhere"); err != nil {
 			t.Fatal(err)
 		}
-		s.Answer(&core.Request{}, core.ID(trouble), 0, core.Served, 0)
+		s.RecordAnswer(&core.Request{}, core.ID(trouble), 0, core.Served, 0)
 		until(t, "the failure", func() bool { return !s.Ready() })
 		time.Sleep(3 * pauseLeast) // a few tries more
 		if _, err := s.db.Exec("ALTER TABLE elsewhere RENAME TO requests"); err != nil {
