--- a/cmd/dahliarudder/canary.go
+++ b/cmd/dahliarudder/canary.go
@@ -94,14 +94,14 @@
 	t.r.log.WithFields(logrus.Fields{"weights": perMille(use)}).Info("fleet: canary weights")
 	if len(use) == 0 {
 		t.r.core.Arm(nil, nil)
-		t.r.core.Happened, t.counter, t.salt = nil, nil, 0
+		t.r.core.OnMemberEvent, t.counter, t.salt = nil, nil, 0
 		clear(t.flows)
 		return
 	}
 	if w := use[0]; w.Salt != t.salt {
 		t.salt, t.counter = w.Salt, canary.NewCollector(w.Salt, t.r.peers.Incarnation())
 		clear(t.flows)
-		t.r.core.Happened = t.observe
+		t.r.core.OnMemberEvent = t.observe
 	}
 	t.r.core.Arm(t.inCanary, func(group uint64) bool {
 		return slices.ContainsFunc(t.applied, func(w canary.Weight) bool { return canary.RoutedToCanary(w.Salt, group, w.PerMille) })
@@ -125,7 +125,7 @@
 }
 
 // observe counts what happens at members, each with its like: class, zone, and whether the member is cold.
-func (t *canaryTrial) observe(h core.Happening) {
+func (t *canaryTrial) observe(h core.MemberEvent) {
 	f, stands := t.flows[h.Request]
 	if !stands {
 		age := t.r.loop.Now() - h.Member.Started
@@ -134,33 +134,33 @@
 			stratum: canary.Stratum{Class: uint8(h.Request.Class), Zone: uint8(h.Member.Zone), WarmingUp: cold}}
 	}
 	tally := t.counter.Tally(f.stratum, f.inCanary)
-	ms := float64(h.Took) / float64(time.Millisecond)
-	switch h.What {
-	case core.Stood:
+	ms := float64(h.Latency) / float64(time.Millisecond)
+	switch h.Kind {
+	case core.FlowEstablished:
 		tally.Attempts++
 		tally.SetupTime.Add(ms)
 		if len(t.flows) < maxTrackedFlows {
 			t.flows[h.Request] = f
 		}
-	case core.Erred:
+	case core.AttemptError:
 		tally.Attempts, tally.Failed = tally.Attempts+1, tally.Failed+1
-	case core.Broke:
+	case core.ConnectionFailed:
 		tally.Attempts, tally.Reset = tally.Attempts+1, tally.Reset+1
-	case core.TimedOut:
+	case core.AttemptTimedOut:
 		tally.Attempts, tally.TimedOut = tally.Attempts+1, tally.TimedOut+1
-	case core.Answered:
+	case core.MessageAnswered:
 		if stands && !f.messageTimed {
 			f.messageTimed = true
 			t.flows[h.Request] = f
 			tally.MessageTime.Add(ms)
 		}
-	case core.EndedWell, core.EndedEarly, core.Parted:
+	case core.FlowCompleted, core.FlowEndedByMember, core.FlowEndedLocally:
 		if !stands {
 			return
 		}
 		stood := t.r.loop.Now() - f.openedAt
 		tally.OpenSeconds += uint64(min(stood, earlyEndWindow) / time.Second)
-		if h.What == core.EndedEarly && stood < earlyEndWindow {
+		if h.Kind == core.FlowEndedByMember && stood < earlyEndWindow {
 			tally.EarlyDisconnects++
 		}
 		delete(t.flows, h.Request)
--- a/cmd/dahliarudder/gossip.go
+++ b/cmd/dahliarudder/gossip.go
@@ -24,7 +24,7 @@
 		zone = string(set.Zones[set.Zone])
 	}
 	book := &gossip.ObservationWindow{}
-	r.core.Saw = func(m *core.Member, result policy.Result) {
+	r.core.OnResult = func(m *core.Member, result policy.Result) {
 		if how, ok := outcomeOfResult[result]; ok {
 			in := ""
 			if m.Zone < len(set.Zones) {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -84,9 +84,9 @@
 	Watch    func()                 // ask discovery; ends in Pool
 	Recorder Recorder               // nil for none
 	// Saw is told how each attempt and probe went; nil if nobody wants to know.
-	Saw func(m *Member, result policy.Result)
-	// Happened is told what happens at members, by request; nil if nobody counts it.
-	Happened func(Happening)
+	OnResult func(m *Member, result policy.Result)
+	// OnMemberEvent is told what happens at members, by request; nil if nobody counts it.
+	OnMemberEvent func(MemberEvent)
 	// FeedMemoryLimit is how many bytes the messages on all feeds may hold; 0 for no bound.
 	FeedMemoryLimit int
 }
@@ -218,7 +218,7 @@
 		return
 	}
 	m, now, slow := r.member, c.Clock(), false
-	c.happens(r, m, Answered, took)
+	c.happens(r, m, MessageAnswered, took)
 	for _, class := range c.set.Classes {
 		slow = slow || took > class.MessageLatencyObjective/3
 	}
--- a/internal/core/happen.go
+++ b/internal/core/happen.go
@@ -6,27 +6,27 @@
 	"dahliarudder/policy"
 )
 
-// What happens at a member.
-type What int
+// MemberEventKind happens at a member.
+type MemberEventKind int
 
 // Of an attempt, and then of the flow that stands.
 const (
-	Stood      What = iota
-	Erred           // answered with an error
-	Broke           // reset, or not to be connected
-	TimedOut        //
-	Answered        // a message on a flow was, in the time that Took says
-	EndedWell       // served to its end
-	EndedEarly      // by the member
-	Parted          // by the client or this relay
+	FlowEstablished   MemberEventKind = iota
+	AttemptError                      // answered with an error
+	ConnectionFailed                  // reset, or not to be connected
+	AttemptTimedOut                   //
+	MessageAnswered                   // a message on a flow was, in the time that Took says
+	FlowCompleted                     // served to its end
+	FlowEndedByMember                 // by the member
+	FlowEndedLocally                  // by the client or this relay
 )
 
-// Happening is one thing that happened at a member. Nothing of it may be kept.
-type Happening struct {
+// MemberEvent is one thing that happened at a member. Nothing of it may be kept.
+type MemberEvent struct {
 	Member  *Member
 	Request *Request
-	What    What
-	Took    time.Duration
+	Kind    MemberEventKind
+	Latency time.Duration
 }
 
 // ending is how an attempt ended, or the flow that it became. What the relay or the client ended says nothing of the member.
@@ -35,15 +35,15 @@
 	result policy.Result
 }
 
-var ends = map[ending]What{
-	{false, policy.Error}: Erred, {false, policy.Reset}: Broke, {false, policy.ConnectFailed}: Broke, {false, policy.Timeout}: TimedOut,
-	{true, policy.OK}: EndedWell, {true, policy.Reset}: EndedEarly, {true, policy.Error}: EndedEarly,
-	{true, policy.Cancelled}: Parted, {true, policy.Timeout}: Parted,
+var ends = map[ending]MemberEventKind{
+	{false, policy.Error}: AttemptError, {false, policy.Reset}: ConnectionFailed, {false, policy.ConnectFailed}: ConnectionFailed, {false, policy.Timeout}: AttemptTimedOut,
+	{true, policy.OK}: FlowCompleted, {true, policy.Reset}: FlowEndedByMember, {true, policy.Error}: FlowEndedByMember,
+	{true, policy.Cancelled}: FlowEndedLocally, {true, policy.Timeout}: FlowEndedLocally,
 }
 
-func (c *Core) happens(r *request, m *member, what What, took time.Duration) {
-	if c.Happened != nil {
-		c.Happened(Happening{&m.Member, &r.Request, what, took})
+func (c *Core) happens(r *request, m *member, what MemberEventKind, took time.Duration) {
+	if c.OnMemberEvent != nil {
+		c.OnMemberEvent(MemberEvent{&m.Member, &r.Request, what, took})
 	}
 }
 
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -74,7 +74,7 @@
 	c.record(r, Served)
 	c.saw(r.member, policy.OK)
 	if !r.standing {
-		c.happens(r, r.member, Stood, c.Clock()-r.sent)
+		c.happens(r, r.member, FlowEstablished, c.Clock()-r.sent)
 	}
 	if r.standing {
 		c.tell(policy.ExistingFlow{Request: r.policy(), Server: r.member.ID})
@@ -191,8 +191,8 @@
 	case policy.Error, policy.Reset, policy.ConnectFailed, policy.Timeout:
 		m.bad++
 	}
-	if c.Saw != nil {
-		c.Saw(&m.Member, result)
+	if c.OnResult != nil {
+		c.OnResult(&m.Member, result)
 	}
 }
 
--- a/internal/front/line/attempt_test.go
+++ b/internal/front/line/attempt_test.go
@@ -224,7 +224,7 @@
 	var ended results
 	g.Core.Recorder = &ended
 	saw := 0
-	g.Core.Saw = func(_ *core.Member, result policy.Result) {
+	g.Core.OnResult = func(_ *core.Member, result policy.Result) {
 		if result != policy.NotSent {
 			saw++
 		}
--- a/internal/front/line/probe_test.go
+++ b/internal/front/line/probe_test.go
@@ -19,7 +19,7 @@
 
 func newProbing(t testing.TB, members int) *probing {
 	p := &probing{rig: newRig(t, members)}
-	p.Core.Saw = func(_ *core.Member, result policy.Result) { p.results = append(p.results, result) }
+	p.Core.OnResult = func(_ *core.Member, result policy.Result) { p.results = append(p.results, result) }
 	return p
 }
 
@@ -194,8 +194,8 @@
 // TestProbeSecondAnswerAtOnce: nor where the next probe begins as the first is answered.
 func TestProbeSecondAnswerAtOnce(t *testing.T) {
 	p := newProbing(t, 1)
-	saw := p.Core.Saw
-	p.Core.Saw = func(m *core.Member, result policy.Result) {
+	saw := p.Core.OnResult
+	p.Core.OnResult = func(m *core.Member, result policy.Result) {
 		if saw(m, result); len(p.results) == 1 {
 			p.probe(0)
 		}
