--- a/cmd/dahliarudder/fleet_status.go
+++ b/cmd/dahliarudder/fleet_status.go
@@ -23,7 +23,7 @@
 	l := fleet.ObservedState{Phase: "serving", Flows: r.core.Held(), DemandMS: uint64((r.flowTime + n.Away).Milliseconds()), ServedMS: uint64(r.flowTime.Milliseconds()), MisroutedFlows: uint64(n.Astray),
 		LocalEjections: r.core.Banned(), AppliedExclusions: r.fleetEjected, AppliedVersion: r.recordVersion, ListGeneration: list.Generation, ConfigSections: r.configDigests, PermitsVersion: r.permits, QuarantineOrder: r.closeOrder}
 	if r.reloadError != "" {
-		l.RejectedItems = map[string]string{drift.Config + ".settings": r.reloadError}
+		l.RejectedItems = map[string]string{drift.ItemConfig + ".settings": r.reloadError}
 	}
 	switch {
 	case r.stopping:
--- a/internal/drift/book.go
+++ b/internal/drift/book.go
@@ -11,12 +11,12 @@
 	tellMost = 16
 )
 
-// Book is in which a relay notes what it has applied and counts what it does. All calls come from one goroutine.
-type Book struct {
+// Reporter is in which a relay notes what it has applied and counts what it does. All calls come from one goroutine.
+type Reporter struct {
 	relay      string
 	start, seq uint64
 	items      []entry // by group and name
-	does       []Doing // by item and kind
+	does       []Activity // by item and kind
 	want       []string
 	wantLeft   int
 	next       string // after which name the next word's items begin, so that all get their turn
@@ -28,24 +28,24 @@
 	fresh int
 }
 
-// NewBook makes the book of a process. Start is above that of every process of this name before it, as a wall clock in milliseconds is.
-func NewBook(relay string, start uint64) *Book {
-	return &Book{relay: cut(relay, RelayMost), start: start}
+// NewReporter makes the book of a process. Start is above that of every process of this name before it, as a wall clock in milliseconds is.
+func NewReporter(relay string, start uint64) *Reporter {
+	return &Reporter{relay: cut(relay, MaxRelayNameBytes), start: start}
 }
 
-func (b *Book) find(name string) (int, bool) {
+func (b *Reporter) find(name string) (int, bool) {
 	return slices.BinarySearchFunc(b.items, name, func(e entry, n string) int { return byGroup(e.Name, n) })
 }
 
 // set changes an item, or makes it. False: the name is none, or there is no room.
-func (b *Book) set(name string, change func(*Applied)) bool {
+func (b *Reporter) set(name string, change func(*Applied)) bool {
 	i, ok := b.find(name)
 	if !ok {
-		if name == "" || len(b.items) >= ItemsMost || cut(name, NameMost) != name || len(GroupOf(name)) > GroupMost {
+		if name == "" || len(b.items) >= MaxItems || cut(name, MaxNameBytes) != name || len(GroupOf(name)) > MaxGroupNameBytes {
 			return false
 		}
 		b.items = slices.Insert(b.items, i, entry{Applied: Applied{Item: Item{Name: name}}})
-		if len(b.groups()) > GroupsMost {
+		if len(b.groups()) > MaxGroups {
 			b.items = slices.Delete(b.items, i, i+1)
 			return false
 		}
@@ -59,92 +59,92 @@
 	return true
 }
 
-// Note says that an item was applied as agreed. It ends what was refused or local of it. False: there is no room.
-func (b *Book) Note(now int64, item Item, from string) bool {
+// RecordApplied says that an item was applied as agreed. It ends what was refused or local of it. False: there is no room.
+func (b *Reporter) RecordApplied(now int64, item Item, from string) bool {
 	return b.set(item.Name, func(a *Applied) {
-		if a.Item != item || a.Local || a.RefusedVersion != 0 {
-			*a = Applied{Item: item, Since: now, From: cut(from, FromMost)}
+		if a.Item != item || a.LocalOverride || a.RejectedVersion != 0 {
+			*a = Applied{Item: item, Since: now, Source: cut(from, MaxSourceBytes)}
 		}
 	})
 }
 
-// Refuse says that a version was not taken, and why. What it runs stays.
-func (b *Book) Refuse(now int64, item Item, from, why string) bool {
+// RecordRejected says that a version was not taken, and why. What it runs stays.
+func (b *Reporter) RecordRejected(now int64, item Item, from, why string) bool {
 	return b.set(item.Name, func(a *Applied) {
-		if a.RefusedVersion != item.Version || a.Refused != cut(why, WhyMost) {
-			a.RefusedVersion, a.Refused = item.Version, cut(cmp.Or(why, "refused"), WhyMost)
-			a.Since, a.From = now, cut(from, FromMost)
+		if a.RejectedVersion != item.Version || a.RejectReason != cut(why, MaxReasonBytes) {
+			a.RejectedVersion, a.RejectReason = item.Version, cut(cmp.Or(why, "refused"), MaxReasonBytes)
+			a.Since, a.Source = now, cut(from, MaxSourceBytes)
 		}
 	})
 }
 
-// Local says that an operator's call at this relay changed an item, by whom. Version and digest are what it runs now.
-func (b *Book) Local(now int64, item Item, by string) bool {
+// LocalOverride says that an operator's call at this relay changed an item, by whom. Version and digest are what it runs now.
+func (b *Reporter) RecordOverride(now int64, item Item, by string) bool {
 	return b.set(item.Name, func(a *Applied) {
-		if a.Item != item || !a.Local {
-			*a = Applied{Item: item, Since: now, From: cut(by, FromMost), Local: true}
+		if a.Item != item || !a.LocalOverride {
+			*a = Applied{Item: item, Since: now, Source: cut(by, MaxSourceBytes), LocalOverride: true}
 		}
 	})
 }
 
-// Step says that the relay has come further with the next version of an item: it is slow, not stuck.
-func (b *Book) Step(name string) {
+// Progress says that the relay has come further with the next version of an item: it is slow, not stuck.
+func (b *Reporter) RecordProgress(name string) {
 	if i, ok := b.find(name); ok {
-		b.items[i].Step++
+		b.items[i].Progress++
 	}
 }
 
-// Drop says that it runs no such item any more. It is told so for as long as any change is.
-func (b *Book) Drop(name string) {
+// Remove says that it runs no such item any more. It is told so for as long as any change is.
+func (b *Reporter) Remove(name string) {
 	if i, ok := b.find(name); ok {
 		b.items[i] = entry{Applied{Item: Item{Name: b.items[i].Name}}, freshFor}
 	}
 }
 
-// Count adds to what it did. Count what must not happen with 0 at the start, so that the first time is seen to be one. False: there is no room.
-func (b *Book) Count(item, kind string, count, astray uint64) bool {
-	i, ok := slices.BinarySearchFunc(b.does, Doing{Item: item, Kind: kind}, func(x, y Doing) int {
+// CountActivity adds to what it did. Count what must not happen with 0 at the start, so that the first time is seen to be one. False: there is no room.
+func (b *Reporter) CountActivity(item, kind string, count, astray uint64) bool {
+	i, ok := slices.BinarySearchFunc(b.does, Activity{Item: item, Kind: kind}, func(x, y Activity) int {
 		return cmp.Or(cmp.Compare(x.Item, y.Item), cmp.Compare(x.Kind, y.Kind))
 	})
 	if !ok {
-		if len(b.does) >= DoingsMost || item == "" || kind == "" || cut(item, NameMost) != item || cut(kind, NameMost) != kind {
+		if len(b.does) >= MaxActivities || item == "" || kind == "" || cut(item, MaxNameBytes) != item || cut(kind, MaxNameBytes) != kind {
 			return false
 		}
-		b.does = slices.Insert(b.does, i, Doing{Item: item, Kind: kind})
+		b.does = slices.Insert(b.does, i, Activity{Item: item, Kind: kind})
 	}
 	b.does[i].Count += count
-	b.does[i].Astray += astray
+	b.does[i].Violations += astray
 	return true
 }
 
-// Hear takes the leader's reply. It returns the items to be taken from the record anew.
-func (b *Book) Hear(r Reply) (tell []string) {
-	if r.Relay != b.relay || r.Start != b.start {
+// HandleReply takes the leader's reply. It returns the items to be taken from the record anew.
+func (b *Reporter) HandleReply(r Reply) (tell []string) {
+	if r.Relay != b.relay || r.Incarnation != b.start {
 		return nil // meant for a process before this one
 	}
-	b.want, b.wantLeft = r.Want, wantFor
-	return r.Tell
+	b.want, b.wantLeft = r.WantDetails, wantFor
+	return r.Resync
 }
 
-func (b *Book) groups() []Group {
-	var list []Group
+func (b *Reporter) groups() []GroupDigest {
+	var list []GroupDigest
 	for i := 0; i < len(b.items); {
 		name := GroupOf(b.items[i].Name)
 		var of []Applied
 		for ; i < len(b.items) && GroupOf(b.items[i].Name) == name; i++ {
 			of = append(of, b.items[i].Applied)
 		}
-		list = append(list, Group{name, DigestOf(of)})
+		list = append(list, GroupDigest{name, DigestOf(of)})
 	}
 	return list
 }
 
-// Word is what to say now. Its encoding is no longer than WordMost: digests of all groups always; of what is left a third for what it did, the rest
+// Report is what to say now. Its encoding is no longer than MaxReportBytes: digests of all groups always; of what is left a third for what it did, the rest
 // for items, changed ones first. What does not fit is told by the words after it.
-func (b *Book) Word(now int64) Word {
+func (b *Reporter) NextReport(now int64) Report {
 	b.seq++
-	w := Word{Relay: b.relay, Start: b.start, Seq: b.seq, At: now, Groups: b.groups()}
-	left := WordMost - len(w.Encode())
+	w := Report{Relay: b.relay, Incarnation: b.start, Seq: b.seq, SentAt: now, Groups: b.groups()}
+	left := MaxReportBytes - len(w.Encode())
 	does := left / 3
 	for range b.does {
 		d := b.does[b.nextDoing%len(b.does)]
@@ -153,7 +153,7 @@
 			break
 		}
 		does, left = does-size, left-size
-		w.Does = append(w.Does, d)
+		w.Activities = append(w.Activities, d)
 		b.nextDoing = (b.nextDoing + 1) % len(b.does)
 	}
 	start, ok := b.find(b.next)
--- a/internal/drift/forms_test.go
+++ b/internal/drift/forms_test.go
@@ -46,7 +46,7 @@
 		}
 		lines = append(lines, string(text))
 	}
-	for s := InStep; s <= NotHeard+1; s++ {
+	for s := InSync; s <= Unknown+1; s++ {
 		text, err := json.Marshal(s)
 		if err != nil {
 			t.Fatal(err)
@@ -54,13 +54,13 @@
 		lines = append(lines, string(text))
 	}
 	next := 0
-	var word Word
+	var word Report
 	fill(reflect.ValueOf(&word).Elem(), &next)
 	var reply Reply
 	fill(reflect.ValueOf(&reply).Elem(), &next)
 	lines = append(lines, hex.EncodeToString(word.Encode()), hex.EncodeToString(reply.Encode()), fmt.Sprintf("%x", DigestOf(word.Items)))
 	w := newWorld(7, 12, 24)
-	w.plant(w.sims[3], Bans, Late, false)
+	w.plant(w.sims[3], ItemEjections, Lagging, false)
 	w.upset(120_000)
 	lines = append(lines, fmt.Sprintf("%d bytes, %x", w.bytes, w.trace))
 	got := strings.Join(lines, "\n") + "\n"
--- a/internal/drift/hear.go
+++ b/internal/drift/hear.go
@@ -17,44 +17,44 @@
 	return max(now-(d-min(r.offset[0], r.offset[1])), r.said)
 }
 
-// Hear takes what a relay says it has applied and did.
-func (w *Watch) Hear(now int64, word Word) {
+// HandleReply takes what a relay says it has applied and did.
+func (w *Monitor) HandleReport(now int64, word Report) {
 	r := w.relays[word.Relay]
 	switch {
 	case r == nil:
-		w.counts.Unknown++
+		w.counts.UnknownRelay++
 		return
-	case r.ever && word.Start == r.start && word.Seq <= r.seq, r.ever && word.Start < r.start && !r.quiet:
-		w.counts.Old++ // repeated, overtaken, or of a process that another one has replaced
+	case r.ever && word.Incarnation == r.start && word.Seq <= r.seq, r.ever && word.Incarnation < r.start && !r.quiet:
+		w.counts.Stale++ // repeated, overtaken, or of a process that another one has replaced
 		return
 	}
-	w.counts.Words++
-	restarted := !r.ever || word.Start != r.start
+	w.counts.Reports++
+	restarted := !r.ever || word.Incarnation != r.start
 	if restarted {
-		r.offset, r.offsetAt, r.does = [2]int64{now - word.At, now - word.At}, now, r.does[:0]
+		r.offset, r.offsetAt, r.does = [2]int64{now - word.SentAt, now - word.SentAt}, now, r.does[:0]
 	}
-	said := r.sent(now, word.At, w.set.Period)
+	said := r.sent(now, word.SentAt, w.set.ReportInterval)
 	if restarted || r.quiet && w.flaw != cutIsDrift {
 		w.begin(said, r, restarted)
 	}
-	if gap := said - r.said - w.set.Period; r.ever && 2*gap > 3*w.set.Period && w.flaw != cutIsDrift {
+	if gap := said - r.said - w.set.ReportInterval; r.ever && 2*gap > 3*w.set.ReportInterval && w.flaw != cutIsDrift {
 		r.missed(said, gap)
 	}
 	if r.quiet {
 		if r.ever {
-			w.tell(Change{At: now, Relay: r.name, From: NotHeard, To: OnItsWay})
+			w.tell(Change{At: now, Relay: r.name, From: Unknown, To: Propagating})
 		}
 		r.quiet = false
 	}
-	if r.life == Silent || r.life == Gone {
-		r.life, r.lifeAt = Live, now // its own word is the better proof
+	if r.life == Unreachable || r.life == Terminated {
+		r.life, r.lifeAt = Alive, now // its own word is the better proof
 	}
-	r.ever, r.start, r.seq, r.heard, r.said = true, word.Start, word.Seq, now, said
+	r.ever, r.start, r.seq, r.heard, r.said = true, word.Incarnation, word.Seq, now, said
 	w.details(said, r, word.Items)
 	for _, g := range r.groups {
 		w.compare(said, r, g, word)
 	}
-	for _, d := range word.Does {
+	for _, d := range word.Activities {
 		w.did(said, r, d)
 	}
 }
@@ -76,7 +76,7 @@
 
 // begin starts all clocks of a relay anew: it restarted, or was not heard for a while. What it says from here on counts, within the bound for those
 // that come back.
-func (w *Watch) begin(said int64, r *relay, restarted bool) {
+func (w *Monitor) begin(said int64, r *relay, restarted bool) {
 	why := "heard again"
 	if restarted {
 		why = "restarted"
@@ -92,13 +92,13 @@
 			if p.trouble != nil {
 				p.trouble.accused, p.trouble.saw = false, 0
 			}
-			w.enter(said, r, p, OnItsWay, why)
+			w.enter(said, r, p, Propagating, why)
 		}
 	}
 }
 
 // details takes what a word tells of single items.
-func (w *Watch) details(said int64, r *relay, items []Applied) {
+func (w *Monitor) details(said int64, r *relay, items []Applied) {
 	for _, a := range items {
 		g := r.group(GroupOf(a.Name))
 		if g == nil {
@@ -113,14 +113,14 @@
 			for _, g := range r.groups {
 				n += len(g.pairs)
 			}
-			if n >= 2*ItemsMost { // as many as are agreed, and as many that are not
-				w.counts.Full++
+			if n >= 2*MaxItems { // as many as are agreed, and as many that are not
+				w.counts.OverLimit++
 				continue
 			}
 			p = g.add(a.Name, said)
 			p.behind, p.moved, g.settled = said, said, false
 		}
-		if p.known && (a.Version > p.has.Version && a.Version <= p.top || a.Item == p.has.Item && a.Step > p.has.Step) {
+		if p.known && (a.Version > p.has.Version && a.Version <= p.top || a.Item == p.has.Item && a.Progress > p.has.Progress) {
 			p.moved = said
 		}
 		if p.known && a.Version > p.has.Version && a.Item != p.intent && p.behind > 0 && p.returned == 0 {
@@ -133,7 +133,7 @@
 }
 
 // compare looks at a group by its digest, and at each of its items of which the word tells anything.
-func (w *Watch) compare(said int64, r *relay, g *group, word Word) {
+func (w *Monitor) compare(said int64, r *relay, g *group, word Report) {
 	digest := DigestOf(nil)
 	for _, d := range word.Groups {
 		if d.Name == g.name {
@@ -148,13 +148,13 @@
 	if g.matched {
 		g.pairs = slices.DeleteFunc(g.pairs, func(p *pair) bool {
 			if !p.agreed {
-				w.enter(said, r, p, InStep, "gone")
+				w.enter(said, r, p, InSync, "gone")
 			}
 			return !p.agreed
 		})
 		for _, p := range g.pairs {
-			if p.has.Item != p.intent || p.has.Local || p.has.RefusedVersion != 0 {
-				p.has = Applied{Item: p.intent, Since: word.At, From: p.has.From}
+			if p.has.Item != p.intent || p.has.LocalOverride || p.has.RejectedVersion != 0 {
+				p.has = Applied{Item: p.intent, Since: word.SentAt, Source: p.has.Source}
 			}
 			p.known = true
 		}
@@ -168,7 +168,7 @@
 			g.said, g.saidAt = digest, said
 		}
 		for _, p := range g.pairs { // what is not told though it was asked for is there no more
-			if !whole && said-max(p.told, g.saidAt) > untoldFor*w.set.Period {
+			if !whole && said-max(p.told, g.saidAt) > untoldFor*w.set.ReportInterval {
 				p.has = Applied{Item: Item{Name: p.intent.Name}}
 			}
 		}
@@ -183,7 +183,7 @@
 			continue
 		}
 		w.judge(said, r, g, p)
-		if p.state != InStep || p.words < twice {
+		if p.state != InSync || p.words < twice {
 			g.settled = false
 		}
 	}
@@ -193,45 +193,45 @@
 
 // did takes one of a relay's counts. What was under way when it applied an item may still be counted for as long as an attempt takes, so the count
 // of the first word after that is where astray begins. By both clocks: a word may be late, and a relay's clock may be set.
-func (w *Watch) did(said int64, r *relay, d Doing) {
+func (w *Monitor) did(said int64, r *relay, d Activity) {
 	i := slices.IndexFunc(r.does, func(x doing) bool { return x.Item == d.Item && x.Kind == d.Kind })
 	if i < 0 {
-		if len(r.does) >= DoingsMost {
-			w.counts.Full++
+		if len(r.does) >= MaxActivities {
+			w.counts.OverLimit++
 			return
 		}
-		r.does = append(r.does, doing{Doing: d, base: d.Astray, said: said, came: r.heard})
+		r.does = append(r.does, doing{Activity: d, base: d.Violations, said: said, came: r.heard})
 		return
 	}
 	x := &r.does[i]
-	p, grace := r.pair(d.Item), w.set.InFlight
+	p, grace := r.pair(d.Item), w.set.InFlightGrace
 	if w.flaw == noGrace {
 		grace = 0
 	}
 	switch {
-	case p == nil || p.claim == 0 || min(x.said-p.claim, x.came-p.claimed) < grace || d.Astray < x.base:
-		x.base = d.Astray
-	case d.Astray == x.Astray && said-x.grew > grace+r.group(GroupOf(d.Item)).pace.bound:
-		x.base = d.Astray // one send astray in a long time is chance: an attempt that hung, a race
-	case d.Astray > x.Astray && d.Astray-x.base >= twice:
-		w.accuse(said, r, p, fmt.Sprintf("%d sends of %q astray by its own count since it said that it runs %d", d.Astray-x.base, d.Kind, p.has.Version))
+	case p == nil || p.claim == 0 || min(x.said-p.claim, x.came-p.claimed) < grace || d.Violations < x.base:
+		x.base = d.Violations
+	case d.Violations == x.Violations && said-x.grew > grace+r.group(GroupOf(d.Item)).pace.bound:
+		x.base = d.Violations // one send astray in a long time is chance: an attempt that hung, a race
+	case d.Violations > x.Violations && d.Violations-x.base >= twice:
+		w.accuse(said, r, p, fmt.Sprintf("%d sends of %q astray by its own count since it said that it runs %d", d.Violations-x.base, d.Kind, p.has.Version))
 	}
-	if d.Astray != x.Astray {
+	if d.Violations != x.Violations {
 		x.grew = said
 	}
-	x.Doing, x.said, x.came = d, said, r.heard
+	x.Activity, x.said, x.came = d, said, r.heard
 }
 
-// Saw takes that others saw a relay do otherwise than an item asks, each time that it is seen anew. What they say may have been under way, and took
+// RecordSighting takes that others saw a relay do otherwise than an item asks, each time that it is seen anew. What they say may have been under way, and took
 // its time to get here.
-func (w *Watch) Saw(now int64, relay, item, evidence string) {
+func (w *Monitor) RecordSighting(now int64, relay, item, evidence string) {
 	r := w.relays[relay]
 	if r == nil {
-		w.counts.Unknown++
+		w.counts.UnknownRelay++
 		return
 	}
 	p, g := r.pair(item), r.group(GroupOf(item))
-	if p == nil || p.claim == 0 || now < p.claimed+w.set.InFlight+g.pace.bound {
+	if p == nil || p.claim == 0 || now < p.claimed+w.set.InFlightGrace+g.pace.bound {
 		return
 	}
 	if p.trouble == nil {
@@ -245,19 +245,19 @@
 	}
 }
 
-func (w *Watch) accuse(now int64, r *relay, p *pair, evidence string) {
+func (w *Monitor) accuse(now int64, r *relay, p *pair, evidence string) {
 	if p.trouble == nil {
 		p.trouble = &trouble{}
 	}
 	p.trouble.grew = now
-	if len(p.trouble.evidence) == 0 || p.trouble.evidence[len(p.trouble.evidence)-1] != cut(evidence, WhyMost) {
+	if len(p.trouble.evidence) == 0 || p.trouble.evidence[len(p.trouble.evidence)-1] != cut(evidence, MaxReasonBytes) {
 		p.trouble.note(evidence)
 	}
 	if !p.trouble.accused {
 		p.trouble.accused = true
 		r.group(GroupOf(p.intent.Name)).settled = false
-		if p.state <= OnItsWay {
-			w.enter(now, r, p, Contradicts, evidence)
+		if p.state <= Propagating {
+			w.enter(now, r, p, Contradicting, evidence)
 		}
 	}
 }
--- a/internal/drift/model_test.go
+++ b/internal/drift/model_test.go
@@ -19,7 +19,7 @@
 	now     int64
 	rng     *rand.Rand
 	set     Settings
-	watch   *Watch
+	watch   *Monitor
 	sims    []*sim
 	names   []string
 	agreed  map[string]Item
@@ -39,7 +39,7 @@
 type sim struct {
 	at       int
 	name     string
-	book     *Book
+	book     *Reporter
 	starts   uint64
 	run      map[string]Item // what it runs
 	heard    map[string]Item // what it has heard of the record, and would apply
@@ -63,7 +63,7 @@
 	w := &world{now: 1_100_000_000_000, rng: rand.New(rand.NewPCG(seed, 31)), agreed: map[string]Item{}, wire: map[int64][]func(){}, loss: 0.05, delay: 200,
 		planted: map[string]State{}, found: map[string]int64{}, due: map[string]int64{}}
 	w.apply = func(r *rng) int64 { return 20 + int64(r.ExpFloat64()*150) }
-	w.names = []string{Program, List, Bans, Drains, Weights, Voters, Permits}
+	w.names = []string{ItemProgram, ItemEndpointList, ItemEjections, ItemDrains, ItemCanaryWeights, ItemVoters, ItemPermits}
 	for i := 0; len(w.names) < items; i++ {
 		w.names = append(w.names, fmt.Sprintf("config.section%d", i))
 	}
@@ -89,7 +89,7 @@
 	if w.watch != nil {
 		f = w.watch.flaw
 	}
-	w.watch = New(w.set)
+	w.watch = NewMonitor(w.set)
 	w.watch.flaw = f
 	w.intend()
 }
@@ -100,7 +100,7 @@
 		items = append(items, w.agreed[name])
 	}
 	for _, s := range w.sims {
-		w.watch.Intend(w.now, s.name, items)
+		w.watch.SetIntent(w.now, s.name, items)
 	}
 }
 
@@ -110,14 +110,14 @@
 func (w *world) start(s *sim) {
 	s.starts++
 	s.up, s.stopped = true, 0
-	s.book = NewBook(s.name, s.starts<<20)
+	s.book = NewReporter(s.name, s.starts<<20)
 	s.working, s.heard = map[string]bool{}, map[string]Item{}
 	for _, name := range w.names {
 		if it, ok := s.run[name]; ok {
-			s.book.Note(s.clock(w.now), it, "directory")
+			s.book.RecordApplied(s.clock(w.now), it, "directory")
 		}
 	}
-	s.book.Count(Bans, KindOut, 0, 0)
+	s.book.CountActivity(ItemEjections, KindRemovedMember, 0, 0)
 	w.catchUp(s)
 }
 
@@ -151,7 +151,7 @@
 		w.at(s.stopped, func() { w.take(s, start, it) })
 	case s.run[it.Name].Version > it.Version && s.run[it.Name].Version <= w.agreed[it.Name].Version:
 	case s.refuses[it.Name]:
-		s.book.Refuse(s.clock(w.now), it, "record", "no such key")
+		s.book.RecordRejected(s.clock(w.now), it, "record", "no such key")
 		if key := s.name + " " + it.Name; w.due[key] == 0 {
 			w.due[key] = w.now
 		}
@@ -160,8 +160,8 @@
 			delete(s.working, it.Name)
 		}
 		s.run[it.Name] = it
-		s.book.Note(s.clock(w.now), it, "record")
-		if it.Name == Bans {
+		s.book.RecordApplied(s.clock(w.now), it, "record")
+		if it.Name == ItemEjections {
 			s.inflight = w.now + 4000
 		}
 	}
@@ -190,17 +190,17 @@
 }
 
 func (w *world) hear(s *sim, b []byte) {
-	word, err := DecodeWord(b)
+	word, err := DecodeReport(b)
 	if err != nil {
 		panic(err)
 	}
-	w.watch.Hear(w.now, word)
+	w.watch.HandleReport(w.now, word)
 	w.look(s.name)
 	if reply, ok := w.watch.Reply(s.name); ok {
 		b, start := reply.Encode(), s.starts
 		w.send(s, func() {
 			if r, err := DecodeReply(b); err == nil && s.up && s.starts == start && w.now >= s.stopped {
-				for _, item := range s.book.Hear(r) {
+				for _, item := range s.book.HandleReply(r) {
 					w.reach(s, w.agreed[item])
 				}
 			}
@@ -214,7 +214,7 @@
 	for _, g := range r.groups {
 		for _, p := range g.pairs {
 			key := relay + " " + p.intent.Name
-			if r.quiet || p.state < Late || p.state == NotHeard {
+			if r.quiet || p.state < Lagging || p.state == Unknown {
 				continue
 			}
 			if want, ok := w.planted[key]; !ok {
@@ -230,7 +230,7 @@
 // counts keeps since when what was planted, and takes its time to count as drift, does so.
 func (w *world) counts() {
 	for _, key := range slices.Sorted(maps.Keys(w.planted)) {
-		if w.due[key] != 0 || w.planted[key] == Refused {
+		if w.due[key] != 0 || w.planted[key] == Rejected {
 			continue
 		}
 		relay, item, _ := strings.Cut(key, " ")
@@ -262,15 +262,15 @@
 				continue
 			}
 			for name := range s.astray {
-				s.book.Count(name, KindOut, 3, 3)
+				s.book.CountActivity(name, KindRemovedMember, 3, 3)
 			}
 			if w.now < s.inflight {
-				s.book.Count(Bans, KindOut, 4, 4) // begun before the change
+				s.book.CountActivity(ItemEjections, KindRemovedMember, 4, 4) // begun before the change
 			}
 			for name := range s.working {
-				s.book.Step(name)
+				s.book.RecordProgress(name)
 			}
-			b := s.book.Word(s.clock(w.now)).Encode()
+			b := s.book.NextReport(s.clock(w.now)).Encode()
 			w.bytes += len(b)
 			w.longest = max(w.longest, len(b))
 			w.send(s, func() { w.hear(s, b) })
@@ -295,12 +295,12 @@
 func (w *world) restart(s *sim, wait int64, told bool) {
 	s.up = false
 	if told {
-		w.watch.Alive(w.now, s.name, Restarting)
+		w.watch.SetLiveness(w.now, s.name, Restarting)
 	}
 	w.at(w.now+wait, func() {
 		w.start(s)
 		if told {
-			w.at(w.now+2000, func() { w.watch.Alive(w.now, s.name, Live) })
+			w.at(w.now+2000, func() { w.watch.SetLiveness(w.now, s.name, Alive) })
 		}
 	})
 }
@@ -322,7 +322,7 @@
 		case k < 6:
 			w.commit(w.names[w.rng.IntN(len(w.names))])
 		case k == 6:
-			w.commit(Bans)
+			w.commit(ItemEjections)
 		case !free:
 		case k == 7:
 			w.restart(s, w.rng.Int64N(8000), w.rng.IntN(2) == 0)
@@ -330,15 +330,15 @@
 			s.run = map[string]Item{}
 			w.restart(s, w.rng.Int64N(3000), false)
 		case k == 9: // upgrade: the new process is there before the old one has gone
-			w.watch.Alive(w.now, s.name, Upgrading)
+			w.watch.SetLiveness(w.now, s.name, Upgrading)
 			w.start(s)
-			w.at(w.now+4000, func() { w.watch.Alive(w.now, s.name, Live) })
+			w.at(w.now+4000, func() { w.watch.SetLiveness(w.now, s.name, Alive) })
 		case k == 10:
 			s.stopped = w.now + w.rng.Int64N(12000)
 		case k == 11:
 			s.cut = w.now + w.rng.Int64N(40000)
 			if w.rng.IntN(2) == 0 {
-				w.watch.Alive(w.now+1000, s.name, Silent)
+				w.watch.SetLiveness(w.now+1000, s.name, Unreachable)
 			}
 		case k == 14: // its clock is set
 			s.skew += w.rng.Int64N(40_000) - 20_000
@@ -367,7 +367,7 @@
 				t.Fatalf("seed %d, %d relays: %d, first: %s", seed, n, len(w.falsely), w.falsely[0])
 			}
 			w.more(120_000)
-			if rows := w.watch.Rows(); len(rows) > 0 && !slices.ContainsFunc(w.sims, func(s *sim) bool { return !s.up }) {
+			if rows := w.watch.Findings(); len(rows) > 0 && !slices.ContainsFunc(w.sims, func(s *sim) bool { return !s.up }) {
 				t.Fatalf("seed %d, %d relays: not in step at the end: %+v", seed, n, rows[0])
 			}
 		}
--- a/internal/drift/pace.go
+++ b/internal/drift/pace.go
@@ -42,9 +42,9 @@
 		half, high, top := sorted[p.n/2], sorted[p.n*9/10], sorted[p.n*49/50]
 		measured = max(high*min(math.Pow(high/half, 2), stretch), top*min(top/half, stretch), 2*high)
 	}
-	measured = max(measured, float64(floorFor*set.Period))
+	measured = max(measured, float64(floorFor*set.ReportInterval))
 	if known := float64(p.n) / paceHeld; known < 1 {
 		measured = max(measured, measured*known+float64(prior)*(1-known))
 	}
-	p.bound = min(int64(measured), set.Most)
+	p.bound = min(int64(measured), set.MaxBound)
 }
--- a/internal/drift/planted_test.go
+++ b/internal/drift/planted_test.go
@@ -13,30 +13,30 @@
 	w.planted[key] = kind
 	cur := w.agreed[item]
 	switch kind {
-	case Late:
+	case Lagging:
 		s.ignores[item] = true
 		w.commit(item)
-	case Refused:
+	case Rejected:
 		s.refuses[item] = true
 		w.commit(item)
-	case GoneBack:
+	case Regressed:
 		s.ignores[item] = true
 		s.run[item] = Item{item, cur.Version - 1, 5}
 		if restart { // comes back with an old directory
 			w.restart(s, 1000, false)
 			return
 		}
-		s.book.Note(s.clock(w.now), s.run[item], "file")
+		s.book.RecordApplied(s.clock(w.now), s.run[item], "file")
 		w.due[key] = w.now
 	case Ahead:
 		s.ignores[item] = true
 		s.run[item] = Item{item, cur.Version + 3, 6}
-		s.book.Note(s.clock(w.now), s.run[item], "record")
-	case Local:
+		s.book.RecordApplied(s.clock(w.now), s.run[item], "record")
+	case Overridden:
 		s.ignores[item] = true
-		s.book.Local(s.clock(w.now), cur, "PUT /-/members/m1/disable")
+		s.book.RecordOverride(s.clock(w.now), cur, "PUT /-/members/m1/disable")
 		w.due[key] = w.now
-	case Contradicts:
+	case Contradicting:
 		s.astray[item] = true
 		w.due[key] = w.now
 	}
@@ -49,9 +49,9 @@
 		clear(s.refuses)
 		clear(s.astray)
 		for _, it := range s.book.items {
-			if it.Local || it.RefusedVersion > 0 || s.run[it.Name].Version > w.agreed[it.Name].Version {
+			if it.LocalOverride || it.RejectedVersion > 0 || s.run[it.Name].Version > w.agreed[it.Name].Version {
 				s.run[it.Name] = w.agreed[it.Name]
-				s.book.Note(s.clock(w.now), w.agreed[it.Name], "record")
+				s.book.RecordApplied(s.clock(w.now), w.agreed[it.Name], "record")
 			}
 		}
 	}
@@ -78,8 +78,8 @@
 			item    string
 			kind    State
 			restart bool
-		}{{List, Late, false}, {"config.section1", Refused, false}, {Weights, GoneBack, false}, {Voters, GoneBack, true}, {Permits, Ahead, false},
-			{Drains, Local, false}, {Bans, Contradicts, false}, {Bans, GoneBack, false}} {
+		}{{ItemEndpointList, Lagging, false}, {"config.section1", Rejected, false}, {ItemCanaryWeights, Regressed, false}, {ItemVoters, Regressed, true}, {ItemPermits, Ahead, false},
+			{ItemDrains, Overridden, false}, {ItemEjections, Contradicting, false}, {ItemEjections, Regressed, false}} {
 			for k := range 2 {
 				w.plant(w.sims[5*i+k], p.item, p.kind, p.restart)
 				kinds[w.sims[5*i+k].name+" "+p.item] = p.kind
@@ -101,19 +101,19 @@
 		for i, s := range w.sims {
 			names[i] = s.name
 		}
-		if why, _ := w.watch.Blocks(names, nil); !strings.Contains(why, "and 13 more") {
+		if why, _ := w.watch.BlockReason(names, nil); !strings.Contains(why, "and 13 more") {
 			t.Fatalf("seed %d: blocks says %q", seed, why)
 		}
-		if out := w.watch.TakeOut(4, nil, nil); len(out) != 4 {
+		if out := w.watch.SelectUnfit(4, nil, nil); len(out) != 4 {
 			t.Fatalf("seed %d: takes out %v", seed, out)
 		}
 		w.heal()
 		w.more(60_000)
-		if rows := w.watch.Rows(); len(rows) > 0 {
+		if rows := w.watch.Findings(); len(rows) > 0 {
 			t.Fatalf("seed %d: mended, yet %+v", seed, rows[0])
 		}
 	}
-	for _, kind := range []State{Late, Refused, GoneBack, Ahead, Local, Contradicts} {
+	for _, kind := range []State{Lagging, Rejected, Regressed, Ahead, Overridden, Contradicting} {
 		list := took[kind.String()]
 		slices.Sort(list)
 		t.Logf("%-12v %4d: p50 %d ms, p99 %d, most %d", kind, len(list), list[len(list)/2], list[len(list)*99/100], list[len(list)-1])
@@ -129,9 +129,9 @@
 	var was string
 	for range 2 {
 		w := newWorld(7, 12, 24)
-		w.plant(w.sims[3], Bans, Late, false)
+		w.plant(w.sims[3], ItemEjections, Lagging, false)
 		w.upset(120_000)
-		now := fmt.Sprintf("%d %x %+v %v", w.bytes, w.trace, w.watch.Rows(), w.watch.History())
+		now := fmt.Sprintf("%d %x %+v %v", w.bytes, w.trace, w.watch.Findings(), w.watch.History())
 		if was != "" && was != now {
 			t.Fatalf("%s\n%s", was, now)
 		}
@@ -152,7 +152,7 @@
 		}},
 		{"no grace for sends in flight", noGrace, func(w *world) {
 			for range 10 {
-				w.commit(Bans)
+				w.commit(ItemEjections)
 				w.more(10_000)
 			}
 		}},
@@ -203,7 +203,7 @@
 		for i, p := range []struct {
 			item string
 			kind State
-		}{{List, Late}, {Weights, Ahead}, {Bans, Contradicts}, {Drains, Local}} {
+		}{{ItemEndpointList, Lagging}, {ItemCanaryWeights, Ahead}, {ItemEjections, Contradicting}, {ItemDrains, Overridden}} {
 			w.sims[i].spared = true
 			w.plant(w.sims[i], p.item, p.kind, false)
 		}
--- a/internal/drift/show.go
+++ b/internal/drift/show.go
@@ -7,22 +7,22 @@
 	"strings"
 )
 
-// Rows is all that is not in step, by relay and item. A relay that is not heard has one row.
-func (w *Watch) Rows() []Row {
-	var rows []Row
+// Findings is all that is not in step, by relay and item. A relay that is not heard has one row.
+func (w *Monitor) Findings() []Finding {
+	var rows []Finding
 	for _, r := range w.order {
 		if r.quiet {
-			rows = append(rows, Row{Relay: r.name, State: NotHeard, Since: r.quietAt, Why: r.silence()})
+			rows = append(rows, Finding{Relay: r.name, State: Unknown, Since: r.quietAt, Reason: r.silence()})
 			continue
 		}
 		for _, g := range r.groups {
 			for _, p := range g.pairs {
-				if p.state == InStep {
+				if p.state == InSync {
 					continue
 				}
-				row := Row{Relay: r.name, State: p.state, Since: p.since, Behind: p.behind, Intent: p.intent, Applied: p.has}
+				row := Finding{Relay: r.name, State: p.state, Since: p.since, OutOfSyncSince: p.behind, Agreed: p.intent, Applied: p.has}
 				if p.trouble != nil {
-					row.Why, row.Evidence = p.trouble.why, slices.Clone(p.trouble.evidence)
+					row.Reason, row.Evidence = p.trouble.why, slices.Clone(p.trouble.evidence)
 				}
 				rows = append(rows, row)
 			}
@@ -32,10 +32,10 @@
 }
 
 // History is the last changes, oldest first.
-func (w *Watch) History() []Change { return slices.Clone(w.history) }
+func (w *Monitor) History() []Change { return slices.Clone(w.history) }
 
 // rank orders what drifts by how much it is to be mistrusted.
-var rank = map[State]int{Contradicts: 6, GoneBack: 5, Ahead: 4, Refused: 3, Late: 2, Local: 1}
+var rank = map[State]int{Contradicting: 6, Regressed: 5, Ahead: 4, Rejected: 3, Lagging: 2, Overridden: 1}
 
 // worst is the pair of a relay that ranks highest, the longest in it, then by name. Those that are spared do not count.
 func (r *relay) worst(spared func(relay, item string) bool) (worst *pair) {
@@ -50,9 +50,9 @@
 	return worst
 }
 
-// Blocks says why a release must not step on, as to the relays that count: one of them is late or worse, or was not heard. "" if nothing. Who is on its way
+// BlockReason says why a release must not step on, as to the relays that count: one of them is late or worse, or was not heard. "" if nothing. Who is on its way
 // does not block; Lacking names it. Spared are those that the release itself is to mend; nil spares none. Since is the oldest drift among what blocks, 0 if none drifts.
-func (w *Watch) Blocks(relays []string, spared func(relay, item string) bool) (blocks string, since int64) {
+func (w *Monitor) BlockReason(relays []string, spared func(relay, item string) bool) (blocks string, since int64) {
 	var why []string
 	for _, name := range slices.Sorted(slices.Values(relays)) {
 		r := w.relays[name]
@@ -80,15 +80,15 @@
 	return strings.Join(why, "; "), since
 }
 
-// Clear says that a relay is heard and in step with all that is agreed, but what its own operators have changed: who was taken out may come back.
-func (w *Watch) Clear(relay string) bool {
+// FullyInSync says that a relay is heard and in step with all that is agreed, but what its own operators have changed: who was taken out may come back.
+func (w *Monitor) FullyInSync(relay string) bool {
 	r := w.relays[relay]
 	if r == nil || r.quiet {
 		return false
 	}
 	for _, g := range r.groups {
 		for _, p := range g.pairs {
-			if p.state != InStep && p.state != Local {
+			if p.state != InSync && p.state != Overridden {
 				return false
 			}
 		}
@@ -96,34 +96,34 @@
 	return true
 }
 
-// State is that of a relay and an item. NotHeard: of the relay, or of such an item, nothing is known.
-func (w *Watch) State(relay, item string) State {
+// StateOf is that of a relay and an item. Unknown: of the relay, or of such an item, nothing is known.
+func (w *Monitor) StateOf(relay, item string) State {
 	r := w.relays[relay]
 	if r == nil || r.quiet {
-		return NotHeard
+		return Unknown
 	}
 	if p := r.pair(item); p != nil {
 		return p.state
 	}
-	return NotHeard
+	return Unknown
 }
 
-// Lacking is which of the relays are not known to be in step with an item.
-func (w *Watch) Lacking(item string, relays []string) []string {
+// OutOfSyncRelays is which of the relays are not known to be in step with an item.
+func (w *Monitor) OutOfSyncRelays(item string, relays []string) []string {
 	var lack []string
 	for _, name := range slices.Sorted(slices.Values(relays)) {
 		r := w.relays[name]
 		if r == nil || r.quiet {
 			lack = append(lack, name)
-		} else if p := r.pair(item); p == nil || p.state != InStep {
+		} else if p := r.pair(item); p == nil || p.state != InSync {
 			lack = append(lack, name)
 		}
 	}
 	return lack
 }
 
-// Want is the groups of which a relay is asked for details: those whose digest is not the agreed one.
-func (w *Watch) Want(relay string) []string {
+// WantDetails is the groups of which a relay is asked for details: those whose digest is not the agreed one.
+func (w *Monitor) WantedDetails(relay string) []string {
 	r := w.relays[relay]
 	if r == nil || r.quiet {
 		return nil
@@ -138,38 +138,38 @@
 }
 
 // Reply is what to send a relay back; false if there is nothing to say.
-func (w *Watch) Reply(relay string) (Reply, bool) {
+func (w *Monitor) Reply(relay string) (Reply, bool) {
 	r := w.relays[relay]
-	want := w.Want(relay)
+	want := w.WantedDetails(relay)
 	if r == nil || len(want) == 0 {
 		return Reply{}, false
 	}
-	reply := Reply{Relay: r.name, Start: r.start, Seq: r.seq, Want: want}
+	reply := Reply{Relay: r.name, Incarnation: r.start, Seq: r.seq, WantDetails: want}
 	for _, g := range r.groups {
 		for _, p := range g.pairs {
-			if (p.state == Late || p.state == GoneBack || p.state == Ahead) && p.agreed && len(reply.Tell) < tellMost {
-				reply.Tell = append(reply.Tell, p.intent.Name)
+			if (p.state == Lagging || p.state == Regressed || p.state == Ahead) && p.agreed && len(reply.Resync) < tellMost {
+				reply.Resync = append(reply.Resync, p.intent.Name)
 			}
 		}
 	}
 	return reply, true
 }
 
-// Unfit is a relay that is to take no clients, and why.
-type Unfit struct{ Relay, Why string }
+// UnfitRelay is a relay that is to take no clients, and why.
+type UnfitRelay struct{ Relay, Reason string }
 
-// TakeOut is which relays are to take no clients because of drift, the worst first: never more than the budget, those that are out by it already
+// SelectUnfit is which relays are to take no clients because of drift, the worst first: never more than the budget, those that are out by it already
 // and still drift before all others. An operator's own call takes nobody out, nor does silence. Spared is as with Blocks.
-func (w *Watch) TakeOut(budget int, out []string, spared func(relay, item string) bool) []Unfit {
+func (w *Monitor) SelectUnfit(budget int, out []string, spared func(relay, item string) bool) []UnfitRelay {
 	type candidate struct {
-		Unfit
+		UnfitRelay
 		rank  int
 		since int64
 	}
 	var list []candidate
 	for _, r := range w.order {
-		if p := r.worst(spared); p != nil && !r.quiet && p.state != Local {
-			c := candidate{Unfit{r.name, fmt.Sprintf("%s %s: %s", p.intent.Name, p.state, p.trouble.why)}, rank[p.state], p.since}
+		if p := r.worst(spared); p != nil && !r.quiet && p.state != Overridden {
+			c := candidate{UnfitRelay{r.name, fmt.Sprintf("%s %s: %s", p.intent.Name, p.state, p.trouble.why)}, rank[p.state], p.since}
 			if slices.Contains(out, r.name) {
 				c.rank += 100
 			}
@@ -179,15 +179,15 @@
 	slices.SortFunc(list, func(x, y candidate) int {
 		return cmp.Or(-cmp.Compare(x.rank, y.rank), cmp.Compare(x.since, y.since), cmp.Compare(x.Relay, y.Relay))
 	})
-	var take []Unfit
+	var take []UnfitRelay
 	for _, c := range list[:min(max(budget, 0), len(list))] {
-		take = append(take, c.Unfit)
+		take = append(take, c.UnfitRelay)
 	}
 	return take
 }
 
-// Bound is how long a version of an item's group may be on its way now, in ms.
-func (w *Watch) Bound(group string) int64 {
+// LagBound is how long a version of an item's group may be on its way now, in ms.
+func (w *Monitor) LagBound(group string) int64 {
 	if p := w.paces[group]; p != nil {
 		return p.bound
 	}
@@ -195,4 +195,4 @@
 }
 
 // Counts is what could not be used.
-func (w *Watch) Counts() Counts { return w.counts }
+func (w *Monitor) Counts() Counts { return w.counts }
--- a/internal/drift/state.go
+++ b/internal/drift/state.go
@@ -18,7 +18,7 @@
 var lifeNames = [...]string{"live", "silent", "gone", "restarting", "upgrading"}
 
 // String is the life in words, for operators.
-func (l Life) String() string {
+func (l Liveness) String() string {
 	if int(l) < len(lifeNames) {
 		return lifeNames[l]
 	}
--- a/internal/drift/watch.go
+++ b/internal/drift/watch.go
@@ -14,8 +14,8 @@
 	unsaidMost = 8192 // changes held between two Ticks
 )
 
-// Watch is the leader's view of all relays. All calls come from one goroutine.
-type Watch struct {
+// Monitor is the leader's view of all relays. All calls come from one goroutine.
+type Monitor struct {
 	set     Settings
 	relays  map[string]*relay
 	order   []*relay // by name
@@ -49,7 +49,7 @@
 
 type relay struct {
 	name       string
-	life       Life
+	life       Liveness
 	lifeAt     int64
 	ever       bool  // heard since this Watch began
 	heard      int64 // when its last word came
@@ -115,29 +115,29 @@
 
 // doing is one count of a relay.
 type doing struct {
-	Doing
+	Activity
 	base uint64 // astray when the grace ended
 	said int64  // when it was last said
 	came int64  // when that was heard
 	grew int64  // when astray last rose
 }
 
-// New makes a Watch that knows nothing.
-func New(set Settings) *Watch {
-	set.Period = cmp.Or(set.Period, 1000)
-	set.InFlight = cmp.Or(set.InFlight, 5000)
-	set.Prior = cmp.Or(set.Prior, 15*set.Period)
-	set.Most = cmp.Or(set.Most, 300*set.Period)
-	set.Patience = cmp.Or(set.Patience, 8)
-	w := &Watch{set: set, relays: map[string]*relay{}, paces: map[string]*pace{}, tallies: map[Item]*tally{}, all: &pace{}, back: &pace{}}
+// NewMonitor makes a Watch that knows nothing.
+func NewMonitor(set Settings) *Monitor {
+	set.ReportInterval = cmp.Or(set.ReportInterval, 1000)
+	set.InFlightGrace = cmp.Or(set.InFlightGrace, 5000)
+	set.PriorBound = cmp.Or(set.PriorBound, 15*set.ReportInterval)
+	set.MaxBound = cmp.Or(set.MaxBound, 300*set.ReportInterval)
+	set.SlowFleetFactor = cmp.Or(set.SlowFleetFactor, 8)
+	w := &Monitor{set: set, relays: map[string]*relay{}, paces: map[string]*pace{}, tallies: map[Item]*tally{}, all: &pace{}, back: &pace{}}
 	w.reckon()
 	return w
 }
 
-func (w *Watch) pace(group string) *pace {
+func (w *Monitor) pace(group string) *pace {
 	p := w.paces[group]
 	if p == nil {
-		if len(w.paces) > 4*GroupsMost {
+		if len(w.paces) > 4*MaxGroups {
 			return w.all // names of groups that come and go
 		}
 		p = &pace{}
@@ -148,9 +148,9 @@
 }
 
 // reckon derives the bounds from what was learned.
-func (w *Watch) reckon() {
-	w.all.reckon(w.set, w.set.Prior)
-	w.back.reckon(w.set, w.set.Prior)
+func (w *Monitor) reckon() {
+	w.all.reckon(w.set, w.set.PriorBound)
+	w.back.reckon(w.set, w.set.PriorBound)
 	for _, p := range w.paces {
 		p.reckon(w.set, w.all.bound)
 	}
@@ -158,8 +158,8 @@
 
 // ---- What is agreed ----
 
-// Intend says what is agreed for a relay, all of it. It makes the relay known; no items forget it.
-func (w *Watch) Intend(now int64, name string, items []Item) {
+// SetIntent says what is agreed for a relay, all of it. It makes the relay known; no items forget it.
+func (w *Monitor) SetIntent(now int64, name string, items []Item) {
 	at, ok := slices.BinarySearchFunc(w.order, name, func(r *relay, n string) int { return cmp.Compare(r.name, n) })
 	switch {
 	case len(items) == 0 && ok:
@@ -173,8 +173,8 @@
 		return
 	case len(items) == 0:
 		return
-	case !ok && len(w.order) >= RelaysMost:
-		w.counts.Full++
+	case !ok && len(w.order) >= MaxRelays:
+		w.counts.OverLimit++
 		return
 	case !ok:
 		r := &relay{name: name, quiet: true, quietAt: now, lifeAt: now}
@@ -190,13 +190,13 @@
 	held := 0
 	for _, it := range items {
 		g := r.group(GroupOf(it.Name))
-		if g == nil && len(r.groups) < GroupsMost {
+		if g == nil && len(r.groups) < MaxGroups {
 			g = &group{name: GroupOf(it.Name), pace: w.pace(GroupOf(it.Name))}
 			i, _ := slices.BinarySearchFunc(r.groups, g.name, func(g *group, n string) int { return cmp.Compare(g.name, n) })
 			r.groups = slices.Insert(r.groups, i, g)
 		}
-		if held++; g == nil || held > ItemsMost {
-			w.counts.Full++
+		if held++; g == nil || held > MaxItems {
+			w.counts.OverLimit++
 			continue
 		}
 		p := g.find(it.Name)
@@ -220,7 +220,7 @@
 	})
 }
 
-func (w *Watch) intend(now int64, r *relay, g *group, p *pair, it Item) {
+func (w *Monitor) intend(now int64, r *relay, g *group, p *pair, it Item) {
 	if p.intent == it && p.tally != nil {
 		return
 	}
@@ -231,21 +231,21 @@
 	p.marks[marksMost-1] = mark{it.Version, now}
 	if p.behind == 0 {
 		p.behind, p.moved, p.words = now, now, 0
-		p.clean = !r.quiet && p.state == InStep && p.claim > 0
+		p.clean = !r.quiet && p.state == InSync && p.claim > 0
 	}
 	p.claim = 0
-	if p.state == Refused { // that was another version's answer: a new chance
+	if p.state == Rejected { // that was another version's answer: a new chance
 		p.behind, p.moved, p.clean = now, now, false
-		w.enter(now, r, p, OnItsWay, "")
+		w.enter(now, r, p, Propagating, "")
 	}
-	if p.state == InStep {
-		w.enter(now, r, p, OnItsWay, "")
+	if p.state == InSync {
+		w.enter(now, r, p, Propagating, "")
 	}
 	g.settled = false
 }
 
 // retally moves a pair from the version that it was to arrive at to another; nil for none.
-func (w *Watch) retally(now int64, p *pair, to *Item) {
+func (w *Monitor) retally(now int64, p *pair, to *Item) {
 	if t := p.tally; t != nil {
 		if t.refs--; t.refs == 0 {
 			delete(w.tallies, t.of)
@@ -286,7 +286,7 @@
 }
 
 func (g *group) add(name string, now int64) *pair {
-	p := &pair{intent: Item{Name: name}, state: OnItsWay, since: now, cond: OnItsWay}
+	p := &pair{intent: Item{Name: name}, state: Propagating, since: now, cond: Propagating}
 	p.has.Name = name
 	i, _ := slices.BinarySearchFunc(g.pairs, name, func(p *pair, n string) int { return cmp.Compare(p.intent.Name, n) })
 	g.pairs = slices.Insert(g.pairs, i, p)
@@ -304,15 +304,15 @@
 
 // ---- Time ----
 
-// Alive says what others know of a relay's process.
-func (w *Watch) Alive(now int64, relay string, how Life) {
+// SetLiveness says what others know of a relay's process.
+func (w *Monitor) SetLiveness(now int64, relay string, how Liveness) {
 	if r := w.relays[relay]; r != nil && r.life != how {
 		r.life, r.lifeAt = how, now
 	}
 }
 
 // Tick is due once in a period. It returns what changed since the last one.
-func (w *Watch) Tick(now int64) []Change {
+func (w *Monitor) Tick(now int64) []Change {
 	w.reckon()
 	for _, t := range w.tallies {
 		t.live, t.there = 0, 0
@@ -323,7 +323,7 @@
 			for _, p := range g.pairs {
 				if p.tally != nil && !r.quiet {
 					p.tally.live++
-					if p.state == InStep || p.state == Contradicts || p.claim > 0 {
+					if p.state == InSync || p.state == Contradicting || p.claim > 0 {
 						p.tally.there++
 					}
 				}
@@ -344,10 +344,10 @@
 }
 
 // listen notes that a relay is not heard. Nothing is claimed of it then.
-func (w *Watch) listen(now int64, r *relay) {
-	silent := silentFor * w.set.Period
-	if r.life == Silent || r.life == Gone {
-		silent = 2 * w.set.Period
+func (w *Monitor) listen(now int64, r *relay) {
+	silent := silentFor * w.set.ReportInterval
+	if r.life == Unreachable || r.life == Terminated {
+		silent = 2 * w.set.ReportInterval
 	}
 	if r.quiet || now-r.heard <= silent {
 		return
@@ -355,46 +355,46 @@
 	if w.flaw == cutIsDrift {
 		for _, g := range r.groups {
 			for _, p := range g.pairs {
-				if p.state == OnItsWay && w.overdue(now, g, p) {
-					w.enter(now, r, p, Late, "")
+				if p.state == Propagating && w.overdue(now, g, p) {
+					w.enter(now, r, p, Lagging, "")
 				}
 			}
 		}
 		return
 	}
 	r.quiet, r.quietAt = true, r.heard
-	w.tell(Change{At: now, Relay: r.name, From: OnItsWay, To: NotHeard, Why: r.silence()})
+	w.tell(Change{At: now, Relay: r.name, From: Propagating, To: Unknown, Reason: r.silence()})
 }
 
 func (r *relay) silence() string {
 	switch r.life {
-	case Gone:
+	case Terminated:
 		return "gone"
 	case Restarting:
 		return "restarting"
 	case Upgrading:
 		return "upgrading"
-	case Silent:
+	case Unreachable:
 		return "others do not hear it either"
 	}
 	return "says nothing"
 }
 
 // relent drops what a relay was accused of once it has behaved for as long as the accusation had to wait.
-func (w *Watch) relent(now int64, r *relay, g *group, p *pair) {
-	if r.quiet || min(now, r.said)-p.trouble.grew <= w.set.InFlight+g.pace.bound {
+func (w *Monitor) relent(now int64, r *relay, g *group, p *pair) {
+	if r.quiet || min(now, r.said)-p.trouble.grew <= w.set.InFlightGrace+g.pace.bound {
 		return
 	}
 	p.trouble.accused, p.trouble.saw = false, 0
 	for i := range r.does {
 		if r.does[i].Item == p.intent.Name {
-			r.does[i].base = r.does[i].Astray
+			r.does[i].base = r.does[i].Violations
 		}
 	}
-	if p.state == Contradicts {
-		to := OnItsWay
+	if p.state == Contradicting {
+		to := Propagating
 		if p.claim > 0 {
-			to = InStep
+			to = InSync
 		}
 		w.enter(now, r, p, to, "behaves")
 	}
--- a/internal/drift/watch_test.go
+++ b/internal/drift/watch_test.go
@@ -21,24 +21,24 @@
 // TestOracle: random sequences of one relay and one item, held against rules that know all of what was said.
 func TestOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := New(Settings{})
+		w := NewMonitor(Settings{})
 		now, agreedAt := int64(1_000_000), int64(1_000_000)
 		intent := Item{"config.tls", 5, 50}
 		top, best, starts := uint64(5), uint64(0), uint64(1)
-		b := NewBook("n1", starts)
+		b := NewReporter("n1", starts)
 		run, local, refused := intent, false, uint64(0)
 		var words []seen
 		lastWord, fresh := int64(-1), true
-		w.Intend(now, "n1", []Item{intent})
+		w.SetIntent(now, "n1", []Item{intent})
 		note := func() {
 			switch {
 			case local:
-				b.Local(now, run, "call")
+				b.RecordOverride(now, run, "call")
 			case run.Version > 0:
-				b.Note(now, run, "record")
+				b.RecordApplied(now, run, "record")
 			}
 			if refused > 0 {
-				b.Refuse(now, Item{"config.tls", refused, 1}, "record", "no")
+				b.RecordRejected(now, Item{"config.tls", refused, 1}, "record", "no")
 			}
 		}
 		note()
@@ -48,7 +48,7 @@
 				intent = Item{"config.tls", top + 1, top + 51}
 				top++
 				agreedAt = now
-				w.Intend(now, "n1", []Item{intent})
+				w.SetIntent(now, "n1", []Item{intent})
 			case 2, 3: // applied
 				run, local, refused = intent, false, 0
 			case 4:
@@ -61,7 +61,7 @@
 				local, refused = false, intent.Version
 			case 8: // restart
 				starts++
-				b = NewBook("n1", starts)
+				b = NewReporter("n1", starts)
 				fresh = true
 			case 9: // silence
 				now += 1000 * rapid.Int64Range(1, 20).Draw(t, "silent")
@@ -73,26 +73,26 @@
 				if lastWord < 0 || now-lastWord > 4000 {
 					fresh = true
 				}
-				word, err := DecodeWord(b.Word(now).Encode())
+				word, err := DecodeReport(b.NextReport(now).Encode())
 				if err != nil {
 					t.Fatal(err)
 				}
-				w.Hear(now, word)
+				w.HandleReport(now, word)
 				if r, ok := w.Reply("n1"); ok {
-					b.Hear(r)
+					b.HandleReply(r)
 				}
-				kind := Late
+				kind := Lagging
 				switch {
 				case local:
-					kind = Local
+					kind = Overridden
 				case run == intent:
-					kind, best = InStep, intent.Version
+					kind, best = InSync, intent.Version
 				case refused == intent.Version:
-					kind = Refused
+					kind = Rejected
 				case run.Version > top || run.Version == intent.Version:
 					kind = Ahead
 				case run.Version < best:
-					kind = GoneBack
+					kind = Regressed
 				}
 				words = append(words, seen{now, kind, fresh, agreedAt})
 				lastWord, fresh = now, false
@@ -100,14 +100,14 @@
 			}
 		}
 		w.Tick(now + 4001)
-		if rows := w.Rows(); len(rows) != 1 || rows[0].State != NotHeard {
+		if rows := w.Findings(); len(rows) != 1 || rows[0].State != Unknown {
 			t.Fatalf("silent, and %+v", rows)
 		}
 	})
 }
 
 // check holds a state against the rules.
-func check(t *rapid.T, w *Watch, words []seen, now int64) {
+func check(t *rapid.T, w *Monitor, words []seen, now int64) {
 	state := w.relays["n1"].pair("config.tls").state
 	last := words[len(words)-1]
 	same, since := 0, last.at // how long it has said the same, heard without a break
@@ -122,17 +122,17 @@
 	if len(words) > 1 && !last.first {
 		before = words[len(words)-2].kind
 	}
-	bound := max(w.Bound("config"), w.back.bound)
+	bound := max(w.LagBound("config"), w.back.bound)
 	switch {
-	case same >= 2 && (last.kind == InStep || last.kind == Refused || last.kind == Local) && state != last.kind:
+	case same >= 2 && (last.kind == InSync || last.kind == Rejected || last.kind == Overridden) && state != last.kind:
 		t.Fatalf("said to be %v twice, yet %v", last.kind, state)
-	case last.kind == InStep && state == OnItsWay, last.kind != InStep && state == InStep:
+	case last.kind == InSync && state == Propagating, last.kind != InSync && state == InSync:
 		t.Fatalf("says %v, yet %v", last.kind, state)
-	case state >= Late && state != last.kind && state != before && len(words) > 1 && state != held(words):
+	case state >= Lagging && state != last.kind && state != before && len(words) > 1 && state != held(words):
 		t.Fatalf("%v, which no word says: %v %v", state, before, last.kind)
-	case (state == Late || state == Ahead) && state == last.kind && oldest(words, w) < min(int64(3000), bound):
+	case (state == Lagging || state == Ahead) && state == last.kind && oldest(words, w) < min(int64(3000), bound):
 		t.Fatalf("%v too soon", state)
-	case (last.kind == Late || last.kind == Ahead || last.kind == GoneBack) && now-since > bound+2000 && state != last.kind:
+	case (last.kind == Lagging || last.kind == Ahead || last.kind == Regressed) && now-since > bound+2000 && state != last.kind:
 		t.Fatalf("says %v for %d ms, the bound is %d, and it is %v", last.kind, now-since, bound, state)
 	}
 }
@@ -148,10 +148,10 @@
 }
 
 // oldest is since when it was heard not to be in step.
-func oldest(words []seen, w *Watch) int64 {
+func oldest(words []seen, w *Monitor) int64 {
 	last := words[len(words)-1]
 	at := last.at
-	for i := len(words) - 1; i >= 0 && words[i].kind != InStep; i-- {
+	for i := len(words) - 1; i >= 0 && words[i].kind != InSync; i-- {
 		at = min(words[i].at, words[i].agree)
 		if words[i].first {
 			at = words[i].at
@@ -162,27 +162,27 @@
 }
 
 // one is a Watch with n relays that are in step on some items, heard for a minute.
-func one(n int, items ...Item) (*Watch, []*Book, int64) {
-	w, books, now := New(Settings{}), []*Book{}, int64(1_000_000)
+func one(n int, items ...Item) (*Monitor, []*Reporter, int64) {
+	w, books, now := NewMonitor(Settings{}), []*Reporter{}, int64(1_000_000)
 	for i := range n {
-		b := NewBook(fmt.Sprintf("n%d", i), 1)
+		b := NewReporter(fmt.Sprintf("n%d", i), 1)
 		for _, it := range items {
-			b.Note(now, it, "record")
+			b.RecordApplied(now, it, "record")
 		}
-		b.Count(Bans, KindOut, 0, 0)
+		b.CountActivity(ItemEjections, KindRemovedMember, 0, 0)
 		books = append(books, b)
-		w.Intend(now, b.relay, items)
+		w.SetIntent(now, b.relay, items)
 	}
 	return w, books, say(w, books, now, 30)
 }
 
-func say(w *Watch, books []*Book, now int64, words int) int64 {
+func say(w *Monitor, books []*Reporter, now int64, words int) int64 {
 	for range words {
 		now += 1000
 		for _, b := range books {
-			w.Hear(now, b.Word(now))
+			w.HandleReport(now, b.NextReport(now))
 			if r, ok := w.Reply(b.relay); ok {
-				b.Hear(r)
+				b.HandleReply(r)
 			}
 		}
 		w.Tick(now)
@@ -190,23 +190,23 @@
 	return now
 }
 
-func state(w *Watch, relay, item string) State { return w.relays[relay].pair(item).state }
+func state(w *Monitor, relay, item string) State { return w.relays[relay].pair(item).state }
 
 // TestHalfDrifts: drift at half of the fleet takes out no more than the budget, the same ones while they drift, and none that others do not name.
 func TestHalfDrifts(t *testing.T) {
-	w, books, now := one(10, Item{Bans, 1, 1}, Item{List, 1, 1})
+	w, books, now := one(10, Item{ItemEjections, 1, 1}, Item{ItemEndpointList, 1, 1})
 	for _, b := range books[:5] {
-		b.Refuse(now, Item{Bans, 2, 2}, "record", "no such member")
+		b.RecordRejected(now, Item{ItemEjections, 2, 2}, "record", "no such member")
 	}
 	for _, b := range books[5:] {
-		b.Note(now, Item{Bans, 2, 2}, "record")
+		b.RecordApplied(now, Item{ItemEjections, 2, 2}, "record")
 	}
 	for _, b := range books {
-		w.Intend(now, b.relay, []Item{{Bans, 2, 2}, {List, 1, 1}})
+		w.SetIntent(now, b.relay, []Item{{ItemEjections, 2, 2}, {ItemEndpointList, 1, 1}})
 	}
 	now = say(w, books, now, 5)
 	take := func(budget int, out []string) (names []string) {
-		for _, u := range w.TakeOut(budget, out, nil) {
+		for _, u := range w.SelectUnfit(budget, out, nil) {
 			names = append(names, u.Relay)
 		}
 		slices.Sort(names)
@@ -216,92 +216,92 @@
 	if len(take(0, nil)) != 0 || len(take(-1, nil)) != 0 || len(out) != 2 {
 		t.Fatal(out)
 	}
-	books[4].Note(now, Item{List, 0, 9}, "file") // a worse one does not push another out
+	books[4].RecordApplied(now, Item{ItemEndpointList, 0, 9}, "file") // a worse one does not push another out
 	now = say(w, books, now, 5)
 	if again := take(2, out); !slices.Equal(again, out) {
 		t.Fatal(again)
 	}
-	books[0].Note(now, Item{Bans, 2, 2}, "record")
+	books[0].RecordApplied(now, Item{ItemEjections, 2, 2}, "record")
 	now = say(w, books, now, 1)
-	if state(w, "n0", Bans) != Refused {
+	if state(w, "n0", ItemEjections) != Rejected {
 		t.Fatal("one word takes a claim back")
 	}
 	say(w, books, now, 1)
 	if again := take(2, out); !slices.Equal(again, []string{"n1", "n4"}) {
 		t.Fatal(again)
 	}
-	if lack := w.Lacking(Bans, []string{"n0", "n1", "nobody"}); !slices.Equal(lack, []string{"nobody"}) && !slices.Equal(lack, []string{"n1", "nobody"}) {
+	if lack := w.OutOfSyncRelays(ItemEjections, []string{"n0", "n1", "nobody"}); !slices.Equal(lack, []string{"nobody"}) && !slices.Equal(lack, []string{"n1", "nobody"}) {
 		t.Fatal(lack)
 	}
 }
 
 // TestSaw: others' sights count twice, after the time that sends and sights may have been under way, and are forgotten once they end.
 func TestSaw(t *testing.T) {
-	w, books, now := one(3, Item{Bans, 1, 1})
-	w.Saw(now, "n1", Bans, "m2 got 3 flows")
-	if state(w, "n1", Bans) != InStep {
+	w, books, now := one(3, Item{ItemEjections, 1, 1})
+	w.RecordSighting(now, "n1", ItemEjections, "m2 got 3 flows")
+	if state(w, "n1", ItemEjections) != InSync {
 		t.Fatal("one sight is a claim")
 	}
-	w.Saw(now+1000, "n1", Bans, "m2 got 5 flows")
+	w.RecordSighting(now+1000, "n1", ItemEjections, "m2 got 5 flows")
 	now = say(w, books, now, 2)
-	if rows := w.Rows(); len(rows) != 1 || rows[0].State != Contradicts || len(rows[0].Evidence) != 2 || w.Clear("n1") || !w.Clear("n0") {
+	if rows := w.Findings(); len(rows) != 1 || rows[0].State != Contradicting || len(rows[0].Evidence) != 2 || w.FullyInSync("n1") || !w.FullyInSync("n0") {
 		t.Fatalf("%+v", rows)
 	}
-	if why, since := w.Blocks([]string{"n0", "n1"}, nil); why == "" || since != w.Rows()[0].Since {
+	if why, since := w.BlockReason([]string{"n0", "n1"}, nil); why == "" || since != w.Findings()[0].Since {
 		t.Fatal(why, since)
 	}
-	if why, since := w.Blocks([]string{"n0", "n1"}, func(relay, item string) bool { return relay == "n1" && item == Bans }); why != "" || since != 0 {
+	if why, since := w.BlockReason([]string{"n0", "n1"}, func(relay, item string) bool { return relay == "n1" && item == ItemEjections }); why != "" || since != 0 {
 		t.Fatal(why, since)
 	}
 	now = say(w, books, now, 40)
-	if rows := w.Rows(); len(rows) != 0 {
+	if rows := w.Findings(); len(rows) != 0 {
 		t.Fatalf("behaves, and %+v", rows)
 	}
 	for _, b := range books {
-		w.Intend(now, b.relay, []Item{{Bans, 2, 2}})
-		b.Note(now, Item{Bans, 2, 2}, "record")
+		w.SetIntent(now, b.relay, []Item{{ItemEjections, 2, 2}})
+		b.RecordApplied(now, Item{ItemEjections, 2, 2}, "record")
 	}
 	now = say(w, books, now, 2)
-	w.Saw(now, "n1", Bans, "m2 got 3 flows")
-	w.Saw(now, "n1", Bans, "m2 got 4 flows")
-	if state(w, "n1", Bans) != InStep {
+	w.RecordSighting(now, "n1", ItemEjections, "m2 got 3 flows")
+	w.RecordSighting(now, "n1", ItemEjections, "m2 got 4 flows")
+	if state(w, "n1", ItemEjections) != InSync {
 		t.Fatal("what was under way is held against it")
 	}
 }
 
 // TestOneAstray: one send astray in a long time is no contradiction however often that happens; two close together are.
 func TestOneAstray(t *testing.T) {
-	w, books, now := one(3, Item{Bans, 1, 1})
+	w, books, now := one(3, Item{ItemEjections, 1, 1})
 	for range 5 {
-		books[1].Count(Bans, KindOut, 1, 1)
+		books[1].CountActivity(ItemEjections, KindRemovedMember, 1, 1)
 		now = say(w, books, now, 30)
 	}
-	if rows := w.Rows(); len(rows) != 0 {
+	if rows := w.Findings(); len(rows) != 0 {
 		t.Fatalf("%+v", rows)
 	}
-	books[1].Count(Bans, KindOut, 2, 2)
+	books[1].CountActivity(ItemEjections, KindRemovedMember, 2, 2)
 	say(w, books, now, 1)
-	if state(w, "n1", Bans) != Contradicts {
-		t.Fatal(state(w, "n1", Bans))
+	if state(w, "n1", ItemEjections) != Contradicting {
+		t.Fatal(state(w, "n1", ItemEjections))
 	}
 }
 
 // TestNobodyAgreed: an item that a relay runs and nobody agreed on is ahead, a missing one late, and a relay that is let go is forgotten.
 func TestNobodyAgreed(t *testing.T) {
 	w, books, now := one(4, Item{"config.a", 1, 1}, Item{"config.b", 1, 1})
-	books[1].Note(now, Item{"config.x", 1, 1}, "file")
-	books[2].Drop("config.b")
+	books[1].RecordApplied(now, Item{"config.x", 1, 1}, "file")
+	books[2].Remove("config.b")
 	now = say(w, books, now, 40)
-	if state(w, "n1", "config.x") != Ahead || state(w, "n2", "config.b") != GoneBack || len(w.Rows()) != 2 {
-		t.Fatalf("%+v", w.Rows())
+	if state(w, "n1", "config.x") != Ahead || state(w, "n2", "config.b") != Regressed || len(w.Findings()) != 2 {
+		t.Fatalf("%+v", w.Findings())
 	}
-	books[1].Drop("config.x")
+	books[1].Remove("config.x")
 	now = say(w, books, now, 3)
-	w.Intend(now, "n2", nil)
-	if rows := w.Rows(); len(rows) != 0 || len(w.order) != 3 {
+	w.SetIntent(now, "n2", nil)
+	if rows := w.Findings(); len(rows) != 0 || len(w.order) != 3 {
 		t.Fatalf("%+v", rows)
 	}
-	if say(w, books, now, 1); w.Counts().Unknown != 1 {
+	if say(w, books, now, 1); w.Counts().UnknownRelay != 1 {
 		t.Fatal(w.Counts())
 	}
 }
@@ -328,7 +328,7 @@
 					agreed += n * int(it.Version-1)
 				}
 				for _, c := range w.watch.History() {
-					if c.To >= Late && c.To != NotHeard {
+					if c.To >= Lagging && c.To != Unknown {
 						claims++
 						first = cmp.Or(first, fmt.Sprintf("seed %d: %+v", seed, c))
 					}
@@ -343,7 +343,7 @@
 }
 
 // full is a Watch at its usual most: 300 relays with 64 items.
-func full() (*Watch, []*Book, int64) {
+func full() (*Monitor, []*Reporter, int64) {
 	var items []Item
 	for i := range 64 {
 		items = append(items, Item{fmt.Sprintf("g%d.item%d", i%10, i), 1, uint64(i)})
@@ -359,10 +359,10 @@
 	w, books, now := full()
 	for _, b := range books {
 		for i := range 64 {
-			b.Refuse(now, Item{fmt.Sprintf("g%d.item%d", i%10, i), 2, 1}, "record", fmt.Sprintf("%100d", now))
+			b.RecordRejected(now, Item{fmt.Sprintf("g%d.item%d", i%10, i), 2, 1}, "record", fmt.Sprintf("%100d", now))
 		}
 		for range 40 {
-			w.Saw(now, b.relay, "g1.item1", "evidence")
+			w.RecordSighting(now, b.relay, "g1.item1", "evidence")
 		}
 	}
 	var items []Item
@@ -370,10 +370,10 @@
 		items = append(items, Item{fmt.Sprintf("g%d.item%d", i%10, i), 2, uint64(i)})
 	}
 	for _, b := range books {
-		w.Intend(now, b.relay, items)
+		w.SetIntent(now, b.relay, items)
 	}
 	say(w, books, now, 15)
-	if n := len(w.Rows()); n != 300*64 {
+	if n := len(w.Findings()); n != 300*64 {
 		t.Fatal(n, w.Counts())
 	}
 	books = nil
@@ -381,7 +381,7 @@
 	runtime.ReadMemStats(&after)
 	mb := float64(after.HeapAlloc-before.HeapAlloc) / (1 << 20)
 	t.Logf("%.1f MB", mb)
-	if mb > 32 || len(w.History()) > HistoryMost {
+	if mb > 32 || len(w.History()) > MaxHistory {
 		t.Fatalf("%.1f MB, %d changes", mb, len(w.History()))
 	}
 	runtime.KeepAlive(w)
@@ -399,10 +399,10 @@
 	w, books, now := full()
 	for b.Loop() {
 		b.StopTimer()
-		e := books[7].Word(now).Encode()
+		e := books[7].NextReport(now).Encode()
 		b.StartTimer()
-		word, _ := DecodeWord(e)
-		w.Hear(now, word)
+		word, _ := DecodeReport(e)
+		w.HandleReport(now, word)
 	}
 }
 
@@ -410,36 +410,36 @@
 func BenchmarkHearDrifting(b *testing.B) {
 	w, books, now := full()
 	for i := range 64 {
-		books[7].Note(now, Item{fmt.Sprintf("g%d.item%d", i%10, i), 1, 77}, "record")
+		books[7].RecordApplied(now, Item{fmt.Sprintf("g%d.item%d", i%10, i), 1, 77}, "record")
 	}
 	now = say(w, books, now, 30)
 	for b.Loop() {
 		b.StopTimer()
-		books[7].Hear(Reply{Relay: "n7", Start: 1, Want: w.Want("n7")})
-		e := books[7].Word(now).Encode()
+		books[7].HandleReply(Reply{Relay: "n7", Incarnation: 1, WantDetails: w.WantedDetails("n7")})
+		e := books[7].NextReport(now).Encode()
 		b.StartTimer()
-		word, _ := DecodeWord(e)
-		w.Hear(now, word)
+		word, _ := DecodeReport(e)
+		w.HandleReport(now, word)
 	}
 }
 
 // TestClockSet: what was in flight is not held against a relay whose clock is set back, wherever the change falls.
 func TestClockSet(t *testing.T) {
 	for apart := range 70 {
-		w, books, now := one(1, Item{Bans, 1, 1})
+		w, books, now := one(1, Item{ItemEjections, 1, 1})
 		b := books[0]
 		for k := range 90 {
 			now += 1000
 			if k == apart {
-				w.Intend(now, b.relay, []Item{{Bans, 2, 2}})
-				b.Note(now-20_000, Item{Bans, 2, 2}, "record")
+				w.SetIntent(now, b.relay, []Item{{ItemEjections, 2, 2}})
+				b.RecordApplied(now-20_000, Item{ItemEjections, 2, 2}, "record")
 			}
 			if k >= apart && k < apart+4 {
-				b.Count(Bans, KindOut, 4, 4)
+				b.CountActivity(ItemEjections, KindRemovedMember, 4, 4)
 			}
-			w.Hear(now, b.Word(now-20_000))
+			w.HandleReport(now, b.NextReport(now-20_000))
 			w.Tick(now)
-			if s := state(w, b.relay, Bans); s != InStep {
+			if s := state(w, b.relay, ItemEjections); s != InSync {
 				t.Fatalf("changed %d s after, %d s after that: %v", apart, k-apart, s)
 			}
 		}
--- a/internal/drift/word.go
+++ b/internal/drift/word.go
@@ -33,15 +33,15 @@
 		b = protowire.AppendString(b[:0], it.Name)
 		b = protowire.AppendFixed64(b, it.Version)
 		b = protowire.AppendFixed64(b, it.Digest)
-		b = protowire.AppendFixed64(b, it.RefusedVersion)
-		b = append(b, byte(protowire.EncodeBool(it.Local)))
+		b = protowire.AppendFixed64(b, it.RejectedVersion)
+		b = append(b, byte(protowire.EncodeBool(it.LocalOverride)))
 		h.Write(b)
 	}
 	return h.Sum64()
 }
 
 func (a Applied) none() bool {
-	return a.Version == 0 && a.Digest == 0 && a.RefusedVersion == 0 && !a.Local
+	return a.Version == 0 && a.Digest == 0 && a.RejectedVersion == 0 && !a.LocalOverride
 }
 
 // cut makes text fit for a word: bounded, whole runes, nothing that would break a line of a log.
@@ -83,11 +83,11 @@
 	return protowire.AppendBytes(protowire.AppendTag(b, n, protowire.BytesType), v)
 }
 
-func (g Group) append(b []byte) []byte { return appendFixed(appendString(b, 1, g.Name), 2, g.Digest) }
+func (g GroupDigest) append(b []byte) []byte { return appendFixed(appendString(b, 1, g.Name), 2, g.Digest) }
 
-func (d Doing) append(b []byte) []byte {
+func (d Activity) append(b []byte) []byte {
 	b = appendString(appendString(b, 1, d.Item), 2, d.Kind)
-	return appendUint(appendUint(b, 3, d.Count), 4, d.Astray)
+	return appendUint(appendUint(b, 3, d.Count), 4, d.Violations)
 }
 
 // append writes since as how long before the word, which is shorter.
@@ -95,23 +95,23 @@
 	b = appendUint(appendString(b, 1, a.Name), 2, a.Version)
 	b = appendFixed(b, 3, a.Digest)
 	b = appendUint(b, 4, protowire.EncodeZigZag(at-a.Since))
-	b = appendString(appendString(b, 5, a.From), 6, a.Refused)
-	b = appendUint(appendUint(b, 7, a.RefusedVersion), 8, a.Step)
-	return appendUint(b, 9, protowire.EncodeBool(a.Local))
+	b = appendString(appendString(b, 5, a.Source), 6, a.RejectReason)
+	b = appendUint(appendUint(b, 7, a.RejectedVersion), 8, a.Progress)
+	return appendUint(b, 9, protowire.EncodeBool(a.LocalOverride))
 }
 
-// Encode is a word as bytes. A Book's word is no longer than WordMost.
-func (w Word) Encode() []byte {
+// Encode is a word as bytes. A Book's word is no longer than MaxReportBytes.
+func (w Report) Encode() []byte {
 	b := appendString(nil, 1, w.Relay)
-	b = appendUint(appendUint(b, 2, w.Start), 3, w.Seq)
-	b = appendUint(b, 4, protowire.EncodeZigZag(w.At))
+	b = appendUint(appendUint(b, 2, w.Incarnation), 3, w.Seq)
+	b = appendUint(b, 4, protowire.EncodeZigZag(w.SentAt))
 	for _, g := range w.Groups {
 		b = appendBytes(b, 5, g.append(nil))
 	}
 	for _, a := range w.Items {
-		b = appendBytes(b, 6, a.append(nil, w.At))
+		b = appendBytes(b, 6, a.append(nil, w.SentAt))
 	}
-	for _, d := range w.Does {
+	for _, d := range w.Activities {
 		b = appendBytes(b, 7, d.append(nil))
 	}
 	return b
@@ -120,11 +120,11 @@
 // Encode is a reply as bytes.
 func (r Reply) Encode() []byte {
 	b := appendString(nil, 1, r.Relay)
-	b = appendUint(appendUint(b, 2, r.Start), 3, r.Seq)
-	for _, g := range r.Want {
+	b = appendUint(appendUint(b, 2, r.Incarnation), 3, r.Seq)
+	for _, g := range r.WantDetails {
 		b = appendString(b, 4, g)
 	}
-	for _, t := range r.Tell {
+	for _, t := range r.Resync {
 		b = appendString(b, 5, t)
 	}
 	return b
@@ -167,51 +167,51 @@
 	return cut(*to, most) == *to
 }
 
-// DecodeWord reads a word, whoever wrote it: what it returns is within the bounds.
-func DecodeWord(b []byte) (Word, error) {
-	var w Word
-	if len(b) > WordMost {
+// DecodeReport reads a word, whoever wrote it: what it returns is within the bounds.
+func DecodeReport(b []byte) (Report, error) {
+	var w Report
+	if len(b) > MaxReportBytes {
 		return w, errWord
 	}
 	err := each(b, func(field protowire.Number, n uint64, v []byte) bool {
 		switch field {
 		case 1:
-			return text(&w.Relay, v, RelayMost)
+			return text(&w.Relay, v, MaxRelayNameBytes)
 		case 2:
-			w.Start = n
+			w.Incarnation = n
 		case 3:
 			w.Seq = n
 		case 4:
-			w.At = protowire.DecodeZigZag(n)
+			w.SentAt = protowire.DecodeZigZag(n)
 		case 5:
 			g, ok := decodeGroup(v)
 			w.Groups = append(w.Groups, g)
-			return ok && len(w.Groups) <= GroupsMost
+			return ok && len(w.Groups) <= MaxGroups
 		case 6:
 			a, ok := decodeApplied(v)
 			w.Items = append(w.Items, a)
-			return ok && len(w.Items) <= ItemsMost
+			return ok && len(w.Items) <= MaxItems
 		case 7:
 			d, ok := decodeDoing(v)
-			w.Does = append(w.Does, d)
-			return ok && len(w.Does) <= DoingsMost
+			w.Activities = append(w.Activities, d)
+			return ok && len(w.Activities) <= MaxActivities
 		}
 		return true
 	})
 	if err != nil || w.Relay == "" {
-		return Word{}, errWord
+		return Report{}, errWord
 	}
 	for i := range w.Items {
-		w.Items[i].Since = w.At - w.Items[i].Since // was written as how long before
+		w.Items[i].Since = w.SentAt - w.Items[i].Since // was written as how long before
 	}
 	return w, nil
 }
 
-func decodeGroup(b []byte) (g Group, ok bool) {
+func decodeGroup(b []byte) (g GroupDigest, ok bool) {
 	err := each(b, func(field protowire.Number, n uint64, v []byte) bool {
 		switch field {
 		case 1:
-			return text(&g.Name, v, GroupMost)
+			return text(&g.Name, v, MaxGroupNameBytes)
 		case 2:
 			g.Digest = n
 		}
@@ -224,7 +224,7 @@
 	err := each(b, func(field protowire.Number, n uint64, v []byte) bool {
 		switch field {
 		case 1:
-			return text(&a.Name, v, NameMost)
+			return text(&a.Name, v, MaxNameBytes)
 		case 2:
 			a.Version = n
 		case 3:
@@ -232,32 +232,32 @@
 		case 4:
 			a.Since = protowire.DecodeZigZag(n)
 		case 5:
-			return text(&a.From, v, FromMost)
+			return text(&a.Source, v, MaxSourceBytes)
 		case 6:
-			return text(&a.Refused, v, WhyMost)
+			return text(&a.RejectReason, v, MaxReasonBytes)
 		case 7:
-			a.RefusedVersion = n
+			a.RejectedVersion = n
 		case 8:
-			a.Step = n
+			a.Progress = n
 		case 9:
-			a.Local = n != 0
+			a.LocalOverride = n != 0
 		}
 		return true
 	})
-	return a, err == nil && a.Name != "" && len(GroupOf(a.Name)) <= GroupMost
+	return a, err == nil && a.Name != "" && len(GroupOf(a.Name)) <= MaxGroupNameBytes
 }
 
-func decodeDoing(b []byte) (d Doing, ok bool) {
+func decodeDoing(b []byte) (d Activity, ok bool) {
 	err := each(b, func(field protowire.Number, n uint64, v []byte) bool {
 		switch field {
 		case 1:
-			return text(&d.Item, v, NameMost)
+			return text(&d.Item, v, MaxNameBytes)
 		case 2:
-			return text(&d.Kind, v, NameMost)
+			return text(&d.Kind, v, MaxNameBytes)
 		case 3:
 			d.Count = n
 		case 4:
-			d.Astray = n
+			d.Violations = n
 		}
 		return true
 	})
@@ -267,25 +267,25 @@
 // DecodeReply reads a reply, whoever wrote it.
 func DecodeReply(b []byte) (Reply, error) {
 	var r Reply
-	if len(b) > ReplyMost {
+	if len(b) > MaxReplyBytes {
 		return r, errWord
 	}
 	err := each(b, func(field protowire.Number, n uint64, v []byte) bool {
 		var s string
 		switch field {
 		case 1:
-			return text(&r.Relay, v, RelayMost)
+			return text(&r.Relay, v, MaxRelayNameBytes)
 		case 2:
-			r.Start = n
+			r.Incarnation = n
 		case 3:
 			r.Seq = n
 		case 4:
-			r.Want = append(r.Want, "")
-			return len(r.Want) <= GroupsMost && text(&r.Want[len(r.Want)-1], v, GroupMost)
+			r.WantDetails = append(r.WantDetails, "")
+			return len(r.WantDetails) <= MaxGroups && text(&r.WantDetails[len(r.WantDetails)-1], v, MaxGroupNameBytes)
 		case 5:
-			ok := text(&s, v, NameMost)
-			r.Tell = append(r.Tell, s)
-			return ok && len(r.Tell) <= tellMost
+			ok := text(&s, v, MaxNameBytes)
+			r.Resync = append(r.Resync, s)
+			return ok && len(r.Resync) <= tellMost
 		}
 		return true
 	})
--- a/internal/fleet/controller.go
+++ b/internal/fleet/controller.go
@@ -9,7 +9,7 @@
 type controller struct {
 	record     *Record
 	fleet      *fleetStatus
-	driftWatch *drift.Watch
+	driftWatch *drift.Monitor
 	voters     drift.Item // in force
 
 	// Derived from the record at its change count.
@@ -28,7 +28,7 @@
 }
 
 func newController(r *Record) *controller {
-	return &controller{record: r, fleet: newFleetStatus(), driftWatch: drift.New(drift.Settings{Period: reportInterval.Milliseconds(), Unpaced: []string{drift.List}}), candidates: map[string]candidateValue{}}
+	return &controller{record: r, fleet: newFleetStatus(), driftWatch: drift.NewMonitor(drift.Settings{ReportInterval: reportInterval.Milliseconds(), UnmeasuredGroups: []string{drift.ItemEndpointList}}), candidates: map[string]candidateValue{}}
 }
 
 // refresh takes over what the record has become.
@@ -63,7 +63,7 @@
 	}
 	h.fleet.updateLists(now)
 	h.updateExpected(now, from)
-	h.driftWatch.Hear(now, d)
+	h.driftWatch.HandleReport(now, d)
 	if reply, ok := h.driftWatch.Reply(from); ok {
 		return reply.Encode()
 	}
--- a/internal/fleet/drift_evaluation.go
+++ b/internal/fleet/drift_evaluation.go
@@ -19,13 +19,13 @@
 		h.updateExpected(now, r.Name)
 		switch {
 		case r.Exited:
-			h.driftWatch.Alive(now, r.Name, drift.Gone)
+			h.driftWatch.SetLiveness(now, r.Name, drift.Terminated)
 		case x == nil || r.ReportAgeMS > silenceTimeout.Milliseconds():
-			h.driftWatch.Alive(now, r.Name, drift.Silent)
+			h.driftWatch.SetLiveness(now, r.Name, drift.Unreachable)
 		case r.Phase == "leaving" || r.Phase == "starting" || u.unit.Phase == rollout.PhaseLeaving && r.StartNumber <= uint64(u.unit.SeenStart):
-			h.driftWatch.Alive(now, r.Name, drift.Restarting)
+			h.driftWatch.SetLiveness(now, r.Name, drift.Restarting)
 		default:
-			h.driftWatch.Alive(now, r.Name, drift.Live)
+			h.driftWatch.SetLiveness(now, r.Name, drift.Alive)
 			if _, shut := h.quarantined[r.Name]; !shut { // it is out, and counts as that
 				count = append(count, r.Name)
 			}
@@ -33,15 +33,15 @@
 	}
 	changes := h.driftWatch.Tick(now)
 	var since int64
-	if v.Drift, since = h.driftWatch.Blocks(count, h.repairedBy("")); since > 0 {
+	if v.Drift, since = h.driftWatch.BlockReason(count, h.repairedBy("")); since > 0 {
 		v.DriftMS = now - since
 	}
 	h.blockReasons = map[string]string{}
-	if h.blockReason, _ = h.driftWatch.Blocks(count, nil); h.blockReason != v.Drift {
+	if h.blockReason, _ = h.driftWatch.BlockReason(count, nil); h.blockReason != v.Drift {
 		h.blockReasons[""] = h.blockReason
 		for _, u := range h.pendingReleases {
 			if _, ok := h.blockReasons[u.release.Name]; !ok {
-				h.blockReasons[u.release.Name], _ = h.driftWatch.Blocks(count, h.repairedBy(u.release.Name))
+				h.blockReasons[u.release.Name], _ = h.driftWatch.BlockReason(count, h.repairedBy(u.release.Name))
 			}
 		}
 	}
@@ -53,7 +53,7 @@
 func (h *controller) repairedBy(release string) func(relay, item string) bool {
 	return func(relay, item string) bool {
 		u := h.pendingReleases[relay]
-		return u.restartPending() && (release == "" || u.release.Name == release) && item != drift.Bans && item != drift.Drains
+		return u.restartPending() && (release == "" || u.release.Name == release) && item != drift.ItemEjections && item != drift.ItemDrains
 	}
 }
 
@@ -90,14 +90,14 @@
 // new leader knows nothing of it yet, and a silent one has not mended. One whose list alone is newer than others' is not unfit: it may be right.
 func (h *controller) markUnfit(v *rollout.View) {
 	v.UnfitOrder, v.Unfit = nil, map[string]string{}
-	for _, u := range h.driftWatch.TakeOut(drift.RelaysMost, slices.Sorted(maps.Keys(h.quarantined)), func(relay, item string) bool {
-		return item == drift.List && h.driftWatch.State(relay, item) == drift.Ahead
+	for _, u := range h.driftWatch.SelectUnfit(drift.MaxRelays, slices.Sorted(maps.Keys(h.quarantined)), func(relay, item string) bool {
+		return item == drift.ItemEndpointList && h.driftWatch.StateOf(relay, item) == drift.Ahead
 	}) {
-		v.UnfitOrder, v.Unfit[u.Relay] = append(v.UnfitOrder, u.Relay), u.Why
+		v.UnfitOrder, v.Unfit[u.Relay] = append(v.UnfitOrder, u.Relay), u.Reason
 	}
 	for _, relay := range slices.Sorted(maps.Keys(h.quarantined)) {
 		x := h.fleet.relays[relay]
-		if v.Unfit[relay] == "" && !h.driftWatch.Clear(relay) && (x == nil || x.Incarnation <= h.quarantined[relay].StartNumber) {
+		if v.Unfit[relay] == "" && !h.driftWatch.FullyInSync(relay) && (x == nil || x.Incarnation <= h.quarantined[relay].StartNumber) {
 			v.UnfitOrder, v.Unfit[relay] = append(v.UnfitOrder, relay), h.quarantined[relay].Reason
 		}
 	}
--- a/internal/fleet/drift_status.go
+++ b/internal/fleet/drift_status.go
@@ -41,19 +41,19 @@
 func (h *controller) driftStatus(now int64) driftStatus {
 	h.refresh()
 	p := driftStatus{Rows: []driftRow{}, BlockReason: h.blockReason, Bounds: map[string]int64{}, Quarantined: []quarantinedRelay{}, Counts: h.driftWatch.Counts()}
-	for _, r := range h.driftWatch.Rows() {
-		row := driftRow{Relay: r.Relay, Item: r.Intent.Name, State: r.State.String(), Since: now - r.Since, Intent: r.Intent.Version,
-			Applied: r.Applied.Version, Why: r.Why, Evidence: r.Evidence}
-		if r.Behind > 0 {
-			row.Behind = now - r.Behind
+	for _, r := range h.driftWatch.Findings() {
+		row := driftRow{Relay: r.Relay, Item: r.Agreed.Name, State: r.State.String(), Since: now - r.Since, Intent: r.Agreed.Version,
+			Applied: r.Applied.Version, Why: r.Reason, Evidence: r.Evidence}
+		if r.OutOfSyncSince > 0 {
+			row.Behind = now - r.OutOfSyncSince
 		}
-		if x := h.fleet.relays[r.Relay]; x != nil && r.Intent.Name != "" {
-			row.Intended, row.Running = h.describeItem(r.Relay, r.Intent.Name, x)
+		if x := h.fleet.relays[r.Relay]; x != nil && r.Agreed.Name != "" {
+			row.Intended, row.Running = h.describeItem(r.Relay, r.Agreed.Name, x)
 		}
 		p.Rows = append(p.Rows, row)
 	}
-	for _, group := range []string{drift.Program, drift.Config, drift.List, drift.Bans, drift.Drains, drift.Weights, drift.Voters, drift.Permits} {
-		p.Bounds[group] = h.driftWatch.Bound(group)
+	for _, group := range []string{drift.ItemProgram, drift.ItemConfig, drift.ItemEndpointList, drift.ItemEjections, drift.ItemDrains, drift.ItemCanaryWeights, drift.ItemVoters, drift.ItemPermits} {
+		p.Bounds[group] = h.driftWatch.LagBound(group)
 	}
 	for _, name := range slices.Sorted(maps.Keys(h.quarantined)) {
 		x, w := h.quarantined[name], h.fleet.relays[name]
@@ -65,10 +65,10 @@
 // maxRelays are what is meant of program or a section, and what the relay said.
 func (h *controller) describeItem(relay, item string, x *relayStatus) (meant, runs string) {
 	switch drift.GroupOf(item) {
-	case drift.Program:
+	case drift.ItemProgram:
 		return h.expectedProgram(relay, x), x.Program
-	case drift.Config:
-		return h.expectedConfig(relay, x)[item], x.ConfigSections[strings.TrimPrefix(item, drift.Config+".")]
+	case drift.ItemConfig:
+		return h.expectedConfig(relay, x)[item], x.ConfigSections[strings.TrimPrefix(item, drift.ItemConfig+".")]
 	}
 	return "", ""
 }
--- a/internal/fleet/expected_items.go
+++ b/internal/fleet/expected_items.go
@@ -17,11 +17,11 @@
 		return
 	}
 	if x != nil && x.listState.resetWatch {
-		if x.listState.resetWatch = false; h.driftWatch.State(relay, drift.List) < drift.Late {
-			h.driftWatch.Intend(now, relay, slices.DeleteFunc(slices.Clone(items), func(i drift.Item) bool { return i.Name == drift.List }))
+		if x.listState.resetWatch = false; h.driftWatch.StateOf(relay, drift.ItemEndpointList) < drift.Lagging {
+			h.driftWatch.SetIntent(now, relay, slices.DeleteFunc(slices.Clone(items), func(i drift.Item) bool { return i.Name == drift.ItemEndpointList }))
 		}
 	}
-	if h.driftWatch.Intend(now, relay, items); x != nil {
+	if h.driftWatch.SetIntent(now, relay, items); x != nil {
 		x.expected = items
 	}
 }
@@ -33,15 +33,15 @@
 	if x == nil {
 		return items
 	}
-	if x.reports(drift.Program) {
+	if x.reports(drift.ItemProgram) {
 		if value := h.expectedProgram(relay, x); value != "" {
-			items = append(items, h.intent.driftItem(relay, drift.Program, value))
+			items = append(items, h.intent.driftItem(relay, drift.ItemProgram, value))
 		}
 	}
-	if x.reports(drift.Config) {
+	if x.reports(drift.ItemConfig) {
 		all := h.expectedConfig(relay, x)
 		for section, value := range x.ConfigSections {
-			if name := drift.Config + "." + section; h.contested[name] && len(all) > 0 && all[name] == "" {
+			if name := drift.ItemConfig + "." + section; h.contested[name] && len(all) > 0 && all[name] == "" {
 				all = maps.Clone(all)
 				all[name] = value
 			}
@@ -50,16 +50,16 @@
 			items = append(items, h.intent.driftItem(relay, name, all[name]))
 		}
 	}
-	if x.reports(drift.List) && x.listState.generation > 0 {
+	if x.reports(drift.ItemEndpointList) && x.listState.generation > 0 {
 		items = append(items, h.fleet.expectedList(now, &x.listState))
 	}
-	if x.reports(drift.Weights) {
+	if x.reports(drift.ItemCanaryWeights) {
 		items = append(items, h.recordItems.CanaryWeights)
 	}
-	if x.reports(drift.Permits) {
+	if x.reports(drift.ItemPermits) {
 		items = append(items, h.recordItems.Permits)
 	}
-	if x.reports(drift.Voters) && h.voters.Digest != 0 {
+	if x.reports(drift.ItemVoters) && h.voters.Digest != 0 {
 		items = append(items, h.voters)
 	}
 	return items
@@ -68,9 +68,9 @@
 // expectedProgram is what a relay is to run, "" if nobody has agreed on any. Under a release: what is new once it is through, what it had while it
 // waits, and either while it is out.
 func (h *controller) expectedProgram(relay string, x *relayStatus) string {
-	m, _ := h.intent.valueFor(relay, drift.Program)
+	m, _ := h.intent.valueFor(relay, drift.ItemProgram)
 	u, ok := h.pendingReleases[relay]
-	if !ok || !u.changes(drift.Program) {
+	if !ok || !u.changes(drift.ItemProgram) {
 		return m.Value
 	}
 	old, fresh := m.Value, u.release.Spec.Program
@@ -78,7 +78,7 @@
 		old = u.unit.PreviousProgram
 	}
 	switch {
-	case u.restarting() && (x.Program == fresh || slices.Contains(x.RejectedItems, drift.Program)), u.unit.Phase == rollout.PhaseDone && u.unit.Updated && !u.restarting():
+	case u.restarting() && (x.Program == fresh || slices.Contains(x.RejectedItems, drift.ItemProgram)), u.unit.Phase == rollout.PhaseDone && u.unit.Updated && !u.restarting():
 		return fresh
 	}
 	return old
@@ -88,19 +88,19 @@
 func (h *controller) expectedConfig(relay string, x *relayStatus) map[string]string {
 	meant := map[string]string{}
 	for _, name := range h.intent.itemNames(relay) {
-		if m, _ := h.intent.valueFor(relay, name); name != drift.Program {
+		if m, _ := h.intent.valueFor(relay, name); name != drift.ItemProgram {
 			meant[name] = m.Value
 		}
 	}
 	u, ok := h.pendingReleases[relay]
-	if !ok || !u.changes(drift.Config) {
+	if !ok || !u.changes(drift.ItemConfig) {
 		return meant
 	}
 	old, fresh := meant, h.releaseSections[u.release.Name]
 	if u.adopted {
 		old = map[string]string{}
 		for name, value := range u.previous {
-			if name != drift.Program {
+			if name != drift.ItemProgram {
 				old[name] = value
 			}
 		}
@@ -108,7 +108,7 @@
 	switch {
 	case u.restarting() && x.Config != u.release.Spec.Config:
 		for _, name := range x.RejectedItems { // it was sent for the new one
-			if drift.GroupOf(name) == drift.Config && old[name] != "" {
+			if drift.GroupOf(name) == drift.ItemConfig && old[name] != "" {
 				old = maps.Clone(old)
 				if old[name] = fresh[name]; old[name] == "" {
 					old[name] = "that of " + u.release.Name
@@ -140,10 +140,10 @@
 	}
 	has, tell := map[string]int{}, 0
 	for _, x := range h.fleet.relays {
-		if x.reports(drift.Config) {
+		if x.reports(drift.ItemConfig) {
 			tell++
 			for section := range x.ConfigSections {
-				has[drift.Config+"."+section]++
+				has[drift.ItemConfig+"."+section]++
 			}
 		}
 	}
@@ -162,7 +162,7 @@
 		json.Unmarshal([]byte(best), &all)
 		h.releaseSections[name] = map[string]string{}
 		for section, value := range all {
-			h.releaseSections[name][drift.Config+"."+section] = value
+			h.releaseSections[name][drift.ItemConfig+"."+section] = value
 		}
 	}
 }
--- a/internal/fleet/intent.go
+++ b/internal/fleet/intent.go
@@ -53,9 +53,9 @@
 }
 
 func checkIntentItem(name, value string) string {
-	section, ok := strings.CutPrefix(name, drift.Config+".")
+	section, ok := strings.CutPrefix(name, drift.ItemConfig+".")
 	switch {
-	case name != drift.Program && (!ok || section == "") || len(name) > drift.NameMost:
+	case name != drift.ItemProgram && (!ok || section == "") || len(name) > drift.MaxNameBytes:
 		return fmt.Sprintf("%.40q is no item that is meant", name)
 	case value == "" || len(value) > maxIntentValue:
 		return fmt.Sprintf("%s: no value, or one of over %d bytes", name, maxIntentValue)
@@ -120,8 +120,8 @@
 	switch {
 	case why != "":
 		return refuse("%s", why)
-	case len(x.Items) > maxIntentItems || len(x.PerRelay) > drift.RelaysMost:
-		return refuse("over %d items, or %d relays", maxIntentItems, drift.RelaysMost)
+	case len(x.Items) > maxIntentItems || len(x.PerRelay) > drift.MaxRelays:
+		return refuse("over %d items, or %d relays", maxIntentItems, drift.MaxRelays)
 	}
 	return x, rollout.Result{State: "meant", Number: x.Version}
 }
@@ -188,7 +188,7 @@
 	if err := json.Unmarshal(text, n); err != nil {
 		return nil, fmt.Errorf("intent: %w", err)
 	}
-	if len(n.Items) > maxIntentItems || len(n.PerRelay) > drift.RelaysMost || len(n.Adopted) > rollout.MaxReleases {
+	if len(n.Items) > maxIntentItems || len(n.PerRelay) > drift.MaxRelays || len(n.Adopted) > rollout.MaxReleases {
 		return nil, fmt.Errorf("intent: a state beyond its bounds")
 	}
 	for _, list := range n.Items {
--- a/internal/fleet/intent_edit.go
+++ b/internal/fleet/intent_edit.go
@@ -44,7 +44,7 @@
 
 // dropSectionsExcept means no more the sections that are not named.
 func (e *intentEdit) dropSectionsExcept(but map[string]string) {
-	gone := func(name string) bool { return but[name] == "" && name != drift.Program }
+	gone := func(name string) bool { return but[name] == "" && name != drift.ItemProgram }
 	for name := range e.Items {
 		if gone(name) {
 			delete(e.Items, name)
@@ -78,11 +78,11 @@
 	was, taken := e.Adopted[c.Release]
 	items := map[string]string{}
 	if a.Spec.Program != "" {
-		items[drift.Program] = a.Spec.Program
+		items[drift.ItemProgram] = a.Spec.Program
 	}
 	if a.Spec.Config != "" {
 		for name, value := range c.Items {
-			if name != drift.Program {
+			if name != drift.ItemProgram {
 				items[name] = value
 			}
 		}
@@ -93,13 +93,13 @@
 	case a.State == rollout.ReleaseCompleted && !taken:
 		before := map[string]string{}
 		for name, list := range e.Items {
-			if name == drift.Program && a.Spec.Program != "" || name != drift.Program && a.Spec.Config != "" {
+			if name == drift.ItemProgram && a.Spec.Program != "" || name != drift.ItemProgram && a.Spec.Config != "" {
 				before[name] = list[0].Value
 			}
 		}
 		e.Adopted[c.Release] = adoptedRelease{a.OpenedAt, before}
 		if a.Spec.All {
-			if slices.ContainsFunc(slices.Collect(maps.Keys(items)), func(n string) bool { return n != drift.Program }) {
+			if slices.ContainsFunc(slices.Collect(maps.Keys(items)), func(n string) bool { return n != drift.ItemProgram }) {
 				e.dropSectionsExcept(items)
 			}
 			e.setAll(items, true)
@@ -124,7 +124,7 @@
 		for _, u := range a.Units {
 			if of := e.PerRelay[u.Name]; of != nil && !u.Updated {
 				for name := range of {
-					if name == drift.Program && a.Spec.Program != "" || name != drift.Program && a.Spec.Config != "" {
+					if name == drift.ItemProgram && a.Spec.Program != "" || name != drift.ItemProgram && a.Spec.Config != "" {
 						delete(of, name)
 						e.Version = e.next
 					}
@@ -134,7 +134,7 @@
 				}
 			}
 			if a.Spec.Program != "" && u.PreviousProgram != "" && !u.Updated {
-				e.setOne(u.Name, drift.Program, u.PreviousProgram)
+				e.setOne(u.Name, drift.ItemProgram, u.PreviousProgram)
 			}
 		}
 	default:
--- a/internal/fleet/intent_planning.go
+++ b/internal/fleet/intent_planning.go
@@ -54,12 +54,12 @@
 		if x == nil || r.ReportAgeMS > silenceTimeout.Milliseconds() {
 			continue
 		}
-		if x.reports(drift.Program) && !u.changes(drift.Program) {
-			add(drift.Program, x.Program)
+		if x.reports(drift.ItemProgram) && !u.changes(drift.ItemProgram) {
+			add(drift.ItemProgram, x.Program)
 		}
-		if x.reports(drift.Config) && !u.changes(drift.Config+".") {
+		if x.reports(drift.ItemConfig) && !u.changes(drift.ItemConfig+".") {
 			for section, value := range x.ConfigSections {
-				add(drift.Config+"."+section, value)
+				add(drift.ItemConfig+"."+section, value)
 			}
 		}
 	}
@@ -105,9 +105,9 @@
 	if x == nil {
 		return intentCommand{}, fmt.Errorf("%q was not heard by this leader", relay)
 	}
-	all := map[string]string{drift.Program: x.Program}
+	all := map[string]string{drift.ItemProgram: x.Program}
 	for section, value := range x.ConfigSections {
-		all[drift.Config+"."+section] = value
+		all[drift.ItemConfig+"."+section] = value
 	}
 	c := intentCommand{Action: "adopt", Operator: who, Items: all, ReplaceAll: true}
 	if item != "" {
--- a/internal/fleet/leader.go
+++ b/internal/fleet/leader.go
@@ -100,7 +100,7 @@
 func (s *Service) watchDrift(now int64, v *rollout.View) {
 	s.controller.voters = votersDriftItem(s.node.Status())
 	for _, c := range s.controller.evaluateDrift(now, v) {
-		s.Log.WithFields(logrus.Fields{"relay": c.Relay, "item": c.Item, "from": c.From.String(), "to": c.To.String(), "why": c.Why}).Warn("fleet: drift")
+		s.Log.WithFields(logrus.Fields{"relay": c.Relay, "item": c.Item, "from": c.From.String(), "to": c.To.String(), "why": c.Reason}).Warn("fleet: drift")
 	}
 	if s.QuarantineDrifted { // else nobody is unfit, and who is shut is admitted
 		s.controller.markUnfit(v)
--- a/internal/fleet/list_tracker.go
+++ b/internal/fleet/list_tracker.go
@@ -111,5 +111,5 @@
 }
 
 func listDriftItem(gen uint64) drift.Item {
-	return drift.Item{Name: drift.List, Version: gen, Digest: digestOf([]string{strconv.FormatUint(gen, 10)})}
+	return drift.Item{Name: drift.ItemEndpointList, Version: gen, Digest: digestOf([]string{strconv.FormatUint(gen, 10)})}
 }
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -60,8 +60,8 @@
 // NewRecord is one in which nothing was agreed.
 func NewRecord() *Record {
 	return &Record{rollout: rollout.New(), canary: canary.NewState(), intent: &intent{}, changed: make(chan struct{}, 1),
-		items: recordItems{Ejections: drift.Item{Name: drift.Bans}, Drains: drift.Item{Name: drift.Drains}, Permits: drift.Item{Name: drift.Permits},
-			CanaryWeights: drift.Item{Name: drift.Weights}}}
+		items: recordItems{Ejections: drift.Item{Name: drift.ItemEjections}, Drains: drift.Item{Name: drift.ItemDrains}, Permits: drift.Item{Name: drift.ItemPermits},
+			CanaryWeights: drift.Item{Name: drift.ItemCanaryWeights}}}
 }
 
 // Apply is the engine's: the next command. What it answers depends on the commands alone.
@@ -142,14 +142,14 @@
 		item  *drift.Item
 		name  string
 		names []string
-	}{{&r.items.Ejections, drift.Bans, bans}, {&r.items.Drains, drift.Drains, drains}, {&r.items.Permits, drift.Permits, permits}} {
+	}{{&r.items.Ejections, drift.ItemEjections, bans}, {&r.items.Drains, drift.ItemDrains, drains}, {&r.items.Permits, drift.ItemPermits, permits}} {
 		if d := digestOf(i.names); d != i.item.Digest {
 			*i.item = drift.Item{Name: i.name, Version: r.rollout.Version(), Digest: d}
 		}
 	}
 	if v := r.canary.Version(); v != r.items.CanaryWeights.Version {
 		text, _ := json.Marshal(r.canary.Canaries())
-		r.items.CanaryWeights = drift.Item{Name: drift.Weights, Version: v, Digest: digestOf([]string{string(text)})}
+		r.items.CanaryWeights = drift.Item{Name: drift.ItemCanaryWeights, Version: v, Digest: digestOf([]string{string(text)})}
 	}
 }
 
@@ -211,7 +211,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.items, r.rollout, r.canary, r.intent = s.Items, ro, ca, in
-	r.items.Permits.Name, r.items.CanaryWeights.Name = drift.Permits, drift.Weights // a snapshot of before there were these
+	r.items.Permits.Name, r.items.CanaryWeights.Name = drift.ItemPermits, drift.ItemCanaryWeights // a snapshot of before there were these
 	r.updateItems()
 	r.changes++
 	r.notifyChanged()
--- a/internal/fleet/relay_release.go
+++ b/internal/fleet/relay_release.go
@@ -35,10 +35,10 @@
 
 // changes says whether the release brings a new value of an item.
 func (u *relayRelease) changes(item string) bool {
-	if item == drift.Program {
+	if item == drift.ItemProgram {
 		return u.release.Spec.Program != ""
 	}
-	return u.release.Spec.Config != "" && drift.GroupOf(item) == drift.Config
+	return u.release.Spec.Config != "" && drift.GroupOf(item) == drift.ItemConfig
 }
 
 // restarting says whether the relay may run either: the new thing or what it had.
--- a/internal/fleet/reporting.go
+++ b/internal/fleet/reporting.go
@@ -50,7 +50,7 @@
 
 // votersDriftItem is who votes, as this relay's engine has it; nothing before it knows of a record.
 func votersDriftItem(st consensus.Status) drift.Item {
-	it := drift.Item{Name: drift.Voters}
+	it := drift.Item{Name: drift.ItemVoters}
 	if st.RecordID == 0 {
 		return it
 	}
@@ -71,7 +71,7 @@
 		s.malformedReports++
 		return
 	}
-	if len(s.reporter.driftBook.Hear(r)) > 0 {
+	if len(s.reporter.driftBook.HandleReply(r)) > 0 {
 		s.record.notifyChanged()
 	}
 }
--- a/internal/fleet/simulation_test.go
+++ b/internal/fleet/simulation_test.go
@@ -113,13 +113,13 @@
 		o := s.Orders(r.name)
 		bans, drains := splitExclusions(o.Exclusions)
 		r.look.AppliedExclusions = slices.DeleteFunc(append(bans, drains...), func(n string) bool {
-			return r.frozen[drift.Bans] && slices.Contains(bans, n) || r.frozen[drift.Drains] && slices.Contains(drains, n)
+			return r.frozen[drift.ItemEjections] && slices.Contains(bans, n) || r.frozen[drift.ItemDrains] && slices.Contains(drains, n)
 		})
 		r.look.AppliedVersion, r.look.PermitsVersion, r.look.CanaryVersion, r.look.QuarantineOrder = s.Version(), permitsVersion(h), h.CanaryWeights.Version, 0
-		if r.frozen[drift.Permits] {
+		if r.frozen[drift.ItemPermits] {
 			r.look.PermitsVersion = max(keep.PermitsVersion, 1)
 		}
-		if r.frozen[drift.Weights] {
+		if r.frozen[drift.ItemCanaryWeights] {
 			r.look.CanaryVersion = keep.CanaryVersion
 		}
 		if o.Quarantine != nil && o.Quarantine.StartNumber >= r.start {
@@ -173,13 +173,13 @@
 
 // say is a word of a relay, and the answer to it.
 func (m *model) say(r *mrelay) {
-	l, voters := r.look, drift.Item{Name: drift.Voters, Version: 7, Digest: 1}
+	l, voters := r.look, drift.Item{Name: drift.ItemVoters, Version: 7, Digest: 1}
 	l.ConfigSections = map[string]string{"settings": r.config + "s", "limits": r.config + "l"}
 	maps.Copy(l.ConfigSections, r.own)
 	if r.refuses {
 		l.RejectedItems = map[string]string{"config.settings": "no such key"}
 	}
-	if r.frozen[drift.Voters] {
+	if r.frozen[drift.ItemVoters] {
 		voters.Version = 3
 	}
 	text, _ := json.Marshal(r.ledger.buildReport(m.now, l, r.record, voters))
@@ -195,7 +195,7 @@
 		answer := h.receive(m.now, r.name, w)
 		m.check()
 		m.send(func() {
-			if a, err := drift.DecodeReply(answer); err == nil && r.start == start && r.upAt == 0 && len(r.ledger.driftBook.Hear(a)) > 0 {
+			if a, err := drift.DecodeReply(answer); err == nil && r.start == start && r.upAt == 0 && len(r.ledger.driftBook.HandleReply(a)) > 0 {
 				m.follow(r)
 			}
 		})
@@ -215,7 +215,7 @@
 		m.own.Peers = append(m.own.Peers, Peer{Name: r.name, Alive: r.upAt == 0, Gone: r.upAt != 0, Serving: r.look.Phase == "serving", Incarnation: r.start})
 	}
 	m.view = m.helm.fleet.buildView(m.now, m.led, m.budgets.FlowHoldMS, m.lead.name, m.own, slowStart{})
-	m.helm.voters = drift.Item{Name: drift.Voters, Version: 7, Digest: 1}
+	m.helm.voters = drift.Item{Name: drift.ItemVoters, Version: 7, Digest: 1}
 	m.helm.evaluateDrift(m.now, &m.view)
 	if m.takeOut {
 		m.helm.markUnfit(&m.view)
@@ -241,13 +241,13 @@
 
 // check holds what is claimed against what was planted.
 func (m *model) check() {
-	for _, r := range m.helm.driftWatch.Rows() {
-		key := r.Relay + " " + r.Intent.Name
-		if r.State < drift.Late || r.State == drift.NotHeard {
+	for _, r := range m.helm.driftWatch.Findings() {
+		key := r.Relay + " " + r.Agreed.Name
+		if r.State < drift.Lagging || r.State == drift.Unknown {
 			continue
 		}
 		if want, ok := m.planted[key]; !ok {
-			m.falsely = append(m.falsely, fmt.Sprintf("%d: %s %v, %s", m.now-1_700_000_000_000, key, r.State, r.Why))
+			m.falsely = append(m.falsely, fmt.Sprintf("%d: %s %v, %s", m.now-1_700_000_000_000, key, r.State, r.Reason))
 		} else if want == r.State {
 			m.found[key] = true
 		}
@@ -293,7 +293,7 @@
 			late *= 6
 		}
 		m.at(late, func() {
-			if !r.frozen[drift.List] && epoch == m.epoch && (r.look.ListGeneration < gen || gen == 3) {
+			if !r.frozen[drift.ItemEndpointList] && epoch == m.epoch && (r.look.ListGeneration < gen || gen == 3) {
 				r.look.ListGeneration = gen
 			}
 		})
@@ -328,8 +328,8 @@
 		state drift.State
 		plant func(m *model, r *mrelay)
 	}{
-		{drift.Program, drift.Ahead, func(m *model, r *mrelay) { r.program = "other"; m.begin(r) }},
-		{drift.Program, drift.Late, func(m *model, r *mrelay) { // it went back
+		{drift.ItemProgram, drift.Ahead, func(m *model, r *mrelay) { r.program = "other"; m.begin(r) }},
+		{drift.ItemProgram, drift.Lagging, func(m *model, r *mrelay) { // it went back
 			for _, x := range m.relays {
 				x.program = map[bool]string{false: "p2", true: "p1"}[x == r]
 				m.begin(x)
@@ -337,35 +337,35 @@
 			m.agree(partIntent, []byte(`{"do":"adopt","who":"ann","items":{"program":"p2"}}`))
 		}},
 		{"config.limits", drift.Ahead, func(m *model, r *mrelay) { r.own["limits"] = "mine" }},
-		{"config.settings", drift.Refused, func(m *model, r *mrelay) {
+		{"config.settings", drift.Rejected, func(m *model, r *mrelay) {
 			for _, x := range m.relays {
 				x.own["settings"] = "new"
 			}
 			r.own, r.refuses = map[string]string{}, true
 			m.agree(partIntent, []byte(`{"do":"adopt","who":"ann","items":{"config.settings":"new"}}`))
 		}},
-		{drift.List, drift.Late, func(m *model, r *mrelay) { r.frozen[drift.List] = true; m.discover(m.list + 1) }},
-		{drift.Bans, drift.Late, func(m *model, r *mrelay) { r.frozen[drift.Bans] = true; ban(m) }},
-		{drift.Bans, drift.Local, func(m *model, r *mrelay) { r.look.LocalEjections = []string{"m2"} }},
-		{drift.Drains, drift.Late, func(m *model, r *mrelay) {
-			r.frozen[drift.Drains] = true
+		{drift.ItemEndpointList, drift.Lagging, func(m *model, r *mrelay) { r.frozen[drift.ItemEndpointList] = true; m.discover(m.list + 1) }},
+		{drift.ItemEjections, drift.Lagging, func(m *model, r *mrelay) { r.frozen[drift.ItemEjections] = true; ban(m) }},
+		{drift.ItemEjections, drift.Overridden, func(m *model, r *mrelay) { r.look.LocalEjections = []string{"m2"} }},
+		{drift.ItemDrains, drift.Lagging, func(m *model, r *mrelay) {
+			r.frozen[drift.ItemDrains] = true
 			m.release("d", rollout.ReleaseSpec{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}})
 		}},
-		{drift.Weights, drift.Late, func(m *model, r *mrelay) {
-			r.frozen[drift.Weights] = true
+		{drift.ItemCanaryWeights, drift.Lagging, func(m *model, r *mrelay) {
+			r.frozen[drift.ItemCanaryWeights] = true
 			m.agree(partCanary, canary.Command{Op: canary.OpOpen, Release: "c", Spec: &canary.Spec{Release: "c", Salt: 5, Steps: []int{10}, MinAttempts: 9, MaxStepMS: 9e8,
 				FalsePositiveRate: 0.1, Guardrails: []canary.Guardrail{{Metric: canary.Failures, MarginPerMille: 10}}, Target: canary.Selector{Members: []string{"m1"}}}}.Encode())
 			if m.lead.record.canary.Version() == 0 {
 				m.t.Fatal("no canary")
 			}
 		}},
-		{drift.Permits, drift.Late, func(m *model, r *mrelay) {
-			r.frozen[drift.Permits] = true
+		{drift.ItemPermits, drift.Lagging, func(m *model, r *mrelay) {
+			r.frozen[drift.ItemPermits] = true
 			m.call(rollout.Command{Kind: rollout.CommandRequestPermit, TargetKind: rollout.KindMember, Name: "m1", Requester: "ann", DurationMS: 600_000})
 			m.play(1000, nil)
 			m.call(rollout.Command{Kind: rollout.CommandBeginPermit, PermitNumber: m.lead.record.rollout.Permits()[0].Number})
 		}},
-		{drift.Voters, drift.Late, func(m *model, r *mrelay) { r.frozen[drift.Voters] = true }},
+		{drift.ItemVoters, drift.Lagging, func(m *model, r *mrelay) { r.frozen[drift.ItemVoters] = true }},
 	} {
 		t.Run(k.item+" "+k.state.String(), func(t *testing.T) {
 			t.Parallel()
@@ -382,15 +382,15 @@
 				found := m.play(180_000, func() bool { return m.found[key] })
 				m.sound("planted")
 				if !found {
-					t.Fatalf("seed %d: not found; %+v", seed, m.helm.driftWatch.Rows())
+					t.Fatalf("seed %d: not found; %+v", seed, m.helm.driftWatch.Findings())
 				}
 				t.Logf("found %.1f s after the new leader", float64(m.now-from)/1000)
 				r.own, r.frozen, r.refuses, r.program = maps.Clone(m.relays[0].own), map[string]bool{}, false, m.relays[0].program
 				m.begin(r)
 				if !m.play(120_000, func() bool {
-					return m.helm.driftWatch.Clear(r.name) && m.helm.driftWatch.State(r.name, k.item) == drift.InStep
+					return m.helm.driftWatch.FullyInSync(r.name) && m.helm.driftWatch.StateOf(r.name, k.item) == drift.InSync
 				}) {
-					t.Fatalf("seed %d: mended, yet %+v", seed, m.helm.driftWatch.Rows())
+					t.Fatalf("seed %d: mended, yet %+v", seed, m.helm.driftWatch.Findings())
 				}
 				delete(m.planted, key)
 				m.play(20_000, nil)
@@ -426,7 +426,7 @@
 			m.play(15_000, nil)
 			m.sound(name)
 			for relay, want := range map[string]string{"n0": first, "n5": last, "one that comes": next} {
-				program, _ := m.lead.record.intent.valueFor(relay, drift.Program)
+				program, _ := m.lead.record.intent.valueFor(relay, drift.ItemProgram)
 				limits, _ := m.lead.record.intent.valueFor(relay, "config.limits")
 				if got := program.Value + " " + limits.Value; !ended || got != want || m.blocks > 0 {
 					t.Fatalf("seed %d: %s is %s, %d looks held up; %s: %s, not %s", seed, name, m.state(name), m.blocks, relay, got, want)
@@ -451,10 +451,10 @@
 		if len(m.lead.record.intent.PerRelay) > 0 {
 			t.Fatalf("%+v", m.lead.record.intent)
 		}
-		m.relays[5].refuses, m.planted["n5 config.settings"] = true, drift.Refused
+		m.relays[5].refuses, m.planted["n5 config.settings"] = true, drift.Rejected
 		m.release("bad", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: rest, Config: "c4"})
 		if m.play(60_000, func() bool { return len(m.found) > 0 }); len(m.found) == 0 {
-			t.Fatalf("seed %d: %+v", seed, m.helm.driftWatch.Rows())
+			t.Fatalf("seed %d: %+v", seed, m.helm.driftWatch.Findings())
 		}
 		m.sound("refused")
 	}
@@ -467,8 +467,8 @@
 func TestModelMends(t *testing.T) {
 	m := settled(t, 1, 5)
 	r := m.relays[3]
-	m.planted["n3 list"] = drift.Late
-	r.frozen[drift.List] = true
+	m.planted["n3 list"] = drift.Lagging
+	r.frozen[drift.ItemEndpointList] = true
 	m.discover(m.list + 1)
 	if !m.play(180_000, func() bool { return m.found["n3 list"] }) {
 		t.Fatal("not found")
@@ -480,12 +480,12 @@
 	out := func() bool { return len(m.lead.record.rollout.Orders("").Exclusions) > 0 }
 	early := false
 	ended := m.play(300_000, func() bool {
-		r.frozen[drift.List] = r.start == 1
+		r.frozen[drift.ItemEndpointList] = r.start == 1
 		early = early || out() && r.start == 1 && m.lead.record.rollout.Orders(r.name).Leave == nil
 		return m.state("mend") == rollout.ReleaseCompleted
 	})
 	if !ended || early || !m.play(60_000, out) {
-		t.Fatalf("%s, drained early %v, %+v", m.state("mend"), early, m.helm.driftWatch.Rows())
+		t.Fatalf("%s, drained early %v, %+v", m.state("mend"), early, m.helm.driftWatch.Findings())
 	}
 	m.sound("mended")
 }
@@ -504,7 +504,7 @@
 		churn(20)
 		stuck := func(on bool) {
 			for _, r := range m.relays[4:6] {
-				r.frozen[drift.List], m.planted[r.name+" list"] = on, drift.Late
+				r.frozen[drift.ItemEndpointList], m.planted[r.name+" list"] = on, drift.Lagging
 			}
 		}
 		stuck(true)
@@ -512,13 +512,13 @@
 		m.play(9000, nil)
 		churn(40)
 		if m.sound("anew"); len(m.found) != 2 {
-			t.Fatalf("%+v, %+v", m.found, m.helm.driftWatch.Rows())
+			t.Fatalf("%+v, %+v", m.found, m.helm.driftWatch.Findings())
 		}
 		clear(m.found)
 		m.leads(m.relays[2])
 		churn(60)
 		if m.sound("anew, another leader"); len(m.found) != 2 {
-			t.Fatalf("%+v, %+v", m.found, m.helm.driftWatch.Rows())
+			t.Fatalf("%+v, %+v", m.found, m.helm.driftWatch.Findings())
 		}
 		stuck(false)
 		m.relays[4].look.ListGeneration, m.relays[5].look.ListGeneration = m.list, m.list
@@ -526,11 +526,11 @@
 		clear(m.planted)
 		clear(m.found)
 		m.planted["n4 list"] = drift.Ahead
-		m.relays[4].frozen[drift.List], m.relays[4].look.ListGeneration = true, 1<<60
+		m.relays[4].frozen[drift.ItemEndpointList], m.relays[4].look.ListGeneration = true, 1<<60
 		m.relays[3].slow = 3000
 		churn(400)
-		if m.sound("a high claim"); !m.found["n4 list"] || m.helm.driftWatch.Bound(drift.Permits) < 15_000 { // no list tells how long a permit takes
-			t.Fatalf("%+v, %d", m.helm.driftWatch.Rows(), m.helm.driftWatch.Bound(drift.Permits))
+		if m.sound("a high claim"); !m.found["n4 list"] || m.helm.driftWatch.LagBound(drift.ItemPermits) < 15_000 { // no list tells how long a permit takes
+			t.Fatalf("%+v, %d", m.helm.driftWatch.Findings(), m.helm.driftWatch.LagBound(drift.ItemPermits))
 		}
 		if m.helm.markUnfit(&m.view); len(m.view.Unfit) > 0 {
 			t.Fatalf("%v would be shut", m.view.Unfit)
@@ -553,7 +553,7 @@
 	delete(m.relays[2].own, "limits")
 	m.planted["n0 config.limits"], m.planted["n1 config.limits"] = drift.Ahead, drift.Ahead
 	if !m.play(120_000, func() bool { return len(m.found) == 2 }) {
-		t.Fatalf("%+v", m.helm.driftWatch.Rows())
+		t.Fatalf("%+v", m.helm.driftWatch.Findings())
 	}
 	c, err := m.helm.intentFromRelay("n1", "config.limits", "ann")
 	if err != nil {
@@ -564,8 +564,8 @@
 	for _, r := range m.relays {
 		r.own["limits"] = "x"
 	}
-	if !m.play(60_000, func() bool { return m.helm.driftWatch.Clear("n0") && m.helm.driftWatch.Clear("n5") }) {
-		t.Fatalf("%+v", m.helm.driftWatch.Rows())
+	if !m.play(60_000, func() bool { return m.helm.driftWatch.FullyInSync("n0") && m.helm.driftWatch.FullyInSync("n5") }) {
+		t.Fatalf("%+v", m.helm.driftWatch.Findings())
 	}
 	m.sound("by an operator")
 	if a := m.agree(partIntent, []byte(`{"do":"adopt","items":{"config.limits":"y"}}`)); a.Error != "" || m.lead.record.intent.Items["config.limits"][0].Value != "x" {
@@ -600,7 +600,7 @@
 		}
 		until := func(what string, ms int64, done func() bool) {
 			if !m.play(ms, done) {
-				t.Fatalf("seed %d: not %s: out %d, %+v, %+v, %s", seed, what, out(), m.lead.record.rollout.Quarantines(), m.helm.driftWatch.Rows(), m.view.Drift)
+				t.Fatalf("seed %d: not %s: out %d, %+v, %+v, %s", seed, what, out(), m.lead.record.rollout.Quarantines(), m.helm.driftWatch.Findings(), m.view.Drift)
 			}
 		}
 		for _, r := range m.relays[4:] {
--- a/internal/fleet/status_report.go
+++ b/internal/fleet/status_report.go
@@ -57,16 +57,16 @@
 		return statusReport{}, err
 	}
 	if len(w.Members) > maxMemberReports || len(w.LocalEjections) > maxLocalEjections || w.Flows < 0 || len(w.ConfigSections) >= maxIntentItems || len(w.RejectedItems) > maxIntentItems ||
-		len(w.ReportedGroups) > drift.GroupsMost {
+		len(w.ReportedGroups) > drift.MaxGroups {
 		return statusReport{}, errInvalidReport
 	}
 	for section, value := range w.ConfigSections {
-		if checkIntentItem(drift.Config+"."+section, value) != "" {
+		if checkIntentItem(drift.ItemConfig+"."+section, value) != "" {
 			return statusReport{}, errInvalidReport
 		}
 	}
 	for _, name := range slices.Concat(w.RejectedItems, w.ReportedGroups) {
-		if len(name) > drift.NameMost {
+		if len(name) > drift.MaxNameBytes {
 			return statusReport{}, errInvalidReport
 		}
 	}
@@ -79,11 +79,11 @@
 }
 
 // driftReport reads the part that is the drift module's; one that cannot be read says nothing.
-func (w statusReport) driftReport(relay string) (drift.Word, bool) {
+func (w statusReport) driftReport(relay string) (drift.Report, bool) {
 	if len(w.Drift) == 0 {
-		return drift.Word{}, false
+		return drift.Report{}, false
 	}
-	d, err := drift.DecodeWord(w.Drift)
+	d, err := drift.DecodeReport(w.Drift)
 	d.Relay = relay // its own word alone
 	return d, err == nil
 }
--- a/internal/fleet/status_reporter.go
+++ b/internal/fleet/status_reporter.go
@@ -13,7 +13,7 @@
 	relay, zone, program, configDigest string
 	incarnation                        uint64
 
-	driftBook      *drift.Book
+	driftBook      *drift.Reporter
 	lastState      ObservedState // as last said
 	listGeneration uint64
 	listRestarted  bool // the list's generation fell
@@ -28,9 +28,9 @@
 }
 
 func newStatusReporter(o *Options) *statusReporter {
-	g := &statusReporter{relay: o.Name, zone: o.Zone, program: o.Program, configDigest: o.ConfigDigest, incarnation: o.Incarnation, driftBook: drift.NewBook(o.Name, o.Incarnation),
+	g := &statusReporter{relay: o.Name, zone: o.Zone, program: o.Program, configDigest: o.ConfigDigest, incarnation: o.Incarnation, driftBook: drift.NewReporter(o.Name, o.Incarnation),
 		rejected: map[string]rejectedItem{}, sections: map[string]bool{}}
-	g.driftBook.Count(drift.Bans, drift.KindOut, 0, 0) // so that the first time is seen to be one
+	g.driftBook.CountActivity(drift.ItemEjections, drift.KindRemovedMember, 0, 0) // so that the first time is seen to be one
 	return g
 }
 
@@ -52,10 +52,10 @@
 		}
 	}
 	w.ConfigSections, w.RejectedItems = reportableSections(l, g.configDigest), slices.Sorted(maps.Keys(l.RejectedItems))
-	w.RejectedItems = slices.DeleteFunc(w.RejectedItems, func(n string) bool { return len(n) > drift.NameMost })
+	w.RejectedItems = slices.DeleteFunc(w.RejectedItems, func(n string) bool { return len(n) > drift.MaxNameBytes })
 	w.RejectedItems = w.RejectedItems[:min(len(w.RejectedItems), maxIntentItems)]
 	w.ReportedGroups = g.noteApplied(now, l, r, w.ConfigSections, voters)
-	w.Drift = g.driftBook.Word(now).Encode()
+	w.Drift = g.driftBook.NextReport(now).Encode()
 	g.lastState = l
 	return w
 }
@@ -68,7 +68,7 @@
 	}
 	out := map[string]string{}
 	for _, name := range slices.Sorted(maps.Keys(all)) {
-		if len(out) < maxIntentItems-1 && checkIntentItem(drift.Config+"."+name, all[name]) == "" {
+		if len(out) < maxIntentItems-1 && checkIntentItem(drift.ItemConfig+"."+name, all[name]) == "" {
 			out[name] = all[name]
 		}
 	}
@@ -88,41 +88,41 @@
 
 	g.noteMembers(now, l, h, bans, drains)
 	if n := l.MisroutedFlows - g.lastState.MisroutedFlows; n > 0 {
-		g.driftBook.Count(drift.Bans, drift.KindOut, n, n)
+		g.driftBook.CountActivity(drift.ItemEjections, drift.KindRemovedMember, n, n)
 	}
-	tells = []string{drift.Bans, drift.Drains}
+	tells = []string{drift.ItemEjections, drift.ItemDrains}
 	told := func(name string, yes bool) bool {
 		if yes {
 			tells = append(tells, name)
 		}
 		return yes
 	}
-	if told(drift.Program, checkIntentItem(drift.Program, g.program) == "") {
-		g.noteItem(now, l, in, out, drift.Program, g.program)
+	if told(drift.ItemProgram, checkIntentItem(drift.ItemProgram, g.program) == "") {
+		g.noteItem(now, l, in, out, drift.ItemProgram, g.program)
 	}
-	told(drift.Config, true)
+	told(drift.ItemConfig, true)
 	for name := range g.sections {
 		if _, ok := sections[name]; !ok {
-			g.driftBook.Drop(drift.Config + "." + name)
-			delete(g.rejected, drift.Config+"."+name)
+			g.driftBook.Remove(drift.ItemConfig + "." + name)
+			delete(g.rejected, drift.ItemConfig+"."+name)
 			delete(g.sections, name)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(sections)) {
 		g.sections[name] = true
-		g.noteItem(now, l, in, out, drift.Config+"."+name, sections[name])
+		g.noteItem(now, l, in, out, drift.ItemConfig+"."+name, sections[name])
 	}
-	if told(drift.List, l.ListGeneration > 0) {
-		g.driftBook.Note(now, listDriftItem(l.ListGeneration), "discovery")
+	if told(drift.ItemEndpointList, l.ListGeneration > 0) {
+		g.driftBook.RecordApplied(now, listDriftItem(l.ListGeneration), "discovery")
 	}
-	if told(drift.Weights, true); l.CanaryVersion == h.CanaryWeights.Version {
-		g.driftBook.Note(now, h.CanaryWeights, "record")
+	if told(drift.ItemCanaryWeights, true); l.CanaryVersion == h.CanaryWeights.Version {
+		g.driftBook.RecordApplied(now, h.CanaryWeights, "record")
 	}
-	if told(drift.Permits, l.PermitsVersion > 0) && l.PermitsVersion == permitsVersion(h) {
-		g.driftBook.Note(now, h.Permits, "record")
+	if told(drift.ItemPermits, l.PermitsVersion > 0) && l.PermitsVersion == permitsVersion(h) {
+		g.driftBook.RecordApplied(now, h.Permits, "record")
 	}
-	if told(drift.Voters, voters.Digest != 0) {
-		g.driftBook.Note(now, voters, "engine")
+	if told(drift.ItemVoters, voters.Digest != 0) {
+		g.driftBook.RecordApplied(now, voters, "engine")
 	}
 	return tells
 }
@@ -138,14 +138,14 @@
 	m, meant := in.valueFor(g.relay, name)
 	if !refused || !meant || m.Value == value && !(u.restarting() && u.changes(name)) {
 		delete(g.rejected, name)
-		g.driftBook.Note(now, it, "file")
+		g.driftBook.RecordApplied(now, it, "file")
 		return
 	}
 	c := rejectedItem{it, m.Version, cmp.Or(why, "refused")}
 	if g.rejected[name] != c {
 		g.rejected[name] = c
-		g.driftBook.Note(now, it, "file")
-		g.driftBook.Refuse(now, drift.Item{Name: name, Version: c.version}, "file", c.reason)
+		g.driftBook.RecordApplied(now, it, "file")
+		g.driftBook.RecordRejected(now, drift.Item{Name: name, Version: c.version}, "file", c.reason)
 	}
 }
 
@@ -162,15 +162,15 @@
 	ours := slices.Clone(l.LocalEjections)
 	ours = slices.DeleteFunc(ours, func(n string) bool { return slices.Contains(bans, n) })
 	applied := inForce(bans)
-	if item := (drift.Item{Name: drift.Bans, Version: h.Ejections.Version, Digest: digestOf(applied)}); len(ours) > 0 {
+	if item := (drift.Item{Name: drift.ItemEjections, Version: h.Ejections.Version, Digest: digestOf(applied)}); len(ours) > 0 {
 		all := append(applied, ours...)
 		slices.Sort(all)
 		item.Digest = digestOf(all)
-		g.driftBook.Local(now, item, "an operator's call")
+		g.driftBook.RecordOverride(now, item, "an operator's call")
 	} else if item.Digest == h.Ejections.Digest {
-		g.driftBook.Note(now, item, "record")
+		g.driftBook.RecordApplied(now, item, "record")
 	}
 	if d := digestOf(inForce(drains)); d == h.Drains.Digest {
-		g.driftBook.Note(now, drift.Item{Name: drift.Drains, Version: h.Drains.Version, Digest: d}, "record")
+		g.driftBook.RecordApplied(now, drift.Item{Name: drift.ItemDrains, Version: h.Drains.Version, Digest: d}, "record")
 	}
 }
--- a/internal/scenariorunner/fleet.go
+++ b/internal/scenariorunner/fleet.go
@@ -116,7 +116,7 @@
 		r.with(func(at time.Duration) {
 			now := at.Seconds()
 			for _, row := range a.Rows {
-				if row.State == drift.OnItsWay.String() || row.State == drift.NotHeard.String() {
+				if row.State == drift.Propagating.String() || row.State == drift.Unknown.String() {
 					continue
 				}
 				d := Drifted{row.Relay, row.Item, row.State, now, now}
