--- a/internal/drift/book.go
+++ b/internal/drift/book.go
@@ -15,7 +15,7 @@
 type Reporter struct {
 	relay      string
 	start, seq uint64
-	items      []entry // by group and name
+	items      []entry    // by group and name
 	does       []Activity // by item and kind
 	want       []string
 	wantLeft   int
--- a/internal/drift/word.go
+++ b/internal/drift/word.go
@@ -83,7 +83,9 @@
 	return protowire.AppendBytes(protowire.AppendTag(b, n, protowire.BytesType), v)
 }
 
-func (g GroupDigest) append(b []byte) []byte { return appendFixed(appendString(b, 1, g.Name), 2, g.Digest) }
+func (g GroupDigest) append(b []byte) []byte {
+	return appendFixed(appendString(b, 1, g.Name), 2, g.Digest)
+}
 
 func (d Activity) append(b []byte) []byte {
 	b = appendString(appendString(b, 1, d.Item), 2, d.Kind)
