--- a/cmd/dahliarudder/build.go
+++ b/cmd/dahliarudder/build.go
@@ -74,7 +74,7 @@
 	r.core = core.New(core.Options{Settings: r.names.Settings, Seed: cfg.SeedNumber(), Clock: r.clock, LoopTime: loop.RoundStart, Recorder: ledger,
 		Watch: r.watch.Start, FeedMemoryLimit: int(cfg.Limits.MemoryMB * feedMemoryFraction * (1 << 20)),
 		Probe: r.checkHealth, Wake: r.scheduleTick})
-	r.watch.OnUpdate = r.core.Pool
+	r.watch.OnUpdate = r.core.UpdateMembers
 }
 
 // checkHealth sends a health check by the line front if it is on, otherwise by the NATS front.
@@ -96,11 +96,11 @@
 
 // startDiscovery begins to poll or watch the endpoint list.
 func (r *relay) startDiscovery() {
-	if set := r.core.Limits(); set.Subscribe {
+	if set := r.core.PolicySettings(); set.Subscribe {
 		r.loop.After(pool.InitialDelay(set.MaxPollInterval, r.watch.Random), r.watch.Start)
 		return
 	}
-	r.watch.PushGrace = r.core.Grace() // what the agent holds counts from the first moment
+	r.watch.PushGrace = r.core.DrainGrace() // what the agent holds counts from the first moment
 	r.watch.Start()
 }
 
@@ -120,7 +120,7 @@
 	upgrading := r.inheritedState != nil
 	if known := r.cfg.KnownList(); known != nil && !upgrading {
 		r.watch.SetInitialList(known)
-		r.core.Pool(policy.ListCached, r.names.Members(known))
+		r.core.UpdateMembers(policy.ListCached, r.names.Members(known))
 	}
 	r.restorePredecessorState()
 	switch {
--- a/cmd/dahliarudder/canary.go
+++ b/cmd/dahliarudder/canary.go
@@ -129,7 +129,7 @@
 	f, stands := t.flows[h.Request]
 	if !stands {
 		age := t.r.loop.Now() - h.Member.Started
-		cold := h.Member.Started != 0 && age < t.r.core.Limits().SlowStartDuration
+		cold := h.Member.Started != 0 && age < t.r.core.PolicySettings().SlowStartDuration
 		f = trackedFlow{openedAt: t.r.loop.Now(), inCanary: t.inCanary(h.Member),
 			stratum: canary.Stratum{Class: uint8(h.Request.Class), Zone: uint8(h.Member.Zone), WarmingUp: cold}}
 	}
--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -57,7 +57,7 @@
 	}
 	// What was agreed while it was down is heard first: until then nothing new goes to a member, for finishCatchUp at most.
 	r.core.Doubt()
-	r.core.Expect(true)
+	r.core.SetSyncing(true)
 	r.loop.After(catchUpTimeout, r.finishCatchUp)
 	return nil
 }
@@ -68,7 +68,7 @@
 func (r *relay) finishCatchUp() {
 	if !r.caughtUp {
 		r.caughtUp = true
-		r.core.Expect(false)
+		r.core.SetSyncing(false)
 		r.core.Sure()
 	}
 }
@@ -141,7 +141,7 @@
 	r.loop.After(orderedDrainPoll, func() {
 		switch {
 		case r.shutdownOrder != l || r.stopping: // it may stay, or was told anew, or ends already
-		case r.core.Held() > 0 && r.loop.Now()-l.since < orderedDrainTimeout, r.loop.Now()-l.since < core.StopNotice:
+		case r.core.ActiveRequests() > 0 && r.loop.Now()-l.since < orderedDrainTimeout, r.loop.Now()-l.since < core.StopNotice:
 			r.exitWhenDrained()
 		default:
 			r.fleet.ConfirmLeave(l.number, func(stands, sound bool) {
--- a/cmd/dahliarudder/fleet_status.go
+++ b/cmd/dahliarudder/fleet_status.go
@@ -17,10 +17,10 @@
 	list, _ := r.watch.Snapshot()
 	now := r.loop.Now()
 	if r.statusAt > 0 {
-		r.flowTime += time.Duration(r.core.Held()) * (now - r.statusAt)
+		r.flowTime += time.Duration(r.core.ActiveRequests()) * (now - r.statusAt)
 	}
 	r.statusAt = now
-	l := fleet.ObservedState{Phase: "serving", Flows: r.core.Held(), DemandMS: uint64((r.flowTime + n.Away).Milliseconds()), ServedMS: uint64(r.flowTime.Milliseconds()), MisroutedFlows: uint64(n.Astray),
+	l := fleet.ObservedState{Phase: "serving", Flows: r.core.ActiveRequests(), DemandMS: uint64((r.flowTime + n.BackoffTime).Milliseconds()), ServedMS: uint64(r.flowTime.Milliseconds()), MisroutedFlows: uint64(n.SentAfterGrace),
 		LocalEjections: r.core.Banned(), AppliedExclusions: r.fleetEjected, AppliedVersion: r.recordVersion, ListGeneration: list.Generation, ConfigSections: r.configDigests, PermitsVersion: r.permits, QuarantineOrder: r.closeOrder}
 	if r.reloadError != "" {
 		l.RejectedItems = map[string]string{drift.ItemConfig + ".settings": r.reloadError}
@@ -28,15 +28,15 @@
 	switch {
 	case r.stopping:
 		l.Phase = "leaving"
-	case !r.accepting || !r.core.Usable() || !r.caughtUp:
+	case !r.accepting || !r.core.HasUsableMember() || !r.caughtUp:
 		l.Phase = "starting"
 	case r.closeOrder != 0:
 		l.Phase = "shut"
-	case !r.core.Welcomes():
+	case !r.core.AcceptsClients():
 		l.Phase = "draining"
 	}
 	for _, m := range r.core.Members() {
-		p := fleet.MemberState{Name: m.Name, DiscoveryState: stateNames[m.State], Out: m.Out, Flows: m.Flows, Capacity: m.Capacity, Successes: m.Good, Failures: m.Bad}
+		p := fleet.MemberState{Name: m.Name, DiscoveryState: stateNames[m.State], Out: m.Removed, Flows: m.Flows, Capacity: m.Capacity, Successes: m.Successes, Failures: m.Failures}
 		if m.Zone < len(set.Zones) {
 			p.Zone = string(set.Zones[m.Zone])
 		}
--- a/cmd/dahliarudder/gossip.go
+++ b/cmd/dahliarudder/gossip.go
@@ -39,20 +39,20 @@
 	}
 	r.peers = gossiptransport.New(gossiptransport.Options{Observations: func() gossip.Digest { return book.Digest(r.clock()) }, Loop: r.loop, Log: r.log, Name: r.cfg.Name, Zone: zone, Listen: p.Listen, Address: p.Address,
 		Seeds: known, AddressOverrides: p.Reach, Keys: p.Keys(), Configured: max(set.Balancers, 1), Seed: r.cfg.SeedNumber(), WallClock: wallClock,
-		OnDivisorChange: r.core.Relays, OnUserData: func(_ string, note []byte) { r.trial.onNotices(note) }, OnStaleList: func() {
+		OnDivisorChange: r.core.SetActiveRelays, OnUserData: func(_ string, note []byte) { r.trial.onNotices(note) }, OnStaleList: func() {
 			r.log.Warn("other relays hold a newer list; members are asked for anew")
 			r.watch.Refresh(func() {})
 		},
 		LocalStatus: func() (gossip.Phase, uint64, uint64, uint64) {
 			phase := gossip.Serving
 			switch {
-			case !r.accepting || !r.core.Usable() || r.fleet != nil && !r.caughtUp:
+			case !r.accepting || !r.core.HasUsableMember() || r.fleet != nil && !r.caughtUp:
 				phase = gossip.Starting
-			case !r.core.Welcomes():
+			case !r.core.AcceptsClients():
 				phase = gossip.Draining
 			}
 			list, _ := r.watch.Snapshot()
-			return phase, list.Generation, uint64(r.core.Held()), uint64(r.core.Counts.Requests)
+			return phase, list.Generation, uint64(r.core.ActiveRequests()), uint64(r.core.Counts.Requests)
 		}})
 }
 
--- a/cmd/dahliarudder/operator.go
+++ b/cmd/dahliarudder/operator.go
@@ -38,10 +38,10 @@
 
 // Ready says whether clients can be served: every listener is up, and the pool has
 // a member to send to.
-func (r *relay) Ready() bool { return r.accepting && r.core.Usable() }
+func (r *relay) Ready() bool { return r.accepting && r.core.HasUsableMember() }
 
-// Known says whether operators may speak of a member by that name.
-func (r *relay) Known(member string) bool { return r.core.Known(member) }
+// IsKnownMember says whether operators may speak of a member by that name.
+func (r *relay) Known(member string) bool { return r.core.IsKnownMember(member) }
 
 // SetEjected keeps an operator's call off the loop, so that a slow disk does not hold it
 // up, and then follows it.
@@ -104,7 +104,7 @@
 	case r.natsFront == nil:
 	case on:
 		r.natsFront.EnterLameDuck()
-	case r.core.Welcomes():
+	case r.core.AcceptsClients():
 		r.natsFront.ExitLameDuck()
 	}
 }
--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -83,7 +83,7 @@
 		loop.Close()
 		return errors.Join(err, r.closeStore())
 	}
-	loop.OnStall(r.core.Limits().MaxPollInterval/suspensionFraction, r.afterSuspension)
+	loop.OnStall(r.core.PolicySettings().MaxPollInterval/suspensionFraction, r.afterSuspension)
 	if cfg.CountsMS > 0 {
 		r.logCounts(time.Duration(cfg.CountsMS*float64(time.Millisecond)), core.Counts{})
 	}
@@ -125,8 +125,8 @@
 		line := logrus.Fields{"at": math.Round(r.clock().Seconds()*1e3) / 1e3,
 			"requests": now.Requests - before.Requests, "served": now.Served - before.Served,
 			"rejected": now.Rejected - before.Rejected, "failed": now.Failed - before.Failed,
-			"left": now.Left - before.Left, "attempts": now.Attempts - before.Attempts,
-			"moves": now.Moves - before.Moves, "barred": now.Barred - before.Barred}
+			"left": now.ClientsGone - before.ClientsGone, "attempts": now.Attempts - before.Attempts,
+			"moves": now.Migrations - before.Migrations, "barred": now.Blocked - before.Blocked}
 		if r.peers != nil {
 			line["relays"], line["shared_by"] = r.peers.BudgetDivisor()
 		}
--- a/cmd/dahliarudder/snapshot.go
+++ b/cmd/dahliarudder/snapshot.go
@@ -64,7 +64,7 @@
 	if !known || s.DiscoveryAddr != r.cfg.Discovery { // a generation means nothing but where it was given
 		held.Generation = 0
 	}
-	age, away, err := s.Validate(clocksNow(), r.cfg.Name, held.Generation, snapshot.LimitsFor(r.core.Limits().MaxPollInterval))
+	age, away, err := s.Validate(clocksNow(), r.cfg.Name, held.Generation, snapshot.LimitsFor(r.core.PolicySettings().MaxPollInterval))
 	if err != nil {
 		r.discardSnapshot("snapshot", err)
 		return
@@ -78,7 +78,7 @@
 		if s.DiscoveryAddr == r.cfg.Discovery {
 			r.watch.SetInitialList(s.List)
 		}
-		r.core.Pool(policy.ListCached, r.names.Members(s.List))
+		r.core.UpdateMembers(policy.ListCached, r.names.Members(s.List))
 	}
 	r.core.Recall(s.Learned)
 	r.log.WithField("age", age).Info("state: goes on from its snapshot")
@@ -120,7 +120,7 @@
 	}()
 	var again func()
 	again = func() {
-		if r.core.Usable() { // one who knows nothing does not write that over what it knew
+		if r.core.HasUsableMember() { // one who knows nothing does not write that over what it knew
 			if b, err := r.snapshot().Encode(); err != nil { // here: what it holds is the module's own
 				r.onSnapshotWritten(err)
 			} else {
--- a/cmd/dahliarudder/stop.go
+++ b/cmd/dahliarudder/stop.go
@@ -11,7 +11,7 @@
 	}
 	r.stopping = true
 	loop := r.loop
-	r.log.WithField("held", r.core.Held()).Info("stopping")
+	r.log.WithField("held", r.core.ActiveRequests()).Info("stopping")
 	r.peers.Leave() // nothing new is placed from here on
 	deadline := loop.Now() + r.core.StopWithin()
 	least := loop.Now() + core.StopNotice
@@ -41,7 +41,7 @@
 
 // openRequests is how many clients are not done with.
 func (r *relay) openRequests() int {
-	held := r.core.Held()
+	held := r.core.ActiveRequests()
 	if r.lineFront != nil {
 		held = max(held, r.lineFront.OpenRequests())
 	}
--- a/cmd/dahliarudder/upgrade.go
+++ b/cmd/dahliarudder/upgrade.go
@@ -140,7 +140,7 @@
 	}
 	r.limitToOwnSockets()
 	state.Limit = r.sibling.sentOpen.Limit
-	r.log.WithField("held", r.core.Held()).Info("a successor starts")
+	r.log.WithField("held", r.core.ActiveRequests()).Info("a successor starts")
 	r.sendNote(handover.Message{State: state}, fds...)
 	r.syncSibling()
 }
@@ -171,7 +171,7 @@
 	switch {
 	case r.sibling.origin == originNewer:
 		r.sendOpenState()
-	case !r.accepting && !r.stopping && r.core.Usable():
+	case !r.accepting && !r.stopping && r.core.HasUsableMember():
 		r.startAccepting()
 	}
 	r.loop.After(openStateInterval, r.syncSibling)
@@ -236,7 +236,7 @@
 		r.watch.SetInitialList(r.inheritedState.Pool)
 	}
 	if len(r.inheritedState.Pool.Instances) > 0 {
-		r.core.Pool(policy.ListCached, r.names.Members(r.inheritedState.Pool))
+		r.core.UpdateMembers(policy.ListCached, r.names.Members(r.inheritedState.Pool))
 	}
 	r.core.Recall(r.inheritedState.Learned)
 	r.inheritedState = nil
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -144,11 +144,11 @@
 
 // Counts is what has happened so far.
 type Counts struct {
-	Requests, Served, Rejected, Failed, Left, Attempts, Moves, Barred int
-	Astray                                                            int // attempts begun at members that were out for longer than the grace
-	Messages                                                          Messages
-	Ignored                                                           int           // events that the state of their request does not allow
-	Away                                                              time.Duration // for which clients were sent away, or waited in vain
+	Requests, Served, Rejected, Failed, ClientsGone, Attempts, Migrations, Blocked int
+	SentAfterGrace                                                                 int // attempts begun at members that were out for longer than the grace
+	Messages                                                                       MessageCounts
+	IgnoredEvents                                                                  int           // events that the state of their request does not allow
+	BackoffTime                                                                    time.Duration // for which clients were sent away, or waited in vain
 }
 
 // New makes a Core.
@@ -166,37 +166,37 @@
 	return c
 }
 
-// Grace is how long after a member's leaving is told something may still be sent there.
-func (c *Core) Grace() time.Duration { return c.grace }
+// DrainGrace is how long after a member's leaving is told something may still be sent there.
+func (c *Core) DrainGrace() time.Duration { return c.grace }
 
-// Held is how many requests are on their way or stand as open flows.
-func (c *Core) Held() int { return len(c.requests) }
+// ActiveRequests is how many requests are on their way or stand as open flows.
+func (c *Core) ActiveRequests() int { return len(c.requests) }
 
-// Holds says whether a request is on its way or stands as an open flow.
-func (c *Core) Holds(id ID) bool { return c.requests[id] != nil }
+// IsActive says whether a request is on its way or stands as an open flow.
+func (c *Core) IsActive(id ID) bool { return c.requests[id] != nil }
 
-// Flows is how many flows this relay holds at a member or is setting up there.
-func (c *Core) Flows(id policy.ServerID) int {
+// FlowCount is how many flows this relay holds at a member or is setting up there.
+func (c *Core) FlowCount(id policy.ServerID) int {
 	if m := c.members[id]; m != nil {
 		return m.flows
 	}
 	return 0
 }
 
-// Limits is the settings as the module made them sane.
-func (c *Core) Limits() policy.Settings { return c.set }
+// PolicySettings is the settings as the module made them sane.
+func (c *Core) PolicySettings() policy.Settings { return c.set }
 
-// Welcomes says whether clients should be sent here: no stop or drain is on.
-func (c *Core) Welcomes() bool { return !c.stopping && !c.draining }
+// AcceptsClients says whether clients should be sent here: no stop or drain is on.
+func (c *Core) AcceptsClients() bool { return !c.stopping && !c.draining }
 
-// Expect has fronts say that they take no clients, while this relay waits to hear what was agreed when it was down. Who comes all the same is taken.
-func (c *Core) Expect(on bool) { c.expecting = on }
+// SetSyncing has fronts say that they take no clients, while this relay waits to hear what was agreed when it was down. Who comes all the same is taken.
+func (c *Core) SetSyncing(on bool) { c.expecting = on }
 
 // Ready is what fronts say of it: clients may be sent here.
-func (c *Core) Ready() bool { return c.Welcomes() && !c.expecting }
+func (c *Core) Ready() bool { return c.AcceptsClients() && !c.expecting }
 
-// Usable says whether some member may be sent to.
-func (c *Core) Usable() bool {
+// HasUsableMember says whether some member may be sent to.
+func (c *Core) HasUsableMember() bool {
 	for _, m := range c.members {
 		if !m.left {
 			return true
@@ -207,12 +207,12 @@
 
 // ---- What fronts tell ----
 
-// Load is the load that an open flow has now, as work a second.
-func (c *Core) Load(id ID, load float64) { c.tell(policy.FlowLoad{ID: id, Load: load}) }
+// UpdateLoad is the load that an open flow has now, as work a second.
+func (c *Core) UpdateLoad(id ID, load float64) { c.tell(policy.FlowLoad{ID: id, Load: load}) }
 
-// Message says how long a message on an open flow took. The module hears of it
+// ObserveMessageLatency says how long a message on an open flow took. The module hears of it
 // while messages are slow, and once more when they no longer are.
-func (c *Core) Message(id ID, took time.Duration) {
+func (c *Core) ObserveMessageLatency(id ID, took time.Duration) {
 	r := c.requests[id]
 	if r == nil || !r.state.out() {
 		return
@@ -230,10 +230,10 @@
 }
 
 // ActiveRelays is by how many the budgets are divided that all relays share.
-func (c *Core) Relays(share float64) { c.tell(policy.ActiveRelays{Count: share}) }
+func (c *Core) SetActiveRelays(share float64) { c.tell(policy.ActiveRelays{Count: share}) }
 
 // ProbeResult is the answer to a probe.
-func (c *Core) Probed(server policy.ServerID, result policy.Result, report policy.Report) {
+func (c *Core) ProbeResult(server policy.ServerID, result policy.Result, report policy.Report) {
 	if m := c.members[server]; m != nil {
 		c.saw(m, result)
 	}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -80,7 +80,7 @@
 	r := &rig{t: t, now: time.Hour, out: map[ID]*side{}}
 	r.Core = New(Options{Settings: set, Seed: 7, Clock: func() time.Duration { return r.now },
 		Wake: func(at time.Duration) { r.wake = at }, Probe: func(*Member) {}, Watch: func() {}, Recorder: r})
-	r.Pool(policy.ListCached, list(members, policy.Ready))
+	r.UpdateMembers(policy.ListCached, list(members, policy.Ready))
 	return r
 }
 
@@ -130,8 +130,8 @@
 		t.Fatal("not up, or up twice")
 	}
 	r.Ended(s.id, 0, policy.OK, policy.NoReport)
-	if r.Held() != 0 || r.Counts.Served != 1 || len(r.book) != 2 {
-		t.Errorf("held %d, counts %+v, book %v", r.Held(), r.Counts, r.book)
+	if r.ActiveRequests() != 0 || r.Counts.Served != 1 || len(r.book) != 2 {
+		t.Errorf("held %d, counts %+v, book %v", r.ActiveRequests(), r.Counts, r.book)
 	}
 }
 
@@ -200,8 +200,8 @@
 		t.Error("not given up")
 	}
 	r.pass(2*time.Second - s.wait)
-	if len(s.answers) != 1 || s.out != 0 || r.Held() != 0 {
-		t.Errorf("answers %v, %d out, held %d", s.answers, s.out, r.Held())
+	if len(s.answers) != 1 || s.out != 0 || r.ActiveRequests() != 0 {
+		t.Errorf("answers %v, %d out, held %d", s.answers, s.out, r.ActiveRequests())
 	}
 }
 
@@ -214,7 +214,7 @@
 	if s.out != 1 || !r.Up(id, 0) {
 		t.Fatal("not up")
 	}
-	r.Pool(policy.ListDelta, list(2, policy.Draining)[1:])
+	r.UpdateMembers(policy.ListDelta, list(2, policy.Draining)[1:])
 	if s.moved != 1 {
 		t.Error("not moved from a draining member")
 	}
@@ -243,7 +243,7 @@
 	if s := r.open(); len(s.answers) != 1 || s.answers[0] != "rejected" {
 		t.Errorf("a request during the stop: %v", s.answers)
 	}
-	if away := r.Counts.Away; away != stopAfter {
+	if away := r.Counts.BackoffTime; away != stopAfter {
 		t.Errorf("one was sent away for %v, counted %v", stopAfter, away)
 	}
 	r.pass(of(stopMovesFrom, r.StopWithin()) - time.Millisecond)
@@ -259,8 +259,8 @@
 			t.Errorf("moved %d times", s.moved)
 		}
 	}
-	if r.Held() != 0 {
-		t.Errorf("held %d", r.Held())
+	if r.ActiveRequests() != 0 {
+		t.Errorf("held %d", r.ActiveRequests())
 	}
 }
 
@@ -275,10 +275,10 @@
 	r.Up(s.id, 0)
 	r.Ban("m0")
 	r.Ban("m0")
-	if s.moved != 1 || !r.Known("m0") || r.Known("m9") || r.Usable() {
+	if s.moved != 1 || !r.IsKnownMember("m0") || r.IsKnownMember("m9") || r.HasUsableMember() {
 		t.Errorf("moved %d times", s.moved)
 	}
-	r.Pool(policy.ListFull, list(1, policy.Ready))
+	r.UpdateMembers(policy.ListFull, list(1, policy.Ready))
 	r.pass(251 * time.Millisecond)
 	if late := r.open(); late.tries != 0 {
 		t.Error("sent to a banned member")
@@ -293,13 +293,13 @@
 	}
 	r.Allow("m0")
 	m := r.members[10]
-	if m.left || m.Started != r.now || !r.Usable() {
+	if m.left || m.Started != r.now || !r.HasUsableMember() {
 		t.Errorf("put back: %+v", m)
 	}
 	r.Allow("m0")
 	again := list(1, policy.Ready)
 	again[0].Started = r.now - 3*time.Second
-	r.Pool(policy.ListDelta, again)
+	r.UpdateMembers(policy.ListDelta, again)
 	if m.Started != again[0].Started {
 		t.Errorf("discovery knows of a start at %v, we say %v", again[0].Started, m.Started)
 	}
@@ -328,7 +328,7 @@
 		}
 	}
 	r.Left(late.id)
-	r.Pool(policy.ListDelta, list(4, policy.Draining)[1:])
+	r.UpdateMembers(policy.ListDelta, list(4, policy.Draining)[1:])
 	r.Sure()
 	r.Sure()
 	sent := 0
@@ -360,12 +360,12 @@
 func TestBanUnlisted(t *testing.T) {
 	r := newRig(t, 0)
 	r.Ban("m0")
-	r.Pool(policy.ListFull, list(1, policy.Ready))
-	if r.Usable() || r.open().tries != 0 {
+	r.UpdateMembers(policy.ListFull, list(1, policy.Ready))
+	if r.HasUsableMember() || r.open().tries != 0 {
 		t.Error("sent to a banned member")
 	}
 	r.Allow("m0")
-	if !r.Usable() {
+	if !r.HasUsableMember() {
 		t.Error("not put back")
 	}
 }
@@ -393,7 +393,7 @@
 	}
 	r.Drain()
 	r.Drain()
-	if r.Welcomes() || moved() != 0 {
+	if r.AcceptsClients() || moved() != 0 {
 		t.Error("clients are still welcome, or moved before the front knows")
 	}
 	open()
@@ -402,14 +402,14 @@
 	r.Resume()
 	r.Resume()
 	r.pass(10 * time.Second)
-	if !r.Welcomes() || half == 0 || half == len(up) || moved() != half {
+	if !r.AcceptsClients() || half == 0 || half == len(up) || moved() != half {
 		t.Errorf("%d moved by the resume, %d in the end, of %d", half, moved(), len(up))
 	}
 	open()
 	r.Drain()
 	r.pass(drainMoves + time.Second)
-	if moved() != len(up) || r.Held() != 0 {
-		t.Errorf("%d moved of %d, %d held", moved(), len(up), r.Held())
+	if moved() != len(up) || r.ActiveRequests() != 0 {
+		t.Errorf("%d moved of %d, %d held", moved(), len(up), r.ActiveRequests())
 	}
 }
 
@@ -435,7 +435,7 @@
 	}
 	next.Bans([]string{"m0", "m2"})
 	next.Bans([]string{"m2", "m9"})
-	if next.members[10].banned || !next.members[12].banned || !next.Known("m9") {
+	if next.members[10].banned || !next.members[12].banned || !next.IsKnownMember("m9") {
 		t.Error("the list of bans does not count as it stands")
 	}
 }
@@ -449,17 +449,17 @@
 	next := newRig(t, 2)
 	next.now += time.Hour
 	p, ok := r.Pass(up[0].id)
-	if _, twice := r.Pass(up[0].id); !ok || twice || r.Held() != 4 {
-		t.Errorf("passed %v, twice %v, %d held", ok, twice, r.Held())
+	if _, twice := r.Pass(up[0].id); !ok || twice || r.ActiveRequests() != 4 {
+		t.Errorf("passed %v, twice %v, %d held", ok, twice, r.ActiveRequests())
 	}
 	s := &side{r: next, out: 1, tries: 1}
 	id, m, ok := next.Take(p, s)
-	if !ok || m.Name != p.Member || !next.Holds(id) || next.Up(id, 0) || next.Counts.Served != 1 {
+	if !ok || m.Name != p.Member || !next.IsActive(id) || next.Up(id, 0) || next.Counts.Served != 1 {
 		t.Errorf("taken %v by %v, counts %+v", ok, m, next.Counts)
 	}
 	next.Ended(id, 0, policy.OK, policy.NoReport)
-	if next.Held() != 0 || s.moved != 0 || len(s.answers) != 0 {
-		t.Errorf("%d held, %+v", next.Held(), s)
+	if next.ActiveRequests() != 0 || s.moved != 0 || len(s.answers) != 0 {
+		t.Errorf("%d held, %+v", next.ActiveRequests(), s)
 	}
 	if _, _, ok := next.Take(Passed{Member: "m9"}, s); ok {
 		t.Error("a flow at an unknown member was taken")
@@ -470,8 +470,8 @@
 		early += s.moved
 	}
 	r.pass(of(stopMoves, r.StopWithin()))
-	if early != 0 || r.Held() != 0 || up[0].moved != 0 || up[1].moved != 1 {
-		t.Errorf("%d moved early, %d held", early, r.Held())
+	if early != 0 || r.ActiveRequests() != 0 || up[0].moved != 0 || up[1].moved != 1 {
+		t.Errorf("%d moved early, %d held", early, r.ActiveRequests())
 	}
 }
 
@@ -483,8 +483,8 @@
 	r.Up(up.id, 0)
 	r.Stop()
 	r.Finish()
-	if up.moved != 1 || len(late.answers) != 1 || late.answers[0] != "rejected" || late.out != 0 || r.Held() != 0 {
-		t.Errorf("moved %d, answers %v, held %d", up.moved, late.answers, r.Held())
+	if up.moved != 1 || len(late.answers) != 1 || late.answers[0] != "rejected" || late.out != 0 || r.ActiveRequests() != 0 {
+		t.Errorf("moved %d, answers %v, held %d", up.moved, late.answers, r.ActiveRequests())
 	}
 }
 
@@ -495,14 +495,14 @@
 	s := r.open()
 	r.Up(s.id, 0)
 	m := r.requests[s.id].member
-	r.Message(s.id, 40*time.Millisecond)
+	r.ObserveMessageLatency(s.id, 40*time.Millisecond)
 	first := m.noted
 	r.now += 100 * time.Millisecond
-	r.Message(s.id, 50*time.Millisecond)
+	r.ObserveMessageLatency(s.id, 50*time.Millisecond)
 	if !m.slow || m.noted != first {
 		t.Error("not told, or told again at once")
 	}
-	r.Message(s.id, 20*time.Millisecond)
+	r.ObserveMessageLatency(s.id, 20*time.Millisecond)
 	if m.slow || m.noted != r.now {
 		t.Error("not told that it is over")
 	}
@@ -545,7 +545,7 @@
 				[]func(){func() { r.Ban(name) }, func() { r.Allow(name) }, r.Drain, r.Resume}[rng.IntN(4)]()
 			case 3:
 				one := list(4, states[rng.IntN(len(states))])[rng.IntN(4):][:1]
-				r.Pool(policy.ListDelta, one)
+				r.UpdateMembers(policy.ListDelta, one)
 			default:
 				r.pass(time.Duration(rng.IntN(300)) * time.Millisecond)
 			}
@@ -554,8 +554,8 @@
 		r.Resume() // a drain's end is not the stop's
 		r.pass(5 * time.Second)
 		c := r.Counts
-		if r.Held() != 0 || c.Requests != len(all) || c.Served+c.Rejected+c.Failed+c.Left != c.Requests {
-			t.Errorf("held %d, %d requests, counts %+v", r.Held(), len(all), c)
+		if r.ActiveRequests() != 0 || c.Requests != len(all) || c.Served+c.Rejected+c.Failed+c.ClientsGone != c.Requests {
+			t.Errorf("held %d, %d requests, counts %+v", r.ActiveRequests(), len(all), c)
 		}
 		seen := map[string]bool{}
 		for _, line := range r.book {
@@ -616,11 +616,11 @@
 		t.Errorf("%d of all moved seven seconds after the second drain", n)
 	}
 	gone := list(members, policy.Draining)
-	r.Pool(policy.ListDelta, gone)
+	r.UpdateMembers(policy.ListDelta, gone)
 	if n := moved(); n != total {
 		t.Errorf("%d of %d moved when discovery says that it drains", n, total)
 	}
-	r.Pool(policy.ListDelta, list(1, policy.Ready))
+	r.UpdateMembers(policy.ListDelta, list(1, policy.Ready))
 	r.Ban("m0")
 	r.Agree(nil)
 	if s := r.open(); s.out > 0 {
@@ -640,11 +640,11 @@
 	r := &rig{t: t, now: time.Hour, out: map[ID]*side{}}
 	r.Core = New(Options{Settings: set, Seed: 7, Clock: func() time.Duration { return r.now },
 		Wake: func(at time.Duration) { r.wake = at }, Probe: func(*Member) {}, Watch: func() {}, Recorder: r})
-	r.Pool(policy.ListCached, list(3, policy.Ready))
+	r.UpdateMembers(policy.ListCached, list(3, policy.Ready))
 	r.up(3)
 	r.Stop()
 	r.pass(r.StopWithin())
-	if r.StopWithin() > 1200*time.Millisecond || r.Held() > 0 {
-		t.Errorf("a stop takes %v, and %d flows are held then", r.StopWithin(), r.Held())
+	if r.StopWithin() > 1200*time.Millisecond || r.ActiveRequests() > 0 {
+		t.Errorf("a stop takes %v, and %d flows are held then", r.StopWithin(), r.ActiveRequests())
 	}
 }
--- a/internal/core/crossings_test.go
+++ b/internal/core/crossings_test.go
@@ -25,11 +25,13 @@
 		if len(asked) == 0 || s.tries != 0 {
 			t.Fatalf("%d probes, %d tries", len(asked), s.tries)
 		}
-		return r, s, func() { r.Probed(asked[0], policy.OK, policy.Report{Connections: 1, Load: 0.1, Util: -1, Backlog: 0}) }
+		return r, s, func() {
+			r.ProbeResult(asked[0], policy.OK, policy.Report{Connections: 1, Load: 0.1, Util: -1, Backlog: 0})
+		}
 	},
 	"for room": func(t *testing.T) (*rig, *side, func()) {
 		r := newRigOf(t, classesText, list(1, policy.Draining))
-		return r, r.bring(unsafeClass, 2*time.Second), func() { r.Pool(policy.ListDelta, list(1, policy.Ready)) }
+		return r, r.bring(unsafeClass, 2*time.Second), func() { r.UpdateMembers(policy.ListDelta, list(1, policy.Ready)) }
 	},
 	"between attempts": func(t *testing.T) (*rig, *side, func()) {
 		r := newRigOf(t, classesText, list(3, policy.Ready))
@@ -68,8 +70,8 @@
 		r.Left(s.id)
 		goOn()
 		r.pass(3 * time.Second)
-		if s.tries != before || len(s.answers) != 0 || r.Held() != 0 || r.Counts.Left != 1 {
-			t.Errorf("%s: %d attempts more, answers %v, held %d", name, s.tries-before, s.answers, r.Held())
+		if s.tries != before || len(s.answers) != 0 || r.ActiveRequests() != 0 || r.Counts.ClientsGone != 1 {
+			t.Errorf("%s: %d attempts more, answers %v, held %d", name, s.tries-before, s.answers, r.ActiveRequests())
 		}
 	}
 }
@@ -81,8 +83,8 @@
 		before := s.tries
 		r.now += 2 * time.Second // nothing was due meanwhile: the loop comes late
 		r.Tick()
-		if len(s.answers) != 1 || r.Held() != 0 {
-			t.Errorf("%s: answers %v, held %d", name, s.answers, r.Held())
+		if len(s.answers) != 1 || r.ActiveRequests() != 0 {
+			t.Errorf("%s: answers %v, held %d", name, s.answers, r.ActiveRequests())
 		}
 		goOn()
 		r.pass(3 * time.Second)
@@ -112,8 +114,8 @@
 		r.Stop()
 		r.Finish()
 		before = s.tries
-		if s.got() != "rejected" || r.Held() != 0 {
-			t.Errorf("%s: answers %v at the end, held %d", name, s.answers, r.Held())
+		if s.got() != "rejected" || r.ActiveRequests() != 0 {
+			t.Errorf("%s: answers %v at the end, held %d", name, s.answers, r.ActiveRequests())
 		}
 		goOn()
 		r.pass(3 * time.Second)
@@ -151,14 +153,14 @@
 	if first.tries+second.tries > 0 {
 		t.Fatal("sent without a report")
 	}
-	r.Probed(10, policy.OK, policy.Report{Connections: 1, Load: 0.1, Util: -1, Backlog: 0})
-	if first.tries+second.tries != 1 || r.Held() != 1 {
-		t.Errorf("%d and %d attempts, held %d", first.tries, second.tries, r.Held())
+	r.ProbeResult(10, policy.OK, policy.Report{Connections: 1, Load: 0.1, Util: -1, Backlog: 0})
+	if first.tries+second.tries != 1 || r.ActiveRequests() != 1 {
+		t.Errorf("%d and %d attempts, held %d", first.tries, second.tries, r.ActiveRequests())
 	}
 	for _, s := range []*side{first, second} {
 		r.Left(s.id)
 	}
-	r.Pool(policy.ListFull, nil)
+	r.UpdateMembers(policy.ListFull, nil)
 	if learned := r.facade.LearnedState(r.now); len(learned.Servers) != 0 {
 		t.Errorf("the module still holds %v", learned.Servers)
 	}
@@ -180,10 +182,10 @@
 			if up || result == policy.OK {
 				want = ""
 			}
-			if s.got() != want || s.tries != 1 || r.Held() != 0 || r.Counts.Served+r.Counts.Failed != 1 || len(r.book) != 2 {
-				t.Errorf("result %d, up %v: answers %v, %d tries, held %d, counts %+v", result, up, s.answers, s.tries, r.Held(), r.Counts)
+			if s.got() != want || s.tries != 1 || r.ActiveRequests() != 0 || r.Counts.Served+r.Counts.Failed != 1 || len(r.book) != 2 {
+				t.Errorf("result %d, up %v: answers %v, %d tries, held %d, counts %+v", result, up, s.answers, s.tries, r.ActiveRequests(), r.Counts)
 			}
-			r.Pool(policy.ListFull, nil)
+			r.UpdateMembers(policy.ListFull, nil)
 			if learned := r.facade.LearnedState(r.now); len(learned.Servers) != 0 {
 				t.Errorf("result %d, up %v: the module still holds %v", result, up, learned.Servers)
 			}
--- a/internal/core/feed.go
+++ b/internal/core/feed.go
@@ -36,8 +36,8 @@
 	Room()
 }
 
-// Messages is what has happened to the messages on feeds.
-type Messages struct{ Taken, Served, Rejected, Failed, Attempts, Repeated int }
+// MessageCounts is what has happened to the messages on feeds.
+type MessageCounts struct{ Accepted, Served, Rejected, Failed, Attempts, Retried int }
 
 // What a feed is doing.
 type feedState uint8
@@ -132,7 +132,7 @@
 	c, now := f.c, f.c.LoopTime()
 	c.last++
 	m.ID, m.Due = uint64(c.last), now+f.q.TimeLeft
-	c.Counts.Messages.Taken++
+	c.Counts.Messages.Accepted++
 	f.used = now
 	switch {
 	case c.Recorder != nil && !c.Recorder.Ready(): // what cannot be recorded is not sent
@@ -178,7 +178,7 @@
 	}
 }
 
-// Taken says that the member has taken the n oldest messages that are out.
+// Accepted says that the member has taken the n oldest messages that are out.
 func (f *Feed) Taken(n int) {
 	c, now := f.c, f.c.LoopTime()
 	settled, served := f.w.Out(), 0
@@ -313,7 +313,7 @@
 		default:
 			f.attempt(m, result)
 		}
-		f.c.Counts.Messages.Repeated++
+		f.c.Counts.Messages.Retried++
 	}, func(m *window.Message) { f.answer(m, Failed, 0) })
 	f.w.GiveUp(f.c.Clock(), func(m *window.Message, ran bool) { f.giveUp(m, ran, feedAgain) })
 	f.release(out, 0)
@@ -334,7 +334,7 @@
 			return
 		}
 		if !c.gate(now, !next.Waiting(), next.Tries, next.Due, m) {
-			c.Counts.Barred++
+			c.Counts.Blocked++
 			if !c.reachable(now, m) { // it should have been moved before
 				f.state = feedLeaving
 				c.Ended(f.flow, f.try, policy.Cancelled, policy.NoReport)
--- a/internal/core/feed_test.go
+++ b/internal/core/feed_test.go
@@ -118,14 +118,14 @@
 	for len(p.out) > 0 {
 		p.take(7)
 	}
-	if c := r.Counts; c.Requests != 1 || c.Messages.Served != 300 || p.count(Served) != 300 || r.Flows(p.to.ID) != 1 {
+	if c := r.Counts; c.Requests != 1 || c.Messages.Served != 300 || p.count(Served) != 300 || r.FlowCount(p.to.ID) != 1 {
 		t.Errorf("%+v", c)
 	}
 	if len(r.book) != 1+2*300 {
 		t.Errorf("%d records", len(r.book))
 	}
 	r.pass(feedRest + time.Second)
-	if r.Held() != 0 || p.to != nil {
+	if r.ActiveRequests() != 0 || p.to != nil {
 		t.Error("a feed that rests keeps its place")
 	}
 	p.put(1)
@@ -135,7 +135,7 @@
 		t.Error("a feed that has rested does not go on")
 	}
 	p.f.Close()
-	if r.Held() != 0 || len(r.feeds) != 0 {
+	if r.ActiveRequests() != 0 || len(r.feeds) != 0 {
 		t.Error("something is left of a feed that was closed")
 	}
 }
@@ -185,7 +185,7 @@
 	first := p.to.ID
 	drained := list(2, policy.Ready)
 	drained[first-10].State = policy.Draining
-	r.Pool(policy.ListFull, drained)
+	r.UpdateMembers(policy.ListFull, drained)
 	if p.put(3); len(p.out) != 5 || p.to.ID != first {
 		t.Fatalf("%d out", len(p.out))
 	}
@@ -217,7 +217,7 @@
 		t.Errorf("answers %v, come again in %v", p.answers, p.after)
 	}
 	p.put(2)
-	r.Pool(policy.ListFull, list(2, policy.Ready))
+	r.UpdateMembers(policy.ListFull, list(2, policy.Ready))
 	r.pass(time.Second)
 	if p.to == nil {
 		t.Fatal("no place is asked for again")
@@ -341,7 +341,7 @@
 			case 10:
 				i := rng.IntN(3)
 				members[i].State = []policy.ServerState{policy.Ready, policy.Draining}[rng.IntN(2)]
-				r.Pool(policy.ListDelta, members[i:i+1])
+				r.UpdateMembers(policy.ListDelta, members[i:i+1])
 			case 11:
 				p.shut = !p.shut
 				if !p.shut {
@@ -360,8 +360,8 @@
 			r.Stop()
 			r.pass(r.StopWithin())
 			r.Finish()
-			if r.Held() != 0 {
-				t.Errorf("seed %d: %d held after the end of the stop", seed, r.Held())
+			if r.ActiveRequests() != 0 {
+				t.Errorf("seed %d: %d held after the end of the stop", seed, r.ActiveRequests())
 			}
 		}
 		r.pass(3 * time.Second)
@@ -373,8 +373,8 @@
 			sent += len(p.tries)
 			p.f.Close()
 		}
-		if c := r.Counts.Messages; c.Taken != c.Served+c.Rejected+c.Failed || sent == 0 && !more || r.Held() != 0 || r.feedBytes != 0 {
-			t.Errorf("seed %d: %+v, %d held", seed, r.Counts, r.Held())
+		if c := r.Counts.Messages; c.Accepted != c.Served+c.Rejected+c.Failed || sent == 0 && !more || r.ActiveRequests() != 0 || r.feedBytes != 0 {
+			t.Errorf("seed %d: %+v, %d held", seed, r.Counts, r.ActiveRequests())
 		}
 		if more {
 			all += sent
@@ -400,8 +400,8 @@
 	}
 	r.Stop()
 	r.Finish()
-	if p.count(Rejected) != 3 || p.after != stopAfter || r.Held() != 0 {
-		t.Errorf("%d rejected, for %v; held %d", p.count(Rejected), p.after, r.Held())
+	if p.count(Rejected) != 3 || p.after != stopAfter || r.ActiveRequests() != 0 {
+		t.Errorf("%d rejected, for %v; held %d", p.count(Rejected), p.after, r.ActiveRequests())
 	}
 }
 
@@ -419,7 +419,7 @@
 			t.Errorf("%d messages were sent during a doubt", len(p.out))
 		}
 		if left {
-			r.Pool(policy.ListDelta, []Member{r.drains(first)})
+			r.UpdateMembers(policy.ListDelta, []Member{r.drains(first)})
 		}
 		r.Sure()
 		r.pass(time.Millisecond)
--- a/internal/core/gate.go
+++ b/internal/core/gate.go
@@ -60,7 +60,7 @@
 		case c.reachable(c.Clock(), m):
 			c.Probe(&m.Member)
 		default:
-			c.Counts.Barred++
+			c.Counts.Blocked++
 			c.tell(policy.ProbeResult{Server: v.Server, Result: policy.NotSent, Report: policy.NoReport})
 		}
 		return
@@ -124,7 +124,7 @@
 	now, m := c.Clock(), c.members[v.Server]
 	r.sends++
 	if c.decided(r.id) || !c.gate(now, r.state != placing, r.tries, r.deadline, m) || !c.repeatable(now, r, m) {
-		c.Counts.Barred++
+		c.Counts.Blocked++
 		if r.state == placing { // else the module hears of what is out as that ends
 			c.tell(policy.SendSkipped{ID: r.id})
 		}
--- a/internal/core/leave.go
+++ b/internal/core/leave.go
@@ -46,7 +46,7 @@
 // Drain empties the relay: what still arrives is served, and open flows are moved
 // one by one.
 func (c *Core) Drain() {
-	if c.Welcomes() {
+	if c.AcceptsClients() {
 		c.draining = true
 		c.moveAll(drainMovesFrom, drainMoves)
 	}
@@ -105,7 +105,7 @@
 	c.Counts.Attempts++
 	c.record(r, Served)
 	c.tell(policy.ExistingFlow{Request: r.policy(), Server: m.ID})
-	if !c.Welcomes() {
+	if !c.AcceptsClients() {
 		c.leaveAt(r, c.moveAt)
 	}
 	c.quit(r)
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -50,7 +50,7 @@
 func (c *Core) step(r *request, e event) bool {
 	next, allowed := transitions[r.state][e]
 	if !allowed {
-		c.Counts.Ignored++
+		c.Counts.IgnoredEvents++
 		return false
 	}
 	r.state = next
--- a/internal/core/lifecycle_test.go
+++ b/internal/core/lifecycle_test.go
@@ -28,8 +28,8 @@
 			if got := r.step(q, e); got != ok || q.state != to {
 				t.Errorf("state %d, event %d: %v to state %d, want %v to %d", from, e, got, q.state, ok, to)
 			}
-			if counted := r.Counts.Ignored == 1; counted == ok {
-				t.Errorf("state %d, event %d: %d counted as ignored", from, e, r.Counts.Ignored)
+			if counted := r.Counts.IgnoredEvents == 1; counted == ok {
+				t.Errorf("state %d, event %d: %d counted as ignored", from, e, r.Counts.IgnoredEvents)
 			}
 			if gone := r.requests[1] == nil; gone != (ok && to == over) {
 				t.Errorf("state %d, event %d: still held %v", from, e, !gone)
@@ -44,23 +44,23 @@
 	s := r.open()
 	r.Up(s.id, 0)
 	before := r.Counts
-	if r.Up(s.id, 0) || r.Counts.Ignored != 1 {
-		t.Errorf("up twice, %d ignored", r.Counts.Ignored)
+	if r.Up(s.id, 0) || r.Counts.IgnoredEvents != 1 {
+		t.Errorf("up twice, %d ignored", r.Counts.IgnoredEvents)
 	}
 	r.do(policy.Action{Kind: policy.ActionReject, ID: s.id, Duration: time.Second})
 	r.do(policy.Action{Kind: policy.ActionFail, ID: s.id})
 	r.do(policy.Action{Kind: policy.ActionCancel, ID: s.id})
-	if len(s.answers) != 0 || s.out != 1 || !r.Holds(s.id) {
+	if len(s.answers) != 0 || s.out != 1 || !r.IsActive(s.id) {
 		t.Errorf("an open flow got %v, %d out", s.answers, s.out)
 	}
-	before.Ignored = r.Counts.Ignored
-	if r.Counts != before || r.Counts.Ignored != 3 {
+	before.IgnoredEvents = r.Counts.IgnoredEvents
+	if r.Counts != before || r.Counts.IgnoredEvents != 3 {
 		t.Errorf("counts %+v, before %+v", r.Counts, before)
 	}
 	r.Left(s.id)
 	r.Ended(s.id, 0, policy.Reset, policy.NoReport)
 	r.Left(s.id)
-	if _, ok := r.Pass(s.id); ok || len(r.book) != 2 || r.Held() != 0 {
-		t.Errorf("passed %v, book %v, held %d", ok, r.book, r.Held())
+	if _, ok := r.Pass(s.id); ok || len(r.book) != 2 || r.ActiveRequests() != 0 {
+		t.Errorf("passed %v, book %v, held %d", ok, r.book, r.ActiveRequests())
 	}
 }
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -12,7 +12,7 @@
 // This file is what the core holds of pool members: what discovery says of them, what operators do, and what is passed on.
 
 // ServerList is what discovery says of the members.
-func (c *Core) Pool(kind policy.ListKind, list []Member) {
+func (c *Core) UpdateMembers(kind policy.ListKind, list []Member) {
 	now := c.Clock()
 	servers := make([]policy.Server, len(list))
 	named := map[policy.ServerID]bool{}
@@ -65,8 +65,8 @@
 
 // ---- What operators and the fleet tell ----
 
-// Known says whether a member of that name is or was in the pool, or is banned.
-func (c *Core) Known(name string) bool { return c.byName[name] != nil || c.ruled(name) }
+// IsKnownMember says whether a member of that name is or was in the pool, or is banned.
+func (c *Core) IsKnownMember(name string) bool { return c.byName[name] != nil || c.ruled(name) }
 
 // Leaving is how a member that the fleet has agreed to take out is left.
 type Leaving struct {
@@ -190,24 +190,24 @@
 	}
 }
 
-// MemberView is a pool member as this relay holds it, for those who look.
-type MemberView struct {
-	Name      string
-	Zone      int
-	State     policy.ServerState // as discovery has it
-	Started   time.Duration
-	Out       bool // by an operator or by agreement
-	Flows     int
-	Capacity  float64 // in flows, as far as it is known; 0: not known
-	Good, Bad uint64  // attempts and probes that ended so, since this process started
+// MemberStatus is a pool member as this relay holds it, for those who look.
+type MemberStatus struct {
+	Name                string
+	Zone                int
+	State               policy.ServerState // as discovery has it
+	Started             time.Duration
+	Removed             bool // by an operator or by agreement
+	Flows               int
+	Capacity            float64 // in flows, as far as it is known; 0: not known
+	Successes, Failures uint64  // attempts and probes that ended so, since this process started
 }
 
 // Members is what is held of all members that discovery names, by name.
-func (c *Core) Members() (all []MemberView) {
+func (c *Core) Members() (all []MemberStatus) {
 	learned := c.facade.LearnedState(c.Clock()).Servers
 	for _, name := range slices.Sorted(maps.Keys(c.byName)) {
 		m := c.byName[name]
-		v := MemberView{Name: name, Zone: m.Zone, State: m.listed.State, Started: m.listed.Started, Out: m.banned, Flows: m.flows, Good: m.good, Bad: m.bad}
+		v := MemberStatus{Name: name, Zone: m.Zone, State: m.listed.State, Started: m.listed.Started, Removed: m.banned, Flows: m.flows, Successes: m.good, Failures: m.bad}
 		if l, ok := learned[m.ID]; ok && l.Reports > 0 {
 			v.Capacity = l.Capacity
 		}
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -406,14 +406,14 @@
 	i := w.draw(len(w.probes), "probe")
 	id := w.probes[i]
 	w.probes = slices.Delete(w.probes, i, i+1)
-	w.c.Probed(id, []policy.Result{policy.OK, policy.OK, policy.Full, policy.Timeout, policy.NotSent}[w.draw(5, "result")], w.report())
+	w.c.ProbeResult(id, []policy.Result{policy.OK, policy.OK, policy.Full, policy.Timeout, policy.NotSent}[w.draw(5, "result")], w.report())
 }
 
 // list is what discovery says.
 func (w *world) list() {
 	kind := []policy.ListKind{policy.ListDelta, policy.ListDelta, policy.ListDelta, policy.ListFull, policy.ListCached, policy.ListFailed}[w.draw(6, "kind")]
 	if kind == policy.ListFailed {
-		w.c.Pool(kind, nil)
+		w.c.UpdateMembers(kind, nil)
 		return
 	}
 	var named []Member
@@ -430,7 +430,7 @@
 		}
 	}
 	w.see()
-	w.c.Pool(kind, named)
+	w.c.UpdateMembers(kind, named)
 }
 
 // see notes which members have begun to leave.
@@ -477,7 +477,7 @@
 }
 
 func (w *world) drain() {
-	if w.c.Welcomes() {
+	if w.c.AcceptsClients() {
 		w.leaving = w.now + drainMoves
 		w.c.Drain()
 		return
@@ -540,11 +540,11 @@
 	}
 	switch w.draw(3, "note") {
 	case 0:
-		w.c.Load(x.id, float64(w.draw(50, "load"))/100)
+		w.c.UpdateLoad(x.id, float64(w.draw(50, "load"))/100)
 	case 1:
-		w.c.Message(x.id, time.Duration(w.draw(400, "took"))*time.Millisecond)
+		w.c.ObserveMessageLatency(x.id, time.Duration(w.draw(400, "took"))*time.Millisecond)
 	default:
-		w.c.Relays(float64(w.draw(5, "relays")))
+		w.c.SetActiveRelays(float64(w.draw(5, "relays")))
 	}
 }
 
@@ -574,12 +574,12 @@
 		if due := w.wake <= w.now; !x.gone && !due { // else a Tick is still to come
 			x.inTime(a)
 		}
-		if held := !x.settled(); w.c.Holds(x.id) != held {
+		if held := !x.settled(); w.c.IsActive(x.id) != held {
 			w.Fatalf("request %d: held %v, by what was seen %v", x.id, !held, held)
 		}
 	}
 	for _, p := range w.places {
-		if n := w.c.Flows(p.ID); n != flows[p.Name] {
+		if n := w.c.FlowCount(p.ID); n != flows[p.Name] {
 			w.Fatalf("%s: %d flows, by what was seen %d", p.Name, n, flows[p.Name])
 		}
 	}
@@ -672,7 +672,7 @@
 			p.State, p.known = policy.Ready, true
 		}
 		w.see()
-		w.c.Pool(policy.ListCached, []Member{w.places[0].Member, w.places[1].Member, w.places[2].Member, w.places[3].Member})
+		w.c.UpdateMembers(policy.ListCached, []Member{w.places[0].Member, w.places[1].Member, w.places[2].Member, w.places[3].Member})
 		n := 1 + w.draw(160, "steps")
 		stop := w.draw(2*n, "stop")
 		for i := range n {
@@ -698,7 +698,7 @@
 	w.c.Finish()
 	w.done = true
 	w.check()
-	if n := w.c.Held(); n > 0 {
+	if n := w.c.ActiveRequests(); n > 0 {
 		w.Fatalf("%d held after the end", n)
 	}
 	attempts, moves := 0, 0
@@ -715,11 +715,11 @@
 		}
 	}
 	c := w.c.Counts
-	if !w.wrong && c.Ignored != w.stood {
-		w.Fatalf("%d events ignored, %d of them words on a flow that stood already", c.Ignored, w.stood)
+	if !w.wrong && c.IgnoredEvents != w.stood {
+		w.Fatalf("%d events ignored, %d of them words on a flow that stood already", c.IgnoredEvents, w.stood)
 	}
-	if len(w.events) != len(w.all)+attempts || c.Requests != len(w.all) || c.Attempts != attempts || c.Moves != moves ||
-		c.Served+c.Rejected+c.Failed+c.Left != c.Requests || c.Astray > 0 {
+	if len(w.events) != len(w.all)+attempts || c.Requests != len(w.all) || c.Attempts != attempts || c.Migrations != moves ||
+		c.Served+c.Rejected+c.Failed+c.ClientsGone != c.Requests || c.SentAfterGrace > 0 {
 		w.Fatalf("%d requests, %d attempts, %d moves and %d records, counts %+v", len(w.all), attempts, moves, len(w.events), c)
 	}
 	for range 5 {
@@ -732,7 +732,7 @@
 	if w.c.later != nil || len(w.c.alarms) > 0 || len(w.c.pending) > 0 || len(w.c.requests) > 0 {
 		w.Fatalf("left behind: %d held sends, %d alarms, %d verdicts, %d requests", len(w.c.later), len(w.c.alarms), len(w.c.pending), len(w.c.requests))
 	}
-	w.c.Pool(policy.ListFull, nil)
+	w.c.UpdateMembers(policy.ListFull, nil)
 	if l := w.c.Learned().Policy.Servers; len(l) > 0 && !w.wrong { // the module keeps those alone at which it takes flows to be open
 		w.Fatalf("the module still holds flows at %v", l)
 	}
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -81,7 +81,7 @@
 	} else {
 		c.tell(policy.FlowEstablished{ID: id})
 	}
-	if !c.Welcomes() {
+	if !c.AcceptsClients() {
 		c.leaveAt(r, max(c.moveAt, c.Clock()+StopNotice/2))
 	}
 	c.quit(r)
@@ -129,7 +129,7 @@
 	r.tries++
 	c.Counts.Attempts++
 	if m.banned && now-m.told > c.grace {
-		c.Counts.Astray++ // the gate lets none pass: this counts what it did, not what it meant
+		c.Counts.SentAfterGrace++ // the gate lets none pass: this counts what it did, not what it meant
 	}
 	r.v.Send(r.id, &m.Member, r.tries-1, wait)
 }
@@ -232,10 +232,10 @@
 	c.record(r, a)
 	if a == Rejected {
 		after = c.Advice(after)
-		c.Counts.Away += after
+		c.Counts.BackoffTime += after
 		r.v.Reject(after)
 	} else {
-		c.Counts.Away += r.TimeLeft
+		c.Counts.BackoffTime += r.TimeLeft
 		r.v.Fail()
 	}
 }
@@ -250,7 +250,7 @@
 	case Failed:
 		c.Counts.Failed++
 	case ClientGone:
-		c.Counts.Left++
+		c.Counts.ClientsGone++
 	}
 	if c.Recorder != nil {
 		c.Recorder.RecordAnswer(&r.Request, r.id, c.Clock(), a, r.tries)
@@ -262,7 +262,7 @@
 	if !c.step(r, moved) {
 		return
 	}
-	c.Counts.Moves++
+	c.Counts.Migrations++
 	r.v.Move()
 	c.release(r, serving, policy.Cancelled, policy.NoReport)
 }
--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -38,7 +38,7 @@
 	r := &rig{t: t, now: time.Hour, wake: math.MaxInt64, out: map[ID]*side{}}
 	r.Core = New(Options{Settings: set, Seed: 7, Clock: func() time.Duration { return r.now },
 		Wake: func(at time.Duration) { r.wake = at }, Probe: func(*Member) {}, Watch: func() {}, Recorder: r})
-	r.Pool(policy.ListCached, members)
+	r.UpdateMembers(policy.ListCached, members)
 	return r
 }
 
@@ -72,9 +72,9 @@
 		}
 		r.Stop()
 		r.Finish()
-		if out.got() != want || ran.got() != want || none.got() != "rejected" || r.Held() != 0 {
+		if out.got() != want || ran.got() != want || none.got() != "rejected" || r.ActiveRequests() != 0 {
 			t.Errorf("class %d: with an attempt out %s, that may have run %s, want %s; never run %s; held %d",
-				class, out.got(), ran.got(), want, none.got(), r.Held())
+				class, out.got(), ran.got(), want, none.got(), r.ActiveRequests())
 		}
 	}
 }
@@ -84,15 +84,15 @@
 func TestLateDeadline(t *testing.T) {
 	r := newRigOf(t, classesText, list(2, policy.Draining))
 	held, out := r.bring(unsafeClass, 2*time.Second), &side{}
-	r.Pool(policy.ListDelta, list(1, policy.Ready))
+	r.UpdateMembers(policy.ListDelta, list(1, policy.Ready))
 	out = r.bring(unsafeClass, 2*time.Second)
 	if held.tries != 0 || held.got() != "" || out.out != 1 {
 		t.Fatalf("%d tries, %v; %d out", held.tries, held.answers, out.out)
 	}
 	r.now += 3 * time.Second
 	r.Tick()
-	if held.got() != "rejected" || out.got() != "failed" || r.Held() != 0 {
-		t.Errorf("never sent: %s; with an attempt out: %s; held %d", held.got(), out.got(), r.Held())
+	if held.got() != "rejected" || out.got() != "failed" || r.ActiveRequests() != 0 {
+		t.Errorf("never sent: %s; with an attempt out: %s; held %d", held.got(), out.got(), r.ActiveRequests())
 	}
 }
 
@@ -100,7 +100,7 @@
 func TestShortWait(t *testing.T) {
 	for _, wait := range []time.Duration{-time.Second, 0, time.Millisecond, 8 * time.Millisecond} {
 		r := newRigOf(t, classesText, list(2, policy.Ready))
-		if s := r.bring(unsafeClass, wait); s.tries != 0 || s.got() != "rejected" || r.Held() != 0 {
+		if s := r.bring(unsafeClass, wait); s.tries != 0 || s.got() != "rejected" || r.ActiveRequests() != 0 {
 			t.Errorf("wait %v: %d tries, answers %v", wait, s.tries, s.answers)
 		}
 	}
@@ -112,10 +112,10 @@
 	r.Doubt()
 	s := r.bring(safeClass, 2*time.Second)
 	barred := r.later[0].Server
-	r.Pool(policy.ListDelta, []Member{r.drains(barred)})
+	r.UpdateMembers(policy.ListDelta, []Member{r.drains(barred)})
 	r.Sure()
-	if r.Counts.Barred != 1 || s.out != 1 {
-		t.Fatalf("%d barred, %d out", r.Counts.Barred, s.out)
+	if r.Counts.Blocked != 1 || s.out != 1 {
+		t.Fatalf("%d barred, %d out", r.Counts.Blocked, s.out)
 	}
 	s.ends(policy.ConnectFailed)
 	if s.out != 1 || s.tries != 2 {
@@ -126,7 +126,7 @@
 		t.Fatal("not up")
 	}
 	r.Ended(s.id, 1, policy.OK, policy.NoReport)
-	r.Pool(policy.ListFull, nil)
+	r.UpdateMembers(policy.ListFull, nil)
 	if learned := r.facade.LearnedState(r.now); len(learned.Servers) != 0 {
 		t.Errorf("%s is still held in the module: %v", at, learned.Servers)
 	}
@@ -153,10 +153,10 @@
 			s := r.bring(class, 2*time.Second)
 			end(r, s)
 			r.Sure()
-			if want := map[bool]string{true: "", false: "rejected"}[name == "left"]; s.tries != 0 || s.got() != want || r.Held() != 0 {
-				t.Errorf("%s, class %d: %d tries, answers %v, held %d", name, class, s.tries, s.answers, r.Held())
+			if want := map[bool]string{true: "", false: "rejected"}[name == "left"]; s.tries != 0 || s.got() != want || r.ActiveRequests() != 0 {
+				t.Errorf("%s, class %d: %d tries, answers %v, held %d", name, class, s.tries, s.answers, r.ActiveRequests())
 			}
-			r.Pool(policy.ListFull, nil)
+			r.UpdateMembers(policy.ListFull, nil)
 			if learned := r.facade.LearnedState(r.now); len(learned.Servers) != 0 {
 				t.Errorf("%s, class %d: the module still holds %v", name, class, learned.Servers)
 			}
@@ -192,13 +192,13 @@
 func TestUpAtLeaving(t *testing.T) {
 	r := newRigOf(t, classesText, list(1, policy.Ready))
 	s := r.bring(safeClass, 2*time.Second)
-	r.Pool(policy.ListDelta, list(1, policy.Draining))
+	r.UpdateMembers(policy.ListDelta, list(1, policy.Draining))
 	if !r.Up(s.id, 0) || s.moved != 0 {
 		t.Fatal("not up, or moved before its front knows")
 	}
 	r.pass(0)
-	if s.moved != 1 || r.Held() != 0 {
-		t.Errorf("moved %d times, %d held", s.moved, r.Held())
+	if s.moved != 1 || r.ActiveRequests() != 0 {
+		t.Errorf("moved %d times, %d held", s.moved, r.ActiveRequests())
 	}
 }
 
@@ -254,13 +254,13 @@
 	r := newRigOf(t, classesText, list(1, policy.Ready))
 	s := r.bring(safeClass, 2*time.Second)
 	s.ends(policy.OK)
-	if v := r.Members()[0]; v.Good != 1 || v.Bad != 0 || r.Counts.Served != 1 {
+	if v := r.Members()[0]; v.Successes != 1 || v.Failures != 0 || r.Counts.Served != 1 {
 		t.Errorf("%+v", v)
 	}
 	s = r.bring(safeClass, 2*time.Second)
 	r.Up(s.id, 0)
 	s.ends(policy.OK)
-	if v := r.Members()[0]; v.Good != 2 {
+	if v := r.Members()[0]; v.Successes != 2 {
 		t.Errorf("%+v", v)
 	}
 }
@@ -311,8 +311,8 @@
 	if s.out != 1 || r.wake != r.now+time.Second {
 		t.Errorf("%d out, the core is to be called in %v", s.out, r.wake-r.now)
 	}
-	if r.pass(time.Second); s.got() != "failed" || s.out != 0 || r.Held() != 0 {
-		t.Errorf("answers %v, %d out, held %d", s.answers, s.out, r.Held())
+	if r.pass(time.Second); s.got() != "failed" || s.out != 0 || r.ActiveRequests() != 0 {
+		t.Errorf("answers %v, %d out, held %d", s.answers, s.out, r.ActiveRequests())
 	}
 }
 
@@ -326,10 +326,10 @@
 		at = r.members[policy.ServerID(11)]
 	}
 	r.do(policy.Action{Kind: policy.ActionSend, ID: s.id, Server: 10})
-	if s.tries != 1 || r.Counts.Barred != 1 {
-		t.Fatalf("%d tries, %d barred", s.tries, r.Counts.Barred)
+	if s.tries != 1 || r.Counts.Blocked != 1 {
+		t.Fatalf("%d tries, %d barred", s.tries, r.Counts.Blocked)
 	}
-	if r.Pool(policy.ListDelta, []Member{r.drains(at.ID)}); s.moved != 1 {
+	if r.UpdateMembers(policy.ListDelta, []Member{r.drains(at.ID)}); s.moved != 1 {
 		t.Errorf("moved %d times", s.moved)
 	}
 }
@@ -403,10 +403,10 @@
 	r.now += 1600 * time.Millisecond
 	s.ends(policy.Error)
 	r.now += 350 * time.Millisecond // within the slack
-	if r.Tick(); s.tries != 1 || s.got() != "rejected" || r.Held() != 0 {
-		t.Errorf("%d tries, answers %v, held %d", s.tries, s.answers, r.Held())
+	if r.Tick(); s.tries != 1 || s.got() != "rejected" || r.ActiveRequests() != 0 {
+		t.Errorf("%d tries, answers %v, held %d", s.tries, s.answers, r.ActiveRequests())
 	}
-	r.Pool(policy.ListFull, nil)
+	r.UpdateMembers(policy.ListFull, nil)
 	if learned := r.facade.LearnedState(r.now); len(learned.Servers) != 0 {
 		t.Errorf("the module still holds %v", learned.Servers)
 	}
@@ -448,8 +448,8 @@
 		if !r.Left(none.id) {
 			t.Errorf("class %d, never run: not harmless", class)
 		}
-		if r.Left(none.id) || r.Held() != 0 || r.Counts.Left != 3 {
-			t.Errorf("class %d: held %d, %+v", class, r.Held(), r.Counts)
+		if r.Left(none.id) || r.ActiveRequests() != 0 || r.Counts.ClientsGone != 3 {
+			t.Errorf("class %d: held %d, %+v", class, r.ActiveRequests(), r.Counts)
 		}
 	}
 }
--- a/internal/front/line/attempt_test.go
+++ b/internal/front/line/attempt_test.go
@@ -91,7 +91,7 @@
 			next.CloseWrite()
 			c.ExpectEOF()
 			g.clean()
-			if n := g.Core.Counts; n.Served != 1 || n.Rejected+n.Failed+n.Left != 0 || n.Attempts != 2 {
+			if n := g.Core.Counts; n.Served != 1 || n.Rejected+n.Failed+n.ClientsGone != 0 || n.Attempts != 2 {
 				t.Errorf("%+v", n)
 			}
 		})
@@ -106,10 +106,10 @@
 			g := newRig(t, 2)
 			c := g.ask(firstLine)
 			until := g.Now() + 1900*time.Millisecond
-			for g.Core.Held() > 0 {
+			for g.Core.ActiveRequests() > 0 {
 				out := 0
 				for i := range g.servers {
-					out += g.Core.Flows(policy.ServerID(i + 1))
+					out += g.Core.FlowCount(policy.ServerID(i + 1))
 				}
 				if out > 1 {
 					t.Fatalf("%d attempts are out", out)
@@ -122,7 +122,7 @@
 					one.does(g, m)
 					g.WaitFor("the result", func() bool {
 						g.RunOnce()
-						return g.Core.Held() == 0 || g.Core.Counts.Attempts > before || g.Core.Flows(1)+g.Core.Flows(2) == 0
+						return g.Core.ActiveRequests() == 0 || g.Core.Counts.Attempts > before || g.Core.FlowCount(1)+g.Core.FlowCount(2) == 0
 					})
 				}
 				if g.Now() > until {
@@ -150,7 +150,7 @@
 		s.Listener.Close()
 	}
 	c := g.ask(firstLine)
-	g.WaitFor("the answer", func() bool { g.Advance(10 * time.Millisecond); return g.Core.Held() == 0 })
+	g.WaitFor("the answer", func() bool { g.Advance(10 * time.Millisecond); return g.Core.ActiveRequests() == 0 })
 	if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
 		t.Errorf("got %q", got)
 	}
@@ -178,7 +178,7 @@
 	if len(ended) == 0 || ended[0] != policy.ConnectFailed {
 		t.Errorf("results %v", ended)
 	}
-	g.WaitFor("the answer", func() bool { g.Advance(10 * time.Millisecond); return g.Core.Held() == 0 })
+	g.WaitFor("the answer", func() bool { g.Advance(10 * time.Millisecond); return g.Core.ActiveRequests() == 0 })
 	if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
 		t.Errorf("got %q", got)
 	}
@@ -210,7 +210,7 @@
 				c.Received = append([]byte("UP x\r\n"), c.Received...)
 			}
 			c.Expect("UP x\r\n" + more)
-			if n := g.Core.Counts; n.Served != 1 || n.Attempts != 1 || g.Core.Held() != 1 {
+			if n := g.Core.Counts; n.Served != 1 || n.Attempts != 1 || g.Core.ActiveRequests() != 1 {
 				t.Errorf("%+v", n)
 			}
 		}
@@ -233,7 +233,7 @@
 	c := g.ask(firstLine)
 	g.SetDescriptorLimit(g.OpenDescriptors())
 	g.Core.Sure()
-	g.WaitFor("the answer", func() bool { g.Advance(10 * time.Millisecond); return g.Core.Held() == 0 })
+	g.WaitFor("the answer", func() bool { g.Advance(10 * time.Millisecond); return g.Core.ActiveRequests() == 0 })
 	if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
 		t.Errorf("got %q", got)
 	}
--- a/internal/front/line/crossing_test.go
+++ b/internal/front/line/crossing_test.go
@@ -136,7 +136,7 @@
 			}
 		}
 	}
-	out := x.Core.Flows(1) + x.Core.Flows(2)
+	out := x.Core.FlowCount(1) + x.Core.FlowCount(2)
 	if out > 1 || x.Core.Counts.Attempts > 3 {
 		x.fail("%d attempts are out, %d in all", out, x.Core.Counts.Attempts)
 	}
--- a/internal/front/line/first_line_test.go
+++ b/internal/front/line/first_line_test.go
@@ -190,7 +190,7 @@
 	next := g.Listen()
 	g.openFlow()
 	g.Members[0].Addr = next.Addr()
-	g.Core.Pool(policy.ListDelta, g.Members[:1])
+	g.Core.UpdateMembers(policy.ListDelta, g.Members[:1])
 	c := g.ask(firstLineOf(2))
 	m := next.Accept()
 	m.ReadLine()
--- a/internal/front/line/flow_end_test.go
+++ b/internal/front/line/flow_end_test.go
@@ -56,7 +56,7 @@
 	v := g.onlyFlow()
 	sent := g.fill(c, func() bool { return v.upstream.c.Unsent() > 0 })
 	c.CloseWrite()
-	g.WaitFor("the end of the request", func() bool { return g.Core.Held() == 0 })
+	g.WaitFor("the end of the request", func() bool { return g.Core.ActiveRequests() == 0 })
 	if got := g.all(m); !bytes.Equal(got, sent) {
 		t.Errorf("%d bytes of %d", len(got), len(sent))
 	}
@@ -75,7 +75,7 @@
 		c.Send("the last line\r\n")
 		sent = append(sent, "the last line\r\n"...)
 		c.CloseWrite()
-		g.WaitFor("the end of the request", func() bool { return g.Core.Held() == 0 })
+		g.WaitFor("the end of the request", func() bool { return g.Core.ActiveRequests() == 0 })
 		if !reads {
 			g.Advance(MoveTimeout)
 		} else if got := g.all(m); !bytes.Equal(got, sent) {
@@ -102,7 +102,7 @@
 	if got := g.all(c); !bytes.Equal(got, sent) {
 		t.Errorf("%d bytes of %d", len(got), len(sent))
 	}
-	g.WaitFor("the end of the request", func() bool { return g.Core.Held() == 0 })
+	g.WaitFor("the end of the request", func() bool { return g.Core.ActiveRequests() == 0 })
 	g.clean()
 }
 
--- a/internal/front/line/flow_fuzz_test.go
+++ b/internal/front/line/flow_fuzz_test.go
@@ -90,6 +90,6 @@
 		if moved != (drained && between) || moved && len(seen) > 0 && !bytes.HasSuffix(seen, []byte("\n")) {
 			t.Errorf("moved %v, drained %v between lines %v, after %q", moved, drained, between, seen)
 		}
-		r.WaitFor("the flow's end", func() bool { return r.Core.Held() == 0 || !(drained || ended) })
+		r.WaitFor("the flow's end", func() bool { return r.Core.ActiveRequests() == 0 || !(drained || ended) })
 	})
 }
--- a/internal/front/line/flow_test.go
+++ b/internal/front/line/flow_test.go
@@ -28,12 +28,12 @@
 // finished checks that the flow has ended so, once, and that nothing is left of it.
 func (g *flowRig) finished(want policy.Result) {
 	g.T.Helper()
-	g.WaitFor("the end of the request", func() bool { return g.Core.Held() == 0 })
+	g.WaitFor("the end of the request", func() bool { return g.Core.ActiveRequests() == 0 })
 	g.clean()
 	if len(g.ended) != 1 || g.ended[0] != want {
 		g.T.Errorf("results %v, want %v", g.ended, want)
 	}
-	if n := g.Core.Counts; n.Served != 1 || n.Attempts != 1 || n.Rejected+n.Failed+n.Left != 0 {
+	if n := g.Core.Counts; n.Served != 1 || n.Attempts != 1 || n.Rejected+n.Failed+n.ClientsGone != 0 {
 		g.T.Errorf("%+v", n)
 	}
 }
@@ -143,7 +143,7 @@
 				g.c.ExpectEOF()
 			}
 			g.finished(policy.Cancelled)
-			if g.Core.Counts.Moves != 1 {
+			if g.Core.Counts.Migrations != 1 {
 				t.Errorf("%+v", g.Core.Counts)
 			}
 		})
@@ -179,7 +179,7 @@
 			t.Errorf("%d bytes of the member's wait", v.upstream.unread)
 		}
 		start := g.Now()
-		for at := start; g.Core.Held() > 0; at += clientEvery {
+		for at := start; g.Core.ActiveRequests() > 0; at += clientEvery {
 			if talks {
 				late(g.c, "hello\r\n")
 				g.RunOnce()
--- a/internal/front/line/half_test.go
+++ b/internal/front/line/half_test.go
@@ -68,7 +68,7 @@
 	"between two attempts": func(g *rig) *looptest.Peer {
 		c := g.ask(firstLine)
 		g.attempt(0).Send("BUSY\r\n")
-		g.WaitFor("the answer", func() bool { return g.Core.Flows(1) == 0 })
+		g.WaitFor("the answer", func() bool { return g.Core.FlowCount(1) == 0 })
 		return c
 	},
 	"with bytes behind its line": func(g *rig) *looptest.Peer {
@@ -89,7 +89,7 @@
 			c.CloseWrite()
 			c.ExpectLines("BUSY")
 			c.ExpectEOF()
-			if n := g.Core.Counts; n.Attempts != before || n.Left != 1 {
+			if n := g.Core.Counts; n.Attempts != before || n.ClientsGone != 1 {
 				t.Errorf("%+v, %d attempts before", n, before)
 			}
 			g.Core.Sure()
@@ -106,7 +106,7 @@
 		c.ExpectEOF()
 		g.unsent()
 		g.clean()
-		if n := g.Core.Counts; n != (core.Counts{Requests: 1, Attempts: n.Attempts, Left: 1}) {
+		if n := g.Core.Counts; n != (core.Counts{Requests: 1, Attempts: n.Attempts, ClientsGone: 1}) {
 			t.Errorf("%+v", n)
 		}
 	})
--- a/internal/front/line/leave_test.go
+++ b/internal/front/line/leave_test.go
@@ -32,7 +32,7 @@
 	g.WaitFor("the client's end", func() bool { return len(g.f.ids) == 0 })
 	g.unsent()
 	g.clean()
-	if g.Core.Counts.Left != 1 {
+	if g.Core.Counts.ClientsGone != 1 {
 		g.T.Errorf("%+v", g.Core.Counts)
 	}
 }
@@ -63,8 +63,8 @@
 	everyLeaving(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
 		c := g.ask(firstLine)
 		g.attempt(0).Send("BUSY\r\n")
-		g.WaitFor("the answer", func() bool { return g.Core.Flows(1) == 0 })
-		if g.Core.Held() != 1 {
+		g.WaitFor("the answer", func() bool { return g.Core.FlowCount(1) == 0 })
+		if g.Core.ActiveRequests() != 1 {
 			t.Fatal("the request is not held for another attempt")
 		}
 		leave(c)
@@ -150,10 +150,10 @@
 				m.Send("UP x\r\n")
 			}
 			g.WaitFor("the end of the flow", func() bool { m.Poll(); return m.EndErr != nil })
-			g.WaitFor("the end of the request", func() bool { return g.Core.Held() == 0 })
+			g.WaitFor("the end of the request", func() bool { return g.Core.ActiveRequests() == 0 })
 			g.unsent()
 			g.clean()
-			if n := g.Core.Counts; n.Left+n.Served != 1 || n.Attempts != 1 {
+			if n := g.Core.Counts; n.ClientsGone+n.Served != 1 || n.Attempts != 1 {
 				t.Errorf("%+v", n)
 			}
 		})
@@ -166,7 +166,7 @@
 	at := -1
 	g.WaitFor("an attempt", func() bool {
 		for i := range g.servers {
-			if g.Core.Flows(policy.ServerID(i+1)) > 0 {
+			if g.Core.FlowCount(policy.ServerID(i+1)) > 0 {
 				at = i
 			}
 		}
--- a/internal/front/line/line.go
+++ b/internal/front/line/line.go
@@ -46,7 +46,7 @@
 
 // New makes a front on the core.
 func New(loop *netloop.Loop, c *core.Core, log logrus.FieldLogger) *Front {
-	f := &Front{Loop: loop, Core: c, Log: log, connectWithin: c.Limits().ConnectTimeout,
+	f := &Front{Loop: loop, Core: c, Log: log, connectWithin: c.PolicySettings().ConnectTimeout,
 		probeIdle: time.Duration(probeIdle * float64(cmp.Or(settings.Span(c.Settings.Limits.Keepalive), keepalive))),
 		open:      map[*clientConn]struct{}{}, fresh: map[*clientConn]struct{}{}, elsewhere: map[uint64]bool{}, ids: map[uint64]*clientConn{}, probes: map[policy.ServerID]*probe{}}
 	loop.After(sweepEvery, f.sweep)
--- a/internal/front/line/line_test.go
+++ b/internal/front/line/line_test.go
@@ -86,8 +86,8 @@
 	r.WaitFor("the member's end", func() bool { m.Poll(); return m.EndErr != nil })
 	c.ExpectLines("BUSY")
 	c.ExpectEOF()
-	if r.Core.Held() != 0 || r.Core.Counts.Left != 1 {
-		t.Errorf("held %d, %+v", r.Core.Held(), r.Core.Counts)
+	if r.Core.ActiveRequests() != 0 || r.Core.Counts.ClientsGone != 1 {
+		t.Errorf("held %d, %+v", r.Core.ActiveRequests(), r.Core.Counts)
 	}
 }
 
@@ -284,8 +284,8 @@
 	m.ExpectLines("anyone?")
 	r.Advance(silentAfter - time.Second)
 	pass(t, first, second)
-	if r.Core.Held() != 1 || len(first.open) != 0 || len(first.ids) != 0 || len(second.ids) != 1 {
-		t.Fatalf("held %d, %d left, %d taken", r.Core.Held(), len(first.open), len(second.open))
+	if r.Core.ActiveRequests() != 1 || len(first.open) != 0 || len(first.ids) != 0 || len(second.ids) != 1 {
+		t.Fatalf("held %d, %d left, %d taken", r.Core.ActiveRequests(), len(first.open), len(second.open))
 	}
 	r.Advance(2 * time.Second)
 	c.ExpectLines("MOVE")
--- a/internal/front/line/planned_stop_test.go
+++ b/internal/front/line/planned_stop_test.go
@@ -25,7 +25,7 @@
 	c.ExpectEOF()
 	m.ExpectEOF()
 	g.clean()
-	if n := g.Core.Counts; n.Served != 1 || n.Moves != 1 || n.Rejected+n.Failed+n.Left != 0 {
+	if n := g.Core.Counts; n.Served != 1 || n.Migrations != 1 || n.Rejected+n.Failed+n.ClientsGone != 0 {
 		t.Errorf("%+v", n)
 	}
 }
@@ -53,7 +53,7 @@
 			g.Core.Sure()
 			g.unsent()
 			g.clean()
-			if n := g.Core.Counts; n.Rejected != 1 || n.Served+n.Failed+n.Left != 0 {
+			if n := g.Core.Counts; n.Rejected != 1 || n.Served+n.Failed+n.ClientsGone != 0 {
 				t.Errorf("%+v", n)
 			}
 		})
--- a/internal/front/line/probe.go
+++ b/internal/front/line/probe.go
@@ -220,5 +220,5 @@
 		p.hangUp()
 		p.forget()
 	}
-	p.f.Core.Probed(p.id, result, report)
+	p.f.Core.ProbeResult(p.id, result, report)
 }
--- a/internal/front/line/rig_test.go
+++ b/internal/front/line/rig_test.go
@@ -47,7 +47,7 @@
 	m := core.Member{Name: "s-" + strings.Repeat("0", 7) + string(rune('0'+n)), Addr: addr}
 	m.ID, m.State, m.Weight = policy.ServerID(n), policy.Ready, 1
 	g.Members = append(g.Members, m)
-	g.Core.Pool(policy.ListFull, g.Members)
+	g.Core.UpdateMembers(policy.ListFull, g.Members)
 }
 
 // ask sends a request and waits until the relay has taken it.
@@ -80,7 +80,7 @@
 // list has discovery say a member's state.
 func (g *rig) list(member int, state policy.ServerState) {
 	g.Members[member].State = state
-	g.Core.Pool(policy.ListDelta, g.Members[member:member+1])
+	g.Core.UpdateMembers(policy.ListDelta, g.Members[member:member+1])
 }
 
 // pending takes a connection that waits at a member; nil if none does.
@@ -146,7 +146,7 @@
 // clean checks that nothing is held any more, neither a request nor a descriptor.
 func (g *rig) clean() {
 	g.T.Helper()
-	if held := g.Core.Held(); held != 0 {
+	if held := g.Core.ActiveRequests(); held != 0 {
 		g.T.Errorf("%d requests are held", held)
 	}
 	if len(g.f.open)+len(g.f.fresh)+len(g.f.ids) != 0 {
@@ -225,5 +225,5 @@
 			}
 		}})
 	g.f.Core = g.Core
-	g.Core.Pool(policy.ListCached, g.Members)
+	g.Core.UpdateMembers(policy.ListCached, g.Members)
 }
--- a/internal/front/line/silence_test.go
+++ b/internal/front/line/silence_test.go
@@ -23,7 +23,7 @@
 	r.Advance(sweepEvery)
 	c.ExpectLines("MOVE")
 	c.ExpectEOF()
-	if r.Core.Held() != 0 {
+	if r.Core.ActiveRequests() != 0 {
 		t.Error("the flow is still held")
 	}
 }
@@ -39,7 +39,7 @@
 		start, back := r.Now(), r.Now()
 		stops := start + time.Duration(rng.IntN(120))*step
 		next, pieces, half, parting := start+time.Duration(rng.IntN(20))*step, []string(nil), false, time.Duration(0)
-		for r.Core.Held() > 0 {
+		for r.Core.ActiveRequests() > 0 {
 			now := r.Now()
 			if now >= next { // the client's next line, in up to three pieces
 				next = now + clientEvery
@@ -51,7 +51,7 @@
 			if len(pieces) > 0 && c.EndErr == nil {
 				c.Send(pieces[0])
 				pieces = pieces[1:]
-				r.WaitFor("the client's bytes", func() bool { m.Poll(); return bytes.Contains(m.Received, []byte("l")) || r.Core.Held() == 0 })
+				r.WaitFor("the client's bytes", func() bool { m.Poll(); return bytes.Contains(m.Received, []byte("l")) || r.Core.ActiveRequests() == 0 })
 			}
 			switch {
 			case now < stops:
@@ -74,7 +74,7 @@
 			}
 			c.Received = nil
 			r.Advance(step)
-			if r.Core.Held() == 0 && r.Now() < stops {
+			if r.Core.ActiveRequests() == 0 && r.Now() < stops {
 				t.Fatalf("seed %d: a flow that was answered is over", seed)
 			}
 			if late := r.Now() - back; late > silentMost-step {
@@ -101,7 +101,7 @@
 	m.Send("well\r\n")
 	c.ExpectLines("well")
 	r.Advance(sweepEvery)
-	if r.Core.Held() != 1 {
+	if r.Core.ActiveRequests() != 1 {
 		t.Error("the flow is over")
 	}
 }
@@ -117,7 +117,7 @@
 	r.Advance(clientGone + sweepEvery)
 	r.Advance(sweepEvery)
 	m.ExpectEOF()
-	if r.Core.Held() != 0 {
+	if r.Core.ActiveRequests() != 0 {
 		t.Error("the flow is still held")
 	}
 }
--- a/internal/front/line/stop_test.go
+++ b/internal/front/line/stop_test.go
@@ -17,7 +17,7 @@
 	c.Send(firstLine + "\r\n")
 	r.WaitFor("an attempt", func() bool { return r.Core.Counts.Attempts == 1 })
 	first := 0
-	if r.Core.Flows(r.Members[1].ID) == 1 {
+	if r.Core.FlowCount(r.Members[1].ID) == 1 {
 		first = 1
 	}
 	r.Drain(first) // before the loop's next round, in which the connection stands
@@ -47,8 +47,8 @@
 	r.WaitFor("half a line", func() bool { c.Poll(); return string(c.Received) == "half a " })
 	r.Core.Stop()
 	r.Core.Finish()
-	if r.Core.Held() != 0 || f.OpenRequests() != 1 {
-		t.Fatalf("the core holds %d, the front %d", r.Core.Held(), f.OpenRequests())
+	if r.Core.ActiveRequests() != 0 || f.OpenRequests() != 1 {
+		t.Fatalf("the core holds %d, the front %d", r.Core.ActiveRequests(), f.OpenRequests())
 	}
 	m.Send("line\r\n")
 	c.ExpectLines("half a line", "MOVE")
@@ -88,9 +88,9 @@
 	c.Send(firstLine + "\r\n" + strings.Repeat("x", 2*netloop.DefaultReadLimit))
 	c.CloseWrite()
 	_, m := r.AcceptAny(0)
-	r.WaitFor("the client's end", func() bool { return r.Core.Counts.Left == 1 })
+	r.WaitFor("the client's end", func() bool { return r.Core.Counts.ClientsGone == 1 })
 	r.WaitFor("the attempt's end", func() bool { m.Poll(); return m.EndErr != nil })
-	if f.OpenRequests() != 0 || r.Core.Held() != 0 {
-		t.Errorf("the front holds %d, the core %d", f.OpenRequests(), r.Core.Held())
+	if f.OpenRequests() != 0 || r.Core.ActiveRequests() != 0 {
+		t.Errorf("the front holds %d, the core %d", f.OpenRequests(), r.Core.ActiveRequests())
 	}
 }
--- a/internal/front/line/upstream.go
+++ b/internal/front/line/upstream.go
@@ -242,7 +242,7 @@
 	case "LOAD":
 		if load, err := strconv.ParseFloat(rest, 64); err == nil {
 			s.load = load / 1e6
-			s.v.f.Core.Load(s.v.id, s.load)
+			s.v.f.Core.UpdateLoad(s.v.id, s.load)
 		}
 		return
 	case "BYE":
@@ -253,6 +253,6 @@
 		s.on(attemptSaysMove)
 	}
 	if took, owed := s.answered(s.v.f.Loop.Now()); owed {
-		s.v.f.Core.Message(s.v.id, took)
+		s.v.f.Core.ObserveMessageLatency(s.v.id, took)
 	}
 }
--- a/internal/front/nats/link.go
+++ b/internal/front/nats/link.go
@@ -44,7 +44,7 @@
 func (c *client) dial(to *core.Member, p *publisher) *link {
 	l := &link{f: c.f, client: c, member: to, feed: p}
 	c.links = append(c.links, l)
-	l.c = c.f.Loop.Dial(to.Addr, c.f.Core.Limits().ConnectTimeout, l)
+	l.c = c.f.Loop.Dial(to.Addr, c.f.Core.PolicySettings().ConnectTimeout, l)
 	l.c.SetBufferLimits(c.f.MaxPayload+maxInfo+2, 2*c.f.MaxPayload+4*highWater+c.f.WindowBytes)
 	if c.f.Loop.DescriptorsLow() {
 		c.f.Loop.After(0, func() { l.lose(netloop.ErrNoDescriptors) })
@@ -207,7 +207,7 @@
 // Open is told by the loop; the member speaks first, but where TLS does.
 func (l *link) Open() {
 	if cfg := l.f.memberTLS(l.member.Addr); cfg != nil && l.f.MemberTLS.HandshakeFirst {
-		l.c.StartTLS(cfg, true, l.f.Core.Limits().ConnectTimeout, func(tls.ConnectionState) {})
+		l.c.StartTLS(cfg, true, l.f.Core.PolicySettings().ConnectTimeout, func(tls.ConnectionState) {})
 	}
 }
 
@@ -220,7 +220,7 @@
 	}
 	l.c.PauseReading()
 	l.f.Loop.After(0, func() {
-		l.c.StartTLS(cfg, true, l.f.Core.Limits().ConnectTimeout, func(tls.ConnectionState) { l.connect(info) })
+		l.c.StartTLS(cfg, true, l.f.Core.PolicySettings().ConnectTimeout, func(tls.ConnectionState) { l.connect(info) })
 	})
 }
 
@@ -367,7 +367,7 @@
 			}
 			for _, s := range l.subs {
 				if s.up {
-					l.f.Core.Message(s.id, took)
+					l.f.Core.ObserveMessageLatency(s.id, took)
 					break
 				}
 			}
--- a/internal/front/nats/nats.go
+++ b/internal/front/nats/nats.go
@@ -100,7 +100,7 @@
 	cfg.fill()
 	f := &Front{Loop: loop, Core: c, Log: log, Config: cfg, Name: name, clients: map[*client]struct{}{}, carried: map[string]*asked{},
 		probes: map[policy.ServerID]*probe{}, members: map[policy.ServerID]*told{},
-		gauge: loadestimate.New(cfg.MemberFlows, c.Limits().Balancers), offers: offers{payload: cfg.MaxPayload}}
+		gauge: loadestimate.New(cfg.MemberFlows, c.PolicySettings().Balancers), offers: offers{payload: cfg.MaxPayload}}
 	for _, r := range append(cfg.Routes, Route{">", cfg.Class, cfg.Tenant}) {
 		n := route{subject: r.Subject}
 		n.to.class, _ = c.Settings.Class(r.Class)
@@ -210,7 +210,7 @@
 
 // request is what the core is asked for.
 func (f *Front) request(name string, to destination) core.Request {
-	return core.Request{Name: name, Class: to.class, Tenant: to.tenant, TimeLeft: f.Core.Limits().Classes[to.class].Deadline}
+	return core.Request{Name: name, Class: to.class, Tenant: to.tenant, TimeLeft: f.Core.PolicySettings().Classes[to.class].Deadline}
 }
 
 func hash(s string) uint64 {
--- a/internal/front/nats/nats_test.go
+++ b/internal/front/nats/nats_test.go
@@ -135,7 +135,7 @@
 	n.ExpectLines("SUB feed q 1", "PING")
 	n.Send("PONG\r\nMSG feed 1 3\r\nnew\r\n")
 	s.c.ExpectLines("MSG feed 7 3", "new")
-	if c := s.Core.Counts; c.Requests != 2 || c.Served != 2 || c.Moves != 1 {
+	if c := s.Core.Counts; c.Requests != 2 || c.Served != 2 || c.Migrations != 1 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -152,7 +152,7 @@
 	n.ExpectLines("PUB job 1", "x", "PING")
 	n.Send("PONG\r\n")
 	s.c.ExpectLines("+OK", "PONG")
-	if c := s.Core.Counts.Messages; c.Attempts != 2 || c.Served != 1 || c.Repeated != 1 {
+	if c := s.Core.Counts.Messages; c.Attempts != 2 || c.Served != 1 || c.Retried != 1 {
 		t.Errorf("%+v", c)
 	}
 	s.c.Send("PUB job 1\r\ny\r\n")
--- a/internal/front/nats/probe.go
+++ b/internal/front/nats/probe.go
@@ -30,7 +30,7 @@
 // none, the relay's own view is the report.
 func (f *Front) CheckHealth(to *core.Member) {
 	if f.unprobed {
-		f.Core.Probed(to.ID, policy.OK, f.gauge.Report(to.ID, f.Core.Flows(to.ID)))
+		f.Core.ProbeResult(to.ID, policy.OK, f.gauge.Report(to.ID, f.Core.FlowCount(to.ID)))
 		return
 	}
 	if f.probes[to.ID] != nil {
@@ -39,7 +39,7 @@
 	p := &probe{f: f, id: to.ID, addr: to.Addr}
 	f.probes[to.ID] = p
 	p.within = f.Loop.After(probeWithin, func() { p.done(policy.Timeout, policy.NoReport) })
-	p.c = f.Loop.Dial(to.Addr, f.Core.Limits().ConnectTimeout, p)
+	p.c = f.Loop.Dial(to.Addr, f.Core.PolicySettings().ConnectTimeout, p)
 }
 
 // Open is told by the loop.
@@ -118,7 +118,7 @@
 }
 
 // own reports what the relay sees itself.
-func (p *probe) own() { p.done(policy.OK, p.f.gauge.Report(p.id, p.f.Core.Flows(p.id))) }
+func (p *probe) own() { p.done(policy.OK, p.f.gauge.Report(p.id, p.f.Core.FlowCount(p.id))) }
 
 // End is told by the loop.
 func (p *probe) End(err error) {
@@ -141,7 +141,7 @@
 	delete(p.f.probes, p.id)
 	p.within.Stop()
 	p.c.Finish()
-	p.f.Core.Probed(p.id, result, report)
+	p.f.Core.ProbeResult(p.id, result, report)
 }
 
 // parseReport reads a load report, a JSON object of numbers.
--- a/internal/front/nats/processor.go
+++ b/internal/front/nats/processor.go
@@ -117,7 +117,7 @@
 	}
 	r := core.Request{Name: q.Name, Class: class, Tenant: tenant, Load: max(q.Load, 0), TimeLeft: settings.Span(q.WaitMS)}
 	if r.TimeLeft <= 0 {
-		r.TimeLeft = c.f.Core.Limits().Classes[class].Deadline
+		r.TimeLeft = c.f.Core.PolicySettings().Classes[class].Deadline
 	}
 	if q.Key != "" {
 		r.Key = hash(q.Key)
@@ -212,14 +212,14 @@
 		}
 		c.say(reply, v)
 	case o.Outcome == "message":
-		c.f.Core.Message(a.id, settings.Span(o.Message))
+		c.f.Core.ObserveMessageLatency(a.id, settings.Span(o.Message))
 		c.say(reply, verdict{Verdict: "up", ID: a.id, Try: a.try})
 	case !known:
 		c.say(reply, verdict{Verdict: "error", ID: a.id, Try: a.try, Error: "unknown outcome"})
 	default:
 		a.reply, a.stands = reply, nil
 		c.f.Core.Ended(a.id, a.try, result, settings.Report(o.Load))
-		if !c.f.Core.Holds(a.id) && !a.over { // that was its end
+		if !c.f.Core.IsActive(a.id) && !a.over { // that was its end
 			v := verdict{Verdict: "ended", ID: a.id, Try: a.try}
 			if result == policy.OK {
 				v.Verdict = "served"
--- a/internal/front/nats/sub.go
+++ b/internal/front/nats/sub.go
@@ -235,7 +235,7 @@
 		f.Loop.After(0, s.c.close)
 		return
 	}
-	if to := f.destination([]byte(s.subject)); !s.warned && f.Loop.Now()+after-s.since >= f.Core.Limits().Classes[to.class].Deadline {
+	if to := f.destination([]byte(s.subject)); !s.warned && f.Loop.Now()+after-s.since >= f.Core.PolicySettings().Classes[to.class].Deadline {
 		s.warned = true
 		f.Counts.Rejected++
 		s.c.warn(fmt.Sprintf("Permissions Violation for Subscription to %q: rejected, asked for again in %d ms", s.subject, after.Milliseconds()))
--- a/internal/netloop/looptest/relay.go
+++ b/internal/netloop/looptest/relay.go
@@ -59,7 +59,7 @@
 		m.ID, m.State, m.Weight = policy.ServerID(i+1), policy.Ready, 1
 		r.Members, r.servers = append(r.Members, m), append(r.servers, s)
 	}
-	r.Core.Pool(policy.ListCached, r.Members)
+	r.Core.UpdateMembers(policy.ListCached, r.Members)
 	return r
 }
 
@@ -76,7 +76,7 @@
 // Drain has discovery say that a member drains.
 func (r *Relay) Drain(i int) {
 	r.Members[i].State = policy.Draining
-	r.Core.Pool(policy.ListDelta, r.Members[i:i+1])
+	r.Core.UpdateMembers(policy.ListDelta, r.Members[i:i+1])
 }
 
 // AcceptAny takes in the next connection to any member, and says which. The clock
