--- a/internal/consensus/api.go
+++ b/internal/consensus/api.go
@@ -114,10 +114,10 @@
 }
 
 // Start starts a node. An unusable directory is no error: the node starts without a vote and reports it in Status.
-func Start(o Options) (*Node, error) { return startWith(o, nil) }
+func Start(o Options) (*Node, error) { return startWithFaults(o, nil) }
 
 // Addr is the address that it listens on.
-func (n *Node) Addr() string { return n.addr }
+func (n *Node) Addr() string { return n.address }
 
 // Propose has a command committed, from any relay. It returns the machine's result and the index once a relay that knows has applied it;
 // this relay's machine may still be behind (WaitApplied). A command is never proposed twice: an error other than ErrOutcomeUnknown says
@@ -133,13 +133,13 @@
 func (n *Node) WaitApplied(ctx context.Context, index uint64) error { return n.waitApplied(ctx, index) }
 
 // Report sends a report to the leader, within about a second, possibly never: a full queue drops it (ErrQueueFull) and counts.
-func (n *Node) Report(report []byte) error { return n.say(report) }
+func (n *Node) Report(report []byte) error { return n.queueReport(report) }
 
 // Replace makes the relay newName, at address, a voter in the place of oldName. The new relay has to run already. It returns when the
 // record has the change; it is rejected unless all other voters are healthy, or while another change is in progress. If both names are
 // equal, only the address changes.
 func (n *Node) Replace(ctx context.Context, oldName, newName, address string) error {
-	return n.replace(ctx, oldName, newName, address)
+	return n.replaceVoter(ctx, oldName, newName, address)
 }
 
 // Status returns the node's current status.
--- a/internal/consensus/engine.go
+++ b/internal/consensus/engine.go
@@ -12,76 +12,76 @@
 )
 
 const (
-	tickEvery   = 50 * time.Millisecond
-	mendEvery   = time.Second // how often a failed disk is tried anew
-	stepsMost   = 1024        // messages that wait for the engine
-	callsMost   = 256
-	appliesMost = 64   // batches that wait to be applied
-	keepItems   = 1024 // entries kept behind a snapshot, for voters that are a little behind
-	keepBytes   = 1 << 20
-	tickJumps   = 4 // ticks made up for after a pause
+	tickInterval      = 50 * time.Millisecond
+	diskRetryInterval = time.Second // how often a failed disk is tried anew
+	messageQueueSize  = 1024        // messages that wait for the engine
+	callQueueSize     = 256
+	applyQueueSize    = 64   // batches that wait to be applied
+	retainedEntries   = 1024 // entries kept behind a snapshot, for voters that are a little behind
+	retainedBytes     = 1 << 20
+	maxCatchUpTicks   = 4 // tickCount made up for after a pause
 )
 
 // engine runs a core on a goroutine of its own, and its disk on another.
 type engine struct {
-	n       *Node
-	id      uint64
-	c       *core
-	disk    *disk // nil: memory only
-	steps   chan step
-	calls   chan *waiter
-	others  chan func() // from this node's own threads
-	writes  chan func() error
-	written chan error
-	quit    chan struct{}
-	ended   chan struct{}
-	why     error // after ended: nil when asked to, or removed
-	removed bool
-	w       *work
-	writing bool
-	after   func()
-	mute    error
-	tryAt   time.Time
-	stale   int // tick until which this voter, back from a failed disk, does not say that it leads: others may long have another
-	led     bool
-	ledTerm uint64
-	snap    *state // of this voter's own, to be written
-	raw     []byte
-	view    atomic.Pointer[view]
+	node               *Node
+	id                 uint64
+	core               *core
+	disk               *disk // nil: memory only
+	messages           chan peerMessages
+	calls              chan *pendingCall
+	tasks              chan func() // from this node's own threads
+	writes             chan func() error
+	writeResults       chan error
+	quit               chan struct{}
+	ended              chan struct{}
+	err                error // afterWrite ended: nil when asked to, or removed
+	removed            bool
+	pending            *pendingReady
+	writeInProgress    bool
+	afterWrite         func()
+	diskError          error
+	diskRetryAt        time.Time
+	silentUntilTick    int // tick until which this voter, back from a failed disk, does not say that it leads: others may long have another
+	announcedLeading   bool
+	announcedTerm      uint64
+	ownSnapshot        *recordSnapshot // of this voter's own, to be written
+	ownSnapshotEncoded []byte
+	view               atomic.Pointer[engineView]
 }
 
-// step is what another voter sent.
-type step struct {
-	from  uint64
-	marks map[uint64]mark
-	ms    []*pb.Message
+// peerMessages is what another voter sent.
+type peerMessages struct {
+	from         uint64
+	acknowledged map[uint64]logPosition
+	messages     []*pb.Message
 }
 
-// view is what the engine shows of itself.
-type view struct {
-	leads, unsure, joint    bool
-	leader, term, committed uint64
-	first, last             uint64
-	snapIndex               uint64
-	snapBytes               int
-	mute                    error
-	members                 members
-	marks                   map[uint64]mark
-	held                    string
-	at                      time.Time
+// engineView is what the engine shows of itself.
+type engineView struct {
+	isLeader, unverified, inJointConfig bool
+	leader, term, committed             uint64
+	firstIndex, lastIndex               uint64
+	snapshotIndex                       uint64
+	snapshotBytes                       int
+	diskError                           error
+	voters                              voterSet
+	acknowledged                        map[uint64]logPosition
+	changeBlocked                       string
+	at                                  time.Time
 }
 
 func newEngine(n *Node, c *core, d *disk) *engine {
-	e := &engine{n: n, id: c.id, c: c, disk: d, steps: make(chan step, stepsMost), calls: make(chan *waiter, callsMost), others: make(chan func(), callsMost),
-		writes: make(chan func() error), written: make(chan error, 1), quit: make(chan struct{}), ended: make(chan struct{})}
-	e.show()
+	e := &engine{node: n, id: c.id, core: c, disk: d, messages: make(chan peerMessages, messageQueueSize), calls: make(chan *pendingCall, callQueueSize), tasks: make(chan func(), callQueueSize),
+		writes: make(chan func() error), writeResults: make(chan error, 1), quit: make(chan struct{}), ended: make(chan struct{})}
+	e.publishView()
 	return e
 }
 
 func (e *engine) start() {
 	go func() {
 		for f := range e.writes {
-			e.written <- f()
+			e.writeResults <- f()
 		}
 	}()
 	go e.run()
@@ -101,232 +101,232 @@
 	defer close(e.ended)
 	defer close(e.writes)
 	defer func() {
-		if e.writing {
-			<-e.written
+		if e.writeInProgress {
+			<-e.writeResults
 		}
 	}()
 	defer func() {
 		if p := recover(); p != nil {
-			e.why = fmt.Errorf("engine: %v", p)
+			e.err = fmt.Errorf("engine: %v", p)
 		}
 	}()
-	ticks := time.NewTicker(tickEvery)
+	ticks := time.NewTicker(tickInterval)
 	defer ticks.Stop()
 	last := time.Now()
-	for e.why == nil && !e.removed {
+	for e.err == nil && !e.removed {
 		select {
 		case <-e.quit:
 			return
-		case s := <-e.steps:
-			e.take(s)
-			for range min(len(e.steps), 64) {
-				e.take(<-e.steps)
+		case s := <-e.messages:
+			e.stepAll(s)
+			for range min(len(e.messages), 64) {
+				e.stepAll(<-e.messages)
 			}
 		case w := <-e.calls:
-			e.call(w)
+			e.startCall(w)
 			for range min(len(e.calls), 64) { // one write for many
-				e.call(<-e.calls)
+				e.startCall(<-e.calls)
 			}
-		case f := <-e.others:
+		case f := <-e.tasks:
 			f()
-		case err := <-e.written:
-			e.writing = false
-			e.wrote(err)
+		case err := <-e.writeResults:
+			e.writeInProgress = false
+			e.writeDone(err)
 		case now := <-ticks.C:
-			n := min(max(1, int(now.Sub(last)/tickEvery)), tickJumps)
+			n := min(max(1, int(now.Sub(last)/tickInterval)), maxCatchUpTicks)
 			last = now
 			for range n {
-				if e.mute == nil {
-					e.c.tick()
+				if e.diskError == nil {
+					e.core.tick()
 				}
 			}
-			if e.mute != nil && !e.writing && now.After(e.tryAt) {
-				e.mend()
+			if e.diskError != nil && !e.writeInProgress && now.After(e.diskRetryAt) {
+				e.rewriteDisk()
 			}
-			e.show()
+			e.publishView()
 		}
-		e.pump()
+		e.processReady()
 	}
-	e.show()
+	e.publishView()
 }
 
-func (e *engine) take(s step) {
-	if e.mute != nil {
+func (e *engine) stepAll(s peerMessages) {
+	if e.diskError != nil {
 		return
 	}
-	for id, m := range s.marks {
+	for id, m := range s.acknowledged {
 		if id != e.id {
-			e.c.hear(id, m)
+			e.core.noteAcknowledged(id, m)
 		}
 	}
-	for _, m := range s.ms {
+	for _, m := range s.messages {
 		if m.GetFrom() != s.from {
-			e.n.drop("sender")
+			e.node.countDropped("sender")
 			continue
 		}
-		if err := e.c.step(m); err == errOlder {
-			e.why = err
+		if err := e.core.step(m); err == errOutdatedDirectory {
+			e.err = err
 			return
 		}
 	}
 }
 
-func (e *engine) call(w *waiter) {
-	if e.mute != nil || e.c.ticks < e.stale {
-		e.n.pend.fail(w, errNoLeader)
+func (e *engine) startCall(w *pendingCall) {
+	if e.diskError != nil || e.core.tickCount < e.silentUntilTick {
+		e.node.pendingCalls.fail(w, errNoLeader)
 		return
 	}
 	var err error
-	if w.read {
-		err = e.c.read(w.id[:])
+	if w.barrier {
+		err = e.core.readIndex(w.id[:])
 	} else {
-		err = e.c.propose(encodeCommand(w.id, w.data))
+		err = e.core.propose(encodeCommand(w.id, w.command))
 	}
 	if err != nil {
-		e.n.pend.fail(w, err)
+		e.node.pendingCalls.fail(w, err)
 	}
 }
 
-// pump hands the next work on, if the apply thread has room and the disk is done.
-func (e *engine) pump() {
-	for e.why == nil && e.w == nil && e.mute == nil && !e.writing {
-		if s := e.snap; s != nil {
+// processReady hands the next work on, if the apply thread has room and the disk is done.
+func (e *engine) processReady() {
+	for e.err == nil && e.pending == nil && e.diskError == nil && !e.writeInProgress {
+		if s := e.ownSnapshot; s != nil {
 			e.compact(*s)
 			continue
 		}
-		if len(e.n.applies) >= appliesMost-2 {
+		if len(e.node.applyQueue) >= applyQueueSize-2 {
 			return
 		}
-		w := e.c.ready()
+		w := e.core.nextReady()
 		if w == nil {
 			return
 		}
-		e.w = w
+		e.pending = w
 		for _, en := range w.entries {
 			if id, _, ok := decodeCommand(en.GetData()); ok && en.GetType() == pb.EntryNormal {
-				e.n.pend.placed(id, en.GetIndex())
+				e.node.pendingCalls.assignIndex(id, en.GetIndex())
 			}
 		}
-		e.n.peers.send(e.c, w.early)
-		if e.disk == nil || !w.write() {
-			e.finish()
+		e.node.transport.send(e.core, w.beforeSync)
+		if e.disk == nil || !w.mustSync() {
+			e.completeReady()
 			continue
 		}
-		dw := diskWrite{hard: w.hard, entries: w.entries, marks: maps.Clone(w.marks)}
-		if w.snap != nil {
-			dw.state = w.snap.GetData()
+		dw := diskWrite{hardState: w.hardState, entries: w.entries, acknowledged: maps.Clone(w.acknowledged)}
+		if w.snapshot != nil {
+			dw.snapshot = w.snapshot.GetData()
 		}
-		e.put(func() error { return e.disk.write(dw) }, e.finish)
+		e.startWrite(func() error { return e.disk.write(dw) }, e.completeReady)
 	}
 }
 
-func (e *engine) put(f func() error, after func()) {
-	e.writing, e.after = true, after
+func (e *engine) startWrite(f func() error, after func()) {
+	e.writeInProgress, e.afterWrite = true, after
 	e.writes <- f
 }
 
-func (e *engine) wrote(err error) {
+func (e *engine) writeDone(err error) {
 	if err != nil {
-		if e.mute == nil {
-			e.n.log().WithFields(logrus.Fields{"error": err.Error()}).Error("accord: the disk failed: this voter does not vote until it is mended")
+		if e.diskError == nil {
+			e.node.log().WithFields(logrus.Fields{"error": err.Error()}).Error("accord: the disk failed: this voter does not vote until it is mended")
 		}
-		e.mute, e.tryAt = err, time.Now().Add(mendEvery)
-		e.show()
+		e.diskError, e.diskRetryAt = err, time.Now().Add(diskRetryInterval)
+		e.publishView()
 		return
 	}
-	if e.mute != nil {
-		e.n.log().Warn("accord: the disk is well again: this voter votes")
-		e.mute, e.stale = nil, e.c.ticks+electionTicks+1
+	if e.diskError != nil {
+		e.node.log().Warn("accord: the disk is well again: this voter votes")
+		e.diskError, e.silentUntilTick = nil, e.core.tickCount+electionTicks+1
 	}
-	if f := e.after; f != nil {
-		e.after = nil
+	if f := e.afterWrite; f != nil {
+		e.afterWrite = nil
 		f()
 	}
-	e.show()
+	e.publishView()
 }
 
-// mend writes all that this voter has acknowledged into a new file, and what it was about to.
-func (e *engine) mend() {
-	h, err := heldBy(e.id, e.c.st, maps.Clone(e.c.marks))
+// rewriteDisk writes all that this voter has acknowledged into a new file, and what it was about to.
+func (e *engine) rewriteDisk() {
+	h, err := stateToStore(e.id, e.core.storage, maps.Clone(e.core.acknowledged))
 	if err != nil {
-		e.why = err
+		e.err = err
 		return
 	}
 	var more *diskWrite
-	if w := e.w; w != nil {
-		more = &diskWrite{hard: w.hard, entries: w.entries}
-		if w.snap != nil {
-			more.state = w.snap.GetData()
+	if w := e.pending; w != nil {
+		more = &diskWrite{hardState: w.hardState, entries: w.entries}
+		if w.snapshot != nil {
+			more.snapshot = w.snapshot.GetData()
 		}
 	}
-	e.writing = true
+	e.writeInProgress = true
 	e.writes <- func() error { return e.disk.rewrite(h, more) }
 }
 
-// finish is when the work is written.
-func (e *engine) finish() {
-	w := e.w
-	e.w = nil
-	was := e.c.members
-	snap, items, err := e.c.done()
+// completeReady is when the work is written.
+func (e *engine) completeReady() {
+	w := e.pending
+	e.pending = nil
+	was := e.core.voters
+	snap, items, err := e.core.advance()
 	if err != nil {
-		e.why = err
+		e.err = err
 		return
 	}
-	e.n.peers.send(e.c, w.late)
+	e.node.transport.send(e.core, w.afterSync)
 	if snap != nil || len(items) > 0 {
-		e.n.applies <- applied{snap: snap, items: items}
+		e.node.applyQueue <- applyBatch{snapshot: snap, entries: items}
 	}
 	for _, rs := range w.rd.ReadStates {
 		var id [16]byte
 		copy(id[:], rs.RequestCtx)
-		e.n.pend.readAt(id, rs.Index)
+		e.node.pendingCalls.completeBarrier(id, rs.Index)
 	}
-	if !maps.Equal(was, e.c.members) {
-		e.n.peers.know(e.c.members, e.id)
+	if !maps.Equal(was, e.core.voters) {
+		e.node.transport.setPeers(e.core.voters, e.id)
 	}
-	_, member := e.c.members[e.id]
-	if !member && !e.c.joint() && (snap != nil || len(items) > 0) {
+	_, member := e.core.voters[e.id]
+	if !member && !e.core.inJointConfig() && (snap != nil || len(items) > 0) {
 		e.removed = true
 	}
 	if w.rd.SoftState != nil {
-		e.show()
+		e.publishView()
 	}
 }
 
-// compact writes a snapshot of this voter's own and drops what it holds.
-func (e *engine) compact(s state) {
-	raw := e.raw
-	e.snap, e.raw = nil, nil
-	if s.record != e.c.record || s.index > e.c.basic().Applied || s.index > e.c.lastIndex() {
+// compaction writes a snapshot of this voter's own and drops what it holds.
+func (e *engine) compact(s recordSnapshot) {
+	raw := e.ownSnapshotEncoded
+	e.ownSnapshot, e.ownSnapshotEncoded = nil, nil
+	if s.recordID != e.core.recordID || s.index > e.core.status().Applied || s.index > e.core.lastIndex() {
 		return
 	}
-	if e.c.snapIndex >= s.index {
+	if e.core.snapshotIndex >= s.index {
 		return
 	}
-	if err := e.c.compact(s, raw, keepItems); err != nil {
-		e.why = err
+	if err := e.core.compact(s, raw, retainedEntries); err != nil {
+		e.err = err
 		return
 	}
 	if e.disk != nil {
-		first, _ := e.c.st.FirstIndex()
-		e.put(func() error { return e.disk.write(diskWrite{compact: raw, drop: first - 1}) }, nil)
+		first, _ := e.core.storage.FirstIndex()
+		e.startWrite(func() error { return e.disk.write(diskWrite{compaction: raw, compactedIndex: first - 1}) }, nil)
 	}
 }
 
-func (e *engine) show() {
-	b := e.c.basic()
-	v := &view{leads: b.RaftState == raft.StateLeader && e.mute == nil && e.c.ticks >= e.stale, unsure: e.c.unsure, joint: e.c.joint(), leader: b.Lead, term: b.GetTerm(), committed: b.GetCommit(),
-		members: e.c.members, marks: maps.Clone(e.c.marks), held: e.c.said, mute: e.mute, at: time.Now()}
-	v.first, _ = e.c.st.FirstIndex()
-	v.last = e.c.lastIndex()
-	v.snapIndex, v.snapBytes = e.c.snapIndex, e.c.snapBytes
-	if e.mute != nil || b.RaftState == raft.StateLeader && !v.leads {
+func (e *engine) publishView() {
+	b := e.core.status()
+	v := &engineView{isLeader: b.RaftState == raft.StateLeader && e.diskError == nil && e.core.tickCount >= e.silentUntilTick, unverified: e.core.unverified, inJointConfig: e.core.inJointConfig(), leader: b.Lead, term: b.GetTerm(), committed: b.GetCommit(),
+		voters: e.core.voters, acknowledged: maps.Clone(e.core.acknowledged), changeBlocked: e.core.changeBlocked, diskError: e.diskError, at: time.Now()}
+	v.firstIndex, _ = e.core.storage.FirstIndex()
+	v.lastIndex = e.core.lastIndex()
+	v.snapshotIndex, v.snapshotBytes = e.core.snapshotIndex, e.core.snapshotSize
+	if e.diskError != nil || b.RaftState == raft.StateLeader && !v.isLeader {
 		v.leader = 0
 	}
 	e.view.Store(v)
-	if v.leads != e.led || v.leads && v.term != e.ledTerm {
-		e.led, e.ledTerm = v.leads, v.term
-		e.n.tellLed(v.leads, v.term)
+	if v.isLeader != e.announcedLeading || v.isLeader && v.term != e.announcedTerm {
+		e.announcedLeading, e.announcedTerm = v.isLeader, v.term
+		e.node.announceLeadership(v.isLeader, v.term)
 	}
 }
--- a/internal/consensus/fault_test.go
+++ b/internal/consensus/fault_test.go
@@ -199,11 +199,11 @@
 		f.propose(l, big)
 	}
 	s := f.nodes[l].Status()
-	if s.LogBytes > ringBytes+MaxCommandSize || s.SnapshotIndex == 0 {
+	if s.LogBytes > maxRecentBytes+MaxCommandSize || s.SnapshotIndex == 0 {
 		t.Fatalf("%+v", s)
 	}
 	f.wait("the log is truncated", func() bool { s := f.nodes[l].Status(); return s.LogLast-s.LogFirst < 16 })
-	info, err := os.Stat(filepath.Join(f.dirs[l], dbName))
+	info, err := os.Stat(filepath.Join(f.dirs[l], databaseFile))
 	if err != nil || info.Size() > 16<<20 {
 		t.Fatalf("file of %d bytes: %v", info.Size(), err)
 	}
@@ -277,7 +277,7 @@
 		n := 0
 		for _, node := range f.nodes {
 			if e := node.engine(); e != nil {
-				if v := e.view.Load(); v.members.named(name) != id || v.joint {
+				if v := e.view.Load(); v.voters.idOf(name) != id || v.inJointConfig {
 					return false
 				}
 				n++
@@ -299,7 +299,7 @@
 			f.same()
 			id := f.nodes["v2"].Status().Identity
 			f.down("v2")
-			path := filepath.Join(f.dirs["v2"], dbName)
+			path := filepath.Join(f.dirs["v2"], databaseFile)
 			file, err := os.ReadFile(path)
 			if err != nil && f.dirs["v2"] != "" {
 				t.Fatal(err)
@@ -309,11 +309,11 @@
 				f.wait("it votes", func() bool { return f.nodes["v2"].Status().Role != RoleJoining })
 				f.propose("v2", "forgotten")
 				f.same()
-				time.Sleep(3 * heartbeatTicks * tickEvery) // until the others have heard what it acknowledged
+				time.Sleep(3 * heartbeatTicks * tickInterval) // until the others have heard what it acknowledged
 				f.down("v2")
 			}
 			if how == "damaged" {
-				file[os.Getpagesize()+pageHead+20] ^= 1
+				file[os.Getpagesize()+pageHeaderSize+20] ^= 1
 			}
 			if how == "emptied" {
 				err = os.Remove(path)
@@ -377,7 +377,7 @@
 	f.propose(old, "c") // the new one's vote is needed
 	f.wait("the leader counts it as gone", func() bool {
 		gone, e := make(chan bool, 1), f.nodes[f.leader()].engine()
-		e.others <- func() { gone <- e.c.ticks-e.c.heard[id] > soundTicks }
+		e.tasks <- func() { gone <- e.core.tickCount-e.core.lastContact[id] > healthyTicks }
 		return <-gone
 	})
 	if err := f.nodes["r0"].Replace(context.Background(), "r0", old, f.addrs[old]); err == nil {
@@ -454,25 +454,25 @@
 	})
 	until("one that waits is given up, the next ones count", "slow", func() bool {
 		for name := range f.voters {
-			f.nodes[name].hear(f.nodes[name].ctx, "r0", make([][]byte, heardMost/8))
+			f.nodes[name].processReports(f.nodes[name].ctx, "r0", make([][]byte, reportQueueSize/8))
 		}
 		return dropped("unanswered") && dropped("heard")
 	})
 	close(slow)
 	until("a relay that tells nobody", "deaf", func() bool { say("r0", "after it"); return has("r0", "told", "deaf") })
-	f.nodes["r0"].tell(l, make([][]byte, toldMost+1))
+	f.nodes["r0"].queueReplies(l, make([][]byte, replyQueueSize+1))
 	if !dropped("told") {
 		t.Error("the ring of answers has no bound")
 	}
 	close(deaf)
 	until("it is told again", "after it", func() bool { return has("r0", "told", "after it") })
 	for name := range f.voters { // as if so many waited
-		for range awaitMost {
-			f.nodes[name].await <- struct{}{}
+		for range maxReplyWaiters {
+			f.nodes[name].replyWaiters <- struct{}{}
 		}
 	}
 	until("words count without a place to wait", "alone", func() bool { return has("r0", "said", "alone") })
-	for range saidMost + 1 {
+	for range maxQueuedReports + 1 {
 		say("r0", "x")
 	}
 	if has("r0", "told", "alone") || has("r0", "told", string(make([]byte, MaxReplySize+1))) {
@@ -512,12 +512,12 @@
 }
 
 // filled is a voter's file of that many entries, as the library wrote it, and what it holds.
-func filled(t *testing.T, entries int) (file []byte, h held) {
-	d := &disk{dir: t.TempDir()}
+func filled(t *testing.T, entries int) (file []byte, h storedState) {
+	d := &disk{directory: t.TempDir()}
 	if _, _, err := d.open(5); err != nil {
 		t.Fatal(err)
 	}
-	s, err := foundation(9, members{5: {"v0", "a"}}, []byte("machine"))
+	s, err := bootstrapSnapshot(9, voterSet{5: {"v0", "a"}}, []byte("machine"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -526,23 +526,23 @@
 			t.Fatal(err)
 		}
 	}
-	must(d.write(diskWrite{state: s.encode(), hard: &pb.HardState{Term: new(uint64(1)), Commit: new(uint64(1))}}))
+	must(d.write(diskWrite{snapshot: s.encode(), hardState: &pb.HardState{Term: new(uint64(1)), Commit: new(uint64(1))}}))
 	entry := func(i, term uint64, size int) diskWrite {
-		return diskWrite{entries: []*pb.Entry{{Index: new(i), Term: new(term), Data: bytes.Repeat([]byte("d"), size)}}, hard: &pb.HardState{Term: new(term), Vote: new(uint64(5)), Commit: new(i)},
-			marks: map[uint64]mark{7: {term, i}}}
+		return diskWrite{entries: []*pb.Entry{{Index: new(i), Term: new(term), Data: bytes.Repeat([]byte("d"), size)}}, hardState: &pb.HardState{Term: new(term), Vote: new(uint64(5)), Commit: new(i)},
+			acknowledged: map[uint64]logPosition{7: {term, i}}}
 	}
 	for i := range uint64(entries) {
 		must(d.write(entry(i+2, 1, 300+int(i%7)*40)))
 	}
 	must(d.write(entry(uint64(entries)/2, 2, 9000))) // more than a page; what stood behind it is gone
-	s.index, s.machine = uint64(entries)/4, bytes.Repeat([]byte("m"), 6000)
-	must(d.write(diskWrite{compact: s.encode(), drop: s.index - 3}))
+	s.index, s.machineState = uint64(entries)/4, bytes.Repeat([]byte("m"), 6000)
+	must(d.write(diskWrite{compaction: s.encode(), compactedIndex: s.index - 3}))
 	must(d.close())
-	file, err = os.ReadFile(filepath.Join(d.dir, dbName))
+	file, err = os.ReadFile(filepath.Join(d.directory, databaseFile))
 	must(err)
-	h, err = load(file)
+	h, err = loadFile(file)
 	must(err)
-	if n := len(h.entries); h.identity != 5 || n == 0 || h.entries[0].GetIndex() != s.index+1 || h.entries[n-1].GetTerm() != 2 || h.hard.GetVote() != 5 || h.marks[7].term != 2 {
+	if n := len(h.entries); h.identity != 5 || n == 0 || h.entries[0].GetIndex() != s.index+1 || h.entries[n-1].GetTerm() != 2 || h.hardState.GetVote() != 5 || h.acknowledged[7].term != 2 {
 		t.Fatalf("not read as written: %+v", h)
 	}
 	return file, h
@@ -552,17 +552,17 @@
 func TestFileHoldsWhatWasWritten(t *testing.T) {
 	t.Parallel()
 	rng := rand.New(rand.NewPCG(3, 1))
-	d, n, w := &disk{dir: t.TempDir()}, &vnode{disk: held{identity: 5}}, &world{}
+	d, n, w := &disk{directory: t.TempDir()}, &vnode{disk: storedState{identity: 5}}, &world{}
 	if _, _, err := d.open(5); err != nil {
 		t.Fatal(err)
 	}
-	s, err := foundation(9, members{5: {"v0", "a"}}, nil)
+	s, err := bootstrapSnapshot(9, voterSet{5: {"v0", "a"}}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	last, term := uint64(1), uint64(1)
 	for i := range 120 {
-		dw := diskWrite{marks: map[uint64]mark{7: {term, last}}}
+		dw := diskWrite{acknowledged: map[uint64]logPosition{7: {term, last}}}
 		kind := rng.IntN(8)
 		if i == 0 {
 			kind = 0
@@ -570,12 +570,12 @@
 		switch kind {
 		case 0: // another's snapshot
 			last += uint64(rng.IntN(3))
-			s.index, s.term, s.machine = last, term, make([]byte, rng.IntN(20000))
-			dw.state = s.encode()
+			s.index, s.term, s.machineState = last, term, make([]byte, rng.IntN(20000))
+			dw.snapshot = s.encode()
 		case 1: // its own
 			s.index += uint64(rng.IntN(int(last-s.index) + 1))
-			s.machine = make([]byte, rng.IntN(20000))
-			dw.compact, dw.drop = s.encode(), s.index-min(s.index, uint64(rng.IntN(10)))
+			s.machineState = make([]byte, rng.IntN(20000))
+			dw.compaction, dw.compactedIndex = s.encode(), s.index-min(s.index, uint64(rng.IntN(10)))
 		default: // entries, over some that were there
 			if rng.IntN(3) == 0 && last > s.index {
 				term++
@@ -586,17 +586,17 @@
 				dw.entries = append(dw.entries, &pb.Entry{Index: new(last), Term: new(term), Data: make([]byte, rng.IntN(200)*rng.IntN(40))})
 			}
 		}
-		dw.hard = &pb.HardState{Term: new(term), Vote: new(uint64(5)), Commit: new(s.index)}
+		dw.hardState = &pb.HardState{Term: new(term), Vote: new(uint64(5)), Commit: new(s.index)}
 		if err := d.write(dw); err != nil {
 			t.Fatal(err)
 		}
 		n.writing = &dw
 		w.store(n)
-		file, err := os.ReadFile(filepath.Join(d.dir, dbName))
+		file, err := os.ReadFile(filepath.Join(d.directory, databaseFile))
 		if err != nil {
 			t.Fatal(err)
 		}
-		h, err := load(file)
+		h, err := loadFile(file)
 		if err != nil {
 			t.Fatalf("write %d: %v", i, err)
 		}
@@ -604,7 +604,9 @@
 		for len(want.entries) > 0 && want.entries[0].GetIndex() <= s.index {
 			want.entries = want.entries[1:]
 		}
-		show := func(h held) string { return fmt.Sprint(h.identity, h.state, h.hard, h.entries, h.marks) }
+		show := func(h storedState) string {
+			return fmt.Sprint(h.identity, h.snapshot, h.hardState, h.entries, h.acknowledged)
+		}
 		if show(h) != show(want) {
 			t.Fatalf("write %d: %d entries are read, %d were written", i, len(h.entries), len(want.entries))
 		}
@@ -632,7 +634,7 @@
 		step = 1
 	}
 	for n := 0; n < len(good); n += step {
-		if h, err := load(good[:n]); err == nil && !reflect.DeepEqual(h, whole) { // the file is longer than what it has in use
+		if h, err := loadFile(good[:n]); err == nil && !reflect.DeepEqual(h, whole) { // the file is longer than what it has in use
 			t.Fatalf("cut at %d, and something else is read", n)
 		}
 	}
@@ -640,7 +642,7 @@
 	b := bytes.Clone(good)
 	for bit := 0; bit < 8*len(b); bit += step {
 		b[bit/8] ^= 1 << (bit % 8)
-		switch h, err := load(b); {
+		switch h, err := loadFile(b); {
 		case err != nil:
 			refused++
 		case reflect.DeepEqual(h, whole): // in a page that is free, or where nothing is
@@ -651,19 +653,19 @@
 		b[bit/8] ^= 1 << (bit % 8)
 	}
 	size := os.Getpagesize()
-	for from := 0; from < len(b); from += size { // each page in the place of each other, under its number: such as an older one
+	for from := 0; from < len(b); from += size { // consume page in the place of each other, under its number: such as an older one
 		for to := 0; to < len(b); to += size {
 			copy(b[to+8:to+size], good[from+8:from+size])
-			if h, err := load(b); err == nil && !reflect.DeepEqual(h, whole) {
+			if h, err := loadFile(b); err == nil && !reflect.DeepEqual(h, whole) {
 				t.Fatalf("page at %d in the place of %d, and something else is read", from, to)
 			}
 			copy(b[to:to+size], good[to:to+size])
 		}
 	}
 	for id := 0; id < len(b)/size; id++ { // a page that is its own child: who walks in circles does not end
-		if p := b[id*size:]; binary.NativeEndian.Uint16(p[8:]) == pageBranch {
-			binary.NativeEndian.PutUint64(p[pageHead+8:], uint64(id))
-			if h, err := load(b); err == nil && !reflect.DeepEqual(h, whole) {
+		if p := b[id*size:]; binary.NativeEndian.Uint16(p[8:]) == pageKindBranch {
+			binary.NativeEndian.PutUint64(p[pageHeaderSize+8:], uint64(id))
+			if h, err := loadFile(b); err == nil && !reflect.DeepEqual(h, whole) {
 				t.Fatalf("page %d is its own child, and let in", id)
 			}
 		}
@@ -677,16 +679,16 @@
 		file []byte
 		id   uint64
 	}{{nil, 6}, {good[:size], 6}, {good, 5}, {good, 5}, {good[:3*size], 6}} {
-		if err := os.WriteFile(filepath.Join(dir, dbName), c.file, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, databaseFile), c.file, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		d := &disk{dir: dir}
+		d := &disk{directory: dir}
 		h, note, err := d.open(6)
-		if err != nil || h.identity != c.id || (note == "") != (c.id == 5) || (h.state == nil) != (c.id == 6) {
+		if err != nil || h.identity != c.id || (note == "") != (c.id == 5) || (h.snapshot == nil) != (c.id == 6) {
 			t.Fatalf("%d: %v %q, identity %d", i, err, note, h.identity)
 		}
 		if i == 2 {
-			if _, _, err := (&disk{dir: dir}).open(7); !errors.Is(err, errInUse) {
+			if _, _, err := (&disk{directory: dir}).open(7); !errors.Is(err, errInUse) {
 				t.Errorf("opened twice: %v", err)
 			}
 		}
--- a/internal/consensus/figures_test.go
+++ b/internal/consensus/figures_test.go
@@ -31,7 +31,7 @@
 func usedBy(n *Node) (u used) {
 	u.Status = n.Status()
 	e := n.engine()
-	u.Sound = e != nil && !e.view.Load().unsure && u.HasQuorum
+	u.Sound = e != nil && !e.view.Load().unverified && u.HasQuorum
 	var r unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &r); err == nil {
 		u.CPU = time.Duration(r.Utime.Nano() + r.Stime.Nano())
@@ -216,14 +216,14 @@
 				w.delay = delay
 				led := func() *vnode {
 					for _, n := range w.nodes {
-						if n.c != nil && n.c.leads() {
+						if n.c != nil && n.c.isLeader() {
 							return n
 						}
 					}
 					return nil
 				}
 				for w.run(4*time.Second + time.Duration(seed%100)*time.Millisecond); led() == nil; {
-					w.run(w.now + tickEvery)
+					w.run(w.now + tickInterval)
 				}
 				w.kill(led())
 				begin := w.now
@@ -243,7 +243,7 @@
 			}
 			f.until("r0", "a")
 			f.same()
-			time.Sleep(homeAfter + 3*time.Second)
+			time.Sleep(preferredRetryInterval + 3*time.Second)
 			for _, busy := range []bool{false, true} {
 				time.Sleep(2 * time.Second)
 				look := func() map[string]used {
--- a/internal/consensus/follow.go
+++ b/internal/consensus/follow.go
@@ -14,34 +14,34 @@
 )
 
 const (
-	beatEvery  = 500 * time.Millisecond // on a stream that has nothing to say
-	silence    = 2 * time.Second        // after which a follower takes another voter
-	streamMost = 256 << 10              // bytes of entries in a frame
-	frameMost  = largeMost
-	homeAfter  = 10 * time.Second // a follower that took another voter looks so often whether its own is well again
+	streamHeartbeatInterval = 500 * time.Millisecond // on a stream that has nothing to say
+	streamTimeout           = 2 * time.Second        // after which a follower takes another voter
+	maxEntriesFrame         = 256 << 10              // bytes of entries in a frame
+	maxFrameSize            = maxLargeRequest
+	preferredRetryInterval  = 10 * time.Second // a follower that took another voter looks so often whether its own is well again
 )
 
 const (
-	frameBeat  = 'b'
-	frameWhole = 's'
-	frameItems = 'i'
+	frameHeartbeat = 'b'
+	frameSnapshot  = 's'
+	frameEntries   = 'i'
 )
 
-// size is what the ring holds.
-func (a *applier) size() int {
+// logBytes is what the ring holds.
+func (a *applier) logBytes() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.bytes
+	return a.recentBytes
 }
 
-// snapshotNow makes a snapshot on the apply thread, through its queue.
-func (a *applier) snapshotNow(n *Node) (*state, []byte) {
+// requestSnapshot makes a snapshot on the apply thread, through its queue.
+func (a *applier) requestSnapshot(n *Node) (*recordSnapshot, []byte) {
 	a.mu.Lock()
-	a.last = nil // so that one is due
+	a.lastSnapshot = nil // so that one is due
 	a.mu.Unlock()
 	c := make(chan struct{})
 	select {
-	case n.ask <- c:
+	case n.snapshotRequests <- c:
 		select {
 		case <-c:
 		case <-n.quit:
@@ -50,25 +50,25 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.last, a.raw
+	return a.lastSnapshot, a.lastEncoded
 }
 
 // serveStream sends a follower what is agreed, as long as it listens.
-func (n *Node) serveStream(ctx context.Context, w http.ResponseWriter, rc *http.ResponseController, req request) {
-	r := reader{b: req.body}
+func (n *Node) serveStream(ctx context.Context, w http.ResponseWriter, rc *http.ResponseController, req envelope) {
+	r := reader{rest: req.body}
 	record, index := r.uint(), r.uint()
-	defer n.streams.Add(-1)
-	if n.streams.Add(1) > streamsMost || r.end() != nil {
-		n.drop("streams")
+	defer n.streamCount.Add(-1)
+	if n.streamCount.Add(1) > maxStreams || r.finish() != nil {
+		n.countDropped("streams")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	w.Header()["Date"] = nil
 	part := uint64(0)
 	frame := func(kind byte, body []byte) bool {
-		limit := silence
-		if len(body) > smallMost {
-			limit = snapMost
+		limit := streamTimeout
+		if len(body) > maxSmallRequest {
+			limit = snapshotTimeout
 		}
 		if rc.SetWriteDeadline(time.Now().Add(limit)) != nil {
 			return false
@@ -83,9 +83,9 @@
 		}
 		return rc.Flush() == nil
 	}
-	beat := time.NewTicker(beatEvery)
+	beat := time.NewTicker(streamHeartbeatInterval)
 	defer beat.Stop()
-	if e := n.engine(); e == nil || !frame(frameBeat, n.beat(e)) {
+	if e := n.engine(); e == nil || !frame(frameHeartbeat, n.heartbeatFrame(e)) {
 		return
 	}
 	for {
@@ -93,19 +93,19 @@
 		if e == nil { // no voter any more
 			return
 		}
-		whole, at, items, changed := n.ap.after(record, index, streamMost)
+		whole, at, items, changed := n.applier.entriesAfter(record, index, maxEntriesFrame)
 		if whole != nil {
-			if !frame(frameWhole, whole) {
+			if !frame(frameSnapshot, whole) {
 				return
 			}
-			record, _, _ = n.ap.at()
+			record, _, _ = n.applier.position()
 		}
 		if len(items) > 0 {
-			b := put(nil, uint64(len(items)))
+			b := putUints(nil, uint64(len(items)))
 			for _, it := range items {
-				b = putItem(b, it)
+				b = putEntry(b, it)
 			}
-			if !frame(frameItems, b) {
+			if !frame(frameEntries, b) {
 				return
 			}
 		}
@@ -120,12 +120,12 @@
 			return
 		case <-changed:
 		case <-beat.C:
-			if !frame(frameBeat, n.beat(e)) {
+			if !frame(frameHeartbeat, n.heartbeatFrame(e)) {
 				return
 			}
-			if n.ap.due() {
+			if n.applier.snapshotDue() {
 				select {
-				case n.ask <- make(chan struct{}):
+				case n.snapshotRequests <- make(chan struct{}):
 				default:
 				}
 			}
@@ -133,38 +133,38 @@
 	}
 }
 
-// beat is what a stream says of the whole.
-func (n *Node) beat(e *engine) []byte {
+// heartbeatFrame is what a stream says of the whole.
+func (n *Node) heartbeatFrame(e *engine) []byte {
 	v := e.view.Load()
-	return putBytes(put(nil, v.committed, flag(v.leader != 0 && v.mute == nil)), v.members[v.leader].Name)
+	return putBytes(putUints(nil, v.committed, boolToUint(v.leader != 0 && v.diskError == nil)), v.voters[v.leader].Name)
 }
 
-// followThread reads a stream whenever this node has no engine that hears a leader.
-func (n *Node) followThread() {
+// followLoop reads a stream whenever this node has no engine that hears a leader.
+func (n *Node) followLoop() {
 	next := 0
 	for {
 		n.mu.Lock()
-		e, lost := n.eng, n.noLeader
+		e, lost := n.current, n.leaderlessSince
 		n.mu.Unlock()
-		idle := e != nil && (lost.IsZero() || time.Since(lost) < leaderless)
-		list := n.others()
+		idle := e != nil && (lost.IsZero() || time.Since(lost) < leaderlessLimit)
+		list := n.otherVoters()
 		if idle || len(list) == 0 {
 			select {
 			case <-n.quit:
 				return
-			case <-time.After(lookEvery):
+			case <-time.After(superviseInterval):
 			}
 			continue
 		}
 		m := list[next%len(list)]
 		err := n.follow(m, list[0])
 		n.mu.Lock()
-		n.followed = followed{}
+		n.followState = followStatus{}
 		n.mu.Unlock()
-		if errors.Is(err, errIdle) || errors.Is(err, errAgain) {
+		if errors.Is(err, errStreamNotNeeded) || errors.Is(err, errStreamRetry) {
 			continue
 		}
-		if errors.Is(err, errHome) {
+		if errors.Is(err, errPreferredBack) {
 			next = 0
 			continue
 		}
@@ -178,22 +178,22 @@
 }
 
 var (
-	errIdle  = errors.New("not needed any more")
-	errAgain = errors.New("refused unread: it is sent again with the right numbers")
-	errHome  = errors.New("the voter that is this relay's by name is well again")
-	errAlone = errors.New("it hears no leader")
+	errStreamNotNeeded  = errors.New("not needed any more")
+	errStreamRetry      = errors.New("refused unread: it is sent again with the right numbers")
+	errPreferredBack    = errors.New("the voter that is this relay's by name is well again")
+	errSourceLeaderless = errors.New("it hears no leader")
 )
 
 // follow reads one voter's stream until it fails, falls silent, or hears no leader for long; or until home, the voter that this relay would
 // take first, is well again: else all would stay with the one that was up first.
-func (n *Node) follow(m, home member) error {
+func (n *Node) follow(m, home voter) error {
 	looked := time.Now()
 	ctx, cancel := context.WithCancel(n.ctx)
 	defer cancel()
-	alive := time.AfterFunc(silence, cancel)
+	alive := time.AfterFunc(streamTimeout, cancel)
 	defer alive.Stop()
-	record, index, _ := n.ap.at()
-	s, err := n.caller.open(ctx, m.Name, m.Addr, kindFollow, put(nil, record, index))
+	record, index, _ := n.applier.position()
+	s, err := n.client.send(ctx, m.Name, m.Addr, requestFollow, putUints(nil, record, index))
 	if err != nil {
 		return err
 	}
@@ -205,45 +205,45 @@
 			return err
 		}
 		size := binary.BigEndian.Uint32(head[:])
-		if size < tagSize+1 || size > frameMost {
+		if size < tagSize+1 || size > maxFrameSize {
 			return errSize
 		}
-		if size > smallMost {
-			alive.Reset(snapMost)
+		if size > maxSmallRequest {
+			alive.Reset(snapshotTimeout)
 		}
-		b, err := readN(s, int(size))
+		b, err := readExactly(s, int(size))
 		if err != nil {
 			return err
 		}
-		if b, err = openAnswer(n.o.Keys[0], s.tag, part, b); err != nil || len(b) == 0 {
+		if b, err = verifyAnswer(n.options.Keys[0], s.tag, part, b); err != nil || len(b) == 0 {
 			return errTag
 		}
-		if part == 0 && n.caller.learn(m.Name, s, b) {
-			return errAgain
+		if part == 0 && n.client.updateFreshness(m.Name, s, b) {
+			return errStreamRetry
 		}
-		alive.Reset(silence)
+		alive.Reset(streamTimeout)
 		n.mu.Lock()
-		n.followed.voter, n.followed.at = m.Name, time.Now()
-		hasEngine, lost, bound, boundAt := n.eng != nil, n.noLeader, n.bound, n.boundAt
+		n.followState.source, n.followState.updatedAt = m.Name, time.Now()
+		hasEngine, lost, bound, boundAt := n.current != nil, n.leaderlessSince, n.bootstrapID, n.bootstrapReservedAt
 		n.mu.Unlock()
 		if hasEngine && lost.IsZero() {
-			return errIdle
+			return errStreamNotNeeded
 		}
 		switch b[0] {
-		case frameBeat:
-			r := reader{b: b[1:]}
+		case frameHeartbeat:
+			r := reader{rest: b[1:]}
 			committed, majority, leader := r.uint(), r.uint() == 1, r.string()
-			if err := r.end(); err != nil {
+			if err := r.finish(); err != nil {
 				return err
 			}
 			n.mu.Lock()
-			n.followed.committed, n.followed.majority, n.followed.leader = committed, majority, leader
+			n.followState.commitIndex, n.followState.hasQuorum, n.followState.leader = committed, majority, leader
 			n.mu.Unlock()
-			if m.Name != home.Name && time.Since(looked) > homeAfter {
+			if m.Name != home.Name && time.Since(looked) > preferredRetryInterval {
 				looked = time.Now()
-				record, _, _ := n.ap.at()
-				if h, err := n.greet(home, 0, 0); err == nil && h.record == record && h.majority {
-					return errHome
+				record, _, _ := n.applier.position()
+				if h, err := n.queryPeer(home, 0, 0); err == nil && h.recordID == record && h.hasQuorum {
+					return errPreferredBack
 				}
 			}
 			switch {
@@ -251,41 +251,41 @@
 				alone = time.Time{}
 			case alone.IsZero():
 				alone = time.Now()
-			case time.Since(alone) > silence:
-				return errAlone
+			case time.Since(alone) > streamTimeout:
+				return errSourceLeaderless
 			}
-		case frameWhole:
-			s, err := decodeState(b[1:])
+		case frameSnapshot:
+			s, err := decodeSnapshot(b[1:])
 			if err != nil {
 				return err
 			}
-			record, _, _ := n.ap.at()
-			if hasEngine && record != s.record || bound != 0 && bound != s.record && time.Since(boundAt) < bindFor {
+			record, _, _ := n.applier.position()
+			if hasEngine && record != s.recordID || bound != 0 && bound != s.recordID && time.Since(boundAt) < bootstrapReservation {
 				return fmt.Errorf("of another record")
 			}
-			if err := n.hand(applied{snap: &s}); err != nil {
+			if err := n.applyAndWait(applyBatch{snapshot: &s}); err != nil {
 				return err
 			}
-		case frameItems:
-			r := reader{b: b[1:]}
-			var items []item
+		case frameEntries:
+			r := reader{rest: b[1:]}
+			var items []committedEntry
 			for range r.count() {
-				items = append(items, r.item())
+				items = append(items, r.entry())
 			}
-			if err := r.end(); err != nil {
+			if err := r.finish(); err != nil {
 				return err
 			}
-			if err := n.hand(applied{items: items}); err != nil {
+			if err := n.applyAndWait(applyBatch{entries: items}); err != nil {
 				return err
 			}
 		default:
-			return errShort
+			return errMalformed
 		}
 		if hasEngine { // a voter without a leader: it looks whether it was replaced
 			id := n.engineID()
-			if ms := n.ap.membersNow(); ms[id].Name != n.o.Name {
-				n.soon(func(e *engine) {
-					if _, ok := e.n.ap.membersNow()[e.id]; !ok {
+			if ms := n.applier.voterSet(); ms[id].Name != n.options.Name {
+				n.tryOnEngine(func(e *engine) {
+					if _, ok := e.node.applier.voterSet()[e.id]; !ok {
 						e.removed = true
 					}
 				})
@@ -301,8 +301,8 @@
 	return 0
 }
 
-// readN reads without believing a size before the bytes have come.
-func readN(r io.Reader, size int) ([]byte, error) {
+// readExactly reads without believing a size before the bytes have come.
+func readExactly(r io.Reader, size int) ([]byte, error) {
 	var b bytes.Buffer
 	if m, err := io.CopyN(&b, r, int64(size)); err != nil || m != int64(size) {
 		return nil, errors.Join(io.ErrUnexpectedEOF, err)
@@ -310,141 +310,141 @@
 	return b.Bytes(), nil
 }
 
-// hello tells who this relay is; a founder's also binds the other to the record that it is about to begin.
+// peerStatus tells who this relay is; a founder's also binds the other to the record that it is about to begin.
 const (
-	helloFresh   = 0 // no record is known, and no log held
-	helloFounded = 1
-	helloOther   = 2 // neither: bound to another, or no voter
+	peerEmpty       = 0 // no record is known, and no log held
+	peerHasRecord   = 1
+	peerUnavailable = 2 // neither: bound to another, or no voter
 )
 
-type hello struct {
-	state, identity, record, index uint64
-	members                        members
-	mark                           mark // of who asks, as it is remembered
-	voter                          bool // it has an engine that knows who asks
-	majority                       bool // it has one that hears a leader
+type peerStatus struct {
+	state, identity, recordID, index uint64
+	voters                           voterSet
+	acknowledged                     logPosition // of who asks, as it is remembered
+	knowsVoter                       bool        // it has an engine that knows who asks
+	hasQuorum                        bool        // it has one that hears a leader
 }
 
-func (n *Node) answerHello(from string, body []byte) []byte {
-	r := reader{b: body}
+func (n *Node) handlePeerStatus(from string, body []byte) []byte {
+	r := reader{rest: body}
 	asker, bind := r.uint(), r.uint()
-	if err := r.end(); err != nil {
-		return refused(err)
+	if err := r.finish(); err != nil {
+		return rejection(err)
 	}
-	h := hello{}
-	h.record, h.index, _ = n.ap.at()
-	h.members = n.ap.membersNow()
+	h := peerStatus{}
+	h.recordID, h.index, _ = n.applier.position()
+	h.voters = n.applier.voterSet()
 	e := n.engine()
 	n.mu.Lock()
 	h.identity = n.identity
 	switch {
-	case h.record != 0:
-		h.state = helloFounded
-	case n.identity == 0 || e != nil || n.diskSays != "":
-		h.state = helloOther
-	case bind != 0 && n.bound != 0 && n.bound != bind && time.Since(n.boundAt) < bindFor:
-		h.state = helloOther
+	case h.recordID != 0:
+		h.state = peerHasRecord
+	case n.identity == 0 || e != nil || n.diskError != "":
+		h.state = peerUnavailable
+	case bind != 0 && n.bootstrapID != 0 && n.bootstrapID != bind && time.Since(n.bootstrapReservedAt) < bootstrapReservation:
+		h.state = peerUnavailable
 	case bind != 0:
-		n.bound, n.boundAt = bind, time.Now()
+		n.bootstrapID, n.bootstrapReservedAt = bind, time.Now()
 	}
 	n.mu.Unlock()
 	if e != nil {
 		v := e.view.Load()
-		h.mark = v.marks[asker]
-		_, h.voter = v.members[asker]
-		h.majority = v.leader != 0 && v.mute == nil
+		h.acknowledged = v.acknowledged[asker]
+		_, h.knowsVoter = v.voters[asker]
+		h.hasQuorum = v.leader != 0 && v.diskError == nil
 	}
-	b := put([]byte{codeOK}, h.state, h.identity, h.record, h.index)
-	return put(putMembers(b, h.members), h.mark.term, h.mark.index, flag(h.voter), flag(h.majority))
+	b := putUints([]byte{codeOK}, h.state, h.identity, h.recordID, h.index)
+	return putUints(putVoterSet(b, h.voters), h.acknowledged.term, h.acknowledged.index, boolToUint(h.knowsVoter), boolToUint(h.hasQuorum))
 }
 
-func decodeHello(b []byte) (h hello, err error) {
+func decodePeerStatus(b []byte) (h peerStatus, err error) {
 	if len(b) == 0 || b[0] != codeOK {
-		return h, errShort
+		return h, errMalformed
 	}
-	r := reader{b: b[1:]}
-	h = hello{state: r.uint(), identity: r.uint(), record: r.uint(), index: r.uint(), members: r.members(), mark: mark{r.uint(), r.uint()}, voter: r.uint() == 1, majority: r.uint() == 1}
-	return h, r.end()
+	r := reader{rest: b[1:]}
+	h = peerStatus{state: r.uint(), identity: r.uint(), recordID: r.uint(), index: r.uint(), voters: r.voterSet(), acknowledged: logPosition{r.uint(), r.uint()}, knowsVoter: r.uint() == 1, hasQuorum: r.uint() == 1}
+	return h, r.finish()
 }
 
-func (n *Node) greet(m member, identity, bind uint64) (h hello, err error) {
+func (n *Node) queryPeer(m voter, identity, bind uint64) (h peerStatus, err error) {
 	ctx, cancel := context.WithTimeout(n.ctx, time.Second)
 	defer cancel()
-	b, err := n.caller.ask(ctx, m.Name, m.Addr, kindHello, put(nil, identity, bind))
+	b, err := n.client.call(ctx, m.Name, m.Addr, requestPeerStatus, putUints(nil, identity, bind))
 	if err != nil {
 		return h, err
 	}
-	return decodeHello(b)
+	return decodePeerStatus(b)
 }
 
-// found begins a record, if this relay is the first by name of the voters and all of them are up and hold nothing. Who holds a record, or
+// bootstrap begins a record, if this relay is the first by name of the voters and all of them are up and hold nothing. Who holds a record, or
 // has a log, is told from who is new by the answers: so a voter that comes back with nothing never begins a second one.
-func (n *Node) found(identity uint64) {
-	names := slices.Sorted(maps.Keys(n.o.Voters))
-	if names[0] != n.o.Name {
+func (n *Node) bootstrap(identity uint64) {
+	names := slices.Sorted(maps.Keys(n.options.Voters))
+	if names[0] != n.options.Name {
 		return
 	}
-	record := random()
-	ms := members{identity: {n.o.Name, n.o.Voters[n.o.Name]}}
+	record := randomID()
+	ms := voterSet{identity: {n.options.Name, n.options.Voters[n.options.Name]}}
 	for _, bind := range []uint64{0, record} {
 		for _, name := range names[1:] {
-			h, err := n.greet(member{name, n.o.Voters[name]}, identity, bind)
-			if err != nil || h.state != helloFresh || h.identity == 0 {
+			h, err := n.queryPeer(voter{name, n.options.Voters[name]}, identity, bind)
+			if err != nil || h.state != peerEmpty || h.identity == 0 {
 				return
 			}
 			if bind != 0 {
-				ms[h.identity] = member{name, n.o.Voters[name]}
+				ms[h.identity] = voter{name, n.options.Voters[name]}
 			}
 		}
 	}
 	if len(ms) != len(names) {
 		return
 	}
-	if r, _, _ := n.ap.at(); r != 0 {
+	if r, _, _ := n.applier.position(); r != 0 {
 		return
 	}
-	s, err := foundation(record, ms, n.ap.blank)
+	s, err := bootstrapSnapshot(record, ms, n.applier.initialMachine)
 	if err != nil {
 		return
 	}
-	if err := n.hand(applied{snap: &s}); err != nil {
+	if err := n.applyAndWait(applyBatch{snapshot: &s}); err != nil {
 		return
 	}
-	if err := n.begin(identity, n.diskNow(), s, s.encode(), false); err != nil {
+	if err := n.startFromSnapshot(identity, n.currentDisk(), s, s.encode(), false); err != nil {
 		n.log().WithField("error", err.Error()).Error("accord: founding")
 	}
 }
 
-// vouch asks the other voters what they remember of this one, before it votes again.
-func (n *Node) vouch(e *engine) {
+// verifyDirectory asks the other voters what they remember of this one, before it votes again.
+func (n *Node) verifyDirectory(e *engine) {
 	began := time.Now()
 	for {
 		v := e.view.Load()
-		heard, need := 0, len(v.members)/2
-		for _, id := range v.members.ids() {
+		heard, need := 0, len(v.voters)/2
+		for _, id := range v.voters.ids() {
 			if id == e.id {
 				continue
 			}
-			h, err := n.greet(v.members[id], e.id, 0)
+			h, err := n.queryPeer(v.voters[id], e.id, 0)
 			if err != nil {
 				continue
 			}
-			if h.record == e.c.record && h.index > v.committed && h.members[e.id].Name != n.o.Name {
-				n.later(func(e *engine) { e.removed = true })
+			if h.recordID == e.core.recordID && h.index > v.committed && h.voters[e.id].Name != n.options.Name {
+				n.onEngine(func(e *engine) { e.removed = true })
 				return
 			}
-			if !h.voter || h.record != e.c.record {
+			if !h.knowsVoter || h.recordID != e.core.recordID {
 				continue
 			}
 			heard++
-			n.later(func(e *engine) { // there, since it writes on meanwhile
-				if e.c.older(h.mark) {
-					e.why = errOlder
+			n.onEngine(func(e *engine) { // there, since it writes on meanwhile
+				if e.core.isOutdatedBy(h.acknowledged) {
+					e.err = errOutdatedDirectory
 				}
 			})
 		}
-		if heard == len(v.members)-1 || heard >= need && time.Since(began) > vouchFor {
-			n.later(func(e *engine) { e.c.unsure = false; e.show() })
+		if heard == len(v.voters)-1 || heard >= need && time.Since(began) > verifyTimeout {
+			n.onEngine(func(e *engine) { e.core.unverified = false; e.publishView() })
 			return
 		}
 		select {
@@ -452,16 +452,16 @@
 			return
 		case <-n.quit:
 			return
-		case <-time.After(lookEvery):
+		case <-time.After(superviseInterval):
 		}
 	}
 }
 
-// toLeader is whom to ask for the leader: itself if it is known, then the voters.
-func (n *Node) toLeader() []member {
-	list := n.others()
-	if m, here, ok := n.leaderNow(); ok && !here {
-		list = append([]member{m}, list...)
+// leaderCandidates is whom to ask for the leader: itself if it is known, then the voters.
+func (n *Node) leaderCandidates() []voter {
+	list := n.otherVoters()
+	if m, here, ok := n.knownLeader(); ok && !here {
+		list = append([]voter{m}, list...)
 	}
 	return list
 }
--- a/internal/consensus/model_test.go
+++ b/internal/consensus/model_test.go
@@ -64,15 +64,15 @@
 	c         *core
 	g         *register
 	ap        *applier
-	pend      *pending
-	disk      held
+	pend      *pendingCalls
+	disk      storedState
 	writing   *diskWrite
 	slow      time.Duration
 	vouched   map[int]bool
 	began     time.Duration
-	waiting   map[[16]byte]func(result)
-	waiters   map[[16]byte]*waiter
-	snap      *state
+	waiting   map[[16]byte]func(callResult)
+	waiters   map[[16]byte]*pendingCall
+	snap      *recordSnapshot
 	raw       []byte
 }
 
@@ -164,23 +164,23 @@
 	l.SetLevel(logrus.PanicLevel)
 	w := &world{rng: rand.New(rand.NewPCG(seed, 31)), voters: voters, cut: map[[2]int]bool{}, delay: 10 * time.Millisecond, agreed: map[uint64]uint64{},
 		log: map[[16]byte]uint64{}, acked: map[[16]byte]uint64{}, never: map[[16]byte]bool{}, quiet: l, counts: map[string]int{}}
-	ms := members{}
+	ms := voterSet{}
 	for i := range voters + followers {
 		n := &vnode{i: i, name: fmt.Sprintf("n%d", i), voter: i < voters, id: w.rng.Uint64()>>2 | 1}
-		n.tick = time.Duration((0.9 + 0.2*w.rng.Float64()) * float64(tickEvery))
+		n.tick = time.Duration((0.9 + 0.2*w.rng.Float64()) * float64(tickInterval))
 		w.nodes = append(w.nodes, n)
 		n.disk.identity = n.id
 		if n.voter {
-			ms[n.id] = member{n.name, n.name}
+			ms[n.id] = voter{n.name, n.name}
 		}
 	}
-	s, err := foundation(77, ms, (&register{}).Snapshot())
+	s, err := bootstrapSnapshot(77, ms, (&register{}).Snapshot())
 	if err != nil {
 		panic(err)
 	}
 	for _, n := range w.nodes {
 		if n.voter {
-			n.disk.state, n.disk.hard = s.encode(), &pb.HardState{Term: new(uint64(1)), Commit: new(uint64(1))}
+			n.disk.snapshot, n.disk.hardState = s.encode(), &pb.HardState{Term: new(uint64(1)), Commit: new(uint64(1))}
 		}
 		w.start(n)
 	}
@@ -190,18 +190,18 @@
 func (w *world) start(n *vnode) {
 	n.life++
 	n.up, n.still, n.held, n.writing, n.c = true, false, nil, nil, nil
-	n.g, n.pend = &register{}, &pending{}
+	n.g, n.pend = &register{}, &pendingCalls{}
 	n.ap = newApplier(n.g)
-	n.ap.every = 12
+	n.ap.snapshotInterval = 12
 	n.slow = time.Duration(w.rng.Float64() * 8 * float64(time.Millisecond))
-	n.waiting, n.waiters, n.snap = map[[16]byte]func(result){}, map[[16]byte]*waiter{}, nil
-	if n.disk.state != nil {
-		s, err := decodeState(n.disk.state)
+	n.waiting, n.waiters, n.snap = map[[16]byte]func(callResult){}, map[[16]byte]*pendingCall{}, nil
+	if n.disk.snapshot != nil {
+		s, err := decodeSnapshot(n.disk.snapshot)
 		if err != nil {
 			panic(err)
 		}
 		w.restore(n, s)
-		hard := proto.Clone(n.disk.hard).(*pb.HardState)
+		hard := proto.Clone(n.disk.hardState).(*pb.HardState)
 		if hard.GetCommit() < s.index {
 			hard.Commit = new(s.index)
 		}
@@ -209,13 +209,13 @@
 		for len(entries) > 0 && entries[0].GetIndex() <= s.index {
 			entries = entries[1:]
 		}
-		st, err := storageOf(s, n.disk.state, hard, append([]*pb.Entry(nil), entries...))
+		st, err := newStorage(s, n.disk.snapshot, hard, append([]*pb.Entry(nil), entries...))
 		if err != nil {
 			panic(err)
 		}
 		w.engine(n, st, s, w.now > 0 && !w.sameID)
-		for id, m := range n.disk.marks {
-			n.c.hear(id, m)
+		for id, m := range n.disk.acknowledged {
+			n.c.noteAcknowledged(id, m)
 		}
 	}
 	w.push(time.Duration(w.rng.Float64()*float64(n.tick)), n, func() { w.beat(n) })
@@ -225,7 +225,7 @@
 	}
 }
 
-func (w *world) engine(n *vnode, st *raft.MemoryStorage, s state, unsure bool) {
+func (w *world) engine(n *vnode, st *raft.MemoryStorage, s recordSnapshot, unsure bool) {
 	c, err := newCore(n.id, st, s, unsure, raftLog{w.quiet})
 	if err != nil {
 		w.fail("engine of %s: %v", n.name, err)
@@ -234,7 +234,7 @@
 	n.c, n.vouched, n.began = c, map[int]bool{}, w.now
 }
 
-func (w *world) restore(n *vnode, s state) {
+func (w *world) restore(n *vnode, s recordSnapshot) {
 	if _, err := n.ap.restore(s); err != nil {
 		w.fail("restore: %v", err)
 	}
@@ -243,8 +243,8 @@
 
 // check holds what a node has applied against what any other had at that index.
 func (w *world) check(n *vnode) {
-	_, index, _ := n.ap.at()
-	_, voters := n.ap.votersNow()
+	_, index, _ := n.ap.position()
+	_, voters := n.ap.voterSetAt()
 	hash := n.g.hash ^ voters<<32
 	if h, ok := w.agreed[index]; ok && h != hash {
 		w.fail("%s differs at %d", n.name, index)
@@ -252,18 +252,18 @@
 	w.agreed[index] = hash
 }
 
-func (w *world) apply(n *vnode, it item) {
+func (w *world) apply(n *vnode, it committedEntry) {
 	answer, ok := n.ap.apply(it)
 	if !ok {
 		return
 	}
 	w.check(n)
 	if it.kind == entryCommand {
-		w.log[it.id] = it.index
+		w.log[it.proposalID] = it.index
 	}
-	n.pend.applied(it.index, it.id, answer)
-	if n.c != nil && n.ap.due() {
-		n.snap, n.raw = n.ap.snapshot()
+	n.pend.completeApplied(it.index, it.proposalID, answer)
+	if n.c != nil && n.ap.snapshotDue() {
+		n.snap, n.raw = n.ap.takeSnapshot()
 	}
 }
 
@@ -280,37 +280,37 @@
 	for n.c != nil && n.writing == nil && w.bad == "" {
 		if s := n.snap; s != nil {
 			n.snap = nil
-			if s.index <= n.c.basic().Applied && s.index <= n.c.lastIndex() && s.index > n.c.snapIndex {
+			if s.index <= n.c.status().Applied && s.index <= n.c.lastIndex() && s.index > n.c.snapshotIndex {
 				if err := n.c.compact(*s, n.raw, 3); err != nil {
 					w.fail("compact: %v", err)
 					return
 				}
-				first, _ := n.c.st.FirstIndex()
-				w.write(n, diskWrite{compact: n.raw, drop: first - 1}, func() {})
+				first, _ := n.c.storage.FirstIndex()
+				w.write(n, diskWrite{compaction: n.raw, compactedIndex: first - 1}, func() {})
 				return
 			}
 		}
-		k := n.c.ready()
+		k := n.c.nextReady()
 		if k == nil {
 			break
 		}
 		for _, e := range k.entries {
 			if id, c, ok := decodeCommand(e.GetData()); ok && e.GetType() == pb.EntryNormal {
-				n.pend.placed(id, e.GetIndex())
+				n.pend.assignIndex(id, e.GetIndex())
 				if w.early && n.waiters[id] != nil {
-					n.pend.applied(e.GetIndex(), id, binary.BigEndian.AppendUint64(nil, n.g.value))
+					n.pend.completeApplied(e.GetIndex(), id, binary.BigEndian.AppendUint64(nil, n.g.value))
 					_ = c
 				}
 			}
 		}
-		w.mail(n, k.early)
-		if !k.write() {
+		w.mail(n, k.beforeSync)
+		if !k.mustSync() {
 			w.finish(n, k)
 			continue
 		}
-		dw := diskWrite{hard: k.hard, entries: k.entries, marks: maps.Clone(k.marks)}
-		if k.snap != nil {
-			dw.state = k.snap.GetData()
+		dw := diskWrite{hardState: k.hardState, entries: k.entries, acknowledged: maps.Clone(k.acknowledged)}
+		if k.snapshot != nil {
+			dw.snapshot = k.snapshot.GetData()
 		}
 		w.write(n, dw, func() { w.finish(n, k) })
 	}
@@ -334,17 +334,17 @@
 		return
 	}
 	h := &n.disk
-	if dw.state != nil {
-		h.state, h.entries = dw.state, nil
+	if dw.snapshot != nil {
+		h.snapshot, h.entries = dw.snapshot, nil
 	}
-	if dw.compact != nil {
-		h.state = dw.compact
-		for len(h.entries) > 0 && h.entries[0].GetIndex() <= dw.drop {
+	if dw.compaction != nil {
+		h.snapshot = dw.compaction
+		for len(h.entries) > 0 && h.entries[0].GetIndex() <= dw.compactedIndex {
 			h.entries = h.entries[1:]
 		}
 	}
-	if dw.hard != nil {
-		h.hard = dw.hard
+	if dw.hardState != nil {
+		h.hardState = dw.hardState
 	}
 	if len(dw.entries) > 0 {
 		at := dw.entries[0].GetIndex()
@@ -353,18 +353,18 @@
 		}
 		h.entries = append(h.entries, dw.entries...)
 	}
-	if dw.marks != nil {
-		h.marks = dw.marks
+	if dw.acknowledged != nil {
+		h.acknowledged = dw.acknowledged
 	}
 }
 
-func (w *world) finish(n *vnode, k *work) {
-	snap, items, err := n.c.done()
+func (w *world) finish(n *vnode, k *pendingReady) {
+	snap, items, err := n.c.advance()
 	if err != nil {
 		w.fail("%s: %v", n.name, err)
 		return
 	}
-	w.mail(n, k.late)
+	w.mail(n, k.afterSync)
 	if snap != nil {
 		w.counts["snapshots"]++
 		w.restore(n, *snap)
@@ -375,7 +375,7 @@
 	for _, rs := range k.rd.ReadStates {
 		var id [16]byte
 		copy(id[:], rs.RequestCtx)
-		n.pend.readAt(id, rs.Index)
+		n.pend.completeBarrier(id, rs.Index)
 	}
 }
 
@@ -398,12 +398,12 @@
 		if err != nil {
 			panic(err)
 		}
-		var marks map[uint64]mark
+		var marks map[uint64]logPosition
 		if m.GetType() == pb.MsgHeartbeat {
-			marks = maps.Clone(n.c.marks)
-			marks[n.id] = n.c.own()
+			marks = maps.Clone(n.c.acknowledged)
+			marks[n.id] = n.c.ownPosition()
 		}
-		body := encodeBatch(n.id, marks, [][]byte{b})
+		body := encodeMessages(n.id, marks, [][]byte{b})
 		w.send(n, to, func() { w.take(to, body) })
 		if m.GetType() == pb.MsgSnap {
 			how := raft.SnapshotFinish
@@ -413,7 +413,7 @@
 			id := m.GetTo()
 			w.push(50*time.Millisecond, n, func() {
 				if n.c != nil {
-					n.c.rn.ReportSnapshot(id, how)
+					n.c.node.ReportSnapshot(id, how)
 				}
 			})
 		}
@@ -424,18 +424,18 @@
 	if n.c == nil {
 		return
 	}
-	_, marks, ms, err := decodeBatch(body)
+	_, marks, ms, err := decodeMessages(body)
 	if err != nil {
 		w.fail("batch: %v", err)
 		return
 	}
 	for id, m := range marks {
 		if id != n.id {
-			n.c.hear(id, m)
+			n.c.noteAcknowledged(id, m)
 		}
 	}
 	for _, m := range ms {
-		if err := n.c.step(m); err == errOlder {
+		if err := n.c.step(m); err == errOutdatedDirectory {
 			if !w.sameID {
 				w.fail("%s was held for older, with a whole directory", n.name)
 			}
@@ -478,15 +478,15 @@
 	if v == n {
 		return
 	}
-	record, index, _ := n.ap.at()
+	record, index, _ := n.ap.position()
 	w.send(n, v, func() {
 		if v.c == nil {
 			return
 		}
-		whole, _, items, _ := v.ap.after(record, index, 2000)
-		b := put(nil, uint64(len(items)))
+		whole, _, items, _ := v.ap.entriesAfter(record, index, 2000)
+		b := putUints(nil, uint64(len(items)))
 		for _, it := range items {
-			b = putItem(b, it)
+			b = putEntry(b, it)
 		}
 		w.send(v, n, func() {
 			if n.c != nil {
@@ -494,18 +494,18 @@
 			}
 			if whole != nil {
 				w.counts["wholes"]++
-				s, err := decodeState(whole)
+				s, err := decodeSnapshot(whole)
 				if err != nil {
 					w.fail("whole: %v", err)
 					return
 				}
 				w.restore(n, s)
 			}
-			r := reader{b: b}
+			r := reader{rest: b}
 			for range r.count() {
-				w.apply(n, r.item())
+				w.apply(n, r.entry())
 			}
-			if err := r.end(); err != nil {
+			if err := r.finish(); err != nil {
 				w.fail("items: %v", err)
 			}
 			w.settle(n)
@@ -515,31 +515,31 @@
 
 // look is what a Node's supervisor does: it joins, wishes, vouches.
 func (w *world) look(n *vnode) {
-	w.push(lookEvery, n, func() { w.look(n) })
-	record, index, _ := n.ap.at()
+	w.push(superviseInterval, n, func() { w.look(n) })
+	record, index, _ := n.ap.position()
 	switch {
-	case n.c == nil && record != 0 && n.ap.membersNow()[n.id].Name == n.name:
-		s, raw := n.ap.snapshot()
+	case n.c == nil && record != 0 && n.ap.voterSet()[n.id].Name == n.name:
+		s, raw := n.ap.takeSnapshot()
 		hard := &pb.HardState{Term: new(s.term), Commit: new(index)}
-		st, err := storageOf(*s, raw, hard, nil)
+		st, err := newStorage(*s, raw, hard, nil)
 		if err != nil {
 			panic(err)
 		}
-		n.disk = held{identity: n.id, state: raw, hard: hard}
+		n.disk = storedState{identity: n.id, snapshot: raw, hardState: hard}
 		w.counts["taken in"]++
 		w.engine(n, st, *s, false)
 	case n.c == nil:
-		c := change{new: n.id, name: n.name, addr: n.name}
+		c := voterChange{newID: n.id, newName: n.name, address: n.name}
 		for _, v := range w.nodes[:w.voters] {
 			if v != n {
 				w.send(n, v, func() {
-					if v.c != nil && v.c.leads() {
-						v.c.wants(wish{old: c.name, name: c.name, addr: c.addr, id: c.new})
+					if v.c != nil && v.c.isLeader() {
+						v.c.addProposal(changeProposal{oldName: c.newName, newName: c.newName, address: c.address, newID: c.newID})
 					}
 				})
 			}
 		}
-	case n.c.unsure:
+	case n.c.unverified:
 		for _, v := range w.nodes[:w.voters] {
 			if v == n {
 				continue
@@ -548,17 +548,17 @@
 				if v.c == nil {
 					return
 				}
-				m, id := v.c.marks[n.id], v.i
+				m, id := v.c.acknowledged[n.id], v.i
 				w.send(v, n, func() {
-					if n.c == nil || !n.c.unsure {
+					if n.c == nil || !n.c.unverified {
 						return
 					}
-					if n.c.older(m) {
-						w.fail("%s was vouched older with a whole directory: %v of %v", n.name, m, n.c.own())
+					if n.c.isOutdatedBy(m) {
+						w.fail("%s was vouched older with a whole directory: %v of %v", n.name, m, n.c.ownPosition())
 					}
 					n.vouched[id] = true
-					if len(n.vouched) == w.voters-1 || len(n.vouched) >= w.voters/2 && w.now-n.began > vouchFor {
-						n.c.unsure = false
+					if len(n.vouched) == w.voters-1 || len(n.vouched) >= w.voters/2 && w.now-n.began > verifyTimeout {
+						n.c.unverified = false
 					}
 				})
 			})
@@ -580,7 +580,7 @@
 func (w *world) whole() bool {
 	for _, n := range w.nodes[:w.voters] {
 		for _, v := range w.nodes[:w.voters] {
-			if !v.up || v.c == nil || v.c.members[n.id].Name != n.name || v.c.joint() {
+			if !v.up || v.c == nil || v.c.voters[n.id].Name != n.name || v.c.inJointConfig() {
 				return false
 			}
 		}
@@ -637,11 +637,11 @@
 			w.kill(n)
 			if !w.sameID {
 				n.id = w.rng.Uint64()>>2 | 1
-				n.disk = held{identity: n.id}
+				n.disk = storedState{identity: n.id}
 			} else {
-				s, _ := decodeState(n.disk.state)
-				s.index, s.term, s.machine = 1, 1, (&register{}).Snapshot()
-				n.disk = held{identity: n.id, state: s.encode(), hard: &pb.HardState{Term: new(uint64(1)), Commit: new(uint64(1))}}
+				s, _ := decodeSnapshot(n.disk.snapshot)
+				s.index, s.term, s.machineState = 1, 1, (&register{}).Snapshot()
+				n.disk = storedState{identity: n.id, snapshot: s.encode(), hardState: &pb.HardState{Term: new(uint64(1)), Commit: new(uint64(1))}}
 			}
 			w.start(n)
 		}
@@ -709,7 +709,7 @@
 		again()
 	}
 	w.push(patience, nil, func() { end(opOut{}, in.write) })
-	w.ask(n, pid, in, 0, func(r result) {
+	w.ask(n, pid, in, 0, func(r callResult) {
 		switch {
 		case ended:
 		case r.err == nil && in.write:
@@ -720,7 +720,7 @@
 			life := n.life
 			var wait func()
 			wait = func() {
-				if _, index, _ := n.ap.at(); index >= r.index {
+				if _, index, _ := n.ap.position(); index >= r.index {
 					w.counts["reads"]++
 					end(opOut{true, n.g.value}, true)
 				} else if !ended && n.life == life && n.up {
@@ -737,16 +737,16 @@
 	})
 }
 
-func (w *world) ask(n *vnode, pid [16]byte, in opIn, hops int, back func(result)) {
-	if n.c != nil && n.c.leads() {
-		k := &waiter{id: pid, read: !in.write, done: make(chan result, 1)}
+func (w *world) ask(n *vnode, pid [16]byte, in opIn, hops int, back func(callResult)) {
+	if n.c != nil && n.c.isLeader() {
+		k := &pendingCall{id: pid, barrier: !in.write, done: make(chan callResult, 1)}
 		n.pend.add(k)
 		n.waiters[pid], n.waiting[pid] = k, back
 		var err error
 		if in.write {
 			err = n.c.propose(encodeCommand(pid, binary.BigEndian.AppendUint64(nil, in.value)))
 		} else {
-			err = n.c.read(pid[:])
+			err = n.c.readIndex(pid[:])
 		}
 		if err != nil {
 			n.pend.fail(k, err)
@@ -757,16 +757,16 @@
 	to := w.nodes[w.rng.IntN(w.voters)]
 	if n.c != nil {
 		if to = w.byID(n.c.leader()); to == nil {
-			back(result{err: errNoLeader})
+			back(callResult{err: errNoLeader})
 			return
 		}
 	}
 	if hops >= 2 || to == n {
-		back(result{err: errNoLeader})
+		back(callResult{err: errNoLeader})
 		return
 	}
 	w.send(n, to, func() {
-		w.ask(to, pid, in, hops+1, func(r result) { w.send(to, n, func() { back(r) }) })
+		w.ask(to, pid, in, hops+1, func(r callResult) { w.send(to, n, func() { back(r) }) })
 	})
 }
 
@@ -817,7 +817,7 @@
 	had := w.counts["acked"]
 	w.run(32 * time.Second)
 	w.ending = true
-	w.run(32*time.Second + 2*patience) // until every call has ended
+	w.run(32*time.Second + 2*patience) // expiryTick every call has ended
 	if w.counts["acked"] == had {
 		w.fail("nothing is agreed any more")
 	}
--- a/internal/consensus/node_test.go
+++ b/internal/consensus/node_test.go
@@ -44,7 +44,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(b) < 16 {
-		return errShort
+		return errMalformed
 	}
 	s.n, s.hash = binary.BigEndian.Uint64(b), binary.BigEndian.Uint64(b[8:])
 	return nil
@@ -117,7 +117,7 @@
 			f.told(name, from, string(answer))
 		}
 	}
-	n, err := startWith(Options{Name: name, Voters: f.voters, DialAddresses: f.reach[name], Listen: f.addrs[name], Dir: f.dirs[name], Keys: f.keys, Machine: m, OnReport: f.heard, OnReply: told}, f.fault[name])
+	n, err := startWithFaults(Options{Name: name, Voters: f.voters, DialAddresses: f.reach[name], Listen: f.addrs[name], Dir: f.dirs[name], Keys: f.keys, Machine: m, OnReport: f.heard, OnReply: told}, f.fault[name])
 	if err != nil {
 		f.t.Fatal(err)
 	}
--- a/internal/consensus/say.go
+++ b/internal/consensus/say.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// say puts a word into the ring for the leader.
-func (n *Node) say(word []byte) error {
+// queueReport puts a word into the ring for the leader.
+func (n *Node) queueReport(word []byte) error {
 	if len(word) > MaxReportSize {
 		return ErrTooLarge
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if len(n.said) >= saidMost || n.saidSize+len(word) > saidBytes {
+	if len(n.queuedReports) >= maxQueuedReports || n.queuedReportBytes+len(word) > maxQueuedReportBytes {
 		n.dropped["said"]++
 		return ErrQueueFull
 	}
-	n.said = append(n.said, bytes.Clone(word))
-	n.saidSize += len(word)
+	n.queuedReports = append(n.queuedReports, bytes.Clone(word))
+	n.queuedReportBytes += len(word)
 	return nil
 }
 
-// sayThread brings what was said to the leader, once a second. What does not arrive is lost, and counted.
-func (n *Node) sayThread() {
-	t := time.NewTicker(sayEvery)
+// reportLoop brings what was said to the leader, once a second. What does not arrive is lost, and counted.
+func (n *Node) reportLoop() {
+	t := time.NewTicker(reportInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -35,26 +35,26 @@
 		case <-t.C:
 		}
 		n.mu.Lock()
-		words := n.said
-		n.said, n.saidSize = nil, 0
+		words := n.queuedReports
+		n.queuedReports, n.queuedReportBytes = nil, 0
 		n.mu.Unlock()
-		if len(words) > 0 && !n.bring(words) {
-			n.drop("unheard")
+		if len(words) > 0 && !n.deliverReports(words) {
+			n.countDropped("unheard")
 		}
 	}
 }
 
-func (n *Node) bring(words [][]byte) bool {
-	if _, here, _ := n.leaderNow(); here {
-		n.tell(n.o.Name, n.hear(n.ctx, n.o.Name, words))
+func (n *Node) deliverReports(words [][]byte) bool {
+	if _, here, _ := n.knownLeader(); here {
+		n.queueReplies(n.options.Name, n.processReports(n.ctx, n.options.Name, words))
 		return true
 	}
-	b := putBytes(put(nil, 0), n.o.Name)
+	b := putBytes(putUints(nil, 0), n.options.Name)
 	b = putList(b, words)
 	// By the voter whose stream is read, else by the leader: a voter has its way to the leader open.
-	list := n.toLeader()
+	list := n.leaderCandidates()
 	n.mu.Lock()
-	via := n.followed.voter
+	via := n.followState.source
 	n.mu.Unlock()
 	for i, m := range list {
 		if m.Name == via {
@@ -62,14 +62,14 @@
 		}
 	}
 	for _, m := range list {
-		ctx, cancel := context.WithTimeout(n.ctx, passMost)
-		a, err := n.caller.ask(ctx, m.Name, m.Addr, kindSay, b)
+		ctx, cancel := context.WithTimeout(n.ctx, forwardTimeout)
+		a, err := n.client.call(ctx, m.Name, m.Addr, requestReport, b)
 		cancel()
 		if err == nil && a[0] == codeOK {
-			r := reader{b: a[1:]}
+			r := reader{rest: a[1:]}
 			leader, answers := r.string(), r.list(len(words))
-			if r.end() == nil {
-				n.tell(leader, answers)
+			if r.finish() == nil {
+				n.queueReplies(leader, answers)
 			}
 			return true
 		}
@@ -80,26 +80,26 @@
 	return false
 }
 
-// hear puts words into the leader's ring, and waits for the answers: not for long, and not if many wait already. The words count in any case.
-func (n *Node) hear(ctx context.Context, from string, words [][]byte) (answers [][]byte) {
+// processReports puts words into the leader's ring, and waits for the answers: not for long, and not if many wait already. The words count in any case.
+func (n *Node) processReports(ctx context.Context, from string, words [][]byte) (answers [][]byte) {
 	back := make(chan []byte, len(words))
 	wait := 0
 	for _, w := range words {
 		select {
-		case n.heard <- saidWord{from, w, back}:
+		case n.incomingReports <- reportMessage{from, w, back}:
 			wait++
 		default:
-			n.drop("heard")
+			n.countDropped("heard")
 		}
 	}
 	select {
-	case n.await <- struct{}{}:
-		defer func() { <-n.await }()
+	case n.replyWaiters <- struct{}{}:
+		defer func() { <-n.replyWaiters }()
 	default:
-		n.drop("unanswered")
+		n.countDropped("unanswered")
 		return nil
 	}
-	late := time.NewTimer(awaitFor)
+	late := time.NewTimer(replyTimeout)
 	defer late.Stop()
 	for range wait {
 		select {
@@ -109,7 +109,7 @@
 			}
 			continue
 		case <-late.C:
-			n.drop("unanswered")
+			n.countDropped("unanswered")
 		case <-ctx.Done():
 		case <-n.quit:
 		}
@@ -118,65 +118,65 @@
 	return answers
 }
 
-func (n *Node) tell(leader string, answers [][]byte) {
+func (n *Node) queueReplies(leader string, answers [][]byte) {
 	for _, a := range answers {
 		select {
-		case n.told <- saidWord{from: leader, word: a}:
+		case n.incomingReplies <- reportMessage{from: leader, content: a}:
 		default:
-			n.drop("told")
+			n.countDropped("told")
 		}
 	}
 }
 
-func (n *Node) hearSaid(ctx context.Context, body []byte) []byte {
-	return n.atLeader(ctx, kindSay, body, func(r reader) []byte {
-		from, words := r.string(), r.list(saidMost)
-		if err := r.end(); err != nil {
-			return refused(err)
+func (n *Node) handleReports(ctx context.Context, body []byte) []byte {
+	return n.atLeader(ctx, requestReport, body, func(r reader) []byte {
+		from, words := r.string(), r.list(maxQueuedReports)
+		if err := r.finish(); err != nil {
+			return rejection(err)
 		}
-		return putList(putBytes([]byte{codeOK}, n.o.Name), n.hear(ctx, from, words))
+		return putList(putBytes([]byte{codeOK}, n.options.Name), n.processReports(ctx, from, words))
 	})
 }
 
 // atLeader has the leader do what a request asks for: here, or by passing it on, once. A body begins with how often that was done.
 func (n *Node) atLeader(ctx context.Context, kind byte, body []byte, here func(reader) []byte) []byte {
-	r := reader{b: body}
+	r := reader{rest: body}
 	hops := r.uint()
-	m, leads, known := n.leaderNow()
+	m, leads, known := n.knownLeader()
 	switch {
 	case r.err != nil:
-		return refused(r.err)
+		return rejection(r.err)
 	case leads:
 		return here(r)
 	case !known || hops > 0:
 		return []byte{codeNoLeader}
 	}
-	ctx, cancel := context.WithTimeout(ctx, passMost)
+	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
-	b, err := n.caller.ask(ctx, m.Name, m.Addr, kind, append(put(nil, hops+1), r.b...))
+	b, err := n.client.call(ctx, m.Name, m.Addr, kind, append(putUints(nil, hops+1), r.rest...))
 	if err != nil {
 		return []byte{codeNoLeader}
 	}
 	return b
 }
 
-// replace asks the leader for a change of voters and waits until the record here has it.
-func (n *Node) replace(ctx context.Context, old, new, address string) error {
+// replaceVoter asks the leader for a change of voters and waits until the record here has it.
+func (n *Node) replaceVoter(ctx context.Context, old, new, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, ProposeTimeout)
 	defer cancel()
 	var identity uint64
 	if old == new {
-		identity = n.ap.membersNow().named(old)
+		identity = n.applier.voterSet().idOf(old)
 		if identity == 0 {
-			return errNoVoter
+			return errUnknownVoter
 		}
 	} else {
-		if new == n.o.Name {
+		if new == n.options.Name {
 			n.mu.Lock()
 			identity = n.identity
 			n.mu.Unlock()
 		} else {
-			h, err := n.greet(member{new, address}, 0, 0)
+			h, err := n.queryPeer(voter{new, address}, 0, 0)
 			if err != nil {
 				return fmt.Errorf("accord: %s at %s: %w", new, address, err)
 			}
@@ -186,13 +186,13 @@
 			return fmt.Errorf("accord: %s has no identity yet", new)
 		}
 	}
-	w := wish{old: old, name: new, addr: address, id: identity, ordered: true}
-	if err := n.order(ctx, append(put(nil, 0), w.encode()...)); err != nil {
+	w := changeProposal{oldName: old, newName: new, address: address, newID: identity, byOperator: true}
+	if err := n.submitChange(ctx, append(putUints(nil, 0), w.encode()...)); err != nil {
 		return err
 	}
 	for {
-		record, _, changed := n.ap.at()
-		if m, ok := n.ap.membersNow()[identity]; ok && record != 0 && m == (member{new, address}) {
+		record, _, changed := n.applier.position()
+		if m, ok := n.applier.voterSet()[identity]; ok && record != 0 && m == (voter{new, address}) {
 			return nil
 		}
 		select {
@@ -205,11 +205,11 @@
 	}
 }
 
-func (n *Node) order(ctx context.Context, body []byte) error {
+func (n *Node) submitChange(ctx context.Context, body []byte) error {
 	for {
-		var list []member
-		if m, here, ok := n.leaderNow(); here {
-			a := n.hearWish(ctx, body)
+		var list []voter
+		if m, here, ok := n.knownLeader(); here {
+			a := n.handleChange(ctx, body)
 			if a[0] == codeOK {
 				return nil
 			}
@@ -217,15 +217,15 @@
 		} else if ok {
 			list = append(list, m)
 		}
-		for _, m := range append(list, n.others()...) {
-			a, err := n.caller.ask(ctx, m.Name, m.Addr, kindWish, body)
+		for _, m := range append(list, n.otherVoters()...) {
+			a, err := n.client.call(ctx, m.Name, m.Addr, requestChange, body)
 			switch {
-			case errors.Is(err, errUnsent):
+			case errors.Is(err, errNotSent):
 			case err != nil:
 				return ErrOutcomeUnknown
 			case a[0] == codeOK:
 				return nil
-			case a[0] == codeRefused:
+			case a[0] == codeRejected:
 				return errors.New(string(a[1:]))
 			}
 		}
@@ -234,16 +234,16 @@
 			return ErrNoQuorum
 		case <-n.quit:
 			return ErrClosed
-		case <-time.After(tryPause):
+		case <-time.After(retryDelay):
 		}
 	}
 }
 
-// wish has the leader know that this relay is to be taken in.
-func (n *Node) wish(w wish) {
-	for _, m := range n.toLeader() {
-		ctx, cancel := context.WithTimeout(n.ctx, passMost)
-		b, err := n.caller.ask(ctx, m.Name, m.Addr, kindWish, append(put(nil, 0), w.encode()...))
+// sendChange has the leader know that this relay is to be taken in.
+func (n *Node) sendChange(w changeProposal) {
+	for _, m := range n.leaderCandidates() {
+		ctx, cancel := context.WithTimeout(n.ctx, forwardTimeout)
+		b, err := n.client.call(ctx, m.Name, m.Addr, requestChange, append(putUints(nil, 0), w.encode()...))
 		cancel()
 		if err == nil && b[0] == codeOK {
 			return
@@ -251,28 +251,28 @@
 	}
 }
 
-// hearWish takes a change of voters at the leader. One that was ordered is refused if it is not allowed now; a newcomer's waits.
-func (n *Node) hearWish(ctx context.Context, body []byte) []byte {
-	return n.atLeader(ctx, kindWish, body, func(r reader) []byte {
-		w := wish{ordered: r.uint() == 1, id: r.uint(), old: r.string(), name: r.string(), addr: r.string()}
-		if r.end() != nil || w.id == 0 || w.name == "" {
-			return refused(errShort)
+// handleChange takes a change of voters at the leader. One that was ordered is refused if it is not allowed now; a newcomer's waits.
+func (n *Node) handleChange(ctx context.Context, body []byte) []byte {
+	return n.atLeader(ctx, requestChange, body, func(r reader) []byte {
+		w := changeProposal{byOperator: r.uint() == 1, newID: r.uint(), oldName: r.string(), newName: r.string(), address: r.string()}
+		if r.finish() != nil || w.newID == 0 || w.newName == "" {
+			return rejection(errMalformed)
 		}
 		done := make(chan error, 1)
-		n.later(func(e *engine) {
+		n.onEngine(func(e *engine) {
 			var err error
-			if w.ordered {
-				_, err = e.c.allowed(w)
+			if w.byOperator {
+				_, err = e.core.checkChange(w)
 			}
 			if err == nil {
-				e.c.wants(w)
+				e.core.addProposal(w)
 			}
 			done <- err
 		})
 		select {
 		case err := <-done:
 			if err != nil {
-				return refused(err)
+				return rejection(err)
 			}
 			return []byte{codeOK}
 		case <-ctx.Done():
--- a/internal/consensus/seal.go
+++ b/internal/consensus/seal.go
@@ -18,33 +18,33 @@
 // and it leans on clocks. Here the receiver draws an epoch when it starts and tells it in every answer: a request that names another is refused
 // unread, so that nothing recorded before a restart counts after it; within an epoch each number counts once. No clock is read.
 const (
-	sealVersion = 2
-	markSize    = 4
-	tagSize     = 32
-	sealFixed   = 1 + markSize + 8 + 8 + 8 + 1
-	numbersKept = 4096 // how far behind the newest number a request may come; at most requestsMost run at a time
-	sendersMost = 1024
-	nameMost    = 255
-	twinTimes   = 3 // as often a name begins to send anew within twinEvery, if two relays have it
+	envelopeVersion    = 2
+	keyIDSize          = 4
+	tagSize            = 32
+	envelopeFixedSize  = 1 + keyIDSize + 8 + 8 + 8 + 1
+	replayWindow       = 4096 // how far behind the newest number a request may come; at most requestsMost run at a time
+	maxSenders         = 1024
+	maxNameSize        = 255
+	duplicateThreshold = 3 // as often a name begins to send anew within twinEvery, if two relays have it
 )
 
 var (
-	errSize    = errors.New("size")
-	errVersion = errors.New("version")
-	errKey     = errors.New("key")
-	errTag     = errors.New("tag")
-	errOther   = errors.New("for another relay")
-	errEpoch   = errors.New("epoch")
-	errOld     = errors.New("old")
-	errRepeat  = errors.New("repeated")
+	errSize          = errors.New("size")
+	errVersion       = errors.New("version")
+	errKey           = errors.New("key")
+	errTag           = errors.New("tag")
+	errWrongReceiver = errors.New("for another relay")
+	errWrongEpoch    = errors.New("epoch")
+	errStaleStart    = errors.New("old")
+	errReplayed      = errors.New("repeated")
 )
 
-func keyMark(key []byte) []byte {
+func keyID(key []byte) []byte {
 	sum := sha256.Sum256(append([]byte("accord mark "), key...))
-	return sum[:markSize]
+	return sum[:keyIDSize]
 }
 
-func tagOf(key []byte, parts ...[]byte) []byte {
+func computeTag(key []byte, parts ...[]byte) []byte {
 	h := hmac.New(sha256.New, key)
 	h.Write([]byte("accord\x00"))
 	for _, p := range parts {
@@ -53,42 +53,42 @@
 	return h.Sum(nil)
 }
 
-// request is what an envelope held.
-type request struct {
-	from  string
-	kind  byte
-	body  []byte
-	key   []byte
-	tag   []byte
-	epoch uint64
-	start uint64
-	seq   uint64
+// envelope is what an envelope held.
+type envelope struct {
+	from     string
+	kind     byte
+	body     []byte
+	key      []byte
+	tag      []byte
+	epoch    uint64
+	start    uint64
+	sequence uint64
 }
 
 // sealRequest makes an envelope. It returns the tag, which the answer has to cover.
 func sealRequest(key []byte, epoch, start, seq uint64, kind byte, from, to string, body []byte) (b, tag []byte) {
-	b = make([]byte, 0, sealFixed+2+len(from)+len(to)+len(body)+tagSize)
-	b = append(append(b, sealVersion), keyMark(key)...)
+	b = make([]byte, 0, envelopeFixedSize+2+len(from)+len(to)+len(body)+tagSize)
+	b = append(append(b, envelopeVersion), keyID(key)...)
 	for _, v := range []uint64{epoch, start, seq} {
 		b = binary.BigEndian.AppendUint64(b, v)
 	}
 	b = append(b, kind, byte(len(from)))
 	b = append(append(b, from...), byte(len(to)))
 	b = append(append(b, to...), body...)
-	tag = tagOf(key, b)
+	tag = computeTag(key, b)
 	return append(b, tag...), tag
 }
 
-// openRequest checks all but freshness.
-func openRequest(keys gossip.Keys, self string, b []byte) (r request, err error) {
-	if len(b) < sealFixed+2+tagSize {
+// verifyRequest checks all but freshness.
+func verifyRequest(keys gossip.Keys, self string, b []byte) (r envelope, err error) {
+	if len(b) < envelopeFixedSize+2+tagSize {
 		return r, errSize
 	}
-	if b[0] != sealVersion {
+	if b[0] != envelopeVersion {
 		return r, errVersion
 	}
 	for _, k := range keys {
-		if string(keyMark(k)) == string(b[1:1+markSize]) {
+		if string(keyID(k)) == string(b[1:1+keyIDSize]) {
 			r.key = k
 		}
 	}
@@ -97,11 +97,11 @@
 	}
 	body := b[:len(b)-tagSize]
 	r.tag = b[len(b)-tagSize:]
-	if !hmac.Equal(tagOf(r.key, body), r.tag) {
+	if !hmac.Equal(computeTag(r.key, body), r.tag) {
 		return r, errTag
 	}
-	at := body[1+markSize:]
-	r.epoch, r.start, r.seq = binary.BigEndian.Uint64(at), binary.BigEndian.Uint64(at[8:]), binary.BigEndian.Uint64(at[16:])
+	at := body[1+keyIDSize:]
+	r.epoch, r.start, r.sequence = binary.BigEndian.Uint64(at), binary.BigEndian.Uint64(at[8:]), binary.BigEndian.Uint64(at[16:])
 	r.kind = at[24]
 	at = at[25:]
 	for i := range 2 {
@@ -113,7 +113,7 @@
 		if i == 0 {
 			r.from = name
 		} else if name != self {
-			return r, errOther
+			return r, errWrongReceiver
 		}
 	}
 	if r.from == "" {
@@ -123,103 +123,103 @@
 	return r, nil
 }
 
-// fresh is what a receiver keeps against repeated requests. It is bounded.
-type fresh struct {
-	mu      sync.Mutex
-	epoch   uint64
-	senders map[string]*numbers
-	raised  map[string]int // how often a start went up, by name, since twins forgot
+// replayGuard is what a receiver keeps against repeated requests. It is bounded.
+type replayGuard struct {
+	mu       sync.Mutex
+	epoch    uint64
+	senders  map[string]*senderWindow
+	restarts map[string]int // how often a start went up, by name, since twins forgot
 }
 
-type numbers struct {
+type senderWindow struct {
 	start, newest uint64
-	seen          [numbersKept / 64]uint64
+	seen          [replayWindow / 64]uint64
 }
 
-// check says whether a request counts, and the start that the sender has to be above if it is errOld.
-func (f *fresh) check(r request) (start uint64, err error) {
+// admit says whether a request counts, and the start that the sender has to be above if it is errStaleStart.
+func (f *replayGuard) admit(r envelope) (start uint64, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if r.epoch != f.epoch {
-		return 0, errEpoch
+		return 0, errWrongEpoch
 	}
 	n := f.senders[r.from]
 	if n == nil || r.start > n.start {
-		if n == nil && len(f.senders) >= sendersMost {
+		if n == nil && len(f.senders) >= maxSenders {
 			return 0, errSize
 		}
 		if f.senders == nil {
-			f.senders = map[string]*numbers{}
+			f.senders = map[string]*senderWindow{}
 		}
 		if n != nil {
-			f.raise(r.from)
+			f.noteRestart(r.from)
 		}
-		n = &numbers{start: r.start}
+		n = &senderWindow{start: r.start}
 		f.senders[r.from] = n
 	}
-	bit := func(seq uint64) (*uint64, uint64) { return &n.seen[seq%numbersKept/64], 1 << (seq % 64) }
+	bit := func(seq uint64) (*uint64, uint64) { return &n.seen[seq%replayWindow/64], 1 << (seq % 64) }
 	switch {
 	case r.start < n.start:
-		return n.start, errOld
-	case r.seq > n.newest:
-		for s := max(n.newest, r.seq-min(r.seq, numbersKept)) + 1; s < r.seq; s++ {
+		return n.start, errStaleStart
+	case r.sequence > n.newest:
+		for s := max(n.newest, r.sequence-min(r.sequence, replayWindow)) + 1; s < r.sequence; s++ {
 			word, mask := bit(s)
 			*word &^= mask
 		}
-		n.newest = r.seq
-	case n.newest-r.seq >= numbersKept:
-		return 0, errRepeat
+		n.newest = r.sequence
+	case n.newest-r.sequence >= replayWindow:
+		return 0, errReplayed
 	default:
-		if word, mask := bit(r.seq); *word&mask != 0 {
-			return 0, errRepeat
+		if word, mask := bit(r.sequence); *word&mask != 0 {
+			return 0, errReplayed
 		}
 	}
-	word, mask := bit(r.seq)
+	word, mask := bit(r.sequence)
 	*word |= mask
 	return 0, nil
 }
 
-// raise notes that a name began to send anew. Names are those of senders, and the own one.
-func (f *fresh) raise(name string) {
-	if f.raised == nil {
-		f.raised = map[string]int{}
+// noteRestart notes that a name began to send anew. Names are those of senders, and the own one.
+func (f *replayGuard) noteRestart(name string) {
+	if f.restarts == nil {
+		f.restarts = map[string]int{}
 	}
-	f.raised[name]++
+	f.restarts[name]++
 }
 
-func (f *fresh) raiseOwn(name string) {
+func (f *replayGuard) noteOwnRestart(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.raise(name)
+	f.noteRestart(name)
 }
 
-// twins are the names under which two relays seem to send: each refuses the other's numbers, so that both begin anew again and again. One that
+// duplicateNames are the names under which two relays seem to send: each refuses the other's numbers, so that both begin anew again and again. One that
 // starts again does so once.
-func (f *fresh) twins(forget bool) (names []string) {
+func (f *replayGuard) duplicateNames(forget bool) (names []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for name, times := range f.raised {
-		if times >= twinTimes {
+	for name, times := range f.restarts {
+		if times >= duplicateThreshold {
 			names = append(names, name)
 		}
 	}
 	if forget {
-		f.raised = nil
+		f.restarts = nil
 	}
 	slices.Sort(names)
 	return names
 }
 
-// sealAnswer seals part number part of an answer to the request with that tag; openAnswer takes it apart.
+// sealAnswer seals part number part of an answer to the request with that tag; verifyAnswer takes it apart.
 func sealAnswer(key, requestTag []byte, part uint64, body []byte) []byte {
-	return append(tagOf(key, []byte("answer"), requestTag, binary.BigEndian.AppendUint64(nil, part), body), body...)
+	return append(computeTag(key, []byte("answer"), requestTag, binary.BigEndian.AppendUint64(nil, part), body), body...)
 }
 
-func openAnswer(key, requestTag []byte, part uint64, b []byte) ([]byte, error) {
+func verifyAnswer(key, requestTag []byte, part uint64, b []byte) ([]byte, error) {
 	if len(b) < tagSize {
 		return nil, errSize
 	}
-	if !hmac.Equal(tagOf(key, []byte("answer"), requestTag, binary.BigEndian.AppendUint64(nil, part), b[tagSize:]), b[:tagSize]) {
+	if !hmac.Equal(computeTag(key, []byte("answer"), requestTag, binary.BigEndian.AppendUint64(nil, part), b[tagSize:]), b[:tagSize]) {
 		return nil, errTag
 	}
 	return b[tagSize:], nil
--- a/internal/consensus/stored_test.go
+++ b/internal/consensus/stored_test.go
@@ -13,17 +13,17 @@
 // TestStoredFormsDataDir: a voter's directory written by release 63fa232 (one voter, three commands agreed; its hard state as the disk last had it) is read whole and opened
 // under the identity it holds, with its hard state and entries.
 func TestStoredFormsDataDir(t *testing.T) {
-	written, err := os.ReadFile(filepath.Join("testdata", "head", dbName))
+	written, err := os.ReadFile(filepath.Join("testdata", "head", databaseFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	h, err := load(written)
+	h, err := loadFile(written)
 	if err != nil {
 		t.Fatal(err)
 	}
 	const identity = 4286738726500800039
-	if h.identity != identity || h.hard.GetTerm() != 2 || h.hard.GetCommit() != 1 {
-		t.Errorf("identity %d, hard state %v", h.identity, h.hard)
+	if h.identity != identity || h.hardState.GetTerm() != 2 || h.hardState.GetCommit() != 1 {
+		t.Errorf("identity %d, hard state %v", h.identity, h.hardState)
 	}
 	var commands []string
 	for _, e := range h.entries {
@@ -37,10 +37,10 @@
 		}
 	}
 	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, dbName), written, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, databaseFile), written, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	d := &disk{dir: dir}
+	d := &disk{directory: dir}
 	opened, note, err := d.open(1)
 	if err != nil || note != "" {
 		t.Fatalf("opened with %v: %s", err, note)
--- a/internal/consensus/wire.go
+++ b/internal/consensus/wire.go
@@ -10,40 +10,40 @@
 	"google.golang.org/protobuf/proto"
 )
 
-var errShort = errors.New("short or malformed")
+var errMalformed = errors.New("short or malformed")
 
 // reader takes apart what writer made. The first error stays; what is read after it is empty.
 type reader struct {
-	b   []byte
-	err error
+	rest []byte
+	err  error
 }
 
 func (r *reader) uint() uint64 {
-	v, n := binary.Uvarint(r.b)
+	v, n := binary.Uvarint(r.rest)
 	if n <= 0 {
-		r.err, r.b = errShort, nil
+		r.err, r.rest = errMalformed, nil
 		return 0
 	}
-	r.b = r.b[n:]
+	r.rest = r.rest[n:]
 	return v
 }
 
 func (r *reader) bytes() []byte {
 	n := r.uint()
-	if n > uint64(len(r.b)) {
-		r.err, r.b = errShort, nil
+	if n > uint64(len(r.rest)) {
+		r.err, r.rest = errMalformed, nil
 		return nil
 	}
-	b := r.b[:n:n]
-	r.b = r.b[n:]
+	b := r.rest[:n:n]
+	r.rest = r.rest[n:]
 	return b
 }
 
 // count is a number of things of which each takes at least a byte.
 func (r *reader) count() int {
 	n := r.uint()
-	if n > uint64(len(r.b)) {
-		r.err, r.b = errShort, nil
+	if n > uint64(len(r.rest)) {
+		r.err, r.rest = errMalformed, nil
 		return 0
 	}
 	return int(n)
@@ -53,7 +53,7 @@
 func (r *reader) list(most int) (l [][]byte) {
 	n := r.count()
 	if n > most {
-		r.err, r.b = errShort, nil
+		r.err, r.rest = errMalformed, nil
 		return nil
 	}
 	for range n {
@@ -64,14 +64,14 @@
 
 func (r *reader) string() string { return string(r.bytes()) }
 
-func (r *reader) end() error {
-	if r.err == nil && len(r.b) > 0 {
-		return errShort
+func (r *reader) finish() error {
+	if r.err == nil && len(r.rest) > 0 {
+		return errMalformed
 	}
 	return r.err
 }
 
-func put(b []byte, vs ...uint64) []byte {
+func putUints(b []byte, vs ...uint64) []byte {
 	for _, v := range vs {
 		b = binary.AppendUvarint(b, v)
 	}
@@ -83,29 +83,29 @@
 }
 
 func putList(b []byte, l [][]byte) []byte {
-	b = put(b, uint64(len(l)))
+	b = putUints(b, uint64(len(l)))
 	for _, v := range l {
 		b = putBytes(b, v)
 	}
 	return b
 }
 
-func flag(v bool) uint64 {
+func boolToUint(v bool) uint64 {
 	if v {
 		return 1
 	}
 	return 0
 }
 
-// member is a voter as the record has it; the key is its identity, which is its id in raft too.
-type member struct{ Name, Addr string }
+// voter is a voter as the record has it; the key is its identity, which is its id in raft too.
+type voter struct{ Name, Addr string }
 
-type members map[uint64]member
+type voterSet map[uint64]voter
 
-func (m members) ids() []uint64 { return slices.Sorted(maps.Keys(m)) }
+func (m voterSet) ids() []uint64 { return slices.Sorted(maps.Keys(m)) }
 
-// named is the identity under which the record has a name; 0 for none.
-func (m members) named(name string) uint64 {
+// idOf is the identity under which the record has a name; 0 for none.
+func (m voterSet) idOf(name string) uint64 {
 	for _, id := range m.ids() {
 		if m[id].Name == name {
 			return id
@@ -114,41 +114,43 @@
 	return 0
 }
 
-func putMembers(b []byte, m members) []byte {
-	b = put(b, uint64(len(m)))
+func putVoterSet(b []byte, m voterSet) []byte {
+	b = putUints(b, uint64(len(m)))
 	for _, id := range m.ids() {
-		b = putBytes(putBytes(put(b, id), m[id].Name), m[id].Addr)
+		b = putBytes(putBytes(putUints(b, id), m[id].Name), m[id].Addr)
 	}
 	return b
 }
 
-func (r *reader) members() members {
-	m := members{}
+func (r *reader) voterSet() voterSet {
+	m := voterSet{}
 	for range r.count() {
 		id := r.uint()
-		m[id] = member{r.string(), r.string()}
+		m[id] = voter{r.string(), r.string()}
 	}
 	return m
 }
 
-// change is the context of a change of voters.
-type change struct {
-	old, new   uint64
-	name, addr string
+// voterChange is the context of a change of voters.
+type voterChange struct {
+	oldID, newID     uint64
+	newName, address string
 }
 
-func (c change) encode() []byte { return putBytes(putBytes(put(nil, c.old, c.new), c.name), c.addr) }
+func (c voterChange) encode() []byte {
+	return putBytes(putBytes(putUints(nil, c.oldID, c.newID), c.newName), c.address)
+}
 
-func decodeChange(b []byte) (change, error) {
-	r := reader{b: b}
-	c := change{old: r.uint(), new: r.uint(), name: r.string(), addr: r.string()}
-	return c, r.end()
+func decodeVoterChange(b []byte) (voterChange, error) {
+	r := reader{rest: b}
+	c := voterChange{oldID: r.uint(), newID: r.uint(), newName: r.string(), address: r.string()}
+	return c, r.finish()
 }
 
-func (m members) apply(c change) members {
+func (m voterSet) withChange(c voterChange) voterSet {
 	n := maps.Clone(m)
-	delete(n, c.old)
-	n[c.new] = member{c.name, c.addr}
+	delete(n, c.oldID)
+	n[c.newID] = voter{c.newName, c.address}
 	return n
 }
 
@@ -159,47 +161,49 @@
 	entryVoters  = 2
 )
 
-// item is a committed entry as it is applied and handed to followers. Voters carry what they lead to, so that followers need no engine.
-type item struct {
+// committedEntry is a committed entry as it is applied and handed to followers. Voters carry what they lead to, so that followers need no engine.
+type committedEntry struct {
 	index, term uint64
 	kind        byte
-	id          [16]byte // of the proposal
-	data        []byte   // the command
-	members     members
-	conf        []byte // the engine's own form of who votes
+	proposalID  [16]byte // of the proposal
+	command     []byte   // the command
+	voters      voterSet
+	confState   []byte // the engine's own form of who votes
 }
 
-func (it item) size() int { return 64 + len(it.data) + len(it.conf) + 64*len(it.members) }
+func (it committedEntry) size() int {
+	return 64 + len(it.command) + len(it.confState) + 64*len(it.voters)
+}
 
-func putItem(b []byte, it item) []byte {
-	b = put(b, it.index, it.term, uint64(it.kind))
+func putEntry(b []byte, it committedEntry) []byte {
+	b = putUints(b, it.index, it.term, uint64(it.kind))
 	switch it.kind {
 	case entryCommand:
-		b = putBytes(append(b, it.id[:]...), it.data)
+		b = putBytes(append(b, it.proposalID[:]...), it.command)
 	case entryVoters:
-		b = putMembers(putBytes(b, it.conf), it.members)
+		b = putVoterSet(putBytes(b, it.confState), it.voters)
 	}
 	return b
 }
 
-func (r *reader) item() (it item) {
+func (r *reader) entry() (it committedEntry) {
 	it.index, it.term = r.uint(), r.uint()
 	switch kind := r.uint(); kind {
 	case entryEmpty:
 	case entryCommand:
 		it.kind = entryCommand
-		if len(r.b) < 16 {
-			r.err, r.b = errShort, nil
+		if len(r.rest) < 16 {
+			r.err, r.rest = errMalformed, nil
 			return it
 		}
-		copy(it.id[:], r.b)
-		r.b = r.b[16:]
-		it.data = r.bytes()
+		copy(it.proposalID[:], r.rest)
+		r.rest = r.rest[16:]
+		it.command = r.bytes()
 	case entryVoters:
 		it.kind = entryVoters
-		it.conf, it.members = r.bytes(), r.members()
+		it.confState, it.voters = r.bytes(), r.voterSet()
 	default:
-		r.err = errShort
+		r.err = errMalformed
 	}
 	return it
 }
@@ -217,47 +221,47 @@
 	return id, b[17:], true
 }
 
-// state is a snapshot: all that a relay holds of the record at an index.
-type state struct {
-	record      uint64
-	index, term uint64
-	conf        []byte
-	members     members
-	machine     []byte
-	votersAt    uint64 // the index at which members were agreed; 0 as founded
+// recordSnapshot is a snapshot: all that a relay holds of the record at an index.
+type recordSnapshot struct {
+	recordID     uint64
+	index, term  uint64
+	confState    []byte
+	voters       voterSet
+	machineState []byte
+	votersIndex  uint64 // the index at which members were agreed; 0 as founded
 }
 
-func (s state) encode() []byte {
-	b := put(nil, s.record, s.index, s.term)
-	return put(putBytes(putMembers(putBytes(b, s.conf), s.members), s.machine), s.votersAt)
+func (s recordSnapshot) encode() []byte {
+	b := putUints(nil, s.recordID, s.index, s.term)
+	return putUints(putBytes(putVoterSet(putBytes(b, s.confState), s.voters), s.machineState), s.votersIndex)
 }
 
-func decodeState(b []byte) (state, error) {
-	r := reader{b: b}
-	s := state{record: r.uint(), index: r.uint(), term: r.uint(), conf: r.bytes(), members: r.members(), machine: r.bytes(), votersAt: r.uint()}
-	if err := r.end(); err != nil {
+func decodeSnapshot(b []byte) (recordSnapshot, error) {
+	r := reader{rest: b}
+	s := recordSnapshot{recordID: r.uint(), index: r.uint(), term: r.uint(), confState: r.bytes(), voters: r.voterSet(), machineState: r.bytes(), votersIndex: r.uint()}
+	if err := r.finish(); err != nil {
 		return s, err
 	}
 	var cs pb.ConfState
-	return s, proto.Unmarshal(s.conf, &cs)
+	return s, proto.Unmarshal(s.confState, &cs)
 }
 
 // batch is messages of the engine for one voter. The sender's identity goes with them: the name is in the envelope.
-func encodeBatch(from uint64, marks map[uint64]mark, ms [][]byte) []byte {
-	b := put(nil, from, uint64(len(marks)))
+func encodeMessages(from uint64, marks map[uint64]logPosition, ms [][]byte) []byte {
+	b := putUints(nil, from, uint64(len(marks)))
 	for _, id := range slices.Sorted(maps.Keys(marks)) {
-		b = put(b, id, marks[id].term, marks[id].index)
+		b = putUints(b, id, marks[id].term, marks[id].index)
 	}
 	return putList(b, ms)
 }
 
-func decodeBatch(b []byte) (from uint64, marks map[uint64]mark, ms []*pb.Message, err error) {
-	r := reader{b: b}
+func decodeMessages(b []byte) (from uint64, marks map[uint64]logPosition, ms []*pb.Message, err error) {
+	r := reader{rest: b}
 	from = r.uint()
-	marks = map[uint64]mark{}
+	marks = map[uint64]logPosition{}
 	for range r.count() {
 		id := r.uint()
-		marks[id] = mark{r.uint(), r.uint()}
+		marks[id] = logPosition{r.uint(), r.uint()}
 	}
 	for range r.count() {
 		m := &pb.Message{}
@@ -266,5 +270,5 @@
 		}
 		ms = append(ms, m)
 	}
-	return from, marks, ms, r.end()
+	return from, marks, ms, r.finish()
 }
--- a/internal/consensus/wire_test.go
+++ b/internal/consensus/wire_test.go
@@ -10,7 +10,7 @@
 )
 
 func samples(t interface{ Fatal(...any) }) [][]byte {
-	s, err := foundation(3, members{7: {"a", "b"}, 9: {"c", "d"}}, []byte("machine"))
+	s, err := bootstrapSnapshot(3, voterSet{7: {"a", "b"}, 9: {"c", "d"}}, []byte("machine"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -18,12 +18,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	items := put(nil, 3)
-	items = putItem(items, item{index: 4, term: 1, kind: entryCommand, id: [16]byte{1}, data: []byte("c")})
-	items = putItem(items, item{index: 5, term: 1})
-	items = putItem(items, item{index: 6, term: 2, kind: entryVoters, conf: s.conf, members: s.members})
-	hi := put(putMembers(put([]byte{codeOK}, 1, 7, 3, 9), s.members), 4, 5, 1, 1)
-	return [][]byte{s.encode(), encodeBatch(7, map[uint64]mark{9: {1, 2}}, [][]byte{m}), items, hi, change{7, 9, "a", "b"}.encode(), encodeCommand([16]byte{2}, []byte("c"))}
+	items := putUints(nil, 3)
+	items = putEntry(items, committedEntry{index: 4, term: 1, kind: entryCommand, proposalID: [16]byte{1}, command: []byte("c")})
+	items = putEntry(items, committedEntry{index: 5, term: 1})
+	items = putEntry(items, committedEntry{index: 6, term: 2, kind: entryVoters, confState: s.confState, voters: s.voters})
+	hi := putUints(putVoterSet(putUints([]byte{codeOK}, 1, 7, 3, 9), s.voters), 4, 5, 1, 1)
+	return [][]byte{s.encode(), encodeMessages(7, map[uint64]logPosition{9: {1, 2}}, [][]byte{m}), items, hi, voterChange{7, 9, "a", "b"}.encode(), encodeCommand([16]byte{2}, []byte("c"))}
 }
 
 // FuzzDecode: nothing that a relay may be sent ends it or makes it hold more than came; what is read is written the same way.
@@ -34,28 +34,28 @@
 	}
 	f.Add(bytes.Repeat([]byte{0xff}, 40))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if s, err := decodeState(b); err == nil {
-			again, err := decodeState(s.encode())
+		if s, err := decodeSnapshot(b); err == nil {
+			again, err := decodeSnapshot(s.encode())
 			if err != nil || !bytes.Equal(again.encode(), s.encode()) {
 				t.Fatal("state")
 			}
 		}
-		if from, marks, ms, err := decodeBatch(b); err == nil {
+		if from, marks, ms, err := decodeMessages(b); err == nil {
 			if len(marks)+len(ms) > len(b) {
 				t.Fatal("more than came", from)
 			}
 		}
-		if _, err := decodeHello(b); err == nil && b[0] != codeOK {
+		if _, err := decodePeerStatus(b); err == nil && b[0] != codeOK {
 			t.Fatal("hello")
 		}
-		_, _ = decodeChange(b)
+		_, _ = decodeVoterChange(b)
 		_, _, _ = decodeCommand(b)
-		r := reader{b: b}
+		r := reader{rest: b}
 		n := 0
 		for range r.count() {
-			if it := r.item(); r.err == nil {
-				r2 := reader{b: putItem(nil, it)}
-				if again := r2.item(); r2.end() != nil || again.index != it.index || !bytes.Equal(again.data, it.data) {
+			if it := r.entry(); r.err == nil {
+				r2 := reader{rest: putEntry(nil, it)}
+				if again := r2.entry(); r2.finish() != nil || again.index != it.index || !bytes.Equal(again.command, it.command) {
 					t.Fatal("item")
 				}
 			}
@@ -69,14 +69,14 @@
 
 func FuzzEnvelope(f *testing.F) {
 	keys := [][]byte{[]byte("key one"), []byte("key two")}
-	good, _ := sealRequest(keys[1], 4, 5, 6, kindSay, "from", "to", []byte("body"))
+	good, _ := sealRequest(keys[1], 4, 5, 6, requestReport, "from", "to", []byte("body"))
 	f.Add(good)
 	f.Add(good[:len(good)-1])
-	f.Add([]byte{sealVersion})
+	f.Add([]byte{envelopeVersion})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		r, err := openRequest(keys, "to", b)
+		r, err := verifyRequest(keys, "to", b)
 		if err == nil && !bytes.Equal(b, good) {
-			again, _ := sealRequest(r.key, r.epoch, r.start, r.seq, r.kind, r.from, "to", r.body)
+			again, _ := sealRequest(r.key, r.epoch, r.start, r.sequence, r.kind, r.from, "to", r.body)
 			if !bytes.Equal(again, b) {
 				t.Fatal("let in, and not sealed so")
 			}
@@ -86,47 +86,47 @@
 
 func TestEnvelope(t *testing.T) {
 	keys := [][]byte{[]byte("key one"), []byte("key two")}
-	f := fresh{epoch: 4}
+	f := replayGuard{epoch: 4}
 	check := func(epoch, start, seq uint64) error {
-		b, _ := sealRequest(keys[0], epoch, start, seq, kindPropose, "a", "b", []byte("x"))
-		r, err := openRequest(keys, "b", b)
+		b, _ := sealRequest(keys[0], epoch, start, seq, requestPropose, "a", "b", []byte("x"))
+		r, err := verifyRequest(keys, "b", b)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, err = f.check(r)
+		_, err = f.admit(r)
 		return err
 	}
 	for _, c := range []struct {
 		epoch, start, seq uint64
 		want              error
 	}{
-		{3, 9, 1, errEpoch}, {4, 9, 1, nil}, {4, 9, 1, errRepeat}, {4, 9, 500, nil}, {4, 9, 2, nil}, {4, 9, 2, errRepeat}, {4, 9, 499, nil},
-		{4, 9, 500 + numbersKept, nil}, {4, 9, 500, errRepeat}, {4, 9, 501, nil}, {4, 9, 501, errRepeat}, {4, 8, 900, errOld}, {4, 10, 1, nil}, {4, 9, 9000, errOld},
+		{3, 9, 1, errWrongEpoch}, {4, 9, 1, nil}, {4, 9, 1, errReplayed}, {4, 9, 500, nil}, {4, 9, 2, nil}, {4, 9, 2, errReplayed}, {4, 9, 499, nil},
+		{4, 9, 500 + replayWindow, nil}, {4, 9, 500, errReplayed}, {4, 9, 501, nil}, {4, 9, 501, errReplayed}, {4, 8, 900, errStaleStart}, {4, 10, 1, nil}, {4, 9, 9000, errStaleStart},
 	} {
 		if err := check(c.epoch, c.start, c.seq); err != c.want {
 			t.Errorf("%v: %v", c, err)
 		}
 	}
-	b, tag := sealRequest(keys[0], 1, 2, 3, kindPropose, "a", "b", nil)
-	if _, err := openRequest(keys, "c", b); err != errOther {
+	b, tag := sealRequest(keys[0], 1, 2, 3, requestPropose, "a", "b", nil)
+	if _, err := verifyRequest(keys, "c", b); err != errWrongReceiver {
 		t.Errorf("for another: %v", err)
 	}
 	for i := range b {
 		c := bytes.Clone(b)
 		c[i] ^= 1
-		if _, err := openRequest(keys, "b", c); err == nil {
+		if _, err := verifyRequest(keys, "b", c); err == nil {
 			t.Fatalf("byte %d turned, and let in", i)
 		}
 	}
 	a := sealAnswer(keys[0], tag, 0, []byte("yes"))
-	if got, err := openAnswer(keys[0], tag, 0, a); err != nil || string(got) != "yes" {
+	if got, err := verifyAnswer(keys[0], tag, 0, a); err != nil || string(got) != "yes" {
 		t.Fatal(err)
 	}
-	_, other := sealRequest(keys[0], 1, 2, 4, kindPropose, "a", "b", nil)
-	if _, err := openAnswer(keys[0], other, 0, a); err == nil {
+	_, other := sealRequest(keys[0], 1, 2, 4, requestPropose, "a", "b", nil)
+	if _, err := verifyAnswer(keys[0], other, 0, a); err == nil {
 		t.Error("an answer to another request")
 	}
-	if _, err := openAnswer(keys[0], tag, binary.MaxVarintLen16, a); err == nil {
+	if _, err := verifyAnswer(keys[0], tag, binary.MaxVarintLen16, a); err == nil {
 		t.Error("an answer's other part")
 	}
 }
