--- a/internal/consensus/api.go
+++ b/internal/consensus/api.go
@@ -5,9 +5,7 @@
 package consensus
 
 import (
-	"context"
 	"errors"
-	"time"
 
 	"github.com/sirupsen/logrus"
 
@@ -38,9 +36,6 @@
 	MaxSnapshotSize = 64 << 20
 )
 
-// ProposeTimeout bounds Propose, Barrier and Replace if the context has no earlier deadline.
-const ProposeTimeout = 10 * time.Second
-
 // Machine is the replicated state machine. All calls come from one goroutine, with ascending indexes; there are gaps between them, since
 // the log has entries of raft's own. Results and state must depend on the commands alone: they are the same at every relay.
 type Machine interface {
@@ -76,74 +71,3 @@
 	OnLeadership func(leading bool, term uint64)
 	Log          logrus.FieldLogger
 }
-
-// Roles in a Status. Their values are part of the status page's JSON.
-const (
-	RoleLeader     = "leader"
-	RoleVoter      = "voter"
-	RoleFollower   = "follower" // not a voter: it follows a voter's stream
-	RoleJoining    = "waiting"  // a voter by name that is not yet in the raft configuration: it bootstraps the record or waits to be added; it follows meanwhile
-	RoleDiskFailed = "mute"     // a voter whose disk fails: it does not vote, and follows
-)
-
-// Status is a node's view of itself and of the record. The JSON names are those of the status page.
-type Status struct {
-	Name, Role, Leader string
-	RecordID           uint64 `json:"Record"` // drawn at the bootstrap; 0 before
-	Identity           uint64 // of this relay's directory; a voter's raft id
-	Term               uint64
-	Applied, Committed uint64
-	LogFirst, LogLast  uint64 // indexes that the voter's log holds
-	LogBytes           int
-	SnapshotIndex      uint64
-	SnapshotBytes      int
-	HasQuorum          bool      `json:"Majority"` // a leader with a quorum is known, here or at the voter whose stream is followed
-	QuorumSince        time.Time `json:"Since"`    // when HasQuorum last changed
-	StreamSource       string    `json:"Follows"`  // the voter whose stream is followed, if any
-	Voters             map[string]string
-	VotersIndex        uint64 `json:"VotersAt"` // the index at which these voters were committed; 0 as bootstrapped
-	BytesIn, BytesOut  uint64 // of HTTP connections, headers included
-	Dropped            map[string]uint64
-	Rejected           map[string]uint64 `json:"Refused"` // requests rejected by the envelope check, by reason
-	DiskError          string            `json:"Disk"`    // the disk's last error; "" if it works
-	EngineError        string            `json:"Engine"`  // why the engine ended, or what blocks a change of voters; "" if nothing does
-	// DuplicateNames are names, its own included, under which two relays seem to send, or one that restarts repeatedly, as seen in the last seconds.
-	DuplicateNames []string `json:"Twins"`
-	// IdentityReason says how this voter got its identity if that was not its first: such as after it lost its directory.
-	IdentityReason string `json:"Taken"`
-}
-
-// Start starts a node. An unusable directory is no error: the node starts without a vote and reports it in Status.
-func Start(o Options) (*Node, error) { return startWithFaults(o, nil) }
-
-// Addr is the address that it listens on.
-func (n *Node) Addr() string { return n.address }
-
-// Propose has a command committed, from any relay. It returns the machine's result and the index once a relay that knows has applied it;
-// this relay's machine may still be behind (WaitApplied). A command is never proposed twice: an error other than ErrOutcomeUnknown says
-// that nothing was committed.
-func (n *Node) Propose(ctx context.Context, command []byte) (result []byte, index uint64, err error) {
-	return n.propose(ctx, command)
-}
-
-// Barrier returns when all that was committed before the call is applied here. It needs a quorum, and adds nothing to the log.
-func (n *Node) Barrier(ctx context.Context) (index uint64, err error) { return n.barrier(ctx) }
-
-// WaitApplied returns when the machine here has applied the entries up to index.
-func (n *Node) WaitApplied(ctx context.Context, index uint64) error { return n.waitApplied(ctx, index) }
-
-// Report sends a report to the leader, within about a second, possibly never: a full queue drops it (ErrQueueFull) and counts.
-func (n *Node) Report(report []byte) error { return n.queueReport(report) }
-
-// Replace makes the relay newName, at address, a voter in the place of oldName. The new relay has to run already. It returns when the
-// record has the change; it is rejected unless all other voters are healthy, or while another change is in progress. If both names are
-// equal, only the address changes.
-func (n *Node) Replace(ctx context.Context, oldName, newName, address string) error {
-	return n.replaceVoter(ctx, oldName, newName, address)
-}
-
-// Status returns the node's current status.
-func (n *Node) Status() Status { return n.status() }
-
-// Close stops the node and waits for its goroutines; it closes its connections and files.
-func (n *Node) Close() error { return n.close() }
--- a/internal/consensus/engine.go
+++ b/internal/consensus/engine.go
@@ -2,24 +2,15 @@
 
 import (
 	"fmt"
-	"maps"
 	"sync/atomic"
 	"time"
-
-	"github.com/sirupsen/logrus"
-	"go.etcd.io/raft/v3"
-	pb "go.etcd.io/raft/v3/raftpb"
 )
 
 const (
-	tickInterval      = 50 * time.Millisecond
-	diskRetryInterval = time.Second // how often a failed disk is tried anew
-	messageQueueSize  = 1024        // messages that wait for the engine
-	callQueueSize     = 256
-	applyQueueSize    = 64   // batches that wait to be applied
-	retainedEntries   = 1024 // entries kept behind a snapshot, for voters that are a little behind
-	retainedBytes     = 1 << 20
-	maxCatchUpTicks   = 4 // tickCount made up for after a pause
+	tickInterval     = 50 * time.Millisecond
+	messageQueueSize = 1024 // messages that wait for the engine
+	callQueueSize    = 256
+	maxCatchUpTicks  = 4 // tickCount made up for after a pause
 )
 
 // engine runs a core on a goroutine of its own, and its disk on another.
@@ -50,27 +41,6 @@
 	view               atomic.Pointer[engineView]
 }
 
-// peerMessages is what another voter sent.
-type peerMessages struct {
-	from         uint64
-	acknowledged map[uint64]logPosition
-	messages     []*pb.Message
-}
-
-// engineView is what the engine shows of itself.
-type engineView struct {
-	isLeader, unverified, inJointConfig bool
-	leader, term, committed             uint64
-	firstIndex, lastIndex               uint64
-	snapshotIndex                       uint64
-	snapshotBytes                       int
-	diskError                           error
-	voters                              voterSet
-	acknowledged                        map[uint64]logPosition
-	changeBlocked                       string
-	at                                  time.Time
-}
-
 func newEngine(n *Node, c *core, d *disk) *engine {
 	e := &engine{node: n, id: c.id, core: c, disk: d, messages: make(chan peerMessages, messageQueueSize), calls: make(chan *pendingCall, callQueueSize), tasks: make(chan func(), callQueueSize),
 		writes: make(chan func() error), writeResults: make(chan error, 1), quit: make(chan struct{}), ended: make(chan struct{})}
@@ -186,147 +156,3 @@
 		e.node.pendingCalls.fail(w, err)
 	}
 }
-
-// processReady hands the next work on, if the apply thread has room and the disk is done.
-func (e *engine) processReady() {
-	for e.err == nil && e.pending == nil && e.diskError == nil && !e.writeInProgress {
-		if s := e.ownSnapshot; s != nil {
-			e.compact(*s)
-			continue
-		}
-		if len(e.node.applyQueue) >= applyQueueSize-2 {
-			return
-		}
-		w := e.core.nextReady()
-		if w == nil {
-			return
-		}
-		e.pending = w
-		for _, en := range w.entries {
-			if id, _, ok := decodeCommand(en.GetData()); ok && en.GetType() == pb.EntryNormal {
-				e.node.pendingCalls.assignIndex(id, en.GetIndex())
-			}
-		}
-		e.node.transport.send(e.core, w.beforeSync)
-		if e.disk == nil || !w.mustSync() {
-			e.completeReady()
-			continue
-		}
-		dw := diskWrite{hardState: w.hardState, entries: w.entries, acknowledged: maps.Clone(w.acknowledged)}
-		if w.snapshot != nil {
-			dw.snapshot = w.snapshot.GetData()
-		}
-		e.startWrite(func() error { return e.disk.write(dw) }, e.completeReady)
-	}
-}
-
-func (e *engine) startWrite(f func() error, after func()) {
-	e.writeInProgress, e.afterWrite = true, after
-	e.writes <- f
-}
-
-func (e *engine) writeDone(err error) {
-	if err != nil {
-		if e.diskError == nil {
-			e.node.log().WithFields(logrus.Fields{"error": err.Error()}).Error("accord: the disk failed: this voter does not vote until it is mended")
-		}
-		e.diskError, e.diskRetryAt = err, time.Now().Add(diskRetryInterval)
-		e.publishView()
-		return
-	}
-	if e.diskError != nil {
-		e.node.log().Warn("accord: the disk is well again: this voter votes")
-		e.diskError, e.silentUntilTick = nil, e.core.tickCount+electionTicks+1
-	}
-	if f := e.afterWrite; f != nil {
-		e.afterWrite = nil
-		f()
-	}
-	e.publishView()
-}
-
-// rewriteDisk writes all that this voter has acknowledged into a new file, and what it was about to.
-func (e *engine) rewriteDisk() {
-	h, err := stateToStore(e.id, e.core.storage, maps.Clone(e.core.acknowledged))
-	if err != nil {
-		e.err = err
-		return
-	}
-	var more *diskWrite
-	if w := e.pending; w != nil {
-		more = &diskWrite{hardState: w.hardState, entries: w.entries}
-		if w.snapshot != nil {
-			more.snapshot = w.snapshot.GetData()
-		}
-	}
-	e.writeInProgress = true
-	e.writes <- func() error { return e.disk.rewrite(h, more) }
-}
-
-// completeReady is when the work is written.
-func (e *engine) completeReady() {
-	w := e.pending
-	e.pending = nil
-	was := e.core.voters
-	snap, items, err := e.core.advance()
-	if err != nil {
-		e.err = err
-		return
-	}
-	e.node.transport.send(e.core, w.afterSync)
-	if snap != nil || len(items) > 0 {
-		e.node.applyQueue <- applyBatch{snapshot: snap, entries: items}
-	}
-	for _, rs := range w.rd.ReadStates {
-		var id [16]byte
-		copy(id[:], rs.RequestCtx)
-		e.node.pendingCalls.completeBarrier(id, rs.Index)
-	}
-	if !maps.Equal(was, e.core.voters) {
-		e.node.transport.setPeers(e.core.voters, e.id)
-	}
-	_, member := e.core.voters[e.id]
-	if !member && !e.core.inJointConfig() && (snap != nil || len(items) > 0) {
-		e.removed = true
-	}
-	if w.rd.SoftState != nil {
-		e.publishView()
-	}
-}
-
-// compaction writes a snapshot of this voter's own and drops what it holds.
-func (e *engine) compact(s recordSnapshot) {
-	raw := e.ownSnapshotEncoded
-	e.ownSnapshot, e.ownSnapshotEncoded = nil, nil
-	if s.recordID != e.core.recordID || s.index > e.core.status().Applied || s.index > e.core.lastIndex() {
-		return
-	}
-	if e.core.snapshotIndex >= s.index {
-		return
-	}
-	if err := e.core.compact(s, raw, retainedEntries); err != nil {
-		e.err = err
-		return
-	}
-	if e.disk != nil {
-		first, _ := e.core.storage.FirstIndex()
-		e.startWrite(func() error { return e.disk.write(diskWrite{compaction: raw, compactedIndex: first - 1}) }, nil)
-	}
-}
-
-func (e *engine) publishView() {
-	b := e.core.status()
-	v := &engineView{isLeader: b.RaftState == raft.StateLeader && e.diskError == nil && e.core.tickCount >= e.silentUntilTick, unverified: e.core.unverified, inJointConfig: e.core.inJointConfig(), leader: b.Lead, term: b.GetTerm(), committed: b.GetCommit(),
-		voters: e.core.voters, acknowledged: maps.Clone(e.core.acknowledged), changeBlocked: e.core.changeBlocked, diskError: e.diskError, at: time.Now()}
-	v.firstIndex, _ = e.core.storage.FirstIndex()
-	v.lastIndex = e.core.lastIndex()
-	v.snapshotIndex, v.snapshotBytes = e.core.snapshotIndex, e.core.snapshotSize
-	if e.diskError != nil || b.RaftState == raft.StateLeader && !v.isLeader {
-		v.leader = 0
-	}
-	e.view.Store(v)
-	if v.isLeader != e.announcedLeading || v.isLeader && v.term != e.announcedTerm {
-		e.announcedLeading, e.announcedTerm = v.isLeader, v.term
-		e.node.announceLeadership(v.isLeader, v.term)
-	}
-}
