--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -24,7 +24,7 @@
 const (
 	// reservedSockets are the descriptors that are not within the loop's limit: standard streams,
 	// epoll, the wakeup, what the runtime opens, and what is kept for discovery.
-	reservedSockets = 16 + pool.Descriptors
+	reservedSockets = 16 + pool.MaxDescriptors
 	// bufferMemoryFraction of the memory is what the connections' buffers may hold together;
 	// slices that grow take up to twice their length.
 	bufferMemoryFraction = 0.25
@@ -70,7 +70,7 @@
 	// means "long ago" to the decision module.
 	const zero = time.Hour
 	clock := func() time.Duration { return zero + time.Since(began) }
-	r := &relay{cfg: cfg, log: log, clock: clock, signals: caught, names: pool.Names{Settings: set, Starts: &pool.Starts{Clock: clock, Wall: wallClock, Believed: policy.Sane(set.Policy()).AskWithin}},
+	r := &relay{cfg: cfg, log: log, clock: clock, signals: caught, names: pool.MemberMapper{Settings: set, StartTimes: &pool.StartTimes{Clock: clock, WallClock: wallClock, MaxListingDelay: policy.Normalize(set.Policy()).MaxPollInterval}},
 		maxBufferBytes: int(cfg.Limits.MemoryMB * bufferMemoryFraction * (1 << 20))}
 	r.maxSockets = descriptorLimit(cfg) - reservedSockets - r.operatorDescriptors()
 	loop, err := netloop.New(clock, r.maxSockets)
@@ -78,12 +78,12 @@
 		return err
 	}
 	r.loop = loop
-	loop.Memory(r.maxBufferBytes)
+	loop.SetMemoryLimit(r.maxBufferBytes)
 	if err := r.build(); err != nil {
 		loop.Close()
 		return errors.Join(err, r.closeStore())
 	}
-	loop.Gap(r.core.Limits().AskWithin/suspensionFraction, r.afterSuspension)
+	loop.OnStall(r.core.Limits().MaxPollInterval/suspensionFraction, r.afterSuspension)
 	if cfg.CountsMS > 0 {
 		r.logCounts(time.Duration(cfg.CountsMS*float64(time.Millisecond)), core.Counts{})
 	}
@@ -95,7 +95,7 @@
 	err = loop.Run()
 	r.fleet.Close()
 	if err == nil && r.exitOrdered {
-		err = orderedExit(rollout.ExitOrdered)
+		err = orderedExit(rollout.ExitOrderedRestart)
 	}
 	log.WithField("counts", fmt.Sprintf("%+v", r.core.Counts)).Info("stopped")
 	return errors.Join(err, r.closeStore())
@@ -128,7 +128,7 @@
 			"left": now.Left - before.Left, "attempts": now.Attempts - before.Attempts,
 			"moves": now.Moves - before.Moves, "barred": now.Barred - before.Barred}
 		if r.peers != nil {
-			line["relays"], line["shared_by"] = r.peers.Shares()
+			line["relays"], line["shared_by"] = r.peers.BudgetDivisor()
 		}
 		r.log.WithFields(line).Info("counts")
 		r.logCounts(every, now)
@@ -148,12 +148,12 @@
 // discovery is.
 func (r *relay) reload(fresh *config.Config) {
 	r.reloadError = ""
-	keys := r.cfg.NeedRestart(fresh)
+	keys := r.cfg.KeysNeedingRestart(fresh)
 	if len(keys) > 0 {
 		r.log.WithField("keys", keys).Warn("changed, but only a restart takes them")
 	}
 	r.log.WithField("discovery", fresh.Discovery).Info("configuration read again")
-	r.watch.Move(fresh.Discovery)
+	r.watch.SwitchAddress(fresh.Discovery)
 	if r.natsFront != nil && fresh.Security() != nil && !slices.Contains(keys, "fronts") {
 		r.natsFront.ReloadSecurity(fresh.Security())
 	}
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -107,7 +107,7 @@
 // ran is the first attempt that may have run.
 func (x *client) ran() *tried {
 	for _, a := range x.attempts {
-		if !a.over || a.result != policy.Full && a.result != policy.ConnectFailed && a.result != policy.Moot {
+		if !a.over || a.result != policy.Full && a.result != policy.ConnectFailed && a.result != policy.NotSent {
 			return a
 		}
 	}
@@ -158,9 +158,9 @@
 		w.Fatalf("request %d: sent for %v at %v, deadline %v", id, wait, w.now, x.deadline)
 	case x.late:
 		w.Fatalf("request %d: sent, though it came after the stop", id)
-	case x.q.At == "" && p.left && (w.strict || w.now-p.told > 250*time.Millisecond):
+	case x.q.CurrentMember == "" && p.left && (w.strict || w.now-p.told > 250*time.Millisecond):
 		w.Fatalf("request %d: sent to %s, which left %v ago", id, p.Name, w.now-p.told)
-	case x.q.At == "" && w.doubting:
+	case x.q.CurrentMember == "" && w.doubting:
 		w.Fatalf("request %d: sent during a doubt", id)
 	case to.Addr != p.Addr:
 		w.Fatalf("request %d: sent to %s at %s, it is at %s", id, to.Name, to.Addr, p.Addr)
@@ -169,7 +169,7 @@
 		class := x.class()
 		same := class.Scope == policy.ScopeAll || class.Scope == policy.ScopeZone && p.Zone == first.at.Zone ||
 			class.Scope == policy.ScopeCell && p.Cell == first.at.Cell
-		if class.Effect == policy.Unsafe || class.Effect == policy.Keyed && (!same || w.now >= first.sent+class.Window) {
+		if class.Idempotency == policy.NonIdempotent || class.Idempotency == policy.IdempotencyKey && (!same || w.now >= first.sent+class.DedupWindow) {
 			w.Fatalf("request %d: a double effect: first %v at %s, now %v at %s", id, first.sent, first.at.Name, w.now, p.Name)
 		}
 	}
@@ -189,7 +189,7 @@
 
 func (x *client) Reject(after time.Duration) {
 	class := x.class()
-	if x.ran() != nil && !(class.Effect == policy.Safe || class.Effect == policy.Keyed && class.Scope == policy.ScopeAll) {
+	if x.ran() != nil && !(class.Idempotency == policy.Idempotent || class.Idempotency == policy.IdempotencyKey && class.Scope == policy.ScopeAll) {
 		x.w.Fatalf("request %d: rejected, though it may have run", x.id)
 	}
 	if after < 0 {
@@ -232,10 +232,10 @@
 // ---- The record ----
 
 func (w *world) Ready() bool { return !w.shut }
-func (w *world) Attempt(_ *Request, id ID, try int, _ string, _, _ time.Duration, _ policy.Result) {
+func (w *world) RecordAttempt(_ *Request, id ID, try int, _ string, _, _ time.Duration, _ policy.Result) {
 	w.note(fmt.Sprintf("attempt %d.%d", id, try))
 }
-func (w *world) Answer(_ *Request, id ID, _ time.Duration, _ Answer, _ int) {
+func (w *world) RecordAnswer(_ *Request, id ID, _ time.Duration, _ Answer, _ int) {
 	w.note(fmt.Sprintf("answer %d", id))
 }
 func (w *world) note(line string) {
@@ -265,7 +265,7 @@
 	w := &world{T: t, now: time.Hour, wake: math.MaxInt64, byID: map[ID]*client{}, names: map[string]*place{},
 		bans: map[string]bool{}, agreed: map[string]Leaving{}, events: map[string]int{}}
 	w.c = New(Options{Settings: set, Seed: uint64(evenly(64).Draw(t, "seed")), Clock: func() time.Duration { return w.now },
-		Wake: func(at time.Duration) { w.wake = at }, Watch: func() {}, Ledger: w,
+		Wake: func(at time.Duration) { w.wake = at }, Watch: func() {}, Recorder: w,
 		Probe: func(to *Member) {
 			if p := w.names[to.Name]; w.doubting || p.left && (w.strict || w.now-p.told > 250*time.Millisecond) {
 				w.Fatalf("%s is probed, which left %v ago; doubt %v", to.Name, w.now-p.told, w.doubting)
@@ -315,12 +315,12 @@
 
 func (w *world) arrive() {
 	x := &client{w: w, late: w.stopped}
-	x.q = Request{Class: w.draw(5, "class"), Load: 0.01, Group: uint64(w.draw(3, "group")), Again: w.draw(4, "again") == 0,
-		Wait: modelWaits[w.draw(len(modelWaits), "wait")]}
+	x.q = Request{Class: w.draw(5, "class"), Load: 0.01, Group: uint64(w.draw(3, "group")), Reconnect: w.draw(4, "again") == 0,
+		TimeLeft: modelWaits[w.draw(len(modelWaits), "wait")]}
 	if w.draw(12, "at") == 0 {
-		x.q.At = fmt.Sprint("m", w.draw(8, "member"))
+		x.q.CurrentMember = fmt.Sprint("m", w.draw(8, "member"))
 	}
-	x.deadline = w.now + x.q.Wait
+	x.deadline = w.now + x.q.TimeLeft
 	w.all = append(w.all, x)
 	before := w.opening // its front does not know the id before Open has returned
 	w.opening = x
@@ -329,7 +329,7 @@
 	if (x.late || w.shut) && (len(x.answers) != 1 || x.answers[0] != "rejected") {
 		w.Fatalf("request %d: came after the stop, or could not be recorded: answers %v", x.id, x.answers)
 	}
-	if x.q.Wait <= 0 && len(x.answers) != 1 {
+	if x.q.TimeLeft <= 0 && len(x.answers) != 1 {
 		w.Fatalf("request %d: came with no time left: answers %v", x.id, x.answers)
 	}
 }
@@ -346,7 +346,7 @@
 	x.answers = append(x.answers, "served")
 }
 
-var modelResults = []policy.Result{policy.OK, policy.Error, policy.Full, policy.Timeout, policy.ConnectFailed, policy.Reset, policy.Cancelled, policy.Moot}
+var modelResults = []policy.Result{policy.OK, policy.Error, policy.Full, policy.Timeout, policy.ConnectFailed, policy.Reset, policy.Cancelled, policy.NotSent}
 
 func (w *world) ends() {
 	if x := w.pick(func(x *client) bool { return x.out() != nil }); x != nil {
@@ -406,7 +406,7 @@
 	i := w.draw(len(w.probes), "probe")
 	id := w.probes[i]
 	w.probes = slices.Delete(w.probes, i, i+1)
-	w.c.Probed(id, []policy.Result{policy.OK, policy.OK, policy.Full, policy.Timeout, policy.Moot}[w.draw(5, "result")], w.report())
+	w.c.Probed(id, []policy.Result{policy.OK, policy.OK, policy.Full, policy.Timeout, policy.NotSent}[w.draw(5, "result")], w.report())
 }
 
 // list is what discovery says.
@@ -419,7 +419,7 @@
 	var named []Member
 	for _, p := range w.places {
 		if w.draw(3, "named") == 0 == (kind == policy.ListDelta) { // few of a change, most of a whole list
-			p.State = []policy.State{policy.Ready, policy.Ready, policy.Ready, policy.Draining, policy.Gone}[w.draw(5, "state")]
+			p.State = []policy.ServerState{policy.Ready, policy.Ready, policy.Ready, policy.Draining, policy.Gone}[w.draw(5, "state")]
 			if w.draw(6, "restart") == 0 {
 				p.Started, p.State = w.now, policy.Ready
 			}
@@ -617,13 +617,13 @@
 	if x == nil {
 		return
 	}
-	do := policy.DoSend
+	do := policy.ActionSend
 	if w.draw(2, "send") == 0 {
-		do = policy.Do(w.draw(int(policy.DoWait)+1, "do"))
+		do = policy.ActionKind(w.draw(int(policy.ActionWait)+1, "do"))
 	}
-	v := policy.Verdict{Do: do, ID: x.id, Server: policy.ServerID(10 + w.draw(7, "member")),
-		Try: w.draw(4, "try"), For: time.Duration(w.draw(900, "for")) * time.Millisecond}
-	w.c.apply([]policy.Verdict{v})
+	v := policy.Action{Kind: do, ID: x.id, Server: policy.ServerID(10 + w.draw(7, "member")),
+		Attempt: w.draw(4, "try"), Duration: time.Duration(w.draw(900, "for")) * time.Millisecond}
+	w.c.apply([]policy.Action{v})
 }
 
 // step is what happens next, the likelier ones several times.
--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -37,7 +37,7 @@
 	}
 	r := &rig{t: t, now: time.Hour, wake: math.MaxInt64, out: map[ID]*side{}}
 	r.Core = New(Options{Settings: set, Seed: 7, Clock: func() time.Duration { return r.now },
-		Wake: func(at time.Duration) { r.wake = at }, Probe: func(*Member) {}, Watch: func() {}, Ledger: r})
+		Wake: func(at time.Duration) { r.wake = at }, Probe: func(*Member) {}, Watch: func() {}, Recorder: r})
 	r.Pool(policy.ListCached, members)
 	return r
 }
@@ -45,7 +45,7 @@
 // bring opens a request of a class that waits so long.
 func (r *rig) bring(class int, wait time.Duration) *side {
 	s := &side{r: r}
-	s.id = r.Open(Request{Class: class, Load: 0.01, Wait: wait}, s)
+	s.id = r.Open(Request{Class: class, Load: 0.01, TimeLeft: wait}, s)
 	return s
 }
 
@@ -127,7 +127,7 @@
 	}
 	r.Ended(s.id, 1, policy.OK, policy.NoReport)
 	r.Pool(policy.ListFull, nil)
-	if learned := r.facade.Learned(r.now); len(learned.Servers) != 0 {
+	if learned := r.facade.LearnedState(r.now); len(learned.Servers) != 0 {
 		t.Errorf("%s is still held in the module: %v", at, learned.Servers)
 	}
 }
@@ -157,7 +157,7 @@
 				t.Errorf("%s, class %d: %d tries, answers %v, held %d", name, class, s.tries, s.answers, r.Held())
 			}
 			r.Pool(policy.ListFull, nil)
-			if learned := r.facade.Learned(r.now); len(learned.Servers) != 0 {
+			if learned := r.facade.LearnedState(r.now); len(learned.Servers) != 0 {
 				t.Errorf("%s, class %d: the module still holds %v", name, class, learned.Servers)
 			}
 		}
@@ -270,7 +270,7 @@
 	for class, want := range map[int]string{safeClass: "rejected", keyedAll: "rejected", keyedZone: "failed", keyedCell: "failed", unsafeClass: "failed"} {
 		r := newRigOf(t, classesText, list(1, policy.Ready))
 		s := r.bring(class, 2*time.Second)
-		r.do(policy.Verdict{Do: policy.DoReject, ID: s.id, For: time.Second})
+		r.do(policy.Action{Kind: policy.ActionReject, ID: s.id, Duration: time.Second})
 		if s.got() != want || s.out != 0 {
 			t.Errorf("class %d: %v, %d out, want %s", class, s.answers, s.out, want)
 		}
@@ -287,14 +287,14 @@
 			for _, late := range []bool{false, true} {
 				r := newRigOf(t, classesText, away)
 				s := &side{r: r}
-				r.Open(Request{Class: class, At: "m0", Wait: 2 * time.Second}, s)
+				r.Open(Request{Class: class, CurrentMember: "m0", TimeLeft: 2 * time.Second}, s)
 				q := r.requests[s.id]
 				q.standing = false // as any other that had its attempt there
 				s.ends(policy.Reset)
 				if late {
 					r.now += 900 * time.Millisecond
 				}
-				r.do(policy.Verdict{Do: policy.DoSend, ID: s.id, Server: m.ID})
+				r.do(policy.Action{Kind: policy.ActionSend, ID: s.id, Server: m.ID})
 				if ok := want[i] && (class == safeClass || !late); (s.tries == 2) != ok {
 					t.Errorf("class %d at %s, after the window %v: %d tries", class, m.Name, late, s.tries)
 				}
@@ -307,7 +307,7 @@
 func TestStandingDeadline(t *testing.T) {
 	r := newRigOf(t, classesText, list(1, policy.Ready))
 	s := &side{r: r}
-	r.Open(Request{At: "m0", Class: unsafeClass, Wait: time.Second}, s)
+	r.Open(Request{CurrentMember: "m0", Class: unsafeClass, TimeLeft: time.Second}, s)
 	if s.out != 1 || r.wake != r.now+time.Second {
 		t.Errorf("%d out, the core is to be called in %v", s.out, r.wake-r.now)
 	}
@@ -325,7 +325,7 @@
 	if s.to != at.Name {
 		at = r.members[policy.ServerID(11)]
 	}
-	r.do(policy.Verdict{Do: policy.DoSend, ID: s.id, Server: 10})
+	r.do(policy.Action{Kind: policy.ActionSend, ID: s.id, Server: 10})
 	if s.tries != 1 || r.Counts.Barred != 1 {
 		t.Fatalf("%d tries, %d barred", s.tries, r.Counts.Barred)
 	}
@@ -407,7 +407,7 @@
 		t.Errorf("%d tries, answers %v, held %d", s.tries, s.answers, r.Held())
 	}
 	r.Pool(policy.ListFull, nil)
-	if learned := r.facade.Learned(r.now); len(learned.Servers) != 0 {
+	if learned := r.facade.LearnedState(r.now); len(learned.Servers) != 0 {
 		t.Errorf("the module still holds %v", learned.Servers)
 	}
 }
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -5,162 +5,28 @@
 	"maps"
 	"slices"
 
-	"dahliarudder/internal/drift"
 	"dahliarudder/internal/rollout"
 )
 
-// Peer is another relay as peers know it.
-type Peer struct {
-	Name, Zone  string
-	Alive       bool // it answers, or is merely suspected
-	Gone        bool // no process is there, or it said so
-	Serving     bool
-	Incarnation uint64
+// slowStart is what a member bears of its capacity, by its age.
+type slowStart struct {
+	startShare float64 // at the start
+	durationMS int64   // ms until it bears all
 }
 
-// MemberState is a member as this relay's list has it.
-type MemberState struct {
-	Name, Zone, DiscoveryState string // listed: ready, draining, gone
-	StartedAt                  int64  // wall clock, ms; 0 long ago
-	Out                        bool
-	Flows                      int
-	Capacity                   float64
-	Successes, Failures        uint64
-}
-
-// ObservedState is what a relay does, as its loop tells.
-type ObservedState struct {
-	Phase              string
-	ListGeneration     uint64
-	Flows              int
-	DemandMS, ServedMS uint64 // time of clients, ms: that in which a flow stood, and with that for which they were sent away. One who comes again ten times is no ten who are not served
-	MisroutedFlows     uint64 // flows begun at members that were out for longer than the grace
-	Members            []MemberState
-	LocalEjections     []string // members that its own operators have taken out
-	AppliedOut         []string // and by the fleet's word, as the core has them
-	AppliedVersion     uint64
-	CanaryVersion      uint64 // the version of the canaries that it goes by
-	CanaryCounts       []byte // what it counted for a canary
-	Peers              []Peer
-	// ConfigSections is what it runs of its configuration now: the digest by section, of what all relays have the same. A section's name is 29 bytes
-	// at most. nil: Options.Settings stands for all of it, as the section "settings".
-	ConfigSections map[string]string
-	// RejectedItems is what it was given and did not take, by item ("config.SECTION"): why. An entry goes when a later one was taken.
-	RejectedItems  map[string]string
-	PermitsVersion uint64 // Orders.Permits as the loop had it last; 0: it does not tell
-	ShutOrder      uint64 // the number of the order by which it takes no clients; 0: it takes them
-}
-
-// heard is the last word of a relay, and what is reckoned from those before.
-type heard struct {
-	word
-	at    int64
-	tried map[string]*trial
-	list  listed
-
-	intended []drift.Item // what the watch holds it to
-}
-
-// trial counts how attempts at a member went lately, by one relay.
-type trial struct {
-	flows     int
-	capacity  float64
-	good, bad uint64 // as last said
-	marks     []mark
-}
-
-type mark struct {
-	at        int64
-	good, bad uint64
-}
-
-// The spans by which the leader judges.
-const (
-	triedMS   = 10_000 // attempts that say how a member does: some ten words
-	windowsMS = 2_000  // of service: two words of each relay
-	windows   = 90
-)
-
-// scene is all that the leader has heard. It decides nothing.
-type scene struct {
-	words   map[string]*heard
-	windows []rollout.Count
-	lists   lists
-	relays  int // most that are held
-}
-
-func newScene() *scene { return &scene{words: map[string]*heard{}, relays: 1024} }
-
-// hear takes a relay's word. Words that come late, of an earlier process or out of order, are passed over.
-func (s *scene) hear(now int64, from string, w word) {
-	h := s.words[from]
-	switch {
-	case h == nil && len(s.words) >= s.relays:
-		return
-	case h == nil:
-		h = &heard{tried: map[string]*trial{}}
-		s.words[from] = h
-	case w.Start < h.Start:
-		return
-	case w.Start > h.Start:
-		h.tried = map[string]*trial{}
-	case w.Asked < h.Asked || w.Served < h.Served:
-		return
-	default:
-		s.count(now, float64(w.Asked-h.Asked)/1000, float64(w.Served-h.Served)/1000)
-	}
-	for _, t := range h.tried {
-		t.flows = 0 // a member that it does not name it holds nothing at
-	}
-	for _, m := range w.Members {
-		t := h.tried[m.Name]
-		if t == nil {
-			t = &trial{good: m.Good, bad: m.Bad}
-			h.tried[m.Name] = t
-		} else if m.Good > t.good || m.Bad > t.bad {
-			t.marks = append(t.marks, mark{now, max(m.Good, t.good) - t.good, max(m.Bad, t.bad) - t.bad})
-			t.good, t.bad = max(m.Good, t.good), max(m.Bad, t.bad)
-		}
-		t.flows, t.capacity = m.Flows, cmp.Or(m.Capacity, t.capacity)
-	}
-	maps.DeleteFunc(h.tried, func(_ string, t *trial) bool {
-		t.marks = slices.DeleteFunc(t.marks, func(m mark) bool { return now-m.at > triedMS })
-		return t.flows == 0 && len(t.marks) == 0 && len(h.tried) > sightsMost/2
-	})
-	h.word, h.at = w, now
-	h.list.say(now, w.List, w.Anew, s.lists)
-}
-
-// count adds to the window of now.
-func (s *scene) count(now int64, asked, served float64) {
-	end := now - now%windowsMS + windowsMS
-	if n := len(s.windows); n == 0 || s.windows[n-1].At < end {
-		s.windows = append(s.windows, rollout.Count{At: end})
-		s.windows = s.windows[max(0, len(s.windows)-windows):]
-	}
-	last := &s.windows[len(s.windows)-1]
-	last.Asked, last.Served = last.Asked+asked, last.Served+served
-}
-
-// warmth is what a member bears of its capacity, by its age.
-type warmth struct {
-	From float64 // at the start
-	For  int64   // ms until it bears all
-}
-
-func (w warmth) at(age int64) float64 {
-	if age >= w.For || w.For <= 0 {
+func (w slowStart) shareAt(age int64) float64 {
+	if age >= w.durationMS || w.durationMS <= 0 {
 		return 1
 	}
-	return w.From + (1-w.From)*float64(max(age, 0))/float64(w.For)
+	return w.startShare + (1-w.startShare)*float64(max(age, 0))/float64(w.durationMS)
 }
 
-// view is what the leader knows, with its own look at the pool and the peers. It has led since ledAt: a relay that it has not heard is silent
+// buildView is what the leader knows, with its own look at the pool and the peers. It has led since ledAt: a relay that it has not heard is silent
 // for so long. One that peers hear lives, whatever keeps its words away: it may hold flows, however long it is not heard (hold).
-func (s *scene) view(now, ledAt, hold int64, self string, own ObservedState, cold warmth) rollout.View {
+func (s *fleetStatus) buildView(now, ledAt, hold int64, self string, own ObservedState, cold slowStart) rollout.View {
 	v := rollout.View{At: now}
-	for _, c := range s.windows {
-		if c.At <= now { // whole ones
+	for _, c := range s.serviceWindows {
+		if c.EndsAt <= now { // whole ones
 			v.Service = append(v.Service, c)
 		}
 	}
@@ -169,70 +35,70 @@
 		peers[p.Name] = p
 	}
 	names := map[string]bool{}
-	for n := range s.words {
+	for n := range s.relays {
 		names[n] = true
 	}
 	for n := range peers {
 		names[n] = true
 	}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		r := rollout.Relay{Name: name, HeardMS: now - ledAt}
+		r := rollout.Relay{Name: name, ReportAgeMS: now - ledAt}
 		p, known := peers[name]
-		if h := s.words[name]; h != nil {
-			r.Zone, r.HeardMS, r.Start, r.Phase, r.Program, r.Config, r.Applied, r.Flows = h.Zone, now-h.at, h.Start, h.Phase, h.Program, h.Config, h.Follows, h.Flows
+		if h := s.relays[name]; h != nil {
+			r.Zone, r.ReportAgeMS, r.StartNumber, r.Phase, r.Program, r.Config, r.AppliedVersion, r.Flows = h.Zone, now-h.receivedAt, h.Incarnation, h.Phase, h.Program, h.Config, h.AppliedVersion, h.Flows
 			// Others see it serve: this relay's peers, of this very process. Of itself the leader knows.
-			r.Full = r.Phase == "serving" && (name == self || known && p.Alive && p.Serving && p.Incarnation >= h.Start)
+			r.InService = r.Phase == "serving" && (name == self || known && p.Alive && p.Serving && p.Incarnation >= h.Incarnation)
 		}
 		if known {
 			r.Zone = cmp.Or(r.Zone, p.Zone)
-			r.Gone = p.Gone && p.Incarnation >= r.Start
+			r.Exited = p.Gone && p.Incarnation >= r.StartNumber
 			if p.Alive {
-				r.HeardMS = min(r.HeardMS, hold)
+				r.ReportAgeMS = min(r.ReportAgeMS, hold)
 			}
 		}
 		v.Relays = append(v.Relays, r)
 	}
-	s.members(now, own, cold, &v)
+	s.addMembers(now, own, cold, &v)
 	return v
 }
 
-func (s *scene) members(now int64, own ObservedState, cold warmth, v *rollout.View) {
+func (s *fleetStatus) addMembers(now int64, own ObservedState, cold slowStart, v *rollout.View) {
 	pool := map[string]*rollout.Member{}
 	for _, m := range own.Members {
-		pool[m.Name] = &rollout.Member{Name: m.Name, Zone: m.Zone, Listed: m.DiscoveryState, Started: m.StartedAt, Capacity: m.Capacity, Held: map[string]rollout.Held{}}
+		pool[m.Name] = &rollout.Member{Name: m.Name, Zone: m.Zone, Listed: m.DiscoveryState, Started: m.StartedAt, Capacity: m.Capacity, FlowsByRelay: map[string]rollout.RelayFlows{}}
 	}
 	good, bad := map[string]uint64{}, map[string]uint64{}
 	gone := map[string]bool{} // what an ended process held, it holds no more: its last word must not keep a member in the view
 	for _, r := range v.Relays {
-		gone[r.Name] = r.Gone
+		gone[r.Name] = r.Exited
 	}
 	for _, p := range own.Peers { // the next process may be there, and have said nothing yet
-		if h := s.words[p.Name]; h != nil && p.Incarnation > h.Start {
+		if h := s.relays[p.Name]; h != nil && p.Incarnation > h.Incarnation {
 			gone[p.Name] = true
 		}
 	}
-	for _, relay := range slices.Sorted(maps.Keys(s.words)) {
-		h := s.words[relay]
+	for _, relay := range slices.Sorted(maps.Keys(s.relays)) {
+		h := s.relays[relay]
 		if gone[relay] {
 			continue
 		}
-		for name, t := range h.tried {
+		for name, t := range h.attempts {
 			m := pool[name]
 			if m == nil { // only that relay's list has it
 				if t.flows == 0 {
 					continue
 				}
-				m = &rollout.Member{Name: name, Held: map[string]rollout.Held{}}
+				m = &rollout.Member{Name: name, FlowsByRelay: map[string]rollout.RelayFlows{}}
 				pool[name] = m
 			}
 			if t.flows > 0 {
-				m.Held[relay] = rollout.Held{Flows: t.flows, At: h.at}
+				m.FlowsByRelay[relay] = rollout.RelayFlows{Flows: t.flows, ReportedAt: h.receivedAt}
 				v.Load += float64(t.flows)
 			}
 			m.Capacity = max(m.Capacity, t.capacity)
-			for _, k := range t.marks {
-				if now-k.at <= triedMS {
-					good[name], bad[name] = good[name]+k.good, bad[name]+k.bad
+			for _, k := range t.samples {
+				if now-k.at <= attemptWindowMS {
+					good[name], bad[name] = good[name]+k.successes, bad[name]+k.failures
 				}
 			}
 		}
@@ -248,9 +114,9 @@
 		if m.Capacity == 0 && known > 0 { // a new one of which no report told yet: without a capacity it would not look cold
 			m.Capacity = sum / known
 		}
-		m.Bears = m.Capacity
+		m.UsableCapacity = m.Capacity
 		if m.Started > 0 {
-			m.Bears = m.Capacity * cold.at(now-m.Started)
+			m.UsableCapacity = m.Capacity * cold.shareAt(now-m.Started)
 		}
 		// More went wrong there than went well, and more than once: one failure is no verdict.
 		m.Failing = bad[name] >= 2 && bad[name] > good[name]
--- a/internal/front/line/probe.go
+++ b/internal/front/line/probe.go
@@ -138,7 +138,7 @@
 // Open is told by the loop.
 func (p *probe) Open() {
 	if !p.f.Core.Reachable(p.id) {
-		p.done(policy.Moot, policy.NoReport)
+		p.done(policy.NotSent, policy.NoReport)
 		return
 	}
 	p.state = p.state.next(probeComesUp)
@@ -191,13 +191,13 @@
 }
 
 // isOwn says that a connection ended for want of the relay's own means.
-func isOwn(err error) bool { return errors.Is(err, netloop.ErrFull) }
+func isOwn(err error) bool { return errors.Is(err, netloop.ErrNoDescriptors) }
 
 // broken is the result of a probe whose connection has ended.
 func (p *probe) broken(err error) policy.Result {
 	switch {
 	case isOwn(err):
-		return policy.Moot
+		return policy.NotSent
 	case errors.Is(err, netloop.ErrDialTimeout): // it says nothing at all
 		return policy.Timeout
 	case p.state == probeDialling:
--- a/internal/front/nats/client.go
+++ b/internal/front/nats/client.go
@@ -42,14 +42,14 @@
 	placing       int      // subscriptions that publications wait for
 	pings         int      // that the client has not answered
 	timer         *netloop.Timer
-	nonce         string            // that it may sign
-	may           *auth.Permissions // nil for all
-	replies       *auth.Replies     // what it may answer to besides; nil for nothing
-	expires       *netloop.Timer    // when its login does
-	sniffed       bool              // its first byte was looked at
-	entering      bool              // its password is being checked
-	slowSince     time.Duration     // since when its links rest; 0 if they do not
-	later         bool              // goOn is on its way
+	nonce         string             // that it may sign
+	may           *auth.Permissions  // nil for all
+	replies       *auth.ReplyTracker // what it may answer to besides; nil for nothing
+	expires       *netloop.Timer     // when its login does
+	sniffed       bool               // its first byte was looked at
+	entering      bool               // its password is being checked
+	slowSince     time.Duration      // since when its links rest; 0 if they do not
+	later         bool               // goOn is on its way
 	fencing       bool
 	fenced        uint64 // the mark that all links are past
 	leftBytes     bool   // the client has ended its sending, but what it sent is not done yet
@@ -120,7 +120,7 @@
 func (c *client) Drained() {
 	c.slowSince = 0
 	for _, l := range c.links {
-		l.c.Resume()
+		l.c.ResumeReading()
 	}
 }
 
@@ -151,7 +151,7 @@
 			return used
 		}
 		if !c.do(&m) {
-			c.c.Rest() // goOn resumes
+			c.c.PauseReading() // goOn resumes
 			return used
 		}
 		used += n
@@ -168,7 +168,7 @@
 	c.f.Loop.After(0, func() {
 		c.later = false
 		c.settle()
-		c.c.Resume()
+		c.c.ResumeReading()
 		if c.leftBytes && c.quiet() {
 			c.close()
 		}
@@ -304,7 +304,7 @@
 	connect := append([]byte(nil), text...)
 	c.enter(connect, func() {
 		c.connect = connect
-		c.c.Spare(nil)
+		c.c.SetEvictable(nil)
 		c.keepAlive()
 		c.ok()
 	})
--- a/internal/front/nats/publish.go
+++ b/internal/front/nats/publish.go
@@ -57,8 +57,8 @@
 			c.warn("Invalid Publish Subject")
 			return true
 		}
-		if c.may != nil && !c.may.MayPublish(string(m.subject)) {
-			if !c.replies.MayAnswer(c.f.Loop.Round(), string(m.subject)) {
+		if c.may != nil && !c.may.CanPublish(string(m.subject)) {
+			if !c.replies.AllowReply(c.f.Loop.RoundStart(), string(m.subject)) {
 				c.forbid(m.subject)
 				return true
 			}
@@ -72,7 +72,7 @@
 	}
 	c.mark++
 	q := window.Message{Subject: subjectKey(m.subject), Mark: c.mark, Reply: len(m.reply) > 0 && c.options.NoResponders}
-	if c.f.Core.Ledger != nil {
+	if c.f.Core.Recorder != nil {
 		q.Name = "PUB " + string(m.subject)
 	}
 	if c.options.Verbose {
@@ -139,7 +139,7 @@
 	}
 }
 
-// Free says whether the link has sent most of what it was given; the feed's Drained follows.
+// FreeDescriptors says whether the link has sent most of what it was given; the feed's Drained follows.
 func (p *publisher) Free() bool { return p.link.c.Unsent() < p.c.f.water(linkWater) }
 
 // Carry hands a message to the link. Who may publish may hear on the reply subject that nobody
@@ -204,7 +204,7 @@
 	return left
 }
 
-// Answer tells the client what became of a message. Nothing is said of one that was served, but
+// RecordAnswer tells the client what became of a message. Nothing is said of one that was served, but
 // for the +OK of a verbose client.
 func (p *publisher) Answer(m *window.Message, text []byte, a core.Answer, after time.Duration) {
 	c := p.c
@@ -235,7 +235,7 @@
 	c.warn(fmt.Sprintf("Permissions Violation for Publish to %q: %s", q.subject, why))
 }
 
-// Room has the client's commands go on.
+// WriteCapacity has the client's commands go on.
 func (p *publisher) Room() { p.c.goOn() }
 
 // ---- echo:false ----
--- a/internal/front/nats/sub.go
+++ b/internal/front/nats/sub.go
@@ -47,7 +47,7 @@
 		c.warn("Invalid Subject")
 		return
 	}
-	if !c.may.MaySubscribe(string(m.subject), string(m.queue)) {
+	if !c.may.CanSubscribe(string(m.subject), string(m.queue)) {
 		text := fmt.Sprintf("Permissions Violation for Subscription to %q", m.subject)
 		if len(m.queue) > 0 {
 			text += fmt.Sprintf(" using queue %q", m.queue)
@@ -64,7 +64,7 @@
 		return
 	}
 	s := &sub{c: c, sid: string(m.sid), subject: string(m.subject), queue: string(m.queue), local: ownSubject(m.subject),
-		since: c.f.Loop.Now(), filter: c.may.Filters(string(m.subject))}
+		since: c.f.Loop.Now(), filter: c.may.NeedsFilter(string(m.subject))}
 	if c.subs == nil {
 		c.subs = map[string]*sub{}
 	}
@@ -89,11 +89,11 @@
 	}
 	f := s.c.f
 	q := f.request("", f.destination([]byte(s.subject)))
-	if f.Core.Ledger != nil {
+	if f.Core.Recorder != nil {
 		q.Name = "SUB " + s.subject
 	}
 	q.Key = hash(s.subject)
-	q.Group, q.Again = q.Key, s.stood
+	q.Group, q.Reconnect = q.Key, s.stood
 	s.id = f.Core.Open(q, s)
 }
 
@@ -121,7 +121,7 @@
 	}
 	if !s.c.f.Core.Begin(s.id, s.try) { // the member has left while its connection was on its way
 		l.drop(s.lsid)
-		s.lost(policy.Moot)
+		s.lost(policy.NotSent)
 		return
 	}
 	s.base = s.got
@@ -261,10 +261,10 @@
 	if c.over || s.over && !s.draining {
 		return
 	}
-	if s.filter && c.may.Hides(string(m.subject)) {
+	if s.filter && c.may.Denies(string(m.subject)) {
 		return
 	}
-	c.replies.Asked(c.f.Loop.Round(), m.reply)
+	c.replies.RecordRequest(c.f.Loop.RoundStart(), m.reply)
 	if m.header > 0 {
 		if who := untag(m); who != nil && !c.echo() && string(who) == c.origin() {
 			return
