--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -95,9 +95,9 @@
 func (r *relay) applyOrders(o fleet.DesiredState) {
 	version := o.RecordVersion
 	r.trial.applyOrders(o)
-	out := map[string]core.Leaving{}
+	out := map[string]core.Removal{}
 	for name, i := range o.Exclusions {
-		out[name] = core.Leaving{Over: time.Duration(i.MigrateOverMS) * time.Millisecond, Ban: i.Reason == rollout.CommandEject}
+		out[name] = core.Removal{SpreadOver: time.Duration(i.MigrateOverMS) * time.Millisecond, Ejection: i.Reason == rollout.CommandEject}
 	}
 	if o.MajorityConfirmed {
 		defer r.finishCatchUp()
@@ -106,7 +106,7 @@
 	if !slices.Equal(names, r.fleetEjected) {
 		r.log.WithFields(logrus.Fields{"out": names, "version": version}).Info("fleet: members that are out")
 	}
-	r.core.Agree(out)
+	r.core.SetFleetRemovals(out)
 	r.fleetEjected, r.recordVersion, r.permits = names, version, o.PermitsVersion
 	mine := o.Leave != nil && o.Leave.StartNumber >= r.peers.Incarnation() // else it was for the process before this one
 	switch {
--- a/cmd/dahliarudder/fleet_status.go
+++ b/cmd/dahliarudder/fleet_status.go
@@ -21,7 +21,7 @@
 	}
 	r.statusAt = now
 	l := fleet.ObservedState{Phase: "serving", Flows: r.core.ActiveRequests(), DemandMS: uint64((r.flowTime + n.BackoffTime).Milliseconds()), ServedMS: uint64(r.flowTime.Milliseconds()), MisroutedFlows: uint64(n.SentAfterGrace),
-		LocalEjections: r.core.Banned(), AppliedExclusions: r.fleetEjected, AppliedVersion: r.recordVersion, ListGeneration: list.Generation, ConfigSections: r.configDigests, PermitsVersion: r.permits, QuarantineOrder: r.closeOrder}
+		LocalEjections: r.core.Ejected(), AppliedExclusions: r.fleetEjected, AppliedVersion: r.recordVersion, ListGeneration: list.Generation, ConfigSections: r.configDigests, PermitsVersion: r.permits, QuarantineOrder: r.closeOrder}
 	if r.reloadError != "" {
 		l.RejectedItems = map[string]string{drift.ItemConfig + ".settings": r.reloadError}
 	}
--- a/cmd/dahliarudder/operator.go
+++ b/cmd/dahliarudder/operator.go
@@ -30,7 +30,7 @@
 		r.log.WithError(err).Error("no ban is in force")
 	}
 	for _, name := range names {
-		r.core.Ban(name)
+		r.core.Eject(name)
 		r.log.WithField("member", name).Info("banned")
 	}
 	return nil
@@ -65,7 +65,7 @@
 		err = errors.Join(err, unread)
 		r.loop.Post(func() {
 			if err == nil {
-				r.core.Bans(names)
+				r.core.SetEjections(names)
 				if member != "" {
 					r.sendNote(handover.Message{EjectionsChanged: true})
 				}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -130,7 +130,7 @@
 	feeds     map[ID]*Feed
 	feedBytes int                // of their messages
 	bans      map[string]bool    // by name, also of members that are not listed
-	agreed    map[string]Leaving // the same, by the fleet's word
+	agreed    map[string]Removal // the same, by the fleet's word
 	stopping  bool
 	draining  bool
 	paced     bool // some move was ever put off
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -273,8 +273,8 @@
 	r.Probe = func(*Member) { probed++ }
 	s := r.open()
 	r.Up(s.id, 0)
-	r.Ban("m0")
-	r.Ban("m0")
+	r.Eject("m0")
+	r.Eject("m0")
 	if s.moved != 1 || !r.IsKnownMember("m0") || r.IsKnownMember("m9") || r.HasUsableMember() {
 		t.Errorf("moved %d times", s.moved)
 	}
@@ -291,12 +291,12 @@
 	if probed != 0 || r.Reachable(10) {
 		t.Error("a banned member was probed")
 	}
-	r.Allow("m0")
+	r.Reinstate("m0")
 	m := r.members[10]
 	if m.left || m.Started != r.now || !r.HasUsableMember() {
 		t.Errorf("put back: %+v", m)
 	}
-	r.Allow("m0")
+	r.Reinstate("m0")
 	again := list(1, policy.Ready)
 	again[0].Started = r.now - 3*time.Second
 	r.UpdateMembers(policy.ListDelta, again)
@@ -359,12 +359,12 @@
 // discovery names only later.
 func TestBanUnlisted(t *testing.T) {
 	r := newRig(t, 0)
-	r.Ban("m0")
+	r.Eject("m0")
 	r.UpdateMembers(policy.ListFull, list(1, policy.Ready))
 	if r.HasUsableMember() || r.open().tries != 0 {
 		t.Error("sent to a banned member")
 	}
-	r.Allow("m0")
+	r.Reinstate("m0")
 	if !r.HasUsableMember() {
 		t.Error("not put back")
 	}
@@ -417,8 +417,8 @@
 // member put back is as cold as it was, and a list of bans counts as it stands.
 func TestRecall(t *testing.T) {
 	old, next := newRig(t, 3), newRig(t, 3)
-	old.Ban("m1")
-	old.Allow("m1")
+	old.Eject("m1")
+	old.Reinstate("m1")
 	old.pass(2 * time.Second)
 	text, err := json.Marshal(old.Learned())
 	if err != nil {
@@ -433,8 +433,8 @@
 	if up := next.now - next.members[11].Started; up != 2*time.Second || next.members[10].Started != 0 {
 		t.Errorf("up for %v", up)
 	}
-	next.Bans([]string{"m0", "m2"})
-	next.Bans([]string{"m2", "m9"})
+	next.SetEjections([]string{"m0", "m2"})
+	next.SetEjections([]string{"m2", "m9"})
 	if next.members[10].banned || !next.members[12].banned || !next.IsKnownMember("m9") {
 		t.Error("the list of bans does not count as it stands")
 	}
@@ -542,7 +542,7 @@
 				}
 			case 4:
 				name := fmt.Sprint("m", rng.IntN(4))
-				[]func(){func() { r.Ban(name) }, func() { r.Allow(name) }, r.Drain, r.Resume}[rng.IntN(4)]()
+				[]func(){func() { r.Eject(name) }, func() { r.Reinstate(name) }, r.Drain, r.Resume}[rng.IntN(4)]()
 			case 3:
 				one := list(4, states[rng.IntN(len(states))])[rng.IntN(4):][:1]
 				r.UpdateMembers(policy.ListDelta, one)
@@ -589,11 +589,11 @@
 		}
 		return n
 	}
-	drain := map[string]Leaving{}
+	drain := map[string]Removal{}
 	for _, m := range list(members, policy.Ready) {
-		drain[m.Name] = Leaving{Over: 10 * time.Second}
+		drain[m.Name] = Removal{SpreadOver: 10 * time.Second}
 	}
-	r.Agree(drain)
+	r.SetFleetRemovals(drain)
 	r.pass(5 * time.Second)
 	if n := moved(); total < 20 || n < total/3 || n > total-total/3 {
 		t.Fatalf("%d of %d moved after half of the time", n, total)
@@ -601,7 +601,7 @@
 	if s := r.open(); s.out > 0 {
 		t.Error("sent to a member that is agreed out")
 	}
-	r.Agree(nil)
+	r.SetFleetRemovals(nil)
 	before := moved()
 	r.pass(20 * time.Second)
 	if moved() != before {
@@ -610,7 +610,7 @@
 	if s := r.open(); s.out == 0 {
 		t.Error("a member that was warm before the revoked drain gets nothing")
 	}
-	r.Agree(drain)
+	r.SetFleetRemovals(drain)
 	r.pass(7 * time.Second) // the earliest are gone since the first
 	if n := moved(); n == before || n == total {
 		t.Errorf("%d of all moved seven seconds after the second drain", n)
@@ -621,12 +621,12 @@
 		t.Errorf("%d of %d moved when discovery says that it drains", n, total)
 	}
 	r.UpdateMembers(policy.ListDelta, list(1, policy.Ready))
-	r.Ban("m0")
-	r.Agree(nil)
+	r.Eject("m0")
+	r.SetFleetRemovals(nil)
 	if s := r.open(); s.out > 0 {
 		t.Error("an operator's ban ended with the fleet's")
 	}
-	if got := r.Banned(); len(got) != 1 {
+	if got := r.Ejected(); len(got) != 1 {
 		t.Errorf("banned here: %v", got)
 	}
 }
--- a/internal/core/feed_test.go
+++ b/internal/core/feed_test.go
@@ -350,8 +350,8 @@
 			}
 			if more && rng.IntN(4) == 0 {
 				name := fmt.Sprint("m", rng.IntN(3))
-				[]func(){r.Doubt, r.Sure, r.Sure, func() { r.Ban(name) }, func() { r.Allow(name) }, func() { r.Allow(name) },
-					func() { r.Agree(map[string]Leaving{name: {Over: 300 * time.Millisecond}}) }, func() { r.Agree(nil) },
+				[]func(){r.Doubt, r.Sure, r.Sure, func() { r.Eject(name) }, func() { r.Reinstate(name) }, func() { r.Reinstate(name) },
+					func() { r.SetFleetRemovals(map[string]Removal{name: {SpreadOver: 300 * time.Millisecond}}) }, func() { r.SetFleetRemovals(nil) },
 					r.Drain, r.Resume}[rng.IntN(10)]()
 			}
 			r.pass(time.Duration(rng.IntN(60)) * time.Millisecond)
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -68,10 +68,10 @@
 // IsKnownMember says whether a member of that name is or was in the pool, or is banned.
 func (c *Core) IsKnownMember(name string) bool { return c.byName[name] != nil || c.ruled(name) }
 
-// Leaving is how a member that the fleet has agreed to take out is left.
-type Leaving struct {
-	Over time.Duration // its flows are moved spread over so long; 0: at once
-	Ban  bool          // an operator's word, after which the member may be another one; else it is drained, and warm if that is revoked
+// Removal is how a member that the fleet has agreed to take out is left.
+type Removal struct {
+	SpreadOver time.Duration // its flows are moved spread over so long; 0: at once
+	Ejection   bool          // an operator's word, after which the member may be another one; else it is drained, and warm if that is revoked
 }
 
 // ruled says whether an operator of this relay or the fleet has taken a member out.
@@ -80,27 +80,27 @@
 	return agreed || c.bans[name]
 }
 
-// Ban has nothing new sent to a member, whatever the pool says of it, and its flows
+// Eject has nothing new sent to a member, whatever the pool says of it, and its flows
 // moved.
-func (c *Core) Ban(name string) {
+func (c *Core) Eject(name string) {
 	c.bans[name] = true
 	c.rule(name, false)
 }
 
-// Allow ends a ban. Whatever the member was restarted for meanwhile, it is taken
+// Reinstate ends a ban. Whatever the member was restarted for meanwhile, it is taken
 // for cold, and nothing that was learned of it before counts.
-func (c *Core) Allow(name string) {
+func (c *Core) Reinstate(name string) {
 	delete(c.bans, name)
 	c.rule(name, false)
 }
 
-// Agree puts what the fleet has agreed on in the place of all that it agreed on before. Bans of this relay's own operators stay.
-func (c *Core) Agree(out map[string]Leaving) {
+// SetFleetRemovals puts what the fleet has agreed on in the place of all that it agreed on before. Bans of this relay's own operators stay.
+func (c *Core) SetFleetRemovals(out map[string]Removal) {
 	before := c.agreed
 	c.agreed = maps.Clone(out)
 	for _, name := range slices.Sorted(maps.Keys(before)) {
 		if _, still := out[name]; !still {
-			c.rule(name, !before[name].Ban)
+			c.rule(name, !before[name].Ejection)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(out)) {
@@ -138,20 +138,20 @@
 	c.tell(policy.ServerList{Kind: policy.ListDelta, Servers: []policy.Server{m.Server}})
 }
 
-// Bans puts these names in the place of all that are banned.
-func (c *Core) Bans(names []string) {
-	for _, name := range c.Banned() {
+// SetEjections puts these names in the place of all that are banned.
+func (c *Core) SetEjections(names []string) {
+	for _, name := range c.Ejected() {
 		if !slices.Contains(names, name) {
-			c.Allow(name)
+			c.Reinstate(name)
 		}
 	}
 	for _, name := range names {
-		c.Ban(name)
+		c.Eject(name)
 	}
 }
 
-// Banned are the members that this relay's own operators have taken out, in order.
-func (c *Core) Banned() []string { return slices.Sorted(maps.Keys(c.bans)) }
+// Ejected are the members that this relay's own operators have taken out, in order.
+func (c *Core) Ejected() []string { return slices.Sorted(maps.Keys(c.bans)) }
 
 // pace puts the move of a flow off that the module asks for, where its member leaves by agreement and the flows of all relays are
 // spread over a time. The module asks once, so what is put off is the core's to do.
@@ -159,7 +159,7 @@
 	if r.state != serving || r.member.listed.State != policy.Ready { // it leaves by itself, and sends its clients away soon
 		return false
 	}
-	over := c.agreed[r.member.Name].Over
+	over := c.agreed[r.member.Name].SpreadOver
 	if !r.member.banned || c.bans[r.member.Name] || over <= 0 { // an operator of this relay wants it left now
 		return false
 	}
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -46,7 +46,7 @@
 	done     bool          // after Finish
 	rash     bool          // something else happens in the middle of the next call to a virtual server
 	bans     map[string]bool
-	agreed   map[string]Leaving
+	agreed   map[string]Removal
 	events   map[string]int // of the record, by request and attempt
 	stood    int            // words that an attempt is up which was already
 	wrong    bool           // the module says wild things
@@ -263,7 +263,7 @@
 		t.Fatal(err)
 	}
 	w := &world{T: t, now: time.Hour, wake: math.MaxInt64, byID: map[ID]*client{}, names: map[string]*place{},
-		bans: map[string]bool{}, agreed: map[string]Leaving{}, events: map[string]int{}}
+		bans: map[string]bool{}, agreed: map[string]Removal{}, events: map[string]int{}}
 	w.c = New(Options{Settings: set, Seed: uint64(evenly(64).Draw(t, "seed")), Clock: func() time.Duration { return w.now },
 		Wake: func(at time.Duration) { w.wake = at }, Watch: func() {}, Recorder: w,
 		Probe: func(to *Member) {
@@ -443,7 +443,7 @@
 		}
 		spread := time.Duration(0)
 		if p.left = left; agreed && !w.bans[p.Name] && p.State == policy.Ready {
-			spread = drain.Over
+			spread = drain.SpreadOver
 		}
 		if spread != p.spread {
 			p.spread, p.changed = spread, w.now
@@ -456,24 +456,24 @@
 	if w.bans[name] {
 		delete(w.bans, name)
 		w.see()
-		w.c.Allow(name)
+		w.c.Reinstate(name)
 	} else {
 		w.bans[name] = true
 		w.see()
-		w.c.Ban(name)
+		w.c.Eject(name)
 	}
 }
 
 func (w *world) agree() {
-	out := map[string]Leaving{}
+	out := map[string]Removal{}
 	for _, p := range w.places {
 		if w.draw(4, "out") == 0 {
-			out[p.Name] = Leaving{Over: []time.Duration{0, 500 * time.Millisecond, 8 * time.Second}[w.draw(3, "over")], Ban: w.draw(2, "ban") == 0}
+			out[p.Name] = Removal{SpreadOver: []time.Duration{0, 500 * time.Millisecond, 8 * time.Second}[w.draw(3, "over")], Ejection: w.draw(2, "ban") == 0}
 		}
 	}
 	w.agreed = out
 	w.see()
-	w.c.Agree(out)
+	w.c.SetFleetRemovals(out)
 }
 
 func (w *world) drain() {
--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -216,7 +216,7 @@
 // TestPacedAndDrained: a member's agreed drain and the relay's own both move a flow, the earlier one of them; and the end of the
 // relay's drain does not undo the other.
 func TestPacedAndDrained(t *testing.T) {
-	agreed := func(over time.Duration) map[string]Leaving { return map[string]Leaving{"m0": {Over: over}} }
+	agreed := func(over time.Duration) map[string]Removal { return map[string]Removal{"m0": {SpreadOver: over}} }
 	within := func(r *rig, s *side, d time.Duration, what string) {
 		t.Helper()
 		if r.pass(d); s.moved != 1 {
@@ -228,23 +228,23 @@
 		return r, r.up(1)[0]
 	}
 	r, s := start()
-	r.Agree(agreed(time.Second))
+	r.SetFleetRemovals(agreed(time.Second))
 	r.Drain()
 	r.Resume()
 	within(r, s, time.Second, "resume")
 
 	r, s = start()
 	r.Drain()
-	r.Agree(agreed(time.Hour))
+	r.SetFleetRemovals(agreed(time.Hour))
 	within(r, s, drainMoves, "paced after the drain")
 
 	r, s = start()
 	r.Stop()
-	r.Agree(agreed(time.Hour))
+	r.SetFleetRemovals(agreed(time.Hour))
 	within(r, s, r.StopWithin(), "paced after the stop")
 
 	r, s = start()
-	r.Agree(agreed(100 * time.Millisecond))
+	r.SetFleetRemovals(agreed(100 * time.Millisecond))
 	r.Drain()
 	within(r, s, 100*time.Millisecond, "drained after the pace")
 }
@@ -337,18 +337,18 @@
 // TestPaceChanges: while the flows of a member leave spread over an agreed time, another word on that member counts at once: a ban by
 // the fleet or by this relay's own operators moves the rest now, and so does a drain in less time.
 func TestPaceChanges(t *testing.T) {
-	over := func(d time.Duration, ban bool) map[string]Leaving {
-		return map[string]Leaving{"m0": {Over: d, Ban: ban}}
+	over := func(d time.Duration, ban bool) map[string]Removal {
+		return map[string]Removal{"m0": {SpreadOver: d, Ejection: ban}}
 	}
 	for name, change := range map[string]func(r *rig){
-		"a ban by the fleet":    func(r *rig) { r.Agree(over(0, true)) },
-		"an operator's ban":     func(r *rig) { r.Ban("m0") },
-		"a drain in less time":  func(r *rig) { r.Agree(over(2*time.Second, false)); r.pass(time.Second) },
-		"a ban after the drain": func(r *rig) { r.Ban("m0"); r.Agree(nil) },
+		"a ban by the fleet":    func(r *rig) { r.SetFleetRemovals(over(0, true)) },
+		"an operator's ban":     func(r *rig) { r.Eject("m0") },
+		"a drain in less time":  func(r *rig) { r.SetFleetRemovals(over(2*time.Second, false)); r.pass(time.Second) },
+		"a ban after the drain": func(r *rig) { r.Eject("m0"); r.SetFleetRemovals(nil) },
 	} {
 		r := newRigOf(t, classesText, list(1, policy.Ready))
 		all := r.up(8)
-		r.Agree(over(time.Hour, false))
+		r.SetFleetRemovals(over(time.Hour, false))
 		r.pass(time.Second)
 		change(r)
 		r.pass(0)
@@ -360,10 +360,10 @@
 	}
 	r := newRigOf(t, classesText, list(1, policy.Ready))
 	r.up(1)
-	r.Agree(over(time.Hour, false))
+	r.SetFleetRemovals(over(time.Hour, false))
 	before := len(r.alarms)
 	for range 10 {
-		r.Agree(over(time.Hour, false))
+		r.SetFleetRemovals(over(time.Hour, false))
 	}
 	if n := len(r.alarms); n != before {
 		t.Errorf("%d alarms, %d after the same was agreed again", before, n)
@@ -373,7 +373,7 @@
 // TestTakePaced: flows that another process passes on leave a member spread over the time that is agreed, as those that were here.
 func TestTakePaced(t *testing.T) {
 	r := newRigOf(t, classesText, list(1, policy.Ready))
-	r.Agree(map[string]Leaving{"m0": {Over: 10 * time.Second}})
+	r.SetFleetRemovals(map[string]Removal{"m0": {SpreadOver: 10 * time.Second}})
 	var all []*side
 	for range 10 {
 		s := &side{r: r, out: 1, tries: 1}
