--- a/cmd/dahliarudder/canary.go
+++ b/cmd/dahliarudder/canary.go
@@ -93,7 +93,7 @@
 	t.applied = use
 	t.r.log.WithFields(logrus.Fields{"weights": perMille(use)}).Info("fleet: canary weights")
 	if len(use) == 0 {
-		t.r.core.Arm(nil, nil)
+		t.r.core.SetCanaryGroup(nil, nil)
 		t.r.core.OnMemberEvent, t.counter, t.salt = nil, nil, 0
 		clear(t.flows)
 		return
@@ -103,7 +103,7 @@
 		clear(t.flows)
 		t.r.core.OnMemberEvent = t.observe
 	}
-	t.r.core.Arm(t.inCanary, func(group uint64) bool {
+	t.r.core.SetCanaryGroup(t.inCanary, func(group uint64) bool {
 		return slices.ContainsFunc(t.applied, func(w canary.Weight) bool { return canary.RoutedToCanary(w.Salt, group, w.PerMille) })
 	})
 }
--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -56,7 +56,7 @@
 		return err
 	}
 	// What was agreed while it was down is heard first: until then nothing new goes to a member, for finishCatchUp at most.
-	r.core.Doubt()
+	r.core.PauseDispatch()
 	r.core.SetSyncing(true)
 	r.loop.After(catchUpTimeout, r.finishCatchUp)
 	return nil
@@ -69,7 +69,7 @@
 	if !r.caughtUp {
 		r.caughtUp = true
 		r.core.SetSyncing(false)
-		r.core.Sure()
+		r.core.ResumeDispatch()
 	}
 }
 
--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -139,9 +139,9 @@
 // said what has changed, or for as long as a change may take to be heeded anyway.
 func (r *relay) afterSuspension(gap time.Duration) {
 	r.log.WithField("gap", gap).Warn("this process stood still; members are asked for anew")
-	r.core.Doubt()
-	r.watch.Refresh(r.core.Sure)
-	r.loop.After(settings.Span(r.names.Settings.Guarantees.Grace), r.core.Sure)
+	r.core.PauseDispatch()
+	r.watch.Refresh(r.core.ResumeDispatch)
+	r.loop.After(settings.Span(r.names.Settings.Guarantees.Grace), r.core.ResumeDispatch)
 }
 
 // reload takes over what a configuration that was read again may change: where
--- a/cmd/dahliarudder/snapshot.go
+++ b/cmd/dahliarudder/snapshot.go
@@ -80,7 +80,7 @@
 		}
 		r.core.UpdateMembers(policy.ListCached, r.names.Members(s.List))
 	}
-	r.core.Recall(s.Learned)
+	r.core.Restore(s.Learned)
 	r.log.WithField("age", age).Info("state: goes on from its snapshot")
 }
 
@@ -137,7 +137,7 @@
 
 func (r *relay) snapshot() *snapshot.Snapshot {
 	list, _ := r.watch.Snapshot()
-	s := &snapshot.Snapshot{Name: r.cfg.Name, List: list, DiscoveryAddr: r.cfg.Discovery, Learned: r.core.Learned()}
+	s := &snapshot.Snapshot{Name: r.cfg.Name, List: list, DiscoveryAddr: r.cfg.Discovery, Learned: r.core.LearnedState()}
 	s.Stamp(clocksNow())
 	if r.peers != nil {
 		s.Peers = r.peers.LiveAddresses()
--- a/cmd/dahliarudder/stop.go
+++ b/cmd/dahliarudder/stop.go
@@ -13,10 +13,10 @@
 	loop := r.loop
 	r.log.WithField("held", r.core.ActiveRequests()).Info("stopping")
 	r.peers.Leave() // nothing new is placed from here on
-	deadline := loop.Now() + r.core.StopWithin()
+	deadline := loop.Now() + r.core.StopTimeout()
 	least := loop.Now() + core.StopNotice
 	if r.requestTakeover() {
-		r.core.GiveUp()
+		r.core.BeginHandover()
 		r.handOverConnections()
 	} else {
 		r.core.Stop()
@@ -50,7 +50,7 @@
 
 // closeAndExit ends a stop: nobody comes any more, who waits is answered, and the loop ends once what that takes has left.
 func (r *relay) closeAndExit() {
-	r.core.Finish()
+	r.core.FinishStop()
 	r.closeIdleConnections() // their descriptors are free for who is in a listener's queue
 	for _, l := range append(r.listeners, r.successorListener) {
 		l.Close()
--- a/cmd/dahliarudder/upgrade.go
+++ b/cmd/dahliarudder/upgrade.go
@@ -128,7 +128,7 @@
 // sendStateToSuccessor tells a successor all that it starts with.
 func (r *relay) sendStateToSuccessor(hello int) {
 	r.sibling.peer.SetVersion(hello)
-	state := handover.NewState(r.core.Learned(), hello)
+	state := handover.NewState(r.core.LearnedState(), hello)
 	var fds []int
 	for front, l := range r.clientListeners {
 		state.Fronts = append(state.Fronts, front)
@@ -238,6 +238,6 @@
 	if len(r.inheritedState.Pool.Instances) > 0 {
 		r.core.UpdateMembers(policy.ListCached, r.names.Members(r.inheritedState.Pool))
 	}
-	r.core.Recall(r.inheritedState.Learned)
+	r.core.Restore(r.inheritedState.Learned)
 	r.inheritedState = nil
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -37,9 +37,9 @@
 	CurrentMember string        `json:"At"`    // the member that already holds the flow; empty for a new one
 }
 
-// VirtualServer is the client's side of one request. The core never calls it
+// Downstream is the client's side of one request. The core never calls it
 // again after a final answer, but for Move of a flow that stands.
-type VirtualServer interface {
+type Downstream interface {
 	// Send starts a server-side flow, which is abandoned after wait.
 	Send(id ID, to *Member, try int, wait time.Duration)
 	// Cancel abandons the server-side flow.
@@ -48,8 +48,8 @@
 	Reject(after time.Duration)
 	// Fail is a final answer without any promise.
 	Fail()
-	// Move asks the client of an open flow to come again, and ends the flow.
-	Move()
+	// Migrate asks the client of an open flow to come again, and ends the flow.
+	Migrate()
 }
 
 // RecordAnswer is a final answer.
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -56,8 +56,8 @@
 	s.after = after
 	s.final("rejected")
 }
-func (s *side) Fail() { s.final("failed") }
-func (s *side) Move() { s.moved++; s.out-- }
+func (s *side) Fail()    { s.final("failed") }
+func (s *side) Migrate() { s.moved++; s.out-- }
 func (s *side) final(answer string) {
 	if s.answers = append(s.answers, answer); len(s.answers) > 1 || s.out > 0 {
 		s.r.t.Errorf("answers %v with %d attempts out", s.answers, s.out)
@@ -104,7 +104,7 @@
 func (r *rig) up(n int) (all []*side) {
 	for range n {
 		s := r.open()
-		r.Up(s.id, 0)
+		r.FlowEstablished(s.id, 0)
 		all = append(all, s)
 	}
 	return all
@@ -126,10 +126,10 @@
 func TestServed(t *testing.T) {
 	r := newRig(t, 2)
 	s := r.open()
-	if s.out != 1 || !r.Up(s.id, 0) || r.Up(s.id, 0) {
+	if s.out != 1 || !r.FlowEstablished(s.id, 0) || r.FlowEstablished(s.id, 0) {
 		t.Fatal("not up, or up twice")
 	}
-	r.Ended(s.id, 0, policy.OK, policy.NoReport)
+	r.AttemptEnded(s.id, 0, policy.OK, policy.NoReport)
 	if r.ActiveRequests() != 0 || r.Counts.Served != 1 || len(r.book) != 2 {
 		t.Errorf("held %d, counts %+v, book %v", r.ActiveRequests(), r.Counts, r.book)
 	}
@@ -140,14 +140,14 @@
 	r := newRig(t, 3)
 	s := r.open()
 	s.out--
-	r.Ended(s.id, 0, policy.ConnectFailed, policy.NoReport)
+	r.AttemptEnded(s.id, 0, policy.ConnectFailed, policy.NoReport)
 	if s.tries != 2 {
 		t.Fatalf("%d tries", s.tries)
 	}
-	if r.Up(s.id, 0) {
+	if r.FlowEstablished(s.id, 0) {
 		t.Error("up by an attempt that failed")
 	}
-	r.Ended(s.id, 0, policy.Reset, policy.NoReport)
+	r.AttemptEnded(s.id, 0, policy.Reset, policy.NoReport)
 	if s.out != 1 || s.tries != 2 {
 		t.Errorf("%d out, %d tries", s.out, s.tries)
 	}
@@ -211,7 +211,7 @@
 	r := newRig(t, 2)
 	s, lost := &side{r: r}, &side{r: r}
 	id := r.Open(Request{CurrentMember: "m1", TimeLeft: time.Second}, s)
-	if s.out != 1 || !r.Up(id, 0) {
+	if s.out != 1 || !r.FlowEstablished(id, 0) {
 		t.Fatal("not up")
 	}
 	r.UpdateMembers(policy.ListDelta, list(2, policy.Draining)[1:])
@@ -246,13 +246,13 @@
 	if away := r.Counts.BackoffTime; away != stopAfter {
 		t.Errorf("one was sent away for %v, counted %v", stopAfter, away)
 	}
-	r.pass(of(stopMovesFrom, r.StopWithin()) - time.Millisecond)
+	r.pass(of(stopMovesFrom, r.StopTimeout()) - time.Millisecond)
 	for _, s := range up {
 		if s.moved != 0 {
 			t.Error("moved too early")
 		}
 	}
-	r.Up(late.id, 0)
+	r.FlowEstablished(late.id, 0)
 	r.pass(2 * time.Second)
 	for _, s := range append(up, late) {
 		if s.moved != 1 {
@@ -272,7 +272,7 @@
 	var probed int
 	r.Probe = func(*Member) { probed++ }
 	s := r.open()
-	r.Up(s.id, 0)
+	r.FlowEstablished(s.id, 0)
 	r.Eject("m0")
 	r.Eject("m0")
 	if s.moved != 1 || !r.IsKnownMember("m0") || r.IsKnownMember("m9") || r.HasUsableMember() {
@@ -316,7 +316,7 @@
 // still go, within the grace too, and who waited too long has an answer of the relay's own.
 func TestDoubt(t *testing.T) {
 	r := newRig(t, 4)
-	r.Doubt()
+	r.PauseDispatch()
 	var all []*side
 	for range 20 {
 		all = append(all, r.open())
@@ -327,10 +327,10 @@
 			t.Fatalf("%d tries, answers %v", s.tries, s.answers)
 		}
 	}
-	r.Left(late.id)
+	r.ClientGone(late.id)
 	r.UpdateMembers(policy.ListDelta, list(4, policy.Draining)[1:])
-	r.Sure()
-	r.Sure()
+	r.ResumeDispatch()
+	r.ResumeDispatch()
 	sent := 0
 	for i, s := range all {
 		if sent += s.tries; s.tries > 0 && s.to != "m0" {
@@ -343,13 +343,13 @@
 	if late.tries > 0 {
 		t.Error("sent for a client that has left")
 	}
-	r.Doubt()
+	r.PauseDispatch()
 	s := r.open()
 	r.pass(3 * time.Second)
 	if s.tries > 0 || len(s.answers) != 1 {
 		t.Errorf("%d tries, answers %v", s.tries, s.answers)
 	}
-	r.Sure()
+	r.ResumeDispatch()
 	if s.tries > 0 || len(s.answers) != 1 {
 		t.Errorf("after its answer: %d tries, answers %v", s.tries, s.answers)
 	}
@@ -377,7 +377,7 @@
 	var up []*side
 	open := func() {
 		s := r.open()
-		if !r.Up(s.id, 0) {
+		if !r.FlowEstablished(s.id, 0) {
 			t.Fatal("not served")
 		}
 		up = append(up, s)
@@ -420,16 +420,16 @@
 	old.Eject("m1")
 	old.Reinstate("m1")
 	old.pass(2 * time.Second)
-	text, err := json.Marshal(old.Learned())
+	text, err := json.Marshal(old.LearnedState())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var l Learned
+	var l LearnedState
 	if err := json.Unmarshal(text, &l); err != nil {
 		t.Fatal(err)
 	}
 	next.now += 5 * time.Minute
-	next.Recall(l)
+	next.Restore(l)
 	if up := next.now - next.members[11].Started; up != 2*time.Second || next.members[10].Started != 0 {
 		t.Errorf("up for %v", up)
 	}
@@ -445,31 +445,31 @@
 func TestGiveUp(t *testing.T) {
 	r := newRig(t, 2)
 	up := r.up(5)
-	r.GiveUp()
+	r.BeginHandover()
 	next := newRig(t, 2)
 	next.now += time.Hour
-	p, ok := r.Pass(up[0].id)
-	if _, twice := r.Pass(up[0].id); !ok || twice || r.ActiveRequests() != 4 {
+	p, ok := r.ReleaseFlow(up[0].id)
+	if _, twice := r.ReleaseFlow(up[0].id); !ok || twice || r.ActiveRequests() != 4 {
 		t.Errorf("passed %v, twice %v, %d held", ok, twice, r.ActiveRequests())
 	}
 	s := &side{r: next, out: 1, tries: 1}
-	id, m, ok := next.Take(p, s)
-	if !ok || m.Name != p.Member || !next.IsActive(id) || next.Up(id, 0) || next.Counts.Served != 1 {
+	id, m, ok := next.AdoptFlow(p, s)
+	if !ok || m.Name != p.Member || !next.IsActive(id) || next.FlowEstablished(id, 0) || next.Counts.Served != 1 {
 		t.Errorf("taken %v by %v, counts %+v", ok, m, next.Counts)
 	}
-	next.Ended(id, 0, policy.OK, policy.NoReport)
+	next.AttemptEnded(id, 0, policy.OK, policy.NoReport)
 	if next.ActiveRequests() != 0 || s.moved != 0 || len(s.answers) != 0 {
 		t.Errorf("%d held, %+v", next.ActiveRequests(), s)
 	}
-	if _, _, ok := next.Take(Passed{Member: "m9"}, s); ok {
+	if _, _, ok := next.AdoptFlow(FlowTransfer{Member: "m9"}, s); ok {
 		t.Error("a flow at an unknown member was taken")
 	}
-	r.pass(of(passWithin, r.StopWithin()) - time.Millisecond)
+	r.pass(of(passWithin, r.StopTimeout()) - time.Millisecond)
 	early := up[0].moved
 	for _, s := range up[1:] {
 		early += s.moved
 	}
-	r.pass(of(stopMoves, r.StopWithin()))
+	r.pass(of(stopMoves, r.StopTimeout()))
 	if early != 0 || r.ActiveRequests() != 0 || up[0].moved != 0 || up[1].moved != 1 {
 		t.Errorf("%d moved early, %d held", early, r.ActiveRequests())
 	}
@@ -480,9 +480,9 @@
 func TestFinish(t *testing.T) {
 	r := newRig(t, 2)
 	up, late := r.open(), r.open()
-	r.Up(up.id, 0)
+	r.FlowEstablished(up.id, 0)
 	r.Stop()
-	r.Finish()
+	r.FinishStop()
 	if up.moved != 1 || len(late.answers) != 1 || late.answers[0] != "rejected" || late.out != 0 || r.ActiveRequests() != 0 {
 		t.Errorf("moved %d, answers %v, held %d", up.moved, late.answers, r.ActiveRequests())
 	}
@@ -493,7 +493,7 @@
 func TestMessages(t *testing.T) {
 	r := newRig(t, 1)
 	s := r.open()
-	r.Up(s.id, 0)
+	r.FlowEstablished(s.id, 0)
 	m := r.requests[s.id].member
 	r.ObserveMessageLatency(s.id, 40*time.Millisecond)
 	first := m.noted
@@ -529,16 +529,16 @@
 			switch q := r.requests[s.id]; rng.IntN(7) {
 			case 0:
 				if q != nil && q.member != nil {
-					r.Up(s.id, s.tries-1)
+					r.FlowEstablished(s.id, s.tries-1)
 				}
 			case 1:
 				if q != nil && q.member != nil {
 					s.out--
-					r.Ended(s.id, s.tries-1, results[rng.IntN(len(results))], policy.NoReport)
+					r.AttemptEnded(s.id, s.tries-1, results[rng.IntN(len(results))], policy.NoReport)
 				}
 			case 2:
 				if rng.IntN(4) == 0 {
-					r.Left(s.id)
+					r.ClientGone(s.id)
 				}
 			case 4:
 				name := fmt.Sprint("m", rng.IntN(4))
@@ -643,8 +643,8 @@
 	r.UpdateMembers(policy.ListCached, list(3, policy.Ready))
 	r.up(3)
 	r.Stop()
-	r.pass(r.StopWithin())
-	if r.StopWithin() > 1200*time.Millisecond || r.ActiveRequests() > 0 {
-		t.Errorf("a stop takes %v, and %d flows are held then", r.StopWithin(), r.ActiveRequests())
+	r.pass(r.StopTimeout())
+	if r.StopTimeout() > 1200*time.Millisecond || r.ActiveRequests() > 0 {
+		t.Errorf("a stop takes %v, and %d flows are held then", r.StopTimeout(), r.ActiveRequests())
 	}
 }
--- a/internal/core/crossings_test.go
+++ b/internal/core/crossings_test.go
@@ -44,8 +44,8 @@
 	},
 	"for the end of a doubt": func(t *testing.T) (*rig, *side, func()) {
 		r := newRigOf(t, classesText, list(1, policy.Ready))
-		r.Doubt()
-		return r, r.bring(unsafeClass, 2*time.Second), r.Sure
+		r.PauseDispatch()
+		return r, r.bring(unsafeClass, 2*time.Second), r.ResumeDispatch
 	},
 }
 
@@ -67,7 +67,7 @@
 	for name, of := range waits {
 		r, s, goOn := of(t)
 		before := s.tries
-		r.Left(s.id)
+		r.ClientGone(s.id)
 		goOn()
 		r.pass(3 * time.Second)
 		if s.tries != before || len(s.answers) != 0 || r.ActiveRequests() != 0 || r.Counts.ClientsGone != 1 {
@@ -112,7 +112,7 @@
 
 		r, s, goOn = of(t)
 		r.Stop()
-		r.Finish()
+		r.FinishStop()
 		before = s.tries
 		if s.got() != "rejected" || r.ActiveRequests() != 0 {
 			t.Errorf("%s: answers %v at the end, held %d", name, s.answers, r.ActiveRequests())
@@ -144,7 +144,7 @@
 	leave := func(s *side) func() {
 		return func() {
 			if s.tries == 0 {
-				r.Left(s.id)
+				r.ClientGone(s.id)
 			}
 		}
 	}
@@ -158,7 +158,7 @@
 		t.Errorf("%d and %d attempts, held %d", first.tries, second.tries, r.ActiveRequests())
 	}
 	for _, s := range []*side{first, second} {
-		r.Left(s.id)
+		r.ClientGone(s.id)
 	}
 	r.UpdateMembers(policy.ListFull, nil)
 	if learned := r.facade.LearnedState(r.now); len(learned.Servers) != 0 {
@@ -175,7 +175,7 @@
 			s := &side{r: r}
 			s.id = r.Open(Request{Class: unsafeClass, CurrentMember: "m1", TimeLeft: time.Second}, s)
 			if up {
-				r.Up(s.id, 0)
+				r.FlowEstablished(s.id, 0)
 			}
 			s.ends(result)
 			want := "failed"
@@ -200,7 +200,7 @@
 		s := r.bring(safeClass, 2*time.Second)
 		r.now += s.wait
 		if upFirst {
-			if !r.Up(s.id, 0) {
+			if !r.FlowEstablished(s.id, 0) {
 				t.Error("not up before it is given up")
 			}
 			r.Tick()
@@ -210,7 +210,7 @@
 			continue
 		}
 		r.Tick()
-		if r.Up(s.id, 0) {
+		if r.FlowEstablished(s.id, 0) {
 			t.Error("up after it was given up")
 		}
 		r.pass(500 * time.Millisecond)
--- a/internal/core/feed.go
+++ b/internal/core/feed.go
@@ -161,7 +161,7 @@
 
 // Stands says that the link is up and takes messages.
 func (f *Feed) Stands() {
-	if f.state != feedPlacing || !f.c.Up(f.flow, f.try) {
+	if f.state != feedPlacing || !f.c.FlowEstablished(f.flow, f.try) {
 		return
 	}
 	if f.state == feedPlacing { // it may have been moved by that very word
@@ -224,7 +224,7 @@
 	state := f.state
 	f.state = feedIdle
 	if state == feedPlacing || state == feedUp {
-		f.c.Left(f.flow)
+		f.c.ClientGone(f.flow)
 	}
 	f.room()
 	delete(f.c.feeds, f.name)
@@ -272,9 +272,9 @@
 	f.arm()
 }
 
-// Move gives the place up: nothing more is handed to the link, and once what is out there has
+// Migrate gives the place up: nothing more is handed to the link, and once what is out there has
 // been acknowledged, or the link has ended, a new place is asked for.
-func (f *Feed) Move() {
+func (f *Feed) Migrate() {
 	f.state = feedLeaving
 	f.soon(f.c.Clock()) // after the core is done with the flow
 }
@@ -288,10 +288,10 @@
 	f.back(result, left)
 	switch state {
 	case feedPlacing: // core makes the next attempt or refuses
-		f.c.Ended(f.flow, f.try, result, policy.NoReport)
+		f.c.AttemptEnded(f.flow, f.try, result, policy.NoReport)
 	case feedUp:
 		f.state = feedLeaving
-		f.c.Ended(f.flow, f.try, result, policy.NoReport)
+		f.c.AttemptEnded(f.flow, f.try, result, policy.NoReport)
 		f.place()
 	case feedLeaving:
 		f.place()
@@ -337,7 +337,7 @@
 			c.Counts.Blocked++
 			if !c.reachable(now, m) { // it should have been moved before
 				f.state = feedLeaving
-				c.Ended(f.flow, f.try, policy.Cancelled, policy.NoReport)
+				c.AttemptEnded(f.flow, f.try, policy.Cancelled, policy.NoReport)
 				f.soon(now)
 			}
 			return // else its time is over: the alarm gives it up
@@ -514,7 +514,7 @@
 		f.place()
 	case f.state == feedUp && f.w.Idle() && now-f.used >= feedRest:
 		f.state = feedIdle
-		f.c.Left(f.flow)
+		f.c.ClientGone(f.flow)
 	case f.state == feedUp:
 		f.pump(now)
 	}
--- a/internal/core/feed_test.go
+++ b/internal/core/feed_test.go
@@ -350,7 +350,7 @@
 			}
 			if more && rng.IntN(4) == 0 {
 				name := fmt.Sprint("m", rng.IntN(3))
-				[]func(){r.Doubt, r.Sure, r.Sure, func() { r.Eject(name) }, func() { r.Reinstate(name) }, func() { r.Reinstate(name) },
+				[]func(){r.PauseDispatch, r.ResumeDispatch, r.ResumeDispatch, func() { r.Eject(name) }, func() { r.Reinstate(name) }, func() { r.Reinstate(name) },
 					func() { r.SetFleetRemovals(map[string]Removal{name: {SpreadOver: 300 * time.Millisecond}}) }, func() { r.SetFleetRemovals(nil) },
 					r.Drain, r.Resume}[rng.IntN(10)]()
 			}
@@ -358,8 +358,8 @@
 		}
 		if more {
 			r.Stop()
-			r.pass(r.StopWithin())
-			r.Finish()
+			r.pass(r.StopTimeout())
+			r.FinishStop()
 			if r.ActiveRequests() != 0 {
 				t.Errorf("seed %d: %d held after the end of the stop", seed, r.ActiveRequests())
 			}
@@ -399,7 +399,7 @@
 		t.Fatal("no attempt is out")
 	}
 	r.Stop()
-	r.Finish()
+	r.FinishStop()
 	if p.count(Rejected) != 3 || p.after != stopAfter || r.ActiveRequests() != 0 {
 		t.Errorf("%d rejected, for %v; held %d", p.count(Rejected), p.after, r.ActiveRequests())
 	}
@@ -414,14 +414,14 @@
 		p.f.Stands()
 		p.take(1)
 		first := p.to.ID
-		r.Doubt()
+		r.PauseDispatch()
 		if p.put(3); len(p.out) != 0 {
 			t.Errorf("%d messages were sent during a doubt", len(p.out))
 		}
 		if left {
 			r.UpdateMembers(policy.ListDelta, []Member{r.drains(first)})
 		}
-		r.Sure()
+		r.ResumeDispatch()
 		r.pass(time.Millisecond)
 		if left {
 			if p.to == nil || p.to.ID == first {
--- a/internal/core/gate.go
+++ b/internal/core/gate.go
@@ -11,12 +11,12 @@
 
 // ---- Doubt ----
 
-// Doubt has whatever is new to a member wait: this process stood still, and discovery may have said meanwhile that the member
+// PauseDispatch has whatever is new to a member wait: this process stood still, and discovery may have said meanwhile that the member
 // drains or is gone. Sure ends it: what has waited goes where it may still go, and what may not is decided anew.
-func (c *Core) Doubt() { c.doubting = true }
+func (c *Core) PauseDispatch() { c.doubting = true }
 
-// Sure is called when the news is told, and also when there is none to be had.
-func (c *Core) Sure() {
+// ResumeDispatch is called when the news is told, and also when there is none to be had.
+func (c *Core) ResumeDispatch() {
 	if !c.doubting {
 		return
 	}
@@ -142,7 +142,7 @@
 // not, however long ago that was told: its first byte would come later than the gate has judged by. Nor may any
 // during a doubt, nor a repeat whose window is over by now. It ends as one that was never made. A flow that its
 // member holds already is exempt.
-func (c *Core) Begin(id ID, try int) bool {
+func (c *Core) MaySend(id ID, try int) bool {
 	r := c.current(id, try)
 	if r == nil || r.state != attempting {
 		return false
--- a/internal/core/happen.go
+++ b/internal/core/happen.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// Arm keeps a canary's arm apart: of says which members are of it, drawn whose flows go there, and nobody else's do. Nil: there is none.
-func (c *Core) Arm(of func(*Member) bool, drawn func(group uint64) bool) {
+// SetCanaryGroup keeps a canary's arm apart: of says which members are of it, drawn whose flows go there, and nobody else's do. Nil: there is none.
+func (c *Core) SetCanaryGroup(of func(*Member) bool, drawn func(group uint64) bool) {
 	if of == nil {
 		c.tell(policy.CanaryGroup{})
 		return
@@ -60,4 +60,4 @@
 }
 
 // CanaryOverflows is how many flows were drawn for an arm that had no room for them.
-func (c *Core) Strayed() uint64 { return c.facade.CanaryOverflows() }
+func (c *Core) CanaryOverflows() uint64 { return c.facade.CanaryOverflows() }
--- a/internal/core/leave.go
+++ b/internal/core/leave.go
@@ -23,9 +23,9 @@
 	stopAfter                = 500 * time.Millisecond // when a client rejected meanwhile may come again
 )
 
-// StopWithin is when a planned stop is over: with the longest deadline, since SIGKILL comes no earlier than that, taken as three seconds
+// StopTimeout is when a planned stop is over: with the longest deadline, since SIGKILL comes no earlier than that, taken as three seconds
 // where it is longer, and 0.7 s. Those are for the last answers and a busy loop.
-func (c *Core) StopWithin() time.Duration {
+func (c *Core) StopTimeout() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range c.set.Classes {
 		longest = max(longest, class.Deadline)
@@ -62,36 +62,36 @@
 	c.draining = false
 }
 
-// GiveUp begins a planned stop of which another process takes the place: fronts pass
+// BeginHandover begins a planned stop of which another process takes the place: fronts pass
 // open flows on to it, and those that are left after a while are moved.
-func (c *Core) GiveUp() {
+func (c *Core) BeginHandover() {
 	if !c.stopping {
 		c.stopping = true
-		c.moveAll(of(passWithin, c.StopWithin()), of(stopMoves, c.StopWithin()))
+		c.moveAll(of(passWithin, c.StopTimeout()), of(stopMoves, c.StopTimeout()))
 	}
 }
 
-// Passed is an open flow on its way to another process. Times are ages.
-type Passed struct {
+// FlowTransfer is an open flow on its way to another process. Times are ages.
+type FlowTransfer struct {
 	Request Request       `json:"request"`
 	Member  string        `json:"member"`
 	Age     time.Duration `json:"age"`
 }
 
-// Pass gives an open flow up to another process.
-func (c *Core) Pass(id ID) (Passed, bool) {
+// ReleaseFlow gives an open flow up to another process.
+func (c *Core) ReleaseFlow(id ID) (FlowTransfer, bool) {
 	r := c.requests[id]
 	if r == nil || !c.step(r, passed) {
-		return Passed{}, false
+		return FlowTransfer{}, false
 	}
-	p := Passed{r.Request, r.member.Name, c.Clock() - r.sent}
+	p := FlowTransfer{r.Request, r.member.Name, c.Clock() - r.sent}
 	c.release(r, serving, policy.Cancelled, policy.NoReport)
 	return p, true
 }
 
-// Take takes up the flow that another process has passed on; it is up already. False
+// AdoptFlow takes up the flow that another process has passed on; it is up already. False
 // if its member is not known here.
-func (c *Core) Take(p Passed, v VirtualServer) (ID, *Member, bool) {
+func (c *Core) AdoptFlow(p FlowTransfer, v Downstream) (ID, *Member, bool) {
 	now, m := c.Clock(), c.byName[p.Member]
 	if m == nil {
 		return 0, nil, false
@@ -120,7 +120,7 @@
 		return
 	}
 	c.stopping = true
-	c.moveAll(max(of(stopMovesFrom, c.StopWithin()), StopNotice), of(stopMoves, c.StopWithin()))
+	c.moveAll(max(of(stopMovesFrom, c.StopTimeout()), StopNotice), of(stopMoves, c.StopTimeout()))
 }
 
 // moveAll spreads the moves of all open flows between two times from now.
@@ -151,9 +151,9 @@
 	}
 }
 
-// Finish ends a stop whose time is up: who still waits is answered, and every
+// FinishStop ends a stop whose time is up: who still waits is answered, and every
 // open flow is moved at once.
-func (c *Core) Finish() {
+func (c *Core) FinishStop() {
 	for _, r := range c.held() {
 		switch r.state {
 		case serving:
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -64,7 +64,7 @@
 type request struct {
 	Request
 	id       ID
-	v        VirtualServer
+	v        Downstream
 	deadline time.Duration
 	state    state
 	tries    int     // attempts that have begun
--- a/internal/core/lifecycle_test.go
+++ b/internal/core/lifecycle_test.go
@@ -42,9 +42,9 @@
 func TestIgnored(t *testing.T) {
 	r := newRig(t, 1)
 	s := r.open()
-	r.Up(s.id, 0)
+	r.FlowEstablished(s.id, 0)
 	before := r.Counts
-	if r.Up(s.id, 0) || r.Counts.IgnoredEvents != 1 {
+	if r.FlowEstablished(s.id, 0) || r.Counts.IgnoredEvents != 1 {
 		t.Errorf("up twice, %d ignored", r.Counts.IgnoredEvents)
 	}
 	r.do(policy.Action{Kind: policy.ActionReject, ID: s.id, Duration: time.Second})
@@ -57,10 +57,10 @@
 	if r.Counts != before || r.Counts.IgnoredEvents != 3 {
 		t.Errorf("counts %+v, before %+v", r.Counts, before)
 	}
-	r.Left(s.id)
-	r.Ended(s.id, 0, policy.Reset, policy.NoReport)
-	r.Left(s.id)
-	if _, ok := r.Pass(s.id); ok || len(r.book) != 2 || r.ActiveRequests() != 0 {
+	r.ClientGone(s.id)
+	r.AttemptEnded(s.id, 0, policy.Reset, policy.NoReport)
+	r.ClientGone(s.id)
+	if _, ok := r.ReleaseFlow(s.id); ok || len(r.book) != 2 || r.ActiveRequests() != 0 {
 		t.Errorf("passed %v, book %v, held %d", ok, r.book, r.ActiveRequests())
 	}
 }
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -219,27 +219,27 @@
 }
 
 // LearnedState is what another core can go on from. Times are ages.
-type Learned struct {
-	Policy policy.LearnedState      `json:"policy"`
-	Back   map[string]time.Duration `json:"back"` // how long ago members were put back
+type LearnedState struct {
+	Policy         policy.LearnedState      `json:"policy"`
+	ReinstatedAges map[string]time.Duration `json:"back"` // how long ago members were put back
 }
 
 // LearnedState is what has been learned so far.
-func (c *Core) Learned() Learned {
+func (c *Core) LearnedState() LearnedState {
 	now := c.Clock()
-	l := Learned{Policy: c.facade.LearnedState(now), Back: map[string]time.Duration{}}
+	l := LearnedState{Policy: c.facade.LearnedState(now), ReinstatedAges: map[string]time.Duration{}}
 	for name, m := range c.byName {
 		if m.back > 0 {
-			l.Back[name] = now - m.back
+			l.ReinstatedAges[name] = now - m.back
 		}
 	}
 	return l
 }
 
 // Restore goes on from what another core has learned. It comes after Pool.
-func (c *Core) Recall(l Learned) {
+func (c *Core) Restore(l LearnedState) {
 	now := c.Clock()
-	for name, ago := range l.Back {
+	for name, ago := range l.ReinstatedAges {
 		if m := c.byName[name]; m != nil {
 			m.started, m.back = m.listed.Started, now-ago
 			c.see(now, m)
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -41,7 +41,7 @@
 	shut     bool // the ledger
 	doubting bool
 	strict   bool          // during Sure
-	stopped  bool          // by Stop or GiveUp
+	stopped  bool          // by Stop or BeginHandover
 	leaving  time.Duration // by when flows have to be moved for a drain or a stop; 0 if none is on
 	done     bool          // after Finish
 	rash     bool          // something else happens in the middle of the next call to a virtual server
@@ -208,7 +208,7 @@
 	x.then()
 }
 
-func (x *client) Move() {
+func (x *client) Migrate() {
 	x.called("move")
 	if !x.open() {
 		x.w.Fatalf("request %d: moved, though it is not open", x.id)
@@ -221,7 +221,7 @@
 
 func (x *client) leave() {
 	if !x.settled() {
-		x.w.c.Left(x.id)
+		x.w.c.ClientGone(x.id)
 		x.gone = true
 		if x.out() != nil {
 			x.w.Fatalf("request %d: an attempt is still out after its client left", x.id)
@@ -339,7 +339,7 @@
 	if x == nil {
 		return
 	}
-	if !w.c.Up(x.id, len(x.attempts)-1) {
+	if !w.c.FlowEstablished(x.id, len(x.attempts)-1) {
 		w.Fatalf("request %d: its attempt is out, and may not be up", x.id)
 	}
 	x.up, x.upAt = true, w.now
@@ -364,7 +364,7 @@
 	} else if a.result == policy.OK {
 		x.answers, x.up, x.ended = append(x.answers, "served"), true, true
 	}
-	w.c.Ended(x.id, try, a.result, w.report())
+	w.c.AttemptEnded(x.id, try, a.result, w.report())
 }
 
 func (w *world) report() policy.Report {
@@ -384,18 +384,18 @@
 	if a := x.out(); a != nil && try == len(x.attempts)-1 {
 		if x.up {
 			w.stood++
-			if w.c.Up(x.id, try) {
+			if w.c.FlowEstablished(x.id, try) {
 				w.Fatalf("request %d: up twice", x.id)
 			}
 		}
 		return
 	}
-	if w.c.Up(x.id, try) {
+	if w.c.FlowEstablished(x.id, try) {
 		w.Fatalf("request %d: up by attempt %d, which is not out", x.id, try)
 	}
-	w.c.Ended(x.id, try, modelResults[w.draw(len(modelResults), "result")], policy.NoReport)
+	w.c.AttemptEnded(x.id, try, modelResults[w.draw(len(modelResults), "result")], policy.NoReport)
 	if x.settled() {
-		w.c.Left(x.id)
+		w.c.ClientGone(x.id)
 	}
 }
 
@@ -491,11 +491,11 @@
 func (w *world) doubt() {
 	if !w.doubting {
 		w.doubting = true
-		w.c.Doubt()
+		w.c.PauseDispatch()
 		return
 	}
 	w.doubting, w.strict = false, true
-	w.c.Sure()
+	w.c.ResumeDispatch()
 	w.strict = false
 }
 
@@ -503,9 +503,9 @@
 	if w.stopped {
 		return
 	}
-	w.stopped, w.leaving = true, w.now+of(stopMoves, w.c.StopWithin())
+	w.stopped, w.leaving = true, w.now+of(stopMoves, w.c.StopTimeout())
 	if w.draw(2, "another takes its place") == 0 {
-		w.c.GiveUp()
+		w.c.BeginHandover()
 	} else {
 		w.c.Stop()
 	}
@@ -516,7 +516,7 @@
 	if x := w.pick((*client).open); x != nil && w.draw(2, "pass") == 0 {
 		a := x.out()
 		x.ended, a.over, a.result = true, true, policy.Cancelled
-		if p, ok := w.c.Pass(x.id); !ok || p.Member != a.to.Name {
+		if p, ok := w.c.ReleaseFlow(x.id); !ok || p.Member != a.to.Name {
 			w.Fatalf("request %d: passed %v with %s, it is at %s", x.id, ok, p.Member, a.to.Name)
 		}
 		return
@@ -524,7 +524,7 @@
 	p := w.places[w.draw(len(w.places), "member")]
 	x := &client{w: w, taken: true, up: true, upAt: w.now, answers: []string{"served"}, q: Request{Class: w.draw(5, "class")}}
 	x.attempts = []*tried{{to: p, at: p.Member, sent: w.now}}
-	id, _, ok := w.c.Take(Passed{Request: x.q, Member: p.Name}, x)
+	id, _, ok := w.c.AdoptFlow(FlowTransfer{Request: x.q, Member: p.Name}, x)
 	if ok != p.known {
 		w.Fatalf("taken %v from a member that is known %v", ok, p.known)
 	}
@@ -694,8 +694,8 @@
 func (w *world) finish() {
 	w.run(0)
 	w.stop()
-	w.run([]time.Duration{0, 300 * time.Millisecond, w.c.StopWithin()}[w.draw(3, "stop takes")])
-	w.c.Finish()
+	w.run([]time.Duration{0, 300 * time.Millisecond, w.c.StopTimeout()}[w.draw(3, "stop takes")])
+	w.c.FinishStop()
 	w.done = true
 	w.check()
 	if n := w.c.ActiveRequests(); n > 0 {
@@ -733,7 +733,7 @@
 		w.Fatalf("left behind: %d held sends, %d alarms, %d verdicts, %d requests", len(w.c.later), len(w.c.alarms), len(w.c.pending), len(w.c.requests))
 	}
 	w.c.UpdateMembers(policy.ListFull, nil)
-	if l := w.c.Learned().Policy.Servers; len(l) > 0 && !w.wrong { // the module keeps those alone at which it takes flows to be open
+	if l := w.c.LearnedState().Policy.Servers; len(l) > 0 && !w.wrong { // the module keeps those alone at which it takes flows to be open
 		w.Fatalf("the module still holds flows at %v", l)
 	}
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -12,7 +12,7 @@
 // ---- What fronts tell ----
 
 // Open takes a request. The final answer comes by v, perhaps at once.
-func (c *Core) Open(q Request, v VirtualServer) ID {
+func (c *Core) Open(q Request, v Downstream) ID {
 	now := c.Clock()
 	c.last++
 	r := &request{Request: q, id: c.last, v: v, deadline: now + q.TimeLeft}
@@ -66,7 +66,7 @@
 
 // Up says that a server-side flow stands. It returns whether the client may be
 // told so.
-func (c *Core) Up(id ID, try int) bool {
+func (c *Core) FlowEstablished(id ID, try int) bool {
 	r := c.current(id, try)
 	if r == nil || !c.step(r, stands) {
 		return false
@@ -89,9 +89,9 @@
 	return true
 }
 
-// Ended says how a server-side flow ended, before it stood or after. A flow
+// AttemptEnded says how a server-side flow ended, before it stood or after. A flow
 // served to its end has its final answer by that.
-func (c *Core) Ended(id ID, try int, result policy.Result, report policy.Report) {
+func (c *Core) AttemptEnded(id ID, try int, result policy.Result, report policy.Report) {
 	if r := c.current(id, try); r != nil {
 		c.end(r, result, report)
 	}
@@ -99,7 +99,7 @@
 
 // ClientGone says that the client of a request went away. It returns whether a client that still listens may be told that
 // coming again is harmless.
-func (c *Core) Left(id ID) (harmless bool) {
+func (c *Core) ClientGone(id ID) (harmless bool) {
 	r := c.requests[id]
 	if r == nil {
 		return false
@@ -213,9 +213,9 @@
 	}
 }
 
-// Advice is how soon a rejected client is told to come again that should do so after some time: no later than clients
+// RetryAfter is how soon a rejected client is told to come again that should do so after some time: no later than clients
 // heed, and 0, which is no advice, where the settings have none.
-func (c *Core) Advice(after time.Duration) time.Duration {
+func (c *Core) RetryAfter(after time.Duration) time.Duration {
 	if advised := c.Settings.Limits.RetryAfter; advised != nil && !*advised {
 		return 0
 	}
@@ -231,7 +231,7 @@
 	c.abandon(r, was)
 	c.record(r, a)
 	if a == Rejected {
-		after = c.Advice(after)
+		after = c.RetryAfter(after)
 		c.Counts.BackoffTime += after
 		r.v.Reject(after)
 	} else {
@@ -263,6 +263,6 @@
 		return
 	}
 	c.Counts.Migrations++
-	r.v.Move()
+	r.v.Migrate()
 	c.release(r, serving, policy.Cancelled, policy.NoReport)
 }
--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -52,7 +52,7 @@
 // ends has the attempt that is out end before it stood.
 func (s *side) ends(result policy.Result) {
 	s.out--
-	s.r.Ended(s.id, s.tries-1, result, policy.NoReport)
+	s.r.AttemptEnded(s.id, s.tries-1, result, policy.NoReport)
 }
 
 func (s *side) got() string { return strings.Join(s.answers, ",") }
@@ -71,7 +71,7 @@
 			t.Fatalf("class %d: %d out, %d out, %v", class, out.out, none.out, none.answers)
 		}
 		r.Stop()
-		r.Finish()
+		r.FinishStop()
 		if out.got() != want || ran.got() != want || none.got() != "rejected" || r.ActiveRequests() != 0 {
 			t.Errorf("class %d: with an attempt out %s, that may have run %s, want %s; never run %s; held %d",
 				class, out.got(), ran.got(), want, none.got(), r.ActiveRequests())
@@ -109,11 +109,11 @@
 // TestNumbering: after a send that the gate has barred, the module still hears how the next attempt ends, and makes another.
 func TestNumbering(t *testing.T) {
 	r := newRigOf(t, classesText, list(4, policy.Ready))
-	r.Doubt()
+	r.PauseDispatch()
 	s := r.bring(safeClass, 2*time.Second)
 	barred := r.later[0].Server
 	r.UpdateMembers(policy.ListDelta, []Member{r.drains(barred)})
-	r.Sure()
+	r.ResumeDispatch()
 	if r.Counts.Blocked != 1 || s.out != 1 {
 		t.Fatalf("%d barred, %d out", r.Counts.Blocked, s.out)
 	}
@@ -122,10 +122,10 @@
 		t.Fatalf("after an attempt that failed: %d out, %d tries", s.out, s.tries)
 	}
 	at := r.out[s.id].to
-	if !r.Up(s.id, 1) {
+	if !r.FlowEstablished(s.id, 1) {
 		t.Fatal("not up")
 	}
-	r.Ended(s.id, 1, policy.OK, policy.NoReport)
+	r.AttemptEnded(s.id, 1, policy.OK, policy.NoReport)
 	r.UpdateMembers(policy.ListFull, nil)
 	if learned := r.facade.LearnedState(r.now); len(learned.Servers) != 0 {
 		t.Errorf("%s is still held in the module: %v", at, learned.Servers)
@@ -143,16 +143,16 @@
 // for it, and nothing of it stays in the module.
 func TestHeldEnds(t *testing.T) {
 	for name, end := range map[string]func(r *rig, s *side){
-		"left":     func(r *rig, s *side) { r.Left(s.id) },
+		"left":     func(r *rig, s *side) { r.ClientGone(s.id) },
 		"deadline": func(r *rig, s *side) { r.pass(2 * time.Second) },
-		"finish":   func(r *rig, s *side) { r.Stop(); r.Finish() },
+		"finish":   func(r *rig, s *side) { r.Stop(); r.FinishStop() },
 	} {
 		for class := range 5 {
 			r := newRigOf(t, classesText, list(1, policy.Ready))
-			r.Doubt()
+			r.PauseDispatch()
 			s := r.bring(class, 2*time.Second)
 			end(r, s)
-			r.Sure()
+			r.ResumeDispatch()
 			if want := map[bool]string{true: "", false: "rejected"}[name == "left"]; s.tries != 0 || s.got() != want || r.ActiveRequests() != 0 {
 				t.Errorf("%s, class %d: %d tries, answers %v, held %d", name, class, s.tries, s.answers, r.ActiveRequests())
 			}
@@ -168,7 +168,7 @@
 func TestHeldWindow(t *testing.T) {
 	r := newRigOf(t, classesText, list(3, policy.Ready))
 	s := r.bring(keyedAll, 2*time.Second)
-	r.Doubt()
+	r.PauseDispatch()
 	s.ends(policy.Reset)
 	if s.out != 0 || len(r.later) != 1 {
 		t.Fatalf("%d out, %d held", s.out, len(r.later))
@@ -177,7 +177,7 @@
 	if s.got() != "" {
 		t.Fatalf("answers %v", s.answers)
 	}
-	r.Sure()
+	r.ResumeDispatch()
 	if s.tries != 1 {
 		t.Errorf("%d tries, the last after its window", s.tries)
 	}
@@ -193,7 +193,7 @@
 	r := newRigOf(t, classesText, list(1, policy.Ready))
 	s := r.bring(safeClass, 2*time.Second)
 	r.UpdateMembers(policy.ListDelta, list(1, policy.Draining))
-	if !r.Up(s.id, 0) || s.moved != 0 {
+	if !r.FlowEstablished(s.id, 0) || s.moved != 0 {
 		t.Fatal("not up, or moved before its front knows")
 	}
 	r.pass(0)
@@ -207,7 +207,7 @@
 	r := newRigOf(t, classesText, list(1, policy.Ready))
 	s := r.bring(safeClass, 20*time.Second)
 	r.Drain()
-	r.Up(s.id, 0)
+	r.FlowEstablished(s.id, 0)
 	if r.pass(drainMovesFrom); s.moved != 1 {
 		t.Errorf("moved %d times %v after the drain began", s.moved, drainMovesFrom)
 	}
@@ -241,7 +241,7 @@
 	r, s = start()
 	r.Stop()
 	r.SetFleetRemovals(agreed(time.Hour))
-	within(r, s, r.StopWithin(), "paced after the stop")
+	within(r, s, r.StopTimeout(), "paced after the stop")
 
 	r, s = start()
 	r.SetFleetRemovals(agreed(100 * time.Millisecond))
@@ -258,7 +258,7 @@
 		t.Errorf("%+v", v)
 	}
 	s = r.bring(safeClass, 2*time.Second)
-	r.Up(s.id, 0)
+	r.FlowEstablished(s.id, 0)
 	s.ends(policy.OK)
 	if v := r.Members()[0]; v.Successes != 2 {
 		t.Errorf("%+v", v)
@@ -377,7 +377,7 @@
 	var all []*side
 	for range 10 {
 		s := &side{r: r, out: 1, tries: 1}
-		s.id, _, _ = r.Take(Passed{Member: "m0"}, s)
+		s.id, _, _ = r.AdoptFlow(FlowTransfer{Member: "m0"}, s)
 		all = append(all, s)
 	}
 	moved := func() (n int) {
@@ -419,11 +419,11 @@
 		s := r.bring(class, 2*time.Second)
 		r.now += 850 * time.Millisecond
 		s.ends(policy.Reset)
-		if s.out != 1 || s.tries != 2 || !r.Begin(s.id, 1) {
+		if s.out != 1 || s.tries != 2 || !r.MaySend(s.id, 1) {
 			t.Fatalf("class %d: %d out, %d tries; a repeat within the window is not sent", class, s.out, s.tries)
 		}
 		r.now += 50 * time.Millisecond
-		if r.Begin(s.id, 1) != late {
+		if r.MaySend(s.id, 1) != late {
 			t.Errorf("class %d, 900 ms after the first send, the window's end: sent is %v, want %v", class, !late, late)
 		}
 	}
@@ -439,16 +439,16 @@
 		if none.out > 0 {
 			none.ends(policy.ConnectFailed)
 		}
-		if got := r.Left(out.id); got != harmless {
+		if got := r.ClientGone(out.id); got != harmless {
 			t.Errorf("class %d, with an attempt out: %v", class, got)
 		}
-		if got := r.Left(ran.id); got != harmless {
+		if got := r.ClientGone(ran.id); got != harmless {
 			t.Errorf("class %d, after one that may have run: %v", class, got)
 		}
-		if !r.Left(none.id) {
+		if !r.ClientGone(none.id) {
 			t.Errorf("class %d, never run: not harmless", class)
 		}
-		if r.Left(none.id) || r.ActiveRequests() != 0 || r.Counts.ClientsGone != 3 {
+		if r.ClientGone(none.id) || r.ActiveRequests() != 0 || r.Counts.ClientsGone != 3 {
 			t.Errorf("class %d: held %d, %+v", class, r.ActiveRequests(), r.Counts)
 		}
 	}
@@ -467,7 +467,7 @@
 			"no room":      func(r *rig) *side { s := r.bring(safeClass, 2*time.Second); r.pass(2 * time.Second); return s },
 			"no time":      func(r *rig) *side { return r.bring(safeClass, 0) },
 			"a stop":       func(r *rig) *side { r.Stop(); return r.bring(safeClass, 2*time.Second) },
-			"a stop's end": func(r *rig) *side { s := r.bring(safeClass, 2*time.Second); r.Stop(); r.Finish(); return s },
+			"a stop's end": func(r *rig) *side { s := r.bring(safeClass, 2*time.Second); r.Stop(); r.FinishStop(); return s },
 			"the ledger":   func(r *rig) *side { r.shut = true; return r.bring(safeClass, 2*time.Second) },
 		} {
 			r := newRigOf(t, text, list(2, policy.Draining))
@@ -477,7 +477,7 @@
 			}
 		}
 		r := newRigOf(t, text, nil)
-		if after := r.Advice(time.Hour); after > most {
+		if after := r.RetryAfter(time.Hour); after > most {
 			t.Errorf("%s: advice for fronts of %v, at most %v", limits, after, most)
 		}
 	}
--- a/internal/front/line/ask_test.go
+++ b/internal/front/line/ask_test.go
@@ -14,9 +14,9 @@
 func TestAsksForWhatIsLeft(t *testing.T) {
 	told := func(late time.Duration) int {
 		g := newRig(t, 1)
-		g.Core.Doubt()
+		g.Core.PauseDispatch()
 		g.ask(firstLine)
-		g.Core.Sure()
+		g.Core.ResumeDispatch()
 		g.Advance(late) // the connection comes up in this round
 		line := g.servers[0].Accept().ReadLine()
 		var d int
--- a/internal/front/line/attempt_test.go
+++ b/internal/front/line/attempt_test.go
@@ -229,10 +229,10 @@
 			saw++
 		}
 	}
-	g.Core.Doubt()
+	g.Core.PauseDispatch()
 	c := g.ask(firstLine)
 	g.SetDescriptorLimit(g.OpenDescriptors())
-	g.Core.Sure()
+	g.Core.ResumeDispatch()
 	g.WaitFor("the answer", func() bool { g.Advance(10 * time.Millisecond); return g.Core.ActiveRequests() == 0 })
 	if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
 		t.Errorf("got %q", got)
--- a/internal/front/line/client.go
+++ b/internal/front/line/client.go
@@ -178,7 +178,7 @@
 	v.c.SetEvictable(nil)
 	v.f.ids[v.open.id] = v
 	if v.f.Loop.DescriptorsLow() {
-		v.Reject(v.f.Core.Advice(crowdAfter))
+		v.Reject(v.f.Core.RetryAfter(crowdAfter))
 		return
 	}
 	v.id = v.f.Core.Open(v.open.request, v)
@@ -228,7 +228,7 @@
 // leave ends a request whose client has ended its sending. Such a client has gone, or it still reads: nothing more is
 // tried for it, and it gets its final answer.
 func (v *clientConn) leave() {
-	if v.f.Core.Left(v.id) {
+	if v.f.Core.ClientGone(v.id) {
 		v.sendBusy()
 	} else {
 		v.sendError()
@@ -252,9 +252,9 @@
 // Fail answers without any promise.
 func (v *clientConn) Fail() { v.on(clientFailed) }
 
-// Move asks the client to come again: it puts MOVE between two lines and ends
+// Migrate asks the client to come again: it puts MOVE between two lines and ends
 // both sides.
-func (v *clientConn) Move() { v.on(clientMoveAsked) }
+func (v *clientConn) Migrate() { v.on(clientMoveAsked) }
 
 func (v *clientConn) endBoth() {
 	v.upstream.c.Finish()
--- a/internal/front/line/crossing_test.go
+++ b/internal/front/line/crossing_test.go
@@ -60,10 +60,10 @@
 	case 7:
 		x.list(x.rng.IntN(2), []policy.ServerState{policy.Ready, policy.Draining, policy.Gone}[x.rng.IntN(3)])
 	case 8:
-		x.Core.Doubt()
+		x.Core.PauseDispatch()
 		x.doubting = true
 	case 9:
-		x.Core.Sure()
+		x.Core.ResumeDispatch()
 		x.doubting = false
 	case 10:
 		if x.rng.IntN(8) == 0 {
@@ -158,7 +158,7 @@
 		x.WaitFor("the end of the attempt", func() bool { m.over = m.over || read(m.Conn, &m.got); return m.over })
 		m.Close()
 	}
-	x.Core.Sure()
+	x.Core.ResumeDispatch()
 	for i := range x.servers {
 		x.list(i, policy.Ready)
 	}
--- a/internal/front/line/doubt_test.go
+++ b/internal/front/line/doubt_test.go
@@ -12,7 +12,7 @@
 func TestDoubtWhileDialling(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.ask(firstLine)
-	g.Core.Doubt()
+	g.Core.PauseDispatch()
 	for range 4 {
 		g.RunOnce()
 	}
@@ -22,7 +22,7 @@
 			t.Errorf("the member was sent %q amid the doubt", buffer[:n])
 		}
 	}
-	g.Core.Sure()
+	g.Core.ResumeDispatch()
 	for range 8 { // the module looks for a place again
 		g.Advance(50 * time.Millisecond)
 	}
--- a/internal/front/line/flow_test.go
+++ b/internal/front/line/flow_test.go
@@ -127,7 +127,7 @@
 		"client resets":       func(g *flowRig) { g.c.Reset() },
 		"line ends, it ends":  func(g *flowRig) { g.m.Send("line\r\n"); g.m.CloseWrite() },
 		"line ends, as BYE":   func(g *flowRig) { g.m.Send("line\r\nBYE\r\n"); g.m.CloseWrite() },
-		"the planned stop":    func(g *flowRig) { g.Core.Stop(); g.Core.Finish(); g.m.Send("line\r\n") },
+		"the planned stop":    func(g *flowRig) { g.Core.Stop(); g.Core.FinishStop(); g.m.Send("line\r\n") },
 		"member gone as well": func(g *flowRig) { g.list(0, policy.Gone); g.m.Send("line\r\n") },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -155,7 +155,7 @@
 	g := newFlow(t)
 	g.Core.Stop()
 	g.list(0, policy.Draining)
-	g.Core.Finish()
+	g.Core.FinishStop()
 	g.ends("MOVE\r\n", "")
 	g.finished(policy.Cancelled)
 }
--- a/internal/front/line/half_test.go
+++ b/internal/front/line/half_test.go
@@ -56,7 +56,7 @@
 // waitingClients is the situations in which a request waits for its answer, each with what brings it about.
 var waitingClients = map[string]func(g *rig) *looptest.Peer{
 	"held":    func(g *rig) *looptest.Peer { g.list(0, policy.Draining); return g.ask(firstLine) },
-	"doubted": func(g *rig) *looptest.Peer { g.Core.Doubt(); return g.ask(firstLine) },
+	"doubted": func(g *rig) *looptest.Peer { g.Core.PauseDispatch(); return g.ask(firstLine) },
 	"dialled": func(g *rig) *looptest.Peer { g.list(0, policy.Gone); g.join(fullQueue(g.T)); return g.ask(firstLine) },
 	"asked":   func(g *rig) *looptest.Peer { c := g.ask(firstLine); g.attempt(0); return c },
 	"half answered": func(g *rig) *looptest.Peer {
@@ -92,7 +92,7 @@
 			if n := g.Core.Counts; n.Attempts != before || n.ClientsGone != 1 {
 				t.Errorf("%+v, %d attempts before", n, before)
 			}
-			g.Core.Sure()
+			g.Core.ResumeDispatch()
 			g.unsent()
 			g.clean()
 		})
--- a/internal/front/line/leave_test.go
+++ b/internal/front/line/leave_test.go
@@ -49,11 +49,11 @@
 		g.gone()
 	})
 	everyLeaving(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
-		g.Core.Doubt()
+		g.Core.PauseDispatch()
 		c := g.ask(firstLine)
 		leave(c)
 		g.WaitFor("the client's end", func() bool { return len(g.f.ids) == 0 })
-		g.Core.Sure()
+		g.Core.ResumeDispatch()
 		g.gone()
 	})
 }
@@ -102,11 +102,11 @@
 // TestLeavesAsDialled: the same where the loop hears of the connection before it hears of the client.
 func TestLeavesAsDialled(t *testing.T) {
 	everyLeaving(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
-		g.Core.Doubt()
+		g.Core.PauseDispatch()
 		c := g.ask(firstLine)
 		g.RunOnce() // the client's connection is no longer among those that have something to say
 		g.RunOnce()
-		g.Core.Sure()
+		g.Core.ResumeDispatch()
 		conn := g.pending(0)
 		if conn == nil {
 			t.Fatal("no connection")
--- a/internal/front/line/line.go
+++ b/internal/front/line/line.go
@@ -76,7 +76,7 @@
 // CloseIdle ends the connections on which nothing was asked yet. BUSY answers who asks in that very moment.
 func (f *Front) CloseIdle() {
 	for v := range f.fresh {
-		v.retryAfter = f.Core.Advice(crowdAfter)
+		v.retryAfter = f.Core.RetryAfter(crowdAfter)
 		v.on(clientStopped)
 	}
 }
@@ -88,8 +88,8 @@
 	for v := range f.open {
 		if s := v.upstream; s.silent(now) {
 			f.Log.WithField("member", s.member.Name).Warn("member has gone silent")
-			v.Move()
-			f.Core.Ended(v.id, s.try, policy.Reset, s.report)
+			v.Migrate()
+			f.Core.AttemptEnded(v.id, s.try, policy.Reset, s.report)
 		} else if s.ended(now) {
 			s.End(io.EOF)
 		} else if s.gone(now) {
--- a/internal/front/line/planned_stop_test.go
+++ b/internal/front/line/planned_stop_test.go
@@ -19,8 +19,8 @@
 	g.Advance(100 * time.Millisecond)
 	m.Send("UP x\r\n")
 	c.ExpectLines("UP x")
-	g.Advance(g.Core.StopWithin())
-	g.Core.Finish()
+	g.Advance(g.Core.StopTimeout())
+	g.Core.FinishStop()
 	c.ExpectLines("MOVE")
 	c.ExpectEOF()
 	m.ExpectEOF()
@@ -36,7 +36,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1)
 			if held {
-				g.Core.Doubt()
+				g.Core.PauseDispatch()
 			}
 			c := g.ask(firstLine)
 			if !held {
@@ -44,13 +44,13 @@
 			}
 			g.Core.Stop()
 			g.RunOnce()
-			g.Core.Finish()
+			g.Core.FinishStop()
 			if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
 				t.Errorf("got %q", got)
 			}
 			c.ExpectEOF()
 			c.Close()
-			g.Core.Sure()
+			g.Core.ResumeDispatch()
 			g.unsent()
 			g.clean()
 			if n := g.Core.Counts; n.Rejected != 1 || n.Served+n.Failed+n.ClientsGone != 0 {
@@ -101,7 +101,7 @@
 	g.WaitFor("all", func() bool { return len(g.f.fresh) == 3 })
 	g.RunOnce()
 	g.Core.Stop()
-	g.Core.Finish()
+	g.Core.FinishStop()
 	g.f.CloseIdle()
 	late(silent, firstLine+"\r\n")
 	late(front, firstLine+"\r\n")
@@ -129,7 +129,7 @@
 		g.m.Send("half a ")
 		g.c.Expect("half a ")
 		g.Core.Stop()
-		g.Core.Finish()
+		g.Core.FinishStop()
 		g.RunOnce()
 		if whole {
 			g.m.Send("line\r\n")
--- a/internal/front/line/stop_test.go
+++ b/internal/front/line/stop_test.go
@@ -46,7 +46,7 @@
 	c.ExpectLines("UP x")
 	r.WaitFor("half a line", func() bool { c.Poll(); return string(c.Received) == "half a " })
 	r.Core.Stop()
-	r.Core.Finish()
+	r.Core.FinishStop()
 	if r.Core.ActiveRequests() != 0 || f.OpenRequests() != 1 {
 		t.Fatalf("the core holds %d, the front %d", r.Core.ActiveRequests(), f.OpenRequests())
 	}
--- a/internal/front/line/two.go
+++ b/internal/front/line/two.go
@@ -52,15 +52,15 @@
 
 // FlowHandoff is an open flow on its way to another process. Times are ages.
 type FlowHandoff struct {
-	ClientID      uint64        `json:"id"` // the client's
-	Placement     core.Passed   `json:"flow"`
-	FromClient    []byte        `json:"from_client"` // came, but has not gone on
-	FromMember    []byte        `json:"from_member"`
-	MidLine       bool          `json:"within"`
-	LinePrefix    []byte        `json:"tail"`
-	FinalCommand  string        `json:"last"`
-	AnswerPending time.Duration `json:"asked"` // 0 if no answer is owed
-	ClientQuiet   time.Duration `json:"heard"`
+	ClientID      uint64            `json:"id"` // the client's
+	Placement     core.FlowTransfer `json:"flow"`
+	FromClient    []byte            `json:"from_client"` // came, but has not gone on
+	FromMember    []byte            `json:"from_member"`
+	MidLine       bool              `json:"within"`
+	LinePrefix    []byte            `json:"tail"`
+	FinalCommand  string            `json:"last"`
+	AnswerPending time.Duration     `json:"asked"` // 0 if no answer is owed
+	ClientQuiet   time.Duration     `json:"heard"`
 }
 
 // HandOffFlows hands at most so many open flows, and the sockets to the client and to
@@ -84,7 +84,7 @@
 		if client < 0 {
 			return // no descriptors now
 		}
-		p.Placement, _ = f.Core.Pass(v.id)
+		p.Placement, _ = f.Core.ReleaseFlow(v.id)
 		p.Placement.Request.Load = s.load
 		v.close()
 		give(p, client, member)
@@ -120,8 +120,8 @@
 	s.c = f.Loop.Attach(member, p.FromMember, s)
 	f.open[v], f.ids[p.ClientID] = struct{}{}, v
 	var known bool
-	if v.id, s.member, known = f.Core.Take(p.Placement, v); !known {
-		v.Move()
+	if v.id, s.member, known = f.Core.AdoptFlow(p.Placement, v); !known {
+		v.Migrate()
 		return
 	}
 	f.Loop.After(0, func() { v.c.ResumeReading(); s.c.ResumeReading() })
--- a/internal/front/line/upstream.go
+++ b/internal/front/line/upstream.go
@@ -36,7 +36,7 @@
 	s.state = next
 	if ended {
 		s.c.Finish()
-		s.v.f.Core.Ended(s.v.id, s.try, result, s.report)
+		s.v.f.Core.AttemptEnded(s.v.id, s.try, result, s.report)
 	}
 }
 
@@ -58,9 +58,9 @@
 	parted := s.state.lastWord() != ""
 	s.leave(end)
 	if parted {
-		s.v.f.Core.Ended(s.v.id, s.try, result, s.report)
+		s.v.f.Core.AttemptEnded(s.v.id, s.try, result, s.report)
 	} else {
-		s.v.f.Core.Left(s.v.id)
+		s.v.f.Core.ClientGone(s.v.id)
 	}
 }
 
@@ -76,7 +76,7 @@
 	if s.state != attemptConnected {
 		return
 	}
-	if !s.v.f.Core.Begin(s.v.id, s.try) { // the member may have left while the connection was being set up
+	if !s.v.f.Core.MaySend(s.v.id, s.try) { // the member may have left while the connection was being set up
 		s.on(attemptUnmade)
 		return
 	}
@@ -141,7 +141,7 @@
 // up passes UP on, and what follows it.
 func (s *upstream) up(b []byte, n int) int {
 	v := s.v
-	if !v.f.Core.Up(v.id, s.try) {
+	if !v.f.Core.FlowEstablished(v.id, s.try) {
 		return len(b)
 	}
 	s.heard = v.f.Loop.Now()
--- a/internal/front/nats/client.go
+++ b/internal/front/nats/client.go
@@ -363,7 +363,7 @@
 	}
 	for id, a := range c.asked {
 		a.forget()
-		c.f.Core.Left(id)
+		c.f.Core.ClientGone(id)
 	}
 	for _, l := range append([]*link(nil), c.links...) {
 		l.close()
--- a/internal/front/nats/processor.go
+++ b/internal/front/nats/processor.go
@@ -205,7 +205,7 @@
 		return
 	case o.Outcome == "up":
 		v := verdict{Verdict: "up", ID: a.id, Try: a.try}
-		if c.f.Core.Up(a.id, a.try) {
+		if c.f.Core.FlowEstablished(a.id, a.try) {
 			a.stands = &v
 		} else {
 			v.Verdict = "unknown"
@@ -218,7 +218,7 @@
 		c.say(reply, verdict{Verdict: "error", ID: a.id, Try: a.try, Error: "unknown outcome"})
 	default:
 		a.reply, a.stands = reply, nil
-		c.f.Core.Ended(a.id, a.try, result, settings.Report(o.Load))
+		c.f.Core.AttemptEnded(a.id, a.try, result, settings.Report(o.Load))
 		if !c.f.Core.IsActive(a.id) && !a.over { // that was its end
 			v := verdict{Verdict: "ended", ID: a.id, Try: a.try}
 			if result == policy.OK {
@@ -287,5 +287,5 @@
 // Fail passes the final answer on.
 func (a *asked) Fail() { a.final(verdict{Verdict: "fail", ID: a.id, Try: a.try}) }
 
-// Move asks the proxy to move its client.
-func (a *asked) Move() { a.final(verdict{Verdict: "move", ID: a.id, Try: a.try}) }
+// Migrate asks the proxy to move its client.
+func (a *asked) Migrate() { a.final(verdict{Verdict: "move", ID: a.id, Try: a.try}) }
--- a/internal/front/nats/sub.go
+++ b/internal/front/nats/sub.go
@@ -119,7 +119,7 @@
 	if s.link != l {
 		return
 	}
-	if !s.c.f.Core.Begin(s.id, s.try) { // the member has left while its connection was on its way
+	if !s.c.f.Core.MaySend(s.id, s.try) { // the member has left while its connection was on its way
 		l.drop(s.lsid)
 		s.lost(policy.NotSent)
 		return
@@ -135,7 +135,7 @@
 		l.queue(fmt.Appendf(nil, "UNSUB %d %d\r\n", s.lsid, s.max-s.base))
 	}
 	l.confirm(func() {
-		if s.link == l && !s.over && s.c.f.Core.Up(s.id, s.try) {
+		if s.link == l && !s.over && s.c.f.Core.FlowEstablished(s.id, s.try) {
 			s.up, s.stood, s.warned = true, true, false
 			s.tell()
 		}
@@ -203,9 +203,9 @@
 	}
 }
 
-// Move takes the subscription to another member; a relay that stops sends the
+// Migrate takes the subscription to another member; a relay that stops sends the
 // client elsewhere instead.
-func (s *sub) Move() {
+func (s *sub) Migrate() {
 	s.leave()
 	if s.c.f.leaving {
 		s.c.f.Loop.After(0, s.c.close) // it connects again, elsewhere
@@ -248,7 +248,7 @@
 func (s *sub) lost(result policy.Result) {
 	up := s.up
 	s.link, s.up, s.then = nil, false, nil
-	s.c.f.Core.Ended(s.id, s.try, result, policy.NoReport)
+	s.c.f.Core.AttemptEnded(s.id, s.try, result, policy.NoReport)
 	if up && !s.over {
 		s.since = s.c.f.Loop.Now()
 		s.replace(0)
@@ -321,7 +321,7 @@
 	}
 	s.then = nil
 	s.draining = s.left != nil && !s.c.over && s.max >= 0
-	s.c.f.Core.Left(s.id)
+	s.c.f.Core.ClientGone(s.id)
 	if s.c.over {
 		s.leaveDone()
 	}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -60,11 +60,11 @@
 	Limit         int                `json:"limit"`
 	Pool          *pool.EndpointList `json:"pool"`
 	DiscoveryAddr string             `json:"watched"` // at which discovery that list goes on; empty if at none
-	Learned       core.Learned       `json:"learned"`
+	Learned       core.LearnedState  `json:"learned"`
 }
 
 // NewState is a state for a second process of that version.
-func NewState(l core.Learned, hello int) *State {
+func NewState(l core.LearnedState, hello int) *State {
 	return &State{Version: min(version, hello), Learned: l}
 }
 
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -99,7 +99,7 @@
 // notes pass both ways after it.
 func TestState(t *testing.T) {
 	b, dir := looptest.New(t, 16), t.TempDir()
-	state := NewState(core.Learned{}, version)
+	state := NewState(core.LearnedState{}, version)
 	state.Fronts, state.Limit, state.Pool = []string{"line"}, 77, &pool.EndpointList{Generation: 9}
 	for n := range 3000 {
 		state.Pool.Instances = append(state.Pool.Instances, pool.Instance{ID: fmt.Sprint("s-", n), Addr: "127.0.0.1:9", Zone: "a"})
@@ -237,7 +237,7 @@
 		t.Fatalf("%v, %v", state, err)
 	}
 	closeAll(append(fds, fd))
-	if told := NewState(core.Learned{}, versionUnconfirmed); told.Version != versionUnconfirmed {
+	if told := NewState(core.LearnedState{}, versionUnconfirmed); told.Version != versionUnconfirmed {
 		t.Errorf("told version %d", told.Version)
 	}
 }
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -49,7 +49,7 @@
 	Up            int64              `json:"up_ns,omitempty"` // with Boot: as in Moment
 	List          *pool.EndpointList `json:"list"`
 	DiscoveryAddr string             `json:"watched"` // where that list's generation means something
-	Learned       core.Learned       `json:"learned"`
+	Learned       core.LearnedState  `json:"learned"`
 	Peers         []string           `json:"peers"` // addresses
 }
 
@@ -95,7 +95,7 @@
 	// Transient is for what passes: a member's load, its failures, how full zones are, whether setting up works. A list that is as old
 	// counts as told anew, so it is as long as the settings allow a relay not to ask.
 	Transient time.Duration
-	// Learned is for what changes with machines and programs only: what a member of a kind bears, what a connection weighs.
+	// LearnedState is for what changes with machines and programs only: what a member of a kind bears, what a connection weighs.
 	Learned time.Duration
 	// ClockSkew is how far ahead of this clock the one may have been that wrote it.
 	ClockSkew time.Duration
@@ -170,8 +170,8 @@
 		}
 		p.Servers[id] = m
 	}
-	for name, ago := range s.Learned.Back {
-		s.Learned.Back[name] = ago + grown
+	for name, ago := range s.Learned.ReinstatedAges {
+		s.Learned.ReinstatedAges[name] = ago + grown
 	}
 	return age, out, nil
 }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -20,9 +20,9 @@
 func sample() *Snapshot {
 	return &Snapshot{Name: "n1", Written: wall.UnixMilli(), Boot: "b1", Up: int64(time.Hour), DiscoveryAddr: "127.0.0.1:1", Peers: []string{"127.0.0.1:2"},
 		List: &pool.EndpointList{Generation: 7, Full: true, Instances: []pool.Instance{{ID: "s-1", Lifecycle: "SERVING", Weight: 1}}},
-		Learned: core.Learned{Policy: policy.LearnedState{MeanLoad: 0.03, ZoneFill: []float64{0.4}, AdmissionRate: 0.2, Servers: map[policy.ServerID]policy.LearnedServer{
+		Learned: core.LearnedState{Policy: policy.LearnedState{MeanLoad: 0.03, ZoneFill: []float64{0.4}, AdmissionRate: 0.2, Servers: map[policy.ServerID]policy.LearnedServer{
 			5: {Capacity: 40, Reports: 9, Load: 0.5, Age: time.Second, Failures: 3, Ejected: true, Backoff: 3 * time.Second, Uptime: 4 * time.Second}}},
-			Back: map[string]time.Duration{"s-1": time.Second}}}
+			ReinstatedAges: map[string]time.Duration{"s-1": time.Second}}}
 }
 
 // TestDecodeIntact: what is written is read again, and nothing of what is cut at any byte, changed in any, of another version or too long.
@@ -97,15 +97,15 @@
 		s := sample()
 		age, _, err := s.Validate(Clocks{wall.Add(down + step), "b1", time.Hour + down}, "n1", 6, l)
 		m := s.Learned.Policy.Servers[5]
-		if err != nil || age != down || m.Uptime != 4*time.Second+down || s.Learned.Back["s-1"] != time.Second+down || m.Backoff != time.Second {
-			t.Errorf("stepped by %v: %v, age %v, %+v, back %v", step, err, age, m, s.Learned.Back)
+		if err != nil || age != down || m.Uptime != 4*time.Second+down || s.Learned.ReinstatedAges["s-1"] != time.Second+down || m.Backoff != time.Second {
+			t.Errorf("stepped by %v: %v, age %v, %+v, back %v", step, err, age, m, s.Learned.ReinstatedAges)
 		}
 		s = sample()
 		if _, _, err := s.Validate(Clocks{wall.Add(down + step), "b2", down}, "n1", 6, l); err != nil {
 			continue
 		}
-		if m := s.Learned.Policy.Servers[5]; m.Uptime != 4*time.Second || s.Learned.Back["s-1"] != time.Second {
-			t.Errorf("switched on anew, stepped by %v: %+v, back %v", step, m, s.Learned.Back)
+		if m := s.Learned.Policy.Servers[5]; m.Uptime != 4*time.Second || s.Learned.ReinstatedAges["s-1"] != time.Second {
+			t.Errorf("switched on anew, stepped by %v: %+v, back %v", step, m, s.Learned.ReinstatedAges)
 		}
 	}
 }
