--- a/internal/core/feed.go
+++ b/internal/core/feed.go
@@ -15,25 +15,25 @@
 // here and in gate; what is sent next and what comes back is package window's. See
 // docs/design/nats.md.
 
-// Carrier is the wire's side of a feed. None of its calls may call the feed back but
+// FeedTransport is the wire's side of a feed. None of its calls may call the feed back but
 // through the loop.
-type Carrier interface {
+type FeedTransport interface {
 	// Connect starts the link of a new flow, which is abandoned after wait. It ends in Stands
 	// or Lost.
 	Connect(to *Member, wait time.Duration)
-	// Free says whether the link takes more now; if not, the feed's Drained says when.
-	Free() bool
-	// Carry hands a message to the link and notes its Offset there. It is acknowledged by
+	// Writable says whether the link takes more now; if not, the feed's Drained says when.
+	Writable() bool
+	// WriteMessage hands a message to the link and notes its Offset there. It is acknowledged by
 	// Taken, in its turn.
-	Carry(text []byte, m *window.Message)
-	// Cut ends the link, if there is one, so that nothing more can be taken there. It
+	WriteMessage(text []byte, m *window.Message)
+	// Disconnect ends the link, if there is one, so that nothing more can be taken there. It
 	// returns how many of its bytes have left.
-	Cut() (left uint64)
+	Disconnect() (left uint64)
 	// RecordAnswer is the final answer of a message; after is when to come again with one that is
 	// rejected.
 	Answer(m *window.Message, text []byte, a Answer, after time.Duration)
-	// Room says that the window has room again after Put found none.
-	Room()
+	// OnCapacity says that the window has room again after Put found none.
+	OnCapacity()
 }
 
 // MessageCounts is what has happened to the messages on feeds.
@@ -62,11 +62,11 @@
 	feedTurn = 4
 )
 
-// Feed is the publishing side of a client.
+// NewFeed is the publishing side of a client.
 type Feed struct {
 	c       *Core
 	q       Request
-	carrier Carrier
+	carrier FeedTransport
 	w       *window.Window
 	name    ID // its own, for alarms
 	state   feedState
@@ -86,8 +86,8 @@
 // FeedLimits bounds what one feed holds.
 type FeedLimits struct{ Messages, Bytes int }
 
-// Feed makes a feed. Nothing is placed before its first message.
-func (c *Core) Feed(q Request, l FeedLimits, carrier Carrier) *Feed {
+// NewFeed makes a feed. Nothing is placed before its first message.
+func (c *Core) NewFeed(q Request, l FeedLimits, carrier FeedTransport) *Feed {
 	c.last++
 	class := c.set.Classes[q.Class]
 	limits := window.Limits{Messages: l.Messages, Most: l.Bytes, Attempts: c.set.MaxAttempts, Aim: class.LatencyObjective}
@@ -104,15 +104,15 @@
 
 // ---- What fronts tell ----
 
-// Room says whether Put may be called; if not, the carrier's Room will say when.
-func (f *Feed) Room() bool {
-	f.full = !f.hasRoom()
+// OnCapacity says whether Put may be called; if not, the carrier's Room will say when.
+func (f *Feed) HasCapacity() bool {
+	f.full = !f.withinMemory()
 	return !f.full
 }
 
-// hasRoom keeps the windows of all feeds together within their memory: beyond it each has its
+// withinMemory keeps the windows of all feeds together within their memory: beyond it each has its
 // fair part, and always one message.
-func (f *Feed) hasRoom() bool {
+func (f *Feed) withinMemory() bool {
 	c := f.c
 	if c.FeedMemoryLimit > 0 && c.feedBytes > c.FeedMemoryLimit && f.w.Bytes() > 0 &&
 		f.w.Bytes() >= max(c.FeedMemoryLimit/len(c.feeds), feedLeast) {
@@ -124,11 +124,11 @@
 // Buffer is where the text of the next message, of so many bytes, is appended, for Put.
 func (f *Feed) Buffer(size int) []byte { return f.w.Buffer(size) }
 
-// Oldest is the mark of the oldest message without a final answer.
-func (f *Feed) Oldest() (uint64, bool) { return f.w.Oldest() }
+// OldestSequence is the mark of the oldest message without a final answer.
+func (f *Feed) OldestSequence() (uint64, bool) { return f.w.Oldest() }
 
-// Put takes a message. Its text was appended to Buffer, its time runs from now.
-func (f *Feed) Put(m window.Message, text []byte) {
+// Publish takes a message. Its text was appended to Buffer, its time runs from now.
+func (f *Feed) Publish(m window.Message, text []byte) {
 	c, now := f.c, f.c.LoopTime()
 	c.last++
 	m.ID, m.Due = uint64(c.last), now+f.q.TimeLeft
@@ -159,8 +159,8 @@
 	f.carrier.Answer(m, text[len(f.w.Buffer(0)):], Rejected, after)
 }
 
-// Stands says that the link is up and takes messages.
-func (f *Feed) Stands() {
+// Connected says that the link is up and takes messages.
+func (f *Feed) Connected() {
 	if f.state != feedPlacing || !f.c.FlowEstablished(f.flow, f.try) {
 		return
 	}
@@ -171,15 +171,15 @@
 	f.arm()
 }
 
-// Drained says that the link takes more again.
-func (f *Feed) Drained() {
+// OnWritable says that the link takes more again.
+func (f *Feed) OnWritable() {
 	if f.state == feedUp {
 		f.pump(f.c.Clock())
 	}
 }
 
 // Accepted says that the member has taken the n oldest messages that are out.
-func (f *Feed) Taken(n int) {
+func (f *Feed) Acknowledged(n int) {
 	c, now := f.c, f.c.LoopTime()
 	settled, served := f.w.Out(), 0
 	f.w.Taken(now, n, func(m *window.Message) {
@@ -191,9 +191,9 @@
 	f.release(settled-f.w.Out(), served)
 	switch {
 	case f.w.Settled():
-		f.end(policy.Error, f.carrier.Cut())
+		f.end(policy.Error, f.carrier.Disconnect())
 	case f.state == feedLeaving && f.w.Out() == 0:
-		f.end(policy.Cancelled, f.carrier.Cut())
+		f.end(policy.Cancelled, f.carrier.Disconnect())
 	case f.state == feedUp:
 		f.pump(now)
 	}
@@ -202,12 +202,12 @@
 	f.arm()
 }
 
-// Refused says that the member has refused the oldest message of that subject that is out. It
+// MessageRejected says that the member has refused the oldest message of that subject that is out. It
 // returns whether there is one.
-func (f *Feed) Refused(subject uint64) bool { return f.w.Refused(subject) != nil }
+func (f *Feed) MessageRejected(subject uint64) bool { return f.w.Refused(subject) != nil }
 
 // ClientGone says that the link is gone, of whose bytes so many have left.
-func (f *Feed) Lost(result policy.Result, left uint64) {
+func (f *Feed) Disconnected(result policy.Result, left uint64) {
 	f.end(result, left)
 	f.room()
 	f.arm()
@@ -219,7 +219,7 @@
 		return
 	}
 	f.over = true
-	f.back(policy.Cancelled, f.carrier.Cut())
+	f.back(policy.Cancelled, f.carrier.Disconnect())
 	f.w.GiveUp(1<<62, func(m *window.Message, _ bool) { f.settle(m, ClientGone) })
 	state := f.state
 	f.state = feedIdle
@@ -252,7 +252,7 @@
 }
 
 // Cancel abandons the link, in setting up or as a whole.
-func (f *Feed) Cancel(int) { f.back(policy.Cancelled, f.carrier.Cut()) }
+func (f *Feed) Cancel(int) { f.back(policy.Cancelled, f.carrier.Disconnect()) }
 
 // Reject has the feed ask again. What has no time left until then is answered at once.
 func (f *Feed) Reject(after time.Duration) { f.pause(cmp.Or(after, feedAgain)) }
@@ -346,13 +346,13 @@
 			c.lineUp(m, f)
 			return
 		}
-		if !f.carrier.Free() {
+		if !f.carrier.Writable() {
 			return
 		}
 		pace.Sent()
 		f.w.Begin(now)
 		c.Counts.Messages.Attempts++
-		f.carrier.Carry(f.w.Text(next), next)
+		f.carrier.WriteMessage(f.w.Text(next), next)
 	}
 }
 
@@ -465,9 +465,9 @@
 func (f *Feed) room() {
 	f.c.feedBytes += f.w.Bytes() - f.counted
 	f.counted = f.w.Bytes()
-	if f.full && f.hasRoom() && !f.over {
+	if f.full && f.withinMemory() && !f.over {
 		f.full = false
-		f.carrier.Room()
+		f.carrier.OnCapacity()
 	}
 }
 
@@ -507,9 +507,9 @@
 	silent, out := f.w.Silent()
 	switch {
 	case out && silent <= now:
-		f.end(policy.Timeout, f.carrier.Cut())
+		f.end(policy.Timeout, f.carrier.Disconnect())
 	case f.state == feedLeaving && !out:
-		f.end(policy.Cancelled, f.carrier.Cut())
+		f.end(policy.Cancelled, f.carrier.Disconnect())
 	case f.state == feedPausing && f.pauses <= now:
 		f.place()
 	case f.state == feedUp && f.w.Idle() && now-f.used >= feedRest:
--- a/internal/core/feed_test.go
+++ b/internal/core/feed_test.go
@@ -27,7 +27,7 @@
 
 func newPipe(r *rig, messages int) *pipe {
 	p := &pipe{r: r, tries: map[uint64]int{}, due: map[uint64]time.Duration{}, answers: map[uint64]Answer{}}
-	p.f = r.Feed(Request{Load: 0.01, TimeLeft: 2 * time.Second}, FeedLimits{Messages: messages, Bytes: 1 << 20}, p)
+	p.f = r.NewFeed(Request{Load: 0.01, TimeLeft: 2 * time.Second}, FeedLimits{Messages: messages, Bytes: 1 << 20}, p)
 	return p
 }
 
@@ -37,8 +37,8 @@
 	}
 	p.to, p.out, p.written = to, nil, 0
 }
-func (p *pipe) Free() bool { return !p.shut }
-func (p *pipe) Carry(text []byte, m *window.Message) {
+func (p *pipe) Writable() bool { return !p.shut }
+func (p *pipe) WriteMessage(text []byte, m *window.Message) {
 	p.written += uint64(len(text))
 	m.Offset = p.written
 	p.out = append(p.out, m.Mark)
@@ -57,7 +57,7 @@
 		p.r.t.Errorf("message %d has text %q", m.Mark, text)
 	}
 }
-func (p *pipe) Cut() uint64 {
+func (p *pipe) Disconnect() uint64 {
 	p.to, p.out = nil, nil
 	return p.written
 }
@@ -70,17 +70,17 @@
 	}
 	p.answers[m.Mark], p.after = a, after
 }
-func (p *pipe) Room() { p.rooms++ }
+func (p *pipe) OnCapacity() { p.rooms++ }
 
 // put publishes so many messages, as far as there is room.
 func (p *pipe) put(n int) {
 	for range n {
-		if !p.f.Room() {
+		if !p.f.HasCapacity() {
 			return
 		}
 		mark := uint64(len(p.due) + 1)
 		p.due[mark] = p.r.now + 2*time.Second
-		p.f.Put(window.Message{Subject: mark % 3, Mark: mark}, fmt.Append(p.f.Buffer(20), "message ", mark))
+		p.f.Publish(window.Message{Subject: mark % 3, Mark: mark}, fmt.Append(p.f.Buffer(20), "message ", mark))
 	}
 }
 
@@ -88,13 +88,13 @@
 func (p *pipe) take(n int) {
 	n = min(n, len(p.out))
 	p.out = p.out[n:]
-	p.f.Taken(n)
+	p.f.Acknowledged(n)
 }
 
 // lose breaks the link, with so many of its bytes sent.
 func (p *pipe) lose(result policy.Result, left uint64) {
 	p.to, p.out = nil, nil
-	p.f.Lost(result, left)
+	p.f.Disconnected(result, left)
 }
 
 func (p *pipe) count(a Answer) (n int) {
@@ -114,7 +114,7 @@
 	if p.to == nil || len(p.out) > 0 {
 		t.Fatal("messages are sent before the link stands")
 	}
-	p.f.Stands()
+	p.f.Connected()
 	for len(p.out) > 0 {
 		p.take(7)
 	}
@@ -129,7 +129,7 @@
 		t.Error("a feed that rests keeps its place")
 	}
 	p.put(1)
-	p.f.Stands()
+	p.f.Connected()
 	p.take(1)
 	if p.count(Served) != 301 {
 		t.Error("a feed that has rested does not go on")
@@ -145,7 +145,7 @@
 	r := newRig(t, 2)
 	p := newPipe(r, 10)
 	p.put(20)
-	if p.f.Stands(); len(p.due) != 10 || len(p.out) != 10 || p.rooms != 0 {
+	if p.f.Connected(); len(p.due) != 10 || len(p.out) != 10 || p.rooms != 0 {
 		t.Fatalf("%d taken, %d out", len(p.due), len(p.out))
 	}
 	if p.take(1); p.rooms != 1 {
@@ -181,7 +181,7 @@
 	r := newRig(t, 2)
 	p := newPipe(r, 500)
 	p.put(5)
-	p.f.Stands()
+	p.f.Connected()
 	first := p.to.ID
 	drained := list(2, policy.Ready)
 	drained[first-10].State = policy.Draining
@@ -197,7 +197,7 @@
 	if p.to == nil || p.to.ID == first {
 		t.Fatal("no new place")
 	}
-	p.f.Stands()
+	p.f.Connected()
 	if p.take(9); p.count(Served) != 8 || p.tries[4] != 2 || p.tries[6] != 1 {
 		t.Errorf("%d served, attempts %v", p.count(Served), p.tries)
 	}
@@ -222,7 +222,7 @@
 	if p.to == nil {
 		t.Fatal("no place is asked for again")
 	}
-	p.f.Stands()
+	p.f.Connected()
 	if p.take(2); p.count(Served) != 2 {
 		t.Errorf("answers %v", p.answers)
 	}
@@ -252,7 +252,7 @@
 	}
 	for _, p := range pipes {
 		if p.to != nil {
-			p.f.Stands()
+			p.f.Connected()
 		}
 	}
 	if n := out(); n == 0 || n > window.Start {
@@ -289,7 +289,7 @@
 	hog, next, last := newPipe(r, 100), newPipe(r, 100), newPipe(r, 100)
 	for _, p := range []*pipe{hog, next, last} {
 		p.put(2 * window.Start)
-		p.f.Stands()
+		p.f.Connected()
 	}
 	if len(m.line) != 2 || len(next.out) > 0 {
 		t.Fatalf("%d in line", len(m.line))
@@ -328,7 +328,7 @@
 				p.put(rng.IntN(8))
 			case 3, 4:
 				if p.to != nil {
-					p.f.Stands()
+					p.f.Connected()
 				}
 			case 5, 6, 7:
 				p.take(rng.IntN(6))
@@ -337,7 +337,7 @@
 					p.lose([]policy.Result{policy.Reset, policy.ConnectFailed, policy.Error}[rng.IntN(3)], rng.Uint64N(p.written+1))
 				}
 			case 9:
-				p.f.Refused(rng.Uint64N(3))
+				p.f.MessageRejected(rng.Uint64N(3))
 			case 10:
 				i := rng.IntN(3)
 				members[i].State = []policy.ServerState{policy.Ready, policy.Draining}[rng.IntN(2)]
@@ -345,7 +345,7 @@
 			case 11:
 				p.shut = !p.shut
 				if !p.shut {
-					p.f.Drained()
+					p.f.OnWritable()
 				}
 			}
 			if more && rng.IntN(4) == 0 {
@@ -394,7 +394,7 @@
 	r := newRigOf(t, classesText, list(1, policy.Ready))
 	p := newPipe(r, 10)
 	p.f.Close()
-	p.f = r.Feed(Request{Class: unsafeClass, Load: 0.01, TimeLeft: 2 * time.Second}, FeedLimits{Messages: 10, Bytes: 1 << 20}, p)
+	p.f = r.NewFeed(Request{Class: unsafeClass, Load: 0.01, TimeLeft: 2 * time.Second}, FeedLimits{Messages: 10, Bytes: 1 << 20}, p)
 	if p.put(3); p.to == nil {
 		t.Fatal("no attempt is out")
 	}
@@ -411,7 +411,7 @@
 		r := newRig(t, 2)
 		p := newPipe(r, 20)
 		p.put(1)
-		p.f.Stands()
+		p.f.Connected()
 		p.take(1)
 		first := p.to.ID
 		r.PauseDispatch()
@@ -427,7 +427,7 @@
 			if p.to == nil || p.to.ID == first {
 				t.Fatal("no new place")
 			}
-			p.f.Stands()
+			p.f.Connected()
 		}
 		if len(p.out) != 3 || (p.to.ID == first) == left {
 			t.Errorf("left %v: %d messages are out at %d, it was at %d", left, len(p.out), p.to.ID, first)
@@ -451,9 +451,9 @@
 	} {
 		r := newRigOf(t, classesText, list(2, policy.Ready))
 		p := &pipe{r: r, tries: map[uint64]int{}, due: map[uint64]time.Duration{}, answers: map[uint64]Answer{}}
-		p.f = r.Feed(Request{Class: c.class, Load: 0.01, TimeLeft: 2 * time.Second}, FeedLimits{Messages: 10, Bytes: 1 << 20}, p)
+		p.f = r.NewFeed(Request{Class: c.class, Load: 0.01, TimeLeft: 2 * time.Second}, FeedLimits{Messages: 10, Bytes: 1 << 20}, p)
 		p.put(1)
-		p.f.Stands()
+		p.f.Connected()
 		first := r.now
 		r.now += 800 * time.Millisecond
 		p.lose(policy.Reset, p.written)
@@ -461,7 +461,7 @@
 			t.Fatalf("class %d: no second link", c.class)
 		}
 		r.now = first + c.after
-		p.f.Stands()
+		p.f.Connected()
 		if p.tries[1] != c.tries {
 			t.Errorf("class %d: the second link stood %v after the first send: %d attempts, want %d", c.class, c.after, p.tries[1], c.tries)
 		}
--- a/internal/front/nats/client.go
+++ b/internal/front/nats/client.go
@@ -116,7 +116,7 @@
 // Open is told by the loop.
 func (c *client) Open() {}
 
-// Drained is told by the loop.
+// OnWritable is told by the loop.
 func (c *client) Drained() {
 	c.slowSince = 0
 	for _, l := range c.links {
@@ -184,7 +184,7 @@
 func (c *client) oldest() uint64 {
 	least := c.mark + 1
 	for _, p := range c.feeds {
-		if mark, ok := p.feed.Oldest(); ok {
+		if mark, ok := p.feed.OldestSequence(); ok {
 			least = min(least, mark)
 		}
 	}
--- a/internal/front/nats/link.go
+++ b/internal/front/nats/link.go
@@ -145,10 +145,10 @@
 	})
 }
 
-// Drained is told by the loop.
+// OnWritable is told by the loop.
 func (l *link) Drained() {
 	if l.feed != nil && l.ready {
-		l.feed.feed.Drained()
+		l.feed.feed.OnWritable()
 	}
 }
 
--- a/internal/front/nats/publish.go
+++ b/internal/front/nats/publish.go
@@ -67,7 +67,7 @@
 			p = c.publisher(m.subject)
 		}
 	}
-	if !p.feed.Room() {
+	if !p.feed.HasCapacity() {
 		return false
 	}
 	c.mark++
@@ -81,7 +81,7 @@
 	if !c.echo() {
 		m = c.tag(m)
 	}
-	p.feed.Put(q, m.appendPublication(p.feed.Buffer(m.room(""))))
+	p.feed.Publish(q, m.appendPublication(p.feed.Buffer(m.room(""))))
 	return true
 }
 
@@ -110,7 +110,7 @@
 	}
 	p := &publisher{c: c, to: to, watch: 1, next: 1}
 	name := "FEED " + strconv.Itoa(to.class) + " " + strconv.Itoa(to.tenant)
-	p.feed = c.f.Core.Feed(c.f.request(name, to), core.FeedLimits{Messages: c.f.WindowMessages, Bytes: c.f.WindowBytes}, p)
+	p.feed = c.f.Core.NewFeed(c.f.request(name, to), core.FeedLimits{Messages: c.f.WindowMessages, Bytes: c.f.WindowBytes}, p)
 	c.feeds = append(c.feeds, p)
 	return p
 }
@@ -122,11 +122,11 @@
 }
 
 // up, lost and erred are told by the link.
-func (p *publisher) up() { p.feed.Stands() }
+func (p *publisher) up() { p.feed.Connected() }
 
 func (p *publisher) lost(result policy.Result, left uint64) {
 	p.link = nil
-	p.feed.Lost(result, left)
+	p.feed.Disconnected(result, left)
 }
 
 func (p *publisher) erred(text []byte) {
@@ -134,17 +134,17 @@
 	// connection.
 	if _, rest, ok := bytes.Cut(text, []byte(`"`)); ok {
 		if subject, _, ok := bytes.Cut(rest, []byte(`"`)); ok {
-			p.feed.Refused(subjectKey(subject))
+			p.feed.MessageRejected(subjectKey(subject))
 		}
 	}
 }
 
 // FreeDescriptors says whether the link has sent most of what it was given; the feed's Drained follows.
-func (p *publisher) Free() bool { return p.link.c.Unsent() < p.c.f.water(linkWater) }
+func (p *publisher) Writable() bool { return p.link.c.Unsent() < p.c.f.water(linkWater) }
 
-// Carry hands a message to the link. Who may publish may hear on the reply subject that nobody
+// WriteMessage hands a message to the link. Who may publish may hear on the reply subject that nobody
 // listens; members tell that the publishing connection alone.
-func (p *publisher) Carry(text []byte, m *window.Message) {
+func (p *publisher) WriteMessage(text []byte, m *window.Message) {
 	l := p.link
 	if m.Reply {
 		if q, _, err := parse(text, len(text)+1, len(text)); err == nil && len(q.reply) > 0 {
@@ -180,7 +180,7 @@
 			}
 			l.commit(out)
 		}
-		p.feed.Taken(n)
+		p.feed.Acknowledged(n)
 		p.c.goOn()
 	})
 }
@@ -192,8 +192,8 @@
 	}
 }
 
-// Cut ends the link, if there is one.
-func (p *publisher) Cut() uint64 {
+// Disconnect ends the link, if there is one.
+func (p *publisher) Disconnect() uint64 {
 	l := p.link
 	if l == nil {
 		return 0
@@ -236,7 +236,7 @@
 }
 
 // WriteCapacity has the client's commands go on.
-func (p *publisher) Room() { p.c.goOn() }
+func (p *publisher) OnCapacity() { p.c.goOn() }
 
 // ---- echo:false ----
 
