--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -105,12 +105,12 @@
 	flows   int           // attempts out and open flows
 	slow    bool
 	noted   time.Duration
-	pace    *window.Pace  // of the messages that are out there
-	paced   time.Duration // the start that it was made for
-	joined  time.Duration // when it was first named, if that was while we watched
-	line    []*Feed       // that wait for it
-	good    uint64        // attempts and probes that ended well
-	bad     uint64        // and that did not
+	pace    *window.SlowStart // of the messages that are out there
+	paced   time.Duration     // the start that it was made for
+	joined  time.Duration     // when it was first named, if that was while we watched
+	line    []*Feed           // that wait for it
+	good    uint64            // attempts and probes that ended well
+	bad     uint64            // and that did not
 }
 
 // Core is the state of one relay. All calls come from one goroutine.
--- a/internal/core/feed.go
+++ b/internal/core/feed.go
@@ -90,12 +90,12 @@
 func (c *Core) NewFeed(q Request, l FeedLimits, carrier FeedTransport) *Feed {
 	c.last++
 	class := c.set.Classes[q.Class]
-	limits := window.Limits{Messages: l.Messages, Most: l.Bytes, Attempts: c.set.MaxAttempts, Aim: class.LatencyObjective}
+	limits := window.Limits{MaxMessages: l.Messages, MaxBytes: l.Bytes, MaxAttempts: c.set.MaxAttempts, LatencyObjective: class.LatencyObjective}
 	switch {
 	case class.Idempotency == policy.Idempotent:
-		limits.Repeat = true
+		limits.Repeatable = true
 	case class.Idempotency == policy.IdempotencyKey && class.Scope == policy.ScopeAll:
-		limits.Repeat, limits.Within = class.DedupWindow > 0, class.DedupWindow
+		limits.Repeatable, limits.RepeatWindow = class.DedupWindow > 0, class.DedupWindow
 	}
 	f := &Feed{c: c, q: q, carrier: carrier, name: c.last, w: window.New(limits)}
 	c.feeds[f.name] = f
@@ -118,27 +118,27 @@
 		f.w.Bytes() >= max(c.FeedMemoryLimit/len(c.feeds), feedLeast) {
 		return false
 	}
-	return f.w.Room()
+	return f.w.HasCapacity()
 }
 
 // Buffer is where the text of the next message, of so many bytes, is appended, for Put.
 func (f *Feed) Buffer(size int) []byte { return f.w.Buffer(size) }
 
 // OldestSequence is the mark of the oldest message without a final answer.
-func (f *Feed) OldestSequence() (uint64, bool) { return f.w.Oldest() }
+func (f *Feed) OldestSequence() (uint64, bool) { return f.w.OldestSequence() }
 
 // Publish takes a message. Its text was appended to Buffer, its time runs from now.
 func (f *Feed) Publish(m window.Message, text []byte) {
 	c, now := f.c, f.c.LoopTime()
 	c.last++
-	m.ID, m.Due = uint64(c.last), now+f.q.TimeLeft
+	m.ID, m.Deadline = uint64(c.last), now+f.q.TimeLeft
 	c.Counts.Messages.Accepted++
 	f.used = now
 	switch {
 	case c.Recorder != nil && !c.Recorder.Ready(): // what cannot be recorded is not sent
 		f.turnAway(&m, text, stopAfter)
 		return
-	case f.state == feedPausing && m.Due <= f.pauses:
+	case f.state == feedPausing && m.Deadline <= f.pauses:
 		f.turnAway(&m, text, f.pauses-now)
 		return
 	}
@@ -182,7 +182,7 @@
 func (f *Feed) Acknowledged(n int) {
 	c, now := f.c, f.c.LoopTime()
 	settled, served := f.w.Out(), 0
-	f.w.Taken(now, n, func(m *window.Message) {
+	f.w.Acknowledged(now, n, func(m *window.Message) {
 		served++
 		f.attempt(m, policy.OK)
 		f.answer(m, Served, 0)
@@ -204,7 +204,7 @@
 
 // MessageRejected says that the member has refused the oldest message of that subject that is out. It
 // returns whether there is one.
-func (f *Feed) MessageRejected(subject uint64) bool { return f.w.Refused(subject) != nil }
+func (f *Feed) MessageRejected(subject uint64) bool { return f.w.MarkRejected(subject) != nil }
 
 // ClientGone says that the link is gone, of whose bytes so many have left.
 func (f *Feed) Disconnected(result policy.Result, left uint64) {
@@ -220,7 +220,7 @@
 	}
 	f.over = true
 	f.back(policy.Cancelled, f.carrier.Disconnect())
-	f.w.GiveUp(1<<62, func(m *window.Message, _ bool) { f.settle(m, ClientGone) })
+	f.w.Expire(1<<62, func(m *window.Message, _ bool) { f.settle(m, ClientGone) })
 	state := f.state
 	f.state = feedIdle
 	if state == feedPlacing || state == feedUp {
@@ -267,7 +267,7 @@
 		after, until = max(after, stopAfter), 1<<62
 	}
 	f.state, f.pauses = feedPausing, now+after
-	f.w.GiveUp(until, func(m *window.Message, ran bool) { f.giveUp(m, ran, after) })
+	f.w.Expire(until, func(m *window.Message, ran bool) { f.giveUp(m, ran, after) })
 	f.room()
 	f.arm()
 }
@@ -302,11 +302,11 @@
 func (f *Feed) back(result policy.Result, left uint64) {
 	f.leaveLine()
 	out := f.w.Out()
-	f.w.Back(left, func(m *window.Message, r window.Result) {
+	f.w.LinkClosed(left, func(m *window.Message, r window.Result) {
 		switch {
-		case r == window.Turned:
+		case r == window.Rejected:
 			f.attempt(m, policy.Error)
-		case r == window.NotLeft:
+		case r == window.NotWritten:
 			f.attempt(m, policy.ConnectFailed)
 		case result == policy.OK || result == policy.ConnectFailed:
 			f.attempt(m, policy.Reset)
@@ -315,7 +315,7 @@
 		}
 		f.c.Counts.Messages.Retried++
 	}, func(m *window.Message) { f.answer(m, Failed, 0) })
-	f.w.GiveUp(f.c.Clock(), func(m *window.Message, ran bool) { f.giveUp(m, ran, feedAgain) })
+	f.w.Expire(f.c.Clock(), func(m *window.Message, ran bool) { f.giveUp(m, ran, feedAgain) })
 	f.release(out, 0)
 	if f.member != nil {
 		f.c.serveLine(f.member)
@@ -333,7 +333,7 @@
 		if next == nil {
 			return
 		}
-		if !c.gate(now, !next.Waiting(), next.Tries, next.Due, m) {
+		if !c.gate(now, !next.Waiting(), next.Attempts, next.Deadline, m) {
 			c.Counts.Blocked++
 			if !c.reachable(now, m) { // it should have been moved before
 				f.state = feedLeaving
@@ -342,7 +342,7 @@
 			}
 			return // else its time is over: the alarm gives it up
 		}
-		if pace.Cold(now) && (!pace.Free(now) || turn >= feedTurn && len(m.line) > 0) {
+		if pace.Active(now) && (!pace.MaySend(now) || turn >= feedTurn && len(m.line) > 0) {
 			c.lineUp(m, f)
 			return
 		}
@@ -367,9 +367,9 @@
 }
 
 // paceOf is what bounds the messages to a member that has just started.
-func (m *member) paceOf(c *Core) *window.Pace {
+func (m *member) paceOf(c *Core) *window.SlowStart {
 	if started := max(m.Started, m.joined); m.pace == nil || m.paced != started {
-		m.pace, m.paced = window.NewPace(started, c.set.SlowStartDuration), started
+		m.pace, m.paced = window.NewSlowStart(started, c.set.SlowStartDuration), started
 	}
 	return m.pace
 }
@@ -377,7 +377,7 @@
 // release gives back what the pace counted.
 func (f *Feed) release(n, taken int) {
 	if f.member != nil && f.member.pace != nil && n > 0 {
-		f.member.pace.Back(n, taken)
+		f.member.pace.Release(n, taken)
 	}
 }
 
@@ -407,7 +407,7 @@
 		return
 	}
 	now := c.Clock()
-	for n := len(m.line); n > 0 && len(m.line) > 0 && m.pace.Free(now); n-- {
+	for n := len(m.line); n > 0 && len(m.line) > 0 && m.pace.MaySend(now); n-- {
 		f := m.line[0]
 		f.leaveLine()
 		if f.state == feedUp && f.member == m {
@@ -448,7 +448,7 @@
 	if f.c.Recorder != nil {
 		q := f.q
 		q.Name = m.Name
-		f.c.Recorder.RecordAnswer(&q, ID(m.ID), f.c.Clock(), a, m.Tries)
+		f.c.Recorder.RecordAnswer(&q, ID(m.ID), f.c.Clock(), a, m.Attempts)
 	}
 }
 
@@ -457,7 +457,7 @@
 	if f.c.Recorder != nil {
 		q := f.q
 		q.Name = m.Name
-		f.c.Recorder.RecordAttempt(&q, ID(m.ID), m.Tries-1, f.member.Name, m.Sent, f.c.Clock(), result)
+		f.c.Recorder.RecordAttempt(&q, ID(m.ID), m.Attempts-1, f.member.Name, m.Sent, f.c.Clock(), result)
 	}
 }
 
@@ -476,8 +476,8 @@
 // arm has due called when something may be due. There is one alarm for a feed at most, which is
 // not moved on with each message: when it comes too early, it is set again.
 func (f *Feed) arm() {
-	at, ok := f.w.Due()
-	if silent, out := f.w.Silent(); out {
+	at, ok := f.w.Deadline()
+	if silent, out := f.w.AckDeadline(); out {
 		at, ok = min(at, silent), true
 	}
 	if f.state == feedPausing && (!ok || f.pauses < at) {
@@ -504,7 +504,7 @@
 		return // an alarm that an earlier one has replaced
 	}
 	f.armed = 0
-	silent, out := f.w.Silent()
+	silent, out := f.w.AckDeadline()
 	switch {
 	case out && silent <= now:
 		f.end(policy.Timeout, f.carrier.Disconnect())
@@ -518,8 +518,8 @@
 	case f.state == feedUp:
 		f.pump(now)
 	}
-	if _, out := f.w.Silent(); !out {
-		f.w.GiveUp(now, func(m *window.Message, ran bool) { f.giveUp(m, ran, feedAgain) })
+	if _, out := f.w.AckDeadline(); !out {
+		f.w.Expire(now, func(m *window.Message, ran bool) { f.giveUp(m, ran, feedAgain) })
 	}
 	f.room()
 	f.arm()
--- a/internal/core/feed_test.go
+++ b/internal/core/feed_test.go
@@ -41,20 +41,20 @@
 func (p *pipe) WriteMessage(text []byte, m *window.Message) {
 	p.written += uint64(len(text))
 	m.Offset = p.written
-	p.out = append(p.out, m.Mark)
-	p.tries[m.Mark]++
+	p.out = append(p.out, m.Sequence)
+	p.tries[m.Sequence]++
 	at := p.r.members[p.to.ID]
 	switch {
-	case p.tries[m.Mark] > 3, m.Tries != p.tries[m.Mark]:
-		p.r.t.Errorf("message %d: attempt %d (%d)", m.Mark, p.tries[m.Mark], m.Tries)
-	case p.answers[m.Mark] != "":
-		p.r.t.Errorf("message %d is sent after its answer %s", m.Mark, p.answers[m.Mark])
+	case p.tries[m.Sequence] > 3, m.Attempts != p.tries[m.Sequence]:
+		p.r.t.Errorf("message %d: attempt %d (%d)", m.Sequence, p.tries[m.Sequence], m.Attempts)
+	case p.answers[m.Sequence] != "":
+		p.r.t.Errorf("message %d is sent after its answer %s", m.Sequence, p.answers[m.Sequence])
 	case at.left && p.r.now-at.told > 250*time.Millisecond:
-		p.r.t.Errorf("message %d is sent %v after its member left", m.Mark, p.r.now-at.told)
+		p.r.t.Errorf("message %d is sent %v after its member left", m.Sequence, p.r.now-at.told)
 	case p.r.doubting:
-		p.r.t.Errorf("message %d is sent during a doubt", m.Mark)
-	case string(text) != fmt.Sprint("message ", m.Mark):
-		p.r.t.Errorf("message %d has text %q", m.Mark, text)
+		p.r.t.Errorf("message %d is sent during a doubt", m.Sequence)
+	case string(text) != fmt.Sprint("message ", m.Sequence):
+		p.r.t.Errorf("message %d has text %q", m.Sequence, text)
 	}
 }
 func (p *pipe) Disconnect() uint64 {
@@ -62,13 +62,13 @@
 	return p.written
 }
 func (p *pipe) Answer(m *window.Message, _ []byte, a Answer, after time.Duration) {
-	if p.answers[m.Mark] != "" {
-		p.r.t.Errorf("message %d is answered %s after %s", m.Mark, a, p.answers[m.Mark])
+	if p.answers[m.Sequence] != "" {
+		p.r.t.Errorf("message %d is answered %s after %s", m.Sequence, a, p.answers[m.Sequence])
 	}
-	if late := p.r.now - p.due[m.Mark]; late > 0 {
-		p.r.t.Errorf("message %d is answered %v late", m.Mark, late)
+	if late := p.r.now - p.due[m.Sequence]; late > 0 {
+		p.r.t.Errorf("message %d is answered %v late", m.Sequence, late)
 	}
-	p.answers[m.Mark], p.after = a, after
+	p.answers[m.Sequence], p.after = a, after
 }
 func (p *pipe) OnCapacity() { p.rooms++ }
 
@@ -80,7 +80,7 @@
 		}
 		mark := uint64(len(p.due) + 1)
 		p.due[mark] = p.r.now + 2*time.Second
-		p.f.Publish(window.Message{Subject: mark % 3, Mark: mark}, fmt.Append(p.f.Buffer(20), "message ", mark))
+		p.f.Publish(window.Message{Subject: mark % 3, Sequence: mark}, fmt.Append(p.f.Buffer(20), "message ", mark))
 	}
 }
 
@@ -255,7 +255,7 @@
 			p.f.Connected()
 		}
 	}
-	if n := out(); n == 0 || n > window.Start {
+	if n := out(); n == 0 || n > window.InitialWindow {
 		t.Fatalf("%d messages are out at a cold member", n)
 	}
 	taken := 0
@@ -265,7 +265,7 @@
 				p.take(1)
 				taken++
 			}
-			if n := out(); n > window.Start+taken {
+			if n := out(); n > window.InitialWindow+taken {
 				t.Fatalf("%d messages are out after %d were taken", n, taken)
 			}
 		}
@@ -288,7 +288,7 @@
 	m.joined = r.now
 	hog, next, last := newPipe(r, 100), newPipe(r, 100), newPipe(r, 100)
 	for _, p := range []*pipe{hog, next, last} {
-		p.put(2 * window.Start)
+		p.put(2 * window.InitialWindow)
 		p.f.Connected()
 	}
 	if len(m.line) != 2 || len(next.out) > 0 {
--- a/internal/front/nats/publish.go
+++ b/internal/front/nats/publish.go
@@ -71,7 +71,7 @@
 		return false
 	}
 	c.mark++
-	q := window.Message{Subject: subjectKey(m.subject), Mark: c.mark, Reply: len(m.reply) > 0 && c.options.NoResponders}
+	q := window.Message{Subject: subjectKey(m.subject), Sequence: c.mark, ReplyExpected: len(m.reply) > 0 && c.options.NoResponders}
 	if c.f.Core.Recorder != nil {
 		q.Name = "PUB " + string(m.subject)
 	}
@@ -146,7 +146,7 @@
 // listens; members tell that the publishing connection alone.
 func (p *publisher) WriteMessage(text []byte, m *window.Message) {
 	l := p.link
-	if m.Reply {
+	if m.ReplyExpected {
 		if q, _, err := parse(text, len(text)+1, len(text)); err == nil && len(q.reply) > 0 {
 			out := append(append(l.c.Buffer(len(q.reply)+lineRoom), "SUB "...), q.reply...)
 			out = strconv.AppendInt(append(out, ' '), int64(p.next), 10)
@@ -214,7 +214,7 @@
 	}
 	c.f.Counts.Rejected++
 	for i := range c.answers { // its +OK will not come
-		if t := &c.answers[i]; t.mark == m.Mark && t.text == "+OK\r\n" {
+		if t := &c.answers[i]; t.mark == m.Sequence && t.text == "+OK\r\n" {
 			t.text = ""
 			break
 		}
--- a/internal/window/window.go
+++ b/internal/window/window.go
@@ -6,8 +6,8 @@
 
 import "time"
 
-// Start is how many messages of a feed are out at first, and again after a lost link.
-const Start = 16
+// InitialWindow is how many messages of a feed are out at first, and again after a lost link.
+const InitialWindow = 16
 
 // The parts of the aim within which an acknowledgement lets the window grow, and beyond which
 // it is halved; and the part of a message's time that one attempt may take.
@@ -18,28 +18,28 @@
 
 // Limits is what a window may hold and how it repeats.
 type Limits struct {
-	Messages int           // waiting and out together
-	Most     int           // bytes
-	Attempts int           // of one message
-	Aim      time.Duration // within which an acknowledgement is wanted
-	Repeat   bool          // what may have been taken may be sent again
-	Within   time.Duration // for how long after the first such attempt; 0: without end
+	MaxMessages      int           // waiting and out together
+	MaxBytes         int           // bytes
+	MaxAttempts      int           // of one message
+	LatencyObjective time.Duration // within which an acknowledgement is wanted
+	Repeatable       bool          // what may have been taken may be sent again
+	RepeatWindow     time.Duration // for how long after the first such attempt; 0: without end
 }
 
 // Message is one of them.
 type Message struct {
-	ID      uint64
-	Name    string        // for the record; may be empty
-	Subject uint64        // messages of one subject keep their order
-	Mark    uint64        // the front's own number, which grows from message to message
-	Due     time.Duration // when its time is over
-	Sent    time.Duration // when its latest attempt began
-	Offset  uint64        // how many bytes the link had been given after it; the carrier's
-	Reply   bool          // somebody waits to hear that nobody listens
-	Tries   int
-	ran     bool // an attempt may have been taken
-	state   state
-	at, end int // where its text stands
+	ID            uint64
+	Name          string        // for the record; may be empty
+	Subject       uint64        // messages of one subject keep their order
+	Sequence      uint64        // the front's own number, which grows from message to message
+	Deadline      time.Duration // when its time is over
+	Sent          time.Duration // when its latest attempt began
+	Offset        uint64        // how many bytes the link had been given after it; the carrier's
+	ReplyExpected bool          // somebody waits to hear that nobody listens
+	Attempts      int
+	ran           bool // an attempt may have been taken
+	state         state
+	at, end       int // where its text stands
 }
 
 type state uint8
@@ -56,9 +56,9 @@
 
 // The results.
 const (
-	NotLeft Result = iota // its bytes never left
-	Lost                  // it may have been taken
-	Turned                // the member refused it
+	NotWritten Result = iota // its bytes never left
+	AckLost                  // it may have been taken
+	Rejected                 // the member refused it
 )
 
 // Window is the messages of one feed.
@@ -79,12 +79,12 @@
 
 // New makes an empty window.
 func New(l Limits) *Window {
-	l.Messages, l.Most, l.Attempts = max(l.Messages, 1), max(l.Most, 1), max(l.Attempts, 1)
-	return &Window{Limits: l, most: min(Start, l.Messages)}
+	l.MaxMessages, l.MaxBytes, l.MaxAttempts = max(l.MaxMessages, 1), max(l.MaxBytes, 1), max(l.MaxAttempts, 1)
+	return &Window{Limits: l, most: min(InitialWindow, l.MaxMessages)}
 }
 
-// Room says whether another message is taken in.
-func (w *Window) Room() bool { return w.Len() < w.Messages && w.bytes < w.Most }
+// HasCapacity says whether another message is taken in.
+func (w *Window) HasCapacity() bool { return w.Len() < w.MaxMessages && w.bytes < w.MaxBytes }
 
 // Len is how many messages it holds, and Out how many of them are out.
 func (w *Window) Len() int { return int(w.next - w.head) }
@@ -98,12 +98,12 @@
 // Idle says that it holds nothing.
 func (w *Window) Idle() bool { return w.head == w.next }
 
-// Oldest is the mark of the oldest message without a final answer.
-func (w *Window) Oldest() (mark uint64, ok bool) {
+// OldestSequence is the mark of the oldest message without a final answer.
+func (w *Window) OldestSequence() (mark uint64, ok bool) {
 	if w.Idle() {
 		return 0, false
 	}
-	return w.at(w.head).Mark, true
+	return w.at(w.head).Sequence, true
 }
 
 func (w *Window) at(n uint64) *Message { return &w.ring[n&uint64(len(w.ring)-1)] }
@@ -131,7 +131,7 @@
 		w.grow(2 * n)
 	}
 	m.at, m.end = w.base+len(w.text), w.base+len(buffer)
-	m.Tries, m.Sent, m.Offset, m.ran, m.state = 0, 0, 0, false, waiting
+	m.Attempts, m.Sent, m.Offset, m.ran, m.state = 0, 0, 0, false, waiting
 	w.text = buffer
 	w.bytes += m.end - m.at
 	*w.at(w.next) = m
@@ -163,13 +163,13 @@
 func (w *Window) Begin(now time.Duration) {
 	m := w.at(w.sent)
 	m.state, m.Sent = out, now
-	m.Tries++
+	m.Attempts++
 	w.sent++
 }
 
-// Taken says that the member has taken the n oldest that are out, but for those it has refused.
+// Acknowledged says that the member has taken the n oldest that are out, but for those it has refused.
 // Each is handed to served, and the window learns from the time that took.
-func (w *Window) Taken(now time.Duration, n int, served func(*Message)) {
+func (w *Window) Acknowledged(now time.Duration, n int, served func(*Message)) {
 	n = min(n, w.Out())
 	if n <= 0 {
 		return
@@ -184,17 +184,17 @@
 		}
 	}
 	switch {
-	case took < time.Duration(quick*float64(w.Aim)):
-		w.most = min(w.most+n, w.Messages)
-	case took > time.Duration(late*float64(w.Aim)) && now-w.cut >= took:
+	case took < time.Duration(quick*float64(w.LatencyObjective)):
+		w.most = min(w.most+n, w.MaxMessages)
+	case took > time.Duration(late*float64(w.LatencyObjective)) && now-w.cut >= took:
 		w.most, w.cut = max(w.most/2, 1), now
 	}
 	w.shed()
 }
 
-// Refused says that the member has refused the oldest message of that subject that is out. It
+// MarkRejected says that the member has refused the oldest message of that subject that is out. It
 // returns it, or nil if there is none. Until Settled nothing more is sent.
-func (w *Window) Refused(subject uint64) *Message {
+func (w *Window) MarkRejected(subject uint64) *Message {
 	for n := w.acked; n < w.sent; n++ {
 		if m := w.at(n); m.state == out && m.Subject == subject {
 			m.state, w.held = refused, true
@@ -208,11 +208,11 @@
 // may be given up without a message being sent twice for nothing.
 func (w *Window) Settled() bool { return w.held && w.acked == w.sent }
 
-// Back says that the link has surely ended. Every message on it that has no answer comes back
+// LinkClosed says that the link has surely ended. Every message on it that has no answer comes back
 // in its order: ended is told how its attempt ended; where no other may follow, failed is told
 // after that, and the message has its final answer. Of the bytes that the link was given, so
 // many have left.
-func (w *Window) Back(left uint64, ended func(*Message, Result), failed func(*Message)) {
+func (w *Window) LinkClosed(left uint64, ended func(*Message, Result), failed func(*Message)) {
 	var last map[uint64]uint64 // the newest of each subject that was taken
 	if w.held {
 		last = map[uint64]uint64{}
@@ -229,17 +229,17 @@
 			continue
 		case refused:
 			w.mayHaveRun(m)
-			ended(m, Turned)
+			ended(m, Rejected)
 		case out:
 			if m.Offset <= left {
 				w.mayHaveRun(m)
-				ended(m, Lost)
+				ended(m, AckLost)
 			} else {
-				ended(m, NotLeft)
+				ended(m, NotWritten)
 			}
 		}
 		// One behind which its subject went on would turn the order round.
-		if m.Tries >= w.Attempts || m.ran && !w.Repeat || m.state == refused && last[m.Subject] > n {
+		if m.Attempts >= w.MaxAttempts || m.ran && !w.Repeatable || m.state == refused && last[m.Subject] > n {
 			m.state = answered
 			failed(m)
 		} else {
@@ -257,24 +257,24 @@
 		}
 	}
 	w.head, w.acked, w.sent = to, to, to
-	w.held, w.most = false, min(Start, w.Messages)
+	w.held, w.most = false, min(InitialWindow, w.MaxMessages)
 	w.shed()
 }
 
 // mayHaveRun notes that the latest attempt of a message may have been taken. The first such one bounds its time.
 func (w *Window) mayHaveRun(m *Message) {
-	if !m.ran && w.Within > 0 {
-		m.Due = min(m.Due, m.Sent+w.Within)
+	if !m.ran && w.RepeatWindow > 0 {
+		m.Deadline = min(m.Deadline, m.Sent+w.RepeatWindow)
 	}
 	m.ran = true
 }
 
-// GiveUp has the oldest messages given up that wait and whose time is over by then: each is handed
+// Expire has the oldest messages given up that wait and whose time is over by then: each is handed
 // to up with whether it may have been taken. What is out stays: its link must end first.
-func (w *Window) GiveUp(by time.Duration, up func(m *Message, ran bool)) {
+func (w *Window) Expire(by time.Duration, up func(m *Message, ran bool)) {
 	for w.head == w.sent && w.head < w.next {
 		m := w.at(w.head)
-		if m.Due > by {
+		if m.Deadline > by {
 			break
 		}
 		m.state = answered
@@ -285,26 +285,26 @@
 	}
 }
 
-// Silent is when the oldest message that is out will have been without an answer for too long.
-func (w *Window) Silent() (at time.Duration, ok bool) {
+// AckDeadline is when the oldest message that is out will have been without an answer for too long.
+func (w *Window) AckDeadline() (at time.Duration, ok bool) {
 	if w.acked == w.sent {
 		return 0, false
 	}
 	m := w.at(w.acked)
-	at = m.Due
-	if m.Tries < w.Attempts { // time must be left for another
-		part := max(w.Aim, time.Duration(patience*float64(m.Due-m.Sent)))
+	at = m.Deadline
+	if m.Attempts < w.MaxAttempts { // time must be left for another
+		part := max(w.LatencyObjective, time.Duration(patience*float64(m.Deadline-m.Sent)))
 		at = min(at, m.Sent+part)
 	}
-	return min(at, w.at(w.head).Due), true // an older one may have been refused
+	return min(at, w.at(w.head).Deadline), true // an older one may have been refused
 }
 
-// Due is when the time of the oldest message is over.
-func (w *Window) Due() (at time.Duration, ok bool) {
+// Deadline is when the time of the oldest message is over.
+func (w *Window) Deadline() (at time.Duration, ok bool) {
 	if w.Idle() {
 		return 0, false
 	}
-	return w.at(w.head).Due, true
+	return w.at(w.head).Deadline, true
 }
 
 // shed lets go of what has its final answer, from the oldest on.
--- a/internal/window/window_test.go
+++ b/internal/window/window_test.go
@@ -8,7 +8,7 @@
 )
 
 func put(w *Window, id, subject uint64, due time.Duration) {
-	w.Put(Message{ID: id, Subject: subject, Mark: id, Due: due}, fmt.Appendf(w.Buffer(16), "text of %d;", id))
+	w.Put(Message{ID: id, Subject: subject, Sequence: id, Deadline: due}, fmt.Appendf(w.Buffer(16), "text of %d;", id))
 }
 
 // begin sends what may be sent and returns the ids.
@@ -48,17 +48,17 @@
 // what had not does not, and where a class may not be repeated that decides.
 func TestLostLink(t *testing.T) {
 	for _, repeat := range []bool{true, false} {
-		w := New(Limits{Messages: 10, Most: 1000, Attempts: 3, Aim: time.Second, Repeat: repeat})
+		w := New(Limits{MaxMessages: 10, MaxBytes: 1000, MaxAttempts: 3, LatencyObjective: time.Second, Repeatable: repeat})
 		for id := range uint64(6) {
 			put(w, id+1, 7, time.Minute)
 		}
 		want(t, "sent", begin(w, 1), []uint64{1, 2, 3, 4, 5, 6})
 		var b book
-		w.Taken(2, 2, b.serve)
+		w.Acknowledged(2, 2, b.serve)
 		put(w, 7, 7, time.Minute)
-		w.Back(4, b.end, b.fail) // 3 and 4 had left, 5 and 6 had not
+		w.LinkClosed(4, b.end, b.fail) // 3 and 4 had left, 5 and 6 had not
 		want(t, "served", b.served, []uint64{1, 2})
-		want(t, "results", b.ended, map[uint64]Result{3: Lost, 4: Lost, 5: NotLeft, 6: NotLeft})
+		want(t, "results", b.ended, map[uint64]Result{3: AckLost, 4: AckLost, 5: NotWritten, 6: NotWritten})
 		if repeat {
 			want(t, "failed", b.failed, []uint64(nil))
 			want(t, "sent again", begin(w, 3), []uint64{3, 4, 5, 6, 7})
@@ -71,12 +71,12 @@
 
 // TestAttempts: a message is not sent a fourth time.
 func TestAttempts(t *testing.T) {
-	w := New(Limits{Messages: 10, Most: 1000, Attempts: 3, Aim: time.Second, Repeat: true})
+	w := New(Limits{MaxMessages: 10, MaxBytes: 1000, MaxAttempts: 3, LatencyObjective: time.Second, Repeatable: true})
 	put(w, 1, 7, time.Minute)
 	var b book
 	for range 3 {
 		want(t, "sent", begin(w, 1), []uint64{1})
-		w.Back(9, b.end, b.fail)
+		w.LinkClosed(9, b.end, b.fail)
 	}
 	want(t, "failed", b.failed, []uint64{1})
 	if !w.Idle() || w.Next() != nil {
@@ -94,25 +94,25 @@
 		{[]uint64{7, 8, 9}, []uint64{1, 4}, nil},
 		{[]uint64{7, 8, 7}, []uint64{4}, []uint64{1}},
 	} {
-		w := New(Limits{Messages: 10, Most: 1000, Attempts: 3, Aim: time.Second, Repeat: true})
+		w := New(Limits{MaxMessages: 10, MaxBytes: 1000, MaxAttempts: 3, LatencyObjective: time.Second, Repeatable: true})
 		for i, s := range c.subjects {
 			put(w, uint64(i+1), s, time.Minute)
 		}
 		begin(w, 1)
-		if w.Refused(7) == nil || w.Refused(99) != nil {
+		if w.MarkRejected(7) == nil || w.MarkRejected(99) != nil {
 			t.Fatal("the wrong message")
 		}
 		put(w, 4, 5, time.Minute)
 		want(t, "sent meanwhile", begin(w, 2), []uint64(nil))
 		var b book
-		if w.Taken(3, 2, b.serve); w.Settled() {
+		if w.Acknowledged(3, 2, b.serve); w.Settled() {
 			t.Error("settled with one out")
 		}
-		if w.Taken(3, 1, b.serve); !w.Settled() {
+		if w.Acknowledged(3, 1, b.serve); !w.Settled() {
 			t.Error("not settled")
 		}
 		want(t, "served", b.served, []uint64{2, 3})
-		w.Back(9, b.end, b.fail)
+		w.LinkClosed(9, b.end, b.fail)
 		want(t, "failed", b.failed, c.fail)
 		want(t, "sent again", begin(w, 4), c.again)
 	}
@@ -121,60 +121,60 @@
 // TestPatience: an attempt leaves time for another, the last one has all of it; who waits in
 // vain is given up when its time is over and not before.
 func TestPatience(t *testing.T) {
-	w := New(Limits{Messages: 10, Most: 1000, Attempts: 2, Aim: 100, Repeat: true})
+	w := New(Limits{MaxMessages: 10, MaxBytes: 1000, MaxAttempts: 2, LatencyObjective: 100, Repeatable: true})
 	put(w, 1, 7, 1000)
 	begin(w, 0)
-	if at, ok := w.Silent(); !ok || at != 600 {
+	if at, ok := w.AckDeadline(); !ok || at != 600 {
 		t.Errorf("silent at %v", at)
 	}
 	var b book
-	w.Back(0, b.end, b.fail)
+	w.LinkClosed(0, b.end, b.fail)
 	begin(w, 600)
-	if at, _ := w.Silent(); at != 1000 {
+	if at, _ := w.AckDeadline(); at != 1000 {
 		t.Errorf("the last one is silent at %v", at)
 	}
-	if w.GiveUp(2000, b.give); b.given != nil {
+	if w.Expire(2000, b.give); b.given != nil {
 		t.Error("given up while it is out")
 	}
-	w.Back(0, b.end, b.fail)
+	w.LinkClosed(0, b.end, b.fail)
 	put(w, 2, 7, 3000)
 	put(w, 3, 7, 3001)
-	w.GiveUp(3000, b.give)
+	w.Expire(3000, b.give)
 	want(t, "failed, given up", fmt.Sprint(b.failed, b.given), "[1] [2]")
 }
 
 // TestSize: the number that is out grows while answers are quick and falls when they are late,
 // once for each round.
 func TestSize(t *testing.T) {
-	w := New(Limits{Messages: 100, Most: 1 << 20, Attempts: 3, Aim: 1000, Repeat: true})
+	w := New(Limits{MaxMessages: 100, MaxBytes: 1 << 20, MaxAttempts: 3, LatencyObjective: 1000, Repeatable: true})
 	for id := range uint64(100) {
 		put(w, id+1, 7, time.Minute)
 	}
 	var b book
-	want(t, "at first", len(begin(w, 0)), Start)
-	w.Taken(100, Start, b.serve)
-	want(t, "after quick ones", len(begin(w, 200)), 2*Start)
-	w.Taken(900, 1, b.serve)
-	w.Taken(901, 1, b.serve)
-	w.Taken(1300, 2*Start-2, b.serve)
-	want(t, "after late ones", len(begin(w, 1400)), Start)
+	want(t, "at first", len(begin(w, 0)), InitialWindow)
+	w.Acknowledged(100, InitialWindow, b.serve)
+	want(t, "after quick ones", len(begin(w, 200)), 2*InitialWindow)
+	w.Acknowledged(900, 1, b.serve)
+	w.Acknowledged(901, 1, b.serve)
+	w.Acknowledged(1300, 2*InitialWindow-2, b.serve)
+	want(t, "after late ones", len(begin(w, 1400)), InitialWindow)
 }
 
 // TestPace: all feeds together send a cold member no more than it has shown to take; a warm one
 // is not held back.
 func TestPace(t *testing.T) {
-	p := NewPace(1000, 500)
+	p := NewSlowStart(1000, 500)
 	n := 0
-	for ; p.Free(1100); n++ {
+	for ; p.MaySend(1100); n++ {
 		p.Sent()
 	}
-	want(t, "out at first", n, Start)
-	p.Back(Start, Start)
-	for n = 0; p.Free(1200); n++ {
+	want(t, "out at first", n, InitialWindow)
+	p.Release(InitialWindow, InitialWindow)
+	for n = 0; p.MaySend(1200); n++ {
 		p.Sent()
 	}
-	want(t, "out after that", n, 2*Start)
-	if p.Cold(1500) || !p.Free(1500) || !NewPace(0, 500).Free(0) {
+	want(t, "out after that", n, 2*InitialWindow)
+	if p.Active(1500) || !p.MaySend(1500) || !NewSlowStart(0, 500).MaySend(0) {
 		t.Error("a warm member is held back")
 	}
 }
@@ -184,7 +184,7 @@
 func TestSteps(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		w := New(Limits{Messages: 40, Most: 400, Attempts: 3, Aim: 100, Repeat: seed%2 == 0})
+		w := New(Limits{MaxMessages: 40, MaxBytes: 400, MaxAttempts: 3, LatencyObjective: 100, Repeatable: seed%2 == 0})
 		type account struct {
 			subject uint64
 			tries   int
@@ -213,14 +213,14 @@
 			newest[all[m.ID].subject] = m.ID
 		}
 		back := func() {
-			w.Back(rng.Uint64N(next+2), func(m *Message, _ Result) { all[m.ID].out = false }, func(m *Message) { end(m, "failed") })
+			w.LinkClosed(rng.Uint64N(next+2), func(m *Message, _ Result) { all[m.ID].out = false }, func(m *Message) { end(m, "failed") })
 			last = 0
 		}
 		for range 400 {
 			now += time.Duration(rng.IntN(20))
 			switch rng.IntN(9) {
 			case 0, 1, 2:
-				if w.Room() {
+				if w.HasCapacity() {
 					next++
 					subject := rng.Uint64N(4)
 					all[next] = &account{subject: subject}
@@ -230,23 +230,23 @@
 				if m := w.Next(); m != nil {
 					w.Begin(now)
 					a := all[m.ID]
-					if a.tries++; a.out || a.ended != "" || a.tries > 3 || a.tries != m.Tries || m.ID <= last {
+					if a.tries++; a.out || a.ended != "" || a.tries > 3 || a.tries != m.Attempts || m.ID <= last {
 						t.Fatalf("seed %d: message %d sent: %+v, after %d", seed, m.ID, *a, last)
 					}
 					a.out, last, m.Offset = true, m.ID, m.ID
 				}
 			case 5, 6:
-				w.Taken(now, rng.IntN(4), serve)
+				w.Acknowledged(now, rng.IntN(4), serve)
 			case 7:
-				w.Refused(rng.Uint64N(4))
+				w.MarkRejected(rng.Uint64N(4))
 				if w.Settled() {
 					back()
 				}
 			case 8:
-				if at, ok := w.Silent(); ok && at <= now {
+				if at, ok := w.AckDeadline(); ok && at <= now {
 					back()
 				}
-				w.GiveUp(now, func(m *Message, ran bool) {
+				w.Expire(now, func(m *Message, ran bool) {
 					if ran != (all[m.ID].tries > 0) && ran {
 						t.Fatalf("seed %d: message %d never ran", seed, m.ID)
 					}
@@ -255,7 +255,7 @@
 			}
 		}
 		back()
-		w.GiveUp(1<<62, func(m *Message, _ bool) { end(m, "given up") })
+		w.Expire(1<<62, func(m *Message, _ bool) { end(m, "given up") })
 		for id, a := range all {
 			if a.ended == "" {
 				t.Errorf("seed %d: message %d has no end: %+v", seed, id, *a)
