--- a/internal/front/line/attempt_test.go
+++ b/internal/front/line/attempt_test.go
@@ -10,8 +10,8 @@
 	"dahliarudder/policy"
 )
 
-// over waits until the relay has ended a connection.
-func (g *rig) over(p *looptest.Peer) {
+// expectFinished waits until the relay has ended a connection.
+func (g *rig) expectFinished(p *looptest.Peer) {
 	g.T.Helper()
 	g.Until("the end", func() bool { p.Poll(); return p.Over != nil })
 }
@@ -29,11 +29,11 @@
 	"resets after half a line":    {func(g *rig, m *looptest.Peer) { m.Say("UP"); g.Turn(); m.Reset() }, policy.Reset},
 	"ends after half a line":      {func(_ *rig, m *looptest.Peer) { m.Say("UP x"); m.Finish() }, policy.Reset},
 	"ends within its CRLF":        {func(_ *rig, m *looptest.Peer) { m.Say("UP x\r"); m.Finish() }, policy.Reset},
-	"says nothing":                {func(g *rig, m *looptest.Peer) { g.outlast(m) }, policy.Timeout},
-	"says half a line":            {func(g *rig, m *looptest.Peer) { m.Say("UP x"); g.Turn(); g.outlast(m) }, policy.Timeout},
-	"says UP once it is too late": {func(g *rig, m *looptest.Peer) { g.outlast(m); late(m, "UP x\r\n") }, policy.Timeout},
-	"says a line over the bound":  {func(_ *rig, m *looptest.Peer) { m.Say("UP " + strings.Repeat("x", maxLine) + "\r\n") }, policy.Error},
-	"says a line without end":     {func(_ *rig, m *looptest.Peer) { m.Say(strings.Repeat("x", 64*maxLine)) }, policy.Error},
+	"says nothing":                {func(g *rig, m *looptest.Peer) { g.passTimeout(m) }, policy.Timeout},
+	"says half a line":            {func(g *rig, m *looptest.Peer) { m.Say("UP x"); g.Turn(); g.passTimeout(m) }, policy.Timeout},
+	"says UP once it is too late": {func(g *rig, m *looptest.Peer) { g.passTimeout(m); late(m, "UP x\r\n") }, policy.Timeout},
+	"says a line over the bound":  {func(_ *rig, m *looptest.Peer) { m.Say("UP " + strings.Repeat("x", maxLineBytes) + "\r\n") }, policy.Error},
+	"says a line without end":     {func(_ *rig, m *looptest.Peer) { m.Say(strings.Repeat("x", 64*maxLineBytes)) }, policy.Error},
 	"says UP without CR":          {func(_ *rig, m *looptest.Peer) { m.Say("UP x\n") }, policy.Error},
 	"says an empty line":          {func(_ *rig, m *looptest.Peer) { m.Say("\r\nUP x\r\n") }, policy.Error},
 	"says what is no text":        {func(_ *rig, m *looptest.Peer) { m.Say("\x00\xff\x16\x03\r\n") }, policy.Error},
@@ -48,8 +48,8 @@
 	"says MOVE":                   {func(_ *rig, m *looptest.Peer) { m.Say("MOVE\r\n") }, policy.Cancelled},
 }
 
-// outlast passes the time of the attempt that is out.
-func (g *rig) outlast(m *looptest.Peer) {
+// passTimeout passes the time of the attempt that is out.
+func (g *rig) passTimeout(m *looptest.Peer) {
 	g.T.Helper()
 	g.Until("the end of the attempt", func() bool { g.Pass(10 * time.Millisecond); m.Poll(); return m.Over != nil })
 }
@@ -70,7 +70,7 @@
 			g := newRig(t, 2)
 			var ended results
 			g.Core.Ledger = &ended
-			c := g.ask(firstLine)
+			c := g.sendRequest(firstLine)
 			at, m := g.anyAttempt()
 			one.does(g, m)
 			g.Until("the next attempt", func() bool { g.Pass(time.Millisecond); return g.Core.Counts.Attempts == 2 })
@@ -78,7 +78,7 @@
 				t.Errorf("results %v, want %v", ended, one.want)
 			}
 			if one.want != policy.Reset { // its own end
-				g.over(m)
+				g.expectFinished(m)
 			}
 			next := g.attempt(1 - at)
 			if c.Poll(); len(c.Got) > 0 {
@@ -104,7 +104,7 @@
 	for name, one := range spoilt {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 2)
-			c := g.ask(firstLine)
+			c := g.sendRequest(firstLine)
 			until := g.Now() + 1900*time.Millisecond
 			for g.Core.Held() > 0 {
 				out := 0
@@ -149,7 +149,7 @@
 	for _, s := range g.servers {
 		s.Listener.Close()
 	}
-	c := g.ask(firstLine)
+	c := g.sendRequest(firstLine)
 	g.Until("the answer", func() bool { g.Pass(10 * time.Millisecond); return g.Core.Held() == 0 })
 	if got := c.Line(); !strings.HasPrefix(got, "BUSY") {
 		t.Errorf("got %q", got)
@@ -172,9 +172,9 @@
 	g := newRig(t, 0)
 	var ended results
 	g.Core.Ledger = &ended
-	g.join(fullQueue(t))
-	c := g.ask(firstLine)
-	g.Pass(g.f.connectWithin)
+	g.addMember(fullQueue(t))
+	c := g.sendRequest(firstLine)
+	g.Pass(g.f.connectTimeout)
 	if len(ended) == 0 || ended[0] != policy.ConnectFailed {
 		t.Errorf("results %v", ended)
 	}
@@ -185,8 +185,8 @@
 	g.clean()
 
 	g = newRig(t, 1)
-	c = g.ask(firstLine)
-	g.Pass(g.f.connectWithin)
+	c = g.sendRequest(firstLine)
+	g.Pass(g.f.connectTimeout)
 	g.attempt(0).Say("UP x\r\n")
 	c.Lines("UP x")
 	if g.Core.Counts.Attempts != 1 {
@@ -199,7 +199,7 @@
 	for _, more := range []string{"UP x\r\n", "BUSY\r\n", "ERR\r\n"} {
 		for _, once := range []bool{true, false} {
 			g := newRig(t, 1)
-			c := g.ask(firstLine)
+			c := g.sendRequest(firstLine)
 			m := g.attempt(0)
 			if once {
 				m.Say("UP x\r\n" + more)
@@ -230,7 +230,7 @@
 		}
 	}
 	g.Core.Doubt()
-	c := g.ask(firstLine)
+	c := g.sendRequest(firstLine)
 	g.Limit(g.Held())
 	g.Core.Sure()
 	g.Until("the answer", func() bool { g.Pass(10 * time.Millisecond); return g.Core.Held() == 0 })
--- a/internal/front/line/client.go
+++ b/internal/front/line/client.go
@@ -10,263 +10,260 @@
 	"dahliarudder/policy"
 )
 
-// This file is the client's side: connections from clients.
-
-// clientConn is a client connection: the virtual server of one request at most.
+// clientConn is the connection of a client. It carries at most one request, for which it is the core's virtual server.
 type clientConn struct {
-	f          *Front
-	c          *netloop.Conn
-	id         core.ID
-	state      clientState
-	open       opening
-	upstream   *upstream      // of the attempt that is out, or of the open flow; nil if there is none
-	due        *netloop.Timer // when the time of the state is up
-	retryAfter time.Duration  // what a rejected client is told
-	unread     int            // bytes on the open flow that have had no room
+	front        *Front
+	conn         *netloop.Conn
+	requestID    core.ID
+	state        clientState
+	openLine     openLine
+	upstream     *upstream      // of the attempt in flight, or of the open flow; nil if there is none
+	timer        *netloop.Timer // ends the time that the state may last
+	retryAfter   time.Duration  // goes to the client with BUSY, if above 0
+	blockedBytes int            // bytes of the client's that the member's send buffer had no room for
 }
 
-// on has an event happen.
-func (v *clientConn) on(e clientEvent) {
-	next, action := v.state.next(e)
-	v.enter(next)
-	v.do(action)
+// handle applies an event.
+func (c *clientConn) handle(e clientEvent) {
+	next, action := c.state.next(e)
+	c.setState(next)
+	c.perform(action)
 }
 
-// enter changes the state, and with it the lists of the front.
-func (v *clientConn) enter(next clientState) {
-	if next == v.state {
+// setState changes the state, and with it the front's sets of connections.
+func (c *clientConn) setState(next clientState) {
+	if next == c.state {
 		return
 	}
-	v.state = next
-	keep(v.f.fresh, v, next.awaitsFirstLine())
-	keep(v.f.open, v, next.stays())
+	c.state = next
+	setMembership(c.front.idle, c, next.awaitsFirstLine())
+	setMembership(c.front.flows, c, next.isEstablished())
 }
 
-func keep(set map[*clientConn]struct{}, v *clientConn, in bool) {
+func setMembership(set map[*clientConn]struct{}, c *clientConn, in bool) {
 	if in {
-		set[v] = struct{}{}
+		set[c] = struct{}{}
 	} else {
-		delete(set, v)
+		delete(set, c)
 	}
 }
 
-func (v *clientConn) do(action clientAction) {
+func (c *clientConn) perform(action clientAction) {
 	switch action {
 	case sendPong:
-		v.sendPong()
+		c.sendPong()
 	case awaitFirstLine:
-		v.timeOut(firstWithin)
+		c.startTimer(firstLineTimeout)
 	case placeRequest:
-		v.place()
+		c.placeRequest()
 	case sendError:
-		v.sendError()
+		c.sendError()
 	case sendBusy:
-		v.sendBusy()
+		c.sendBusy()
 	case openFlow:
-		v.c.EndFirst(false) // what the client has sent by then goes on
-		v.f.Loop.After(0, v.c.Resume)
-	case endClient:
-		v.close()
+		c.conn.EndFirst(false) // what the client has sent by then is forwarded
+		c.front.Loop.After(0, c.conn.Resume)
+	case closeClient:
+		c.close()
 	case resetClient:
-		v.c.Reset() // before close, which would end it politely
-		v.close()
-	case leaveRequest:
-		v.leave()
-	case leaveFlow:
-		v.close()
-		v.upstream.clientLeft(v.upstream.c.Finish)
-	case leaveFlowHard:
-		v.close()
-		v.upstream.clientLeft(v.upstream.c.Reset)
-	case leaveDraining:
-		v.upstream.clientLeft(func() {}) // its connection ends once it has been drained
-		v.timeOut(MoveTimeout)
+		c.conn.Reset() // before close, which would end it gracefully
+		c.close()
+	case cancelRequest:
+		c.cancelRequest()
+	case closeFlow:
+		c.close()
+		c.upstream.closeForClient(c.upstream.conn.Finish)
+	case resetFlow:
+		c.close()
+		c.upstream.closeForClient(c.upstream.conn.Reset)
+	case flushThenCloseFlow:
+		c.upstream.closeForClient(func() {}) // its connection ends once its send buffer is empty
+		c.startTimer(MoveTimeout)
 	case awaitLineEnd:
-		v.timeOut(MoveTimeout)
+		c.startTimer(MoveTimeout)
 	case sendMove:
-		v.c.Write([]byte("MOVE\r\n"))
-		v.endBoth()
-	case endBothSides:
-		v.endBoth()
-	case drain:
-		v.timeOut(endedAfter)
-	case endAttempt:
-		v.close()
-		v.upstream.on(attemptBroke)
+		c.conn.Write(moveLine)
+		c.closeBoth()
+	case closeBothSides:
+		c.closeBoth()
+	case awaitFlush:
+		c.startTimer(lingerTimeout)
+	case finishAttempt:
+		c.close()
+		c.upstream.handle(eventConnLost)
 	}
 }
 
-// timeOut sets when the time of the state is up.
-func (v *clientConn) timeOut(after time.Duration) {
-	v.due.Stop()
-	v.due = v.f.Loop.After(after, func() { v.on(clientTimedOut) })
+// startTimer limits how long the state may last.
+func (c *clientConn) startTimer(after time.Duration) {
+	c.timer.Stop()
+	c.timer = c.front.Loop.After(after, func() { c.handle(eventTimeout) })
 }
 
-// spare lets the connection be given up when descriptors run short.
-func (v *clientConn) spare() { v.c.Spare(func() { v.on(clientShed) }) }
+// allowShedding lets the loop close the connection when descriptors run short.
+func (c *clientConn) allowShedding() { c.conn.Spare(func() { c.handle(eventShed) }) }
 
-// Open is told by the loop; the connection stands already.
-func (v *clientConn) Open() {}
+// Open implements netloop's handler; the connection is open already.
+func (c *clientConn) Open() {}
 
-// Data is told by the loop.
-func (v *clientConn) Data(b []byte) int {
+// Data implements netloop's handler.
+func (c *clientConn) Data(b []byte) int {
 	used := 0
-	for v.state.awaitsFirstLine() && used < len(b) {
+	for c.state.awaitsFirstLine() && used < len(b) {
 		text, n, err := cutLine(b[used:])
 		if n == 0 && err == nil {
-			v.on(clientLineBegun)
+			c.handle(eventPartialFirstLine)
 			return used
 		}
 		used += n
 		if err == nil {
-			err = v.firstLine(text)
+			err = c.handleFirstLine(text)
 		}
 		if err != nil {
-			v.f.refuse(err)
-			v.on(clientMalformed)
+			c.front.countMalformed(err)
+			c.handle(eventMalformed)
 		}
 	}
 	switch {
-	case v.state.isOpen(), v.state == clientParting:
-		return used + v.pass(b[used:])
-	case v.state == clientDraining, v.state == clientClosed:
+	case c.state.isOpen(), c.state == clientFlushingToMember:
+		return used + c.forwardToMember(b[used:])
+	case c.state == clientFlushingToClient, c.state == clientClosed:
 		return len(b)
 	}
 	return used
 }
 
-// pass passes on what there is room for of the client's bytes, and says how many they were.
-func (v *clientConn) pass(b []byte) int {
-	n := v.upstream.forward(b)
-	if v.unread = len(b) - n; v.unread == 0 {
-		v.on(clientDrained)
+// forwardToMember forwards as many of the client's bytes as there is buffer space for, and returns how many.
+func (c *clientConn) forwardToMember(b []byte) int {
+	n := c.upstream.forwardToMember(b)
+	if c.blockedBytes = len(b) - n; c.blockedBytes == 0 {
+		c.handle(eventClientFlushed)
 	}
 	return n
 }
 
-// firstLine takes a first line.
-func (v *clientConn) firstLine(text string) error {
-	if text == "PING" {
-		v.on(clientPinged)
+// handleFirstLine handles PING or OPEN.
+func (c *clientConn) handleFirstLine(text string) error {
+	if text == commandPing {
+		c.handle(eventPing)
 		return nil
 	}
-	open, err := parseOpen(v.f.Core.Settings, text)
+	line, err := parseOpen(c.front.Core.Settings, text)
 	if err != nil {
 		return err
 	}
-	if v.f.ids[open.id] != nil || v.f.elsewhere[open.id] {
-		return malformed(openID, "the id of an open request")
+	if c.front.requests[line.id] != nil || c.front.remoteIDs[line.id] {
+		return malformed(duplicateID, "the id of an open request")
 	}
-	v.open = open
-	v.on(clientAsked)
+	c.openLine = line
+	c.handle(eventOpen)
 	return nil
 }
 
-func (v *clientConn) sendPong() {
-	answer := "PONG\r\n"
-	if !v.f.Core.Ready() {
-		answer = "ERR\r\n"
+func (c *clientConn) sendPong() {
+	answer := pongLine
+	if !c.front.Core.Ready() {
+		answer = errLine
 	}
-	v.c.Write([]byte(answer))
-	v.timeOut(pingIdle)
-	v.spare()
+	c.conn.Write(answer)
+	c.startTimer(idleTimeout)
+	c.allowShedding()
 }
 
-// place hands the request to the core.
-func (v *clientConn) place() {
-	v.due.Stop()
-	v.c.Spare(nil)
-	v.f.ids[v.open.id] = v
-	if v.f.Loop.Short() {
-		v.Reject(v.f.Core.Advice(crowdAfter))
+// placeRequest hands the request to the core, or rejects it if descriptors are short.
+func (c *clientConn) placeRequest() {
+	c.timer.Stop()
+	c.conn.Spare(nil)
+	c.front.requests[c.openLine.id] = c
+	if c.front.Loop.Short() {
+		c.Reject(c.front.Core.Advice(shortageRetryAfter))
 		return
 	}
-	v.id = v.f.Core.Open(v.open.request, v)
+	c.requestID = c.front.Core.Open(c.openLine.request, c)
 }
 
-// Drained is told by the loop.
-func (v *clientConn) Drained() {
-	if v.state.isOpen() || v.state == clientDraining {
-		v.upstream.c.Resume()
+// Drained implements netloop's handler.
+func (c *clientConn) Drained() {
+	if c.state.isOpen() || c.state == clientFlushingToClient {
+		c.upstream.conn.Resume()
 	}
 }
 
-// End is told by the loop.
-func (v *clientConn) End(err error) {
+// End implements netloop's handler.
+func (c *clientConn) End(err error) {
 	switch {
-	case err == io.EOF && v.unread > 0:
-		v.on(clientEndedUnread)
+	case err == io.EOF && c.blockedBytes > 0:
+		c.handle(eventClientEOFBlocked)
 	case err == io.EOF:
-		v.on(clientEnded)
+		c.handle(eventClientEOF)
 	default:
-		v.on(clientReset)
+		c.handle(eventClientReset)
 	}
 }
 
-// Send starts a server-side flow.
-func (v *clientConn) Send(id core.ID, to *core.Member, try int, wait time.Duration) {
-	v.id = id
-	s := &upstream{v: v, member: to, try: try, until: v.f.Loop.Now() + wait, report: policy.NoReport}
-	v.upstream = s
-	s.c = v.f.Loop.Dial(to.Addr, min(v.f.connectWithin, wait), s)
+// Send implements the core's virtual server: it starts an attempt at a member.
+func (c *clientConn) Send(id core.ID, to *core.Member, attempt int, wait time.Duration) {
+	c.requestID = id
+	u := &upstream{client: c, member: to, attempt: attempt, deadline: c.front.Loop.Now() + wait, report: policy.NoReport}
+	c.upstream = u
+	u.conn = c.front.Loop.Dial(to.Addr, min(c.front.connectTimeout, wait), u)
 }
 
-// Cancel abandons it.
-func (v *clientConn) Cancel(int) {
-	if v.upstream != nil {
-		v.upstream.abandon()
-		v.on(clientAbandoned)
+// Cancel abandons the attempt.
+func (c *clientConn) Cancel(int) {
+	if c.upstream != nil {
+		c.upstream.abandon()
+		c.handle(eventAttemptAbandoned)
 	}
 }
 
-// Reject answers that coming again is harmless.
-func (v *clientConn) Reject(after time.Duration) {
-	v.retryAfter = after
-	v.on(clientRejected)
+// Reject answers BUSY: the client may retry, after the given time.
+func (c *clientConn) Reject(after time.Duration) {
+	c.retryAfter = after
+	c.handle(eventRejected)
 }
 
-// leave ends a request whose client has ended its sending. Such a client has gone, or it still reads: nothing more is
-// tried for it, and it gets its final answer.
-func (v *clientConn) leave() {
-	if v.f.Core.Left(v.id) {
-		v.sendBusy()
+// cancelRequest ends a request whose client has closed its sending side. Such a client has gone, or it still reads: no
+// further attempt is made, and it gets its final answer.
+func (c *clientConn) cancelRequest() {
+	if c.front.Core.Left(c.requestID) {
+		c.sendBusy()
 	} else {
-		v.sendError()
+		c.sendError()
 	}
 }
 
-func (v *clientConn) sendError() {
-	v.c.Write([]byte("ERR\r\n"))
-	v.close()
+func (c *clientConn) sendError() {
+	c.conn.Write(errLine)
+	c.close()
 }
 
-func (v *clientConn) sendBusy() {
-	answer := "BUSY\r\n"
-	if v.retryAfter > 0 {
-		answer = "BUSY " + strconv.FormatInt(max(1, v.retryAfter.Milliseconds()), 10) + "\r\n"
+func (c *clientConn) sendBusy() {
+	answer := busyLine
+	if c.retryAfter > 0 {
+		answer = []byte(commandBusy + " " + strconv.FormatInt(max(1, c.retryAfter.Milliseconds()), 10) + "\r\n")
 	}
-	v.c.Write([]byte(answer))
-	v.close()
+	c.conn.Write(answer)
+	c.close()
 }
 
-// Fail answers without any promise.
-func (v *clientConn) Fail() { v.on(clientFailed) }
+// Fail answers ERR: the request may have run.
+func (c *clientConn) Fail() { c.handle(eventFailed) }
 
-// Move asks the client to come again: it puts MOVE between two lines and ends
-// both sides.
-func (v *clientConn) Move() { v.on(clientMoveAsked) }
+// Move migrates the client: it sends MOVE between two lines and closes both sides.
+func (c *clientConn) Move() { c.handle(eventMigrate) }
 
-func (v *clientConn) endBoth() {
-	v.upstream.c.Finish()
-	v.close()
+func (c *clientConn) closeBoth() {
+	c.upstream.conn.Finish()
+	c.close()
 }
 
-// close is the one end of a client connection; its client sees a polite end.
-func (v *clientConn) close() {
-	v.due.Stop()
-	v.enter(clientClosed)
-	if v.f.ids[v.open.id] == v {
-		delete(v.f.ids, v.open.id)
+// close ends the client connection gracefully. Each path that ends one leads here.
+func (c *clientConn) close() {
+	c.timer.Stop()
+	c.setState(clientClosed)
+	if c.front.requests[c.openLine.id] == c {
+		delete(c.front.requests, c.openLine.id)
 	}
-	v.c.Finish()
+	c.conn.Finish()
 }
--- a/internal/front/line/leave_test.go
+++ b/internal/front/line/client_leave_test.go
@@ -11,13 +11,13 @@
 
 // TestLeavesFirstLine: a client that goes within its first line was no request.
 func TestLeavesFirstLine(t *testing.T) {
-	everyLeaving(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+	forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
 		c := g.Dial(g.addr)
 		c.Say(firstLine[:20])
-		g.Until("the connection", func() bool { return len(g.f.fresh) == 1 })
+		g.Until("the connection", func() bool { return len(g.f.idle) == 1 })
 		g.Turn()
 		leave(c)
-		g.Until("its end", func() bool { return len(g.f.fresh) == 0 })
+		g.Until("its end", func() bool { return len(g.f.idle) == 0 })
 		g.unsent()
 		g.clean()
 		if g.Core.Counts.Requests != 0 {
@@ -26,10 +26,10 @@
 	})
 }
 
-// gone waits until the relay has seen that the client is gone, and checks that it has let go of its request.
-func (g *rig) gone() {
+// expectReleased waits until the relay has seen that the client is gone, and checks that it has let go of its request.
+func (g *rig) expectReleased() {
 	g.T.Helper()
-	g.Until("the client's end", func() bool { return len(g.f.ids) == 0 })
+	g.Until("the client's end", func() bool { return len(g.f.requests) == 0 })
 	g.unsent()
 	g.clean()
 	if g.Core.Counts.Left != 1 {
@@ -40,58 +40,58 @@
 // TestLeavesHeld: of a client that goes while the module holds its request no attempt begins, whether a member comes
 // or the news that the relay waits for.
 func TestLeavesHeld(t *testing.T) {
-	everyLeaving(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
-		g.list(0, policy.Draining)
-		c := g.ask(firstLine)
+	forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+		g.setMemberState(0, policy.Draining)
+		c := g.sendRequest(firstLine)
 		leave(c)
-		g.Until("the client's end", func() bool { return len(g.f.ids) == 0 })
-		g.list(0, policy.Ready)
-		g.gone()
+		g.Until("the client's end", func() bool { return len(g.f.requests) == 0 })
+		g.setMemberState(0, policy.Ready)
+		g.expectReleased()
 	})
-	everyLeaving(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+	forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
 		g.Core.Doubt()
-		c := g.ask(firstLine)
+		c := g.sendRequest(firstLine)
 		leave(c)
-		g.Until("the client's end", func() bool { return len(g.f.ids) == 0 })
+		g.Until("the client's end", func() bool { return len(g.f.requests) == 0 })
 		g.Core.Sure()
-		g.gone()
+		g.expectReleased()
 	})
 }
 
 // TestLeavesBetween: nor between two attempts.
 func TestLeavesBetween(t *testing.T) {
-	everyLeaving(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
-		c := g.ask(firstLine)
+	forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+		c := g.sendRequest(firstLine)
 		g.attempt(0).Say("BUSY\r\n")
 		g.Until("the answer", func() bool { return g.Core.Flows(1) == 0 })
 		if g.Core.Held() != 1 {
 			t.Fatal("the request is not held for another attempt")
 		}
 		leave(c)
-		g.gone()
+		g.expectReleased()
 	})
 }
 
 // TestLeavesDialling: nor is the first line sent where the connection to the member is not up yet, also if it comes
 // up in the very round in which the client goes.
 func TestLeavesDialling(t *testing.T) {
-	everyLeaving(t, 0, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
-		g.join(fullQueue(t))
-		c := g.ask(firstLine)
+	forEachClose(t, 0, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+		g.addMember(fullQueue(t))
+		c := g.sendRequest(firstLine)
 		if g.Core.Counts.Attempts != 1 {
 			t.Fatalf("%+v", g.Core.Counts)
 		}
 		leave(c)
-		g.gone()
+		g.expectReleased()
 	})
-	everyLeaving(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
-		c := g.ask(firstLine) // the member's kernel has taken the connection in by now
+	forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+		c := g.sendRequest(firstLine) // the member's kernel has taken the connection in by now
 		conn := g.pending(0)
 		if conn == nil {
 			t.Fatal("no connection")
 		}
 		leave(c)
-		g.gone()
+		g.expectReleased()
 		conn.SetReadDeadline(time.Now().Add(looptest.Patience))
 		if sent, _ := io.ReadAll(conn); len(sent) > 0 {
 			t.Errorf("the member was sent %q", sent)
@@ -101,9 +101,9 @@
 
 // TestLeavesAsDialled: the same where the loop hears of the connection before it hears of the client.
 func TestLeavesAsDialled(t *testing.T) {
-	everyLeaving(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+	forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
 		g.Core.Doubt()
-		c := g.ask(firstLine)
+		c := g.sendRequest(firstLine)
 		g.Turn() // the client's connection is no longer among those that have something to say
 		g.Turn()
 		g.Core.Sure()
@@ -112,7 +112,7 @@
 			t.Fatal("no connection")
 		}
 		leave(c)
-		g.gone()
+		g.expectReleased()
 		conn.SetReadDeadline(time.Now().Add(looptest.Patience))
 		if sent, _ := io.ReadAll(conn); len(sent) > 0 {
 			t.Errorf("the member was sent %q", sent)
@@ -122,8 +122,8 @@
 
 // TestLeavesAsked: an attempt that is out is abandoned, and no other begins.
 func TestLeavesAsked(t *testing.T) {
-	everyLeaving(t, 2, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
-		c := g.ask(firstLine)
+	forEachClose(t, 2, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+		c := g.sendRequest(firstLine)
 		at, m := g.anyAttempt()
 		m.Say("half an ans")
 		g.Turn()
@@ -132,15 +132,15 @@
 		if len(m.Got) > 0 {
 			t.Errorf("member %d got %q", at, m.Got)
 		}
-		g.gone()
+		g.expectReleased()
 	})
 }
 
 // TestLeavesUp: UP and the client's end in one round, in either order, end the flow.
 func TestLeavesUp(t *testing.T) {
 	for _, upFirst := range []bool{true, false} {
-		everyLeaving(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
-			c := g.ask(firstLine)
+		forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+			c := g.sendRequest(firstLine)
 			m := g.attempt(0)
 			if upFirst {
 				m.Say("UP x\r\n")
@@ -177,30 +177,30 @@
 
 // TestLeavesProbed: of a client that goes while its request waits for a probe's answer no attempt begins.
 func TestLeavesProbed(t *testing.T) {
-	everyLeaving(t, 2, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
-		g.probes()
-		c := g.ask(firstLine)
-		if len(g.f.probes) == 0 || g.Core.Counts.Attempts > 0 {
-			t.Fatalf("%d probes, %+v", len(g.f.probes), g.Core.Counts)
+	forEachClose(t, 2, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+		g.enableHealthChecks()
+		c := g.sendRequest(firstLine)
+		if len(g.f.healthChecks) == 0 || g.Core.Counts.Attempts > 0 {
+			t.Fatalf("%d probes, %+v", len(g.f.healthChecks), g.Core.Counts)
 		}
 		leave(c)
-		g.Until("the client's end", func() bool { return len(g.f.ids) == 0 })
+		g.Until("the client's end", func() bool { return len(g.f.requests) == 0 })
 		for i, p := range g.servers {
-			if g.f.probes[policy.ServerID(i+1)] != nil {
+			if g.f.healthChecks[policy.ServerID(i+1)] != nil {
 				m := p.Accept()
 				m.Lines("STATS")
 				m.Say("PONG x0=0.1\r\n")
 			}
 		}
 		g.Until("the answers", func() bool {
-			for _, p := range g.f.probes {
-				if p.state.owes() {
+			for _, p := range g.f.healthChecks {
+				if p.state.isPending() {
 					return false
 				}
 			}
 			return true
 		})
-		g.Pass(g.f.probeIdle)
-		g.gone()
+		g.Pass(g.f.checkIdleTimeout)
+		g.expectReleased()
 	})
 }
--- a/internal/front/line/client_state.go
+++ b/internal/front/line/client_state.go
@@ -1,211 +1,211 @@
 package line
 
-// clientState is what a client connection waits for.
+// clientState is the state of a client connection.
 type clientState int
 
 const (
-	clientNew      clientState = iota // for its first line; nothing but parts of one has come
-	clientResting                     // for its first line; it has been answered PONG
-	clientPlacing                     // for the final answer to its request, which is held or of which an attempt is out
-	clientOpen                        // for nothing: its flow is open, and the client stands between two lines
-	clientMidLine                     // for the rest of a line of which the member has sent a part
-	clientMoving                      // for the same, after which MOVE is put
-	clientDraining                    // for room for what the member has sent, which has ended
-	clientParting                     // for room for what the client has sent, which has ended
-	clientClosed                      // for nothing more; its connection is ended
+	clientNew              clientState = iota // no first line has come, or only a part of one
+	clientIdle                                // the last first line was PING; it has been answered, and the next is awaited
+	clientPending                             // its request is queued or has an attempt in flight
+	clientOpen                                // its flow is open, and the client has got whole lines only
+	clientMidLine                             // its flow is open, and a part of a line of the member's has been forwarded
+	clientMigrating                           // the same; MOVE follows the end of that line
+	clientFlushingToClient                    // the member has closed; what it sent still goes to the client
+	clientFlushingToMember                    // the client has closed; what it sent still goes to the member
+	clientClosed                              // its connection is closed
 )
 
-// clientEvent is what may happen to a client connection.
+// clientEvent is an event of a client connection.
 type clientEvent int
 
 const (
-	clientPinged      clientEvent = iota // PING came as a first line
-	clientLineBegun                      // a part of a first line came
-	clientAsked                          // OPEN came as a first line
-	clientMalformed                      // something else did
-	clientTimedOut                       // the time of the state is up
-	clientShed                           // its descriptor is wanted
-	clientStopped                        // the relay ends
-	clientUp                             // an attempt came up
-	clientServed                         // an attempt was served to its end without coming up
-	clientRejected                       // the core rejects the request
-	clientFailed                         // the core fails it
-	clientAbandoned                      // an attempt is abandoned
-	clientLinePart                       // a part of a line of the member's has passed, not its end
-	clientLineEnd                        // the end of one has
-	clientMoveAsked                      // the client is to come again
-	clientEnded                          // the client has ended its sending
-	clientEndedUnread                    // the client has ended its sending, and something of it has had no room yet
-	clientDrained                        // nothing of the client's waits for room
-	clientReset                          // the client's connection has broken
-	memberEnded                          // the member has ended its sending, on an open flow
-	memberEndedUnread                    // the member has ended its sending, and something of it has had no room yet
-	memberDrained                        // nothing of the member's waits for room
-	memberReset                          // the member's connection has broken, of an open flow
+	eventPing             clientEvent = iota // PING came as the first line
+	eventPartialFirstLine                    // a part of the first line came
+	eventOpen                                // OPEN came as the first line
+	eventMalformed                           // anything else came as the first line
+	eventTimeout                             // the state has lasted as long as it may
+	eventShed                                // the loop needs its descriptor
+	eventShutdown                            // the relay shuts down
+	eventAttemptUp                           // a member has answered UP
+	eventAttemptServed                       // a member has answered BYE without UP
+	eventRejected                            // the core rejects the request
+	eventFailed                              // the core fails it
+	eventAttemptAbandoned                    // an attempt is abandoned
+	eventPartialLine                         // a part of a line of the member's has been forwarded, without its end
+	eventLineEnd                             // the end of one has been forwarded
+	eventMigrate                             // the client is to be migrated
+	eventClientEOF                           // the client has closed its sending side
+	eventClientEOFBlocked                    // the same, and some of what it sent has not been forwarded yet
+	eventClientFlushed                       // all that the client sent has been forwarded
+	eventClientReset                         // the client's connection was reset or lost
+	eventMemberEOF                           // the member has closed its sending side, on an open flow
+	eventMemberEOFBlocked                    // the same, and some of what it sent has not been forwarded yet
+	eventMemberFlushed                       // all that the member sent has been forwarded
+	eventMemberReset                         // the member's connection was reset or lost, on an open flow
 )
 
-// clientAction is what is to be done as an event happens.
+// clientAction is what an event has the connection do.
 type clientAction int
 
 const (
-	doNothing      clientAction = iota
-	sendPong                    // answer PING, and wait for the first line anew
-	awaitFirstLine              // wait for the rest of the first line, for so long as firstWithin
-	placeRequest                // hand the request to the core
-	sendError                   // answer ERR and end
-	sendBusy                    // answer BUSY and end
-	openFlow                    // pass on what the client has sent early; the member's UP has gone to it
-	endClient                   // end the client's side politely
-	resetClient                 // end the client's side by a reset
-	leaveRequest                // tell the core that the client has left, answer it in case it still reads, and end its side
-	leaveFlow                   // the same, and end the member's side politely
-	leaveFlowHard               // the same, and end the member's side by a reset
-	leaveDraining               // tell the core that the client has left, and wait for room, for so long as MoveWithin
-	awaitLineEnd                // wait for the end of the line, for so long as MoveWithin
-	sendMove                    // put MOVE and end both sides
-	endBothSides                // end both sides politely
-	drain                       // wait for room, for so long as endedAfter
-	endAttempt                  // end the client's side politely, and tell the core how the flow has ended
+	doNothing          clientAction = iota
+	sendPong                        // answer PING, and await the next first line
+	awaitFirstLine                  // await the rest of the first line, for at most firstLineTimeout
+	placeRequest                    // hand the request to the core
+	sendError                       // answer ERR and close
+	sendBusy                        // answer BUSY and close
+	openFlow                        // forward what the client has sent early; the member's UP has gone to it
+	closeClient                     // close the client's side gracefully
+	resetClient                     // reset the client's side
+	cancelRequest                   // report to the core that the client has left, answer it in case it still reads, and close its side
+	closeFlow                       // the same, and close the member's side gracefully
+	resetFlow                       // the same, and reset the member's side
+	flushThenCloseFlow              // report to the core that the client has left, and keep forwarding what it sent, for at most MoveTimeout
+	awaitLineEnd                    // await the end of the line, for at most MoveTimeout
+	sendMove                        // send MOVE and close both sides
+	closeBothSides                  // close both sides gracefully
+	awaitFlush                      // keep forwarding what the member sent, for at most lingerTimeout
+	finishAttempt                   // close the client's side gracefully, and report the flow's result to the core
 )
 
-// awaitsFirstLine says that no request has come.
-func (s clientState) awaitsFirstLine() bool { return s == clientNew || s == clientResting }
+// awaitsFirstLine reports whether no request has come.
+func (s clientState) awaitsFirstLine() bool { return s == clientNew || s == clientIdle }
 
-// isOpen says that bytes pass between client and member.
+// isOpen reports whether the flow is open.
 func (s clientState) isOpen() bool {
-	return s == clientOpen || s == clientMidLine || s == clientMoving
+	return s == clientOpen || s == clientMidLine || s == clientMigrating
 }
 
-// stays says that the flow is open and nothing asks for its end.
-func (s clientState) stays() bool { return s == clientOpen || s == clientMidLine }
+// isEstablished reports whether the flow is open and is not being migrated.
+func (s clientState) isEstablished() bool { return s == clientOpen || s == clientMidLine }
 
-// openState is the state of an open flow of which a part of a line has passed, or none.
-func openState(midLine bool) clientState {
+// openStateFor is the state of an open flow, by whether a part of a line has been forwarded to the client.
+func openStateFor(midLine bool) clientState {
 	if midLine {
 		return clientMidLine
 	}
 	return clientOpen
 }
 
-// next is the one place that says how events lead from state to state. An event that a state has no use for changes nothing.
+// next is the transition function. An event that has no meaning in a state changes nothing.
 func (s clientState) next(e clientEvent) (clientState, clientAction) {
 	switch s {
-	case clientNew, clientResting:
+	case clientNew, clientIdle:
 		return s.nextFirstLine(e)
-	case clientPlacing:
-		return s.nextPlacing(e)
-	case clientOpen, clientMidLine, clientMoving:
+	case clientPending:
+		return s.nextPending(e)
+	case clientOpen, clientMidLine, clientMigrating:
 		return s.nextOpen(e)
-	case clientDraining:
-		return s.nextDraining(e)
-	case clientParting:
-		return s.nextParting(e)
+	case clientFlushingToClient:
+		return s.nextFlushingToClient(e)
+	case clientFlushingToMember:
+		return s.nextFlushingToMember(e)
 	}
 	return s, doNothing
 }
 
 func (s clientState) nextFirstLine(e clientEvent) (clientState, clientAction) {
 	switch e {
-	case clientPinged:
-		return clientResting, sendPong
-	case clientLineBegun:
-		if s == clientResting {
+	case eventPing:
+		return clientIdle, sendPong
+	case eventPartialFirstLine:
+		if s == clientIdle {
 			return clientNew, awaitFirstLine
 		}
-	case clientAsked:
-		return clientPlacing, placeRequest
-	case clientMalformed:
+	case eventOpen:
+		return clientPending, placeRequest
+	case eventMalformed:
 		return clientClosed, sendError
-	case clientTimedOut, clientShed:
+	case eventTimeout, eventShed:
 		if s == clientNew {
 			return clientClosed, sendError
 		}
 		return clientClosed, sendBusy
-	case clientStopped:
+	case eventShutdown:
 		return clientClosed, sendBusy
-	case clientEnded, clientReset:
-		return clientClosed, endClient
+	case eventClientEOF, eventClientReset:
+		return clientClosed, closeClient
 	}
 	return s, doNothing
 }
 
-func (s clientState) nextPlacing(e clientEvent) (clientState, clientAction) {
+func (s clientState) nextPending(e clientEvent) (clientState, clientAction) {
 	switch e {
-	case clientUp:
+	case eventAttemptUp:
 		return clientOpen, openFlow
-	case clientServed:
-		return clientClosed, endClient
-	case clientRejected:
+	case eventAttemptServed:
+		return clientClosed, closeClient
+	case eventRejected:
 		return clientClosed, sendBusy
-	case clientFailed:
+	case eventFailed:
 		return clientClosed, sendError
-	case clientEnded, clientReset:
-		return clientClosed, leaveRequest
+	case eventClientEOF, eventClientReset:
+		return clientClosed, cancelRequest
 	}
 	return s, doNothing
 }
 
 func (s clientState) nextOpen(e clientEvent) (clientState, clientAction) {
 	switch e {
-	case clientEnded:
-		return clientClosed, leaveFlow
-	case clientEndedUnread:
-		return clientParting, leaveDraining
-	case clientReset:
-		return clientClosed, leaveFlowHard
-	case memberEnded:
-		return clientClosed, endClient
-	case memberEndedUnread:
-		return clientDraining, drain
-	case memberReset:
-		if s == clientMoving {
-			return clientClosed, endClient
+	case eventClientEOF:
+		return clientClosed, closeFlow
+	case eventClientEOFBlocked:
+		return clientFlushingToMember, flushThenCloseFlow
+	case eventClientReset:
+		return clientClosed, resetFlow
+	case eventMemberEOF:
+		return clientClosed, closeClient
+	case eventMemberEOFBlocked:
+		return clientFlushingToClient, awaitFlush
+	case eventMemberReset:
+		if s == clientMigrating {
+			return clientClosed, closeClient
 		}
 		return clientClosed, resetClient
 	}
-	if s == clientMoving {
-		return s.nextMoving(e)
+	if s == clientMigrating {
+		return s.nextMigrating(e)
 	}
 	switch e {
-	case clientLinePart:
+	case eventPartialLine:
 		return clientMidLine, doNothing
-	case clientLineEnd:
+	case eventLineEnd:
 		return clientOpen, doNothing
-	case clientMoveAsked:
+	case eventMigrate:
 		if s == clientMidLine {
-			return clientMoving, awaitLineEnd
+			return clientMigrating, awaitLineEnd
 		}
 		return clientClosed, sendMove
 	}
 	return s, doNothing
 }
 
-func (s clientState) nextMoving(e clientEvent) (clientState, clientAction) {
+func (s clientState) nextMigrating(e clientEvent) (clientState, clientAction) {
 	switch e {
-	case clientLineEnd:
+	case eventLineEnd:
 		return clientClosed, sendMove
-	case clientTimedOut:
-		return clientClosed, endBothSides
+	case eventTimeout:
+		return clientClosed, closeBothSides
 	}
 	return s, doNothing
 }
 
-func (s clientState) nextDraining(e clientEvent) (clientState, clientAction) {
+func (s clientState) nextFlushingToClient(e clientEvent) (clientState, clientAction) {
 	switch e {
-	case memberDrained, clientTimedOut:
-		return clientClosed, endAttempt
-	case clientEnded, clientEndedUnread:
-		return clientClosed, leaveFlow
-	case clientReset:
-		return clientClosed, leaveFlowHard
+	case eventMemberFlushed, eventTimeout:
+		return clientClosed, finishAttempt
+	case eventClientEOF, eventClientEOFBlocked:
+		return clientClosed, closeFlow
+	case eventClientReset:
+		return clientClosed, resetFlow
 	}
 	return s, doNothing
 }
 
-func (s clientState) nextParting(e clientEvent) (clientState, clientAction) {
+func (s clientState) nextFlushingToMember(e clientEvent) (clientState, clientAction) {
 	switch e {
-	case clientDrained, clientTimedOut, clientReset, memberEnded, memberReset:
-		return clientClosed, endBothSides
+	case eventClientFlushed, eventTimeout, eventClientReset, eventMemberEOF, eventMemberReset:
+		return clientClosed, closeBothSides
 	}
 	return s, doNothing
 }
--- a/internal/front/line/crossing_test.go
+++ b/internal/front/line/crossing_test.go
@@ -53,12 +53,12 @@
 	case 2:
 		if x.rng.IntN(4) == 0 && !x.gone {
 			x.gone = true
-			x.leave()
+			x.closeClient()
 		}
 	case 3, 4, 5, 6:
-		x.answer()
+		x.answerLastAttempt()
 	case 7:
-		x.list(x.rng.IntN(2), []policy.State{policy.Ready, policy.Draining, policy.Gone}[x.rng.IntN(3)])
+		x.setMemberState(x.rng.IntN(2), []policy.State{policy.Ready, policy.Draining, policy.Gone}[x.rng.IntN(3)])
 	case 8:
 		x.Core.Doubt()
 		x.doubting = true
@@ -75,11 +75,11 @@
 	default:
 		x.Turn()
 	}
-	x.see()
+	x.observe()
 }
 
-// leave has the client go in one of the ways there are.
-func (x *crossing) leave() {
+// closeClient closes the client's connection in one of the ways there are.
+func (x *crossing) closeClient() {
 	switch c := x.client.(*net.TCPConn); x.rng.IntN(3) {
 	case 0:
 		c.CloseWrite()
@@ -91,8 +91,8 @@
 	}
 }
 
-// answer has the member of the last attempt say or do something.
-func (x *crossing) answer() {
+// answerLastAttempt has the member of the last attempt send or do something.
+func (x *crossing) answerLastAttempt() {
 	if len(x.attempts) == 0 {
 		return
 	}
@@ -111,8 +111,8 @@
 	}
 }
 
-// see takes in what members and the client have got, and checks what holds at any time.
-func (x *crossing) see() {
+// observe takes in what members and the client have got, and checks what holds at any time.
+func (x *crossing) observe() {
 	for i := range x.servers {
 		for c := x.pending(i); c != nil; c = x.pending(i) {
 			x.attempts = append(x.attempts, &attemptSeen{Conn: c})
@@ -147,27 +147,27 @@
 	x.T.Fatalf("%s (steps %s)", fmt.Sprintf(format, args...), strings.Join(x.log, " "))
 }
 
-// finish has the client go, and checks that nothing begins after that and that nothing is left.
+// finish closes the client's connection, and checks that nothing begins after that and that nothing is left.
 func (x *crossing) finish() {
 	if !x.gone {
-		x.ended()
-		x.leave()
+		x.checkAnswers()
+		x.closeClient()
 	}
-	x.Until("the client's end", func() bool { return len(x.f.ids)+len(x.f.fresh) == 0 })
+	x.Until("the client's end", func() bool { return len(x.f.requests)+len(x.f.idle) == 0 })
 	for _, m := range x.attempts {
 		x.Until("the end of the attempt", func() bool { m.over = m.over || read(m.Conn, &m.got); return m.over })
 		m.Close()
 	}
 	x.Core.Sure()
 	for i := range x.servers {
-		x.list(i, policy.Ready)
+		x.setMemberState(i, policy.Ready)
 	}
 	x.unsent()
 	x.clean()
 }
 
-// ended checks what the client has got by now: at most one answer, and after it what its member said and at most one MOVE.
-func (x *crossing) ended() {
+// checkAnswers checks what the client has got by now: at most one answer, and after it what its member said and at most one MOVE.
+func (x *crossing) checkAnswers() {
 	over := read(x.client, &x.got)
 	text := string(x.got)
 	switch {
@@ -200,7 +200,7 @@
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			x := &crossing{rig: newRig(t, 2), rng: rand.New(rand.NewPCG(uint64(seed), 1))}
 			x.client = x.Dial(x.addr).Conn
-			x.Until("the connection", func() bool { return len(x.f.fresh) == 1 })
+			x.Until("the connection", func() bool { return len(x.f.idle) == 1 })
 			for range 40 {
 				x.step()
 			}
--- a/internal/front/line/early_test.go
+++ b/internal/front/line/early_data_test.go
@@ -11,20 +11,20 @@
 // with it.
 func TestSendsMuchAndGoes(t *testing.T) {
 	g := newRig(t, 1)
-	g.list(0, policy.Draining)
-	c := g.ask(firstLine)
+	g.setMemberState(0, policy.Draining)
+	c := g.sendRequest(firstLine)
 	c.Say(string(bytes.Repeat([]byte("more\r\n"), 4<<10)))
 	c.Finish()
-	g.Until("the client's end", func() bool { return len(g.f.ids) == 0 })
-	g.list(0, policy.Ready)
-	g.gone()
+	g.Until("the client's end", func() bool { return len(g.f.requests) == 0 })
+	g.setMemberState(0, policy.Ready)
+	g.expectReleased()
 }
 
 // TestSendsMoreThanIsKept: one that sends more than the relay keeps while it waits loses nothing of it once its flow is
 // open, and is held back until then.
 func TestSendsMoreThanIsKept(t *testing.T) {
 	g := newRig(t, 1)
-	c := g.ask(firstLine)
+	c := g.sendRequest(firstLine)
 	m := g.attempt(0)
 	early := bytes.Repeat([]byte("more\r\n"), 32<<10)
 	c.Say(string(early))
@@ -43,7 +43,7 @@
 // and in order.
 func TestSendsEarly(t *testing.T) {
 	g := newRig(t, 2)
-	c := g.ask(firstLine)
+	c := g.sendRequest(firstLine)
 	at, m := g.anyAttempt()
 	early := bytes.Repeat([]byte("more\r\n"), 5<<10)
 	c.Say(string(early))
--- a/internal/front/line/first_line_test.go
+++ b/internal/front/line/first_line_test.go
@@ -15,8 +15,8 @@
 func TestFirstLineInPieces(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.Dial(g.addr)
-	g.Until("the connection", func() bool { return len(g.f.fresh) == 1 })
-	each := firstWithin / time.Duration(len(firstLine)+3)
+	g.Until("the connection", func() bool { return len(g.f.idle) == 1 })
+	each := firstLineTimeout / time.Duration(len(firstLine)+3)
 	for _, b := range []byte(firstLine + "\r\n") {
 		c.Say(string(b))
 		g.Turn()
@@ -30,10 +30,10 @@
 func TestFirstLineTooSlow(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.Dial(g.addr)
-	g.Until("the connection", func() bool { return len(g.f.fresh) == 1 })
+	g.Until("the connection", func() bool { return len(g.f.idle) == 1 })
 	c.Say(firstLine[:30])
 	g.Turn()
-	g.Pass(firstWithin)
+	g.Pass(firstLineTimeout)
 	late(c, firstLine[30:]+"\r\n"+firstLine+"\r\n")
 	c.Lines("ERR")
 	c.WantEnd()
@@ -76,7 +76,7 @@
 func TestAsksAgain(t *testing.T) {
 	g := newRig(t, 1)
 	g.Core.Stop()
-	c := g.ask(firstLine)
+	c := g.sendRequest(firstLine)
 	late(c, firstLine+"\r\n")
 	if got := c.Line(); !strings.HasPrefix(got, "BUSY") {
 		t.Errorf("got %q", got)
@@ -97,8 +97,8 @@
 	"a word":           "HELLO\r\n",
 	"another protocol": "GET / HTTP/1.1\r\nHost: x\r\n\r\n",
 	"a handshake":      "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\n",
-	"too long":         "OPEN " + strings.Repeat("x", maxLine),
-	"no end":           strings.Repeat("x", 64*maxLine),
+	"too long":         "OPEN " + strings.Repeat("x", maxLineBytes),
+	"no end":           strings.Repeat("x", 64*maxLineBytes),
 	"a byte":           "OPEN 00000000000000ac 00000000000000bb c=pay,t=water,g=\x00\r\n",
 	"an id":            "OPEN zz 00000000000000bb c=pay,t=water\r\n",
 	"an id of none":    "OPEN  00000000000000bb c=pay,t=water\r\n",
@@ -145,12 +145,12 @@
 func TestGarbageAndGone(t *testing.T) {
 	for name, text := range malformedLines {
 		t.Run(name, func(t *testing.T) {
-			everyLeaving(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+			forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
 				c := g.Dial(g.addr)
-				g.Until("the connection", func() bool { return len(g.f.fresh) == 1 })
+				g.Until("the connection", func() bool { return len(g.f.idle) == 1 })
 				late(c, text)
 				leave(c)
-				g.Until("the connection's end", func() bool { return len(g.f.fresh) == 0 && g.Free() == g.free })
+				g.Until("the connection's end", func() bool { return len(g.f.idle) == 0 && g.Free() == g.free })
 				g.unsent()
 				g.clean()
 			})
@@ -191,7 +191,7 @@
 	g.openFlow()
 	g.Members[0].Addr = next.Addr()
 	g.Core.Pool(policy.ListDelta, g.Members[:1])
-	c := g.ask(firstLineOf(2))
+	c := g.sendRequest(firstLineOf(2))
 	m := next.Accept()
 	m.Line()
 	m.Say("UP y\r\n")
--- a/internal/front/line/flow_end_test.go
+++ b/internal/front/line/flow_end_test.go
@@ -12,10 +12,10 @@
 // onlyFlow is the one client connection whose flow is open.
 func (g *rig) onlyFlow() *clientConn {
 	g.T.Helper()
-	if len(g.f.open) != 1 {
-		g.T.Fatalf("%d open flows", len(g.f.open))
+	if len(g.f.flows) != 1 {
+		g.T.Fatalf("%d open flows", len(g.f.flows))
 	}
-	for v := range g.f.open {
+	for v := range g.f.flows {
 		return v
 	}
 	return nil
@@ -37,8 +37,8 @@
 	return sent
 }
 
-// all reads what comes until the end, which has to be polite.
-func (g *rig) all(p *looptest.Peer) []byte {
+// readAll reads what comes until the end, which has to be polite.
+func (g *rig) readAll(p *looptest.Peer) []byte {
 	g.T.Helper()
 	p.Conn.(*net.TCPConn).SetReadBuffer(4 << 20) // or the system's own timers set the pace
 	g.Until("the end", func() bool { p.Poll(); return p.Over != nil })
@@ -54,10 +54,10 @@
 	c, m := g.openFlow()
 	narrow(m)
 	v := g.onlyFlow()
-	sent := g.fill(c, func() bool { return v.upstream.c.Unsent() > 0 })
+	sent := g.fill(c, func() bool { return v.upstream.conn.Unsent() > 0 })
 	c.Finish()
 	g.Until("the end of the request", func() bool { return g.Core.Held() == 0 })
-	if got := g.all(m); !bytes.Equal(got, sent) {
+	if got := g.readAll(m); !bytes.Equal(got, sent) {
 		t.Errorf("%d bytes of %d", len(got), len(sent))
 	}
 	g.clean()
@@ -71,14 +71,14 @@
 		c, m := g.openFlow()
 		narrow(m)
 		v := g.onlyFlow()
-		sent := g.fill(c, func() bool { return v.upstream.c.Room() == 0 })
+		sent := g.fill(c, func() bool { return v.upstream.conn.Room() == 0 })
 		c.Say("the last line\r\n")
 		sent = append(sent, "the last line\r\n"...)
 		c.Finish()
 		g.Until("the end of the request", func() bool { return g.Core.Held() == 0 })
 		if !reads {
 			g.Pass(MoveTimeout)
-		} else if got := g.all(m); !bytes.Equal(got, sent) {
+		} else if got := g.readAll(m); !bytes.Equal(got, sent) {
 			t.Errorf("%d bytes of %d", len(got), len(sent))
 		}
 		g.clean()
@@ -92,14 +92,14 @@
 	c, m := g.openFlow()
 	narrow(c)
 	v := g.onlyFlow()
-	sent := g.fill(m, func() bool { return v.c.Room() == 0 })
+	sent := g.fill(m, func() bool { return v.conn.Room() == 0 })
 	m.Say("the last line\r\n")
 	sent = append(sent, "the last line\r\n"...)
 	m.Finish()
 	for range 4 {
 		g.Turn()
 	}
-	if got := g.all(c); !bytes.Equal(got, sent) {
+	if got := g.readAll(c); !bytes.Equal(got, sent) {
 		t.Errorf("%d bytes of %d", len(got), len(sent))
 	}
 	g.Until("the end of the request", func() bool { return g.Core.Held() == 0 })
@@ -113,10 +113,10 @@
 	c, m := g.openFlow()
 	narrow(c)
 	v := g.onlyFlow()
-	g.fill(m, func() bool { return v.c.Room() == 0 })
+	g.fill(m, func() bool { return v.conn.Room() == 0 })
 	m.Say("the last line\r\n")
 	m.Finish()
-	g.Until("the member's end", func() bool { return len(g.f.open) == 0 })
-	g.Pass(endedAfter)
+	g.Until("the member's end", func() bool { return len(g.f.flows) == 0 })
+	g.Pass(lingerTimeout)
 	g.clean()
 }
--- a/internal/front/line/flow_fuzz_test.go
+++ b/internal/front/line/flow_fuzz_test.go
@@ -24,7 +24,7 @@
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		r := looptest.NewRelay(t, 1)
 		from, to := New(r.Loop, r.Core, r.Log), New(r.Loop, r.Core, r.Log)
-		c, m := askedOf(r, from)
+		c, m := sendOpenTo(r, from)
 		m.Say("UP x\r\n")
 		c.Lines("UP x")
 		var byClient, byMember, seen []byte
@@ -36,7 +36,7 @@
 			}
 			switch steps[i] % 8 {
 			case 7: // another process takes the relay's place
-				pass(t, from, to)
+				handOffFlows(t, from, to)
 				from, to = to, from
 			case 0:
 				if !ended && !drained {
--- a/internal/front/line/flow_test.go
+++ b/internal/front/line/flow_test.go
@@ -43,7 +43,7 @@
 	g.T.Helper()
 	for p, want := range map[*looptest.Peer]string{g.c: toClient, g.m: toMember} {
 		if p.Over == nil {
-			g.over(p)
+			g.expectFinished(p)
 		}
 		if string(p.Got) != want {
 			g.T.Errorf("got %q, want %q", p.Got, want)
@@ -93,8 +93,8 @@
 			g.Turn() // neither connection has anything to say now
 			one.first(g)
 			one.second(g)
-			g.over(g.c)
-			g.over(g.m)
+			g.expectFinished(g.c)
+			g.expectFinished(g.m)
 			g.finished(one.want[0])
 		})
 	}
@@ -105,7 +105,7 @@
 	g := newFlow(t)
 	g.m.Say("half a ")
 	g.c.Want("half a ")
-	g.list(0, policy.Draining)
+	g.setMemberState(0, policy.Draining)
 	g.Turn()
 	g.m.Say("li")
 	g.c.Want("li")
@@ -128,16 +128,16 @@
 		"line ends, it ends":  func(g *flowRig) { g.m.Say("line\r\n"); g.m.Finish() },
 		"line ends, as BYE":   func(g *flowRig) { g.m.Say("line\r\nBYE\r\n"); g.m.Finish() },
 		"the planned stop":    func(g *flowRig) { g.Core.Stop(); g.Core.Finish(); g.m.Say("line\r\n") },
-		"member gone as well": func(g *flowRig) { g.list(0, policy.Gone); g.m.Say("line\r\n") },
+		"member gone as well": func(g *flowRig) { g.setMemberState(0, policy.Gone); g.m.Say("line\r\n") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newFlow(t)
 			g.m.Say("half a ")
 			g.c.Want("half a ")
-			g.list(0, policy.Draining)
+			g.setMemberState(0, policy.Draining)
 			g.Turn()
 			end(g)
-			g.Until("the end", func() bool { return len(g.f.ids) == 0 })
+			g.Until("the end", func() bool { return len(g.f.requests) == 0 })
 			if !strings.HasPrefix(name, "client") && !strings.HasPrefix(name, "member ") || strings.HasPrefix(name, "member gone") {
 				g.c.Lines("line", "MOVE")
 				g.c.WantEnd()
@@ -154,7 +154,7 @@
 func TestDrainAndStop(t *testing.T) {
 	g := newFlow(t)
 	g.Core.Stop()
-	g.list(0, policy.Draining)
+	g.setMemberState(0, policy.Draining)
 	g.Core.Finish()
 	g.ends("MOVE\r\n", "")
 	g.finished(policy.Cancelled)
@@ -167,26 +167,26 @@
 		g := newFlow(t)
 		narrow(g.c)
 		v := g.onlyFlow()
-		g.fill(g.m, func() bool { return v.c.Room() == 0 })
+		g.fill(g.m, func() bool { return v.conn.Room() == 0 })
 		for range 8 {
 			late(g.m, string(bytes.Repeat([]byte("x"), 4<<10)))
 			g.Turn()
 		}
-		if unsent := v.c.Unsent(); unsent > netloop.OutBound {
+		if unsent := v.conn.Unsent(); unsent > netloop.OutBound {
 			t.Errorf("%d bytes wait for the client", unsent)
 		}
-		if v.upstream.unread > netloop.InBound {
-			t.Errorf("%d bytes of the member's wait", v.upstream.unread)
+		if v.upstream.blockedBytes > netloop.InBound {
+			t.Errorf("%d bytes of the member's wait", v.upstream.blockedBytes)
 		}
 		start := g.Now()
-		for at := start; g.Core.Held() > 0; at += clientEvery {
+		for at := start; g.Core.Held() > 0; at += clientInterval {
 			if talks {
 				late(g.c, "hello\r\n")
 				g.Turn()
 			}
-			g.Pass(clientEvery)
-			g.Pass(sweepEvery)
-			if g.Now()-start > clientGone+2*clientEvery || talks && g.Now()-start > silentMost+clientEvery {
+			g.Pass(clientInterval)
+			g.Pass(sweepInterval)
+			if g.Now()-start > clientSilenceTimeout+2*clientInterval || talks && g.Now()-start > maxSilence+clientInterval {
 				t.Fatalf("still held after %v", g.Now()-start)
 			}
 		}
--- a/internal/front/line/planned_stop_test.go
+++ b/internal/front/line/graceful_shutdown_test.go
@@ -13,7 +13,7 @@
 // what comes up is moved before the stop is over.
 func TestStopInFlight(t *testing.T) {
 	g := newRig(t, 1)
-	c := g.ask(firstLine)
+	c := g.sendRequest(firstLine)
 	m := g.attempt(0)
 	g.Core.Stop()
 	g.Pass(100 * time.Millisecond)
@@ -38,7 +38,7 @@
 			if held {
 				g.Core.Doubt()
 			}
-			c := g.ask(firstLine)
+			c := g.sendRequest(firstLine)
 			if !held {
 				g.attempt(0).Say("half an ans")
 			}
@@ -66,7 +66,7 @@
 	g := newRig(t, 1)
 	half, front := g.Dial(g.addr), g.Dial(g.addr)
 	half.Say(firstLine[:20])
-	g.Until("both", func() bool { return len(g.f.fresh) == 2 })
+	g.Until("both", func() bool { return len(g.f.idle) == 2 })
 	g.Turn()
 	g.Core.Stop()
 	half.Say(firstLine[20:] + "\r\n")
@@ -77,7 +77,7 @@
 		Line() string
 		WantEnd()
 		Close() error
-	}{half, front, g.ask(strings.Replace(firstLine, "aa", "ac", 1))} {
+	}{half, front, g.sendRequest(strings.Replace(firstLine, "aa", "ac", 1))} {
 		if got := c.Line(); !strings.HasPrefix(got, "BUSY") {
 			t.Errorf("got %q", got)
 		}
@@ -98,7 +98,7 @@
 	front.Say("PING\r\n")
 	front.Lines("PONG")
 	half.Say(firstLine[:20])
-	g.Until("all", func() bool { return len(g.f.fresh) == 3 })
+	g.Until("all", func() bool { return len(g.f.idle) == 3 })
 	g.Turn()
 	g.Core.Stop()
 	g.Core.Finish()
--- /dev/null
+++ b/internal/front/line/handoff.go
@@ -0,0 +1,145 @@
+package line
+
+import (
+	"time"
+
+	"dahliarudder/internal/core"
+	"dahliarudder/policy"
+)
+
+// IdleConn is a client connection without a request that is handed to another process of the same relay.
+type IdleConn struct {
+	Unread    []byte `json:"unread"`            // what has come of the first line
+	AfterPong bool   `json:"resting,omitempty"` // PING has been answered on it
+}
+
+// HandOffIdle hands at most limit connections without a request to give, which then owns the descriptor. The others, which
+// are to follow, are no longer read.
+func (f *Front) HandOffIdle(limit int, give func(handoff IdleConn, fd int)) {
+	for c := range f.idle {
+		if limit <= 0 {
+			c.conn.Rest()
+			continue
+		}
+		handoff := IdleConn{AfterPong: c.state == clientIdle}
+		var fd int
+		if fd, handoff.Unread = c.conn.Detach(); fd >= 0 {
+			limit--
+			c.close()
+			give(handoff, fd)
+		}
+	}
+}
+
+// IdleCount is the number of connections without a request.
+func (f *Front) IdleCount() int { return len(f.idle) }
+
+// ResumeIdle reads again from the connections that HandOffIdle has left.
+func (f *Front) ResumeIdle() {
+	for c := range f.idle {
+		f.Loop.After(0, c.conn.Resume)
+	}
+}
+
+// AdoptIdle serves a connection that another process has handed off.
+func (f *Front) AdoptIdle(handoff IdleConn, fd int) {
+	conn := f.Loop.Attach(fd, handoff.Unread, nil)
+	f.accept(conn, handoff.AfterPong)
+	f.Loop.After(0, conn.Resume)
+}
+
+// FlowHandoff is an open flow that is handed to another process. Times are ages.
+type FlowHandoff struct {
+	ClientID      uint64        `json:"id"` // the id in the client's first line
+	Placement     core.Passed   `json:"flow"`
+	FromClient    []byte        `json:"from_client"` // received, but not forwarded yet
+	FromMember    []byte        `json:"from_member"`
+	MidLine       bool          `json:"within"` // a part of a line of the member's has been forwarded
+	LinePrefix    []byte        `json:"tail"`   // the start of that line
+	FinalCommand  string        `json:"last"`   // BYE or MOVE, or empty
+	AnswerPending time.Duration `json:"asked"`  // how long the client has waited for an answer; 0 if it does not
+	ClientQuiet   time.Duration `json:"heard"`  // how long the client has sent nothing
+}
+
+// HandOffFlows hands at most limit open flows, with the sockets to the client and to
+// the member, to give, which then owns these. A flow with unsent bytes, or one that is being
+// migrated, stays for now.
+func (f *Front) HandOffFlows(limit int, give func(handoff FlowHandoff, client, member int)) {
+	now := f.Loop.Now()
+	for c := range f.flows {
+		u := c.upstream
+		if !c.conn.Detachable() || !u.conn.Detachable() {
+			continue
+		}
+		if limit--; limit < 0 {
+			return
+		}
+		handoff := FlowHandoff{ClientID: c.openLine.id, MidLine: c.state == clientMidLine, LinePrefix: u.linePrefix,
+			FinalCommand: u.state.finalCommand(), ClientQuiet: now - u.clientActiveAt}
+		if u.lineSentAt > 0 {
+			handoff.AnswerPending = max(now-u.unansweredSince, 1)
+		}
+		client, member := f.detach(c, &handoff)
+		if client < 0 {
+			return // out of descriptors
+		}
+		handoff.Placement, _ = f.Core.Pass(c.requestID)
+		handoff.Placement.Request.Load = u.load
+		c.close()
+		give(handoff, client, member)
+	}
+}
+
+// detach takes both sides of an open flow off the loop. If there is no descriptor for either it returns -1, and the flow
+// continues here.
+func (f *Front) detach(c *clientConn, handoff *FlowHandoff) (client, member int) {
+	if client, handoff.FromClient = c.conn.Detach(); client < 0 {
+		return -1, -1
+	}
+	if member, handoff.FromMember = c.upstream.conn.Detach(); member >= 0 {
+		return client, member
+	}
+	c.conn = f.Loop.Attach(client, handoff.FromClient, c)
+	f.Loop.After(0, c.conn.Resume)
+	return -1, -1
+}
+
+// AdoptFlow continues a flow that another process has handed off. If its member is not known here, the client is migrated.
+func (f *Front) AdoptFlow(handoff FlowHandoff, client, member int) {
+	now := f.Loop.Now()
+	c := &clientConn{front: f, state: openStateFor(handoff.MidLine), openLine: openLine{id: handoff.ClientID}}
+	u := &upstream{client: c, state: openStateAfter(handoff.FinalCommand), linePrefix: handoff.LinePrefix, load: handoff.Placement.Request.Load, report: policy.NoReport}
+	u.clientActiveAt = now - handoff.ClientQuiet
+	if handoff.FinalCommand != "" {
+		u.finalCommandAt = now
+	}
+	if c.upstream = u; handoff.AnswerPending > 0 {
+		u.unansweredSince, u.lineSentAt = now-handoff.AnswerPending, now-handoff.AnswerPending
+	}
+	c.conn = f.Loop.Attach(client, handoff.FromClient, c)
+	u.conn = f.Loop.Attach(member, handoff.FromMember, u)
+	f.flows[c], f.requests[handoff.ClientID] = struct{}{}, c
+	var known bool
+	if c.requestID, u.member, known = f.Core.Take(handoff.Placement, c); !known {
+		c.Move()
+		return
+	}
+	f.Loop.After(0, func() { c.conn.Resume(); u.conn.Resume() })
+}
+
+// OpenRequestIDs are the client ids of the open requests of this process.
+func (f *Front) OpenRequestIDs() []uint64 {
+	ids := make([]uint64, 0, len(f.requests))
+	for id := range f.requests {
+		ids = append(ids, id)
+	}
+	return ids
+}
+
+// SetRemoteIDs sets the client ids of the open requests of another process; they are rejected here.
+func (f *Front) SetRemoteIDs(ids []uint64) {
+	clear(f.remoteIDs)
+	for _, id := range ids {
+		f.remoteIDs[id] = true
+	}
+}
--- a/internal/front/line/give_test.go
+++ b/internal/front/line/handoff_test.go
@@ -20,10 +20,10 @@
 	f.HandOffIdle(1, func(p IdleConn, fd int) {
 		next.AdoptIdle(p, fd)
 	})
-	r.Pass(firstWithin + time.Second)
+	r.Pass(firstLineTimeout + time.Second)
 	c.Say("PING\r\n")
 	c.Lines("PONG")
-	r.Pass(pingIdle + time.Second)
+	r.Pass(idleTimeout + time.Second)
 	c.Lines("BUSY")
 	c.WantEnd()
 }
@@ -32,7 +32,7 @@
 func TestGiveWithoutDescriptors(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	f := New(r.Loop, r.Core, r.Log)
-	c, m := askedOf(r, f)
+	c, m := sendOpenTo(r, f)
 	m.Say("UP x\r\n")
 	c.Lines("UP x")
 	given := 0
--- /dev/null
+++ b/internal/front/line/health_check_test.go
@@ -0,0 +1,210 @@
+package line
+
+import (
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"dahliarudder/internal/core"
+	"dahliarudder/internal/netloop/looptest"
+	"dahliarudder/policy"
+)
+
+// checkRig is a rig and how the probes of its members ended.
+type checkRig struct {
+	*rig
+	results []policy.Result
+}
+
+func newCheckRig(t testing.TB, members int) *checkRig {
+	p := &checkRig{rig: newRig(t, members)}
+	p.Core.Saw = func(_ *core.Member, result policy.Result) { p.results = append(p.results, result) }
+	return p
+}
+
+// check checks the health of a member.
+func (p *checkRig) check(member int) { p.f.CheckHealth(&p.Members[member]) }
+
+// acceptCheck is the member's end of a health check that has been sent on a new connection.
+func (p *checkRig) acceptCheck(member int) *looptest.Peer {
+	p.T.Helper()
+	p.check(member)
+	m := p.servers[member].Accept()
+	m.Lines("STATS")
+	return m
+}
+
+// wantResults waits for the results of all probes so far.
+func (p *checkRig) wantResults(results ...policy.Result) {
+	p.T.Helper()
+	p.Until("the results", func() bool { return len(p.results) >= len(results) })
+	if !slices.Equal(p.results, results) {
+		p.T.Fatalf("results %v, want %v", p.results, results)
+	}
+}
+
+// expectNoCheck checks that no health check is pending and none of its connections left.
+func (p *checkRig) expectNoCheck() {
+	p.T.Helper()
+	n := len(p.results)
+	p.Pass(p.f.checkIdleTimeout)
+	p.clean()
+	if len(p.results) != n {
+		p.T.Errorf("results %v", p.results)
+	}
+}
+
+// TestProbeAnswers: each probe has one result, whatever the member does.
+func TestProbeAnswers(t *testing.T) {
+	for name, one := range map[string]struct {
+		does func(p *checkRig, m *looptest.Peer)
+		want policy.Result
+	}{
+		"PONG":                  {func(_ *checkRig, m *looptest.Peer) { m.Say("PONG x0=0.5\r\n") }, policy.OK},
+		"BUSY":                  {func(_ *checkRig, m *looptest.Peer) { m.Say("BUSY\r\n") }, policy.Full},
+		"ERR":                   {func(_ *checkRig, m *looptest.Peer) { m.Say("ERR\r\n") }, policy.Error},
+		"ERR, PONG":             {func(_ *checkRig, m *looptest.Peer) { m.Say("ERR\r\nPONG\r\n") }, policy.Error},
+		"PONG, PONG":            {func(_ *checkRig, m *looptest.Peer) { m.Say("PONG\r\nPONG\r\n") }, policy.OK},
+		"no CRLF":               {func(_ *checkRig, m *looptest.Peer) { m.Say("PONG\n") }, policy.Error},
+		"a line over the bound": {func(_ *checkRig, m *looptest.Peer) { m.Say(strings.Repeat("x", maxLineBytes)) }, policy.Error},
+		"the end":               {func(_ *checkRig, m *looptest.Peer) { m.Finish() }, policy.Reset},
+		"half a line, the end":  {func(_ *checkRig, m *looptest.Peer) { m.Say("PON"); m.Finish() }, policy.Reset},
+		"a reset":               {func(_ *checkRig, m *looptest.Peer) { m.Reset() }, policy.Reset},
+		"half a line, a reset":  {func(_ *checkRig, m *looptest.Peer) { m.Say("PON"); m.Reset() }, policy.Reset},
+		"half a line, nothing":  {func(p *checkRig, m *looptest.Peer) { m.Say("PON"); p.Turn(); p.Pass(checkTimeout) }, policy.Timeout},
+		"nothing":               {func(p *checkRig, _ *looptest.Peer) { p.Pass(checkTimeout) }, policy.Timeout},
+		"PONG once it is late":  {func(p *checkRig, m *looptest.Peer) { p.Pass(checkTimeout); m.Say("PONG\r\n") }, policy.Timeout},
+		"PONG as it becomes so": {func(p *checkRig, m *looptest.Peer) { m.Say("PONG\r\n"); p.Pass(checkTimeout) }, policy.OK},
+		"nobody is there":       {func(p *checkRig, m *looptest.Peer) { m.Close() }, policy.Reset},
+	} {
+		t.Run(name, func(t *testing.T) {
+			p := newCheckRig(t, 1)
+			m := p.acceptCheck(0)
+			one.does(p, m)
+			p.wantResults(one.want)
+			p.expectNoCheck()
+		})
+	}
+}
+
+// TestProbeConnects: a connection that is refused, or that does not come up, is told apart.
+func TestProbeConnects(t *testing.T) {
+	p := newCheckRig(t, 1)
+	p.servers[0].Listener.Close()
+	p.check(0)
+	p.wantResults(policy.ConnectFailed)
+	p.expectNoCheck()
+
+	p = newCheckRig(t, 0)
+	p.addMember(fullQueue(t))
+	p.check(0)
+	p.Turn()
+	p.Pass(p.f.connectTimeout)
+	p.wantResults(policy.Timeout)
+	p.expectNoCheck()
+}
+
+// TestProbeLateAnswer: nor is one that comes before the next probe; its connection is used no more.
+func TestProbeLateAnswer(t *testing.T) {
+	p := newCheckRig(t, 1)
+	m := p.acceptCheck(0)
+	m.Say("PONG x0=0.1\r\n")
+	p.wantResults(policy.OK)
+	m.Say("ERR\r\n")
+	m.WantEnd()
+	p.acceptCheck(0).Say("PONG x0=0.2\r\n")
+	p.wantResults(policy.OK, policy.OK)
+	p.expectNoCheck()
+}
+
+// TestProbeEndsAsUsed: a kept connection that the member ends in the very moment in which it is used again costs a
+// second connection, and no result.
+func TestProbeEndsAsUsed(t *testing.T) {
+	for name, end := range map[string]func(*looptest.Peer){
+		"ends": func(m *looptest.Peer) { m.Close() }, "half-closes": func(m *looptest.Peer) { m.Finish() }, "resets": func(m *looptest.Peer) { m.Reset() },
+	} {
+		t.Run(name, func(t *testing.T) {
+			p := newCheckRig(t, 1)
+			m := p.acceptCheck(0)
+			m.Say("PONG\r\n")
+			p.wantResults(policy.OK)
+			end(m)
+			p.acceptCheck(0).Say("PONG\r\n")
+			p.wantResults(policy.OK, policy.OK)
+			p.expectNoCheck()
+		})
+	}
+}
+
+// TestProbeEndsAsMemberLeft: and none where the member has left for longer than the grace meanwhile.
+func TestProbeEndsAsMemberLeft(t *testing.T) {
+	p := newCheckRig(t, 1)
+	m := p.acceptCheck(0)
+	m.Say("PONG\r\n")
+	p.wantResults(policy.OK)
+	m.Finish()
+	p.check(0)
+	p.setMemberState(0, policy.Draining)
+	p.Pass(time.Duration(p.Core.Settings.Guarantees.Grace)*time.Millisecond + time.Millisecond)
+	p.wantResults(policy.OK, policy.Reset)
+	if p.pending(0) != nil {
+		t.Error("a connection to a member that has left")
+	}
+	p.expectNoCheck()
+}
+
+// TestProbeSecondAnswer: a second answer that came with the first is not taken for the next probe's.
+func TestProbeSecondAnswer(t *testing.T) {
+	p := newCheckRig(t, 1)
+	m := p.acceptCheck(0)
+	m.Say("PONG x0=0.1\r\nERR\r\n")
+	p.wantResults(policy.OK)
+	m = p.acceptCheck(0)
+	m.Say("PONG x0=0.2\r\n")
+	p.wantResults(policy.OK, policy.OK)
+	p.expectNoCheck()
+}
+
+// TestProbeAsksNobodyWhoLeft: a connection that comes up when its member has been leaving for longer than the grace
+// is not used.
+func TestProbeAsksNobodyWhoLeft(t *testing.T) {
+	p := newCheckRig(t, 1)
+	p.check(0)
+	p.setMemberState(0, policy.Draining)
+	p.Pass(time.Duration(p.Core.Settings.Guarantees.Grace)*time.Millisecond + time.Millisecond)
+	p.wantResults(policy.Moot)
+	p.unsent()
+	p.expectNoCheck()
+}
+
+// TestProbeForgets: of members that come and go nothing stays.
+func TestProbeForgets(t *testing.T) {
+	p := newCheckRig(t, 3)
+	for i := range p.servers {
+		p.acceptCheck(i).Say("PONG\r\n")
+		p.Until("the result", func() bool { return len(p.results) == i+1 })
+	}
+	p.expectNoCheck()
+	if len(p.f.healthChecks) != 0 {
+		t.Errorf("%d are remembered", len(p.f.healthChecks))
+	}
+}
+
+// TestProbeSecondAnswerAtOnce: nor where the next probe begins as the first is answered.
+func TestProbeSecondAnswerAtOnce(t *testing.T) {
+	p := newCheckRig(t, 1)
+	saw := p.Core.Saw
+	p.Core.Saw = func(m *core.Member, result policy.Result) {
+		if saw(m, result); len(p.results) == 1 {
+			p.check(0)
+		}
+	}
+	m := p.acceptCheck(0)
+	m.Say("PONG x0=0.1\r\nERR\r\n")
+	m = p.servers[0].Accept()
+	m.Lines("STATS")
+	m.Say("PONG x0=0.2\r\n")
+	p.wantResults(policy.OK, policy.OK)
+	p.expectNoCheck()
+}
--- a/internal/front/line/rest_test.go
+++ b/internal/front/line/idle_after_pong_test.go
@@ -9,15 +9,15 @@
 
 // TestRestsUntilAsked: a request that arrives in the round in which the time of a resting connection is up is placed.
 func TestRestsUntilAsked(t *testing.T) {
-	for name, rest := range map[string]time.Duration{"new": firstWithin, "answered PONG": pingIdle} {
+	for name, rest := range map[string]time.Duration{"new": firstLineTimeout, "answered PONG": idleTimeout} {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1)
 			c := g.Dial(g.addr)
-			if rest == pingIdle {
+			if rest == idleTimeout {
 				c.Say("PING\r\n")
 				c.Lines("PONG")
 			}
-			g.Until("the connection", func() bool { return len(g.f.fresh) == 1 })
+			g.Until("the connection", func() bool { return len(g.f.idle) == 1 })
 			c.Say(firstLine + "\r\n")
 			g.Pass(rest)
 			g.attempt(0).Say("UP x\r\n")
@@ -30,7 +30,7 @@
 // sent on, and coming again is harmless.
 func TestRestsTooLong(t *testing.T) {
 	for name, end := range map[string]func(*rig){
-		"idle": func(g *rig) { g.Pass(pingIdle) },
+		"idle": func(g *rig) { g.Pass(idleTimeout) },
 		"shed": func(g *rig) {
 			for range 2 {
 				g.Limit(g.Held()) // the next connection has to be made room for
@@ -67,7 +67,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1)
 			c := g.Dial(g.addr)
-			g.Until("the connection", func() bool { return len(g.f.fresh) == 1 })
+			g.Until("the connection", func() bool { return len(g.f.idle) == 1 })
 			if c.Say(one.first); one.first != "" {
 				c.Lines("PONG")
 			}
--- a/internal/front/line/line.go
+++ b/internal/front/line/line.go
@@ -1,7 +1,6 @@
 // Package line is the front for the platform's protocol: lines of text between
-// clients, the relay and pool members. A virtual server is the client's side of a
-// connection (clientConn), a server-side flow one attempt at a member (upstream). See docs/design.md,
-// "The line front".
+// clients, the relay and pool members. A clientConn is the connection of a client, and the core's virtual
+// server for its request; an upstream is one attempt at a member. See docs/design.md, "The line front".
 package line
 
 import (
@@ -18,14 +17,14 @@
 	"dahliarudder/policy"
 )
 
-// Times of this front.
+// Timeouts and intervals of this front.
 const (
-	firstWithin = 2 * time.Second        // for a first line to come; 3 s are allowed
-	pingIdle    = 30 * time.Second       // a connection that was answered PONG may stay without a request
-	clientGone  = 30 * time.Second       // a client that sends no line for so long; each sends one every 2 s
-	sweepEvery  = 250 * time.Millisecond // how often that is looked for
-	MoveTimeout = 500 * time.Millisecond // for the line to end after which MOVE may stand; a stop waits for it too
-	crowdAfter  = 500 * time.Millisecond // when a client may come again that found no descriptors
+	firstLineTimeout     = 2 * time.Second        // for a first line to come; 3 s are allowed
+	idleTimeout          = 30 * time.Second       // for a request on a connection that was answered PONG
+	clientSilenceTimeout = 30 * time.Second       // after which a client that sends nothing has gone; each sends a line every 2 s
+	sweepInterval        = 250 * time.Millisecond // between searches for silent clients and members
+	MoveTimeout          = 500 * time.Millisecond // for the member to end the line that MOVE has to follow; a shutdown waits for it too
+	shortageRetryAfter   = 500 * time.Millisecond // sent with BUSY to clients that are rejected for want of descriptors
 )
 
 // Front serves the platform's protocol.
@@ -34,78 +33,80 @@
 	Core *core.Core
 	Log  logrus.FieldLogger
 
-	connectWithin time.Duration
-	probeIdle     time.Duration            // how long a probe's connection is kept
-	open          map[*clientConn]struct{} // whose flow stands
-	fresh         map[*clientConn]struct{} // whose first line has not come
-	ids           map[uint64]*clientConn   // by the client's id, from its first line to its end
-	elsewhere     map[uint64]bool          // ids of requests that another process of this relay holds
-	probes        map[policy.ServerID]*probe
-	refused       [causes]refusals
+	connectTimeout   time.Duration
+	checkIdleTimeout time.Duration            // how long the connection of a health check is kept for the next one
+	flows            map[*clientConn]struct{} // whose flow is established
+	idle             map[*clientConn]struct{} // no request has come yet
+	requests         map[uint64]*clientConn   // by the client's id, from its first line to its end
+	remoteIDs        map[uint64]bool          // client ids of the open requests of another process of this relay
+	healthChecks     map[policy.ServerID]*healthCheck
+	rejections       [causeCount]rejectionCount
 }
 
-// New makes a front on the core.
+// New returns a front that places requests by the core.
 func New(loop *netloop.Loop, c *core.Core, log logrus.FieldLogger) *Front {
-	f := &Front{Loop: loop, Core: c, Log: log, connectWithin: c.Limits().ConnectTimeout,
-		probeIdle: time.Duration(probeIdle * float64(cmp.Or(settings.Span(c.Settings.Limits.Keepalive), keepalive))),
-		open:      map[*clientConn]struct{}{}, fresh: map[*clientConn]struct{}{}, elsewhere: map[uint64]bool{}, ids: map[uint64]*clientConn{}, probes: map[policy.ServerID]*probe{}}
-	loop.After(sweepEvery, f.sweep)
+	f := &Front{Loop: loop, Core: c, Log: log, connectTimeout: c.Limits().ConnectTimeout,
+		checkIdleTimeout: time.Duration(checkIdleFraction * float64(cmp.Or(settings.Span(c.Settings.Limits.Keepalive), defaultKeepalive))),
+		flows:            map[*clientConn]struct{}{}, idle: map[*clientConn]struct{}{}, remoteIDs: map[uint64]bool{},
+		requests: map[uint64]*clientConn{}, healthChecks: map[policy.ServerID]*healthCheck{}}
+	loop.After(sweepInterval, f.sweep)
 	return f
 }
 
 // Accept serves a client's connection.
-func (f *Front) Accept(c *netloop.Conn) { f.accept(c, false) }
+func (f *Front) Accept(conn *netloop.Conn) { f.accept(conn, false) }
 
 // accept serves a connection that is new, or that another process has answered PONG.
-func (f *Front) accept(c *netloop.Conn, resting bool) {
-	v := &clientConn{f: f, c: c}
-	f.fresh[v] = struct{}{}
-	if v.timeOut(firstWithin); resting {
-		v.state = clientResting
-		v.timeOut(pingIdle)
+func (f *Front) accept(conn *netloop.Conn, afterPong bool) {
+	c := &clientConn{front: f, conn: conn}
+	f.idle[c] = struct{}{}
+	if c.startTimer(firstLineTimeout); afterPong {
+		c.state = clientIdle
+		c.startTimer(idleTimeout)
 	}
-	v.spare()
-	c.EndFirst(true)
-	c.Handle(v)
+	c.allowShedding()
+	conn.EndFirst(true)
+	conn.Handle(c)
 }
 
-// OpenRequests is how many clients have asked and are not done with: they wait, their flow stands, or it waits for the end
-// of a line to be moved.
-func (f *Front) OpenRequests() int { return len(f.ids) }
+// OpenRequests is how many requests are open: queued, with an attempt in flight, with an established flow, or about to be
+// migrated.
+func (f *Front) OpenRequests() int { return len(f.requests) }
 
-// CloseIdle ends the connections on which nothing was asked yet. BUSY answers who asks in that very moment.
+// CloseIdle closes the connections on which no request has come. It answers BUSY first, for a request that is just on
+// its way.
 func (f *Front) CloseIdle() {
-	for v := range f.fresh {
-		v.retryAfter = f.Core.Advice(crowdAfter)
-		v.on(clientStopped)
+	for c := range f.idle {
+		c.retryAfter = f.Core.Advice(shortageRetryAfter)
+		c.handle(eventShutdown)
 	}
 }
 
-// sweep moves clients whose member has gone silent, and ends flows whose client
-// has: a machine that vanished ends no connection.
+// sweep migrates clients whose member has gone silent, and closes flows whose client has. A host that is lost
+// closes no connection.
 func (f *Front) sweep() {
 	now := f.Loop.Now()
-	for v := range f.open {
-		if s := v.upstream; s.silent(now) {
-			f.Log.WithField("member", s.member.Name).Warn("member has gone silent")
-			v.Move()
-			f.Core.Ended(v.id, s.try, policy.Reset, s.report)
-		} else if s.ended(now) {
-			s.End(io.EOF)
-		} else if s.gone(now) {
-			v.on(clientEnded)
+	for c := range f.flows {
+		if u := c.upstream; u.memberSilent(now) {
+			f.Log.WithField("member", u.member.Name).Warn("member has gone silent")
+			c.Move()
+			f.Core.Ended(c.requestID, u.attempt, policy.Reset, u.report)
+		} else if u.memberLingers(now) {
+			u.End(io.EOF)
+		} else if u.clientSilent(now) {
+			c.handle(eventClientEOF)
 		}
 	}
-	f.Loop.After(sweepEvery, f.sweep)
+	f.Loop.After(sweepInterval, f.sweep)
 }
 
-// cutLine takes a line off b. Without one, used is 0 and err tells if none can
-// come any more.
+// cutLine reads one line off b. If b holds no whole line, used is 0, and err is set if none can
+// follow any more.
 func cutLine(b []byte) (text string, used int, err error) {
-	end := bytes.IndexByte(b[:min(len(b), maxLine)], '\n')
+	end := bytes.IndexByte(b[:min(len(b), maxLineBytes)], '\n')
 	if end < 0 {
-		if len(b) >= maxLine {
-			err = malformed(tooLong, "over %d bytes", maxLine)
+		if len(b) >= maxLineBytes {
+			err = malformed(tooLong, "over %d bytes", maxLineBytes)
 		}
 		return "", 0, err
 	}
--- a/internal/front/line/line_test.go
+++ b/internal/front/line/line_test.go
@@ -16,15 +16,15 @@
 
 const firstLine = "OPEN 00000000000000aa 00000000000000bb c=pay,t=water,d=1900"
 
-// asked is a request that its only member has got: the relay, the client and the
+// sendOpen sends a request that its only member has got: the relay, the client and the
 // member.
-func asked(t testing.TB) (*looptest.Relay, *looptest.Peer, *looptest.Peer) {
+func sendOpen(t testing.TB) (*looptest.Relay, *looptest.Peer, *looptest.Peer) {
 	r := looptest.NewRelay(t, 1)
-	c, m := askedOf(r, New(r.Loop, r.Core, r.Log))
+	c, m := sendOpenTo(r, New(r.Loop, r.Core, r.Log))
 	return r, c, m
 }
 
-func askedOf(r *looptest.Relay, f *Front) (c, m *looptest.Peer) {
+func sendOpenTo(r *looptest.Relay, f *Front) (c, m *looptest.Peer) {
 	c = r.Dial(r.Serve(f.Accept))
 	c.Say(firstLine + "\r\n")
 	_, m = r.AcceptAny(0)
@@ -32,9 +32,9 @@
 	return c, m
 }
 
-// pass hands all open flows that can be from one front to another, through the text
+// handOffFlows hands all open flows that can be from one front to another, through the text
 // that goes between processes.
-func pass(t testing.TB, from, to *Front) {
+func handOffFlows(t testing.TB, from, to *Front) {
 	t.Helper()
 	from.HandOffFlows(100, func(p FlowHandoff, client, member int) {
 		text, err := json.Marshal(p)
@@ -49,9 +49,9 @@
 	})
 }
 
-// standingFlow is the same, up.
-func standingFlow(t testing.TB) (*looptest.Relay, *looptest.Peer, *looptest.Peer) {
-	r, c, m := asked(t)
+// openedFlow is the same, up.
+func openedFlow(t testing.TB) (*looptest.Relay, *looptest.Peer, *looptest.Peer) {
+	r, c, m := sendOpen(t)
 	m.Say("UP x\r\n")
 	c.Lines("UP x")
 	return r, c, m
@@ -59,7 +59,7 @@
 
 // TestMoveWaits: MOVE that is asked for within a line stands after it.
 func TestMoveWaits(t *testing.T) {
-	r, c, m := standingFlow(t)
+	r, c, m := openedFlow(t)
 	m.Say("half a ")
 	c.Want("half a ")
 	r.Drain(0)
@@ -71,17 +71,17 @@
 
 // TestResets: a reset is answered by a reset, both ways.
 func TestResets(t *testing.T) {
-	_, c, m := standingFlow(t)
+	_, c, m := openedFlow(t)
 	m.Reset()
 	c.WantReset()
-	_, c, m = standingFlow(t)
+	_, c, m = openedFlow(t)
 	c.Reset()
 	m.WantReset()
 }
 
 // TestClientLeaves: who leaves before an answer leaves no attempt behind, and may still read its one answer.
 func TestClientLeaves(t *testing.T) {
-	r, c, m := asked(t)
+	r, c, m := sendOpen(t)
 	c.Finish()
 	r.Until("the member's end", func() bool { m.Poll(); return m.Over != nil })
 	c.Lines("BUSY")
@@ -102,7 +102,7 @@
 		"anything":   "BUSY",
 	} {
 		t.Run(answer, func(t *testing.T) {
-			r, c, m := asked(t)
+			r, c, m := sendOpen(t)
 			m.Say(answer + "\r\n")
 			r.Until("an answer", func() bool { r.Pass(50 * time.Millisecond); c.Poll(); return len(c.Got) > 0 })
 			if got := c.Line(); !strings.HasPrefix(got, want) {
@@ -124,7 +124,7 @@
 	front.Say("PING\r\n")
 	front.Lines("PONG")
 	r.Until("three connections", func() bool { return r.Free() == free-3 })
-	r.Pass(firstWithin)
+	r.Pass(firstLineTimeout)
 	for _, c := range []*looptest.Peer{silent, slow} {
 		c.Lines("ERR")
 		c.WantEnd()
@@ -133,7 +133,7 @@
 	r.Until("the descriptors", func() bool { return r.Free() == free-1 })
 	front.Say("PING\r\n")
 	front.Lines("PONG")
-	r.Pass(pingIdle)
+	r.Pass(idleTimeout)
 	front.Lines("BUSY")
 	front.WantEnd()
 }
@@ -141,7 +141,7 @@
 // TestClash: the id of an open request is no new request's, however it is written;
 // the open one goes on, and once it has ended the id is free.
 func TestClash(t *testing.T) {
-	r, c, m := standingFlow(t)
+	r, c, m := openedFlow(t)
 	addr := r.Serve(New(r.Loop, r.Core, r.Log).Accept)
 	first := r.Dial(addr)
 	first.Say(firstLine + "\r\n")
@@ -186,7 +186,7 @@
 		c := r.Dial(r.Serve(f.Accept))
 		c.Say(firstLine + "\r\n")
 		r.Until("the request", func() bool { return r.Core.Counts.Attempts == 1 })
-		for _, v := range f.ids {
+		for _, v := range f.requests {
 			v.upstream.state = attemptDialing
 			v.upstream.End(fmt.Errorf("dialling: %w", err))
 		}
@@ -213,7 +213,7 @@
 	r := looptest.NewRelay(t, 1)
 	for d, want := range map[string]time.Duration{
 		"d=1900": 1900 * time.Millisecond, "d=999999999": 2 * time.Second, "h=1": 2 * time.Second,
-		"d=4294967,at=s-1": standingWait, "at=s-1": standingWait,
+		"d=4294967,at=s-1": reopenWait, "at=s-1": reopenWait,
 	} {
 		open, err := parseOpen(r.Core.Settings, strings.Replace(firstLine, "d=1900", d, 1))
 		if err != nil || open.request.Wait != want {
@@ -224,8 +224,8 @@
 
 // TestLimit: a line within the bound is read, a longer one is not waited for.
 func TestLimit(t *testing.T) {
-	long := strings.Repeat("x", maxLine-2)
-	if text, n, err := cutLine([]byte(long + "\r\n")); err != nil || n != maxLine || text != long {
+	long := strings.Repeat("x", maxLineBytes-2)
+	if text, n, err := cutLine([]byte(long + "\r\n")); err != nil || n != maxLineBytes || text != long {
 		t.Errorf("%d of a line at the bound, %v", n, err)
 	}
 	if _, _, err := cutLine([]byte(long + "x\r\n")); err == nil {
@@ -240,20 +240,20 @@
 // what has come of their line, requests stay, and ids that are open elsewhere are
 // refused until they no longer are.
 func TestGiveFresh(t *testing.T) {
-	r, c, m := standingFlow(t)
+	r, c, m := openedFlow(t)
 	f, next := New(r.Loop, r.Core, r.Log), New(r.Loop, r.Core, r.Log)
 	addr := r.Serve(f.Accept)
 	half, quiet := r.Dial(addr), r.Dial(addr)
 	half.Say(firstLine[:20])
-	r.Until("both", func() bool { return len(f.fresh) == 2 })
+	r.Until("both", func() bool { return len(f.idle) == 2 })
 	r.Turn()
 	given := 0
 	f.HandOffIdle(2, func(p IdleConn, fd int) {
 		given++
 		next.AdoptIdle(p, fd)
 	})
-	if given != 2 || len(f.fresh) != 0 || len(next.fresh) != 2 {
-		t.Fatalf("%d given, %d left, %d taken", given, len(f.fresh), len(next.fresh))
+	if given != 2 || len(f.idle) != 0 || len(next.idle) != 2 {
+		t.Fatalf("%d given, %d left, %d taken", given, len(f.idle), len(next.idle))
 	}
 	next.SetRemoteIDs([]uint64{0xaa})
 	half.Say(firstLine[20:] + "\r\n")
@@ -277,15 +277,15 @@
 func TestTakeFlow(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	first, second := New(r.Loop, r.Core, r.Log), New(r.Loop, r.Core, r.Log)
-	c, m := askedOf(r, first)
+	c, m := sendOpenTo(r, first)
 	m.Say("UP x\r\n")
 	c.Lines("UP x")
 	c.Say("anyone?\r\n")
 	m.Lines("anyone?")
-	r.Pass(silentAfter - time.Second)
-	pass(t, first, second)
-	if r.Core.Held() != 1 || len(first.open) != 0 || len(first.ids) != 0 || len(second.ids) != 1 {
-		t.Fatalf("held %d, %d left, %d taken", r.Core.Held(), len(first.open), len(second.open))
+	r.Pass(memberSilenceTimeout - time.Second)
+	handOffFlows(t, first, second)
+	if r.Core.Held() != 1 || len(first.flows) != 0 || len(first.requests) != 0 || len(second.requests) != 1 {
+		t.Fatalf("held %d, %d left, %d taken", r.Core.Held(), len(first.flows), len(second.flows))
 	}
 	r.Pass(2 * time.Second)
 	c.Lines("MOVE")
@@ -295,7 +295,7 @@
 		func(p *FlowHandoff) { p.Placement.Member = "unheard of" },
 		func(*FlowHandoff) { r.Drain(0) },
 	} {
-		c, m = askedOf(r, first)
+		c, m = sendOpenTo(r, first)
 		m.Say("UP y\r\n")
 		c.Lines("UP y")
 		first.HandOffFlows(1, func(p FlowHandoff, client, member int) {
--- a/internal/front/line/silence_test.go
+++ b/internal/front/line/liveness_test.go
@@ -11,16 +11,16 @@
 // TestSilent: a member that answers no line for too long is left, and the client
 // is asked to come again; one that answers is not.
 func TestSilent(t *testing.T) {
-	r, c, m := standingFlow(t)
+	r, c, m := openedFlow(t)
 	c.Say("hello\r\n")
 	m.Lines("hello")
-	r.Pass(silentAfter)
+	r.Pass(memberSilenceTimeout)
 	m.Say("well\r\n")
 	c.Lines("well")
 	c.Say("hello?\r\n")
 	m.Lines("hello?")
-	r.Pass(silentAfter + sweepEvery)
-	r.Pass(sweepEvery)
+	r.Pass(memberSilenceTimeout + sweepInterval)
+	r.Pass(sweepInterval)
 	c.Lines("MOVE")
 	c.WantEnd()
 	if r.Core.Held() != 0 {
@@ -34,7 +34,7 @@
 func TestStopped(t *testing.T) {
 	for seed := range uint64(16) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		r, c, m := standingFlow(t)
+		r, c, m := openedFlow(t)
 		const step = 100 * time.Millisecond
 		start, back := r.Now(), r.Now()
 		stops := start + time.Duration(rng.IntN(120))*step
@@ -42,7 +42,7 @@
 		for r.Core.Held() > 0 {
 			now := r.Now()
 			if now >= next { // the client's next line, in up to three pieces
-				next = now + clientEvery
+				next = now + clientInterval
 				pieces = append(pieces, []string{"line\r\n", "li", "l"}[rng.IntN(3)])
 				if whole := pieces[len(pieces)-1]; whole != "line\r\n" {
 					pieces = append(pieces, strings.TrimPrefix("line\r\n", whole))
@@ -77,10 +77,10 @@
 			if r.Core.Held() == 0 && r.Now() < stops {
 				t.Fatalf("seed %d: a flow that was answered is over", seed)
 			}
-			if late := r.Now() - back; late > silentMost-step {
+			if late := r.Now() - back; late > maxSilence-step {
 				t.Fatalf("seed %d: still held %v after the last line", seed, late)
 			}
-			if late := r.Now() - parting; parting > 0 && late > endMost {
+			if late := r.Now() - parting; parting > 0 && late > maxLinger {
 				t.Fatalf("seed %d: still held %v after its last word", seed, late)
 			}
 		}
@@ -89,18 +89,18 @@
 
 // TestHalfLine: a client that takes long over a line is not sent away for the member's silence, nor as the line ends.
 func TestHalfLine(t *testing.T) {
-	r, c, m := standingFlow(t)
+	r, c, m := openedFlow(t)
 	c.Say("hel")
 	m.Want("hel")
 	for range 30 {
-		r.Pass(sweepEvery)
+		r.Pass(sweepInterval)
 	}
 	c.Say("lo\r\n")
 	m.Lines("lo")
-	r.Pass(sweepEvery)
+	r.Pass(sweepInterval)
 	m.Say("well\r\n")
 	c.Lines("well")
-	r.Pass(sweepEvery)
+	r.Pass(sweepInterval)
 	if r.Core.Held() != 1 {
 		t.Error("the flow is over")
 	}
@@ -108,14 +108,14 @@
 
 // TestClientGone: a client's machine that vanished must not hold a flow for ever.
 func TestClientGone(t *testing.T) {
-	r, c, m := standingFlow(t)
-	r.Pass(clientGone)
+	r, c, m := openedFlow(t)
+	r.Pass(clientSilenceTimeout)
 	c.Say("still here\r\n")
 	m.Lines("still here")
 	m.Say("well\r\n")
 	c.Lines("well")
-	r.Pass(clientGone + sweepEvery)
-	r.Pass(sweepEvery)
+	r.Pass(clientSilenceTimeout + sweepInterval)
+	r.Pass(sweepInterval)
 	m.WantEnd()
 	if r.Core.Held() != 0 {
 		t.Error("the flow is still held")
--- a/internal/front/line/quiet_test.go
+++ b/internal/front/line/long_idle_test.go
@@ -21,16 +21,16 @@
 		c.Say("a line\r\n")
 		m.Lines("a line")
 		for range 7 * 4 { // nothing comes back
-			g.Pass(sweepEvery)
+			g.Pass(sweepInterval)
 		}
 		c.Lines("MOVE")
 		c.WantEnd()
 		for range 100 {
 			g.Pass(quiet / 100)
 		}
-		g.list(at, policy.Draining)
+		g.setMemberState(at, policy.Draining)
 		before := g.Core.Counts.Attempts
-		c = g.ask(firstLine)
+		c = g.sendRequest(firstLine)
 		other, m := g.anyAttempt()
 		if other == at {
 			t.Errorf("%v: an attempt at a member that drains", quiet)
@@ -50,7 +50,7 @@
 // flowAnywhere is a client whose flow is open, and its member.
 func (g *rig) flowAnywhere() (c *looptest.Peer, at int, m *looptest.Peer) {
 	g.T.Helper()
-	c = g.ask(firstLine)
+	c = g.sendRequest(firstLine)
 	at, m = g.anyAttempt()
 	m.Say("UP x\r\n")
 	c.Lines("UP x")
--- a/internal/front/line/malformed_test.go
+++ b/internal/front/line/malformed_test.go
@@ -39,10 +39,10 @@
 	if got := strings.Join(said, ", "); got != "not OPEN: 1, class: 1" {
 		t.Errorf("the log says %s", got)
 	}
-	if n := g.f.MalformedCounts(); n["not OPEN"] != 50 || n["class"] != 50 || len(n) != 2 {
+	if n := malformedCounts(g.f); n["not OPEN"] != 50 || n["class"] != 50 || len(n) != 2 {
 		t.Errorf("%v", n)
 	}
-	g.Pass(refusalsEvery)
+	g.Pass(rejectionLogInterval)
 	send("HELLO\r\n")
 	send("HELLO\r\n")
 	if got := strings.Join(said, ", "); got != "not OPEN: 1, class: 1, not OPEN: 50" {
@@ -64,7 +64,7 @@
 		}
 	}
 	seen := map[string]bool{}
-	for c := range causes {
+	for c := range causeCount {
 		if word := c.String(); word == "" || seen[word] {
 			t.Errorf("cause %d is called %q", c, word)
 		} else {
@@ -72,3 +72,14 @@
 		}
 	}
 }
+
+// malformedCounts is how many clients were rejected for malformed lines, by cause, without the causes of which there were none.
+func malformedCounts(f *Front) map[string]uint64 {
+	counts := map[string]uint64{}
+	for c, r := range f.rejections {
+		if r.count > 0 {
+			counts[cause(c).String()] = r.count
+		}
+	}
+	return counts
+}
--- a/internal/front/line/doubt_test.go
+++ b/internal/front/line/member_change_test.go
@@ -11,7 +11,7 @@
 // request goes on.
 func TestDoubtWhileDialling(t *testing.T) {
 	g := newRig(t, 1)
-	c := g.ask(firstLine)
+	c := g.sendRequest(firstLine)
 	g.Core.Doubt()
 	for range 4 {
 		g.Turn()
@@ -34,9 +34,9 @@
 // TestUpAtDraining: a flow that comes up at a member that has begun to drain since is moved off it.
 func TestUpAtDraining(t *testing.T) {
 	g := newRig(t, 1)
-	c := g.ask(firstLine)
+	c := g.sendRequest(firstLine)
 	m := g.attempt(0)
-	g.list(0, policy.Draining)
+	g.setMemberState(0, policy.Draining)
 	m.Say("UP x\r\n")
 	c.Lines("UP x")
 	g.Until("MOVE", func() bool {
--- a/internal/front/line/half_test.go
+++ b/internal/front/line/partial_line_test.go
@@ -40,13 +40,13 @@
 			g.attempt(0).Say("UP x\r\n")
 			goesOn.Lines("UP x")
 			g.Pass(badClientWithin / 2)
-			if len(g.f.fresh) != 1 {
-				t.Fatalf("%d connections without a first line, want the resting one", len(g.f.fresh))
+			if len(g.f.idle) != 1 {
+				t.Fatalf("%d connections without a first line, want the resting one", len(g.f.idle))
 			}
 			stays.Lines("ERR")
 			stays.WantEnd()
 			g.Pass(20 * time.Second)
-			if len(g.f.fresh) != 1 {
+			if len(g.f.idle) != 1 {
 				t.Error("a client that was answered PONG once more may rest")
 			}
 		})
@@ -55,24 +55,24 @@
 
 // waitingClients is the situations in which a request waits for its answer, each with what brings it about.
 var waitingClients = map[string]func(g *rig) *looptest.Peer{
-	"held":    func(g *rig) *looptest.Peer { g.list(0, policy.Draining); return g.ask(firstLine) },
-	"doubted": func(g *rig) *looptest.Peer { g.Core.Doubt(); return g.ask(firstLine) },
-	"dialled": func(g *rig) *looptest.Peer { g.list(0, policy.Gone); g.join(fullQueue(g.T)); return g.ask(firstLine) },
-	"asked":   func(g *rig) *looptest.Peer { c := g.ask(firstLine); g.attempt(0); return c },
+	"held":    func(g *rig) *looptest.Peer { g.setMemberState(0, policy.Draining); return g.sendRequest(firstLine) },
+	"doubted": func(g *rig) *looptest.Peer { g.Core.Doubt(); return g.sendRequest(firstLine) },
+	"dialled": func(g *rig) *looptest.Peer { g.setMemberState(0, policy.Gone); g.addMember(fullQueue(g.T)); return g.sendRequest(firstLine) },
+	"asked":   func(g *rig) *looptest.Peer { c := g.sendRequest(firstLine); g.attempt(0); return c },
 	"half answered": func(g *rig) *looptest.Peer {
-		c := g.ask(firstLine)
+		c := g.sendRequest(firstLine)
 		g.attempt(0).Say("UP ")
 		g.Turn()
 		return c
 	},
 	"between two attempts": func(g *rig) *looptest.Peer {
-		c := g.ask(firstLine)
+		c := g.sendRequest(firstLine)
 		g.attempt(0).Say("BUSY\r\n")
 		g.Until("the answer", func() bool { return g.Core.Flows(1) == 0 })
 		return c
 	},
 	"with bytes behind its line": func(g *rig) *looptest.Peer {
-		c := g.ask(firstLine + "\r\nmore")
+		c := g.sendRequest(firstLine + "\r\nmore")
 		g.attempt(0)
 		return c
 	},
--- a/internal/front/line/report_test.go
+++ b/internal/front/line/report_test.go
@@ -12,18 +12,18 @@
 func TestNoReport(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	first, second := New(r.Loop, r.Core, r.Log), New(r.Loop, r.Core, r.Log)
-	c, m := askedOf(r, first)
+	c, m := sendOpenTo(r, first)
 	m.Say("UP x\r\n")
 	c.Lines("UP x")
 	for _, f := range []*Front{first, second} {
-		if len(f.open) != 1 {
-			t.Fatalf("%d open flows", len(f.open))
+		if len(f.flows) != 1 {
+			t.Fatalf("%d open flows", len(f.flows))
 		}
-		for v := range f.open {
+		for v := range f.flows {
 			if v.upstream.report != policy.NoReport {
 				t.Errorf("a flow with no report would end with %+v", v.upstream.report)
 			}
 		}
-		pass(t, first, second)
+		handOffFlows(t, first, second)
 	}
 }
--- a/internal/front/line/rig_test.go
+++ b/internal/front/line/rig_test.go
@@ -34,15 +34,15 @@
 	for range members {
 		s := r.Listen()
 		g.servers = append(g.servers, s)
-		g.join(s.Addr())
+		g.addMember(s.Addr())
 	}
 	g.addr = r.Serve(g.f.Accept)
 	g.free = r.Free()
 	return g
 }
 
-// join has discovery say that a member came.
-func (g *rig) join(addr string) {
+// addMember has discovery say that a member came.
+func (g *rig) addMember(addr string) {
 	n := len(g.Members) + 1
 	m := core.Member{Name: "s-" + strings.Repeat("0", 7) + string(rune('0'+n)), Addr: addr}
 	m.ID, m.State, m.Weight = policy.ServerID(n), policy.Ready, 1
@@ -50,8 +50,8 @@
 	g.Core.Pool(policy.ListFull, g.Members)
 }
 
-// ask sends a request and waits until the relay has taken it.
-func (g *rig) ask(line string) *looptest.Peer {
+// sendRequest sends a request and waits until the relay has taken it.
+func (g *rig) sendRequest(line string) *looptest.Peer {
 	g.T.Helper()
 	c, before := g.Dial(g.addr), g.Core.Counts.Requests
 	c.Say(line + "\r\n")
@@ -70,15 +70,15 @@
 // openFlow is a client whose flow is open, and its member.
 func (g *rig) openFlow() (c, m *looptest.Peer) {
 	g.T.Helper()
-	c = g.ask(firstLine)
+	c = g.sendRequest(firstLine)
 	m = g.attempt(0)
 	m.Say("UP x\r\n")
 	c.Lines("UP x")
 	return c, m
 }
 
-// list has discovery say a member's state.
-func (g *rig) list(member int, state policy.State) {
+// setMemberState has discovery say a member's state.
+func (g *rig) setMemberState(member int, state policy.State) {
 	g.Members[member].State = state
 	g.Core.Pool(policy.ListDelta, g.Members[member:member+1])
 }
@@ -149,8 +149,8 @@
 	if held := g.Core.Held(); held != 0 {
 		g.T.Errorf("%d requests are held", held)
 	}
-	if len(g.f.open)+len(g.f.fresh)+len(g.f.ids) != 0 {
-		g.T.Errorf("%d open, %d fresh, %d ids", len(g.f.open), len(g.f.fresh), len(g.f.ids))
+	if len(g.f.flows)+len(g.f.idle)+len(g.f.requests) != 0 {
+		g.T.Errorf("%d open, %d fresh, %d ids", len(g.f.flows), len(g.f.idle), len(g.f.requests))
 	}
 	g.Pass(time.Second) // for which ended connections may linger
 	g.Turn()
@@ -166,8 +166,8 @@
 	"half-closes": func(c *looptest.Peer) { c.Finish() },
 }
 
-// everyLeaving runs a test for each of them.
-func everyLeaving(t *testing.T, members int, test func(t *testing.T, g *rig, leave func(*looptest.Peer))) {
+// forEachClose runs a test for each of them.
+func forEachClose(t *testing.T, members int, test func(t *testing.T, g *rig, leave func(*looptest.Peer))) {
 	for name, leave := range leaving {
 		t.Run(name, func(t *testing.T) { test(t, newRig(t, members), leave) })
 	}
@@ -208,8 +208,8 @@
  "report":{"names":["x0"],"source":"on_probe"},
  "guarantees":{"answer-slack-ms":8,"drain-grace-ms":250},"extra":{"message-aim-ms":[90]}}`
 
-// probes gives the rig a core that may probe.
-func (g *rig) probes() {
+// enableHealthChecks gives the rig a core that may check health.
+func (g *rig) enableHealthChecks() {
 	g.T.Helper()
 	set, err := settings.Decode([]byte(probingText))
 	if err != nil {
--- a/internal/front/line/ask_test.go
+++ b/internal/front/line/send_first_line_test.go
@@ -15,7 +15,7 @@
 	told := func(late time.Duration) int {
 		g := newRig(t, 1)
 		g.Core.Doubt()
-		g.ask(firstLine)
+		g.sendRequest(firstLine)
 		g.Core.Sure()
 		g.Pass(late) // the connection comes up in this round
 		line := g.servers[0].Accept().Line()
@@ -34,8 +34,8 @@
 // used; the request goes on without it.
 func TestAsksNobodyWhoLeft(t *testing.T) {
 	g := newRig(t, 1)
-	c := g.ask(firstLine)
-	g.list(0, policy.Draining)
+	c := g.sendRequest(firstLine)
+	g.setMemberState(0, policy.Draining)
 	g.Pass(time.Duration(g.Core.Settings.Guarantees.Grace)*time.Millisecond + time.Millisecond)
 	g.unsent()
 	if got := c.Line(); !strings.HasPrefix(got, "BUSY") {
--- a/internal/front/line/stop_test.go
+++ b/internal/front/line/shutdown_test.go
@@ -41,7 +41,7 @@
 func TestHeldWhileMoving(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	f := New(r.Loop, r.Core, r.Log)
-	c, m := askedOf(r, f)
+	c, m := sendOpenTo(r, f)
 	m.Say("UP x\r\nhalf a ")
 	c.Lines("UP x")
 	r.Until("half a line", func() bool { c.Poll(); return string(c.Got) == "half a " })
@@ -67,7 +67,7 @@
 	resting, asking := r.Dial(at), r.Dial(at)
 	resting.Say("PING\r\n")
 	resting.Want("PONG\r\n")
-	r.Until("both", func() bool { return len(f.fresh) == 2 })
+	r.Until("both", func() bool { return len(f.idle) == 2 })
 	r.Core.Stop()
 	asking.Say(firstLine + "\r\n")
 	f.CloseIdle()
@@ -75,8 +75,8 @@
 		c.Want("BUSY 500\r\n")
 		c.WantEnd()
 	}
-	if r.Core.Counts.Attempts != 0 || len(f.fresh) != 0 {
-		t.Errorf("%d attempts, %d fresh", r.Core.Counts.Attempts, len(f.fresh))
+	if r.Core.Counts.Attempts != 0 || len(f.idle) != 0 {
+		t.Errorf("%d attempts, %d fresh", r.Core.Counts.Attempts, len(f.idle))
 	}
 }
 
--- a/internal/front/line/upstream.go
+++ b/internal/front/line/upstream.go
@@ -13,91 +13,90 @@
 	"dahliarudder/policy"
 )
 
-// This file is the member's side: attempts, and the open flows that they become.
-
-// upstream is an upstream connection: one attempt at a member, and then the open flow.
+// upstream is the connection to a member: one attempt at first, then the member's side of the open flow.
 type upstream struct {
-	v      *clientConn
-	c      *netloop.Conn
-	member *core.Member
-	try    int
-	until  time.Duration // when it is abandoned
-	state  attemptState
-	silence
-	tail   []byte  // the start of the line that is passing
-	load   float64 // as the member told it last
-	report policy.Report
-	unread int // bytes on the open flow that have had no room
+	client   *clientConn
+	conn     *netloop.Conn
+	member   *core.Member
+	attempt  int
+	deadline time.Duration // when the attempt is abandoned
+	state    attemptState
+	liveness
+	linePrefix   []byte  // the start of the member's line that is being forwarded, at most maxInspectedBytes
+	load         float64 // the flow's load as the member last reported it
+	report       policy.Report
+	blockedBytes int // bytes of the member's that the client's send buffer had no room for
 }
 
-// on has an event happen. One that ends the attempt, or the open flow, is told to the core.
-func (s *upstream) on(e attemptEvent) {
-	next, result, ended := s.state.next(e)
-	s.state = next
+// handle applies an event. One that ends the attempt, or the open flow, is reported to the core.
+func (u *upstream) handle(e attemptEvent) {
+	next, result, ended := u.state.next(e)
+	u.state = next
 	if ended {
-		s.c.Finish()
-		s.v.f.Core.Ended(s.v.id, s.try, result, s.report)
+		u.conn.Finish()
+		u.client.front.Core.Ended(u.client.requestID, u.attempt, result, u.report)
 	}
 }
 
-// abandon ends the connection at once; what still comes on it is nobody's answer.
-func (s *upstream) abandon() { s.leave(s.c.Reset) }
+// abandon resets the connection; whatever still arrives on it is discarded.
+func (u *upstream) abandon() { u.terminate(u.conn.Reset) }
 
-// leave ends the connection by end, unless it is ended already.
-func (s *upstream) leave(end func()) {
-	if s.state == attemptFinished {
+// terminate closes the connection by end, unless the attempt is finished already.
+func (u *upstream) terminate(end func()) {
+	if u.state == attemptFinished {
 		return
 	}
-	s.state, _, _ = s.state.next(attemptAbandoned)
+	u.state, _, _ = u.state.next(eventAbandoned)
 	end()
 }
 
-// clientLeft ends an open flow by end, for its client's end. Where the member has parted before, the flow has ended by that.
-func (s *upstream) clientLeft(end func()) {
-	_, result, _ := s.state.next(attemptBroke)
-	parted := s.state.lastWord() != ""
-	s.leave(end)
-	if parted {
-		s.v.f.Core.Ended(s.v.id, s.try, result, s.report)
+// closeForClient closes an open flow by end, because its client has closed. If the member had already sent BYE or MOVE,
+// that decides the flow's result.
+func (u *upstream) closeForClient(end func()) {
+	_, result, _ := u.state.next(eventConnLost)
+	finalCommandReceived := u.state.finalCommand() != ""
+	u.terminate(end)
+	if finalCommandReceived {
+		u.client.front.Core.Ended(u.client.requestID, u.attempt, result, u.report)
 	} else {
-		s.v.f.Core.Left(s.v.id)
+		u.client.front.Core.Left(u.client.requestID)
 	}
 }
 
-// Open is told by the loop. The first line is written once all that the round brings has been heard: the client's
-// end may be among it.
-func (s *upstream) Open() {
-	s.on(attemptComesUp)
-	s.v.f.Loop.After(0, s.ask)
+// Open implements netloop's handler. The first line is written only after all events of this loop iteration have been
+// handled: the client's close may be among them.
+func (u *upstream) Open() {
+	u.handle(eventConnected)
+	u.client.front.Loop.After(0, u.sendFirstLine)
 }
 
-// ask writes the first line.
-func (s *upstream) ask() {
-	if s.state != attemptConnected {
+// sendFirstLine forwards the client's first line.
+func (u *upstream) sendFirstLine() {
+	if u.state != attemptConnected {
 		return
 	}
-	if !s.v.f.Core.Begin(s.v.id, s.try) { // the member may have left while the connection was being set up
-		s.on(attemptUnmade)
+	if !u.client.front.Core.Begin(u.client.requestID, u.attempt) { // the member may have gone while the connection was being set up
+		u.handle(eventNoConnection)
 		return
 	}
-	s.on(attemptAsks)
-	s.c.Write(s.v.open.line(s.until - s.v.f.Loop.Now()))
-	s.c.Resume() // a member may have spoken before it was asked
+	u.handle(eventOpenSent)
+	u.conn.Write(u.client.openLine.forMember(u.deadline - u.client.front.Loop.Now()))
+	u.conn.Resume() // the member may have sent bytes before the first line
 }
 
-// Drained is told by the loop.
-func (s *upstream) Drained() {
-	if s.state.isOpen() || s.v.state == clientParting {
-		s.v.c.Resume()
+// Drained implements netloop's handler.
+func (u *upstream) Drained() {
+	if u.state.isOpen() || u.client.state == clientFlushingToMember {
+		u.client.conn.Resume()
 	}
 }
 
-// Data is told by the loop.
-func (s *upstream) Data(b []byte) int {
-	if s.state.isOpen() {
-		return s.pass(b)
+// Data implements netloop's handler.
+func (u *upstream) Data(b []byte) int {
+	if u.state.isOpen() {
+		return u.forwardToClient(b)
 	}
-	switch s.state {
+	switch u.state {
 	case attemptFinished:
 		return len(b)
 	case attemptConnected:
@@ -108,151 +107,152 @@
 		return 0
 	}
 	if err != nil {
-		s.on(attemptSaysOther)
+		u.handle(eventUnexpectedAnswer)
 		return len(b)
 	}
-	return s.answer(text, b, n)
+	return u.handleAnswer(text, b, n)
 }
 
-// answer takes the member's answer to the first line, which is the first n bytes of b. It returns how many were taken.
-func (s *upstream) answer(text string, b []byte, n int) int {
-	word, rest, _ := strings.Cut(text, " ")
-	if word == "UP" {
-		return s.up(b, n)
+// handleAnswer handles the member's answer to the first line, which is the first n bytes of b. It returns how many bytes
+// it consumed.
+func (u *upstream) handleAnswer(text string, b []byte, n int) int {
+	command, rest, _ := strings.Cut(text, " ")
+	if command == commandUp {
+		return u.openFlow(b, n)
 	}
-	if word != "MOVE" {
-		s.report = parseReport(rest)
+	if command != commandMove {
+		u.report = parseReport(rest)
 	}
-	switch word {
-	case "BUSY":
-		s.on(attemptSaysBusy)
-	case "BYE":
-		s.v.c.Write(b[:n])
-		s.on(attemptSaysBye)
-		s.v.on(clientServed)
-	case "MOVE":
-		s.on(attemptSaysMove)
+	switch command {
+	case commandBusy:
+		u.handle(eventBusy)
+	case commandBye:
+		u.client.conn.Write(b[:n])
+		u.handle(eventBye)
+		u.client.handle(eventAttemptServed)
+	case commandMove:
+		u.handle(eventMove)
 	default:
-		s.on(attemptSaysOther)
+		u.handle(eventUnexpectedAnswer)
 	}
 	return len(b)
 }
 
-// up passes UP on, and what follows it.
-func (s *upstream) up(b []byte, n int) int {
-	v := s.v
-	if !v.f.Core.Up(v.id, s.try) {
+// openFlow forwards UP and what follows it.
+func (u *upstream) openFlow(b []byte, n int) int {
+	c := u.client
+	if !c.front.Core.Up(c.requestID, u.attempt) {
 		return len(b)
 	}
-	s.heard = v.f.Loop.Now()
-	s.on(attemptSaysUp)
-	v.c.Write(b[:n])
-	v.on(clientUp)
+	u.clientActiveAt = c.front.Loop.Now()
+	u.handle(eventUp)
+	c.conn.Write(b[:n])
+	c.handle(eventAttemptUp)
 	if n < len(b) {
-		n += s.pass(b[n:])
+		n += u.forwardToClient(b[n:])
 	}
 	return n
 }
 
-// End is told by the loop.
-func (s *upstream) End(err error) {
-	open := s.state.isOpen()
-	if open && err == io.EOF && s.unread > 0 {
-		s.v.on(memberEndedUnread)
+// End implements netloop's handler.
+func (u *upstream) End(err error) {
+	open := u.state.isOpen()
+	if open && err == io.EOF && u.blockedBytes > 0 {
+		u.client.handle(eventMemberEOFBlocked)
 		return
 	}
-	if open || s.v.state == clientParting {
-		s.endClient(err)
+	if open || u.client.state == clientFlushingToMember {
+		u.closeClient(err)
 	}
 	switch {
 	case !open && errors.Is(err, netloop.ErrFull):
-		s.on(attemptUnmade)
-	case !open && (s.state.isUnasked() || s.c.Unsent() > 0):
-		s.on(attemptUnwritten)
+		u.handle(eventNoConnection)
+	case !open && (u.state.isUnsent() || u.conn.Unsent() > 0):
+		u.handle(eventConnLostUnsent)
 	default:
-		s.on(attemptBroke)
+		u.handle(eventConnLost)
 	}
 }
 
-// endClient ends the client's side in the manner of the member's.
-func (s *upstream) endClient(err error) {
+// closeClient closes the client's side the way the member closed its own.
+func (u *upstream) closeClient(err error) {
 	if err == io.EOF {
-		s.v.on(memberEnded)
+		u.client.handle(eventMemberEOF)
 	} else {
-		s.v.on(memberReset)
+		u.client.handle(eventMemberReset)
 	}
 }
 
-// forward passes a client's bytes on, and notes when a line of it went.
-func (s *upstream) forward(b []byte) int {
-	n := min(len(b), s.c.Room())
-	s.c.Write(b[:n])
+// forwardToMember forwards as many of a client's bytes as there is buffer space for, and notes when a whole line went.
+func (u *upstream) forwardToMember(b []byte) int {
+	n := min(len(b), u.conn.Room())
+	u.conn.Write(b[:n])
 	if n > 0 {
-		s.sent(s.v.f.Loop.Now(), bytes.IndexByte(b[:n], '\n') >= 0)
+		u.noteSent(u.client.front.Loop.Now(), bytes.IndexByte(b[:n], '\n') >= 0)
 	}
 	return n
 }
 
-// tailMost is how much of a passing line is looked at.
-const tailMost = 256
+// maxInspectedBytes is how much of a forwarded line is inspected.
+const maxInspectedBytes = 256
 
-// pass passes on what there is room for of a member's bytes, and says how many they were.
-func (s *upstream) pass(b []byte) int {
-	n := s.backward(b)
-	if s.unread = len(b) - n; s.unread == 0 {
-		s.v.on(memberDrained)
+// forwardToClient forwards as many of a member's bytes as there is buffer space for, and returns how many.
+func (u *upstream) forwardToClient(b []byte) int {
+	n := u.forwardLines(b)
+	if u.blockedBytes = len(b) - n; u.blockedBytes == 0 {
+		u.client.handle(eventMemberFlushed)
 	}
 	return n
 }
 
-// backward passes a member's bytes on, line by line, and reads what they tell.
-func (s *upstream) backward(b []byte) int {
-	v := s.v
-	b = b[:min(len(b), v.c.Room())]
+// forwardLines forwards a member's bytes line by line, and inspects each line.
+func (u *upstream) forwardLines(b []byte) int {
+	c := u.client
+	b = b[:min(len(b), c.conn.Room())]
 	used := 0
-	for used < len(b) && v.state != clientClosed {
+	for used < len(b) && c.state != clientClosed {
 		part := b[used:]
 		end := bytes.IndexByte(part, '\n')
 		if end >= 0 {
 			part = part[:end+1]
 		}
 		used += len(part)
-		v.c.Write(part)
-		if room := tailMost - len(s.tail); room > 0 {
-			s.tail = append(s.tail, part[:min(room, len(part))]...)
+		c.conn.Write(part)
+		if free := maxInspectedBytes - len(u.linePrefix); free > 0 {
+			u.linePrefix = append(u.linePrefix, part[:min(free, len(part))]...)
 		}
 		if end < 0 {
-			v.on(clientLinePart)
+			c.handle(eventPartialLine)
 			break
 		}
-		text := strings.TrimRight(string(s.tail), "\r\n")
-		s.tail = s.tail[:0]
-		if v.on(clientLineEnd); v.state == clientClosed {
+		text := strings.TrimRight(string(u.linePrefix), "\r\n")
+		u.linePrefix = u.linePrefix[:0]
+		if c.handle(eventLineEnd); c.state == clientClosed {
 			break
 		}
-		s.passed(text)
+		u.handleFlowLine(text)
 	}
 	return used
 }
 
-// passed reads a whole line that a member sent on an open flow.
-func (s *upstream) passed(text string) {
-	word, rest, _ := strings.Cut(text, " ")
-	switch word {
-	case "LOAD":
+// handleFlowLine interprets a complete line that a member sent on an open flow.
+func (u *upstream) handleFlowLine(text string) {
+	command, rest, _ := strings.Cut(text, " ")
+	switch command {
+	case commandLoad:
 		if load, err := strconv.ParseFloat(rest, 64); err == nil {
-			s.load = load / 1e6
-			s.v.f.Core.Load(s.v.id, s.load)
+			u.load = load / 1e6
+			u.client.front.Core.Load(u.client.requestID, u.load)
 		}
 		return
-	case "BYE":
-		s.report, s.last = parseReport(rest), s.v.f.Loop.Now()
-		s.on(attemptSaysBye)
-	case "MOVE":
-		s.last = s.v.f.Loop.Now()
-		s.on(attemptSaysMove)
+	case commandBye:
+		u.report, u.finalCommandAt = parseReport(rest), u.client.front.Loop.Now()
+		u.handle(eventBye)
+	case commandMove:
+		u.finalCommandAt = u.client.front.Loop.Now()
+		u.handle(eventMove)
 	}
-	if took, owed := s.answered(s.v.f.Loop.Now()); owed {
-		s.v.f.Core.Message(s.v.id, took)
+	if took, owed := u.noteAnswer(u.client.front.Loop.Now()); owed {
+		u.client.front.Core.Message(u.client.requestID, took)
 	}
 }
