--- a/internal/front/line/attempt_test.go
+++ b/internal/front/line/attempt_test.go
@@ -98,9 +98,9 @@
 	}
 }
 
-// TestAttemptsRunOut: where every member does so, the client gets one whole answer in time, after at most as many
+// TestAttemptsExhausted: where every member does so, the client gets one whole answer in time, after at most as many
 // attempts as are allowed, never two out.
-func TestAttemptsRunOut(t *testing.T) {
+func TestAttemptsExhausted(t *testing.T) {
 	for name, one := range spoilt {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 2)
@@ -141,8 +141,8 @@
 	}
 }
 
-// TestAttemptRefused: members that refuse connections cost attempts and no second answer.
-func TestAttemptRefused(t *testing.T) {
+// TestAttemptConnectionRefused: members that refuse connections cost attempts and no second answer.
+func TestAttemptConnectionRefused(t *testing.T) {
 	g := newRig(t, 2)
 	var ended results
 	g.Core.Ledger = &ended
@@ -166,9 +166,9 @@
 	}
 }
 
-// TestAttemptComesUpLate: a connection that does not come up in time could not be made; one that does in the very
+// TestAttemptConnectsLate: a connection that does not come up in time could not be made; one that does in the very
 // round in which its time is up is used.
-func TestAttemptComesUpLate(t *testing.T) {
+func TestAttemptConnectsLate(t *testing.T) {
 	g := newRig(t, 0)
 	var ended results
 	g.Core.Ledger = &ended
@@ -217,9 +217,9 @@
 	}
 }
 
-// TestAttemptWithoutMeans: an attempt for which the relay has no descriptor blames nobody, and the client is told to
+// TestAttemptWithoutDescriptor: an attempt for which the relay has no descriptor blames nobody, and the client is told to
 // come again.
-func TestAttemptWithoutMeans(t *testing.T) {
+func TestAttemptWithoutDescriptor(t *testing.T) {
 	g := newRig(t, 1)
 	var ended results
 	g.Core.Ledger = &ended
--- a/internal/front/line/client_leave_test.go
+++ b/internal/front/line/client_leave_test.go
@@ -9,8 +9,8 @@
 	"dahliarudder/policy"
 )
 
-// TestLeavesFirstLine: a client that goes within its first line was no request.
-func TestLeavesFirstLine(t *testing.T) {
+// TestClientClosesWithinFirstLine: a client that goes within its first line was no request.
+func TestClientClosesWithinFirstLine(t *testing.T) {
 	forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
 		c := g.Dial(g.addr)
 		c.Say(firstLine[:20])
@@ -37,9 +37,9 @@
 	}
 }
 
-// TestLeavesHeld: of a client that goes while the module holds its request no attempt begins, whether a member comes
+// TestClientClosesWhileQueued: of a client that goes while the module holds its request no attempt begins, whether a member comes
 // or the news that the relay waits for.
-func TestLeavesHeld(t *testing.T) {
+func TestClientClosesWhileQueued(t *testing.T) {
 	forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
 		g.setMemberState(0, policy.Draining)
 		c := g.sendRequest(firstLine)
@@ -58,8 +58,8 @@
 	})
 }
 
-// TestLeavesBetween: nor between two attempts.
-func TestLeavesBetween(t *testing.T) {
+// TestClientClosesBetweenAttempts: nor between two attempts.
+func TestClientClosesBetweenAttempts(t *testing.T) {
 	forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
 		c := g.sendRequest(firstLine)
 		g.attempt(0).Say("BUSY\r\n")
@@ -72,9 +72,9 @@
 	})
 }
 
-// TestLeavesDialling: nor is the first line sent where the connection to the member is not up yet, also if it comes
+// TestClientClosesWhileDialing: nor is the first line sent where the connection to the member is not up yet, also if it comes
 // up in the very round in which the client goes.
-func TestLeavesDialling(t *testing.T) {
+func TestClientClosesWhileDialing(t *testing.T) {
 	forEachClose(t, 0, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
 		g.addMember(fullQueue(t))
 		c := g.sendRequest(firstLine)
@@ -99,8 +99,8 @@
 	})
 }
 
-// TestLeavesAsDialled: the same where the loop hears of the connection before it hears of the client.
-func TestLeavesAsDialled(t *testing.T) {
+// TestClientClosesAsConnected: the same where the loop hears of the connection before it hears of the client.
+func TestClientClosesAsConnected(t *testing.T) {
 	forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
 		g.Core.Doubt()
 		c := g.sendRequest(firstLine)
@@ -120,8 +120,8 @@
 	})
 }
 
-// TestLeavesAsked: an attempt that is out is abandoned, and no other begins.
-func TestLeavesAsked(t *testing.T) {
+// TestClientClosesInFlight: an attempt that is out is abandoned, and no other begins.
+func TestClientClosesInFlight(t *testing.T) {
 	forEachClose(t, 2, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
 		c := g.sendRequest(firstLine)
 		at, m := g.anyAttempt()
@@ -136,8 +136,8 @@
 	})
 }
 
-// TestLeavesUp: UP and the client's end in one round, in either order, end the flow.
-func TestLeavesUp(t *testing.T) {
+// TestClientClosesAtUp: UP and the client's end in one round, in either order, end the flow.
+func TestClientClosesAtUp(t *testing.T) {
 	for _, upFirst := range []bool{true, false} {
 		forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
 			c := g.sendRequest(firstLine)
@@ -175,8 +175,8 @@
 	return at, g.attempt(at)
 }
 
-// TestLeavesProbed: of a client that goes while its request waits for a probe's answer no attempt begins.
-func TestLeavesProbed(t *testing.T) {
+// TestClientClosesDuringHealthCheck: of a client that goes while its request waits for a probe's answer no attempt begins.
+func TestClientClosesDuringHealthCheck(t *testing.T) {
 	forEachClose(t, 2, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
 		g.enableHealthChecks()
 		c := g.sendRequest(firstLine)
--- a/internal/front/line/early_data_test.go
+++ b/internal/front/line/early_data_test.go
@@ -7,9 +7,9 @@
 	"dahliarudder/policy"
 )
 
-// TestSendsMuchAndGoes: a client that sends more than its line while its request is held, and goes, takes the request
+// TestEarlyDataThenClose: a client that sends more than its line while its request is held, and goes, takes the request
 // with it.
-func TestSendsMuchAndGoes(t *testing.T) {
+func TestEarlyDataThenClose(t *testing.T) {
 	g := newRig(t, 1)
 	g.setMemberState(0, policy.Draining)
 	c := g.sendRequest(firstLine)
@@ -20,9 +20,9 @@
 	g.expectReleased()
 }
 
-// TestSendsMoreThanIsKept: one that sends more than the relay keeps while it waits loses nothing of it once its flow is
+// TestEarlyDataOverLimit: one that sends more than the relay keeps while it waits loses nothing of it once its flow is
 // open, and is held back until then.
-func TestSendsMoreThanIsKept(t *testing.T) {
+func TestEarlyDataOverLimit(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.sendRequest(firstLine)
 	m := g.attempt(0)
@@ -39,9 +39,9 @@
 	}
 }
 
-// TestSendsEarly: what a client sends while it waits goes to the member that is up, after the first line, all of it
+// TestEarlyDataForwarded: what a client sends while it waits goes to the member that is up, after the first line, all of it
 // and in order.
-func TestSendsEarly(t *testing.T) {
+func TestEarlyDataForwarded(t *testing.T) {
 	g := newRig(t, 2)
 	c := g.sendRequest(firstLine)
 	at, m := g.anyAttempt()
--- a/internal/front/line/first_line_test.go
+++ b/internal/front/line/first_line_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestAsksAgain: a second OPEN on a connection that has its final answer is none.
-func TestAsksAgain(t *testing.T) {
+// TestSecondOpen: a second OPEN on a connection that has its final answer is none.
+func TestSecondOpen(t *testing.T) {
 	g := newRig(t, 1)
 	g.Core.Stop()
 	c := g.sendRequest(firstLine)
@@ -141,8 +141,8 @@
 	}
 }
 
-// TestGarbageAndGone: nor does a client that sends such a thing and goes at once.
-func TestGarbageAndGone(t *testing.T) {
+// TestMalformedThenClose: nor does a client that sends such a thing and goes at once.
+func TestMalformedThenClose(t *testing.T) {
 	for name, text := range malformedLines {
 		t.Run(name, func(t *testing.T) {
 			forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
@@ -161,8 +161,8 @@
 // longestLine is the protocol's, its CRLF included.
 const longestLine = 4096
 
-// TestLineBound: a first line of the longest length is a request and goes on whole; one byte more is none.
-func TestLineBound(t *testing.T) {
+// TestFirstLineLimit: a first line of the longest length is a request and goes on whole; one byte more is none.
+func TestFirstLineLimit(t *testing.T) {
 	for extra, served := range map[int]bool{0: true, 1: false} {
 		g := newRig(t, 1)
 		c := g.Dial(g.addr)
--- a/internal/front/line/flow_end_test.go
+++ b/internal/front/line/flow_end_test.go
@@ -48,8 +48,8 @@
 	return p.Got
 }
 
-// TestClientEndsUnread: what a client sent before it ended politely still reaches a member that is slow to read.
-func TestClientEndsUnread(t *testing.T) {
+// TestClientEOFUndelivered: what a client sent before it ended politely still reaches a member that is slow to read.
+func TestClientEOFUndelivered(t *testing.T) {
 	g := newRig(t, 1)
 	c, m := g.openFlow()
 	narrow(m)
@@ -63,9 +63,9 @@
 	g.clean()
 }
 
-// TestClientEndsNoRoom: the same of what had no room in the relay's buffers to the member; to the core the client has
+// TestClientEOFBufferFull: the same of what had no room in the relay's buffers to the member; to the core the client has
 // left at once, and a member that never reads is waited for no longer than MoveTimeout.
-func TestClientEndsNoRoom(t *testing.T) {
+func TestClientEOFBufferFull(t *testing.T) {
 	for _, reads := range []bool{true, false} {
 		g := newRig(t, 1)
 		c, m := g.openFlow()
@@ -85,9 +85,9 @@
 	}
 }
 
-// TestMemberEndsUnread: what a member sent before it ended politely still reaches a client that is slow to read, also
+// TestMemberEOFUndelivered: what a member sent before it ended politely still reaches a client that is slow to read, also
 // what had no room in the relay's buffers to it.
-func TestMemberEndsUnread(t *testing.T) {
+func TestMemberEOFUndelivered(t *testing.T) {
 	g := newRig(t, 1)
 	c, m := g.openFlow()
 	narrow(c)
@@ -106,9 +106,9 @@
 	g.clean()
 }
 
-// TestMemberEndsNeverRead: a client that does not read holds neither the flow nor a descriptor for longer than a
+// TestMemberEOFNeverRead: a client that does not read holds neither the flow nor a descriptor for longer than a
 // connection may outlive its member's.
-func TestMemberEndsNeverRead(t *testing.T) {
+func TestMemberEOFNeverRead(t *testing.T) {
 	g := newRig(t, 1)
 	c, m := g.openFlow()
 	narrow(c)
--- a/internal/front/line/flow_test.go
+++ b/internal/front/line/flow_test.go
@@ -53,9 +53,9 @@
 	}
 }
 
-// TestMemberEnds: each way in which a member may end an open flow ends the client's side in the same manner, and is told
+// TestMemberCloses: each way in which a member may end an open flow ends the client's side in the same manner, and is told
 // for what it is.
-func TestMemberEnds(t *testing.T) {
+func TestMemberCloses(t *testing.T) {
 	for text, want := range map[string]policy.Result{
 		"": policy.Reset, "BYE\r\n": policy.OK, "line\r\nBYE x0=0.5\r\n": policy.OK, "MOVE\r\n": policy.Cancelled,
 		"half a li": policy.Reset, "BYE": policy.Reset, "BYE\r\nline\r\n": policy.OK, "LOAD 7\r\nBYE\r\n": policy.OK,
@@ -76,8 +76,8 @@
 	})
 }
 
-// TestBothEnd: both sides end in one round, in either order.
-func TestBothEnd(t *testing.T) {
+// TestBothSidesClose: both sides end in one round, in either order.
+func TestBothSidesClose(t *testing.T) {
 	for name, one := range map[string]struct {
 		first, second func(g *flowRig)
 		want          []policy.Result
@@ -100,8 +100,8 @@
 	}
 }
 
-// TestMoveUnended: where the member does not end its line, the flow is over within MoveTimeout, with no MOVE in the line.
-func TestMoveUnended(t *testing.T) {
+// TestMoveWithinUnendedLine: where the member does not end its line, the flow is over within MoveTimeout, with no MOVE in the line.
+func TestMoveWithinUnendedLine(t *testing.T) {
 	g := newFlow(t)
 	g.m.Say("half a ")
 	g.c.Want("half a ")
@@ -118,8 +118,8 @@
 	g.finished(policy.Cancelled)
 }
 
-// TestMoveCrosses: one end in the place of the line's while MOVE waits for it is the flow's end, and no second one is told.
-func TestMoveCrosses(t *testing.T) {
+// TestMoveCrossesClose: one end in the place of the line's while MOVE waits for it is the flow's end, and no second one is told.
+func TestMoveCrossesClose(t *testing.T) {
 	for name, end := range map[string]func(g *flowRig){
 		"member ends":         func(g *flowRig) { g.m.Finish() },
 		"member resets":       func(g *flowRig) { g.m.Reset() },
--- a/internal/front/line/graceful_shutdown_test.go
+++ b/internal/front/line/graceful_shutdown_test.go
@@ -9,9 +9,9 @@
 	"dahliarudder/policy"
 )
 
-// TestStopInFlight: a request that is on its way as the relay begins to stop is answered, by the member that has it, and
+// TestShutdownInFlight: a request that is on its way as the relay begins to stop is answered, by the member that has it, and
 // what comes up is moved before the stop is over.
-func TestStopInFlight(t *testing.T) {
+func TestShutdownInFlight(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.sendRequest(firstLine)
 	m := g.attempt(0)
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestStopUnanswered: one that has no answer by the end of the stop is rejected then, once, and its attempt is over.
-func TestStopUnanswered(t *testing.T) {
+// TestShutdownUnanswered: one that has no answer by the end of the stop is rejected then, once, and its attempt is over.
+func TestShutdownUnanswered(t *testing.T) {
 	for name, held := range map[string]bool{"held": true, "attempt out": false} {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1)
@@ -60,9 +60,9 @@
 	}
 }
 
-// TestStopArrives: a request that arrives after the stop began is answered BUSY at once and never sent on, also one whose
+// TestShutdownArrival: a request that arrives after the stop began is answered BUSY at once and never sent on, also one whose
 // first line began before; PING says that no clients should be sent here, and the connection may still ask.
-func TestStopArrives(t *testing.T) {
+func TestShutdownArrival(t *testing.T) {
 	g := newRig(t, 1)
 	half, front := g.Dial(g.addr), g.Dial(g.addr)
 	half.Say(firstLine[:20])
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestStopRests: a connection that rests as the relay ends has an answer for a request that crosses its end.
-func TestStopRests(t *testing.T) {
+// TestShutdownIdle: a connection that rests as the relay ends has an answer for a request that crosses its end.
+func TestShutdownIdle(t *testing.T) {
 	g := newRig(t, 1)
 	silent, front, half := g.Dial(g.addr), g.Dial(g.addr), g.Dial(g.addr)
 	front.Say("PING\r\n")
@@ -122,8 +122,8 @@
 	}
 }
 
-// TestStopHalfLine: of a member's half line at the end of a stop MOVE waits, and no longer than the relay has left.
-func TestStopHalfLine(t *testing.T) {
+// TestShutdownPartialLine: of a member's half line at the end of a stop MOVE waits, and no longer than the relay has left.
+func TestShutdownPartialLine(t *testing.T) {
 	for _, whole := range []bool{true, false} {
 		g := newFlow(t)
 		g.m.Say("half a ")
--- a/internal/front/line/handoff_test.go
+++ b/internal/front/line/handoff_test.go
@@ -9,9 +9,9 @@
 	"dahliarudder/internal/netloop/looptest"
 )
 
-// TestGiveResting: a connection that was answered PONG has as long for its request in the other process as in this one. Guards against ERR to a
+// TestHandOffIdleAfterPong: a connection that was answered PONG has as long for its request in the other process as in this one. Guards against ERR to a
 // client that rests, which it would take for the answer to its next line.
-func TestGiveResting(t *testing.T) {
+func TestHandOffIdleAfterPong(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	f, next := New(r.Loop, r.Core, r.Log), New(r.Loop, r.Core, r.Log)
 	c := r.Dial(r.Serve(f.Accept))
@@ -28,8 +28,8 @@
 	c.WantEnd()
 }
 
-// TestGiveWithoutDescriptors: a flow of which one side alone can be handed over goes on here. Guards against a client that is cut off.
-func TestGiveWithoutDescriptors(t *testing.T) {
+// TestHandOffWithoutDescriptors: a flow of which one side alone can be handed over goes on here. Guards against a client that is cut off.
+func TestHandOffWithoutDescriptors(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	f := New(r.Loop, r.Core, r.Log)
 	c, m := sendOpenTo(r, f)
--- a/internal/front/line/health_check_test.go
+++ b/internal/front/line/health_check_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestProbeAnswers: each probe has one result, whatever the member does.
-func TestProbeAnswers(t *testing.T) {
+// TestHealthCheckAnswers: each probe has one result, whatever the member does.
+func TestHealthCheckAnswers(t *testing.T) {
 	for name, one := range map[string]struct {
 		does func(p *checkRig, m *looptest.Peer)
 		want policy.Result
@@ -88,8 +88,8 @@
 	}
 }
 
-// TestProbeConnects: a connection that is refused, or that does not come up, is told apart.
-func TestProbeConnects(t *testing.T) {
+// TestHealthCheckConnects: a connection that is refused, or that does not come up, is told apart.
+func TestHealthCheckConnects(t *testing.T) {
 	p := newCheckRig(t, 1)
 	p.servers[0].Listener.Close()
 	p.check(0)
@@ -105,8 +105,8 @@
 	p.expectNoCheck()
 }
 
-// TestProbeLateAnswer: nor is one that comes before the next probe; its connection is used no more.
-func TestProbeLateAnswer(t *testing.T) {
+// TestHealthCheckLateAnswer: nor is one that comes before the next probe; its connection is used no more.
+func TestHealthCheckLateAnswer(t *testing.T) {
 	p := newCheckRig(t, 1)
 	m := p.acceptCheck(0)
 	m.Say("PONG x0=0.1\r\n")
@@ -118,9 +118,9 @@
 	p.expectNoCheck()
 }
 
-// TestProbeEndsAsUsed: a kept connection that the member ends in the very moment in which it is used again costs a
+// TestHealthCheckConnClosedAsReused: a kept connection that the member ends in the very moment in which it is used again costs a
 // second connection, and no result.
-func TestProbeEndsAsUsed(t *testing.T) {
+func TestHealthCheckConnClosedAsReused(t *testing.T) {
 	for name, end := range map[string]func(*looptest.Peer){
 		"ends": func(m *looptest.Peer) { m.Close() }, "half-closes": func(m *looptest.Peer) { m.Finish() }, "resets": func(m *looptest.Peer) { m.Reset() },
 	} {
@@ -137,8 +137,8 @@
 	}
 }
 
-// TestProbeEndsAsMemberLeft: and none where the member has left for longer than the grace meanwhile.
-func TestProbeEndsAsMemberLeft(t *testing.T) {
+// TestHealthCheckConnClosedAsMemberLeft: and none where the member has left for longer than the grace meanwhile.
+func TestHealthCheckConnClosedAsMemberLeft(t *testing.T) {
 	p := newCheckRig(t, 1)
 	m := p.acceptCheck(0)
 	m.Say("PONG\r\n")
@@ -154,8 +154,8 @@
 	p.expectNoCheck()
 }
 
-// TestProbeSecondAnswer: a second answer that came with the first is not taken for the next probe's.
-func TestProbeSecondAnswer(t *testing.T) {
+// TestHealthCheckSecondAnswer: a second answer that came with the first is not taken for the next probe's.
+func TestHealthCheckSecondAnswer(t *testing.T) {
 	p := newCheckRig(t, 1)
 	m := p.acceptCheck(0)
 	m.Say("PONG x0=0.1\r\nERR\r\n")
@@ -166,9 +166,9 @@
 	p.expectNoCheck()
 }
 
-// TestProbeAsksNobodyWhoLeft: a connection that comes up when its member has been leaving for longer than the grace
+// TestNoHealthCheckOfDepartedMember: a connection that comes up when its member has been leaving for longer than the grace
 // is not used.
-func TestProbeAsksNobodyWhoLeft(t *testing.T) {
+func TestNoHealthCheckOfDepartedMember(t *testing.T) {
 	p := newCheckRig(t, 1)
 	p.check(0)
 	p.setMemberState(0, policy.Draining)
@@ -178,8 +178,8 @@
 	p.expectNoCheck()
 }
 
-// TestProbeForgets: of members that come and go nothing stays.
-func TestProbeForgets(t *testing.T) {
+// TestHealthChecksRemoved: of members that come and go nothing stays.
+func TestHealthChecksRemoved(t *testing.T) {
 	p := newCheckRig(t, 3)
 	for i := range p.servers {
 		p.acceptCheck(i).Say("PONG\r\n")
@@ -191,8 +191,8 @@
 	}
 }
 
-// TestProbeSecondAnswerAtOnce: nor where the next probe begins as the first is answered.
-func TestProbeSecondAnswerAtOnce(t *testing.T) {
+// TestHealthCheckSecondAnswerAtOnce: nor where the next probe begins as the first is answered.
+func TestHealthCheckSecondAnswerAtOnce(t *testing.T) {
 	p := newCheckRig(t, 1)
 	saw := p.Core.Saw
 	p.Core.Saw = func(m *core.Member, result policy.Result) {
--- a/internal/front/line/idle_after_pong_test.go
+++ b/internal/front/line/idle_after_pong_test.go
@@ -7,8 +7,8 @@
 	"dahliarudder/internal/core"
 )
 
-// TestRestsUntilAsked: a request that arrives in the round in which the time of a resting connection is up is placed.
-func TestRestsUntilAsked(t *testing.T) {
+// TestIdleUntilRequest: a request that arrives in the round in which the time of a resting connection is up is placed.
+func TestIdleUntilRequest(t *testing.T) {
 	for name, rest := range map[string]time.Duration{"new": firstLineTimeout, "answered PONG": idleTimeout} {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1)
@@ -26,9 +26,9 @@
 	}
 }
 
-// TestRestsTooLong: one that arrives as the relay has just ended a resting connection has one whole answer: it was not
+// TestIdleTooLong: one that arrives as the relay has just ended a resting connection has one whole answer: it was not
 // sent on, and coming again is harmless.
-func TestRestsTooLong(t *testing.T) {
+func TestIdleTooLong(t *testing.T) {
 	for name, end := range map[string]func(*rig){
 		"idle": func(g *rig) { g.Pass(idleTimeout) },
 		"shed": func(g *rig) {
--- a/internal/front/line/line_test.go
+++ b/internal/front/line/line_test.go
@@ -138,9 +138,9 @@
 	front.WantEnd()
 }
 
-// TestClash: the id of an open request is no new request's, however it is written;
+// TestDuplicateID: the id of an open request is no new request's, however it is written;
 // the open one goes on, and once it has ended the id is free.
-func TestClash(t *testing.T) {
+func TestDuplicateID(t *testing.T) {
 	r, c, m := openedFlow(t)
 	addr := r.Serve(New(r.Loop, r.Core, r.Log).Accept)
 	first := r.Dial(addr)
@@ -173,9 +173,9 @@
 }
 func (l *results) Answer(*core.Request, core.ID, time.Duration, core.Answer, int) {}
 
-// TestBlame: an attempt that failed for want of the relay's own descriptors is not
+// TestLocalShortageIsNotMemberFault: an attempt that failed for want of the relay's own descriptors is not
 // the member's failure; one that the member refused is.
-func TestBlame(t *testing.T) {
+func TestLocalShortageIsNotMemberFault(t *testing.T) {
 	for err, want := range map[error]policy.Result{
 		netloop.ErrFull: policy.Moot, netloop.ErrDialTimeout: policy.ConnectFailed, io.EOF: policy.ConnectFailed,
 	} {
@@ -196,8 +196,8 @@
 	}
 }
 
-// TestAgain: the module is told who comes again after a break or a move.
-func TestAgain(t *testing.T) {
+// TestReopenReported: the module is told who comes again after a break or a move.
+func TestReopenReported(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	for more, want := range map[string]bool{"": false, ",again=1": true, ",again=0": false} {
 		open, err := parseOpen(r.Core.Settings, firstLine+more)
@@ -207,9 +207,9 @@
 	}
 }
 
-// TestWait: no first line has the relay wait longer than its class is given, or, for
+// TestWaitBound: no first line has the relay wait longer than its class is given, or, for
 // a flow that was open before, than such a one may take.
-func TestWait(t *testing.T) {
+func TestWaitBound(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	for d, want := range map[string]time.Duration{
 		"d=1900": 1900 * time.Millisecond, "d=999999999": 2 * time.Second, "h=1": 2 * time.Second,
@@ -222,8 +222,8 @@
 	}
 }
 
-// TestLimit: a line within the bound is read, a longer one is not waited for.
-func TestLimit(t *testing.T) {
+// TestLineLengthLimit: a line within the bound is read, a longer one is not waited for.
+func TestLineLengthLimit(t *testing.T) {
 	long := strings.Repeat("x", maxLineBytes-2)
 	if text, n, err := cutLine([]byte(long + "\r\n")); err != nil || n != maxLineBytes || text != long {
 		t.Errorf("%d of a line at the bound, %v", n, err)
@@ -236,10 +236,10 @@
 	}
 }
 
-// TestGiveFresh: connections that have asked for nothing pass to another process with
+// TestHandOffIdle: connections that have asked for nothing pass to another process with
 // what has come of their line, requests stay, and ids that are open elsewhere are
 // refused until they no longer are.
-func TestGiveFresh(t *testing.T) {
+func TestHandOffIdle(t *testing.T) {
 	r, c, m := openedFlow(t)
 	f, next := New(r.Loop, r.Core, r.Log), New(r.Loop, r.Core, r.Log)
 	addr := r.Serve(f.Accept)
@@ -271,10 +271,10 @@
 	c.Lines("GOT")
 }
 
-// TestTakeFlow: a flow that was passed on keeps what it owes: an unanswered line counts
+// TestAdoptFlow: a flow that was passed on keeps what it owes: an unanswered line counts
 // from when it was asked, a member that has left meanwhile or is not known here costs
 // the client a move and no more, and the id stays taken.
-func TestTakeFlow(t *testing.T) {
+func TestAdoptFlow(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	first, second := New(r.Loop, r.Core, r.Log), New(r.Loop, r.Core, r.Log)
 	c, m := sendOpenTo(r, first)
--- a/internal/front/line/liveness_test.go
+++ b/internal/front/line/liveness_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// TestSilent: a member that answers no line for too long is left, and the client
+// TestMemberSilent: a member that answers no line for too long is left, and the client
 // is asked to come again; one that answers is not.
-func TestSilent(t *testing.T) {
+func TestMemberSilent(t *testing.T) {
 	r, c, m := openedFlow(t)
 	c.Say("hello\r\n")
 	m.Lines("hello")
@@ -28,10 +28,10 @@
 	}
 }
 
-// TestStopped: whatever a member does and in which pieces lines come, a flow that brings nothing back is over
+// TestSilenceBound: whatever a member does and in which pieces lines come, a flow that brings nothing back is over
 // 7 s after the last line that came, with whatever load it tells meanwhile; one that is answered stays, and one
 // whose member has said its last word is over within a second although no end of the connection comes.
-func TestStopped(t *testing.T) {
+func TestSilenceBound(t *testing.T) {
 	for seed := range uint64(16) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		r, c, m := openedFlow(t)
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestHalfLine: a client that takes long over a line is not sent away for the member's silence, nor as the line ends.
-func TestHalfLine(t *testing.T) {
+// TestPartialLineIsNotSilence: a client that takes long over a line is not sent away for the member's silence, nor as the line ends.
+func TestPartialLineIsNotSilence(t *testing.T) {
 	r, c, m := openedFlow(t)
 	c.Say("hel")
 	m.Want("hel")
--- a/internal/front/line/long_idle_test.go
+++ b/internal/front/line/long_idle_test.go
@@ -8,10 +8,10 @@
 	"dahliarudder/policy"
 )
 
-// TestLongQuiet: after hours in which nothing happened the first request is served by its first attempt; trouble that
+// TestLongIdle: after hours in which nothing happened the first request is served by its first attempt; trouble that
 // begins then is met as at any time: a member that drains gets nothing, a silent one is left in time, a client that goes is
 // heard.
-func TestLongQuiet(t *testing.T) {
+func TestLongIdle(t *testing.T) {
 	for _, quiet := range []time.Duration{time.Hour, 30 * 24 * time.Hour} {
 		g := newRig(t, 2)
 		for range 100 {
--- a/internal/front/line/member_change_test.go
+++ b/internal/front/line/member_change_test.go
@@ -7,9 +7,9 @@
 	"dahliarudder/policy"
 )
 
-// TestDoubtWhileDialling: an attempt whose connection comes up during a doubt is not sent on it. After the doubt the
+// TestSuspicionWhileDialing: an attempt whose connection comes up during a doubt is not sent on it. After the doubt the
 // request goes on.
-func TestDoubtWhileDialling(t *testing.T) {
+func TestSuspicionWhileDialing(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.sendRequest(firstLine)
 	g.Core.Doubt()
--- a/internal/front/line/partial_line_test.go
+++ b/internal/front/line/partial_line_test.go
@@ -13,9 +13,9 @@
 // end of its connection.
 const badClientWithin = 3 * time.Second
 
-// TestHalfLineAfterPong: a client that was answered PONG and stops within its next line is answered ERR as soon as one
+// TestPartialLineAfterPong: a client that was answered PONG and stops within its next line is answered ERR as soon as one
 // that was not; one that sends the rest in time is served, and another PING lets it rest again.
-func TestHalfLineAfterPong(t *testing.T) {
+func TestPartialLineAfterPong(t *testing.T) {
 	for name, pings := range map[string]int{"one PONG": 1, "three": 3} {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1)
@@ -78,9 +78,9 @@
 	},
 }
 
-// TestEndsSendingAndWaits: a client that ends its sending after its request may have gone, so no attempt begins; or it
+// TestClientHalfCloses: a client that ends its sending after its request may have gone, so no attempt begins; or it
 // waits for its answer, so it gets one before the end of its connection.
-func TestEndsSendingAndWaits(t *testing.T) {
+func TestClientHalfCloses(t *testing.T) {
 	for name, bring := range waitingClients {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1)
--- a/internal/front/line/send_first_line_test.go
+++ b/internal/front/line/send_first_line_test.go
@@ -9,9 +9,9 @@
 	"dahliarudder/policy"
 )
 
-// TestAsksForWhatIsLeft: d tells how long the relay waits from when the line is sent, not from when the connection
+// TestRemainingDeadlineForwarded: d tells how long the relay waits from when the line is sent, not from when the connection
 // was begun.
-func TestAsksForWhatIsLeft(t *testing.T) {
+func TestRemainingDeadlineForwarded(t *testing.T) {
 	told := func(late time.Duration) int {
 		g := newRig(t, 1)
 		g.Core.Doubt()
@@ -30,9 +30,9 @@
 	}
 }
 
-// TestAsksNobodyWhoLeft: a connection that comes up when its member has been leaving for longer than the grace is not
+// TestNoAttemptAtDepartedMember: a connection that comes up when its member has been leaving for longer than the grace is not
 // used; the request goes on without it.
-func TestAsksNobodyWhoLeft(t *testing.T) {
+func TestNoAttemptAtDepartedMember(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.sendRequest(firstLine)
 	g.setMemberState(0, policy.Draining)
--- a/internal/front/line/shutdown_test.go
+++ b/internal/front/line/shutdown_test.go
@@ -8,9 +8,9 @@
 	"dahliarudder/internal/netloop/looptest"
 )
 
-// TestLeftWhileDialling: a member that has left while the connection to it was on its way gets no line on it, and
+// TestMemberLeftWhileDialing: a member that has left while the connection to it was on its way gets no line on it, and
 // the request goes to another one.
-func TestLeftWhileDialling(t *testing.T) {
+func TestMemberLeftWhileDialing(t *testing.T) {
 	r := looptest.NewRelay(t, 2)
 	f := New(r.Loop, r.Core, r.Log)
 	c := r.Dial(r.Serve(f.Accept))
@@ -36,9 +36,9 @@
 	}
 }
 
-// TestHeldWhileMoving: a client whose move waits for the end of a line is held until it has got MOVE, so that a stop
+// TestOpenWhileMigrating: a client whose move waits for the end of a line is held until it has got MOVE, so that a stop
 // does not end before.
-func TestHeldWhileMoving(t *testing.T) {
+func TestOpenWhileMigrating(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	f := New(r.Loop, r.Core, r.Log)
 	c, m := sendOpenTo(r, f)
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestGoneWithUnread: a client that has sent more than is kept, and has gone, is noticed, and its attempt given up.
-func TestGoneWithUnread(t *testing.T) {
+// TestClientGoneUndelivered: a client that has sent more than is kept, and has gone, is noticed, and its attempt given up.
+func TestClientGoneUndelivered(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	f := New(r.Loop, r.Core, r.Log)
 	c := r.Dial(r.Serve(f.Accept))
--- a/internal/front/line/state_test.go
+++ b/internal/front/line/state_test.go
@@ -70,9 +70,9 @@
 	}
 }
 
-// TestProbeStates walks all states and events of a probe: it is wanted only where no answer is owed, and an answer
+// TestHealthCheckStates walks all states and events of a probe: it is wanted only where no answer is owed, and an answer
 // that was owed is, whatever ends it, owed no more.
-func TestProbeStates(t *testing.T) {
+func TestHealthCheckStates(t *testing.T) {
 	for s := checkDisconnected; s <= checkPendingReused; s++ {
 		for e := eventCheckDue; e <= eventCheckIdleTimeout; e++ {
 			next := s.next(e)
