--- a/cmd/dahliarudder/trial.go
+++ b/cmd/dahliarudder/canary.go
@@ -28,10 +28,10 @@
 // canaryTrial is this relay's side of a canary: which weight it uses, and what it counts. On the loop alone.
 type canaryTrial struct {
 	r              *relay
-	weights        *canary.Holder
+	weights        *canary.WeightResolver
 	appliedVersion uint64
 	applied        []canary.Weight // as the module has them
-	counter        *canary.Counter
+	counter        *canary.Collector
 	salt           uint64
 	flows          map[*core.Request]trackedFlow // that stand
 }
@@ -44,30 +44,30 @@
 }
 
 func newCanaryTrial(r *relay) *canaryTrial {
-	return &canaryTrial{r: r, weights: canary.NewHolder(staleRecordAfter.Milliseconds()), flows: map[*core.Request]trackedFlow{}}
+	return &canaryTrial{r: r, weights: canary.NewWeightResolver(staleRecordAfter.Milliseconds()), flows: map[*core.Request]trackedFlow{}}
 }
 
 func (t *canaryTrial) now() int64 { return t.r.loop.Now().Milliseconds() }
 
 // applyOrders takes what the record says.
-func (t *canaryTrial) applyOrders(o fleet.Orders) {
-	t.weights.Agreed(t.now(), o.Index, o.Weights)
-	if o.Reached {
-		t.weights.Reached(t.now(), o.Index)
+func (t *canaryTrial) applyOrders(o fleet.DesiredState) {
+	t.weights.ApplyRecord(t.now(), o.AppliedIndex, o.CanaryWeights)
+	if o.MajorityConfirmed {
+		t.weights.ConfirmRecord(t.now(), o.AppliedIndex)
 	}
 	t.applyWeights()
-	t.appliedVersion = o.Weighed
+	t.appliedVersion = o.CanaryVersion
 }
 
 // onNotices takes what another relay passes on.
 func (t *canaryTrial) onNotices(note []byte) {
 	var list []canary.Notice
-	if t == nil || json.Unmarshal(note, &list) != nil || len(list) > canary.NoticesMost {
+	if t == nil || json.Unmarshal(note, &list) != nil || len(list) > canary.MaxNotices {
 		return
 	}
 	news := false
 	for _, n := range list {
-		news = t.weights.Heard(n) || news
+		news = t.weights.HandleNotice(n) || news
 	}
 	if news {
 		t.applyWeights()
@@ -85,8 +85,8 @@
 
 // applyWeights has the module go by the weights of now, and tells the other relays what was heard of pauses.
 func (t *canaryTrial) applyWeights() {
-	use := t.weights.Weights(t.now())
-	t.r.peers.Carry(t.weights.Note(gossip.NoteMost))
+	use := t.weights.EffectiveWeights(t.now())
+	t.r.peers.SetUserData(t.weights.EncodeNotices(gossip.MaxUserData))
 	if reflect.DeepEqual(use, t.applied) {
 		return
 	}
@@ -99,12 +99,12 @@
 		return
 	}
 	if w := use[0]; w.Salt != t.salt {
-		t.salt, t.counter = w.Salt, canary.NewCounter(w.Salt, t.r.peers.Start())
+		t.salt, t.counter = w.Salt, canary.NewCollector(w.Salt, t.r.peers.Incarnation())
 		clear(t.flows)
 		t.r.core.Happened = t.observe
 	}
 	t.r.core.Arm(t.inCanary, func(group uint64) bool {
-		return slices.ContainsFunc(t.applied, func(w canary.Weight) bool { return canary.InArm(w.Salt, group, w.PerMille) })
+		return slices.ContainsFunc(t.applied, func(w canary.Weight) bool { return canary.RoutedToCanary(w.Salt, group, w.PerMille) })
 	})
 }
 
@@ -119,8 +119,8 @@
 // inCanary says whether a member is of an arm: it is named, or it has started since.
 func (t *canaryTrial) inCanary(m *core.Member) bool {
 	return slices.ContainsFunc(t.applied, func(w canary.Weight) bool {
-		return slices.Contains(w.Arm.Members, m.Name) ||
-			w.Arm.Since > 0 && m.Started != 0 && t.r.names.Starts.UnixMilli(m.Name, m.Started) >= w.Arm.Since
+		return slices.Contains(w.Target.Members, m.Name) ||
+			w.Target.Since > 0 && m.Started != 0 && t.r.names.StartTimes.UnixMilli(m.Name, m.Started) >= w.Target.Since
 	})
 }
 
@@ -129,16 +129,16 @@
 	f, stands := t.flows[h.Request]
 	if !stands {
 		age := t.r.loop.Now() - h.Member.Started
-		cold := h.Member.Started != 0 && age < t.r.core.Limits().ColdFor
+		cold := h.Member.Started != 0 && age < t.r.core.Limits().SlowStartDuration
 		f = trackedFlow{openedAt: t.r.loop.Now(), inCanary: t.inCanary(h.Member),
-			stratum: canary.Stratum{Class: uint8(h.Request.Class), Zone: uint8(h.Member.Zone), Cold: cold}}
+			stratum: canary.Stratum{Class: uint8(h.Request.Class), Zone: uint8(h.Member.Zone), WarmingUp: cold}}
 	}
-	tally := t.counter.At(f.stratum, f.inCanary)
+	tally := t.counter.Tally(f.stratum, f.inCanary)
 	ms := float64(h.Took) / float64(time.Millisecond)
 	switch h.What {
 	case core.Stood:
 		tally.Attempts++
-		tally.SetUp.Add(ms)
+		tally.SetupTime.Add(ms)
 		if len(t.flows) < maxTrackedFlows {
 			t.flows[h.Request] = f
 		}
@@ -152,16 +152,16 @@
 		if stands && !f.messageTimed {
 			f.messageTimed = true
 			t.flows[h.Request] = f
-			tally.Message.Add(ms)
+			tally.MessageTime.Add(ms)
 		}
 	case core.EndedWell, core.EndedEarly, core.Parted:
 		if !stands {
 			return
 		}
 		stood := t.r.loop.Now() - f.openedAt
-		tally.Held += uint64(min(stood, earlyEndWindow) / time.Second)
+		tally.OpenSeconds += uint64(min(stood, earlyEndWindow) / time.Second)
 		if h.What == core.EndedEarly && stood < earlyEndWindow {
-			tally.Early++
+			tally.EarlyDisconnects++
 		}
 		delete(t.flows, h.Request)
 	}
@@ -172,5 +172,5 @@
 	if t.counter == nil {
 		return nil
 	}
-	return t.counter.Append(nil, maxCountsBytes)
+	return t.counter.AppendReport(nil, maxCountsBytes)
 }
--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -16,12 +16,9 @@
 
 	"dahliarudder/internal/consensus"
 	"dahliarudder/internal/core"
-	"dahliarudder/internal/drift"
 	"dahliarudder/internal/fleet"
-	"dahliarudder/internal/gossip"
 	"dahliarudder/internal/rollout"
 	"dahliarudder/internal/settings"
-	"dahliarudder/policy"
 )
 
 // orderedExit is the end of a relay that the fleet told to leave: whatever started it is to start it again.
@@ -51,10 +48,10 @@
 	}
 	r.trial, r.configDigests = newCanaryTrial(r), r.cfg.Sections()
 	var err error
-	r.fleet, err = fleet.Start(fleet.Options{Config: c, Name: r.cfg.Name, Zone: zone, Start: r.peers.Start(), Program: program,
-		Settings: r.cfg.Digest(), Keys: r.cfg.Peers.Keys(), ColdFrom: set.Guarantees.ColdFrom, ColdFor: settings.Span(set.Guarantees.Cold),
-		Wall: steadyWall(), Log: r.log, Post: r.loop.Post, Look: r.fleetStatus, Follow: r.applyOrders,
-		Pause: r.pauseCanary})
+	r.fleet, err = fleet.Start(fleet.Options{Config: c, Name: r.cfg.Name, Zone: zone, Incarnation: r.peers.Incarnation(), Program: program,
+		ConfigDigest: r.cfg.Digest(), Keys: r.cfg.Peers.Keys(), SlowStartShare: set.Guarantees.ColdFrom, SlowStartDuration: settings.Span(set.Guarantees.Cold),
+		WallClock: steadyWall(), Log: r.log, Post: r.loop.Post, Observe: r.fleetStatus, ApplyDesired: r.applyOrders,
+		PauseCanary: r.pauseCanary})
 	if err != nil {
 		return err
 	}
@@ -94,59 +91,15 @@
 	return hex.EncodeToString(h.Sum(nil)[:4])
 }
 
-var stateNames = map[policy.State]string{policy.Ready: "ready", policy.Draining: "draining", policy.Gone: "gone"}
-
-// fleetStatus is what this relay does now.
-func (r *relay) fleetStatus() fleet.Look {
-	set, n := r.names.Settings, r.core.Counts
-	list, _ := r.watch.List()
-	now := r.loop.Now()
-	if r.statusAt > 0 {
-		r.flowTime += time.Duration(r.core.Held()) * (now - r.statusAt)
-	}
-	r.statusAt = now
-	l := fleet.Look{Phase: "serving", Flows: r.core.Held(), Asked: uint64((r.flowTime + n.Away).Milliseconds()), Served: uint64(r.flowTime.Milliseconds()), Astray: uint64(n.Astray),
-		Local: r.core.Banned(), Agreed: r.fleetEjected, Follows: r.recordVersion, List: list.Generation, Sections: r.configDigests, Permits: r.permits, Shut: r.closeOrder}
-	if r.reloadError != "" {
-		l.Refused = map[string]string{drift.Config + ".settings": r.reloadError}
-	}
-	switch {
-	case r.stopping:
-		l.Phase = "leaving"
-	case !r.accepting || !r.core.Usable() || !r.caughtUp:
-		l.Phase = "starting"
-	case r.closeOrder != 0:
-		l.Phase = "shut"
-	case !r.core.Welcomes():
-		l.Phase = "draining"
-	}
-	for _, m := range r.core.Members() {
-		p := fleet.Pooled{Name: m.Name, Listed: stateNames[m.State], Out: m.Out, Flows: m.Flows, Capacity: m.Capacity, Good: m.Good, Bad: m.Bad}
-		if m.Zone < len(set.Zones) {
-			p.Zone = string(set.Zones[m.Zone])
-		}
-		if m.Started != 0 {
-			p.Started = r.names.Starts.UnixMilli(m.Name, m.Started)
-		}
-		l.Members = append(l.Members, p)
-	}
-	l.Weighs, l.Counts = r.trial.appliedVersion, r.trial.counts()
-	for _, p := range r.peers.Known() {
-		l.Peers = append(l.Peers, fleet.Peer{Name: p.Name, Zone: p.Zone, Alive: p.State <= gossip.Suspect, Gone: p.State >= gossip.Gone,
-			Serving: p.Phase == gossip.Serving, Incarnation: p.Incarnation})
-	}
-	return l
-}
-
 // applyOrders does what was agreed.
-func (r *relay) applyOrders(o fleet.Orders) {
-	version := o.Version
+func (r *relay) applyOrders(o fleet.DesiredState) {
+	version := o.RecordVersion
 	r.trial.applyOrders(o)
 	out := map[string]core.Leaving{}
-	for name, i := range o.Out {
-		out[name] = core.Leaving{Over: time.Duration(i.MoveOver) * time.Millisecond, Ban: i.Why == rollout.Ban}
+	for name, i := range o.Exclusions {
+		out[name] = core.Leaving{Over: time.Duration(i.MigrateOverMS) * time.Millisecond, Ban: i.Reason == rollout.CommandEject}
 	}
-	if o.Reached {
+	if o.MajorityConfirmed {
 		defer r.finishCatchUp()
 	}
 	names := slices.Sorted(maps.Keys(out))
@@ -154,8 +107,8 @@
 		r.log.WithFields(logrus.Fields{"out": names, "version": version}).Info("fleet: members that are out")
 	}
 	r.core.Agree(out)
-	r.fleetEjected, r.recordVersion, r.permits = names, version, o.Permits
-	mine := o.Leave != nil && o.Leave.Start >= r.peers.Start() // else it was for the process before this one
+	r.fleetEjected, r.recordVersion, r.permits = names, version, o.PermitsVersion
+	mine := o.Leave != nil && o.Leave.StartNumber >= r.peers.Incarnation() // else it was for the process before this one
 	switch {
 	case mine && r.shutdownOrder == nil:
 		r.log.WithFields(logrus.Fields{"release": o.Leave.Release, "number": o.Leave.Number}).Info("fleet: told to leave")
@@ -168,12 +121,12 @@
 		r.applyDrainState()
 	}
 	shut := uint64(0)
-	if o.Shut != nil && o.Shut.Start >= r.peers.Start() {
-		shut = o.Shut.Number
+	if o.Quarantine != nil && o.Quarantine.StartNumber >= r.peers.Incarnation() {
+		shut = o.Quarantine.Number
 	}
 	if shut != r.closeOrder && !r.stopping {
 		if shut != 0 {
-			r.log.WithFields(logrus.Fields{"number": shut, "why": o.Shut.Why}).Warn("fleet: shut")
+			r.log.WithFields(logrus.Fields{"number": shut, "why": o.Quarantine.Reason}).Warn("fleet: shut")
 		} else {
 			r.log.Info("fleet: admitted")
 		}
@@ -191,7 +144,7 @@
 		case r.core.Held() > 0 && r.loop.Now()-l.since < orderedDrainTimeout, r.loop.Now()-l.since < core.StopNotice:
 			r.exitWhenDrained()
 		default:
-			r.fleet.Stands(l.number, func(stands, sound bool) {
+			r.fleet.ConfirmLeave(l.number, func(stands, sound bool) {
 				switch {
 				case r.shutdownOrder != l || r.stopping:
 				case !stands || !sound:
@@ -208,13 +161,13 @@
 // ejectFleetWide has a member taken out, or put back, at all relays. Without a majority it holds at this relay alone, and is shown as drift
 // when the majority is back.
 func (r *relay) ejectFleetWide(member string, out bool, done func(error)) {
-	r.fleet.Ban(member, out, func(err error) {
+	r.fleet.SetEjected(member, out, func(err error) {
 		switch {
 		case err == nil && out: // agreed: a word of this relay's own would outlive it
 			done(nil)
 		case err == nil:
 			r.applyEjections(member, false, done)
-		case errors.Is(err, consensus.ErrNoMajority), errors.Is(err, consensus.ErrFull):
+		case errors.Is(err, consensus.ErrNoQuorum), errors.Is(err, consensus.ErrQueueFull):
 			r.log.WithError(err).WithField("member", member).Warn("fleet: the call holds at this relay alone")
 			r.applyEjections(member, out, done)
 		default:
--- a/integration/fleet_test.go
+++ b/integration/fleet_test.go
@@ -29,7 +29,7 @@
 	relays  []*relay
 	conf    []string
 	listen  []string // of the record
-	pipes   [][]*fakes.Pipe
+	pipes   [][]*fakes.TCPProxy
 	groups  int // of flows that were opened
 }
 
@@ -60,12 +60,12 @@
 	}
 	for i := range n {
 		reach := map[string]string{}
-		row := make([]*fakes.Pipe, n)
+		row := make([]*fakes.TCPProxy, n)
 		for j := range min(n, 2*voters) { // those who vote, and as many that may take their place
 			if i == j {
 				continue
 			}
-			p, err := fakes.NewPipe(f.listen[j])
+			p, err := fakes.NewTCPProxy(f.listen[j])
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -174,10 +174,10 @@
 }
 
 // agreed repeats a call until it is answered with yes: a leader may be sought just then.
-func (f *fleetRig) agreed(i int, method, path string, body any) (a rollout.Answer) {
+func (f *fleetRig) agreed(i int, method, path string, body any) (a rollout.Result) {
 	f.t.Helper()
 	until(f.t, method+" "+path, func() bool {
-		a = rollout.Answer{}
+		a = rollout.Result{}
 		if f.call(i, method, path, body, &a) == 200 {
 			return true
 		}
@@ -188,10 +188,10 @@
 }
 
 // release waits until one is in one of these states.
-func (f *fleetRig) release(i int, name string, states ...string) (a rollout.Account) {
+func (f *fleetRig) release(i int, name string, states ...string) (a rollout.ReleaseStatus) {
 	f.t.Helper()
 	until(f.t, fmt.Sprintf("release %s to be %v", name, states), func() bool {
-		a = rollout.Account{}
+		a = rollout.ReleaseStatus{}
 		f.call(i, "GET", "/-/releases/"+name, nil, &a)
 		for _, s := range states {
 			if a.State == s {
@@ -259,7 +259,7 @@
 				Orders           rollout.Orders
 			}
 			f.call(i, "GET", "/-/fleet", nil, &a)
-			return a.Version == a.Follows && len(a.Orders.Out) == 0
+			return a.Version == a.Follows && len(a.Orders.Exclusions) == 0
 		})
 	}
 }
@@ -286,8 +286,8 @@
 		time.Sleep(50 * time.Millisecond)
 		return ended == len(f.relays)
 	})
-	a := f.release(3, "r1", rollout.Ended, rollout.Halted)
-	if a.State != rollout.Ended || a.Counts.Done != 4 {
+	a := f.release(3, "r1", rollout.ReleaseCompleted, rollout.ReleaseHalted)
+	if a.State != rollout.ReleaseCompleted || a.Counts.Done != 4 {
 		t.Fatalf("%+v", a)
 	}
 }
@@ -309,7 +309,7 @@
 func (f *fleetRig) outs(i int) []string {
 	var a struct{ Orders rollout.Orders }
 	f.call(i, "GET", "/-/fleet", nil, &a)
-	return slices.Sorted(maps.Keys(a.Orders.Out))
+	return slices.Sorted(maps.Keys(a.Orders.Exclusions))
 }
 
 // local is how many rows the leader shows of bans of a relay's own, -1 if no leader says so now.
@@ -332,11 +332,11 @@
 
 // apart cuts a relay's record off from all others, or brings it back.
 func (f *fleetRig) apart(i int, on bool) {
-	way := fakes.Rough{Cut: on}
+	way := fakes.Impairment{Cut: on}
 	for from, row := range f.pipes {
 		for to, p := range row {
 			if p != nil && (from == i || to == i) {
-				p.Set(way, way)
+				p.SetImpairment(way, way)
 			}
 		}
 	}
@@ -365,12 +365,12 @@
 	l := f.leader()
 	f.kill(l)
 	f.start(l)
-	f.release(3, "d1", rollout.Halted)
+	f.release(3, "d1", rollout.ReleaseHalted)
 	f.agreed(3, "PUT", "/-/releases/d1/resume", nil)
 	at("the drain again", 1)
 	f.agreed(3, "PUT", "/-/releases/d1/back", nil)
 	at("the way back", 0)
-	f.release(3, "d1", rollout.Undone)
+	f.release(3, "d1", rollout.ReleaseRolledBack)
 }
 
 // TestFleetApart: a relay that is cut off from the record has nothing agreed, and answers so; a ban told to it holds at it alone, and is shown
@@ -420,7 +420,7 @@
 	if n := before["s0"]; n < 18 || n > 60 {
 		t.Errorf("%d of 120 flows at an arm that is to get three in ten", n)
 	}
-	f.members[0].Set(fakes.ModeErr)
+	f.members[0].SetMode(fakes.ModeErr)
 	n := 120
 	var all json.RawMessage
 	t.Cleanup(func() {
@@ -492,7 +492,7 @@
 		}
 		heed("a halt, from the call's answer", halted)
 		f.agreed(0, "PUT", "/-/releases/"+name+"/back", nil)
-		f.release(0, name, rollout.Undone)
+		f.release(0, name, rollout.ReleaseRolledBack)
 	}
 	weighed := logs("map[c1:300]")
 	f.agreed(0, "POST", "/-/canaries", map[string]any{"release": "c1", "arm": map[string]any{"members": []string{"s0"}}, "ladder": []int{300, 1000},
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -26,15 +26,15 @@
 
 // Request is what a client asks for.
 type Request struct {
-	Name   string // the client's own name for it, for the record
-	Class  int
-	Tenant int
-	Key    uint64
-	Group  uint64
-	Load   float64
-	Wait   time.Duration // how long the client still waits
-	Again  bool          // the client comes again after a break or a move
-	At     string        // the member that already holds the flow; empty for a new one
+	Name   string        `json:"Name"` // the client's own name for it, for the record
+	Class  int           `json:"Class"`
+	Tenant int           `json:"Tenant"`
+	Key    uint64        `json:"Key"`
+	Group  uint64        `json:"Group"`
+	Load   float64       `json:"Load"`
+	Wait   time.Duration `json:"Wait"`  // how long the client still waits
+	Again  bool          `json:"Again"` // the client reconnects after a break or a migration
+	At     string        `json:"At"`    // the member that already holds the flow; empty for a new one
 }
 
 // VirtualServer is the client's side of one request. The core never calls it
@@ -123,7 +123,7 @@
 	last      ID
 	members   map[policy.ServerID]*member
 	byName    map[string]*member
-	pending   []policy.Verdict
+	pending   []policy.Action
 	running   bool
 	alarms    alarms
 	armed     time.Duration
@@ -136,9 +136,9 @@
 	paced     bool // some move was ever put off
 	doubting  bool
 	expecting bool
-	strict    bool             // nothing goes to a member that has left, within the grace neither
-	later     []policy.Verdict // what waits for the end of the doubt
-	moveAt    time.Duration    // during a stop or a drain nobody is moved before
+	strict    bool            // nothing goes to a member that has left, within the grace neither
+	later     []policy.Action // what waits for the end of the doubt
+	moveAt    time.Duration   // during a stop or a drain nobody is moved before
 	Counts    Counts
 }
 
@@ -153,7 +153,7 @@
 
 // New makes a Core.
 func New(o Options) *Core {
-	c := &Core{Options: o, set: policy.Sane(o.Settings.Policy()), requests: map[ID]*request{},
+	c := &Core{Options: o, set: policy.Normalize(o.Settings.Policy()), requests: map[ID]*request{},
 		members: map[policy.ServerID]*member{}, byName: map[string]*member{}, feeds: map[ID]*Feed{}, bans: map[string]bool{}, armed: math.MaxInt64}
 	if c.grace = settings.Span(o.Settings.Guarantees.Grace); c.grace <= 0 {
 		c.grace = 250 * time.Millisecond
@@ -161,7 +161,7 @@
 	if c.Round == nil {
 		c.Round = c.Clock
 	}
-	c.facade = policy.Begin(c.Clock(), c.set, o.Seed)
+	c.facade = policy.NewFacade(c.Clock(), c.set, o.Seed)
 	c.arm()
 	return c
 }
@@ -220,22 +220,22 @@
 	m, now, slow := r.member, c.Clock(), false
 	c.happens(r, m, Answered, took)
 	for _, class := range c.set.Classes {
-		slow = slow || took > class.MessageAim/3
+		slow = slow || took > class.MessageLatencyObjective/3
 	}
 	if slow && now-m.noted < noteEvery || !slow && !m.slow {
 		return
 	}
 	m.slow, m.noted = slow, now
-	c.tell(policy.FlowDelay{ID: id, Took: took})
+	c.tell(policy.MessageLatency{ID: id, Latency: took})
 }
 
-// Relays is by how many the budgets are divided that all relays share.
-func (c *Core) Relays(share float64) { c.tell(policy.Relays{Share: share}) }
+// ActiveRelays is by how many the budgets are divided that all relays share.
+func (c *Core) Relays(share float64) { c.tell(policy.ActiveRelays{Count: share}) }
 
-// Probed is the answer to a probe.
+// ProbeResult is the answer to a probe.
 func (c *Core) Probed(server policy.ServerID, result policy.Result, report policy.Report) {
 	if m := c.members[server]; m != nil {
 		c.saw(m, result)
 	}
-	c.tell(policy.Probed{Server: server, Result: result, Report: report})
+	c.tell(policy.ProbeResult{Server: server, Result: result, Report: report})
 }
--- a/internal/core/crossings_test.go
+++ b/internal/core/crossings_test.go
@@ -159,7 +159,7 @@
 		r.Left(s.id)
 	}
 	r.Pool(policy.ListFull, nil)
-	if learned := r.facade.Learned(r.now); len(learned.Servers) != 0 {
+	if learned := r.facade.LearnedState(r.now); len(learned.Servers) != 0 {
 		t.Errorf("the module still holds %v", learned.Servers)
 	}
 }
@@ -167,7 +167,7 @@
 // TestStandingEnds: a flow that goes on to its own member has one answer however that ends, before it is up, and none after; its end
 // leaves nothing in the module.
 func TestStandingEnds(t *testing.T) {
-	for result := policy.OK; result <= policy.Moot; result++ {
+	for result := policy.OK; result <= policy.NotSent; result++ {
 		for _, up := range []bool{false, true} {
 			r := newRigOf(t, classesText, list(2, policy.Ready))
 			s := &side{r: r}
@@ -184,7 +184,7 @@
 				t.Errorf("result %d, up %v: answers %v, %d tries, held %d, counts %+v", result, up, s.answers, s.tries, r.Held(), r.Counts)
 			}
 			r.Pool(policy.ListFull, nil)
-			if learned := r.facade.Learned(r.now); len(learned.Servers) != 0 {
+			if learned := r.facade.LearnedState(r.now); len(learned.Servers) != 0 {
 				t.Errorf("result %d, up %v: the module still holds %v", result, up, learned.Servers)
 			}
 		}
--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -127,7 +127,7 @@
 	}
 	r.Ended(s.id, 1, policy.OK, policy.NoReport)
 	r.Pool(policy.ListFull, nil)
-	if learned := r.facade.Learned(r.now); len(learned.Servers) != 0 {
+	if learned := r.facade.LearnedState(r.now); len(learned.Servers) != 0 {
 		t.Errorf("%s is still held in the module: %v", at, learned.Servers)
 	}
 }
@@ -157,7 +157,7 @@
 				t.Errorf("%s, class %d: %d tries, answers %v, held %d", name, class, s.tries, s.answers, r.Held())
 			}
 			r.Pool(policy.ListFull, nil)
-			if learned := r.facade.Learned(r.now); len(learned.Servers) != 0 {
+			if learned := r.facade.LearnedState(r.now); len(learned.Servers) != 0 {
 				t.Errorf("%s, class %d: the module still holds %v", name, class, learned.Servers)
 			}
 		}
@@ -270,7 +270,7 @@
 	for class, want := range map[int]string{safeClass: "rejected", keyedAll: "rejected", keyedZone: "failed", keyedCell: "failed", unsafeClass: "failed"} {
 		r := newRigOf(t, classesText, list(1, policy.Ready))
 		s := r.bring(class, 2*time.Second)
-		r.do(policy.Verdict{Do: policy.DoReject, ID: s.id, For: time.Second})
+		r.do(policy.Action{Kind: policy.ActionReject, ID: s.id, Duration: time.Second})
 		if s.got() != want || s.out != 0 {
 			t.Errorf("class %d: %v, %d out, want %s", class, s.answers, s.out, want)
 		}
@@ -294,7 +294,7 @@
 				if late {
 					r.now += 900 * time.Millisecond
 				}
-				r.do(policy.Verdict{Do: policy.DoSend, ID: s.id, Server: m.ID})
+				r.do(policy.Action{Kind: policy.ActionSend, ID: s.id, Server: m.ID})
 				if ok := want[i] && (class == safeClass || !late); (s.tries == 2) != ok {
 					t.Errorf("class %d at %s, after the window %v: %d tries", class, m.Name, late, s.tries)
 				}
@@ -325,7 +325,7 @@
 	if s.to != at.Name {
 		at = r.members[policy.ServerID(11)]
 	}
-	r.do(policy.Verdict{Do: policy.DoSend, ID: s.id, Server: 10})
+	r.do(policy.Action{Kind: policy.ActionSend, ID: s.id, Server: 10})
 	if s.tries != 1 || r.Counts.Barred != 1 {
 		t.Fatalf("%d tries, %d barred", s.tries, r.Counts.Barred)
 	}
@@ -407,7 +407,7 @@
 		t.Errorf("%d tries, answers %v, held %d", s.tries, s.answers, r.Held())
 	}
 	r.Pool(policy.ListFull, nil)
-	if learned := r.facade.Learned(r.now); len(learned.Servers) != 0 {
+	if learned := r.facade.LearnedState(r.now); len(learned.Servers) != 0 {
 		t.Errorf("the module still holds %v", learned.Servers)
 	}
 }
--- a/internal/front/line/attempt_state.go
+++ b/internal/front/line/attempt_state.go
@@ -61,7 +61,7 @@
 	case eventUnexpectedAnswer:
 		return attemptFinished, policy.Error, true
 	case eventNoConnection: // not the member's failure
-		return attemptFinished, policy.Moot, true
+		return attemptFinished, policy.NotSent, true
 	case eventConnLostUnsent:
 		return attemptFinished, policy.ConnectFailed, true
 	case eventConnLost:
--- a/internal/front/line/client.go
+++ b/internal/front/line/client.go
@@ -61,8 +61,8 @@
 	case sendBusy:
 		c.sendBusy()
 	case openFlow:
-		c.conn.EndFirst(false) // what the client has sent by then is forwarded
-		c.front.Loop.After(0, c.conn.Resume)
+		c.conn.SetEarlyEOF(false) // what the client has sent by then is forwarded
+		c.front.Loop.After(0, c.conn.ResumeReading)
 	case closeClient:
 		c.close()
 	case resetClient:
@@ -101,7 +101,7 @@
 }
 
 // allowShedding lets the loop close the connection when descriptors run short.
-func (c *clientConn) allowShedding() { c.conn.Spare(func() { c.handle(eventShed) }) }
+func (c *clientConn) allowShedding() { c.conn.SetEvictable(func() { c.handle(eventShed) }) }
 
 // Open implements netloop's handler; the connection is open already.
 func (c *clientConn) Open() {}
@@ -173,9 +173,9 @@
 // placeRequest hands the request to the core, or rejects it if descriptors are short.
 func (c *clientConn) placeRequest() {
 	c.timer.Stop()
-	c.conn.Spare(nil)
+	c.conn.SetEvictable(nil)
 	c.front.requests[c.openLine.id] = c
-	if c.front.Loop.Short() {
+	if c.front.Loop.DescriptorsLow() {
 		c.Reject(c.front.Core.Advice(shortageRetryAfter))
 		return
 	}
@@ -185,7 +185,7 @@
 // Drained implements netloop's handler.
 func (c *clientConn) Drained() {
 	if c.state.isOpen() || c.state == clientFlushingToClient {
-		c.upstream.conn.Resume()
+		c.upstream.conn.ResumeReading()
 	}
 }
 
--- a/internal/front/line/handoff.go
+++ b/internal/front/line/handoff.go
@@ -18,7 +18,7 @@
 func (f *Front) HandOffIdle(limit int, give func(handoff IdleConn, fd int)) {
 	for c := range f.idle {
 		if limit <= 0 {
-			c.conn.Rest()
+			c.conn.PauseReading()
 			continue
 		}
 		handoff := IdleConn{AfterPong: c.state == clientIdle}
@@ -37,7 +37,7 @@
 // ResumeIdle reads again from the connections that HandOffIdle has left.
 func (f *Front) ResumeIdle() {
 	for c := range f.idle {
-		f.Loop.After(0, c.conn.Resume)
+		f.Loop.After(0, c.conn.ResumeReading)
 	}
 }
 
@@ -45,7 +45,7 @@
 func (f *Front) AdoptIdle(handoff IdleConn, fd int) {
 	conn := f.Loop.Attach(fd, handoff.Unread, nil)
 	f.accept(conn, handoff.AfterPong)
-	f.Loop.After(0, conn.Resume)
+	f.Loop.After(0, conn.ResumeReading)
 }
 
 // FlowHandoff is an open flow that is handed to another process. Times are ages.
@@ -100,7 +100,7 @@
 		return client, member
 	}
 	c.conn = f.Loop.Attach(client, handoff.FromClient, c)
-	f.Loop.After(0, c.conn.Resume)
+	f.Loop.After(0, c.conn.ResumeReading)
 	return -1, -1
 }
 
@@ -124,7 +124,7 @@
 		c.Move()
 		return
 	}
-	f.Loop.After(0, func() { c.conn.Resume(); u.conn.Resume() })
+	f.Loop.After(0, func() { c.conn.ResumeReading(); u.conn.ResumeReading() })
 }
 
 // OpenRequestIDs are the client ids of the open requests of this process.
--- a/internal/front/line/health_check.go
+++ b/internal/front/line/health_check.go
@@ -77,7 +77,7 @@
 // Open implements netloop's handler.
 func (h *healthCheck) Open() {
 	if !h.front.Core.Reachable(h.id) {
-		h.finish(policy.Moot, policy.NoReport)
+		h.finish(policy.NotSent, policy.NoReport)
 		return
 	}
 	h.state = h.state.next(eventCheckConnected)
@@ -130,13 +130,13 @@
 }
 
 // isLocalShortage reports whether a connection failed because this host is short of descriptors or memory.
-func isLocalShortage(err error) bool { return errors.Is(err, netloop.ErrFull) }
+func isLocalShortage(err error) bool { return errors.Is(err, netloop.ErrNoDescriptors) }
 
 // connLostResult is the result of a health check whose connection was lost.
 func (h *healthCheck) connLostResult(err error) policy.Result {
 	switch {
 	case isLocalShortage(err):
-		return policy.Moot
+		return policy.NotSent
 	case errors.Is(err, netloop.ErrDialTimeout): // the member does not respond at all
 		return policy.Timeout
 	case h.state == checkDialing:
--- a/internal/front/line/health_check_test.go
+++ b/internal/front/line/health_check_test.go
@@ -31,14 +31,14 @@
 	p.T.Helper()
 	p.check(member)
 	m := p.servers[member].Accept()
-	m.Lines("STATS")
+	m.ExpectLines("STATS")
 	return m
 }
 
 // wantResults waits for the results of all probes so far.
 func (p *checkRig) wantResults(results ...policy.Result) {
 	p.T.Helper()
-	p.Until("the results", func() bool { return len(p.results) >= len(results) })
+	p.WaitFor("the results", func() bool { return len(p.results) >= len(results) })
 	if !slices.Equal(p.results, results) {
 		p.T.Fatalf("results %v, want %v", p.results, results)
 	}
@@ -48,7 +48,7 @@
 func (p *checkRig) expectNoCheck() {
 	p.T.Helper()
 	n := len(p.results)
-	p.Pass(p.f.checkIdleTimeout)
+	p.Advance(p.f.checkIdleTimeout)
 	p.clean()
 	if len(p.results) != n {
 		p.T.Errorf("results %v", p.results)
@@ -61,21 +61,21 @@
 		does func(p *checkRig, m *looptest.Peer)
 		want policy.Result
 	}{
-		"PONG":                  {func(_ *checkRig, m *looptest.Peer) { m.Say("PONG x0=0.5\r\n") }, policy.OK},
-		"BUSY":                  {func(_ *checkRig, m *looptest.Peer) { m.Say("BUSY\r\n") }, policy.Full},
-		"ERR":                   {func(_ *checkRig, m *looptest.Peer) { m.Say("ERR\r\n") }, policy.Error},
-		"ERR, PONG":             {func(_ *checkRig, m *looptest.Peer) { m.Say("ERR\r\nPONG\r\n") }, policy.Error},
-		"PONG, PONG":            {func(_ *checkRig, m *looptest.Peer) { m.Say("PONG\r\nPONG\r\n") }, policy.OK},
-		"no CRLF":               {func(_ *checkRig, m *looptest.Peer) { m.Say("PONG\n") }, policy.Error},
-		"a line over the bound": {func(_ *checkRig, m *looptest.Peer) { m.Say(strings.Repeat("x", maxLineBytes)) }, policy.Error},
-		"the end":               {func(_ *checkRig, m *looptest.Peer) { m.Finish() }, policy.Reset},
-		"half a line, the end":  {func(_ *checkRig, m *looptest.Peer) { m.Say("PON"); m.Finish() }, policy.Reset},
+		"PONG":                  {func(_ *checkRig, m *looptest.Peer) { m.Send("PONG x0=0.5\r\n") }, policy.OK},
+		"BUSY":                  {func(_ *checkRig, m *looptest.Peer) { m.Send("BUSY\r\n") }, policy.Full},
+		"ERR":                   {func(_ *checkRig, m *looptest.Peer) { m.Send("ERR\r\n") }, policy.Error},
+		"ERR, PONG":             {func(_ *checkRig, m *looptest.Peer) { m.Send("ERR\r\nPONG\r\n") }, policy.Error},
+		"PONG, PONG":            {func(_ *checkRig, m *looptest.Peer) { m.Send("PONG\r\nPONG\r\n") }, policy.OK},
+		"no CRLF":               {func(_ *checkRig, m *looptest.Peer) { m.Send("PONG\n") }, policy.Error},
+		"a line over the bound": {func(_ *checkRig, m *looptest.Peer) { m.Send(strings.Repeat("x", maxLineBytes)) }, policy.Error},
+		"the end":               {func(_ *checkRig, m *looptest.Peer) { m.CloseWrite() }, policy.Reset},
+		"half a line, the end":  {func(_ *checkRig, m *looptest.Peer) { m.Send("PON"); m.CloseWrite() }, policy.Reset},
 		"a reset":               {func(_ *checkRig, m *looptest.Peer) { m.Reset() }, policy.Reset},
-		"half a line, a reset":  {func(_ *checkRig, m *looptest.Peer) { m.Say("PON"); m.Reset() }, policy.Reset},
-		"half a line, nothing":  {func(p *checkRig, m *looptest.Peer) { m.Say("PON"); p.Turn(); p.Pass(checkTimeout) }, policy.Timeout},
-		"nothing":               {func(p *checkRig, _ *looptest.Peer) { p.Pass(checkTimeout) }, policy.Timeout},
-		"PONG once it is late":  {func(p *checkRig, m *looptest.Peer) { p.Pass(checkTimeout); m.Say("PONG\r\n") }, policy.Timeout},
-		"PONG as it becomes so": {func(p *checkRig, m *looptest.Peer) { m.Say("PONG\r\n"); p.Pass(checkTimeout) }, policy.OK},
+		"half a line, a reset":  {func(_ *checkRig, m *looptest.Peer) { m.Send("PON"); m.Reset() }, policy.Reset},
+		"half a line, nothing":  {func(p *checkRig, m *looptest.Peer) { m.Send("PON"); p.RunOnce(); p.Advance(checkTimeout) }, policy.Timeout},
+		"nothing":               {func(p *checkRig, _ *looptest.Peer) { p.Advance(checkTimeout) }, policy.Timeout},
+		"PONG once it is late":  {func(p *checkRig, m *looptest.Peer) { p.Advance(checkTimeout); m.Send("PONG\r\n") }, policy.Timeout},
+		"PONG as it becomes so": {func(p *checkRig, m *looptest.Peer) { m.Send("PONG\r\n"); p.Advance(checkTimeout) }, policy.OK},
 		"nobody is there":       {func(p *checkRig, m *looptest.Peer) { m.Close() }, policy.Reset},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -99,8 +99,8 @@
 	p = newCheckRig(t, 0)
 	p.addMember(fullQueue(t))
 	p.check(0)
-	p.Turn()
-	p.Pass(p.f.connectTimeout)
+	p.RunOnce()
+	p.Advance(p.f.connectTimeout)
 	p.wantResults(policy.Timeout)
 	p.expectNoCheck()
 }
@@ -109,11 +109,11 @@
 func TestHealthCheckLateAnswer(t *testing.T) {
 	p := newCheckRig(t, 1)
 	m := p.acceptCheck(0)
-	m.Say("PONG x0=0.1\r\n")
+	m.Send("PONG x0=0.1\r\n")
 	p.wantResults(policy.OK)
-	m.Say("ERR\r\n")
-	m.WantEnd()
-	p.acceptCheck(0).Say("PONG x0=0.2\r\n")
+	m.Send("ERR\r\n")
+	m.ExpectEOF()
+	p.acceptCheck(0).Send("PONG x0=0.2\r\n")
 	p.wantResults(policy.OK, policy.OK)
 	p.expectNoCheck()
 }
@@ -122,15 +122,15 @@
 // second connection, and no result.
 func TestHealthCheckConnClosedAsReused(t *testing.T) {
 	for name, end := range map[string]func(*looptest.Peer){
-		"ends": func(m *looptest.Peer) { m.Close() }, "half-closes": func(m *looptest.Peer) { m.Finish() }, "resets": func(m *looptest.Peer) { m.Reset() },
+		"ends": func(m *looptest.Peer) { m.Close() }, "half-closes": func(m *looptest.Peer) { m.CloseWrite() }, "resets": func(m *looptest.Peer) { m.Reset() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newCheckRig(t, 1)
 			m := p.acceptCheck(0)
-			m.Say("PONG\r\n")
+			m.Send("PONG\r\n")
 			p.wantResults(policy.OK)
 			end(m)
-			p.acceptCheck(0).Say("PONG\r\n")
+			p.acceptCheck(0).Send("PONG\r\n")
 			p.wantResults(policy.OK, policy.OK)
 			p.expectNoCheck()
 		})
@@ -141,12 +141,12 @@
 func TestHealthCheckConnClosedAsMemberLeft(t *testing.T) {
 	p := newCheckRig(t, 1)
 	m := p.acceptCheck(0)
-	m.Say("PONG\r\n")
+	m.Send("PONG\r\n")
 	p.wantResults(policy.OK)
-	m.Finish()
+	m.CloseWrite()
 	p.check(0)
 	p.setMemberState(0, policy.Draining)
-	p.Pass(time.Duration(p.Core.Settings.Guarantees.Grace)*time.Millisecond + time.Millisecond)
+	p.Advance(time.Duration(p.Core.Settings.Guarantees.Grace)*time.Millisecond + time.Millisecond)
 	p.wantResults(policy.OK, policy.Reset)
 	if p.pending(0) != nil {
 		t.Error("a connection to a member that has left")
@@ -158,10 +158,10 @@
 func TestHealthCheckSecondAnswer(t *testing.T) {
 	p := newCheckRig(t, 1)
 	m := p.acceptCheck(0)
-	m.Say("PONG x0=0.1\r\nERR\r\n")
+	m.Send("PONG x0=0.1\r\nERR\r\n")
 	p.wantResults(policy.OK)
 	m = p.acceptCheck(0)
-	m.Say("PONG x0=0.2\r\n")
+	m.Send("PONG x0=0.2\r\n")
 	p.wantResults(policy.OK, policy.OK)
 	p.expectNoCheck()
 }
@@ -172,8 +172,8 @@
 	p := newCheckRig(t, 1)
 	p.check(0)
 	p.setMemberState(0, policy.Draining)
-	p.Pass(time.Duration(p.Core.Settings.Guarantees.Grace)*time.Millisecond + time.Millisecond)
-	p.wantResults(policy.Moot)
+	p.Advance(time.Duration(p.Core.Settings.Guarantees.Grace)*time.Millisecond + time.Millisecond)
+	p.wantResults(policy.NotSent)
 	p.unsent()
 	p.expectNoCheck()
 }
@@ -182,8 +182,8 @@
 func TestHealthChecksRemoved(t *testing.T) {
 	p := newCheckRig(t, 3)
 	for i := range p.servers {
-		p.acceptCheck(i).Say("PONG\r\n")
-		p.Until("the result", func() bool { return len(p.results) == i+1 })
+		p.acceptCheck(i).Send("PONG\r\n")
+		p.WaitFor("the result", func() bool { return len(p.results) == i+1 })
 	}
 	p.expectNoCheck()
 	if len(p.f.healthChecks) != 0 {
@@ -201,10 +201,10 @@
 		}
 	}
 	m := p.acceptCheck(0)
-	m.Say("PONG x0=0.1\r\nERR\r\n")
+	m.Send("PONG x0=0.1\r\nERR\r\n")
 	m = p.servers[0].Accept()
-	m.Lines("STATS")
-	m.Say("PONG x0=0.2\r\n")
+	m.ExpectLines("STATS")
+	m.Send("PONG x0=0.2\r\n")
 	p.wantResults(policy.OK, policy.OK)
 	p.expectNoCheck()
 }
--- a/internal/front/line/line.go
+++ b/internal/front/line/line.go
@@ -65,8 +65,8 @@
 		c.startTimer(idleTimeout)
 	}
 	c.allowShedding()
-	conn.EndFirst(true)
-	conn.Handle(c)
+	conn.SetEarlyEOF(true)
+	conn.SetHandler(c)
 }
 
 // OpenRequests is how many requests are open: queued, with an attempt in flight, with an established flow, or about to be
--- a/internal/front/line/upstream.go
+++ b/internal/front/line/upstream.go
@@ -81,13 +81,13 @@
 	}
 	u.handle(eventOpenSent)
 	u.conn.Write(u.client.openLine.forMember(u.deadline - u.client.front.Loop.Now()))
-	u.conn.Resume() // the member may have sent bytes before the first line
+	u.conn.ResumeReading() // the member may have sent bytes before the first line
 }
 
 // Drained implements netloop's handler.
 func (u *upstream) Drained() {
 	if u.state.isOpen() || u.client.state == clientFlushingToMember {
-		u.client.conn.Resume()
+		u.client.conn.ResumeReading()
 	}
 }
 
@@ -165,7 +165,7 @@
 		u.closeClient(err)
 	}
 	switch {
-	case !open && errors.Is(err, netloop.ErrFull):
+	case !open && errors.Is(err, netloop.ErrNoDescriptors):
 		u.handle(eventNoConnection)
 	case !open && (u.state.isUnsent() || u.conn.Unsent() > 0):
 		u.handle(eventConnLostUnsent)
@@ -185,7 +185,7 @@
 
 // forwardToMember forwards as many of a client's bytes as there is buffer space for, and notes when a whole line went.
 func (u *upstream) forwardToMember(b []byte) int {
-	n := min(len(b), u.conn.Room())
+	n := min(len(b), u.conn.WriteCapacity())
 	u.conn.Write(b[:n])
 	if n > 0 {
 		u.noteSent(u.client.front.Loop.Now(), bytes.IndexByte(b[:n], '\n') >= 0)
@@ -208,7 +208,7 @@
 // forwardLines forwards a member's bytes line by line, and inspects each line.
 func (u *upstream) forwardLines(b []byte) int {
 	c := u.client
-	b = b[:min(len(b), c.conn.Room())]
+	b = b[:min(len(b), c.conn.WriteCapacity())]
 	used := 0
 	for used < len(b) && c.state != clientClosed {
 		part := b[used:]
--- a/internal/scenariorunner/relay.go
+++ b/internal/scenariorunner/relay.go
@@ -66,7 +66,7 @@
 	settings["me"], _ = json.Marshal(n.index)
 	c["settings"], c["name"], c["listen"], c["operator"], c["discovery"] = settings, n.name, n.listen, n.operator, n.discovery
 	c["seed"] = fmt.Sprintf("%x", n.plan.Seed+uint64(n.index)*7919+uint64(n.starts))
-	list := n.disc.Known(nil) // outside the lock of door
+	list := n.disc.Snapshot(nil) // outside the lock of door
 	for i, e := range list.Instances {
 		list.Instances[i].Addr = n.door(n.name, e)
 	}
@@ -101,7 +101,7 @@
 			if w := n.ways[[2]string{n.name, o.name}]; w != nil {
 				addr = w.udp.Addr()
 				reach[o.name] = addr
-				w.udp.To(o.peers)
+				w.udp.SetTarget(o.peers)
 			}
 			if len(known) < 3 {
 				known = append(known, addr)
@@ -155,12 +155,12 @@
 				n.how = err.Error()
 			}
 			n.cpu += (cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()).Seconds()
-			ordered := cmd.ProcessState.ExitCode() == rollout.ExitOrdered
+			ordered := cmd.ProcessState.ExitCode() == rollout.ExitOrderedRestart
 			if ordered && !n.closing {
 				go n.host()
 			}
 			if !n.wanted && !n.closing && !ordered {
-				n.judge.Crashed(at, n.name, n.how)
+				n.judge.RelayCrashed(at, n.name, n.how)
 			}
 		})
 		close(done)
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// ended says how its process ended, "" while it runs.
+// endedByMember says how its process ended, "" while it runs.
 func (n *relay) ended() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -198,9 +198,9 @@
 func (n *relay) prepare(s scenario.Step) error {
 	state, old := filepath.Join(n.dir, "state"), filepath.Join(n.dir, "old")
 	switch {
-	case s.Lose:
+	case s.LoseState:
 		return os.RemoveAll(state)
-	case s.Old:
+	case s.OldState:
 		if err := os.RemoveAll(state); err != nil {
 			return err
 		}
@@ -225,7 +225,7 @@
 	if err != nil {
 		return err
 	}
-	if text, err = scenario.Merge(text, body); err != nil {
+	if text, err = scenario.MergePatch(text, body); err != nil {
 		return err
 	}
 	return os.WriteFile(path, text, 0o600)
--- a/policy/facade.go
+++ b/policy/facade.go
@@ -10,58 +10,58 @@
 // "The facade".
 
 // Do says what a Verdict asks for.
-type Do int
+type ActionKind int
 
 // What a Verdict may ask for.
 const (
-	DoSend   Do = iota // start a server-side flow to Server, for at most For (0: until the client gives up)
-	DoReject           // final answer: a further try is harmless, after For
-	DoFail             // final answer without any promise
-	DoCancel           // give up waiting for attempt Try
-	DoMove             // ask the client of an open flow to come again
-	DoProbe            // ask Server for its load report
-	DoWatch            // ask discovery for the pool and its changes from now on
-	DoWait             // nothing yet: the request is held until a later call
+	ActionSend    ActionKind = iota // start a server-side flow to Server, for at most For (0: until the client gives up)
+	ActionReject                    // final answer: a further try is harmless, after For
+	ActionFail                      // final answer without any promise
+	ActionCancel                    // give up waiting for attempt Try
+	ActionMigrate                   // ask the client of an open flow to come again
+	ActionProbe                     // ask Server for its load report
+	ActionWatch                     // ask discovery for the pool and its changes from now on
+	ActionWait                      // nothing yet: the request is held until a later call
 )
 
-// Verdict is one thing to do. Fields that its Do does not mention are zero.
-type Verdict struct {
-	Do     Do
-	ID     RequestID
-	Server ServerID
-	Try    int
-	For    time.Duration
+// Action is one thing to do. Fields that its Do does not mention are zero.
+type Action struct {
+	Kind     ActionKind
+	ID       RequestID
+	Server   ServerID
+	Attempt  int
+	Duration time.Duration
 }
 
-// News is something a relay has learned: one of the types below.
-type News interface {
-	tell(b *Balancer, now time.Duration)
+// Event is something a relay has learned: one of the types below.
+type Event interface {
+	apply(b *Balancer, now time.Duration)
 }
 
 type (
-	// Pool is what discovery says of the servers.
-	Pool struct {
+	// ServerList is what discovery says of the servers.
+	ServerList struct {
 		Kind    ListKind
 		Servers []Server
 	}
-	// Standing is a flow that was open before the relay knew of it.
-	Standing struct {
+	// ExistingFlow is a flow that was open before the relay knew of it.
+	ExistingFlow struct {
 		Request Request
 		Server  ServerID
 	}
 	// Up says that an attempt stands as an open flow.
-	Up struct{ ID RequestID }
-	// End is the end of an attempt or of an open flow.
-	End Outcome
-	// Unsent says that the latest send for a request was not carried out; Closed is as of an End.
-	Unsent struct {
-		ID     RequestID
-		Closed bool
+	FlowEstablished struct{ ID RequestID }
+	// AttemptEnded is the end of an attempt or of an open flow.
+	AttemptEnded Outcome
+	// SendSkipped says that the latest send for a request was not carried out; Closed is as of an End.
+	SendSkipped struct {
+		ID    RequestID
+		Final bool
 	}
-	// Left says that the client of a request went away.
-	Left struct{ ID RequestID }
-	// Probed is the answer to a probe.
-	Probed struct {
+	// ClientGone says that the client of a request went away.
+	ClientGone struct{ ID RequestID }
+	// ProbeResult is the answer to a probe.
+	ProbeResult struct {
 		Server ServerID
 		Result Result
 		Report Report
@@ -71,48 +71,50 @@
 		ID   RequestID
 		Load float64
 	}
-	// Relays is by how many the budgets are divided that all relays share.
-	Relays struct{ Share float64 }
-	// Arms is which servers are of a canary's arm, and whose connections go there: by the group, or the key where there is none. Nobody
+	// ActiveRelays is by how many the budgets are divided that all relays share.
+	ActiveRelays struct{ Count float64 }
+	// CanaryGroup is which servers are of a canary's arm, and whose connections go there: by the group, or the key where there is none. Nobody
 	// else's do. Nil: none.
-	Arms struct {
-		Of    func(ServerID) bool
-		Drawn func(group uint64) bool
+	CanaryGroup struct {
+		Contains func(ServerID) bool
+		Assigned func(group uint64) bool
 	}
-	// FlowDelay is how long a message on an open flow takes at its server.
-	FlowDelay struct {
-		ID   RequestID
-		Took time.Duration
+	// MessageLatency is how long a message on an open flow takes at its server.
+	MessageLatency struct {
+		ID      RequestID
+		Latency time.Duration
 	}
 )
 
-func (n Pool) tell(b *Balancer, now time.Duration)     { b.Members(now, n.Kind, n.Servers) }
-func (n Standing) tell(b *Balancer, now time.Duration) { b.Existing(now, n.Request, n.Server) }
-func (n Up) tell(b *Balancer, now time.Duration)       { b.First(now, n.ID) }
-func (n End) tell(b *Balancer, now time.Duration)      { b.Outcome(now, Outcome(n)) }
-func (n Unsent) tell(b *Balancer, now time.Duration) {
+func (n ServerList) apply(b *Balancer, now time.Duration)      { b.UpdateServers(now, n.Kind, n.Servers) }
+func (n ExistingFlow) apply(b *Balancer, now time.Duration)    { b.AddExisting(now, n.Request, n.Server) }
+func (n FlowEstablished) apply(b *Balancer, now time.Duration) { b.Established(now, n.ID) }
+func (n AttemptEnded) apply(b *Balancer, now time.Duration)    { b.AttemptEnded(now, Outcome(n)) }
+func (n SendSkipped) apply(b *Balancer, now time.Duration) {
 	if r := b.requests[n.ID]; r != nil && r.at != nil {
-		b.Outcome(now, Outcome{ID: n.ID, Try: r.tries - 1, Server: r.at.ID, Result: Moot, Closed: n.Closed, Report: NoReport})
+		b.AttemptEnded(now, Outcome{ID: n.ID, Attempt: r.tries - 1, Server: r.at.ID, Result: NotSent, Final: n.Final, Report: NoReport})
 	}
 }
-func (n Left) tell(b *Balancer, now time.Duration)     { b.Ended(now, n.ID) }
-func (n Probed) tell(b *Balancer, now time.Duration)   { b.Probed(now, n.Server, n.Result, n.Report) }
-func (n FlowLoad) tell(b *Balancer, now time.Duration) { b.Load(now, n.ID, n.Load) }
-func (n Relays) tell(b *Balancer, _ time.Duration) {
-	if n.Share >= 1 { // a senseless one moves nothing
-		b.relays = n.Share
+func (n ClientGone) apply(b *Balancer, now time.Duration) { b.RequestEnded(now, n.ID) }
+func (n ProbeResult) apply(b *Balancer, now time.Duration) {
+	b.ProbeResult(now, n.Server, n.Result, n.Report)
+}
+func (n FlowLoad) apply(b *Balancer, now time.Duration) { b.UpdateLoad(now, n.ID, n.Load) }
+func (n ActiveRelays) apply(b *Balancer, _ time.Duration) {
+	if n.Count >= 1 { // a senseless one moves nothing
+		b.relays = n.Count
 	}
 }
-func (n Arms) tell(b *Balancer, _ time.Duration) {
+func (n CanaryGroup) apply(b *Balancer, _ time.Duration) {
 	b.arms = n
 	for _, s := range b.servers {
 		s.arm = b.inArm(s.ID)
 	}
 }
-func (n FlowDelay) tell(b *Balancer, now time.Duration) { b.Slow(now, n.ID, n.Took) }
+func (n MessageLatency) apply(b *Balancer, now time.Duration) { b.ObserveLatency(now, n.ID, n.Latency) }
 
-// Strayed is how many connections were drawn for an arm and went elsewhere, since it had no room.
-func (f *Facade) Strayed() uint64 { return f.b.strayed }
+// CanaryOverflows is how many connections were drawn for an arm and went elsewhere, since it had no room.
+func (f *Facade) CanaryOverflows() uint64 { return f.b.strayed }
 
 // Facade drives a Balancer by calls that return verdicts. The slice that a call
 // returns is valid until the next call.
@@ -121,12 +123,12 @@
 	a gather
 }
 
-// Sane returns the settings as a Balancer reads them, with safe values in place
+// Normalize returns the settings as a Balancer reads them, with safe values in place
 // of missing or senseless ones.
-func Sane(set Settings) Settings { return sane(set) }
+func Normalize(set Settings) Settings { return normalize(set) }
 
-// Begin makes a Facade for one relay; the settings are made sane as by New.
-func Begin(now time.Duration, set Settings, seed uint64) *Facade {
+// NewFacade makes a Facade for one relay; the settings are made sane as by New.
+func NewFacade(now time.Duration, set Settings, seed uint64) *Facade {
 	f := &Facade{}
 	f.a.now = now
 	f.b = New(set, seed, &f.a)
@@ -135,28 +137,28 @@
 }
 
 // Pick asks where a new request goes. Without a verdict on the request itself
-// the answer holds DoWait, and a later Report or Tick brings the verdict.
-func (f *Facade) Pick(now time.Duration, q Request) []Verdict {
+// the answer holds ActionWait, and a later Report or Tick brings the verdict.
+func (f *Facade) Pick(now time.Duration, q Request) []Action {
 	f.a.begin(now)
 	f.b.Request(now, q)
 	for _, v := range f.a.out {
-		if v.ID == q.ID && v.Do <= DoFail {
+		if v.ID == q.ID && v.Kind <= ActionFail {
 			return f.a.out
 		}
 	}
-	f.a.add(Verdict{Do: DoWait, ID: q.ID})
+	f.a.add(Action{Kind: ActionWait, ID: q.ID})
 	return f.a.out
 }
 
-// Report tells what the relay has learned.
-func (f *Facade) Report(now time.Duration, n News) []Verdict {
+// Observe tells what the relay has learned.
+func (f *Facade) Observe(now time.Duration, n Event) []Action {
 	f.a.begin(now)
-	n.tell(f.b, now)
+	n.apply(f.b, now)
 	return f.a.out
 }
 
 // Tick does what is due by now. It never runs timers that it has itself set.
-func (f *Facade) Tick(now time.Duration) []Verdict {
+func (f *Facade) Tick(now time.Duration) []Action {
 	f.a.begin(now)
 	var due []uint64
 	for len(f.a.timers) > 0 && f.a.timers[0].at <= now {
@@ -179,25 +181,27 @@
 // gather is the Actions that collects verdicts and keeps the timers.
 type gather struct {
 	now    time.Duration
-	out    []Verdict
+	out    []Action
 	timers alarms
 	set    uint64
 }
 
 func (g *gather) begin(now time.Duration) { g.now, g.out = now, g.out[:0] }
-func (g *gather) add(v Verdict)           { g.out = append(g.out, v) }
+func (g *gather) add(v Action)            { g.out = append(g.out, v) }
 
 func (g *gather) Send(id RequestID, server ServerID, timeout time.Duration) {
-	g.add(Verdict{Do: DoSend, ID: id, Server: server, For: timeout})
+	g.add(Action{Kind: ActionSend, ID: id, Server: server, Duration: timeout})
+}
+func (g *gather) Reject(id RequestID, retryAfter time.Duration) {
+	g.add(Action{Kind: ActionReject, ID: id, Duration: retryAfter})
 }
-func (g *gather) Refuse(id RequestID, retryAfter time.Duration) {
-	g.add(Verdict{Do: DoReject, ID: id, For: retryAfter})
+func (g *gather) Fail(id RequestID) { g.add(Action{Kind: ActionFail, ID: id}) }
+func (g *gather) Cancel(id RequestID, try int) {
+	g.add(Action{Kind: ActionCancel, ID: id, Attempt: try})
 }
-func (g *gather) Fail(id RequestID)            { g.add(Verdict{Do: DoFail, ID: id}) }
-func (g *gather) Cancel(id RequestID, try int) { g.add(Verdict{Do: DoCancel, ID: id, Try: try}) }
-func (g *gather) Move(id RequestID)            { g.add(Verdict{Do: DoMove, ID: id}) }
-func (g *gather) Probe(server ServerID)        { g.add(Verdict{Do: DoProbe, Server: server}) }
-func (g *gather) Watch()                       { g.add(Verdict{Do: DoWatch}) }
+func (g *gather) Migrate(id RequestID)  { g.add(Action{Kind: ActionMigrate, ID: id}) }
+func (g *gather) Probe(server ServerID) { g.add(Action{Kind: ActionProbe, Server: server}) }
+func (g *gather) Watch()                { g.add(Action{Kind: ActionWatch}) }
 func (g *gather) Timer(delay time.Duration, token uint64) {
 	g.set++
 	heap.Push(&g.timers, alarm{at: g.now + max(delay, 0), order: g.set, token: token})
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -29,8 +29,8 @@
 		p.held[s.ID] = map[RequestID]uint64{}
 	}
 	for i := range relays {
-		f := Begin(t0, set, 1000*seed+uint64(i))
-		f.Report(t0, Pool{ListFull, p.list})
+		f := NewFacade(t0, set, 1000*seed+uint64(i))
+		f.Observe(t0, ServerList{ListFull, p.list})
 		p.relays = append(p.relays, f)
 	}
 	return p
@@ -44,22 +44,22 @@
 	return len(groups)
 }
 
-func (p *fleetPlay) do(now time.Duration, f *Facade, verdicts []Verdict) {
-	for _, v := range append([]Verdict(nil), verdicts...) {
-		switch v.Do {
-		case DoSend:
+func (p *fleetPlay) do(now time.Duration, f *Facade, verdicts []Action) {
+	for _, v := range append([]Action(nil), verdicts...) {
+		switch v.Kind {
+		case ActionSend:
 			p.held[v.Server][v.ID] = p.group[v.ID]
-			p.do(now, f, f.Report(now, Up{v.ID}))
-		case DoProbe:
+			p.do(now, f, f.Observe(now, FlowEstablished{v.ID}))
+		case ActionProbe:
 			p.probes++
-			p.do(now, f, f.Report(now, Probed{v.Server, OK, p.reports[v.Server]}))
-		case DoReject, DoFail:
+			p.do(now, f, f.Observe(now, ProbeResult{v.Server, OK, p.reports[v.Server]}))
+		case ActionReject, ActionFail:
 			p.turned++
-		case DoMove:
+		case ActionMigrate:
 			for _, at := range p.held {
 				delete(at, v.ID)
 			}
-			p.do(now, f, f.Report(now, End{ID: v.ID, Result: Cancelled, Closed: true, Report: NoReport}))
+			p.do(now, f, f.Observe(now, AttemptEnded{ID: v.ID, Result: Cancelled, Final: true, Report: NoReport}))
 		}
 	}
 }
@@ -89,7 +89,7 @@
 		if !again {
 			p.group[id] = 100 + uint64([]int{0, 0, 0, 0, 1, 1, 2, 3, 4}[p.rng.IntN(9)])
 		}
-		p.do(now, f, f.Pick(now, Request{ID: id, Group: p.group[id], Load: 1, Deadline: now + 2*time.Second, Again: again}))
+		p.do(now, f, f.Pick(now, Request{ID: id, Group: p.group[id], Load: 1, Deadline: now + 2*time.Second, Reconnect: again}))
 	}
 	return now
 }
@@ -132,7 +132,7 @@
 			clear(p.held[p.list[i].ID])
 		}
 		for _, f := range p.relays {
-			p.do(now, f, f.Report(now, Pool{ListDelta, p.list[gone : gone+2]}))
+			p.do(now, f, f.Observe(now, ServerList{ListDelta, p.list[gone : gone+2]}))
 		}
 		now = p.place(now, ids) + time.Second
 	}
@@ -149,7 +149,7 @@
 func TestColdAtOnce(t *testing.T) {
 	const proxies, trials = 300, 20
 	set := settings()
-	set.Balancers, set.FallFor, set.Groups = proxies, 3*time.Second, true
+	set.Balancers, set.OverloadWindow, set.Groups = proxies, 3*time.Second, true
 	for _, group := range []uint64{0, 77} {
 		rng := rand.New(rand.NewPCG(3, 4))
 		sent, bears, allowed := 0.0, 0.0, 0.0
@@ -158,19 +158,19 @@
 			for p := uint64(0); p < want; p++ {
 				g := newRig(set, nil)
 				g.Balancer = New(set, 1000*trial+p, g.recorder)
-				g.Members(t0, ListDelta, []Server{{ID: 1, State: Ready, Weight: 1, Started: t0}})
+				g.UpdateServers(t0, ListDelta, []Server{{ID: 1, State: Ready, Weight: 1, Started: t0}})
 				now, s := t0+time.Duration(rng.Int64N(int64(500*ms))), g.servers[0]
 				if g.warmEnough(now, &request{Request: Request{Group: group}, load: 1}, s) {
 					sent++
 				}
 				if p == 0 {
 					if group != 0 {
-						want = uint64(groupRush * easy * g.capacityOf(t0+set.ColdFor, s))
+						want = uint64(groupRush * easy * g.capacityOf(t0+set.SlowStartDuration, s))
 					}
 					bears += brim * g.capacityOf(t0, s)
 					// What the rate allows by the end of the half second, with the part of a window there at once.
-					early := set.FallFor.Seconds()*(1/coldPart-1) + 0.5
-					allowed += coldPart * set.FallMultiple * g.capacityOf(t0+500*ms, s) / set.ColdFor.Seconds() * early
+					early := set.OverloadWindow.Seconds()*(1/coldPart-1) + 0.5
+					allowed += coldPart * set.OverloadFactor * g.capacityOf(t0+500*ms, s) / set.SlowStartDuration.Seconds() * early
 				}
 			}
 		}
