--- a/internal/front/line/attempt_test.go
+++ b/internal/front/line/attempt_test.go
@@ -69,7 +69,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 2)
 			var ended results
-			g.Core.Ledger = &ended
+			g.Core.Recorder = &ended
 			c := g.sendRequest(firstLine)
 			at, m := g.anyAttempt()
 			one.does(g, m)
@@ -145,7 +145,7 @@
 func TestAttemptConnectionRefused(t *testing.T) {
 	g := newRig(t, 2)
 	var ended results
-	g.Core.Ledger = &ended
+	g.Core.Recorder = &ended
 	for _, s := range g.servers {
 		s.Listener.Close()
 	}
@@ -171,7 +171,7 @@
 func TestAttemptConnectsLate(t *testing.T) {
 	g := newRig(t, 0)
 	var ended results
-	g.Core.Ledger = &ended
+	g.Core.Recorder = &ended
 	g.addMember(fullQueue(t))
 	c := g.sendRequest(firstLine)
 	g.Advance(g.f.connectTimeout)
@@ -222,9 +222,9 @@
 func TestAttemptWithoutDescriptor(t *testing.T) {
 	g := newRig(t, 1)
 	var ended results
-	g.Core.Ledger = &ended
+	g.Core.Recorder = &ended
 	saw := 0
-	g.Core.Saw = func(_ *core.Member, result policy.Result) {
+	g.Core.OnResult = func(_ *core.Member, result policy.Result) {
 		if result != policy.NotSent {
 			saw++
 		}
--- a/internal/front/line/health_check_test.go
+++ b/internal/front/line/health_check_test.go
@@ -19,7 +19,7 @@
 
 func newCheckRig(t testing.TB, members int) *checkRig {
 	p := &checkRig{rig: newRig(t, members)}
-	p.Core.Saw = func(_ *core.Member, result policy.Result) { p.results = append(p.results, result) }
+	p.Core.OnResult = func(_ *core.Member, result policy.Result) { p.results = append(p.results, result) }
 	return p
 }
 
@@ -194,8 +194,8 @@
 // TestHealthCheckSecondAnswerAtOnce: nor where the next probe begins as the first is answered.
 func TestHealthCheckSecondAnswerAtOnce(t *testing.T) {
 	p := newCheckRig(t, 1)
-	saw := p.Core.Saw
-	p.Core.Saw = func(m *core.Member, result policy.Result) {
+	saw := p.Core.OnResult
+	p.Core.OnResult = func(m *core.Member, result policy.Result) {
 		if saw(m, result); len(p.results) == 1 {
 			p.check(0)
 		}
--- a/internal/front/line/open_line.go
+++ b/internal/front/line/open_line.go
@@ -80,13 +80,13 @@
 // boundWait limits how long the request may wait by its class.
 func (o *openLine) boundWait(set *settings.Settings, text string) {
 	limit := settings.Span(set.Classes[o.request.Class].Deadline)
-	if o.request.At != "" {
+	if o.request.CurrentMember != "" {
 		limit = reopenWait
 	}
 	if !o.hasDeadline {
-		o.prefix, o.request.Wait = text, limit
+		o.prefix, o.request.TimeLeft = text, limit
 	} else if limit > 0 { // an absurd d must not queue a request for days
-		o.request.Wait = min(o.request.Wait, limit)
+		o.request.TimeLeft = min(o.request.TimeLeft, limit)
 	}
 }
 
@@ -108,7 +108,7 @@
 		if ms, err = strconv.ParseFloat(value, 64); err == nil && (math.IsNaN(ms) || ms < 0 || ms > 1e9) {
 			err = strconv.ErrRange
 		}
-		q.Wait = settings.Span(ms)
+		q.TimeLeft = settings.Span(ms)
 	case "g":
 		q.Group, err = strconv.ParseUint(value, 16, 64)
 	case "h":
@@ -117,9 +117,9 @@
 			q.Load = ms / 1e3
 		}
 	case "again":
-		q.Again = value == "1"
+		q.Reconnect = value == "1"
 	case "at":
-		q.At = value
+		q.CurrentMember = value
 	}
 	if err != nil {
 		return malformed(badValue, "%s=%.*q", name, maxShownValue, value)
--- a/internal/front/line/partial_line_test.go
+++ b/internal/front/line/partial_line_test.go
@@ -57,8 +57,12 @@
 var waitingClients = map[string]func(g *rig) *looptest.Peer{
 	"held":    func(g *rig) *looptest.Peer { g.setMemberState(0, policy.Draining); return g.sendRequest(firstLine) },
 	"doubted": func(g *rig) *looptest.Peer { g.Core.Doubt(); return g.sendRequest(firstLine) },
-	"dialled": func(g *rig) *looptest.Peer { g.setMemberState(0, policy.Gone); g.addMember(fullQueue(g.T)); return g.sendRequest(firstLine) },
-	"asked":   func(g *rig) *looptest.Peer { c := g.sendRequest(firstLine); g.attempt(0); return c },
+	"dialled": func(g *rig) *looptest.Peer {
+		g.setMemberState(0, policy.Gone)
+		g.addMember(fullQueue(g.T))
+		return g.sendRequest(firstLine)
+	},
+	"asked": func(g *rig) *looptest.Peer { c := g.sendRequest(firstLine); g.attempt(0); return c },
 	"half answered": func(g *rig) *looptest.Peer {
 		c := g.sendRequest(firstLine)
 		g.attempt(0).Send("UP ")
