--- a/internal/front/line/health_check.go
+++ b/internal/front/line/health_check.go
@@ -161,5 +161,5 @@
 		h.closeConn()
 		h.remove()
 	}
-	h.front.Core.Probed(h.id, result, report)
+	h.front.Core.ProbeResult(h.id, result, report)
 }
--- a/internal/front/line/line_test.go
+++ b/internal/front/line/line_test.go
@@ -86,8 +86,8 @@
 	r.WaitFor("the member's end", func() bool { m.Poll(); return m.EndErr != nil })
 	c.ExpectLines("BUSY")
 	c.ExpectEOF()
-	if r.Core.Held() != 0 || r.Core.Counts.Left != 1 {
-		t.Errorf("held %d, %+v", r.Core.Held(), r.Core.Counts)
+	if r.Core.ActiveRequests() != 0 || r.Core.Counts.ClientsGone != 1 {
+		t.Errorf("held %d, %+v", r.Core.ActiveRequests(), r.Core.Counts)
 	}
 }
 
@@ -284,8 +284,8 @@
 	m.ExpectLines("anyone?")
 	r.Advance(memberSilenceTimeout - time.Second)
 	handOffFlows(t, first, second)
-	if r.Core.Held() != 1 || len(first.flows) != 0 || len(first.requests) != 0 || len(second.requests) != 1 {
-		t.Fatalf("held %d, %d left, %d taken", r.Core.Held(), len(first.flows), len(second.flows))
+	if r.Core.ActiveRequests() != 1 || len(first.flows) != 0 || len(first.requests) != 0 || len(second.requests) != 1 {
+		t.Fatalf("held %d, %d left, %d taken", r.Core.ActiveRequests(), len(first.flows), len(second.flows))
 	}
 	r.Advance(2 * time.Second)
 	c.ExpectLines("MOVE")
--- a/internal/front/line/partial_line_test.go
+++ b/internal/front/line/partial_line_test.go
@@ -72,7 +72,7 @@
 	"between two attempts": func(g *rig) *looptest.Peer {
 		c := g.sendRequest(firstLine)
 		g.attempt(0).Send("BUSY\r\n")
-		g.WaitFor("the answer", func() bool { return g.Core.Flows(1) == 0 })
+		g.WaitFor("the answer", func() bool { return g.Core.FlowCount(1) == 0 })
 		return c
 	},
 	"with bytes behind its line": func(g *rig) *looptest.Peer {
@@ -93,7 +93,7 @@
 			c.CloseWrite()
 			c.ExpectLines("BUSY")
 			c.ExpectEOF()
-			if n := g.Core.Counts; n.Attempts != before || n.Left != 1 {
+			if n := g.Core.Counts; n.Attempts != before || n.ClientsGone != 1 {
 				t.Errorf("%+v, %d attempts before", n, before)
 			}
 			g.Core.Sure()
@@ -110,7 +110,7 @@
 		c.ExpectEOF()
 		g.unsent()
 		g.clean()
-		if n := g.Core.Counts; n != (core.Counts{Requests: 1, Attempts: n.Attempts, Left: 1}) {
+		if n := g.Core.Counts; n != (core.Counts{Requests: 1, Attempts: n.Attempts, ClientsGone: 1}) {
 			t.Errorf("%+v", n)
 		}
 	})
--- a/internal/front/line/upstream.go
+++ b/internal/front/line/upstream.go
@@ -242,7 +242,7 @@
 	case commandLoad:
 		if load, err := strconv.ParseFloat(rest, 64); err == nil {
 			u.load = load / 1e6
-			u.client.front.Core.Load(u.client.requestID, u.load)
+			u.client.front.Core.UpdateLoad(u.client.requestID, u.load)
 		}
 		return
 	case commandBye:
@@ -253,6 +253,6 @@
 		u.handle(eventMove)
 	}
 	if took, owed := u.noteAnswer(u.client.front.Loop.Now()); owed {
-		u.client.front.Core.Message(u.client.requestID, took)
+		u.client.front.Core.ObserveMessageLatency(u.client.requestID, took)
 	}
 }
