--- a/internal/front/line/client.go
+++ b/internal/front/line/client.go
@@ -176,7 +176,7 @@
 	c.conn.SetEvictable(nil)
 	c.front.requests[c.openLine.id] = c
 	if c.front.Loop.DescriptorsLow() {
-		c.Reject(c.front.Core.Advice(shortageRetryAfter))
+		c.Reject(c.front.Core.RetryAfter(shortageRetryAfter))
 		return
 	}
 	c.requestID = c.front.Core.Open(c.openLine.request, c)
@@ -226,7 +226,7 @@
 // cancelRequest ends a request whose client has closed its sending side. Such a client has gone, or it still reads: no
 // further attempt is made, and it gets its final answer.
 func (c *clientConn) cancelRequest() {
-	if c.front.Core.Left(c.requestID) {
+	if c.front.Core.ClientGone(c.requestID) {
 		c.sendBusy()
 	} else {
 		c.sendError()
@@ -250,8 +250,8 @@
 // Fail answers ERR: the request may have run.
 func (c *clientConn) Fail() { c.handle(eventFailed) }
 
-// Move migrates the client: it sends MOVE between two lines and closes both sides.
-func (c *clientConn) Move() { c.handle(eventMigrate) }
+// Migrate migrates the client: it sends MOVE between two lines and closes both sides.
+func (c *clientConn) Migrate() { c.handle(eventMigrate) }
 
 func (c *clientConn) closeBoth() {
 	c.upstream.conn.Finish()
--- a/internal/front/line/client_leave_test.go
+++ b/internal/front/line/client_leave_test.go
@@ -49,11 +49,11 @@
 		g.expectReleased()
 	})
 	forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
-		g.Core.Doubt()
+		g.Core.PauseDispatch()
 		c := g.sendRequest(firstLine)
 		leave(c)
 		g.WaitFor("the client's end", func() bool { return len(g.f.requests) == 0 })
-		g.Core.Sure()
+		g.Core.ResumeDispatch()
 		g.expectReleased()
 	})
 }
@@ -102,11 +102,11 @@
 // TestClientClosesAsConnected: the same where the loop hears of the connection before it hears of the client.
 func TestClientClosesAsConnected(t *testing.T) {
 	forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
-		g.Core.Doubt()
+		g.Core.PauseDispatch()
 		c := g.sendRequest(firstLine)
 		g.RunOnce() // the client's connection is no longer among those that have something to say
 		g.RunOnce()
-		g.Core.Sure()
+		g.Core.ResumeDispatch()
 		conn := g.pending(0)
 		if conn == nil {
 			t.Fatal("no connection")
--- a/internal/front/line/handoff.go
+++ b/internal/front/line/handoff.go
@@ -50,15 +50,15 @@
 
 // FlowHandoff is an open flow that is handed to another process. Times are ages.
 type FlowHandoff struct {
-	ClientID      uint64        `json:"id"` // the id in the client's first line
-	Placement     core.Passed   `json:"flow"`
-	FromClient    []byte        `json:"from_client"` // received, but not forwarded yet
-	FromMember    []byte        `json:"from_member"`
-	MidLine       bool          `json:"within"` // a part of a line of the member's has been forwarded
-	LinePrefix    []byte        `json:"tail"`   // the start of that line
-	FinalCommand  string        `json:"last"`   // BYE or MOVE, or empty
-	AnswerPending time.Duration `json:"asked"`  // how long the client has waited for an answer; 0 if it does not
-	ClientQuiet   time.Duration `json:"heard"`  // how long the client has sent nothing
+	ClientID      uint64            `json:"id"` // the id in the client's first line
+	Placement     core.FlowTransfer `json:"flow"`
+	FromClient    []byte            `json:"from_client"` // received, but not forwarded yet
+	FromMember    []byte            `json:"from_member"`
+	MidLine       bool              `json:"within"` // a part of a line of the member's has been forwarded
+	LinePrefix    []byte            `json:"tail"`   // the start of that line
+	FinalCommand  string            `json:"last"`   // BYE or MOVE, or empty
+	AnswerPending time.Duration     `json:"asked"`  // how long the client has waited for an answer; 0 if it does not
+	ClientQuiet   time.Duration     `json:"heard"`  // how long the client has sent nothing
 }
 
 // HandOffFlows hands at most limit open flows, with the sockets to the client and to
@@ -83,7 +83,7 @@
 		if client < 0 {
 			return // out of descriptors
 		}
-		handoff.Placement, _ = f.Core.Pass(c.requestID)
+		handoff.Placement, _ = f.Core.ReleaseFlow(c.requestID)
 		handoff.Placement.Request.Load = u.load
 		c.close()
 		give(handoff, client, member)
@@ -120,8 +120,8 @@
 	u.conn = f.Loop.Attach(member, handoff.FromMember, u)
 	f.flows[c], f.requests[handoff.ClientID] = struct{}{}, c
 	var known bool
-	if c.requestID, u.member, known = f.Core.Take(handoff.Placement, c); !known {
-		c.Move()
+	if c.requestID, u.member, known = f.Core.AdoptFlow(handoff.Placement, c); !known {
+		c.Migrate()
 		return
 	}
 	f.Loop.After(0, func() { c.conn.ResumeReading(); u.conn.ResumeReading() })
--- a/internal/front/line/line.go
+++ b/internal/front/line/line.go
@@ -77,7 +77,7 @@
 // its way.
 func (f *Front) CloseIdle() {
 	for c := range f.idle {
-		c.retryAfter = f.Core.Advice(shortageRetryAfter)
+		c.retryAfter = f.Core.RetryAfter(shortageRetryAfter)
 		c.handle(eventShutdown)
 	}
 }
@@ -89,8 +89,8 @@
 	for c := range f.flows {
 		if u := c.upstream; u.memberSilent(now) {
 			f.Log.WithField("member", u.member.Name).Warn("member has gone silent")
-			c.Move()
-			f.Core.Ended(c.requestID, u.attempt, policy.Reset, u.report)
+			c.Migrate()
+			f.Core.AttemptEnded(c.requestID, u.attempt, policy.Reset, u.report)
 		} else if u.memberLingers(now) {
 			u.End(io.EOF)
 		} else if u.clientSilent(now) {
--- a/internal/front/line/partial_line_test.go
+++ b/internal/front/line/partial_line_test.go
@@ -56,7 +56,7 @@
 // waitingClients is the situations in which a request waits for its answer, each with what brings it about.
 var waitingClients = map[string]func(g *rig) *looptest.Peer{
 	"held":    func(g *rig) *looptest.Peer { g.setMemberState(0, policy.Draining); return g.sendRequest(firstLine) },
-	"doubted": func(g *rig) *looptest.Peer { g.Core.Doubt(); return g.sendRequest(firstLine) },
+	"doubted": func(g *rig) *looptest.Peer { g.Core.PauseDispatch(); return g.sendRequest(firstLine) },
 	"dialled": func(g *rig) *looptest.Peer {
 		g.setMemberState(0, policy.Gone)
 		g.addMember(fullQueue(g.T))
@@ -96,7 +96,7 @@
 			if n := g.Core.Counts; n.Attempts != before || n.ClientsGone != 1 {
 				t.Errorf("%+v, %d attempts before", n, before)
 			}
-			g.Core.Sure()
+			g.Core.ResumeDispatch()
 			g.unsent()
 			g.clean()
 		})
--- a/internal/front/line/upstream.go
+++ b/internal/front/line/upstream.go
@@ -34,7 +34,7 @@
 	u.state = next
 	if ended {
 		u.conn.Finish()
-		u.client.front.Core.Ended(u.client.requestID, u.attempt, result, u.report)
+		u.client.front.Core.AttemptEnded(u.client.requestID, u.attempt, result, u.report)
 	}
 }
 
@@ -57,9 +57,9 @@
 	finalCommandReceived := u.state.finalCommand() != ""
 	u.terminate(end)
 	if finalCommandReceived {
-		u.client.front.Core.Ended(u.client.requestID, u.attempt, result, u.report)
+		u.client.front.Core.AttemptEnded(u.client.requestID, u.attempt, result, u.report)
 	} else {
-		u.client.front.Core.Left(u.client.requestID)
+		u.client.front.Core.ClientGone(u.client.requestID)
 	}
 }
 
@@ -75,7 +75,7 @@
 	if u.state != attemptConnected {
 		return
 	}
-	if !u.client.front.Core.Begin(u.client.requestID, u.attempt) { // the member may have gone while the connection was being set up
+	if !u.client.front.Core.MaySend(u.client.requestID, u.attempt) { // the member may have gone while the connection was being set up
 		u.handle(eventNoConnection)
 		return
 	}
@@ -141,7 +141,7 @@
 // openFlow forwards UP and what follows it.
 func (u *upstream) openFlow(b []byte, n int) int {
 	c := u.client
-	if !c.front.Core.Up(c.requestID, u.attempt) {
+	if !c.front.Core.FlowEstablished(c.requestID, u.attempt) {
 		return len(b)
 	}
 	u.clientActiveAt = c.front.Loop.Now()
