--- a/internal/front/line/planned_stop_test.go
+++ b/internal/front/line/graceful_shutdown_test.go
@@ -9,11 +9,11 @@
 	"dahliarudder/policy"
 )
 
-// TestStopInFlight: a request that is on its way as the relay begins to stop is answered, by the member that has it, and
+// TestShutdownInFlight: a request that is on its way as the relay begins to stop is answered, by the member that has it, and
 // what comes up is moved before the stop is over.
-func TestStopInFlight(t *testing.T) {
+func TestShutdownInFlight(t *testing.T) {
 	g := newRig(t, 1)
-	c := g.ask(firstLine)
+	c := g.sendRequest(firstLine)
 	m := g.attempt(0)
 	g.Core.Stop()
 	g.Advance(100 * time.Millisecond)
@@ -30,15 +30,15 @@
 	}
 }
 
-// TestStopUnanswered: one that has no answer by the end of the stop is rejected then, once, and its attempt is over.
-func TestStopUnanswered(t *testing.T) {
+// TestShutdownUnanswered: one that has no answer by the end of the stop is rejected then, once, and its attempt is over.
+func TestShutdownUnanswered(t *testing.T) {
 	for name, held := range map[string]bool{"held": true, "attempt out": false} {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1)
 			if held {
 				g.Core.PauseDispatch()
 			}
-			c := g.ask(firstLine)
+			c := g.sendRequest(firstLine)
 			if !held {
 				g.attempt(0).Send("half an ans")
 			}
@@ -60,13 +60,13 @@
 	}
 }
 
-// TestStopArrives: a request that arrives after the stop began is answered BUSY at once and never sent on, also one whose
+// TestShutdownArrival: a request that arrives after the stop began is answered BUSY at once and never sent on, also one whose
 // first line began before; PING says that no clients should be sent here, and the connection may still ask.
-func TestStopArrives(t *testing.T) {
+func TestShutdownArrival(t *testing.T) {
 	g := newRig(t, 1)
 	half, front := g.Dial(g.addr), g.Dial(g.addr)
 	half.Send(firstLine[:20])
-	g.WaitFor("both", func() bool { return len(g.f.fresh) == 2 })
+	g.WaitFor("both", func() bool { return len(g.f.idle) == 2 })
 	g.RunOnce()
 	g.Core.Stop()
 	half.Send(firstLine[20:] + "\r\n")
@@ -77,7 +77,7 @@
 		ReadLine() string
 		ExpectEOF()
 		Close() error
-	}{half, front, g.ask(strings.Replace(firstLine, "aa", "ac", 1))} {
+	}{half, front, g.sendRequest(strings.Replace(firstLine, "aa", "ac", 1))} {
 		if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
 			t.Errorf("got %q", got)
 		}
@@ -91,14 +91,14 @@
 	}
 }
 
-// TestStopRests: a connection that rests as the relay ends has an answer for a request that crosses its end.
-func TestStopRests(t *testing.T) {
+// TestShutdownIdle: a connection that rests as the relay ends has an answer for a request that crosses its end.
+func TestShutdownIdle(t *testing.T) {
 	g := newRig(t, 1)
 	silent, front, half := g.Dial(g.addr), g.Dial(g.addr), g.Dial(g.addr)
 	front.Send("PING\r\n")
 	front.ExpectLines("PONG")
 	half.Send(firstLine[:20])
-	g.WaitFor("all", func() bool { return len(g.f.fresh) == 3 })
+	g.WaitFor("all", func() bool { return len(g.f.idle) == 3 })
 	g.RunOnce()
 	g.Core.Stop()
 	g.Core.FinishStop()
@@ -122,8 +122,8 @@
 	}
 }
 
-// TestStopHalfLine: of a member's half line at the end of a stop MOVE waits, and no longer than the relay has left.
-func TestStopHalfLine(t *testing.T) {
+// TestShutdownPartialLine: of a member's half line at the end of a stop MOVE waits, and no longer than the relay has left.
+func TestShutdownPartialLine(t *testing.T) {
 	for _, whole := range []bool{true, false} {
 		g := newFlow(t)
 		g.m.Send("half a ")
--- a/internal/front/line/doubt_test.go
+++ b/internal/front/line/member_change_test.go
@@ -7,11 +7,11 @@
 	"dahliarudder/policy"
 )
 
-// TestDoubtWhileDialling: an attempt whose connection comes up during a doubt is not sent on it. After the doubt the
+// TestSuspicionWhileDialing: an attempt whose connection comes up during a doubt is not sent on it. After the doubt the
 // request goes on.
-func TestDoubtWhileDialling(t *testing.T) {
+func TestSuspicionWhileDialing(t *testing.T) {
 	g := newRig(t, 1)
-	c := g.ask(firstLine)
+	c := g.sendRequest(firstLine)
 	g.Core.PauseDispatch()
 	for range 4 {
 		g.RunOnce()
@@ -34,9 +34,9 @@
 // TestUpAtDraining: a flow that comes up at a member that has begun to drain since is moved off it.
 func TestUpAtDraining(t *testing.T) {
 	g := newRig(t, 1)
-	c := g.ask(firstLine)
+	c := g.sendRequest(firstLine)
 	m := g.attempt(0)
-	g.list(0, policy.Draining)
+	g.setMemberState(0, policy.Draining)
 	m.Send("UP x\r\n")
 	c.ExpectLines("UP x")
 	g.WaitFor("MOVE", func() bool {
