--- a/cmd/dahliarudder/main.go
+++ b/cmd/dahliarudder/main.go
@@ -94,7 +94,7 @@
 			if err != nil {
 				return err
 			}
-			if err := errors.Join(c.Decoded().Problems()...); err != nil {
+			if err := errors.Join(c.Decoded().Validate()...); err != nil {
 				return fmt.Errorf("%w:\n%w", config.ErrInvalid, err)
 			}
 			cmd.Printf("%s: the configuration is sound\n", c.Name)
--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -141,7 +141,7 @@
 	r.log.WithField("gap", gap).Warn("this process stood still; members are asked for anew")
 	r.core.PauseDispatch()
 	r.watch.Refresh(r.core.ResumeDispatch)
-	r.loop.After(settings.Span(r.names.Settings.Guarantees.Grace), r.core.ResumeDispatch)
+	r.loop.After(settings.Duration(r.names.Settings.Guarantees.Grace), r.core.ResumeDispatch)
 }
 
 // reload takes over what a configuration that was read again may change: where
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -155,7 +155,7 @@
 func New(o Options) *Core {
 	c := &Core{Options: o, set: policy.Normalize(o.Settings.Policy()), requests: map[ID]*request{},
 		members: map[policy.ServerID]*member{}, byName: map[string]*member{}, feeds: map[ID]*Feed{}, bans: map[string]bool{}, armed: math.MaxInt64}
-	if c.grace = settings.Span(o.Settings.Guarantees.Grace); c.grace <= 0 {
+	if c.grace = settings.Duration(o.Settings.Guarantees.Grace); c.grace <= 0 {
 		c.grace = 250 * time.Millisecond
 	}
 	if c.LoopTime == nil {
--- a/internal/front/line/line.go
+++ b/internal/front/line/line.go
@@ -46,7 +46,7 @@
 // New returns a front that places requests by the core.
 func New(loop *netloop.Loop, c *core.Core, log logrus.FieldLogger) *Front {
 	f := &Front{Loop: loop, Core: c, Log: log, connectTimeout: c.PolicySettings().ConnectTimeout,
-		checkIdleTimeout: time.Duration(checkIdleFraction * float64(cmp.Or(settings.Span(c.Settings.Limits.Keepalive), defaultKeepalive))),
+		checkIdleTimeout: time.Duration(checkIdleFraction * float64(cmp.Or(settings.Duration(c.Settings.Limits.Keepalive), defaultKeepalive))),
 		flows:            map[*clientConn]struct{}{}, idle: map[*clientConn]struct{}{}, remoteIDs: map[uint64]bool{},
 		requests: map[uint64]*clientConn{}, healthChecks: map[policy.ServerID]*healthCheck{}}
 	loop.After(sweepInterval, f.sweep)
--- a/internal/front/line/open_line.go
+++ b/internal/front/line/open_line.go
@@ -79,7 +79,7 @@
 
 // boundWait limits how long the request may wait by its class.
 func (o *openLine) boundWait(set *settings.Settings, text string) {
-	limit := settings.Span(set.Classes[o.request.Class].Deadline)
+	limit := settings.Duration(set.Classes[o.request.Class].Deadline)
 	if o.request.CurrentMember != "" {
 		limit = reopenWait
 	}
@@ -108,7 +108,7 @@
 		if ms, err = strconv.ParseFloat(value, 64); err == nil && (math.IsNaN(ms) || ms < 0 || ms > 1e9) {
 			err = strconv.ErrRange
 		}
-		q.TimeLeft = settings.Span(ms)
+		q.TimeLeft = settings.Duration(ms)
 	case "g":
 		q.Group, err = strconv.ParseUint(value, 16, 64)
 	case "h":
--- a/internal/front/nats/link.go
+++ b/internal/front/nats/link.go
@@ -371,7 +371,7 @@
 					break
 				}
 			}
-			l.f.gauge.Answered(l.member.ID, took)
+			l.f.gauge.ObserveLatency(l.member.ID, took)
 		})
 	}
 }
--- a/internal/front/nats/nats.go
+++ b/internal/front/nats/nats.go
@@ -61,7 +61,7 @@
 	carried map[string]*asked // requests that proxies carry themselves, by login and name
 	probes  map[policy.ServerID]*probe
 	routes  []route
-	gauge   *loadestimate.Gauge
+	gauge   *loadestimate.Estimator
 	members map[policy.ServerID]*told
 	offers  offers
 	lastID  uint64
--- a/internal/front/nats/probe.go
+++ b/internal/front/nats/probe.go
@@ -87,13 +87,13 @@
 		})
 	case opPong:
 		if took, known := p.f.took(p.asked); known {
-			p.f.gauge.Answered(p.id, took)
+			p.f.gauge.ObserveLatency(p.id, took)
 		}
 		if p.f.LoadSubject == "" {
 			p.own()
 		}
 	case opMsg:
-		p.done(policy.OK, p.f.gauge.Fill(parseReport(m.payload)))
+		p.done(policy.OK, p.f.gauge.FillMissing(parseReport(m.payload)))
 	case opHMsg: // nobody listens there
 		p.own()
 	case opErr:
--- a/internal/front/nats/processor.go
+++ b/internal/front/nats/processor.go
@@ -115,7 +115,7 @@
 		c.say(reply, verdict{Verdict: "error", Error: "unknown class or tenant"})
 		return
 	}
-	r := core.Request{Name: q.Name, Class: class, Tenant: tenant, Load: max(q.Load, 0), TimeLeft: settings.Span(q.WaitMS)}
+	r := core.Request{Name: q.Name, Class: class, Tenant: tenant, Load: max(q.Load, 0), TimeLeft: settings.Duration(q.WaitMS)}
 	if r.TimeLeft <= 0 {
 		r.TimeLeft = c.f.Core.PolicySettings().Classes[class].Deadline
 	}
@@ -212,7 +212,7 @@
 		}
 		c.say(reply, v)
 	case o.Outcome == "message":
-		c.f.Core.ObserveMessageLatency(a.id, settings.Span(o.Message))
+		c.f.Core.ObserveMessageLatency(a.id, settings.Duration(o.Message))
 		c.say(reply, verdict{Verdict: "up", ID: a.id, Try: a.try})
 	case !known:
 		c.say(reply, verdict{Verdict: "error", ID: a.id, Try: a.try, Error: "unknown outcome"})
--- a/internal/loadestimate/gauge.go
+++ b/internal/loadestimate/gauge.go
@@ -22,22 +22,22 @@
 	forget = 1.0 / 256
 )
 
-// Gauge is what is known of the members.
-type Gauge struct {
-	Width  float64 // flows that fill a member
-	Relays float64 // that are taken to hold as many flows as this one
-	seen   map[policy.ServerID]*member
+// Estimator is what is known of the members.
+type Estimator struct {
+	Capacity float64 // flows that fill a member
+	Relays   float64 // that are taken to hold as many flows as this one
+	seen     map[policy.ServerID]*member
 }
 
 type member struct{ best, late float64 } // seconds
 
 // New makes a Gauge.
-func New(width, relays int) *Gauge {
-	return &Gauge{Width: max(float64(width), 1), Relays: max(float64(relays), 1), seen: map[policy.ServerID]*member{}}
+func New(width, relays int) *Estimator {
+	return &Estimator{Capacity: max(float64(width), 1), Relays: max(float64(relays), 1), seen: map[policy.ServerID]*member{}}
 }
 
-// Answered says how long a member took for an answer.
-func (g *Gauge) Answered(id policy.ServerID, took time.Duration) {
+// ObserveLatency says how long a member took for an answer.
+func (g *Estimator) ObserveLatency(id policy.ServerID, took time.Duration) {
 	t := took.Seconds()
 	m := g.seen[id]
 	if m == nil {
@@ -52,7 +52,7 @@
 }
 
 // Forget drops members that the pool no longer names.
-func (g *Gauge) Forget(known func(policy.ServerID) bool) {
+func (g *Estimator) Forget(known func(policy.ServerID) bool) {
 	for id := range g.seen {
 		if !known(id) {
 			delete(g.seen, id)
@@ -62,20 +62,20 @@
 
 // Report is what a member would report, as far as the relay can see: flows held by all relays
 // against its width, and the lateness of its answers as seconds of work piled up.
-func (g *Gauge) Report(id policy.ServerID, flows int) policy.Report {
+func (g *Estimator) Report(id policy.ServerID, flows int) policy.Report {
 	r := policy.NoReport
-	r.Load, r.Backlog = float64(flows)*g.Relays/g.Width, 0
+	r.Load, r.Backlog = float64(flows)*g.Relays/g.Capacity, 0
 	if m := g.seen[id]; m != nil {
 		r.Backlog = m.late
 	}
 	r.Connections = float64(flows) * g.Relays
-	return g.Fill(r)
+	return g.FillMissing(r)
 }
 
-// Fill puts the configured width in the place of what an idle member does not tell.
-func (g *Gauge) Fill(r policy.Report) policy.Report {
-	if r.Load >= 0 && r.Load < idle && r.Connections < idle*g.Width {
-		r.Load, r.Connections = idle, idle*g.Width
+// FillMissing puts the configured width in the place of what an idle member does not tell.
+func (g *Estimator) FillMissing(r policy.Report) policy.Report {
+	if r.Load >= 0 && r.Load < idle && r.Connections < idle*g.Capacity {
+		r.Load, r.Connections = idle, idle*g.Capacity
 	}
 	return r
 }
--- a/internal/loadestimate/gauge_test.go
+++ b/internal/loadestimate/gauge_test.go
@@ -18,16 +18,16 @@
 		t.Errorf("200 flows of 4 relays on a width of 1000: %+v", r)
 	}
 	for range 50 {
-		g.Answered(1, time.Millisecond)
+		g.ObserveLatency(1, time.Millisecond)
 	}
 	for range 20 {
-		g.Answered(1, 200*time.Millisecond)
+		g.ObserveLatency(1, 200*time.Millisecond)
 	}
 	if r := g.Report(1, 0); r.Backlog < 0.1 || r.Backlog > 0.2 {
 		t.Errorf("backlog %v after answers 199 ms late", r.Backlog)
 	}
 	for range 40 {
-		g.Answered(1, 4*time.Millisecond)
+		g.ObserveLatency(1, 4*time.Millisecond)
 	}
 	if r := g.Report(1, 0); r.Backlog > 0.001 {
 		t.Errorf("backlog %v long after", r.Backlog)
@@ -42,11 +42,11 @@
 func TestFill(t *testing.T) {
 	g := New(1000, 1)
 	for _, r := range []policy.Report{{Connections: 75, Load: 0.5}, {Connections: 100, Load: 0.01}, policy.NoReport} {
-		if got := g.Fill(r); got != r {
+		if got := g.FillMissing(r); got != r {
 			t.Errorf("%+v became %+v", r, got)
 		}
 	}
-	if got := g.Fill(policy.Report{Connections: 3, Load: 0.001, Backlog: 0.5}); got.Connections/got.Load != 1000 || got.Backlog != 0.5 {
+	if got := g.FillMissing(policy.Report{Connections: 3, Load: 0.001, Backlog: 0.5}); got.Connections/got.Load != 1000 || got.Backlog != 0.5 {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/scenariorunner/clients.go
+++ b/internal/scenariorunner/clients.go
@@ -149,7 +149,7 @@
 			} else if retry {
 				f.line += ",r=1"
 			}
-			f.patience, f.effect = settings.Span(class.Deadline), effectOf(r.set.Policy().Classes[s.Class])
+			f.patience, f.effect = settings.Duration(class.Deadline), effectOf(r.set.Policy().Classes[s.Class])
 			f.leaves = r.leaving(rng, f.patience)
 			how, busy := f.open(ctx)
 			r.with(func(at time.Duration) {
--- a/internal/scenariorunner/run.go
+++ b/internal/scenariorunner/run.go
@@ -209,8 +209,8 @@
 	x.views = &views{run: x, down: map[string]time.Duration{}, up: map[string]time.Duration{}, have: map[[2]string]string{}, told: map[[2]string]bool{}}
 	x.service = scenario.NewService(x.plan.MeasureFrom, x.plan.End)
 	g := set.Guarantees
-	x.judge = scenario.NewJudge(scenario.Rules{MaxAttempts: set.Limits.MaxAttempts, AnswerSlack: settings.Span(g.Slack), DrainGrace: settings.Span(g.Grace),
-		SlowStartFrom: g.ColdFrom, SlowStartFor: settings.Span(g.Cold), OverloadFactor: g.Overload, OverloadWindow: settings.Span(g.Fall)})
+	x.judge = scenario.NewJudge(scenario.Rules{MaxAttempts: set.Limits.MaxAttempts, AnswerSlack: settings.Duration(g.Slack), DrainGrace: settings.Duration(g.Grace),
+		SlowStartFrom: g.ColdFrom, SlowStartFor: settings.Duration(g.Cold), OverloadFactor: g.Overload, OverloadWindow: settings.Duration(g.Fall)})
 	if err := os.RemoveAll(x.dir); err != nil { // of an earlier rehearsal
 		return nil, err
 	}
@@ -356,7 +356,7 @@
 	}
 	m.name = m.ID
 	m.Capacity = fakes.Capacity{Cores: r.plan.Cores[i], MaxConnections: f.MaxConnections, ConnectionWork: scenario.Millis(f.ConnectionWorkMs), GroupWork: scenario.Millis(f.GroupWorkMs),
-		SlowStartFrom: g.ColdFrom, SlowStartFor: settings.Span(g.Cold), ReportInterval: scenario.Millis(f.ReportAgeMs), ReportError: f.ReportError, ReportFields: r.set.Report.Names}
+		SlowStartFrom: g.ColdFrom, SlowStartFor: settings.Duration(g.Cold), ReportInterval: scenario.Millis(f.ReportAgeMs), ReportError: f.ReportError, ReportFields: r.set.Report.Names}
 	open := map[string]string{} // attempts by the sending address: only one end of each is told
 	var mu sync.Mutex
 	m.OnAttempt = func(a fakes.Attempt) {
--- a/internal/settings/problems.go
+++ b/internal/settings/problems.go
@@ -5,23 +5,25 @@
 	"slices"
 )
 
-// Problem is a setting with which the relay would start, yet could not do its work.
-type Problem struct {
+// InvalidSetting is a setting with which the relay would start, yet could not do its work.
+type InvalidSetting struct {
 	Key    string
 	Value  any
 	Reason string
 }
 
 // Error names the setting, its value and the reason.
-func (p Problem) Error() string { return fmt.Sprintf("settings.%s: %v: %s", p.Key, p.Value, p.Reason) }
+func (p InvalidSetting) Error() string {
+	return fmt.Sprintf("settings.%s: %v: %s", p.Key, p.Value, p.Reason)
+}
 
-// Problems names every setting that cannot work, in the order of the page of sites. A relay starts all the same, with
+// Validate names every setting that cannot work, in the order of the page of sites. A relay starts all the same, with
 // safe values in their place: an instance that does not start serves nobody. It is for whoever writes a site's settings.
-func (s *Settings) Problems() []error {
+func (s *Settings) Validate() []error {
 	var found []error
 	refuse := func(bad bool, key string, value any, reason string) {
 		if bad {
-			found = append(found, Problem{key, value, reason})
+			found = append(found, InvalidSetting{key, value, reason})
 		}
 	}
 	span := func(ms float64, key string) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -98,10 +98,10 @@
 		PassThrough: s.Extra.Mode == "pass", Subscribe: s.Discovery == "subscribe",
 		CanProbe: s.Limits.Probes, CanCancel: s.Limits.Cancel,
 		MaxAttempts:    s.Limits.MaxAttempts,
-		ConnectTimeout: Span(s.Limits.ConnectTimeout), MaxRetryAfter: Span(s.Limits.MaxRetryAfter),
-		MaxPollInterval: Span(s.Guarantees.AskWithin), AnswerSlack: Span(s.Guarantees.Slack),
-		SlowStartMinCapacity: s.Guarantees.ColdFrom, SlowStartDuration: Span(s.Guarantees.Cold),
-		OverloadFactor: s.Guarantees.Overload, OverloadWindow: Span(s.Guarantees.Fall),
+		ConnectTimeout: Duration(s.Limits.ConnectTimeout), MaxRetryAfter: Duration(s.Limits.MaxRetryAfter),
+		MaxPollInterval: Duration(s.Guarantees.AskWithin), AnswerSlack: Duration(s.Guarantees.Slack),
+		SlowStartMinCapacity: s.Guarantees.ColdFrom, SlowStartDuration: Duration(s.Guarantees.Cold),
+		OverloadFactor: s.Guarantees.Overload, OverloadWindow: Duration(s.Guarantees.Fall),
 		CrossZonePrice: s.Prices.CrossZone,
 		ProbePrice:     s.Prices.Probe,
 	}
@@ -112,9 +112,9 @@
 		set.Reports = policy.ReportsInline
 	}
 	for i, c := range s.Classes {
-		class := policy.Class{LatencyObjective: Span(c.Aim), Deadline: Span(c.Deadline), DedupWindow: Span(c.Window), PriorityWeight: c.Worth}
+		class := policy.Class{LatencyObjective: Duration(c.Aim), Deadline: Duration(c.Deadline), DedupWindow: Duration(c.Window), PriorityWeight: c.Worth}
 		if i < len(s.Extra.MessageAim) {
-			class.MessageLatencyObjective = Span(s.Extra.MessageAim[i])
+			class.MessageLatencyObjective = Duration(s.Extra.MessageAim[i])
 		}
 		switch c.Effect {
 		case "read_like":
@@ -184,14 +184,14 @@
 	return report
 }
 
-// Span is a number of milliseconds as a duration, 0 if that is no sane time.
-func Span(ms float64) time.Duration {
-	d, _ := Millis(ms)
+// Duration is a number of milliseconds as a duration, 0 if that is no sane time.
+func Duration(ms float64) time.Duration {
+	d, _ := ParseMillis(ms)
 	return d
 }
 
-// Millis turns milliseconds into a duration; false if they are no sane time.
-func Millis(ms float64) (time.Duration, bool) {
+// ParseMillis turns milliseconds into a duration; false if they are no sane time.
+func ParseMillis(ms float64) (time.Duration, bool) {
 	const most = 9e12 // some 285 years, what a Duration holds
 	if math.IsNaN(ms) || ms < -most || ms > most {
 		return 0, false
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -101,7 +101,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			found := s.Problems()
+			found := s.Validate()
 			if path == "" && len(found) == 0 {
 				continue
 			}
--- a/internal/wire/cursor.go
+++ b/internal/wire/cursor.go
@@ -46,7 +46,7 @@
 
 // ms reads a clock time; one that makes no sense counts as absent.
 func (c *cursor) ms() time.Duration {
-	t, _ := settings.Millis(c.f64())
+	t, _ := settings.ParseMillis(c.f64())
 	return t
 }
 
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -98,7 +98,7 @@
 	size := binary.LittleEndian.Uint32(header[:])
 	count := binary.LittleEndian.Uint32(header[12:])
 	clock := math.Float64frombits(binary.LittleEndian.Uint64(header[4:]))
-	now, ok := settings.Millis(clock)
+	now, ok := settings.ParseMillis(clock)
 	switch {
 	case !ok:
 		return fmt.Errorf("%w: clock %v", ErrMalformed, clock)
@@ -249,7 +249,7 @@
 		case noteLoad:
 			b.UpdateLoad(now, r, value/1e6)
 		case noteSlow:
-			if slow, ok := settings.Millis(value); ok {
+			if slow, ok := settings.ParseMillis(value); ok {
 				b.ObserveLatency(now, r, slow)
 			}
 		}
