--- a/policy/arrival.go
+++ b/policy/arrival.go
@@ -33,7 +33,7 @@
 	b.tokens += b.probeAllowance() // it was a request once, and has to be looked after all the same
 	if s := b.byID[id]; s != nil {
 		b.occupy(now, r, s)
-		s.recent = nil // its reports know of it
+		s.pendingPlacements = nil // its reports know of it
 	} else {
 		delete(b.requests, q.ID)
 	}
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -13,23 +13,23 @@
 	if k := b.kinds[s.Kind]; k != nil && k.capacity > 0 {
 		prior = s.Weight * k.inflight / k.capacity
 	}
-	return b.unit() * b.warmth(now, s) * (priorReports*prior + s.reports*s.capacity) / (priorReports + s.reports)
+	return b.unit() * b.warmth(now, s) * (priorReports*prior + s.reportCount*s.capacity) / (priorReports + s.reportCount)
 }
 
 // usedOf is the load on a server: its report, which loses weight with age, and what was placed since.
 func (b *Balancer) usedOf(now time.Duration, s *server) float64 {
 	fill := b.zones[s.Zone].fill
 	x := fill
-	if s.has {
-		trust := 1 / (1 + max(0, (now-s.since).Seconds())/b.slowest.Seconds())
+	if s.hasReport {
+		trust := 1 / (1 + max(0, (now-s.reportChangedAt).Seconds())/b.slowest.Seconds())
 		// What is piled up keeps every message waiting: it counts as load to be gone by the next report.
 		x = trust*(s.report.Load+max(s.report.Backlog, 0)/b.lag().Seconds()) + (1-trust)*fill
 	} else if b.set.Reports == ReportsOff {
 		// Nothing is reported: this proxy's own connections, taken for a fair sample, are all there is.
-		x = fill * (s.mine + 1) / ((b.mine+1)/max(float64(len(b.servers)), 1) + 1)
+		x = fill * (s.ownFlows + 1) / ((b.mine+1)/max(float64(len(b.servers)), 1) + 1)
 	}
 	used := x * b.capacityOf(now, s)
-	for _, p := range s.recent {
+	for _, p := range s.pendingPlacements {
 		if now-p.at < 2*b.horizon {
 			used += p.load
 		}
@@ -40,7 +40,7 @@
 // foreignShare estimates which part of a server's connections is foreign there.
 func (b *Balancer) foreignShare(s *server) float64 {
 	wide := (b.alien + shrink*0.5) / (b.mine + shrink) // knowing nothing, half
-	return (s.alien + shrink*wide) / (s.mine + shrink)
+	return (s.foreignFlows + shrink*wide) / (s.ownFlows + shrink)
 }
 
 // adapt moves h of a tenant's servers: the highest that its owner tolerates (paper 5.4).
@@ -59,7 +59,7 @@
 func (b *Balancer) serving() float64 {
 	all, told := 0.0, 0.0
 	for _, s := range b.servers {
-		if s.has && s.report.Connections >= 0 {
+		if s.hasReport && s.report.Connections >= 0 {
 			all, told = all+s.report.Connections, told+1
 		}
 	}
--- a/policy/facade_test.go
+++ b/policy/facade_test.go
@@ -112,7 +112,7 @@
 		for range 2 * failsServer {
 			f.Observe(t0, ProbeResult{Server: server, Result: result, Report: NoReport})
 		}
-		if got := f.b.byID[server].bad; got != bad {
+		if got := f.b.byID[server].ejected; got != bad {
 			t.Errorf("after probes that ended %v: bad %v", result, got)
 		}
 	}
@@ -139,10 +139,10 @@
 	next := begin(now)
 	next.Restore(now, old.LearnedState(t0+time.Second))
 	got, bad := next.b.byID[servers[0].ID], next.b.byID[servers[1].ID]
-	if got.capacity != s.capacity || got.capacity == 0 || !got.has || got.report.Load != 0.5 || got.since != now-time.Second {
+	if got.capacity != s.capacity || got.capacity == 0 || !got.hasReport || got.report.Load != 0.5 || got.reportChangedAt != now-time.Second {
 		t.Errorf("learned %+v, recalled %+v", s, got)
 	}
-	if !bad.bad || bad.fails != failsServer {
+	if !bad.ejected || bad.failures != failsServer {
 		t.Errorf("a condemned server is taken for %+v", bad.health)
 	}
 	// From hours ago, on a clock that is younger than that: what was there before is known, and what has started since is not.
@@ -227,13 +227,13 @@
 		server := fleet(1, 1)[0].ID
 		f.Pick(t0, Request{ID: 1, Deadline: t0 + 2*time.Second, Load: 0.1})
 		f.Observe(t0, ProbeResult{Server: server, Result: OK, Report: Report{Connections: 1, Load: 0.1, Util: -1}})
-		if s, r := f.b.byID[server], f.b.requests[1]; s.mine != 1 || r == nil || !r.open {
-			t.Fatalf("%v connections, request %+v", s.mine, r)
+		if s, r := f.b.byID[server], f.b.requests[1]; s.ownFlows != 1 || r == nil || !r.open {
+			t.Fatalf("%v connections, request %+v", s.ownFlows, r)
 		}
 		f.Observe(t0, SendSkipped{ID: 1, Final: closed})
 		r := f.b.requests[1]
-		if s := f.b.byID[server]; s.mine != 0 || len(s.conns) != 0 || closed != (r == nil) {
-			t.Errorf("closed %v: %v connections, request %+v", closed, s.mine, r)
+		if s := f.b.byID[server]; s.ownFlows != 0 || len(s.conns) != 0 || closed != (r == nil) {
+			t.Errorf("closed %v: %v connections, request %+v", closed, s.ownFlows, r)
 		}
 		if r != nil && (r.tries != 1 || r.ran || r.open) {
 			t.Errorf("%d tries, ran %v, open %v", r.tries, r.ran, r.open)
--- a/policy/health.go
+++ b/policy/health.go
@@ -14,31 +14,31 @@
 // answers takes a server back that has answered a probe. Its failures stay counted until a connection stands:
 // one that fails connections may well answer probes, and would draw the next ones for being empty.
 func (b *Balancer) answers(s *server) {
-	s.bad, b.zones[s.Zone].health = false, health{}
+	s.ejected, b.zones[s.Zone].health = false, health{}
 }
 
 // fail counts a failure against a server and its zone. A second in a row condemns the server, and a few
 // in a row from one zone the zone: then neither is sent to until a pause is over and a probe has been
 // answered.
 func (b *Balancer) fail(now time.Duration, s *server) {
-	if now >= s.until {
-		s.fails++
+	if now >= s.retryAt {
+		s.failures++
 	}
-	if s.fails == 1 && b.set.CanProbe && !s.probing {
+	if s.failures == 1 && b.set.CanProbe && !s.probing {
 		b.probe(s) // one failure is no verdict: ask
 	}
 	b.condemn(now, &s.health, failsServer)
 	z := &b.zones[s.Zone]
-	z.fails++
+	z.failures++
 	if s.Zone != b.set.Zone {
 		b.condemn(now, &z.health, failsZone)
 	}
 }
 
 func (b *Balancer) condemn(now time.Duration, h *health, most int) {
-	if h.fails < most || now < h.until { // what was under way when it was condemned is no further sign
+	if h.failures < most || now < h.retryAt { // what was under way when it was condemned is no further sign
 		return
 	}
-	pause := float64(b.set.ConnectTimeout) * math.Exp2(float64(min(h.fails-most+1, backOffMost)))
-	h.bad, h.until = b.set.CanProbe, now+time.Duration(pause*(0.5+b.rng.Float64()))
+	pause := float64(b.set.ConnectTimeout) * math.Exp2(float64(min(h.failures-most+1, backOffMost)))
+	h.ejected, h.retryAt = b.set.CanProbe, now+time.Duration(pause*(0.5+b.rng.Float64()))
 }
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -28,7 +28,7 @@
 	Age      time.Duration `json:"Age"`  // of that report
 	Failures int           `json:"Fails"`
 	Ejected  bool          `json:"Bad"`
-	Backoff  time.Duration `json:"Pause"` // until it may be tried again
+	Backoff  time.Duration `json:"Pause"` // retryAt it may be tried again
 	Uptime   time.Duration `json:"Up"`    // since its start; 0 if long ago
 }
 
@@ -44,10 +44,10 @@
 		l.Kinds[kind] = [2]float64{k.inflight, k.capacity}
 	}
 	for _, s := range b.servers {
-		kept := LearnedServer{Capacity: s.capacity, Reports: s.reports, Load: -1, Failures: s.fails, Ejected: s.bad,
-			Backoff: max(s.until-now, 0)}
-		if s.has && s.report.Load <= math.MaxFloat64 {
-			kept.Load, kept.Age = s.report.Load, now-s.since
+		kept := LearnedServer{Capacity: s.capacity, Reports: s.reportCount, Load: -1, Failures: s.failures, Ejected: s.ejected,
+			Backoff: max(s.retryAt-now, 0)}
+		if s.hasReport && s.report.Load <= math.MaxFloat64 {
+			kept.Load, kept.Age = s.report.Load, now-s.reportChangedAt
 		}
 		if s.Started != 0 {
 			kept.Uptime = now - s.Started
@@ -77,14 +77,14 @@
 		if !known || s.Started != 0 && s.Started > now-l.Age { // it is another process by now
 			continue
 		}
-		s.capacity, s.reports = kept.Capacity, kept.Reports
+		s.capacity, s.reportCount = kept.Capacity, kept.Reports
 		if up := now - kept.Uptime; kept.Uptime > 0 && up > s.Started {
 			s.Started = up
 		}
-		s.fails, s.bad, s.until = kept.Failures, kept.Ejected, now+kept.Backoff
+		s.failures, s.ejected, s.retryAt = kept.Failures, kept.Ejected, now+kept.Backoff
 		if kept.Load >= 0 {
-			s.report, s.has = Report{Connections: -1, Load: kept.Load, Util: -1, Backlog: -1}, true
-			s.since, s.reported = now-kept.Age, now-kept.Age
+			s.report, s.hasReport = Report{Connections: -1, Load: kept.Load, Util: -1, Backlog: -1}, true
+			s.reportChangedAt, s.reportedAt = now-kept.Age, now-kept.Age
 		}
 	}
 }
--- a/policy/members.go
+++ b/policy/members.go
@@ -27,8 +27,8 @@
 // while no request comes: what piles up there shows nowhere else.
 func (b *Balancer) look(now time.Duration) {
 	for _, s := range b.servers {
-		if b.tokens >= 1 && s.State == Ready && !s.probing && now-s.reported >= b.lag()/2 &&
-			(s.mine > 0 || s.bad && now >= s.until) {
+		if b.tokens >= 1 && s.State == Ready && !s.probing && now-s.reportedAt >= b.lag()/2 &&
+			(s.ownFlows > 0 || s.ejected && now >= s.retryAt) {
 			b.probe(s)
 		}
 	}
@@ -76,7 +76,7 @@
 		}
 	}
 	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool {
-		if s.State == Gone && s.mine == 0 {
+		if s.State == Gone && s.ownFlows == 0 {
 			delete(b.byID, s.ID)
 			return true
 		}
@@ -112,10 +112,10 @@
 		b.chill(now, s)
 	} else if e.Started > s.Started {
 		// A new process: what was known of the old one is void.
-		s.health, s.has, s.recent = health{}, false, nil
+		s.health, s.hasReport, s.pendingPlacements = health{}, false, nil
 		b.chill(now, s)
 	}
-	s.Server, s.arm = e, b.inArm(e.ID)
+	s.Server, s.inCanary = e, b.inArm(e.ID)
 }
 
 // owner is the tenant whose slice a server belongs to. It depends on the id and the shares alone, so
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -12,7 +12,7 @@
 	if r := b.requests[id]; r != nil && r.open {
 		r.established, r.done = true, true
 		b.good(r.at)
-		r.at.fulls = 0
+		r.at.consecutiveFull = 0
 		b.daring = min(b.daring+learn, 1)
 		b.pressed -= learn * b.pressed
 	}
@@ -37,9 +37,9 @@
 	case Full:
 		// Its queue of new connections is what is full, which no report shows: leave it alone for a
 		// moment. A second in a row, as from a server that drains unlisted, doubles the moment.
-		s.fulls++
-		pause := float64(b.horizon) * math.Exp2(float64(min(s.fulls-1, backOffMost)))
-		s.until = now + time.Duration(pause*(0.5+b.rng.Float64()))
+		s.consecutiveFull++
+		pause := float64(b.horizon) * math.Exp2(float64(min(s.consecutiveFull-1, backOffMost)))
+		s.retryAt = now + time.Duration(pause*(0.5+b.rng.Float64()))
 	}
 	r.done = r.done || o.Final
 	r.ran = r.ran || o.Result != Full && o.Result != ConnectFailed && o.Result != NotSent
@@ -67,7 +67,7 @@
 func (b *Balancer) widely() bool {
 	failing := 0
 	for _, s := range b.servers {
-		if s.fails > 0 {
+		if s.failures > 0 {
 			failing++
 		}
 	}
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -142,8 +142,8 @@
 
 // usable says whether a server may be sent this request at all, room aside.
 func (b *Balancer) usable(now time.Duration, r *request, s *server) bool {
-	return !slices.Contains(r.tried, s.ID) && r.maySendTo(b, now, s) && now >= s.until &&
-		now >= b.zones[s.Zone].until
+	return !slices.Contains(r.tried, s.ID) && r.maySendTo(b, now, s) && now >= s.retryAt &&
+		now >= b.zones[s.Zone].retryAt
 }
 
 // ask probes candidates of the stage whose report is old, within the budget, and says whether to wait
@@ -164,7 +164,7 @@
 		b.rng.Shuffle(len(want), func(i, j int) { want[i], want[j] = want[j], want[i] })
 	}
 	for _, s := range want[:min(len(want), probeTier)] {
-		fresh := s.has && now-s.reported < 2*b.horizon && (s.mine < shrink || s.placed <= s.reported)
+		fresh := s.hasReport && now-s.reportedAt < 2*b.horizon && (s.ownFlows < shrink || s.placedAt <= s.reportedAt)
 		if fresh || b.tokens < 1 && !s.probing {
 			continue
 		}
@@ -206,7 +206,7 @@
 		if r.MidFlow {
 			return s // the first in the order of its key most likely holds the connection
 		}
-		if s.bad || !b.warmEnough(now, r, s) || b.probeAllowance() > 0 && !s.has && b.warmth(now, s) == 1 {
+		if s.ejected || !b.warmEnough(now, r, s) || b.probeAllowance() > 0 && !s.hasReport && b.warmth(now, s) == 1 {
 			continue
 		}
 		k, used := b.capacityOf(now, s), b.usedOf(now, s)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -295,7 +295,7 @@
 func TestForeignShare(t *testing.T) {
 	b := New(settings(), 1, &recorder{})
 	b.alien, b.mine = 10, 100
-	few, many := &server{mine: 1, alien: 1}, &server{mine: 100, alien: 100}
+	few, many := &server{ownFlows: 1, foreignFlows: 1}, &server{ownFlows: 100, foreignFlows: 100}
 	if got := b.foreignShare(few); got > 0.4 {
 		t.Errorf("one foreign connection makes a share of %v", got)
 	}
@@ -592,11 +592,11 @@
 		for n := range 20 {
 			g.now += ms
 			for _, s := range g.servers {
-				g.load[s.ID], g.count[s.ID] = 0.1+0.01*s.mine, s.mine
+				g.load[s.ID], g.count[s.ID] = 0.1+0.01*s.ownFlows, s.ownFlows
 			}
 			id := g.ask(Request{Group: uint64(n + 2), Load: -1})
 			if g.where(id) == 0 {
-				t.Fatalf("%s: client %d found no room, with %v and %v connections", name, n, g.servers[0].mine, g.servers[1].mine)
+				t.Fatalf("%s: client %d found no room, with %v and %v connections", name, n, g.servers[0].ownFlows, g.servers[1].ownFlows)
 			}
 			g.Established(g.now, id)
 		}
@@ -604,7 +604,9 @@
 }
 
 // spendCold is what a send spends of a cold server's budget.
-func spendCold(s *server) { s.coldTokens, s.coldSent = s.coldTokens-1, s.coldSent+1 }
+func spendCold(s *server) {
+	s.slowStartTokens, s.slowStartSent = s.slowStartTokens-1, s.slowStartSent+1
+}
 
 // TestColdBudget guards against cold servers that stand idle while others are pressed: over its warm-up one gets most
 // of what the rule allows at the least capacity it can have, and never all of it.
@@ -901,18 +903,18 @@
 	g := newRig(settings(), fleet(6, 1))
 	s := g.servers[0]
 	g.fail(g.now, s)
-	if s.bad {
+	if s.ejected {
 		t.Error("one failure condemned the server")
 	}
 	if len(g.probes) != 1 || g.probes[0] != s.ID {
 		t.Errorf("after one failure probed %v", g.probes)
 	}
 	g.ProbeResult(g.now, s.ID, Timeout, NoReport)
-	if !s.bad || s.until <= g.now {
+	if !s.ejected || s.retryAt <= g.now {
 		t.Error("two failures in a row did not condemn the server")
 	}
 	g.ProbeResult(g.now, s.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
-	if s.bad {
+	if s.ejected {
 		t.Error("a probe that was answered did not bring it back")
 	}
 }
@@ -923,12 +925,12 @@
 	set.Zones = 2
 	g := newRig(set, fleet(20, 2))
 	for _, s := range g.servers {
-		if n := g.zones[s.Zone].fails; n < failsZone {
+		if n := g.zones[s.Zone].failures; n < failsZone {
 			g.fail(g.now, s)
 		}
 	}
-	if !g.zones[1].bad || g.zones[0].bad {
-		t.Errorf("other zone condemned: %v, own zone: %v", g.zones[1].bad, g.zones[0].bad)
+	if !g.zones[1].ejected || g.zones[0].ejected {
+		t.Errorf("other zone condemned: %v, own zone: %v", g.zones[1].ejected, g.zones[0].ejected)
 	}
 }
 
@@ -964,9 +966,9 @@
 		g.now += time.Minute
 		id := g.ask(Request{Tenant: 0})
 		s := g.byID[g.where(id)]
-		s.fulls = 2 * i
+		s.consecutiveFull = 2 * i
 		g.AttemptEnded(g.now, Outcome{ID: id, Server: s.ID, Result: Full, Report: NoReport})
-		if pause := s.until - g.now; pause <= last {
+		if pause := s.retryAt - g.now; pause <= last {
 			t.Errorf("pause %v after %v", pause, last)
 		} else {
 			last = pause
@@ -1147,7 +1149,7 @@
 		g := newRig(settings(), fleet(4, 1))
 		for round := range 20 {
 			for _, s := range g.servers[:most] {
-				s.until, s.bad = 0, false
+				s.retryAt, s.ejected = 0, false
 				q := Request{ID: RequestID(100 + 4*round), Deadline: g.now + time.Second, Load: 0.01}
 				q.ID += RequestID(s.ID) % 4 * 1000
 				g.admit(g.now, q)
@@ -1343,7 +1345,7 @@
 		t.Errorf("capacity %.1f connections of %.2f each, once loads of 0.04 are known", n, g.unit())
 	}
 	// What ends frees what it was last said to weigh, not what was guessed when it came.
-	s.recent = nil
+	s.pendingPlacements = nil
 	before := g.usedOf(g.now, s)
 	g.AttemptEnded(g.now, Outcome{ID: 900, Server: id, Result: OK, Final: true, Report: NoReport})
 	if freed := before - g.usedOf(g.now, s); freed < 0.039 || freed > 0.041 {
@@ -1386,28 +1388,28 @@
 	for range failsServer {
 		g.fail(g.now, s)
 	}
-	until := s.until
+	until := s.retryAt
 	for range 5 {
 		g.fail(g.now, s)
 	}
 	g.probes, s.probing = nil, false
 	g.look(g.now)
-	if !s.bad || s.until != until || s.fails != failsServer || len(g.probes) != 0 {
-		t.Fatalf("bad %v, %d failures, pause moved by %v, probed %v", s.bad, s.fails, s.until-until, g.probes)
+	if !s.ejected || s.retryAt != until || s.failures != failsServer || len(g.probes) != 0 {
+		t.Fatalf("bad %v, %d failures, pause moved by %v, probed %v", s.ejected, s.failures, s.retryAt-until, g.probes)
 	}
 	g.now = until
 	g.ProbeResult(g.now, s.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
-	if s.bad {
+	if s.ejected {
 		t.Fatal("it answered, and is not back")
 	}
-	if g.fail(g.now, s); !s.bad {
+	if g.fail(g.now, s); !s.ejected {
 		t.Fatal("it fails on, and is not condemned")
 	}
-	g.now = s.until
+	g.now = s.retryAt
 	g.ProbeResult(g.now, s.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
 	id := g.ask(Request{Load: 0.1})
 	g.Established(g.now, id)
-	if g.fail(g.now, s); s.bad {
+	if g.fail(g.now, s); s.ejected {
 		t.Error("condemned for one failure after a connection stood")
 	}
 }
--- a/policy/relief.go
+++ b/policy/relief.go
@@ -13,14 +13,14 @@
 // earns least for its load goes first: the fewest clients move, and the least worth waits for room.
 func (b *Balancer) relieve(now time.Duration, s *server) {
 	x := b.usedOf(now, s) / b.capacityOf(now, s)
-	if s.told.Load > jolt {
-		x = min(x, max(s.before, 1))
+	if s.rawReport.Load > jolt {
+		x = min(x, max(s.previousLoad, 1))
 	}
 	// Guards against emptying it twice for one and the same overload, which a report shows for a while yet.
-	if x <= brim || s.relieved > 0 && s.toldAt-b.horizon < s.relieved {
+	if x <= brim || s.relievedAt > 0 && s.rawReportAt-b.horizon < s.relievedAt {
 		return
 	}
-	s.relieved = now
+	s.relievedAt = now
 	left := 0.0
 	for _, r := range s.conns {
 		left += b.loadOf(r)
--- a/policy/reports.go
+++ b/policy/reports.go
@@ -19,14 +19,14 @@
 			b.take(now, s, report)
 			// A message waits for what is piled up, or where that is not told for what is asked beyond capacity.
 			full := report.Backlog > b.messageAim.Seconds()/2 || report.Backlog < 0 && report.Load > over
-			if full && now-s.relieved >= b.lag() {
+			if full && now-s.relievedAt >= b.lag() {
 				b.relieve(now, s)
 			}
 		case Full: // it answers, but too many ask: not a failure
 			b.answers(s)
 		case NotSent: // it was not asked
 		default:
-			if b.fail(now, s); s.bad && result == Timeout {
+			if b.fail(now, s); s.ejected && result == Timeout {
 				b.empty(s) // it says nothing at all, and so nothing to its clients
 			}
 		}
@@ -50,14 +50,14 @@
 	if !(p.Load >= 0) || math.IsInf(p.Load, 0) {
 		return
 	}
-	if !s.has || p != s.report {
-		s.since = now
+	if !s.hasReport || p != s.report {
+		s.reportChangedAt = now
 	}
-	if p != s.told {
-		s.told, s.before, s.toldAt = p, s.told.Load, now
+	if p != s.rawReport {
+		s.rawReport, s.previousLoad, s.rawReportAt = p, s.rawReport.Load, now
 	}
-	s.recent = slices.DeleteFunc(s.recent, func(x placement) bool { return now-x.at >= 2*b.horizon })
-	s.report, s.reported, s.has = p, now, true
+	s.pendingPlacements = slices.DeleteFunc(s.pendingPlacements, func(x placement) bool { return now-x.at >= 2*b.horizon })
+	s.report, s.reportedAt, s.hasReport = p, now, true
 	b.zones[s.Zone].fill += learn * (min(p.Load, 2) - b.zones[s.Zone].fill)
 	if p.Connections > 0 && p.Load > 0.05 && b.warmth(now, s) == 1 { // an idle server tells nothing of k
 		// Connections against load over capacity: pooled over the kind, and for the server itself.
@@ -68,8 +68,8 @@
 		}
 		k.inflight = k.inflight*(1-learn/4) + p.Connections
 		k.capacity = k.capacity*(1-learn/4) + p.Load*s.Weight
-		s.capacity = (s.capacity*s.reports + p.Connections/p.Load) / (s.reports + 1)
-		s.reports = min(s.reports+1, 4*priorReports)
+		s.capacity = (s.capacity*s.reportCount + p.Connections/p.Load) / (s.reportCount + 1)
+		s.reportCount = min(s.reportCount+1, 4*priorReports)
 	}
 }
 
@@ -92,7 +92,7 @@
 	}
 	s := r.at
 	if aim := b.set.Classes[r.Class].MessageLatencyObjective; message > aim {
-		s.report.Load, s.since = max(s.report.Load, 1), now
+		s.report.Load, s.reportChangedAt = max(s.report.Load, 1), now
 	} else if message < aim/2 {
 		return
 	}
--- a/policy/sending.go
+++ b/policy/sending.go
@@ -11,8 +11,8 @@
 	if r.done || r.open || r.tries >= b.set.MaxAttempts || now >= r.Deadline || s.State != Ready {
 		return false
 	}
-	if !r.ran || s.arm != r.arm {
-		return s.arm == r.arm
+	if !r.ran || s.inCanary != r.arm {
+		return s.inCanary == r.arm
 	}
 	switch c := b.set.Classes[r.Class]; c.Idempotency {
 	case Idempotent:
@@ -46,8 +46,8 @@
 	if !r.ran {
 		r.ranAt, r.ranOn = now, s.Server
 	}
-	s.coldTokens -= b.loadOf(r) / b.unit()
-	s.coldSent += b.loadOf(r) / b.unit()
+	s.slowStartTokens -= b.loadOf(r) / b.unit()
+	s.slowStartSent += b.loadOf(r) / b.unit()
 	b.occupy(now, r, s)
 	if !foreign {
 		b.adapt(r, hStep*tolerance)
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -20,8 +20,8 @@
 // few requests comes late with what it may send, and nothing was sent before the server was listed.
 func (b *Balancer) chill(now time.Duration, s *server) {
 	early := b.set.OverloadWindow.Seconds() * (1/coldPart - 1)
-	s.coldDraw, s.coldSent = b.rng.Float64(), 0
-	s.coldTokens, s.coldRefilled = -s.coldDraw, now-time.Duration(early*float64(time.Second))
+	s.slowStartOffset, s.slowStartSent = b.rng.Float64(), 0
+	s.slowStartTokens, s.slowStartRefilledAt = -s.slowStartOffset, now-time.Duration(early*float64(time.Second))
 }
 
 // warmEnough keeps this proxy within its part of what all may send to a cold server together.
@@ -35,15 +35,15 @@
 	}
 	// In mean loads a second: filling it over its warm-up, at the part of its capacity that it surely has.
 	rate := coldPart * b.set.OverloadFactor * k / b.set.SlowStartDuration.Seconds() / rivals
-	if now-s.coldRefilled > b.set.OverloadWindow && s.coldTokens+rate*(now-s.coldRefilled).Seconds() >= 0 {
+	if now-s.slowStartRefilledAt > b.set.OverloadWindow && s.slowStartTokens+rate*(now-s.slowStartRefilledAt).Seconds() >= 0 {
 		// Nothing was asked of it for a window. What many proxies save in such a time they could use all at once.
 		b.chill(now, s)
 	}
-	s.coldTokens = min(s.coldTokens+rate*(now-s.coldRefilled).Seconds(), 1)
-	s.coldRefilled = now
+	s.slowStartTokens = min(s.slowStartTokens+rate*(now-s.slowStartRefilledAt).Seconds(), 1)
+	s.slowStartRefilledAt = now
 	// What it bears now, as far as a window allows, is there from the start, by the same draw: tokens that
 	// accrue came 2 to 5 s late. A send pays for both, so all together spend the larger of the two.
 	atOnce := min(brim*k/rivals, rate/coldPart*b.set.OverloadWindow.Seconds())
 	// A heavy connection could spend the budget of all proxies at one stroke.
-	return (s.coldTokens >= 0 || s.coldSent+s.coldDraw <= atOnce) && b.loadOf(r) <= 2*b.unit()
+	return (s.slowStartTokens >= 0 || s.slowStartSent+s.slowStartOffset <= atOnce) && b.loadOf(r) <= 2*b.unit()
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -20,9 +20,9 @@
 
 // health counts failures in a row. It is kept for each server and each zone.
 type health struct {
-	fails int
-	until time.Duration // not to be used before; then a probe must succeed first
-	bad   bool
+	failures int
+	retryAt  time.Duration // not to be used before; then a probe must succeed first
+	ejected  bool
 }
 
 // placement is a change of load that a server's report cannot know of yet.
@@ -39,29 +39,29 @@
 type server struct {
 	Server
 	health
-	owner        int  // tenant whose slice it belongs to
-	arm          bool // it is of a canary's arm
-	report       Report
-	reported     time.Duration // when the report came
-	since        time.Duration // when these values were first seen
-	told         Report        // the last one as it came
-	toldAt       time.Duration // when that was first seen
-	before       float64       // the load that the one before told
-	has          bool
-	rank         float64 // place in the order of the key being placed
-	fulls        int     // times in a row that it answered full
-	probing      bool
-	relieved     time.Duration // when own connections were last moved off it for its load
-	capacity     float64       // learned capacity, in connections
-	reports      float64
-	recent       []placement
-	placed       time.Duration // when the last one was
-	conns        []*request    // own connections here, those being set up included
-	mine, alien  float64       // how many they are, and the foreign ones of them
-	coldTokens   float64
-	coldDraw     float64 // where this proxy stands among all in the budget of a cold server
-	coldSent     float64
-	coldRefilled time.Duration
+	owner                  int  // tenant whose slice it belongs to
+	inCanary               bool // it is of a canary's arm
+	report                 Report
+	reportedAt             time.Duration // when the report came
+	reportChangedAt        time.Duration // when these values were first seen
+	rawReport              Report        // the last one as it came
+	rawReportAt            time.Duration // when that was first seen
+	previousLoad           float64       // the load that the one before told
+	hasReport              bool
+	rank                   float64 // place in the order of the key being placed
+	consecutiveFull        int     // times in a row that it answered full
+	probing                bool
+	relievedAt             time.Duration // when own connections were last moved off it for its load
+	capacity               float64       // learned capacity, in connections
+	reportCount            float64
+	pendingPlacements      []placement
+	placedAt               time.Duration // when the last one was
+	conns                  []*request    // own connections here, those being set up included
+	ownFlows, foreignFlows float64       // how many they are, and the foreign ones of them
+	slowStartTokens        float64
+	slowStartOffset        float64 // where this proxy stands among all in the budget of a cold server
+	slowStartSent          float64
+	slowStartRefilledAt    time.Duration
 }
 
 // request is the one owner of what may still be done for a request.
@@ -134,13 +134,13 @@
 // occupy and vacate keep count of what is where.
 func (b *Balancer) occupy(now time.Duration, r *request, s *server) {
 	r.at = s
-	s.recent, s.placed = append(s.recent, placement{now, b.loadOf(r)}), now
+	s.pendingPlacements, s.placedAt = append(s.pendingPlacements, placement{now, b.loadOf(r)}), now
 	b.count(r, s, 1)
 }
 
 func (b *Balancer) vacate(now time.Duration, r *request) {
 	if s := r.at; s != nil {
-		s.recent = append(s.recent, placement{now, -b.loadOf(r)})
+		s.pendingPlacements = append(s.pendingPlacements, placement{now, -b.loadOf(r)})
 		b.count(r, s, -1)
 		r.at, r.open = nil, false
 	}
@@ -152,11 +152,11 @@
 	} else if i := slices.Index(s.conns, r); i >= 0 {
 		s.conns = slices.Delete(s.conns, i, i+1)
 	}
-	s.mine += n
+	s.ownFlows += n
 	b.mine += n
 	b.held[r.Tenant] += n
 	if r.foreign {
-		s.alien += n
+		s.foreignFlows += n
 		b.alien += n
 	}
 }
--- a/policy/waiting.go
+++ b/policy/waiting.go
@@ -36,7 +36,7 @@
 	var bad []*server
 	good := 0
 	for _, s := range b.servers {
-		if s.State == Ready && !s.bad && !b.zones[s.Zone].bad {
+		if s.State == Ready && !s.ejected && !b.zones[s.Zone].ejected {
 			good++
 		} else if r.maySendTo(b, now, s) && b.warmEnough(now, r, s) && !slices.Contains(r.tried, s.ID) {
 			bad = append(bad, s)
