--- a/policy/arrival.go
+++ b/policy/arrival.go
@@ -29,7 +29,7 @@
 		return
 	}
 	r := b.admit(now, q)
-	r.tries, r.established, r.done = 1, true, true
+	r.attempts, r.established, r.answered = 1, true, true
 	b.tokens += b.probeAllowance() // it was a request once, and has to be looked after all the same
 	if s := b.byID[id]; s != nil {
 		b.occupy(now, r, s)
@@ -42,7 +42,7 @@
 func (b *Balancer) admit(now time.Duration, q Request) *request {
 	q.Class = min(max(q.Class, 0), len(b.set.Classes)-1)
 	q.Tenant = min(max(q.Tenant, 0), len(b.set.Tenants)-1)
-	r := &request{Request: q, arrived: now, arm: b.isDrawn(q)}
+	r := &request{Request: q, arrivedAt: now, canary: b.isDrawn(q)}
 	if q.Load > 0 && !math.IsInf(q.Load, 1) {
 		r.load = q.Load
 	}
--- a/policy/facade.go
+++ b/policy/facade.go
@@ -91,8 +91,8 @@
 func (n FlowEstablished) apply(b *Balancer, now time.Duration) { b.Established(now, n.ID) }
 func (n AttemptEnded) apply(b *Balancer, now time.Duration)    { b.AttemptEnded(now, Outcome(n)) }
 func (n SendSkipped) apply(b *Balancer, now time.Duration) {
-	if r := b.requests[n.ID]; r != nil && r.at != nil {
-		b.AttemptEnded(now, Outcome{ID: n.ID, Attempt: r.tries - 1, Server: r.at.ID, Result: NotSent, Final: n.Final, Report: NoReport})
+	if r := b.requests[n.ID]; r != nil && r.server != nil {
+		b.AttemptEnded(now, Outcome{ID: n.ID, Attempt: r.attempts - 1, Server: r.server.ID, Result: NotSent, Final: n.Final, Report: NoReport})
 	}
 }
 func (n ClientGone) apply(b *Balancer, now time.Duration) { b.RequestEnded(now, n.ID) }
--- a/policy/facade_test.go
+++ b/policy/facade_test.go
@@ -227,7 +227,7 @@
 		server := fleet(1, 1)[0].ID
 		f.Pick(t0, Request{ID: 1, Deadline: t0 + 2*time.Second, Load: 0.1})
 		f.Observe(t0, ProbeResult{Server: server, Result: OK, Report: Report{Connections: 1, Load: 0.1, Util: -1}})
-		if s, r := f.b.byID[server], f.b.requests[1]; s.ownFlows != 1 || r == nil || !r.open {
+		if s, r := f.b.byID[server], f.b.requests[1]; s.ownFlows != 1 || r == nil || !r.inFlight {
 			t.Fatalf("%v connections, request %+v", s.ownFlows, r)
 		}
 		f.Observe(t0, SendSkipped{ID: 1, Final: closed})
@@ -235,8 +235,8 @@
 		if s := f.b.byID[server]; s.ownFlows != 0 || len(s.conns) != 0 || closed != (r == nil) {
 			t.Errorf("closed %v: %v connections, request %+v", closed, s.ownFlows, r)
 		}
-		if r != nil && (r.tries != 1 || r.ran || r.open) {
-			t.Errorf("%d tries, ran %v, open %v", r.tries, r.ran, r.open)
+		if r != nil && (r.attempts != 1 || r.mayHaveRun || r.inFlight) {
+			t.Errorf("%d tries, ran %v, open %v", r.attempts, r.mayHaveRun, r.inFlight)
 		}
 		if list := f.Observe(t0, SendSkipped{ID: 1}); len(list) != 0 {
 			t.Errorf("closed %v: verdicts %v on a second word", closed, list)
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -9,10 +9,10 @@
 
 // Established says that a connection stands.
 func (b *Balancer) Established(now time.Duration, id RequestID) {
-	if r := b.requests[id]; r != nil && r.open {
-		r.established, r.done = true, true
-		b.good(r.at)
-		r.at.consecutiveFull = 0
+	if r := b.requests[id]; r != nil && r.inFlight {
+		r.established, r.answered = true, true
+		b.good(r.server)
+		r.server.consecutiveFull = 0
 		b.daring = min(b.daring+learn, 1)
 		b.pressed -= learn * b.pressed
 	}
@@ -24,10 +24,10 @@
 		b.take(now, s, o.Report)
 	}
 	r := b.requests[o.ID]
-	if r == nil || o.Attempt != r.tries-1 || r.at == nil {
+	if r == nil || o.Attempt != r.attempts-1 || r.server == nil {
 		return
 	}
-	s := r.at
+	s := r.server
 	b.vacate(now, r)
 	switch o.Result {
 	case ConnectFailed, Reset, Timeout, Error:
@@ -41,22 +41,22 @@
 		pause := float64(b.horizon) * math.Exp2(float64(min(s.consecutiveFull-1, backOffMost)))
 		s.retryAt = now + time.Duration(pause*(0.5+b.rng.Float64()))
 	}
-	r.done = r.done || o.Final
-	r.ran = r.ran || o.Result != Full && o.Result != ConnectFailed && o.Result != NotSent
-	if r.done {
+	r.answered = r.answered || o.Final
+	r.mayHaveRun = r.mayHaveRun || o.Result != Full && o.Result != ConnectFailed && o.Result != NotSent
+	if r.answered {
 		b.forget(r)
 		return
 	}
-	if now+b.set.AnswerSlack >= r.Deadline || r.tries >= b.set.MaxAttempts {
+	if now+b.set.AnswerSlack >= r.Deadline || r.attempts >= b.set.MaxAttempts {
 		b.end(r)
 		return
 	}
-	r.stage, r.asked = 0, 0
+	r.stage, r.probedStage = 0, 0
 	if o.Result == Timeout || o.Result == Error {
 		if b.widely() {
 			b.daring = max(b.daring*retreat, daringLeast)
 		}
-		pause := float64(b.set.Classes[r.Class].LatencyObjective) / 4 * math.Exp2(float64(r.tries)) * (0.5 + b.rng.Float64())
+		pause := float64(b.set.Classes[r.Class].LatencyObjective) / 4 * math.Exp2(float64(r.attempts)) * (0.5 + b.rng.Float64())
 		b.wait(r, time.Duration(pause))
 		return
 	}
@@ -77,7 +77,7 @@
 // RequestEnded says that the client left or that the request is over.
 func (b *Balancer) RequestEnded(now time.Duration, id RequestID) {
 	if r := b.requests[id]; r != nil {
-		r.done = true
+		r.answered = true
 		b.forget(r)
 	}
 }
@@ -92,15 +92,15 @@
 			b.act.Watch()
 		}
 	case tokenDeadline:
-		if r := b.requests[id]; r != nil && !r.done {
+		if r := b.requests[id]; r != nil && !r.answered {
 			b.end(r)
 		}
 	case tokenLook:
 		b.look(now)
 	case tokenWait:
 		if r := b.requests[id]; r != nil {
-			if r.round--; r.round == 0 {
-				r.waiting = 0
+			if r.pendingTimers--; r.pendingTimers == 0 {
+				r.pendingProbes = 0
 				b.place(now, r)
 			}
 		}
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -33,11 +33,11 @@
 
 // place decides where a connection goes, or asks for the reports it needs to decide.
 func (b *Balancer) place(now time.Duration, r *request) {
-	if r.done || r.open || r.waiting > 0 {
+	if r.answered || r.inFlight || r.pendingProbes > 0 {
 		return
 	}
 	// Guards against a storm: tries that keep a session store down are not sent (daring), as in TCP.
-	if r.asked == 0 && !r.MidFlow && b.rng.Float64() > b.daring {
+	if r.probedStage == 0 && !r.MidFlow && b.rng.Float64() > b.daring {
 		b.end(r)
 		return
 	}
@@ -142,17 +142,17 @@
 
 // usable says whether a server may be sent this request at all, room aside.
 func (b *Balancer) usable(now time.Duration, r *request, s *server) bool {
-	return !slices.Contains(r.tried, s.ID) && r.maySendTo(b, now, s) && now >= s.retryAt &&
+	return !slices.Contains(r.triedServers, s.ID) && r.maySendTo(b, now, s) && now >= s.retryAt &&
 		now >= b.zones[s.Zone].retryAt
 }
 
 // ask probes candidates of the stage whose report is old, within the budget, and says whether to wait
 // for them.
 func (b *Balancer) ask(now time.Duration, r *request, tiered [tiers][]*server) bool {
-	if b.probeAllowance() == 0 || r.MidFlow || r.asked > r.stage {
+	if b.probeAllowance() == 0 || r.MidFlow || r.probedStage > r.stage {
 		return false
 	}
-	r.asked = r.stage + 1 // once: a server that answers without a report must not be asked for ever
+	r.probedStage = r.stage + 1 // once: a server that answers without a report must not be asked for ever
 	want := slices.Clone(tiered[min(r.stage, homeAway)])
 	if r.stage == 2 {
 		want = append(want, tiered[foreignAway]...)
@@ -172,16 +172,16 @@
 			b.probe(s)
 		}
 		b.waiters[s.ID] = append(b.waiters[s.ID], r.ID)
-		r.waiting++
+		r.pendingProbes++
 	}
-	if r.waiting > 0 {
+	if r.pendingProbes > 0 {
 		b.wait(r, b.set.Classes[r.Class].LatencyObjective/8) // a lost probe must not hold the request up
 	}
-	return r.waiting > 0
+	return r.pendingProbes > 0
 }
 
 func (b *Balancer) wait(r *request, d time.Duration) {
-	r.round++
+	r.pendingTimers++
 	b.act.Timer(d, tokenWait|uint64(r.ID))
 }
 
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -710,7 +710,7 @@
 				if g.ends[id] != "" {
 					break
 				}
-				g.AttemptEnded(g.now, Outcome{ID: id, Attempt: g.requests[id].tries - 1, Server: at.ID, Result: tt.result, Report: NoReport})
+				g.AttemptEnded(g.now, Outcome{ID: id, Attempt: g.requests[id].attempts - 1, Server: at.ID, Result: tt.result, Report: NoReport})
 				g.answer()
 				g.fire(1900 * ms)
 			}
--- a/policy/relief.go
+++ b/policy/relief.go
@@ -58,8 +58,8 @@
 
 // move asks the client of an open connection to come again, once.
 func (b *Balancer) move(r *request) {
-	if r.established && !r.moved {
-		r.moved = true
+	if r.established && !r.migrated {
+		r.migrated = true
 		b.act.Migrate(r.ID)
 	}
 }
--- a/policy/reports.go
+++ b/policy/reports.go
@@ -34,8 +34,8 @@
 	waiters := b.waiters[id]
 	delete(b.waiters, id)
 	for _, w := range waiters {
-		if r := b.requests[w]; r != nil && r.waiting > 0 {
-			if r.waiting--; r.waiting == 0 {
+		if r := b.requests[w]; r != nil && r.pendingProbes > 0 {
+			if r.pendingProbes--; r.pendingProbes == 0 {
 				b.place(now, r)
 			}
 		}
@@ -87,10 +87,10 @@
 // ObserveLatency says how long a message takes at the server of an open connection.
 func (b *Balancer) ObserveLatency(now time.Duration, id RequestID, message time.Duration) {
 	r := b.requests[id]
-	if r == nil || r.at == nil {
+	if r == nil || r.server == nil {
 		return
 	}
-	s := r.at
+	s := r.server
 	if aim := b.set.Classes[r.Class].MessageLatencyObjective; message > aim {
 		s.report.Load, s.reportChangedAt = max(s.report.Load, 1), now
 	} else if message < aim/2 {
--- a/policy/sending.go
+++ b/policy/sending.go
@@ -8,25 +8,25 @@
 
 // maySendTo says whether the rules allow an attempt on the server now.
 func (r *request) maySendTo(b *Balancer, now time.Duration, s *server) bool {
-	if r.done || r.open || r.tries >= b.set.MaxAttempts || now >= r.Deadline || s.State != Ready {
+	if r.answered || r.inFlight || r.attempts >= b.set.MaxAttempts || now >= r.Deadline || s.State != Ready {
 		return false
 	}
-	if !r.ran || s.inCanary != r.arm {
-		return s.inCanary == r.arm
+	if !r.mayHaveRun || s.inCanary != r.canary {
+		return s.inCanary == r.canary
 	}
 	switch c := b.set.Classes[r.Class]; c.Idempotency {
 	case Idempotent:
 		return true
 	case IdempotencyKey:
-		return now < r.ranAt+c.DedupWindow && (c.Scope == ScopeAll || c.Scope == ScopeZone && s.Zone == r.ranOn.Zone ||
-			c.Scope == ScopeCell && s.Cell == r.ranOn.Cell)
+		return now < r.firstRunAt+c.DedupWindow && (c.Scope == ScopeAll || c.Scope == ScopeZone && s.Zone == r.firstRunOn.Zone ||
+			c.Scope == ScopeCell && s.Cell == r.firstRunOn.Cell)
 	}
 	return false
 }
 
 func (r *request) mayRefuse(b *Balancer) bool {
 	c := b.set.Classes[r.Class]
-	return c.Idempotency == Idempotent || !r.ran && !r.open || c.Idempotency == IdempotencyKey && c.Scope == ScopeAll
+	return c.Idempotency == Idempotent || !r.mayHaveRun && !r.inFlight || c.Idempotency == IdempotencyKey && c.Scope == ScopeAll
 }
 
 func (b *Balancer) send(now time.Duration, r *request, s *server, foreign bool) {
@@ -36,15 +36,15 @@
 	left := r.Deadline - now
 	// A server that takes an attempt and never answers must leave time for another try.
 	timeout := max(b.set.Classes[r.Class].LatencyObjective, left*6/10)
-	if r.tries+1 >= b.set.MaxAttempts || timeout >= left {
+	if r.attempts+1 >= b.set.MaxAttempts || timeout >= left {
 		timeout = 0
 	}
-	r.tries++
-	r.open = true
+	r.attempts++
+	r.inFlight = true
 	r.foreign = foreign
-	r.tried = append(r.tried, s.ID)
-	if !r.ran {
-		r.ranAt, r.ranOn = now, s.Server
+	r.triedServers = append(r.triedServers, s.ID)
+	if !r.mayHaveRun {
+		r.firstRunAt, r.firstRunOn = now, s.Server
 	}
 	s.slowStartTokens -= b.loadOf(r) / b.unit()
 	s.slowStartSent += b.loadOf(r) / b.unit()
@@ -57,7 +57,7 @@
 
 // end gives the final answer that the rules allow, to a request that has none.
 func (b *Balancer) end(r *request) {
-	r.done = true
+	r.answered = true
 	if r.mayRefuse(b) {
 		// By then reports are new, and as many tries as it takes to be let in now have passed; spread, so that
 		// who were refused together do not come back together. docs/design.md, "Coming again".
@@ -67,15 +67,15 @@
 	} else {
 		b.act.Fail(r.ID)
 	}
-	if r.open && b.set.CanCancel {
-		b.act.Cancel(r.ID, r.tries-1)
+	if r.inFlight && b.set.CanCancel {
+		b.act.Cancel(r.ID, r.attempts-1)
 	}
 	b.forget(r)
 }
 
 // forget drops a request once it is answered and none of its attempts is out.
 func (b *Balancer) forget(r *request) {
-	if r.done && r.at == nil {
+	if r.answered && r.server == nil {
 		delete(b.requests, r.ID)
 	}
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -67,24 +67,24 @@
 // request is the one owner of what may still be done for a request.
 type request struct {
 	Request
-	load        float64 // 0 while it is unknown
-	arrived     time.Duration
-	tries       int
-	stage       int // how far placement has looked: own slice, own zone, everywhere
-	asked       int // the stage up to which it has asked for reports
-	waiting     int // probes it waits for
-	round       int // guards against late wait timers
-	tried       []ServerID
-	at          *server // where the open attempt went
-	foreign     bool
-	arm         bool // it is drawn for a canary's arm
-	open        bool // an attempt is out
-	established bool
-	moved       bool // asked to come again
-	done        bool // has its final answer
-	ran         bool // an attempt may have run
-	ranAt       time.Duration
-	ranOn       Server
+	load          float64 // 0 while it is unknown
+	arrivedAt     time.Duration
+	attempts      int
+	stage         int // how far placement has looked: own slice, own zone, everywhere
+	probedStage   int // the stage up to which it has asked for reports
+	pendingProbes int // probes it waits for
+	pendingTimers int // guards against late wait timers
+	triedServers  []ServerID
+	server        *server // where the open attempt went
+	foreign       bool
+	canary        bool // it is drawn for a canary's arm
+	inFlight      bool // an attempt is out
+	established   bool
+	migrated      bool // probedStage to come again
+	answered      bool // has its final answer
+	mayHaveRun    bool // an attempt may have run
+	firstRunAt    time.Duration
+	firstRunOn    Server
 }
 
 type kind struct{ inflight, capacity float64 } // sums that give the capacity of one unit of weight
@@ -133,16 +133,16 @@
 
 // occupy and vacate keep count of what is where.
 func (b *Balancer) occupy(now time.Duration, r *request, s *server) {
-	r.at = s
+	r.server = s
 	s.pendingPlacements, s.placedAt = append(s.pendingPlacements, placement{now, b.loadOf(r)}), now
 	b.count(r, s, 1)
 }
 
 func (b *Balancer) vacate(now time.Duration, r *request) {
-	if s := r.at; s != nil {
+	if s := r.server; s != nil {
 		s.pendingPlacements = append(s.pendingPlacements, placement{now, -b.loadOf(r)})
 		b.count(r, s, -1)
-		r.at, r.open = nil, false
+		r.server, r.inFlight = nil, false
 	}
 }
 
--- a/policy/waiting.go
+++ b/policy/waiting.go
@@ -12,10 +12,10 @@
 func (b *Balancer) hold(now time.Duration, r *request) {
 	aim := b.set.Classes[r.Class].LatencyObjective
 	again := time.Duration(float64(aim) / 4 * (0.5 + b.rng.Float64()))
-	if b.overShare(r.Tenant) || r.tries >= b.set.MaxAttempts || now+again > min(r.arrived+aim, r.Deadline) ||
-		r.ran && b.set.Classes[r.Class].Idempotency == NonIdempotent {
-		if r.arm { // its arm has no room: limits, drains and cold budgets go before the arm's share
-			r.arm, r.stage, r.asked = false, 0, 0
+	if b.overShare(r.Tenant) || r.attempts >= b.set.MaxAttempts || now+again > min(r.arrivedAt+aim, r.Deadline) ||
+		r.mayHaveRun && b.set.Classes[r.Class].Idempotency == NonIdempotent {
+		if r.canary { // its arm has no room: limits, drains and cold budgets go before the arm's share
+			r.canary, r.stage, r.probedStage = false, 0, 0
 			b.strayed++
 			b.place(now, r)
 			return
@@ -27,7 +27,7 @@
 		b.end(r)
 		return
 	}
-	r.stage, r.asked, r.tried = 0, 0, r.tried[:0]
+	r.stage, r.probedStage, r.triedServers = 0, 0, r.triedServers[:0]
 	b.wait(r, again)
 }
 
@@ -38,7 +38,7 @@
 	for _, s := range b.servers {
 		if s.State == Ready && !s.ejected && !b.zones[s.Zone].ejected {
 			good++
-		} else if r.maySendTo(b, now, s) && b.warmEnough(now, r, s) && !slices.Contains(r.tried, s.ID) {
+		} else if r.maySendTo(b, now, s) && b.warmEnough(now, r, s) && !slices.Contains(r.triedServers, s.ID) {
 			bad = append(bad, s)
 		}
 	}
