--- a/policy/arrival.go
+++ b/policy/arrival.go
@@ -14,9 +14,9 @@
 		return
 	}
 	r := b.admit(now, q)
-	b.tokens = max(b.tokens, min(b.tokens+b.probeAllowance(), 3*probeMost))
-	if left := q.Deadline - b.set.AnswerSlack - now; left > 0 {
-		b.act.Timer(left, tokenDeadline|uint64(q.ID))
+	b.probeTokens = max(b.probeTokens, min(b.probeTokens+b.probeAllowance(), 3*probeMost))
+	if left := q.Deadline - b.cfg.AnswerSlack - now; left > 0 {
+		b.executor.Timer(left, tokenDeadline|uint64(q.ID))
 		b.place(now, r)
 	} else {
 		b.end(r)
@@ -30,7 +30,7 @@
 	}
 	r := b.admit(now, q)
 	r.attempts, r.established, r.answered = 1, true, true
-	b.tokens += b.probeAllowance() // it was a request once, and has to be looked after all the same
+	b.probeTokens += b.probeAllowance() // it was a request once, and has to be looked after all the same
 	if s := b.byID[id]; s != nil {
 		b.occupy(now, r, s)
 		s.pendingPlacements = nil // its reports know of it
@@ -40,8 +40,8 @@
 }
 
 func (b *Balancer) admit(now time.Duration, q Request) *request {
-	q.Class = min(max(q.Class, 0), len(b.set.Classes)-1)
-	q.Tenant = min(max(q.Tenant, 0), len(b.set.Tenants)-1)
+	q.Class = min(max(q.Class, 0), len(b.cfg.Classes)-1)
+	q.Tenant = min(max(q.Tenant, 0), len(b.cfg.Tenants)-1)
 	r := &request{Request: q, arrivedAt: now, canary: b.isDrawn(q)}
 	if q.Load > 0 && !math.IsInf(q.Load, 1) {
 		r.load = q.Load
@@ -65,18 +65,18 @@
 func (b *Balancer) unit() float64 { return cmp.Or(b.meanLoad, 1) }
 
 func (b *Balancer) probeAllowance() float64 {
-	if !b.set.CanProbe || b.set.Reports == ReportsOff {
+	if !b.cfg.CanProbe || b.cfg.Reports == ReportsOff {
 		return 0
 	}
-	return min(probeBudget/max(b.set.ProbePrice, 1e-9), probeMost)
+	return min(probeBudget/max(b.cfg.ProbePrice, 1e-9), probeMost)
 }
 
 // affinity is the key by which connections belong on one server, 0 if none.
 func (b *Balancer) affinity(r *request) uint64 {
-	if b.set.Groups && r.Group != 0 {
+	if b.cfg.Groups && r.Group != 0 {
 		return r.Group
 	}
-	if b.set.PassThrough { // another proxy must find the same server for packets of an open connection
+	if b.cfg.PassThrough { // another proxy must find the same server for packets of an open connection
 		return r.Key
 	}
 	return 0
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -21,16 +21,16 @@
 	fill := b.zones[s.Zone].fill
 	x := fill
 	if s.hasReport {
-		trust := 1 / (1 + max(0, (now-s.reportChangedAt).Seconds())/b.slowest.Seconds())
+		trust := 1 / (1 + max(0, (now-s.reportChangedAt).Seconds())/b.maxDeadline.Seconds())
 		// What is piled up keeps every message waiting: it counts as load to be gone by the next report.
 		x = trust*(s.report.Load+max(s.report.Backlog, 0)/b.lag().Seconds()) + (1-trust)*fill
-	} else if b.set.Reports == ReportsOff {
+	} else if b.cfg.Reports == ReportsOff {
 		// Nothing is reported: this proxy's own connections, taken for a fair sample, are all there is.
-		x = fill * (s.ownFlows + 1) / ((b.mine+1)/max(float64(len(b.servers)), 1) + 1)
+		x = fill * (s.ownFlows + 1) / ((b.ownFlows+1)/max(float64(len(b.servers)), 1) + 1)
 	}
 	used := x * b.capacityOf(now, s)
 	for _, p := range s.pendingPlacements {
-		if now-p.at < 2*b.horizon {
+		if now-p.at < 2*b.minObjective {
 			used += p.load
 		}
 	}
@@ -39,19 +39,19 @@
 
 // foreignShare estimates which part of a server's connections is foreign there.
 func (b *Balancer) foreignShare(s *server) float64 {
-	wide := (b.alien + shrink*0.5) / (b.mine + shrink) // knowing nothing, half
+	wide := (b.foreignFlows + shrink*0.5) / (b.ownFlows + shrink) // knowing nothing, half
 	return (s.foreignFlows + shrink*wide) / (s.ownFlows + shrink)
 }
 
 // adapt moves h of a tenant's servers: the highest that its owner tolerates (paper 5.4).
 func (b *Balancer) adapt(r *request, by float64) {
-	b.h[r.Tenant] = min(max(b.h[r.Tenant]+by, hLeast), 1)
+	b.lendingThresholds[r.Tenant] = min(max(b.lendingThresholds[r.Tenant]+by, hLeast), 1)
 }
 
 // overShare says whether a tenant holds more than this proxy's part of its quota, chance allowed for.
 func (b *Balancer) overShare(t int) bool {
-	part := b.set.Tenants[t].Quota / b.serving()
-	return part > 0 && b.held[t] > part+math.Sqrt(part)
+	part := b.cfg.Tenants[t].Quota / b.serving()
+	return part > 0 && b.openByTenant[t] > part+math.Sqrt(part)
 }
 
 // serving is how many proxies share the work: all of them, or fewer where the servers' reports show that this
@@ -63,9 +63,9 @@
 			all, told = all+s.report.Connections, told+1
 		}
 	}
-	most := float64(b.set.Balancers)
-	if told == 0 || b.mine == 0 {
+	most := float64(b.cfg.Balancers)
+	if told == 0 || b.ownFlows == 0 {
 		return most
 	}
-	return min(max(all/told*float64(len(b.servers))/b.mine, 1), most)
+	return min(max(all/told*float64(len(b.servers))/b.ownFlows, 1), most)
 }
--- a/policy/facade.go
+++ b/policy/facade.go
@@ -102,11 +102,11 @@
 func (n FlowLoad) apply(b *Balancer, now time.Duration) { b.UpdateLoad(now, n.ID, n.Load) }
 func (n ActiveRelays) apply(b *Balancer, _ time.Duration) {
 	if n.Count >= 1 { // a senseless one moves nothing
-		b.relays = n.Count
+		b.activeRelays = n.Count
 	}
 }
 func (n CanaryGroup) apply(b *Balancer, _ time.Duration) {
-	b.arms = n
+	b.canary = n
 	for _, s := range b.servers {
 		s.inCanary = b.inArm(s.ID)
 	}
@@ -114,7 +114,7 @@
 func (n MessageLatency) apply(b *Balancer, now time.Duration) { b.ObserveLatency(now, n.ID, n.Latency) }
 
 // CanaryOverflows is how many connections were drawn for an arm and went elsewhere, since it had no room.
-func (f *Facade) CanaryOverflows() uint64 { return f.b.strayed }
+func (f *Facade) CanaryOverflows() uint64 { return f.b.canaryOverflows }
 
 // Facade drives a Balancer by calls that return verdicts. The slice that a call
 // returns is valid until the next call.
--- a/policy/facade_test.go
+++ b/policy/facade_test.go
@@ -63,7 +63,7 @@
 	all, _ := refuse(60)
 	seen, last := map[time.Duration]bool{}, time.Duration(0)
 	for i, d := range all {
-		if seen[d] = true; d < set.Classes[0].LatencyObjective/2 || d > f.b.set.MaxRetryAfter {
+		if seen[d] = true; d < set.Classes[0].LatencyObjective/2 || d > f.b.cfg.MaxRetryAfter {
 			t.Errorf("come again in %v", d)
 		}
 		if i >= len(all)-10 {
--- a/policy/health.go
+++ b/policy/health.go
@@ -24,13 +24,13 @@
 	if now >= s.retryAt {
 		s.failures++
 	}
-	if s.failures == 1 && b.set.CanProbe && !s.probing {
+	if s.failures == 1 && b.cfg.CanProbe && !s.probing {
 		b.probe(s) // one failure is no verdict: ask
 	}
 	b.condemn(now, &s.health, failsServer)
 	z := &b.zones[s.Zone]
 	z.failures++
-	if s.Zone != b.set.Zone {
+	if s.Zone != b.cfg.Zone {
 		b.condemn(now, &z.health, failsZone)
 	}
 }
@@ -39,6 +39,6 @@
 	if h.failures < most || now < h.retryAt { // what was under way when it was condemned is no further sign
 		return
 	}
-	pause := float64(b.set.ConnectTimeout) * math.Exp2(float64(min(h.failures-most+1, backOffMost)))
-	h.ejected, h.retryAt = b.set.CanProbe, now+time.Duration(pause*(0.5+b.rng.Float64()))
+	pause := float64(b.cfg.ConnectTimeout) * math.Exp2(float64(min(h.failures-most+1, backOffMost)))
+	h.ejected, h.retryAt = b.cfg.CanProbe, now+time.Duration(pause*(0.5+b.rng.Float64()))
 }
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -35,8 +35,8 @@
 // LearnedState is what b has learned.
 func (f *Facade) LearnedState(now time.Duration) LearnedState {
 	b := f.b
-	l := LearnedState{MeanLoad: b.meanLoad, ClassLoad: b.classLoad, LendingThresholds: b.h, Kinds: map[int][2]float64{},
-		AdmissionRate: b.daring, Servers: map[ServerID]LearnedServer{}}
+	l := LearnedState{MeanLoad: b.meanLoad, ClassLoad: b.classLoad, LendingThresholds: b.lendingThresholds, Kinds: map[int][2]float64{},
+		AdmissionRate: b.admissionRate, Servers: map[ServerID]LearnedServer{}}
 	for _, z := range b.zones {
 		l.ZoneFill = append(l.ZoneFill, z.fill)
 	}
@@ -61,13 +61,13 @@
 // the list of servers; what does not fit the settings is left out.
 func (f *Facade) Restore(now time.Duration, l LearnedState) {
 	b := f.b
-	if len(l.ClassLoad) == len(b.classLoad) && len(l.LendingThresholds) == len(b.h) && len(l.ZoneFill) == len(b.zones) {
+	if len(l.ClassLoad) == len(b.classLoad) && len(l.LendingThresholds) == len(b.lendingThresholds) && len(l.ZoneFill) == len(b.zones) {
 		copy(b.classLoad, l.ClassLoad)
-		copy(b.h, l.LendingThresholds)
+		copy(b.lendingThresholds, l.LendingThresholds)
 		for i, fill := range l.ZoneFill {
 			b.zones[i].fill = fill
 		}
-		b.meanLoad, b.daring = l.MeanLoad, l.AdmissionRate
+		b.meanLoad, b.admissionRate = l.MeanLoad, l.AdmissionRate
 	}
 	for id, k := range l.Kinds {
 		b.kinds[id] = &kind{k[0], k[1]}
--- a/policy/members.go
+++ b/policy/members.go
@@ -11,15 +11,15 @@
 
 // Start asks for the server list where it comes only when asked for.
 func (b *Balancer) Start() {
-	if b.set.Subscribe {
+	if b.cfg.Subscribe {
 		b.askLater() // not at once: all proxies of a site may start together
 	}
-	b.lookLater(b.horizon / 2) // soon: connections that were open before may stand on a full server
+	b.lookLater(b.minObjective / 2) // soon: connections that were open before may stand on a full server
 }
 
 func (b *Balancer) lookLater(within time.Duration) {
 	if b.probeAllowance() > 0 {
-		b.act.Timer(time.Duration(float64(within)*(0.5+b.rng.Float64())), tokenLook)
+		b.executor.Timer(time.Duration(float64(within)*(0.5+b.rng.Float64())), tokenLook)
 	}
 }
 
@@ -27,7 +27,7 @@
 // while no request comes: what piles up there shows nowhere else.
 func (b *Balancer) look(now time.Duration) {
 	for _, s := range b.servers {
-		if b.tokens >= 1 && s.State == Ready && !s.probing && now-s.reportedAt >= b.lag()/2 &&
+		if b.probeTokens >= 1 && s.State == Ready && !s.probing && now-s.reportedAt >= b.lag()/2 &&
 			(s.ownFlows > 0 || s.ejected && now >= s.retryAt) {
 			b.probe(s)
 		}
@@ -38,22 +38,22 @@
 func (b *Balancer) askLater() {
 	// Guards against a polling storm: proxies that fail together come back spread out, later each time and the
 	// more there are, or all calls wait too long for good. Yet what is not asked for in time counts as told.
-	many := max(b.relays/askTogether, 1)
-	span := min(many*math.Exp2(float64(min(b.asked, 2)))/20, 1) * float64(b.set.MaxPollInterval)
-	b.act.Timer(time.Duration(span*b.rng.Float64()), tokenWatch)
+	many := max(b.activeRelays/askTogether, 1)
+	span := min(many*math.Exp2(float64(min(b.failedPolls, 2)))/20, 1) * float64(b.cfg.MaxPollInterval)
+	b.executor.Timer(time.Duration(span*b.rng.Float64()), tokenWatch)
 }
 
 // UpdateServers takes what discovery says of the servers.
 func (b *Balancer) UpdateServers(now time.Duration, how ListKind, list []Server) {
 	if how == ListFailed {
-		if b.set.Subscribe {
+		if b.cfg.Subscribe {
 			b.watching = false
-			b.asked++
+			b.failedPolls++
 			b.askLater()
 		}
 		return
 	}
-	b.asked = 0
+	b.failedPolls = 0
 	if how != ListDelta {
 		named := make(map[ServerID]bool, len(list))
 		for _, e := range list {
@@ -85,19 +85,19 @@
 	if added {
 		slices.SortFunc(b.servers, func(x, y *server) int { return cmp.Compare(x.ID, y.ID) })
 	}
-	b.slices = nil // made anew when they are asked for: in a large fleet changes come faster than requests
+	b.homeSlices = nil // made anew when they are asked for: in a large fleet changes come faster than requests
 }
 
 // homeSlice is the home slice of a tenant.
 func (b *Balancer) homeSlice(tenant int) []*server {
-	if b.slices == nil {
+	if b.homeSlices == nil {
 		b.slice()
 	}
-	return b.slices[tenant]
+	return b.homeSlices[tenant]
 }
 
 func (b *Balancer) listed(now time.Duration, how ListKind, e Server) {
-	e = normalizeServer(e, b.set.Zones)
+	e = normalizeServer(e, b.cfg.Zones)
 	s := b.byID[e.ID]
 	if s == nil {
 		if e.State == Gone {
@@ -122,7 +122,7 @@
 // that all proxies agree and a change of membership moves only the servers that changed.
 func (b *Balancer) owner(id ServerID) int {
 	best, owner := -1.0, 0
-	for t, tenant := range b.set.Tenants {
+	for t, tenant := range b.cfg.Tenants {
 		if score := rendezvous(uint64(id), uint64(t), tenant.Share); score > best {
 			best, owner = score, t
 		}
@@ -133,25 +133,25 @@
 // slice rebuilds the home slices. A tenant that owns no server in a zone shares the one it ranks
 // highest there.
 func (b *Balancer) slice() {
-	b.slices = make([][]*server, len(b.set.Tenants))
-	for t := range b.set.Tenants {
-		stand := make([]*server, b.set.Zones)
-		owns := make([]bool, b.set.Zones)
-		best := make([]float64, b.set.Zones)
+	b.homeSlices = make([][]*server, len(b.cfg.Tenants))
+	for t := range b.cfg.Tenants {
+		stand := make([]*server, b.cfg.Zones)
+		owns := make([]bool, b.cfg.Zones)
+		best := make([]float64, b.cfg.Zones)
 		for _, s := range b.servers {
 			if s.State != Ready {
 				continue
 			}
 			if s.owner == t {
 				owns[s.Zone] = true
-				b.slices[t] = append(b.slices[t], s)
+				b.homeSlices[t] = append(b.homeSlices[t], s)
 			} else if score := rendezvous(uint64(s.ID), uint64(t), s.Weight); score > best[s.Zone] {
 				best[s.Zone], stand[s.Zone] = score, s
 			}
 		}
 		for z, s := range stand {
 			if !owns[z] && s != nil {
-				b.slices[t] = append(b.slices[t], s)
+				b.homeSlices[t] = append(b.homeSlices[t], s)
 			}
 		}
 	}
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -13,8 +13,8 @@
 		r.established, r.answered = true, true
 		b.good(r.server)
 		r.server.consecutiveFull = 0
-		b.daring = min(b.daring+learn, 1)
-		b.pressed -= learn * b.pressed
+		b.admissionRate = min(b.admissionRate+learn, 1)
+		b.rejectionRate -= learn * b.rejectionRate
 	}
 }
 
@@ -38,7 +38,7 @@
 		// Its queue of new connections is what is full, which no report shows: leave it alone for a
 		// moment. A second in a row, as from a server that drains unlisted, doubles the moment.
 		s.consecutiveFull++
-		pause := float64(b.horizon) * math.Exp2(float64(min(s.consecutiveFull-1, backOffMost)))
+		pause := float64(b.minObjective) * math.Exp2(float64(min(s.consecutiveFull-1, backOffMost)))
 		s.retryAt = now + time.Duration(pause*(0.5+b.rng.Float64()))
 	}
 	r.answered = r.answered || o.Final
@@ -47,16 +47,16 @@
 		b.forget(r)
 		return
 	}
-	if now+b.set.AnswerSlack >= r.Deadline || r.attempts >= b.set.MaxAttempts {
+	if now+b.cfg.AnswerSlack >= r.Deadline || r.attempts >= b.cfg.MaxAttempts {
 		b.end(r)
 		return
 	}
 	r.stage, r.probedStage = 0, 0
 	if o.Result == Timeout || o.Result == Error {
 		if b.widely() {
-			b.daring = max(b.daring*retreat, daringLeast)
+			b.admissionRate = max(b.admissionRate*retreat, daringLeast)
 		}
-		pause := float64(b.set.Classes[r.Class].LatencyObjective) / 4 * math.Exp2(float64(r.attempts)) * (0.5 + b.rng.Float64())
+		pause := float64(b.cfg.Classes[r.Class].LatencyObjective) / 4 * math.Exp2(float64(r.attempts)) * (0.5 + b.rng.Float64())
 		b.wait(r, time.Duration(pause))
 		return
 	}
@@ -89,7 +89,7 @@
 	case tokenWatch:
 		if !b.watching {
 			b.watching = true
-			b.act.Watch()
+			b.executor.Watch()
 		}
 	case tokenDeadline:
 		if r := b.requests[id]; r != nil && !r.answered {
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -20,7 +20,7 @@
 
 // lag is how old what this proxy knows may be: two refreshes of reports about as long as the shortest
 // aim, and the way they take.
-func (b *Balancer) lag() time.Duration { return 3 * b.horizon }
+func (b *Balancer) lag() time.Duration { return 3 * b.minObjective }
 
 // fill is the mean fill of the zones.
 func (b *Balancer) fill() float64 {
@@ -37,7 +37,7 @@
 		return
 	}
 	// Guards against a storm: tries that keep a session store down are not sent (daring), as in TCP.
-	if r.probedStage == 0 && !r.MidFlow && b.rng.Float64() > b.daring {
+	if r.probedStage == 0 && !r.MidFlow && b.rng.Float64() > b.admissionRate {
 		b.end(r)
 		return
 	}
@@ -58,7 +58,7 @@
 		reach := r.stage + max(0, r.stage-1)
 		for i := range (reach + 1) * len(levels) {
 			tier, level := i%(reach+1), levels[i/(reach+1)]
-			if b.set.Groups && ordered && tier != homeHere {
+			if b.cfg.Groups && ordered && tier != homeHere {
 				level = min(level, opening) // a server outside the slice pays for the group again
 			}
 			if s := b.pick(now, r, tier, tiered[tier], level); s != nil {
@@ -76,7 +76,7 @@
 // candidates sorts the servers that may be sent to into tiers.
 func (b *Balancer) candidates(now time.Duration, r *request) (tiered [tiers][]*server) {
 	key := b.affinity(r)
-	if b.set.Groups && r.Group != 0 { // one slice for all zones, of the first in the order of its key
+	if b.cfg.Groups && r.Group != 0 { // one slice for all zones, of the first in the order of its key
 		list := b.firstOf(now, r, key)
 		n := min(len(list), groupSlice)
 		tiered[homeHere], tiered[foreignHere] = list[:n:n], list[n:]
@@ -87,7 +87,7 @@
 			continue
 		}
 		tier := foreignHere
-		if s.Zone != b.set.Zone {
+		if s.Zone != b.cfg.Zone {
 			tier = foreignAway
 		}
 		if key == 0 && slices.Contains(b.homeSlice(r.Tenant), s) {
@@ -112,7 +112,7 @@
 
 // rankOf is a server's place in the order of a key: the highest comes first.
 func (b *Balancer) rankOf(s *server, key uint64) float64 {
-	if b.set.Groups && s.holds(key) {
+	if b.cfg.Groups && s.holds(key) {
 		return math.Inf(1) // the group is paid for there
 	}
 	return rendezvous(uint64(s.ID), key, s.Weight)
@@ -156,7 +156,7 @@
 	want := slices.Clone(tiered[min(r.stage, homeAway)])
 	if r.stage == 2 {
 		want = append(want, tiered[foreignAway]...)
-		if near := tiered[foreignHere]; b.set.Groups && r.Group != 0 { // those that were not asked before
+		if near := tiered[foreignHere]; b.cfg.Groups && r.Group != 0 { // those that were not asked before
 			want = slices.Clone(near[min(probeTier, len(near)):])
 		}
 	}
@@ -164,31 +164,31 @@
 		b.rng.Shuffle(len(want), func(i, j int) { want[i], want[j] = want[j], want[i] })
 	}
 	for _, s := range want[:min(len(want), probeTier)] {
-		fresh := s.hasReport && now-s.reportedAt < 2*b.horizon && (s.ownFlows < shrink || s.placedAt <= s.reportedAt)
-		if fresh || b.tokens < 1 && !s.probing {
+		fresh := s.hasReport && now-s.reportedAt < 2*b.minObjective && (s.ownFlows < shrink || s.placedAt <= s.reportedAt)
+		if fresh || b.probeTokens < 1 && !s.probing {
 			continue
 		}
 		if !s.probing {
 			b.probe(s)
 		}
-		b.waiters[s.ID] = append(b.waiters[s.ID], r.ID)
+		b.probeWaiters[s.ID] = append(b.probeWaiters[s.ID], r.ID)
 		r.pendingProbes++
 	}
 	if r.pendingProbes > 0 {
-		b.wait(r, b.set.Classes[r.Class].LatencyObjective/8) // a lost probe must not hold the request up
+		b.wait(r, b.cfg.Classes[r.Class].LatencyObjective/8) // a lost probe must not hold the request up
 	}
 	return r.pendingProbes > 0
 }
 
 func (b *Balancer) wait(r *request, d time.Duration) {
 	r.pendingTimers++
-	b.act.Timer(d, tokenWait|uint64(r.ID))
+	b.executor.Timer(d, tokenWait|uint64(r.ID))
 }
 
 func (b *Balancer) probe(s *server) {
 	s.probing = true
-	b.tokens--
-	b.act.Probe(s.ID)
+	b.probeTokens--
+	b.executor.Probe(s.ID)
 }
 
 // pick chooses among the candidates of one tier those with room at the level, weighted by spare
@@ -196,7 +196,7 @@
 func (b *Balancer) pick(now time.Duration, r *request, tier int, list []*server, level float64) *server {
 	guest := tier == foreignHere || tier == foreignAway
 	if tier >= homeAway {
-		level -= crossing * b.set.CrossZonePrice
+		level -= crossing * b.cfg.CrossZonePrice
 	}
 	ordered, load := b.affinity(r) != 0, b.loadOf(r)
 	var fit []*server
@@ -219,7 +219,7 @@
 			// All proxies know the same order, and few servers are to pay for a group: they fill one after
 			// the other. As its home fills fewer go there, or what all send by one late report would herd.
 			// Packets of an open connection must be found again by another proxy.
-			if b.set.PassThrough || tier != homeHere || b.rng.Float64()*ramp*k < spare {
+			if b.cfg.PassThrough || tier != homeHere || b.rng.Float64()*ramp*k < spare {
 				return s
 			}
 			continue
@@ -242,8 +242,8 @@
 
 // lent is h of a server as a part of k. It is learned in the own zone, whose owners this proxy serves.
 func (b *Balancer) lent(s *server) float64 {
-	if s.Zone != b.set.Zone {
+	if s.Zone != b.cfg.Zone {
 		return 1
 	}
-	return b.h[s.owner]
+	return b.lendingThresholds[s.owner]
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -63,17 +63,17 @@
 // New makes a Balancer. It puts safe values in place of senseless settings.
 func New(set Settings, seed uint64, actions Executor) *Balancer {
 	set = normalize(set)
-	b := &Balancer{set: set, act: actions, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
+	b := &Balancer{cfg: set, executor: actions, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
 		byID: map[ServerID]*server{}, requests: map[RequestID]*request{},
-		zones:   slices.Repeat([]zone{{fill: easy}}, set.Zones), // until reports say otherwise
-		waiters: map[ServerID][]RequestID{}, kinds: map[int]*kind{},
-		h: slices.Repeat([]float64{1}, len(set.Tenants)), held: make([]float64, len(set.Tenants)),
+		zones:        slices.Repeat([]zone{{fill: easy}}, set.Zones), // until reports say otherwise
+		probeWaiters: map[ServerID][]RequestID{}, kinds: map[int]*kind{},
+		lendingThresholds: slices.Repeat([]float64{1}, len(set.Tenants)), openByTenant: make([]float64, len(set.Tenants)),
 		classLoad: make([]float64, len(set.Classes))}
-	b.horizon, b.slowest, b.messageAim = set.Classes[0].LatencyObjective, set.Classes[0].Deadline, set.Classes[0].MessageLatencyObjective
+	b.minObjective, b.maxDeadline, b.minMessageObjective = set.Classes[0].LatencyObjective, set.Classes[0].Deadline, set.Classes[0].MessageLatencyObjective
 	for _, c := range set.Classes {
-		b.messageAim = min(b.messageAim, c.MessageLatencyObjective)
-		b.horizon, b.slowest = min(b.horizon, c.LatencyObjective), max(b.slowest, c.Deadline)
+		b.minMessageObjective = min(b.minMessageObjective, c.MessageLatencyObjective)
+		b.minObjective, b.maxDeadline = min(b.minObjective, c.LatencyObjective), max(b.maxDeadline, c.Deadline)
 	}
-	b.tokens, b.daring, b.relays = 3*b.probeAllowance(), 1, float64(set.Balancers)
+	b.probeTokens, b.admissionRate, b.activeRelays = 3*b.probeAllowance(), 1, float64(set.Balancers)
 	return b
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -244,8 +244,8 @@
 					g.load[s.ID] = tt.home
 				}
 			}
-			g.h[1] = tt.h
-			g.alien, g.mine = 50, 100 // a settled view of its own foreign share
+			g.lendingThresholds[1] = tt.h
+			g.foreignFlows, g.ownFlows = 50, 100 // a settled view of its own foreign share
 			id := g.ask(Request{Tenant: 0, Load: 0.5})
 			g.fire(150 * ms)
 			g.now += 350 * ms
@@ -275,7 +275,7 @@
 		g.now += time.Second
 		g.ask(Request{Tenant: 0})
 	}
-	low := g.h[0]
+	low := g.lendingThresholds[0]
 	if low > 0.6 || low < hLeast {
 		t.Errorf("h after six blocked owners %v", low)
 	}
@@ -286,15 +286,15 @@
 		g.now += time.Second
 		g.ask(Request{Tenant: 0})
 	}
-	if g.h[0] <= low {
-		t.Errorf("h stays at %v though owners find room", g.h[0])
+	if g.lendingThresholds[0] <= low {
+		t.Errorf("h stays at %v though owners find room", g.lendingThresholds[0])
 	}
 }
 
 // TestForeignShare: a small sample leans on the proxy's wider share, a large one speaks for itself.
 func TestForeignShare(t *testing.T) {
 	b := New(settings(), 1, &recorder{})
-	b.alien, b.mine = 10, 100
+	b.foreignFlows, b.ownFlows = 10, 100
 	few, many := &server{ownFlows: 1, foreignFlows: 1}, &server{ownFlows: 100, foreignFlows: 100}
 	if got := b.foreignShare(few); got > 0.4 {
 		t.Errorf("one foreign connection makes a share of %v", got)
@@ -694,7 +694,7 @@
 			id := g.ask(Request{Load: 0.1})
 			first := g.byID[g.where(id)].Server
 			g.AttemptEnded(g.now, Outcome{ID: id, Server: first.ID, Result: tt.result, Report: NoReport})
-			g.daring = 1 // the storm guard is not what is tested
+			g.admissionRate = 1 // the storm guard is not what is tested
 			g.answer()
 			g.fire(400 * ms)
 			if resent := len(g.sends) > 1; resent != tt.resend {
@@ -732,7 +732,7 @@
 		if waited := len(g.sends) == 1; waited != wait {
 			t.Errorf("result %d: waited %v, want %v", result, waited, wait)
 		}
-		g.daring = 1 // TestDaring tests that
+		g.admissionRate = 1 // TestDaring tests that
 		if g.fire(400 * ms); len(g.sends) != 2 {
 			t.Errorf("result %d: %d attempts after the wait", result, len(g.sends))
 		}
@@ -1158,8 +1158,8 @@
 				g.AttemptEnded(g.now, Outcome{ID: q.ID, Server: s.ID, Result: Error, Report: NoReport})
 			}
 		}
-		if got := g.daring < 0.5; got != want {
-			t.Errorf("%d of 4 fail: sends %v of its requests", most, g.daring)
+		if got := g.admissionRate < 0.5; got != want {
+			t.Errorf("%d of 4 fail: sends %v of its requests", most, g.admissionRate)
 		}
 	}
 }
@@ -1373,7 +1373,7 @@
 		t.Errorf("the next look: %+v", last)
 	}
 	g.now += 2 * g.lag()
-	g.tokens = 0.5
+	g.probeTokens = 0.5
 	if g.Balancer.Timer(g.now, tokenLook); len(g.probes) != 0 {
 		t.Errorf("probed %v beyond the budget", g.probes)
 	}
--- a/policy/relief.go
+++ b/policy/relief.go
@@ -17,7 +17,7 @@
 		x = min(x, max(s.previousLoad, 1))
 	}
 	// Guards against emptying it twice for one and the same overload, which a report shows for a while yet.
-	if x <= brim || s.relievedAt > 0 && s.rawReportAt-b.horizon < s.relievedAt {
+	if x <= brim || s.relievedAt > 0 && s.rawReportAt-b.minObjective < s.relievedAt {
 		return
 	}
 	s.relievedAt = now
@@ -25,7 +25,7 @@
 	for _, r := range s.conns {
 		left += b.loadOf(r)
 	}
-	part := b.daring * (x - brim) / x
+	part := b.admissionRate * (x - brim) / x
 	left *= part * (2 - part) // as two looks would: each proxy looks but now and then
 	list := slices.Clone(s.conns)
 	slices.SortStableFunc(list, func(p, q *request) int { return cmp.Compare(b.earns(p), b.earns(q)) })
@@ -42,7 +42,7 @@
 	if b.overShare(r.Tenant) {
 		return 0
 	}
-	return b.set.Classes[r.Class].PriorityWeight / b.loadOf(r)
+	return b.cfg.Classes[r.Class].PriorityWeight / b.loadOf(r)
 }
 
 // isCheap says whether a class earns less for its load, once that is known, than a part of what others do.
@@ -50,17 +50,17 @@
 	best, load := 0.0, b.classLoad[class]
 	for i, other := range b.classLoad {
 		if other > 0 {
-			best = max(best, b.set.Classes[i].PriorityWeight/other)
+			best = max(best, b.cfg.Classes[i].PriorityWeight/other)
 		}
 	}
-	return load > 0 && b.set.Classes[class].PriorityWeight/load < cheapPart*best
+	return load > 0 && b.cfg.Classes[class].PriorityWeight/load < cheapPart*best
 }
 
 // move asks the client of an open connection to come again, once.
 func (b *Balancer) move(r *request) {
 	if r.established && !r.migrated {
 		r.migrated = true
-		b.act.Migrate(r.ID)
+		b.executor.Migrate(r.ID)
 	}
 }
 
--- a/policy/reports.go
+++ b/policy/reports.go
@@ -18,7 +18,7 @@
 			b.answers(s)
 			b.take(now, s, report)
 			// A message waits for what is piled up, or where that is not told for what is asked beyond capacity.
-			full := report.Backlog > b.messageAim.Seconds()/2 || report.Backlog < 0 && report.Load > over
+			full := report.Backlog > b.minMessageObjective.Seconds()/2 || report.Backlog < 0 && report.Load > over
 			if full && now-s.relievedAt >= b.lag() {
 				b.relieve(now, s)
 			}
@@ -31,8 +31,8 @@
 			}
 		}
 	}
-	waiters := b.waiters[id]
-	delete(b.waiters, id)
+	waiters := b.probeWaiters[id]
+	delete(b.probeWaiters, id)
 	for _, w := range waiters {
 		if r := b.requests[w]; r != nil && r.pendingProbes > 0 {
 			if r.pendingProbes--; r.pendingProbes == 0 {
@@ -56,7 +56,7 @@
 	if p != s.rawReport {
 		s.rawReport, s.previousLoad, s.rawReportAt = p, s.rawReport.Load, now
 	}
-	s.pendingPlacements = slices.DeleteFunc(s.pendingPlacements, func(x placement) bool { return now-x.at >= 2*b.horizon })
+	s.pendingPlacements = slices.DeleteFunc(s.pendingPlacements, func(x placement) bool { return now-x.at >= 2*b.minObjective })
 	s.report, s.reportedAt, s.hasReport = p, now, true
 	b.zones[s.Zone].fill += learn * (min(p.Load, 2) - b.zones[s.Zone].fill)
 	if p.Connections > 0 && p.Load > 0.05 && b.warmth(now, s) == 1 { // an idle server tells nothing of k
@@ -91,7 +91,7 @@
 		return
 	}
 	s := r.server
-	if aim := b.set.Classes[r.Class].MessageLatencyObjective; message > aim {
+	if aim := b.cfg.Classes[r.Class].MessageLatencyObjective; message > aim {
 		s.report.Load, s.reportChangedAt = max(s.report.Load, 1), now
 	} else if message < aim/2 {
 		return
--- a/policy/sending.go
+++ b/policy/sending.go
@@ -8,13 +8,13 @@
 
 // maySendTo says whether the rules allow an attempt on the server now.
 func (r *request) maySendTo(b *Balancer, now time.Duration, s *server) bool {
-	if r.answered || r.inFlight || r.attempts >= b.set.MaxAttempts || now >= r.Deadline || s.State != Ready {
+	if r.answered || r.inFlight || r.attempts >= b.cfg.MaxAttempts || now >= r.Deadline || s.State != Ready {
 		return false
 	}
 	if !r.mayHaveRun || s.inCanary != r.canary {
 		return s.inCanary == r.canary
 	}
-	switch c := b.set.Classes[r.Class]; c.Idempotency {
+	switch c := b.cfg.Classes[r.Class]; c.Idempotency {
 	case Idempotent:
 		return true
 	case IdempotencyKey:
@@ -25,7 +25,7 @@
 }
 
 func (r *request) mayRefuse(b *Balancer) bool {
-	c := b.set.Classes[r.Class]
+	c := b.cfg.Classes[r.Class]
 	return c.Idempotency == Idempotent || !r.mayHaveRun && !r.inFlight || c.Idempotency == IdempotencyKey && c.Scope == ScopeAll
 }
 
@@ -35,8 +35,8 @@
 	}
 	left := r.Deadline - now
 	// A server that takes an attempt and never answers must leave time for another try.
-	timeout := max(b.set.Classes[r.Class].LatencyObjective, left*6/10)
-	if r.attempts+1 >= b.set.MaxAttempts || timeout >= left {
+	timeout := max(b.cfg.Classes[r.Class].LatencyObjective, left*6/10)
+	if r.attempts+1 >= b.cfg.MaxAttempts || timeout >= left {
 		timeout = 0
 	}
 	r.attempts++
@@ -52,7 +52,7 @@
 	if !foreign {
 		b.adapt(r, hStep*tolerance)
 	}
-	b.act.Send(r.ID, s.ID, timeout)
+	b.executor.Send(r.ID, s.ID, timeout)
 }
 
 // end gives the final answer that the rules allow, to a request that has none.
@@ -61,14 +61,14 @@
 	if r.mayRefuse(b) {
 		// By then reports are new, and as many tries as it takes to be let in now have passed; spread, so that
 		// who were refused together do not come back together. docs/design.md, "Coming again".
-		b.pressed += learn * (1 - b.pressed)
-		wait := min(float64(b.horizon)/max(1-b.pressed, learn), float64(b.set.MaxRetryAfter)/1.5)
-		b.act.Reject(r.ID, time.Duration(wait*(0.5+b.rng.Float64())))
+		b.rejectionRate += learn * (1 - b.rejectionRate)
+		wait := min(float64(b.minObjective)/max(1-b.rejectionRate, learn), float64(b.cfg.MaxRetryAfter)/1.5)
+		b.executor.Reject(r.ID, time.Duration(wait*(0.5+b.rng.Float64())))
 	} else {
-		b.act.Fail(r.ID)
+		b.executor.Fail(r.ID)
 	}
-	if r.inFlight && b.set.CanCancel {
-		b.act.Cancel(r.ID, r.attempts-1)
+	if r.inFlight && b.cfg.CanCancel {
+		b.executor.Cancel(r.ID, r.attempts-1)
 	}
 	b.forget(r)
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -91,39 +91,39 @@
 
 // Balancer decides for one proxy.
 type Balancer struct {
-	set        Settings
-	act        Executor
-	rng        *rand.Rand
-	servers    []*server // in order of id
-	byID       map[ServerID]*server
-	zones      []zone
-	requests   map[RequestID]*request
-	waiters    map[ServerID][]RequestID
-	slices     [][]*server // home slice of each tenant, all zones
-	h          []float64   // threshold of each tenant's servers, as a part of k
-	held       []float64   // own open connections of each tenant
-	mine       float64
-	alien      float64
-	kinds      map[int]*kind
-	meanLoad   float64
-	classLoad  []float64
-	daring     float64 // part of its requests that it sends, less while setting up fails
-	tokens     float64 // probes it may send
-	pressed    float64 // part of the requests that were refused lately
-	relays     float64 // by how many budgets are divided that all share: as many as are configured until news says otherwise
-	watching   bool
-	asked      int // calls for the list that failed in a row
-	horizon    time.Duration
-	slowest    time.Duration
-	messageAim time.Duration // the shortest of all classes
-	arms       CanaryGroup
-	strayed    uint64 // connections that were drawn for an arm and went elsewhere
+	cfg                 Settings
+	executor            Executor
+	rng                 *rand.Rand
+	servers             []*server // in order of id
+	byID                map[ServerID]*server
+	zones               []zone
+	requests            map[RequestID]*request
+	probeWaiters        map[ServerID][]RequestID
+	homeSlices          [][]*server // home slice of each tenant, all zones
+	lendingThresholds   []float64   // threshold of each tenant's servers, as a part of k
+	openByTenant        []float64   // own open connections of each tenant
+	ownFlows            float64
+	foreignFlows        float64
+	kinds               map[int]*kind
+	meanLoad            float64
+	classLoad           []float64
+	admissionRate       float64 // part of its requests that it sends, less while setting up fails
+	probeTokens         float64 // probes it may send
+	rejectionRate       float64 // part of the requests that were refused lately
+	activeRelays        float64 // by how many budgets are divided that all share: as many as are configured until news says otherwise
+	watching            bool
+	failedPolls         int // calls for the list that failed in a row
+	minObjective        time.Duration
+	maxDeadline         time.Duration
+	minMessageObjective time.Duration // the shortest of all classes
+	canary              CanaryGroup
+	canaryOverflows     uint64 // connections that were drawn for an arm and went elsewhere
 }
 
 // inArm and isDrawn ask the news of arms, if there was any.
-func (b *Balancer) inArm(id ServerID) bool { return b.arms.Contains != nil && b.arms.Contains(id) }
+func (b *Balancer) inArm(id ServerID) bool { return b.canary.Contains != nil && b.canary.Contains(id) }
 func (b *Balancer) isDrawn(q Request) bool {
-	return b.arms.Assigned != nil && !q.MidFlow && b.arms.Assigned(cmp.Or(q.Group, q.Key))
+	return b.canary.Assigned != nil && !q.MidFlow && b.canary.Assigned(cmp.Or(q.Group, q.Key))
 }
 
 // holds says whether own connections of a group are there.
@@ -153,10 +153,10 @@
 		s.conns = slices.Delete(s.conns, i, i+1)
 	}
 	s.ownFlows += n
-	b.mine += n
-	b.held[r.Tenant] += n
+	b.ownFlows += n
+	b.openByTenant[r.Tenant] += n
 	if r.foreign {
 		s.foreignFlows += n
-		b.alien += n
+		b.foreignFlows += n
 	}
 }
--- a/policy/waiting.go
+++ b/policy/waiting.go
@@ -10,13 +10,13 @@
 // hold keeps a request that found no room for another look, and refuses it once that would come too
 // late.
 func (b *Balancer) hold(now time.Duration, r *request) {
-	aim := b.set.Classes[r.Class].LatencyObjective
+	aim := b.cfg.Classes[r.Class].LatencyObjective
 	again := time.Duration(float64(aim) / 4 * (0.5 + b.rng.Float64()))
-	if b.overShare(r.Tenant) || r.attempts >= b.set.MaxAttempts || now+again > min(r.arrivedAt+aim, r.Deadline) ||
-		r.mayHaveRun && b.set.Classes[r.Class].Idempotency == NonIdempotent {
+	if b.overShare(r.Tenant) || r.attempts >= b.cfg.MaxAttempts || now+again > min(r.arrivedAt+aim, r.Deadline) ||
+		r.mayHaveRun && b.cfg.Classes[r.Class].Idempotency == NonIdempotent {
 		if r.canary { // its arm has no room: limits, drains and cold budgets go before the arm's share
 			r.canary, r.stage, r.probedStage = false, 0, 0
-			b.strayed++
+			b.canaryOverflows++
 			b.place(now, r)
 			return
 		}
