--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -13,7 +13,7 @@
 	if k := b.kinds[s.Kind]; k != nil && k.capacity > 0 {
 		prior = s.Weight * k.inflight / k.capacity
 	}
-	return b.unit() * b.warmth(now, s) * (priorReports*prior + s.reportCount*s.capacity) / (priorReports + s.reportCount)
+	return b.unit() * b.warmupFraction(now, s) * (priorReports*prior + s.reportCount*s.capacity) / (priorReports + s.reportCount)
 }
 
 // usedOf is the load on a server: its report, which loses weight with age, and what was placed since.
@@ -23,7 +23,7 @@
 	if s.hasReport {
 		trust := 1 / (1 + max(0, (now-s.reportChangedAt).Seconds())/b.maxDeadline.Seconds())
 		// What is piled up keeps every message waiting: it counts as load to be gone by the next report.
-		x = trust*(s.report.Load+max(s.report.Backlog, 0)/b.lag().Seconds()) + (1-trust)*fill
+		x = trust*(s.report.Load+max(s.report.Backlog, 0)/b.reportLag().Seconds()) + (1-trust)*fill
 	} else if b.cfg.Reports == ReportsOff {
 		// Nothing is reported: this proxy's own connections, taken for a fair sample, are all there is.
 		x = fill * (s.ownFlows + 1) / ((b.ownFlows+1)/max(float64(len(b.servers)), 1) + 1)
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -160,7 +160,7 @@
 				g.Balancer = New(set, 1000*trial+p, g.recorder)
 				g.UpdateServers(t0, ListDelta, []Server{{ID: 1, State: Ready, Weight: 1, Started: t0}})
 				now, s := t0+time.Duration(rng.Int64N(int64(500*ms))), g.servers[0]
-				if g.warmEnough(now, &request{Request: Request{Group: group}, load: 1}, s) {
+				if g.slowStartAllows(now, &request{Request: Request{Group: group}, load: 1}, s) {
 					sent++
 				}
 				if p == 0 {
--- a/policy/health.go
+++ b/policy/health.go
@@ -7,35 +7,35 @@
 
 // This file is when a server or a zone is not to be sent to.
 
-func (b *Balancer) good(s *server) {
+func (b *Balancer) recordSuccess(s *server) {
 	s.health, b.zones[s.Zone].health = health{}, health{}
 }
 
-// answers takes a server back that has answered a probe. Its failures stay counted until a connection stands:
+// readmit takes a server back that has answered a probe. Its failures stay counted until a connection stands:
 // one that fails connections may well answer probes, and would draw the next ones for being empty.
-func (b *Balancer) answers(s *server) {
+func (b *Balancer) readmit(s *server) {
 	s.ejected, b.zones[s.Zone].health = false, health{}
 }
 
-// fail counts a failure against a server and its zone. A second in a row condemns the server, and a few
+// recordFailure counts a failure against a server and its zone. A second in a row condemns the server, and a few
 // in a row from one zone the zone: then neither is sent to until a pause is over and a probe has been
 // answered.
-func (b *Balancer) fail(now time.Duration, s *server) {
+func (b *Balancer) recordFailure(now time.Duration, s *server) {
 	if now >= s.retryAt {
 		s.failures++
 	}
 	if s.failures == 1 && b.cfg.CanProbe && !s.probing {
 		b.probe(s) // one failure is no verdict: ask
 	}
-	b.condemn(now, &s.health, failsServer)
+	b.eject(now, &s.health, failsServer)
 	z := &b.zones[s.Zone]
 	z.failures++
 	if s.Zone != b.cfg.Zone {
-		b.condemn(now, &z.health, failsZone)
+		b.eject(now, &z.health, failsZone)
 	}
 }
 
-func (b *Balancer) condemn(now time.Duration, h *health, most int) {
+func (b *Balancer) eject(now time.Duration, h *health, most int) {
 	if h.failures < most || now < h.retryAt { // what was under way when it was condemned is no further sign
 		return
 	}
--- a/policy/members.go
+++ b/policy/members.go
@@ -12,35 +12,35 @@
 // Start asks for the server list where it comes only when asked for.
 func (b *Balancer) Start() {
 	if b.cfg.Subscribe {
-		b.askLater() // not at once: all proxies of a site may start together
+		b.schedulePoll() // not at once: all proxies of a site may start together
 	}
-	b.lookLater(b.minObjective / 2) // soon: connections that were open before may stand on a full server
+	b.scheduleHealthCheck(b.minObjective / 2) // soon: connections that were open before may stand on a full server
 }
 
-func (b *Balancer) lookLater(within time.Duration) {
+func (b *Balancer) scheduleHealthCheck(within time.Duration) {
 	if b.probeAllowance() > 0 {
-		b.executor.Timer(time.Duration(float64(within)*(0.5+b.rng.Float64())), tokenLook)
+		b.executor.Timer(time.Duration(float64(within)*(0.5+b.rng.Float64())), tokenHealthCheck)
 	}
 }
 
-// look asks the servers that hold own connections, and condemned ones whose pause is over, for reports, also
+// checkHealth asks the servers that hold own connections, and condemned ones whose pause is over, for reports, also
 // while no request comes: what piles up there shows nowhere else.
-func (b *Balancer) look(now time.Duration) {
+func (b *Balancer) checkHealth(now time.Duration) {
 	for _, s := range b.servers {
-		if b.probeTokens >= 1 && s.State == Ready && !s.probing && now-s.reportedAt >= b.lag()/2 &&
+		if b.probeTokens >= 1 && s.State == Ready && !s.probing && now-s.reportedAt >= b.reportLag()/2 &&
 			(s.ownFlows > 0 || s.ejected && now >= s.retryAt) {
 			b.probe(s)
 		}
 	}
-	b.lookLater(b.lag())
+	b.scheduleHealthCheck(b.reportLag())
 }
 
-func (b *Balancer) askLater() {
+func (b *Balancer) schedulePoll() {
 	// Guards against a polling storm: proxies that fail together come back spread out, later each time and the
 	// more there are, or all calls wait too long for good. Yet what is not asked for in time counts as told.
 	many := max(b.activeRelays/askTogether, 1)
 	span := min(many*math.Exp2(float64(min(b.failedPolls, 2)))/20, 1) * float64(b.cfg.MaxPollInterval)
-	b.executor.Timer(time.Duration(span*b.rng.Float64()), tokenWatch)
+	b.executor.Timer(time.Duration(span*b.rng.Float64()), tokenPoll)
 }
 
 // UpdateServers takes what discovery says of the servers.
@@ -49,7 +49,7 @@
 		if b.cfg.Subscribe {
 			b.watching = false
 			b.failedPolls++
-			b.askLater()
+			b.schedulePoll()
 		}
 		return
 	}
@@ -67,7 +67,7 @@
 	}
 	before := len(b.servers)
 	for _, e := range list {
-		b.listed(now, how, e)
+		b.updateServer(now, how, e)
 	}
 	added := len(b.servers) > before
 	for _, s := range b.servers {
@@ -91,12 +91,12 @@
 // homeSlice is the home slice of a tenant.
 func (b *Balancer) homeSlice(tenant int) []*server {
 	if b.homeSlices == nil {
-		b.slice()
+		b.rebuildHomeSlices()
 	}
 	return b.homeSlices[tenant]
 }
 
-func (b *Balancer) listed(now time.Duration, how ListKind, e Server) {
+func (b *Balancer) updateServer(now time.Duration, how ListKind, e Server) {
 	e = normalizeServer(e, b.cfg.Zones)
 	s := b.byID[e.ID]
 	if s == nil {
@@ -106,21 +106,21 @@
 		if e.Started == 0 && how == ListDelta {
 			e.Started = now // it joined while we watched: take it for cold
 		}
-		s = &server{owner: b.owner(e.ID), report: NoReport}
+		s = &server{owner: b.ownerOf(e.ID), report: NoReport}
 		b.byID[e.ID] = s
 		b.servers = append(b.servers, s)
-		b.chill(now, s)
+		b.startSlowStart(now, s)
 	} else if e.Started > s.Started {
 		// A new process: what was known of the old one is void.
 		s.health, s.hasReport, s.pendingPlacements = health{}, false, nil
-		b.chill(now, s)
+		b.startSlowStart(now, s)
 	}
 	s.Server, s.inCanary = e, b.inArm(e.ID)
 }
 
-// owner is the tenant whose slice a server belongs to. It depends on the id and the shares alone, so
+// ownerOf is the tenant whose slice a server belongs to. It depends on the id and the shares alone, so
 // that all proxies agree and a change of membership moves only the servers that changed.
-func (b *Balancer) owner(id ServerID) int {
+func (b *Balancer) ownerOf(id ServerID) int {
 	best, owner := -1.0, 0
 	for t, tenant := range b.cfg.Tenants {
 		if score := rendezvous(uint64(id), uint64(t), tenant.Share); score > best {
@@ -130,9 +130,9 @@
 	return owner
 }
 
-// slice rebuilds the home slices. A tenant that owns no server in a zone shares the one it ranks
+// rebuildHomeSlices rebuilds the home slices. A tenant that owns no server in a zone shares the one it ranks
 // highest there.
-func (b *Balancer) slice() {
+func (b *Balancer) rebuildHomeSlices() {
 	b.homeSlices = make([][]*server, len(b.cfg.Tenants))
 	for t := range b.cfg.Tenants {
 		stand := make([]*server, b.cfg.Zones)
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -11,7 +11,7 @@
 func (b *Balancer) Established(now time.Duration, id RequestID) {
 	if r := b.requests[id]; r != nil && r.inFlight {
 		r.established, r.answered = true, true
-		b.good(r.server)
+		b.recordSuccess(r.server)
 		r.server.consecutiveFull = 0
 		b.admissionRate = min(b.admissionRate+learn, 1)
 		b.rejectionRate -= learn * b.rejectionRate
@@ -21,7 +21,7 @@
 // AttemptEnded ends an attempt, before the connection stood or after.
 func (b *Balancer) AttemptEnded(now time.Duration, o Outcome) {
 	if s := b.byID[o.Server]; s != nil {
-		b.take(now, s, o.Report)
+		b.applyReport(now, s, o.Report)
 	}
 	r := b.requests[o.ID]
 	if r == nil || o.Attempt != r.attempts-1 || r.server == nil {
@@ -31,9 +31,9 @@
 	b.vacate(now, r)
 	switch o.Result {
 	case ConnectFailed, Reset, Timeout, Error:
-		b.fail(now, s)
+		b.recordFailure(now, s)
 	case OK:
-		b.good(s)
+		b.recordSuccess(s)
 	case Full:
 		// Its queue of new connections is what is full, which no report shows: leave it alone for a
 		// moment. A second in a row, as from a server that drains unlisted, doubles the moment.
@@ -53,7 +53,7 @@
 	}
 	r.stage, r.probedStage = 0, 0
 	if o.Result == Timeout || o.Result == Error {
-		if b.widely() {
+		if b.mostServersFail() {
 			b.admissionRate = max(b.admissionRate*retreat, daringLeast)
 		}
 		pause := float64(b.cfg.Classes[r.Class].LatencyObjective) / 4 * math.Exp2(float64(r.attempts)) * (0.5 + b.rng.Float64())
@@ -63,8 +63,8 @@
 	b.place(now, r)
 }
 
-// widely says that most servers fail: the failures of one are no reason to send less to all.
-func (b *Balancer) widely() bool {
+// mostServersFail says that most servers fail: the failures of one are no reason to send less to all.
+func (b *Balancer) mostServersFail() bool {
 	failing := 0
 	for _, s := range b.servers {
 		if s.failures > 0 {
@@ -86,7 +86,7 @@
 func (b *Balancer) Timer(now time.Duration, token uint64) {
 	id := RequestID(token &^ tokenMask)
 	switch token & tokenMask {
-	case tokenWatch:
+	case tokenPoll:
 		if !b.watching {
 			b.watching = true
 			b.executor.Watch()
@@ -95,9 +95,9 @@
 		if r := b.requests[id]; r != nil && !r.answered {
 			b.end(r)
 		}
-	case tokenLook:
-		b.look(now)
-	case tokenWait:
+	case tokenHealthCheck:
+		b.checkHealth(now)
+	case tokenRetry:
 		if r := b.requests[id]; r != nil {
 			if r.pendingTimers--; r.pendingTimers == 0 {
 				r.pendingProbes = 0
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -18,9 +18,9 @@
 	tiers
 )
 
-// lag is how old what this proxy knows may be: two refreshes of reports about as long as the shortest
+// reportLag is how old what this proxy knows may be: two refreshes of reports about as long as the shortest
 // aim, and the way they take.
-func (b *Balancer) lag() time.Duration { return 3 * b.minObjective }
+func (b *Balancer) reportLag() time.Duration { return 3 * b.minObjective }
 
 // fill is the mean fill of the zones.
 func (b *Balancer) fill() float64 {
@@ -182,7 +182,7 @@
 
 func (b *Balancer) wait(r *request, d time.Duration) {
 	r.pendingTimers++
-	b.executor.Timer(d, tokenWait|uint64(r.ID))
+	b.executor.Timer(d, tokenRetry|uint64(r.ID))
 }
 
 func (b *Balancer) probe(s *server) {
@@ -206,11 +206,11 @@
 		if r.MidFlow {
 			return s // the first in the order of its key most likely holds the connection
 		}
-		if s.ejected || !b.warmEnough(now, r, s) || b.probeAllowance() > 0 && !s.hasReport && b.warmth(now, s) == 1 {
+		if s.ejected || !b.slowStartAllows(now, r, s) || b.probeAllowance() > 0 && !s.hasReport && b.warmupFraction(now, s) == 1 {
 			continue
 		}
 		k, used := b.capacityOf(now, s), b.usedOf(now, s)
-		level := min(level/b.warmth(now, s), max(brim, level)) // the levels are of what it will bear once warm
+		level := min(level/b.warmupFraction(now, s), max(brim, level)) // the levels are of what it will bear once warm
 		spare := k*level - used - load
 		if spare <= 0 || guest && used*b.foreignShare(s)+load > k*level*b.lent(s) {
 			continue
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -339,7 +339,7 @@
 	}
 	for _, s := range g.servers {
 		g.load[s.ID] = 0.72
-		g.take(g.now, s, Report{Connections: 10, Load: 0.72, Util: -1})
+		g.applyReport(g.now, s, Report{Connections: 10, Load: 0.72, Util: -1})
 	}
 	if id := g.ask(Request{Tenant: 0, Load: 0.1}); g.ends[id] != "refused" {
 		t.Errorf("tenant over its share: %q under pressure, want refused\n%s", g.ends[id], strings.Join(g.log, "\n"))
@@ -437,7 +437,7 @@
 			g.load[e.ID] = 0.95
 			if i >= room {
 				g.load[e.ID] = 0.1
-				g.take(t0, g.byID[e.ID], Report{Connections: 3, Load: 0.1, Util: 0.1})
+				g.applyReport(t0, g.byID[e.ID], Report{Connections: 3, Load: 0.1, Util: 0.1})
 			}
 		}
 		if id := g.where(g.ask(Request{Group: 77, Load: 0.1})); id != want {
@@ -619,7 +619,7 @@
 	for now < t0+set.SlowStartDuration-100*ms {
 		now += 10 * ms
 		allowed += set.OverloadFactor * g.capacityOf(now, s) / set.SlowStartDuration.Seconds() * 0.01
-		if g.warmEnough(now, r, s) {
+		if g.slowStartAllows(now, r, s) {
 			spendCold(s)
 			sent++
 		}
@@ -649,7 +649,7 @@
 			for now := t0; now < t0+set.OverloadWindow; now += 10 * ms {
 				g := all[rng.IntN(proxies)]
 				s := g.servers[0]
-				if g.warmEnough(now, &request{load: 1}, s) {
+				if g.slowStartAllows(now, &request{load: 1}, s) {
 					spendCold(s)
 					sent++
 				}
@@ -902,7 +902,7 @@
 func TestHealth(t *testing.T) {
 	g := newRig(settings(), fleet(6, 1))
 	s := g.servers[0]
-	g.fail(g.now, s)
+	g.recordFailure(g.now, s)
 	if s.ejected {
 		t.Error("one failure condemned the server")
 	}
@@ -926,7 +926,7 @@
 	g := newRig(set, fleet(20, 2))
 	for _, s := range g.servers {
 		if n := g.zones[s.Zone].failures; n < failsZone {
-			g.fail(g.now, s)
+			g.recordFailure(g.now, s)
 		}
 	}
 	if !g.zones[1].ejected || g.zones[0].ejected {
@@ -938,8 +938,8 @@
 func TestDoubtsTheView(t *testing.T) {
 	g := newRig(settings(), fleet(6, 1))
 	for _, s := range g.servers {
-		g.fail(g.now, s)
-		g.fail(g.now, s)
+		g.recordFailure(g.now, s)
+		g.recordFailure(g.now, s)
 	}
 	id := RequestID(1)
 	g.Request(g.now, Request{ID: id, Deadline: g.now + 2*time.Second})
@@ -948,7 +948,7 @@
 		due := g.timers
 		g.timers = nil
 		for _, t := range due {
-			if t.token&tokenMask == tokenWait {
+			if t.token&tokenMask == tokenRetry {
 				g.Balancer.Timer(g.now, t.token)
 			}
 		}
@@ -987,7 +987,7 @@
 		for id := range RequestID(40) {
 			g.AddExisting(g.now, Request{ID: 100 + id, Load: 0.1}, s.ID)
 		}
-		g.take(g.now, s, Report{Connections: 40, Load: tt.load, Util: -1})
+		g.applyReport(g.now, s, Report{Connections: 40, Load: tt.load, Util: -1})
 		g.ObserveLatency(g.now, 100, 90*ms)
 		if got := len(g.moves) > 0; got != tt.moves {
 			t.Errorf("load %v: moved %d", tt.load, len(g.moves))
@@ -1007,7 +1007,7 @@
 	for id := range RequestID(80) {
 		g.AddExisting(g.now, Request{ID: 100 + id, Load: 0.1, Tenant: int(id % 2)}, s.ID)
 	}
-	g.take(g.now, s, Report{Connections: 80, Load: 1.1, Util: -1})
+	g.applyReport(g.now, s, Report{Connections: 80, Load: 1.1, Util: -1})
 	g.relieve(g.now, s)
 	count := [2]int{}
 	for _, id := range g.moves {
@@ -1173,7 +1173,7 @@
 		t.Fatalf("asked %d times at once, %d timers", g.watch, len(g.timers))
 	}
 	g.fire(10 * time.Second)
-	g.Balancer.Timer(g.now, tokenWatch)
+	g.Balancer.Timer(g.now, tokenPoll)
 	if g.watch != 1 {
 		t.Fatalf("asked %d times, want once", g.watch)
 	}
@@ -1265,7 +1265,7 @@
 	g.ProbeResult(g.now, 4, Error, NoReport)
 	g.AddExisting(g.now, Request{ID: 6}, 4)
 	g.Balancer.Timer(g.now, tokenDeadline|5)
-	g.Balancer.Timer(g.now, tokenWait|5)
+	g.Balancer.Timer(g.now, tokenRetry|5)
 	g.Balancer.Timer(g.now, ^uint64(0))
 	if len(g.sends) != 0 || len(g.ends) != 0 {
 		t.Errorf("acted on stale ids: %v", g.log)
@@ -1361,20 +1361,20 @@
 	g.AddExisting(g.now, Request{ID: 900, Load: 0.1}, s.ID)
 	g.load[s.ID] = 0.5
 	for n := range 3 {
-		g.now += 2 * g.lag()
+		g.now += 2 * g.reportLag()
 		g.probes = nil
-		g.Balancer.Timer(g.now, tokenLook)
+		g.Balancer.Timer(g.now, tokenHealthCheck)
 		if len(g.probes) != 1 || g.probes[0] != s.ID {
 			t.Fatalf("look %d probed %v, want the server with the connection alone", n, g.probes)
 		}
 		g.answer()
 	}
-	if last := g.timers[len(g.timers)-1]; last.token != tokenLook || last.delay < g.lag()/2 {
+	if last := g.timers[len(g.timers)-1]; last.token != tokenHealthCheck || last.delay < g.reportLag()/2 {
 		t.Errorf("the next look: %+v", last)
 	}
-	g.now += 2 * g.lag()
+	g.now += 2 * g.reportLag()
 	g.probeTokens = 0.5
-	if g.Balancer.Timer(g.now, tokenLook); len(g.probes) != 0 {
+	if g.Balancer.Timer(g.now, tokenHealthCheck); len(g.probes) != 0 {
 		t.Errorf("probed %v beyond the budget", g.probes)
 	}
 }
@@ -1386,14 +1386,14 @@
 	g := newRig(settings(), fleet(1, 1))
 	s := g.servers[0]
 	for range failsServer {
-		g.fail(g.now, s)
+		g.recordFailure(g.now, s)
 	}
 	until := s.retryAt
 	for range 5 {
-		g.fail(g.now, s)
+		g.recordFailure(g.now, s)
 	}
 	g.probes, s.probing = nil, false
-	g.look(g.now)
+	g.checkHealth(g.now)
 	if !s.ejected || s.retryAt != until || s.failures != failsServer || len(g.probes) != 0 {
 		t.Fatalf("bad %v, %d failures, pause moved by %v, probed %v", s.ejected, s.failures, s.retryAt-until, g.probes)
 	}
@@ -1402,14 +1402,14 @@
 	if s.ejected {
 		t.Fatal("it answered, and is not back")
 	}
-	if g.fail(g.now, s); !s.ejected {
+	if g.recordFailure(g.now, s); !s.ejected {
 		t.Fatal("it fails on, and is not condemned")
 	}
 	g.now = s.retryAt
 	g.ProbeResult(g.now, s.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
 	id := g.ask(Request{Load: 0.1})
 	g.Established(g.now, id)
-	if g.fail(g.now, s); s.ejected {
+	if g.recordFailure(g.now, s); s.ejected {
 		t.Error("condemned for one failure after a connection stood")
 	}
 }
--- a/policy/reports.go
+++ b/policy/reports.go
@@ -15,18 +15,18 @@
 		s.probing = false
 		switch result {
 		case OK:
-			b.answers(s)
-			b.take(now, s, report)
+			b.readmit(s)
+			b.applyReport(now, s, report)
 			// A message waits for what is piled up, or where that is not told for what is asked beyond capacity.
 			full := report.Backlog > b.minMessageObjective.Seconds()/2 || report.Backlog < 0 && report.Load > over
-			if full && now-s.relievedAt >= b.lag() {
+			if full && now-s.relievedAt >= b.reportLag() {
 				b.relieve(now, s)
 			}
 		case Full: // it answers, but too many ask: not a failure
-			b.answers(s)
+			b.readmit(s)
 		case NotSent: // it was not asked
 		default:
-			if b.fail(now, s); s.ejected && result == Timeout {
+			if b.recordFailure(now, s); s.ejected && result == Timeout {
 				b.empty(s) // it says nothing at all, and so nothing to its clients
 			}
 		}
@@ -42,8 +42,8 @@
 	}
 }
 
-// take learns from a report. Any field may be missing.
-func (b *Balancer) take(now time.Duration, s *server, p Report) {
+// applyReport learns from a report. Any field may be missing.
+func (b *Balancer) applyReport(now time.Duration, s *server, p Report) {
 	if !(p.Load >= 0) {
 		p.Load = p.Util
 	}
@@ -59,7 +59,7 @@
 	s.pendingPlacements = slices.DeleteFunc(s.pendingPlacements, func(x placement) bool { return now-x.at >= 2*b.minObjective })
 	s.report, s.reportedAt, s.hasReport = p, now, true
 	b.zones[s.Zone].fill += learn * (min(p.Load, 2) - b.zones[s.Zone].fill)
-	if p.Connections > 0 && p.Load > 0.05 && b.warmth(now, s) == 1 { // an idle server tells nothing of k
+	if p.Connections > 0 && p.Load > 0.05 && b.warmupFraction(now, s) == 1 { // an idle server tells nothing of k
 		// Connections against load over capacity: pooled over the kind, and for the server itself.
 		k := b.kinds[s.Kind]
 		if k == nil {
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -6,8 +6,8 @@
 
 // This file is the slow start of servers that have just come up.
 
-// warmth is the part of its capacity that a server surely has.
-func (b *Balancer) warmth(now time.Duration, s *server) float64 {
+// warmupFraction is the part of its capacity that a server surely has.
+func (b *Balancer) warmupFraction(now time.Duration, s *server) float64 {
 	age := now - s.Started
 	if s.Started == 0 || age >= b.cfg.SlowStartDuration {
 		return 1
@@ -16,28 +16,28 @@
 	return min(b.cfg.SlowStartMinCapacity+(1-b.cfg.SlowStartMinCapacity)*max(age, 0).Seconds()/b.cfg.SlowStartDuration.Seconds(), 1)
 }
 
-// chill begins the budget of a cold server. What coldPart leaves of a window is there at once: a proxy with
+// startSlowStart begins the budget of a cold server. What coldPart leaves of a window is there at once: a proxy with
 // few requests comes late with what it may send, and nothing was sent before the server was listed.
-func (b *Balancer) chill(now time.Duration, s *server) {
+func (b *Balancer) startSlowStart(now time.Duration, s *server) {
 	early := b.cfg.OverloadWindow.Seconds() * (1/coldPart - 1)
 	s.slowStartOffset, s.slowStartSent = b.rng.Float64(), 0
 	s.slowStartTokens, s.slowStartRefilledAt = -s.slowStartOffset, now-time.Duration(early*float64(time.Second))
 }
 
-// warmEnough keeps this proxy within its part of what all may send to a cold server together.
-func (b *Balancer) warmEnough(now time.Duration, r *request, s *server) bool {
-	if b.warmth(now, s) == 1 {
+// slowStartAllows keeps this proxy within its part of what all may send to a cold server together.
+func (b *Balancer) slowStartAllows(now time.Duration, r *request, s *server) bool {
+	if b.warmupFraction(now, s) == 1 {
 		return true
 	}
 	k, rivals := b.capacityOf(now, s)/b.unit(), b.activeRelays
 	if b.cfg.Groups && r.Group != 0 { // the other proxies have none that wants it: its budget is not for them
-		rivals = min(rivals, max(groupRush*max(b.fill(), easy)*k/b.warmth(now, s), 1))
+		rivals = min(rivals, max(groupRush*max(b.fill(), easy)*k/b.warmupFraction(now, s), 1))
 	}
 	// In mean loads a second: filling it over its warm-up, at the part of its capacity that it surely has.
 	rate := coldPart * b.cfg.OverloadFactor * k / b.cfg.SlowStartDuration.Seconds() / rivals
 	if now-s.slowStartRefilledAt > b.cfg.OverloadWindow && s.slowStartTokens+rate*(now-s.slowStartRefilledAt).Seconds() >= 0 {
 		// Nothing was asked of it for a window. What many proxies save in such a time they could use all at once.
-		b.chill(now, s)
+		b.startSlowStart(now, s)
 	}
 	s.slowStartTokens = min(s.slowStartTokens+rate*(now-s.slowStartRefilledAt).Seconds(), 1)
 	s.slowStartRefilledAt = now
--- a/policy/state.go
+++ b/policy/state.go
@@ -11,11 +11,11 @@
 
 // What a timer is for stands in the top byte of its token, the request in the rest.
 const (
-	tokenDeadline uint64 = iota << 56
-	tokenWait     uint64 = iota << 56
-	tokenWatch    uint64 = iota << 56
-	tokenLook     uint64 = iota << 56
-	tokenMask     uint64 = 0xff << 56
+	tokenDeadline    uint64 = iota << 56
+	tokenRetry       uint64 = iota << 56
+	tokenPoll        uint64 = iota << 56
+	tokenHealthCheck uint64 = iota << 56
+	tokenMask        uint64 = 0xff << 56
 )
 
 // health counts failures in a row. It is kept for each server and each zone.
--- a/policy/waiting.go
+++ b/policy/waiting.go
@@ -38,7 +38,7 @@
 	for _, s := range b.servers {
 		if s.State == Ready && !s.ejected && !b.zones[s.Zone].ejected {
 			good++
-		} else if r.maySendTo(b, now, s) && b.warmEnough(now, r, s) && !slices.Contains(r.triedServers, s.ID) {
+		} else if r.maySendTo(b, now, s) && b.slowStartAllows(now, r, s) && !slices.Contains(r.triedServers, s.ID) {
 			bad = append(bad, s)
 		}
 	}
