--- a/policy/arrival.go
+++ b/policy/arrival.go
@@ -13,13 +13,13 @@
 	if b.requests[q.ID] != nil {
 		return
 	}
-	r := b.admit(now, q)
+	r := b.newRequest(now, q)
 	b.probeTokens = max(b.probeTokens, min(b.probeTokens+b.probeAllowance(), 3*probeMost))
 	if left := q.Deadline - b.cfg.AnswerSlack - now; left > 0 {
 		b.executor.Timer(left, tokenDeadline|uint64(q.ID))
 		b.place(now, r)
 	} else {
-		b.end(r)
+		b.finish(r)
 	}
 }
 
@@ -28,21 +28,21 @@
 	if b.requests[q.ID] != nil {
 		return
 	}
-	r := b.admit(now, q)
+	r := b.newRequest(now, q)
 	r.attempts, r.established, r.answered = 1, true, true
 	b.probeTokens += b.probeAllowance() // it was a request once, and has to be looked after all the same
 	if s := b.byID[id]; s != nil {
-		b.occupy(now, r, s)
+		b.attach(now, r, s)
 		s.pendingPlacements = nil // its reports know of it
 	} else {
 		delete(b.requests, q.ID)
 	}
 }
 
-func (b *Balancer) admit(now time.Duration, q Request) *request {
+func (b *Balancer) newRequest(now time.Duration, q Request) *request {
 	q.Class = min(max(q.Class, 0), len(b.cfg.Classes)-1)
 	q.Tenant = min(max(q.Tenant, 0), len(b.cfg.Tenants)-1)
-	r := &request{Request: q, arrivedAt: now, canary: b.isDrawn(q)}
+	r := &request{Request: q, arrivedAt: now, canary: b.isCanaryFlow(q)}
 	if q.Load > 0 && !math.IsInf(q.Load, 1) {
 		r.load = q.Load
 	}
@@ -57,12 +57,12 @@
 // loadOf is the load of a connection as far as it is known by now: what left a server is worth no more there
 // than what came.
 func (b *Balancer) loadOf(r *request) float64 {
-	return cmp.Or(r.load, b.classLoad[r.Class], b.unit())
+	return cmp.Or(r.load, b.classLoad[r.Class], b.unitLoad())
 }
 
-// unit is the mean load of a connection. Capacities are kept as connections and turned into load by it, since
+// unitLoad is the mean load of a connection. Capacities are kept as connections and turned into load by it, since
 // what a connection's load is may be known only later than how many fill a server.
-func (b *Balancer) unit() float64 { return cmp.Or(b.meanLoad, 1) }
+func (b *Balancer) unitLoad() float64 { return cmp.Or(b.meanLoad, 1) }
 
 func (b *Balancer) probeAllowance() float64 {
 	if !b.cfg.CanProbe || b.cfg.Reports == ReportsOff {
@@ -71,8 +71,8 @@
 	return min(probeBudget/max(b.cfg.ProbePrice, 1e-9), probeMost)
 }
 
-// affinity is the key by which connections belong on one server, 0 if none.
-func (b *Balancer) affinity(r *request) uint64 {
+// affinityKey is the key by which connections belong on one server, 0 if none.
+func (b *Balancer) affinityKey(r *request) uint64 {
 	if b.cfg.Groups && r.Group != 0 {
 		return r.Group
 	}
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -13,7 +13,7 @@
 	if k := b.kinds[s.Kind]; k != nil && k.capacity > 0 {
 		prior = s.Weight * k.inflight / k.capacity
 	}
-	return b.unit() * b.warmupFraction(now, s) * (priorReports*prior + s.reportCount*s.capacity) / (priorReports + s.reportCount)
+	return b.unitLoad() * b.warmupFraction(now, s) * (priorReports*prior + s.reportCount*s.capacity) / (priorReports + s.reportCount)
 }
 
 // usedOf is the load on a server: its report, which loses weight with age, and what was placed since.
@@ -43,20 +43,20 @@
 	return (s.foreignFlows + shrink*wide) / (s.ownFlows + shrink)
 }
 
-// adapt moves h of a tenant's servers: the highest that its owner tolerates (paper 5.4).
-func (b *Balancer) adapt(r *request, by float64) {
+// adaptLending moves h of a tenant's servers: the highest that its owner tolerates (paper 5.4).
+func (b *Balancer) adaptLending(r *request, by float64) {
 	b.lendingThresholds[r.Tenant] = min(max(b.lendingThresholds[r.Tenant]+by, hLeast), 1)
 }
 
-// overShare says whether a tenant holds more than this proxy's part of its quota, chance allowed for.
-func (b *Balancer) overShare(t int) bool {
-	part := b.cfg.Tenants[t].Quota / b.serving()
+// overQuota says whether a tenant holds more than this proxy's part of its quota, chance allowed for.
+func (b *Balancer) overQuota(t int) bool {
+	part := b.cfg.Tenants[t].Quota / b.servingRelays()
 	return part > 0 && b.openByTenant[t] > part+math.Sqrt(part)
 }
 
-// serving is how many proxies share the work: all of them, or fewer where the servers' reports show that this
+// servingRelays is how many proxies share the work: all of them, or fewer where the servers' reports show that this
 // one holds more than its part, since others are down or drained.
-func (b *Balancer) serving() float64 {
+func (b *Balancer) servingRelays() float64 {
 	all, told := 0.0, 0.0
 	for _, s := range b.servers {
 		if s.hasReport && s.report.Connections >= 0 {
--- a/policy/facade.go
+++ b/policy/facade.go
@@ -108,7 +108,7 @@
 func (n CanaryGroup) apply(b *Balancer, _ time.Duration) {
 	b.canary = n
 	for _, s := range b.servers {
-		s.inCanary = b.inArm(s.ID)
+		s.inCanary = b.inCanary(s.ID)
 	}
 }
 func (n MessageLatency) apply(b *Balancer, now time.Duration) { b.ObserveLatency(now, n.ID, n.Latency) }
--- a/policy/members.go
+++ b/policy/members.go
@@ -72,7 +72,7 @@
 	added := len(b.servers) > before
 	for _, s := range b.servers {
 		if s.State != Ready { // its clients come again before it cuts them off
-			b.empty(s)
+			b.migrateAll(s)
 		}
 	}
 	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool {
@@ -115,7 +115,7 @@
 		s.health, s.hasReport, s.pendingPlacements = health{}, false, nil
 		b.startSlowStart(now, s)
 	}
-	s.Server, s.inCanary = e, b.inArm(e.ID)
+	s.Server, s.inCanary = e, b.inCanary(e.ID)
 }
 
 // ownerOf is the tenant whose slice a server belongs to. It depends on the id and the shares alone, so
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -28,7 +28,7 @@
 		return
 	}
 	s := r.server
-	b.vacate(now, r)
+	b.detach(now, r)
 	switch o.Result {
 	case ConnectFailed, Reset, Timeout, Error:
 		b.recordFailure(now, s)
@@ -48,7 +48,7 @@
 		return
 	}
 	if now+b.cfg.AnswerSlack >= r.Deadline || r.attempts >= b.cfg.MaxAttempts {
-		b.end(r)
+		b.finish(r)
 		return
 	}
 	r.stage, r.probedStage = 0, 0
@@ -57,7 +57,7 @@
 			b.admissionRate = max(b.admissionRate*retreat, daringLeast)
 		}
 		pause := float64(b.cfg.Classes[r.Class].LatencyObjective) / 4 * math.Exp2(float64(r.attempts)) * (0.5 + b.rng.Float64())
-		b.wait(r, time.Duration(pause))
+		b.scheduleRetry(r, time.Duration(pause))
 		return
 	}
 	b.place(now, r)
@@ -93,7 +93,7 @@
 		}
 	case tokenDeadline:
 		if r := b.requests[id]; r != nil && !r.answered {
-			b.end(r)
+			b.finish(r)
 		}
 	case tokenHealthCheck:
 		b.checkHealth(now)
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -11,19 +11,19 @@
 
 // The tiers of candidates in the order of the mechanism: home first, then servers outside the slice.
 const (
-	homeHere = iota
-	foreignHere
-	homeAway
-	foreignAway
-	tiers
+	homeLocal = iota
+	foreignLocal
+	homeRemote
+	foreignRemote
+	tierCount
 )
 
 // reportLag is how old what this proxy knows may be: two refreshes of reports about as long as the shortest
 // aim, and the way they take.
 func (b *Balancer) reportLag() time.Duration { return 3 * b.minObjective }
 
-// fill is the mean fill of the zones.
-func (b *Balancer) fill() float64 {
+// meanFill is the mean fill of the zones.
+func (b *Balancer) meanFill() float64 {
 	sum := 0.0
 	for _, z := range b.zones {
 		sum += z.fill
@@ -38,89 +38,89 @@
 	}
 	// Guards against a storm: tries that keep a session store down are not sent (daring), as in TCP.
 	if r.probedStage == 0 && !r.MidFlow && b.rng.Float64() > b.admissionRate {
-		b.end(r)
+		b.finish(r)
 		return
 	}
 	for ; r.stage <= 2; r.stage++ {
 		tiered := b.candidates(now, r)
-		if b.ask(now, r, tiered) {
+		if b.probeCandidates(now, r, tiered) {
 			return
 		}
-		levels, ordered := []float64{easy, firm, brim}, b.affinity(r) != 0
-		if b.overShare(r.Tenant) || r.stage < 2 && !ordered {
+		levels, ordered := []float64{easy, firm, brim}, b.affinityKey(r) != 0
+		if b.overQuota(r.Tenant) || r.stage < 2 && !ordered {
 			levels = levels[:1] // over its share: only room that nobody else presses for
 		} else if ordered {
 			levels = levels[2:]
 		}
-		if b.isCheap(r.Class) {
+		if b.isLowValue(r.Class) {
 			levels = []float64{min(levels[len(levels)-1], cheap)}
 		}
 		reach := r.stage + max(0, r.stage-1)
 		for i := range (reach + 1) * len(levels) {
 			tier, level := i%(reach+1), levels[i/(reach+1)]
-			if b.cfg.Groups && ordered && tier != homeHere {
+			if b.cfg.Groups && ordered && tier != homeLocal {
 				level = min(level, opening) // a server outside the slice pays for the group again
 			}
 			if s := b.pick(now, r, tier, tiered[tier], level); s != nil {
-				b.send(now, r, s, tier == foreignHere || tier == foreignAway)
+				b.send(now, r, s, tier == foreignLocal || tier == foreignRemote)
 				return
 			}
 		}
 		if r.stage == 0 {
-			b.adapt(r, -hStep*(1-tolerance)) // its home was full
+			b.adaptLending(r, -hStep*(1-tolerance)) // its home was full
 		}
 	}
-	b.hold(now, r)
+	b.waitForCapacity(now, r)
 }
 
 // candidates sorts the servers that may be sent to into tiers.
-func (b *Balancer) candidates(now time.Duration, r *request) (tiered [tiers][]*server) {
-	key := b.affinity(r)
+func (b *Balancer) candidates(now time.Duration, r *request) (tiered [tierCount][]*server) {
+	key := b.affinityKey(r)
 	if b.cfg.Groups && r.Group != 0 { // one slice for all zones, of the first in the order of its key
-		list := b.firstOf(now, r, key)
+		list := b.topRanked(now, r, key)
 		n := min(len(list), groupSlice)
-		tiered[homeHere], tiered[foreignHere] = list[:n:n], list[n:]
+		tiered[homeLocal], tiered[foreignLocal] = list[:n:n], list[n:]
 		return tiered
 	}
 	for _, s := range b.servers {
 		if !b.usable(now, r, s) {
 			continue
 		}
-		tier := foreignHere
+		tier := foreignLocal
 		if s.Zone != b.cfg.Zone {
-			tier = foreignAway
+			tier = foreignRemote
 		}
 		if key == 0 && slices.Contains(b.homeSlice(r.Tenant), s) {
-			tier -= foreignHere
+			tier -= foreignLocal
 		}
 		tiered[tier] = append(tiered[tier], s)
 	}
 	// Connections that belong together share a slice of their own instead of their tenants': the first
 	// servers in the weighted order of their key. Without this a group is paid for in the slice of
 	// every tenant.
-	for tier := homeHere; key != 0 && tier < tiers; tier += 2 {
-		list := tiered[tier+foreignHere]
+	for tier := homeLocal; key != 0 && tier < tierCount; tier += 2 {
+		list := tiered[tier+foreignLocal]
 		for _, s := range list {
 			s.rank = b.rankOf(s, key)
 		}
 		slices.SortStableFunc(list, func(x, y *server) int { return cmp.Compare(y.rank, x.rank) })
 		n := min(len(list), groupSlice)
-		tiered[tier], tiered[tier+foreignHere] = list[:n:n], list[n:]
+		tiered[tier], tiered[tier+foreignLocal] = list[:n:n], list[n:]
 	}
 	return tiered
 }
 
 // rankOf is a server's place in the order of a key: the highest comes first.
 func (b *Balancer) rankOf(s *server, key uint64) float64 {
-	if b.cfg.Groups && s.holds(key) {
+	if b.cfg.Groups && s.hasGroup(key) {
 		return math.Inf(1) // the group is paid for there
 	}
 	return rendezvous(uint64(s.ID), key, s.Weight)
 }
 
-// firstOf is the groupReach usable servers that come first in the order of a group's key. No more is sorted:
+// topRanked is the groupReach usable servers that come first in the order of a group's key. No more is sorted:
 // in a large fleet doing so for each request took most of a relay's time.
-func (b *Balancer) firstOf(now time.Duration, r *request, key uint64) []*server {
+func (b *Balancer) topRanked(now time.Duration, r *request, key uint64) []*server {
 	first := make([]*server, 0, groupReach+1)
 	for _, s := range b.servers {
 		if !b.usable(now, r, s) {
@@ -146,21 +146,21 @@
 		now >= b.zones[s.Zone].retryAt
 }
 
-// ask probes candidates of the stage whose report is old, within the budget, and says whether to wait
+// probeCandidates probes candidates of the stage whose report is old, within the budget, and says whether to wait
 // for them.
-func (b *Balancer) ask(now time.Duration, r *request, tiered [tiers][]*server) bool {
+func (b *Balancer) probeCandidates(now time.Duration, r *request, tiered [tierCount][]*server) bool {
 	if b.probeAllowance() == 0 || r.MidFlow || r.probedStage > r.stage {
 		return false
 	}
 	r.probedStage = r.stage + 1 // once: a server that answers without a report must not be asked for ever
-	want := slices.Clone(tiered[min(r.stage, homeAway)])
+	want := slices.Clone(tiered[min(r.stage, homeRemote)])
 	if r.stage == 2 {
-		want = append(want, tiered[foreignAway]...)
-		if near := tiered[foreignHere]; b.cfg.Groups && r.Group != 0 { // those that were not asked before
+		want = append(want, tiered[foreignRemote]...)
+		if near := tiered[foreignLocal]; b.cfg.Groups && r.Group != 0 { // those that were not asked before
 			want = slices.Clone(near[min(probeTier, len(near)):])
 		}
 	}
-	if b.affinity(r) == 0 {
+	if b.affinityKey(r) == 0 {
 		b.rng.Shuffle(len(want), func(i, j int) { want[i], want[j] = want[j], want[i] })
 	}
 	for _, s := range want[:min(len(want), probeTier)] {
@@ -175,12 +175,12 @@
 		r.pendingProbes++
 	}
 	if r.pendingProbes > 0 {
-		b.wait(r, b.cfg.Classes[r.Class].LatencyObjective/8) // a lost probe must not hold the request up
+		b.scheduleRetry(r, b.cfg.Classes[r.Class].LatencyObjective/8) // a lost probe must not hold the request up
 	}
 	return r.pendingProbes > 0
 }
 
-func (b *Balancer) wait(r *request, d time.Duration) {
+func (b *Balancer) scheduleRetry(r *request, d time.Duration) {
 	r.pendingTimers++
 	b.executor.Timer(d, tokenRetry|uint64(r.ID))
 }
@@ -194,11 +194,11 @@
 // pick chooses among the candidates of one tier those with room at the level, weighted by spare
 // capacity.
 func (b *Balancer) pick(now time.Duration, r *request, tier int, list []*server, level float64) *server {
-	guest := tier == foreignHere || tier == foreignAway
-	if tier >= homeAway {
+	guest := tier == foreignLocal || tier == foreignRemote
+	if tier >= homeRemote {
 		level -= crossing * b.cfg.CrossZonePrice
 	}
-	ordered, load := b.affinity(r) != 0, b.loadOf(r)
+	ordered, load := b.affinityKey(r) != 0, b.loadOf(r)
 	var fit []*server
 	var weights []float64
 	sum := 0.0
@@ -212,14 +212,14 @@
 		k, used := b.capacityOf(now, s), b.usedOf(now, s)
 		level := min(level/b.warmupFraction(now, s), max(brim, level)) // the levels are of what it will bear once warm
 		spare := k*level - used - load
-		if spare <= 0 || guest && used*b.foreignShare(s)+load > k*level*b.lent(s) {
+		if spare <= 0 || guest && used*b.foreignShare(s)+load > k*level*b.lendingThreshold(s) {
 			continue
 		}
 		if ordered {
 			// All proxies know the same order, and few servers are to pay for a group: they fill one after
 			// the other. As its home fills fewer go there, or what all send by one late report would herd.
 			// Packets of an open connection must be found again by another proxy.
-			if b.cfg.PassThrough || tier != homeHere || b.rng.Float64()*ramp*k < spare {
+			if b.cfg.PassThrough || tier != homeLocal || b.rng.Float64()*ramp*k < spare {
 				return s
 			}
 			continue
@@ -240,8 +240,8 @@
 	return nil
 }
 
-// lent is h of a server as a part of k. It is learned in the own zone, whose owners this proxy serves.
-func (b *Balancer) lent(s *server) float64 {
+// lendingThreshold is h of a server as a part of k. It is learned in the own zone, whose owners this proxy serves.
+func (b *Balancer) lendingThreshold(s *server) float64 {
 	if s.Zone != b.cfg.Zone {
 		return 1
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// ask brings a request and answers the probes it causes.
+// probeCandidates brings a request and answers the probes it causes.
 func (g *rig) ask(q Request) RequestID {
 	g.next++
 	q.ID = g.next
@@ -1008,7 +1008,7 @@
 		g.AddExisting(g.now, Request{ID: 100 + id, Load: 0.1, Tenant: int(id % 2)}, s.ID)
 	}
 	g.applyReport(g.now, s, Report{Connections: 80, Load: 1.1, Util: -1})
-	g.relieve(g.now, s)
+	g.migrateExcess(g.now, s)
 	count := [2]int{}
 	for _, id := range g.moves {
 		count[id%2]++
@@ -1136,7 +1136,7 @@
 		for _, s := range g.servers {
 			g.ProbeResult(g.now, s.ID, OK, Report{Connections: c.reported, Load: 0.5, Util: -1, Backlog: -1})
 		}
-		if g.overShare(0) != c.over {
+		if g.overQuota(0) != c.over {
 			t.Errorf("%s: over its share %v", name, !c.over)
 		}
 	}
@@ -1152,7 +1152,7 @@
 				s.retryAt, s.ejected = 0, false
 				q := Request{ID: RequestID(100 + 4*round), Deadline: g.now + time.Second, Load: 0.01}
 				q.ID += RequestID(s.ID) % 4 * 1000
-				g.admit(g.now, q)
+				g.newRequest(g.now, q)
 				r := g.requests[q.ID]
 				g.send(g.now, r, s, false)
 				g.AttemptEnded(g.now, Outcome{ID: q.ID, Server: s.ID, Result: Error, Report: NoReport})
@@ -1327,7 +1327,7 @@
 	g := newRig(settings(), fleet(1, 1))
 	id := fleet(1, 1)[0].ID
 	s := g.byID[id]
-	connections := func() float64 { return g.capacityOf(g.now, s) / g.unit() }
+	connections := func() float64 { return g.capacityOf(g.now, s) / g.unitLoad() }
 	g.AddExisting(g.now, Request{ID: 900}, id)
 	g.load[id], g.count[id] = 0.5, 20
 	report := Report{Connections: 20, Load: 0.5, Util: -1}
@@ -1341,8 +1341,8 @@
 	for range 3 {
 		g.ask(Request{Load: -1})
 	}
-	if n := connections(); n < 38 || n > 42 || g.unit() > 0.05 {
-		t.Errorf("capacity %.1f connections of %.2f each, once loads of 0.04 are known", n, g.unit())
+	if n := connections(); n < 38 || n > 42 || g.unitLoad() > 0.05 {
+		t.Errorf("capacity %.1f connections of %.2f each, once loads of 0.04 are known", n, g.unitLoad())
 	}
 	// What ends frees what it was last said to weigh, not what was guessed when it came.
 	s.pendingPlacements = nil
--- a/policy/relief.go
+++ b/policy/relief.go
@@ -8,10 +8,10 @@
 
 // This file is which open connections leave a server.
 
-// relieve moves own connections off a server that is over its capacity: on a full server none is served
+// migrateExcess moves own connections off a server that is over its capacity: on a full server none is served
 // well. Each proxy moves a part of its own load, so that all together move what is too much and no more. What
 // earns least for its load goes first: the fewest clients move, and the least worth waits for room.
-func (b *Balancer) relieve(now time.Duration, s *server) {
+func (b *Balancer) migrateExcess(now time.Duration, s *server) {
 	x := b.usedOf(now, s) / b.capacityOf(now, s)
 	if s.rawReport.Load > jolt {
 		x = min(x, max(s.previousLoad, 1))
@@ -28,25 +28,25 @@
 	part := b.admissionRate * (x - brim) / x
 	left *= part * (2 - part) // as two looks would: each proxy looks but now and then
 	list := slices.Clone(s.conns)
-	slices.SortStableFunc(list, func(p, q *request) int { return cmp.Compare(b.earns(p), b.earns(q)) })
+	slices.SortStableFunc(list, func(p, q *request) int { return cmp.Compare(b.valuePerLoad(p), b.valuePerLoad(q)) })
 	for _, r := range list {
 		if load := b.loadOf(r); b.rng.Float64()*load < left {
-			b.move(r)
+			b.migrate(r)
 			left -= load
 		}
 	}
 }
 
-// earns is what a connection earns for its load; what is over a share is worth little.
-func (b *Balancer) earns(r *request) float64 {
-	if b.overShare(r.Tenant) {
+// valuePerLoad is what a connection earns for its load; what is over a share is worth little.
+func (b *Balancer) valuePerLoad(r *request) float64 {
+	if b.overQuota(r.Tenant) {
 		return 0
 	}
 	return b.cfg.Classes[r.Class].PriorityWeight / b.loadOf(r)
 }
 
-// isCheap says whether a class earns less for its load, once that is known, than a part of what others do.
-func (b *Balancer) isCheap(class int) bool {
+// isLowValue says whether a class earns less for its load, once that is known, than a part of what others do.
+func (b *Balancer) isLowValue(class int) bool {
 	best, load := 0.0, b.classLoad[class]
 	for i, other := range b.classLoad {
 		if other > 0 {
@@ -56,17 +56,17 @@
 	return load > 0 && b.cfg.Classes[class].PriorityWeight/load < cheapPart*best
 }
 
-// move asks the client of an open connection to come again, once.
-func (b *Balancer) move(r *request) {
+// migrate asks the client of an open connection to come again, once.
+func (b *Balancer) migrate(r *request) {
 	if r.established && !r.migrated {
 		r.migrated = true
 		b.executor.Migrate(r.ID)
 	}
 }
 
-// empty moves all own connections off a server.
-func (b *Balancer) empty(s *server) {
+// migrateAll moves all own connections off a server.
+func (b *Balancer) migrateAll(s *server) {
 	for _, r := range slices.Clone(s.conns) {
-		b.move(r)
+		b.migrate(r)
 	}
 }
--- a/policy/reports.go
+++ b/policy/reports.go
@@ -20,14 +20,14 @@
 			// A message waits for what is piled up, or where that is not told for what is asked beyond capacity.
 			full := report.Backlog > b.minMessageObjective.Seconds()/2 || report.Backlog < 0 && report.Load > over
 			if full && now-s.relievedAt >= b.reportLag() {
-				b.relieve(now, s)
+				b.migrateExcess(now, s)
 			}
 		case Full: // it answers, but too many ask: not a failure
 			b.readmit(s)
 		case NotSent: // it was not asked
 		default:
 			if b.recordFailure(now, s); s.ejected && result == Timeout {
-				b.empty(s) // it says nothing at all, and so nothing to its clients
+				b.migrateAll(s) // it says nothing at all, and so nothing to its clients
 			}
 		}
 	}
@@ -96,5 +96,5 @@
 	} else if message < aim/2 {
 		return
 	}
-	b.relieve(now, s)
+	b.migrateExcess(now, s)
 }
--- a/policy/sending.go
+++ b/policy/sending.go
@@ -24,7 +24,7 @@
 	return false
 }
 
-func (r *request) mayRefuse(b *Balancer) bool {
+func (r *request) mayReject(b *Balancer) bool {
 	c := b.cfg.Classes[r.Class]
 	return c.Idempotency == Idempotent || !r.mayHaveRun && !r.inFlight || c.Idempotency == IdempotencyKey && c.Scope == ScopeAll
 }
@@ -46,19 +46,19 @@
 	if !r.mayHaveRun {
 		r.firstRunAt, r.firstRunOn = now, s.Server
 	}
-	s.slowStartTokens -= b.loadOf(r) / b.unit()
-	s.slowStartSent += b.loadOf(r) / b.unit()
-	b.occupy(now, r, s)
+	s.slowStartTokens -= b.loadOf(r) / b.unitLoad()
+	s.slowStartSent += b.loadOf(r) / b.unitLoad()
+	b.attach(now, r, s)
 	if !foreign {
-		b.adapt(r, hStep*tolerance)
+		b.adaptLending(r, hStep*tolerance)
 	}
 	b.executor.Send(r.ID, s.ID, timeout)
 }
 
-// end gives the final answer that the rules allow, to a request that has none.
-func (b *Balancer) end(r *request) {
+// finish gives the final answer that the rules allow, to a request that has none.
+func (b *Balancer) finish(r *request) {
 	r.answered = true
-	if r.mayRefuse(b) {
+	if r.mayReject(b) {
 		// By then reports are new, and as many tries as it takes to be let in now have passed; spread, so that
 		// who were refused together do not come back together. docs/design.md, "Coming again".
 		b.rejectionRate += learn * (1 - b.rejectionRate)
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -29,9 +29,9 @@
 	if b.warmupFraction(now, s) == 1 {
 		return true
 	}
-	k, rivals := b.capacityOf(now, s)/b.unit(), b.activeRelays
+	k, rivals := b.capacityOf(now, s)/b.unitLoad(), b.activeRelays
 	if b.cfg.Groups && r.Group != 0 { // the other proxies have none that wants it: its budget is not for them
-		rivals = min(rivals, max(groupRush*max(b.fill(), easy)*k/b.warmupFraction(now, s), 1))
+		rivals = min(rivals, max(groupRush*max(b.meanFill(), easy)*k/b.warmupFraction(now, s), 1))
 	}
 	// In mean loads a second: filling it over its warm-up, at the part of its capacity that it surely has.
 	rate := coldPart * b.cfg.OverloadFactor * k / b.cfg.SlowStartDuration.Seconds() / rivals
@@ -45,5 +45,5 @@
 	// accrue came 2 to 5 s late. A send pays for both, so all together spend the larger of the two.
 	atOnce := min(brim*k/rivals, rate/coldPart*b.cfg.OverloadWindow.Seconds())
 	// A heavy connection could spend the budget of all proxies at one stroke.
-	return (s.slowStartTokens >= 0 || s.slowStartSent+s.slowStartOffset <= atOnce) && b.loadOf(r) <= 2*b.unit()
+	return (s.slowStartTokens >= 0 || s.slowStartSent+s.slowStartOffset <= atOnce) && b.loadOf(r) <= 2*b.unitLoad()
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -120,33 +120,35 @@
 	canaryOverflows     uint64 // connections that were drawn for an arm and went elsewhere
 }
 
-// inArm and isDrawn ask the news of arms, if there was any.
-func (b *Balancer) inArm(id ServerID) bool { return b.canary.Contains != nil && b.canary.Contains(id) }
-func (b *Balancer) isDrawn(q Request) bool {
+// inCanary and isCanaryFlow ask the news of arms, if there was any.
+func (b *Balancer) inCanary(id ServerID) bool {
+	return b.canary.Contains != nil && b.canary.Contains(id)
+}
+func (b *Balancer) isCanaryFlow(q Request) bool {
 	return b.canary.Assigned != nil && !q.MidFlow && b.canary.Assigned(cmp.Or(q.Group, q.Key))
 }
 
-// holds says whether own connections of a group are there.
-func (s *server) holds(group uint64) bool {
+// hasGroup says whether own connections of a group are there.
+func (s *server) hasGroup(group uint64) bool {
 	return slices.ContainsFunc(s.conns, func(r *request) bool { return r.Group == group })
 }
 
-// occupy and vacate keep count of what is where.
-func (b *Balancer) occupy(now time.Duration, r *request, s *server) {
+// attach and vacate keep count of what is where.
+func (b *Balancer) attach(now time.Duration, r *request, s *server) {
 	r.server = s
 	s.pendingPlacements, s.placedAt = append(s.pendingPlacements, placement{now, b.loadOf(r)}), now
-	b.count(r, s, 1)
+	b.countFlow(r, s, 1)
 }
 
-func (b *Balancer) vacate(now time.Duration, r *request) {
+func (b *Balancer) detach(now time.Duration, r *request) {
 	if s := r.server; s != nil {
 		s.pendingPlacements = append(s.pendingPlacements, placement{now, -b.loadOf(r)})
-		b.count(r, s, -1)
+		b.countFlow(r, s, -1)
 		r.server, r.inFlight = nil, false
 	}
 }
 
-func (b *Balancer) count(r *request, s *server, n float64) {
+func (b *Balancer) countFlow(r *request, s *server, n float64) {
 	if n > 0 {
 		s.conns = append(s.conns, r)
 	} else if i := slices.Index(s.conns, r); i >= 0 {
--- a/policy/waiting.go
+++ b/policy/waiting.go
@@ -7,12 +7,12 @@
 
 // This file is connections that have found no room.
 
-// hold keeps a request that found no room for another look, and refuses it once that would come too
+// waitForCapacity keeps a request that found no room for another look, and refuses it once that would come too
 // late.
-func (b *Balancer) hold(now time.Duration, r *request) {
+func (b *Balancer) waitForCapacity(now time.Duration, r *request) {
 	aim := b.cfg.Classes[r.Class].LatencyObjective
 	again := time.Duration(float64(aim) / 4 * (0.5 + b.rng.Float64()))
-	if b.overShare(r.Tenant) || r.attempts >= b.cfg.MaxAttempts || now+again > min(r.arrivedAt+aim, r.Deadline) ||
+	if b.overQuota(r.Tenant) || r.attempts >= b.cfg.MaxAttempts || now+again > min(r.arrivedAt+aim, r.Deadline) ||
 		r.mayHaveRun && b.cfg.Classes[r.Class].Idempotency == NonIdempotent {
 		if r.canary { // its arm has no room: limits, drains and cold budgets go before the arm's share
 			r.canary, r.stage, r.probedStage = false, 0, 0
@@ -24,11 +24,11 @@
 			b.send(now, r, s, true)
 			return
 		}
-		b.end(r)
+		b.finish(r)
 		return
 	}
 	r.stage, r.probedStage, r.triedServers = 0, 0, r.triedServers[:0]
-	b.wait(r, again)
+	b.scheduleRetry(r, again)
 }
 
 // lastResort doubts the view when nearly all servers look bad: then one of them is tried all the same.
