--- a/policy/arrival.go
+++ b/policy/arrival.go
@@ -14,7 +14,7 @@
 		return
 	}
 	r := b.newRequest(now, q)
-	b.probeTokens = max(b.probeTokens, min(b.probeTokens+b.probeAllowance(), 3*probeMost))
+	b.probeTokens = max(b.probeTokens, min(b.probeTokens+b.probeAllowance(), 3*maxProbes))
 	if left := q.Deadline - b.cfg.AnswerSlack - now; left > 0 {
 		b.executor.Timer(left, tokenDeadline|uint64(q.ID))
 		b.place(now, r)
@@ -48,7 +48,7 @@
 	}
 	if load := cmp.Or(r.load, b.classLoad[q.Class]); load > 0 { // a guess teaches nothing
 		b.meanLoad = cmp.Or(b.meanLoad, load)
-		b.meanLoad += learn / 4 * (load - b.meanLoad)
+		b.meanLoad += learningRate / 4 * (load - b.meanLoad)
 	}
 	b.requests[q.ID] = r
 	return r
@@ -68,7 +68,7 @@
 	if !b.cfg.CanProbe || b.cfg.Reports == ReportsOff {
 		return 0
 	}
-	return min(probeBudget/max(b.cfg.ProbePrice, 1e-9), probeMost)
+	return min(probeBudget/max(b.cfg.ProbePrice, 1e-9), maxProbes)
 }
 
 // affinityKey is the key by which connections belong on one server, 0 if none.
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -39,13 +39,13 @@
 
 // foreignShare estimates which part of a server's connections is foreign there.
 func (b *Balancer) foreignShare(s *server) float64 {
-	wide := (b.foreignFlows + shrink*0.5) / (b.ownFlows + shrink) // knowing nothing, half
-	return (s.foreignFlows + shrink*wide) / (s.ownFlows + shrink)
+	wide := (b.foreignFlows + shrinkage*0.5) / (b.ownFlows + shrinkage) // knowing nothing, half
+	return (s.foreignFlows + shrinkage*wide) / (s.ownFlows + shrinkage)
 }
 
 // adaptLending moves h of a tenant's servers: the highest that its owner tolerates (paper 5.4).
 func (b *Balancer) adaptLending(r *request, by float64) {
-	b.lendingThresholds[r.Tenant] = min(max(b.lendingThresholds[r.Tenant]+by, hLeast), 1)
+	b.lendingThresholds[r.Tenant] = min(max(b.lendingThresholds[r.Tenant]+by, lendMin), 1)
 }
 
 // overQuota says whether a tenant holds more than this proxy's part of its quota, chance allowed for.
--- a/policy/facade_test.go
+++ b/policy/facade_test.go
@@ -109,7 +109,7 @@
 		f := NewFacade(t0, settings(), 7)
 		f.Observe(t0, ServerList{Kind: ListCached, Servers: fleet(1, 1)})
 		server := fleet(1, 1)[0].ID
-		for range 2 * failsServer {
+		for range 2 * serverFailureThreshold {
 			f.Observe(t0, ProbeResult{Server: server, Result: result, Report: NoReport})
 		}
 		if got := f.b.byID[server].ejected; got != bad {
@@ -142,7 +142,7 @@
 	if got.capacity != s.capacity || got.capacity == 0 || !got.hasReport || got.report.Load != 0.5 || got.reportChangedAt != now-time.Second {
 		t.Errorf("learned %+v, recalled %+v", s, got)
 	}
-	if !bad.ejected || bad.failures != failsServer {
+	if !bad.ejected || bad.failures != serverFailureThreshold {
 		t.Errorf("a condemned server is taken for %+v", bad.health)
 	}
 	// From hours ago, on a clock that is younger than that: what was there before is known, and what has started since is not.
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -165,12 +165,12 @@
 				}
 				if p == 0 {
 					if group != 0 {
-						want = uint64(groupRush * easy * g.capacityOf(t0+set.SlowStartDuration, s))
+						want = uint64(groupDemand * fillLow * g.capacityOf(t0+set.SlowStartDuration, s))
 					}
-					bears += brim * g.capacityOf(t0, s)
+					bears += fillHigh * g.capacityOf(t0, s)
 					// What the rate allows by the end of the half second, with the part of a window there at once.
-					early := set.OverloadWindow.Seconds()*(1/coldPart-1) + 0.5
-					allowed += coldPart * set.OverloadFactor * g.capacityOf(t0+500*ms, s) / set.SlowStartDuration.Seconds() * early
+					early := set.OverloadWindow.Seconds()*(1/slowStartMargin-1) + 0.5
+					allowed += slowStartMargin * set.OverloadFactor * g.capacityOf(t0+500*ms, s) / set.SlowStartDuration.Seconds() * early
 				}
 			}
 		}
--- a/policy/health.go
+++ b/policy/health.go
@@ -27,11 +27,11 @@
 	if s.failures == 1 && b.cfg.CanProbe && !s.probing {
 		b.probe(s) // one failure is no verdict: ask
 	}
-	b.eject(now, &s.health, failsServer)
+	b.eject(now, &s.health, serverFailureThreshold)
 	z := &b.zones[s.Zone]
 	z.failures++
 	if s.Zone != b.cfg.Zone {
-		b.eject(now, &z.health, failsZone)
+		b.eject(now, &z.health, zoneFailureThreshold)
 	}
 }
 
@@ -39,6 +39,6 @@
 	if h.failures < most || now < h.retryAt { // what was under way when it was condemned is no further sign
 		return
 	}
-	pause := float64(b.cfg.ConnectTimeout) * math.Exp2(float64(min(h.failures-most+1, backOffMost)))
+	pause := float64(b.cfg.ConnectTimeout) * math.Exp2(float64(min(h.failures-most+1, maxBackoffDoublings)))
 	h.ejected, h.retryAt = b.cfg.CanProbe, now+time.Duration(pause*(0.5+b.rng.Float64()))
 }
--- a/policy/members.go
+++ b/policy/members.go
@@ -38,7 +38,7 @@
 func (b *Balancer) schedulePoll() {
 	// Guards against a polling storm: proxies that fail together come back spread out, later each time and the
 	// more there are, or all calls wait too long for good. Yet what is not asked for in time counts as told.
-	many := max(b.activeRelays/askTogether, 1)
+	many := max(b.activeRelays/concurrentPolls, 1)
 	span := min(many*math.Exp2(float64(min(b.failedPolls, 2)))/20, 1) * float64(b.cfg.MaxPollInterval)
 	b.executor.Timer(time.Duration(span*b.rng.Float64()), tokenPoll)
 }
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -13,8 +13,8 @@
 		r.established, r.answered = true, true
 		b.recordSuccess(r.server)
 		r.server.consecutiveFull = 0
-		b.admissionRate = min(b.admissionRate+learn, 1)
-		b.rejectionRate -= learn * b.rejectionRate
+		b.admissionRate = min(b.admissionRate+learningRate, 1)
+		b.rejectionRate -= learningRate * b.rejectionRate
 	}
 }
 
@@ -38,7 +38,7 @@
 		// Its queue of new connections is what is full, which no report shows: leave it alone for a
 		// moment. A second in a row, as from a server that drains unlisted, doubles the moment.
 		s.consecutiveFull++
-		pause := float64(b.minObjective) * math.Exp2(float64(min(s.consecutiveFull-1, backOffMost)))
+		pause := float64(b.minObjective) * math.Exp2(float64(min(s.consecutiveFull-1, maxBackoffDoublings)))
 		s.retryAt = now + time.Duration(pause*(0.5+b.rng.Float64()))
 	}
 	r.answered = r.answered || o.Final
@@ -54,7 +54,7 @@
 	r.stage, r.probedStage = 0, 0
 	if o.Result == Timeout || o.Result == Error {
 		if b.mostServersFail() {
-			b.admissionRate = max(b.admissionRate*retreat, daringLeast)
+			b.admissionRate = max(b.admissionRate*admissionBackoff, minAdmissionRate)
 		}
 		pause := float64(b.cfg.Classes[r.Class].LatencyObjective) / 4 * math.Exp2(float64(r.attempts)) * (0.5 + b.rng.Float64())
 		b.scheduleRetry(r, time.Duration(pause))
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -46,20 +46,20 @@
 		if b.probeCandidates(now, r, tiered) {
 			return
 		}
-		levels, ordered := []float64{easy, firm, brim}, b.affinityKey(r) != 0
+		levels, ordered := []float64{fillLow, fillMedium, fillHigh}, b.affinityKey(r) != 0
 		if b.overQuota(r.Tenant) || r.stage < 2 && !ordered {
-			levels = levels[:1] // over its share: only room that nobody else presses for
+			levels = levels[:1] // overloadFill its share: only room that nobody else presses for
 		} else if ordered {
 			levels = levels[2:]
 		}
 		if b.isLowValue(r.Class) {
-			levels = []float64{min(levels[len(levels)-1], cheap)}
+			levels = []float64{min(levels[len(levels)-1], lowValueFill)}
 		}
 		reach := r.stage + max(0, r.stage-1)
 		for i := range (reach + 1) * len(levels) {
 			tier, level := i%(reach+1), levels[i/(reach+1)]
 			if b.cfg.Groups && ordered && tier != homeLocal {
-				level = min(level, opening) // a server outside the slice pays for the group again
+				level = min(level, groupSpillFill) // a server outside the slice pays for the group again
 			}
 			if s := b.pick(now, r, tier, tiered[tier], level); s != nil {
 				b.send(now, r, s, tier == foreignLocal || tier == foreignRemote)
@@ -67,7 +67,7 @@
 			}
 		}
 		if r.stage == 0 {
-			b.adaptLending(r, -hStep*(1-tolerance)) // its home was full
+			b.adaptLending(r, -lendStep*(1-lendTolerance)) // its home was full
 		}
 	}
 	b.waitForCapacity(now, r)
@@ -157,14 +157,14 @@
 	if r.stage == 2 {
 		want = append(want, tiered[foreignRemote]...)
 		if near := tiered[foreignLocal]; b.cfg.Groups && r.Group != 0 { // those that were not asked before
-			want = slices.Clone(near[min(probeTier, len(near)):])
+			want = slices.Clone(near[min(probesPerTier, len(near)):])
 		}
 	}
 	if b.affinityKey(r) == 0 {
 		b.rng.Shuffle(len(want), func(i, j int) { want[i], want[j] = want[j], want[i] })
 	}
-	for _, s := range want[:min(len(want), probeTier)] {
-		fresh := s.hasReport && now-s.reportedAt < 2*b.minObjective && (s.ownFlows < shrink || s.placedAt <= s.reportedAt)
+	for _, s := range want[:min(len(want), probesPerTier)] {
+		fresh := s.hasReport && now-s.reportedAt < 2*b.minObjective && (s.ownFlows < shrinkage || s.placedAt <= s.reportedAt)
 		if fresh || b.probeTokens < 1 && !s.probing {
 			continue
 		}
@@ -196,7 +196,7 @@
 func (b *Balancer) pick(now time.Duration, r *request, tier int, list []*server, level float64) *server {
 	guest := tier == foreignLocal || tier == foreignRemote
 	if tier >= homeRemote {
-		level -= crossing * b.cfg.CrossZonePrice
+		level -= crossZoneFill * b.cfg.CrossZonePrice
 	}
 	ordered, load := b.affinityKey(r) != 0, b.loadOf(r)
 	var fit []*server
@@ -210,7 +210,7 @@
 			continue
 		}
 		k, used := b.capacityOf(now, s), b.usedOf(now, s)
-		level := min(level/b.warmupFraction(now, s), max(brim, level)) // the levels are of what it will bear once warm
+		level := min(level/b.warmupFraction(now, s), max(fillHigh, level)) // the levels are of what it will bear once warm
 		spare := k*level - used - load
 		if spare <= 0 || guest && used*b.foreignShare(s)+load > k*level*b.lendingThreshold(s) {
 			continue
@@ -219,7 +219,7 @@
 			// All proxies know the same order, and few servers are to pay for a group: they fill one after
 			// the other. As its home fills fewer go there, or what all send by one late report would herd.
 			// Packets of an open connection must be found again by another proxy.
-			if b.cfg.PassThrough || tier != homeLocal || b.rng.Float64()*ramp*k < spare {
+			if b.cfg.PassThrough || tier != homeLocal || b.rng.Float64()*groupTaper*k < spare {
 				return s
 			}
 			continue
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -14,48 +14,48 @@
 	// The fill levels at which a server counts as having room, tried in turn, as parts of its capacity.
 	// Load swings while a connection lives, so the first keeps a third of a server for that and the
 	// last is the k of the paper, just short of where messages begin to wait.
-	easy, firm, brim = 0.65, 0.75, 0.85
-	// over is the fill above which a report alone has connections moved off; one of over jolt may be a
-	// server that stood still for a moment. Up to cheap goes what earns under cheapPart of what others do
+	fillLow, fillMedium, fillHigh = 0.65, 0.75, 0.85
+	// overloadFill is the fill above which a report alone has connections moved off; one of over jolt may be a
+	// server that stood still for a moment. Up to cheap goes what earns under lowValueRatio of what others do
 	// for its load. docs/design.md, "Shortage", has the measurements.
-	over, jolt, cheap, cheapPart = 0.95, 2.0, 0.8, 0.5
-	// tolerance is the part of the owners' connections that may find their home full (paper 5.4), and
-	// hStep how far one such event moves h, as a part of k: slow enough to average some tens of events.
-	tolerance, hStep = 0.1, 0.1
-	// hLeast is the part of k always lent: even a busy owner's slice takes a guest while it has room.
-	hLeast = 0.2
-	// shrink is how many connections a proxy must hold on one server before it believes its own foreign
+	overloadFill, stallLoad, lowValueFill, lowValueRatio = 0.95, 2.0, 0.8, 0.5
+	// lendTolerance is the part of the owners' connections that may find their home full (paper 5.4), and
+	// lendStep how far one such event moves h, as a part of k: slow enough to average some tens of events.
+	lendTolerance, lendStep = 0.1, 0.1
+	// lendMin is the part of k always lent: even a busy owner's slice takes a guest while it has room.
+	lendMin = 0.2
+	// shrinkage is how many connections a proxy must hold on one server before it believes its own foreign
 	// share there as much as its share over all servers.
-	shrink = 4.0
-	// probeBudget is what probing may cost, as a part of all worth; probeMost and probeTier bound the
+	shrinkage = 4.0
+	// probeBudget is what probing may cost, as a part of all worth; maxProbes and probesPerTier bound the
 	// probes a request may cause in all and for one kind of candidate: choosing among a few gives most
 	// of the gain.
-	probeBudget, probeMost, probeTier = 0.007, 8.0, 3
-	// crossing turns the price of crossing zones into fill: a server across a priced border must be
+	probeBudget, maxProbes, probesPerTier = 0.007, 8.0, 3
+	// crossZoneFill turns the price of crossing zones into fill: a server across a priced border must be
 	// emptier.
-	crossing = 4.0
-	// failsServer and failsZone are the failures in a row that condemn a server or a zone; one is no
+	crossZoneFill = 4.0
+	// serverFailureThreshold and zoneFailureThreshold are the failures in a row that condemn a server or a zone; one is no
 	// verdict.
-	failsServer, failsZone = 2, 4
-	// backOffMost bounds the doubling of the pause before a condemned server is tried again.
-	backOffMost = 5
+	serverFailureThreshold, zoneFailureThreshold = 2, 4
+	// maxBackoffDoublings bounds the doubling of the pause before a condemned server is tried again.
+	maxBackoffDoublings = 5
 	// groupSlice is how many servers a group has for its home. What comes next in its order, up to groupReach,
 	// pays for the group again and opens only where filled no more than opening, room for many; further on each
 	// proxy knows others and would scatter the group. ramp is the part of a server over which fewer of a group
 	// go there as it fills. docs/design/fleet.md has the measurements.
-	groupSlice, groupReach, opening, ramp = 1, 1 + 2*probeTier, 0.5, 0.35
-	// groupRush is how many times the connections of a warm server may want a cold one together: who holds a
+	groupSlice, groupReach, groupSpillFill, groupTaper = 1, 1 + 2*probesPerTier, 0.5, 0.35
+	// groupDemand is how many times the connections of a warm server may want a cold one together: who holds a
 	// connection is mostly of a large group, which all want the same server. docs/design/fleet.md.
-	groupRush = 4.0
-	// retreat is what one failure to set up leaves of the part of its requests that a proxy dares to send, and
-	// daringLeast what it always sends, to see whether setting up works again.
-	retreat, daringLeast = 0.8, 0.03
-	// askTogether is how many proxies may ask for the list within a twentieth of MaxPollInterval.
-	askTogether = 6.0
-	// learn is the weight of one new report in what is learned from reports.
-	learn = 0.1
-	// coldPart of the stated multiple is used; the rest is for chance and for proxies that do not keep to it.
-	coldPart = 0.75
+	groupDemand = 4.0
+	// admissionBackoff is what one failure to set up leaves of the part of its requests that a proxy dares to send, and
+	// minAdmissionRate what it always sends, to see whether setting up works again.
+	admissionBackoff, minAdmissionRate = 0.8, 0.03
+	// concurrentPolls is how many proxies may ask for the list within a twentieth of MaxPollInterval.
+	concurrentPolls = 6.0
+	// learningRate is the weight of one new report in what is learned from reports.
+	learningRate = 0.1
+	// slowStartMargin of the stated multiple is used; the rest is for chance and for proxies that do not keep to it.
+	slowStartMargin = 0.75
 	// priorReports is how many reports a server's own capacity needs to weigh as much as its kind's.
 	priorReports = 8.0
 )
@@ -65,7 +65,7 @@
 	set = normalize(set)
 	b := &Balancer{cfg: set, executor: actions, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
 		byID: map[ServerID]*server{}, requests: map[RequestID]*request{},
-		zones:        slices.Repeat([]zone{{fill: easy}}, set.Zones), // until reports say otherwise
+		zones:        slices.Repeat([]zone{{fill: fillLow}}, set.Zones), // until reports say otherwise
 		probeWaiters: map[ServerID][]RequestID{}, kinds: map[int]*kind{},
 		lendingThresholds: slices.Repeat([]float64{1}, len(set.Tenants)), openByTenant: make([]float64, len(set.Tenants)),
 		classLoad: make([]float64, len(set.Classes))}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -276,7 +276,7 @@
 		g.ask(Request{Tenant: 0})
 	}
 	low := g.lendingThresholds[0]
-	if low > 0.6 || low < hLeast {
+	if low > 0.6 || low < lendMin {
 		t.Errorf("h after six blocked owners %v", low)
 	}
 	for id := range g.load {
@@ -385,7 +385,7 @@
 		g.AddExisting(g.now, Request{ID: 500, Group: 77, Load: 0.1}, held)
 		g.load[held] = load
 		g.now += time.Second
-		if to := g.where(g.ask(Request{Group: 77, Load: 0.1})); (to == held) != (load < brim) {
+		if to := g.where(g.ask(Request{Group: 77, Load: 0.1})); (to == held) != (load < fillHigh) {
 			t.Errorf("at load %v: sent to %d, held at %d, first is %d", load, to, held, first)
 		}
 	}
@@ -415,7 +415,7 @@
 			g.load[home] = 0.95
 			used[g.where(g.ask(Request{Group: 77, Load: 0.1}))] = true
 		}
-		if open := !used[0]; open != (others < opening) || len(used) > 1 || used[home] {
+		if open := !used[0]; open != (others < groupSpillFill) || len(used) > 1 || used[home] {
 			t.Errorf("home full, others at %v: sent to %v", others, used)
 		}
 	}
@@ -546,7 +546,7 @@
 	}
 	// Its capacity is about 16 mean loads until reports say otherwise; it starts at 0.3 of that, and the rule
 	// allows three times its rate over the two seconds played here, beside what it bears at their end.
-	if budget := 3*0.45*16.0/9*2 + brim*16*(0.3+0.7*2.2/9); sent > budget || sent == 0 {
+	if budget := 3*0.45*16.0/9*2 + fillHigh*16*(0.3+0.7*2.2/9); sent > budget || sent == 0 {
 		t.Errorf("fifty proxies sent %v to a cold server, budget %v", sent, budget)
 	}
 }
@@ -578,7 +578,7 @@
 		return sent
 	}
 	all, few, odd := play(12), play(4), play(math.NaN())
-	if budget := 3*0.45*16.0/9*2 + brim*16*(0.3+0.7*2.2/9); few > budget || few < 1.5*all || odd != all {
+	if budget := 3*0.45*16.0/9*2 + fillHigh*16*(0.3+0.7*2.2/9); few > budget || few < 1.5*all || odd != all {
 		t.Errorf("four of twelve sent %v, by the number of those that live %v of %v, by none %v", all, few, budget, odd)
 	}
 }
@@ -655,7 +655,7 @@
 				}
 				allowed += set.OverloadFactor * g.capacityOf(now, s) / set.SlowStartDuration.Seconds() * 0.01
 			}
-			bears += brim * all[0].capacityOf(t0, all[0].servers[0])
+			bears += fillHigh * all[0].capacityOf(t0, all[0].servers[0])
 		}
 		if sent < 0.7*max(allowed, bears) || sent > allowed+bears {
 			t.Errorf("%d proxies sent %.1f; the first window allows %.1f, and it bears %.1f at once", proxies, sent,
@@ -925,7 +925,7 @@
 	set.Zones = 2
 	g := newRig(set, fleet(20, 2))
 	for _, s := range g.servers {
-		if n := g.zones[s.Zone].failures; n < failsZone {
+		if n := g.zones[s.Zone].failures; n < zoneFailureThreshold {
 			g.recordFailure(g.now, s)
 		}
 	}
@@ -1108,7 +1108,7 @@
 			for id := range RequestID(5) {
 				g.AddExisting(g.now, Request{ID: 100 + id, Load: 0.1}, g.servers[0].ID)
 			}
-			for n := range failsServer {
+			for n := range serverFailureThreshold {
 				if g.ProbeResult(g.now, g.servers[0].ID, result, NoReport); n == 0 && len(g.moves) > 0 {
 					t.Errorf("%s, %v: moved %d for one", name, result, len(g.moves))
 				}
@@ -1199,7 +1199,7 @@
 		price float64
 		can   bool
 		most  float64
-	}{{"priced", 0.002, true, 4}, {"dear", 0.01, true, 1}, {"free", 0, true, probeMost + 1}, {"forbidden", 0, false, 0}} {
+	}{{"priced", 0.002, true, 4}, {"dear", 0.01, true, 1}, {"free", 0, true, maxProbes + 1}, {"forbidden", 0, false, 0}} {
 		set := settings()
 		set.ProbePrice, set.CanProbe = tt.price, tt.can
 		g := newRig(set, fleet(100, 1))
@@ -1385,7 +1385,7 @@
 func TestFailuresStay(t *testing.T) {
 	g := newRig(settings(), fleet(1, 1))
 	s := g.servers[0]
-	for range failsServer {
+	for range serverFailureThreshold {
 		g.recordFailure(g.now, s)
 	}
 	until := s.retryAt
@@ -1394,7 +1394,7 @@
 	}
 	g.probes, s.probing = nil, false
 	g.checkHealth(g.now)
-	if !s.ejected || s.retryAt != until || s.failures != failsServer || len(g.probes) != 0 {
+	if !s.ejected || s.retryAt != until || s.failures != serverFailureThreshold || len(g.probes) != 0 {
 		t.Fatalf("bad %v, %d failures, pause moved by %v, probed %v", s.ejected, s.failures, s.retryAt-until, g.probes)
 	}
 	g.now = until
--- a/policy/relief.go
+++ b/policy/relief.go
@@ -13,11 +13,11 @@
 // earns least for its load goes first: the fewest clients move, and the least worth waits for room.
 func (b *Balancer) migrateExcess(now time.Duration, s *server) {
 	x := b.usedOf(now, s) / b.capacityOf(now, s)
-	if s.rawReport.Load > jolt {
+	if s.rawReport.Load > stallLoad {
 		x = min(x, max(s.previousLoad, 1))
 	}
 	// Guards against emptying it twice for one and the same overload, which a report shows for a while yet.
-	if x <= brim || s.relievedAt > 0 && s.rawReportAt-b.minObjective < s.relievedAt {
+	if x <= fillHigh || s.relievedAt > 0 && s.rawReportAt-b.minObjective < s.relievedAt {
 		return
 	}
 	s.relievedAt = now
@@ -25,7 +25,7 @@
 	for _, r := range s.conns {
 		left += b.loadOf(r)
 	}
-	part := b.admissionRate * (x - brim) / x
+	part := b.admissionRate * (x - fillHigh) / x
 	left *= part * (2 - part) // as two looks would: each proxy looks but now and then
 	list := slices.Clone(s.conns)
 	slices.SortStableFunc(list, func(p, q *request) int { return cmp.Compare(b.valuePerLoad(p), b.valuePerLoad(q)) })
@@ -53,7 +53,7 @@
 			best = max(best, b.cfg.Classes[i].PriorityWeight/other)
 		}
 	}
-	return load > 0 && b.cfg.Classes[class].PriorityWeight/load < cheapPart*best
+	return load > 0 && b.cfg.Classes[class].PriorityWeight/load < lowValueRatio*best
 }
 
 // migrate asks the client of an open connection to come again, once.
--- a/policy/reports.go
+++ b/policy/reports.go
@@ -18,7 +18,7 @@
 			b.readmit(s)
 			b.applyReport(now, s, report)
 			// A message waits for what is piled up, or where that is not told for what is asked beyond capacity.
-			full := report.Backlog > b.minMessageObjective.Seconds()/2 || report.Backlog < 0 && report.Load > over
+			full := report.Backlog > b.minMessageObjective.Seconds()/2 || report.Backlog < 0 && report.Load > overloadFill
 			if full && now-s.relievedAt >= b.reportLag() {
 				b.migrateExcess(now, s)
 			}
@@ -58,7 +58,7 @@
 	}
 	s.pendingPlacements = slices.DeleteFunc(s.pendingPlacements, func(x placement) bool { return now-x.at >= 2*b.minObjective })
 	s.report, s.reportedAt, s.hasReport = p, now, true
-	b.zones[s.Zone].fill += learn * (min(p.Load, 2) - b.zones[s.Zone].fill)
+	b.zones[s.Zone].fill += learningRate * (min(p.Load, 2) - b.zones[s.Zone].fill)
 	if p.Connections > 0 && p.Load > 0.05 && b.warmupFraction(now, s) == 1 { // an idle server tells nothing of k
 		// Connections against load over capacity: pooled over the kind, and for the server itself.
 		k := b.kinds[s.Kind]
@@ -66,8 +66,8 @@
 			k = &kind{}
 			b.kinds[s.Kind] = k
 		}
-		k.inflight = k.inflight*(1-learn/4) + p.Connections
-		k.capacity = k.capacity*(1-learn/4) + p.Load*s.Weight
+		k.inflight = k.inflight*(1-learningRate/4) + p.Connections
+		k.capacity = k.capacity*(1-learningRate/4) + p.Load*s.Weight
 		s.capacity = (s.capacity*s.reportCount + p.Connections/p.Load) / (s.reportCount + 1)
 		s.reportCount = min(s.reportCount+1, 4*priorReports)
 	}
@@ -79,7 +79,7 @@
 		if b.classLoad[r.Class] == 0 {
 			b.classLoad[r.Class] = load
 		}
-		b.classLoad[r.Class] += learn / 4 * (load - b.classLoad[r.Class])
+		b.classLoad[r.Class] += learningRate / 4 * (load - b.classLoad[r.Class])
 		r.load = load
 	}
 }
--- a/policy/sending.go
+++ b/policy/sending.go
@@ -50,7 +50,7 @@
 	s.slowStartSent += b.loadOf(r) / b.unitLoad()
 	b.attach(now, r, s)
 	if !foreign {
-		b.adaptLending(r, hStep*tolerance)
+		b.adaptLending(r, lendStep*lendTolerance)
 	}
 	b.executor.Send(r.ID, s.ID, timeout)
 }
@@ -61,8 +61,8 @@
 	if r.mayReject(b) {
 		// By then reports are new, and as many tries as it takes to be let in now have passed; spread, so that
 		// who were refused together do not come back together. docs/design.md, "Coming again".
-		b.rejectionRate += learn * (1 - b.rejectionRate)
-		wait := min(float64(b.minObjective)/max(1-b.rejectionRate, learn), float64(b.cfg.MaxRetryAfter)/1.5)
+		b.rejectionRate += learningRate * (1 - b.rejectionRate)
+		wait := min(float64(b.minObjective)/max(1-b.rejectionRate, learningRate), float64(b.cfg.MaxRetryAfter)/1.5)
 		b.executor.Reject(r.ID, time.Duration(wait*(0.5+b.rng.Float64())))
 	} else {
 		b.executor.Fail(r.ID)
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -16,10 +16,10 @@
 	return min(b.cfg.SlowStartMinCapacity+(1-b.cfg.SlowStartMinCapacity)*max(age, 0).Seconds()/b.cfg.SlowStartDuration.Seconds(), 1)
 }
 
-// startSlowStart begins the budget of a cold server. What coldPart leaves of a window is there at once: a proxy with
+// startSlowStart begins the budget of a cold server. What slowStartMargin leaves of a window is there at once: a proxy with
 // few requests comes late with what it may send, and nothing was sent before the server was listed.
 func (b *Balancer) startSlowStart(now time.Duration, s *server) {
-	early := b.cfg.OverloadWindow.Seconds() * (1/coldPart - 1)
+	early := b.cfg.OverloadWindow.Seconds() * (1/slowStartMargin - 1)
 	s.slowStartOffset, s.slowStartSent = b.rng.Float64(), 0
 	s.slowStartTokens, s.slowStartRefilledAt = -s.slowStartOffset, now-time.Duration(early*float64(time.Second))
 }
@@ -31,10 +31,10 @@
 	}
 	k, rivals := b.capacityOf(now, s)/b.unitLoad(), b.activeRelays
 	if b.cfg.Groups && r.Group != 0 { // the other proxies have none that wants it: its budget is not for them
-		rivals = min(rivals, max(groupRush*max(b.meanFill(), easy)*k/b.warmupFraction(now, s), 1))
+		rivals = min(rivals, max(groupDemand*max(b.meanFill(), fillLow)*k/b.warmupFraction(now, s), 1))
 	}
 	// In mean loads a second: filling it over its warm-up, at the part of its capacity that it surely has.
-	rate := coldPart * b.cfg.OverloadFactor * k / b.cfg.SlowStartDuration.Seconds() / rivals
+	rate := slowStartMargin * b.cfg.OverloadFactor * k / b.cfg.SlowStartDuration.Seconds() / rivals
 	if now-s.slowStartRefilledAt > b.cfg.OverloadWindow && s.slowStartTokens+rate*(now-s.slowStartRefilledAt).Seconds() >= 0 {
 		// Nothing was asked of it for a window. What many proxies save in such a time they could use all at once.
 		b.startSlowStart(now, s)
@@ -43,7 +43,7 @@
 	s.slowStartRefilledAt = now
 	// What it bears now, as far as a window allows, is there from the start, by the same draw: tokens that
 	// accrue came 2 to 5 s late. A send pays for both, so all together spend the larger of the two.
-	atOnce := min(brim*k/rivals, rate/coldPart*b.cfg.OverloadWindow.Seconds())
+	atOnce := min(fillHigh*k/rivals, rate/slowStartMargin*b.cfg.OverloadWindow.Seconds())
 	// A heavy connection could spend the budget of all proxies at one stroke.
 	return (s.slowStartTokens >= 0 || s.slowStartSent+s.slowStartOffset <= atOnce) && b.loadOf(r) <= 2*b.unitLoad()
 }
