--- a/policy/facade.go
+++ b/policy/facade.go
@@ -114,13 +114,13 @@
 func (n MessageLatency) apply(b *Balancer, now time.Duration) { b.ObserveLatency(now, n.ID, n.Latency) }
 
 // CanaryOverflows is how many connections were drawn for an arm and went elsewhere, since it had no room.
-func (f *Facade) CanaryOverflows() uint64 { return f.b.canaryOverflows }
+func (f *Facade) CanaryOverflows() uint64 { return f.balancer.canaryOverflows }
 
 // Facade drives a Balancer by calls that return verdicts. The slice that a call
 // returns is valid until the next call.
 type Facade struct {
-	b *Balancer
-	a gather
+	balancer  *Balancer
+	collector actionCollector
 }
 
 // Normalize returns the settings as a Balancer reads them, with safe values in place
@@ -130,97 +130,97 @@
 // NewFacade makes a Facade for one relay; the settings are made sane as by New.
 func NewFacade(now time.Duration, set Settings, seed uint64) *Facade {
 	f := &Facade{}
-	f.a.now = now
-	f.b = New(set, seed, &f.a)
-	f.b.Start()
+	f.collector.now = now
+	f.balancer = New(set, seed, &f.collector)
+	f.balancer.Start()
 	return f
 }
 
 // Pick asks where a new request goes. Without a verdict on the request itself
 // the answer holds ActionWait, and a later Report or Tick brings the verdict.
 func (f *Facade) Pick(now time.Duration, q Request) []Action {
-	f.a.begin(now)
-	f.b.Request(now, q)
-	for _, v := range f.a.out {
+	f.collector.begin(now)
+	f.balancer.Request(now, q)
+	for _, v := range f.collector.actions {
 		if v.ID == q.ID && v.Kind <= ActionFail {
-			return f.a.out
+			return f.collector.actions
 		}
 	}
-	f.a.add(Action{Kind: ActionWait, ID: q.ID})
-	return f.a.out
+	f.collector.add(Action{Kind: ActionWait, ID: q.ID})
+	return f.collector.actions
 }
 
 // Observe tells what the relay has learned.
 func (f *Facade) Observe(now time.Duration, n Event) []Action {
-	f.a.begin(now)
-	n.apply(f.b, now)
-	return f.a.out
+	f.collector.begin(now)
+	n.apply(f.balancer, now)
+	return f.collector.actions
 }
 
 // Tick does what is due by now. It never runs timers that it has itself set.
 func (f *Facade) Tick(now time.Duration) []Action {
-	f.a.begin(now)
+	f.collector.begin(now)
 	var due []uint64
-	for len(f.a.timers) > 0 && f.a.timers[0].at <= now {
-		due = append(due, heap.Pop(&f.a.timers).(alarm).token)
+	for len(f.collector.timers) > 0 && f.collector.timers[0].at <= now {
+		due = append(due, heap.Pop(&f.collector.timers).(scheduledTimer).token)
 	}
 	for _, token := range due {
-		f.b.Timer(now, token)
+		f.balancer.Timer(now, token)
 	}
-	return f.a.out
+	return f.collector.actions
 }
 
 // Next is the time of the next Tick; false if none is due.
 func (f *Facade) Next() (time.Duration, bool) {
-	if len(f.a.timers) == 0 {
+	if len(f.collector.timers) == 0 {
 		return 0, false
 	}
-	return f.a.timers[0].at, true
+	return f.collector.timers[0].at, true
 }
 
-// gather is the Actions that collects verdicts and keeps the timers.
-type gather struct {
-	now    time.Duration
-	out    []Action
-	timers alarms
-	set    uint64
+// actionCollector is the Actions that collects verdicts and keeps the timers.
+type actionCollector struct {
+	now       time.Duration
+	actions   []Action
+	timers    timerHeap
+	timersSet uint64
 }
 
-func (g *gather) begin(now time.Duration) { g.now, g.out = now, g.out[:0] }
-func (g *gather) add(v Action)            { g.out = append(g.out, v) }
+func (g *actionCollector) begin(now time.Duration) { g.now, g.actions = now, g.actions[:0] }
+func (g *actionCollector) add(v Action)            { g.actions = append(g.actions, v) }
 
-func (g *gather) Send(id RequestID, server ServerID, timeout time.Duration) {
+func (g *actionCollector) Send(id RequestID, server ServerID, timeout time.Duration) {
 	g.add(Action{Kind: ActionSend, ID: id, Server: server, Duration: timeout})
 }
-func (g *gather) Reject(id RequestID, retryAfter time.Duration) {
+func (g *actionCollector) Reject(id RequestID, retryAfter time.Duration) {
 	g.add(Action{Kind: ActionReject, ID: id, Duration: retryAfter})
 }
-func (g *gather) Fail(id RequestID) { g.add(Action{Kind: ActionFail, ID: id}) }
-func (g *gather) Cancel(id RequestID, try int) {
+func (g *actionCollector) Fail(id RequestID) { g.add(Action{Kind: ActionFail, ID: id}) }
+func (g *actionCollector) Cancel(id RequestID, try int) {
 	g.add(Action{Kind: ActionCancel, ID: id, Attempt: try})
 }
-func (g *gather) Migrate(id RequestID)  { g.add(Action{Kind: ActionMigrate, ID: id}) }
-func (g *gather) Probe(server ServerID) { g.add(Action{Kind: ActionProbe, Server: server}) }
-func (g *gather) Watch()                { g.add(Action{Kind: ActionWatch}) }
-func (g *gather) Timer(delay time.Duration, token uint64) {
-	g.set++
-	heap.Push(&g.timers, alarm{at: g.now + max(delay, 0), order: g.set, token: token})
+func (g *actionCollector) Migrate(id RequestID)  { g.add(Action{Kind: ActionMigrate, ID: id}) }
+func (g *actionCollector) Probe(server ServerID) { g.add(Action{Kind: ActionProbe, Server: server}) }
+func (g *actionCollector) Watch()                { g.add(Action{Kind: ActionWatch}) }
+func (g *actionCollector) Timer(delay time.Duration, token uint64) {
+	g.timersSet++
+	heap.Push(&g.timers, scheduledTimer{at: g.now + max(delay, 0), order: g.timersSet, token: token})
 }
 
-type alarm struct {
+type scheduledTimer struct {
 	at           time.Duration
 	order, token uint64
 }
 
-type alarms []alarm
+type timerHeap []scheduledTimer
 
-func (a alarms) Len() int      { return len(a) }
-func (a alarms) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a alarms) Less(i, j int) bool {
+func (a timerHeap) Len() int      { return len(a) }
+func (a timerHeap) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
+func (a timerHeap) Less(i, j int) bool {
 	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].order < a[j].order
 }
-func (a *alarms) Push(x any) { *a = append(*a, x.(alarm)) }
-func (a *alarms) Pop() any {
+func (a *timerHeap) Push(x any) { *a = append(*a, x.(scheduledTimer)) }
+func (a *timerHeap) Pop() any {
 	last := len(*a) - 1
 	x := (*a)[last]
 	*a = (*a)[:last]
--- a/policy/facade_test.go
+++ b/policy/facade_test.go
@@ -63,7 +63,7 @@
 	all, _ := refuse(60)
 	seen, last := map[time.Duration]bool{}, time.Duration(0)
 	for i, d := range all {
-		if seen[d] = true; d < set.Classes[0].LatencyObjective/2 || d > f.b.cfg.MaxRetryAfter {
+		if seen[d] = true; d < set.Classes[0].LatencyObjective/2 || d > f.balancer.cfg.MaxRetryAfter {
 			t.Errorf("come again in %v", d)
 		}
 		if i >= len(all)-10 {
@@ -92,12 +92,12 @@
 // TestFacadeTimers: timers come in order of time, those of one time in the order
 // in which they were set, so that equal events give equal verdicts.
 func TestFacadeTimers(t *testing.T) {
-	g := &gather{now: t0}
+	g := &actionCollector{now: t0}
 	for i, d := range []time.Duration{5, 3, 3, -1} {
 		g.Timer(d, uint64(i))
 	}
 	for _, token := range []uint64{3, 1, 2, 0} {
-		if got := heap.Pop(&g.timers).(alarm).token; got != token {
+		if got := heap.Pop(&g.timers).(scheduledTimer).token; got != token {
 			t.Errorf("token %d, want %d", got, token)
 		}
 	}
@@ -112,7 +112,7 @@
 		for range 2 * serverFailureThreshold {
 			f.Observe(t0, ProbeResult{Server: server, Result: result, Report: NoReport})
 		}
-		if got := f.b.byID[server].ejected; got != bad {
+		if got := f.balancer.byID[server].ejected; got != bad {
 			t.Errorf("after probes that ended %v: bad %v", result, got)
 		}
 	}
@@ -129,7 +129,7 @@
 		return f
 	}
 	old := begin(t0)
-	s := old.b.byID[servers[0].ID]
+	s := old.balancer.byID[servers[0].ID]
 	for range 40 {
 		old.Observe(t0, ProbeResult{Server: s.ID, Result: OK, Report: Report{Connections: 40, Load: 0.5, Util: -1}})
 	}
@@ -138,7 +138,7 @@
 	now := t0 + time.Hour
 	next := begin(now)
 	next.Restore(now, old.LearnedState(t0+time.Second))
-	got, bad := next.b.byID[servers[0].ID], next.b.byID[servers[1].ID]
+	got, bad := next.balancer.byID[servers[0].ID], next.balancer.byID[servers[1].ID]
 	if got.capacity != s.capacity || got.capacity == 0 || !got.hasReport || got.report.Load != 0.5 || got.reportChangedAt != now-time.Second {
 		t.Errorf("learned %+v, recalled %+v", s, got)
 	}
@@ -150,22 +150,22 @@
 	kept.Age = now + time.Hour
 	long := begin(now)
 	long.Restore(now, kept)
-	if got := long.b.byID[servers[0].ID]; got.capacity != s.capacity {
+	if got := long.balancer.byID[servers[0].ID]; got.capacity != s.capacity {
 		t.Errorf("of long ago %+v is left", got)
 	}
 	kept.Age = 10 * time.Second
 	fresh := slices.Clone(servers)
 	fresh[0].Started = now - time.Second
 	long.Observe(now, ServerList{Kind: ListFull, Servers: fresh})
-	long.b.byID[servers[0].ID].capacity = 0
+	long.balancer.byID[servers[0].ID].capacity = 0
 	long.Restore(now, kept)
-	if got := long.b.byID[servers[0].ID]; got.capacity != 0 {
+	if got := long.balancer.byID[servers[0].ID]; got.capacity != 0 {
 		t.Errorf("of an ended process %+v is believed", got)
 	}
 	set.Zones++
 	other := begin(now)
 	other.Restore(now, old.LearnedState(t0))
-	if len(other.b.zones) != set.Zones {
+	if len(other.balancer.zones) != set.Zones {
 		t.Error("zones of other settings were taken over")
 	}
 }
@@ -227,12 +227,12 @@
 		server := fleet(1, 1)[0].ID
 		f.Pick(t0, Request{ID: 1, Deadline: t0 + 2*time.Second, Load: 0.1})
 		f.Observe(t0, ProbeResult{Server: server, Result: OK, Report: Report{Connections: 1, Load: 0.1, Util: -1}})
-		if s, r := f.b.byID[server], f.b.requests[1]; s.ownFlows != 1 || r == nil || !r.inFlight {
+		if s, r := f.balancer.byID[server], f.balancer.requests[1]; s.ownFlows != 1 || r == nil || !r.inFlight {
 			t.Fatalf("%v connections, request %+v", s.ownFlows, r)
 		}
 		f.Observe(t0, SendSkipped{ID: 1, Final: closed})
-		r := f.b.requests[1]
-		if s := f.b.byID[server]; s.ownFlows != 0 || len(s.conns) != 0 || closed != (r == nil) {
+		r := f.balancer.requests[1]
+		if s := f.balancer.byID[server]; s.ownFlows != 0 || len(s.conns) != 0 || closed != (r == nil) {
 			t.Errorf("closed %v: %v connections, request %+v", closed, s.ownFlows, r)
 		}
 		if r != nil && (r.attempts != 1 || r.mayHaveRun || r.inFlight) {
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -34,7 +34,7 @@
 
 // LearnedState is what b has learned.
 func (f *Facade) LearnedState(now time.Duration) LearnedState {
-	b := f.b
+	b := f.balancer
 	l := LearnedState{MeanLoad: b.meanLoad, ClassLoad: b.classLoad, LendingThresholds: b.lendingThresholds, Kinds: map[int][2]float64{},
 		AdmissionRate: b.admissionRate, Servers: map[ServerID]LearnedServer{}}
 	for _, z := range b.zones {
@@ -60,7 +60,7 @@
 // Restore takes over what another has learned of the same deployment. It comes after
 // the list of servers; what does not fit the settings is left out.
 func (f *Facade) Restore(now time.Duration, l LearnedState) {
-	b := f.b
+	b := f.balancer
 	if len(l.ClassLoad) == len(b.classLoad) && len(l.LendingThresholds) == len(b.lendingThresholds) && len(l.ZoneFill) == len(b.zones) {
 		copy(b.classLoad, l.ClassLoad)
 		copy(b.lendingThresholds, l.LendingThresholds)
