--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -97,7 +97,7 @@
 	r.trial.applyOrders(o)
 	out := map[string]core.Leaving{}
 	for name, i := range o.Exclusions {
-		out[name] = core.Leaving{Over: time.Duration(i.MigrateOverMS) * time.Millisecond, Ban: i.Reason == rollout.CommandEject}
+		out[name] = core.Leaving{Over: time.Duration(i.MigrateOverMS) * time.Millisecond, Ban: i.Reason == rollout.ExcludedByEjection}
 	}
 	if o.MajorityConfirmed {
 		defer r.finishCatchUp()
--- a/integration/fleet_faults_test.go
+++ b/integration/fleet_faults_test.go
@@ -448,8 +448,8 @@
 	var a, b rollout.Result
 	first := ask(0, "ann", "s0")
 	second := ask(1, "bob", "s1")
-	until(t, "the first to be granted", func() bool { a = ask(2, "ann", "s0"); return a.State == rollout.PermitGranted })
-	if b = ask(3, "bob", "s1"); b.State != rollout.PermitWaiting || b.Reason == "" || b.RetryAfterMS <= 0 {
+	until(t, "the first to be granted", func() bool { a = ask(2, "ann", "s0"); return a.State == string(rollout.PermitGranted) })
+	if b = ask(3, "bob", "s1"); b.State != string(rollout.PermitWaiting) || b.Reason == "" || b.RetryAfterMS <= 0 {
 		t.Errorf("%+v", b)
 	}
 	if a.Number != first.Number || b.Number != second.Number || a.Number == b.Number || a.RemainingMS <= 0 {
@@ -465,7 +465,7 @@
 	within(t, patience, "the second to be granted", func() bool {
 		b = ask(3, "bob", "s1")
 		took = time.Since(begun)
-		return b.State == rollout.PermitGranted
+		return b.State == string(rollout.PermitGranted)
 	})
 	if took < 7*time.Second { // the rule, not a measure: it is cold until then
 		t.Errorf("granted after %v, while the first was cold", took)
--- a/integration/fleet_test.go
+++ b/integration/fleet_test.go
@@ -188,7 +188,7 @@
 }
 
 // release waits until one is in one of these states.
-func (f *fleetRig) release(i int, name string, states ...string) (a rollout.ReleaseStatus) {
+func (f *fleetRig) release(i int, name string, states ...rollout.ReleaseState) (a rollout.ReleaseStatus) {
 	f.t.Helper()
 	until(f.t, fmt.Sprintf("release %s to be %v", name, states), func() bool {
 		a = rollout.ReleaseStatus{}
--- a/internal/fleet/api.go
+++ b/internal/fleet/api.go
@@ -127,7 +127,7 @@
 		s.answer(w, a, err)
 	})
 	m.HandleFunc("PUT /-/releases/{name}/{verb}", func(w http.ResponseWriter, r *http.Request) {
-		c := rollout.Command{Kind: r.PathValue("verb"), Name: r.PathValue("name"), Requester: r.RemoteAddr, Reason: r.URL.Query().Get("why")}
+		c := rollout.Command{Kind: rollout.CommandKind(r.PathValue("verb")), Name: r.PathValue("name"), Requester: r.RemoteAddr, Reason: r.URL.Query().Get("why")}
 		switch c.Kind {
 		case rollout.CommandHalt, rollout.CommandResume, rollout.CommandRollBack:
 			s.proposeAndAnswer(w, r, c)
@@ -144,7 +144,7 @@
 			For  int64  `json:"for_ms"`
 		}
 		if decodeBody(w, r, &c) {
-			s.proposeAndAnswer(w, r, rollout.Command{Kind: rollout.CommandRequestPermit, TargetKind: c.Kind, Name: c.Name, Requester: c.Who, Reason: c.Why, DurationMS: c.For})
+			s.proposeAndAnswer(w, r, rollout.Command{Kind: rollout.CommandRequestPermit, TargetKind: rollout.Kind(c.Kind), Name: c.Name, Requester: c.Who, Reason: c.Why, DurationMS: c.For})
 		}
 	})
 	m.HandleFunc("PUT /-/permits/{number}/{verb}", func(w http.ResponseWriter, r *http.Request) {
--- a/internal/fleet/leader.go
+++ b/internal/fleet/leader.go
@@ -89,7 +89,7 @@
 				if err == nil {
 					err = errors.New(answer.Error)
 				}
-				s.noteFailure("plan "+c.Kind, err)
+				s.noteFailure("plan "+string(c.Kind), err)
 				return // the next look begins anew
 			}
 		}
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -156,7 +156,7 @@
 // splitOut parts the members that are out into those that are banned and those that drain, each in order.
 func splitOut(out map[string]rollout.Exclusion) (bans, drains []string) {
 	for name, o := range out {
-		if o.Reason == rollout.CommandEject {
+		if o.Reason == rollout.ExcludedByEjection {
 			bans = append(bans, name)
 		} else {
 			drains = append(drains, name)
--- a/internal/fleet/release_log.go
+++ b/internal/fleet/release_log.go
@@ -14,10 +14,10 @@
 	now := map[string]string{}
 	for _, a := range all {
 		line := logrus.Fields{"release": a.Name, "state": a.State, "waiting": a.Counts.Pending, "out": a.Counts.Out, "done": a.Counts.Done}
-		now[a.Name] = a.State
+		now[a.Name] = string(a.State)
 		if a.Halt != nil {
 			line["cause"], line["why"], line["by"], line["stays"] = a.Halt.Cause, a.Halt.Reason, a.Halt.HaltedBy, a.Halt.NeedsOperator
-			now[a.Name] += a.Halt.Cause
+			now[a.Name] += string(a.Halt.Cause)
 		}
 		if was[a.Name] != now[a.Name] {
 			s.Log.WithFields(line).Info("fleet: release")
--- a/internal/fleet/simulation_test.go
+++ b/internal/fleet/simulation_test.go
@@ -166,7 +166,7 @@
 	m.call(rollout.Command{Kind: rollout.CommandOpen, Name: name, Release: &w})
 }
 
-func (m *model) state(name string) string {
+func (m *model) state(name string) rollout.ReleaseState {
 	a, _ := m.lead.record.rollout.Release(name)
 	return a.State
 }
@@ -409,7 +409,7 @@
 		m.blocks = 0
 		part := []string{"n0", "n1", "n2"}
 		rest := []string{"n3", "n4", "n5"}
-		through := func(name, state, first, last, next string) {
+		through := func(name string, state rollout.ReleaseState, first, last, next string) {
 			from := m.now
 			ended := m.play(300_000, func() bool {
 				if m.now%500 == 0 {
@@ -417,7 +417,7 @@
 				}
 				switch m.now - from {
 				case 12_000, 72_000: // it stands half way for long
-					m.agree(partRollout, rollout.Command{Kind: []string{rollout.CommandHalt, rollout.CommandResume}[(m.now-from)/72_000], Name: name}.Encode())
+					m.agree(partRollout, rollout.Command{Kind: []rollout.CommandKind{rollout.CommandHalt, rollout.CommandResume}[(m.now-from)/72_000], Name: name}.Encode())
 				case 15_000:
 					m.leads(m.relays[(m.list+seed)%3])
 				}
--- a/internal/rollout/account.go
+++ b/internal/rollout/account.go
@@ -10,7 +10,7 @@
 // count by the same code: Plan from the view, Apply from the state and the sight that stands in the command.
 
 // plannedOut is what is out by plan.
-func (d *record) plannedOut(kind string) []ZonedName {
+func (d *record) plannedOut(kind Kind) []ZonedName {
 	list := d.grantedOut(kind)
 	for i := range d.Quarantines {
 		if s := &d.Quarantines[i]; kind == KindRelay && !s.InService {
@@ -21,7 +21,7 @@
 }
 
 // grantedOut is what is out by plan to go and come back. A relay that is shut may be given out beside: that is how it is mended.
-func (d *record) grantedOut(kind string) []ZonedName {
+func (d *record) grantedOut(kind Kind) []ZonedName {
 	var list []ZonedName
 	for i := range d.Releases {
 		for j := range d.Releases[i].Units {
@@ -39,7 +39,7 @@
 }
 
 // coveredNames are the names that a planned one stands for: its own, and its first.
-func (d *record) coveredNames(kind string) map[string]bool {
+func (d *record) coveredNames(kind Kind) map[string]bool {
 	names := map[string]bool{}
 	for _, p := range d.plannedOut(kind) {
 		names[p.Name] = true
@@ -146,7 +146,7 @@
 	total           int
 }
 
-func (d *record) allowance(kind string, s KindSummary, b Budgets) *allowance {
+func (d *record) allowance(kind Kind, s KindSummary, b Budgets) *allowance {
 	r := &allowance{budget: b.Members, capacityReserve: b.CapacityReserve, summary: s, outByZone: map[string]int{}, out: map[string]bool{}, granted: map[string]bool{}}
 	if kind == KindRelay {
 		r.budget = b.Relays
@@ -233,7 +233,7 @@
 }
 
 // maxOutMS is how long a unit may be out: by what the last ones took, at first by the budgets.
-func (d *record) maxOutMS(kind string, b Budgets) int64 {
+func (d *record) maxOutMS(kind Kind, b Budgets) int64 {
 	first, took := b.DrainMS+b.StartMS+b.WarmupMS, d.MemberDurationsMS
 	if kind == KindRelay {
 		first, took = b.DrainMS+b.StartMS, d.RelayDurationsMS
--- a/internal/rollout/api.go
+++ b/internal/rollout/api.go
@@ -22,35 +22,35 @@
 
 // Kinds of things.
 const (
-	KindRelay     = "relay"
-	KindMember    = "member"
-	KindEject     = "ban" // a member that a release bans
-	KindReinstate = "allow"
+	KindRelay     Kind = "relay"
+	KindMember    Kind = "member"
+	KindEject     Kind = "ban" // a member that a release bans
+	KindReinstate Kind = "allow"
 )
 
 // Kinds of commands. Those of operators and askers first, then the pilot's.
 const (
-	CommandOpen          = "open"   // a release or a drain: Name, Release
-	CommandRequestPermit = "ask"    // a permit: Kind is of the thing; Name, Why, Who, For
-	CommandBeginPermit   = "begin"  // Number: the asker is about to take the thing down
-	CommandReturnPermit  = "give"   // Number: the asker is done, or will not
-	CommandHalt          = "halt"   // Name, Why
-	CommandResume        = "resume" // Name
-	CommandRollBack      = "back"   // Name
-	CommandEject         = "ban"    // Names, Why
-	CommandReinstate     = "allow"  // Names
-	CommandSetUnits      = "lay"    // Name, Units: a release's things, in order, as they were before
-	CommandStep          = "step"   // Gives, Base, Sight: what goes out now, permits among them
-	CommandObserve       = "seen"   // Saw: units and permits that were seen further by others
-	CommandExpirePermits = "void"   // Numbers: permits not begun in time, askers gone
-	CommandQuarantine    = "shut"   // Name, Why, Zone, Bears, Start, Base, Sight: a relay that drifted is to take no client
-	CommandReadmit       = "admit"  // Name, Why: it may take clients again. By the pilot with Cause and Base; an operator's stands above the drift
+	CommandOpen          CommandKind = "open"   // a release or a drain: Name, Release
+	CommandRequestPermit CommandKind = "ask"    // a permit: Kind is of the thing; Name, Why, Who, For
+	CommandBeginPermit   CommandKind = "begin"  // Number: the asker is about to take the thing down
+	CommandReturnPermit  CommandKind = "give"   // Number: the asker is done, or will not
+	CommandHalt          CommandKind = "halt"   // Name, Why
+	CommandResume        CommandKind = "resume" // Name
+	CommandRollBack      CommandKind = "back"   // Name
+	CommandEject         CommandKind = "ban"    // Names, Why
+	CommandReinstate     CommandKind = "allow"  // Names
+	CommandSetUnits      CommandKind = "lay"    // Name, Units: a release's things, in order, as they were before
+	CommandStep          CommandKind = "step"   // Gives, Base, Sight: what goes out now, permits among them
+	CommandObserve       CommandKind = "seen"   // Saw: units and permits that were seen further by others
+	CommandExpirePermits CommandKind = "void"   // Numbers: permits not begun in time, askers gone
+	CommandQuarantine    CommandKind = "shut"   // Name, Why, Zone, Bears, Start, Base, Sight: a relay that drifted is to take no client
+	CommandReadmit       CommandKind = "admit"  // Name, Why: it may take clients again. By the pilot with Cause and Base; an operator's stands above the drift
 )
 
 // Command is the body of a command, one struct for all kinds.
 type Command struct {
-	Kind          string          `json:"kind"`
-	TargetKind    string          `json:"thing,omitempty"` // ask: relay or member
+	Kind          CommandKind     `json:"kind"`
+	TargetKind    Kind            `json:"thing,omitempty"` // ask: relay or member
 	Name          string          `json:"name,omitempty"`
 	Names         []string        `json:"names,omitempty"`
 	Reason        string          `json:"why,omitempty"`
@@ -59,7 +59,7 @@
 	PermitNumber  uint64          `json:"number,omitempty"`
 	PermitNumbers []uint64        `json:"numbers,omitempty"`
 	Release       *ReleaseSpec    `json:"release,omitempty"`
-	Cause         string          `json:"cause,omitempty"` // halt by itself: one of the causes; resume by itself: the cause that is gone
+	Cause         Cause           `json:"cause,omitempty"` // halt by itself: one of the causes; resume by itself: the cause that is gone
 	BaseVersion   uint64          `json:"base,omitempty"`  // the version that it was reckoned from
 	Basis         *ViewSummary    `json:"sight,omitempty"`
 	Units         []Unit          `json:"units,omitempty"`
@@ -82,7 +82,7 @@
 
 // ReleaseSpec is what an operator wants to release.
 type ReleaseSpec struct {
-	Kind       string   `json:"kind"`            // relay, member, or ban (a change of bans: Ban and Allow)
+	Kind       Kind     `json:"kind"`            // relay, member, or ban (a change of bans: Ban and Allow)
 	Drain      bool     `json:"drain,omitempty"` // no return is wanted of members: they stay out until back
 	All        bool     `json:"all,omitempty"`
 	Zones      []string `json:"zones,omitempty"` // all things of these zones
@@ -98,26 +98,26 @@
 
 // Phases of a unit.
 const (
-	PhasePending  = ""       // not touched, or as it was
-	PhaseLeaving  = "out"    // told to leave
-	PhaseDrained  = "empty"  // a member that no relay holds a flow at: its owner may replace it
-	PhaseReplaced = "coming" // replaced, not yet in full service
-	PhaseRevoked  = "revoked"
-	PhaseDone     = "done"
-	PhaseMissing  = "missing" // was not there any more
+	PhasePending  Phase = ""       // not touched, or as it was
+	PhaseLeaving  Phase = "out"    // told to leave
+	PhaseDrained  Phase = "empty"  // a member that no relay holds a flow at: its owner may replace it
+	PhaseReplaced Phase = "coming" // replaced, not yet in full service
+	PhaseRevoked  Phase = "revoked"
+	PhaseDone     Phase = "done"
+	PhaseMissing  Phase = "missing" // was not there any more
 )
 
 // Unit is one thing of a release.
 type Unit struct {
 	Name              string  `json:"name"`
 	Zone              string  `json:"zone,omitempty"`
-	Kind              string  `json:"kind"`
+	Kind              Kind    `json:"kind"`
 	Capacity          float64 `json:"size,omitempty"`    // its capacity when laid out
 	PreviousProgram   string  `json:"program,omitempty"` // before
 	PreviousConfig    string  `json:"config,omitempty"`  // before
 	PreviouslyEjected bool    `json:"banned,omitempty"`  // before
 	Successor         string  `json:"now,omitempty"`     // the successor's name, where it has another
-	Phase             string  `json:"phase,omitempty"`
+	Phase             Phase   `json:"phase,omitempty"`
 	Updated           bool    `json:"got,omitempty"`      // it has the new thing
 	Reverting         bool    `json:"undo,omitempty"`     // it is out to get back what it had
 	Stranded          bool    `json:"stranded,omitempty"` // it did not come in time while the release went back; still out until seen
@@ -146,7 +146,7 @@
 	Permit       uint64 `json:"permit,omitempty"`
 	Quarantine   uint64 `json:"shut,omitempty"`  // the number of one that was admitted: done (it serves), or missing (nothing is left to say of it)
 	OrderVersion uint64 `json:"order"`           // of the unit, so that an old sight changes nothing; 0 for a permit
-	Phase        string `json:"phase"`           // empty, coming, done (with the new thing), waiting (as before), missing
+	Phase        Phase  `json:"phase"`           // empty, coming, done (with the new thing), waiting (as before), missing
 	Successor    string `json:"now,omitempty"`   // successor
 	Zone         string `json:"zone,omitempty"`  // its
 	SeenStart    int64  `json:"start,omitempty"` // seen at empty
@@ -192,10 +192,10 @@
 
 // Exclusion says why a member is out.
 type Exclusion struct {
-	Reason        string `json:"why"` // ban or drain
-	Number        uint64 `json:"number"`
-	Since         int64  `json:"since"`
-	MigrateOverMS int64  `json:"move_over,omitempty"` // its flows are moved over so many ms; 0 leaves them with a ban
+	Reason        ExclusionReason `json:"why"`
+	Number        uint64          `json:"number"`
+	Since         int64           `json:"since"`
+	MigrateOverMS int64           `json:"move_over,omitempty"` // its flows are moved over so many ms; 0 leaves them with a ban
 }
 
 // View is what the leader knows. A relay's fields and its Held are of one word. Names are unique.
@@ -312,39 +312,39 @@
 
 // States of a release.
 const (
-	ReleaseQueued      = "queued" // behind another, or not yet laid out
-	ReleaseRunning     = "running"
-	ReleaseHalted      = "halted"
-	ReleaseRollingBack = "backing"
-	ReleaseCompleted   = "done"
-	ReleaseRolledBack  = "back"
+	ReleaseQueued      ReleaseState = "queued" // behind another, or not yet laid out
+	ReleaseRunning     ReleaseState = "running"
+	ReleaseHalted      ReleaseState = "halted"
+	ReleaseRollingBack ReleaseState = "backing"
+	ReleaseCompleted   ReleaseState = "done"
+	ReleaseRolledBack  ReleaseState = "back"
 )
 
 // Causes of a halt.
 const (
-	HaltByOperator      = "operator"
-	HaltVerdict         = "verdict"
-	HaltOverBudget      = "overdrawn"
-	HaltOverdue         = "overdue"
-	HaltServiceDegraded = "service"
-	HaltDrift           = "drift"
-	HaltStalled         = "stalled"
+	HaltByOperator      Cause = "operator"
+	HaltVerdict         Cause = "verdict"
+	HaltOverBudget      Cause = "overdrawn"
+	HaltOverdue         Cause = "overdue"
+	HaltServiceDegraded Cause = "service"
+	HaltDrift           Cause = "drift"
+	HaltStalled         Cause = "stalled"
 )
 
 // ReleaseStatus is a release as operators are shown it.
 type ReleaseStatus struct {
-	Name         string      `json:"name"`
-	State        string      `json:"state"`
-	RollingBack  bool        `json:"backing,omitempty"` // its direction, also while halted
-	Spec         ReleaseSpec `json:"wish"`
-	OpenedBy     string      `json:"by"`
-	OpenedAt     int64       `json:"opened"`
-	EndedAt      int64       `json:"ended,omitempty"`
-	QueuedBehind string      `json:"behind,omitempty"`
-	Halt         *HaltInfo   `json:"halt,omitempty"`
-	Units        []Unit      `json:"units,omitempty"`
-	Counts       UnitCounts  `json:"counts"`
-	Exceptions   []string    `json:"except,omitempty"` // what could not be done or undone
+	Name         string       `json:"name"`
+	State        ReleaseState `json:"state"`
+	RollingBack  bool         `json:"backing,omitempty"` // its direction, also while halted
+	Spec         ReleaseSpec  `json:"wish"`
+	OpenedBy     string       `json:"by"`
+	OpenedAt     int64        `json:"opened"`
+	EndedAt      int64        `json:"ended,omitempty"`
+	QueuedBehind string       `json:"behind,omitempty"`
+	Halt         *HaltInfo    `json:"halt,omitempty"`
+	Units        []Unit       `json:"units,omitempty"`
+	Counts       UnitCounts   `json:"counts"`
+	Exceptions   []string     `json:"except,omitempty"` // what could not be done or undone
 }
 
 // UnitCounts of units.
@@ -356,7 +356,7 @@
 
 // HaltInfo is why a release halted.
 type HaltInfo struct {
-	Cause         string `json:"cause"`
+	Cause         Cause  `json:"cause"`
 	Reason        string `json:"why,omitempty"`
 	HaltedBy      string `json:"by"`
 	HaltedAt      int64  `json:"at"`
@@ -365,9 +365,9 @@
 
 // Permits' states.
 const (
-	PermitWaiting = "wait"
-	PermitGranted = "granted"
-	PermitBegun   = "begun"
+	PermitWaiting PermitState = "wait"
+	PermitGranted PermitState = "granted"
+	PermitBegun   PermitState = "begun"
 )
 
 // Result is what Apply says. Error alone means that nothing changed.
@@ -383,20 +383,20 @@
 
 // Permit is a permit as operators are shown it.
 type Permit struct {
-	Number      uint64  `json:"number"`
-	Kind        string  `json:"kind"`
-	Name        string  `json:"name"`
-	Zone        string  `json:"zone,omitempty"`
-	Holder      string  `json:"who"`
-	Reason      string  `json:"why,omitempty"`
-	DurationMS  int64   `json:"for"`
-	State       string  `json:"state"`
-	RequestedAt int64   `json:"asked"`            // last
-	StateSince  int64   `json:"at,omitempty"`     // granted, or begun
-	WindowMS    int64   `json:"window,omitempty"` // to begin in, ms
-	ExpiresAt   int64   `json:"until,omitempty"`  // the record's: granted: not begun after it; begun: not taken down after it
-	ReturnedAt  int64   `json:"given,omitempty"`  // when the asker gave it back
-	ClockDrift  float64 `json:"clock,omitempty"`
+	Number      uint64      `json:"number"`
+	Kind        Kind        `json:"kind"`
+	Name        string      `json:"name"`
+	Zone        string      `json:"zone,omitempty"`
+	Holder      string      `json:"who"`
+	Reason      string      `json:"why,omitempty"`
+	DurationMS  int64       `json:"for"`
+	State       PermitState `json:"state"`
+	RequestedAt int64       `json:"asked"`            // last
+	StateSince  int64       `json:"at,omitempty"`     // granted, or begun
+	WindowMS    int64       `json:"window,omitempty"` // to begin in, ms
+	ExpiresAt   int64       `json:"until,omitempty"`  // the record's: granted: not begun after it; begun: not taken down after it
+	ReturnedAt  int64       `json:"given,omitempty"`  // when the asker gave it back
+	ClockDrift  float64     `json:"clock,omitempty"`
 }
 
 // Ejection is one ban.
@@ -407,3 +407,18 @@
 	Since     int64  `json:"since"`
 	Number    uint64 `json:"number"`
 }
+
+type (
+	Kind            string
+	CommandKind     string
+	Phase           string
+	ReleaseState    string
+	Cause           string
+	PermitState     string
+	ExclusionReason string
+)
+
+const (
+	ExcludedByEjection ExclusionReason = "ban"
+	ExcludedByDrain    ExclusionReason = "drain"
+)
--- a/internal/rollout/apply.go
+++ b/internal/rollout/apply.go
@@ -35,7 +35,7 @@
 
 func reject(format string, args ...any) Result { return Result{Error: fmt.Sprintf(format, args...)} }
 
-func truncate(text string, most int) string {
+func truncate[S ~string](text S, most int) S {
 	if len(text) > most {
 		return text[:most]
 	}
@@ -116,7 +116,7 @@
 	}
 	d.Releases = append(d.Releases, release{ReleaseStatus: ReleaseStatus{Name: c.Name, State: ReleaseQueued, Spec: *w, OpenedBy: c.Requester, OpenedAt: at, QueuedBehind: behind}, ProgressAt: at})
 	d.Version++
-	return Result{Name: c.Name, State: ReleaseQueued, Reason: behind}
+	return Result{Name: c.Name, State: string(ReleaseQueued), Reason: behind}
 }
 
 // invalidReason says what cannot be released.
@@ -166,16 +166,16 @@
 			continue
 		}
 		if p.Holder != c.Requester {
-			return Result{State: PermitWaiting, RetryAfterMS: permitRetryMS, Reason: fmt.Sprintf("%s holds permit %d for it", p.Holder, p.Number)}
+			return Result{State: string(PermitWaiting), RetryAfterMS: permitRetryMS, Reason: fmt.Sprintf("%s holds permit %d for it", p.Holder, p.Number)}
 		}
-		a := Result{State: p.State, Number: p.Number}
+		a := Result{State: string(p.State), Number: p.Number}
 		switch {
 		case p.State == PermitWaiting:
 			p.RequestedAt, a.RetryAfterMS, a.Reason = at, permitRetryMS, d.permitWaitReason(p)
 		case p.State == PermitGranted && at < p.StateSince+p.WindowMS:
 			a.RemainingMS = p.StateSince + p.WindowMS - at
 		case p.State == PermitGranted: // about to be void
-			a.State, a.RetryAfterMS, a.Reason = PermitWaiting, permitRetryMS, "it was not begun in time"
+			a.State, a.RetryAfterMS, a.Reason = string(PermitWaiting), permitRetryMS, "it was not begun in time"
 		}
 		return a
 	}
@@ -184,7 +184,7 @@
 	}
 	d.LastNumber++
 	d.Permits = append(d.Permits, Permit{Number: d.LastNumber, Kind: c.TargetKind, Name: c.Name, Holder: c.Requester, Reason: c.Reason, DurationMS: c.DurationMS, State: PermitWaiting, RequestedAt: at})
-	return Result{State: PermitWaiting, Number: d.LastNumber, RetryAfterMS: permitRetryMS, Reason: d.permitWaitReason(&d.Permits[len(d.Permits)-1])}
+	return Result{State: string(PermitWaiting), Number: d.LastNumber, RetryAfterMS: permitRetryMS, Reason: d.permitWaitReason(&d.Permits[len(d.Permits)-1])}
 }
 
 // permitWaitReason says why a permit waits, as far as the record knows: who is out by plan, and who waits before it.
@@ -212,7 +212,7 @@
 	}
 	switch {
 	case c.Kind == CommandReturnPermit && p.State == PermitBegun && p.ReturnedAt > 0:
-		return Result{Number: p.Number, State: p.State}
+		return Result{Number: p.Number, State: string(p.State)}
 	case c.Kind == CommandReturnPermit && p.State == PermitBegun:
 		p.ReturnedAt = at
 	case c.Kind == CommandReturnPermit:
@@ -227,7 +227,7 @@
 		p.State, p.StateSince, p.ExpiresAt = PermitBegun, at, at+onSlowestClock(p.WindowMS, p.ClockDrift)
 	}
 	d.Version++
-	return Result{Number: p.Number, State: p.State}
+	return Result{Number: p.Number, State: string(p.State)}
 }
 
 // onSlowestClock is a time as the slowest clock would count it.
@@ -281,7 +281,7 @@
 		}
 	}
 	d.settleReleases(at)
-	return Result{Name: r.Name, State: r.State}
+	return Result{Name: r.Name, State: string(r.State)}
 }
 
 // conflictingRelease is a release that goes on at the same things as one that has ended.
@@ -295,7 +295,7 @@
 }
 
 // activeState is the state of a release that is not halted.
-func (r *release) activeState() string {
+func (r *release) activeState() ReleaseState {
 	switch {
 	case r.RollingBack:
 		return ReleaseRollingBack
@@ -420,7 +420,7 @@
 	r.BaselineRequested, r.BaselineServed, r.BaselineDispersion = baseline(c.Baseline)
 	r.UnitsSet, r.UnitsSetAt, r.ProgressAt, r.State = true, at, at, ReleaseRunning
 	d.Version++
-	return Result{Name: r.Name, State: r.State}
+	return Result{Name: r.Name, State: string(r.State)}
 }
 
 // staleBasis says why what a command was reckoned from does not hold any more.
@@ -446,12 +446,12 @@
 		return reject("%s", why)
 	}
 	v, b := c.Basis, c.Basis.Budgets
-	rooms := map[string]*allowance{KindRelay: d.allowance(KindRelay, v.Relays, b), KindMember: d.allowance(KindMember, v.Members, b)}
+	rooms := map[Kind]*allowance{KindRelay: d.allowance(KindRelay, v.Relays, b), KindMember: d.allowance(KindMember, v.Members, b)}
 	for _, g := range c.Grants {
 		if len(g.Zone) > MaxNameBytes {
 			return reject("a zone of over %d bytes", MaxNameBytes)
 		}
-		kind, name, zone := "", "", g.Zone
+		kind, name, zone := Kind(""), "", g.Zone
 		if g.Permit != 0 {
 			p := d.findPermit(g.Permit)
 			if p == nil || p.State != PermitWaiting {
@@ -606,7 +606,7 @@
 	return true
 }
 
-func (d *record) recordDuration(kind string, took int64) {
+func (d *record) recordDuration(kind Kind, took int64) {
 	list := &d.MemberDurationsMS
 	switch kind {
 	case KindRelay:
@@ -659,7 +659,7 @@
 	d.LastNumber++
 	d.Quarantines = slices.DeleteFunc(d.Quarantines, func(x Quarantine) bool { return x.Name == c.Name })
 	d.Quarantines = append(d.Quarantines, Quarantine{Name: c.Name, Zone: c.Zone, Reason: c.Reason, Since: at, StartNumber: c.StartNumber, Number: d.LastNumber})
-	return Result{Name: c.Name, State: CommandQuarantine, Number: d.LastNumber}
+	return Result{Name: c.Name, State: string(CommandQuarantine), Number: d.LastNumber}
 }
 
 // readmit lets a relay serve again. It counts as out until it is seen to.
@@ -673,7 +673,7 @@
 	}
 	d.Version++
 	s.ReadmittedVersion, s.OperatorOverride = cmp.Or(s.ReadmittedVersion, d.Version), !itself
-	return Result{Name: s.Name, State: CommandReadmit}
+	return Result{Name: s.Name, State: string(CommandReadmit)}
 }
 
 // confirmReadmitted takes over that one that was admitted serves, or is nothing to be spoken of any more.
@@ -696,7 +696,7 @@
 func (d *record) settleReleases(at int64) {
 	for i := range d.Releases {
 		if r := &d.Releases[i]; r.finished() {
-			r.State, r.EndedAt = map[string]string{ReleaseRunning: ReleaseCompleted, ReleaseRollingBack: ReleaseRolledBack}[r.State], at
+			r.State, r.EndedAt = map[ReleaseState]ReleaseState{ReleaseRunning: ReleaseCompleted, ReleaseRollingBack: ReleaseRolledBack}[r.State], at
 		}
 	}
 	for i := range d.Releases {
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -17,7 +17,7 @@
 	members    map[string]*Member
 	observed   map[string]bool // units that this look sees further, by release and name
 	claimed    map[string]bool // newcomers that stand for something by now
-	allowances map[string]*allowance
+	allowances map[Kind]*allowance
 }
 
 // Plan says what to propose next, in this order: a few commands, the same for the same state and view. What others saw comes first, then a halt
@@ -103,7 +103,7 @@
 }
 
 func (p *planner) reset() {
-	p.allowances = map[string]*allowance{KindRelay: p.record.allowance(KindRelay, p.record.summarizeRelays(&p.view, p.budgets), p.budgets), KindMember: p.record.allowance(KindMember, p.record.summarizeMembers(&p.view), p.budgets)}
+	p.allowances = map[Kind]*allowance{KindRelay: p.record.allowance(KindRelay, p.record.summarizeRelays(&p.view, p.budgets), p.budgets), KindMember: p.record.allowance(KindMember, p.record.summarizeMembers(&p.view), p.budgets)}
 }
 
 // ---- What others saw ----
@@ -371,7 +371,7 @@
 	var list []Command
 	for i := range p.record.Quarantines {
 		s := &p.record.Quarantines[i]
-		r, cause := p.relays[s.Name], ""
+		r, cause := p.relays[s.Name], Cause("")
 		_, unfit := p.view.Unfit[s.Name]
 		switch {
 		case s.ReadmittedVersion != 0 || r != nil && !r.reporting(p.budgets):
@@ -437,7 +437,7 @@
 
 // haltCause is why a release is to halt. One on its way back does so only where nothing of it can go: what is bad about the fleet then may be
 // what it undoes.
-func (p *planner) haltCause(r *release, verdict bool, stalled map[string]string) (cause, why string) {
+func (p *planner) haltCause(r *release, verdict bool, stalled map[string]string) (cause Cause, why string) {
 	if !r.RollingBack {
 		cause, why = p.forwardHaltCause(r, verdict)
 	}
@@ -447,7 +447,7 @@
 	return cause, why
 }
 
-func (p *planner) forwardHaltCause(r *release, verdict bool) (cause, why string) {
+func (p *planner) forwardHaltCause(r *release, verdict bool) (cause Cause, why string) {
 	if verdict {
 		return HaltVerdict, p.view.Degraded
 	}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -59,8 +59,8 @@
 		w.load = (w.load - 300) / 1.06
 	}
 	for i := range pick.IntN(4) {
-		a := &asker{kind: []string{KindRelay, KindMember}[i%2], who: "asker" + strconv.Itoa(i), rate: 1 + (pick.Float64()-0.5)/50}
-		a.name = map[string]string{KindRelay: w.relays[pick.IntN(n)].name, KindMember: w.members[pick.IntN(m)].name}[a.kind]
+		a := &asker{kind: []Kind{KindRelay, KindMember}[i%2], who: "asker" + strconv.Itoa(i), rate: 1 + (pick.Float64()-0.5)/50}
+		a.name = map[Kind]string{KindRelay: w.relays[pick.IntN(n)].name, KindMember: w.members[pick.IntN(m)].name}[a.kind]
 		if !slices.ContainsFunc(w.askers, func(b *asker) bool { return a.kind == b.kind && a.name == b.name }) {
 			a.next = w.now + w.rnd(0, 20000)
 			w.askers = append(w.askers, a)
@@ -161,7 +161,7 @@
 }
 
 // settleDown waits until all has ended, and calls at what is halted.
-func (w *world) settleDown(ticks int, call string) {
+func (w *world) settleDown(ticks int, call CommandKind) {
 	for i := range ticks {
 		w.tick()
 		if i > 30 && !slices.ContainsFunc(w.s.record.Releases, func(r release) bool { return !r.ended() && r.State != ReleaseHalted }) {
@@ -292,24 +292,24 @@
 
 // grantPermits holds what askers and pilots were answered, in the order in which it was agreed, against one permit at a time for each thing.
 func permits(w *world, history []op) {
-	states, things := map[uint64]string{}, map[string]uint64{}
+	states, things := map[uint64]PermitState{}, map[string]uint64{}
 	for _, o := range history {
 		c, a, is := o.c, o.a, states[o.c.PermitNumber]
 		if a.Error != "" {
 			continue
 		}
-		ok := true
+		ok, state := true, PermitState(a.State)
 		switch c.Kind {
 		case CommandRequestPermit:
-			number := things[c.TargetKind+" "+c.Name]
+			number := things[thingKey(c.TargetKind, c.Name)]
 			switch is := states[number]; is {
 			case "":
-				ok = a.State == PermitWaiting && a.Number > number
-				things[c.TargetKind+" "+c.Name], states[a.Number] = a.Number, PermitWaiting
+				ok = state == PermitWaiting && a.Number > number
+				things[thingKey(c.TargetKind, c.Name)], states[a.Number] = a.Number, PermitWaiting
 			default:
-				ok = a.Number == number && (a.State == is || a.State == PermitWaiting && is == PermitGranted && a.RemainingMS == 0)
+				ok = a.Number == number && (state == is || state == PermitWaiting && is == PermitGranted && a.RemainingMS == 0)
 			}
-			if a.State == PermitGranted {
+			if state == PermitGranted {
 				w.granted++
 			}
 		case CommandBeginPermit:
@@ -393,7 +393,7 @@
 	for _, o := range history {
 		pool = append(pool, o.c)
 	}
-	accepted := map[string]int{}
+	accepted := map[CommandKind]int{}
 	for seed := range uint64(150) {
 		rng, s := rand.New(rand.NewPCG(seed, 7)), New()
 		one := func() Command { return pool[rng.IntN(len(pool))] }
@@ -417,7 +417,7 @@
 			case 3:
 				c.Grants, c.Units, c.Basis = other.Grants, other.Units, other.Basis
 			}
-			out := func(kind string) int {
+			out := func(kind Kind) int {
 				names := map[string]bool{}
 				for _, p := range s.record.plannedOut(kind) {
 					names[p.Name] = true
@@ -431,8 +431,8 @@
 			if accepted[c.Kind]++; c.Basis == nil {
 				continue
 			}
-			for kind, is := range map[string]bool{KindRelay: out(KindRelay) > relays, KindMember: out(KindMember) > members} {
-				if most := s.record.allowance(kind, map[string]KindSummary{KindRelay: c.Basis.Relays, KindMember: c.Basis.Members}[kind], c.Basis.Budgets); is && most.overdrawn() != "" {
+			for kind, is := range map[Kind]bool{KindRelay: out(KindRelay) > relays, KindMember: out(KindMember) > members} {
+				if most := s.record.allowance(kind, map[Kind]KindSummary{KindRelay: c.Basis.Relays, KindMember: c.Basis.Members}[kind], c.Basis.Budgets); is && most.overdrawn() != "" {
 					t.Fatalf("%s: %s", c.Encode(), most.overdrawn())
 				}
 			}
@@ -441,7 +441,7 @@
 			s, _ = try(t, s, w.now, c.Encode())
 		}
 	}
-	for _, kind := range []string{CommandOpen, CommandRequestPermit, CommandBeginPermit, CommandReturnPermit, CommandHalt, CommandResume, CommandRollBack, CommandEject, CommandReinstate, CommandSetUnits, CommandStep, CommandObserve, CommandExpirePermits, CommandQuarantine, CommandReadmit} {
+	for _, kind := range []CommandKind{CommandOpen, CommandRequestPermit, CommandBeginPermit, CommandReturnPermit, CommandHalt, CommandResume, CommandRollBack, CommandEject, CommandReinstate, CommandSetUnits, CommandStep, CommandObserve, CommandExpirePermits, CommandQuarantine, CommandReadmit} {
 		if accepted[kind] == 0 {
 			t.Errorf("no %s was ever accepted: %v", kind, accepted)
 		}
@@ -470,7 +470,7 @@
 func FuzzApply(f *testing.F) {
 	var history []op
 	young(2, &history)
-	kinds := map[string]int{}
+	kinds := map[CommandKind]int{}
 	for _, o := range history {
 		if kinds[o.c.Kind]++; kinds[o.c.Kind] < 4 {
 			f.Add(o.call, o.c.Encode(), uint16(40))
@@ -507,10 +507,10 @@
 }
 
 // calls applies commands, one after another, and wants each answered with a state, or an error that holds a word.
-func calls(t *testing.T, s *State, at int64, want string, c Command) {
+func calls[S ~string](t *testing.T, s *State, at int64, want S, c Command) {
 	t.Helper()
 	var a Result
-	if err := json.Unmarshal(s.Apply(at, "n1", c.Encode()), &a); err != nil || !strings.Contains(a.State+a.Error, want) {
+	if err := json.Unmarshal(s.Apply(at, "n1", c.Encode()), &a); err != nil || !strings.Contains(a.State+a.Error, string(want)) {
 		t.Fatalf("%+v: %+v, %v, not %q", c, a, err, want)
 	}
 }
@@ -523,10 +523,10 @@
 		calls(t, s, 2, ReleaseRunning, Command{Kind: CommandSetUnits, Name: "r", Units: []Unit{{Name: "a", Kind: KindRelay}, {Name: "b", Kind: KindRelay}}})
 		return s
 	}
-	itself := func(s *State, kind, cause string) Command {
+	itself := func(s *State, kind CommandKind, cause Cause) Command {
 		return Command{Kind: kind, Name: "r", Cause: cause, BaseVersion: s.Version()}
 	}
-	for _, cause := range []string{HaltOverBudget, HaltOverdue, HaltServiceDegraded, HaltDrift, HaltStalled, HaltVerdict, ""} {
+	for _, cause := range []Cause{HaltOverBudget, HaltOverdue, HaltServiceDegraded, HaltDrift, HaltStalled, HaltVerdict, ""} {
 		s := open()
 		halt := itself(s, CommandHalt, cause)
 		calls(t, s, 3, ReleaseHalted, halt)
@@ -576,7 +576,7 @@
 	s.record.Releases = []release{{ReleaseStatus: ReleaseStatus{Name: "first", State: ReleaseRolledBack, Spec: ReleaseSpec{Kind: KindMember, All: true}, Units: []Unit{{Name: "a", Kind: KindMember, Phase: PhaseDone, Updated: true}}}},
 		{ReleaseStatus: ReleaseStatus{Name: "second", State: ReleaseRollingBack, Spec: ReleaseSpec{Kind: KindEject, Eject: []string{"a"}}, Units: []Unit{{Name: "a", Kind: KindEject, Phase: PhaseLeaving, Reverting: true}}}}}
 	calls(t, s, 6, "", Command{Kind: CommandObserve, Observations: []Observation{{Release: "second", Unit: "a", Phase: PhaseDone}}})
-	for name, want := range map[string]string{"first": ReleaseRollingBack, "second": ReleaseRolledBack} {
+	for name, want := range map[string]ReleaseState{"first": ReleaseRollingBack, "second": ReleaseRolledBack} {
 		if a, _ := s.Release(name); a.State != want {
 			t.Errorf("%s is %s", name, a.State)
 		}
@@ -682,7 +682,7 @@
 				}
 			}
 		}
-		best := max(out[KindRelay], out[KindMember]) / 3 // a quarter of 12 at a time
+		best := max(out[string(KindRelay)], out[string(KindMember)]) / 3 // a quarter of 12 at a time
 		ratio := float64(w.now-from) / float64(best)
 		worst = max(worst, ratio)
 		t.Logf("seed %d: %.1f s, best %.1f s, %.2f times", seed, float64(w.now-from)/1000, float64(best)/1000, ratio)
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -29,14 +29,14 @@
 
 type release struct {
 	ReleaseStatus
-	UnitsSet           bool     `json:"laid,omitempty"`
-	UnitsSetAt         int64    `json:"since,omitempty"`   // when it was laid out: the service after it is held against that of before
-	ResumedAt          int64    `json:"resumed,omitempty"` // what is overdue counts from here
-	ProgressAt         int64    `json:"moved,omitempty"`   // the last time that something went on
-	BaselineRequested  float64  `json:"asked,omitempty"`   // before it
-	BaselineServed     float64  `json:"served,omitempty"`
-	BaselineDispersion float64  `json:"spread,omitempty"` // by how much windows differed beyond chance
-	HaltCauses         []string `json:"causes,omitempty"` // of its halts by itself so far
+	UnitsSet           bool    `json:"laid,omitempty"`
+	UnitsSetAt         int64   `json:"since,omitempty"`   // when it was laid out: the service after it is held against that of before
+	ResumedAt          int64   `json:"resumed,omitempty"` // what is overdue counts from here
+	ProgressAt         int64   `json:"moved,omitempty"`   // the last time that something went on
+	BaselineRequested  float64 `json:"asked,omitempty"`   // before it
+	BaselineServed     float64 `json:"served,omitempty"`
+	BaselineDispersion float64 `json:"spread,omitempty"` // by how much windows differed beyond chance
+	HaltCauses         []Cause `json:"causes,omitempty"` // of its halts by itself so far
 }
 
 // New is a state in which nothing was agreed.
@@ -88,12 +88,12 @@
 					o.Leave.Program, o.Leave.Config = u.PreviousProgram, u.PreviousConfig
 				}
 			case u.Kind == KindMember && (u.Phase == PhaseLeaving || u.Phase == PhaseDrained || u.Phase == PhaseDone && r.Spec.Drain):
-				out(u.currentName(), Exclusion{Reason: "drain", Number: u.OrderNumber, Since: u.OrderedAt, MigrateOverMS: u.MigrateOverMS})
+				out(u.currentName(), Exclusion{Reason: ExcludedByDrain, Number: u.OrderNumber, Since: u.OrderedAt, MigrateOverMS: u.MigrateOverMS})
 			}
 		}
 	}
 	for _, b := range s.record.Ejections {
-		out(b.Name, Exclusion{Reason: "ban", Number: b.Number, Since: b.Since})
+		out(b.Name, Exclusion{Reason: ExcludedByEjection, Number: b.Number, Since: b.Since})
 	}
 	if x := s.record.findQuarantine(relay); x != nil && x.ReadmittedVersion == 0 {
 		o.Quarantine = &QuarantineOrder{Number: x.Number, Since: x.Since, Reason: x.Reason, StartNumber: x.StartNumber}
@@ -255,7 +255,7 @@
 }
 
 // summary is whose budget a kind of thing draws on.
-func budgetKind(kind string) string {
+func budgetKind(kind Kind) Kind {
 	if kind == KindRelay {
 		return KindRelay
 	}
--- a/internal/rollout/world_test.go
+++ b/internal/rollout/world_test.go
@@ -97,16 +97,17 @@
 }
 
 type asker struct {
-	kind, name, who string
-	rate            float64 // of its clock
-	number          uint64
-	deadline        int64 // by the world's clock, as its own comes to
-	begun           bool
-	may             int64
-	doneAt          int64
-	down            bool
-	next            int64
-	end             bool
+	kind      Kind
+	name, who string
+	rate      float64 // of its clock
+	number    uint64
+	deadline  int64 // by the world's clock, as its own comes to
+	begun     bool
+	may       int64
+	doneAt    int64
+	down      bool
+	next      int64
+	end       bool
 }
 
 func newWorld(seed uint64, n, m, zones int) *world {
@@ -470,7 +471,7 @@
 	sent := w.now
 	if a.number != 0 && w.now < a.deadline {
 		w.propose(a.who, Command{Kind: CommandBeginPermit, PermitNumber: a.number}, func(x Result) {
-			if x.State == PermitBegun {
+			if x.State == string(PermitBegun) {
 				a.begun, a.may = true, sent+int64(float64(w.budgets.PermitWindowMS)*a.rate*(1-w.budgets.ClockDrift))
 			} else if x.Error != "" {
 				a.number = 0
@@ -480,7 +481,7 @@
 	}
 	w.propose(a.who, Command{Kind: CommandRequestPermit, TargetKind: a.kind, Name: a.name, Requester: a.who, DurationMS: 4000}, func(x Result) {
 		a.number = 0
-		if x.State == PermitGranted {
+		if x.State == string(PermitGranted) {
 			a.number, a.deadline = x.Number, sent+int64(float64(x.RemainingMS)*a.rate*(1-w.budgets.ClockDrift))
 		}
 	})
@@ -595,14 +596,15 @@
 	switch c.Kind {
 	case CommandQuarantine:
 		w.shuts++
-		fresh[KindRelay+" "+c.Name] = true
+		fresh[thingKey(KindRelay, c.Name)] = true
 		w.give(KindRelay, c.Name, 0)
 	case CommandStep:
 	default:
 		return
 	}
 	for _, g := range c.Grants {
-		var kind, name string
+		var kind Kind
+		var name string
 		if p := w.s.record.findPermit(g.Permit); p != nil {
 			kind, name = p.Kind, p.Name
 		} else if u := w.s.record.findRelease(g.Release).findUnit(g.Unit); u.Kind == KindRelay || u.Kind == KindMember {
@@ -611,21 +613,21 @@
 			continue
 		}
 		bears = bears || kind == KindRelay && g.Capacity > 0
-		fresh[kind+" "+name] = true
+		fresh[thingKey(kind, name)] = true
 		w.give(kind, name, g.Permit)
 	}
 	w.forget()
 	// Long enough that the view had it.
 	known := w.budgets.SilentAfterMS + w.budgets.ViewMaxAgeMS + 3500
-	out, zones, total := map[string]int{}, map[string]int{}, map[string]int{}
+	out, zones, total := map[Kind]int{}, map[string]int{}, map[string]int{}
 	left, serve, who := 0.0, 0.0, ""
-	count := func(kind, name, zone string, lost int64, bears float64) {
-		total[kind]++
-		total[kind+zone]++
-		is := w.given[kind+" "+name] != nil
+	count := func(kind Kind, name, zone string, lost int64, bears float64) {
+		total[string(kind)]++
+		total[string(kind)+zone]++
+		is := w.given[thingKey(kind, name)] != nil
 		if is || lost > 0 && w.now-lost > known {
 			out[kind]++
-			zones[kind+zone]++
+			zones[string(kind)+zone]++
 			who += fmt.Sprintf(" %s (given %v, lost since %d)", name, is, lost)
 		}
 		if kind == KindMember {
@@ -657,7 +659,7 @@
 		}
 		count(KindMember, x.name, x.zone, x.lostSince, bears)
 	}
-	for _, kind := range []string{KindRelay, KindMember} {
+	for _, kind := range []Kind{KindRelay, KindMember} {
 		b := w.budgets.Members
 		if kind == KindRelay {
 			b = w.budgets.Relays
@@ -665,22 +667,22 @@
 		w.peak = max(w.peak, out[kind])
 		any := false
 		for key := range fresh {
-			any = any || key[:3] == kind[:3]
+			any = any || key[:3] == string(kind[:3])
 		}
 		if !any {
 			continue
 		}
-		if most := b.totalLimit(total[kind]); out[kind] > most {
+		if most := b.totalLimit(total[string(kind)]); out[kind] > most {
 			w.fault("%d of kind %s are out, of %d:%s", out[kind], kind, most, who)
 		}
 		for z, n := range zones {
-			if len(z) > len(kind) && z[:len(kind)] == kind && n > b.zoneLimit(total[z]) {
+			if len(z) > len(kind) && z[:len(kind)] == string(kind) && n > b.zoneLimit(total[z]) {
 				w.fault("%d are out in %s of %d:%s", n, z, b.zoneLimit(total[z]), who)
 			}
 		}
 		if kind == KindMember && left < w.load*(1+w.budgets.CapacityReserve) {
 			for key := range fresh {
-				i := slices.IndexFunc(w.members, func(x *slot) bool { return KindMember+" "+x.name == key })
+				i := slices.IndexFunc(w.members, func(x *slot) bool { return thingKey(KindMember, x.name) == key })
 				if i >= 0 && w.members[i].lostSince == 0 {
 					w.fault("what is left bears %.0f, the load is %.0f", left, w.load)
 					break
@@ -690,6 +692,9 @@
 	}
 }
 
+// thingKey names a relay or a member among both.
+func thingKey(kind Kind, name string) string { return string(kind) + " " + name }
+
 // forget what was given out and is back, in truth.
 func (w *world) forget() {
 	for key, out := range w.given {
@@ -700,7 +705,7 @@
 }
 
 // give notes that a thing was given out, and how it is seen, in truth, that it is back.
-func (w *world) give(kind, name string, permit uint64) {
+func (w *world) give(kind Kind, name string, permit uint64) {
 	var truth func() bool
 	if kind == KindRelay {
 		h := w.relays[slices.IndexFunc(w.relays, func(h *host) bool { return h.name == name })]
@@ -727,7 +732,7 @@
 			return granted != nil && granted.State == PermitGranted || mayBegin || mayTake || thing()
 		}
 	}
-	w.given[kind+" "+name] = truth
+	w.given[thingKey(kind, name)] = truth
 }
 
 func (w *world) judgeEmpty(s Observation) {
--- a/internal/scenariorunner/fleet.go
+++ b/internal/scenariorunner/fleet.go
@@ -205,9 +205,9 @@
 	if o.states == nil {
 		o.states, o.ended = map[string]string{}, map[string]time.Duration{}
 	}
-	state := a.State
-	if a.Halt != nil && state == rollout.ReleaseHalted {
-		state += ": " + a.Halt.Cause + ": " + a.Halt.Reason
+	state := string(a.State)
+	if a.Halt != nil && a.State == rollout.ReleaseHalted {
+		state += ": " + string(a.Halt.Cause) + ": " + a.Halt.Reason
 	}
 	if o.states[a.Name] != state {
 		o.states[a.Name], o.ended[a.Name] = state, at
@@ -223,7 +223,7 @@
 	}
 	last := time.Duration(0)
 	for name, state := range o.states {
-		if state != rollout.ReleaseCompleted && state != rollout.ReleaseRolledBack {
+		if state != string(rollout.ReleaseCompleted) && state != string(rollout.ReleaseRolledBack) {
 			return nil
 		}
 		last = max(last, o.ended[name])
