--- a/cmd/dahliarudder/upgrade.go
+++ b/cmd/dahliarudder/upgrade.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// openStateInterval is how often a process tells the other what it holds.
+	// openStateInterval is how often a process sends its open requests to its successor.
 	openStateInterval = 50 * time.Millisecond
-	// retrySockets is what the first process may open beyond what it holds: retries of
-	// requests that are on their way.
+	// retrySockets is how many descriptors the older process may open beyond those it has: for
+	// retries of requests in flight.
 	retrySockets = 16
-	// handoverBurst flows are handed over each handoverInterval.
+	// handoverBurst connections at most are in transfer at once; the older process looks again each handoverInterval.
 	handoverBurst    = 8
 	handoverInterval = 5 * time.Millisecond
-	// upgradeDescriptors are the socket at which a successor is waited for, the channel to
-	// it, and a descriptor on its way through it.
+	// upgradeDescriptors are reserved for the listener for successors, the channel to one,
+	// and a connection in transfer.
 	upgradeDescriptors = 4
 )
 
-// siblingOrigin is which of the two processes the other one is.
+// siblingOrigin says which of the two processes of an upgrade the sibling is.
 type siblingOrigin int
 
 const (
@@ -33,26 +33,26 @@
 	originOlder                      // it was here first
 )
 
-// siblingStage is how far the other process is.
+// siblingStage is the phase of the sibling.
 type siblingStage int
 
 const (
-	stageStarting siblingStage = iota // it takes no clients in yet; only a newer one is in this stage
-	stageServing                      // it takes clients in, or did before this one
-	stageStopping                     // it was told to stop
+	stageStarting siblingStage = iota // it does not accept clients yet; only a newer process is in this stage
+	stageServing                      // it accepts clients, or did before this one
+	stageStopping                     // it is shutting down
 )
 
-// sibling is the other process of this relay while there are two.
+// siblingProcess is the other process of this relay during an upgrade.
 type siblingProcess struct {
 	peer     *handover.Peer
 	origin   siblingOrigin
 	stage    siblingStage
-	sentOpen handover.OpenRequests // what a newer one was told last
-	passing  *netloop.Timer        // when the next connections are handed over to it
+	sentOpen handover.OpenRequests // what a newer one was sent last
+	passing  *netloop.Timer        // until the next connections are handed over to it
 }
 
-// joinPredecessor asks for the state of the process whose place this one takes, if there is
-// one, and listens by its sockets.
+// joinPredecessor requests the state of the process that this one replaces, if there is
+// one, and takes its listening sockets.
 func (r *relay) joinPredecessor(dir string) error {
 	fd, state, fds, err := handover.RequestState(dir)
 	if err != nil || state == nil {
@@ -65,14 +65,14 @@
 	r.inheritedState = state
 	r.sibling = &siblingProcess{origin: originOlder, stage: stageServing}
 	r.limitToRemainingSockets(state.Limit)
-	if r.sibling.peer, err = handover.NewPeer(r.loop, fd, r.onNote, r.onSiblingGone); err != nil {
+	if r.sibling.peer, err = handover.NewPeer(r.loop, fd, r.onMessage, r.onSiblingGone); err != nil {
 		return err
 	}
 	r.sibling.peer.SetVersion(state.Version)
 	return nil
 }
 
-// awaitSuccessor has a successor find this process.
+// awaitSuccessor listens for a process that is started to replace this one.
 func (r *relay) awaitSuccessor() {
 	r.successorListener.Close()
 	var err error
@@ -82,8 +82,8 @@
 			return
 		}
 		r.sibling = &siblingProcess{}
-		if r.sibling.peer, err = handover.NewPeer(r.loop, fd, r.onNote, r.onSiblingGone); err != nil {
-			r.log.WithError(err).Error("a successor cannot be heard")
+		if r.sibling.peer, err = handover.NewPeer(r.loop, fd, r.onMessage, r.onSiblingGone); err != nil {
+			r.log.WithError(err).Error("no channel to the successor")
 			r.sibling = nil
 		}
 	})
@@ -92,8 +92,8 @@
 	}
 }
 
-// onNote is told what the other process says.
-func (r *relay) onNote(n *handover.Message, fds []int) {
+// onMessage handles a message of the sibling. It owns the descriptors.
+func (r *relay) onMessage(n *handover.Message, fds []int) {
 	switch {
 	case n.Hello > 0:
 		r.sendStateToSuccessor(n.Hello)
@@ -125,7 +125,7 @@
 	}
 }
 
-// sendStateToSuccessor tells a successor all that it starts with.
+// sendStateToSuccessor sends a successor the state that it starts with, and the listening sockets.
 func (r *relay) sendStateToSuccessor(hello int) {
 	r.sibling.peer.SetVersion(hello)
 	state := handover.NewState(r.core.Learned(), hello)
