--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -24,7 +24,7 @@
 // orderedExit is the end of a relay that the fleet told to leave: whatever started it is to start it again.
 type orderedExit int
 
-func (e orderedExit) Error() string { return fmt.Sprintf("told to leave: exit status %d", int(e)) }
+func (e orderedExit) Error() string { return fmt.Sprintf("ordered to leave: exit status %d", int(e)) }
 
 // shutdownOrder is how far this relay is with an order to leave.
 type shutdownOrder struct {
@@ -111,7 +111,7 @@
 	mine := o.Leave != nil && o.Leave.StartNumber >= r.peers.Incarnation() // else it was for the process before this one
 	switch {
 	case mine && r.shutdownOrder == nil:
-		r.log.WithFields(logrus.Fields{"release": o.Leave.Release, "number": o.Leave.Number}).Info("fleet: told to leave")
+		r.log.WithFields(logrus.Fields{"release": o.Leave.Release, "number": o.Leave.Number}).Info("fleet: ordered to leave")
 		r.shutdownOrder = &shutdownOrder{o.Leave.Number, r.loop.Now()}
 		r.applyDrainState()
 		r.exitWhenDrained()
--- a/cmd/dahliarudder/gossip.go
+++ b/cmd/dahliarudder/gossip.go
@@ -40,7 +40,7 @@
 	r.peers = gossiptransport.New(gossiptransport.Options{Observations: func() gossip.Digest { return book.Digest(r.clock()) }, Loop: r.loop, Log: r.log, Name: r.cfg.Name, Zone: zone, Listen: p.Listen, Address: p.Address,
 		Seeds: known, AddressOverrides: p.Reach, Keys: p.Keys(), Configured: max(set.Balancers, 1), Seed: r.cfg.SeedNumber(), WallClock: wallClock,
 		OnDivisorChange: r.core.Relays, OnUserData: func(_ string, note []byte) { r.trial.onNotices(note) }, OnStaleList: func() {
-			r.log.Warn("other relays hold a newer list; members are asked for anew")
+			r.log.Warn("other relays hold a newer list; the endpoint list is polled again")
 			r.watch.Refresh(func() {})
 		},
 		LocalStatus: func() (gossip.Phase, uint64, uint64, uint64) {
--- a/cmd/dahliarudder/operator.go
+++ b/cmd/dahliarudder/operator.go
@@ -27,11 +27,11 @@
 	// Only now: the older process, if there is one, tells of what changes from here on.
 	names, err := r.ejections.Read()
 	if err != nil {
-		r.log.WithError(err).Error("no ban is in force")
+		r.log.WithError(err).Error("no ejection is in force")
 	}
 	for _, name := range names {
 		r.core.Ban(name)
-		r.log.WithField("member", name).Info("banned")
+		r.log.WithField("member", name).Info("ejected")
 	}
 	return nil
 }
--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -138,7 +138,7 @@
 // afterSuspension is told that this process stood still: what it knows of members is as old as that, and nothing new is sent by it until discovery has
 // said what has changed, or for as long as a change may take to be heeded anyway.
 func (r *relay) afterSuspension(gap time.Duration) {
-	r.log.WithField("gap", gap).Warn("this process stood still; members are asked for anew")
+	r.log.WithField("gap", gap).Warn("this process was suspended; the endpoint list is polled again")
 	r.core.Doubt()
 	r.watch.Refresh(r.core.Sure)
 	r.loop.After(settings.Span(r.names.Settings.Guarantees.Grace), r.core.Sure)
--- a/cmd/dahliarudder/snapshot.go
+++ b/cmd/dahliarudder/snapshot.go
@@ -72,7 +72,7 @@
 	r.recovery.From, r.recovery.Age, r.recovery.peers = "snapshot", age.Milliseconds(), s.Peers
 	r.recovery.Discarded = append(r.recovery.Discarded, away...)
 	for _, p := range away {
-		r.log.WithField("what", p.What).WithField("why", p.Why).Info("state: not believed")
+		r.log.WithField("what", p.What).WithField("why", p.Why).Info("state: discarded")
 	}
 	if s.List != nil {
 		if s.DiscoveryAddr == r.cfg.Discovery {
@@ -81,7 +81,7 @@
 		r.core.Pool(policy.ListCached, r.names.Members(s.List))
 	}
 	r.core.Recall(s.Learned)
-	r.log.WithField("age", age).Info("state: goes on from its snapshot")
+	r.log.WithField("age", age).Info("state: restored from the snapshot")
 }
 
 func (r *relay) discardSnapshot(what string, err error) {
--- a/cmd/dahliarudder/stop.go
+++ b/cmd/dahliarudder/stop.go
@@ -11,7 +11,7 @@
 	}
 	r.stopping = true
 	loop := r.loop
-	r.log.WithField("held", r.core.Held()).Info("stopping")
+	r.log.WithField("open_requests", r.core.Held()).Info("stopping")
 	r.peers.Leave() // nothing new is placed from here on
 	deadline := loop.Now() + r.core.StopWithin()
 	least := loop.Now() + core.StopNotice
--- a/cmd/dahliarudder/upgrade.go
+++ b/cmd/dahliarudder/upgrade.go
@@ -140,7 +140,7 @@
 	}
 	r.limitToOwnSockets()
 	state.Limit = r.sibling.sentOpen.Limit
-	r.log.WithField("held", r.core.Held()).Info("a successor starts")
+	r.log.WithField("open_requests", r.core.Held()).Info("a successor starts")
 	r.sendNote(handover.Message{State: state}, fds...)
 	r.syncSibling()
 }
@@ -195,7 +195,7 @@
 		return
 	}
 	if err := r.sibling.peer.Send(n, fds...); err != nil {
-		r.log.WithError(err).Error("the other process does not hear")
+		r.log.WithError(err).Error("cannot send to the other process")
 	}
 }
 
--- a/cmd/dahliarudder/upgrade_connections.go
+++ b/cmd/dahliarudder/upgrade_connections.go
@@ -63,7 +63,7 @@
 // sendConnection hands a connection over. What cannot be handed over goes on here.
 func (r *relay) sendConnection(n handover.Message, fds ...int) {
 	if err := r.sibling.peer.SendConnection(n, fds...); err != nil {
-		r.log.WithError(err).Error("the other process does not hear")
+		r.log.WithError(err).Error("cannot send to the other process")
 		r.loop.After(0, func() { r.adoptConnection(&n, fds) })
 	}
 }
--- a/integration/crossing_waiting_test.go
+++ b/integration/crossing_waiting_test.go
@@ -26,7 +26,7 @@
 			time.Sleep(doubtAfter) // its clock goes on; that is the event
 			c.say(firstLine(1, 2900*time.Millisecond))
 			s.thaw()
-			s.logged("this process stood still")
+			s.logged("this process was suspended")
 			leave(c)
 			s.d.SetAnswerDelay(0)
 			s.fence(2)
--- a/integration/fleet_faults_test.go
+++ b/integration/fleet_faults_test.go
@@ -55,7 +55,7 @@
 // leaves says that a relay was told to leave, and not since that it may stay.
 func leaves(r *relay) bool {
 	log := r.log.String()
-	return strings.LastIndex(log, "fleet: told to leave") > strings.LastIndex(log, "fleet: may stay")
+	return strings.LastIndex(log, "fleet: ordered to leave") > strings.LastIndex(log, "fleet: may stay")
 }
 
 // TestFleetSame: a release that touches what another one does is refused with that one's name, or waits for it if that is wanted; one that
@@ -290,7 +290,7 @@
 	r.hold(24)
 	f.agreed(3, "POST", "/-/releases", map[string]any{"name": "o", "kind": "relay", "names": []string{fmt.Sprintf("n%d", old)}})
 	f.shows("o")
-	r.logged("fleet: told to leave")
+	r.logged("fleet: ordered to leave")
 	r.cmd.Process.Signal(syscall.SIGSTOP)
 	t.Cleanup(func() { r.cmd.Process.Signal(syscall.SIGCONT) })
 	f.agreed(3, "PUT", "/-/releases/o/halt", nil)
--- a/integration/folder_test.go
+++ b/integration/folder_test.go
@@ -59,7 +59,7 @@
 		t.Error("the last whole state is another one")
 	}
 	next := start(t, config, 2)
-	next.logged("goes on from its snapshot")
+	next.logged("restored from the snapshot")
 	next.open(2, "").want("UP ")
 	next.stop()
 }
--- a/integration/operator_test.go
+++ b/integration/operator_test.go
@@ -123,12 +123,12 @@
 		t.Fatalf("kept in %v", kept)
 	}
 	again := start(t, s.path, 2)
-	again.logged("msg=banned member=" + id)
+	again.logged("msg=ejected member=" + id)
 	again.cmd.Process.Kill()
 	<-again.done
 	write(t, kept[0], `["`+id[:4])
 	torn := start(t, s.path, 2)
-	torn.logged("no ban is in force")
+	torn.logged("no ejection is in force")
 	torn.put("/-/backends/" + id + "/disable")
 	if text, err := os.ReadFile(kept[0]); err != nil || string(text) != `["`+id+`"]` {
 		t.Errorf("kept %q, %v", text, err)
