--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -56,8 +56,8 @@
 		return err
 	}
 	// What was agreed while it was down is heard first: until then nothing new goes to a member, for finishCatchUp at most.
-	r.core.Doubt()
-	r.core.Expect(true)
+	r.core.PauseDispatch()
+	r.core.SetSyncing(true)
 	r.loop.After(catchUpTimeout, r.finishCatchUp)
 	return nil
 }
@@ -68,8 +68,8 @@
 func (r *relay) finishCatchUp() {
 	if !r.caughtUp {
 		r.caughtUp = true
-		r.core.Expect(false)
-		r.core.Sure()
+		r.core.SetSyncing(false)
+		r.core.ResumeDispatch()
 	}
 }
 
@@ -95,9 +95,9 @@
 func (r *relay) applyOrders(o fleet.DesiredState) {
 	version := o.RecordVersion
 	r.trial.applyOrders(o)
-	out := map[string]core.Leaving{}
+	out := map[string]core.Removal{}
 	for name, i := range o.Exclusions {
-		out[name] = core.Leaving{Over: time.Duration(i.MigrateOverMS) * time.Millisecond, Ban: i.Reason == rollout.CommandEject}
+		out[name] = core.Removal{SpreadOver: time.Duration(i.MigrateOverMS) * time.Millisecond, Ejection: i.Reason == rollout.CommandEject}
 	}
 	if o.MajorityConfirmed {
 		defer r.finishCatchUp()
@@ -106,7 +106,7 @@
 	if !slices.Equal(names, r.fleetEjected) {
 		r.log.WithFields(logrus.Fields{"out": names, "version": version}).Info("fleet: members that are out")
 	}
-	r.core.Agree(out)
+	r.core.SetFleetRemovals(out)
 	r.fleetEjected, r.recordVersion, r.permits = names, version, o.PermitsVersion
 	mine := o.Leave != nil && o.Leave.StartNumber >= r.peers.Incarnation() // else it was for the process before this one
 	switch {
@@ -141,7 +141,7 @@
 	r.loop.After(orderedDrainPoll, func() {
 		switch {
 		case r.shutdownOrder != l || r.stopping: // it may stay, or was told anew, or ends already
-		case r.core.Held() > 0 && r.loop.Now()-l.since < orderedDrainTimeout, r.loop.Now()-l.since < core.StopNotice:
+		case r.core.ActiveRequests() > 0 && r.loop.Now()-l.since < orderedDrainTimeout, r.loop.Now()-l.since < core.StopNotice:
 			r.exitWhenDrained()
 		default:
 			r.fleet.ConfirmLeave(l.number, func(stands, sound bool) {
--- a/cmd/dahliarudder/fleet_status.go
+++ b/cmd/dahliarudder/fleet_status.go
@@ -9,39 +9,39 @@
 	"dahliarudder/policy"
 )
 
-var stateNames = map[policy.State]string{policy.Ready: "ready", policy.Draining: "draining", policy.Gone: "gone"}
+var stateNames = map[policy.ServerState]string{policy.Ready: "ready", policy.Draining: "draining", policy.Gone: "gone"}
 
 // fleetStatus is what this relay does now.
 func (r *relay) fleetStatus() fleet.ObservedState {
 	set, n := r.names.Settings, r.core.Counts
-	list, _ := r.watch.List()
+	list, _ := r.watch.Snapshot()
 	now := r.loop.Now()
 	if r.statusAt > 0 {
-		r.flowTime += time.Duration(r.core.Held()) * (now - r.statusAt)
+		r.flowTime += time.Duration(r.core.ActiveRequests()) * (now - r.statusAt)
 	}
 	r.statusAt = now
-	l := fleet.ObservedState{Phase: "serving", Flows: r.core.Held(), DemandMS: uint64((r.flowTime + n.Away).Milliseconds()), ServedMS: uint64(r.flowTime.Milliseconds()), MisroutedFlows: uint64(n.Astray),
-		LocalEjections: r.core.Banned(), AppliedOut: r.fleetEjected, AppliedVersion: r.recordVersion, ListGeneration: list.Generation, ConfigSections: r.configDigests, PermitsVersion: r.permits, QuarantineOrder: r.closeOrder}
+	l := fleet.ObservedState{Phase: "serving", Flows: r.core.ActiveRequests(), DemandMS: uint64((r.flowTime + n.BackoffTime).Milliseconds()), ServedMS: uint64(r.flowTime.Milliseconds()), MisroutedFlows: uint64(n.SentAfterGrace),
+		LocalEjections: r.core.Ejected(), AppliedExclusions: r.fleetEjected, AppliedVersion: r.recordVersion, ListGeneration: list.Generation, ConfigSections: r.configDigests, PermitsVersion: r.permits, QuarantineOrder: r.closeOrder}
 	if r.reloadError != "" {
-		l.RejectedItems = map[string]string{drift.Config + ".settings": r.reloadError}
+		l.RejectedItems = map[string]string{drift.ItemConfig + ".settings": r.reloadError}
 	}
 	switch {
 	case r.stopping:
 		l.Phase = "leaving"
-	case !r.accepting || !r.core.Usable() || !r.caughtUp:
+	case !r.accepting || !r.core.HasUsableMember() || !r.caughtUp:
 		l.Phase = "starting"
 	case r.closeOrder != 0:
 		l.Phase = "shut"
-	case !r.core.Welcomes():
+	case !r.core.AcceptsClients():
 		l.Phase = "draining"
 	}
 	for _, m := range r.core.Members() {
-		p := fleet.MemberState{Name: m.Name, DiscoveryState: stateNames[m.State], Out: m.Out, Flows: m.Flows, Capacity: m.Capacity, Successes: m.Good, Failures: m.Bad}
+		p := fleet.MemberState{Name: m.Name, DiscoveryState: stateNames[m.State], Out: m.Removed, Flows: m.Flows, Capacity: m.Capacity, Successes: m.Successes, Failures: m.Failures}
 		if m.Zone < len(set.Zones) {
 			p.Zone = string(set.Zones[m.Zone])
 		}
 		if m.Started != 0 {
-			p.StartedAt = r.names.Starts.UnixMilli(m.Name, m.Started)
+			p.StartedAt = r.names.StartTimes.UnixMilli(m.Name, m.Started)
 		}
 		l.Members = append(l.Members, p)
 	}
--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -24,7 +24,7 @@
 const (
 	// reservedSockets are the descriptors that are not within the loop's limit: standard streams,
 	// epoll, the wakeup, what the runtime opens, and what is kept for discovery.
-	reservedSockets = 16 + pool.Descriptors
+	reservedSockets = 16 + pool.MaxDescriptors
 	// bufferMemoryFraction of the memory is what the connections' buffers may hold together;
 	// slices that grow take up to twice their length.
 	bufferMemoryFraction = 0.25
@@ -70,7 +70,7 @@
 	// means "long ago" to the decision module.
 	const zero = time.Hour
 	clock := func() time.Duration { return zero + time.Since(began) }
-	r := &relay{cfg: cfg, log: log, clock: clock, signals: caught, names: pool.Names{Settings: set, Starts: &pool.Starts{Clock: clock, Wall: wallClock, Believed: policy.Sane(set.Policy()).AskWithin}},
+	r := &relay{cfg: cfg, log: log, clock: clock, signals: caught, names: pool.MemberMapper{Settings: set, StartTimes: &pool.StartTimes{Clock: clock, WallClock: wallClock, MaxListingDelay: policy.Normalize(set.Policy()).MaxPollInterval}},
 		maxBufferBytes: int(cfg.Limits.MemoryMB * bufferMemoryFraction * (1 << 20))}
 	r.maxSockets = descriptorLimit(cfg) - reservedSockets - r.operatorDescriptors()
 	loop, err := netloop.New(clock, r.maxSockets)
@@ -83,7 +83,7 @@
 		loop.Close()
 		return errors.Join(err, r.closeStore())
 	}
-	loop.OnStall(r.core.Limits().AskWithin/suspensionFraction, r.afterSuspension)
+	loop.OnStall(r.core.PolicySettings().MaxPollInterval/suspensionFraction, r.afterSuspension)
 	if cfg.CountsMS > 0 {
 		r.logCounts(time.Duration(cfg.CountsMS*float64(time.Millisecond)), core.Counts{})
 	}
@@ -125,8 +125,8 @@
 		line := logrus.Fields{"at": math.Round(r.clock().Seconds()*1e3) / 1e3,
 			"requests": now.Requests - before.Requests, "served": now.Served - before.Served,
 			"rejected": now.Rejected - before.Rejected, "failed": now.Failed - before.Failed,
-			"left": now.Left - before.Left, "attempts": now.Attempts - before.Attempts,
-			"moves": now.Moves - before.Moves, "barred": now.Barred - before.Barred}
+			"left": now.ClientsGone - before.ClientsGone, "attempts": now.Attempts - before.Attempts,
+			"moves": now.Migrations - before.Migrations, "barred": now.Blocked - before.Blocked}
 		if r.peers != nil {
 			line["relays"], line["shared_by"] = r.peers.BudgetDivisor()
 		}
@@ -139,9 +139,9 @@
 // said what has changed, or for as long as a change may take to be heeded anyway.
 func (r *relay) afterSuspension(gap time.Duration) {
 	r.log.WithField("gap", gap).Warn("this process was suspended; the endpoint list is polled again")
-	r.core.Doubt()
-	r.watch.Refresh(r.core.Sure)
-	r.loop.After(settings.Span(r.names.Settings.Guarantees.Grace), r.core.Sure)
+	r.core.PauseDispatch()
+	r.watch.Refresh(r.core.ResumeDispatch)
+	r.loop.After(settings.Span(r.names.Settings.Guarantees.Grace), r.core.ResumeDispatch)
 }
 
 // reload takes over what a configuration that was read again may change: where
@@ -153,7 +153,7 @@
 		r.log.WithField("keys", keys).Warn("changed, but only a restart takes them")
 	}
 	r.log.WithField("discovery", fresh.Discovery).Info("configuration read again")
-	r.watch.Move(fresh.Discovery)
+	r.watch.SwitchAddress(fresh.Discovery)
 	if r.natsFront != nil && fresh.Security() != nil && !slices.Contains(keys, "fronts") {
 		r.natsFront.ReloadSecurity(fresh.Security())
 	}
--- a/cmd/dahliarudder/snapshot.go
+++ b/cmd/dahliarudder/snapshot.go
@@ -60,11 +60,11 @@
 		r.discardSnapshot("snapshot", err)
 		return
 	}
-	held, known := r.watch.List()
+	held, known := r.watch.Snapshot()
 	if !known || s.DiscoveryAddr != r.cfg.Discovery { // a generation means nothing but where it was given
 		held.Generation = 0
 	}
-	age, away, err := s.Validate(clocksNow(), r.cfg.Name, held.Generation, snapshot.LimitsFor(r.core.Limits().AskWithin))
+	age, away, err := s.Validate(clocksNow(), r.cfg.Name, held.Generation, snapshot.LimitsFor(r.core.PolicySettings().MaxPollInterval))
 	if err != nil {
 		r.discardSnapshot("snapshot", err)
 		return
@@ -76,11 +76,11 @@
 	}
 	if s.List != nil {
 		if s.DiscoveryAddr == r.cfg.Discovery {
-			r.watch.Hold(s.List)
+			r.watch.SetInitialList(s.List)
 		}
-		r.core.Pool(policy.ListCached, r.names.Members(s.List))
+		r.core.UpdateMembers(policy.ListCached, r.names.Members(s.List))
 	}
-	r.core.Recall(s.Learned)
+	r.core.Restore(s.Learned)
 	r.log.WithField("age", age).Info("state: restored from the snapshot")
 }
 
@@ -120,7 +120,7 @@
 	}()
 	var again func()
 	again = func() {
-		if r.core.Usable() { // one who knows nothing does not write that over what it knew
+		if r.core.HasUsableMember() { // one who knows nothing does not write that over what it knew
 			if b, err := r.snapshot().Encode(); err != nil { // here: what it holds is the module's own
 				r.onSnapshotWritten(err)
 			} else {
@@ -136,8 +136,8 @@
 }
 
 func (r *relay) snapshot() *snapshot.Snapshot {
-	list, _ := r.watch.List()
-	s := &snapshot.Snapshot{Name: r.cfg.Name, List: list, DiscoveryAddr: r.cfg.Discovery, Learned: r.core.Learned()}
+	list, _ := r.watch.Snapshot()
+	s := &snapshot.Snapshot{Name: r.cfg.Name, List: list, DiscoveryAddr: r.cfg.Discovery, Learned: r.core.LearnedState()}
 	s.Stamp(clocksNow())
 	if r.peers != nil {
 		s.Peers = r.peers.LiveAddresses()
--- a/cmd/dahliarudder/upgrade.go
+++ b/cmd/dahliarudder/upgrade.go
@@ -128,19 +128,19 @@
 // sendStateToSuccessor sends a successor the state that it starts with, and the listening sockets.
 func (r *relay) sendStateToSuccessor(hello int) {
 	r.sibling.peer.SetVersion(hello)
-	state := handover.NewState(r.core.Learned(), hello)
+	state := handover.NewState(r.core.LearnedState(), hello)
 	var fds []int
 	for front, l := range r.clientListeners {
 		state.Fronts = append(state.Fronts, front)
 		fds = append(fds, l.FD())
 	}
 	var known bool
-	if state.Pool, known = r.watch.List(); known {
+	if state.Pool, known = r.watch.Snapshot(); known {
 		state.DiscoveryAddr = r.watch.Addr
 	}
 	r.limitToOwnSockets()
 	state.Limit = r.sibling.sentOpen.Limit
-	r.log.WithField("open_requests", r.core.Held()).Info("a successor starts")
+	r.log.WithField("open_requests", r.core.ActiveRequests()).Info("a successor starts")
 	r.sendNote(handover.Message{State: state}, fds...)
 	r.syncSibling()
 }
@@ -171,7 +171,7 @@
 	switch {
 	case r.sibling.origin == originNewer:
 		r.sendOpenState()
-	case !r.accepting && !r.stopping && r.core.Usable():
+	case !r.accepting && !r.stopping && r.core.HasUsableMember():
 		r.startAccepting()
 	}
 	r.loop.After(openStateInterval, r.syncSibling)
@@ -233,11 +233,11 @@
 	}
 	if r.cfg.AdoptDiscovery(r.inheritedState.DiscoveryAddr) {
 		r.watch.Addr = r.cfg.Discovery
-		r.watch.Hold(r.inheritedState.Pool)
+		r.watch.SetInitialList(r.inheritedState.Pool)
 	}
 	if len(r.inheritedState.Pool.Instances) > 0 {
-		r.core.Pool(policy.ListCached, r.names.Members(r.inheritedState.Pool))
+		r.core.UpdateMembers(policy.ListCached, r.names.Members(r.inheritedState.Pool))
 	}
-	r.core.Recall(r.inheritedState.Learned)
+	r.core.Restore(r.inheritedState.Learned)
 	r.inheritedState = nil
 }
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -41,12 +41,12 @@
 	shut     bool // the ledger
 	doubting bool
 	strict   bool          // during Sure
-	stopped  bool          // by Stop or GiveUp
+	stopped  bool          // by Stop or BeginHandover
 	leaving  time.Duration // by when flows have to be moved for a drain or a stop; 0 if none is on
 	done     bool          // after Finish
 	rash     bool          // something else happens in the middle of the next call to a virtual server
 	bans     map[string]bool
-	agreed   map[string]Leaving
+	agreed   map[string]Removal
 	events   map[string]int // of the record, by request and attempt
 	stood    int            // words that an attempt is up which was already
 	wrong    bool           // the module says wild things
@@ -107,7 +107,7 @@
 // ran is the first attempt that may have run.
 func (x *client) ran() *tried {
 	for _, a := range x.attempts {
-		if !a.over || a.result != policy.Full && a.result != policy.ConnectFailed && a.result != policy.Moot {
+		if !a.over || a.result != policy.Full && a.result != policy.ConnectFailed && a.result != policy.NotSent {
 			return a
 		}
 	}
@@ -158,9 +158,9 @@
 		w.Fatalf("request %d: sent for %v at %v, deadline %v", id, wait, w.now, x.deadline)
 	case x.late:
 		w.Fatalf("request %d: sent, though it came after the stop", id)
-	case x.q.At == "" && p.left && (w.strict || w.now-p.told > 250*time.Millisecond):
+	case x.q.CurrentMember == "" && p.left && (w.strict || w.now-p.told > 250*time.Millisecond):
 		w.Fatalf("request %d: sent to %s, which left %v ago", id, p.Name, w.now-p.told)
-	case x.q.At == "" && w.doubting:
+	case x.q.CurrentMember == "" && w.doubting:
 		w.Fatalf("request %d: sent during a doubt", id)
 	case to.Addr != p.Addr:
 		w.Fatalf("request %d: sent to %s at %s, it is at %s", id, to.Name, to.Addr, p.Addr)
@@ -169,7 +169,7 @@
 		class := x.class()
 		same := class.Scope == policy.ScopeAll || class.Scope == policy.ScopeZone && p.Zone == first.at.Zone ||
 			class.Scope == policy.ScopeCell && p.Cell == first.at.Cell
-		if class.Effect == policy.Unsafe || class.Effect == policy.Keyed && (!same || w.now >= first.sent+class.Window) {
+		if class.Idempotency == policy.NonIdempotent || class.Idempotency == policy.IdempotencyKey && (!same || w.now >= first.sent+class.DedupWindow) {
 			w.Fatalf("request %d: a double effect: first %v at %s, now %v at %s", id, first.sent, first.at.Name, w.now, p.Name)
 		}
 	}
@@ -189,7 +189,7 @@
 
 func (x *client) Reject(after time.Duration) {
 	class := x.class()
-	if x.ran() != nil && !(class.Effect == policy.Safe || class.Effect == policy.Keyed && class.Scope == policy.ScopeAll) {
+	if x.ran() != nil && !(class.Idempotency == policy.Idempotent || class.Idempotency == policy.IdempotencyKey && class.Scope == policy.ScopeAll) {
 		x.w.Fatalf("request %d: rejected, though it may have run", x.id)
 	}
 	if after < 0 {
@@ -208,7 +208,7 @@
 	x.then()
 }
 
-func (x *client) Move() {
+func (x *client) Migrate() {
 	x.called("move")
 	if !x.open() {
 		x.w.Fatalf("request %d: moved, though it is not open", x.id)
@@ -221,7 +221,7 @@
 
 func (x *client) leave() {
 	if !x.settled() {
-		x.w.c.Left(x.id)
+		x.w.c.ClientGone(x.id)
 		x.gone = true
 		if x.out() != nil {
 			x.w.Fatalf("request %d: an attempt is still out after its client left", x.id)
@@ -232,10 +232,10 @@
 // ---- The record ----
 
 func (w *world) Ready() bool { return !w.shut }
-func (w *world) Attempt(_ *Request, id ID, try int, _ string, _, _ time.Duration, _ policy.Result) {
+func (w *world) RecordAttempt(_ *Request, id ID, try int, _ string, _, _ time.Duration, _ policy.Result) {
 	w.note(fmt.Sprintf("attempt %d.%d", id, try))
 }
-func (w *world) Answer(_ *Request, id ID, _ time.Duration, _ Answer, _ int) {
+func (w *world) RecordAnswer(_ *Request, id ID, _ time.Duration, _ Answer, _ int) {
 	w.note(fmt.Sprintf("answer %d", id))
 }
 func (w *world) note(line string) {
@@ -263,9 +263,9 @@
 		t.Fatal(err)
 	}
 	w := &world{T: t, now: time.Hour, wake: math.MaxInt64, byID: map[ID]*client{}, names: map[string]*place{},
-		bans: map[string]bool{}, agreed: map[string]Leaving{}, events: map[string]int{}}
+		bans: map[string]bool{}, agreed: map[string]Removal{}, events: map[string]int{}}
 	w.c = New(Options{Settings: set, Seed: uint64(evenly(64).Draw(t, "seed")), Clock: func() time.Duration { return w.now },
-		Wake: func(at time.Duration) { w.wake = at }, Watch: func() {}, Ledger: w,
+		Wake: func(at time.Duration) { w.wake = at }, Watch: func() {}, Recorder: w,
 		Probe: func(to *Member) {
 			if p := w.names[to.Name]; w.doubting || p.left && (w.strict || w.now-p.told > 250*time.Millisecond) {
 				w.Fatalf("%s is probed, which left %v ago; doubt %v", to.Name, w.now-p.told, w.doubting)
@@ -315,12 +315,12 @@
 
 func (w *world) arrive() {
 	x := &client{w: w, late: w.stopped}
-	x.q = Request{Class: w.draw(5, "class"), Load: 0.01, Group: uint64(w.draw(3, "group")), Again: w.draw(4, "again") == 0,
-		Wait: modelWaits[w.draw(len(modelWaits), "wait")]}
+	x.q = Request{Class: w.draw(5, "class"), Load: 0.01, Group: uint64(w.draw(3, "group")), Reconnect: w.draw(4, "again") == 0,
+		TimeLeft: modelWaits[w.draw(len(modelWaits), "wait")]}
 	if w.draw(12, "at") == 0 {
-		x.q.At = fmt.Sprint("m", w.draw(8, "member"))
+		x.q.CurrentMember = fmt.Sprint("m", w.draw(8, "member"))
 	}
-	x.deadline = w.now + x.q.Wait
+	x.deadline = w.now + x.q.TimeLeft
 	w.all = append(w.all, x)
 	before := w.opening // its front does not know the id before Open has returned
 	w.opening = x
@@ -329,7 +329,7 @@
 	if (x.late || w.shut) && (len(x.answers) != 1 || x.answers[0] != "rejected") {
 		w.Fatalf("request %d: came after the stop, or could not be recorded: answers %v", x.id, x.answers)
 	}
-	if x.q.Wait <= 0 && len(x.answers) != 1 {
+	if x.q.TimeLeft <= 0 && len(x.answers) != 1 {
 		w.Fatalf("request %d: came with no time left: answers %v", x.id, x.answers)
 	}
 }
@@ -339,14 +339,14 @@
 	if x == nil {
 		return
 	}
-	if !w.c.Up(x.id, len(x.attempts)-1) {
+	if !w.c.FlowEstablished(x.id, len(x.attempts)-1) {
 		w.Fatalf("request %d: its attempt is out, and may not be up", x.id)
 	}
 	x.up, x.upAt = true, w.now
 	x.answers = append(x.answers, "served")
 }
 
-var modelResults = []policy.Result{policy.OK, policy.Error, policy.Full, policy.Timeout, policy.ConnectFailed, policy.Reset, policy.Cancelled, policy.Moot}
+var modelResults = []policy.Result{policy.OK, policy.Error, policy.Full, policy.Timeout, policy.ConnectFailed, policy.Reset, policy.Cancelled, policy.NotSent}
 
 func (w *world) ends() {
 	if x := w.pick(func(x *client) bool { return x.out() != nil }); x != nil {
@@ -364,7 +364,7 @@
 	} else if a.result == policy.OK {
 		x.answers, x.up, x.ended = append(x.answers, "served"), true, true
 	}
-	w.c.Ended(x.id, try, a.result, w.report())
+	w.c.AttemptEnded(x.id, try, a.result, w.report())
 }
 
 func (w *world) report() policy.Report {
@@ -384,18 +384,18 @@
 	if a := x.out(); a != nil && try == len(x.attempts)-1 {
 		if x.up {
 			w.stood++
-			if w.c.Up(x.id, try) {
+			if w.c.FlowEstablished(x.id, try) {
 				w.Fatalf("request %d: up twice", x.id)
 			}
 		}
 		return
 	}
-	if w.c.Up(x.id, try) {
+	if w.c.FlowEstablished(x.id, try) {
 		w.Fatalf("request %d: up by attempt %d, which is not out", x.id, try)
 	}
-	w.c.Ended(x.id, try, modelResults[w.draw(len(modelResults), "result")], policy.NoReport)
+	w.c.AttemptEnded(x.id, try, modelResults[w.draw(len(modelResults), "result")], policy.NoReport)
 	if x.settled() {
-		w.c.Left(x.id)
+		w.c.ClientGone(x.id)
 	}
 }
 
@@ -406,20 +406,20 @@
 	i := w.draw(len(w.probes), "probe")
 	id := w.probes[i]
 	w.probes = slices.Delete(w.probes, i, i+1)
-	w.c.Probed(id, []policy.Result{policy.OK, policy.OK, policy.Full, policy.Timeout, policy.Moot}[w.draw(5, "result")], w.report())
+	w.c.ProbeResult(id, []policy.Result{policy.OK, policy.OK, policy.Full, policy.Timeout, policy.NotSent}[w.draw(5, "result")], w.report())
 }
 
 // list is what discovery says.
 func (w *world) list() {
 	kind := []policy.ListKind{policy.ListDelta, policy.ListDelta, policy.ListDelta, policy.ListFull, policy.ListCached, policy.ListFailed}[w.draw(6, "kind")]
 	if kind == policy.ListFailed {
-		w.c.Pool(kind, nil)
+		w.c.UpdateMembers(kind, nil)
 		return
 	}
 	var named []Member
 	for _, p := range w.places {
 		if w.draw(3, "named") == 0 == (kind == policy.ListDelta) { // few of a change, most of a whole list
-			p.State = []policy.State{policy.Ready, policy.Ready, policy.Ready, policy.Draining, policy.Gone}[w.draw(5, "state")]
+			p.State = []policy.ServerState{policy.Ready, policy.Ready, policy.Ready, policy.Draining, policy.Gone}[w.draw(5, "state")]
 			if w.draw(6, "restart") == 0 {
 				p.Started, p.State = w.now, policy.Ready
 			}
@@ -430,7 +430,7 @@
 		}
 	}
 	w.see()
-	w.c.Pool(kind, named)
+	w.c.UpdateMembers(kind, named)
 }
 
 // see notes which members have begun to leave.
@@ -443,7 +443,7 @@
 		}
 		spread := time.Duration(0)
 		if p.left = left; agreed && !w.bans[p.Name] && p.State == policy.Ready {
-			spread = drain.Over
+			spread = drain.SpreadOver
 		}
 		if spread != p.spread {
 			p.spread, p.changed = spread, w.now
@@ -456,28 +456,28 @@
 	if w.bans[name] {
 		delete(w.bans, name)
 		w.see()
-		w.c.Allow(name)
+		w.c.Reinstate(name)
 	} else {
 		w.bans[name] = true
 		w.see()
-		w.c.Ban(name)
+		w.c.Eject(name)
 	}
 }
 
 func (w *world) agree() {
-	out := map[string]Leaving{}
+	out := map[string]Removal{}
 	for _, p := range w.places {
 		if w.draw(4, "out") == 0 {
-			out[p.Name] = Leaving{Over: []time.Duration{0, 500 * time.Millisecond, 8 * time.Second}[w.draw(3, "over")], Ban: w.draw(2, "ban") == 0}
+			out[p.Name] = Removal{SpreadOver: []time.Duration{0, 500 * time.Millisecond, 8 * time.Second}[w.draw(3, "over")], Ejection: w.draw(2, "ban") == 0}
 		}
 	}
 	w.agreed = out
 	w.see()
-	w.c.Agree(out)
+	w.c.SetFleetRemovals(out)
 }
 
 func (w *world) drain() {
-	if w.c.Welcomes() {
+	if w.c.AcceptsClients() {
 		w.leaving = w.now + drainMoves
 		w.c.Drain()
 		return
@@ -491,11 +491,11 @@
 func (w *world) doubt() {
 	if !w.doubting {
 		w.doubting = true
-		w.c.Doubt()
+		w.c.PauseDispatch()
 		return
 	}
 	w.doubting, w.strict = false, true
-	w.c.Sure()
+	w.c.ResumeDispatch()
 	w.strict = false
 }
 
@@ -503,9 +503,9 @@
 	if w.stopped {
 		return
 	}
-	w.stopped, w.leaving = true, w.now+of(stopMoves, w.c.StopWithin())
+	w.stopped, w.leaving = true, w.now+of(stopMoves, w.c.StopTimeout())
 	if w.draw(2, "another takes its place") == 0 {
-		w.c.GiveUp()
+		w.c.BeginHandover()
 	} else {
 		w.c.Stop()
 	}
@@ -516,7 +516,7 @@
 	if x := w.pick((*client).open); x != nil && w.draw(2, "pass") == 0 {
 		a := x.out()
 		x.ended, a.over, a.result = true, true, policy.Cancelled
-		if p, ok := w.c.Pass(x.id); !ok || p.Member != a.to.Name {
+		if p, ok := w.c.ReleaseFlow(x.id); !ok || p.Member != a.to.Name {
 			w.Fatalf("request %d: passed %v with %s, it is at %s", x.id, ok, p.Member, a.to.Name)
 		}
 		return
@@ -524,7 +524,7 @@
 	p := w.places[w.draw(len(w.places), "member")]
 	x := &client{w: w, taken: true, up: true, upAt: w.now, answers: []string{"served"}, q: Request{Class: w.draw(5, "class")}}
 	x.attempts = []*tried{{to: p, at: p.Member, sent: w.now}}
-	id, _, ok := w.c.Take(Passed{Request: x.q, Member: p.Name}, x)
+	id, _, ok := w.c.AdoptFlow(FlowTransfer{Request: x.q, Member: p.Name}, x)
 	if ok != p.known {
 		w.Fatalf("taken %v from a member that is known %v", ok, p.known)
 	}
@@ -540,11 +540,11 @@
 	}
 	switch w.draw(3, "note") {
 	case 0:
-		w.c.Load(x.id, float64(w.draw(50, "load"))/100)
+		w.c.UpdateLoad(x.id, float64(w.draw(50, "load"))/100)
 	case 1:
-		w.c.Message(x.id, time.Duration(w.draw(400, "took"))*time.Millisecond)
+		w.c.ObserveMessageLatency(x.id, time.Duration(w.draw(400, "took"))*time.Millisecond)
 	default:
-		w.c.Relays(float64(w.draw(5, "relays")))
+		w.c.SetActiveRelays(float64(w.draw(5, "relays")))
 	}
 }
 
@@ -574,12 +574,12 @@
 		if due := w.wake <= w.now; !x.gone && !due { // else a Tick is still to come
 			x.inTime(a)
 		}
-		if held := !x.settled(); w.c.Holds(x.id) != held {
+		if held := !x.settled(); w.c.IsActive(x.id) != held {
 			w.Fatalf("request %d: held %v, by what was seen %v", x.id, !held, held)
 		}
 	}
 	for _, p := range w.places {
-		if n := w.c.Flows(p.ID); n != flows[p.Name] {
+		if n := w.c.FlowCount(p.ID); n != flows[p.Name] {
 			w.Fatalf("%s: %d flows, by what was seen %d", p.Name, n, flows[p.Name])
 		}
 	}
@@ -617,13 +617,13 @@
 	if x == nil {
 		return
 	}
-	do := policy.DoSend
+	do := policy.ActionSend
 	if w.draw(2, "send") == 0 {
-		do = policy.Do(w.draw(int(policy.DoWait)+1, "do"))
+		do = policy.ActionKind(w.draw(int(policy.ActionWait)+1, "do"))
 	}
-	v := policy.Verdict{Do: do, ID: x.id, Server: policy.ServerID(10 + w.draw(7, "member")),
-		Try: w.draw(4, "try"), For: time.Duration(w.draw(900, "for")) * time.Millisecond}
-	w.c.apply([]policy.Verdict{v})
+	v := policy.Action{Kind: do, ID: x.id, Server: policy.ServerID(10 + w.draw(7, "member")),
+		Attempt: w.draw(4, "try"), Duration: time.Duration(w.draw(900, "for")) * time.Millisecond}
+	w.c.apply([]policy.Action{v})
 }
 
 // step is what happens next, the likelier ones several times.
@@ -672,7 +672,7 @@
 			p.State, p.known = policy.Ready, true
 		}
 		w.see()
-		w.c.Pool(policy.ListCached, []Member{w.places[0].Member, w.places[1].Member, w.places[2].Member, w.places[3].Member})
+		w.c.UpdateMembers(policy.ListCached, []Member{w.places[0].Member, w.places[1].Member, w.places[2].Member, w.places[3].Member})
 		n := 1 + w.draw(160, "steps")
 		stop := w.draw(2*n, "stop")
 		for i := range n {
@@ -694,11 +694,11 @@
 func (w *world) finish() {
 	w.run(0)
 	w.stop()
-	w.run([]time.Duration{0, 300 * time.Millisecond, w.c.StopWithin()}[w.draw(3, "stop takes")])
-	w.c.Finish()
+	w.run([]time.Duration{0, 300 * time.Millisecond, w.c.StopTimeout()}[w.draw(3, "stop takes")])
+	w.c.FinishStop()
 	w.done = true
 	w.check()
-	if n := w.c.Held(); n > 0 {
+	if n := w.c.ActiveRequests(); n > 0 {
 		w.Fatalf("%d held after the end", n)
 	}
 	attempts, moves := 0, 0
@@ -715,11 +715,11 @@
 		}
 	}
 	c := w.c.Counts
-	if !w.wrong && c.Ignored != w.stood {
-		w.Fatalf("%d events ignored, %d of them words on a flow that stood already", c.Ignored, w.stood)
+	if !w.wrong && c.IgnoredEvents != w.stood {
+		w.Fatalf("%d events ignored, %d of them words on a flow that stood already", c.IgnoredEvents, w.stood)
 	}
-	if len(w.events) != len(w.all)+attempts || c.Requests != len(w.all) || c.Attempts != attempts || c.Moves != moves ||
-		c.Served+c.Rejected+c.Failed+c.Left != c.Requests || c.Astray > 0 {
+	if len(w.events) != len(w.all)+attempts || c.Requests != len(w.all) || c.Attempts != attempts || c.Migrations != moves ||
+		c.Served+c.Rejected+c.Failed+c.ClientsGone != c.Requests || c.SentAfterGrace > 0 {
 		w.Fatalf("%d requests, %d attempts, %d moves and %d records, counts %+v", len(w.all), attempts, moves, len(w.events), c)
 	}
 	for range 5 {
@@ -732,8 +732,8 @@
 	if w.c.later != nil || len(w.c.alarms) > 0 || len(w.c.pending) > 0 || len(w.c.requests) > 0 {
 		w.Fatalf("left behind: %d held sends, %d alarms, %d verdicts, %d requests", len(w.c.later), len(w.c.alarms), len(w.c.pending), len(w.c.requests))
 	}
-	w.c.Pool(policy.ListFull, nil)
-	if l := w.c.Learned().Policy.Servers; len(l) > 0 && !w.wrong { // the module keeps those alone at which it takes flows to be open
+	w.c.UpdateMembers(policy.ListFull, nil)
+	if l := w.c.LearnedState().Policy.Servers; len(l) > 0 && !w.wrong { // the module keeps those alone at which it takes flows to be open
 		w.Fatalf("the module still holds flows at %v", l)
 	}
 }
--- a/internal/fleet/agreed_state.go
+++ b/internal/fleet/agreed_state.go
@@ -14,7 +14,7 @@
 
 // What was agreed last is kept beside the record, by followers too, who have no log. A relay that starts while the record cannot be reached
 // would know of no ban, and would send to a canary's arm as to any other member. It holds to what it knew instead: members that were out stay out, and
-// an arm gets nothing (canary.Holder), until the record is heard.
+// an arm gets nothing (canary.WeightResolver), until the record is heard.
 
 // agreedFile is the file, below fleet.dir.
 const agreedFile = "agreed.json"
@@ -25,7 +25,7 @@
 // agreedState is what is in it. Orders to this process are none of the next one's.
 type agreedState struct {
 	Version       uint64                       `json:"version"`
-	Out           map[string]rollout.Exclusion `json:"out,omitempty"`
+	Exclusions    map[string]rollout.Exclusion `json:"out,omitempty"`
 	CanaryVersion uint64                       `json:"weighed"`
 	CanaryWeights []canary.Weight              `json:"weights,omitempty"`
 }
@@ -82,7 +82,7 @@
 // fillIn puts what was known before into orders that the record of now does not reach up to.
 func (k agreedState) fillIn(o *DesiredState) {
 	if o.RecordVersion < k.Version {
-		o.Exclusions = k.Out
+		o.Exclusions = k.Exclusions
 	}
 	if o.CanaryVersion < k.CanaryVersion {
 		o.CanaryWeights = k.CanaryWeights
@@ -103,7 +103,7 @@
 			return
 		}
 		var k agreedState
-		s.record.read(func(r *rollout.State, _ recordItems) { k.Version, k.Out = r.Version(), r.Orders("").Exclusions })
+		s.record.read(func(r *rollout.State, _ recordItems) { k.Version, k.Exclusions = r.Version(), r.Orders("").Exclusions })
 		k.CanaryWeights, k.CanaryVersion = s.record.canaryWeights()
 		if reflect.DeepEqual(k, last) {
 			return
--- a/internal/fleet/canary.go
+++ b/internal/fleet/canary.go
@@ -22,21 +22,21 @@
 	c := all[0] // one at a time
 	switch {
 	case s.judge == nil || s.judgedCanary.Salt != c.Salt:
-		s.judge = canary.NewJudge(canary.Settings{Spec: c.Spec, Epoch: c.Epoch, Rung: c.Rung, Kept: s.record.canary.Kept(c.Release)})
-	case s.judgedCanary.Epoch != c.Epoch || s.judgedCanary.Rung != c.Rung:
-		s.judge.Begin(c.Epoch, c.Rung)
+		s.judge = canary.NewJudge(canary.JudgeSettings{Spec: c.Spec, Epoch: c.Epoch, Step: c.Step, Checkpoint: s.record.canary.Checkpoint(c.Release)})
+	case s.judgedCanary.Epoch != c.Epoch || s.judgedCanary.Step != c.Step:
+		s.judge.BeginStep(c.Epoch, c.Step)
 	}
 	s.judgedCanary = c
 	release, _ := s.record.rollout.Release(c.Release)
 	switch {
-	case c.Status == canary.Done, c.Status == canary.Back && (release.Name == "" || release.State == rollout.ReleaseRolledBack || release.State == rollout.ReleaseCompleted):
-		return []canary.Command{{Do: "close", Release: c.Release}}
-	case c.Status != canary.Going:
-		v.Degraded, v.DegradedRelease = cmpOr(c.Why, string(c.Status)), c.Release
+	case c.Status == canary.Completed, c.Status == canary.RolledBack && (release.Name == "" || release.State == rollout.ReleaseRolledBack || release.State == rollout.ReleaseCompleted):
+		return []canary.Command{{Op: canary.OpClose, Release: c.Release}}
+	case c.Status != canary.Progressing:
+		v.Degraded, v.DegradedRelease = cmpOr(c.Reason, string(c.Status)), c.Release
 	}
-	was := s.verdict.Kind
-	if s.verdict = s.judge.Verdict(now); s.verdict.Kind != was {
-		s.Log.WithFields(logrus.Fields{"release": c.Release, "rung": c.Rung, "per_mille": c.PerMille, "verdict": s.verdict.Kind, "metric": s.verdict.Metric,
+	was := s.verdict.Outcome
+	if s.verdict = s.judge.Verdict(now); s.verdict.Outcome != was {
+		s.Log.WithFields(logrus.Fields{"release": c.Release, "rung": c.Step, "per_mille": c.PerMille, "verdict": s.verdict.Outcome, "metric": s.verdict.Metric,
 			"zones": s.verdict.Zones, "relays": s.verdict.Relays}).Info("fleet: canary")
 	}
 	applied := !slices.ContainsFunc(v.Relays, func(r rollout.Relay) bool {
@@ -63,9 +63,9 @@
 		r, ok := s.record.rollout.Release(c.Release)
 		switch {
 		case !ok || r.RollingBack:
-		case c.Status == canary.Back && (r.State == rollout.ReleaseHalted || r.State == rollout.ReleaseRunning):
-			out = append(out, rollout.Command{Kind: rollout.CommandRollBack, Name: r.Name, Requester: "canary", Reason: c.Why})
-		case c.Status != canary.Done && slices.ContainsFunc(r.Units, func(u rollout.Unit) bool { return u.Phase != rollout.PhasePending }):
+		case c.Status == canary.RolledBack && (r.State == rollout.ReleaseHalted || r.State == rollout.ReleaseRunning):
+			out = append(out, rollout.Command{Kind: rollout.CommandRollBack, Name: r.Name, Requester: "canary", Reason: c.Reason})
+		case c.Status != canary.Completed && slices.ContainsFunc(r.Units, func(u rollout.Unit) bool { return u.Phase != rollout.PhasePending }):
 			hold[c.Release] = true
 		}
 	}
--- a/internal/fleet/leader.go
+++ b/internal/fleet/leader.go
@@ -24,8 +24,8 @@
 	now := s.now()
 	answer = s.controller.receive(now, from, w)
 	if len(w.CanaryCounts) > 0 && s.judge != nil {
-		if c, err := canary.DecodeCounts(w.CanaryCounts); err == nil {
-			s.judge.Hear(now, from, w.Zone, c)
+		if c, err := canary.DecodeCountReport(w.CanaryCounts); err == nil {
+			s.judge.Observe(now, from, w.Zone, c)
 		} else {
 			s.malformedReports++
 		}
@@ -69,7 +69,7 @@
 		reported = s.logReleases(reported)
 		for _, c := range trials {
 			if err := s.proposeCanary(context.Background(), c); err != nil {
-				s.noteFailure("canary "+c.Do, err)
+				s.noteFailure("canary "+string(c.Op), err)
 				return
 			}
 		}
@@ -100,9 +100,9 @@
 func (s *Service) watchDrift(now int64, v *rollout.View) {
 	s.controller.voters = votersDriftItem(s.node.Status())
 	for _, c := range s.controller.evaluateDrift(now, v) {
-		s.Log.WithFields(logrus.Fields{"relay": c.Relay, "item": c.Item, "from": c.From.String(), "to": c.To.String(), "why": c.Why}).Warn("fleet: drift")
+		s.Log.WithFields(logrus.Fields{"relay": c.Relay, "item": c.Item, "from": c.From.String(), "to": c.To.String(), "why": c.Reason}).Warn("fleet: drift")
 	}
-	if s.EjectDrifted { // else nobody is unfit, and who is shut is admitted
+	if s.QuarantineDrifted { // else nobody is unfit, and who is shut is admitted
 		s.controller.markUnfit(v)
 	}
 }
--- a/internal/fleet/propose.go
+++ b/internal/fleet/propose.go
@@ -88,7 +88,7 @@
 func (s *Service) proposeCanary(ctx context.Context, c canary.Command) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	text, err := json.Marshal(command{Part: partCanary, At: s.now(), By: s.Name, Body: c.Body()})
+	text, err := json.Marshal(command{Part: partCanary, At: s.now(), By: s.Name, Body: c.Encode()})
 	if err != nil {
 		return err
 	}
--- a/internal/front/line/planned_stop_test.go
+++ b/internal/front/line/graceful_shutdown_test.go
@@ -9,64 +9,64 @@
 	"dahliarudder/policy"
 )
 
-// TestStopInFlight: a request that is on its way as the relay begins to stop is answered, by the member that has it, and
+// TestShutdownInFlight: a request that is on its way as the relay begins to stop is answered, by the member that has it, and
 // what comes up is moved before the stop is over.
-func TestStopInFlight(t *testing.T) {
+func TestShutdownInFlight(t *testing.T) {
 	g := newRig(t, 1)
-	c := g.ask(firstLine)
+	c := g.sendRequest(firstLine)
 	m := g.attempt(0)
 	g.Core.Stop()
 	g.Advance(100 * time.Millisecond)
 	m.Send("UP x\r\n")
 	c.ExpectLines("UP x")
-	g.Advance(g.Core.StopWithin())
-	g.Core.Finish()
+	g.Advance(g.Core.StopTimeout())
+	g.Core.FinishStop()
 	c.ExpectLines("MOVE")
 	c.ExpectEOF()
 	m.ExpectEOF()
 	g.clean()
-	if n := g.Core.Counts; n.Served != 1 || n.Moves != 1 || n.Rejected+n.Failed+n.Left != 0 {
+	if n := g.Core.Counts; n.Served != 1 || n.Migrations != 1 || n.Rejected+n.Failed+n.ClientsGone != 0 {
 		t.Errorf("%+v", n)
 	}
 }
 
-// TestStopUnanswered: one that has no answer by the end of the stop is rejected then, once, and its attempt is over.
-func TestStopUnanswered(t *testing.T) {
+// TestShutdownUnanswered: one that has no answer by the end of the stop is rejected then, once, and its attempt is over.
+func TestShutdownUnanswered(t *testing.T) {
 	for name, held := range map[string]bool{"held": true, "attempt out": false} {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1)
 			if held {
-				g.Core.Doubt()
+				g.Core.PauseDispatch()
 			}
-			c := g.ask(firstLine)
+			c := g.sendRequest(firstLine)
 			if !held {
 				g.attempt(0).Send("half an ans")
 			}
 			g.Core.Stop()
 			g.RunOnce()
-			g.Core.Finish()
+			g.Core.FinishStop()
 			if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
 				t.Errorf("got %q", got)
 			}
 			c.ExpectEOF()
 			c.Close()
-			g.Core.Sure()
+			g.Core.ResumeDispatch()
 			g.unsent()
 			g.clean()
-			if n := g.Core.Counts; n.Rejected != 1 || n.Served+n.Failed+n.Left != 0 {
+			if n := g.Core.Counts; n.Rejected != 1 || n.Served+n.Failed+n.ClientsGone != 0 {
 				t.Errorf("%+v", n)
 			}
 		})
 	}
 }
 
-// TestStopArrives: a request that arrives after the stop began is answered BUSY at once and never sent on, also one whose
+// TestShutdownArrival: a request that arrives after the stop began is answered BUSY at once and never sent on, also one whose
 // first line began before; PING says that no clients should be sent here, and the connection may still ask.
-func TestStopArrives(t *testing.T) {
+func TestShutdownArrival(t *testing.T) {
 	g := newRig(t, 1)
 	half, front := g.Dial(g.addr), g.Dial(g.addr)
 	half.Send(firstLine[:20])
-	g.WaitFor("both", func() bool { return len(g.f.fresh) == 2 })
+	g.WaitFor("both", func() bool { return len(g.f.idle) == 2 })
 	g.RunOnce()
 	g.Core.Stop()
 	half.Send(firstLine[20:] + "\r\n")
@@ -77,7 +77,7 @@
 		ReadLine() string
 		ExpectEOF()
 		Close() error
-	}{half, front, g.ask(strings.Replace(firstLine, "aa", "ac", 1))} {
+	}{half, front, g.sendRequest(strings.Replace(firstLine, "aa", "ac", 1))} {
 		if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
 			t.Errorf("got %q", got)
 		}
@@ -91,17 +91,17 @@
 	}
 }
 
-// TestStopRests: a connection that rests as the relay ends has an answer for a request that crosses its end.
-func TestStopRests(t *testing.T) {
+// TestShutdownIdle: a connection that rests as the relay ends has an answer for a request that crosses its end.
+func TestShutdownIdle(t *testing.T) {
 	g := newRig(t, 1)
 	silent, front, half := g.Dial(g.addr), g.Dial(g.addr), g.Dial(g.addr)
 	front.Send("PING\r\n")
 	front.ExpectLines("PONG")
 	half.Send(firstLine[:20])
-	g.WaitFor("all", func() bool { return len(g.f.fresh) == 3 })
+	g.WaitFor("all", func() bool { return len(g.f.idle) == 3 })
 	g.RunOnce()
 	g.Core.Stop()
-	g.Core.Finish()
+	g.Core.FinishStop()
 	g.f.CloseIdle()
 	late(silent, firstLine+"\r\n")
 	late(front, firstLine+"\r\n")
@@ -122,14 +122,14 @@
 	}
 }
 
-// TestStopHalfLine: of a member's half line at the end of a stop MOVE waits, and no longer than the relay has left.
-func TestStopHalfLine(t *testing.T) {
+// TestShutdownPartialLine: of a member's half line at the end of a stop MOVE waits, and no longer than the relay has left.
+func TestShutdownPartialLine(t *testing.T) {
 	for _, whole := range []bool{true, false} {
 		g := newFlow(t)
 		g.m.Send("half a ")
 		g.c.Expect("half a ")
 		g.Core.Stop()
-		g.Core.Finish()
+		g.Core.FinishStop()
 		g.RunOnce()
 		if whole {
 			g.m.Send("line\r\n")
--- a/internal/front/line/rest_test.go
+++ b/internal/front/line/idle_after_pong_test.go
@@ -7,17 +7,17 @@
 	"dahliarudder/internal/core"
 )
 
-// TestRestsUntilAsked: a request that arrives in the round in which the time of a resting connection is up is placed.
-func TestRestsUntilAsked(t *testing.T) {
-	for name, rest := range map[string]time.Duration{"new": firstWithin, "answered PONG": pingIdle} {
+// TestIdleUntilRequest: a request that arrives in the round in which the time of a resting connection is up is placed.
+func TestIdleUntilRequest(t *testing.T) {
+	for name, rest := range map[string]time.Duration{"new": firstLineTimeout, "answered PONG": idleTimeout} {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1)
 			c := g.Dial(g.addr)
-			if rest == pingIdle {
+			if rest == idleTimeout {
 				c.Send("PING\r\n")
 				c.ExpectLines("PONG")
 			}
-			g.WaitFor("the connection", func() bool { return len(g.f.fresh) == 1 })
+			g.WaitFor("the connection", func() bool { return len(g.f.idle) == 1 })
 			c.Send(firstLine + "\r\n")
 			g.Advance(rest)
 			g.attempt(0).Send("UP x\r\n")
@@ -26,11 +26,11 @@
 	}
 }
 
-// TestRestsTooLong: one that arrives as the relay has just ended a resting connection has one whole answer: it was not
+// TestIdleTooLong: one that arrives as the relay has just ended a resting connection has one whole answer: it was not
 // sent on, and coming again is harmless.
-func TestRestsTooLong(t *testing.T) {
+func TestIdleTooLong(t *testing.T) {
 	for name, end := range map[string]func(*rig){
-		"idle": func(g *rig) { g.Advance(pingIdle) },
+		"idle": func(g *rig) { g.Advance(idleTimeout) },
 		"shed": func(g *rig) {
 			for range 2 {
 				g.SetDescriptorLimit(g.OpenDescriptors()) // the next connection has to be made room for
@@ -67,7 +67,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1)
 			c := g.Dial(g.addr)
-			g.WaitFor("the connection", func() bool { return len(g.f.fresh) == 1 })
+			g.WaitFor("the connection", func() bool { return len(g.f.idle) == 1 })
 			if c.Send(one.first); one.first != "" {
 				c.ExpectLines("PONG")
 			}
--- a/internal/front/line/ask_test.go
+++ b/internal/front/line/send_first_line_test.go
@@ -9,14 +9,14 @@
 	"dahliarudder/policy"
 )
 
-// TestAsksForWhatIsLeft: d tells how long the relay waits from when the line is sent, not from when the connection
+// TestRemainingDeadlineForwarded: d tells how long the relay waits from when the line is sent, not from when the connection
 // was begun.
-func TestAsksForWhatIsLeft(t *testing.T) {
+func TestRemainingDeadlineForwarded(t *testing.T) {
 	told := func(late time.Duration) int {
 		g := newRig(t, 1)
-		g.Core.Doubt()
-		g.ask(firstLine)
-		g.Core.Sure()
+		g.Core.PauseDispatch()
+		g.sendRequest(firstLine)
+		g.Core.ResumeDispatch()
 		g.Advance(late) // the connection comes up in this round
 		line := g.servers[0].Accept().ReadLine()
 		var d int
@@ -30,12 +30,12 @@
 	}
 }
 
-// TestAsksNobodyWhoLeft: a connection that comes up when its member has been leaving for longer than the grace is not
+// TestNoAttemptAtDepartedMember: a connection that comes up when its member has been leaving for longer than the grace is not
 // used; the request goes on without it.
-func TestAsksNobodyWhoLeft(t *testing.T) {
+func TestNoAttemptAtDepartedMember(t *testing.T) {
 	g := newRig(t, 1)
-	c := g.ask(firstLine)
-	g.list(0, policy.Draining)
+	c := g.sendRequest(firstLine)
+	g.setMemberState(0, policy.Draining)
 	g.Advance(time.Duration(g.Core.Settings.Guarantees.Grace)*time.Millisecond + time.Millisecond)
 	g.unsent()
 	if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
--- a/internal/front/nats/client.go
+++ b/internal/front/nats/client.go
@@ -42,14 +42,14 @@
 	placing       int      // subscriptions that publications wait for
 	pings         int      // that the client has not answered
 	timer         *netloop.Timer
-	nonce         string            // that it may sign
-	may           *auth.Permissions // nil for all
-	replies       *auth.Replies     // what it may answer to besides; nil for nothing
-	expires       *netloop.Timer    // when its login does
-	sniffed       bool              // its first byte was looked at
-	entering      bool              // its password is being checked
-	slowSince     time.Duration     // since when its links rest; 0 if they do not
-	later         bool              // goOn is on its way
+	nonce         string             // that it may sign
+	may           *auth.Permissions  // nil for all
+	replies       *auth.ReplyTracker // what it may answer to besides; nil for nothing
+	expires       *netloop.Timer     // when its login does
+	sniffed       bool               // its first byte was looked at
+	entering      bool               // its password is being checked
+	slowSince     time.Duration      // since when its links rest; 0 if they do not
+	later         bool               // goOn is on its way
 	fencing       bool
 	fenced        uint64 // the mark that all links are past
 	leftBytes     bool   // the client has ended its sending, but what it sent is not done yet
@@ -116,7 +116,7 @@
 // Open is told by the loop.
 func (c *client) Open() {}
 
-// Drained is told by the loop.
+// OnWritable is told by the loop.
 func (c *client) Drained() {
 	c.slowSince = 0
 	for _, l := range c.links {
@@ -184,7 +184,7 @@
 func (c *client) oldest() uint64 {
 	least := c.mark + 1
 	for _, p := range c.feeds {
-		if mark, ok := p.feed.Oldest(); ok {
+		if mark, ok := p.feed.OldestSequence(); ok {
 			least = min(least, mark)
 		}
 	}
@@ -363,7 +363,7 @@
 	}
 	for id, a := range c.asked {
 		a.forget()
-		c.f.Core.Left(id)
+		c.f.Core.ClientGone(id)
 	}
 	for _, l := range append([]*link(nil), c.links...) {
 		l.close()
--- a/internal/front/nats/sub.go
+++ b/internal/front/nats/sub.go
@@ -47,7 +47,7 @@
 		c.warn("Invalid Subject")
 		return
 	}
-	if !c.may.MaySubscribe(string(m.subject), string(m.queue)) {
+	if !c.may.CanSubscribe(string(m.subject), string(m.queue)) {
 		text := fmt.Sprintf("Permissions Violation for Subscription to %q", m.subject)
 		if len(m.queue) > 0 {
 			text += fmt.Sprintf(" using queue %q", m.queue)
@@ -64,7 +64,7 @@
 		return
 	}
 	s := &sub{c: c, sid: string(m.sid), subject: string(m.subject), queue: string(m.queue), local: ownSubject(m.subject),
-		since: c.f.Loop.Now(), filter: c.may.Filters(string(m.subject))}
+		since: c.f.Loop.Now(), filter: c.may.NeedsFilter(string(m.subject))}
 	if c.subs == nil {
 		c.subs = map[string]*sub{}
 	}
@@ -89,11 +89,11 @@
 	}
 	f := s.c.f
 	q := f.request("", f.destination([]byte(s.subject)))
-	if f.Core.Ledger != nil {
+	if f.Core.Recorder != nil {
 		q.Name = "SUB " + s.subject
 	}
 	q.Key = hash(s.subject)
-	q.Group, q.Again = q.Key, s.stood
+	q.Group, q.Reconnect = q.Key, s.stood
 	s.id = f.Core.Open(q, s)
 }
 
@@ -119,9 +119,9 @@
 	if s.link != l {
 		return
 	}
-	if !s.c.f.Core.Begin(s.id, s.try) { // the member has left while its connection was on its way
+	if !s.c.f.Core.MaySend(s.id, s.try) { // the member has left while its connection was on its way
 		l.drop(s.lsid)
-		s.lost(policy.Moot)
+		s.lost(policy.NotSent)
 		return
 	}
 	s.base = s.got
@@ -135,7 +135,7 @@
 		l.queue(fmt.Appendf(nil, "UNSUB %d %d\r\n", s.lsid, s.max-s.base))
 	}
 	l.confirm(func() {
-		if s.link == l && !s.over && s.c.f.Core.Up(s.id, s.try) {
+		if s.link == l && !s.over && s.c.f.Core.FlowEstablished(s.id, s.try) {
 			s.up, s.stood, s.warned = true, true, false
 			s.tell()
 		}
@@ -203,9 +203,9 @@
 	}
 }
 
-// Move takes the subscription to another member; a relay that stops sends the
+// Migrate takes the subscription to another member; a relay that stops sends the
 // client elsewhere instead.
-func (s *sub) Move() {
+func (s *sub) Migrate() {
 	s.leave()
 	if s.c.f.leaving {
 		s.c.f.Loop.After(0, s.c.close) // it connects again, elsewhere
@@ -235,7 +235,7 @@
 		f.Loop.After(0, s.c.close)
 		return
 	}
-	if to := f.destination([]byte(s.subject)); !s.warned && f.Loop.Now()+after-s.since >= f.Core.Limits().Classes[to.class].Deadline {
+	if to := f.destination([]byte(s.subject)); !s.warned && f.Loop.Now()+after-s.since >= f.Core.PolicySettings().Classes[to.class].Deadline {
 		s.warned = true
 		f.Counts.Rejected++
 		s.c.warn(fmt.Sprintf("Permissions Violation for Subscription to %q: rejected, asked for again in %d ms", s.subject, after.Milliseconds()))
@@ -248,7 +248,7 @@
 func (s *sub) lost(result policy.Result) {
 	up := s.up
 	s.link, s.up, s.then = nil, false, nil
-	s.c.f.Core.Ended(s.id, s.try, result, policy.NoReport)
+	s.c.f.Core.AttemptEnded(s.id, s.try, result, policy.NoReport)
 	if up && !s.over {
 		s.since = s.c.f.Loop.Now()
 		s.replace(0)
@@ -261,10 +261,10 @@
 	if c.over || s.over && !s.draining {
 		return
 	}
-	if s.filter && c.may.Hides(string(m.subject)) {
+	if s.filter && c.may.Denies(string(m.subject)) {
 		return
 	}
-	c.replies.Asked(c.f.Loop.RoundStart(), m.reply)
+	c.replies.RecordRequest(c.f.Loop.RoundStart(), m.reply)
 	if m.header > 0 {
 		if who := untag(m); who != nil && !c.echo() && string(who) == c.origin() {
 			return
@@ -321,7 +321,7 @@
 	}
 	s.then = nil
 	s.draining = s.left != nil && !s.c.over && s.max >= 0
-	s.c.f.Core.Left(s.id)
+	s.c.f.Core.ClientGone(s.id)
 	if s.c.over {
 		s.leaveDone()
 	}
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -43,14 +43,14 @@
 
 // Snapshot is what is kept.
 type Snapshot struct {
-	Name          string       `json:"name"`
-	Written       int64        `json:"written_ms"` // Unix time
-	Boot          string       `json:"boot,omitempty"`
-	Up            int64        `json:"up_ns,omitempty"` // with Boot: as in Moment
-	List          *pool.List   `json:"list"`
-	DiscoveryAddr string       `json:"watched"` // where that list's generation means something
-	Learned       core.Learned `json:"learned"`
-	Peers         []string     `json:"peers"` // addresses
+	Name          string             `json:"name"`
+	Written       int64              `json:"written_ms"` // Unix time
+	Boot          string             `json:"boot,omitempty"`
+	Up            int64              `json:"up_ns,omitempty"` // with Boot: as in Moment
+	List          *pool.EndpointList `json:"list"`
+	DiscoveryAddr string             `json:"watched"` // where that list's generation means something
+	Learned       core.LearnedState  `json:"learned"`
+	Peers         []string           `json:"peers"` // addresses
 }
 
 // Encode is its form on the disk.
@@ -95,7 +95,7 @@
 	// Transient is for what passes: a member's load, its failures, how full zones are, whether setting up works. A list that is as old
 	// counts as told anew, so it is as long as the settings allow a relay not to ask.
 	Transient time.Duration
-	// Learned is for what changes with machines and programs only: what a member of a kind bears, what a connection weighs.
+	// LearnedState is for what changes with machines and programs only: what a member of a kind bears, what a connection weighs.
 	Learned time.Duration
 	// ClockSkew is how far ahead of this clock the one may have been that wrote it.
 	ClockSkew time.Duration
@@ -151,27 +151,27 @@
 		s.List = nil
 	}
 	p := &s.Learned.Policy
-	p.Ago += age
+	p.Age += age
 	if age > l.Transient {
 		away("fill of zones, daring, failures and loads of members", "%v old, believed for %v", age.Round(time.Second), l.Transient)
-		for i := range p.Fill {
-			p.Fill[i] = 0.65 // as at a start that knows nothing; the module's own first guess
+		for i := range p.ZoneFill {
+			p.ZoneFill[i] = 0.65 // as at a start that knows nothing; the module's own first guess
 		}
-		p.Daring = 1
+		p.AdmissionRate = 1
 	}
 	p.Servers = maps.Clone(p.Servers)
 	for id, m := range p.Servers {
-		if m.Pause = max(m.Pause-age, 0); age > l.Transient {
-			m.Fails, m.Bad, m.Pause, m.Load = 0, false, 0, -1
+		if m.Backoff = max(m.Backoff-age, 0); age > l.Transient {
+			m.Failures, m.Ejected, m.Backoff, m.Load = 0, false, 0, -1
 		}
 		m.Age += age
-		if m.Up > 0 {
-			m.Up += grown
+		if m.Uptime > 0 {
+			m.Uptime += grown
 		}
 		p.Servers[id] = m
 	}
-	for name, ago := range s.Learned.Back {
-		s.Learned.Back[name] = ago + grown
+	for name, ago := range s.Learned.ReinstatedAges {
+		s.Learned.ReinstatedAges[name] = ago + grown
 	}
 	return age, out, nil
 }
