--- a/cmd/dahliarudder/fleet_status.go
+++ b/cmd/dahliarudder/fleet_status.go
@@ -36,7 +36,7 @@
 		l.Phase = "draining"
 	}
 	for _, m := range r.core.Members() {
-		p := fleet.MemberState{Name: m.Name, DiscoveryState: stateNames[m.State], Out: m.Out, Flows: m.Flows, Capacity: m.Capacity, Successes: m.Good, Failures: m.Bad}
+		p := fleet.MemberState{Name: m.Name, DiscoveryState: stateNames[m.State], Flows: m.Flows, Capacity: m.Capacity, Successes: m.Good, Failures: m.Bad}
 		if m.Zone < len(set.Zones) {
 			p.Zone = string(set.Zones[m.Zone])
 		}
--- a/internal/fleet/agreed_state.go
+++ b/internal/fleet/agreed_state.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"errors"
+	"fmt"
 	"io/fs"
 	"os"
 	"path/filepath"
@@ -12,17 +13,15 @@
 	"dahliarudder/internal/rollout"
 )
 
-// What was agreed last is kept beside the record, by followers too, who have no log. A relay that starts while the record cannot be reached
-// would know of no ban, and would send to a canary's arm as to any other member. It holds to what it knew instead: members that were out stay out, and
-// an arm gets nothing (canary.Holder), until the record is heard.
-
-// agreedFile is the file, below fleet.dir.
+// agreedFile is the file below fleet.dir in which each relay saves what was last agreed, followers included, as they have no log. A relay that
+// starts while the record is out of reach would know of no exclusion, and would send to a canary's arm as to any other member. With the file
+// it keeps excluded members out and gives the arm nothing (canary.Holder) until the record is received.
 const agreedFile = "agreed.json"
 
-// maxAgreedBytes bounds what is read of it.
+// maxAgreedBytes bounds what is read of the file.
 const maxAgreedBytes = 4 << 20
 
-// agreedState is what is in it. Orders to this process are none of the next one's.
+// agreedState is the file's content. Orders to this relay's process are left out: they do not apply to the next process.
 type agreedState struct {
 	Version       uint64                       `json:"version"`
 	Exclusions    map[string]rollout.Exclusion `json:"out,omitempty"`
@@ -30,34 +29,34 @@
 	CanaryWeights []canary.Weight              `json:"weights,omitempty"`
 }
 
-// read takes it from a directory; there may be none. What cannot be read is not believed.
-func readAgreed(dir string) (k agreedState, err error) {
+// readAgreedState reads the file from a directory; without a file or a directory the state is empty. An error comes with an empty state.
+func readAgreedState(dir string) (state agreedState, err error) {
 	if dir == "" {
 		return agreedState{}, nil
 	}
 	path := filepath.Join(dir, agreedFile)
-	i, err := os.Stat(path)
+	info, err := os.Stat(path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		return agreedState{}, nil
 	case err != nil:
 		return agreedState{}, err
-	case i.Size() > maxAgreedBytes:
-		return agreedState{}, errors.New("it is too large")
+	case info.Size() > maxAgreedBytes:
+		return agreedState{}, fmt.Errorf("%s: over %d bytes", path, maxAgreedBytes)
 	}
 	text, err := os.ReadFile(path)
-	if err == nil {
-		err = json.Unmarshal(text, &k)
-	}
 	if err != nil {
 		return agreedState{}, err
 	}
-	return k, nil
+	if err := json.Unmarshal(text, &state); err != nil {
+		return agreedState{}, fmt.Errorf("decode %s: %w", path, err)
+	}
+	return state, nil
 }
 
-// write puts it there, whole or not at all.
-func (k agreedState) write(dir string) error {
-	text, err := json.Marshal(k)
+// write replaces the file atomically.
+func (a agreedState) write(dir string) error {
+	text, err := json.Marshal(a)
 	if err != nil {
 		return err
 	}
@@ -79,39 +78,41 @@
 	return err
 }
 
-// fillIn puts what was known before into orders that the record of now does not reach up to.
-func (k agreedState) fillIn(o *DesiredState) {
-	if o.RecordVersion < k.Version {
-		o.Exclusions = k.Exclusions
+// fillIn overrides a desired state where the record, as far as it has been received, is older than the saved state.
+func (a agreedState) fillIn(desired *DesiredState) {
+	if desired.RecordVersion < a.Version {
+		desired.Exclusions = a.Exclusions
 	}
-	if o.CanaryVersion < k.CanaryVersion {
-		o.CanaryWeights = k.CanaryWeights
+	if desired.CanaryVersion < a.CanaryVersion {
+		desired.CanaryWeights = a.CanaryWeights
 	}
 }
 
-// saveAgreed writes what a majority has confirmed, when it has changed: a thread of its own, since a disk may be slow.
-func (s *Service) saveAgreed() {
+// saveLoop saves the agreed state when it has changed. It has a goroutine of its own, as a disk may be slow.
+func (s *Service) saveLoop() {
 	if s.Dir == "" {
 		return
 	}
-	last := s.lastAgreed
+	saved := s.savedState
 	s.every(reportInterval, func() {
 		s.mu.Lock()
-		caught := s.caughtUp
+		caughtUp := s.caughtUp
 		s.mu.Unlock()
-		if !caught { // what this relay has of the record may be older than what it kept
+		if !caughtUp { // what this relay has received of the record may be older than the saved state
 			return
 		}
-		var k agreedState
-		s.record.read(func(r *rollout.State, _ recordItems) { k.Version, k.Exclusions = r.Version(), r.Orders("").Exclusions })
-		k.CanaryWeights, k.CanaryVersion = s.record.canaryWeights()
-		if reflect.DeepEqual(k, last) {
+		var state agreedState
+		s.record.read(func(r *rollout.State, _ recordItems) {
+			state.Version, state.Exclusions = r.Version(), r.Orders("").Exclusions
+		})
+		state.CanaryWeights, state.CanaryVersion = s.record.canaryWeights()
+		if reflect.DeepEqual(state, saved) {
 			return
 		}
-		if err := k.write(s.Dir); err != nil {
+		if err := state.write(s.Dir); err != nil {
 			s.noteFailure("keep", err)
 			return
 		}
-		last = k
+		saved = state
 	})
 }
--- /dev/null
+++ b/internal/fleet/api_canaries.go
@@ -0,0 +1,82 @@
+package fleet
+
+import (
+	"crypto/rand"
+	"encoding/binary"
+	"errors"
+	"net/http"
+
+	"dahliarudder/internal/canary"
+	"dahliarudder/internal/rollout"
+)
+
+// handleListCanaries shows all canaries, and at the leader the judge's verdict.
+func (s *Service) handleListCanaries(w http.ResponseWriter, r *http.Request) {
+	if !s.ensureCurrent(w, r) {
+		return
+	}
+	s.record.mu.RLock()
+	canaries := s.record.canary.Canaries()
+	s.record.mu.RUnlock()
+	s.mu.Lock()
+	verdict, leads := s.verdict, s.leaderSince != 0
+	s.mu.Unlock()
+	body := map[string]any{"canaries": canaries}
+	if leads {
+		body["verdict"] = verdict
+	}
+	writeJSON(w, http.StatusOK, body)
+}
+
+// handleOpenCanary opens a canary of a release. Without an arm, it is the members that start after the release was opened.
+func (s *Service) handleOpenCanary(w http.ResponseWriter, r *http.Request) {
+	var spec canary.Spec
+	if !decodeBody(w, r, &spec) {
+		return
+	}
+	if len(spec.Arm.Members) == 0 && spec.Arm.Since == 0 {
+		s.record.read(func(state *rollout.State, _ recordItems) {
+			release, _ := state.Release(spec.Release)
+			spec.Arm.Since = release.OpenedAt
+		})
+	}
+	ensureSalt(&spec)
+	s.proposeCanaryAndAnswer(w, r, canary.Command{Do: "open", Release: spec.Release, Spec: &spec})
+}
+
+func (s *Service) handleControlCanary(w http.ResponseWriter, r *http.Request) {
+	c := canary.Command{Do: r.PathValue("verb"), Release: r.PathValue("name"), Why: r.URL.Query().Get("why")}
+	switch c.Do {
+	case "pause":
+		s.Post(func() { s.PauseCanary(c.Release) }) // at once and by gossip, without a majority; the record follows
+	case "resume", "back", "close":
+	default:
+		writeError(w, http.StatusNotFound, "a canary can be told to pause, resume, go back, or be closed")
+		return
+	}
+	s.proposeCanaryAndAnswer(w, r, c)
+}
+
+func (s *Service) proposeCanaryAndAnswer(w http.ResponseWriter, r *http.Request, c canary.Command) {
+	err := s.proposeCanary(r.Context(), c)
+	var rejected rejectedError
+	switch {
+	case errors.As(err, &rejected):
+		writeError(w, http.StatusConflict, err.Error())
+	case err != nil && c.Do == "pause": // the pause is in force already: without the state, the caller would think the arm still takes traffic
+		writeJSON(w, statusCode(err), rollout.Result{Error: err.Error(), State: "paused here, and at all that can be reached; say it again when there is a majority"})
+	case err != nil:
+		writeError(w, statusCode(err), err.Error())
+	default:
+		writeJSON(w, http.StatusOK, rollout.Result{Name: c.Release, State: c.Do})
+	}
+}
+
+// ensureSalt draws the salt by which flows are assigned to the arm, if the caller gave none.
+func ensureSalt(spec *canary.Spec) {
+	for spec.Salt == 0 {
+		var b [8]byte
+		rand.Read(b[:])
+		spec.Salt = binary.LittleEndian.Uint64(b[:])
+	}
+}
--- a/internal/fleet/canary.go
+++ b/internal/fleet/canary.go
@@ -1,6 +1,7 @@
 package fleet
 
 import (
+	"cmp"
 	"slices"
 
 	"github.com/sirupsen/logrus"
@@ -9,8 +10,8 @@
 	"dahliarudder/internal/rollout"
 )
 
-// evaluateCanary has the judge of the canary say what it thinks, and gives what is to be proposed. What is worse goes into the view, so that the
-// release halts. Called with the lock held.
+// evaluateCanary asks the running canary's judge for a verdict and returns the commands to propose. A canary that is no longer running marks
+// its release as degraded in the view, so that the release halts. Called with the lock held.
 func (s *Service) evaluateCanary(now int64, v *rollout.View) (plan []canary.Command) {
 	s.record.mu.RLock()
 	defer s.record.mu.RUnlock()
@@ -28,56 +29,55 @@
 	}
 	s.judgedCanary = c
 	release, _ := s.record.rollout.Release(c.Release)
+	releaseOver := release.Name == "" || release.State == rollout.ReleaseRolledBack || release.State == rollout.ReleaseCompleted
 	switch {
-	case c.Status == canary.Done, c.Status == canary.Back && (release.Name == "" || release.State == rollout.ReleaseRolledBack || release.State == rollout.ReleaseCompleted):
+	case c.Status == canary.Done, c.Status == canary.Back && releaseOver:
 		return []canary.Command{{Do: "close", Release: c.Release}}
 	case c.Status != canary.Going:
-		v.Degraded, v.DegradedRelease = cmpOr(c.Why, string(c.Status)), c.Release
+		v.Degraded, v.DegradedRelease = cmp.Or(c.Why, string(c.Status)), c.Release
 	}
-	was := s.verdict.Kind
-	if s.verdict = s.judge.Verdict(now); s.verdict.Kind != was {
+	previous := s.verdict.Kind
+	if s.verdict = s.judge.Verdict(now); s.verdict.Kind != previous {
 		s.Log.WithFields(logrus.Fields{"release": c.Release, "rung": c.Rung, "per_mille": c.PerMille, "verdict": s.verdict.Kind, "metric": s.verdict.Metric,
 			"zones": s.verdict.Zones, "relays": s.verdict.Relays}).Info("fleet: canary")
 	}
 	applied := !slices.ContainsFunc(v.Relays, func(r rollout.Relay) bool {
-		h := s.controller.fleet.relays[r.Name]
-		return r.ReportAgeMS < silenceTimeout.Milliseconds() && h != nil && h.CanaryVersion < s.record.canary.Version()
+		status := s.controller.fleet.relays[r.Name]
+		return r.ReportAgeMS < silenceTimeout.Milliseconds() && status != nil && status.CanaryVersion < s.record.canary.Version()
 	})
 	return s.record.canary.Plan(max(now, s.record.items.At), s.verdict, applied)
 }
 
-func cmpOr(a, b string) string {
-	if a != "" {
-		return a
-	}
-	return b
-}
-
-// withholdBlocked leaves out what a release would give out while its canary is not over and the arm is there; the way back is never held up. Of a
-// release whose canary went back, it adds that the release goes back too.
-func (s *Service) gateOnCanary(plan []rollout.Command) (out []rollout.Command) {
+// gateOnCanary withholds a release's grants while its canary is not over and the release has members in the arm; grants of a rollback are
+// never withheld. A release whose canary went back is rolled back too.
+func (s *Service) gateOnCanary(plan []rollout.Command) (gated []rollout.Command) {
 	s.record.mu.RLock()
 	defer s.record.mu.RUnlock()
-	hold := map[string]bool{}
+	withheld := map[string]bool{}
 	for _, c := range s.record.canary.Canaries() {
 		r, ok := s.record.rollout.Release(c.Release)
 		switch {
 		case !ok || r.RollingBack:
 		case c.Status == canary.Back && (r.State == rollout.ReleaseHalted || r.State == rollout.ReleaseRunning):
-			out = append(out, rollout.Command{Kind: rollout.CommandRollBack, Name: r.Name, Requester: "canary", Reason: c.Why})
+			gated = append(gated, rollout.Command{Kind: rollout.CommandRollBack, Name: r.Name, Requester: "canary", Reason: c.Why})
 		case c.Status != canary.Done && slices.ContainsFunc(r.Units, func(u rollout.Unit) bool { return u.Phase != rollout.PhasePending }):
-			hold[c.Release] = true
+			withheld[c.Release] = true
 		}
 	}
+	return append(gated, withholdGrants(plan, func(g rollout.Grant) bool { return withheld[g.Release] })...)
+}
+
+// withholdGrants returns a plan without the grants for which withheld says so, and without steps that are left with none.
+func withholdGrants(plan []rollout.Command, withheld func(rollout.Grant) bool) (rest []rollout.Command) {
 	for _, c := range plan {
 		if c.Kind == rollout.CommandStep {
-			had := len(c.Grants)
-			c.Grants = slices.DeleteFunc(slices.Clone(c.Grants), func(g rollout.Grant) bool { return hold[g.Release] })
-			if had > 0 && len(c.Grants) == 0 {
+			planned := len(c.Grants)
+			c.Grants = slices.DeleteFunc(slices.Clone(c.Grants), withheld)
+			if planned > 0 && len(c.Grants) == 0 {
 				continue
 			}
 		}
-		out = append(out, c)
+		rest = append(rest, c)
 	}
-	return out
+	return rest
 }
--- a/internal/fleet/desired_state.go
+++ b/internal/fleet/desired_state.go
@@ -7,76 +7,78 @@
 	"dahliarudder/internal/rollout"
 )
 
-// DesiredState are what a relay is to do by the record.
+// DesiredState is what the record wants of a relay.
 type DesiredState struct {
 	rollout.Orders
-	RecordVersion     uint64 // of the record
+	RecordVersion     uint64
 	CanaryWeights     []canary.Weight
-	CanaryVersion     uint64 // the version of the canaries
-	PermitsVersion    uint64 // stands for the permits in force; never 0. The loop keeps it, and its Look shows it
-	AppliedIndex      uint64 // of the engine, up to which this is
-	MajorityConfirmed bool   // a majority stood behind it just now
+	CanaryVersion     uint64 // of the canary state
+	PermitsVersion    uint64 // of the permits in force; never 0. The event loop keeps it for its ObservedState
+	AppliedIndex      uint64 // index of the last log entry that this state includes
+	MajorityConfirmed bool   // a majority was behind this state just now
 }
 
-// applyLoop has the loop follow the record, once for all that changed meanwhile, and again as long as it does not.
+// applyLoop posts the desired state whenever the record has changed, and again while the relay has not applied it. Changes that arrive
+// while a post is pending are combined.
 func (s *Service) applyLoop() {
-	again := time.NewTicker(planInterval)
-	defer again.Stop()
-	followed := make(chan struct{}, 1)
-	followed <- struct{}{}
-	var sent uint64
-	var last time.Time
+	retry := time.NewTicker(planInterval)
+	defer retry.Stop()
+	applied := make(chan struct{}, 1) // has a token unless a post is pending
+	applied <- struct{}{}
+	var postedVersion uint64
+	var postedAt time.Time
 	first := true
 	for {
-		anew := false
+		due := false
 		select {
-		case <-s.stop:
+		case <-s.ctx.Done():
 			return
 		case <-s.record.changed:
-			anew = true
-		case <-again.C:
+			due = true
+		case <-retry.C:
 			s.mu.Lock()
-			// Until it has caught up; a weight that is not confirmed falls; the loop may have been told before a restored record.
-			anew = !s.caughtUp || time.Since(last) >= reportInterval && (s.lastObserved.AppliedVersion != sent || s.canaryActive)
+			// Again until this relay has caught up; while there is a canary, as an unconfirmed weight falls; and while the relay has
+			// not applied what was posted, which may have been from before the record was restored.
+			due = !s.caughtUp || time.Since(postedAt) >= reportInterval && (s.lastObserved.AppliedVersion != postedVersion || s.canaryActive)
 			s.mu.Unlock()
 		}
-		if !anew && !first {
+		if !due && !first {
 			continue
 		}
 		select {
-		case <-followed: // the loop has done the last ones
-		case <-s.stop:
+		case <-applied:
+		case <-s.ctx.Done():
 			return
 		}
 		first = false
-		list, _ := s.record.canaryWeights()
+		weights, _ := s.record.canaryWeights()
 		s.mu.Lock()
-		s.canaryActive = len(list) > 0
+		s.canaryActive = len(weights) > 0
 		s.mu.Unlock()
-		last = time.Now()
-		sent = s.postDesired(func() { followed <- struct{}{} })
+		postedAt = time.Now()
+		postedVersion = s.postDesired(func() { applied <- struct{}{} })
 	}
 }
 
-// postDesired has the loop do what the record says now, and then call done there. Posts are in the order of what they read, so that an older
-// state never comes after a newer one.
+// postDesired applies the current desired state on the event loop and then calls done there. States are posted in the order in which they
+// were read, so that an older one never follows a newer one.
 func (s *Service) postDesired(done func()) (version uint64) {
 	s.postMu.Lock()
 	defer s.postMu.Unlock()
-	var o DesiredState
-	st := s.node.Status() // previous the record is read: what is applied later is in it too
-	o.AppliedIndex, o.MajorityConfirmed = st.Applied, st.HasQuorum && st.Applied == st.Committed
+	var desired DesiredState
+	status := s.node.Status() // read before the record: what is applied in between is in the record too
+	desired.AppliedIndex, desired.MajorityConfirmed = status.Applied, status.HasQuorum && status.Applied == status.Committed
 	s.mu.Lock()
-	s.caughtUp = s.caughtUp || o.MajorityConfirmed
-	caught := s.caughtUp
+	s.caughtUp = s.caughtUp || desired.MajorityConfirmed
+	caughtUp := s.caughtUp
 	s.mu.Unlock()
-	s.record.read(func(r *rollout.State, h recordItems) {
-		o.Orders, o.RecordVersion, o.PermitsVersion = r.Orders(s.Name), r.Version(), permitsVersion(h)
+	s.record.read(func(r *rollout.State, items recordItems) {
+		desired.Orders, desired.RecordVersion, desired.PermitsVersion = r.Orders(s.Name), r.Version(), permitsVersion(items)
 	})
-	o.CanaryWeights, o.CanaryVersion = s.record.canaryWeights()
-	if !caught {
-		s.lastAgreed.fillIn(&o)
+	desired.CanaryWeights, desired.CanaryVersion = s.record.canaryWeights()
+	if !caughtUp {
+		s.savedState.fillIn(&desired)
 	}
-	s.Post(func() { s.ApplyDesired(o); done() })
-	return o.RecordVersion
+	s.Post(func() { s.ApplyDesired(desired); done() })
+	return desired.RecordVersion
 }
--- a/internal/fleet/leader.go
+++ b/internal/fleet/leader.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"context"
-	"errors"
 	"slices"
 
 	"github.com/sirupsen/logrus"
@@ -12,9 +11,9 @@
 	"dahliarudder/internal/rollout"
 )
 
-// relayStatus takes a word at the leader, and says what the drift module wants of that relay.
-func (s *Service) handleReport(from string, text []byte) (answer []byte) {
-	w, err := decodeStatusReport(text)
+// handleReport takes a relay's status report at the leader. The reply is what drift detection wants of that relay, encoded.
+func (s *Service) handleReport(from string, text []byte) (reply []byte) {
+	report, err := decodeStatusReport(text)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
@@ -22,87 +21,110 @@
 		return nil
 	}
 	now := s.now()
-	answer = s.controller.receive(now, from, w)
-	if len(w.CanaryCounts) > 0 && s.judge != nil {
-		if c, err := canary.DecodeCounts(w.CanaryCounts); err == nil {
-			s.judge.Hear(now, from, w.Zone, c)
+	reply = s.controller.receive(now, from, report)
+	if len(report.CanaryCounts) > 0 && s.judge != nil {
+		if counts, err := canary.DecodeCounts(report.CanaryCounts); err == nil {
+			s.judge.Hear(now, from, report.Zone, counts)
 		} else {
 			s.malformedReports++
 		}
 	}
-	return answer
+	return reply
 }
 
-// leadershipChanged is told when this relay begins or ends to lead. Who begins has heard nothing: what an earlier time left is no sight of now.
+// leadershipChanged is called when this relay begins or ceases to lead. A new leader starts with an empty controller: reports from an
+// earlier term do not show the fleet as it is now.
 func (s *Service) leadershipChanged(leads bool, term uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.controller = newController(s.record)
-	s.judge, s.leaderSince, s.term, s.lastView = nil, 0, term, rollout.View{}
+	s.judge, s.leaderSince, s.lastView = nil, 0, rollout.View{}
 	if leads {
 		s.leaderSince = s.now()
 	}
 	s.Log.WithFields(logrus.Fields{"leads": leads, "term": term}).Info("fleet: leading")
 }
 
-// controlLoop asks what is next, and has it agreed. Nothing is planned until all relays that are known have been heard, or have had the time.
+// controlStep is what one round of the control loop found out and wants to propose.
+type controlStep struct {
+	now      int64
+	view     rollout.View
+	canaries []canary.Command
+	intents  []intentCommand
+}
+
+// controlLoop is the leader's: it evaluates the fleet at each interval and proposes the next commands.
 func (s *Service) controlLoop() {
-	var reported map[string]string
+	var loggedStates map[string]string
 	s.every(planInterval, func() {
-		s.mu.Lock()
-		now := s.now()
-		led, look, seen := s.leaderSince, s.lastObserved, s.controller.fleet
-		if led == 0 {
-			s.mu.Unlock()
-			return
-		}
-		v := seen.buildView(now, led, s.Budgets().FlowHoldMS, s.Name, look, slowStart{s.SlowStartShare, s.SlowStartDuration.Milliseconds()})
-		s.watchDrift(now, &v)
-		meant := s.controller.planIntent(now, &v)
-		trials := s.evaluateCanary(now, &v)
-		s.lastView = v
-		unheard := slices.ContainsFunc(v.Relays, func(r rollout.Relay) bool { return seen.relays[r.Name] == nil && !r.Exited })
-		s.mu.Unlock()
-		if now-led < silenceTimeout.Milliseconds() && unheard {
+		step, ready := s.evaluate()
+		if !ready {
 			return
 		}
-		reported = s.logReleases(reported)
-		for _, c := range trials {
-			if err := s.proposeCanary(context.Background(), c); err != nil {
-				s.noteFailure("canary "+c.Do, err)
-				return
-			}
-		}
-		for _, c := range meant {
-			if a, err := s.proposeIntent(context.Background(), c); err != nil || a.Error != "" {
-				s.noteFailure("intent", cmp.Or(err, errors.New(a.Error)))
-			}
-		}
-		var plan []rollout.Command
-		s.record.read(func(r *rollout.State, h recordItems) { plan = r.Plan(max(now, h.At), v, s.Budgets()) })
-		s.mu.Lock()
-		plan = s.controller.withholdBlocked(plan)
-		s.mu.Unlock()
-		for _, c := range s.gateOnCanary(plan) {
-			answer, err := s.propose(context.Background(), c)
-			if err != nil || answer.Error != "" {
-				if err == nil {
-					err = errors.New(answer.Error)
-				}
-				s.noteFailure("plan "+c.Kind, err)
-				return // the next look begins anew
-			}
-		}
+		loggedStates = s.logReleases(loggedStates)
+		s.proposeStep(step)
 	})
 }
 
-// watchDrift holds what relays run against what is agreed. Called with the lock held.
-func (s *Service) watchDrift(now int64, v *rollout.View) {
+// evaluate brings the controller, the canary's judge and the view up to date. It is not ready unless this relay leads, and has received a
+// report from each relay that it knows of or waited for the silence timeout.
+func (s *Service) evaluate() (step controlStep, ready bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := s.now()
+	if s.leaderSince == 0 {
+		return controlStep{}, false
+	}
+	relays := s.controller.fleet
+	view := relays.buildView(now, s.leaderSince, s.Budgets().FlowHoldMS, s.Name, s.lastObserved, slowStart{s.SlowStartShare, s.SlowStartDuration.Milliseconds()})
+	s.evaluateDrift(now, &view)
+	intents := s.controller.planIntent(now, &view)
+	canaries := s.evaluateCanary(now, &view)
+	s.lastView = view
+	reportsMissing := slices.ContainsFunc(view.Relays, func(r rollout.Relay) bool { return relays.relays[r.Name] == nil && !r.Exited })
+	if reportsMissing && now-s.leaderSince < silenceTimeout.Milliseconds() {
+		return controlStep{}, false
+	}
+	return controlStep{now: now, view: view, canaries: canaries, intents: intents}, true
+}
+
+// evaluateDrift compares what relays run with what was agreed. Called with the lock held.
+func (s *Service) evaluateDrift(now int64, view *rollout.View) {
 	s.controller.voters = votersDriftItem(s.node.Status())
-	for _, c := range s.controller.evaluateDrift(now, v) {
+	for _, c := range s.controller.evaluateDrift(now, view) {
 		s.Log.WithFields(logrus.Fields{"relay": c.Relay, "item": c.Item, "from": c.From.String(), "to": c.To.String(), "why": c.Why}).Warn("fleet: drift")
 	}
-	if s.QuarantineDrifted { // else nobody is unfit, and who is shut is admitted
-		s.controller.markUnfit(v)
+	if s.QuarantineDrifted { // else no relay is unfit, and those in quarantine are readmitted
+		s.controller.markUnfit(view)
+	}
+}
+
+// proposeStep proposes the commands of a step in their order. It stops at the first that fails, as the next round plans anew; intent
+// commands are independent of all others.
+func (s *Service) proposeStep(step controlStep) {
+	for _, c := range step.canaries {
+		if err := s.proposeCanary(context.Background(), c); err != nil {
+			s.noteFailure("canary "+c.Do, err)
+			return
+		}
+	}
+	for _, c := range step.intents {
+		if result, err := s.proposeIntent(context.Background(), c); err != nil || result.Error != "" {
+			s.noteFailure("intent", cmp.Or(err, rejection(result)))
+		}
+	}
+	var plan []rollout.Command
+	s.record.read(func(r *rollout.State, items recordItems) {
+		plan = r.Plan(max(step.now, items.At), step.view, s.Budgets())
+	})
+	s.mu.Lock()
+	plan = s.controller.withholdBlocked(plan)
+	s.mu.Unlock()
+	for _, c := range s.gateOnCanary(plan) {
+		result, err := s.propose(context.Background(), c)
+		if err = cmp.Or(err, rejection(result)); err != nil {
+			s.noteFailure("plan "+c.Kind, err)
+			return
+		}
 	}
 }
--- a/internal/fleet/observed_state.go
+++ b/internal/fleet/observed_state.go
@@ -1,43 +1,46 @@
 package fleet
 
-// ObservedState is what a relay does, as its loop tells.
+// ObservedState is what a relay is doing, as read on its event loop.
 type ObservedState struct {
-	Phase              string
-	ListGeneration     uint64
-	Flows              int
-	DemandMS, ServedMS uint64 // time of clients, ms: that in which a flow stood, and with that for which they were sent away. One who comes again ten times is no ten who are not served
-	MisroutedFlows     uint64 // flows begun at members that were out for longer than the grace
+	Phase          string
+	ListGeneration uint64 // of discovery's endpoint list
+	Flows          int
+	// DemandMS and ServedMS count clients' time in milliseconds: ServedMS that in which a flow stood; DemandMS that and the time for which
+	// clients were turned away. Time rather than requests: a client that retries ten times is still one client that is not served.
+	DemandMS, ServedMS uint64
+	MisroutedFlows     uint64 // flows begun at members that had been excluded for longer than the grace period
 	Members            []MemberState
-	LocalEjections     []string // addMembers that its own operators have taken out
-	AppliedExclusions  []string // and by the fleet's word, as the core has them
-	AppliedVersion     uint64
-	CanaryVersion      uint64 // the version of the canaries that it goes by
-	CanaryCounts       []byte // what it counted for a canary
+	LocalEjections     []string // members that this relay's own operators have ejected
+	AppliedExclusions  []string // members that are excluded by the record, as the core has applied it
+	AppliedVersion     uint64   // of the record
+	CanaryVersion      uint64   // of the canary state that is applied
+	CanaryCounts       []byte   // what this relay counted for a canary, encoded
 	Peers              []Peer
-	// ConfigSections is what it runs of its configuration now: the digest by section, of what all relays have the same. A section's name is 29 bytes
-	// at most. nil: Options.Settings stands for all of it, as the section "settings".
+	// ConfigSections is the digest by section of the running configuration, as far as all relays share it. A section's name has 29 bytes
+	// at most. nil: Options.ConfigDigest stands for all of it, as the section "settings".
 	ConfigSections map[string]string
-	// RejectedItems is what it was given and did not take, by item ("config.SECTION"): why. An entry goes when a later one was taken.
+	// RejectedItems are items ("config.SECTION") that this relay was given and did not accept, with the reason. An entry goes once a later
+	// value is accepted.
 	RejectedItems   map[string]string
-	PermitsVersion  uint64 // Orders.Permits as the loop had it last; 0: it does not tell
-	QuarantineOrder uint64 // the number of the order by which it takes no clients; 0: it takes them
+	PermitsVersion  uint64 // DesiredState.PermitsVersion as last applied; 0: not reported
+	QuarantineOrder uint64 // number of the order by which this relay takes no clients; 0: it takes them
 }
 
-// MemberState is a member as this relay's list has it.
+// MemberState is a member in this relay's endpoint list.
 type MemberState struct {
-	Name, Zone, DiscoveryState string // listed: ready, draining, gone
-	StartedAt                  int64  // wall clock, ms; 0 long ago
-	Out                        bool
-	Flows                      int
-	Capacity                   float64
-	Successes, Failures        uint64
+	Name, Zone          string
+	DiscoveryState      string // ready, draining or gone
+	StartedAt           int64  // wall clock, ms; 0: long ago
+	Flows               int
+	Capacity            float64
+	Successes, Failures uint64 // of attempts and health checks
 }
 
-// Peer is another relay as peers know it.
+// Peer is another relay as gossip knows it.
 type Peer struct {
 	Name, Zone  string
 	Alive       bool // it answers, or is merely suspected
-	Gone        bool // no process is there, or it said so
+	Gone        bool // its process has ended, or announced its end
 	Serving     bool
 	Incarnation uint64
 }
--- a/internal/fleet/propose.go
+++ b/internal/fleet/propose.go
@@ -3,8 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
-	"fmt"
 	"time"
 
 	"dahliarudder/internal/canary"
@@ -14,17 +12,26 @@
 // callTimeout is how long a call waits for a majority.
 const callTimeout = 4 * time.Second
 
-// propose has a command of the rollout's agreed, and waits until this relay's own record has it.
+// rejectedError is the record's reason for rejecting a command.
+type rejectedError string
+
+func (e rejectedError) Error() string { return string(e) }
+
+// rejection is the error of a result; nil if the command was accepted.
+func rejection(r rollout.Result) error {
+	if r.Error == "" {
+		return nil
+	}
+	return rejectedError(r.Error)
+}
+
+// propose has a rollout command agreed, and waits until this relay's own record has applied it.
 func (s *Service) propose(ctx context.Context, c rollout.Command) (rollout.Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
-	defer cancel()
 	return s.submit(ctx, partRollout, c.Encode())
 }
 
-// proposeIntent is the same for what is meant.
+// proposeIntent does the same for a change of intent.
 func (s *Service) proposeIntent(ctx context.Context, c intentCommand) (rollout.Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
-	defer cancel()
 	body, err := json.Marshal(c)
 	if err != nil {
 		return rollout.Result{}, err
@@ -32,79 +39,81 @@
 	return s.submit(ctx, partIntent, body)
 }
 
+// submit has a command agreed for a part that answers with a rollout.Result. A rejection is in the result, not in the error.
 func (s *Service) submit(ctx context.Context, part string, body []byte) (rollout.Result, error) {
-	text, err := json.Marshal(command{Part: part, At: s.now(), By: s.Name, Body: body})
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	var result rollout.Result
+	index, err := s.proposeCommand(ctx, part, body, &result)
 	if err != nil {
 		return rollout.Result{}, err
 	}
-	answer, index, err := s.node.Propose(ctx, text)
+	s.node.WaitApplied(ctx, index) // a timeout here is no error: the command is agreed all the same
+	return result, nil
+}
+
+// proposeCanary has a canary command agreed; a rejection is a rejectedError.
+func (s *Service) proposeCanary(ctx context.Context, c canary.Command) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	var answer struct{ Error string }
+	index, err := s.proposeCommand(ctx, partCanary, c.Body(), &answer)
 	if err != nil {
-		return rollout.Result{}, err
+		return err
 	}
-	var a rollout.Result
-	if err := json.Unmarshal(answer, &a); err != nil {
-		return rollout.Result{}, err
+	if answer.Error != "" {
+		return rejectedError("refused: " + answer.Error)
+	}
+	s.node.WaitApplied(ctx, index)
+	return nil
+}
+
+// proposeCommand proposes a command and decodes the record's answer. Its errors are those of consensus, unwrapped: the API shows them.
+func (s *Service) proposeCommand(ctx context.Context, part string, body []byte, answer any) (index uint64, err error) {
+	text, err := json.Marshal(command{Part: part, At: s.now(), By: s.Name, Body: body})
+	if err != nil {
+		return 0, err
+	}
+	encoded, index, err := s.node.Propose(ctx, text)
+	if err != nil {
+		return 0, err
 	}
-	s.node.WaitApplied(ctx, index) // at another relay it is agreed all the same
-	return a, nil
+	return index, json.Unmarshal(encoded, answer)
 }
 
-// SetEjected has a member taken out, or put back, at all relays. Done is called once, on the loop, when this relay follows it too.
-func (s *Service) SetEjected(member string, out bool, done func(error)) {
-	go func() {
+// SetEjected ejects a member at all relays, or reinstates it. It is called on the event loop; done is called there, once, after this relay
+// has applied the change.
+func (s *Service) SetEjected(member string, ejected bool, done func(error)) {
+	s.run(func() {
 		c := rollout.Command{Kind: rollout.CommandReinstate, Names: []string{member}}
-		if out {
+		if ejected {
 			c.Kind, c.Reason = rollout.CommandEject, "an operator's call"
 		}
-		a, err := s.propose(context.Background(), c)
-		if err == nil && a.Error != "" {
-			err = errors.New(a.Error)
+		result, err := s.propose(s.ctx, c)
+		if err == nil {
+			err = rejection(result)
 		}
 		if err != nil {
 			s.Post(func() { done(err) })
 			return
 		}
 		s.postDesired(func() { done(nil) })
-	}()
+	})
 }
 
-// ConfirmLeave says on the loop whether this relay's order to leave of that number stands, as of a majority; not sound if there is none to
-// ask. What cannot be taken back is asked for right before it is done: this process may have stood still since it was told.
-func (s *Service) ConfirmLeave(number uint64, done func(stands, sound bool)) {
-	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+// ConfirmLeave asks a majority whether this relay's order to leave of that number still stands, which cannot be taken back once it is
+// carried out: this process may have been suspended since it received the order. It is called on the event loop, and so is done; its answer
+// is not confirmed if no majority could be asked.
+func (s *Service) ConfirmLeave(number uint64, done func(stands, confirmed bool)) {
+	s.run(func() {
+		ctx, cancel := context.WithTimeout(s.ctx, callTimeout)
 		defer cancel()
 		_, err := s.node.Barrier(ctx)
 		stands := false
 		s.record.read(func(r *rollout.State, _ recordItems) {
-			l := r.Orders(s.Name).Leave
-			stands = l != nil && l.Number == number && l.StartNumber >= s.Incarnation
+			leave := r.Orders(s.Name).Leave
+			stands = leave != nil && leave.Number == number && leave.StartNumber >= s.Incarnation
 		})
 		s.Post(func() { done(stands, err == nil) })
-	}()
+	})
 }
-
-// proposeCanary has a command of the canaries agreed.
-func (s *Service) proposeCanary(ctx context.Context, c canary.Command) error {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
-	defer cancel()
-	text, err := json.Marshal(command{Part: partCanary, At: s.now(), By: s.Name, Body: c.Body()})
-	if err != nil {
-		return err
-	}
-	answer, index, err := s.node.Propose(ctx, text)
-	if err != nil {
-		return err
-	}
-	var a struct{ Error string }
-	if err := json.Unmarshal(answer, &a); err != nil {
-		return err
-	}
-	if a.Error != "" {
-		return fmt.Errorf("%w: %s", errRejected, a.Error)
-	}
-	s.node.WaitApplied(ctx, index)
-	return nil
-}
-
-var errRejected = errors.New("refused")
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -14,28 +14,29 @@
 	"dahliarudder/internal/rollout"
 )
 
-// Record is what the fleet has agreed on, at this relay: the accord.Machine. It hands commands to the parts, in their order; nothing else
-// changes it. Readers may come from any goroutine.
+// Record is this relay's copy of what the fleet has agreed on. It is the consensus.Machine: it applies commands to its parts in log order,
+// and nothing else changes it. Any goroutine may read it.
 type Record struct {
 	mu      sync.RWMutex
 	items   recordItems
 	rollout *rollout.State
 	canary  *canary.State
 	intent  *intent
-	changes uint64        // counts what may have changed anything: readers keep what they derived
-	changed chan struct{} // one waits at most: something has changed
+	changes uint64        // counts commands and restores, so that readers may cache what they derive
+	changed chan struct{} // has a token after a change, for the one reader that waits
 }
 
-// recordItems is what the record adds to its parts.
+// recordItems is what the record keeps beside its parts: its clock, and the drift items of what relays have to apply.
 type recordItems struct {
-	At        int64      `json:"at"` // of the last command: it never runs back
+	At        int64      `json:"at"` // wall clock in ms of the last command; never decreases
 	Ejections drift.Item `json:"bans"`
 	Drains    drift.Item `json:"drains"`
 
-	Permits       drift.Item `json:"permits"` // those in force
-	CanaryWeights drift.Item `json:"weights"` // the canaries' state
+	Permits       drift.Item `json:"permits"` // granted or begun
+	CanaryWeights drift.Item `json:"weights"` // the canary state
 }
 
+// recordSnapshot is the stored form of a Record.
 type recordSnapshot struct {
 	Items   recordItems     `json:"held"`
 	Rollout json.RawMessage `json:"rollout"`
@@ -43,34 +44,35 @@
 	Intent  json.RawMessage `json:"intent,omitempty"`
 }
 
-// The parts that a command may be for.
+// The parts that a command may address; partReleaseWithCanary is another.
 const (
 	partRollout = "rollout"
 	partCanary  = "canary"
 	partIntent  = "intent"
 )
 
+// command is a log entry.
 type command struct {
 	Part string          `json:"part"`
 	At   int64           `json:"at"` // the proposer's wall clock, ms
-	By   string          `json:"by"`
+	By   string          `json:"by"` // the proposer
 	Body json.RawMessage `json:"body"`
 }
 
-// NewRecord is one in which nothing was agreed.
+// NewRecord returns an empty record.
 func NewRecord() *Record {
 	return &Record{rollout: rollout.New(), canary: canary.New(), intent: &intent{}, changed: make(chan struct{}, 1),
 		items: recordItems{Ejections: drift.Item{Name: drift.Bans}, Drains: drift.Item{Name: drift.Drains}, Permits: drift.Item{Name: drift.Permits},
 			CanaryWeights: drift.Item{Name: drift.Weights}}}
 }
 
-// Apply is the engine's: the next command. What it answers depends on the commands alone.
+// Apply implements consensus.Machine. The answer depends on the commands alone.
 func (r *Record) Apply(_ uint64, text []byte) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var c command
 	if err := json.Unmarshal(text, &c); err != nil {
-		return rejection("malformed: " + err.Error())
+		return rejectionAnswer("malformed: " + err.Error())
 	}
 	r.items.At = max(r.items.At, c.At)
 	var answer []byte
@@ -78,18 +80,18 @@
 	case partRollout:
 		answer = r.rollout.Apply(r.items.At, c.By, c.Body)
 	case partCanary:
-		if why := r.canaryConflict(c.Body); why != "" {
-			return rejection(why)
+		if reason := r.canaryConflict(c.Body); reason != "" {
+			return rejectionAnswer(reason)
 		}
 		answer = r.canary.Apply(r.items.At, c.By, c.Body)
 	case partReleaseWithCanary:
 		answer = r.openWithCanary(r.items.At, c.By, c.Body)
 	case partIntent:
-		var a rollout.Result
-		r.intent, a = r.intent.apply(r.items.At, c.By, c.Body, r.rollout)
-		answer, _ = json.Marshal(a)
+		var result rollout.Result
+		r.intent, result = r.intent.apply(r.items.At, c.By, c.Body, r.rollout)
+		answer, _ = json.Marshal(result)
 	default:
-		return rejection("no such part: " + c.Part) // of a newer program: all of this version refuse it alike
+		return rejectionAnswer("no such part: " + c.Part) // of a newer version: all relays of this one reject it alike
 	}
 	r.updateItems()
 	r.changes++
@@ -97,14 +99,14 @@
 	return answer
 }
 
-// canaryWeights are those of the canaries, with the version of their state.
-func (r *Record) canaryWeights() (list []canary.Weight, version uint64) {
+// canaryWeights returns the weights of all canaries and the version of the canary state.
+func (r *Record) canaryWeights() (weights []canary.Weight, version uint64) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return r.canary.Weights(), r.canary.Version()
 }
 
-// canaryConflict says why a canary cannot be opened beside another: the module keeps one arm apart.
+// canaryConflict is the reason why a command may not open a canary; "" if it may. There is one at a time, as relays keep one arm apart.
 func (r *Record) canaryConflict(body []byte) string {
 	var c canary.Command
 	if json.Unmarshal(body, &c) != nil || c.Do != "open" {
@@ -116,12 +118,13 @@
 	return ""
 }
 
-func rejection(why string) []byte {
-	text, _ := json.Marshal(map[string]string{"error": why})
+// rejectionAnswer is the answer to a command that no part has seen.
+func rejectionAnswer(reason string) []byte {
+	text, _ := json.Marshal(map[string]string{"error": reason})
 	return text
 }
 
-// notifyChanged wakes who follows.
+// notifyChanged wakes the reader of changed.
 func (r *Record) notifyChanged() {
 	select {
 	case r.changed <- struct{}{}:
@@ -129,9 +132,9 @@
 	}
 }
 
-// updateItems keeps the versions of what relays are to apply: the state's version at which each last changed.
+// updateItems gives each drift item that has changed the version at which its part changed.
 func (r *Record) updateItems() {
-	bans, drains := splitExclusions(r.rollout.Orders("").Exclusions)
+	ejected, draining := splitExclusions(r.rollout.Orders("").Exclusions)
 	var permits []string
 	for _, p := range r.rollout.Permits() {
 		if p.State == rollout.PermitGranted || p.State == rollout.PermitBegun {
@@ -142,7 +145,7 @@
 		item  *drift.Item
 		name  string
 		names []string
-	}{{&r.items.Ejections, drift.Bans, bans}, {&r.items.Drains, drift.Drains, drains}, {&r.items.Permits, drift.Permits, permits}} {
+	}{{&r.items.Ejections, drift.Bans, ejected}, {&r.items.Drains, drift.Drains, draining}, {&r.items.Permits, drift.Permits, permits}} {
 		if d := digestOf(i.names); d != i.item.Digest {
 			*i.item = drift.Item{Name: i.name, Version: r.rollout.Version(), Digest: d}
 		}
@@ -153,21 +156,21 @@
 	}
 }
 
-// splitExclusions parts the members that are out into those that are banned and those that drain, each in order.
-func splitExclusions(out map[string]rollout.Exclusion) (bans, drains []string) {
-	for name, o := range out {
-		if o.Reason == rollout.CommandEject {
-			bans = append(bans, name)
+// splitExclusions returns the names of ejected and of draining members, each sorted.
+func splitExclusions(exclusions map[string]rollout.Exclusion) (ejected, draining []string) {
+	for name, e := range exclusions {
+		if e.Reason == rollout.CommandEject {
+			ejected = append(ejected, name)
 		} else {
-			drains = append(drains, name)
+			draining = append(draining, name)
 		}
 	}
-	slices.Sort(bans)
-	slices.Sort(drains)
-	return bans, drains
+	slices.Sort(ejected)
+	slices.Sort(draining)
+	return ejected, draining
 }
 
-// digestOf tells sets of names apart. Its 0 is for none: nothing agreed is nothing applied.
+// digestOf is a digest of a list of names. Only the empty list has the digest 0: nothing agreed equals nothing applied.
 func digestOf(names []string) uint64 {
 	if len(names) == 0 {
 		return 0
@@ -181,44 +184,44 @@
 	return cmp.Or(h.Sum64(), 1)
 }
 
-// Snapshot is the engine's.
+// Snapshot implements consensus.Machine.
 func (r *Record) Snapshot() []byte {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	kept, _ := json.Marshal(r.intent)
-	text, _ := json.Marshal(recordSnapshot{r.items, r.rollout.Encode(), r.canary.Encode(), kept})
+	intentState, _ := json.Marshal(r.intent)
+	text, _ := json.Marshal(recordSnapshot{r.items, r.rollout.Encode(), r.canary.Encode(), intentState})
 	return text
 }
 
-// Restore is the engine's. What cannot be read changes nothing.
+// Restore implements consensus.Machine. A snapshot that cannot be decoded changes nothing.
 func (r *Record) Restore(_ uint64, text []byte) error {
 	var s recordSnapshot
 	if err := json.Unmarshal(text, &s); err != nil {
-		return fmt.Errorf("record: %w", err)
+		return fmt.Errorf("restore record: %w", err)
 	}
-	ro, err := rollout.Decode(s.Rollout)
+	rolloutState, err := rollout.Decode(s.Rollout)
 	if err != nil {
-		return fmt.Errorf("record: %w", err)
+		return fmt.Errorf("restore record: %w", err)
 	}
-	ca, err := canary.Decode(s.Canary)
+	canaryState, err := canary.Decode(s.Canary)
 	if err != nil {
-		return fmt.Errorf("record: %w", err)
+		return fmt.Errorf("restore record: %w", err)
 	}
-	in, err := decodeIntent(s.Intent)
+	intentState, err := decodeIntent(s.Intent)
 	if err != nil {
-		return fmt.Errorf("record: %w", err)
+		return fmt.Errorf("restore record: %w", err)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.items, r.rollout, r.canary, r.intent = s.Items, ro, ca, in
-	r.items.Permits.Name, r.items.CanaryWeights.Name = drift.Permits, drift.Weights // a snapshot of before there were these
+	r.items, r.rollout, r.canary, r.intent = s.Items, rolloutState, canaryState, intentState
+	r.items.Permits.Name, r.items.CanaryWeights.Name = drift.Permits, drift.Weights // absent in snapshots of earlier versions
 	r.updateItems()
 	r.changes++
 	r.notifyChanged()
 	return nil
 }
 
-// read lets f look at the parts; it keeps nothing of them.
+// read calls f with the record locked; f must not keep what it is given.
 func (r *Record) read(f func(*rollout.State, recordItems)) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
--- a/internal/fleet/release_log.go
+++ b/internal/fleet/release_log.go
@@ -6,22 +6,23 @@
 	"dahliarudder/internal/rollout"
 )
 
-// logReleases logs at the leader what has become of releases since it last did, so that a night's log says when and why one halted.
-// Called by the pilot alone.
-func (s *Service) logReleases(was map[string]string) map[string]string {
+// logReleases logs each release whose state or cause of a halt has changed since the last call, so that the leader's log says when and why
+// a release halted. It takes the states that it logged last and returns those of now.
+func (s *Service) logReleases(logged map[string]string) map[string]string {
 	var all []rollout.ReleaseStatus
 	s.record.read(func(r *rollout.State, _ recordItems) { all = r.Releases() })
-	now := map[string]string{}
-	for _, a := range all {
-		line := logrus.Fields{"release": a.Name, "state": a.State, "waiting": a.Counts.Pending, "out": a.Counts.Out, "done": a.Counts.Done}
-		now[a.Name] = a.State
-		if a.Halt != nil {
-			line["cause"], line["why"], line["by"], line["stays"] = a.Halt.Cause, a.Halt.Reason, a.Halt.HaltedBy, a.Halt.NeedsOperator
-			now[a.Name] += a.Halt.Cause
+	current := map[string]string{}
+	for _, release := range all {
+		fields := logrus.Fields{"release": release.Name, "state": release.State, "waiting": release.Counts.Pending, "out": release.Counts.Out, "done": release.Counts.Done}
+		state := release.State
+		if halt := release.Halt; halt != nil {
+			fields["cause"], fields["why"], fields["by"], fields["stays"] = halt.Cause, halt.Reason, halt.HaltedBy, halt.NeedsOperator
+			state += halt.Cause
 		}
-		if was[a.Name] != now[a.Name] {
-			s.Log.WithFields(line).Info("fleet: release")
+		if logged[release.Name] != state {
+			s.Log.WithFields(fields).Info("fleet: release")
 		}
+		current[release.Name] = state
 	}
-	return now
+	return current
 }
--- a/internal/fleet/release_with_canary.go
+++ b/internal/fleet/release_with_canary.go
@@ -7,48 +7,51 @@
 	"dahliarudder/internal/rollout"
 )
 
-// partReleaseWithCanary is for a release that carries a canary: both are opened, or neither. Between two commands its first members would be out
-// before anything holds the others back.
+// partReleaseWithCanary opens a release together with its canary, or neither. With two commands, the release's first members would leave
+// before the canary withholds the others.
 const partReleaseWithCanary = "both"
 
+// releaseWithCanary is the body of such a command.
 type releaseWithCanary struct {
-	Release json.RawMessage `json:"release"` // of the rollout: open
-	Canary  canary.Spec     `json:"canary"`  // without a release's name; without an arm: all that start from now on
+	Release json.RawMessage `json:"release"` // a rollout command of the kind open
+	Canary  canary.Spec     `json:"canary"`  // without the release's name; without an arm: the members that start from now on
 }
 
-// openWithCanary is the record's.
+// openWithCanary applies a releaseWithCanary command.
 func (r *Record) openWithCanary(at int64, by string, body []byte) []byte {
-	var o releaseWithCanary
-	var c rollout.Command
-	if json.Unmarshal(body, &o) != nil || json.Unmarshal(o.Release, &c) != nil || c.Kind != rollout.CommandOpen || c.Release == nil {
-		return rejection("malformed: a release and its canary are wanted")
+	var open releaseWithCanary
+	var release rollout.Command
+	if json.Unmarshal(body, &open) != nil || json.Unmarshal(open.Release, &release) != nil || release.Kind != rollout.CommandOpen || release.Release == nil {
+		return rejectionAnswer("malformed: a release and its canary are wanted")
 	}
-	if c.Release.Kind != rollout.KindMember || c.Release.Drain {
-		return rejection("a canary is of members that are replaced")
+	if release.Release.Kind != rollout.KindMember || release.Release.Drain {
+		return rejectionAnswer("a canary is of members that are replaced")
 	}
-	if o.Canary.Release = c.Name; len(o.Canary.Arm.Members) == 0 && o.Canary.Arm.Since == 0 {
-		o.Canary.Arm.Since = at
+	spec := open.Canary
+	if spec.Release = release.Name; len(spec.Arm.Members) == 0 && spec.Arm.Since == 0 {
+		spec.Arm.Since = at
 	}
-	trial := canary.Command{Do: "open", Release: c.Name, Spec: &o.Canary}.Body()
-	if why := r.canaryConflict(trial); why != "" {
-		return rejection(why)
+	openCanary := canary.Command{Do: "open", Release: release.Name, Spec: &spec}.Body()
+	if reason := r.canaryConflict(openCanary); reason != "" {
+		return rejectionAnswer(reason)
 	}
 	before := r.rollout.Encode()
-	answer := r.rollout.Apply(at, by, o.Release)
+	answer := r.rollout.Apply(at, by, open.Release)
 	if isRejection(answer) {
 		return answer
 	}
-	if a := r.canary.Apply(at, by, trial); isRejection(a) {
-		was, err := rollout.Decode(before)
+	if a := r.canary.Apply(at, by, openCanary); isRejection(a) {
+		undone, err := rollout.Decode(before)
 		if err != nil {
 			panic(err) // it was encoded just now
 		}
-		r.rollout = was
+		r.rollout = undone
 		return a
 	}
 	return answer
 }
 
+// isRejection tells whether an answer of a part rejects the command.
 func isRejection(answer []byte) bool {
 	var a struct{ Error string }
 	return json.Unmarshal(answer, &a) != nil || a.Error != ""
--- a/internal/fleet/reporting.go
+++ b/internal/fleet/reporting.go
@@ -10,34 +10,34 @@
 	"dahliarudder/internal/drift"
 )
 
-// maxRelays tells the leader about this relay. A loop that does not answer is not waited for: the leader hears of its silence.
+// reportLoop reports this relay's state to the leader. It does not wait for an event loop that is stuck: the leader then sees the silence.
 func (s *Service) reportLoop() {
-	looks := make(chan ObservedState, 1)
-	asked := false
+	observations := make(chan ObservedState, 1)
+	pending := false
 	s.every(reportInterval, func() {
-		if !asked {
-			asked = true
-			s.Post(func() { looks <- s.Observe() }) // setOne is under way at most, so this never waits
+		if !pending {
+			pending = true
+			s.Post(func() { observations <- s.Observe() }) // one is pending at most, so the send never blocks
 		}
 		select {
-		case l := <-looks:
-			asked = false
-			s.sendReport(l)
+		case observed := <-observations:
+			pending = false
+			s.sendReport(observed)
 		case <-time.After(reportInterval / 2):
 			s.mu.Lock()
 			s.missedObservations++
 			s.mu.Unlock()
-		case <-s.stop:
+		case <-s.ctx.Done():
 		}
 	})
 }
 
-func (s *Service) sendReport(l ObservedState) {
+func (s *Service) sendReport(observed ObservedState) {
 	now := s.now()
 	s.mu.Lock()
-	s.lastObserved = l
-	w := s.reporter.buildReport(now, l, s.record, votersDriftItem(s.node.Status()))
-	text, err := json.Marshal(w)
+	s.lastObserved = observed
+	report := s.reporter.buildReport(now, observed, s.record, votersDriftItem(s.node.Status()))
+	text, err := json.Marshal(report)
 	s.reportBytes += len(text)
 	s.mu.Unlock()
 	if err == nil {
@@ -48,30 +48,31 @@
 	}
 }
 
-// votersDriftItem is who votes, as this relay's engine has it; nothing before it knows of a record.
-func votersDriftItem(st consensus.Status) drift.Item {
-	it := drift.Item{Name: drift.Voters}
-	if st.RecordID == 0 {
-		return it
+// votersDriftItem is the set of voters as this relay's consensus node has it; without a digest while the node knows of no record.
+func votersDriftItem(status consensus.Status) drift.Item {
+	item := drift.Item{Name: drift.Voters}
+	if status.RecordID == 0 {
+		return item
 	}
-	var names []string
-	for _, name := range slices.Sorted(maps.Keys(st.Voters)) {
-		names = append(names, name+" "+st.Voters[name])
+	var voters []string
+	for _, name := range slices.Sorted(maps.Keys(status.Voters)) {
+		voters = append(voters, name+" "+status.Voters[name])
 	}
-	it.Version, it.Digest = st.VotersIndex, digestOf(names)
-	return it
+	item.Version, item.Digest = status.VotersIndex, digestOf(voters)
+	return item
 }
 
-// handleReply takes what the leader wants: details come with the next words, and what this relay lacks is posted anew.
-func (s *Service) handleReply(_ string, answer []byte) {
-	r, err := drift.DecodeReply(answer)
+// handleReply takes the leader's reply to a report: the details that it asks for go into the next reports, and the desired state is posted
+// again if this relay lacks some of it.
+func (s *Service) handleReply(_ string, text []byte) {
+	reply, err := drift.DecodeReply(text)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err != nil {
 		s.malformedReports++
 		return
 	}
-	if len(s.reporter.driftBook.Hear(r)) > 0 {
+	if len(s.reporter.driftBook.Hear(reply)) > 0 {
 		s.record.notifyChanged()
 	}
 }
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -1,6 +1,7 @@
 package fleet
 
 import (
+	"context"
 	"net/http"
 	"sync"
 	"time"
@@ -13,107 +14,124 @@
 	"dahliarudder/internal/rollout"
 )
 
-// Options is what a Service is made of.
+// Options configures a Service. Callbacks marked as running on the event loop are only ever called through Post.
 type Options struct {
 	Config
-	Name, Zone        string
-	Incarnation       uint64 // of this process; above that of every one before it, as a wall clock in milliseconds is
-	Program           string // what this relay runs
-	ConfigDigest      string // the digest of its configuration, as far as all relays have the same
-	Keys              gossip.Keys
-	SlowStartShare    float64       // what a member bears just after its start, as a part
-	SlowStartDuration time.Duration // until it bears all
+	Name, Zone string
+	// Incarnation numbers this process; it exceeds that of every earlier process of the relay, as a wall clock in milliseconds does.
+	Incarnation  uint64
+	Program      string // identifies the program that this relay runs
+	ConfigDigest string // digest of the configuration that all relays share
+	Keys         gossip.Keys
+	// SlowStartShare is the share of its capacity that a member can serve right after its start.
+	SlowStartShare float64
+	// SlowStartDuration is how long a member takes until it serves at full capacity.
+	SlowStartDuration time.Duration
 	WallClock         func() time.Time
 	Log               logrus.FieldLogger
-	// Post has f run on the relay's loop. The service has one look and one order under way at most.
+	// Post runs f on the relay's event loop. The service has at most one observation and one desired state posted at a time.
 	Post func(f func())
-	// ObservedState is what the relay does; on the loop.
+	// Observe returns the relay's current state; on the event loop.
 	Observe func() ObservedState
-	// ApplyDesired has the relay do what was agreed; on the loop.
+	// ApplyDesired makes the relay follow the record; on the event loop.
 	ApplyDesired func(DesiredState)
-	// PauseCanary holds a canary's weight at zero at this relay and has the others told, without the record; on the loop.
+	// PauseCanary sets a canary's weight to zero at this relay and gossips the pause, without the record; on the event loop.
 	PauseCanary func(release string)
 }
 
-// Service is one relay's part in the fleet. Its threads: the engine's own; words; orders; what is kept; the pilot; calls.
+// Service is one relay's part in the fleet. It owns these goroutines: reportLoop, applyLoop, saveLoop, controlLoop, the API server, and one
+// for each pending SetEjected or ConfirmLeave. The consensus node has its own.
 type Service struct {
 	Options
 	record *Record
 	node   *consensus.Node
 	api    *http.Server
-	stop   chan struct{}
+	ctx    context.Context // ends with Close
+	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	lastAgreed agreedState // what was agreed before this process began, as far as it knew
-	postMu     sync.Mutex
-
-	mu                 sync.Mutex
-	lastObserved       ObservedState // the last
-	controller         *controller
-	reporter           *statusReporter
-	judge              *canary.Judge // of the canary that is going; nil if there is none
-	judgedCanary       canary.Canary // as it was when the judge last began
-	verdict            canary.Verdict
-	caughtUp           bool         // this relay has followed the record as a majority has it, once
-	canaryActive       bool         // there is a canary
-	lastView           rollout.View // of the pilot's last look
-	leaderSince        int64        // when this relay began to lead; 0 while it does not
-	term               uint64
-	malformedReports   int // maxRelays that could not be read
-	missedObservations int // looks that the loop did not answer in time
-	reportBytes        int // bytes of words
-	failures           map[string]int
+	savedState agreedState // what the previous process saved
+	postMu     sync.Mutex  // held from reading the record until the desired state is posted
+
+	mu           sync.Mutex    // guards what follows
+	lastObserved ObservedState // as last reported
+	reporter     *statusReporter
+	caughtUp     bool // this relay has once applied the record as a majority has it
+	canaryActive bool
+	failures     map[string]int // failed operations by name
+
+	controller   *controller
+	leaderSince  int64 // wall clock in ms; 0 while this relay does not lead
+	lastView     rollout.View
+	judge        *canary.Judge // of the running canary; nil if there is none
+	judgedCanary canary.Canary // as it was when the judge last began
+	verdict      canary.Verdict
+
+	malformedReports   int // reports and replies that could not be decoded
+	missedObservations int // observations that the event loop did not deliver in time
+	reportBytes        int // bytes of status reports sent
 }
 
-// Incarnation begins. What the engine cannot do with its directory is no error: it says so in its status.
+// Start joins the fleet. A consensus node that cannot use its directory is no error: its status says so.
 func Start(o Options) (*Service, error) {
-	s := &Service{Options: o, record: NewRecord(), stop: make(chan struct{}), reporter: newStatusReporter(&o), failures: map[string]int{}}
+	s := &Service{Options: o, record: NewRecord(), reporter: newStatusReporter(&o), failures: map[string]int{}}
 	s.controller = newController(s.record)
+	s.ctx, s.cancel = context.WithCancel(context.Background())
 	if o.Dir == "" {
-		o.Log.Warn("fleet: what is agreed is kept in memory alone; if all voters end at once, releases, drains and bans are forgotten")
+		o.Log.Warn("fleet: the record is in memory only, as fleet.dir is not set: if all voters stop at once, releases, drains and ejections are lost")
 	}
 	var err error
-	if s.lastAgreed, err = readAgreed(o.Dir); err != nil {
-		o.Log.WithError(err).Warn("fleet: what was agreed before this start cannot be read: bans hold again when the record is heard")
+	if s.savedState, err = readAgreedState(o.Dir); err != nil {
+		o.Log.WithError(err).Warn("fleet: the state saved by the previous process cannot be read: ejections apply again once the record is received")
 	}
 	s.node, err = consensus.Start(consensus.Options{Name: o.Name, Voters: o.Voters, DialAddresses: o.DialAddresses, Listen: o.Listen, Dir: o.Dir, Keys: o.Keys,
 		Machine: s.record, OnReport: s.handleReport, OnReply: s.handleReply, OnLeadership: s.leadershipChanged, Log: o.Log})
 	if err != nil {
+		s.cancel()
 		return nil, err
 	}
-	if err := s.serveAPI(); err != nil {
+	if err := s.startAPI(); err != nil {
+		s.cancel()
 		s.node.Close()
 		return nil, err
 	}
-	for _, f := range []func(){s.reportLoop, s.applyLoop, s.saveAgreed, s.controlLoop} {
-		s.wg.Add(1)
-		go func() { defer s.wg.Done(); f() }()
+	for _, loop := range []func(){s.reportLoop, s.applyLoop, s.saveLoop, s.controlLoop} {
+		s.run(loop)
 	}
 	return s, nil
 }
 
-// Close ends all threads and gives the addresses back.
+// Close stops all goroutines, waits for them, and releases the addresses.
 func (s *Service) Close() {
 	if s == nil {
 		return
 	}
-	close(s.stop)
+	s.cancel()
 	s.api.Close()
 	s.wg.Wait()
 	if err := s.node.Close(); err != nil {
-		s.Log.WithError(err).Error("fleet: the record was not closed")
+		s.Log.WithError(err).Error("fleet: closing the consensus node failed")
 	}
 }
 
+// run starts a goroutine that Close waits for.
+func (s *Service) run(f func()) {
+	s.wg.Add(1)
+	go func() {
+		defer s.wg.Done()
+		f()
+	}()
+}
+
 func (s *Service) now() int64 { return s.WallClock().UnixMilli() }
 
-// every calls f until the service ends.
-func (s *Service) every(d time.Duration, f func()) {
-	t := time.NewTicker(d)
+// every calls f until Close.
+func (s *Service) every(interval time.Duration, f func()) {
+	t := time.NewTicker(interval)
 	defer t.Stop()
 	for {
 		select {
-		case <-s.stop:
+		case <-s.ctx.Done():
 			return
 		case <-t.C:
 			f()
@@ -121,13 +139,14 @@
 	}
 }
 
-func (s *Service) noteFailure(what string, err error) {
+// noteFailure counts a failed operation for the status page and logs the first one: the caller tries again anyway.
+func (s *Service) noteFailure(operation string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.failures[what]++; s.failures[what] == 1 {
-		s.Log.WithError(err).WithField("what", what).Debug("fleet: failed, and is tried again")
+	if s.failures[operation]++; s.failures[operation] == 1 {
+		s.Log.WithError(err).WithField("operation", operation).Debug("fleet: operation failed and is retried")
 	}
 }
 
-// Status is the engine's.
+// Status is that of the consensus node.
 func (s *Service) Status() consensus.Status { return s.node.Status() }
