--- a/internal/fleet/api_canaries.go
+++ b/internal/fleet/api_canaries.go
@@ -34,22 +34,22 @@
 	if !decodeBody(w, r, &spec) {
 		return
 	}
-	if len(spec.Arm.Members) == 0 && spec.Arm.Since == 0 {
+	if len(spec.Target.Members) == 0 && spec.Target.Since == 0 {
 		s.record.read(func(state *rollout.State, _ recordItems) {
 			release, _ := state.Release(spec.Release)
-			spec.Arm.Since = release.OpenedAt
+			spec.Target.Since = release.OpenedAt
 		})
 	}
 	ensureSalt(&spec)
-	s.proposeCanaryAndAnswer(w, r, canary.Command{Do: "open", Release: spec.Release, Spec: &spec})
+	s.proposeCanaryAndAnswer(w, r, canary.Command{Op: canary.OpOpen, Release: spec.Release, Spec: &spec})
 }
 
 func (s *Service) handleControlCanary(w http.ResponseWriter, r *http.Request) {
-	c := canary.Command{Do: r.PathValue("verb"), Release: r.PathValue("name"), Why: r.URL.Query().Get("why")}
-	switch c.Do {
-	case "pause":
+	c := canary.Command{Op: canary.Op(r.PathValue("verb")), Release: r.PathValue("name"), Reason: r.URL.Query().Get("why")}
+	switch c.Op {
+	case canary.OpPause:
 		s.Post(func() { s.PauseCanary(c.Release) }) // at once and by gossip, without a majority; the record follows
-	case "resume", "back", "close":
+	case canary.OpResume, canary.OpRollBack, canary.OpClose:
 	default:
 		writeError(w, http.StatusNotFound, "a canary can be told to pause, resume, go back, or be closed")
 		return
@@ -63,12 +63,12 @@
 	switch {
 	case errors.As(err, &rejected):
 		writeError(w, http.StatusConflict, err.Error())
-	case err != nil && c.Do == "pause": // the pause is in force already: without the state, the caller would think the arm still takes traffic
+	case err != nil && c.Op == canary.OpPause: // the pause is in force already: without the state, the caller would think the arm still takes traffic
 		writeJSON(w, statusCode(err), rollout.Result{Error: err.Error(), State: "paused here, and at all that can be reached; say it again when there is a majority"})
 	case err != nil:
 		writeError(w, statusCode(err), err.Error())
 	default:
-		writeJSON(w, http.StatusOK, rollout.Result{Name: c.Release, State: c.Do})
+		writeJSON(w, http.StatusOK, rollout.Result{Name: c.Release, State: string(c.Op)})
 	}
 }
 
--- a/internal/fleet/leader.go
+++ b/internal/fleet/leader.go
@@ -23,8 +23,8 @@
 	now := s.now()
 	reply = s.controller.receive(now, from, report)
 	if len(report.CanaryCounts) > 0 && s.judge != nil {
-		if counts, err := canary.DecodeCounts(report.CanaryCounts); err == nil {
-			s.judge.Hear(now, from, report.Zone, counts)
+		if counts, err := canary.DecodeCountReport(report.CanaryCounts); err == nil {
+			s.judge.Observe(now, from, report.Zone, counts)
 		} else {
 			s.malformedReports++
 		}
@@ -92,7 +92,7 @@
 func (s *Service) evaluateDrift(now int64, view *rollout.View) {
 	s.controller.voters = votersDriftItem(s.node.Status())
 	for _, c := range s.controller.evaluateDrift(now, view) {
-		s.Log.WithFields(logrus.Fields{"relay": c.Relay, "item": c.Item, "from": c.From.String(), "to": c.To.String(), "why": c.Why}).Warn("fleet: drift")
+		s.Log.WithFields(logrus.Fields{"relay": c.Relay, "item": c.Item, "from": c.From.String(), "to": c.To.String(), "why": c.Reason}).Warn("fleet: drift")
 	}
 	if s.QuarantineDrifted { // else no relay is unfit, and those in quarantine are readmitted
 		s.controller.markUnfit(view)
@@ -104,7 +104,7 @@
 func (s *Service) proposeStep(step controlStep) {
 	for _, c := range step.canaries {
 		if err := s.proposeCanary(context.Background(), c); err != nil {
-			s.noteFailure("canary "+c.Do, err)
+			s.noteFailure("canary "+string(c.Op), err)
 			return
 		}
 	}
--- a/internal/fleet/propose.go
+++ b/internal/fleet/propose.go
@@ -57,7 +57,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var answer struct{ Error string }
-	index, err := s.proposeCommand(ctx, partCanary, c.Body(), &answer)
+	index, err := s.proposeCommand(ctx, partCanary, c.Encode(), &answer)
 	if err != nil {
 		return err
 	}
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -61,9 +61,9 @@
 
 // NewRecord returns an empty record.
 func NewRecord() *Record {
-	return &Record{rollout: rollout.New(), canary: canary.New(), intent: &intent{}, changed: make(chan struct{}, 1),
-		items: recordItems{Ejections: drift.Item{Name: drift.Bans}, Drains: drift.Item{Name: drift.Drains}, Permits: drift.Item{Name: drift.Permits},
-			CanaryWeights: drift.Item{Name: drift.Weights}}}
+	return &Record{rollout: rollout.New(), canary: canary.NewState(), intent: &intent{}, changed: make(chan struct{}, 1),
+		items: recordItems{Ejections: drift.Item{Name: drift.ItemEjections}, Drains: drift.Item{Name: drift.ItemDrains}, Permits: drift.Item{Name: drift.ItemPermits},
+			CanaryWeights: drift.Item{Name: drift.ItemCanaryWeights}}}
 }
 
 // Apply implements consensus.Machine. The answer depends on the commands alone.
@@ -109,7 +109,7 @@
 // canaryConflict is the reason why a command may not open a canary; "" if it may. There is one at a time, as relays keep one arm apart.
 func (r *Record) canaryConflict(body []byte) string {
 	var c canary.Command
-	if json.Unmarshal(body, &c) != nil || c.Do != "open" {
+	if json.Unmarshal(body, &c) != nil || c.Op != canary.OpOpen {
 		return ""
 	}
 	for _, other := range r.canary.Canaries() {
@@ -145,14 +145,14 @@
 		item  *drift.Item
 		name  string
 		names []string
-	}{{&r.items.Ejections, drift.Bans, ejected}, {&r.items.Drains, drift.Drains, draining}, {&r.items.Permits, drift.Permits, permits}} {
+	}{{&r.items.Ejections, drift.ItemEjections, ejected}, {&r.items.Drains, drift.ItemDrains, draining}, {&r.items.Permits, drift.ItemPermits, permits}} {
 		if d := digestOf(i.names); d != i.item.Digest {
 			*i.item = drift.Item{Name: i.name, Version: r.rollout.Version(), Digest: d}
 		}
 	}
 	if v := r.canary.Version(); v != r.items.CanaryWeights.Version {
 		text, _ := json.Marshal(r.canary.Canaries())
-		r.items.CanaryWeights = drift.Item{Name: drift.Weights, Version: v, Digest: digestOf([]string{string(text)})}
+		r.items.CanaryWeights = drift.Item{Name: drift.ItemCanaryWeights, Version: v, Digest: digestOf([]string{string(text)})}
 	}
 }
 
@@ -203,7 +203,7 @@
 	if err != nil {
 		return fmt.Errorf("restore record: %w", err)
 	}
-	canaryState, err := canary.Decode(s.Canary)
+	canaryState, err := canary.DecodeState(s.Canary)
 	if err != nil {
 		return fmt.Errorf("restore record: %w", err)
 	}
@@ -214,7 +214,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.items, r.rollout, r.canary, r.intent = s.Items, rolloutState, canaryState, intentState
-	r.items.Permits.Name, r.items.CanaryWeights.Name = drift.Permits, drift.Weights // absent in snapshots of earlier versions
+	r.items.Permits.Name, r.items.CanaryWeights.Name = drift.ItemPermits, drift.ItemCanaryWeights // absent in snapshots of earlier versions
 	r.updateItems()
 	r.changes++
 	r.notifyChanged()
--- a/internal/fleet/release_with_canary.go
+++ b/internal/fleet/release_with_canary.go
@@ -28,10 +28,10 @@
 		return rejectionAnswer("a canary is of members that are replaced")
 	}
 	spec := open.Canary
-	if spec.Release = release.Name; len(spec.Arm.Members) == 0 && spec.Arm.Since == 0 {
-		spec.Arm.Since = at
+	if spec.Release = release.Name; len(spec.Target.Members) == 0 && spec.Target.Since == 0 {
+		spec.Target.Since = at
 	}
-	openCanary := canary.Command{Do: "open", Release: release.Name, Spec: &spec}.Body()
+	openCanary := canary.Command{Op: canary.OpOpen, Release: release.Name, Spec: &spec}.Encode()
 	if reason := r.canaryConflict(openCanary); reason != "" {
 		return rejectionAnswer(reason)
 	}
--- a/internal/fleet/reporting.go
+++ b/internal/fleet/reporting.go
@@ -50,7 +50,7 @@
 
 // votersDriftItem is the set of voters as this relay's consensus node has it; without a digest while the node knows of no record.
 func votersDriftItem(status consensus.Status) drift.Item {
-	item := drift.Item{Name: drift.Voters}
+	item := drift.Item{Name: drift.ItemVoters}
 	if status.RecordID == 0 {
 		return item
 	}
@@ -72,7 +72,7 @@
 		s.malformedReports++
 		return
 	}
-	if len(s.reporter.driftBook.Hear(reply)) > 0 {
+	if len(s.reporter.driftBook.HandleReply(reply)) > 0 {
 		s.record.notifyChanged()
 	}
 }
--- a/internal/front/line/flow_test.go
+++ b/internal/front/line/flow_test.go
@@ -20,7 +20,7 @@
 
 func newFlow(t testing.TB) *flowRig {
 	g := &flowRig{rig: newRig(t, 1)}
-	g.Core.Ledger = &g.ended
+	g.Core.Recorder = &g.ended
 	g.c, g.m = g.openFlow()
 	return g
 }
@@ -28,12 +28,12 @@
 // finished checks that the flow has ended so, once, and that nothing is left of it.
 func (g *flowRig) finished(want policy.Result) {
 	g.T.Helper()
-	g.WaitFor("the end of the request", func() bool { return g.Core.Held() == 0 })
+	g.WaitFor("the end of the request", func() bool { return g.Core.ActiveRequests() == 0 })
 	g.clean()
 	if len(g.ended) != 1 || g.ended[0] != want {
 		g.T.Errorf("results %v, want %v", g.ended, want)
 	}
-	if n := g.Core.Counts; n.Served != 1 || n.Attempts != 1 || n.Rejected+n.Failed+n.Left != 0 {
+	if n := g.Core.Counts; n.Served != 1 || n.Attempts != 1 || n.Rejected+n.Failed+n.ClientsGone != 0 {
 		g.T.Errorf("%+v", n)
 	}
 }
@@ -127,7 +127,7 @@
 		"client resets":       func(g *flowRig) { g.c.Reset() },
 		"line ends, it ends":  func(g *flowRig) { g.m.Send("line\r\n"); g.m.CloseWrite() },
 		"line ends, as BYE":   func(g *flowRig) { g.m.Send("line\r\nBYE\r\n"); g.m.CloseWrite() },
-		"the planned stop":    func(g *flowRig) { g.Core.Stop(); g.Core.Finish(); g.m.Send("line\r\n") },
+		"the planned stop":    func(g *flowRig) { g.Core.Stop(); g.Core.FinishStop(); g.m.Send("line\r\n") },
 		"member gone as well": func(g *flowRig) { g.list(0, policy.Gone); g.m.Send("line\r\n") },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -143,7 +143,7 @@
 				g.c.ExpectEOF()
 			}
 			g.finished(policy.Cancelled)
-			if g.Core.Counts.Moves != 1 {
+			if g.Core.Counts.Migrations != 1 {
 				t.Errorf("%+v", g.Core.Counts)
 			}
 		})
@@ -155,7 +155,7 @@
 	g := newFlow(t)
 	g.Core.Stop()
 	g.list(0, policy.Draining)
-	g.Core.Finish()
+	g.Core.FinishStop()
 	g.ends("MOVE\r\n", "")
 	g.finished(policy.Cancelled)
 }
@@ -179,7 +179,7 @@
 			t.Errorf("%d bytes of the member's wait", v.upstream.unread)
 		}
 		start := g.Now()
-		for at := start; g.Core.Held() > 0; at += clientEvery {
+		for at := start; g.Core.ActiveRequests() > 0; at += clientEvery {
 			if talks {
 				late(g.c, "hello\r\n")
 				g.RunOnce()
--- a/internal/front/line/half_test.go
+++ b/internal/front/line/half_test.go
@@ -56,7 +56,7 @@
 // waitingClients is the situations in which a request waits for its answer, each with what brings it about.
 var waitingClients = map[string]func(g *rig) *looptest.Peer{
 	"held":    func(g *rig) *looptest.Peer { g.list(0, policy.Draining); return g.ask(firstLine) },
-	"doubted": func(g *rig) *looptest.Peer { g.Core.Doubt(); return g.ask(firstLine) },
+	"doubted": func(g *rig) *looptest.Peer { g.Core.PauseDispatch(); return g.ask(firstLine) },
 	"dialled": func(g *rig) *looptest.Peer { g.list(0, policy.Gone); g.join(fullQueue(g.T)); return g.ask(firstLine) },
 	"asked":   func(g *rig) *looptest.Peer { c := g.ask(firstLine); g.attempt(0); return c },
 	"half answered": func(g *rig) *looptest.Peer {
@@ -68,7 +68,7 @@
 	"between two attempts": func(g *rig) *looptest.Peer {
 		c := g.ask(firstLine)
 		g.attempt(0).Send("BUSY\r\n")
-		g.WaitFor("the answer", func() bool { return g.Core.Flows(1) == 0 })
+		g.WaitFor("the answer", func() bool { return g.Core.FlowCount(1) == 0 })
 		return c
 	},
 	"with bytes behind its line": func(g *rig) *looptest.Peer {
@@ -89,10 +89,10 @@
 			c.CloseWrite()
 			c.ExpectLines("BUSY")
 			c.ExpectEOF()
-			if n := g.Core.Counts; n.Attempts != before || n.Left != 1 {
+			if n := g.Core.Counts; n.Attempts != before || n.ClientsGone != 1 {
 				t.Errorf("%+v, %d attempts before", n, before)
 			}
-			g.Core.Sure()
+			g.Core.ResumeDispatch()
 			g.unsent()
 			g.clean()
 		})
@@ -106,7 +106,7 @@
 		c.ExpectEOF()
 		g.unsent()
 		g.clean()
-		if n := g.Core.Counts; n != (core.Counts{Requests: 1, Attempts: n.Attempts, Left: 1}) {
+		if n := g.Core.Counts; n != (core.Counts{Requests: 1, Attempts: n.Attempts, ClientsGone: 1}) {
 			t.Errorf("%+v", n)
 		}
 	})
--- a/internal/front/line/line.go
+++ b/internal/front/line/line.go
@@ -46,7 +46,7 @@
 
 // New makes a front on the core.
 func New(loop *netloop.Loop, c *core.Core, log logrus.FieldLogger) *Front {
-	f := &Front{Loop: loop, Core: c, Log: log, connectWithin: c.Limits().ConnectTimeout,
+	f := &Front{Loop: loop, Core: c, Log: log, connectWithin: c.PolicySettings().ConnectTimeout,
 		probeIdle: time.Duration(probeIdle * float64(cmp.Or(settings.Span(c.Settings.Limits.Keepalive), keepalive))),
 		open:      map[*clientConn]struct{}{}, fresh: map[*clientConn]struct{}{}, elsewhere: map[uint64]bool{}, ids: map[uint64]*clientConn{}, probes: map[policy.ServerID]*probe{}}
 	loop.After(sweepEvery, f.sweep)
@@ -76,7 +76,7 @@
 // CloseIdle ends the connections on which nothing was asked yet. BUSY answers who asks in that very moment.
 func (f *Front) CloseIdle() {
 	for v := range f.fresh {
-		v.retryAfter = f.Core.Advice(crowdAfter)
+		v.retryAfter = f.Core.RetryAfter(crowdAfter)
 		v.on(clientStopped)
 	}
 }
@@ -88,8 +88,8 @@
 	for v := range f.open {
 		if s := v.upstream; s.silent(now) {
 			f.Log.WithField("member", s.member.Name).Warn("member has gone silent")
-			v.Move()
-			f.Core.Ended(v.id, s.try, policy.Reset, s.report)
+			v.Migrate()
+			f.Core.AttemptEnded(v.id, s.try, policy.Reset, s.report)
 		} else if s.ended(now) {
 			s.End(io.EOF)
 		} else if s.gone(now) {
--- a/internal/front/line/line_test.go
+++ b/internal/front/line/line_test.go
@@ -86,8 +86,8 @@
 	r.WaitFor("the member's end", func() bool { m.Poll(); return m.EndErr != nil })
 	c.ExpectLines("BUSY")
 	c.ExpectEOF()
-	if r.Core.Held() != 0 || r.Core.Counts.Left != 1 {
-		t.Errorf("held %d, %+v", r.Core.Held(), r.Core.Counts)
+	if r.Core.ActiveRequests() != 0 || r.Core.Counts.ClientsGone != 1 {
+		t.Errorf("held %d, %+v", r.Core.ActiveRequests(), r.Core.Counts)
 	}
 }
 
@@ -168,20 +168,20 @@
 type results []policy.Result
 
 func (l *results) Ready() bool { return true }
-func (l *results) Attempt(_ *core.Request, _ core.ID, _ int, _ string, _, _ time.Duration, r policy.Result) {
+func (l *results) RecordAttempt(_ *core.Request, _ core.ID, _ int, _ string, _, _ time.Duration, r policy.Result) {
 	*l = append(*l, r)
 }
-func (l *results) Answer(*core.Request, core.ID, time.Duration, core.Answer, int) {}
+func (l *results) RecordAnswer(*core.Request, core.ID, time.Duration, core.Answer, int) {}
 
 // TestBlame: an attempt that failed for want of the relay's own descriptors is not
 // the member's failure; one that the member refused is.
 func TestBlame(t *testing.T) {
 	for err, want := range map[error]policy.Result{
-		netloop.ErrNoDescriptors: policy.Moot, netloop.ErrDialTimeout: policy.ConnectFailed, io.EOF: policy.ConnectFailed,
+		netloop.ErrNoDescriptors: policy.NotSent, netloop.ErrDialTimeout: policy.ConnectFailed, io.EOF: policy.ConnectFailed,
 	} {
 		r := looptest.NewRelay(t, 1)
 		var ended results
-		r.Core.Ledger = &ended
+		r.Core.Recorder = &ended
 		f := New(r.Loop, r.Core, r.Log)
 		c := r.Dial(r.Serve(f.Accept))
 		c.Send(firstLine + "\r\n")
@@ -201,8 +201,8 @@
 	r := looptest.NewRelay(t, 1)
 	for more, want := range map[string]bool{"": false, ",again=1": true, ",again=0": false} {
 		open, err := parseOpen(r.Core.Settings, firstLine+more)
-		if err != nil || open.request.Again != want {
-			t.Errorf("%q: %v, %v", more, open.request.Again, err)
+		if err != nil || open.request.Reconnect != want {
+			t.Errorf("%q: %v, %v", more, open.request.Reconnect, err)
 		}
 	}
 }
@@ -216,8 +216,8 @@
 		"d=4294967,at=s-1": standingWait, "at=s-1": standingWait,
 	} {
 		open, err := parseOpen(r.Core.Settings, strings.Replace(firstLine, "d=1900", d, 1))
-		if err != nil || open.request.Wait != want {
-			t.Errorf("%s: %v, %v, want %v", d, open.request.Wait, err, want)
+		if err != nil || open.request.TimeLeft != want {
+			t.Errorf("%s: %v, %v, want %v", d, open.request.TimeLeft, err, want)
 		}
 	}
 }
@@ -284,8 +284,8 @@
 	m.ExpectLines("anyone?")
 	r.Advance(silentAfter - time.Second)
 	pass(t, first, second)
-	if r.Core.Held() != 1 || len(first.open) != 0 || len(first.ids) != 0 || len(second.ids) != 1 {
-		t.Fatalf("held %d, %d left, %d taken", r.Core.Held(), len(first.open), len(second.open))
+	if r.Core.ActiveRequests() != 1 || len(first.open) != 0 || len(first.ids) != 0 || len(second.ids) != 1 {
+		t.Fatalf("held %d, %d left, %d taken", r.Core.ActiveRequests(), len(first.open), len(second.open))
 	}
 	r.Advance(2 * time.Second)
 	c.ExpectLines("MOVE")
--- a/internal/front/nats/processor.go
+++ b/internal/front/nats/processor.go
@@ -115,9 +115,9 @@
 		c.say(reply, verdict{Verdict: "error", Error: "unknown class or tenant"})
 		return
 	}
-	r := core.Request{Name: q.Name, Class: class, Tenant: tenant, Load: max(q.Load, 0), Wait: settings.Span(q.WaitMS)}
-	if r.Wait <= 0 {
-		r.Wait = c.f.Core.Limits().Classes[class].Deadline
+	r := core.Request{Name: q.Name, Class: class, Tenant: tenant, Load: max(q.Load, 0), TimeLeft: settings.Span(q.WaitMS)}
+	if r.TimeLeft <= 0 {
+		r.TimeLeft = c.f.Core.PolicySettings().Classes[class].Deadline
 	}
 	if q.Key != "" {
 		r.Key = hash(q.Key)
@@ -205,21 +205,21 @@
 		return
 	case o.Outcome == "up":
 		v := verdict{Verdict: "up", ID: a.id, Try: a.try}
-		if c.f.Core.Up(a.id, a.try) {
+		if c.f.Core.FlowEstablished(a.id, a.try) {
 			a.stands = &v
 		} else {
 			v.Verdict = "unknown"
 		}
 		c.say(reply, v)
 	case o.Outcome == "message":
-		c.f.Core.Message(a.id, settings.Span(o.Message))
+		c.f.Core.ObserveMessageLatency(a.id, settings.Span(o.Message))
 		c.say(reply, verdict{Verdict: "up", ID: a.id, Try: a.try})
 	case !known:
 		c.say(reply, verdict{Verdict: "error", ID: a.id, Try: a.try, Error: "unknown outcome"})
 	default:
 		a.reply, a.stands = reply, nil
-		c.f.Core.Ended(a.id, a.try, result, settings.Report(o.Load))
-		if !c.f.Core.Holds(a.id) && !a.over { // that was its end
+		c.f.Core.AttemptEnded(a.id, a.try, result, settings.Report(o.Load))
+		if !c.f.Core.IsActive(a.id) && !a.over { // that was its end
 			v := verdict{Verdict: "ended", ID: a.id, Try: a.try}
 			if result == policy.OK {
 				v.Verdict = "served"
@@ -287,5 +287,5 @@
 // Fail passes the final answer on.
 func (a *asked) Fail() { a.final(verdict{Verdict: "fail", ID: a.id, Try: a.try}) }
 
-// Move asks the proxy to move its client.
-func (a *asked) Move() { a.final(verdict{Verdict: "move", ID: a.id, Try: a.try}) }
+// Migrate asks the proxy to move its client.
+func (a *asked) Migrate() { a.final(verdict{Verdict: "move", ID: a.id, Try: a.try}) }
--- a/internal/pool/list.go
+++ b/internal/pool/list.go
@@ -57,7 +57,7 @@
 	StartTimes *StartTimes
 }
 
-var states = map[string]policy.State{
+var states = map[string]policy.ServerState{
 	"SERVING": policy.Ready, "DRAINING": policy.Draining, "DELETED": policy.Gone,
 }
 
