--- /dev/null
+++ b/internal/front/line/client_leave_test.go
@@ -0,0 +1,206 @@
+package line
+
+import (
+	"io"
+	"testing"
+	"time"
+
+	"dahliarudder/internal/netloop/looptest"
+	"dahliarudder/policy"
+)
+
+// TestClientClosesWithinFirstLine: a client that goes within its first line was no request.
+func TestClientClosesWithinFirstLine(t *testing.T) {
+	forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+		c := g.Dial(g.addr)
+		c.Send(firstLine[:20])
+		g.WaitFor("the connection", func() bool { return len(g.f.idle) == 1 })
+		g.RunOnce()
+		leave(c)
+		g.WaitFor("its end", func() bool { return len(g.f.idle) == 0 })
+		g.unsent()
+		g.clean()
+		if g.Core.Counts.Requests != 0 {
+			t.Errorf("%+v", g.Core.Counts)
+		}
+	})
+}
+
+// expectReleased waits until the relay has seen that the client is gone, and checks that it has let go of its request.
+func (g *rig) expectReleased() {
+	g.T.Helper()
+	g.WaitFor("the client's end", func() bool { return len(g.f.requests) == 0 })
+	g.unsent()
+	g.clean()
+	if g.Core.Counts.ClientsGone != 1 {
+		g.T.Errorf("%+v", g.Core.Counts)
+	}
+}
+
+// TestClientClosesWhileQueued: of a client that goes while the module holds its request no attempt begins, whether a member comes
+// or the news that the relay waits for.
+func TestClientClosesWhileQueued(t *testing.T) {
+	forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+		g.setMemberState(0, policy.Draining)
+		c := g.sendRequest(firstLine)
+		leave(c)
+		g.WaitFor("the client's end", func() bool { return len(g.f.requests) == 0 })
+		g.setMemberState(0, policy.Ready)
+		g.expectReleased()
+	})
+	forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+		g.Core.PauseDispatch()
+		c := g.sendRequest(firstLine)
+		leave(c)
+		g.WaitFor("the client's end", func() bool { return len(g.f.requests) == 0 })
+		g.Core.ResumeDispatch()
+		g.expectReleased()
+	})
+}
+
+// TestClientClosesBetweenAttempts: nor between two attempts.
+func TestClientClosesBetweenAttempts(t *testing.T) {
+	forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+		c := g.sendRequest(firstLine)
+		g.attempt(0).Send("BUSY\r\n")
+		g.WaitFor("the answer", func() bool { return g.Core.FlowCount(1) == 0 })
+		if g.Core.ActiveRequests() != 1 {
+			t.Fatal("the request is not held for another attempt")
+		}
+		leave(c)
+		g.expectReleased()
+	})
+}
+
+// TestClientClosesWhileDialing: nor is the first line sent where the connection to the member is not up yet, also if it comes
+// up in the very round in which the client goes.
+func TestClientClosesWhileDialing(t *testing.T) {
+	forEachClose(t, 0, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+		g.addMember(fullQueue(t))
+		c := g.sendRequest(firstLine)
+		if g.Core.Counts.Attempts != 1 {
+			t.Fatalf("%+v", g.Core.Counts)
+		}
+		leave(c)
+		g.expectReleased()
+	})
+	forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+		c := g.sendRequest(firstLine) // the member's kernel has taken the connection in by now
+		conn := g.pending(0)
+		if conn == nil {
+			t.Fatal("no connection")
+		}
+		leave(c)
+		g.expectReleased()
+		conn.SetReadDeadline(time.Now().Add(looptest.Timeout))
+		if sent, _ := io.ReadAll(conn); len(sent) > 0 {
+			t.Errorf("the member was sent %q", sent)
+		}
+	})
+}
+
+// TestClientClosesAsConnected: the same where the loop hears of the connection before it hears of the client.
+func TestClientClosesAsConnected(t *testing.T) {
+	forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+		g.Core.PauseDispatch()
+		c := g.sendRequest(firstLine)
+		g.RunOnce() // the client's connection is no longer among those that have something to say
+		g.RunOnce()
+		g.Core.ResumeDispatch()
+		conn := g.pending(0)
+		if conn == nil {
+			t.Fatal("no connection")
+		}
+		leave(c)
+		g.expectReleased()
+		conn.SetReadDeadline(time.Now().Add(looptest.Timeout))
+		if sent, _ := io.ReadAll(conn); len(sent) > 0 {
+			t.Errorf("the member was sent %q", sent)
+		}
+	})
+}
+
+// TestClientClosesInFlight: an attempt that is out is abandoned, and no other begins.
+func TestClientClosesInFlight(t *testing.T) {
+	forEachClose(t, 2, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+		c := g.sendRequest(firstLine)
+		at, m := g.anyAttempt()
+		m.Send("half an ans")
+		g.RunOnce()
+		leave(c)
+		g.WaitFor("the end of the attempt", func() bool { m.Poll(); return m.EndErr != nil })
+		if len(m.Received) > 0 {
+			t.Errorf("member %d got %q", at, m.Received)
+		}
+		g.expectReleased()
+	})
+}
+
+// TestClientClosesAtUp: UP and the client's end in one round, in either order, end the flow.
+func TestClientClosesAtUp(t *testing.T) {
+	for _, upFirst := range []bool{true, false} {
+		forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+			c := g.sendRequest(firstLine)
+			m := g.attempt(0)
+			if upFirst {
+				m.Send("UP x\r\n")
+				leave(c)
+			} else {
+				leave(c)
+				m.Send("UP x\r\n")
+			}
+			g.WaitFor("the end of the flow", func() bool { m.Poll(); return m.EndErr != nil })
+			g.WaitFor("the end of the request", func() bool { return g.Core.ActiveRequests() == 0 })
+			g.unsent()
+			g.clean()
+			if n := g.Core.Counts; n.ClientsGone+n.Served != 1 || n.Attempts != 1 {
+				t.Errorf("%+v", n)
+			}
+		})
+	}
+}
+
+// anyAttempt takes in the next attempt, wherever it goes.
+func (g *rig) anyAttempt() (int, *looptest.Peer) {
+	g.T.Helper()
+	at := -1
+	g.WaitFor("an attempt", func() bool {
+		for i := range g.servers {
+			if g.Core.FlowCount(policy.ServerID(i+1)) > 0 {
+				at = i
+			}
+		}
+		return at >= 0
+	})
+	return at, g.attempt(at)
+}
+
+// TestClientClosesDuringHealthCheck: of a client that goes while its request waits for a probe's answer no attempt begins.
+func TestClientClosesDuringHealthCheck(t *testing.T) {
+	forEachClose(t, 2, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+		g.enableHealthChecks()
+		c := g.sendRequest(firstLine)
+		if len(g.f.healthChecks) == 0 || g.Core.Counts.Attempts > 0 {
+			t.Fatalf("%d probes, %+v", len(g.f.healthChecks), g.Core.Counts)
+		}
+		leave(c)
+		g.WaitFor("the client's end", func() bool { return len(g.f.requests) == 0 })
+		for i, p := range g.servers {
+			if g.f.healthChecks[policy.ServerID(i+1)] != nil {
+				m := p.Accept()
+				m.ExpectLines("STATS")
+				m.Send("PONG x0=0.1\r\n")
+			}
+		}
+		g.WaitFor("the answers", func() bool {
+			for _, p := range g.f.healthChecks {
+				if p.state.isPending() {
+					return false
+				}
+			}
+			return true
+		})
+		g.Advance(g.f.checkIdleTimeout)
+		g.expectReleased()
+	})
+}
--- a/internal/front/line/flow_test.go
+++ b/internal/front/line/flow_test.go
@@ -43,7 +43,7 @@
 	g.T.Helper()
 	for p, want := range map[*looptest.Peer]string{g.c: toClient, g.m: toMember} {
 		if p.EndErr == nil {
-			g.over(p)
+			g.expectFinished(p)
 		}
 		if string(p.Received) != want {
 			g.T.Errorf("got %q, want %q", p.Received, want)
@@ -53,9 +53,9 @@
 	}
 }
 
-// TestMemberEnds: each way in which a member may end an open flow ends the client's side in the same manner, and is told
+// TestMemberCloses: each way in which a member may end an open flow ends the client's side in the same manner, and is told
 // for what it is.
-func TestMemberEnds(t *testing.T) {
+func TestMemberCloses(t *testing.T) {
 	for text, want := range map[string]policy.Result{
 		"": policy.Reset, "BYE\r\n": policy.OK, "line\r\nBYE x0=0.5\r\n": policy.OK, "MOVE\r\n": policy.Cancelled,
 		"half a li": policy.Reset, "BYE": policy.Reset, "BYE\r\nline\r\n": policy.OK, "LOAD 7\r\nBYE\r\n": policy.OK,
@@ -76,8 +76,8 @@
 	})
 }
 
-// TestBothEnd: both sides end in one round, in either order.
-func TestBothEnd(t *testing.T) {
+// TestBothSidesClose: both sides end in one round, in either order.
+func TestBothSidesClose(t *testing.T) {
 	for name, one := range map[string]struct {
 		first, second func(g *flowRig)
 		want          []policy.Result
@@ -93,19 +93,19 @@
 			g.RunOnce() // neither connection has anything to say now
 			one.first(g)
 			one.second(g)
-			g.over(g.c)
-			g.over(g.m)
+			g.expectFinished(g.c)
+			g.expectFinished(g.m)
 			g.finished(one.want[0])
 		})
 	}
 }
 
-// TestMoveUnended: where the member does not end its line, the flow is over within MoveTimeout, with no MOVE in the line.
-func TestMoveUnended(t *testing.T) {
+// TestMoveWithinUnendedLine: where the member does not end its line, the flow is over within MoveTimeout, with no MOVE in the line.
+func TestMoveWithinUnendedLine(t *testing.T) {
 	g := newFlow(t)
 	g.m.Send("half a ")
 	g.c.Expect("half a ")
-	g.list(0, policy.Draining)
+	g.setMemberState(0, policy.Draining)
 	g.RunOnce()
 	g.m.Send("li")
 	g.c.Expect("li")
@@ -118,8 +118,8 @@
 	g.finished(policy.Cancelled)
 }
 
-// TestMoveCrosses: one end in the place of the line's while MOVE waits for it is the flow's end, and no second one is told.
-func TestMoveCrosses(t *testing.T) {
+// TestMoveCrossesClose: one end in the place of the line's while MOVE waits for it is the flow's end, and no second one is told.
+func TestMoveCrossesClose(t *testing.T) {
 	for name, end := range map[string]func(g *flowRig){
 		"member ends":         func(g *flowRig) { g.m.CloseWrite() },
 		"member resets":       func(g *flowRig) { g.m.Reset() },
@@ -128,16 +128,16 @@
 		"line ends, it ends":  func(g *flowRig) { g.m.Send("line\r\n"); g.m.CloseWrite() },
 		"line ends, as BYE":   func(g *flowRig) { g.m.Send("line\r\nBYE\r\n"); g.m.CloseWrite() },
 		"the planned stop":    func(g *flowRig) { g.Core.Stop(); g.Core.FinishStop(); g.m.Send("line\r\n") },
-		"member gone as well": func(g *flowRig) { g.list(0, policy.Gone); g.m.Send("line\r\n") },
+		"member gone as well": func(g *flowRig) { g.setMemberState(0, policy.Gone); g.m.Send("line\r\n") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newFlow(t)
 			g.m.Send("half a ")
 			g.c.Expect("half a ")
-			g.list(0, policy.Draining)
+			g.setMemberState(0, policy.Draining)
 			g.RunOnce()
 			end(g)
-			g.WaitFor("the end", func() bool { return len(g.f.ids) == 0 })
+			g.WaitFor("the end", func() bool { return len(g.f.requests) == 0 })
 			if !strings.HasPrefix(name, "client") && !strings.HasPrefix(name, "member ") || strings.HasPrefix(name, "member gone") {
 				g.c.ExpectLines("line", "MOVE")
 				g.c.ExpectEOF()
@@ -154,7 +154,7 @@
 func TestDrainAndStop(t *testing.T) {
 	g := newFlow(t)
 	g.Core.Stop()
-	g.list(0, policy.Draining)
+	g.setMemberState(0, policy.Draining)
 	g.Core.FinishStop()
 	g.ends("MOVE\r\n", "")
 	g.finished(policy.Cancelled)
@@ -167,26 +167,26 @@
 		g := newFlow(t)
 		narrow(g.c)
 		v := g.onlyFlow()
-		g.fill(g.m, func() bool { return v.c.WriteCapacity() == 0 })
+		g.fill(g.m, func() bool { return v.conn.WriteCapacity() == 0 })
 		for range 8 {
 			late(g.m, string(bytes.Repeat([]byte("x"), 4<<10)))
 			g.RunOnce()
 		}
-		if unsent := v.c.Unsent(); unsent > netloop.DefaultWriteLimit {
+		if unsent := v.conn.Unsent(); unsent > netloop.DefaultWriteLimit {
 			t.Errorf("%d bytes wait for the client", unsent)
 		}
-		if v.upstream.unread > netloop.DefaultReadLimit {
-			t.Errorf("%d bytes of the member's wait", v.upstream.unread)
+		if v.upstream.blockedBytes > netloop.DefaultReadLimit {
+			t.Errorf("%d bytes of the member's wait", v.upstream.blockedBytes)
 		}
 		start := g.Now()
-		for at := start; g.Core.ActiveRequests() > 0; at += clientEvery {
+		for at := start; g.Core.ActiveRequests() > 0; at += clientInterval {
 			if talks {
 				late(g.c, "hello\r\n")
 				g.RunOnce()
 			}
-			g.Advance(clientEvery)
-			g.Advance(sweepEvery)
-			if g.Now()-start > clientGone+2*clientEvery || talks && g.Now()-start > silentMost+clientEvery {
+			g.Advance(clientInterval)
+			g.Advance(sweepInterval)
+			if g.Now()-start > clientSilenceTimeout+2*clientInterval || talks && g.Now()-start > maxSilence+clientInterval {
 				t.Fatalf("still held after %v", g.Now()-start)
 			}
 		}
--- a/internal/front/line/silence_test.go
+++ b/internal/front/line/liveness_test.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// TestSilent: a member that answers no line for too long is left, and the client
+// TestMemberSilent: a member that answers no line for too long is left, and the client
 // is asked to come again; one that answers is not.
-func TestSilent(t *testing.T) {
-	r, c, m := standingFlow(t)
+func TestMemberSilent(t *testing.T) {
+	r, c, m := openedFlow(t)
 	c.Send("hello\r\n")
 	m.ExpectLines("hello")
-	r.Advance(silentAfter)
+	r.Advance(memberSilenceTimeout)
 	m.Send("well\r\n")
 	c.ExpectLines("well")
 	c.Send("hello?\r\n")
 	m.ExpectLines("hello?")
-	r.Advance(silentAfter + sweepEvery)
-	r.Advance(sweepEvery)
+	r.Advance(memberSilenceTimeout + sweepInterval)
+	r.Advance(sweepInterval)
 	c.ExpectLines("MOVE")
 	c.ExpectEOF()
 	if r.Core.ActiveRequests() != 0 {
@@ -28,13 +28,13 @@
 	}
 }
 
-// TestStopped: whatever a member does and in which pieces lines come, a flow that brings nothing back is over
+// TestSilenceBound: whatever a member does and in which pieces lines come, a flow that brings nothing back is over
 // 7 s after the last line that came, with whatever load it tells meanwhile; one that is answered stays, and one
 // whose member has said its last word is over within a second although no end of the connection comes.
-func TestStopped(t *testing.T) {
+func TestSilenceBound(t *testing.T) {
 	for seed := range uint64(16) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		r, c, m := standingFlow(t)
+		r, c, m := openedFlow(t)
 		const step = 100 * time.Millisecond
 		start, back := r.Now(), r.Now()
 		stops := start + time.Duration(rng.IntN(120))*step
@@ -42,7 +42,7 @@
 		for r.Core.ActiveRequests() > 0 {
 			now := r.Now()
 			if now >= next { // the client's next line, in up to three pieces
-				next = now + clientEvery
+				next = now + clientInterval
 				pieces = append(pieces, []string{"line\r\n", "li", "l"}[rng.IntN(3)])
 				if whole := pieces[len(pieces)-1]; whole != "line\r\n" {
 					pieces = append(pieces, strings.TrimPrefix("line\r\n", whole))
@@ -77,30 +77,30 @@
 			if r.Core.ActiveRequests() == 0 && r.Now() < stops {
 				t.Fatalf("seed %d: a flow that was answered is over", seed)
 			}
-			if late := r.Now() - back; late > silentMost-step {
+			if late := r.Now() - back; late > maxSilence-step {
 				t.Fatalf("seed %d: still held %v after the last line", seed, late)
 			}
-			if late := r.Now() - parting; parting > 0 && late > endMost {
+			if late := r.Now() - parting; parting > 0 && late > maxLinger {
 				t.Fatalf("seed %d: still held %v after its last word", seed, late)
 			}
 		}
 	}
 }
 
-// TestHalfLine: a client that takes long over a line is not sent away for the member's silence, nor as the line ends.
-func TestHalfLine(t *testing.T) {
-	r, c, m := standingFlow(t)
+// TestPartialLineIsNotSilence: a client that takes long over a line is not sent away for the member's silence, nor as the line ends.
+func TestPartialLineIsNotSilence(t *testing.T) {
+	r, c, m := openedFlow(t)
 	c.Send("hel")
 	m.Expect("hel")
 	for range 30 {
-		r.Advance(sweepEvery)
+		r.Advance(sweepInterval)
 	}
 	c.Send("lo\r\n")
 	m.ExpectLines("lo")
-	r.Advance(sweepEvery)
+	r.Advance(sweepInterval)
 	m.Send("well\r\n")
 	c.ExpectLines("well")
-	r.Advance(sweepEvery)
+	r.Advance(sweepInterval)
 	if r.Core.ActiveRequests() != 1 {
 		t.Error("the flow is over")
 	}
@@ -108,14 +108,14 @@
 
 // TestClientGone: a client's machine that vanished must not hold a flow for ever.
 func TestClientGone(t *testing.T) {
-	r, c, m := standingFlow(t)
-	r.Advance(clientGone)
+	r, c, m := openedFlow(t)
+	r.Advance(clientSilenceTimeout)
 	c.Send("still here\r\n")
 	m.ExpectLines("still here")
 	m.Send("well\r\n")
 	c.ExpectLines("well")
-	r.Advance(clientGone + sweepEvery)
-	r.Advance(sweepEvery)
+	r.Advance(clientSilenceTimeout + sweepInterval)
+	r.Advance(sweepInterval)
 	m.ExpectEOF()
 	if r.Core.ActiveRequests() != 0 {
 		t.Error("the flow is still held")
--- a/internal/front/line/stop_test.go
+++ b/internal/front/line/shutdown_test.go
@@ -8,9 +8,9 @@
 	"dahliarudder/internal/netloop/looptest"
 )
 
-// TestLeftWhileDialling: a member that has left while the connection to it was on its way gets no line on it, and
+// TestMemberLeftWhileDialing: a member that has left while the connection to it was on its way gets no line on it, and
 // the request goes to another one.
-func TestLeftWhileDialling(t *testing.T) {
+func TestMemberLeftWhileDialing(t *testing.T) {
 	r := looptest.NewRelay(t, 2)
 	f := New(r.Loop, r.Core, r.Log)
 	c := r.Dial(r.Serve(f.Accept))
@@ -36,12 +36,12 @@
 	}
 }
 
-// TestHeldWhileMoving: a client whose move waits for the end of a line is held until it has got MOVE, so that a stop
+// TestOpenWhileMigrating: a client whose move waits for the end of a line is held until it has got MOVE, so that a stop
 // does not end before.
-func TestHeldWhileMoving(t *testing.T) {
+func TestOpenWhileMigrating(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	f := New(r.Loop, r.Core, r.Log)
-	c, m := askedOf(r, f)
+	c, m := sendOpenTo(r, f)
 	m.Send("UP x\r\nhalf a ")
 	c.ExpectLines("UP x")
 	r.WaitFor("half a line", func() bool { c.Poll(); return string(c.Received) == "half a " })
@@ -67,7 +67,7 @@
 	resting, asking := r.Dial(at), r.Dial(at)
 	resting.Send("PING\r\n")
 	resting.Expect("PONG\r\n")
-	r.WaitFor("both", func() bool { return len(f.fresh) == 2 })
+	r.WaitFor("both", func() bool { return len(f.idle) == 2 })
 	r.Core.Stop()
 	asking.Send(firstLine + "\r\n")
 	f.CloseIdle()
@@ -75,13 +75,13 @@
 		c.Expect("BUSY 500\r\n")
 		c.ExpectEOF()
 	}
-	if r.Core.Counts.Attempts != 0 || len(f.fresh) != 0 {
-		t.Errorf("%d attempts, %d fresh", r.Core.Counts.Attempts, len(f.fresh))
+	if r.Core.Counts.Attempts != 0 || len(f.idle) != 0 {
+		t.Errorf("%d attempts, %d fresh", r.Core.Counts.Attempts, len(f.idle))
 	}
 }
 
-// TestGoneWithUnread: a client that has sent more than is kept, and has gone, is noticed, and its attempt given up.
-func TestGoneWithUnread(t *testing.T) {
+// TestClientGoneUndelivered: a client that has sent more than is kept, and has gone, is noticed, and its attempt given up.
+func TestClientGoneUndelivered(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	f := New(r.Loop, r.Core, r.Log)
 	c := r.Dial(r.Serve(f.Accept))
