--- a/cmd/dahliarudder/fleet_status.go
+++ b/cmd/dahliarudder/fleet_status.go
@@ -36,7 +36,7 @@
 		l.Phase = "draining"
 	}
 	for _, m := range r.core.Members() {
-		p := fleet.MemberState{Name: m.Name, DiscoveryState: stateNames[m.State], Out: m.Removed, Flows: m.Flows, Capacity: m.Capacity, Successes: m.Successes, Failures: m.Failures}
+		p := fleet.MemberState{Name: m.Name, DiscoveryState: stateNames[m.State], Flows: m.Flows, Capacity: m.Capacity, Successes: m.Successes, Failures: m.Failures}
 		if m.Zone < len(set.Zones) {
 			p.Zone = string(set.Zones[m.Zone])
 		}
