--- a/cmd/dahliarudder/limits.go
+++ b/cmd/dahliarudder/limits.go
@@ -10,7 +10,16 @@
 	"dahliarudder/internal/operator"
 )
 
-// operatorDescriptors is how many descriptors are kept back for the second address and upgrades.
+const (
+	// goMemoryFraction of the configured memory is the runtime's soft limit; the rest is for the kernel's buffers.
+	goMemoryFraction = 0.7
+	// gcPercent lets the heap grow between collections: the live heap is small, and the soft limit rules when it is not.
+	gcPercent = 300
+	// maxDescriptors bounds the descriptors where the system names no limit.
+	maxDescriptors = 1 << 20
+)
+
+// operatorDescriptors is how many descriptors are reserved for the operators' address and upgrades.
 func (r *relay) operatorDescriptors() int {
 	if r.cfg.Operator == "" {
 		return 0
@@ -18,26 +27,26 @@
 	return operator.MaxCallers + upgradeDescriptors
 }
 
-// applyRuntimeLimits keeps the runtime within the machine that the relay is given.
+// applyRuntimeLimits sets the Go runtime to the configured processors and memory.
 func applyRuntimeLimits(cfg *config.Config) {
 	if cores := cfg.Limits.Cores; cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(cores)))
 	}
 	if mb := cfg.Limits.MemoryMB; mb > 0 {
-		debug.SetMemoryLimit(int64(mb * 0.7 * (1 << 20)))
-		debug.SetGCPercent(300) // the live heap is small; the limit rules when it is not
+		debug.SetMemoryLimit(int64(mb * goMemoryFraction * (1 << 20)))
+		debug.SetGCPercent(gcPercent)
 	}
 }
 
-// maxSockets is how many descriptors the process may hold.
+// descriptorLimit is how many descriptors the process may have open.
 func descriptorLimit(cfg *config.Config) int {
-	most := 1 << 20
+	limit := maxDescriptors
 	var r unix.Rlimit
-	if unix.Getrlimit(unix.RLIMIT_NOFILE, &r) == nil && r.Cur < uint64(most) {
-		most = int(r.Cur)
+	if unix.Getrlimit(unix.RLIMIT_NOFILE, &r) == nil && r.Cur < uint64(limit) {
+		limit = int(r.Cur)
 	}
 	if s := cfg.Limits.Sockets; s > 0 {
-		most = min(most, s)
+		limit = min(limit, s)
 	}
-	return most
+	return limit
 }
--- a/cmd/dahliarudder/listen.go
+++ b/cmd/dahliarudder/listen.go
@@ -9,6 +9,7 @@
 	"dahliarudder/internal/netloop"
 )
 
+// listen opens the listener of a front for clients.
 func (r *relay) listen(front, addr string, accept func(*netloop.Conn)) error {
 	l, err := r.inheritOrListen(front, addr, accept)
 	r.addListener(front, l, err)
@@ -19,28 +20,28 @@
 }
 
 const (
-	// listenTimeout is how long a start waits for an address that cannot be had yet: the process before it may still be
+	// listenTimeout is how long a start retries to listen at an address that is in use: the process before it may still be
 	// ending. It leaves half of the 10 s within which nine in ten restarted relays have to be ready.
 	listenTimeout    = 5 * time.Second
 	listenRetryPause = 20 * time.Millisecond
 )
 
-// listenWithRetry listens, again and again where the system refuses that for a moment.
+// listenWithRetry listens, and retries transient errors until listenTimeout.
 func (r *relay) listenWithRetry(listen func() (*netloop.Listener, error)) (*netloop.Listener, error) {
-	by := r.clock() + listenTimeout
-	for told := false; ; time.Sleep(listenRetryPause) {
+	deadline := r.clock() + listenTimeout
+	for logged := false; ; time.Sleep(listenRetryPause) {
 		l, err := listen()
-		if err == nil || !netloop.IsTransientListenError(err) || r.clock() >= by || r.signals.stopping() {
+		if err == nil || !netloop.IsTransientListenError(err) || r.clock() >= deadline || r.signals.stopping() {
 			return l, err
 		}
-		if !told {
+		if !logged {
 			r.log.WithError(err).Warn("the address cannot be had yet")
-			told = true
+			logged = true
 		}
 	}
 }
 
-// addListener keeps a listener, unless there is none.
+// addListener keeps a listener, unless listening failed.
 func (r *relay) addListener(front string, l *netloop.Listener, err error) {
 	if err == nil {
 		r.listeners = append(r.listeners, l)
@@ -48,7 +49,7 @@
 	}
 }
 
-// listenersClosed says that no listener takes connections in any more.
+// listenersClosed reports whether no listener accepts connections any more.
 func (r *relay) listenersClosed() bool {
 	for _, l := range r.listeners {
 		if !l.Closed() {
@@ -58,7 +59,7 @@
 	return true
 }
 
-// closeUnusedSockets gives back the first process's sockets of fronts that are off here.
+// closeUnusedSockets closes the older process's listening sockets of fronts that are off here.
 func (r *relay) closeUnusedSockets() {
 	for _, fd := range r.inheritedSockets {
 		unix.Close(fd)
@@ -66,7 +67,7 @@
 	r.inheritedSockets = nil
 }
 
-// inheritOrListen listens by the first process's socket, if it has one at that address.
+// inheritOrListen listens on the older process's socket, if it has one at that address, and paused until that process hands over.
 func (r *relay) inheritOrListen(front, addr string, accept func(*netloop.Conn)) (*netloop.Listener, error) {
 	fd, ok := r.inheritedSockets[front]
 	delete(r.inheritedSockets, front)
@@ -84,7 +85,7 @@
 	return l, err
 }
 
-// listenOnNewSocket listens by a socket of this process's own.
+// listenOnNewSocket listens on a socket of its own.
 func (r *relay) listenOnNewSocket(addr string, accept func(*netloop.Conn)) (*netloop.Listener, error) {
 	return r.listenWithRetry(func() (*netloop.Listener, error) { return r.loop.Listen(addr, accept) })
 }
--- a/cmd/dahliarudder/operator.go
+++ b/cmd/dahliarudder/operator.go
@@ -67,7 +67,7 @@
 			if err == nil {
 				r.core.SetEjections(names)
 				if member != "" {
-					r.sendNote(handover.Message{EjectionsChanged: true})
+					r.sendMessage(handover.Message{EjectionsChanged: true})
 				}
 			}
 			done(err)
@@ -91,7 +91,7 @@
 func (r *relay) applyDrainState() {
 	drain := r.drainedByOperator || r.shutdownOrder != nil || r.closeOrder != 0
 	r.setDraining(drain)
-	r.sendNote(handover.Message{Drain: &drain})
+	r.sendMessage(handover.Message{Drain: &drain})
 }
 
 func (r *relay) setDraining(on bool) {
--- a/cmd/dahliarudder/stop.go
+++ b/cmd/dahliarudder/stop.go
@@ -4,7 +4,7 @@
 	"dahliarudder/internal/core"
 )
 
-// stop ends the relay once nothing is held any more, and in any case in time.
+// stop shuts the relay down gracefully: it ends once no request is open, and at the latest at the deadline.
 func (r *relay) stop() {
 	if r.stopping { // a signal and an order may both come
 		return
@@ -14,7 +14,7 @@
 	r.log.WithField("open_requests", r.core.ActiveRequests()).Info("stopping")
 	r.peers.Leave() // nothing new is placed from here on
 	deadline := loop.Now() + r.core.StopTimeout()
-	least := loop.Now() + core.StopNotice
+	earliest := loop.Now() + core.StopNotice
 	if r.requestTakeover() {
 		r.core.BeginHandover()
 		r.handOverConnections()
@@ -26,44 +26,44 @@
 	}
 	r.pollUntil(func() bool {
 		now := loop.Now()
-		return now >= deadline || (now >= least || r.takeover == takeoverConfirmed) && r.openRequests() == 0 && r.handoverComplete()
+		return now >= deadline || (now >= earliest || r.takeover == takeoverConfirmed) && r.openRequests() == 0 && r.handoverComplete()
 	}, r.closeAndExit)
 }
 
-// pollUntil looks until something is so, and then goes on.
-func (r *relay) pollUntil(so func() bool, then func()) {
-	if so() {
-		then()
+// pollUntil checks a condition until it is true, and then calls next.
+func (r *relay) pollUntil(done func() bool, next func()) {
+	if done() {
+		next()
 		return
 	}
-	r.loop.After(stopPollInterval, func() { r.pollUntil(so, then) })
+	r.loop.After(stopPollInterval, func() { r.pollUntil(done, next) })
 }
 
-// openRequests is how many clients are not done with.
+// openRequests is how many requests have no final answer, or one that has not left yet.
 func (r *relay) openRequests() int {
-	held := r.core.ActiveRequests()
+	open := r.core.ActiveRequests()
 	if r.lineFront != nil {
-		held = max(held, r.lineFront.OpenRequests())
+		open = max(open, r.lineFront.OpenRequests())
 	}
-	return held
+	return open
 }
 
-// closeAndExit ends a stop: nobody comes any more, who waits is answered, and the loop ends once what that takes has left.
+// closeAndExit is the last step of a shutdown: it closes the listeners, answers what waits, and ends the loop once the answers have left.
 func (r *relay) closeAndExit() {
 	r.core.FinishStop()
-	r.closeIdleConnections() // their descriptors are free for who is in a listener's queue
+	r.closeIdleConnections() // their descriptors are needed for connections in a listener's queue
 	for _, l := range append(r.listeners, r.successorListener) {
 		l.Close()
 	}
-	least, most := r.loop.Now()+stopLingerTime, r.loop.Now()+stopOverrun
+	earliest, latest := r.loop.Now()+stopLingerTime, r.loop.Now()+stopOverrun
 	r.pollUntil(func() bool {
-		r.closeIdleConnections() // who was in the queue
+		r.closeIdleConnections() // those that were in the queue
 		now := r.loop.Now()
-		return now >= most || now >= least && r.openRequests() == 0 && r.listenersClosed()
+		return now >= latest || now >= earliest && r.openRequests() == 0 && r.listenersClosed()
 	}, r.loop.Stop)
 }
 
-// closeIdleConnections ends connections on which nothing was asked yet.
+// closeIdleConnections closes connections without a request.
 func (r *relay) closeIdleConnections() {
 	if r.lineFront != nil {
 		r.lineFront.CloseIdle()
--- a/cmd/dahliarudder/upgrade.go
+++ b/cmd/dahliarudder/upgrade.go
@@ -141,11 +141,11 @@
 	r.limitToOwnSockets()
 	state.Limit = r.sibling.sentOpen.Limit
 	r.log.WithField("open_requests", r.core.ActiveRequests()).Info("a successor starts")
-	r.sendNote(handover.Message{State: state}, fds...)
+	r.sendMessage(handover.Message{State: state}, fds...)
 	r.syncSibling()
 }
 
-// limitToOwnSockets leaves what this process does not need to its successor.
+// limitToOwnSockets leaves the descriptors that this process does not need to its successor.
 func (r *relay) limitToOwnSockets() {
 	passing := r.sibling.peer.PendingFDs()
 	limit := r.loop.OpenDescriptors() + passing + retrySockets
@@ -157,13 +157,13 @@
 	r.loop.SetMemoryLimit(r.maxBufferBytes / 2)
 }
 
-// limitToRemainingSockets takes what the first process leaves.
+// limitToRemainingSockets takes the descriptors that the older process leaves.
 func (r *relay) limitToRemainingSockets(theirs int) {
 	r.loop.SetDescriptorLimit(r.maxSockets - theirs - reservedSockets - r.operatorDescriptors())
 	r.loop.SetMemoryLimit(r.maxBufferBytes / 2)
 }
 
-// syncSibling tells the other process what changes, as long as there is one.
+// syncSibling sends the sibling what changes, as long as there is one.
 func (r *relay) syncSibling() {
 	if r.sibling == nil {
 		return
@@ -177,7 +177,7 @@
 	r.loop.After(openStateInterval, r.syncSibling)
 }
 
-// sendOpenState tells the successor what is held here, if that has changed.
+// sendOpenState sends the successor the ids of the requests that are open here, if they have changed.
 func (r *relay) sendOpenState() {
 	before := r.sibling.sentOpen
 	r.limitToOwnSockets()
@@ -186,11 +186,11 @@
 		slices.Sort(r.sibling.sentOpen.IDs)
 	}
 	if now := r.sibling.sentOpen; now.Limit != before.Limit || !slices.Equal(now.IDs, before.IDs) {
-		r.sendNote(handover.Message{OpenRequests: &now})
+		r.sendMessage(handover.Message{OpenRequests: &now})
 	}
 }
 
-func (r *relay) sendNote(n handover.Message, fds ...int) {
+func (r *relay) sendMessage(n handover.Message, fds ...int) {
 	if r.sibling == nil {
 		return
 	}
@@ -199,8 +199,8 @@
 	}
 }
 
-// onSiblingGone goes on as the only process. A successor that has ended without taking over
-// leaves its clients to this one, and what was on its way to it comes back.
+// onSiblingGone goes on as the only process. The clients of a successor that has ended before it took over
+// stay with this one, and connections in transfer to it come back.
 func (r *relay) onSiblingGone(err error) {
 	was := r.sibling
 	r.sibling, r.takeover = nil, takeoverNone
@@ -226,7 +226,7 @@
 	}
 }
 
-// restorePredecessorState takes over what the first process knew. It comes before any client.
+// restorePredecessorState takes over the endpoint list and the learned state of the older process, before the first client.
 func (r *relay) restorePredecessorState() {
 	if r.inheritedState == nil {
 		return
--- a/cmd/dahliarudder/upgrade_connections.go
+++ b/cmd/dahliarudder/upgrade_connections.go
@@ -5,7 +5,7 @@
 	"dahliarudder/internal/handover"
 )
 
-// adoptConnection takes a connection over, with its descriptors. It returns false if none came.
+// adoptConnection takes over the connection that a message carries. It returns false, and does not own the descriptors, if it carries none.
 func (r *relay) adoptConnection(n *handover.Message, fds []int) bool {
 	switch {
 	case r.lineFront == nil:
@@ -22,8 +22,8 @@
 	return true
 }
 
-// handOverConnections hands connections over to a successor that serves, a few at a time, so that the others are served meanwhile: those that have asked for
-// nothing, and once this process is told to stop its open flows.
+// handOverConnections hands connections over to a successor that serves, a few at a time, so that the others are served meanwhile: those
+// without a request, and during shutdown the open flows.
 func (r *relay) handOverConnections() {
 	if !r.handsOver() {
 		return
@@ -44,12 +44,12 @@
 	r.sibling.passing = r.loop.After(again, r.handOverConnections)
 }
 
-// handsOver says whether connections go to a successor that serves.
+// handsOver reports whether connections go to a successor that serves.
 func (r *relay) handsOver() bool {
 	return r.sibling != nil && r.sibling.origin == originNewer && r.sibling.stage == stageServing && r.lineFront != nil
 }
 
-// handoverComplete says that nothing waits for the other process.
+// handoverComplete reports whether nothing is left to send to the sibling, or to be confirmed by it.
 func (r *relay) handoverComplete() bool {
 	if r.sibling == nil {
 		return true
@@ -57,10 +57,10 @@
 	return r.sibling.peer.Idle() && (!r.handsOver() || r.lineFront.IdleCount() == 0)
 }
 
-// handoverWindow is how many connections may be handed over now.
+// handoverWindow is how many more connections may be in transfer now.
 func (r *relay) handoverWindow() int { return handoverBurst - r.sibling.peer.Pending() }
 
-// sendConnection hands a connection over. What cannot be handed over goes on here.
+// sendConnection hands a connection over. One that cannot be sent is served on here.
 func (r *relay) sendConnection(n handover.Message, fds ...int) {
 	if err := r.sibling.peer.SendConnection(n, fds...); err != nil {
 		r.log.WithError(err).Error("cannot send to the other process")
