--- a/internal/gossip/envelope.go
+++ b/internal/gossip/envelope.go
@@ -26,20 +26,20 @@
 // An envelope: version, the key's mark, start and number and clock of the sender, its name, the content, a tag.
 // The version leaves room for one whose tag is followed by the sender's own signature.
 const (
-	version  = 1
-	markSize = 4
-	tagSize  = 16
-	fixed    = 1 + markSize + 8 + 8 + 8 + 1
+	version    = 1
+	keyIDSize  = 4
+	tagSize    = 16
+	headerSize = 1 + keyIDSize + 8 + 8 + 8 + 1
 	// Overhead is what an envelope adds at most.
-	Overhead = fixed + nameMost + tagSize
-	// windowSize is how far behind the newest number a datagram may come.
-	windowSize = 64
-	// lateMost is how much older than the least delayed one a datagram may be. The clocks of the two sides have zeros of
+	Overhead = headerSize + maxNameLen + tagSize
+	// replayWindow is how far behind the newest number a datagram may come.
+	replayWindow = 64
+	// maxDelay is how much older than the least delayed one a datagram may be. The clocks of the two sides have zeros of
 	// their own, so only differences of their differences count.
-	lateMost = 30 * time.Second
-	// forgetAfter is when a sender that fell silent may begin anew with an earlier start: its clock was set back.
-	forgetAfter = time.Minute
-	sendersMost = 1024
+	maxDelay = 30 * time.Second
+	// senderReset is when a sender that fell silent may begin anew with an earlier start: its clock was set back.
+	senderReset = time.Minute
+	maxSenders  = 1024
 )
 
 // Keys are the installation's: the first one signs, all of them are believed.
@@ -74,9 +74,9 @@
 	return keys, nil
 }
 
-func mark(key []byte) []byte {
+func keyID(key []byte) []byte {
 	sum := sha256.Sum256(key)
-	return sum[:markSize]
+	return sum[:keyIDSize]
 }
 
 func tag(key, b []byte) []byte {
@@ -96,7 +96,7 @@
 // Seal returns an envelope. Clock is the sender's, in milliseconds from any zero; it only runs on.
 func (s *Sealer) Seal(content []byte, clock uint64) []byte {
 	s.seq++
-	b := append([]byte{version}, mark(s.Keys[0])...)
+	b := append([]byte{version}, keyID(s.Keys[0])...)
 	for _, v := range []uint64{s.Start, s.seq, clock} {
 		b = binary.BigEndian.AppendUint64(b, v)
 	}
@@ -106,10 +106,10 @@
 
 // sender is what is kept of one, against repeated and old datagrams.
 type sender struct {
-	start, newest, window uint64
-	least                 int64         // the least difference of the clocks seen
-	heard                 time.Duration // when
-	from                  string
+	start, highestSeq, window uint64
+	minClockOffset            int64         // the least difference of the clocks seen
+	lastContact               time.Duration // when
+	addr                      string
 }
 
 // Opener takes envelopes apart. What it keeps is bounded.
@@ -131,7 +131,7 @@
 }
 
 func (o *Opener) open(now time.Duration, clock uint64, from string, b []byte) (string, []byte, error) {
-	if len(b) < fixed+tagSize || len(b) > MaxDatagramSize {
+	if len(b) < headerSize+tagSize || len(b) > MaxDatagramSize {
 		return "", nil, ErrSize
 	}
 	if b[0] != version {
@@ -140,7 +140,7 @@
 	body, sum := b[:len(b)-tagSize], b[len(b)-tagSize:]
 	var key []byte
 	for _, k := range o.Keys {
-		if bytes.Equal(mark(k), b[1:1+markSize]) {
+		if bytes.Equal(keyID(k), b[1:1+keyIDSize]) {
 			key = k
 		}
 	}
@@ -150,54 +150,54 @@
 	if !hmac.Equal(tag(key, body), sum) {
 		return "", nil, ErrBadTag
 	}
-	at := body[1+markSize:]
+	at := body[1+keyIDSize:]
 	start, seq, sent := binary.BigEndian.Uint64(at), binary.BigEndian.Uint64(at[8:]), binary.BigEndian.Uint64(at[16:])
 	size := int(at[24])
-	if size == 0 || size > nameMost || len(at) < 25+size {
+	if size == 0 || size > maxNameLen || len(at) < 25+size {
 		return "", nil, ErrSize
 	}
 	name := string(at[25 : 25+size])
-	return name, at[25+size:], o.fresh(now, name, from, start, seq, int64(clock)-int64(sent))
+	return name, at[25+size:], o.checkReplay(now, name, from, start, seq, int64(clock)-int64(sent))
 }
 
-// fresh refuses what is repeated, older than what is allowed, or of an earlier process of that name.
-func (o *Opener) fresh(now time.Duration, name, from string, start, seq uint64, apart int64) error {
+// checkReplay refuses what is repeated, older than what is allowed, or of an earlier process of that name.
+func (o *Opener) checkReplay(now time.Duration, name, from string, start, seq uint64, apart int64) error {
 	if o.senders == nil {
 		o.senders = map[string]*sender{}
 	}
 	s := o.senders[name]
-	if s == nil || start > s.start || start < s.start && now-s.heard > forgetAfter {
-		if s == nil && len(o.senders) >= sendersMost {
+	if s == nil || start > s.start || start < s.start && now-s.lastContact > senderReset {
+		if s == nil && len(o.senders) >= maxSenders {
 			return ErrSize
 		}
-		o.senders[name] = &sender{start: start, newest: seq, least: apart, heard: now, from: from}
+		o.senders[name] = &sender{start: start, highestSeq: seq, minClockOffset: apart, lastContact: now, addr: from}
 		return nil
 	}
 	switch {
-	case start < s.start && now-s.heard < lateMost && from != s.from:
+	case start < s.start && now-s.lastContact < maxDelay && from != s.addr:
 		return ErrNameConflict // the earlier one lives on beside the later
-	case start < s.start, apart-s.least > lateMost.Milliseconds():
+	case start < s.start, apart-s.minClockOffset > maxDelay.Milliseconds():
 		return ErrTooOld
-	case seq > s.newest:
-		shift := seq - s.newest
-		s.window = s.window<<min(shift, windowSize) | 1<<min(shift-1, windowSize-1)
-		if shift > windowSize {
+	case seq > s.highestSeq:
+		shift := seq - s.highestSeq
+		s.window = s.window<<min(shift, replayWindow) | 1<<min(shift-1, replayWindow-1)
+		if shift > replayWindow {
 			s.window = 0
 		}
-		s.newest = seq
-	case seq == s.newest || s.newest-seq > windowSize || s.window>>(s.newest-seq-1)&1 == 1:
+		s.highestSeq = seq
+	case seq == s.highestSeq || s.highestSeq-seq > replayWindow || s.window>>(s.highestSeq-seq-1)&1 == 1:
 		return ErrReplayed
 	default:
-		s.window |= 1 << (s.newest - seq - 1)
+		s.window |= 1 << (s.highestSeq - seq - 1)
 	}
-	s.least, s.heard, s.from = min(s.least, apart), now, from
+	s.minClockOffset, s.lastContact, s.addr = min(s.minClockOffset, apart), now, from
 	return nil
 }
 
 // Prune drops senders that have been silent for long.
 func (o *Opener) Prune(now time.Duration) {
 	for name, s := range o.senders {
-		if now-s.heard > 10*forgetAfter {
+		if now-s.lastContact > 10*senderReset {
 			delete(o.senders, name)
 		}
 	}
--- a/internal/gossip/envelope_test.go
+++ b/internal/gossip/envelope_test.go
@@ -66,7 +66,7 @@
 	}
 	back := Sealer{Keys: Keys{newKey}, Name: "n1", Start: 100} // its clock was set back
 	take(back.Seal([]byte{1}, far+2000), now+2*time.Second, ErrTooOld)
-	take(back.Seal([]byte{1}, far), now+2*forgetAfter, nil)
+	take(back.Seal([]byte{1}, far), now+2*senderReset, nil)
 	if o.Rejected["repeated"] != 4 || o.Rejected["tag"] != 1 {
 		t.Errorf("counted %v", o.Rejected)
 	}
@@ -107,7 +107,7 @@
 		if err != nil {
 			return
 		}
-		if len(m.Updates) > updatesMost {
+		if len(m.Updates) > maxUpdates {
 			t.Fatalf("%d updates", len(m.Updates))
 		}
 		again, n := m.Append(nil, 1<<20)
--- a/internal/gossip/peers_test.go
+++ b/internal/gossip/membership_test.go
@@ -120,7 +120,7 @@
 			panic("nothing fits")
 		}
 		w.sent++
-		w.bytes += len(b) + fixed + tagSize + len(name(from))
+		w.bytes += len(b) + headerSize + tagSize + len(name(from))
 		w.largest = max(w.largest, len(b)+Overhead)
 		h := fnv.New64a()
 		fmt.Fprint(h, w.trace, w.now, from, to, b)
@@ -282,8 +282,8 @@
 			t.Errorf("seed %d, %d relays: agreed only after %v", seed, n, took)
 		}
 		for _, nd := range w.nodes {
-			if len(nd.peers) >= n || len(nd.errands) > errandsMost || len(nd.order) > n {
-				t.Errorf("seed %d: %d peers, %d errands", seed, len(nd.peers), len(nd.errands))
+			if len(nd.peers) >= n || len(nd.indirectProbes) > maxIndirectProbes || len(nd.probeOrder) > n {
+				t.Errorf("seed %d: %d peers, %d errands", seed, len(nd.peers), len(nd.indirectProbes))
 			}
 		}
 		if w.largest > MaxDatagramSize {
@@ -410,7 +410,7 @@
 				detail := ""
 				for _, nd := range w.nodes {
 					live, down := nd.Counts()
-					detail += fmt.Sprintf(" n%d(up %v) %d live %d down /%.1f;", nd.at, nd.up, live, down, nd.div.now)
+					detail += fmt.Sprintf(" n%d(up %v) %d live %d down /%.1f;", nd.at, nd.up, live, down, nd.div.current)
 				}
 				t.Fatalf("seed %d at %v: %.2f of the budget:%s", seed, w.now, sum, detail)
 			}
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -11,9 +11,9 @@
 
 // Bounds of what one datagram may say.
 const (
-	nameMost    = 64
-	addrMost    = 64
-	updatesMost = 64
+	maxNameLen = 64
+	maxAddrLen = 64
+	maxUpdates = 64
 	// MaxDatagramSize fits one packet on any path with room to spare.
 	MaxDatagramSize = 1200
 )
@@ -133,8 +133,8 @@
 	return b, len(m.Updates)
 }
 
-// fields calls take with each field; what take does not know it returns false for, and that goes to unknown.
-func fields(b []byte, take func(n protowire.Number, v uint64, s []byte) bool) (unknown []byte, err error) {
+// decodeFields calls take with each field; what take does not know it returns false for, and that goes to unknown.
+func decodeFields(b []byte, take func(n protowire.Number, v uint64, s []byte) bool) (unknown []byte, err error) {
 	for len(b) > 0 {
 		n, kind, used := protowire.ConsumeTag(b)
 		if used < 0 {
@@ -166,7 +166,7 @@
 func Decode(b []byte) (Message, error) {
 	var m Message
 	var inner error
-	_, err := fields(b, func(n protowire.Number, v uint64, s []byte) bool {
+	_, err := decodeFields(b, func(n protowire.Number, v uint64, s []byte) bool {
 		switch n {
 		case 1:
 			m.Kind = Kind(v)
@@ -178,7 +178,7 @@
 			m.TargetAddr = string(s)
 		case 5:
 			u, err := decodeUpdate(s)
-			if err != nil || len(m.Updates) == updatesMost {
+			if err != nil || len(m.Updates) == maxUpdates {
 				inner = ErrMalformed
 			}
 			m.Updates = append(m.Updates, u)
@@ -194,14 +194,14 @@
 		}
 		return true
 	})
-	if len(m.Target) > nameMost || len(m.TargetAddr) > addrMost {
+	if len(m.Target) > maxNameLen || len(m.TargetAddr) > maxAddrLen {
 		inner = ErrMalformed
 	}
 	return m, errors.Join(err, inner)
 }
 
 func decodeUpdate(b []byte) (u Update, err error) {
-	u.Unknown, err = fields(b, func(n protowire.Number, v uint64, s []byte) bool {
+	u.Unknown, err = decodeFields(b, func(n protowire.Number, v uint64, s []byte) bool {
 		switch n {
 		case 1:
 			u.Name = string(s)
@@ -228,8 +228,8 @@
 		}
 		return true
 	})
-	if u.Name == "" || len(u.Name) > nameMost || len(u.Addr) > addrMost || len(u.Zone) > nameMost ||
-		len(u.Accuser) > nameMost || u.State < Alive || u.State > Left || len(u.Unknown) > 256 {
+	if u.Name == "" || len(u.Name) > maxNameLen || len(u.Addr) > maxAddrLen || len(u.Zone) > maxNameLen ||
+		len(u.Accuser) > maxNameLen || u.State < Alive || u.State > Left || len(u.Unknown) > 256 {
 		err = ErrMalformed
 	}
 	return u, err
--- a/internal/gossip/seen.go
+++ b/internal/gossip/observations.go
@@ -10,11 +10,11 @@
 
 // Bounds of what a relay tells of members and zones.
 const (
-	sightsMost = 8 // of members, and of zones
-	// bookSpan is how long a count is kept at least, and twice that at most.
-	bookSpan = 5 * time.Second
-	// bookMost bounds the members and zones that are counted.
-	bookMost = 4096
+	maxObservations = 8 // of members, and of zones
+	// windowSpan is how long a count is kept at least, and twice that at most.
+	windowSpan = 5 * time.Second
+	// maxCounted bounds the members and zones that are counted.
+	maxCounted = 4096
 )
 
 // Outcome is how one attempt or probe went.
@@ -44,64 +44,64 @@
 
 // ObservationWindow counts what this relay sees. It does no I/O; the time is passed in.
 type ObservationWindow struct {
-	turned   time.Duration
-	new, old [2]map[string]*tally // zones and members
+	rotatedAt         time.Duration
+	current, previous [2]map[string]*outcomeCounts // zones and members
 }
 
-type tally struct {
-	n    [3]uint64
-	last time.Duration
+type outcomeCounts struct {
+	outcomes [3]uint64
+	last     time.Duration
 }
 
 // UserData counts one attempt or probe.
 func (b *ObservationWindow) Record(now time.Duration, member, zone string, how Outcome) {
-	b.turn(now)
+	b.rotate(now)
 	for i, name := range []string{zone, member} {
-		if b.new[i] == nil {
-			b.new[i] = map[string]*tally{}
+		if b.current[i] == nil {
+			b.current[i] = map[string]*outcomeCounts{}
 		}
-		t := b.new[i][name]
+		t := b.current[i][name]
 		if t == nil {
-			if len(b.new[i]) >= bookMost {
+			if len(b.current[i]) >= maxCounted {
 				continue
 			}
-			t = &tally{}
-			b.new[i][name] = t
+			t = &outcomeCounts{}
+			b.current[i][name] = t
 		}
-		t.n[how]++
+		t.outcomes[how]++
 		t.last = now
 	}
 }
 
-// turn forgets what is older than two spans.
-func (b *ObservationWindow) turn(now time.Duration) {
-	if now-b.turned < bookSpan {
+// rotate forgets what is older than two spans.
+func (b *ObservationWindow) rotate(now time.Duration) {
+	if now-b.rotatedAt < windowSpan {
 		return
 	}
-	if b.old, b.new = b.new, [2]map[string]*tally{}; now-b.turned >= 2*bookSpan {
-		b.old = b.new
+	if b.previous, b.current = b.current, [2]map[string]*outcomeCounts{}; now-b.rotatedAt >= 2*windowSpan {
+		b.previous = b.current
 	}
-	b.turned = now
+	b.rotatedAt = now
 }
 
 // Digest is what to tell by now.
 func (b *ObservationWindow) Digest(now time.Duration) (d Digest) {
-	b.turn(now)
+	b.rotate(now)
 	for i, to := range []*[]Observation{&d.Zones, &d.Members} {
 		sum := map[string]*Observation{}
-		for _, half := range []map[string]*tally{b.new[i], b.old[i]} {
+		for _, half := range []map[string]*outcomeCounts{b.current[i], b.previous[i]} {
 			for name, t := range half {
 				s := sum[name]
 				if s == nil {
 					s = &Observation{Name: name, AgeMS: uint64((now - t.last).Milliseconds())}
 					sum[name] = s
 				}
-				s.Successes, s.Failures, s.Timeouts = s.Successes+t.n[Success], s.Failures+t.n[Failure], s.Timeouts+t.n[Timeout]
+				s.Successes, s.Failures, s.Timeouts = s.Successes+t.outcomes[Success], s.Failures+t.outcomes[Failure], s.Timeouts+t.outcomes[Timeout]
 				s.AgeMS = min(s.AgeMS, uint64((now - t.last).Milliseconds()))
 			}
 		}
 		for _, s := range sum {
-			if i == 1 && s.Failures+s.Timeouts == 0 || len(s.Name) > nameMost {
+			if i == 1 && s.Failures+s.Timeouts == 0 || len(s.Name) > maxNameLen {
 				continue // of members only those that fail are told
 			}
 			*to = append(*to, *s)
@@ -109,7 +109,7 @@
 		slices.SortFunc(*to, func(x, y Observation) int {
 			return cmp.Or(cmp.Compare(y.Failures+y.Timeouts, x.Failures+x.Timeouts), cmp.Compare(x.Name, y.Name))
 		})
-		*to = (*to)[:min(len(*to), sightsMost)]
+		*to = (*to)[:min(len(*to), maxObservations)]
 	}
 	return d
 }
@@ -117,7 +117,7 @@
 func (d Digest) append(b []byte) []byte {
 	var one []byte
 	for i, all := range [][]Observation{d.Zones, d.Members} {
-		for _, s := range all[:min(len(all), sightsMost)] {
+		for _, s := range all[:min(len(all), maxObservations)] {
 			one = protowire.AppendString(protowire.AppendTag(one[:0], 1, protowire.BytesType), s.Name)
 			for n, v := range []uint64{s.Successes, s.Failures, s.Timeouts, s.AgeMS} {
 				one = protowire.AppendVarint(protowire.AppendTag(one, protowire.Number(n+2), protowire.VarintType), v)
@@ -130,7 +130,7 @@
 
 func decodeDigest(b []byte) (d Digest, err error) {
 	var inner error
-	_, err = fields(b, func(n protowire.Number, _ uint64, s []byte) bool {
+	_, err = decodeFields(b, func(n protowire.Number, _ uint64, s []byte) bool {
 		to := &d.Zones
 		if n == 2 {
 			to = &d.Members
@@ -139,7 +139,7 @@
 			return true // of a newer version
 		}
 		var one Observation
-		_, err := fields(s, func(n protowire.Number, v uint64, s []byte) bool {
+		_, err := decodeFields(s, func(n protowire.Number, v uint64, s []byte) bool {
 			switch n {
 			case 1:
 				one.Name = string(s)
@@ -154,7 +154,7 @@
 			}
 			return true
 		})
-		if err != nil || len(one.Name) > nameMost || len(*to) >= sightsMost {
+		if err != nil || len(one.Name) > maxNameLen || len(*to) >= maxObservations {
 			inner = ErrMalformed
 			return true
 		}
--- a/internal/gossip/seen_test.go
+++ b/internal/gossip/observations_test.go
@@ -19,7 +19,7 @@
 		b.Record(2*time.Second, name, fmt.Sprintf("z%d", i%3), Success)
 	}
 	d := b.Digest(3 * time.Second)
-	if len(d.Zones) != 3 || len(d.Members) != sightsMost || !reflect.DeepEqual(d.Members[0], Observation{"s99", 1, 0, 99, 1000}) {
+	if len(d.Zones) != 3 || len(d.Members) != maxObservations || !reflect.DeepEqual(d.Members[0], Observation{"s99", 1, 0, 99, 1000}) {
 		t.Errorf("%+v", d)
 	}
 	m := Message{Kind: Ping, Observed: d, Updates: []Update{{Name: "n1", Addr: "127.0.0.1:1", State: Alive}}}
@@ -28,13 +28,13 @@
 	if err != nil || fit != 1 || !reflect.DeepEqual(got.Observed, d) || len(text) > 600 {
 		t.Errorf("%v, %d fit in %d bytes, %+v", err, fit, len(text), got.Observed)
 	}
-	if d := b.Digest(7 * time.Second); len(d.Members) != sightsMost {
+	if d := b.Digest(7 * time.Second); len(d.Members) != maxObservations {
 		t.Error("forgotten too soon")
 	}
 	if d := b.Digest(20 * time.Second); len(d.Zones)+len(d.Members) != 0 {
 		t.Errorf("not forgotten: %+v", d)
 	}
-	long := Digest{Zones: make([]Observation, sightsMost+1)}
+	long := Digest{Zones: make([]Observation, maxObservations+1)}
 	all := append(long.Zones[:0:0], long.Zones...)
 	var raw []byte
 	for range 2 { // nine zones in two halves: more than may be told
