--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -24,7 +24,7 @@
 // orderedExit is the end of a relay that the fleet told to leave: whatever started it is to start it again.
 type orderedExit int
 
-func (e orderedExit) Error() string { return fmt.Sprintf("told to leave: exit status %d", int(e)) }
+func (e orderedExit) Error() string { return fmt.Sprintf("ordered to leave: exit status %d", int(e)) }
 
 // shutdownOrder is how far this relay is with an order to leave.
 type shutdownOrder struct {
@@ -49,15 +49,15 @@
 	r.trial, r.configDigests = newCanaryTrial(r), r.cfg.Sections()
 	var err error
 	r.fleet, err = fleet.Start(fleet.Options{Config: c, Name: r.cfg.Name, Zone: zone, Incarnation: r.peers.Incarnation(), Program: program,
-		ConfigDigest: r.cfg.Digest(), Keys: r.cfg.Peers.Keys(), SlowStartShare: set.Guarantees.ColdFrom, SlowStartDuration: settings.Span(set.Guarantees.Cold),
+		ConfigDigest: r.cfg.Digest(), Keys: r.cfg.Peers.Keys(), SlowStartShare: set.Guarantees.ColdFrom, SlowStartDuration: settings.Duration(set.Guarantees.Cold),
 		WallClock: steadyWall(), Log: r.log, Post: r.loop.Post, Observe: r.fleetStatus, ApplyDesired: r.applyOrders,
 		PauseCanary: r.pauseCanary})
 	if err != nil {
 		return err
 	}
 	// What was agreed while it was down is heard first: until then nothing new goes to a member, for finishCatchUp at most.
-	r.core.Doubt()
-	r.core.Expect(true)
+	r.core.PauseDispatch()
+	r.core.SetSyncing(true)
 	r.loop.After(catchUpTimeout, r.finishCatchUp)
 	return nil
 }
@@ -68,8 +68,8 @@
 func (r *relay) finishCatchUp() {
 	if !r.caughtUp {
 		r.caughtUp = true
-		r.core.Expect(false)
-		r.core.Sure()
+		r.core.SetSyncing(false)
+		r.core.ResumeDispatch()
 	}
 }
 
@@ -95,9 +95,9 @@
 func (r *relay) applyOrders(o fleet.DesiredState) {
 	version := o.RecordVersion
 	r.trial.applyOrders(o)
-	out := map[string]core.Leaving{}
+	out := map[string]core.Removal{}
 	for name, i := range o.Exclusions {
-		out[name] = core.Leaving{Over: time.Duration(i.MigrateOverMS) * time.Millisecond, Ban: i.Reason == rollout.CommandEject}
+		out[name] = core.Removal{SpreadOver: time.Duration(i.MigrateOverMS) * time.Millisecond, Ejection: i.Reason == rollout.CommandEject}
 	}
 	if o.MajorityConfirmed {
 		defer r.finishCatchUp()
@@ -106,12 +106,12 @@
 	if !slices.Equal(names, r.fleetEjected) {
 		r.log.WithFields(logrus.Fields{"out": names, "version": version}).Info("fleet: members that are out")
 	}
-	r.core.Agree(out)
+	r.core.SetFleetRemovals(out)
 	r.fleetEjected, r.recordVersion, r.permits = names, version, o.PermitsVersion
 	mine := o.Leave != nil && o.Leave.StartNumber >= r.peers.Incarnation() // else it was for the process before this one
 	switch {
 	case mine && r.shutdownOrder == nil:
-		r.log.WithFields(logrus.Fields{"release": o.Leave.Release, "number": o.Leave.Number}).Info("fleet: told to leave")
+		r.log.WithFields(logrus.Fields{"release": o.Leave.Release, "number": o.Leave.Number}).Info("fleet: ordered to leave")
 		r.shutdownOrder = &shutdownOrder{o.Leave.Number, r.loop.Now()}
 		r.applyDrainState()
 		r.exitWhenDrained()
@@ -141,7 +141,7 @@
 	r.loop.After(orderedDrainPoll, func() {
 		switch {
 		case r.shutdownOrder != l || r.stopping: // it may stay, or was told anew, or ends already
-		case r.core.Held() > 0 && r.loop.Now()-l.since < orderedDrainTimeout, r.loop.Now()-l.since < core.StopNotice:
+		case r.core.ActiveRequests() > 0 && r.loop.Now()-l.since < orderedDrainTimeout, r.loop.Now()-l.since < core.StopNotice:
 			r.exitWhenDrained()
 		default:
 			r.fleet.ConfirmLeave(l.number, func(stands, sound bool) {
--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -70,7 +70,7 @@
 	// means "long ago" to the decision module.
 	const zero = time.Hour
 	clock := func() time.Duration { return zero + time.Since(began) }
-	r := &relay{cfg: cfg, log: log, clock: clock, signals: caught, names: pool.MemberMapper{Settings: set, StartTimes: &pool.StartTimes{Clock: clock, WallClock: wallClock, MaxListingDelay: policy.Sane(set.Policy()).AskWithin}},
+	r := &relay{cfg: cfg, log: log, clock: clock, signals: caught, names: pool.MemberMapper{Settings: set, StartTimes: &pool.StartTimes{Clock: clock, WallClock: wallClock, MaxListingDelay: policy.Normalize(set.Policy()).MaxPollInterval}},
 		maxBufferBytes: int(cfg.Limits.MemoryMB * bufferMemoryFraction * (1 << 20))}
 	r.maxSockets = descriptorLimit(cfg) - reservedSockets - r.operatorDescriptors()
 	loop, err := netloop.New(clock, r.maxSockets)
@@ -83,7 +83,7 @@
 		loop.Close()
 		return errors.Join(err, r.closeStore())
 	}
-	loop.OnStall(r.core.Limits().AskWithin/suspensionFraction, r.afterSuspension)
+	loop.OnStall(r.core.PolicySettings().MaxPollInterval/suspensionFraction, r.afterSuspension)
 	if cfg.CountsMS > 0 {
 		r.logCounts(time.Duration(cfg.CountsMS*float64(time.Millisecond)), core.Counts{})
 	}
@@ -125,8 +125,8 @@
 		line := logrus.Fields{"at": math.Round(r.clock().Seconds()*1e3) / 1e3,
 			"requests": now.Requests - before.Requests, "served": now.Served - before.Served,
 			"rejected": now.Rejected - before.Rejected, "failed": now.Failed - before.Failed,
-			"left": now.Left - before.Left, "attempts": now.Attempts - before.Attempts,
-			"moves": now.Moves - before.Moves, "barred": now.Barred - before.Barred}
+			"left": now.ClientsGone - before.ClientsGone, "attempts": now.Attempts - before.Attempts,
+			"moves": now.Migrations - before.Migrations, "barred": now.Blocked - before.Blocked}
 		if r.peers != nil {
 			line["relays"], line["shared_by"] = r.peers.BudgetDivisor()
 		}
@@ -138,10 +138,10 @@
 // afterSuspension is told that this process stood still: what it knows of members is as old as that, and nothing new is sent by it until discovery has
 // said what has changed, or for as long as a change may take to be heeded anyway.
 func (r *relay) afterSuspension(gap time.Duration) {
-	r.log.WithField("gap", gap).Warn("this process stood still; members are asked for anew")
-	r.core.Doubt()
-	r.watch.Refresh(r.core.Sure)
-	r.loop.After(settings.Span(r.names.Settings.Guarantees.Grace), r.core.Sure)
+	r.log.WithField("gap", gap).Warn("this process was suspended; the endpoint list is polled again")
+	r.core.PauseDispatch()
+	r.watch.Refresh(r.core.ResumeDispatch)
+	r.loop.After(settings.Duration(r.names.Settings.Guarantees.Grace), r.core.ResumeDispatch)
 }
 
 // reload takes over what a configuration that was read again may change: where
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -12,20 +12,20 @@
 // ---- What fronts tell ----
 
 // Open takes a request. The final answer comes by v, perhaps at once.
-func (c *Core) Open(q Request, v VirtualServer) ID {
+func (c *Core) Open(q Request, v Downstream) ID {
 	now := c.Clock()
 	c.last++
-	r := &request{Request: q, id: c.last, v: v, deadline: now + q.Wait}
+	r := &request{Request: q, id: c.last, v: v, deadline: now + q.TimeLeft}
 	c.requests[r.id] = r
 	c.Counts.Requests++
 	switch {
 	case c.stopping:
 		c.answer(r, Rejected, stopAfter)
-	case c.Ledger != nil && !c.Ledger.Ready():
+	case c.Recorder != nil && !c.Recorder.Ready():
 		c.answer(r, Rejected, stopAfter)
-	case q.Wait <= 0:
+	case q.TimeLeft <= 0:
 		c.answer(r, Rejected, stopAfter)
-	case q.At != "":
+	case q.CurrentMember != "":
 		c.stand(now, r)
 	default:
 		c.alarm(r.deadline, r.id, -1)
@@ -36,7 +36,7 @@
 
 // stand sends a flow on to the member that already holds it.
 func (c *Core) stand(now time.Duration, r *request) {
-	m := c.byName[r.At]
+	m := c.byName[r.CurrentMember]
 	if m == nil {
 		c.answer(r, Failed, 0)
 		return
@@ -47,13 +47,13 @@
 	}
 	r.standing, r.sends = true, 1 // the module takes it for sent
 	c.alarm(r.deadline, r.id, -1)
-	c.start(now, r, m, r.Wait)
+	c.start(now, r, m, r.TimeLeft)
 	c.arm()
 }
 
 func (r *request) policy() policy.Request {
 	return policy.Request{ID: r.id, Class: r.Class, Tenant: r.Tenant, Key: r.Key, Group: r.Group,
-		Deadline: r.deadline, Load: r.Load, Again: r.Again}
+		Deadline: r.deadline, Load: r.Load, Reconnect: r.Reconnect}
 }
 
 // current is the request whose attempt of that number is out or open.
@@ -66,7 +66,7 @@
 
 // Up says that a server-side flow stands. It returns whether the client may be
 // told so.
-func (c *Core) Up(id ID, try int) bool {
+func (c *Core) FlowEstablished(id ID, try int) bool {
 	r := c.current(id, try)
 	if r == nil || !c.step(r, stands) {
 		return false
@@ -74,14 +74,14 @@
 	c.record(r, Served)
 	c.saw(r.member, policy.OK)
 	if !r.standing {
-		c.happens(r, r.member, Stood, c.Clock()-r.sent)
+		c.happens(r, r.member, FlowEstablished, c.Clock()-r.sent)
 	}
 	if r.standing {
-		c.tell(policy.Standing{Request: r.policy(), Server: r.member.ID})
+		c.tell(policy.ExistingFlow{Request: r.policy(), Server: r.member.ID})
 	} else {
-		c.tell(policy.Up{ID: id})
+		c.tell(policy.FlowEstablished{ID: id})
 	}
-	if !c.Welcomes() {
+	if !c.AcceptsClients() {
 		c.leaveAt(r, max(c.moveAt, c.Clock()+StopNotice/2))
 	}
 	c.quit(r)
@@ -89,17 +89,17 @@
 	return true
 }
 
-// Ended says how a server-side flow ended, before it stood or after. A flow
+// AttemptEnded says how a server-side flow ended, before it stood or after. A flow
 // served to its end has its final answer by that.
-func (c *Core) Ended(id ID, try int, result policy.Result, report policy.Report) {
+func (c *Core) AttemptEnded(id ID, try int, result policy.Result, report policy.Report) {
 	if r := c.current(id, try); r != nil {
 		c.end(r, result, report)
 	}
 }
 
-// Left says that the client of a request went away. It returns whether a client that still listens may be told that
+// ClientGone says that the client of a request went away. It returns whether a client that still listens may be told that
 // coming again is harmless.
-func (c *Core) Left(id ID) (harmless bool) {
+func (c *Core) ClientGone(id ID) (harmless bool) {
 	r := c.requests[id]
 	if r == nil {
 		return false
@@ -108,9 +108,9 @@
 	harmless = c.harmless(r)
 	c.step(r, left)
 	if !was.final() {
-		c.record(r, Lost)
+		c.record(r, ClientGone)
 		if !r.standing {
-			c.tell(policy.Left{ID: id})
+			c.tell(policy.ClientGone{ID: id})
 		}
 	}
 	c.abandon(r, was)
@@ -129,7 +129,7 @@
 	r.tries++
 	c.Counts.Attempts++
 	if m.banned && now-m.told > c.grace {
-		c.Counts.Astray++ // the gate lets none pass: this counts what it did, not what it meant
+		c.Counts.SentAfterGrace++ // the gate lets none pass: this counts what it did, not what it meant
 	}
 	r.v.Send(r.id, &m.Member, r.tries-1, wait)
 }
@@ -174,13 +174,13 @@
 	if what, ok := ends[ending{was == serving, result}]; ok {
 		c.happens(r, m, what, c.Clock()-r.sent)
 	}
-	if c.Ledger != nil {
-		c.Ledger.Attempt(&r.Request, r.id, try, m.Name, r.sent, c.Clock(), result)
+	if c.Recorder != nil {
+		c.Recorder.RecordAttempt(&r.Request, r.id, try, m.Name, r.sent, c.Clock(), result)
 	}
 	if r.standing && was != serving { // the module has not heard of it
 		return
 	}
-	c.tell(policy.End{ID: r.id, Try: r.sends - 1, Server: m.ID, Result: result, Closed: r.state.final(), Report: report})
+	c.tell(policy.AttemptEnded{ID: r.id, Attempt: r.sends - 1, Server: m.ID, Result: result, Final: r.state.final(), Report: report})
 }
 
 // saw counts how an attempt or a probe went. A client that leaves says nothing of the member.
@@ -191,8 +191,8 @@
 	case policy.Error, policy.Reset, policy.ConnectFailed, policy.Timeout:
 		m.bad++
 	}
-	if c.Saw != nil {
-		c.Saw(&m.Member, result)
+	if c.OnResult != nil {
+		c.OnResult(&m.Member, result)
 	}
 }
 
@@ -200,7 +200,7 @@
 
 // giveUp answers a request without the module's word, and tells it so.
 func (c *Core) giveUp(r *request) {
-	c.tell(policy.Left{ID: r.id})
+	c.tell(policy.ClientGone{ID: r.id})
 	c.refuse(r, stopAfter)
 }
 
@@ -213,9 +213,9 @@
 	}
 }
 
-// Advice is how soon a rejected client is told to come again that should do so after some time: no later than clients
+// RetryAfter is how soon a rejected client is told to come again that should do so after some time: no later than clients
 // heed, and 0, which is no advice, where the settings have none.
-func (c *Core) Advice(after time.Duration) time.Duration {
+func (c *Core) RetryAfter(after time.Duration) time.Duration {
 	if advised := c.Settings.Limits.RetryAfter; advised != nil && !*advised {
 		return 0
 	}
@@ -231,11 +231,11 @@
 	c.abandon(r, was)
 	c.record(r, a)
 	if a == Rejected {
-		after = c.Advice(after)
-		c.Counts.Away += after
+		after = c.RetryAfter(after)
+		c.Counts.BackoffTime += after
 		r.v.Reject(after)
 	} else {
-		c.Counts.Away += r.Wait
+		c.Counts.BackoffTime += r.TimeLeft
 		r.v.Fail()
 	}
 }
@@ -249,11 +249,11 @@
 		c.Counts.Rejected++
 	case Failed:
 		c.Counts.Failed++
-	case Lost:
-		c.Counts.Left++
+	case ClientGone:
+		c.Counts.ClientsGone++
 	}
-	if c.Ledger != nil {
-		c.Ledger.Answer(&r.Request, r.id, c.Clock(), a, r.tries)
+	if c.Recorder != nil {
+		c.Recorder.RecordAnswer(&r.Request, r.id, c.Clock(), a, r.tries)
 	}
 }
 
@@ -262,7 +262,7 @@
 	if !c.step(r, moved) {
 		return
 	}
-	c.Counts.Moves++
-	r.v.Move()
+	c.Counts.Migrations++
+	r.v.Migrate()
 	c.release(r, serving, policy.Cancelled, policy.NoReport)
 }
--- a/internal/front/line/early_test.go
+++ b/internal/front/line/early_data_test.go
@@ -7,24 +7,24 @@
 	"dahliarudder/policy"
 )
 
-// TestSendsMuchAndGoes: a client that sends more than its line while its request is held, and goes, takes the request
+// TestEarlyDataThenClose: a client that sends more than its line while its request is held, and goes, takes the request
 // with it.
-func TestSendsMuchAndGoes(t *testing.T) {
+func TestEarlyDataThenClose(t *testing.T) {
 	g := newRig(t, 1)
-	g.list(0, policy.Draining)
-	c := g.ask(firstLine)
+	g.setMemberState(0, policy.Draining)
+	c := g.sendRequest(firstLine)
 	c.Send(string(bytes.Repeat([]byte("more\r\n"), 4<<10)))
 	c.CloseWrite()
-	g.WaitFor("the client's end", func() bool { return len(g.f.ids) == 0 })
-	g.list(0, policy.Ready)
-	g.gone()
+	g.WaitFor("the client's end", func() bool { return len(g.f.requests) == 0 })
+	g.setMemberState(0, policy.Ready)
+	g.expectReleased()
 }
 
-// TestSendsMoreThanIsKept: one that sends more than the relay keeps while it waits loses nothing of it once its flow is
+// TestEarlyDataOverLimit: one that sends more than the relay keeps while it waits loses nothing of it once its flow is
 // open, and is held back until then.
-func TestSendsMoreThanIsKept(t *testing.T) {
+func TestEarlyDataOverLimit(t *testing.T) {
 	g := newRig(t, 1)
-	c := g.ask(firstLine)
+	c := g.sendRequest(firstLine)
 	m := g.attempt(0)
 	early := bytes.Repeat([]byte("more\r\n"), 32<<10)
 	c.Send(string(early))
@@ -39,11 +39,11 @@
 	}
 }
 
-// TestSendsEarly: what a client sends while it waits goes to the member that is up, after the first line, all of it
+// TestEarlyDataForwarded: what a client sends while it waits goes to the member that is up, after the first line, all of it
 // and in order.
-func TestSendsEarly(t *testing.T) {
+func TestEarlyDataForwarded(t *testing.T) {
 	g := newRig(t, 2)
-	c := g.ask(firstLine)
+	c := g.sendRequest(firstLine)
 	at, m := g.anyAttempt()
 	early := bytes.Repeat([]byte("more\r\n"), 5<<10)
 	c.Send(string(early))
--- a/internal/front/line/stop_test.go
+++ b/internal/front/line/shutdown_test.go
@@ -8,16 +8,16 @@
 	"dahliarudder/internal/netloop/looptest"
 )
 
-// TestLeftWhileDialling: a member that has left while the connection to it was on its way gets no line on it, and
+// TestMemberLeftWhileDialing: a member that has left while the connection to it was on its way gets no line on it, and
 // the request goes to another one.
-func TestLeftWhileDialling(t *testing.T) {
+func TestMemberLeftWhileDialing(t *testing.T) {
 	r := looptest.NewRelay(t, 2)
 	f := New(r.Loop, r.Core, r.Log)
 	c := r.Dial(r.Serve(f.Accept))
 	c.Send(firstLine + "\r\n")
 	r.WaitFor("an attempt", func() bool { return r.Core.Counts.Attempts == 1 })
 	first := 0
-	if r.Core.Flows(r.Members[1].ID) == 1 {
+	if r.Core.FlowCount(r.Members[1].ID) == 1 {
 		first = 1
 	}
 	r.Drain(first) // before the loop's next round, in which the connection stands
@@ -36,19 +36,19 @@
 	}
 }
 
-// TestHeldWhileMoving: a client whose move waits for the end of a line is held until it has got MOVE, so that a stop
+// TestOpenWhileMigrating: a client whose move waits for the end of a line is held until it has got MOVE, so that a stop
 // does not end before.
-func TestHeldWhileMoving(t *testing.T) {
+func TestOpenWhileMigrating(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	f := New(r.Loop, r.Core, r.Log)
-	c, m := askedOf(r, f)
+	c, m := sendOpenTo(r, f)
 	m.Send("UP x\r\nhalf a ")
 	c.ExpectLines("UP x")
 	r.WaitFor("half a line", func() bool { c.Poll(); return string(c.Received) == "half a " })
 	r.Core.Stop()
-	r.Core.Finish()
-	if r.Core.Held() != 0 || f.OpenRequests() != 1 {
-		t.Fatalf("the core holds %d, the front %d", r.Core.Held(), f.OpenRequests())
+	r.Core.FinishStop()
+	if r.Core.ActiveRequests() != 0 || f.OpenRequests() != 1 {
+		t.Fatalf("the core holds %d, the front %d", r.Core.ActiveRequests(), f.OpenRequests())
 	}
 	m.Send("line\r\n")
 	c.ExpectLines("half a line", "MOVE")
@@ -67,7 +67,7 @@
 	resting, asking := r.Dial(at), r.Dial(at)
 	resting.Send("PING\r\n")
 	resting.Expect("PONG\r\n")
-	r.WaitFor("both", func() bool { return len(f.fresh) == 2 })
+	r.WaitFor("both", func() bool { return len(f.idle) == 2 })
 	r.Core.Stop()
 	asking.Send(firstLine + "\r\n")
 	f.CloseIdle()
@@ -75,22 +75,22 @@
 		c.Expect("BUSY 500\r\n")
 		c.ExpectEOF()
 	}
-	if r.Core.Counts.Attempts != 0 || len(f.fresh) != 0 {
-		t.Errorf("%d attempts, %d fresh", r.Core.Counts.Attempts, len(f.fresh))
+	if r.Core.Counts.Attempts != 0 || len(f.idle) != 0 {
+		t.Errorf("%d attempts, %d fresh", r.Core.Counts.Attempts, len(f.idle))
 	}
 }
 
-// TestGoneWithUnread: a client that has sent more than is kept, and has gone, is noticed, and its attempt given up.
-func TestGoneWithUnread(t *testing.T) {
+// TestClientGoneUndelivered: a client that has sent more than is kept, and has gone, is noticed, and its attempt given up.
+func TestClientGoneUndelivered(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	f := New(r.Loop, r.Core, r.Log)
 	c := r.Dial(r.Serve(f.Accept))
 	c.Send(firstLine + "\r\n" + strings.Repeat("x", 2*netloop.DefaultReadLimit))
 	c.CloseWrite()
 	_, m := r.AcceptAny(0)
-	r.WaitFor("the client's end", func() bool { return r.Core.Counts.Left == 1 })
+	r.WaitFor("the client's end", func() bool { return r.Core.Counts.ClientsGone == 1 })
 	r.WaitFor("the attempt's end", func() bool { m.Poll(); return m.EndErr != nil })
-	if f.OpenRequests() != 0 || r.Core.Held() != 0 {
-		t.Errorf("the front holds %d, the core %d", f.OpenRequests(), r.Core.Held())
+	if f.OpenRequests() != 0 || r.Core.ActiveRequests() != 0 {
+		t.Errorf("the front holds %d, the core %d", f.OpenRequests(), r.Core.ActiveRequests())
 	}
 }
--- a/internal/scenariorunner/clients.go
+++ b/internal/scenariorunner/clients.go
@@ -149,7 +149,7 @@
 			} else if retry {
 				f.line += ",r=1"
 			}
-			f.patience, f.effect = settings.Span(class.Deadline), effectOf(r.set.Policy().Classes[s.Class])
+			f.patience, f.effect = settings.Duration(class.Deadline), effectOf(r.set.Policy().Classes[s.Class])
 			f.leaves = r.leaving(rng, f.patience)
 			how, busy := f.open(ctx)
 			r.with(func(at time.Duration) {
@@ -404,11 +404,11 @@
 
 // effectOf is what the judge is told of a class.
 func effectOf(class policy.Class) scenario.Effect {
-	switch class.Effect {
-	case policy.Unsafe:
+	switch class.Idempotency {
+	case policy.NonIdempotent:
 		return scenario.Effect{Kind: scenario.NonIdempotent}
-	case policy.Keyed:
-		return scenario.Effect{Kind: scenario.IdempotencyKeyed, Window: class.Window}
+	case policy.IdempotencyKey:
+		return scenario.Effect{Kind: scenario.IdempotencyKeyed, Window: class.DedupWindow}
 	}
 	return scenario.Effect{}
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -13,10 +13,10 @@
 func (p *proxy) Send(id policy.RequestID, server policy.ServerID, timeout time.Duration) {
 	fmt.Printf("connect client %d to server %d within %v\n", id, server, timeout)
 }
-func (p *proxy) Refuse(id policy.RequestID, _ time.Duration) { fmt.Printf("refuse client %d\n", id) }
+func (p *proxy) Reject(id policy.RequestID, _ time.Duration) { fmt.Printf("refuse client %d\n", id) }
 func (p *proxy) Fail(id policy.RequestID)                    { fmt.Printf("fail client %d\n", id) }
 func (p *proxy) Cancel(id policy.RequestID, try int)         { fmt.Printf("give up try %d of %d\n", try, id) }
-func (p *proxy) Move(id policy.RequestID)                    { fmt.Printf("ask client %d to reconnect\n", id) }
+func (p *proxy) Migrate(id policy.RequestID)                 { fmt.Printf("ask client %d to reconnect\n", id) }
 func (p *proxy) Probe(server policy.ServerID)                { p.probes = append(p.probes, server) }
 func (p *proxy) Timer(time.Duration, uint64)                 {} // a real proxy calls Timer with the token then
 func (p *proxy) Watch()                                      {} // a real proxy subscribes to the server list
@@ -25,18 +25,18 @@
 	p := &proxy{}
 	b := policy.New(policy.Settings{
 		Balancers: 2, Zones: 1, MaxAttempts: 3, CanProbe: true, Reports: policy.ReportsOnProbe,
-		Classes: []policy.Class{{Aim: 500 * time.Millisecond, Deadline: 2 * time.Second}},
+		Classes: []policy.Class{{LatencyObjective: 500 * time.Millisecond, Deadline: 2 * time.Second}},
 		Tenants: []policy.Tenant{{Share: 0.7}, {Share: 0.3}},
 	}, 1, p)
 	b.Start()
 	now := time.Hour // any monotonic clock
-	b.Members(now, policy.ListFull, []policy.Server{{ID: 1, State: policy.Ready, Weight: 1}})
+	b.UpdateServers(now, policy.ListFull, []policy.Server{{ID: 1, State: policy.Ready, Weight: 1}})
 	b.Request(now, policy.Request{ID: 42, Tenant: 1, Deadline: now + 2*time.Second})
 	for _, server := range p.probes { // the proxy asks the servers and hands in what they say
-		b.Probed(now, server, policy.OK, policy.Report{Connections: 3, Load: 0.4, Util: -1})
+		b.ProbeResult(now, server, policy.OK, policy.Report{Connections: 3, Load: 0.4, Util: -1})
 	}
-	b.First(now+20*time.Millisecond, 42)
-	b.Outcome(now+time.Minute, policy.Outcome{ID: 42, Server: 1, Result: policy.Cancelled, Closed: true,
+	b.Established(now+20*time.Millisecond, 42)
+	b.AttemptEnded(now+time.Minute, policy.Outcome{ID: 42, Server: 1, Result: policy.Cancelled, Final: true,
 		Report: policy.NoReport})
 	// Output: connect client 42 to server 1 within 1.2s
 }
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -7,8 +7,8 @@
 
 // This file is how attempts end, and what falls due.
 
-// First says that a connection stands.
-func (b *Balancer) First(now time.Duration, id RequestID) {
+// Established says that a connection stands.
+func (b *Balancer) Established(now time.Duration, id RequestID) {
 	if r := b.requests[id]; r != nil && r.open {
 		r.established, r.done = true, true
 		b.good(r.at)
@@ -18,13 +18,13 @@
 	}
 }
 
-// Outcome ends an attempt, before the connection stood or after.
-func (b *Balancer) Outcome(now time.Duration, o Outcome) {
+// AttemptEnded ends an attempt, before the connection stood or after.
+func (b *Balancer) AttemptEnded(now time.Duration, o Outcome) {
 	if s := b.byID[o.Server]; s != nil {
 		b.take(now, s, o.Report)
 	}
 	r := b.requests[o.ID]
-	if r == nil || o.Try != r.tries-1 || r.at == nil {
+	if r == nil || o.Attempt != r.tries-1 || r.at == nil {
 		return
 	}
 	s := r.at
@@ -41,8 +41,8 @@
 		pause := float64(b.horizon) * math.Exp2(float64(min(s.fulls-1, backOffMost)))
 		s.until = now + time.Duration(pause*(0.5+b.rng.Float64()))
 	}
-	r.done = r.done || o.Closed
-	r.ran = r.ran || o.Result != Full && o.Result != ConnectFailed && o.Result != Moot
+	r.done = r.done || o.Final
+	r.ran = r.ran || o.Result != Full && o.Result != ConnectFailed && o.Result != NotSent
 	if r.done {
 		b.forget(r)
 		return
@@ -56,7 +56,7 @@
 		if b.widely() {
 			b.daring = max(b.daring*retreat, daringLeast)
 		}
-		pause := float64(b.set.Classes[r.Class].Aim) / 4 * math.Exp2(float64(r.tries)) * (0.5 + b.rng.Float64())
+		pause := float64(b.set.Classes[r.Class].LatencyObjective) / 4 * math.Exp2(float64(r.tries)) * (0.5 + b.rng.Float64())
 		b.wait(r, time.Duration(pause))
 		return
 	}
@@ -74,8 +74,8 @@
 	return 2*failing > len(b.servers)
 }
 
-// Ended says that the client left or that the request is over.
-func (b *Balancer) Ended(now time.Duration, id RequestID) {
+// RequestEnded says that the client left or that the request is over.
+func (b *Balancer) RequestEnded(now time.Duration, id RequestID) {
 	if r := b.requests[id]; r != nil {
 		r.done = true
 		b.forget(r)
