--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -21,24 +21,26 @@
 	"dahliarudder/internal/settings"
 )
 
-// orderedExit is the end of a relay that the fleet told to leave: whatever started it is to start it again.
+// orderedExit is the error of a relay that ends by an order of the fleet: its exit status asks the supervisor to start it again.
 type orderedExit int
 
 func (e orderedExit) Error() string { return fmt.Sprintf("ordered to leave: exit status %d", int(e)) }
 
-// shutdownOrder is how far this relay is with an order to leave.
+// shutdownOrder is an order of the fleet to leave, and since when this relay follows it.
 type shutdownOrder struct {
 	number uint64
 	since  time.Duration
 }
 
-// orderedDrainTimeout is when a relay that was told to leave ends although some flow is left: its drain takes three seconds, and a stop moves the rest.
+// orderedDrainTimeout is how long a relay that was ordered to leave waits for its last flows: its drain takes three seconds, and the
+// shutdown migrates the rest.
 const orderedDrainTimeout = 4 * time.Second
 
-// orderedDrainPoll is how often it looks whether it may end.
+// orderedDrainPoll is how often it checks whether it may end.
 const orderedDrainPoll = 100 * time.Millisecond
 
-// startFleet begins to agree with the other relays.
+// startFleet starts the fleet record. Until the record has caught up nothing is dispatched, for catchUpTimeout at most: a member may
+// have been ejected while this relay was down.
 func (r *relay) startFleet(c fleet.Config) error {
 	set := r.names.Settings
 	program := cmp.Or(c.Program, version+"-"+fileDigest(os.Executable))
@@ -55,14 +57,13 @@
 	if err != nil {
 		return err
 	}
-	// What was agreed while it was down is heard first: until then nothing new goes to a member, for finishCatchUp at most.
 	r.core.PauseDispatch()
 	r.core.SetSyncing(true)
 	r.loop.After(catchUpTimeout, r.finishCatchUp)
 	return nil
 }
 
-// finishCatchUp is how long a relay that starts waits for the record: an election takes two seconds at most, and without a majority it serves.
+// catchUpTimeout is how long a start waits for the record: an election takes two seconds at most, and without a majority the relay serves.
 const catchUpTimeout = 2 * time.Second
 
 func (r *relay) finishCatchUp() {
@@ -73,7 +74,7 @@
 	}
 }
 
-// fileDigest is the beginning of the digest of a file, "unknown" if it cannot be read.
+// fileDigest is a prefix of the SHA-256 of a file in hexadecimal, "unknown" if it cannot be read.
 func fileDigest(path func() (string, error)) string {
 	name, err := path()
 	if err != nil {
@@ -91,7 +92,7 @@
 	return hex.EncodeToString(h.Sum(nil)[:4])
 }
 
-// applyOrders does what was agreed.
+// applyOrders applies the state that the fleet record wants of this relay.
 func (r *relay) applyOrders(o fleet.DesiredState) {
 	version := o.RecordVersion
 	r.trial.applyOrders(o)
@@ -124,30 +125,31 @@
 	if o.Quarantine != nil && o.Quarantine.StartNumber >= r.peers.Incarnation() {
 		shut = o.Quarantine.Number
 	}
-	if shut != r.closeOrder && !r.stopping {
+	if shut != r.quarantineOrder && !r.stopping {
 		if shut != 0 {
 			r.log.WithFields(logrus.Fields{"number": shut, "why": o.Quarantine.Reason}).Warn("fleet: shut")
 		} else {
 			r.log.Info("fleet: admitted")
 		}
-		r.closeOrder = shut
+		r.quarantineOrder = shut
 		r.applyDrainState()
 	}
 }
 
-// exitWhenDrained ends this relay once its clients are moved, and a majority says that the order stands. Without a majority it stays drained.
+// exitWhenDrained ends this relay once its clients have migrated and a majority confirms that the order still stands. Without a
+// majority it stays drained.
 func (r *relay) exitWhenDrained() {
 	l := r.shutdownOrder
 	r.loop.After(orderedDrainPoll, func() {
 		switch {
-		case r.shutdownOrder != l || r.stopping: // it may stay, or was told anew, or ends already
+		case r.shutdownOrder != l || r.stopping: // the order was revoked or replaced, or it ends already
 		case r.core.ActiveRequests() > 0 && r.loop.Now()-l.since < orderedDrainTimeout, r.loop.Now()-l.since < core.StopNotice:
 			r.exitWhenDrained()
 		default:
-			r.fleet.ConfirmLeave(l.number, func(stands, sound bool) {
+			r.fleet.ConfirmLeave(l.number, func(stands, confirmed bool) {
 				switch {
 				case r.shutdownOrder != l || r.stopping:
-				case !stands || !sound:
+				case !stands || !confirmed:
 					r.exitWhenDrained()
 				default:
 					r.exitOrdered = true
@@ -158,12 +160,12 @@
 	})
 }
 
-// ejectFleetWide has a member taken out, or put back, at all relays. Without a majority it holds at this relay alone, and is shown as drift
-// when the majority is back.
+// ejectFleetWide ejects a member at all relays, or restores it. Without a majority the ejection holds at this relay alone, and shows as
+// drift once the majority is back.
 func (r *relay) ejectFleetWide(member string, out bool, done func(error)) {
 	r.fleet.SetEjected(member, out, func(err error) {
 		switch {
-		case err == nil && out: // agreed: a word of this relay's own would outlive it
+		case err == nil && out: // agreed: an ejection of this relay's own would outlive it
 			done(nil)
 		case err == nil:
 			r.applyEjections(member, false, done)
--- a/cmd/dahliarudder/fleet_status.go
+++ b/cmd/dahliarudder/fleet_status.go
@@ -9,9 +9,10 @@
 	"dahliarudder/policy"
 )
 
+// stateNames are the names of discovery's states in the fleet record's status.
 var stateNames = map[policy.ServerState]string{policy.Ready: "ready", policy.Draining: "draining", policy.Gone: "gone"}
 
-// fleetStatus is what this relay does now.
+// fleetStatus is the state of this relay that the fleet record compares with the agreed one.
 func (r *relay) fleetStatus() fleet.ObservedState {
 	set, n := r.names.Settings, r.core.Counts
 	list, _ := r.watch.Snapshot()
@@ -21,7 +22,7 @@
 	}
 	r.statusAt = now
 	l := fleet.ObservedState{Phase: "serving", Flows: r.core.ActiveRequests(), DemandMS: uint64((r.flowTime + n.BackoffTime).Milliseconds()), ServedMS: uint64(r.flowTime.Milliseconds()), MisroutedFlows: uint64(n.SentAfterGrace),
-		LocalEjections: r.core.Ejected(), AppliedExclusions: r.fleetEjected, AppliedVersion: r.recordVersion, ListGeneration: list.Generation, ConfigSections: r.configDigests, PermitsVersion: r.permits, QuarantineOrder: r.closeOrder}
+		LocalEjections: r.core.Ejected(), AppliedExclusions: r.fleetEjected, AppliedVersion: r.recordVersion, ListGeneration: list.Generation, ConfigSections: r.configDigests, PermitsVersion: r.permits, QuarantineOrder: r.quarantineOrder}
 	if r.reloadError != "" {
 		l.RejectedItems = map[string]string{drift.ItemConfig + ".settings": r.reloadError}
 	}
@@ -30,7 +31,7 @@
 		l.Phase = "leaving"
 	case !r.accepting || !r.core.HasUsableMember() || !r.caughtUp:
 		l.Phase = "starting"
-	case r.closeOrder != 0:
+	case r.quarantineOrder != 0:
 		l.Phase = "shut"
 	case !r.core.AcceptsClients():
 		l.Phase = "draining"
--- a/cmd/dahliarudder/gossip.go
+++ b/cmd/dahliarudder/gossip.go
@@ -10,34 +10,32 @@
 	"dahliarudder/policy"
 )
 
-// This file is how this relay knows the others.
-
-// outcomeOfResult are the results that say something of a member: a client that leaves says nothing.
+// outcomeOfResult maps the results of attempts that tell something of a member: a client that leaves tells nothing.
 var outcomeOfResult = map[policy.Result]gossip.Outcome{policy.OK: gossip.Success, policy.Full: gossip.Success, policy.Error: gossip.Failure, policy.Reset: gossip.Failure,
 	policy.ConnectFailed: gossip.Failure, policy.Timeout: gossip.Timeout}
 
-// startGossip begins to know the other relays.
+// startGossip joins the gossip with the other relays.
 func (r *relay) startGossip(p config.Peers) {
 	set := r.names.Settings
 	zone := ""
 	if set.Zone >= 0 && set.Zone < len(set.Zones) {
 		zone = string(set.Zones[set.Zone])
 	}
-	book := &gossip.ObservationWindow{}
+	observations := &gossip.ObservationWindow{}
 	r.core.OnResult = func(m *core.Member, result policy.Result) {
-		if how, ok := outcomeOfResult[result]; ok {
-			in := ""
+		if outcome, ok := outcomeOfResult[result]; ok {
+			zone := ""
 			if m.Zone < len(set.Zones) {
-				in = string(set.Zones[m.Zone])
+				zone = string(set.Zones[m.Zone])
 			}
-			book.Record(r.clock(), m.Name, in, how)
+			observations.Record(r.clock(), m.Name, zone, outcome)
 		}
 	}
 	known := p.Known
-	if r.recovery != nil { // those that it knew: all that are configured may be down
+	if r.recovery != nil { // from the snapshot: all configured ones may be down
 		known = append(slices.Clone(known), r.recovery.peers...)
 	}
-	r.peers = gossiptransport.New(gossiptransport.Options{Observations: func() gossip.Digest { return book.Digest(r.clock()) }, Loop: r.loop, Log: r.log, Name: r.cfg.Name, Zone: zone, Listen: p.Listen, Address: p.Address,
+	r.peers = gossiptransport.New(gossiptransport.Options{Observations: func() gossip.Digest { return observations.Digest(r.clock()) }, Loop: r.loop, Log: r.log, Name: r.cfg.Name, Zone: zone, Listen: p.Listen, Address: p.Address,
 		Seeds: known, AddressOverrides: p.Reach, Keys: p.Keys(), Configured: max(set.Balancers, 1), Seed: r.cfg.SeedNumber(), WallClock: wallClock,
 		OnDivisorChange: r.core.SetActiveRelays, OnUserData: func(_ string, note []byte) { r.trial.onNotices(note) }, OnStaleList: func() {
 			r.log.Warn("other relays hold a newer list; the endpoint list is polled again")
@@ -56,7 +54,7 @@
 		}})
 }
 
-// Peers is what is known of the other relays, as JSON; empty where peers are not set up.
+// Peers is the gossip state as JSON; empty where gossip is off.
 func (r *relay) Peers() string {
 	if r.peers == nil {
 		return ""
--- a/cmd/dahliarudder/operator.go
+++ b/cmd/dahliarudder/operator.go
@@ -7,9 +7,8 @@
 	"dahliarudder/internal/handover"
 )
 
-// This file is what operators tell this relay at its second address.
-
-// restoreEjections takes over the bans that an earlier process has kept.
+// restoreEjections applies the ejections that an earlier process has stored, and starts the goroutine that writes them. That one is not
+// waited for at the end: a slow disk must not delay a shutdown, and the file is replaced atomically.
 func (r *relay) restoreEjections() error {
 	dir, err := ejections.Dir(r.cfg.Name)
 	if err != nil {
@@ -17,14 +16,14 @@
 	}
 	r.stateDir, r.ejections, r.ejectionWrites = dir, &ejections.File{Dir: dir}, make(chan func(), maxEjectionWrites)
 	go func() {
-		for word := range r.ejectionWrites {
-			word()
+		for write := range r.ejectionWrites {
+			write()
 		}
 	}()
 	if err := r.joinPredecessor(dir); err != nil {
 		return err
 	}
-	// Only now: the older process, if there is one, tells of what changes from here on.
+	// Only now: the older process, if there is one, sends what changes from here on.
 	names, err := r.ejections.Read()
 	if err != nil {
 		r.log.WithError(err).Error("no ejection is in force")
@@ -36,15 +35,14 @@
 	return nil
 }
 
-// Ready says whether clients can be served: every listener is up, and the pool has
-// a member to send to.
+// Ready reports whether clients can be served: every listener is up, and there is a
+// usable member.
 func (r *relay) Ready() bool { return r.accepting && r.core.HasUsableMember() }
 
-// IsKnownMember says whether operators may speak of a member by that name.
+// Known reports whether there is a member of that name.
 func (r *relay) Known(member string) bool { return r.core.IsKnownMember(member) }
 
-// SetEjected keeps an operator's call off the loop, so that a slow disk does not hold it
-// up, and then follows it.
+// SetEjected ejects a member or restores it, at all relays if there is a fleet.
 func (r *relay) SetEjected(member string, out bool, done func(error)) {
 	if r.fleet != nil {
 		r.ejectFleetWide(member, out, done)
@@ -53,16 +51,19 @@
 	r.applyEjections(member, out, done)
 }
 
-// applyEjections writes a ban, if member names one, and then does as the file says, which
-// another process of this relay may have written too.
+// errTooManyCalls: the disk does not keep up with the operators' calls.
+var errTooManyCalls = errors.New("too many calls are waiting")
+
+// applyEjections writes an ejection, if member names one, and then applies the file, which the sibling process may have
+// written too. It does so off the loop, which a slow disk must not block.
 func (r *relay) applyEjections(member string, out bool, done func(error)) {
-	word := func() {
+	write := func() {
 		var err error
 		if member != "" {
 			err = r.ejections.Set(member, out)
 		}
-		names, unread := r.ejections.Read()
-		err = errors.Join(err, unread)
+		names, readErr := r.ejections.Read()
+		err = errors.Join(err, readErr)
 		r.loop.Post(func() {
 			if err == nil {
 				r.core.SetEjections(names)
@@ -74,22 +75,22 @@
 		})
 	}
 	select {
-	case r.ejectionWrites <- word:
+	case r.ejectionWrites <- write:
 	default:
-		done(errors.New("too many calls are waiting"))
+		done(errTooManyCalls)
 	}
 }
 
-// Drain empties the relay.
+// Drain drains the relay: its clients migrate, and new ones are rejected.
 func (r *relay) Drain() { r.drainedByOperator = true; r.applyDrainState() }
 
-// Resume ends that. What the fleet has ordered holds on.
+// Resume ends the operator's drain; one that the fleet has ordered goes on.
 func (r *relay) Resume() { r.drainedByOperator = false; r.applyDrainState() }
 
-// applyDrainState drains or resumes both processes of the relay. An operator, an order to leave and one for drift each keep it drained, so that the end of one
-// does not end another.
+// applyDrainState drains or resumes both processes of the relay. An operator, an order to leave and a quarantine each keep it drained, so
+// that the end of one does not end another.
 func (r *relay) applyDrainState() {
-	drain := r.drainedByOperator || r.shutdownOrder != nil || r.closeOrder != 0
+	drain := r.drainedByOperator || r.shutdownOrder != nil || r.quarantineOrder != 0
 	r.setDraining(drain)
 	r.sendMessage(handover.Message{Drain: &drain})
 }
--- a/cmd/dahliarudder/relay.go
+++ b/cmd/dahliarudder/relay.go
@@ -18,7 +18,8 @@
 	"dahliarudder/internal/store"
 )
 
-// relay is what serve puts together.
+// relay is one process of the relay: it owns the loop and all that runs on it. Its fields belong to the loop; what runs on another
+// goroutine posts to it. The resources are closed in serve and closeAndExit.
 type relay struct {
 	cfg               *config.Config
 	signals           *signals
@@ -28,40 +29,40 @@
 	names             pool.MemberMapper
 	watch             *pool.Watcher
 	core              *core.Core
-	coreTimer         *netloop.Timer           // when the core is due
+	coreTimer         *netloop.Timer           // until the core's next Tick
 	natsFront         *nats.Front              // nil if it is off
 	store             *store.Store             // nil if it is off
 	peers             *gossiptransport.Service // nil if it is off
 	recovery          *recoveryReport          // nil if no state is kept
-	fleet             *fleet.Service           // nil if nothing is agreed with others
-	recordVersion     uint64                   // the version of the fleet's record that this relay goes by
-	fleetEjected      []string                 // the members that are out by it
-	flowTime          time.Duration            // of all flows together, as looked at
-	statusAt          time.Duration            // when it last was
-	permits           uint64                   // what stands for the permits in force
-	closeOrder        uint64                   // the number of the order by which it takes no clients; 0: it takes them
-	configDigests     map[string]string        // digests of the configuration that it runs
-	reloadError       string                   // why it did not take the file that it last read; "" if it did
-	trial             *canaryTrial             // of canaries; nil without a fleet
-	drainedByOperator bool                     // by an operator
-	shutdownOrder     *shutdownOrder           // it was told to leave; nil if not
-	exitOrdered       bool                     // it ends because it was told to
+	fleet             *fleet.Service           // nil if it is off
+	recordVersion     uint64                   // of the fleet record, as applied here
+	fleetEjected      []string                 // members that it excludes
+	flowTime          time.Duration            // summed over all flows, at statusAt
+	statusAt          time.Duration            // of the last fleetStatus
+	permits           uint64                   // version of the permits in force
+	quarantineOrder   uint64                   // number of the quarantine order in force; 0: none
+	configDigests     map[string]string        // digest by section of the running configuration
+	reloadError       string                   // why the last reload was refused; "" if it was not
+	trial             *canaryTrial             // nil without a fleet
+	drainedByOperator bool
+	shutdownOrder     *shutdownOrder // the order to leave in force; nil if none
+	exitOrdered       bool           // the process ends by that order
 	stopping          bool
-	caughtUp          bool // it has heard what was agreed while it was down, or waited long enough
+	caughtUp          bool // with the fleet record, or catchUpTimeout has passed
 	listeners         []*netloop.Listener
-	maxSockets        int                          // descriptors that the loop may hold
-	maxBufferBytes    int                          // bytes that its buffers may
+	maxSockets        int                          // descriptors that the loop may have open
+	maxBufferBytes    int                          // bytes that its buffers may hold
 	lineFront         *line.Front                  // nil if it is off
-	clientListeners   map[string]*netloop.Listener // where clients come in
-	accepting         bool                         // and they may
+	clientListeners   map[string]*netloop.Listener // by front: where clients connect
+	accepting         bool                         // clients
 
-	// With a second address:
-	stateDir          string // of the state that outlives this process
+	// With an operators' address:
+	stateDir          string // of the files that outlive this process
 	ejections         *ejections.File
-	ejectionWrites    chan func()       // what operators have said, to be written in that order
-	successorListener *netloop.Listener // where a successor comes in
-	sibling           *siblingProcess   // the other process of this relay; nil if there is none
-	takeover          takeoverState     // what that one does when this one stops
-	inheritedSockets  map[string]int    // the listening sockets of an older one, until they are used
-	inheritedState    *handover.State   // what it knew, until that is taken over
+	ejectionWrites    chan func()       // writes of the ejection file, in order
+	successorListener *netloop.Listener // where a successor connects
+	sibling           *siblingProcess   // the other process of an upgrade; nil if there is none
+	takeover          takeoverState     // of the clients, by the sibling
+	inheritedSockets  map[string]int    // by front: listening sockets of the older process, until they are used
+	inheritedState    *handover.State   // of the older process, until it is restored
 }
--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -22,54 +22,54 @@
 )
 
 const (
-	// reservedSockets are the descriptors that are not within the loop's limit: standard streams,
-	// epoll, the wakeup, what the runtime opens, and what is kept for discovery.
+	// reservedSockets are the descriptors outside the loop's limit: standard streams, epoll,
+	// the wakeup, what the runtime opens, and the connections to discovery.
 	reservedSockets = 16 + pool.MaxDescriptors
-	// bufferMemoryFraction of the memory is what the connections' buffers may hold together;
+	// bufferMemoryFraction of the memory limit is for the buffers of all connections together;
 	// slices that grow take up to twice their length.
 	bufferMemoryFraction = 0.25
-	// feedMemoryFraction is for the messages on feeds, which wait or are out.
+	// feedMemoryFraction of the memory limit is for the messages of feeds, queued or in flight.
 	feedMemoryFraction = 0.125
-	// storeFlushTimeout is what the store has for its last records; a platform that kills
-	// sooner has no store.
+	// storeFlushTimeout is how long the store has for its last records at the end.
 	storeFlushTimeout = 3 * time.Second
-	// maxEjectionWrites is how many calls of operators may wait for the disk.
+	// maxEjectionWrites is how many writes of the ejection file may be queued.
 	maxEjectionWrites = 64
-	// suspensionFraction of the time within which a relay must ask for the list is how long it may stand still and believe what it holds.
+	// suspensionFraction: a process that was suspended for longer than this part of the longest poll interval no longer
+	// trusts its endpoint list.
 	suspensionFraction = 10
-	// stopPollInterval is how often a stop looks whether it is over, and stopLingerTime what the last answers have to leave.
+	// stopPollInterval is how often a shutdown checks whether it is complete, and stopLingerTime how long the last
+	// answers have to leave.
 	stopPollInterval = 20 * time.Millisecond
 	stopLingerTime   = 200 * time.Millisecond
-	// stopOverrun is what flows that are moved at the very end have for the end of a line. SIGKILL comes 0.7 s after the
-	// longest deadline, at which a stop ends at the latest.
+	// stopOverrun is how long flows that are migrated at the very end have to complete a line. SIGKILL comes 0.7 s after
+	// the longest deadline, at which a shutdown ends at the latest.
 	stopOverrun = line.MoveTimeout + stopLingerTime/2
 )
 
-// wallClock is the machine's clock, which may be stepped. Nothing that lasts is measured by it. Only tests change it.
+// clockStart is the relay's clock at its start: no time of this process is the 0 that means "long ago" to the decision module.
+const clockStart = time.Hour
+
+// wallClock is the machine's wall clock, which may be stepped: no duration is measured by it. Only tests replace it.
 var wallClock = time.Now
 
-// steadyWall is a wall clock that is read once and runs on from there, so that spans are those of real time.
+// steadyWall returns a wall clock that is read once and runs on by the monotonic clock, so that its differences are real time.
 func steadyWall() func() time.Time {
 	began := wallClock()
-	return func() time.Time { return began.Add(time.Since(began)) } // by its monotonic part
+	return func() time.Time { return began.Add(time.Since(began)) }
 }
 
-// runName names this life of the relay in the store of record. The time alone may come again: a record under a name that
-// was used before would be taken for written.
+// runName identifies this run of the relay in the store of record. The time alone could repeat after a clock step, and a record
+// under a name that was used before would be taken for written.
 func runName(name, seed string, at time.Time) string {
 	return fmt.Sprintf("%s/%s/%d-%08x", name, seed, at.UnixMicro(), rand.Uint32())
 }
 
-// serve runs the relay until it is told to stop. Reload reads the configuration
-// again.
+// serve runs the relay until SIGTERM or an order of the fleet. reload reads the configuration again.
 func serve(cfg *config.Config, reload func(*config.Config) (*config.Config, error), caught *signals, log *logrus.Logger) error {
 	applyRuntimeLimits(cfg)
 	set := cfg.Decoded()
 	began := time.Now()
-	// The clock starts an hour in, so that no time of this process is the 0 that
-	// means "long ago" to the decision module.
-	const zero = time.Hour
-	clock := func() time.Duration { return zero + time.Since(began) }
+	clock := func() time.Duration { return clockStart + time.Since(began) }
 	r := &relay{cfg: cfg, log: log, clock: clock, signals: caught, names: pool.MemberMapper{Settings: set, StartTimes: &pool.StartTimes{Clock: clock, WallClock: wallClock, MaxListingDelay: policy.Normalize(set.Policy()).MaxPollInterval}},
 		maxBufferBytes: int(cfg.Limits.MemoryMB * bufferMemoryFraction * (1 << 20))}
 	r.maxSockets = descriptorLimit(cfg) - reservedSockets - r.operatorDescriptors()
@@ -101,24 +101,24 @@
 	return errors.Join(err, r.closeStore())
 }
 
-// watchReloads reads the configuration again for each signal. It has a goroutine of its own: a slow disk holds up neither
-// the loop nor a stop.
-func (r *relay) watchReloads(asked <-chan os.Signal, reload func(*config.Config) (*config.Config, error)) {
-	held := r.cfg
-	for range asked {
-		fresh, err := reload(held)
+// watchReloads reads the configuration again for each SIGHUP, on a goroutine of its own: a slow disk delays neither the loop nor a
+// shutdown. For that reason nothing waits for it at the end of the process.
+func (r *relay) watchReloads(hangups <-chan os.Signal, reload func(*config.Config) (*config.Config, error)) {
+	current := r.cfg
+	for range hangups {
+		fresh, err := reload(current)
 		if err != nil {
 			r.log.WithError(err).Error("the old configuration stays")
 			r.loop.Post(func() { r.reloadError = err.Error() })
 			continue
 		}
-		held = fresh
+		current = fresh
 		r.loop.Post(func() { r.reload(fresh) })
 	}
 }
 
-// logCounts logs what the core counted in each span, as fields that many relays' logs can be
-// added up by: the relay's clock in seconds, then one field a count.
+// logCounts logs the core's counters of each interval: the relay's clock in seconds, then a field a counter, so that the
+// logs of many relays can be added up.
 func (r *relay) logCounts(every time.Duration, before core.Counts) {
 	r.loop.After(every, func() {
 		now := r.core.Counts
@@ -135,8 +135,8 @@
 	})
 }
 
-// afterSuspension is told that this process stood still: what it knows of members is as old as that, and nothing new is sent by it until discovery has
-// said what has changed, or for as long as a change may take to be heeded anyway.
+// afterSuspension runs when this process was suspended for so long that its endpoint list may be stale: nothing new is dispatched until
+// discovery has answered, or the grace of a change has passed.
 func (r *relay) afterSuspension(gap time.Duration) {
 	r.log.WithField("gap", gap).Warn("this process was suspended; the endpoint list is polled again")
 	r.core.PauseDispatch()
@@ -144,8 +144,7 @@
 	r.loop.After(settings.Duration(r.names.Settings.Guarantees.Grace), r.core.ResumeDispatch)
 }
 
-// reload takes over what a configuration that was read again may change: where
-// discovery is.
+// reload applies what a running relay can change: the address of discovery, and the credentials of the NATS front.
 func (r *relay) reload(fresh *config.Config) {
 	r.reloadError = ""
 	keys := r.cfg.KeysNeedingRestart(fresh)
