--- a/internal/front/nats/client.go
+++ b/internal/front/nats/client.go
@@ -15,8 +15,8 @@
 // client is the connection of a NATS client. Its commands take effect in their order and do
 // not wait for each other, but for publications, which wait for the subscriptions before them.
 type client struct {
-	f       *Front
-	c       *netloop.Conn
+	front   *Front
+	conn    *netloop.Conn
 	id      uint64
 	local   string // the address it has reached
 	remote  string // its own, without the port
@@ -28,42 +28,42 @@
 		Protocol     int   `json:"protocol"`
 		Echo         *bool `json:"echo"`
 	}
-	connect  []byte // what CONNECT said; nil before it
-	subs     map[string]*sub
-	links    []*link
-	feeds    []*publisher
-	subjects map[string]*publisher // where subjects belong that were published to before
-	latest   *publisher            // that of latestSubject, the one published to last
-	asked    map[core.ID]*asked
-
-	latestSubject string
-	mark          uint64   // of the newest publication
-	answers       []ticket // what is still to be said, in order
-	placing       int      // subscriptions that publications wait for
-	pings         int      // that the client has not answered
-	timer         *netloop.Timer
-	nonce         string             // that it may sign
-	may           *auth.Permissions  // nil for all
-	replies       *auth.ReplyTracker // what it may answer to besides; nil for nothing
-	expires       *netloop.Timer     // when its login does
-	sniffed       bool               // its first byte was looked at
-	entering      bool               // its password is being checked
-	slowSince     time.Duration      // since when its links rest; 0 if they do not
-	later         bool               // goOn is on its way
-	fencing       bool
-	fenced        uint64 // the mark that all links are past
-	leftBytes     bool   // the client has ended its sending, but what it sent is not done yet
-	over          bool
+	connect        []byte // what CONNECT said; nil before it
+	subscriptions  map[string]*subscription
+	links          []*link
+	publishers     []*publisher
+	publisherCache map[string]*publisher // where subjects belong that were published to before
+	lastPublisher  *publisher            // that of latestSubject, the one published to last
+	proxied        map[core.ID]*proxiedRequest
+
+	lastSubject       string
+	publishSeq        uint64     // of the newest publication
+	responses         []response // what is still to be said, in order
+	pendingSubscribes int        // subscriptions that publications wait for
+	pingsOut          int        // that the client has not answered
+	timer             *netloop.Timer
+	nonce             string             // that it may sign
+	permissions       *auth.Permissions  // nil for all
+	replies           *auth.ReplyTracker // what it may answer to besides; nil for nothing
+	expiryTimer       *netloop.Timer     // when its login does
+	tlsChecked        bool               // its first byte was looked at
+	authenticating    bool               // its password is being checked
+	slowSince         time.Duration      // since when its links rest; 0 if they do not
+	resumeScheduled   bool               // goOn is on its way
+	fenceActive       bool
+	fencedSeq         uint64 // the mark that all links are past
+	halfClosed        bool   // the client has ended its sending, but what it sent is not done yet
+	closed            bool
 }
 
 // subjectsMost bounds the memory of where subjects belong.
-const subjectsMost = 256
+const maxCachedSubjects = 256
 
-// ticket is the answer to a command, given when what stands before it is done.
-type ticket struct {
-	mark uint64 // publications up to this one have their final answer
-	sub  *sub   // that this subscription stands or was refused; or has ended, if ends
-	ends bool
+// response is the answer to a command, given when what stands before it is done.
+type response struct {
+	seq          uint64        // publications up to this one have their final answer
+	subscription *subscription // that this subscription stands or was refused; or has ended, if ends
+	untilEnded   bool
 	// What members have sent to the client by then comes first: a publication and the
 	// subscription that takes it are on links of their own.
 	fence bool
@@ -74,75 +74,75 @@
 // fence is a PING on every link that holds subscriptions. Publications up to its mark were taken
 // before it.
 type fence struct {
-	c    *client
-	mark uint64
-	left int
+	client    *client
+	seq       uint64
+	remaining int
 }
 
-func (b *fence) step() {
-	if b.left--; b.left == 0 {
-		b.c.fenced, b.c.fencing = b.mark, false
-		b.c.goOn()
+func (b *fence) linkPassed() {
+	if b.remaining--; b.remaining == 0 {
+		b.client.fencedSeq, b.client.fenceActive = b.seq, false
+		b.client.scheduleResume()
 	}
 }
 
-// behind says whether all links are past what the publications up to a mark have brought, and if
+// linksPast says whether all links are past what the publications up to a mark have brought, and if
 // not has them say so.
-func (c *client) behind(mark uint64) bool {
-	if c.fenced >= mark {
+func (c *client) linksPast(mark uint64) bool {
+	if c.fencedSeq >= mark {
 		return true
 	}
-	if c.fencing {
+	if c.fenceActive {
 		return false
 	}
-	b := &fence{c: c, mark: mark, left: 1}
-	c.fencing = true
+	b := &fence{client: c, seq: mark, remaining: 1}
+	c.fenceActive = true
 	for _, l := range c.links {
-		if l.feed == nil && l.ready {
-			b.left++
-			l.fence(b)
+		if l.publisher == nil && l.ready {
+			b.remaining++
+			l.addFence(b)
 		}
 	}
-	if b.left == 1 {
-		c.fenced, c.fencing = mark, false
+	if b.remaining == 1 {
+		c.fencedSeq, c.fenceActive = mark, false
 		return true
 	}
-	b.left--
+	b.remaining--
 	return false
 }
 
-func (c *client) write(b []byte) { c.c.Queue(b) }
+func (c *client) write(b []byte) { c.conn.Queue(b) }
 
 // Open is told by the loop.
 func (c *client) Open() {}
 
-// OnWritable is told by the loop.
+// Drained is told by the loop.
 func (c *client) Drained() {
 	c.slowSince = 0
 	for _, l := range c.links {
-		l.c.ResumeReading()
+		l.conn.ResumeReading()
 	}
 }
 
-// crowded says that the client has not taken what it was sent; its links rest until it has.
-func (c *client) crowded() bool {
-	if c.c.Unsent() <= c.f.water(highWater) {
+// overHighWater says that the client has not taken what it was sent; its links rest until it has.
+func (c *client) overHighWater() bool {
+	if c.conn.Unsent() <= c.front.unsentLimit(clientHighWater) {
 		return false
 	}
 	if c.slowSince == 0 {
-		c.slowSince = c.f.Loop.Now()
+		c.slowSince = c.front.Loop.Now()
 	}
 	return true
 }
 
 // Data is told by the loop.
 func (c *client) Data(b []byte) int {
-	if !c.sniffed && !c.sniff(b[0]) {
+	if !c.tlsChecked && !c.checkTLS(b[0]) {
 		return 0
 	}
 	used := 0
-	for !c.over {
-		m, n, err := parse(b[used:], c.f.MaxControlLine, c.f.MaxPayload)
+	for !c.closed {
+		m, n, err := parseCommand(b[used:], c.front.MaxControlLine, c.front.MaxPayload)
 		if err != nil {
 			c.fail(err.Error())
 			break
@@ -150,8 +150,8 @@
 		if n == 0 {
 			return used
 		}
-		if !c.do(&m) {
-			c.c.PauseReading() // goOn resumes
+		if !c.execute(&m) {
+			c.conn.PauseReading() // goOn resumes
 			return used
 		}
 		used += n
@@ -159,31 +159,31 @@
 	return len(b)
 }
 
-// goOn gives the answers that are due and takes up the commands that waited.
-func (c *client) goOn() {
-	if c.later || c.over {
+// scheduleResume gives the answers that are due and takes up the commands that waited.
+func (c *client) scheduleResume() {
+	if c.resumeScheduled || c.closed {
 		return
 	}
-	c.later = true
-	c.f.Loop.After(0, func() {
-		c.later = false
-		c.settle()
-		c.c.ResumeReading()
-		if c.leftBytes && c.quiet() {
+	c.resumeScheduled = true
+	c.front.Loop.After(0, func() {
+		c.resumeScheduled = false
+		c.flushResponses()
+		c.conn.ResumeReading()
+		if c.halfClosed && c.isQuiescent() {
 			c.close()
 		}
 	})
 }
 
-// quiet says that everything the client has sent is done.
-func (c *client) quiet() bool {
-	return c.placing == 0 && len(c.answers) == 0 && c.oldest() > c.mark
+// isQuiescent says that everything the client has sent is done.
+func (c *client) isQuiescent() bool {
+	return c.pendingSubscribes == 0 && len(c.responses) == 0 && c.oldestUnanswered() > c.publishSeq
 }
 
-// oldest is the mark of the oldest publication without a final answer, or one beyond all.
-func (c *client) oldest() uint64 {
-	least := c.mark + 1
-	for _, p := range c.feeds {
+// oldestUnanswered is the mark of the oldest publication without a final answer, or one beyond all.
+func (c *client) oldestUnanswered() uint64 {
+	least := c.publishSeq + 1
+	for _, p := range c.publishers {
 		if mark, ok := p.feed.OldestSequence(); ok {
 			least = min(least, mark)
 		}
@@ -191,21 +191,21 @@
 	return least
 }
 
-// settle gives the answers that are due, in their order.
-func (c *client) settle() {
-	if len(c.answers) == 0 {
+// flushResponses gives the answers that are due, in their order.
+func (c *client) flushResponses() {
+	if len(c.responses) == 0 {
 		return
 	}
-	oldest := c.oldest()
-	for len(c.answers) > 0 && !c.over {
-		t := c.answers[0]
-		if t.mark >= oldest || t.sub != nil && !(t.sub.known && !t.ends || t.sub.over && !t.sub.draining) {
+	oldest := c.oldestUnanswered()
+	for len(c.responses) > 0 && !c.closed {
+		t := c.responses[0]
+		if t.seq >= oldest || t.subscription != nil && !(t.subscription.acknowledged && !t.untilEnded || t.subscription.ended && !t.subscription.draining) {
 			return
 		}
-		if t.fence && !c.behind(t.mark) {
+		if t.fence && !c.linksPast(t.seq) {
 			return
 		}
-		c.answers = c.answers[1:]
+		c.responses = c.responses[1:]
 		if t.text != "" {
 			c.write([]byte(t.text))
 		}
@@ -213,75 +213,75 @@
 			t.then()
 		}
 	}
-	if len(c.answers) == 0 {
-		c.answers = nil
+	if len(c.responses) == 0 {
+		c.responses = nil
 	}
 }
 
-// answer has a text said once all before it is done.
-func (c *client) answer(t ticket) {
-	t.mark = c.mark
-	if c.answers = append(c.answers, t); len(c.answers) == 1 {
-		c.settle()
+// respond has a text said once all before it is done.
+func (c *client) respond(t response) {
+	t.seq = c.publishSeq
+	if c.responses = append(c.responses, t); len(c.responses) == 1 {
+		c.flushResponses()
 	}
 }
 
-func (c *client) ok() {
+func (c *client) respondOK() {
 	if c.options.Verbose {
-		c.answer(ticket{text: "+OK\r\n"})
+		c.respond(response{text: "+OK\r\n"})
 	}
 }
 
 // End is told by the loop.
 func (c *client) End(err error) {
-	if err == io.EOF && !c.quiet() {
-		c.leftBytes = true
+	if err == io.EOF && !c.isQuiescent() {
+		c.halfClosed = true
 		return
 	}
 	c.close()
 }
 
-// do carries a command out; false if it must wait.
-func (c *client) do(m *command) bool {
-	if c.entering {
+// execute carries a command out; false if it must wait.
+func (c *client) execute(m *command) bool {
+	if c.authenticating {
 		return false
 	}
 	if c.connect == nil && m.op != opConnect {
 		c.fail("Authorization Violation")
 		return true
 	}
-	if len(c.answers) > c.f.MaxSubscriptions+c.f.WindowMessages {
+	if len(c.responses) > c.front.MaxSubscriptions+c.front.WindowMessages {
 		return false // who asks without end waits for the answers
 	}
 	switch m.op {
 	case opConnect:
-		c.greet(m.rest)
+		c.handleConnect(m.args)
 	case opPing:
-		c.answer(ticket{text: "PONG\r\n", fence: true})
+		c.respond(response{text: "PONG\r\n", fence: true})
 	case opPong:
-		c.pings = 0
+		c.pingsOut = 0
 	case opPub, opHPub:
 		return c.publish(m)
 	case opSub:
 		c.subscribe(m)
 	case opUnsub:
-		if s := c.subs[string(m.sid)]; s != nil && !s.known && m.max == 0 {
+		if s := c.subscriptions[string(m.sid)]; s != nil && !s.acknowledged && m.maxMessages == 0 {
 			s.end() // given up before it ever stood
-			c.ok()
+			c.respondOK()
 		} else if s != nil {
 			// What was published before it still counts for it.
-			most := m.max
-			c.placing++ // what is published after it is not
-			c.answer(ticket{sub: s, fence: true, then: func() {
-				c.placing--
-				s.limit(most)
-				c.goOn()
+			most := m.maxMessages
+			c.pendingSubscribes++ // what is published after it is not
+			c.respond(response{subscription: s, fence: true, then: func() {
+				c.pendingSubscribes--
+				s.setMaxMessages(most)
+				c.scheduleResume()
 			}})
 			if c.options.Verbose {
-				c.answer(ticket{text: "+OK\r\n"})
+				c.respond(response{text: "+OK\r\n"})
 			}
 		} else {
-			c.ok()
+			c.respondOK()
 		}
 	case opOK, opErr:
 	default:
@@ -290,106 +290,106 @@
 	return true
 }
 
-// greet takes CONNECT in.
-func (c *client) greet(text []byte) {
+// handleConnect takes CONNECT in.
+func (c *client) handleConnect(text []byte) {
 	var check map[string]any
 	if json.Unmarshal(text, &check) != nil || json.Unmarshal(text, &c.options) != nil {
 		c.fail(errParse.Error())
 		return
 	}
 	if c.connect != nil { // said again, it changes options and not who the client is
-		c.ok()
+		c.respondOK()
 		return
 	}
 	connect := append([]byte(nil), text...)
-	c.enter(connect, func() {
+	c.authenticate(connect, func() {
 		c.connect = connect
-		c.c.SetEvictable(nil)
-		c.keepAlive()
-		c.ok()
+		c.conn.SetEvictable(nil)
+		c.schedulePing()
+		c.respondOK()
 	})
 }
 
-// echo says whether the client takes its own publications.
-func (c *client) echo() bool { return c.options.Echo == nil || *c.options.Echo }
+// wantsEcho says whether the client takes its own publications.
+func (c *client) wantsEcho() bool { return c.options.Echo == nil || *c.options.Echo }
 
-// keepAlive pings the client, and ends it when it no longer answers.
-func (c *client) keepAlive() {
+// schedulePing pings the client, and ends it when it no longer answers.
+func (c *client) schedulePing() {
 	c.timer.Stop()
-	c.timer = c.f.Loop.After(c.f.pingEvery(), func() {
-		if c.pings++; c.pings > c.f.MaxPingsOut {
+	c.timer = c.front.Loop.After(c.front.pingInterval(), func() {
+		if c.pingsOut++; c.pingsOut > c.front.MaxPingsOut {
 			c.fail("Stale Connection")
 			return
 		}
 		c.write([]byte("PING\r\n"))
-		c.keepAlive()
+		c.schedulePing()
 	})
 }
 
-// holdsNothing says that the client may be sent elsewhere: no request of its is on
+// isIdle says that the client may be sent elsewhere: no request of its is on
 // its way or open.
-func (c *client) holdsNothing() bool {
-	for _, s := range c.subs {
+func (c *client) isIdle() bool {
+	for _, s := range c.subscriptions {
 		if !s.local {
 			return false
 		}
 	}
-	return c.quiet() && len(c.asked) == 0
+	return c.isQuiescent() && len(c.proxied) == 0
 }
 
-// warn tells of an error that does not end the connection.
-func (c *client) warn(text string) { c.write(fmt.Appendf(nil, "-ERR '%s'\r\n", text)) }
+// sendError tells of an error that does not end the connection.
+func (c *client) sendError(text string) { c.write(fmt.Appendf(nil, "-ERR '%s'\r\n", text)) }
 
 // fail tells of an error and ends the connection.
 func (c *client) fail(text string) {
-	c.warn(text)
+	c.sendError(text)
 	c.close()
 }
 
 // close is the one end of a client; all that it holds ends with it.
 func (c *client) close() {
-	if c.over {
+	if c.closed {
 		return
 	}
-	c.over = true
-	delete(c.f.clients, c)
+	c.closed = true
+	delete(c.front.clients, c)
 	c.timer.Stop()
-	c.expires.Stop()
-	for _, p := range c.feeds {
+	c.expiryTimer.Stop()
+	for _, p := range c.publishers {
 		p.feed.Close()
 	}
-	for _, s := range c.subs {
+	for _, s := range c.subscriptions {
 		s.end()
 	}
-	for id, a := range c.asked {
-		a.forget()
-		c.f.Core.ClientGone(id)
+	for id, a := range c.proxied {
+		a.remove()
+		c.front.Core.ClientGone(id)
 	}
 	for _, l := range append([]*link(nil), c.links...) {
 		l.close()
 	}
-	c.c.Finish()
+	c.conn.Finish()
 }
 
-// deliver hands a message of the relay's own to the client's subscriptions.
-func (c *client) deliver(m command) {
-	for _, s := range c.subs {
-		if matches(s.subject, m.subject) {
-			c.c.Commit(m.appendMessage(c.c.Buffer(m.room(s.sid)), s.sid))
-			s.counted()
+// deliverLocal hands a message of the relay's own to the client's subscriptions.
+func (c *client) deliverLocal(m command) {
+	for _, s := range c.subscriptions {
+		if subjectMatches(s.subject, m.subject) {
+			c.conn.Commit(m.appendMessage(c.conn.Buffer(m.encodedSize(s.sid)), s.sid))
+			s.countDelivered()
 			return
 		}
 	}
 }
 
-// notice delivers a status of the relay's own on a reply subject.
-func (c *client) notice(reply []byte, status string) {
+// deliverStatus delivers a status of the relay's own on a reply subject.
+func (c *client) deliverStatus(reply []byte, status string) {
 	head := "NATS/1.0 " + status + "\r\n\r\n"
-	c.deliver(command{subject: reply, header: len(head), payload: []byte(head)})
+	c.deliverLocal(command{subject: reply, headerLen: len(head), payload: []byte(head)})
 }
 
-// noticed says whether the client hears of a lost publication on its reply subject.
-func (c *client) noticed(reply []byte) bool { return len(reply) > 0 && c.options.NoResponders }
+// wantsStatus says whether the client hears of a lost publication on its reply subject.
+func (c *client) wantsStatus(reply []byte) bool { return len(reply) > 0 && c.options.NoResponders }
 
-// ownSubject says that a subject is the relay's.
-func ownSubject(subject []byte) bool { return strings.HasPrefix(string(subject), reserved) }
+// isReserved says that a subject is the relay's.
+func isReserved(subject []byte) bool { return strings.HasPrefix(string(subject), reservedPrefix) }
--- a/internal/front/nats/config.go
+++ b/internal/front/nats/config.go
@@ -35,8 +35,8 @@
 	Auth        *auth.Config `json:"auth"`         // nil: all may enter
 	MemberLogin *MemberLogin `json:"member_login"` // nil: members are told the client's own
 
-	Dir      string `json:"-"` // of the file, for paths that are not absolute
-	unprobed bool   // the settings allow no probes: the relay goes by its own view alone
+	Dir            string `json:"-"` // of the file, for paths that are not absolute
+	noHealthChecks bool   // the settings allow no probes: the relay goes by its own view alone
 }
 
 // Route says what requests on matching subjects are; the first that matches counts.
@@ -46,16 +46,16 @@
 	Tenant  string `json:"tenant"`
 }
 
-// bound is a number of the configuration with what it may be.
-type bound struct {
-	key         string
-	at          *int
-	usual       int
-	least, most int
+// intSetting is a number of the configuration with what it may be.
+type intSetting struct {
+	key          string
+	value        *int
+	defaultValue int
+	min, max     int
 }
 
-func (c *Config) bounds() []bound {
-	return []bound{
+func (c *Config) intSettings() []intSetting {
+	return []intSetting{
 		{"max_payload", &c.MaxPayload, 1 << 20, 1, 8 << 20},
 		{"max_control_line", &c.MaxControlLine, maxControl, 256, maxInfo},
 		{"max_subscriptions", &c.MaxSubscriptions, 4096, 1, 1 << 20},
@@ -69,22 +69,24 @@
 	}
 }
 
-func (c *Config) fill() {
-	for _, b := range c.bounds() {
-		if *b.at == 0 {
-			*b.at = b.usual
+func (c *Config) setDefaults() {
+	for _, b := range c.intSettings() {
+		if *b.value == 0 {
+			*b.value = b.defaultValue
 		}
 	}
 }
 
-func (c *Config) slowAfter() time.Duration { return time.Duration(c.SlowAfterMS) * time.Millisecond }
-func (c *Config) pingEvery() time.Duration { return time.Duration(c.PingIntervalMS) * time.Millisecond }
+func (c *Config) slowTimeout() time.Duration { return time.Duration(c.SlowAfterMS) * time.Millisecond }
+func (c *Config) pingInterval() time.Duration {
+	return time.Duration(c.PingIntervalMS) * time.Millisecond
+}
 
 // Validate says what is wrong with the configuration, by its key.
 func (c *Config) Validate(set *settings.Settings) error {
-	for _, b := range c.bounds() {
-		if n := *b.at; n != 0 && (n < b.least || n > b.most) {
-			return fmt.Errorf("%s: %d is not between %d and %d", b.key, n, b.least, b.most)
+	for _, b := range c.intSettings() {
+		if n := *b.value; n != 0 && (n < b.min || n > b.max) {
+			return fmt.Errorf("%s: %d is not between %d and %d", b.key, n, b.min, b.max)
 		}
 	}
 	if c.LoadSubject != "" && !validSubject(c.LoadSubject, false) {
@@ -119,6 +121,6 @@
 // AdaptSettings makes the settings those of a relay whose members all stand behind this front. Every
 // one is then reported of: by itself, or by the relay's own view.
 func (c *Config) AdaptSettings(set *settings.Settings) {
-	c.unprobed = !set.Limits.Probes
+	c.noHealthChecks = !set.Limits.Probes
 	set.Limits.Probes, set.Report.Source = true, "on_probe"
 }
--- a/internal/front/nats/link.go
+++ b/internal/front/nats/link.go
@@ -19,86 +19,86 @@
 // it means ending it, and one for all subscriptions there. What is done on it is acknowledged by
 // the PONG to a PING that follows.
 type link struct {
-	f       *Front
-	c       *netloop.Conn
-	client  *client
-	member  *core.Member
-	feed    *publisher // nil for one that holds subscriptions
-	ready   bool       // the member has taken CONNECT
-	greeted bool
-	written uint64   // bytes handed to the connection
-	waiting []func() // for ready
-	acks    []func() // one for each PING that is out
-	fences  []*fence
-	subs    map[int]*sub
-	last    int           // the newest sid
-	toAck   []func()      // wait for the PING at the end of this round
-	asked   time.Duration // when the PING of the sweep went out; 0 if none is
-	pinged  time.Duration // when the last one did
-	rested  bool          // it was not read for a while since asked
-	idle    *netloop.Timer
-	over    bool
+	front         *Front
+	conn          *netloop.Conn
+	client        *client
+	member        *core.Member
+	publisher     *publisher // nil for one that holds subscriptions
+	ready         bool       // the member has taken CONNECT
+	infoReceived  bool
+	written       uint64   // bytes handed to the connection
+	onReady       []func() // for ready
+	pongHandlers  []func() // one for each PING that is out
+	fences        []*fence
+	subscriptions map[int]*subscription
+	lastSID       int           // the newest sid
+	batchedAcks   []func()      // wait for the PING at the end of this round
+	pingSentAt    time.Duration // when the PING of the sweep went out; 0 if none is
+	lastPingAt    time.Duration // when the last one did
+	readPaused    bool          // it was not read for a while since asked
+	idleTimer     *netloop.Timer
+	closed        bool
 }
 
 // dial makes a link.
 func (c *client) dial(to *core.Member, p *publisher) *link {
-	l := &link{f: c.f, client: c, member: to, feed: p}
+	l := &link{front: c.front, client: c, member: to, publisher: p}
 	c.links = append(c.links, l)
-	l.c = c.f.Loop.Dial(to.Addr, c.f.Core.PolicySettings().ConnectTimeout, l)
-	l.c.SetBufferLimits(c.f.MaxPayload+maxInfo+2, 2*c.f.MaxPayload+4*highWater+c.f.WindowBytes)
-	if c.f.Loop.DescriptorsLow() {
-		c.f.Loop.After(0, func() { l.lose(netloop.ErrNoDescriptors) })
+	l.conn = c.front.Loop.Dial(to.Addr, c.front.Core.PolicySettings().ConnectTimeout, l)
+	l.conn.SetBufferLimits(c.front.MaxPayload+maxInfo+2, 2*c.front.MaxPayload+4*clientHighWater+c.front.WindowBytes)
+	if c.front.Loop.DescriptorsLow() {
+		c.front.Loop.After(0, func() { l.fail(netloop.ErrNoDescriptors) })
 	}
 	return l
 }
 
-// holder finds or makes the link that holds the client's subscriptions at a member.
-func (c *client) holder(to *core.Member) *link {
+// subscriptionLink finds or makes the link that holds the client's subscriptions at a member.
+func (c *client) subscriptionLink(to *core.Member) *link {
 	for _, l := range c.links {
-		if l.feed == nil && l.member.ID == to.ID && !l.over {
+		if l.publisher == nil && l.member.ID == to.ID && !l.closed {
 			return l
 		}
 	}
 	l := c.dial(to, nil)
-	l.subs = map[int]*sub{}
+	l.subscriptions = map[int]*subscription{}
 	return l
 }
 
-// do runs f once the link is ready.
-func (l *link) do(f func()) {
-	l.idle.Stop()
+// whenReady runs f once the link is ready.
+func (l *link) whenReady(f func()) {
+	l.idleTimer.Stop()
 	if l.ready {
 		f()
 		return
 	}
-	l.waiting = append(l.waiting, f)
+	l.onReady = append(l.onReady, f)
 }
 
 // commit is Commit of the connection, and counts.
 func (l *link) commit(out []byte) {
-	before := l.c.Unsent()
-	l.c.Commit(out)
-	l.written += uint64(l.c.Unsent() - before)
+	before := l.conn.Unsent()
+	l.conn.Commit(out)
+	l.written += uint64(l.conn.Unsent() - before)
 }
 
-func (l *link) queue(b []byte) { l.commit(append(l.c.Buffer(len(b)), b...)) }
+func (l *link) write(b []byte) { l.commit(append(l.conn.Buffer(len(b)), b...)) }
 
-// ack has f run when the member has taken what was written so far.
-func (l *link) ack(f func()) {
-	l.queue([]byte("PING\r\n"))
-	l.acks = append(l.acks, f)
+// afterPing has f run when the member has taken what was written so far.
+func (l *link) afterPing(f func()) {
+	l.write([]byte("PING\r\n"))
+	l.pongHandlers = append(l.pongHandlers, f)
 }
 
-// confirm does the same with one PING for all that is written in this round of the loop.
-func (l *link) confirm(f func()) {
-	if l.toAck = append(l.toAck, f); len(l.toAck) > 1 {
+// afterBatchedPing does the same with one PING for all that is written in this round of the loop.
+func (l *link) afterBatchedPing(f func()) {
+	if l.batchedAcks = append(l.batchedAcks, f); len(l.batchedAcks) > 1 {
 		return
 	}
-	l.f.Loop.After(0, func() {
-		all := l.toAck
-		l.toAck = nil
-		if !l.over {
-			l.ack(func() {
+	l.front.Loop.After(0, func() {
+		all := l.batchedAcks
+		l.batchedAcks = nil
+		if !l.closed {
+			l.afterPing(func() {
 				for _, f := range all {
 					f()
 				}
@@ -107,127 +107,127 @@
 	})
 }
 
-// fence has a barrier told when the member's answers are past this point, or the link is gone.
-func (l *link) fence(b *fence) {
+// addFence has a barrier told when the member's answers are past this point, or the link is gone.
+func (l *link) addFence(b *fence) {
 	l.fences = append(l.fences, b)
-	l.confirm(func() { l.past(b) })
+	l.afterBatchedPing(func() { l.passFence(b) })
 }
 
-func (l *link) past(b *fence) {
+func (l *link) passFence(b *fence) {
 	if i := slices.Index(l.fences, b); i >= 0 {
 		l.fences = slices.Delete(l.fences, i, i+1)
-		b.step()
+		b.linkPassed()
 	}
 }
 
-func (l *link) add(s *sub) int {
-	l.last++
-	l.subs[l.last] = s
-	return l.last
+func (l *link) addSubscription(s *subscription) int {
+	l.lastSID++
+	l.subscriptions[l.lastSID] = s
+	return l.lastSID
 }
 
-// drop forgets a sid.
-func (l *link) drop(sid int) {
-	delete(l.subs, sid)
-	l.rest()
+// removeSubscription forgets a sid.
+func (l *link) removeSubscription(sid int) {
+	delete(l.subscriptions, sid)
+	l.startIdleTimer()
 }
 
-// rest gives a link back that holds no subscription for a while.
-func (l *link) rest() {
-	l.idle.Stop()
-	if l.over || l.feed != nil || len(l.subs) > 0 {
+// startIdleTimer gives a link back that holds no subscription for a while.
+func (l *link) startIdleTimer() {
+	l.idleTimer.Stop()
+	if l.closed || l.publisher != nil || len(l.subscriptions) > 0 {
 		return
 	}
-	l.idle = l.f.Loop.After(linkIdle, func() {
-		if len(l.subs) == 0 && len(l.waiting) == 0 {
+	l.idleTimer = l.front.Loop.After(linkIdleTimeout, func() {
+		if len(l.subscriptions) == 0 && len(l.onReady) == 0 {
 			l.close()
 		}
 	})
 }
 
-// OnWritable is told by the loop.
+// Drained is told by the loop.
 func (l *link) Drained() {
-	if l.feed != nil && l.ready {
-		l.feed.feed.OnWritable()
+	if l.publisher != nil && l.ready {
+		l.publisher.feed.OnWritable()
 	}
 }
 
 // Data is told by the loop.
 func (l *link) Data(b []byte) int {
 	used := 0
-	for !l.over {
-		if l.client.crowded() {
-			l.c.PauseReading() // the client's Drained goes on
-			l.rested = true
+	for !l.closed {
+		if l.client.overHighWater() {
+			l.conn.PauseReading() // the client's Drained goes on
+			l.readPaused = true
 			return used
 		}
-		m, n, err := parse(b[used:], 2*maxControl, l.f.MaxPayload+maxInfo)
+		m, n, err := parseCommand(b[used:], 2*maxControl, l.front.MaxPayload+maxInfo)
 		if err != nil {
-			l.lose(err)
+			l.fail(err)
 			break
 		}
 		if n == 0 {
 			return used
 		}
 		used += n
-		l.take(&m)
+		l.handle(&m)
 	}
 	return len(b)
 }
 
-func (l *link) take(m *command) {
+func (l *link) handle(m *command) {
 	switch m.op {
 	case opMsg, opHMsg:
-		if l.feed != nil {
-			l.feed.message(m)
-		} else if sid, ok := number(m.sid); ok {
-			if s := l.subs[sid]; s != nil {
-				s.take(m)
+		if l.publisher != nil {
+			l.publisher.handleStatus(m)
+		} else if sid, ok := parseNumber(m.sid); ok {
+			if s := l.subscriptions[sid]; s != nil {
+				s.deliver(m)
 			}
 		}
 	case opPong:
-		if len(l.acks) > 0 {
-			f := l.acks[0]
-			l.acks = l.acks[1:]
+		if len(l.pongHandlers) > 0 {
+			f := l.pongHandlers[0]
+			l.pongHandlers = l.pongHandlers[1:]
 			f()
 		}
 	case opInfo:
-		l.f.hear(l.member.ID, m.rest)
-		if !l.greeted {
-			l.greeted = true
-			l.greet(append([]byte(nil), m.rest...))
+		l.front.updateMemberInfo(l.member.ID, m.args)
+		if !l.infoReceived {
+			l.infoReceived = true
+			l.handleInfo(append([]byte(nil), m.args...))
 		}
 	case opPing:
-		l.queue([]byte("PONG\r\n"))
+		l.write([]byte("PONG\r\n"))
 	case opErr:
-		l.refused(m.rest)
+		l.handleError(m.args)
 	}
 }
 
 // Open is told by the loop; the member speaks first, but where TLS does.
 func (l *link) Open() {
-	if cfg := l.f.memberTLS(l.member.Addr); cfg != nil && l.f.MemberTLS.HandshakeFirst {
-		l.c.StartTLS(cfg, true, l.f.Core.PolicySettings().ConnectTimeout, func(tls.ConnectionState) {})
+	if cfg := l.front.memberTLS(l.member.Addr); cfg != nil && l.front.MemberTLS.HandshakeFirst {
+		l.conn.StartTLS(cfg, true, l.front.Core.PolicySettings().ConnectTimeout, func(tls.ConnectionState) {})
 	}
 }
 
-// greet answers the member's INFO, by TLS if that is configured.
-func (l *link) greet(info []byte) {
-	cfg := l.f.memberTLS(l.member.Addr)
-	if cfg == nil || l.c.IsTLS() {
-		l.connect(info)
+// handleInfo answers the member's INFO, by TLS if that is configured.
+func (l *link) handleInfo(info []byte) {
+	cfg := l.front.memberTLS(l.member.Addr)
+	if cfg == nil || l.conn.IsTLS() {
+		l.sendConnect(info)
 		return
 	}
-	l.c.PauseReading()
-	l.f.Loop.After(0, func() {
-		l.c.StartTLS(cfg, true, l.f.Core.PolicySettings().ConnectTimeout, func(tls.ConnectionState) { l.connect(info) })
+	l.conn.PauseReading()
+	l.front.Loop.After(0, func() {
+		l.conn.StartTLS(cfg, true, l.front.Core.PolicySettings().ConnectTimeout, func(tls.ConnectionState) { l.sendConnect(info) })
 	})
 }
 
-// connect says CONNECT with what the client said, but for what is the relay's own.
-func (l *link) connect(info []byte) {
+// sendConnect says CONNECT with what the client said, but for what is the relay's own.
+func (l *link) sendConnect(info []byte) {
 	options := map[string]any{}
-	err := errors.Join(json.Unmarshal(l.client.connect, &options), l.f.logIn(options, info))
+	err := errors.Join(json.Unmarshal(l.client.connect, &options), l.front.addCredentials(options, info))
 	options["verbose"], options["pedantic"], options["headers"], options["no_responders"] = false, false, true, true
 	options["echo"] = true // see origin
 	if _, ok := options["lang"]; !ok {
@@ -235,42 +235,42 @@
 	}
 	text, bad := json.Marshal(options)
 	if err = errors.Join(err, bad); err != nil {
-		l.lose(err)
+		l.fail(err)
 		return
 	}
-	l.queue(fmt.Appendf(nil, "CONNECT %s\r\n", text))
-	l.ack(func() {
+	l.write(fmt.Appendf(nil, "CONNECT %s\r\n", text))
+	l.afterPing(func() {
 		l.ready = true
-		if l.feed != nil {
-			l.feed.up()
+		if l.publisher != nil {
+			l.publisher.linkReady()
 			return
 		}
-		waiting := l.waiting
-		l.waiting = nil
+		waiting := l.onReady
+		l.onReady = nil
 		for _, f := range waiting {
 			f()
 		}
 	})
 }
 
-// refused is the member's -ERR. One that concerns a publication ends that
+// handleError is the member's -ERR. One that concerns a publication ends that
 // attempt; any other that matters is followed by the end of the connection.
-func (l *link) refused(text []byte) {
-	l.f.Log.WithField("member", l.member.Name).WithField("error", string(text)).Debug("member refused")
-	if l.feed != nil {
-		l.feed.erred(text)
+func (l *link) handleError(text []byte) {
+	l.front.Log.WithField("member", l.member.Name).WithField("error", string(text)).Debug("member refused")
+	if l.publisher != nil {
+		l.publisher.linkError(text)
 		return
 	}
-	for sid, s := range l.subs { // its subject stands in the text, or none does
-		if !s.up && s.link == l && s.lsid == sid && l.ready && errorNames(text, s.subject) {
-			delete(l.subs, sid)
-			s.lost(policy.Error)
+	for sid, s := range l.subscriptions { // its subject stands in the text, or none does
+		if !s.active && s.link == l && s.linkSID == sid && l.ready && errorConcerns(text, s.subject) {
+			delete(l.subscriptions, sid)
+			s.linkLost(policy.Error)
 		}
 	}
 }
 
-// errorNames says whether an error's text names that subject, or none.
-func errorNames(text []byte, subject string) bool {
+// errorConcerns says whether an error's text names that subject, or none.
+func errorConcerns(text []byte, subject string) bool {
 	_, rest, ok := bytes.Cut(text, []byte(`"`))
 	if !ok {
 		return bytes.Contains(bytes.ToLower(text), []byte("subscription"))
@@ -280,65 +280,65 @@
 }
 
 // End is told by the loop.
-func (l *link) End(err error) { l.lose(err) }
+func (l *link) End(err error) { l.fail(err) }
 
-// lose ends a link that broke and tells those who used it.
-func (l *link) lose(err error) {
-	if l.over {
+// fail ends a link that broke and tells those who used it.
+func (l *link) fail(err error) {
+	if l.closed {
 		return
 	}
 	result := policy.Reset
-	if !l.ready && (!l.greeted || l.c.Unsent() > 0) || l.c.Unsent() > 0 && err != nil {
+	if !l.ready && (!l.infoReceived || l.conn.Unsent() > 0) || l.conn.Unsent() > 0 && err != nil {
 		result = policy.ConnectFailed
 	}
-	if l.greeted && !l.ready && err == io.EOF {
+	if l.infoReceived && !l.ready && err == io.EOF {
 		result = policy.Error // it did not take CONNECT
 	}
 	if errors.Is(err, netloop.ErrNoDescriptors) { // the relay's own want, not the member's failure
 		result = policy.NotSent
 	}
-	left := l.written - min(l.written, uint64(l.c.Unsent()))
-	l.cut()
-	if l.feed != nil {
-		l.feed.lost(result, left)
+	left := l.written - min(l.written, uint64(l.conn.Unsent()))
+	l.reset()
+	if l.publisher != nil {
+		l.publisher.linkLost(result, left)
 		return
 	}
-	for sid, s := range l.subs {
-		delete(l.subs, sid)
-		if s.left == l {
-			s.leaveDone()
+	for sid, s := range l.subscriptions {
+		delete(l.subscriptions, sid)
+		if s.oldLink == l {
+			s.finishDrain()
 		}
 		if s.link == l {
-			s.lost(result)
+			s.linkLost(result)
 		}
 	}
 }
 
-// cut ends the link at once.
-func (l *link) cut() {
-	if !l.over {
-		l.gone()
-		l.c.Reset()
+// reset ends the link at once.
+func (l *link) reset() {
+	if !l.closed {
+		l.release()
+		l.conn.Reset()
 	}
 }
 
 // close ends a link politely that nobody needs.
 func (l *link) close() {
-	if !l.over {
-		l.gone()
-		l.c.Finish()
+	if !l.closed {
+		l.release()
+		l.conn.Finish()
 	}
 }
 
-// gone gives back what the link holds besides its connection.
-func (l *link) gone() {
-	l.over = true
-	l.idle.Stop()
-	l.acks, l.waiting = nil, nil
+// release gives back what the link holds besides its connection.
+func (l *link) release() {
+	l.closed = true
+	l.idleTimer.Stop()
+	l.pongHandlers, l.onReady = nil, nil
 	fences := l.fences
 	l.fences = nil
 	for _, b := range fences {
-		b.step()
+		b.linkPassed()
 	}
 	for i, x := range l.client.links {
 		if x == l {
@@ -348,40 +348,40 @@
 	}
 }
 
-// check pings the member of a link with subscriptions, times its answer, and
+// checkLiveness pings the member of a link with subscriptions, times its answer, and
 // ends the link when it does not come.
-func (l *link) check(now time.Duration) {
+func (l *link) checkLiveness(now time.Duration) {
 	switch {
-	case l.asked > 0 && l.client.slowSince > 0: // nothing is read from it
-		l.asked = now
-	case l.asked > 0 && now-l.asked > silentAfter:
-		l.f.Log.WithField("member", l.member.Name).Warn("member has gone silent")
-		l.lose(netloop.ErrDialTimeout)
-	case l.asked == 0 && l.ready && len(l.subs) > 0 && now-l.pinged >= memberPing:
-		l.asked, l.pinged, l.rested = now, now, false
-		l.ack(func() {
-			took, known := l.f.took(l.asked)
-			l.asked = 0
-			if l.rested || !known { // its answer has waited here
+	case l.pingSentAt > 0 && l.client.slowSince > 0: // nothing is read from it
+		l.pingSentAt = now
+	case l.pingSentAt > 0 && now-l.pingSentAt > memberSilenceTimeout:
+		l.front.Log.WithField("member", l.member.Name).Warn("member has gone silent")
+		l.fail(netloop.ErrDialTimeout)
+	case l.pingSentAt == 0 && l.ready && len(l.subscriptions) > 0 && now-l.lastPingAt >= memberPingInterval:
+		l.pingSentAt, l.lastPingAt, l.readPaused = now, now, false
+		l.afterPing(func() {
+			took, known := l.front.answerTime(l.pingSentAt)
+			l.pingSentAt = 0
+			if l.readPaused || !known { // its answer has waited here
 				return
 			}
-			for _, s := range l.subs {
-				if s.up {
-					l.f.Core.ObserveMessageLatency(s.id, took)
+			for _, s := range l.subscriptions {
+				if s.active {
+					l.front.Core.ObserveMessageLatency(s.requestID, took)
 					break
 				}
 			}
-			l.f.gauge.ObserveLatency(l.member.ID, took)
+			l.front.loadEstimate.ObserveLatency(l.member.ID, took)
 		})
 	}
 }
 
 // ownBusy is how busy the relay may be for its members' answers to be timed: beyond it they wait for
 // the relay, and a member would be blamed and left for that.
-const ownBusy = 0.8
+const maxUtilization = 0.8
 
-// took is how long a member has taken for an answer, the relay's own work taken off; false if that
+// answerTime is how long a member has taken for an answer, the relay's own work taken off; false if that
 // cannot be told.
-func (f *Front) took(since time.Duration) (time.Duration, bool) {
-	return max(f.Loop.Now()-since-2*f.Loop.LastRoundDuration(), 0), f.Loop.Utilization() < ownBusy
+func (f *Front) answerTime(since time.Duration) (time.Duration, bool) {
+	return max(f.Loop.Now()-since-2*f.Loop.LastRoundDuration(), 0), f.Loop.Utilization() < maxUtilization
 }
--- a/internal/front/nats/nats.go
+++ b/internal/front/nats/nats.go
@@ -23,26 +23,26 @@
 
 // Times of this front.
 const (
-	connectWithin = 2 * time.Second // a client may take to say CONNECT; 3 s are allowed
-	sweepEvery    = 500 * time.Millisecond
-	memberPing    = 2 * time.Second
-	silentAfter   = 5 * time.Second // a member that answers no PING for so long is gone
-	linkIdle      = 5 * time.Second
-	probeWithin   = 400 * time.Millisecond
-	againAfter    = 150 * time.Millisecond // a subscription that failed is asked for again
-	drainWithin   = 250 * time.Millisecond // a member that is left has to send what it has sent
-	keepVerdict   = 10 * time.Second
+	connectTimeout       = 2 * time.Second // a client may take to say CONNECT; 3 s are allowed
+	sweepInterval        = 500 * time.Millisecond
+	memberPingInterval   = 2 * time.Second
+	memberSilenceTimeout = 5 * time.Second // a member that answers no PING for so long is gone
+	linkIdleTimeout      = 5 * time.Second
+	checkTimeout         = 400 * time.Millisecond
+	resubscribeBackoff   = 150 * time.Millisecond // a subscription that failed is asked for again
+	drainTimeout         = 250 * time.Millisecond // a member that is left has to send what it has sent
+	verdictRetention     = 10 * time.Second
 )
 
 // highWater is how many unsent bytes to a client its links rest at.
-const highWater = 64 << 10
+const clientHighWater = 64 << 10
 
 // linkWater is how many unsent bytes a link has before its feed waits; a message more still fits
 // the loop's buffers.
-const linkWater = 48 << 10
+const linkHighWater = 48 << 10
 
-// water is a mark of unsent bytes, lowered while the buffers of all connections hold much.
-func (f *Front) water(mark int) int {
+// unsentLimit is a mark of unsent bytes, lowered while the buffers of all connections hold much.
+func (f *Front) unsentLimit(mark int) int {
 	if f.Loop.MemoryPressure() {
 		return mark / 4
 	}
@@ -57,18 +57,18 @@
 	Config
 	Name string
 
-	clients map[*client]struct{}
-	carried map[string]*asked // requests that proxies carry themselves, by login and name
-	probes  map[policy.ServerID]*probe
-	routes  []route
-	gauge   *loadestimate.Estimator
-	members map[policy.ServerID]*told
-	offers  offers
-	lastID  uint64
-	leaving bool          // the relay stops or is drained
-	since   time.Duration // when that began
-	Counts  Counts
-	sec     *Security
+	clients       map[*client]struct{}
+	proxied       map[string]*proxiedRequest // requests that proxies carry themselves, by login and name
+	healthChecks  map[policy.ServerID]*healthCheck
+	routes        []route
+	loadEstimate  *loadestimate.Estimator
+	memberInfos   map[policy.ServerID]*memberInfo
+	offers        advertised
+	lastClientID  uint64
+	lameDuck      bool          // the relay stops or is drained
+	lameDuckSince time.Duration // when that began
+	Counts        Counts
+	security      *Security
 }
 
 // Counts is what has happened at this front.
@@ -83,24 +83,24 @@
 // destination is a class and a tenant; each client has one feed for each that it publishes to.
 type destination struct{ class, tenant int }
 
-// told is what a member's INFO has said that clients should know.
-type told struct {
+// memberInfo is what a member's INFO has said that clients should know.
+type memberInfo struct {
 	JetStream  bool `json:"jetstream"`
 	MaxPayload int  `json:"max_payload"`
 }
 
-// offers is what the relay's own INFO says in consequence.
-type offers struct {
-	jetstream bool
-	payload   int
+// advertised is what the relay's own INFO says in consequence.
+type advertised struct {
+	jetstream  bool
+	maxPayload int
 }
 
 // New makes a front on the core.
 func New(loop *netloop.Loop, c *core.Core, log logrus.FieldLogger, name string, cfg Config, sec *Security) *Front {
-	cfg.fill()
-	f := &Front{Loop: loop, Core: c, Log: log, Config: cfg, Name: name, clients: map[*client]struct{}{}, carried: map[string]*asked{},
-		probes: map[policy.ServerID]*probe{}, members: map[policy.ServerID]*told{},
-		gauge: loadestimate.New(cfg.MemberFlows, c.PolicySettings().Balancers), offers: offers{payload: cfg.MaxPayload}}
+	cfg.setDefaults()
+	f := &Front{Loop: loop, Core: c, Log: log, Config: cfg, Name: name, clients: map[*client]struct{}{}, proxied: map[string]*proxiedRequest{},
+		healthChecks: map[policy.ServerID]*healthCheck{}, memberInfos: map[policy.ServerID]*memberInfo{},
+		loadEstimate: loadestimate.New(cfg.MemberFlows, c.PolicySettings().Balancers), offers: advertised{maxPayload: cfg.MaxPayload}}
 	for _, r := range append(cfg.Routes, Route{">", cfg.Class, cfg.Tenant}) {
 		n := route{subject: r.Subject}
 		n.to.class, _ = c.Settings.Class(r.Class)
@@ -108,43 +108,43 @@
 		f.routes = append(f.routes, n)
 	}
 	f.ReloadSecurity(sec)
-	loop.After(sweepEvery, f.sweep)
+	loop.After(sweepInterval, f.sweep)
 	return f
 }
 
 // EnterLameDuck tells clients that the relay is leaving. The core then moves their
 // subscriptions, which ends their connections; who has none is ended by the sweep.
 func (f *Front) EnterLameDuck() {
-	f.leaving, f.since = true, f.Loop.Now()
-	f.announce()
+	f.lameDuck, f.lameDuckSince = true, f.Loop.Now()
+	f.broadcastInfo()
 }
 
 // ExitLameDuck takes that back.
 func (f *Front) ExitLameDuck() {
-	f.leaving = false
-	f.announce()
+	f.lameDuck = false
+	f.broadcastInfo()
 }
 
-// announce sends INFO again to those who know the protocol that allows it.
-func (f *Front) announce() {
+// broadcastInfo sends INFO again to those who know the protocol that allows it.
+func (f *Front) broadcastInfo() {
 	for c := range f.clients {
 		if c.connect != nil && c.options.Protocol >= 1 {
-			c.write(f.info(c))
+			c.write(f.infoLine(c))
 		}
 	}
 }
 
-// info is what a client is told.
-func (f *Front) info(c *client) []byte {
+// infoLine is what a client is told.
+func (f *Front) infoLine(c *client) []byte {
 	v := map[string]any{"server_id": f.Name, "server_name": f.Name, "version": "2.10.0", "proto": 1, "go": "dahliarudder",
-		"headers": true, "max_payload": f.offers.payload, "client_id": c.id, "ldm": f.leaving, "jetstream": f.offers.jetstream}
+		"headers": true, "max_payload": f.offers.maxPayload, "client_id": c.id, "ldm": f.lameDuck, "jetstream": f.offers.jetstream}
 	if host, port, ok := strings.Cut(c.local, ":"); ok && !strings.Contains(port, ":") {
 		v["host"], v["port"] = host, json.Number(port)
 	}
 	if c.remote != "" {
 		v["client_ip"] = c.remote
 	}
-	f.securityInfo(c, v)
+	f.addSecurityInfo(c, v)
 	if len(f.ConnectURLs) > 0 {
 		v["connect_urls"] = f.ConnectURLs
 	}
@@ -152,64 +152,64 @@
 	return fmt.Appendf(nil, "INFO %s\r\n", text)
 }
 
-// hear takes in what a member's INFO says, and tells clients when that changes what they
+// updateMemberInfo takes in what a member's INFO says, and tells clients when that changes what they
 // may do.
-func (f *Front) hear(id policy.ServerID, info []byte) {
-	t := &told{}
+func (f *Front) updateMemberInfo(id policy.ServerID, info []byte) {
+	t := &memberInfo{}
 	if json.Unmarshal(info, t) != nil {
 		return
 	}
-	f.members[id] = t
-	now := offers{payload: f.MaxPayload}
-	for id, t := range f.members {
+	f.memberInfos[id] = t
+	now := advertised{maxPayload: f.MaxPayload}
+	for id, t := range f.memberInfos {
 		if !f.Core.Reachable(id) {
-			delete(f.members, id)
+			delete(f.memberInfos, id)
 			continue
 		}
 		now.jetstream = now.jetstream || t.JetStream
 		if t.MaxPayload > 0 {
-			now.payload = min(now.payload, t.MaxPayload)
+			now.maxPayload = min(now.maxPayload, t.MaxPayload)
 		}
 	}
 	if now != f.offers {
 		f.offers = now
-		f.announce()
+		f.broadcastInfo()
 	}
 }
 
 // Accept serves a client's connection.
 func (f *Front) Accept(conn *netloop.Conn) {
-	f.lastID++
-	c := &client{f: f, c: conn, id: f.lastID, local: conn.LocalAddr(), remote: conn.RemoteIP()}
+	f.lastClientID++
+	c := &client{front: f, conn: conn, id: f.lastClientID, local: conn.LocalAddr(), remote: conn.RemoteIP()}
 	f.clients[c] = struct{}{}
 	conn.SetHandler(c)
-	conn.SetBufferLimits(f.MaxPayload+f.MaxControlLine+2, 2*f.MaxPayload+4*highWater)
-	if f.sec.server != nil && f.TLS.HandshakeFirst {
-		c.sniffed = true
-		conn.StartTLS(f.sec.server, false, connectWithin, func(tls.ConnectionState) { c.write(f.info(c)) })
+	conn.SetBufferLimits(f.MaxPayload+f.MaxControlLine+2, 2*f.MaxPayload+4*clientHighWater)
+	if f.security.server != nil && f.TLS.HandshakeFirst {
+		c.tlsChecked = true
+		conn.StartTLS(f.security.server, false, connectTimeout, func(tls.ConnectionState) { c.write(f.infoLine(c)) })
 	} else {
-		c.write(f.info(c))
+		c.write(f.infoLine(c))
 	}
 	if f.Loop.DescriptorsLow() || f.MaxConnections > 0 && len(f.clients) > f.MaxConnections {
 		c.fail("maximum connections exceeded")
 		return
 	}
 	conn.SetEvictable(func() { c.fail("maximum connections exceeded") })
-	c.timer = f.Loop.After(connectWithin, func() { c.fail("Authentication Timeout") })
+	c.timer = f.Loop.After(connectTimeout, func() { c.fail("Authentication Timeout") })
 }
 
 // destination is where a subject's requests belong.
 func (f *Front) destination(subject []byte) destination {
 	for i := range f.routes {
-		if matches(f.routes[i].subject, subject) {
+		if subjectMatches(f.routes[i].subject, subject) {
 			return f.routes[i].to
 		}
 	}
 	return destination{}
 }
 
-// request is what the core is asked for.
-func (f *Front) request(name string, to destination) core.Request {
+// newRequest is what the core is asked for.
+func (f *Front) newRequest(name string, to destination) core.Request {
 	return core.Request{Name: name, Class: to.class, Tenant: to.tenant, TimeLeft: f.Core.PolicySettings().Classes[to.class].Deadline}
 }
 
@@ -225,17 +225,17 @@
 	now := f.Loop.Now()
 	for c := range f.clients {
 		switch {
-		case f.leaving && now-f.since >= core.StopNotice && c.holdsNothing():
+		case f.lameDuck && now-f.lameDuckSince >= core.StopNotice && c.isIdle():
 			c.close()
-		case c.slowSince > 0 && now-c.slowSince >= f.slowAfter():
+		case c.slowSince > 0 && now-c.slowSince >= f.slowTimeout():
 			f.Counts.SlowConsumers++
-			f.Log.WithField("client", c.remote).WithField("unsent", c.c.Unsent()).Warn("slow consumer")
+			f.Log.WithField("client", c.remote).WithField("unsent", c.conn.Unsent()).Warn("slow consumer")
 			c.fail("Slow Consumer")
 		}
 		for _, l := range c.links {
-			l.check(now)
+			l.checkLiveness(now)
 		}
 	}
-	f.gauge.Forget(f.Core.Reachable)
-	f.Loop.After(sweepEvery, f.sweep)
+	f.loadEstimate.Forget(f.Core.Reachable)
+	f.Loop.After(sweepInterval, f.sweep)
 }
--- a/internal/front/nats/nats_test.go
+++ b/internal/front/nats/nats_test.go
@@ -30,17 +30,17 @@
 				for {
 					var m command
 					var used int
-					if m, used, err = parse(held, maxControl, 1024); err != nil || used == 0 {
+					if m, used, err = parseCommand(held, maxControl, 1024); err != nil || used == 0 {
 						break
 					}
 					if m.payload != nil {
-						again, n, err := parse(m.appendMessage(nil, "1"), maxControl, 1024)
-						if err != nil || n == 0 || string(again.payload) != string(m.payload) || again.header != m.header ||
+						again, n, err := parseCommand(m.appendMessage(nil, "1"), maxControl, 1024)
+						if err != nil || n == 0 || string(again.payload) != string(m.payload) || again.headerLen != m.headerLen ||
 							string(again.subject) != string(m.subject) || string(again.reply) != string(m.reply) {
 							t.Fatalf("%+v was written and read as %+v, %v", m, again, err)
 						}
 					}
-					out += fmt.Sprintf("%d %q %q %q %q %q %q %d %d\n", m.op, m.rest, m.subject, m.sid, m.reply, m.queue, m.payload, m.max, m.header)
+					out += fmt.Sprintf("%d %q %q %q %q %q %q %d %d\n", m.op, m.args, m.subject, m.sid, m.reply, m.queue, m.payload, m.maxMessages, m.headerLen)
 					held = held[used:]
 				}
 			}
@@ -61,7 +61,7 @@
 	} {
 		var got []string
 		for _, s := range []string{"a", "a.b", "a.c", "a.b.c"} {
-			if matches(pattern, s) {
+			if subjectMatches(pattern, s) {
 				got = append(got, s)
 			}
 		}
@@ -77,7 +77,7 @@
 	if !validSubject("a.*.>", true) || validSubject("a.>.b", true) {
 		t.Error("wildcards")
 	}
-	if _, _, err := parse([]byte("PUB a 2000\r\n"), maxControl, 1024); !errors.Is(err, errPayload) {
+	if _, _, err := parseCommand([]byte("PUB a 2000\r\n"), maxControl, 1024); !errors.Is(err, errPayload) {
 		t.Errorf("payload over the limit: %v", err)
 	}
 }
@@ -188,7 +188,7 @@
 	silent := s.Dial(s.Serve(f.Accept))
 	silent.ReadLine()
 	silent.Send("CONNECT {")
-	s.Advance(connectWithin)
+	s.Advance(connectTimeout)
 	silent.ExpectLines("-ERR 'Authentication Timeout'")
 	silent.ExpectEOF()
 	s.c.Send("PING\r\n")
@@ -215,13 +215,13 @@
 	r.Advance(core.StopNotice - time.Millisecond)
 	f.ExitLameDuck()
 	info(false)
-	r.Advance(sweepEvery)
+	r.Advance(sweepInterval)
 	c.Send("PING\r\n")
 	c.ExpectLines("PONG")
 	f.EnterLameDuck()
 	info(true)
 	r.Advance(core.StopNotice)
-	r.Advance(sweepEvery)
+	r.Advance(sweepInterval)
 	c.ExpectEOF()
 }
 
@@ -261,7 +261,7 @@
 	if got := m.ReadLine(); !strings.HasPrefix(got, "CONNECT {") {
 		t.Fatalf("got %q", got)
 	}
-	m.ExpectLines("SUB "+probeReply+" 1", "PUB node.load "+probeReply+" 0", "", "PING")
-	m.Send("MSG " + probeReply + " 1 9\r\n{\"x0\":0.5}\r\n")
-	r.WaitFor("the answer", func() bool { return len(f.probes) == 0 })
+	m.ExpectLines("SUB "+checkReplySubject+" 1", "PUB node.load "+checkReplySubject+" 0", "", "PING")
+	m.Send("MSG " + checkReplySubject + " 1 9\r\n{\"x0\":0.5}\r\n")
+	r.WaitFor("the answer", func() bool { return len(f.healthChecks) == 0 })
 }
--- a/internal/front/nats/parse.go
+++ b/internal/front/nats/parse.go
@@ -46,19 +46,19 @@
 // command is one protocol message, of either side. Its parts stand in the buffer that was
 // parsed.
 type command struct {
-	op      op
-	rest    []byte // what stands behind the operation, for CONNECT, INFO and -ERR
-	subject []byte
-	sid     []byte
-	reply   []byte
-	queue   []byte
-	max     int // of UNSUB
-	header  int // how much of payload is the header block
-	payload []byte
+	op          op
+	args        []byte // what stands behind the operation, for CONNECT, INFO and -ERR
+	subject     []byte
+	sid         []byte
+	reply       []byte
+	queue       []byte
+	maxMessages int // of UNSUB
+	headerLen   int // how much of payload is the header block
+	payload     []byte
 }
 
-// operation reads the first word of a line, in any case of letters.
-func operation(word []byte) op {
+// parseOperation reads the first word of a line, in any case of letters.
+func parseOperation(word []byte) op {
 	var up [8]byte
 	if len(word) > len(up) {
 		return opNone
@@ -98,103 +98,103 @@
 	return opNone
 }
 
-// words are those of a line behind its operation; more than the protocol knows are one too
+// lineFields are those of a line behind its operation; more than the protocol knows are one too
 // many.
-type words struct {
-	at [6][]byte
-	n  int
+type lineFields struct {
+	values [6][]byte
+	count  int
 }
 
-func blank(b byte) bool { return b == ' ' || b == '\t' }
+func isBlank(b byte) bool { return b == ' ' || b == '\t' }
 
-func split(line []byte) (w words) {
+func splitFields(line []byte) (w lineFields) {
 	for i := 0; i < len(line); {
-		if blank(line[i]) {
+		if isBlank(line[i]) {
 			i++
 			continue
 		}
 		end := i
-		for end < len(line) && !blank(line[end]) {
+		for end < len(line) && !isBlank(line[end]) {
 			end++
 		}
-		if w.n < len(w.at) {
-			w.at[w.n] = line[i:end]
+		if w.count < len(w.values) {
+			w.values[w.count] = line[i:end]
 		}
-		w.n++
+		w.count++
 		i = end
 	}
 	return w
 }
 
-// parse reads one message off b, in which a control line may be so long and a payload have so
+// parseCommand reads one message off b, in which a control line may be so long and a payload have so
 // many bytes. With used 0 and no error the message is not whole yet.
-func parse(b []byte, control, payload int) (m command, used int, err error) {
+func parseCommand(b []byte, control, payload int) (m command, used int, err error) {
 	end := bytes.IndexByte(b[:min(len(b), maxInfo)], '\n')
 	if end < 0 {
-		if len(b) >= maxInfo || len(b) >= control && !lengthy(b) {
+		if len(b) >= maxInfo || len(b) >= control && !allowsLongLine(b) {
 			return m, 0, errControl
 		}
 		return m, 0, nil
 	}
-	if end >= control && !lengthy(b) {
+	if end >= control && !allowsLongLine(b) {
 		return m, 0, errControl
 	}
 	used = end + 1
 	line := bytes.TrimSuffix(b[:end], []byte("\r"))
 	at := 0
-	for at < len(line) && !blank(line[at]) {
+	for at < len(line) && !isBlank(line[at]) {
 		at++
 	}
-	m.op = operation(line[:at])
+	m.op = parseOperation(line[:at])
 	line = line[at:]
 	switch m.op {
 	case opConnect, opInfo, opErr:
-		m.rest = bytes.TrimSpace(line)
+		m.args = bytes.TrimSpace(line)
 	case opPing, opPong, opOK:
 	case opSub:
-		w := split(line)
-		switch w.n {
+		w := splitFields(line)
+		switch w.count {
 		case 2:
-			m.subject, m.sid = w.at[0], w.at[1]
+			m.subject, m.sid = w.values[0], w.values[1]
 		case 3:
-			m.subject, m.queue, m.sid = w.at[0], w.at[1], w.at[2]
+			m.subject, m.queue, m.sid = w.values[0], w.values[1], w.values[2]
 		default:
 			return m, 0, errParse
 		}
 	case opUnsub:
-		w := split(line)
-		if w.n != 1 && w.n != 2 {
+		w := splitFields(line)
+		if w.count != 1 && w.count != 2 {
 			return m, 0, errParse
 		}
-		m.sid = w.at[0]
-		if w.n == 2 {
+		m.sid = w.values[0]
+		if w.count == 2 {
 			var ok bool
-			if m.max, ok = number(w.at[1]); !ok {
+			if m.maxMessages, ok = parseNumber(w.values[1]); !ok {
 				return m, 0, errParse
 			}
 		}
 	case opPub:
-		return m.sized(b, used, split(line), false, false, payload)
+		return m.parsePayload(b, used, splitFields(line), false, false, payload)
 	case opHPub:
-		return m.sized(b, used, split(line), false, true, payload)
+		return m.parsePayload(b, used, splitFields(line), false, true, payload)
 	case opMsg:
-		return m.sized(b, used, split(line), true, false, payload)
+		return m.parsePayload(b, used, splitFields(line), true, false, payload)
 	case opHMsg:
-		return m.sized(b, used, split(line), true, true, payload)
+		return m.parsePayload(b, used, splitFields(line), true, true, payload)
 	default:
 		return m, 0, errProtocol
 	}
 	return m, used, nil
 }
 
-// lengthy says whether a long line may follow.
-func lengthy(b []byte) bool {
+// allowsLongLine says whether a long line may follow.
+func allowsLongLine(b []byte) bool {
 	word, _, found := bytes.Cut(b[:min(len(b), 8)], []byte(" "))
-	o := operation(word)
+	o := parseOperation(word)
 	return found && (o == opConnect || o == opInfo)
 }
 
-func number(b []byte) (n int, ok bool) {
+func parseNumber(b []byte) (n int, ok bool) {
 	if len(b) == 0 || len(b) > 9 {
 		return 0, false
 	}
@@ -207,8 +207,8 @@
 	return n, true
 }
 
-// sized reads a message with a payload: subject [sid] [reply] [header bytes] bytes.
-func (m command) sized(b []byte, used int, w words, sid, header bool, payload int) (command, int, error) {
+// parsePayload reads a message with a payload: subject [sid] [reply] [header bytes] bytes.
+func (m command) parsePayload(b []byte, used int, w lineFields, sid, header bool, payload int) (command, int, error) {
 	least := 2
 	if sid {
 		least++
@@ -216,26 +216,26 @@
 	if header {
 		least++
 	}
-	if w.n != least && w.n != least+1 {
+	if w.count != least && w.count != least+1 {
 		return m, 0, errParse
 	}
-	m.subject = w.at[0]
+	m.subject = w.values[0]
 	i := 1
 	if sid {
-		m.sid = w.at[i]
+		m.sid = w.values[i]
 		i++
 	}
-	if w.n > least {
-		m.reply = w.at[i]
+	if w.count > least {
+		m.reply = w.values[i]
 		i++
 	}
 	ok := true
 	if header {
-		m.header, ok = number(w.at[i])
+		m.headerLen, ok = parseNumber(w.values[i])
 		i++
 	}
-	size, whole := number(w.at[i])
-	if !ok || !whole || m.header > size {
+	size, whole := parseNumber(w.values[i])
+	if !ok || !whole || m.headerLen > size {
 		return m, 0, errParse
 	}
 	if size > payload {
@@ -252,16 +252,16 @@
 }
 
 // lineRoom is what a line takes besides subjects and names.
-const lineRoom = 64
+const lineOverhead = 64
 
-// room is how many bytes the text of a message takes at most.
-func (m *command) room(sid string) int {
-	return len(m.subject) + len(sid) + len(m.reply) + len(m.payload) + lineRoom
+// encodedSize is how many bytes the text of a message takes at most.
+func (m *command) encodedSize(sid string) int {
+	return len(m.subject) + len(sid) + len(m.reply) + len(m.payload) + lineOverhead
 }
 
 // appendMessage appends the text of a message to a subscriber.
 func (m *command) appendMessage(to []byte, sid string) []byte {
-	if m.header > 0 {
+	if m.headerLen > 0 {
 		to = append(to, "HMSG "...)
 	} else {
 		to = append(to, "MSG "...)
@@ -273,7 +273,7 @@
 
 // appendPublication appends the text of a publication.
 func (m *command) appendPublication(to []byte) []byte {
-	if m.header > 0 {
+	if m.headerLen > 0 {
 		to = append(to, "HPUB "...)
 	} else {
 		to = append(to, "PUB "...)
@@ -286,17 +286,17 @@
 	if len(m.reply) > 0 {
 		to = append(append(to, m.reply...), ' ')
 	}
-	if m.header > 0 {
-		to = append(strconv.AppendInt(to, int64(m.header), 10), ' ')
+	if m.headerLen > 0 {
+		to = append(strconv.AppendInt(to, int64(m.headerLen), 10), ' ')
 	}
 	to = append(strconv.AppendInt(to, int64(len(m.payload)), 10), '\r', '\n')
 	return append(append(to, m.payload...), '\r', '\n')
 }
 
 // seed is of this process: the hashes never leave it.
-var seed = maphash.MakeSeed()
+var hashSeed = maphash.MakeSeed()
 
-func subjectKey(subject []byte) uint64 { return maphash.Bytes(seed, subject) }
+func subjectHash(subject []byte) uint64 { return maphash.Bytes(hashSeed, subject) }
 
 // validSubject says whether s may be published to or, with wild, subscribed to.
 func validSubject[T string | []byte](s T, wild bool) bool {
@@ -318,8 +318,8 @@
 	return true
 }
 
-// matches says whether a subscription's pattern takes a subject.
-func matches[S string | []byte](pattern string, subject S) bool {
+// subjectMatches says whether a subscription's pattern takes a subject.
+func subjectMatches[S string | []byte](pattern string, subject S) bool {
 	p, s := 0, 0
 	for p <= len(pattern) && s <= len(subject) {
 		pe, se := p, s
--- a/internal/front/nats/processor.go
+++ b/internal/front/nats/processor.go
@@ -13,13 +13,13 @@
 // The reserved subjects. Whoever subscribes below them subscribes at the relay
 // alone.
 const (
-	reserved      = "_dahlia."
-	pickSubject   = reserved + "pick"   // ask for a verdict for a request
-	reportSubject = reserved + "report" // report an attempt's outcome, get the next verdict
+	reservedPrefix = "_dahlia."
+	pickSubject    = reservedPrefix + "pick"   // ask for a verdict for a request
+	reportSubject  = reservedPrefix + "report" // report an attempt's outcome, get the next verdict
 )
 
-// pick is what a proxy asks.
-type pick struct {
+// pickRequest is what a proxy asks.
+type pickRequest struct {
 	Name    string  `json:"name"`
 	Class   string  `json:"class"`
 	Tenant  string  `json:"tenant"`
@@ -30,8 +30,8 @@
 	Control string  `json:"control"` // where verdicts go that nobody has asked for
 }
 
-// outcome is what a proxy reports.
-type outcome struct {
+// outcomeReport is what a proxy reports.
+type outcomeReport struct {
 	ID      core.ID            `json:"id"`
 	Try     int                `json:"try"`
 	Outcome string             `json:"outcome"`
@@ -56,68 +56,68 @@
 	"connect_failed": policy.ConnectFailed, "reset": policy.Reset, "cancelled": policy.Cancelled,
 }
 
-// asked is a request of a proxy that carries it itself.
-type asked struct {
-	c       *client
-	id      core.ID
-	try     int
-	reply   string        // where the proxy waits for a verdict; empty if nowhere
-	control string        // where it takes others
-	kept    *verdict      // the last one that had nowhere to go
-	until   time.Duration // when the attempt that is out is given up
-	stands  *verdict      // send or up: what the proxy was last told of the attempt that is out, or of the open flow; nil if there is none
-	key     string        // by which it is found when it is asked for again; empty if it has no name
-	over    bool          // it has its final answer, and is not open
-	expire  *netloop.Timer
+// proxiedRequest is a request of a proxy that carries it itself.
+type proxiedRequest struct {
+	client         *client
+	requestID      core.ID
+	attempt        int
+	replySubject   string        // where the proxy waits for a verdict; empty if nowhere
+	controlSubject string        // where it takes others
+	undelivered    *verdict      // the last one that had nowhere to go
+	deadline       time.Duration // when the attempt that is out is given up
+	current        *verdict      // send or up: what the proxy was last told of the attempt that is out, or of the open flow; nil if there is none
+	key            string        // by which it is found when it is asked for again; empty if it has no name
+	finished       bool          // it has its final answer, and is not open
+	expiryTimer    *netloop.Timer
 }
 
-// call serves a publication on a reserved subject.
-func (c *client) call(m *command) {
+// handleProxyCall serves a publication on a reserved subject.
+func (c *client) handleProxyCall(m *command) {
 	var err error
 	reply := string(m.reply)
 	switch string(m.subject) {
 	case pickSubject:
-		var q pick
-		if err = json.Unmarshal(m.payload[m.header:], &q); err == nil {
-			c.pick(q, reply)
+		var q pickRequest
+		if err = json.Unmarshal(m.payload[m.headerLen:], &q); err == nil {
+			c.handlePick(q, reply)
 			return
 		}
 	case reportSubject:
-		var o outcome
-		if err = json.Unmarshal(m.payload[m.header:], &o); err == nil {
-			c.report(o, reply)
+		var o outcomeReport
+		if err = json.Unmarshal(m.payload[m.headerLen:], &o); err == nil {
+			c.handleReport(o, reply)
 			return
 		}
 	default:
-		if c.noticed(m.reply) {
-			c.notice(m.reply, "503")
+		if c.wantsStatus(m.reply) {
+			c.deliverStatus(m.reply, "503")
 		}
 		return
 	}
-	c.say(reply, verdict{Verdict: "error", Error: err.Error()})
+	c.sendVerdict(reply, verdict{Verdict: "error", Error: err.Error()})
 }
 
-func (c *client) say(subject string, v verdict) {
+func (c *client) sendVerdict(subject string, v verdict) {
 	text, _ := json.Marshal(v)
-	c.deliver(command{subject: []byte(subject), payload: text})
+	c.deliverLocal(command{subject: []byte(subject), payload: text})
 }
 
-func (c *client) pick(q pick, reply string) {
+func (c *client) handlePick(q pickRequest, reply string) {
 	key := c.requestKey(q.Name)
-	if a := c.f.carried[key]; a != nil {
-		a.askedAgain(c, q, reply)
+	if a := c.front.proxied[key]; a != nil {
+		a.resume(c, q, reply)
 		return
 	}
-	set := c.f.Core.Settings
+	set := c.front.Core.Settings
 	class, ok := set.Class(q.Class)
 	tenant, ok2 := set.Tenant(q.Tenant)
 	if !ok || !ok2 {
-		c.say(reply, verdict{Verdict: "error", Error: "unknown class or tenant"})
+		c.sendVerdict(reply, verdict{Verdict: "error", Error: "unknown class or tenant"})
 		return
 	}
 	r := core.Request{Name: q.Name, Class: class, Tenant: tenant, Load: max(q.Load, 0), TimeLeft: settings.Duration(q.WaitMS)}
 	if r.TimeLeft <= 0 {
-		r.TimeLeft = c.f.Core.PolicySettings().Classes[class].Deadline
+		r.TimeLeft = c.front.Core.PolicySettings().Classes[class].Deadline
 	}
 	if q.Key != "" {
 		r.Key = hash(q.Key)
@@ -125,15 +125,15 @@
 	if q.Group != "" {
 		r.Group = hash(q.Group)
 	}
-	if len(c.asked) >= c.f.MaxSubscriptions { // each is held until it has ended and is forgotten
-		c.say(reply, verdict{Verdict: "reject", AfterMS: keepVerdict.Milliseconds()})
+	if len(c.proxied) >= c.front.MaxSubscriptions { // each is held until it has ended and is forgotten
+		c.sendVerdict(reply, verdict{Verdict: "reject", AfterMS: verdictRetention.Milliseconds()})
 		return
 	}
-	a := &asked{c: c, reply: reply, control: q.Control}
-	a.id = c.f.Core.Open(r, a)
-	if !a.over {
+	a := &proxiedRequest{client: c, replySubject: reply, controlSubject: q.Control}
+	a.requestID = c.front.Core.Open(r, a)
+	if !a.finished {
 		a.key = key
-		a.hold(c)
+		a.assignTo(c)
 	}
 }
 
@@ -154,138 +154,140 @@
 	return string(text) + name
 }
 
-// hold makes a request that client's.
-func (a *asked) hold(c *client) {
-	if c.asked == nil {
-		c.asked = map[core.ID]*asked{}
+// assignTo makes a request that client's.
+func (a *proxiedRequest) assignTo(c *client) {
+	if c.proxied == nil {
+		c.proxied = map[core.ID]*proxiedRequest{}
 	}
-	a.c, c.asked[a.id] = c, a
+	a.client, c.proxied[a.requestID] = c, a
 	if a.key != "" {
-		c.f.carried[a.key] = a
+		c.front.proxied[a.key] = a
 	}
 }
 
-// askedAgain is a call for a request that is held already: its proxy has not had the answer to an earlier one. It gets
+// resume is a call for a request that is held already: its proxy has not had the answer to an earlier one. It gets
 // what stands, and whatever comes next.
-func (a *asked) askedAgain(c *client, q pick, reply string) {
-	delete(a.c.asked, a.id)
-	a.hold(c)
+func (a *proxiedRequest) resume(c *client, q pickRequest, reply string) {
+	delete(a.client.proxied, a.requestID)
+	a.assignTo(c)
 	if q.Control != "" {
-		a.control = q.Control
+		a.controlSubject = q.Control
 	}
 	switch {
-	case a.kept != nil:
-		a.reply = reply
-		a.give(*a.kept)
-	case a.stands != nil:
-		v := *a.stands
+	case a.undelivered != nil:
+		a.replySubject = reply
+		a.deliver(*a.undelivered)
+	case a.current != nil:
+		v := *a.current
 		if v.WaitMS > 0 {
-			v.WaitMS = max(1, (a.until - c.f.Loop.Now()).Milliseconds())
+			v.WaitMS = max(1, (a.deadline - c.front.Loop.Now()).Milliseconds())
 		}
-		c.say(reply, v)
+		c.sendVerdict(reply, v)
 	default:
-		a.reply = reply
+		a.replySubject = reply
 	}
 }
 
-func (c *client) report(o outcome, reply string) {
-	a := c.asked[o.ID]
+func (c *client) handleReport(o outcomeReport, reply string) {
+	a := c.proxied[o.ID]
 	if a == nil {
-		c.say(reply, verdict{Verdict: "unknown", ID: o.ID})
+		c.sendVerdict(reply, verdict{Verdict: "unknown", ID: o.ID})
 		return
 	}
 	result, known := outcomes[o.Outcome]
 	switch {
-	case a.kept != nil: // the attempt it speaks of is over already
-		a.reply = reply
-		a.give(*a.kept)
+	case a.undelivered != nil: // the attempt it speaks of is over already
+		a.replySubject = reply
+		a.deliver(*a.undelivered)
 		return
-	case o.Try != a.try || a.over:
-		c.say(reply, verdict{Verdict: "unknown", ID: o.ID, Try: o.Try})
+	case o.Try != a.attempt || a.finished:
+		c.sendVerdict(reply, verdict{Verdict: "unknown", ID: o.ID, Try: o.Try})
 		return
 	case o.Outcome == "up":
-		v := verdict{Verdict: "up", ID: a.id, Try: a.try}
-		if c.f.Core.FlowEstablished(a.id, a.try) {
-			a.stands = &v
+		v := verdict{Verdict: "up", ID: a.requestID, Try: a.attempt}
+		if c.front.Core.FlowEstablished(a.requestID, a.attempt) {
+			a.current = &v
 		} else {
 			v.Verdict = "unknown"
 		}
-		c.say(reply, v)
+		c.sendVerdict(reply, v)
 	case o.Outcome == "message":
-		c.f.Core.ObserveMessageLatency(a.id, settings.Duration(o.Message))
-		c.say(reply, verdict{Verdict: "up", ID: a.id, Try: a.try})
+		c.front.Core.ObserveMessageLatency(a.requestID, settings.Duration(o.Message))
+		c.sendVerdict(reply, verdict{Verdict: "up", ID: a.requestID, Try: a.attempt})
 	case !known:
-		c.say(reply, verdict{Verdict: "error", ID: a.id, Try: a.try, Error: "unknown outcome"})
+		c.sendVerdict(reply, verdict{Verdict: "error", ID: a.requestID, Try: a.attempt, Error: "unknown outcome"})
 	default:
-		a.reply, a.stands = reply, nil
-		c.f.Core.AttemptEnded(a.id, a.try, result, settings.Report(o.Load))
-		if !c.f.Core.IsActive(a.id) && !a.over { // that was its end
-			v := verdict{Verdict: "ended", ID: a.id, Try: a.try}
+		a.replySubject, a.current = reply, nil
+		c.front.Core.AttemptEnded(a.requestID, a.attempt, result, settings.Report(o.Load))
+		if !c.front.Core.IsActive(a.requestID) && !a.finished { // that was its end
+			v := verdict{Verdict: "ended", ID: a.requestID, Try: a.attempt}
 			if result == policy.OK {
 				v.Verdict = "served"
 			}
-			a.final(v)
+			a.finish(v)
 		}
 	}
 }
 
-// give hands a verdict to whoever waits for it.
-func (a *asked) give(v verdict) {
-	a.kept = nil
+// deliver hands a verdict to whoever waits for it.
+func (a *proxiedRequest) deliver(v verdict) {
+	a.undelivered = nil
 	switch {
-	case a.reply != "":
-		a.c.say(a.reply, v)
-		a.reply = ""
-	case a.control != "":
-		a.c.say(a.control, v)
+	case a.replySubject != "":
+		a.client.sendVerdict(a.replySubject, v)
+		a.replySubject = ""
+	case a.controlSubject != "":
+		a.client.sendVerdict(a.controlSubject, v)
 	default:
-		a.kept = &v
+		a.undelivered = &v
 		return
 	}
-	if a.over {
-		a.forget()
+	if a.finished {
+		a.remove()
 	}
 }
 
-// final gives the last verdict; one that nobody takes is kept for a while.
-func (a *asked) final(v verdict) {
-	a.over, a.stands = true, nil
-	a.expire.Stop()
-	a.expire = a.c.f.Loop.After(keepVerdict, a.forget)
-	a.give(v)
+// finish gives the last verdict; one that nobody takes is kept for a while.
+func (a *proxiedRequest) finish(v verdict) {
+	a.finished, a.current = true, nil
+	a.expiryTimer.Stop()
+	a.expiryTimer = a.client.front.Loop.After(verdictRetention, a.remove)
+	a.deliver(v)
 }
 
-func (a *asked) forget() {
-	a.expire.Stop()
-	delete(a.c.asked, a.id)
-	if a.c.f.carried[a.key] == a {
-		delete(a.c.f.carried, a.key)
+func (a *proxiedRequest) remove() {
+	a.expiryTimer.Stop()
+	delete(a.client.proxied, a.requestID)
+	if a.client.front.proxied[a.key] == a {
+		delete(a.client.front.proxied, a.key)
 	}
 }
 
 // Send tells the proxy to make an attempt. Its silence ends the attempt as any
 // other's.
-func (a *asked) Send(id core.ID, to *core.Member, try int, wait time.Duration) {
+func (a *proxiedRequest) Send(id core.ID, to *core.Member, try int, wait time.Duration) {
 	v := verdict{Verdict: "send", ID: id, Try: try, Member: to.Name, Addr: to.Addr, WaitMS: wait.Milliseconds()}
-	a.id, a.try, a.stands, a.until = id, try, &v, a.c.f.Loop.Now()+wait
-	a.give(v)
+	a.requestID, a.attempt, a.current, a.deadline = id, try, &v, a.client.front.Loop.Now()+wait
+	a.deliver(v)
 }
 
 // Cancel tells the proxy to abandon its attempt, if it takes such word.
-func (a *asked) Cancel(try int) {
-	a.stands = nil
-	if a.control != "" {
-		a.c.say(a.control, verdict{Verdict: "cancel", ID: a.id, Try: try})
+func (a *proxiedRequest) Cancel(try int) {
+	a.current = nil
+	if a.controlSubject != "" {
+		a.client.sendVerdict(a.controlSubject, verdict{Verdict: "cancel", ID: a.requestID, Try: try})
 	}
 }
 
 // Reject passes the final answer on.
-func (a *asked) Reject(after time.Duration) {
-	a.final(verdict{Verdict: "reject", ID: a.id, Try: a.try, AfterMS: after.Milliseconds()})
+func (a *proxiedRequest) Reject(after time.Duration) {
+	a.finish(verdict{Verdict: "reject", ID: a.requestID, Try: a.attempt, AfterMS: after.Milliseconds()})
 }
 
 // Fail passes the final answer on.
-func (a *asked) Fail() { a.final(verdict{Verdict: "fail", ID: a.id, Try: a.try}) }
+func (a *proxiedRequest) Fail() { a.finish(verdict{Verdict: "fail", ID: a.requestID, Try: a.attempt}) }
 
 // Migrate asks the proxy to move its client.
-func (a *asked) Migrate() { a.final(verdict{Verdict: "move", ID: a.id, Try: a.try}) }
+func (a *proxiedRequest) Migrate() {
+	a.finish(verdict{Verdict: "move", ID: a.requestID, Try: a.attempt})
+}
--- a/internal/front/nats/publish.go
+++ b/internal/front/nats/publish.go
@@ -14,181 +14,183 @@
 // publisher is the wire's side of a feed: it carries messages to a member and what became of
 // them to the client.
 type publisher struct {
-	c     *client
-	to    destination
-	feed  *core.Feed
-	link  *link
-	fresh int // messages that no PING follows yet
-	watch int // the oldest sid whose message is not acknowledged
-	next  int // the next sid to listen by
+	client         *client
+	destination    destination
+	feed           *core.Feed
+	link           *link
+	unpinged       int // messages that no PING follows yet
+	oldestReplySID int // the oldest sid whose message is not acknowledged
+	nextReplySID   int // the next sid to listen by
 }
 
 // publish takes a publication in; false if its feed has no room, or subscriptions before it
 // do not stand yet.
 func (c *client) publish(m *command) bool {
 	switch {
-	case m.header > 0 && !c.options.Headers:
+	case m.headerLen > 0 && !c.options.Headers:
 		c.fail("message headers not supported")
 		return true
-	case len(m.payload) > c.f.offers.payload:
+	case len(m.payload) > c.front.offers.maxPayload:
 		c.fail(errPayload.Error())
 		return true
-	case ownSubject(m.subject):
-		if !c.mayPublish(m.subject) {
-			c.forbid(m.subject)
+	case isReserved(m.subject):
+		if !c.canPublish(m.subject) {
+			c.denyPublish(m.subject)
 			return true
 		}
-		if c.placing > 0 || c.oldest() <= c.mark {
+		if c.pendingSubscribes > 0 || c.oldestUnanswered() <= c.publishSeq {
 			return false
 		}
-		c.call(m)
-		c.ok()
+		c.handleProxyCall(m)
+		c.respondOK()
 		return true
 	}
-	if c.placing > 0 {
+	if c.pendingSubscribes > 0 {
 		return false
 	}
-	p := c.latest
-	if p == nil || string(m.subject) != c.latestSubject {
-		p = c.subjects[string(m.subject)]
+	p := c.lastPublisher
+	if p == nil || string(m.subject) != c.lastSubject {
+		p = c.publisherCache[string(m.subject)]
 	}
 	if p == nil {
 		if c.options.Pedantic && !validSubject(m.subject, false) { // others may have wildcards in it, as key-value watches do
-			c.warn("Invalid Publish Subject")
+			c.sendError("Invalid Publish Subject")
 			return true
 		}
-		if c.may != nil && !c.may.CanPublish(string(m.subject)) {
-			if !c.replies.AllowReply(c.f.Loop.RoundStart(), string(m.subject)) {
-				c.forbid(m.subject)
+		if c.permissions != nil && !c.permissions.CanPublish(string(m.subject)) {
+			if !c.replies.AllowReply(c.front.Loop.RoundStart(), string(m.subject)) {
+				c.denyPublish(m.subject)
 				return true
 			}
-			p = c.feedOf(c.f.destination(m.subject)) // this once: it is not remembered
+			p = c.publisherTo(c.front.destination(m.subject)) // this once: it is not remembered
 		} else {
-			p = c.publisher(m.subject)
+			p = c.publisherFor(m.subject)
 		}
 	}
 	if !p.feed.HasCapacity() {
 		return false
 	}
-	c.mark++
-	q := window.Message{Subject: subjectKey(m.subject), Sequence: c.mark, ReplyExpected: len(m.reply) > 0 && c.options.NoResponders}
-	if c.f.Core.Recorder != nil {
+	c.publishSeq++
+	q := window.Message{Subject: subjectHash(m.subject), Sequence: c.publishSeq, ReplyExpected: len(m.reply) > 0 && c.options.NoResponders}
+	if c.front.Core.Recorder != nil {
 		q.Name = "PUB " + string(m.subject)
 	}
 	if c.options.Verbose {
-		c.answers = append(c.answers, ticket{mark: c.mark, text: "+OK\r\n"})
+		c.responses = append(c.responses, response{seq: c.publishSeq, text: "+OK\r\n"})
 	}
-	if !c.echo() {
-		m = c.tag(m)
+	if !c.wantsEcho() {
+		m = c.addOrigin(m)
 	}
-	p.feed.Publish(q, m.appendPublication(p.feed.Buffer(m.room(""))))
+	p.feed.Publish(q, m.appendPublication(p.feed.Buffer(m.encodedSize(""))))
 	return true
 }
 
-// forbid tells of a subject that the client may not publish to.
-func (c *client) forbid(subject []byte) {
-	c.warn(fmt.Sprintf("Permissions Violation for Publish to %q", subject))
+// denyPublish tells of a subject that the client may not publish to.
+func (c *client) denyPublish(subject []byte) {
+	c.sendError(fmt.Sprintf("Permissions Violation for Publish to %q", subject))
 }
 
-// publisher finds the feed that a subject belongs to, and remembers it.
-func (c *client) publisher(subject []byte) *publisher {
-	p := c.feedOf(c.f.destination(subject))
-	if len(c.subjects) >= subjectsMost || c.subjects == nil {
-		c.subjects = map[string]*publisher{}
+// publisherFor finds the feed that a subject belongs to, and remembers it.
+func (c *client) publisherFor(subject []byte) *publisher {
+	p := c.publisherTo(c.front.destination(subject))
+	if len(c.publisherCache) >= maxCachedSubjects || c.publisherCache == nil {
+		c.publisherCache = map[string]*publisher{}
 	}
-	c.latest, c.latestSubject = p, string(subject)
-	c.subjects[c.latestSubject] = p
+	c.lastPublisher, c.lastSubject = p, string(subject)
+	c.publisherCache[c.lastSubject] = p
 	return p
 }
 
-// feedOf finds or makes the client's feed for a destination.
-func (c *client) feedOf(to destination) *publisher {
-	for _, p := range c.feeds {
-		if p.to == to {
+// publisherTo finds or makes the client's feed for a destination.
+func (c *client) publisherTo(to destination) *publisher {
+	for _, p := range c.publishers {
+		if p.destination == to {
 			return p
 		}
 	}
-	p := &publisher{c: c, to: to, watch: 1, next: 1}
+	p := &publisher{client: c, destination: to, oldestReplySID: 1, nextReplySID: 1}
 	name := "FEED " + strconv.Itoa(to.class) + " " + strconv.Itoa(to.tenant)
-	p.feed = c.f.Core.NewFeed(c.f.request(name, to), core.FeedLimits{Messages: c.f.WindowMessages, Bytes: c.f.WindowBytes}, p)
-	c.feeds = append(c.feeds, p)
+	p.feed = c.front.Core.NewFeed(c.front.newRequest(name, to), core.FeedLimits{Messages: c.front.WindowMessages, Bytes: c.front.WindowBytes}, p)
+	c.publishers = append(c.publishers, p)
 	return p
 }
 
 // Connect starts a link.
 func (p *publisher) Connect(to *core.Member, _ time.Duration) {
-	p.fresh, p.watch = 0, p.next
-	p.link = p.c.dial(to, p)
+	p.unpinged, p.oldestReplySID = 0, p.nextReplySID
+	p.link = p.client.dial(to, p)
 }
 
-// up, lost and erred are told by the link.
-func (p *publisher) up() { p.feed.Connected() }
+// linkReady, lost and erred are told by the link.
+func (p *publisher) linkReady() { p.feed.Connected() }
 
-func (p *publisher) lost(result policy.Result, left uint64) {
+func (p *publisher) linkLost(result policy.Result, left uint64) {
 	p.link = nil
 	p.feed.Disconnected(result, left)
 }
 
-func (p *publisher) erred(text []byte) {
+func (p *publisher) linkError(text []byte) {
 	// The subject stands in quotes; only such an error concerns one message, and others end the
 	// connection.
 	if _, rest, ok := bytes.Cut(text, []byte(`"`)); ok {
 		if subject, _, ok := bytes.Cut(rest, []byte(`"`)); ok {
-			p.feed.MessageRejected(subjectKey(subject))
+			p.feed.MessageRejected(subjectHash(subject))
 		}
 	}
 }
 
-// FreeDescriptors says whether the link has sent most of what it was given; the feed's Drained follows.
-func (p *publisher) Writable() bool { return p.link.c.Unsent() < p.c.f.water(linkWater) }
+// Writable says whether the link has sent most of what it was given; the feed's Drained follows.
+func (p *publisher) Writable() bool {
+	return p.link.conn.Unsent() < p.client.front.unsentLimit(linkHighWater)
+}
 
 // WriteMessage hands a message to the link. Who may publish may hear on the reply subject that nobody
 // listens; members tell that the publishing connection alone.
 func (p *publisher) WriteMessage(text []byte, m *window.Message) {
 	l := p.link
 	if m.ReplyExpected {
-		if q, _, err := parse(text, len(text)+1, len(text)); err == nil && len(q.reply) > 0 {
-			out := append(append(l.c.Buffer(len(q.reply)+lineRoom), "SUB "...), q.reply...)
-			out = strconv.AppendInt(append(out, ' '), int64(p.next), 10)
+		if q, _, err := parseCommand(text, len(text)+1, len(text)); err == nil && len(q.reply) > 0 {
+			out := append(append(l.conn.Buffer(len(q.reply)+lineOverhead), "SUB "...), q.reply...)
+			out = strconv.AppendInt(append(out, ' '), int64(p.nextReplySID), 10)
 			l.commit(append(out, '\r', '\n'))
-			p.next++
+			p.nextReplySID++
 		}
 	}
-	l.commit(append(l.c.Buffer(len(text)), text...))
+	l.commit(append(l.conn.Buffer(len(text)), text...))
 	m.Offset = l.written
-	if p.fresh++; p.fresh == 1 {
-		p.c.f.Loop.After(0, func() { p.ping(l) })
+	if p.unpinged++; p.unpinged == 1 {
+		p.client.front.Loop.After(0, func() { p.requestAck(l) })
 	}
 }
 
-// ping asks for the acknowledgement of all that was carried in this round.
-func (p *publisher) ping(l *link) {
-	if p.link != l || p.fresh == 0 {
+// requestAck asks for the acknowledgement of all that was carried in this round.
+func (p *publisher) requestAck(l *link) {
+	if p.link != l || p.unpinged == 0 {
 		return
 	}
-	n, sids := p.fresh, p.next
-	p.fresh = 0
-	l.ack(func() {
+	n, sids := p.unpinged, p.nextReplySID
+	p.unpinged = 0
+	l.afterPing(func() {
 		if p.link != l {
 			return
 		}
-		if p.watch < sids {
-			out := l.c.Buffer(lineRoom * (sids - p.watch))
-			for ; p.watch < sids; p.watch++ {
-				out = strconv.AppendInt(append(out, "UNSUB "...), int64(p.watch), 10)
+		if p.oldestReplySID < sids {
+			out := l.conn.Buffer(lineOverhead * (sids - p.oldestReplySID))
+			for ; p.oldestReplySID < sids; p.oldestReplySID++ {
+				out = strconv.AppendInt(append(out, "UNSUB "...), int64(p.oldestReplySID), 10)
 				out = append(out, '\r', '\n')
 			}
 			l.commit(out)
 		}
 		p.feed.Acknowledged(n)
-		p.c.goOn()
+		p.client.scheduleResume()
 	})
 }
 
-// message is one for a sid by which the link listens for the word that nobody does.
-func (p *publisher) message(m *command) {
-	if m.header > 0 && bytes.HasPrefix(m.payload, []byte("NATS/1.0 503")) {
-		p.c.deliver(*m)
+// handleStatus is one for a sid by which the link listens for the word that nobody does.
+func (p *publisher) handleStatus(m *command) {
+	if m.headerLen > 0 && bytes.HasPrefix(m.payload, []byte("NATS/1.0 503")) {
+		p.client.deliverLocal(*m)
 	}
 }
 
@@ -199,22 +201,22 @@
 		return 0
 	}
 	p.link = nil
-	left := l.written - uint64(l.c.Unsent())
-	l.cut()
+	left := l.written - uint64(l.conn.Unsent())
+	l.reset()
 	return left
 }
 
-// RecordAnswer tells the client what became of a message. Nothing is said of one that was served, but
+// Answer tells the client what became of a message. Nothing is said of one that was served, but
 // for the +OK of a verbose client.
 func (p *publisher) Answer(m *window.Message, text []byte, a core.Answer, after time.Duration) {
-	c := p.c
-	c.goOn()
+	c := p.client
+	c.scheduleResume()
 	if a == core.Served {
 		return
 	}
-	c.f.Counts.Rejected++
-	for i := range c.answers { // its +OK will not come
-		if t := &c.answers[i]; t.mark == m.Sequence && t.text == "+OK\r\n" {
+	c.front.Counts.Rejected++
+	for i := range c.responses { // its +OK will not come
+		if t := &c.responses[i]; t.seq == m.Sequence && t.text == "+OK\r\n" {
 			t.text = ""
 			break
 		}
@@ -223,64 +225,64 @@
 	if a == core.Rejected {
 		why = fmt.Sprintf("rejected, come again in %d ms", after.Milliseconds())
 	}
-	q, _, err := parse(text, len(text)+1, len(text))
+	q, _, err := parseCommand(text, len(text)+1, len(text))
 	if err != nil {
 		return
 	}
-	if c.noticed(q.reply) {
-		c.notice(q.reply, "503 "+why)
+	if c.wantsStatus(q.reply) {
+		c.deliverStatus(q.reply, "503 "+why)
 		return
 	}
 	// The one kind of error that clients take without ending the connection.
-	c.warn(fmt.Sprintf("Permissions Violation for Publish to %q: %s", q.subject, why))
+	c.sendError(fmt.Sprintf("Permissions Violation for Publish to %q: %s", q.subject, why))
 }
 
-// WriteCapacity has the client's commands go on.
-func (p *publisher) OnCapacity() { p.c.goOn() }
+// OnCapacity has the client's commands go on.
+func (p *publisher) OnCapacity() { p.client.scheduleResume() }
 
 // ---- echo:false ----
 
 // origin is the header by which the relay knows the publications of a client that does not want
 // them back: its feed and its subscriptions are on connections of their own.
-const origin = "Dahlia-Origin: "
+const originHeader = "Dahlia-Origin: "
 
-func (c *client) origin() string { return c.f.Name + "-" + strconv.FormatUint(c.id, 10) }
+func (c *client) originID() string { return c.front.Name + "-" + strconv.FormatUint(c.id, 10) }
 
-// tag puts the origin into a publication's headers.
-func (c *client) tag(m *command) *command {
-	line := origin + c.origin() + "\r\n"
+// addOrigin puts the origin into a publication's headers.
+func (c *client) addOrigin(m *command) *command {
+	line := originHeader + c.originID() + "\r\n"
 	n := *m
-	if m.header == 0 {
+	if m.headerLen == 0 {
 		head := "NATS/1.0\r\n" + line + "\r\n"
-		n.header = len(head)
+		n.headerLen = len(head)
 		n.payload = append([]byte(head), m.payload...)
 		return &n
 	}
 	first := bytes.Index(m.payload, []byte("\r\n")) + 2
-	n.header += len(line)
+	n.headerLen += len(line)
 	n.payload = append(append(append([]byte(nil), m.payload[:first]...), line...), m.payload[first:]...)
 	return &n
 }
 
-// untag takes the origin out of a message's headers, and returns it.
-func untag(m *command) (who []byte) {
-	at := bytes.Index(m.payload[:m.header], []byte("\r\n"+origin))
+// removeOrigin takes the origin out of a message's headers, and returns it.
+func removeOrigin(m *command) (who []byte) {
+	at := bytes.Index(m.payload[:m.headerLen], []byte("\r\n"+originHeader))
 	if at < 0 {
 		return nil
 	}
 	at += 2
-	end := bytes.Index(m.payload[at:m.header], []byte("\r\n"))
+	end := bytes.Index(m.payload[at:m.headerLen], []byte("\r\n"))
 	if end < 0 {
 		return nil
 	}
-	who = append(who, m.payload[at+len(origin):at+end]...)
+	who = append(who, m.payload[at+len(originHeader):at+end]...)
 	n := end + 2
 	// The message stands in the link's buffer, which is read once: what is before the line
 	// moves up to it.
 	copy(m.payload[n:at+n], m.payload[:at])
-	m.payload, m.header = m.payload[n:], m.header-n
-	if string(m.payload[:m.header]) == "NATS/1.0\r\n\r\n" {
-		m.payload, m.header = m.payload[m.header:], 0
+	m.payload, m.headerLen = m.payload[n:], m.headerLen-n
+	if string(m.payload[:m.headerLen]) == "NATS/1.0\r\n\r\n" {
+		m.payload, m.headerLen = m.payload[m.headerLen:], 0
 	}
 	return who
 }
--- a/internal/front/nats/security.go
+++ b/internal/front/nats/security.go
@@ -52,23 +52,23 @@
 
 // Security is what a Config's files hold; it can be read again while the relay runs.
 type Security struct {
-	server  *tls.Config
-	member  *tls.Config
-	book    *auth.Authenticator // nil where all may enter
-	key     nkeys.KeyPair
-	jwt     string
-	enterer chan func() // to the workers that check passwords
+	server        *tls.Config
+	member        *tls.Config
+	authenticator *auth.Authenticator // nil where all may enter
+	nkey          nkeys.KeyPair
+	jwt           string
+	authQueue     chan func() // to the workers that check passwords
 }
 
 // LoadSecurity reads the files that the configuration names. Errors name the key.
 func (c *Config) LoadSecurity() (*Security, error) {
 	s := &Security{}
 	if t := c.TLS; t != nil {
-		cfg, err := pair("tls", c.file(t.Cert), c.file(t.Key), t.MinVersion, true)
+		cfg, err := loadKeyPair("tls", c.resolvePath(t.Cert), c.resolvePath(t.Key), t.MinVersion, true)
 		if err != nil {
 			return nil, err
 		}
-		if cfg.ClientCAs, err = pool("tls.client_ca", c.file(t.ClientCA)); err != nil {
+		if cfg.ClientCAs, err = loadCertPool("tls.client_ca", c.resolvePath(t.ClientCA)); err != nil {
 			return nil, err
 		}
 		switch {
@@ -84,11 +84,11 @@
 		s.server = cfg
 	}
 	if t := c.MemberTLS; t != nil {
-		cfg, err := pair("member_tls", c.file(t.Cert), c.file(t.Key), t.MinVersion, false)
+		cfg, err := loadKeyPair("member_tls", c.resolvePath(t.Cert), c.resolvePath(t.Key), t.MinVersion, false)
 		if err != nil {
 			return nil, err
 		}
-		if cfg.RootCAs, err = pool("member_tls.ca", c.file(t.CA)); err != nil {
+		if cfg.RootCAs, err = loadCertPool("member_tls.ca", c.resolvePath(t.CA)); err != nil {
 			return nil, err
 		}
 		cfg.ServerName = t.ServerName
@@ -99,27 +99,27 @@
 		if err != nil {
 			return nil, fmt.Errorf("auth.%w", err)
 		}
-		s.book = book
+		s.authenticator = book
 	}
 	if c.MemberLogin != nil {
-		if err := s.login(c.MemberLogin, c.file); err != nil {
+		if err := s.loadLogin(c.MemberLogin, c.resolvePath); err != nil {
 			return nil, fmt.Errorf("member_login.%w", err)
 		}
 	}
 	return s, nil
 }
 
-// file is where a path of the configuration leads: one that is not absolute counts from the
+// resolvePath is where a path of the configuration leads: one that is not absolute counts from the
 // configuration's own file.
-func (c *Config) file(path string) string {
+func (c *Config) resolvePath(path string) string {
 	if path == "" || filepath.IsAbs(path) {
 		return path
 	}
 	return filepath.Join(c.Dir, path)
 }
 
-// pair reads a certificate with its key.
-func pair(at, cert, key, version string, needed bool) (*tls.Config, error) {
+// loadKeyPair reads a certificate with its key.
+func loadKeyPair(at, cert, key, version string, needed bool) (*tls.Config, error) {
 	cfg := &tls.Config{MinVersion: tls.VersionTLS12}
 	switch version {
 	case "", "1.2":
@@ -147,8 +147,8 @@
 	return cfg, nil
 }
 
-// pool reads certificates of authorities; nil if path is empty.
-func pool(at, path string) (*x509.CertPool, error) {
+// loadCertPool reads certificates of authorities; nil if path is empty.
+func loadCertPool(at, path string) (*x509.CertPool, error) {
 	if path == "" {
 		return nil, nil
 	}
@@ -163,7 +163,7 @@
 	return p, nil
 }
 
-func (s *Security) login(l *MemberLogin, file func(string) string) error {
+func (s *Security) loadLogin(l *MemberLogin, file func(string) string) error {
 	if !auth.ExactlyOne(l.User, l.Token, l.NKeySeedFile, l.CredentialsFile) {
 		return errors.New("user: want exactly one of user, token, nkey_seed_file and credentials_file")
 	}
@@ -181,10 +181,10 @@
 	}
 	if l.CredentialsFile != "" {
 		if s.jwt, err = jwt.ParseDecoratedJWT(text); err == nil {
-			s.key, err = jwt.ParseDecoratedNKey(text)
+			s.nkey, err = jwt.ParseDecoratedNKey(text)
 		}
 	} else {
-		s.key, err = nkeys.FromSeed([]byte(strings.TrimSpace(string(text))))
+		s.nkey, err = nkeys.FromSeed([]byte(strings.TrimSpace(string(text))))
 	}
 	if err != nil {
 		return fmt.Errorf("%s: %s: %v", at, path, err)
@@ -197,31 +197,31 @@
 const (
 	// enterers check passwords, each a tenth of a second of work; so many clients may wait for
 	// them, and who comes then is refused at once.
-	enterers  = 2
-	enterMost = 256
+	authWorkers   = 2
+	authQueueSize = 256
 )
 
 // ReloadSecurity takes over what was read again. Who has entered stays.
 func (f *Front) ReloadSecurity(s *Security) {
-	if f.sec != nil && f.sec.enterer != nil {
-		close(f.sec.enterer) // its workers end when they are done
+	if f.security != nil && f.security.authQueue != nil {
+		close(f.security.authQueue) // its workers end when they are done
 	}
-	if s.book != nil {
-		s.enterer = make(chan func(), enterMost)
-		for range enterers {
+	if s.authenticator != nil {
+		s.authQueue = make(chan func(), authQueueSize)
+		for range authWorkers {
 			go func() {
-				for check := range s.enterer {
+				for check := range s.authQueue {
 					check()
 				}
 			}()
 		}
 	}
-	f.sec = s
+	f.security = s
 }
 
-// securityInfo is what INFO says of all this.
-func (f *Front) securityInfo(c *client, v map[string]any) {
-	if f.sec.server != nil {
+// addSecurityInfo is what INFO says of all this.
+func (f *Front) addSecurityInfo(c *client, v map[string]any) {
+	if f.security.server != nil {
 		v["tls_required"] = !f.TLS.Optional
 		if f.TLS.Optional {
 			v["tls_available"] = true
@@ -230,9 +230,9 @@
 			v["tls_verify"] = true
 		}
 	}
-	if f.sec.book != nil {
+	if f.security.authenticator != nil {
 		v["auth_required"] = true
-		if f.sec.book.RequiresNonce() {
+		if f.security.authenticator.RequiresNonce() {
 			if c.nonce == "" {
 				var b [16]byte
 				rand.Read(b[:])
@@ -243,28 +243,28 @@
 	}
 }
 
-// sniff starts TLS at a client's first byte, or turns away who goes without where it must not. It
+// checkTLS starts TLS at a client's first byte, or turns away who goes without where it must not. It
 // says whether the client's bytes may be read as they are.
-func (c *client) sniff(first byte) bool {
-	c.sniffed = true
+func (c *client) checkTLS(first byte) bool {
+	c.tlsChecked = true
 	const record = 0x16 // the first byte of a TLS handshake
 	switch {
-	case c.f.sec.server == nil || c.c.IsTLS():
+	case c.front.security.server == nil || c.conn.IsTLS():
 		return true
 	case first == record:
-		c.c.PauseReading()
-		c.f.Loop.After(0, func() { c.c.StartTLS(c.f.sec.server, false, connectWithin, func(tls.ConnectionState) {}) })
+		c.conn.PauseReading()
+		c.front.Loop.After(0, func() { c.conn.StartTLS(c.front.security.server, false, connectTimeout, func(tls.ConnectionState) {}) })
 		return false
-	case c.f.TLS.Optional:
+	case c.front.TLS.Optional:
 		return true
 	}
 	c.fail("Secure Connection - TLS Required")
 	return false
 }
 
-// enter checks who a client is; then is run once it has entered.
-func (c *client) enter(connect []byte, then func()) {
-	book := c.f.sec.book
+// authenticate checks who a client is; then is run once it has entered.
+func (c *client) authenticate(connect []byte, then func()) {
+	book := c.front.security.authenticator
 	if book == nil {
 		then()
 		return
@@ -275,12 +275,12 @@
 		return
 	}
 	decide := func(id *auth.Identity, err error) {
-		if c.over {
+		if c.closed {
 			return
 		}
 		if err != nil {
-			c.f.Counts.Denied++
-			c.f.Log.WithError(err).WithField("client", c.remote).Info("denied")
+			c.front.Counts.Denied++
+			c.front.Log.WithError(err).WithField("client", c.remote).Info("denied")
 			if errors.Is(err, auth.ErrExpired) {
 				c.fail("User Authentication Expired")
 			} else {
@@ -288,10 +288,10 @@
 			}
 			return
 		}
-		c.may = id.Permissions
+		c.permissions = id.Permissions
 		c.replies = auth.NewReplyTracker(id.Permissions)
 		if !id.Expires.IsZero() {
-			c.expires = c.f.Loop.After(time.Until(id.Expires), func() { c.fail("User Authentication Expired") })
+			c.expiryTimer = c.front.Loop.After(time.Until(id.Expires), func() { c.fail("User Authentication Expired") })
 		}
 		then()
 	}
@@ -299,38 +299,38 @@
 		decide(book.Authenticate(claims, c.nonce, time.Now()))
 		return
 	}
-	c.entering = true
+	c.authenticating = true
 	work := func() {
 		id, err := book.Authenticate(claims, c.nonce, time.Now())
-		c.f.Loop.Post(func() {
-			c.entering = false
+		c.front.Loop.Post(func() {
+			c.authenticating = false
 			decide(id, err)
-			c.goOn()
+			c.scheduleResume()
 		})
 	}
 	select {
-	case c.f.sec.enterer <- work:
+	case c.front.security.authQueue <- work:
 	default:
 		c.fail("Authentication Timeout")
 	}
 }
 
-// mayPublish says whether the client may publish to a subject.
-func (c *client) mayPublish(subject []byte) bool {
-	if c.may == nil || c.may.CanPublish(string(subject)) {
+// canPublish says whether the client may publish to a subject.
+func (c *client) canPublish(subject []byte) bool {
+	if c.permissions == nil || c.permissions.CanPublish(string(subject)) {
 		return true
 	}
-	return c.replies.AllowReply(c.f.Loop.RoundStart(), string(subject))
+	return c.replies.AllowReply(c.front.Loop.RoundStart(), string(subject))
 }
 
 // ---- Members ----
 
 // memberTLS is what a member at that address is spoken to with; nil for plain TCP.
 func (f *Front) memberTLS(addr string) *tls.Config {
-	if f.sec.member == nil {
+	if f.security.member == nil {
 		return nil
 	}
-	cfg := f.sec.member
+	cfg := f.security.member
 	if cfg.ServerName == "" {
 		cfg = cfg.Clone()
 		if at, err := netip.ParseAddrPort(addr); err == nil {
@@ -340,9 +340,9 @@
 	return cfg
 }
 
-// logIn puts the relay's own login into a CONNECT, where one is configured or the client's cannot be
+// addCredentials puts the relay's own login into a CONNECT, where one is configured or the client's cannot be
 // passed on.
-func (f *Front) logIn(connect map[string]any, info []byte) error {
+func (f *Front) addCredentials(connect map[string]any, info []byte) error {
 	if f.MemberLogin == nil {
 		for _, key := range []string{"nkey", "sig", "jwt"} { // answers to the relay's own challenge
 			delete(connect, key)
@@ -351,21 +351,21 @@
 	}
 	auth.StripCredentials(connect)
 	switch {
-	case f.sec.key != nil:
+	case f.security.nkey != nil:
 		var said struct {
 			Nonce string `json:"nonce"`
 		}
 		if err := json.Unmarshal(info, &said); err != nil {
 			return err
 		}
-		sig, err := f.sec.key.Sign([]byte(said.Nonce))
+		sig, err := f.security.nkey.Sign([]byte(said.Nonce))
 		if err != nil {
 			return err
 		}
 		connect["sig"] = base64.RawURLEncoding.EncodeToString(sig)
-		if f.sec.jwt != "" {
-			connect["jwt"] = f.sec.jwt
-		} else if connect["nkey"], err = f.sec.key.PublicKey(); err != nil {
+		if f.security.jwt != "" {
+			connect["jwt"] = f.security.jwt
+		} else if connect["nkey"], err = f.security.nkey.PublicKey(); err != nil {
 			return err
 		}
 	case f.MemberLogin.Token != "":
