--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -11,8 +11,8 @@
 
 // This file is what the core holds of pool members: what discovery says of them, what operators do, and what is passed on.
 
-// Pool is what discovery says of the members.
-func (c *Core) Pool(kind policy.ListKind, list []Member) {
+// ServerList is what discovery says of the members.
+func (c *Core) UpdateMembers(kind policy.ListKind, list []Member) {
 	now := c.Clock()
 	servers := make([]policy.Server, len(list))
 	named := map[policy.ServerID]bool{}
@@ -39,7 +39,7 @@
 			}
 		}
 	}
-	c.tell(policy.Pool{Kind: kind, Servers: servers})
+	c.tell(policy.ServerList{Kind: kind, Servers: servers})
 }
 
 // see makes of what discovery and the operators say of a member what the module
@@ -65,13 +65,13 @@
 
 // ---- What operators and the fleet tell ----
 
-// Known says whether a member of that name is or was in the pool, or is banned.
-func (c *Core) Known(name string) bool { return c.byName[name] != nil || c.ruled(name) }
+// IsKnownMember says whether a member of that name is or was in the pool, or is banned.
+func (c *Core) IsKnownMember(name string) bool { return c.byName[name] != nil || c.ruled(name) }
 
-// Leaving is how a member that the fleet has agreed to take out is left.
-type Leaving struct {
-	Over time.Duration // its flows are moved spread over so long; 0: at once
-	Ban  bool          // an operator's word, after which the member may be another one; else it is drained, and warm if that is revoked
+// Removal is how a member that the fleet has agreed to take out is left.
+type Removal struct {
+	SpreadOver time.Duration // its flows are moved spread over so long; 0: at once
+	Ejection   bool          // an operator's word, after which the member may be another one; else it is drained, and warm if that is revoked
 }
 
 // ruled says whether an operator of this relay or the fleet has taken a member out.
@@ -80,27 +80,27 @@
 	return agreed || c.bans[name]
 }
 
-// Ban has nothing new sent to a member, whatever the pool says of it, and its flows
+// Eject has nothing new sent to a member, whatever the pool says of it, and its flows
 // moved.
-func (c *Core) Ban(name string) {
+func (c *Core) Eject(name string) {
 	c.bans[name] = true
 	c.rule(name, false)
 }
 
-// Allow ends a ban. Whatever the member was restarted for meanwhile, it is taken
+// Reinstate ends a ban. Whatever the member was restarted for meanwhile, it is taken
 // for cold, and nothing that was learned of it before counts.
-func (c *Core) Allow(name string) {
+func (c *Core) Reinstate(name string) {
 	delete(c.bans, name)
 	c.rule(name, false)
 }
 
-// Agree puts what the fleet has agreed on in the place of all that it agreed on before. Bans of this relay's own operators stay.
-func (c *Core) Agree(out map[string]Leaving) {
+// SetFleetRemovals puts what the fleet has agreed on in the place of all that it agreed on before. Bans of this relay's own operators stay.
+func (c *Core) SetFleetRemovals(out map[string]Removal) {
 	before := c.agreed
 	c.agreed = maps.Clone(out)
 	for _, name := range slices.Sorted(maps.Keys(before)) {
 		if _, still := out[name]; !still {
-			c.rule(name, !before[name].Ban)
+			c.rule(name, !before[name].Ejection)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(out)) {
@@ -135,23 +135,23 @@
 // word tells the module of a member about which somebody has spoken.
 func (c *Core) word(m *member) {
 	c.see(c.Clock(), m)
-	c.tell(policy.Pool{Kind: policy.ListDelta, Servers: []policy.Server{m.Server}})
+	c.tell(policy.ServerList{Kind: policy.ListDelta, Servers: []policy.Server{m.Server}})
 }
 
-// Bans puts these names in the place of all that are banned.
-func (c *Core) Bans(names []string) {
-	for _, name := range c.Banned() {
+// SetEjections puts these names in the place of all that are banned.
+func (c *Core) SetEjections(names []string) {
+	for _, name := range c.Ejected() {
 		if !slices.Contains(names, name) {
-			c.Allow(name)
+			c.Reinstate(name)
 		}
 	}
 	for _, name := range names {
-		c.Ban(name)
+		c.Eject(name)
 	}
 }
 
-// Banned are the members that this relay's own operators have taken out, in order.
-func (c *Core) Banned() []string { return slices.Sorted(maps.Keys(c.bans)) }
+// Ejected are the members that this relay's own operators have taken out, in order.
+func (c *Core) Ejected() []string { return slices.Sorted(maps.Keys(c.bans)) }
 
 // pace puts the move of a flow off that the module asks for, where its member leaves by agreement and the flows of all relays are
 // spread over a time. The module asks once, so what is put off is the core's to do.
@@ -159,7 +159,7 @@
 	if r.state != serving || r.member.listed.State != policy.Ready { // it leaves by itself, and sends its clients away soon
 		return false
 	}
-	over := c.agreed[r.member.Name].Over
+	over := c.agreed[r.member.Name].SpreadOver
 	if !r.member.banned || c.bans[r.member.Name] || over <= 0 { // an operator of this relay wants it left now
 		return false
 	}
@@ -190,24 +190,24 @@
 	}
 }
 
-// MemberView is a pool member as this relay holds it, for those who look.
-type MemberView struct {
-	Name      string
-	Zone      int
-	State     policy.State // as discovery has it
-	Started   time.Duration
-	Out       bool // by an operator or by agreement
-	Flows     int
-	Capacity  float64 // in flows, as far as it is known; 0: not known
-	Good, Bad uint64  // attempts and probes that ended so, since this process started
+// MemberStatus is a pool member as this relay holds it, for those who look.
+type MemberStatus struct {
+	Name                string
+	Zone                int
+	State               policy.ServerState // as discovery has it
+	Started             time.Duration
+	Removed             bool // by an operator or by agreement
+	Flows               int
+	Capacity            float64 // in flows, as far as it is known; 0: not known
+	Successes, Failures uint64  // attempts and probes that ended so, since this process started
 }
 
 // Members is what is held of all members that discovery names, by name.
-func (c *Core) Members() (all []MemberView) {
-	learned := c.facade.Learned(c.Clock()).Servers
+func (c *Core) Members() (all []MemberStatus) {
+	learned := c.facade.LearnedState(c.Clock()).Servers
 	for _, name := range slices.Sorted(maps.Keys(c.byName)) {
 		m := c.byName[name]
-		v := MemberView{Name: name, Zone: m.Zone, State: m.listed.State, Started: m.listed.Started, Out: m.banned, Flows: m.flows, Good: m.good, Bad: m.bad}
+		v := MemberStatus{Name: name, Zone: m.Zone, State: m.listed.State, Started: m.listed.Started, Removed: m.banned, Flows: m.flows, Successes: m.good, Failures: m.bad}
 		if l, ok := learned[m.ID]; ok && l.Reports > 0 {
 			v.Capacity = l.Capacity
 		}
@@ -218,32 +218,32 @@
 	return all
 }
 
-// Learned is what another core can go on from. Times are ages.
-type Learned struct {
-	Policy policy.Learned           `json:"policy"`
-	Back   map[string]time.Duration `json:"back"` // how long ago members were put back
+// LearnedState is what another core can go on from. Times are ages.
+type LearnedState struct {
+	Policy         policy.LearnedState      `json:"policy"`
+	ReinstatedAges map[string]time.Duration `json:"back"` // how long ago members were put back
 }
 
-// Learned is what has been learned so far.
-func (c *Core) Learned() Learned {
+// LearnedState is what has been learned so far.
+func (c *Core) LearnedState() LearnedState {
 	now := c.Clock()
-	l := Learned{Policy: c.facade.Learned(now), Back: map[string]time.Duration{}}
+	l := LearnedState{Policy: c.facade.LearnedState(now), ReinstatedAges: map[string]time.Duration{}}
 	for name, m := range c.byName {
 		if m.back > 0 {
-			l.Back[name] = now - m.back
+			l.ReinstatedAges[name] = now - m.back
 		}
 	}
 	return l
 }
 
-// Recall goes on from what another core has learned. It comes after Pool.
-func (c *Core) Recall(l Learned) {
+// Restore goes on from what another core has learned. It comes after Pool.
+func (c *Core) Restore(l LearnedState) {
 	now := c.Clock()
-	for name, ago := range l.Back {
+	for name, ago := range l.ReinstatedAges {
 		if m := c.byName[name]; m != nil {
 			m.started, m.back = m.listed.Started, now-ago
 			c.see(now, m)
 		}
 	}
-	c.facade.Recall(now, l.Policy)
+	c.facade.Restore(now, l.Policy)
 }
--- a/internal/front/line/attempt_test.go
+++ b/internal/front/line/attempt_test.go
@@ -10,8 +10,8 @@
 	"dahliarudder/policy"
 )
 
-// over waits until the relay has ended a connection.
-func (g *rig) over(p *looptest.Peer) {
+// expectFinished waits until the relay has ended a connection.
+func (g *rig) expectFinished(p *looptest.Peer) {
 	g.T.Helper()
 	g.WaitFor("the end", func() bool { p.Poll(); return p.EndErr != nil })
 }
@@ -29,11 +29,11 @@
 	"resets after half a line":    {func(g *rig, m *looptest.Peer) { m.Send("UP"); g.RunOnce(); m.Reset() }, policy.Reset},
 	"ends after half a line":      {func(_ *rig, m *looptest.Peer) { m.Send("UP x"); m.CloseWrite() }, policy.Reset},
 	"ends within its CRLF":        {func(_ *rig, m *looptest.Peer) { m.Send("UP x\r"); m.CloseWrite() }, policy.Reset},
-	"says nothing":                {func(g *rig, m *looptest.Peer) { g.outlast(m) }, policy.Timeout},
-	"says half a line":            {func(g *rig, m *looptest.Peer) { m.Send("UP x"); g.RunOnce(); g.outlast(m) }, policy.Timeout},
-	"says UP once it is too late": {func(g *rig, m *looptest.Peer) { g.outlast(m); late(m, "UP x\r\n") }, policy.Timeout},
-	"says a line over the bound":  {func(_ *rig, m *looptest.Peer) { m.Send("UP " + strings.Repeat("x", maxLine) + "\r\n") }, policy.Error},
-	"says a line without end":     {func(_ *rig, m *looptest.Peer) { m.Send(strings.Repeat("x", 64*maxLine)) }, policy.Error},
+	"says nothing":                {func(g *rig, m *looptest.Peer) { g.passTimeout(m) }, policy.Timeout},
+	"says half a line":            {func(g *rig, m *looptest.Peer) { m.Send("UP x"); g.RunOnce(); g.passTimeout(m) }, policy.Timeout},
+	"says UP once it is too late": {func(g *rig, m *looptest.Peer) { g.passTimeout(m); late(m, "UP x\r\n") }, policy.Timeout},
+	"says a line over the bound":  {func(_ *rig, m *looptest.Peer) { m.Send("UP " + strings.Repeat("x", maxLineBytes) + "\r\n") }, policy.Error},
+	"says a line without end":     {func(_ *rig, m *looptest.Peer) { m.Send(strings.Repeat("x", 64*maxLineBytes)) }, policy.Error},
 	"says UP without CR":          {func(_ *rig, m *looptest.Peer) { m.Send("UP x\n") }, policy.Error},
 	"says an empty line":          {func(_ *rig, m *looptest.Peer) { m.Send("\r\nUP x\r\n") }, policy.Error},
 	"says what is no text":        {func(_ *rig, m *looptest.Peer) { m.Send("\x00\xff\x16\x03\r\n") }, policy.Error},
@@ -48,8 +48,8 @@
 	"says MOVE":                   {func(_ *rig, m *looptest.Peer) { m.Send("MOVE\r\n") }, policy.Cancelled},
 }
 
-// outlast passes the time of the attempt that is out.
-func (g *rig) outlast(m *looptest.Peer) {
+// passTimeout passes the time of the attempt that is out.
+func (g *rig) passTimeout(m *looptest.Peer) {
 	g.T.Helper()
 	g.WaitFor("the end of the attempt", func() bool { g.Advance(10 * time.Millisecond); m.Poll(); return m.EndErr != nil })
 }
@@ -69,8 +69,8 @@
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 2)
 			var ended results
-			g.Core.Ledger = &ended
-			c := g.ask(firstLine)
+			g.Core.Recorder = &ended
+			c := g.sendRequest(firstLine)
 			at, m := g.anyAttempt()
 			one.does(g, m)
 			g.WaitFor("the next attempt", func() bool { g.Advance(time.Millisecond); return g.Core.Counts.Attempts == 2 })
@@ -78,7 +78,7 @@
 				t.Errorf("results %v, want %v", ended, one.want)
 			}
 			if one.want != policy.Reset { // its own end
-				g.over(m)
+				g.expectFinished(m)
 			}
 			next := g.attempt(1 - at)
 			if c.Poll(); len(c.Received) > 0 {
@@ -91,25 +91,25 @@
 			next.CloseWrite()
 			c.ExpectEOF()
 			g.clean()
-			if n := g.Core.Counts; n.Served != 1 || n.Rejected+n.Failed+n.Left != 0 || n.Attempts != 2 {
+			if n := g.Core.Counts; n.Served != 1 || n.Rejected+n.Failed+n.ClientsGone != 0 || n.Attempts != 2 {
 				t.Errorf("%+v", n)
 			}
 		})
 	}
 }
 
-// TestAttemptsRunOut: where every member does so, the client gets one whole answer in time, after at most as many
+// TestAttemptsExhausted: where every member does so, the client gets one whole answer in time, after at most as many
 // attempts as are allowed, never two out.
-func TestAttemptsRunOut(t *testing.T) {
+func TestAttemptsExhausted(t *testing.T) {
 	for name, one := range spoilt {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 2)
-			c := g.ask(firstLine)
+			c := g.sendRequest(firstLine)
 			until := g.Now() + 1900*time.Millisecond
-			for g.Core.Held() > 0 {
+			for g.Core.ActiveRequests() > 0 {
 				out := 0
 				for i := range g.servers {
-					out += g.Core.Flows(policy.ServerID(i + 1))
+					out += g.Core.FlowCount(policy.ServerID(i + 1))
 				}
 				if out > 1 {
 					t.Fatalf("%d attempts are out", out)
@@ -122,7 +122,7 @@
 					one.does(g, m)
 					g.WaitFor("the result", func() bool {
 						g.RunOnce()
-						return g.Core.Held() == 0 || g.Core.Counts.Attempts > before || g.Core.Flows(1)+g.Core.Flows(2) == 0
+						return g.Core.ActiveRequests() == 0 || g.Core.Counts.Attempts > before || g.Core.FlowCount(1)+g.Core.FlowCount(2) == 0
 					})
 				}
 				if g.Now() > until {
@@ -141,16 +141,16 @@
 	}
 }
 
-// TestAttemptRefused: members that refuse connections cost attempts and no second answer.
-func TestAttemptRefused(t *testing.T) {
+// TestAttemptConnectionRefused: members that refuse connections cost attempts and no second answer.
+func TestAttemptConnectionRefused(t *testing.T) {
 	g := newRig(t, 2)
 	var ended results
-	g.Core.Ledger = &ended
+	g.Core.Recorder = &ended
 	for _, s := range g.servers {
 		s.Listener.Close()
 	}
-	c := g.ask(firstLine)
-	g.WaitFor("the answer", func() bool { g.Advance(10 * time.Millisecond); return g.Core.Held() == 0 })
+	c := g.sendRequest(firstLine)
+	g.WaitFor("the answer", func() bool { g.Advance(10 * time.Millisecond); return g.Core.ActiveRequests() == 0 })
 	if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
 		t.Errorf("got %q", got)
 	}
@@ -166,27 +166,27 @@
 	}
 }
 
-// TestAttemptComesUpLate: a connection that does not come up in time could not be made; one that does in the very
+// TestAttemptConnectsLate: a connection that does not come up in time could not be made; one that does in the very
 // round in which its time is up is used.
-func TestAttemptComesUpLate(t *testing.T) {
+func TestAttemptConnectsLate(t *testing.T) {
 	g := newRig(t, 0)
 	var ended results
-	g.Core.Ledger = &ended
-	g.join(fullQueue(t))
-	c := g.ask(firstLine)
-	g.Advance(g.f.connectWithin)
+	g.Core.Recorder = &ended
+	g.addMember(fullQueue(t))
+	c := g.sendRequest(firstLine)
+	g.Advance(g.f.connectTimeout)
 	if len(ended) == 0 || ended[0] != policy.ConnectFailed {
 		t.Errorf("results %v", ended)
 	}
-	g.WaitFor("the answer", func() bool { g.Advance(10 * time.Millisecond); return g.Core.Held() == 0 })
+	g.WaitFor("the answer", func() bool { g.Advance(10 * time.Millisecond); return g.Core.ActiveRequests() == 0 })
 	if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
 		t.Errorf("got %q", got)
 	}
 	g.clean()
 
 	g = newRig(t, 1)
-	c = g.ask(firstLine)
-	g.Advance(g.f.connectWithin)
+	c = g.sendRequest(firstLine)
+	g.Advance(g.f.connectTimeout)
 	g.attempt(0).Send("UP x\r\n")
 	c.ExpectLines("UP x")
 	if g.Core.Counts.Attempts != 1 {
@@ -199,7 +199,7 @@
 	for _, more := range []string{"UP x\r\n", "BUSY\r\n", "ERR\r\n"} {
 		for _, once := range []bool{true, false} {
 			g := newRig(t, 1)
-			c := g.ask(firstLine)
+			c := g.sendRequest(firstLine)
 			m := g.attempt(0)
 			if once {
 				m.Send("UP x\r\n" + more)
@@ -210,34 +210,34 @@
 				c.Received = append([]byte("UP x\r\n"), c.Received...)
 			}
 			c.Expect("UP x\r\n" + more)
-			if n := g.Core.Counts; n.Served != 1 || n.Attempts != 1 || g.Core.Held() != 1 {
+			if n := g.Core.Counts; n.Served != 1 || n.Attempts != 1 || g.Core.ActiveRequests() != 1 {
 				t.Errorf("%+v", n)
 			}
 		}
 	}
 }
 
-// TestAttemptWithoutMeans: an attempt for which the relay has no descriptor blames nobody, and the client is told to
+// TestAttemptWithoutDescriptor: an attempt for which the relay has no descriptor blames nobody, and the client is told to
 // come again.
-func TestAttemptWithoutMeans(t *testing.T) {
+func TestAttemptWithoutDescriptor(t *testing.T) {
 	g := newRig(t, 1)
 	var ended results
-	g.Core.Ledger = &ended
+	g.Core.Recorder = &ended
 	saw := 0
-	g.Core.Saw = func(_ *core.Member, result policy.Result) {
-		if result != policy.Moot {
+	g.Core.OnResult = func(_ *core.Member, result policy.Result) {
+		if result != policy.NotSent {
 			saw++
 		}
 	}
-	g.Core.Doubt()
-	c := g.ask(firstLine)
+	g.Core.PauseDispatch()
+	c := g.sendRequest(firstLine)
 	g.SetDescriptorLimit(g.OpenDescriptors())
-	g.Core.Sure()
-	g.WaitFor("the answer", func() bool { g.Advance(10 * time.Millisecond); return g.Core.Held() == 0 })
+	g.Core.ResumeDispatch()
+	g.WaitFor("the answer", func() bool { g.Advance(10 * time.Millisecond); return g.Core.ActiveRequests() == 0 })
 	if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
 		t.Errorf("got %q", got)
 	}
-	if len(ended) == 0 || ended[0] != policy.Moot || saw != 0 {
+	if len(ended) == 0 || ended[0] != policy.NotSent || saw != 0 {
 		t.Errorf("results %v, %d blamed", ended, saw)
 	}
 }
--- a/internal/front/line/first_line_test.go
+++ b/internal/front/line/first_line_test.go
@@ -15,8 +15,8 @@
 func TestFirstLineInPieces(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.Dial(g.addr)
-	g.WaitFor("the connection", func() bool { return len(g.f.fresh) == 1 })
-	each := firstWithin / time.Duration(len(firstLine)+3)
+	g.WaitFor("the connection", func() bool { return len(g.f.idle) == 1 })
+	each := firstLineTimeout / time.Duration(len(firstLine)+3)
 	for _, b := range []byte(firstLine + "\r\n") {
 		c.Send(string(b))
 		g.RunOnce()
@@ -30,10 +30,10 @@
 func TestFirstLineTooSlow(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.Dial(g.addr)
-	g.WaitFor("the connection", func() bool { return len(g.f.fresh) == 1 })
+	g.WaitFor("the connection", func() bool { return len(g.f.idle) == 1 })
 	c.Send(firstLine[:30])
 	g.RunOnce()
-	g.Advance(firstWithin)
+	g.Advance(firstLineTimeout)
 	late(c, firstLine[30:]+"\r\n"+firstLine+"\r\n")
 	c.ExpectLines("ERR")
 	c.ExpectEOF()
@@ -72,11 +72,11 @@
 	}
 }
 
-// TestAsksAgain: a second OPEN on a connection that has its final answer is none.
-func TestAsksAgain(t *testing.T) {
+// TestSecondOpen: a second OPEN on a connection that has its final answer is none.
+func TestSecondOpen(t *testing.T) {
 	g := newRig(t, 1)
 	g.Core.Stop()
-	c := g.ask(firstLine)
+	c := g.sendRequest(firstLine)
 	late(c, firstLine+"\r\n")
 	if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
 		t.Errorf("got %q", got)
@@ -97,8 +97,8 @@
 	"a word":           "HELLO\r\n",
 	"another protocol": "GET / HTTP/1.1\r\nHost: x\r\n\r\n",
 	"a handshake":      "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\n",
-	"too long":         "OPEN " + strings.Repeat("x", maxLine),
-	"no end":           strings.Repeat("x", 64*maxLine),
+	"too long":         "OPEN " + strings.Repeat("x", maxLineBytes),
+	"no end":           strings.Repeat("x", 64*maxLineBytes),
 	"a byte":           "OPEN 00000000000000ac 00000000000000bb c=pay,t=water,g=\x00\r\n",
 	"an id":            "OPEN zz 00000000000000bb c=pay,t=water\r\n",
 	"an id of none":    "OPEN  00000000000000bb c=pay,t=water\r\n",
@@ -141,16 +141,16 @@
 	}
 }
 
-// TestGarbageAndGone: nor does a client that sends such a thing and goes at once.
-func TestGarbageAndGone(t *testing.T) {
+// TestMalformedThenClose: nor does a client that sends such a thing and goes at once.
+func TestMalformedThenClose(t *testing.T) {
 	for name, text := range malformedLines {
 		t.Run(name, func(t *testing.T) {
-			everyLeaving(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+			forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
 				c := g.Dial(g.addr)
-				g.WaitFor("the connection", func() bool { return len(g.f.fresh) == 1 })
+				g.WaitFor("the connection", func() bool { return len(g.f.idle) == 1 })
 				late(c, text)
 				leave(c)
-				g.WaitFor("the connection's end", func() bool { return len(g.f.fresh) == 0 && g.FreeDescriptors() == g.free })
+				g.WaitFor("the connection's end", func() bool { return len(g.f.idle) == 0 && g.FreeDescriptors() == g.free })
 				g.unsent()
 				g.clean()
 			})
@@ -161,8 +161,8 @@
 // longestLine is the protocol's, its CRLF included.
 const longestLine = 4096
 
-// TestLineBound: a first line of the longest length is a request and goes on whole; one byte more is none.
-func TestLineBound(t *testing.T) {
+// TestFirstLineLimit: a first line of the longest length is a request and goes on whole; one byte more is none.
+func TestFirstLineLimit(t *testing.T) {
 	for extra, served := range map[int]bool{0: true, 1: false} {
 		g := newRig(t, 1)
 		c := g.Dial(g.addr)
@@ -190,8 +190,8 @@
 	next := g.Listen()
 	g.openFlow()
 	g.Members[0].Addr = next.Addr()
-	g.Core.Pool(policy.ListDelta, g.Members[:1])
-	c := g.ask(firstLineOf(2))
+	g.Core.UpdateMembers(policy.ListDelta, g.Members[:1])
+	c := g.sendRequest(firstLineOf(2))
 	m := next.Accept()
 	m.ReadLine()
 	m.Send("UP y\r\n")
--- /dev/null
+++ b/internal/front/line/health_check_test.go
@@ -0,0 +1,210 @@
+package line
+
+import (
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"dahliarudder/internal/core"
+	"dahliarudder/internal/netloop/looptest"
+	"dahliarudder/policy"
+)
+
+// checkRig is a rig and how the probes of its members ended.
+type checkRig struct {
+	*rig
+	results []policy.Result
+}
+
+func newCheckRig(t testing.TB, members int) *checkRig {
+	p := &checkRig{rig: newRig(t, members)}
+	p.Core.OnResult = func(_ *core.Member, result policy.Result) { p.results = append(p.results, result) }
+	return p
+}
+
+// check checks the health of a member.
+func (p *checkRig) check(member int) { p.f.CheckHealth(&p.Members[member]) }
+
+// acceptCheck is the member's end of a health check that has been sent on a new connection.
+func (p *checkRig) acceptCheck(member int) *looptest.Peer {
+	p.T.Helper()
+	p.check(member)
+	m := p.servers[member].Accept()
+	m.ExpectLines("STATS")
+	return m
+}
+
+// wantResults waits for the results of all probes so far.
+func (p *checkRig) wantResults(results ...policy.Result) {
+	p.T.Helper()
+	p.WaitFor("the results", func() bool { return len(p.results) >= len(results) })
+	if !slices.Equal(p.results, results) {
+		p.T.Fatalf("results %v, want %v", p.results, results)
+	}
+}
+
+// expectNoCheck checks that no health check is pending and none of its connections left.
+func (p *checkRig) expectNoCheck() {
+	p.T.Helper()
+	n := len(p.results)
+	p.Advance(p.f.checkIdleTimeout)
+	p.clean()
+	if len(p.results) != n {
+		p.T.Errorf("results %v", p.results)
+	}
+}
+
+// TestHealthCheckAnswers: each probe has one result, whatever the member does.
+func TestHealthCheckAnswers(t *testing.T) {
+	for name, one := range map[string]struct {
+		does func(p *checkRig, m *looptest.Peer)
+		want policy.Result
+	}{
+		"PONG":                  {func(_ *checkRig, m *looptest.Peer) { m.Send("PONG x0=0.5\r\n") }, policy.OK},
+		"BUSY":                  {func(_ *checkRig, m *looptest.Peer) { m.Send("BUSY\r\n") }, policy.Full},
+		"ERR":                   {func(_ *checkRig, m *looptest.Peer) { m.Send("ERR\r\n") }, policy.Error},
+		"ERR, PONG":             {func(_ *checkRig, m *looptest.Peer) { m.Send("ERR\r\nPONG\r\n") }, policy.Error},
+		"PONG, PONG":            {func(_ *checkRig, m *looptest.Peer) { m.Send("PONG\r\nPONG\r\n") }, policy.OK},
+		"no CRLF":               {func(_ *checkRig, m *looptest.Peer) { m.Send("PONG\n") }, policy.Error},
+		"a line over the bound": {func(_ *checkRig, m *looptest.Peer) { m.Send(strings.Repeat("x", maxLineBytes)) }, policy.Error},
+		"the end":               {func(_ *checkRig, m *looptest.Peer) { m.CloseWrite() }, policy.Reset},
+		"half a line, the end":  {func(_ *checkRig, m *looptest.Peer) { m.Send("PON"); m.CloseWrite() }, policy.Reset},
+		"a reset":               {func(_ *checkRig, m *looptest.Peer) { m.Reset() }, policy.Reset},
+		"half a line, a reset":  {func(_ *checkRig, m *looptest.Peer) { m.Send("PON"); m.Reset() }, policy.Reset},
+		"half a line, nothing":  {func(p *checkRig, m *looptest.Peer) { m.Send("PON"); p.RunOnce(); p.Advance(checkTimeout) }, policy.Timeout},
+		"nothing":               {func(p *checkRig, _ *looptest.Peer) { p.Advance(checkTimeout) }, policy.Timeout},
+		"PONG once it is late":  {func(p *checkRig, m *looptest.Peer) { p.Advance(checkTimeout); m.Send("PONG\r\n") }, policy.Timeout},
+		"PONG as it becomes so": {func(p *checkRig, m *looptest.Peer) { m.Send("PONG\r\n"); p.Advance(checkTimeout) }, policy.OK},
+		"nobody is there":       {func(p *checkRig, m *looptest.Peer) { m.Close() }, policy.Reset},
+	} {
+		t.Run(name, func(t *testing.T) {
+			p := newCheckRig(t, 1)
+			m := p.acceptCheck(0)
+			one.does(p, m)
+			p.wantResults(one.want)
+			p.expectNoCheck()
+		})
+	}
+}
+
+// TestHealthCheckConnects: a connection that is refused, or that does not come up, is told apart.
+func TestHealthCheckConnects(t *testing.T) {
+	p := newCheckRig(t, 1)
+	p.servers[0].Listener.Close()
+	p.check(0)
+	p.wantResults(policy.ConnectFailed)
+	p.expectNoCheck()
+
+	p = newCheckRig(t, 0)
+	p.addMember(fullQueue(t))
+	p.check(0)
+	p.RunOnce()
+	p.Advance(p.f.connectTimeout)
+	p.wantResults(policy.Timeout)
+	p.expectNoCheck()
+}
+
+// TestHealthCheckLateAnswer: nor is one that comes before the next probe; its connection is used no more.
+func TestHealthCheckLateAnswer(t *testing.T) {
+	p := newCheckRig(t, 1)
+	m := p.acceptCheck(0)
+	m.Send("PONG x0=0.1\r\n")
+	p.wantResults(policy.OK)
+	m.Send("ERR\r\n")
+	m.ExpectEOF()
+	p.acceptCheck(0).Send("PONG x0=0.2\r\n")
+	p.wantResults(policy.OK, policy.OK)
+	p.expectNoCheck()
+}
+
+// TestHealthCheckConnClosedAsReused: a kept connection that the member ends in the very moment in which it is used again costs a
+// second connection, and no result.
+func TestHealthCheckConnClosedAsReused(t *testing.T) {
+	for name, end := range map[string]func(*looptest.Peer){
+		"ends": func(m *looptest.Peer) { m.Close() }, "half-closes": func(m *looptest.Peer) { m.CloseWrite() }, "resets": func(m *looptest.Peer) { m.Reset() },
+	} {
+		t.Run(name, func(t *testing.T) {
+			p := newCheckRig(t, 1)
+			m := p.acceptCheck(0)
+			m.Send("PONG\r\n")
+			p.wantResults(policy.OK)
+			end(m)
+			p.acceptCheck(0).Send("PONG\r\n")
+			p.wantResults(policy.OK, policy.OK)
+			p.expectNoCheck()
+		})
+	}
+}
+
+// TestHealthCheckConnClosedAsMemberLeft: and none where the member has left for longer than the grace meanwhile.
+func TestHealthCheckConnClosedAsMemberLeft(t *testing.T) {
+	p := newCheckRig(t, 1)
+	m := p.acceptCheck(0)
+	m.Send("PONG\r\n")
+	p.wantResults(policy.OK)
+	m.CloseWrite()
+	p.check(0)
+	p.setMemberState(0, policy.Draining)
+	p.Advance(time.Duration(p.Core.Settings.Guarantees.Grace)*time.Millisecond + time.Millisecond)
+	p.wantResults(policy.OK, policy.Reset)
+	if p.pending(0) != nil {
+		t.Error("a connection to a member that has left")
+	}
+	p.expectNoCheck()
+}
+
+// TestHealthCheckSecondAnswer: a second answer that came with the first is not taken for the next probe's.
+func TestHealthCheckSecondAnswer(t *testing.T) {
+	p := newCheckRig(t, 1)
+	m := p.acceptCheck(0)
+	m.Send("PONG x0=0.1\r\nERR\r\n")
+	p.wantResults(policy.OK)
+	m = p.acceptCheck(0)
+	m.Send("PONG x0=0.2\r\n")
+	p.wantResults(policy.OK, policy.OK)
+	p.expectNoCheck()
+}
+
+// TestNoHealthCheckOfDepartedMember: a connection that comes up when its member has been leaving for longer than the grace
+// is not used.
+func TestNoHealthCheckOfDepartedMember(t *testing.T) {
+	p := newCheckRig(t, 1)
+	p.check(0)
+	p.setMemberState(0, policy.Draining)
+	p.Advance(time.Duration(p.Core.Settings.Guarantees.Grace)*time.Millisecond + time.Millisecond)
+	p.wantResults(policy.NotSent)
+	p.unsent()
+	p.expectNoCheck()
+}
+
+// TestHealthChecksRemoved: of members that come and go nothing stays.
+func TestHealthChecksRemoved(t *testing.T) {
+	p := newCheckRig(t, 3)
+	for i := range p.servers {
+		p.acceptCheck(i).Send("PONG\r\n")
+		p.WaitFor("the result", func() bool { return len(p.results) == i+1 })
+	}
+	p.expectNoCheck()
+	if len(p.f.healthChecks) != 0 {
+		t.Errorf("%d are remembered", len(p.f.healthChecks))
+	}
+}
+
+// TestHealthCheckSecondAnswerAtOnce: nor where the next probe begins as the first is answered.
+func TestHealthCheckSecondAnswerAtOnce(t *testing.T) {
+	p := newCheckRig(t, 1)
+	saw := p.Core.OnResult
+	p.Core.OnResult = func(m *core.Member, result policy.Result) {
+		if saw(m, result); len(p.results) == 1 {
+			p.check(0)
+		}
+	}
+	m := p.acceptCheck(0)
+	m.Send("PONG x0=0.1\r\nERR\r\n")
+	m = p.servers[0].Accept()
+	m.ExpectLines("STATS")
+	m.Send("PONG x0=0.2\r\n")
+	p.wantResults(policy.OK, policy.OK)
+	p.expectNoCheck()
+}
--- a/internal/front/line/doubt_test.go
+++ b/internal/front/line/member_change_test.go
@@ -7,12 +7,12 @@
 	"dahliarudder/policy"
 )
 
-// TestDoubtWhileDialling: an attempt whose connection comes up during a doubt is not sent on it. After the doubt the
+// TestSuspicionWhileDialing: an attempt whose connection comes up during a doubt is not sent on it. After the doubt the
 // request goes on.
-func TestDoubtWhileDialling(t *testing.T) {
+func TestSuspicionWhileDialing(t *testing.T) {
 	g := newRig(t, 1)
-	c := g.ask(firstLine)
-	g.Core.Doubt()
+	c := g.sendRequest(firstLine)
+	g.Core.PauseDispatch()
 	for range 4 {
 		g.RunOnce()
 	}
@@ -22,7 +22,7 @@
 			t.Errorf("the member was sent %q amid the doubt", buffer[:n])
 		}
 	}
-	g.Core.Sure()
+	g.Core.ResumeDispatch()
 	for range 8 { // the module looks for a place again
 		g.Advance(50 * time.Millisecond)
 	}
@@ -34,9 +34,9 @@
 // TestUpAtDraining: a flow that comes up at a member that has begun to drain since is moved off it.
 func TestUpAtDraining(t *testing.T) {
 	g := newRig(t, 1)
-	c := g.ask(firstLine)
+	c := g.sendRequest(firstLine)
 	m := g.attempt(0)
-	g.list(0, policy.Draining)
+	g.setMemberState(0, policy.Draining)
 	m.Send("UP x\r\n")
 	c.ExpectLines("UP x")
 	g.WaitFor("MOVE", func() bool {
--- a/internal/front/line/half_test.go
+++ b/internal/front/line/partial_line_test.go
@@ -13,9 +13,9 @@
 // end of its connection.
 const badClientWithin = 3 * time.Second
 
-// TestHalfLineAfterPong: a client that was answered PONG and stops within its next line is answered ERR as soon as one
+// TestPartialLineAfterPong: a client that was answered PONG and stops within its next line is answered ERR as soon as one
 // that was not; one that sends the rest in time is served, and another PING lets it rest again.
-func TestHalfLineAfterPong(t *testing.T) {
+func TestPartialLineAfterPong(t *testing.T) {
 	for name, pings := range map[string]int{"one PONG": 1, "three": 3} {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1)
@@ -40,13 +40,13 @@
 			g.attempt(0).Send("UP x\r\n")
 			goesOn.ExpectLines("UP x")
 			g.Advance(badClientWithin / 2)
-			if len(g.f.fresh) != 1 {
-				t.Fatalf("%d connections without a first line, want the resting one", len(g.f.fresh))
+			if len(g.f.idle) != 1 {
+				t.Fatalf("%d connections without a first line, want the resting one", len(g.f.idle))
 			}
 			stays.ExpectLines("ERR")
 			stays.ExpectEOF()
 			g.Advance(20 * time.Second)
-			if len(g.f.fresh) != 1 {
+			if len(g.f.idle) != 1 {
 				t.Error("a client that was answered PONG once more may rest")
 			}
 		})
@@ -55,32 +55,36 @@
 
 // waitingClients is the situations in which a request waits for its answer, each with what brings it about.
 var waitingClients = map[string]func(g *rig) *looptest.Peer{
-	"held":    func(g *rig) *looptest.Peer { g.list(0, policy.Draining); return g.ask(firstLine) },
-	"doubted": func(g *rig) *looptest.Peer { g.Core.Doubt(); return g.ask(firstLine) },
-	"dialled": func(g *rig) *looptest.Peer { g.list(0, policy.Gone); g.join(fullQueue(g.T)); return g.ask(firstLine) },
-	"asked":   func(g *rig) *looptest.Peer { c := g.ask(firstLine); g.attempt(0); return c },
+	"held":    func(g *rig) *looptest.Peer { g.setMemberState(0, policy.Draining); return g.sendRequest(firstLine) },
+	"doubted": func(g *rig) *looptest.Peer { g.Core.PauseDispatch(); return g.sendRequest(firstLine) },
+	"dialled": func(g *rig) *looptest.Peer {
+		g.setMemberState(0, policy.Gone)
+		g.addMember(fullQueue(g.T))
+		return g.sendRequest(firstLine)
+	},
+	"asked": func(g *rig) *looptest.Peer { c := g.sendRequest(firstLine); g.attempt(0); return c },
 	"half answered": func(g *rig) *looptest.Peer {
-		c := g.ask(firstLine)
+		c := g.sendRequest(firstLine)
 		g.attempt(0).Send("UP ")
 		g.RunOnce()
 		return c
 	},
 	"between two attempts": func(g *rig) *looptest.Peer {
-		c := g.ask(firstLine)
+		c := g.sendRequest(firstLine)
 		g.attempt(0).Send("BUSY\r\n")
-		g.WaitFor("the answer", func() bool { return g.Core.Flows(1) == 0 })
+		g.WaitFor("the answer", func() bool { return g.Core.FlowCount(1) == 0 })
 		return c
 	},
 	"with bytes behind its line": func(g *rig) *looptest.Peer {
-		c := g.ask(firstLine + "\r\nmore")
+		c := g.sendRequest(firstLine + "\r\nmore")
 		g.attempt(0)
 		return c
 	},
 }
 
-// TestEndsSendingAndWaits: a client that ends its sending after its request may have gone, so no attempt begins; or it
+// TestClientHalfCloses: a client that ends its sending after its request may have gone, so no attempt begins; or it
 // waits for its answer, so it gets one before the end of its connection.
-func TestEndsSendingAndWaits(t *testing.T) {
+func TestClientHalfCloses(t *testing.T) {
 	for name, bring := range waitingClients {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1)
@@ -89,10 +93,10 @@
 			c.CloseWrite()
 			c.ExpectLines("BUSY")
 			c.ExpectEOF()
-			if n := g.Core.Counts; n.Attempts != before || n.Left != 1 {
+			if n := g.Core.Counts; n.Attempts != before || n.ClientsGone != 1 {
 				t.Errorf("%+v, %d attempts before", n, before)
 			}
-			g.Core.Sure()
+			g.Core.ResumeDispatch()
 			g.unsent()
 			g.clean()
 		})
@@ -106,7 +110,7 @@
 		c.ExpectEOF()
 		g.unsent()
 		g.clean()
-		if n := g.Core.Counts; n != (core.Counts{Requests: 1, Attempts: n.Attempts, Left: 1}) {
+		if n := g.Core.Counts; n != (core.Counts{Requests: 1, Attempts: n.Attempts, ClientsGone: 1}) {
 			t.Errorf("%+v", n)
 		}
 	})
