--- /dev/null
+++ b/internal/front/nats/client_auth.go
@@ -0,0 +1,140 @@
+package nats
+
+import (
+	"crypto/rand"
+	"crypto/tls"
+	"encoding/base64"
+	"errors"
+	"time"
+
+	"dahliarudder/internal/auth"
+)
+
+const (
+	// enterers check passwords, each a tenth of a second of work; so many clients may wait for
+	// them, and who comes then is refused at once.
+	authWorkers   = 2
+	authQueueSize = 256
+)
+
+// ReloadSecurity takes over what was read again. Who has entered stays.
+func (f *Front) ReloadSecurity(s *Security) {
+	if f.security != nil && f.security.authQueue != nil {
+		close(f.security.authQueue) // its workers end when they are done
+	}
+	if s.authenticator != nil {
+		s.authQueue = make(chan func(), authQueueSize)
+		for range authWorkers {
+			go func() {
+				for check := range s.authQueue {
+					check()
+				}
+			}()
+		}
+	}
+	f.security = s
+}
+
+// addSecurityInfo is what INFO says of all this.
+func (f *Front) addSecurityInfo(c *client, v map[string]any) {
+	if f.security.server != nil {
+		v["tls_required"] = !f.TLS.Optional
+		if f.TLS.Optional {
+			v["tls_available"] = true
+		}
+		if f.TLS.Verify {
+			v["tls_verify"] = true
+		}
+	}
+	if f.security.authenticator != nil {
+		v["auth_required"] = true
+		if f.security.authenticator.RequiresNonce() {
+			if c.nonce == "" {
+				var b [16]byte
+				rand.Read(b[:])
+				c.nonce = base64.RawURLEncoding.EncodeToString(b[:])
+			}
+			v["nonce"] = c.nonce
+		}
+	}
+}
+
+// checkTLS starts TLS at a client's first byte, or turns away who goes without where it must not. It
+// says whether the client's bytes may be read as they are.
+func (c *client) checkTLS(first byte) bool {
+	c.tlsChecked = true
+	const record = 0x16 // the first byte of a TLS handshake
+	switch {
+	case c.front.security.server == nil || c.conn.IsTLS():
+		return true
+	case first == record:
+		c.conn.PauseReading()
+		c.front.Loop.After(0, func() { c.conn.StartTLS(c.front.security.server, false, connectTimeout, func(tls.ConnectionState) {}) })
+		return false
+	case c.front.TLS.Optional:
+		return true
+	}
+	c.fail("Secure Connection - TLS Required")
+	return false
+}
+
+// authenticate checks who a client is; then is run once it has entered.
+func (c *client) authenticate(connect []byte, then func()) {
+	book := c.front.security.authenticator
+	if book == nil {
+		then()
+		return
+	}
+	claims, err := auth.ParseConnect(connect)
+	if err != nil {
+		c.fail(errParse.Error())
+		return
+	}
+	decide := func(id *auth.Identity, err error) {
+		if c.closed {
+			return
+		}
+		if err != nil {
+			c.front.Counts.Denied++
+			c.front.Log.WithError(err).WithField("client", c.remote).Info("denied")
+			if errors.Is(err, auth.ErrExpired) {
+				c.fail("User Authentication Expired")
+			} else {
+				c.fail("Authorization Violation")
+			}
+			return
+		}
+		c.permissions = id.Permissions
+		c.replies = auth.NewReplyTracker(id.Permissions)
+		if !id.Expires.IsZero() {
+			c.expiryTimer = c.front.Loop.After(time.Until(id.Expires), func() { c.fail("User Authentication Expired") })
+		}
+		then()
+	}
+	if !book.ChecksPassword(claims) {
+		decide(book.Authenticate(claims, c.nonce, time.Now()))
+		return
+	}
+	c.authenticating = true
+	work := func() {
+		id, err := book.Authenticate(claims, c.nonce, time.Now())
+		c.front.Loop.Post(func() {
+			c.authenticating = false
+			decide(id, err)
+			c.scheduleResume()
+		})
+	}
+	select {
+	case c.front.security.authQueue <- work:
+	default:
+		c.fail("Authentication Timeout")
+	}
+}
+
+// canPublish says whether the client may publish to a subject.
+func (c *client) canPublish(subject []byte) bool {
+	if c.permissions == nil || c.permissions.CanPublish(string(subject)) {
+		return true
+	}
+	return c.replies.AllowReply(c.front.Loop.RoundStart(), string(subject))
+}
--- /dev/null
+++ b/internal/front/nats/link_liveness.go
@@ -0,0 +1,45 @@
+package nats
+
+import (
+	"time"
+
+	"dahliarudder/internal/netloop"
+)
+
+// checkLiveness pings the member of a link with subscriptions, times its answer, and
+// ends the link when it does not come.
+func (l *link) checkLiveness(now time.Duration) {
+	switch {
+	case l.pingSentAt > 0 && l.client.slowSince > 0: // nothing is read from it
+		l.pingSentAt = now
+	case l.pingSentAt > 0 && now-l.pingSentAt > memberSilenceTimeout:
+		l.front.Log.WithField("member", l.member.Name).Warn("member has gone silent")
+		l.fail(netloop.ErrDialTimeout)
+	case l.pingSentAt == 0 && l.ready && len(l.subscriptions) > 0 && now-l.lastPingAt >= memberPingInterval:
+		l.pingSentAt, l.lastPingAt, l.readPaused = now, now, false
+		l.afterPing(func() {
+			took, known := l.front.answerTime(l.pingSentAt)
+			l.pingSentAt = 0
+			if l.readPaused || !known { // its answer has waited here
+				return
+			}
+			for _, s := range l.subscriptions {
+				if s.active {
+					l.front.Core.ObserveMessageLatency(s.requestID, took)
+					break
+				}
+			}
+			l.front.loadEstimate.ObserveLatency(l.member.ID, took)
+		})
+	}
+}
+
+// ownBusy is how busy the relay may be for its members' answers to be timed: beyond it they wait for
+// the relay, and a member would be blamed and left for that.
+const maxUtilization = 0.8
+
+// answerTime is how long a member has taken for an answer, the relay's own work taken off; false if that
+// cannot be told.
+func (f *Front) answerTime(since time.Duration) (time.Duration, bool) {
+	return max(f.Loop.Now()-since-2*f.Loop.LastRoundDuration(), 0), f.Loop.Utilization() < maxUtilization
+}
--- /dev/null
+++ b/internal/front/nats/origin.go
@@ -0,0 +1,51 @@
+package nats
+
+import (
+	"bytes"
+	"strconv"
+)
+
+// origin is the header by which the relay knows the publications of a client that does not want
+// them back: its feed and its subscriptions are on connections of their own.
+const originHeader = "Dahlia-Origin: "
+
+func (c *client) originID() string { return c.front.Name + "-" + strconv.FormatUint(c.id, 10) }
+
+// addOrigin puts the origin into a publication's headers.
+func (c *client) addOrigin(m *command) *command {
+	line := originHeader + c.originID() + "\r\n"
+	n := *m
+	if m.headerLen == 0 {
+		head := "NATS/1.0\r\n" + line + "\r\n"
+		n.headerLen = len(head)
+		n.payload = append([]byte(head), m.payload...)
+		return &n
+	}
+	first := bytes.Index(m.payload, []byte("\r\n")) + 2
+	n.headerLen += len(line)
+	n.payload = append(append(append([]byte(nil), m.payload[:first]...), line...), m.payload[first:]...)
+	return &n
+}
+
+// removeOrigin takes the origin out of a message's headers, and returns it.
+func removeOrigin(m *command) (who []byte) {
+	at := bytes.Index(m.payload[:m.headerLen], []byte("\r\n"+originHeader))
+	if at < 0 {
+		return nil
+	}
+	at += 2
+	end := bytes.Index(m.payload[at:m.headerLen], []byte("\r\n"))
+	if end < 0 {
+		return nil
+	}
+	who = append(who, m.payload[at+len(originHeader):at+end]...)
+	n := end + 2
+	// The message stands in the link's buffer, which is read once: what is before the line
+	// moves up to it.
+	copy(m.payload[n:at+n], m.payload[:at])
+	m.payload, m.headerLen = m.payload[n:], m.headerLen-n
+	if string(m.payload[:m.headerLen]) == "NATS/1.0\r\n\r\n" {
+		m.payload, m.headerLen = m.payload[m.headerLen:], 0
+	}
+	return who
+}
--- a/internal/front/nats/parse.go
+++ b/internal/front/nats/parse.go
@@ -2,8 +2,6 @@
 
 import (
 	"bytes"
-	"hash/maphash"
-	"strconv"
 )
 
 // Bounds of a control line; CONNECT and INFO carry more.
@@ -12,51 +10,8 @@
 	maxInfo    = 32 << 10
 )
 
-// protocolError is an error with a text of the public protocol, as it is sent after -ERR.
-type protocolError string
-
 func (e protocolError) Error() string { return string(e) }
 
-const (
-	errProtocol protocolError = "Unknown Protocol Operation"
-	errParse    protocolError = "Parser Error"
-	errControl  protocolError = "maximum control line exceeded"
-	errPayload  protocolError = "Maximum Payload Violation"
-)
-
-// op is an operation of the protocol.
-type op uint8
-
-const (
-	opNone op = iota
-	opConnect
-	opInfo
-	opPing
-	opPong
-	opOK
-	opErr
-	opPub
-	opHPub
-	opMsg
-	opHMsg
-	opSub
-	opUnsub
-)
-
-// command is one protocol message, of either side. Its parts stand in the buffer that was
-// parsed.
-type command struct {
-	op          op
-	args        []byte // what stands behind the operation, for CONNECT, INFO and -ERR
-	subject     []byte
-	sid         []byte
-	reply       []byte
-	queue       []byte
-	maxMessages int // of UNSUB
-	headerLen   int // how much of payload is the header block
-	payload     []byte
-}
-
 // parseOperation reads the first word of a line, in any case of letters.
 func parseOperation(word []byte) op {
 	var up [8]byte
@@ -250,92 +205,3 @@
 	m.payload = b[used : used+size]
 	return m, used + size + 2, nil
 }
-
-// lineRoom is what a line takes besides subjects and names.
-const lineOverhead = 64
-
-// encodedSize is how many bytes the text of a message takes at most.
-func (m *command) encodedSize(sid string) int {
-	return len(m.subject) + len(sid) + len(m.reply) + len(m.payload) + lineOverhead
-}
-
-// appendMessage appends the text of a message to a subscriber.
-func (m *command) appendMessage(to []byte, sid string) []byte {
-	if m.headerLen > 0 {
-		to = append(to, "HMSG "...)
-	} else {
-		to = append(to, "MSG "...)
-	}
-	to = append(append(to, m.subject...), ' ')
-	to = append(append(to, sid...), ' ')
-	return m.appendRest(to)
-}
-
-// appendPublication appends the text of a publication.
-func (m *command) appendPublication(to []byte) []byte {
-	if m.headerLen > 0 {
-		to = append(to, "HPUB "...)
-	} else {
-		to = append(to, "PUB "...)
-	}
-	to = append(append(to, m.subject...), ' ')
-	return m.appendRest(to)
-}
-
-func (m *command) appendRest(to []byte) []byte {
-	if len(m.reply) > 0 {
-		to = append(append(to, m.reply...), ' ')
-	}
-	if m.headerLen > 0 {
-		to = append(strconv.AppendInt(to, int64(m.headerLen), 10), ' ')
-	}
-	to = append(strconv.AppendInt(to, int64(len(m.payload)), 10), '\r', '\n')
-	return append(append(to, m.payload...), '\r', '\n')
-}
-
-// seed is of this process: the hashes never leave it.
-var hashSeed = maphash.MakeSeed()
-
-func subjectHash(subject []byte) uint64 { return maphash.Bytes(hashSeed, subject) }
-
-// validSubject says whether s may be published to or, with wild, subscribed to.
-func validSubject[T string | []byte](s T, wild bool) bool {
-	start := 0
-	for i := 0; i <= len(s); i++ {
-		if i < len(s) && s[i] != '.' {
-			continue
-		}
-		switch i - start {
-		case 0:
-			return false
-		case 1:
-			if s[start] == '*' && !wild || s[start] == '>' && (!wild || i < len(s)) {
-				return false
-			}
-		}
-		start = i + 1
-	}
-	return true
-}
-
-// subjectMatches says whether a subscription's pattern takes a subject.
-func subjectMatches[S string | []byte](pattern string, subject S) bool {
-	p, s := 0, 0
-	for p <= len(pattern) && s <= len(subject) {
-		pe, se := p, s
-		for pe < len(pattern) && pattern[pe] != '.' {
-			pe++
-		}
-		for se < len(subject) && subject[se] != '.' {
-			se++
-		}
-		switch token := pattern[p:pe]; {
-		case token == ">":
-			return true
-		case token != "*" && token != string(subject[s:se]):
-			return false
-		}
-		p, s = pe+1, se+1
-	}
-	return p > len(pattern) && s > len(subject)
-}
--- /dev/null
+++ b/internal/front/nats/subject.go
@@ -0,0 +1,56 @@
+package nats
+
+import (
+	"hash/maphash"
+	"strings"
+)
+
+// seed is of this process: the hashes never leave it.
+var hashSeed = maphash.MakeSeed()
+
+func subjectHash(subject []byte) uint64 { return maphash.Bytes(hashSeed, subject) }
+
+// validSubject says whether s may be published to or, with wild, subscribed to.
+func validSubject[T string | []byte](s T, wild bool) bool {
+	start := 0
+	for i := 0; i <= len(s); i++ {
+		if i < len(s) && s[i] != '.' {
+			continue
+		}
+		switch i - start {
+		case 0:
+			return false
+		case 1:
+			if s[start] == '*' && !wild || s[start] == '>' && (!wild || i < len(s)) {
+				return false
+			}
+		}
+		start = i + 1
+	}
+	return true
+}
+
+// subjectMatches says whether a subscription's pattern takes a subject.
+func subjectMatches[S string | []byte](pattern string, subject S) bool {
+	p, s := 0, 0
+	for p <= len(pattern) && s <= len(subject) {
+		pe, se := p, s
+		for pe < len(pattern) && pattern[pe] != '.' {
+			pe++
+		}
+		for se < len(subject) && subject[se] != '.' {
+			se++
+		}
+		switch token := pattern[p:pe]; {
+		case token == ">":
+			return true
+		case token != "*" && token != string(subject[s:se]):
+			return false
+		}
+		p, s = pe+1, se+1
+	}
+	return p > len(pattern) && s > len(subject)
+}
+
+// isReserved says that a subject is the relay's.
+func isReserved(subject []byte) bool { return strings.HasPrefix(string(subject), reservedPrefix) }
