--- a/cmd/dahliarudder/canary.go
+++ b/cmd/dahliarudder/canary.go
@@ -15,32 +15,33 @@
 )
 
 const (
-	// staleRecordAfter is how long the record may be out of reach before news of it raises no weight any more: four words missed.
+	// staleRecordAfter is how long the record may be unreachable before a change of it no longer raises a weight: four missed reports.
 	staleRecordAfter = 4 * time.Second
-	// maxCountsBytes bounds what a relay says of a canary in a word.
+	// maxCountsBytes bounds the canary counts in one report to the leader.
 	maxCountsBytes = 600
-	// earlyEndWindow is until when a flow counts for early ends, see canary.Tally.
+	// earlyEndWindow is how long after its start the end of a flow counts as early, see canary.Tally.
 	earlyEndWindow = time.Minute
-	// maxTrackedFlows bounds the flows that are followed at once; those beyond it do not count.
+	// maxTrackedFlows bounds the flows that are tracked at once; those beyond it do not count.
 	maxTrackedFlows = 4096
 )
 
-// canaryTrial is this relay's side of a canary: which weight it uses, and what it counts. On the loop alone.
+// canaryTrial is this relay's part in a canary: the weights that it applies, and what it counts. The loop owns it.
 type canaryTrial struct {
 	r              *relay
 	weights        *canary.WeightResolver
 	appliedVersion uint64
-	applied        []canary.Weight // as the module has them
+	applied        []canary.Weight // by the decision module
 	counter        *canary.Collector
 	salt           uint64
-	flows          map[*core.Request]trackedFlow // that stand
+	flows          map[*core.Request]trackedFlow // established and tracked
 }
 
+// trackedFlow is an established flow whose end will be counted.
 type trackedFlow struct {
 	openedAt     time.Duration
 	stratum      canary.Stratum
 	inCanary     bool
-	messageTimed bool // a message's time
+	messageTimed bool // a message's latency has been counted
 }
 
 func newCanaryTrial(r *relay) *canaryTrial {
@@ -49,7 +50,7 @@
 
 func (t *canaryTrial) now() int64 { return t.r.loop.Now().Milliseconds() }
 
-// applyOrders takes what the record says.
+// applyOrders takes over the weights of the fleet record.
 func (t *canaryTrial) applyOrders(o fleet.DesiredState) {
 	t.weights.ApplyRecord(t.now(), o.AppliedIndex, o.CanaryWeights)
 	if o.MajorityConfirmed {
@@ -59,46 +60,46 @@
 	t.appliedVersion = o.CanaryVersion
 }
 
-// onNotices takes what another relay passes on.
+// onNotices handles notices that another relay gossips.
 func (t *canaryTrial) onNotices(note []byte) {
 	var list []canary.Notice
 	if t == nil || json.Unmarshal(note, &list) != nil || len(list) > canary.MaxNotices {
 		return
 	}
-	news := false
+	changed := false
 	for _, n := range list {
-		news = t.weights.HandleNotice(n) || news
+		changed = t.weights.HandleNotice(n) || changed
 	}
-	if news {
+	if changed {
 		t.applyWeights()
 	}
 }
 
-// pauseCanary holds a canary at zero here, and has the others told, whether there is a majority or not.
+// pauseCanary sets the weight of a canary to zero here and gossips that to the other relays, with or without a majority.
 func (r *relay) pauseCanary(release string) {
 	if _, known := r.trial.weights.Pause(release); known {
 		r.trial.applyWeights()
 	} else {
-		r.log.WithField("release", release).Warn("fleet: a pause of a canary that is not known here: it goes round by the record alone")
+		r.log.WithField("release", release).Warn("fleet: a pause of a canary that is unknown here: it is replicated by the record alone")
 	}
 }
 
-// applyWeights has the module go by the weights of now, and tells the other relays what was heard of pauses.
+// applyWeights sets the effective weights in the decision module, and gossips the pauses known here.
 func (t *canaryTrial) applyWeights() {
-	use := t.weights.EffectiveWeights(t.now())
+	weights := t.weights.EffectiveWeights(t.now())
 	t.r.peers.SetUserData(t.weights.EncodeNotices(gossip.MaxUserData))
-	if reflect.DeepEqual(use, t.applied) {
+	if reflect.DeepEqual(weights, t.applied) {
 		return
 	}
-	t.applied = use
-	t.r.log.WithFields(logrus.Fields{"weights": perMille(use)}).Info("fleet: canary weights")
-	if len(use) == 0 {
+	t.applied = weights
+	t.r.log.WithFields(logrus.Fields{"weights": perMille(weights)}).Info("fleet: canary weights")
+	if len(weights) == 0 {
 		t.r.core.SetCanaryGroup(nil, nil)
 		t.r.core.OnMemberEvent, t.counter, t.salt = nil, nil, 0
 		clear(t.flows)
 		return
 	}
-	if w := use[0]; w.Salt != t.salt {
+	if w := weights[0]; w.Salt != t.salt {
 		t.salt, t.counter = w.Salt, canary.NewCollector(w.Salt, t.r.peers.Incarnation())
 		clear(t.flows)
 		t.r.core.OnMemberEvent = t.observe
@@ -108,6 +109,7 @@
 	})
 }
 
+// perMille is the weights by release, for the log.
 func perMille(all []canary.Weight) map[string]int {
 	out := map[string]int{}
 	for _, w := range all {
@@ -116,7 +118,7 @@
 	return out
 }
 
-// inCanary says whether a member is of an arm: it is named, or it has started since.
+// inCanary reports whether a member belongs to a canary: it is named, or it has started since the canary began.
 func (t *canaryTrial) inCanary(m *core.Member) bool {
 	return slices.ContainsFunc(t.applied, func(w canary.Weight) bool {
 		return slices.Contains(w.Target.Members, m.Name) ||
@@ -124,14 +126,14 @@
 	})
 }
 
-// observe counts what happens at members, each with its like: class, zone, and whether the member is cold.
+// observe counts an event at a member in its stratum: class, zone, and whether the member is warming up.
 func (t *canaryTrial) observe(h core.MemberEvent) {
-	f, stands := t.flows[h.Request]
-	if !stands {
+	f, tracked := t.flows[h.Request]
+	if !tracked {
 		age := t.r.loop.Now() - h.Member.Started
-		cold := h.Member.Started != 0 && age < t.r.core.PolicySettings().SlowStartDuration
+		warmingUp := h.Member.Started != 0 && age < t.r.core.PolicySettings().SlowStartDuration
 		f = trackedFlow{openedAt: t.r.loop.Now(), inCanary: t.inCanary(h.Member),
-			stratum: canary.Stratum{Class: uint8(h.Request.Class), Zone: uint8(h.Member.Zone), WarmingUp: cold}}
+			stratum: canary.Stratum{Class: uint8(h.Request.Class), Zone: uint8(h.Member.Zone), WarmingUp: warmingUp}}
 	}
 	tally := t.counter.Tally(f.stratum, f.inCanary)
 	ms := float64(h.Latency) / float64(time.Millisecond)
@@ -149,25 +151,25 @@
 	case core.AttemptTimedOut:
 		tally.Attempts, tally.TimedOut = tally.Attempts+1, tally.TimedOut+1
 	case core.MessageAnswered:
-		if stands && !f.messageTimed {
+		if tracked && !f.messageTimed {
 			f.messageTimed = true
 			t.flows[h.Request] = f
 			tally.MessageTime.Add(ms)
 		}
 	case core.FlowCompleted, core.FlowEndedByMember, core.FlowEndedLocally:
-		if !stands {
+		if !tracked {
 			return
 		}
-		stood := t.r.loop.Now() - f.openedAt
-		tally.OpenSeconds += uint64(min(stood, earlyEndWindow) / time.Second)
-		if h.Kind == core.FlowEndedByMember && stood < earlyEndWindow {
+		openFor := t.r.loop.Now() - f.openedAt
+		tally.OpenSeconds += uint64(min(openFor, earlyEndWindow) / time.Second)
+		if h.Kind == core.FlowEndedByMember && openFor < earlyEndWindow {
 			tally.EarlyDisconnects++
 		}
 		delete(t.flows, h.Request)
 	}
 }
 
-// counts is what to say of the canary in this word.
+// counts is the canary counts of the next report to the leader, nil without a canary.
 func (t *canaryTrial) counts() []byte {
 	if t.counter == nil {
 		return nil
--- a/cmd/dahliarudder/keys.go
+++ b/cmd/dahliarudder/keys.go
@@ -45,11 +45,11 @@
 		Short: "Read a password or token from standard input and print its bcrypt hash",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			word, err := bufio.NewReader(cmd.InOrStdin()).ReadString('\n')
-			if word = strings.TrimRight(word, "\r\n"); word == "" {
+			password, err := bufio.NewReader(cmd.InOrStdin()).ReadString('\n')
+			if password = strings.TrimRight(password, "\r\n"); password == "" {
 				return errors.Join(errors.New("no password on standard input"), err)
 			}
-			hash, err := bcrypt.GenerateFromPassword([]byte(word), bcrypt.DefaultCost)
+			hash, err := bcrypt.GenerateFromPassword([]byte(password), bcrypt.DefaultCost)
 			if err != nil {
 				return err
 			}
@@ -60,8 +60,8 @@
 	return keys
 }
 
-// trialCertificate writes ca.pem, relay.pem and relay.key. The authority's key is thrown away, so
-// that nobody can sign by it later.
+// trialCertificate writes ca.pem, relay.pem and relay.key. The authority's key is discarded, so
+// that nobody can sign with it later.
 func trialCertificate(dir string, hosts []string) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
--- a/cmd/dahliarudder/main.go
+++ b/cmd/dahliarudder/main.go
@@ -15,7 +15,7 @@
 )
 
 func main() {
-	caught := catchSignals() // first of all: until then a SIGHUP ends the process
+	caught := catchSignals() // first of all: until then a SIGHUP would end the process
 	log := logrus.New()
 	log.SetOutput(os.Stderr)
 	err := command(log, caught).Execute()
@@ -29,11 +29,11 @@
 	}
 }
 
-// serveName is the sub-command that heeds signals by itself.
+// serveName is the one sub-command that handles signals itself.
 const serveName = "serve"
 
-// loadUnlessStopped reads the configuration. It returns neither a configuration nor an error if the process was told to
-// end before: nobody has been served yet.
+// loadUnlessStopped reads the configuration. It returns neither a configuration nor an error if a signal to end comes first: nobody has
+// been served yet.
 func loadUnlessStopped(load func() (*config.Config, error), caught *signals) (*config.Config, error) {
 	type loaded struct {
 		config *config.Config
@@ -52,6 +52,7 @@
 	}
 }
 
+// command is the command line. Every sub-command but serve leaves signals to their default actions.
 func command(log *logrus.Logger, caught *signals) *cobra.Command {
 	root := &cobra.Command{
 		Use:           "dahliarudder",
@@ -73,7 +74,16 @@
 		}
 	}
 	load := func() (*config.Config, error) { return config.Load(path, os.Getenv) }
-	root.AddCommand(&cobra.Command{
+	reload := func(old *config.Config) (*config.Config, error) { return old.Reload(path, os.Getenv) }
+	root.AddCommand(serveCommand(load, reload, caught, log), checkCommand(load), versionCommand())
+	root.AddCommand(keysCommand(), scenarioCommand())
+	root.SetOut(os.Stdout)
+	return root
+}
+
+func serveCommand(load func() (*config.Config, error), reload func(*config.Config) (*config.Config, error), caught *signals,
+	log *logrus.Logger) *cobra.Command {
+	return &cobra.Command{
 		Use:   serveName,
 		Short: "Run the relay until SIGTERM; SIGHUP reads the configuration again",
 		Args:  cobra.NoArgs,
@@ -82,10 +92,13 @@
 			if err != nil || c == nil {
 				return err
 			}
-			again := func(old *config.Config) (*config.Config, error) { return old.Reload(path, os.Getenv) }
-			return serve(c, again, caught, log)
+			return serve(c, reload, caught, log)
 		},
-	}, &cobra.Command{
+	}
+}
+
+func checkCommand(load func() (*config.Config, error)) *cobra.Command {
+	return &cobra.Command{
 		Use:   "check",
 		Short: "Say whether the configuration can be used, and which settings cannot work",
 		Args:  cobra.NoArgs,
@@ -103,7 +116,11 @@
 			}
 			return nil
 		},
-	}, &cobra.Command{
+	}
+}
+
+func versionCommand() *cobra.Command {
+	return &cobra.Command{
 		Use:   "version",
 		Short: "Print the version",
 		Args:  cobra.NoArgs,
@@ -114,10 +131,7 @@
 			}
 			cmd.Printf("dahliarudder %s (%s)\n", version, toolchain)
 		},
-	})
-	root.AddCommand(keysCommand(), scenarioCommand())
-	root.SetOut(os.Stdout)
-	return root
+	}
 }
 
 // version is the newest one in CHANGELOG.md.
--- a/cmd/dahliarudder/signals.go
+++ b/cmd/dahliarudder/signals.go
@@ -6,14 +6,14 @@
 	"syscall"
 )
 
-// signals is what the system tells this process. Each kind has a channel of its own, in which one waits at most: a
-// signal that is not heeded yet stands for all that come after it, and none keeps the other kind from being heard.
+// signals are the channels on which this process receives signals. Each kind has a channel of its own that holds one: a pending signal
+// stands for all that come after it, and neither kind delays the other.
 type signals struct {
 	stop   chan os.Signal // SIGTERM and SIGINT
 	reload chan os.Signal // SIGHUP
 }
 
-// catchSignals takes signals over from the system, by whose defaults each ends the process.
+// catchSignals subscribes to the signals, whose default action would end the process.
 func catchSignals() *signals {
 	s := &signals{stop: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
 	signal.Notify(s.stop, syscall.SIGTERM, syscall.SIGINT)
@@ -21,11 +21,11 @@
 	return s
 }
 
-// release leaves signals to the system again.
+// release restores the default actions.
 func (s *signals) release() {
 	signal.Stop(s.stop)
 	signal.Stop(s.reload)
 }
 
-// stopping says that the process was told to end.
+// stopping reports whether a signal to end is pending.
 func (s *signals) stopping() bool { return len(s.stop) > 0 }
--- a/cmd/dahliarudder/snapshot.go
+++ b/cmd/dahliarudder/snapshot.go
@@ -12,17 +12,17 @@
 	"dahliarudder/policy"
 )
 
-// recoveryReport is what this relay came back with.
+// recoveryReport is what this relay has restored at its start, as GET /-/recovery shows it, and the state of its snapshots.
 type recoveryReport struct {
 	From       string                   `json:"from"` // "snapshot", "an older process", or "nothing"
 	Age        int64                    `json:"age_ms"`
 	Discarded  []snapshot.DiscardedPart `json:"thrown_away"`
-	WrittenAgo int64                    `json:"written_ms_ago"` // the last snapshot; -1: none yet
+	WrittenAgo int64                    `json:"written_ms_ago"` // since the last snapshot; -1: none yet
 	WriteError string                   `json:"write_failed,omitempty"`
 	peers      []string
 	writtenAt  time.Duration // of the last write
 	dir        string
-	pending    chan []byte // what is to be written; one waits at most
+	pending    chan []byte // encoded snapshot to be written; one waits at most
 }
 
 // newRecoveryReport reports a start that has restored its state from one source so far.
@@ -30,8 +30,7 @@
 	return &recoveryReport{From: from, Discarded: []snapshot.DiscardedPart{}, dir: dir, pending: make(chan []byte, 1)}
 }
 
-// clocksNow is now by both clocks of this machine. Where the system does not tell how long it has been up, the wall clock
-// stands alone.
+// clocksNow reads both clocks of this machine. Where the system does not tell its uptime, only the wall clock is set.
 func clocksNow() snapshot.Clocks {
 	m := snapshot.Clocks{Wall: wallClock()}
 	boot, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
@@ -49,22 +48,23 @@
 	return m
 }
 
-// resumeFromSnapshot goes on from the snapshot, if there is one to be believed. The list that is held already stands.
+// resumeFromSnapshot restores the state from the snapshot, if there is a valid one. An endpoint list that is known already stays unless the
+// snapshot has a newer one.
 func (r *relay) resumeFromSnapshot(c config.State) {
 	r.recovery = newRecoveryReport("nothing", c.Dir)
 	if err := os.MkdirAll(c.Dir, 0o700); err != nil {
-		r.log.WithError(err).Error("state: nothing can be kept")
+		r.log.WithError(err).Error("state: the directory cannot be made")
 	}
 	s, err := snapshot.Read(c.Dir)
 	if err != nil || s == nil {
 		r.discardSnapshot("snapshot", err)
 		return
 	}
-	held, known := r.watch.Snapshot()
+	current, known := r.watch.Snapshot()
 	if !known || s.DiscoveryAddr != r.cfg.Discovery { // a generation means nothing but where it was given
-		held.Generation = 0
+		current.Generation = 0
 	}
-	age, away, err := s.Validate(clocksNow(), r.cfg.Name, held.Generation, snapshot.LimitsFor(r.core.PolicySettings().MaxPollInterval))
+	age, away, err := s.Validate(clocksNow(), r.cfg.Name, current.Generation, snapshot.LimitsFor(r.core.PolicySettings().MaxPollInterval))
 	if err != nil {
 		r.discardSnapshot("snapshot", err)
 		return
@@ -84,6 +84,7 @@
 	r.log.WithField("age", age).Info("state: restored from the snapshot")
 }
 
+// discardSnapshot reports a part that could not be used; without an error there was none.
 func (r *relay) discardSnapshot(what string, err error) {
 	if err != nil {
 		r.recovery.Discarded = append(r.recovery.Discarded, snapshot.DiscardedPart{What: what, Why: err.Error()})
@@ -91,7 +92,7 @@
 	}
 }
 
-// onSnapshotWritten notes how the last write of a snapshot went, and tells when that has changed.
+// onSnapshotWritten records the result of a write, and logs when that changes.
 func (r *relay) onSnapshotWritten(err error) {
 	failed := r.recovery.WriteError != ""
 	switch {
@@ -107,7 +108,8 @@
 	r.recovery.WriteError, r.recovery.writtenAt = "", r.clock()
 }
 
-// writeSnapshots writes a snapshot now and then, off the loop: a slow disk holds nobody up, and what it has not taken is not queued.
+// writeSnapshots writes a snapshot at intervals, on a goroutine of its own: a slow disk blocks nobody, and while it is busy snapshots are
+// skipped. Nothing waits for that goroutine at the end: the file is replaced atomically.
 func (r *relay) writeSnapshots(every time.Duration) {
 	c := r.recovery
 	go func() {
@@ -118,10 +120,10 @@
 			})
 		}
 	}()
-	var again func()
-	again = func() {
-		if r.core.HasUsableMember() { // one who knows nothing does not write that over what it knew
-			if b, err := r.snapshot().Encode(); err != nil { // here: what it holds is the module's own
+	var write func()
+	write = func() {
+		if r.core.HasUsableMember() { // a relay that knows no member must not overwrite what it knew
+			if b, err := r.snapshot().Encode(); err != nil { // on the loop, which owns the learned state
 				r.onSnapshotWritten(err)
 			} else {
 				select {
@@ -130,11 +132,12 @@
 				}
 			}
 		}
-		r.loop.After(every, again)
+		r.loop.After(every, write)
 	}
-	r.loop.After(every, again)
+	r.loop.After(every, write)
 }
 
+// snapshot is what this relay would restore at its next start.
 func (r *relay) snapshot() *snapshot.Snapshot {
 	list, _ := r.watch.Snapshot()
 	s := &snapshot.Snapshot{Name: r.cfg.Name, List: list, DiscoveryAddr: r.cfg.Discovery, Learned: r.core.LearnedState()}
@@ -145,7 +148,7 @@
 	return s
 }
 
-// Recovery is what this relay came back with, as JSON; empty where no state is kept.
+// Recovery is the recovery report as JSON; empty where no state directory is configured.
 func (r *relay) Recovery() string {
 	if r.recovery == nil {
 		return ""
