--- a/policy/api.go
+++ b/policy/api.go
@@ -1,10 +1,10 @@
 // Package policy decides where a proxy places long-lived connections.
 //
 // This file holds the interface only; the decisions are in files of their names. A proxy
-// makes one Balancer with New, calls one method for each event it sees, and
-// carries out what the Balancer asks for through Actions. Calls must come from
-// one goroutine at a time. Time is whatever monotonic clock the proxy passes
-// in; equal settings, seed and events give equal actions.
+// makes one Balancer with New, calls one method for each event that it sees, and carries
+// out the actions that the Balancer requests of its Executor. Calls must come from one
+// goroutine at a time. Time is whatever monotonic clock the proxy passes in; equal
+// settings, seed and events give equal actions.
 package policy
 
 import "time"
@@ -18,17 +18,17 @@
 // Idempotency says what repeating a request of a class does.
 type Idempotency int
 
-// The effects of a class.
+// The kinds of idempotency.
 const (
-	Idempotent     Idempotency = iota // may be repeated and refused freely
-	IdempotencyKey                    // servers of one scope discard repeats for a while
+	Idempotent     Idempotency = iota // may be repeated and rejected freely
+	IdempotencyKey                    // carries a key by which the servers of one scope discard repeats for a while
 	NonIdempotent                     // must not be repeated unless no attempt ran
 )
 
-// Scope says which servers discard repeats of a keyed request.
+// Scope says which servers discard repeats of a request with an idempotency key.
 type Scope int
 
-// The scopes of a keyed class.
+// The scopes of idempotency keys.
 const (
 	ScopeAll Scope = iota
 	ScopeZone
@@ -37,33 +37,33 @@
 
 // Class describes one class of requests.
 type Class struct {
-	LatencyObjective        time.Duration // a connection is wanted within this time
+	LatencyObjective        time.Duration // for setting a connection up
 	Deadline                time.Duration // the client waits no longer than this
-	MessageLatencyObjective time.Duration // a message on an open connection is wanted within this time
-	PriorityWeight          float64       // of a second in which a connection is well served
+	MessageLatencyObjective time.Duration // for a message on an open connection
+	PriorityWeight          float64       // value of a second in which a connection is well served
 	Idempotency             Idempotency
 	Scope                   Scope
-	DedupWindow             time.Duration // how long repeats of a keyed request are discarded
+	DedupWindow             time.Duration // how long servers discard repeats of an idempotency key
 }
 
-// Tenant is one of those that share the servers.
+// Tenant is one of the customers that share the servers.
 type Tenant struct {
 	Share float64 // part of the service; the module scales shares to sum to one
 	Quota float64 // open connections over all proxies within its share; 0 if unknown
 }
 
-// Source says how load reports reach the proxy.
-type Source int
+// ReportSource says how load reports reach the proxy.
+type ReportSource int
 
 // The sources of load reports.
 const (
-	ReportsOff Source = iota
+	ReportsOff ReportSource = iota
 	ReportsOnProbe
 	ReportsInline // with outcomes and probe results
 )
 
-// Settings is what a Balancer is told at its start. New puts safe values in
-// place of missing or senseless ones.
+// Settings is the configuration of a Balancer. New puts safe values in place of
+// missing or senseless ones.
 type Settings struct {
 	Balancers   int // proxies in this tier, this one included
 	Zone        int // the zone of this proxy
@@ -72,27 +72,27 @@
 	Tenants     []Tenant
 	Groups      bool // connections of one group share work on a server
 	PassThrough bool // packets pass through: open connections may reach another proxy
-	Subscribe   bool // the server list comes only when asked for
-	Reports     Source
+	Subscribe   bool // the server list has to be subscribed to
+	Reports     ReportSource
 
 	CanProbe       bool
 	CanCancel      bool
 	MaxAttempts    int
 	ConnectTimeout time.Duration
-	MaxRetryAfter  time.Duration // the longest that a client heeds
+	MaxRetryAfter  time.Duration // the longest that clients follow
 
-	MaxPollInterval      time.Duration // longest time without asking for the list
+	MaxPollInterval      time.Duration // longest time without a poll of the server list
 	AnswerSlack          time.Duration // how long after the deadline an answer still counts
-	SlowStartMinCapacity float64       // least part of its capacity a started server has
-	SlowStartDuration    time.Duration // time after which it is warm at the latest
-	OverloadFactor       float64       // more than this multiple of its present capacity pushes it over
-	OverloadWindow       time.Duration // when kept up for so long
+	SlowStartMinCapacity float64       // least part of its capacity that a server has at its start
+	SlowStartDuration    time.Duration // after which it has all its capacity at the latest
+	OverloadFactor       float64       // a load over this multiple of its present capacity overloads it
+	OverloadWindow       time.Duration // when it lasts for so long
 
-	CrossZonePrice float64 // each price: what one a request costs, as a part of all worth
+	CrossZonePrice float64 // each price: what one per request costs, as a part of all value
 	ProbePrice     float64
 }
 
-// ServerState is the state of a server as the list has it.
+// ServerState is the state of a server in the server list.
 type ServerState int
 
 // The states of a server.
@@ -109,7 +109,7 @@
 	Kind    int
 	Cell    int
 	State   ServerState
-	Weight  float64       // relative size; at most a guide
+	Weight  float64       // relative size; a rough guide
 	Started time.Duration // time of the latest start; 0 if long ago
 }
 
@@ -121,7 +121,7 @@
 	ListFailed ListKind = iota // a call failed or the subscription broke; no entries
 	ListDelta                  // only changed entries
 	ListFull
-	ListCached // the whole list as last held, maybe out of date
+	ListCached // the whole list from a cache, maybe out of date
 )
 
 // Request is a connection that a client wants.
@@ -134,13 +134,13 @@
 	Deadline  time.Duration // clock time at which the client gives up
 	Load      float64       // expected load, as work a second; 0 if unknown
 	MidFlow   bool          // packets of a connection that is already open
-	Reconnect bool          // its client came again after a break or a move
+	Reconnect bool          // its client comes back after a break or a migration
 }
 
 // Result is how an attempt or a probe ended.
 type Result int
 
-// The results. Only Full, ConnectFailed and Moot prove that nothing ran.
+// The results. Only Full, ConnectFailed and NotSent prove that nothing ran.
 const (
 	OK Result = iota
 	Error
@@ -156,8 +156,8 @@
 type Report struct {
 	Connections float64
 	Load        float64 // load over capacity
-	Util        float64 // part of its cores that is busy
-	Backlog     float64 // seconds of work piled up
+	Util        float64 // utilization of its cores
+	Backlog     float64 // seconds of queued work
 }
 
 // NoReport has every field missing.
@@ -173,22 +173,22 @@
 	Report  Report
 }
 
-// Executor carries out what a Balancer decides.
+// Executor carries out the decisions of a Balancer.
 type Executor interface {
 	// Send starts an attempt. A timeout of 0 lasts until the client gives up.
 	Send(id RequestID, server ServerID, timeout time.Duration)
-	// Reject is a final answer that tells the client a further try is harmless.
+	// Reject is a final answer by which a retry of the client is harmless.
 	Reject(id RequestID, retryAfter time.Duration)
 	// Fail is a final answer without any promise.
 	Fail(id RequestID)
-	// Cancel gives up waiting for an attempt.
-	Cancel(id RequestID, try int)
-	// Migrate ends an open connection politely; its client comes again.
+	// Cancel abandons an attempt.
+	Cancel(id RequestID, attempt int)
+	// Migrate ends an open connection gracefully; its client reconnects.
 	Migrate(id RequestID)
-	// Probe asks a server for its report.
+	// Probe requests a load report of a server.
 	Probe(server ServerID)
-	// Timer asks for a Timer event after the delay.
+	// Timer requests a Timer event after the delay.
 	Timer(delay time.Duration, token uint64)
-	// Watch asks for the server list and its changes from now on.
+	// Watch subscribes to the server list and its changes.
 	Watch()
 }
--- a/policy/arrival.go
+++ b/policy/arrival.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// This file is a connection's arrival.
+// This file holds the arrival of connections.
 
 // Request takes a connection that a client wants.
 func (b *Balancer) Request(now time.Duration, q Request) {
@@ -30,10 +30,10 @@
 	}
 	r := b.newRequest(now, q)
 	r.attempts, r.established, r.answered = 1, true, true
-	b.probeTokens += b.probeAllowance() // it was a request once, and has to be looked after all the same
+	b.probeTokens += b.probeAllowance() // it was a request once, and its server is to be probed all the same
 	if s := b.byID[id]; s != nil {
 		b.attach(now, r, s)
-		s.pendingPlacements = nil // its reports know of it
+		s.pendingPlacements = nil // the server's reports include it already
 	} else {
 		delete(b.requests, q.ID)
 	}
@@ -46,7 +46,7 @@
 	if q.Load > 0 && !math.IsInf(q.Load, 1) {
 		r.load = q.Load
 	}
-	if load := cmp.Or(r.load, b.classLoad[q.Class]); load > 0 { // a guess teaches nothing
+	if load := cmp.Or(r.load, b.classLoad[q.Class]); load > 0 { // a default would teach the mean nothing
 		b.meanLoad = cmp.Or(b.meanLoad, load)
 		b.meanLoad += learningRate / 4 * (load - b.meanLoad)
 	}
@@ -54,16 +54,17 @@
 	return r
 }
 
-// loadOf is the load of a connection as far as it is known by now: what left a server is worth no more there
-// than what came.
+// loadOf is the load of a connection as far as it is known now: its own, else its class's mean, else the
+// mean of all. Attach and detach use the same value, so that what a connection frees is what it took.
 func (b *Balancer) loadOf(r *request) float64 {
 	return cmp.Or(r.load, b.classLoad[r.Class], b.unitLoad())
 }
 
-// unitLoad is the mean load of a connection. Capacities are kept as connections and turned into load by it, since
-// what a connection's load is may be known only later than how many fill a server.
+// unitLoad is the mean load of a connection. Capacities are kept in connections and multiplied by it, since
+// the load of a connection may be known only after the number of connections that fill a server.
 func (b *Balancer) unitLoad() float64 { return cmp.Or(b.meanLoad, 1) }
 
+// probeAllowance is how many probes one request may pay for; 0 if probes are off.
 func (b *Balancer) probeAllowance() float64 {
 	if !b.cfg.CanProbe || b.cfg.Reports == ReportsOff {
 		return 0
--- a/policy/sending.go
+++ b/policy/attempts.go
@@ -1,10 +1,8 @@
 package policy
 
-import (
-	"time"
-)
+import "time"
 
-// This file is what may be done for a request: every send and every final answer goes through here.
+// This file holds the rules on attempts and final answers: every one of them goes through here.
 
 // maySendTo says whether the rules allow an attempt on the server now.
 func (r *request) maySendTo(b *Balancer, now time.Duration, s *server) bool {
@@ -18,23 +16,27 @@
 	case Idempotent:
 		return true
 	case IdempotencyKey:
-		return now < r.firstRunAt+c.DedupWindow && (c.Scope == ScopeAll || c.Scope == ScopeZone && s.Zone == r.firstRunOn.Zone ||
-			c.Scope == ScopeCell && s.Cell == r.firstRunOn.Cell)
+		return now < r.firstRunAt+c.DedupWindow &&
+			(c.Scope == ScopeAll || c.Scope == ScopeZone && s.Zone == r.firstRunOn.Zone ||
+				c.Scope == ScopeCell && s.Cell == r.firstRunOn.Cell)
 	}
 	return false
 }
 
+// mayReject says whether the client may be answered that a further try is harmless.
 func (r *request) mayReject(b *Balancer) bool {
 	c := b.cfg.Classes[r.Class]
-	return c.Idempotency == Idempotent || !r.mayHaveRun && !r.inFlight || c.Idempotency == IdempotencyKey && c.Scope == ScopeAll
+	return c.Idempotency == Idempotent || !r.mayHaveRun && !r.inFlight ||
+		c.Idempotency == IdempotencyKey && c.Scope == ScopeAll
 }
 
+// send starts an attempt if the rules allow it.
 func (b *Balancer) send(now time.Duration, r *request, s *server, foreign bool) {
 	if !r.maySendTo(b, now, s) {
 		return
 	}
 	left := r.Deadline - now
-	// A server that takes an attempt and never answers must leave time for another try.
+	// A server that accepts an attempt and never answers must leave time for another attempt.
 	timeout := max(b.cfg.Classes[r.Class].LatencyObjective, left*6/10)
 	if r.attempts+1 >= b.cfg.MaxAttempts || timeout >= left {
 		timeout = 0
@@ -59,11 +61,13 @@
 func (b *Balancer) finish(r *request) {
 	r.answered = true
 	if r.mayReject(b) {
-		// By then reports are new, and as many tries as it takes to be let in now have passed; spread, so that
-		// who were refused together do not come back together. docs/design.md, "Coming again".
+		// By then there are new reports, and as many attempts have passed as it takes to be admitted now; spread,
+		// so that clients that were rejected together do not come back together. See docs/design.md, "Coming
+		// again".
 		b.rejectionRate += learningRate * (1 - b.rejectionRate)
-		wait := min(float64(b.minObjective)/max(1-b.rejectionRate, learningRate), float64(b.cfg.MaxRetryAfter)/1.5)
-		b.executor.Reject(r.ID, time.Duration(wait*(0.5+b.rng.Float64())))
+		retryAfter := float64(b.minObjective) / max(1-b.rejectionRate, learningRate)
+		retryAfter = min(retryAfter, float64(b.cfg.MaxRetryAfter)/1.5)
+		b.executor.Reject(r.ID, time.Duration(retryAfter*(0.5+b.rng.Float64())))
 	} else {
 		b.executor.Fail(r.ID)
 	}
@@ -73,7 +77,7 @@
 	b.forget(r)
 }
 
-// forget drops a request once it is answered and none of its attempts is out.
+// forget drops a request once it is answered and none of its attempts is in flight.
 func (b *Balancer) forget(r *request) {
 	if r.answered && r.server == nil {
 		delete(b.requests, r.ID)
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -5,15 +5,17 @@
 	"time"
 )
 
-// This file is what servers bear and what tenants may use.
+// This file estimates the capacity and use of servers, and the quotas of tenants.
 
-// capacityOf is k in units of load: what the server's reports say, shrunk to what its kind's say.
+// capacityOf is the capacity of a server now, in units of load: what its own reports say, shrunk towards
+// what the reports of its kind say.
 func (b *Balancer) capacityOf(now time.Duration, s *server) float64 {
 	prior := s.Weight * 16 // a guess that the first reports replace
 	if k := b.kinds[s.Kind]; k != nil && k.capacity > 0 {
 		prior = s.Weight * k.inflight / k.capacity
 	}
-	return b.unitLoad() * b.warmupFraction(now, s) * (priorReports*prior + s.reportCount*s.capacity) / (priorReports + s.reportCount)
+	return b.unitLoad() * b.warmupFraction(now, s) *
+		(priorReports*prior + s.reportCount*s.capacity) / (priorReports + s.reportCount)
 }
 
 // usedOf is the load on a server: its report, which loses weight with age, and what was placed since.
@@ -22,7 +24,7 @@
 	x := fill
 	if s.hasReport {
 		trust := 1 / (1 + max(0, (now-s.reportChangedAt).Seconds())/b.maxDeadline.Seconds())
-		// What is piled up keeps every message waiting: it counts as load to be gone by the next report.
+		// A backlog keeps every message waiting: it counts as load to be worked off by the next report.
 		x = trust*(s.report.Load+max(s.report.Backlog, 0)/b.reportLag().Seconds()) + (1-trust)*fill
 	} else if b.cfg.Reports == ReportsOff {
 		// Nothing is reported: this proxy's own connections, taken for a fair sample, are all there is.
@@ -37,35 +39,50 @@
 	return max(used, 0)
 }
 
-// foreignShare estimates which part of a server's connections is foreign there.
+// foreignShare estimates which part of a server's connections is of tenants that do not own it.
 func (b *Balancer) foreignShare(s *server) float64 {
-	wide := (b.foreignFlows + shrinkage*0.5) / (b.ownFlows + shrinkage) // knowing nothing, half
-	return (s.foreignFlows + shrinkage*wide) / (s.ownFlows + shrinkage)
+	overall := (b.foreignFlows + shrinkage*0.5) / (b.ownFlows + shrinkage) // half while nothing is known
+	return (s.foreignFlows + shrinkage*overall) / (s.ownFlows + shrinkage)
 }
 
-// adaptLending moves h of a tenant's servers: the highest that its owner tolerates (paper 5.4).
+// adaptLending moves the lending threshold of a tenant's servers towards the highest that the owner
+// tolerates (paper 5.4).
 func (b *Balancer) adaptLending(r *request, by float64) {
 	b.lendingThresholds[r.Tenant] = min(max(b.lendingThresholds[r.Tenant]+by, lendMin), 1)
 }
 
-// overQuota says whether a tenant holds more than this proxy's part of its quota, chance allowed for.
+// overQuota says whether a tenant holds more than this proxy's part of its quota, with an allowance for
+// chance.
 func (b *Balancer) overQuota(t int) bool {
 	part := b.cfg.Tenants[t].Quota / b.servingRelays()
 	return part > 0 && b.openByTenant[t] > part+math.Sqrt(part)
 }
 
-// servingRelays is how many proxies share the work: all of them, or fewer where the servers' reports show that this
-// one holds more than its part, since others are down or drained.
+// servingRelays is how many proxies share the work: all of them, or fewer where the servers' reports show
+// that this one holds more than its part, since others are down or draining.
 func (b *Balancer) servingRelays() float64 {
-	all, told := 0.0, 0.0
+	connections, reporting := 0.0, 0.0
 	for _, s := range b.servers {
 		if s.hasReport && s.report.Connections >= 0 {
-			all, told = all+s.report.Connections, told+1
+			connections, reporting = connections+s.report.Connections, reporting+1
 		}
 	}
 	most := float64(b.cfg.Balancers)
-	if told == 0 || b.ownFlows == 0 {
+	if reporting == 0 || b.ownFlows == 0 {
 		return most
 	}
-	return min(max(all/told*float64(len(b.servers))/b.ownFlows, 1), most)
+	return min(max(connections/reporting*float64(len(b.servers))/b.ownFlows, 1), most)
+}
+
+// reportLag is how old the reports that this proxy has may be: two refresh intervals, each taken for about
+// the shortest latency objective, and the time in transit.
+func (b *Balancer) reportLag() time.Duration { return 3 * b.minObjective }
+
+// meanFill is the mean fill of the zones.
+func (b *Balancer) meanFill() float64 {
+	sum := 0.0
+	for _, z := range b.zones {
+		sum += z.fill
+	}
+	return sum / float64(len(b.zones))
 }
--- a/policy/facade.go
+++ b/policy/facade.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// This file is the face that a real relay sees: calls that return what is to be
-// done, and when the next call is due. It decides nothing; see docs/design.md,
-// "The facade".
+// This file is the interface for a real relay: calls that return the actions to carry
+// out, and when the next call is due. It decides nothing; see docs/design.md, "The
+// facade".
 
-// Do says what a Verdict asks for.
+// ActionKind says what an Action requests.
 type ActionKind int
 
-// What a Verdict may ask for.
+// The kinds of actions.
 const (
-	ActionSend    ActionKind = iota // start a server-side flow to Server, for at most For (0: until the client gives up)
-	ActionReject                    // final answer: a further try is harmless, after For
-	ActionFail                      // final answer without any promise
-	ActionCancel                    // give up waiting for attempt Try
-	ActionMigrate                   // ask the client of an open flow to come again
-	ActionProbe                     // ask Server for its load report
-	ActionWatch                     // ask discovery for the pool and its changes from now on
-	ActionWait                      // nothing yet: the request is held until a later call
+	// Start a server-side flow to Server, for at most Duration (0: until the client gives up).
+	ActionSend    ActionKind = iota
+	ActionReject             // final answer: a retry is harmless, after Duration
+	ActionFail               // final answer without any promise
+	ActionCancel             // abandon attempt Attempt
+	ActionMigrate            // ask the client of an open flow to reconnect
+	ActionProbe              // request a load report of Server
+	ActionWatch              // subscribe to the server list and its changes
+	ActionWait               // nothing yet: the request waits for a later call
 )
 
-// Action is one thing to do. Fields that its Do does not mention are zero.
+// Action is one thing to do. Fields that its Kind does not mention are zero.
 type Action struct {
 	Kind     ActionKind
 	ID       RequestID
@@ -33,32 +34,32 @@
 	Duration time.Duration
 }
 
-// Event is something a relay has learned: one of the types below.
+// Event is something that a relay reports: one of the types below.
 type Event interface {
 	apply(b *Balancer, now time.Duration)
 }
 
 type (
-	// ServerList is what discovery says of the servers.
+	// ServerList is a list event of discovery.
 	ServerList struct {
 		Kind    ListKind
 		Servers []Server
 	}
-	// ExistingFlow is a flow that was open before the relay knew of it.
+	// ExistingFlow is a flow that was open before the relay started.
 	ExistingFlow struct {
 		Request Request
 		Server  ServerID
 	}
-	// Up says that an attempt stands as an open flow.
+	// FlowEstablished says that an attempt has become an open flow.
 	FlowEstablished struct{ ID RequestID }
 	// AttemptEnded is the end of an attempt or of an open flow.
 	AttemptEnded Outcome
-	// SendSkipped says that the latest send for a request was not carried out; Closed is as of an End.
+	// SendSkipped says that the latest ActionSend of a request was not carried out; Final is as in an Outcome.
 	SendSkipped struct {
 		ID    RequestID
 		Final bool
 	}
-	// ClientGone says that the client of a request went away.
+	// ClientGone says that the client of a request has gone.
 	ClientGone struct{ ID RequestID }
 	// ProbeResult is the answer to a probe.
 	ProbeResult struct {
@@ -71,52 +72,55 @@
 		ID   RequestID
 		Load float64
 	}
-	// ActiveRelays is by how many the budgets are divided that all relays share.
+	// ActiveRelays is the number of relays among which shared budgets are divided.
 	ActiveRelays struct{ Count float64 }
-	// CanaryGroup is which servers are of a canary's arm, and whose connections go there: by the group, or the key where there is none. Nobody
-	// else's do. Nil: none.
+	// CanaryGroup says which servers belong to the canary group, and which connections are assigned to it, by
+	// their Group, or their Key where they have none. Servers of the canary group get no others. With nil
+	// functions there is no canary.
 	CanaryGroup struct {
 		Contains func(ServerID) bool
 		Assigned func(group uint64) bool
 	}
-	// MessageLatency is how long a message on an open flow takes at its server.
+	// MessageLatency is how long a message on an open flow took at its server.
 	MessageLatency struct {
 		ID      RequestID
 		Latency time.Duration
 	}
 )
 
-func (n ServerList) apply(b *Balancer, now time.Duration)      { b.UpdateServers(now, n.Kind, n.Servers) }
-func (n ExistingFlow) apply(b *Balancer, now time.Duration)    { b.AddExisting(now, n.Request, n.Server) }
-func (n FlowEstablished) apply(b *Balancer, now time.Duration) { b.Established(now, n.ID) }
-func (n AttemptEnded) apply(b *Balancer, now time.Duration)    { b.AttemptEnded(now, Outcome(n)) }
-func (n SendSkipped) apply(b *Balancer, now time.Duration) {
-	if r := b.requests[n.ID]; r != nil && r.server != nil {
-		b.AttemptEnded(now, Outcome{ID: n.ID, Attempt: r.attempts - 1, Server: r.server.ID, Result: NotSent, Final: n.Final, Report: NoReport})
+func (e ServerList) apply(b *Balancer, now time.Duration)      { b.UpdateServers(now, e.Kind, e.Servers) }
+func (e ExistingFlow) apply(b *Balancer, now time.Duration)    { b.AddExisting(now, e.Request, e.Server) }
+func (e FlowEstablished) apply(b *Balancer, now time.Duration) { b.Established(now, e.ID) }
+func (e AttemptEnded) apply(b *Balancer, now time.Duration)    { b.AttemptEnded(now, Outcome(e)) }
+func (e SendSkipped) apply(b *Balancer, now time.Duration) {
+	if r := b.requests[e.ID]; r != nil && r.server != nil {
+		b.AttemptEnded(now, Outcome{ID: e.ID, Attempt: r.attempts - 1, Server: r.server.ID, Result: NotSent,
+			Final: e.Final, Report: NoReport})
 	}
 }
-func (n ClientGone) apply(b *Balancer, now time.Duration) { b.RequestEnded(now, n.ID) }
-func (n ProbeResult) apply(b *Balancer, now time.Duration) {
-	b.ProbeResult(now, n.Server, n.Result, n.Report)
+func (e ClientGone) apply(b *Balancer, now time.Duration) { b.RequestEnded(now, e.ID) }
+func (e ProbeResult) apply(b *Balancer, now time.Duration) {
+	b.ProbeResult(now, e.Server, e.Result, e.Report)
 }
-func (n FlowLoad) apply(b *Balancer, now time.Duration) { b.UpdateLoad(now, n.ID, n.Load) }
-func (n ActiveRelays) apply(b *Balancer, _ time.Duration) {
-	if n.Count >= 1 { // a senseless one moves nothing
-		b.activeRelays = n.Count
+func (e FlowLoad) apply(b *Balancer, now time.Duration) { b.UpdateLoad(now, e.ID, e.Load) }
+func (e ActiveRelays) apply(b *Balancer, _ time.Duration) {
+	if e.Count >= 1 { // ignore senseless counts
+		b.activeRelays = e.Count
 	}
 }
-func (n CanaryGroup) apply(b *Balancer, _ time.Duration) {
-	b.canary = n
+func (e CanaryGroup) apply(b *Balancer, _ time.Duration) {
+	b.canary = e
 	for _, s := range b.servers {
 		s.inCanary = b.inCanary(s.ID)
 	}
 }
-func (n MessageLatency) apply(b *Balancer, now time.Duration) { b.ObserveLatency(now, n.ID, n.Latency) }
+func (e MessageLatency) apply(b *Balancer, now time.Duration) { b.ObserveLatency(now, e.ID, e.Latency) }
 
-// CanaryOverflows is how many connections were drawn for an arm and went elsewhere, since it had no room.
+// CanaryOverflows is how many connections were assigned to the canary group and went elsewhere, since it
+// had no capacity.
 func (f *Facade) CanaryOverflows() uint64 { return f.balancer.canaryOverflows }
 
-// Facade drives a Balancer by calls that return verdicts. The slice that a call
+// Facade drives a Balancer by calls that return actions. The slice that a call
 // returns is valid until the next call.
 type Facade struct {
 	balancer  *Balancer
@@ -127,7 +131,7 @@
 // of missing or senseless ones.
 func Normalize(set Settings) Settings { return normalize(set) }
 
-// NewFacade makes a Facade for one relay; the settings are made sane as by New.
+// NewFacade makes a Facade for one relay; the settings are normalized as by New.
 func NewFacade(now time.Duration, set Settings, seed uint64) *Facade {
 	f := &Facade{}
 	f.collector.now = now
@@ -136,13 +140,13 @@
 	return f
 }
 
-// Pick asks where a new request goes. Without a verdict on the request itself
-// the answer holds ActionWait, and a later Report or Tick brings the verdict.
+// Pick decides where a new request goes. If the request itself is not decided yet,
+// the result holds ActionWait, and a later Observe or Tick brings the decision.
 func (f *Facade) Pick(now time.Duration, q Request) []Action {
 	f.collector.begin(now)
 	f.balancer.Request(now, q)
-	for _, v := range f.collector.actions {
-		if v.ID == q.ID && v.Kind <= ActionFail {
+	for _, a := range f.collector.actions {
+		if a.ID == q.ID && a.Kind <= ActionFail {
 			return f.collector.actions
 		}
 	}
@@ -150,14 +154,14 @@
 	return f.collector.actions
 }
 
-// Observe tells what the relay has learned.
-func (f *Facade) Observe(now time.Duration, n Event) []Action {
+// Observe takes an event that the relay reports.
+func (f *Facade) Observe(now time.Duration, e Event) []Action {
 	f.collector.begin(now)
-	n.apply(f.balancer, now)
+	e.apply(f.balancer, now)
 	return f.collector.actions
 }
 
-// Tick does what is due by now. It never runs timers that it has itself set.
+// Tick runs the timers that are due by now, but none that it has set itself.
 func (f *Facade) Tick(now time.Duration) []Action {
 	f.collector.begin(now)
 	var due []uint64
@@ -178,51 +182,54 @@
 	return f.collector.timers[0].at, true
 }
 
-// actionCollector is the Actions that collects verdicts and keeps the timers.
+// actionCollector is the Executor that collects actions and holds the timers.
 type actionCollector struct {
 	now       time.Duration
 	actions   []Action
 	timers    timerHeap
-	timersSet uint64
+	timersSet uint64 // orders timers of the same time
 }
 
-func (g *actionCollector) begin(now time.Duration) { g.now, g.actions = now, g.actions[:0] }
-func (g *actionCollector) add(v Action)            { g.actions = append(g.actions, v) }
+func (c *actionCollector) begin(now time.Duration) { c.now, c.actions = now, c.actions[:0] }
+func (c *actionCollector) add(a Action)            { c.actions = append(c.actions, a) }
 
-func (g *actionCollector) Send(id RequestID, server ServerID, timeout time.Duration) {
-	g.add(Action{Kind: ActionSend, ID: id, Server: server, Duration: timeout})
+func (c *actionCollector) Send(id RequestID, server ServerID, timeout time.Duration) {
+	c.add(Action{Kind: ActionSend, ID: id, Server: server, Duration: timeout})
 }
-func (g *actionCollector) Reject(id RequestID, retryAfter time.Duration) {
-	g.add(Action{Kind: ActionReject, ID: id, Duration: retryAfter})
+func (c *actionCollector) Reject(id RequestID, retryAfter time.Duration) {
+	c.add(Action{Kind: ActionReject, ID: id, Duration: retryAfter})
 }
-func (g *actionCollector) Fail(id RequestID) { g.add(Action{Kind: ActionFail, ID: id}) }
-func (g *actionCollector) Cancel(id RequestID, try int) {
-	g.add(Action{Kind: ActionCancel, ID: id, Attempt: try})
+func (c *actionCollector) Fail(id RequestID) { c.add(Action{Kind: ActionFail, ID: id}) }
+func (c *actionCollector) Cancel(id RequestID, attempt int) {
+	c.add(Action{Kind: ActionCancel, ID: id, Attempt: attempt})
 }
-func (g *actionCollector) Migrate(id RequestID)  { g.add(Action{Kind: ActionMigrate, ID: id}) }
-func (g *actionCollector) Probe(server ServerID) { g.add(Action{Kind: ActionProbe, Server: server}) }
-func (g *actionCollector) Watch()                { g.add(Action{Kind: ActionWatch}) }
-func (g *actionCollector) Timer(delay time.Duration, token uint64) {
-	g.timersSet++
-	heap.Push(&g.timers, scheduledTimer{at: g.now + max(delay, 0), order: g.timersSet, token: token})
+func (c *actionCollector) Migrate(id RequestID)  { c.add(Action{Kind: ActionMigrate, ID: id}) }
+func (c *actionCollector) Probe(server ServerID) { c.add(Action{Kind: ActionProbe, Server: server}) }
+func (c *actionCollector) Watch()                { c.add(Action{Kind: ActionWatch}) }
+func (c *actionCollector) Timer(delay time.Duration, token uint64) {
+	c.timersSet++
+	heap.Push(&c.timers, scheduledTimer{at: c.now + max(delay, 0), order: c.timersSet, token: token})
 }
 
+// scheduledTimer is a timer that the Balancer has set; timers of the same time expire in the order of
+// setting.
 type scheduledTimer struct {
 	at           time.Duration
 	order, token uint64
 }
 
+// timerHeap is the timers as a heap.
 type timerHeap []scheduledTimer
 
-func (a timerHeap) Len() int      { return len(a) }
-func (a timerHeap) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a timerHeap) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].order < a[j].order
+func (h timerHeap) Len() int      { return len(h) }
+func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h timerHeap) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
 }
-func (a *timerHeap) Push(x any) { *a = append(*a, x.(scheduledTimer)) }
-func (a *timerHeap) Pop() any {
-	last := len(*a) - 1
-	x := (*a)[last]
-	*a = (*a)[:last]
+func (h *timerHeap) Push(x any) { *h = append(*h, x.(scheduledTimer)) }
+func (h *timerHeap) Pop() any {
+	last := len(*h) - 1
+	x := (*h)[last]
+	*h = (*h)[:last]
 	return x
 }
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -128,7 +128,7 @@
 	set := settings()
 	set.Zones, set.MaxAttempts = 2, 1+draw()%5
 	set.Groups, set.PassThrough, set.Subscribe = draw()%2 == 0, draw()%4 == 0, draw()%2 == 0
-	set.Reports, set.CanProbe = Source(draw()%3), draw()%3 > 0
+	set.Reports, set.CanProbe = ReportSource(draw()%3), draw()%3 > 0
 	set.Balancers = 1 + draw()%60
 	classes := []Class{}
 	for _, effect := range []Idempotency{Idempotent, IdempotencyKey, NonIdempotent} {
--- a/policy/health.go
+++ b/policy/health.go
@@ -5,27 +5,29 @@
 	"time"
 )
 
-// This file is when a server or a zone is not to be sent to.
+// This file ejects servers and zones that fail, readmits them, and schedules health checks.
 
+// recordSuccess clears the failures of a server and of its zone.
 func (b *Balancer) recordSuccess(s *server) {
 	s.health, b.zones[s.Zone].health = health{}, health{}
 }
 
-// readmit takes a server back that has answered a probe. Its failures stay counted until a connection stands:
-// one that fails connections may well answer probes, and would draw the next ones for being empty.
+// readmit takes a server back that has answered a probe. Its failures stay counted until a connection
+// stands: a server that fails connections may well answer probes, and would attract the next ones because
+// it is empty.
 func (b *Balancer) readmit(s *server) {
 	s.ejected, b.zones[s.Zone].health = false, health{}
 }
 
-// recordFailure counts a failure against a server and its zone. A second in a row condemns the server, and a few
-// in a row from one zone the zone: then neither is sent to until a pause is over and a probe has been
-// answered.
+// recordFailure counts a failure against a server and its zone. serverFailureThreshold failures in a row
+// eject the server and zoneFailureThreshold the zone: nothing is sent to either until its backoff is over
+// and a probe has been answered.
 func (b *Balancer) recordFailure(now time.Duration, s *server) {
 	if now >= s.retryAt {
 		s.failures++
 	}
 	if s.failures == 1 && b.cfg.CanProbe && !s.probing {
-		b.probe(s) // one failure is no verdict: ask
+		b.probe(s) // one failure proves nothing: probe
 	}
 	b.eject(now, &s.health, serverFailureThreshold)
 	z := &b.zones[s.Zone]
@@ -35,10 +37,47 @@
 	}
 }
 
-func (b *Balancer) eject(now time.Duration, h *health, most int) {
-	if h.failures < most || now < h.retryAt { // what was under way when it was condemned is no further sign
+func (b *Balancer) eject(now time.Duration, h *health, threshold int) {
+	// Attempts that were in flight at the ejection prove nothing new.
+	if h.failures < threshold || now < h.retryAt {
 		return
 	}
-	pause := float64(b.cfg.ConnectTimeout) * math.Exp2(float64(min(h.failures-most+1, maxBackoffDoublings)))
-	h.ejected, h.retryAt = b.cfg.CanProbe, now+time.Duration(pause*(0.5+b.rng.Float64()))
+	doublings := float64(min(h.failures-threshold+1, maxBackoffDoublings))
+	backoff := float64(b.cfg.ConnectTimeout) * math.Exp2(doublings)
+	h.ejected, h.retryAt = b.cfg.CanProbe, now+time.Duration(backoff*(0.5+b.rng.Float64()))
+}
+
+// mostServersFail says that the failures are not those of a few servers.
+func (b *Balancer) mostServersFail() bool {
+	failing := 0
+	for _, s := range b.servers {
+		if s.failures > 0 {
+			failing++
+		}
+	}
+	return 2*failing > len(b.servers)
+}
+
+func (b *Balancer) scheduleHealthCheck(within time.Duration) {
+	if b.probeAllowance() > 0 {
+		b.executor.Timer(time.Duration(float64(within)*(0.5+b.rng.Float64())), tokenHealthCheck)
+	}
+}
+
+// checkHealth probes the servers that hold own connections, and ejected ones whose backoff is over, also
+// while no request arrives: a backlog there shows nowhere else.
+func (b *Balancer) checkHealth(now time.Duration) {
+	for _, s := range b.servers {
+		if b.probeTokens >= 1 && s.State == Ready && !s.probing && now-s.reportedAt >= b.reportLag()/2 &&
+			(s.ownFlows > 0 || s.ejected && now >= s.retryAt) {
+			b.probe(s)
+		}
+	}
+	b.scheduleHealthCheck(b.reportLag())
+}
+
+func (b *Balancer) probe(s *server) {
+	s.probing = true
+	b.probeTokens--
+	b.executor.Probe(s.ID)
 }
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// This file passes what a Balancer has learned on to the one that takes its place. It
-// decides nothing. Times are ages, since the two have clocks of their own.
+// This file passes what a Balancer has learned on to its successor. It decides nothing.
+// Times are ages, since the two have clocks of their own. The JSON names are a stored
+// form: snapshots and upgrades use them.
 
-// LearnedState is what is worth keeping of a Balancer.
+// LearnedState is what a successor takes over from a Balancer.
 type LearnedState struct {
 	MeanLoad          float64                    `json:"MeanLoad"`
 	ClassLoad         []float64                  `json:"ClassLoad"`
-	LendingThresholds []float64                  `json:"Lent"` // the lending threshold of each tenant's servers
+	LendingThresholds []float64                  `json:"Lent"` // of each tenant's servers
 	ZoneFill          []float64                  `json:"Fill"` // of each zone
 	Kinds             map[int][2]float64         `json:"Kinds"`
 	AdmissionRate     float64                    `json:"Daring"`
@@ -20,7 +21,7 @@
 	Age               time.Duration              `json:"Ago"` // when all this was learned
 }
 
-// LearnedServer is what is worth keeping of one server.
+// LearnedServer is what a successor takes over of one server.
 type LearnedServer struct {
 	Capacity float64       `json:"Capacity"`
 	Reports  float64       `json:"Reports"`
@@ -28,15 +29,15 @@
 	Age      time.Duration `json:"Age"`  // of that report
 	Failures int           `json:"Fails"`
 	Ejected  bool          `json:"Bad"`
-	Backoff  time.Duration `json:"Pause"` // retryAt it may be tried again
+	Backoff  time.Duration `json:"Pause"` // until it may be tried again
 	Uptime   time.Duration `json:"Up"`    // since its start; 0 if long ago
 }
 
 // LearnedState is what b has learned.
 func (f *Facade) LearnedState(now time.Duration) LearnedState {
 	b := f.balancer
-	l := LearnedState{MeanLoad: b.meanLoad, ClassLoad: b.classLoad, LendingThresholds: b.lendingThresholds, Kinds: map[int][2]float64{},
-		AdmissionRate: b.admissionRate, Servers: map[ServerID]LearnedServer{}}
+	l := LearnedState{MeanLoad: b.meanLoad, ClassLoad: b.classLoad, LendingThresholds: b.lendingThresholds,
+		Kinds: map[int][2]float64{}, AdmissionRate: b.admissionRate, Servers: map[ServerID]LearnedServer{}}
 	for _, z := range b.zones {
 		l.ZoneFill = append(l.ZoneFill, z.fill)
 	}
@@ -44,24 +45,25 @@
 		l.Kinds[kind] = [2]float64{k.inflight, k.capacity}
 	}
 	for _, s := range b.servers {
-		kept := LearnedServer{Capacity: s.capacity, Reports: s.reportCount, Load: -1, Failures: s.failures, Ejected: s.ejected,
-			Backoff: max(s.retryAt-now, 0)}
+		learned := LearnedServer{Capacity: s.capacity, Reports: s.reportCount, Load: -1, Failures: s.failures,
+			Ejected: s.ejected, Backoff: max(s.retryAt-now, 0)}
 		if s.hasReport && s.report.Load <= math.MaxFloat64 {
-			kept.Load, kept.Age = s.report.Load, now-s.reportChangedAt
+			learned.Load, learned.Age = s.report.Load, now-s.reportChangedAt
 		}
 		if s.Started != 0 {
-			kept.Uptime = now - s.Started
+			learned.Uptime = now - s.Started
 		}
-		l.Servers[s.ID] = kept
+		l.Servers[s.ID] = learned
 	}
 	return l
 }
 
-// Restore takes over what another has learned of the same deployment. It comes after
-// the list of servers; what does not fit the settings is left out.
+// Restore takes over what another Balancer has learned of the same deployment. It is
+// called after the first ServerList; what does not fit the settings is left out.
 func (f *Facade) Restore(now time.Duration, l LearnedState) {
 	b := f.balancer
-	if len(l.ClassLoad) == len(b.classLoad) && len(l.LendingThresholds) == len(b.lendingThresholds) && len(l.ZoneFill) == len(b.zones) {
+	if len(l.ClassLoad) == len(b.classLoad) && len(l.LendingThresholds) == len(b.lendingThresholds) &&
+		len(l.ZoneFill) == len(b.zones) {
 		copy(b.classLoad, l.ClassLoad)
 		copy(b.lendingThresholds, l.LendingThresholds)
 		for i, fill := range l.ZoneFill {
@@ -73,18 +75,18 @@
 		b.kinds[id] = &kind{k[0], k[1]}
 	}
 	for _, s := range b.servers {
-		kept, known := l.Servers[s.ID]
-		if !known || s.Started != 0 && s.Started > now-l.Age { // it is another process by now
+		learned, known := l.Servers[s.ID]
+		if !known || s.Started != 0 && s.Started > now-l.Age { // it has restarted since
 			continue
 		}
-		s.capacity, s.reportCount = kept.Capacity, kept.Reports
-		if up := now - kept.Uptime; kept.Uptime > 0 && up > s.Started {
+		s.capacity, s.reportCount = learned.Capacity, learned.Reports
+		if up := now - learned.Uptime; learned.Uptime > 0 && up > s.Started {
 			s.Started = up
 		}
-		s.failures, s.ejected, s.retryAt = kept.Failures, kept.Ejected, now+kept.Backoff
-		if kept.Load >= 0 {
-			s.report, s.hasReport = Report{Connections: -1, Load: kept.Load, Util: -1, Backlog: -1}, true
-			s.reportChangedAt, s.reportedAt = now-kept.Age, now-kept.Age
+		s.failures, s.ejected, s.retryAt = learned.Failures, learned.Ejected, now+learned.Backoff
+		if learned.Load >= 0 {
+			s.report, s.hasReport = Report{Connections: -1, Load: learned.Load, Util: -1, Backlog: -1}, true
+			s.reportChangedAt, s.reportedAt = now-learned.Age, now-learned.Age
 		}
 	}
 }
--- a/policy/relief.go
+++ b/policy/migration.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// This file is which open connections leave a server.
+// This file decides which open connections are migrated off a server.
 
-// migrateExcess moves own connections off a server that is over its capacity: on a full server none is served
-// well. Each proxy moves a part of its own load, so that all together move what is too much and no more. What
-// earns least for its load goes first: the fewest clients move, and the least worth waits for room.
+// migrateExcess moves own connections off a server that is over its capacity: on an overloaded server none
+// is served well. Each proxy moves a part of its own load, so that all together move the excess and no
+// more. Connections of the least value for their load go first, so that the fewest clients and the least
+// value move.
 func (b *Balancer) migrateExcess(now time.Duration, s *server) {
 	x := b.usedOf(now, s) / b.capacityOf(now, s)
 	if s.rawReport.Load > stallLoad {
 		x = min(x, max(s.previousLoad, 1))
 	}
-	// Guards against emptying it twice for one and the same overload, which a report shows for a while yet.
+	// Guards against moving the same excess twice: reports go on showing it for a while.
 	if x <= fillHigh || s.relievedAt > 0 && s.rawReportAt-b.minObjective < s.relievedAt {
 		return
 	}
@@ -26,9 +27,11 @@
 		left += b.loadOf(r)
 	}
 	part := b.admissionRate * (x - fillHigh) / x
-	left *= part * (2 - part) // as two looks would: each proxy looks but now and then
+	left *= part * (2 - part) // as two passes would: each proxy checks only now and then
 	list := slices.Clone(s.conns)
-	slices.SortStableFunc(list, func(p, q *request) int { return cmp.Compare(b.valuePerLoad(p), b.valuePerLoad(q)) })
+	slices.SortStableFunc(list, func(p, q *request) int {
+		return cmp.Compare(b.valuePerLoad(p), b.valuePerLoad(q))
+	})
 	for _, r := range list {
 		if load := b.loadOf(r); b.rng.Float64()*load < left {
 			b.migrate(r)
@@ -37,7 +40,8 @@
 	}
 }
 
-// valuePerLoad is what a connection earns for its load; what is over a share is worth little.
+// valuePerLoad is the priority weight of a connection for its load; beyond a tenant's quota it counts for
+// nothing.
 func (b *Balancer) valuePerLoad(r *request) float64 {
 	if b.overQuota(r.Tenant) {
 		return 0
@@ -45,7 +49,8 @@
 	return b.cfg.Classes[r.Class].PriorityWeight / b.loadOf(r)
 }
 
-// isLowValue says whether a class earns less for its load, once that is known, than a part of what others do.
+// isLowValue says whether a class is worth under lowValueRatio of what the best one is for its load, once
+// its load is known.
 func (b *Balancer) isLowValue(class int) bool {
 	best, load := 0.0, b.classLoad[class]
 	for i, other := range b.classLoad {
@@ -56,7 +61,7 @@
 	return load > 0 && b.cfg.Classes[class].PriorityWeight/load < lowValueRatio*best
 }
 
-// migrate asks the client of an open connection to come again, once.
+// migrate asks the client of an open connection to reconnect, once.
 func (b *Balancer) migrate(r *request) {
 	if r.established && !r.migrated {
 		r.migrated = true
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// This file is how attempts end, and what falls due.
+// This file handles the events of attempts and requests, and timers.
 
-// Established says that a connection stands.
+// Established says that an attempt has become an open connection.
 func (b *Balancer) Established(now time.Duration, id RequestID) {
 	if r := b.requests[id]; r != nil && r.inFlight {
 		r.established, r.answered = true, true
@@ -18,7 +18,7 @@
 	}
 }
 
-// AttemptEnded ends an attempt, before the connection stood or after.
+// AttemptEnded ends an attempt, before it became an open connection or after.
 func (b *Balancer) AttemptEnded(now time.Duration, o Outcome) {
 	if s := b.byID[o.Server]; s != nil {
 		b.applyReport(now, s, o.Report)
@@ -35,11 +35,11 @@
 	case OK:
 		b.recordSuccess(s)
 	case Full:
-		// Its queue of new connections is what is full, which no report shows: leave it alone for a
-		// moment. A second in a row, as from a server that drains unlisted, doubles the moment.
+		// Its queue of new connections is full, which no report shows: back off. Each further one in a row,
+		// as from a server that drains before the list says so, doubles the backoff.
 		s.consecutiveFull++
-		pause := float64(b.minObjective) * math.Exp2(float64(min(s.consecutiveFull-1, maxBackoffDoublings)))
-		s.retryAt = now + time.Duration(pause*(0.5+b.rng.Float64()))
+		backoff := float64(b.minObjective) * math.Exp2(float64(min(s.consecutiveFull-1, maxBackoffDoublings)))
+		s.retryAt = now + time.Duration(backoff*(0.5+b.rng.Float64()))
 	}
 	r.answered = r.answered || o.Final
 	r.mayHaveRun = r.mayHaveRun || o.Result != Full && o.Result != ConnectFailed && o.Result != NotSent
@@ -53,28 +53,18 @@
 	}
 	r.stage, r.probedStage = 0, 0
 	if o.Result == Timeout || o.Result == Error {
-		if b.mostServersFail() {
+		if b.mostServersFail() { // the failures of one server are no reason to send less to all
 			b.admissionRate = max(b.admissionRate*admissionBackoff, minAdmissionRate)
 		}
-		pause := float64(b.cfg.Classes[r.Class].LatencyObjective) / 4 * math.Exp2(float64(r.attempts)) * (0.5 + b.rng.Float64())
-		b.scheduleRetry(r, time.Duration(pause))
+		objective := float64(b.cfg.Classes[r.Class].LatencyObjective)
+		backoff := objective / 4 * math.Exp2(float64(r.attempts)) * (0.5 + b.rng.Float64())
+		b.scheduleRetry(r, time.Duration(backoff))
 		return
 	}
 	b.place(now, r)
 }
 
-// mostServersFail says that most servers fail: the failures of one are no reason to send less to all.
-func (b *Balancer) mostServersFail() bool {
-	failing := 0
-	for _, s := range b.servers {
-		if s.failures > 0 {
-			failing++
-		}
-	}
-	return 2*failing > len(b.servers)
-}
-
-// RequestEnded says that the client left or that the request is over.
+// RequestEnded says that the client has gone or that the request is over.
 func (b *Balancer) RequestEnded(now time.Duration, id RequestID) {
 	if r := b.requests[id]; r != nil {
 		r.answered = true
@@ -82,7 +72,7 @@
 	}
 }
 
-// Timer is a timer that has fallen due.
+// Timer handles a timer that has expired.
 func (b *Balancer) Timer(now time.Duration, token uint64) {
 	id := RequestID(token &^ tokenMask)
 	switch token & tokenMask {
--- a/policy/reports.go
+++ b/policy/reports.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// This file is what servers and connections report.
+// This file takes the reports of servers and the loads and latencies of connections.
 
 // ProbeResult takes the answer to a probe.
 func (b *Balancer) ProbeResult(now time.Duration, id ServerID, result Result, report Report) {
@@ -17,17 +17,18 @@
 		case OK:
 			b.readmit(s)
 			b.applyReport(now, s, report)
-			// A message waits for what is piled up, or where that is not told for what is asked beyond capacity.
-			full := report.Backlog > b.minMessageObjective.Seconds()/2 || report.Backlog < 0 && report.Load > overloadFill
-			if full && now-s.relievedAt >= b.reportLag() {
+			// Messages wait for the backlog or, where none is reported, for the load beyond the capacity.
+			overloaded := report.Backlog > b.minMessageObjective.Seconds()/2 ||
+				report.Backlog < 0 && report.Load > overloadFill
+			if overloaded && now-s.relievedAt >= b.reportLag() {
 				b.migrateExcess(now, s)
 			}
-		case Full: // it answers, but too many ask: not a failure
+		case Full: // it answers, but is probed by too many: not a failure
 			b.readmit(s)
-		case NotSent: // it was not asked
+		case NotSent: // it was not probed
 		default:
 			if b.recordFailure(now, s); s.ejected && result == Timeout {
-				b.migrateAll(s) // it says nothing at all, and so nothing to its clients
+				b.migrateAll(s) // it answers nothing, and so does not answer its clients either
 			}
 		}
 	}
@@ -56,10 +57,12 @@
 	if p != s.rawReport {
 		s.rawReport, s.previousLoad, s.rawReportAt = p, s.rawReport.Load, now
 	}
-	s.pendingPlacements = slices.DeleteFunc(s.pendingPlacements, func(x placement) bool { return now-x.at >= 2*b.minObjective })
+	s.pendingPlacements = slices.DeleteFunc(s.pendingPlacements, func(x placement) bool {
+		return now-x.at >= 2*b.minObjective
+	})
 	s.report, s.reportedAt, s.hasReport = p, now, true
 	b.zones[s.Zone].fill += learningRate * (min(p.Load, 2) - b.zones[s.Zone].fill)
-	if p.Connections > 0 && p.Load > 0.05 && b.warmupFraction(now, s) == 1 { // an idle server tells nothing of k
+	if p.Connections > 0 && p.Load > minLearningLoad && b.warmupFraction(now, s) == 1 {
 		// Connections against load over capacity: pooled over the kind, and for the server itself.
 		k := b.kinds[s.Kind]
 		if k == nil {
@@ -73,7 +76,7 @@
 	}
 }
 
-// UpdateLoad says what load an open connection has now.
+// UpdateLoad sets the load that an open connection has now.
 func (b *Balancer) UpdateLoad(now time.Duration, id RequestID, load float64) {
 	if r := b.requests[id]; r != nil && load > 0 && !math.IsInf(load, 0) {
 		if b.classLoad[r.Class] == 0 {
@@ -84,16 +87,16 @@
 	}
 }
 
-// ObserveLatency says how long a message takes at the server of an open connection.
+// ObserveLatency takes how long a message took at the server of an open connection.
 func (b *Balancer) ObserveLatency(now time.Duration, id RequestID, message time.Duration) {
 	r := b.requests[id]
 	if r == nil || r.server == nil {
 		return
 	}
 	s := r.server
-	if aim := b.cfg.Classes[r.Class].MessageLatencyObjective; message > aim {
+	if objective := b.cfg.Classes[r.Class].MessageLatencyObjective; message > objective {
 		s.report.Load, s.reportChangedAt = max(s.report.Load, 1), now
-	} else if message < aim/2 {
+	} else if message < objective/2 {
 		return
 	}
 	b.migrateExcess(now, s)
--- a/policy/members.go
+++ b/policy/server_list.go
@@ -7,43 +7,27 @@
 	"time"
 )
 
-// This file is the server list: what it makes of a server, whose home it is, and when it is asked for.
+// This file holds the server list: updates, slow start and ownership of its servers, and when it is polled.
 
-// Start asks for the server list where it comes only when asked for.
+// Start schedules the first poll of the server list, where the list is polled, and the first health check.
 func (b *Balancer) Start() {
 	if b.cfg.Subscribe {
 		b.schedulePoll() // not at once: all proxies of a site may start together
 	}
-	b.scheduleHealthCheck(b.minObjective / 2) // soon: connections that were open before may stand on a full server
-}
-
-func (b *Balancer) scheduleHealthCheck(within time.Duration) {
-	if b.probeAllowance() > 0 {
-		b.executor.Timer(time.Duration(float64(within)*(0.5+b.rng.Float64())), tokenHealthCheck)
-	}
-}
-
-// checkHealth asks the servers that hold own connections, and condemned ones whose pause is over, for reports, also
-// while no request comes: what piles up there shows nowhere else.
-func (b *Balancer) checkHealth(now time.Duration) {
-	for _, s := range b.servers {
-		if b.probeTokens >= 1 && s.State == Ready && !s.probing && now-s.reportedAt >= b.reportLag()/2 &&
-			(s.ownFlows > 0 || s.ejected && now >= s.retryAt) {
-			b.probe(s)
-		}
-	}
-	b.scheduleHealthCheck(b.reportLag())
+	// Soon: connections that were open before may be on an overloaded server.
+	b.scheduleHealthCheck(b.minObjective / 2)
 }
 
+// schedulePoll guards against a polling storm: proxies whose calls failed together poll again spread out,
+// later each time and the more proxies there are, or all calls would wait too long for good. The spread is
+// bounded, since changes count as known MaxPollInterval after they were made.
 func (b *Balancer) schedulePoll() {
-	// Guards against a polling storm: proxies that fail together come back spread out, later each time and the
-	// more there are, or all calls wait too long for good. Yet what is not asked for in time counts as told.
 	many := max(b.activeRelays/concurrentPolls, 1)
 	span := min(many*math.Exp2(float64(min(b.failedPolls, 2)))/20, 1) * float64(b.cfg.MaxPollInterval)
 	b.executor.Timer(time.Duration(span*b.rng.Float64()), tokenPoll)
 }
 
-// UpdateServers takes what discovery says of the servers.
+// UpdateServers takes a list event of discovery.
 func (b *Balancer) UpdateServers(now time.Duration, how ListKind, list []Server) {
 	if how == ListFailed {
 		if b.cfg.Subscribe {
@@ -71,7 +55,7 @@
 	}
 	added := len(b.servers) > before
 	for _, s := range b.servers {
-		if s.State != Ready { // its clients come again before it cuts them off
+		if s.State != Ready { // clients reconnect before the server cuts them off
 			b.migrateAll(s)
 		}
 	}
@@ -85,7 +69,7 @@
 	if added {
 		slices.SortFunc(b.servers, func(x, y *server) int { return cmp.Compare(x.ID, y.ID) })
 	}
-	b.homeSlices = nil // made anew when they are asked for: in a large fleet changes come faster than requests
+	b.homeSlices = nil // rebuilt on demand: in a large fleet changes come faster than requests
 }
 
 // homeSlice is the home slice of a tenant.
@@ -104,14 +88,14 @@
 			return
 		}
 		if e.Started == 0 && how == ListDelta {
-			e.Started = now // it joined while we watched: take it for cold
+			e.Started = now // it joined while we watched: it has just started
 		}
 		s = &server{owner: b.ownerOf(e.ID), report: NoReport}
 		b.byID[e.ID] = s
 		b.servers = append(b.servers, s)
 		b.startSlowStart(now, s)
 	} else if e.Started > s.Started {
-		// A new process: what was known of the old one is void.
+		// A new process: what was learned of the old one no longer holds.
 		s.health, s.hasReport, s.pendingPlacements = health{}, false, nil
 		b.startSlowStart(now, s)
 	}
@@ -130,12 +114,12 @@
 	return owner
 }
 
-// rebuildHomeSlices rebuilds the home slices. A tenant that owns no server in a zone shares the one it ranks
-// highest there.
+// rebuildHomeSlices rebuilds the home slices. A tenant that owns no server in a zone shares the one that it
+// ranks highest there.
 func (b *Balancer) rebuildHomeSlices() {
 	b.homeSlices = make([][]*server, len(b.cfg.Tenants))
 	for t := range b.cfg.Tenants {
-		stand := make([]*server, b.cfg.Zones)
+		substitute := make([]*server, b.cfg.Zones)
 		owns := make([]bool, b.cfg.Zones)
 		best := make([]float64, b.cfg.Zones)
 		for _, s := range b.servers {
@@ -146,10 +130,10 @@
 				owns[s.Zone] = true
 				b.homeSlices[t] = append(b.homeSlices[t], s)
 			} else if score := rendezvous(uint64(s.ID), uint64(t), s.Weight); score > best[s.Zone] {
-				best[s.Zone], stand[s.Zone] = score, s
+				best[s.Zone], substitute[s.Zone] = score, s
 			}
 		}
-		for z, s := range stand {
+		for z, s := range substitute {
 			if !owns[z] && s != nil {
 				b.homeSlices[t] = append(b.homeSlices[t], s)
 			}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// normalize returns settings that every decision below can rely on.
+// normalize returns settings with safe values, on which every decision can rely.
 func normalize(s Settings) Settings {
 	within := func(v, lo, hi, otherwise float64) float64 {
 		if math.IsNaN(v) || v < lo || v > hi {
--- a/policy/state.go
+++ b/policy/state.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// This file holds what a Balancer remembers; it decides nothing.
+// This file holds the state of a Balancer; it decides nothing.
 
-// What a timer is for stands in the top byte of its token, the request in the rest.
+// The purpose of a timer is in the top byte of its token, the request in the rest.
 const (
 	tokenDeadline    uint64 = iota << 56
 	tokenRetry       uint64 = iota << 56
@@ -18,50 +18,55 @@
 	tokenMask        uint64 = 0xff << 56
 )
 
-// health counts failures in a row. It is kept for each server and each zone.
+// health counts failures in a row, of a server or of a zone.
 type health struct {
 	failures int
-	retryAt  time.Duration // not to be used before; then a probe must succeed first
+	retryAt  time.Duration // nothing is sent before; then a probe must succeed first
 	ejected  bool
 }
 
-// placement is a change of load that a server's report cannot know of yet.
+// placement is a change of load that a server's report cannot include yet.
 type placement struct {
 	at   time.Duration
 	load float64
 }
 
+// zone is what is known of the servers of a zone together.
 type zone struct {
 	health
-	fill float64 // mean fill of its servers as this proxy's reports show it
+	fill float64 // mean fill of its servers in the reports of this proxy
 }
 
+// server is an entry of the server list, with what is known of it.
 type server struct {
 	Server
 	health
-	owner                  int  // tenant whose slice it belongs to
-	inCanary               bool // it is of a canary's arm
-	report                 Report
-	reportedAt             time.Duration // when the report came
-	reportChangedAt        time.Duration // when these values were first seen
-	rawReport              Report        // the last one as it came
-	rawReportAt            time.Duration // when that was first seen
-	previousLoad           float64       // the load that the one before told
-	hasReport              bool
-	rank                   float64 // place in the order of the key being placed
-	consecutiveFull        int     // times in a row that it answered full
-	probing                bool
-	relievedAt             time.Duration // when own connections were last moved off it for its load
-	capacity               float64       // learned capacity, in connections
-	reportCount            float64
-	pendingPlacements      []placement
-	placedAt               time.Duration // when the last one was
-	conns                  []*request    // own connections here, those being set up included
-	ownFlows, foreignFlows float64       // how many they are, and the foreign ones of them
-	slowStartTokens        float64
-	slowStartOffset        float64 // where this proxy stands among all in the budget of a cold server
-	slowStartSent          float64
-	slowStartRefilledAt    time.Duration
+	owner             int  // tenant whose home slice it belongs to
+	inCanary          bool // it belongs to the canary group
+	report            Report
+	reportedAt        time.Duration // when the latest report came
+	reportChangedAt   time.Duration // when these values were first seen
+	rawReport         Report        // the latest report as it came
+	rawReportAt       time.Duration // when that was first seen
+	previousLoad      float64       // the load of the report before rawReport
+	hasReport         bool
+	rank              float64 // in the order of the key that is being placed
+	consecutiveFull   int     // attempts in a row that it answered Full
+	probing           bool
+	relievedAt        time.Duration // when own connections were last migrated off it for its load
+	capacity          float64       // learned capacity, in connections
+	reportCount       float64       // reports that capacity was learned from, up to a limit
+	pendingPlacements []placement
+	placedAt          time.Duration // of the latest placement
+	conns             []*request    // own connections here, those being set up included
+	ownFlows          float64       // number of conns
+	foreignFlows      float64       // those of ownFlows whose tenant does not own the server
+
+	// The send budget while it warms up, in mean loads.
+	slowStartTokens     float64
+	slowStartOffset     float64 // random position of this proxy among all in the budget
+	slowStartSent       float64
+	slowStartRefilledAt time.Duration
 }
 
 // request is the one owner of what may still be done for a request.
@@ -70,76 +75,87 @@
 	load          float64 // 0 while it is unknown
 	arrivedAt     time.Duration
 	attempts      int
-	stage         int // how far placement has looked: own slice, own zone, everywhere
-	probedStage   int // the stage up to which it has asked for reports
-	pendingProbes int // probes it waits for
-	pendingTimers int // guards against late wait timers
+	stage         int // how far placement has looked
+	probedStage   int // the stages before this one have been probed
+	pendingProbes int // probes that it waits for
+	pendingTimers int // retry timers that are set; only the last one counts
 	triedServers  []ServerID
-	server        *server // where the open attempt went
-	foreign       bool
-	canary        bool // it is drawn for a canary's arm
-	inFlight      bool // an attempt is out
+	server        *server // of the attempt in flight or of the open connection
+	foreign       bool    // the server is outside its tenant's home slice
+	canary        bool    // it is assigned to the canary group
+	inFlight      bool    // an attempt is in flight
 	established   bool
-	migrated      bool // probedStage to come again
-	answered      bool // has its final answer
+	migrated      bool // its client was asked to reconnect
+	answered      bool // it has its final answer
 	mayHaveRun    bool // an attempt may have run
 	firstRunAt    time.Duration
 	firstRunOn    Server
 }
 
-type kind struct{ inflight, capacity float64 } // sums that give the capacity of one unit of weight
+// kind holds sums over reports that give the capacity of one unit of weight.
+type kind struct{ inflight, capacity float64 }
 
 // Balancer decides for one proxy.
 type Balancer struct {
-	cfg                 Settings
-	executor            Executor
-	rng                 *rand.Rand
-	servers             []*server // in order of id
-	byID                map[ServerID]*server
-	zones               []zone
-	requests            map[RequestID]*request
-	probeWaiters        map[ServerID][]RequestID
-	homeSlices          [][]*server // home slice of each tenant, all zones
-	lendingThresholds   []float64   // threshold of each tenant's servers, as a part of k
-	openByTenant        []float64   // own open connections of each tenant
-	ownFlows            float64
-	foreignFlows        float64
-	kinds               map[int]*kind
-	meanLoad            float64
-	classLoad           []float64
-	admissionRate       float64 // part of its requests that it sends, less while setting up fails
-	probeTokens         float64 // probes it may send
-	rejectionRate       float64 // part of the requests that were refused lately
-	activeRelays        float64 // by how many budgets are divided that all share: as many as are configured until news says otherwise
-	watching            bool
-	failedPolls         int // calls for the list that failed in a row
-	minObjective        time.Duration
+	cfg      Settings
+	executor Executor
+	rng      *rand.Rand
+
+	servers    []*server // in order of id
+	byID       map[ServerID]*server
+	zones      []zone
+	kinds      map[int]*kind
+	homeSlices [][]*server // of each tenant, over all zones; nil until they are needed
+
+	requests     map[RequestID]*request
+	probeWaiters map[ServerID][]RequestID
+
+	lendingThresholds []float64 // of each tenant's servers, as a part of their capacity
+	openByTenant      []float64 // own connections of each tenant
+	ownFlows          float64
+	foreignFlows      float64
+	meanLoad          float64
+	classLoad         []float64
+	admissionRate     float64 // part of its requests that it sends, less while setting up fails
+	rejectionRate     float64 // part of the recent requests that were rejected
+	probeTokens       float64 // probes that it may send
+	// Number of proxies that share budgets: Settings.Balancers until an event updates it.
+	activeRelays float64
+
+	watching    bool
+	failedPolls int // in a row
+
+	minObjective        time.Duration // the shortest latency objective of all classes
 	maxDeadline         time.Duration
-	minMessageObjective time.Duration // the shortest of all classes
-	canary              CanaryGroup
-	canaryOverflows     uint64 // connections that were drawn for an arm and went elsewhere
+	minMessageObjective time.Duration
+
+	canary          CanaryGroup
+	canaryOverflows uint64 // connections that were assigned to the canary group and went elsewhere
 }
 
-// inCanary and isCanaryFlow ask the news of arms, if there was any.
+// inCanary says whether a server belongs to the canary group.
 func (b *Balancer) inCanary(id ServerID) bool {
 	return b.canary.Contains != nil && b.canary.Contains(id)
 }
+
+// isCanaryFlow says whether a connection is assigned to the canary group.
 func (b *Balancer) isCanaryFlow(q Request) bool {
 	return b.canary.Assigned != nil && !q.MidFlow && b.canary.Assigned(cmp.Or(q.Group, q.Key))
 }
 
-// hasGroup says whether own connections of a group are there.
+// hasGroup says whether the server holds own connections of a group.
 func (s *server) hasGroup(group uint64) bool {
 	return slices.ContainsFunc(s.conns, func(r *request) bool { return r.Group == group })
 }
 
-// attach and vacate keep count of what is where.
+// attach counts a connection on a server.
 func (b *Balancer) attach(now time.Duration, r *request, s *server) {
 	r.server = s
 	s.pendingPlacements, s.placedAt = append(s.pendingPlacements, placement{now, b.loadOf(r)}), now
 	b.countFlow(r, s, 1)
 }
 
+// detach takes it off its server again.
 func (b *Balancer) detach(now time.Duration, r *request) {
 	if s := r.server; s != nil {
 		s.pendingPlacements = append(s.pendingPlacements, placement{now, -b.loadOf(r)})
--- a/policy/waiting.go
+++ b/policy/waiting.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// This file is connections that have found no room.
+// This file handles requests for which no server has capacity.
 
-// waitForCapacity keeps a request that found no room for another look, and refuses it once that would come too
-// late.
+// waitForCapacity schedules another placement of a request for which no server had capacity, and ends the
+// request once that would come too late.
 func (b *Balancer) waitForCapacity(now time.Duration, r *request) {
-	aim := b.cfg.Classes[r.Class].LatencyObjective
-	again := time.Duration(float64(aim) / 4 * (0.5 + b.rng.Float64()))
-	if b.overQuota(r.Tenant) || r.attempts >= b.cfg.MaxAttempts || now+again > min(r.arrivedAt+aim, r.Deadline) ||
+	objective := b.cfg.Classes[r.Class].LatencyObjective
+	delay := time.Duration(float64(objective) / 4 * (0.5 + b.rng.Float64()))
+	if b.overQuota(r.Tenant) || r.attempts >= b.cfg.MaxAttempts ||
+		now+delay > min(r.arrivedAt+objective, r.Deadline) ||
 		r.mayHaveRun && b.cfg.Classes[r.Class].Idempotency == NonIdempotent {
-		if r.canary { // its arm has no room: limits, drains and cold budgets go before the arm's share
+		if r.canary { // no capacity in the canary: limits, drains and slow start go before its share
 			r.canary, r.stage, r.probedStage = false, 0, 0
 			b.canaryOverflows++
 			b.place(now, r)
@@ -28,10 +29,11 @@
 		return
 	}
 	r.stage, r.probedStage, r.triedServers = 0, 0, r.triedServers[:0]
-	b.scheduleRetry(r, again)
+	b.scheduleRetry(r, delay)
 }
 
-// lastResort doubts the view when nearly all servers look bad: then one of them is tried all the same.
+// lastResort is the panic mode: where nearly all servers look bad, the view of them is doubted, and one of
+// them is tried all the same.
 func (b *Balancer) lastResort(now time.Duration, r *request) *server {
 	var bad []*server
 	good := 0
@@ -42,7 +44,7 @@
 			bad = append(bad, s)
 		}
 	}
-	if len(bad) == 0 || good > len(bad)/9 { // under nine in ten: it may well be the servers
+	if len(bad) == 0 || good > len(bad)/9 { // under nine in ten are bad: that may well be true
 		return nil
 	}
 	return bad[b.rng.IntN(len(bad))]
