--- a/cmd/dahliarudder-scenario/command.go
+++ b/cmd/dahliarudder-scenario/command.go
@@ -65,8 +65,8 @@
 	if err != nil {
 		return err
 	}
-	r := &scenariorunner.Rehearsal{File: f, Dir: filepath.Dir(path), Program: o.program, Work: workDir,
-		Say: progressPrinter(cmd.ErrOrStderr())}
+	r := &scenariorunner.Runner{File: f, Dir: filepath.Dir(path), Program: o.program, WorkDir: workDir,
+		Progress: progressPrinter(cmd.ErrOrStderr())}
 	for _, v := range f.Variants {
 		if _, _, err := r.Settings(v); err != nil {
 			return fmt.Errorf("%s: %w", path, err)
@@ -78,7 +78,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	results, err := r.All(ctx)
+	results, err := r.RunAll(ctx)
 	if err != nil {
 		return err
 	}
@@ -86,7 +86,7 @@
 		return err
 	}
 	for _, x := range results {
-		if len(x.Broken) > 0 || x.Invalid != "" {
+		if len(x.Violations) > 0 || x.Invalid != "" {
 			return fmt.Errorf("%w; the relays' logs are below %s", errRuleBroken, workDir)
 		}
 	}
@@ -138,7 +138,7 @@
 
 // report prints the table and writes the JSON file and the page.
 func (o *options) report(cmd *cobra.Command, path, about string, results []*scenariorunner.Result) error {
-	scenariorunner.Table(cmd.OutOrStdout(), results)
+	scenariorunner.WriteTable(cmd.OutOrStdout(), results)
 	base := o.output
 	if base == "" {
 		base = strings.TrimSuffix(filepath.Base(path), filepath.Ext(path)) + "-result"
--- a/internal/scenariorunner/clients.go
+++ b/internal/scenariorunner/clients.go
@@ -17,34 +17,34 @@
 	"dahliarudder/policy"
 )
 
-// silentMost is when a client ends a flow that brings nothing back: after the judge's own limit.
-const silentMost = 8 * time.Second
+// flowSilenceLimit is when a client ends a flow that brings nothing back: after the judge's own limit.
+const flowSilenceLimit = 8 * time.Second
 
 // front deals out the clients of each zone among its relays.
 type front struct {
 	*run
-	reach map[string]string // by relay
-	lock  sync.Mutex
-	heard map[string]time.Time
-	in    map[string]bool
+	addrs    map[string]string // by relay
+	lock     sync.Mutex
+	lastPong map[string]time.Time
+	admitted map[string]bool
 }
 
-// run_ asks every relay again and again.
-func (f *front) run_(ctx context.Context) {
+// pingRelays asks every relay again and again.
+func (f *front) pingRelays(ctx context.Context) {
 	for _, n := range f.relays {
 		go func() {
 			for ctx.Err() == nil {
 				ok := f.ping(n)
 				if ok {
-					f.admitted(n)
+					f.recordReady(n)
 				}
 				f.lock.Lock()
 				if now := time.Now(); ok {
-					f.heard[n.name], f.in[n.name] = now, true
-				} else if now.Sub(f.heard[n.name]) > scenario.Millis(f.File.Front.FailureTimeoutMs) {
-					f.in[n.name] = false
+					f.lastPong[n.name], f.admitted[n.name] = now, true
+				} else if now.Sub(f.lastPong[n.name]) > scenario.Millis(f.File.Front.FailureTimeoutMs) {
+					f.admitted[n.name] = false
 				}
-				admitted := f.in[n.name]
+				admitted := f.admitted[n.name]
 				f.lock.Unlock()
 				wait := scenario.Millis(f.File.Front.PingMs)
 				if !admitted { // who starts is asked for more often
@@ -56,19 +56,19 @@
 	}
 }
 
-// admitted notes how long a process took to be ready, the first time that it is.
-func (f *front) admitted(n *relay) {
-	f.with(func(at time.Duration) {
-		if n.readied == n.starts {
+// recordReady notes how long a process took to be ready, the first time that it is.
+func (f *front) recordReady(n *relay) {
+	f.locked(func(at time.Duration) {
+		if n.readyStart == n.starts {
 			return
 		}
-		n.readied = n.starts
+		n.readyStart = n.starts
 		f.judge.RelayReady(at, n.name, at-n.began)
 	})
 }
 
 func (f *front) ping(n *relay) bool {
-	c, err := net.DialTimeout("tcp", f.reach[n.name], time.Second)
+	c, err := net.DialTimeout("tcp", f.addrs[n.name], time.Second)
 	if err != nil {
 		return false
 	}
@@ -79,16 +79,16 @@
 	return err == nil && line == "PONG\r\n"
 }
 
-func (f *front) has(name string) bool {
+func (f *front) isAdmitted(name string) bool {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	return f.in[name]
+	return f.admitted[name]
 }
 
-func (f *front) count() (n int) {
+func (f *front) admittedCount() (n int) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	for _, in := range f.in {
+	for _, in := range f.admitted {
 		if in {
 			n++
 		}
@@ -97,10 +97,10 @@
 }
 
 // inFlight has a relay that was told to end given nothing more.
-func (f *front) out(name string) {
+func (f *front) remove(name string) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	f.in[name] = false
+	f.admitted[name] = false
 }
 
 // pick is a relay for a client of that zone, nil if its front has none.
@@ -109,7 +109,7 @@
 	defer f.lock.Unlock()
 	var all []*relay
 	for _, n := range f.relays {
-		if n.zone == zone && f.in[n.name] {
+		if n.zone == zone && f.admitted[n.name] {
 			all = append(all, n)
 		}
 	}
@@ -121,40 +121,40 @@
 
 // session is one client, from its arrival to its end.
 func (r *run) session(ctx context.Context, s scenario.Session) {
-	zones := site(r.set).Zones
-	class := r.set.Classes[s.Class]
+	zones := site(r.settings).Zones
+	class := r.settings.Classes[s.Class]
 	tags := []string{"class " + class.Name, "zone " + zones[s.Zone]}
 	tenant := ""
-	if len(r.set.Tenants) > 0 {
-		tenant = r.set.Tenants[s.Tenant].Name
+	if len(r.settings.Tenants) > 0 {
+		tenant = r.settings.Tenants[s.Tenant].Name
 		tags = append(tags, "tenant "+tenant)
 	}
 	end := s.Arrival + s.Stay
-	r.with(func(time.Duration) { r.service.AddDemand(tags, s.Arrival, end) })
+	r.locked(func(time.Duration) { r.service.AddDemand(tags, s.Arrival, end) })
 	rng := rand.New(rand.NewPCG(s.Seed, 5))
 	tries, again, retry := 0, false, false
 	wanted := s.Arrival
-	defer r.with(func(time.Duration) {
-		r.tries += tries
-		r.most = max(r.most, tries)
+	defer r.locked(func(time.Duration) {
+		r.attempts += tries
+		r.maxAttempts = max(r.maxAttempts, tries)
 	})
 	for ctx.Err() == nil && r.now() < end {
-		wait := between(rng, r.File.Clients.ReconnectMs)
+		wait := drawBetween(rng, r.File.Clients.ReconnectMs)
 		if n := r.front.pick(s.Zone, rng); n != nil {
 			tries++
-			f := &flow{run: r, n: n, s: s, tags: tags, end: end, wanted: wanted, id: fmt.Sprintf("%016x", rng.Uint64())}
+			f := &flow{run: r, relay: n, session: s, tags: tags, end: end, wantedSince: wanted, id: fmt.Sprintf("%016x", rng.Uint64())}
 			f.line = fmt.Sprintf("OPEN %s %016x c=%s,t=%s,d=%g,g=%016x,h=%.4f", f.id, s.Key, class.Name, tenant, class.Deadline, s.Group, s.Load)
 			if again {
 				f.line += ",again=1"
 			} else if retry {
 				f.line += ",r=1"
 			}
-			f.patience, f.effect = settings.Span(class.Deadline), effectOf(r.set.Policy().Classes[s.Class])
-			f.leaves = r.leaving(rng, f.patience)
-			how, busy := f.open(ctx)
-			r.with(func(at time.Duration) {
+			f.patience, f.effect = settings.Span(class.Deadline), effectOf(r.settings.Policy().Classes[s.Class])
+			f.abandon = r.drawEarlyLeave(rng, f.patience)
+			how, busy := f.attempt(ctx)
+			r.locked(func(at time.Duration) {
 				r.answers[how]++
-				r.used[n.name].answered(at, how == "rejected" || how == "failed")
+				r.usage[n.name].recordAnswer(at, how == "rejected" || how == "failed")
 			})
 			switch how {
 			case "ended":
@@ -179,28 +179,28 @@
 // flow is one try of a session.
 type flow struct {
 	*run
-	n        *relay
-	s        scenario.Session
-	tags     []string
-	id, line string
-	patience time.Duration
-	effect   scenario.Effect
-	leaves   *leaving // nil: its client waits
-	end      time.Duration
-	wanted   time.Duration // since when the client wants to be connected
-	lines    chan string
+	relay       *relay
+	session     scenario.Session
+	tags        []string
+	id, line    string
+	patience    time.Duration
+	effect      scenario.Effect
+	abandon     *earlyLeave // nil: its client waits
+	end         time.Duration
+	wantedSince time.Duration // sinceStart when the client wants to be connected
+	lines       chan string
 }
 
-// open returns how it went, and after how long a rejected client may come again.
-func (f *flow) open(ctx context.Context) (string, time.Duration) {
-	c, err := net.DialTimeout("tcp", f.front.reach[f.n.name], f.patience)
+// attempt returns how it went, and after how long a rejected client may come again.
+func (f *flow) attempt(ctx context.Context) (string, time.Duration) {
+	c, err := net.DialTimeout("tcp", f.front.addrs[f.relay.name], f.patience)
 	if err != nil {
 		return "refused", 0
 	}
 	defer c.Close()
-	f.with(func(at time.Duration) { f.judge.RequestSent(at, f.id, f.n.name, f.patience, f.effect) })
+	f.locked(func(at time.Duration) { f.judge.RequestSent(at, f.id, f.relay.name, f.patience, f.effect) })
 	if _, err := io.WriteString(c, f.line+"\r\n"); err != nil {
-		f.with(func(at time.Duration) { f.judge.ClientGaveUp(f.id) })
+		f.locked(func(at time.Duration) { f.judge.ClientGaveUp(f.id) })
 		return "refused", 0
 	}
 	f.lines = make(chan string, 16)
@@ -222,14 +222,14 @@
 	}()
 	give := time.NewTimer(f.patience + 500*time.Millisecond) // the judge calls late what comes after the deadline
 	defer give.Stop()
-	if f.leaves != nil {
-		if f.leave(c) {
+	if f.abandon != nil {
+		if f.leaveEarly(c) {
 			return "left", 0
 		}
 	}
 	select {
 	case <-ctx.Done():
-		f.with(func(time.Duration) { f.judge.ClientGaveUp(f.id) })
+		f.locked(func(time.Duration) { f.judge.ClientGaveUp(f.id) })
 		return "cut short", 0
 	case <-give.C:
 		return "unanswered", 0
@@ -237,24 +237,24 @@
 		if !ok {
 			return "unanswered", 0
 		}
-		f.with(func(at time.Duration) { f.judge.AnswerReceived(at, f.id, line) })
+		f.locked(func(at time.Duration) { f.judge.AnswerReceived(at, f.id, line) })
 		switch {
-		case f.leaves != nil: // it has ended its sending, and has its answer
+		case f.abandon != nil: // it has ended its sending, and has its answer
 			return "left", 0
 		case strings.HasPrefix(line, "UP "):
-			return f.hold(ctx, c), 0
+			return f.keepOpen(ctx, c), 0
 		case strings.HasPrefix(line, "BUSY"):
-			f.rest()
+			f.reportFurtherAnswers()
 			ms, _ := strconv.ParseFloat(strings.TrimSpace(strings.TrimPrefix(line, "BUSY")), 64)
 			return "rejected", scenario.Millis(ms)
 		}
-		f.rest()
+		f.reportFurtherAnswers()
 		return "failed", 0
 	}
 }
 
-// rest tells the judge of whatever follows a final answer at once.
-func (f *flow) rest() {
+// reportFurtherAnswers tells the judge of whatever follows a final answer at once.
+func (f *flow) reportFurtherAnswers() {
 	end := time.After(20 * time.Millisecond)
 	for {
 		select {
@@ -262,23 +262,23 @@
 			if !ok {
 				return
 			}
-			f.with(func(at time.Duration) { f.judge.AnswerReceived(at, f.id, line) })
+			f.locked(func(at time.Duration) { f.judge.AnswerReceived(at, f.id, line) })
 		case <-end:
 			return
 		}
 	}
 }
 
-// hold speaks on an open flow to its end.
-func (f *flow) hold(ctx context.Context, c net.Conn) string {
+// keepOpen speaks on an open flow to its end.
+func (f *flow) keepOpen(ctx context.Context, c net.Conn) string {
 	good := f.now() // the last time that it was known to be well
-	f.with(func(at time.Duration) {
-		f.setUp.RecordValue(max((at - f.wanted).Microseconds(), 1))
-		f.run.open++
+	f.locked(func(at time.Duration) {
+		f.setupTimes.RecordValue(max((at - f.wantedSince).Microseconds(), 1))
+		f.run.openFlows++
 	})
-	defer f.with(func(time.Duration) { f.run.open-- })
+	defer f.locked(func(time.Duration) { f.run.openFlows-- })
 	served := func() {
-		f.with(func(at time.Duration) {
+		f.locked(func(at time.Duration) {
 			f.service.AddServed(f.tags, good, min(at, f.end))
 			good = at
 		})
@@ -292,7 +292,7 @@
 	for {
 		select {
 		case <-ctx.Done():
-			f.with(func(time.Duration) { // what is unanswered so far is well if it is not late yet
+			f.locked(func(time.Duration) { // what is unanswered so far is well if it is not late yet
 				if at := f.now(); asked < 0 || at-asked <= well {
 					f.service.AddServed(f.tags, good, min(at, f.end))
 				}
@@ -302,8 +302,8 @@
 		case <-tick.C:
 			now := f.now()
 			switch {
-			case asked >= 0 && now-asked > silentMost:
-				f.with(func(at time.Duration) { f.judge.LineUnanswered(at, f.id, asked) })
+			case asked >= 0 && now-asked > flowSilenceLimit:
+				f.locked(func(at time.Duration) { f.judge.LineUnanswered(at, f.id, asked) })
 				return "broken"
 			case asked >= 0:
 			case now >= f.end:
@@ -324,7 +324,7 @@
 				if leaving {
 					return "ended"
 				}
-				f.with(func(at time.Duration) { f.judge.FlowEnded(at, f.id) })
+				f.locked(func(at time.Duration) { f.judge.FlowEnded(at, f.id) })
 				return "broken"
 			case strings.HasPrefix(line, "GOT "):
 				if f.now()-asked <= well {
@@ -341,14 +341,14 @@
 				served()
 				return "ended"
 			default:
-				f.with(func(at time.Duration) { f.judge.AnswerReceived(at, f.id, line) })
+				f.locked(func(at time.Duration) { f.judge.AnswerReceived(at, f.id, line) })
 			}
 		}
 	}
 }
 
-// leaving is how a client goes that does not wait for its answer.
-type leaving struct {
+// drawEarlyLeave is how a client goes that does not wait for its answer.
+type earlyLeave struct {
 	after time.Duration // it has asked
 	how   leaveMode
 }
@@ -357,38 +357,38 @@
 
 const (
 	leaveByClose     leaveMode = iota
-	leaveByReset               // with a reset
+	leaveByReset               // locked a reset
 	leaveByHalfClose           // it ends its sending alone, and still reads
 	leaveModes
 )
 
-// leaving draws whether and how a client goes early.
-func (r *run) leaving(rng *rand.Rand, patience time.Duration) *leaving {
+// earlyLeave draws whether and how a client goes early.
+func (r *run) drawEarlyLeave(rng *rand.Rand, patience time.Duration) *earlyLeave {
 	if rng.Float64() >= r.File.Clients.AbandonRate {
 		return nil
 	}
 	// Half of them at once, where the relay is still placing them.
-	l := &leaving{how: leaveMode(rng.IntN(int(leaveModes)))}
+	l := &earlyLeave{how: leaveMode(rng.IntN(int(leaveModes)))}
 	if rng.IntN(2) == 0 {
 		l.after = time.Duration(rng.Float64() * float64(patience) / 2)
 	}
 	return l
 }
 
-// leave goes as drawn, unless an answer comes first. It returns true if nothing more is read.
-func (f *flow) leave(c net.Conn) (gone bool) {
-	wait := time.NewTimer(f.leaves.after)
+// leaveEarly goes as drawn, unless an answer comes first. It returns true if nothing more is read.
+func (f *flow) leaveEarly(c net.Conn) (gone bool) {
+	wait := time.NewTimer(f.abandon.after)
 	defer wait.Stop()
 	select {
 	case <-wait.C:
 	case line, ok := <-f.lines:
 		if ok {
-			f.with(func(at time.Duration) { f.judge.AnswerReceived(at, f.id, line) })
+			f.locked(func(at time.Duration) { f.judge.AnswerReceived(at, f.id, line) })
 		}
 		return true // its flow, if it has one, ends here
 	}
 	tcp := c.(*net.TCPConn)
-	switch f.leaves.how {
+	switch f.abandon.how {
 	case leaveByReset:
 		tcp.SetLinger(0)
 		tcp.Close()
@@ -397,8 +397,8 @@
 	case leaveByHalfClose:
 		tcp.CloseWrite()
 	}
-	reads := f.leaves.how == leaveByHalfClose
-	f.with(func(at time.Duration) { f.judge.ClientLeft(at, f.id, reads) })
+	reads := f.abandon.how == leaveByHalfClose
+	f.locked(func(at time.Duration) { f.judge.ClientLeft(at, f.id, reads) })
 	return !reads
 }
 
--- a/internal/scenariorunner/false_test.go
+++ b/internal/scenariorunner/false_test.go
@@ -249,20 +249,20 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r := &Rehearsal{File: f, Dir: dir, Program: self, Work: t.TempDir(), Say: func(string, ...any) {}}
-			x, err := r.Play(context.Background(), f.Variants[0], 1, f.Seed)
+			r := &Runner{File: f, Dir: dir, Program: self, WorkDir: t.TempDir(), Progress: func(string, ...any) {}}
+			x, err := r.RunVariant(context.Background(), f.Variants[0], 1, f.Seed)
 			if err != nil {
 				t.Fatal(err)
 			}
 			broken := map[string]int{}
-			for _, b := range x.Broken {
+			for _, b := range x.Violations {
 				broken[b.Rule]++
 			}
 			if script == "ends at once" { // it may have taken a request just then, which is the same fault
 				delete(broken, scenario.NoAnswer)
 			}
 			if rule != "" && broken[rule] == 0 || len(broken) > 1 || rule == "" && len(broken) > 0 {
-				t.Errorf("found %v, want %q\n%v", broken, rule, x.Broken)
+				t.Errorf("found %v, want %q\n%v", broken, rule, x.Violations)
 			}
 			if rule == scenario.FlowCutOff && script == "ends at once" && broken[rule] < 3 {
 				t.Errorf("%d clients cut off as the relay ended at once", broken[rule])
@@ -270,7 +270,7 @@
 			if rule == "" && x.Service < 0.5 {
 				t.Errorf("%.2f well served; answers %v", x.Service, x.Answers)
 			}
-			page := filepath.Join(r.Work, "page.html")
+			page := filepath.Join(r.WorkDir, "page.html")
 			if err := WritePage(page, "about", []*Result{x}); err != nil {
 				t.Fatal(err)
 			}
@@ -298,7 +298,7 @@
 			continue
 		}
 		for _, v := range f.Variants {
-			if _, _, err := (&Rehearsal{File: f, Dir: filepath.Dir(path)}).Settings(v); err != nil {
+			if _, _, err := (&Runner{File: f, Dir: filepath.Dir(path)}).Settings(v); err != nil {
 				t.Errorf("%s: %v", path, err)
 			}
 		}
@@ -307,13 +307,13 @@
 
 // TestFree: an address is given once, though nobody listens at it yet.
 func TestFree(t *testing.T) {
-	r := &run{given: map[string]bool{}}
+	r := &run{usedAddrs: map[string]bool{}}
 	for range 900 { // enough for the same number to be drawn again
-		if _, err := r.free(); err != nil {
+		if _, err := r.freeAddr(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if len(r.given) != 900 {
-		t.Errorf("%d addresses for 900", len(r.given))
+	if len(r.usedAddrs) != 900 {
+		t.Errorf("%d addresses for 900", len(r.usedAddrs))
 	}
 }
--- a/internal/scenariorunner/faults.go
+++ b/internal/scenariorunner/faults.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// frontLearns is how long after SIGTERM a front still sends clients: the protocol's page says 0.2 to 0.4 s.
-	frontLearns = 300 * time.Millisecond
-	// awakens is how long a relay that went on is excused: all that waited comes at once.
-	awakens = time.Second
+	// frontRemovalDelay is how long after SIGTERM a front still sends clients: the protocol's page says 0.2 to 0.4 s.
+	frontRemovalDelay = 300 * time.Millisecond
+	// wakeUpExcuse is how long a relay that went on is excused: all that waited comes at once.
+	wakeUpExcuse = time.Second
 )
 
 // addSteps does what the time line says.
-func (r *run) steps(ctx context.Context) {
+func (r *run) runTimeline(ctx context.Context) {
 	for _, s := range r.plan.Steps {
 		if !sleep(ctx, s.At-r.now()) {
 			return
@@ -30,14 +30,14 @@
 		if s.Peer != "" {
 			who += " to " + s.Peer
 		}
-		r.Say("\r%7.1f s: %s %s%s\n", s.At.Seconds(), s.Action, who, strings.Repeat(" ", 40))
+		r.Progress("\r%7.1f s: %s %s%s\n", s.At.Seconds(), s.Action, who, strings.Repeat(" ", 40))
 		switch {
 		case s.Peer != "":
 			r.breakLink(s)
 		case s.Target == "discovery":
 			r.breakDiscovery(s)
 		case s.Target == scenario.Leader:
-			if s.Target = r.leader(s); s.Target != "" {
+			if s.Target = r.resolveLeader(s); s.Target != "" {
 				r.breakRelay(s)
 			}
 		case s.Target[0] == 'n':
@@ -51,37 +51,37 @@
 func (r *run) breakLink(s scenario.Step) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w, at := r.ways[[2]string{s.Target, s.Peer}], r.now()
+	w, at := r.links[[2]string{s.Target, s.Peer}], r.now()
 	rough := fakes.Impairment{Delay: scenario.Millis(s.Impairment.DelayMs), Jitter: scenario.Millis(s.Impairment.JitterMs), Rate: int(s.Impairment.RateKBps * 1000)}
 	switch s.Action {
 	case "cut":
-		w.there, w.back = fakes.Impairment{Cut: true}, fakes.Impairment{Cut: true}
+		w.forward, w.backward = fakes.Impairment{Cut: true}, fakes.Impairment{Cut: true}
 	case "cut_one_way":
-		w.there, w.back = fakes.Impairment{Cut: true}, fakes.Impairment{}
+		w.forward, w.backward = fakes.Impairment{Cut: true}, fakes.Impairment{}
 	case "rough":
-		w.there, w.back = rough, rough
+		w.forward, w.backward = rough, rough
 	case "heal":
-		w.there, w.back = fakes.Impairment{}, fakes.Impairment{}
+		w.forward, w.backward = fakes.Impairment{}, fakes.Impairment{}
 		if s.Peer == "discovery" {
-			r.tellBehind(s.Target)
+			r.deliverBehindCut(s.Target)
 		}
 	}
 	if w.udp != nil {
-		w.udp.SetCut(w.there.Cut)
+		w.udp.SetCut(w.forward.Cut)
 		if s.Action == "heal" {
 			s.Impairment = scenario.Impairment{}
 		}
-		w.udp.SetImpairment(s.Impairment.Loss, s.Impairment.Duplication, w.there.Delay, w.there.Jitter)
-		w.udp.SetRate(w.there.Rate)
+		w.udp.SetImpairment(s.Impairment.Loss, s.Impairment.Duplication, w.forward.Delay, w.forward.Jitter)
+		w.udp.SetRate(w.forward.Rate)
 	}
-	for _, p := range w.pipes { // between relays: the record's
+	for _, p := range w.proxies { // drawBetween relays: the record's
 		switch s.Action {
 		case "reset":
 			p.Reset()
 		case "stall":
 			p.Stall()
 		default:
-			go p.SetImpairment(w.there, w.back) // a cut takes a moment, and the time line goes on
+			go p.SetImpairment(w.forward, w.backward) // a cut takes a moment, and the time line goes on
 		}
 	}
 	// A relay answers for what is behind it, not for the way to its clients, and not for the way to other relays.
@@ -93,10 +93,10 @@
 			relay = s.Target // flows end with their member's side, as they should
 		}
 		r.judge.BeginExcuse(at, relay)
-		r.judge.EndExcuse(at+awakens, relay)
+		r.judge.EndExcuse(at+wakeUpExcuse, relay)
 	case s.Target != "front":
 	case s.Action == "heal":
-		r.judge.EndExcuse(at+awakens, s.Peer)
+		r.judge.EndExcuse(at+wakeUpExcuse, s.Peer)
 	default:
 		r.judge.BeginExcuse(at, s.Peer)
 	}
@@ -105,23 +105,23 @@
 func (r *run) breakDiscovery(s scenario.Step) {
 	switch s.Action {
 	case "down", "up":
-		r.disc.SetDown(s.Action == "down")
+		r.discovery.SetDown(s.Action == "down")
 	case "late", "on_time":
 		late := s.AnswerDelay
 		if s.Action == "on_time" {
 			late = 0
 		}
-		r.disc.SetAnswerDelay(late)
+		r.discovery.SetAnswerDelay(late)
 	case "old":
-		r.disc.Restart()
+		r.discovery.Restart()
 	}
 }
 
-// down notes that a relay says nothing from now on.
-func (r *run) down(n *relay) {
-	r.with(func(at time.Duration) {
+// relayDown notes that a relay says nothing from now on.
+func (r *run) relayDown(n *relay) {
+	r.locked(func(at time.Duration) {
 		r.judge.BeginExcuse(at, n.name)
-		r.views.gone(at, n.name)
+		r.peerViews.relayDown(at, n.name)
 	})
 }
 
@@ -130,30 +130,30 @@
 	n := r.relays[i]
 	switch s.Action {
 	case "kill":
-		n.remember()
-		r.down(n)
+		n.recordUsage()
+		r.relayDown(n)
 		n.signal(syscall.SIGKILL, true)
 	case "stop":
-		r.down(n)
+		r.relayDown(n)
 		n.signal(syscall.SIGSTOP, false)
 	case "continue":
 		n.signal(syscall.SIGCONT, false)
 		if s.Fault >= 0 && r.File.Faults[s.Fault].Action == "pause" {
 			return
 		}
-		r.with(func(at time.Duration) {
-			r.judge.EndExcuse(at+awakens, n.name)
-			r.views.back(at, n.name)
+		r.locked(func(at time.Duration) {
+			r.judge.EndExcuse(at+wakeUpExcuse, n.name)
+			r.peerViews.relayUp(at, n.name)
 		})
 	case "call":
-		go r.call(n, s)
+		go r.operatorCall(n, s)
 	case "copy_state":
 		if err := n.copyState(); err != nil {
-			r.Say("%s's state is not copied: %v\n", n.name, err)
+			r.Progress("%s's state is not copied: %v\n", n.name, err)
 		}
 	case "configure":
-		if err := n.change(s.Body); err != nil {
-			r.Say("%s keeps its configuration: %v\n", n.name, err)
+		if err := n.patchConfig(s.Body); err != nil {
+			r.Progress("%s keeps its configuration: %v\n", n.name, err)
 			return
 		}
 		n.signal(syscall.SIGHUP, false)
@@ -167,18 +167,18 @@
 		if s.Action == "calm" {
 			s.Body = nil
 		}
-		if err := n.trouble(s.Body); err != nil {
-			r.Say("%s has no trouble: %v\n", n.name, err)
+		if err := n.setSystemFaults(s.Body); err != nil {
+			r.Progress("%s has no trouble: %v\n", n.name, err)
 		}
 	case "term":
 		r.terminate(n, s.SignalSeries)
 	case "start":
 		go func() { // an end that takes its time comes first
 			<-n.done
-			if err := n.prepare(s); err != nil {
-				r.Say("%s starts with its own files: %v\n", n.name, err)
+			if err := n.prepareState(s); err != nil {
+				r.Progress("%s starts with its own files: %v\n", n.name, err)
 			}
-			n.again()
+			n.restart()
 		}()
 	}
 }
@@ -186,79 +186,79 @@
 // series is what comes with a SIGTERM of a series, in its order, and how far apart.
 var series = []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGTERM, syscall.SIGHUP}
 
-const seriesEvery = 50 * time.Millisecond
+const seriesInterval = 50 * time.Millisecond
 
 // terminate tells a relay to end, and kills it when the page allows that at the earliest. Nothing is excused for it: the
 // judge holds it to an answer for all that it has taken, and to MOVE before each end.
 func (r *run) terminate(n *relay, also bool) {
-	n.remember()
+	n.recordUsage()
 	n.signal(syscall.SIGTERM, true)
 	kill := time.AfterFunc(r.killAfter(), func() { n.signal(syscall.SIGKILL, true) })
 	go func() {
 		if also {
 			for _, s := range series {
-				time.Sleep(seriesEvery)
+				time.Sleep(seriesInterval)
 				n.signal(s, true)
 			}
 		}
 	}()
 	go func() {
-		time.Sleep(frontLearns)
-		r.front.out(n.name)
+		time.Sleep(frontRemovalDelay)
+		r.front.remove(n.name)
 		<-n.done
 		kill.Stop()
-		r.with(func(at time.Duration) { r.views.gone(at, n.name) })
+		r.locked(func(at time.Duration) { r.peerViews.relayDown(at, n.name) })
 	}()
 }
 
 const (
-	// longestCounted is the most that clients' deadlines count in when SIGKILL may come, and killReserve what is added.
-	longestCounted = 3 * time.Second
-	killReserve    = 700 * time.Millisecond
+	// maxCountedDeadline is the most that clients' deadlines count in when SIGKILL may come, and killMargin what is added.
+	maxCountedDeadline = 3 * time.Second
+	killMargin         = 700 * time.Millisecond
 )
 
 // killAfter is how long after SIGTERM SIGKILL comes at the earliest.
 func (r *run) killAfter() time.Duration {
 	longest := time.Duration(0)
-	for _, c := range r.set.Policy().Classes {
+	for _, c := range r.settings.Policy().Classes {
 		longest = max(longest, c.Deadline)
 	}
-	return min(longest, longestCounted) + killReserve
+	return min(longest, maxCountedDeadline) + killMargin
 }
 
 // crowd has idle clients come to a relay that say nothing and stay.
 func (r *run) crowd(n *relay, many int) {
-	r.with(func(at time.Duration) { r.judge.BeginIdleFlood(at, n.name) })
+	r.locked(func(at time.Duration) { r.judge.BeginIdleFlood(at, n.name) })
 	go func() {
 		for range many {
-			c, err := net.DialTimeout("tcp", n.listen, time.Second)
+			c, err := net.DialTimeout("tcp", n.listenAddr, time.Second)
 			if err != nil {
 				return
 			}
-			n.idlers.add(c)
+			n.idleConns.add(c)
 		}
 	}()
 }
 
 // disperse ends them.
 func (r *run) disperse(n *relay) {
-	n.idlers.closeAll()
-	r.with(func(at time.Duration) { r.judge.EndIdleFlood(at+awakens, n.name) })
+	n.idleConns.closeAll()
+	r.locked(func(at time.Duration) { r.judge.EndIdleFlood(at+wakeUpExcuse, n.name) })
 }
 
-// idlers are connections that say nothing. Once closed, no more is taken in until the next crowd.
-type idlers struct {
+// idleConns are connections that say nothing. Once closed, no more is taken in until the next crowd.
+type idleConns struct {
 	mu  sync.Mutex
 	all []net.Conn
 }
 
-func (i *idlers) add(c net.Conn) {
+func (i *idleConns) add(c net.Conn) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.all = append(i.all, c)
 }
 
-func (i *idlers) closeAll() {
+func (i *idleConns) closeAll() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for _, c := range i.all {
@@ -267,12 +267,12 @@
 	i.all = nil
 }
 
-// again starts the next process of a relay that has ended, unless the play is over.
-func (n *relay) again() {
-	n.with(func(at time.Duration) {
+// restart starts the next process of a relay that has ended, unless the play is over.
+func (n *relay) restart() {
+	n.locked(func(at time.Duration) {
 		n.judge.EndExcuse(at, n.name)
 		n.judge.RelayRestarted(n.name)
-		n.views.back(at, n.name)
+		n.peerViews.relayUp(at, n.name)
 	})
 	n.mu.Lock()
 	closing := n.closing
@@ -281,24 +281,24 @@
 		return
 	}
 	if err := n.start(); err != nil {
-		n.with(func(at time.Duration) { n.judge.RelayCrashed(at, n.name, err.Error()) })
+		n.locked(func(at time.Duration) { n.judge.RelayCrashed(at, n.name, err.Error()) })
 	}
 }
 
 func (r *run) breakMember(ctx context.Context, s scenario.Step) {
 	i, _ := strconv.Atoi(s.Target[1:])
 	r.mu.Lock()
-	m := r.byIndex[i]
+	m := r.memberByIndex[i]
 	r.mu.Unlock()
 	leave := func() {
 		m.SetMode(fakes.ModeBusy)
-		r.disc.SetLifecycle(m.ID, "DRAINING")
+		r.discovery.SetLifecycle(m.ID, "DRAINING")
 		go func() {
 			if sleep(ctx, scenario.Millis(r.File.Members.DrainMs)) {
 				m.MoveClients()
 				sleep(ctx, time.Second)
 				m.Kill()
-				r.disc.SetLifecycle(m.ID, fakes.Deleted)
+				r.discovery.SetLifecycle(m.ID, fakes.Deleted)
 			}
 		}()
 	}
@@ -311,30 +311,30 @@
 		m.SetMode(fakes.ModeHealthy)
 	case "die":
 		m.Kill()
-		r.disc.SetLifecycle(m.ID, fakes.Deleted)
+		r.discovery.SetLifecycle(m.ID, fakes.Deleted)
 	case "return":
-		r.begin(m)
+		r.startMember(m)
 	case "drain":
 		leave()
 	case "replace":
 		leave()
-		next, err := r.newMember(i, m.lives+1)
+		next, err := r.newMember(i, m.generation+1)
 		if err != nil {
-			r.Say("%s has no successor: %v\n", m.name, err)
+			r.Progress("%s has no successor: %v\n", m.name, err)
 			return
 		}
-		r.begin(next)
+		r.startMember(next)
 	}
 }
 
-// begin starts a member, cold.
-func (r *run) begin(m *member) {
+// startMember starts a member, cold.
+func (r *run) startMember(m *member) {
 	now := time.Now()
 	m.Start(now)
 	r.mu.Lock()
 	m.entry.Started, m.entry.Lifecycle = now.UnixMilli(), fakes.Serving
-	r.judge.MemberStarted(m.name, r.plan.Cores[m.index], r.since(m.entry.Started))
+	r.judge.MemberStarted(m.name, r.plan.Cores[m.index], r.sinceStart(m.entry.Started))
 	entry := m.entry
 	r.mu.Unlock()
-	r.disc.Put(entry)
+	r.discovery.Put(entry)
 }
--- a/internal/scenariorunner/fleet.go
+++ b/internal/scenariorunner/fleet.go
@@ -20,23 +20,23 @@
 // What the host and the owner of members do, who are stand-ins: a relay that ends because it was told to is started again, and a
 // member is replaced when the fleet says that it is empty, never before.
 
-// ownerEvery is how often the owner asks, callFor how long an operator asks again.
+// fleetPollInterval is how often the owner asks, operatorCallTimeout how long an operator asks again.
 const (
-	ownerEvery = 200 * time.Millisecond
-	callFor    = 15 * time.Second
+	fleetPollInterval   = 200 * time.Millisecond
+	operatorCallTimeout = 15 * time.Second
 )
 
-// host starts a relay again that has ended by order.
-func (n *relay) host() {
-	n.down(n)
+// restartAfterExit starts a relay again that has ended by order.
+func (n *relay) restartAfterExit() {
+	n.relayDown(n)
 	time.Sleep(scenario.Millis(n.File.Relays.RestartDelayMs))
-	n.again()
+	n.restart()
 }
 
 var fleetClient = http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// ask is one call of the fleet's; into may be nil.
-func ask(method, addr, path string, body []byte, into any) int {
+// fleetRequest is one call of the fleet's; into may be nil.
+func fleetRequest(method, addr, path string, body []byte, into any) int {
 	q, err := http.NewRequest(method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
 		return 0
@@ -53,42 +53,42 @@
 	return a.StatusCode
 }
 
-// call is an operator's, who asks again while nobody can say yes.
-func (r *run) call(n *relay, s scenario.Step) {
+// operatorCall is an operator's, who asks again while nobody can say yes.
+func (r *run) operatorCall(n *relay, s scenario.Step) {
 	method, path, _ := strings.Cut(s.Call, " ")
-	for end := time.Now().Add(callFor); ; time.Sleep(ownerEvery) {
+	for end := time.Now().Add(operatorCallTimeout); ; time.Sleep(fleetPollInterval) {
 		var a rollout.Result
-		code := ask(method, n.calls, path, s.Body, &a)
+		code := fleetRequest(method, n.fleetAddr, path, s.Body, &a)
 		if code == http.StatusOK {
-			r.with(func(at time.Duration) { r.out.calls = append(r.out.calls, at) })
+			r.locked(func(at time.Duration) { r.unavailability.callTimes = append(r.unavailability.callTimes, at) })
 			return
 		}
 		if code == http.StatusConflict || code == http.StatusBadRequest || time.Now().After(end) {
-			r.Say("\r%s %s at %s: %d %s\n", method, path, n.name, code, a.Error)
+			r.Progress("\r%s %s at %s: %d %s\n", method, path, n.name, code, a.Error)
 			return
 		}
 	}
 }
 
-// leader is the relay that leads when its turn comes, and for what undoes that fault the one that led then; "" if nobody says who leads.
-func (r *run) leader(s scenario.Step) string {
-	if was := r.led[s.Fault]; was != "" {
+// resolveLeader is the relay that leads when its turn comes, and for what undoes that fault the one that led then; "" if nobody says who leads.
+func (r *run) resolveLeader(s scenario.Step) string {
+	if was := r.leaderByFault[s.Fault]; was != "" {
 		return was
 	}
 	for _, n := range r.relays {
 		var a struct{ Engine struct{ Leader string } }
-		if ask("GET", n.calls, "/-/fleet", nil, &a) == http.StatusOK && a.Engine.Leader != "" {
-			r.led[s.Fault] = a.Engine.Leader
-			r.Say("\r%7.1f s: %s leads%s\n", r.now().Seconds(), a.Engine.Leader, strings.Repeat(" ", 40))
+		if fleetRequest("GET", n.fleetAddr, "/-/fleet", nil, &a) == http.StatusOK && a.Engine.Leader != "" {
+			r.leaderByFault[s.Fault] = a.Engine.Leader
+			r.Progress("\r%7.1f s: %s leads%s\n", r.now().Seconds(), a.Engine.Leader, strings.Repeat(" ", 40))
 			return a.Engine.Leader
 		}
 	}
-	r.Say("\rnobody says who leads\n")
+	r.Progress("\rnobody says who leads\n")
 	return ""
 }
 
-// Drifted is a pair of relay and item that was shown as drift, and from when to when.
-type Drifted struct {
+// DriftSpan is a pair of relay and item that was shown as drift, and from when to when.
+type DriftSpan struct {
 	Relay string  `json:"relay"`
 	Item  string  `json:"item"`
 	State string  `json:"state"`
@@ -99,12 +99,12 @@
 // watchDrift asks the leader what drifts. What is on its way or not heard is no drift.
 func (r *run) watchDrift(ctx context.Context) {
 	led := r.relays[0]
-	for sleep(ctx, ownerEvery) {
+	for sleep(ctx, fleetPollInterval) {
 		var a struct {
 			Name string
 			Rows []struct{ Relay, Item, State string }
 		}
-		if ask("GET", led.calls, "/-/drift", nil, &a) != http.StatusOK {
+		if fleetRequest("GET", led.fleetAddr, "/-/drift", nil, &a) != http.StatusOK {
 			led = r.relays[(led.index+1)%len(r.relays)]
 			for _, n := range r.relays {
 				if n.name == a.Name {
@@ -113,132 +113,132 @@
 			}
 			continue
 		}
-		r.with(func(at time.Duration) {
+		r.locked(func(at time.Duration) {
 			now := at.Seconds()
 			for _, row := range a.Rows {
 				if row.State == drift.OnItsWay.String() || row.State == drift.NotHeard.String() {
 					continue
 				}
-				d := Drifted{row.Relay, row.Item, row.State, now, now}
-				i := slices.IndexFunc(r.out.drift, func(o Drifted) bool {
+				d := DriftSpan{row.Relay, row.Item, row.State, now, now}
+				i := slices.IndexFunc(r.unavailability.drift, func(o DriftSpan) bool {
 					return o.Relay == d.Relay && o.Item == d.Item && o.State == d.State && now-o.To < 2
 				})
 				if i >= 0 {
-					r.out.drift[i].To = now
-				} else if len(r.out.drift) < driftsMost {
-					r.out.drift = append(r.out.drift, d)
-					r.Say("\r%7.1f s: drift: %s %s %s%s\n", now, d.Relay, d.Item, d.State, strings.Repeat(" ", 40))
+					r.unavailability.drift[i].To = now
+				} else if len(r.unavailability.drift) < maxDriftSpans {
+					r.unavailability.drift = append(r.unavailability.drift, d)
+					r.Progress("\r%7.1f s: drift: %s %s %s%s\n", now, d.Relay, d.Item, d.State, strings.Repeat(" ", 40))
 				}
 			}
 		})
 	}
 }
 
-// driftsMost bounds what is kept of what drifted.
-const driftsMost = 1000
+// maxDriftSpans bounds what is kept of what drifted.
+const maxDriftSpans = 1000
 
-// owner replaces members that are empty, and remembers how releases stand.
-func (r *run) owner(ctx context.Context) {
+// replaceEmptyMembers replaces members that are empty, and remembers how releases stand.
+func (r *run) replaceEmptyMembers(ctx context.Context) {
 	replaced := map[string]bool{}
-	for k := 0; sleep(ctx, ownerEvery); k++ {
+	for k := 0; sleep(ctx, fleetPollInterval); k++ {
 		n := r.relays[k%len(r.relays)]
 		var all struct{ Releases []rollout.ReleaseStatus }
-		if ask("GET", n.calls, "/-/releases?stale", nil, &all) != http.StatusOK {
+		if fleetRequest("GET", n.fleetAddr, "/-/releases?stale", nil, &all) != http.StatusOK {
 			continue
 		}
 		for _, a := range all.Releases {
 			var whole rollout.ReleaseStatus
-			if ask("GET", n.calls, "/-/releases/"+a.Name+"?stale", nil, &whole) != http.StatusOK {
+			if fleetRequest("GET", n.fleetAddr, "/-/releases/"+a.Name+"?stale", nil, &whole) != http.StatusOK {
 				continue
 			}
-			r.with(func(at time.Duration) {
-				if news := r.out.release(at, whole); news != "" {
-					r.Say("\r%7.1f s: release %s is %s%s\n", at.Seconds(), a.Name, news, strings.Repeat(" ", 40))
+			r.locked(func(at time.Duration) {
+				if news := r.unavailability.recordRelease(at, whole); news != "" {
+					r.Progress("\r%7.1f s: release %s is %s%s\n", at.Seconds(), a.Name, news, strings.Repeat(" ", 40))
 				}
 			})
 			for _, u := range whole.Units {
 				name := cmp.Or(u.Successor, u.Name) // on the way back it is the successor that is replaced, by the build of before
 				if u.Kind == rollout.KindMember && u.Phase == rollout.PhaseDrained && !replaced[name] {
 					replaced[name] = true
-					r.succeed(name, u.Reverting)
+					r.replaceMember(name, u.Reverting)
 				}
 			}
 		}
 	}
 }
 
-// succeed ends a member and starts its successor, of the old build if that is wanted back.
-func (r *run) succeed(name string, old bool) {
+// replaceMember ends a member and starts its successor, of the old build if that is wanted back.
+func (r *run) replaceMember(name string, old bool) {
 	r.mu.Lock()
 	m := r.members[name]
 	r.mu.Unlock()
 	if m == nil {
 		return
 	}
-	r.Say("\r%7.1f s: the owner replaces %s%s\n", r.now().Seconds(), name, strings.Repeat(" ", 40))
-	next, err := r.newMember(m.index, m.lives+1)
+	r.Progress("\r%7.1f s: the owner replaces %s%s\n", r.now().Seconds(), name, strings.Repeat(" ", 40))
+	next, err := r.newMember(m.index, m.generation+1)
 	m.MoveClients()
 	m.Kill()
-	r.disc.SetLifecycle(m.ID, fakes.Deleted)
+	r.discovery.SetLifecycle(m.ID, fakes.Deleted)
 	if err != nil {
-		r.Say("%s has no successor: %v\n", name, err)
+		r.Progress("%s has no successor: %v\n", name, err)
 		return
 	}
 	if old {
 		next.Defect = fakes.Defect{}
 	}
-	r.begin(next)
+	r.startMember(next)
 }
 
-// outs is what was out, as processes and sockets show it.
-type outs struct {
+// unavailability is what was out, as processes and sockets show it.
+type unavailability struct {
 	relays, members int     // at once, at most
-	lost            float64 // of all that members bear, at once, at most
-	drift           []Drifted
-	calls           []time.Duration
-	states          map[string]string        // of releases
-	ended           map[string]time.Duration // since the first call
+	lostCapacity    float64 // of all that members bear, at once, at most
+	drift           []DriftSpan
+	callTimes       []time.Duration
+	releaseStates   map[string]string        // of releases
+	releaseEnds     map[string]time.Duration // since the first call
 }
 
-// release remembers how one stands, and says so if it is new.
-func (o *outs) release(at time.Duration, a rollout.ReleaseStatus) (news string) {
-	if o.states == nil {
-		o.states, o.ended = map[string]string{}, map[string]time.Duration{}
+// recordRelease remembers how one stands, and says so if it is new.
+func (o *unavailability) recordRelease(at time.Duration, a rollout.ReleaseStatus) (news string) {
+	if o.releaseStates == nil {
+		o.releaseStates, o.releaseEnds = map[string]string{}, map[string]time.Duration{}
 	}
 	state := a.State
 	if a.Halt != nil && state == rollout.ReleaseHalted {
 		state += ": " + a.Halt.Cause + ": " + a.Halt.Reason
 	}
-	if o.states[a.Name] != state {
-		o.states[a.Name], o.ended[a.Name] = state, at
+	if o.releaseStates[a.Name] != state {
+		o.releaseStates[a.Name], o.releaseEnds[a.Name] = state, at
 		return state
 	}
 	return ""
 }
 
-// done is the time from the first call until all releases had ended, in seconds; nil if one has not.
-func (o *outs) done() *float64 {
-	if len(o.states) == 0 || len(o.calls) == 0 {
+// releasesDone is the time from the first call until all releases had ended, in seconds; nil if one has not.
+func (o *unavailability) releasesDone() *float64 {
+	if len(o.releaseStates) == 0 || len(o.callTimes) == 0 {
 		return nil
 	}
 	last := time.Duration(0)
-	for name, state := range o.states {
+	for name, state := range o.releaseStates {
 		if state != rollout.ReleaseCompleted && state != rollout.ReleaseRolledBack {
 			return nil
 		}
-		last = max(last, o.ended[name])
+		last = max(last, o.releaseEnds[name])
 	}
-	s := (last - o.calls[0]).Seconds()
+	s := (last - o.callTimes[0]).Seconds()
 	return &s
 }
 
-// countOut looks how many relays no front sends to, and how many members are down or cold. What the time line breaks counts too.
-func (r *run) countOut(ctx context.Context) {
+// watchUnavailability looks how many relays no front sends to, and how many members are down or cold. What the time line breaks counts too.
+func (r *run) watchUnavailability(ctx context.Context) {
 	for sleep(ctx, 50*time.Millisecond) {
-		relays := len(r.relays) - r.front.count()
-		r.with(func(time.Duration) {
+		relays := len(r.relays) - r.front.admittedCount()
+		r.locked(func(time.Duration) {
 			members, all, lost, now := 0, 0.0, 0.0, time.Now()
-			for _, m := range r.byIndex {
+			for _, m := range r.memberByIndex {
 				bears, cores := 1.0, m.Capacity.Cores
 				if m.entry.Started > 0 {
 					bears = m.Capacity.Share(now.Sub(time.UnixMilli(m.entry.Started)))
@@ -251,7 +251,7 @@
 				}
 				all, lost = all+cores, lost+cores*(1-bears)
 			}
-			r.out.relays, r.out.members, r.out.lost = max(r.out.relays, relays), max(r.out.members, members), max(r.out.lost, lost/all)
+			r.unavailability.relays, r.unavailability.members, r.unavailability.lostCapacity = max(r.unavailability.relays, relays), max(r.unavailability.members, members), max(r.unavailability.lostCapacity, lost/all)
 		})
 	}
 }
--- a/internal/scenariorunner/floors_test.go
+++ b/internal/scenariorunner/floors_test.go
@@ -40,19 +40,19 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r := &Rehearsal{File: f, Dir: ".", Program: program, Work: t.TempDir(), Say: func(string, ...any) {}}
-			x, err := r.Play(context.Background(), f.Variants[0], 1, f.Seed)
+			r := &Runner{File: f, Dir: ".", Program: program, WorkDir: t.TempDir(), Progress: func(string, ...any) {}}
+			x, err := r.RunVariant(context.Background(), f.Variants[0], 1, f.Seed)
 			if err != nil {
 				t.Fatal(err)
 			}
 			parts := map[string]float64{"all": x.Service}
-			for name, served := range x.By {
+			for name, served := range x.ByTag {
 				parts[name] = served
 			}
 			for third := range 3 {
 				asked, served := 0.0, 0.0
-				for i := third * len(x.Asked) / 3; i < (third+1)*len(x.Asked)/3; i++ {
-					asked, served = asked+x.Asked[i], served+x.Served[i]
+				for i := third * len(x.Demand) / 3; i < (third+1)*len(x.Demand)/3; i++ {
+					asked, served = asked+x.Demand[i], served+x.Served[i]
 				}
 				parts[fmt.Sprint("third ", third+1)] = served / asked
 			}
@@ -61,12 +61,12 @@
 					t.Errorf("%s: %.2f served, at least %.2f", name, served, floorLeast)
 				}
 			}
-			if x.Spell > turnedMost {
-				t.Errorf("a relay turned away all that came for %v", x.Spell)
+			if x.LongestRejecting > maxRejecting {
+				t.Errorf("a relay turned away all that came for %v", x.LongestRejecting)
 			}
-			t.Logf("%v, longest spell of refusals %v, %d rules broken", parts, x.Spell, len(x.Broken))
-			if len(x.Broken) > 0 {
-				t.Error(strings.TrimSpace(breaks(x.Broken)))
+			t.Logf("%v, longest spell of refusals %v, %d rules broken", parts, x.LongestRejecting, len(x.Violations))
+			if len(x.Violations) > 0 {
+				t.Error(strings.TrimSpace(breaks(x.Violations)))
 			}
 		})
 	}
--- a/internal/scenariorunner/growth_test.go
+++ b/internal/scenariorunner/growth_test.go
@@ -71,8 +71,8 @@
 		if x.Service < servedLeast*usual.Service {
 			t.Errorf("%d members: %.3f served, %.3f at the usual size", members, x.Service, usual.Service)
 		}
-		if len(x.Broken) > 0 {
-			t.Errorf("%d members:\n%s", members, breaks(x.Broken))
+		if len(x.Violations) > 0 {
+			t.Errorf("%d members:\n%s", members, breaks(x.Violations))
 		}
 	}
 }
@@ -91,8 +91,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &Rehearsal{File: f, Dir: ".", Program: program, Work: t.TempDir(), Say: func(string, ...any) {}}
-	x, err := r.Play(context.Background(), f.Variants[0], 1, f.Seed)
+	r := &Runner{File: f, Dir: ".", Program: program, WorkDir: t.TempDir(), Progress: func(string, ...any) {}}
+	x, err := r.RunVariant(context.Background(), f.Variants[0], 1, f.Seed)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scenariorunner/page.go
+++ b/internal/scenariorunner/page.go
@@ -20,14 +20,14 @@
 // WritePage writes one page with the table and the plots in it.
 func WritePage(path, about string, all []*Result) error {
 	var table bytes.Buffer
-	Table(&table, all)
+	WriteTable(&table, all)
 	data := struct {
 		About, Table string
 		Plots        []template.HTML
-		Steps        []Mark
+		Steps        []FaultMark
 	}{About: about, Table: table.String()}
 	if len(all) > 0 {
-		data.Steps = all[0].Steps
+		data.Steps = all[0].Faults
 	}
 	for _, p := range []struct {
 		title, unit string
@@ -38,8 +38,8 @@
 		{"Well served, of those asked for", "%", func(r *Result) []float64 {
 			out := make([]float64, len(r.Served))
 			for i := range out {
-				if out[i] = 100; r.Asked[i] > 0 {
-					out[i] = 100 * r.Served[i] / r.Asked[i]
+				if out[i] = 100; r.Demand[i] > 0 {
+					out[i] = 100 * r.Served[i] / r.Demand[i]
 				}
 			}
 			return out
@@ -85,7 +85,7 @@
 	number := map[string]int{}
 	for i, r := range all {
 		if i == 0 && asked {
-			if err := add(r.Asked, color.Gray{0x88}, "asked for", true); err != nil {
+			if err := add(r.Demand, color.Gray{0x88}, "asked for", true); err != nil {
 				return "", err
 			}
 		}
@@ -99,7 +99,7 @@
 	}
 	if len(all) > 0 {
 		top := p.Y.Max
-		for _, s := range all[0].Steps {
+		for _, s := range all[0].Faults {
 			l, err := plotter.NewLine(plotter.XYs{{X: s.At, Y: 0}, {X: s.At, Y: top}})
 			if err != nil {
 				return "", err
--- a/internal/scenariorunner/relay.go
+++ b/internal/scenariorunner/relay.go
@@ -25,31 +25,31 @@
 // relay is one process of the program, and those that come after it under its name.
 type relay struct {
 	*run
-	name                               string
-	index, zone                        int
-	dir                                string
-	listen, operator, peers, discovery string
-	record, calls                      string            // of the fleet
-	reach                              map[string]string // the voters, by name
+	name                                                string
+	index, zone                                         int
+	dir                                                 string
+	listenAddr, operatorAddr, gossipAddr, discoveryAddr string
+	consensusAddr, fleetAddr                            string            // of the fleet
+	voterAddrs                                          map[string]string // the voters, by name
 
-	idlers   idlers
-	troubles int
-	readied  int           // the last of its starts that was ready
-	began    time.Duration // when its process started
-	held     int           // descriptors, when it was ready for the first time
+	idleConns          idleConns
+	systemFaults       int
+	readyStart         int           // the last of its starts that was ready
+	began              time.Duration // when its process started
+	initialDescriptors int           // descriptors, when it was ready for the first time
 
-	cmd    *exec.Cmd
-	done   chan struct{}
-	how    string // it ended
-	wanted bool   // its end
-	starts int
-	cpu    float64 // of processes that have ended
-	memory float64 // MB, the most of any
-	bytes  int     // to other relays
+	cmd          *exec.Cmd
+	done         chan struct{}
+	exitStatus   string // it ended
+	exitExpected bool   // its end
+	starts       int
+	endedCPU     float64 // of processes that have ended
+	peakMemory   float64 // MB, the most of any
+	gossipBytes  int     // to other relays
 }
 
-// configure writes its files.
-func (n *relay) configure() error {
+// writeConfig writes its files.
+func (n *relay) writeConfig() error {
 	if err := os.MkdirAll(n.dir, 0o700); err != nil {
 		return err
 	}
@@ -64,11 +64,11 @@
 	settings["balancers"], _ = json.Marshal(n.File.Relays.Count)
 	settings["zone"], _ = json.Marshal(n.zone)
 	settings["me"], _ = json.Marshal(n.index)
-	c["settings"], c["name"], c["listen"], c["operator"], c["discovery"] = settings, n.name, n.listen, n.operator, n.discovery
+	c["settings"], c["name"], c["listen"], c["operator"], c["discovery"] = settings, n.name, n.listenAddr, n.operatorAddr, n.discoveryAddr
 	c["seed"] = fmt.Sprintf("%x", n.plan.Seed+uint64(n.index)*7919+uint64(n.starts))
-	list := n.disc.Snapshot(nil) // outside the lock of door
+	list := n.discovery.Snapshot(nil) // outside the lock of door
 	for i, e := range list.Instances {
-		list.Instances[i].Addr = n.door(n.name, e)
+		list.Instances[i].Addr = n.memberAddr(n.name, e)
 	}
 	c["known"] = list   // later starts hold what the first one held: a list that may be old
 	delete(c, "store")  // what is rehearsed is not put on record
@@ -84,9 +84,9 @@
 		json.Unmarshal(n.config["fleet"], &p)
 		voters := map[string]string{}
 		for _, o := range n.relays[:min(n.File.Relays.Voters, len(n.relays))] {
-			voters[o.name] = o.record
+			voters[o.name] = o.consensusAddr
 		}
-		p["listen"], p["calls"], p["dir"], p["voters"], p["reach"] = n.record, n.calls, filepath.Join(n.dir, "state", "record"), voters, n.reach
+		p["listen"], p["calls"], p["dir"], p["voters"], p["reach"] = n.consensusAddr, n.fleetAddr, filepath.Join(n.dir, "state", "record"), voters, n.voterAddrs
 		c["fleet"] = p
 	}
 	if _, on := c["peers"]; on {
@@ -97,17 +97,17 @@
 			if o == n {
 				continue
 			}
-			addr := o.peers
-			if w := n.ways[[2]string{n.name, o.name}]; w != nil {
+			addr := o.gossipAddr
+			if w := n.links[[2]string{n.name, o.name}]; w != nil {
 				addr = w.udp.Addr()
 				reach[o.name] = addr
-				w.udp.SetTarget(o.peers)
+				w.udp.SetTarget(o.gossipAddr)
 			}
 			if len(known) < 3 {
 				known = append(known, addr)
 			}
 		}
-		p["listen"], p["known"], p["reach"], p["key_file"] = n.peers, known, reach, "key"
+		p["listen"], p["known"], p["reach"], p["key_file"] = n.gossipAddr, known, reach, "key"
 		delete(p, "address")
 		c["peers"] = p
 		if err := os.WriteFile(filepath.Join(n.dir, "key"), []byte("a key that lives as long as the rehearsal does\n"), 0o600); err != nil {
@@ -143,24 +143,24 @@
 	}
 	done := make(chan struct{})
 	n.mu.Lock()
-	n.cmd, n.done, n.how, n.wanted = cmd, done, "", false
+	n.cmd, n.done, n.exitStatus, n.exitExpected = cmd, done, "", false
 	n.starts++
 	n.began = n.now()
 	n.mu.Unlock()
 	go func() {
 		err := cmd.Wait()
-		n.with(func(at time.Duration) {
-			n.how = "with no error"
+		n.locked(func(at time.Duration) {
+			n.exitStatus = "with no error"
 			if err != nil {
-				n.how = err.Error()
+				n.exitStatus = err.Error()
 			}
-			n.cpu += (cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()).Seconds()
+			n.endedCPU += (cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()).Seconds()
 			ordered := cmd.ProcessState.ExitCode() == rollout.ExitOrderedRestart
 			if ordered && !n.closing {
-				go n.host()
+				go n.restartAfterExit()
 			}
-			if !n.wanted && !n.closing && !ordered {
-				n.judge.RelayCrashed(at, n.name, n.how)
+			if !n.exitExpected && !n.closing && !ordered {
+				n.judge.RelayCrashed(at, n.name, n.exitStatus)
 			}
 		})
 		close(done)
@@ -169,17 +169,17 @@
 }
 
 // endedByMember says how its process ended, "" while it runs.
-func (n *relay) ended() string {
+func (n *relay) exitReason() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.how
+	return n.exitStatus
 }
 
-// remember keeps what the process has used, before it is ended. What the system tells of an ended one includes what its parent held.
-func (n *relay) remember() {
-	_, memory, bytes := n.look()
+// recordUsage keeps what the process has used, before it is ended. What the system tells of an ended one includes what its parent held.
+func (n *relay) recordUsage() {
+	_, memory, bytes := n.readUsage()
 	n.mu.Lock()
-	n.memory, n.bytes = max(n.memory, memory), n.bytes+bytes
+	n.peakMemory, n.gossipBytes = max(n.peakMemory, memory), n.gossipBytes+bytes
 	n.mu.Unlock()
 }
 
@@ -187,15 +187,15 @@
 func (n *relay) signal(s syscall.Signal, wanted bool) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.cmd == nil || n.how != "" {
+	if n.cmd == nil || n.exitStatus != "" {
 		return false
 	}
-	n.wanted = n.wanted || wanted
+	n.exitExpected = n.exitExpected || wanted
 	return n.cmd.Process.Signal(s) == nil
 }
 
-// prepare has the next process find no state, or an older one.
-func (n *relay) prepare(s scenario.Step) error {
+// prepareState has the next process find no state, or an older one.
+func (n *relay) prepareState(s scenario.Step) error {
 	state, old := filepath.Join(n.dir, "state"), filepath.Join(n.dir, "old")
 	switch {
 	case s.LoseState:
@@ -218,8 +218,8 @@
 	return os.CopyFS(old, os.DirFS(filepath.Join(n.dir, "state")))
 }
 
-// change merges into its configuration file, which the process reads on SIGHUP and the next one at its start.
-func (n *relay) change(body json.RawMessage) error {
+// patchConfig merges into its configuration file, which the process reads on SIGHUP and the next one at its start.
+func (n *relay) patchConfig(body json.RawMessage) error {
 	path := filepath.Join(n.dir, "config.json")
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -231,16 +231,16 @@
 	return os.WriteFile(path, text, 0o600)
 }
 
-// trouble has a test program's wall clock be off and its system calls fail as the text says; nothing ends that.
-func (n *relay) trouble(text json.RawMessage) error {
-	n.troubles++
+// setSystemFaults has a test program's wall clock be off and its system calls fail as the text says; nothing ends that.
+func (n *relay) setSystemFaults(text json.RawMessage) error {
+	n.systemFaults++
 	t := map[string]any{}
 	if len(text) > 0 {
 		if err := json.Unmarshal(text, &t); err != nil {
 			return err
 		}
 	}
-	t["number"] = n.troubles
+	t["number"] = n.systemFaults
 	whole, err := json.Marshal(t)
 	if err != nil {
 		return err
@@ -248,8 +248,8 @@
 	return atomicfile.Write(filepath.Join(n.dir, "trouble"), whole)
 }
 
-// descriptors is how many its process holds.
-func (n *relay) descriptors() int {
+// openDescriptors is how many its process holds.
+func (n *relay) openDescriptors() int {
 	n.mu.Lock()
 	pid := n.cmd.Process.Pid
 	n.mu.Unlock()
@@ -257,11 +257,11 @@
 	return len(all)
 }
 
-// look reads what the process has used so far and what it has sent to others.
-func (n *relay) look() (cpu, memory float64, bytes int) {
+// readUsage reads what the process has used so far and what it has sent to others.
+func (n *relay) readUsage() (cpu, memory float64, bytes int) {
 	n.mu.Lock()
-	cpu, memory, bytes = n.cpu, n.memory, 0
-	cmd, runs := n.cmd, n.how == ""
+	cpu, memory, bytes = n.endedCPU, n.peakMemory, 0
+	cmd, runs := n.cmd, n.exitStatus == ""
 	_, peers := n.config["peers"]
 	n.mu.Unlock()
 	if cmd == nil || !runs {
@@ -283,7 +283,7 @@
 		}
 	}
 	if peers {
-		for _, p := range n.account() {
+		for _, p := range n.peerStates() {
 			bytes += p.Out
 		}
 	}
@@ -292,28 +292,28 @@
 
 func lastParen(text []byte) int { return bytes.LastIndexByte(text, ')') + 1 }
 
-// seen is what a relay says of another.
-type seen struct {
+// peerState is what a relay says of another.
+type peerState struct {
 	Name, State string
 	Out         int `json:"bytes_out"`
 }
 
-// account asks the relay what it knows of the others.
-func (n *relay) account() []seen {
+// peerStates asks the relay what it knows of the others.
+func (n *relay) peerStates() []peerState {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	answer, err := client.Get("http://" + n.operator + "/-/peers")
+	answer, err := client.Get("http://" + n.operatorAddr + "/-/peers")
 	if err != nil {
 		return nil
 	}
 	defer answer.Body.Close()
 	text, _ := io.ReadAll(io.LimitReader(answer.Body, 1<<22))
-	var said struct{ Peers []seen }
+	var said struct{ Peers []peerState }
 	json.Unmarshal(text, &said)
 	return said.Peers
 }
 
-// finish ends the process, in peace first.
-func (n *relay) finish() {
+// stopGracefully ends the process, in peace first.
+func (n *relay) stopGracefully() {
 	if n.done == nil {
 		return
 	}
--- a/internal/scenariorunner/soak_test.go
+++ b/internal/scenariorunner/soak_test.go
@@ -84,36 +84,36 @@
 	}
 	var said strings.Builder
 	var mu sync.Mutex
-	r := &Rehearsal{File: f, Dir: ".", Program: program, Work: work, Say: func(format string, a ...any) {
+	r := &Runner{File: f, Dir: ".", Program: program, WorkDir: work, Progress: func(format string, a ...any) {
 		mu.Lock()
 		defer mu.Unlock()
 		if line := strings.TrimSpace(fmt.Sprintf(format, a...)); !strings.Contains(line, "connections asked for") {
 			fmt.Fprintln(&said, line)
 		}
 	}}
-	x, err := r.Play(context.Background(), f.Variants[0], 1, seed)
+	x, err := r.RunVariant(context.Background(), f.Variants[0], 1, seed)
 	if err != nil {
 		t.Errorf("seed %d: %v", seed, err)
 		return
 	}
 	verdict := "well"
-	if len(x.Broken) > 0 {
+	if len(x.Violations) > 0 {
 		verdict = "BROKEN"
 	} else if x.Invalid != "" {
 		verdict = "not valid"
 	}
 	var steps []string
-	for _, s := range x.Steps {
+	for _, s := range x.Faults {
 		steps = append(steps, fmt.Sprintf("%.1f %s", s.At, s.What))
 	}
 	t.Logf("seed %d, %s", seed, strings.Join(steps, ", "))
 	t.Logf("seed %d: %s; %d relays, %d members, %.2f well served, answers %v, late %.0f ms", seed, verdict, f.Relays.Count, f.Members.Count,
-		x.Service, x.Answers, x.Late["p99"])
+		x.Service, x.Answers, x.RunnerDelay["p99"])
 	if verdict == "well" {
 		return
 	}
 	t.Errorf("seed %d: %s %s\n%s%v\nagain: %s=%d %s=1 %s=logs go test -count=1 -run TestSoak ./internal/rehearse", seed, verdict, x.Invalid, said.String(),
-		breaks(x.Broken), soakFrom, seed, soakSeeds, soakKeep)
+		breaks(x.Violations), soakFrom, seed, soakSeeds, soakKeep)
 }
 
 // violations is a line for each rule broken.
--- a/internal/scenariorunner/views.go
+++ b/internal/scenariorunner/views.go
@@ -8,32 +8,32 @@
 	"dahliarudder/internal/scenario"
 )
 
-// views counts how soon relays notice that another is down, and how often they suspect one that is not.
-type views struct {
+// peerWatch counts how soon relays notice that another is down, and how often they suspect one that is not.
+type peerWatch struct {
 	*run
-	down    map[string]time.Duration // since when a relay is killed or stopped; by name
-	up      map[string]time.Duration // since when it is back
-	noticed []float64                // seconds, one for each relay that lived
-	have    map[[2]string]string     // viewer, viewed: the state last seen
-	told    map[[2]string]bool       // that one noticed this end
-	false_  int                      // live relays suspected
-	dead    int                      // live relays held for dead
+	downSince       map[string]time.Duration // sinceStart when a relay is killed or stopped; by name
+	upSince         map[string]time.Duration // since when it is back
+	noticed         []float64                // seconds, one for each relay that lived
+	lastState       map[[2]string]string     // viewer, viewed: the state last seen
+	noticedBy       map[[2]string]bool       // that one noticed this end
+	falseSuspicions int                      // live relays suspected
+	falseDeaths     int                      // live relays held for dead
 }
 
-// settles is how long after its return a relay may still be held for down.
-const settles = 5 * time.Second
+// reviveGrace is how long after its return a relay may still be held for down.
+const reviveGrace = 5 * time.Second
 
-// watch asks all relays until the context ends.
-func (v *views) watch(ctx context.Context) {
+// poll asks all relays until the context ends.
+func (v *peerWatch) poll(ctx context.Context) {
 	var all sync.WaitGroup
 	for _, n := range v.relays {
 		all.Add(1)
 		go func() {
 			defer all.Done()
 			for sleep(ctx, scenario.Millis(v.File.Relays.PollPeersMs)) {
-				if n.ended() == "" && !v.isDown(n.name) {
-					said := n.account()
-					v.with(func(at time.Duration) { v.take(at, n.name, said) })
+				if n.exitReason() == "" && !v.isDown(n.name) {
+					said := n.peerStates()
+					v.locked(func(at time.Duration) { v.record(at, n.name, said) })
 				}
 			}
 		}()
@@ -41,46 +41,46 @@
 	all.Wait()
 }
 
-func (v *views) isDown(name string) (down bool) {
-	v.with(func(time.Duration) { _, down = v.down[name] })
+func (v *peerWatch) isDown(name string) (down bool) {
+	v.locked(func(time.Duration) { _, down = v.downSince[name] })
 	return down
 }
 
-// gone and back are told by the time line; the lock is held.
-func (v *views) gone(at time.Duration, name string) {
-	v.down[name] = at
-	for k := range v.told {
+// relayDown and back are told by the time line; the lock is held.
+func (v *peerWatch) relayDown(at time.Duration, name string) {
+	v.downSince[name] = at
+	for k := range v.noticedBy {
 		if k[1] == name {
-			delete(v.told, k)
+			delete(v.noticedBy, k)
 		}
 	}
 }
 
-func (v *views) back(at time.Duration, name string) {
-	delete(v.down, name)
-	v.up[name] = at
+func (v *peerWatch) relayUp(at time.Duration, name string) {
+	delete(v.downSince, name)
+	v.upSince[name] = at
 }
 
-// take is what one relay says; the lock is held.
-func (v *views) take(at time.Duration, viewer string, said []seen) {
-	if _, is := v.down[viewer]; is || at-v.up[viewer] < settles {
+// record is what one relay says; the lock is held.
+func (v *peerWatch) record(at time.Duration, viewer string, said []peerState) {
+	if _, is := v.downSince[viewer]; is || at-v.upSince[viewer] < reviveGrace {
 		return // its own view is no older than that
 	}
 	for _, s := range said {
 		pair := [2]string{viewer, s.Name}
-		since, down := v.down[s.Name]
+		since, down := v.downSince[s.Name]
 		low := s.State == "dead" || s.State == "gone" || s.State == "left"
 		switch {
-		case down && low && !v.told[pair]:
-			v.told[pair] = true
+		case down && low && !v.noticedBy[pair]:
+			v.noticedBy[pair] = true
 			v.noticed = append(v.noticed, (at - since).Seconds())
-		case !down && at-v.up[s.Name] > settles && at > settles && v.have[pair] != s.State:
+		case !down && at-v.upSince[s.Name] > reviveGrace && at > reviveGrace && v.lastState[pair] != s.State:
 			if s.State == "suspect" {
-				v.false_++
+				v.falseSuspicions++
 			} else if low {
-				v.dead++
+				v.falseDeaths++
 			}
 		}
-		v.have[pair] = s.State
+		v.lastState[pair] = s.State
 	}
 }
