--- a/internal/fakes/attempt_counter.go
+++ b/internal/fakes/attempt_counter.go
@@ -9,38 +9,41 @@
 	"golang.org/x/sys/unix"
 )
 
-// Attempts counts the attempts of each request over all pool members.
+// maxAttemptsPerRequest is how many attempts of one request AttemptCounter allows.
+const maxAttemptsPerRequest = 3
+
+// AttemptCounter counts the attempts of each request across all pool members.
 type AttemptCounter struct {
 	mu       sync.Mutex
-	out      map[string]map[*CountedAttempt]bool
-	all      map[string]int
+	inFlight map[string]map[*CountedAttempt]bool // by request
+	total    map[string]int                      // by request
 	overlaps int
 }
 
 // CountedAttempt is one attempt of a request, on the connection that brought it.
 type CountedAttempt struct {
-	tries *AttemptCounter
-	id    string
-	conn  net.Conn
+	counter   *AttemptCounter
+	requestID string
+	conn      net.Conn
 }
 
-// NewAttemptCounter counts from nothing.
+// NewAttemptCounter returns a counter that has seen no attempt.
 func NewAttemptCounter() *AttemptCounter {
-	return &AttemptCounter{out: map[string]map[*CountedAttempt]bool{}, all: map[string]int{}}
+	return &AttemptCounter{inFlight: map[string]map[*CountedAttempt]bool{}, total: map[string]int{}}
 }
 
-// Begin is called as an attempt has come. Whatever is out of the same request by then overlaps with it, but for what its
-// sender has ended already: the goroutine that serves that connection may not have been told yet.
-func (c *AttemptCounter) Begin(id string, conn net.Conn) *CountedAttempt {
+// Begin records the arrival of an attempt. Attempts of the same request that are in flight overlap with it, except those whose
+// sender has already ended the connection: the goroutine that serves such a connection may not have noticed yet.
+func (c *AttemptCounter) Begin(requestID string, conn net.Conn) *CountedAttempt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.out[id] == nil {
-		c.out[id] = map[*CountedAttempt]bool{}
+	if c.inFlight[requestID] == nil {
+		c.inFlight[requestID] = map[*CountedAttempt]bool{}
 	}
 	overlaps := false
-	for other := range c.out[id] {
-		if isEnded(other.conn) {
-			delete(c.out[id], other)
+	for other := range c.inFlight[requestID] {
+		if peerHasEnded(other.conn) {
+			delete(c.inFlight[requestID], other)
 		} else {
 			overlaps = true
 		}
@@ -48,28 +51,28 @@
 	if overlaps {
 		c.overlaps++
 	}
-	c.all[id]++
-	t := &CountedAttempt{c, id, conn}
-	c.out[id][t] = true
-	return t
+	c.total[requestID]++
+	a := &CountedAttempt{c, requestID, conn}
+	c.inFlight[requestID][a] = true
+	return a
 }
 
-// End is called as an attempt is over, before its sender can know. A further call does nothing.
-func (t *CountedAttempt) End() {
-	t.tries.mu.Lock()
-	defer t.tries.mu.Unlock()
-	if all := t.tries.out[t.id]; all != nil {
-		if delete(all, t); len(all) == 0 {
-			delete(t.tries.out, t.id)
+// End records the end of an attempt. It is called before the attempt's sender can learn of the end. Further calls do nothing.
+func (a *CountedAttempt) End() {
+	a.counter.mu.Lock()
+	defer a.counter.mu.Unlock()
+	if all := a.counter.inFlight[a.requestID]; all != nil {
+		if delete(all, a); len(all) == 0 {
+			delete(a.counter.inFlight, a.requestID)
 		}
 	}
 }
 
-// established is the state of a TCP connection of which neither side has ended anything (the kernel's TCP_ESTABLISHED).
-const established = 1
+// tcpEstablished is the state of a TCP connection that neither side has begun to close (the kernel's TCP_ESTABLISHED).
+const tcpEstablished = 1
 
-// isEnded says that the other side has ended a connection, or its sending on it, by what the kernel knows.
-func isEnded(c net.Conn) bool {
+// peerHasEnded reports whether the kernel knows that the other side has closed a connection, or its sending direction.
+func peerHasEnded(c net.Conn) bool {
 	if wrapped, ok := c.(interface{ NetConn() net.Conn }); ok { // TLS
 		c = wrapped.NetConn()
 	}
@@ -81,24 +84,24 @@
 	if err != nil {
 		return true
 	}
-	state := uint8(established)
+	state := uint8(tcpEstablished)
 	err = raw.Control(func(fd uintptr) {
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.SOL_TCP, unix.TCP_INFO); err == nil {
 			state = info.State
 		}
 	})
-	return err != nil || state != established
+	return err != nil || state != tcpEstablished
 }
 
-// Violations lists the rules that were broken: two attempts out at once, or more than three.
+// Violations lists the rules that were broken: attempts of one request that overlapped, or too many of them.
 func (c *AttemptCounter) Violations() (all []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.overlaps > 0 {
 		all = append(all, fmt.Sprintf("%d overlapping attempts", c.overlaps))
 	}
-	for id, n := range c.all {
-		if n > 3 {
+	for id, n := range c.total {
+		if n > maxAttemptsPerRequest {
 			all = append(all, fmt.Sprintf("request %s had %d attempts", id, n))
 		}
 	}
--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Entry is a pool member in discovery's list.
+// Entry is a pool member in discovery's list, in the form of its HTTP API.
 type Entry struct {
 	ID        string  `json:"instanceId"`
 	Addr      string  `json:"hostPort"`
@@ -21,33 +21,34 @@
 	Started   int64   `json:"startedAtMs"`
 }
 
-// List is what discovery answers.
+// List is discovery's answer: all members, or those that have changed since the generation the reader named.
 type List struct {
 	Generation int     `json:"generation"`
 	Reset      bool    `json:"reset"`
 	Instances  []Entry `json:"instances"`
 }
 
-// Serving is the lifecycle of a member that takes new flows.
-const Serving = "SERVING"
-
-// Deleted is the lifecycle of a member that is gone, among changes only.
-const Deleted = "DELETED"
+// Lifecycles of a member.
+const (
+	Serving  = "SERVING"  // takes new flows
+	Draining = "DRAINING" // takes no new flows
+	Deleted  = "DELETED"  // gone; listed among changes only
+)
 
-// Discovery is the stand-in for discovery. Its fields are set before it is opened.
+// Discovery is a fake of the discovery service, with long polls. Its exported fields are set before it is opened.
 type Discovery struct {
-	// OnDelivered is called, if set, with each list that a reader has been written.
+	// OnDelivered is called, if set, with the entries of each list after it was written to a reader.
 	OnDelivered func(reader string, entries []Entry)
-	// OnWritten is called, if set, with how many bytes of a list a reader has been written.
+	// OnWritten is called, if set, with the size of each list after it was written to a reader.
 	OnWritten func(reader string, bytes int)
 	// OnCall is called, if set, at the start of each call.
 	OnCall func(reader string)
 
 	mu               sync.Mutex
-	generation       int // the newest generation
+	generation       int // of the newest change
 	members          map[string]Entry
-	changedAt        map[string]int // when each member changed last
-	updated          chan struct{}
+	changedAt        map[string]int // the generation of each member's last change
+	updated          chan struct{}  // closed and replaced at each change
 	down             bool
 	answerDelay      time.Duration
 	propagationDelay time.Duration
@@ -55,7 +56,7 @@
 	servers          []*http.Server
 }
 
-// NewDiscovery lists these members.
+// NewDiscovery returns a discovery service that lists these members.
 func NewDiscovery(entries ...Entry) *Discovery {
 	d := &Discovery{generation: 1, members: map[string]Entry{}, changedAt: map[string]int{}, updated: make(chan struct{})}
 	for _, e := range entries {
@@ -64,14 +65,14 @@
 	return d
 }
 
-// ConnectionWork has it served at one more address, to a reader of that name. Where is the reader's own address of a member, if
-// not nil.
-func (d *Discovery) Open(reader string, where func(Entry) string) (string, error) {
+// Open serves the list at one more address, to the reader of that name. If addrOf is not nil it gives the address at which this
+// reader reaches a member.
+func (d *Discovery) Open(reader string, addrOf func(Entry) string) (string, error) {
 	l, err := net.Listen("tcp", Host+":0")
 	if err != nil {
 		return "", err
 	}
-	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.serve(reader, where, w, r) })}
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.serve(reader, addrOf, w, r) })}
 	d.mu.Lock()
 	d.servers = append(d.servers, server)
 	d.mu.Unlock()
@@ -79,7 +80,7 @@
 	return l.Addr().String(), nil
 }
 
-// Close ends it at all its addresses.
+// Close stops serving at all addresses.
 func (d *Discovery) Close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -88,34 +89,35 @@
 	}
 }
 
-func (d *Discovery) entriesSince(since int, where func(Entry) string) List {
+// entriesSince returns what changed after a generation; all members if that is negative. The caller holds the lock.
+func (d *Discovery) entriesSince(since int, addrOf func(Entry) string) List {
 	out := List{Generation: d.generation, Reset: since < 0, Instances: []Entry{}}
 	for id, e := range d.members {
 		if d.changedAt[id] <= since || since < 0 && e.Lifecycle == Deleted {
 			continue
 		}
-		if where != nil {
-			e.Addr = where(e)
+		if addrOf != nil {
+			e.Addr = addrOf(e)
 		}
 		out.Instances = append(out.Instances, e)
 	}
 	return out
 }
 
-// Snapshot is the whole list, as a relay's configuration holds it.
-func (d *Discovery) Snapshot(where func(Entry) string) List {
+// Snapshot returns the complete list, as a relay's configuration contains it.
+func (d *Discovery) Snapshot(addrOf func(Entry) string) List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.entriesSince(-1, where)
+	return d.entriesSince(-1, addrOf)
 }
 
-// Put lists a member anew, after the lag.
+// Put adds or replaces a member, after the propagation delay.
 func (d *Discovery) Put(e Entry) {
 	d.mu.Lock()
-	lag := d.propagationDelay
+	delay := d.propagationDelay
 	d.mu.Unlock()
-	if lag > 0 {
-		time.AfterFunc(lag, func() { d.publish(e) })
+	if delay > 0 {
+		time.AfterFunc(delay, func() { d.publish(e) })
 		return
 	}
 	d.publish(e)
@@ -128,7 +130,7 @@
 	})
 }
 
-// SetMode changes a member's lifecycle, after the lag.
+// SetLifecycle changes a member's lifecycle, after the propagation delay.
 func (d *Discovery) SetLifecycle(id, lifecycle string) {
 	d.mu.Lock()
 	e := d.members[id]
@@ -137,18 +139,18 @@
 	d.Put(e)
 }
 
-// SetDown has all calls and watches fail, or again none.
+// SetDown makes all calls and watches fail, or ends that.
 func (d *Discovery) SetDown(down bool) { d.update(func() { d.down = down }) }
 
-// SetAnswerDelay has each answer wait.
-func (d *Discovery) SetAnswerDelay(late time.Duration) { d.update(func() { d.answerDelay = late }) }
+// SetAnswerDelay delays each answer.
+func (d *Discovery) SetAnswerDelay(delay time.Duration) { d.update(func() { d.answerDelay = delay }) }
 
-// SetPropagationDelay is how long after a change it is listed.
-func (d *Discovery) SetPropagationDelay(lag time.Duration) {
-	d.update(func() { d.propagationDelay = lag })
+// SetPropagationDelay sets how long after Put and SetLifecycle a change is listed.
+func (d *Discovery) SetPropagationDelay(delay time.Duration) {
+	d.update(func() { d.propagationDelay = delay })
 }
 
-// Restart has it forget its generations: they begin again, below what its readers hold.
+// Restart resets the generations, so that they are below those that readers have seen.
 func (d *Discovery) Restart() {
 	d.update(func() {
 		d.generation = 1
@@ -160,13 +162,14 @@
 	})
 }
 
-// Calls is how many have come.
+// Calls returns how many calls have arrived.
 func (d *Discovery) Calls() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls
 }
 
+// update applies a change and wakes the waiting polls.
 func (d *Discovery) update(f func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -175,7 +178,8 @@
 	d.updated = make(chan struct{})
 }
 
-func (d *Discovery) serve(reader string, where func(Entry) string, w http.ResponseWriter, r *http.Request) {
+// serve answers one call. It waits for a change if the reader has the newest generation and allows a wait.
+func (d *Discovery) serve(reader string, addrOf func(Entry) string, w http.ResponseWriter, r *http.Request) {
 	if d.OnCall != nil {
 		d.OnCall(reader)
 	}
@@ -187,36 +191,20 @@
 		since, _ = strconv.Atoi(s)
 	}
 	wait, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
-	timer := time.After(time.Duration(wait) * time.Millisecond)
-	for since == d.generation && !d.down {
-		news := d.updated
-		d.mu.Unlock()
-		late := false
-		select {
-		case <-news:
-		case <-timer:
-			late = true
-		case <-r.Context().Done():
-			late = true
-		}
-		d.mu.Lock()
-		if late {
-			break
-		}
-	}
-	if since > d.generation { // from before a restart: nothing it holds can be told apart
+	d.waitForChange(since, time.After(time.Duration(wait)*time.Millisecond), r.Context().Done())
+	if since > d.generation { // from before a restart: no changes can be told from it
 		since = -1
 	}
-	if late := d.answerDelay; late > 0 {
+	if delay := d.answerDelay; delay > 0 {
 		d.mu.Unlock()
-		time.Sleep(late)
+		time.Sleep(delay)
 		d.mu.Lock()
 	}
 	if d.down {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	list := d.entriesSince(since, where)
+	list := d.entriesSince(since, addrOf)
 	text, err := json.Marshal(list)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
@@ -232,3 +220,24 @@
 		d.OnDelivered(reader, list.Instances)
 	}
 }
+
+// waitForChange returns once the generation differs from since, discovery is down, the timeout has passed or the caller has gone.
+// The caller holds the lock, which is released while it waits.
+func (d *Discovery) waitForChange(since int, timeout <-chan time.Time, gone <-chan struct{}) {
+	for since == d.generation && !d.down {
+		updated := d.updated
+		d.mu.Unlock()
+		over := false
+		select {
+		case <-updated:
+		case <-timeout:
+			over = true
+		case <-gone:
+			over = true
+		}
+		d.mu.Lock()
+		if over {
+			return
+		}
+	}
+}
--- a/internal/fakes/host.go
+++ b/internal/fakes/host.go
@@ -1,5 +1,7 @@
+// Package fakes implements fake versions of the outside systems that the relay talks to (discovery, pool members, NATS servers) and
+// of the network between them, for tests, benchmarks and fault scenarios. Each is written from the protocol's public description.
 package fakes
 
-// Host is the address of the loopback that all stand-ins listen at. A rehearsal takes one of its own before it opens any, or a port that one
-// rehearsal has given back could be another's a moment later, and get what was meant for the first.
+// Host is the loopback address that the fakes listen on. A scenario run takes one of its own before it opens any fake: otherwise a
+// port that one run has released could be another run's a moment later and receive traffic meant for the first.
 var Host = "127.0.0.1"
--- a/internal/fakes/tcp_proxy.go
+++ b/internal/fakes/tcp_proxy.go
@@ -11,83 +11,111 @@
 	"time"
 )
 
-// ReportError is what a way does to what passes.
+// Impairment is what a TCPProxy does to one direction of its connections.
 type Impairment struct {
-	Cut    bool          // nothing passes, and nothing is said
-	Delay  time.Duration // each way on its own
-	Jitter time.Duration // up to so much more, drawn for each piece
-	Rate   int           // bytes a second; 0: without bound
+	Cut    bool          // nothing is forwarded, and neither side is told
+	Delay  time.Duration // in this direction alone
+	Jitter time.Duration // upper bound of the random addition to Delay, drawn for each read
+	Rate   int           // bytes per second; 0: unlimited
 }
 
-// TCPProxy is the way to somebody who takes connections: a forwarder that can be cut, also one way only, delayed, throttled,
-// and that can reset what passes by it. While it is cut new connections neither come up nor are refused, as with a machine that is cut off.
+// direction is one way through a TCPProxy.
+type direction int
+
+const (
+	forward  direction = iota // from the caller to the target
+	backward                  // from the target to the caller
+	directions
+)
+
+const (
+	// maxQueuedReads bounds the reads that wait in a cut direction of one connection.
+	maxQueuedReads = 16
+	readSize       = 16 << 10
+)
+
+// TCPProxy forwards TCP connections to a target. It can be cut, in one direction or both, delayed, throttled, stalled, and can
+// reset its connections. While it is cut, new connections are neither established nor refused, as with an unreachable machine.
 type TCPProxy struct {
-	// OnCallerClosed is called, if set, when the calling side has ended a connection, with the address that the other side sees
-	// it from: behind a cut, the other side does not learn of it.
+	// OnCallerClosed is called, if set, when the calling side has ended a connection, with the address from which the target
+	// sees that connection: behind a cut the target does not learn of the end. It is set before the first connection.
 	OnCallerClosed func(from string)
 
-	l              net.Listener
-	accepted       atomic.Int64 // connections
+	listener       net.Listener
+	accepted       atomic.Int64
 	mu             sync.Mutex
 	target         string
-	directions     [2]Impairment // there and back
-	changed        chan struct{}
+	impairments    [directions]Impairment
+	changed        chan struct{} // closed and replaced when impairments change
 	conns          map[net.Conn]bool
-	stalledConns   map[net.Conn]bool // of them, those that were stalled
-	backlogFillers []net.Conn        // what keeps the listener's queue full while it is cut
+	stalledConns   map[net.Conn]bool // a subset of conns
+	backlogFillers []net.Conn        // keep the listener's accept queue full while the proxy is cut; nil: it is not
 }
 
-// maxQueuedReads are how many reads may wait in a cut way, 16 KB each.
-const maxQueuedReads = 16
-
-// NewTCPProxy opens one on the loopback that passes to an address. Its field is set before the first connection.
-func NewTCPProxy(to string) (*TCPProxy, error) {
+// NewTCPProxy opens a proxy to the target on the loopback.
+func NewTCPProxy(target string) (*TCPProxy, error) {
 	l, err := net.Listen("tcp", Host+":0")
 	if err != nil {
 		return nil, err
 	}
-	p := &TCPProxy{l: l, target: to, changed: make(chan struct{}), conns: map[net.Conn]bool{}, stalledConns: map[net.Conn]bool{}}
-	go func() {
-		for {
-			p.waitUntilOpen(0)
-			p.waitUntilOpen(1) // a handshake needs both
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			p.accepted.Add(1)
-			go p.forward(c)
-		}
-	}()
+	p := &TCPProxy{listener: l, target: target, changed: make(chan struct{}), conns: map[net.Conn]bool{}, stalledConns: map[net.Conn]bool{}}
+	go p.acceptConns()
 	return p, nil
 }
 
-// Addr is where it takes connections.
-func (p *TCPProxy) Addr() string { return p.l.Addr().String() }
+// acceptConns serves connections until the proxy is closed.
+func (p *TCPProxy) acceptConns() {
+	for {
+		p.waitUntilOpen(forward)
+		p.waitUntilOpen(backward) // a handshake needs both directions
+		c, err := p.listener.Accept()
+		if err != nil {
+			return
+		}
+		p.accepted.Add(1)
+		go p.serve(c)
+	}
+}
+
+// Addr returns the address at which the proxy accepts connections.
+func (p *TCPProxy) Addr() string { return p.listener.Addr().String() }
 
-// SetMode says what both ways do from now on.
+// SetImpairment sets what the proxy does to both directions from now on.
 func (p *TCPProxy) SetImpairment(there, back Impairment) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.directions = [2]Impairment{there, back}
+	p.impairments = [directions]Impairment{there, back}
 	p.blockBacklog(there.Cut || back.Cut)
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// blockBacklog has the kernel drop what knocks: a listener whose queue is full says nothing. It needs no privileges.
-func (p *TCPProxy) blockBacklog(on bool) {
-	if on == (p.backlogFillers != nil) {
+// Lengths of the listener's accept queue.
+const (
+	cutBacklog  = 0
+	openBacklog = 128
+)
+
+const (
+	maxBacklogFillers = 16
+	fillTimeout       = 100 * time.Millisecond
+	acceptTimeout     = 200 * time.Millisecond
+)
+
+// blockBacklog makes the kernel drop new handshakes, by a full accept queue, or ends that. It needs no privileges. The caller
+// holds the lock.
+func (p *TCPProxy) blockBacklog(block bool) {
+	if block == (p.backlogFillers != nil) {
 		return
 	}
-	backlog := 0
-	if !on {
-		backlog = 128
+	backlog := cutBacklog
+	if !block {
+		backlog = openBacklog
 	}
-	if raw, err := p.l.(*net.TCPListener).SyscallConn(); err == nil {
+	if raw, err := p.listener.(*net.TCPListener).SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) { syscall.Listen(int(fd), backlog) })
 	}
-	if !on {
+	if !block {
 		for _, c := range p.backlogFillers {
 			c.Close()
 		}
@@ -95,23 +123,23 @@
 		return
 	}
 	p.backlogFillers = []net.Conn{}
-	taken := p.accepted.Load()
-	for misses := 0; misses < 2 && len(p.backlogFillers) < 16; { // one that fails may be this machine's own slowness
-		c, err := net.DialTimeout("tcp", p.Addr(), 100*time.Millisecond)
+	accepted := p.accepted.Load()
+	for misses := 0; misses < 2 && len(p.backlogFillers) < maxBacklogFillers; { // a single miss may be a slow machine
+		c, err := net.DialTimeout("tcp", p.Addr(), fillTimeout)
 		if err != nil {
 			misses++
 			continue
 		}
 		misses = 0
 		p.backlogFillers = append(p.backlogFillers, c)
-		// The accepting side takes one more, and frees its place, before it finds that the way is cut.
-		for end := time.Now().Add(200 * time.Millisecond); len(p.backlogFillers) == 1 && p.accepted.Load() == taken && time.Now().Before(end); {
+		// The accept loop may be inside Accept: it takes one more connection, and frees its place, before it sees the cut.
+		for end := time.Now().Add(acceptTimeout); len(p.backlogFillers) == 1 && p.accepted.Load() == accepted && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 	}
 }
 
-// isBacklogFiller says whether the pipe itself made a connection.
+// isBacklogFiller reports whether an accepted connection is one that the proxy made itself.
 func (p *TCPProxy) isBacklogFiller(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,7 +151,7 @@
 	return false
 }
 
-// Reset resets all that passes by it now.
+// Reset resets all open connections.
 func (p *TCPProxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -133,7 +161,8 @@
 	}
 }
 
-// Stall has nothing more pass on the connections that are open now, ever, as where something on the way has forgotten them. New ones pass.
+// Stall silently stops forwarding on the open connections, for good, as when a middlebox has lost their state. New connections are
+// forwarded.
 func (p *TCPProxy) Stall() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -142,9 +171,9 @@
 	}
 }
 
-// Close ends it.
+// Close stops the proxy and resets its connections.
 func (p *TCPProxy) Close() {
-	p.l.Close()
+	p.listener.Close()
 	p.Reset()
 	p.SetImpairment(Impairment{}, Impairment{})
 }
@@ -163,16 +192,16 @@
 	p.mu.Unlock()
 }
 
-// waitUntilOpen waits until a way is not cut.
-func (p *TCPProxy) waitUntilOpen(way int) Impairment {
+// waitUntilOpen blocks while a direction is cut, and returns its impairment.
+func (p *TCPProxy) waitUntilOpen(d direction) Impairment {
 	for {
 		p.mu.Lock()
-		r, on := p.directions[way], p.changed
+		impairment, changed := p.impairments[d], p.changed
 		p.mu.Unlock()
-		if !r.Cut {
-			return r
+		if !impairment.Cut {
+			return impairment
 		}
-		<-on
+		<-changed
 	}
 }
 
@@ -182,30 +211,30 @@
 	return p.stalledConns[c]
 }
 
-func (p *TCPProxy) isCut(way int) bool {
+func (p *TCPProxy) isCut(d direction) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.directions[way].Cut
+	return p.impairments[d].Cut
 }
 
-func (p *TCPProxy) forward(c net.Conn) {
-	p.track(c)
-	defer p.closeAndForget(c)
-	if p.isBacklogFiller(c) {
+// serve connects a caller to the target until both directions have ended.
+func (p *TCPProxy) serve(caller net.Conn) {
+	p.track(caller)
+	defer p.closeAndForget(caller)
+	if p.isBacklogFiller(caller) {
 		return
 	}
-	o, err := net.Dial("tcp", p.target)
+	target, err := net.Dial("tcp", p.target)
 	if err != nil {
-		c.(*net.TCPConn).SetLinger(0)
+		caller.(*net.TCPConn).SetLinger(0)
 		return
 	}
-	p.track(o)
-	defer p.closeAndForget(o)
+	p.track(target)
+	defer p.closeAndForget(target)
 	var both sync.WaitGroup
-	both.Add(2)
-	from := o.LocalAddr().String()
-	go func() { defer both.Done(); p.copyDirection(0, o, c, func() { p.callerClosed(from) }) }()
-	go func() { defer both.Done(); p.copyDirection(1, c, o, nil) }()
+	from := target.LocalAddr().String()
+	both.Go(func() { p.copyDirection(forward, target, caller, func() { p.callerClosed(from) }) })
+	both.Go(func() { p.copyDirection(backward, caller, target, nil) })
 	both.Wait()
 }
 
@@ -215,23 +244,24 @@
 	}
 }
 
-// copyDirection carries one way. What was read waits behind a cut; the end of the reading side is noticed all the same.
-func (p *TCPProxy) copyDirection(way int, to, from net.Conn, ended func()) {
+// copyDirection forwards one direction of a connection. Data that was read waits behind a cut; the end of the reading side is
+// noticed all the same, and then reported by ended, if that is not nil.
+func (p *TCPProxy) copyDirection(d direction, to, from net.Conn, ended func()) {
 	read := make(chan []byte, maxQueuedReads)
-	var failed error
+	var readErr error
 	var over atomic.Bool
 	go func() {
 		defer close(read)
 		for {
-			b := make([]byte, 16<<10)
+			b := make([]byte, readSize)
 			n, err := from.Read(b)
 			if n > 0 {
 				read <- b[:n]
 			}
 			if err != nil {
-				failed = err
+				readErr = err
 				over.Store(true)
-				if ended != nil && !errors.Is(err, net.ErrClosed) { // else the pipe has closed it, after the other side
+				if ended != nil && !errors.Is(err, net.ErrClosed) { // else the proxy closed it, after the other side
 					ended()
 				}
 				return
@@ -239,14 +269,14 @@
 		}
 	}()
 	for b := range read {
-		behind := p.isCut(way)
-		r := p.waitUntilOpen(way)
-		if behind && over.Load() {
-			break // what one side had sent and then gave up behind a cut is not delivered later
+		wasCut := p.isCut(d)
+		impairment := p.waitUntilOpen(d)
+		if wasCut && over.Load() {
+			break // what a side sent and then gave up behind a cut is not delivered later
 		}
-		wait := r.Delay + time.Duration(rand.Float64()*float64(r.Jitter))
-		if r.Rate > 0 {
-			wait += time.Duration(float64(len(b)) / float64(r.Rate) * float64(time.Second))
+		wait := impairment.Delay + time.Duration(rand.Float64()*float64(impairment.Jitter))
+		if impairment.Rate > 0 {
+			wait += time.Duration(float64(len(b)) / float64(impairment.Rate) * float64(time.Second))
 		}
 		time.Sleep(wait)
 		if p.isStalled(to) {
@@ -256,11 +286,11 @@
 			from.Close()
 		}
 	}
-	p.waitUntilOpen(way)
-	if errors.Is(failed, io.EOF) {
+	p.waitUntilOpen(d)
+	if errors.Is(readErr, io.EOF) {
 		to.(*net.TCPConn).CloseWrite()
 		return
 	}
-	to.(*net.TCPConn).SetLinger(0) // a reset passes as one
+	to.(*net.TCPConn).SetLinger(0) // a reset is passed on as one
 	to.Close()
 }
--- a/internal/fakes/udp_proxy.go
+++ b/internal/fakes/udp_proxy.go
@@ -7,25 +7,34 @@
 	"time"
 )
 
-// UDPProxy is the way from one relay to another, for datagrams: a forwarder that can be cut, can lose, repeat and delay. A
-// relay reaches its peer by it, since its configuration names the link in the place of the peer's address.
+const (
+	maxDatagram = 64 << 10
+	// maxRateDelay is how long a datagram may wait for its turn under a rate limit before it is dropped.
+	maxRateDelay = time.Second
+	// udpProxyStream keeps a proxy's random numbers apart from those drawn elsewhere from the same seed.
+	udpProxyStream = 3
+)
+
+// UDPProxy forwards datagrams from one relay to another, and can drop, duplicate, delay and throttle them. The sending relay's
+// configuration names the proxy in place of the other relay's address.
 type UDPProxy struct {
-	in  *net.UDPConn
-	out *net.UDPConn
+	in      *net.UDPConn
+	out     *net.UDPConn
+	stopped sync.WaitGroup
 
 	mu                sync.Mutex
 	rng               *rand.Rand
 	cut               bool
 	loss, duplication float64
 	delay, jitter     time.Duration
-	rate              int       // bytes a second; 0: without bound
-	idleAt            time.Time // when what has passed is through, at that rate
+	rate              int       // bytes per second; 0: unlimited
+	idleAt            time.Time // when everything forwarded so far has left, under the rate limit
 	target            *net.UDPAddr
 	last              []byte
 	forwarded         int
 }
 
-// NewUDPProxy opens one on the loopback. It passes to where To says.
+// NewUDPProxy opens a proxy on the loopback. It forwards nothing until SetTarget is called.
 func NewUDPProxy(seed uint64) (*UDPProxy, error) {
 	in, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(Host)})
 	if err != nil {
@@ -36,102 +45,115 @@
 		in.Close()
 		return nil, err
 	}
-	l := &UDPProxy{in: in, out: out, rng: rand.New(rand.NewPCG(seed, 3))}
-	go l.run()
-	return l, nil
+	p := &UDPProxy{in: in, out: out, rng: rand.New(rand.NewPCG(seed, udpProxyStream))}
+	p.stopped.Go(p.run)
+	return p, nil
 }
 
-// Addr is where it takes datagrams.
-func (l *UDPProxy) Addr() string { return l.in.LocalAddr().String() }
+// Addr returns the address at which the proxy receives datagrams.
+func (p *UDPProxy) Addr() string { return p.in.LocalAddr().String() }
 
-// To says where they go.
-func (l *UDPProxy) SetTarget(addr string) error {
-	to, err := net.ResolveUDPAddr("udp4", addr)
-	l.mu.Lock()
-	l.target = to
-	l.mu.Unlock()
+// SetTarget sets the address that datagrams are forwarded to.
+func (p *UDPProxy) SetTarget(addr string) error {
+	target, err := net.ResolveUDPAddr("udp4", addr)
+	p.mu.Lock()
+	p.target = target
+	p.mu.Unlock()
 	return err
 }
 
-// SetCut has nothing pass, or again all.
-func (l *UDPProxy) SetCut(cut bool) {
-	l.mu.Lock()
-	l.cut = cut
-	l.mu.Unlock()
+// SetCut makes the proxy drop everything, or ends that.
+func (p *UDPProxy) SetCut(cut bool) {
+	p.mu.Lock()
+	p.cut = cut
+	p.mu.Unlock()
 }
 
-// ReportError sets which parts are lost and come twice, and how late they are, so that some overtake others.
-func (l *UDPProxy) SetImpairment(loss, repeat float64, delay, jitter time.Duration) {
-	l.mu.Lock()
-	l.loss, l.duplication, l.delay, l.jitter = loss, repeat, delay, jitter
-	l.mu.Unlock()
+// SetImpairment sets the parts of the datagrams that are lost and duplicated, and their delay. Jitter lets some overtake others.
+func (p *UDPProxy) SetImpairment(loss, duplication float64, delay, jitter time.Duration) {
+	p.mu.Lock()
+	p.loss, p.duplication, p.delay, p.jitter = loss, duplication, delay, jitter
+	p.mu.Unlock()
 }
 
-// SetRate bounds what passes in a second; what comes faster waits, for a second at most, and is lost beyond that.
-func (l *UDPProxy) SetRate(bytes int) {
-	l.mu.Lock()
-	l.rate, l.idleAt = bytes, time.Time{}
-	l.mu.Unlock()
+// SetRate limits the bytes forwarded per second. Datagrams beyond the limit are delayed by up to maxRateDelay, then dropped.
+func (p *UDPProxy) SetRate(bytes int) {
+	p.mu.Lock()
+	p.rate, p.idleAt = bytes, time.Time{}
+	p.mu.Unlock()
 }
 
-// Last is the last datagram that came, and how many have passed.
-func (l *UDPProxy) Last() ([]byte, int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return append([]byte(nil), l.last...), l.forwarded
+// Last returns the last datagram received, and how many have been forwarded.
+func (p *UDPProxy) Last() ([]byte, int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return append([]byte(nil), p.last...), p.forwarded
 }
 
-// Inject sends a datagram of the caller's own.
-func (l *UDPProxy) Inject(b []byte) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.out.WriteToUDP(b, l.target)
+// Inject sends a datagram of the caller's own to the target.
+func (p *UDPProxy) Inject(b []byte) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.out.WriteToUDP(b, p.target)
 }
 
-// Close ends it.
-func (l *UDPProxy) Close() {
-	l.in.Close()
-	l.out.Close()
+// Close stops the proxy.
+func (p *UDPProxy) Close() {
+	p.in.Close()
+	p.out.Close()
+	p.stopped.Wait()
 }
 
-func (l *UDPProxy) run() {
-	buf := make([]byte, 64<<10)
+// run forwards datagrams until the proxy is closed.
+func (p *UDPProxy) run() {
+	buf := make([]byte, maxDatagram)
 	for {
-		n, _, err := l.in.ReadFromUDP(buf)
+		n, _, err := p.in.ReadFromUDP(buf)
 		if err != nil {
 			return
 		}
-		l.mu.Lock()
-		b := append([]byte(nil), buf[:n]...)
-		l.last = b
-		if l.cut || l.target == nil || l.rng.Float64() < l.loss {
-			l.mu.Unlock()
-			continue
-		}
-		queue := time.Duration(0)
-		if now := time.Now(); l.rate > 0 {
-			if l.idleAt.Before(now) {
-				l.idleAt = now
-			}
-			if queue = l.idleAt.Sub(now); queue > time.Second {
-				l.mu.Unlock()
-				continue
-			}
-			l.idleAt = l.idleAt.Add(time.Duration(float64(n) / float64(l.rate) * float64(time.Second)))
-		}
-		l.forwarded++
-		copies := 1
-		if l.rng.Float64() < l.duplication {
-			copies = 2
-		}
-		to := l.target
-		for range copies {
-			if wait := queue + l.delay + time.Duration(l.rng.Float64()*float64(l.jitter)); wait > 0 {
-				time.AfterFunc(wait, func() { l.out.WriteToUDP(b, to) })
-			} else {
-				l.out.WriteToUDP(b, to)
-			}
+		p.forward(append([]byte(nil), buf[:n]...))
+	}
+}
+
+func (p *UDPProxy) forward(b []byte) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.last = b
+	if p.cut || p.target == nil || p.rng.Float64() < p.loss {
+		return
+	}
+	wait, ok := p.reserve(len(b))
+	if !ok {
+		return
+	}
+	p.forwarded++
+	copies := 1
+	if p.rng.Float64() < p.duplication {
+		copies = 2
+	}
+	target := p.target
+	for range copies {
+		if delay := wait + p.delay + time.Duration(p.rng.Float64()*float64(p.jitter)); delay > 0 {
+			time.AfterFunc(delay, func() { p.out.WriteToUDP(b, target) })
+		} else {
+			p.out.WriteToUDP(b, target)
 		}
-		l.mu.Unlock()
 	}
 }
+
+// reserve returns how long a datagram of that size waits under the rate limit; false if it is to be dropped.
+func (p *UDPProxy) reserve(size int) (wait time.Duration, ok bool) {
+	if p.rate <= 0 {
+		return 0, true
+	}
+	now := time.Now()
+	if p.idleAt.Before(now) {
+		p.idleAt = now
+	}
+	if wait = p.idleAt.Sub(now); wait > maxRateDelay {
+		return 0, false
+	}
+	p.idleAt = p.idleAt.Add(time.Duration(float64(size) / float64(p.rate) * float64(time.Second)))
+	return wait, true
+}
--- /dev/null
+++ b/internal/scenario/decode.go
@@ -0,0 +1,88 @@
+package scenario
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"reflect"
+	"sort"
+	"strings"
+)
+
+// ErrInvalid is wrapped by every error about a file that cannot be used.
+var ErrInvalid = errors.New("invalid scenario")
+
+// Decode reads a file's text and validates it. Zones, which the configuration names, are validated later, by CheckZones.
+func Decode(text []byte) (*File, error) {
+	lines, err := keyLines(text)
+	if err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrInvalid, err)
+	}
+	f := &File{lines: lines}
+	if keys := unknownKeys(lines, reflect.TypeFor[File]()); len(keys) > 0 {
+		sort.Slice(keys, func(i, j int) bool {
+			return lines[keys[i]] < lines[keys[j]] || lines[keys[i]] == lines[keys[j]] && keys[i] < keys[j]
+		})
+		return nil, f.keyError(keys[0], "is no key of a scenario")
+	}
+	if err := json.Unmarshal(text, f); err != nil {
+		var wrong *json.UnmarshalTypeError
+		if errors.As(err, &wrong) {
+			line := 1 + bytes.Count(text[:min(int(wrong.Offset), len(text))], []byte("\n"))
+			return nil, fmt.Errorf("%w: line %d: %s: a %s is no %s", ErrInvalid, line, wrong.Field, wrong.Value, typeName(wrong.Type))
+		}
+		return nil, fmt.Errorf("%w: %w", ErrInvalid, err)
+	}
+	f.applyDefaults()
+	return f, f.validate()
+}
+
+// typeName names a Go type for the author of a file.
+func typeName(t reflect.Type) string {
+	if t.Kind() == reflect.String {
+		return "string"
+	}
+	return t.String()
+}
+
+// keyError is an error about a key, with its line.
+func (f *File) keyError(key, format string, args ...any) error {
+	line, ok := f.lines[key]
+	for parent := key; !ok && parent != ""; line, ok = f.lines[parent] { // an absent key is reported where its object begins
+		parent = parent[:max(strings.LastIndexAny(parent, ".["), 0)]
+	}
+	return fmt.Errorf("%w: line %d: %s: %s", ErrInvalid, max(line, 1), key, fmt.Sprintf(format, args...))
+}
+
+// applyDefaults replaces absent values.
+func (f *File) applyDefaults() {
+	for _, d := range []struct {
+		field *float64
+		value float64
+	}{
+		{&f.Front.PingMs, 500}, {&f.Relays.RestartDelayMs, 500}, {&f.Front.FailureTimeoutMs, 2000}, {&f.Clients.LineIntervalMs, 500},
+		{&f.Clients.AnswerWithinMs, 500}, {&f.Clients.MeanStayMs, 20000}, {&f.Members.DrainMs, 1000}, {&f.Members.ReportAgeMs, 200},
+		{&f.MeasureFromMs, 3000},
+	} {
+		if *d.field == 0 {
+			*d.field = d.value
+		}
+	}
+	if f.Members.Cores == [2]float64{} {
+		f.Members.Cores = [2]float64{1, 1}
+	}
+	if f.Clients.ReconnectMs == [2]float64{} {
+		f.Clients.ReconnectMs = [2]float64{130, 1800}
+	}
+	if f.Clients.Groups == 0 {
+		f.Clients.Groups = 1 << 20
+	}
+	if f.Relays.Voters == 0 {
+		f.Relays.Voters = 3
+	}
+	f.Repetitions, f.Seeds = max(f.Repetitions, 1), max(f.Seeds, 1)
+	if len(f.Variants) == 0 {
+		f.Variants = []Variant{{Name: "this program"}}
+	}
+}
--- /dev/null
+++ b/internal/scenario/judge_attempts.go
@@ -0,0 +1,128 @@
+package scenario
+
+import "time"
+
+// memberState is what the judge knows of one member.
+type memberState struct {
+	cores     float64
+	started   time.Duration // 0: long ago
+	warmingUp bool          // it was started during the run
+	load      float64       // of its flows
+	arrivals  []arrival     // within the last overload window
+	down      bool
+}
+
+// arrival is an attempt at a member in slow start.
+type arrival struct {
+	at         time.Duration
+	work       float64 // processor seconds
+	startKnown bool    // the relay had been notified of the member's start
+}
+
+// MemberStarted records a member's cores at full capacity and its start; 0: long ago.
+func (j *Judge) MemberStarted(name string, cores float64, started time.Duration) {
+	j.members[name] = &memberState{cores: cores, started: started, warmingUp: started > 0}
+}
+
+// AttemptStarted records an attempt that has reached a member, with its work and load. It returns true if that brings the member
+// down.
+func (j *Judge) AttemptStarted(at time.Duration, id, relay, member string, work time.Duration, load float64) bool {
+	r := j.requests[id]
+	if r == nil {
+		r = &request{relay: relay, sentAt: at, gaveUp: true}
+		j.requests[id] = r
+		j.violate(at, ForgedAnswer, relay, "%s: an attempt at %s that no client asked for", id, member)
+	}
+	j.checkAttemptAllowed(at, id, r)
+	r.attempts++
+	r.lastAttempt = at
+	if r.inFlight++; r.inFlight == 2 {
+		r.overlapSince, r.overlapMember = at, member
+	}
+	if r.attempts > j.Rules.MaxAttempts {
+		j.violate(at, TooManyAttempts, relay, "%s: %d, allowed are %d", id, r.attempts, j.Rules.MaxAttempts)
+	}
+	update := j.memberUpdates[relayMember{relay, member}]
+	if update.drainsSince > 0 && at > update.drainsSince+j.Rules.DrainGrace+j.tolerance() {
+		j.violate(at, SentToDraining, relay, "%s at %s, told %d ms before", id, member, (at - update.drainsSince).Milliseconds())
+	}
+	m := j.members[member]
+	if m == nil || m.down {
+		return false
+	}
+	m.load += load
+	if !m.warmingUp || at-m.started > j.Rules.SlowStart.For {
+		return false
+	}
+	m.arrivals = append(m.arrivals, arrival{at, work.Seconds(), update.started == m.started})
+	return j.checkOverload(at, member, m)
+}
+
+// checkAttemptAllowed judges whether an attempt of a request may begin now.
+func (j *Judge) checkAttemptAllowed(at time.Duration, id string, r *request) {
+	if r.clientLeft > 0 && at > r.clientLeft+maxAfterClientGone+j.tolerance() {
+		j.violate(at, SentForGoneClient, r.relay, "%s: %v after", id, at-r.clientLeft)
+	}
+	outsideWindow := r.effect.Kind == IdempotencyKeyed && at > r.mayHaveRun+r.effect.Window+j.tolerance()
+	if r.mayHaveRun > 0 && (r.effect.Kind == NonIdempotent || outsideWindow) {
+		j.violate(at, DisallowedRepeat, r.relay, "%s: %v after the first attempt", id, at-r.mayHaveRun)
+	}
+}
+
+// checkOverload sums what a member in slow start was sent within the overload window. It returns true if that brings it down, which
+// the relays answer for if two thirds of the work came from relays that had been notified of the member's start.
+func (j *Judge) checkOverload(at time.Duration, member string, m *memberState) bool {
+	for len(m.arrivals) > 0 && m.arrivals[0].at <= at-j.Rules.OverloadWindow {
+		m.arrivals = m.arrivals[1:]
+	}
+	work, workKnown := 0.0, 0.0
+	for _, a := range m.arrivals {
+		if work += a.work; a.startKnown {
+			workKnown += a.work
+		}
+	}
+	window := j.Rules.OverloadWindow.Seconds()
+	capacity := m.cores * j.Rules.SlowStart.Share(at-m.started) * window
+	if j.Rules.OverloadFactor <= 0 || work+m.load*window <= j.Rules.OverloadFactor*capacity {
+		return false
+	}
+	m.down = true
+	if work == 0 || workKnown >= work*2/3 {
+		j.violate(at, OverloadedInSlowStart, "", "%s: %.2f s of work and %.2f cores held, it can do %.2f in %.1f s", member, work, m.load, capacity, window)
+	}
+	return true
+}
+
+// checkOverlap judges two attempts of a request that were in flight together until now. The end of one and the start of the next are
+// seen at two sockets, in either order.
+func (j *Judge) checkOverlap(at time.Duration, id string, r *request) {
+	if at-r.overlapSince > j.tolerance() {
+		j.violate(r.overlapSince, ConcurrentAttempts, r.relay, "%s at %s, for %v", id, r.overlapMember, at-r.overlapSince)
+	}
+}
+
+// AttemptAccepted records the line with which a member accepts an attempt, before it is sent.
+func (j *Judge) AttemptAccepted(id, up string) {
+	if r := j.requests[id]; r != nil {
+		r.memberAnswer = up
+	}
+}
+
+// AttemptEnded records the end of an attempt: whether the member ended it, and whether the member rejected it, so that it has not
+// run.
+func (j *Judge) AttemptEnded(at time.Duration, id, member string, load float64, endedByMember, rejected bool) {
+	if r := j.requests[id]; r != nil {
+		if !rejected && r.mayHaveRun == 0 {
+			r.mayHaveRun = r.lastAttempt
+		}
+		if r.inFlight--; r.inFlight == 1 {
+			j.checkOverlap(at, id, r)
+		}
+		if endedByMember && r.endedByMember == 0 {
+			r.endedByMember = at
+		}
+	}
+	if m := j.members[member]; m != nil {
+		m.load -= load
+	}
+}
--- a/internal/scenario/plan.go
+++ b/internal/scenario/plan.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// Plan is what a rehearsal plays, all of it drawn ahead.
+// Plan is everything that a run does, drawn ahead.
 type Plan struct {
 	Seed             uint64
-	MeasureFrom, End time.Duration // what is measured
+	MeasureFrom, End time.Duration // the measured time
 	Sessions         []Session     // by arrival
 	Steps            []Step        // by time
 	Cores            []float64     // of each member
@@ -21,17 +21,19 @@
 // Session is one client's wish to be connected for a while.
 type Session struct {
 	Arrival, Stay       time.Duration
-	Class, Tenant, Zone int
+	Class, Tenant, Zone int // indexes
 	Group, Key          uint64
 	Load                float64
 	Seed                uint64 // of its waits
 }
 
-// Step is one thing done to one relay, member or link, or to discovery.
+// Step applies an action to one relay, member or link, or to discovery.
 type Step struct {
 	At              time.Duration
-	Action, Target  string
-	Peer            string // the other end of a link
+	Action          Action
+	Kind            TargetKind
+	Target          string // of a link: where it leads from
+	Peer            string // of a link: where it leads to
 	Impairment      Impairment
 	AnswerDelay     time.Duration
 	IdleConnections int
@@ -40,105 +42,99 @@
 	OldState        bool
 	Call            string // method and path
 	Body            []byte
-	Fault           int // its number in the file
+	Fault           int // index of the fault in the file
 }
 
-// Site is what the settings say that a plan is drawn from.
+// Link names the two ends of a link. Datagrams have a link for each direction.
+type Link struct{ From, To string }
+
+// Link is the link that a step applies to.
+func (s *Step) Link() Link { return Link{s.Target, s.Peer} }
+
+// Site is the part of the settings that a plan is drawn from.
 type Site struct {
-	ClassWeights []float64 // worth of each
-	TenantShares []float64 // of the tenants' arrivals
+	ClassWeights []float64 // priority weight of each class
+	TenantShares []float64 // share of each tenant's arrivals
 	Zones        []string
 }
 
-// Zone is that of the relay or member with this number.
+// Zone returns the zone of the relay or member with an index.
 func (s Site) Zone(i int) string { return s.Zones[i%len(s.Zones)] }
 
-// Draw makes the plan of a file. The same seed draws the same.
+// Streams of random numbers that are drawn from a plan's seed. Fault number i has the stream faultStream+i.
+const (
+	planStream  = 1
+	faultStream = 1000
+)
+
+// minStay is the shortest stay of a client.
+const minStay = 100 * time.Millisecond
+
+// Draw draws the plan of a file. The same seed draws the same plan.
 func Draw(f *File, s Site, seed uint64) *Plan {
 	p := &Plan{Seed: seed, MeasureFrom: Millis(f.MeasureFromMs), End: time.Duration(f.Seconds * float64(time.Second))}
-	rng := rand.New(rand.NewPCG(seed, 1))
+	rng := rand.New(rand.NewPCG(seed, planStream))
 	for range f.Members.Count {
 		p.Cores = append(p.Cores, between(rng, f.Members.Cores))
 	}
-	stay := Millis(f.Clients.MeanStayMs)
-	one := func(at time.Duration) {
-		p.Sessions = append(p.Sessions, Session{Arrival: at, Stay: max(time.Duration(rng.ExpFloat64()*float64(stay)), 100*time.Millisecond),
+	p.drawSessions(f, s, rng)
+	for i := range f.Faults {
+		f.addSteps(p, i, s, rand.New(rand.NewPCG(seed, faultStream+uint64(i))))
+	}
+	sort.SliceStable(p.Steps, func(i, j int) bool { return p.Steps[i].At < p.Steps[j].At })
+	return p
+}
+
+// drawSessions draws the clients: the initial ones spread over two thirds of the time before measuring, the others as a Poisson
+// process.
+func (p *Plan) drawSessions(f *File, s Site, rng *rand.Rand) {
+	meanStay := Millis(f.Clients.MeanStayMs)
+	add := func(arrival time.Duration) {
+		p.Sessions = append(p.Sessions, Session{Arrival: arrival, Stay: max(time.Duration(rng.ExpFloat64()*float64(meanStay)), minStay),
 			Class: rng.IntN(max(len(s.ClassWeights), 1)), Tenant: weightedIndex(rng, s.TenantShares), Zone: rng.IntN(len(s.Zones)),
 			Group: uint64(rng.IntN(f.Clients.Groups)) + 1, Key: rng.Uint64(), Load: between(rng, f.Clients.Load), Seed: rng.Uint64()})
 	}
-	for i := range f.Clients.Initial { // deadline two thirds of the time before
-		one(time.Duration(float64(p.MeasureFrom) * 2 / 3 * float64(i) / float64(f.Clients.Initial)))
+	for i := range f.Clients.Initial {
+		add(time.Duration(float64(p.MeasureFrom) * 2 / 3 * float64(i) / float64(f.Clients.Initial)))
 	}
 	if f.Clients.ArrivalsPerSecond > 0 {
 		for at := 0.0; ; {
 			if at += rng.ExpFloat64() / f.Clients.ArrivalsPerSecond; at >= f.Seconds {
 				break
 			}
-			one(time.Duration(at * float64(time.Second)))
+			add(time.Duration(at * float64(time.Second)))
 		}
 	}
 	sort.SliceStable(p.Sessions, func(i, j int) bool { return p.Sessions[i].Arrival < p.Sessions[j].Arrival })
-	for i := range f.Faults {
-		f.addSteps(p, i, s, rand.New(rand.NewPCG(seed, 1000+uint64(i))))
-	}
-	sort.SliceStable(p.Steps, func(i, j int) bool { return p.Steps[i].At < p.Steps[j].At })
-	return p
 }
 
-// addSteps draws whom a fault meets, and when.
+// addSteps draws a fault's targets and adds its steps, those that undo it included.
 func (f *File) addSteps(p *Plan, number int, s Site, rng *rand.Rand) {
 	x := f.Faults[number]
-	in := func(names []string) (out []string) {
-		for _, n := range names {
-			i := 0
-			if _, err := fmt.Sscanf(n[1:], "%d", &i); x.Zone == "" || err == nil && s.Zone(i) == x.Zone {
-				out = append(out, n)
-			}
-		}
-		return out
-	}
-	var whom [][2]string
-	switch v := actions[x.Action]; v.whom {
-	case "link":
-		for _, from := range in(match(x.From, f.linkEnds("from"))) {
-			for _, to := range match(x.To, f.linkEnds("to")) {
-				if from != to && (from != "front" || to[0] == 'n') {
-					whom = append(whom, [2]string{from, to})
-				}
-			}
-		}
-	case "discovery":
-		whom = [][2]string{{"discovery"}}
-	default:
-		if slices.Equal(x.Targets, []string{Leader}) {
-			whom = [][2]string{{Leader}}
-			break
-		}
-		for _, n := range in(match(x.Targets, f.TargetNames(v.whom))) {
-			whom = append(whom, [2]string{n})
-		}
-	}
-	few := len(whom)
+	targets := f.faultTargets(&x, s)
+	count := len(targets)
 	if x.Fraction > 0 {
-		few = int(math.Ceil(x.Fraction * float64(few)))
+		count = int(math.Ceil(x.Fraction * float64(count)))
 	}
 	if x.Count > 0 {
-		few = min(few, x.Count)
+		count = min(count, x.Count)
 	}
-	if few < len(whom) {
-		rng.Shuffle(len(whom), func(i, j int) { whom[i], whom[j] = whom[j], whom[i] })
-		whom = whom[:few]
+	if count < len(targets) {
+		rng.Shuffle(len(targets), func(i, j int) { targets[i], targets[j] = targets[j], targets[i] })
+		targets = targets[:count]
 	}
-	if x.Action == "cut" { // datagrams have a link for each way
-		for _, w := range whom {
-			if back := [2]string{w[1], w[0]}; w[1][0] == 'n' && w[0] != "front" && !slices.Contains(whom, back) {
-				whom = append(whom, back)
+	if x.Action == ActionCut { // datagrams have a link for each direction
+		for _, l := range targets {
+			if back := (Link{l.To, l.From}); isRelayName(l.To) && l.From != frontName && !slices.Contains(targets, back) {
+				targets = append(targets, back)
 			}
 		}
 	}
-	for i, w := range whom {
+	for i, target := range targets {
 		at := Millis(x.AtMs + float64(i)*x.EveryMs)
-		step := Step{At: at, Action: x.Action, Target: w[0], Peer: w[1], Impairment: x.Impairment, AnswerDelay: Millis(x.AnswerDelayMs), IdleConnections: x.IdleConnections, SignalSeries: x.SignalSeries, LoseState: x.LoseState, OldState: x.OldState, Call: x.Call, Body: x.Body, Fault: number}
+		step := Step{At: at, Action: x.Action, Kind: actions[x.Action].target, Target: target.From, Peer: target.To, Impairment: x.Impairment,
+			AnswerDelay: Millis(x.AnswerDelayMs), IdleConnections: x.IdleConnections, SignalSeries: x.SignalSeries, LoseState: x.LoseState,
+			OldState: x.OldState, Call: x.Call, Body: x.Body, Fault: number}
 		p.Steps = append(p.Steps, step)
 		if x.ForMs > 0 {
 			step.At, step.Action = at+Millis(x.ForMs), actions[x.Action].undo
@@ -147,18 +143,58 @@
 	}
 }
 
-// BrokenLinks lists the links that some step breaks: only these need a forwarder.
-func (p *Plan) BrokenLinks() map[[2]string]bool {
-	out := map[[2]string]bool{}
+// faultTargets lists all targets that a fault may have. A target other than a link is a Link without To.
+func (f *File) faultTargets(x *Fault, s Site) (targets []Link) {
+	kind := actions[x.Action].target
+	switch {
+	case kind == TargetLink:
+		for _, from := range inZone(matching(x.From, f.linkSources()), x.Zone, s) {
+			for _, to := range matching(x.To, f.linkDestinations()) {
+				if from != to && (from != frontName || isRelayName(to)) {
+					targets = append(targets, Link{from, to})
+				}
+			}
+		}
+	case kind == TargetDiscovery:
+		targets = []Link{{From: discoveryName}}
+	case slices.Equal(x.Targets, []string{Leader}):
+		targets = []Link{{From: Leader}}
+	default:
+		for _, name := range inZone(matching(x.Targets, f.targetNames(kind)), x.Zone, s) {
+			targets = append(targets, Link{From: name})
+		}
+	}
+	return targets
+}
+
+// inZone returns the names of relays or members in a zone; all names if the zone is empty.
+func inZone(names []string, zone string, s Site) (out []string) {
+	for _, n := range names {
+		i := 0
+		if _, err := fmt.Sscanf(n[1:], "%d", &i); zone == "" || err == nil && s.Zone(i) == zone {
+			out = append(out, n)
+		}
+	}
+	return out
+}
+
+func isRelayName(name string) bool { return name[:1] == relayPrefix }
+
+// IsRelayToRelay reports whether a link joins two relays.
+func (l Link) IsRelayToRelay() bool { return isRelayName(l.From) && isRelayName(l.To) }
+
+// BrokenLinks returns the links that some step applies to. Only these need a proxy.
+func (p *Plan) BrokenLinks() map[Link]bool {
+	out := map[Link]bool{}
 	for _, s := range p.Steps {
-		if s.Peer != "" {
-			out[[2]string{s.Target, s.Peer}] = true
+		if s.Kind == TargetLink {
+			out[s.Link()] = true
 		}
 	}
 	return out
 }
 
-// FaultSpan are the first and the last time at which something is done.
+// FaultSpan returns the times of the first and the last step; false if there is none.
 func (p *Plan) FaultSpan() (first, last time.Duration, any bool) {
 	if len(p.Steps) == 0 {
 		return 0, 0, false
@@ -166,16 +202,20 @@
 	return p.Steps[0].At, p.Steps[len(p.Steps)-1].At, true
 }
 
-func between(rng *rand.Rand, b [2]float64) float64 { return b[0] + (b[1]-b[0])*rng.Float64() }
+// between draws a number between two bounds.
+func between(rng *rand.Rand, bounds [2]float64) float64 {
+	return bounds[0] + (bounds[1]-bounds[0])*rng.Float64()
+}
 
-func weightedIndex(rng *rand.Rand, shares []float64) int {
+// weightedIndex draws an index with a probability proportional to its weight.
+func weightedIndex(rng *rand.Rand, weights []float64) int {
 	sum := 0.0
-	for _, s := range shares {
-		sum += s
+	for _, w := range weights {
+		sum += w
 	}
 	at := rng.Float64() * sum
-	for i, s := range shares {
-		if at -= s; at < 0 {
+	for i, w := range weights {
+		if at -= w; at < 0 {
 			return i
 		}
 	}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -72,7 +72,7 @@
 	if len(killed) != 3 || started != 3 || p.Steps[1].At != 5100*time.Millisecond {
 		t.Errorf("%d killed, %d started, the second at %v", len(killed), started, p.Steps[1].At)
 	}
-	if b := p.BrokenLinks(); len(b) != 3 || !b[[2]string{"n1", "n0"}] { // datagrams have a link for each way
+	if b := p.BrokenLinks(); len(b) != 3 || !b[Link{"n1", "n0"}] { // datagrams have a link for each way
 		t.Errorf("links %v", b)
 	}
 	f.Faults[0].Zone = "b"
--- /dev/null
+++ b/internal/scenario/service.go
@@ -0,0 +1,147 @@
+package scenario
+
+import (
+	"math"
+	"time"
+)
+
+// binWidth is the resolution of the measures over time.
+const binWidth = 100 * time.Millisecond
+
+// Service measures the connection seconds that clients wanted and those in which they were served well.
+type Service struct {
+	from, to time.Duration
+	all      series
+	byTag    map[string]*series // by tags such as "class pay" and "zone north"
+}
+
+// series is connection seconds by bin.
+type series struct{ demand, served []float64 }
+
+// NewService returns a measure over the time between two times.
+func NewService(from, to time.Duration) *Service {
+	return &Service{from: from, to: to, all: newSeries(to), byTag: map[string]*series{}}
+}
+
+// Truncate ends the measured time earlier.
+func (s *Service) Truncate(at time.Duration) { s.to = max(min(s.to, at), s.from+binWidth) }
+
+func newSeries(to time.Duration) series {
+	n := int(to/binWidth) + 1
+	return series{make([]float64, n), make([]float64, n)}
+}
+
+// add adds the time between to the demand, or to what was served, of all clients and of each tag.
+func (s *Service) add(served bool, tags []string, from, to time.Duration) {
+	if to = min(to, s.to); from >= to {
+		return
+	}
+	all := append([]*series{&s.all}, s.tagged(tags)...)
+	for from < to {
+		i := int(from / binWidth)
+		end := min(to, time.Duration(i+1)*binWidth)
+		for _, x := range all {
+			if served {
+				x.served[i] += (end - from).Seconds()
+			} else {
+				x.demand[i] += (end - from).Seconds()
+			}
+		}
+		from = end
+	}
+}
+
+// tagged returns the series of tags.
+func (s *Service) tagged(tags []string) (all []*series) {
+	for _, tag := range tags {
+		x := s.byTag[tag]
+		if x == nil {
+			n := newSeries(s.to)
+			x = &n
+			s.byTag[tag] = x
+		}
+		all = append(all, x)
+	}
+	return all
+}
+
+// AddDemand adds a time in which a client wanted to be connected.
+func (s *Service) AddDemand(tags []string, from, to time.Duration) { s.add(false, tags, from, to) }
+
+// AddServed adds a time in which a client was connected and served well.
+func (s *Service) AddServed(tags []string, from, to time.Duration) { s.add(true, tags, from, to) }
+
+// share is the served part of the demand between two times; 1 if there was none.
+func (x *series) share(from, to time.Duration) float64 {
+	demand, served := 0.0, 0.0
+	for i := int(from / binWidth); i < int(to/binWidth) && i < len(x.demand); i++ {
+		demand += x.demand[i]
+		served += x.served[i]
+	}
+	if demand == 0 {
+		return 1
+	}
+	return served / demand
+}
+
+// Share is the served part of the demand.
+func (s *Service) Share() float64 { return s.all.share(s.from, s.to) }
+
+// Worst is the least share in any window of a length, and the time at which that begins.
+func (s *Service) Worst(window time.Duration) (share float64, at time.Duration) {
+	share = math.Inf(1)
+	for t := s.from; t == s.from || t+window <= s.to; t += binWidth {
+		if v := s.all.share(t, min(t+window, s.to)); v < share {
+			share, at = v, t
+		}
+	}
+	return share, at
+}
+
+// ByTag is the share of each tag.
+func (s *Service) ByTag() map[string]float64 {
+	out := map[string]float64{}
+	for tag, x := range s.byTag {
+		out[tag] = x.share(s.from, s.to)
+	}
+	return out
+}
+
+// PerSecond is how many connections were wanted and served well, each second.
+func (s *Service) PerSecond() (demand, served []float64) {
+	bins := int(time.Second / binWidth)
+	for i := 0; i+bins <= len(s.all.demand); i += bins {
+		d, v := 0.0, 0.0
+		for k := i; k < i+bins; k++ {
+			d += s.all.demand[k]
+			v += s.all.served[k]
+		}
+		demand, served = append(demand, d), append(served, v)
+	}
+	return demand, served
+}
+
+const (
+	// recoveredShare is the part of the earlier service at which service counts as recovered, if it stays there for recoveredFor.
+	recoveredShare = 0.99
+	recoveredFor   = 5 * time.Second
+)
+
+// RecoveryTime is how long after the last fault's end service was recovered to what it was before the first fault; false if it never
+// was.
+func (s *Service) RecoveryTime(first, last time.Duration) (time.Duration, bool) {
+	before := 1.0
+	if first > s.from {
+		before = s.all.share(s.from, first)
+	}
+	for t := last; t+recoveredFor <= s.to; t += binWidth {
+		recovered := true
+		for k := t; k < t+recoveredFor && recovered; k += time.Second {
+			recovered = s.all.share(k, k+time.Second) >= recoveredShare*before
+		}
+		if recovered {
+			return t - last, true
+		}
+	}
+	return 0, false
+}
--- a/internal/scenariorunner/faults.go
+++ b/internal/scenariorunner/faults.go
@@ -51,7 +51,7 @@
 func (r *run) breakLink(s scenario.Step) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w, at := r.links[[2]string{s.Target, s.Peer}], r.now()
+	w, at := r.links[s.Link()], r.now()
 	rough := fakes.Impairment{Delay: scenario.Millis(s.Impairment.DelayMs), Jitter: scenario.Millis(s.Impairment.JitterMs), Rate: int(s.Impairment.RateKBps * 1000)}
 	switch s.Action {
 	case "cut":
--- a/internal/scenariorunner/fleet.go
+++ b/internal/scenariorunner/fleet.go
@@ -241,7 +241,7 @@
 			for _, m := range r.memberByIndex {
 				bears, cores := 1.0, m.Capacity.Cores
 				if m.entry.Started > 0 {
-					bears = m.Capacity.Share(now.Sub(time.UnixMilli(m.entry.Started)))
+					bears = m.Capacity.SlowStart.Share(now.Sub(time.UnixMilli(m.entry.Started)))
 				}
 				if m.Down() {
 					bears = 0
--- a/internal/scenariorunner/relay.go
+++ b/internal/scenariorunner/relay.go
@@ -98,7 +98,7 @@
 				continue
 			}
 			addr := o.gossipAddr
-			if w := n.links[[2]string{n.name, o.name}]; w != nil {
+			if w := n.links[scenario.Link{From: n.name, To: o.name}]; w != nil {
 				addr = w.udp.Addr()
 				reach[o.name] = addr
 				w.udp.SetTarget(o.gossipAddr)
--- a/internal/scenariorunner/result.go
+++ b/internal/scenariorunner/result.go
@@ -136,7 +136,7 @@
 	x.Unavailable.Relays, x.Unavailable.Members, x.Unavailable.Cores, x.Releases = r.unavailability.relays, r.unavailability.members, 1-r.unavailability.lostCapacity, r.unavailability.releaseStates
 	x.ReleasesDoneAfter, x.Drift = r.unavailability.releasesDone(), r.unavailability.drift
 	for _, s := range r.plan.Steps {
-		x.Faults = append(x.Faults, FaultMark{s.At.Seconds(), strings.TrimSpace(s.Action + " " + s.Target + " " + s.Peer)})
+		x.Faults = append(x.Faults, FaultMark{s.At.Seconds(), strings.TrimSpace(string(s.Action) + " " + s.Target + " " + s.Peer)})
 	}
 	return x
 }
--- a/internal/scenariorunner/run.go
+++ b/internal/scenariorunner/run.go
@@ -49,7 +49,7 @@
 	relays           []*relay
 	members          map[string]*member // by name now
 	memberByIndex    []*member          // who stands for s0 and on now
-	links            map[[2]string]*link
+	links            map[scenario.Link]*link
 	front            *front
 	discovery        *fakes.Discovery
 	peerViews        *peerWatch
@@ -198,7 +198,7 @@
 	own.File = r.File.ForVariant(v)
 	x := &run{Runner: &own, settings: set, config: config, program: r.Program, plan: scenario.Draw(own.File, site(set), seed),
 		dir:       filepath.Join(r.WorkDir, fmt.Sprintf("%s-%d", strings.Map(fileNameRune, v.Name), repetition)),
-		usedAddrs: map[string]bool{}, leaderByFault: map[int]string{}, members: map[string]*member{}, links: map[[2]string]*link{}, memberLoad: map[string]*scenario.Peak{}, answers: map[string]int{}, usage: map[string]*usage{}, updatesWritten: map[[2]string]int{}, updatesBehindCut: map[[2]string]fakes.Entry{},
+		usedAddrs: map[string]bool{}, leaderByFault: map[int]string{}, members: map[string]*member{}, links: map[scenario.Link]*link{}, memberLoad: map[string]*scenario.Peak{}, answers: map[string]int{}, usage: map[string]*usage{}, updatesWritten: map[[2]string]int{}, updatesBehindCut: map[[2]string]fakes.Entry{},
 		setupTimes: hdrhistogram.New(1, 600e6, 3), runnerDelays: hdrhistogram.New(1, 600e6, 3),
 		listCalls: &scenario.Peak{Window: 100 * time.Millisecond}, probes: &scenario.Peak{Window: time.Second}}
 	if v.Program != "" {
@@ -210,7 +210,7 @@
 	x.service = scenario.NewService(x.plan.MeasureFrom, x.plan.End)
 	g := set.Guarantees
 	x.judge = scenario.NewJudge(scenario.Rules{MaxAttempts: set.Limits.MaxAttempts, AnswerSlack: settings.Span(g.Slack), DrainGrace: settings.Span(g.Grace),
-		SlowStartFrom: g.ColdFrom, SlowStartFor: settings.Span(g.Cold), OverloadFactor: g.Overload, OverloadWindow: settings.Span(g.Fall)})
+		SlowStart: slowStart(g.ColdFrom, g.Cold), OverloadFactor: g.Overload, OverloadWindow: settings.Span(g.Fall)})
 	if err := os.RemoveAll(x.dir); err != nil { // of an earlier rehearsal
 		return nil, err
 	}
@@ -241,7 +241,7 @@
 	broken := r.plan.BrokenLinks()
 	for pair := range broken {
 		w := &link{}
-		if pair[0][0] == 'n' && pair[1][0] == 'n' {
+		if pair.IsRelayToRelay() {
 			udp, err := fakes.NewUDPProxy(r.plan.Seed + uint64(len(r.links)))
 			if err != nil {
 				return err
@@ -316,7 +316,7 @@
 func (r *run) route(from, to, addr string, gone func(string)) (string, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	w := r.links[[2]string{from, to}]
+	w := r.links[scenario.Link{From: from, To: to}]
 	if w == nil {
 		return addr, nil
 	}
@@ -356,7 +356,7 @@
 	}
 	m.name = m.ID
 	m.Capacity = fakes.Capacity{Cores: r.plan.Cores[i], MaxConnections: f.MaxConnections, ConnectionWork: scenario.Millis(f.ConnectionWorkMs), GroupWork: scenario.Millis(f.GroupWorkMs),
-		SlowStartFrom: g.ColdFrom, SlowStartFor: settings.Span(g.Cold), ReportInterval: scenario.Millis(f.ReportAgeMs), ReportError: f.ReportError, ReportFields: r.settings.Report.Names}
+		SlowStart: slowStart(g.ColdFrom, g.Cold), ReportInterval: scenario.Millis(f.ReportAgeMs), ReportError: f.ReportError, ReportFields: r.settings.Report.Names}
 	open := map[string]string{} // attempts by the sending address: only one end of each is told
 	var mu sync.Mutex
 	m.OnAttempt = func(a fakes.Attempt) {
@@ -425,7 +425,7 @@
 			if m.entry.Started > 0 {
 				age = time.Since(time.UnixMilli(m.entry.Started))
 			}
-			r.memberLoad[m.ID].Add(at, work/(m.Capacity.Cores*m.Capacity.Share(age)))
+			r.memberLoad[m.ID].Add(at, work/(m.Capacity.Cores*m.Capacity.SlowStart.Share(age)))
 		}
 	})
 	if falls {
@@ -478,7 +478,7 @@
 
 // isCutOff says that nothing passes between discovery and a relay.
 func (r *run) isCutOff(relay string) bool {
-	w := r.links[[2]string{relay, "discovery"}]
+	w := r.links[scenario.Link{From: relay, To: "discovery"}]
 	return w != nil && (w.forward.Cut || w.backward.Cut) && !r.closing
 }
 
@@ -686,3 +686,8 @@
 func drawBetween(rng *rand.Rand, b [2]float64) time.Duration {
 	return scenario.Millis(b[0] + (b[1]-b[0])*rng.Float64())
 }
+
+// slowStart is the ramp of members' capacity that the settings describe.
+func slowStart(from, ms float64) scenario.SlowStart {
+	return scenario.SlowStart{From: from, For: settings.Span(ms)}
+}
