--- a/internal/canary/counts.go
+++ b/internal/canary/counts.go
@@ -24,7 +24,7 @@
 	return f
 }
 
-func compare(x, y Stratum) int {
+func compareStrata(x, y Stratum) int {
 	return cmp.Or(cmp.Compare(x.Class, y.Class), cmp.Compare(x.Zone, y.Zone), cmp.Compare(x.flags(), y.flags()))
 }
 
@@ -80,8 +80,8 @@
 	MessageTime                       Histogram // one for each flow, of its first minute: messages of one flow are alike and count once
 }
 
-// each visits all numbers of a tally in one order.
-func (t *Tally) each(visit func(*uint64)) {
+// forEach visits all numbers of a tally in one order.
+func (t *Tally) forEach(visit func(*uint64)) {
 	for _, n := range []*uint64{&t.Attempts, &t.Failed, &t.Reset, &t.TimedOut, &t.OpenSeconds, &t.EarlyDisconnects} {
 		visit(n)
 	}
@@ -108,19 +108,19 @@
 // Collector counts at one relay for one canary. One goroutine at a time.
 type Collector struct {
 	salt, start, seq uint64
-	strata           []*counted
-	spare            Tally
+	strata           []*collectedStratum
+	overflow         Tally
 	Rejected         uint64 // counts of strata beyond MaxStrata
 }
 
-type counted struct {
+type collectedStratum struct {
 	StratumCounts
-	owed int    // words that it is still to be in
-	sent uint64 // the last word that it was in
+	pendingReports int    // words that it is still to be in
+	lastReport     uint64 // the last word that it was in
 }
 
-// owedFor is in how many words a change is told: with every third lost, one in 27 waits for the next change or for its turn.
-const owedFor = 3
+// reportsPerChange is in how many words a change is told: with every third lost, one in 27 waits for the next change or for its turn.
+const reportsPerChange = 3
 
 // NewCollector begins at nothing.
 func NewCollector(salt, start uint64) *Collector { return &Collector{salt: salt, start: start} }
@@ -128,16 +128,16 @@
 // At is where to count. It is told in the next words; hold it for no longer than the call.
 func (c *Collector) Tally(s Stratum, arm bool) *Tally {
 	s.Load = min(s.Load, LoadBands-1)
-	i, found := slices.BinarySearchFunc(c.strata, s, func(k *counted, s Stratum) int { return compare(k.Stratum, s) })
+	i, found := slices.BinarySearchFunc(c.strata, s, func(k *collectedStratum, s Stratum) int { return compareStrata(k.Stratum, s) })
 	if !found {
 		if len(c.strata) >= MaxStrata {
 			c.Rejected++
-			return &c.spare
+			return &c.overflow
 		}
-		c.strata = slices.Insert(c.strata, i, &counted{StratumCounts: StratumCounts{Stratum: s}})
+		c.strata = slices.Insert(c.strata, i, &collectedStratum{StratumCounts: StratumCounts{Stratum: s}})
 	}
 	k := c.strata[i]
-	k.owed = owedFor
+	k.pendingReports = reportsPerChange
 	if arm {
 		return &k.Canary
 	}
@@ -146,9 +146,9 @@
 
 const (
 	wireVersion = 1
-	hasBase     = 1 << 3
-	hasArm      = 1 << 4
-	countMost   = 1 << 48
+	hasBaseline = 1 << 3
+	hasCanary   = 1 << 4
+	maxCount    = 1 << 48
 )
 
 // AppendReport adds the next word to dst, of most bytes at most: the strata that changed, those that waited longest first, and one more by turns.
@@ -160,51 +160,51 @@
 	dst = binary.AppendUvarint(dst, c.start)
 	dst = binary.AppendUvarint(dst, c.seq)
 	turn := slices.Clone(c.strata)
-	slices.SortStableFunc(turn, func(x, y *counted) int {
-		return cmp.Or(cmp.Compare(b2i(y.owed > 0), b2i(x.owed > 0)), cmp.Compare(x.sent, y.sent))
+	slices.SortStableFunc(turn, func(x, y *collectedStratum) int {
+		return cmp.Or(cmp.Compare(boolToInt(y.pendingReports > 0), boolToInt(x.pendingReports > 0)), cmp.Compare(x.lastReport, y.lastReport))
 	})
-	var picked []*counted
+	var picked []*collectedStratum
 	var part []byte
 	size := len(dst) - begin
 	for _, k := range turn {
-		if k.owed == 0 && len(picked) > 0 {
+		if k.pendingReports == 0 && len(picked) > 0 {
 			break
 		}
-		part = appendPair(part[:0], &k.StratumCounts)
+		part = appendStratum(part[:0], &k.StratumCounts)
 		if size+len(part) > most {
 			break // it is the first in the next word
 		}
 		size += len(part)
 		picked = append(picked, k)
-		k.sent, k.owed = c.seq, max(k.owed-1, 0)
+		k.lastReport, k.pendingReports = c.seq, max(k.pendingReports-1, 0)
 	}
-	slices.SortFunc(picked, func(x, y *counted) int { return compare(x.Stratum, y.Stratum) })
+	slices.SortFunc(picked, func(x, y *collectedStratum) int { return compareStrata(x.Stratum, y.Stratum) })
 	for _, k := range picked {
-		dst = appendPair(dst, &k.StratumCounts)
+		dst = appendStratum(dst, &k.StratumCounts)
 	}
 	return dst
 }
 
-func b2i(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-func appendPair(dst []byte, p *StratumCounts) []byte {
+func appendStratum(dst []byte, p *StratumCounts) []byte {
 	flags := p.flags()
 	if p.Baseline != (Tally{}) {
-		flags |= hasBase
+		flags |= hasBaseline
 	}
 	if p.Canary != (Tally{}) {
-		flags |= hasArm
+		flags |= hasCanary
 	}
 	dst = append(dst, p.Class, p.Zone, flags)
-	if flags&hasBase != 0 {
+	if flags&hasBaseline != 0 {
 		dst = appendTally(dst, &p.Baseline)
 	}
-	if flags&hasArm != 0 {
+	if flags&hasCanary != 0 {
 		dst = appendTally(dst, &p.Canary)
 	}
 	return dst
@@ -214,11 +214,11 @@
 	for _, n := range [...]uint64{t.Attempts, t.Failed, t.Reset, t.TimedOut, t.OpenSeconds, t.EarlyDisconnects} {
 		dst = binary.AppendUvarint(dst, n)
 	}
-	return appendTimes(appendTimes(dst, &t.SetupTime), &t.MessageTime)
+	return appendHistogram(appendHistogram(dst, &t.SetupTime), &t.MessageTime)
 }
 
-// appendTimes writes where the buckets in use begin, how many there are, and each.
-func appendTimes(dst []byte, t *Histogram) []byte {
+// appendHistogram writes where the buckets in use begin, how many there are, and each.
+func appendHistogram(dst []byte, t *Histogram) []byte {
 	first, end := 0, HistogramBuckets
 	for end > 0 && t[end-1] == 0 {
 		end--
@@ -233,17 +233,17 @@
 	return dst
 }
 
-var errCounts = errors.New("canary: not a word of counts")
+var errCountReport = errors.New("canary: not a word of counts")
 
-// reader takes a word apart; after the first fault all is zero.
-type reader struct {
+// reportReader takes a word apart; after the first fault all is zero.
+type reportReader struct {
 	rest   []byte
-	broken bool
+	failed bool
 }
 
-func (r *reader) byte() uint8 {
+func (r *reportReader) byte() uint8 {
 	if len(r.rest) == 0 {
-		r.broken = true
+		r.failed = true
 		return 0
 	}
 	b := r.rest[0]
@@ -251,29 +251,29 @@
 	return b
 }
 
-func (r *reader) number() uint64 {
+func (r *reportReader) uvarint() uint64 {
 	n, used := binary.Uvarint(r.rest)
 	if used <= 0 {
-		r.broken, r.rest = true, nil
+		r.failed, r.rest = true, nil
 		return 0
 	}
 	r.rest = r.rest[used:]
 	return n
 }
 
-func (r *reader) count() uint64 {
-	n := r.number()
-	if n > countMost { // sums of many must not run over
-		r.broken = true
+func (r *reportReader) count() uint64 {
+	n := r.uvarint()
+	if n > maxCount { // sums of many must not run over
+		r.failed = true
 		return 0
 	}
 	return n
 }
 
-func (r *reader) times(t *Histogram) (sum uint64) {
+func (r *reportReader) histogram(t *Histogram) (sum uint64) {
 	first, n := int(r.byte()), int(r.byte())
 	if first+n > HistogramBuckets {
-		r.broken = true
+		r.failed = true
 		return 0
 	}
 	for i := range n {
@@ -283,47 +283,47 @@
 	return sum
 }
 
-func (r *reader) tally(t *Tally) {
+func (r *reportReader) tally(t *Tally) {
 	for _, n := range []*uint64{&t.Attempts, &t.Failed, &t.Reset, &t.TimedOut, &t.OpenSeconds, &t.EarlyDisconnects} {
 		*n = r.count()
 	}
-	stood := r.times(&t.SetupTime)
-	r.times(&t.MessageTime)
+	stood := r.histogram(&t.SetupTime)
+	r.histogram(&t.MessageTime)
 	if t.Failed+t.Reset+t.TimedOut > t.Attempts || stood > t.Attempts || t.EarlyDisconnects > t.Attempts {
-		r.broken = true // more came of it than was tried
+		r.failed = true // more came of it than was tried
 	}
 }
 
 // DecodeCountReport takes a word apart. What no Counter can have written is refused.
 func DecodeCountReport(b []byte) (CountReport, error) {
 	var c CountReport
-	r := reader{rest: b}
+	r := reportReader{rest: b}
 	if r.byte() != wireVersion || len(r.rest) < 8 {
-		return c, errCounts
+		return c, errCountReport
 	}
 	c.Salt = binary.LittleEndian.Uint64(r.rest)
 	r.rest = r.rest[8:]
-	c.Incarnation, c.Seq = r.number(), r.number()
+	c.Incarnation, c.Seq = r.uvarint(), r.uvarint()
 	c.Strata = make([]StratumCounts, 0, 12) // as many as usual
-	for len(r.rest) > 0 && !r.broken {
+	for len(r.rest) > 0 && !r.failed {
 		s := Stratum{Class: r.byte(), Zone: r.byte()}
 		flags := r.byte()
 		s.WarmingUp, s.Load = flags&1 != 0, flags>>1&(LoadBands-1)
-		if flags&^(hasBase|hasArm|7) != 0 || len(c.Strata) == MaxStrata ||
-			len(c.Strata) > 0 && compare(c.Strata[len(c.Strata)-1].Stratum, s) >= 0 {
-			return CountReport{}, errCounts
+		if flags&^(hasBaseline|hasCanary|7) != 0 || len(c.Strata) == MaxStrata ||
+			len(c.Strata) > 0 && compareStrata(c.Strata[len(c.Strata)-1].Stratum, s) >= 0 {
+			return CountReport{}, errCountReport
 		}
 		c.Strata = append(c.Strata, StratumCounts{Stratum: s})
 		p := &c.Strata[len(c.Strata)-1]
-		if flags&hasBase != 0 {
+		if flags&hasBaseline != 0 {
 			r.tally(&p.Baseline)
 		}
-		if flags&hasArm != 0 {
+		if flags&hasCanary != 0 {
 			r.tally(&p.Canary)
 		}
 	}
-	if r.broken {
-		return CountReport{}, errCounts
+	if r.failed {
+		return CountReport{}, errCountReport
 	}
 	return c, nil
 }
--- a/internal/canary/counts_test.go
+++ b/internal/canary/counts_test.go
@@ -98,9 +98,9 @@
 	f.Add(c.AppendReport(nil, 600))
 	f.Add([]byte{wireVersion})
 	j := NewJudge(JudgeSettings{Spec: spec("r"), Epoch: 1})
-	j.relayOf("n", "z")
-	j.zoneOf("z")
-	f.Add(j.keep())
+	j.relayNamed("n", "z")
+	j.zoneIndex("z")
+	f.Add(j.encodeCheckpoint())
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if v := NewJudge(JudgeSettings{Spec: spec("r"), Epoch: 1, Checkpoint: b}).Verdict(60_000); math.IsNaN(v.LogEValue) {
 			t.Fatalf("%+v", v)
@@ -110,7 +110,7 @@
 			return
 		}
 		j := NewJudge(JudgeSettings{Spec: spec("r"), Epoch: 1})
-		w.Salt = j.set.Salt
+		w.Salt = j.settings.Salt
 		for i, start := range []uint64{0, w.Incarnation, w.Incarnation} { // what was before, from nothing, and as a restart
 			heard := w
 			heard.Incarnation, heard.Seq = start, uint64(i+1)
@@ -133,7 +133,7 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		n1, n0 := rapid.IntRange(1, 12).Draw(t, "arm"), rapid.IntRange(1, 30).Draw(t, "base")
-		f := rapid.SampledFrom([]float64{1, few, 2}).Draw(t, "factor")
+		f := rapid.SampledFrom([]float64{1, defaultFactor, 2}).Draw(t, "factor")
 		delta := rapid.SampledFrom([]float64{0, 0.0002, 0.01, 0.05}).Draw(t, "delta")
 		harm := rapid.SampledFrom([]float64{0.0002, 0.01, 0.04, 0.16, 0.5}).Draw(t, "harm")
 		guess := rapid.Float64Range(1e-6, 0.9).Draw(t, "guess")
@@ -144,7 +144,7 @@
 			for k0 := range n0 + 1 {
 				p := choose(n1, k1) * math.Pow(q1, float64(k1)) * math.Pow(1-q1, float64(n1-k1)) *
 					choose(n0, k0) * math.Pow(q0, float64(k0)) * math.Pow(1-q0, float64(n0-k0))
-				mean += p * math.Exp(bet(float64(n1), float64(k1), float64(n0), float64(k0), guess, f, delta, harm))
+				mean += p * math.Exp(logLikelihoodRatio(float64(n1), float64(k1), float64(n0), float64(k0), guess, f, delta, harm))
 			}
 		}
 		if !(mean <= 1+1e-6) {
--- a/internal/canary/evidence.go
+++ b/internal/canary/evalue.go
@@ -12,14 +12,14 @@
 // t0 is a guess from the past: a bad one costs power and never makes the claim look worse. So products of blocks may be looked at
 // at any time, and rates may differ and move as they like between relays, strata and seconds.
 
-// suspect is one harm that is looked for.
-type suspect struct {
-	harm float64 // beyond delta
-	part float64 // times: the part of the base above the cut
+// harmHypothesis is one harm that is looked for.
+type harmHypothesis struct {
+	harm          float64 // beyond delta
+	baselineShare float64 // times: the part of the base above the cut
 }
 
-// bet is a suspect's likelihood ratio, ready for a block.
-func bet(n1, k1, n0, k0, t0, f, delta, harm float64) float64 {
+// logLikelihoodRatio is a suspect's likelihood ratio, ready for a block.
+func logLikelihoodRatio(n1, k1, n0, k0, t0, f, delta, harm float64) float64 {
 	t0 = min(max(t0, 1e-7), 1-1e-7)
 	t1 := f*t0 + delta + harm
 	if t1 > 0.98 { // no room for that much harm: what there is
@@ -28,13 +28,13 @@
 			return 0
 		}
 	}
-	x := nearest(n1, n0, t1, t0, f, delta)
+	x := nearestNull(n1, n0, t1, t0, f, delta)
 	y := f*x + delta
 	return k1*math.Log(t1/y) + (n1-k1)*math.Log((1-t1)/(1-y)) + k0*math.Log(t0/x) + (n0-k0)*math.Log((1-t0)/(1-x))
 }
 
-// nearest finds x between t0 and (t1-delta)/f where the slopes of the two arms cancel: Newton's steps, held by the ends.
-func nearest(n1, n0, t1, t0, f, delta float64) float64 {
+// nearestNull finds x between t0 and (t1-delta)/f where the slopes of the two arms cancel: Newton's steps, held by the ends.
+func nearestNull(n1, n0, t1, t0, f, delta float64) float64 {
 	low, high := t0, (t1-delta)/f
 	v1, v0 := f*f*n1/(t1*(1-t1)), n0/(t0*(1-t0))
 	x := (t0*v0 + high*v1) / (v0 + v1)
@@ -60,8 +60,8 @@
 	return x
 }
 
-// logMean is the logarithm of the mean of what these are logarithms of.
-func logMean(logs []float64) float64 {
+// logMeanExp is the logarithm of the mean of what these are logarithms of.
+func logMeanExp(logs []float64) float64 {
 	if len(logs) == 0 {
 		return math.Inf(-1)
 	}
--- a/internal/canary/forms_test.go
+++ b/internal/canary/forms_test.go
@@ -52,7 +52,7 @@
 // TestEncodedForms compares what goes into the record, onto a wire or into an HTTP answer with the bytes of an earlier version.
 func TestEncodedForms(t *testing.T) {
 	var lines []string
-	for _, value := range []any{&Spec{}, &Canary{}, &Weight{}, &Command{}, &Notice{}, &Verdict{}, &held{}} {
+	for _, value := range []any{&Spec{}, &Canary{}, &Weight{}, &Command{}, &Notice{}, &Verdict{}, &stateForm{}} {
 		next := 0
 		fill(reflect.ValueOf(value).Elem(), &next)
 		text, err := json.Marshal(value)
@@ -71,7 +71,7 @@
 		w.second()
 	}
 	w.judge.Verdict(w.now)
-	lines = append(lines, hex.EncodeToString(w.judge.keep()), fmt.Sprintf("%x", w.trace))
+	lines = append(lines, hex.EncodeToString(w.judge.encodeCheckpoint()), fmt.Sprintf("%x", w.trace))
 	got := strings.Join(lines, "\n") + "\n"
 	want, err := os.ReadFile("testdata/forms.txt")
 	if err != nil {
--- a/internal/canary/plan.go
+++ b/internal/canary/plan.go
@@ -84,8 +84,8 @@
 	if s.MinAttempts == 0 || s.MinAttempts > 1<<40 {
 		return errors.New("floor: a rung needs some evidence")
 	}
-	if s.MaxStepMS < shortest*sliceMS {
-		return fmt.Errorf("longest: nothing can be judged in under %d s", shortest*sliceMS/1000)
+	if s.MaxStepMS < minStepSlices*sliceMS {
+		return fmt.Errorf("longest: nothing can be judged in under %d s", minStepSlices*sliceMS/1000)
 	}
 	if !(s.FalsePositiveRate > 0 && s.FalsePositiveRate <= 0.5) { // NaN too
 		return errors.New("error: above 0, 0.5 at most")
--- a/internal/canary/holder_test.go
+++ b/internal/canary/resolver_test.go
@@ -38,7 +38,7 @@
 		r := &relay{WeightResolver: NewWeightResolver(cutMS), born: now, applied: applied}
 		r.ApplyRecord(now, uint64(applied), weights[applied-1]) // from disk
 		if trusts {
-			r.touch(now) // as if it were of now
+			r.confirm(now) // as if it were of now
 		}
 		return r
 	}
@@ -111,7 +111,7 @@
 	return nil
 }
 
-func lastReach(h *WeightResolver) int64 { return h.at }
+func lastReach(h *WeightResolver) int64 { return h.confirmedAt }
 
 func TestHolders(t *testing.T) {
 	for seed := range uint64(200) {
@@ -168,7 +168,7 @@
 	w.Epoch, w.Revision, w.PerMille = 2, 5, 50
 	h.ApplyRecord(5000, 9, []Weight{w})
 	is(5000, 50, "resumed")
-	if len(h.heard) != 0 || h.HandleNotice(Notice{Release: "r", Pause: true, Epoch: 1}) {
+	if len(h.notices) != 0 || h.HandleNotice(Notice{Release: "r", Pause: true, Epoch: 1}) {
 		t.Error("a pause of before the resume")
 	}
 	if n, ok := h.Pause("r"); !ok || n.Epoch != 2 || len(h.Notices()) != 2 {
@@ -182,8 +182,8 @@
 		h.HandleNotice(Notice{Release: fmt.Sprint("x", i), Pause: true, Epoch: uint64(3 + i%7)})
 	}
 	is(5000, 0, "the pause of a known release is kept")
-	if len(h.heard) > MaxNotices {
-		t.Errorf("%d held", len(h.heard))
+	if len(h.notices) > MaxNotices {
+		t.Errorf("%d held", len(h.notices))
 	}
 }
 
--- a/internal/canary/model_test.go
+++ b/internal/canary/simulation_test.go
@@ -248,8 +248,8 @@
 			t := p.counter.Tally(s, arm)
 			t.Attempts++
 			u := w.rng.Float64()
-			tried[b2i(s.WarmingUp)][b2i(arm)]++
-			bad[b2i(s.WarmingUp)][b2i(arm)] += float64(b2i(u < fails))
+			tried[boolToInt(s.WarmingUp)][boolToInt(arm)]++
+			bad[boolToInt(s.WarmingUp)][boolToInt(arm)] += float64(boolToInt(u < fails))
 			switch {
 			case u < fails/3:
 				t.Failed++
@@ -514,12 +514,12 @@
 		w.second()
 	}
 	w.now += 1000
-	w.judge.Verdict(w.now) // all that was heard is in the evidence
-	set := w.judge.set
-	set.Checkpoint = w.judge.keep()
+	w.judge.Verdict(w.now) // fleetEvidence that was heard is in the evidence
+	set := w.judge.settings
+	set.Checkpoint = w.judge.encodeCheckpoint()
 	next, forgets := NewJudge(set), NewJudge(set)
 	for k := range next.tests {
-		if e, was := next.evidence(k), w.judge.evidence(k); !(e <= was && e >= was-1.0/keptSteps) {
+		if e, was := next.guardEvidence(k), w.judge.guardEvidence(k); !(e <= was && e >= was-1.0/evidenceResolution) {
 			t.Errorf("evidence %v, and %v after", was, e)
 		}
 	}
@@ -535,8 +535,8 @@
 				late.Strata[i].Baseline, late.Strata[i].Canary = Tally{}, Tally{}
 			}
 			j.Observe(1, p.name, p.zone, late)
-			for _, past := range j.shared {
-				past.Attempts = known
+			for _, past := range j.classHistory {
+				past.Attempts = minBaselineAttempts
 			}
 			j.Observe(2, p.name, p.zone, now)
 		}
--- a/internal/canary/state.go
+++ b/internal/canary/state.go
@@ -11,32 +11,32 @@
 // State is what the fleet has agreed on. It is changed by Apply alone, from the log, with the same result everywhere: it reads no
 // clock, and its canaries are a list in the order of their names.
 type State struct {
-	held held
+	form stateForm
 }
 
-type held struct {
-	Version  uint64          `json:"version"` // commands that changed something
-	At       int64           `json:"at"`
-	Epochs   uint64          `json:"epochs"` // the last one given out
-	Canaries []Canary        `json:"canaries,omitempty"`
-	Kept     map[string]kept `json:"kept,omitempty"` // by release; in the order of names, as JSON has it
+type stateForm struct {
+	Version     uint64                `json:"version"` // commands that changed something
+	At          int64                 `json:"at"`
+	Epochs      uint64                `json:"epochs"` // the last one given out
+	Canaries    []Canary              `json:"canaries,omitempty"`
+	Checkpoints map[string]checkpoint `json:"kept,omitempty"` // by release; in the order of names, as JSON has it
 }
 
-// kept is what a leader had found on a rung.
-type kept struct {
-	Number   uint64 `json:"number"` // of the canary: with the next change it is over
+// checkpoint is what a leader had found on a rung.
+type checkpoint struct {
+	Revision uint64 `json:"number"` // of the canary: with the next change it is over
 	Evidence []byte `json:"evidence"`
 }
 
-// epochsAhead bounds by how much a claimed epoch may be above the last agreed one: a false one must not use them up.
-const epochsAhead = 1 << 32
+// maxEpochLead bounds by how much a claimed epoch may be above the last agreed one: a false one must not use them up.
+const maxEpochLead = 1 << 32
 
 // NewState is a state with nothing agreed.
 func NewState() *State { return &State{} }
 
 // Encode is the state as a snapshot holds it.
 func (s *State) Encode() []byte {
-	b, err := json.Marshal(s.held)
+	b, err := json.Marshal(s.form)
 	if err != nil {
 		panic(err) // ValidateSpec keeps out what JSON cannot say
 	}
@@ -46,25 +46,25 @@
 // DecodeState is the state of a snapshot.
 func DecodeState(b []byte) (*State, error) {
 	s := NewState()
-	if err := json.Unmarshal(b, &s.held); err != nil {
+	if err := json.Unmarshal(b, &s.form); err != nil {
 		return nil, fmt.Errorf("canary: snapshot: %w", err)
 	}
-	if len(s.held.Canaries) > MaxCanaries {
-		return nil, fmt.Errorf("canary: snapshot: %d canaries, at most %d", len(s.held.Canaries), MaxCanaries)
+	if len(s.form.Canaries) > MaxCanaries {
+		return nil, fmt.Errorf("canary: snapshot: %d canaries, at most %d", len(s.form.Canaries), MaxCanaries)
 	}
-	for name, k := range s.held.Kept {
+	for name, k := range s.form.Checkpoints {
 		if s.find(name) == nil || len(k.Evidence) > MaxCheckpointBytes {
 			return nil, errors.New("canary: snapshot: evidence of nothing, or too much")
 		}
 	}
-	for i, c := range s.held.Canaries {
+	for i, c := range s.form.Canaries {
 		if err := ValidateSpec(c.Spec); err != nil {
 			return nil, fmt.Errorf("canary: snapshot: %s: %w", c.Release, err)
 		}
 		switch {
-		case i > 0 && s.held.Canaries[i-1].Release >= c.Release:
+		case i > 0 && s.form.Canaries[i-1].Release >= c.Release:
 			return nil, errors.New("canary: snapshot: not in order")
-		case c.Step < 0 || c.Step >= len(c.Steps) || c.PerMille < 0 || c.PerMille > c.Steps[c.Step] || c.Epoch > s.held.Epochs:
+		case c.Step < 0 || c.Step >= len(c.Steps) || c.PerMille < 0 || c.PerMille > c.Steps[c.Step] || c.Epoch > s.form.Epochs:
 			return nil, fmt.Errorf("canary: snapshot: %s: it cannot stand where it does", c.Release)
 		case !slices.Contains([]Status{Progressing, Paused, RolledBack, Completed}, c.Status):
 			return nil, fmt.Errorf("canary: snapshot: %s: unknown status %q", c.Release, c.Status)
@@ -74,10 +74,10 @@
 }
 
 // Version rises with each command that changed something.
-func (s *State) Version() uint64 { return s.held.Version }
+func (s *State) Version() uint64 { return s.form.Version }
 
 // Canaries is all that is held, by name.
-func (s *State) Canaries() []Canary { return slices.Clone(s.held.Canaries) }
+func (s *State) Canaries() []Canary { return slices.Clone(s.form.Canaries) }
 
 // Canary is one of them.
 func (s *State) Canary(release string) (Canary, bool) {
@@ -88,9 +88,9 @@
 }
 
 func (s *State) find(release string) *Canary {
-	for i := range s.held.Canaries {
-		if s.held.Canaries[i].Release == release {
-			return &s.held.Canaries[i]
+	for i := range s.form.Canaries {
+		if s.form.Canaries[i].Release == release {
+			return &s.form.Canaries[i]
 		}
 	}
 	return nil
@@ -99,7 +99,7 @@
 // Weights is what every relay is to do, by name of the release. One that went back is among them at zero until it is closed.
 func (s *State) Weights() []Weight {
 	var list []Weight
-	for _, c := range s.held.Canaries {
+	for _, c := range s.form.Canaries {
 		list = append(list, Weight{Release: c.Release, Target: c.Target, Salt: c.Salt, PerMille: c.PerMille, Step: c.Step, Epoch: c.Epoch, Revision: c.Revision})
 	}
 	return list
@@ -107,15 +107,15 @@
 
 // Checkpoint is the evidence of the rung that a canary is on, nil if there is none.
 func (s *State) Checkpoint(release string) []byte {
-	if c := s.find(release); c != nil && s.held.Kept[release].Number == c.Revision {
-		return s.held.Kept[release].Evidence
+	if c := s.find(release); c != nil && s.form.Checkpoints[release].Revision == c.Revision {
+		return s.form.Checkpoints[release].Evidence
 	}
 	return nil
 }
 
 // Apply takes one command of the log. What cannot be is answered with an error and changes nothing.
 func (s *State) Apply(at int64, by string, body []byte) []byte {
-	at = max(s.held.At, at) // time in the record never runs back
+	at = max(s.form.At, at) // time in the record never runs back
 	var cmd Command
 	err := json.Unmarshal(body, &cmd)
 	if err == nil {
@@ -128,7 +128,7 @@
 	if err != nil {
 		answer.Error = err.Error()
 	} else {
-		s.held.At = at
+		s.form.At = at
 		answer.Canary = s.find(cmd.Release)
 	}
 	b, err := json.Marshal(answer)
@@ -171,11 +171,11 @@
 		if c.Status != Paused {
 			return fmt.Errorf("nothing to resume: it is %s", c.Status)
 		}
-		if cmd.Epoch > s.held.Epochs && cmd.Epoch-s.held.Epochs > epochsAhead {
+		if cmd.Epoch > s.form.Epochs && cmd.Epoch-s.form.Epochs > maxEpochLead {
 			return fmt.Errorf("no epoch comes near %d", cmd.Epoch)
 		}
-		s.held.Epochs = max(s.held.Epochs, cmd.Epoch) + 1
-		c.Status, c.Epoch = Progressing, s.held.Epochs
+		s.form.Epochs = max(s.form.Epochs, cmd.Epoch) + 1
+		c.Status, c.Epoch = Progressing, s.form.Epochs
 		c.Step = max(c.Step-1, 0)
 		c.PerMille, c.StepStartedAt = c.Steps[c.Step], at
 		c.Outcome, c.Divergent = "", nil
@@ -188,27 +188,27 @@
 		if cmd.Revision == 0 || c.Status != Progressing || len(cmd.Checkpoint) == 0 || len(cmd.Checkpoint) > MaxCheckpointBytes {
 			return errors.New("no evidence of a rung that is going")
 		}
-		if s.held.Kept == nil {
-			s.held.Kept = map[string]kept{}
+		if s.form.Checkpoints == nil {
+			s.form.Checkpoints = map[string]checkpoint{}
 		}
-		s.held.Kept[cmd.Release] = kept{c.Revision, cmd.Checkpoint}
+		s.form.Checkpoints[cmd.Release] = checkpoint{c.Revision, cmd.Checkpoint}
 		return nil
 	case OpClose:
 		if c.Status != RolledBack && c.Status != Completed {
 			return fmt.Errorf("not over: it is %s", c.Status)
 		}
 		name := c.Release
-		delete(s.held.Kept, name)
-		s.held.Canaries = slices.DeleteFunc(s.held.Canaries, func(c Canary) bool { return c.Release == name })
-		s.held.Version++
+		delete(s.form.Checkpoints, name)
+		s.form.Canaries = slices.DeleteFunc(s.form.Canaries, func(c Canary) bool { return c.Release == name })
+		s.form.Version++
 		return nil
 	default:
 		return fmt.Errorf("unknown command %q", cmd.Op)
 	}
 	c.ChangedBy, c.Reason = by, cmd.Reason
 	c.Revision++
-	s.held.Version++
-	delete(s.held.Kept, c.Release)
+	s.form.Version++
+	delete(s.form.Checkpoints, c.Release)
 	return nil
 }
 
@@ -223,14 +223,14 @@
 	if err := ValidateSpec(spec); err != nil {
 		return err
 	}
-	if len(s.held.Canaries) >= MaxCanaries {
+	if len(s.form.Canaries) >= MaxCanaries {
 		return fmt.Errorf("%d canaries are held, close one that is over", MaxCanaries)
 	}
-	at0, found := slices.BinarySearchFunc(s.held.Canaries, spec.Release, func(c Canary, name string) int { return strings.Compare(c.Release, name) })
+	at0, found := slices.BinarySearchFunc(s.form.Canaries, spec.Release, func(c Canary, name string) int { return strings.Compare(c.Release, name) })
 	if found {
 		return fmt.Errorf("release %q has one", spec.Release)
 	}
-	for _, c := range s.held.Canaries {
+	for _, c := range s.form.Canaries {
 		if overlap(c.Target, spec.Target) {
 			return fmt.Errorf("its arm may hold members of release %q", c.Release)
 		}
@@ -238,10 +238,10 @@
 			return fmt.Errorf("the salt of release %q", c.Release)
 		}
 	}
-	s.held.Epochs++
-	c := Canary{Spec: spec, Status: Progressing, PerMille: spec.Steps[0], Epoch: s.held.Epochs, Revision: 1, StepStartedAt: at, ChangedBy: by, Reason: cmd.Reason}
-	s.held.Canaries = slices.Insert(s.held.Canaries, at0, c)
-	s.held.Version++
+	s.form.Epochs++
+	c := Canary{Spec: spec, Status: Progressing, PerMille: spec.Steps[0], Epoch: s.form.Epochs, Revision: 1, StepStartedAt: at, ChangedBy: by, Reason: cmd.Reason}
+	s.form.Canaries = slices.Insert(s.form.Canaries, at0, c)
+	s.form.Version++
 	return nil
 }
 
--- a/internal/canary/state_test.go
+++ b/internal/canary/state_test.go
@@ -126,9 +126,9 @@
 			if !bytes.Equal(s.Encode(), twin.Encode()) {
 				t.Fatal("two of one log differ")
 			}
-			if jumbled := *twin; len(s.held.Canaries) > 1 {
-				jumbled.held.Canaries = s.Canaries()
-				slices.Reverse(jumbled.held.Canaries)
+			if jumbled := *twin; len(s.form.Canaries) > 1 {
+				jumbled.form.Canaries = s.Canaries()
+				slices.Reverse(jumbled.form.Canaries)
 				if _, err := DecodeState(jumbled.Encode()); err != nil && !bytes.Equal(s.Encode(), jumbled.Encode()) {
 					planted++
 				}
