--- a/cmd/dahliarudder/canary.go
+++ b/cmd/dahliarudder/canary.go
@@ -51,7 +51,7 @@
 
 // applyOrders takes what the record says.
 func (t *canaryTrial) applyOrders(o fleet.DesiredState) {
-	t.weights.ApplyRecord(t.now(), o.AppliedIndex, o.CanaryWeights)
+	t.weights.ApplyRecord(o.AppliedIndex, o.CanaryWeights)
 	if o.MajorityConfirmed {
 		t.weights.ConfirmRecord(t.now(), o.AppliedIndex)
 	}
--- /dev/null
+++ b/internal/canary/apply.go
@@ -0,0 +1,211 @@
+package canary
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+)
+
+// Apply executes one command of the log and returns the answer to its proposer. A command that is not possible is answered with an error
+// and changes nothing.
+func (s *State) Apply(at int64, by string, body []byte) []byte {
+	at = max(s.form.At, at) // time in the record never goes back
+	var cmd Command
+	err := json.Unmarshal(body, &cmd)
+	if err == nil {
+		err = s.apply(at, by, cmd)
+	}
+	var answer struct {
+		Error  string  `json:"error,omitempty"`
+		Canary *Canary `json:"canary,omitempty"`
+	}
+	if err != nil {
+		answer.Error = err.Error()
+	} else {
+		s.form.At = at
+		answer.Canary = s.find(cmd.Release)
+	}
+	b, err := json.Marshal(answer)
+	if err != nil {
+		panic(err) // unreachable, as in Encode
+	}
+	return b
+}
+
+func (s *State) apply(at int64, by string, cmd Command) error {
+	if cmd.Op == OpOpen {
+		return s.open(at, by, cmd)
+	}
+	c := s.find(cmd.Release)
+	if c == nil {
+		return fmt.Errorf("no canary of release %q", cmd.Release)
+	}
+	if cmd.Revision != 0 && cmd.Revision != c.Revision {
+		return fmt.Errorf("overtaken: it was reckoned at %d and the canary is at %d", cmd.Revision, c.Revision)
+	}
+	var err error
+	switch cmd.Op {
+	case OpAdvance:
+		err = c.advance(at, cmd)
+	case OpPause:
+		err = c.pause(cmd)
+	case OpResume:
+		err = s.resume(c, at, cmd)
+	case OpRollBack:
+		if c.Status == RolledBack {
+			return nil
+		}
+		c.Status, c.PerMille = RolledBack, 0
+	case OpCheckpoint:
+		return s.storeCheckpoint(c, cmd)
+	case OpClose:
+		return s.close(c)
+	default:
+		err = fmt.Errorf("unknown command %q", cmd.Op)
+	}
+	if err != nil {
+		return err
+	}
+	c.ChangedBy, c.Reason = by, cmd.Reason
+	c.Revision++
+	s.form.Version++
+	delete(s.form.Checkpoints, c.Release)
+	return nil
+}
+
+func (s *State) open(at int64, by string, cmd Command) error {
+	if cmd.Spec == nil {
+		return errors.New("nothing to open")
+	}
+	spec := *cmd.Spec
+	if spec.Release != cmd.Release {
+		return errors.New("two names of a release")
+	}
+	if err := ValidateSpec(spec); err != nil {
+		return err
+	}
+	if len(s.form.Canaries) >= MaxCanaries {
+		return fmt.Errorf("%d canaries are held, close one that is over", MaxCanaries)
+	}
+	i, found := slices.BinarySearchFunc(s.form.Canaries, spec.Release, func(c Canary, name string) int { return strings.Compare(c.Release, name) })
+	if found {
+		return fmt.Errorf("release %q has one", spec.Release)
+	}
+	for _, c := range s.form.Canaries {
+		if mayOverlap(c.Target, spec.Target) {
+			return fmt.Errorf("its arm may hold members of release %q", c.Release)
+		}
+		if c.Salt == spec.Salt {
+			return fmt.Errorf("the salt of release %q", c.Release)
+		}
+	}
+	s.form.Epochs++
+	c := Canary{Spec: spec, Status: Progressing, PerMille: spec.Steps[0], Epoch: s.form.Epochs, Revision: 1, StepStartedAt: at, ChangedBy: by, Reason: cmd.Reason}
+	s.form.Canaries = slices.Insert(s.form.Canaries, i, c)
+	s.form.Version++
+	return nil
+}
+
+// mayOverlap reports whether a member may belong to both: then which weight applies to it would depend on their order.
+func mayOverlap(x, y Selector) bool {
+	if len(x.Members) == 0 || len(y.Members) == 0 {
+		return true // all that started since a time may be any
+	}
+	return slices.ContainsFunc(x.Members, func(m string) bool { return slices.Contains(y.Members, m) })
+}
+
+// advance goes to the next step, or completes the canary after the last one.
+func (c *Canary) advance(at int64, cmd Command) error {
+	switch {
+	case cmd.Revision == 0:
+		return errors.New("a step up names the number that it was reckoned at")
+	case c.Status != Progressing:
+		return fmt.Errorf("no step up: it is %s", c.Status)
+	case c.Step == len(c.Steps)-1:
+		c.Status = Completed
+	default:
+		c.enterStep(c.Step+1, at)
+	}
+	c.Outcome, c.Divergent = "", nil
+	return nil
+}
+
+func (c *Canary) enterStep(step int, at int64) {
+	c.Step, c.PerMille, c.StepStartedAt = step, c.Steps[step], at
+}
+
+// pause lowers the weight: to zero, or as the spec's policy says where outcomes diverge. It never raises it. The second pause on a step rolls
+// the canary back.
+func (c *Canary) pause(cmd Command) error {
+	if cmd.Epoch != 0 && cmd.Epoch < c.Epoch {
+		return fmt.Errorf("it was resumed since, in epoch %d", c.Epoch)
+	}
+	weight := 0
+	if cmd.Outcome == Divergent {
+		switch {
+		case c.OnDivergence == KeepWeight:
+			weight = c.Steps[c.Step]
+		case c.OnDivergence == LowerWeight && c.Step > 0:
+			weight = c.Steps[c.Step-1]
+		}
+	}
+	switch c.Status {
+	case Progressing, Completed:
+		c.Status = Paused
+		if slices.Contains(c.PausedSteps, c.Step) {
+			c.Status, weight = RolledBack, 0
+		} else {
+			c.PausedSteps = append(slices.Clone(c.PausedSteps), c.Step)
+		}
+	case RolledBack:
+		return errors.New("it has gone back")
+	case Paused:
+		if weight >= c.PerMille && cmd.Outcome != Regressed {
+			return errors.New("it is paused")
+		}
+	}
+	c.PerMille = min(c.PerMille, weight)
+	c.Outcome, c.Divergent = cmd.Outcome, slices.Clone(cmd.Divergent)
+	return nil
+}
+
+// resume continues one step below the paused one, in a new epoch: it ends all pauses of earlier epochs.
+func (s *State) resume(c *Canary, at int64, cmd Command) error {
+	if c.Status != Paused {
+		return fmt.Errorf("nothing to resume: it is %s", c.Status)
+	}
+	if cmd.Epoch > s.form.Epochs && cmd.Epoch-s.form.Epochs > maxEpochLead {
+		return fmt.Errorf("no epoch comes near %d", cmd.Epoch)
+	}
+	s.form.Epochs = max(s.form.Epochs, cmd.Epoch) + 1
+	c.Status, c.Epoch = Progressing, s.form.Epochs
+	c.enterStep(max(c.Step-1, 0), at)
+	c.Outcome, c.Divergent = "", nil
+	return nil
+}
+
+// storeCheckpoint stores a step's evidence. It changes no weight, so neither revision nor version rises.
+func (s *State) storeCheckpoint(c *Canary, cmd Command) error {
+	if cmd.Revision == 0 || c.Status != Progressing || len(cmd.Checkpoint) == 0 || len(cmd.Checkpoint) > MaxCheckpointBytes {
+		return errors.New("no evidence of a rung that is going")
+	}
+	if s.form.Checkpoints == nil {
+		s.form.Checkpoints = map[string]checkpoint{}
+	}
+	s.form.Checkpoints[cmd.Release] = checkpoint{c.Revision, cmd.Checkpoint}
+	return nil
+}
+
+// close removes a canary that is over from the record.
+func (s *State) close(c *Canary) error {
+	if c.Status != RolledBack && c.Status != Completed {
+		return fmt.Errorf("not over: it is %s", c.Status)
+	}
+	release := c.Release
+	delete(s.form.Checkpoints, release)
+	s.form.Canaries = slices.DeleteFunc(s.form.Canaries, func(c Canary) bool { return c.Release == release })
+	s.form.Version++
+	return nil
+}
--- a/internal/canary/checkpoint.go
+++ b/internal/canary/checkpoint.go
@@ -5,128 +5,168 @@
 	"math"
 )
 
-// This file is how a rung's evidence outlives its leader. Words are counts since a relay's start: a new leader cannot tell this rung's from those
-// of rungs before, and one block over rungs is no evidence (if all is worse while the arm has more, the arm's mean is worse and its members are not).
-// So the leader has its evidence agreed now and then, and who leads next goes on from there. A product of blocks remains one: which blocks are left out (those
-// between the last agreed and the first word heard) depends on when leaders change, not on what was counted. No block comes twice: with the evidence
-// stand the words it is of, and the first word after them is nobody's evidence, as ever.
+// This file is how a step's evidence outlives its leader. Reports are counts since a relay's start: a new leader cannot tell the counts of
+// this step from those of earlier ones, and one block over several steps is no evidence (if everything got worse while the canary had more
+// weight, the canary's mean is worse and its members are not). So the leader proposes its evidence to the record now and then, and the next
+// leader continues from there. A product of blocks remains an e-value: which blocks are left out (those between the last checkpoint and the
+// first report) depends on when leaders change, not on what was counted. No block counts twice: the checkpoint has the sequence numbers of
+// the reports that it covers, and the first report after them is not evidence, as always.
 
 const (
-	MaxCheckpointBytes       = 128 << 10 // bytes; 1,024 relays need less, and in JSON, a third longer, it goes into one command of the record
-	checkpointMS             = 5000      // at the soonest: so much is lost with a leader
-	checkpointBytesPerSecond = 1000      // bytes a second that this may cost each relay that follows the record: as much as two words
+	// MaxCheckpointBytes bounds a checkpoint. 1,024 relays need less, and in JSON, a third longer, it fits into one command of the record.
+	MaxCheckpointBytes = 128 << 10
+
+	minCheckpointIntervalMS  = 5000 // so much evidence is lost with a leader
+	checkpointBytesPerSecond = 1000 // that checkpoints may cost each relay which follows the record: as much as two reports
 	checkpointVersion        = 1
-	evidenceResolution       = 256 // guardEvidence is held in parts of so many, downwards: less is still evidence
+
+	// evidenceResolution is the part of 1 that evidence is rounded down to: less evidence is still evidence.
+	evidenceResolution = 256
 )
 
-// encodeCheckpoint is the rung's evidence as the record holds it.
+// checkpoint returns the evidence to store in the record, nil if it is too long, and schedules the next one.
+func (j *Judge) checkpoint(now int64) []byte {
+	b := j.encodeCheckpoint()
+	if len(b) > MaxCheckpointBytes {
+		b = nil
+	}
+	j.nextCheckpointAt = now + max(minCheckpointIntervalMS, int64(len(b))*1000/checkpointBytesPerSecond)
+	return b
+}
+
+// encodeCheckpoint encodes the step's evidence: totals, zones, the fleet, the classes' baseline histories (an estimate from few counts makes
+// harm seem ruled out), relays.
 func (j *Judge) encodeCheckpoint() []byte {
 	b := []byte{checkpointVersion}
-	number := func(n uint64) { b = binary.AppendUvarint(b, n) }
-	text := func(s string) { number(uint64(len(s))); b = append(b, s...) }
-	logs := func(list []float64) {
-		for _, l := range list {
-			b = binary.AppendVarint(b, int64(math.Floor(l*evidenceResolution)))
-		}
-	}
-	due := j.attributionLeft
+	attributionLeft := j.attributionLeft
 	if j.decided {
-		due = 1 // the next one says it at its first slice
+		attributionLeft = 1 // the next leader decides at its first slice
 	}
-	for _, n := range []uint64{uint64(j.slices), uint64(due), j.compared, j.canaryAttempts, uint64(len(j.zones)), uint64(len(j.classHistory)), uint64(len(j.relays))} {
-		number(n)
+	for _, n := range []uint64{uint64(j.slices), uint64(attributionLeft), j.compared, j.canaryAttempts,
+		uint64(len(j.zones)), uint64(len(j.classHistories)), uint64(len(j.relays))} {
+		b = binary.AppendUvarint(b, n)
 	}
 	for z, name := range j.zones {
-		text(name)
+		b = appendText(b, name)
 		for _, t := range j.tests {
-			logs(t.zoneEvidence[z])
+			b = appendLogs(b, t.zones[z])
 		}
 	}
 	for _, t := range j.tests {
-		logs(t.fleetEvidence)
+		b = appendLogs(b, t.fleet)
 	}
-	for _, p := range j.classHistory { // a guess from little makes harm seem ruled out
-		b = appendTally(append(b, p.Class, p.flags()), &p.Tally)
+	for _, h := range j.classHistories {
+		b = appendTally(append(b, h.Class, h.flags()), &h.Tally)
 	}
 	for _, r := range j.relays {
-		text(r.name)
-		text(r.zone)
-		text(r.faultyMetric)
+		b = appendText(appendText(appendText(b, r.name), r.zone), string(r.faultyMetric))
 		for _, n := range []uint64{r.incarnation, r.seq, r.compared} {
-			number(n)
+			b = binary.AppendUvarint(b, n)
 		}
-		for _, sum := range r.evidence {
-			logs(sum)
+		for _, logs := range r.evidence {
+			b = appendLogs(b, logs)
 		}
 	}
 	return b
 }
 
-// restoreCheckpoint takes up what keep has told; false if it was not all of it: then nothing may be taken.
-func (j *Judge) restoreCheckpoint(b []byte) bool {
-	r := reportReader{rest: b}
-	if r.byte() != checkpointVersion {
-		return false
+func appendText(b []byte, s string) []byte {
+	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
+}
+
+func appendLogs(b []byte, logs []float64) []byte {
+	for _, l := range logs {
+		b = binary.AppendVarint(b, int64(math.Floor(l*evidenceResolution)))
+	}
+	return b
+}
+
+func (r *reader) text() string {
+	n := r.uvarint()
+	if n > uint64(len(r.rest)) {
+		r.failed = true
+		return ""
 	}
-	text := func() string {
-		n := r.uvarint()
-		if n > uint64(len(r.rest)) {
+	s := string(r.rest[:n])
+	r.rest = r.rest[n:]
+	return s
+}
+
+func (r *reader) logs(logs []float64) {
+	for i := range logs {
+		n, used := binary.Varint(r.rest)
+		if used <= 0 || n > maxCount || n < -maxCount {
 			r.failed = true
-			return ""
-		}
-		s := string(r.rest[:n])
-		r.rest = r.rest[n:]
-		return s
-	}
-	logs := func(list []float64) {
-		for i := range list {
-			n, used := binary.Varint(r.rest)
-			if used <= 0 || n > maxCount || n < -maxCount {
-				r.failed = true
-				return
-			}
-			r.rest, list[i] = r.rest[used:], float64(n)/evidenceResolution
+			return
 		}
+		r.rest, logs[i] = r.rest[used:], float64(n)/evidenceResolution
+	}
+}
+
+// restoreCheckpoint takes up what encodeCheckpoint has written. If it is false the checkpoint is malformed, and the judge must not be used.
+func (j *Judge) restoreCheckpoint(b []byte) bool {
+	r := &reader{rest: b}
+	if r.byte() != checkpointVersion {
+		return false
 	}
 	j.slices, j.attributionLeft = int(r.count()), int(r.count())
 	j.compared, j.canaryAttempts = r.count(), r.count()
-	zones, pasts, relays := r.uvarint(), r.uvarint(), r.uvarint()
+	zones, histories, relays := r.uvarint(), r.uvarint(), r.uvarint()
 	for ; zones > 0 && !r.failed; zones-- {
-		z, ok := j.zoneIndex(text())
-		if r.failed = r.failed || !ok; r.failed {
+		if !j.restoreZone(r) {
 			return false
 		}
-		for _, t := range j.tests {
-			logs(t.zoneEvidence[z])
-		}
 	}
 	for _, t := range j.tests {
-		logs(t.fleetEvidence)
+		r.logs(t.fleet)
 	}
-	for ; pasts > 0 && !r.failed; pasts-- {
-		s := Stratum{Class: r.byte()}
-		flags := r.byte()
-		s.WarmingUp, s.Load = flags&1 != 0, flags>>1&(LoadBands-1)
-		if r.failed || len(j.classHistory) >= MaxRelays {
+	for ; histories > 0 && !r.failed; histories-- {
+		if !j.restoreClassHistory(r) {
 			return false
 		}
-		p := j.classHistoryOf(s)
-		r.tally(&p.Tally)
 	}
 	for ; relays > 0 && !r.failed; relays-- {
-		name, zone, ill := text(), text(), text()
-		if _, ok := j.zoneIndex(zone); !ok || r.failed {
-			return false
-		}
-		k, _ := j.relayNamed(name, zone)
-		if k == nil {
+		if !j.restoreRelay(r) {
 			return false
 		}
-		k.faultyMetric, k.lastReportSlice = ill, j.slices
-		k.incarnation, k.seq, k.compared = r.uvarint(), r.uvarint(), r.count()
-		for _, sum := range k.evidence {
-			logs(sum)
-		}
 	}
 	return !r.failed && len(r.rest) == 0
 }
+
+func (j *Judge) restoreZone(r *reader) bool {
+	z, ok := j.zoneIndex(r.text())
+	if !ok || r.failed {
+		return false
+	}
+	for _, t := range j.tests {
+		r.logs(t.zones[z])
+	}
+	return true
+}
+
+func (j *Judge) restoreClassHistory(r *reader) bool {
+	s := Stratum{Class: r.byte()}
+	s.setFlags(r.byte())
+	if r.failed || len(j.classHistories) >= MaxRelays {
+		return false
+	}
+	r.tally(&j.classHistoryOf(s).Tally)
+	return true
+}
+
+func (j *Judge) restoreRelay(r *reader) bool {
+	name, zone, faultyMetric := r.text(), r.text(), Metric(r.text())
+	if _, ok := j.zoneIndex(zone); !ok || r.failed {
+		return false
+	}
+	relay, _ := j.relayNamed(name, zone)
+	if relay == nil {
+		return false
+	}
+	relay.faultyMetric, relay.lastReportSlice = faultyMetric, j.slices
+	relay.incarnation, relay.seq, relay.compared = r.uvarint(), r.uvarint(), r.count()
+	for _, logs := range relay.evidence {
+		r.logs(logs)
+	}
+	return true
+}
--- a/internal/canary/counts_test.go
+++ b/internal/canary/counts_test.go
@@ -96,7 +96,7 @@
 	k.MessageTime.Add(1e9)
 	c.Tally(Stratum{}, false).Attempts++
 	f.Add(c.AppendReport(nil, 600))
-	f.Add([]byte{wireVersion})
+	f.Add([]byte{reportVersion})
 	j := NewJudge(JudgeSettings{Spec: spec("r"), Epoch: 1})
 	j.relayNamed("n", "z")
 	j.zoneIndex("z")
@@ -133,18 +133,18 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		n1, n0 := rapid.IntRange(1, 12).Draw(t, "arm"), rapid.IntRange(1, 30).Draw(t, "base")
-		f := rapid.SampledFrom([]float64{1, defaultFactor, 2}).Draw(t, "factor")
-		delta := rapid.SampledFrom([]float64{0, 0.0002, 0.01, 0.05}).Draw(t, "delta")
+		null := nullHypothesis{factor: rapid.SampledFrom([]float64{1, defaultFactor, 2}).Draw(t, "factor"),
+			margin: rapid.SampledFrom([]float64{0, 0.0002, 0.01, 0.05}).Draw(t, "margin")}
 		harm := rapid.SampledFrom([]float64{0.0002, 0.01, 0.04, 0.16, 0.5}).Draw(t, "harm")
 		guess := rapid.Float64Range(1e-6, 0.9).Draw(t, "guess")
 		q0 := rapid.Float64Range(0, 0.9).Draw(t, "base rate")
-		q1 := min(rapid.Float64Range(0, 1).Draw(t, "of what is allowed")*(f*q0+delta), 1)
+		q1 := min(rapid.Float64Range(0, 1).Draw(t, "of what is allowed")*null.rate(q0), 1)
 		mean := 0.0
 		for k1 := range n1 + 1 {
 			for k0 := range n0 + 1 {
 				p := choose(n1, k1) * math.Pow(q1, float64(k1)) * math.Pow(1-q1, float64(n1-k1)) *
 					choose(n0, k0) * math.Pow(q0, float64(k0)) * math.Pow(1-q0, float64(n0-k0))
-				mean += p * math.Exp(logLikelihoodRatio(float64(n1), float64(k1), float64(n0), float64(k0), guess, f, delta, harm))
+				mean += p * math.Exp(null.logEValue(blockCounts{uint64(n1), uint64(k1), uint64(n0), uint64(k0)}, guess, harm))
 			}
 		}
 		if !(mean <= 1+1e-6) {
--- a/internal/canary/evalue.go
+++ b/internal/canary/evalue.go
@@ -2,44 +2,73 @@
 
 import "math"
 
-// This file is the test itself. A block is what one relay counted in one stratum over about a second: of n1 trials of the arm k1 were bad,
-// of n0 of the base k0. The claim to be shaken is "the arm is bad at most f times as often as the base, and by delta more" (f is 1 or above).
-// A block's e-value for a suspected harm d is the likelihood of (t0, t1 = f t0+delta+d) over that of the point (x, y = f x+delta) of the claim
-// nearest to it (in relative entropy, weighted by n0 and n1). Its mean is at most 1 whatever the true rates of the block are, as long as the claim holds:
-// a bad trial multiplies by t/p, a sound one by (1-t)/(1-p); the mean factor at a true rate q is 1 + c(q-p) with c = (t-p)/p(1-p);
-// so the logarithm of the block's mean is at most n1 c1 (q1-y) + n0 c0 (q0-x), and the nearest point is where f n1 c1 + n0 c0 = 0: what
-// remains is n1 c1 (q1 - f q0 - delta), not above 0 under the claim, since c1 > 0.
-// t0 is a guess from the past: a bad one costs power and never makes the claim look worse. So products of blocks may be looked at
-// at any time, and rates may differ and move as they like between relays, strata and seconds.
+// This file is the sequential test itself. A block is what one relay counted in one stratum over about a second: of n1 trials of the canary
+// k1 were bad, of n0 trials of the baseline k0. The null hypothesis is "the canary is bad at most factor times as often as the baseline, plus
+// margin" (the factor is at least 1). A block's e-value for a harm d is the likelihood ratio of (t0, t1 = factor t0 + margin + d) to the
+// nearest point (x, y = factor x + margin) of the null hypothesis, in relative entropy weighted by n0 and n1. Its mean is at most 1 under any
+// true rates that the null hypothesis allows:
+//
+// A bad trial multiplies the ratio by t/p, a good one by (1-t)/(1-p), where p is the null rate. The mean factor at a true rate q is
+// 1 + c(q-p) with c = (t-p)/p(1-p). So the logarithm of the block's mean is at most n1 c1 (q1-y) + n0 c0 (q0-x). The nearest point is where
+// factor n1 c1 + n0 c0 = 0; what remains is n1 c1 (q1 - factor q0 - margin), which is not above 0 under the null hypothesis, since c1 > 0.
+//
+// t0 is estimated from the past: a bad estimate costs power and never makes the null hypothesis look worse. So products of blocks may be
+// looked at at any time, and rates may differ and move freely between relays, strata and seconds.
 
-// harmHypothesis is one harm that is looked for.
+// harmHypothesis is one size of harm that a guardrail looks for.
 type harmHypothesis struct {
-	harm          float64 // beyond delta
-	baselineShare float64 // times: the part of the base above the cut
+	harm          float64 // beyond the null hypothesis' margin
+	baselineShare float64 // durations: the share of the baseline that is slower than the cut; 0 for rates
 }
 
-// logLikelihoodRatio is a suspect's likelihood ratio, ready for a block.
-func logLikelihoodRatio(n1, k1, n0, k0, t0, f, delta, harm float64) float64 {
-	t0 = min(max(t0, 1e-7), 1-1e-7)
-	t1 := f*t0 + delta + harm
-	if t1 > 0.98 { // no room for that much harm: what there is
-		t1 = 0.98
-		if t1 <= f*t0+delta {
+// blockCounts are the trials of a block, and which of them were bad.
+type blockCounts struct {
+	canaryTrials, canaryBad     uint64
+	baselineTrials, baselineBad uint64
+}
+
+// nullHypothesis is "bad at most factor times as often as the baseline, plus margin".
+type nullHypothesis struct {
+	factor, margin float64
+}
+
+// rate is the canary's highest rate that the null hypothesis allows at a rate of the baseline.
+func (h nullHypothesis) rate(baseline float64) float64 { return h.factor*baseline + h.margin }
+
+// Estimated rates are kept off 0 and 1, where logarithms end; hypothetical ones off 1.
+const (
+	minRate         = 1e-7
+	maxHypothetical = 0.98
+)
+
+// logEValue is the logarithm of a block's e-value for a harm, with the baseline's rate as estimated from the past.
+func (h nullHypothesis) logEValue(c blockCounts, baselineRate, harm float64) float64 {
+	n1, k1, n0, k0 := float64(c.canaryTrials), float64(c.canaryBad), float64(c.baselineTrials), float64(c.baselineBad)
+	t0 := min(max(baselineRate, minRate), 1-minRate)
+	t1 := h.rate(t0) + harm
+	if t1 > maxHypothetical { // so much harm is not possible: as much as is
+		t1 = maxHypothetical
+		if t1 <= h.rate(t0) {
 			return 0
 		}
 	}
-	x := nearestNull(n1, n0, t1, t0, f, delta)
-	y := f*x + delta
+	x := h.nearest(n1, n0, t1, t0)
+	y := h.rate(x)
 	return k1*math.Log(t1/y) + (n1-k1)*math.Log((1-t1)/(1-y)) + k0*math.Log(t0/x) + (n0-k0)*math.Log((1-t0)/(1-x))
 }
 
-// nearestNull finds x between t0 and (t1-delta)/f where the slopes of the two arms cancel: Newton's steps, held by the ends.
-func nearestNull(n1, n0, t1, t0, f, delta float64) float64 {
-	low, high := t0, (t1-delta)/f
+// nearest finds the baseline rate x of the null hypothesis' nearest point, between t0 and (t1-margin)/factor, where the slopes of canary and
+// baseline cancel: Newton's method, bisecting where a step leaves the bracket.
+func (h nullHypothesis) nearest(n1, n0, t1, t0 float64) float64 {
+	const (
+		maxIterations = 60
+		tolerance     = 1e-10
+	)
+	f, low, high := h.factor, t0, (t1-h.margin)/h.factor
 	v1, v0 := f*f*n1/(t1*(1-t1)), n0/(t0*(1-t0))
 	x := (t0*v0 + high*v1) / (v0 + v1)
-	for range 60 {
-		y := f*x + delta
+	for range maxIterations {
+		y := h.rate(x)
 		a, b := y*(1-y), x*(1-x)
 		g := f*n1*(y-t1)/a + n0*(x-t0)/b
 		if g > 0 {
@@ -52,7 +81,7 @@
 		if !(next > low && next < high) {
 			next = (low + high) / 2
 		}
-		if math.Abs(next-x) <= 1e-10*x {
+		if math.Abs(next-x) <= tolerance*x {
 			return next
 		}
 		x = next
@@ -60,21 +89,21 @@
 	return x
 }
 
-// logMeanExp is the logarithm of the mean of what these are logarithms of.
+// logMeanExp is the logarithm of the mean of the values whose logarithms are given.
 func logMeanExp(logs []float64) float64 {
 	if len(logs) == 0 {
 		return math.Inf(-1)
 	}
-	top := math.Inf(-1)
+	highest := math.Inf(-1)
 	for _, l := range logs {
-		top = max(top, l)
+		highest = max(highest, l)
 	}
-	if math.IsInf(top, -1) {
-		return top
+	if math.IsInf(highest, -1) {
+		return highest
 	}
 	sum := 0.0
 	for _, l := range logs {
-		sum += math.Exp(l - top)
+		sum += math.Exp(l - highest)
 	}
-	return top + math.Log(sum/float64(len(logs)))
+	return highest + math.Log(sum/float64(len(logs)))
 }
--- /dev/null
+++ b/internal/canary/judge_attribute.go
@@ -0,0 +1,101 @@
+package canary
+
+import (
+	"math"
+	"slices"
+)
+
+// attribution is where harm is, if it is not everywhere.
+type attribution struct {
+	zones, relays []string
+	lead          float64 // natural logarithm of how many times likelier this is than harm everywhere
+}
+
+// suspects are the places with the highest likelihood of harm.
+type suspects struct {
+	names         []string
+	logLikelihood float64
+}
+
+// attribute says where harm is likeliest if it is not everywhere. Naming some of many places costs what it takes to write down which.
+func (j *Judge) attribute(k int) attribution {
+	everywhere := math.Inf(-1)
+	zones, relays := suspects{logLikelihood: math.Inf(-1)}, suspects{logLikelihood: math.Inf(-1)}
+	for i := range j.tests[k].hypotheses {
+		byZone, fleet := j.relayEvidence(k, i)
+		everywhere = max(everywhere, fleet)
+		if z := j.suspectZones(byZone); len(z.names) < len(j.zones) && len(z.names) > 0 && z.logLikelihood > zones.logLikelihood {
+			zones = z
+		}
+		if r := j.suspectRelays(k, i); len(r.names) > 0 && r.logLikelihood > relays.logLikelihood {
+			relays = r
+		}
+	}
+	if zones.names == nil && relays.names == nil {
+		return attribution{lead: -decisive}
+	}
+	var a attribution
+	switch {
+	case relays.logLikelihood > zones.logLikelihood+decisive:
+		a = attribution{zones: j.zonesLikelyAffected(relays.names, k), relays: relays.names, lead: relays.logLikelihood - everywhere}
+	case relays.logLikelihood > zones.logLikelihood: // not decisive, so the zone is named, which contains the relay
+		a = attribution{zones: zones.names, lead: min(relays.logLikelihood-everywhere, decisive/2)}
+	default:
+		a = attribution{zones: zones.names, lead: zones.logLikelihood - everywhere}
+	}
+	if !j.othersHealthy(a, k) { // a weight may be kept at the others
+		a.lead = min(a.lead, -decisive/2)
+	}
+	return a
+}
+
+func (j *Judge) suspectZones(evidence []float64) (s suspects) {
+	price := math.Log(float64(len(j.zones) + 1))
+	for z, sum := range evidence {
+		if sum > price {
+			s.logLikelihood += sum - price
+			s.names = append(s.names, j.zones[z])
+		}
+	}
+	return s
+}
+
+func (j *Judge) suspectRelays(k, hypothesis int) (s suspects) {
+	price := math.Log(float64(len(j.relays) + 1))
+	for _, r := range j.relays {
+		if !r.faulty() && r.evidence[k][hypothesis] > price {
+			s.logLikelihood += r.evidence[k][hypothesis] - price
+			s.names = append(s.names, r.name)
+		}
+	}
+	return s
+}
+
+// othersHealthy reports whether the relays that are not named have ruled out the sought harm.
+func (j *Judge) othersHealthy(a attribution, k int) bool {
+	sum := 0.0
+	for _, r := range j.relays {
+		if !r.faulty() && !slices.Contains(a.zones, r.zone) && !slices.Contains(a.relays, r.name) {
+			sum += r.evidence[k][j.tests[k].soughtIndex]
+		}
+	}
+	return sum <= -decisive
+}
+
+// zonesLikelyAffected returns the zones of named relays whose other relays have not ruled out the sought harm: all of the zone may have it.
+func (j *Judge) zonesLikelyAffected(named []string, k int) (zones []string) {
+	for _, z := range j.zones {
+		affected, others := false, 0.0
+		for _, r := range j.relays {
+			if r.zone == z && slices.Contains(named, r.name) {
+				affected = true
+			} else if r.zone == z && !r.faulty() {
+				others += r.evidence[k][j.tests[k].soughtIndex]
+			}
+		}
+		if affected && others > -decisive {
+			zones = append(zones, z)
+		}
+	}
+	return zones
+}
--- /dev/null
+++ b/internal/canary/notices.go
@@ -0,0 +1,71 @@
+package canary
+
+import (
+	"bytes"
+	"cmp"
+	"encoding/json"
+	"maps"
+	"slices"
+)
+
+// Notices returns what to gossip: the weights as recorded here, and what notices say that the record does not yet.
+func (r *WeightResolver) Notices() []Notice {
+	var list []Notice
+	for _, w := range r.recorded {
+		list = append(list, Notice{Release: w.Release, Epoch: w.Epoch, Revision: w.Revision, PerMille: w.PerMille})
+	}
+	for _, name := range slices.Sorted(maps.Keys(r.notices)) {
+		s := r.notices[name]
+		if s.pausedEpoch != 0 {
+			list = append(list, Notice{Release: name, Pause: true, Epoch: s.pausedEpoch})
+		}
+		if s.lowered.Revision != 0 {
+			list = append(list, s.lowered)
+		}
+	}
+	return list
+}
+
+// noticePriority orders notices for EncodeNotices, the most urgent first.
+type noticePriority int
+
+const (
+	pauseOfRecorded   noticePriority = iota
+	pauseOfUnrecorded                // of a release that the record here does not know
+	newerThanRecord
+	asRecorded // the record spreads it too
+)
+
+func (r *WeightResolver) priority(n Notice) noticePriority {
+	switch w := findWeight(r.recorded, n.Release); {
+	case n.Pause && w != nil:
+		return pauseOfRecorded
+	case n.Pause:
+		return pauseOfUnrecorded
+	case w == nil || n.Epoch != w.Epoch || n.Revision != w.Revision:
+		return newerThanRecord
+	}
+	return asRecorded
+}
+
+// EncodeNotices returns as many of the notices as fit into maxBytes, as a JSON array, by priority: a pause spreads whatever else there is to
+// gossip and however long the names are. Nil if there are none.
+func (r *WeightResolver) EncodeNotices(maxBytes int) []byte {
+	list := r.Notices()
+	slices.SortStableFunc(list, func(x, y Notice) int { return cmp.Compare(r.priority(x), r.priority(y)) })
+	var array []byte
+	for _, n := range list {
+		var element bytes.Buffer
+		e := json.NewEncoder(&element)
+		e.SetEscapeHTML(false)
+		if e.Encode(n) != nil || len(array)+element.Len()+1 > maxBytes { // a bracket or comma before it; the closing bracket for its newline
+			continue
+		}
+		array = append(append(array, ','), bytes.TrimSuffix(element.Bytes(), []byte("\n"))...)
+	}
+	if len(array) > 0 {
+		array[0] = '['
+		array = append(array, ']')
+	}
+	return array
+}
--- a/internal/canary/resolver.go
+++ b/internal/canary/resolver.go
@@ -1,238 +1,206 @@
 package canary
 
 import (
-	"bytes"
 	"cmp"
-	"encoding/json"
 	"maps"
 	"slices"
 )
 
-// WeightResolver is one relay's side: the weights that it uses now. The record alone raises them; anybody's notice lowers them.
-// Its time is the relay's own clock in milliseconds, one that never steps back.
+const (
+	maxReleaseNameBytes = 128
+
+	// maxEpochLead bounds by how much a claimed epoch may be above the last agreed one: a false claim must not use up the epochs.
+	maxEpochLead = 1 << 32
+)
+
+// WeightResolver derives the weights that one relay uses now. Only the record raises a weight; a notice from any relay lowers it.
+// Times are of the relay's own monotonic clock, in milliseconds.
 type WeightResolver struct {
-	maxStaleness  int64
-	index         uint64 // of the record, up to which it is applied here
-	recorded      []Weight
-	confirmed     []Weight // as they were when the record was last reached
-	everConfirmed bool     // since this process began
-	confirmedAt   int64    // when it was last
-	pending       bool     // it was reached at pendingSince, and is not applied here up to that index yet
-	pendingSince  int64
-	pendingIndex  uint64
-	highestEpoch  uint64 // the highest epoch that the record has shown here
-	notices       map[string]noticeState
-	Rejected      uint64 // notices beyond the bounds
-	Stale         uint64 // states of the record older than the one held
+	maxStaleness int64
+
+	index        uint64   // of the record, up to which it is applied here
+	recorded     []Weight // as applied
+	highestEpoch uint64   // that the record has shown here
+
+	everConfirmed bool // a majority has confirmed the record since this process began
+	confirmedAt   int64
+	confirmed     []Weight // as they were then
+
+	pending      bool // a majority confirmed the record at pendingSince, up to an index that is not applied here yet
+	pendingSince int64
+	pendingIndex uint64
+
+	notices  map[string]noticeState // by release
+	Rejected uint64                 // notices beyond the bounds
+	Stale    uint64                 // states of the record older than the one applied
 }
 
+// noticeState is what notices say of a release beyond what the record here does.
 type noticeState struct {
-	pausedEpoch uint64 // the highest epoch that somebody paused; 0 for none
-	lowered     Notice // what was agreed at a higher number than is known here
+	pausedEpoch uint64 // the highest epoch that a relay paused; 0 for none
+	lowered     Notice // the weight at the highest revision; zero for none
 }
 
-// NewWeightResolver begins with no weights. Cut is for how long the record may be out of reach before news of it raises nothing any more.
-func NewWeightResolver(cut int64) *WeightResolver {
-	return &WeightResolver{maxStaleness: cut, notices: map[string]noticeState{}}
+func (s noticeState) epoch() uint64 { return max(s.pausedEpoch, s.lowered.Epoch) }
+
+// NewWeightResolver returns a resolver without weights. Once the record is unconfirmed for maxStaleness it raises no weight any more.
+func NewWeightResolver(maxStaleness int64) *WeightResolver {
+	return &WeightResolver{maxStaleness: maxStaleness, notices: map[string]noticeState{}}
 }
 
-// ApplyRecord takes the weights as applied from the record up to an index, from disk too. It is to be called for every index, or before
-// Reached at least: a relay that does not show its index counts as behind.
-func (h *WeightResolver) ApplyRecord(now int64, index uint64, weights []Weight) {
-	if index < h.index {
-		h.Stale++
+// ApplyRecord takes the weights as applied from the record up to an index, from disk too. Call it for every index, or at least before
+// ConfirmRecord: a relay that does not show its index counts as behind.
+func (r *WeightResolver) ApplyRecord(index uint64, weights []Weight) {
+	if index < r.index {
+		r.Stale++
 		return
 	}
-	h.index, h.recorded = index, slices.Clone(weights)
+	r.index, r.recorded = index, slices.Clone(weights)
 	for _, w := range weights {
-		h.highestEpoch = max(h.highestEpoch, w.Epoch)
-	}
-	for name, k := range h.notices {
-		if w := h.find(h.recorded, name); w != nil {
-			if k.pausedEpoch != 0 && k.pausedEpoch < w.Epoch {
-				k.pausedEpoch = 0 // resumed since
-			}
-			if k.lowered.Revision != 0 && (k.lowered.Epoch < w.Epoch || k.lowered.Revision <= w.Revision) {
-				k.lowered = Notice{}
-			}
+		r.highestEpoch = max(r.highestEpoch, w.Epoch)
+	}
+	for name, s := range r.notices {
+		if s = r.outstanding(name, s); s == (noticeState{}) {
+			delete(r.notices, name)
 		} else {
-			if k.pausedEpoch <= h.highestEpoch {
-				k.pausedEpoch = 0 // closed since
-			}
-			if k.lowered.Epoch <= h.highestEpoch {
-				k.lowered = Notice{}
-			}
+			r.notices[name] = s
 		}
-		if k == (noticeState{}) {
-			delete(h.notices, name)
-		} else {
-			h.notices[name] = k
+	}
+	if r.pending && r.index >= r.pendingIndex {
+		r.confirm(r.pendingSince)
+	}
+}
+
+// outstanding is what is left of notices on a release that the record has not overtaken.
+func (r *WeightResolver) outstanding(release string, s noticeState) noticeState {
+	w := findWeight(r.recorded, release)
+	if w == nil {
+		if s.pausedEpoch <= r.highestEpoch {
+			s.pausedEpoch = 0 // closed since
 		}
+		if s.lowered.Epoch <= r.highestEpoch {
+			s.lowered = Notice{}
+		}
+		return s
+	}
+	if s.pausedEpoch < w.Epoch {
+		s.pausedEpoch = 0 // resumed since
 	}
-	if h.pending && h.index >= h.pendingIndex {
-		h.confirm(h.pendingSince)
+	if s.lowered.Revision != 0 && (s.lowered.Epoch < w.Epoch || s.lowered.Revision <= w.Revision) {
+		s.lowered = Notice{}
 	}
+	return s
 }
 
-// ConfirmRecord says that at this time a majority stood behind the record up to an index.
-func (h *WeightResolver) ConfirmRecord(now int64, index uint64) {
-	if index <= h.index {
-		h.confirm(now)
-	} else if !h.pending {
-		h.pending, h.pendingSince, h.pendingIndex = true, now, index
+// ConfirmRecord notes that a majority stood behind the record up to an index at this time.
+func (r *WeightResolver) ConfirmRecord(now int64, index uint64) {
+	if index <= r.index {
+		r.confirm(now)
+	} else if !r.pending {
+		r.pending, r.pendingSince, r.pendingIndex = true, now, index
 	}
 }
 
-func (h *WeightResolver) confirm(at int64) {
-	h.pending = false
-	h.everConfirmed, h.confirmedAt, h.confirmed = true, max(h.confirmedAt, at), h.recorded
+func (r *WeightResolver) confirm(at int64) {
+	r.pending = false
+	r.everConfirmed, r.confirmedAt, r.confirmed = true, max(r.confirmedAt, at), r.recorded
 }
 
-// HandleNotice takes a notice from anybody, and says whether it was new.
-func (h *WeightResolver) HandleNotice(n Notice) bool {
-	if n.Release == "" || len(n.Release) > 128 || n.PerMille < 0 || n.Epoch == 0 || n.Epoch > h.highestEpoch && n.Epoch-h.highestEpoch > maxEpochLead {
-		h.Rejected++
+// HandleNotice takes a notice from any relay, and reports whether it was new.
+func (r *WeightResolver) HandleNotice(n Notice) bool {
+	if n.Release == "" || len(n.Release) > maxReleaseNameBytes || n.PerMille < 0 || n.Epoch == 0 ||
+		n.Epoch > r.highestEpoch && n.Epoch-r.highestEpoch > maxEpochLead {
+		r.Rejected++
 		return false
 	}
-	w := h.find(h.recorded, n.Release)
-	if w == nil && n.Epoch <= h.highestEpoch || w != nil && n.Epoch < w.Epoch {
+	w := findWeight(r.recorded, n.Release)
+	if w == nil && n.Epoch <= r.highestEpoch || w != nil && n.Epoch < w.Epoch {
 		return false // closed or resumed since
 	}
-	k, known := h.notices[n.Release]
-	if !known && len(h.notices) >= MaxNotices && !h.evictOldest(n, w != nil) {
-		h.Rejected++
+	s, known := r.notices[n.Release]
+	if !known && len(r.notices) >= MaxNotices && !r.evictOldest(n, w != nil) {
+		r.Rejected++
 		return false
 	}
 	switch {
-	case n.Pause && n.Epoch > k.pausedEpoch:
-		k.pausedEpoch = n.Epoch
+	case n.Pause && n.Epoch > s.pausedEpoch:
+		s.pausedEpoch = n.Epoch
 	case !n.Pause && (w == nil || n.Epoch > w.Epoch || n.Revision > w.Revision) &&
-		(n.Epoch > k.lowered.Epoch || n.Epoch == k.lowered.Epoch && n.Revision > k.lowered.Revision):
-		k.lowered = n
+		(n.Epoch > s.lowered.Epoch || n.Epoch == s.lowered.Epoch && n.Revision > s.lowered.Revision):
+		s.lowered = n
 	default:
 		return false
 	}
-	h.notices[n.Release] = k
+	r.notices[n.Release] = s
 	return true
 }
 
-// evictOldest drops the oldest that is held of a release unknown here, for a newer one or one that is known.
-func (h *WeightResolver) evictOldest(n Notice, known bool) bool {
+// evictOldest drops the notices of the release with the lowest epoch among those that the record here does not know, to make room for a
+// notice with a higher epoch or of a recorded release. False if there is none to drop.
+func (r *WeightResolver) evictOldest(n Notice, recorded bool) bool {
 	oldest, epoch := "", uint64(0)
-	for _, name := range slices.Sorted(maps.Keys(h.notices)) {
-		if h.find(h.recorded, name) != nil {
+	for _, name := range slices.Sorted(maps.Keys(r.notices)) {
+		if findWeight(r.recorded, name) != nil {
 			continue
 		}
-		if k := h.notices[name]; oldest == "" || max(k.pausedEpoch, k.lowered.Epoch) < epoch {
-			oldest, epoch = name, max(k.pausedEpoch, k.lowered.Epoch)
+		if s := r.notices[name]; oldest == "" || s.epoch() < epoch {
+			oldest, epoch = name, s.epoch()
 		}
 	}
-	if oldest == "" || !known && n.Epoch <= epoch {
+	if oldest == "" || !recorded && n.Epoch <= epoch {
 		return false
 	}
-	delete(h.notices, oldest)
+	delete(r.notices, oldest)
 	return true
 }
 
-// Pause holds a release at zero here and now, and gives the notice that tells others. It needs no record: what others passed on tells which
-// epoch it is for, where that is newer than what is applied here. False if the release is unknown here.
-func (h *WeightResolver) Pause(release string) (Notice, bool) {
-	k := h.notices[release]
-	n := Notice{Release: release, Pause: true, Epoch: max(k.pausedEpoch, k.lowered.Epoch)}
-	if w := h.find(h.recorded, release); w != nil {
+// Pause sets a release's weight to zero at this relay at once, and returns the notice to gossip. It needs no majority: where the epoch in
+// notices is newer than the one applied here, the pause is for that one. False if the release is unknown here.
+func (r *WeightResolver) Pause(release string) (Notice, bool) {
+	n := Notice{Release: release, Pause: true, Epoch: r.notices[release].epoch()}
+	if w := findWeight(r.recorded, release); w != nil {
 		n.Epoch = max(n.Epoch, w.Epoch)
 	}
 	if n.Epoch == 0 {
 		return Notice{}, false
 	}
-	h.HandleNotice(n)
+	r.HandleNotice(n)
 	return n, true
 }
 
-// Notices is what to tell others: the weights agreed here, and what was heard that the record does not know yet.
-func (h *WeightResolver) Notices() []Notice {
-	var list []Notice
-	for _, w := range h.recorded {
-		list = append(list, Notice{Release: w.Release, Epoch: w.Epoch, Revision: w.Revision, PerMille: w.PerMille})
-	}
-	for _, name := range slices.Sorted(maps.Keys(h.notices)) {
-		k := h.notices[name]
-		if k.pausedEpoch != 0 {
-			list = append(list, Notice{Release: name, Pause: true, Epoch: k.pausedEpoch})
-		}
-		if k.lowered.Revision != 0 {
-			list = append(list, k.lowered)
-		}
-	}
-	return list
-}
-
-// EncodeNotices is as many of the notices as most bytes hold, as JSON: pauses first, then what is lower than others may know, then what is agreed,
-// which the record tells too. Empty without any. Whatever else there is to tell, and however long the names are, a pause goes round.
-func (h *WeightResolver) EncodeNotices(most int) []byte {
-	list := h.Notices()
-	rank := func(n Notice) int {
-		switch known := h.find(h.recorded, n.Release); {
-		case n.Pause && known != nil:
-			return 0
-		case n.Pause:
-			return 1
-		case known == nil || n.Epoch != known.Epoch || n.Revision != known.Revision:
-			return 2
-		}
-		return 3
-	}
-	slices.SortStableFunc(list, func(x, y Notice) int { return cmp.Compare(rank(x), rank(y)) })
-	note := []byte(nil)
-	for _, n := range list {
-		var one bytes.Buffer
-		e := json.NewEncoder(&one)
-		e.SetEscapeHTML(false)
-		if e.Encode(n) != nil || len(note)+one.Len()+1 > most { // with a bracket or a comma before it, and the last bracket for its newline
-			continue
-		}
-		note = append(append(note, ','), bytes.TrimSuffix(one.Bytes(), []byte("\n"))...)
-	}
-	if len(note) > 0 {
-		note[0] = '['
-		note = append(note, ']')
-	}
-	return note
-}
-
-// EffectiveWeights is what this relay is to use now, by name of the release.
-func (h *WeightResolver) EffectiveWeights(now int64) []Weight {
-	list := slices.Clone(h.recorded)
+// EffectiveWeights returns the weights to use now, sorted by release.
+func (r *WeightResolver) EffectiveWeights(now int64) []Weight {
+	list := slices.Clone(r.recorded)
 	for i := range list {
-		list[i].PerMille = h.effectivePerMille(now, list[i])
+		list[i].PerMille = r.effectivePerMille(now, list[i])
 	}
 	slices.SortFunc(list, func(x, y Weight) int { return cmp.Compare(x.Release, y.Release) })
 	return list
 }
 
-func (h *WeightResolver) effectivePerMille(now int64, w Weight) int {
-	use := w.PerMille
-	if !h.everConfirmed {
-		return 0 // what stood on disk may be an old weight, and a higher one than now's
-	}
-	if h.everConfirmed && now-h.confirmedAt > h.maxStaleness {
-		sure := h.find(h.confirmed, w.Release)
-		if sure == nil {
+func (r *WeightResolver) effectivePerMille(now int64, w Weight) int {
+	if !r.everConfirmed {
+		return 0 // the weight on disk may be an old one, and higher than the one agreed now
+	}
+	perMille := w.PerMille
+	if now-r.confirmedAt > r.maxStaleness {
+		confirmed := findWeight(r.confirmed, w.Release)
+		if confirmed == nil {
 			return 0
 		}
-		use = min(use, sure.PerMille)
+		perMille = min(perMille, confirmed.PerMille)
 	}
-	k := h.notices[w.Release]
-	if k.pausedEpoch >= w.Epoch {
+	s := r.notices[w.Release]
+	if s.pausedEpoch >= w.Epoch {
 		return 0
 	}
-	if k.lowered.Revision != 0 {
-		use = min(use, k.lowered.PerMille)
+	if s.lowered.Revision != 0 {
+		perMille = min(perMille, s.lowered.PerMille)
 	}
-	return use
+	return perMille
 }
 
-func (h *WeightResolver) find(list []Weight, release string) *Weight {
+func findWeight(list []Weight, release string) *Weight {
 	for i := range list {
 		if list[i].Release == release {
 			return &list[i]
--- a/internal/canary/resolver_test.go
+++ b/internal/canary/resolver_test.go
@@ -36,7 +36,7 @@
 	relays := make([]*relay, 5)
 	begin := func(now int64, applied int) *relay {
 		r := &relay{WeightResolver: NewWeightResolver(cutMS), born: now, applied: applied}
-		r.ApplyRecord(now, uint64(applied), weights[applied-1]) // from disk
+		r.ApplyRecord(uint64(applied), weights[applied-1]) // from disk
 		if trusts {
 			r.confirm(now) // as if it were of now
 		}
@@ -80,7 +80,7 @@
 				r.ConfirmRecord(now, uint64(len(log)))
 				for r.applied < len(log) && rng.IntN(4) > 0 {
 					r.applied++
-					r.ApplyRecord(now, uint64(r.applied), weights[r.applied-1])
+					r.ApplyRecord(uint64(r.applied), weights[r.applied-1])
 				}
 			}
 			if rng.IntN(4) == 0 { // notices pass between any two
@@ -144,18 +144,18 @@
 			t.Errorf("%s: %d, not %d", why, got, want)
 		}
 	}
-	h.ApplyRecord(0, 5, []Weight{w})
+	h.ApplyRecord(5, []Weight{w})
 	is(0, 0, "from disk")
 	h.ConfirmRecord(10, 7)
 	is(10, 0, "reached, and behind")
-	h.ApplyRecord(20, 7, []Weight{w})
+	h.ApplyRecord(7, []Weight{w})
 	is(20, 50, "reached")
 	w.PerMille, w.Revision, w.Step = 250, 3, 2
-	h.ApplyRecord(4000, 8, []Weight{w})
+	h.ApplyRecord(8, []Weight{w})
 	is(4000, 50, "raised while cut off")
 	h.ConfirmRecord(4001, 8)
 	is(4001, 250, "raised")
-	h.ApplyRecord(4002, 7, []Weight{{Release: "r", PerMille: 1000, Epoch: 1, Revision: 9}})
+	h.ApplyRecord(7, []Weight{{Release: "r", PerMille: 1000, Epoch: 1, Revision: 9}})
 	is(4002, 250, "an older index")
 	if !h.HandleNotice(Notice{Release: "r", Epoch: 1, Revision: 4, PerMille: 10}) || h.HandleNotice(Notice{Release: "r", Epoch: 1, Revision: 4, PerMille: 10}) {
 		t.Error("a notice is new once")
@@ -166,7 +166,7 @@
 	h.HandleNotice(Notice{Release: "r", Pause: true, Epoch: 1})
 	is(4002, 0, "paused by another")
 	w.Epoch, w.Revision, w.PerMille = 2, 5, 50
-	h.ApplyRecord(5000, 9, []Weight{w})
+	h.ApplyRecord(9, []Weight{w})
 	is(5000, 50, "resumed")
 	if len(h.notices) != 0 || h.HandleNotice(Notice{Release: "r", Pause: true, Epoch: 1}) {
 		t.Error("a pause of before the resume")
@@ -192,7 +192,7 @@
 	var relays []*WeightResolver
 	for range 40 {
 		h := NewWeightResolver(cutMS)
-		h.ApplyRecord(0, 1, []Weight{{Release: "r", PerMille: 250, Epoch: 3, Revision: 9}})
+		h.ApplyRecord(1, []Weight{{Release: "r", PerMille: 250, Epoch: 3, Revision: 9}})
 		h.ConfirmRecord(0, 1)
 		relays = append(relays, h)
 	}
@@ -213,7 +213,7 @@
 	const most = 400 // a note's, as peers have it
 	name := strings.Repeat("<", 128)
 	h := NewWeightResolver(cutMS)
-	h.ApplyRecord(0, 1, []Weight{{Release: name, PerMille: 300, Epoch: 7, Revision: 12}})
+	h.ApplyRecord(1, []Weight{{Release: name, PerMille: 300, Epoch: 7, Revision: 12}})
 	h.HandleNotice(Notice{Release: name, PerMille: 100, Epoch: 7, Revision: 13})
 	for i := range MaxNotices {
 		h.HandleNotice(Notice{Release: fmt.Sprintf("a%d", i), Pause: i%2 == 0, Epoch: 8, Revision: 1})
@@ -240,9 +240,9 @@
 func TestPauseByNotices(t *testing.T) {
 	for _, applied := range [][]Weight{nil, {{Release: "r", PerMille: 300, Epoch: 4, Revision: 8}}} {
 		other, h := NewWeightResolver(cutMS), NewWeightResolver(cutMS)
-		other.ApplyRecord(0, 9, []Weight{{Release: "r", PerMille: 300, Epoch: 5, Revision: 9}})
+		other.ApplyRecord(9, []Weight{{Release: "r", PerMille: 300, Epoch: 5, Revision: 9}})
 		other.ConfirmRecord(0, 9)
-		h.ApplyRecord(0, 1, applied)
+		h.ApplyRecord(1, applied)
 		for _, n := range other.Notices() {
 			h.HandleNotice(n)
 		}
--- a/internal/canary/simulation_test.go
+++ b/internal/canary/simulation_test.go
@@ -149,12 +149,12 @@
 			p.counter = NewCollector(w.log[0][0].Salt, p.start)
 			p.holder = NewWeightResolver(5000)
 			p.applied = 1 + w.rng.IntN(max(p.applied, 1))
-			p.holder.ApplyRecord(w.now, uint64(p.applied), w.log[p.applied-1])
+			p.holder.ApplyRecord(uint64(p.applied), w.log[p.applied-1])
 		} else if w.rng.IntN(20) != 0 {
 			p.holder.ConfirmRecord(w.now, uint64(len(w.log)))
 			if p.applied < len(w.log) {
 				p.applied = len(w.log)
-				p.holder.ApplyRecord(w.now, uint64(p.applied), w.log[p.applied-1])
+				p.holder.ApplyRecord(uint64(p.applied), w.log[p.applied-1])
 			}
 		}
 		for _, n := range w.relays[w.rng.IntN(len(w.relays))].holder.Notices() {
@@ -535,7 +535,7 @@
 				late.Strata[i].Baseline, late.Strata[i].Canary = Tally{}, Tally{}
 			}
 			j.Observe(1, p.name, p.zone, late)
-			for _, past := range j.classHistory {
+			for _, past := range j.classHistories {
 				past.Attempts = minBaselineAttempts
 			}
 			j.Observe(2, p.name, p.zone, now)
