--- a/internal/front/nats/client.go
+++ b/internal/front/nats/client.go
@@ -11,14 +11,14 @@
 	"dahliarudder/internal/netloop"
 )
 
-// client is the connection of a NATS client. Its commands take effect in their order and do
-// not wait for each other, but for publications, which wait for the subscriptions before them.
+// client is the connection of a NATS client. Its commands take effect in order and do not wait
+// for each other, except that publications wait for the subscriptions before them.
 type client struct {
 	front   *Front
 	conn    *netloop.Conn
 	id      uint64
-	local   string // the address it has reached
-	remote  string // its own, without the port
+	local   string // the relay's address that it has connected to
+	remote  string // its own address, without the port
 	options struct {
 		Verbose      bool  `json:"verbose"`
 		Pedantic     bool  `json:"pedantic"`
@@ -27,43 +27,43 @@
 		Protocol     int   `json:"protocol"`
 		Echo         *bool `json:"echo"`
 	}
-	connect        []byte // what CONNECT said; nil before it
+	connect        []byte // the options of CONNECT; nil before it
 	subscriptions  map[string]*subscription
 	links          []*link
 	publishers     []*publisher
-	publisherCache map[string]*publisher // where subjects belong that were published to before
-	lastPublisher  *publisher            // that of latestSubject, the one published to last
+	publisherCache map[string]*publisher // by subject, for the subjects that were published to
+	lastPublisher  *publisher            // of lastSubject
 	proxied        map[core.ID]*proxiedRequest
 
-	lastSubject       string
-	publishSeq        uint64     // of the newest publication
-	responses         []response // what is still to be said, in order
-	pendingSubscribes int        // subscriptions that publications wait for
-	pingsOut          int        // that the client has not answered
+	lastSubject       string     // the subject published to last
+	publishSeq        uint64     // sequence number of the newest publication
+	responses         []response // not sent yet, in order
+	pendingSubscribes int        // subscriptions and unsubscriptions that publications wait for
+	pingsOut          int        // without an answer
 	timer             *netloop.Timer
-	nonce             string             // that it may sign
-	permissions       *auth.Permissions  // nil for all
-	replies           *auth.ReplyTracker // what it may answer to besides; nil for nothing
-	expiryTimer       *netloop.Timer     // when its login does
-	tlsChecked        bool               // its first byte was looked at
-	authenticating    bool               // its password is being checked
-	slowSince         time.Duration      // since when its links rest; 0 if they do not
-	resumeScheduled   bool               // goOn is on its way
-	fenceActive       bool
-	fencedSeq         uint64 // the mark that all links are past
-	halfClosed        bool   // the client has ended its sending, but what it sent is not done yet
+	nonce             string             // the challenge for its signature
+	permissions       *auth.Permissions  // nil allows everything
+	replies           *auth.ReplyTracker // reply subjects that it may publish to in addition; nil for none
+	expiryTimer       *netloop.Timer     // ends it when its credentials expire
+	tlsChecked        bool               // its first byte has been inspected
+	authenticating    bool               // a worker checks its password
+	slowSince         time.Duration      // since when its links are not read; 0 if they are
+	resumeScheduled   bool               // a call of scheduleResume is pending
+	fenceActive       bool               // a fence is pending
+	fencedSeq         uint64             // what all links have delivered the effects of
+	halfClosed        bool               // the client has closed its sending side, and some of its commands are pending
 	closed            bool
 }
 
-// subjectsMost bounds the memory of where subjects belong.
+// maxCachedSubjects bounds a client's publisherCache.
 const maxCachedSubjects = 256
 
 func (c *client) write(b []byte) { c.conn.Queue(b) }
 
-// Open is told by the loop.
+// Open implements netloop's handler.
 func (c *client) Open() {}
 
-// Drained is told by the loop.
+// Drained implements netloop's handler.
 func (c *client) Drained() {
 	c.slowSince = 0
 	for _, l := range c.links {
@@ -71,7 +71,7 @@
 	}
 }
 
-// overHighWater says that the client has not taken what it was sent; its links rest until it has.
+// overHighWater reports whether the client is slow to read; its links are then not read until it has caught up.
 func (c *client) overHighWater() bool {
 	if c.conn.Unsent() <= c.front.unsentLimit(clientHighWater) {
 		return false
@@ -82,7 +82,7 @@
 	return true
 }
 
-// Data is told by the loop.
+// Data implements netloop's handler.
 func (c *client) Data(b []byte) int {
 	if !c.tlsChecked && !c.checkTLS(b[0]) {
 		return 0
@@ -91,14 +91,14 @@
 	for !c.closed {
 		m, n, err := parseCommand(b[used:], c.front.MaxControlLine, c.front.MaxPayload)
 		if err != nil {
-			c.fail(err.Error())
+			c.fail(err)
 			break
 		}
 		if n == 0 {
 			return used
 		}
 		if !c.execute(&m) {
-			c.conn.PauseReading() // goOn resumes
+			c.conn.PauseReading() // scheduleResume resumes it
 			return used
 		}
 		used += n
@@ -106,7 +106,7 @@
 	return len(b)
 }
 
-// End is told by the loop.
+// End implements netloop's handler.
 func (c *client) End(err error) {
 	if err == io.EOF && !c.isQuiescent() {
 		c.halfClosed = true
@@ -115,23 +115,23 @@
 	c.close()
 }
 
-// execute carries a command out; false if it must wait.
+// execute executes a command; it returns false if the command has to wait.
 func (c *client) execute(m *command) bool {
 	if c.authenticating {
 		return false
 	}
 	if c.connect == nil && m.op != opConnect {
-		c.fail("Authorization Violation")
+		c.fail(errAuthorization)
 		return true
 	}
 	if len(c.responses) > c.front.MaxSubscriptions+c.front.WindowMessages {
-		return false // who asks without end waits for the answers
+		return false // bounds the memory of a client that sends commands without end
 	}
 	switch m.op {
 	case opConnect:
 		c.handleConnect(m.args)
 	case opPing:
-		c.respond(response{text: "PONG\r\n", fence: true})
+		c.respond(response{text: pongLine, fence: true})
 	case opPong:
 		c.pingsOut = 0
 	case opPub, opHPub:
@@ -139,39 +139,22 @@
 	case opSub:
 		c.subscribe(m)
 	case opUnsub:
-		if s := c.subscriptions[string(m.sid)]; s != nil && !s.acknowledged && m.maxMessages == 0 {
-			s.end() // given up before it ever stood
-			c.respondOK()
-		} else if s != nil {
-			// What was published before it still counts for it.
-			most := m.maxMessages
-			c.pendingSubscribes++ // what is published after it is not
-			c.respond(response{subscription: s, fence: true, then: func() {
-				c.pendingSubscribes--
-				s.setMaxMessages(most)
-				c.scheduleResume()
-			}})
-			if c.options.Verbose {
-				c.respond(response{text: "+OK\r\n"})
-			}
-		} else {
-			c.respondOK()
-		}
+		c.unsubscribe(m)
 	case opOK, opErr:
 	default:
-		c.fail(errProtocol.Error())
+		c.fail(errProtocol)
 	}
 	return true
 }
 
-// handleConnect takes CONNECT in.
+// handleConnect handles CONNECT.
 func (c *client) handleConnect(text []byte) {
 	var check map[string]any
 	if json.Unmarshal(text, &check) != nil || json.Unmarshal(text, &c.options) != nil {
-		c.fail(errParse.Error())
+		c.fail(errParse)
 		return
 	}
-	if c.connect != nil { // said again, it changes options and not who the client is
+	if c.connect != nil { // a repeated CONNECT changes options, not the identity
 		c.respondOK()
 		return
 	}
@@ -184,24 +167,23 @@
 	})
 }
 
-// wantsEcho says whether the client takes its own publications.
+// wantsEcho reports whether the client receives its own publications.
 func (c *client) wantsEcho() bool { return c.options.Echo == nil || *c.options.Echo }
 
-// schedulePing pings the client, and ends it when it no longer answers.
+// schedulePing pings the client at intervals, and closes it when it no longer answers.
 func (c *client) schedulePing() {
 	c.timer.Stop()
 	c.timer = c.front.Loop.After(c.front.pingInterval(), func() {
 		if c.pingsOut++; c.pingsOut > c.front.MaxPingsOut {
-			c.fail("Stale Connection")
+			c.fail(errStaleConnection)
 			return
 		}
-		c.write([]byte("PING\r\n"))
+		c.write([]byte(pingLine))
 		c.schedulePing()
 	})
 }
 
-// isIdle says that the client may be sent elsewhere: no request of its is on
-// its way or open.
+// isIdle reports whether the client has no pending request and no subscription, so that closing it loses nothing.
 func (c *client) isIdle() bool {
 	for _, s := range c.subscriptions {
 		if !s.local {
@@ -211,16 +193,17 @@
 	return c.isQuiescent() && len(c.proxied) == 0
 }
 
-// sendError tells of an error that does not end the connection.
+// sendError sends -ERR without closing the connection.
 func (c *client) sendError(text string) { c.write(fmt.Appendf(nil, "-ERR '%s'\r\n", text)) }
 
-// fail tells of an error and ends the connection.
-func (c *client) fail(text string) {
-	c.sendError(text)
+// fail sends -ERR and closes the connection.
+func (c *client) fail(err error) {
+	c.sendError(err.Error())
 	c.close()
 }
 
-// close is the one end of a client; all that it holds ends with it.
+// close ends the client with its publishers, subscriptions, proxied requests and links. Each path that ends one leads
+// here.
 func (c *client) close() {
 	if c.closed {
 		return
@@ -245,7 +228,7 @@
 	c.conn.Finish()
 }
 
-// deliverLocal hands a message of the relay's own to the client's subscriptions.
+// deliverLocal delivers a message from the relay itself to the client's subscription for its subject.
 func (c *client) deliverLocal(m command) {
 	for _, s := range c.subscriptions {
 		if subjectMatches(s.subject, m.subject) {
@@ -256,11 +239,11 @@
 	}
 }
 
-// deliverStatus delivers a status of the relay's own on a reply subject.
+// deliverStatus delivers a status from the relay itself on a reply subject.
 func (c *client) deliverStatus(reply []byte, status string) {
 	head := "NATS/1.0 " + status + "\r\n\r\n"
 	c.deliverLocal(command{subject: reply, headerLen: len(head), payload: []byte(head)})
 }
 
-// wantsStatus says whether the client hears of a lost publication on its reply subject.
+// wantsStatus reports whether the client takes the status of a lost publication on its reply subject.
 func (c *client) wantsStatus(reply []byte) bool { return len(reply) > 0 && c.options.NoResponders }
--- a/internal/front/nats/client_auth.go
+++ b/internal/front/nats/client_auth.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// enterers check passwords, each a tenth of a second of work; so many clients may wait for
-	// them, and who comes then is refused at once.
+	// authWorkers check passwords, each a tenth of a second of work; authQueueSize clients may wait for
+	// them, and further ones are rejected at once.
 	authWorkers   = 2
 	authQueueSize = 256
 )
 
-// ReloadSecurity takes over what was read again. Who has entered stays.
+// ReloadSecurity replaces the security files' content. Authenticated clients stay connected.
 func (f *Front) ReloadSecurity(s *Security) {
 	if f.security != nil && f.security.authQueue != nil {
-		close(f.security.authQueue) // its workers end when they are done
+		close(f.security.authQueue) // its workers finish the queue and exit
 	}
 	if s.authenticator != nil {
 		s.authQueue = make(chan func(), authQueueSize)
@@ -35,7 +35,7 @@
 	f.security = s
 }
 
-// addSecurityInfo is what INFO says of all this.
+// addSecurityInfo adds the TLS and authentication options to INFO.
 func (f *Front) addSecurityInfo(c *client, v map[string]any) {
 	if f.security.server != nil {
 		v["tls_required"] = !f.TLS.Optional
@@ -59,35 +59,35 @@
 	}
 }
 
-// checkTLS starts TLS at a client's first byte, or turns away who goes without where it must not. It
-// says whether the client's bytes may be read as they are.
+// checkTLS starts TLS if a client's first byte begins a handshake, and rejects the client if it does not but has to. It
+// reports whether the client's bytes may be read as they are.
 func (c *client) checkTLS(first byte) bool {
 	c.tlsChecked = true
-	const record = 0x16 // the first byte of a TLS handshake
+	const handshakeRecord = 0x16 // the first byte of a TLS handshake
 	switch {
 	case c.front.security.server == nil || c.conn.IsTLS():
 		return true
-	case first == record:
+	case first == handshakeRecord:
 		c.conn.PauseReading()
 		c.front.Loop.After(0, func() { c.conn.StartTLS(c.front.security.server, false, connectTimeout, func(tls.ConnectionState) {}) })
 		return false
 	case c.front.TLS.Optional:
 		return true
 	}
-	c.fail("Secure Connection - TLS Required")
+	c.fail(errTLSRequired)
 	return false
 }
 
-// authenticate checks who a client is; then is run once it has entered.
+// authenticate checks a client's credentials, on a worker if that takes long, and then calls then.
 func (c *client) authenticate(connect []byte, then func()) {
-	book := c.front.security.authenticator
-	if book == nil {
+	authenticator := c.front.security.authenticator
+	if authenticator == nil {
 		then()
 		return
 	}
 	claims, err := auth.ParseConnect(connect)
 	if err != nil {
-		c.fail(errParse.Error())
+		c.fail(errParse)
 		return
 	}
 	decide := func(id *auth.Identity, err error) {
@@ -98,26 +98,26 @@
 			c.front.Counts.Denied++
 			c.front.Log.WithError(err).WithField("client", c.remote).Info("denied")
 			if errors.Is(err, auth.ErrExpired) {
-				c.fail("User Authentication Expired")
+				c.fail(errAuthExpired)
 			} else {
-				c.fail("Authorization Violation")
+				c.fail(errAuthorization)
 			}
 			return
 		}
 		c.permissions = id.Permissions
 		c.replies = auth.NewReplyTracker(id.Permissions)
 		if !id.Expires.IsZero() {
-			c.expiryTimer = c.front.Loop.After(time.Until(id.Expires), func() { c.fail("User Authentication Expired") })
+			c.expiryTimer = c.front.Loop.After(time.Until(id.Expires), func() { c.fail(errAuthExpired) })
 		}
 		then()
 	}
-	if !book.ChecksPassword(claims) {
-		decide(book.Authenticate(claims, c.nonce, time.Now()))
+	if !authenticator.ChecksPassword(claims) {
+		decide(authenticator.Authenticate(claims, c.nonce, time.Now()))
 		return
 	}
 	c.authenticating = true
-	work := func() {
-		id, err := book.Authenticate(claims, c.nonce, time.Now())
+	check := func() {
+		id, err := authenticator.Authenticate(claims, c.nonce, time.Now())
 		c.front.Loop.Post(func() {
 			c.authenticating = false
 			decide(id, err)
@@ -125,13 +125,13 @@
 		})
 	}
 	select {
-	case c.front.security.authQueue <- work:
+	case c.front.security.authQueue <- check:
 	default:
-		c.fail("Authentication Timeout")
+		c.fail(errAuthTimeout)
 	}
 }
 
-// canPublish says whether the client may publish to a subject.
+// canPublish reports whether the client may publish to a subject.
 func (c *client) canPublish(subject []byte) bool {
 	if c.permissions == nil || c.permissions.CanPublish(string(subject)) {
 		return true
--- a/internal/front/nats/command.go
+++ b/internal/front/nats/command.go
@@ -4,16 +4,6 @@
 	"strconv"
 )
 
-// protocolError is an error with a text of the public protocol, as it is sent after -ERR.
-type protocolError string
-
-const (
-	errProtocol protocolError = "Unknown Protocol Operation"
-	errParse    protocolError = "Parser Error"
-	errControl  protocolError = "maximum control line exceeded"
-	errPayload  protocolError = "Maximum Payload Violation"
-)
-
 // op is an operation of the protocol.
 type op uint8
 
@@ -33,29 +23,28 @@
 	opUnsub
 )
 
-// command is one protocol message, of either side. Its parts stand in the buffer that was
-// parsed.
+// command is one protocol message, of either side. Its slices point into the parsed buffer.
 type command struct {
 	op          op
-	args        []byte // what stands behind the operation, for CONNECT, INFO and -ERR
+	args        []byte // the rest of the line, for CONNECT, INFO and -ERR
 	subject     []byte
 	sid         []byte
 	reply       []byte
 	queue       []byte
 	maxMessages int // of UNSUB
-	headerLen   int // how much of payload is the header block
+	headerLen   int // length of the header block at the start of payload
 	payload     []byte
 }
 
-// lineRoom is what a line takes besides subjects and names.
+// lineOverhead is how many bytes a line takes besides subjects and names, at most.
 const lineOverhead = 64
 
-// encodedSize is how many bytes the text of a message takes at most.
+// encodedSize is how many bytes the encoded message takes, at most.
 func (m *command) encodedSize(sid string) int {
 	return len(m.subject) + len(sid) + len(m.reply) + len(m.payload) + lineOverhead
 }
 
-// appendMessage appends the text of a message to a subscriber.
+// appendMessage encodes a message to a subscriber.
 func (m *command) appendMessage(to []byte, sid string) []byte {
 	if m.headerLen > 0 {
 		to = append(to, "HMSG "...)
@@ -67,7 +56,7 @@
 	return m.appendRest(to)
 }
 
-// appendPublication appends the text of a publication.
+// appendPublication encodes a publication.
 func (m *command) appendPublication(to []byte) []byte {
 	if m.headerLen > 0 {
 		to = append(to, "HPUB "...)
@@ -78,6 +67,7 @@
 	return m.appendRest(to)
 }
 
+// appendRest encodes what follows the subject.
 func (m *command) appendRest(to []byte) []byte {
 	if len(m.reply) > 0 {
 		to = append(append(to, m.reply...), ' ')
@@ -88,3 +78,10 @@
 	to = append(strconv.AppendInt(to, int64(len(m.payload)), 10), '\r', '\n')
 	return append(append(to, m.payload...), '\r', '\n')
 }
+
+// Lines that have no arguments.
+const (
+	pingLine = "PING\r\n"
+	pongLine = "PONG\r\n"
+	okLine   = "+OK\r\n"
+)
--- a/internal/front/nats/config.go
+++ b/internal/front/nats/config.go
@@ -9,7 +9,7 @@
 	"dahliarudder/internal/settings"
 )
 
-// Config is how the operator's file sets the front up. A zero stands for the default.
+// Config is the front's section of the configuration file. A zero stands for the default.
 type Config struct {
 	Listen           string `json:"listen"`
 	MaxPayload       int    `json:"max_payload"`       // bytes; 1 MiB
@@ -17,36 +17,36 @@
 	MaxSubscriptions int    `json:"max_subscriptions"` // of one client; 4096
 	MaxConnections   int    `json:"max_connections"`   // of all clients; no bound but descriptors
 	PingIntervalMS   int    `json:"ping_interval_ms"`  // 30,000
-	MaxPingsOut      int    `json:"ping_max"`          // unanswered ones that end a client; 2
-	SlowAfterMS      int    `json:"slow_after_ms"`     // a client may leave 64 KiB unread; 2,000
+	MaxPingsOut      int    `json:"ping_max"`          // unanswered pings that close a client; 2
+	SlowAfterMS      int    `json:"slow_after_ms"`     // how long a client may leave 64 KiB unread; 2,000
 	WindowMessages   int    `json:"window_messages"`   // of one feed; 512
 	WindowBytes      int    `json:"window_bytes"`      // likewise; 1 MiB
 	// LoadSubject is where members answer a request with their load report; empty
 	// if they do not.
 	LoadSubject string   `json:"load_subject"`
-	MemberFlows int      `json:"member_flows"` // that fill a member which tells nothing of that; 10,000
-	ConnectURLs []string `json:"connect_urls"` // of other relays, told to clients
-	Class       string   `json:"class"`        // of what no route names
+	MemberFlows int      `json:"member_flows"` // that fill a member without load reports; 10,000
+	ConnectURLs []string `json:"connect_urls"` // of other relays, advertised to clients
+	Class       string   `json:"class"`        // of subjects that match no route
 	Tenant      string   `json:"tenant"`       // likewise
 	Routes      []Route  `json:"routes"`
 
-	TLS         *ServerTLS   `json:"tls"`          // nil: clients are spoken to in plain
-	MemberTLS   *MemberTLS   `json:"member_tls"`   // nil: members are
-	Auth        *auth.Config `json:"auth"`         // nil: all may enter
-	MemberLogin *MemberLogin `json:"member_login"` // nil: members are told the client's own
+	TLS         *ServerTLS   `json:"tls"`          // nil: plain TCP to clients
+	MemberTLS   *MemberTLS   `json:"member_tls"`   // nil: plain TCP to members
+	Auth        *auth.Config `json:"auth"`         // nil: no authentication
+	MemberLogin *MemberLogin `json:"member_login"` // nil: the client's own credentials are forwarded
 
-	Dir            string `json:"-"` // of the file, for paths that are not absolute
-	noHealthChecks bool   // the settings allow no probes: the relay goes by its own view alone
+	Dir            string `json:"-"` // of the file, for relative paths
+	noHealthChecks bool   // the settings allow none: load is only estimated
 }
 
-// Route says what requests on matching subjects are; the first that matches counts.
+// Route sets the class and tenant of matching subjects; the first that matches counts.
 type Route struct {
 	Subject string `json:"subject"`
 	Class   string `json:"class"`
 	Tenant  string `json:"tenant"`
 }
 
-// intSetting is a number of the configuration with what it may be.
+// intSetting is an integer of the configuration with its default and range.
 type intSetting struct {
 	key          string
 	value        *int
@@ -82,7 +82,7 @@
 	return time.Duration(c.PingIntervalMS) * time.Millisecond
 }
 
-// Validate says what is wrong with the configuration, by its key.
+// Validate returns what is wrong with the configuration, by its key.
 func (c *Config) Validate(set *settings.Settings) error {
 	for _, b := range c.intSettings() {
 		if n := *b.value; n != 0 && (n < b.min || n > b.max) {
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// AdaptSettings makes the settings those of a relay whose members all stand behind this front. Every
-// one is then reported of: by itself, or by the relay's own view.
+// AdaptSettings changes the settings for a relay whose members are all NATS servers: each member then has a load
+// report, its own or an estimate.
 func (c *Config) AdaptSettings(set *settings.Settings) {
 	c.noHealthChecks = !set.Limits.Probes
 	set.Limits.Probes, set.Report.Source = true, "on_probe"
--- /dev/null
+++ b/internal/front/nats/errors.go
@@ -0,0 +1,24 @@
+package nats
+
+// protocolError is an error of the public protocol; its text follows -ERR.
+type protocolError string
+
+func (e protocolError) Error() string { return string(e) }
+
+const (
+	errProtocol         protocolError = "Unknown Protocol Operation"
+	errParse            protocolError = "Parser Error"
+	errControl          protocolError = "maximum control line exceeded"
+	errPayload          protocolError = "Maximum Payload Violation"
+	errHeaders          protocolError = "message headers not supported"
+	errInvalidSubject   protocolError = "Invalid Subject"
+	errInvalidPublish   protocolError = "Invalid Publish Subject"
+	errMaxConnections   protocolError = "maximum connections exceeded"
+	errMaxSubscriptions protocolError = "maximum subscriptions exceeded"
+	errTLSRequired      protocolError = "Secure Connection - TLS Required"
+	errAuthorization    protocolError = "Authorization Violation"
+	errAuthTimeout      protocolError = "Authentication Timeout"
+	errAuthExpired      protocolError = "User Authentication Expired"
+	errSlowConsumer     protocolError = "Slow Consumer"
+	errStaleConnection  protocolError = "Stale Connection"
+)
--- a/internal/front/nats/health_check.go
+++ b/internal/front/nats/health_check.go
@@ -14,7 +14,7 @@
 	"dahliarudder/policy"
 )
 
-// healthCheck asks one member for its load, on a connection of its own.
+// healthCheck is one health check of a member, on a connection of its own.
 type healthCheck struct {
 	front  *Front
 	id     policy.ServerID
@@ -24,10 +24,11 @@
 	timer  *netloop.Timer
 }
 
+// checkReplySubject is where a member sends its load report.
 const checkReplySubject = "_dahlia.load.reply"
 
-// CheckHealth asks a member for its load; the answer goes to the core. Of a member that reports
-// none, the relay's own view is the report.
+// CheckHealth requests a load report from a member; the answer goes to the core. For a member without load
+// reports an estimate takes its place.
 func (f *Front) CheckHealth(to *core.Member) {
 	if f.noHealthChecks {
 		f.Core.ProbeResult(to.ID, policy.OK, f.loadEstimate.Report(to.ID, f.Core.FlowCount(to.ID)))
@@ -36,117 +37,116 @@
 	if f.healthChecks[to.ID] != nil {
 		return
 	}
-	p := &healthCheck{front: f, id: to.ID, addr: to.Addr}
-	f.healthChecks[to.ID] = p
-	p.timer = f.Loop.After(checkTimeout, func() { p.finish(policy.Timeout, policy.NoReport) })
-	p.conn = f.Loop.Dial(to.Addr, f.Core.PolicySettings().ConnectTimeout, p)
+	h := &healthCheck{front: f, id: to.ID, addr: to.Addr}
+	f.healthChecks[to.ID] = h
+	h.timer = f.Loop.After(checkTimeout, func() { h.finish(policy.Timeout, policy.NoReport) })
+	h.conn = f.Loop.Dial(to.Addr, f.Core.PolicySettings().ConnectTimeout, h)
 }
 
-// Open is told by the loop.
-func (p *healthCheck) Open() {
-	if cfg := p.front.memberTLS(p.addr); cfg != nil && p.front.MemberTLS.HandshakeFirst {
-		p.conn.StartTLS(cfg, true, checkTimeout, func(tls.ConnectionState) {})
-	}
+// Open implements netloop's handler.
+func (h *healthCheck) Open() {
+	h.front.startTLSFirst(h.conn, h.addr, checkTimeout)
 }
 
-// Drained is told by the loop.
-func (p *healthCheck) Drained() {}
+// Drained implements netloop's handler.
+func (h *healthCheck) Drained() {}
 
-// Data is told by the loop.
-func (p *healthCheck) Data(b []byte) int {
+// Data implements netloop's handler.
+func (h *healthCheck) Data(b []byte) int {
 	used := 0
-	for p.front.healthChecks[p.id] == p {
+	for h.front.healthChecks[h.id] == h {
 		m, n, err := parseCommand(b[used:], maxControl, netloop.DefaultReadLimit)
 		if err != nil {
-			p.finish(policy.Error, policy.NoReport)
+			h.finish(policy.Error, policy.NoReport)
 		}
 		if n == 0 {
 			return used
 		}
 		used += n
-		p.handle(&m)
+		h.handle(&m)
 	}
 	return len(b)
 }
 
-func (p *healthCheck) handle(m *command) {
+func (h *healthCheck) handle(m *command) {
 	switch m.op {
 	case opInfo:
-		p.front.updateMemberInfo(p.id, m.args)
+		h.front.updateMemberInfo(h.id, m.args)
 		info := append([]byte(nil), m.args...)
-		cfg := p.front.memberTLS(p.addr)
-		if cfg == nil || p.conn.IsTLS() {
-			p.sendRequest(info)
+		cfg := h.front.memberTLS(h.addr)
+		if cfg == nil || h.conn.IsTLS() {
+			h.sendRequest(info)
 			return
 		}
-		p.conn.PauseReading()
-		p.front.Loop.After(0, func() {
-			if p.front.healthChecks[p.id] == p {
-				p.conn.StartTLS(cfg, true, checkTimeout, func(tls.ConnectionState) { p.sendRequest(info) })
+		h.conn.PauseReading()
+		h.front.Loop.After(0, func() {
+			if h.front.healthChecks[h.id] == h {
+				h.conn.StartTLS(cfg, true, checkTimeout, func(tls.ConnectionState) { h.sendRequest(info) })
 			}
 		})
 	case opPong:
-		if took, known := p.front.answerTime(p.sentAt); known {
-			p.front.loadEstimate.ObserveLatency(p.id, took)
+		if took, known := h.front.answerTime(h.sentAt); known {
+			h.front.loadEstimate.ObserveLatency(h.id, took)
 		}
-		if p.front.LoadSubject == "" {
-			p.finishEstimated()
+		if h.front.LoadSubject == "" {
+			h.finishEstimated()
 		}
 	case opMsg:
-		p.finish(policy.OK, p.front.loadEstimate.FillMissing(parseReport(m.payload)))
-	case opHMsg: // nobody listens there
-		p.finishEstimated()
+		h.finish(policy.OK, h.front.loadEstimate.FillMissing(parseReport(m.payload)))
+	case opHMsg: // 503: the member has no load reports
+		h.finishEstimated()
 	case opErr:
-		p.finish(policy.Error, policy.NoReport)
+		h.finish(policy.Error, policy.NoReport)
 	}
 }
 
-// sendRequest logs in and asks for the load.
-func (p *healthCheck) sendRequest(info []byte) {
+// sendRequest sends CONNECT and the request for the load report.
+func (h *healthCheck) sendRequest(info []byte) {
 	options := map[string]any{"verbose": false, "headers": true, "no_responders": true, "lang": "dahliarudder", "version": "1"}
-	if err := p.front.addCredentials(options, info); err != nil {
-		p.finish(policy.NotSent, policy.NoReport)
+	if err := h.front.addCredentials(options, info); err != nil {
+		h.finish(policy.NotSent, policy.NoReport)
 		return
 	}
 	text, _ := json.Marshal(options)
 	out := fmt.Sprintf("CONNECT %s\r\n", text)
-	if p.front.LoadSubject != "" {
-		out += fmt.Sprintf("SUB %s 1\r\nPUB %s %s 0\r\n\r\n", checkReplySubject, p.front.LoadSubject, checkReplySubject)
+	if h.front.LoadSubject != "" {
+		out += fmt.Sprintf("SUB %s 1\r\nPUB %s %s 0\r\n\r\n", checkReplySubject, h.front.LoadSubject, checkReplySubject)
 	}
-	p.sentAt = p.front.Loop.Now()
-	p.conn.Queue([]byte(out + "PING\r\n"))
+	h.sentAt = h.front.Loop.Now()
+	h.conn.Queue([]byte(out + pingLine))
 }
 
-// finishEstimated reports what the relay sees itself.
-func (p *healthCheck) finishEstimated() {
-	p.finish(policy.OK, p.front.loadEstimate.Report(p.id, p.front.Core.FlowCount(p.id)))
+// finishEstimated reports the estimated load.
+func (h *healthCheck) finishEstimated() {
+	h.finish(policy.OK, h.front.loadEstimate.Report(h.id, h.front.Core.FlowCount(h.id)))
 }
 
-// End is told by the loop.
-func (p *healthCheck) End(err error) {
+// End implements netloop's handler.
+func (h *healthCheck) End(err error) {
 	switch {
 	case errors.Is(err, netloop.ErrNoDescriptors):
-		p.finish(policy.NotSent, policy.NoReport)
-	case errors.Is(err, netloop.ErrDialTimeout): // it says nothing at all
-		p.finish(policy.Timeout, policy.NoReport)
+		h.finish(policy.NotSent, policy.NoReport)
+	case errors.Is(err, netloop.ErrDialTimeout): // the member does not respond at all
+		h.finish(policy.Timeout, policy.NoReport)
 	case err == io.EOF:
-		p.finish(policy.Reset, policy.NoReport)
+		h.finish(policy.Reset, policy.NoReport)
 	default:
-		p.finish(policy.ConnectFailed, policy.NoReport)
+		h.finish(policy.ConnectFailed, policy.NoReport)
 	}
 }
 
-func (p *healthCheck) finish(result policy.Result, report policy.Report) {
-	if p.front.healthChecks[p.id] != p {
+// finish reports the result to the core, once, and closes the connection.
+func (h *healthCheck) finish(result policy.Result, report policy.Report) {
+	if h.front.healthChecks[h.id] != h {
 		return
 	}
-	delete(p.front.healthChecks, p.id)
-	p.timer.Stop()
-	p.conn.Finish()
-	p.front.Core.ProbeResult(p.id, result, report)
+	delete(h.front.healthChecks, h.id)
+	h.timer.Stop()
+	h.conn.Finish()
+	h.front.Core.ProbeResult(h.id, result, report)
 }
 
-// parseReport reads a load report, a JSON object of numbers.
+// parseReport parses a load report, a JSON object of numbers.
 func parseReport(text []byte) policy.Report {
 	values := map[string]float64{}
 	if json.Unmarshal(text, &values) != nil {
--- a/internal/front/nats/info.go
+++ b/internal/front/nats/info.go
@@ -8,32 +8,32 @@
 	"dahliarudder/policy"
 )
 
-// memberInfo is what a member's INFO has said that clients should know.
+// memberInfo is the part of a member's INFO that affects clients.
 type memberInfo struct {
 	JetStream  bool `json:"jetstream"`
 	MaxPayload int  `json:"max_payload"`
 }
 
-// advertised is what the relay's own INFO says in consequence.
-type advertised struct {
+// advertisedInfo is the part of the relay's own INFO that depends on the members'.
+type advertisedInfo struct {
 	jetstream  bool
 	maxPayload int
 }
 
-// EnterLameDuck tells clients that the relay is leaving. The core then moves their
-// subscriptions, which ends their connections; who has none is ended by the sweep.
+// EnterLameDuck announces to clients that the relay shuts down or drains. The core then migrates their
+// subscriptions, which closes their connections; sweep closes idle clients.
 func (f *Front) EnterLameDuck() {
 	f.lameDuck, f.lameDuckSince = true, f.Loop.Now()
 	f.broadcastInfo()
 }
 
-// ExitLameDuck takes that back.
+// ExitLameDuck announces that the relay accepts work again.
 func (f *Front) ExitLameDuck() {
 	f.lameDuck = false
 	f.broadcastInfo()
 }
 
-// broadcastInfo sends INFO again to those who know the protocol that allows it.
+// broadcastInfo sends INFO again to the clients whose protocol version allows it.
 func (f *Front) broadcastInfo() {
 	for c := range f.clients {
 		if c.connect != nil && c.options.Protocol >= 1 {
@@ -42,10 +42,10 @@
 	}
 }
 
-// infoLine is what a client is told.
+// infoLine is the INFO line for a client.
 func (f *Front) infoLine(c *client) []byte {
 	v := map[string]any{"server_id": f.Name, "server_name": f.Name, "version": "2.10.0", "proto": 1, "go": "dahliarudder",
-		"headers": true, "max_payload": f.offers.maxPayload, "client_id": c.id, "ldm": f.lameDuck, "jetstream": f.offers.jetstream}
+		"headers": true, "max_payload": f.advertised.maxPayload, "client_id": c.id, "ldm": f.lameDuck, "jetstream": f.advertised.jetstream}
 	if host, port, ok := strings.Cut(c.local, ":"); ok && !strings.Contains(port, ":") {
 		v["host"], v["port"] = host, json.Number(port)
 	}
@@ -60,27 +60,26 @@
 	return fmt.Appendf(nil, "INFO %s\r\n", text)
 }
 
-// updateMemberInfo takes in what a member's INFO says, and tells clients when that changes what they
-// may do.
+// updateMemberInfo records a member's INFO. If that changes what clients may do, they get INFO again.
 func (f *Front) updateMemberInfo(id policy.ServerID, info []byte) {
-	t := &memberInfo{}
-	if json.Unmarshal(info, t) != nil {
+	received := &memberInfo{}
+	if json.Unmarshal(info, received) != nil {
 		return
 	}
-	f.memberInfos[id] = t
-	now := advertised{maxPayload: f.MaxPayload}
-	for id, t := range f.memberInfos {
+	f.memberInfos[id] = received
+	now := advertisedInfo{maxPayload: f.MaxPayload}
+	for id, m := range f.memberInfos {
 		if !f.Core.Reachable(id) {
 			delete(f.memberInfos, id)
 			continue
 		}
-		now.jetstream = now.jetstream || t.JetStream
-		if t.MaxPayload > 0 {
-			now.maxPayload = min(now.maxPayload, t.MaxPayload)
+		now.jetstream = now.jetstream || m.JetStream
+		if m.MaxPayload > 0 {
+			now.maxPayload = min(now.maxPayload, m.MaxPayload)
 		}
 	}
-	if now != f.offers {
-		f.offers = now
+	if now != f.advertised {
+		f.advertised = now
 		f.broadcastInfo()
 	}
 }
--- a/internal/front/nats/link.go
+++ b/internal/front/nats/link.go
@@ -15,32 +15,32 @@
 	"dahliarudder/policy"
 )
 
-// link is a client's connection to a member: one for each feed, since abandoning what is out on
-// it means ending it, and one for all subscriptions there. What is done on it is acknowledged by
-// the PONG to a PING that follows.
+// link is a client's connection to a member. There is one for each feed, since closing it is the only way to
+// abandon messages in flight, and one for all subscriptions at the member. The member acknowledges what was sent by its
+// PONG to a following PING.
 type link struct {
 	front         *Front
 	conn          *netloop.Conn
 	client        *client
 	member        *core.Member
-	publisher     *publisher // nil for one that holds subscriptions
-	ready         bool       // the member has taken CONNECT
+	publisher     *publisher // nil for a link with subscriptions
+	ready         bool       // the member has accepted CONNECT
 	infoReceived  bool
 	written       uint64   // bytes handed to the connection
-	onReady       []func() // for ready
-	pongHandlers  []func() // one for each PING that is out
+	onReady       []func() // called once it is
+	pongHandlers  []func() // one for each pending PING
 	fences        []*fence
 	subscriptions map[int]*subscription
 	lastSID       int           // the newest sid
-	batchedAcks   []func()      // wait for the PING at the end of this round
-	pingSentAt    time.Duration // when the PING of the sweep went out; 0 if none is
-	lastPingAt    time.Duration // when the last one did
-	readPaused    bool          // it was not read for a while since asked
+	batchedAcks   []func()      // share the PING at the end of this loop iteration
+	pingSentAt    time.Duration // when the PING of checkLiveness was sent; 0 if none is pending
+	lastPingAt    time.Duration // when the last one was
+	readPaused    bool          // reading was paused since then
 	idleTimer     *netloop.Timer
 	closed        bool
 }
 
-// dial makes a link.
+// dial opens a link to a member.
 func (c *client) dial(to *core.Member, p *publisher) *link {
 	l := &link{front: c.front, client: c, member: to, publisher: p}
 	c.links = append(c.links, l)
@@ -52,7 +52,7 @@
 	return l
 }
 
-// subscriptionLink finds or makes the link that holds the client's subscriptions at a member.
+// subscriptionLink finds or opens the link for the client's subscriptions at a member.
 func (c *client) subscriptionLink(to *core.Member) *link {
 	for _, l := range c.links {
 		if l.publisher == nil && l.member.ID == to.ID && !l.closed {
@@ -64,7 +64,7 @@
 	return l
 }
 
-// whenReady runs f once the link is ready.
+// whenReady calls f once the link is ready.
 func (l *link) whenReady(f func()) {
 	l.idleTimer.Stop()
 	if l.ready {
@@ -74,7 +74,7 @@
 	l.onReady = append(l.onReady, f)
 }
 
-// commit is Commit of the connection, and counts.
+// commit writes a buffer of the connection, and counts its bytes.
 func (l *link) commit(out []byte) {
 	before := l.conn.Unsent()
 	l.conn.Commit(out)
@@ -83,13 +83,13 @@
 
 func (l *link) write(b []byte) { l.commit(append(l.conn.Buffer(len(b)), b...)) }
 
-// afterPing has f run when the member has taken what was written so far.
+// afterPing calls f when the member has processed what was written so far.
 func (l *link) afterPing(f func()) {
-	l.write([]byte("PING\r\n"))
+	l.write([]byte(pingLine))
 	l.pongHandlers = append(l.pongHandlers, f)
 }
 
-// afterBatchedPing does the same with one PING for all that is written in this round of the loop.
+// afterBatchedPing does the same with one PING for all calls in this iteration of the loop.
 func (l *link) afterBatchedPing(f func()) {
 	if l.batchedAcks = append(l.batchedAcks, f); len(l.batchedAcks) > 1 {
 		return
@@ -107,7 +107,7 @@
 	})
 }
 
-// addFence has a barrier told when the member's answers are past this point, or the link is gone.
+// addFence calls the fence's linkPassed when the member has processed what was written so far, or the link is closed.
 func (l *link) addFence(b *fence) {
 	l.fences = append(l.fences, b)
 	l.afterBatchedPing(func() { l.passFence(b) })
@@ -126,13 +126,13 @@
 	return l.lastSID
 }
 
-// removeSubscription forgets a sid.
+// removeSubscription removes a sid.
 func (l *link) removeSubscription(sid int) {
 	delete(l.subscriptions, sid)
 	l.startIdleTimer()
 }
 
-// startIdleTimer gives a link back that holds no subscription for a while.
+// startIdleTimer closes the link once it has had no subscriptions for linkIdleTimeout.
 func (l *link) startIdleTimer() {
 	l.idleTimer.Stop()
 	if l.closed || l.publisher != nil || len(l.subscriptions) > 0 {
@@ -145,19 +145,19 @@
 	})
 }
 
-// Drained is told by the loop.
+// Drained implements netloop's handler.
 func (l *link) Drained() {
 	if l.publisher != nil && l.ready {
 		l.publisher.feed.OnWritable()
 	}
 }
 
-// Data is told by the loop.
+// Data implements netloop's handler.
 func (l *link) Data(b []byte) int {
 	used := 0
 	for !l.closed {
 		if l.client.overHighWater() {
-			l.conn.PauseReading() // the client's Drained goes on
+			l.conn.PauseReading() // the client's Drained resumes it
 			l.readPaused = true
 			return used
 		}
@@ -198,20 +198,18 @@
 			l.handleInfo(append([]byte(nil), m.args...))
 		}
 	case opPing:
-		l.write([]byte("PONG\r\n"))
+		l.write([]byte(pongLine))
 	case opErr:
 		l.handleError(m.args)
 	}
 }
 
-// Open is told by the loop; the member speaks first, but where TLS does.
+// Open implements netloop's handler. The member sends INFO first, unless TLS comes before that.
 func (l *link) Open() {
-	if cfg := l.front.memberTLS(l.member.Addr); cfg != nil && l.front.MemberTLS.HandshakeFirst {
-		l.conn.StartTLS(cfg, true, l.front.Core.PolicySettings().ConnectTimeout, func(tls.ConnectionState) {})
-	}
+	l.front.startTLSFirst(l.conn, l.member.Addr, l.front.Core.PolicySettings().ConnectTimeout)
 }
 
-// handleInfo answers the member's INFO, by TLS if that is configured.
+// handleInfo answers the member's INFO, after a TLS handshake if one is configured.
 func (l *link) handleInfo(info []byte) {
 	cfg := l.front.memberTLS(l.member.Addr)
 	if cfg == nil || l.conn.IsTLS() {
@@ -224,17 +222,17 @@
 	})
 }
 
-// sendConnect says CONNECT with what the client said, but for what is the relay's own.
+// sendConnect sends CONNECT with the client's options, except those that are the relay's own.
 func (l *link) sendConnect(info []byte) {
 	options := map[string]any{}
 	err := errors.Join(json.Unmarshal(l.client.connect, &options), l.front.addCredentials(options, info))
 	options["verbose"], options["pedantic"], options["headers"], options["no_responders"] = false, false, true, true
-	options["echo"] = true // see origin
+	options["echo"] = true // see originHeader
 	if _, ok := options["lang"]; !ok {
 		options["lang"], options["version"] = "dahliarudder", "1"
 	}
-	text, bad := json.Marshal(options)
-	if err = errors.Join(err, bad); err != nil {
+	text, marshalErr := json.Marshal(options)
+	if err = errors.Join(err, marshalErr); err != nil {
 		l.fail(err)
 		return
 	}
@@ -245,23 +243,23 @@
 			l.publisher.linkReady()
 			return
 		}
-		waiting := l.onReady
+		callbacks := l.onReady
 		l.onReady = nil
-		for _, f := range waiting {
+		for _, f := range callbacks {
 			f()
 		}
 	})
 }
 
-// handleError is the member's -ERR. One that concerns a publication ends that
-// attempt; any other that matters is followed by the end of the connection.
+// handleError handles the member's -ERR. One that concerns a publication ends that
+// attempt; after any other that matters the member closes the connection.
 func (l *link) handleError(text []byte) {
-	l.front.Log.WithField("member", l.member.Name).WithField("error", string(text)).Debug("member refused")
+	l.front.Log.WithField("member", l.member.Name).WithField("error", string(text)).Debug("member returned -ERR")
 	if l.publisher != nil {
 		l.publisher.linkError(text)
 		return
 	}
-	for sid, s := range l.subscriptions { // its subject stands in the text, or none does
+	for sid, s := range l.subscriptions { // the text names its subject, or none
 		if !s.active && s.link == l && s.linkSID == sid && l.ready && errorConcerns(text, s.subject) {
 			delete(l.subscriptions, sid)
 			s.linkLost(policy.Error)
@@ -269,7 +267,7 @@
 	}
 }
 
-// errorConcerns says whether an error's text names that subject, or none.
+// errorConcerns reports whether an error's text names that subject, or is about an unnamed subscription.
 func errorConcerns(text []byte, subject string) bool {
 	_, rest, ok := bytes.Cut(text, []byte(`"`))
 	if !ok {
@@ -279,10 +277,10 @@
 	return string(named) == subject
 }
 
-// End is told by the loop.
+// End implements netloop's handler.
 func (l *link) End(err error) { l.fail(err) }
 
-// fail ends a link that broke and tells those who used it.
+// fail closes a link that broke, and notifies its publisher or subscriptions.
 func (l *link) fail(err error) {
 	if l.closed {
 		return
@@ -292,9 +290,9 @@
 		result = policy.ConnectFailed
 	}
 	if l.infoReceived && !l.ready && err == io.EOF {
-		result = policy.Error // it did not take CONNECT
+		result = policy.Error // it rejected CONNECT
 	}
-	if errors.Is(err, netloop.ErrNoDescriptors) { // the relay's own want, not the member's failure
+	if errors.Is(err, netloop.ErrNoDescriptors) { // the relay's own shortage, not the member's fault
 		result = policy.NotSent
 	}
 	left := l.written - min(l.written, uint64(l.conn.Unsent()))
@@ -314,7 +312,7 @@
 	}
 }
 
-// reset ends the link at once.
+// reset closes the link at once.
 func (l *link) reset() {
 	if !l.closed {
 		l.release()
@@ -322,7 +320,7 @@
 	}
 }
 
-// close ends a link politely that nobody needs.
+// close closes the link gracefully.
 func (l *link) close() {
 	if !l.closed {
 		l.release()
@@ -330,7 +328,7 @@
 	}
 }
 
-// release gives back what the link holds besides its connection.
+// release releases what the link holds besides its connection.
 func (l *link) release() {
 	l.closed = true
 	l.idleTimer.Stop()
--- a/internal/front/nats/link_liveness.go
+++ b/internal/front/nats/link_liveness.go
@@ -6,11 +6,10 @@
 	"dahliarudder/internal/netloop"
 )
 
-// checkLiveness pings the member of a link with subscriptions, times its answer, and
-// ends the link when it does not come.
+// checkLiveness pings the member of a link with subscriptions, times its answer, and fails the link if none comes.
 func (l *link) checkLiveness(now time.Duration) {
 	switch {
-	case l.pingSentAt > 0 && l.client.slowSince > 0: // nothing is read from it
+	case l.pingSentAt > 0 && l.client.slowSince > 0: // the link is not read
 		l.pingSentAt = now
 	case l.pingSentAt > 0 && now-l.pingSentAt > memberSilenceTimeout:
 		l.front.Log.WithField("member", l.member.Name).Warn("member has gone silent")
@@ -20,7 +19,7 @@
 		l.afterPing(func() {
 			took, known := l.front.answerTime(l.pingSentAt)
 			l.pingSentAt = 0
-			if l.readPaused || !known { // its answer has waited here
+			if l.readPaused || !known { // the answer has waited in this process
 				return
 			}
 			for _, s := range l.subscriptions {
@@ -34,12 +33,12 @@
 	}
 }
 
-// ownBusy is how busy the relay may be for its members' answers to be timed: beyond it they wait for
-// the relay, and a member would be blamed and left for that.
+// maxUtilization is the loop's utilization up to which members' answers are timed. Beyond it answers wait for the
+// loop, and members would be blamed for that.
 const maxUtilization = 0.8
 
-// answerTime is how long a member has taken for an answer, the relay's own work taken off; false if that
-// cannot be told.
+// answerTime is how long a member has taken for an answer, less the loop's own delay; false if the loop is too busy
+// to know.
 func (f *Front) answerTime(since time.Duration) (time.Duration, bool) {
 	return max(f.Loop.Now()-since-2*f.Loop.LastRoundDuration(), 0), f.Loop.Utilization() < maxUtilization
 }
--- a/internal/front/nats/member_auth.go
+++ b/internal/front/nats/member_auth.go
@@ -5,11 +5,13 @@
 	"encoding/base64"
 	"encoding/json"
 	"net/netip"
+	"time"
 
 	"dahliarudder/internal/auth"
+	"dahliarudder/internal/netloop"
 )
 
-// memberTLS is what a member at that address is spoken to with; nil for plain TCP.
+// memberTLS is the TLS configuration for a member at that address; nil for plain TCP.
 func (f *Front) memberTLS(addr string) *tls.Config {
 	if f.security.member == nil {
 		return nil
@@ -24,11 +26,18 @@
 	return cfg
 }
 
-// addCredentials puts the relay's own login into a CONNECT, where one is configured or the client's cannot be
-// passed on.
+// startTLSFirst starts the TLS handshake on a connection to a member if the configuration has it come before INFO.
+func (f *Front) startTLSFirst(conn *netloop.Conn, addr string, timeout time.Duration) {
+	if cfg := f.memberTLS(addr); cfg != nil && f.MemberTLS.HandshakeFirst {
+		conn.StartTLS(cfg, true, timeout, func(tls.ConnectionState) {})
+	}
+}
+
+// addCredentials puts the relay's own login into a CONNECT if one is configured, and removes those credentials of the
+// client's that cannot be forwarded.
 func (f *Front) addCredentials(connect map[string]any, info []byte) error {
 	if f.MemberLogin == nil {
-		for _, key := range []string{"nkey", "sig", "jwt"} { // answers to the relay's own challenge
+		for _, key := range []string{"nkey", "sig", "jwt"} { // the client's answers to the relay's challenge
 			delete(connect, key)
 		}
 		return nil
@@ -36,13 +45,13 @@
 	auth.StripCredentials(connect)
 	switch {
 	case f.security.nkey != nil:
-		var said struct {
+		var challenge struct {
 			Nonce string `json:"nonce"`
 		}
-		if err := json.Unmarshal(info, &said); err != nil {
+		if err := json.Unmarshal(info, &challenge); err != nil {
 			return err
 		}
-		sig, err := f.security.nkey.Sign([]byte(said.Nonce))
+		sig, err := f.security.nkey.Sign([]byte(challenge.Nonce))
 		if err != nil {
 			return err
 		}
--- a/internal/front/nats/nats.go
+++ b/internal/front/nats/nats.go
@@ -1,8 +1,7 @@
 // Package nats is the front for the NATS client protocol. To clients the relay is a NATS server,
-// to pool members a client. What is placed by the core is a flow: a client's publishing side of
-// one class and tenant, and each subscription. Publications travel on their feed's flow. Other
-// proxies call the decision module itself by request and reply on reserved subjects. See
-// docs/design/nats.md.
+// to pool members a client. The core places flows: one for a client's publications of one class and
+// tenant (a feed), and one for each subscription. Other proxies call the decision module itself by
+// request and reply on reserved subjects. See docs/design/nats.md.
 package nats
 
 import (
@@ -18,32 +17,32 @@
 	"dahliarudder/policy"
 )
 
-// Times of this front.
+// Timeouts and intervals of this front.
 const (
-	connectTimeout       = 2 * time.Second // a client may take to say CONNECT; 3 s are allowed
-	sweepInterval        = 500 * time.Millisecond
-	memberPingInterval   = 2 * time.Second
-	memberSilenceTimeout = 5 * time.Second // a member that answers no PING for so long is gone
-	linkIdleTimeout      = 5 * time.Second
-	checkTimeout         = 400 * time.Millisecond
-	resubscribeBackoff   = 150 * time.Millisecond // a subscription that failed is asked for again
-	drainTimeout         = 250 * time.Millisecond // a member that is left has to send what it has sent
-	verdictRetention     = 10 * time.Second
+	connectTimeout       = 2 * time.Second        // for a client's CONNECT; 3 s are allowed
+	sweepInterval        = 500 * time.Millisecond // between searches for slow clients and silent members
+	memberPingInterval   = 2 * time.Second        // on links with subscriptions
+	memberSilenceTimeout = 5 * time.Second        // for a member's PONG, after which it is lost
+	linkIdleTimeout      = 5 * time.Second        // of a link without subscriptions
+	checkTimeout         = 400 * time.Millisecond // of a health check
+	resubscribeBackoff   = 150 * time.Millisecond // before a failed subscription is placed again
+	drainTimeout         = 250 * time.Millisecond // for the last messages of a member that a subscription is moved off
+	verdictRetention     = 10 * time.Second       // of a final verdict that no proxy has taken
 )
 
-// highWater is how many unsent bytes to a client its links rest at.
+// clientHighWater is how many unsent bytes to a client stop the reading of its links.
 const clientHighWater = 64 << 10
 
-// linkWater is how many unsent bytes a link has before its feed waits; a message more still fits
-// the loop's buffers.
+// linkHighWater is how many unsent bytes on a link stop its feed; one more message still fits the
+// loop's buffers.
 const linkHighWater = 48 << 10
 
-// unsentLimit is a mark of unsent bytes, lowered while the buffers of all connections hold much.
-func (f *Front) unsentLimit(mark int) int {
+// unsentLimit is a limit of unsent bytes, lowered while the loop is short of buffer memory.
+func (f *Front) unsentLimit(limit int) int {
 	if f.Loop.MemoryPressure() {
-		return mark / 4
+		return limit / 4
 	}
-	return mark
+	return limit
 }
 
 // Front serves the NATS client protocol.
@@ -55,42 +54,42 @@
 	Name string
 
 	clients       map[*client]struct{}
-	proxied       map[string]*proxiedRequest // requests that proxies carry themselves, by login and name
+	proxied       map[string]*proxiedRequest // requests that proxies carry themselves, by requestKey
 	healthChecks  map[policy.ServerID]*healthCheck
 	routes        []route
 	loadEstimate  *loadestimate.Estimator
 	memberInfos   map[policy.ServerID]*memberInfo
-	offers        advertised
+	advertised    advertisedInfo
 	lastClientID  uint64
-	lameDuck      bool          // the relay stops or is drained
+	lameDuck      bool          // the relay shuts down or is drained
 	lameDuckSince time.Duration // when that began
 	Counts        Counts
 	security      *Security
 }
 
-// Counts is what has happened at this front.
+// Counts counts the clients and messages that this front has rejected.
 type Counts struct{ SlowConsumers, Rejected, Denied int }
 
-// route is a Route with its names looked up.
+// route is a resolved Route.
 type route struct {
 	subject string
 	to      destination
 }
 
-// destination is a class and a tenant; each client has one feed for each that it publishes to.
+// destination is a class and a tenant. A client has one feed for each destination that it publishes to.
 type destination struct{ class, tenant int }
 
-// New makes a front on the core.
+// New returns a front that places flows by the core.
 func New(loop *netloop.Loop, c *core.Core, log logrus.FieldLogger, name string, cfg Config, sec *Security) *Front {
 	cfg.setDefaults()
 	f := &Front{Loop: loop, Core: c, Log: log, Config: cfg, Name: name, clients: map[*client]struct{}{}, proxied: map[string]*proxiedRequest{},
 		healthChecks: map[policy.ServerID]*healthCheck{}, memberInfos: map[policy.ServerID]*memberInfo{},
-		loadEstimate: loadestimate.New(cfg.MemberFlows, c.PolicySettings().Balancers), offers: advertised{maxPayload: cfg.MaxPayload}}
+		loadEstimate: loadestimate.New(cfg.MemberFlows, c.PolicySettings().Balancers), advertised: advertisedInfo{maxPayload: cfg.MaxPayload}}
 	for _, r := range append(cfg.Routes, Route{">", cfg.Class, cfg.Tenant}) {
-		n := route{subject: r.Subject}
-		n.to.class, _ = c.Settings.Class(r.Class)
-		n.to.tenant, _ = c.Settings.Tenant(r.Tenant)
-		f.routes = append(f.routes, n)
+		resolved := route{subject: r.Subject}
+		resolved.to.class, _ = c.Settings.Class(r.Class)
+		resolved.to.tenant, _ = c.Settings.Tenant(r.Tenant)
+		f.routes = append(f.routes, resolved)
 	}
 	f.ReloadSecurity(sec)
 	loop.After(sweepInterval, f.sweep)
@@ -111,14 +110,14 @@
 		c.write(f.infoLine(c))
 	}
 	if f.Loop.DescriptorsLow() || f.MaxConnections > 0 && len(f.clients) > f.MaxConnections {
-		c.fail("maximum connections exceeded")
+		c.fail(errMaxConnections)
 		return
 	}
-	conn.SetEvictable(func() { c.fail("maximum connections exceeded") })
-	c.timer = f.Loop.After(connectTimeout, func() { c.fail("Authentication Timeout") })
+	conn.SetEvictable(func() { c.fail(errMaxConnections) })
+	c.timer = f.Loop.After(connectTimeout, func() { c.fail(errAuthTimeout) })
 }
 
-// destination is where a subject's requests belong.
+// destination is the class and tenant of a subject, by the first route that matches.
 func (f *Front) destination(subject []byte) destination {
 	for i := range f.routes {
 		if subjectMatches(f.routes[i].subject, subject) {
@@ -128,7 +127,7 @@
 	return destination{}
 }
 
-// newRequest is what the core is asked for.
+// newRequest is a request to the core.
 func (f *Front) newRequest(name string, to destination) core.Request {
 	return core.Request{Name: name, Class: to.class, Tenant: to.tenant, TimeLeft: f.Core.PolicySettings().Classes[to.class].Deadline}
 }
@@ -139,8 +138,8 @@
 	return h.Sum64()
 }
 
-// sweep pings members that hold subscriptions, ends links on which they have gone silent, ends
-// clients that are too slow, and while the relay leaves those for whom nothing is held.
+// sweep pings members with subscriptions, fails links on which they have gone silent, closes
+// clients that are too slow, and in lame duck mode closes idle clients.
 func (f *Front) sweep() {
 	now := f.Loop.Now()
 	for c := range f.clients {
@@ -150,7 +149,7 @@
 		case c.slowSince > 0 && now-c.slowSince >= f.slowTimeout():
 			f.Counts.SlowConsumers++
 			f.Log.WithField("client", c.remote).WithField("unsent", c.conn.Unsent()).Warn("slow consumer")
-			c.fail("Slow Consumer")
+			c.fail(errSlowConsumer)
 		}
 		for _, l := range c.links {
 			l.checkLiveness(now)
--- a/internal/front/nats/origin.go
+++ b/internal/front/nats/origin.go
@@ -5,13 +5,14 @@
 	"strconv"
 )
 
-// origin is the header by which the relay knows the publications of a client that does not want
-// them back: its feed and its subscriptions are on connections of their own.
+// originHeader marks the publications of a client with echo off, so that the relay recognizes them on the client's
+// subscriptions: these use other connections to members than its feed.
 const originHeader = "Dahlia-Origin: "
 
+// originID is the header's value for this client.
 func (c *client) originID() string { return c.front.Name + "-" + strconv.FormatUint(c.id, 10) }
 
-// addOrigin puts the origin into a publication's headers.
+// addOrigin adds the origin to a publication's headers.
 func (c *client) addOrigin(m *command) *command {
 	line := originHeader + c.originID() + "\r\n"
 	n := *m
@@ -27,8 +28,8 @@
 	return &n
 }
 
-// removeOrigin takes the origin out of a message's headers, and returns it.
-func removeOrigin(m *command) (who []byte) {
+// removeOrigin removes the origin from a message's headers, and returns it.
+func removeOrigin(m *command) (origin []byte) {
 	at := bytes.Index(m.payload[:m.headerLen], []byte("\r\n"+originHeader))
 	if at < 0 {
 		return nil
@@ -38,14 +39,14 @@
 	if end < 0 {
 		return nil
 	}
-	who = append(who, m.payload[at+len(originHeader):at+end]...)
+	origin = append(origin, m.payload[at+len(originHeader):at+end]...)
 	n := end + 2
-	// The message stands in the link's buffer, which is read once: what is before the line
-	// moves up to it.
+	// The message is in the link's buffer, which is read once: the bytes before the line are
+	// moved up to its end.
 	copy(m.payload[n:at+n], m.payload[:at])
 	m.payload, m.headerLen = m.payload[n:], m.headerLen-n
 	if string(m.payload[:m.headerLen]) == "NATS/1.0\r\n\r\n" {
 		m.payload, m.headerLen = m.payload[m.headerLen:], 0
 	}
-	return who
+	return origin
 }
--- a/internal/front/nats/parse.go
+++ b/internal/front/nats/parse.go
@@ -4,27 +4,25 @@
 	"bytes"
 )
 
-// Bounds of a control line; CONNECT and INFO carry more.
+// Limits of a control line. CONNECT and INFO may have maxInfo bytes.
 const (
 	maxControl = 4 << 10
 	maxInfo    = 32 << 10
 )
 
-func (e protocolError) Error() string { return string(e) }
-
-// parseOperation reads the first word of a line, in any case of letters.
-func parseOperation(word []byte) op {
+// parseOperation parses the first word of a line, which is case-insensitive.
+func parseOperation(name []byte) op {
 	var up [8]byte
-	if len(word) > len(up) {
+	if len(name) > len(up) {
 		return opNone
 	}
-	for i, b := range word {
+	for i, b := range name {
 		if 'a' <= b && b <= 'z' {
 			b -= 'a' - 'A'
 		}
 		up[i] = b
 	}
-	switch string(up[:len(word)]) {
+	switch string(up[:len(name)]) {
 	case "PUB":
 		return opPub
 	case "HPUB":
@@ -53,8 +51,8 @@
 	return opNone
 }
 
-// lineFields are those of a line behind its operation; more than the protocol knows are one too
-// many.
+// lineFields are the fields of a line behind its operation. One more than the protocol has is counted, so that
+// parsing fails.
 type lineFields struct {
 	values [6][]byte
 	count  int
@@ -62,7 +60,7 @@
 
 func isBlank(b byte) bool { return b == ' ' || b == '\t' }
 
-func splitFields(line []byte) (w lineFields) {
+func splitFields(line []byte) (f lineFields) {
 	for i := 0; i < len(line); {
 		if isBlank(line[i]) {
 			i++
@@ -72,17 +70,17 @@
 		for end < len(line) && !isBlank(line[end]) {
 			end++
 		}
-		if w.count < len(w.values) {
-			w.values[w.count] = line[i:end]
+		if f.count < len(f.values) {
+			f.values[f.count] = line[i:end]
 		}
-		w.count++
+		f.count++
 		i = end
 	}
-	return w
+	return f
 }
 
-// parseCommand reads one message off b, in which a control line may be so long and a payload have so
-// many bytes. With used 0 and no error the message is not whole yet.
+// parseCommand parses one message off b, given the maximum lengths of a control line and a payload. If used is 0 and
+// there is no error, the message is incomplete.
 func parseCommand(b []byte, control, payload int) (m command, used int, err error) {
 	end := bytes.IndexByte(b[:min(len(b), maxInfo)], '\n')
 	if end < 0 {
@@ -107,24 +105,24 @@
 		m.args = bytes.TrimSpace(line)
 	case opPing, opPong, opOK:
 	case opSub:
-		w := splitFields(line)
-		switch w.count {
+		fields := splitFields(line)
+		switch fields.count {
 		case 2:
-			m.subject, m.sid = w.values[0], w.values[1]
+			m.subject, m.sid = fields.values[0], fields.values[1]
 		case 3:
-			m.subject, m.queue, m.sid = w.values[0], w.values[1], w.values[2]
+			m.subject, m.queue, m.sid = fields.values[0], fields.values[1], fields.values[2]
 		default:
 			return m, 0, errParse
 		}
 	case opUnsub:
-		w := splitFields(line)
-		if w.count != 1 && w.count != 2 {
+		fields := splitFields(line)
+		if fields.count != 1 && fields.count != 2 {
 			return m, 0, errParse
 		}
-		m.sid = w.values[0]
-		if w.count == 2 {
+		m.sid = fields.values[0]
+		if fields.count == 2 {
 			var ok bool
-			if m.maxMessages, ok = parseNumber(w.values[1]); !ok {
+			if m.maxMessages, ok = parseNumber(fields.values[1]); !ok {
 				return m, 0, errParse
 			}
 		}
@@ -142,13 +140,14 @@
 	return m, used, nil
 }
 
-// allowsLongLine says whether a long line may follow.
+// allowsLongLine reports whether b begins with an operation whose line may be long.
 func allowsLongLine(b []byte) bool {
-	word, _, found := bytes.Cut(b[:min(len(b), 8)], []byte(" "))
-	o := parseOperation(word)
+	name, _, found := bytes.Cut(b[:min(len(b), 8)], []byte(" "))
+	o := parseOperation(name)
 	return found && (o == opConnect || o == opInfo)
 }
 
+// parseNumber parses a decimal number of at most nine digits.
 func parseNumber(b []byte) (n int, ok bool) {
 	if len(b) == 0 || len(b) > 9 {
 		return 0, false
@@ -162,8 +161,8 @@
 	return n, true
 }
 
-// parsePayload reads a message with a payload: subject [sid] [reply] [header bytes] bytes.
-func (m command) parsePayload(b []byte, used int, w lineFields, sid, header bool, payload int) (command, int, error) {
+// parsePayload parses a message with a payload: subject [sid] [reply] [header length] length.
+func (m command) parsePayload(b []byte, used int, fields lineFields, sid, header bool, payload int) (command, int, error) {
 	least := 2
 	if sid {
 		least++
@@ -171,26 +170,26 @@
 	if header {
 		least++
 	}
-	if w.count != least && w.count != least+1 {
+	if fields.count != least && fields.count != least+1 {
 		return m, 0, errParse
 	}
-	m.subject = w.values[0]
+	m.subject = fields.values[0]
 	i := 1
 	if sid {
-		m.sid = w.values[i]
+		m.sid = fields.values[i]
 		i++
 	}
-	if w.count > least {
-		m.reply = w.values[i]
+	if fields.count > least {
+		m.reply = fields.values[i]
 		i++
 	}
 	ok := true
 	if header {
-		m.headerLen, ok = parseNumber(w.values[i])
+		m.headerLen, ok = parseNumber(fields.values[i])
 		i++
 	}
-	size, whole := parseNumber(w.values[i])
-	if !ok || !whole || m.headerLen > size {
+	size, sizeOK := parseNumber(fields.values[i])
+	if !ok || !sizeOK || m.headerLen > size {
 		return m, 0, errParse
 	}
 	if size > payload {
--- a/internal/front/nats/processor.go
+++ b/internal/front/nats/processor.go
@@ -10,15 +10,14 @@
 	"dahliarudder/policy"
 )
 
-// The reserved subjects. Whoever subscribes below them subscribes at the relay
-// alone.
+// The reserved subjects. Subscriptions below them stand at the relay itself, not at members.
 const (
 	reservedPrefix = "_dahlia."
-	pickSubject    = reservedPrefix + "pick"   // ask for a verdict for a request
+	pickSubject    = reservedPrefix + "pick"   // request a verdict on a request
 	reportSubject  = reservedPrefix + "report" // report an attempt's outcome, get the next verdict
 )
 
-// pickRequest is what a proxy asks.
+// pickRequest is a proxy's call for the first verdict on a request.
 type pickRequest struct {
 	Name    string  `json:"name"`
 	Class   string  `json:"class"`
@@ -27,47 +26,70 @@
 	Group   string  `json:"group"`
 	WaitMS  float64 `json:"wait_ms"`
 	Load    float64 `json:"load"`
-	Control string  `json:"control"` // where verdicts go that nobody has asked for
+	Control string  `json:"control"` // where unsolicited verdicts go
 }
 
-// outcomeReport is what a proxy reports.
+// outcomeReport is a proxy's report of an attempt's outcome.
 type outcomeReport struct {
 	ID      core.ID            `json:"id"`
-	Try     int                `json:"try"`
+	Attempt int                `json:"try"`
 	Outcome string             `json:"outcome"`
 	Load    map[string]float64 `json:"load"`
 	Message float64            `json:"message_ms"` // how long a message took on the open flow
 }
 
-// verdict is what a proxy gets.
+// verdictKind is what a proxy has to do, or the state of its request.
+type verdictKind string
+
+const (
+	verdictSend    verdictKind = "send"    // make an attempt
+	verdictCancel  verdictKind = "cancel"  // abandon the attempt
+	verdictReject  verdictKind = "reject"  // final answer: the request may be retried
+	verdictFail    verdictKind = "fail"    // final answer: the request may have run
+	verdictUp      verdictKind = "up"      // the flow is open
+	verdictMove    verdictKind = "move"    // migrate the client
+	verdictServed  verdictKind = "served"  // the request is complete
+	verdictEnded   verdictKind = "ended"   // the open flow has ended
+	verdictUnknown verdictKind = "unknown" // no such request or attempt
+	verdictError   verdictKind = "error"   // the call is invalid
+)
+
+// verdict is the answer to a proxy.
 type verdict struct {
-	Verdict string  `json:"verdict"` // send, reject, fail, served, up, move, cancel, wait, ended, unknown or error
-	ID      core.ID `json:"id,omitempty"`
-	Try     int     `json:"try"`
-	Member  string  `json:"member,omitempty"`
-	Addr    string  `json:"addr,omitempty"`
-	WaitMS  int64   `json:"wait_ms,omitempty"`
-	AfterMS int64   `json:"after_ms,omitempty"`
-	Error   string  `json:"error,omitempty"`
+	Verdict verdictKind `json:"verdict"`
+	ID      core.ID     `json:"id,omitempty"`
+	Attempt int         `json:"try"`
+	Member  string      `json:"member,omitempty"`
+	Addr    string      `json:"addr,omitempty"`
+	WaitMS  int64       `json:"wait_ms,omitempty"`
+	AfterMS int64       `json:"after_ms,omitempty"`
+	Error   string      `json:"error,omitempty"`
 }
 
+// Outcomes that do not end the attempt.
+const (
+	outcomeUp      = "up"
+	outcomeMessage = "message"
+)
+
+// outcomes are the results of attempts by the names that proxies report.
 var outcomes = map[string]policy.Result{
 	"ok": policy.OK, "error": policy.Error, "full": policy.Full, "timeout": policy.Timeout,
 	"connect_failed": policy.ConnectFailed, "reset": policy.Reset, "cancelled": policy.Cancelled,
 }
 
-// proxiedRequest is a request of a proxy that carries it itself.
+// proxiedRequest is a request whose attempts another proxy makes itself. It is the core's downstream for that request.
 type proxiedRequest struct {
 	client         *client
 	requestID      core.ID
 	attempt        int
-	replySubject   string        // where the proxy waits for a verdict; empty if nowhere
-	controlSubject string        // where it takes others
-	undelivered    *verdict      // the last one that had nowhere to go
-	deadline       time.Duration // when the attempt that is out is given up
-	current        *verdict      // send or up: what the proxy was last told of the attempt that is out, or of the open flow; nil if there is none
-	key            string        // by which it is found when it is asked for again; empty if it has no name
-	finished       bool          // it has its final answer, and is not open
+	replySubject   string        // where the proxy awaits a verdict; empty if it does not
+	controlSubject string        // where it takes unsolicited verdicts; may be empty
+	undelivered    *verdict      // the last verdict, if there was no subject for it
+	deadline       time.Duration // of the attempt in flight
+	current        *verdict      // the last verdict, send or up, on the attempt in flight or the open flow; nil if there is none
+	key            string        // see requestKey
+	finished       bool          // it has its final answer
 	expiryTimer    *netloop.Timer
 }
 
@@ -94,14 +116,16 @@
 		}
 		return
 	}
-	c.sendVerdict(reply, verdict{Verdict: "error", Error: err.Error()})
+	c.sendVerdict(reply, verdict{Verdict: verdictError, Error: err.Error()})
 }
 
+// sendVerdict delivers a verdict on a subject.
 func (c *client) sendVerdict(subject string, v verdict) {
 	text, _ := json.Marshal(v)
 	c.deliverLocal(command{subject: []byte(subject), payload: text})
 }
 
+// handlePick opens a request, or resumes the open one of the same key.
 func (c *client) handlePick(q pickRequest, reply string) {
 	key := c.requestKey(q.Name)
 	if a := c.front.proxied[key]; a != nil {
@@ -112,7 +136,7 @@
 	class, ok := set.Class(q.Class)
 	tenant, ok2 := set.Tenant(q.Tenant)
 	if !ok || !ok2 {
-		c.sendVerdict(reply, verdict{Verdict: "error", Error: "unknown class or tenant"})
+		c.sendVerdict(reply, verdict{Verdict: verdictError, Error: "unknown class or tenant"})
 		return
 	}
 	r := core.Request{Name: q.Name, Class: class, Tenant: tenant, Load: max(q.Load, 0), TimeLeft: settings.Duration(q.WaitMS)}
@@ -125,8 +149,8 @@
 	if q.Group != "" {
 		r.Group = hash(q.Group)
 	}
-	if len(c.proxied) >= c.front.MaxSubscriptions { // each is held until it has ended and is forgotten
-		c.sendVerdict(reply, verdict{Verdict: "reject", AfterMS: verdictRetention.Milliseconds()})
+	if len(c.proxied) >= c.front.MaxSubscriptions { // each takes memory until it is removed
+		c.sendVerdict(reply, verdict{Verdict: verdictReject, AfterMS: verdictRetention.Milliseconds()})
 		return
 	}
 	a := &proxiedRequest{client: c, replySubject: reply, controlSubject: q.Control}
@@ -137,8 +161,8 @@
 	}
 }
 
-// requestKey is by what a request of that name is found again, asked for on any connection of the same login. A request
-// without a name is never found.
+// requestKey identifies a request of that name among all connections of the same login. It is empty without a name:
+// such a request is never resumed.
 func (c *client) requestKey(name string) string {
 	if name == "" {
 		return ""
@@ -149,12 +173,12 @@
 		NKey  string `json:"nkey"`
 		JWT   string `json:"jwt"`
 	}
-	json.Unmarshal(c.connect, &login) // it was read when it came
+	json.Unmarshal(c.connect, &login) // it was valid when it came
 	text, _ := json.Marshal(login)
 	return string(text) + name
 }
 
-// assignTo makes a request that client's.
+// assignTo attaches the request to a client.
 func (a *proxiedRequest) assignTo(c *client) {
 	if c.proxied == nil {
 		c.proxied = map[core.ID]*proxiedRequest{}
@@ -165,8 +189,8 @@
 	}
 }
 
-// resume is a call for a request that is held already: its proxy has not had the answer to an earlier one. It gets
-// what stands, and whatever comes next.
+// resume handles a repeated call for an open request, whose proxy has missed an earlier answer. It gets the current
+// verdict, or the next one.
 func (a *proxiedRequest) resume(c *client, q pickRequest, reply string) {
 	delete(a.client.proxied, a.requestID)
 	a.assignTo(c)
@@ -188,48 +212,49 @@
 	}
 }
 
+// handleReport applies a proxy's report to its request.
 func (c *client) handleReport(o outcomeReport, reply string) {
 	a := c.proxied[o.ID]
 	if a == nil {
-		c.sendVerdict(reply, verdict{Verdict: "unknown", ID: o.ID})
+		c.sendVerdict(reply, verdict{Verdict: verdictUnknown, ID: o.ID})
 		return
 	}
 	result, known := outcomes[o.Outcome]
 	switch {
-	case a.undelivered != nil: // the attempt it speaks of is over already
+	case a.undelivered != nil: // the attempt is over already
 		a.replySubject = reply
 		a.deliver(*a.undelivered)
 		return
-	case o.Try != a.attempt || a.finished:
-		c.sendVerdict(reply, verdict{Verdict: "unknown", ID: o.ID, Try: o.Try})
+	case o.Attempt != a.attempt || a.finished:
+		c.sendVerdict(reply, verdict{Verdict: verdictUnknown, ID: o.ID, Attempt: o.Attempt})
 		return
-	case o.Outcome == "up":
-		v := verdict{Verdict: "up", ID: a.requestID, Try: a.attempt}
+	case o.Outcome == outcomeUp:
+		v := verdict{Verdict: verdictUp, ID: a.requestID, Attempt: a.attempt}
 		if c.front.Core.FlowEstablished(a.requestID, a.attempt) {
 			a.current = &v
 		} else {
-			v.Verdict = "unknown"
+			v.Verdict = verdictUnknown
 		}
 		c.sendVerdict(reply, v)
-	case o.Outcome == "message":
+	case o.Outcome == outcomeMessage:
 		c.front.Core.ObserveMessageLatency(a.requestID, settings.Duration(o.Message))
-		c.sendVerdict(reply, verdict{Verdict: "up", ID: a.requestID, Try: a.attempt})
+		c.sendVerdict(reply, verdict{Verdict: verdictUp, ID: a.requestID, Attempt: a.attempt})
 	case !known:
-		c.sendVerdict(reply, verdict{Verdict: "error", ID: a.requestID, Try: a.attempt, Error: "unknown outcome"})
+		c.sendVerdict(reply, verdict{Verdict: verdictError, ID: a.requestID, Attempt: a.attempt, Error: "unknown outcome"})
 	default:
 		a.replySubject, a.current = reply, nil
 		c.front.Core.AttemptEnded(a.requestID, a.attempt, result, settings.Report(o.Load))
-		if !c.front.Core.IsActive(a.requestID) && !a.finished { // that was its end
-			v := verdict{Verdict: "ended", ID: a.requestID, Try: a.attempt}
+		if !c.front.Core.IsActive(a.requestID) && !a.finished { // the report has ended it
+			v := verdict{Verdict: verdictEnded, ID: a.requestID, Attempt: a.attempt}
 			if result == policy.OK {
-				v.Verdict = "served"
+				v.Verdict = verdictServed
 			}
 			a.finish(v)
 		}
 	}
 }
 
-// deliver hands a verdict to whoever waits for it.
+// deliver delivers a verdict on the subject that awaits it, or keeps it if there is none.
 func (a *proxiedRequest) deliver(v verdict) {
 	a.undelivered = nil
 	switch {
@@ -247,7 +272,7 @@
 	}
 }
 
-// finish gives the last verdict; one that nobody takes is kept for a while.
+// finish delivers the final verdict; one that nobody takes is retained for verdictRetention.
 func (a *proxiedRequest) finish(v verdict) {
 	a.finished, a.current = true, nil
 	a.expiryTimer.Stop()
@@ -255,6 +280,7 @@
 	a.deliver(v)
 }
 
+// remove forgets the request.
 func (a *proxiedRequest) remove() {
 	a.expiryTimer.Stop()
 	delete(a.client.proxied, a.requestID)
@@ -263,31 +289,32 @@
 	}
 }
 
-// Send tells the proxy to make an attempt. Its silence ends the attempt as any
-// other's.
-func (a *proxiedRequest) Send(id core.ID, to *core.Member, try int, wait time.Duration) {
-	v := verdict{Verdict: "send", ID: id, Try: try, Member: to.Name, Addr: to.Addr, WaitMS: wait.Milliseconds()}
-	a.requestID, a.attempt, a.current, a.deadline = id, try, &v, a.client.front.Loop.Now()+wait
+// Send has the proxy make an attempt. The core's timeout ends the attempt if the proxy never reports.
+func (a *proxiedRequest) Send(id core.ID, to *core.Member, attempt int, wait time.Duration) {
+	v := verdict{Verdict: verdictSend, ID: id, Attempt: attempt, Member: to.Name, Addr: to.Addr, WaitMS: wait.Milliseconds()}
+	a.requestID, a.attempt, a.current, a.deadline = id, attempt, &v, a.client.front.Loop.Now()+wait
 	a.deliver(v)
 }
 
-// Cancel tells the proxy to abandon its attempt, if it takes such word.
-func (a *proxiedRequest) Cancel(try int) {
+// Cancel has the proxy abandon its attempt, if it has a control subject.
+func (a *proxiedRequest) Cancel(attempt int) {
 	a.current = nil
 	if a.controlSubject != "" {
-		a.client.sendVerdict(a.controlSubject, verdict{Verdict: "cancel", ID: a.requestID, Try: try})
+		a.client.sendVerdict(a.controlSubject, verdict{Verdict: verdictCancel, ID: a.requestID, Attempt: attempt})
 	}
 }
 
-// Reject passes the final answer on.
+// Reject delivers the final answer.
 func (a *proxiedRequest) Reject(after time.Duration) {
-	a.finish(verdict{Verdict: "reject", ID: a.requestID, Try: a.attempt, AfterMS: after.Milliseconds()})
+	a.finish(verdict{Verdict: verdictReject, ID: a.requestID, Attempt: a.attempt, AfterMS: after.Milliseconds()})
 }
 
-// Fail passes the final answer on.
-func (a *proxiedRequest) Fail() { a.finish(verdict{Verdict: "fail", ID: a.requestID, Try: a.attempt}) }
+// Fail delivers the final answer.
+func (a *proxiedRequest) Fail() {
+	a.finish(verdict{Verdict: verdictFail, ID: a.requestID, Attempt: a.attempt})
+}
 
-// Migrate asks the proxy to move its client.
+// Migrate has the proxy migrate its client.
 func (a *proxiedRequest) Migrate() {
-	a.finish(verdict{Verdict: "move", ID: a.requestID, Try: a.attempt})
+	a.finish(verdict{Verdict: verdictMove, ID: a.requestID, Attempt: a.attempt})
 }
--- a/internal/front/nats/publisher.go
+++ b/internal/front/nats/publisher.go
@@ -18,20 +18,20 @@
 	destination    destination
 	feed           *core.Feed
 	link           *link
-	unpinged       int // messages that no PING follows yet
-	oldestReplySID int // the oldest sid whose message is not acknowledged
-	nextReplySID   int // the next sid to listen by
+	unpinged       int // messages since the last PING
+	oldestReplySID int // oldest sid of a reply subject whose message is not acknowledged
+	nextReplySID   int // next sid for a reply subject
 }
 
-// publish takes a publication in; false if its feed has no room, or subscriptions before it
-// do not stand yet.
+// publish hands a publication to its feed; it returns false if the feed is full, or subscriptions before it
+// are pending.
 func (c *client) publish(m *command) bool {
 	switch {
 	case m.headerLen > 0 && !c.options.Headers:
-		c.fail("message headers not supported")
+		c.fail(errHeaders)
 		return true
-	case len(m.payload) > c.front.offers.maxPayload:
-		c.fail(errPayload.Error())
+	case len(m.payload) > c.front.advertised.maxPayload:
+		c.fail(errPayload)
 		return true
 	case isReserved(m.subject):
 		if !c.canPublish(m.subject) {
@@ -53,19 +53,9 @@
 		p = c.publisherCache[string(m.subject)]
 	}
 	if p == nil {
-		if c.options.Pedantic && !validSubject(m.subject, false) { // others may have wildcards in it, as key-value watches do
-			c.sendError("Invalid Publish Subject")
+		if p = c.authorizedPublisher(m.subject); p == nil {
 			return true
 		}
-		if c.permissions != nil && !c.permissions.CanPublish(string(m.subject)) {
-			if !c.replies.AllowReply(c.front.Loop.RoundStart(), string(m.subject)) {
-				c.denyPublish(m.subject)
-				return true
-			}
-			p = c.publisherTo(c.front.destination(m.subject)) // this once: it is not remembered
-		} else {
-			p = c.publisherFor(m.subject)
-		}
 	}
 	if !p.feed.HasCapacity() {
 		return false
@@ -76,7 +66,7 @@
 		q.Name = "PUB " + string(m.subject)
 	}
 	if c.options.Verbose {
-		c.responses = append(c.responses, response{seq: c.publishSeq, text: "+OK\r\n"})
+		c.responses = append(c.responses, response{seq: c.publishSeq, text: okLine})
 	}
 	if !c.wantsEcho() {
 		m = c.addOrigin(m)
@@ -85,12 +75,29 @@
 	return true
 }
 
-// denyPublish tells of a subject that the client may not publish to.
+// authorizedPublisher finds the publisher for a subject that is not cached; if the client may not publish to it, the
+// client gets an error, and the result is nil.
+func (c *client) authorizedPublisher(subject []byte) *publisher {
+	if c.options.Pedantic && !validSubject(subject, false) { // other clients may publish to wildcards, as key-value watches do
+		c.sendError(string(errInvalidPublish))
+		return nil
+	}
+	if c.permissions == nil || c.permissions.CanPublish(string(subject)) {
+		return c.publisherFor(subject)
+	}
+	if !c.replies.AllowReply(c.front.Loop.RoundStart(), string(subject)) {
+		c.denyPublish(subject)
+		return nil
+	}
+	return c.publisherTo(c.front.destination(subject)) // allowed this once, so not cached
+}
+
+// denyPublish reports a subject that the client may not publish to.
 func (c *client) denyPublish(subject []byte) {
 	c.sendError(fmt.Sprintf("Permissions Violation for Publish to %q", subject))
 }
 
-// publisherFor finds the feed that a subject belongs to, and remembers it.
+// publisherFor finds the publisher for a subject, and caches it.
 func (c *client) publisherFor(subject []byte) *publisher {
 	p := c.publisherTo(c.front.destination(subject))
 	if len(c.publisherCache) >= maxCachedSubjects || c.publisherCache == nil {
@@ -101,7 +108,7 @@
 	return p
 }
 
-// publisherTo finds or makes the client's feed for a destination.
+// publisherTo finds or creates the client's publisher to a destination.
 func (c *client) publisherTo(to destination) *publisher {
 	for _, p := range c.publishers {
 		if p.destination == to {
@@ -115,22 +122,24 @@
 	return p
 }
 
-// Connect starts a link.
+// Connect opens a link for a new flow.
 func (p *publisher) Connect(to *core.Member, _ time.Duration) {
 	p.unpinged, p.oldestReplySID = 0, p.nextReplySID
 	p.link = p.client.dial(to, p)
 }
 
-// linkReady, lost and erred are told by the link.
+// linkReady notifies the feed that the link has its connection.
 func (p *publisher) linkReady() { p.feed.Connected() }
 
+// linkLost notifies the feed that the link is gone, and how many of its bytes had been sent.
 func (p *publisher) linkLost(result policy.Result, left uint64) {
 	p.link = nil
 	p.feed.Disconnected(result, left)
 }
 
+// linkError handles the member's -ERR.
 func (p *publisher) linkError(text []byte) {
-	// The subject stands in quotes; only such an error concerns one message, and others end the
+	// Only an error with a subject in quotes concerns one message; after others the member closes the
 	// connection.
 	if _, rest, ok := bytes.Cut(text, []byte(`"`)); ok {
 		if subject, _, ok := bytes.Cut(rest, []byte(`"`)); ok {
@@ -139,13 +148,13 @@
 	}
 }
 
-// Writable says whether the link has sent most of what it was given; the feed's Drained follows.
+// Writable reports whether the link has sent most of what it was given; if not, the feed's OnWritable follows.
 func (p *publisher) Writable() bool {
 	return p.link.conn.Unsent() < p.client.front.unsentLimit(linkHighWater)
 }
 
-// WriteMessage hands a message to the link. Who may publish may hear on the reply subject that nobody
-// listens; members tell that the publishing connection alone.
+// WriteMessage writes a message to the link. It subscribes to the reply subject if the client wants to know that there
+// are no responders: members report that on the publishing connection only.
 func (p *publisher) WriteMessage(text []byte, m *window.Message) {
 	l := p.link
 	if m.ReplyExpected {
@@ -163,38 +172,38 @@
 	}
 }
 
-// requestAck asks for the acknowledgement of all that was carried in this round.
+// requestAck requests the acknowledgement of all messages of this loop iteration.
 func (p *publisher) requestAck(l *link) {
 	if p.link != l || p.unpinged == 0 {
 		return
 	}
-	n, sids := p.unpinged, p.nextReplySID
+	messages, endSID := p.unpinged, p.nextReplySID
 	p.unpinged = 0
 	l.afterPing(func() {
 		if p.link != l {
 			return
 		}
-		if p.oldestReplySID < sids {
-			out := l.conn.Buffer(lineOverhead * (sids - p.oldestReplySID))
-			for ; p.oldestReplySID < sids; p.oldestReplySID++ {
+		if p.oldestReplySID < endSID {
+			out := l.conn.Buffer(lineOverhead * (endSID - p.oldestReplySID))
+			for ; p.oldestReplySID < endSID; p.oldestReplySID++ {
 				out = strconv.AppendInt(append(out, "UNSUB "...), int64(p.oldestReplySID), 10)
 				out = append(out, '\r', '\n')
 			}
 			l.commit(out)
 		}
-		p.feed.Acknowledged(n)
+		p.feed.Acknowledged(messages)
 		p.client.scheduleResume()
 	})
 }
 
-// handleStatus is one for a sid by which the link listens for the word that nobody does.
+// handleStatus forwards the status that a message's subject has no responders.
 func (p *publisher) handleStatus(m *command) {
 	if m.headerLen > 0 && bytes.HasPrefix(m.payload, []byte("NATS/1.0 503")) {
 		p.client.deliverLocal(*m)
 	}
 }
 
-// Disconnect ends the link, if there is one.
+// Disconnect resets the link, if there is one, and returns how many of its bytes had been sent.
 func (p *publisher) Disconnect() uint64 {
 	l := p.link
 	if l == nil {
@@ -206,8 +215,8 @@
 	return left
 }
 
-// Answer tells the client what became of a message. Nothing is said of one that was served, but
-// for the +OK of a verbose client.
+// Answer reports the final answer of a message to the client. For one that was served there is only the +OK of a
+// verbose client.
 func (p *publisher) Answer(m *window.Message, text []byte, a core.Answer, after time.Duration) {
 	c := p.client
 	c.scheduleResume()
@@ -216,26 +225,26 @@
 	}
 	c.front.Counts.Rejected++
 	for i := range c.responses { // its +OK will not come
-		if t := &c.responses[i]; t.seq == m.Sequence && t.text == "+OK\r\n" {
-			t.text = ""
+		if r := &c.responses[i]; r.seq == m.Sequence && r.text == okLine {
+			r.text = ""
 			break
 		}
 	}
-	why := "failed"
+	reason := "failed"
 	if a == core.Rejected {
-		why = fmt.Sprintf("rejected, come again in %d ms", after.Milliseconds())
+		reason = fmt.Sprintf("rejected, come again in %d ms", after.Milliseconds())
 	}
 	q, _, err := parseCommand(text, len(text)+1, len(text))
 	if err != nil {
 		return
 	}
 	if c.wantsStatus(q.reply) {
-		c.deliverStatus(q.reply, "503 "+why)
+		c.deliverStatus(q.reply, "503 "+reason)
 		return
 	}
-	// The one kind of error that clients take without ending the connection.
-	c.sendError(fmt.Sprintf("Permissions Violation for Publish to %q: %s", q.subject, why))
+	// The one kind of error after which clients keep the connection.
+	c.sendError(fmt.Sprintf("Permissions Violation for Publish to %q: %s", q.subject, reason))
 }
 
-// OnCapacity has the client's commands go on.
+// OnCapacity resumes the client's commands.
 func (p *publisher) OnCapacity() { p.client.scheduleResume() }
--- a/internal/front/nats/responses.go
+++ b/internal/front/nats/responses.go
@@ -1,25 +1,27 @@
 package nats
 
-// response is the answer to a command, given when what stands before it is done.
+// response is the answer to a command. Responses are sent in the order of the commands, each once
+// its conditions hold.
 type response struct {
 	seq          uint64        // publications up to this one have their final answer
-	subscription *subscription // that this subscription stands or was refused; or has ended, if ends
-	untilEnded   bool
-	// What members have sent to the client by then comes first: a publication and the
-	// subscription that takes it are on links of their own.
+	subscription *subscription // this subscription is acknowledged
+	untilEnded   bool          // the subscription has ended, instead
+	// What members have sent to the client by then goes first: a publication and the
+	// subscription that receives it are on different links.
 	fence bool
 	text  string
 	then  func()
 }
 
-// fence is a PING on every link that holds subscriptions. Publications up to its mark were taken
-// before it.
+// fence waits until a PING on each link with subscriptions is answered. Members had taken the publications up to
+// seq before it began, so their messages precede the answers.
 type fence struct {
 	client    *client
 	seq       uint64
 	remaining int
 }
 
+// linkPassed records that one link has answered.
 func (b *fence) linkPassed() {
 	if b.remaining--; b.remaining == 0 {
 		b.client.fencedSeq, b.client.fenceActive = b.seq, false
@@ -27,16 +29,16 @@
 	}
 }
 
-// linksPast says whether all links are past what the publications up to a mark have brought, and if
-// not has them say so.
-func (c *client) linksPast(mark uint64) bool {
-	if c.fencedSeq >= mark {
+// linksPast reports whether the messages caused by the publications up to seq have arrived on all links. If not, it
+// starts a fence, which calls scheduleResume.
+func (c *client) linksPast(seq uint64) bool {
+	if c.fencedSeq >= seq {
 		return true
 	}
 	if c.fenceActive {
 		return false
 	}
-	b := &fence{client: c, seq: mark, remaining: 1}
+	b := &fence{client: c, seq: seq, remaining: 1}
 	c.fenceActive = true
 	for _, l := range c.links {
 		if l.publisher == nil && l.ready {
@@ -45,14 +47,14 @@
 		}
 	}
 	if b.remaining == 1 {
-		c.fencedSeq, c.fenceActive = mark, false
+		c.fencedSeq, c.fenceActive = seq, false
 		return true
 	}
 	b.remaining--
 	return false
 }
 
-// scheduleResume gives the answers that are due and takes up the commands that waited.
+// scheduleResume has the loop send the responses that are due and resume the commands that wait.
 func (c *client) scheduleResume() {
 	if c.resumeScheduled || c.closed {
 		return
@@ -68,42 +70,49 @@
 	})
 }
 
-// isQuiescent says that everything the client has sent is done.
+// isQuiescent reports whether all commands of the client are complete.
 func (c *client) isQuiescent() bool {
 	return c.pendingSubscribes == 0 && len(c.responses) == 0 && c.oldestUnanswered() > c.publishSeq
 }
 
-// oldestUnanswered is the mark of the oldest publication without a final answer, or one beyond all.
+// oldestUnanswered is the sequence number of the oldest publication without a final answer, or the next one if there is
+// none.
 func (c *client) oldestUnanswered() uint64 {
-	least := c.publishSeq + 1
+	oldest := c.publishSeq + 1
 	for _, p := range c.publishers {
-		if mark, ok := p.feed.OldestSequence(); ok {
-			least = min(least, mark)
+		if seq, ok := p.feed.OldestSequence(); ok {
+			oldest = min(oldest, seq)
 		}
 	}
-	return least
+	return oldest
 }
 
-// flushResponses gives the answers that are due, in their order.
+// subscriptionSettled reports whether the response's subscription is in the state that the response waits for.
+func (r *response) subscriptionSettled() bool {
+	s := r.subscription
+	return s.acknowledged && !r.untilEnded || s.ended && !s.draining
+}
+
+// flushResponses sends the responses that are due, in order.
 func (c *client) flushResponses() {
 	if len(c.responses) == 0 {
 		return
 	}
 	oldest := c.oldestUnanswered()
 	for len(c.responses) > 0 && !c.closed {
-		t := c.responses[0]
-		if t.seq >= oldest || t.subscription != nil && !(t.subscription.acknowledged && !t.untilEnded || t.subscription.ended && !t.subscription.draining) {
+		r := c.responses[0]
+		if r.seq >= oldest || r.subscription != nil && !r.subscriptionSettled() {
 			return
 		}
-		if t.fence && !c.linksPast(t.seq) {
+		if r.fence && !c.linksPast(r.seq) {
 			return
 		}
 		c.responses = c.responses[1:]
-		if t.text != "" {
-			c.write([]byte(t.text))
+		if r.text != "" {
+			c.write([]byte(r.text))
 		}
-		if t.then != nil {
-			t.then()
+		if r.then != nil {
+			r.then()
 		}
 	}
 	if len(c.responses) == 0 {
@@ -111,16 +120,17 @@
 	}
 }
 
-// respond has a text said once all before it is done.
-func (c *client) respond(t response) {
-	t.seq = c.publishSeq
-	if c.responses = append(c.responses, t); len(c.responses) == 1 {
+// respond queues a response behind all commands so far.
+func (c *client) respond(r response) {
+	r.seq = c.publishSeq
+	if c.responses = append(c.responses, r); len(c.responses) == 1 {
 		c.flushResponses()
 	}
 }
 
+// respondOK answers a command of a verbose client.
 func (c *client) respondOK() {
 	if c.options.Verbose {
-		c.respond(response{text: "+OK\r\n"})
+		c.respond(response{text: okLine})
 	}
 }
--- a/internal/front/nats/security.go
+++ b/internal/front/nats/security.go
@@ -16,18 +16,18 @@
 	"dahliarudder/internal/auth"
 )
 
-// ServerTLS is how clients are spoken to.
+// ServerTLS configures TLS with clients.
 type ServerTLS struct {
 	Cert           string `json:"cert"`
 	Key            string `json:"key"`
-	ClientCA       string `json:"client_ca"`       // who has signed clients' certificates
-	Verify         bool   `json:"verify"`          // clients must show one
+	ClientCA       string `json:"client_ca"`       // issuer of clients' certificates
+	Verify         bool   `json:"verify"`          // clients have to present one
 	HandshakeFirst bool   `json:"handshake_first"` // before INFO
-	Optional       bool   `json:"optional"`        // clients may go without TLS
+	Optional       bool   `json:"optional"`        // clients may use plain TCP
 	MinVersion     string `json:"min_version"`     // "1.2" or "1.3"; 1.2 if empty
 }
 
-// MemberTLS is how members are spoken to.
+// MemberTLS configures TLS with members.
 type MemberTLS struct {
 	CA             string `json:"ca"` // the system's if empty
 	Cert           string `json:"cert"`
@@ -37,7 +37,7 @@
 	MinVersion     string `json:"min_version"`
 }
 
-// MemberLogin is the relay's own at members, in the place of each client's.
+// MemberLogin is the relay's own login at members, in place of each client's.
 type MemberLogin struct {
 	User            string `json:"user"`
 	Password        string `json:"password"`
@@ -46,11 +46,11 @@
 	CredentialsFile string `json:"credentials_file"` // a user's JWT and seed
 }
 
-// Security is what a Config's files hold; it can be read again while the relay runs.
+// Security is the content of the files that a Config names. It can be reloaded while the relay runs.
 type Security struct {
 	server        *tls.Config
 	member        *tls.Config
-	authenticator *auth.Authenticator // nil where all may enter
+	authenticator *auth.Authenticator // nil: no authentication
 	nkey          nkeys.KeyPair
 	jwt           string
 	authQueue     chan func() // to the workers that check passwords
@@ -105,8 +105,7 @@
 	return s, nil
 }
 
-// resolvePath is where a path of the configuration leads: one that is not absolute counts from the
-// configuration's own file.
+// resolvePath resolves a path of the configuration relative to the configuration file.
 func (c *Config) resolvePath(path string) string {
 	if path == "" || filepath.IsAbs(path) {
 		return path
@@ -114,7 +113,7 @@
 	return filepath.Join(c.Dir, path)
 }
 
-// loadKeyPair reads a certificate with its key.
+// loadKeyPair loads a certificate with its key.
 func loadKeyPair(at, cert, key, version string, needed bool) (*tls.Config, error) {
 	cfg := &tls.Config{MinVersion: tls.VersionTLS12}
 	switch version {
@@ -143,7 +142,7 @@
 	return cfg, nil
 }
 
-// loadCertPool reads certificates of authorities; nil if path is empty.
+// loadCertPool loads CA certificates; it returns nil if path is empty.
 func loadCertPool(at, path string) (*x509.CertPool, error) {
 	if path == "" {
 		return nil, nil
@@ -159,6 +158,7 @@
 	return p, nil
 }
 
+// loadLogin loads the relay's own login at members.
 func (s *Security) loadLogin(l *MemberLogin, file func(string) string) error {
 	if !auth.ExactlyOne(l.User, l.Token, l.NKeySeedFile, l.CredentialsFile) {
 		return errors.New("user: want exactly one of user, token, nkey_seed_file and credentials_file")
--- a/internal/front/nats/subject.go
+++ b/internal/front/nats/subject.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// seed is of this process: the hashes never leave it.
+// hashSeed is random for each process: the hashes never leave it.
 var hashSeed = maphash.MakeSeed()
 
 func subjectHash(subject []byte) uint64 { return maphash.Bytes(hashSeed, subject) }
 
-// validSubject says whether s may be published to or, with wild, subscribed to.
+// validSubject reports whether s may be published to or, with wild, subscribed to.
 func validSubject[T string | []byte](s T, wild bool) bool {
 	start := 0
 	for i := 0; i <= len(s); i++ {
@@ -30,7 +30,7 @@
 	return true
 }
 
-// subjectMatches says whether a subscription's pattern takes a subject.
+// subjectMatches reports whether a subscription's pattern matches a subject.
 func subjectMatches[S string | []byte](pattern string, subject S) bool {
 	p, s := 0, 0
 	for p <= len(pattern) && s <= len(subject) {
@@ -52,5 +52,5 @@
 	return p > len(pattern) && s > len(subject)
 }
 
-// isReserved says that a subject is the relay's.
+// isReserved reports whether a subject is the relay's own.
 func isReserved(subject []byte) bool { return strings.HasPrefix(string(subject), reservedPrefix) }
--- a/internal/front/nats/subscription.go
+++ b/internal/front/nats/subscription.go
@@ -17,34 +17,35 @@
 	sid             string
 	subject         string
 	queue           string
-	maxMessages     int // messages after which it ends; 0 for none
-	delivered       int
-	deliveredBefore int  // how many it had got when it came to its member
+	maxMessages     int  // messages after which it ends; 0 for none
+	delivered       int  // messages so far
+	deliveredBefore int  // messages before it came to its member
 	local           bool // on the relay's own subjects
-	filtered        bool // some of what it takes its client may not see
-	acknowledged    bool // it has stood, or its client was told that it does not yet
-	wasActive       bool
-	warned          bool // its client was told that it does not stand
+	filtered        bool // its client may not see some of the matching messages
+	acknowledged    bool // it has been active, or its client got an error that it is not yet
+	wasActive       bool // it has been active at some member
+	warned          bool // its client got an error since it was last active
 	requestID       core.ID
 	attempt         int
 	link            *link
-	linkSID         int // its sid there
-	active          bool
-	pendingSince    time.Duration // when it was asked for, or lost its place
+	linkSID         int           // its sid there
+	active          bool          // its member has acknowledged it
+	pendingSince    time.Duration // when it was created, or lost its member
 	retryTimer      *netloop.Timer
 	ended           bool
 
-	// A member that it leaves sends what it had sent before, and only then does another get it.
+	// The member that the subscription is moved off delivers its last messages before another gets it.
 	oldLink    *link
 	oldLinkSID int
 	drainTimer *netloop.Timer
-	afterDrain func() // waits for that
-	draining   bool   // it has ended, but for that
+	afterDrain func() // called once that is done
+	draining   bool   // the subscription has ended, except for that
 }
 
+// subscribe handles SUB.
 func (c *client) subscribe(m *command) {
 	if !validSubject(m.subject, true) {
-		c.sendError("Invalid Subject")
+		c.sendError(string(errInvalidSubject))
 		return
 	}
 	if !c.permissions.CanSubscribe(string(m.subject), string(m.queue)) {
@@ -55,12 +56,12 @@
 		c.sendError(text)
 		return
 	}
-	if c.subscriptions[string(m.sid)] != nil { // as at a server: the first one stays
+	if c.subscriptions[string(m.sid)] != nil { // as at a NATS server: the first one stays
 		c.respondOK()
 		return
 	}
 	if len(c.subscriptions) >= c.front.MaxSubscriptions {
-		c.sendError("maximum subscriptions exceeded")
+		c.sendError(string(errMaxSubscriptions))
 		return
 	}
 	s := &subscription{client: c, sid: string(m.sid), subject: string(m.subject), queue: string(m.queue), local: isReserved(m.subject),
@@ -78,11 +79,34 @@
 	s.place()
 	text := ""
 	if c.options.Verbose {
-		text = "+OK\r\n"
+		text = okLine
 	}
 	c.respond(response{subscription: s, text: text})
 }
 
+// unsubscribe handles UNSUB.
+func (c *client) unsubscribe(m *command) {
+	s := c.subscriptions[string(m.sid)]
+	switch {
+	case s == nil:
+		c.respondOK()
+	case !s.acknowledged && m.maxMessages == 0:
+		s.end() // before it was ever active
+		c.respondOK()
+	default:
+		// Earlier publications still count for it; later ones wait until the limit holds.
+		limit := m.maxMessages
+		c.pendingSubscribes++
+		c.respond(response{subscription: s, fence: true, then: func() {
+			c.pendingSubscribes--
+			s.setMaxMessages(limit)
+			c.scheduleResume()
+		}})
+		c.respondOK()
+	}
+}
+
+// place has the core place the subscription.
 func (s *subscription) place() {
 	if s.ended {
 		return
@@ -98,8 +122,8 @@
 }
 
 // Send subscribes at a member.
-func (s *subscription) Send(id core.ID, to *core.Member, try int, _ time.Duration) {
-	s.requestID, s.attempt = id, try
+func (s *subscription) Send(id core.ID, to *core.Member, attempt int, _ time.Duration) {
+	s.requestID, s.attempt = id, attempt
 	l := s.client.subscriptionLink(to)
 	s.link, s.linkSID = l, l.addSubscription(s)
 	l.whenReady(func() {
@@ -113,13 +137,13 @@
 	})
 }
 
-// subscribeAt asks for the subscription, where nothing holds it any more elsewhere.
+// subscribeAt sends SUB to the member, once the previous one has delivered its last messages.
 func (s *subscription) subscribeAt(l *link) {
 	s.afterDrain = nil
 	if s.link != l {
 		return
 	}
-	if !s.client.front.Core.MaySend(s.requestID, s.attempt) { // the member has left while its connection was on its way
+	if !s.client.front.Core.MaySend(s.requestID, s.attempt) { // the member has gone while the connection was being set up
 		l.removeSubscription(s.linkSID)
 		s.linkLost(policy.NotSent)
 		return
@@ -142,7 +166,7 @@
 	})
 }
 
-// acknowledge lets publications go on that waited for the subscription.
+// acknowledge resumes the publications that wait for the subscription.
 func (s *subscription) acknowledge() {
 	if !s.acknowledged {
 		s.acknowledged = true
@@ -152,7 +176,7 @@
 	}
 }
 
-// leaveMember gives up the member's side, but takes what the member has sent before it knows.
+// leaveMember unsubscribes at the member, but still delivers what the member sends until it has processed that.
 func (s *subscription) leaveMember() {
 	l := s.link
 	if l == nil {
@@ -175,7 +199,7 @@
 	s.drainTimer = s.client.front.Loop.After(drainTimeout, s.finishDrain)
 }
 
-// finishDrain says that nothing more comes from the member that was left.
+// finishDrain ends the wait for the last messages of the previous member.
 func (s *subscription) finishDrain() {
 	if s.oldLink == nil {
 		return
@@ -203,32 +227,32 @@
 	}
 }
 
-// Migrate takes the subscription to another member; a relay that stops sends the
-// client elsewhere instead.
+// Migrate moves the subscription to another member; in lame duck mode it closes the client instead, which then
+// connects to another relay.
 func (s *subscription) Migrate() {
 	s.leaveMember()
 	if s.client.front.lameDuck {
-		s.client.front.Loop.After(0, s.client.close) // it connects again, elsewhere
+		s.client.front.Loop.After(0, s.client.close) // the client connects to another relay
 		return
 	}
 	s.pendingSince = s.client.front.Loop.Now()
 	s.placeAfter(0)
 }
 
-// placeAfter places it again, after the core is done with its last request.
+// placeAfter places the subscription again, after the core is done with its last request.
 func (s *subscription) placeAfter(after time.Duration) {
 	s.retryTimer.Stop()
 	s.retryTimer = s.client.front.Loop.After(after, s.place)
 }
 
-// Reject has it ask again when the module says.
+// Reject retries after the given time.
 func (s *subscription) Reject(after time.Duration) { s.retry(after) }
 
-// Fail does the same.
+// Fail retries after a fixed backoff.
 func (s *subscription) Fail() { s.retry(resubscribeBackoff) }
 
-// retry asks for it again until the client gives it up. A client is told once when it has
-// been without its subscription for as long as its class waits.
+// retry places the subscription again until the client unsubscribes. The client gets one error when the
+// subscription has been inactive for its class's deadline.
 func (s *subscription) retry(after time.Duration) {
 	f := s.client.front
 	if f.lameDuck {
@@ -244,18 +268,18 @@
 	s.placeAfter(max(after, resubscribeBackoff))
 }
 
-// linkLost is told by the link when the member's side is gone.
+// linkLost ends the attempt, or the active subscription, when the link is gone.
 func (s *subscription) linkLost(result policy.Result) {
-	up := s.active
+	wasActive := s.active
 	s.link, s.active, s.afterDrain = nil, false, nil
 	s.client.front.Core.AttemptEnded(s.requestID, s.attempt, result, policy.NoReport)
-	if up && !s.ended {
+	if wasActive && !s.ended {
 		s.pendingSince = s.client.front.Loop.Now()
 		s.placeAfter(0)
 	}
 }
 
-// deliver delivers a message.
+// deliver delivers a member's message to the client.
 func (s *subscription) deliver(m *command) {
 	c := s.client
 	if c.closed || s.ended && !s.draining {
@@ -266,7 +290,7 @@
 	}
 	c.replies.RecordRequest(c.front.Loop.RoundStart(), m.reply)
 	if m.headerLen > 0 {
-		if who := removeOrigin(m); who != nil && !c.wantsEcho() && string(who) == c.originID() {
+		if origin := removeOrigin(m); origin != nil && !c.wantsEcho() && string(origin) == c.originID() {
 			return
 		}
 		if m.headerLen > 0 && !c.options.Headers {
@@ -277,7 +301,7 @@
 	s.countDelivered()
 }
 
-// countDelivered notes that a message was delivered, and ends the subscription after
+// countDelivered counts a delivered message, and ends the subscription after
 // its last one.
 func (s *subscription) countDelivered() {
 	if s.delivered++; s.maxMessages > 0 && s.delivered >= s.maxMessages && !s.ended {
@@ -286,26 +310,30 @@
 	}
 }
 
-// setMaxMessages is the client's UNSUB.
-func (s *subscription) setMaxMessages(most int) {
+// setMaxMessages applies the client's UNSUB.
+func (s *subscription) setMaxMessages(limit int) {
 	if s.ended {
 		return
 	}
-	if most <= s.delivered {
+	if limit <= s.delivered {
 		s.end()
-		if s.draining { // what the client says after it waits for what it still gets
+		if s.draining { // later commands wait for the last messages
 			s.client.pendingSubscribes++
-			s.client.responses = append([]response{{subscription: s, untilEnded: true, then: func() { s.client.pendingSubscribes--; s.client.scheduleResume() }}}, s.client.responses...)
+			first := response{subscription: s, untilEnded: true, then: func() {
+				s.client.pendingSubscribes--
+				s.client.scheduleResume()
+			}}
+			s.client.responses = append([]response{first}, s.client.responses...)
 		}
 		return
 	}
-	s.maxMessages = most
+	s.maxMessages = limit
 	if s.link != nil && s.link.ready && s.afterDrain == nil {
 		s.link.write(fmt.Appendf(nil, "UNSUB %d %d\r\n", s.linkSID, s.maxMessages-s.deliveredBefore))
 	}
 }
 
-// end is the one end of a subscription.
+// end ends the subscription. Each path that ends one leads here.
 func (s *subscription) end() {
 	if s.ended {
 		return
