--- a/internal/fleet/canary.go
+++ b/internal/fleet/canary.go
@@ -64,11 +64,11 @@
 			withheld[c.Release] = true
 		}
 	}
-	return append(gated, withholdGrants(plan, func(g rollout.Grant) bool { return withheld[g.Release] })...)
+	return append(gated, dropGrants(plan, func(g rollout.Grant) bool { return withheld[g.Release] })...)
 }
 
-// withholdGrants returns a plan without the grants for which withheld says so, and without steps that are left with none.
-func withholdGrants(plan []rollout.Command, withheld func(rollout.Grant) bool) (rest []rollout.Command) {
+// dropGrants returns a plan without the grants for which withheld says so, and without steps that are left with none.
+func dropGrants(plan []rollout.Command, withheld func(rollout.Grant) bool) (rest []rollout.Command) {
 	for _, c := range plan {
 		if c.Kind == rollout.CommandStep {
 			planned := len(c.Grants)
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -1,6 +1,6 @@
-// Package fleet puts the agreed record beside a relay: it carries between the record's engine (accord), what decides about releases and
-// drift (rollout, drift), the relay's core, and operators. The relay's loop never waits for it. See docs/design/fleet-record.md;
-// docs/releases.md is for operators.
+// Package fleet connects a relay to the fleet's agreed record: it carries commands, reports and desired states between the consensus node
+// (consensus), the modules that decide on releases, canaries and drift (rollout, canary, drift), the relay's core, and operators. The relay's
+// event loop never waits for it. The design is in docs/design/fleet-record.md; docs/releases.md is for operators.
 package fleet
 
 import (
@@ -16,59 +16,62 @@
 
 // Config is the setting `fleet`.
 type Config struct {
-	Listen        string            `json:"listen"` // between relays: HTTP, sealed with the key of peers
+	Listen        string            `json:"listen"` // between relays: HTTP, sealed with the gossip key
 	APIListen     string            `json:"calls"`  // for operators and owners of members: HTTP
-	Dir           string            `json:"dir"`    // what was agreed is kept there; "" keeps nothing
-	Voters        map[string]string `json:"voters"` // by name, where they listen: 1, 3 or 5; all other relays follow
-	DialAddresses map[string]string `json:"reach"`  // by name: where this relay reaches one, if not where it listens
+	Dir           string            `json:"dir"`    // where the record is stored; "" keeps it in memory
+	Voters        map[string]string `json:"voters"` // listen addresses by name: 1, 3 or 5 relays; all others follow
+	DialAddresses map[string]string `json:"reach"`  // by name: where this relay reaches another, if not at its listen address
 	Disruption    struct {
-		Relays         Budget  `json:"relays"`
-		Members        Budget  `json:"members"`
-		SpareLoad      float64 `json:"headroom"` // what is left sound carries the load of now and this part more
-		MaxServiceLoss float64 `json:"cost"`     // the part of the service of before that a release may cost, beyond noise, before it halts
+		Relays  Budget `json:"relays"`
+		Members Budget `json:"members"`
+		// SpareLoad is the share of the present load that the remaining members must be able to carry on top of it.
+		SpareLoad float64 `json:"headroom"`
+		// MaxServiceLoss is the share of the service before a release that it may cost, beyond noise, until it halts.
+		MaxServiceLoss float64 `json:"cost"`
 	} `json:"out"`
-	QuarantineDrifted bool   `json:"take_out"` // relays that drift take no clients, as far as the budget bears it; false if absent: drift is only shown
-	Program           string `json:"program"`  // what this relay says that it runs; absent: its version and the digest of its file
-	StartTimeoutMS    int64  `json:"start_ms"` // what is replaced may take so long until it serves; 30,000 if absent
+	// QuarantineDrifted makes drifted relays take no clients, as far as the budget allows. Otherwise drift is only shown.
+	QuarantineDrifted bool   `json:"take_out"`
+	Program           string `json:"program"`  // what this relay reports as its program; absent: its version and the digest of its file
+	StartTimeoutMS    int64  `json:"start_ms"` // how long a replacement may take until it serves; 30,000 if absent
 
 	budgets rollout.Budgets
 }
 
-// Budget is how many may be out at once, each a number ("2") or a part ("25%").
+// Budget is how many may be out at once, each a number ("2") or a share ("25%").
 type Budget struct {
 	Total string `json:"whole"` // "1" if absent
-	Zone  string `json:"zone"`  // of each zone's; as whole if absent
+	Zone  string `json:"zone"`  // of each zone's; as Total if absent
 }
 
-// What a relay's silence and an order's time are measured by. Each stands on a time that another page fixes.
+// Intervals and timeouts. Each follows from a time that the protocol or another package fixes.
 const (
-	reportInterval     = time.Second            // a relay's word to the leader
-	silenceTimeout     = 4 * reportInterval     // four words missed, as lost datagrams and a new leader cost two
-	flowExpiry         = 7 * time.Second        // by then a flow whose relay says nothing is over at its client, by the protocol
-	maxDrain           = 20 * time.Second       // a relay's drain takes 3 s and its stop 3 s; a member's flows go as fast as others bear
-	defaultStartMS     = 30_000                 // the platform's time until a relay is ready
-	planInterval       = 200 * time.Millisecond // the leader's look at what is next
-	planFreshness      = 3 * time.Second        // from a look until the step that rests on it is agreed: a new leader takes two
-	maxDriftBlock      = 10 * time.Second       // a release halts when drift has stood so long
-	permitWindowMS     = 30_000                 // a permit is begun within
-	maxClockDrift      = 0.01                   // clocks of one machine to another: a hundred times what quartz does
-	defaultServiceLoss = 0.05                   // of the service before: what a release may cost beyond noise, if the setting does not say
+	reportInterval     = time.Second            // of a relay's status reports
+	silenceTimeout     = 4 * reportInterval     // four reports lost: datagrams and a change of the leader cost two
+	flowExpiry         = 7 * time.Second        // by then the client has given up a flow whose relay is silent, by the protocol
+	maxDrain           = 20 * time.Second       // a relay drains for 3 s and stops for 3 s; a member's flows go as fast as others can take them
+	defaultStartMS     = 30_000                 // what the platform takes until a relay is ready
+	planInterval       = 200 * time.Millisecond // of the leader's control loop
+	planFreshness      = 3 * time.Second        // from a view to the agreement on its plan: a new leader takes two
+	maxDriftBlock      = 10 * time.Second       // drift of that age halts a release
+	permitWindowMS     = 30_000                 // within which a granted permit must begin
+	maxClockDrift      = 0.01                   // between machines: a hundred times that of quartz
+	defaultServiceLoss = 0.05                   // of Disruption.MaxServiceLoss
 )
 
-// Check makes the setting usable, or says why it is not. Dir is where the configuration stands, balancers the number of relays that
-// should run, warm how long a member is cold.
-func (c *Config) Check(dir string, balancers int, warm time.Duration) (err error) {
-	for _, a := range [][2]string{{"listen", c.Listen}, {"calls", c.APIListen}} {
-		if _, err := netip.ParseAddrPort(a[1]); err != nil {
-			return fmt.Errorf("%s: %v", a[0], err)
+// Check validates the setting and completes it. Dir is the configuration's directory, relays the number of relays that should run, and warmup
+// how long a member's slow start takes.
+func (c *Config) Check(dir string, relays int, warmup time.Duration) (err error) {
+	for _, address := range []struct{ name, text string }{{"listen", c.Listen}, {"calls", c.APIListen}} {
+		if _, err := netip.ParseAddrPort(address.text); err != nil {
+			return fmt.Errorf("%s: %w", address.name, err)
 		}
 	}
 	if n := len(c.Voters); n != 1 && n != 3 && n != 5 {
 		return fmt.Errorf("voters: %d of them: 3 or 5 outlive a loss, 1 is for trials, an even number outlives no more than one less", n)
 	}
-	for _, m := range []map[string]string{c.Voters, c.DialAddresses} {
-		for name, at := range m {
-			if _, err := netip.ParseAddrPort(at); name == "" || err != nil {
+	for _, addresses := range []map[string]string{c.Voters, c.DialAddresses} {
+		for name, address := range addresses {
+			if _, err := netip.ParseAddrPort(address); name == "" || err != nil {
 				return fmt.Errorf("%q: %v", name, err)
 			}
 		}
@@ -85,27 +88,32 @@
 	if c.StartTimeoutMS < 0 {
 		return errors.New("start_ms: below zero")
 	}
-	start := cmp.Or(c.StartTimeoutMS, defaultStartMS)
-	c.budgets = rollout.Budgets{CapacityReserve: c.Disruption.SpareLoad, SilentAfterMS: silenceTimeout.Milliseconds(), FlowHoldMS: (silenceTimeout + flowExpiry).Milliseconds(),
-		ViewMaxAgeMS: planFreshness.Milliseconds(), DrainMS: maxDrain.Milliseconds(), StartMS: start, WarmupMS: warm.Milliseconds(), PermitWindowMS: permitWindowMS,
-		ClockDrift: maxClockDrift, DriftHaltMS: maxDriftBlock.Milliseconds(), ServiceTolerance: cmp.Or(c.Disruption.MaxServiceLoss, defaultServiceLoss)}
-	for _, p := range []struct {
+	c.budgets = rollout.Budgets{CapacityReserve: c.Disruption.SpareLoad, ServiceTolerance: cmp.Or(c.Disruption.MaxServiceLoss, defaultServiceLoss),
+		SilentAfterMS: silenceTimeout.Milliseconds(), FlowHoldMS: (silenceTimeout + flowExpiry).Milliseconds(), ViewMaxAgeMS: planFreshness.Milliseconds(),
+		DrainMS: maxDrain.Milliseconds(), StartMS: cmp.Or(c.StartTimeoutMS, defaultStartMS), WarmupMS: warmup.Milliseconds(),
+		PermitWindowMS: permitWindowMS, ClockDrift: maxClockDrift, DriftHaltMS: maxDriftBlock.Milliseconds()}
+	relayBudget, memberBudget := &c.budgets.Relays, &c.budgets.Members
+	for _, limit := range []struct {
 		name, text string
-		to         *rollout.Limit
-	}{{"relays.whole", cmp.Or(c.Disruption.Relays.Total, "1"), &c.budgets.Relays.Total}, {"relays.zone", c.Disruption.Relays.Zone, &c.budgets.Relays.PerZone},
-		{"members.whole", cmp.Or(c.Disruption.Members.Total, "1"), &c.budgets.Members.Total}, {"members.zone", c.Disruption.Members.Zone, &c.budgets.Members.PerZone}} {
-		if p.text == "" {
+		into       *rollout.Limit
+	}{
+		{"relays.whole", cmp.Or(c.Disruption.Relays.Total, "1"), &relayBudget.Total},
+		{"relays.zone", c.Disruption.Relays.Zone, &relayBudget.PerZone},
+		{"members.whole", cmp.Or(c.Disruption.Members.Total, "1"), &memberBudget.Total},
+		{"members.zone", c.Disruption.Members.Zone, &memberBudget.PerZone},
+	} {
+		if limit.text == "" {
 			continue
 		}
-		if *p.to, err = rollout.ParseLimit(p.text); err != nil {
-			return fmt.Errorf("out.%s: %v", p.name, err)
+		if *limit.into, err = rollout.ParseLimit(limit.text); err != nil {
+			return fmt.Errorf("out.%s: %w", limit.name, err)
 		}
 	}
-	if why := c.budgets.Unusable(map[string]int{"": balancers}, nil); why != "" {
-		return fmt.Errorf("out: %s", why)
+	if reason := c.budgets.Unusable(map[string]int{"": relays}, nil); reason != "" {
+		return fmt.Errorf("out: %s", reason)
 	}
 	return nil
 }
 
-// Budgets are what may be out, and the times that go with it.
+// Budgets returns how much may be out at once, and the times that go with it.
 func (c *Config) Budgets() rollout.Budgets { return c.budgets }
--- a/internal/fleet/controller.go
+++ b/internal/fleet/controller.go
@@ -5,67 +5,70 @@
 	"dahliarudder/internal/rollout"
 )
 
-// controller is what the leader knows of all relays, and reckons from that and the record. No I/O, no clock; a new leader begins with an empty one.
+// controller is the leader's picture of the fleet: it compares what relays report with the record, and plans changes of intent. It does no
+// I/O and has no clock; a new leader starts with an empty one. Service.mu guards it.
 type controller struct {
-	record     *Record
-	fleet      *fleetStatus
-	driftWatch *drift.Monitor
-	voters     drift.Item // in force
+	record       *Record
+	fleet        *fleetStatus
+	driftMonitor *drift.Monitor
+	voters       drift.Item // in force
 
-	// Derived from the record at its change count.
+	// Derived from the record when its change count was recordChanges.
 	recordChanges   uint64
 	recordItems     recordItems
 	intent          *intent
-	pendingReleases map[string]relayRelease
-	unadopted       []rollout.ReleaseStatus // releases that are over, and what is meant does not follow them yet
+	pendingReleases map[string]relayRelease // by relay
+	unadopted       []rollout.ReleaseStatus // releases that are over and that intent does not follow yet
 	quarantined     map[string]rollout.Quarantine
 
-	releaseSections map[string]map[string]string // by release: the new configuration, from the relays that run it
-	blockReason     string                       // why no release may step on, but one that mends it
-	blockReasons    map[string]string            // by release, where one mends what holds up others; "" is for all that mend nothing
-	candidates      map[string]candidateValue    // by item that nobody agreed on
-	contested       map[string]bool              // sections that nobody agreed on, and half of the relays have: any will do. A rarer one is too much
+	// Derived from the record and from reports, at each evaluateDrift.
+	releaseSections map[string]map[string]string // by release: its configuration's items, as reported by the relays that run it
+	contested       map[string]bool              // sections without intent that at least half of the relays have: any value will do
+	blockReason     string                       // drift that holds up all releases but those that repair it; "" if none
+	blockReasons    map[string]string            // the drift that holds up a release, by release; "" stands for those that repair nothing
+
+	candidates map[string]candidateValue // by item without intent
 }
 
 func newController(r *Record) *controller {
-	return &controller{record: r, fleet: newFleetStatus(), driftWatch: drift.NewMonitor(drift.Settings{ReportInterval: reportInterval.Milliseconds(), UnmeasuredGroups: []string{drift.ItemEndpointList}}), candidates: map[string]candidateValue{}}
+	return &controller{record: r, fleet: newFleetStatus(), candidates: map[string]candidateValue{},
+		driftMonitor: drift.NewMonitor(drift.Settings{ReportInterval: reportInterval.Milliseconds(), UnmeasuredGroups: []string{drift.ItemEndpointList}})}
 }
 
-// refresh takes over what the record has become.
-func (h *controller) refresh() {
-	r := h.record
+// refresh derives anew what depends on the record alone, if the record has changed.
+func (c *controller) refresh() {
+	r := c.record
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	if h.intent != nil && h.recordChanges == r.changes {
+	if c.intent != nil && c.recordChanges == r.changes {
 		return
 	}
-	h.recordChanges, h.recordItems, h.intent = r.changes, r.items, r.intent
-	all := r.rollout.Releases()
-	h.pendingReleases, h.unadopted, h.quarantined = unsettledReleases(all, r.intent), nil, map[string]rollout.Quarantine{}
-	for _, x := range r.rollout.Quarantines() {
-		h.quarantined[x.Name] = x
+	c.recordChanges, c.recordItems, c.intent = r.changes, r.items, r.intent
+	releases := r.rollout.Releases()
+	c.pendingReleases, c.unadopted, c.quarantined = unsettledReleases(releases, r.intent), nil, map[string]rollout.Quarantine{}
+	for _, q := range r.rollout.Quarantines() {
+		c.quarantined[q.Name] = q
 	}
-	for _, a := range all {
-		if _, settled := r.intent.releaseAdoption(&a); !settled && a.Spec.Kind == rollout.KindRelay && a.Spec.Program+a.Spec.Config != "" &&
-			(a.State == rollout.ReleaseCompleted || a.State == rollout.ReleaseRolledBack) {
-			h.unadopted = append(h.unadopted, a)
+	for _, release := range releases {
+		if _, settled := r.intent.releaseAdoption(&release); !settled && changesIntent(&release) && isOver(&release) {
+			c.unadopted = append(c.unadopted, release)
 		}
 	}
 }
 
-// receive takes a relay's word. What it answers is encoded; nil: nothing.
-func (h *controller) receive(now int64, from string, w statusReport) []byte {
-	h.refresh()
-	h.fleet.receive(now, from, w)
-	d, ok := w.driftReport(from)
-	if !ok || h.fleet.relays[from] == nil {
+// receive takes a relay's status report. The reply is encoded; nil if there is none.
+func (c *controller) receive(now int64, from string, report statusReport) (reply []byte) {
+	c.refresh()
+	c.fleet.receive(now, from, report)
+	driftReport, ok := report.driftReport(from)
+	if !ok || c.fleet.relays[from] == nil {
 		return nil
 	}
-	h.fleet.updateLists(now)
-	h.updateExpected(now, from)
-	h.driftWatch.HandleReport(now, d)
-	if reply, ok := h.driftWatch.Reply(from); ok {
-		return reply.Encode()
+	c.fleet.updateLists(now)
+	c.updateExpected(now, from)
+	c.driftMonitor.HandleReport(now, driftReport)
+	if r, ok := c.driftMonitor.Reply(from); ok {
+		return r.Encode()
 	}
 	return nil
 }
--- a/internal/fleet/drift_evaluation.go
+++ b/internal/fleet/drift_evaluation.go
@@ -8,97 +8,108 @@
 	"dahliarudder/internal/rollout"
 )
 
-// evaluateDrift tells the watch what is agreed and who lives, and puts what it finds into the view.
-func (h *controller) evaluateDrift(now int64, v *rollout.View) []drift.Change {
-	h.refresh()
-	h.fleet.updateLists(now)
-	h.learnReleaseSections()
-	var count []string
+// evaluateDrift brings the drift monitor up to date, puts the drift that holds up releases into the view, and returns what has changed.
+func (c *controller) evaluateDrift(now int64, v *rollout.View) []drift.Change {
+	c.refresh()
+	c.fleet.updateLists(now)
+	c.learnReleaseSections()
+	var counted []string // relays whose drift holds up releases
 	for _, r := range v.Relays {
-		x, u := h.fleet.relays[r.Name], h.pendingReleases[r.Name]
-		h.updateExpected(now, r.Name)
-		switch {
-		case r.Exited:
-			h.driftWatch.SetLiveness(now, r.Name, drift.Terminated)
-		case x == nil || r.ReportAgeMS > silenceTimeout.Milliseconds():
-			h.driftWatch.SetLiveness(now, r.Name, drift.Unreachable)
-		case r.Phase == "leaving" || r.Phase == "starting" || u.unit.Phase == rollout.PhaseLeaving && r.StartNumber <= uint64(u.unit.SeenStart):
-			h.driftWatch.SetLiveness(now, r.Name, drift.Restarting)
-		default:
-			h.driftWatch.SetLiveness(now, r.Name, drift.Alive)
-			if _, shut := h.quarantined[r.Name]; !shut { // it is out, and counts as that
-				count = append(count, r.Name)
-			}
+		c.updateExpected(now, r.Name)
+		liveness := c.liveness(&r)
+		c.driftMonitor.SetLiveness(now, r.Name, liveness)
+		if _, quarantined := c.quarantined[r.Name]; liveness == drift.Alive && !quarantined { // in quarantine it counts as out instead
+			counted = append(counted, r.Name)
 		}
 	}
-	changes := h.driftWatch.Tick(now)
+	changes := c.driftMonitor.Tick(now)
+	c.findBlockReasons(now, counted, v)
+	return changes
+}
+
+func (c *controller) liveness(r *rollout.Relay) drift.Liveness {
+	unit := c.pendingReleases[r.Name].unit
+	switch {
+	case r.Exited:
+		return drift.Terminated
+	case c.fleet.relays[r.Name] == nil || r.ReportAgeMS > silenceTimeout.Milliseconds():
+		return drift.Unreachable
+	case r.Phase == "leaving" || r.Phase == "starting" || unit.Phase == rollout.PhaseLeaving && r.StartNumber <= uint64(unit.SeenStart):
+		return drift.Restarting
+	}
+	return drift.Alive
+}
+
+// findBlockReasons finds the drift that holds up releases: for those that repair some of it themselves, only the rest.
+func (c *controller) findBlockReasons(now int64, relays []string, v *rollout.View) {
 	var since int64
-	if v.Drift, since = h.driftWatch.BlockReason(count, h.repairedBy("")); since > 0 {
+	if v.Drift, since = c.driftMonitor.BlockReason(relays, c.repairedBy("")); since > 0 {
 		v.DriftMS = now - since
 	}
-	h.blockReasons = map[string]string{}
-	if h.blockReason, _ = h.driftWatch.BlockReason(count, nil); h.blockReason != v.Drift {
-		h.blockReasons[""] = h.blockReason
-		for _, u := range h.pendingReleases {
-			if _, ok := h.blockReasons[u.release.Name]; !ok {
-				h.blockReasons[u.release.Name], _ = h.driftWatch.BlockReason(count, h.repairedBy(u.release.Name))
-			}
+	c.blockReasons = map[string]string{}
+	if c.blockReason, _ = c.driftMonitor.BlockReason(relays, nil); c.blockReason == v.Drift {
+		return
+	}
+	c.blockReasons[""] = c.blockReason
+	for _, r := range c.pendingReleases {
+		name := r.release.Name
+		if _, ok := c.blockReasons[name]; !ok {
+			c.blockReasons[name], _ = c.driftMonitor.BlockReason(relays, c.repairedBy(name))
 		}
 	}
-	return changes
 }
 
-// repairedBy says what a release mends by itself, "" for any release: what a relay takes as it starts, where its restart is still to come. What it does to
-// members it must not is not spared: nothing is to be moved meanwhile.
-func (h *controller) repairedBy(release string) func(relay, item string) bool {
+// repairedBy tells which drift a release repairs by itself; "" stands for any release. It is what a relay applies at its start, if the
+// release still has to restart it. Ejections and drains are not: nothing may be moved while relays disagree on them.
+func (c *controller) repairedBy(release string) func(relay, item string) bool {
 	return func(relay, item string) bool {
-		u := h.pendingReleases[relay]
-		return u.restartPending() && (release == "" || u.release.Name == release) && item != drift.ItemEjections && item != drift.ItemDrains
+		r := c.pendingReleases[relay]
+		return r.restartPending() && (release == "" || r.release.Name == release) && item != drift.ItemEjections && item != drift.ItemDrains
 	}
 }
 
-// withholdBlocked leaves out what a release would give out while something drifts that it does not mend itself.
-func (h *controller) withholdBlocked(plan []rollout.Command) (out []rollout.Command) {
-	for _, c := range plan {
-		if c.Kind == rollout.CommandStep && len(h.blockReasons) > 0 {
-			had := len(c.Grants)
-			c.Grants = slices.DeleteFunc(slices.Clone(c.Grants), func(g rollout.Grant) bool {
-				why, ok := h.blockReasons[g.Release]
-				if !ok {
-					why = h.blockReasons[""]
-				}
-				return why != "" && g.Permit == 0 && !h.rollingBack(g.Release)
-			})
-			if had > 0 && len(c.Grants) == 0 {
-				continue
-			}
-		}
-		out = append(out, c)
+// dropBlockedGrants removes from a plan the grants of releases that are held up by drift which they do not repair. A rollback is never held
+// up, nor is a permit.
+func (c *controller) dropBlockedGrants(plan []rollout.Command) []rollout.Command {
+	if len(c.blockReasons) == 0 {
+		return plan
 	}
-	return out
+	return dropGrants(plan, func(g rollout.Grant) bool {
+		reason, ok := c.blockReasons[g.Release]
+		if !ok {
+			reason = c.blockReasons[""]
+		}
+		return reason != "" && g.Permit == 0 && !c.rollingBack(g.Release)
+	})
 }
 
-// rollingBack says that a release is on its way back, which no drift holds up.
-func (h *controller) rollingBack(release string) bool {
-	h.record.mu.RLock()
-	defer h.record.mu.RUnlock()
-	a, _ := h.record.rollout.Release(release)
-	return a.RollingBack
+func (c *controller) rollingBack(release string) bool {
+	c.record.mu.RLock()
+	defer c.record.mu.RUnlock()
+	status, _ := c.record.rollout.Release(release)
+	return status.RollingBack
 }
 
-// markUnfit puts into the view who is to take no clients, the worst first. Who is shut stays so until it is heard and in step with all, or has started anew: a
-// new leader knows nothing of it yet, and a silent one has not mended. One whose list alone is newer than others' is not unfit: it may be right.
-func (h *controller) markUnfit(v *rollout.View) {
+// markUnfit puts the relays that belong into quarantine into the view, the worst first. A relay that is in quarantine stays there until it
+// reports and is in sync, or has restarted: a new leader knows nothing of it yet, and a silent relay has not recovered. A relay that is only
+// ahead of others with its endpoint list is not unfit: its list may be the right one.
+func (c *controller) markUnfit(v *rollout.View) {
 	v.UnfitOrder, v.Unfit = nil, map[string]string{}
-	for _, u := range h.driftWatch.SelectUnfit(drift.MaxRelays, slices.Sorted(maps.Keys(h.quarantined)), func(relay, item string) bool {
-		return item == drift.ItemEndpointList && h.driftWatch.StateOf(relay, item) == drift.Ahead
-	}) {
-		v.UnfitOrder, v.Unfit[u.Relay] = append(v.UnfitOrder, u.Relay), u.Reason
+	mark := func(relay, reason string) {
+		v.UnfitOrder, v.Unfit[relay] = append(v.UnfitOrder, relay), reason
+	}
+	quarantined := slices.Sorted(maps.Keys(c.quarantined))
+	listAhead := func(relay, item string) bool {
+		return item == drift.ItemEndpointList && c.driftMonitor.StateOf(relay, item) == drift.Ahead
+	}
+	for _, u := range c.driftMonitor.SelectUnfit(drift.MaxRelays, quarantined, listAhead) {
+		mark(u.Relay, u.Reason)
 	}
-	for _, relay := range slices.Sorted(maps.Keys(h.quarantined)) {
-		x := h.fleet.relays[relay]
-		if v.Unfit[relay] == "" && !h.driftWatch.FullyInSync(relay) && (x == nil || x.Incarnation <= h.quarantined[relay].StartNumber) {
-			v.UnfitOrder, v.Unfit[relay] = append(v.UnfitOrder, relay), h.quarantined[relay].Reason
+	for _, relay := range quarantined {
+		status, q := c.fleet.relays[relay], c.quarantined[relay]
+		restarted := status != nil && status.Incarnation > q.StartNumber
+		if v.Unfit[relay] == "" && !c.driftMonitor.FullyInSync(relay) && !restarted {
+			mark(relay, q.Reason)
 		}
 	}
 }
--- a/internal/fleet/drift_status.go
+++ b/internal/fleet/drift_status.go
@@ -8,67 +8,69 @@
 	"dahliarudder/internal/drift"
 )
 
-// driftStatus is what operators are shown of drift: who, what, since when, why; the bound in force; who is shut.
+// driftStatus is the body of GET /-/drift.
 type driftStatus struct {
-	Rows        []driftRow         `json:"rows"`
-	BlockReason string             `json:"blocks,omitempty"` // reason no release steps on but those that mend it
-	Bounds      map[string]int64   `json:"bounds_ms"`        // how long a version may be on its way, by group
+	Findings    []driftFinding     `json:"rows"`
+	BlockReason string             `json:"blocks,omitempty"` // drift that holds up all releases but those that repair it
+	LagBounds   map[string]int64   `json:"bounds_ms"`        // by group: how long a new version may take until it is applied
 	Quarantined []quarantinedRelay `json:"shut"`
 	Counts      drift.Counts       `json:"counts"`
 }
 
-type driftRow struct {
-	Relay    string   `json:"relay"`
-	Item     string   `json:"item,omitempty"` // none: it is not heard
-	State    string   `json:"state"`
-	Since    int64    `json:"since_ms"`
-	Behind   int64    `json:"behind_ms,omitempty"` // not in step for so long
-	Intent   uint64   `json:"intent"`
-	Applied  uint64   `json:"applied"`
-	Intended string   `json:"meant,omitempty"` // of program and configuration, in words
-	Running  string   `json:"runs,omitempty"`
-	Why      string   `json:"why,omitempty"`
-	Evidence []string `json:"evidence,omitempty"`
+type driftFinding struct {
+	Relay           string   `json:"relay"`
+	Item            string   `json:"item,omitempty"` // none: the relay does not report
+	State           string   `json:"state"`
+	SinceMS         int64    `json:"since_ms"`            // how long it has been in that state
+	BehindMS        int64    `json:"behind_ms,omitempty"` // how long it has not been in sync
+	IntendedVersion uint64   `json:"intent"`
+	AppliedVersion  uint64   `json:"applied"`
+	Intended        string   `json:"meant,omitempty"` // value of a program or section
+	Running         string   `json:"runs,omitempty"`
+	Reason          string   `json:"why,omitempty"`
+	Evidence        []string `json:"evidence,omitempty"`
 }
 
 type quarantinedRelay struct {
 	Relay        string `json:"relay"`
-	Why          string `json:"why"`
-	Since        int64  `json:"since_ms"`
-	Acknowledged bool   `json:"heeds"` // it says that it goes by that order
+	Reason       string `json:"why"`
+	SinceMS      int64  `json:"since_ms"`
+	Acknowledged bool   `json:"heeds"` // the relay reports that it follows the order
 }
 
-func (h *controller) driftStatus(now int64) driftStatus {
-	h.refresh()
-	p := driftStatus{Rows: []driftRow{}, BlockReason: h.blockReason, Bounds: map[string]int64{}, Quarantined: []quarantinedRelay{}, Counts: h.driftWatch.Counts()}
-	for _, r := range h.driftWatch.Findings() {
-		row := driftRow{Relay: r.Relay, Item: r.Agreed.Name, State: r.State.String(), Since: now - r.Since, Intent: r.Agreed.Version,
-			Applied: r.Applied.Version, Why: r.Reason, Evidence: r.Evidence}
-		if r.OutOfSyncSince > 0 {
-			row.Behind = now - r.OutOfSyncSince
+func (c *controller) driftStatus(now int64) driftStatus {
+	c.refresh()
+	status := driftStatus{Findings: []driftFinding{}, BlockReason: c.blockReason, LagBounds: map[string]int64{}, Quarantined: []quarantinedRelay{},
+		Counts: c.driftMonitor.Counts()}
+	for _, f := range c.driftMonitor.Findings() {
+		finding := driftFinding{Relay: f.Relay, Item: f.Agreed.Name, State: f.State.String(), SinceMS: now - f.Since, IntendedVersion: f.Agreed.Version,
+			AppliedVersion: f.Applied.Version, Reason: f.Reason, Evidence: f.Evidence}
+		if f.OutOfSyncSince > 0 {
+			finding.BehindMS = now - f.OutOfSyncSince
 		}
-		if x := h.fleet.relays[r.Relay]; x != nil && r.Agreed.Name != "" {
-			row.Intended, row.Running = h.describeItem(r.Relay, r.Agreed.Name, x)
+		if relay := c.fleet.relays[f.Relay]; relay != nil && f.Agreed.Name != "" {
+			finding.Intended, finding.Running = c.itemValues(f.Relay, f.Agreed.Name, relay)
 		}
-		p.Rows = append(p.Rows, row)
+		status.Findings = append(status.Findings, finding)
 	}
-	for _, group := range []string{drift.ItemProgram, drift.ItemConfig, drift.ItemEndpointList, drift.ItemEjections, drift.ItemDrains, drift.ItemCanaryWeights, drift.ItemVoters, drift.ItemPermits} {
-		p.Bounds[group] = h.driftWatch.LagBound(group)
+	for _, group := range []string{drift.ItemProgram, drift.ItemConfig, drift.ItemEndpointList, drift.ItemEjections, drift.ItemDrains, drift.ItemCanaryWeights,
+		drift.ItemVoters, drift.ItemPermits} {
+		status.LagBounds[group] = c.driftMonitor.LagBound(group)
 	}
-	for _, name := range slices.Sorted(maps.Keys(h.quarantined)) {
-		x, w := h.quarantined[name], h.fleet.relays[name]
-		p.Quarantined = append(p.Quarantined, quarantinedRelay{name, x.Reason, now - x.Since, w != nil && w.QuarantineOrder == x.Number})
+	for _, name := range slices.Sorted(maps.Keys(c.quarantined)) {
+		q, relay := c.quarantined[name], c.fleet.relays[name]
+		status.Quarantined = append(status.Quarantined, quarantinedRelay{name, q.Reason, now - q.Since, relay != nil && relay.QuarantineOrder == q.Number})
 	}
-	return p
+	return status
 }
 
-// maxRelays are what is meant of program or a section, and what the relay said.
-func (h *controller) describeItem(relay, item string, x *relayStatus) (meant, runs string) {
+// itemValues are the expected value of an item and the one that a relay reports; "" unless it is the program or a section.
+func (c *controller) itemValues(relay, item string, status *relayStatus) (expected, running string) {
 	switch drift.GroupOf(item) {
 	case drift.ItemProgram:
-		return h.expectedProgram(relay, x), x.Program
+		return c.expectedProgram(relay, status), status.Program
 	case drift.ItemConfig:
-		return h.expectedConfig(relay, x)[item], x.ConfigSections[strings.TrimPrefix(item, drift.ItemConfig+".")]
+		return c.expectedConfig(relay, status)[item], status.ConfigSections[strings.TrimPrefix(item, drift.ItemConfig+".")]
 	}
 	return "", ""
 }
--- a/internal/fleet/expected_items.go
+++ b/internal/fleet/expected_items.go
@@ -9,160 +9,190 @@
 	"dahliarudder/internal/rollout"
 )
 
-// updateExpected tells the watch what is agreed for a relay.
-func (h *controller) updateExpected(now int64, relay string) {
-	items := h.expectedItems(now, relay)
-	x := h.fleet.relays[relay]
-	if x != nil && !x.listState.resetWatch && slices.Equal(items, x.expected) {
+// updateExpected gives the drift monitor the items that a relay is expected to have applied.
+func (c *controller) updateExpected(now int64, relay string) {
+	items := c.expectedItems(now, relay)
+	status := c.fleet.relays[relay]
+	if status == nil {
+		c.driftMonitor.SetIntent(now, relay, items)
 		return
 	}
-	if x != nil && x.listState.resetWatch {
-		if x.listState.resetWatch = false; h.driftWatch.StateOf(relay, drift.ItemEndpointList) < drift.Lagging {
-			h.driftWatch.SetIntent(now, relay, slices.DeleteFunc(slices.Clone(items), func(i drift.Item) bool { return i.Name == drift.ItemEndpointList }))
-		}
+	if !status.list.resetMonitor && slices.Equal(items, status.expected) {
+		return
 	}
-	if h.driftWatch.SetIntent(now, relay, items); x != nil {
-		x.expected = items
+	if status.list.resetMonitor {
+		status.list.resetMonitor = false
+		if c.driftMonitor.StateOf(relay, drift.ItemEndpointList) < drift.Lagging {
+			withoutList := slices.DeleteFunc(slices.Clone(items), func(i drift.Item) bool { return i.Name == drift.ItemEndpointList })
+			c.driftMonitor.SetIntent(now, relay, withoutList)
+		}
 	}
+	c.driftMonitor.SetIntent(now, relay, items)
+	status.expected = items
 }
 
-// expectedItems are those that a relay is held to: what the record says, of what it tells anything of. One that is of an older program tells less.
-func (h *controller) expectedItems(now int64, relay string) []drift.Item {
-	items := []drift.Item{h.recordItems.Ejections, h.recordItems.Drains}
-	x := h.fleet.relays[relay]
-	if x == nil {
+// expectedItems are the items that a relay is expected to have applied, as far as it reports them: one of an older version reports fewer.
+func (c *controller) expectedItems(now int64, relay string) []drift.Item {
+	items := []drift.Item{c.recordItems.Ejections, c.recordItems.Drains}
+	status := c.fleet.relays[relay]
+	if status == nil {
 		return items
 	}
-	if x.reports(drift.ItemProgram) {
-		if value := h.expectedProgram(relay, x); value != "" {
-			items = append(items, h.intent.driftItem(relay, drift.ItemProgram, value))
+	if status.reports(drift.ItemProgram) {
+		if value := c.expectedProgram(relay, status); value != "" {
+			items = append(items, c.intent.driftItem(relay, drift.ItemProgram, value))
 		}
 	}
-	if x.reports(drift.ItemConfig) {
-		all := h.expectedConfig(relay, x)
-		for section, value := range x.ConfigSections {
-			if name := drift.ItemConfig + "." + section; h.contested[name] && len(all) > 0 && all[name] == "" {
-				all = maps.Clone(all)
-				all[name] = value
+	if status.reports(drift.ItemConfig) {
+		config := c.expectedConfig(relay, status)
+		for section, value := range status.ConfigSections {
+			if name := configItem(section); c.contested[name] && len(config) > 0 && config[name] == "" {
+				config = maps.Clone(config)
+				config[name] = value
 			}
 		}
-		for _, name := range slices.Sorted(maps.Keys(all)) {
-			items = append(items, h.intent.driftItem(relay, name, all[name]))
+		for _, name := range slices.Sorted(maps.Keys(config)) {
+			items = append(items, c.intent.driftItem(relay, name, config[name]))
 		}
 	}
-	if x.reports(drift.ItemEndpointList) && x.listState.generation > 0 {
-		items = append(items, h.fleet.expectedList(now, &x.listState))
+	if status.reports(drift.ItemEndpointList) && status.list.generation > 0 {
+		items = append(items, c.fleet.expectedList(now, &status.list))
 	}
-	if x.reports(drift.ItemCanaryWeights) {
-		items = append(items, h.recordItems.CanaryWeights)
+	if status.reports(drift.ItemCanaryWeights) {
+		items = append(items, c.recordItems.CanaryWeights)
 	}
-	if x.reports(drift.ItemPermits) {
-		items = append(items, h.recordItems.Permits)
+	if status.reports(drift.ItemPermits) {
+		items = append(items, c.recordItems.Permits)
 	}
-	if x.reports(drift.ItemVoters) && h.voters.Digest != 0 {
-		items = append(items, h.voters)
+	if status.reports(drift.ItemVoters) && c.voters.Digest != 0 {
+		items = append(items, c.voters)
 	}
 	return items
 }
 
-// expectedProgram is what a relay is to run, "" if nobody has agreed on any. Under a release: what is new once it is through, what it had while it
-// waits, and either while it is out.
-func (h *controller) expectedProgram(relay string, x *relayStatus) string {
-	m, _ := h.intent.valueFor(relay, drift.ItemProgram)
-	u, ok := h.pendingReleases[relay]
-	if !ok || !u.changes(drift.ItemProgram) {
-		return m.Value
-	}
-	old, fresh := m.Value, u.release.Spec.Program
-	if u.adopted {
-		old = u.unit.PreviousProgram
-	}
+// expectedProgram is the program that a relay is expected to run; "" if there is no intent. During a release it is the new one once the
+// relay is done, the previous one while it waits, and either while it restarts.
+func (c *controller) expectedProgram(relay string, status *relayStatus) string {
+	intended, _ := c.intent.valueFor(relay, drift.ItemProgram)
+	release, ok := c.pendingReleases[relay]
+	if !ok || !release.changes(drift.ItemProgram) {
+		return intended.Value
+	}
+	previous, next := intended.Value, release.release.Spec.Program
+	if release.adopted {
+		previous = release.unit.PreviousProgram
+	}
+	runsOrRejectsNext := status.Program == next || slices.Contains(status.RejectedItems, drift.ItemProgram)
 	switch {
-	case u.restarting() && (x.Program == fresh || slices.Contains(x.RejectedItems, drift.ItemProgram)), u.unit.Phase == rollout.PhaseDone && u.unit.Updated && !u.restarting():
-		return fresh
+	case release.restarting() && runsOrRejectsNext, release.unit.Phase == rollout.PhaseDone && release.unit.Updated && !release.restarting():
+		return next
 	}
-	return old
+	return previous
 }
 
-// expectedConfig is the same of the configuration, by item.
-func (h *controller) expectedConfig(relay string, x *relayStatus) map[string]string {
-	meant := map[string]string{}
-	for _, name := range h.intent.itemNames(relay) {
-		if m, _ := h.intent.valueFor(relay, name); name != drift.ItemProgram {
-			meant[name] = m.Value
+// expectedConfig is the same for the configuration: the expected values by item.
+func (c *controller) expectedConfig(relay string, status *relayStatus) map[string]string {
+	intended := map[string]string{}
+	for _, name := range c.intent.itemNames(relay) {
+		if value, _ := c.intent.valueFor(relay, name); name != drift.ItemProgram {
+			intended[name] = value.Value
 		}
 	}
-	u, ok := h.pendingReleases[relay]
-	if !ok || !u.changes(drift.ItemConfig) {
-		return meant
+	release, ok := c.pendingReleases[relay]
+	if !ok || !release.changes(drift.ItemConfig) {
+		return intended
 	}
-	old, fresh := meant, h.releaseSections[u.release.Name]
-	if u.adopted {
-		old = map[string]string{}
-		for name, value := range u.previous {
-			if name != drift.ItemProgram {
-				old[name] = value
-			}
-		}
+	previous, next := intended, c.releaseSections[release.release.Name]
+	if release.adopted {
+		previous = configItems(release.previous)
 	}
 	switch {
-	case u.restarting() && x.Config != u.release.Spec.Config:
-		for _, name := range x.RejectedItems { // it was sent for the new one
-			if drift.GroupOf(name) == drift.ItemConfig && old[name] != "" {
-				old = maps.Clone(old)
-				if old[name] = fresh[name]; old[name] == "" {
-					old[name] = "that of " + u.release.Name
-				}
+	case release.restarting() && status.Config != release.release.Spec.Config:
+		return withRejected(previous, next, status.RejectedItems, release.release.Name)
+	case release.restarting(), release.unit.Phase == rollout.PhaseDone && release.unit.Updated:
+		return next
+	}
+	return previous
+}
+
+// withRejected expects the next value of each item that a relay rejected: it restarted in order to get it.
+func withRejected(previous, next map[string]string, rejected []string, release string) map[string]string {
+	for _, name := range rejected {
+		if drift.GroupOf(name) == drift.ItemConfig && previous[name] != "" {
+			previous = maps.Clone(previous)
+			if previous[name] = next[name]; previous[name] == "" {
+				previous[name] = "that of " + release // no relay has reported the new value: any but the previous one
 			}
 		}
-		return old
-	case u.restarting(), u.unit.Phase == rollout.PhaseDone && u.unit.Updated:
-		return fresh
 	}
-	return old
+	return previous
+}
+
+// configItem is the item of a section of the configuration.
+func configItem(section string) string { return drift.ItemConfig + "." + section }
+
+// configItems returns the items that are sections of the configuration.
+func configItems(items map[string]string) map[string]string {
+	config := map[string]string{}
+	for name, value := range items {
+		if name != drift.ItemProgram {
+			config[name] = value
+		}
+	}
+	return config
 }
 
-// learnReleaseSections takes the sections of new configurations from the units that have them, as most of them say, and which ones nobody agreed on.
-func (h *controller) learnReleaseSections() {
-	h.releaseSections = map[string]map[string]string{}
-	count := map[string]map[string]int{}
-	for relay, u := range h.pendingReleases {
-		x := h.fleet.relays[relay]
-		if x == nil || u.release.Spec.Config == "" || x.Config != u.release.Spec.Config || len(x.ConfigSections) == 0 ||
-			!(u.unit.Updated || u.restarting()) {
+// learnReleaseSections updates releaseSections and contested from the relays' reports. Of a release's configuration, the sections are those
+// that most of the relays that run it report.
+func (c *controller) learnReleaseSections() {
+	votes := map[string]map[string]int{} // by release and encoded sections
+	for relay, release := range c.pendingReleases {
+		status, config := c.fleet.relays[relay], release.release.Spec.Config
+		if status == nil || config == "" || status.Config != config || len(status.ConfigSections) == 0 ||
+			!(release.unit.Updated || release.restarting()) {
 			continue
 		}
-		text, _ := json.Marshal(x.ConfigSections)
-		if count[u.release.Name] == nil {
-			count[u.release.Name] = map[string]int{}
+		text, _ := json.Marshal(status.ConfigSections)
+		name := release.release.Name
+		if votes[name] == nil {
+			votes[name] = map[string]int{}
 		}
-		count[u.release.Name][string(text)]++
-	}
-	has, tell := map[string]int{}, 0
-	for _, x := range h.fleet.relays {
-		if x.reports(drift.ItemConfig) {
-			tell++
-			for section := range x.ConfigSections {
-				has[drift.ItemConfig+"."+section]++
-			}
+		votes[name][string(text)]++
+	}
+	c.releaseSections = map[string]map[string]string{}
+	for release, bySections := range votes {
+		var sections map[string]string
+		json.Unmarshal([]byte(mostVotes(bySections)), &sections)
+		c.releaseSections[release] = map[string]string{}
+		for section, value := range sections {
+			c.releaseSections[release][configItem(section)] = value
 		}
 	}
-	h.contested = map[string]bool{}
-	for name, n := range has {
-		h.contested[name] = 2*n >= tell && len(h.intent.Items[name]) == 0
+	c.findContested()
+}
+
+// mostVotes is the candidate with the most votes; of several, the least.
+func mostVotes(votes map[string]int) (best string) {
+	for candidate, n := range votes {
+		if best == "" || n > votes[best] || n == votes[best] && candidate < best {
+			best = candidate
+		}
 	}
-	for name, by := range count {
-		best := ""
-		for text, n := range by {
-			if best == "" || n > by[best] || n == by[best] && text < best {
-				best = text
+	return best
+}
+
+func (c *controller) findContested() {
+	having, reporting := map[string]int{}, 0 // relays by section; relays in all
+	for _, status := range c.fleet.relays {
+		if status.reports(drift.ItemConfig) {
+			reporting++
+			for section := range status.ConfigSections {
+				having[configItem(section)]++
 			}
 		}
-		var all map[string]string
-		json.Unmarshal([]byte(best), &all)
-		h.releaseSections[name] = map[string]string{}
-		for section, value := range all {
-			h.releaseSections[name][drift.ItemConfig+"."+section] = value
-		}
+	}
+	c.contested = map[string]bool{}
+	for name, n := range having {
+		c.contested[name] = 2*n >= reporting && len(c.intent.Items[name]) == 0
 	}
 }
--- a/internal/fleet/fleet_status.go
+++ b/internal/fleet/fleet_status.go
@@ -9,97 +9,104 @@
 	"dahliarudder/internal/rollout"
 )
 
-// relayStatus is the last word of a relay, and what is reckoned from those before.
+// relayStatus is a relay's last status report, and what the leader derives from it and earlier ones.
 type relayStatus struct {
 	statusReport
 	receivedAt int64
-	attempts   map[string]*memberAttempts
-	listState  relayList
+	attempts   map[string]*memberAttempts // by member
+	list       relayList
 
-	expected []drift.Item // what the watch holds it to
+	expected []drift.Item // as given to the drift monitor
 }
 
-// memberAttempts counts how attempts at a member went lately, by one relay.
+// reports tells whether a relay reports the items of a group.
+func (r *relayStatus) reports(group string) bool { return slices.Contains(r.ReportedGroups, group) }
+
+// memberAttempts is how one relay's recent attempts at a member went.
 type memberAttempts struct {
 	flows               int
 	capacity            float64
-	successes, failures uint64 // as last said
+	successes, failures uint64 // as last reported
 	samples             []attemptSample
 }
 
+// attemptSample is the change from one report to the next.
 type attemptSample struct {
 	at                  int64
 	successes, failures uint64
 }
 
-// The spans by which the leader judges.
+// Windows of the leader's statistics.
 const (
-	attemptWindowMS   = 10_000 // attempts that say how a member does: some ten words
-	serviceWindowMS   = 2_000  // of service: two words of each relay
+	attemptWindowMS   = 10_000 // of attempts at a member: some ten reports
+	serviceWindowMS   = 2_000  // of service: two reports of each relay
 	maxServiceWindows = 90
 )
 
-// fleetStatus is all that the leader has heard. It decides nothing.
+// fleetStatus is what relays have reported to the leader. It decides nothing.
 type fleetStatus struct {
 	relays         map[string]*relayStatus
 	serviceWindows []rollout.ServiceWindow
 	lists          listTracker
-	maxRelays      int // most that are held
+	maxRelays      int
 }
 
 func newFleetStatus() *fleetStatus {
 	return &fleetStatus{relays: map[string]*relayStatus{}, maxRelays: 1024}
 }
 
-// receive takes a relay's word. Words that come late, of an earlier process or out of order, are passed over.
-func (s *fleetStatus) receive(now int64, from string, w statusReport) {
-	h := s.relays[from]
+// receive takes a relay's status report. One of an earlier process, or that a later one has overtaken, is ignored.
+func (f *fleetStatus) receive(now int64, from string, report statusReport) {
+	relay := f.relays[from]
 	switch {
-	case h == nil && len(s.relays) >= s.maxRelays:
+	case relay == nil && len(f.relays) >= f.maxRelays:
 		return
-	case h == nil:
-		h = &relayStatus{attempts: map[string]*memberAttempts{}}
-		s.relays[from] = h
-	case w.Incarnation < h.Incarnation:
+	case relay == nil:
+		relay = &relayStatus{attempts: map[string]*memberAttempts{}}
+		f.relays[from] = relay
+	case report.Incarnation < relay.Incarnation:
 		return
-	case w.Incarnation > h.Incarnation:
-		h.attempts = map[string]*memberAttempts{}
-	case w.DemandMS < h.DemandMS || w.ServedMS < h.ServedMS:
+	case report.Incarnation > relay.Incarnation:
+		relay.attempts = map[string]*memberAttempts{}
+	case report.DemandMS < relay.DemandMS || report.ServedMS < relay.ServedMS:
 		return
 	default:
-		s.countService(now, float64(w.DemandMS-h.DemandMS)/1000, float64(w.ServedMS-h.ServedMS)/1000)
+		f.countService(now, float64(report.DemandMS-relay.DemandMS)/1000, float64(report.ServedMS-relay.ServedMS)/1000)
 	}
-	for _, t := range h.attempts {
-		t.flows = 0 // a member that it does not name it holds nothing at
+	relay.receiveMembers(now, report.Members)
+	relay.statusReport, relay.receivedAt = report, now
+	relay.list.observe(now, report.ListGeneration, report.ListRestarted, f.lists)
+}
+
+// receiveMembers updates the attempts by member. The relay has no flows at members that its report leaves out.
+func (r *relayStatus) receiveMembers(now int64, members []memberReport) {
+	for _, a := range r.attempts {
+		a.flows = 0
 	}
-	for _, m := range w.Members {
-		t := h.attempts[m.Name]
-		if t == nil {
-			t = &memberAttempts{successes: m.Successes, failures: m.Failures}
-			h.attempts[m.Name] = t
-		} else if m.Successes > t.successes || m.Failures > t.failures {
-			t.samples = append(t.samples, attemptSample{now, max(m.Successes, t.successes) - t.successes, max(m.Failures, t.failures) - t.failures})
-			t.successes, t.failures = max(m.Successes, t.successes), max(m.Failures, t.failures)
+	for _, m := range members {
+		a := r.attempts[m.Name]
+		if a == nil {
+			a = &memberAttempts{successes: m.Successes, failures: m.Failures}
+			r.attempts[m.Name] = a
+		} else if m.Successes > a.successes || m.Failures > a.failures {
+			a.samples = append(a.samples, attemptSample{now, max(m.Successes, a.successes) - a.successes, max(m.Failures, a.failures) - a.failures})
+			a.successes, a.failures = max(m.Successes, a.successes), max(m.Failures, a.failures)
 		}
-		t.flows, t.capacity = m.Flows, cmp.Or(m.Capacity, t.capacity)
+		a.flows, a.capacity = m.Flows, cmp.Or(m.Capacity, a.capacity)
 	}
-	maps.DeleteFunc(h.attempts, func(_ string, t *memberAttempts) bool {
-		t.samples = slices.DeleteFunc(t.samples, func(m attemptSample) bool { return now-m.at > attemptWindowMS })
-		return t.flows == 0 && len(t.samples) == 0 && len(h.attempts) > maxMemberReports/2
+	maps.DeleteFunc(r.attempts, func(_ string, a *memberAttempts) bool {
+		a.samples = slices.DeleteFunc(a.samples, func(s attemptSample) bool { return now-s.at > attemptWindowMS })
+		return a.flows == 0 && len(a.samples) == 0 && len(r.attempts) > maxMemberReports/2
 	})
-	h.statusReport, h.receivedAt = w, now
-	h.listState.observe(now, w.ListGeneration, w.ListRestarted, s.lists)
 }
 
-// countService adds to the window of now.
-func (s *fleetStatus) countService(now int64, asked, served float64) {
+// countService adds clients' time in seconds to the current window.
+func (f *fleetStatus) countService(now int64, demand, served float64) {
 	end := now - now%serviceWindowMS + serviceWindowMS
-	if n := len(s.serviceWindows); n == 0 || s.serviceWindows[n-1].EndsAt < end {
-		s.serviceWindows = append(s.serviceWindows, rollout.ServiceWindow{EndsAt: end})
-		s.serviceWindows = s.serviceWindows[max(0, len(s.serviceWindows)-maxServiceWindows):]
+	if n := len(f.serviceWindows); n == 0 || f.serviceWindows[n-1].EndsAt < end {
+		f.serviceWindows = append(f.serviceWindows, rollout.ServiceWindow{EndsAt: end})
+		f.serviceWindows = f.serviceWindows[max(0, len(f.serviceWindows)-maxServiceWindows):]
 	}
-	last := &s.serviceWindows[len(s.serviceWindows)-1]
-	last.Requested, last.Served = last.Requested+asked, last.Served+served
+	last := &f.serviceWindows[len(f.serviceWindows)-1]
+	last.Requested, last.Served = last.Requested+demand, last.Served+served
 }
-
-func (x *relayStatus) reports(group string) bool { return slices.Contains(x.ReportedGroups, group) }
--- a/internal/fleet/intent.go
+++ b/internal/fleet/intent.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"maps"
 	"slices"
@@ -11,23 +12,23 @@
 	"dahliarudder/internal/rollout"
 )
 
-// Bounds of what is meant.
+// Bounds of intent.
 const (
-	maxIntentItems  = 48 // items, the sections of a configuration among them: the others that a relay tells fit beside them
-	maxFormerValues = 3  // values before the one of now, by which a relay that went back is told apart
+	maxIntentItems  = 48 // sections of a configuration among them; a relay's other reported items fit beside them
+	maxFormerValues = 3  // kept per item, to recognize a relay that went back to one of them
 	maxIntentValue  = rollout.MaxNameBytes
 )
 
-// intent is what is meant of the things that relays run and no order says: program, and configuration by section. Decisions alone; it is
-// the third part of the record. One that was handed out never changes: a command makes another one.
+// intent is what relays are meant to run where no order says so: the program, and the configuration by section. It is one of the record's
+// parts. An intent that was handed out is never modified: a command makes a new one.
 type intent struct {
 	Version  uint64                              `json:"version"`            // of the last change
-	Items    map[string][]intendedValue          `json:"items,omitempty"`    // of all relays; newest first
-	PerRelay map[string]map[string]intendedValue `json:"of,omitempty"`       // of single relays, by a release of a part of them
-	Adopted  map[string]adoptedRelease           `json:"releases,omitempty"` // what ended releases have changed it by, by name
+	Items    map[string][]intendedValue          `json:"items,omitempty"`    // of all relays; newest value first
+	PerRelay map[string]map[string]intendedValue `json:"of,omitempty"`       // of single relays, after a release of some of them
+	Adopted  map[string]adoptedRelease           `json:"releases,omitempty"` // completed releases that intent follows, by name
 }
 
-// intendedValue is the value of an item, and since when it holds. Its version rises with every change of any item.
+// intendedValue is the value of an item, with the version and time of the change that set it.
 type intendedValue struct {
 	Value   string `json:"value"`
 	Version uint64 `json:"version"`
@@ -35,23 +36,28 @@
 	By      string `json:"by"`
 }
 
+// adoptedRelease is what is needed to undo the adoption of a release.
 type adoptedRelease struct {
-	OpenedAt int64             `json:"opened"`           // a name may be used again
-	Previous map[string]string `json:"before,omitempty"` // what was meant of all relays
+	OpenedAt int64             `json:"opened"`           // tells releases of the same name apart
+	Previous map[string]string `json:"before,omitempty"` // intent for all relays before it
 }
 
-// intentCommand is a command. Adopt without Who or Release is the pilot's for items that nobody agreed on: what is agreed stays, so one that comes late
-// changes nothing. With Release it follows one that has ended, or is back; with Who it is an operator's.
+// adoptAction is the one action of an intentCommand.
+const adoptAction = "adopt"
+
+// intentCommand changes intent. With Release it follows a release that is completed or rolled back; with Operator it is an operator's; with
+// neither it is the controller's, and sets only items without intent, so that a late one changes nothing.
 type intentCommand struct {
 	Action      string            `json:"do"`
 	Items       map[string]string `json:"items,omitempty"`
-	ReplaceAll  bool              `json:"whole,omitempty"` // sections that are not named are meant no more
+	ReplaceAll  bool              `json:"whole,omitempty"` // sections that Items does not name lose their intent
 	Release     string            `json:"release,omitempty"`
 	Operator    string            `json:"who,omitempty"`
-	Uniform     bool              `json:"even,omitempty"` // setAll relays have come to mean the same: it is meant of all, if Base is the version still
+	Uniform     bool              `json:"even,omitempty"` // the intent of all known relays has become the same; applies only to BaseVersion
 	BaseVersion uint64            `json:"base,omitempty"`
 }
 
+// checkIntentItem is why an item cannot have intent, or not that value; "" if it can.
 func checkIntentItem(name, value string) string {
 	section, ok := strings.CutPrefix(name, drift.ItemConfig+".")
 	switch {
@@ -63,137 +69,127 @@
 	return ""
 }
 
-// apply is the state after a command; an error changes nothing.
-func (n *intent) apply(at int64, by string, body []byte, ro *rollout.State) (*intent, rollout.Result) {
-	refuse := func(format string, args ...any) (*intent, rollout.Result) {
-		return n, rollout.Result{Error: fmt.Sprintf(format, args...)}
-	}
+// apply returns the intent after a command. A rejected command changes nothing.
+func (n *intent) apply(at int64, by string, body []byte, releases *rollout.State) (*intent, rollout.Result) {
 	var c intentCommand
 	if err := json.Unmarshal(body, &c); err != nil {
-		return refuse("no command: %v", err)
+		return n, rollout.Result{Error: fmt.Sprintf("no command: %v", err)}
 	}
-	if c.Action != "adopt" {
-		return refuse("no such command: %.40q", c.Action)
+	if reason := c.check(); reason != "" {
+		return n, rollout.Result{Error: reason}
 	}
-	if len(c.Items) > maxIntentItems {
-		return refuse("over %d items", maxIntentItems)
+	edit := intentEdit{intent: n.clone(releases), at: at, by: by[:min(len(by), rollout.MaxNameBytes)], next: n.Version + 1}
+	if reason := edit.apply(&c, releases); reason != "" {
+		return n, rollout.Result{Error: reason}
 	}
-	for _, name := range slices.Sorted(maps.Keys(c.Items)) {
-		if why := checkIntentItem(name, c.Items[name]); why != "" {
-			return refuse("%s", why)
-		}
+	if len(edit.Items) > maxIntentItems || len(edit.PerRelay) > drift.MaxRelays {
+		return n, rollout.Result{Error: fmt.Sprintf("over %d items, or %d relays", maxIntentItems, drift.MaxRelays)}
 	}
-	if len(by) > rollout.MaxNameBytes {
-		by = by[:rollout.MaxNameBytes]
-	}
-	x := &intent{Version: n.Version, Items: maps.Clone(n.Items), PerRelay: map[string]map[string]intendedValue{}, Adopted: map[string]adoptedRelease{}}
-	if x.Items == nil {
-		x.Items = map[string][]intendedValue{}
+	return edit.intent, rollout.Result{State: "meant", Number: edit.Version}
+}
+
+// check is why a command is malformed; "" if it is not.
+func (c *intentCommand) check() string {
+	if c.Action != adoptAction {
+		return fmt.Sprintf("no such command: %.40q", c.Action)
 	}
-	for relay, of := range n.PerRelay {
-		x.PerRelay[relay] = maps.Clone(of)
+	if len(c.Items) > maxIntentItems {
+		return fmt.Sprintf("over %d items", maxIntentItems)
 	}
-	for name, e := range n.Adopted { // of those that the record still knows
-		if a, ok := ro.Release(name); ok && a.OpenedAt == e.OpenedAt {
-			x.Adopted[name] = e
+	for _, name := range slices.Sorted(maps.Keys(c.Items)) {
+		if reason := checkIntentItem(name, c.Items[name]); reason != "" {
+			return reason
 		}
 	}
-	e := intentEdit{x, at, by, n.Version + 1}
-	why := ""
-	switch {
-	case c.Release != "":
-		why = e.followRelease(&c, ro)
-	case c.Uniform:
-		if c.BaseVersion != n.Version {
-			return refuse("it was reckoned from version %d, this is %d", c.BaseVersion, n.Version)
-		}
-		e.setAll(c.Items, true)
-	case c.Operator != "":
-		e.by = c.Operator[:min(len(c.Operator), rollout.MaxNameBytes)]
-		if c.ReplaceAll {
-			e.dropSectionsExcept(c.Items)
+	return ""
+}
+
+// clone copies an intent, without the adopted releases that the record no longer knows.
+func (n *intent) clone(releases *rollout.State) *intent {
+	c := &intent{Version: n.Version, Items: map[string][]intendedValue{}, PerRelay: map[string]map[string]intendedValue{}, Adopted: map[string]adoptedRelease{}}
+	maps.Copy(c.Items, n.Items)
+	for relay, items := range n.PerRelay {
+		c.PerRelay[relay] = maps.Clone(items)
+	}
+	for name, adopted := range n.Adopted {
+		if release, ok := releases.Release(name); ok && release.OpenedAt == adopted.OpenedAt {
+			c.Adopted[name] = adopted
 		}
-		e.setAll(c.Items, true)
-	default:
-		e.setAll(c.Items, false)
-	}
-	switch {
-	case why != "":
-		return refuse("%s", why)
-	case len(x.Items) > maxIntentItems || len(x.PerRelay) > drift.MaxRelays:
-		return refuse("over %d items, or %d relays", maxIntentItems, drift.MaxRelays)
 	}
-	return x, rollout.Result{State: "meant", Number: x.Version}
+	return c
 }
 
-// releaseAdoption says whether what a release changed is meant as it stands: one that is over is still to be told of if not.
-func (n *intent) releaseAdoption(a *rollout.ReleaseStatus) (taken, settled bool) {
-	e, ok := n.Adopted[a.Name]
-	taken = ok && e.OpenedAt == a.OpenedAt
-	switch a.State {
+// releaseAdoption tells whether intent has adopted a release's values, and whether that is settled: whether it fits the release's outcome.
+func (n *intent) releaseAdoption(release *rollout.ReleaseStatus) (adopted, settled bool) {
+	a, ok := n.Adopted[release.Name]
+	adopted = ok && a.OpenedAt == release.OpenedAt
+	switch release.State {
 	case rollout.ReleaseCompleted:
-		return taken, taken
+		return adopted, adopted
 	case rollout.ReleaseRolledBack:
-		return taken, !taken
+		return adopted, !adopted
 	}
-	return taken, false
+	return adopted, false
 }
 
-// valueFor is what is meant of an item at a relay.
+// valueFor is the intent of an item at a relay.
 func (n *intent) valueFor(relay, name string) (intendedValue, bool) {
-	if m, ok := n.PerRelay[relay][name]; ok {
-		return m, true
+	if value, ok := n.PerRelay[relay][name]; ok {
+		return value, true
 	}
-	if list := n.Items[name]; len(list) > 0 {
-		return list[0], true
+	if values := n.Items[name]; len(values) > 0 {
+		return values[0], true
 	}
 	return intendedValue{}, false
 }
 
-// itemNames are all items that are meant of a relay, in order.
+// itemNames are the names of all items with intent at a relay, sorted.
 func (n *intent) itemNames(relay string) []string {
-	all := slices.Collect(maps.Keys(n.Items))
+	names := slices.Collect(maps.Keys(n.Items))
 	for name := range n.PerRelay[relay] {
 		if len(n.Items[name]) == 0 {
-			all = append(all, name)
+			names = append(names, name)
 		}
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(names)
+	return names
 }
 
-// driftItem is a value of a relay's as the drift module takes it: one that was meant before has its version of then, one that never was has the version of
-// now, so that it is told apart from an old one. Relays and the leader come to the same.
+// driftItem is the drift item of a value at a relay. A former value has its former version; a value that never was intent has the current
+// version, so that it is not taken for an old one. A relay and the leader compute the same.
 func (n *intent) driftItem(relay, name, value string) drift.Item {
-	it := drift.Item{Name: name, Digest: digestOf([]string{value})}
-	m, ok := n.valueFor(relay, name)
-	it.Version = m.Version
-	if ok && m.Value == value {
-		return it
-	}
-	for _, old := range n.Items[name] {
-		if old.Value == value {
-			it.Version = old.Version
+	item := drift.Item{Name: name, Digest: digestOf([]string{value})}
+	current, ok := n.valueFor(relay, name)
+	item.Version = current.Version
+	if ok && current.Value == value {
+		return item
+	}
+	for _, former := range n.Items[name] {
+		if former.Value == value {
+			item.Version = former.Version
 			break
 		}
 	}
-	return it
+	return item
 }
 
+var errIntentBounds = errors.New("intent: a state beyond its bounds")
+
+// decodeIntent decodes the part of a snapshot; a snapshot of an earlier version has none.
 func decodeIntent(text []byte) (*intent, error) {
 	n := &intent{}
 	if len(text) == 0 {
-		return n, nil // a snapshot of before there was this part
+		return n, nil
 	}
 	if err := json.Unmarshal(text, n); err != nil {
-		return nil, fmt.Errorf("intent: %w", err)
+		return nil, fmt.Errorf("decode intent: %w", err)
 	}
 	if len(n.Items) > maxIntentItems || len(n.PerRelay) > drift.MaxRelays || len(n.Adopted) > rollout.MaxReleases {
-		return nil, fmt.Errorf("intent: a state beyond its bounds")
+		return nil, errIntentBounds
 	}
-	for _, list := range n.Items {
-		if len(list) == 0 || len(list) > 1+maxFormerValues {
-			return nil, fmt.Errorf("intent: a state beyond its bounds")
+	for _, values := range n.Items {
+		if len(values) == 0 || len(values) > 1+maxFormerValues {
+			return nil, errIntentBounds
 		}
 	}
 	return n, nil
--- a/internal/fleet/intent_edit.go
+++ b/internal/fleet/intent_edit.go
@@ -4,64 +4,96 @@
 	"cmp"
 	"fmt"
 	"maps"
-	"slices"
 
 	"dahliarudder/internal/drift"
 	"dahliarudder/internal/rollout"
 )
 
-// intentEdit is one command's change.
+// intentEdit applies one command to a copy of the intent.
 type intentEdit struct {
 	*intent
 	at   int64
 	by   string
-	next uint64
+	next uint64 // the version, if the command changes anything
 }
 
-// setAll means values of all relays. Without over, what is meant already stays.
-func (e *intentEdit) setAll(items map[string]string, over bool) {
+// apply is why a command is rejected; "" if it was applied.
+func (e *intentEdit) apply(c *intentCommand, releases *rollout.State) string {
+	switch {
+	case c.Release != "":
+		return e.followRelease(c, releases)
+	case c.Uniform:
+		if c.BaseVersion != e.Version {
+			return fmt.Sprintf("it was reckoned from version %d, this is %d", c.BaseVersion, e.Version)
+		}
+		e.setAll(c.Items)
+	case c.Operator != "":
+		e.by = c.Operator[:min(len(c.Operator), rollout.MaxNameBytes)]
+		if c.ReplaceAll {
+			e.dropSectionsExcept(c.Items)
+		}
+		e.setAll(c.Items)
+	default:
+		e.setMissing(c.Items)
+	}
+	return ""
+}
+
+// setAll sets the intent of all relays.
+func (e *intentEdit) setAll(items map[string]string) {
 	for name, value := range items {
-		list := e.Items[name]
-		if len(list) > 0 && !over {
-			continue
+		e.set(name, value)
+	}
+}
+
+// setMissing does so for items without intent.
+func (e *intentEdit) setMissing(items map[string]string) {
+	for name, value := range items {
+		if len(e.Items[name]) == 0 {
+			e.set(name, value)
 		}
-		for relay, of := range e.PerRelay {
-			if _, ok := of[name]; ok {
-				e.Version = e.next
-			}
-			if delete(of, name); len(of) == 0 {
-				delete(e.PerRelay, relay)
-			}
+	}
+}
+
+// set sets the intent of an item for all relays, in place of that of single ones.
+func (e *intentEdit) set(name, value string) {
+	for relay, items := range e.PerRelay {
+		if _, ok := items[name]; ok {
+			e.Version = e.next
 		}
-		if len(list) > 0 && list[0].Value == value {
-			continue
+		if delete(items, name); len(items) == 0 {
+			delete(e.PerRelay, relay)
 		}
-		e.Version = e.next
-		list = append([]intendedValue{{value, e.next, e.at, e.by}}, list...)
-		e.Items[name] = list[:min(len(list), 1+maxFormerValues)]
 	}
+	values := e.Items[name]
+	if len(values) > 0 && values[0].Value == value {
+		return
+	}
+	e.Version = e.next
+	values = append([]intendedValue{{value, e.next, e.at, e.by}}, values...)
+	e.Items[name] = values[:min(len(values), 1+maxFormerValues)]
 }
 
-// dropSectionsExcept means no more the sections that are not named.
-func (e *intentEdit) dropSectionsExcept(but map[string]string) {
-	gone := func(name string) bool { return but[name] == "" && name != drift.ItemProgram }
+// dropSectionsExcept removes the intent of all sections that have no value in items.
+func (e *intentEdit) dropSectionsExcept(items map[string]string) {
+	dropped := func(name string) bool { return items[name] == "" && name != drift.ItemProgram }
 	for name := range e.Items {
-		if gone(name) {
+		if dropped(name) {
 			delete(e.Items, name)
 			e.Version = e.next
 		}
 	}
-	for relay, of := range e.PerRelay {
-		maps.DeleteFunc(of, func(name string, _ intendedValue) bool { return gone(name) })
-		if len(of) == 0 {
+	for relay, values := range e.PerRelay {
+		maps.DeleteFunc(values, func(name string, _ intendedValue) bool { return dropped(name) })
+		if len(values) == 0 {
 			delete(e.PerRelay, relay)
 		}
 	}
 }
 
-// setOne means a value of one relay, if it is not meant of it already.
-func (e *intentEdit) setOne(relay, name, value string) {
-	if m, ok := e.valueFor(relay, name); ok && m.Value == value {
+// setFor sets the intent of an item for one relay.
+func (e *intentEdit) setFor(relay, name, value string) {
+	if current, ok := e.valueFor(relay, name); ok && current.Value == value {
 		return
 	}
 	e.Version = e.next
@@ -71,74 +103,91 @@
 	e.PerRelay[relay][name] = intendedValue{value, e.next, e.at, e.by}
 }
 
-// followRelease follows a release of relays that is over: the new program is what it named, the sections are what the pilot heard of those that run its
-// configuration. One that is back means again what was meant before.
-func (e *intentEdit) followRelease(c *intentCommand, ro *rollout.State) string {
-	a, ok := ro.Release(c.Release)
-	was, taken := e.Adopted[c.Release]
+// followRelease adopts the values of a completed release of relays, or restores what was intended before one that was rolled back. The
+// program is the one that the release names; the sections are those that the leader's command has from relays that run the configuration.
+func (e *intentEdit) followRelease(c *intentCommand, releases *rollout.State) string {
+	release, ok := releases.Release(c.Release)
+	_, adopted := e.Adopted[c.Release]
+	switch {
+	case !ok || !changesIntent(&release):
+		return "no release of a program or a configuration: " + c.Release
+	case release.State == rollout.ReleaseCompleted && !adopted:
+		e.adopt(&release, c.Items)
+	case release.State == rollout.ReleaseRolledBack && adopted:
+		e.revert(&release)
+	default:
+		return fmt.Sprintf("release %q is %s, nothing follows from it now", c.Release, cmp.Or(release.State, "not there"))
+	}
+	return ""
+}
+
+func (e *intentEdit) adopt(release *rollout.ReleaseStatus, reported map[string]string) {
+	previous := map[string]string{}
+	for name, values := range e.Items {
+		if specChanges(&release.Spec, name) {
+			previous[name] = values[0].Value
+		}
+	}
+	e.Adopted[release.Name] = adoptedRelease{release.OpenedAt, previous}
+
 	items := map[string]string{}
-	if a.Spec.Program != "" {
-		items[drift.ItemProgram] = a.Spec.Program
+	if release.Spec.Config != "" {
+		items = configItems(reported)
 	}
-	if a.Spec.Config != "" {
-		for name, value := range c.Items {
-			if name != drift.ItemProgram {
-				items[name] = value
-			}
+	hasSections := len(items) > 0
+	if release.Spec.Program != "" {
+		items[drift.ItemProgram] = release.Spec.Program
+	}
+	if release.Spec.All {
+		if hasSections {
+			e.dropSectionsExcept(items)
 		}
+		e.setAll(items)
+		return
 	}
-	switch {
-	case !ok || a.Spec.Kind != rollout.KindRelay || a.Spec.Program+a.Spec.Config == "":
-		return "no release of a program or a configuration: " + c.Release
-	case a.State == rollout.ReleaseCompleted && !taken:
-		before := map[string]string{}
-		for name, list := range e.Items {
-			if name == drift.ItemProgram && a.Spec.Program != "" || name != drift.ItemProgram && a.Spec.Config != "" {
-				before[name] = list[0].Value
+	for _, unit := range release.Units {
+		for name, value := range items {
+			if unit.Updated {
+				e.setFor(unit.Name, name, value)
 			}
 		}
-		e.Adopted[c.Release] = adoptedRelease{a.OpenedAt, before}
-		if a.Spec.All {
-			if slices.ContainsFunc(slices.Collect(maps.Keys(items)), func(n string) bool { return n != drift.ItemProgram }) {
-				e.dropSectionsExcept(items)
-			}
-			e.setAll(items, true)
-			return ""
+	}
+}
+
+func (e *intentEdit) revert(release *rollout.ReleaseStatus) {
+	previous := e.Adopted[release.Name].Previous
+	delete(e.Adopted, release.Name)
+	if release.Spec.All {
+		if release.Spec.Config != "" {
+			e.dropSectionsExcept(previous)
 		}
-		for _, u := range a.Units {
-			for name, value := range items {
-				if u.Updated {
-					e.setOne(u.Name, name, value)
-				}
-			}
+		e.setAll(previous)
+		return
+	}
+	for _, unit := range release.Units {
+		if unit.Updated {
+			continue // not rolled back
 		}
-	case a.State == rollout.ReleaseRolledBack && taken:
-		delete(e.Adopted, c.Release)
-		if a.Spec.All {
-			if a.Spec.Config != "" {
-				e.dropSectionsExcept(was.Previous)
-			}
-			e.setAll(was.Previous, true)
-			return ""
+		e.dropChanged(unit.Name, release)
+		if release.Spec.Program != "" && unit.PreviousProgram != "" {
+			e.setFor(unit.Name, drift.ItemProgram, unit.PreviousProgram)
 		}
-		for _, u := range a.Units {
-			if of := e.PerRelay[u.Name]; of != nil && !u.Updated {
-				for name := range of {
-					if name == drift.ItemProgram && a.Spec.Program != "" || name != drift.ItemProgram && a.Spec.Config != "" {
-						delete(of, name)
-						e.Version = e.next
-					}
-				}
-				if len(of) == 0 {
-					delete(e.PerRelay, u.Name)
-				}
-			}
-			if a.Spec.Program != "" && u.PreviousProgram != "" && !u.Updated {
-				e.setOne(u.Name, drift.ItemProgram, u.PreviousProgram)
-			}
+	}
+}
+
+// dropChanged removes a relay's own intent of the items that a release changes.
+func (e *intentEdit) dropChanged(relay string, release *rollout.ReleaseStatus) {
+	values := e.PerRelay[relay]
+	if values == nil {
+		return
+	}
+	for name := range values {
+		if specChanges(&release.Spec, name) {
+			delete(values, name)
+			e.Version = e.next
 		}
-	default:
-		return fmt.Sprintf("release %q is %s, nothing follows from it now", c.Release, cmp.Or(a.State, "not there"))
 	}
-	return ""
+	if len(values) == 0 {
+		delete(e.PerRelay, relay)
+	}
 }
--- a/internal/fleet/intent_planning.go
+++ b/internal/fleet/intent_planning.go
@@ -9,112 +9,119 @@
 	"dahliarudder/internal/rollout"
 )
 
-// candidateValue is what most relays run of an item, and since when.
+// candidateValue is the value that most relays run of an item without intent, and since when (wall clock, ms).
 type candidateValue struct {
-	value   string
-	sinceMS int64
+	value string
+	since int64
 }
 
-// planIntent is what to have agreed on next.
-func (h *controller) planIntent(now int64, v *rollout.View) (list []intentCommand) {
-	for _, a := range h.unadopted {
-		c := intentCommand{Action: "adopt", Release: a.Name}
-		if a.State == rollout.ReleaseCompleted && a.Spec.Config != "" {
-			c.Items = h.releaseSections[a.Name]
-			if c.Items == nil && slices.ContainsFunc(a.Units, func(u rollout.Unit) bool { return u.Updated }) {
-				continue // until one that runs it has said so
+// planIntent returns the changes of intent to propose: what follows from releases that are over, an item that relays have come to agree on,
+// and what most relays run of items without intent.
+func (c *controller) planIntent(now int64, v *rollout.View) (plan []intentCommand) {
+	for _, release := range c.unadopted {
+		command := intentCommand{Action: adoptAction, Release: release.Name}
+		if release.State == rollout.ReleaseCompleted && release.Spec.Config != "" {
+			command.Items = c.releaseSections[release.Name]
+			if command.Items == nil && slices.ContainsFunc(release.Units, func(u rollout.Unit) bool { return u.Updated }) {
+				continue // until a relay that runs the configuration has reported it
 			}
 		}
-		list = append(list, c)
+		plan = append(plan, command)
 	}
-	if c, ok := h.uniformItem(v); ok && len(list) == 0 {
-		list = append(list, c)
+	if command, ok := c.uniformItem(v); ok && len(plan) == 0 {
+		plan = append(plan, command)
 	}
-	if items := h.majorityItems(now, v); len(items) > 0 {
-		list = append(list, intentCommand{Action: "adopt", Items: items})
+	if items := c.majorityItems(now, v); len(items) > 0 {
+		plan = append(plan, intentCommand{Action: adoptAction, Items: items})
 	}
-	return list
+	return plan
 }
 
-// majorityItems are the items that nobody agreed on, and more than half of all known relays have run the same of for long enough. Who is silent is known too,
-// and runs nothing.
-func (h *controller) majorityItems(now int64, v *rollout.View) map[string]string {
-	count := map[string]map[string]int{}
+// majorityItems returns the items without intent of which more than half of all known relays have run the same value for silenceTimeout.
+// Silent relays are counted as known, but not as running anything.
+func (c *controller) majorityItems(now int64, v *rollout.View) map[string]string {
+	candidates, items := map[string]candidateValue{}, map[string]string{}
+	for name, byValue := range c.countValues(v) {
+		for value, n := range byValue {
+			if 2*n <= len(v.Relays) {
+				continue
+			}
+			candidate := candidateValue{value, now}
+			if c.candidates[name].value == value {
+				candidate = c.candidates[name]
+			}
+			candidates[name] = candidate
+			if now-candidate.since >= silenceTimeout.Milliseconds() && len(c.intent.Items)+len(items) < maxIntentItems {
+				items[name] = value
+			}
+		}
+	}
+	c.candidates = candidates
+	return items
+}
+
+// countValues counts by item without intent how many relays run which value. A relay does not count for what an unsettled release changes.
+func (c *controller) countValues(v *rollout.View) map[string]map[string]int {
+	counts := map[string]map[string]int{}
 	add := func(name, value string) {
-		if len(h.intent.Items[name]) > 0 || checkIntentItem(name, value) != "" {
+		if len(c.intent.Items[name]) > 0 || checkIntentItem(name, value) != "" {
 			return
 		}
-		if count[name] == nil {
-			count[name] = map[string]int{}
+		if counts[name] == nil {
+			counts[name] = map[string]int{}
 		}
-		count[name][value]++
+		counts[name][value]++
 	}
 	for _, r := range v.Relays {
-		x, u := h.fleet.relays[r.Name], h.pendingReleases[r.Name]
-		if x == nil || r.ReportAgeMS > silenceTimeout.Milliseconds() {
+		status, release := c.fleet.relays[r.Name], c.pendingReleases[r.Name]
+		if status == nil || r.ReportAgeMS > silenceTimeout.Milliseconds() {
 			continue
 		}
-		if x.reports(drift.ItemProgram) && !u.changes(drift.ItemProgram) {
-			add(drift.ItemProgram, x.Program)
+		if status.reports(drift.ItemProgram) && !release.changes(drift.ItemProgram) {
+			add(drift.ItemProgram, status.Program)
 		}
-		if x.reports(drift.ItemConfig) && !u.changes(drift.ItemConfig+".") {
-			for section, value := range x.ConfigSections {
-				add(drift.ItemConfig+"."+section, value)
+		if status.reports(drift.ItemConfig) && !release.changes(drift.ItemConfig) {
+			for section, value := range status.ConfigSections {
+				add(configItem(section), value)
 			}
 		}
 	}
-	runs, items := map[string]candidateValue{}, map[string]string{}
-	for name, by := range count {
-		for value, n := range by {
-			if 2*n <= len(v.Relays) {
-				continue
-			}
-			if runs[name] = (candidateValue{value, now}); h.candidates[name].value == value {
-				runs[name] = h.candidates[name]
-			}
-			if now-runs[name].sinceMS >= silenceTimeout.Milliseconds() && len(h.intent.Items)+len(items) < maxIntentItems {
-				items[name] = value
-			}
-		}
-	}
-	h.candidates = runs
-	return items
+	return counts
 }
 
-// uniformItem is an item that is meant of single relays, and has come to be meant the same of all that are known: so it is meant of those that come.
-func (h *controller) uniformItem(v *rollout.View) (intentCommand, bool) {
-	if len(h.intent.PerRelay) == 0 || len(h.unadopted) > 0 || len(v.Relays) == 0 {
+// uniformItem finds an item whose intent of single relays has become the same for all known relays: then it is the intent of future ones too.
+func (c *controller) uniformItem(v *rollout.View) (intentCommand, bool) {
+	if len(c.intent.PerRelay) == 0 || len(c.unadopted) > 0 || len(v.Relays) == 0 {
 		return intentCommand{}, false
 	}
-	first := v.Relays[0].Name
-	for _, name := range slices.Sorted(maps.Keys(h.intent.PerRelay[first])) {
-		value := h.intent.PerRelay[first][name].Value
+	first := c.intent.PerRelay[v.Relays[0].Name]
+	for _, name := range slices.Sorted(maps.Keys(first)) {
+		value := first[name].Value
 		if !slices.ContainsFunc(v.Relays, func(r rollout.Relay) bool {
-			m, _ := h.intent.valueFor(r.Name, name)
-			return m.Value != value
+			other, _ := c.intent.valueFor(r.Name, name)
+			return other.Value != value
 		}) {
-			return intentCommand{Action: "adopt", Uniform: true, BaseVersion: h.intent.Version, Items: map[string]string{name: value}}, true
+			return intentCommand{Action: adoptAction, Uniform: true, BaseVersion: c.intent.Version, Items: map[string]string{name: value}}, true
 		}
 	}
 	return intentCommand{}, false
 }
 
-// as is what a relay said last that it runs, as an operator's word on what is meant. Item may be "" for all.
-func (h *controller) intentFromRelay(relay, item, who string) (intentCommand, error) {
-	x := h.fleet.relays[relay]
-	if x == nil {
+// intentFromRelay is an operator's command that makes what a relay reported last the intent: of one item, or of all if item is "".
+func (c *controller) intentFromRelay(relay, item, operator string) (intentCommand, error) {
+	status := c.fleet.relays[relay]
+	if status == nil {
 		return intentCommand{}, fmt.Errorf("%q was not heard by this leader", relay)
 	}
-	all := map[string]string{drift.ItemProgram: x.Program}
-	for section, value := range x.ConfigSections {
-		all[drift.ItemConfig+"."+section] = value
+	items := map[string]string{drift.ItemProgram: status.Program}
+	for section, value := range status.ConfigSections {
+		items[configItem(section)] = value
 	}
-	c := intentCommand{Action: "adopt", Operator: who, Items: all, ReplaceAll: true}
-	if item != "" {
-		if all[item] == "" {
-			return intentCommand{}, fmt.Errorf("%q tells nothing of %q", relay, item)
-		}
-		c.Items, c.ReplaceAll = map[string]string{item: all[item]}, false
+	if item == "" {
+		return intentCommand{Action: adoptAction, Operator: operator, Items: items, ReplaceAll: true}, nil
+	}
+	if items[item] == "" {
+		return intentCommand{}, fmt.Errorf("%q tells nothing of %q", relay, item)
 	}
-	return c, nil
+	return intentCommand{Action: adoptAction, Operator: operator, Items: map[string]string{item: items[item]}}, nil
 }
--- a/internal/fleet/leader.go
+++ b/internal/fleet/leader.go
@@ -118,7 +118,7 @@
 		plan = r.Plan(max(step.now, items.At), step.view, s.Budgets())
 	})
 	s.mu.Lock()
-	plan = s.controller.withholdBlocked(plan)
+	plan = s.controller.dropBlockedGrants(plan)
 	s.mu.Unlock()
 	for _, c := range s.gateOnCanary(plan) {
 		result, err := s.propose(context.Background(), c)
--- a/internal/fleet/list_tracker.go
+++ b/internal/fleet/list_tracker.go
@@ -6,110 +6,127 @@
 	"dahliarudder/internal/drift"
 )
 
-// How far relays may be apart by their lists of discovery's before it counts.
+// How far a relay's endpoint list may be behind that of others.
 const (
-	maxListLag = int64(silenceTimeout / 1e6) // a relay holds what was newest so long ago, or newer: discovery tells within 2 s, words take two more
-	listGrace  = 15_000                      // one whose list fell is followed by the others by then, if discovery has begun anew
+	// maxListLagMS is the age of the list that a relay must have reached: discovery delivers within 2 s, reports take two more.
+	maxListLagMS = int64(silenceTimeout / 1e6)
+	// listRestartGraceMS is how long a list may stay at a lower generation than others' after it fell: by then the others have followed if
+	// discovery has restarted.
+	listRestartGraceMS = 15_000
 )
 
-// listTracker reckons how new a list each relay is to hold, from what those say that are heard. Generations rise with each change, many a second in a large
-// fleet, so no two relays say the same; and they begin anew, lower, where discovery has lost them.
+// listTracker finds out which generation of the endpoint list each relay should have, from what relays report. In a large fleet the
+// generation rises many times a second, so that no two relays report the same one; and it restarts at a low number if discovery loses it.
 type listTracker struct {
-	newest      uint64 // that two relays say, or the one of two: one alone may claim what is not so
-	floor, next uint64 // what was newest between one and two lags ago; what will be next
-	rotatedAt   int64
+	newest      uint64 // generation that at least two relays have reached, or the newest of two relays: one alone may be wrong
+	floor, next uint64 // newest as it was one to two lags ago; the next floor
+	rotatedAt   int64  // when next became floor
 	startedAt   int64
-	restarted   bool // discovery has begun anew
+	restarted   bool // discovery has restarted
 }
 
-// relayList is what is known of one relay's list.
+// relayList is what is known of one relay's endpoint list.
 type relayList struct {
-	generation uint64 // last said; 0 never
-	fell       bool   // it went down, since fellAt
-	fellAt     int64
-	stale      bool   // most have gone down, and this one has not: it counts for nothing until it moves
-	claimed    uint64 // claimed at claimedAt, newer than what is newest, which has not come so far since
-	claimedAt  int64
-	outlier    bool // and that for too long
-	resetWatch bool // what the watch thinks of it counts no more
+	generation     uint64 // as last reported; 0 never
+	fell           bool   // the generation went down, at fellAt, and has not caught up
+	fellAt         int64
+	stale          bool   // discovery has restarted and this list has not followed: it is ignored until it changes
+	claimed        uint64 // reported at claimedAt, beyond newest, which has not reached it since; 0 none
+	claimedAt      int64
+	claimUnmatched bool // and that for more than the lag
+	resetMonitor   bool // the drift monitor's state of the item is void
 }
 
-// observe takes a relay's word on its list. One that fell is not taken at once for a relay that goes back: discovery may have begun anew. Anew is that it
-// fell at some time of this process, which a new leader has not seen.
-func (l *relayList) observe(now int64, gen uint64, anew bool, of listTracker) {
+// observe takes a relay's reported generation. A relay whose generation falls is not taken for outdated at once, as discovery may have
+// restarted. Restarted is the relay's word that it fell earlier in this process, which a new leader has not seen.
+func (l *relayList) observe(now int64, generation uint64, restarted bool, tracker listTracker) {
 	switch {
-	case gen == 0 || gen == l.generation:
+	case generation == 0 || generation == l.generation:
 		return
 	case l.generation == 0:
-		l.fell, l.fellAt = anew, now
-		l.stale = of.restarted && !anew && gen > of.newest
+		l.fell, l.fellAt = restarted, now
+		l.stale = tracker.restarted && !restarted && generation > tracker.newest
 	default:
-		if gen < l.generation && !l.fell {
+		if generation < l.generation && !l.fell {
 			l.fell, l.fellAt = true, now
 		}
 		l.stale = false
 	}
-	l.generation = gen
+	l.generation = generation
 }
 
-// updateLists reckons anew.
-func (s *fleetStatus) updateLists(now int64) {
-	l := &s.lists
-	if l.startedAt == 0 {
-		l.startedAt = now
+// updateLists computes the tracker's state from all relays that are not silent.
+func (f *fleetStatus) updateLists(now int64) {
+	t := &f.lists
+	if t.startedAt == 0 {
+		t.startedAt = now
 	}
 	live, fell := 0, 0
-	for _, h := range s.relays {
-		if now-h.receivedAt <= silenceTimeout.Milliseconds() && h.listState.generation > 0 {
-			if live++; h.listState.fell {
+	for _, r := range f.relays {
+		if !r.silent(now) && r.list.generation > 0 {
+			live++
+			if r.list.fell {
 				fell++
 			}
 		}
 	}
-	if 2*fell > live && now-l.startedAt >= maxListLag { // before that too few are heard to say what most do
-		*l = listTracker{startedAt: l.startedAt, rotatedAt: now, restarted: true}
-		for _, h := range s.relays {
-			h.listState.stale, h.listState.fell, h.listState.claimed = !h.listState.fell, false, 0
+	if 2*fell > live && now-t.startedAt >= maxListLagMS { // earlier, too few relays have reported to be a majority
+		*t = listTracker{startedAt: t.startedAt, rotatedAt: now, restarted: true}
+		for _, r := range f.relays {
+			r.list.stale, r.list.fell, r.list.claimed = !r.list.fell, false, 0
 		}
 	}
-	var first, second uint64
-	for _, h := range s.relays {
-		if g := h.listState.generation; now-h.receivedAt > silenceTimeout.Milliseconds() || h.listState.stale || g <= second {
-		} else if g > first {
+	first, second := f.newestGenerations(now)
+	t.newest = second
+	if live <= 2 || second == 0 {
+		t.newest = first
+	}
+	if now-t.rotatedAt >= maxListLagMS {
+		t.floor, t.next, t.rotatedAt = t.next, t.newest, now
+	}
+}
+
+// newestGenerations are the two highest generations among relays that are neither silent nor stale.
+func (f *fleetStatus) newestGenerations(now int64) (first, second uint64) {
+	for _, r := range f.relays {
+		switch g := r.list.generation; {
+		case r.silent(now) || r.list.stale || g <= second:
+		case g > first:
 			first, second = g, first
-		} else {
+		default:
 			second = g
 		}
 	}
-	if l.newest = second; live <= 2 || second == 0 {
-		l.newest = first
-	}
-	if now-l.rotatedAt >= maxListLag {
-		l.floor, l.next, l.rotatedAt = l.next, l.newest, now
-	}
+	return first, second
+}
+
+func (r *relayStatus) silent(now int64) bool {
+	return now-r.receivedAt > silenceTimeout.Milliseconds()
 }
 
-// expectedList is what a relay is to hold: its own list, while that is new enough.
-func (s *fleetStatus) expectedList(now int64, l *relayList) drift.Item {
-	n, gen := s.lists.newest, l.generation
-	floor := min(s.lists.floor, n)
+// expectedList is the list that a relay should have: its own while that is new enough and not unmatched.
+func (f *fleetStatus) expectedList(now int64, l *relayList) drift.Item {
+	newest, floor := f.lists.newest, min(f.lists.floor, f.lists.newest)
 	switch {
-	case gen <= n, l.stale:
+	case l.generation <= newest, l.stale:
 		l.claimed = 0
-	case l.claimed == 0 || n >= l.claimed:
-		l.claimed, l.claimedAt = gen, now
+	case l.claimed == 0 || newest >= l.claimed:
+		l.claimed, l.claimedAt = l.generation, now
 	}
-	if l.fell && floor > 0 && gen >= floor {
+	if l.fell && floor > 0 && l.generation >= floor {
 		l.fell = false
 	}
-	over := l.claimed > 0 && n > 0 && now-l.claimedAt > maxListLag
-	l.resetWatch = l.resetWatch || over && !l.outlier // its own generation was good until now; it is not an old one for that
-	if l.outlier = over; over || l.stale || gen < floor && !(l.fell && now-l.fellAt < listGrace) {
-		gen = n
+	unmatched := l.claimed > 0 && newest > 0 && now-l.claimedAt > maxListLagMS
+	// Its own generation was the expected one until now. That must not make it look outdated.
+	l.resetMonitor = l.resetMonitor || unmatched && !l.claimUnmatched
+	l.claimUnmatched = unmatched
+	outdated := l.generation < floor && !(l.fell && now-l.fellAt < listRestartGraceMS)
+	if unmatched || l.stale || outdated {
+		return listDriftItem(newest)
 	}
-	return listDriftItem(gen)
+	return listDriftItem(l.generation)
 }
 
-func listDriftItem(gen uint64) drift.Item {
-	return drift.Item{Name: drift.ItemEndpointList, Version: gen, Digest: digestOf([]string{strconv.FormatUint(gen, 10)})}
+func listDriftItem(generation uint64) drift.Item {
+	return drift.Item{Name: drift.ItemEndpointList, Version: generation, Digest: digestOf([]string{strconv.FormatUint(generation, 10)})}
 }
--- a/internal/fleet/relay_release.go
+++ b/internal/fleet/relay_release.go
@@ -5,58 +5,70 @@
 	"dahliarudder/internal/rollout"
 )
 
-// relayRelease is a relay's part in a release of relays that is not settled yet: it goes on, or what is meant does not follow it so far.
+// relayRelease is a relay's part in a release of relays that is not settled yet: the release is under way, or intent does not follow its
+// outcome yet. The zero value is that of a relay without such a release.
 type relayRelease struct {
 	release  rollout.ReleaseStatus // without its units
 	unit     rollout.Unit
-	adopted  bool              // what is meant is what the release brought, though it goes back now
-	previous map[string]string // and this is what was meant before
+	adopted  bool              // intent follows the completed release, although it is now rolled back
+	previous map[string]string // intent before that, by item
 }
 
-// unsettledReleases is by relay. Releases that go on come before those that are over.
-func unsettledReleases(all []rollout.ReleaseStatus, in *intent) map[string]relayRelease {
-	out := map[string]relayRelease{}
+// unsettledReleases returns each relay's unsettled release. A release under way takes precedence over one that is over.
+func unsettledReleases(releases []rollout.ReleaseStatus, in *intent) map[string]relayRelease {
+	byRelay := map[string]relayRelease{}
 	for _, over := range []bool{true, false} {
-		for _, a := range all {
-			taken, settled := in.releaseAdoption(&a)
-			if a.Spec.Kind != rollout.KindRelay || (a.State == rollout.ReleaseCompleted || a.State == rollout.ReleaseRolledBack) != over ||
-				over && (settled || a.Spec.Program+a.Spec.Config == "") {
+		for _, release := range releases {
+			adopted, settled := in.releaseAdoption(&release)
+			if release.Spec.Kind != rollout.KindRelay || isOver(&release) != over || over && (settled || !changesIntent(&release)) {
 				continue
 			}
-			units := a.Units
-			a.Units = nil
+			units := release.Units
+			release.Units = nil
 			for _, u := range units {
-				out[u.Name] = relayRelease{a, u, taken, in.Adopted[a.Name].Previous}
+				byRelay[u.Name] = relayRelease{release, u, adopted, in.Adopted[release.Name].Previous}
 			}
 		}
 	}
-	return out
+	return byRelay
 }
 
-// changes says whether the release brings a new value of an item.
-func (u *relayRelease) changes(item string) bool {
+// isOver tells whether a release is completed or rolled back. A completed one may still be rolled back.
+func isOver(release *rollout.ReleaseStatus) bool {
+	return release.State == rollout.ReleaseCompleted || release.State == rollout.ReleaseRolledBack
+}
+
+// changesIntent tells whether intent has to follow a release: one of relays, with a new program or configuration.
+func changesIntent(release *rollout.ReleaseStatus) bool {
+	return release.Spec.Kind == rollout.KindRelay && release.Spec.Program+release.Spec.Config != ""
+}
+
+// changes tells whether the release brings a new value of an item.
+func (r *relayRelease) changes(item string) bool { return specChanges(&r.release.Spec, item) }
+
+func specChanges(spec *rollout.ReleaseSpec, item string) bool {
 	if item == drift.ItemProgram {
-		return u.release.Spec.Program != ""
+		return spec.Program != ""
 	}
-	return u.release.Spec.Config != "" && drift.GroupOf(item) == drift.ItemConfig
+	return spec.Config != "" && drift.GroupOf(item) == drift.ItemConfig
 }
 
-// restarting says whether the relay may run either: the new thing or what it had.
-func (u *relayRelease) restarting() bool {
-	switch u.unit.Phase {
+// restarting tells whether the relay may run either value: the new or the previous one.
+func (r *relayRelease) restarting() bool {
+	switch r.unit.Phase {
 	case rollout.PhaseLeaving, rollout.PhaseDrained, rollout.PhaseReplaced, rollout.PhaseRevoked:
 		return true
 	}
-	return u.unit.Stranded
+	return r.unit.Stranded
 }
 
-// restartPending says that the release has a restart of this relay before it.
-func (u *relayRelease) restartPending() bool {
+// restartPending tells whether the release still has to restart the relay, or is doing so.
+func (r *relayRelease) restartPending() bool {
 	switch {
-	case u.release.Name == "" || u.unit.Phase == rollout.PhaseMissing:
+	case r.release.Name == "" || r.unit.Phase == rollout.PhaseMissing:
 		return false
-	case u.release.RollingBack:
-		return u.restarting() || u.unit.Phase == rollout.PhaseDone && u.unit.Updated
+	case r.release.RollingBack:
+		return r.restarting() || r.unit.Phase == rollout.PhaseDone && r.unit.Updated
 	}
-	return u.restarting() || u.unit.Phase == rollout.PhasePending && !u.unit.Updated && u.release.State != rollout.ReleaseCompleted
+	return r.restarting() || r.unit.Phase == rollout.PhasePending && !r.unit.Updated && r.release.State != rollout.ReleaseCompleted
 }
--- a/internal/fleet/reporting.go
+++ b/internal/fleet/reporting.go
@@ -72,7 +72,7 @@
 		s.malformedReports++
 		return
 	}
-	if len(s.reporter.driftBook.HandleReply(reply)) > 0 {
+	if len(s.reporter.driftReporter.HandleReply(reply)) > 0 {
 		s.record.notifyChanged()
 	}
 }
--- a/internal/fleet/simulation_test.go
+++ b/internal/fleet/simulation_test.go
@@ -195,7 +195,7 @@
 		answer := h.receive(m.now, r.name, w)
 		m.check()
 		m.send(func() {
-			if a, err := drift.DecodeReply(answer); err == nil && r.start == start && r.upAt == 0 && len(r.ledger.driftBook.HandleReply(a)) > 0 {
+			if a, err := drift.DecodeReply(answer); err == nil && r.start == start && r.upAt == 0 && len(r.ledger.driftReporter.HandleReply(a)) > 0 {
 				m.follow(r)
 			}
 		})
@@ -232,7 +232,7 @@
 		body, _ := json.Marshal(c)
 		m.agree(partIntent, body)
 	}
-	for _, c := range m.helm.withholdBlocked(m.lead.record.rollout.Plan(m.now, m.view, m.budgets)) {
+	for _, c := range m.helm.dropBlockedGrants(m.lead.record.rollout.Plan(m.now, m.view, m.budgets)) {
 		if m.agree(partRollout, c.Encode()).Error != "" {
 			return
 		}
@@ -241,7 +241,7 @@
 
 // check holds what is claimed against what was planted.
 func (m *model) check() {
-	for _, r := range m.helm.driftWatch.Findings() {
+	for _, r := range m.helm.driftMonitor.Findings() {
 		key := r.Relay + " " + r.Agreed.Name
 		if r.State < drift.Lagging || r.State == drift.Unknown {
 			continue
@@ -382,15 +382,15 @@
 				found := m.play(180_000, func() bool { return m.found[key] })
 				m.sound("planted")
 				if !found {
-					t.Fatalf("seed %d: not found; %+v", seed, m.helm.driftWatch.Findings())
+					t.Fatalf("seed %d: not found; %+v", seed, m.helm.driftMonitor.Findings())
 				}
 				t.Logf("found %.1f s after the new leader", float64(m.now-from)/1000)
 				r.own, r.frozen, r.refuses, r.program = maps.Clone(m.relays[0].own), map[string]bool{}, false, m.relays[0].program
 				m.begin(r)
 				if !m.play(120_000, func() bool {
-					return m.helm.driftWatch.FullyInSync(r.name) && m.helm.driftWatch.StateOf(r.name, k.item) == drift.InSync
+					return m.helm.driftMonitor.FullyInSync(r.name) && m.helm.driftMonitor.StateOf(r.name, k.item) == drift.InSync
 				}) {
-					t.Fatalf("seed %d: mended, yet %+v", seed, m.helm.driftWatch.Findings())
+					t.Fatalf("seed %d: mended, yet %+v", seed, m.helm.driftMonitor.Findings())
 				}
 				delete(m.planted, key)
 				m.play(20_000, nil)
@@ -454,7 +454,7 @@
 		m.relays[5].refuses, m.planted["n5 config.settings"] = true, drift.Rejected
 		m.release("bad", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: rest, Config: "c4"})
 		if m.play(60_000, func() bool { return len(m.found) > 0 }); len(m.found) == 0 {
-			t.Fatalf("seed %d: %+v", seed, m.helm.driftWatch.Findings())
+			t.Fatalf("seed %d: %+v", seed, m.helm.driftMonitor.Findings())
 		}
 		m.sound("refused")
 	}
@@ -485,7 +485,7 @@
 		return m.state("mend") == rollout.ReleaseCompleted
 	})
 	if !ended || early || !m.play(60_000, out) {
-		t.Fatalf("%s, drained early %v, %+v", m.state("mend"), early, m.helm.driftWatch.Findings())
+		t.Fatalf("%s, drained early %v, %+v", m.state("mend"), early, m.helm.driftMonitor.Findings())
 	}
 	m.sound("mended")
 }
@@ -512,13 +512,13 @@
 		m.play(9000, nil)
 		churn(40)
 		if m.sound("anew"); len(m.found) != 2 {
-			t.Fatalf("%+v, %+v", m.found, m.helm.driftWatch.Findings())
+			t.Fatalf("%+v, %+v", m.found, m.helm.driftMonitor.Findings())
 		}
 		clear(m.found)
 		m.leads(m.relays[2])
 		churn(60)
 		if m.sound("anew, another leader"); len(m.found) != 2 {
-			t.Fatalf("%+v, %+v", m.found, m.helm.driftWatch.Findings())
+			t.Fatalf("%+v, %+v", m.found, m.helm.driftMonitor.Findings())
 		}
 		stuck(false)
 		m.relays[4].look.ListGeneration, m.relays[5].look.ListGeneration = m.list, m.list
@@ -529,8 +529,8 @@
 		m.relays[4].frozen[drift.ItemEndpointList], m.relays[4].look.ListGeneration = true, 1<<60
 		m.relays[3].slow = 3000
 		churn(400)
-		if m.sound("a high claim"); !m.found["n4 list"] || m.helm.driftWatch.LagBound(drift.ItemPermits) < 15_000 { // no list tells how long a permit takes
-			t.Fatalf("%+v, %d", m.helm.driftWatch.Findings(), m.helm.driftWatch.LagBound(drift.ItemPermits))
+		if m.sound("a high claim"); !m.found["n4 list"] || m.helm.driftMonitor.LagBound(drift.ItemPermits) < 15_000 { // no list tells how long a permit takes
+			t.Fatalf("%+v, %d", m.helm.driftMonitor.Findings(), m.helm.driftMonitor.LagBound(drift.ItemPermits))
 		}
 		if m.helm.markUnfit(&m.view); len(m.view.Unfit) > 0 {
 			t.Fatalf("%v would be shut", m.view.Unfit)
@@ -553,7 +553,7 @@
 	delete(m.relays[2].own, "limits")
 	m.planted["n0 config.limits"], m.planted["n1 config.limits"] = drift.Ahead, drift.Ahead
 	if !m.play(120_000, func() bool { return len(m.found) == 2 }) {
-		t.Fatalf("%+v", m.helm.driftWatch.Findings())
+		t.Fatalf("%+v", m.helm.driftMonitor.Findings())
 	}
 	c, err := m.helm.intentFromRelay("n1", "config.limits", "ann")
 	if err != nil {
@@ -564,8 +564,8 @@
 	for _, r := range m.relays {
 		r.own["limits"] = "x"
 	}
-	if !m.play(60_000, func() bool { return m.helm.driftWatch.FullyInSync("n0") && m.helm.driftWatch.FullyInSync("n5") }) {
-		t.Fatalf("%+v", m.helm.driftWatch.Findings())
+	if !m.play(60_000, func() bool { return m.helm.driftMonitor.FullyInSync("n0") && m.helm.driftMonitor.FullyInSync("n5") }) {
+		t.Fatalf("%+v", m.helm.driftMonitor.Findings())
 	}
 	m.sound("by an operator")
 	if a := m.agree(partIntent, []byte(`{"do":"adopt","items":{"config.limits":"y"}}`)); a.Error != "" || m.lead.record.intent.Items["config.limits"][0].Value != "x" {
@@ -600,7 +600,7 @@
 		}
 		until := func(what string, ms int64, done func() bool) {
 			if !m.play(ms, done) {
-				t.Fatalf("seed %d: not %s: out %d, %+v, %+v, %s", seed, what, out(), m.lead.record.rollout.Quarantines(), m.helm.driftWatch.Findings(), m.view.Drift)
+				t.Fatalf("seed %d: not %s: out %d, %+v, %+v, %s", seed, what, out(), m.lead.record.rollout.Quarantines(), m.helm.driftMonitor.Findings(), m.view.Drift)
 			}
 		}
 		for _, r := range m.relays[4:] {
--- a/internal/fleet/status_report.go
+++ b/internal/fleet/status_report.go
@@ -8,82 +8,90 @@
 	"dahliarudder/internal/drift"
 )
 
-// statusReport is what a relay says of itself to the leader, once a second. It may be lost; the next one says the same. Counts are since the
-// start of its process.
+// statusReport is what a relay reports of itself to the leader, once a second. A report may be lost: the next one repeats all of it. Counters
+// start with the process.
 type statusReport struct {
 	Incarnation    uint64         `json:"start"`
 	Zone           string         `json:"zone"`
 	Phase          string         `json:"phase"`
 	Program        string         `json:"program"`
-	Config         string         `json:"config"`
-	AppliedVersion uint64         `json:"follows"` // the version of the record that its loop goes by
-	ListGeneration uint64         `json:"list"`    // the generation of discovery's list
+	Config         string         `json:"config"`  // digest of the configuration
+	AppliedVersion uint64         `json:"follows"` // of the record
+	ListGeneration uint64         `json:"list"`    // of discovery's endpoint list
 	Flows          int            `json:"flows"`
-	DemandMS       uint64         `json:"asked"` // as in Look
+	DemandMS       uint64         `json:"asked"` // as in ObservedState
 	ServedMS       uint64         `json:"served"`
-	Members        []memberReport `json:"members,omitempty"` // those with flows, or tried since the last word
-	Drift          []byte         `json:"drift,omitempty"`
-	CanaryVersion  uint64         `json:"weighs,omitempty"` // the version of the canaries that its loop goes by
-	CanaryCounts   []byte         `json:"counts,omitempty"` // of a canary
-	LocalEjections []string       `json:"local,omitempty"`  // what its own operators have taken out
-	// What it runs of its configuration, by section; items that it refused; the groups of items of which it tells; by which order it is shut.
-	ConfigSections  map[string]string `json:"sections,omitempty"`
+	Members        []memberReport `json:"members,omitempty"` // those with flows, or with attempts since the last report
+	Drift          []byte         `json:"drift,omitempty"`   // an encoded drift.Report
+	CanaryVersion  uint64         `json:"weighs,omitempty"`  // of the canary state that is applied
+	CanaryCounts   []byte         `json:"counts,omitempty"`
+	LocalEjections []string       `json:"local,omitempty"` // members that this relay's own operators have ejected
+
+	ConfigSections  map[string]string `json:"sections,omitempty"` // digest by section
 	RejectedItems   []string          `json:"refused,omitempty"`
-	ReportedGroups  []string          `json:"tells,omitempty"`
-	QuarantineOrder uint64            `json:"shut,omitempty"`
-	ListRestarted   bool              `json:"anew,omitempty"` // the generation of its list has fallen since it started
+	ReportedGroups  []string          `json:"tells,omitempty"` // groups of drift items that this relay reports
+	QuarantineOrder uint64            `json:"shut,omitempty"`  // the order by which it takes no clients
+	ListRestarted   bool              `json:"anew,omitempty"`  // the list's generation has fallen in this process
 }
 
-// memberReport is what a relay knows of a member. Names are short: there are many.
+// memberReport is what a relay knows of a member. The JSON names are short, as there are many.
 type memberReport struct {
 	Name      string  `json:"n"`
 	Flows     int     `json:"f,omitempty"`
 	Capacity  float64 `json:"c,omitempty"` // in flows; 0 unknown
-	Successes uint64  `json:"g,omitempty"` // attempts and probes
+	Successes uint64  `json:"g,omitempty"` // of attempts and health checks
 	Failures  uint64  `json:"b,omitempty"`
 }
 
-// Bounds of a word that another relay sent.
+// Bounds of a report from another relay.
 const (
 	maxMemberReports  = 4096
 	maxLocalEjections = 1024
 )
 
-var errInvalidReport = errors.New("word: not of a relay of this fleet")
+var errInvalidReport = errors.New("invalid status report")
 
 func decodeStatusReport(text []byte) (statusReport, error) {
-	var w statusReport
-	if err := json.Unmarshal(text, &w); err != nil {
+	var r statusReport
+	if err := json.Unmarshal(text, &r); err != nil {
 		return statusReport{}, err
 	}
-	if len(w.Members) > maxMemberReports || len(w.LocalEjections) > maxLocalEjections || w.Flows < 0 || len(w.ConfigSections) >= maxIntentItems || len(w.RejectedItems) > maxIntentItems ||
-		len(w.ReportedGroups) > drift.MaxGroups {
+	if !r.valid() {
 		return statusReport{}, errInvalidReport
 	}
-	for section, value := range w.ConfigSections {
-		if checkIntentItem(drift.ItemConfig+"."+section, value) != "" {
-			return statusReport{}, errInvalidReport
+	return r, nil
+}
+
+// valid tells whether a report is within its bounds.
+func (r *statusReport) valid() bool {
+	if len(r.Members) > maxMemberReports || len(r.LocalEjections) > maxLocalEjections || r.Flows < 0 || len(r.ConfigSections) >= maxIntentItems ||
+		len(r.RejectedItems) > maxIntentItems || len(r.ReportedGroups) > drift.MaxGroups {
+		return false
+	}
+	for section, value := range r.ConfigSections {
+		if checkIntentItem(configItem(section), value) != "" {
+			return false
 		}
 	}
-	for _, name := range slices.Concat(w.RejectedItems, w.ReportedGroups) {
+	for _, name := range slices.Concat(r.RejectedItems, r.ReportedGroups) {
 		if len(name) > drift.MaxNameBytes {
-			return statusReport{}, errInvalidReport
+			return false
 		}
 	}
-	for _, m := range w.Members {
-		if m.Flows < 0 || !(m.Capacity >= 0 && m.Capacity < 1e9) {
-			return statusReport{}, errInvalidReport
+	for _, m := range r.Members {
+		if m.Flows < 0 || !(m.Capacity >= 0 && m.Capacity < 1e9) { // a NaN is out of bounds too
+			return false
 		}
 	}
-	return w, nil
+	return true
 }
 
-// driftReport reads the part that is the drift module's; one that cannot be read says nothing.
-func (w statusReport) driftReport(relay string) (drift.Report, bool) {
-	if len(w.Drift) == 0 {
+// driftReport decodes the drift report in a status report; not ok if there is none, or none that can be decoded.
+func (r *statusReport) driftReport(relay string) (report drift.Report, ok bool) {
+	if len(r.Drift) == 0 {
 		return drift.Report{}, false
 	}
-	d, err := drift.DecodeReport(w.Drift)
-	d.Relay = relay // its own word alone
-	return d, err == nil
+	report, err := drift.DecodeReport(r.Drift)
+	report.Relay = relay // a relay can only report on itself
+	return report, err == nil
 }
--- a/internal/fleet/status_reporter.go
+++ b/internal/fleet/status_reporter.go
@@ -8,169 +8,190 @@
 	"dahliarudder/internal/drift"
 )
 
-// reporter is what a relay says of itself, its book kept: what its loop really goes by, as its Look has it, not what it was told. No I/O.
+// statusReporter builds a relay's status reports from what the relay is doing, not from what it was told to do. No I/O.
 type statusReporter struct {
 	relay, zone, program, configDigest string
 	incarnation                        uint64
 
-	driftBook      *drift.Reporter
-	lastState      ObservedState // as last said
+	driftReporter  *drift.Reporter
+	lastState      ObservedState // as last reported
 	listGeneration uint64
-	listRestarted  bool // the list's generation fell
-	rejected       map[string]rejectedItem
-	sections       map[string]bool // in the book
+	listRestarted  bool                    // the list's generation has fallen
+	rejected       map[string]rejectedItem // as last recorded, by item
+	sections       map[string]bool         // those that driftReporter knows
 }
 
+// rejectedItem is an item whose intended value a relay has rejected.
 type rejectedItem struct {
 	running drift.Item
-	version uint64
+	version uint64 // of the intended value
 	reason  string
 }
 
 func newStatusReporter(o *Options) *statusReporter {
-	g := &statusReporter{relay: o.Name, zone: o.Zone, program: o.Program, configDigest: o.ConfigDigest, incarnation: o.Incarnation, driftBook: drift.NewReporter(o.Name, o.Incarnation),
-		rejected: map[string]rejectedItem{}, sections: map[string]bool{}}
-	g.driftBook.CountActivity(drift.ItemEjections, drift.KindRemovedMember, 0, 0) // so that the first time is seen to be one
-	return g
+	r := &statusReporter{relay: o.Name, zone: o.Zone, program: o.Program, configDigest: o.ConfigDigest, incarnation: o.Incarnation,
+		driftReporter: drift.NewReporter(o.Name, o.Incarnation), rejected: map[string]rejectedItem{}, sections: map[string]bool{}}
+	r.driftReporter.CountActivity(drift.ItemEjections, drift.KindRemovedMember, 0, 0) // from zero, so that the first misrouted flow is a change
+	return r
 }
 
-// statusReport is what to say now.
-func (g *statusReporter) buildReport(now int64, l ObservedState, r *Record, voters drift.Item) statusReport {
-	w := statusReport{Incarnation: g.incarnation, Zone: g.zone, Phase: l.Phase, Program: g.program, Config: g.configDigest, AppliedVersion: l.AppliedVersion, ListGeneration: l.ListGeneration,
-		Flows: l.Flows, DemandMS: l.DemandMS, ServedMS: l.ServedMS, LocalEjections: l.LocalEjections, CanaryVersion: l.CanaryVersion, CanaryCounts: l.CanaryCounts, QuarantineOrder: l.QuarantineOrder}
-	if l.ListGeneration > 0 {
-		g.listRestarted, g.listGeneration = g.listRestarted || l.ListGeneration < g.listGeneration, l.ListGeneration
-	}
-	w.ListRestarted = g.listRestarted
+// buildReport returns the report of the observed state.
+func (r *statusReporter) buildReport(now int64, observed ObservedState, record *Record, voters drift.Item) statusReport {
+	if observed.ListGeneration > 0 {
+		r.listRestarted = r.listRestarted || observed.ListGeneration < r.listGeneration
+		r.listGeneration = observed.ListGeneration
+	}
+	sections := reportableSections(observed, r.configDigest)
+	groups := r.recordItems(now, observed, record, sections, voters)
+	report := statusReport{Incarnation: r.incarnation, Zone: r.zone, Phase: observed.Phase, Program: r.program, Config: r.configDigest,
+		AppliedVersion: observed.AppliedVersion, ListGeneration: observed.ListGeneration, ListRestarted: r.listRestarted,
+		Flows: observed.Flows, DemandMS: observed.DemandMS, ServedMS: observed.ServedMS, Members: r.memberReports(observed.Members),
+		CanaryVersion: observed.CanaryVersion, CanaryCounts: observed.CanaryCounts, LocalEjections: observed.LocalEjections,
+		ConfigSections: sections, RejectedItems: reportableRejections(observed), ReportedGroups: groups, QuarantineOrder: observed.QuarantineOrder,
+		Drift: r.driftReporter.NextReport(now).Encode()}
+	r.lastState = observed
+	return report
+}
+
+// memberReports are those of members with flows, or with attempts since the last report.
+func (r *statusReporter) memberReports(members []MemberState) (reports []memberReport) {
 	last := map[string]MemberState{}
-	for _, m := range g.lastState.Members {
+	for _, m := range r.lastState.Members {
 		last[m.Name] = m
 	}
-	for _, m := range l.Members {
-		if b, known := last[m.Name]; m.Flows > 0 || !known && m.Successes+m.Failures > 0 || m.Successes != b.Successes || m.Failures != b.Failures {
-			w.Members = append(w.Members, memberReport{m.Name, m.Flows, m.Capacity, m.Successes, m.Failures})
+	for _, m := range members {
+		before, known := last[m.Name]
+		attempted := m.Successes != before.Successes || m.Failures != before.Failures || !known && m.Successes+m.Failures > 0
+		if m.Flows > 0 || attempted {
+			reports = append(reports, memberReport{m.Name, m.Flows, m.Capacity, m.Successes, m.Failures})
 		}
 	}
-	w.ConfigSections, w.RejectedItems = reportableSections(l, g.configDigest), slices.Sorted(maps.Keys(l.RejectedItems))
-	w.RejectedItems = slices.DeleteFunc(w.RejectedItems, func(n string) bool { return len(n) > drift.MaxNameBytes })
-	w.RejectedItems = w.RejectedItems[:min(len(w.RejectedItems), maxIntentItems)]
-	w.ReportedGroups = g.noteApplied(now, l, r, w.ConfigSections, voters)
-	w.Drift = g.driftBook.NextReport(now).Encode()
-	g.lastState = l
-	return w
+	return reports
 }
 
-// reportableSections are those of a look, as far as they can be told. Whole stands for all where they are not known apart.
-func reportableSections(l ObservedState, whole string) map[string]string {
-	all := l.ConfigSections
-	if all == nil {
-		all = map[string]string{"settings": whole}
+// reportableSections are the digests of the sections that fit into a report. Without sections, configDigest stands for all of them.
+func reportableSections(observed ObservedState, configDigest string) map[string]string {
+	sections := observed.ConfigSections
+	if sections == nil {
+		sections = map[string]string{"settings": configDigest}
 	}
-	out := map[string]string{}
-	for _, name := range slices.Sorted(maps.Keys(all)) {
-		if len(out) < maxIntentItems-1 && checkIntentItem(drift.ItemConfig+"."+name, all[name]) == "" {
-			out[name] = all[name]
+	reportable := map[string]string{}
+	for _, name := range slices.Sorted(maps.Keys(sections)) {
+		if len(reportable) < maxIntentItems-1 && checkIntentItem(configItem(name), sections[name]) == "" {
+			reportable[name] = sections[name]
 		}
 	}
-	return out
+	return reportable
 }
 
-// noteApplied notes what the relay runs now. It returns the groups of which it tells anything: it is held to these alone.
-func (g *statusReporter) noteApplied(now int64, l ObservedState, r *Record, sections map[string]string, voters drift.Item) (tells []string) {
-	r.mu.RLock()
-	h, in := r.items, r.intent
-	bans, drains := splitExclusions(r.rollout.Orders(g.relay).Exclusions)
-	out := relayRelease{}
-	if len(l.RejectedItems) > 0 {
-		out = unsettledReleases(r.rollout.Releases(), in)[g.relay]
-	}
-	r.mu.RUnlock()
-
-	g.noteMembers(now, l, h, bans, drains)
-	if n := l.MisroutedFlows - g.lastState.MisroutedFlows; n > 0 {
-		g.driftBook.CountActivity(drift.ItemEjections, drift.KindRemovedMember, n, n)
-	}
-	tells = []string{drift.ItemEjections, drift.ItemDrains}
-	told := func(name string, yes bool) bool {
-		if yes {
-			tells = append(tells, name)
-		}
-		return yes
-	}
-	if told(drift.ItemProgram, checkIntentItem(drift.ItemProgram, g.program) == "") {
-		g.noteItem(now, l, in, out, drift.ItemProgram, g.program)
+// reportableRejections are the names of the rejected items that fit into a report.
+func reportableRejections(observed ObservedState) []string {
+	names := slices.Sorted(maps.Keys(observed.RejectedItems))
+	names = slices.DeleteFunc(names, func(n string) bool { return len(n) > drift.MaxNameBytes })
+	return names[:min(len(names), maxIntentItems)]
+}
+
+// recordItems records what the relay has applied with the drift reporter. It returns the groups of items that the relay reports: those alone
+// are expected of it.
+func (r *statusReporter) recordItems(now int64, observed ObservedState, record *Record, sections map[string]string, voters drift.Item) (groups []string) {
+	record.mu.RLock()
+	items, intent := record.items, record.intent
+	ejected, draining := splitExclusions(record.rollout.Orders(r.relay).Exclusions)
+	release := relayRelease{}
+	if len(observed.RejectedItems) > 0 {
+		release = unsettledReleases(record.rollout.Releases(), intent)[r.relay]
+	}
+	record.mu.RUnlock()
+
+	r.recordExclusions(now, observed, items, ejected, draining)
+	if n := observed.MisroutedFlows - r.lastState.MisroutedFlows; n > 0 {
+		r.driftReporter.CountActivity(drift.ItemEjections, drift.KindRemovedMember, n, n)
 	}
-	told(drift.ItemConfig, true)
-	for name := range g.sections {
-		if _, ok := sections[name]; !ok {
-			g.driftBook.Remove(drift.ItemConfig + "." + name)
-			delete(g.rejected, drift.ItemConfig+"."+name)
-			delete(g.sections, name)
-		}
+	groups = []string{drift.ItemEjections, drift.ItemDrains}
+	if checkIntentItem(drift.ItemProgram, r.program) == "" {
+		groups = append(groups, drift.ItemProgram)
+		r.recordIntended(now, observed, intent, release, drift.ItemProgram, r.program)
 	}
+	groups = append(groups, drift.ItemConfig)
+	r.removeSectionsExcept(sections)
 	for _, name := range slices.Sorted(maps.Keys(sections)) {
-		g.sections[name] = true
-		g.noteItem(now, l, in, out, drift.ItemConfig+"."+name, sections[name])
+		r.sections[name] = true
+		r.recordIntended(now, observed, intent, release, configItem(name), sections[name])
 	}
-	if told(drift.ItemEndpointList, l.ListGeneration > 0) {
-		g.driftBook.RecordApplied(now, listDriftItem(l.ListGeneration), "discovery")
+	if observed.ListGeneration > 0 {
+		groups = append(groups, drift.ItemEndpointList)
+		r.driftReporter.RecordApplied(now, listDriftItem(observed.ListGeneration), "discovery")
 	}
-	if told(drift.ItemCanaryWeights, true); l.CanaryVersion == h.CanaryWeights.Version {
-		g.driftBook.RecordApplied(now, h.CanaryWeights, "record")
+	groups = append(groups, drift.ItemCanaryWeights)
+	if observed.CanaryVersion == items.CanaryWeights.Version {
+		r.driftReporter.RecordApplied(now, items.CanaryWeights, "record")
 	}
-	if told(drift.ItemPermits, l.PermitsVersion > 0) && l.PermitsVersion == permitsVersion(h) {
-		g.driftBook.RecordApplied(now, h.Permits, "record")
+	if observed.PermitsVersion > 0 {
+		groups = append(groups, drift.ItemPermits)
+		if observed.PermitsVersion == permitsVersion(items) {
+			r.driftReporter.RecordApplied(now, items.Permits, "record")
+		}
 	}
-	if told(drift.ItemVoters, voters.Digest != 0) {
-		g.driftBook.RecordApplied(now, voters, "engine")
+	if voters.Digest != 0 {
+		groups = append(groups, drift.ItemVoters)
+		r.driftReporter.RecordApplied(now, voters, "engine")
 	}
-	return tells
+	return groups
 }
 
-// permitsVersion is Orders.Permits.
-func permitsVersion(h recordItems) uint64 { return h.Permits.Version + 1 }
-
-// running notes program or a section. What it refused is told where it runs something else than is meant, or was sent for a restart with it: one
-// that runs what is meant has nothing to refuse.
-func (g *statusReporter) noteItem(now int64, l ObservedState, in *intent, u relayRelease, name, value string) {
-	it := in.driftItem(g.relay, name, value)
-	why, refused := l.RejectedItems[name]
-	m, meant := in.valueFor(g.relay, name)
-	if !refused || !meant || m.Value == value && !(u.restarting() && u.changes(name)) {
-		delete(g.rejected, name)
-		g.driftBook.RecordApplied(now, it, "file")
+func (r *statusReporter) removeSectionsExcept(sections map[string]string) {
+	for name := range r.sections {
+		if _, ok := sections[name]; !ok {
+			r.driftReporter.Remove(configItem(name))
+			delete(r.rejected, configItem(name))
+			delete(r.sections, name)
+		}
+	}
+}
+
+// permitsVersion is DesiredState.PermitsVersion.
+func permitsVersion(items recordItems) uint64 { return items.Permits.Version + 1 }
+
+// recordIntended records the running value of the program or of a section. A rejection is reported only while the relay runs something else
+// than intended, or a release restarts it for the new value: a relay that runs what is intended has nothing to reject.
+func (r *statusReporter) recordIntended(now int64, observed ObservedState, in *intent, release relayRelease, name, value string) {
+	running := in.driftItem(r.relay, name, value)
+	reason, rejected := observed.RejectedItems[name]
+	intended, ok := in.valueFor(r.relay, name)
+	if !rejected || !ok || intended.Value == value && !(release.restarting() && release.changes(name)) {
+		delete(r.rejected, name)
+		r.driftReporter.RecordApplied(now, running, "file")
 		return
 	}
-	c := rejectedItem{it, m.Version, cmp.Or(why, "refused")}
-	if g.rejected[name] != c {
-		g.rejected[name] = c
-		g.driftBook.RecordApplied(now, it, "file")
-		g.driftBook.RecordRejected(now, drift.Item{Name: name, Version: c.version}, "file", c.reason)
+	item := rejectedItem{running, intended.Version, cmp.Or(reason, "refused")}
+	if r.rejected[name] != item {
+		r.rejected[name] = item
+		r.driftReporter.RecordApplied(now, running, "file")
+		r.driftReporter.RecordRejected(now, drift.Item{Name: name, Version: item.version}, "file", item.reason)
 	}
 }
 
-// addMembers notes bans and drains, as the core has them.
-func (g *statusReporter) noteMembers(now int64, l ObservedState, h recordItems, bans, drains []string) {
-	inForce := func(names []string) (in []string) {
+// recordExclusions records ejections and drains as the core has applied them. Local ejections count as an override of the record.
+func (r *statusReporter) recordExclusions(now int64, observed ObservedState, items recordItems, ejected, draining []string) {
+	applied := func(names []string) (in []string) {
 		for _, n := range names {
-			if slices.Contains(l.AppliedExclusions, n) {
+			if slices.Contains(observed.AppliedExclusions, n) {
 				in = append(in, n)
 			}
 		}
 		return in
 	}
-	ours := slices.Clone(l.LocalEjections)
-	ours = slices.DeleteFunc(ours, func(n string) bool { return slices.Contains(bans, n) })
-	applied := inForce(bans)
-	if item := (drift.Item{Name: drift.ItemEjections, Version: h.Ejections.Version, Digest: digestOf(applied)}); len(ours) > 0 {
-		all := append(applied, ours...)
+	local := slices.DeleteFunc(slices.Clone(observed.LocalEjections), func(n string) bool { return slices.Contains(ejected, n) })
+	ejections := drift.Item{Name: drift.ItemEjections, Version: items.Ejections.Version, Digest: digestOf(applied(ejected))}
+	if len(local) > 0 {
+		all := append(applied(ejected), local...)
 		slices.Sort(all)
-		item.Digest = digestOf(all)
-		g.driftBook.RecordOverride(now, item, "an operator's call")
-	} else if item.Digest == h.Ejections.Digest {
-		g.driftBook.RecordApplied(now, item, "record")
+		ejections.Digest = digestOf(all)
+		r.driftReporter.RecordOverride(now, ejections, "an operator's call")
+	} else if ejections.Digest == items.Ejections.Digest {
+		r.driftReporter.RecordApplied(now, ejections, "record")
 	}
-	if d := digestOf(inForce(drains)); d == h.Drains.Digest {
-		g.driftBook.RecordApplied(now, drift.Item{Name: drift.ItemDrains, Version: h.Drains.Version, Digest: d}, "record")
+	if digest := digestOf(applied(draining)); digest == items.Drains.Digest {
+		r.driftReporter.RecordApplied(now, drift.Item{Name: drift.ItemDrains, Version: items.Drains.Version, Digest: digest}, "record")
 	}
 }
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -8,118 +8,133 @@
 	"dahliarudder/internal/rollout"
 )
 
-// slowStart is what a member bears of its capacity, by its age.
+// slowStart is how a member's usable capacity rises after its start.
 type slowStart struct {
-	startShare float64 // at the start
-	durationMS int64   // ms until it bears all
+	startShare float64 // of its capacity, at the start
+	durationMS int64   // until it is all usable
 }
 
-func (w slowStart) shareAt(age int64) float64 {
-	if age >= w.durationMS || w.durationMS <= 0 {
+// shareAt is the usable share of the capacity of a member that started so many milliseconds ago.
+func (s slowStart) shareAt(age int64) float64 {
+	if age >= s.durationMS || s.durationMS <= 0 {
 		return 1
 	}
-	return w.startShare + (1-w.startShare)*float64(max(age, 0))/float64(w.durationMS)
+	return s.startShare + (1-s.startShare)*float64(max(age, 0))/float64(s.durationMS)
 }
 
-// buildView is what the leader knows, with its own look at the pool and the peers. It has led since ledAt: a relay that it has not heard is silent
-// for so long. One that peers hear lives, whatever keeps its words away: it may hold flows, however long it is not heard (hold).
-func (s *fleetStatus) buildView(now, ledAt, hold int64, self string, own ObservedState, cold slowStart) rollout.View {
+// buildView is what the leader knows of the fleet: from reports, and from its own endpoint list and gossip. A relay that has not reported
+// since this relay leads is silent for that long. One that gossip sees alive is silent for flowHoldMS at most, whatever keeps its reports
+// from arriving: it may still have flows.
+func (f *fleetStatus) buildView(now, leaderSince, flowHoldMS int64, self string, own ObservedState, warmup slowStart) rollout.View {
 	v := rollout.View{At: now}
-	for _, c := range s.serviceWindows {
-		if c.EndsAt <= now { // whole ones
-			v.Service = append(v.Service, c)
+	for _, w := range f.serviceWindows {
+		if w.EndsAt <= now {
+			v.Service = append(v.Service, w)
 		}
 	}
-	peers := map[string]Peer{}
+	peers, names := map[string]Peer{}, map[string]bool{}
 	for _, p := range own.Peers {
-		peers[p.Name] = p
+		peers[p.Name], names[p.Name] = p, true
 	}
-	names := map[string]bool{}
-	for n := range s.relays {
-		names[n] = true
-	}
-	for n := range peers {
-		names[n] = true
+	for name := range f.relays {
+		names[name] = true
 	}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		r := rollout.Relay{Name: name, ReportAgeMS: now - ledAt}
-		p, known := peers[name]
-		if h := s.relays[name]; h != nil {
-			r.Zone, r.ReportAgeMS, r.StartNumber, r.Phase, r.Program, r.Config, r.AppliedVersion, r.Flows = h.Zone, now-h.receivedAt, h.Incarnation, h.Phase, h.Program, h.Config, h.AppliedVersion, h.Flows
-			// Others see it serve: this relay's peers, of this very process. Of itself the leader knows.
-			r.InService = r.Phase == "serving" && (name == self || known && p.Alive && p.Serving && p.Incarnation >= h.Incarnation)
+		r := rollout.Relay{Name: name, ReportAgeMS: now - leaderSince}
+		peer, known := peers[name]
+		if status := f.relays[name]; status != nil {
+			r.Zone, r.ReportAgeMS, r.StartNumber, r.Phase, r.Program = status.Zone, now-status.receivedAt, status.Incarnation, status.Phase, status.Program
+			r.Config, r.AppliedVersion, r.Flows = status.Config, status.AppliedVersion, status.Flows
+			// In service only if this very process serves by gossip too. Of itself the leader needs no confirmation.
+			confirmed := name == self || known && peer.Alive && peer.Serving && peer.Incarnation >= status.Incarnation
+			r.InService = r.Phase == "serving" && confirmed
 		}
 		if known {
-			r.Zone = cmp.Or(r.Zone, p.Zone)
-			r.Exited = p.Gone && p.Incarnation >= r.StartNumber
-			if p.Alive {
-				r.ReportAgeMS = min(r.ReportAgeMS, hold)
+			r.Zone = cmp.Or(r.Zone, peer.Zone)
+			r.Exited = peer.Gone && peer.Incarnation >= r.StartNumber
+			if peer.Alive {
+				r.ReportAgeMS = min(r.ReportAgeMS, flowHoldMS)
 			}
 		}
 		v.Relays = append(v.Relays, r)
 	}
-	s.addMembers(now, own, cold, &v)
+	f.addMembers(now, own, warmup, &v)
 	return v
 }
 
-func (s *fleetStatus) addMembers(now int64, own ObservedState, cold slowStart, v *rollout.View) {
+// addMembers adds the members to a view that has the relays: those of the leader's endpoint list, and those at which a relay has flows.
+func (f *fleetStatus) addMembers(now int64, own ObservedState, warmup slowStart, v *rollout.View) {
 	pool := map[string]*rollout.Member{}
 	for _, m := range own.Members {
 		pool[m.Name] = &rollout.Member{Name: m.Name, Zone: m.Zone, Listed: m.DiscoveryState, Started: m.StartedAt, Capacity: m.Capacity, FlowsByRelay: map[string]rollout.RelayFlows{}}
 	}
-	good, bad := map[string]uint64{}, map[string]uint64{}
-	gone := map[string]bool{} // what an ended process held, it holds no more: its last word must not keep a member in the view
-	for _, r := range v.Relays {
-		gone[r.Name] = r.Exited
-	}
-	for _, p := range own.Peers { // the next process may be there, and have said nothing yet
-		if h := s.relays[p.Name]; h != nil && p.Incarnation > h.Incarnation {
-			gone[p.Name] = true
-		}
-	}
-	for _, relay := range slices.Sorted(maps.Keys(s.relays)) {
-		h := s.relays[relay]
-		if gone[relay] {
+	successes, failures := map[string]uint64{}, map[string]uint64{}
+	ended := f.endedProcesses(own.Peers, v.Relays)
+	for _, name := range slices.Sorted(maps.Keys(f.relays)) {
+		if ended[name] {
 			continue
 		}
-		for name, t := range h.attempts {
-			m := pool[name]
-			if m == nil { // only that relay's list has it
-				if t.flows == 0 {
+		relay := f.relays[name]
+		for member, a := range relay.attempts {
+			m := pool[member]
+			if m == nil { // in that relay's endpoint list alone
+				if a.flows == 0 {
 					continue
 				}
-				m = &rollout.Member{Name: name, FlowsByRelay: map[string]rollout.RelayFlows{}}
-				pool[name] = m
+				m = &rollout.Member{Name: member, FlowsByRelay: map[string]rollout.RelayFlows{}}
+				pool[member] = m
 			}
-			if t.flows > 0 {
-				m.FlowsByRelay[relay] = rollout.RelayFlows{Flows: t.flows, ReportedAt: h.receivedAt}
-				v.Load += float64(t.flows)
+			if a.flows > 0 {
+				m.FlowsByRelay[name] = rollout.RelayFlows{Flows: a.flows, ReportedAt: relay.receivedAt}
+				v.Load += float64(a.flows)
 			}
-			m.Capacity = max(m.Capacity, t.capacity)
-			for _, k := range t.samples {
-				if now-k.at <= attemptWindowMS {
-					good[name], bad[name] = good[name]+k.successes, bad[name]+k.failures
+			m.Capacity = max(m.Capacity, a.capacity)
+			for _, s := range a.samples {
+				if now-s.at <= attemptWindowMS {
+					successes[member], failures[member] = successes[member]+s.successes, failures[member]+s.failures
 				}
 			}
 		}
 	}
-	known, sum := 0.0, 0.0
+	setUsableCapacity(now, pool, warmup)
 	for _, name := range slices.Sorted(maps.Keys(pool)) {
+		m := pool[name]
+		m.Failing = failures[name] >= 2 && failures[name] > successes[name] // a single failure is no evidence
+		v.Members = append(v.Members, *m)
+	}
+}
+
+// endedProcesses tells for which relays the last report is from a process that has ended: its flows must not keep a member in the view. The
+// next process may run already, and have sent no report yet.
+func (f *fleetStatus) endedProcesses(peers []Peer, relays []rollout.Relay) map[string]bool {
+	ended := map[string]bool{}
+	for _, r := range relays {
+		ended[r.Name] = r.Exited
+	}
+	for _, p := range peers {
+		if status := f.relays[p.Name]; status != nil && p.Incarnation > status.Incarnation {
+			ended[p.Name] = true
+		}
+	}
+	return ended
+}
+
+// setUsableCapacity sets what each member can serve now. A new member of unknown capacity is given the mean of the known ones: without a
+// capacity its warm-up would not show.
+func setUsableCapacity(now int64, pool map[string]*rollout.Member, warmup slowStart) {
+	known, sum := 0.0, 0.0
+	for _, name := range slices.Sorted(maps.Keys(pool)) { // sorted, so that the sum is the same each time
 		if c := pool[name].Capacity; c > 0 {
 			known, sum = known+1, sum+c
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(pool)) {
-		m := pool[name]
-		if m.Capacity == 0 && known > 0 { // a new one of which no report told yet: without a capacity it would not look cold
+	for _, m := range pool {
+		if m.Capacity == 0 && known > 0 {
 			m.Capacity = sum / known
 		}
 		m.UsableCapacity = m.Capacity
 		if m.Started > 0 {
-			m.UsableCapacity = m.Capacity * cold.shareAt(now-m.Started)
+			m.UsableCapacity = m.Capacity * warmup.shareAt(now-m.Started)
 		}
-		// More went wrong there than went well, and more than once: one failure is no verdict.
-		m.Failing = bad[name] >= 2 && bad[name] > good[name]
-		v.Members = append(v.Members, *m)
 	}
 }
