--- a/cmd/dahliarudder/upgrade.go
+++ b/cmd/dahliarudder/upgrade.go
@@ -213,7 +213,7 @@
 		r.lineFront.ResumeIdle()
 	}
 	for _, t := range was.peer.Unconfirmed() {
-		r.adoptConnection(&t.Note, t.FDs)
+		r.adoptConnection(&t.Message, t.FDs)
 	}
 	r.loop.SetDescriptorLimit(r.maxSockets)
 	if was.origin == originOlder && !r.accepting {
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -201,7 +201,7 @@
 	p.next.Close() // it has read nothing
 	p.b.WaitFor("the end", func() bool { return p.ended })
 	back := p.first.Unconfirmed()
-	if len(back) != 2 || string(back[0].Note.Client.Unread) != "a" || string(back[1].Note.Client.Unread) != "b" {
+	if len(back) != 2 || string(back[0].Message.Client.Unread) != "a" || string(back[1].Message.Client.Unread) != "b" {
 		t.Fatalf("back came %+v", back)
 	}
 	for i, transfer := range back {
--- /dev/null
+++ b/internal/handover/request.go
@@ -0,0 +1,68 @@
+package handover
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io/fs"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"dahliarudder/internal/netloop"
+)
+
+// dialTimeout is how long a start waits for the older process to answer.
+const dialTimeout = 2 * time.Second
+
+// retryInterval is the pause before a request is retried after a reset.
+const retryInterval = 20 * time.Millisecond
+
+// RequestState requests the state of the process that serves with this state directory. Without such a process state is nil and fd is
+// -1. The descriptors are in the order of State.Fronts; they and fd are the caller's. A process that was just killed may still accept
+// a connection and reset it, so a reset is retried.
+func RequestState(dir string) (fd int, state *State, fds []int, err error) {
+	for end := time.Now().Add(dialTimeout); ; time.Sleep(retryInterval) {
+		fd, state, fds, err = requestStateOnce(dir)
+		if !errors.Is(err, unix.ECONNRESET) && !errors.Is(err, unix.EPIPE) || time.Now().After(end) {
+			return fd, state, fds, err
+		}
+	}
+}
+
+// errIncompatible: the older process speaks another version, or its state does not fit its descriptors.
+var errIncompatible = errors.New("the older process speaks another version of the protocol")
+
+func requestStateOnce(dir string) (fd int, state *State, fds []int, err error) {
+	fd, err = netloop.DialChannel(Path(dir), dialTimeout)
+	switch {
+	case errors.Is(err, fs.ErrNotExist), errors.Is(err, unix.ECONNREFUSED): // none, or one that is dead
+		return -1, nil, nil, nil
+	case err != nil:
+		return -1, nil, nil, fmt.Errorf("handover: %w", err)
+	}
+	text, err := json.Marshal(Message{Hello: version})
+	if err == nil {
+		err = netloop.SendBlocking(fd, append([]byte{frameFinal}, text...))
+	}
+	var p messageAssembler
+	for err == nil && state == nil {
+		var frame []byte
+		var some []int
+		if frame, some, err = netloop.ReceiveBlocking(fd); err != nil {
+			break
+		}
+		fds = append(fds, some...)
+		var n *Message
+		if n, err = p.add(frame); err == nil && n != nil {
+			if state = n.State; state == nil || state.Version < versionUnconfirmed || state.Version > version || len(state.Fronts) != len(fds) {
+				err = errIncompatible
+			}
+		}
+	}
+	if err != nil {
+		closeAll(append(fds, fd))
+		return -1, nil, nil, fmt.Errorf("handover: %w", err)
+	}
+	return fd, state, fds, nil
+}
