--- a/internal/gossip/observations.go
+++ b/internal/gossip/observations.go
@@ -8,12 +8,11 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Bounds of what a relay tells of members and zones.
 const (
-	maxObservations = 8 // of members, and of zones
-	// windowSpan is how long a count is kept at least, and twice that at most.
+	maxObservations = 8 // of members, and of zones, in a digest
+	// windowSpan is how long an outcome is counted at least; it is forgotten after twice that.
 	windowSpan = 5 * time.Second
-	// maxCounted bounds the members and zones that are counted.
+	// maxCounted bounds the members, and the zones, that are counted.
 	maxCounted = 4096
 )
 
@@ -22,7 +21,7 @@
 
 // The outcomes.
 const (
-	Success Outcome = iota // it answered, be it that it is full
+	Success Outcome = iota // an answer came, be it that the member is full
 	Failure                // an error, a reset, a connection that did not come up
 	Timeout                // no answer in time
 )
@@ -33,97 +32,126 @@
 	Successes uint64 `json:"good"`
 	Failures  uint64 `json:"bad"`
 	Timeouts  uint64 `json:"silent"`
-	AgeMS     uint64 `json:"age_ms"` // of the last one, as it was told
+	AgeMS     uint64 `json:"age_ms"` // of the last one, when the digest was made
 }
 
-// Digest is what a relay tells others of what it saw: its zones, and the members that look worst.
+func (o *Observation) fields() []field {
+	return []field{{number: 1, text: &o.Name}, {number: 2, value: &o.Successes}, {number: 3, value: &o.Failures},
+		{number: 4, value: &o.Timeouts}, {number: 5, value: &o.AgeMS}}
+}
+
+// Digest is the observations that a relay publishes: of its zones, and of the members that fail most.
 type Digest struct {
 	Zones   []Observation `json:"zones"`
 	Members []Observation `json:"members"`
 }
 
-// ObservationWindow counts what this relay sees. It does no I/O; the time is passed in.
+// subject is what observations are of.
+type subject int
+
+const (
+	zones subject = iota
+	members
+	subjects
+)
+
+// ObservationWindow counts the outcomes that this relay sees, over the last windowSpan to twice that. It does no I/O; the
+// time is passed in.
 type ObservationWindow struct {
 	rotatedAt         time.Duration
-	current, previous [2]map[string]*outcomeCounts // zones and members
+	current, previous [subjects]map[string]*outcomeCounts
 }
 
 type outcomeCounts struct {
-	outcomes [3]uint64
+	outcomes [Timeout + 1]uint64
 	last     time.Duration
 }
 
-// UserData counts one attempt or probe.
-func (b *ObservationWindow) Record(now time.Duration, member, zone string, how Outcome) {
-	b.rotate(now)
-	for i, name := range []string{zone, member} {
-		if b.current[i] == nil {
-			b.current[i] = map[string]*outcomeCounts{}
+// Record counts one attempt or probe.
+func (w *ObservationWindow) Record(now time.Duration, member, zone string, outcome Outcome) {
+	w.rotate(now)
+	for kind, name := range [subjects]string{zones: zone, members: member} {
+		if w.current[kind] == nil {
+			w.current[kind] = map[string]*outcomeCounts{}
 		}
-		t := b.current[i][name]
-		if t == nil {
-			if len(b.current[i]) >= maxCounted {
+		counts := w.current[kind][name]
+		if counts == nil {
+			if len(w.current[kind]) >= maxCounted {
 				continue
 			}
-			t = &outcomeCounts{}
-			b.current[i][name] = t
+			counts = &outcomeCounts{}
+			w.current[kind][name] = counts
 		}
-		t.outcomes[how]++
-		t.last = now
+		counts.outcomes[outcome]++
+		counts.last = now
 	}
 }
 
-// rotate forgets what is older than two spans.
-func (b *ObservationWindow) rotate(now time.Duration) {
-	if now-b.rotatedAt < windowSpan {
+// rotate begins a new span, and forgets what is older than two.
+func (w *ObservationWindow) rotate(now time.Duration) {
+	if now-w.rotatedAt < windowSpan {
 		return
 	}
-	if b.previous, b.current = b.current, [2]map[string]*outcomeCounts{}; now-b.rotatedAt >= 2*windowSpan {
-		b.previous = b.current
+	if w.previous, w.current = w.current, [subjects]map[string]*outcomeCounts{}; now-w.rotatedAt >= 2*windowSpan {
+		w.previous = w.current
 	}
-	b.rotatedAt = now
+	w.rotatedAt = now
 }
 
-// Digest is what to tell by now.
-func (b *ObservationWindow) Digest(now time.Duration) (d Digest) {
-	b.rotate(now)
-	for i, to := range []*[]Observation{&d.Zones, &d.Members} {
-		sum := map[string]*Observation{}
-		for _, half := range []map[string]*outcomeCounts{b.current[i], b.previous[i]} {
-			for name, t := range half {
-				s := sum[name]
-				if s == nil {
-					s = &Observation{Name: name, AgeMS: uint64((now - t.last).Milliseconds())}
-					sum[name] = s
-				}
-				s.Successes, s.Failures, s.Timeouts = s.Successes+t.outcomes[Success], s.Failures+t.outcomes[Failure], s.Timeouts+t.outcomes[Timeout]
-				s.AgeMS = min(s.AgeMS, uint64((now - t.last).Milliseconds()))
+// Digest is what to publish now: of members only those that fail.
+func (w *ObservationWindow) Digest(now time.Duration) Digest {
+	w.rotate(now)
+	failing := func(o Observation) bool { return o.Failures+o.Timeouts > 0 }
+	return Digest{
+		Zones:   w.worst(now, zones, func(Observation) bool { return true }),
+		Members: w.worst(now, members, failing),
+	}
+}
+
+// worst is the observations of one kind that fail most.
+func (w *ObservationWindow) worst(now time.Duration, kind subject, published func(Observation) bool) (list []Observation) {
+	sums := map[string]*Observation{}
+	for _, span := range []map[string]*outcomeCounts{w.current[kind], w.previous[kind]} {
+		for name, counts := range span {
+			age := uint64((now - counts.last).Milliseconds())
+			o := sums[name]
+			if o == nil {
+				o = &Observation{Name: name, AgeMS: age}
+				sums[name] = o
 			}
+			o.Successes += counts.outcomes[Success]
+			o.Failures += counts.outcomes[Failure]
+			o.Timeouts += counts.outcomes[Timeout]
+			o.AgeMS = min(o.AgeMS, age)
 		}
-		for _, s := range sum {
-			if i == 1 && s.Failures+s.Timeouts == 0 || len(s.Name) > maxNameLen {
-				continue // of members only those that fail are told
-			}
-			*to = append(*to, *s)
+	}
+	for _, o := range sums {
+		if published(*o) && len(o.Name) <= maxNameLen {
+			list = append(list, *o)
 		}
-		slices.SortFunc(*to, func(x, y Observation) int {
-			return cmp.Or(cmp.Compare(y.Failures+y.Timeouts, x.Failures+x.Timeouts), cmp.Compare(x.Name, y.Name))
-		})
-		*to = (*to)[:min(len(*to), maxObservations)]
 	}
-	return d
+	slices.SortFunc(list, func(x, y Observation) int {
+		return cmp.Or(cmp.Compare(y.Failures+y.Timeouts, x.Failures+x.Timeouts), cmp.Compare(x.Name, y.Name))
+	})
+	return list[:min(len(list), maxObservations)]
 }
 
+// Field numbers of a digest.
+const (
+	zoneField   protowire.Number = 1
+	memberField protowire.Number = 2
+)
+
 func (d Digest) append(b []byte) []byte {
-	var one []byte
-	for i, all := range [][]Observation{d.Zones, d.Members} {
-		for _, s := range all[:min(len(all), maxObservations)] {
-			one = protowire.AppendString(protowire.AppendTag(one[:0], 1, protowire.BytesType), s.Name)
-			for n, v := range []uint64{s.Successes, s.Failures, s.Timeouts, s.AgeMS} {
-				one = protowire.AppendVarint(protowire.AppendTag(one, protowire.Number(n+2), protowire.VarintType), v)
-			}
-			b = protowire.AppendBytes(protowire.AppendTag(b, protowire.Number(i+1), protowire.BytesType), one)
-		}
+	b = appendObservations(b, zoneField, d.Zones)
+	return appendObservations(b, memberField, d.Members)
+}
+
+func appendObservations(b []byte, n protowire.Number, list []Observation) []byte {
+	var buf []byte
+	for _, o := range list[:min(len(list), maxObservations)] {
+		buf = appendFields(buf[:0], o.fields(), keepZero)
+		b = appendBytes(b, n, buf)
 	}
 	return b
 }
@@ -131,34 +159,24 @@
 func decodeDigest(b []byte) (d Digest, err error) {
 	var inner error
 	_, err = decodeFields(b, func(n protowire.Number, _ uint64, s []byte) bool {
-		to := &d.Zones
-		if n == 2 {
-			to = &d.Members
+		list := &d.Zones
+		if n == memberField {
+			list = &d.Members
 		}
-		if n > 2 {
+		if n > memberField {
 			return true // of a newer version
 		}
-		var one Observation
+		var o Observation
+		known := o.fields()
 		_, err := decodeFields(s, func(n protowire.Number, v uint64, s []byte) bool {
-			switch n {
-			case 1:
-				one.Name = string(s)
-			case 2:
-				one.Successes = v
-			case 3:
-				one.Failures = v
-			case 4:
-				one.Timeouts = v
-			case 5:
-				one.AgeMS = v
-			}
+			setField(known, n, v, s)
 			return true
 		})
-		if err != nil || len(one.Name) > maxNameLen || len(*to) >= maxObservations {
+		if err != nil || len(o.Name) > maxNameLen || len(*list) >= maxObservations {
 			inner = ErrMalformed
 			return true
 		}
-		*to = append(*to, one)
+		*list = append(*list, o)
 		return true
 	})
 	return d, cmp.Or(err, inner)
