--- a/internal/gossip/envelope.go
+++ b/internal/gossip/envelope.go
@@ -3,16 +3,12 @@
 import (
 	"bytes"
 	"crypto/hmac"
-	"crypto/sha256"
 	"encoding/binary"
 	"errors"
-	"fmt"
-	"os"
-	"strings"
 	"time"
 )
 
-// What is refused before a byte of the content is read.
+// Why Opener rejects a datagram, before a byte of its content is read. The texts are the keys of the counts at /-/peers.
 var (
 	ErrSize         = errors.New("size")
 	ErrVersion      = errors.New("version")
@@ -23,69 +19,26 @@
 	ErrNameConflict = errors.New("two relays of one name")
 )
 
-// An envelope: version, the key's mark, start and number and clock of the sender, its name, the content, a tag.
-// The version leaves room for one whose tag is followed by the sender's own signature.
+// An envelope is the version, the key's ID, the sender's start, sequence number and clock, the length of its name, the name,
+// the content and the authentication tag. A later version could add a signature of the sender's own after the tag.
 const (
-	version    = 1
-	keyIDSize  = 4
-	tagSize    = 16
-	headerSize = 1 + keyIDSize + 8 + 8 + 8 + 1
+	envelopeVersion = 1
+	keyIDSize       = 4
+	tagSize         = 16
+	headerSize      = 1 + keyIDSize + 8 + 8 + 8 + 1
 	// Overhead is what an envelope adds at most.
 	Overhead = headerSize + maxNameLen + tagSize
-	// replayWindow is how far behind the newest number a datagram may come.
+	// replayWindow is how far behind the highest sequence number a datagram may come.
 	replayWindow = 64
-	// maxDelay is how much older than the least delayed one a datagram may be. The clocks of the two sides have zeros of
-	// their own, so only differences of their differences count.
+	// maxDelay is how much later than the least delayed one a datagram may come. The clocks of the two sides start anywhere,
+	// so only changes of their offset count.
 	maxDelay = 30 * time.Second
-	// senderReset is when a sender that fell silent may begin anew with an earlier start: its clock was set back.
+	// senderReset is after what silence a sender may begin anew with an earlier start: its clock was set back.
 	senderReset = time.Minute
 	maxSenders  = 1024
 )
 
-// Keys are the installation's: the first one signs, all of them are believed.
-type Keys [][]byte
-
-// ReadKeys reads one or two keys, a line each, from a file that nobody but its owner may read.
-func ReadKeys(path string) (Keys, error) {
-	info, err := os.Stat(path)
-	if err != nil {
-		return nil, err
-	}
-	if info.Mode().Perm()&0o077 != 0 {
-		return nil, fmt.Errorf("%s: mode %04o lets others read it: 0600 is wanted", path, info.Mode().Perm())
-	}
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return nil, err
-	}
-	var keys Keys
-	for line := range strings.Lines(string(text)) {
-		if line = strings.TrimSpace(line); line == "" {
-			continue
-		}
-		if len(line) < 32 {
-			return nil, fmt.Errorf("%s: a key of %d characters: 32 at least", path, len(line))
-		}
-		keys = append(keys, []byte(line))
-	}
-	if len(keys) == 0 || len(keys) > 2 {
-		return nil, fmt.Errorf("%s: %d keys: one or two are wanted", path, len(keys))
-	}
-	return keys, nil
-}
-
-func keyID(key []byte) []byte {
-	sum := sha256.Sum256(key)
-	return sum[:keyIDSize]
-}
-
-func tag(key, b []byte) []byte {
-	h := hmac.New(sha256.New, key)
-	h.Write(b)
-	return h.Sum(nil)[:tagSize]
-}
-
-// Sealer puts content into envelopes.
+// Sealer packs content into authenticated envelopes.
 type Sealer struct {
 	Keys  Keys
 	Name  string
@@ -93,33 +46,35 @@
 	seq   uint64
 }
 
-// Seal returns an envelope. Clock is the sender's, in milliseconds from any zero; it only runs on.
+// Seal returns an envelope. Clock is the sender's, in milliseconds from any zero; it is monotonic.
 func (s *Sealer) Seal(content []byte, clock uint64) []byte {
 	s.seq++
-	b := append([]byte{version}, keyID(s.Keys[0])...)
+	b := append([]byte{envelopeVersion}, keyID(s.Keys[0])...)
 	for _, v := range []uint64{s.Start, s.seq, clock} {
 		b = binary.BigEndian.AppendUint64(b, v)
 	}
 	b = append(append(append(b, byte(len(s.Name))), s.Name...), content...)
-	return append(b, tag(s.Keys[0], b)...)
+	return append(b, authTag(s.Keys[0], b)...)
 }
 
-// sender is what is kept of one, against repeated and old datagrams.
+// sender is the state of one sender, against replayed and delayed datagrams.
 type sender struct {
-	start, highestSeq, window uint64
-	minClockOffset            int64         // the least difference of the clocks seen
-	lastContact               time.Duration // when
-	addr                      string
+	start          uint64
+	highestSeq     uint64
+	window         uint64 // bit n: the datagram of highestSeq-1-n has come
+	minClockOffset int64  // the least offset of the two clocks that was seen, in milliseconds
+	lastContact    time.Duration
+	addr           string
 }
 
-// Opener takes envelopes apart. What it keeps is bounded.
+// Opener verifies envelopes and unpacks them. Its state is bounded.
 type Opener struct {
 	Keys     Keys
 	senders  map[string]*sender
 	Rejected map[string]int // by reason
 }
 
-// Open returns the sender's name and the content. Clock is the receiver's, in milliseconds from any zero; it only runs on.
+// Open returns the sender's name and the content. Clock is the receiver's, in milliseconds from any zero; it is monotonic.
 func (o *Opener) Open(now time.Duration, clock uint64, from string, b []byte) (name string, content []byte, err error) {
 	if name, content, err = o.open(now, clock, from, b); err != nil {
 		if o.Rejected == nil {
@@ -134,7 +89,7 @@
 	if len(b) < headerSize+tagSize || len(b) > MaxDatagramSize {
 		return "", nil, ErrSize
 	}
-	if b[0] != version {
+	if b[0] != envelopeVersion {
 		return "", nil, ErrVersion
 	}
 	body, sum := b[:len(b)-tagSize], b[len(b)-tagSize:]
@@ -147,50 +102,65 @@
 	if key == nil {
 		return "", nil, ErrUnknownKey
 	}
-	if !hmac.Equal(tag(key, body), sum) {
+	if !hmac.Equal(authTag(key, body), sum) {
 		return "", nil, ErrBadTag
 	}
-	at := body[1+keyIDSize:]
-	start, seq, sent := binary.BigEndian.Uint64(at), binary.BigEndian.Uint64(at[8:]), binary.BigEndian.Uint64(at[16:])
-	size := int(at[24])
-	if size == 0 || size > maxNameLen || len(at) < 25+size {
+	h, content, ok := parseHeader(body)
+	if !ok {
 		return "", nil, ErrSize
 	}
-	name := string(at[25 : 25+size])
-	return name, at[25+size:], o.checkReplay(now, name, from, start, seq, int64(clock)-int64(sent))
+	return h.name, content, o.checkReplay(now, from, h, int64(clock)-int64(h.clock))
+}
+
+// envelopeHeader is what a sender states of itself in an envelope.
+type envelopeHeader struct {
+	start, seq, clock uint64
+	name              string
+}
+
+// parseHeader takes an envelope without its tag apart; false if the sizes do not fit.
+func parseHeader(body []byte) (h envelopeHeader, content []byte, ok bool) {
+	fields, rest := body[1+keyIDSize:headerSize-1], body[headerSize:]
+	h.start, h.seq, h.clock = binary.BigEndian.Uint64(fields), binary.BigEndian.Uint64(fields[8:]), binary.BigEndian.Uint64(fields[16:])
+	nameLen := int(body[headerSize-1])
+	if nameLen == 0 || nameLen > maxNameLen || len(rest) < nameLen {
+		return h, nil, false
+	}
+	h.name = string(rest[:nameLen])
+	return h, rest[nameLen:], true
 }
 
-// checkReplay refuses what is repeated, older than what is allowed, or of an earlier process of that name.
-func (o *Opener) checkReplay(now time.Duration, name, from string, start, seq uint64, apart int64) error {
+// checkReplay rejects what is replayed, too much delayed, or from an earlier process of that name.
+func (o *Opener) checkReplay(now time.Duration, from string, h envelopeHeader, clockOffset int64) error {
 	if o.senders == nil {
 		o.senders = map[string]*sender{}
 	}
-	s := o.senders[name]
-	if s == nil || start > s.start || start < s.start && now-s.lastContact > senderReset {
+	s := o.senders[h.name]
+	if s == nil || h.start > s.start || h.start < s.start && now-s.lastContact > senderReset {
 		if s == nil && len(o.senders) >= maxSenders {
 			return ErrSize
 		}
-		o.senders[name] = &sender{start: start, highestSeq: seq, minClockOffset: apart, lastContact: now, addr: from}
+		o.senders[h.name] = &sender{start: h.start, highestSeq: h.seq, minClockOffset: clockOffset, lastContact: now, addr: from}
 		return nil
 	}
 	switch {
-	case start < s.start && now-s.lastContact < maxDelay && from != s.addr:
-		return ErrNameConflict // the earlier one lives on beside the later
-	case start < s.start, apart-s.minClockOffset > maxDelay.Milliseconds():
+	case h.start < s.start && now-s.lastContact < maxDelay && from != s.addr:
+		return ErrNameConflict // an earlier process runs on beside the later one
+	case h.start < s.start, clockOffset-s.minClockOffset > maxDelay.Milliseconds():
 		return ErrTooOld
-	case seq > s.highestSeq:
-		shift := seq - s.highestSeq
+	case h.seq > s.highestSeq:
+		shift := h.seq - s.highestSeq
 		s.window = s.window<<min(shift, replayWindow) | 1<<min(shift-1, replayWindow-1)
 		if shift > replayWindow {
 			s.window = 0
 		}
-		s.highestSeq = seq
-	case seq == s.highestSeq || s.highestSeq-seq > replayWindow || s.window>>(s.highestSeq-seq-1)&1 == 1:
+		s.highestSeq = h.seq
+	case h.seq == s.highestSeq || s.highestSeq-h.seq > replayWindow || s.window>>(s.highestSeq-h.seq-1)&1 == 1:
 		return ErrReplayed
 	default:
-		s.window |= 1 << (s.highestSeq - seq - 1)
+		s.window |= 1 << (s.highestSeq - h.seq - 1)
 	}
-	s.minClockOffset, s.lastContact, s.addr = min(s.minClockOffset, apart), now, from
+	s.minClockOffset, s.lastContact, s.addr = min(s.minClockOffset, clockOffset), now, from
 	return nil
 }
 
--- a/internal/gossip/envelope_test.go
+++ b/internal/gossip/envelope_test.go
@@ -124,7 +124,7 @@
 	whole := s.Seal([]byte("content"), 5)
 	f.Add(whole)
 	f.Add(whole[:len(whole)-1])
-	f.Add([]byte{version})
+	f.Add([]byte{envelopeVersion})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		o := Opener{Keys: Keys{oldKey}}
 		if _, _, err := o.Open(time.Hour, 5, "a", b); err == nil && !bytes.Equal(b, whole) {
--- /dev/null
+++ b/internal/gossip/keys.go
@@ -0,0 +1,59 @@
+package gossip
+
+import (
+	"crypto/hmac"
+	"crypto/sha256"
+	"fmt"
+	"os"
+	"strings"
+)
+
+const (
+	minKeyLen = 32 // characters
+	maxKeys   = 2  // the new one and the old one while keys are rotated
+)
+
+// Keys are the shared keys of the installation: the first one signs, all of them verify.
+type Keys [][]byte
+
+// ReadKeys reads one or two keys, a line each, from a file that nobody but its owner may read.
+func ReadKeys(path string) (Keys, error) {
+	info, err := os.Stat(path)
+	if err != nil {
+		return nil, err
+	}
+	if info.Mode().Perm()&0o077 != 0 {
+		return nil, fmt.Errorf("%s: mode %04o lets others read it: 0600 is wanted", path, info.Mode().Perm())
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	var keys Keys
+	for line := range strings.Lines(string(text)) {
+		if line = strings.TrimSpace(line); line == "" {
+			continue
+		}
+		if len(line) < minKeyLen {
+			return nil, fmt.Errorf("%s: a key of %d characters: 32 at least", path, len(line))
+		}
+		keys = append(keys, []byte(line))
+	}
+	if len(keys) == 0 || len(keys) > maxKeys {
+		return nil, fmt.Errorf("%s: %d keys: one or two are wanted", path, len(keys))
+	}
+	return keys, nil
+}
+
+// keyID names a key on the wire without disclosing it.
+func keyID(key []byte) []byte {
+	sum := sha256.Sum256(key)
+	return sum[:keyIDSize]
+}
+
+// authTag is the truncated HMAC of an envelope.
+func authTag(key, b []byte) []byte {
+	h := hmac.New(sha256.New, key)
+	h.Write(b)
+	return h.Sum(nil)[:tagSize]
+}
--- a/internal/gossip/stale_list.go
+++ b/internal/gossip/stale_list.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// StaleListDetector says when a relay should ask discovery at once, since others hold a newer list: its own watch may be dead and not know it. It
-// decides by what peers say of themselves, believes none of them about any member, and asks the less often the longer nothing comes of it, so
-// that a peer that claims what is not so costs a call now and then.
+// StaleListDetector decides when a relay should poll discovery at once, since others have a newer endpoint list: its own
+// watch may be dead without a sign of it. It decides by the generations that peers publish, believes none of them about any
+// member, and backs off while its polls bring nothing, so that a peer with a false claim costs a poll now and then.
 type StaleListDetector struct {
 	aheadSince  time.Duration // when others were first seen to be ahead; 0: they are not
 	lastRefresh time.Duration
-	backoff     time.Duration // suspicionDeadline the next call, at least
+	backoff     time.Duration // until the next refresh, at least
 }
 
 const (
-	// aheadThreshold is how long others are ahead before it counts: what discovery tells everybody reaches some a little later, and what peers say of
-	// themselves is up to a second old.
+	// aheadThreshold is how long others are ahead before it counts: a change reaches some relays a little later than others,
+	// and what peers publish of themselves is up to a second old.
 	aheadThreshold = time.Second
 	maxBackoff     = 32 * time.Second
 )
 
-// ShouldRefresh reports whether to ask now, given the generation that this relay holds.
+// ShouldRefresh reports whether to poll discovery now, given the generation of this relay's own list.
 func (s *StaleListDetector) ShouldRefresh(now time.Duration, own uint64, peers []*Peer) bool {
 	ahead, live := 0, 0
 	for _, p := range peers {
@@ -28,7 +28,7 @@
 			}
 		}
 	}
-	if ahead == 0 || ahead < 2 && live > 2 { // among several, one alone may be wrong
+	if ahead == 0 || ahead < 2 && live > 2 { // in a larger group a single relay may be wrong
 		s.aheadSince, s.backoff = 0, aheadThreshold
 		return false
 	}
