--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -160,17 +160,17 @@
 				g.Balancer = New(set, 1000*trial+p, g.recorder)
 				g.UpdateServers(t0, ListDelta, []Server{{ID: 1, State: Ready, Weight: 1, Started: t0}})
 				now, s := t0+time.Duration(rng.Int64N(int64(500*ms))), g.servers[0]
-				if g.warmEnough(now, &request{Request: Request{Group: group}, load: 1}, s) {
+				if g.slowStartAllows(now, &request{Request: Request{Group: group}, load: 1}, s) {
 					sent++
 				}
 				if p == 0 {
 					if group != 0 {
-						want = uint64(groupRush * easy * g.capacityOf(t0+set.SlowStartDuration, s))
+						want = uint64(groupDemand * fillLow * g.capacityOf(t0+set.SlowStartDuration, s))
 					}
-					bears += brim * g.capacityOf(t0, s)
+					bears += fillHigh * g.capacityOf(t0, s)
 					// What the rate allows by the end of the half second, with the part of a window there at once.
-					early := set.OverloadWindow.Seconds()*(1/coldPart-1) + 0.5
-					allowed += coldPart * set.OverloadFactor * g.capacityOf(t0+500*ms, s) / set.SlowStartDuration.Seconds() * early
+					early := set.OverloadWindow.Seconds()*(1/slowStartMargin-1) + 0.5
+					allowed += slowStartMargin * set.OverloadFactor * g.capacityOf(t0+500*ms, s) / set.SlowStartDuration.Seconds() * early
 				}
 			}
 		}
