--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -98,7 +98,7 @@
 	r.trial.applyOrders(o)
 	out := map[string]core.Removal{}
 	for name, i := range o.Exclusions {
-		out[name] = core.Removal{SpreadOver: time.Duration(i.MigrateOverMS) * time.Millisecond, Ejection: i.Reason == rollout.CommandEject}
+		out[name] = core.Removal{SpreadOver: time.Duration(i.MigrateOverMS) * time.Millisecond, Ejection: i.Reason == rollout.ExcludedByEjection}
 	}
 	if o.MajorityConfirmed {
 		defer r.finishCatchUp()
