--- a/internal/fleet/leader.go
+++ b/internal/fleet/leader.go
@@ -123,7 +123,7 @@
 	for _, c := range s.gateOnCanary(plan) {
 		result, err := s.propose(context.Background(), c)
 		if err = cmp.Or(err, rejection(result)); err != nil {
-			s.noteFailure("plan "+c.Kind, err)
+			s.noteFailure("plan "+string(c.Kind), err)
 			return
 		}
 	}
--- a/internal/fleet/release_log.go
+++ b/internal/fleet/release_log.go
@@ -14,10 +14,10 @@
 	current := map[string]string{}
 	for _, release := range all {
 		fields := logrus.Fields{"release": release.Name, "state": release.State, "waiting": release.Counts.Pending, "out": release.Counts.Out, "done": release.Counts.Done}
-		state := release.State
+		state := string(release.State)
 		if halt := release.Halt; halt != nil {
 			fields["cause"], fields["why"], fields["by"], fields["stays"] = halt.Cause, halt.Reason, halt.HaltedBy, halt.NeedsOperator
-			state += halt.Cause
+			state += string(halt.Cause)
 		}
 		if logged[release.Name] != state {
 			s.Log.WithFields(fields).Info("fleet: release")
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -6,44 +6,44 @@
 
 // This file is the slow start of servers that have just come up.
 
-// warmth is the part of its capacity that a server surely has.
-func (b *Balancer) warmth(now time.Duration, s *server) float64 {
+// warmupFraction is the part of its capacity that a server surely has.
+func (b *Balancer) warmupFraction(now time.Duration, s *server) float64 {
 	age := now - s.Started
-	if s.Started == 0 || age >= b.set.SlowStartDuration {
+	if s.Started == 0 || age >= b.cfg.SlowStartDuration {
 		return 1
 	}
 	// Capacity rises no slower than evenly.
-	return min(b.set.SlowStartMinCapacity+(1-b.set.SlowStartMinCapacity)*max(age, 0).Seconds()/b.set.SlowStartDuration.Seconds(), 1)
+	return min(b.cfg.SlowStartMinCapacity+(1-b.cfg.SlowStartMinCapacity)*max(age, 0).Seconds()/b.cfg.SlowStartDuration.Seconds(), 1)
 }
 
-// chill begins the budget of a cold server. What coldPart leaves of a window is there at once: a proxy with
+// startSlowStart begins the budget of a cold server. What slowStartMargin leaves of a window is there at once: a proxy with
 // few requests comes late with what it may send, and nothing was sent before the server was listed.
-func (b *Balancer) chill(now time.Duration, s *server) {
-	early := b.set.OverloadWindow.Seconds() * (1/coldPart - 1)
-	s.coldDraw, s.coldSent = b.rng.Float64(), 0
-	s.coldTokens, s.coldRefilled = -s.coldDraw, now-time.Duration(early*float64(time.Second))
+func (b *Balancer) startSlowStart(now time.Duration, s *server) {
+	early := b.cfg.OverloadWindow.Seconds() * (1/slowStartMargin - 1)
+	s.slowStartOffset, s.slowStartSent = b.rng.Float64(), 0
+	s.slowStartTokens, s.slowStartRefilledAt = -s.slowStartOffset, now-time.Duration(early*float64(time.Second))
 }
 
-// warmEnough keeps this proxy within its part of what all may send to a cold server together.
-func (b *Balancer) warmEnough(now time.Duration, r *request, s *server) bool {
-	if b.warmth(now, s) == 1 {
+// slowStartAllows keeps this proxy within its part of what all may send to a cold server together.
+func (b *Balancer) slowStartAllows(now time.Duration, r *request, s *server) bool {
+	if b.warmupFraction(now, s) == 1 {
 		return true
 	}
-	k, rivals := b.capacityOf(now, s)/b.unit(), b.relays
-	if b.set.Groups && r.Group != 0 { // the other proxies have none that wants it: its budget is not for them
-		rivals = min(rivals, max(groupRush*max(b.fill(), easy)*k/b.warmth(now, s), 1))
+	k, rivals := b.capacityOf(now, s)/b.unitLoad(), b.activeRelays
+	if b.cfg.Groups && r.Group != 0 { // the other proxies have none that wants it: its budget is not for them
+		rivals = min(rivals, max(groupDemand*max(b.meanFill(), fillLow)*k/b.warmupFraction(now, s), 1))
 	}
 	// In mean loads a second: filling it over its warm-up, at the part of its capacity that it surely has.
-	rate := coldPart * b.set.OverloadFactor * k / b.set.SlowStartDuration.Seconds() / rivals
-	if now-s.coldRefilled > b.set.OverloadWindow && s.coldTokens+rate*(now-s.coldRefilled).Seconds() >= 0 {
+	rate := slowStartMargin * b.cfg.OverloadFactor * k / b.cfg.SlowStartDuration.Seconds() / rivals
+	if now-s.slowStartRefilledAt > b.cfg.OverloadWindow && s.slowStartTokens+rate*(now-s.slowStartRefilledAt).Seconds() >= 0 {
 		// Nothing was asked of it for a window. What many proxies save in such a time they could use all at once.
-		b.chill(now, s)
+		b.startSlowStart(now, s)
 	}
-	s.coldTokens = min(s.coldTokens+rate*(now-s.coldRefilled).Seconds(), 1)
-	s.coldRefilled = now
+	s.slowStartTokens = min(s.slowStartTokens+rate*(now-s.slowStartRefilledAt).Seconds(), 1)
+	s.slowStartRefilledAt = now
 	// What it bears now, as far as a window allows, is there from the start, by the same draw: tokens that
 	// accrue came 2 to 5 s late. A send pays for both, so all together spend the larger of the two.
-	atOnce := min(brim*k/rivals, rate/coldPart*b.set.OverloadWindow.Seconds())
+	atOnce := min(fillHigh*k/rivals, rate/slowStartMargin*b.cfg.OverloadWindow.Seconds())
 	// A heavy connection could spend the budget of all proxies at one stroke.
-	return (s.coldTokens >= 0 || s.coldSent+s.coldDraw <= atOnce) && b.loadOf(r) <= 2*b.unit()
+	return (s.slowStartTokens >= 0 || s.slowStartSent+s.slowStartOffset <= atOnce) && b.loadOf(r) <= 2*b.unitLoad()
 }
