--- a/internal/fleet/api_releases.go
+++ b/internal/fleet/api_releases.go
@@ -86,7 +86,7 @@
 }
 
 func (s *Service) handleControlRelease(w http.ResponseWriter, r *http.Request) {
-	c := rollout.Command{Kind: r.PathValue("verb"), Name: r.PathValue("name"), Requester: r.RemoteAddr, Reason: r.URL.Query().Get("why")}
+	c := rollout.Command{Kind: rollout.CommandKind(r.PathValue("verb")), Name: r.PathValue("name"), Requester: r.RemoteAddr, Reason: r.URL.Query().Get("why")}
 	switch c.Kind {
 	case rollout.CommandHalt, rollout.CommandResume, rollout.CommandRollBack:
 		s.proposeAndAnswer(w, r, c)
@@ -104,7 +104,7 @@
 		DurationMS int64  `json:"for_ms"`
 	}
 	if decodeBody(w, r, &request) {
-		s.proposeAndAnswer(w, r, rollout.Command{Kind: rollout.CommandRequestPermit, TargetKind: request.Kind, Name: request.Name, Requester: request.Requester,
+		s.proposeAndAnswer(w, r, rollout.Command{Kind: rollout.CommandRequestPermit, TargetKind: rollout.Kind(request.Kind), Name: request.Name, Requester: request.Requester,
 			Reason: request.Reason, DurationMS: request.DurationMS})
 	}
 }
--- a/internal/fleet/leader.go
+++ b/internal/fleet/leader.go
@@ -118,12 +118,12 @@
 		plan = r.Plan(max(step.now, items.At), step.view, s.Budgets())
 	})
 	s.mu.Lock()
-	plan = s.controller.withholdBlocked(plan)
+	plan = s.controller.dropBlockedGrants(plan)
 	s.mu.Unlock()
 	for _, c := range s.gateOnCanary(plan) {
 		result, err := s.propose(context.Background(), c)
 		if err = cmp.Or(err, rejection(result)); err != nil {
-			s.noteFailure("plan "+c.Kind, err)
+			s.noteFailure("plan "+string(c.Kind), err)
 			return
 		}
 	}
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -159,7 +159,7 @@
 // splitExclusions returns the names of ejected and of draining members, each sorted.
 func splitExclusions(exclusions map[string]rollout.Exclusion) (ejected, draining []string) {
 	for name, e := range exclusions {
-		if e.Reason == rollout.CommandEject {
+		if e.Reason == rollout.ExcludedByEjection {
 			ejected = append(ejected, name)
 		} else {
 			draining = append(draining, name)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// ask brings a request and answers the probes it causes.
+// probeCandidates brings a request and answers the probes it causes.
 func (g *rig) ask(q Request) RequestID {
 	g.next++
 	q.ID = g.next
@@ -244,8 +244,8 @@
 					g.load[s.ID] = tt.home
 				}
 			}
-			g.h[1] = tt.h
-			g.alien, g.mine = 50, 100 // a settled view of its own foreign share
+			g.lendingThresholds[1] = tt.h
+			g.foreignFlows, g.ownFlows = 50, 100 // a settled view of its own foreign share
 			id := g.ask(Request{Tenant: 0, Load: 0.5})
 			g.fire(150 * ms)
 			g.now += 350 * ms
@@ -275,8 +275,8 @@
 		g.now += time.Second
 		g.ask(Request{Tenant: 0})
 	}
-	low := g.h[0]
-	if low > 0.6 || low < hLeast {
+	low := g.lendingThresholds[0]
+	if low > 0.6 || low < lendMin {
 		t.Errorf("h after six blocked owners %v", low)
 	}
 	for id := range g.load {
@@ -286,16 +286,16 @@
 		g.now += time.Second
 		g.ask(Request{Tenant: 0})
 	}
-	if g.h[0] <= low {
-		t.Errorf("h stays at %v though owners find room", g.h[0])
+	if g.lendingThresholds[0] <= low {
+		t.Errorf("h stays at %v though owners find room", g.lendingThresholds[0])
 	}
 }
 
 // TestForeignShare: a small sample leans on the proxy's wider share, a large one speaks for itself.
 func TestForeignShare(t *testing.T) {
 	b := New(settings(), 1, &recorder{})
-	b.alien, b.mine = 10, 100
-	few, many := &server{mine: 1, alien: 1}, &server{mine: 100, alien: 100}
+	b.foreignFlows, b.ownFlows = 10, 100
+	few, many := &server{ownFlows: 1, foreignFlows: 1}, &server{ownFlows: 100, foreignFlows: 100}
 	if got := b.foreignShare(few); got > 0.4 {
 		t.Errorf("one foreign connection makes a share of %v", got)
 	}
@@ -339,7 +339,7 @@
 	}
 	for _, s := range g.servers {
 		g.load[s.ID] = 0.72
-		g.take(g.now, s, Report{Connections: 10, Load: 0.72, Util: -1})
+		g.applyReport(g.now, s, Report{Connections: 10, Load: 0.72, Util: -1})
 	}
 	if id := g.ask(Request{Tenant: 0, Load: 0.1}); g.ends[id] != "refused" {
 		t.Errorf("tenant over its share: %q under pressure, want refused\n%s", g.ends[id], strings.Join(g.log, "\n"))
@@ -385,7 +385,7 @@
 		g.AddExisting(g.now, Request{ID: 500, Group: 77, Load: 0.1}, held)
 		g.load[held] = load
 		g.now += time.Second
-		if to := g.where(g.ask(Request{Group: 77, Load: 0.1})); (to == held) != (load < brim) {
+		if to := g.where(g.ask(Request{Group: 77, Load: 0.1})); (to == held) != (load < fillHigh) {
 			t.Errorf("at load %v: sent to %d, held at %d, first is %d", load, to, held, first)
 		}
 	}
@@ -415,7 +415,7 @@
 			g.load[home] = 0.95
 			used[g.where(g.ask(Request{Group: 77, Load: 0.1}))] = true
 		}
-		if open := !used[0]; open != (others < opening) || len(used) > 1 || used[home] {
+		if open := !used[0]; open != (others < groupSpillFill) || len(used) > 1 || used[home] {
 			t.Errorf("home full, others at %v: sent to %v", others, used)
 		}
 	}
@@ -437,7 +437,7 @@
 			g.load[e.ID] = 0.95
 			if i >= room {
 				g.load[e.ID] = 0.1
-				g.take(t0, g.byID[e.ID], Report{Connections: 3, Load: 0.1, Util: 0.1})
+				g.applyReport(t0, g.byID[e.ID], Report{Connections: 3, Load: 0.1, Util: 0.1})
 			}
 		}
 		if id := g.where(g.ask(Request{Group: 77, Load: 0.1})); id != want {
@@ -546,7 +546,7 @@
 	}
 	// Its capacity is about 16 mean loads until reports say otherwise; it starts at 0.3 of that, and the rule
 	// allows three times its rate over the two seconds played here, beside what it bears at their end.
-	if budget := 3*0.45*16.0/9*2 + brim*16*(0.3+0.7*2.2/9); sent > budget || sent == 0 {
+	if budget := 3*0.45*16.0/9*2 + fillHigh*16*(0.3+0.7*2.2/9); sent > budget || sent == 0 {
 		t.Errorf("fifty proxies sent %v to a cold server, budget %v", sent, budget)
 	}
 }
@@ -578,7 +578,7 @@
 		return sent
 	}
 	all, few, odd := play(12), play(4), play(math.NaN())
-	if budget := 3*0.45*16.0/9*2 + brim*16*(0.3+0.7*2.2/9); few > budget || few < 1.5*all || odd != all {
+	if budget := 3*0.45*16.0/9*2 + fillHigh*16*(0.3+0.7*2.2/9); few > budget || few < 1.5*all || odd != all {
 		t.Errorf("four of twelve sent %v, by the number of those that live %v of %v, by none %v", all, few, budget, odd)
 	}
 }
@@ -592,11 +592,11 @@
 		for n := range 20 {
 			g.now += ms
 			for _, s := range g.servers {
-				g.load[s.ID], g.count[s.ID] = 0.1+0.01*s.mine, s.mine
+				g.load[s.ID], g.count[s.ID] = 0.1+0.01*s.ownFlows, s.ownFlows
 			}
 			id := g.ask(Request{Group: uint64(n + 2), Load: -1})
 			if g.where(id) == 0 {
-				t.Fatalf("%s: client %d found no room, with %v and %v connections", name, n, g.servers[0].mine, g.servers[1].mine)
+				t.Fatalf("%s: client %d found no room, with %v and %v connections", name, n, g.servers[0].ownFlows, g.servers[1].ownFlows)
 			}
 			g.Established(g.now, id)
 		}
@@ -604,7 +604,9 @@
 }
 
 // spendCold is what a send spends of a cold server's budget.
-func spendCold(s *server) { s.coldTokens, s.coldSent = s.coldTokens-1, s.coldSent+1 }
+func spendCold(s *server) {
+	s.slowStartTokens, s.slowStartSent = s.slowStartTokens-1, s.slowStartSent+1
+}
 
 // TestColdBudget guards against cold servers that stand idle while others are pressed: over its warm-up one gets most
 // of what the rule allows at the least capacity it can have, and never all of it.
@@ -617,7 +619,7 @@
 	for now < t0+set.SlowStartDuration-100*ms {
 		now += 10 * ms
 		allowed += set.OverloadFactor * g.capacityOf(now, s) / set.SlowStartDuration.Seconds() * 0.01
-		if g.warmEnough(now, r, s) {
+		if g.slowStartAllows(now, r, s) {
 			spendCold(s)
 			sent++
 		}
@@ -647,13 +649,13 @@
 			for now := t0; now < t0+set.OverloadWindow; now += 10 * ms {
 				g := all[rng.IntN(proxies)]
 				s := g.servers[0]
-				if g.warmEnough(now, &request{load: 1}, s) {
+				if g.slowStartAllows(now, &request{load: 1}, s) {
 					spendCold(s)
 					sent++
 				}
 				allowed += set.OverloadFactor * g.capacityOf(now, s) / set.SlowStartDuration.Seconds() * 0.01
 			}
-			bears += brim * all[0].capacityOf(t0, all[0].servers[0])
+			bears += fillHigh * all[0].capacityOf(t0, all[0].servers[0])
 		}
 		if sent < 0.7*max(allowed, bears) || sent > allowed+bears {
 			t.Errorf("%d proxies sent %.1f; the first window allows %.1f, and it bears %.1f at once", proxies, sent,
@@ -692,7 +694,7 @@
 			id := g.ask(Request{Load: 0.1})
 			first := g.byID[g.where(id)].Server
 			g.AttemptEnded(g.now, Outcome{ID: id, Server: first.ID, Result: tt.result, Report: NoReport})
-			g.daring = 1 // the storm guard is not what is tested
+			g.admissionRate = 1 // the storm guard is not what is tested
 			g.answer()
 			g.fire(400 * ms)
 			if resent := len(g.sends) > 1; resent != tt.resend {
@@ -708,7 +710,7 @@
 				if g.ends[id] != "" {
 					break
 				}
-				g.AttemptEnded(g.now, Outcome{ID: id, Attempt: g.requests[id].tries - 1, Server: at.ID, Result: tt.result, Report: NoReport})
+				g.AttemptEnded(g.now, Outcome{ID: id, Attempt: g.requests[id].attempts - 1, Server: at.ID, Result: tt.result, Report: NoReport})
 				g.answer()
 				g.fire(1900 * ms)
 			}
@@ -730,7 +732,7 @@
 		if waited := len(g.sends) == 1; waited != wait {
 			t.Errorf("result %d: waited %v, want %v", result, waited, wait)
 		}
-		g.daring = 1 // TestDaring tests that
+		g.admissionRate = 1 // TestDaring tests that
 		if g.fire(400 * ms); len(g.sends) != 2 {
 			t.Errorf("result %d: %d attempts after the wait", result, len(g.sends))
 		}
@@ -900,19 +902,19 @@
 func TestHealth(t *testing.T) {
 	g := newRig(settings(), fleet(6, 1))
 	s := g.servers[0]
-	g.fail(g.now, s)
-	if s.bad {
+	g.recordFailure(g.now, s)
+	if s.ejected {
 		t.Error("one failure condemned the server")
 	}
 	if len(g.probes) != 1 || g.probes[0] != s.ID {
 		t.Errorf("after one failure probed %v", g.probes)
 	}
 	g.ProbeResult(g.now, s.ID, Timeout, NoReport)
-	if !s.bad || s.until <= g.now {
+	if !s.ejected || s.retryAt <= g.now {
 		t.Error("two failures in a row did not condemn the server")
 	}
 	g.ProbeResult(g.now, s.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
-	if s.bad {
+	if s.ejected {
 		t.Error("a probe that was answered did not bring it back")
 	}
 }
@@ -923,12 +925,12 @@
 	set.Zones = 2
 	g := newRig(set, fleet(20, 2))
 	for _, s := range g.servers {
-		if n := g.zones[s.Zone].fails; n < failsZone {
-			g.fail(g.now, s)
+		if n := g.zones[s.Zone].failures; n < zoneFailureThreshold {
+			g.recordFailure(g.now, s)
 		}
 	}
-	if !g.zones[1].bad || g.zones[0].bad {
-		t.Errorf("other zone condemned: %v, own zone: %v", g.zones[1].bad, g.zones[0].bad)
+	if !g.zones[1].ejected || g.zones[0].ejected {
+		t.Errorf("other zone condemned: %v, own zone: %v", g.zones[1].ejected, g.zones[0].ejected)
 	}
 }
 
@@ -936,8 +938,8 @@
 func TestDoubtsTheView(t *testing.T) {
 	g := newRig(settings(), fleet(6, 1))
 	for _, s := range g.servers {
-		g.fail(g.now, s)
-		g.fail(g.now, s)
+		g.recordFailure(g.now, s)
+		g.recordFailure(g.now, s)
 	}
 	id := RequestID(1)
 	g.Request(g.now, Request{ID: id, Deadline: g.now + 2*time.Second})
@@ -946,7 +948,7 @@
 		due := g.timers
 		g.timers = nil
 		for _, t := range due {
-			if t.token&tokenMask == tokenWait {
+			if t.token&tokenMask == tokenRetry {
 				g.Balancer.Timer(g.now, t.token)
 			}
 		}
@@ -964,9 +966,9 @@
 		g.now += time.Minute
 		id := g.ask(Request{Tenant: 0})
 		s := g.byID[g.where(id)]
-		s.fulls = 2 * i
+		s.consecutiveFull = 2 * i
 		g.AttemptEnded(g.now, Outcome{ID: id, Server: s.ID, Result: Full, Report: NoReport})
-		if pause := s.until - g.now; pause <= last {
+		if pause := s.retryAt - g.now; pause <= last {
 			t.Errorf("pause %v after %v", pause, last)
 		} else {
 			last = pause
@@ -985,7 +987,7 @@
 		for id := range RequestID(40) {
 			g.AddExisting(g.now, Request{ID: 100 + id, Load: 0.1}, s.ID)
 		}
-		g.take(g.now, s, Report{Connections: 40, Load: tt.load, Util: -1})
+		g.applyReport(g.now, s, Report{Connections: 40, Load: tt.load, Util: -1})
 		g.ObserveLatency(g.now, 100, 90*ms)
 		if got := len(g.moves) > 0; got != tt.moves {
 			t.Errorf("load %v: moved %d", tt.load, len(g.moves))
@@ -1005,8 +1007,8 @@
 	for id := range RequestID(80) {
 		g.AddExisting(g.now, Request{ID: 100 + id, Load: 0.1, Tenant: int(id % 2)}, s.ID)
 	}
-	g.take(g.now, s, Report{Connections: 80, Load: 1.1, Util: -1})
-	g.relieve(g.now, s)
+	g.applyReport(g.now, s, Report{Connections: 80, Load: 1.1, Util: -1})
+	g.migrateExcess(g.now, s)
 	count := [2]int{}
 	for _, id := range g.moves {
 		count[id%2]++
@@ -1106,7 +1108,7 @@
 			for id := range RequestID(5) {
 				g.AddExisting(g.now, Request{ID: 100 + id, Load: 0.1}, g.servers[0].ID)
 			}
-			for n := range failsServer {
+			for n := range serverFailureThreshold {
 				if g.ProbeResult(g.now, g.servers[0].ID, result, NoReport); n == 0 && len(g.moves) > 0 {
 					t.Errorf("%s, %v: moved %d for one", name, result, len(g.moves))
 				}
@@ -1134,7 +1136,7 @@
 		for _, s := range g.servers {
 			g.ProbeResult(g.now, s.ID, OK, Report{Connections: c.reported, Load: 0.5, Util: -1, Backlog: -1})
 		}
-		if g.overShare(0) != c.over {
+		if g.overQuota(0) != c.over {
 			t.Errorf("%s: over its share %v", name, !c.over)
 		}
 	}
@@ -1147,17 +1149,17 @@
 		g := newRig(settings(), fleet(4, 1))
 		for round := range 20 {
 			for _, s := range g.servers[:most] {
-				s.until, s.bad = 0, false
+				s.retryAt, s.ejected = 0, false
 				q := Request{ID: RequestID(100 + 4*round), Deadline: g.now + time.Second, Load: 0.01}
 				q.ID += RequestID(s.ID) % 4 * 1000
-				g.admit(g.now, q)
+				g.newRequest(g.now, q)
 				r := g.requests[q.ID]
 				g.send(g.now, r, s, false)
 				g.AttemptEnded(g.now, Outcome{ID: q.ID, Server: s.ID, Result: Error, Report: NoReport})
 			}
 		}
-		if got := g.daring < 0.5; got != want {
-			t.Errorf("%d of 4 fail: sends %v of its requests", most, g.daring)
+		if got := g.admissionRate < 0.5; got != want {
+			t.Errorf("%d of 4 fail: sends %v of its requests", most, g.admissionRate)
 		}
 	}
 }
@@ -1171,7 +1173,7 @@
 		t.Fatalf("asked %d times at once, %d timers", g.watch, len(g.timers))
 	}
 	g.fire(10 * time.Second)
-	g.Balancer.Timer(g.now, tokenWatch)
+	g.Balancer.Timer(g.now, tokenPoll)
 	if g.watch != 1 {
 		t.Fatalf("asked %d times, want once", g.watch)
 	}
@@ -1197,7 +1199,7 @@
 		price float64
 		can   bool
 		most  float64
-	}{{"priced", 0.002, true, 4}, {"dear", 0.01, true, 1}, {"free", 0, true, probeMost + 1}, {"forbidden", 0, false, 0}} {
+	}{{"priced", 0.002, true, 4}, {"dear", 0.01, true, 1}, {"free", 0, true, maxProbes + 1}, {"forbidden", 0, false, 0}} {
 		set := settings()
 		set.ProbePrice, set.CanProbe = tt.price, tt.can
 		g := newRig(set, fleet(100, 1))
@@ -1263,7 +1265,7 @@
 	g.ProbeResult(g.now, 4, Error, NoReport)
 	g.AddExisting(g.now, Request{ID: 6}, 4)
 	g.Balancer.Timer(g.now, tokenDeadline|5)
-	g.Balancer.Timer(g.now, tokenWait|5)
+	g.Balancer.Timer(g.now, tokenRetry|5)
 	g.Balancer.Timer(g.now, ^uint64(0))
 	if len(g.sends) != 0 || len(g.ends) != 0 {
 		t.Errorf("acted on stale ids: %v", g.log)
@@ -1325,7 +1327,7 @@
 	g := newRig(settings(), fleet(1, 1))
 	id := fleet(1, 1)[0].ID
 	s := g.byID[id]
-	connections := func() float64 { return g.capacityOf(g.now, s) / g.unit() }
+	connections := func() float64 { return g.capacityOf(g.now, s) / g.unitLoad() }
 	g.AddExisting(g.now, Request{ID: 900}, id)
 	g.load[id], g.count[id] = 0.5, 20
 	report := Report{Connections: 20, Load: 0.5, Util: -1}
@@ -1339,11 +1341,11 @@
 	for range 3 {
 		g.ask(Request{Load: -1})
 	}
-	if n := connections(); n < 38 || n > 42 || g.unit() > 0.05 {
-		t.Errorf("capacity %.1f connections of %.2f each, once loads of 0.04 are known", n, g.unit())
+	if n := connections(); n < 38 || n > 42 || g.unitLoad() > 0.05 {
+		t.Errorf("capacity %.1f connections of %.2f each, once loads of 0.04 are known", n, g.unitLoad())
 	}
 	// What ends frees what it was last said to weigh, not what was guessed when it came.
-	s.recent = nil
+	s.pendingPlacements = nil
 	before := g.usedOf(g.now, s)
 	g.AttemptEnded(g.now, Outcome{ID: 900, Server: id, Result: OK, Final: true, Report: NoReport})
 	if freed := before - g.usedOf(g.now, s); freed < 0.039 || freed > 0.041 {
@@ -1359,20 +1361,20 @@
 	g.AddExisting(g.now, Request{ID: 900, Load: 0.1}, s.ID)
 	g.load[s.ID] = 0.5
 	for n := range 3 {
-		g.now += 2 * g.lag()
+		g.now += 2 * g.reportLag()
 		g.probes = nil
-		g.Balancer.Timer(g.now, tokenLook)
+		g.Balancer.Timer(g.now, tokenHealthCheck)
 		if len(g.probes) != 1 || g.probes[0] != s.ID {
 			t.Fatalf("look %d probed %v, want the server with the connection alone", n, g.probes)
 		}
 		g.answer()
 	}
-	if last := g.timers[len(g.timers)-1]; last.token != tokenLook || last.delay < g.lag()/2 {
+	if last := g.timers[len(g.timers)-1]; last.token != tokenHealthCheck || last.delay < g.reportLag()/2 {
 		t.Errorf("the next look: %+v", last)
 	}
-	g.now += 2 * g.lag()
-	g.tokens = 0.5
-	if g.Balancer.Timer(g.now, tokenLook); len(g.probes) != 0 {
+	g.now += 2 * g.reportLag()
+	g.probeTokens = 0.5
+	if g.Balancer.Timer(g.now, tokenHealthCheck); len(g.probes) != 0 {
 		t.Errorf("probed %v beyond the budget", g.probes)
 	}
 }
@@ -1383,31 +1385,31 @@
 func TestFailuresStay(t *testing.T) {
 	g := newRig(settings(), fleet(1, 1))
 	s := g.servers[0]
-	for range failsServer {
-		g.fail(g.now, s)
+	for range serverFailureThreshold {
+		g.recordFailure(g.now, s)
 	}
-	until := s.until
+	until := s.retryAt
 	for range 5 {
-		g.fail(g.now, s)
+		g.recordFailure(g.now, s)
 	}
 	g.probes, s.probing = nil, false
-	g.look(g.now)
-	if !s.bad || s.until != until || s.fails != failsServer || len(g.probes) != 0 {
-		t.Fatalf("bad %v, %d failures, pause moved by %v, probed %v", s.bad, s.fails, s.until-until, g.probes)
+	g.checkHealth(g.now)
+	if !s.ejected || s.retryAt != until || s.failures != serverFailureThreshold || len(g.probes) != 0 {
+		t.Fatalf("bad %v, %d failures, pause moved by %v, probed %v", s.ejected, s.failures, s.retryAt-until, g.probes)
 	}
 	g.now = until
 	g.ProbeResult(g.now, s.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
-	if s.bad {
+	if s.ejected {
 		t.Fatal("it answered, and is not back")
 	}
-	if g.fail(g.now, s); !s.bad {
+	if g.recordFailure(g.now, s); !s.ejected {
 		t.Fatal("it fails on, and is not condemned")
 	}
-	g.now = s.until
+	g.now = s.retryAt
 	g.ProbeResult(g.now, s.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
 	id := g.ask(Request{Load: 0.1})
 	g.Established(g.now, id)
-	if g.fail(g.now, s); s.bad {
+	if g.recordFailure(g.now, s); s.ejected {
 		t.Error("condemned for one failure after a connection stood")
 	}
 }
