--- a/integration/fleet_faults_test.go
+++ b/integration/fleet_faults_test.go
@@ -55,7 +55,7 @@
 // leaves says that a relay was told to leave, and not since that it may stay.
 func leaves(r *relay) bool {
 	log := r.log.String()
-	return strings.LastIndex(log, "fleet: told to leave") > strings.LastIndex(log, "fleet: may stay")
+	return strings.LastIndex(log, "fleet: ordered to leave") > strings.LastIndex(log, "fleet: may stay")
 }
 
 // TestFleetSame: a release that touches what another one does is refused with that one's name, or waits for it if that is wanted; one that
@@ -290,7 +290,7 @@
 	r.hold(24)
 	f.agreed(3, "POST", "/-/releases", map[string]any{"name": "o", "kind": "relay", "names": []string{fmt.Sprintf("n%d", old)}})
 	f.shows("o")
-	r.logged("fleet: told to leave")
+	r.logged("fleet: ordered to leave")
 	r.cmd.Process.Signal(syscall.SIGSTOP)
 	t.Cleanup(func() { r.cmd.Process.Signal(syscall.SIGCONT) })
 	f.agreed(3, "PUT", "/-/releases/o/halt", nil)
@@ -448,8 +448,8 @@
 	var a, b rollout.Result
 	first := ask(0, "ann", "s0")
 	second := ask(1, "bob", "s1")
-	until(t, "the first to be granted", func() bool { a = ask(2, "ann", "s0"); return a.State == rollout.PermitGranted })
-	if b = ask(3, "bob", "s1"); b.State != rollout.PermitWaiting || b.Reason == "" || b.RetryAfterMS <= 0 {
+	until(t, "the first to be granted", func() bool { a = ask(2, "ann", "s0"); return a.State == string(rollout.PermitGranted) })
+	if b = ask(3, "bob", "s1"); b.State != string(rollout.PermitWaiting) || b.Reason == "" || b.RetryAfterMS <= 0 {
 		t.Errorf("%+v", b)
 	}
 	if a.Number != first.Number || b.Number != second.Number || a.Number == b.Number || a.RemainingMS <= 0 {
@@ -465,7 +465,7 @@
 	within(t, patience, "the second to be granted", func() bool {
 		b = ask(3, "bob", "s1")
 		took = time.Since(begun)
-		return b.State == rollout.PermitGranted
+		return b.State == string(rollout.PermitGranted)
 	})
 	if took < 7*time.Second { // the rule, not a measure: it is cold until then
 		t.Errorf("granted after %v, while the first was cold", took)
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -56,8 +56,8 @@
 	s.after = after
 	s.final("rejected")
 }
-func (s *side) Fail() { s.final("failed") }
-func (s *side) Move() { s.moved++; s.out-- }
+func (s *side) Fail()    { s.final("failed") }
+func (s *side) Migrate() { s.moved++; s.out-- }
 func (s *side) final(answer string) {
 	if s.answers = append(s.answers, answer); len(s.answers) > 1 || s.out > 0 {
 		s.r.t.Errorf("answers %v with %d attempts out", s.answers, s.out)
@@ -80,7 +80,7 @@
 	r := &rig{t: t, now: time.Hour, out: map[ID]*side{}}
 	r.Core = New(Options{Settings: set, Seed: 7, Clock: func() time.Duration { return r.now },
 		Wake: func(at time.Duration) { r.wake = at }, Probe: func(*Member) {}, Watch: func() {}, Recorder: r})
-	r.Pool(policy.ListCached, list(members, policy.Ready))
+	r.UpdateMembers(policy.ListCached, list(members, policy.Ready))
 	return r
 }
 
@@ -104,7 +104,7 @@
 func (r *rig) up(n int) (all []*side) {
 	for range n {
 		s := r.open()
-		r.Up(s.id, 0)
+		r.FlowEstablished(s.id, 0)
 		all = append(all, s)
 	}
 	return all
@@ -126,12 +126,12 @@
 func TestServed(t *testing.T) {
 	r := newRig(t, 2)
 	s := r.open()
-	if s.out != 1 || !r.Up(s.id, 0) || r.Up(s.id, 0) {
+	if s.out != 1 || !r.FlowEstablished(s.id, 0) || r.FlowEstablished(s.id, 0) {
 		t.Fatal("not up, or up twice")
 	}
-	r.Ended(s.id, 0, policy.OK, policy.NoReport)
-	if r.Held() != 0 || r.Counts.Served != 1 || len(r.book) != 2 {
-		t.Errorf("held %d, counts %+v, book %v", r.Held(), r.Counts, r.book)
+	r.AttemptEnded(s.id, 0, policy.OK, policy.NoReport)
+	if r.ActiveRequests() != 0 || r.Counts.Served != 1 || len(r.book) != 2 {
+		t.Errorf("held %d, counts %+v, book %v", r.ActiveRequests(), r.Counts, r.book)
 	}
 }
 
@@ -140,14 +140,14 @@
 	r := newRig(t, 3)
 	s := r.open()
 	s.out--
-	r.Ended(s.id, 0, policy.ConnectFailed, policy.NoReport)
+	r.AttemptEnded(s.id, 0, policy.ConnectFailed, policy.NoReport)
 	if s.tries != 2 {
 		t.Fatalf("%d tries", s.tries)
 	}
-	if r.Up(s.id, 0) {
+	if r.FlowEstablished(s.id, 0) {
 		t.Error("up by an attempt that failed")
 	}
-	r.Ended(s.id, 0, policy.Reset, policy.NoReport)
+	r.AttemptEnded(s.id, 0, policy.Reset, policy.NoReport)
 	if s.out != 1 || s.tries != 2 {
 		t.Errorf("%d out, %d tries", s.out, s.tries)
 	}
@@ -200,8 +200,8 @@
 		t.Error("not given up")
 	}
 	r.pass(2*time.Second - s.wait)
-	if len(s.answers) != 1 || s.out != 0 || r.Held() != 0 {
-		t.Errorf("answers %v, %d out, held %d", s.answers, s.out, r.Held())
+	if len(s.answers) != 1 || s.out != 0 || r.ActiveRequests() != 0 {
+		t.Errorf("answers %v, %d out, held %d", s.answers, s.out, r.ActiveRequests())
 	}
 }
 
@@ -211,10 +211,10 @@
 	r := newRig(t, 2)
 	s, lost := &side{r: r}, &side{r: r}
 	id := r.Open(Request{CurrentMember: "m1", TimeLeft: time.Second}, s)
-	if s.out != 1 || !r.Up(id, 0) {
+	if s.out != 1 || !r.FlowEstablished(id, 0) {
 		t.Fatal("not up")
 	}
-	r.Pool(policy.ListDelta, list(2, policy.Draining)[1:])
+	r.UpdateMembers(policy.ListDelta, list(2, policy.Draining)[1:])
 	if s.moved != 1 {
 		t.Error("not moved from a draining member")
 	}
@@ -243,24 +243,24 @@
 	if s := r.open(); len(s.answers) != 1 || s.answers[0] != "rejected" {
 		t.Errorf("a request during the stop: %v", s.answers)
 	}
-	if away := r.Counts.Away; away != stopAfter {
+	if away := r.Counts.BackoffTime; away != stopAfter {
 		t.Errorf("one was sent away for %v, counted %v", stopAfter, away)
 	}
-	r.pass(of(stopMovesFrom, r.StopWithin()) - time.Millisecond)
+	r.pass(of(stopMovesFrom, r.StopTimeout()) - time.Millisecond)
 	for _, s := range up {
 		if s.moved != 0 {
 			t.Error("moved too early")
 		}
 	}
-	r.Up(late.id, 0)
+	r.FlowEstablished(late.id, 0)
 	r.pass(2 * time.Second)
 	for _, s := range append(up, late) {
 		if s.moved != 1 {
 			t.Errorf("moved %d times", s.moved)
 		}
 	}
-	if r.Held() != 0 {
-		t.Errorf("held %d", r.Held())
+	if r.ActiveRequests() != 0 {
+		t.Errorf("held %d", r.ActiveRequests())
 	}
 }
 
@@ -272,13 +272,13 @@
 	var probed int
 	r.Probe = func(*Member) { probed++ }
 	s := r.open()
-	r.Up(s.id, 0)
-	r.Ban("m0")
-	r.Ban("m0")
-	if s.moved != 1 || !r.Known("m0") || r.Known("m9") || r.Usable() {
+	r.FlowEstablished(s.id, 0)
+	r.Eject("m0")
+	r.Eject("m0")
+	if s.moved != 1 || !r.IsKnownMember("m0") || r.IsKnownMember("m9") || r.HasUsableMember() {
 		t.Errorf("moved %d times", s.moved)
 	}
-	r.Pool(policy.ListFull, list(1, policy.Ready))
+	r.UpdateMembers(policy.ListFull, list(1, policy.Ready))
 	r.pass(251 * time.Millisecond)
 	if late := r.open(); late.tries != 0 {
 		t.Error("sent to a banned member")
@@ -291,15 +291,15 @@
 	if probed != 0 || r.Reachable(10) {
 		t.Error("a banned member was probed")
 	}
-	r.Allow("m0")
+	r.Reinstate("m0")
 	m := r.members[10]
-	if m.left || m.Started != r.now || !r.Usable() {
+	if m.left || m.Started != r.now || !r.HasUsableMember() {
 		t.Errorf("put back: %+v", m)
 	}
-	r.Allow("m0")
+	r.Reinstate("m0")
 	again := list(1, policy.Ready)
 	again[0].Started = r.now - 3*time.Second
-	r.Pool(policy.ListDelta, again)
+	r.UpdateMembers(policy.ListDelta, again)
 	if m.Started != again[0].Started {
 		t.Errorf("discovery knows of a start at %v, we say %v", again[0].Started, m.Started)
 	}
@@ -316,7 +316,7 @@
 // still go, within the grace too, and who waited too long has an answer of the relay's own.
 func TestDoubt(t *testing.T) {
 	r := newRig(t, 4)
-	r.Doubt()
+	r.PauseDispatch()
 	var all []*side
 	for range 20 {
 		all = append(all, r.open())
@@ -327,10 +327,10 @@
 			t.Fatalf("%d tries, answers %v", s.tries, s.answers)
 		}
 	}
-	r.Left(late.id)
-	r.Pool(policy.ListDelta, list(4, policy.Draining)[1:])
-	r.Sure()
-	r.Sure()
+	r.ClientGone(late.id)
+	r.UpdateMembers(policy.ListDelta, list(4, policy.Draining)[1:])
+	r.ResumeDispatch()
+	r.ResumeDispatch()
 	sent := 0
 	for i, s := range all {
 		if sent += s.tries; s.tries > 0 && s.to != "m0" {
@@ -343,13 +343,13 @@
 	if late.tries > 0 {
 		t.Error("sent for a client that has left")
 	}
-	r.Doubt()
+	r.PauseDispatch()
 	s := r.open()
 	r.pass(3 * time.Second)
 	if s.tries > 0 || len(s.answers) != 1 {
 		t.Errorf("%d tries, answers %v", s.tries, s.answers)
 	}
-	r.Sure()
+	r.ResumeDispatch()
 	if s.tries > 0 || len(s.answers) != 1 {
 		t.Errorf("after its answer: %d tries, answers %v", s.tries, s.answers)
 	}
@@ -359,13 +359,13 @@
 // discovery names only later.
 func TestBanUnlisted(t *testing.T) {
 	r := newRig(t, 0)
-	r.Ban("m0")
-	r.Pool(policy.ListFull, list(1, policy.Ready))
-	if r.Usable() || r.open().tries != 0 {
+	r.Eject("m0")
+	r.UpdateMembers(policy.ListFull, list(1, policy.Ready))
+	if r.HasUsableMember() || r.open().tries != 0 {
 		t.Error("sent to a banned member")
 	}
-	r.Allow("m0")
-	if !r.Usable() {
+	r.Reinstate("m0")
+	if !r.HasUsableMember() {
 		t.Error("not put back")
 	}
 }
@@ -377,7 +377,7 @@
 	var up []*side
 	open := func() {
 		s := r.open()
-		if !r.Up(s.id, 0) {
+		if !r.FlowEstablished(s.id, 0) {
 			t.Fatal("not served")
 		}
 		up = append(up, s)
@@ -393,7 +393,7 @@
 	}
 	r.Drain()
 	r.Drain()
-	if r.Welcomes() || moved() != 0 {
+	if r.AcceptsClients() || moved() != 0 {
 		t.Error("clients are still welcome, or moved before the front knows")
 	}
 	open()
@@ -402,14 +402,14 @@
 	r.Resume()
 	r.Resume()
 	r.pass(10 * time.Second)
-	if !r.Welcomes() || half == 0 || half == len(up) || moved() != half {
+	if !r.AcceptsClients() || half == 0 || half == len(up) || moved() != half {
 		t.Errorf("%d moved by the resume, %d in the end, of %d", half, moved(), len(up))
 	}
 	open()
 	r.Drain()
 	r.pass(drainMoves + time.Second)
-	if moved() != len(up) || r.Held() != 0 {
-		t.Errorf("%d moved of %d, %d held", moved(), len(up), r.Held())
+	if moved() != len(up) || r.ActiveRequests() != 0 {
+		t.Errorf("%d moved of %d, %d held", moved(), len(up), r.ActiveRequests())
 	}
 }
 
@@ -417,25 +417,25 @@
 // member put back is as cold as it was, and a list of bans counts as it stands.
 func TestRecall(t *testing.T) {
 	old, next := newRig(t, 3), newRig(t, 3)
-	old.Ban("m1")
-	old.Allow("m1")
+	old.Eject("m1")
+	old.Reinstate("m1")
 	old.pass(2 * time.Second)
-	text, err := json.Marshal(old.Learned())
+	text, err := json.Marshal(old.LearnedState())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var l Learned
+	var l LearnedState
 	if err := json.Unmarshal(text, &l); err != nil {
 		t.Fatal(err)
 	}
 	next.now += 5 * time.Minute
-	next.Recall(l)
+	next.Restore(l)
 	if up := next.now - next.members[11].Started; up != 2*time.Second || next.members[10].Started != 0 {
 		t.Errorf("up for %v", up)
 	}
-	next.Bans([]string{"m0", "m2"})
-	next.Bans([]string{"m2", "m9"})
-	if next.members[10].banned || !next.members[12].banned || !next.Known("m9") {
+	next.SetEjections([]string{"m0", "m2"})
+	next.SetEjections([]string{"m2", "m9"})
+	if next.members[10].banned || !next.members[12].banned || !next.IsKnownMember("m9") {
 		t.Error("the list of bans does not count as it stands")
 	}
 }
@@ -445,33 +445,33 @@
 func TestGiveUp(t *testing.T) {
 	r := newRig(t, 2)
 	up := r.up(5)
-	r.GiveUp()
+	r.BeginHandover()
 	next := newRig(t, 2)
 	next.now += time.Hour
-	p, ok := r.Pass(up[0].id)
-	if _, twice := r.Pass(up[0].id); !ok || twice || r.Held() != 4 {
-		t.Errorf("passed %v, twice %v, %d held", ok, twice, r.Held())
+	p, ok := r.ReleaseFlow(up[0].id)
+	if _, twice := r.ReleaseFlow(up[0].id); !ok || twice || r.ActiveRequests() != 4 {
+		t.Errorf("passed %v, twice %v, %d held", ok, twice, r.ActiveRequests())
 	}
 	s := &side{r: next, out: 1, tries: 1}
-	id, m, ok := next.Take(p, s)
-	if !ok || m.Name != p.Member || !next.Holds(id) || next.Up(id, 0) || next.Counts.Served != 1 {
+	id, m, ok := next.AdoptFlow(p, s)
+	if !ok || m.Name != p.Member || !next.IsActive(id) || next.FlowEstablished(id, 0) || next.Counts.Served != 1 {
 		t.Errorf("taken %v by %v, counts %+v", ok, m, next.Counts)
 	}
-	next.Ended(id, 0, policy.OK, policy.NoReport)
-	if next.Held() != 0 || s.moved != 0 || len(s.answers) != 0 {
-		t.Errorf("%d held, %+v", next.Held(), s)
+	next.AttemptEnded(id, 0, policy.OK, policy.NoReport)
+	if next.ActiveRequests() != 0 || s.moved != 0 || len(s.answers) != 0 {
+		t.Errorf("%d held, %+v", next.ActiveRequests(), s)
 	}
-	if _, _, ok := next.Take(Passed{Member: "m9"}, s); ok {
+	if _, _, ok := next.AdoptFlow(FlowTransfer{Member: "m9"}, s); ok {
 		t.Error("a flow at an unknown member was taken")
 	}
-	r.pass(of(passWithin, r.StopWithin()) - time.Millisecond)
+	r.pass(of(passWithin, r.StopTimeout()) - time.Millisecond)
 	early := up[0].moved
 	for _, s := range up[1:] {
 		early += s.moved
 	}
-	r.pass(of(stopMoves, r.StopWithin()))
-	if early != 0 || r.Held() != 0 || up[0].moved != 0 || up[1].moved != 1 {
-		t.Errorf("%d moved early, %d held", early, r.Held())
+	r.pass(of(stopMoves, r.StopTimeout()))
+	if early != 0 || r.ActiveRequests() != 0 || up[0].moved != 0 || up[1].moved != 1 {
+		t.Errorf("%d moved early, %d held", early, r.ActiveRequests())
 	}
 }
 
@@ -480,11 +480,11 @@
 func TestFinish(t *testing.T) {
 	r := newRig(t, 2)
 	up, late := r.open(), r.open()
-	r.Up(up.id, 0)
+	r.FlowEstablished(up.id, 0)
 	r.Stop()
-	r.Finish()
-	if up.moved != 1 || len(late.answers) != 1 || late.answers[0] != "rejected" || late.out != 0 || r.Held() != 0 {
-		t.Errorf("moved %d, answers %v, held %d", up.moved, late.answers, r.Held())
+	r.FinishStop()
+	if up.moved != 1 || len(late.answers) != 1 || late.answers[0] != "rejected" || late.out != 0 || r.ActiveRequests() != 0 {
+		t.Errorf("moved %d, answers %v, held %d", up.moved, late.answers, r.ActiveRequests())
 	}
 }
 
@@ -493,16 +493,16 @@
 func TestMessages(t *testing.T) {
 	r := newRig(t, 1)
 	s := r.open()
-	r.Up(s.id, 0)
+	r.FlowEstablished(s.id, 0)
 	m := r.requests[s.id].member
-	r.Message(s.id, 40*time.Millisecond)
+	r.ObserveMessageLatency(s.id, 40*time.Millisecond)
 	first := m.noted
 	r.now += 100 * time.Millisecond
-	r.Message(s.id, 50*time.Millisecond)
+	r.ObserveMessageLatency(s.id, 50*time.Millisecond)
 	if !m.slow || m.noted != first {
 		t.Error("not told, or told again at once")
 	}
-	r.Message(s.id, 20*time.Millisecond)
+	r.ObserveMessageLatency(s.id, 20*time.Millisecond)
 	if m.slow || m.noted != r.now {
 		t.Error("not told that it is over")
 	}
@@ -529,23 +529,23 @@
 			switch q := r.requests[s.id]; rng.IntN(7) {
 			case 0:
 				if q != nil && q.member != nil {
-					r.Up(s.id, s.tries-1)
+					r.FlowEstablished(s.id, s.tries-1)
 				}
 			case 1:
 				if q != nil && q.member != nil {
 					s.out--
-					r.Ended(s.id, s.tries-1, results[rng.IntN(len(results))], policy.NoReport)
+					r.AttemptEnded(s.id, s.tries-1, results[rng.IntN(len(results))], policy.NoReport)
 				}
 			case 2:
 				if rng.IntN(4) == 0 {
-					r.Left(s.id)
+					r.ClientGone(s.id)
 				}
 			case 4:
 				name := fmt.Sprint("m", rng.IntN(4))
-				[]func(){func() { r.Ban(name) }, func() { r.Allow(name) }, r.Drain, r.Resume}[rng.IntN(4)]()
+				[]func(){func() { r.Eject(name) }, func() { r.Reinstate(name) }, r.Drain, r.Resume}[rng.IntN(4)]()
 			case 3:
 				one := list(4, states[rng.IntN(len(states))])[rng.IntN(4):][:1]
-				r.Pool(policy.ListDelta, one)
+				r.UpdateMembers(policy.ListDelta, one)
 			default:
 				r.pass(time.Duration(rng.IntN(300)) * time.Millisecond)
 			}
@@ -554,8 +554,8 @@
 		r.Resume() // a drain's end is not the stop's
 		r.pass(5 * time.Second)
 		c := r.Counts
-		if r.Held() != 0 || c.Requests != len(all) || c.Served+c.Rejected+c.Failed+c.Left != c.Requests {
-			t.Errorf("held %d, %d requests, counts %+v", r.Held(), len(all), c)
+		if r.ActiveRequests() != 0 || c.Requests != len(all) || c.Served+c.Rejected+c.Failed+c.ClientsGone != c.Requests {
+			t.Errorf("held %d, %d requests, counts %+v", r.ActiveRequests(), len(all), c)
 		}
 		seen := map[string]bool{}
 		for _, line := range r.book {
@@ -589,11 +589,11 @@
 		}
 		return n
 	}
-	drain := map[string]Leaving{}
+	drain := map[string]Removal{}
 	for _, m := range list(members, policy.Ready) {
-		drain[m.Name] = Leaving{Over: 10 * time.Second}
+		drain[m.Name] = Removal{SpreadOver: 10 * time.Second}
 	}
-	r.Agree(drain)
+	r.SetFleetRemovals(drain)
 	r.pass(5 * time.Second)
 	if n := moved(); total < 20 || n < total/3 || n > total-total/3 {
 		t.Fatalf("%d of %d moved after half of the time", n, total)
@@ -601,7 +601,7 @@
 	if s := r.open(); s.out > 0 {
 		t.Error("sent to a member that is agreed out")
 	}
-	r.Agree(nil)
+	r.SetFleetRemovals(nil)
 	before := moved()
 	r.pass(20 * time.Second)
 	if moved() != before {
@@ -610,23 +610,23 @@
 	if s := r.open(); s.out == 0 {
 		t.Error("a member that was warm before the revoked drain gets nothing")
 	}
-	r.Agree(drain)
+	r.SetFleetRemovals(drain)
 	r.pass(7 * time.Second) // the earliest are gone since the first
 	if n := moved(); n == before || n == total {
 		t.Errorf("%d of all moved seven seconds after the second drain", n)
 	}
 	gone := list(members, policy.Draining)
-	r.Pool(policy.ListDelta, gone)
+	r.UpdateMembers(policy.ListDelta, gone)
 	if n := moved(); n != total {
 		t.Errorf("%d of %d moved when discovery says that it drains", n, total)
 	}
-	r.Pool(policy.ListDelta, list(1, policy.Ready))
-	r.Ban("m0")
-	r.Agree(nil)
+	r.UpdateMembers(policy.ListDelta, list(1, policy.Ready))
+	r.Eject("m0")
+	r.SetFleetRemovals(nil)
 	if s := r.open(); s.out > 0 {
 		t.Error("an operator's ban ended with the fleet's")
 	}
-	if got := r.Banned(); len(got) != 1 {
+	if got := r.Ejected(); len(got) != 1 {
 		t.Errorf("banned here: %v", got)
 	}
 }
@@ -640,11 +640,11 @@
 	r := &rig{t: t, now: time.Hour, out: map[ID]*side{}}
 	r.Core = New(Options{Settings: set, Seed: 7, Clock: func() time.Duration { return r.now },
 		Wake: func(at time.Duration) { r.wake = at }, Probe: func(*Member) {}, Watch: func() {}, Recorder: r})
-	r.Pool(policy.ListCached, list(3, policy.Ready))
+	r.UpdateMembers(policy.ListCached, list(3, policy.Ready))
 	r.up(3)
 	r.Stop()
-	r.pass(r.StopWithin())
-	if r.StopWithin() > 1200*time.Millisecond || r.Held() > 0 {
-		t.Errorf("a stop takes %v, and %d flows are held then", r.StopWithin(), r.Held())
+	r.pass(r.StopTimeout())
+	if r.StopTimeout() > 1200*time.Millisecond || r.ActiveRequests() > 0 {
+		t.Errorf("a stop takes %v, and %d flows are held then", r.StopTimeout(), r.ActiveRequests())
 	}
 }
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -50,7 +50,7 @@
 func (c *Core) step(r *request, e event) bool {
 	next, allowed := transitions[r.state][e]
 	if !allowed {
-		c.Counts.Ignored++
+		c.Counts.IgnoredEvents++
 		return false
 	}
 	r.state = next
@@ -64,7 +64,7 @@
 type request struct {
 	Request
 	id       ID
-	v        VirtualServer
+	v        Downstream
 	deadline time.Duration
 	state    state
 	tries    int     // attempts that have begun
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -12,7 +12,7 @@
 // ---- What fronts tell ----
 
 // Open takes a request. The final answer comes by v, perhaps at once.
-func (c *Core) Open(q Request, v VirtualServer) ID {
+func (c *Core) Open(q Request, v Downstream) ID {
 	now := c.Clock()
 	c.last++
 	r := &request{Request: q, id: c.last, v: v, deadline: now + q.TimeLeft}
@@ -66,7 +66,7 @@
 
 // Up says that a server-side flow stands. It returns whether the client may be
 // told so.
-func (c *Core) Up(id ID, try int) bool {
+func (c *Core) FlowEstablished(id ID, try int) bool {
 	r := c.current(id, try)
 	if r == nil || !c.step(r, stands) {
 		return false
@@ -74,14 +74,14 @@
 	c.record(r, Served)
 	c.saw(r.member, policy.OK)
 	if !r.standing {
-		c.happens(r, r.member, Stood, c.Clock()-r.sent)
+		c.happens(r, r.member, FlowEstablished, c.Clock()-r.sent)
 	}
 	if r.standing {
 		c.tell(policy.ExistingFlow{Request: r.policy(), Server: r.member.ID})
 	} else {
 		c.tell(policy.FlowEstablished{ID: id})
 	}
-	if !c.Welcomes() {
+	if !c.AcceptsClients() {
 		c.leaveAt(r, max(c.moveAt, c.Clock()+StopNotice/2))
 	}
 	c.quit(r)
@@ -89,9 +89,9 @@
 	return true
 }
 
-// Ended says how a server-side flow ended, before it stood or after. A flow
+// AttemptEnded says how a server-side flow ended, before it stood or after. A flow
 // served to its end has its final answer by that.
-func (c *Core) Ended(id ID, try int, result policy.Result, report policy.Report) {
+func (c *Core) AttemptEnded(id ID, try int, result policy.Result, report policy.Report) {
 	if r := c.current(id, try); r != nil {
 		c.end(r, result, report)
 	}
@@ -99,7 +99,7 @@
 
 // ClientGone says that the client of a request went away. It returns whether a client that still listens may be told that
 // coming again is harmless.
-func (c *Core) Left(id ID) (harmless bool) {
+func (c *Core) ClientGone(id ID) (harmless bool) {
 	r := c.requests[id]
 	if r == nil {
 		return false
@@ -129,7 +129,7 @@
 	r.tries++
 	c.Counts.Attempts++
 	if m.banned && now-m.told > c.grace {
-		c.Counts.Astray++ // the gate lets none pass: this counts what it did, not what it meant
+		c.Counts.SentAfterGrace++ // the gate lets none pass: this counts what it did, not what it meant
 	}
 	r.v.Send(r.id, &m.Member, r.tries-1, wait)
 }
@@ -191,8 +191,8 @@
 	case policy.Error, policy.Reset, policy.ConnectFailed, policy.Timeout:
 		m.bad++
 	}
-	if c.Saw != nil {
-		c.Saw(&m.Member, result)
+	if c.OnResult != nil {
+		c.OnResult(&m.Member, result)
 	}
 }
 
@@ -213,9 +213,9 @@
 	}
 }
 
-// Advice is how soon a rejected client is told to come again that should do so after some time: no later than clients
+// RetryAfter is how soon a rejected client is told to come again that should do so after some time: no later than clients
 // heed, and 0, which is no advice, where the settings have none.
-func (c *Core) Advice(after time.Duration) time.Duration {
+func (c *Core) RetryAfter(after time.Duration) time.Duration {
 	if advised := c.Settings.Limits.RetryAfter; advised != nil && !*advised {
 		return 0
 	}
@@ -231,11 +231,11 @@
 	c.abandon(r, was)
 	c.record(r, a)
 	if a == Rejected {
-		after = c.Advice(after)
-		c.Counts.Away += after
+		after = c.RetryAfter(after)
+		c.Counts.BackoffTime += after
 		r.v.Reject(after)
 	} else {
-		c.Counts.Away += r.TimeLeft
+		c.Counts.BackoffTime += r.TimeLeft
 		r.v.Fail()
 	}
 }
@@ -250,7 +250,7 @@
 	case Failed:
 		c.Counts.Failed++
 	case ClientGone:
-		c.Counts.Left++
+		c.Counts.ClientsGone++
 	}
 	if c.Recorder != nil {
 		c.Recorder.RecordAnswer(&r.Request, r.id, c.Clock(), a, r.tries)
@@ -262,7 +262,7 @@
 	if !c.step(r, moved) {
 		return
 	}
-	c.Counts.Moves++
-	r.v.Move()
+	c.Counts.Migrations++
+	r.v.Migrate()
 	c.release(r, serving, policy.Cancelled, policy.NoReport)
 }
--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -38,7 +38,7 @@
 	r := &rig{t: t, now: time.Hour, wake: math.MaxInt64, out: map[ID]*side{}}
 	r.Core = New(Options{Settings: set, Seed: 7, Clock: func() time.Duration { return r.now },
 		Wake: func(at time.Duration) { r.wake = at }, Probe: func(*Member) {}, Watch: func() {}, Recorder: r})
-	r.Pool(policy.ListCached, members)
+	r.UpdateMembers(policy.ListCached, members)
 	return r
 }
 
@@ -52,7 +52,7 @@
 // ends has the attempt that is out end before it stood.
 func (s *side) ends(result policy.Result) {
 	s.out--
-	s.r.Ended(s.id, s.tries-1, result, policy.NoReport)
+	s.r.AttemptEnded(s.id, s.tries-1, result, policy.NoReport)
 }
 
 func (s *side) got() string { return strings.Join(s.answers, ",") }
@@ -71,10 +71,10 @@
 			t.Fatalf("class %d: %d out, %d out, %v", class, out.out, none.out, none.answers)
 		}
 		r.Stop()
-		r.Finish()
-		if out.got() != want || ran.got() != want || none.got() != "rejected" || r.Held() != 0 {
+		r.FinishStop()
+		if out.got() != want || ran.got() != want || none.got() != "rejected" || r.ActiveRequests() != 0 {
 			t.Errorf("class %d: with an attempt out %s, that may have run %s, want %s; never run %s; held %d",
-				class, out.got(), ran.got(), want, none.got(), r.Held())
+				class, out.got(), ran.got(), want, none.got(), r.ActiveRequests())
 		}
 	}
 }
@@ -84,15 +84,15 @@
 func TestLateDeadline(t *testing.T) {
 	r := newRigOf(t, classesText, list(2, policy.Draining))
 	held, out := r.bring(unsafeClass, 2*time.Second), &side{}
-	r.Pool(policy.ListDelta, list(1, policy.Ready))
+	r.UpdateMembers(policy.ListDelta, list(1, policy.Ready))
 	out = r.bring(unsafeClass, 2*time.Second)
 	if held.tries != 0 || held.got() != "" || out.out != 1 {
 		t.Fatalf("%d tries, %v; %d out", held.tries, held.answers, out.out)
 	}
 	r.now += 3 * time.Second
 	r.Tick()
-	if held.got() != "rejected" || out.got() != "failed" || r.Held() != 0 {
-		t.Errorf("never sent: %s; with an attempt out: %s; held %d", held.got(), out.got(), r.Held())
+	if held.got() != "rejected" || out.got() != "failed" || r.ActiveRequests() != 0 {
+		t.Errorf("never sent: %s; with an attempt out: %s; held %d", held.got(), out.got(), r.ActiveRequests())
 	}
 }
 
@@ -100,7 +100,7 @@
 func TestShortWait(t *testing.T) {
 	for _, wait := range []time.Duration{-time.Second, 0, time.Millisecond, 8 * time.Millisecond} {
 		r := newRigOf(t, classesText, list(2, policy.Ready))
-		if s := r.bring(unsafeClass, wait); s.tries != 0 || s.got() != "rejected" || r.Held() != 0 {
+		if s := r.bring(unsafeClass, wait); s.tries != 0 || s.got() != "rejected" || r.ActiveRequests() != 0 {
 			t.Errorf("wait %v: %d tries, answers %v", wait, s.tries, s.answers)
 		}
 	}
@@ -109,24 +109,24 @@
 // TestNumbering: after a send that the gate has barred, the module still hears how the next attempt ends, and makes another.
 func TestNumbering(t *testing.T) {
 	r := newRigOf(t, classesText, list(4, policy.Ready))
-	r.Doubt()
+	r.PauseDispatch()
 	s := r.bring(safeClass, 2*time.Second)
 	barred := r.later[0].Server
-	r.Pool(policy.ListDelta, []Member{r.drains(barred)})
-	r.Sure()
-	if r.Counts.Barred != 1 || s.out != 1 {
-		t.Fatalf("%d barred, %d out", r.Counts.Barred, s.out)
+	r.UpdateMembers(policy.ListDelta, []Member{r.drains(barred)})
+	r.ResumeDispatch()
+	if r.Counts.Blocked != 1 || s.out != 1 {
+		t.Fatalf("%d barred, %d out", r.Counts.Blocked, s.out)
 	}
 	s.ends(policy.ConnectFailed)
 	if s.out != 1 || s.tries != 2 {
 		t.Fatalf("after an attempt that failed: %d out, %d tries", s.out, s.tries)
 	}
 	at := r.out[s.id].to
-	if !r.Up(s.id, 1) {
+	if !r.FlowEstablished(s.id, 1) {
 		t.Fatal("not up")
 	}
-	r.Ended(s.id, 1, policy.OK, policy.NoReport)
-	r.Pool(policy.ListFull, nil)
+	r.AttemptEnded(s.id, 1, policy.OK, policy.NoReport)
+	r.UpdateMembers(policy.ListFull, nil)
 	if learned := r.facade.LearnedState(r.now); len(learned.Servers) != 0 {
 		t.Errorf("%s is still held in the module: %v", at, learned.Servers)
 	}
@@ -143,20 +143,20 @@
 // for it, and nothing of it stays in the module.
 func TestHeldEnds(t *testing.T) {
 	for name, end := range map[string]func(r *rig, s *side){
-		"left":     func(r *rig, s *side) { r.Left(s.id) },
+		"left":     func(r *rig, s *side) { r.ClientGone(s.id) },
 		"deadline": func(r *rig, s *side) { r.pass(2 * time.Second) },
-		"finish":   func(r *rig, s *side) { r.Stop(); r.Finish() },
+		"finish":   func(r *rig, s *side) { r.Stop(); r.FinishStop() },
 	} {
 		for class := range 5 {
 			r := newRigOf(t, classesText, list(1, policy.Ready))
-			r.Doubt()
+			r.PauseDispatch()
 			s := r.bring(class, 2*time.Second)
 			end(r, s)
-			r.Sure()
-			if want := map[bool]string{true: "", false: "rejected"}[name == "left"]; s.tries != 0 || s.got() != want || r.Held() != 0 {
-				t.Errorf("%s, class %d: %d tries, answers %v, held %d", name, class, s.tries, s.answers, r.Held())
+			r.ResumeDispatch()
+			if want := map[bool]string{true: "", false: "rejected"}[name == "left"]; s.tries != 0 || s.got() != want || r.ActiveRequests() != 0 {
+				t.Errorf("%s, class %d: %d tries, answers %v, held %d", name, class, s.tries, s.answers, r.ActiveRequests())
 			}
-			r.Pool(policy.ListFull, nil)
+			r.UpdateMembers(policy.ListFull, nil)
 			if learned := r.facade.LearnedState(r.now); len(learned.Servers) != 0 {
 				t.Errorf("%s, class %d: the module still holds %v", name, class, learned.Servers)
 			}
@@ -168,7 +168,7 @@
 func TestHeldWindow(t *testing.T) {
 	r := newRigOf(t, classesText, list(3, policy.Ready))
 	s := r.bring(keyedAll, 2*time.Second)
-	r.Doubt()
+	r.PauseDispatch()
 	s.ends(policy.Reset)
 	if s.out != 0 || len(r.later) != 1 {
 		t.Fatalf("%d out, %d held", s.out, len(r.later))
@@ -177,7 +177,7 @@
 	if s.got() != "" {
 		t.Fatalf("answers %v", s.answers)
 	}
-	r.Sure()
+	r.ResumeDispatch()
 	if s.tries != 1 {
 		t.Errorf("%d tries, the last after its window", s.tries)
 	}
@@ -192,13 +192,13 @@
 func TestUpAtLeaving(t *testing.T) {
 	r := newRigOf(t, classesText, list(1, policy.Ready))
 	s := r.bring(safeClass, 2*time.Second)
-	r.Pool(policy.ListDelta, list(1, policy.Draining))
-	if !r.Up(s.id, 0) || s.moved != 0 {
+	r.UpdateMembers(policy.ListDelta, list(1, policy.Draining))
+	if !r.FlowEstablished(s.id, 0) || s.moved != 0 {
 		t.Fatal("not up, or moved before its front knows")
 	}
 	r.pass(0)
-	if s.moved != 1 || r.Held() != 0 {
-		t.Errorf("moved %d times, %d held", s.moved, r.Held())
+	if s.moved != 1 || r.ActiveRequests() != 0 {
+		t.Errorf("moved %d times, %d held", s.moved, r.ActiveRequests())
 	}
 }
 
@@ -207,7 +207,7 @@
 	r := newRigOf(t, classesText, list(1, policy.Ready))
 	s := r.bring(safeClass, 20*time.Second)
 	r.Drain()
-	r.Up(s.id, 0)
+	r.FlowEstablished(s.id, 0)
 	if r.pass(drainMovesFrom); s.moved != 1 {
 		t.Errorf("moved %d times %v after the drain began", s.moved, drainMovesFrom)
 	}
@@ -216,7 +216,7 @@
 // TestPacedAndDrained: a member's agreed drain and the relay's own both move a flow, the earlier one of them; and the end of the
 // relay's drain does not undo the other.
 func TestPacedAndDrained(t *testing.T) {
-	agreed := func(over time.Duration) map[string]Leaving { return map[string]Leaving{"m0": {Over: over}} }
+	agreed := func(over time.Duration) map[string]Removal { return map[string]Removal{"m0": {SpreadOver: over}} }
 	within := func(r *rig, s *side, d time.Duration, what string) {
 		t.Helper()
 		if r.pass(d); s.moved != 1 {
@@ -228,23 +228,23 @@
 		return r, r.up(1)[0]
 	}
 	r, s := start()
-	r.Agree(agreed(time.Second))
+	r.SetFleetRemovals(agreed(time.Second))
 	r.Drain()
 	r.Resume()
 	within(r, s, time.Second, "resume")
 
 	r, s = start()
 	r.Drain()
-	r.Agree(agreed(time.Hour))
+	r.SetFleetRemovals(agreed(time.Hour))
 	within(r, s, drainMoves, "paced after the drain")
 
 	r, s = start()
 	r.Stop()
-	r.Agree(agreed(time.Hour))
-	within(r, s, r.StopWithin(), "paced after the stop")
+	r.SetFleetRemovals(agreed(time.Hour))
+	within(r, s, r.StopTimeout(), "paced after the stop")
 
 	r, s = start()
-	r.Agree(agreed(100 * time.Millisecond))
+	r.SetFleetRemovals(agreed(100 * time.Millisecond))
 	r.Drain()
 	within(r, s, 100*time.Millisecond, "drained after the pace")
 }
@@ -254,13 +254,13 @@
 	r := newRigOf(t, classesText, list(1, policy.Ready))
 	s := r.bring(safeClass, 2*time.Second)
 	s.ends(policy.OK)
-	if v := r.Members()[0]; v.Good != 1 || v.Bad != 0 || r.Counts.Served != 1 {
+	if v := r.Members()[0]; v.Successes != 1 || v.Failures != 0 || r.Counts.Served != 1 {
 		t.Errorf("%+v", v)
 	}
 	s = r.bring(safeClass, 2*time.Second)
-	r.Up(s.id, 0)
+	r.FlowEstablished(s.id, 0)
 	s.ends(policy.OK)
-	if v := r.Members()[0]; v.Good != 2 {
+	if v := r.Members()[0]; v.Successes != 2 {
 		t.Errorf("%+v", v)
 	}
 }
@@ -311,8 +311,8 @@
 	if s.out != 1 || r.wake != r.now+time.Second {
 		t.Errorf("%d out, the core is to be called in %v", s.out, r.wake-r.now)
 	}
-	if r.pass(time.Second); s.got() != "failed" || s.out != 0 || r.Held() != 0 {
-		t.Errorf("answers %v, %d out, held %d", s.answers, s.out, r.Held())
+	if r.pass(time.Second); s.got() != "failed" || s.out != 0 || r.ActiveRequests() != 0 {
+		t.Errorf("answers %v, %d out, held %d", s.answers, s.out, r.ActiveRequests())
 	}
 }
 
@@ -326,10 +326,10 @@
 		at = r.members[policy.ServerID(11)]
 	}
 	r.do(policy.Action{Kind: policy.ActionSend, ID: s.id, Server: 10})
-	if s.tries != 1 || r.Counts.Barred != 1 {
-		t.Fatalf("%d tries, %d barred", s.tries, r.Counts.Barred)
+	if s.tries != 1 || r.Counts.Blocked != 1 {
+		t.Fatalf("%d tries, %d barred", s.tries, r.Counts.Blocked)
 	}
-	if r.Pool(policy.ListDelta, []Member{r.drains(at.ID)}); s.moved != 1 {
+	if r.UpdateMembers(policy.ListDelta, []Member{r.drains(at.ID)}); s.moved != 1 {
 		t.Errorf("moved %d times", s.moved)
 	}
 }
@@ -337,18 +337,18 @@
 // TestPaceChanges: while the flows of a member leave spread over an agreed time, another word on that member counts at once: a ban by
 // the fleet or by this relay's own operators moves the rest now, and so does a drain in less time.
 func TestPaceChanges(t *testing.T) {
-	over := func(d time.Duration, ban bool) map[string]Leaving {
-		return map[string]Leaving{"m0": {Over: d, Ban: ban}}
+	over := func(d time.Duration, ban bool) map[string]Removal {
+		return map[string]Removal{"m0": {SpreadOver: d, Ejection: ban}}
 	}
 	for name, change := range map[string]func(r *rig){
-		"a ban by the fleet":    func(r *rig) { r.Agree(over(0, true)) },
-		"an operator's ban":     func(r *rig) { r.Ban("m0") },
-		"a drain in less time":  func(r *rig) { r.Agree(over(2*time.Second, false)); r.pass(time.Second) },
-		"a ban after the drain": func(r *rig) { r.Ban("m0"); r.Agree(nil) },
+		"a ban by the fleet":    func(r *rig) { r.SetFleetRemovals(over(0, true)) },
+		"an operator's ban":     func(r *rig) { r.Eject("m0") },
+		"a drain in less time":  func(r *rig) { r.SetFleetRemovals(over(2*time.Second, false)); r.pass(time.Second) },
+		"a ban after the drain": func(r *rig) { r.Eject("m0"); r.SetFleetRemovals(nil) },
 	} {
 		r := newRigOf(t, classesText, list(1, policy.Ready))
 		all := r.up(8)
-		r.Agree(over(time.Hour, false))
+		r.SetFleetRemovals(over(time.Hour, false))
 		r.pass(time.Second)
 		change(r)
 		r.pass(0)
@@ -360,10 +360,10 @@
 	}
 	r := newRigOf(t, classesText, list(1, policy.Ready))
 	r.up(1)
-	r.Agree(over(time.Hour, false))
+	r.SetFleetRemovals(over(time.Hour, false))
 	before := len(r.alarms)
 	for range 10 {
-		r.Agree(over(time.Hour, false))
+		r.SetFleetRemovals(over(time.Hour, false))
 	}
 	if n := len(r.alarms); n != before {
 		t.Errorf("%d alarms, %d after the same was agreed again", before, n)
@@ -373,11 +373,11 @@
 // TestTakePaced: flows that another process passes on leave a member spread over the time that is agreed, as those that were here.
 func TestTakePaced(t *testing.T) {
 	r := newRigOf(t, classesText, list(1, policy.Ready))
-	r.Agree(map[string]Leaving{"m0": {Over: 10 * time.Second}})
+	r.SetFleetRemovals(map[string]Removal{"m0": {SpreadOver: 10 * time.Second}})
 	var all []*side
 	for range 10 {
 		s := &side{r: r, out: 1, tries: 1}
-		s.id, _, _ = r.Take(Passed{Member: "m0"}, s)
+		s.id, _, _ = r.AdoptFlow(FlowTransfer{Member: "m0"}, s)
 		all = append(all, s)
 	}
 	moved := func() (n int) {
@@ -403,10 +403,10 @@
 	r.now += 1600 * time.Millisecond
 	s.ends(policy.Error)
 	r.now += 350 * time.Millisecond // within the slack
-	if r.Tick(); s.tries != 1 || s.got() != "rejected" || r.Held() != 0 {
-		t.Errorf("%d tries, answers %v, held %d", s.tries, s.answers, r.Held())
+	if r.Tick(); s.tries != 1 || s.got() != "rejected" || r.ActiveRequests() != 0 {
+		t.Errorf("%d tries, answers %v, held %d", s.tries, s.answers, r.ActiveRequests())
 	}
-	r.Pool(policy.ListFull, nil)
+	r.UpdateMembers(policy.ListFull, nil)
 	if learned := r.facade.LearnedState(r.now); len(learned.Servers) != 0 {
 		t.Errorf("the module still holds %v", learned.Servers)
 	}
@@ -419,11 +419,11 @@
 		s := r.bring(class, 2*time.Second)
 		r.now += 850 * time.Millisecond
 		s.ends(policy.Reset)
-		if s.out != 1 || s.tries != 2 || !r.Begin(s.id, 1) {
+		if s.out != 1 || s.tries != 2 || !r.MaySend(s.id, 1) {
 			t.Fatalf("class %d: %d out, %d tries; a repeat within the window is not sent", class, s.out, s.tries)
 		}
 		r.now += 50 * time.Millisecond
-		if r.Begin(s.id, 1) != late {
+		if r.MaySend(s.id, 1) != late {
 			t.Errorf("class %d, 900 ms after the first send, the window's end: sent is %v, want %v", class, !late, late)
 		}
 	}
@@ -439,17 +439,17 @@
 		if none.out > 0 {
 			none.ends(policy.ConnectFailed)
 		}
-		if got := r.Left(out.id); got != harmless {
+		if got := r.ClientGone(out.id); got != harmless {
 			t.Errorf("class %d, with an attempt out: %v", class, got)
 		}
-		if got := r.Left(ran.id); got != harmless {
+		if got := r.ClientGone(ran.id); got != harmless {
 			t.Errorf("class %d, after one that may have run: %v", class, got)
 		}
-		if !r.Left(none.id) {
+		if !r.ClientGone(none.id) {
 			t.Errorf("class %d, never run: not harmless", class)
 		}
-		if r.Left(none.id) || r.Held() != 0 || r.Counts.Left != 3 {
-			t.Errorf("class %d: held %d, %+v", class, r.Held(), r.Counts)
+		if r.ClientGone(none.id) || r.ActiveRequests() != 0 || r.Counts.ClientsGone != 3 {
+			t.Errorf("class %d: held %d, %+v", class, r.ActiveRequests(), r.Counts)
 		}
 	}
 }
@@ -467,7 +467,7 @@
 			"no room":      func(r *rig) *side { s := r.bring(safeClass, 2*time.Second); r.pass(2 * time.Second); return s },
 			"no time":      func(r *rig) *side { return r.bring(safeClass, 0) },
 			"a stop":       func(r *rig) *side { r.Stop(); return r.bring(safeClass, 2*time.Second) },
-			"a stop's end": func(r *rig) *side { s := r.bring(safeClass, 2*time.Second); r.Stop(); r.Finish(); return s },
+			"a stop's end": func(r *rig) *side { s := r.bring(safeClass, 2*time.Second); r.Stop(); r.FinishStop(); return s },
 			"the ledger":   func(r *rig) *side { r.shut = true; return r.bring(safeClass, 2*time.Second) },
 		} {
 			r := newRigOf(t, text, list(2, policy.Draining))
@@ -477,7 +477,7 @@
 			}
 		}
 		r := newRigOf(t, text, nil)
-		if after := r.Advice(time.Hour); after > most {
+		if after := r.RetryAfter(time.Hour); after > most {
 			t.Errorf("%s: advice for fronts of %v, at most %v", limits, after, most)
 		}
 	}
--- a/internal/front/line/flow_fuzz_test.go
+++ b/internal/front/line/flow_fuzz_test.go
@@ -24,7 +24,7 @@
 	f.Fuzz(func(t *testing.T, steps []byte) {
 		r := looptest.NewRelay(t, 1)
 		from, to := New(r.Loop, r.Core, r.Log), New(r.Loop, r.Core, r.Log)
-		c, m := askedOf(r, from)
+		c, m := sendOpenTo(r, from)
 		m.Send("UP x\r\n")
 		c.ExpectLines("UP x")
 		var byClient, byMember, seen []byte
@@ -36,7 +36,7 @@
 			}
 			switch steps[i] % 8 {
 			case 7: // another process takes the relay's place
-				pass(t, from, to)
+				handOffFlows(t, from, to)
 				from, to = to, from
 			case 0:
 				if !ended && !drained {
@@ -90,6 +90,6 @@
 		if moved != (drained && between) || moved && len(seen) > 0 && !bytes.HasSuffix(seen, []byte("\n")) {
 			t.Errorf("moved %v, drained %v between lines %v, after %q", moved, drained, between, seen)
 		}
-		r.WaitFor("the flow's end", func() bool { return r.Core.Held() == 0 || !(drained || ended) })
+		r.WaitFor("the flow's end", func() bool { return r.Core.ActiveRequests() == 0 || !(drained || ended) })
 	})
 }
--- a/internal/front/line/line_test.go
+++ b/internal/front/line/line_test.go
@@ -16,15 +16,15 @@
 
 const firstLine = "OPEN 00000000000000aa 00000000000000bb c=pay,t=water,d=1900"
 
-// asked is a request that its only member has got: the relay, the client and the
+// sendOpen sends a request that its only member has got: the relay, the client and the
 // member.
-func asked(t testing.TB) (*looptest.Relay, *looptest.Peer, *looptest.Peer) {
+func sendOpen(t testing.TB) (*looptest.Relay, *looptest.Peer, *looptest.Peer) {
 	r := looptest.NewRelay(t, 1)
-	c, m := askedOf(r, New(r.Loop, r.Core, r.Log))
+	c, m := sendOpenTo(r, New(r.Loop, r.Core, r.Log))
 	return r, c, m
 }
 
-func askedOf(r *looptest.Relay, f *Front) (c, m *looptest.Peer) {
+func sendOpenTo(r *looptest.Relay, f *Front) (c, m *looptest.Peer) {
 	c = r.Dial(r.Serve(f.Accept))
 	c.Send(firstLine + "\r\n")
 	_, m = r.AcceptAny(0)
@@ -32,9 +32,9 @@
 	return c, m
 }
 
-// pass hands all open flows that can be from one front to another, through the text
+// handOffFlows hands all open flows that can be from one front to another, through the text
 // that goes between processes.
-func pass(t testing.TB, from, to *Front) {
+func handOffFlows(t testing.TB, from, to *Front) {
 	t.Helper()
 	from.HandOffFlows(100, func(p FlowHandoff, client, member int) {
 		text, err := json.Marshal(p)
@@ -49,9 +49,9 @@
 	})
 }
 
-// standingFlow is the same, up.
-func standingFlow(t testing.TB) (*looptest.Relay, *looptest.Peer, *looptest.Peer) {
-	r, c, m := asked(t)
+// openedFlow is the same, up.
+func openedFlow(t testing.TB) (*looptest.Relay, *looptest.Peer, *looptest.Peer) {
+	r, c, m := sendOpen(t)
 	m.Send("UP x\r\n")
 	c.ExpectLines("UP x")
 	return r, c, m
@@ -59,7 +59,7 @@
 
 // TestMoveWaits: MOVE that is asked for within a line stands after it.
 func TestMoveWaits(t *testing.T) {
-	r, c, m := standingFlow(t)
+	r, c, m := openedFlow(t)
 	m.Send("half a ")
 	c.Expect("half a ")
 	r.Drain(0)
@@ -71,23 +71,23 @@
 
 // TestResets: a reset is answered by a reset, both ways.
 func TestResets(t *testing.T) {
-	_, c, m := standingFlow(t)
+	_, c, m := openedFlow(t)
 	m.Reset()
 	c.ExpectReset()
-	_, c, m = standingFlow(t)
+	_, c, m = openedFlow(t)
 	c.Reset()
 	m.ExpectReset()
 }
 
 // TestClientLeaves: who leaves before an answer leaves no attempt behind, and may still read its one answer.
 func TestClientLeaves(t *testing.T) {
-	r, c, m := asked(t)
+	r, c, m := sendOpen(t)
 	c.CloseWrite()
 	r.WaitFor("the member's end", func() bool { m.Poll(); return m.EndErr != nil })
 	c.ExpectLines("BUSY")
 	c.ExpectEOF()
-	if r.Core.Held() != 0 || r.Core.Counts.Left != 1 {
-		t.Errorf("held %d, %+v", r.Core.Held(), r.Core.Counts)
+	if r.Core.ActiveRequests() != 0 || r.Core.Counts.ClientsGone != 1 {
+		t.Errorf("held %d, %+v", r.Core.ActiveRequests(), r.Core.Counts)
 	}
 }
 
@@ -102,7 +102,7 @@
 		"anything":   "BUSY",
 	} {
 		t.Run(answer, func(t *testing.T) {
-			r, c, m := asked(t)
+			r, c, m := sendOpen(t)
 			m.Send(answer + "\r\n")
 			r.WaitFor("an answer", func() bool { r.Advance(50 * time.Millisecond); c.Poll(); return len(c.Received) > 0 })
 			if got := c.ReadLine(); !strings.HasPrefix(got, want) {
@@ -124,7 +124,7 @@
 	front.Send("PING\r\n")
 	front.ExpectLines("PONG")
 	r.WaitFor("three connections", func() bool { return r.FreeDescriptors() == free-3 })
-	r.Advance(firstWithin)
+	r.Advance(firstLineTimeout)
 	for _, c := range []*looptest.Peer{silent, slow} {
 		c.ExpectLines("ERR")
 		c.ExpectEOF()
@@ -133,15 +133,15 @@
 	r.WaitFor("the descriptors", func() bool { return r.FreeDescriptors() == free-1 })
 	front.Send("PING\r\n")
 	front.ExpectLines("PONG")
-	r.Advance(pingIdle)
+	r.Advance(idleTimeout)
 	front.ExpectLines("BUSY")
 	front.ExpectEOF()
 }
 
-// TestClash: the id of an open request is no new request's, however it is written;
+// TestDuplicateID: the id of an open request is no new request's, however it is written;
 // the open one goes on, and once it has ended the id is free.
-func TestClash(t *testing.T) {
-	r, c, m := standingFlow(t)
+func TestDuplicateID(t *testing.T) {
+	r, c, m := openedFlow(t)
 	addr := r.Serve(New(r.Loop, r.Core, r.Log).Accept)
 	first := r.Dial(addr)
 	first.Send(firstLine + "\r\n")
@@ -173,9 +173,9 @@
 }
 func (l *results) RecordAnswer(*core.Request, core.ID, time.Duration, core.Answer, int) {}
 
-// TestBlame: an attempt that failed for want of the relay's own descriptors is not
+// TestLocalShortageIsNotMemberFault: an attempt that failed for want of the relay's own descriptors is not
 // the member's failure; one that the member refused is.
-func TestBlame(t *testing.T) {
+func TestLocalShortageIsNotMemberFault(t *testing.T) {
 	for err, want := range map[error]policy.Result{
 		netloop.ErrNoDescriptors: policy.NotSent, netloop.ErrDialTimeout: policy.ConnectFailed, io.EOF: policy.ConnectFailed,
 	} {
@@ -186,7 +186,7 @@
 		c := r.Dial(r.Serve(f.Accept))
 		c.Send(firstLine + "\r\n")
 		r.WaitFor("the request", func() bool { return r.Core.Counts.Attempts == 1 })
-		for _, v := range f.ids {
+		for _, v := range f.requests {
 			v.upstream.state = attemptDialing
 			v.upstream.End(fmt.Errorf("dialling: %w", err))
 		}
@@ -196,8 +196,8 @@
 	}
 }
 
-// TestAgain: the module is told who comes again after a break or a move.
-func TestAgain(t *testing.T) {
+// TestReopenReported: the module is told who comes again after a break or a move.
+func TestReopenReported(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	for more, want := range map[string]bool{"": false, ",again=1": true, ",again=0": false} {
 		open, err := parseOpen(r.Core.Settings, firstLine+more)
@@ -207,13 +207,13 @@
 	}
 }
 
-// TestWait: no first line has the relay wait longer than its class is given, or, for
+// TestWaitBound: no first line has the relay wait longer than its class is given, or, for
 // a flow that was open before, than such a one may take.
-func TestWait(t *testing.T) {
+func TestWaitBound(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	for d, want := range map[string]time.Duration{
 		"d=1900": 1900 * time.Millisecond, "d=999999999": 2 * time.Second, "h=1": 2 * time.Second,
-		"d=4294967,at=s-1": standingWait, "at=s-1": standingWait,
+		"d=4294967,at=s-1": reopenWait, "at=s-1": reopenWait,
 	} {
 		open, err := parseOpen(r.Core.Settings, strings.Replace(firstLine, "d=1900", d, 1))
 		if err != nil || open.request.TimeLeft != want {
@@ -222,10 +222,10 @@
 	}
 }
 
-// TestLimit: a line within the bound is read, a longer one is not waited for.
-func TestLimit(t *testing.T) {
-	long := strings.Repeat("x", maxLine-2)
-	if text, n, err := cutLine([]byte(long + "\r\n")); err != nil || n != maxLine || text != long {
+// TestLineLengthLimit: a line within the bound is read, a longer one is not waited for.
+func TestLineLengthLimit(t *testing.T) {
+	long := strings.Repeat("x", maxLineBytes-2)
+	if text, n, err := cutLine([]byte(long + "\r\n")); err != nil || n != maxLineBytes || text != long {
 		t.Errorf("%d of a line at the bound, %v", n, err)
 	}
 	if _, _, err := cutLine([]byte(long + "x\r\n")); err == nil {
@@ -236,24 +236,24 @@
 	}
 }
 
-// TestGiveFresh: connections that have asked for nothing pass to another process with
+// TestHandOffIdle: connections that have asked for nothing pass to another process with
 // what has come of their line, requests stay, and ids that are open elsewhere are
 // refused until they no longer are.
-func TestGiveFresh(t *testing.T) {
-	r, c, m := standingFlow(t)
+func TestHandOffIdle(t *testing.T) {
+	r, c, m := openedFlow(t)
 	f, next := New(r.Loop, r.Core, r.Log), New(r.Loop, r.Core, r.Log)
 	addr := r.Serve(f.Accept)
 	half, quiet := r.Dial(addr), r.Dial(addr)
 	half.Send(firstLine[:20])
-	r.WaitFor("both", func() bool { return len(f.fresh) == 2 })
+	r.WaitFor("both", func() bool { return len(f.idle) == 2 })
 	r.RunOnce()
 	given := 0
 	f.HandOffIdle(2, func(p IdleConn, fd int) {
 		given++
 		next.AdoptIdle(p, fd)
 	})
-	if given != 2 || len(f.fresh) != 0 || len(next.fresh) != 2 {
-		t.Fatalf("%d given, %d left, %d taken", given, len(f.fresh), len(next.fresh))
+	if given != 2 || len(f.idle) != 0 || len(next.idle) != 2 {
+		t.Fatalf("%d given, %d left, %d taken", given, len(f.idle), len(next.idle))
 	}
 	next.SetRemoteIDs([]uint64{0xaa})
 	half.Send(firstLine[20:] + "\r\n")
@@ -271,21 +271,21 @@
 	c.ExpectLines("GOT")
 }
 
-// TestTakeFlow: a flow that was passed on keeps what it owes: an unanswered line counts
+// TestAdoptFlow: a flow that was passed on keeps what it owes: an unanswered line counts
 // from when it was asked, a member that has left meanwhile or is not known here costs
 // the client a move and no more, and the id stays taken.
-func TestTakeFlow(t *testing.T) {
+func TestAdoptFlow(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	first, second := New(r.Loop, r.Core, r.Log), New(r.Loop, r.Core, r.Log)
-	c, m := askedOf(r, first)
+	c, m := sendOpenTo(r, first)
 	m.Send("UP x\r\n")
 	c.ExpectLines("UP x")
 	c.Send("anyone?\r\n")
 	m.ExpectLines("anyone?")
-	r.Advance(silentAfter - time.Second)
-	pass(t, first, second)
-	if r.Core.Held() != 1 || len(first.open) != 0 || len(first.ids) != 0 || len(second.ids) != 1 {
-		t.Fatalf("held %d, %d left, %d taken", r.Core.Held(), len(first.open), len(second.open))
+	r.Advance(memberSilenceTimeout - time.Second)
+	handOffFlows(t, first, second)
+	if r.Core.ActiveRequests() != 1 || len(first.flows) != 0 || len(first.requests) != 0 || len(second.requests) != 1 {
+		t.Fatalf("held %d, %d left, %d taken", r.Core.ActiveRequests(), len(first.flows), len(second.flows))
 	}
 	r.Advance(2 * time.Second)
 	c.ExpectLines("MOVE")
@@ -295,7 +295,7 @@
 		func(p *FlowHandoff) { p.Placement.Member = "unheard of" },
 		func(*FlowHandoff) { r.Drain(0) },
 	} {
-		c, m = askedOf(r, first)
+		c, m = sendOpenTo(r, first)
 		m.Send("UP y\r\n")
 		c.ExpectLines("UP y")
 		first.HandOffFlows(1, func(p FlowHandoff, client, member int) {
--- a/internal/front/nats/client.go
+++ b/internal/front/nats/client.go
@@ -4,7 +4,6 @@
 	"encoding/json"
 	"fmt"
 	"io"
-	"strings"
 	"time"
 
 	"dahliarudder/internal/auth"
@@ -12,14 +11,14 @@
 	"dahliarudder/internal/netloop"
 )
 
-// client is the connection of a NATS client. Its commands take effect in their order and do
-// not wait for each other, but for publications, which wait for the subscriptions before them.
+// client is the connection of a NATS client. Its commands take effect in order and do not wait
+// for each other, except that publications wait for the subscriptions before them.
 type client struct {
-	f       *Front
-	c       *netloop.Conn
+	front   *Front
+	conn    *netloop.Conn
 	id      uint64
-	local   string // the address it has reached
-	remote  string // its own, without the port
+	local   string // the relay's address that it has connected to
+	remote  string // its own address, without the port
 	options struct {
 		Verbose      bool  `json:"verbose"`
 		Pedantic     bool  `json:"pedantic"`
@@ -28,130 +27,78 @@
 		Protocol     int   `json:"protocol"`
 		Echo         *bool `json:"echo"`
 	}
-	connect  []byte // what CONNECT said; nil before it
-	subs     map[string]*sub
-	links    []*link
-	feeds    []*publisher
-	subjects map[string]*publisher // where subjects belong that were published to before
-	latest   *publisher            // that of latestSubject, the one published to last
-	asked    map[core.ID]*asked
-
-	latestSubject string
-	mark          uint64   // of the newest publication
-	answers       []ticket // what is still to be said, in order
-	placing       int      // subscriptions that publications wait for
-	pings         int      // that the client has not answered
-	timer         *netloop.Timer
-	nonce         string             // that it may sign
-	may           *auth.Permissions  // nil for all
-	replies       *auth.ReplyTracker // what it may answer to besides; nil for nothing
-	expires       *netloop.Timer     // when its login does
-	sniffed       bool               // its first byte was looked at
-	entering      bool               // its password is being checked
-	slowSince     time.Duration      // since when its links rest; 0 if they do not
-	later         bool               // goOn is on its way
-	fencing       bool
-	fenced        uint64 // the mark that all links are past
-	leftBytes     bool   // the client has ended its sending, but what it sent is not done yet
-	over          bool
-}
-
-// subjectsMost bounds the memory of where subjects belong.
-const subjectsMost = 256
-
-// ticket is the answer to a command, given when what stands before it is done.
-type ticket struct {
-	mark uint64 // publications up to this one have their final answer
-	sub  *sub   // that this subscription stands or was refused; or has ended, if ends
-	ends bool
-	// What members have sent to the client by then comes first: a publication and the
-	// subscription that takes it are on links of their own.
-	fence bool
-	text  string
-	then  func()
-}
-
-// fence is a PING on every link that holds subscriptions. Publications up to its mark were taken
-// before it.
-type fence struct {
-	c    *client
-	mark uint64
-	left int
-}
-
-func (b *fence) step() {
-	if b.left--; b.left == 0 {
-		b.c.fenced, b.c.fencing = b.mark, false
-		b.c.goOn()
-	}
-}
-
-// behind says whether all links are past what the publications up to a mark have brought, and if
-// not has them say so.
-func (c *client) behind(mark uint64) bool {
-	if c.fenced >= mark {
-		return true
-	}
-	if c.fencing {
-		return false
-	}
-	b := &fence{c: c, mark: mark, left: 1}
-	c.fencing = true
-	for _, l := range c.links {
-		if l.feed == nil && l.ready {
-			b.left++
-			l.fence(b)
-		}
-	}
-	if b.left == 1 {
-		c.fenced, c.fencing = mark, false
-		return true
-	}
-	b.left--
-	return false
-}
-
-func (c *client) write(b []byte) { c.c.Queue(b) }
-
-// Open is told by the loop.
+	connect        []byte // the options of CONNECT; nil before it
+	subscriptions  map[string]*subscription
+	links          []*link
+	publishers     []*publisher
+	publisherCache map[string]*publisher // by subject, for the subjects that were published to
+	lastPublisher  *publisher            // of lastSubject
+	proxied        map[core.ID]*proxiedRequest
+
+	lastSubject       string     // the subject published to last
+	publishSeq        uint64     // sequence number of the newest publication
+	responses         []response // not sent yet, in order
+	pendingSubscribes int        // subscriptions and unsubscriptions that publications wait for
+	pingsOut          int        // without an answer
+	timer             *netloop.Timer
+	nonce             string             // the challenge for its signature
+	permissions       *auth.Permissions  // nil allows everything
+	replies           *auth.ReplyTracker // reply subjects that it may publish to in addition; nil for none
+	expiryTimer       *netloop.Timer     // ends it when its credentials expire
+	tlsChecked        bool               // its first byte has been inspected
+	authenticating    bool               // a worker checks its password
+	slowSince         time.Duration      // since when its links are not read; 0 if they are
+	resumeScheduled   bool               // a call of scheduleResume is pending
+	fenceActive       bool               // a fence is pending
+	fencedSeq         uint64             // what all links have delivered the effects of
+	halfClosed        bool               // the client has closed its sending side, and some of its commands are pending
+	closed            bool
+}
+
+// maxCachedSubjects bounds a client's publisherCache.
+const maxCachedSubjects = 256
+
+func (c *client) write(b []byte) { c.conn.Queue(b) }
+
+// Open implements netloop's handler.
 func (c *client) Open() {}
 
-// Drained is told by the loop.
+// Drained implements netloop's handler.
 func (c *client) Drained() {
 	c.slowSince = 0
 	for _, l := range c.links {
-		l.c.ResumeReading()
+		l.conn.ResumeReading()
 	}
 }
 
-// crowded says that the client has not taken what it was sent; its links rest until it has.
-func (c *client) crowded() bool {
-	if c.c.Unsent() <= c.f.water(highWater) {
+// overHighWater reports whether the client is slow to read; its links are then not read until it has caught up.
+func (c *client) overHighWater() bool {
+	if c.conn.Unsent() <= c.front.unsentLimit(clientHighWater) {
 		return false
 	}
 	if c.slowSince == 0 {
-		c.slowSince = c.f.Loop.Now()
+		c.slowSince = c.front.Loop.Now()
 	}
 	return true
 }
 
-// Data is told by the loop.
+// Data implements netloop's handler.
 func (c *client) Data(b []byte) int {
-	if !c.sniffed && !c.sniff(b[0]) {
+	if !c.tlsChecked && !c.checkTLS(b[0]) {
 		return 0
 	}
 	used := 0
-	for !c.over {
-		m, n, err := parse(b[used:], c.f.MaxControlLine, c.f.MaxPayload)
+	for !c.closed {
+		m, n, err := parseCommand(b[used:], c.front.MaxControlLine, c.front.MaxPayload)
 		if err != nil {
-			c.fail(err.Error())
+			c.fail(err)
 			break
 		}
 		if n == 0 {
 			return used
 		}
-		if !c.do(&m) {
-			c.c.PauseReading() // goOn resumes
+		if !c.execute(&m) {
+			c.conn.PauseReading() // scheduleResume resumes it
 			return used
 		}
 		used += n
@@ -159,237 +106,144 @@
 	return len(b)
 }
 
-// goOn gives the answers that are due and takes up the commands that waited.
-func (c *client) goOn() {
-	if c.later || c.over {
-		return
-	}
-	c.later = true
-	c.f.Loop.After(0, func() {
-		c.later = false
-		c.settle()
-		c.c.ResumeReading()
-		if c.leftBytes && c.quiet() {
-			c.close()
-		}
-	})
-}
-
-// quiet says that everything the client has sent is done.
-func (c *client) quiet() bool {
-	return c.placing == 0 && len(c.answers) == 0 && c.oldest() > c.mark
-}
-
-// oldest is the mark of the oldest publication without a final answer, or one beyond all.
-func (c *client) oldest() uint64 {
-	least := c.mark + 1
-	for _, p := range c.feeds {
-		if mark, ok := p.feed.Oldest(); ok {
-			least = min(least, mark)
-		}
-	}
-	return least
-}
-
-// settle gives the answers that are due, in their order.
-func (c *client) settle() {
-	if len(c.answers) == 0 {
-		return
-	}
-	oldest := c.oldest()
-	for len(c.answers) > 0 && !c.over {
-		t := c.answers[0]
-		if t.mark >= oldest || t.sub != nil && !(t.sub.known && !t.ends || t.sub.over && !t.sub.draining) {
-			return
-		}
-		if t.fence && !c.behind(t.mark) {
-			return
-		}
-		c.answers = c.answers[1:]
-		if t.text != "" {
-			c.write([]byte(t.text))
-		}
-		if t.then != nil {
-			t.then()
-		}
-	}
-	if len(c.answers) == 0 {
-		c.answers = nil
-	}
-}
-
-// answer has a text said once all before it is done.
-func (c *client) answer(t ticket) {
-	t.mark = c.mark
-	if c.answers = append(c.answers, t); len(c.answers) == 1 {
-		c.settle()
-	}
-}
-
-func (c *client) ok() {
-	if c.options.Verbose {
-		c.answer(ticket{text: "+OK\r\n"})
-	}
-}
-
-// End is told by the loop.
+// End implements netloop's handler.
 func (c *client) End(err error) {
-	if err == io.EOF && !c.quiet() {
-		c.leftBytes = true
+	if err == io.EOF && !c.isQuiescent() {
+		c.halfClosed = true
 		return
 	}
 	c.close()
 }
 
-// do carries a command out; false if it must wait.
-func (c *client) do(m *command) bool {
-	if c.entering {
+// execute executes a command; it returns false if the command has to wait.
+func (c *client) execute(m *command) bool {
+	if c.authenticating {
 		return false
 	}
 	if c.connect == nil && m.op != opConnect {
-		c.fail("Authorization Violation")
+		c.fail(errAuthorization)
 		return true
 	}
-	if len(c.answers) > c.f.MaxSubscriptions+c.f.WindowMessages {
-		return false // who asks without end waits for the answers
+	if len(c.responses) > c.front.MaxSubscriptions+c.front.WindowMessages {
+		return false // bounds the memory of a client that sends commands without end
 	}
 	switch m.op {
 	case opConnect:
-		c.greet(m.rest)
+		c.handleConnect(m.args)
 	case opPing:
-		c.answer(ticket{text: "PONG\r\n", fence: true})
+		c.respond(response{text: pongLine, fence: true})
 	case opPong:
-		c.pings = 0
+		c.pingsOut = 0
 	case opPub, opHPub:
 		return c.publish(m)
 	case opSub:
 		c.subscribe(m)
 	case opUnsub:
-		if s := c.subs[string(m.sid)]; s != nil && !s.known && m.max == 0 {
-			s.end() // given up before it ever stood
-			c.ok()
-		} else if s != nil {
-			// What was published before it still counts for it.
-			most := m.max
-			c.placing++ // what is published after it is not
-			c.answer(ticket{sub: s, fence: true, then: func() {
-				c.placing--
-				s.limit(most)
-				c.goOn()
-			}})
-			if c.options.Verbose {
-				c.answer(ticket{text: "+OK\r\n"})
-			}
-		} else {
-			c.ok()
-		}
+		c.unsubscribe(m)
 	case opOK, opErr:
 	default:
-		c.fail(errProtocol.Error())
+		c.fail(errProtocol)
 	}
 	return true
 }
 
-// greet takes CONNECT in.
-func (c *client) greet(text []byte) {
+// handleConnect handles CONNECT.
+func (c *client) handleConnect(text []byte) {
 	var check map[string]any
 	if json.Unmarshal(text, &check) != nil || json.Unmarshal(text, &c.options) != nil {
-		c.fail(errParse.Error())
+		c.fail(errParse)
 		return
 	}
-	if c.connect != nil { // said again, it changes options and not who the client is
-		c.ok()
+	if c.connect != nil { // a repeated CONNECT changes options, not the identity
+		c.respondOK()
 		return
 	}
 	connect := append([]byte(nil), text...)
-	c.enter(connect, func() {
+	c.authenticate(connect, func() {
 		c.connect = connect
-		c.c.SetEvictable(nil)
-		c.keepAlive()
-		c.ok()
+		c.conn.SetEvictable(nil)
+		c.schedulePing()
+		c.respondOK()
 	})
 }
 
-// echo says whether the client takes its own publications.
-func (c *client) echo() bool { return c.options.Echo == nil || *c.options.Echo }
+// wantsEcho reports whether the client receives its own publications.
+func (c *client) wantsEcho() bool { return c.options.Echo == nil || *c.options.Echo }
 
-// keepAlive pings the client, and ends it when it no longer answers.
-func (c *client) keepAlive() {
+// schedulePing pings the client at intervals, and closes it when it no longer answers.
+func (c *client) schedulePing() {
 	c.timer.Stop()
-	c.timer = c.f.Loop.After(c.f.pingEvery(), func() {
-		if c.pings++; c.pings > c.f.MaxPingsOut {
-			c.fail("Stale Connection")
+	c.timer = c.front.Loop.After(c.front.pingInterval(), func() {
+		if c.pingsOut++; c.pingsOut > c.front.MaxPingsOut {
+			c.fail(errStaleConnection)
 			return
 		}
-		c.write([]byte("PING\r\n"))
-		c.keepAlive()
+		c.write([]byte(pingLine))
+		c.schedulePing()
 	})
 }
 
-// holdsNothing says that the client may be sent elsewhere: no request of its is on
-// its way or open.
-func (c *client) holdsNothing() bool {
-	for _, s := range c.subs {
+// isIdle reports whether the client has no pending request and no subscription, so that closing it loses nothing.
+func (c *client) isIdle() bool {
+	for _, s := range c.subscriptions {
 		if !s.local {
 			return false
 		}
 	}
-	return c.quiet() && len(c.asked) == 0
+	return c.isQuiescent() && len(c.proxied) == 0
 }
 
-// warn tells of an error that does not end the connection.
-func (c *client) warn(text string) { c.write(fmt.Appendf(nil, "-ERR '%s'\r\n", text)) }
+// sendError sends -ERR without closing the connection.
+func (c *client) sendError(text string) { c.write(fmt.Appendf(nil, "-ERR '%s'\r\n", text)) }
 
-// fail tells of an error and ends the connection.
-func (c *client) fail(text string) {
-	c.warn(text)
+// fail sends -ERR and closes the connection.
+func (c *client) fail(err error) {
+	c.sendError(err.Error())
 	c.close()
 }
 
-// close is the one end of a client; all that it holds ends with it.
+// close ends the client with its publishers, subscriptions, proxied requests and links. Each path that ends one leads
+// here.
 func (c *client) close() {
-	if c.over {
+	if c.closed {
 		return
 	}
-	c.over = true
-	delete(c.f.clients, c)
+	c.closed = true
+	delete(c.front.clients, c)
 	c.timer.Stop()
-	c.expires.Stop()
-	for _, p := range c.feeds {
+	c.expiryTimer.Stop()
+	for _, p := range c.publishers {
 		p.feed.Close()
 	}
-	for _, s := range c.subs {
+	for _, s := range c.subscriptions {
 		s.end()
 	}
-	for id, a := range c.asked {
-		a.forget()
-		c.f.Core.Left(id)
+	for id, a := range c.proxied {
+		a.remove()
+		c.front.Core.ClientGone(id)
 	}
 	for _, l := range append([]*link(nil), c.links...) {
 		l.close()
 	}
-	c.c.Finish()
+	c.conn.Finish()
 }
 
-// deliver hands a message of the relay's own to the client's subscriptions.
-func (c *client) deliver(m command) {
-	for _, s := range c.subs {
-		if matches(s.subject, m.subject) {
-			c.c.Commit(m.appendMessage(c.c.Buffer(m.room(s.sid)), s.sid))
-			s.counted()
+// deliverLocal delivers a message from the relay itself to the client's subscription for its subject.
+func (c *client) deliverLocal(m command) {
+	for _, s := range c.subscriptions {
+		if subjectMatches(s.subject, m.subject) {
+			c.conn.Commit(m.appendMessage(c.conn.Buffer(m.encodedSize(s.sid)), s.sid))
+			s.countDelivered()
 			return
 		}
 	}
 }
 
-// notice delivers a status of the relay's own on a reply subject.
-func (c *client) notice(reply []byte, status string) {
+// deliverStatus delivers a status from the relay itself on a reply subject.
+func (c *client) deliverStatus(reply []byte, status string) {
 	head := "NATS/1.0 " + status + "\r\n\r\n"
-	c.deliver(command{subject: reply, header: len(head), payload: []byte(head)})
+	c.deliverLocal(command{subject: reply, headerLen: len(head), payload: []byte(head)})
 }
 
-// noticed says whether the client hears of a lost publication on its reply subject.
-func (c *client) noticed(reply []byte) bool { return len(reply) > 0 && c.options.NoResponders }
-
-// ownSubject says that a subject is the relay's.
-func ownSubject(subject []byte) bool { return strings.HasPrefix(string(subject), reserved) }
+// wantsStatus reports whether the client takes the status of a lost publication on its reply subject.
+func (c *client) wantsStatus(reply []byte) bool { return len(reply) > 0 && c.options.NoResponders }
--- /dev/null
+++ b/internal/front/nats/origin.go
@@ -0,0 +1,52 @@
+package nats
+
+import (
+	"bytes"
+	"strconv"
+)
+
+// originHeader marks the publications of a client with echo off, so that the relay recognizes them on the client's
+// subscriptions: these use other connections to members than its feed.
+const originHeader = "Dahlia-Origin: "
+
+// originID is the header's value for this client.
+func (c *client) originID() string { return c.front.Name + "-" + strconv.FormatUint(c.id, 10) }
+
+// addOrigin adds the origin to a publication's headers.
+func (c *client) addOrigin(m *command) *command {
+	line := originHeader + c.originID() + "\r\n"
+	n := *m
+	if m.headerLen == 0 {
+		head := "NATS/1.0\r\n" + line + "\r\n"
+		n.headerLen = len(head)
+		n.payload = append([]byte(head), m.payload...)
+		return &n
+	}
+	first := bytes.Index(m.payload, []byte("\r\n")) + 2
+	n.headerLen += len(line)
+	n.payload = append(append(append([]byte(nil), m.payload[:first]...), line...), m.payload[first:]...)
+	return &n
+}
+
+// removeOrigin removes the origin from a message's headers, and returns it.
+func removeOrigin(m *command) (origin []byte) {
+	at := bytes.Index(m.payload[:m.headerLen], []byte("\r\n"+originHeader))
+	if at < 0 {
+		return nil
+	}
+	at += 2
+	end := bytes.Index(m.payload[at:m.headerLen], []byte("\r\n"))
+	if end < 0 {
+		return nil
+	}
+	origin = append(origin, m.payload[at+len(originHeader):at+end]...)
+	n := end + 2
+	// The message is in the link's buffer, which is read once: the bytes before the line are
+	// moved up to its end.
+	copy(m.payload[n:at+n], m.payload[:at])
+	m.payload, m.headerLen = m.payload[n:], m.headerLen-n
+	if string(m.payload[:m.headerLen]) == "NATS/1.0\r\n\r\n" {
+		m.payload, m.headerLen = m.payload[m.headerLen:], 0
+	}
+	return origin
+}
