--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -26,20 +26,20 @@
 
 // Request is what a client asks for.
 type Request struct {
-	Name   string // the client's own name for it, for the record
-	Class  int
-	Tenant int
-	Key    uint64
-	Group  uint64
-	Load   float64
-	Wait   time.Duration // how long the client still waits
-	Again  bool          // the client comes again after a break or a move
-	At     string        // the member that already holds the flow; empty for a new one
+	Name          string        `json:"Name"` // the client's own name for it, for the record
+	Class         int           `json:"Class"`
+	Tenant        int           `json:"Tenant"`
+	Key           uint64        `json:"Key"`
+	Group         uint64        `json:"Group"`
+	Load          float64       `json:"Load"`
+	TimeLeft      time.Duration `json:"Wait"`  // how long the client still waits
+	Reconnect     bool          `json:"Again"` // the client reconnects after a break or a migration
+	CurrentMember string        `json:"At"`    // the member that already holds the flow; empty for a new one
 }
 
-// VirtualServer is the client's side of one request. The core never calls it
+// Downstream is the client's side of one request. The core never calls it
 // again after a final answer, but for Move of a flow that stands.
-type VirtualServer interface {
+type Downstream interface {
 	// Send starts a server-side flow, which is abandoned after wait.
 	Send(id ID, to *Member, try int, wait time.Duration)
 	// Cancel abandons the server-side flow.
@@ -48,29 +48,29 @@
 	Reject(after time.Duration)
 	// Fail is a final answer without any promise.
 	Fail()
-	// Move asks the client of an open flow to come again, and ends the flow.
-	Move()
+	// Migrate asks the client of an open flow to come again, and ends the flow.
+	Migrate()
 }
 
-// Answer is a final answer.
+// RecordAnswer is a final answer.
 type Answer string
 
 // The final answers. Lost is that of a request whose client went away first.
 const (
-	Served   Answer = "served"
-	Rejected Answer = "rejected"
-	Failed   Answer = "failed"
-	Lost     Answer = "left"
+	Served     Answer = "served"
+	Rejected   Answer = "rejected"
+	Failed     Answer = "failed"
+	ClientGone Answer = "left"
 )
 
-// Ledger keeps the record of what happened. Its calls must not block.
-type Ledger interface {
+// Recorder keeps the record of what happened. Its calls must not block.
+type Recorder interface {
 	// Ready says whether what follows will be recorded.
 	Ready() bool
-	// Attempt records the end of a server-side flow, or of its setting up.
-	Attempt(q *Request, id ID, try int, member string, start, end time.Duration, result policy.Result)
-	// Answer records the final answer.
-	Answer(q *Request, id ID, at time.Duration, answer Answer, tries int)
+	// RecordAttempt records the end of a server-side flow, or of its setting up.
+	RecordAttempt(q *Request, id ID, try int, member string, start, end time.Duration, result policy.Result)
+	// RecordAnswer records the final answer.
+	RecordAnswer(q *Request, id ID, at time.Duration, answer Answer, tries int)
 }
 
 // Options is what a Core is made of.
@@ -78,17 +78,17 @@
 	Settings *settings.Settings
 	Seed     uint64
 	Clock    func() time.Duration
-	Round    func() time.Duration   // the time as of the loop's round, for messages; Clock if nil
+	LoopTime func() time.Duration   // the time as of the loop's round, for messages; Clock if nil
 	Wake     func(at time.Duration) // have Tick called once at that time; replaces an earlier wish
 	Probe    func(to *Member)       // ends in Probed
 	Watch    func()                 // ask discovery; ends in Pool
-	Ledger   Ledger                 // nil for none
+	Recorder Recorder               // nil for none
 	// Saw is told how each attempt and probe went; nil if nobody wants to know.
-	Saw func(m *Member, result policy.Result)
-	// Happened is told what happens at members, by request; nil if nobody counts it.
-	Happened func(Happening)
-	// FeedMemory is how many bytes the messages on all feeds may hold; 0 for no bound.
-	FeedMemory int
+	OnResult func(m *Member, result policy.Result)
+	// OnMemberEvent is told what happens at members, by request; nil if nobody counts it.
+	OnMemberEvent func(MemberEvent)
+	// FeedMemoryLimit is how many bytes the messages on all feeds may hold; 0 for no bound.
+	FeedMemoryLimit int
 }
 
 // noteEvery is how often slow messages at one member are told to the module.
@@ -105,12 +105,12 @@
 	flows   int           // attempts out and open flows
 	slow    bool
 	noted   time.Duration
-	pace    *window.Pace  // of the messages that are out there
-	paced   time.Duration // the start that it was made for
-	joined  time.Duration // when it was first named, if that was while we watched
-	line    []*Feed       // that wait for it
-	good    uint64        // attempts and probes that ended well
-	bad     uint64        // and that did not
+	pace    *window.SlowStart // of the messages that are out there
+	paced   time.Duration     // the start that it was made for
+	joined  time.Duration     // when it was first named, if that was while we watched
+	line    []*Feed           // that wait for it
+	good    uint64            // attempts and probes that ended well
+	bad     uint64            // and that did not
 }
 
 // Core is the state of one relay. All calls come from one goroutine.
@@ -123,80 +123,80 @@
 	last      ID
 	members   map[policy.ServerID]*member
 	byName    map[string]*member
-	pending   []policy.Verdict
+	pending   []policy.Action
 	running   bool
 	alarms    alarms
 	armed     time.Duration
 	feeds     map[ID]*Feed
 	feedBytes int                // of their messages
 	bans      map[string]bool    // by name, also of members that are not listed
-	agreed    map[string]Leaving // the same, by the fleet's word
+	agreed    map[string]Removal // the same, by the fleet's word
 	stopping  bool
 	draining  bool
 	paced     bool // some move was ever put off
 	doubting  bool
 	expecting bool
-	strict    bool             // nothing goes to a member that has left, within the grace neither
-	later     []policy.Verdict // what waits for the end of the doubt
-	moveAt    time.Duration    // during a stop or a drain nobody is moved before
+	strict    bool            // nothing goes to a member that has left, within the grace neither
+	later     []policy.Action // what waits for the end of the doubt
+	moveAt    time.Duration   // during a stop or a drain nobody is moved before
 	Counts    Counts
 }
 
 // Counts is what has happened so far.
 type Counts struct {
-	Requests, Served, Rejected, Failed, Left, Attempts, Moves, Barred int
-	Astray                                                            int // attempts begun at members that were out for longer than the grace
-	Messages                                                          Messages
-	Ignored                                                           int           // events that the state of their request does not allow
-	Away                                                              time.Duration // for which clients were sent away, or waited in vain
+	Requests, Served, Rejected, Failed, ClientsGone, Attempts, Migrations, Blocked int
+	SentAfterGrace                                                                 int // attempts begun at members that were out for longer than the grace
+	Messages                                                                       MessageCounts
+	IgnoredEvents                                                                  int           // events that the state of their request does not allow
+	BackoffTime                                                                    time.Duration // for which clients were sent away, or waited in vain
 }
 
 // New makes a Core.
 func New(o Options) *Core {
-	c := &Core{Options: o, set: policy.Sane(o.Settings.Policy()), requests: map[ID]*request{},
+	c := &Core{Options: o, set: policy.Normalize(o.Settings.Policy()), requests: map[ID]*request{},
 		members: map[policy.ServerID]*member{}, byName: map[string]*member{}, feeds: map[ID]*Feed{}, bans: map[string]bool{}, armed: math.MaxInt64}
-	if c.grace = settings.Span(o.Settings.Guarantees.Grace); c.grace <= 0 {
+	if c.grace = settings.Duration(o.Settings.Guarantees.Grace); c.grace <= 0 {
 		c.grace = 250 * time.Millisecond
 	}
-	if c.Round == nil {
-		c.Round = c.Clock
+	if c.LoopTime == nil {
+		c.LoopTime = c.Clock
 	}
-	c.facade = policy.Begin(c.Clock(), c.set, o.Seed)
+	c.facade = policy.NewFacade(c.Clock(), c.set, o.Seed)
 	c.arm()
 	return c
 }
 
-// Grace is how long after a member's leaving is told something may still be sent there.
-func (c *Core) Grace() time.Duration { return c.grace }
+// DrainGrace is how long after a member's leaving is told something may still be sent there.
+func (c *Core) DrainGrace() time.Duration { return c.grace }
 
-// Held is how many requests are on their way or stand as open flows.
-func (c *Core) Held() int { return len(c.requests) }
+// ActiveRequests is how many requests are on their way or stand as open flows.
+func (c *Core) ActiveRequests() int { return len(c.requests) }
 
-// Holds says whether a request is on its way or stands as an open flow.
-func (c *Core) Holds(id ID) bool { return c.requests[id] != nil }
+// IsActive says whether a request is on its way or stands as an open flow.
+func (c *Core) IsActive(id ID) bool { return c.requests[id] != nil }
 
-// Flows is how many flows this relay holds at a member or is setting up there.
-func (c *Core) Flows(id policy.ServerID) int {
+// FlowCount is how many flows this relay holds at a member or is setting up there.
+func (c *Core) FlowCount(id policy.ServerID) int {
 	if m := c.members[id]; m != nil {
 		return m.flows
 	}
 	return 0
 }
 
-// Limits is the settings as the module made them sane.
-func (c *Core) Limits() policy.Settings { return c.set }
+// PolicySettings is the settings as the module made them sane.
+func (c *Core) PolicySettings() policy.Settings { return c.set }
 
-// Welcomes says whether clients should be sent here: no stop or drain is on.
-func (c *Core) Welcomes() bool { return !c.stopping && !c.draining }
+// AcceptsClients says whether clients should be sent here: no stop or drain is on.
+func (c *Core) AcceptsClients() bool { return !c.stopping && !c.draining }
 
-// Expect has fronts say that they take no clients, while this relay waits to hear what was agreed when it was down. Who comes all the same is taken.
-func (c *Core) Expect(on bool) { c.expecting = on }
+// SetSyncing has fronts say that they take no clients, while this relay waits to hear what was agreed when it was down. Who comes all the same is taken.
+func (c *Core) SetSyncing(on bool) { c.expecting = on }
 
 // Ready is what fronts say of it: clients may be sent here.
-func (c *Core) Ready() bool { return c.Welcomes() && !c.expecting }
+func (c *Core) Ready() bool { return c.AcceptsClients() && !c.expecting }
 
-// Usable says whether some member may be sent to.
-func (c *Core) Usable() bool {
+// HasUsableMember says whether some member may be sent to.
+func (c *Core) HasUsableMember() bool {
 	for _, m := range c.members {
 		if !m.left {
 			return true
@@ -207,35 +207,35 @@
 
 // ---- What fronts tell ----
 
-// Load is the load that an open flow has now, as work a second.
-func (c *Core) Load(id ID, load float64) { c.tell(policy.FlowLoad{ID: id, Load: load}) }
+// UpdateLoad is the load that an open flow has now, as work a second.
+func (c *Core) UpdateLoad(id ID, load float64) { c.tell(policy.FlowLoad{ID: id, Load: load}) }
 
-// Message says how long a message on an open flow took. The module hears of it
+// ObserveMessageLatency says how long a message on an open flow took. The module hears of it
 // while messages are slow, and once more when they no longer are.
-func (c *Core) Message(id ID, took time.Duration) {
+func (c *Core) ObserveMessageLatency(id ID, took time.Duration) {
 	r := c.requests[id]
 	if r == nil || !r.state.out() {
 		return
 	}
 	m, now, slow := r.member, c.Clock(), false
-	c.happens(r, m, Answered, took)
+	c.happens(r, m, MessageAnswered, took)
 	for _, class := range c.set.Classes {
-		slow = slow || took > class.MessageAim/3
+		slow = slow || took > class.MessageLatencyObjective/3
 	}
 	if slow && now-m.noted < noteEvery || !slow && !m.slow {
 		return
 	}
 	m.slow, m.noted = slow, now
-	c.tell(policy.FlowDelay{ID: id, Took: took})
+	c.tell(policy.MessageLatency{ID: id, Latency: took})
 }
 
-// Relays is by how many the budgets are divided that all relays share.
-func (c *Core) Relays(share float64) { c.tell(policy.Relays{Share: share}) }
+// ActiveRelays is by how many the budgets are divided that all relays share.
+func (c *Core) SetActiveRelays(share float64) { c.tell(policy.ActiveRelays{Count: share}) }
 
-// Probed is the answer to a probe.
-func (c *Core) Probed(server policy.ServerID, result policy.Result, report policy.Report) {
+// ProbeResult is the answer to a probe.
+func (c *Core) ProbeResult(server policy.ServerID, result policy.Result, report policy.Report) {
 	if m := c.members[server]; m != nil {
 		c.saw(m, result)
 	}
-	c.tell(policy.Probed{Server: server, Result: result, Report: report})
+	c.tell(policy.ProbeResult{Server: server, Result: result, Report: report})
 }
--- a/internal/core/crossings_test.go
+++ b/internal/core/crossings_test.go
@@ -25,11 +25,13 @@
 		if len(asked) == 0 || s.tries != 0 {
 			t.Fatalf("%d probes, %d tries", len(asked), s.tries)
 		}
-		return r, s, func() { r.Probed(asked[0], policy.OK, policy.Report{Connections: 1, Load: 0.1, Util: -1, Backlog: 0}) }
+		return r, s, func() {
+			r.ProbeResult(asked[0], policy.OK, policy.Report{Connections: 1, Load: 0.1, Util: -1, Backlog: 0})
+		}
 	},
 	"for room": func(t *testing.T) (*rig, *side, func()) {
 		r := newRigOf(t, classesText, list(1, policy.Draining))
-		return r, r.bring(unsafeClass, 2*time.Second), func() { r.Pool(policy.ListDelta, list(1, policy.Ready)) }
+		return r, r.bring(unsafeClass, 2*time.Second), func() { r.UpdateMembers(policy.ListDelta, list(1, policy.Ready)) }
 	},
 	"between attempts": func(t *testing.T) (*rig, *side, func()) {
 		r := newRigOf(t, classesText, list(3, policy.Ready))
@@ -42,8 +44,8 @@
 	},
 	"for the end of a doubt": func(t *testing.T) (*rig, *side, func()) {
 		r := newRigOf(t, classesText, list(1, policy.Ready))
-		r.Doubt()
-		return r, r.bring(unsafeClass, 2*time.Second), r.Sure
+		r.PauseDispatch()
+		return r, r.bring(unsafeClass, 2*time.Second), r.ResumeDispatch
 	},
 }
 
@@ -65,11 +67,11 @@
 	for name, of := range waits {
 		r, s, goOn := of(t)
 		before := s.tries
-		r.Left(s.id)
+		r.ClientGone(s.id)
 		goOn()
 		r.pass(3 * time.Second)
-		if s.tries != before || len(s.answers) != 0 || r.Held() != 0 || r.Counts.Left != 1 {
-			t.Errorf("%s: %d attempts more, answers %v, held %d", name, s.tries-before, s.answers, r.Held())
+		if s.tries != before || len(s.answers) != 0 || r.ActiveRequests() != 0 || r.Counts.ClientsGone != 1 {
+			t.Errorf("%s: %d attempts more, answers %v, held %d", name, s.tries-before, s.answers, r.ActiveRequests())
 		}
 	}
 }
@@ -81,8 +83,8 @@
 		before := s.tries
 		r.now += 2 * time.Second // nothing was due meanwhile: the loop comes late
 		r.Tick()
-		if len(s.answers) != 1 || r.Held() != 0 {
-			t.Errorf("%s: answers %v, held %d", name, s.answers, r.Held())
+		if len(s.answers) != 1 || r.ActiveRequests() != 0 {
+			t.Errorf("%s: answers %v, held %d", name, s.answers, r.ActiveRequests())
 		}
 		goOn()
 		r.pass(3 * time.Second)
@@ -110,10 +112,10 @@
 
 		r, s, goOn = of(t)
 		r.Stop()
-		r.Finish()
+		r.FinishStop()
 		before = s.tries
-		if s.got() != "rejected" || r.Held() != 0 {
-			t.Errorf("%s: answers %v at the end, held %d", name, s.answers, r.Held())
+		if s.got() != "rejected" || r.ActiveRequests() != 0 {
+			t.Errorf("%s: answers %v at the end, held %d", name, s.answers, r.ActiveRequests())
 		}
 		goOn()
 		r.pass(3 * time.Second)
@@ -142,24 +144,24 @@
 	leave := func(s *side) func() {
 		return func() {
 			if s.tries == 0 {
-				r.Left(s.id)
+				r.ClientGone(s.id)
 			}
 		}
 	}
-	first.id = r.Open(Request{Load: 0.01, Wait: 2 * time.Second}, rude{first, leave(second)})
-	second.id = r.Open(Request{Load: 0.01, Wait: 2 * time.Second}, rude{second, leave(first)})
+	first.id = r.Open(Request{Load: 0.01, TimeLeft: 2 * time.Second}, rude{first, leave(second)})
+	second.id = r.Open(Request{Load: 0.01, TimeLeft: 2 * time.Second}, rude{second, leave(first)})
 	if first.tries+second.tries > 0 {
 		t.Fatal("sent without a report")
 	}
-	r.Probed(10, policy.OK, policy.Report{Connections: 1, Load: 0.1, Util: -1, Backlog: 0})
-	if first.tries+second.tries != 1 || r.Held() != 1 {
-		t.Errorf("%d and %d attempts, held %d", first.tries, second.tries, r.Held())
+	r.ProbeResult(10, policy.OK, policy.Report{Connections: 1, Load: 0.1, Util: -1, Backlog: 0})
+	if first.tries+second.tries != 1 || r.ActiveRequests() != 1 {
+		t.Errorf("%d and %d attempts, held %d", first.tries, second.tries, r.ActiveRequests())
 	}
 	for _, s := range []*side{first, second} {
-		r.Left(s.id)
+		r.ClientGone(s.id)
 	}
-	r.Pool(policy.ListFull, nil)
-	if learned := r.facade.Learned(r.now); len(learned.Servers) != 0 {
+	r.UpdateMembers(policy.ListFull, nil)
+	if learned := r.facade.LearnedState(r.now); len(learned.Servers) != 0 {
 		t.Errorf("the module still holds %v", learned.Servers)
 	}
 }
@@ -167,24 +169,24 @@
 // TestStandingEnds: a flow that goes on to its own member has one answer however that ends, before it is up, and none after; its end
 // leaves nothing in the module.
 func TestStandingEnds(t *testing.T) {
-	for result := policy.OK; result <= policy.Moot; result++ {
+	for result := policy.OK; result <= policy.NotSent; result++ {
 		for _, up := range []bool{false, true} {
 			r := newRigOf(t, classesText, list(2, policy.Ready))
 			s := &side{r: r}
-			s.id = r.Open(Request{Class: unsafeClass, At: "m1", Wait: time.Second}, s)
+			s.id = r.Open(Request{Class: unsafeClass, CurrentMember: "m1", TimeLeft: time.Second}, s)
 			if up {
-				r.Up(s.id, 0)
+				r.FlowEstablished(s.id, 0)
 			}
 			s.ends(result)
 			want := "failed"
 			if up || result == policy.OK {
 				want = ""
 			}
-			if s.got() != want || s.tries != 1 || r.Held() != 0 || r.Counts.Served+r.Counts.Failed != 1 || len(r.book) != 2 {
-				t.Errorf("result %d, up %v: answers %v, %d tries, held %d, counts %+v", result, up, s.answers, s.tries, r.Held(), r.Counts)
+			if s.got() != want || s.tries != 1 || r.ActiveRequests() != 0 || r.Counts.Served+r.Counts.Failed != 1 || len(r.book) != 2 {
+				t.Errorf("result %d, up %v: answers %v, %d tries, held %d, counts %+v", result, up, s.answers, s.tries, r.ActiveRequests(), r.Counts)
 			}
-			r.Pool(policy.ListFull, nil)
-			if learned := r.facade.Learned(r.now); len(learned.Servers) != 0 {
+			r.UpdateMembers(policy.ListFull, nil)
+			if learned := r.facade.LearnedState(r.now); len(learned.Servers) != 0 {
 				t.Errorf("result %d, up %v: the module still holds %v", result, up, learned.Servers)
 			}
 		}
@@ -198,7 +200,7 @@
 		s := r.bring(safeClass, 2*time.Second)
 		r.now += s.wait
 		if upFirst {
-			if !r.Up(s.id, 0) {
+			if !r.FlowEstablished(s.id, 0) {
 				t.Error("not up before it is given up")
 			}
 			r.Tick()
@@ -208,7 +210,7 @@
 			continue
 		}
 		r.Tick()
-		if r.Up(s.id, 0) {
+		if r.FlowEstablished(s.id, 0) {
 			t.Error("up after it was given up")
 		}
 		r.pass(500 * time.Millisecond)
--- /dev/null
+++ b/internal/fleet/api.go
@@ -0,0 +1,150 @@
+package fleet
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"time"
+
+	"dahliarudder/internal/consensus"
+	"dahliarudder/internal/rollout"
+)
+
+// Bounds of an API call.
+const (
+	maxBodyBytes       = 256 << 10
+	maxConcurrentCalls = 32
+	headerTimeout      = 5 * time.Second
+)
+
+// route is a call of the API.
+type route struct {
+	pattern string // of http.ServeMux
+	handle  http.HandlerFunc
+}
+
+// routes are all calls of the API. Those that only show the record answer from this relay's copy once it is current, see ensureCurrent.
+func (s *Service) routes() []route {
+	return []route{
+		{"GET /-/fleet", s.handleStatus},
+		{"GET /-/drift", s.handleDrift},
+		{"GET /-/intent", s.handleGetIntent},
+		{"PUT /-/intent", s.handleSetIntent},
+		{"GET /-/releases", s.handleListReleases},
+		{"GET /-/releases/{name}", s.handleGetRelease},
+		{"POST /-/releases", s.handleOpenRelease},
+		{"PUT /-/releases/{name}/{verb}", s.handleControlRelease},
+		{"POST /-/permits", s.handleRequestPermit},
+		{"PUT /-/permits/{number}/{verb}", s.handleUpdatePermit},
+		{"PUT /-/relays/{name}/admit", s.handleReadmitRelay},
+		{"GET /-/canaries", s.handleListCanaries},
+		{"POST /-/canaries", s.handleOpenCanary},
+		{"PUT /-/canaries/{name}/{verb}", s.handleControlCanary},
+		{"PUT /-/voters/{old}/{new}", s.handleReplaceVoter},
+	}
+}
+
+// startAPI serves the API until Close.
+func (s *Service) startAPI() error {
+	listener, err := net.Listen("tcp4", s.APIListen)
+	if err != nil {
+		return fmt.Errorf("fleet.calls: %w", err)
+	}
+	mux := http.NewServeMux()
+	for _, r := range s.routes() {
+		mux.HandleFunc(r.pattern, r.handle)
+	}
+	s.api = &http.Server{ReadHeaderTimeout: headerTimeout, ReadTimeout: headerTimeout, Handler: limitConcurrency(mux)}
+	s.Log.WithField("listen", listener.Addr().String()).WithField("front", "fleet").Info("serving")
+	s.run(func() {
+		if err := s.api.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+			s.Log.WithError(err).Error("fleet: the API server stopped")
+		}
+	})
+	return nil
+}
+
+// limitConcurrency answers 503 beyond maxConcurrentCalls.
+func limitConcurrency(next http.Handler) http.Handler {
+	slots := make(chan struct{}, maxConcurrentCalls)
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		select {
+		case slots <- struct{}{}:
+			defer func() { <-slots }()
+			next.ServeHTTP(w, r)
+		default:
+			writeError(w, http.StatusServiceUnavailable, "too many calls")
+		}
+	})
+}
+
+// ensureCurrent waits until this relay's record includes all that was agreed before the call, or answers with an error: an answer from an
+// older record would be taken for the present state. The query parameter `stale` skips it.
+func (s *Service) ensureCurrent(w http.ResponseWriter, r *http.Request) bool {
+	if r.URL.Query().Has("stale") {
+		return true
+	}
+	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
+	defer cancel()
+	if _, err := s.node.Barrier(ctx); err != nil {
+		writeError(w, statusCode(err), err.Error()+"; ?stale shows what this relay has")
+		return false
+	}
+	return true
+}
+
+// proposeAndAnswer proposes a rollout command and answers with its result.
+func (s *Service) proposeAndAnswer(w http.ResponseWriter, r *http.Request, c rollout.Command) {
+	result, err := s.propose(r.Context(), c)
+	writeResult(w, result, err)
+}
+
+func writeResult(w http.ResponseWriter, result rollout.Result, err error) {
+	switch {
+	case err != nil:
+		writeError(w, statusCode(err), err.Error())
+	case result.Error != "":
+		writeJSON(w, http.StatusConflict, result)
+	default:
+		writeJSON(w, http.StatusOK, result)
+	}
+}
+
+// statusCode is 503 where a call may be repeated, and 504 where it is not known whether it took effect: the record shows it.
+func statusCode(err error) int {
+	switch {
+	case errors.Is(err, consensus.ErrNoQuorum), errors.Is(err, consensus.ErrQueueFull), errors.Is(err, consensus.ErrClosed):
+		return http.StatusServiceUnavailable
+	case errors.Is(err, consensus.ErrTooLarge):
+		return http.StatusRequestEntityTooLarge
+	default:
+		return http.StatusGatewayTimeout
+	}
+}
+
+// decodeBody decodes the request's JSON body, or answers 400.
+func decodeBody(w http.ResponseWriter, r *http.Request, into any) bool {
+	d := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes))
+	d.DisallowUnknownFields() // a misspelt limit must not pass as an absent one
+	if err := d.Decode(into); err != nil {
+		writeError(w, http.StatusBadRequest, err.Error())
+		return false
+	}
+	return true
+}
+
+func writeError(w http.ResponseWriter, code int, text string) {
+	writeJSON(w, code, rollout.Result{Error: text})
+}
+
+func writeJSON(w http.ResponseWriter, code int, body any) {
+	w.Header().Set("Content-Type", "application/json")
+	w.WriteHeader(code)
+	e := json.NewEncoder(w)
+	e.SetIndent("", " ")
+	e.Encode(body)
+}
--- /dev/null
+++ b/internal/fleet/canary.go
@@ -0,0 +1,83 @@
+package fleet
+
+import (
+	"cmp"
+	"slices"
+
+	"github.com/sirupsen/logrus"
+
+	"dahliarudder/internal/canary"
+	"dahliarudder/internal/rollout"
+)
+
+// evaluateCanary asks the running canary's judge for a verdict and returns the commands to propose. A canary that is no longer running marks
+// its release as degraded in the view, so that the release halts. Called with the lock held.
+func (s *Service) evaluateCanary(now int64, v *rollout.View) (plan []canary.Command) {
+	s.record.mu.RLock()
+	defer s.record.mu.RUnlock()
+	all := s.record.canary.Canaries()
+	if len(all) == 0 {
+		s.judge = nil
+		return nil
+	}
+	c := all[0] // one at a time
+	switch {
+	case s.judge == nil || s.judgedCanary.Salt != c.Salt:
+		s.judge = canary.NewJudge(canary.JudgeSettings{Spec: c.Spec, Epoch: c.Epoch, Step: c.Step, Checkpoint: s.record.canary.Checkpoint(c.Release)})
+	case s.judgedCanary.Epoch != c.Epoch || s.judgedCanary.Step != c.Step:
+		s.judge.BeginStep(c.Epoch, c.Step)
+	}
+	s.judgedCanary = c
+	release, _ := s.record.rollout.Release(c.Release)
+	releaseOver := release.Name == "" || release.State == rollout.ReleaseRolledBack || release.State == rollout.ReleaseCompleted
+	switch {
+	case c.Status == canary.Completed, c.Status == canary.RolledBack && releaseOver:
+		return []canary.Command{{Op: canary.OpClose, Release: c.Release}}
+	case c.Status != canary.Progressing:
+		v.Degraded, v.DegradedRelease = cmp.Or(c.Reason, string(c.Status)), c.Release
+	}
+	previous := s.verdict.Outcome
+	if s.verdict = s.judge.Verdict(now); s.verdict.Outcome != previous {
+		s.Log.WithFields(logrus.Fields{"release": c.Release, "rung": c.Step, "per_mille": c.PerMille, "verdict": s.verdict.Outcome, "metric": s.verdict.Metric,
+			"zones": s.verdict.Zones, "relays": s.verdict.Relays}).Info("fleet: canary")
+	}
+	applied := !slices.ContainsFunc(v.Relays, func(r rollout.Relay) bool {
+		status := s.controller.fleet.relays[r.Name]
+		return r.ReportAgeMS < silenceTimeout.Milliseconds() && status != nil && status.CanaryVersion < s.record.canary.Version()
+	})
+	return s.record.canary.Plan(max(now, s.record.items.At), s.verdict, applied)
+}
+
+// gateOnCanary withholds a release's grants while its canary is not over and the release has members in the arm; grants of a rollback are
+// never withheld. A release whose canary went back is rolled back too.
+func (s *Service) gateOnCanary(plan []rollout.Command) (gated []rollout.Command) {
+	s.record.mu.RLock()
+	defer s.record.mu.RUnlock()
+	withheld := map[string]bool{}
+	for _, c := range s.record.canary.Canaries() {
+		r, ok := s.record.rollout.Release(c.Release)
+		switch {
+		case !ok || r.RollingBack:
+		case c.Status == canary.RolledBack && (r.State == rollout.ReleaseHalted || r.State == rollout.ReleaseRunning):
+			gated = append(gated, rollout.Command{Kind: rollout.CommandRollBack, Name: r.Name, Requester: "canary", Reason: c.Reason})
+		case c.Status != canary.Completed && slices.ContainsFunc(r.Units, func(u rollout.Unit) bool { return u.Phase != rollout.PhasePending }):
+			withheld[c.Release] = true
+		}
+	}
+	return append(gated, dropGrants(plan, func(g rollout.Grant) bool { return withheld[g.Release] })...)
+}
+
+// dropGrants returns a plan without the grants for which withheld says so, and without steps that are left with none.
+func dropGrants(plan []rollout.Command, withheld func(rollout.Grant) bool) (rest []rollout.Command) {
+	for _, c := range plan {
+		if c.Kind == rollout.CommandStep {
+			planned := len(c.Grants)
+			c.Grants = slices.DeleteFunc(slices.Clone(c.Grants), withheld)
+			if planned > 0 && len(c.Grants) == 0 {
+				continue
+			}
+		}
+		rest = append(rest, c)
+	}
+	return rest
+}
--- /dev/null
+++ b/internal/fleet/desired_state.go
@@ -0,0 +1,84 @@
+package fleet
+
+import (
+	"time"
+
+	"dahliarudder/internal/canary"
+	"dahliarudder/internal/rollout"
+)
+
+// DesiredState is what the record wants of a relay.
+type DesiredState struct {
+	rollout.Orders
+	RecordVersion     uint64
+	CanaryWeights     []canary.Weight
+	CanaryVersion     uint64 // of the canary state
+	PermitsVersion    uint64 // of the permits in force; never 0. The event loop keeps it for its ObservedState
+	AppliedIndex      uint64 // index of the last log entry that this state includes
+	MajorityConfirmed bool   // a majority was behind this state just now
+}
+
+// applyLoop posts the desired state whenever the record has changed, and again while the relay has not applied it. Changes that arrive
+// while a post is pending are combined.
+func (s *Service) applyLoop() {
+	retry := time.NewTicker(planInterval)
+	defer retry.Stop()
+	applied := make(chan struct{}, 1) // has a token unless a post is pending
+	applied <- struct{}{}
+	var postedVersion uint64
+	var postedAt time.Time
+	first := true
+	for {
+		due := false
+		select {
+		case <-s.ctx.Done():
+			return
+		case <-s.record.changed:
+			due = true
+		case <-retry.C:
+			s.mu.Lock()
+			// Again until this relay has caught up; while there is a canary, as an unconfirmed weight falls; and while the relay has
+			// not applied what was posted, which may have been from before the record was restored.
+			due = !s.caughtUp || time.Since(postedAt) >= reportInterval && (s.lastObserved.AppliedVersion != postedVersion || s.canaryActive)
+			s.mu.Unlock()
+		}
+		if !due && !first {
+			continue
+		}
+		select {
+		case <-applied:
+		case <-s.ctx.Done():
+			return
+		}
+		first = false
+		weights, _ := s.record.canaryWeights()
+		s.mu.Lock()
+		s.canaryActive = len(weights) > 0
+		s.mu.Unlock()
+		postedAt = time.Now()
+		postedVersion = s.postDesired(func() { applied <- struct{}{} })
+	}
+}
+
+// postDesired applies the current desired state on the event loop and then calls done there. States are posted in the order in which they
+// were read, so that an older one never follows a newer one.
+func (s *Service) postDesired(done func()) (version uint64) {
+	s.postMu.Lock()
+	defer s.postMu.Unlock()
+	var desired DesiredState
+	status := s.node.Status() // read before the record: what is applied in between is in the record too
+	desired.AppliedIndex, desired.MajorityConfirmed = status.Applied, status.HasQuorum && status.Applied == status.Committed
+	s.mu.Lock()
+	s.caughtUp = s.caughtUp || desired.MajorityConfirmed
+	caughtUp := s.caughtUp
+	s.mu.Unlock()
+	s.record.read(func(r *rollout.State, items recordItems) {
+		desired.Orders, desired.RecordVersion, desired.PermitsVersion = r.Orders(s.Name), r.Version(), permitsVersion(items)
+	})
+	desired.CanaryWeights, desired.CanaryVersion = s.record.canaryWeights()
+	if !caughtUp {
+		s.savedState.fillIn(&desired)
+	}
+	s.Post(func() { s.ApplyDesired(desired); done() })
+	return desired.RecordVersion
+}
--- /dev/null
+++ b/internal/fleet/drift_evaluation.go
@@ -0,0 +1,115 @@
+package fleet
+
+import (
+	"maps"
+	"slices"
+
+	"dahliarudder/internal/drift"
+	"dahliarudder/internal/rollout"
+)
+
+// evaluateDrift brings the drift monitor up to date, puts the drift that holds up releases into the view, and returns what has changed.
+func (c *controller) evaluateDrift(now int64, v *rollout.View) []drift.Change {
+	c.refresh()
+	c.fleet.updateLists(now)
+	c.learnReleaseSections()
+	var counted []string // relays whose drift holds up releases
+	for _, r := range v.Relays {
+		c.updateExpected(now, r.Name)
+		liveness := c.liveness(&r)
+		c.driftMonitor.SetLiveness(now, r.Name, liveness)
+		if _, quarantined := c.quarantined[r.Name]; liveness == drift.Alive && !quarantined { // in quarantine it counts as out instead
+			counted = append(counted, r.Name)
+		}
+	}
+	changes := c.driftMonitor.Tick(now)
+	c.findBlockReasons(now, counted, v)
+	return changes
+}
+
+func (c *controller) liveness(r *rollout.Relay) drift.Liveness {
+	unit := c.pendingReleases[r.Name].unit
+	switch {
+	case r.Exited:
+		return drift.Terminated
+	case c.fleet.relays[r.Name] == nil || r.ReportAgeMS > silenceTimeout.Milliseconds():
+		return drift.Unreachable
+	case r.Phase == "leaving" || r.Phase == "starting" || unit.Phase == rollout.PhaseLeaving && r.StartNumber <= uint64(unit.SeenStart):
+		return drift.Restarting
+	}
+	return drift.Alive
+}
+
+// findBlockReasons finds the drift that holds up releases: for those that repair some of it themselves, only the rest.
+func (c *controller) findBlockReasons(now int64, relays []string, v *rollout.View) {
+	var since int64
+	if v.Drift, since = c.driftMonitor.BlockReason(relays, c.repairedBy("")); since > 0 {
+		v.DriftMS = now - since
+	}
+	c.blockReasons = map[string]string{}
+	if c.blockReason, _ = c.driftMonitor.BlockReason(relays, nil); c.blockReason == v.Drift {
+		return
+	}
+	c.blockReasons[""] = c.blockReason
+	for _, r := range c.pendingReleases {
+		name := r.release.Name
+		if _, ok := c.blockReasons[name]; !ok {
+			c.blockReasons[name], _ = c.driftMonitor.BlockReason(relays, c.repairedBy(name))
+		}
+	}
+}
+
+// repairedBy tells which drift a release repairs by itself; "" stands for any release. It is what a relay applies at its start, if the
+// release still has to restart it. Ejections and drains are not: nothing may be moved while relays disagree on them.
+func (c *controller) repairedBy(release string) func(relay, item string) bool {
+	return func(relay, item string) bool {
+		r := c.pendingReleases[relay]
+		return r.restartPending() && (release == "" || r.release.Name == release) && item != drift.ItemEjections && item != drift.ItemDrains
+	}
+}
+
+// dropBlockedGrants removes from a plan the grants of releases that are held up by drift which they do not repair. A rollback is never held
+// up, nor is a permit.
+func (c *controller) dropBlockedGrants(plan []rollout.Command) []rollout.Command {
+	if len(c.blockReasons) == 0 {
+		return plan
+	}
+	return dropGrants(plan, func(g rollout.Grant) bool {
+		reason, ok := c.blockReasons[g.Release]
+		if !ok {
+			reason = c.blockReasons[""]
+		}
+		return reason != "" && g.Permit == 0 && !c.rollingBack(g.Release)
+	})
+}
+
+func (c *controller) rollingBack(release string) bool {
+	c.record.mu.RLock()
+	defer c.record.mu.RUnlock()
+	status, _ := c.record.rollout.Release(release)
+	return status.RollingBack
+}
+
+// markUnfit puts the relays that belong into quarantine into the view, the worst first. A relay that is in quarantine stays there until it
+// reports and is in sync, or has restarted: a new leader knows nothing of it yet, and a silent relay has not recovered. A relay that is only
+// ahead of others with its endpoint list is not unfit: its list may be the right one.
+func (c *controller) markUnfit(v *rollout.View) {
+	v.UnfitOrder, v.Unfit = nil, map[string]string{}
+	mark := func(relay, reason string) {
+		v.UnfitOrder, v.Unfit[relay] = append(v.UnfitOrder, relay), reason
+	}
+	quarantined := slices.Sorted(maps.Keys(c.quarantined))
+	listAhead := func(relay, item string) bool {
+		return item == drift.ItemEndpointList && c.driftMonitor.StateOf(relay, item) == drift.Ahead
+	}
+	for _, u := range c.driftMonitor.SelectUnfit(drift.MaxRelays, quarantined, listAhead) {
+		mark(u.Relay, u.Reason)
+	}
+	for _, relay := range quarantined {
+		status, q := c.fleet.relays[relay], c.quarantined[relay]
+		restarted := status != nil && status.Incarnation > q.StartNumber
+		if v.Unfit[relay] == "" && !c.driftMonitor.FullyInSync(relay) && !restarted {
+			mark(relay, q.Reason)
+		}
+	}
+}
--- /dev/null
+++ b/internal/fleet/propose.go
@@ -0,0 +1,119 @@
+package fleet
+
+import (
+	"context"
+	"encoding/json"
+	"time"
+
+	"dahliarudder/internal/canary"
+	"dahliarudder/internal/rollout"
+)
+
+// callTimeout is how long a call waits for a majority.
+const callTimeout = 4 * time.Second
+
+// rejectedError is the record's reason for rejecting a command.
+type rejectedError string
+
+func (e rejectedError) Error() string { return string(e) }
+
+// rejection is the error of a result; nil if the command was accepted.
+func rejection(r rollout.Result) error {
+	if r.Error == "" {
+		return nil
+	}
+	return rejectedError(r.Error)
+}
+
+// propose has a rollout command agreed, and waits until this relay's own record has applied it.
+func (s *Service) propose(ctx context.Context, c rollout.Command) (rollout.Result, error) {
+	return s.submit(ctx, partRollout, c.Encode())
+}
+
+// proposeIntent does the same for a change of intent.
+func (s *Service) proposeIntent(ctx context.Context, c intentCommand) (rollout.Result, error) {
+	body, err := json.Marshal(c)
+	if err != nil {
+		return rollout.Result{}, err
+	}
+	return s.submit(ctx, partIntent, body)
+}
+
+// submit has a command agreed for a part that answers with a rollout.Result. A rejection is in the result, not in the error.
+func (s *Service) submit(ctx context.Context, part string, body []byte) (rollout.Result, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	var result rollout.Result
+	index, err := s.proposeCommand(ctx, part, body, &result)
+	if err != nil {
+		return rollout.Result{}, err
+	}
+	s.node.WaitApplied(ctx, index) // a timeout here is no error: the command is agreed all the same
+	return result, nil
+}
+
+// proposeCanary has a canary command agreed; a rejection is a rejectedError.
+func (s *Service) proposeCanary(ctx context.Context, c canary.Command) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	var answer struct{ Error string }
+	index, err := s.proposeCommand(ctx, partCanary, c.Encode(), &answer)
+	if err != nil {
+		return err
+	}
+	if answer.Error != "" {
+		return rejectedError("refused: " + answer.Error)
+	}
+	s.node.WaitApplied(ctx, index)
+	return nil
+}
+
+// proposeCommand proposes a command and decodes the record's answer. Its errors are those of consensus, unwrapped: the API shows them.
+func (s *Service) proposeCommand(ctx context.Context, part string, body []byte, answer any) (index uint64, err error) {
+	text, err := json.Marshal(command{Part: part, At: s.now(), By: s.Name, Body: body})
+	if err != nil {
+		return 0, err
+	}
+	encoded, index, err := s.node.Propose(ctx, text)
+	if err != nil {
+		return 0, err
+	}
+	return index, json.Unmarshal(encoded, answer)
+}
+
+// SetEjected ejects a member at all relays, or reinstates it. It is called on the event loop; done is called there, once, after this relay
+// has applied the change.
+func (s *Service) SetEjected(member string, ejected bool, done func(error)) {
+	s.run(func() {
+		c := rollout.Command{Kind: rollout.CommandReinstate, Names: []string{member}}
+		if ejected {
+			c.Kind, c.Reason = rollout.CommandEject, "an operator's call"
+		}
+		result, err := s.propose(s.ctx, c)
+		if err == nil {
+			err = rejection(result)
+		}
+		if err != nil {
+			s.Post(func() { done(err) })
+			return
+		}
+		s.postDesired(func() { done(nil) })
+	})
+}
+
+// ConfirmLeave asks a majority whether this relay's order to leave of that number still stands, which cannot be taken back once it is
+// carried out: this process may have been suspended since it received the order. It is called on the event loop, and so is done; its answer
+// is not confirmed if no majority could be asked.
+func (s *Service) ConfirmLeave(number uint64, done func(stands, confirmed bool)) {
+	s.run(func() {
+		ctx, cancel := context.WithTimeout(s.ctx, callTimeout)
+		defer cancel()
+		_, err := s.node.Barrier(ctx)
+		stands := false
+		s.record.read(func(r *rollout.State, _ recordItems) {
+			leave := r.Orders(s.Name).Leave
+			stands = leave != nil && leave.Number == number && leave.StartNumber >= s.Incarnation
+		})
+		s.Post(func() { done(stands, err == nil) })
+	})
+}
--- /dev/null
+++ b/internal/fleet/reporting.go
@@ -0,0 +1,78 @@
+package fleet
+
+import (
+	"encoding/json"
+	"maps"
+	"slices"
+	"time"
+
+	"dahliarudder/internal/consensus"
+	"dahliarudder/internal/drift"
+)
+
+// reportLoop reports this relay's state to the leader. It does not wait for an event loop that is stuck: the leader then sees the silence.
+func (s *Service) reportLoop() {
+	observations := make(chan ObservedState, 1)
+	pending := false
+	s.every(reportInterval, func() {
+		if !pending {
+			pending = true
+			s.Post(func() { observations <- s.Observe() }) // one is pending at most, so the send never blocks
+		}
+		select {
+		case observed := <-observations:
+			pending = false
+			s.sendReport(observed)
+		case <-time.After(reportInterval / 2):
+			s.mu.Lock()
+			s.missedObservations++
+			s.mu.Unlock()
+		case <-s.ctx.Done():
+		}
+	})
+}
+
+func (s *Service) sendReport(observed ObservedState) {
+	now := s.now()
+	s.mu.Lock()
+	s.lastObserved = observed
+	report := s.reporter.buildReport(now, observed, s.record, votersDriftItem(s.node.Status()))
+	text, err := json.Marshal(report)
+	s.reportBytes += len(text)
+	s.mu.Unlock()
+	if err == nil {
+		err = s.node.Report(text)
+	}
+	if err != nil {
+		s.noteFailure("say", err)
+	}
+}
+
+// votersDriftItem is the set of voters as this relay's consensus node has it; without a digest while the node knows of no record.
+func votersDriftItem(status consensus.Status) drift.Item {
+	item := drift.Item{Name: drift.ItemVoters}
+	if status.RecordID == 0 {
+		return item
+	}
+	var voters []string
+	for _, name := range slices.Sorted(maps.Keys(status.Voters)) {
+		voters = append(voters, name+" "+status.Voters[name])
+	}
+	item.Version, item.Digest = status.VotersIndex, digestOf(voters)
+	return item
+}
+
+// handleReply takes the leader's reply to a report: the details that it asks for go into the next reports, and the desired state is posted
+// again if this relay lacks some of it.
+func (s *Service) handleReply(_ string, text []byte) {
+	reply, err := drift.DecodeReply(text)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if err != nil {
+		s.malformedReports++
+		return
+	}
+	if len(s.reporter.driftReporter.HandleReply(reply)) > 0 {
+		s.record.notifyChanged()
+	}
+}
--- a/internal/front/nats/nats.go
+++ b/internal/front/nats/nats.go
@@ -1,16 +1,12 @@
 // Package nats is the front for the NATS client protocol. To clients the relay is a NATS server,
-// to pool members a client. What is placed by the core is a flow: a client's publishing side of
-// one class and tenant, and each subscription. Publications travel on their feed's flow. Other
-// proxies call the decision module itself by request and reply on reserved subjects. See
-// docs/design/nats.md.
+// to pool members a client. The core places flows: one for a client's publications of one class and
+// tenant (a feed), and one for each subscription. Other proxies call the decision module itself by
+// request and reply on reserved subjects. See docs/design/nats.md.
 package nats
 
 import (
 	"crypto/tls"
-	"encoding/json"
-	"fmt"
 	"hash/fnv"
-	"strings"
 	"time"
 
 	"github.com/sirupsen/logrus"
@@ -21,32 +17,32 @@
 	"dahliarudder/policy"
 )
 
-// Times of this front.
+// Timeouts and intervals of this front.
 const (
-	connectWithin = 2 * time.Second // a client may take to say CONNECT; 3 s are allowed
-	sweepEvery    = 500 * time.Millisecond
-	memberPing    = 2 * time.Second
-	silentAfter   = 5 * time.Second // a member that answers no PING for so long is gone
-	linkIdle      = 5 * time.Second
-	probeWithin   = 400 * time.Millisecond
-	againAfter    = 150 * time.Millisecond // a subscription that failed is asked for again
-	drainWithin   = 250 * time.Millisecond // a member that is left has to send what it has sent
-	keepVerdict   = 10 * time.Second
+	connectTimeout       = 2 * time.Second        // for a client's CONNECT; 3 s are allowed
+	sweepInterval        = 500 * time.Millisecond // between searches for slow clients and silent members
+	memberPingInterval   = 2 * time.Second        // on links with subscriptions
+	memberSilenceTimeout = 5 * time.Second        // for a member's PONG, after which it is lost
+	linkIdleTimeout      = 5 * time.Second        // of a link without subscriptions
+	checkTimeout         = 400 * time.Millisecond // of a health check
+	resubscribeBackoff   = 150 * time.Millisecond // before a failed subscription is placed again
+	drainTimeout         = 250 * time.Millisecond // for the last messages of a member that a subscription is moved off
+	verdictRetention     = 10 * time.Second       // of a final verdict that no proxy has taken
 )
 
-// highWater is how many unsent bytes to a client its links rest at.
-const highWater = 64 << 10
+// clientHighWater is how many unsent bytes to a client stop the reading of its links.
+const clientHighWater = 64 << 10
 
-// linkWater is how many unsent bytes a link has before its feed waits; a message more still fits
-// the loop's buffers.
-const linkWater = 48 << 10
+// linkHighWater is how many unsent bytes on a link stop its feed; one more message still fits the
+// loop's buffers.
+const linkHighWater = 48 << 10
 
-// water is a mark of unsent bytes, lowered while the buffers of all connections hold much.
-func (f *Front) water(mark int) int {
+// unsentLimit is a limit of unsent bytes, lowered while the loop is short of buffer memory.
+func (f *Front) unsentLimit(limit int) int {
 	if f.Loop.MemoryPressure() {
-		return mark / 4
+		return limit / 4
 	}
-	return mark
+	return limit
 }
 
 // Front serves the NATS client protocol.
@@ -57,160 +53,83 @@
 	Config
 	Name string
 
-	clients map[*client]struct{}
-	carried map[string]*asked // requests that proxies carry themselves, by login and name
-	probes  map[policy.ServerID]*probe
-	routes  []route
-	gauge   *loadestimate.Gauge
-	members map[policy.ServerID]*told
-	offers  offers
-	lastID  uint64
-	leaving bool          // the relay stops or is drained
-	since   time.Duration // when that began
-	Counts  Counts
-	sec     *Security
-}
-
-// Counts is what has happened at this front.
+	clients       map[*client]struct{}
+	proxied       map[string]*proxiedRequest // requests that proxies carry themselves, by requestKey
+	healthChecks  map[policy.ServerID]*healthCheck
+	routes        []route
+	loadEstimate  *loadestimate.Estimator
+	memberInfos   map[policy.ServerID]*memberInfo
+	advertised    advertisedInfo
+	lastClientID  uint64
+	lameDuck      bool          // the relay shuts down or is drained
+	lameDuckSince time.Duration // when that began
+	Counts        Counts
+	security      *Security
+}
+
+// Counts counts the clients and messages that this front has rejected.
 type Counts struct{ SlowConsumers, Rejected, Denied int }
 
-// route is a Route with its names looked up.
+// route is a resolved Route.
 type route struct {
 	subject string
 	to      destination
 }
 
-// destination is a class and a tenant; each client has one feed for each that it publishes to.
+// destination is a class and a tenant. A client has one feed for each destination that it publishes to.
 type destination struct{ class, tenant int }
 
-// told is what a member's INFO has said that clients should know.
-type told struct {
-	JetStream  bool `json:"jetstream"`
-	MaxPayload int  `json:"max_payload"`
-}
-
-// offers is what the relay's own INFO says in consequence.
-type offers struct {
-	jetstream bool
-	payload   int
-}
-
-// New makes a front on the core.
+// New returns a front that places flows by the core.
 func New(loop *netloop.Loop, c *core.Core, log logrus.FieldLogger, name string, cfg Config, sec *Security) *Front {
-	cfg.fill()
-	f := &Front{Loop: loop, Core: c, Log: log, Config: cfg, Name: name, clients: map[*client]struct{}{}, carried: map[string]*asked{},
-		probes: map[policy.ServerID]*probe{}, members: map[policy.ServerID]*told{},
-		gauge: loadestimate.New(cfg.MemberFlows, c.Limits().Balancers), offers: offers{payload: cfg.MaxPayload}}
+	cfg.setDefaults()
+	f := &Front{Loop: loop, Core: c, Log: log, Config: cfg, Name: name, clients: map[*client]struct{}{}, proxied: map[string]*proxiedRequest{},
+		healthChecks: map[policy.ServerID]*healthCheck{}, memberInfos: map[policy.ServerID]*memberInfo{},
+		loadEstimate: loadestimate.New(cfg.MemberFlows, c.PolicySettings().Balancers), advertised: advertisedInfo{maxPayload: cfg.MaxPayload}}
 	for _, r := range append(cfg.Routes, Route{">", cfg.Class, cfg.Tenant}) {
-		n := route{subject: r.Subject}
-		n.to.class, _ = c.Settings.Class(r.Class)
-		n.to.tenant, _ = c.Settings.Tenant(r.Tenant)
-		f.routes = append(f.routes, n)
+		resolved := route{subject: r.Subject}
+		resolved.to.class, _ = c.Settings.Class(r.Class)
+		resolved.to.tenant, _ = c.Settings.Tenant(r.Tenant)
+		f.routes = append(f.routes, resolved)
 	}
 	f.ReloadSecurity(sec)
-	loop.After(sweepEvery, f.sweep)
+	loop.After(sweepInterval, f.sweep)
 	return f
 }
 
-// EnterLameDuck tells clients that the relay is leaving. The core then moves their
-// subscriptions, which ends their connections; who has none is ended by the sweep.
-func (f *Front) EnterLameDuck() {
-	f.leaving, f.since = true, f.Loop.Now()
-	f.announce()
-}
-
-// ExitLameDuck takes that back.
-func (f *Front) ExitLameDuck() {
-	f.leaving = false
-	f.announce()
-}
-
-// announce sends INFO again to those who know the protocol that allows it.
-func (f *Front) announce() {
-	for c := range f.clients {
-		if c.connect != nil && c.options.Protocol >= 1 {
-			c.write(f.info(c))
-		}
-	}
-}
-
-// info is what a client is told.
-func (f *Front) info(c *client) []byte {
-	v := map[string]any{"server_id": f.Name, "server_name": f.Name, "version": "2.10.0", "proto": 1, "go": "dahliarudder",
-		"headers": true, "max_payload": f.offers.payload, "client_id": c.id, "ldm": f.leaving, "jetstream": f.offers.jetstream}
-	if host, port, ok := strings.Cut(c.local, ":"); ok && !strings.Contains(port, ":") {
-		v["host"], v["port"] = host, json.Number(port)
-	}
-	if c.remote != "" {
-		v["client_ip"] = c.remote
-	}
-	f.securityInfo(c, v)
-	if len(f.ConnectURLs) > 0 {
-		v["connect_urls"] = f.ConnectURLs
-	}
-	text, _ := json.Marshal(v)
-	return fmt.Appendf(nil, "INFO %s\r\n", text)
-}
-
-// hear takes in what a member's INFO says, and tells clients when that changes what they
-// may do.
-func (f *Front) hear(id policy.ServerID, info []byte) {
-	t := &told{}
-	if json.Unmarshal(info, t) != nil {
-		return
-	}
-	f.members[id] = t
-	now := offers{payload: f.MaxPayload}
-	for id, t := range f.members {
-		if !f.Core.Reachable(id) {
-			delete(f.members, id)
-			continue
-		}
-		now.jetstream = now.jetstream || t.JetStream
-		if t.MaxPayload > 0 {
-			now.payload = min(now.payload, t.MaxPayload)
-		}
-	}
-	if now != f.offers {
-		f.offers = now
-		f.announce()
-	}
-}
-
 // Accept serves a client's connection.
 func (f *Front) Accept(conn *netloop.Conn) {
-	f.lastID++
-	c := &client{f: f, c: conn, id: f.lastID, local: conn.LocalAddr(), remote: conn.RemoteIP()}
+	f.lastClientID++
+	c := &client{front: f, conn: conn, id: f.lastClientID, local: conn.LocalAddr(), remote: conn.RemoteIP()}
 	f.clients[c] = struct{}{}
 	conn.SetHandler(c)
-	conn.SetBufferLimits(f.MaxPayload+f.MaxControlLine+2, 2*f.MaxPayload+4*highWater)
-	if f.sec.server != nil && f.TLS.HandshakeFirst {
-		c.sniffed = true
-		conn.StartTLS(f.sec.server, false, connectWithin, func(tls.ConnectionState) { c.write(f.info(c)) })
+	conn.SetBufferLimits(f.MaxPayload+f.MaxControlLine+2, 2*f.MaxPayload+4*clientHighWater)
+	if f.security.server != nil && f.TLS.HandshakeFirst {
+		c.tlsChecked = true
+		conn.StartTLS(f.security.server, false, connectTimeout, func(tls.ConnectionState) { c.write(f.infoLine(c)) })
 	} else {
-		c.write(f.info(c))
+		c.write(f.infoLine(c))
 	}
 	if f.Loop.DescriptorsLow() || f.MaxConnections > 0 && len(f.clients) > f.MaxConnections {
-		c.fail("maximum connections exceeded")
+		c.fail(errMaxConnections)
 		return
 	}
-	conn.SetEvictable(func() { c.fail("maximum connections exceeded") })
-	c.timer = f.Loop.After(connectWithin, func() { c.fail("Authentication Timeout") })
+	conn.SetEvictable(func() { c.fail(errMaxConnections) })
+	c.timer = f.Loop.After(connectTimeout, func() { c.fail(errAuthTimeout) })
 }
 
-// destination is where a subject's requests belong.
+// destination is the class and tenant of a subject, by the first route that matches.
 func (f *Front) destination(subject []byte) destination {
 	for i := range f.routes {
-		if matches(f.routes[i].subject, subject) {
+		if subjectMatches(f.routes[i].subject, subject) {
 			return f.routes[i].to
 		}
 	}
 	return destination{}
 }
 
-// request is what the core is asked for.
-func (f *Front) request(name string, to destination) core.Request {
-	return core.Request{Name: name, Class: to.class, Tenant: to.tenant, Wait: f.Core.Limits().Classes[to.class].Deadline}
+// newRequest is a request to the core.
+func (f *Front) newRequest(name string, to destination) core.Request {
+	return core.Request{Name: name, Class: to.class, Tenant: to.tenant, TimeLeft: f.Core.PolicySettings().Classes[to.class].Deadline}
 }
 
 func hash(s string) uint64 {
@@ -219,23 +138,23 @@
 	return h.Sum64()
 }
 
-// sweep pings members that hold subscriptions, ends links on which they have gone silent, ends
-// clients that are too slow, and while the relay leaves those for whom nothing is held.
+// sweep pings members with subscriptions, fails links on which they have gone silent, closes
+// clients that are too slow, and in lame duck mode closes idle clients.
 func (f *Front) sweep() {
 	now := f.Loop.Now()
 	for c := range f.clients {
 		switch {
-		case f.leaving && now-f.since >= core.StopNotice && c.holdsNothing():
+		case f.lameDuck && now-f.lameDuckSince >= core.StopNotice && c.isIdle():
 			c.close()
-		case c.slowSince > 0 && now-c.slowSince >= f.slowAfter():
+		case c.slowSince > 0 && now-c.slowSince >= f.slowTimeout():
 			f.Counts.SlowConsumers++
-			f.Log.WithField("client", c.remote).WithField("unsent", c.c.Unsent()).Warn("slow consumer")
-			c.fail("Slow Consumer")
+			f.Log.WithField("client", c.remote).WithField("unsent", c.conn.Unsent()).Warn("slow consumer")
+			c.fail(errSlowConsumer)
 		}
 		for _, l := range c.links {
-			l.check(now)
+			l.checkLiveness(now)
 		}
 	}
-	f.gauge.Forget(f.Core.Reachable)
-	f.Loop.After(sweepEvery, f.sweep)
+	f.loadEstimate.Forget(f.Core.Reachable)
+	f.Loop.After(sweepInterval, f.sweep)
 }
--- a/internal/front/nats/parse.go
+++ b/internal/front/nats/parse.go
@@ -2,74 +2,27 @@
 
 import (
 	"bytes"
-	"hash/maphash"
-	"strconv"
 )
 
-// Bounds of a control line; CONNECT and INFO carry more.
+// Limits of a control line. CONNECT and INFO may have maxInfo bytes.
 const (
 	maxControl = 4 << 10
 	maxInfo    = 32 << 10
 )
 
-// protocolError is an error with a text of the public protocol, as it is sent after -ERR.
-type protocolError string
-
-func (e protocolError) Error() string { return string(e) }
-
-const (
-	errProtocol protocolError = "Unknown Protocol Operation"
-	errParse    protocolError = "Parser Error"
-	errControl  protocolError = "maximum control line exceeded"
-	errPayload  protocolError = "Maximum Payload Violation"
-)
-
-// op is an operation of the protocol.
-type op uint8
-
-const (
-	opNone op = iota
-	opConnect
-	opInfo
-	opPing
-	opPong
-	opOK
-	opErr
-	opPub
-	opHPub
-	opMsg
-	opHMsg
-	opSub
-	opUnsub
-)
-
-// command is one protocol message, of either side. Its parts stand in the buffer that was
-// parsed.
-type command struct {
-	op      op
-	rest    []byte // what stands behind the operation, for CONNECT, INFO and -ERR
-	subject []byte
-	sid     []byte
-	reply   []byte
-	queue   []byte
-	max     int // of UNSUB
-	header  int // how much of payload is the header block
-	payload []byte
-}
-
-// operation reads the first word of a line, in any case of letters.
-func operation(word []byte) op {
+// parseOperation parses the first word of a line, which is case-insensitive.
+func parseOperation(name []byte) op {
 	var up [8]byte
-	if len(word) > len(up) {
+	if len(name) > len(up) {
 		return opNone
 	}
-	for i, b := range word {
+	for i, b := range name {
 		if 'a' <= b && b <= 'z' {
 			b -= 'a' - 'A'
 		}
 		up[i] = b
 	}
-	switch string(up[:len(word)]) {
+	switch string(up[:len(name)]) {
 	case "PUB":
 		return opPub
 	case "HPUB":
@@ -98,103 +51,104 @@
 	return opNone
 }
 
-// words are those of a line behind its operation; more than the protocol knows are one too
-// many.
-type words struct {
-	at [6][]byte
-	n  int
+// lineFields are the fields of a line behind its operation. One more than the protocol has is counted, so that
+// parsing fails.
+type lineFields struct {
+	values [6][]byte
+	count  int
 }
 
-func blank(b byte) bool { return b == ' ' || b == '\t' }
+func isBlank(b byte) bool { return b == ' ' || b == '\t' }
 
-func split(line []byte) (w words) {
+func splitFields(line []byte) (f lineFields) {
 	for i := 0; i < len(line); {
-		if blank(line[i]) {
+		if isBlank(line[i]) {
 			i++
 			continue
 		}
 		end := i
-		for end < len(line) && !blank(line[end]) {
+		for end < len(line) && !isBlank(line[end]) {
 			end++
 		}
-		if w.n < len(w.at) {
-			w.at[w.n] = line[i:end]
+		if f.count < len(f.values) {
+			f.values[f.count] = line[i:end]
 		}
-		w.n++
+		f.count++
 		i = end
 	}
-	return w
+	return f
 }
 
-// parse reads one message off b, in which a control line may be so long and a payload have so
-// many bytes. With used 0 and no error the message is not whole yet.
-func parse(b []byte, control, payload int) (m command, used int, err error) {
+// parseCommand parses one message off b, given the maximum lengths of a control line and a payload. If used is 0 and
+// there is no error, the message is incomplete.
+func parseCommand(b []byte, control, payload int) (m command, used int, err error) {
 	end := bytes.IndexByte(b[:min(len(b), maxInfo)], '\n')
 	if end < 0 {
-		if len(b) >= maxInfo || len(b) >= control && !lengthy(b) {
+		if len(b) >= maxInfo || len(b) >= control && !allowsLongLine(b) {
 			return m, 0, errControl
 		}
 		return m, 0, nil
 	}
-	if end >= control && !lengthy(b) {
+	if end >= control && !allowsLongLine(b) {
 		return m, 0, errControl
 	}
 	used = end + 1
 	line := bytes.TrimSuffix(b[:end], []byte("\r"))
 	at := 0
-	for at < len(line) && !blank(line[at]) {
+	for at < len(line) && !isBlank(line[at]) {
 		at++
 	}
-	m.op = operation(line[:at])
+	m.op = parseOperation(line[:at])
 	line = line[at:]
 	switch m.op {
 	case opConnect, opInfo, opErr:
-		m.rest = bytes.TrimSpace(line)
+		m.args = bytes.TrimSpace(line)
 	case opPing, opPong, opOK:
 	case opSub:
-		w := split(line)
-		switch w.n {
+		fields := splitFields(line)
+		switch fields.count {
 		case 2:
-			m.subject, m.sid = w.at[0], w.at[1]
+			m.subject, m.sid = fields.values[0], fields.values[1]
 		case 3:
-			m.subject, m.queue, m.sid = w.at[0], w.at[1], w.at[2]
+			m.subject, m.queue, m.sid = fields.values[0], fields.values[1], fields.values[2]
 		default:
 			return m, 0, errParse
 		}
 	case opUnsub:
-		w := split(line)
-		if w.n != 1 && w.n != 2 {
+		fields := splitFields(line)
+		if fields.count != 1 && fields.count != 2 {
 			return m, 0, errParse
 		}
-		m.sid = w.at[0]
-		if w.n == 2 {
+		m.sid = fields.values[0]
+		if fields.count == 2 {
 			var ok bool
-			if m.max, ok = number(w.at[1]); !ok {
+			if m.maxMessages, ok = parseNumber(fields.values[1]); !ok {
 				return m, 0, errParse
 			}
 		}
 	case opPub:
-		return m.sized(b, used, split(line), false, false, payload)
+		return m.parsePayload(b, used, splitFields(line), false, false, payload)
 	case opHPub:
-		return m.sized(b, used, split(line), false, true, payload)
+		return m.parsePayload(b, used, splitFields(line), false, true, payload)
 	case opMsg:
-		return m.sized(b, used, split(line), true, false, payload)
+		return m.parsePayload(b, used, splitFields(line), true, false, payload)
 	case opHMsg:
-		return m.sized(b, used, split(line), true, true, payload)
+		return m.parsePayload(b, used, splitFields(line), true, true, payload)
 	default:
 		return m, 0, errProtocol
 	}
 	return m, used, nil
 }
 
-// lengthy says whether a long line may follow.
-func lengthy(b []byte) bool {
-	word, _, found := bytes.Cut(b[:min(len(b), 8)], []byte(" "))
-	o := operation(word)
+// allowsLongLine reports whether b begins with an operation whose line may be long.
+func allowsLongLine(b []byte) bool {
+	name, _, found := bytes.Cut(b[:min(len(b), 8)], []byte(" "))
+	o := parseOperation(name)
 	return found && (o == opConnect || o == opInfo)
 }
 
-func number(b []byte) (n int, ok bool) {
+// parseNumber parses a decimal number of at most nine digits.
+func parseNumber(b []byte) (n int, ok bool) {
 	if len(b) == 0 || len(b) > 9 {
 		return 0, false
 	}
@@ -207,8 +161,8 @@
 	return n, true
 }
 
-// sized reads a message with a payload: subject [sid] [reply] [header bytes] bytes.
-func (m command) sized(b []byte, used int, w words, sid, header bool, payload int) (command, int, error) {
+// parsePayload parses a message with a payload: subject [sid] [reply] [header length] length.
+func (m command) parsePayload(b []byte, used int, fields lineFields, sid, header bool, payload int) (command, int, error) {
 	least := 2
 	if sid {
 		least++
@@ -216,26 +170,26 @@
 	if header {
 		least++
 	}
-	if w.n != least && w.n != least+1 {
+	if fields.count != least && fields.count != least+1 {
 		return m, 0, errParse
 	}
-	m.subject = w.at[0]
+	m.subject = fields.values[0]
 	i := 1
 	if sid {
-		m.sid = w.at[i]
+		m.sid = fields.values[i]
 		i++
 	}
-	if w.n > least {
-		m.reply = w.at[i]
+	if fields.count > least {
+		m.reply = fields.values[i]
 		i++
 	}
 	ok := true
 	if header {
-		m.header, ok = number(w.at[i])
+		m.headerLen, ok = parseNumber(fields.values[i])
 		i++
 	}
-	size, whole := number(w.at[i])
-	if !ok || !whole || m.header > size {
+	size, sizeOK := parseNumber(fields.values[i])
+	if !ok || !sizeOK || m.headerLen > size {
 		return m, 0, errParse
 	}
 	if size > payload {
@@ -250,92 +204,3 @@
 	m.payload = b[used : used+size]
 	return m, used + size + 2, nil
 }
-
-// lineRoom is what a line takes besides subjects and names.
-const lineRoom = 64
-
-// room is how many bytes the text of a message takes at most.
-func (m *command) room(sid string) int {
-	return len(m.subject) + len(sid) + len(m.reply) + len(m.payload) + lineRoom
-}
-
-// appendMessage appends the text of a message to a subscriber.
-func (m *command) appendMessage(to []byte, sid string) []byte {
-	if m.header > 0 {
-		to = append(to, "HMSG "...)
-	} else {
-		to = append(to, "MSG "...)
-	}
-	to = append(append(to, m.subject...), ' ')
-	to = append(append(to, sid...), ' ')
-	return m.appendRest(to)
-}
-
-// appendPublication appends the text of a publication.
-func (m *command) appendPublication(to []byte) []byte {
-	if m.header > 0 {
-		to = append(to, "HPUB "...)
-	} else {
-		to = append(to, "PUB "...)
-	}
-	to = append(append(to, m.subject...), ' ')
-	return m.appendRest(to)
-}
-
-func (m *command) appendRest(to []byte) []byte {
-	if len(m.reply) > 0 {
-		to = append(append(to, m.reply...), ' ')
-	}
-	if m.header > 0 {
-		to = append(strconv.AppendInt(to, int64(m.header), 10), ' ')
-	}
-	to = append(strconv.AppendInt(to, int64(len(m.payload)), 10), '\r', '\n')
-	return append(append(to, m.payload...), '\r', '\n')
-}
-
-// seed is of this process: the hashes never leave it.
-var seed = maphash.MakeSeed()
-
-func subjectKey(subject []byte) uint64 { return maphash.Bytes(seed, subject) }
-
-// validSubject says whether s may be published to or, with wild, subscribed to.
-func validSubject[T string | []byte](s T, wild bool) bool {
-	start := 0
-	for i := 0; i <= len(s); i++ {
-		if i < len(s) && s[i] != '.' {
-			continue
-		}
-		switch i - start {
-		case 0:
-			return false
-		case 1:
-			if s[start] == '*' && !wild || s[start] == '>' && (!wild || i < len(s)) {
-				return false
-			}
-		}
-		start = i + 1
-	}
-	return true
-}
-
-// matches says whether a subscription's pattern takes a subject.
-func matches[S string | []byte](pattern string, subject S) bool {
-	p, s := 0, 0
-	for p <= len(pattern) && s <= len(subject) {
-		pe, se := p, s
-		for pe < len(pattern) && pattern[pe] != '.' {
-			pe++
-		}
-		for se < len(subject) && subject[se] != '.' {
-			se++
-		}
-		switch token := pattern[p:pe]; {
-		case token == ">":
-			return true
-		case token != "*" && token != string(subject[s:se]):
-			return false
-		}
-		p, s = pe+1, se+1
-	}
-	return p > len(pattern) && s > len(subject)
-}
--- a/internal/scenariorunner/fleet.go
+++ b/internal/scenariorunner/fleet.go
@@ -116,7 +116,7 @@
 		r.locked(func(at time.Duration) {
 			now := at.Seconds()
 			for _, row := range a.Rows {
-				if row.State == drift.OnItsWay.String() || row.State == drift.NotHeard.String() {
+				if row.State == drift.Propagating.String() || row.State == drift.Unknown.String() {
 					continue
 				}
 				d := DriftSpan{row.Relay, row.Item, row.State, now, now}
@@ -205,9 +205,9 @@
 	if o.releaseStates == nil {
 		o.releaseStates, o.releaseEnds = map[string]string{}, map[string]time.Duration{}
 	}
-	state := a.State
-	if a.Halt != nil && state == rollout.ReleaseHalted {
-		state += ": " + a.Halt.Cause + ": " + a.Halt.Reason
+	state := string(a.State)
+	if a.Halt != nil && a.State == rollout.ReleaseHalted {
+		state += ": " + string(a.Halt.Cause) + ": " + a.Halt.Reason
 	}
 	if o.releaseStates[a.Name] != state {
 		o.releaseStates[a.Name], o.releaseEnds[a.Name] = state, at
@@ -223,7 +223,7 @@
 	}
 	last := time.Duration(0)
 	for name, state := range o.releaseStates {
-		if state != rollout.ReleaseCompleted && state != rollout.ReleaseRolledBack {
+		if state != string(rollout.ReleaseCompleted) && state != string(rollout.ReleaseRolledBack) {
 			return nil
 		}
 		last = max(last, o.releaseEnds[name])
--- a/internal/scenariorunner/run.go
+++ b/internal/scenariorunner/run.go
@@ -209,8 +209,8 @@
 	x.peerViews = &peerWatch{run: x, downSince: map[string]time.Duration{}, upSince: map[string]time.Duration{}, lastState: map[[2]string]string{}, noticedBy: map[[2]string]bool{}}
 	x.service = scenario.NewService(x.plan.MeasureFrom, x.plan.End)
 	g := set.Guarantees
-	x.judge = scenario.NewJudge(scenario.Rules{MaxAttempts: set.Limits.MaxAttempts, AnswerSlack: settings.Span(g.Slack), DrainGrace: settings.Span(g.Grace),
-		SlowStart: slowStart(g.ColdFrom, g.Cold), OverloadFactor: g.Overload, OverloadWindow: settings.Span(g.Fall)})
+	x.judge = scenario.NewJudge(scenario.Rules{MaxAttempts: set.Limits.MaxAttempts, AnswerSlack: settings.Duration(g.Slack), DrainGrace: settings.Duration(g.Grace),
+		SlowStart: slowStart(g.ColdFrom, g.Cold), OverloadFactor: g.Overload, OverloadWindow: settings.Duration(g.Fall)})
 	if err := os.RemoveAll(x.dir); err != nil { // of an earlier rehearsal
 		return nil, err
 	}
@@ -689,5 +689,5 @@
 
 // slowStart is the ramp of members' capacity that the settings describe.
 func slowStart(from, ms float64) scenario.SlowStart {
-	return scenario.SlowStart{From: from, For: settings.Span(ms)}
+	return scenario.SlowStart{From: from, For: settings.Duration(ms)}
 }
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -59,10 +59,10 @@
 	r.note("%s %d", how, id)
 }
 
-func (r *recorder) Refuse(id RequestID, _ time.Duration) { r.end(id, "refused") }
+func (r *recorder) Reject(id RequestID, _ time.Duration) { r.end(id, "refused") }
 func (r *recorder) Fail(id RequestID)                    { r.end(id, "failed") }
 func (r *recorder) Cancel(id RequestID, try int)         { r.note("cancel %d %d", id, try) }
-func (r *recorder) Move(id RequestID)                    { r.moves = append(r.moves, id); r.note("move %d", id) }
+func (r *recorder) Migrate(id RequestID)                 { r.moves = append(r.moves, id); r.note("move %d", id) }
 func (r *recorder) Probe(s ServerID)                     { r.probes = append(r.probes, s); r.note("probe %d", s) }
 func (r *recorder) Watch()                               { r.watch++; r.note("watch") }
 func (r *recorder) Timer(d time.Duration, token uint64) {
@@ -74,11 +74,11 @@
 func settings() Settings {
 	return Settings{
 		Balancers: 1, Zones: 1,
-		Classes: []Class{{Aim: 400 * ms, Deadline: 2 * time.Second, MessageAim: 100 * ms, Window: 5 * time.Second}},
+		Classes: []Class{{LatencyObjective: 400 * ms, Deadline: 2 * time.Second, MessageLatencyObjective: 100 * ms, DedupWindow: 5 * time.Second}},
 		Tenants: []Tenant{{Share: 0.5}, {Share: 0.5}},
 		Reports: ReportsOnProbe, CanProbe: true, CanCancel: true, MaxAttempts: 4,
-		ConnectTimeout: 250 * ms, AskWithin: 10 * time.Second, AnswerSlack: 20 * ms,
-		ColdFrom: 0.3, ColdFor: 9 * time.Second, FallMultiple: 3, PriceProbe: 0.002,
+		ConnectTimeout: 250 * ms, MaxPollInterval: 10 * time.Second, AnswerSlack: 20 * ms,
+		SlowStartMinCapacity: 0.3, SlowStartDuration: 9 * time.Second, OverloadFactor: 3, ProbePrice: 0.002,
 	}
 }
 
@@ -106,7 +106,7 @@
 	g := &rig{recorder: rec, now: t0, load: map[ServerID]float64{}, count: map[ServerID]float64{}}
 	g.Balancer = New(set, 7, rec)
 	g.Start()
-	g.Members(t0, ListCached, list)
+	g.UpdateServers(t0, ListCached, list)
 	return g
 }
 
@@ -119,11 +119,11 @@
 		if !ok {
 			n = 10
 		}
-		g.Probed(g.now, id, OK, Report{Connections: n, Load: g.load[id], Util: -1})
+		g.ProbeResult(g.now, id, OK, Report{Connections: n, Load: g.load[id], Util: -1})
 	}
 }
 
-// ask brings a request and answers the probes it causes.
+// probeCandidates brings a request and answers the probes it causes.
 func (g *rig) ask(q Request) RequestID {
 	g.next++
 	q.ID = g.next
@@ -174,7 +174,7 @@
 	rand.New(rand.NewPCG(1, 2)).Shuffle(len(shuffled), func(i, j int) {
 		shuffled[i], shuffled[j] = shuffled[j], shuffled[i]
 	})
-	b.Members(t0, ListCached, shuffled)
+	b.UpdateServers(t0, ListCached, shuffled)
 	ids := func(b *Balancer, tenant int) (ids []ServerID) {
 		for _, s := range b.homeSlice(tenant) {
 			ids = append(ids, s.ID)
@@ -195,7 +195,7 @@
 	before := ids(a.Balancer, 0)
 	gone := list[0]
 	gone.State = Gone
-	a.Members(t0, ListDelta, []Server{gone})
+	a.UpdateServers(t0, ListDelta, []Server{gone})
 	after := ids(a.Balancer, 0)
 	for _, id := range after {
 		if !contains(before, id) {
@@ -244,8 +244,8 @@
 					g.load[s.ID] = tt.home
 				}
 			}
-			g.h[1] = tt.h
-			g.alien, g.mine = 50, 100 // a settled view of its own foreign share
+			g.lendingThresholds[1] = tt.h
+			g.foreignFlows, g.ownFlows = 50, 100 // a settled view of its own foreign share
 			id := g.ask(Request{Tenant: 0, Load: 0.5})
 			g.fire(150 * ms)
 			g.now += 350 * ms
@@ -275,8 +275,8 @@
 		g.now += time.Second
 		g.ask(Request{Tenant: 0})
 	}
-	low := g.h[0]
-	if low > 0.6 || low < hLeast {
+	low := g.lendingThresholds[0]
+	if low > 0.6 || low < lendMin {
 		t.Errorf("h after six blocked owners %v", low)
 	}
 	for id := range g.load {
@@ -286,16 +286,16 @@
 		g.now += time.Second
 		g.ask(Request{Tenant: 0})
 	}
-	if g.h[0] <= low {
-		t.Errorf("h stays at %v though owners find room", g.h[0])
+	if g.lendingThresholds[0] <= low {
+		t.Errorf("h stays at %v though owners find room", g.lendingThresholds[0])
 	}
 }
 
 // TestForeignShare: a small sample leans on the proxy's wider share, a large one speaks for itself.
 func TestForeignShare(t *testing.T) {
 	b := New(settings(), 1, &recorder{})
-	b.alien, b.mine = 10, 100
-	few, many := &server{mine: 1, alien: 1}, &server{mine: 100, alien: 100}
+	b.foreignFlows, b.ownFlows = 10, 100
+	few, many := &server{ownFlows: 1, foreignFlows: 1}, &server{ownFlows: 100, foreignFlows: 100}
 	if got := b.foreignShare(few); got > 0.4 {
 		t.Errorf("one foreign connection makes a share of %v", got)
 	}
@@ -313,12 +313,12 @@
 	for seed := range uint64(200) {
 		rec := &recorder{}
 		b := New(set, seed, rec)
-		b.Members(t0, ListCached, list)
+		b.UpdateServers(t0, ListCached, list)
 		b.Request(t0, Request{ID: 1, Deadline: t0 + time.Second, Load: 0.1})
 		for len(rec.probes) > 0 {
 			id := rec.probes[0]
 			rec.probes = rec.probes[1:]
-			b.Probed(t0, id, OK, Report{Connections: 10, Load: map[bool]float64{true: 0.1, false: 0.3}[id == list[0].ID], Util: -1})
+			b.ProbeResult(t0, id, OK, Report{Connections: 10, Load: map[bool]float64{true: 0.1, false: 0.3}[id == list[0].ID], Util: -1})
 		}
 		hits[rec.sends[0].server]++
 	}
@@ -331,7 +331,7 @@
 func TestOverShare(t *testing.T) {
 	set := settings()
 	set.Tenants = []Tenant{{Share: 0.5, Quota: 4}, {Share: 0.5, Quota: 100}}
-	set.PriceProbe = 0
+	set.ProbePrice = 0
 	g := newRig(set, fleet(4, 1))
 	for range 8 {
 		g.now += time.Second
@@ -339,7 +339,7 @@
 	}
 	for _, s := range g.servers {
 		g.load[s.ID] = 0.72
-		g.take(g.now, s, Report{Connections: 10, Load: 0.72, Util: -1})
+		g.applyReport(g.now, s, Report{Connections: 10, Load: 0.72, Util: -1})
 	}
 	if id := g.ask(Request{Tenant: 0, Load: 0.1}); g.ends[id] != "refused" {
 		t.Errorf("tenant over its share: %q under pressure, want refused\n%s", g.ends[id], strings.Join(g.log, "\n"))
@@ -360,7 +360,7 @@
 	for seed := range uint64(40) {
 		rec := &recorder{}
 		g := &rig{Balancer: New(set, seed, rec), recorder: rec, now: t0, load: map[ServerID]float64{}}
-		g.Members(t0, ListCached, fleet(20, 1))
+		g.UpdateServers(t0, ListCached, fleet(20, 1))
 		used[g.where(g.ask(Request{Tenant: int(seed % 2), Group: 77, Load: 0.1}))] = true
 	}
 	if len(used) > 1 || used[0] {
@@ -382,10 +382,10 @@
 				held = s.ID
 			}
 		}
-		g.Existing(g.now, Request{ID: 500, Group: 77, Load: 0.1}, held)
+		g.AddExisting(g.now, Request{ID: 500, Group: 77, Load: 0.1}, held)
 		g.load[held] = load
 		g.now += time.Second
-		if to := g.where(g.ask(Request{Group: 77, Load: 0.1})); (to == held) != (load < brim) {
+		if to := g.where(g.ask(Request{Group: 77, Load: 0.1})); (to == held) != (load < fillHigh) {
 			t.Errorf("at load %v: sent to %d, held at %d, first is %d", load, to, held, first)
 		}
 	}
@@ -408,14 +408,14 @@
 		for seed := range uint64(40) {
 			rec := &recorder{}
 			g := &rig{Balancer: New(set, seed, rec), recorder: rec, now: t0, load: map[ServerID]float64{}}
-			g.Members(t0, ListCached, fleet(8, 1))
+			g.UpdateServers(t0, ListCached, fleet(8, 1))
 			for _, s := range g.servers {
 				g.load[s.ID] = others
 			}
 			g.load[home] = 0.95
 			used[g.where(g.ask(Request{Group: 77, Load: 0.1}))] = true
 		}
-		if open := !used[0]; open != (others < opening) || len(used) > 1 || used[home] {
+		if open := !used[0]; open != (others < groupSpillFill) || len(used) > 1 || used[home] {
 			t.Errorf("home full, others at %v: sent to %v", others, used)
 		}
 	}
@@ -432,12 +432,12 @@
 	})
 	for room, want := range map[int]ServerID{groupReach - 1: list[groupReach-1].ID, groupReach: 0} { // the first that has any
 		g := newRig(set, nil)
-		g.Members(t0, ListCached, slices.Clone(list))
+		g.UpdateServers(t0, ListCached, slices.Clone(list))
 		for i, e := range list {
 			g.load[e.ID] = 0.95
 			if i >= room {
 				g.load[e.ID] = 0.1
-				g.take(t0, g.byID[e.ID], Report{Connections: 3, Load: 0.1, Util: 0.1})
+				g.applyReport(t0, g.byID[e.ID], Report{Connections: 3, Load: 0.1, Util: 0.1})
 			}
 		}
 		if id := g.where(g.ask(Request{Group: 77, Load: 0.1})); id != want {
@@ -459,7 +459,7 @@
 				list[i].Started = t0 - 3*time.Second
 			}
 		}
-		g.Members(t0-3*time.Second, ListCached, list)
+		g.UpdateServers(t0-3*time.Second, ListCached, list)
 		for _, s := range g.servers {
 			g.load[s.ID] = 0.6
 		}
@@ -473,7 +473,7 @@
 // TestPassMode: another proxy sends packets of an open connection where the first sent it, even a full server.
 func TestPassMode(t *testing.T) {
 	set := settings()
-	set.Pass = true
+	set.PassThrough = true
 	a, b := newRig(set, fleet(20, 1)), newRig(set, fleet(20, 1))
 	first := a.where(a.ask(Request{Key: 5, Load: 0.1}))
 	for _, s := range b.servers {
@@ -503,7 +503,7 @@
 				g.load[s.ID] = 0.6
 			}
 			g.ask(Request{Tenant: g.byID[list[0].ID].owner})
-			g.Members(g.now, tt.how, tt.tell)
+			g.UpdateServers(g.now, tt.how, tt.tell)
 			before := len(g.sends)
 			for i := range 20 {
 				g.now += 500 * ms
@@ -533,7 +533,7 @@
 		g := &rig{Balancer: New(set, seed, rec), recorder: rec, now: t0, load: map[ServerID]float64{}}
 		cold := append([]Server(nil), list...)
 		cold[0].Started = t0 - ms
-		g.Members(t0, ListCached, cold)
+		g.UpdateServers(t0, ListCached, cold)
 		for _, s := range list[1:] {
 			g.load[s.ID] = 0.7
 		}
@@ -546,7 +546,7 @@
 	}
 	// Its capacity is about 16 mean loads until reports say otherwise; it starts at 0.3 of that, and the rule
 	// allows three times its rate over the two seconds played here, beside what it bears at their end.
-	if budget := 3*0.45*16.0/9*2 + brim*16*(0.3+0.7*2.2/9); sent > budget || sent == 0 {
+	if budget := 3*0.45*16.0/9*2 + fillHigh*16*(0.3+0.7*2.2/9); sent > budget || sent == 0 {
 		t.Errorf("fifty proxies sent %v to a cold server, budget %v", sent, budget)
 	}
 }
@@ -563,11 +563,11 @@
 			g.Balancer = New(set, seed, g.recorder)
 			cold := append([]Server(nil), list...)
 			cold[0].Started = t0 - ms
-			g.Members(t0, ListCached, cold)
+			g.UpdateServers(t0, ListCached, cold)
 			for _, s := range list[1:] {
 				g.load[s.ID] = 0.7
 			}
-			Relays{Share: share}.tell(g.Balancer, t0)
+			ActiveRelays{Count: share}.apply(g.Balancer, t0)
 			for range 40 {
 				g.now += 50 * ms
 				if g.where(g.ask(Request{Tenant: g.byID[list[0].ID].owner, Load: 1})) == list[0].ID {
@@ -578,7 +578,7 @@
 		return sent
 	}
 	all, few, odd := play(12), play(4), play(math.NaN())
-	if budget := 3*0.45*16.0/9*2 + brim*16*(0.3+0.7*2.2/9); few > budget || few < 1.5*all || odd != all {
+	if budget := 3*0.45*16.0/9*2 + fillHigh*16*(0.3+0.7*2.2/9); few > budget || few < 1.5*all || odd != all {
 		t.Errorf("four of twelve sent %v, by the number of those that live %v of %v, by none %v", all, few, budget, odd)
 	}
 }
@@ -592,19 +592,21 @@
 		for n := range 20 {
 			g.now += ms
 			for _, s := range g.servers {
-				g.load[s.ID], g.count[s.ID] = 0.1+0.01*s.mine, s.mine
+				g.load[s.ID], g.count[s.ID] = 0.1+0.01*s.ownFlows, s.ownFlows
 			}
 			id := g.ask(Request{Group: uint64(n + 2), Load: -1})
 			if g.where(id) == 0 {
-				t.Fatalf("%s: client %d found no room, with %v and %v connections", name, n, g.servers[0].mine, g.servers[1].mine)
+				t.Fatalf("%s: client %d found no room, with %v and %v connections", name, n, g.servers[0].ownFlows, g.servers[1].ownFlows)
 			}
-			g.First(g.now, id)
+			g.Established(g.now, id)
 		}
 	}
 }
 
 // spendCold is what a send spends of a cold server's budget.
-func spendCold(s *server) { s.coldTokens, s.coldSent = s.coldTokens-1, s.coldSent+1 }
+func spendCold(s *server) {
+	s.slowStartTokens, s.slowStartSent = s.slowStartTokens-1, s.slowStartSent+1
+}
 
 // TestColdBudget guards against cold servers that stand idle while others are pressed: over its warm-up one gets most
 // of what the rule allows at the least capacity it can have, and never all of it.
@@ -614,10 +616,10 @@
 	s, now, r := g.servers[0], t0, &request{load: 1}
 	s.Started = t0
 	sent, allowed := 0.0, 0.0
-	for now < t0+set.ColdFor-100*ms {
+	for now < t0+set.SlowStartDuration-100*ms {
 		now += 10 * ms
-		allowed += set.FallMultiple * g.capacityOf(now, s) / set.ColdFor.Seconds() * 0.01
-		if g.warmEnough(now, r, s) {
+		allowed += set.OverloadFactor * g.capacityOf(now, s) / set.SlowStartDuration.Seconds() * 0.01
+		if g.slowStartAllows(now, r, s) {
 			spendCold(s)
 			sent++
 		}
@@ -633,7 +635,7 @@
 func TestColdFirstWindow(t *testing.T) {
 	for _, proxies := range []int{4, 80} {
 		set := settings()
-		set.Balancers, set.FallFor = proxies, 3*time.Second
+		set.Balancers, set.OverloadWindow = proxies, 3*time.Second
 		rng := rand.New(rand.NewPCG(1, 2))
 		sent, allowed, bears := 0.0, 0.0, 0.0
 		for trial := range uint64(40) {
@@ -641,19 +643,19 @@
 			for p := range uint64(proxies) {
 				g := newRig(set, nil)
 				g.Balancer = New(set, 100*trial+p, g.recorder)
-				g.Members(t0, ListDelta, []Server{{ID: 1, State: Ready, Weight: 1, Started: t0}})
+				g.UpdateServers(t0, ListDelta, []Server{{ID: 1, State: Ready, Weight: 1, Started: t0}})
 				all = append(all, g)
 			}
-			for now := t0; now < t0+set.FallFor; now += 10 * ms {
+			for now := t0; now < t0+set.OverloadWindow; now += 10 * ms {
 				g := all[rng.IntN(proxies)]
 				s := g.servers[0]
-				if g.warmEnough(now, &request{load: 1}, s) {
+				if g.slowStartAllows(now, &request{load: 1}, s) {
 					spendCold(s)
 					sent++
 				}
-				allowed += set.FallMultiple * g.capacityOf(now, s) / set.ColdFor.Seconds() * 0.01
+				allowed += set.OverloadFactor * g.capacityOf(now, s) / set.SlowStartDuration.Seconds() * 0.01
 			}
-			bears += brim * all[0].capacityOf(t0, all[0].servers[0])
+			bears += fillHigh * all[0].capacityOf(t0, all[0].servers[0])
 		}
 		if sent < 0.7*max(allowed, bears) || sent > allowed+bears {
 			t.Errorf("%d proxies sent %.1f; the first window allows %.1f, and it bears %.1f at once", proxies, sent,
@@ -666,33 +668,33 @@
 func TestEffects(t *testing.T) {
 	tests := []struct {
 		name    string
-		effect  Effect
+		effect  Idempotency
 		scope   Scope
 		result  Result
 		resend  bool
 		refused bool // how it ends if no try is left
 	}{
-		{"safe after time-out", Safe, ScopeAll, Timeout, true, true},
-		{"keyed, all, after time-out", Keyed, ScopeAll, Timeout, true, true},
-		{"keyed, zone, after time-out", Keyed, ScopeZone, Timeout, true, false},
-		{"keyed, cell, after error", Keyed, ScopeCell, Error, true, false},
-		{"keyed, cell, after full", Keyed, ScopeCell, Full, true, true},
-		{"unsafe after time-out", Unsafe, ScopeAll, Timeout, false, false},
-		{"unsafe after reset", Unsafe, ScopeAll, Reset, false, false},
-		{"unsafe after cancelled", Unsafe, ScopeAll, Cancelled, false, false},
-		{"unsafe after full", Unsafe, ScopeAll, Full, true, true},
-		{"unsafe after connect failed", Unsafe, ScopeAll, ConnectFailed, true, true},
+		{"safe after time-out", Idempotent, ScopeAll, Timeout, true, true},
+		{"keyed, all, after time-out", IdempotencyKey, ScopeAll, Timeout, true, true},
+		{"keyed, zone, after time-out", IdempotencyKey, ScopeZone, Timeout, true, false},
+		{"keyed, cell, after error", IdempotencyKey, ScopeCell, Error, true, false},
+		{"keyed, cell, after full", IdempotencyKey, ScopeCell, Full, true, true},
+		{"unsafe after time-out", NonIdempotent, ScopeAll, Timeout, false, false},
+		{"unsafe after reset", NonIdempotent, ScopeAll, Reset, false, false},
+		{"unsafe after cancelled", NonIdempotent, ScopeAll, Cancelled, false, false},
+		{"unsafe after full", NonIdempotent, ScopeAll, Full, true, true},
+		{"unsafe after connect failed", NonIdempotent, ScopeAll, ConnectFailed, true, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			set := settings()
 			set.Zones = 2
-			set.Classes[0].Effect, set.Classes[0].Scope = tt.effect, tt.scope
+			set.Classes[0].Idempotency, set.Classes[0].Scope = tt.effect, tt.scope
 			g := newRig(set, fleet(20, 2))
 			id := g.ask(Request{Load: 0.1})
 			first := g.byID[g.where(id)].Server
-			g.Outcome(g.now, Outcome{ID: id, Server: first.ID, Result: tt.result, Report: NoReport})
-			g.daring = 1 // the storm guard is not what is tested
+			g.AttemptEnded(g.now, Outcome{ID: id, Server: first.ID, Result: tt.result, Report: NoReport})
+			g.admissionRate = 1 // the storm guard is not what is tested
 			g.answer()
 			g.fire(400 * ms)
 			if resent := len(g.sends) > 1; resent != tt.resend {
@@ -701,14 +703,14 @@
 			ran := tt.result != Full && tt.result != ConnectFailed
 			for range 10 {
 				at := g.byID[g.where(id)].Server
-				if ran && tt.effect == Keyed && (tt.scope == ScopeZone && at.Zone != first.Zone ||
+				if ran && tt.effect == IdempotencyKey && (tt.scope == ScopeZone && at.Zone != first.Zone ||
 					tt.scope == ScopeCell && at.Cell != first.Cell) {
 					t.Fatalf("sent to zone %d cell %d after zone %d cell %d", at.Zone, at.Cell, first.Zone, first.Cell)
 				}
 				if g.ends[id] != "" {
 					break
 				}
-				g.Outcome(g.now, Outcome{ID: id, Try: g.requests[id].tries - 1, Server: at.ID, Result: tt.result, Report: NoReport})
+				g.AttemptEnded(g.now, Outcome{ID: id, Attempt: g.requests[id].attempts - 1, Server: at.ID, Result: tt.result, Report: NoReport})
 				g.answer()
 				g.fire(1900 * ms)
 			}
@@ -725,12 +727,12 @@
 	for result, wait := range map[Result]bool{Timeout: true, Error: true, Full: false, ConnectFailed: false} {
 		g := newRig(settings(), fleet(10, 1))
 		id := g.ask(Request{Load: 0.1})
-		g.Outcome(g.now, Outcome{ID: id, Server: g.where(id), Result: result, Report: NoReport})
+		g.AttemptEnded(g.now, Outcome{ID: id, Server: g.where(id), Result: result, Report: NoReport})
 		g.answer()
 		if waited := len(g.sends) == 1; waited != wait {
 			t.Errorf("result %d: waited %v, want %v", result, waited, wait)
 		}
-		g.daring = 1 // TestDaring tests that
+		g.admissionRate = 1 // TestDaring tests that
 		if g.fire(400 * ms); len(g.sends) != 2 {
 			t.Errorf("result %d: %d attempts after the wait", result, len(g.sends))
 		}
@@ -750,9 +752,9 @@
 			}
 			sent++
 			if result == OK {
-				g.First(g.now, id)
+				g.Established(g.now, id)
 			}
-			g.Outcome(g.now, Outcome{ID: id, Server: g.where(id), Result: result, Closed: result == OK, Report: NoReport})
+			g.AttemptEnded(g.now, Outcome{ID: id, Server: g.where(id), Result: result, Final: result == OK, Report: NoReport})
 			g.answer()
 			g.fire(10 * time.Second)
 		}
@@ -783,10 +785,10 @@
 		t.Run(how.name, func(t *testing.T) {
 			g := newRig(settings(), fleet(2, 1))
 			for id := range RequestID(6) {
-				g.Existing(g.now, Request{ID: 100 + id, Load: 0.1}, fleet(2, 1)[id%2].ID)
+				g.AddExisting(g.now, Request{ID: 100 + id, Load: 0.1}, fleet(2, 1)[id%2].ID)
 			}
 			for range 2 {
-				g.Members(g.now, how.kind, how.list(fleet(2, 1)))
+				g.UpdateServers(g.now, how.kind, how.list(fleet(2, 1)))
 			}
 			if len(g.moves) != 3 || g.moves[0]%2 != 0 || g.moves[1]%2 != 0 || g.moves[2]%2 != 0 {
 				t.Errorf("moved %v", g.moves)
@@ -801,19 +803,19 @@
 	g := newRig(settings(), fleet(4, 1))
 	s := g.servers[0]
 	for id := range RequestID(40) {
-		g.Existing(g.now, Request{ID: 100 + id, Load: 0.1}, s.ID)
+		g.AddExisting(g.now, Request{ID: 100 + id, Load: 0.1}, s.ID)
 	}
 	report := Report{Connections: 40, Load: 2, Util: -1, Backlog: 0.05}
-	if g.Probed(g.now, s.ID, OK, report); len(g.moves) != 0 {
+	if g.ProbeResult(g.now, s.ID, OK, report); len(g.moves) != 0 {
 		t.Fatalf("moved %d with little piled up", len(g.moves))
 	}
 	report.Backlog = 0.5
-	g.Probed(g.now, s.ID, OK, report)
+	g.ProbeResult(g.now, s.ID, OK, report)
 	moved := len(g.moves)
 	if moved == 0 || moved == 40 {
 		t.Fatalf("moved %d of 40", moved)
 	}
-	if g.Probed(g.now, s.ID, OK, report); len(g.moves) != moved {
+	if g.ProbeResult(g.now, s.ID, OK, report); len(g.moves) != moved {
 		t.Error("moved more before the relief can show")
 	}
 }
@@ -824,10 +826,10 @@
 	g := newRig(settings(), fleet(2, 1))
 	full, free := g.servers[0], g.servers[1]
 	for id := range RequestID(30) {
-		g.Existing(g.now, Request{ID: 100 + id, Load: 0.1}, full.ID)
+		g.AddExisting(g.now, Request{ID: 100 + id, Load: 0.1}, full.ID)
 	}
-	g.Probed(g.now, free.ID, OK, Report{Connections: 30, Load: 0.5, Util: -1, Backlog: 0})
-	g.Probed(g.now, full.ID, OK, Report{Connections: 30, Load: 0.3, Util: -1, Backlog: 1.5})
+	g.ProbeResult(g.now, free.ID, OK, Report{Connections: 30, Load: 0.5, Util: -1, Backlog: 0})
+	g.ProbeResult(g.now, full.ID, OK, Report{Connections: 30, Load: 0.3, Util: -1, Backlog: 1.5})
 	if len(g.moves) == 0 || len(g.moves) == 30 {
 		t.Errorf("moved %d of 30", len(g.moves))
 	}
@@ -838,7 +840,7 @@
 			if g.probes[0] == full.ID {
 				again.Load, again.Backlog = 0.3, 1.5
 			}
-			g.Probed(g.now, g.probes[0], OK, again)
+			g.ProbeResult(g.now, g.probes[0], OK, again)
 		}
 	}
 	for _, s := range g.sends {
@@ -854,11 +856,11 @@
 // TestWindow: a keyed request is not sent again once the servers may have forgotten it.
 func TestWindow(t *testing.T) {
 	set := settings()
-	set.Classes[0].Effect, set.Classes[0].Window = Keyed, 100*ms
+	set.Classes[0].Idempotency, set.Classes[0].DedupWindow = IdempotencyKey, 100*ms
 	g := newRig(set, fleet(10, 1))
 	id := g.ask(Request{Load: 0.1})
 	g.now += 150 * ms
-	g.Outcome(g.now, Outcome{ID: id, Server: g.where(id), Result: Timeout, Report: NoReport})
+	g.AttemptEnded(g.now, Outcome{ID: id, Server: g.where(id), Result: Timeout, Report: NoReport})
 	g.answer()
 	g.fire(100 * ms)
 	if len(g.sends) != 1 {
@@ -875,10 +877,10 @@
 		t.Fatalf("at the deadline: %q", g.ends[id])
 	}
 	sends := len(g.sends)
-	g.Outcome(g.now+2*time.Second, Outcome{ID: id, Server: g.where(id), Result: Cancelled, Closed: true, Report: NoReport})
-	g.Outcome(g.now+2*time.Second, Outcome{ID: id, Server: g.where(id), Result: Cancelled, Closed: true, Report: NoReport})
+	g.AttemptEnded(g.now+2*time.Second, Outcome{ID: id, Server: g.where(id), Result: Cancelled, Final: true, Report: NoReport})
+	g.AttemptEnded(g.now+2*time.Second, Outcome{ID: id, Server: g.where(id), Result: Cancelled, Final: true, Report: NoReport})
 	g.fire(time.Hour)
-	g.Ended(g.now, id)
+	g.RequestEnded(g.now, id)
 	if g.ends[id] != "refused" || len(g.sends) != sends || len(g.requests) != 0 {
 		t.Errorf("after the end: %q, %d requests kept", g.ends[id], len(g.requests))
 	}
@@ -900,19 +902,19 @@
 func TestHealth(t *testing.T) {
 	g := newRig(settings(), fleet(6, 1))
 	s := g.servers[0]
-	g.fail(g.now, s)
-	if s.bad {
+	g.recordFailure(g.now, s)
+	if s.ejected {
 		t.Error("one failure condemned the server")
 	}
 	if len(g.probes) != 1 || g.probes[0] != s.ID {
 		t.Errorf("after one failure probed %v", g.probes)
 	}
-	g.Probed(g.now, s.ID, Timeout, NoReport)
-	if !s.bad || s.until <= g.now {
+	g.ProbeResult(g.now, s.ID, Timeout, NoReport)
+	if !s.ejected || s.retryAt <= g.now {
 		t.Error("two failures in a row did not condemn the server")
 	}
-	g.Probed(g.now, s.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
-	if s.bad {
+	g.ProbeResult(g.now, s.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
+	if s.ejected {
 		t.Error("a probe that was answered did not bring it back")
 	}
 }
@@ -923,12 +925,12 @@
 	set.Zones = 2
 	g := newRig(set, fleet(20, 2))
 	for _, s := range g.servers {
-		if n := g.zones[s.Zone].fails; n < failsZone {
-			g.fail(g.now, s)
+		if n := g.zones[s.Zone].failures; n < zoneFailureThreshold {
+			g.recordFailure(g.now, s)
 		}
 	}
-	if !g.zones[1].bad || g.zones[0].bad {
-		t.Errorf("other zone condemned: %v, own zone: %v", g.zones[1].bad, g.zones[0].bad)
+	if !g.zones[1].ejected || g.zones[0].ejected {
+		t.Errorf("other zone condemned: %v, own zone: %v", g.zones[1].ejected, g.zones[0].ejected)
 	}
 }
 
@@ -936,8 +938,8 @@
 func TestDoubtsTheView(t *testing.T) {
 	g := newRig(settings(), fleet(6, 1))
 	for _, s := range g.servers {
-		g.fail(g.now, s)
-		g.fail(g.now, s)
+		g.recordFailure(g.now, s)
+		g.recordFailure(g.now, s)
 	}
 	id := RequestID(1)
 	g.Request(g.now, Request{ID: id, Deadline: g.now + 2*time.Second})
@@ -946,7 +948,7 @@
 		due := g.timers
 		g.timers = nil
 		for _, t := range due {
-			if t.token&tokenMask == tokenWait {
+			if t.token&tokenMask == tokenRetry {
 				g.Balancer.Timer(g.now, t.token)
 			}
 		}
@@ -964,9 +966,9 @@
 		g.now += time.Minute
 		id := g.ask(Request{Tenant: 0})
 		s := g.byID[g.where(id)]
-		s.fulls = 2 * i
-		g.Outcome(g.now, Outcome{ID: id, Server: s.ID, Result: Full, Report: NoReport})
-		if pause := s.until - g.now; pause <= last {
+		s.consecutiveFull = 2 * i
+		g.AttemptEnded(g.now, Outcome{ID: id, Server: s.ID, Result: Full, Report: NoReport})
+		if pause := s.retryAt - g.now; pause <= last {
 			t.Errorf("pause %v after %v", pause, last)
 		} else {
 			last = pause
@@ -983,10 +985,10 @@
 		g := newRig(settings(), fleet(4, 1))
 		s := g.servers[0]
 		for id := range RequestID(40) {
-			g.Existing(g.now, Request{ID: 100 + id, Load: 0.1}, s.ID)
+			g.AddExisting(g.now, Request{ID: 100 + id, Load: 0.1}, s.ID)
 		}
-		g.take(g.now, s, Report{Connections: 40, Load: tt.load, Util: -1})
-		g.Slow(g.now, 100, 90*ms)
+		g.applyReport(g.now, s, Report{Connections: 40, Load: tt.load, Util: -1})
+		g.ObserveLatency(g.now, 100, 90*ms)
 		if got := len(g.moves) > 0; got != tt.moves {
 			t.Errorf("load %v: moved %d", tt.load, len(g.moves))
 		}
@@ -1003,10 +1005,10 @@
 	g := newRig(set, fleet(4, 1))
 	s := g.servers[0]
 	for id := range RequestID(80) {
-		g.Existing(g.now, Request{ID: 100 + id, Load: 0.1, Tenant: int(id % 2)}, s.ID)
+		g.AddExisting(g.now, Request{ID: 100 + id, Load: 0.1, Tenant: int(id % 2)}, s.ID)
 	}
-	g.take(g.now, s, Report{Connections: 80, Load: 1.1, Util: -1})
-	g.relieve(g.now, s)
+	g.applyReport(g.now, s, Report{Connections: 80, Load: 1.1, Util: -1})
+	g.migrateExcess(g.now, s)
 	count := [2]int{}
 	for _, id := range g.moves {
 		count[id%2]++
@@ -1020,9 +1022,9 @@
 func sites() map[string]Settings {
 	both := settings()
 	both.Classes = append(both.Classes, both.Classes[0])
-	both.Classes[0].Worth, both.Classes[1].Worth = 2, 1
+	both.Classes[0].PriorityWeight, both.Classes[1].PriorityWeight = 2, 1
 	wide := both
-	wide.Balancers, wide.FallFor, wide.Groups, wide.Zones = 4, time.Second, true, 4
+	wide.Balancers, wide.OverloadWindow, wide.Groups, wide.Zones = 4, time.Second, true, 4
 	return map[string]Settings{"few": both, "zones and groups": wide}
 }
 
@@ -1045,11 +1047,11 @@
 				g := newRig(set, fleet(4, 1))
 				s := g.servers[0]
 				for id := range RequestID(60) { // the second class is five times as heavy
-					g.Existing(g.now, Request{ID: 100 + id, Class: int(id % 2), Load: 0.1 + 0.4*float64(id%2)}, s.ID)
+					g.AddExisting(g.now, Request{ID: 100 + id, Class: int(id % 2), Load: 0.1 + 0.4*float64(id%2)}, s.ID)
 				}
 				for _, load := range tt.loads {
 					g.now += time.Second
-					g.Probed(g.now, s.ID, OK, Report{Connections: 60, Load: load, Util: -1, Backlog: -1})
+					g.ProbeResult(g.now, s.ID, OK, Report{Connections: 60, Load: load, Util: -1, Backlog: -1})
 				}
 				gone, dear := 0.0, 0
 				for _, id := range g.moves {
@@ -1079,8 +1081,8 @@
 		for i, s := range g.servers {
 			g.load[s.ID], g.count[s.ID] = tt.load, 1000
 			for class, load := range []float64{0.1, 0.5} {
-				g.Existing(g.now, Request{ID: RequestID(500 + 2*i + class), Class: class}, s.ID)
-				g.Balancer.Load(g.now, RequestID(500+2*i+class), load)
+				g.AddExisting(g.now, Request{ID: RequestID(500 + 2*i + class), Class: class}, s.ID)
+				g.Balancer.UpdateLoad(g.now, RequestID(500+2*i+class), load)
 			}
 		}
 		id := g.ask(Request{Class: tt.class, Load: []float64{0.1, 0.5}[tt.class]})
@@ -1104,10 +1106,10 @@
 		for result, want := range map[Result]int{Timeout: 5, ConnectFailed: 0, Reset: 0, Error: 0, Full: 0} {
 			g := newRig(set, fleet(4, 1))
 			for id := range RequestID(5) {
-				g.Existing(g.now, Request{ID: 100 + id, Load: 0.1}, g.servers[0].ID)
+				g.AddExisting(g.now, Request{ID: 100 + id, Load: 0.1}, g.servers[0].ID)
 			}
-			for n := range failsServer {
-				if g.Probed(g.now, g.servers[0].ID, result, NoReport); n == 0 && len(g.moves) > 0 {
+			for n := range serverFailureThreshold {
+				if g.ProbeResult(g.now, g.servers[0].ID, result, NoReport); n == 0 && len(g.moves) > 0 {
 					t.Errorf("%s, %v: moved %d for one", name, result, len(g.moves))
 				}
 			}
@@ -1129,12 +1131,12 @@
 	}{"none tell": {-1, true}, "the other holds as many": {30, true}, "the other is drained": {15, false}} {
 		g := newRig(set, fleet(2, 1))
 		for id := range RequestID(30) {
-			g.Existing(g.now, Request{ID: 100 + id, Load: 0.1}, g.servers[id%2].ID)
+			g.AddExisting(g.now, Request{ID: 100 + id, Load: 0.1}, g.servers[id%2].ID)
 		}
 		for _, s := range g.servers {
-			g.Probed(g.now, s.ID, OK, Report{Connections: c.reported, Load: 0.5, Util: -1, Backlog: -1})
+			g.ProbeResult(g.now, s.ID, OK, Report{Connections: c.reported, Load: 0.5, Util: -1, Backlog: -1})
 		}
-		if g.overShare(0) != c.over {
+		if g.overQuota(0) != c.over {
 			t.Errorf("%s: over its share %v", name, !c.over)
 		}
 	}
@@ -1147,17 +1149,17 @@
 		g := newRig(settings(), fleet(4, 1))
 		for round := range 20 {
 			for _, s := range g.servers[:most] {
-				s.until, s.bad = 0, false
+				s.retryAt, s.ejected = 0, false
 				q := Request{ID: RequestID(100 + 4*round), Deadline: g.now + time.Second, Load: 0.01}
 				q.ID += RequestID(s.ID) % 4 * 1000
-				g.admit(g.now, q)
+				g.newRequest(g.now, q)
 				r := g.requests[q.ID]
 				g.send(g.now, r, s, false)
-				g.Outcome(g.now, Outcome{ID: q.ID, Server: s.ID, Result: Error, Report: NoReport})
+				g.AttemptEnded(g.now, Outcome{ID: q.ID, Server: s.ID, Result: Error, Report: NoReport})
 			}
 		}
-		if got := g.daring < 0.5; got != want {
-			t.Errorf("%d of 4 fail: sends %v of its requests", most, g.daring)
+		if got := g.admissionRate < 0.5; got != want {
+			t.Errorf("%d of 4 fail: sends %v of its requests", most, g.admissionRate)
 		}
 	}
 }
@@ -1171,11 +1173,11 @@
 		t.Fatalf("asked %d times at once, %d timers", g.watch, len(g.timers))
 	}
 	g.fire(10 * time.Second)
-	g.Balancer.Timer(g.now, tokenWatch)
+	g.Balancer.Timer(g.now, tokenPoll)
 	if g.watch != 1 {
 		t.Fatalf("asked %d times, want once", g.watch)
 	}
-	g.Members(g.now, ListFailed, nil)
+	g.UpdateServers(g.now, ListFailed, nil)
 	if len(g.servers) != 4 {
 		t.Error("a failed call emptied the list")
 	}
@@ -1197,9 +1199,9 @@
 		price float64
 		can   bool
 		most  float64
-	}{{"priced", 0.002, true, 4}, {"dear", 0.01, true, 1}, {"free", 0, true, probeMost + 1}, {"forbidden", 0, false, 0}} {
+	}{{"priced", 0.002, true, 4}, {"dear", 0.01, true, 1}, {"free", 0, true, maxProbes + 1}, {"forbidden", 0, false, 0}} {
 		set := settings()
-		set.PriceProbe, set.CanProbe = tt.price, tt.can
+		set.ProbePrice, set.CanProbe = tt.price, tt.can
 		g := newRig(set, fleet(100, 1))
 		for i := range 200 {
 			g.now += 300 * ms
@@ -1236,8 +1238,8 @@
 func TestBadSettings(t *testing.T) {
 	absurd := settings()
 	absurd.Balancers, absurd.Zone, absurd.Zones, absurd.MaxAttempts = -3, 900, -1, -1
-	absurd.ColdFrom, absurd.FallMultiple, absurd.PriceProbe = -1, 0, -5
-	absurd.Classes[0].Aim = -time.Hour
+	absurd.SlowStartMinCapacity, absurd.OverloadFactor, absurd.ProbePrice = -1, 0, -5
+	absurd.Classes[0].LatencyObjective = -time.Hour
 	for _, set := range []Settings{{}, absurd} {
 		g := newRig(set, fleet(4, 1))
 		g.ask(Request{Load: math.Inf(1)})
@@ -1255,15 +1257,15 @@
 // TestStaleIDs: unknown and finished ids, and events out of order, are harmless.
 func TestStaleIDs(t *testing.T) {
 	g := newRig(settings(), fleet(3, 1))
-	g.First(g.now, 5)
-	g.Ended(g.now, 5)
-	g.Load(g.now, 5, 1)
-	g.Slow(g.now, 5, time.Second)
-	g.Outcome(g.now, Outcome{ID: 5, Server: 4, Try: 9, Report: NoReport})
-	g.Probed(g.now, 4, Error, NoReport)
-	g.Existing(g.now, Request{ID: 6}, 4)
+	g.Established(g.now, 5)
+	g.RequestEnded(g.now, 5)
+	g.UpdateLoad(g.now, 5, 1)
+	g.ObserveLatency(g.now, 5, time.Second)
+	g.AttemptEnded(g.now, Outcome{ID: 5, Server: 4, Attempt: 9, Report: NoReport})
+	g.ProbeResult(g.now, 4, Error, NoReport)
+	g.AddExisting(g.now, Request{ID: 6}, 4)
 	g.Balancer.Timer(g.now, tokenDeadline|5)
-	g.Balancer.Timer(g.now, tokenWait|5)
+	g.Balancer.Timer(g.now, tokenRetry|5)
 	g.Balancer.Timer(g.now, ^uint64(0))
 	if len(g.sends) != 0 || len(g.ends) != 0 {
 		t.Errorf("acted on stale ids: %v", g.log)
@@ -1325,27 +1327,27 @@
 	g := newRig(settings(), fleet(1, 1))
 	id := fleet(1, 1)[0].ID
 	s := g.byID[id]
-	connections := func() float64 { return g.capacityOf(g.now, s) / g.unit() }
-	g.Existing(g.now, Request{ID: 900}, id)
+	connections := func() float64 { return g.capacityOf(g.now, s) / g.unitLoad() }
+	g.AddExisting(g.now, Request{ID: 900}, id)
 	g.load[id], g.count[id] = 0.5, 20
 	report := Report{Connections: 20, Load: 0.5, Util: -1}
 	for range 40 {
-		g.Probed(g.now, id, OK, report)
+		g.ProbeResult(g.now, id, OK, report)
 	}
 	if n := connections(); n < 38 || n > 42 {
 		t.Fatalf("capacity %.1f connections where 20 make a load of 0.5", n)
 	}
-	g.Balancer.Load(g.now, 900, 0.04)
+	g.Balancer.UpdateLoad(g.now, 900, 0.04)
 	for range 3 {
 		g.ask(Request{Load: -1})
 	}
-	if n := connections(); n < 38 || n > 42 || g.unit() > 0.05 {
-		t.Errorf("capacity %.1f connections of %.2f each, once loads of 0.04 are known", n, g.unit())
+	if n := connections(); n < 38 || n > 42 || g.unitLoad() > 0.05 {
+		t.Errorf("capacity %.1f connections of %.2f each, once loads of 0.04 are known", n, g.unitLoad())
 	}
 	// What ends frees what it was last said to weigh, not what was guessed when it came.
-	s.recent = nil
+	s.pendingPlacements = nil
 	before := g.usedOf(g.now, s)
-	g.Outcome(g.now, Outcome{ID: 900, Server: id, Result: OK, Closed: true, Report: NoReport})
+	g.AttemptEnded(g.now, Outcome{ID: 900, Server: id, Result: OK, Final: true, Report: NoReport})
 	if freed := before - g.usedOf(g.now, s); freed < 0.039 || freed > 0.041 {
 		t.Errorf("a connection of 0.04 freed %.3f", freed)
 	}
@@ -1356,23 +1358,23 @@
 func TestLook(t *testing.T) {
 	g := newRig(settings(), fleet(3, 1))
 	s := g.servers[1]
-	g.Existing(g.now, Request{ID: 900, Load: 0.1}, s.ID)
+	g.AddExisting(g.now, Request{ID: 900, Load: 0.1}, s.ID)
 	g.load[s.ID] = 0.5
 	for n := range 3 {
-		g.now += 2 * g.lag()
+		g.now += 2 * g.reportLag()
 		g.probes = nil
-		g.Balancer.Timer(g.now, tokenLook)
+		g.Balancer.Timer(g.now, tokenHealthCheck)
 		if len(g.probes) != 1 || g.probes[0] != s.ID {
 			t.Fatalf("look %d probed %v, want the server with the connection alone", n, g.probes)
 		}
 		g.answer()
 	}
-	if last := g.timers[len(g.timers)-1]; last.token != tokenLook || last.delay < g.lag()/2 {
+	if last := g.timers[len(g.timers)-1]; last.token != tokenHealthCheck || last.delay < g.reportLag()/2 {
 		t.Errorf("the next look: %+v", last)
 	}
-	g.now += 2 * g.lag()
-	g.tokens = 0.5
-	if g.Balancer.Timer(g.now, tokenLook); len(g.probes) != 0 {
+	g.now += 2 * g.reportLag()
+	g.probeTokens = 0.5
+	if g.Balancer.Timer(g.now, tokenHealthCheck); len(g.probes) != 0 {
 		t.Errorf("probed %v beyond the budget", g.probes)
 	}
 }
@@ -1383,31 +1385,31 @@
 func TestFailuresStay(t *testing.T) {
 	g := newRig(settings(), fleet(1, 1))
 	s := g.servers[0]
-	for range failsServer {
-		g.fail(g.now, s)
+	for range serverFailureThreshold {
+		g.recordFailure(g.now, s)
 	}
-	until := s.until
+	until := s.retryAt
 	for range 5 {
-		g.fail(g.now, s)
+		g.recordFailure(g.now, s)
 	}
 	g.probes, s.probing = nil, false
-	g.look(g.now)
-	if !s.bad || s.until != until || s.fails != failsServer || len(g.probes) != 0 {
-		t.Fatalf("bad %v, %d failures, pause moved by %v, probed %v", s.bad, s.fails, s.until-until, g.probes)
+	g.checkHealth(g.now)
+	if !s.ejected || s.retryAt != until || s.failures != serverFailureThreshold || len(g.probes) != 0 {
+		t.Fatalf("bad %v, %d failures, pause moved by %v, probed %v", s.ejected, s.failures, s.retryAt-until, g.probes)
 	}
 	g.now = until
-	g.Probed(g.now, s.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
-	if s.bad {
+	g.ProbeResult(g.now, s.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
+	if s.ejected {
 		t.Fatal("it answered, and is not back")
 	}
-	if g.fail(g.now, s); !s.bad {
+	if g.recordFailure(g.now, s); !s.ejected {
 		t.Fatal("it fails on, and is not condemned")
 	}
-	g.now = s.until
-	g.Probed(g.now, s.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
+	g.now = s.retryAt
+	g.ProbeResult(g.now, s.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
 	id := g.ask(Request{Load: 0.1})
-	g.First(g.now, id)
-	if g.fail(g.now, s); s.bad {
+	g.Established(g.now, id)
+	if g.recordFailure(g.now, s); s.ejected {
 		t.Error("condemned for one failure after a connection stood")
 	}
 }
@@ -1419,10 +1421,10 @@
 	set.Subscribe, set.CanProbe = true, false // no timers for probes
 	g := newRig(set, fleet(2, 1))
 	for range 40 {
-		if wait := g.timers[len(g.timers)-1].delay; wait > set.AskWithin/5 {
+		if wait := g.timers[len(g.timers)-1].delay; wait > set.MaxPollInterval/5 {
 			t.Fatalf("asks again after %v", wait)
 		}
-		g.Members(g.now, ListFailed, nil)
+		g.UpdateServers(g.now, ListFailed, nil)
 	}
 }
 
@@ -1439,11 +1441,11 @@
 		b.Start()
 		first = max(first, rec.timers[0].delay)
 		for range 5 {
-			b.Members(t0, ListFailed, nil)
+			b.UpdateServers(t0, ListFailed, nil)
 		}
 		last = max(last, rec.timers[len(rec.timers)-1].delay)
 	}
-	if first < 2*time.Second || first > 3*time.Second || last < 8*time.Second || last > set.AskWithin {
+	if first < 2*time.Second || first > 3*time.Second || last < 8*time.Second || last > set.MaxPollInterval {
 		t.Errorf("the first calls come within %v, repeated ones within %v", first, last)
 	}
 }
