--- a/internal/fleet/canary.go
+++ b/internal/fleet/canary.go
@@ -49,11 +49,11 @@
 }
 
 // gateOnCanary withholds a release's grants while its canary is not over and the release has members in the arm; grants of a rollback are
-// never withheld. A release whose canary went back is rolled back too.
+// never held back. A release whose canary went back is rolled back too.
 func (s *Service) gateOnCanary(plan []rollout.Command) (gated []rollout.Command) {
 	s.record.mu.RLock()
 	defer s.record.mu.RUnlock()
-	withheld := map[string]bool{}
+	gatedReleases := map[string]bool{}
 	for _, c := range s.record.canary.Canaries() {
 		r, ok := s.record.rollout.Release(c.Release)
 		switch {
@@ -61,18 +61,18 @@
 		case c.Status == canary.RolledBack && (r.State == rollout.ReleaseHalted || r.State == rollout.ReleaseRunning):
 			gated = append(gated, rollout.Command{Kind: rollout.CommandRollBack, Name: r.Name, Requester: "canary", Reason: c.Reason})
 		case c.Status != canary.Completed && slices.ContainsFunc(r.Units, func(u rollout.Unit) bool { return u.Phase != rollout.PhasePending }):
-			withheld[c.Release] = true
+			gatedReleases[c.Release] = true
 		}
 	}
-	return append(gated, dropGrants(plan, func(g rollout.Grant) bool { return withheld[g.Release] })...)
+	return append(gated, dropGrants(plan, func(g rollout.Grant) bool { return gatedReleases[g.Release] })...)
 }
 
-// dropGrants returns a plan without the grants for which withheld says so, and without steps that are left with none.
-func dropGrants(plan []rollout.Command, withheld func(rollout.Grant) bool) (rest []rollout.Command) {
+// dropGrants returns a plan without the grants for which drop says so, and without steps that are left with none.
+func dropGrants(plan []rollout.Command, drop func(rollout.Grant) bool) (rest []rollout.Command) {
 	for _, c := range plan {
 		if c.Kind == rollout.CommandStep {
 			planned := len(c.Grants)
-			c.Grants = slices.DeleteFunc(slices.Clone(c.Grants), withheld)
+			c.Grants = slices.DeleteFunc(slices.Clone(c.Grants), drop)
 			if planned > 0 && len(c.Grants) == 0 {
 				continue
 			}
--- a/internal/fleet/list_tracker.go
+++ b/internal/fleet/list_tracker.go
@@ -27,14 +27,14 @@
 
 // relayList is what is known of one relay's endpoint list.
 type relayList struct {
-	generation     uint64 // as last reported; 0 never
-	fell           bool   // the generation went down, at fellAt, and has not caught up
-	fellAt         int64
-	stale          bool   // discovery has restarted and this list has not followed: it is ignored until it changes
-	claimed        uint64 // reported at claimedAt, beyond newest, which has not reached it since; 0 none
-	claimedAt      int64
-	claimUnmatched bool // and that for more than the lag
-	resetMonitor   bool // the drift monitor's state of the item is void
+	generation   uint64 // as last reported; 0 never
+	fell         bool   // the generation went down, at fellAt, and has not caught up
+	fellAt       int64
+	stale        bool   // discovery has restarted and this list has not followed: it is ignored until it changes
+	ahead        uint64 // reported at aheadSince, beyond newest, which has not reached it since; 0 none
+	aheadSince   int64
+	aheadTooLong bool // and that for more than the lag
+	resetMonitor bool // the drift monitor's state of the item is void
 }
 
 // observe takes a relay's reported generation. A relay whose generation falls is not taken for outdated at once, as discovery may have
@@ -73,7 +73,7 @@
 	if 2*fell > live && now-t.startedAt >= maxListLagMS { // earlier, too few relays have reported to be a majority
 		*t = listTracker{startedAt: t.startedAt, rotatedAt: now, restarted: true}
 		for _, r := range f.relays {
-			r.list.stale, r.list.fell, r.list.claimed = !r.list.fell, false, 0
+			r.list.stale, r.list.fell, r.list.ahead = !r.list.fell, false, 0
 		}
 	}
 	first, second := f.newestGenerations(now)
@@ -100,33 +100,35 @@
 	return first, second
 }
 
+// silent tells whether the relay has not reported for the silence timeout.
 func (r *relayStatus) silent(now int64) bool {
 	return now-r.receivedAt > silenceTimeout.Milliseconds()
 }
 
-// expectedList is the list that a relay should have: its own while that is new enough and not unmatched.
+// expectedList is the list that a relay should have: its own while that is new enough, and not too far ahead for too long.
 func (f *fleetStatus) expectedList(now int64, l *relayList) drift.Item {
 	newest, floor := f.lists.newest, min(f.lists.floor, f.lists.newest)
 	switch {
 	case l.generation <= newest, l.stale:
-		l.claimed = 0
-	case l.claimed == 0 || newest >= l.claimed:
-		l.claimed, l.claimedAt = l.generation, now
+		l.ahead = 0
+	case l.ahead == 0 || newest >= l.ahead:
+		l.ahead, l.aheadSince = l.generation, now
 	}
 	if l.fell && floor > 0 && l.generation >= floor {
 		l.fell = false
 	}
-	unmatched := l.claimed > 0 && newest > 0 && now-l.claimedAt > maxListLagMS
+	tooLong := l.ahead > 0 && newest > 0 && now-l.aheadSince > maxListLagMS
 	// Its own generation was the expected one until now. That must not make it look outdated.
-	l.resetMonitor = l.resetMonitor || unmatched && !l.claimUnmatched
-	l.claimUnmatched = unmatched
+	l.resetMonitor = l.resetMonitor || tooLong && !l.aheadTooLong
+	l.aheadTooLong = tooLong
 	outdated := l.generation < floor && !(l.fell && now-l.fellAt < listRestartGraceMS)
-	if unmatched || l.stale || outdated {
+	if tooLong || l.stale || outdated {
 		return listDriftItem(newest)
 	}
 	return listDriftItem(l.generation)
 }
 
+// listDriftItem is the drift item of a generation of the endpoint list.
 func listDriftItem(generation uint64) drift.Item {
 	return drift.Item{Name: drift.ItemEndpointList, Version: generation, Digest: digestOf([]string{strconv.FormatUint(generation, 10)})}
 }
--- /dev/null
+++ b/internal/fleet/model_test.go
@@ -0,0 +1,655 @@
+package fleet
+
+import (
+	"cmp"
+	"encoding/json"
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"os"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"dahliarudder/internal/canary"
+	"dahliarudder/internal/drift"
+	"dahliarudder/internal/rollout"
+)
+
+// seedCount is how many seeds a test runs: few in CI, or as many as FLEET_SEEDS says.
+func seedCount(few uint64) uint64 {
+	if n, err := strconv.ParseUint(os.Getenv("FLEET_SEEDS"), 10, 64); err == nil {
+		return n
+	}
+	return few
+}
+
+// model is a fleet in virtual time, without sockets: relays with a record, an event loop and a reporter each, one of them the leader; reports
+// and replies are delayed and get lost. Any drift that is found and was not planted is a false finding.
+type model struct {
+	t                 testing.TB
+	rng               *rand.Rand
+	now               int64
+	log               [][]byte
+	relays            []*modelRelay
+	messages          map[int64][]func()
+	leader            *modelRelay
+	leaderSince       int64
+	controller        *controller
+	leaderState       ObservedState
+	view              rollout.View
+	budgets           rollout.Budgets
+	quarantineDrifted bool
+	listGeneration    uint64
+	discoveryEpoch    int                    // restarts of discovery
+	plantedDrift      map[string]drift.State // by relay and item
+	foundDrift        map[string]bool
+	falseFindings     []string
+	blockedRounds     int // rounds in which drift blocked releases
+}
+
+type modelRelay struct {
+	name, program, config  string
+	incarnation            uint64
+	restartsAt             int64 // the relay is down until then; 0: it is up
+	record                 *Record
+	appliedCommands        int
+	reporter               *statusReporter
+	observed               ObservedState
+	overriddenSections     map[string]string // sections changed locally
+	stuckItems             map[string]bool   // items that its event loop does not apply
+	rejectsConfig, leaving bool              // new configurations; by order of the record
+	listDelayMS            int64             // until it receives a new list
+}
+
+func newModel(t testing.TB, seed uint64, n int) *model {
+	c := Config{Listen: "127.0.0.1:1", APIListen: "127.0.0.1:2", Voters: map[string]string{"n0": "127.0.0.1:1"}}
+	c.Disruption.Relays.Total = "2"
+	if err := c.Check("", n, 0); err != nil {
+		t.Fatal(err)
+	}
+	m := &model{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: 1_700_000_000_000, messages: map[int64][]func(){}, listGeneration: 500, plantedDrift: map[string]drift.State{},
+		foundDrift: map[string]bool{}, budgets: c.Budgets()}
+	for i := range n {
+		r := &modelRelay{name: fmt.Sprintf("n%d", i), program: "p1", config: "c1", record: NewRecord(), overriddenSections: map[string]string{}, stuckItems: map[string]bool{}}
+		m.relays = append(m.relays, r)
+		m.start(r)
+	}
+	m.elect(m.relays[0])
+	return m
+}
+
+func (m *model) start(r *modelRelay) {
+	r.incarnation++
+	r.restartsAt, r.leaving, r.observed = 0, false, ObservedState{Phase: "serving", ListGeneration: m.listGeneration}
+	r.reporter = newStatusReporter(&Options{Name: r.name, Incarnation: r.incarnation, Program: r.program, ConfigDigest: r.config})
+	m.applyRecord(r)
+}
+
+func (m *model) elect(r *modelRelay) {
+	m.catchUp(r, len(m.log))
+	m.leader, m.leaderSince, m.controller = r, m.now, newController(r.record)
+}
+
+func (m *model) after(late int64, do func()) {
+	when := m.now + max(late/100*100, 100)
+	m.messages[when] = append(m.messages[when], do)
+}
+
+func (m *model) catchUp(r *modelRelay, to int) {
+	for ; r.appliedCommands < to; r.appliedCommands++ {
+		r.record.Apply(uint64(r.appliedCommands), m.log[r.appliedCommands])
+	}
+	if r.restartsAt == 0 {
+		m.applyRecord(r)
+	}
+}
+
+// applyRecord is the event loop: it applies the record, except for stuckItems.
+func (m *model) applyRecord(r *modelRelay) {
+	before := r.observed
+	r.record.read(func(s *rollout.State, h recordItems) {
+		o := s.Orders(r.name)
+		ejected, draining := splitExclusions(o.Exclusions)
+		r.observed.AppliedExclusions = slices.DeleteFunc(append(ejected, draining...), func(n string) bool {
+			return r.stuckItems[drift.ItemEjections] && slices.Contains(ejected, n) || r.stuckItems[drift.ItemDrains] && slices.Contains(draining, n)
+		})
+		r.observed.AppliedVersion, r.observed.PermitsVersion, r.observed.CanaryVersion, r.observed.QuarantineOrder = s.Version(), permitsVersion(h), h.CanaryWeights.Version, 0
+		if r.stuckItems[drift.ItemPermits] {
+			r.observed.PermitsVersion = max(before.PermitsVersion, 1)
+		}
+		if r.stuckItems[drift.ItemCanaryWeights] {
+			r.observed.CanaryVersion = before.CanaryVersion
+		}
+		if o.Quarantine != nil && o.Quarantine.StartNumber >= r.incarnation {
+			r.observed.QuarantineOrder = o.Quarantine.Number
+		}
+		if !r.leaving {
+			r.observed.Phase = map[bool]string{false: "serving", true: "draining"}[r.observed.QuarantineOrder != 0]
+		}
+		if o.Leave != nil && o.Leave.StartNumber >= r.incarnation && !r.leaving {
+			r.leaving, r.observed.Phase = true, "leaving"
+			m.after(3000, func() {
+				r.restartsAt, r.program = m.now+2000+m.rng.Int64N(9000), cmp.Or(o.Leave.Program, r.program)
+				if !r.rejectsConfig {
+					r.config = cmp.Or(o.Leave.Config, r.config)
+				}
+			})
+		}
+	})
+}
+
+func (m *model) commit(part string, body []byte) (a rollout.Result) {
+	text, _ := json.Marshal(command{part, m.now, m.leader.name, body})
+	m.log = append(m.log, text)
+	n := len(m.log)
+	for _, r := range m.relays {
+		if r != m.leader {
+			m.after(m.rng.Int64N(400), func() { m.catchUp(r, n) })
+		}
+	}
+	m.catchUp(m.leader, n-1)
+	json.Unmarshal(m.leader.record.Apply(uint64(n), text), &a)
+	m.leader.appliedCommands = n
+	m.applyRecord(m.leader)
+	return a
+}
+
+func (m *model) propose(c rollout.Command) {
+	if a := m.commit(partRollout, c.Encode()); a.Error != "" {
+		m.t.Fatal(a.Error)
+	}
+}
+
+func (m *model) openRelease(name string, w rollout.ReleaseSpec) {
+	m.propose(rollout.Command{Kind: rollout.CommandOpen, Name: name, Release: &w})
+}
+
+func (m *model) releaseState(name string) rollout.ReleaseState {
+	a, _ := m.leader.record.rollout.Release(name)
+	return a.State
+}
+
+// sendReport sends a relay's report, and the reply to it.
+func (m *model) sendReport(r *modelRelay) {
+	l, voters := r.observed, drift.Item{Name: drift.ItemVoters, Version: 7, Digest: 1}
+	l.ConfigSections = map[string]string{"settings": r.config + "s", "limits": r.config + "l"}
+	maps.Copy(l.ConfigSections, r.overriddenSections)
+	if r.rejectsConfig {
+		l.RejectedItems = map[string]string{"config.settings": "no such key"}
+	}
+	if r.stuckItems[drift.ItemVoters] {
+		voters.Version = 3
+	}
+	text, _ := json.Marshal(r.reporter.buildReport(m.now, l, r.record, voters))
+	h, start := m.controller, r.incarnation
+	m.send(func() {
+		w, err := decodeStatusReport(text)
+		if err != nil {
+			m.t.Fatal(err)
+		}
+		if h != m.controller {
+			return
+		}
+		answer := h.receive(m.now, r.name, w)
+		m.checkFindings()
+		m.send(func() {
+			if a, err := drift.DecodeReply(answer); err == nil && r.incarnation == start && r.restartsAt == 0 && len(r.reporter.driftReporter.HandleReply(a)) > 0 {
+				m.applyRecord(r)
+			}
+		})
+	})
+}
+
+// send delivers a report or a reply; one in twenty is lost.
+func (m *model) send(arrive func()) {
+	if m.rng.Float64() >= 0.05 {
+		m.after(m.rng.Int64N(300), arrive)
+	}
+}
+
+func (m *model) controlRound() {
+	m.leaderState = ObservedState{Members: []MemberState{{Name: "m1", DiscoveryState: "ready", Capacity: 9}, {Name: "m2", DiscoveryState: "ready", Capacity: 9}}}
+	for _, r := range m.relays {
+		m.leaderState.Peers = append(m.leaderState.Peers, Peer{Name: r.name, Alive: r.restartsAt == 0, Gone: r.restartsAt != 0, Serving: r.observed.Phase == "serving", Incarnation: r.incarnation})
+	}
+	m.view = m.controller.fleet.buildView(m.now, m.leaderSince, m.budgets.FlowHoldMS, m.leader.name, m.leaderState, slowStart{})
+	m.controller.voters = drift.Item{Name: drift.ItemVoters, Version: 7, Digest: 1}
+	m.controller.evaluateDrift(m.now, &m.view)
+	if m.quarantineDrifted {
+		m.controller.markUnfit(&m.view)
+	}
+	m.checkFindings()
+	if m.view.Drift != "" {
+		m.blockedRounds++
+	}
+	intents := m.controller.planIntent(m.now, &m.view)
+	if m.now-m.leaderSince < silenceTimeout.Milliseconds() {
+		return
+	}
+	for _, c := range intents {
+		body, _ := json.Marshal(c)
+		m.commit(partIntent, body)
+	}
+	for _, c := range m.controller.dropBlockedGrants(m.leader.record.rollout.Plan(m.now, m.view, m.budgets)) {
+		if m.commit(partRollout, c.Encode()).Error != "" {
+			return
+		}
+	}
+}
+
+// checkFindings compares the findings with the planted drift.
+func (m *model) checkFindings() {
+	for _, r := range m.controller.driftMonitor.Findings() {
+		key := r.Relay + " " + r.Agreed.Name
+		if r.State < drift.Lagging || r.State == drift.Unknown {
+			continue
+		}
+		if want, ok := m.plantedDrift[key]; !ok {
+			m.falseFindings = append(m.falseFindings, fmt.Sprintf("%d: %s %v, %s", m.now-1_700_000_000_000, key, r.State, r.Reason))
+		} else if want == r.State {
+			m.foundDrift[key] = true
+		}
+	}
+}
+
+// run lets time pass until done, or for ms.
+func (m *model) run(ms int64, done func() bool) bool {
+	for end := m.now + ms; m.now < end; {
+		m.now += 100
+		due := m.messages[m.now]
+		delete(m.messages, m.now)
+		for _, do := range due {
+			do()
+		}
+		for i, r := range m.relays {
+			switch {
+			case r.restartsAt != 0 && m.now >= r.restartsAt:
+				m.start(r)
+			case r.restartsAt == 0 && (m.now+int64(i)*300)%1000 == 0:
+				m.sendReport(r)
+			}
+		}
+		if m.now%200 == 0 {
+			m.controlRound()
+		}
+		if done != nil && done() {
+			return true
+		}
+	}
+	return false
+}
+
+// publishList delivers a new list to all relays that are not stuck, one after another. Generation 3 stands for a restart of discovery.
+func (m *model) publishList(gen uint64) {
+	if m.listGeneration = gen; gen == 3 {
+		m.discoveryEpoch++
+	}
+	epoch := m.discoveryEpoch
+	for _, r := range m.relays {
+		late := r.listDelayMS + m.rng.Int64N(1500)
+		if gen == 3 { // relays reconnect one by one
+			late *= 6
+		}
+		m.after(late, func() {
+			if !r.stuckItems[drift.ItemEndpointList] && epoch == m.discoveryEpoch && (r.observed.ListGeneration < gen || gen == 3) {
+				r.observed.ListGeneration = gen
+			}
+		})
+	}
+}
+
+func (m *model) requireNoFalseFindings(what string) {
+	m.t.Helper()
+	if len(m.falseFindings) > 0 {
+		m.t.Fatalf("%s: %d false findings, first: %s", what, len(m.falseFindings), m.falseFindings[0])
+	}
+}
+
+// settledModel runs until there is a baseline of intent, and the drift monitor has learned a little of how fast the fleet applies changes.
+func settledModel(t *testing.T, seed uint64, n int) *model {
+	t.Helper()
+	m := newModel(t, seed, n)
+	if !m.run(20_000, func() bool { return len(m.leader.record.intent.Items) == 3 }) {
+		t.Fatalf("no baseline: %+v", m.leader.record.intent)
+	}
+	m.run(20_000, nil)
+	m.requireNoFalseFindings("at the start")
+	return m
+}
+
+// TestModelPlanted: drift of each kind is found at the leader, although another relay becomes leader three seconds after the drift began, and is
+// cleared once it is repaired. Guards against an item that relays do not report, that the leader does not expect, or that a new leader accepts.
+func TestModelPlanted(t *testing.T) {
+	eject := func(m *model) { m.propose(rollout.Command{Kind: rollout.CommandEject, Names: []string{"m1"}}) }
+	for _, k := range []struct {
+		item  string
+		state drift.State
+		plant func(m *model, r *modelRelay)
+	}{
+		{drift.ItemProgram, drift.Ahead, func(m *model, r *modelRelay) { r.program = "other"; m.start(r) }},
+		{drift.ItemProgram, drift.Lagging, func(m *model, r *modelRelay) { // it went back
+			for _, x := range m.relays {
+				x.program = map[bool]string{false: "p2", true: "p1"}[x == r]
+				m.start(x)
+			}
+			m.commit(partIntent, []byte(`{"do":"adopt","who":"ann","items":{"program":"p2"}}`))
+		}},
+		{"config.limits", drift.Ahead, func(m *model, r *modelRelay) { r.overriddenSections["limits"] = "mine" }},
+		{"config.settings", drift.Rejected, func(m *model, r *modelRelay) {
+			for _, x := range m.relays {
+				x.overriddenSections["settings"] = "new"
+			}
+			r.overriddenSections, r.rejectsConfig = map[string]string{}, true
+			m.commit(partIntent, []byte(`{"do":"adopt","who":"ann","items":{"config.settings":"new"}}`))
+		}},
+		{drift.ItemEndpointList, drift.Lagging, func(m *model, r *modelRelay) {
+			r.stuckItems[drift.ItemEndpointList] = true
+			m.publishList(m.listGeneration + 1)
+		}},
+		{drift.ItemEjections, drift.Lagging, func(m *model, r *modelRelay) { r.stuckItems[drift.ItemEjections] = true; eject(m) }},
+		{drift.ItemEjections, drift.Overridden, func(m *model, r *modelRelay) { r.observed.LocalEjections = []string{"m2"} }},
+		{drift.ItemDrains, drift.Lagging, func(m *model, r *modelRelay) {
+			r.stuckItems[drift.ItemDrains] = true
+			m.openRelease("d", rollout.ReleaseSpec{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}})
+		}},
+		{drift.ItemCanaryWeights, drift.Lagging, func(m *model, r *modelRelay) {
+			r.stuckItems[drift.ItemCanaryWeights] = true
+			m.commit(partCanary, canary.Command{Op: canary.OpOpen, Release: "c", Spec: &canary.Spec{Release: "c", Salt: 5, Steps: []int{10}, MinAttempts: 9, MaxStepMS: 9e8,
+				FalsePositiveRate: 0.1, Guardrails: []canary.Guardrail{{Metric: canary.Failures, MarginPerMille: 10}}, Target: canary.Selector{Members: []string{"m1"}}}}.Encode())
+			if m.leader.record.canary.Version() == 0 {
+				m.t.Fatal("no canary")
+			}
+		}},
+		{drift.ItemPermits, drift.Lagging, func(m *model, r *modelRelay) {
+			r.stuckItems[drift.ItemPermits] = true
+			m.propose(rollout.Command{Kind: rollout.CommandRequestPermit, TargetKind: rollout.KindMember, Name: "m1", Requester: "ann", DurationMS: 600_000})
+			m.run(1000, nil)
+			m.propose(rollout.Command{Kind: rollout.CommandBeginPermit, PermitNumber: m.leader.record.rollout.Permits()[0].Number})
+		}},
+		{drift.ItemVoters, drift.Lagging, func(m *model, r *modelRelay) { r.stuckItems[drift.ItemVoters] = true }},
+	} {
+		t.Run(k.item+" "+k.state.String(), func(t *testing.T) {
+			t.Parallel()
+			for seed := range seedCount(3) {
+				m := settledModel(t, seed, 5)
+				r := m.relays[3]
+				key := r.name + " " + k.item
+				m.plantedDrift[key] = k.state
+				k.plant(m, r)
+				m.run(3000, nil)
+				m.elect(m.relays[1])
+				clear(m.foundDrift)
+				from := m.now
+				found := m.run(180_000, func() bool { return m.foundDrift[key] })
+				m.requireNoFalseFindings("planted")
+				if !found {
+					t.Fatalf("seed %d: not found; %+v", seed, m.controller.driftMonitor.Findings())
+				}
+				t.Logf("found %.1f s after the new leader", float64(m.now-from)/1000)
+				r.overriddenSections, r.stuckItems, r.rejectsConfig, r.program = maps.Clone(m.relays[0].overriddenSections), map[string]bool{}, false, m.relays[0].program
+				m.start(r)
+				if !m.run(120_000, func() bool {
+					return m.controller.driftMonitor.FullyInSync(r.name) && m.controller.driftMonitor.StateOf(r.name, k.item) == drift.InSync
+				}) {
+					t.Fatalf("seed %d: repaired, yet %+v", seed, m.controller.driftMonitor.Findings())
+				}
+				delete(m.plantedDrift, key)
+				m.run(20_000, nil)
+				m.requireNoFalseFindings("repaired")
+			}
+		})
+	}
+}
+
+// TestModelRelease: releases of program and configuration, of all relays and of some, completed and rolled back, under two leaders and with a
+// list that changes twice a second, cause no finding and are not blocked; then intent has the new values for the relays that run them. A relay
+// that rejects the configuration it was restarted for is found. Guards against a release that is taken for drift.
+func TestModelRelease(t *testing.T) {
+	for seed := range seedCount(3) {
+		m := settledModel(t, seed, 6)
+		m.blockedRounds = 0
+		part := []string{"n0", "n1", "n2"}
+		rest := []string{"n3", "n4", "n5"}
+		through := func(name string, state rollout.ReleaseState, first, last, next string) {
+			from := m.now
+			ended := m.run(300_000, func() bool {
+				if m.now%500 == 0 {
+					m.publishList(m.listGeneration + 1)
+				}
+				switch m.now - from {
+				case 12_000, 72_000: // it is halted half way for long
+					m.commit(partRollout, rollout.Command{Kind: []rollout.CommandKind{rollout.CommandHalt, rollout.CommandResume}[(m.now-from)/72_000], Name: name}.Encode())
+				case 15_000:
+					m.elect(m.relays[(m.listGeneration+seed)%3])
+				}
+				return m.releaseState(name) == state
+			})
+			m.run(15_000, nil)
+			m.requireNoFalseFindings(name)
+			for relay, want := range map[string]string{"n0": first, "n5": last, "one that comes": next} {
+				program, _ := m.leader.record.intent.valueFor(relay, drift.ItemProgram)
+				limits, _ := m.leader.record.intent.valueFor(relay, "config.limits")
+				if got := program.Value + " " + limits.Value; !ended || got != want || m.blockedRounds > 0 {
+					t.Fatalf("seed %d: %s is %s, %d looks held up; %s: %s, not %s", seed, name, m.releaseState(name), m.blockedRounds, relay, got, want)
+				}
+			}
+		}
+		m.openRelease("all", rollout.ReleaseSpec{Kind: rollout.KindRelay, All: true, Program: "p2", Config: "c2"})
+		through("all", rollout.ReleaseCompleted, "p2 c2l", "p2 c2l", "p2 c2l")
+		m.propose(rollout.Command{Kind: rollout.CommandRollBack, Name: "all"})
+		through("all", rollout.ReleaseRolledBack, "p1 c1l", "p1 c1l", "p1 c1l")
+		m.openRelease("part", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: part, Program: "p3", Config: "c3"})
+		through("part", rollout.ReleaseCompleted, "p3 c3l", "p1 c1l", "p1 c1l")
+		m.propose(rollout.Command{Kind: rollout.CommandRollBack, Name: "part"})
+		through("part", rollout.ReleaseRolledBack, "p1 c1l", "p1 c1l", "p1 c1l")
+		m.openRelease("again", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: part, Program: "p3", Config: "c3"})
+		through("again", rollout.ReleaseCompleted, "p3 c3l", "p1 c1l", "p1 c1l")
+		if r := NewRecord(); r.Restore(1, m.leader.record.Snapshot()) != nil || string(r.Snapshot()) != string(m.leader.record.Snapshot()) || len(r.intent.PerRelay) != 3 {
+			t.Fatalf("a snapshot loses some: %+v", r.intent)
+		}
+		m.openRelease("rest", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: rest, Program: "p3", Config: "c3"})
+		through("rest", rollout.ReleaseCompleted, "p3 c3l", "p3 c3l", "p3 c3l")
+		if len(m.leader.record.intent.PerRelay) > 0 {
+			t.Fatalf("%+v", m.leader.record.intent)
+		}
+		m.relays[5].rejectsConfig, m.plantedDrift["n5 config.settings"] = true, drift.Rejected
+		m.openRelease("bad", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: rest, Config: "c4"})
+		if m.run(60_000, func() bool { return len(m.foundDrift) > 0 }); len(m.foundDrift) == 0 {
+			t.Fatalf("seed %d: %+v", seed, m.controller.driftMonitor.Findings())
+		}
+		m.requireNoFalseFindings("refused")
+	}
+	if r := NewRecord(); r.Restore(1, []byte(`{"held":{},"rollout":{},"canary":{}}`)) != nil || len(r.intent.Items) > 0 {
+		t.Fatal("a snapshot of before there was intent")
+	}
+}
+
+// TestModelRepairs: a relay whose list is stuck blocks a drain of members, and not the release that restarts it.
+func TestModelRepairs(t *testing.T) {
+	m := settledModel(t, 1, 5)
+	r := m.relays[3]
+	m.plantedDrift["n3 list"] = drift.Lagging
+	r.stuckItems[drift.ItemEndpointList] = true
+	m.publishList(m.listGeneration + 1)
+	if !m.run(180_000, func() bool { return m.foundDrift["n3 list"] }) {
+		t.Fatal("not found")
+	}
+	m.openRelease("drain", rollout.ReleaseSpec{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}})
+	m.run(5000, nil)
+	m.openRelease("repair", rollout.ReleaseSpec{Kind: rollout.KindRelay, All: true})
+	// A relay that was told to leave no longer counts.
+	out := func() bool { return len(m.leader.record.rollout.Orders("").Exclusions) > 0 }
+	early := false
+	ended := m.run(300_000, func() bool {
+		r.stuckItems[drift.ItemEndpointList] = r.incarnation == 1
+		early = early || out() && r.incarnation == 1 && m.leader.record.rollout.Orders(r.name).Leave == nil
+		return m.releaseState("repair") == rollout.ReleaseCompleted
+	})
+	if !ended || early || !m.run(60_000, out) {
+		t.Fatalf("%s, drained early %v, %+v", m.releaseState("repair"), early, m.controller.driftMonitor.Findings())
+	}
+	m.requireNoFalseFindings("repaired")
+}
+
+// TestModelLists: discovery restarts at a lower generation, and two relays do not notice; one relay alone reports a high generation; one is
+// always three seconds behind lists that change each second. The first two and the one ahead are found under any leader, and no other.
+func TestModelLists(t *testing.T) {
+	for seed := range seedCount(3) {
+		m := settledModel(t, seed, 7)
+		churn := func(s int) {
+			for range s {
+				m.publishList(m.listGeneration + 1)
+				m.run(1000, nil)
+			}
+		}
+		churn(20)
+		stuck := func(on bool) {
+			for _, r := range m.relays[4:6] {
+				r.stuckItems[drift.ItemEndpointList], m.plantedDrift[r.name+" list"] = on, drift.Lagging
+			}
+		}
+		stuck(true)
+		m.publishList(3)
+		m.run(9000, nil)
+		churn(40)
+		if m.requireNoFalseFindings("restarted"); len(m.foundDrift) != 2 {
+			t.Fatalf("%+v, %+v", m.foundDrift, m.controller.driftMonitor.Findings())
+		}
+		clear(m.foundDrift)
+		m.elect(m.relays[2])
+		churn(60)
+		if m.requireNoFalseFindings("restarted, another leader"); len(m.foundDrift) != 2 {
+			t.Fatalf("%+v, %+v", m.foundDrift, m.controller.driftMonitor.Findings())
+		}
+		stuck(false)
+		m.relays[4].observed.ListGeneration, m.relays[5].observed.ListGeneration = m.listGeneration, m.listGeneration
+		churn(40)
+		clear(m.plantedDrift)
+		clear(m.foundDrift)
+		m.plantedDrift["n4 list"] = drift.Ahead
+		m.relays[4].stuckItems[drift.ItemEndpointList], m.relays[4].observed.ListGeneration = true, 1<<60
+		m.relays[3].listDelayMS = 3000
+		churn(400)
+		if m.requireNoFalseFindings("a high generation"); !m.foundDrift["n4 list"] || m.controller.driftMonitor.LagBound(drift.ItemPermits) < 15_000 { // lists are no measure of how long a permit takes
+			t.Fatalf("%+v, %d", m.controller.driftMonitor.Findings(), m.controller.driftMonitor.LagBound(drift.ItemPermits))
+		}
+		if m.controller.markUnfit(&m.view); len(m.view.Unfit) > 0 {
+			t.Fatalf("%v would be quarantined", m.view.Unfit)
+		}
+	}
+}
+
+// TestModelBaseline: what only half of the relays run does not become intent; what more run does, after a while, and the others drift. A single
+// relay's configuration becomes intent once an operator says so.
+func TestModelBaseline(t *testing.T) {
+	m := newModel(t, 1, 6)
+	for i := range 3 {
+		m.relays[i].overriddenSections["limits"], m.relays[i].program = "x", fmt.Sprint("q", i)
+		m.start(m.relays[i])
+	}
+	m.run(30_000, nil)
+	if in := m.leader.record.intent; len(in.Items) != 1 || in.Items["config.settings"][0].Value != "c1s" {
+		t.Fatalf("%+v", in)
+	}
+	delete(m.relays[2].overriddenSections, "limits")
+	m.plantedDrift["n0 config.limits"], m.plantedDrift["n1 config.limits"] = drift.Ahead, drift.Ahead
+	if !m.run(120_000, func() bool { return len(m.foundDrift) == 2 }) {
+		t.Fatalf("%+v", m.controller.driftMonitor.Findings())
+	}
+	c, err := m.controller.intentFromRelay("n1", "config.limits", "ann")
+	if err != nil {
+		t.Fatal(err)
+	}
+	body, _ := json.Marshal(c)
+	m.commit(partIntent, body)
+	for _, r := range m.relays {
+		r.overriddenSections["limits"] = "x"
+	}
+	if !m.run(60_000, func() bool {
+		return m.controller.driftMonitor.FullyInSync("n0") && m.controller.driftMonitor.FullyInSync("n5")
+	}) {
+		t.Fatalf("%+v", m.controller.driftMonitor.Findings())
+	}
+	m.requireNoFalseFindings("by an operator")
+	if a := m.commit(partIntent, []byte(`{"do":"adopt","items":{"config.limits":"y"}}`)); a.Error != "" || m.leader.record.intent.Items["config.limits"][0].Value != "x" {
+		t.Fatal("a late command of the controller changed what was agreed")
+	}
+	for _, bad := range []string{`{"do":"adopt","items":{"bans":"y"}}`, `{"do":"x"}`, `{"do":"adopt","items":{"program":"` + strings.Repeat("y", 200) + `"}}`,
+		`{"do":"adopt","release":"none"}`, `[`} {
+		if a := m.commit(partIntent, []byte(bad)); a.Error == "" {
+			t.Error("accepted:", bad)
+		}
+	}
+}
+
+// TestModelQuarantine: half of the fleet drifts, and two relays may be out. There are never more, under two leaders and while a release restarts
+// all of them, which repairs them; a repaired relay takes clients again, and all do once the setting is off.
+func TestModelQuarantine(t *testing.T) {
+	for seed := range seedCount(4) {
+		m := settledModel(t, seed, 8)
+		m.quarantineDrifted = true
+		most, first := 0, ""
+		out := func() (n int) {
+			for _, r := range m.relays {
+				if r.observed.Phase != "serving" || r.restartsAt != 0 {
+					n++
+				}
+				if r.restartsAt != 0 || r.name == first { // its host restores the file
+					r.overriddenSections = map[string]string{}
+				}
+			}
+			most = max(most, n)
+			return n
+		}
+		until := func(what string, ms int64, done func() bool) {
+			if !m.run(ms, done) {
+				t.Fatalf("seed %d: not %s: out %d, %+v, %+v, %s", seed, what, out(), m.leader.record.rollout.Quarantines(), m.controller.driftMonitor.Findings(), m.view.Drift)
+			}
+		}
+		for _, r := range m.relays[4:] {
+			m.plantedDrift[r.name+" config.limits"] = drift.Ahead
+			r.overriddenSections["limits"] = "mine"
+		}
+		until("quarantined", 120_000, func() bool { return out() == 2 })
+		m.elect(m.relays[1])
+		if m.run(90_000, func() bool { return out() < 2 }) {
+			t.Fatalf("seed %d: a new leader readmits them: %+v", seed, m.view.Unfit)
+		}
+		first = m.leader.record.rollout.Quarantines()[0].Name
+		until("the next in its place", 120_000, func() bool {
+			all := m.leader.record.rollout.Quarantines()
+			return out() == 2 && len(all) == 2 && all[0].Name != first && all[1].Name != first
+		})
+		m.openRelease("repair", rollout.ReleaseSpec{Kind: rollout.KindRelay, All: true})
+		until("repaired", 600_000, func() bool { return out() >= 0 && m.releaseState("repair") == rollout.ReleaseCompleted })
+		until("readmitted", 60_000, func() bool { return out() == 0 })
+		first = ""
+		m.relays[5].overriddenSections["limits"] = "mine"
+		until("quarantined again", 120_000, func() bool { return out() == 1 })
+		m.openRelease("drain", rollout.ReleaseSpec{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}}) // which a relay in quarantine does not block
+		until("drained", 10_000, func() bool { return len(m.leader.record.rollout.Orders("").Exclusions) > 0 })
+		m.quarantineDrifted = false
+		until("readmitted without the setting", 60_000, func() bool { return out() == 0 })
+		if m.requireNoFalseFindings("quarantine"); most > 2 {
+			t.Fatalf("seed %d: %d were out", seed, most)
+		}
+	}
+}
+
+// BenchmarkEvaluateDrift evaluates 300 relays with ten sections each, which the leader does five times a second.
+func BenchmarkEvaluateDrift(b *testing.B) {
+	m := newModel(b, 1, 300)
+	for _, r := range m.relays {
+		for i := range 8 {
+			r.overriddenSections[fmt.Sprint("section", i)] = "1f2e3d4c"
+		}
+	}
+	m.run(20_000, nil)
+	text, _ := json.Marshal(m.controller.fleet.relays["n7"].statusReport)
+	b.ReportMetric(float64(len(text)), "bytes/report")
+	for b.Loop() {
+		m.controller.evaluateDrift(m.now, &m.view)
+	}
+}
--- a/internal/fleet/fleet_status_test.go
+++ b/internal/fleet/view_test.go
@@ -15,11 +15,11 @@
 	return rollout.Member{}
 }
 
-// TestView: what many relays said becomes one view. A member that was just started bears little although nobody has learned its capacity; flows
-// count while a relay names them; failures of long ago are forgotten; a word of an earlier process, or one that was overtaken, changes
-// nothing; a relay serves in full only if others see this very process serve.
-func TestView(t *testing.T) {
-	s, cold := newFleetStatus(), slowStart{0.25, 8000}
+// TestBuildView: many relays' reports become one view. A member that has just started has little usable capacity, although none has been
+// reported yet; flows count while a relay reports them; old failures are forgotten; a report of an earlier process, or one that was overtaken,
+// changes nothing; a relay is in service only if gossip sees this very process serve.
+func TestBuildView(t *testing.T) {
+	s, warmup := newFleetStatus(), slowStart{0.25, 8000}
 	const now = 1_000_000
 	own := ObservedState{Members: []MemberState{{Name: "old", DiscoveryState: "ready", Capacity: 40}, {Name: "new", DiscoveryState: "ready", StartedAt: now - 4000}},
 		Peers: []Peer{{Name: "b", Alive: true, Serving: true, Incarnation: 70}, {Name: "c", Gone: true, Incarnation: 5}}}
@@ -31,14 +31,14 @@
 	s.receive(now-2000, "b", of(71, 30, 5, 6))
 	s.receive(now-1500, "b", of(70, 90, 90, 90)) // an earlier process
 	s.receive(now-1400, "b", of(71, 25, 5, 90))  // overtaken
-	v := s.buildView(now, now-9000, 8000, "a", own, cold)
+	v := s.buildView(now, now-9000, 8000, "a", own, warmup)
 	if m := member(v, "new"); m.Capacity != 40 || m.UsableCapacity != 25 {
-		t.Errorf("a cold member bears %v of %v", m.UsableCapacity, m.Capacity)
+		t.Errorf("a member that is warming up has %v of %v", m.UsableCapacity, m.Capacity)
 	}
 	if m := member(v, "old"); m.FlowsByRelay["a"].Flows != 3 || m.FlowsByRelay["b"].Flows != 6 || !m.Failing || m.UsableCapacity != 40 || v.Load != 9 {
 		t.Errorf("%+v, load %v", m, v.Load)
 	}
-	if m := member(s.buildView(now+attemptWindowMS, now-9000, 8000, "a", own, cold), "old"); m.Failing {
+	if m := member(s.buildView(now+attemptWindowMS, now-9000, 8000, "a", own, warmup), "old"); m.Failing {
 		t.Error("failures of long ago count")
 	}
 	for _, r := range v.Relays {
@@ -47,17 +47,17 @@
 			t.Errorf("%+v", r)
 		}
 	}
-	later := s.buildView(now+60_000, now-9000, 8000, "a", own, cold).Relays
+	later := s.buildView(now+60_000, now-9000, 8000, "a", own, warmup).Relays
 	if later[0].ReportAgeMS != 63_000 || later[1].ReportAgeMS != 8000 || later[2].ReportAgeMS != 69_000 {
-		t.Errorf("not heard for %d, %d (peers hear it), %d (never)", later[0].ReportAgeMS, later[1].ReportAgeMS, later[2].ReportAgeMS)
+		t.Errorf("silent for %d, %d (alive by gossip), %d (never)", later[0].ReportAgeMS, later[1].ReportAgeMS, later[2].ReportAgeMS)
 	}
 	own.Peers[0].Incarnation = 71
-	if v := s.buildView(now, now-9000, 8000, "a", own, cold); !v.Relays[1].InService {
+	if v := s.buildView(now, now-9000, 8000, "a", own, warmup); !v.Relays[1].InService {
 		t.Errorf("%+v", v.Relays[1])
 	}
 	s.receive(now-1000, "a", of(50, 14, 0, 0))
-	if m := member(s.buildView(now, now-9000, 8000, "a", own, cold), "old"); len(m.FlowsByRelay) != 1 {
-		t.Errorf("held %v", m.FlowsByRelay)
+	if m := member(s.buildView(now, now-9000, 8000, "a", own, warmup), "old"); len(m.FlowsByRelay) != 1 {
+		t.Errorf("flows %v", m.FlowsByRelay)
 	}
 	if n := len(s.serviceWindows); n == 0 || s.serviceWindows[n-1].Served == 0 {
 		t.Errorf("windows %v", s.serviceWindows)
@@ -65,8 +65,8 @@
 	s.receive(now, "c", statusReport{Incarnation: 5, Members: []memberReport{{Name: "ended", Flows: 2}}})
 	for _, next := range []Peer{own.Peers[1], {Name: "c", Alive: true, Incarnation: 6}} {
 		own.Peers[1] = next
-		if m := member(s.buildView(now, now-9000, 8000, "a", own, cold), "ended"); m.Name != "" {
-			t.Errorf("what a process that has ended held keeps a member in the view: %+v", m)
+		if m := member(s.buildView(now, now-9000, 8000, "a", own, warmup), "ended"); m.Name != "" {
+			t.Errorf("flows of a process that has ended keep a member in the view: %+v", m)
 		}
 	}
 }
