--- a/internal/gossiptransport/peering_test.go
+++ b/internal/gossiptransport/service_test.go
@@ -36,7 +36,7 @@
 			Configured: n, Seed: uint64(i), WallClock: func() time.Time { return time.UnixMilli(1700000000000).Add(b.Loop.Now() + steps[i]) },
 			LocalStatus:  func() (gossip.Phase, uint64, uint64, uint64) { return gossip.Serving, 1, 0, 0 },
 			Observations: func() gossip.Digest { return gossip.Digest{} }, OnStaleList: func() {}, OnDivisorChange: func(float64) {}})
-		if s.sock == nil {
+		if s.socket == nil {
 			t.Fatal("no address")
 		}
 		known = []string{addr}
