--- a/policy/facade_test.go
+++ b/policy/facade_test.go
@@ -43,9 +43,9 @@
 	}
 }
 
-// TestRejectTellsWhen guards against clients that come again at once, all together, and again and again: a reject says when, not the same time
+// TestRejectRetryAfter guards against clients that come again at once, all together, and again and again: a reject says when, not the same time
 // to all, later the fewer are let in, and never later than clients heed.
-func TestRejectTellsWhen(t *testing.T) {
+func TestRejectRetryAfter(t *testing.T) {
 	set := settings()
 	f := NewFacade(t0, set, 7)
 	f.Observe(t0, ServerList{Kind: ListCached})
@@ -103,8 +103,8 @@
 	}
 }
 
-// TestOwnWant guards against blaming a server for a probe or an attempt that the relay could not even start.
-func TestOwnWant(t *testing.T) {
+// TestNotSentBlamesNobody guards against blaming a server for a probe or an attempt that the relay could not even start.
+func TestNotSentBlamesNobody(t *testing.T) {
 	for result, bad := range map[Result]bool{NotSent: false, Timeout: true} {
 		f := NewFacade(t0, settings(), 7)
 		f.Observe(t0, ServerList{Kind: ListCached, Servers: fleet(1, 1)})
@@ -170,9 +170,9 @@
 	}
 }
 
-// TestArms: whose group is drawn for an arm goes there and nobody else does; where the arm has no room, or is gone, limits and drains go before
+// TestCanaryGroup: whose group is drawn for an arm goes there and nobody else does; where the arm has no room, or is gone, limits and drains go before
 // its share, and what could not be kept is counted; with no weight nothing new goes there, however full the others are.
-func TestArms(t *testing.T) {
+func TestCanaryGroup(t *testing.T) {
 	set := settings()
 	set.Groups = true
 	f := NewFacade(t0, set, 7)
@@ -219,8 +219,8 @@
 	}
 }
 
-// TestUnsent: a send that was not carried out leaves nothing on its server. The request goes on if it may, and numbers go on.
-func TestUnsent(t *testing.T) {
+// TestSendSkipped: a send that was not carried out leaves nothing on its server. The request goes on if it may, and numbers go on.
+func TestSendSkipped(t *testing.T) {
 	for _, closed := range []bool{false, true} {
 		f := NewFacade(t0, settings(), 7)
 		f.Observe(t0, ServerList{Kind: ListCached, Servers: fleet(1, 1)})
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -143,10 +143,10 @@
 	return pairs, most, p.turned
 }
 
-// TestColdAtOnce guards against a cold server that stands idle while many proxies each have one request for it within
+// TestSlowStartAtOnce guards against a cold server that stands idle while many proxies each have one request for it within
 // half a second: together they send most of what it bears at once, and no more than that and the rate's budget. Any
 // of 300 proxies may want it, also one without a group on a site with groups; of a group only those of the few groups that it stands near in the order of, the largest too.
-func TestColdAtOnce(t *testing.T) {
+func TestSlowStartAtOnce(t *testing.T) {
 	const proxies, trials = 300, 20
 	set := settings()
 	set.Balancers, set.OverloadWindow, set.Groups = proxies, 3*time.Second, true
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -327,8 +327,8 @@
 	}
 }
 
-// TestOverShare: under pressure the tenant over its share is refused, the other is not.
-func TestOverShare(t *testing.T) {
+// TestOverQuota: under pressure the tenant over its share is refused, the other is not.
+func TestOverQuota(t *testing.T) {
 	set := settings()
 	set.Tenants = []Tenant{{Share: 0.5, Quota: 4}, {Share: 0.5, Quota: 100}}
 	set.ProbePrice = 0
@@ -397,9 +397,9 @@
 	return g.where(g.ask(q))
 }
 
-// TestGroupOpening guards against paying for a group everywhere: once its home is full it goes on to the next server in
+// TestGroupSpill guards against paying for a group everywhere: once its home is full it goes on to the next server in
 // its order that is empty enough for many of it, and is turned away where all others have room for a few only.
-func TestGroupOpening(t *testing.T) {
+func TestGroupSpill(t *testing.T) {
 	set := settings()
 	set.Groups = true
 	home := alone(set, Request{Group: 77, Load: 0.1})
@@ -446,9 +446,9 @@
 	}
 }
 
-// TestGroupOpeningCold guards against members that stay empty while they warm up: what counts is what a server will bear
+// TestGroupSpillSlowStart guards against members that stay empty while they warm up: what counts is what a server will bear
 // once it is warm, so a group is opened on a cold one that a warm one of that fill would not take.
-func TestGroupOpeningCold(t *testing.T) {
+func TestGroupSpillSlowStart(t *testing.T) {
 	set := settings()
 	set.Groups = true
 	for _, cold := range []bool{false, true} {
@@ -521,8 +521,8 @@
 	}
 }
 
-// TestColdStart guards rule 4: what a proxy sends to a cold server stays within its part of the fleet's budget.
-func TestColdStart(t *testing.T) {
+// TestSlowStart guards rule 4: what a proxy sends to a cold server stays within its part of the fleet's budget.
+func TestSlowStart(t *testing.T) {
 	set := settings()
 	set.Balancers = 50
 	list := fleet(6, 1)
@@ -551,9 +551,9 @@
 	}
 }
 
-// TestRelays: where eight of twelve proxies are known to be gone, the four that are left send a cold server what twelve might, and
+// TestActiveRelays: where eight of twelve proxies are known to be gone, the four that are left send a cold server what twelve might, and
 // still no more than the rule allows; a senseless number moves nothing.
-func TestRelays(t *testing.T) {
+func TestActiveRelays(t *testing.T) {
 	set := settings()
 	set.Balancers = 12
 	play := func(share float64) (sent float64) {
@@ -583,9 +583,9 @@
 	}
 }
 
-// TestGuessAsked: a proxy that has just started and gets many clients at once finds by the reports what members bear, beyond what the
+// TestLoadGuess: a proxy that has just started and gets many clients at once finds by the reports what members bear, beyond what the
 // first one with a single connection and some other load makes it believe.
-func TestGuessAsked(t *testing.T) {
+func TestLoadGuess(t *testing.T) {
 	for name, set := range sites() {
 		set.Zones, set.Groups = 1, true
 		g := newRig(set, fleet(2, 1))
@@ -603,14 +603,14 @@
 	}
 }
 
-// spendCold is what a send spends of a cold server's budget.
-func spendCold(s *server) {
+// spendSlowStart is what a send spends of a cold server's budget.
+func spendSlowStart(s *server) {
 	s.slowStartTokens, s.slowStartSent = s.slowStartTokens-1, s.slowStartSent+1
 }
 
-// TestColdBudget guards against cold servers that stand idle while others are pressed: over its warm-up one gets most
+// TestSlowStartBudget guards against cold servers that stand idle while others are pressed: over its warm-up one gets most
 // of what the rule allows at the least capacity it can have, and never all of it.
-func TestColdBudget(t *testing.T) {
+func TestSlowStartBudget(t *testing.T) {
 	set := settings()
 	g := newRig(set, fleet(1, 1))
 	s, now, r := g.servers[0], t0, &request{load: 1}
@@ -620,7 +620,7 @@
 		now += 10 * ms
 		allowed += set.OverloadFactor * g.capacityOf(now, s) / set.SlowStartDuration.Seconds() * 0.01
 		if g.slowStartAllows(now, r, s) {
-			spendCold(s)
+			spendSlowStart(s)
 			sent++
 		}
 	}
@@ -629,10 +629,10 @@
 	}
 }
 
-// TestColdFirstWindow guards against cold servers that come into use only as they are warm where each of many proxies
+// TestSlowStartFirstWindow guards against cold servers that come into use only as they are warm where each of many proxies
 // has few requests, and rule 4: on average all send most of what a window's budget allows in the first window, or of
 // what it bears at once if that is more, and no more than both.
-func TestColdFirstWindow(t *testing.T) {
+func TestSlowStartFirstWindow(t *testing.T) {
 	for _, proxies := range []int{4, 80} {
 		set := settings()
 		set.Balancers, set.OverloadWindow = proxies, 3*time.Second
@@ -650,7 +650,7 @@
 				g := all[rng.IntN(proxies)]
 				s := g.servers[0]
 				if g.slowStartAllows(now, &request{load: 1}, s) {
-					spendCold(s)
+					spendSlowStart(s)
 					sent++
 				}
 				allowed += set.OverloadFactor * g.capacityOf(now, s) / set.SlowStartDuration.Seconds() * 0.01
@@ -664,8 +664,8 @@
 	}
 }
 
-// TestEffects guards rule 2 for every effect and scope.
-func TestEffects(t *testing.T) {
+// TestIdempotency guards rule 2 for every effect and scope.
+func TestIdempotency(t *testing.T) {
 	tests := []struct {
 		name    string
 		effect  Idempotency
@@ -732,16 +732,16 @@
 		if waited := len(g.sends) == 1; waited != wait {
 			t.Errorf("result %d: waited %v, want %v", result, waited, wait)
 		}
-		g.admissionRate = 1 // TestDaring tests that
+		g.admissionRate = 1 // TestAdmissionRate tests that
 		if g.fire(400 * ms); len(g.sends) != 2 {
 			t.Errorf("result %d: %d attempts after the wait", result, len(g.sends))
 		}
 	}
 }
 
-// TestDaring guards against a session store kept down by tries: a proxy whose connections fail to be set up sends
+// TestAdmissionRate guards against a session store kept down by tries: a proxy whose connections fail to be set up sends
 // few of its requests, and all again once they succeed.
-func TestDaring(t *testing.T) {
+func TestAdmissionRate(t *testing.T) {
 	g := newRig(settings(), fleet(10, 1))
 	play := func(n int, result Result) (sent int) {
 		for range n {
@@ -820,9 +820,9 @@
 	}
 }
 
-// TestPiledUp guards against members on which every message waits: while work is piled up a server is neither sent
+// TestBacklogMigrates guards against members on which every message waits: while work is piled up a server is neither sent
 // to nor spared from relief, however little is asked of it now.
-func TestPiledUp(t *testing.T) {
+func TestBacklogMigrates(t *testing.T) {
 	g := newRig(settings(), fleet(2, 1))
 	full, free := g.servers[0], g.servers[1]
 	for id := range RequestID(30) {
@@ -934,8 +934,8 @@
 	}
 }
 
-// TestDoubtsTheView: where all servers look bad one is tried all the same.
-func TestDoubtsTheView(t *testing.T) {
+// TestLastResort: where all servers look bad one is tried all the same.
+func TestLastResort(t *testing.T) {
 	g := newRig(settings(), fleet(6, 1))
 	for _, s := range g.servers {
 		g.recordFailure(g.now, s)
@@ -958,8 +958,8 @@
 	}
 }
 
-// TestFullPause guards against an unlisted drainer: what answers full is left alone, longer each time.
-func TestFullPause(t *testing.T) {
+// TestFullBackoff guards against an unlisted drainer: what answers full is left alone, longer each time.
+func TestFullBackoff(t *testing.T) {
 	g := newRig(settings(), fleet(6, 1))
 	var last time.Duration
 	for i := range 3 {
@@ -976,8 +976,8 @@
 	}
 }
 
-// TestRelief: connections leave a server over its capacity, not one that only fills.
-func TestRelief(t *testing.T) {
+// TestMigrateExcess: connections leave a server over its capacity, not one that only fills.
+func TestMigrateExcess(t *testing.T) {
 	for _, tt := range []struct {
 		load  float64
 		moves bool
@@ -998,8 +998,8 @@
 	}
 }
 
-// TestReliefOrder: connections of a tenant over its share leave a full server before the others.
-func TestReliefOrder(t *testing.T) {
+// TestMigrationOrder: connections of a tenant over its share leave a full server before the others.
+func TestMigrationOrder(t *testing.T) {
 	set := settings()
 	set.Tenants = []Tenant{{Share: 0.5, Quota: 10}, {Share: 0.5, Quota: 100}}
 	g := newRig(set, fleet(4, 1))
@@ -1069,9 +1069,9 @@
 	}
 }
 
-// TestCheap guards against room that is filled with what earns little while what earns much is turned away: close to
+// TestLowValue guards against room that is filled with what earns little while what earns much is turned away: close to
 // the brim there is room for the latter alone, and below for both.
-func TestCheap(t *testing.T) {
+func TestLowValue(t *testing.T) {
 	for _, tt := range []struct {
 		load  float64
 		class int
@@ -1099,9 +1099,9 @@
 	}
 }
 
-// TestSaysNothing guards against clients left with a server that has vanished: two probes that bring nothing move
+// TestProbeTimeoutMigrates guards against clients left with a server that has vanished: two probes that bring nothing move
 // them. An error does not, nor an end of the probe's connection: it may well serve clients, and who does not resets them.
-func TestSaysNothing(t *testing.T) {
+func TestProbeTimeoutMigrates(t *testing.T) {
 	for name, set := range sites() {
 		for result, want := range map[Result]int{Timeout: 5, ConnectFailed: 0, Reset: 0, Error: 0, Full: 0} {
 			g := newRig(set, fleet(4, 1))
@@ -1120,9 +1120,9 @@
 	}
 }
 
-// TestServing guards against a proxy that turns away what others, which are drained, have left to it: its part of a
+// TestServingRelays guards against a proxy that turns away what others, which are drained, have left to it: its part of a
 // tenant's quota is what it holds of all connections, where reports tell, and its plain part where they do not.
-func TestServing(t *testing.T) {
+func TestServingRelays(t *testing.T) {
 	set := settings()
 	set.Balancers, set.Tenants = 2, []Tenant{{Share: 0.5, Quota: 40}, {Share: 0.5, Quota: 40}}
 	for name, c := range map[string]struct {
@@ -1142,9 +1142,9 @@
 	}
 }
 
-// TestDaringOne guards against one server that fails fast and has requests turned away everywhere: what fails at most
+// TestAdmissionRateOneServer guards against one server that fails fast and has requests turned away everywhere: what fails at most
 // servers makes a proxy send less, what fails at one does not.
-func TestDaringOne(t *testing.T) {
+func TestAdmissionRateOneServer(t *testing.T) {
 	for most, want := range map[int]bool{1: false, 4: true} {
 		g := newRig(settings(), fleet(4, 1))
 		for round := range 20 {
@@ -1353,9 +1353,9 @@
 	}
 }
 
-// TestLook guards against work that piles up unseen while no request comes: servers that hold own connections are
+// TestHealthCheck guards against work that piles up unseen while no request comes: servers that hold own connections are
 // probed all the same, others are not, and never beyond what probes may cost.
-func TestLook(t *testing.T) {
+func TestHealthCheck(t *testing.T) {
 	g := newRig(settings(), fleet(3, 1))
 	s := g.servers[1]
 	g.AddExisting(g.now, Request{ID: 900, Load: 0.1}, s.ID)
@@ -1414,9 +1414,9 @@
 	}
 }
 
-// TestAskSoon guards against a relay that is left without the list for longer than its changes may stay untold:
+// TestPollSoon guards against a relay that is left without the list for longer than its changes may stay untold:
 // a failed call is repeated within a fifth of the time allowed, however many have failed.
-func TestAskSoon(t *testing.T) {
+func TestPollSoon(t *testing.T) {
 	set := settings()
 	set.Subscribe, set.CanProbe = true, false // no timers for probes
 	g := newRig(set, fleet(2, 1))
@@ -1428,9 +1428,9 @@
 	}
 }
 
-// TestAskSpread guards against a herd of calls that all fail because they come faster than they can be served: the
+// TestPollSpread guards against a herd of calls that all fail because they come faster than they can be served: the
 // more proxies there are, the wider the first calls and the repeated ones spread, within the time allowed.
-func TestAskSpread(t *testing.T) {
+func TestPollSpread(t *testing.T) {
 	set := settings()
 	set.Subscribe, set.CanProbe = true, false // no timers for probes
 	set.Balancers = 36
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// coldPlay has many relays place a burst while one member joins cold and the others are nearly full. Nothing passes
+// slowStartFleet has many relays place a burst while one member joins cold and the others are nearly full. Nothing passes
 // between relays. It returns when the cold member got requests, all of them counted as of mean load.
-type coldPlay struct {
+type slowStartFleet struct {
 	relays []*Facade
 	set    Settings
 	cold   Server
@@ -22,9 +22,9 @@
 // bears is how many connections a warm member bears in the plays.
 const bears = 35
 
-func newColdPlay(seed uint64, relays int, set Settings) *coldPlay {
+func newSlowStartFleet(seed uint64, relays int, set Settings) *slowStartFleet {
 	set.Balancers = relays
-	p := &coldPlay{set: set, placed: map[RequestID]ServerID{}, held: map[ServerID]int{}}
+	p := &slowStartFleet{set: set, placed: map[RequestID]ServerID{}, held: map[ServerID]int{}}
 	list := fleet(7, 1)
 	p.warm, p.cold = list[:6], list[6]
 	for i := range relays {
@@ -36,7 +36,7 @@
 }
 
 // capacity is how many connections a member bears now: the cold one rises evenly, as slowly as the settings let it.
-func (p *coldPlay) capacity(now time.Duration, id ServerID) float64 {
+func (p *slowStartFleet) capacity(now time.Duration, id ServerID) float64 {
 	if id != p.cold.ID {
 		return bears
 	}
@@ -44,13 +44,13 @@
 	return bears * (p.set.SlowStartMinCapacity + (1-p.set.SlowStartMinCapacity)*risen)
 }
 
-func (p *coldPlay) report(now time.Duration, id ServerID) Report {
+func (p *slowStartFleet) report(now time.Duration, id ServerID) Report {
 	n := float64(p.held[id])
 	load := n / p.capacity(now, id)
 	return Report{n, load, load, max(load-1, 0)}
 }
 
-func (p *coldPlay) do(now time.Duration, f *Facade, verdicts []Action) {
+func (p *slowStartFleet) do(now time.Duration, f *Facade, verdicts []Action) {
 	for _, v := range append([]Action(nil), verdicts...) {
 		switch v.Kind {
 		case ActionSend:
@@ -70,7 +70,7 @@
 }
 
 // play lasts for the warm-up. Relays hear of the new member one after another within half a second.
-func (p *coldPlay) play(group func(RequestID) uint64) {
+func (p *slowStartFleet) play(group func(RequestID) uint64) {
 	const every = 12 * ms
 	now, joins := t0, t0+3*time.Second
 	p.cold.Started = joins
@@ -89,7 +89,7 @@
 
 // over is by how much the sends of the worst window of OverloadWindow pass what it allows, N + 2 x root of N + 2; the budget N
 // is the stated multiple of what fills the member over its warm-up, at its present capacity.
-func (p *coldPlay) over() float64 {
+func (p *slowStartFleet) over() float64 {
 	worst := math.Inf(-1)
 	for i, from := range p.sent {
 		n, budget := 0.0, 0.0
@@ -107,9 +107,9 @@
 	return worst
 }
 
-// TestColdSum: what twenty to thirty relays send to a cold member together stays under what its windows allow, on three
+// TestSlowStartSum: what twenty to thirty relays send to a cold member together stays under what its windows allow, on three
 // lengths of window, with groups, with one group that all are of, and without.
-func TestColdSum(t *testing.T) {
+func TestSlowStartSum(t *testing.T) {
 	for _, relays := range []int{20, 25, 30} {
 		for _, fallFor := range []time.Duration{time.Second, 1500 * ms, 3 * time.Second} {
 			for name, group := range map[string]func(RequestID) uint64{
@@ -122,7 +122,7 @@
 					set.OverloadWindow, set.Groups = fallFor, name != "no groups"
 					got := 0
 					for seed := range uint64(5) {
-						p := newColdPlay(seed, relays, set)
+						p := newSlowStartFleet(seed, relays, set)
 						p.play(group)
 						got += len(p.sent)
 						if over := p.over(); over > 0 {
@@ -139,7 +139,7 @@
 }
 
 // burst is a quiet warm-up up to a part of it, then more requests at each relay than it may send, all at once.
-func (p *coldPlay) burst(part float64) {
+func (p *slowStartFleet) burst(part float64) {
 	now, joins := t0, t0+3*time.Second
 	p.cold.Started = joins
 	for _, f := range p.relays {
@@ -158,8 +158,8 @@
 	}
 }
 
-// TestColdBurst: what relays have saved up while nobody came stays under what one window allows as all of them use it at once.
-func TestColdBurst(t *testing.T) {
+// TestSlowStartBurst: what relays have saved up while nobody came stays under what one window allows as all of them use it at once.
+func TestSlowStartBurst(t *testing.T) {
 	for _, relays := range []int{2, 30, 60} {
 		for _, part := range []float64{0.3, 0.6, 0.85} {
 			t.Run(fmt.Sprintf("%d relays, %.0f%% warm", relays, 100*part), func(t *testing.T) {
@@ -167,7 +167,7 @@
 				set.OverloadWindow = 1500 * ms
 				sent := 0
 				for seed := range uint64(5) {
-					p := newColdPlay(seed, relays, set)
+					p := newSlowStartFleet(seed, relays, set)
 					p.burst(part)
 					sent += len(p.sent)
 					if over := p.over(); over > 0 {
