--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -91,26 +91,26 @@
 	FeedMemoryLimit int
 }
 
-// noteEvery is how often slow messages at one member are told to the module.
-const noteEvery = time.Second
+// slowReportInterval is how often slow messages at one member are told to the module.
+const slowReportInterval = time.Second
 
 type member struct {
-	Member                // as the module sees it
-	listed  policy.Server // as discovery has it
-	banned  bool          // the operators or the fleet have taken it out
-	started time.Duration // when discovery said that it started, as it was taken out
-	back    time.Duration // when they put it back
-	left    bool          // it drains, is gone or is banned
-	told    time.Duration // when that was told
-	flows   int           // attempts out and open flows
-	slow    bool
-	noted   time.Duration
-	pace    *window.SlowStart // of the messages that are out there
-	paced   time.Duration     // the start that it was made for
-	joined  time.Duration     // when it was first named, if that was while we watched
-	line    []*Feed           // that wait for it
-	good    uint64            // attempts and probes that ended well
-	bad     uint64            // and that did not
+	Member                          // as the module sees it
+	listed            policy.Server // as discovery has it
+	ejected           bool          // the operators or the fleet have taken it out
+	startedAtEjection time.Duration // when discovery said that it started, as it was taken out
+	reinstatedAt      time.Duration // when they put it back
+	unavailable       bool          // it drains, is gone or is banned
+	unavailableSince  time.Duration // when that was told
+	flows             int           // attempts out and open flows
+	slow              bool
+	slowReportedAt    time.Duration
+	slowStart         *window.SlowStart // of the messages that are out there
+	slowStartOf       time.Duration     // the start that it was made for
+	joinedAt          time.Duration     // when it was first named, if that was while we watched
+	feedQueue         []*Feed           // that wait for it
+	successes         uint64            // attempts and probes that ended well
+	failures          uint64            // and that did not
 }
 
 // Core is the state of one relay. All calls come from one goroutine.
@@ -198,7 +198,7 @@
 // HasUsableMember says whether some member may be sent to.
 func (c *Core) HasUsableMember() bool {
 	for _, m := range c.members {
-		if !m.left {
+		if !m.unavailable {
 			return true
 		}
 	}
@@ -222,10 +222,10 @@
 	for _, class := range c.set.Classes {
 		slow = slow || took > class.MessageLatencyObjective/3
 	}
-	if slow && now-m.noted < noteEvery || !slow && !m.slow {
+	if slow && now-m.slowReportedAt < slowReportInterval || !slow && !m.slow {
 		return
 	}
-	m.slow, m.noted = slow, now
+	m.slow, m.slowReportedAt = slow, now
 	c.tell(policy.MessageLatency{ID: id, Latency: took})
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -172,8 +172,8 @@
 		"tries":   func() func() { q.tries = 3; return func() { q.tries = 1 } },
 		"late":    func() func() { q.deadline = r.now; return func() { q.deadline = r.now + time.Second } },
 		"left": func() func() {
-			m.left, m.told = true, r.now-251*time.Millisecond
-			return func() { m.left = false }
+			m.unavailable, m.unavailableSince = true, r.now-251*time.Millisecond
+			return func() { m.unavailable = false }
 		},
 	} {
 		undo := shut()
@@ -182,7 +182,7 @@
 		}
 		undo()
 	}
-	m.left, m.told = true, r.now-250*time.Millisecond
+	m.unavailable, m.unavailableSince = true, r.now-250*time.Millisecond
 	if !open(m) || open(nil) {
 		t.Error("the grace is not kept, or an unknown member let in")
 	}
@@ -293,7 +293,7 @@
 	}
 	r.Reinstate("m0")
 	m := r.members[10]
-	if m.left || m.Started != r.now || !r.HasUsableMember() {
+	if m.unavailable || m.Started != r.now || !r.HasUsableMember() {
 		t.Errorf("put back: %+v", m)
 	}
 	r.Reinstate("m0")
@@ -435,7 +435,7 @@
 	}
 	next.SetEjections([]string{"m0", "m2"})
 	next.SetEjections([]string{"m2", "m9"})
-	if next.members[10].banned || !next.members[12].banned || !next.IsKnownMember("m9") {
+	if next.members[10].ejected || !next.members[12].ejected || !next.IsKnownMember("m9") {
 		t.Error("the list of bans does not count as it stands")
 	}
 }
@@ -496,14 +496,14 @@
 	r.FlowEstablished(s.id, 0)
 	m := r.requests[s.id].member
 	r.ObserveMessageLatency(s.id, 40*time.Millisecond)
-	first := m.noted
+	first := m.slowReportedAt
 	r.now += 100 * time.Millisecond
 	r.ObserveMessageLatency(s.id, 50*time.Millisecond)
-	if !m.slow || m.noted != first {
+	if !m.slow || m.slowReportedAt != first {
 		t.Error("not told, or told again at once")
 	}
 	r.ObserveMessageLatency(s.id, 20*time.Millisecond)
-	if m.slow || m.noted != r.now {
+	if m.slow || m.slowReportedAt != r.now {
 		t.Error("not told that it is over")
 	}
 }
--- a/internal/core/feed.go
+++ b/internal/core/feed.go
@@ -298,7 +298,7 @@
 	}
 }
 
-// back takes in what was out on a link that has surely ended.
+// reinstatedAt takes in what was out on a link that has surely ended.
 func (f *Feed) back(result policy.Result, left uint64) {
 	f.leaveLine()
 	out := f.w.Out()
@@ -342,7 +342,7 @@
 			}
 			return // else its time is over: the alarm gives it up
 		}
-		if pace.Active(now) && (!pace.MaySend(now) || turn >= feedTurn && len(m.line) > 0) {
+		if pace.Active(now) && (!pace.MaySend(now) || turn >= feedTurn && len(m.feedQueue) > 0) {
 			c.lineUp(m, f)
 			return
 		}
@@ -368,16 +368,16 @@
 
 // paceOf is what bounds the messages to a member that has just started.
 func (m *member) paceOf(c *Core) *window.SlowStart {
-	if started := max(m.Started, m.joined); m.pace == nil || m.paced != started {
-		m.pace, m.paced = window.NewSlowStart(started, c.set.SlowStartDuration), started
+	if started := max(m.Started, m.joinedAt); m.slowStart == nil || m.slowStartOf != started {
+		m.slowStart, m.slowStartOf = window.NewSlowStart(started, c.set.SlowStartDuration), started
 	}
-	return m.pace
+	return m.slowStart
 }
 
 // release gives back what the pace counted.
 func (f *Feed) release(n, taken int) {
-	if f.member != nil && f.member.pace != nil && n > 0 {
-		f.member.pace.Release(n, taken)
+	if f.member != nil && f.member.slowStart != nil && n > 0 {
+		f.member.slowStart.Release(n, taken)
 	}
 }
 
@@ -386,7 +386,7 @@
 	if f.waits != m {
 		f.leaveLine()
 		f.waits = m
-		m.line = append(m.line, f)
+		m.feedQueue = append(m.feedQueue, f)
 	}
 }
 
@@ -395,20 +395,20 @@
 func (f *Feed) leaveLine() {
 	if m := f.waits; m != nil {
 		f.waits = nil
-		if i := slices.Index(m.line, f); i >= 0 {
-			m.line = slices.Delete(m.line, i, i+1)
+		if i := slices.Index(m.feedQueue, f); i >= 0 {
+			m.feedQueue = slices.Delete(m.feedQueue, i, i+1)
 		}
 	}
 }
 
 // serveLine lets feeds go on that wait for a cold member, in their turn.
 func (c *Core) serveLine(m *member) {
-	if m == nil || m.pace == nil {
+	if m == nil || m.slowStart == nil {
 		return
 	}
 	now := c.Clock()
-	for n := len(m.line); n > 0 && len(m.line) > 0 && m.pace.MaySend(now); n-- {
-		f := m.line[0]
+	for n := len(m.feedQueue); n > 0 && len(m.feedQueue) > 0 && m.slowStart.MaySend(now); n-- {
+		f := m.feedQueue[0]
 		f.leaveLine()
 		if f.state == feedUp && f.member == m {
 			f.pump(now)
--- a/internal/core/feed_test.go
+++ b/internal/core/feed_test.go
@@ -49,8 +49,8 @@
 		p.r.t.Errorf("message %d: attempt %d (%d)", m.Sequence, p.tries[m.Sequence], m.Attempts)
 	case p.answers[m.Sequence] != "":
 		p.r.t.Errorf("message %d is sent after its answer %s", m.Sequence, p.answers[m.Sequence])
-	case at.left && p.r.now-at.told > 250*time.Millisecond:
-		p.r.t.Errorf("message %d is sent %v after its member left", m.Sequence, p.r.now-at.told)
+	case at.unavailable && p.r.now-at.unavailableSince > 250*time.Millisecond:
+		p.r.t.Errorf("message %d is sent %v after its member left", m.Sequence, p.r.now-at.unavailableSince)
 	case p.r.doubting:
 		p.r.t.Errorf("message %d is sent during a doubt", m.Sequence)
 	case string(text) != fmt.Sprint("message ", m.Sequence):
@@ -236,7 +236,7 @@
 // has shown to take, and all have their turn.
 func TestFeedCold(t *testing.T) {
 	r := newRig(t, 1)
-	r.members[10].joined = r.now // for the core alone: the module would let hardly any feed in
+	r.members[10].joinedAt = r.now // for the core alone: the module would let hardly any feed in
 	var pipes []*pipe
 	for range 200 {
 		p := newPipe(r, 100)
@@ -285,24 +285,24 @@
 func TestFeedLine(t *testing.T) {
 	r := newRig(t, 1)
 	m := r.members[10]
-	m.joined = r.now
+	m.joinedAt = r.now
 	hog, next, last := newPipe(r, 100), newPipe(r, 100), newPipe(r, 100)
 	for _, p := range []*pipe{hog, next, last} {
 		p.put(2 * window.InitialWindow)
 		p.f.Connected()
 	}
-	if len(m.line) != 2 || len(next.out) > 0 {
-		t.Fatalf("%d in line", len(m.line))
+	if len(m.feedQueue) != 2 || len(next.out) > 0 {
+		t.Fatalf("%d in line", len(m.feedQueue))
 	}
-	if last.f.Close(); len(m.line) != 1 {
-		t.Errorf("%d in line after one has closed", len(m.line))
+	if last.f.Close(); len(m.feedQueue) != 1 {
+		t.Errorf("%d in line after one has closed", len(m.feedQueue))
 	}
 	other := &member{Member: Member{Name: "other"}}
 	r.lineUp(other, next.f)
-	if len(m.line) != 0 || len(other.line) != 1 {
-		t.Errorf("%d and %d in line after one has gone to the other", len(m.line), len(other.line))
+	if len(m.feedQueue) != 0 || len(other.feedQueue) != 1 {
+		t.Errorf("%d and %d in line after one has gone to the other", len(m.feedQueue), len(other.feedQueue))
 	}
-	if next.lose(policy.Reset, 0); len(other.line) != 0 {
+	if next.lose(policy.Reset, 0); len(other.feedQueue) != 0 {
 		t.Error("a feed whose link has ended is in line")
 	}
 }
--- a/internal/core/gate.go
+++ b/internal/core/gate.go
@@ -103,7 +103,7 @@
 
 // reachable says whether anything new may go to a member, a probe as well.
 func (c *Core) reachable(now time.Duration, m *member) bool {
-	return !m.left || !c.strict && now-m.told <= c.grace
+	return !m.unavailable || !c.strict && now-m.unavailableSince <= c.grace
 }
 
 // Reachable says the same to fronts that start something anew by themselves.
@@ -147,5 +147,5 @@
 	if r == nil || r.state != attempting {
 		return false
 	}
-	return r.standing || !r.member.left && !c.doubting && c.repeatable(c.Clock(), r, r.member)
+	return r.standing || !r.member.unavailable && !c.doubting && c.repeatable(c.Clock(), r, r.member)
 }
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -20,10 +20,10 @@
 		named[e.ID] = true
 		m := c.members[e.ID]
 		if m == nil {
-			m = &member{noted: -noteEvery, banned: c.ruled(e.Name), started: e.Started}
+			m = &member{slowReportedAt: -slowReportInterval, ejected: c.ruled(e.Name), startedAtEjection: e.Started}
 			c.members[e.ID] = m
 			if kind == policy.ListDelta {
-				m.joined = now
+				m.joinedAt = now
 			}
 		}
 		m.Member, m.listed = e, e.Server
@@ -47,17 +47,17 @@
 // just then, unless discovery knows of a start since the ban.
 func (c *Core) see(now time.Duration, m *member) {
 	m.Server = m.listed
-	if m.back > 0 && m.Started <= m.started {
-		m.Started = m.back
+	if m.reinstatedAt > 0 && m.Started <= m.startedAtEjection {
+		m.Started = m.reinstatedAt
 	}
-	if m.banned && m.State == policy.Ready {
+	if m.ejected && m.State == policy.Ready {
 		m.State = policy.Draining
 	}
 	left := m.State != policy.Ready
-	if left && !m.left {
-		m.told = now
+	if left && !m.unavailable {
+		m.unavailableSince = now
 	}
-	m.left = left
+	m.unavailable = left
 	if c.paced {
 		c.settle(m)
 	}
@@ -115,20 +115,20 @@
 func (c *Core) rule(name string, warm bool) {
 	m, out := c.byName[name], c.ruled(name)
 	switch {
-	case m == nil || !m.banned && !out:
+	case m == nil || !m.ejected && !out:
 		return
-	case m.banned && out: // still out, maybe by another word
+	case m.ejected && out: // still out, maybe by another word
 		if c.paced {
 			c.settle(m)
 			c.arm()
 		}
 		return
 	case out:
-		m.started = m.listed.Started
+		m.startedAtEjection = m.listed.Started
 	case !warm:
-		m.back = c.Clock()
+		m.reinstatedAt = c.Clock()
 	}
-	m.banned = out
+	m.ejected = out
 	c.word(m)
 }
 
@@ -153,26 +153,26 @@
 // Ejected are the members that this relay's own operators have taken out, in order.
 func (c *Core) Ejected() []string { return slices.Sorted(maps.Keys(c.bans)) }
 
-// pace puts the move of a flow off that the module asks for, where its member leaves by agreement and the flows of all relays are
+// slowStart puts the move of a flow off that the module asks for, where its member leaves by agreement and the flows of all relays are
 // spread over a time. The module asks once, so what is put off is the core's to do.
 func (c *Core) pace(r *request) bool {
 	if r.state != serving || r.member.listed.State != policy.Ready { // it leaves by itself, and sends its clients away soon
 		return false
 	}
 	over := c.agreed[r.member.Name].SpreadOver
-	if !r.member.banned || c.bans[r.member.Name] || over <= 0 { // an operator of this relay wants it left now
+	if !r.member.ejected || c.bans[r.member.Name] || over <= 0 { // an operator of this relay wants it left now
 		return false
 	}
 	r.owed, c.paced = true, true
 	// A part of the span that is the request's own, and spreads those of one relay evenly.
 	part := math.Mod(float64(r.id)*math.Phi, 1)
-	c.dueAt(r, max(c.Clock(), r.member.told+time.Duration(part*float64(over))))
+	c.dueAt(r, max(c.Clock(), r.member.unavailableSince+time.Duration(part*float64(over))))
 	return true
 }
 
 // quit has a flow moved that has just come to a member that is being left: the module asks for moves only as it hears of that.
 func (c *Core) quit(r *request) {
-	if r.state == serving && r.member.left && !c.pace(r) {
+	if r.state == serving && r.member.unavailable && !c.pace(r) {
 		c.dueAt(r, c.Clock())
 	}
 }
@@ -182,9 +182,9 @@
 	for _, r := range c.held() {
 		switch {
 		case r.state != serving || r.member != m || !r.owed:
-		case !m.left:
+		case !m.unavailable:
 			r.due = 0
-		case m.left && !c.pace(r):
+		case m.unavailable && !c.pace(r):
 			c.move(r)
 		}
 	}
@@ -207,7 +207,7 @@
 	learned := c.facade.LearnedState(c.Clock()).Servers
 	for _, name := range slices.Sorted(maps.Keys(c.byName)) {
 		m := c.byName[name]
-		v := MemberStatus{Name: name, Zone: m.Zone, State: m.listed.State, Started: m.listed.Started, Removed: m.banned, Flows: m.flows, Successes: m.good, Failures: m.bad}
+		v := MemberStatus{Name: name, Zone: m.Zone, State: m.listed.State, Started: m.listed.Started, Removed: m.ejected, Flows: m.flows, Successes: m.successes, Failures: m.failures}
 		if l, ok := learned[m.ID]; ok && l.Reports > 0 {
 			v.Capacity = l.Capacity
 		}
@@ -229,8 +229,8 @@
 	now := c.Clock()
 	l := LearnedState{Policy: c.facade.LearnedState(now), ReinstatedAges: map[string]time.Duration{}}
 	for name, m := range c.byName {
-		if m.back > 0 {
-			l.ReinstatedAges[name] = now - m.back
+		if m.reinstatedAt > 0 {
+			l.ReinstatedAges[name] = now - m.reinstatedAt
 		}
 	}
 	return l
@@ -241,7 +241,7 @@
 	now := c.Clock()
 	for name, ago := range l.ReinstatedAges {
 		if m := c.byName[name]; m != nil {
-			m.started, m.back = m.listed.Started, now-ago
+			m.startedAtEjection, m.reinstatedAt = m.listed.Started, now-ago
 			c.see(now, m)
 		}
 	}
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -41,7 +41,7 @@
 		c.answer(r, Failed, 0)
 		return
 	}
-	if m.banned {
+	if m.ejected {
 		c.answer(r, Rejected, stopAfter)
 		return
 	}
@@ -128,7 +128,7 @@
 	m.flows++
 	r.tries++
 	c.Counts.Attempts++
-	if m.banned && now-m.told > c.grace {
+	if m.ejected && now-m.unavailableSince > c.grace {
 		c.Counts.SentAfterGrace++ // the gate lets none pass: this counts what it did, not what it meant
 	}
 	r.v.Send(r.id, &m.Member, r.tries-1, wait)
@@ -187,9 +187,9 @@
 func (c *Core) saw(m *member, result policy.Result) {
 	switch result {
 	case policy.OK, policy.Full:
-		m.good++
+		m.successes++
 	case policy.Error, policy.Reset, policy.ConnectFailed, policy.Timeout:
-		m.bad++
+		m.failures++
 	}
 	if c.OnResult != nil {
 		c.OnResult(&m.Member, result)
