--- a/internal/core/alarms.go
+++ b/internal/core/alarms.go
@@ -24,14 +24,14 @@
 			}
 		case r == nil:
 		case a.try == moveFlow:
-			if r.leave == a.at || r.due == a.at {
+			if r.migrateAt == a.at || r.memberMigrateAt == a.at {
 				c.move(r)
 			}
 		case a.try < 0 && !r.state.final():
 			// The module answers before this; a client must not be left without.
 			c.giveUp(r)
 		case a.try >= 0 && r.state == attempting && c.current(a.id, a.try) != nil:
-			r.v.Cancel(a.try)
+			r.downstream.Cancel(a.try)
 			c.end(r, policy.Timeout, policy.NoReport)
 		}
 	}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -158,7 +158,7 @@
 	r := newRig(t, 2)
 	s := r.open()
 	q, m := r.requests[s.id], r.members[11]
-	open := func(m *member) bool { return r.gate(r.now, q.state != placing, q.tries, q.deadline, m) }
+	open := func(m *member) bool { return r.gate(r.now, q.state != placing, q.attempts, q.deadline, m) }
 	if open(m) {
 		t.Error("a second attempt while one is out")
 	}
@@ -168,8 +168,8 @@
 	}
 	for name, shut := range map[string]func() (undo func()){
 		"serving": func() func() { q.state = serving; return func() { q.state = placing } },
-		"over":    func() func() { q.state = over; return func() { q.state = placing } },
-		"tries":   func() func() { q.tries = 3; return func() { q.tries = 1 } },
+		"over":    func() func() { q.state = finished; return func() { q.state = placing } },
+		"tries":   func() func() { q.attempts = 3; return func() { q.attempts = 1 } },
 		"late":    func() func() { q.deadline = r.now; return func() { q.deadline = r.now + time.Second } },
 		"left": func() func() {
 			m.unavailable, m.unavailableSince = true, r.now-251*time.Millisecond
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -13,28 +13,28 @@
 	return result != policy.Full && result != policy.ConnectFailed && result != policy.NotSent
 }
 
-// trace is the first attempt of a request that may have run.
-type trace struct {
-	sent time.Duration
-	on   policy.Server
+// firstRun is the first attempt of a request that may have run.
+type firstRun struct {
+	sentAt time.Duration
+	server policy.Server
 }
 
 // repeatable says whether an attempt may go to a member without a double effect.
 func (c *Core) repeatable(now time.Duration, r *request, m *member) bool {
 	class := c.set.Classes[r.Class]
 	switch {
-	case r.ran == nil, class.Idempotency == policy.Idempotent:
+	case r.firstRun == nil, class.Idempotency == policy.Idempotent:
 		return true
-	case class.Idempotency == policy.NonIdempotent, now >= r.ran.sent+class.DedupWindow:
+	case class.Idempotency == policy.NonIdempotent, now >= r.firstRun.sentAt+class.DedupWindow:
 		return false
 	}
-	return class.Scope == policy.ScopeAll || class.Scope == policy.ScopeZone && m.Zone == r.ran.on.Zone ||
-		class.Scope == policy.ScopeCell && m.Cell == r.ran.on.Cell
+	return class.Scope == policy.ScopeAll || class.Scope == policy.ScopeZone && m.Zone == r.firstRun.server.Zone ||
+		class.Scope == policy.ScopeCell && m.Cell == r.firstRun.server.Cell
 }
 
 // harmless says whether the client of a request may be told that coming again does no harm.
 func (c *Core) harmless(r *request) bool {
 	class := c.set.Classes[r.Class]
 	return class.Idempotency == policy.Idempotent || class.Idempotency == policy.IdempotencyKey && class.Scope == policy.ScopeAll ||
-		r.state == placing && r.ran == nil
+		r.state == placing && r.firstRun == nil
 }
--- a/internal/core/gate.go
+++ b/internal/core/gate.go
@@ -82,8 +82,8 @@
 	case policy.ActionFail: // or rejected: the module takes a send that waits for the end of a doubt for an attempt
 		c.refuse(r, stopAfter)
 	case policy.ActionCancel:
-		if v.Attempt == r.sends-1 && r.state == attempting {
-			r.v.Cancel(r.tries - 1)
+		if v.Attempt == r.policySends-1 && r.state == attempting {
+			r.downstream.Cancel(r.attempts - 1)
 			c.end(r, policy.Cancelled, policy.NoReport)
 		}
 	case policy.ActionMigrate:
@@ -122,8 +122,8 @@
 
 func (c *Core) send(r *request, v policy.Action) {
 	now, m := c.Clock(), c.members[v.Server]
-	r.sends++
-	if c.decided(r.id) || !c.gate(now, r.state != placing, r.tries, r.deadline, m) || !c.repeatable(now, r, m) {
+	r.policySends++
+	if c.decided(r.id) || !c.gate(now, r.state != placing, r.attempts, r.deadline, m) || !c.repeatable(now, r, m) {
 		c.Counts.Blocked++
 		if r.state == placing { // else the module hears of what is out as that ends
 			c.tell(policy.SendSkipped{ID: r.id})
@@ -133,7 +133,7 @@
 	wait := r.deadline - now
 	if v.Duration > 0 && v.Duration < wait {
 		wait = v.Duration
-		c.alarm(now+wait, r.id, r.tries)
+		c.alarm(now+wait, r.id, r.attempts)
 	}
 	c.start(now, r, m, wait)
 }
@@ -147,5 +147,5 @@
 	if r == nil || r.state != attempting {
 		return false
 	}
-	return r.standing || !r.member.unavailable && !c.doubting && c.repeatable(c.Clock(), r, r.member)
+	return r.preexisting || !r.member.unavailable && !c.doubting && c.repeatable(c.Clock(), r, r.member)
 }
--- a/internal/core/leave.go
+++ b/internal/core/leave.go
@@ -56,7 +56,7 @@
 func (c *Core) Resume() {
 	if c.draining && !c.stopping {
 		for _, r := range c.held() {
-			r.leave = 0
+			r.migrateAt = 0
 		}
 	}
 	c.draining = false
@@ -81,10 +81,10 @@
 // ReleaseFlow gives an open flow up to another process.
 func (c *Core) ReleaseFlow(id ID) (FlowTransfer, bool) {
 	r := c.requests[id]
-	if r == nil || !c.step(r, passed) {
+	if r == nil || !c.transition(r, handedOver) {
 		return FlowTransfer{}, false
 	}
-	p := FlowTransfer{r.Request, r.member.Name, c.Clock() - r.sent}
+	p := FlowTransfer{r.Request, r.member.Name, c.Clock() - r.sentAt}
 	c.release(r, serving, policy.Cancelled, policy.NoReport)
 	return p, true
 }
@@ -97,8 +97,8 @@
 		return 0, nil, false
 	}
 	c.last++
-	r := &request{Request: p.Request, id: c.last, v: v, deadline: now, tries: 1, sends: 1, member: m, sent: now - p.Age,
-		standing: true, state: serving}
+	r := &request{Request: p.Request, id: c.last, downstream: v, deadline: now, attempts: 1, policySends: 1, member: m, sentAt: now - p.Age,
+		preexisting: true, state: serving}
 	c.requests[r.id] = r
 	m.flows++
 	c.Counts.Requests++
@@ -139,14 +139,14 @@
 }
 
 func (c *Core) leaveAt(r *request, at time.Duration) {
-	r.leave = at
+	r.migrateAt = at
 	c.alarm(at, r.id, moveFlow)
 }
 
 // dueAt has a flow moved because of its member. It holds beside leaveAt: the earlier one counts, and Resume ends only that.
 func (c *Core) dueAt(r *request, at time.Duration) {
-	if r.due != at {
-		r.due = at
+	if r.memberMigrateAt != at {
+		r.memberMigrateAt = at
 		c.alarm(at, r.id, moveFlow)
 	}
 }
--- a/internal/core/lifecycle_test.go
+++ b/internal/core/lifecycle_test.go
@@ -9,12 +9,12 @@
 
 // TestTransitions: each state allows just these events; any other is counted and changes nothing.
 func TestTransitions(t *testing.T) {
-	events := []event{begins, stands, ended, served, answered, left, moved, passed}
+	events := []event{attemptStarted, attemptEstablished, attemptEnded, servedWithoutFlow, answered, clientGone, migrated, handedOver}
 	allowed := map[state]map[event]state{
-		placing:    {begins: attempting, answered: over, left: over},
-		attempting: {stands: serving, ended: placing, served: over, answered: over, left: over},
-		serving:    {ended: over, left: over, moved: over, passed: over},
-		over:       {},
+		placing:    {attemptStarted: attempting, answered: finished, clientGone: finished},
+		attempting: {attemptEstablished: serving, attemptEnded: placing, servedWithoutFlow: finished, answered: finished, clientGone: finished},
+		serving:    {attemptEnded: finished, clientGone: finished, migrated: finished, handedOver: finished},
+		finished:   {},
 	}
 	for from, next := range allowed {
 		for _, e := range events {
@@ -25,13 +25,13 @@
 			if !ok {
 				to = from
 			}
-			if got := r.step(q, e); got != ok || q.state != to {
+			if got := r.transition(q, e); got != ok || q.state != to {
 				t.Errorf("state %d, event %d: %v to state %d, want %v to %d", from, e, got, q.state, ok, to)
 			}
 			if counted := r.Counts.IgnoredEvents == 1; counted == ok {
 				t.Errorf("state %d, event %d: %d counted as ignored", from, e, r.Counts.IgnoredEvents)
 			}
-			if gone := r.requests[1] == nil; gone != (ok && to == over) {
+			if gone := r.requests[1] == nil; gone != (ok && to == finished) {
 				t.Errorf("state %d, event %d: still held %v", from, e, !gone)
 			}
 		}
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -163,7 +163,7 @@
 	if !r.member.ejected || c.bans[r.member.Name] || over <= 0 { // an operator of this relay wants it left now
 		return false
 	}
-	r.owed, c.paced = true, true
+	r.migrationDeferred, c.paced = true, true
 	// A part of the span that is the request's own, and spreads those of one relay evenly.
 	part := math.Mod(float64(r.id)*math.Phi, 1)
 	c.dueAt(r, max(c.Clock(), r.member.unavailableSince+time.Duration(part*float64(over))))
@@ -181,9 +181,9 @@
 func (c *Core) settle(m *member) {
 	for _, r := range c.held() {
 		switch {
-		case r.state != serving || r.member != m || !r.owed:
+		case r.state != serving || r.member != m || !r.migrationDeferred:
 		case !m.unavailable:
-			r.due = 0
+			r.memberMigrateAt = 0
 		case m.unavailable && !c.pace(r):
 			c.move(r)
 		}
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -15,7 +15,7 @@
 func (c *Core) Open(q Request, v Downstream) ID {
 	now := c.Clock()
 	c.last++
-	r := &request{Request: q, id: c.last, v: v, deadline: now + q.TimeLeft}
+	r := &request{Request: q, id: c.last, downstream: v, deadline: now + q.TimeLeft}
 	c.requests[r.id] = r
 	c.Counts.Requests++
 	switch {
@@ -45,7 +45,7 @@
 		c.answer(r, Rejected, stopAfter)
 		return
 	}
-	r.standing, r.sends = true, 1 // the module takes it for sent
+	r.preexisting, r.policySends = true, 1 // the module takes it for sent
 	c.alarm(r.deadline, r.id, -1)
 	c.start(now, r, m, r.TimeLeft)
 	c.arm()
@@ -58,7 +58,7 @@
 
 // current is the request whose attempt of that number is out or open.
 func (c *Core) current(id ID, try int) *request {
-	if r := c.requests[id]; r != nil && r.state.out() && r.tries-1 == try {
+	if r := c.requests[id]; r != nil && r.state.out() && r.attempts-1 == try {
 		return r
 	}
 	return nil
@@ -68,15 +68,15 @@
 // told so.
 func (c *Core) FlowEstablished(id ID, try int) bool {
 	r := c.current(id, try)
-	if r == nil || !c.step(r, stands) {
+	if r == nil || !c.transition(r, attemptEstablished) {
 		return false
 	}
 	c.record(r, Served)
 	c.saw(r.member, policy.OK)
-	if !r.standing {
-		c.happens(r, r.member, FlowEstablished, c.Clock()-r.sent)
+	if !r.preexisting {
+		c.happens(r, r.member, FlowEstablished, c.Clock()-r.sentAt)
 	}
-	if r.standing {
+	if r.preexisting {
 		c.tell(policy.ExistingFlow{Request: r.policy(), Server: r.member.ID})
 	} else {
 		c.tell(policy.FlowEstablished{ID: id})
@@ -106,10 +106,10 @@
 	}
 	was := r.state
 	harmless = c.harmless(r)
-	c.step(r, left)
+	c.transition(r, clientGone)
 	if !was.final() {
 		c.record(r, ClientGone)
-		if !r.standing {
+		if !r.preexisting {
 			c.tell(policy.ClientGone{ID: id})
 		}
 	}
@@ -121,33 +121,33 @@
 
 // start sends an attempt out.
 func (c *Core) start(now time.Duration, r *request, m *member, wait time.Duration) {
-	if !c.step(r, begins) {
+	if !c.transition(r, attemptStarted) {
 		return
 	}
-	r.member, r.sent = m, now
+	r.member, r.sentAt = m, now
 	m.flows++
-	r.tries++
+	r.attempts++
 	c.Counts.Attempts++
 	if m.ejected && now-m.unavailableSince > c.grace {
 		c.Counts.SentAfterGrace++ // the gate lets none pass: this counts what it did, not what it meant
 	}
-	r.v.Send(r.id, &m.Member, r.tries-1, wait)
+	r.downstream.Send(r.id, &m.Member, r.attempts-1, wait)
 }
 
 // end takes in that an attempt or a flow has ended.
 func (c *Core) end(r *request, result policy.Result, report policy.Report) {
-	was, e := r.state, ended
+	was, e := r.state, attemptEnded
 	if was == attempting && result == policy.OK {
-		e = served
+		e = servedWithoutFlow
 	}
-	if !c.step(r, e) {
+	if !c.transition(r, e) {
 		return
 	}
-	if e == served {
+	if e == servedWithoutFlow {
 		c.record(r, Served)
 	}
 	c.release(r, was, result, report)
-	if r.standing && r.state == placing { // only its own member has it
+	if r.preexisting && r.state == placing { // only its own member has it
 		c.answer(r, Failed, 0)
 	}
 }
@@ -155,32 +155,32 @@
 // abandon cancels what is out of a request that is over.
 func (c *Core) abandon(r *request, was state) {
 	if was.out() {
-		r.v.Cancel(r.tries - 1)
+		r.downstream.Cancel(r.attempts - 1)
 		c.release(r, was, policy.Cancelled, policy.NoReport)
 	}
 }
 
 // release closes an attempt that was out, or a flow that stood, and tells the module.
 func (c *Core) release(r *request, was state, result policy.Result, report policy.Report) {
-	m, try := r.member, r.tries-1
+	m, try := r.member, r.attempts-1
 	r.member = nil
-	if r.ran == nil && mayHaveRun(result) {
-		r.ran = &trace{r.sent, m.Server}
+	if r.firstRun == nil && mayHaveRun(result) {
+		r.firstRun = &firstRun{r.sentAt, m.Server}
 	}
 	m.flows--
 	if result != policy.OK || was == attempting { // an open flow was seen when it came up
 		c.saw(m, result)
 	}
 	if what, ok := ends[ending{was == serving, result}]; ok {
-		c.happens(r, m, what, c.Clock()-r.sent)
+		c.happens(r, m, what, c.Clock()-r.sentAt)
 	}
 	if c.Recorder != nil {
-		c.Recorder.RecordAttempt(&r.Request, r.id, try, m.Name, r.sent, c.Clock(), result)
+		c.Recorder.RecordAttempt(&r.Request, r.id, try, m.Name, r.sentAt, c.Clock(), result)
 	}
-	if r.standing && was != serving { // the module has not heard of it
+	if r.preexisting && was != serving { // the module has not heard of it
 		return
 	}
-	c.tell(policy.AttemptEnded{ID: r.id, Attempt: r.sends - 1, Server: m.ID, Result: result, Final: r.state.final(), Report: report})
+	c.tell(policy.AttemptEnded{ID: r.id, Attempt: r.policySends - 1, Server: m.ID, Result: result, Final: r.state.final(), Report: report})
 }
 
 // saw counts how an attempt or a probe went. A client that leaves says nothing of the member.
@@ -225,7 +225,7 @@
 // answer rejects or fails a request, once. What is out of it is abandoned.
 func (c *Core) answer(r *request, a Answer, after time.Duration) {
 	was := r.state
-	if !c.step(r, answered) {
+	if !c.transition(r, answered) {
 		return
 	}
 	c.abandon(r, was)
@@ -233,10 +233,10 @@
 	if a == Rejected {
 		after = c.RetryAfter(after)
 		c.Counts.BackoffTime += after
-		r.v.Reject(after)
+		r.downstream.Reject(after)
 	} else {
 		c.Counts.BackoffTime += r.TimeLeft
-		r.v.Fail()
+		r.downstream.Fail()
 	}
 }
 
@@ -253,16 +253,16 @@
 		c.Counts.ClientsGone++
 	}
 	if c.Recorder != nil {
-		c.Recorder.RecordAnswer(&r.Request, r.id, c.Clock(), a, r.tries)
+		c.Recorder.RecordAnswer(&r.Request, r.id, c.Clock(), a, r.attempts)
 	}
 }
 
 // move asks the client of an open flow to come again.
 func (c *Core) move(r *request) {
-	if !c.step(r, moved) {
+	if !c.transition(r, migrated) {
 		return
 	}
 	c.Counts.Migrations++
-	r.v.Migrate()
+	r.downstream.Migrate()
 	c.release(r, serving, policy.Cancelled, policy.NoReport)
 }
--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -289,7 +289,7 @@
 				s := &side{r: r}
 				r.Open(Request{Class: class, CurrentMember: "m0", TimeLeft: 2 * time.Second}, s)
 				q := r.requests[s.id]
-				q.standing = false // as any other that had its attempt there
+				q.preexisting = false // as any other that had its attempt there
 				s.ends(policy.Reset)
 				if late {
 					r.now += 900 * time.Millisecond
