--- a/internal/core/alarms.go
+++ b/internal/core/alarms.go
@@ -13,25 +13,25 @@
 // Tick does what is due.
 func (c *Core) Tick() {
 	now := c.Clock()
-	c.armed = math.MaxInt64
-	for len(c.alarms) > 0 && c.alarms[0].at <= now {
-		a := heap.Pop(&c.alarms).(due)
+	c.tickAt = math.MaxInt64
+	for len(c.timers) > 0 && c.timers[0].at <= now {
+		a := heap.Pop(&c.timers).(timer)
 		r := c.requests[a.id]
 		switch {
-		case a.try == feedDue:
+		case a.attempt == timerFeed:
 			if f := c.feeds[a.id]; f != nil {
 				f.due(now)
 			}
 		case r == nil:
-		case a.try == moveFlow:
+		case a.attempt == timerMigrate:
 			if r.migrateAt == a.at || r.memberMigrateAt == a.at {
 				c.move(r)
 			}
-		case a.try < 0 && !r.state.final():
+		case a.attempt < 0 && !r.state.final():
 			// The module answers before this; a client must not be left without.
 			c.giveUp(r)
-		case a.try >= 0 && r.state == attempting && c.current(a.id, a.try) != nil:
-			r.downstream.Cancel(a.try)
+		case a.attempt >= 0 && r.state == attempting && c.current(a.id, a.attempt) != nil:
+			r.downstream.Cancel(a.attempt)
 			c.end(r, policy.Timeout, policy.NoReport)
 		}
 	}
@@ -42,42 +42,42 @@
 
 // These stand in an alarm in place of a try; -1 there is the deadline.
 const (
-	moveFlow = -2
-	feedDue  = -3
+	timerMigrate = -2
+	timerFeed    = -3
 )
 
-func (c *Core) alarm(at time.Duration, id ID, try int) {
-	heap.Push(&c.alarms, due{at, id, try})
+func (c *Core) setTimer(at time.Duration, id ID, try int) {
+	heap.Push(&c.timers, timer{at, id, try})
 }
 
-// arm has Tick called when the next thing is due.
-func (c *Core) arm() {
+// scheduleTick has Tick called when the next thing is due.
+func (c *Core) scheduleTick() {
 	next := time.Duration(math.MaxInt64)
 	if at, ok := c.facade.Next(); ok {
 		next = at
 	}
-	if len(c.alarms) > 0 {
-		next = min(next, c.alarms[0].at)
+	if len(c.timers) > 0 {
+		next = min(next, c.timers[0].at)
 	}
-	if next != c.armed {
-		c.armed = next
+	if next != c.tickAt {
+		c.tickAt = next
 		c.Wake(next)
 	}
 }
 
-type due struct {
-	at  time.Duration
-	id  ID
-	try int
+type timer struct {
+	at      time.Duration
+	id      ID
+	attempt int
 }
 
-type alarms []due
+type timerHeap []timer
 
-func (a alarms) Len() int           { return len(a) }
-func (a alarms) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a alarms) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *alarms) Push(x any)        { *a = append(*a, x.(due)) }
-func (a *alarms) Pop() any {
+func (a timerHeap) Len() int           { return len(a) }
+func (a timerHeap) Less(i, j int) bool { return a[i].at < a[j].at }
+func (a timerHeap) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *timerHeap) Push(x any)        { *a = append(*a, x.(timer)) }
+func (a *timerHeap) Pop() any {
 	last := len(*a) - 1
 	x := (*a)[last]
 	*a = (*a)[:last]
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -125,8 +125,8 @@
 	byName    map[string]*member
 	pending   []policy.Action
 	running   bool
-	alarms    alarms
-	armed     time.Duration
+	timers    timerHeap
+	tickAt    time.Duration
 	feeds     map[ID]*Feed
 	feedBytes int                // of their messages
 	bans      map[string]bool    // by name, also of members that are not listed
@@ -154,7 +154,7 @@
 // New makes a Core.
 func New(o Options) *Core {
 	c := &Core{Options: o, set: policy.Normalize(o.Settings.Policy()), requests: map[ID]*request{},
-		members: map[policy.ServerID]*member{}, byName: map[string]*member{}, feeds: map[ID]*Feed{}, bans: map[string]bool{}, armed: math.MaxInt64}
+		members: map[policy.ServerID]*member{}, byName: map[string]*member{}, feeds: map[ID]*Feed{}, bans: map[string]bool{}, tickAt: math.MaxInt64}
 	if c.grace = settings.Duration(o.Settings.Guarantees.Grace); c.grace <= 0 {
 		c.grace = 250 * time.Millisecond
 	}
@@ -162,7 +162,7 @@
 		c.LoopTime = c.Clock
 	}
 	c.facade = policy.NewFacade(c.Clock(), c.set, o.Seed)
-	c.arm()
+	c.scheduleTick()
 	return c
 }
 
--- a/internal/core/feed.go
+++ b/internal/core/feed.go
@@ -473,7 +473,7 @@
 
 // ---- Time ----
 
-// arm has due called when something may be due. There is one alarm for a feed at most, which is
+// scheduleTick has due called when something may be due. There is one alarm for a feed at most, which is
 // not moved on with each message: when it comes too early, it is set again.
 func (f *Feed) arm() {
 	at, ok := f.w.Deadline()
@@ -494,8 +494,8 @@
 func (f *Feed) soon(at time.Duration) {
 	if f.armed == 0 || at < f.armed {
 		f.armed = at
-		f.c.alarm(at, f.name, feedDue)
-		f.c.arm()
+		f.c.setTimer(at, f.name, timerFeed)
+		f.c.scheduleTick()
 	}
 }
 
--- a/internal/core/gate.go
+++ b/internal/core/gate.go
@@ -44,7 +44,7 @@
 		c.do(v)
 	}
 	c.pending, c.running = nil, false
-	c.arm()
+	c.scheduleTick()
 }
 
 func (c *Core) do(v policy.Action) {
@@ -133,7 +133,7 @@
 	wait := r.deadline - now
 	if v.Duration > 0 && v.Duration < wait {
 		wait = v.Duration
-		c.alarm(now+wait, r.id, r.attempts)
+		c.setTimer(now+wait, r.id, r.attempts)
 	}
 	c.start(now, r, m, wait)
 }
--- a/internal/core/leave.go
+++ b/internal/core/leave.go
@@ -109,7 +109,7 @@
 		c.leaveAt(r, c.moveAt)
 	}
 	c.quit(r)
-	c.arm()
+	c.scheduleTick()
 	return r.id, &m.Member, true
 }
 
@@ -135,19 +135,19 @@
 	for i, r := range open {
 		c.leaveAt(r, c.moveAt+(to-from)*time.Duration(i)/time.Duration(len(open)))
 	}
-	c.arm()
+	c.scheduleTick()
 }
 
 func (c *Core) leaveAt(r *request, at time.Duration) {
 	r.migrateAt = at
-	c.alarm(at, r.id, moveFlow)
+	c.setTimer(at, r.id, timerMigrate)
 }
 
 // dueAt has a flow moved because of its member. It holds beside leaveAt: the earlier one counts, and Resume ends only that.
 func (c *Core) dueAt(r *request, at time.Duration) {
 	if r.memberMigrateAt != at {
 		r.memberMigrateAt = at
-		c.alarm(at, r.id, moveFlow)
+		c.setTimer(at, r.id, timerMigrate)
 	}
 }
 
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -120,7 +120,7 @@
 	case m.ejected && out: // still out, maybe by another word
 		if c.paced {
 			c.settle(m)
-			c.arm()
+			c.scheduleTick()
 		}
 		return
 	case out:
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -28,7 +28,7 @@
 	case q.CurrentMember != "":
 		c.stand(now, r)
 	default:
-		c.alarm(r.deadline, r.id, -1)
+		c.setTimer(r.deadline, r.id, -1)
 		c.apply(c.facade.Pick(now, r.policy()))
 	}
 	return r.id
@@ -46,9 +46,9 @@
 		return
 	}
 	r.preexisting, r.policySends = true, 1 // the module takes it for sent
-	c.alarm(r.deadline, r.id, -1)
+	c.setTimer(r.deadline, r.id, -1)
 	c.start(now, r, m, r.TimeLeft)
-	c.arm()
+	c.scheduleTick()
 }
 
 func (r *request) policy() policy.Request {
@@ -85,7 +85,7 @@
 		c.leaveAt(r, max(c.moveAt, c.Clock()+StopNotice/2))
 	}
 	c.quit(r)
-	c.arm()
+	c.scheduleTick()
 	return true
 }
 
--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -361,11 +361,11 @@
 	r := newRigOf(t, classesText, list(1, policy.Ready))
 	r.up(1)
 	r.SetFleetRemovals(over(time.Hour, false))
-	before := len(r.alarms)
+	before := len(r.timers)
 	for range 10 {
 		r.SetFleetRemovals(over(time.Hour, false))
 	}
-	if n := len(r.alarms); n != before {
+	if n := len(r.timers); n != before {
 		t.Errorf("%d alarms, %d after the same was agreed again", before, n)
 	}
 }
