--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -116,30 +116,30 @@
 // Core is the state of one relay. All calls come from one goroutine.
 type Core struct {
 	Options
-	set       policy.Settings // as the module made them sane
-	grace     time.Duration
-	facade    *policy.Facade
-	requests  map[ID]*request
-	last      ID
-	members   map[policy.ServerID]*member
-	byName    map[string]*member
-	pending   []policy.Action
-	running   bool
-	timers    timerHeap
-	tickAt    time.Duration
-	feeds     map[ID]*Feed
-	feedBytes int                // of their messages
-	bans      map[string]bool    // by name, also of members that are not listed
-	agreed    map[string]Removal // the same, by the fleet's word
-	stopping  bool
-	draining  bool
-	paced     bool // some move was ever put off
-	doubting  bool
-	expecting bool
-	strict    bool            // nothing goes to a member that has left, within the grace neither
-	later     []policy.Action // what waits for the end of the doubt
-	moveAt    time.Duration   // during a stop or a drain nobody is moved before
-	Counts    Counts
+	policyCfg          policy.Settings // as the module made them sane
+	drainGrace         time.Duration
+	facade             *policy.Facade
+	requests           map[ID]*request
+	lastID             ID
+	members            map[policy.ServerID]*member
+	byName             map[string]*member
+	pendingActions     []policy.Action
+	applying           bool
+	timers             timerHeap
+	tickAt             time.Duration
+	feeds              map[ID]*Feed
+	feedBytes          int                // of their messages
+	ejections          map[string]bool    // by name, also of members that are not listed
+	fleetRemovals      map[string]Removal // the same, by the fleet's word
+	stopping           bool
+	draining           bool
+	migrationsDeferred bool // some move was ever put off
+	dispatchPaused     bool
+	syncing            bool
+	ignoreGrace        bool            // nothing goes to a member that has left, within the grace neither
+	pausedActions      []policy.Action // what waits for the end of the doubt
+	migrateNotBefore   time.Duration   // during a stop or a drain nobody is moved before
+	Counts             Counts
 }
 
 // Counts is what has happened so far.
@@ -153,21 +153,21 @@
 
 // New makes a Core.
 func New(o Options) *Core {
-	c := &Core{Options: o, set: policy.Normalize(o.Settings.Policy()), requests: map[ID]*request{},
-		members: map[policy.ServerID]*member{}, byName: map[string]*member{}, feeds: map[ID]*Feed{}, bans: map[string]bool{}, tickAt: math.MaxInt64}
-	if c.grace = settings.Duration(o.Settings.Guarantees.Grace); c.grace <= 0 {
-		c.grace = 250 * time.Millisecond
+	c := &Core{Options: o, policyCfg: policy.Normalize(o.Settings.Policy()), requests: map[ID]*request{},
+		members: map[policy.ServerID]*member{}, byName: map[string]*member{}, feeds: map[ID]*Feed{}, ejections: map[string]bool{}, tickAt: math.MaxInt64}
+	if c.drainGrace = settings.Duration(o.Settings.Guarantees.Grace); c.drainGrace <= 0 {
+		c.drainGrace = 250 * time.Millisecond
 	}
 	if c.LoopTime == nil {
 		c.LoopTime = c.Clock
 	}
-	c.facade = policy.NewFacade(c.Clock(), c.set, o.Seed)
+	c.facade = policy.NewFacade(c.Clock(), c.policyCfg, o.Seed)
 	c.scheduleTick()
 	return c
 }
 
 // DrainGrace is how long after a member's leaving is told something may still be sent there.
-func (c *Core) DrainGrace() time.Duration { return c.grace }
+func (c *Core) DrainGrace() time.Duration { return c.drainGrace }
 
 // ActiveRequests is how many requests are on their way or stand as open flows.
 func (c *Core) ActiveRequests() int { return len(c.requests) }
@@ -184,16 +184,16 @@
 }
 
 // PolicySettings is the settings as the module made them sane.
-func (c *Core) PolicySettings() policy.Settings { return c.set }
+func (c *Core) PolicySettings() policy.Settings { return c.policyCfg }
 
 // AcceptsClients says whether clients should be sent here: no stop or drain is on.
 func (c *Core) AcceptsClients() bool { return !c.stopping && !c.draining }
 
 // SetSyncing has fronts say that they take no clients, while this relay waits to hear what was agreed when it was down. Who comes all the same is taken.
-func (c *Core) SetSyncing(on bool) { c.expecting = on }
+func (c *Core) SetSyncing(on bool) { c.syncing = on }
 
 // Ready is what fronts say of it: clients may be sent here.
-func (c *Core) Ready() bool { return c.AcceptsClients() && !c.expecting }
+func (c *Core) Ready() bool { return c.AcceptsClients() && !c.syncing }
 
 // HasUsableMember says whether some member may be sent to.
 func (c *Core) HasUsableMember() bool {
@@ -219,7 +219,7 @@
 	}
 	m, now, slow := r.member, c.Clock(), false
 	c.happens(r, m, MessageAnswered, took)
-	for _, class := range c.set.Classes {
+	for _, class := range c.policyCfg.Classes {
 		slow = slow || took > class.MessageLatencyObjective/3
 	}
 	if slow && now-m.slowReportedAt < slowReportInterval || !slow && !m.slow {
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -21,7 +21,7 @@
 
 // repeatable says whether an attempt may go to a member without a double effect.
 func (c *Core) repeatable(now time.Duration, r *request, m *member) bool {
-	class := c.set.Classes[r.Class]
+	class := c.policyCfg.Classes[r.Class]
 	switch {
 	case r.firstRun == nil, class.Idempotency == policy.Idempotent:
 		return true
@@ -34,7 +34,7 @@
 
 // harmless says whether the client of a request may be told that coming again does no harm.
 func (c *Core) harmless(r *request) bool {
-	class := c.set.Classes[r.Class]
+	class := c.policyCfg.Classes[r.Class]
 	return class.Idempotency == policy.Idempotent || class.Idempotency == policy.IdempotencyKey && class.Scope == policy.ScopeAll ||
 		r.state == placing && r.firstRun == nil
 }
--- a/internal/core/feed.go
+++ b/internal/core/feed.go
@@ -88,16 +88,16 @@
 
 // NewFeed makes a feed. Nothing is placed before its first message.
 func (c *Core) NewFeed(q Request, l FeedLimits, carrier FeedTransport) *Feed {
-	c.last++
-	class := c.set.Classes[q.Class]
-	limits := window.Limits{MaxMessages: l.Messages, MaxBytes: l.Bytes, MaxAttempts: c.set.MaxAttempts, LatencyObjective: class.LatencyObjective}
+	c.lastID++
+	class := c.policyCfg.Classes[q.Class]
+	limits := window.Limits{MaxMessages: l.Messages, MaxBytes: l.Bytes, MaxAttempts: c.policyCfg.MaxAttempts, LatencyObjective: class.LatencyObjective}
 	switch {
 	case class.Idempotency == policy.Idempotent:
 		limits.Repeatable = true
 	case class.Idempotency == policy.IdempotencyKey && class.Scope == policy.ScopeAll:
 		limits.Repeatable, limits.RepeatWindow = class.DedupWindow > 0, class.DedupWindow
 	}
-	f := &Feed{c: c, q: q, carrier: carrier, name: c.last, w: window.New(limits)}
+	f := &Feed{c: c, q: q, carrier: carrier, name: c.lastID, w: window.New(limits)}
 	c.feeds[f.name] = f
 	return f
 }
@@ -130,8 +130,8 @@
 // Publish takes a message. Its text was appended to Buffer, its time runs from now.
 func (f *Feed) Publish(m window.Message, text []byte) {
 	c, now := f.c, f.c.LoopTime()
-	c.last++
-	m.ID, m.Deadline = uint64(c.last), now+f.q.TimeLeft
+	c.lastID++
+	m.ID, m.Deadline = uint64(c.lastID), now+f.q.TimeLeft
 	c.Counts.Messages.Accepted++
 	f.used = now
 	switch {
@@ -328,7 +328,7 @@
 func (f *Feed) pump(now time.Duration) {
 	c, m := f.c, f.member
 	pace := m.paceOf(c)
-	for turn := 0; f.state == feedUp && !c.doubting; turn++ {
+	for turn := 0; f.state == feedUp && !c.dispatchPaused; turn++ {
 		next := f.w.Next()
 		if next == nil {
 			return
@@ -369,7 +369,7 @@
 // paceOf is what bounds the messages to a member that has just started.
 func (m *member) paceOf(c *Core) *window.SlowStart {
 	if started := max(m.Started, m.joinedAt); m.slowStart == nil || m.slowStartOf != started {
-		m.slowStart, m.slowStartOf = window.NewSlowStart(started, c.set.SlowStartDuration), started
+		m.slowStart, m.slowStartOf = window.NewSlowStart(started, c.policyCfg.SlowStartDuration), started
 	}
 	return m.slowStart
 }
--- a/internal/core/feed_test.go
+++ b/internal/core/feed_test.go
@@ -51,7 +51,7 @@
 		p.r.t.Errorf("message %d is sent after its answer %s", m.Sequence, p.answers[m.Sequence])
 	case at.unavailable && p.r.now-at.unavailableSince > 250*time.Millisecond:
 		p.r.t.Errorf("message %d is sent %v after its member left", m.Sequence, p.r.now-at.unavailableSince)
-	case p.r.doubting:
+	case p.r.dispatchPaused:
 		p.r.t.Errorf("message %d is sent during a doubt", m.Sequence)
 	case string(text) != fmt.Sprint("message ", m.Sequence):
 		p.r.t.Errorf("message %d has text %q", m.Sequence, text)
--- a/internal/core/gate.go
+++ b/internal/core/gate.go
@@ -13,18 +13,18 @@
 
 // PauseDispatch has whatever is new to a member wait: this process stood still, and discovery may have said meanwhile that the member
 // drains or is gone. Sure ends it: what has waited goes where it may still go, and what may not is decided anew.
-func (c *Core) PauseDispatch() { c.doubting = true }
+func (c *Core) PauseDispatch() { c.dispatchPaused = true }
 
 // ResumeDispatch is called when the news is told, and also when there is none to be had.
 func (c *Core) ResumeDispatch() {
-	if !c.doubting {
+	if !c.dispatchPaused {
 		return
 	}
-	later := c.later
-	c.doubting, c.later, c.strict = false, nil, true
+	later := c.pausedActions
+	c.dispatchPaused, c.pausedActions, c.ignoreGrace = false, nil, true
 	c.apply(later)
 	c.pumpAll()
-	c.strict = false
+	c.ignoreGrace = false
 }
 
 // ---- What the module's verdicts do ----
@@ -33,24 +33,24 @@
 
 // apply carries verdicts out in their order; what they lead to comes after them.
 func (c *Core) apply(verdicts []policy.Action) {
-	c.pending = append(c.pending, verdicts...)
-	if c.running {
+	c.pendingActions = append(c.pendingActions, verdicts...)
+	if c.applying {
 		return
 	}
-	c.running = true
-	for len(c.pending) > 0 {
-		v := c.pending[0]
-		c.pending = c.pending[1:]
+	c.applying = true
+	for len(c.pendingActions) > 0 {
+		v := c.pendingActions[0]
+		c.pendingActions = c.pendingActions[1:]
 		c.do(v)
 	}
-	c.pending, c.running = nil, false
+	c.pendingActions, c.applying = nil, false
 	c.scheduleTick()
 }
 
 func (c *Core) do(v policy.Action) {
 	r := c.requests[v.ID]
-	if c.doubting && (v.Kind == policy.ActionSend || v.Kind == policy.ActionProbe) {
-		c.later = append(c.later, v)
+	if c.dispatchPaused && (v.Kind == policy.ActionSend || v.Kind == policy.ActionProbe) {
+		c.pausedActions = append(c.pausedActions, v)
 		return
 	}
 	switch v.Kind {
@@ -98,24 +98,24 @@
 // settings allow, none that the client no longer waits for, and none to a member that has
 // left for longer than the grace.
 func (c *Core) gate(now time.Duration, settled bool, tries int, due time.Duration, m *member) bool {
-	return !settled && tries < c.set.MaxAttempts && now < due && m != nil && c.reachable(now, m)
+	return !settled && tries < c.policyCfg.MaxAttempts && now < due && m != nil && c.reachable(now, m)
 }
 
 // reachable says whether anything new may go to a member, a probe as well.
 func (c *Core) reachable(now time.Duration, m *member) bool {
-	return !m.unavailable || !c.strict && now-m.unavailableSince <= c.grace
+	return !m.unavailable || !c.ignoreGrace && now-m.unavailableSince <= c.drainGrace
 }
 
 // Reachable says the same to fronts that start something anew by themselves.
 func (c *Core) Reachable(id policy.ServerID) bool {
 	m := c.members[id]
-	return m != nil && !c.doubting && c.reachable(c.Clock(), m)
+	return m != nil && !c.dispatchPaused && c.reachable(c.Clock(), m)
 }
 
 // decided says whether a final answer of that request is among the verdicts that are still to be carried out: the module's timers of
 // a late Tick come together.
 func (c *Core) decided(id ID) bool {
-	return slices.ContainsFunc(c.pending, func(v policy.Action) bool {
+	return slices.ContainsFunc(c.pendingActions, func(v policy.Action) bool {
 		return v.ID == id && (v.Kind == policy.ActionReject || v.Kind == policy.ActionFail)
 	})
 }
@@ -147,5 +147,5 @@
 	if r == nil || r.state != attempting {
 		return false
 	}
-	return r.preexisting || !r.member.unavailable && !c.doubting && c.repeatable(c.Clock(), r, r.member)
+	return r.preexisting || !r.member.unavailable && !c.dispatchPaused && c.repeatable(c.Clock(), r, r.member)
 }
--- a/internal/core/leave.go
+++ b/internal/core/leave.go
@@ -27,7 +27,7 @@
 // where it is longer, and 0.7 s. Those are for the last answers and a busy loop.
 func (c *Core) StopTimeout() time.Duration {
 	longest := time.Duration(0)
-	for _, class := range c.set.Classes {
+	for _, class := range c.policyCfg.Classes {
 		longest = max(longest, class.Deadline)
 	}
 	return min(longest, stopMost)
@@ -96,8 +96,8 @@
 	if m == nil {
 		return 0, nil, false
 	}
-	c.last++
-	r := &request{Request: p.Request, id: c.last, downstream: v, deadline: now, attempts: 1, policySends: 1, member: m, sentAt: now - p.Age,
+	c.lastID++
+	r := &request{Request: p.Request, id: c.lastID, downstream: v, deadline: now, attempts: 1, policySends: 1, member: m, sentAt: now - p.Age,
 		preexisting: true, state: serving}
 	c.requests[r.id] = r
 	m.flows++
@@ -106,7 +106,7 @@
 	c.record(r, Served)
 	c.tell(policy.ExistingFlow{Request: r.policy(), Server: m.ID})
 	if !c.AcceptsClients() {
-		c.leaveAt(r, c.moveAt)
+		c.leaveAt(r, c.migrateNotBefore)
 	}
 	c.quit(r)
 	c.scheduleTick()
@@ -131,9 +131,9 @@
 			open = append(open, r)
 		}
 	}
-	c.moveAt = c.Clock() + from
+	c.migrateNotBefore = c.Clock() + from
 	for i, r := range open {
-		c.leaveAt(r, c.moveAt+(to-from)*time.Duration(i)/time.Duration(len(open)))
+		c.leaveAt(r, c.migrateNotBefore+(to-from)*time.Duration(i)/time.Duration(len(open)))
 	}
 	c.scheduleTick()
 }
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -58,7 +58,7 @@
 		m.unavailableSince = now
 	}
 	m.unavailable = left
-	if c.paced {
+	if c.migrationsDeferred {
 		c.settle(m)
 	}
 }
@@ -76,28 +76,28 @@
 
 // ruled says whether an operator of this relay or the fleet has taken a member out.
 func (c *Core) ruled(name string) bool {
-	_, agreed := c.agreed[name]
-	return agreed || c.bans[name]
+	_, agreed := c.fleetRemovals[name]
+	return agreed || c.ejections[name]
 }
 
 // Eject has nothing new sent to a member, whatever the pool says of it, and its flows
 // moved.
 func (c *Core) Eject(name string) {
-	c.bans[name] = true
+	c.ejections[name] = true
 	c.rule(name, false)
 }
 
 // Reinstate ends a ban. Whatever the member was restarted for meanwhile, it is taken
 // for cold, and nothing that was learned of it before counts.
 func (c *Core) Reinstate(name string) {
-	delete(c.bans, name)
+	delete(c.ejections, name)
 	c.rule(name, false)
 }
 
 // SetFleetRemovals puts what the fleet has agreed on in the place of all that it agreed on before. Bans of this relay's own operators stay.
 func (c *Core) SetFleetRemovals(out map[string]Removal) {
-	before := c.agreed
-	c.agreed = maps.Clone(out)
+	before := c.fleetRemovals
+	c.fleetRemovals = maps.Clone(out)
 	for _, name := range slices.Sorted(maps.Keys(before)) {
 		if _, still := out[name]; !still {
 			c.rule(name, !before[name].Ejection)
@@ -118,7 +118,7 @@
 	case m == nil || !m.ejected && !out:
 		return
 	case m.ejected && out: // still out, maybe by another word
-		if c.paced {
+		if c.migrationsDeferred {
 			c.settle(m)
 			c.scheduleTick()
 		}
@@ -151,7 +151,7 @@
 }
 
 // Ejected are the members that this relay's own operators have taken out, in order.
-func (c *Core) Ejected() []string { return slices.Sorted(maps.Keys(c.bans)) }
+func (c *Core) Ejected() []string { return slices.Sorted(maps.Keys(c.ejections)) }
 
 // slowStart puts the move of a flow off that the module asks for, where its member leaves by agreement and the flows of all relays are
 // spread over a time. The module asks once, so what is put off is the core's to do.
@@ -159,11 +159,11 @@
 	if r.state != serving || r.member.listed.State != policy.Ready { // it leaves by itself, and sends its clients away soon
 		return false
 	}
-	over := c.agreed[r.member.Name].SpreadOver
-	if !r.member.ejected || c.bans[r.member.Name] || over <= 0 { // an operator of this relay wants it left now
+	over := c.fleetRemovals[r.member.Name].SpreadOver
+	if !r.member.ejected || c.ejections[r.member.Name] || over <= 0 { // an operator of this relay wants it left now
 		return false
 	}
-	r.migrationDeferred, c.paced = true, true
+	r.migrationDeferred, c.migrationsDeferred = true, true
 	// A part of the span that is the request's own, and spreads those of one relay evenly.
 	part := math.Mod(float64(r.id)*math.Phi, 1)
 	c.dueAt(r, max(c.Clock(), r.member.unavailableSince+time.Duration(part*float64(over))))
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -89,7 +89,7 @@
 	ended    bool // the flow that stood
 }
 
-func (x *client) class() policy.Class { return x.w.c.set.Classes[x.q.Class] }
+func (x *client) class() policy.Class { return x.w.c.policyCfg.Classes[x.q.Class] }
 
 // out is the attempt that is out, or the open flow's.
 func (x *client) out() *tried {
@@ -729,8 +729,8 @@
 		w.doubt()
 	}
 	w.run(20 * time.Second) // beyond all waits and all spans
-	if w.c.later != nil || len(w.c.timers) > 0 || len(w.c.pending) > 0 || len(w.c.requests) > 0 {
-		w.Fatalf("left behind: %d held sends, %d alarms, %d verdicts, %d requests", len(w.c.later), len(w.c.timers), len(w.c.pending), len(w.c.requests))
+	if w.c.pausedActions != nil || len(w.c.timers) > 0 || len(w.c.pendingActions) > 0 || len(w.c.requests) > 0 {
+		w.Fatalf("left behind: %d held sends, %d alarms, %d verdicts, %d requests", len(w.c.pausedActions), len(w.c.timers), len(w.c.pendingActions), len(w.c.requests))
 	}
 	w.c.UpdateMembers(policy.ListFull, nil)
 	if l := w.c.LearnedState().Policy.Servers; len(l) > 0 && !w.wrong { // the module keeps those alone at which it takes flows to be open
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -14,8 +14,8 @@
 // Open takes a request. The final answer comes by v, perhaps at once.
 func (c *Core) Open(q Request, v Downstream) ID {
 	now := c.Clock()
-	c.last++
-	r := &request{Request: q, id: c.last, downstream: v, deadline: now + q.TimeLeft}
+	c.lastID++
+	r := &request{Request: q, id: c.lastID, downstream: v, deadline: now + q.TimeLeft}
 	c.requests[r.id] = r
 	c.Counts.Requests++
 	switch {
@@ -82,7 +82,7 @@
 		c.tell(policy.FlowEstablished{ID: id})
 	}
 	if !c.AcceptsClients() {
-		c.leaveAt(r, max(c.moveAt, c.Clock()+StopNotice/2))
+		c.leaveAt(r, max(c.migrateNotBefore, c.Clock()+StopNotice/2))
 	}
 	c.quit(r)
 	c.scheduleTick()
@@ -128,7 +128,7 @@
 	m.flows++
 	r.attempts++
 	c.Counts.Attempts++
-	if m.ejected && now-m.unavailableSince > c.grace {
+	if m.ejected && now-m.unavailableSince > c.drainGrace {
 		c.Counts.SentAfterGrace++ // the gate lets none pass: this counts what it did, not what it meant
 	}
 	r.downstream.Send(r.id, &m.Member, r.attempts-1, wait)
@@ -219,7 +219,7 @@
 	if advised := c.Settings.Limits.RetryAfter; advised != nil && !*advised {
 		return 0
 	}
-	return min(after, c.set.MaxRetryAfter)
+	return min(after, c.policyCfg.MaxRetryAfter)
 }
 
 // answer rejects or fails a request, once. What is out of it is abandoned.
--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -111,7 +111,7 @@
 	r := newRigOf(t, classesText, list(4, policy.Ready))
 	r.PauseDispatch()
 	s := r.bring(safeClass, 2*time.Second)
-	barred := r.later[0].Server
+	barred := r.pausedActions[0].Server
 	r.UpdateMembers(policy.ListDelta, []Member{r.drains(barred)})
 	r.ResumeDispatch()
 	if r.Counts.Blocked != 1 || s.out != 1 {
@@ -170,8 +170,8 @@
 	s := r.bring(keyedAll, 2*time.Second)
 	r.PauseDispatch()
 	s.ends(policy.Reset)
-	if s.out != 0 || len(r.later) != 1 {
-		t.Fatalf("%d out, %d held", s.out, len(r.later))
+	if s.out != 0 || len(r.pausedActions) != 1 {
+		t.Fatalf("%d out, %d held", s.out, len(r.pausedActions))
 	}
 	r.pass(901 * time.Millisecond)
 	if s.got() != "" {
