--- a/internal/core/alarms.go
+++ b/internal/core/alarms.go
@@ -29,10 +29,10 @@
 			}
 		case a.attempt < 0 && !r.state.final():
 			// The module answers before this; a client must not be left without.
-			c.giveUp(r)
-		case a.attempt >= 0 && r.state == attempting && c.current(a.id, a.attempt) != nil:
+			c.abort(r)
+		case a.attempt >= 0 && r.state == attempting && c.currentAttempt(a.id, a.attempt) != nil:
 			r.downstream.Cancel(a.attempt)
-			c.end(r, policy.Timeout, policy.NoReport)
+			c.endAttempt(r, policy.Timeout, policy.NoReport)
 		}
 	}
 	c.apply(c.facade.Tick(now))
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -208,7 +208,7 @@
 // ---- What fronts tell ----
 
 // UpdateLoad is the load that an open flow has now, as work a second.
-func (c *Core) UpdateLoad(id ID, load float64) { c.tell(policy.FlowLoad{ID: id, Load: load}) }
+func (c *Core) UpdateLoad(id ID, load float64) { c.notifyPolicy(policy.FlowLoad{ID: id, Load: load}) }
 
 // ObserveMessageLatency says how long a message on an open flow took. The module hears of it
 // while messages are slow, and once more when they no longer are.
@@ -218,7 +218,7 @@
 		return
 	}
 	m, now, slow := r.member, c.Clock(), false
-	c.happens(r, m, MessageAnswered, took)
+	c.emitMemberEvent(r, m, MessageAnswered, took)
 	for _, class := range c.policyCfg.Classes {
 		slow = slow || took > class.MessageLatencyObjective/3
 	}
@@ -226,16 +226,16 @@
 		return
 	}
 	m.slow, m.slowReportedAt = slow, now
-	c.tell(policy.MessageLatency{ID: id, Latency: took})
+	c.notifyPolicy(policy.MessageLatency{ID: id, Latency: took})
 }
 
 // ActiveRelays is by how many the budgets are divided that all relays share.
-func (c *Core) SetActiveRelays(share float64) { c.tell(policy.ActiveRelays{Count: share}) }
+func (c *Core) SetActiveRelays(share float64) { c.notifyPolicy(policy.ActiveRelays{Count: share}) }
 
 // ProbeResult is the answer to a probe.
 func (c *Core) ProbeResult(server policy.ServerID, result policy.Result, report policy.Report) {
 	if m := c.members[server]; m != nil {
-		c.saw(m, result)
+		c.countResult(m, result)
 	}
-	c.tell(policy.ProbeResult{Server: server, Result: result, Report: report})
+	c.notifyPolicy(policy.ProbeResult{Server: server, Result: result, Report: report})
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -93,7 +93,7 @@
 	return out
 }
 
-// open brings a request that waits for two seconds.
+// established brings a request that waits for two seconds.
 func (r *rig) open() *side {
 	s := &side{r: r}
 	s.id = r.Open(Request{Load: 0.01, TimeLeft: 2 * time.Second}, s)
@@ -158,7 +158,7 @@
 	r := newRig(t, 2)
 	s := r.open()
 	q, m := r.requests[s.id], r.members[11]
-	open := func(m *member) bool { return r.gate(r.now, q.state != placing, q.attempts, q.deadline, m) }
+	open := func(m *member) bool { return r.mayStart(r.now, q.state != placing, q.attempts, q.deadline, m) }
 	if open(m) {
 		t.Error("a second attempt while one is out")
 	}
@@ -287,7 +287,7 @@
 	if r.Open(Request{CurrentMember: "m0", TimeLeft: time.Second}, at); at.tries != 0 || len(at.answers) != 1 || at.answers[0] != "rejected" {
 		t.Errorf("a standing flow of a banned member: %d tries, %v", at.tries, at.answers)
 	}
-	r.do(policy.Action{Kind: policy.ActionProbe, Server: 10})
+	r.execute(policy.Action{Kind: policy.ActionProbe, Server: 10})
 	if probed != 0 || r.Reachable(10) {
 		t.Error("a banned member was probed")
 	}
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -19,8 +19,8 @@
 	server policy.Server
 }
 
-// repeatable says whether an attempt may go to a member without a double effect.
-func (c *Core) repeatable(now time.Duration, r *request, m *member) bool {
+// safeToRepeat says whether an attempt may go to a member without a double effect.
+func (c *Core) safeToRepeat(now time.Duration, r *request, m *member) bool {
 	class := c.policyCfg.Classes[r.Class]
 	switch {
 	case r.firstRun == nil, class.Idempotency == policy.Idempotent:
@@ -32,8 +32,8 @@
 		class.Scope == policy.ScopeCell && m.Cell == r.firstRun.server.Cell
 }
 
-// harmless says whether the client of a request may be told that coming again does no harm.
-func (c *Core) harmless(r *request) bool {
+// safeToRetry says whether the client of a request may be told that coming again does no harm.
+func (c *Core) safeToRetry(r *request) bool {
 	class := c.policyCfg.Classes[r.Class]
 	return class.Idempotency == policy.Idempotent || class.Idempotency == policy.IdempotencyKey && class.Scope == policy.ScopeAll ||
 		r.state == placing && r.firstRun == nil
--- a/internal/core/feed.go
+++ b/internal/core/feed.go
@@ -279,7 +279,7 @@
 	f.soon(f.c.Clock()) // after the core is done with the flow
 }
 
-// end gives a link up that has ended, or was cut just now.
+// endAttempt gives a link up that has ended, or was cut just now.
 func (f *Feed) end(result policy.Result, left uint64) {
 	if f.over {
 		return
@@ -333,7 +333,7 @@
 		if next == nil {
 			return
 		}
-		if !c.gate(now, !next.Waiting(), next.Attempts, next.Deadline, m) {
+		if !c.mayStart(now, !next.Waiting(), next.Attempts, next.Deadline, m) {
 			c.Counts.Blocked++
 			if !c.reachable(now, m) { // it should have been moved before
 				f.state = feedLeaving
@@ -374,7 +374,7 @@
 	return m.slowStart
 }
 
-// release gives back what the pace counted.
+// releaseAttempt gives back what the pace counted.
 func (f *Feed) release(n, taken int) {
 	if f.member != nil && f.member.slowStart != nil && n > 0 {
 		f.member.slowStart.Release(n, taken)
--- a/internal/core/gate.go
+++ b/internal/core/gate.go
@@ -29,7 +29,7 @@
 
 // ---- What the module's verdicts do ----
 
-func (c *Core) tell(n policy.Event) { c.apply(c.facade.Observe(c.Clock(), n)) }
+func (c *Core) notifyPolicy(n policy.Event) { c.apply(c.facade.Observe(c.Clock(), n)) }
 
 // apply carries verdicts out in their order; what they lead to comes after them.
 func (c *Core) apply(verdicts []policy.Action) {
@@ -41,13 +41,13 @@
 	for len(c.pendingActions) > 0 {
 		v := c.pendingActions[0]
 		c.pendingActions = c.pendingActions[1:]
-		c.do(v)
+		c.execute(v)
 	}
 	c.pendingActions, c.applying = nil, false
 	c.scheduleTick()
 }
 
-func (c *Core) do(v policy.Action) {
+func (c *Core) execute(v policy.Action) {
 	r := c.requests[v.ID]
 	if c.dispatchPaused && (v.Kind == policy.ActionSend || v.Kind == policy.ActionProbe) {
 		c.pausedActions = append(c.pausedActions, v)
@@ -61,7 +61,7 @@
 			c.Probe(&m.Member)
 		default:
 			c.Counts.Blocked++
-			c.tell(policy.ProbeResult{Server: v.Server, Result: policy.NotSent, Report: policy.NoReport})
+			c.notifyPolicy(policy.ProbeResult{Server: v.Server, Result: policy.NotSent, Report: policy.NoReport})
 		}
 		return
 	case policy.ActionWatch:
@@ -70,21 +70,21 @@
 	}
 	if r == nil {
 		if v.Kind == policy.ActionSend { // it has ended since this was asked for
-			c.tell(policy.SendSkipped{ID: v.ID, Final: true})
+			c.notifyPolicy(policy.SendSkipped{ID: v.ID, Final: true})
 		}
 		return
 	}
 	switch v.Kind {
 	case policy.ActionSend:
-		c.send(r, v)
+		c.dispatch(r, v)
 	case policy.ActionReject:
-		c.refuse(r, v.Duration)
+		c.rejectOrFail(r, v.Duration)
 	case policy.ActionFail: // or rejected: the module takes a send that waits for the end of a doubt for an attempt
-		c.refuse(r, stopAfter)
+		c.rejectOrFail(r, stopAfter)
 	case policy.ActionCancel:
 		if v.Attempt == r.policySends-1 && r.state == attempting {
 			r.downstream.Cancel(r.attempts - 1)
-			c.end(r, policy.Cancelled, policy.NoReport)
+			c.endAttempt(r, policy.Cancelled, policy.NoReport)
 		}
 	case policy.ActionMigrate:
 		if !c.pace(r) {
@@ -93,11 +93,11 @@
 	}
 }
 
-// gate is the one place that says whether an attempt may start, of a request or of a
+// mayStart is the one place that says whether an attempt may start, of a request or of a
 // message on a feed: none after the final answer, no second one out, no more than the
 // settings allow, none that the client no longer waits for, and none to a member that has
 // left for longer than the grace.
-func (c *Core) gate(now time.Duration, settled bool, tries int, due time.Duration, m *member) bool {
+func (c *Core) mayStart(now time.Duration, settled bool, tries int, due time.Duration, m *member) bool {
 	return !settled && tries < c.policyCfg.MaxAttempts && now < due && m != nil && c.reachable(now, m)
 }
 
@@ -112,21 +112,21 @@
 	return m != nil && !c.dispatchPaused && c.reachable(c.Clock(), m)
 }
 
-// decided says whether a final answer of that request is among the verdicts that are still to be carried out: the module's timers of
+// answerPending says whether a final answer of that request is among the verdicts that are still to be carried out: the module's timers of
 // a late Tick come together.
-func (c *Core) decided(id ID) bool {
+func (c *Core) answerPending(id ID) bool {
 	return slices.ContainsFunc(c.pendingActions, func(v policy.Action) bool {
 		return v.ID == id && (v.Kind == policy.ActionReject || v.Kind == policy.ActionFail)
 	})
 }
 
-func (c *Core) send(r *request, v policy.Action) {
+func (c *Core) dispatch(r *request, v policy.Action) {
 	now, m := c.Clock(), c.members[v.Server]
 	r.policySends++
-	if c.decided(r.id) || !c.gate(now, r.state != placing, r.attempts, r.deadline, m) || !c.repeatable(now, r, m) {
+	if c.answerPending(r.id) || !c.mayStart(now, r.state != placing, r.attempts, r.deadline, m) || !c.safeToRepeat(now, r, m) {
 		c.Counts.Blocked++
 		if r.state == placing { // else the module hears of what is out as that ends
-			c.tell(policy.SendSkipped{ID: r.id})
+			c.notifyPolicy(policy.SendSkipped{ID: r.id})
 		}
 		return
 	}
@@ -135,7 +135,7 @@
 		wait = v.Duration
 		c.setTimer(now+wait, r.id, r.attempts)
 	}
-	c.start(now, r, m, wait)
+	c.startAttempt(now, r, m, wait)
 }
 
 // NewFacade says whether an attempt may be sent now that its connection stands. One whose member has left meanwhile may
@@ -143,9 +143,9 @@
 // during a doubt, nor a repeat whose window is over by now. It ends as one that was never made. A flow that its
 // member holds already is exempt.
 func (c *Core) MaySend(id ID, try int) bool {
-	r := c.current(id, try)
+	r := c.currentAttempt(id, try)
 	if r == nil || r.state != attempting {
 		return false
 	}
-	return r.preexisting || !r.member.unavailable && !c.dispatchPaused && c.repeatable(c.Clock(), r, r.member)
+	return r.preexisting || !r.member.unavailable && !c.dispatchPaused && c.safeToRepeat(c.Clock(), r, r.member)
 }
--- a/internal/core/happen.go
+++ b/internal/core/happen.go
@@ -29,19 +29,19 @@
 	Latency time.Duration
 }
 
-// ending is how an attempt ended, or the flow that it became. What the relay or the client ended says nothing of the member.
-type ending struct {
-	open   bool
-	result policy.Result
+// attemptEnd is how an attempt ended, or the flow that it became. What the relay or the client ended says nothing of the member.
+type attemptEnd struct {
+	established bool
+	result      policy.Result
 }
 
-var ends = map[ending]MemberEventKind{
+var eventKinds = map[attemptEnd]MemberEventKind{
 	{false, policy.Error}: AttemptError, {false, policy.Reset}: ConnectionFailed, {false, policy.ConnectFailed}: ConnectionFailed, {false, policy.Timeout}: AttemptTimedOut,
 	{true, policy.OK}: FlowCompleted, {true, policy.Reset}: FlowEndedByMember, {true, policy.Error}: FlowEndedByMember,
 	{true, policy.Cancelled}: FlowEndedLocally, {true, policy.Timeout}: FlowEndedLocally,
 }
 
-func (c *Core) happens(r *request, m *member, what MemberEventKind, took time.Duration) {
+func (c *Core) emitMemberEvent(r *request, m *member, what MemberEventKind, took time.Duration) {
 	if c.OnMemberEvent != nil {
 		c.OnMemberEvent(MemberEvent{&m.Member, &r.Request, what, took})
 	}
@@ -50,10 +50,10 @@
 // SetCanaryGroup keeps a canary's arm apart: of says which members are of it, drawn whose flows go there, and nobody else's do. Nil: there is none.
 func (c *Core) SetCanaryGroup(of func(*Member) bool, drawn func(group uint64) bool) {
 	if of == nil {
-		c.tell(policy.CanaryGroup{})
+		c.notifyPolicy(policy.CanaryGroup{})
 		return
 	}
-	c.tell(policy.CanaryGroup{Assigned: drawn, Contains: func(id policy.ServerID) bool {
+	c.notifyPolicy(policy.CanaryGroup{Assigned: drawn, Contains: func(id policy.ServerID) bool {
 		m := c.members[id]
 		return m != nil && of(&m.Member)
 	}})
--- a/internal/core/leave.go
+++ b/internal/core/leave.go
@@ -55,7 +55,7 @@
 // Resume ends a drain; who was not moved yet stays.
 func (c *Core) Resume() {
 	if c.draining && !c.stopping {
-		for _, r := range c.held() {
+		for _, r := range c.requestsInOrder() {
 			r.migrateAt = 0
 		}
 	}
@@ -85,7 +85,7 @@
 		return FlowTransfer{}, false
 	}
 	p := FlowTransfer{r.Request, r.member.Name, c.Clock() - r.sentAt}
-	c.release(r, serving, policy.Cancelled, policy.NoReport)
+	c.releaseAttempt(r, serving, policy.Cancelled, policy.NoReport)
 	return p, true
 }
 
@@ -103,8 +103,8 @@
 	m.flows++
 	c.Counts.Requests++
 	c.Counts.Attempts++
-	c.record(r, Served)
-	c.tell(policy.ExistingFlow{Request: r.policy(), Server: m.ID})
+	c.recordAnswer(r, Served)
+	c.notifyPolicy(policy.ExistingFlow{Request: r.policy(), Server: m.ID})
 	if !c.AcceptsClients() {
 		c.leaveAt(r, c.migrateNotBefore)
 	}
@@ -126,7 +126,7 @@
 // moveAll spreads the moves of all open flows between two times from now.
 func (c *Core) moveAll(from, to time.Duration) {
 	var open []*request
-	for _, r := range c.held() {
+	for _, r := range c.requestsInOrder() {
 		if r.state == serving {
 			open = append(open, r)
 		}
@@ -154,12 +154,12 @@
 // FinishStop ends a stop whose time is up: who still waits is answered, and every
 // open flow is moved at once.
 func (c *Core) FinishStop() {
-	for _, r := range c.held() {
+	for _, r := range c.requestsInOrder() {
 		switch r.state {
 		case serving:
 			c.move(r)
 		case placing, attempting:
-			c.giveUp(r)
+			c.abort(r)
 		}
 	}
 }
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -78,8 +78,8 @@
 	migrationDeferred bool          // the module has asked for its move, and it was put off
 }
 
-// held is all requests in the order in which they came.
-func (c *Core) held() []*request {
+// requestsInOrder is all requests in the order in which they came.
+func (c *Core) requestsInOrder() []*request {
 	all := make([]*request, 0, len(c.requests))
 	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
 		all = append(all, c.requests[id])
--- a/internal/core/lifecycle_test.go
+++ b/internal/core/lifecycle_test.go
@@ -47,9 +47,9 @@
 	if r.FlowEstablished(s.id, 0) || r.Counts.IgnoredEvents != 1 {
 		t.Errorf("up twice, %d ignored", r.Counts.IgnoredEvents)
 	}
-	r.do(policy.Action{Kind: policy.ActionReject, ID: s.id, Duration: time.Second})
-	r.do(policy.Action{Kind: policy.ActionFail, ID: s.id})
-	r.do(policy.Action{Kind: policy.ActionCancel, ID: s.id})
+	r.execute(policy.Action{Kind: policy.ActionReject, ID: s.id, Duration: time.Second})
+	r.execute(policy.Action{Kind: policy.ActionFail, ID: s.id})
+	r.execute(policy.Action{Kind: policy.ActionCancel, ID: s.id})
 	if len(s.answers) != 0 || s.out != 1 || !r.IsActive(s.id) {
 		t.Errorf("an open flow got %v, %d out", s.answers, s.out)
 	}
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -39,7 +39,7 @@
 			}
 		}
 	}
-	c.tell(policy.ServerList{Kind: kind, Servers: servers})
+	c.notifyPolicy(policy.ServerList{Kind: kind, Servers: servers})
 }
 
 // see makes of what discovery and the operators say of a member what the module
@@ -135,7 +135,7 @@
 // word tells the module of a member about which somebody has spoken.
 func (c *Core) word(m *member) {
 	c.see(c.Clock(), m)
-	c.tell(policy.ServerList{Kind: policy.ListDelta, Servers: []policy.Server{m.Server}})
+	c.notifyPolicy(policy.ServerList{Kind: policy.ListDelta, Servers: []policy.Server{m.Server}})
 }
 
 // SetEjections puts these names in the place of all that are banned.
@@ -179,7 +179,7 @@
 
 // settle looks at flows of a member whose move was put off, when what is said of it changes: it leaves after all, sooner, or stays.
 func (c *Core) settle(m *member) {
-	for _, r := range c.held() {
+	for _, r := range c.requestsInOrder() {
 		switch {
 		case r.state != serving || r.member != m || !r.migrationDeferred:
 		case !m.unavailable:
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -26,7 +26,7 @@
 	case q.TimeLeft <= 0:
 		c.answer(r, Rejected, stopAfter)
 	case q.CurrentMember != "":
-		c.stand(now, r)
+		c.resumeFlow(now, r)
 	default:
 		c.setTimer(r.deadline, r.id, -1)
 		c.apply(c.facade.Pick(now, r.policy()))
@@ -34,8 +34,8 @@
 	return r.id
 }
 
-// stand sends a flow on to the member that already holds it.
-func (c *Core) stand(now time.Duration, r *request) {
+// resumeFlow sends a flow on to the member that already holds it.
+func (c *Core) resumeFlow(now time.Duration, r *request) {
 	m := c.byName[r.CurrentMember]
 	if m == nil {
 		c.answer(r, Failed, 0)
@@ -47,7 +47,7 @@
 	}
 	r.preexisting, r.policySends = true, 1 // the module takes it for sent
 	c.setTimer(r.deadline, r.id, -1)
-	c.start(now, r, m, r.TimeLeft)
+	c.startAttempt(now, r, m, r.TimeLeft)
 	c.scheduleTick()
 }
 
@@ -56,8 +56,8 @@
 		Deadline: r.deadline, Load: r.Load, Reconnect: r.Reconnect}
 }
 
-// current is the request whose attempt of that number is out or open.
-func (c *Core) current(id ID, try int) *request {
+// currentAttempt is the request whose attempt of that number is out or open.
+func (c *Core) currentAttempt(id ID, try int) *request {
 	if r := c.requests[id]; r != nil && r.state.out() && r.attempts-1 == try {
 		return r
 	}
@@ -67,19 +67,19 @@
 // Up says that a server-side flow stands. It returns whether the client may be
 // told so.
 func (c *Core) FlowEstablished(id ID, try int) bool {
-	r := c.current(id, try)
+	r := c.currentAttempt(id, try)
 	if r == nil || !c.transition(r, attemptEstablished) {
 		return false
 	}
-	c.record(r, Served)
-	c.saw(r.member, policy.OK)
+	c.recordAnswer(r, Served)
+	c.countResult(r.member, policy.OK)
 	if !r.preexisting {
-		c.happens(r, r.member, FlowEstablished, c.Clock()-r.sentAt)
+		c.emitMemberEvent(r, r.member, FlowEstablished, c.Clock()-r.sentAt)
 	}
 	if r.preexisting {
-		c.tell(policy.ExistingFlow{Request: r.policy(), Server: r.member.ID})
+		c.notifyPolicy(policy.ExistingFlow{Request: r.policy(), Server: r.member.ID})
 	} else {
-		c.tell(policy.FlowEstablished{ID: id})
+		c.notifyPolicy(policy.FlowEstablished{ID: id})
 	}
 	if !c.AcceptsClients() {
 		c.leaveAt(r, max(c.migrateNotBefore, c.Clock()+StopNotice/2))
@@ -92,8 +92,8 @@
 // AttemptEnded says how a server-side flow ended, before it stood or after. A flow
 // served to its end has its final answer by that.
 func (c *Core) AttemptEnded(id ID, try int, result policy.Result, report policy.Report) {
-	if r := c.current(id, try); r != nil {
-		c.end(r, result, report)
+	if r := c.currentAttempt(id, try); r != nil {
+		c.endAttempt(r, result, report)
 	}
 }
 
@@ -105,12 +105,12 @@
 		return false
 	}
 	was := r.state
-	harmless = c.harmless(r)
+	harmless = c.safeToRetry(r)
 	c.transition(r, clientGone)
 	if !was.final() {
-		c.record(r, ClientGone)
+		c.recordAnswer(r, ClientGone)
 		if !r.preexisting {
-			c.tell(policy.ClientGone{ID: id})
+			c.notifyPolicy(policy.ClientGone{ID: id})
 		}
 	}
 	c.abandon(r, was)
@@ -119,8 +119,8 @@
 
 // ---- Attempts and flows ----
 
-// start sends an attempt out.
-func (c *Core) start(now time.Duration, r *request, m *member, wait time.Duration) {
+// startAttempt sends an attempt out.
+func (c *Core) startAttempt(now time.Duration, r *request, m *member, wait time.Duration) {
 	if !c.transition(r, attemptStarted) {
 		return
 	}
@@ -134,8 +134,8 @@
 	r.downstream.Send(r.id, &m.Member, r.attempts-1, wait)
 }
 
-// end takes in that an attempt or a flow has ended.
-func (c *Core) end(r *request, result policy.Result, report policy.Report) {
+// endAttempt takes in that an attempt or a flow has ended.
+func (c *Core) endAttempt(r *request, result policy.Result, report policy.Report) {
 	was, e := r.state, attemptEnded
 	if was == attempting && result == policy.OK {
 		e = servedWithoutFlow
@@ -144,9 +144,9 @@
 		return
 	}
 	if e == servedWithoutFlow {
-		c.record(r, Served)
+		c.recordAnswer(r, Served)
 	}
-	c.release(r, was, result, report)
+	c.releaseAttempt(r, was, result, report)
 	if r.preexisting && r.state == placing { // only its own member has it
 		c.answer(r, Failed, 0)
 	}
@@ -156,12 +156,12 @@
 func (c *Core) abandon(r *request, was state) {
 	if was.out() {
 		r.downstream.Cancel(r.attempts - 1)
-		c.release(r, was, policy.Cancelled, policy.NoReport)
+		c.releaseAttempt(r, was, policy.Cancelled, policy.NoReport)
 	}
 }
 
-// release closes an attempt that was out, or a flow that stood, and tells the module.
-func (c *Core) release(r *request, was state, result policy.Result, report policy.Report) {
+// releaseAttempt closes an attempt that was out, or a flow that stood, and tells the module.
+func (c *Core) releaseAttempt(r *request, was state, result policy.Result, report policy.Report) {
 	m, try := r.member, r.attempts-1
 	r.member = nil
 	if r.firstRun == nil && mayHaveRun(result) {
@@ -169,10 +169,10 @@
 	}
 	m.flows--
 	if result != policy.OK || was == attempting { // an open flow was seen when it came up
-		c.saw(m, result)
+		c.countResult(m, result)
 	}
-	if what, ok := ends[ending{was == serving, result}]; ok {
-		c.happens(r, m, what, c.Clock()-r.sentAt)
+	if what, ok := eventKinds[attemptEnd{was == serving, result}]; ok {
+		c.emitMemberEvent(r, m, what, c.Clock()-r.sentAt)
 	}
 	if c.Recorder != nil {
 		c.Recorder.RecordAttempt(&r.Request, r.id, try, m.Name, r.sentAt, c.Clock(), result)
@@ -180,11 +180,11 @@
 	if r.preexisting && was != serving { // the module has not heard of it
 		return
 	}
-	c.tell(policy.AttemptEnded{ID: r.id, Attempt: r.policySends - 1, Server: m.ID, Result: result, Final: r.state.final(), Report: report})
+	c.notifyPolicy(policy.AttemptEnded{ID: r.id, Attempt: r.policySends - 1, Server: m.ID, Result: result, Final: r.state.final(), Report: report})
 }
 
-// saw counts how an attempt or a probe went. A client that leaves says nothing of the member.
-func (c *Core) saw(m *member, result policy.Result) {
+// countResult counts how an attempt or a probe went. A client that leaves says nothing of the member.
+func (c *Core) countResult(m *member, result policy.Result) {
 	switch result {
 	case policy.OK, policy.Full:
 		m.successes++
@@ -198,15 +198,15 @@
 
 // ---- Answers ----
 
-// giveUp answers a request without the module's word, and tells it so.
-func (c *Core) giveUp(r *request) {
-	c.tell(policy.ClientGone{ID: r.id})
-	c.refuse(r, stopAfter)
+// abort answers a request without the module's word, and tells it so.
+func (c *Core) abort(r *request) {
+	c.notifyPolicy(policy.ClientGone{ID: r.id})
+	c.rejectOrFail(r, stopAfter)
 }
 
-// refuse rejects a request, or fails one whose repeat may do harm.
-func (c *Core) refuse(r *request, after time.Duration) {
-	if c.harmless(r) {
+// rejectOrFail rejects a request, or fails one whose repeat may do harm.
+func (c *Core) rejectOrFail(r *request, after time.Duration) {
+	if c.safeToRetry(r) {
 		c.answer(r, Rejected, after)
 	} else {
 		c.answer(r, Failed, 0)
@@ -229,7 +229,7 @@
 		return
 	}
 	c.abandon(r, was)
-	c.record(r, a)
+	c.recordAnswer(r, a)
 	if a == Rejected {
 		after = c.RetryAfter(after)
 		c.Counts.BackoffTime += after
@@ -240,8 +240,8 @@
 	}
 }
 
-// record notes that a request has its final answer.
-func (c *Core) record(r *request, a Answer) {
+// recordAnswer notes that a request has its final answer.
+func (c *Core) recordAnswer(r *request, a Answer) {
 	switch a {
 	case Served:
 		c.Counts.Served++
@@ -264,5 +264,5 @@
 	}
 	c.Counts.Migrations++
 	r.downstream.Migrate()
-	c.release(r, serving, policy.Cancelled, policy.NoReport)
+	c.releaseAttempt(r, serving, policy.Cancelled, policy.NoReport)
 }
--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -49,7 +49,7 @@
 	return s
 }
 
-// ends has the attempt that is out end before it stood.
+// eventKinds has the attempt that is out end before it stood.
 func (s *side) ends(result policy.Result) {
 	s.out--
 	s.r.AttemptEnded(s.id, s.tries-1, result, policy.NoReport)
@@ -270,7 +270,7 @@
 	for class, want := range map[int]string{safeClass: "rejected", keyedAll: "rejected", keyedZone: "failed", keyedCell: "failed", unsafeClass: "failed"} {
 		r := newRigOf(t, classesText, list(1, policy.Ready))
 		s := r.bring(class, 2*time.Second)
-		r.do(policy.Action{Kind: policy.ActionReject, ID: s.id, Duration: time.Second})
+		r.execute(policy.Action{Kind: policy.ActionReject, ID: s.id, Duration: time.Second})
 		if s.got() != want || s.out != 0 {
 			t.Errorf("class %d: %v, %d out, want %s", class, s.answers, s.out, want)
 		}
@@ -294,7 +294,7 @@
 				if late {
 					r.now += 900 * time.Millisecond
 				}
-				r.do(policy.Action{Kind: policy.ActionSend, ID: s.id, Server: m.ID})
+				r.execute(policy.Action{Kind: policy.ActionSend, ID: s.id, Server: m.ID})
 				if ok := want[i] && (class == safeClass || !late); (s.tries == 2) != ok {
 					t.Errorf("class %d at %s, after the window %v: %d tries", class, m.Name, late, s.tries)
 				}
@@ -325,7 +325,7 @@
 	if s.to != at.Name {
 		at = r.members[policy.ServerID(11)]
 	}
-	r.do(policy.Action{Kind: policy.ActionSend, ID: s.id, Server: 10})
+	r.execute(policy.Action{Kind: policy.ActionSend, ID: s.id, Server: 10})
 	if s.tries != 1 || r.Counts.Blocked != 1 {
 		t.Fatalf("%d tries, %d barred", s.tries, r.Counts.Blocked)
 	}
