--- a/internal/core/alarms.go
+++ b/internal/core/alarms.go
@@ -25,7 +25,7 @@
 		case r == nil:
 		case a.attempt == timerMigrate:
 			if r.migrateAt == a.at || r.memberMigrateAt == a.at {
-				c.move(r)
+				c.migrate(r)
 			}
 		case a.attempt < 0 && !r.state.final():
 			// The module answers before this; a client must not be left without.
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -243,10 +243,10 @@
 	if s := r.open(); len(s.answers) != 1 || s.answers[0] != "rejected" {
 		t.Errorf("a request during the stop: %v", s.answers)
 	}
-	if away := r.Counts.BackoffTime; away != stopAfter {
-		t.Errorf("one was sent away for %v, counted %v", stopAfter, away)
+	if away := r.Counts.BackoffTime; away != stopRetryAfter {
+		t.Errorf("one was sent away for %v, counted %v", stopRetryAfter, away)
 	}
-	r.pass(of(stopMovesFrom, r.StopTimeout()) - time.Millisecond)
+	r.pass(fraction(stopMigrationStart, r.StopTimeout()) - time.Millisecond)
 	for _, s := range up {
 		if s.moved != 0 {
 			t.Error("moved too early")
@@ -397,7 +397,7 @@
 		t.Error("clients are still welcome, or moved before the front knows")
 	}
 	open()
-	r.pass(drainMoves / 2)
+	r.pass(drainMigrationEnd / 2)
 	half := moved()
 	r.Resume()
 	r.Resume()
@@ -407,7 +407,7 @@
 	}
 	open()
 	r.Drain()
-	r.pass(drainMoves + time.Second)
+	r.pass(drainMigrationEnd + time.Second)
 	if moved() != len(up) || r.ActiveRequests() != 0 {
 		t.Errorf("%d moved of %d, %d held", moved(), len(up), r.ActiveRequests())
 	}
@@ -464,12 +464,12 @@
 	if _, _, ok := next.AdoptFlow(FlowTransfer{Member: "m9"}, s); ok {
 		t.Error("a flow at an unknown member was taken")
 	}
-	r.pass(of(passWithin, r.StopTimeout()) - time.Millisecond)
+	r.pass(fraction(handoverEnd, r.StopTimeout()) - time.Millisecond)
 	early := up[0].moved
 	for _, s := range up[1:] {
 		early += s.moved
 	}
-	r.pass(of(stopMoves, r.StopTimeout()))
+	r.pass(fraction(stopMigrationEnd, r.StopTimeout()))
 	if early != 0 || r.ActiveRequests() != 0 || up[0].moved != 0 || up[1].moved != 1 {
 		t.Errorf("%d moved early, %d held", early, r.ActiveRequests())
 	}
--- a/internal/core/feed.go
+++ b/internal/core/feed.go
@@ -136,7 +136,7 @@
 	f.used = now
 	switch {
 	case c.Recorder != nil && !c.Recorder.Ready(): // what cannot be recorded is not sent
-		f.turnAway(&m, text, stopAfter)
+		f.turnAway(&m, text, stopRetryAfter)
 		return
 	case f.state == feedPausing && m.Deadline <= f.pauses:
 		f.turnAway(&m, text, f.pauses-now)
@@ -264,7 +264,7 @@
 	now := f.c.Clock()
 	until := now + after
 	if f.c.stopping {
-		after, until = max(after, stopAfter), 1<<62
+		after, until = max(after, stopRetryAfter), 1<<62
 	}
 	f.state, f.pauses = feedPausing, now+after
 	f.w.Expire(until, func(m *window.Message, ran bool) { f.giveUp(m, ran, after) })
@@ -434,7 +434,7 @@
 	}
 }
 
-// settle records the final answer of a message.
+// updateDeferred records the final answer of a message.
 func (f *Feed) settle(m *window.Message, a Answer) {
 	n := &f.c.Counts.Messages
 	switch a {
--- a/internal/core/feed_test.go
+++ b/internal/core/feed_test.go
@@ -400,7 +400,7 @@
 	}
 	r.Stop()
 	r.FinishStop()
-	if p.count(Rejected) != 3 || p.after != stopAfter || r.ActiveRequests() != 0 {
+	if p.count(Rejected) != 3 || p.after != stopRetryAfter || r.ActiveRequests() != 0 {
 		t.Errorf("%d rejected, for %v; held %d", p.count(Rejected), p.after, r.ActiveRequests())
 	}
 }
--- a/internal/core/gate.go
+++ b/internal/core/gate.go
@@ -80,15 +80,15 @@
 	case policy.ActionReject:
 		c.rejectOrFail(r, v.Duration)
 	case policy.ActionFail: // or rejected: the module takes a send that waits for the end of a doubt for an attempt
-		c.rejectOrFail(r, stopAfter)
+		c.rejectOrFail(r, stopRetryAfter)
 	case policy.ActionCancel:
 		if v.Attempt == r.policySends-1 && r.state == attempting {
 			r.downstream.Cancel(r.attempts - 1)
 			c.endAttempt(r, policy.Cancelled, policy.NoReport)
 		}
 	case policy.ActionMigrate:
-		if !c.pace(r) {
-			c.move(r)
+		if !c.deferMigration(r) {
+			c.migrate(r)
 		}
 	}
 }
--- a/internal/core/leave.go
+++ b/internal/core/leave.go
@@ -12,15 +12,15 @@
 // sent here. Nobody is moved before: who is would come back to this relay.
 const StopNotice = 450 * time.Millisecond
 
-// stopMost is the longest that clients' deadlines count in how long a planned stop may take.
-const stopMost = 3 * time.Second
+// maxStopDeadline is the longest that clients' deadlines count in how long a planned stop may take.
+const maxStopDeadline = 3 * time.Second
 
 const (
 	// The moves of a stop are spread between these parts of it. Flows are served meanwhile, and where relays are restarted one
 	// after another, the one before may be back only then.
-	stopMovesFrom, stopMoves = 0.4, 0.9
-	passWithin               = 1 / 3.0                // of it: an upgrade has so long to pass flows on
-	stopAfter                = 500 * time.Millisecond // when a client rejected meanwhile may come again
+	stopMigrationStart, stopMigrationEnd = 0.4, 0.9
+	handoverEnd                          = 1 / 3.0                // of it: an upgrade has so long to pass flows on
+	stopRetryAfter                       = 500 * time.Millisecond // when a client rejected meanwhile may come again
 )
 
 // StopTimeout is when a planned stop is over: with the longest deadline, since SIGKILL comes no earlier than that, taken as three seconds
@@ -30,17 +30,17 @@
 	for _, class := range c.policyCfg.Classes {
 		longest = max(longest, class.Deadline)
 	}
-	return min(longest, stopMost)
+	return min(longest, maxStopDeadline)
 }
 
 // of is a part of a time.
-func of(part float64, d time.Duration) time.Duration { return time.Duration(part * float64(d)) }
+func fraction(part float64, d time.Duration) time.Duration { return time.Duration(part * float64(d)) }
 
 // A drain moves open flows between these times after its start, all of them well
 // before the 4 s after which none may be held.
 const (
-	drainMovesFrom = StopNotice
-	drainMoves     = 3 * time.Second
+	drainMigrationStart = StopNotice
+	drainMigrationEnd   = 3 * time.Second
 )
 
 // Drain empties the relay: what still arrives is served, and open flows are moved
@@ -48,7 +48,7 @@
 func (c *Core) Drain() {
 	if c.AcceptsClients() {
 		c.draining = true
-		c.moveAll(drainMovesFrom, drainMoves)
+		c.spreadMigrations(drainMigrationStart, drainMigrationEnd)
 	}
 }
 
@@ -67,7 +67,7 @@
 func (c *Core) BeginHandover() {
 	if !c.stopping {
 		c.stopping = true
-		c.moveAll(of(passWithin, c.StopTimeout()), of(stopMoves, c.StopTimeout()))
+		c.spreadMigrations(fraction(handoverEnd, c.StopTimeout()), fraction(stopMigrationEnd, c.StopTimeout()))
 	}
 }
 
@@ -106,9 +106,9 @@
 	c.recordAnswer(r, Served)
 	c.notifyPolicy(policy.ExistingFlow{Request: r.policy(), Server: m.ID})
 	if !c.AcceptsClients() {
-		c.leaveAt(r, c.migrateNotBefore)
+		c.migrateAt(r, c.migrateNotBefore)
 	}
-	c.quit(r)
+	c.migrateIfUnavailable(r)
 	c.scheduleTick()
 	return r.id, &m.Member, true
 }
@@ -120,11 +120,11 @@
 		return
 	}
 	c.stopping = true
-	c.moveAll(max(of(stopMovesFrom, c.StopTimeout()), StopNotice), of(stopMoves, c.StopTimeout()))
+	c.spreadMigrations(max(fraction(stopMigrationStart, c.StopTimeout()), StopNotice), fraction(stopMigrationEnd, c.StopTimeout()))
 }
 
-// moveAll spreads the moves of all open flows between two times from now.
-func (c *Core) moveAll(from, to time.Duration) {
+// spreadMigrations spreads the moves of all open flows between two times from now.
+func (c *Core) spreadMigrations(from, to time.Duration) {
 	var open []*request
 	for _, r := range c.requestsInOrder() {
 		if r.state == serving {
@@ -133,18 +133,18 @@
 	}
 	c.migrateNotBefore = c.Clock() + from
 	for i, r := range open {
-		c.leaveAt(r, c.migrateNotBefore+(to-from)*time.Duration(i)/time.Duration(len(open)))
+		c.migrateAt(r, c.migrateNotBefore+(to-from)*time.Duration(i)/time.Duration(len(open)))
 	}
 	c.scheduleTick()
 }
 
-func (c *Core) leaveAt(r *request, at time.Duration) {
+func (c *Core) migrateAt(r *request, at time.Duration) {
 	r.migrateAt = at
 	c.setTimer(at, r.id, timerMigrate)
 }
 
-// dueAt has a flow moved because of its member. It holds beside leaveAt: the earlier one counts, and Resume ends only that.
-func (c *Core) dueAt(r *request, at time.Duration) {
+// migrateForMemberAt has a flow moved because of its member. It holds beside migrateAt: the earlier one counts, and Resume ends only that.
+func (c *Core) migrateForMemberAt(r *request, at time.Duration) {
 	if r.memberMigrateAt != at {
 		r.memberMigrateAt = at
 		c.setTimer(at, r.id, timerMigrate)
@@ -157,7 +157,7 @@
 	for _, r := range c.requestsInOrder() {
 		switch r.state {
 		case serving:
-			c.move(r)
+			c.migrate(r)
 		case placing, attempting:
 			c.abort(r)
 		}
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -20,7 +20,7 @@
 		named[e.ID] = true
 		m := c.members[e.ID]
 		if m == nil {
-			m = &member{slowReportedAt: -slowReportInterval, ejected: c.ruled(e.Name), startedAtEjection: e.Started}
+			m = &member{slowReportedAt: -slowReportInterval, ejected: c.isRemoved(e.Name), startedAtEjection: e.Started}
 			c.members[e.ID] = m
 			if kind == policy.ListDelta {
 				m.joinedAt = now
@@ -28,24 +28,24 @@
 		}
 		m.Member, m.listed = e, e.Server
 		c.byName[e.Name] = m
-		c.see(now, m)
+		c.refreshMember(now, m)
 		servers[i] = m.Server
 	}
 	if kind == policy.ListFull || kind == policy.ListCached {
 		for _, id := range slices.Sorted(maps.Keys(c.members)) {
 			if m := c.members[id]; !named[id] {
 				m.listed.State = policy.Gone
-				c.see(now, m)
+				c.refreshMember(now, m)
 			}
 		}
 	}
 	c.notifyPolicy(policy.ServerList{Kind: kind, Servers: servers})
 }
 
-// see makes of what discovery and the operators say of a member what the module
+// refreshMember makes of what discovery and the operators say of a member what the module
 // and the gate go by. A banned member is one that drains; one put back has started
 // just then, unless discovery knows of a start since the ban.
-func (c *Core) see(now time.Duration, m *member) {
+func (c *Core) refreshMember(now time.Duration, m *member) {
 	m.Server = m.listed
 	if m.reinstatedAt > 0 && m.Started <= m.startedAtEjection {
 		m.Started = m.reinstatedAt
@@ -59,14 +59,14 @@
 	}
 	m.unavailable = left
 	if c.migrationsDeferred {
-		c.settle(m)
+		c.updateDeferred(m)
 	}
 }
 
 // ---- What operators and the fleet tell ----
 
 // IsKnownMember says whether a member of that name is or was in the pool, or is banned.
-func (c *Core) IsKnownMember(name string) bool { return c.byName[name] != nil || c.ruled(name) }
+func (c *Core) IsKnownMember(name string) bool { return c.byName[name] != nil || c.isRemoved(name) }
 
 // Removal is how a member that the fleet has agreed to take out is left.
 type Removal struct {
@@ -74,8 +74,8 @@
 	Ejection   bool          // an operator's word, after which the member may be another one; else it is drained, and warm if that is revoked
 }
 
-// ruled says whether an operator of this relay or the fleet has taken a member out.
-func (c *Core) ruled(name string) bool {
+// isRemoved says whether an operator of this relay or the fleet has taken a member out.
+func (c *Core) isRemoved(name string) bool {
 	_, agreed := c.fleetRemovals[name]
 	return agreed || c.ejections[name]
 }
@@ -84,14 +84,14 @@
 // moved.
 func (c *Core) Eject(name string) {
 	c.ejections[name] = true
-	c.rule(name, false)
+	c.applyRemoval(name, false)
 }
 
 // Reinstate ends a ban. Whatever the member was restarted for meanwhile, it is taken
 // for cold, and nothing that was learned of it before counts.
 func (c *Core) Reinstate(name string) {
 	delete(c.ejections, name)
-	c.rule(name, false)
+	c.applyRemoval(name, false)
 }
 
 // SetFleetRemovals puts what the fleet has agreed on in the place of all that it agreed on before. Bans of this relay's own operators stay.
@@ -100,26 +100,26 @@
 	c.fleetRemovals = maps.Clone(out)
 	for _, name := range slices.Sorted(maps.Keys(before)) {
 		if _, still := out[name]; !still {
-			c.rule(name, !before[name].Ejection)
+			c.applyRemoval(name, !before[name].Ejection)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(out)) {
 		if was, still := before[name]; !still || was != out[name] {
-			c.rule(name, false)
+			c.applyRemoval(name, false)
 		}
 	}
 }
 
-// rule has a member be in or out as is ruled now, and its flows leave as is said now. One that is back is taken for just started, but for a drain that was revoked
+// applyRemoval has a member be in or out as is ruled now, and its flows leave as is said now. One that is back is taken for just started, but for a drain that was revoked
 // (warm): discovery would know of a new start.
-func (c *Core) rule(name string, warm bool) {
-	m, out := c.byName[name], c.ruled(name)
+func (c *Core) applyRemoval(name string, warm bool) {
+	m, out := c.byName[name], c.isRemoved(name)
 	switch {
 	case m == nil || !m.ejected && !out:
 		return
 	case m.ejected && out: // still out, maybe by another word
 		if c.migrationsDeferred {
-			c.settle(m)
+			c.updateDeferred(m)
 			c.scheduleTick()
 		}
 		return
@@ -129,12 +129,12 @@
 		m.reinstatedAt = c.Clock()
 	}
 	m.ejected = out
-	c.word(m)
+	c.notifyMemberChange(m)
 }
 
-// word tells the module of a member about which somebody has spoken.
-func (c *Core) word(m *member) {
-	c.see(c.Clock(), m)
+// notifyMemberChange tells the module of a member about which somebody has spoken.
+func (c *Core) notifyMemberChange(m *member) {
+	c.refreshMember(c.Clock(), m)
 	c.notifyPolicy(policy.ServerList{Kind: policy.ListDelta, Servers: []policy.Server{m.Server}})
 }
 
@@ -155,7 +155,7 @@
 
 // slowStart puts the move of a flow off that the module asks for, where its member leaves by agreement and the flows of all relays are
 // spread over a time. The module asks once, so what is put off is the core's to do.
-func (c *Core) pace(r *request) bool {
+func (c *Core) deferMigration(r *request) bool {
 	if r.state != serving || r.member.listed.State != policy.Ready { // it leaves by itself, and sends its clients away soon
 		return false
 	}
@@ -166,26 +166,26 @@
 	r.migrationDeferred, c.migrationsDeferred = true, true
 	// A part of the span that is the request's own, and spreads those of one relay evenly.
 	part := math.Mod(float64(r.id)*math.Phi, 1)
-	c.dueAt(r, max(c.Clock(), r.member.unavailableSince+time.Duration(part*float64(over))))
+	c.migrateForMemberAt(r, max(c.Clock(), r.member.unavailableSince+time.Duration(part*float64(over))))
 	return true
 }
 
-// quit has a flow moved that has just come to a member that is being left: the module asks for moves only as it hears of that.
-func (c *Core) quit(r *request) {
-	if r.state == serving && r.member.unavailable && !c.pace(r) {
-		c.dueAt(r, c.Clock())
+// migrateIfUnavailable has a flow moved that has just come to a member that is being left: the module asks for moves only as it hears of that.
+func (c *Core) migrateIfUnavailable(r *request) {
+	if r.state == serving && r.member.unavailable && !c.deferMigration(r) {
+		c.migrateForMemberAt(r, c.Clock())
 	}
 }
 
-// settle looks at flows of a member whose move was put off, when what is said of it changes: it leaves after all, sooner, or stays.
-func (c *Core) settle(m *member) {
+// updateDeferred looks at flows of a member whose move was put off, when what is said of it changes: it leaves after all, sooner, or stays.
+func (c *Core) updateDeferred(m *member) {
 	for _, r := range c.requestsInOrder() {
 		switch {
 		case r.state != serving || r.member != m || !r.migrationDeferred:
 		case !m.unavailable:
 			r.memberMigrateAt = 0
-		case m.unavailable && !c.pace(r):
-			c.move(r)
+		case m.unavailable && !c.deferMigration(r):
+			c.migrate(r)
 		}
 	}
 }
@@ -242,7 +242,7 @@
 	for name, ago := range l.ReinstatedAges {
 		if m := c.byName[name]; m != nil {
 			m.startedAtEjection, m.reinstatedAt = m.listed.Started, now-ago
-			c.see(now, m)
+			c.refreshMember(now, m)
 		}
 	}
 	c.facade.Restore(now, l.Policy)
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -433,7 +433,7 @@
 	w.c.UpdateMembers(kind, named)
 }
 
-// see notes which members have begun to leave.
+// refreshMember notes which members have begun to leave.
 func (w *world) see() {
 	for _, p := range w.places {
 		drain, agreed := w.agreed[p.Name]
@@ -478,7 +478,7 @@
 
 func (w *world) drain() {
 	if w.c.AcceptsClients() {
-		w.leaving = w.now + drainMoves
+		w.leaving = w.now + drainMigrationEnd
 		w.c.Drain()
 		return
 	}
@@ -503,7 +503,7 @@
 	if w.stopped {
 		return
 	}
-	w.stopped, w.leaving = true, w.now+of(stopMoves, w.c.StopTimeout())
+	w.stopped, w.leaving = true, w.now+fraction(stopMigrationEnd, w.c.StopTimeout())
 	if w.draw(2, "another takes its place") == 0 {
 		w.c.BeginHandover()
 	} else {
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -20,11 +20,11 @@
 	c.Counts.Requests++
 	switch {
 	case c.stopping:
-		c.answer(r, Rejected, stopAfter)
+		c.answer(r, Rejected, stopRetryAfter)
 	case c.Recorder != nil && !c.Recorder.Ready():
-		c.answer(r, Rejected, stopAfter)
+		c.answer(r, Rejected, stopRetryAfter)
 	case q.TimeLeft <= 0:
-		c.answer(r, Rejected, stopAfter)
+		c.answer(r, Rejected, stopRetryAfter)
 	case q.CurrentMember != "":
 		c.resumeFlow(now, r)
 	default:
@@ -42,7 +42,7 @@
 		return
 	}
 	if m.ejected {
-		c.answer(r, Rejected, stopAfter)
+		c.answer(r, Rejected, stopRetryAfter)
 		return
 	}
 	r.preexisting, r.policySends = true, 1 // the module takes it for sent
@@ -82,9 +82,9 @@
 		c.notifyPolicy(policy.FlowEstablished{ID: id})
 	}
 	if !c.AcceptsClients() {
-		c.leaveAt(r, max(c.migrateNotBefore, c.Clock()+StopNotice/2))
+		c.migrateAt(r, max(c.migrateNotBefore, c.Clock()+StopNotice/2))
 	}
-	c.quit(r)
+	c.migrateIfUnavailable(r)
 	c.scheduleTick()
 	return true
 }
@@ -201,7 +201,7 @@
 // abort answers a request without the module's word, and tells it so.
 func (c *Core) abort(r *request) {
 	c.notifyPolicy(policy.ClientGone{ID: r.id})
-	c.rejectOrFail(r, stopAfter)
+	c.rejectOrFail(r, stopRetryAfter)
 }
 
 // rejectOrFail rejects a request, or fails one whose repeat may do harm.
@@ -257,8 +257,8 @@
 	}
 }
 
-// move asks the client of an open flow to come again.
-func (c *Core) move(r *request) {
+// migrate asks the client of an open flow to come again.
+func (c *Core) migrate(r *request) {
 	if !c.transition(r, migrated) {
 		return
 	}
--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -208,8 +208,8 @@
 	s := r.bring(safeClass, 20*time.Second)
 	r.Drain()
 	r.FlowEstablished(s.id, 0)
-	if r.pass(drainMovesFrom); s.moved != 1 {
-		t.Errorf("moved %d times %v after the drain began", s.moved, drainMovesFrom)
+	if r.pass(drainMigrationStart); s.moved != 1 {
+		t.Errorf("moved %d times %v after the drain began", s.moved, drainMigrationStart)
 	}
 }
 
@@ -236,7 +236,7 @@
 	r, s = start()
 	r.Drain()
 	r.SetFleetRemovals(agreed(time.Hour))
-	within(r, s, drainMoves, "paced after the drain")
+	within(r, s, drainMigrationEnd, "paced after the drain")
 
 	r, s = start()
 	r.Stop()
