--- a/internal/core/alarms.go
+++ b/internal/core/alarms.go
@@ -20,7 +20,7 @@
 		switch {
 		case a.attempt == timerFeed:
 			if f := c.feeds[a.id]; f != nil {
-				f.due(now)
+				f.onTimer(now)
 			}
 		case r == nil:
 		case a.attempt == timerMigrate:
--- a/internal/core/feed_test.go
+++ b/internal/core/feed_test.go
@@ -124,7 +124,7 @@
 	if len(r.book) != 1+2*300 {
 		t.Errorf("%d records", len(r.book))
 	}
-	r.pass(feedRest + time.Second)
+	r.pass(feedIdleTimeout + time.Second)
 	if r.ActiveRequests() != 0 || p.to != nil {
 		t.Error("a feed that rests keeps its place")
 	}
@@ -161,7 +161,7 @@
 	for _, p := range pipes {
 		p.put(5000)
 	}
-	if r.feedBytes > 10<<10+2*feedLeast+100 {
+	if r.feedBytes > 10<<10+2*feedMinBytes+100 {
 		t.Errorf("%d bytes are held", r.feedBytes)
 	}
 	for _, p := range pipes {
@@ -271,7 +271,7 @@
 		}
 	}
 	for i, p := range pipes {
-		if p.to != nil && p.f.state == feedUp && p.count(Served) != 30 {
+		if p.to != nil && p.f.state == feedConnected && p.count(Served) != 30 {
 			t.Fatalf("feed %d has had %d of 30 served", i, p.count(Served))
 		}
 	}
@@ -298,7 +298,7 @@
 		t.Errorf("%d in line after one has closed", len(m.feedQueue))
 	}
 	other := &member{Member: Member{Name: "other"}}
-	r.lineUp(other, next.f)
+	r.enqueueFeed(other, next.f)
 	if len(m.feedQueue) != 0 || len(other.feedQueue) != 1 {
 		t.Errorf("%d and %d in line after one has gone to the other", len(m.feedQueue), len(other.feedQueue))
 	}
--- a/internal/core/gate.go
+++ b/internal/core/gate.go
@@ -23,7 +23,7 @@
 	later := c.pausedActions
 	c.dispatchPaused, c.pausedActions, c.ignoreGrace = false, nil, true
 	c.apply(later)
-	c.pumpAll()
+	c.sendAllPending()
 	c.ignoreGrace = false
 }
 
