--- /dev/null
+++ b/internal/core/answers.go
@@ -0,0 +1,68 @@
+package core
+
+import (
+	"time"
+
+	"dahliarudder/policy"
+)
+
+// This file gives the final answers of requests.
+
+// abort answers a request without a decision of the policy, and notifies the policy.
+func (c *Core) abort(r *request) {
+	c.notifyPolicy(policy.ClientGone{ID: r.id})
+	c.rejectOrFail(r, stopRetryAfter)
+}
+
+// rejectOrFail rejects a request, or fails one of which a retry may take effect twice.
+func (c *Core) rejectOrFail(r *request, retryAfter time.Duration) {
+	if c.safeToRetry(r) {
+		c.answer(r, Rejected, retryAfter)
+	} else {
+		c.answer(r, Failed, 0)
+	}
+}
+
+// RetryAfter is the retry-after that a rejected client is given: no longer than clients follow, and 0, for none,
+// where the settings have it off.
+func (c *Core) RetryAfter(after time.Duration) time.Duration {
+	if enabled := c.Settings.Limits.RetryAfter; enabled != nil && !*enabled {
+		return 0
+	}
+	return min(after, c.policyCfg.MaxRetryAfter)
+}
+
+// answer rejects or fails a request, once. Its attempt in flight is abandoned.
+func (c *Core) answer(r *request, a Answer, retryAfter time.Duration) {
+	was := r.state
+	if !c.transition(r, answered) {
+		return
+	}
+	c.abandon(r, was)
+	c.recordAnswer(r, a)
+	if a == Rejected {
+		retryAfter = c.RetryAfter(retryAfter)
+		c.Counts.BackoffTime += retryAfter
+		r.downstream.Reject(retryAfter)
+	} else {
+		c.Counts.BackoffTime += r.TimeLeft
+		r.downstream.Fail()
+	}
+}
+
+// recordAnswer counts and records the final answer of a request.
+func (c *Core) recordAnswer(r *request, a Answer) {
+	switch a {
+	case Served:
+		c.Counts.Served++
+	case Rejected:
+		c.Counts.Rejected++
+	case Failed:
+		c.Counts.Failed++
+	case ClientGone:
+		c.Counts.ClientsGone++
+	}
+	if c.Recorder != nil {
+		c.Recorder.RecordAnswer(&r.Request, r.id, c.Clock(), a, r.attempts)
+	}
+}
--- /dev/null
+++ b/internal/core/feed_answers.go
@@ -0,0 +1,59 @@
+package core
+
+import (
+	"time"
+
+	"dahliarudder/internal/window"
+	"dahliarudder/policy"
+)
+
+// This file answers and records the messages of feeds.
+
+// rejectUnaccepted answers a message that the window has not taken in.
+func (f *Feed) rejectUnaccepted(m *window.Message, text []byte, retryAfter time.Duration) {
+	f.recordAnswer(m, Rejected)
+	f.transport.Answer(m, text[len(f.window.Buffer(0)):], Rejected, retryAfter)
+}
+
+// answerExpired rejects a message whose time is over, or fails one that may have been accepted.
+func (f *Feed) answerExpired(m *window.Message, ran bool, retryAfter time.Duration) {
+	if ran {
+		f.answerMessage(m, Failed, 0)
+	} else {
+		f.answerMessage(m, Rejected, retryAfter)
+	}
+}
+
+func (f *Feed) answerMessage(m *window.Message, a Answer, retryAfter time.Duration) {
+	f.recordAnswer(m, a)
+	if !f.closed {
+		f.transport.Answer(m, f.window.Text(m), a, retryAfter)
+	}
+}
+
+// recordAnswer counts and records the final answer of a message.
+func (f *Feed) recordAnswer(m *window.Message, a Answer) {
+	n := &f.core.Counts.Messages
+	switch a {
+	case Served:
+		n.Served++
+	case Rejected:
+		n.Rejected++
+	default:
+		n.Failed++
+	}
+	if f.core.Recorder != nil {
+		q := f.request
+		q.Name = m.Name
+		f.core.Recorder.RecordAnswer(&q, ID(m.ID), f.core.Clock(), a, m.Attempts)
+	}
+}
+
+// recordAttempt records the end of an attempt of a message.
+func (f *Feed) recordAttempt(m *window.Message, result policy.Result) {
+	if f.core.Recorder != nil {
+		q := f.request
+		q.Name = m.Name
+		f.core.Recorder.RecordAttempt(&q, ID(m.ID), m.Attempts-1, f.member.Name, m.Sent, f.core.Clock(), result)
+	}
+}
--- /dev/null
+++ b/internal/core/feed_flow.go
@@ -0,0 +1,105 @@
+package core
+
+import (
+	"cmp"
+	"time"
+
+	"dahliarudder/internal/window"
+	"dahliarudder/policy"
+)
+
+// This file holds the flow of a feed: a Feed is the Downstream of its own request.
+
+// forever is later than every deadline.
+const forever = time.Duration(1 << 62)
+
+// place requests a flow, unless there is nothing to send.
+func (f *Feed) place() {
+	if f.closed || f.window.Idle() {
+		f.state = feedIdle
+		return
+	}
+	f.state = feedPlacing
+	q := f.request
+	q.Reconnect = f.hadFlow
+	if id := f.core.Open(q, f); f.state == feedPlacing {
+		f.flowID = id
+	}
+}
+
+// Send starts a link to a member.
+func (f *Feed) Send(id ID, to *Member, attempt int, timeout time.Duration) {
+	f.flowID, f.attemptNumber, f.member = id, attempt, f.core.members[to.ID]
+	f.transport.Connect(to, timeout)
+}
+
+// Cancel abandons the link, during its setup or afterwards.
+func (f *Feed) Cancel(int) { f.reclaim(policy.Cancelled, f.transport.Disconnect()) }
+
+// Reject has the feed placed again later. Messages that expire before then are answered at once.
+func (f *Feed) Reject(retryAfter time.Duration) { f.backOff(cmp.Or(retryAfter, feedRetryDelay)) }
+
+// Fail does the same.
+func (f *Feed) Fail() { f.backOff(feedRetryDelay) }
+
+func (f *Feed) backOff(retryAfter time.Duration) {
+	now := f.core.Clock()
+	expireBy := now + retryAfter
+	if f.core.stopping {
+		retryAfter, expireBy = max(retryAfter, stopRetryAfter), forever
+	}
+	f.state, f.retryAt = feedBackoff, now+retryAfter
+	f.window.Expire(expireBy, func(m *window.Message, ran bool) { f.answerExpired(m, ran, retryAfter) })
+	f.updateUsage()
+	f.scheduleTimer()
+}
+
+// Migrate gives up the flow: nothing more is written to the link, and once the messages in flight are acknowledged,
+// or the link has ended, a new flow is requested.
+func (f *Feed) Migrate() {
+	f.state = feedDraining
+	f.setTimer(f.core.Clock()) // after the core has ended the flow
+}
+
+// endLink handles the end of a link that has ended, or was disconnected just now.
+func (f *Feed) endLink(result policy.Result, written uint64) {
+	if f.closed {
+		return
+	}
+	state := f.state
+	f.reclaim(result, written)
+	switch state {
+	case feedPlacing: // the core makes the next attempt or answers
+		f.core.AttemptEnded(f.flowID, f.attemptNumber, result, policy.NoReport)
+	case feedConnected:
+		f.state = feedDraining
+		f.core.AttemptEnded(f.flowID, f.attemptNumber, result, policy.NoReport)
+		f.place()
+	case feedDraining:
+		f.place()
+	}
+}
+
+// reclaim takes back the messages that were in flight on a link that has surely ended.
+func (f *Feed) reclaim(result policy.Result, written uint64) {
+	f.leaveQueue()
+	inFlight := f.window.InFlight()
+	f.window.LinkClosed(written, func(m *window.Message, r window.Result) {
+		switch {
+		case r == window.Rejected:
+			f.recordAttempt(m, policy.Error)
+		case r == window.NotWritten:
+			f.recordAttempt(m, policy.ConnectFailed)
+		case result == policy.OK || result == policy.ConnectFailed:
+			f.recordAttempt(m, policy.Reset)
+		default:
+			f.recordAttempt(m, result)
+		}
+		f.core.Counts.Messages.Retried++
+	}, func(m *window.Message) { f.answerMessage(m, Failed, 0) })
+	f.window.Expire(f.core.Clock(), func(m *window.Message, ran bool) { f.answerExpired(m, ran, feedRetryDelay) })
+	f.releaseSlowStart(inFlight, 0)
+	if f.member != nil {
+		f.core.serveFeedQueue(f.member)
+	}
+}
--- /dev/null
+++ b/internal/core/feed_send.go
@@ -0,0 +1,105 @@
+package core
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"dahliarudder/internal/window"
+	"dahliarudder/policy"
+)
+
+// This file sends the messages of feeds, in turns where a member is in slow start.
+
+// sendPending writes messages to the link while the window, mayStart and the member's slow start allow it.
+func (f *Feed) sendPending(now time.Duration) {
+	c, m := f.core, f.member
+	slowStart := m.slowStartLimiter(c)
+	for turn := 0; f.state == feedConnected && !c.dispatchPaused; turn++ {
+		next := f.window.Next()
+		if next == nil {
+			return
+		}
+		if !c.mayStart(now, !next.Waiting(), next.Attempts, next.Deadline, m) {
+			c.Counts.Blocked++
+			if !c.reachable(now, m) { // the flow should have been migrated before
+				f.state = feedDraining
+				c.AttemptEnded(f.flowID, f.attemptNumber, policy.Cancelled, policy.NoReport)
+				f.setTimer(now)
+			}
+			return // otherwise the message has expired: the timer answers it
+		}
+		if slowStart.Active(now) && (!slowStart.MaySend(now) || turn >= feedTurnMessages && len(m.feedQueue) > 0) {
+			c.enqueueFeed(m, f)
+			return
+		}
+		if !f.transport.Writable() {
+			return
+		}
+		slowStart.Sent()
+		f.window.Begin(now)
+		c.Counts.Messages.Attempts++
+		f.transport.WriteMessage(f.window.Text(next), next)
+	}
+}
+
+// sendAllPending has all feeds go on when dispatch resumes.
+func (c *Core) sendAllPending() {
+	for _, id := range slices.Sorted(maps.Keys(c.feeds)) {
+		if f := c.feeds[id]; f != nil && f.state == feedConnected {
+			f.sendPending(c.Clock())
+			f.scheduleTimer()
+		}
+	}
+}
+
+// slowStartLimiter limits the messages in flight at a member that has just started.
+func (m *member) slowStartLimiter(c *Core) *window.SlowStart {
+	if started := max(m.Started, m.joinedAt); m.slowStart == nil || m.slowStartOf != started {
+		m.slowStart, m.slowStartOf = window.NewSlowStart(started, c.policyCfg.SlowStartDuration), started
+	}
+	return m.slowStart
+}
+
+// releaseSlowStart returns n messages that are no longer in flight to the limiter.
+func (f *Feed) releaseSlowStart(n, accepted int) {
+	if f.member != nil && f.member.slowStart != nil && n > 0 {
+		f.member.slowStart.Release(n, accepted)
+	}
+}
+
+// enqueueFeed has a feed wait until the member has accepted more.
+func (c *Core) enqueueFeed(m *member, f *Feed) {
+	if f.queuedAt != m {
+		f.leaveQueue()
+		f.queuedAt = m
+		m.feedQueue = append(m.feedQueue, f)
+	}
+}
+
+// leaveQueue takes a feed out of the queue. A feed whose link has ended would otherwise stay there, and get no turn
+// at its next member.
+func (f *Feed) leaveQueue() {
+	if m := f.queuedAt; m != nil {
+		f.queuedAt = nil
+		if i := slices.Index(m.feedQueue, f); i >= 0 {
+			m.feedQueue = slices.Delete(m.feedQueue, i, i+1)
+		}
+	}
+}
+
+// serveFeedQueue lets feeds that wait for a member in slow start go on, in turn.
+func (c *Core) serveFeedQueue(m *member) {
+	if m == nil || m.slowStart == nil {
+		return
+	}
+	now := c.Clock()
+	for n := len(m.feedQueue); n > 0 && len(m.feedQueue) > 0 && m.slowStart.MaySend(now); n-- {
+		f := m.feedQueue[0]
+		f.leaveQueue()
+		if f.state == feedConnected && f.member == m {
+			f.sendPending(now)
+			f.scheduleTimer()
+		}
+	}
+}
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// This file is the states of a request and the events that lead from one to the next. What each event does is in request.go.
+// This file holds the states of a request and the events that lead from one to the next. The effects of each event
+// are in request.go.
 
-// state is where a request stands.
+// state is the state of a request.
 type state uint8
 
 const (
-	placing    state = iota // nothing is out; the module looks for a member
-	attempting              // its one attempt is out
-	serving                 // it is answered, and its flow stands
+	placing    state = iota // nothing is in flight; the policy looks for a member
+	attempting              // its one attempt is in flight
+	serving                 // it is answered, and its flow is open
 	finished                // it is answered, and nothing of it is left
 )
 
-// out says whether a member holds an attempt or a flow of the request.
-func (s state) out() bool { return s == attempting || s == serving }
+// atMember says whether a member holds an attempt or a flow of the request.
+func (s state) atMember() bool { return s == attempting || s == serving }
 
 // final says whether the request has its final answer.
 func (s state) final() bool { return s == serving || s == finished }
@@ -28,25 +29,26 @@
 type event uint8
 
 const (
-	attemptStarted     event = iota // an attempt starts
-	attemptEstablished              // the attempt is up
-	attemptEnded                    // the attempt ended before it was up, or the flow did
-	servedWithoutFlow               // the attempt was served to its end and never was up
-	answered                        // it is rejected or failed
-	clientGone                      // its client goes away
-	migrated                        // its client is asked to come again
-	handedOver                      // another process goes on with its flow
+	attemptStarted     event = iota
+	attemptEstablished       // the attempt has become an open flow
+	attemptEnded             // the attempt ended before that, or the flow did
+	servedWithoutFlow        // the attempt was served to its end without an open flow
+	answered                 // it is rejected or failed
+	clientGone               // its client went away
+	migrated                 // its client is asked to reconnect
+	handedOver               // another process goes on with its flow
 )
 
-// transitions names every event that a state allows, and the state that it leads to.
+// transitions has every event that a state allows, and the state that it leads to.
 var transitions = [...]map[event]state{
-	placing:    {attemptStarted: attempting, answered: finished, clientGone: finished},
-	attempting: {attemptEstablished: serving, attemptEnded: placing, servedWithoutFlow: finished, answered: finished, clientGone: finished},
-	serving:    {attemptEnded: finished, clientGone: finished, migrated: finished, handedOver: finished},
-	finished:   {},
+	placing: {attemptStarted: attempting, answered: finished, clientGone: finished},
+	attempting: {attemptEstablished: serving, attemptEnded: placing, servedWithoutFlow: finished, answered: finished,
+		clientGone: finished},
+	serving:  {attemptEnded: finished, clientGone: finished, migrated: finished, handedOver: finished},
+	finished: {},
 }
 
-// transition takes an event in. It returns whether the state allows it; if not, that is counted and nothing has changed.
+// transition applies an event. It returns whether the state allows it; if not, that is counted and nothing changes.
 func (c *Core) transition(r *request, e event) bool {
 	next, allowed := transitions[r.state][e]
 	if !allowed {
@@ -60,25 +62,26 @@
 	return true
 }
 
-// request is one that has no final answer yet, or whose flow stands.
+// request is a request without a final answer, or with an open flow.
 type request struct {
 	Request
-	id                ID
-	downstream        Downstream
-	deadline          time.Duration
-	state             state
-	attempts          int     // attempts that have begun
-	policySends       int     // that the module has asked for: it numbers attempts by them, barred ones too
-	member            *member // of the attempt that is out, or of the open flow
-	sentAt            time.Duration
-	firstRun          *firstRun     // nil while no attempt may have run
-	preexisting       bool          // it came with the member that holds it
-	migrateAt         time.Duration // when a stop or a drain moves its flow; 0 if none does
-	memberMigrateAt   time.Duration // when it is moved since its member leaves; 0 if it does not, or the module says when
-	migrationDeferred bool          // the module has asked for its move, and it was put off
+	id          ID
+	downstream  Downstream
+	deadline    time.Duration
+	state       state
+	attempts    int     // that have begun
+	policySends int     // sends that the policy decided on, blocked ones too: it numbers attempts by them
+	member      *member // of the attempt in flight, or of the open flow
+	sentAt      time.Duration
+	firstRun    *firstRun // nil while no attempt may have run
+	preexisting bool      // it came with the member that holds it
+
+	migrateAt         time.Duration // when a stop or a drain of the relay migrates its flow; 0 for never
+	memberMigrateAt   time.Duration // when the removal of its member does; 0 for never, or not before the policy decides
+	migrationDeferred bool          // the policy has decided to migrate it, and that was deferred
 }
 
-// requestsInOrder is all requests in the order in which they came.
+// requestsInOrder is all requests in the order of their arrival.
 func (c *Core) requestsInOrder() []*request {
 	all := make([]*request, 0, len(c.requests))
 	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
--- /dev/null
+++ b/internal/core/observations.go
@@ -0,0 +1,58 @@
+package core
+
+import (
+	"time"
+
+	"dahliarudder/policy"
+)
+
+// This file passes on what fronts observe of members and open flows.
+
+// slowReportInterval is how often slow messages at one member are reported to the policy.
+const slowReportInterval = time.Second
+
+// UpdateLoad sets the load that an open flow has now, as work a second.
+func (c *Core) UpdateLoad(id ID, load float64) { c.notifyPolicy(policy.FlowLoad{ID: id, Load: load}) }
+
+// ObserveMessageLatency takes how long a message on an open flow took. The policy is notified while messages are
+// slow, and once more when they no longer are.
+func (c *Core) ObserveMessageLatency(id ID, latency time.Duration) {
+	r := c.requests[id]
+	if r == nil || !r.state.atMember() {
+		return
+	}
+	m, now, slow := r.member, c.Clock(), false
+	c.emitMemberEvent(r, m, MessageAnswered, latency)
+	for _, class := range c.policyCfg.Classes {
+		slow = slow || latency > class.MessageLatencyObjective/3
+	}
+	if slow && now-m.slowReportedAt < slowReportInterval || !slow && !m.slow {
+		return
+	}
+	m.slow, m.slowReportedAt = slow, now
+	c.notifyPolicy(policy.MessageLatency{ID: id, Latency: latency})
+}
+
+// SetActiveRelays sets the number of relays among which shared budgets are divided.
+func (c *Core) SetActiveRelays(count float64) { c.notifyPolicy(policy.ActiveRelays{Count: count}) }
+
+// ProbeResult takes the answer to a probe.
+func (c *Core) ProbeResult(server policy.ServerID, result policy.Result, report policy.Report) {
+	if m := c.members[server]; m != nil {
+		c.countResult(m, result)
+	}
+	c.notifyPolicy(policy.ProbeResult{Server: server, Result: result, Report: report})
+}
+
+// countResult counts the result of an attempt or a probe. A client that goes away says nothing about the member.
+func (c *Core) countResult(m *member, result policy.Result) {
+	switch result {
+	case policy.OK, policy.Full:
+		m.successes++
+	case policy.Error, policy.Reset, policy.ConnectFailed, policy.Timeout:
+		m.failures++
+	}
+	if c.OnResult != nil {
+		c.OnResult(&m.Member, result)
+	}
+}
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -6,16 +6,14 @@
 	"dahliarudder/policy"
 )
 
-// This file is what happens to a request from its arrival to its end. Each event goes through step first, and takes effect only if
-// the state of the request allows it.
+// This file holds the effects of the events of a request. Each event goes through transition first, and takes effect
+// only if the state of the request allows it.
 
-// ---- What fronts tell ----
-
-// Open takes a request. The final answer comes by v, perhaps at once.
-func (c *Core) Open(q Request, v Downstream) ID {
+// Open takes a request. The final answer comes through d, perhaps at once.
+func (c *Core) Open(q Request, d Downstream) ID {
 	now := c.Clock()
 	c.lastID++
-	r := &request{Request: q, id: c.lastID, downstream: v, deadline: now + q.TimeLeft}
+	r := &request{Request: q, id: c.lastID, downstream: d, deadline: now + q.TimeLeft}
 	c.requests[r.id] = r
 	c.Counts.Requests++
 	switch {
@@ -28,13 +26,13 @@
 	case q.CurrentMember != "":
 		c.resumeFlow(now, r)
 	default:
-		c.setTimer(r.deadline, r.id, -1)
-		c.apply(c.facade.Pick(now, r.policy()))
+		c.setTimer(r.deadline, r.id, timerDeadline)
+		c.apply(c.facade.Pick(now, r.policyRequest()))
 	}
 	return r.id
 }
 
-// resumeFlow sends a flow on to the member that already holds it.
+// resumeFlow forwards a flow to the member that already holds it.
 func (c *Core) resumeFlow(now time.Duration, r *request) {
 	m := c.byName[r.CurrentMember]
 	if m == nil {
@@ -45,29 +43,29 @@
 		c.answer(r, Rejected, stopRetryAfter)
 		return
 	}
-	r.preexisting, r.policySends = true, 1 // the module takes it for sent
-	c.setTimer(r.deadline, r.id, -1)
+	r.preexisting, r.policySends = true, 1 // the policy counts it as sent once
+	c.setTimer(r.deadline, r.id, timerDeadline)
 	c.startAttempt(now, r, m, r.TimeLeft)
 	c.scheduleTick()
 }
 
-func (r *request) policy() policy.Request {
+func (r *request) policyRequest() policy.Request {
 	return policy.Request{ID: r.id, Class: r.Class, Tenant: r.Tenant, Key: r.Key, Group: r.Group,
 		Deadline: r.deadline, Load: r.Load, Reconnect: r.Reconnect}
 }
 
-// currentAttempt is the request whose attempt of that number is out or open.
-func (c *Core) currentAttempt(id ID, try int) *request {
-	if r := c.requests[id]; r != nil && r.state.out() && r.attempts-1 == try {
+// currentAttempt is the request whose attempt of that number is in flight or open; nil if there is none.
+func (c *Core) currentAttempt(id ID, attempt int) *request {
+	if r := c.requests[id]; r != nil && r.state.atMember() && r.attempts-1 == attempt {
 		return r
 	}
 	return nil
 }
 
-// Up says that a server-side flow stands. It returns whether the client may be
-// told so.
-func (c *Core) FlowEstablished(id ID, try int) bool {
-	r := c.currentAttempt(id, try)
+// FlowEstablished says that a server-side flow is established. It returns whether the
+// client may be told so.
+func (c *Core) FlowEstablished(id ID, attempt int) bool {
+	r := c.currentAttempt(id, attempt)
 	if r == nil || !c.transition(r, attemptEstablished) {
 		return false
 	}
@@ -77,7 +75,7 @@
 		c.emitMemberEvent(r, r.member, FlowEstablished, c.Clock()-r.sentAt)
 	}
 	if r.preexisting {
-		c.notifyPolicy(policy.ExistingFlow{Request: r.policy(), Server: r.member.ID})
+		c.notifyPolicy(policy.ExistingFlow{Request: r.policyRequest(), Server: r.member.ID})
 	} else {
 		c.notifyPolicy(policy.FlowEstablished{ID: id})
 	}
@@ -89,23 +87,23 @@
 	return true
 }
 
-// AttemptEnded says how a server-side flow ended, before it stood or after. A flow
-// served to its end has its final answer by that.
-func (c *Core) AttemptEnded(id ID, try int, result policy.Result, report policy.Report) {
-	if r := c.currentAttempt(id, try); r != nil {
+// AttemptEnded says how a server-side flow ended, before it was established or after.
+// An attempt that was served to its end has its final answer by that.
+func (c *Core) AttemptEnded(id ID, attempt int, result policy.Result, report policy.Report) {
+	if r := c.currentAttempt(id, attempt); r != nil {
 		c.endAttempt(r, result, report)
 	}
 }
 
-// ClientGone says that the client of a request went away. It returns whether a client that still listens may be told that
-// coming again is harmless.
-func (c *Core) ClientGone(id ID) (harmless bool) {
+// ClientGone says that the client of a request went away. It returns whether a client that still listens may be
+// answered that a retry is harmless.
+func (c *Core) ClientGone(id ID) (safeToRetry bool) {
 	r := c.requests[id]
 	if r == nil {
 		return false
 	}
 	was := r.state
-	harmless = c.safeToRetry(r)
+	safeToRetry = c.safeToRetry(r)
 	c.transition(r, clientGone)
 	if !was.final() {
 		c.recordAnswer(r, ClientGone)
@@ -114,13 +112,11 @@
 		}
 	}
 	c.abandon(r, was)
-	return harmless
+	return safeToRetry
 }
 
-// ---- Attempts and flows ----
-
-// startAttempt sends an attempt out.
-func (c *Core) startAttempt(now time.Duration, r *request, m *member, wait time.Duration) {
+// startAttempt sends an attempt.
+func (c *Core) startAttempt(now time.Duration, r *request, m *member, timeout time.Duration) {
 	if !c.transition(r, attemptStarted) {
 		return
 	}
@@ -129,12 +125,12 @@
 	r.attempts++
 	c.Counts.Attempts++
 	if m.ejected && now-m.unavailableSince > c.drainGrace {
-		c.Counts.SentAfterGrace++ // the gate lets none pass: this counts what it did, not what it meant
+		c.Counts.SentAfterGrace++ // mayStart prevents this: the count is of what was done, as a check on it
 	}
-	r.downstream.Send(r.id, &m.Member, r.attempts-1, wait)
+	r.downstream.Send(r.id, &m.Member, r.attempts-1, timeout)
 }
 
-// endAttempt takes in that an attempt or a flow has ended.
+// endAttempt handles the end of an attempt or of an open flow.
 func (c *Core) endAttempt(r *request, result policy.Result, report policy.Report) {
 	was, e := r.state, attemptEnded
 	if was == attempting && result == policy.OK {
@@ -147,122 +143,39 @@
 		c.recordAnswer(r, Served)
 	}
 	c.releaseAttempt(r, was, result, report)
-	if r.preexisting && r.state == placing { // only its own member has it
+	if r.preexisting && r.state == placing { // no other member holds the flow
 		c.answer(r, Failed, 0)
 	}
 }
 
-// abandon cancels what is out of a request that is over.
+// abandon cancels the attempt or flow of a request that is over.
 func (c *Core) abandon(r *request, was state) {
-	if was.out() {
+	if was.atMember() {
 		r.downstream.Cancel(r.attempts - 1)
 		c.releaseAttempt(r, was, policy.Cancelled, policy.NoReport)
 	}
 }
 
-// releaseAttempt closes an attempt that was out, or a flow that stood, and tells the module.
+// releaseAttempt closes the accounts of an attempt or an open flow that is over, and notifies the policy.
 func (c *Core) releaseAttempt(r *request, was state, result policy.Result, report policy.Report) {
-	m, try := r.member, r.attempts-1
+	m, attempt := r.member, r.attempts-1
 	r.member = nil
 	if r.firstRun == nil && mayHaveRun(result) {
 		r.firstRun = &firstRun{r.sentAt, m.Server}
 	}
 	m.flows--
-	if result != policy.OK || was == attempting { // an open flow was seen when it came up
+	if result != policy.OK || was == attempting { // an open flow was counted when it was established
 		c.countResult(m, result)
 	}
-	if what, ok := eventKinds[attemptEnd{was == serving, result}]; ok {
-		c.emitMemberEvent(r, m, what, c.Clock()-r.sentAt)
-	}
-	if c.Recorder != nil {
-		c.Recorder.RecordAttempt(&r.Request, r.id, try, m.Name, r.sentAt, c.Clock(), result)
-	}
-	if r.preexisting && was != serving { // the module has not heard of it
-		return
-	}
-	c.notifyPolicy(policy.AttemptEnded{ID: r.id, Attempt: r.policySends - 1, Server: m.ID, Result: result, Final: r.state.final(), Report: report})
-}
-
-// countResult counts how an attempt or a probe went. A client that leaves says nothing of the member.
-func (c *Core) countResult(m *member, result policy.Result) {
-	switch result {
-	case policy.OK, policy.Full:
-		m.successes++
-	case policy.Error, policy.Reset, policy.ConnectFailed, policy.Timeout:
-		m.failures++
-	}
-	if c.OnResult != nil {
-		c.OnResult(&m.Member, result)
-	}
-}
-
-// ---- Answers ----
-
-// abort answers a request without the module's word, and tells it so.
-func (c *Core) abort(r *request) {
-	c.notifyPolicy(policy.ClientGone{ID: r.id})
-	c.rejectOrFail(r, stopRetryAfter)
-}
-
-// rejectOrFail rejects a request, or fails one whose repeat may do harm.
-func (c *Core) rejectOrFail(r *request, after time.Duration) {
-	if c.safeToRetry(r) {
-		c.answer(r, Rejected, after)
-	} else {
-		c.answer(r, Failed, 0)
-	}
-}
-
-// RetryAfter is how soon a rejected client is told to come again that should do so after some time: no later than clients
-// heed, and 0, which is no advice, where the settings have none.
-func (c *Core) RetryAfter(after time.Duration) time.Duration {
-	if advised := c.Settings.Limits.RetryAfter; advised != nil && !*advised {
-		return 0
-	}
-	return min(after, c.policyCfg.MaxRetryAfter)
-}
-
-// answer rejects or fails a request, once. What is out of it is abandoned.
-func (c *Core) answer(r *request, a Answer, after time.Duration) {
-	was := r.state
-	if !c.transition(r, answered) {
-		return
-	}
-	c.abandon(r, was)
-	c.recordAnswer(r, a)
-	if a == Rejected {
-		after = c.RetryAfter(after)
-		c.Counts.BackoffTime += after
-		r.downstream.Reject(after)
-	} else {
-		c.Counts.BackoffTime += r.TimeLeft
-		r.downstream.Fail()
-	}
-}
-
-// recordAnswer notes that a request has its final answer.
-func (c *Core) recordAnswer(r *request, a Answer) {
-	switch a {
-	case Served:
-		c.Counts.Served++
-	case Rejected:
-		c.Counts.Rejected++
-	case Failed:
-		c.Counts.Failed++
-	case ClientGone:
-		c.Counts.ClientsGone++
+	if kind, ok := eventKinds[attemptEnd{was == serving, result}]; ok {
+		c.emitMemberEvent(r, m, kind, c.Clock()-r.sentAt)
 	}
 	if c.Recorder != nil {
-		c.Recorder.RecordAnswer(&r.Request, r.id, c.Clock(), a, r.attempts)
+		c.Recorder.RecordAttempt(&r.Request, r.id, attempt, m.Name, r.sentAt, c.Clock(), result)
 	}
-}
-
-// migrate asks the client of an open flow to come again.
-func (c *Core) migrate(r *request) {
-	if !c.transition(r, migrated) {
+	if r.preexisting && was != serving { // the policy does not know of it
 		return
 	}
-	c.Counts.Migrations++
-	r.downstream.Migrate()
-	c.releaseAttempt(r, serving, policy.Cancelled, policy.NoReport)
+	c.notifyPolicy(policy.AttemptEnded{ID: r.id, Attempt: r.policySends - 1, Server: m.ID, Result: result,
+		Final: r.state.final(), Report: report})
 }
--- a/internal/window/window.go
+++ b/internal/window/window.go
@@ -86,14 +86,14 @@
 // HasCapacity says whether another message is taken in.
 func (w *Window) HasCapacity() bool { return w.Len() < w.MaxMessages && w.bytes < w.MaxBytes }
 
-// Len is how many messages it holds, and Out how many of them are out.
+// Len is how many messages it holds, and InFlight how many of them are in flight.
 func (w *Window) Len() int { return int(w.next - w.head) }
 
 // Bytes is how many bytes of messages it holds.
 func (w *Window) Bytes() int { return w.bytes }
 
-// Out is how many messages are out and not acknowledged.
-func (w *Window) Out() int { return int(w.sent - w.acked) }
+// InFlight is how many messages are out and not acknowledged.
+func (w *Window) InFlight() int { return int(w.sent - w.acked) }
 
 // Idle says that it holds nothing.
 func (w *Window) Idle() bool { return w.head == w.next }
@@ -150,7 +150,7 @@
 
 // Next is the message that may be sent now, nil if none may.
 func (w *Window) Next() *Message {
-	if w.held || w.sent == w.next || w.Out() >= w.most {
+	if w.held || w.sent == w.next || w.InFlight() >= w.most {
 		return nil
 	}
 	return w.at(w.sent)
@@ -170,7 +170,7 @@
 // Acknowledged says that the member has taken the n oldest that are out, but for those it has refused.
 // Each is handed to served, and the window learns from the time that took.
 func (w *Window) Acknowledged(now time.Duration, n int, served func(*Message)) {
-	n = min(n, w.Out())
+	n = min(n, w.InFlight())
 	if n <= 0 {
 		return
 	}
