--- /dev/null
+++ b/internal/rollout/allowance.go
@@ -0,0 +1,245 @@
+package rollout
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+)
+
+// The account of what is out by plan (units, permits, quarantined relays) and what is lost beside it, against the budgets. Plan and Apply count
+// by this same code: Plan from the view, Apply from the state and the view's summary that stands in the command.
+
+// plannedOut is what is out by plan.
+func (rec *record) plannedOut(kind Kind) []ZonedName {
+	list := rec.grantedOut(kind)
+	if kind == KindRelay {
+		for i := range rec.Quarantines {
+			if q := &rec.Quarantines[i]; !q.InService {
+				list = append(list, ZonedName{q.Name, q.Zone})
+			}
+		}
+	}
+	return list
+}
+
+// grantedOut is what is out by a grant. A quarantined relay may be granted as well: that is how it is repaired.
+func (rec *record) grantedOut(kind Kind) []ZonedName {
+	var list []ZonedName
+	for _, u := range rec.units() {
+		if u.Kind == kind && u.isOut() {
+			list = append(list, ZonedName{u.currentName(), u.Zone})
+		}
+	}
+	for i := range rec.Permits {
+		if p := &rec.Permits[i]; p.Kind == kind && p.inForce() {
+			list = append(list, ZonedName{p.Name, p.Zone})
+		}
+	}
+	return list
+}
+
+// coveredNames are the names that what is out by plan accounts for: of units also the one before their successor's.
+func (rec *record) coveredNames(kind Kind) map[string]bool {
+	names := map[string]bool{}
+	for _, out := range rec.plannedOut(kind) {
+		names[out.Name] = true
+	}
+	for _, u := range rec.units() {
+		if u.Kind == kind && u.isOut() {
+			names[u.Name] = true
+		}
+	}
+	return names
+}
+
+// summarizeRelays sums up the relays of a view.
+func (rec *record) summarizeRelays(v *View, b Budgets) KindSummary {
+	s := KindSummary{CountByZone: map[string]int{}, CapacityKnown: len(v.Relays) > 0}
+	covered := rec.coveredNames(KindRelay)
+	for i := range v.Relays {
+		r := &v.Relays[i]
+		s.Load += float64(r.Flows)
+		s.CapacityKnown = s.CapacityKnown && r.Capacity > 0
+		switch {
+		case covered[r.Name]:
+			continue
+		case r.healthy(b):
+			s.RemainingCapacity += r.Capacity
+		default:
+			s.Unavailable = append(s.Unavailable, ZonedName{r.Name, r.Zone})
+		}
+		s.CountByZone[r.Zone]++
+	}
+	s.countPlanned(rec.plannedOut(KindRelay))
+	return s
+}
+
+// summarizeMembers sums up the members of a view. Those that were replaced count with what is usable of them.
+func (rec *record) summarizeMembers(v *View) KindSummary {
+	s := KindSummary{CountByZone: map[string]int{}, Load: v.Load, CapacityKnown: len(v.Members) > 0}
+	covered, replaced := rec.coveredNames(KindMember), map[string]bool{}
+	for _, u := range rec.units() {
+		if u.Phase == PhaseReplaced {
+			replaced[u.currentName()] = true
+		}
+	}
+	for i := range v.Members {
+		m := &v.Members[i]
+		s.CapacityKnown = s.CapacityKnown && m.Capacity > 0
+		ejected := rec.isEjected(m.Name)
+		if !m.Failing && !ejected && (!covered[m.Name] || replaced[m.Name]) {
+			s.RemainingCapacity += m.UsableCapacity
+		}
+		if covered[m.Name] {
+			continue
+		}
+		if ejected || !m.healthy() {
+			s.Unavailable = append(s.Unavailable, ZonedName{m.Name, m.Zone})
+		}
+		s.CountByZone[m.Zone]++
+	}
+	s.countPlanned(rec.plannedOut(KindMember))
+	return s
+}
+
+// countPlanned counts what is out by plan among what there is, each once.
+func (s *KindSummary) countPlanned(planned []ZonedName) {
+	seen := map[string]bool{}
+	for _, out := range planned {
+		if !seen[out.Name] {
+			seen[out.Name] = true
+			s.CountByZone[out.Zone]++
+		}
+	}
+}
+
+// allowance is what of one kind is out, and what may still go out.
+type allowance struct {
+	budget          Budget
+	capacityReserve float64
+	summary         KindSummary
+	total           int
+	out             map[string]bool // by plan, or lost
+	outByZone       map[string]int
+	granted         map[string]bool // out by a grant
+}
+
+func (rec *record) allowance(kind Kind, s KindSummary, b Budgets) *allowance {
+	a := &allowance{budget: b.Members, capacityReserve: b.CapacityReserve, summary: s, out: map[string]bool{}, outByZone: map[string]int{}, granted: map[string]bool{}}
+	if kind == KindRelay {
+		a.budget = b.Relays
+	}
+	for _, n := range s.CountByZone {
+		a.total += n
+	}
+	for _, out := range rec.plannedOut(kind) {
+		a.add(out)
+	}
+	for _, out := range rec.grantedOut(kind) {
+		a.granted[out.Name] = true
+	}
+	if plantedDefect != defectIgnoresFailures {
+		for _, lost := range s.Unavailable {
+			a.add(lost)
+		}
+	}
+	return a
+}
+
+func (a *allowance) add(out ZonedName) {
+	if !a.out[out.Name] {
+		a.out[out.Name] = true
+		a.outByZone[out.Zone]++
+	}
+}
+
+// overdrawn says what of the budget is overdrawn; "" if nothing.
+func (a *allowance) overdrawn() string {
+	if limit := a.budget.totalLimit(a.total); len(a.out) > limit {
+		return fmt.Sprintf("%d are out, of %d that may be", len(a.out), limit)
+	}
+	for _, zone := range slices.Sorted(maps.Keys(a.outByZone)) {
+		if limit := a.budget.zoneLimit(a.summary.CountByZone[zone]); a.outByZone[zone] > limit {
+			return fmt.Sprintf("%d are out in zone %q, of %d that may be", a.outByZone[zone], zone, limit)
+		}
+	}
+	return ""
+}
+
+// shortfall says that what is left does not even carry the load, without any reserve; "" if it does.
+func (a *allowance) shortfall() string {
+	if s := &a.summary; s.CapacityKnown && s.RemainingCapacity < s.Load {
+		return fmt.Sprintf("what is left bears %.0f, the load is %.0f", s.RemainingCapacity, s.Load)
+	}
+	return ""
+}
+
+// exhausted is overdrawn, or else shortfall.
+func (a *allowance) exhausted() string {
+	if why := a.overdrawn(); why != "" {
+		return why
+	}
+	return a.shortfall()
+}
+
+// reserve counts a thing as out, or says why it may not go. One that is lost already costs nothing more, and may go out as long as nothing is
+// overdrawn.
+func (a *allowance) reserve(name, zone string, capacity float64) string {
+	if a.granted[name] {
+		return name + " is out already"
+	}
+	if why := a.overdrawn(); why != "" {
+		return why
+	}
+	if !a.out[name] {
+		if limit := a.budget.totalLimit(a.total); len(a.out)+1 > limit {
+			return fmt.Sprintf("%d of %d that may be are out", len(a.out), limit)
+		}
+		if limit := a.budget.zoneLimit(a.summary.CountByZone[zone]); a.outByZone[zone]+1 > limit {
+			return fmt.Sprintf("%d of %d that may be are out in zone %q", a.outByZone[zone], limit, zone)
+		}
+	}
+	left, needed := a.summary.RemainingCapacity-capacity, a.summary.Load*(1+a.capacityReserve)
+	if a.summary.CapacityKnown && capacity > 0 && left < needed {
+		return fmt.Sprintf("what is left would bear %.0f, the load with headroom is %.0f", left, needed)
+	}
+	a.add(ZonedName{name, zone})
+	a.granted[name] = true
+	a.summary.RemainingCapacity = left
+	return ""
+}
+
+// reserveQuarantine is reserve for a relay that is to be quarantined.
+func (a *allowance) reserveQuarantine(name, zone string, capacity float64) string {
+	if plantedDefect == defectQuarantineUnbounded {
+		return ""
+	}
+	return a.reserve(name, zone, capacity)
+}
+
+// maxOutMS is how long a unit may be out: by what the last ones took, at first by the budgets.
+func (rec *record) maxOutMS(kind Kind, b Budgets) int64 {
+	first, durations := b.DrainMS+b.StartMS+b.WarmupMS, rec.MemberDurationsMS
+	if kind == KindRelay {
+		first, durations = b.DrainMS+b.StartMS, rec.RelayDurationsMS
+	}
+	if len(durations) < 3 {
+		return first
+	}
+	return min(first, max(3*slices.Max(durations), b.SilentAfterMS))
+}
+
+// recordDuration remembers how long a unit was out.
+func (rec *record) recordDuration(kind Kind, ms int64) {
+	durations := &rec.MemberDurationsMS
+	switch kind {
+	case KindRelay:
+		durations = &rec.RelayDurationsMS
+	case KindEject, KindReinstate:
+		return
+	}
+	*durations = append(*durations, max(ms, 0))
+	if len(*durations) > maxDurations {
+		*durations = slices.Delete(*durations, 0, len(*durations)-maxDurations)
+	}
+}
--- /dev/null
+++ b/internal/rollout/ejection.go
@@ -0,0 +1,79 @@
+package rollout
+
+import (
+	"cmp"
+	"slices"
+)
+
+// Ejection keeps a member out of service by an operator's or a release's decision.
+type Ejection struct {
+	Name      string `json:"name"`
+	Reason    string `json:"why,omitempty"`
+	EjectedBy string `json:"by"`
+	Since     int64  `json:"since"`
+	Number    uint64 `json:"number"`
+}
+
+// changeEjections ejects or reinstates members for an operator. It draws on no budget and is never held back; what is ejected counts as lost.
+func (rec *record) changeEjections(at int64, c *Command) Result {
+	if len(c.Names) == 0 || len(c.Names) > MaxEjections {
+		return reject("no names, or over %d", MaxEjections)
+	}
+	for _, name := range c.Names {
+		if name == "" || len(name) > MaxNameBytes {
+			return reject("%q is no name", truncate(name, MaxNameBytes))
+		}
+	}
+	if c.Kind == CommandEject && len(rec.Ejections)+len(c.Names) > MaxEjections {
+		return reject("over %d bans", MaxEjections)
+	}
+	changed := false
+	for _, name := range c.Names {
+		changed = rec.setEjected(at, name, c.Reason, c.Requester, c.Kind == CommandEject) || changed
+		if c.Kind == CommandReinstate {
+			changed = rec.reinstateUnits(at, name) || changed
+		}
+	}
+	if changed {
+		rec.Version++
+	}
+	return Result{}
+}
+
+// reinstateUnits ends the drain of a member, and accepts one that was stranded as it is: nothing else ever might.
+func (rec *record) reinstateUnits(at int64, name string) (changed bool) {
+	for r, u := range rec.units() {
+		switch {
+		case u.currentName() != name:
+		case u.cancelDrain(r, rec.Version+1):
+			r.rollBack(at)
+			changed = true
+		case u.Stranded && u.Kind == KindMember && r.ended() && u.isOut():
+			u.Phase, changed = PhaseMissing, true
+		}
+	}
+	return changed
+}
+
+func (rec *record) setEjected(at int64, name, reason, by string, ejected bool) (changed bool) {
+	i, is := rec.findEjection(name)
+	switch {
+	case is == ejected:
+		return false
+	case !ejected:
+		rec.Ejections = slices.Delete(rec.Ejections, i, i+1)
+	default:
+		rec.Ejections = slices.Insert(rec.Ejections, i, Ejection{Name: name, Reason: reason, EjectedBy: by, Since: at, Number: rec.nextNumber()})
+	}
+	return true
+}
+
+// findEjection is where a member's ejection is, or would be inserted.
+func (rec *record) findEjection(name string) (index int, found bool) {
+	return slices.BinarySearchFunc(rec.Ejections, name, func(e Ejection, name string) int { return cmp.Compare(e.Name, name) })
+}
+
+func (rec *record) isEjected(name string) bool {
+	_, ejected := rec.findEjection(name)
+	return ejected
+}
--- /dev/null
+++ b/internal/rollout/orders.go
@@ -0,0 +1,71 @@
+package rollout
+
+// Orders are what one relay is to do now.
+type Orders struct {
+	Leave      *LeaveOrder          `json:"leave,omitempty"`
+	Exclusions map[string]Exclusion `json:"out,omitempty"` // members that get no new flows
+	Quarantine *QuarantineOrder     `json:"shut,omitempty"`
+}
+
+// LeaveOrder is the order to drain, migrate the clients and exit with ExitOrderedRestart.
+type LeaveOrder struct {
+	Number      uint64 `json:"number"`
+	Release     string `json:"release"`
+	StartNumber uint64 `json:"start"`             // for the process with this start number or an earlier one; a later one ignores it
+	Program     string `json:"program,omitempty"` // to be started next
+	Config      string `json:"config,omitempty"`
+}
+
+// ExclusionReason is why a member gets no new flows.
+type ExclusionReason string
+
+// Reasons of an exclusion.
+const (
+	ExcludedByEjection ExclusionReason = "ban"
+	ExcludedByDrain    ExclusionReason = "drain"
+)
+
+// Exclusion keeps new flows from a member.
+type Exclusion struct {
+	Reason        ExclusionReason `json:"why"`
+	Number        uint64          `json:"number"`
+	Since         int64           `json:"since"`
+	MigrateOverMS int64           `json:"move_over,omitempty"` // its flows are migrated over this time; an ejection leaves them with 0
+}
+
+// QuarantineOrder is the order to take no clients, and to migrate those that are there.
+type QuarantineOrder struct {
+	Number      uint64 `json:"number"`
+	Since       int64  `json:"since"`
+	Reason      string `json:"why"`
+	StartNumber uint64 `json:"start"` // of the process that drifted; a later one may ignore the order and is readmitted once it is seen
+}
+
+// Orders are what a relay is to do now.
+func (s *State) Orders(relay string) Orders {
+	var orders Orders
+	exclude := func(member string, e Exclusion) {
+		if orders.Exclusions == nil {
+			orders.Exclusions = map[string]Exclusion{}
+		}
+		orders.Exclusions[member] = e
+	}
+	for r, u := range s.record.units() {
+		switch {
+		case u.Kind == KindRelay && u.Name == relay && u.Phase == PhaseLeaving:
+			orders.Leave = &LeaveOrder{Number: u.OrderNumber, Release: r.Name, StartNumber: uint64(u.SeenStart), Program: r.Spec.Program, Config: r.Spec.Config}
+			if u.Reverting {
+				orders.Leave.Program, orders.Leave.Config = u.PreviousProgram, u.PreviousConfig
+			}
+		case u.Kind == KindMember && (u.Phase == PhaseLeaving || u.Phase == PhaseDrained || u.Phase == PhaseDone && r.Spec.Drain):
+			exclude(u.currentName(), Exclusion{Reason: ExcludedByDrain, Number: u.OrderNumber, Since: u.OrderedAt, MigrateOverMS: u.MigrateOverMS})
+		}
+	}
+	for _, e := range s.record.Ejections {
+		exclude(e.Name, Exclusion{Reason: ExcludedByEjection, Number: e.Number, Since: e.Since})
+	}
+	if q := s.record.findQuarantine(relay); q != nil && q.ReadmittedVersion == 0 {
+		orders.Quarantine = &QuarantineOrder{Number: q.Number, Since: q.Since, Reason: q.Reason, StartNumber: q.StartNumber}
+	}
+	return orders
+}
--- /dev/null
+++ b/internal/rollout/permit.go
@@ -0,0 +1,156 @@
+package rollout
+
+import (
+	"fmt"
+	"math"
+	"slices"
+)
+
+const (
+	maxPermitMS    = 7 * 24 * 3600 * 1000
+	permitRetryMS  = 1000               // the leader looks several times a second
+	permitForgetMS = 30 * permitRetryMS // a waiting permit whose requester does not ask again is forgotten
+)
+
+// PermitState is where a permit stands.
+type PermitState string
+
+// States of a permit.
+const (
+	PermitWaiting PermitState = "wait"
+	PermitGranted PermitState = "granted"
+	PermitBegun   PermitState = "begun"
+)
+
+// Permit lets an outside requester take one relay or member down for a while. It waits, is granted by the leader, and is begun by its holder.
+type Permit struct {
+	Number      uint64      `json:"number"`
+	Kind        Kind        `json:"kind"`
+	Name        string      `json:"name"`
+	Zone        string      `json:"zone,omitempty"`
+	Holder      string      `json:"who"`
+	Reason      string      `json:"why,omitempty"`
+	DurationMS  int64       `json:"for"`
+	State       PermitState `json:"state"`
+	RequestedAt int64       `json:"asked"`            // last
+	StateSince  int64       `json:"at,omitempty"`     // granted, or begun
+	WindowMS    int64       `json:"window,omitempty"` // to begin in
+	ExpiresAt   int64       `json:"until,omitempty"`  // by the record's time: granted, not begun after it; begun, not taken down after it
+	ReturnedAt  int64       `json:"given,omitempty"`
+	ClockDrift  float64     `json:"clock,omitempty"`
+}
+
+// inForce says that the permit's holder may take the thing down, now or once it has begun.
+func (p *Permit) inForce() bool { return p.State == PermitGranted || p.State == PermitBegun }
+
+// expired says that the permit was not begun in time, or that its requester is gone.
+func (p *Permit) expired(at int64) bool {
+	return p.State == PermitGranted && at > p.ExpiresAt || p.State == PermitWaiting && at-p.RequestedAt > permitForgetMS
+}
+
+// requestPermit notes who wants a permit; the leader grants it. The same request by the same requester gets the same permit.
+func (rec *record) requestPermit(at int64, c *Command) Result {
+	if c.TargetKind != KindRelay && c.TargetKind != KindMember || c.Name == "" || c.DurationMS <= 0 || c.DurationMS > maxPermitMS {
+		return reject("a permit is for a relay or a member, by name, for up to %d ms", maxPermitMS)
+	}
+	if p := find(rec.Permits, func(p *Permit) bool { return p.Kind == c.TargetKind && p.Name == c.Name }); p != nil {
+		return rec.repeatPermitRequest(at, c, p)
+	}
+	if len(rec.Permits) >= MaxPermits {
+		return reject("%d permits are asked for or in force", MaxPermits)
+	}
+	rec.Permits = append(rec.Permits, Permit{Number: rec.nextNumber(), Kind: c.TargetKind, Name: c.Name, Holder: c.Requester, Reason: c.Reason,
+		DurationMS: c.DurationMS, State: PermitWaiting, RequestedAt: at})
+	p := &rec.Permits[len(rec.Permits)-1]
+	return Result{State: string(PermitWaiting), Number: p.Number, RetryAfterMS: permitRetryMS, Reason: rec.permitWaitReason(p)}
+}
+
+// repeatPermitRequest answers a request for a thing that has a permit.
+func (rec *record) repeatPermitRequest(at int64, c *Command, p *Permit) Result {
+	if p.Holder != c.Requester {
+		return Result{State: string(PermitWaiting), RetryAfterMS: permitRetryMS, Reason: fmt.Sprintf("%s holds permit %d for it", p.Holder, p.Number)}
+	}
+	result := Result{State: string(p.State), Number: p.Number}
+	switch {
+	case p.State == PermitWaiting:
+		p.RequestedAt, result.RetryAfterMS, result.Reason = at, permitRetryMS, rec.permitWaitReason(p)
+	case p.State == PermitGranted && at < p.StateSince+p.WindowMS:
+		result.RemainingMS = p.StateSince + p.WindowMS - at
+	case p.State == PermitGranted: // about to expire
+		result.State, result.RetryAfterMS, result.Reason = string(PermitWaiting), permitRetryMS, "it was not begun in time"
+	}
+	return result
+}
+
+// permitWaitReason says why a permit waits, as far as the record knows: what is out by plan, and how many permits wait before it.
+func (rec *record) permitWaitReason(p *Permit) string {
+	out := rec.plannedOut(p.Kind)
+	var names []string
+	for _, x := range out {
+		if len(names) < 8 {
+			names = append(names, x.Name)
+		}
+	}
+	before := 0
+	for i := range rec.Permits {
+		if x := &rec.Permits[i]; x.State == PermitWaiting && x.Kind == p.Kind && x.Number < p.Number {
+			before++
+		}
+	}
+	return fmt.Sprintf("out by plan: %d %v; waiting before it: %d", len(out), names, before)
+}
+
+// beginPermit starts a granted permit. It goes by number, so that an outdated call does nothing.
+func (rec *record) beginPermit(at int64, c *Command) Result {
+	p := rec.findPermit(c.PermitNumber)
+	switch {
+	case p == nil:
+		return noPermit(c.PermitNumber)
+	case p.State == PermitWaiting:
+		return reject("permit %d is not granted", p.Number)
+	case p.State == PermitGranted && at > p.ExpiresAt:
+		return reject("permit %d was not begun in time", p.Number)
+	case p.State == PermitGranted:
+		p.State, p.StateSince, p.ExpiresAt = PermitBegun, at, at+onSlowestClock(p.WindowMS, p.ClockDrift)
+	}
+	rec.Version++
+	return Result{Number: p.Number, State: string(p.State)}
+}
+
+// returnPermit ends a permit that was not begun. One that was begun stays until others see the thing in full service.
+func (rec *record) returnPermit(at int64, c *Command) Result {
+	p := rec.findPermit(c.PermitNumber)
+	switch {
+	case p == nil:
+		return noPermit(c.PermitNumber)
+	case p.State == PermitBegun && p.ReturnedAt > 0:
+		return Result{Number: p.Number, State: string(p.State)}
+	case p.State != PermitBegun:
+		rec.removePermit(c.PermitNumber)
+		rec.Version++
+		return Result{Number: c.PermitNumber, State: "given"}
+	}
+	p.ReturnedAt = at
+	rec.Version++
+	return Result{Number: p.Number, State: string(p.State)}
+}
+
+func noPermit(number uint64) Result { return reject("there is no permit %d, or no more", number) }
+
+func (rec *record) removePermit(number uint64) {
+	rec.Permits = slices.DeleteFunc(rec.Permits, func(p Permit) bool { return p.Number == number })
+}
+
+// expirePermits forgets permits whose time is over, or whose requester is gone.
+func (rec *record) expirePermits(at int64, c *Command) Result {
+	n := len(rec.Permits)
+	rec.Permits = slices.DeleteFunc(rec.Permits, func(p Permit) bool { return slices.Contains(c.PermitNumbers, p.Number) && p.expired(at) })
+	if len(rec.Permits) == n {
+		return reject("none of these is void")
+	}
+	rec.Version++
+	return Result{}
+}
+
+// onSlowestClock is a duration as the slowest clock would count it.
+func onSlowestClock(ms int64, drift float64) int64 { return ms + int64(math.Ceil(float64(ms)*drift)) }
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -191,7 +191,7 @@
 	if !sound {
 		return Observation{}, false
 	}
-	program, config := r.targetVersion(u, u.Reverting)
+	program, config := r.targetVersion(u)
 	fits := (program == "" || program == x.Program) && (config == "" || config == x.Config)
 	later := x.StartNumber > uint64(u.SeenStart)
 	switch {
@@ -207,7 +207,7 @@
 
 func (p *planner) observeMember(r *release, u *Unit) (Observation, bool) {
 	m := p.members[u.currentName()]
-	program, _ := r.targetVersion(u, u.Reverting)
+	program, _ := r.targetVersion(u)
 	// Requester does not say what it runs fits. On the way back an owner may put back at once what was there before.
 	fits := func(m *Member) bool {
 		return program == "" || m.Program == "" || m.Program == program || r.RollingBack && m.Program == u.PreviousProgram
@@ -580,7 +580,7 @@
 func (p *planner) baselineWindows() []ServiceWindow {
 	var list []ServiceWindow
 	for _, c := range p.view.Service[max(0, len(p.view.Service)-maxBaselineWindows):] {
-		if c.Requested >= 0 && c.Served >= 0 && c.Requested <= maxWindowCount {
+		if c.Requested >= 0 && c.Served >= 0 && c.Requested <= maxWindowRequests {
 			list = append(list, ServiceWindow{c.EndsAt, c.Requested, min(c.Served, c.Requested)})
 		}
 	}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -51,7 +51,7 @@
 	w.roundtrip, w.history = roundtrip, history
 	w.calm = seed%5 == 0 // some without faults
 	w.faulty = !w.calm
-	if w.two = plantedDefect == "no fencing"; w.two { // what is left is what a step from an old state overdraws
+	if w.two = plantedDefect == defectNoFencing; w.two { // what is left is what a step from an old state overdraws
 		w.load = 0
 		for _, x := range w.members {
 			w.load += x.capacity
@@ -346,24 +346,24 @@
 
 // Each defect is found by the judge, or by the trace.
 func TestPlanted(t *testing.T) {
-	defer func() { plantedDefect = "" }()
-	for _, defect := range []string{"no failures", "no fencing", "a map's order", "own word", "half forgotten", "shut without budget"} {
-		plantedDefect = defect
+	defer func() { plantedDefect = defectNone }()
+	for _, planted := range []defect{defectIgnoresFailures, defectNoFencing, defectMapOrder, defectTrustsOwnReport, defectForgetsRevoked, defectQuarantineUnbounded} {
+		plantedDefect = planted
 		wrong := all(0, 400, true, func(seed uint64) []string {
 			if large(seed) {
 				return nil
 			}
 			w := play(seed, false, nil)
-			if defect == "a map's order" && play(seed, false, nil).trace != w.trace {
+			if planted == defectMapOrder && play(seed, false, nil).trace != w.trace {
 				return []string{"two plays of one seed differ"}
 			}
 			return w.faults
 		})
 		if len(wrong) == 0 {
-			t.Errorf("%s: not found", defect)
+			t.Errorf("%s: not found", planted)
 		}
 		for _, seed := range slices.Sorted(maps.Keys(wrong))[:min(1, len(wrong))] {
-			t.Logf("%s: seed %d: %s", defect, seed, wrong[seed][0])
+			t.Logf("%s: seed %d: %s", planted, seed, wrong[seed][0])
 		}
 	}
 }
