--- /dev/null
+++ b/internal/pool/endpoint_list.go
@@ -0,0 +1,108 @@
+// Package pool follows discovery's endpoint list, the list of pool members: it decodes the list, watches for its changes
+// by long polls over HTTP/1.1, and hands both on. It decides nothing.
+package pool
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"hash/fnv"
+	"strconv"
+	"strings"
+
+	"dahliarudder/internal/core"
+	"dahliarudder/internal/settings"
+	"dahliarudder/policy"
+)
+
+// ErrMalformed is wrapped by every error about bytes that are no endpoint list.
+var ErrMalformed = errors.New("malformed list")
+
+// EndpointList is discovery's list, or a delta of it, in its wire form.
+type EndpointList struct {
+	Generation uint64     `json:"generation"`
+	Full       bool       `json:"reset"`
+	Instances  []Instance `json:"instances"`
+}
+
+// Instance is one member in its wire form.
+type Instance struct {
+	ID        string  `json:"instanceId"`
+	Addr      string  `json:"hostPort"`
+	Zone      string  `json:"zone"`
+	Kind      string  `json:"machineType"`
+	Cell      int     `json:"cell"`
+	Lifecycle string  `json:"lifecycle"`
+	Weight    float64 `json:"weight"`
+	Started   float64 `json:"startedAtMs"`
+}
+
+// Decode decodes a list.
+func Decode(text []byte) (*EndpointList, error) {
+	l := &EndpointList{}
+	if err := json.Unmarshal(text, l); err != nil {
+		return nil, fmt.Errorf("%w: %v", ErrMalformed, err)
+	}
+	for i, e := range l.Instances {
+		if e.ID == "" {
+			return nil, fmt.Errorf("%w: entry %d has no id", ErrMalformed, i)
+		}
+	}
+	return l, nil
+}
+
+// MemberMapper maps instances of the endpoint list to members.
+type MemberMapper struct {
+	Settings   *settings.Settings
+	StartTimes *StartTimes
+}
+
+var lifecycleStates = map[string]policy.ServerState{
+	"SERVING": policy.Ready, "DRAINING": policy.Draining, "DELETED": policy.Gone,
+}
+
+// Members are the instances of a list as members.
+func (m MemberMapper) Members(l *EndpointList) []core.Member {
+	members := make([]core.Member, 0, len(l.Instances))
+	for _, instance := range l.Instances {
+		members = append(members, m.member(instance))
+	}
+	return members
+}
+
+// member maps one instance. An unknown lifecycle counts as draining, the state that neither takes new flows nor removes the
+// member.
+func (m MemberMapper) member(i Instance) core.Member {
+	member := core.Member{Name: i.ID, Addr: i.Addr}
+	member.ID, member.Cell, member.Weight = DeriveServerID(i.ID), i.Cell, i.Weight
+	for number, zone := range m.Settings.Zones {
+		if string(zone) == i.Zone {
+			member.Zone = number
+		}
+	}
+	for number, kind := range m.Settings.HostTypes {
+		if kind == i.Kind {
+			member.Kind = number
+		}
+	}
+	state, known := lifecycleStates[i.Lifecycle]
+	if !known {
+		state = policy.Draining
+	}
+	member.State = state
+	member.Started = m.StartTimes.Resolve(i.ID, i.Started)
+	return member
+}
+
+// DeriveServerID is the member's number in the decision module. It depends on the name alone, so that all relays partition
+// the members alike: the eight hexadecimal digits that end it, or a hash.
+func DeriveServerID(name string) policy.ServerID {
+	if i := strings.LastIndexByte(name, '-'); len(name)-i-1 == 8 {
+		if n, err := strconv.ParseUint(name[i+1:], 16, 32); err == nil {
+			return policy.ServerID(n)
+		}
+	}
+	h := fnv.New32a()
+	h.Write([]byte(name))
+	return policy.ServerID(h.Sum32())
+}
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -46,22 +46,22 @@
 }
 
 // watch is one that holds a list.
-func watch(b *looptest.Harness, at *looptest.Server, told func(policy.ListKind, []core.Member)) *Watcher {
+func watch(b *looptest.Harness, at *looptest.Server, updates func(policy.ListKind, []core.Member)) *Watcher {
 	log := logrus.New()
 	log.SetOutput(b.T.Output())
-	w := &Watcher{Loop: b.Loop, Addr: at.Addr(), Mapper: names(), Log: log, OnUpdate: told, Random: func() float64 { return 1 }, Dial: b.NewDescriptorReserve(MaxDescriptors).Dial}
+	w := &Watcher{Loop: b.Loop, Addr: at.Addr(), Mapper: names(), Log: log, OnUpdate: updates, Random: func() float64 { return 1 }, Dial: b.NewDescriptorReserve(MaxDescriptors).Dial}
 	w.SetInitialList(&EndpointList{Generation: 41})
 	return w
 }
 
-// TestMove: the watch goes on at a new address at once, by asking for the whole
+// TestSwitchAddress: the watch goes on at a new address at once, by asking for the whole
 // list, whatever it was doing at the old one; what the old one says then is
 // nothing to it. Guards against a generation of one discovery being used at another.
-func TestMove(t *testing.T) {
+func TestSwitchAddress(t *testing.T) {
 	b := looptest.New(t, 8)
 	old, next := b.Listen(), b.Listen()
-	told := 0
-	w := watch(b, old, func(kind policy.ListKind, list []core.Member) { told += 100*int(kind) + len(list) })
+	updates := 0
+	w := watch(b, old, func(kind policy.ListKind, list []core.Member) { updates += 100*int(kind) + len(list) })
 	w.Start()
 	before := old.Accept()
 	w.SwitchAddress(next.Addr())
@@ -71,8 +71,8 @@
 	p.Expect("GET /api/targets" + host)
 	p.Send("HTTP/1.1 200 OK\r\nContent-Length: 44\r\n\r\n" + `{"generation":3,"reset":true,"instances":[]}`)
 	p.Expect("GET /api/targets?since=3&timeout_ms=4000" + host)
-	if told != 100*int(policy.ListFull) {
-		t.Errorf("told %d", told)
+	if updates != 100*int(policy.ListFull) {
+		t.Errorf("updates %d", updates)
 	}
 	w.SwitchAddress(next.Addr()) // no change: the watch goes on
 	p.Send("HTTP/1.1 200 OK\r\nContent-Length: 45\r\n\r\n" + `{"generation":4,"reset":false,"instances":[]}`)
@@ -80,7 +80,7 @@
 	w.Stop()
 	w.SwitchAddress(old.Addr())
 	b.RunOnce()
-	if len(w.calls) > 0 {
+	if len(w.polls) > 0 {
 		t.Error("moved after the stop")
 	}
 }
--- a/internal/pool/starts_test.go
+++ b/internal/pool/start_times_test.go
@@ -128,12 +128,12 @@
 func TestStartsBounded(t *testing.T) {
 	m := &machine{now: time.Hour}
 	s := m.starts()
-	for range 20 * keptMost {
+	for range 20 * maxStarts {
 		m.now += time.Millisecond
 		m.behind += time.Second
 		s.Resolve(m.now.String(), stamp(m.now, 0))
 	}
-	if len(s.kept) > 2*keptMost || len(s.offsets) > offsetsMost {
-		t.Errorf("%d starts and %d offsets are kept", len(s.kept), len(s.offsets))
+	if len(s.starts) > 2*maxStarts || len(s.offsets) > maxOffsets {
+		t.Errorf("%d starts and %d offsets are kept", len(s.starts), len(s.offsets))
 	}
 }
--- a/internal/pool/watch_test.go
+++ b/internal/pool/watcher_test.go
@@ -10,12 +10,12 @@
 	"dahliarudder/policy"
 )
 
-// rig is a watch, the list of what it told, and discovery's end of its calls.
+// rig is a watch, the updates that it handed on, and discovery's end of its polls.
 type rig struct {
 	*looptest.Harness
 	*Watcher
-	server *looptest.Server
-	told   []string
+	server  *looptest.Server
+	updates []string
 }
 
 // newRig has a watch that holds generation 41 and has begun.
@@ -27,7 +27,7 @@
 		for _, m := range list {
 			names += fmt.Sprintf(" %s:%d", m.Name, m.State)
 		}
-		r.told = append(r.told, fmt.Sprint(kind, names))
+		r.updates = append(r.updates, fmt.Sprint(kind, names))
 	})
 	return r
 }
@@ -48,11 +48,11 @@
 
 var drained = fmt.Sprint(policy.ListDelta, " s-5be2a07c:", int(policy.Draining))
 
-// want fails unless just this was told.
-func (r *rig) want(told ...string) {
+// want fails unless just these updates were handed on.
+func (r *rig) want(updates ...string) {
 	r.T.Helper()
-	if fmt.Sprint(r.told) != fmt.Sprint(told) {
-		r.T.Fatalf("told %q, want %q", r.told, told)
+	if fmt.Sprint(r.updates) != fmt.Sprint(updates) {
+		r.T.Fatalf("updates %q, want %q", r.updates, updates)
 	}
 }
 
@@ -70,11 +70,11 @@
 	r := newRig(t)
 	r.Start()
 	p := r.server.Accept()
-	p.Expect(r.text(41, watchWait))
+	p.Expect(r.text(41, longPollWait))
 	p.Send(changes(43))
-	p.Expect(r.text(43, watchWait))
+	p.Expect(r.text(43, longPollWait))
 	p.Send(message(`{"generation":44,"reset":true,"instances":[]}`))
-	p.Expect(r.text(44, watchWait))
+	p.Expect(r.text(44, longPollWait))
 	r.want(drained, fmt.Sprint(policy.ListFull, ""))
 	r.Stop()
 	r.Start()
@@ -108,7 +108,7 @@
 			r := newRig(t)
 			r.Start()
 			p := r.server.Accept()
-			p.Expect(r.text(41, watchWait))
+			p.Expect(r.text(41, longPollWait))
 			step := c.pieces
 			if step == 0 {
 				step = len(c.answer)
@@ -123,7 +123,7 @@
 				p.CloseWrite()
 				p = r.server.Accept()
 			}
-			p.Expect(r.text(43, watchWait))
+			p.Expect(r.text(43, longPollWait))
 			r.want(c.want)
 		})
 	}
@@ -137,19 +137,19 @@
 	r.Start()
 	began := r.Now()
 	silent := r.server.Accept()
-	silent.Expect(r.text(41, watchWait))
-	r.Advance(watchWait)
+	silent.Expect(r.text(41, longPollWait))
+	r.Advance(longPollWait)
 	mute(t, silent)
-	r.Advance(lateAfter)
+	r.Advance(overdueMargin)
 	second := r.server.Accept()
 	second.Expect(r.text(41, 0))
 	mute(t, silent) // it may only be late: it stays
 	second.Send(changes(43))
-	second.Expect(r.text(43, watchWait))
+	second.Expect(r.text(43, longPollWait))
 	r.want(drained)
 	silent.ExpectEOF()
-	if late := r.Now() - began - toldWithin; late >= 0 {
-		t.Errorf("told %v too late", late)
+	if late := r.Now() - began - deliveryDeadline; late >= 0 {
+		t.Errorf("delivered %v too late", late)
 	}
 }
 
@@ -158,12 +158,12 @@
 	r := newRig(t)
 	r.Start()
 	first := r.server.Accept()
-	first.Expect(r.text(41, watchWait))
-	r.Advance(watchWait + lateAfter)
+	first.Expect(r.text(41, longPollWait))
+	r.Advance(longPollWait + overdueMargin)
 	second := r.server.Accept()
 	second.Expect(r.text(41, 0))
 	first.Send(changes(43))
-	first.Expect(r.text(43, watchWait))
+	first.Expect(r.text(43, longPollWait))
 	second.ExpectEOF()
 	r.want(drained)
 }
@@ -184,20 +184,20 @@
 			r.Start()
 			began := r.Now()
 			silent := r.server.Accept()
-			silent.Expect(r.text(41, watchWait))
-			r.Advance(watchWait + lateAfter)
+			silent.Expect(r.text(41, longPollWait))
+			r.Advance(longPollWait + overdueMargin)
 			second := r.server.Accept()
 			second.Expect(r.text(41, 0))
 			fail(second)
-			r.WaitFor("the failure", func() bool { return r.state == watchPausing })
-			r.Advance(pauseFirst)
+			r.WaitFor("the failure", func() bool { return r.state == watchBackingOff })
+			r.Advance(initialBackoff)
 			third := r.server.Accept()
 			third.Expect(r.text(41, 0))
 			third.Send(changes(43))
-			third.Expect(r.text(43, watchWait))
+			third.Expect(r.text(43, longPollWait))
 			r.want(drained)
-			if late := r.Now() - began - toldWithin; late >= 0 {
-				t.Errorf("told %v too late", late)
+			if late := r.Now() - began - deliveryDeadline; late >= 0 {
+				t.Errorf("delivered %v too late", late)
 			}
 		})
 	}
@@ -218,19 +218,19 @@
 	} {
 		wait := time.Duration(0)
 		if i == 0 {
-			wait = watchWait
+			wait = longPollWait
 		}
 		p := r.server.Accept()
 		p.Expect(r.text(41, wait))
 		fail(p)
 		failures++
 		r.WaitFor("the failure", func() bool { return r.failures == failures })
-		if r.state != watchPausing || len(r.calls) != 0 {
-			t.Fatalf("failure %d: state %d, %d calls", i, r.state, len(r.calls))
+		if r.state != watchBackingOff || len(r.polls) != 0 {
+			t.Fatalf("failure %d: state %d, %d calls", i, r.state, len(r.polls))
 		}
 		r.Start() // the decision module's wish changes nothing
-		r.Advance(asking.pause(failures, 1) - time.Millisecond)
-		if len(r.calls) != 0 {
+		r.Advance(pollTiming.backoff(failures, 1) - time.Millisecond)
+		if len(r.polls) != 0 {
 			t.Fatalf("failure %d: no pause", i)
 		}
 		r.Advance(time.Millisecond)
@@ -238,7 +238,7 @@
 	p := r.server.Accept()
 	p.Expect(r.text(41, 0))
 	p.Send(changes(43))
-	p.Expect(r.text(43, watchWait))
+	p.Expect(r.text(43, longPollWait))
 	r.want(drained)
 	if r.failures != 0 {
 		t.Errorf("%d failures counted after an answer", r.failures)
@@ -249,36 +249,36 @@
 // beside it early enough that there is time for the longest queue. The first one stays until its own time is up.
 func TestReturn(t *testing.T) {
 	const queue = 3 * time.Second // the longest of three sites after which discovery refuses a call
-	if left := toldWithin - queueMost - dialWithin; left < queue {
+	if left := deliveryDeadline - maxQueueTime - dialTimeout; left < queue {
 		t.Fatalf("%v are left for the answer of the call after the return", left)
 	}
-	if left := toldWithin - pauseMost - dialWithin; left < queue {
+	if left := deliveryDeadline - maxBackoff - dialTimeout; left < queue {
 		t.Fatalf("%v are left after a refused call", left)
 	}
 	r := newRig(t)
 	r.Start()
 	p := r.server.Accept()
-	p.Expect(r.text(41, watchWait))
+	p.Expect(r.text(41, longPollWait))
 	p.Reset()
-	r.WaitFor("the failure", func() bool { return r.state == watchPausing })
-	r.Advance(pauseFirst)
+	r.WaitFor("the failure", func() bool { return r.state == watchBackingOff })
+	r.Advance(initialBackoff)
 	first := r.server.Accept()
 	first.Expect(r.text(41, 0))
-	r.Advance(queueMost)
+	r.Advance(maxQueueTime)
 	second := r.server.Accept()
 	second.Expect(r.text(41, 0))
-	r.Advance(queueMost - time.Millisecond)
+	r.Advance(maxQueueTime - time.Millisecond)
 	mute(t, first)
-	if len(r.calls) != callsMost {
-		t.Fatalf("%d calls", len(r.calls))
+	if len(r.polls) != maxPolls {
+		t.Fatalf("%d calls", len(r.polls))
 	}
 	r.Advance(time.Millisecond) // the first is given up, and the second is late by now
 	first.ExpectEOF()
-	r.Advance(pauseMost)
+	r.Advance(maxBackoff)
 	third := r.server.Accept()
 	third.Expect(r.text(41, 0))
 	third.Send(changes(43))
-	third.Expect(r.text(43, watchWait))
+	third.Expect(r.text(43, longPollWait))
 	second.ExpectEOF()
 	r.want(drained)
 }
@@ -289,20 +289,20 @@
 	r := newRig(t)
 	r.Start()
 	p := r.server.Accept()
-	p.Expect(r.text(41, watchWait))
+	p.Expect(r.text(41, longPollWait))
 	p.Reset()
-	r.WaitFor("the failure", func() bool { return r.state == watchPausing })
-	r.Advance(pauseFirst)
+	r.WaitFor("the failure", func() bool { return r.state == watchBackingOff })
+	r.Advance(initialBackoff)
 	queued := r.server.Accept()
 	queued.Expect(r.text(41, 0))
-	r.Advance(queueMost)
+	r.Advance(maxQueueTime)
 	refused := r.server.Accept()
 	refused.Expect(r.text(41, 0))
 	refused.Send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
-	r.WaitFor("the failure", func() bool { return r.state == watchPausing })
+	r.WaitFor("the failure", func() bool { return r.state == watchBackingOff })
 	r.Advance(time.Second)
 	queued.Send(changes(43))
-	queued.Expect(r.text(43, watchWait))
+	queued.Expect(r.text(43, longPollWait))
 	r.want(drained)
 }
 
@@ -313,60 +313,60 @@
 	r := newRig(t)
 	r.Start()
 	p := r.server.Accept()
-	p.Expect(r.text(41, watchWait))
+	p.Expect(r.text(41, longPollWait))
 	p.Send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
-	r.WaitFor("the failure", func() bool { return r.state == watchPausing })
-	r.Advance(pauseFirst)
+	r.WaitFor("the failure", func() bool { return r.state == watchBackingOff })
+	r.Advance(initialBackoff)
 	queued := r.server.Accept()
 	queued.Expect(r.text(41, 0))
 	r.Advance(queue)
-	if len(r.calls) != 1 {
-		t.Fatalf("%d calls while one stands in the queue", len(r.calls))
+	if len(r.polls) != 1 {
+		t.Fatalf("%d calls while one stands in the queue", len(r.polls))
 	}
-	r.Advance(lateAfter)
-	if len(r.calls) != callsMost {
-		t.Fatalf("%d calls after the longest queue", len(r.calls))
+	r.Advance(overdueMargin)
+	if len(r.polls) != maxPolls {
+		t.Fatalf("%d calls after the longest queue", len(r.polls))
 	}
 	r.server.Accept().Expect(r.text(41, 0))
 	queued.Send(changes(43))
-	queued.Expect(r.text(43, watchWait))
+	queued.Expect(r.text(43, longPollWait))
 	r.want(drained)
 }
 
 // TestBudget: the steps of a watch in the worst order add up to less than the protocol's time, each failure once.
 func TestBudget(t *testing.T) {
-	const noticed = watchWait + lateAfter                           // the watch fell silent as its call was written
-	const again = dialWithin + pauseFirst                           // the connection of the second call never comes up
-	const answered = noticed + again + dialWithin                   // that of the third takes all that it may
-	if left := toldWithin - answered; left < 200*time.Millisecond { // the gap that the protocol allows between calls
+	const noticed = longPollWait + overdueMargin                          // the watch fell silent as its call was written
+	const again = dialTimeout + initialBackoff                            // the connection of the second call never comes up
+	const answered = noticed + again + dialTimeout                        // that of the third takes all that it may
+	if left := deliveryDeadline - answered; left < 200*time.Millisecond { // the gap that the protocol allows between calls
 		t.Errorf("a silent watch: %v are left for the answer", left)
 	}
-	if watchWait+toldAfterWait > toldWithin {
-		t.Errorf("what a call of %v misses counts after %v", watchWait, toldWithin)
+	if longPollWait+deliveryAfterWait > deliveryDeadline {
+		t.Errorf("what a call of %v misses counts after %v", longPollWait, deliveryDeadline)
 	}
 }
 
-// TestPause: pauses grow to their most, and are spread over the half of their span.
-func TestPause(t *testing.T) {
-	for failures, span := range map[int]time.Duration{1: pauseFirst, 2: 2 * pauseFirst, 3: pauseMost, 4: pauseMost, 1000: pauseMost} {
-		if low, high := asking.pause(failures, 0), asking.pause(failures, 1); low != span/2 || high != span {
+// TestBackoff: pauses grow to their most, and are spread over the half of their span.
+func TestBackoff(t *testing.T) {
+	for failures, span := range map[int]time.Duration{1: initialBackoff, 2: 2 * initialBackoff, 3: maxBackoff, 4: maxBackoff, 1000: maxBackoff} {
+		if low, high := pollTiming.backoff(failures, 0), pollTiming.backoff(failures, 1); low != span/2 || high != span {
 			t.Errorf("after %d failures %v to %v, want %v to %v", failures, low, high, span/2, span)
 		}
 	}
 }
 
-// TestFirstBy: a process makes its first call early enough that the longest queue and a refused call before leave its
+// TestInitialDelay: a process makes its first call early enough that the longest queue and a refused call before leave its
 // answer within the protocol's time, and within the time for asking where that is shorter; those that start together
 // are spread.
-func TestFirstBy(t *testing.T) {
+func TestInitialDelay(t *testing.T) {
 	const queue = 3 * time.Second
-	for askWithin, most := range map[time.Duration]time.Duration{10 * time.Second: firstWithin, 2 * time.Second: time.Second} {
+	for askWithin, most := range map[time.Duration]time.Duration{10 * time.Second: maxInitialDelay, 2 * time.Second: time.Second} {
 		if low, high := InitialDelay(askWithin, func() float64 { return 0 }), InitialDelay(askWithin, func() float64 { return 1 }); low != 0 || high != most {
 			t.Errorf("asking within %v: from %v to %v", askWithin, low, high)
 		}
 	}
-	if firstWithin+queue > toldWithin {
-		t.Errorf("a first call after %v may be answered %v too late", firstWithin, firstWithin+queue-toldWithin)
+	if maxInitialDelay+queue > deliveryDeadline {
+		t.Errorf("a first call after %v may be answered %v too late", maxInitialDelay, maxInitialDelay+queue-deliveryDeadline)
 	}
 }
 
@@ -376,33 +376,33 @@
 	r.Refresh(func() { t.Error("refreshed a watch that had not begun") })
 	r.Start()
 	p := r.server.Accept()
-	p.Expect(r.text(41, watchWait))
+	p.Expect(r.text(41, longPollWait))
 	done := 0
 	r.Refresh(func() { done++ })
 	p.ExpectEOF()
 	p = r.server.Accept()
 	p.Expect(r.text(41, 0))
 	p.Reset()
-	r.WaitFor("the failure", func() bool { return r.state == watchPausing })
+	r.WaitFor("the failure", func() bool { return r.state == watchBackingOff })
 	r.Refresh(func() { done += 10 })
 	p = r.server.Accept()
 	p.Expect(r.text(41, 0))
 	p.Send(changes(43))
-	p.Expect(r.text(43, watchWait))
+	p.Expect(r.text(43, longPollWait))
 	r.want(drained)
-	if r.Advance(pauseMost); done != 10 {
+	if r.Advance(maxBackoff); done != 10 {
 		t.Errorf("done %d", done)
 	}
 	mute(t, p)
 }
 
-// TestMoveAmidFailure: a new address counts at once, whatever was under way at the old one.
-func TestMoveAmidFailure(t *testing.T) {
+// TestSwitchAddressAmidFailure: a new address counts at once, whatever was under way at the old one.
+func TestSwitchAddressAmidFailure(t *testing.T) {
 	for name, before := range map[string]func(*rig, *looptest.Peer){
-		"late": func(r *rig, p *looptest.Peer) { r.Advance(watchWait + lateAfter); r.server.Accept() },
+		"late": func(r *rig, p *looptest.Peer) { r.Advance(longPollWait + overdueMargin); r.server.Accept() },
 		"pausing": func(r *rig, p *looptest.Peer) {
 			p.Reset()
-			r.WaitFor("", func() bool { return r.state == watchPausing })
+			r.WaitFor("", func() bool { return r.state == watchBackingOff })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -410,16 +410,16 @@
 			next := r.Listen()
 			r.Start()
 			p := r.server.Accept()
-			p.Expect(r.text(41, watchWait))
+			p.Expect(r.text(41, longPollWait))
 			before(r, p)
 			r.SwitchAddress(next.Addr())
 			q := next.Accept()
 			q.Expect("GET /api/targets HTTP/1.1\r\nHost: " + next.Addr() + "\r\nAccept: application/json\r\n\r\n")
 			q.Send(message(`{"generation":3,"reset":true,"instances":[]}`))
-			r.WaitFor("the list", func() bool { return len(r.told) == 1 })
-			r.Advance(pauseMost)
-			if len(r.calls) != 1 || r.state != watchCalling {
-				t.Errorf("%d calls, state %d", len(r.calls), r.state)
+			r.WaitFor("the list", func() bool { return len(r.updates) == 1 })
+			r.Advance(maxBackoff)
+			if len(r.polls) != 1 || r.state != watchPolling {
+				t.Errorf("%d calls, state %d", len(r.polls), r.state)
 			}
 		})
 	}
