--- a/internal/canary/counts_test.go
+++ b/internal/canary/counts_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// A relay of thirty flows a second, two classes, three zones, members warm and cold: a word a second, for an hour.
-func TestWordSize(t *testing.T) {
+// TestReportSize: a relay of thirty flows a second, two classes, three zones, members warm and warming up, reports every second for an hour.
+func TestReportSize(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	c := NewCollector(1<<63, 1_733_100_000_000)
 	sum, largest := 0, 0
@@ -36,19 +36,19 @@
 			t.Fatal(err)
 		}
 	}
-	t.Logf("%d strata: %d bytes a word, %d at most", len(c.strata), sum/seconds, largest)
+	t.Logf("%d strata: %d bytes a report, %d at most", len(c.strata), sum/seconds, largest)
 	if largest > 600 {
-		t.Errorf("a word of %d bytes", largest)
+		t.Errorf("a report of %d bytes", largest)
 	}
 }
 
-// Whatever is counted arrives, though words are bounded and a third of them is lost.
-func TestWordsArrive(t *testing.T) {
+// TestReportsArrive: all counts arrive, though reports are bounded and a third of their strata is lost.
+func TestReportsArrive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		c := NewCollector(7, 1)
 		got := map[Stratum]StratumCounts{}
-		hear := func() {
+		report := func() {
 			b := c.AppendReport(nil, 1400)
 			w, err := DecodeCountReport(b)
 			if err != nil || len(b) > 1400 {
@@ -66,11 +66,11 @@
 			k.Attempts += rng.Uint64N(1 << 40)
 			k.SetupTime[rng.IntN(HistogramBuckets)] += k.Attempts / (HistogramBuckets * 200)
 			if rng.IntN(3) == 0 {
-				hear()
+				report()
 			}
 		}
-		for range 15 * len(c.strata) { // by turns alone each comes some fifteen times: that all are lost has no chance
-			hear()
+		for range 15 * len(c.strata) { // in turn alone each is sent some fifteen times: that all are lost has no chance
+			report()
 		}
 		for _, k := range c.strata {
 			if got[k.Stratum] != k.StratumCounts {
@@ -83,11 +83,11 @@
 		c.Tally(Stratum{Class: uint8(i)}, true).Attempts++
 	}
 	if len(c.strata) != MaxStrata || c.Rejected != 2*MaxStrata {
-		t.Errorf("%d strata are held, %d counts were refused", len(c.strata), c.Rejected)
+		t.Errorf("%d strata, %d counts were rejected", len(c.strata), c.Rejected)
 	}
 }
 
-func FuzzDecodeCounts(f *testing.F) {
+func FuzzDecodeCountReport(f *testing.F) {
 	c := NewCollector(5, 6)
 	f.Add(c.AppendReport(nil, 600))
 	k := c.Tally(Stratum{Class: 1, Zone: 2, WarmingUp: true, Load: 3}, true)
@@ -111,10 +111,10 @@
 		}
 		j := NewJudge(JudgeSettings{Spec: spec("r"), Epoch: 1})
 		w.Salt = j.settings.Salt
-		for i, start := range []uint64{0, w.Incarnation, w.Incarnation} { // what was before, from nothing, and as a restart
-			heard := w
-			heard.Incarnation, heard.Seq = start, uint64(i+1)
-			j.Observe(int64(1000*i), "n", "z", heard)
+		for i, start := range []uint64{0, w.Incarnation, w.Incarnation} { // an earlier process, this one, and a repetition
+			r := w
+			r.Incarnation, r.Seq = start, uint64(i+1)
+			j.Observe(int64(1000*i), "n", "z", r)
 		}
 		if v := j.Verdict(60_000); math.IsNaN(v.LogEValue) {
 			t.Fatalf("%+v", v)
@@ -122,9 +122,9 @@
 	})
 }
 
-// The mean of a block's e-value is at most 1 under any rates that the claim allows, however far the guess of the base is off: by all outcomes
-// of small blocks, each by its chance.
-func TestBetMean(t *testing.T) {
+// TestEValueMean: the mean of a block's e-value is at most 1 under any rates that the null hypothesis allows, however wrong the estimate of
+// the baseline's rate is. All outcomes of small blocks are added up, weighted by their probability.
+func TestEValueMean(t *testing.T) {
 	choose := func(n, k int) float64 {
 		a, _ := math.Lgamma(float64(n + 1))
 		b, _ := math.Lgamma(float64(k + 1))
@@ -136,7 +136,7 @@
 		null := nullHypothesis{factor: rapid.SampledFrom([]float64{1, defaultFactor, 2}).Draw(t, "factor"),
 			margin: rapid.SampledFrom([]float64{0, 0.0002, 0.01, 0.05}).Draw(t, "margin")}
 		harm := rapid.SampledFrom([]float64{0.0002, 0.01, 0.04, 0.16, 0.5}).Draw(t, "harm")
-		guess := rapid.Float64Range(1e-6, 0.9).Draw(t, "guess")
+		estimate := rapid.Float64Range(1e-6, 0.9).Draw(t, "guess")
 		q0 := rapid.Float64Range(0, 0.9).Draw(t, "base rate")
 		q1 := min(rapid.Float64Range(0, 1).Draw(t, "of what is allowed")*null.rate(q0), 1)
 		mean := 0.0
@@ -144,7 +144,7 @@
 			for k0 := range n0 + 1 {
 				p := choose(n1, k1) * math.Pow(q1, float64(k1)) * math.Pow(1-q1, float64(n1-k1)) *
 					choose(n0, k0) * math.Pow(q0, float64(k0)) * math.Pow(1-q0, float64(n0-k0))
-				mean += p * math.Exp(null.logEValue(blockCounts{uint64(n1), uint64(k1), uint64(n0), uint64(k0)}, guess, harm))
+				mean += p * math.Exp(null.logEValue(blockCounts{uint64(n1), uint64(k1), uint64(n0), uint64(k0)}, estimate, harm))
 			}
 		}
 		if !(mean <= 1+1e-6) {
--- a/internal/canary/forms_test.go
+++ b/internal/canary/forms_test.go
@@ -66,9 +66,9 @@
 	fill(reflect.ValueOf(c.Tally(Stratum{Class: 1, Zone: 2, WarmingUp: true, Load: 3}, true)).Elem(), &next)
 	fill(reflect.ValueOf(c.Tally(Stratum{Class: 1}, false)).Elem(), &next)
 	lines = append(lines, hex.EncodeToString(c.AppendReport(nil, 1400)))
-	w := newWorld(1, flaw{points: 0.05})
+	w := newSimulation(1, defect{points: 0.05})
 	for range 60 {
-		w.second()
+		w.step()
 	}
 	w.judge.Verdict(w.now)
 	lines = append(lines, hex.EncodeToString(w.judge.encodeCheckpoint()), fmt.Sprintf("%x", w.trace))
--- a/internal/canary/resolver.go
+++ b/internal/canary/resolver.go
@@ -60,7 +60,7 @@
 		r.highestEpoch = max(r.highestEpoch, w.Epoch)
 	}
 	for name, s := range r.notices {
-		if s = r.outstanding(name, s); s == (noticeState{}) {
+		if s = r.unresolved(name, s); s == (noticeState{}) {
 			delete(r.notices, name)
 		} else {
 			r.notices[name] = s
@@ -71,8 +71,8 @@
 	}
 }
 
-// outstanding is what is left of notices on a release that the record has not overtaken.
-func (r *WeightResolver) outstanding(release string, s noticeState) noticeState {
+// unresolved is what is left of notices on a release that the record has not overtaken.
+func (r *WeightResolver) unresolved(release string, s noticeState) noticeState {
 	w := findWeight(r.recorded, release)
 	if w == nil {
 		if s.pausedEpoch <= r.highestEpoch {
--- a/internal/canary/resolver_test.go
+++ b/internal/canary/resolver_test.go
@@ -10,10 +10,10 @@
 
 const cutMS = 3000
 
-// A log of random commands, and relays that follow it with lags, cuts, restarts and notices. Kept at each step: no relay uses more than
-// the highest weight that was agreed within the time that it could have learned of (the cut), none above zero in an epoch that it has
-// heard paused, and one that has come back nothing above what is agreed since it was back.
-func playHolders(seed uint64, trusts bool) error {
+// simulateResolvers plays a log of random commands, and relays that follow it with lags, partitions, restarts and notices. Invariants: no relay
+// uses more than the highest weight agreed since it last confirmed the record or started, and none uses a weight above zero in an epoch of
+// which it has a notice of a pause.
+func simulateResolvers(seed uint64, trusts bool) error {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	type entry struct {
 		at int64
@@ -24,7 +24,7 @@
 		born    int64
 		applied int
 		cut     bool
-		paused  uint64 // the highest epoch heard
+		paused  uint64 // the highest epoch in notices
 	}
 	sp := spec("r")
 	s := NewState()
@@ -38,7 +38,7 @@
 		r := &relay{WeightResolver: NewWeightResolver(cutMS), born: now, applied: applied}
 		r.ApplyRecord(uint64(applied), weights[applied-1]) // from disk
 		if trusts {
-			r.confirm(now) // as if it were of now
+			r.confirm(now) // as if a majority stood behind it
 		}
 		return r
 	}
@@ -50,7 +50,7 @@
 			c, _ := s.Canary("r")
 			cmd := Command{Op: []Op{OpAdvance, OpAdvance, OpAdvance, OpPause, OpResume, OpResume}[rng.IntN(6)], Release: "r", Revision: c.Revision}
 			if cmd.Op == OpPause {
-				cmd.Outcome = Divergent // and a weight that is kept or lowered
+				cmd.Outcome = Divergent // with a weight that the policy keeps or lowers
 			}
 			s.Apply(now, "op", cmd.Encode())
 			if after, _ := s.Canary("r"); after.Revision != c.Revision {
@@ -83,7 +83,7 @@
 					r.ApplyRecord(uint64(r.applied), weights[r.applied-1])
 				}
 			}
-			if rng.IntN(4) == 0 { // notices pass between any two
+			if rng.IntN(4) == 0 { // gossip between any two
 				for _, n := range relays[rng.IntN(len(relays))].Notices() {
 					r.HandleNotice(n)
 					if n.Pause {
@@ -95,8 +95,8 @@
 			most := 0 // of what was agreed at any time that this relay may still go by
 			for k := len(log) - 1; k >= 0; k-- {
 				most = max(most, log[k].c.PerMille)
-				// ApplyRecord at or before the time from which it must know better: nothing older counts.
-				if known := max(r.born, lastReach(r.WeightResolver)); log[k].at <= known {
+				// agreed at or before the time from which it must know better: nothing older counts
+				if known := max(r.born, lastConfirmed(r.WeightResolver)); log[k].at <= known {
 					break
 				}
 			}
@@ -104,28 +104,28 @@
 			case use.PerMille > most:
 				return fmt.Errorf("seed %d at %d: relay %d, born %d, uses %d and %d at most was agreed since it knew", seed, now, i, r.born, use.PerMille, most)
 			case use.PerMille > 0 && r.paused >= use.Epoch:
-				return fmt.Errorf("seed %d at %d: relay %d uses %d in epoch %d, and heard a pause of %d", seed, now, i, use.PerMille, use.Epoch, r.paused)
+				return fmt.Errorf("seed %d at %d: relay %d uses %d in epoch %d, with a notice of a pause in %d", seed, now, i, use.PerMille, use.Epoch, r.paused)
 			}
 		}
 	}
 	return nil
 }
 
-func lastReach(h *WeightResolver) int64 { return h.confirmedAt }
+func lastConfirmed(h *WeightResolver) int64 { return h.confirmedAt }
 
-func TestHolders(t *testing.T) {
+func TestWeightResolvers(t *testing.T) {
 	for seed := range uint64(200) {
-		if err := playHolders(seed, false); err != nil {
+		if err := simulateResolvers(seed, false); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// Planted: a relay that takes up the weight of its disk before it has reached the record.
+// TestPlantedOldWeight: planted is a relay that uses the weight on its disk before it has confirmed the record.
 func TestPlantedOldWeight(t *testing.T) {
 	found := 0
 	for seed := range uint64(50) {
-		if playHolders(seed, true) != nil {
+		if simulateResolvers(seed, true) != nil {
 			found++
 		}
 	}
@@ -135,7 +135,7 @@
 	t.Logf("found by %d of 50 seeds", found)
 }
 
-func TestHolderCut(t *testing.T) {
+func TestWeightResolverStaleness(t *testing.T) {
 	h := NewWeightResolver(cutMS)
 	w := Weight{Release: "r", PerMille: 50, Epoch: 1, Revision: 2, Step: 1}
 	is := func(now int64, want int, why string) {
@@ -183,11 +183,11 @@
 	}
 	is(5000, 0, "the pause of a known release is kept")
 	if len(h.notices) > MaxNotices {
-		t.Errorf("%d held", len(h.notices))
+		t.Errorf("%d notices stored", len(h.notices))
 	}
 }
 
-// A pause said at one relay of a chain of 40, no majority there: each hears its neighbour alone, and passes on what it heard.
+// TestPauseReachesAll: a pause at one relay of a chain of 40, without a majority: each relay gossips with its neighbour alone.
 func TestPauseReachesAll(t *testing.T) {
 	var relays []*WeightResolver
 	for range 40 {
@@ -207,10 +207,10 @@
 	}
 }
 
-// A pause has a place in what goes round, whatever else this relay has heard and however long the names are: a note that is too long is not
-// carried at all, and the canary goes on elsewhere.
-func TestNotePauses(t *testing.T) {
-	const most = 400 // a note's, as peers have it
+// TestEncodeNoticesPausesFirst: a pause is encoded whatever other notices there are and however long the names are. Data that is too long is
+// not gossiped at all, and the canary would continue elsewhere.
+func TestEncodeNoticesPausesFirst(t *testing.T) {
+	const most = 400 // as gossip bounds user data
 	name := strings.Repeat("<", 128)
 	h := NewWeightResolver(cutMS)
 	h.ApplyRecord(1, []Weight{{Release: name, PerMille: 300, Epoch: 7, Revision: 12}})
@@ -231,12 +231,12 @@
 		t.Errorf("%s", note)
 	}
 	if empty := NewWeightResolver(cutMS).EncodeNotices(most); empty != nil {
-		t.Errorf("nothing to tell is %q", empty)
+		t.Errorf("no notices are %q", empty)
 	}
 }
 
-// A relay that has started since the record was last in reach, or has missed a resume, can be told to pause too: which epoch goes on elsewhere it
-// knows by what others pass on.
+// TestPauseByNotices: a relay that started after the record was last reachable, or missed a resume, can be told to pause too. It knows the
+// epoch from notices.
 func TestPauseByNotices(t *testing.T) {
 	for _, applied := range [][]Weight{nil, {{Release: "r", PerMille: 300, Epoch: 4, Revision: 8}}} {
 		other, h := NewWeightResolver(cutMS), NewWeightResolver(cutMS)
@@ -252,6 +252,6 @@
 		}
 	}
 	if n, ok := NewWeightResolver(cutMS).Pause("r"); ok {
-		t.Errorf("a pause of what nobody has told of: %+v", n)
+		t.Errorf("a pause of an unknown release: %+v", n)
 	}
 }
--- a/internal/canary/simulation_test.go
+++ b/internal/canary/simulation_test.go
@@ -15,156 +15,156 @@
 	"testing"
 )
 
-// flaw is what is wrong with the arm, or with a relay.
-type flaw struct {
-	points  float64 // more attempts fail
-	slow    float64 // set-up and messages take so many times as long; 0 for 1
-	early   float64 // part of flows that end early
-	zone    string  // at relays of this zone alone
-	only    string  // at one relay
-	ill     int     // so many relays fail three in ten for both arms
-	plain   bool    // members all alike, no hiccups: the world in which a test of fixed level is right once
-	peek    bool    // planted: a test of fixed level looks every second
-	crowded bool    // 300 relays
-	leaders int     // seconds until the leader changes; 0 for never
-	seconds int     // 0 for as many as it takes
+// defect is what is wrong with the canary, or with a relay.
+type defect struct {
+	points       float64 // more attempts fail
+	slow         float64 // set-up and messages take so many times as long; 0 for 1
+	earlyEnds    float64 // share of flows that the member closes early
+	zone         string  // at relays of this zone alone
+	relay        string  // at one relay
+	faultyRelays int     // so many relays fail three in ten for canary and baseline alike
+	uniform      bool    // members all alike, no hiccups: a test of fixed level is right once
+	peeks        bool    // planted: a test of fixed level looks every second
+	large        bool    // 300 relays
+	leaders      int     // seconds until the leader changes; 0 for never
+	seconds      int     // 0 for as many as it takes
 }
 
-// world is a fleet in virtual time: thin traffic, relays and members that differ, members that begin cold, hiccups of one member,
-// seconds that are bad for all, words that are lost and come twice, relays that come back with nothing or with an old record.
-type world struct {
-	flaw
-	rng    *rand.Rand
-	now    int64
-	state  *State
-	judge  *Judge
-	log    [][]Weight // by index - 1
-	logAt  []int64
-	relays []*place
-	base   []*member
-	arm    []*member
-	shock  float64
-	z      struct{ o, v float64 }
-	trace  uint64
-	last   Verdict
+// simulation is a fleet in virtual time: thin traffic, relays and members that differ, members that start warming up, hiccups of one
+// member, seconds that are bad for all, reports that are lost or repeated, relays that restart with no record or an old one.
+type simulation struct {
+	defect
+	rng             *rand.Rand
+	now             int64
+	state           *State
+	judge           *Judge
+	log             [][]Weight // by index - 1
+	logAt           []int64
+	relays          []*simRelay
+	baseline        []*simMember
+	canary          []*simMember
+	fleetwideFactor float64
+	zTest           struct{ o, v float64 }
+	trace           uint64
+	last            Verdict
 }
 
-type place struct {
-	name, zone string
-	rate       float64
-	fails      float64
-	setUp, msg float64
-	ill        bool
-	counter    *Collector
-	holder     *WeightResolver
-	start      uint64
-	applied    int
-	old        []byte
+type simRelay struct {
+	name, zone     string
+	rate           float64
+	failureRate    float64
+	setUp, message float64
+	faulty         bool
+	collector      *Collector
+	resolver       *WeightResolver
+	incarnation    uint64
+	applied        int
+	oldReport      []byte
 }
 
-type member struct{ fails, slow, hiccup float64 }
+type simMember struct{ failureFactor, slowness, hiccup float64 }
 
-func newWorld(seed uint64, f flaw) *world {
-	w := &world{flaw: f, rng: rand.New(rand.NewPCG(seed, 77)), now: 1000, state: NewState(), shock: 1}
+func newSimulation(seed uint64, f defect) *simulation {
+	w := &simulation{defect: f, rng: rand.New(rand.NewPCG(seed, 77)), now: 1000, state: NewState(), fleetwideFactor: 1}
 	n := []int{3, 3, 5, 8, 12, 12, 20, 40, 40, 80, 300}[w.rng.IntN(11)]
-	if f.crowded {
+	if f.large {
 		n = 300
 	}
-	if f.plain {
+	if f.uniform {
 		n = min(n, 5)
 	}
-	if f.ill > 0 || f.zone != "" || f.only != "" {
+	if f.faultyRelays > 0 || f.zone != "" || f.relay != "" {
 		n = max(n, 6)
 	}
 	normal := func(sd float64) float64 { return math.Exp(sd * w.rng.NormFloat64()) }
-	if f.plain {
+	if f.uniform {
 		normal = func(float64) float64 { return 1 }
 	}
 	fails := 0.002 + 0.018*w.rng.Float64()
 	for i := range n {
-		p := &place{name: "n" + strconv.Itoa(i), zone: "z" + strconv.Itoa(i%3), rate: 20 * normal(0.5), fails: fails * normal(0.7),
-			setUp: 20 * normal(0.4), msg: 5 * normal(0.4), ill: i < f.ill, start: 1, holder: NewWeightResolver(5000)}
+		p := &simRelay{name: "n" + strconv.Itoa(i), zone: "z" + strconv.Itoa(i%3), rate: 20 * normal(0.5), failureRate: fails * normal(0.7),
+			setUp: 20 * normal(0.4), message: 5 * normal(0.4), faulty: i < f.faultyRelays, incarnation: 1, resolver: NewWeightResolver(5000)}
 		p.rate = min(p.rate, 100)
 		w.relays = append(w.relays, p)
 	}
 	for range max(3, n/2) {
-		w.base = append(w.base, &member{normal(0.3), normal(0.1), 0})
+		w.baseline = append(w.baseline, &simMember{normal(0.3), normal(0.1), 0})
 	}
-	for range max(3, n/20) { // the average of an arm of few may be off by what its members differ
-		w.arm = append(w.arm, &member{normal(0.3), normal(0.1), 0})
+	for range max(3, n/20) { // the mean of few members may be off by what they differ
+		w.canary = append(w.canary, &simMember{normal(0.3), normal(0.1), 0})
 	}
 	sp := spec("r")
 	sp.Salt = w.rng.Uint64() | 1
-	if f.plain {
+	if f.uniform {
 		sp.Steps = []int{100, 500, 1000} // more to look at in less time
 	}
 	w.apply(Command{Op: OpOpen, Release: "r", Spec: &sp})
 	for _, p := range w.relays {
-		p.counter = NewCollector(sp.Salt, p.start)
+		p.collector = NewCollector(sp.Salt, p.incarnation)
 	}
-	w.lead()
+	w.changeLeader()
 	return w
 }
 
-// lead has a new leader begin: all that it knows is in the record.
-func (w *world) lead() {
+// changeLeader replaces the judge: the new one knows only what is in the record.
+func (w *simulation) changeLeader() {
 	c, _ := w.state.Canary("r")
 	w.judge = NewJudge(JudgeSettings{Spec: c.Spec, Epoch: c.Epoch, Step: c.Step, Checkpoint: w.state.Checkpoint("r")})
 }
 
-func (w *world) apply(cmd Command) {
+func (w *simulation) apply(cmd Command) {
 	was := w.state.Version()
 	w.state.Apply(w.now, "pilot", cmd.Encode())
-	if w.state.Version() != was { // relays wait for no evidence
+	if w.state.Version() != was { // a checkpoint is not for relays
 		w.log, w.logAt = append(w.log, w.state.Weights()), append(w.logAt, w.now)
 	}
-	w.mark(string(w.state.Encode()))
+	w.hashTrace(string(w.state.Encode()))
 }
 
-func (w *world) mark(what ...any) {
+func (w *simulation) hashTrace(what ...any) {
 	h := fnv.New64a()
 	fmt.Fprint(h, w.trace, what)
 	w.trace = h.Sum64()
 }
 
-// second plays one: flows, words, the record's way to relays, notices, the pilot.
-func (w *world) second() (stop bool, err error) {
+// step plays a second: flows, reports, the record's way to relays, notices, the leader's proposals.
+func (w *simulation) step() (stop bool, err error) {
 	w.now += 1000
 	if w.leaders > 0 && w.now/1000%int64(w.leaders) == 0 {
-		w.lead()
+		w.changeLeader()
 	}
-	w.shock = math.Max(1, w.shock*0.6)
+	w.fleetwideFactor = math.Max(1, w.fleetwideFactor*0.6)
 	if w.rng.IntN(150) == 0 {
-		w.shock = 6 // bad for all
+		w.fleetwideFactor = 6 // bad for all
 	}
-	for _, m := range append(slices.Clone(w.base), w.arm...) {
+	for _, m := range append(slices.Clone(w.baseline), w.canary...) {
 		m.hiccup--
-		if !w.plain && w.rng.IntN(1200) == 0 {
+		if !w.uniform && w.rng.IntN(1200) == 0 {
 			m.hiccup = 2
 		}
 	}
 	for _, p := range w.relays {
-		if w.rng.IntN(600) == 0 { // it comes back: counts begin at nothing, its record is of some time ago
-			p.start++
-			p.counter = NewCollector(w.log[0][0].Salt, p.start)
-			p.holder = NewWeightResolver(5000)
+		if w.rng.IntN(600) == 0 { // a restart: counts begin at zero, its record is older
+			p.incarnation++
+			p.collector = NewCollector(w.log[0][0].Salt, p.incarnation)
+			p.resolver = NewWeightResolver(5000)
 			p.applied = 1 + w.rng.IntN(max(p.applied, 1))
-			p.holder.ApplyRecord(uint64(p.applied), w.log[p.applied-1])
+			p.resolver.ApplyRecord(uint64(p.applied), w.log[p.applied-1])
 		} else if w.rng.IntN(20) != 0 {
-			p.holder.ConfirmRecord(w.now, uint64(len(w.log)))
+			p.resolver.ConfirmRecord(w.now, uint64(len(w.log)))
 			if p.applied < len(w.log) {
 				p.applied = len(w.log)
-				p.holder.ApplyRecord(uint64(p.applied), w.log[p.applied-1])
+				p.resolver.ApplyRecord(uint64(p.applied), w.log[p.applied-1])
 			}
 		}
-		for _, n := range w.relays[w.rng.IntN(len(w.relays))].holder.Notices() {
-			p.holder.HandleNotice(n)
+		for _, n := range w.relays[w.rng.IntN(len(w.relays))].resolver.Notices() {
+			p.resolver.HandleNotice(n)
 		}
 		use := 0
-		if ws := p.holder.EffectiveWeights(w.now); len(ws) > 0 {
+		if ws := p.resolver.EffectiveWeights(w.now); len(ws) > 0 {
 			use = ws[0].PerMille
 		}
-		for k := len(w.log) - 1; ; k-- { // never more than was agreed within the cut
+		for k := len(w.log) - 1; ; k-- { // never more than was agreed within the staleness bound
 			if use <= w.log[k][0].PerMille {
 				break
 			}
@@ -172,27 +172,27 @@
 				return true, fmt.Errorf("relay %s uses %d per mille, long after", p.name, use)
 			}
 		}
-		w.flows(p, use)
-		word := p.counter.AppendReport(nil, 1400)
-		for range w.rng.IntN(20) / 19 * 2 { // an old one, again
-			if p.old != nil {
-				c, _ := DecodeCountReport(p.old)
+		w.offerFlows(p, use)
+		report := p.collector.AppendReport(nil, 1400)
+		for range w.rng.IntN(20) / 19 * 2 { // the last one again
+			if p.oldReport != nil {
+				c, _ := DecodeCountReport(p.oldReport)
 				w.judge.Observe(w.now, p.name, p.zone, c)
 			}
 		}
 		if w.rng.IntN(20) != 0 {
-			c, err := DecodeCountReport(word)
+			c, err := DecodeCountReport(report)
 			if err != nil {
 				return true, err
 			}
 			w.judge.Observe(w.now, p.name, p.zone, c)
-			p.old = word
+			p.oldReport = report
 		}
 	}
 	v := w.judge.Verdict(w.now)
 	w.last = v
-	w.mark(math.Float64bits(v.LogEValue), v.Outcome, v.Zones, v.Relays, v.Faulty)
-	if z := w.z.o / math.Sqrt(w.z.v); w.peek && z > 2.326 {
+	w.hashTrace(math.Float64bits(v.LogEValue), v.Outcome, v.Zones, v.Relays, v.Faulty)
+	if z := w.zTest.o / math.Sqrt(w.zTest.v); w.peeks && z > 2.326 {
 		v.Outcome = Regressed
 	}
 	c, _ := w.state.Canary("r")
@@ -205,51 +205,51 @@
 		after, _ := w.state.Canary("r")
 		if after.Epoch != c.Epoch || after.Step != c.Step {
 			w.judge.BeginStep(after.Epoch, after.Step)
-			w.z.o, w.z.v = 0, 0
+			w.zTest.o, w.zTest.v = 0, 0
 		}
 		c = after
 	}
 	return c.Status != Progressing, nil
 }
 
-func (w *world) flows(p *place, perMille int) {
-	cold := w.now < 61_000
+func (w *simulation) offerFlows(p *simRelay, perMille int) {
+	warmingUp := w.now < 61_000
 	for class, part := range []float64{0.7, 0.3} {
 		n := int(p.rate*part) + map[bool]int{true: 1}[w.rng.Float64() < p.rate*part-math.Floor(p.rate*part)]
-		var tried, bad [2][2]float64 // by warmth and arm, for who peeks
+		var tried, bad [2][2]float64 // by warmth, for baseline and canary
 		for range n {
-			arm := RoutedToCanary(w.log[0][0].Salt, w.rng.Uint64(), perMille)
-			var m *member
+			toCanary := RoutedToCanary(w.log[0][0].Salt, w.rng.Uint64(), perMille)
+			var m *simMember
 			s := Stratum{Class: uint8(class), Load: 1}
-			if arm {
-				m, s.WarmingUp = w.arm[w.rng.IntN(len(w.arm))], cold
+			if toCanary {
+				m, s.WarmingUp = w.canary[w.rng.IntN(len(w.canary))], warmingUp
 			} else {
-				m, s.WarmingUp = w.base[w.rng.IntN(len(w.base))], w.rng.IntN(50) == 0 // some of the base start again too
+				m, s.WarmingUp = w.baseline[w.rng.IntN(len(w.baseline))], w.rng.IntN(50) == 0 // some of the baseline restart too
 			}
 			if w.rng.IntN(5) == 0 {
 				s.Zone = uint8(w.rng.IntN(3))
 			}
-			fails, slow, early := p.fails*m.fails*w.shock*float64(1+class), m.slow, 0.003
+			fails, slow, early := p.failureRate*m.failureFactor*w.fleetwideFactor*float64(1+class), m.slowness, 0.003
 			if s.WarmingUp {
 				fails, slow = 2*fails, 3*slow
 			}
-			if arm && (w.zone == "" || w.zone == p.zone) && (w.only == "" || w.only == p.name) {
-				fails, early = fails+w.points, early+w.early
+			if toCanary && (w.zone == "" || w.zone == p.zone) && (w.relay == "" || w.relay == p.name) {
+				fails, early = fails+w.points, early+w.earlyEnds
 				if w.slow != 0 {
 					slow *= w.slow
 				}
 			}
-			if p.ill {
+			if p.faulty {
 				fails += 0.3
 			}
 			if m.hiccup > 0 {
 				fails += 0.5
 			}
-			t := p.counter.Tally(s, arm)
+			t := p.collector.Tally(s, toCanary)
 			t.Attempts++
 			u := w.rng.Float64()
-			tried[boolToInt(s.WarmingUp)][boolToInt(arm)]++
-			bad[boolToInt(s.WarmingUp)][boolToInt(arm)] += float64(boolToInt(u < fails))
+			tried[boolToInt(s.WarmingUp)][boolToInt(toCanary)]++
+			bad[boolToInt(s.WarmingUp)][boolToInt(toCanary)] += float64(boolToInt(u < fails))
 			switch {
 			case u < fails/3:
 				t.Failed++
@@ -259,83 +259,83 @@
 				t.TimedOut++
 			default:
 				t.SetupTime.Add(p.setUp * slow * math.Exp(0.6*w.rng.NormFloat64()))
-				t.MessageTime.Add(p.msg * slow * math.Exp(0.6*w.rng.NormFloat64()))
+				t.MessageTime.Add(p.message * slow * math.Exp(0.6*w.rng.NormFloat64()))
 				if t.OpenSeconds += 60; w.rng.Float64() < early {
 					t.OpenSeconds -= uint64(w.rng.IntN(60))
 					t.EarlyDisconnects++
 				}
 			}
 		}
-		for cold, of := range tried {
-			if n, k, n1 := of[0]+of[1], bad[cold][0]+bad[cold][1], of[1]; n > 1 {
-				w.z.o += bad[cold][1] - k*n1/n
-				w.z.v += k * (n - k) * n1 * of[0] / (n * n * (n - 1))
+		for warmth, of := range tried {
+			if n, k, n1 := of[0]+of[1], bad[warmth][0]+bad[warmth][1], of[1]; n > 1 {
+				w.zTest.o += bad[warmth][1] - k*n1/n
+				w.zTest.v += k * (n - k) * n1 * of[0] / (n * n * (n - 1))
 			}
 		}
 	}
 }
 
-// outcome is how one canary ended.
-type outcome struct {
+// runResult is how one canary ended.
+type runResult struct {
 	Canary
-	took     int // seconds
-	relays   int
-	weight   int // when it was stopped
-	ill      []FaultyRelay
-	verdict  Verdict
-	trace    uint64
-	err      error
-	falseIll int
+	seconds       int
+	relays        int
+	weight        int // when it was stopped
+	faulty        []FaultyRelay
+	verdict       Verdict
+	trace         uint64
+	err           error
+	falselyFaulty int
 }
 
-func play(seed uint64, f flaw) outcome {
-	w := newWorld(seed, f)
-	o := outcome{relays: len(w.relays)}
+func simulate(seed uint64, f defect) runResult {
+	w := newSimulation(seed, f)
+	o := runResult{relays: len(w.relays)}
 	if f.seconds == 0 {
-		f.seconds = 80_000 // five rungs of the longest time
+		f.seconds = 80_000 // five steps of the longest time
 	}
 	for range f.seconds {
 		before, _ := w.state.Canary("r")
 		o.weight = before.PerMille
-		stop, err := w.second()
+		stop, err := w.step()
 		if o.err = err; stop {
 			break
 		}
-		for _, ill := range w.last.Faulty {
-			if !slices.Contains(o.ill, ill) && !slices.ContainsFunc(o.ill, func(k FaultyRelay) bool { return k.Relay == ill.Relay }) {
-				o.ill = append(o.ill, ill)
+		for _, faulty := range w.last.Faulty {
+			if !slices.Contains(o.faulty, faulty) && !slices.ContainsFunc(o.faulty, func(k FaultyRelay) bool { return k.Relay == faulty.Relay }) {
+				o.faulty = append(o.faulty, faulty)
 			}
 		}
 	}
 	o.Canary, _ = w.state.Canary("r")
 	o.verdict = w.last
-	o.took, o.trace = int(w.now/1000), w.trace
-	for _, ill := range o.ill {
-		if !slices.ContainsFunc(w.relays, func(p *place) bool { return p.name == ill.Relay && p.ill }) {
-			o.falseIll++
+	o.seconds, o.trace = int(w.now/1000), w.trace
+	for _, faulty := range o.faulty {
+		if !slices.ContainsFunc(w.relays, func(p *simRelay) bool { return p.name == faulty.Relay && p.faulty }) {
+			o.falselyFaulty++
 		}
 	}
 	return o
 }
 
-// from is the first seed: a change is confirmed by seeds that it was not made on.
-func from() int {
+// firstSeed is set by CANARY_FROM: a change is confirmed by seeds that it was not made on.
+func firstSeed() int {
 	n, _ := strconv.Atoi(os.Getenv("CANARY_FROM"))
 	return n
 }
 
-// seeds plays many, some at a time, in the order of their seeds.
-func seeds(n int, f flaw, skip int) []outcome {
+// simulateSeeds plays many seeds in parallel; results are in the order of the seeds.
+func simulateSeeds(n int, f defect, skip int) []runResult {
 	if f.leaders == 0 {
 		f.leaders, _ = strconv.Atoi(os.Getenv("CANARY_LEADERS"))
 	}
-	list := make([]outcome, n)
+	list := make([]runResult, n)
 	var wg sync.WaitGroup
 	turn := make(chan int)
 	for range runtime.GOMAXPROCS(0) {
 		wg.Go(func() {
 			for i := range turn {
-				list[i] = play(uint64(from()+skip+i), f)
+				list[i] = simulate(uint64(firstSeed()+skip+i), f)
 			}
 		})
 	}
@@ -347,75 +347,75 @@
 	return list
 }
 
-func many(short int) int {
+func seedCount(short int) int {
 	if n, err := strconv.Atoi(os.Getenv("CANARY_SEEDS")); err == nil {
 		return n
 	}
 	return short
 }
 
-func tell(t *testing.T, what string, list []outcome) {
+func logResults(t *testing.T, what string, list []runResult) {
 	t.Helper()
 	var took, weight []int
 	status := map[Status]int{}
-	ill := 0
+	faulty := 0
 	for i, o := range list {
 		if o.err != nil {
 			t.Errorf("%s, seed %d: %v", what, i, o.err)
 		}
-		took, weight = append(took, o.took), append(weight, o.weight)
+		took, weight = append(took, o.seconds), append(weight, o.weight)
 		status[o.Status]++
-		ill += o.falseIll
+		faulty += o.falselyFaulty
 	}
 	sort.Ints(took)
 	sort.Ints(weight)
-	t.Logf("%s: %v; seconds p50 %d p90 %d p99 %d max %d; per mille at the end p50 %d p99 %d max %d; held for ill and not %d", what, status,
-		took[len(took)/2], took[len(took)*9/10], took[len(took)*99/100], took[len(took)-1], weight[len(weight)/2], weight[len(weight)*99/100], weight[len(weight)-1], ill)
+	t.Logf("%s: %v; seconds p50 %d p90 %d p99 %d max %d; per mille at the end p50 %d p99 %d max %d; falsely found faulty %d", what, status,
+		took[len(took)/2], took[len(took)*9/10], took[len(took)*99/100], took[len(took)-1], weight[len(weight)/2], weight[len(weight)*99/100], weight[len(weight)-1], faulty)
 }
 
-// The random steps of rapid draw the same in every run: a verdict that changes from run to run is none. -rapid.seed draws others.
+// rapid draws the same in every run, so that a test gives the same result every time. -rapid.seed draws others.
 func init() { flag.Set("rapid.seed", "1") }
 
-func TestSound(t *testing.T) {
-	var list []outcome
+func TestHealthyRelease(t *testing.T) {
+	var list []runResult
 	paused := 0
-	for n := many(4); len(list) < n; {
+	for n := seedCount(4); len(list) < n; {
 		first := len(list)
-		list = append(list, seeds(min(n-first, 100), flaw{}, first)...)
+		list = append(list, simulateSeeds(min(n-first, 100), defect{}, first)...)
 		for i, o := range list[first:] {
 			if o.Status != Completed {
 				paused++
-				t.Logf("seed %d, %d relays: %s at %d per mille after %d s: %s %s %v", from()+first+i, o.relays, o.Status, o.weight, o.took, o.Outcome, o.Reason, o.Divergent)
+				t.Logf("seed %d, %d relays: %s at %d per mille after %d s: %s %s %v", firstSeed()+first+i, o.relays, o.Status, o.weight, o.seconds, o.Outcome, o.Reason, o.Divergent)
 			}
 		}
-		tell(t, fmt.Sprintf("sound, %d of %d paused", paused, len(list)), list)
+		logResults(t, fmt.Sprintf("sound, %d of %d paused", paused, len(list)), list)
 	}
 	if paused*100 > len(list) {
-		t.Errorf("%d of %d sound releases were paused", paused, len(list))
+		t.Errorf("%d of %d healthy releases were paused", paused, len(list))
 	}
 }
 
 func TestFlaws(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		flaw
+		defect
 		kind Outcome
 	}{
-		{"5 points", flaw{points: 0.05}, Regressed},
-		{"twice as slow", flaw{slow: 2}, Regressed},
-		{"ends early", flaw{early: 0.1}, Regressed},
-		{"5 points in a zone", flaw{points: 0.05, zone: "z1"}, Divergent},
-		{"slow in a zone", flaw{slow: 2, zone: "z1"}, Divergent},
-		{"a third fails at a relay", flaw{points: 0.33, only: "n4", zone: "z1"}, Divergent},
-		{"5 points, 300 relays", flaw{points: 0.05, crowded: true}, Regressed},
+		{"5 points", defect{points: 0.05}, Regressed},
+		{"twice as slow", defect{slow: 2}, Regressed},
+		{"ends early", defect{earlyEnds: 0.1}, Regressed},
+		{"5 points in a zone", defect{points: 0.05, zone: "z1"}, Divergent},
+		{"slow in a zone", defect{slow: 2, zone: "z1"}, Divergent},
+		{"a third fails at a relay", defect{points: 0.33, relay: "n4", zone: "z1"}, Divergent},
+		{"5 points, 300 relays", defect{points: 0.05, large: true}, Regressed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			n := max(many(12)/6, 2)
-			if c.crowded {
+			n := max(seedCount(12)/6, 2)
+			if c.large {
 				n = max(n/10, 1)
 			}
-			list := seeds(n, c.flaw, 0)
-			tell(t, c.name, list)
+			list := simulateSeeds(n, c.defect, 0)
+			logResults(t, c.name, list)
 			missed, late, named, undecided := 0, 0, 0, 0
 			for i, o := range list {
 				switch {
@@ -423,20 +423,20 @@
 					undecided++
 				case o.Status == Completed || o.verdict.Outcome != Regressed && o.verdict.Outcome != Divergent:
 					missed++
-					t.Logf("%s, seed %d, %d relays: %s, %s", c.name, from()+i, o.relays, o.Status, o.Reason)
+					t.Logf("%s, seed %d, %d relays: %s, %s", c.name, firstSeed()+i, o.relays, o.Status, o.Reason)
 				case o.weight >= 250:
 					late++
-					t.Logf("%s, seed %d, %d relays: paused at %d per mille", c.name, from()+i, o.relays, o.weight)
+					t.Logf("%s, seed %d, %d relays: paused at %d per mille", c.name, firstSeed()+i, o.relays, o.weight)
 				}
-				if o.verdict.Outcome == c.kind && (c.kind == Regressed || slices.Equal(o.verdict.Zones, []string{c.zone}) || slices.Equal(o.verdict.Relays, []string{c.only})) {
+				if o.verdict.Outcome == c.kind && (c.kind == Regressed || slices.Equal(o.verdict.Zones, []string{c.zone}) || slices.Equal(o.verdict.Relays, []string{c.relay})) {
 					named++
 				} else {
-					t.Logf("%s, seed %d, %d relays: %s %v %v", c.name, from()+i, o.relays, o.verdict.Outcome, o.verdict.Zones, o.verdict.Relays)
+					t.Logf("%s, seed %d, %d relays: %s %v %v", c.name, firstSeed()+i, o.relays, o.verdict.Outcome, o.verdict.Zones, o.verdict.Relays)
 				}
 			}
 			t.Logf("%s: of %d missed %d, at a quarter or later %d, no verdict in the longest time %d, named right %d", c.name, n, missed, late, undecided, named)
 			bound, names := 100, 10 // in so many one may be missed, and one named otherwise
-			if c.only != "" {
+			if c.relay != "" {
 				bound, names = 10, 3 // one relay of many is little harm, and little evidence
 			}
 			if (missed+late)*bound > n || (n-named)*names > max(n, 10) {
@@ -446,21 +446,21 @@
 	}
 }
 
-func TestIll(t *testing.T) {
-	f := flaw{ill: 1}
-	n := many(0) / 4
+func TestFaultyRelay(t *testing.T) {
+	f := defect{faultyRelays: 1}
+	n := seedCount(0) / 4
 	if n == 0 {
-		n, f.seconds = 3, 200 // named long before, and held for it as soon
+		n, f.seconds = 3, 200 // a faulty relay is found long before
 	}
-	list := seeds(n, f, 0)
-	tell(t, "an ill relay", list)
+	list := simulateSeeds(n, f, 0)
+	logResults(t, "a faulty relay", list)
 	paused, missed := 0, 0
 	for i, o := range list {
 		if o.Status == Paused || o.Status == RolledBack {
 			paused++
 			t.Logf("seed %d, %d relays: %s %s %v", i, o.relays, o.Status, o.Reason, o.Divergent)
 		}
-		if !slices.Contains(o.ill, FaultyRelay{"n0", Failures}) {
+		if !slices.Contains(o.faulty, FaultyRelay{"n0", Failures}) {
 			missed++
 		}
 	}
@@ -469,11 +469,11 @@
 	}
 }
 
-// Planted: a test that is right at one look is taken at every second.
+// TestPlantedPeek: planted is a test that is right at one look and is taken every second.
 func TestPlantedPeek(t *testing.T) {
-	n := max(many(24)/8, 24)
+	n := max(seedCount(24)/8, 24)
 	peeks, holds := 0, 0
-	looked, asked := seeds(n, flaw{plain: true, seconds: 300, peek: true}, 0), seeds(n, flaw{plain: true, seconds: 300}, 0)
+	looked, asked := simulateSeeds(n, defect{uniform: true, seconds: 300, peeks: true}, 0), simulateSeeds(n, defect{uniform: true, seconds: 300}, 0)
 	for i := range n {
 		if looked[i].Status == Paused {
 			peeks++
@@ -482,39 +482,39 @@
 			holds++
 		}
 	}
-	t.Logf("with a z-test at 1%% looked at every second %d of %d sound releases are paused in 300 s; with e-values %d", peeks, n, holds)
+	t.Logf("with a z-test at 1%% looked at every second %d of %d healthy releases are paused in 300 s; with e-values %d", peeks, n, holds)
 	if peeks*100 <= n || holds > 0 {
-		t.Error("the test that peeks was not found, or the one that may was held for it")
+		t.Error("the test that peeks was not found, or the sequential one paused")
 	}
 }
 
-// The same play comes out the same; and where the leader changes, the next goes on from what the record keeps of the rung: flaws are found in
-// little more time than the seconds that are lost. CANARY_LEADERS=20 has leaders change in all plays.
+// TestLeaders: the same seed gives the same result; and where leaders change, the next one continues from the checkpoint: defects are found in
+// little more time than the seconds that are lost. CANARY_LEADERS=20 has leaders change in all simulations.
 func TestLeaders(t *testing.T) {
-	for _, f := range []flaw{{plain: true}, {points: 0.33, only: "n4", zone: "z1"}} {
+	for _, f := range []defect{{uniform: true}, {points: 0.33, relay: "n4", zone: "z1"}} {
 		for seed := range uint64(2) {
 			often := f
 			often.leaders = 20
-			one, again, many := play(seed, f), play(seed, f), play(seed, often)
+			one, again, many := simulate(seed, f), simulate(seed, f), simulate(seed, often)
 			if one.trace != again.trace {
-				t.Errorf("seed %d: two plays differ", seed)
+				t.Errorf("seed %d: two simulations differ", seed)
 			}
-			t.Logf("one leader: %s after %d s, a leader of 20 s: %s after %d s", one.Status, one.took, many.Status, many.took)
-			if many.Status != one.Status || many.took > 3*one.took {
+			t.Logf("one leader: %s after %d s, a leader of 20 s: %s after %d s", one.Status, one.seconds, many.Status, many.seconds)
+			if many.Status != one.Status || many.seconds > 3*one.seconds {
 				t.Error("evidence was lost with the leaders")
 			}
 		}
 	}
 }
 
-// What is kept is the evidence, less a rounding; words that it is of count no second time; a text that is cut off leaves nothing behind.
-func TestKept(t *testing.T) {
-	w := newWorld(1, flaw{points: 0.05})
+// TestCheckpoint: a checkpoint is the evidence, rounded down; reports that it covers do not count again; a truncated one leaves nothing behind.
+func TestCheckpoint(t *testing.T) {
+	w := newSimulation(1, defect{points: 0.05})
 	for range 60 {
-		w.second()
+		w.step()
 	}
 	w.now += 1000
-	w.judge.Verdict(w.now) // fleetEvidence that was heard is in the evidence
+	w.judge.Verdict(w.now) // all that was reported is in the evidence
 	set := w.judge.settings
 	set.Checkpoint = w.judge.encodeCheckpoint()
 	next, forgets := NewJudge(set), NewJudge(set)
@@ -524,11 +524,11 @@
 		}
 	}
 	for _, r := range forgets.relays {
-		r.seq = 0 // planted: which words the evidence is of is not known
+		r.seq = 0 // planted: the reports that the evidence covers are not known
 	}
-	for _, j := range []*Judge{next, forgets} { // a word that was counted comes late, as if from a rung's beginning, and then one of now
+	for _, j := range []*Judge{next, forgets} { // a covered report comes late, as if from the step's beginning, and then the present one
 		for _, p := range w.relays {
-			now, _ := DecodeCountReport(p.counter.AppendReport(nil, 1400))
+			now, _ := DecodeCountReport(p.collector.AppendReport(nil, 1400))
 			late := now
 			late.Seq, late.Strata = 1, slices.Clone(now.Strata)
 			for i := range late.Strata {
@@ -543,7 +543,7 @@
 		j.Verdict(5000)
 	}
 	if next.compared != w.judge.compared || forgets.compared <= next.compared {
-		t.Errorf("compared %d, %d after; and %d where words count twice", w.judge.compared, next.compared, forgets.compared)
+		t.Errorf("compared %d, %d after; and %d where reports count twice", w.judge.compared, next.compared, forgets.compared)
 	}
 	for cut := range set.Checkpoint {
 		part := set
--- a/internal/canary/state_test.go
+++ b/internal/canary/state_test.go
@@ -17,7 +17,7 @@
 		Guardrails: []Guardrail{{Metric: Failures, MarginPerMille: 10}, {Metric: SetupTime, Factor: 1.4}, {Metric: MessageTime, Factor: 1.4}, {Metric: EarlyDisconnects, MarginPerMille: 10}}}
 }
 
-func do(t interface{ Fatalf(string, ...any) }, s *State, at int64, cmd Command) (Canary, string) {
+func apply(t interface{ Fatalf(string, ...any) }, s *State, at int64, cmd Command) (Canary, string) {
 	var answer struct {
 		Error  string
 		Canary Canary
@@ -28,13 +28,13 @@
 	return answer.Canary, answer.Error
 }
 
-func TestLife(t *testing.T) {
+func TestLifecycle(t *testing.T) {
 	s := NewState()
 	sp := spec("r")
 	steps := []struct {
 		cmd    Command
 		status Status
-		rung   int
+		step   int
 		weight int
 	}{
 		{Command{Op: OpOpen, Spec: &sp}, Progressing, 0, 10},
@@ -46,38 +46,38 @@
 		{Command{Op: OpPause, Epoch: 1}, Paused, 2, 0},
 		{Command{Op: OpAdvance, Revision: 4}, "", 0, 0},
 		{Command{Op: OpResume, Epoch: 5}, Progressing, 1, 50}, // somebody paused an epoch that was never agreed
-		{Command{Op: OpPause, Epoch: 1}, "", 0, 0},            // of before the resume
+		{Command{Op: OpPause, Epoch: 1}, "", 0, 0},            // from before the resume
 		{Command{Op: OpAdvance, Revision: 5}, Progressing, 2, 250},
-		{Command{Op: OpPause, Outcome: Divergent}, RolledBack, 2, 0}, // the second time on this rung
+		{Command{Op: OpPause, Outcome: Divergent}, RolledBack, 2, 0}, // the second time on this step
 		{Command{Op: OpResume}, "", 0, 0},
 		{Command{Op: OpClose}, "", 0, 0},
 		{Command{Op: "what"}, "", 0, 0},
 	}
 	for i, st := range steps {
 		st.cmd.Release = "r"
-		c, failed := do(t, s, int64(i), st.cmd)
-		if c.Status != st.status || c.Step != st.rung || c.PerMille != st.weight || (failed == "") == (st.status == "" && st.cmd.Op != OpClose) {
-			t.Errorf("%d %v: %s rung %d at %d, %q", i, st.cmd, c.Status, c.Step, c.PerMille, failed)
+		c, failed := apply(t, s, int64(i), st.cmd)
+		if c.Status != st.status || c.Step != st.step || c.PerMille != st.weight || (failed == "") == (st.status == "" && st.cmd.Op != OpClose) {
+			t.Errorf("%d %v: %s step %d at %d, %q", i, st.cmd, c.Status, c.Step, c.PerMille, failed)
 		}
 	}
 	if len(s.Canaries()) != 0 {
-		t.Error("closed and still held")
+		t.Error("closed and still stored")
 	}
 	for diverge, want := range map[DivergencePolicy]int{"": 0, ZeroWeight: 0, LowerWeight: 10, KeepWeight: 50} {
 		s, sp := NewState(), spec("r")
 		sp.OnDivergence = diverge
-		do(t, s, 0, Command{Op: OpOpen, Release: "r", Spec: &sp})
-		do(t, s, 0, Command{Op: OpAdvance, Release: "r", Revision: 1})
-		if c, _ := do(t, s, 0, Command{Op: OpPause, Release: "r", Outcome: Divergent}); c.PerMille != want {
+		apply(t, s, 0, Command{Op: OpOpen, Release: "r", Spec: &sp})
+		apply(t, s, 0, Command{Op: OpAdvance, Release: "r", Revision: 1})
+		if c, _ := apply(t, s, 0, Command{Op: OpPause, Release: "r", Outcome: Divergent}); c.PerMille != want {
 			t.Errorf("%q while outcomes diverge: %d", diverge, c.PerMille)
 		}
-		if c, _ := do(t, s, 0, Command{Op: OpPause, Release: "r", Outcome: Regressed}); c.PerMille != 0 || len(c.PausedSteps) != 1 {
+		if c, _ := apply(t, s, 0, Command{Op: OpPause, Release: "r", Outcome: Regressed}); c.PerMille != 0 || len(c.PausedSteps) != 1 {
 			t.Errorf("%q and then worse: %d", diverge, c.PerMille)
 		}
 	}
 }
 
-func TestCheck(t *testing.T) {
+func TestValidateSpec(t *testing.T) {
 	if err := ValidateSpec(spec("r")); err != nil {
 		t.Fatal(err)
 	}
@@ -94,13 +94,13 @@
 		sp := spec("r")
 		spoil(&sp)
 		if ValidateSpec(sp) == nil {
-			t.Errorf("%s: nothing refused", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
 
-// Random commands: a weight rises by a step up or a resume alone, never above its rung; what is refused changes nothing; a copy from a
-// snapshot goes on the same way. Planted: an order that comes from a map, as two relays would write it.
+// TestRandomCommands: a weight rises only by a step up or a resume, never above its step's; a rejected command changes nothing; a copy from a
+// snapshot continues alike. Planted: an order that comes from a map, as two relays would write it.
 func TestRandomCommands(t *testing.T) {
 	planted := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -118,10 +118,10 @@
 				cmd.Spec, cmd.Revision = &sp, 0
 			}
 			was, version := s.Encode(), s.Version()
-			c, failed := do(t, s, int64(i), cmd)
+			c, failed := apply(t, s, int64(i), cmd)
 			twin.Apply(int64(i), "op", cmd.Encode())
 			if failed != "" && (!bytes.Equal(was, s.Encode()) || version != s.Version()) {
-				t.Fatalf("%v was refused and changed something", cmd)
+				t.Fatalf("%v was rejected and changed something", cmd)
 			}
 			if !bytes.Equal(s.Encode(), twin.Encode()) {
 				t.Fatal("two of one log differ")
@@ -140,22 +140,22 @@
 			if failed != "" {
 				continue
 			}
-			if kept := s.Checkpoint(name) != nil; kept != (cmd.Op == OpCheckpoint) || kept && version != s.Version() {
-				t.Fatalf("%s: evidence of another rung, or a version of weights that did not change", cmd.Op)
+			if stored := s.Checkpoint(name) != nil; stored != (cmd.Op == OpCheckpoint) || stored && version != s.Version() {
+				t.Fatalf("%s: evidence of another step, or a version of weights that did not change", cmd.Op)
 			}
 			switch {
 			case c.PerMille > 0 && c.PerMille > c.Steps[c.Step]:
-				t.Fatalf("%d on rung %d", c.PerMille, c.Step)
+				t.Fatalf("%d on step %d", c.PerMille, c.Step)
 			case had && c.PerMille > before.PerMille && cmd.Op != OpAdvance && cmd.Op != OpResume:
 				t.Fatalf("%s raised it", cmd.Op)
 			case cmd.Op == OpAdvance && (before.Status != Progressing || cmd.Revision != before.Revision || c.Step > before.Step+1):
 				t.Fatalf("a step up from %s at %d, by %d", before.Status, before.Revision, cmd.Revision)
 			case cmd.Op == OpResume && (c.Step != max(before.Step-1, 0) || c.Epoch <= before.Epoch || c.Epoch <= cmd.Epoch):
-				t.Fatalf("resumed at rung %d from %d, epoch %d", c.Step, before.Step, c.Epoch)
+				t.Fatalf("resumed at step %d from %d, epoch %d", c.Step, before.Step, c.Epoch)
 			case cmd.Op == OpPause && before.Status != Paused && slices.Contains(before.PausedSteps, before.Step) && c.Status != RolledBack:
-				t.Fatal("paused twice on one rung, and not back")
+				t.Fatal("paused twice on one step, and not rolled back")
 			case c.Status == RolledBack && c.PerMille != 0:
-				t.Fatal("back, with a weight")
+				t.Fatal("rolled back, with a weight")
 			}
 		}
 	})
@@ -164,7 +164,7 @@
 	}
 }
 
-func TestInArm(t *testing.T) {
+func TestRoutedToCanary(t *testing.T) {
 	ladder := []int{1, 10, 50, 250, 500, 1000}
 	counts := make([]int, len(ladder))
 	const groups = 100_000
@@ -173,7 +173,7 @@
 		for i, w := range ladder {
 			now := RoutedToCanary(7, g, w)
 			if in && !now {
-				t.Fatalf("group %d left the arm at %d per mille", g, w)
+				t.Fatalf("group %d left the canary at %d per mille", g, w)
 			}
 			if in = now; now {
 				counts[i]++
@@ -197,22 +197,22 @@
 	}
 }
 
-func TestDecodeRefuses(t *testing.T) {
+func TestDecodeStateRejects(t *testing.T) {
 	s, sp := NewState(), spec("r")
-	do(t, s, 0, Command{Op: OpOpen, Release: "r", Spec: &sp})
+	apply(t, s, 0, Command{Op: OpOpen, Release: "r", Spec: &sp})
 	text := string(s.Encode())
 	for _, change := range [][2]string{{`"rung":0`, `"rung":9`}, {`"per_mille":10`, `"per_mille":11`}, {`"going"`, `"flying"`},
 		{`[10,50,`, `[50,10,`}, {`"epoch":1`, `"epoch":2`}, {`}`, ``}} {
 		bad := strings.Replace(text, change[0], change[1], 1)
 		if _, err := DecodeState([]byte(bad)); err == nil || bad == text {
-			t.Errorf("%v was not refused", change)
+			t.Errorf("%v was not rejected", change)
 		}
 	}
 }
 
 func TestPlan(t *testing.T) {
 	s, sp := NewState(), spec("r")
-	do(t, s, 1000, Command{Op: OpOpen, Release: "r", Spec: &sp})
+	apply(t, s, 1000, Command{Op: OpOpen, Release: "r", Spec: &sp})
 	v := Verdict{Release: "r", Epoch: 1, Outcome: Healthy}
 	late := 1000 + sp.MaxStepMS + 1
 	for i, c := range []struct {
@@ -231,7 +231,7 @@
 		{2000, Verdict{Release: "r", Epoch: 2, Outcome: Inconclusive, Checkpoint: []byte{1}}, true, ""},
 		{2000, Verdict{Release: "r", Epoch: 1, Outcome: Regressed}, false, "pause worse"},
 		{2000, Verdict{Release: "r", Epoch: 1, Outcome: Divergent, Zones: []string{"z"}, Relays: []string{"n"}}, false, "pause diverge [zone z relay n]"},
-		{2000, Verdict{Release: "r", Epoch: 1, Step: 1, Outcome: Regressed}, true, ""}, // of another rung
+		{2000, Verdict{Release: "r", Epoch: 1, Step: 1, Outcome: Regressed}, true, ""}, // of another step
 		{2000, Verdict{Release: "r", Epoch: 2, Outcome: Healthy}, true, ""},
 		{2000, Verdict{Release: "x", Epoch: 1, Outcome: Regressed}, true, ""},
 	} {
@@ -247,10 +247,10 @@
 		}
 	}
 	cmd := s.Plan(2000, Verdict{Release: "r", Epoch: 1, Outcome: Regressed}, true)[0]
-	do(t, s, 2000, cmd)
+	apply(t, s, 2000, cmd)
 	if next := s.Plan(2001, Verdict{Release: "r"}, true); len(next) != 1 || next[0].Op != OpRollBack {
 		t.Errorf("after worse: %v", next)
-	} else if c, failed := do(t, s, 2001, next[0]); failed != "" || c.Status != RolledBack {
+	} else if c, failed := apply(t, s, 2001, next[0]); failed != "" || c.Status != RolledBack {
 		t.Errorf("%v %s", c, failed)
 	}
 }
