--- a/internal/front/line/attempt_test.go
+++ b/internal/front/line/attempt_test.go
@@ -19,8 +19,8 @@
 // late is what a member sends when nobody may be listening any more.
 func late(m *looptest.Peer, text string) { m.Write([]byte(text)) }
 
-// spoilt is what a member may do in the place of answering well, and the result that the attempt then has.
-var spoilt = map[string]struct {
+// badAnswers is what a member may do instead of answering well, and the result of the attempt then.
+var badAnswers = map[string]struct {
 	does func(g *rig, m *looptest.Peer)
 	want policy.Result
 }{
@@ -54,7 +54,7 @@
 	g.WaitFor("the end of the attempt", func() bool { g.Advance(10 * time.Millisecond); m.Poll(); return m.EndErr != nil })
 }
 
-// pieces sends text byte by byte, with a round after each.
+// pieces sends text byte by byte, with a loop iteration after each.
 func (g *rig) pieces(p *looptest.Peer, text string) {
 	for i := range text {
 		p.Send(text[i : i+1])
@@ -65,7 +65,7 @@
 // TestAttempts: whatever a member does in the place of answering well, the attempt has the one result that it should,
 // the next one goes out when this one is over, and the client gets the one answer that the next member gives.
 func TestAttempts(t *testing.T) {
-	for name, one := range spoilt {
+	for name, one := range badAnswers {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 2)
 			var ended results
@@ -98,10 +98,10 @@
 	}
 }
 
-// TestAttemptsExhausted: where every member does so, the client gets one whole answer in time, after at most as many
+// TestAttemptsExhausted: where every member does so, the client gets one complete answer in time, after at most as many
 // attempts as are allowed, never two out.
 func TestAttemptsExhausted(t *testing.T) {
-	for name, one := range spoilt {
+	for name, one := range badAnswers {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 2)
 			c := g.sendRequest(firstLine)
@@ -217,8 +217,8 @@
 	}
 }
 
-// TestAttemptWithoutDescriptor: an attempt for which the relay has no descriptor blames nobody, and the client is told to
-// come again.
+// TestAttemptWithoutDescriptor: an attempt for which the relay has no descriptor is no fault of the member, and the client is
+// asked to retry.
 func TestAttemptWithoutDescriptor(t *testing.T) {
 	g := newRig(t, 1)
 	var ended results
--- a/internal/front/line/client.go
+++ b/internal/front/line/client.go
@@ -10,7 +10,7 @@
 	"dahliarudder/policy"
 )
 
-// clientConn is the connection of a client. It carries at most one request, for which it is the core's virtual server.
+// clientConn is the connection of a client. It carries at most one request, for which it is the core's Downstream.
 type clientConn struct {
 	front        *Front
 	conn         *netloop.Conn
@@ -201,7 +201,7 @@
 	}
 }
 
-// Send implements the core's virtual server: it starts an attempt at a member.
+// Send implements core.Downstream: it starts an attempt at a member.
 func (c *clientConn) Send(id core.ID, to *core.Member, attempt int, wait time.Duration) {
 	c.requestID = id
 	u := &upstream{client: c, member: to, attempt: attempt, deadline: c.front.Loop.Now() + wait, report: policy.NoReport}
--- a/internal/front/line/client_leave_test.go
+++ b/internal/front/line/client_leave_test.go
@@ -9,7 +9,7 @@
 	"dahliarudder/policy"
 )
 
-// TestClientClosesWithinFirstLine: a client that goes within its first line was no request.
+// TestClientClosesWithinFirstLine: a client that closes within its first line was no request.
 func TestClientClosesWithinFirstLine(t *testing.T) {
 	forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
 		c := g.Dial(g.addr)
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestClientClosesWhileQueued: of a client that goes while the module holds its request no attempt begins, whether a member comes
-// or the news that the relay waits for.
+// TestClientClosesWhileQueued: of a client that closes while its request is queued no attempt begins, whether a member comes
+// or the list update that the relay waits for.
 func TestClientClosesWhileQueued(t *testing.T) {
 	forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
 		g.setMemberState(0, policy.Draining)
@@ -73,7 +73,7 @@
 }
 
 // TestClientClosesWhileDialing: nor is the first line sent where the connection to the member is not up yet, also if it comes
-// up in the very round in which the client goes.
+// up in the same loop iteration in which the client goes.
 func TestClientClosesWhileDialing(t *testing.T) {
 	forEachClose(t, 0, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
 		g.addMember(fullQueue(t))
@@ -99,12 +99,12 @@
 	})
 }
 
-// TestClientClosesAsConnected: the same where the loop hears of the connection before it hears of the client.
+// TestClientClosesAsConnected: the same where the loop handles the connection's event before the client's.
 func TestClientClosesAsConnected(t *testing.T) {
 	forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
 		g.Core.PauseDispatch()
 		c := g.sendRequest(firstLine)
-		g.RunOnce() // the client's connection is no longer among those that have something to say
+		g.RunOnce() // the client's connection is no longer among those that have an event
 		g.RunOnce()
 		g.Core.ResumeDispatch()
 		conn := g.pending(0)
@@ -136,7 +136,7 @@
 	})
 }
 
-// TestClientClosesAtUp: UP and the client's end in one round, in either order, end the flow.
+// TestClientClosesAtUp: UP and the client's end in one loop iteration, in either order, end the flow.
 func TestClientClosesAtUp(t *testing.T) {
 	for _, upFirst := range []bool{true, false} {
 		forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
@@ -175,7 +175,7 @@
 	return at, g.attempt(at)
 }
 
-// TestClientClosesDuringHealthCheck: of a client that goes while its request waits for a probe's answer no attempt begins.
+// TestClientClosesDuringHealthCheck: of a client that closes while its request waits for a health check's answer no attempt begins.
 func TestClientClosesDuringHealthCheck(t *testing.T) {
 	forEachClose(t, 2, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
 		g.enableHealthChecks()
--- a/internal/front/line/crossing_test.go
+++ b/internal/front/line/crossing_test.go
@@ -97,15 +97,15 @@
 		return
 	}
 	m := x.attempts[len(x.attempts)-1]
-	words := []string{"UP x\r\n", "UP x\r\n", "UP", "BUSY\r\n", "ERR\r\n", "BYE\r\n", "MOVE\r\n", "\r\n", "half", "line\r\n", "LOAD 7\r\n"}
-	switch n := x.rng.IntN(len(words) + 3); {
+	answers := []string{"UP x\r\n", "UP x\r\n", "UP", "BUSY\r\n", "ERR\r\n", "BYE\r\n", "MOVE\r\n", "\r\n", "half", "line\r\n", "LOAD 7\r\n"}
+	switch n := x.rng.IntN(len(answers) + 3); {
 	case m.over:
-	case n < len(words):
-		m.Write([]byte(words[n]))
-		m.said += words[n]
-	case n == len(words):
+	case n < len(answers):
+		m.Write([]byte(answers[n]))
+		m.said += answers[n]
+	case n == len(answers):
 		m.Conn.(*net.TCPConn).CloseWrite()
-	case n == len(words)+1:
+	case n == len(answers)+1:
 		m.Conn.(*net.TCPConn).SetLinger(0)
 		m.Close()
 	}
@@ -189,7 +189,7 @@
 }
 
 // TestCrossings plays drawn orders of what clients, members, discovery and the relay itself do. In each of them no two
-// attempts are out, none goes out once the client has gone, the client gets one whole answer that is the relay's or its
+// attempts are out, none goes out once the client has closed, the client gets one complete answer that is the relay's or its
 // member's, and nothing is left at the end. LINE_SEEDS says how many cases.
 func TestCrossings(t *testing.T) {
 	cases := 500
--- a/internal/front/line/early_data_test.go
+++ b/internal/front/line/early_data_test.go
@@ -7,7 +7,7 @@
 	"dahliarudder/policy"
 )
 
-// TestEarlyDataThenClose: a client that sends more than its line while its request is held, and goes, takes the request
+// TestEarlyDataThenClose: a client that sends more than its line while its request is queued, and closes, takes the request
 // with it.
 func TestEarlyDataThenClose(t *testing.T) {
 	g := newRig(t, 1)
@@ -20,8 +20,8 @@
 	g.expectReleased()
 }
 
-// TestEarlyDataOverLimit: one that sends more than the relay keeps while it waits loses nothing of it once its flow is
-// open, and is held back until then.
+// TestEarlyDataOverLimit: one that sends more than the relay buffers while it waits loses nothing of it once its flow is
+// open, and is not read further until then.
 func TestEarlyDataOverLimit(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.sendRequest(firstLine)
--- a/internal/front/line/first_line_test.go
+++ b/internal/front/line/first_line_test.go
@@ -116,14 +116,14 @@
 	"PING and more":    "PING x\r\n",
 }
 
-// TestMalformed: a first line that is none is answered ERR, once and whole, with whatever follows, and costs nothing
-// beyond its own connection: a request beside it goes on, and no member hears of it.
+// TestMalformed: a first line that is none is answered ERR, once and completely, with whatever follows, and costs nothing
+// beyond its own connection: a request beside it goes on, and no member receives any of it.
 func TestMalformed(t *testing.T) {
 	for name, text := range malformedLines {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1)
 			good, m := g.openFlow()
-			held, free := g.Core.Counts, g.FreeDescriptors()
+			before, free := g.Core.Counts, g.FreeDescriptors()
 			c := g.Dial(g.addr)
 			late(c, text+"\r\n"+firstLine+"\r\n")
 			g.WaitFor("the end", func() bool { c.Poll(); return c.EndErr != nil })
@@ -134,14 +134,14 @@
 			g.Advance(time.Second)
 			good.Send("hello\r\n")
 			m.ExpectLines("hello")
-			if g.Core.Counts != held || g.FreeDescriptors() != free || g.pending(0) != nil {
+			if g.Core.Counts != before || g.FreeDescriptors() != free || g.pending(0) != nil {
 				t.Errorf("%+v, %d descriptors", g.Core.Counts, free-g.FreeDescriptors())
 			}
 		})
 	}
 }
 
-// TestMalformedThenClose: nor does a client that sends such a thing and goes at once.
+// TestMalformedThenClose: nor does a client that sends such a thing and closes at once.
 func TestMalformedThenClose(t *testing.T) {
 	for name, text := range malformedLines {
 		t.Run(name, func(t *testing.T) {
@@ -161,7 +161,7 @@
 // longestLine is the protocol's, its CRLF included.
 const longestLine = 4096
 
-// TestFirstLineLimit: a first line of the longest length is a request and goes on whole; one byte more is none.
+// TestFirstLineLimit: a first line of the longest length is a request and is forwarded unchanged; one byte more is none.
 func TestFirstLineLimit(t *testing.T) {
 	for extra, served := range map[int]bool{0: true, 1: false} {
 		g := newRig(t, 1)
@@ -184,7 +184,7 @@
 	}
 }
 
-// TestAddressChanges: a member's address that discovery has changed is the one that the next attempt and the next probe go to.
+// TestAddressChanges: a member's address that discovery has changed is the one that the next attempt and the next health check go to.
 func TestAddressChanges(t *testing.T) {
 	g := newRig(t, 1)
 	next := g.Listen()
--- a/internal/front/line/flow_end_test.go
+++ b/internal/front/line/flow_end_test.go
@@ -21,7 +21,7 @@
 	return nil
 }
 
-// narrow keeps the system from holding much for a peer that does not read.
+// narrow keeps the kernel from buffering much for a peer that does not read.
 func narrow(p *looptest.Peer) { p.Conn.(*net.TCPConn).SetReadBuffer(4 << 10) }
 
 // fill has one side send lines that the other does not read, until full.
@@ -37,7 +37,7 @@
 	return sent
 }
 
-// readAll reads what comes until the end, which has to be polite.
+// readAll reads what comes until the end, which has to be graceful.
 func (g *rig) readAll(p *looptest.Peer) []byte {
 	g.T.Helper()
 	p.Conn.(*net.TCPConn).SetReadBuffer(4 << 20) // or the system's own timers set the pace
@@ -48,7 +48,7 @@
 	return p.Received
 }
 
-// TestClientEOFUndelivered: what a client sent before it ended politely still reaches a member that is slow to read.
+// TestClientEOFUndelivered: what a client sent before it closed gracefully still reaches a member that is slow to read.
 func TestClientEOFUndelivered(t *testing.T) {
 	g := newRig(t, 1)
 	c, m := g.openFlow()
@@ -63,7 +63,7 @@
 	g.clean()
 }
 
-// TestClientEOFBufferFull: the same of what had no room in the relay's buffers to the member; to the core the client has
+// TestClientEOFBufferFull: the same of what did not fit in the relay's buffers to the member; to the core the client has
 // left at once, and a member that never reads is waited for no longer than MoveTimeout.
 func TestClientEOFBufferFull(t *testing.T) {
 	for _, reads := range []bool{true, false} {
@@ -85,8 +85,8 @@
 	}
 }
 
-// TestMemberEOFUndelivered: what a member sent before it ended politely still reaches a client that is slow to read, also
-// what had no room in the relay's buffers to it.
+// TestMemberEOFUndelivered: what a member sent before it closed gracefully still reaches a client that is slow to read, also
+// what did not fit in the relay's buffers to it.
 func TestMemberEOFUndelivered(t *testing.T) {
 	g := newRig(t, 1)
 	c, m := g.openFlow()
@@ -106,7 +106,7 @@
 	g.clean()
 }
 
-// TestMemberEOFNeverRead: a client that does not read holds neither the flow nor a descriptor for longer than a
+// TestMemberEOFNeverRead: a client that does not read occupies neither the flow nor a descriptor for longer than a
 // connection may outlive its member's.
 func TestMemberEOFNeverRead(t *testing.T) {
 	g := newRig(t, 1)
--- a/internal/front/line/flow_fuzz_test.go
+++ b/internal/front/line/flow_fuzz_test.go
@@ -10,7 +10,7 @@
 
 // FuzzFlow plays random steps on an open flow and checks them against a model:
 // each side gets a prefix of what the other sent, all of it while nobody ends
-// the flow; MOVE stands only between two lines, comes at most once, and comes
+// the flow; MOVE comes only between two lines, comes at most once, and comes
 // whenever the member drains between two lines. Passing the flow on to another process
 // changes nothing of that.
 func FuzzFlow(f *testing.F) {
--- a/internal/front/line/flow_test.go
+++ b/internal/front/line/flow_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// ends waits for a polite end on both sides, after these bytes.
+// ends waits for a graceful close on both sides, after these bytes.
 func (g *flowRig) ends(toClient, toMember string) {
 	g.T.Helper()
 	for p, want := range map[*looptest.Peer]string{g.c: toClient, g.m: toMember} {
@@ -53,7 +53,7 @@
 	}
 }
 
-// TestMemberCloses: each way in which a member may end an open flow ends the client's side in the same manner, and is told
+// TestMemberCloses: each way in which a member may end an open flow ends the client's side in the same manner, and is reported
 // for what it is.
 func TestMemberCloses(t *testing.T) {
 	for text, want := range map[string]policy.Result{
@@ -76,7 +76,7 @@
 	})
 }
 
-// TestBothSidesClose: both sides end in one round, in either order.
+// TestBothSidesClose: both sides end in one loop iteration, in either order.
 func TestBothSidesClose(t *testing.T) {
 	for name, one := range map[string]struct {
 		first, second func(g *flowRig)
@@ -90,7 +90,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := newFlow(t)
 			g.RunOnce()
-			g.RunOnce() // neither connection has anything to say now
+			g.RunOnce() // neither connection has an event now
 			one.first(g)
 			one.second(g)
 			g.expectFinished(g.c)
@@ -118,7 +118,7 @@
 	g.finished(policy.Cancelled)
 }
 
-// TestMoveCrossesClose: one end in the place of the line's while MOVE waits for it is the flow's end, and no second one is told.
+// TestMoveCrossesClose: one end in the place of the line's while MOVE waits for it is the flow's end, and no second one is reported.
 func TestMoveCrossesClose(t *testing.T) {
 	for name, end := range map[string]func(g *flowRig){
 		"member ends":         func(g *flowRig) { g.m.CloseWrite() },
@@ -160,7 +160,7 @@
 	g.finished(policy.Cancelled)
 }
 
-// TestNeverReads: a client that does not read holds no more of the relay's memory than its buffers' bounds, and the flow
+// TestNeverReads: a client that does not read takes no more of the relay's memory than its buffers' bounds, and the flow
 // is over once the client owes its own line, or its answers stay away for too long.
 func TestNeverReads(t *testing.T) {
 	for _, talks := range []bool{true, false} {
--- a/internal/front/line/graceful_shutdown_test.go
+++ b/internal/front/line/graceful_shutdown_test.go
@@ -32,14 +32,14 @@
 
 // TestShutdownUnanswered: one that has no answer by the end of the stop is rejected then, once, and its attempt is over.
 func TestShutdownUnanswered(t *testing.T) {
-	for name, held := range map[string]bool{"held": true, "attempt out": false} {
+	for name, queued := range map[string]bool{"queued": true, "attempt out": false} {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1)
-			if held {
+			if queued {
 				g.Core.PauseDispatch()
 			}
 			c := g.sendRequest(firstLine)
-			if !held {
+			if !queued {
 				g.attempt(0).Send("half an ans")
 			}
 			g.Core.Stop()
@@ -61,7 +61,7 @@
 }
 
 // TestShutdownArrival: a request that arrives after the stop began is answered BUSY at once and never sent on, also one whose
-// first line began before; PING says that no clients should be sent here, and the connection may still ask.
+// first line began before; PING reports that no clients should be sent here, and the connection may still send a request.
 func TestShutdownArrival(t *testing.T) {
 	g := newRig(t, 1)
 	half, front := g.Dial(g.addr), g.Dial(g.addr)
@@ -91,7 +91,7 @@
 	}
 }
 
-// TestShutdownIdle: a connection that rests as the relay ends has an answer for a request that crosses its end.
+// TestShutdownIdle: a connection that is idle as the relay ends gets an answer for a request that crosses its end.
 func TestShutdownIdle(t *testing.T) {
 	g := newRig(t, 1)
 	silent, front, half := g.Dial(g.addr), g.Dial(g.addr), g.Dial(g.addr)
@@ -124,14 +124,14 @@
 
 // TestShutdownPartialLine: of a member's half line at the end of a stop MOVE waits, and no longer than the relay has left.
 func TestShutdownPartialLine(t *testing.T) {
-	for _, whole := range []bool{true, false} {
+	for _, lineEnds := range []bool{true, false} {
 		g := newFlow(t)
 		g.m.Send("half a ")
 		g.c.Expect("half a ")
 		g.Core.Stop()
 		g.Core.FinishStop()
 		g.RunOnce()
-		if whole {
+		if lineEnds {
 			g.m.Send("line\r\n")
 			g.c.ExpectLines("line", "MOVE")
 			g.c.ExpectEOF()
--- a/internal/front/line/handoff_test.go
+++ b/internal/front/line/handoff_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestHandOffIdleAfterPong: a connection that was answered PONG has as long for its request in the other process as in this one. Guards against ERR to a
-// client that rests, which it would take for the answer to its next line.
+// idle client, which it would take for the answer to its next line.
 func TestHandOffIdleAfterPong(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	f, next := New(r.Loop, r.Core, r.Log), New(r.Loop, r.Core, r.Log)
@@ -28,7 +28,7 @@
 	c.ExpectEOF()
 }
 
-// TestHandOffWithoutDescriptors: a flow of which one side alone can be handed over goes on here. Guards against a client that is cut off.
+// TestHandOffWithoutDescriptors: a flow of which one side alone can be handed over continues here. Guards against a client that is cut off.
 func TestHandOffWithoutDescriptors(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	f := New(r.Loop, r.Core, r.Log)
--- a/internal/front/line/health_check_test.go
+++ b/internal/front/line/health_check_test.go
@@ -11,7 +11,7 @@
 	"dahliarudder/policy"
 )
 
-// checkRig is a rig and how the probes of its members ended.
+// checkRig is a rig and the results of its members' health checks.
 type checkRig struct {
 	*rig
 	results []policy.Result
@@ -35,7 +35,7 @@
 	return m
 }
 
-// wantResults waits for the results of all probes so far.
+// wantResults waits for the results of all health checks so far.
 func (p *checkRig) wantResults(results ...policy.Result) {
 	p.T.Helper()
 	p.WaitFor("the results", func() bool { return len(p.results) >= len(results) })
@@ -55,7 +55,7 @@
 	}
 }
 
-// TestHealthCheckAnswers: each probe has one result, whatever the member does.
+// TestHealthCheckAnswers: each health check has one result, whatever the member does.
 func TestHealthCheckAnswers(t *testing.T) {
 	for name, one := range map[string]struct {
 		does func(p *checkRig, m *looptest.Peer)
@@ -88,7 +88,7 @@
 	}
 }
 
-// TestHealthCheckConnects: a connection that is refused, or that does not come up, is told apart.
+// TestHealthCheckConnects: a connection that is refused, or that does not come up, is distinguished.
 func TestHealthCheckConnects(t *testing.T) {
 	p := newCheckRig(t, 1)
 	p.servers[0].Listener.Close()
@@ -105,7 +105,7 @@
 	p.expectNoCheck()
 }
 
-// TestHealthCheckLateAnswer: nor is one that comes before the next probe; its connection is used no more.
+// TestHealthCheckLateAnswer: nor is one that comes before the next health check; its connection is used no more.
 func TestHealthCheckLateAnswer(t *testing.T) {
 	p := newCheckRig(t, 1)
 	m := p.acceptCheck(0)
@@ -118,7 +118,7 @@
 	p.expectNoCheck()
 }
 
-// TestHealthCheckConnClosedAsReused: a kept connection that the member ends in the very moment in which it is used again costs a
+// TestHealthCheckConnClosedAsReused: an idle connection that the member closes just as it is used again costs a
 // second connection, and no result.
 func TestHealthCheckConnClosedAsReused(t *testing.T) {
 	for name, end := range map[string]func(*looptest.Peer){
@@ -154,7 +154,7 @@
 	p.expectNoCheck()
 }
 
-// TestHealthCheckSecondAnswer: a second answer that came with the first is not taken for the next probe's.
+// TestHealthCheckSecondAnswer: a second answer that came with the first is not taken for the next health check's.
 func TestHealthCheckSecondAnswer(t *testing.T) {
 	p := newCheckRig(t, 1)
 	m := p.acceptCheck(0)
@@ -191,7 +191,7 @@
 	}
 }
 
-// TestHealthCheckSecondAnswerAtOnce: nor where the next probe begins as the first is answered.
+// TestHealthCheckSecondAnswerAtOnce: nor where the next health check begins as the first is answered.
 func TestHealthCheckSecondAnswerAtOnce(t *testing.T) {
 	p := newCheckRig(t, 1)
 	saw := p.Core.OnResult
--- a/internal/front/line/idle_after_pong_test.go
+++ b/internal/front/line/idle_after_pong_test.go
@@ -7,7 +7,7 @@
 	"dahliarudder/internal/core"
 )
 
-// TestIdleUntilRequest: a request that arrives in the round in which the time of a resting connection is up is placed.
+// TestIdleUntilRequest: a request that arrives in the loop iteration in which the time of an idle connection is up is placed.
 func TestIdleUntilRequest(t *testing.T) {
 	for name, rest := range map[string]time.Duration{"new": firstLineTimeout, "answered PONG": idleTimeout} {
 		t.Run(name, func(t *testing.T) {
@@ -26,14 +26,14 @@
 	}
 }
 
-// TestIdleTooLong: one that arrives as the relay has just ended a resting connection has one whole answer: it was not
-// sent on, and coming again is harmless.
+// TestIdleTooLong: one that arrives as the relay has just closed an idle connection gets one complete answer: it was not
+// forwarded, and a retry is harmless.
 func TestIdleTooLong(t *testing.T) {
 	for name, end := range map[string]func(*rig){
 		"idle": func(g *rig) { g.Advance(idleTimeout) },
 		"shed": func(g *rig) {
 			for range 2 {
-				g.SetDescriptorLimit(g.OpenDescriptors()) // the next connection has to be made room for
+				g.SetDescriptorLimit(g.OpenDescriptors()) // the next connection needs a descriptor that is in use
 				g.Dial(g.addr)
 				g.RunOnce()
 				g.RunOnce()
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestShedUnread: a connection that is given up for a new one in the round in which its first line has come, unread, gets
-// one whole answer, and its request is none.
+// TestShedUnread: a connection that is evicted for a new one in the loop iteration in which its first line has come, unread, gets
+// one complete answer, and its request is none.
 func TestShedUnread(t *testing.T) {
 	for name, one := range map[string]struct{ first, answer string }{
 		"new": {"", "ERR\r\n"}, "answered PONG": {"PING\r\n", "BUSY\r\n"},
@@ -72,7 +72,7 @@
 				c.ExpectLines("PONG")
 			}
 			g.RunOnce()
-			g.RunOnce() // it has nothing to say now, so the loop hears of the new one first
+			g.RunOnce() // it has no event now, so the loop handles the new one first
 			g.SetDescriptorLimit(g.OpenDescriptors() + 1)
 			g.Dial(g.addr)
 			c.Send(firstLine + "\r\n")
--- a/internal/front/line/line.go
+++ b/internal/front/line/line.go
@@ -1,6 +1,6 @@
 // Package line is the front for the platform's protocol: lines of text between
-// clients, the relay and pool members. A clientConn is the connection of a client, and the core's virtual
-// server for its request; an upstream is one attempt at a member. See docs/design.md, "The line front".
+// clients, the relay and pool members. A clientConn is the connection of a client, and the core's
+// Downstream for its request; an upstream is one attempt at a member. See docs/design.md, "The line front".
 package line
 
 import (
--- a/internal/front/line/line_test.go
+++ b/internal/front/line/line_test.go
@@ -57,7 +57,7 @@
 	return r, c, m
 }
 
-// TestMoveWaits: MOVE that is asked for within a line stands after it.
+// TestMoveWaits: MOVE that is requested within a line comes after it.
 func TestMoveWaits(t *testing.T) {
 	r, c, m := openedFlow(t)
 	m.Send("half a ")
@@ -113,8 +113,8 @@
 	}
 }
 
-// TestFirstLine: who says nothing, or no whole line, gets an error well before 3 s
-// and holds no descriptor for longer; who was answered PONG may stay a while.
+// TestFirstLine: a client that sends nothing, or no complete line, gets an error well before 3 s
+// and takes no descriptor for longer; one that was answered PONG may stay a while.
 func TestFirstLine(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	addr := r.Serve(New(r.Loop, r.Core, r.Log).Accept)
@@ -139,7 +139,7 @@
 }
 
 // TestDuplicateID: the id of an open request is no new request's, however it is written;
-// the open one goes on, and once it has ended the id is free.
+// the open one continues, and once it has ended the id is free.
 func TestDuplicateID(t *testing.T) {
 	r, c, m := openedFlow(t)
 	addr := r.Serve(New(r.Loop, r.Core, r.Log).Accept)
@@ -196,7 +196,7 @@
 	}
 }
 
-// TestReopenReported: the module is told who comes again after a break or a move.
+// TestReopenReported: the module learns which clients reconnect after a loss or a migration.
 func TestReopenReported(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	for more, want := range map[string]bool{"": false, ",again=1": true, ",again=0": false} {
@@ -236,7 +236,7 @@
 	}
 }
 
-// TestHandOffIdle: connections that have asked for nothing pass to another process with
+// TestHandOffIdle: connections without a request are handed to another process with
 // what has come of their line, requests stay, and ids that are open elsewhere are
 // refused until they no longer are.
 func TestHandOffIdle(t *testing.T) {
@@ -271,8 +271,8 @@
 	c.ExpectLines("GOT")
 }
 
-// TestAdoptFlow: a flow that was passed on keeps what it owes: an unanswered line counts
-// from when it was asked, a member that has left meanwhile or is not known here costs
+// TestAdoptFlow: a flow that was handed off keeps its state: an unanswered line counts
+// from when it was sent, a member that has left meanwhile or is not known here costs
 // the client a move and no more, and the id stays taken.
 func TestAdoptFlow(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
--- a/internal/front/line/liveness_test.go
+++ b/internal/front/line/liveness_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestMemberSilent: a member that answers no line for too long is left, and the client
-// is asked to come again; one that answers is not.
+// is migrated; one that answers is not.
 func TestMemberSilent(t *testing.T) {
 	r, c, m := openedFlow(t)
 	c.Send("hello\r\n")
@@ -29,8 +29,8 @@
 }
 
 // TestSilenceBound: whatever a member does and in which pieces lines come, a flow that brings nothing back is over
-// 7 s after the last line that came, with whatever load it tells meanwhile; one that is answered stays, and one
-// whose member has said its last word is over within a second although no end of the connection comes.
+// 7 s after the last line that came, whatever load it reports meanwhile; one that is answered stays, and one
+// whose member has sent its final command is over within a second although no end of the connection comes.
 func TestSilenceBound(t *testing.T) {
 	for seed := range uint64(16) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -44,8 +44,8 @@
 			if now >= next { // the client's next line, in up to three pieces
 				next = now + clientInterval
 				pieces = append(pieces, []string{"line\r\n", "li", "l"}[rng.IntN(3)])
-				if whole := pieces[len(pieces)-1]; whole != "line\r\n" {
-					pieces = append(pieces, strings.TrimPrefix("line\r\n", whole))
+				if joined := pieces[len(pieces)-1]; joined != "line\r\n" {
+					pieces = append(pieces, strings.TrimPrefix("line\r\n", joined))
 				}
 			}
 			if len(pieces) > 0 && c.EndErr == nil {
@@ -106,7 +106,7 @@
 	}
 }
 
-// TestClientGone: a client's machine that vanished must not hold a flow for ever.
+// TestClientGone: a client's machine that vanished must not occupy a flow for ever.
 func TestClientGone(t *testing.T) {
 	r, c, m := openedFlow(t)
 	r.Advance(clientSilenceTimeout)
--- a/internal/front/line/long_idle_test.go
+++ b/internal/front/line/long_idle_test.go
@@ -8,9 +8,9 @@
 	"dahliarudder/policy"
 )
 
-// TestLongIdle: after hours in which nothing happened the first request is served by its first attempt; trouble that
-// begins then is met as at any time: a member that drains gets nothing, a silent one is left in time, a client that goes is
-// heard.
+// TestLongIdle: after hours without any event the first request is served by its first attempt; a fault that
+// begins then is handled as at any time: a member that drains gets nothing, a silent one is left in time, a client that closes is
+// noticed.
 func TestLongIdle(t *testing.T) {
 	for _, quiet := range []time.Duration{time.Hour, 30 * 24 * time.Hour} {
 		g := newRig(t, 2)
--- a/internal/front/line/malformed_test.go
+++ b/internal/front/line/malformed_test.go
@@ -9,7 +9,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// warnings is what the log says at warning level.
+// warnings is what is logged at warning level.
 type warnings []string
 
 func (*warnings) Levels() []logrus.Level { return []logrus.Level{logrus.WarnLevel} }
@@ -18,7 +18,7 @@
 	return nil
 }
 
-// TestMalformedLogged: malformed first lines are counted by cause; the log tells of the first of a cause, and of those
+// TestMalformedLogged: malformed first lines are counted by cause; the first of a cause is logged, and of those
 // after it once in a while, how many they are.
 func TestMalformedLogged(t *testing.T) {
 	g := newRig(t, 1)
@@ -50,7 +50,7 @@
 	}
 }
 
-// TestMalformedCauses: the detail is short whatever a client sends, and there is a word for each cause.
+// TestMalformedCauses: the detail is short whatever a client sends, and each cause has a name.
 func TestMalformedCauses(t *testing.T) {
 	for name, text := range malformedLines {
 		line := strings.TrimSuffix(text, "\r\n")
@@ -65,10 +65,10 @@
 	}
 	seen := map[string]bool{}
 	for c := range causeCount {
-		if word := c.String(); word == "" || seen[word] {
-			t.Errorf("cause %d is called %q", c, word)
+		if name := c.String(); name == "" || seen[name] {
+			t.Errorf("cause %d is called %q", c, name)
 		} else {
-			seen[word] = true
+			seen[name] = true
 		}
 	}
 }
--- a/internal/front/line/member_change_test.go
+++ b/internal/front/line/member_change_test.go
@@ -7,8 +7,8 @@
 	"dahliarudder/policy"
 )
 
-// TestSuspicionWhileDialing: an attempt whose connection comes up during a doubt is not sent on it. After the doubt the
-// request goes on.
+// TestSuspicionWhileDialing: an attempt whose connection comes up during a suspicion is not sent on it. After that the
+// request continues.
 func TestSuspicionWhileDialing(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.sendRequest(firstLine)
--- a/internal/front/line/partial_line_test.go
+++ b/internal/front/line/partial_line_test.go
@@ -14,7 +14,7 @@
 const badClientWithin = 3 * time.Second
 
 // TestPartialLineAfterPong: a client that was answered PONG and stops within its next line is answered ERR as soon as one
-// that was not; one that sends the rest in time is served, and another PING lets it rest again.
+// that was not; one that sends the rest in time is served, and another PING lets it be idle again.
 func TestPartialLineAfterPong(t *testing.T) {
 	for name, pings := range map[string]int{"one PONG": 1, "three": 3} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/front/line/report_test.go
+++ b/internal/front/line/report_test.go
@@ -7,7 +7,7 @@
 	"dahliarudder/policy"
 )
 
-// TestNoReport: a flow on which the member has told no load report ends with none. One of zeros would say that
+// TestNoReport: a flow on which the member has sent no load report ends with none. One of zeros would say that
 // the member is idle, just as it resets its flows.
 func TestNoReport(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
--- a/internal/front/line/rig_test.go
+++ b/internal/front/line/rig_test.go
@@ -41,7 +41,7 @@
 	return g
 }
 
-// addMember has discovery say that a member came.
+// addMember has discovery report that a member came.
 func (g *rig) addMember(addr string) {
 	n := len(g.Members) + 1
 	m := core.Member{Name: "s-" + strings.Repeat("0", 7) + string(rune('0'+n)), Addr: addr}
@@ -77,7 +77,7 @@
 	return c, m
 }
 
-// setMemberState has discovery say a member's state.
+// setMemberState has discovery report a member's state.
 func (g *rig) setMemberState(member int, state policy.ServerState) {
 	g.Members[member].State = state
 	g.Core.UpdateMembers(policy.ListDelta, g.Members[member:member+1])
@@ -143,11 +143,11 @@
 	}
 }
 
-// clean checks that nothing is held any more, neither a request nor a descriptor.
+// clean checks that nothing is left, neither a request nor a descriptor.
 func (g *rig) clean() {
 	g.T.Helper()
-	if held := g.Core.ActiveRequests(); held != 0 {
-		g.T.Errorf("%d requests are held", held)
+	if active := g.Core.ActiveRequests(); active != 0 {
+		g.T.Errorf("%d requests are active", active)
 	}
 	if len(g.f.flows)+len(g.f.idle)+len(g.f.requests) != 0 {
 		g.T.Errorf("%d open, %d fresh, %d ids", len(g.f.flows), len(g.f.idle), len(g.f.requests))
@@ -159,7 +159,7 @@
 	}
 }
 
-// leaving is the ways in which a client goes.
+// leaving is the ways in which a client closes.
 var leaving = map[string]func(*looptest.Peer){
 	"closes":      func(c *looptest.Peer) { c.Close() },
 	"resets":      func(c *looptest.Peer) { c.Reset() },
@@ -193,7 +193,7 @@
 		t.Fatal(err)
 	}
 	addr := (&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: at.(*unix.SockaddrInet4).Port}).String()
-	c, err := net.Dial("tcp", addr) // a queue of 0 has room for one
+	c, err := net.Dial("tcp", addr) // a queue of 0 takes one
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/front/line/send_first_line_test.go
+++ b/internal/front/line/send_first_line_test.go
@@ -9,15 +9,15 @@
 	"dahliarudder/policy"
 )
 
-// TestRemainingDeadlineForwarded: d tells how long the relay waits from when the line is sent, not from when the connection
+// TestRemainingDeadlineForwarded: d is how long the relay waits from when the line is sent, not from when the connection
 // was begun.
 func TestRemainingDeadlineForwarded(t *testing.T) {
-	told := func(late time.Duration) int {
+	forwarded := func(late time.Duration) int {
 		g := newRig(t, 1)
 		g.Core.PauseDispatch()
 		g.sendRequest(firstLine)
 		g.Core.ResumeDispatch()
-		g.Advance(late) // the connection comes up in this round
+		g.Advance(late) // the connection comes up in this loop iteration
 		line := g.servers[0].Accept().ReadLine()
 		var d int
 		if _, err := fmt.Sscanf(line[strings.Index(line, ",d="):], ",d=%d", &d); err != nil {
@@ -25,13 +25,13 @@
 		}
 		return d
 	}
-	if at, late := told(0), told(100*time.Millisecond); at-late != 100 {
+	if at, late := forwarded(0), forwarded(100*time.Millisecond); at-late != 100 {
 		t.Errorf("d is %d, and %d where the connection took 100 ms", at, late)
 	}
 }
 
 // TestNoAttemptAtDepartedMember: a connection that comes up when its member has been leaving for longer than the grace is not
-// used; the request goes on without it.
+// used; the request continues without it.
 func TestNoAttemptAtDepartedMember(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.sendRequest(firstLine)
--- a/internal/front/line/shutdown_test.go
+++ b/internal/front/line/shutdown_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestMemberLeftWhileDialing: a member that has left while the connection to it was on its way gets no line on it, and
-// the request goes to another one.
+// the request goes to another member.
 func TestMemberLeftWhileDialing(t *testing.T) {
 	r := looptest.NewRelay(t, 2)
 	f := New(r.Loop, r.Core, r.Log)
@@ -20,7 +20,7 @@
 	if r.Core.FlowCount(r.Members[1].ID) == 1 {
 		first = 1
 	}
-	r.Drain(first) // before the loop's next round, in which the connection stands
+	r.Drain(first) // before the loop's next iteration, in which the connection is open
 	for {
 		i, m := r.AcceptAny(0)
 		if i == first {
@@ -36,7 +36,7 @@
 	}
 }
 
-// TestOpenWhileMigrating: a client whose move waits for the end of a line is held until it has got MOVE, so that a stop
+// TestOpenWhileMigrating: a client whose migration waits for the end of a line stays open until it has got MOVE, so that a shutdown
 // does not end before.
 func TestOpenWhileMigrating(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
@@ -58,9 +58,9 @@
 	}
 }
 
-// TestLeave: at the end of a stop a connection that rests is ended with an answer, which is also that of a request
+// TestCloseIdle: at the end of a shutdown an idle connection is closed with an answer, which is also that of a request
 // that arrives just then; it is never sent on.
-func TestLeave(t *testing.T) {
+func TestCloseIdle(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	f := New(r.Loop, r.Core, r.Log)
 	at := r.Serve(f.Accept)
@@ -80,7 +80,7 @@
 	}
 }
 
-// TestClientGoneUndelivered: a client that has sent more than is kept, and has gone, is noticed, and its attempt given up.
+// TestClientGoneUndelivered: a client that has sent more than is buffered, and has gone, is noticed, and its attempt given up.
 func TestClientGoneUndelivered(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	f := New(r.Loop, r.Core, r.Log)
--- a/internal/front/line/state_test.go
+++ b/internal/front/line/state_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestClientStates walks all states and events of a client connection: what ends it leaves it closed, nothing
-// happens once it is closed, and each action stands only where the protocol has it.
+// is done once it is closed, and each action comes only where the protocol allows it.
 func TestClientStates(t *testing.T) {
 	ends := map[clientAction]bool{sendError: true, sendBusy: true, closeClient: true, resetClient: true, cancelRequest: true,
 		closeFlow: true, resetFlow: true, sendMove: true, closeBothSides: true, finishAttempt: true}
@@ -59,18 +59,18 @@
 			}
 		}
 	}
-	for lastWord, want := range map[string]policy.Result{"": policy.Reset, "BYE": policy.OK, "MOVE": policy.Cancelled} {
-		s := openStateAfter(lastWord)
-		if s.finalCommand() != lastWord {
-			t.Errorf("%q became %q", lastWord, s.finalCommand())
+	for command, want := range map[string]policy.Result{"": policy.Reset, "BYE": policy.OK, "MOVE": policy.Cancelled} {
+		s := openStateAfter(command)
+		if s.finalCommand() != command {
+			t.Errorf("%q became %q", command, s.finalCommand())
 		}
 		if _, result, ended := s.next(eventConnLost); !ended || result != want {
-			t.Errorf("a flow that ends after %q: %v", lastWord, result)
+			t.Errorf("a flow that ends after %q: %v", command, result)
 		}
 	}
 }
 
-// TestHealthCheckStates walks all states and events of a probe: it is wanted only where no answer is owed, and an answer
+// TestHealthCheckStates walks all states and events of a health check: it begins only where no answer is pending, and an answer
 // that was owed is, whatever ends it, owed no more.
 func TestHealthCheckStates(t *testing.T) {
 	for s := checkDisconnected; s <= checkPendingReused; s++ {
--- a/internal/front/nats/nats_test.go
+++ b/internal/front/nats/nats_test.go
@@ -23,14 +23,14 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte, step uint8) {
 		read := func(step int) (out string, err error) {
-			var held []byte
+			var unread []byte
 			for rest := text; len(rest) > 0 && err == nil; {
 				n := min(step, len(rest))
-				held, rest = append(held, rest[:n]...), rest[n:]
+				unread, rest = append(unread, rest[:n]...), rest[n:]
 				for {
 					var m command
 					var used int
-					if m, used, err = parseCommand(held, maxControl, 1024); err != nil || used == 0 {
+					if m, used, err = parseCommand(unread, maxControl, 1024); err != nil || used == 0 {
 						break
 					}
 					if m.payload != nil {
@@ -41,15 +41,15 @@
 						}
 					}
 					out += fmt.Sprintf("%d %q %q %q %q %q %q %d %d\n", m.op, m.args, m.subject, m.sid, m.reply, m.queue, m.payload, m.maxMessages, m.headerLen)
-					held = held[used:]
+					unread = unread[used:]
 				}
 			}
 			return out, err
 		}
-		whole, err := read(len(text) + 1)
+		uncut, err := read(len(text) + 1)
 		cut, err2 := read(int(step)%7 + 1)
-		if whole != cut || (err == nil) != (err2 == nil) {
-			t.Errorf("whole: %s%v\ncut: %s%v", whole, err, cut, err2)
+		if uncut != cut || (err == nil) != (err2 == nil) {
+			t.Errorf("uncut: %s%v\ncut: %s%v", uncut, err, cut, err2)
 		}
 	})
 }
@@ -111,9 +111,9 @@
 	return i, m
 }
 
-// TestDrainAtOnce: the clock stands still from the word that a member drains until
-// its subscription has left and stands elsewhere, so the 250 ms are kept; the
-// member never has to end anything itself, and no two places hold it at once.
+// TestDrainAtOnce: the clock stands still from the update that a member drains until
+// its subscription has moved to another one, so the 250 ms are met; the
+// member never has to end anything itself, and it is never active at two members at once.
 func TestDrainAtOnce(t *testing.T) {
 	s := newSite(t, 2)
 	s.c.Send("SUB feed q 7\r\n")
@@ -130,8 +130,8 @@
 		t.Fatal("placed on the draining member again")
 	}
 	n.Send("PING\r\n")
-	n.ExpectLines("PONG")                      // and nothing else, while the first still holds it
-	m.Send("PONG\r\nMSG feed 1 4\r\nlate\r\n") // now it is not held there any more
+	n.ExpectLines("PONG")                      // and nothing else, while it is active at the first
+	m.Send("PONG\r\nMSG feed 1 4\r\nlate\r\n") // now it is no longer active there
 	n.ExpectLines("SUB feed q 1", "PING")
 	n.Send("PONG\r\nMSG feed 1 3\r\nnew\r\n")
 	s.c.ExpectLines("MSG feed 7 3", "new")
@@ -180,7 +180,7 @@
 	s.c.ExpectLines("MSG feed 7 2", "hi")
 }
 
-// TestConnectWithin: who says no CONNECT, or half of one, gets an error well before
+// TestConnectWithin: a client that sends no CONNECT, or half of one, gets an error well before
 // 3 s; who has connected stays.
 func TestConnectWithin(t *testing.T) {
 	s := newSite(t, 1)
@@ -195,9 +195,9 @@
 	s.c.ExpectLines("PONG")
 }
 
-// TestLeave: a drained relay tells its clients, ends those for whom it holds nothing
-// once they have had time to hear of it, and resumed in time ends nobody.
-func TestLeave(t *testing.T) {
+// TestLameDuck: a drained relay sends its clients INFO, closes the idle ones
+// once they have had time to react, and resumed in time closes none.
+func TestLameDuck(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	f := New(r.Loop, r.Core, r.Log, "n0", Config{Class: "pay", Tenant: "water"}, &Security{})
 	c := r.Dial(r.Serve(f.Accept))
@@ -225,9 +225,9 @@
 	c.ExpectEOF()
 }
 
-// TestLeftWhileConnecting: a member that has left while the connection to it was being set up is asked for no
+// TestMemberLeftWhileConnecting: a member that has left while the connection to it was being set up gets no
 // subscription; another one is.
-func TestLeftWhileConnecting(t *testing.T) {
+func TestMemberLeftWhileConnecting(t *testing.T) {
 	s := newSite(t, 2)
 	s.c.Send("SUB a.b 1\r\n")
 	first, m := s.AcceptAny(0)
@@ -250,9 +250,9 @@
 	}
 }
 
-// TestProbeAsksForLoad: the question for a member's load is a whole message without a payload, by which the member's
+// TestHealthCheckRequestsLoad: the request for a member's load is a complete message without a payload, by which the member's
 // next command is read as it is.
-func TestProbeAsksForLoad(t *testing.T) {
+func TestHealthCheckRequestsLoad(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	f := New(r.Loop, r.Core, r.Log, "n0", Config{Class: "pay", Tenant: "water", LoadSubject: "node.load"}, &Security{})
 	f.CheckHealth(&r.Members[0])
