--- a/internal/fleet/agreed_state.go
+++ b/internal/fleet/agreed_state.go
@@ -14,8 +14,8 @@
 )
 
 // agreedFile is the file below fleet.dir in which each relay saves what was last agreed, followers included, as they have no log. A relay that
-// starts while the record is out of reach would know of no exclusion, and would send to a canary's arm as to any other member. With the file
-// it keeps excluded members out and gives the arm nothing (canary.WeightResolver) until the record is received.
+// starts while the record is out of reach would know of no exclusion, and would send to a canary's members as to any other. With the file
+// it keeps excluded members out and gives the canary nothing (canary.WeightResolver) until the record is received.
 const agreedFile = "agreed.json"
 
 // maxAgreedBytes bounds what is read of the file.
--- a/internal/fleet/api_canaries.go
+++ b/internal/fleet/api_canaries.go
@@ -28,7 +28,7 @@
 	writeJSON(w, http.StatusOK, body)
 }
 
-// handleOpenCanary opens a canary of a release. Without an arm, it is the members that start after the release was opened.
+// handleOpenCanary opens a canary of a release. Without a target, it is the members that start after the release was opened.
 func (s *Service) handleOpenCanary(w http.ResponseWriter, r *http.Request) {
 	var spec canary.Spec
 	if !decodeBody(w, r, &spec) {
@@ -63,7 +63,7 @@
 	switch {
 	case errors.As(err, &rejected):
 		writeError(w, http.StatusConflict, err.Error())
-	case err != nil && c.Op == canary.OpPause: // the pause is in force already: without the state, the caller would think the arm still takes traffic
+	case err != nil && c.Op == canary.OpPause: // the pause is in force already: without the state, the caller would think that the canary still takes traffic
 		writeJSON(w, statusCode(err), rollout.Result{Error: err.Error(), State: "paused here, and at all that can be reached; say it again when there is a majority"})
 	case err != nil:
 		writeError(w, statusCode(err), err.Error())
@@ -72,7 +72,7 @@
 	}
 }
 
-// ensureSalt draws the salt by which flows are assigned to the arm, if the caller gave none.
+// ensureSalt draws the salt by which flows are routed to the canary, if the caller gave none.
 func ensureSalt(spec *canary.Spec) {
 	for spec.Salt == 0 {
 		var b [8]byte
--- a/internal/fleet/canary.go
+++ b/internal/fleet/canary.go
@@ -39,7 +39,7 @@
 	previous := s.verdict.Outcome
 	if s.verdict = s.judge.Verdict(now); s.verdict.Outcome != previous {
 		s.Log.WithFields(logrus.Fields{"release": c.Release, "rung": c.Step, "per_mille": c.PerMille, "verdict": s.verdict.Outcome, "metric": s.verdict.Metric,
-			"zones": s.verdict.Zones, "relays": s.verdict.Relays}).Info("fleet: canary")
+			"zones": s.verdict.Zones, "relays": s.verdict.Relays}).Info("fleet: canary verdict")
 	}
 	applied := !slices.ContainsFunc(v.Relays, func(r rollout.Relay) bool {
 		status := s.controller.fleet.relays[r.Name]
@@ -48,7 +48,7 @@
 	return s.record.canary.Plan(max(now, s.record.items.At), s.verdict, applied)
 }
 
-// gateOnCanary withholds a release's grants while its canary is not over and the release has members in the arm; grants of a rollback are
+// gateOnCanary withholds a release's grants while its canary is not over and the release has begun; grants of a rollback are
 // never held back. A release whose canary went back is rolled back too.
 func (s *Service) gateOnCanary(plan []rollout.Command) (gated []rollout.Command) {
 	s.record.mu.RLock()
--- a/internal/fleet/leader.go
+++ b/internal/fleet/leader.go
@@ -42,7 +42,7 @@
 	if leads {
 		s.leaderSince = s.now()
 	}
-	s.Log.WithFields(logrus.Fields{"leads": leads, "term": term}).Info("fleet: leading")
+	s.Log.WithFields(logrus.Fields{"leads": leads, "term": term}).Info("fleet: leadership changed")
 }
 
 // controlStep is what one round of the control loop found out and wants to propose.
@@ -92,7 +92,7 @@
 func (s *Service) evaluateDrift(now int64, view *rollout.View) {
 	s.controller.voters = votersDriftItem(s.node.Status())
 	for _, c := range s.controller.evaluateDrift(now, view) {
-		s.Log.WithFields(logrus.Fields{"relay": c.Relay, "item": c.Item, "from": c.From.String(), "to": c.To.String(), "why": c.Reason}).Warn("fleet: drift")
+		s.Log.WithFields(logrus.Fields{"relay": c.Relay, "item": c.Item, "from": c.From.String(), "to": c.To.String(), "why": c.Reason}).Warn("fleet: drift state changed")
 	}
 	if s.QuarantineDrifted { // else no relay is unfit, and those in quarantine are readmitted
 		s.controller.markUnfit(view)
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -106,7 +106,7 @@
 	return r.canary.Weights(), r.canary.Version()
 }
 
-// canaryConflict is the reason why a command may not open a canary; "" if it may. There is one at a time, as relays keep one arm apart.
+// canaryConflict is the reason why a command may not open a canary; "" if it may. There is one at a time, as relays route to one alone.
 func (r *Record) canaryConflict(body []byte) string {
 	var c canary.Command
 	if json.Unmarshal(body, &c) != nil || c.Op != canary.OpOpen {
--- a/internal/fleet/release_log.go
+++ b/internal/fleet/release_log.go
@@ -20,7 +20,7 @@
 			state += string(halt.Cause)
 		}
 		if logged[release.Name] != state {
-			s.Log.WithFields(fields).Info("fleet: release")
+			s.Log.WithFields(fields).Info("fleet: release state changed")
 		}
 		current[release.Name] = state
 	}
--- a/internal/fleet/release_with_canary.go
+++ b/internal/fleet/release_with_canary.go
@@ -14,7 +14,7 @@
 // releaseWithCanary is the body of such a command.
 type releaseWithCanary struct {
 	Release json.RawMessage `json:"release"` // a rollout command of the kind open
-	Canary  canary.Spec     `json:"canary"`  // without the release's name; without an arm: the members that start from now on
+	Canary  canary.Spec     `json:"canary"`  // without the release's name; without a target: the members that start from now on
 }
 
 // openWithCanary applies a releaseWithCanary command.
