--- a/internal/front/line/client_state.go
+++ b/internal/front/line/client_state.go
@@ -13,6 +13,7 @@
 	clientFlushingToClient                    // the member has closed; what it sent still goes to the client
 	clientFlushingToMember                    // the client has closed; what it sent still goes to the member
 	clientClosed                              // its connection is closed
+	clientStateCount                          // the number of states
 )
 
 // clientEvent is an event of a client connection.
@@ -42,6 +43,7 @@
 	eventMemberEOFBlocked                    // the same, and some of what it sent has not been forwarded yet
 	eventMemberFlushed                       // all that the member sent has been forwarded
 	eventMemberReset                         // the member's connection was reset or lost, on an open flow
+	clientEventCount                         // the number of events
 )
 
 // clientAction is what an event has the connection do.
@@ -87,125 +89,85 @@
 	return clientOpen
 }
 
-// next is the transition function. An event that has no meaning in a state changes nothing.
-func (s clientState) next(e clientEvent) (clientState, clientAction) {
-	switch s {
-	case clientNew, clientIdle:
-		return s.nextFirstLine(e)
-	case clientPending:
-		return s.nextPending(e)
-	case clientOpen, clientMidLine, clientMigrating:
-		return s.nextOpen(e)
-	case clientFlushingToClient:
-		return s.nextFlushingToClient(e)
-	case clientFlushingToMember:
-		return s.nextFlushingToMember(e)
-	}
-	return s, doNothing
+// clientRule is the transition from each of the states in, by an event.
+type clientRule struct {
+	in     []clientState
+	on     clientEvent
+	next   clientState
+	action clientAction
 }
 
-func (s clientState) nextFirstLine(e clientEvent) (clientState, clientAction) {
-	switch e {
-	case eventPing:
-		return clientIdle, sendPong
-	case eventPartialFirstLine:
-		if s == clientIdle {
-			return clientNew, awaitFirstLine
-		}
-	case eventOpen:
-		return clientPending, placeRequest
-	case eventMalformed:
-		return clientClosed, sendError
-	case eventTimeout, eventShed:
-		if s == clientNew {
-			return clientClosed, sendError
-		}
-		return clientClosed, sendBusy
-	case eventShutdown:
-		return clientClosed, sendBusy
-	case eventClientEOF, eventClientReset:
-		return clientClosed, closeClient
-	}
-	return s, doNothing
+// clientRules are all transitions. An event without a rule for a state changes nothing.
+var clientRules = []clientRule{
+	{[]clientState{clientNew, clientIdle}, eventPing, clientIdle, sendPong},
+	{[]clientState{clientIdle}, eventPartialFirstLine, clientNew, awaitFirstLine},
+	{[]clientState{clientNew, clientIdle}, eventOpen, clientPending, placeRequest},
+	{[]clientState{clientNew, clientIdle}, eventMalformed, clientClosed, sendError},
+	{[]clientState{clientNew}, eventTimeout, clientClosed, sendError},
+	{[]clientState{clientNew}, eventShed, clientClosed, sendError},
+	{[]clientState{clientIdle}, eventTimeout, clientClosed, sendBusy},
+	{[]clientState{clientIdle}, eventShed, clientClosed, sendBusy},
+	{[]clientState{clientNew, clientIdle}, eventShutdown, clientClosed, sendBusy},
+	{[]clientState{clientNew, clientIdle}, eventClientEOF, clientClosed, closeClient},
+	{[]clientState{clientNew, clientIdle}, eventClientReset, clientClosed, closeClient},
+
+	{[]clientState{clientPending}, eventAttemptUp, clientOpen, openFlow},
+	{[]clientState{clientPending}, eventAttemptServed, clientClosed, closeClient},
+	{[]clientState{clientPending}, eventRejected, clientClosed, sendBusy},
+	{[]clientState{clientPending}, eventFailed, clientClosed, sendError},
+	{[]clientState{clientPending}, eventClientEOF, clientClosed, cancelRequest},
+	{[]clientState{clientPending}, eventClientReset, clientClosed, cancelRequest},
+
+	{[]clientState{clientOpen, clientMidLine}, eventPartialLine, clientMidLine, doNothing},
+	{[]clientState{clientOpen, clientMidLine}, eventLineEnd, clientOpen, doNothing},
+	{[]clientState{clientOpen}, eventMigrate, clientClosed, sendMove},
+	{[]clientState{clientMidLine}, eventMigrate, clientMigrating, awaitLineEnd},
+	{[]clientState{clientMigrating}, eventLineEnd, clientClosed, sendMove},
+	{[]clientState{clientMigrating}, eventTimeout, clientClosed, closeBothSides},
+	{[]clientState{clientOpen, clientMidLine, clientMigrating}, eventClientEOF, clientClosed, closeFlow},
+	{[]clientState{clientOpen, clientMidLine, clientMigrating}, eventClientEOFBlocked, clientFlushingToMember, flushThenCloseFlow},
+	{[]clientState{clientOpen, clientMidLine, clientMigrating}, eventClientReset, clientClosed, resetFlow},
+	{[]clientState{clientOpen, clientMidLine, clientMigrating}, eventMemberEOF, clientClosed, closeClient},
+	{[]clientState{clientOpen, clientMidLine, clientMigrating}, eventMemberEOFBlocked, clientFlushingToClient, awaitFlush},
+	{[]clientState{clientOpen, clientMidLine}, eventMemberReset, clientClosed, resetClient},
+	{[]clientState{clientMigrating}, eventMemberReset, clientClosed, closeClient},
+
+	{[]clientState{clientFlushingToClient}, eventMemberFlushed, clientClosed, finishAttempt},
+	{[]clientState{clientFlushingToClient}, eventTimeout, clientClosed, finishAttempt},
+	{[]clientState{clientFlushingToClient}, eventClientEOF, clientClosed, closeFlow},
+	{[]clientState{clientFlushingToClient}, eventClientEOFBlocked, clientClosed, closeFlow},
+	{[]clientState{clientFlushingToClient}, eventClientReset, clientClosed, resetFlow},
+
+	{[]clientState{clientFlushingToMember}, eventClientFlushed, clientClosed, closeBothSides},
+	{[]clientState{clientFlushingToMember}, eventTimeout, clientClosed, closeBothSides},
+	{[]clientState{clientFlushingToMember}, eventClientReset, clientClosed, closeBothSides},
+	{[]clientState{clientFlushingToMember}, eventMemberEOF, clientClosed, closeBothSides},
+	{[]clientState{clientFlushingToMember}, eventMemberReset, clientClosed, closeBothSides},
 }
 
-func (s clientState) nextPending(e clientEvent) (clientState, clientAction) {
-	switch e {
-	case eventAttemptUp:
-		return clientOpen, openFlow
-	case eventAttemptServed:
-		return clientClosed, closeClient
-	case eventRejected:
-		return clientClosed, sendBusy
-	case eventFailed:
-		return clientClosed, sendError
-	case eventClientEOF, eventClientReset:
-		return clientClosed, cancelRequest
-	}
-	return s, doNothing
+// clientTransition is where an event leads from a state, and what it has the connection do.
+type clientTransition struct {
+	next   clientState
+	action clientAction
 }
 
-func (s clientState) nextOpen(e clientEvent) (clientState, clientAction) {
-	switch e {
-	case eventClientEOF:
-		return clientClosed, closeFlow
-	case eventClientEOFBlocked:
-		return clientFlushingToMember, flushThenCloseFlow
-	case eventClientReset:
-		return clientClosed, resetFlow
-	case eventMemberEOF:
-		return clientClosed, closeClient
-	case eventMemberEOFBlocked:
-		return clientFlushingToClient, awaitFlush
-	case eventMemberReset:
-		if s == clientMigrating {
-			return clientClosed, closeClient
+// clientTransitions is clientRules by state and event.
+var clientTransitions = func() (table [clientStateCount][clientEventCount]clientTransition) {
+	for s := range clientStateCount {
+		for e := range clientEventCount {
+			table[s][e].next = s
 		}
-		return clientClosed, resetClient
 	}
-	if s == clientMigrating {
-		return s.nextMigrating(e)
-	}
-	switch e {
-	case eventPartialLine:
-		return clientMidLine, doNothing
-	case eventLineEnd:
-		return clientOpen, doNothing
-	case eventMigrate:
-		if s == clientMidLine {
-			return clientMigrating, awaitLineEnd
+	for _, r := range clientRules {
+		for _, s := range r.in {
+			table[s][r.on] = clientTransition{r.next, r.action}
 		}
-		return clientClosed, sendMove
-	}
-	return s, doNothing
-}
-
-func (s clientState) nextMigrating(e clientEvent) (clientState, clientAction) {
-	switch e {
-	case eventLineEnd:
-		return clientClosed, sendMove
-	case eventTimeout:
-		return clientClosed, closeBothSides
-	}
-	return s, doNothing
-}
-
-func (s clientState) nextFlushingToClient(e clientEvent) (clientState, clientAction) {
-	switch e {
-	case eventMemberFlushed, eventTimeout:
-		return clientClosed, finishAttempt
-	case eventClientEOF, eventClientEOFBlocked:
-		return clientClosed, closeFlow
-	case eventClientReset:
-		return clientClosed, resetFlow
 	}
-	return s, doNothing
-}
+	return table
+}()
 
-func (s clientState) nextFlushingToMember(e clientEvent) (clientState, clientAction) {
-	switch e {
-	case eventClientFlushed, eventTimeout, eventClientReset, eventMemberEOF, eventMemberReset:
-		return clientClosed, closeBothSides
-	}
-	return s, doNothing
+// next is the transition function.
+func (s clientState) next(e clientEvent) (clientState, clientAction) {
+	t := &clientTransitions[s][e]
+	return t.next, t.action
 }
--- a/internal/front/line/state_test.go
+++ b/internal/front/line/state_test.go
@@ -46,6 +46,19 @@
 	}
 }
 
+// TestClientRulesUnique: no two rules are for the same state and event, where the later one would win silently.
+func TestClientRulesUnique(t *testing.T) {
+	var seen [clientStateCount][clientEventCount]bool
+	for _, r := range clientRules {
+		for _, s := range r.in {
+			if seen[s][r.on] {
+				t.Errorf("two rules for event %d in state %d", r.on, s)
+			}
+			seen[s][r.on] = true
+		}
+	}
+}
+
 // TestAttemptStates walks all states and events of an attempt: it has one result, at its end, and none twice.
 func TestAttemptStates(t *testing.T) {
 	for s := attemptDialing; s <= attemptFinished; s++ {
