--- a/internal/rollout/apply_release.go
+++ b/internal/rollout/apply_release.go
@@ -142,7 +142,7 @@
 		r.Units = append(r.Units, Unit{Name: u.Name, Zone: u.Zone, Kind: u.Kind, Capacity: u.Capacity, PreviousProgram: u.PreviousProgram,
 			PreviousConfig: u.PreviousConfig, PreviouslyEjected: rec.isEjected(u.Name), Phase: phase})
 	}
-	r.BaselineRequested, r.BaselineServed, r.BaselineDispersion = baseline(c.Baseline)
+	r.serviceBaseline = newServiceBaseline(c.Baseline)
 	r.UnitsSet, r.UnitsSetAt, r.ProgressAt, r.State = true, at, at, ReleaseRunning
 	rec.Version++
 	return Result{Name: r.Name, State: string(r.State)}
--- a/internal/rollout/plan_halt.go
+++ b/internal/rollout/plan_halt.go
@@ -44,17 +44,12 @@
 			return HaltOverdue, fmt.Sprintf("%s %s is %s for %d ms", u.Kind, u.currentName(), u.Phase, p.now-u.OrderedAt)
 		}
 	}
-	if p.serviceDegraded(r, max(r.UnitsSetAt, r.ResumedAt)) {
-		return HaltServiceDegraded, fmt.Sprintf("it was %.4f before", r.BaselineServed/r.BaselineRequested)
+	if r.degraded(p.budgets.ServiceTolerance, p.view.Service, max(r.UnitsSetAt, r.ResumedAt)) {
+		return HaltServiceDegraded, fmt.Sprintf("it was %.4f before", r.Served/r.Requested)
 	}
 	return "", ""
 }
 
-// serviceDegraded compares the service since a time with that before the release.
-func (p *planner) serviceDegraded(r *release, since int64) bool {
-	return degraded(r.BaselineRequested, r.BaselineServed, r.BaselineDispersion, p.budgets.ServiceTolerance, p.view.Service, since)
-}
-
 // resumeCommand resumes the first release whose halt's cause is gone, if that needs no operator. A cause has to be gone for as long as a silence
 // takes to be one.
 func (p *planner) resumeCommand() *Command {
@@ -77,7 +72,7 @@
 	case HaltOverdue:
 		return !r.hasUnitReturning()
 	case HaltServiceDegraded:
-		return !r.hasUnitReturning() && !p.serviceDegraded(r, r.Halt.HaltedAt)
+		return !r.hasUnitReturning() && !r.degraded(p.budgets.ServiceTolerance, p.view.Service, r.Halt.HaltedAt)
 	case HaltDrift:
 		return p.view.Drift == ""
 	case HaltStalled:
--- a/internal/rollout/release.go
+++ b/internal/rollout/release.go
@@ -123,14 +123,12 @@
 // release is a release as the record stores it.
 type release struct {
 	ReleaseStatus
-	UnitsSet           bool    `json:"laid,omitempty"`
-	UnitsSetAt         int64   `json:"since,omitempty"`   // the service after it is compared with the baseline
-	ResumedAt          int64   `json:"resumed,omitempty"` // overdue counts from here
-	ProgressAt         int64   `json:"moved,omitempty"`
-	BaselineRequested  float64 `json:"asked,omitempty"` // before the release
-	BaselineServed     float64 `json:"served,omitempty"`
-	BaselineDispersion float64 `json:"spread,omitempty"` // by how much windows differed beyond chance
-	HaltCauses         []Cause `json:"causes,omitempty"` // of its halts by the leader so far
+	UnitsSet   bool  `json:"laid,omitempty"`
+	UnitsSetAt int64 `json:"since,omitempty"`   // the service after it is compared with the baseline
+	ResumedAt  int64 `json:"resumed,omitempty"` // overdue counts from here
+	ProgressAt int64 `json:"moved,omitempty"`
+	serviceBaseline
+	HaltCauses []Cause `json:"causes,omitempty"` // of its halts by the leader so far
 }
 
 func (r *release) findUnit(name string) *Unit {
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -641,11 +641,11 @@
 		for range 30 {
 			counts = append(counts, window(0.97))
 		}
-		asked, served, spread := baseline(counts)
-		if degraded(asked, served, spread, 0.01, []ServiceWindow{window(0.97), window(0.97), window(0.97)}, 0) {
+		before := newServiceBaseline(counts)
+		if before.degraded(0.01, []ServiceWindow{window(0.97), window(0.97), window(0.97)}, 0) {
 			halted++
 		}
-		if degraded(asked, served, spread, 0.01, []ServiceWindow{window(0.85), window(0.85), window(0.85)}, 0) {
+		if before.degraded(0.01, []ServiceWindow{window(0.85), window(0.85), window(0.85)}, 0) {
 			found++
 		}
 	}
