--- a/cmd/dahliarudder/operator.go
+++ b/cmd/dahliarudder/operator.go
@@ -10,7 +10,7 @@
 // restoreEjections applies the ejections that an earlier process has stored, and starts the goroutine that writes them. That one is not
 // waited for at the end: a slow disk must not delay a shutdown, and the file is replaced atomically.
 func (r *relay) restoreEjections() error {
-	dir, err := ejections.Dir(r.cfg.Name)
+	dir, err := ejections.StateDir(r.cfg.Name)
 	if err != nil {
 		return err
 	}
--- a/internal/ejections/bans_test.go
+++ b/internal/ejections/file_test.go
@@ -19,29 +19,29 @@
 	return names
 }
 
-// TestSet: a name said twice is banned once, and one word back undoes both.
+// TestSet: a member that is ejected twice is listed once, and one reinstatement undoes both.
 func TestSet(t *testing.T) {
 	f := File{t.TempDir()}
 	for _, step := range []struct {
-		name string
-		out  bool
-		want []string
+		name    string
+		ejected bool
+		want    []string
 	}{
 		{"a", false, nil}, {"a", true, []string{"a"}}, {"a", true, []string{"a"}}, {"b", true, []string{"a", "b"}},
 		{"a", false, []string{"b"}}, {"a", false, []string{"b"}},
 	} {
-		if err := f.Set(step.name, step.out); err != nil {
+		if err := f.Set(step.name, step.ejected); err != nil {
 			t.Fatal(err)
 		}
 		if got := read(t, f); !slices.Equal(got, step.want) {
-			t.Errorf("after %s %v: %v, want %v", step.name, step.out, got, step.want)
+			t.Errorf("after %s %v: %v, want %v", step.name, step.ejected, got, step.want)
 		}
 	}
 }
 
-// TestTorn: a file that is cut short is told and counts as empty, and the next ban
+// TestTornFile: a file that is cut short is an error and counts as empty, and the next ejection
 // writes it anew. Guards against a start that fails for a file torn by a full disk.
-func TestTorn(t *testing.T) {
+func TestTornFile(t *testing.T) {
 	f := File{t.TempDir()}
 	if err := os.WriteFile(f.path(), []byte(`["a","b`), 0o600); err != nil {
 		t.Fatal(err)
@@ -57,10 +57,10 @@
 	}
 }
 
-// TestTwo: two processes that write at once lose nothing of each other's, nobody
+// TestConcurrentWriters: two processes that write at once lose nothing of each other's, nobody
 // ever reads a part of a file, and no temporary file is left. Each File opens the
 // lock by itself, as processes do.
-func TestTwo(t *testing.T) {
+func TestConcurrentWriters(t *testing.T) {
 	dir := t.TempDir()
 	var wait sync.WaitGroup
 	for p := range 2 {
@@ -86,32 +86,32 @@
 	}
 }
 
-// TestUnwritable: what cannot be kept is an error, so that no yes is given.
+// TestUnwritable: what cannot be stored is an error, so that it is not confirmed.
 func TestUnwritable(t *testing.T) {
 	if err := (File{filepath.Join(t.TempDir(), "gone")}).Set("a", true); err == nil {
 		t.Error("no error")
 	}
 }
 
-// TestDir: a directory is found again by the relay's name, and what another user or
+// TestStateDir: a directory is found again by the relay's name, and what another user or
 // program may have put in its place is not taken.
-func TestDir(t *testing.T) {
+func TestStateDir(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
-	first, err := Dir("n/../1")
+	first, err := StateDir("n/../1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again, err := Dir("n/../1"); err != nil || again != first || filepath.Dir(first) != os.TempDir() {
+	if again, err := StateDir("n/../1"); err != nil || again != first || filepath.Dir(first) != os.TempDir() {
 		t.Errorf("%s, then %s, %v", first, again, err)
 	}
-	if other, err := Dir("n2"); err != nil || other == first {
+	if other, err := StateDir("n2"); err != nil || other == first {
 		t.Errorf("%s for another name, %v", other, err)
 	}
 	os.Remove(first)
 	if err := os.Symlink(os.TempDir(), first); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Dir("n/../1"); err == nil {
+	if _, err := StateDir("n/../1"); err == nil {
 		t.Error("a link was taken for the directory")
 	}
 }
--- a/internal/ejections/stored_test.go
+++ b/internal/ejections/stored_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestStoredFormsBans: the file of banned names written by release 63fa232 is read, and a change to it is written in the same form.
-func TestStoredFormsBans(t *testing.T) {
+// TestStoredFormsEjections: the file of ejected members written by release 63fa232 is read, and a change to it is written in the same form.
+func TestStoredFormsEjections(t *testing.T) {
 	written, err := os.ReadFile(filepath.Join("testdata", "head", "bans.json"))
 	if err != nil {
 		t.Fatal(err)
