--- a/cmd/dahliarudder/fleet_status.go
+++ b/cmd/dahliarudder/fleet_status.go
@@ -21,20 +21,20 @@
 		r.flowTime += time.Duration(r.core.ActiveRequests()) * (now - r.statusAt)
 	}
 	r.statusAt = now
-	l := fleet.ObservedState{Phase: "serving", Flows: r.core.ActiveRequests(), DemandMS: uint64((r.flowTime + n.BackoffTime).Milliseconds()), ServedMS: uint64(r.flowTime.Milliseconds()), MisroutedFlows: uint64(n.SentAfterGrace),
+	l := fleet.ObservedState{Phase: fleet.RelayServing, Flows: r.core.ActiveRequests(), DemandMS: uint64((r.flowTime + n.BackoffTime).Milliseconds()), ServedMS: uint64(r.flowTime.Milliseconds()), MisroutedFlows: uint64(n.SentAfterGrace),
 		LocalEjections: r.core.Ejected(), AppliedExclusions: r.fleetEjected, AppliedVersion: r.recordVersion, ListGeneration: list.Generation, ConfigSections: r.configDigests, PermitsVersion: r.permits, QuarantineOrder: r.quarantineOrder}
 	if r.reloadError != "" {
 		l.RejectedItems = map[string]string{drift.ItemConfig + ".settings": r.reloadError}
 	}
 	switch {
 	case r.stopping:
-		l.Phase = "leaving"
+		l.Phase = fleet.RelayLeaving
 	case !r.accepting || !r.core.HasUsableMember() || !r.caughtUp:
-		l.Phase = "starting"
+		l.Phase = fleet.RelayStarting
 	case r.quarantineOrder != 0:
-		l.Phase = "shut"
+		l.Phase = fleet.RelayQuarantined
 	case !r.core.AcceptsClients():
-		l.Phase = "draining"
+		l.Phase = fleet.RelayDraining
 	}
 	for _, m := range r.core.Members() {
 		p := fleet.MemberState{Name: m.Name, DiscoveryState: stateNames[m.State], Flows: m.Flows, Capacity: m.Capacity, Successes: m.Successes, Failures: m.Failures}
--- a/internal/fleet/agreed_state.go
+++ b/internal/fleet/agreed_state.go
@@ -110,7 +110,7 @@
 			return
 		}
 		if err := state.write(s.Dir); err != nil {
-			s.noteFailure("keep", err)
+			s.noteFailure(opSave, err)
 			return
 		}
 		saved = state
--- a/internal/fleet/drift_evaluation.go
+++ b/internal/fleet/drift_evaluation.go
@@ -34,7 +34,7 @@
 		return drift.Terminated
 	case c.fleet.relays[r.Name] == nil || r.ReportAgeMS > silenceTimeout.Milliseconds():
 		return drift.Unreachable
-	case r.Phase == "leaving" || r.Phase == "starting" || unit.Phase == rollout.PhaseLeaving && r.StartNumber <= uint64(unit.SeenStart):
+	case r.Phase == string(RelayLeaving) || r.Phase == string(RelayStarting) || unit.Phase == rollout.PhaseLeaving && r.StartNumber <= uint64(unit.SeenStart):
 		return drift.Restarting
 	}
 	return drift.Alive
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -82,7 +82,7 @@
 
 func (m *model) start(r *modelRelay) {
 	r.incarnation++
-	r.restartsAt, r.leaving, r.observed = 0, false, ObservedState{Phase: "serving", ListGeneration: m.listGeneration}
+	r.restartsAt, r.leaving, r.observed = 0, false, ObservedState{Phase: RelayServing, ListGeneration: m.listGeneration}
 	r.reporter = newStatusReporter(&Options{Name: r.name, Incarnation: r.incarnation, Program: r.program, ConfigDigest: r.config})
 	m.applyRecord(r)
 }
@@ -126,10 +126,10 @@
 			r.observed.QuarantineOrder = o.Quarantine.Number
 		}
 		if !r.leaving {
-			r.observed.Phase = map[bool]string{false: "serving", true: "draining"}[r.observed.QuarantineOrder != 0]
+			r.observed.Phase = map[bool]RelayPhase{false: RelayServing, true: RelayDraining}[r.observed.QuarantineOrder != 0]
 		}
 		if o.Leave != nil && o.Leave.StartNumber >= r.incarnation && !r.leaving {
-			r.leaving, r.observed.Phase = true, "leaving"
+			r.leaving, r.observed.Phase = true, RelayLeaving
 			m.after(3000, func() {
 				r.restartsAt, r.program = m.now+2000+m.rng.Int64N(9000), cmp.Or(o.Leave.Program, r.program)
 				if !r.rejectsConfig {
@@ -212,7 +212,7 @@
 func (m *model) controlRound() {
 	m.leaderState = ObservedState{Members: []MemberState{{Name: "m1", DiscoveryState: "ready", Capacity: 9}, {Name: "m2", DiscoveryState: "ready", Capacity: 9}}}
 	for _, r := range m.relays {
-		m.leaderState.Peers = append(m.leaderState.Peers, Peer{Name: r.name, Alive: r.restartsAt == 0, Gone: r.restartsAt != 0, Serving: r.observed.Phase == "serving", Incarnation: r.incarnation})
+		m.leaderState.Peers = append(m.leaderState.Peers, Peer{Name: r.name, Alive: r.restartsAt == 0, Gone: r.restartsAt != 0, Serving: r.observed.Phase == RelayServing, Incarnation: r.incarnation})
 	}
 	m.view = m.controller.fleet.buildView(m.now, m.leaderSince, m.budgets.FlowHoldMS, m.leader.name, m.leaderState, slowStart{})
 	m.controller.voters = drift.Item{Name: drift.ItemVoters, Version: 7, Digest: 1}
@@ -593,7 +593,7 @@
 		most, first := 0, ""
 		out := func() (n int) {
 			for _, r := range m.relays {
-				if r.observed.Phase != "serving" || r.restartsAt != 0 {
+				if r.observed.Phase != RelayServing || r.restartsAt != 0 {
 					n++
 				}
 				if r.restartsAt != 0 || r.name == first { // its host restores the file
--- a/internal/fleet/observed_state.go
+++ b/internal/fleet/observed_state.go
@@ -1,8 +1,20 @@
 package fleet
 
+// RelayPhase is how far a relay is in its life cycle. Its text is part of status reports and of the API.
+type RelayPhase string
+
+// Phases of a relay.
+const (
+	RelayStarting    RelayPhase = "starting"
+	RelayServing     RelayPhase = "serving"
+	RelayDraining    RelayPhase = "draining" // it takes no new clients
+	RelayQuarantined RelayPhase = "shut"     // it takes no clients by an order of the record
+	RelayLeaving     RelayPhase = "leaving"  // its process is about to end
+)
+
 // ObservedState is what a relay is doing, as read on its event loop.
 type ObservedState struct {
-	Phase          string
+	Phase          RelayPhase
 	ListGeneration uint64 // of discovery's endpoint list
 	Flows          int
 	// DemandMS and ServedMS count clients' time in milliseconds: ServedMS that in which a flow stood; DemandMS that and the time for which
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -139,6 +139,15 @@
 	}
 }
 
+// Names of operations that may fail, as the "failed" object of GET /-/fleet has them.
+const (
+	opReport = "say"
+	opSave   = "keep"
+	opIntent = "intent"
+	opPlan   = "plan "   // and the kind of the command
+	opCanary = "canary " // and its operation
+)
+
 // noteFailure counts a failed operation for the status page and logs the first one: the caller tries again anyway.
 func (s *Service) noteFailure(operation string, err error) {
 	s.mu.Lock()
--- a/internal/fleet/status_report.go
+++ b/internal/fleet/status_report.go
@@ -13,7 +13,7 @@
 type statusReport struct {
 	Incarnation    uint64         `json:"start"`
 	Zone           string         `json:"zone"`
-	Phase          string         `json:"phase"`
+	Phase          RelayPhase     `json:"phase"`
 	Program        string         `json:"program"`
 	Config         string         `json:"config"`  // digest of the configuration
 	AppliedVersion uint64         `json:"follows"` // of the record
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -43,11 +43,11 @@
 		r := rollout.Relay{Name: name, ReportAgeMS: now - leaderSince}
 		peer, known := peers[name]
 		if status := f.relays[name]; status != nil {
-			r.Zone, r.ReportAgeMS, r.StartNumber, r.Phase, r.Program = status.Zone, now-status.receivedAt, status.Incarnation, status.Phase, status.Program
+			r.Zone, r.ReportAgeMS, r.StartNumber, r.Phase, r.Program = status.Zone, now-status.receivedAt, status.Incarnation, string(status.Phase), status.Program
 			r.Config, r.AppliedVersion, r.Flows = status.Config, status.AppliedVersion, status.Flows
 			// In service only if this very process serves by gossip too. Of itself the leader needs no confirmation.
 			confirmed := name == self || known && peer.Alive && peer.Serving && peer.Incarnation >= status.Incarnation
-			r.InService = r.Phase == "serving" && confirmed
+			r.InService = status.Phase == RelayServing && confirmed
 		}
 		if known {
 			r.Zone = cmp.Or(r.Zone, peer.Zone)
--- a/internal/fleet/view_test.go
+++ b/internal/fleet/view_test.go
@@ -24,7 +24,7 @@
 	own := ObservedState{Members: []MemberState{{Name: "old", DiscoveryState: "ready", Capacity: 40}, {Name: "new", DiscoveryState: "ready", StartedAt: now - 4000}},
 		Peers: []Peer{{Name: "b", Alive: true, Serving: true, Incarnation: 70}, {Name: "c", Gone: true, Incarnation: 5}}}
 	of := func(start, asked, bad uint64, flows int) statusReport {
-		return statusReport{Incarnation: start, Phase: "serving", DemandMS: asked, ServedMS: asked, Members: []memberReport{{Name: "old", Flows: flows, Failures: bad}}}
+		return statusReport{Incarnation: start, Phase: RelayServing, DemandMS: asked, ServedMS: asked, Members: []memberReport{{Name: "old", Flows: flows, Failures: bad}}}
 	}
 	s.receive(now-3000, "a", of(50, 10, 0, 3))
 	s.receive(now-2500, "b", of(71, 20, 0, 4))
