--- a/internal/front/line/client.go
+++ b/internal/front/line/client.go
@@ -1,6 +1,7 @@
 package line
 
 import (
+	"errors"
 	"io"
 	"strconv"
 	"time"
@@ -192,9 +193,9 @@
 // End implements netloop's handler.
 func (c *clientConn) End(err error) {
 	switch {
-	case err == io.EOF && c.blockedBytes > 0:
+	case errors.Is(err, io.EOF) && c.blockedBytes > 0:
 		c.handle(eventClientEOFBlocked)
-	case err == io.EOF:
+	case errors.Is(err, io.EOF):
 		c.handle(eventClientEOF)
 	default:
 		c.handle(eventClientReset)
--- a/internal/front/line/upstream.go
+++ b/internal/front/line/upstream.go
@@ -157,7 +157,7 @@
 // End implements netloop's handler.
 func (u *upstream) End(err error) {
 	open := u.state.isOpen()
-	if open && err == io.EOF && u.blockedBytes > 0 {
+	if open && errors.Is(err, io.EOF) && u.blockedBytes > 0 {
 		u.client.handle(eventMemberEOFBlocked)
 		return
 	}
@@ -176,7 +176,7 @@
 
 // closeClient closes the client's side the way the member closed its own.
 func (u *upstream) closeClient(err error) {
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		u.client.handle(eventMemberEOF)
 	} else {
 		u.client.handle(eventMemberReset)
--- a/internal/front/nats/client.go
+++ b/internal/front/nats/client.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"time"
@@ -108,7 +109,7 @@
 
 // End implements netloop's handler.
 func (c *client) End(err error) {
-	if err == io.EOF && !c.isQuiescent() {
+	if errors.Is(err, io.EOF) && !c.isQuiescent() {
 		c.halfClosed = true
 		return
 	}
--- a/internal/front/nats/config.go
+++ b/internal/front/nats/config.go
@@ -97,7 +97,7 @@
 	}
 	for i, u := range c.ConnectURLs {
 		if _, err := netip.ParseAddrPort(u); err != nil {
-			return fmt.Errorf("connect_urls[%d]: %v", i, err)
+			return fmt.Errorf("connect_urls[%d]: %w", i, err)
 		}
 	}
 	for i, r := range append([]Route{{">", c.Class, c.Tenant}}, c.Routes...) {
--- a/internal/front/nats/health_check.go
+++ b/internal/front/nats/health_check.go
@@ -128,7 +128,7 @@
 		h.finish(policy.NotSent, policy.NoReport)
 	case errors.Is(err, netloop.ErrDialTimeout): // the member does not respond at all
 		h.finish(policy.Timeout, policy.NoReport)
-	case err == io.EOF:
+	case errors.Is(err, io.EOF):
 		h.finish(policy.Reset, policy.NoReport)
 	default:
 		h.finish(policy.ConnectFailed, policy.NoReport)
--- a/internal/front/nats/link.go
+++ b/internal/front/nats/link.go
@@ -289,7 +289,7 @@
 	if !l.ready && (!l.infoReceived || l.conn.Unsent() > 0) || l.conn.Unsent() > 0 && err != nil {
 		result = policy.ConnectFailed
 	}
-	if l.infoReceived && !l.ready && err == io.EOF {
+	if l.infoReceived && !l.ready && errors.Is(err, io.EOF) {
 		result = policy.Error // it rejected CONNECT
 	}
 	if errors.Is(err, netloop.ErrNoDescriptors) { // the relay's own shortage, not the member's fault
--- a/internal/front/nats/security.go
+++ b/internal/front/nats/security.go
@@ -128,12 +128,12 @@
 	}
 	for name, path := range map[string]string{"cert": cert, "key": key} {
 		if _, err := os.Stat(path); err != nil {
-			return nil, fmt.Errorf("%s.%s: %v", at, name, err)
+			return nil, fmt.Errorf("%s.%s: %w", at, name, err)
 		}
 	}
 	c, err := tls.LoadX509KeyPair(cert, key)
 	if err != nil {
-		return nil, fmt.Errorf("%s.cert: %v", at, err)
+		return nil, fmt.Errorf("%s.cert: %w", at, err)
 	}
 	if c.Leaf != nil && time.Now().After(c.Leaf.NotAfter) {
 		return nil, fmt.Errorf("%s.cert: has expired on %s", at, c.Leaf.NotAfter.Format(time.DateOnly))
@@ -149,7 +149,7 @@
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %v", at, err)
+		return nil, fmt.Errorf("%s: %w", at, err)
 	}
 	p := x509.NewCertPool()
 	if !p.AppendCertsFromPEM(text) {
@@ -173,7 +173,7 @@
 	path = file(path)
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return fmt.Errorf("%s: %v", at, err)
+		return fmt.Errorf("%s: %w", at, err)
 	}
 	if l.CredentialsFile != "" {
 		if s.jwt, err = jwt.ParseDecoratedJWT(text); err == nil {
@@ -183,7 +183,7 @@
 		s.nkey, err = nkeys.FromSeed([]byte(strings.TrimSpace(string(text))))
 	}
 	if err != nil {
-		return fmt.Errorf("%s: %s: %v", at, path, err)
+		return fmt.Errorf("%s: %s: %w", at, path, err)
 	}
 	return nil
 }
