--- a/internal/window/window.go
+++ b/internal/window/window.go
@@ -12,8 +12,8 @@
 // The parts of the aim within which an acknowledgement lets the window grow, and beyond which
 // it is halved; and the part of a message's time that one attempt may take.
 const (
-	quick, late = 0.25, 0.5
-	patience    = 0.6
+	growBelow, shrinkAbove = 0.25, 0.5
+	attemptShare           = 0.6
 )
 
 // Limits is what a window may hold and how it repeats.
@@ -28,26 +28,26 @@
 
 // Message is one of them.
 type Message struct {
-	ID            uint64
-	Name          string        // for the record; may be empty
-	Subject       uint64        // messages of one subject keep their order
-	Sequence      uint64        // the front's own number, which grows from message to message
-	Deadline      time.Duration // when its time is over
-	Sent          time.Duration // when its latest attempt began
-	Offset        uint64        // how many bytes the link had been given after it; the carrier's
-	ReplyExpected bool          // somebody waits to hear that nobody listens
-	Attempts      int
-	ran           bool // an attempt may have been taken
-	state         state
-	at, end       int // where its text stands
+	ID                 uint64
+	Name               string        // for the record; may be empty
+	Subject            uint64        // messages of one subject keep their order
+	Sequence           uint64        // the front's own number, which grows from message to message
+	Deadline           time.Duration // when its time is over
+	Sent               time.Duration // when its latest attempt began
+	Offset             uint64        // how many bytes the link had been given after it; the carrier's
+	ReplyExpected      bool          // somebody waits to hear that nobody listens
+	Attempts           int
+	mayHaveRun         bool // an attempt may have been taken
+	state              state
+	textStart, textEnd int // where its text stands
 }
 
 type state uint8
 
 const (
 	waiting state = iota
-	out
-	refused  // by the member, which has not taken it
+	inFlight
+	rejected // by the member, which has not taken it
 	answered // it has its final answer
 )
 
@@ -64,23 +64,23 @@
 // Window is the messages of one feed.
 type Window struct {
 	Limits
-	ring  []Message // a power of two; message n stands at n modulo that
-	head  uint64    // the oldest without a final answer
-	acked uint64    // the oldest that is out and not acknowledged
-	sent  uint64    // the next to be sent
-	next  uint64    // the next to come
-	text  []byte    // of the messages from head on, with gaps
-	base  int       // how much text has gone before
-	bytes int       // that count against the limit
-	most  int       // how many may be out
-	cut   time.Duration
-	held  bool // a message was refused: nothing is sent until all that is out is settled
+	ring         []Message // a power of two; message n stands at n modulo that
+	head         uint64    // the oldest without a final answer
+	acked        uint64    // the oldest that is out and not acknowledged
+	sent         uint64    // the next to be sent
+	next         uint64    // the next to come
+	text         []byte    // of the messages from head on, with gaps
+	base         int       // how much text has gone before
+	bytes        int       // that count against the limit
+	maxInFlight  int       // how many may be out
+	lastDecrease time.Duration
+	awaitingAcks bool // a message was refused: nothing is sent until all that is out is settled
 }
 
 // New makes an empty window.
 func New(l Limits) *Window {
 	l.MaxMessages, l.MaxBytes, l.MaxAttempts = max(l.MaxMessages, 1), max(l.MaxBytes, 1), max(l.MaxAttempts, 1)
-	return &Window{Limits: l, most: min(InitialWindow, l.MaxMessages)}
+	return &Window{Limits: l, maxInFlight: min(InitialWindow, l.MaxMessages)}
 }
 
 // HasCapacity says whether another message is taken in.
@@ -109,18 +109,18 @@
 func (w *Window) at(n uint64) *Message { return &w.ring[n&uint64(len(w.ring)-1)] }
 
 // Text is what is sent for a message; it is valid until the window changes.
-func (w *Window) Text(m *Message) []byte { return w.text[m.at-w.base : m.end-w.base] }
+func (w *Window) Text(m *Message) []byte { return w.text[m.textStart-w.base : m.textEnd-w.base] }
 
 // Buffer is where the text of the next message, of so many bytes at least, is appended, for Put.
 func (w *Window) Buffer(more int) []byte {
 	if len(w.text)+more > cap(w.text) {
 		live, old := w.text, w.text
 		if !w.Idle() {
-			live = w.text[w.at(w.head).at-w.base:]
+			live = w.text[w.at(w.head).textStart-w.base:]
 		}
 		w.base += len(w.text) - len(live)
-		w.text = append(texts.borrow(max(len(live)+more, 2*len(live))), live...)
-		texts.giveBack(old)
+		w.text = append(textPool.get(max(len(live)+more, 2*len(live))), live...)
+		textPool.put(old)
 	}
 	return w.text
 }
@@ -130,27 +130,27 @@
 	if n := int(w.next - w.head); n == len(w.ring) {
 		w.grow(2 * n)
 	}
-	m.at, m.end = w.base+len(w.text), w.base+len(buffer)
-	m.Attempts, m.Sent, m.Offset, m.ran, m.state = 0, 0, 0, false, waiting
+	m.textStart, m.textEnd = w.base+len(w.text), w.base+len(buffer)
+	m.Attempts, m.Sent, m.Offset, m.mayHaveRun, m.state = 0, 0, 0, false, waiting
 	w.text = buffer
-	w.bytes += m.end - m.at
+	w.bytes += m.textEnd - m.textStart
 	*w.at(w.next) = m
 	w.next++
 }
 
 func (w *Window) grow(least int) {
 	old := *w
-	w.ring = rings.borrow(max(least, few))
+	w.ring = ringPool.get(max(least, minRing))
 	w.ring = w.ring[:cap(w.ring)]
 	for n := w.head; n < w.next; n++ {
 		*w.at(n) = *old.at(n)
 	}
-	rings.giveBack(old.ring)
+	ringPool.put(old.ring)
 }
 
 // Next is the message that may be sent now, nil if none may.
 func (w *Window) Next() *Message {
-	if w.held || w.sent == w.next || w.InFlight() >= w.most {
+	if w.awaitingAcks || w.sent == w.next || w.InFlight() >= w.maxInFlight {
 		return nil
 	}
 	return w.at(w.sent)
@@ -162,7 +162,7 @@
 // Begin says that an attempt of Next has begun.
 func (w *Window) Begin(now time.Duration) {
 	m := w.at(w.sent)
-	m.state, m.Sent = out, now
+	m.state, m.Sent = inFlight, now
 	m.Attempts++
 	w.sent++
 }
@@ -178,26 +178,26 @@
 	for range n {
 		m := w.at(w.acked)
 		w.acked++
-		if m.state == out {
+		if m.state == inFlight {
 			m.state = answered
 			served(m)
 		}
 	}
 	switch {
-	case took < time.Duration(quick*float64(w.LatencyObjective)):
-		w.most = min(w.most+n, w.MaxMessages)
-	case took > time.Duration(late*float64(w.LatencyObjective)) && now-w.cut >= took:
-		w.most, w.cut = max(w.most/2, 1), now
+	case took < time.Duration(growBelow*float64(w.LatencyObjective)):
+		w.maxInFlight = min(w.maxInFlight+n, w.MaxMessages)
+	case took > time.Duration(shrinkAbove*float64(w.LatencyObjective)) && now-w.lastDecrease >= took:
+		w.maxInFlight, w.lastDecrease = max(w.maxInFlight/2, 1), now
 	}
-	w.shed()
+	w.compact()
 }
 
 // MarkRejected says that the member has refused the oldest message of that subject that is out. It
 // returns it, or nil if there is none. Until Settled nothing more is sent.
 func (w *Window) MarkRejected(subject uint64) *Message {
 	for n := w.acked; n < w.sent; n++ {
-		if m := w.at(n); m.state == out && m.Subject == subject {
-			m.state, w.held = refused, true
+		if m := w.at(n); m.state == inFlight && m.Subject == subject {
+			m.state, w.awaitingAcks = rejected, true
 			return m
 		}
 	}
@@ -206,7 +206,7 @@
 
 // Settled says that a message was refused and the answers to all others are in: now the link
 // may be given up without a message being sent twice for nothing.
-func (w *Window) Settled() bool { return w.held && w.acked == w.sent }
+func (w *Window) Settled() bool { return w.awaitingAcks && w.acked == w.sent }
 
 // LinkClosed says that the link has surely ended. Every message on it that has no answer comes back
 // in its order: ended is told how its attempt ended; where no other may follow, failed is told
@@ -214,7 +214,7 @@
 // many have left.
 func (w *Window) LinkClosed(left uint64, ended func(*Message, Result), failed func(*Message)) {
 	var last map[uint64]uint64 // the newest of each subject that was taken
-	if w.held {
+	if w.awaitingAcks {
 		last = map[uint64]uint64{}
 		for n := w.head; n < w.sent; n++ {
 			if m := w.at(n); m.state == answered {
@@ -227,19 +227,19 @@
 		switch m.state {
 		case answered:
 			continue
-		case refused:
-			w.mayHaveRun(m)
+		case rejected:
+			w.markMayHaveRun(m)
 			ended(m, Rejected)
-		case out:
+		case inFlight:
 			if m.Offset <= left {
-				w.mayHaveRun(m)
+				w.markMayHaveRun(m)
 				ended(m, AckLost)
 			} else {
 				ended(m, NotWritten)
 			}
 		}
 		// One behind which its subject went on would turn the order round.
-		if m.Attempts >= w.MaxAttempts || m.ran && !w.Repeatable || m.state == refused && last[m.Subject] > n {
+		if m.Attempts >= w.MaxAttempts || m.mayHaveRun && !w.Repeatable || m.state == rejected && last[m.Subject] > n {
 			m.state = answered
 			failed(m)
 		} else {
@@ -253,20 +253,20 @@
 			to--
 			*w.at(to) = *m
 		} else {
-			w.bytes -= m.end - m.at
+			w.bytes -= m.textEnd - m.textStart
 		}
 	}
 	w.head, w.acked, w.sent = to, to, to
-	w.held, w.most = false, min(InitialWindow, w.MaxMessages)
-	w.shed()
+	w.awaitingAcks, w.maxInFlight = false, min(InitialWindow, w.MaxMessages)
+	w.compact()
 }
 
-// mayHaveRun notes that the latest attempt of a message may have been taken. The first such one bounds its time.
-func (w *Window) mayHaveRun(m *Message) {
-	if !m.ran && w.RepeatWindow > 0 {
+// markMayHaveRun notes that the latest attempt of a message may have been taken. The first such one bounds its time.
+func (w *Window) markMayHaveRun(m *Message) {
+	if !m.mayHaveRun && w.RepeatWindow > 0 {
 		m.Deadline = min(m.Deadline, m.Sent+w.RepeatWindow)
 	}
-	m.ran = true
+	m.mayHaveRun = true
 }
 
 // Expire has the oldest messages given up that wait and whose time is over by then: each is handed
@@ -278,10 +278,10 @@
 			break
 		}
 		m.state = answered
-		up(m, m.ran)
+		up(m, m.mayHaveRun)
 		w.acked++
 		w.sent++
-		w.shed()
+		w.compact()
 	}
 }
 
@@ -293,7 +293,7 @@
 	m := w.at(w.acked)
 	at = m.Deadline
 	if m.Attempts < w.MaxAttempts { // time must be left for another
-		part := max(w.LatencyObjective, time.Duration(patience*float64(m.Deadline-m.Sent)))
+		part := max(w.LatencyObjective, time.Duration(attemptShare*float64(m.Deadline-m.Sent)))
 		at = min(at, m.Sent+part)
 	}
 	return min(at, w.at(w.head).Deadline), true // an older one may have been refused
@@ -307,32 +307,32 @@
 	return w.at(w.head).Deadline, true
 }
 
-// shed lets go of what has its final answer, from the oldest on.
-func (w *Window) shed() {
+// compact lets go of what has its final answer, from the oldest on.
+func (w *Window) compact() {
 	for w.head < w.acked {
 		m := w.at(w.head)
 		if m.state != answered {
 			return
 		}
-		w.bytes -= m.end - m.at
+		w.bytes -= m.textEnd - m.textStart
 		m.Name = ""
 		w.head++
 	}
 	if w.Idle() {
 		// An idle feed keeps no more than a little.
-		if w.base += len(w.text); cap(w.text) > small {
-			texts.giveBack(w.text)
+		if w.base += len(w.text); cap(w.text) > minText {
+			textPool.put(w.text)
 			w.text = nil
 		} else {
 			w.text = w.text[:0]
 		}
-		if len(w.ring) > few {
-			rings.giveBack(w.ring)
+		if len(w.ring) > minRing {
+			ringPool.put(w.ring)
 			w.ring = nil
 		}
 		return
 	}
-	if gone := w.at(w.head).at - w.base; gone > len(w.text)/2 {
+	if gone := w.at(w.head).textStart - w.base; gone > len(w.text)/2 {
 		w.text = w.text[:copy(w.text, w.text[gone:])]
 		w.base += gone
 	}
