--- a/internal/loadestimate/estimator.go
+++ b/internal/loadestimate/estimator.go
@@ -10,52 +10,52 @@
 )
 
 const (
-	// idle is the load under which a member's report tells nothing of its width; the module
+	// minLoad is the load under which a member's report tells nothing of its width; the module
 	// learns a width from loads over 0.05.
-	idle = 0.06
-	// still is how much later than at its best a member may answer without it being taken
+	minLoad = 0.06
+	// latencyNoise is how much later than at its best a member may answer without it being taken
 	// for work piled up: the noise of a network and of the relay's own loop.
-	still = 5 * time.Millisecond
-	// learn is the weight of one answer, and forget how fast the best answer is forgotten,
+	latencyNoise = 5 * time.Millisecond
+	// learningRate is the weight of one answer, and forget how fast the best answer is forgotten,
 	// so that a member that has moved farther away is not taken for a slow one for good.
-	learn  = 0.25
-	forget = 1.0 / 256
+	learningRate = 0.25
+	forgetRate   = 1.0 / 256
 )
 
 // Estimator is what is known of the members.
 type Estimator struct {
 	Capacity float64 // flows that fill a member
 	Relays   float64 // that are taken to hold as many flows as this one
-	seen     map[policy.ServerID]*member
+	members  map[policy.ServerID]*memberEstimate
 }
 
-type member struct{ best, late float64 } // seconds
+type memberEstimate struct{ bestLatency, lateness float64 } // seconds
 
 // New makes a Gauge.
 func New(width, relays int) *Estimator {
-	return &Estimator{Capacity: max(float64(width), 1), Relays: max(float64(relays), 1), seen: map[policy.ServerID]*member{}}
+	return &Estimator{Capacity: max(float64(width), 1), Relays: max(float64(relays), 1), members: map[policy.ServerID]*memberEstimate{}}
 }
 
 // ObserveLatency says how long a member took for an answer.
 func (g *Estimator) ObserveLatency(id policy.ServerID, took time.Duration) {
 	t := took.Seconds()
-	m := g.seen[id]
+	m := g.members[id]
 	if m == nil {
-		m = &member{best: t}
-		g.seen[id] = m
+		m = &memberEstimate{bestLatency: t}
+		g.members[id] = m
 	}
-	if t < m.best {
-		m.best = t
+	if t < m.bestLatency {
+		m.bestLatency = t
 	}
-	m.late += learn * (max(t-m.best-still.Seconds(), 0) - m.late)
-	m.best += forget * (t - m.best)
+	m.lateness += learningRate * (max(t-m.bestLatency-latencyNoise.Seconds(), 0) - m.lateness)
+	m.bestLatency += forgetRate * (t - m.bestLatency)
 }
 
 // Forget drops members that the pool no longer names.
 func (g *Estimator) Forget(known func(policy.ServerID) bool) {
-	for id := range g.seen {
+	for id := range g.members {
 		if !known(id) {
-			delete(g.seen, id)
+			delete(g.members, id)
 		}
 	}
 }
@@ -65,8 +65,8 @@
 func (g *Estimator) Report(id policy.ServerID, flows int) policy.Report {
 	r := policy.NoReport
 	r.Load, r.Backlog = float64(flows)*g.Relays/g.Capacity, 0
-	if m := g.seen[id]; m != nil {
-		r.Backlog = m.late
+	if m := g.members[id]; m != nil {
+		r.Backlog = m.lateness
 	}
 	r.Connections = float64(flows) * g.Relays
 	return g.FillMissing(r)
@@ -74,8 +74,8 @@
 
 // FillMissing puts the configured width in the place of what an idle member does not tell.
 func (g *Estimator) FillMissing(r policy.Report) policy.Report {
-	if r.Load >= 0 && r.Load < idle && r.Connections < idle*g.Capacity {
-		r.Load, r.Connections = idle, idle*g.Capacity
+	if r.Load >= 0 && r.Load < minLoad && r.Connections < minLoad*g.Capacity {
+		r.Load, r.Connections = minLoad, minLoad*g.Capacity
 	}
 	return r
 }
--- a/internal/loadestimate/estimator_test.go
+++ b/internal/loadestimate/estimator_test.go
@@ -33,7 +33,7 @@
 		t.Errorf("backlog %v long after", r.Backlog)
 	}
 	g.Forget(func(policy.ServerID) bool { return false })
-	if len(g.seen) != 0 {
+	if len(g.members) != 0 {
 		t.Error("a member that is gone is kept")
 	}
 }
