--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -43,10 +43,10 @@
 
 const (
 	defaultQueue = 4096
-	batchMost    = 512
-	writeWithin  = 5 * time.Second
-	pauseLeast   = 50 * time.Millisecond
-	pauseMost    = 2 * time.Second
+	maxBatch     = 512
+	writeTimeout = 5 * time.Second
+	minBackoff   = 50 * time.Millisecond
+	maxBackoff   = 2 * time.Second
 )
 
 // schema makes the tables. A run is one life of one relay: request ids start
@@ -60,9 +60,9 @@
  PRIMARY KEY (run, request, try))`,
 }
 
-// insert is a statement; writing a record again changes nothing, so a batch whose
+// insertStatement is a statement; writing a record again changes nothing, so a batch whose
 // commit was in doubt may be repeated.
-func insert(driver, table, columns string) string {
+func insertStatement(driver, table, columns string) string {
 	n := strings.Count(columns, ",") + 1
 	marks := make([]string, n)
 	for i := range marks {
@@ -74,22 +74,22 @@
 }
 
 type record struct {
-	attempt bool
-	values  []any
+	isAttempt bool
+	values    []any
 }
 
 // Store is an open store.
 type Store struct {
-	db       *sql.DB
-	log      logrus.FieldLogger
-	run      string
-	epoch    time.Time
-	most     int
-	attempts string
-	requests string
+	db            *sql.DB
+	log           logrus.FieldLogger
+	run           string
+	epoch         time.Time
+	queueLimit    int
+	insertAttempt string
+	insertRequest string
 
 	mu      sync.Mutex
-	waiting []record
+	queue   []record
 	failing bool
 	closing bool
 	wake    chan struct{}
@@ -117,15 +117,15 @@
 		return nil, fmt.Errorf("store: %w", err)
 	}
 	db.SetMaxOpenConns(1) // one writer; SQLite takes no more
-	s := &Store{db: db, log: log, run: run, epoch: epoch, most: cfg.Queue,
-		attempts: insert(cfg.Driver, "attempts", "run, request, try, member, result, start_us, end_us"),
-		requests: insert(cfg.Driver, "requests", "run, id, name, class, tenant, answer, tries, at_us"),
-		wake:     make(chan struct{}, 1), done: make(chan struct{})}
-	if s.most == 0 {
-		s.most = defaultQueue
+	s := &Store{db: db, log: log, run: run, epoch: epoch, queueLimit: cfg.Queue,
+		insertAttempt: insertStatement(cfg.Driver, "attempts", "run, request, try, member, result, start_us, end_us"),
+		insertRequest: insertStatement(cfg.Driver, "requests", "run, id, name, class, tenant, answer, tries, at_us"),
+		wake:          make(chan struct{}, 1), done: make(chan struct{})}
+	if s.queueLimit == 0 {
+		s.queueLimit = defaultQueue
 	}
 	s.ctx, s.stop = context.WithCancel(context.Background())
-	ctx, cancel := context.WithTimeout(s.ctx, writeWithin)
+	ctx, cancel := context.WithTimeout(s.ctx, writeTimeout)
 	defer cancel()
 	for _, statement := range schema {
 		if _, err := db.ExecContext(ctx, statement); err != nil {
@@ -133,7 +133,7 @@
 			return nil, fmt.Errorf("store: making the tables: %w", err)
 		}
 	}
-	go s.write()
+	go s.runWriter()
 	return s, nil
 }
 
@@ -143,7 +143,7 @@
 func (s *Store) Ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.failing && !s.closing && len(s.waiting) < s.most
+	return !s.failing && !s.closing && len(s.queue) < s.queueLimit
 }
 
 var resultNames = map[policy.Result]string{
@@ -153,43 +153,43 @@
 
 // RecordAttempt records the end of an attempt.
 func (s *Store) RecordAttempt(_ *core.Request, id core.ID, try int, member string, start, end time.Duration, result policy.Result) {
-	s.put(record{true, []any{s.run, int64(id), int64(try), member, resultNames[result], s.stamp(start), s.stamp(end)}})
+	s.enqueue(record{true, []any{s.run, int64(id), int64(try), member, resultNames[result], s.timestamp(start), s.timestamp(end)}})
 }
 
 // RecordAnswer records a final answer.
 func (s *Store) RecordAnswer(q *core.Request, id core.ID, at time.Duration, answer core.Answer, tries int) {
-	s.put(record{false, []any{s.run, int64(id), clean(q.Name), int64(q.Class), int64(q.Tenant), string(answer), int64(tries), s.stamp(at)}})
+	s.enqueue(record{false, []any{s.run, int64(id), sanitizeText(q.Name), int64(q.Class), int64(q.Tenant), string(answer), int64(tries), s.timestamp(at)}})
 }
 
-// clean makes a client's name fit for a column of text: one that a database
+// sanitizeText makes a client's name fit for a column of text: one that a database
 // refuses would keep the whole batch out for good.
-func clean(name string) string {
+func sanitizeText(name string) string {
 	return strings.ReplaceAll(strings.ToValidUTF8(name, "?"), "\x00", "?")
 }
 
-func (s *Store) stamp(at time.Duration) int64 { return s.epoch.Add(at).UnixMicro() }
+func (s *Store) timestamp(at time.Duration) int64 { return s.epoch.Add(at).UnixMicro() }
 
-func (s *Store) put(r record) {
+func (s *Store) enqueue(r record) {
 	s.mu.Lock()
-	s.waiting = append(s.waiting, r)
+	s.queue = append(s.queue, r)
 	s.mu.Unlock()
-	s.nudge()
+	s.wakeWriter()
 }
 
-func (s *Store) nudge() {
+func (s *Store) wakeWriter() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
-// write is the writer's goroutine.
-func (s *Store) write() {
+// runWriter is the writer's goroutine.
+func (s *Store) runWriter() {
 	defer close(s.done)
-	pause := pauseLeast
+	pause := minBackoff
 	for {
 		s.mu.Lock()
-		batch := s.waiting[:min(len(s.waiting), batchMost)]
+		batch := s.queue[:min(len(s.queue), maxBatch)]
 		closing := s.closing
 		s.mu.Unlock()
 		if len(batch) == 0 {
@@ -202,7 +202,7 @@
 		err := s.commit(batch)
 		s.mu.Lock()
 		if err == nil {
-			s.waiting = append([]record(nil), s.waiting[len(batch):]...)
+			s.queue = append([]record(nil), s.queue[len(batch):]...)
 		}
 		failed := s.failing
 		s.failing = err != nil
@@ -211,7 +211,7 @@
 			if failed {
 				s.log.Info("the store works again")
 			}
-			pause = pauseLeast
+			pause = minBackoff
 			continue
 		}
 		if !failed {
@@ -221,13 +221,13 @@
 		case <-s.ctx.Done():
 			return
 		case <-time.After(pause):
-			pause = min(2*pause, pauseMost)
+			pause = min(2*pause, maxBackoff)
 		}
 	}
 }
 
 func (s *Store) commit(batch []record) error {
-	ctx, cancel := context.WithTimeout(s.ctx, writeWithin)
+	ctx, cancel := context.WithTimeout(s.ctx, writeTimeout)
 	defer cancel()
 	tx, err := s.db.BeginTx(ctx, nil)
 	if err != nil {
@@ -235,9 +235,9 @@
 	}
 	defer tx.Rollback()
 	for _, r := range batch {
-		statement := s.requests
-		if r.attempt {
-			statement = s.attempts
+		statement := s.insertRequest
+		if r.isAttempt {
+			statement = s.insertAttempt
 		}
 		if _, err := tx.ExecContext(ctx, statement, r.values...); err != nil {
 			return err
@@ -252,7 +252,7 @@
 	s.mu.Lock()
 	s.closing = true
 	s.mu.Unlock()
-	s.nudge()
+	s.wakeWriter()
 	select {
 	case <-s.done:
 	case <-time.After(within):
@@ -261,7 +261,7 @@
 	}
 	s.stop()
 	s.mu.Lock()
-	left := len(s.waiting)
+	left := len(s.queue)
 	s.mu.Unlock()
 	err := s.db.Close()
 	if left > 0 {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -50,7 +50,7 @@
 		s.RecordAttempt(q, 5, 0, "s-1", time.Second, 2*time.Second, policy.Reset)
 		s.RecordAnswer(q, 5, 3*time.Second, core.Failed, 1)
 	}
-	until(t, "the records", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.waiting) == 0 })
+	until(t, "the records", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.queue) == 0 })
 	if n := s.count(t, "SELECT count(*) FROM requests WHERE name = 'a??' AND answer = 'failed' AND at_us = 3000000"); n != 1 {
 		t.Errorf("%d such answers", n)
 	}
@@ -117,7 +117,7 @@
 		}
 		s.RecordAnswer(&core.Request{}, core.ID(trouble), 0, core.Served, 0)
 		until(t, "the failure", func() bool { return !s.Ready() })
-		time.Sleep(3 * pauseLeast) // a few tries more
+		time.Sleep(3 * minBackoff) // a few tries more
 		if _, err := s.db.Exec("ALTER TABLE elsewhere RENAME TO requests"); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -33,7 +33,7 @@
 	q := &core.Request{Name: "client-3", Class: 1, Tenant: 2}
 	s.RecordAttempt(q, 1, 0, "s-3", time.Second, 2*time.Second, policy.OK)
 	s.RecordAnswer(q, 1, 2*time.Second, core.Served, 1)
-	until(t, "the records", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.waiting) == 0 })
+	until(t, "the records", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.queue) == 0 })
 	var requests, attempts []string
 	rows, err := s.db.Query("SELECT run, id, name, class, tenant, answer, tries, at_us FROM requests ORDER BY run, id")
 	if err != nil {
