--- a/internal/wire/encoder.go
+++ b/internal/wire/encoder.go
@@ -11,10 +11,10 @@
 
 // Encoder gathers the actions of one batch and writes them as a reply.
 type Encoder struct {
-	w       io.Writer
-	buf     []byte
-	current int // instance named last in this reply, -1 if none
-	turn    uint16
+	w            io.Writer
+	buf          []byte
+	lastInstance int // instance named last in this reply, -1 if none
+	instance     uint16
 }
 
 // NewEncoder returns an Encoder that writes to w.
@@ -26,11 +26,11 @@
 
 func (e *Encoder) reset() {
 	e.buf = append(e.buf[:0], 0, 0, 0, 0)
-	e.current = -1
+	e.lastInstance = -1
 }
 
 // by notes whose events are being played; its actions follow.
-func (e *Encoder) by(inst uint16) { e.turn = inst }
+func (e *Encoder) setInstance(inst uint16) { e.instance = inst }
 
 // Flush writes the reply to one batch.
 func (e *Encoder) Flush() error {
@@ -40,12 +40,12 @@
 	return err
 }
 
-// start begins an action record of the instance whose turn it is.
-func (e *Encoder) start(code uint8) {
-	if e.current != int(e.turn) {
+// beginAction begins an action record of the instance whose turn it is.
+func (e *Encoder) beginAction(code uint8) {
+	if e.lastInstance != int(e.instance) {
 		e.buf = append(e.buf, acBy)
-		e.buf = binary.LittleEndian.AppendUint16(e.buf, e.turn)
-		e.current = int(e.turn)
+		e.buf = binary.LittleEndian.AppendUint16(e.buf, e.instance)
+		e.lastInstance = int(e.instance)
 	}
 	e.buf = append(e.buf, code)
 }
@@ -58,7 +58,7 @@
 
 // Send implements policy.Actions, as do the methods below.
 func (e *Encoder) Send(id policy.RequestID, server policy.ServerID, timeout time.Duration) {
-	e.start(acForward)
+	e.beginAction(acForward)
 	e.u64(uint64(id))
 	e.ms(timeout)
 	e.u32(uint32(server))
@@ -66,45 +66,45 @@
 
 // Reject writes a refusal.
 func (e *Encoder) Reject(id policy.RequestID, retryAfter time.Duration) {
-	e.start(acRefuse)
+	e.beginAction(acRefuse)
 	e.u64(uint64(id))
 	e.ms(retryAfter)
 }
 
 // Fail writes a failure.
 func (e *Encoder) Fail(id policy.RequestID) {
-	e.start(acFail)
+	e.beginAction(acFail)
 	e.u64(uint64(id))
 }
 
 // Cancel writes the withdrawal of an attempt.
 func (e *Encoder) Cancel(id policy.RequestID, try int) {
-	e.start(acRecall)
+	e.beginAction(acRecall)
 	e.u64(uint64(id))
 	e.buf = append(e.buf, uint8(try))
 }
 
 // Migrate writes the polite end of a connection.
 func (e *Encoder) Migrate(id policy.RequestID) {
-	e.start(acMigrate)
+	e.beginAction(acMigrate)
 	e.u64(uint64(id))
 }
 
 // Probe writes a probe.
 func (e *Encoder) Probe(server policy.ServerID) {
-	e.start(acSample)
+	e.beginAction(acSample)
 	e.u32(uint32(server))
 }
 
 // Timer writes the wish for a timer.
 func (e *Encoder) Timer(delay time.Duration, token uint64) {
-	e.start(acSleep)
+	e.beginAction(acSleep)
 	e.ms(delay)
 	e.u64(token)
 }
 
 // Watch writes the wish to be kept informed of the server list.
 func (e *Encoder) Watch() {
-	e.start(acWatch)
+	e.beginAction(acWatch)
 	e.buf = append(e.buf, 1)
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -77,12 +77,12 @@
 	buf     []byte
 	lists   [maxLists][]policy.Server
 	reports map[uint16][]string // names of the report values, of each instance
-	out     *Encoder
+	encoder *Encoder
 }
 
 // NewDecoder returns a Decoder that reads from r and tells out whose turn it is.
 func NewDecoder(r io.Reader, out *Encoder) *Decoder {
-	return &Decoder{r: r, reports: map[uint16][]string{}, out: out}
+	return &Decoder{r: r, reports: map[uint16][]string{}, encoder: out}
 }
 
 // Next reads one batch and plays its events to the host. It returns io.EOF at
@@ -107,7 +107,7 @@
 	case count > size:
 		return fmt.Errorf("%w: %d records in %d bytes", ErrMalformed, count, size)
 	}
-	if err := d.fill(int(size)); err != nil {
+	if err := d.readBody(int(size)); err != nil {
 		return err
 	}
 	c := &cursor{b: d.buf}
@@ -116,8 +116,8 @@
 		code := c.u8()
 		if code == evAbout {
 			inst = int(c.u16())
-			d.out.by(uint16(inst))
-		} else if err := d.event(c, code, inst, now, h); err != nil {
+			d.encoder.setInstance(uint16(inst))
+		} else if err := d.decodeEvent(c, code, inst, now, h); err != nil {
 			return err
 		}
 		if c.short {
@@ -130,8 +130,8 @@
 	return nil
 }
 
-// fill reads size bytes, growing the buffer only as they really arrive.
-func (d *Decoder) fill(size int) error {
+// readBody reads size bytes, growing the buffer only as they really arrive.
+func (d *Decoder) readBody(size int) error {
 	const step = 1 << 20
 	d.buf = d.buf[:0]
 	for len(d.buf) < size {
@@ -148,10 +148,10 @@
 	return nil
 }
 
-// event decodes one record and plays it.
-func (d *Decoder) event(c *cursor, code uint8, inst int, now time.Duration, h Host) error {
+// decodeEvent decodes one record and plays it.
+func (d *Decoder) decodeEvent(c *cursor, code uint8, inst int, now time.Duration, h Host) error {
 	if code == evPool {
-		return d.pool(c)
+		return d.decodeList(c)
 	}
 	if inst < 0 {
 		return fmt.Errorf("%w: code %d before any instance was named", ErrMalformed, code)
@@ -192,22 +192,22 @@
 		}
 		b.UpdateServers(now, kind, servers)
 	case evCall:
-		q := call{ID: policy.RequestID(c.u64()), Group: c.u64()}
+		q := requestRecord{ID: policy.RequestID(c.u64()), Group: c.u64()}
 		q.Deadline = c.ms()
 		load := c.f64()
 		q.Tenant, q.Class = int(c.u32()), int(c.u8())
-		q.set(c.u16(), load)
+		q.setFlags(c.u16(), load)
 		q.Key = c.u64()
 		if !c.short {
 			b.Request(now, policy.Request(q))
 		}
 	case evExisting:
-		q := call{ID: policy.RequestID(c.u64())}
+		q := requestRecord{ID: policy.RequestID(c.u64())}
 		q.Class, q.Tenant, q.Key = int(c.u8()), int(c.u32()), c.u64()
 		q.Deadline = c.ms()
 		load := c.f64()
 		q.Group = c.u64()
-		q.set(c.u16(), load)
+		q.setFlags(c.u16(), load)
 		if server := policy.ServerID(c.u32()); !c.short {
 			b.AddExisting(now, policy.Request(q), server)
 		}
@@ -218,7 +218,7 @@
 			b.Established(now, r)
 		}
 	case evResolved:
-		return d.resolved(c, b, id, now)
+		return d.decodeOutcome(c, b, id, now)
 	case evAborted:
 		if r := policy.RequestID(c.u64()); !c.short {
 			b.RequestEnded(now, r)
@@ -264,7 +264,7 @@
 	return nil
 }
 
-func (d *Decoder) resolved(c *cursor, b *policy.Balancer, id uint16, now time.Duration) error {
+func (d *Decoder) decodeOutcome(c *cursor, b *policy.Balancer, id uint16, now time.Duration) error {
 	o := policy.Outcome{ID: policy.RequestID(c.u64())}
 	c.skip(8)
 	result, err := c.result()
@@ -279,8 +279,8 @@
 	return err
 }
 
-// pool reads a numbered list; instances refer to it by its number.
-func (d *Decoder) pool(c *cursor) error {
+// decodeList reads a numbered list; instances refer to it by its number.
+func (d *Decoder) decodeList(c *cursor) error {
 	number, n := c.u16(), c.u32()
 	if c.short {
 		return nil
@@ -325,11 +325,11 @@
 	flagAgain   = 16
 )
 
-// call is a policy.Request being read.
-type call policy.Request
+// requestRecord is a policy.Request being read.
+type requestRecord policy.Request
 
-// set takes the flags, and the hint, which only counts if they say so.
-func (q *call) set(flags uint16, hint float64) {
+// setFlags takes the flags, and the hint, which only counts if they say so.
+func (q *requestRecord) setFlags(flags uint16, hint float64) {
 	q.MidFlow, q.Reconnect = flags&flagMidFlow != 0, flags&flagAgain != 0
 	if flags&flagHint != 0 {
 		q.Load = hint / 1e3
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -154,9 +154,9 @@
 	for _, tt := range tests {
 		var out bytes.Buffer
 		e := NewEncoder(&out)
-		e.by(5)
+		e.setInstance(5)
 		tt.do(e)
-		e.by(5)
+		e.setInstance(5)
 		tt.do(e)
 		if err := e.Flush(); err != nil {
 			t.Fatal(err)
