--- a/internal/window/slice_pool.go
+++ b/internal/window/slice_pool.go
@@ -5,8 +5,7 @@
 	"sync"
 )
 
-// An idle feed keeps no more than a few places and a little text; what it needs beyond that it
-// borrows while it is busy.
+// An idle feed keeps only a short ring and a little text; it borrows what it needs beyond that while it is busy.
 const (
 	minRing = 16
 	minText = 1 << 10
@@ -17,28 +16,28 @@
 	ringPool = slicePool[Message]{minSize: minRing}
 )
 
-// slicePool keeps slices whose lengths are powers of two for the next who needs one.
+// slicePool reuses slices whose capacities are powers of two.
 type slicePool[T any] struct {
 	minSize int
 	pools   [32]sync.Pool
 }
 
-// get gets an empty slice with room for n.
-func (r *slicePool[T]) get(n int) []T {
-	class := bits.Len(uint(max(n, r.minSize) - 1))
-	if class < len(r.pools) {
-		if s, ok := r.pools[class].Get().(*[]T); ok {
+// get returns an empty slice with a capacity of n at least.
+func (p *slicePool[T]) get(n int) []T {
+	class := bits.Len(uint(max(n, p.minSize) - 1))
+	if class < len(p.pools) {
+		if s, ok := p.pools[class].Get().(*[]T); ok {
 			return (*s)[:0]
 		}
 	}
 	return make([]T, 0, 1<<class)
 }
 
-// put returns one that was borrowed.
-func (r *slicePool[T]) put(s []T) {
-	if n := cap(s); n > r.minSize && n&(n-1) == 0 {
-		if class := bits.Len(uint(n - 1)); class < len(r.pools) {
-			r.pools[class].Put(&s)
+// put returns a slice to the pool.
+func (p *slicePool[T]) put(s []T) {
+	if n := cap(s); n > p.minSize && n&(n-1) == 0 {
+		if class := bits.Len(uint(n - 1)); class < len(p.pools) {
+			p.pools[class].Put(&s)
 		}
 	}
 }
--- a/internal/window/slow_start.go
+++ b/internal/window/slow_start.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// SlowStart bounds what all feeds together have out at one member while that is cold: as many as the
-// first steps of a window, and one more for each message that the member has taken.
+// SlowStart limits the messages that all feeds together have in flight at one member while it warms up: to the
+// initial window, and one more for each message that the member has accepted.
 type SlowStart struct {
-	endsAt   time.Duration // from when on it bounds nothing
+	endsAt   time.Duration // from when on there is no limit
 	limit    int
 	inFlight int
 }
 
-// NewSlowStart makes the pace of a member that started then; 0 if long ago.
-func NewSlowStart(started, coldFor time.Duration) *SlowStart {
-	p := &SlowStart{limit: InitialWindow}
+// NewSlowStart makes the limiter of a member that started at that time; 0 if long ago.
+func NewSlowStart(started, duration time.Duration) *SlowStart {
+	s := &SlowStart{limit: InitialWindow}
 	if started > 0 {
-		p.endsAt = started + coldFor
+		s.endsAt = started + duration
 	}
-	return p
+	return s
 }
 
-// Active says whether it bounds anything now.
-func (p *SlowStart) Active(now time.Duration) bool { return now < p.endsAt }
+// Active says whether there is a limit now.
+func (s *SlowStart) Active(now time.Duration) bool { return now < s.endsAt }
 
-// MaySend says whether one more may go out.
-func (p *SlowStart) MaySend(now time.Duration) bool { return !p.Active(now) || p.inFlight < p.limit }
+// MaySend says whether one more message may be sent.
+func (s *SlowStart) MaySend(now time.Duration) bool { return !s.Active(now) || s.inFlight < s.limit }
 
-// Sent counts a message that goes out.
-func (p *SlowStart) Sent() { p.inFlight++ }
+// Sent counts a message that is sent.
+func (s *SlowStart) Sent() { s.inFlight++ }
 
-// LinkClosed counts messages that are no longer out, and how many of them the member has taken.
-func (p *SlowStart) Release(n, taken int) {
-	p.inFlight = max(p.inFlight-n, 0) // a member that started anew has a new pace
-	p.limit += taken
+// Release counts n messages that are no longer in flight, of which the member has accepted some.
+func (s *SlowStart) Release(n, accepted int) {
+	s.inFlight = max(s.inFlight-n, 0) // a member that has restarted has a new limiter
+	s.limit += accepted
 }
--- a/internal/window/window.go
+++ b/internal/window/window.go
@@ -1,16 +1,16 @@
-// Package window is the memory of one feed: the messages that a client has published and
-// that have no final answer yet, in their order. It decides what may be sent next, what an
-// acknowledgement settles, what a lost link brings back and what is given up. It does no
-// I/O and is told the time. See docs/design/nats.md, "The window".
+// Package window holds the send window of one feed: the messages that a client has
+// published and that have no final answer yet, in their order. It decides what may be sent
+// next, what an acknowledgement settles, what is sent again after a lost link and what
+// expires. It does no I/O, and time is passed in. See docs/design/nats.md, "The window".
 package window
 
 import "time"
 
-// InitialWindow is how many messages of a feed are out at first, and again after a lost link.
+// InitialWindow is how many messages of a feed may be in flight at first, and again after a lost link.
 const InitialWindow = 16
 
-// The parts of the aim within which an acknowledgement lets the window grow, and beyond which
-// it is halved; and the part of a message's time that one attempt may take.
+// The parts of the latency objective under which an acknowledgement lets the window grow, and
+// over which it is halved; and the part of a message's time that one attempt may take.
 const (
 	growBelow, shrinkAbove = 0.25, 0.5
 	attemptShare           = 0.6
@@ -18,63 +18,64 @@
 
 // Limits is what a window may hold and how it repeats.
 type Limits struct {
-	MaxMessages      int           // waiting and out together
-	MaxBytes         int           // bytes
+	MaxMessages      int           // waiting and in flight together
+	MaxBytes         int           // of their text
 	MaxAttempts      int           // of one message
-	LatencyObjective time.Duration // within which an acknowledgement is wanted
-	Repeatable       bool          // what may have been taken may be sent again
-	RepeatWindow     time.Duration // for how long after the first such attempt; 0: without end
+	LatencyObjective time.Duration // for an acknowledgement
+	Repeatable       bool          // what may have been accepted may be sent again
+	RepeatWindow     time.Duration // for how long after the first such attempt; 0: no limit
 }
 
-// Message is one of them.
+// Message is a message in a Window.
 type Message struct {
 	ID                 uint64
 	Name               string        // for the record; may be empty
 	Subject            uint64        // messages of one subject keep their order
-	Sequence           uint64        // the front's own number, which grows from message to message
-	Deadline           time.Duration // when its time is over
+	Sequence           uint64        // set by the front; grows from message to message
+	Deadline           time.Duration // when it expires
 	Sent               time.Duration // when its latest attempt began
-	Offset             uint64        // how many bytes the link had been given after it; the carrier's
-	ReplyExpected      bool          // somebody waits to hear that nobody listens
+	Offset             uint64        // bytes written to the link up to its end; set by the transport
+	ReplyExpected      bool          // a client waits for a no-responders reply
 	Attempts           int
-	mayHaveRun         bool // an attempt may have been taken
+	mayHaveRun         bool // an attempt may have been accepted
 	state              state
-	textStart, textEnd int // where its text stands
+	textStart, textEnd int // of its text, as Window.base counts
 }
 
+// state is the state of a message.
 type state uint8
 
 const (
 	waiting state = iota
 	inFlight
-	rejected // by the member, which has not taken it
+	rejected // by the member, which has not accepted it
 	answered // it has its final answer
 )
 
-// Result is how an attempt ended that has brought no answer.
+// Result is how an attempt without an acknowledgement ended.
 type Result uint8
 
 // The results.
 const (
-	NotWritten Result = iota // its bytes never left
-	AckLost                  // it may have been taken
-	Rejected                 // the member refused it
+	NotWritten Result = iota // its bytes were never written
+	AckLost                  // it may have been accepted
+	Rejected                 // by the member
 )
 
-// Window is the messages of one feed.
+// Window holds the messages of one feed.
 type Window struct {
 	Limits
-	ring         []Message // a power of two; message n stands at n modulo that
+	ring         []Message // its length is a power of two; message n is at n modulo that
 	head         uint64    // the oldest without a final answer
-	acked        uint64    // the oldest that is out and not acknowledged
-	sent         uint64    // the next to be sent
-	next         uint64    // the next to come
+	acked        uint64    // the oldest in flight
+	sent         uint64    // the next to send
+	next         uint64    // the next to arrive
 	text         []byte    // of the messages from head on, with gaps
-	base         int       // how much text has gone before
-	bytes        int       // that count against the limit
-	maxInFlight  int       // how many may be out
+	base         int       // how much text was dropped before it
+	bytes        int       // of messages without a final answer
+	maxInFlight  int
 	lastDecrease time.Duration
-	awaitingAcks bool // a message was refused: nothing is sent until all that is out is settled
+	awaitingAcks bool // a message was rejected: nothing is sent until all others in flight are acknowledged
 }
 
 // New makes an empty window.
@@ -83,23 +84,23 @@
 	return &Window{Limits: l, maxInFlight: min(InitialWindow, l.MaxMessages)}
 }
 
-// HasCapacity says whether another message is taken in.
+// HasCapacity says whether another message may be put.
 func (w *Window) HasCapacity() bool { return w.Len() < w.MaxMessages && w.bytes < w.MaxBytes }
 
-// Len is how many messages it holds, and InFlight how many of them are in flight.
+// Len is how many messages it holds.
 func (w *Window) Len() int { return int(w.next - w.head) }
 
 // Bytes is how many bytes of messages it holds.
 func (w *Window) Bytes() int { return w.bytes }
 
-// InFlight is how many messages are out and not acknowledged.
+// InFlight is how many messages are sent and not acknowledged.
 func (w *Window) InFlight() int { return int(w.sent - w.acked) }
 
 // Idle says that it holds nothing.
 func (w *Window) Idle() bool { return w.head == w.next }
 
-// OldestSequence is the mark of the oldest message without a final answer.
-func (w *Window) OldestSequence() (mark uint64, ok bool) {
+// OldestSequence is the sequence of the oldest message without a final answer.
+func (w *Window) OldestSequence() (sequence uint64, ok bool) {
 	if w.Idle() {
 		return 0, false
 	}
@@ -111,21 +112,7 @@
 // Text is what is sent for a message; it is valid until the window changes.
 func (w *Window) Text(m *Message) []byte { return w.text[m.textStart-w.base : m.textEnd-w.base] }
 
-// Buffer is where the text of the next message, of so many bytes at least, is appended, for Put.
-func (w *Window) Buffer(more int) []byte {
-	if len(w.text)+more > cap(w.text) {
-		live, old := w.text, w.text
-		if !w.Idle() {
-			live = w.text[w.at(w.head).textStart-w.base:]
-		}
-		w.base += len(w.text) - len(live)
-		w.text = append(textPool.get(max(len(live)+more, 2*len(live))), live...)
-		textPool.put(old)
-	}
-	return w.text
-}
-
-// Put takes a message in, whose text was appended to Buffer.
+// Put adds a message, whose text was appended to Buffer.
 func (w *Window) Put(m Message, buffer []byte) {
 	if n := int(w.next - w.head); n == len(w.ring) {
 		w.grow(2 * n)
@@ -138,16 +125,6 @@
 	w.next++
 }
 
-func (w *Window) grow(least int) {
-	old := *w
-	w.ring = ringPool.get(max(least, minRing))
-	w.ring = w.ring[:cap(w.ring)]
-	for n := w.head; n < w.next; n++ {
-		*w.at(n) = *old.at(n)
-	}
-	ringPool.put(old.ring)
-}
-
 // Next is the message that may be sent now, nil if none may.
 func (w *Window) Next() *Message {
 	if w.awaitingAcks || w.sent == w.next || w.InFlight() >= w.maxInFlight {
@@ -156,7 +133,7 @@
 	return w.at(w.sent)
 }
 
-// Waiting says that a message has no final answer and no attempt out.
+// Waiting says that a message has no final answer and no attempt in flight.
 func (m *Message) Waiting() bool { return m.state == waiting }
 
 // Begin says that an attempt of Next has begun.
@@ -167,173 +144,24 @@
 	w.sent++
 }
 
-// Acknowledged says that the member has taken the n oldest that are out, but for those it has refused.
-// Each is handed to served, and the window learns from the time that took.
-func (w *Window) Acknowledged(now time.Duration, n int, served func(*Message)) {
-	n = min(n, w.InFlight())
-	if n <= 0 {
-		return
-	}
-	took := now - w.at(w.acked+uint64(n)-1).Sent
-	for range n {
-		m := w.at(w.acked)
-		w.acked++
-		if m.state == inFlight {
-			m.state = answered
-			served(m)
-		}
-	}
-	switch {
-	case took < time.Duration(growBelow*float64(w.LatencyObjective)):
-		w.maxInFlight = min(w.maxInFlight+n, w.MaxMessages)
-	case took > time.Duration(shrinkAbove*float64(w.LatencyObjective)) && now-w.lastDecrease >= took:
-		w.maxInFlight, w.lastDecrease = max(w.maxInFlight/2, 1), now
-	}
-	w.compact()
-}
-
-// MarkRejected says that the member has refused the oldest message of that subject that is out. It
-// returns it, or nil if there is none. Until Settled nothing more is sent.
-func (w *Window) MarkRejected(subject uint64) *Message {
-	for n := w.acked; n < w.sent; n++ {
-		if m := w.at(n); m.state == inFlight && m.Subject == subject {
-			m.state, w.awaitingAcks = rejected, true
-			return m
-		}
-	}
-	return nil
-}
-
-// Settled says that a message was refused and the answers to all others are in: now the link
-// may be given up without a message being sent twice for nothing.
-func (w *Window) Settled() bool { return w.awaitingAcks && w.acked == w.sent }
-
-// LinkClosed says that the link has surely ended. Every message on it that has no answer comes back
-// in its order: ended is told how its attempt ended; where no other may follow, failed is told
-// after that, and the message has its final answer. Of the bytes that the link was given, so
-// many have left.
-func (w *Window) LinkClosed(left uint64, ended func(*Message, Result), failed func(*Message)) {
-	var last map[uint64]uint64 // the newest of each subject that was taken
-	if w.awaitingAcks {
-		last = map[uint64]uint64{}
-		for n := w.head; n < w.sent; n++ {
-			if m := w.at(n); m.state == answered {
-				last[m.Subject] = n
-			}
-		}
-	}
-	for n := w.head; n < w.sent; n++ {
-		m := w.at(n)
-		switch m.state {
-		case answered:
-			continue
-		case rejected:
-			w.markMayHaveRun(m)
-			ended(m, Rejected)
-		case inFlight:
-			if m.Offset <= left {
-				w.markMayHaveRun(m)
-				ended(m, AckLost)
-			} else {
-				ended(m, NotWritten)
-			}
-		}
-		// One behind which its subject went on would turn the order round.
-		if m.Attempts >= w.MaxAttempts || m.mayHaveRun && !w.Repeatable || m.state == rejected && last[m.Subject] > n {
-			m.state = answered
-			failed(m)
-		} else {
-			m.state = waiting
-		}
-	}
-	// What has its answer leaves; the rest moves together, the order kept.
-	to := w.sent
-	for n := w.sent; n > w.head; n-- {
-		if m := w.at(n - 1); m.state == waiting {
-			to--
-			*w.at(to) = *m
-		} else {
-			w.bytes -= m.textEnd - m.textStart
-		}
-	}
-	w.head, w.acked, w.sent = to, to, to
-	w.awaitingAcks, w.maxInFlight = false, min(InitialWindow, w.MaxMessages)
-	w.compact()
-}
-
-// markMayHaveRun notes that the latest attempt of a message may have been taken. The first such one bounds its time.
-func (w *Window) markMayHaveRun(m *Message) {
-	if !m.mayHaveRun && w.RepeatWindow > 0 {
-		m.Deadline = min(m.Deadline, m.Sent+w.RepeatWindow)
-	}
-	m.mayHaveRun = true
-}
-
-// Expire has the oldest messages given up that wait and whose time is over by then: each is handed
-// to up with whether it may have been taken. What is out stays: its link must end first.
-func (w *Window) Expire(by time.Duration, up func(m *Message, ran bool)) {
-	for w.head == w.sent && w.head < w.next {
-		m := w.at(w.head)
-		if m.Deadline > by {
-			break
-		}
-		m.state = answered
-		up(m, m.mayHaveRun)
-		w.acked++
-		w.sent++
-		w.compact()
-	}
-}
-
-// AckDeadline is when the oldest message that is out will have been without an answer for too long.
+// AckDeadline is when the oldest message in flight will have been without an acknowledgement for too long.
 func (w *Window) AckDeadline() (at time.Duration, ok bool) {
 	if w.acked == w.sent {
 		return 0, false
 	}
 	m := w.at(w.acked)
 	at = m.Deadline
-	if m.Attempts < w.MaxAttempts { // time must be left for another
+	if m.Attempts < w.MaxAttempts { // leave time for another attempt
 		part := max(w.LatencyObjective, time.Duration(attemptShare*float64(m.Deadline-m.Sent)))
 		at = min(at, m.Sent+part)
 	}
-	return min(at, w.at(w.head).Deadline), true // an older one may have been refused
+	return min(at, w.at(w.head).Deadline), true // an older one may have been rejected
 }
 
-// Deadline is when the time of the oldest message is over.
+// Deadline is when the oldest message expires.
 func (w *Window) Deadline() (at time.Duration, ok bool) {
 	if w.Idle() {
 		return 0, false
 	}
 	return w.at(w.head).Deadline, true
 }
-
-// compact lets go of what has its final answer, from the oldest on.
-func (w *Window) compact() {
-	for w.head < w.acked {
-		m := w.at(w.head)
-		if m.state != answered {
-			return
-		}
-		w.bytes -= m.textEnd - m.textStart
-		m.Name = ""
-		w.head++
-	}
-	if w.Idle() {
-		// An idle feed keeps no more than a little.
-		if w.base += len(w.text); cap(w.text) > minText {
-			textPool.put(w.text)
-			w.text = nil
-		} else {
-			w.text = w.text[:0]
-		}
-		if len(w.ring) > minRing {
-			ringPool.put(w.ring)
-			w.ring = nil
-		}
-		return
-	}
-	if gone := w.at(w.head).textStart - w.base; gone > len(w.text)/2 {
-		w.text = w.text[:copy(w.text, w.text[gone:])]
-		w.base += gone
-	}
-}
