--- /dev/null
+++ b/internal/rollout/service_baseline_test.go
@@ -0,0 +1,38 @@
+package rollout
+
+import (
+	"math/rand/v2"
+	"testing"
+)
+
+// TestServiceBaseline: neither the dispersion of the windows nor a single bad one counts as a degradation.
+func TestServiceBaseline(t *testing.T) {
+	rng := rand.New(rand.NewPCG(3, 3))
+	window := func(p float64) ServiceWindow {
+		n, served := 400+rng.IntN(200), 0
+		p += (rng.Float64() - 0.5) / 50 // windows differ by more than chance
+		for range n {
+			if rng.Float64() < p {
+				served++
+			}
+		}
+		return ServiceWindow{1, float64(n), float64(served)}
+	}
+	halted, found := 0, 0
+	for range 2000 {
+		var counts []ServiceWindow
+		for range 30 {
+			counts = append(counts, window(0.97))
+		}
+		before := newServiceBaseline(counts)
+		if before.degraded(0.01, []ServiceWindow{window(0.97), window(0.97), window(0.97)}, 0) {
+			halted++
+		}
+		if before.degraded(0.01, []ServiceWindow{window(0.85), window(0.85), window(0.85)}, 0) {
+			found++
+		}
+	}
+	if halted > 0 || found < 1990 {
+		t.Errorf("%d of 2000 halted by noise, %d found", halted, found)
+	}
+}
