--- a/internal/consensus/codec.go
+++ b/internal/consensus/codec.go
@@ -7,16 +7,18 @@
 
 var errMalformed = errors.New("short or malformed")
 
-// reader takes apart what writer made. The first error stays; what is read after it is empty.
+// reader decodes what the put functions encode. The first error is kept, and all that is read after it is empty.
 type reader struct {
 	rest []byte
 	err  error
 }
 
+func (r *reader) fail() { r.err, r.rest = errMalformed, nil }
+
 func (r *reader) uint() uint64 {
 	v, n := binary.Uvarint(r.rest)
 	if n <= 0 {
-		r.err, r.rest = errMalformed, nil
+		r.fail()
 		return 0
 	}
 	r.rest = r.rest[n:]
@@ -26,7 +28,7 @@
 func (r *reader) bytes() []byte {
 	n := r.uint()
 	if n > uint64(len(r.rest)) {
-		r.err, r.rest = errMalformed, nil
+		r.fail()
 		return nil
 	}
 	b := r.rest[:n:n]
@@ -34,21 +36,21 @@
 	return b
 }
 
-// count is a number of things of which each takes at least a byte.
+// count reads the number of elements that follow. Each takes at least one byte, which bounds the number.
 func (r *reader) count() int {
 	n := r.uint()
 	if n > uint64(len(r.rest)) {
-		r.err, r.rest = errMalformed, nil
+		r.fail()
 		return 0
 	}
 	return int(n)
 }
 
-// list is at most so many byte strings: more are an error.
-func (r *reader) list(most int) (l [][]byte) {
+// list reads byte strings; more than limit are an error.
+func (r *reader) list(limit int) (l [][]byte) {
 	n := r.count()
-	if n > most {
-		r.err, r.rest = errMalformed, nil
+	if n > limit {
+		r.fail()
 		return nil
 	}
 	for range n {
@@ -59,6 +61,7 @@
 
 func (r *reader) string() string { return string(r.bytes()) }
 
+// finish returns the first error, or one if there are bytes left.
 func (r *reader) finish() error {
 	if r.err == nil && len(r.rest) > 0 {
 		return errMalformed
--- a/internal/consensus/disk_checksum.go
+++ b/internal/consensus/disk_checksum.go
@@ -6,33 +6,38 @@
 	"hash/fnv"
 )
 
-var (
-	castagnoli = crc32.MakeTable(crc32.Castagnoli)
-)
+const checksumSize = 4
+
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-func withChecksum(b []byte) []byte {
-	return append(binary.BigEndian.AppendUint32(nil, crc32.Checksum(b, castagnoli)), b...)
+// withChecksum makes a stored value: the checksum, then the content.
+func withChecksum(content []byte) []byte {
+	return append(binary.BigEndian.AppendUint32(nil, crc32.Checksum(content, castagnoli)), content...)
 }
 
-func verifyChecksum(b []byte) ([]byte, error) {
-	if len(b) < 4 || binary.BigEndian.Uint32(b) != crc32.Checksum(b[4:], castagnoli) {
+// verifyChecksum returns a copy of a stored value's content.
+func verifyChecksum(value []byte) ([]byte, error) {
+	if len(value) < checksumSize || binary.BigEndian.Uint32(value) != crc32.Checksum(value[checksumSize:], castagnoli) {
 		return nil, errDamaged
 	}
-	return append([]byte(nil), b[4:]...), nil
+	return append([]byte(nil), value[checksumSize:]...), nil
 }
 
-func uint64Key(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
-
-// pairChecksum is a pair's part of the sum over all; a value begins with its own checksum.
-func pairChecksum(k, v []byte) uint64 {
-	if len(v) < 4 {
+// pairChecksum is a pair's part of the checksum over all pairs; the parts are combined by exclusive or. A value begins with its own checksum.
+func pairChecksum(key, value []byte) uint64 {
+	if len(value) < checksumSize {
 		return 0
 	}
 	h := fnv.New64a()
-	h.Write(k)
-	h.Write(v[:4])
+	h.Write(key)
+	h.Write(value[:checksumSize])
 	return h.Sum64()
 }
 
-// encodeChecksum also holds the number of the transaction, so that an older page in the place of a newer one, with all that hangs on it, is found.
-func encodeChecksum(sum, number uint64) []byte { return append(uint64Key(sum), uint64Key(number)...) }
+// encodeChecksum encodes the checksum over all pairs with the transaction's number, so that an older page in the place of a newer one is
+// detected, with all that it refers to.
+func encodeChecksum(checksum, transaction uint64) []byte {
+	return append(uint64Key(checksum), uint64Key(transaction)...)
+}
+
+func uint64Key(v uint64) []byte { return binary.BigEndian.AppendUint64(nil, v) }
--- a/internal/consensus/disk_load.go
+++ b/internal/consensus/disk_load.go
@@ -9,109 +9,137 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// storedState is what a directory held.
+// storedState is what a voter's directory holds.
 type storedState struct {
 	identity     uint64
-	snapshot     []byte // nil: it never voted
+	snapshot     []byte // encoded; nil if it never voted
 	hardState    *pb.HardState
-	entries      []*pb.Entry
+	entries      []*pb.Entry // after the snapshot
 	acknowledged map[uint64]logPosition
 }
 
-// loadFile takes a file apart and holds it against its sums: it is whole, or an error.
-func loadFile(b []byte) (h storedState, err error) {
-	number, meta, log, err := readPages(b)
+// loadFile decodes a file and verifies its checksums.
+func loadFile(file []byte) (stored storedState, err error) {
+	transaction, meta, log, err := readPages(file)
 	if err != nil {
-		return h, err
+		return stored, err
 	}
-	values, sum := map[string][]byte{}, uint64(0)
-	for _, p := range meta {
-		v, err := verifyChecksum(p.value)
+	values, metaChecksum, err := loadMeta(meta)
+	if err != nil {
+		return stored, err
+	}
+	entries, logChecksum, err := loadEntries(log)
+	if err != nil {
+		return stored, err
+	}
+	identity := values[string(keyIdentity)]
+	if len(identity) != 8 || !bytes.Equal(values[string(keyChecksum)], encodeChecksum(metaChecksum^logChecksum, transaction)) {
+		return stored, errDamaged
+	}
+	stored = storedState{identity: binary.BigEndian.Uint64(identity), snapshot: values[string(keySnapshot)], hardState: &pb.HardState{}, entries: entries}
+	if err := proto.Unmarshal(values[string(keyHardState)], stored.hardState); err != nil {
+		return stored, err
+	}
+	if stored.acknowledged, err = loadPositions(values[string(keyAcknowledged)]); err != nil || stored.snapshot == nil {
+		return stored, err
+	}
+	err = stored.align()
+	return stored, err
+}
+
+// loadMeta verifies the pairs of bucketMeta. The checksum is that over all of them.
+func loadMeta(pairs []keyValue) (values map[string][]byte, checksum uint64, err error) {
+	values = map[string][]byte{}
+	for _, p := range pairs {
+		content, err := verifyChecksum(p.value)
 		if err != nil {
-			return h, err
+			return nil, 0, err
 		}
-		values[string(p.key)] = v
+		values[string(p.key)] = content
 		if !bytes.Equal(p.key, keyChecksum) {
-			sum ^= pairChecksum(p.key, p.value)
+			checksum ^= pairChecksum(p.key, p.value)
 		}
 	}
-	for _, p := range log {
-		raw, err := verifyChecksum(p.value)
+	return values, checksum, nil
+}
+
+// loadEntries verifies the pairs of bucketLog: entries without gaps. The checksum is that over all of them.
+func loadEntries(pairs []keyValue) (entries []*pb.Entry, checksum uint64, err error) {
+	for _, p := range pairs {
+		content, err := verifyChecksum(p.value)
 		if err != nil {
-			return h, err
+			return nil, 0, err
 		}
-		sum ^= pairChecksum(p.key, p.value)
+		checksum ^= pairChecksum(p.key, p.value)
 		e := &pb.Entry{}
-		if err := proto.Unmarshal(raw, e); err != nil {
-			return h, err
+		if err := proto.Unmarshal(content, e); err != nil {
+			return nil, 0, err
 		}
-		if n := len(h.entries); !bytes.Equal(p.key, uint64Key(e.GetIndex())) || n > 0 && h.entries[n-1].GetIndex()+1 != e.GetIndex() {
-			return h, errDamaged
+		if n := len(entries); !bytes.Equal(p.key, uint64Key(e.GetIndex())) || n > 0 && entries[n-1].GetIndex()+1 != e.GetIndex() {
+			return nil, 0, errDamaged
 		}
-		h.entries = append(h.entries, e)
-	}
-	ident := values[string(keyIdentity)]
-	if len(ident) != 8 || !bytes.Equal(values[string(keyChecksum)], encodeChecksum(sum, number)) {
-		return h, errDamaged
+		entries = append(entries, e)
 	}
-	h.identity, h.snapshot = binary.BigEndian.Uint64(ident), values[string(keySnapshot)]
-	h.hardState = &pb.HardState{}
-	if err := proto.Unmarshal(values[string(keyHardState)], h.hardState); err != nil {
-		return h, err
-	}
-	h.acknowledged = map[uint64]logPosition{}
-	r := reader{rest: values[string(keyAcknowledged)]}
+	return entries, checksum, nil
+}
+
+func loadPositions(b []byte) (map[uint64]logPosition, error) {
+	positions := map[uint64]logPosition{}
+	r := reader{rest: b}
 	for len(r.rest) > 0 && r.err == nil {
-		h.acknowledged[r.uint()] = logPosition{r.uint(), r.uint()}
-	}
-	if r.err != nil || h.snapshot == nil {
-		return h, r.err
+		id := r.uint()
+		positions[id] = logPosition{r.uint(), r.uint()}
 	}
-	s, err := decodeSnapshot(h.snapshot)
+	return positions, r.err
+}
+
+// align checks the entries and the hard state against the snapshot. The file also holds some entries up to the snapshot, for voters that lag
+// a little; raft's log begins after it.
+func (s *storedState) align() error {
+	snapshot, err := decodeSnapshot(s.snapshot)
 	if err != nil {
-		return h, err
+		return err
 	}
-	// The log holds some entries that the snapshot has too, for those who are a little behind; the engine begins after it.
-	for len(h.entries) > 0 && h.entries[0].GetIndex() <= s.index {
-		h.entries = h.entries[1:]
+	for len(s.entries) > 0 && s.entries[0].GetIndex() <= snapshot.index {
+		s.entries = s.entries[1:]
 	}
-	last := s.index
-	if n := len(h.entries); n > 0 {
-		if h.entries[0].GetIndex() != s.index+1 {
-			return h, errDamaged
+	last := snapshot.index
+	if n := len(s.entries); n > 0 {
+		if s.entries[0].GetIndex() != snapshot.index+1 {
+			return errDamaged
 		}
-		last = h.entries[n-1].GetIndex()
+		last = s.entries[n-1].GetIndex()
 	}
-	if h.hardState.GetCommit() > last || h.hardState.GetTerm() < s.term {
-		return h, errDamaged
+	if s.hardState.GetCommit() > last || s.hardState.GetTerm() < snapshot.term {
+		return errDamaged
 	}
-	if h.hardState.GetCommit() < s.index {
-		h.hardState.Commit = new(s.index)
+	if s.hardState.GetCommit() < snapshot.index {
+		s.hardState.Commit = new(snapshot.index)
 	}
-	return h, nil
+	return nil
 }
 
-// stateToStore is what a voter's storage holds, to be written anew.
-func stateToStore(identity uint64, st *raft.MemoryStorage, marks map[uint64]logPosition) (storedState, error) {
-	snap, err := st.Snapshot()
+// stateToStore is what a voter's storage holds.
+func stateToStore(identity uint64, storage *raft.MemoryStorage, acknowledged map[uint64]logPosition) (storedState, error) {
+	snapshot, err := storage.Snapshot()
 	if err != nil {
 		return storedState{}, err
 	}
-	hard, _, err := st.InitialState()
+	hardState, _, err := storage.InitialState()
 	if err != nil {
 		return storedState{}, err
 	}
-	h := storedState{identity: identity, snapshot: snap.GetData(), hardState: hard, acknowledged: marks}
-	first, err := st.FirstIndex()
+	stored := storedState{identity: identity, snapshot: snapshot.GetData(), hardState: hardState, acknowledged: acknowledged}
+	first, err := storage.FirstIndex()
 	if err != nil {
 		return storedState{}, err
 	}
-	last, err := st.LastIndex()
+	last, err := storage.LastIndex()
 	if err != nil {
 		return storedState{}, err
 	}
 	if last >= first {
-		h.entries, err = st.Entries(first, last+1, 1<<62)
+		stored.entries, err = storage.Entries(first, last+1, 1<<62)
 	}
-	return h, err
+	return stored, err
 }
--- a/internal/consensus/disk_write.go
+++ b/internal/consensus/disk_write.go
@@ -3,32 +3,44 @@
 import (
 	"encoding/binary"
 	"errors"
-	"maps"
 	"math"
-	"slices"
 
 	"go.etcd.io/bbolt"
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 )
 
-// putUints is one write: whatever is not nil.
+// The file's buckets, and the keys of bucketMeta. Entries are in bucketLog, under their index.
+var (
+	bucketMeta      = []byte("meta")
+	bucketLog       = []byte("log")
+	keyIdentity     = []byte("identity")
+	keyHardState    = []byte("hard")
+	keySnapshot     = []byte("state")
+	keyAcknowledged = []byte("marks")
+	keyChecksum     = []byte("sum")
+)
+
+// logFillPercent suits a bucket that is written in order.
+const logFillPercent = 0.95
+
+// diskWrite is one transaction: whatever is set.
 type diskWrite struct {
 	identity       uint64
-	snapshot       []byte // a snapshot that replaces the log
-	compaction     []byte // a snapshot of this voter's own; entries up to drop are dropped
+	snapshot       []byte // replaces the log
+	compaction     []byte // this voter's own snapshot; entries up to compactedIndex are deleted
 	compactedIndex uint64
 	hardState      *pb.HardState
-	entries        []*pb.Entry
+	entries        []*pb.Entry // replace all from the first one's index on
 	acknowledged   map[uint64]logPosition
 }
 
 func (d *disk) write(w diskWrite) error {
-	if err := d.faultAt("write"); err != nil {
+	if err := d.faultAt(faultWrite); err != nil {
 		return err
 	}
 	if d.db == nil {
-		return errors.New("no file")
+		return errNoFile
 	}
 	return recoverFaults(func() error {
 		tx, err := d.db.Begin(true)
@@ -38,7 +50,7 @@
 		if err := fillTransaction(tx, w); err != nil {
 			return errors.Join(err, tx.Rollback())
 		}
-		if err := d.faultAt("sync"); err != nil {
+		if err := d.faultAt(faultSync); err != nil {
 			return errors.Join(err, tx.Rollback())
 		}
 		return tx.Commit()
@@ -46,76 +58,103 @@
 }
 
 func fillTransaction(tx *bbolt.Tx, w diskWrite) error {
-	meta, log := tx.Bucket(bucketMeta), tx.Bucket(bucketLog)
-	if meta == nil || log == nil {
-		return errDamaged
-	}
-	var sum uint64
-	if b := meta.Get(keyChecksum); len(b) > 12 {
-		sum = binary.BigEndian.Uint64(b[4:])
-	}
-	set := func(b *bbolt.Bucket, k, v []byte) error {
-		v = withChecksum(v)
-		sum ^= pairChecksum(k, b.Get(k)) ^ pairChecksum(k, v)
-		return b.Put(k, v)
-	}
-	drop := func(from, to uint64) error {
-		c := log.Cursor()
-		for k, v := c.Seek(uint64Key(from)); len(k) == 8 && binary.BigEndian.Uint64(k) <= to; k, v = c.Seek(uint64Key(from)) {
-			sum ^= pairChecksum(k, v)
-			if err := c.Delete(); err != nil {
-				return err
-			}
-		}
-		return nil
+	t, err := newTransaction(tx)
+	if err != nil {
+		return err
 	}
-	log.FillPercent = 0.95 // it is written in order
 	if w.identity != 0 {
-		if err := set(meta, keyIdentity, uint64Key(w.identity)); err != nil {
+		if err := t.put(t.meta, keyIdentity, uint64Key(w.identity)); err != nil {
 			return err
 		}
 	}
 	if w.snapshot != nil {
-		if err := errors.Join(drop(0, math.MaxUint64), set(meta, keySnapshot, w.snapshot)); err != nil {
+		if err := errors.Join(t.deleteEntries(0, math.MaxUint64), t.put(t.meta, keySnapshot, w.snapshot)); err != nil {
 			return err
 		}
 	}
 	if w.compaction != nil {
-		if err := errors.Join(drop(0, w.compactedIndex), set(meta, keySnapshot, w.compaction)); err != nil {
+		if err := errors.Join(t.deleteEntries(0, w.compactedIndex), t.put(t.meta, keySnapshot, w.compaction)); err != nil {
 			return err
 		}
 	}
 	if w.hardState != nil {
-		b, err := proto.Marshal(w.hardState)
-		if err != nil {
-			return err
-		}
-		if err := set(meta, keyHardState, b); err != nil {
+		if err := t.putMessage(t.meta, keyHardState, w.hardState); err != nil {
 			return err
 		}
 	}
 	if len(w.acknowledged) > 0 {
-		var b []byte
-		for _, id := range slices.Sorted(maps.Keys(w.acknowledged)) {
-			b = putUints(b, id, w.acknowledged[id].term, w.acknowledged[id].index)
-		}
-		if err := set(meta, keyAcknowledged, b); err != nil {
+		if err := t.put(t.meta, keyAcknowledged, putPositions(nil, w.acknowledged)); err != nil {
 			return err
 		}
 	}
-	for i, e := range w.entries {
-		b, err := proto.Marshal(e)
-		if err != nil {
+	if err := t.putEntries(w.entries); err != nil {
+		return err
+	}
+	return t.finish()
+}
+
+// transaction keeps the checksum over all pairs.
+type transaction struct {
+	tx        *bbolt.Tx
+	meta, log *bbolt.Bucket
+	checksum  uint64
+}
+
+func newTransaction(tx *bbolt.Tx) (*transaction, error) {
+	t := &transaction{tx: tx, meta: tx.Bucket(bucketMeta), log: tx.Bucket(bucketLog)}
+	if t.meta == nil || t.log == nil {
+		return nil, errDamaged
+	}
+	t.log.FillPercent = logFillPercent
+	if value := t.meta.Get(keyChecksum); len(value) > checksumSize+8 {
+		t.checksum = binary.BigEndian.Uint64(value[checksumSize:])
+	}
+	return t, nil
+}
+
+func (t *transaction) put(b *bbolt.Bucket, key, content []byte) error {
+	value := withChecksum(content)
+	t.checksum ^= pairChecksum(key, b.Get(key)) ^ pairChecksum(key, value)
+	return b.Put(key, value)
+}
+
+func (t *transaction) putMessage(b *bbolt.Bucket, key []byte, m proto.Message) error {
+	content, err := proto.Marshal(m)
+	if err != nil {
+		return err
+	}
+	return t.put(b, key, content)
+}
+
+// putEntries appends entries. What stood at their indexes and behind was another leader's.
+func (t *transaction) putEntries(entries []*pb.Entry) error {
+	if len(entries) == 0 {
+		return nil
+	}
+	if err := t.deleteEntries(entries[0].GetIndex(), math.MaxUint64); err != nil {
+		return err
+	}
+	for _, e := range entries {
+		if err := t.putMessage(t.log, uint64Key(e.GetIndex()), e); err != nil {
 			return err
 		}
-		if i == 0 { // what stood behind it was another leader's
-			if err := drop(e.GetIndex(), math.MaxUint64); err != nil {
-				return err
-			}
-		}
-		if err := set(log, uint64Key(e.GetIndex()), b); err != nil {
+	}
+	return nil
+}
+
+// deleteEntries deletes the entries from one index to another.
+func (t *transaction) deleteEntries(from, to uint64) error {
+	c := t.log.Cursor()
+	for key, value := c.Seek(uint64Key(from)); len(key) == 8 && binary.BigEndian.Uint64(key) <= to; key, value = c.Seek(uint64Key(from)) {
+		t.checksum ^= pairChecksum(key, value)
+		if err := c.Delete(); err != nil {
 			return err
 		}
 	}
-	return meta.Put(keyChecksum, withChecksum(encodeChecksum(sum, uint64(tx.ID()))))
+	return nil
+}
+
+// finish writes the checksum over all pairs.
+func (t *transaction) finish() error {
+	return t.meta.Put(keyChecksum, withChecksum(encodeChecksum(t.checksum, uint64(t.tx.ID()))))
 }
