--- a/internal/consensus/api.go
+++ b/internal/consensus/api.go
@@ -6,6 +6,7 @@
 
 import (
 	"errors"
+	"time"
 
 	"github.com/sirupsen/logrus"
 
@@ -36,6 +37,9 @@
 	MaxSnapshotSize = 64 << 20
 )
 
+// ProposeTimeout bounds Propose, Barrier and Replace if the context has no earlier deadline.
+const ProposeTimeout = 10 * time.Second
+
 // Machine is the replicated state machine. All calls come from one goroutine, with ascending indexes; there are gaps between them, since
 // the log has entries of raft's own. Results and state must depend on the commands alone: they are the same at every relay.
 type Machine interface {
--- a/internal/consensus/applier.go
+++ b/internal/consensus/applier.go
@@ -6,30 +6,31 @@
 	"sync"
 )
 
-// How much of the log is held, in the engine's storage, on disk and for followers: a snapshot is made after so much.
 const (
+	// A snapshot is taken after so many entries, or bytes of entries.
 	snapshotEntries = 4096
 	snapshotBytes   = 1 << 20
-	// The ring for followers holds twice that, so that the last snapshot and what follows it are always at hand.
+	// The recent entries for followers are at most twice snapshotEntries and maxRecentBytes, so that the last snapshot and what follows it are
+	// always at hand.
 	maxRecentBytes = 4 << 20
 )
 
-// applier holds what a relay has applied, and what it hands to followers. Calls that change it come from one goroutine, or from the model.
+// applier applies committed entries to the machine and keeps the recent ones for followers. Calls that change it come from one goroutine,
+// or from the model.
 type applier struct {
 	machine          Machine
-	snapshotInterval int    // items after which a snapshot is due: snapshotEntries
-	initialMachine   []byte // of the machine when the process began
+	snapshotInterval int    // in entries: snapshotEntries
+	initialMachine   []byte // the machine's snapshot when the process started
 
 	mu                   sync.Mutex
-	current              recordSnapshot   // but for the machine's part
-	recent               []committedEntry // without gaps, up to now.index
+	current              recordSnapshot   // without the machine's state
+	recent               []committedEntry // without gaps, up to current.index
 	recentBytes          int
-	lastSnapshot         *recordSnapshot // the newest snapshot; the ring has all that follows it
-	lastEncoded          []byte          // last, encoded
-	entriesSinceSnapshot int             // items since last
+	lastSnapshot         *recordSnapshot // recent has all entries after it
+	lastEncoded          []byte          // lastSnapshot, encoded
+	entriesSinceSnapshot int
 	bytesSinceSnapshot   int
-	changed              chan struct{} // closed and renewed at each change
-	oversized            bool          // the machine's snapshot is: nothing is truncated
+	changed              chan struct{} // closed and replaced at each change
 }
 
 func newApplier(m Machine) *applier {
@@ -41,7 +42,7 @@
 	a.changed = make(chan struct{})
 }
 
-// restore takes a snapshot in place of all that is held, if it is newer or of another record.
+// restore replaces the whole state by a snapshot, if that is newer or of another record.
 func (a *applier) restore(s recordSnapshot) (bool, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -58,113 +59,153 @@
 	return true, nil
 }
 
-// withChange applies the next entry. What was applied before is passed over: the engine and a stream may both bring it.
-func (a *applier) apply(it committedEntry) (answer []byte, ok bool) {
+// apply applies the next entry. An entry that is already applied is skipped: raft and a stream may both deliver it.
+func (a *applier) apply(e committedEntry) (result []byte, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if it.index != a.current.index+1 {
+	if e.index != a.current.index+1 {
 		return nil, false
 	}
-	if it.kind == entryCommand {
-		answer = a.machine.Apply(it.index, it.command)
-		answer = answer[:min(len(answer), MaxResultSize)]
-	}
-	if it.kind == entryVoters {
-		if !maps.Equal(it.voters, a.current.voters) { // the end of a change has an entry too
-			a.current.votersIndex = it.index
+	switch e.kind {
+	case entryCommand:
+		result = a.machine.Apply(e.index, e.command)
+		result = result[:min(len(result), MaxResultSize)]
+	case entryVoters:
+		if !maps.Equal(e.voters, a.current.voters) { // the entry that leaves the joint configuration changes nothing
+			a.current.votersIndex = e.index
 		}
-		a.current.voters, a.current.confState = it.voters, it.confState
+		a.current.voters, a.current.confState = e.voters, e.confState
 	}
-	a.current.index, a.current.term = it.index, it.term
-	a.recent = append(a.recent, it)
-	a.recentBytes += it.size()
+	a.current.index, a.current.term = e.index, e.term
+	a.recent = append(a.recent, e)
+	a.recentBytes += e.size()
 	a.entriesSinceSnapshot++
-	a.bytesSinceSnapshot += it.size()
+	a.bytesSinceSnapshot += e.size()
 	for len(a.recent) > 2*a.snapshotInterval || a.recentBytes > maxRecentBytes && len(a.recent) > 1 {
 		a.recentBytes -= a.recent[0].size()
 		a.recent[0] = committedEntry{}
 		a.recent = a.recent[1:]
 	}
 	a.notifyChanged()
-	return answer, true
+	return result, true
 }
 
-// snapshotDue says whether a snapshot is to be made.
+// snapshotDue says whether a snapshot has to be taken.
 func (a *applier) snapshotDue() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.current.recordID != 0 && (a.entriesSinceSnapshot >= a.snapshotInterval || a.bytesSinceSnapshot >= snapshotBytes || a.lastSnapshot == nil)
 }
 
-// takeSnapshot makes one of now. It is nil if the machine's part is too large.
-func (a *applier) takeSnapshot() (s *recordSnapshot, raw []byte) {
+// takeSnapshot returns a snapshot of the current state, or nil if the machine's part is too large.
+func (a *applier) takeSnapshot() (s *recordSnapshot, encoded []byte) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	c := a.current
-	c.machineState = bytes.Clone(a.machine.Snapshot())
+	taken := a.current
+	taken.machineState = bytes.Clone(a.machine.Snapshot())
 	a.entriesSinceSnapshot, a.bytesSinceSnapshot = 0, 0
-	if a.oversized = len(c.machineState) > MaxSnapshotSize; a.oversized {
+	if len(taken.machineState) > MaxSnapshotSize {
 		return nil, nil
 	}
-	a.lastSnapshot, a.lastEncoded = &c, c.encode()
-	return &c, a.lastEncoded
+	a.lastSnapshot, a.lastEncoded = &taken, taken.encode()
+	return &taken, a.lastEncoded
 }
 
-// at is the index applied and the record.
-func (a *applier) position() (record, index uint64, changed <-chan struct{}) {
+// expireSnapshot makes a snapshot due.
+func (a *applier) expireSnapshot() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.lastSnapshot = nil
+}
+
+// latestSnapshot returns the last snapshot and its encoding.
+func (a *applier) latestSnapshot() (s *recordSnapshot, encoded []byte) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.lastSnapshot, a.lastEncoded
+}
+
+// position returns the record and the index of the last applied entry; changed is closed when they change.
+func (a *applier) position() (recordID, index uint64, changed <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.current.recordID, a.current.index, a.changed
 }
 
 func (a *applier) voterSet() voterSet {
-	ms, _ := a.voterSetAt()
-	return ms
+	voters, _ := a.voterSetAt()
+	return voters
 }
 
-// voterSetAt is who votes, and the index at which that was agreed.
+// voterSetAt returns the voters, and the index at which they were committed.
 func (a *applier) voterSetAt() (voterSet, uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.current.voters, a.current.votersIndex
 }
 
-// entriesAfter is what a follower gets that has applied index of record: entries, or the whole snapshot first.
-func (a *applier) entriesAfter(record, index uint64, most int) (whole []byte, at uint64, items []committedEntry, changed <-chan struct{}) {
+// logBytes is the size of the recent entries.
+func (a *applier) logBytes() int {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.recentBytes
+}
+
+// streamBatch is what a follower is sent next.
+type streamBatch struct {
+	snapshot []byte // encoded; nil if the follower needs none
+	entries  []committedEntry
+	index    uint64 // the follower's position after both
+}
+
+func (b streamBatch) empty() bool { return b.snapshot == nil && len(b.entries) == 0 }
+
+// entriesAfter returns what a follower at an index of a record is sent next: entries of about maxBytes, with a snapshot before them if the
+// recent entries do not reach back to its index. It is empty if there is nothing, or no snapshot yet; changed is closed at the next change.
+func (a *applier) entriesAfter(recordID, index uint64, maxBytes int) (b streamBatch, changed <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	changed = a.changed
 	if a.current.recordID == 0 {
-		return nil, 0, nil, changed
+		return streamBatch{}, a.changed
 	}
 	first := a.current.index + 1
 	if len(a.recent) > 0 {
 		first = a.recent[0].index
 	}
-	if record != a.current.recordID || index+1 < first {
+	if recordID != a.current.recordID || index+1 < first {
 		if a.lastSnapshot == nil || a.lastSnapshot.index+1 < first {
-			return nil, 0, nil, changed // the apply thread makes one soon: due says so
+			return streamBatch{}, a.changed // snapshotDue has the apply loop take one soon
 		}
-		whole, index = a.lastEncoded, a.lastSnapshot.index
+		b.snapshot, index = a.lastEncoded, a.lastSnapshot.index
 	}
-	at = index
+	b.index = index
 	if index >= a.current.index {
-		return whole, at, nil, changed
+		return b, a.changed
 	}
 	size := 0
-	for _, it := range a.recent[index+1-first:] {
-		if size += it.size(); size > most && len(items) > 0 {
+	for _, e := range a.recent[index+1-first:] {
+		if size += e.size(); size > maxBytes && len(b.entries) > 0 {
 			break
 		}
-		items = append(items, it)
-		at = it.index
+		b.entries = append(b.entries, e)
+		b.index = e.index
 	}
-	return whole, at, items, changed
+	return b, a.changed
 }
 
-// logBytes is what the ring holds.
-func (a *applier) logBytes() int {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.recentBytes
+// encodeEntries encodes committed entries for a stream.
+func encodeEntries(entries []committedEntry) []byte {
+	b := putUints(nil, uint64(len(entries)))
+	for _, e := range entries {
+		b = putEntry(b, e)
+	}
+	return b
+}
+
+func decodeEntries(b []byte) (entries []committedEntry, err error) {
+	r := reader{rest: b}
+	for range r.count() {
+		entries = append(entries, r.entry())
+	}
+	return entries, r.finish()
 }
--- a/internal/consensus/apply_loop.go
+++ b/internal/consensus/apply_loop.go
@@ -1,87 +1,100 @@
 package consensus
 
-const (
-	applyQueueSize = 64 // batches that wait to be applied
-)
+const applyQueueSize = 64 // batches that wait to be applied
 
-// requestSnapshot makes a snapshot on the apply thread, through its queue.
-func (a *applier) requestSnapshot(n *Node) (*recordSnapshot, []byte) {
-	a.mu.Lock()
-	a.lastSnapshot = nil // so that one is due
-	a.mu.Unlock()
-	c := make(chan struct{})
-	select {
-	case n.snapshotRequests <- c:
-		select {
-		case <-c:
-		case <-n.quit:
-		}
-	case <-n.quit:
-	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.lastSnapshot, a.lastEncoded
-}
-
-// completeApplied is what the apply thread gets: a snapshot, or entries.
+// applyBatch is work for the apply loop: a snapshot, or entries after it.
 type applyBatch struct {
 	snapshot *recordSnapshot
 	entries  []committedEntry
-	done     chan error // nil if nobody waits
+	done     chan error // holds one; nil if nobody waits
 }
 
-// applyLoop is the only one that calls the machine.
+// applyLoop is the only caller of the machine once the node runs.
 func (n *Node) applyLoop() {
 	for {
 		select {
 		case <-n.quit:
 			return
-		case c := <-n.snapshotRequests:
+		case done := <-n.snapshotRequests:
 			if n.applier.snapshotDue() {
 				n.applier.takeSnapshot()
 			}
-			close(c)
-		case a := <-n.applyQueue:
-			var err error
-			if a.snapshot != nil {
-				if _, err = n.applier.restore(*a.snapshot); err != nil {
-					n.log().WithField("error", err.Error()).Error("accord: the machine refused a snapshot")
-				}
-			}
-			for _, it := range a.entries {
-				answer, ok := n.applier.apply(it)
-				if ok {
-					n.pendingCalls.completeApplied(it.index, it.proposalID, answer)
-				} else {
-					n.pendingCalls.completeSkipped(it.index, it.proposalID)
-				}
-			}
-			if a.done != nil {
-				a.done <- err
-			}
-			if e := n.engine(); e != nil && n.applier.snapshotDue() {
-				if s, raw := n.applier.takeSnapshot(); s != nil {
-					n.onEngine(func(e *engine) { e.ownSnapshot, e.ownSnapshotEncoded = s, raw })
-				} else {
-					n.log().Error("accord: the machine's snapshot is too large: the log is not truncated")
-				}
+			close(done)
+		case b := <-n.applyQueue:
+			err := n.applyBatch(b)
+			if b.done != nil {
+				b.done <- err
 			}
+			n.snapshotIfDue()
+		}
+	}
+}
+
+// applyBatch applies a batch and completes the calls that wait for its entries.
+func (n *Node) applyBatch(b applyBatch) (err error) {
+	if b.snapshot != nil {
+		if _, err = n.applier.restore(*b.snapshot); err != nil {
+			n.log().WithField("error", err.Error()).Error("consensus: the machine rejected a snapshot")
+		}
+	}
+	for _, e := range b.entries {
+		if result, ok := n.applier.apply(e); ok {
+			n.pendingCalls.completeApplied(e.index, e.proposalID, result)
+		} else {
+			n.pendingCalls.completeSkipped(e.index, e.proposalID)
 		}
 	}
+	return err
 }
 
-// applyAndWait gives something to the apply thread, and waits.
-func (n *Node) applyAndWait(a applyBatch) error {
-	a.done = make(chan error, 1)
+// snapshotIfDue has the engine compact its log with a new snapshot.
+func (n *Node) snapshotIfDue() {
+	if n.engine() == nil || !n.applier.snapshotDue() {
+		return
+	}
+	s, encoded := n.applier.takeSnapshot()
+	if s == nil {
+		n.log().Error("consensus: the machine's snapshot is too large: the log is not compacted")
+		return
+	}
+	n.onEngine(func(e *engine) { e.ownSnapshot, e.ownSnapshotEncoded = s, encoded })
+}
+
+// applyAndWait hands a batch to the apply loop and waits until it is applied.
+func (n *Node) applyAndWait(b applyBatch) error {
+	b.done = make(chan error, 1)
 	select {
-	case n.applyQueue <- a:
+	case n.applyQueue <- b:
 	case <-n.quit:
 		return ErrClosed
 	}
 	select {
-	case err := <-a.done:
+	case err := <-b.done:
 		return err
 	case <-n.quit:
 		return ErrClosed
 	}
 }
+
+// snapshotNow has the apply loop take a snapshot of what is applied now.
+func (n *Node) snapshotNow() (*recordSnapshot, []byte) {
+	n.applier.expireSnapshot()
+	done := make(chan struct{})
+	select {
+	case n.snapshotRequests <- done:
+		select {
+		case <-done:
+		case <-n.quit:
+		}
+	case <-n.quit:
+	}
+	return n.applier.latestSnapshot()
+}
+
+// requestSnapshot asks the apply loop for a snapshot, if one is due, and does not wait.
+func (n *Node) requestSnapshot() {
+	select {
+	case n.snapshotRequests <- make(chan struct{}):
+	default:
+	}
+}
--- a/internal/consensus/calls.go
+++ b/internal/consensus/calls.go
@@ -7,165 +7,195 @@
 	"time"
 )
 
+const (
+	barrierAttemptTimeout = 2 * time.Second // of one attempt of a barrier, which may be retried
+	retryDelay            = 50 * time.Millisecond
+	maxHops               = 2 // how often a call is forwarded at most
+)
+
 // Propose has a command committed, from any relay. It returns the machine's result and the index once a relay that knows has applied it;
 // this relay's machine may still be behind (WaitApplied). A command is never proposed twice: an error other than ErrOutcomeUnknown says
 // that nothing was committed.
 func (n *Node) Propose(ctx context.Context, command []byte) (result []byte, index uint64, err error) {
-	return n.propose(ctx, command)
+	if len(command) > MaxCommandSize {
+		return nil, 0, ErrTooLarge
+	}
+	r := n.callWithRetry(ctx, command, false)
+	return r.answer, r.index, r.err
 }
 
 // Barrier returns when all that was committed before the call is applied here. It needs a quorum, and adds nothing to the log.
-func (n *Node) Barrier(ctx context.Context) (index uint64, err error) { return n.barrier(ctx) }
+func (n *Node) Barrier(ctx context.Context) (index uint64, err error) {
+	r := n.callWithRetry(ctx, nil, true)
+	if r.err != nil {
+		return 0, r.err
+	}
+	return r.index, n.WaitApplied(ctx, r.index)
+}
 
 // WaitApplied returns when the machine here has applied the entries up to index.
-func (n *Node) WaitApplied(ctx context.Context, index uint64) error { return n.waitApplied(ctx, index) }
+func (n *Node) WaitApplied(ctx context.Context, index uint64) error {
+	for {
+		_, applied, changed := n.applier.position()
+		if applied >= index {
+			return nil
+		}
+		select {
+		case <-changed:
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-n.quit:
+			return ErrClosed
+		}
+	}
+}
 
-const (
-	barrierAttemptTimeout = 2 * time.Second // of a question that may be asked again
-	retryDelay            = 50 * time.Millisecond
-)
+// callWithRetry makes attempts until one was sent to a relay that may have acted on it, or the time is over.
+func (n *Node) callWithRetry(ctx context.Context, command []byte, barrier bool) callResult {
+	ctx, cancel := context.WithTimeout(ctx, ProposeTimeout)
+	defer cancel()
+	for {
+		if r, final := n.attemptCall(ctx, command, barrier, func(ctx context.Context, call *pendingCall) callResult { return n.routeCall(ctx, call, 0) }); final {
+			return r
+		}
+		for _, v := range n.otherVoters() { // no leader is known here: a voter may know it
+			if ctx.Err() != nil {
+				break
+			}
+			if r, final := n.attemptCall(ctx, command, barrier, func(ctx context.Context, call *pendingCall) callResult { return n.forwardCall(ctx, v, call, 1) }); final {
+				return r
+			}
+		}
+		select {
+		case <-ctx.Done():
+			return callResult{err: ErrNoQuorum}
+		case <-n.quit:
+			return callResult{err: ErrClosed}
+		case <-time.After(retryDelay):
+		}
+	}
+}
+
+// attemptCall makes one attempt, under a proposal id of its own. The result is final unless another attempt is safe: nobody can have acted on
+// this one, or it is a barrier.
+func (n *Node) attemptCall(ctx context.Context, command []byte, barrier bool, send func(context.Context, *pendingCall) callResult) (r callResult, final bool) {
+	call := &pendingCall{command: command, barrier: barrier, done: make(chan callResult, 1)}
+	copy(call.id[:8], n.proposalIDBase[:])
+	binary.BigEndian.PutUint64(call.id[8:], n.proposalSequence.Add(1))
+	if barrier {
+		var cancel context.CancelFunc
+		ctx, cancel = context.WithTimeout(ctx, barrierAttemptTimeout)
+		defer cancel()
+	}
+	r = send(ctx, call)
+	return r, !errors.Is(r.err, errNoLeader) && !(barrier && errors.Is(r.err, ErrOutcomeUnknown))
+}
 
-// callLocally has this node's own engine do it.
-func (n *Node) callLocally(ctx context.Context, w *pendingCall) callResult {
+// routeCall makes a call at the leader, here or by forwarding it. It was forwarded hops times already.
+func (n *Node) routeCall(ctx context.Context, call *pendingCall, hops int) callResult {
+	leader, isSelf, known := n.knownLeader()
+	switch {
+	case isSelf:
+		return n.callLocally(ctx, call)
+	case !known || hops >= maxHops:
+		return callResult{err: errNoLeader}
+	}
+	return n.forwardCall(ctx, leader, call, hops+1)
+}
+
+// callLocally makes a call at this node's own engine.
+func (n *Node) callLocally(ctx context.Context, call *pendingCall) callResult {
 	e := n.engine()
 	if e == nil {
 		return callResult{err: errNoLeader}
 	}
-	if !n.pendingCalls.add(w) {
-		n.countDropped("pending")
+	if !n.pendingCalls.add(call) {
+		n.countDropped(droppedPendingCalls)
 		return callResult{err: ErrQueueFull}
 	}
 	select {
-	case e.calls <- w:
+	case e.calls <- call:
 	default:
-		n.countDropped("calls")
-		n.pendingCalls.fail(w, ErrQueueFull)
+		n.countDropped(droppedCalls)
+		n.pendingCalls.fail(call, ErrQueueFull)
 	}
 	select {
-	case r := <-w.done:
+	case r := <-call.done:
 		return r
 	case <-ctx.Done():
 	case <-e.ended:
 	case <-n.quit:
 	}
-	n.pendingCalls.fail(w, ErrOutcomeUnknown)
-	return <-w.done
+	n.pendingCalls.fail(call, ErrOutcomeUnknown)
+	return <-call.done
 }
 
-// routeCall brings a call to the leader. Hops is how often it was passed on already.
-func (n *Node) routeCall(ctx context.Context, w *pendingCall, hops int) callResult {
-	m, here, known := n.knownLeader()
-	switch {
-	case here:
-		return n.callLocally(ctx, w)
-	case !known || hops >= 2:
-		return callResult{err: errNoLeader}
+// forwardCall sends a call to another relay. An answer that is not the relay's own, or none, leaves the outcome unknown.
+func (n *Node) forwardCall(ctx context.Context, to voter, call *pendingCall, hops int) callResult {
+	remaining := ProposeTimeout
+	if deadline, ok := ctx.Deadline(); ok {
+		remaining = time.Until(deadline)
 	}
-	return n.forwardCall(ctx, m, w, hops+1)
-}
-
-func (n *Node) forwardCall(ctx context.Context, m voter, w *pendingCall, hops int) callResult {
-	left := ProposeTimeout
-	if t, ok := ctx.Deadline(); ok {
-		left = time.Until(t)
-	}
-	kind := byte(requestPropose)
-	if w.barrier {
+	kind := requestPropose
+	if call.barrier {
 		kind = requestBarrier
 	}
-	body := putBytes(putBytes(putUints(nil, uint64(hops), uint64(max(0, left.Milliseconds()))), w.id[:]), w.command)
-	b, err := n.client.call(ctx, m.Name, m.Addr, kind, body)
+	body := putBytes(putBytes(putUints(nil, uint64(hops), uint64(max(0, remaining.Milliseconds()))), call.id[:]), call.command)
+	response, err := n.client.call(ctx, to, kind, body)
 	switch {
 	case errors.Is(err, errNotSent):
 		return callResult{err: errNoLeader}
 	case err != nil:
 		return callResult{err: ErrOutcomeUnknown}
 	}
-	switch b[0] {
-	case codeOK:
-		r := reader{rest: b[1:]}
-		res := callResult{index: r.uint(), answer: r.bytes()}
-		if r.finish() != nil {
-			res.err = ErrOutcomeUnknown
-		}
-		return res
-	case codeNoLeader:
-		return callResult{err: errNoLeader}
-	case codeFull:
-		return callResult{err: ErrQueueFull}
-	case codeNoQuorum, codeRejected:
-		return callResult{err: ErrNoQuorum}
-	}
-	return callResult{err: ErrOutcomeUnknown}
-}
-
-// startCall tries until something was sent on, or the time is over.
-func (n *Node) callWithRetry(ctx context.Context, data []byte, read bool) callResult {
-	ctx, cancel := context.WithTimeout(ctx, ProposeTimeout)
-	defer cancel()
-	for {
-		try := func(f func(context.Context, *pendingCall) callResult) (callResult, bool) {
-			w := &pendingCall{command: data, barrier: read, done: make(chan callResult, 1)}
-			copy(w.id[:8], n.proposalIDBase[:])
-			binary.BigEndian.PutUint64(w.id[8:], n.proposalSequence.Add(1))
-			c := ctx
-			if read {
-				var end context.CancelFunc
-				c, end = context.WithTimeout(ctx, barrierAttemptTimeout)
-				defer end()
-			}
-			r := f(c, w)
-			return r, !errors.Is(r.err, errNoLeader) && !(read && errors.Is(r.err, ErrOutcomeUnknown))
-		}
-		if r, ok := try(func(c context.Context, w *pendingCall) callResult { return n.routeCall(c, w, 0) }); ok {
-			return r
-		}
-		for _, m := range n.otherVoters() { // nobody known to lead: a voter may know
-			if ctx.Err() != nil {
-				break
-			}
-			if r, ok := try(func(c context.Context, w *pendingCall) callResult { return n.forwardCall(c, m, w, 1) }); ok {
-				return r
-			}
-		}
-		select {
-		case <-ctx.Done():
-			return callResult{err: ErrNoQuorum}
-		case <-n.quit:
-			return callResult{err: ErrClosed}
-		case <-time.After(retryDelay):
-		}
-	}
+	return decodeCallResult(response)
 }
 
-func (n *Node) propose(ctx context.Context, command []byte) ([]byte, uint64, error) {
-	if len(command) > MaxCommandSize {
-		return nil, 0, ErrTooLarge
+// handleCall handles a call that another relay forwarded.
+func (n *Node) handleCall(ctx context.Context, req envelope) []byte {
+	r := reader{rest: req.body}
+	hops, remaining := r.uint(), r.uint()
+	call := &pendingCall{barrier: req.kind == requestBarrier, done: make(chan callResult, 1)}
+	copy(call.id[:], r.bytes())
+	call.command = r.bytes()
+	if r.finish() != nil || len(call.command) > MaxCommandSize {
+		return rejection(errMalformed)
 	}
-	r := n.callWithRetry(ctx, command, false)
-	return r.answer, r.index, r.err
+	ctx, cancel := context.WithTimeout(ctx, min(time.Duration(remaining)*time.Millisecond, ProposeTimeout))
+	defer cancel()
+	return encodeCallResult(n.routeCall(ctx, call, int(hops)))
 }
 
-func (n *Node) barrier(ctx context.Context) (uint64, error) {
-	r := n.callWithRetry(ctx, nil, true)
-	if r.err != nil {
-		return 0, r.err
+func encodeCallResult(r callResult) []byte {
+	switch {
+	case r.err == nil:
+		return putBytes(putUints([]byte{codeOK}, r.index), r.answer)
+	case errors.Is(r.err, errNoLeader):
+		return []byte{codeNoLeader}
+	case errors.Is(r.err, ErrQueueFull):
+		return []byte{codeQueueFull}
+	case errors.Is(r.err, ErrNoQuorum):
+		return []byte{codeNoQuorum}
 	}
-	return r.index, n.waitApplied(ctx, r.index)
+	return []byte{codeOutcomeUnknown}
 }
 
-func (n *Node) waitApplied(ctx context.Context, index uint64) error {
-	for {
-		_, at, changed := n.applier.position()
-		if at >= index {
-			return nil
-		}
-		select {
-		case <-changed:
-		case <-ctx.Done():
-			return ctx.Err()
-		case <-n.quit:
-			return ErrClosed
+// decodeCallResult decodes a response, which is not empty.
+func decodeCallResult(response []byte) callResult {
+	switch response[0] {
+	case codeOK:
+		r := reader{rest: response[1:]}
+		result := callResult{index: r.uint(), answer: r.bytes()}
+		if r.finish() != nil {
+			result.err = ErrOutcomeUnknown
 		}
+		return result
+	case codeNoLeader:
+		return callResult{err: errNoLeader}
+	case codeQueueFull:
+		return callResult{err: ErrQueueFull}
+	case codeNoQuorum, codeRejected:
+		return callResult{err: ErrNoQuorum}
 	}
+	return callResult{err: ErrOutcomeUnknown}
 }
--- a/internal/consensus/client.go
+++ b/internal/consensus/client.go
@@ -15,9 +15,11 @@
 )
 
 const (
-	dialTimeout = time.Second
+	dialTimeout     = time.Second
+	maxCallAttempts = 4 // each refused unread, for its epoch or start
 )
 
+// errNotSent says that nobody has acted on a request.
 var errNotSent = errors.New("not sent")
 
 // client makes requests to other relays.
@@ -25,44 +27,45 @@
 	node     *Node
 	http     *http.Client
 	mu       sync.Mutex
-	start    uint64 // with random low bits: two relays of one name never have the same, or they would share numbers unseen
+	start    uint64 // with random low bits: two relays of one name never have the same, or they would share sequence numbers unnoticed
 	sequence uint64
-	epochs   map[string]uint64 // by name; as many as relays are asked
+	epochs   map[string]uint64 // of the receivers, by name
 }
 
 func newClient(n *Node) *client {
-	d := &net.Dialer{Timeout: dialTimeout}
-	t := &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second, DisableCompression: true,
-		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			c, err := d.DialContext(ctx, network, addr)
+	dialer := &net.Dialer{Timeout: dialTimeout}
+	transport := &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second, DisableCompression: true,
+		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
+			c, err := dialer.DialContext(ctx, network, address)
 			if err != nil {
 				return nil, err
 			}
 			return &countingConn{c, &n.bytesIn, &n.bytesOut}, nil
 		}}
-	return &client{node: n, http: &http.Client{Transport: t}, start: uint64(time.Now().UnixMilli())<<20 + randomID()>>42, epochs: map[string]uint64{}}
+	return &client{node: n, http: &http.Client{Transport: transport}, start: uint64(time.Now().UnixMilli())<<20 + randomID()>>42, epochs: map[string]uint64{}}
 }
 
-// response is a request that was answered; the answer is unread.
+// response is an unread response, with what its tag covers of the request.
 type response struct {
 	io.ReadCloser
 	tag   []byte
 	start uint64
 }
 
-// forwardCall sends a request. An error that is errNotSent says that nobody acted on it.
-func (c *client) send(ctx context.Context, name, addr string, kind byte, body []byte) (*response, error) {
-	if reach, ok := c.node.options.DialAddresses[name]; ok {
-		addr = reach
+// send sends a request. An error that is errNotSent says that nobody has acted on it.
+func (c *client) send(ctx context.Context, to voter, kind requestKind, body []byte) (*response, error) {
+	address := to.Addr
+	if override, ok := c.node.options.DialAddresses[to.Name]; ok {
+		address = override
 	}
 	c.mu.Lock()
 	c.sequence++
-	s := &response{start: c.start}
-	b, tag := sealRequest(c.node.options.Keys[0], c.epochs[name], c.start, c.sequence, kind, c.node.options.Name, name, body)
+	start := c.start
+	sealed, tag := sealRequest(c.node.options.Keys[0], c.epochs[to.Name], start, c.sequence, kind, c.node.options.Name, to.Name, body)
 	c.mu.Unlock()
 	connected := false
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }})
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+endpointPath, bytes.NewReader(b))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+endpointPath, bytes.NewReader(sealed))
 	if err != nil {
 		return nil, errors.Join(errNotSent, err)
 	}
@@ -76,50 +79,49 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		resp.Body.Close()
-		// Not sealed, so it may be anyone's word: it does not prove that nobody acted.
+		// A status is not sealed, so anyone may have sent it: it does not prove that nobody has acted.
 		return nil, fmt.Errorf("status %d", resp.StatusCode)
 	}
-	s.ReadCloser, s.tag = resp.Body, tag
-	return s, nil
+	return &response{ReadCloser: resp.Body, tag: tag, start: start}, nil
 }
 
-// updateFreshness takes an answer that refuses an epoch or a start; the request may then be sent again, since it was not read.
-func (c *client) updateFreshness(name string, s *response, answer []byte) bool {
-	if len(answer) != 9 || answer[0] != codeWrongEpoch && answer[0] != codeStaleStart {
+// updateFreshness takes the epoch or start from a response that refused the request's. The request may then be sent again, since it was not read.
+func (c *client) updateFreshness(name string, requestStart uint64, body []byte) (refused bool) {
+	if len(body) != 9 || body[0] != codeWrongEpoch && body[0] != codeStaleStart {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	v := binary.BigEndian.Uint64(answer[1:])
-	if answer[0] == codeWrongEpoch {
+	value := binary.BigEndian.Uint64(body[1:])
+	if body[0] == codeWrongEpoch {
 		if len(c.epochs) >= maxSenders {
 			clear(c.epochs)
 		}
-		c.epochs[name] = v
-	} else if v >= c.start && s.start == c.start { // else it was raised since
-		c.start, c.sequence = v+1+randomID()>>42, 0
+		c.epochs[name] = value
+	} else if value >= c.start && requestStart == c.start { // otherwise it was raised since
+		c.start, c.sequence = value+1+randomID()>>42, 0
 		c.node.replayGuard.noteOwnRestart(c.node.options.Name)
 	}
 	return true
 }
 
-// callWithRetry sends a request and returns its answer, from the code on.
-func (c *client) call(ctx context.Context, name, addr string, kind byte, body []byte) ([]byte, error) {
-	for range 4 {
-		s, err := c.send(ctx, name, addr, kind, body)
+// call sends a request and returns the response from its code on; it is not empty.
+func (c *client) call(ctx context.Context, to voter, kind requestKind, body []byte) ([]byte, error) {
+	for range maxCallAttempts {
+		resp, err := c.send(ctx, to, kind, body)
 		if err != nil {
 			return nil, err
 		}
-		b, err := io.ReadAll(io.LimitReader(s, maxSmallRequest))
-		s.Close()
+		b, err := io.ReadAll(io.LimitReader(resp, maxSmallRequest))
+		resp.Close()
 		if err != nil {
 			return nil, err
 		}
-		b, err = verifyAnswer(c.node.options.Keys[0], s.tag, 0, b)
+		b, err = verifyAnswer(c.node.options.Keys[0], resp.tag, 0, b)
 		if err != nil || len(b) == 0 {
-			return nil, fmt.Errorf("answer of %s: %w", name, errTag)
+			return nil, fmt.Errorf("answer of %s: %w", to.Name, errTag)
 		}
-		if !c.updateFreshness(name, s, b) {
+		if !c.updateFreshness(to.Name, resp.start, b) {
 			return b, nil
 		}
 	}
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -9,21 +9,25 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// A tick is tickInterval; an election begins after electionTicks to twice that without a leader. docs/design/consensus.md has what this gives.
+// A tick is tickInterval. Without a leader, an election begins after electionTicks to twice that. docs/design/consensus.md has the times
+// that follow from this.
 const (
 	heartbeatTicks      = 2
 	electionTicks       = 12
 	maxMessageSize      = 256 << 10
 	maxInflightMessages = 64
-	maxUncommittedSize  = 8 << 20 // recentBytes proposed and not yet agreed
+	maxUncommittedSize  = 8 << 20 // bytes proposed and not yet committed
+	maxCommittedSize    = 1 << 20 // bytes of committed entries in one Ready
 )
 
 var (
+	// The text is part of Status.IdentityReason.
 	errOutdatedDirectory = errors.New("this directory is older than what this voter has acknowledged")
 	errNoLeader          = errors.New("no leader")
 )
 
-// core is the engine of one voter: it takes messages, ticks, and that its work was written. It does no I/O and reads no clock.
+// core is one voter's raft state machine around a RawNode. It is driven by messages, ticks, and the completion of writes; it does no I/O
+// and reads no clock.
 type core struct {
 	id             uint64
 	node           *raft.RawNode
@@ -31,51 +35,58 @@
 	voters         voterSet
 	confState      *pb.ConfState
 	recordID       uint64
-	unverified     bool // it has not yet heard whether its directory is an older one: it neither votes nor stands
+	unverified     bool // whether its directory is outdated is not yet known: it neither votes nor campaigns
 	acknowledged   map[uint64]logPosition
-	proposals      map[string]changeProposal // by name
-	lastContact    map[uint64]int            // tick at which a voter was last heard
+	proposals      map[string]changeProposal // by the new voter's name
+	lastContact    map[uint64]int            // the tick of a voter's last response
 	tickCount      int
 	inProgress     *pendingReady
-	lastChangeTick int // tick of the last change proposed
+	lastChangeTick int // of the last change of voters that was proposed
 	snapshotIndex  uint64
 	snapshotSize   int
-	changeBlocked  string // what the last wish was held up by
+	changeBlocked  string // why the last change of voters was not proposed
 }
 
-// newCore begins from what is held: the storage has the last snapshot, which s is, and what follows it.
-func newCore(id uint64, st *raft.MemoryStorage, s recordSnapshot, unsure bool, log raft.Logger) (c *core, err error) {
+// newCore starts from storage, which holds the last snapshot, decoded as s, and what follows it.
+func newCore(id uint64, storage *raft.MemoryStorage, s recordSnapshot, unverified bool, log raft.Logger) (c *core, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			c, err = nil, fmt.Errorf("engine: %v", p)
 		}
 	}()
-	rn, err := raft.NewRawNode(&raft.Config{ID: id, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: st, Applied: s.index,
-		MaxSizePerMsg: maxMessageSize, MaxInflightMsgs: maxInflightMessages, MaxUncommittedEntriesSize: maxUncommittedSize, MaxCommittedSizePerReady: 1 << 20,
+	node, err := raft.NewRawNode(&raft.Config{ID: id, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: storage, Applied: s.index,
+		MaxSizePerMsg: maxMessageSize, MaxInflightMsgs: maxInflightMessages, MaxUncommittedEntriesSize: maxUncommittedSize, MaxCommittedSizePerReady: maxCommittedSize,
 		CheckQuorum: true, PreVote: true, DisableProposalForwarding: true, StepDownOnRemoval: true, Logger: log})
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("new raft node: %w", err)
 	}
-	conf := &pb.ConfState{}
-	if err := proto.Unmarshal(s.confState, conf); err != nil {
-		return nil, err
+	confState := &pb.ConfState{}
+	if err := proto.Unmarshal(s.confState, confState); err != nil {
+		return nil, fmt.Errorf("decode configuration: %w", err)
 	}
-	return &core{id: id, node: rn, storage: st, voters: s.voters, confState: conf, recordID: s.recordID, unverified: unsure, snapshotIndex: s.index,
+	return &core{id: id, node: node, storage: storage, voters: s.voters, confState: confState, recordID: s.recordID, unverified: unverified, snapshotIndex: s.index,
 		acknowledged: map[uint64]logPosition{}, proposals: map[string]changeProposal{}, lastContact: map[uint64]int{}, lastChangeTick: -electionTicks * 2}, nil
 }
 
 func (c *core) lastIndex() uint64 { i, _ := c.storage.LastIndex(); return i }
 
+func (c *core) status() raft.BasicStatus { return c.node.BasicStatus() }
+
+func (c *core) isLeader() bool { return c.status().RaftState == raft.StateLeader }
+
+func (c *core) inJointConfig() bool { return len(c.confState.GetVotersOutgoing()) > 0 }
+
+// tick advances raft's logical clock by one tick.
 func (c *core) tick() {
 	c.tickCount++
 	if !c.unverified {
 		c.node.Tick()
 		if state := c.status().RaftState; state == raft.StateCandidate || state == raft.StatePreCandidate {
-			c.node.Tick() // a vote that was split is held again in half the time: else the next leader may take over 2 s
+			c.node.Tick() // a split vote is retried in half the time: otherwise the next leader may take over 2 s
 		}
 	}
-	for name, w := range c.proposals {
-		if w.expiryTick < c.tickCount {
+	for name, p := range c.proposals {
+		if p.expiryTick < c.tickCount {
 			delete(c.proposals, name)
 		}
 	}
@@ -84,31 +95,23 @@
 	}
 }
 
-func (c *core) status() raft.BasicStatus { return c.node.BasicStatus() }
-
-func (c *core) isLeader() bool { return c.status().RaftState == raft.StateLeader }
-
-func (c *core) leader() uint64 { return c.status().Lead }
-
-func (c *core) inJointConfig() bool { return len(c.confState.GetVotersOutgoing()) > 0 }
-
-// peerMessages takes a message from another voter. It fails with errOutdatedDirectory if the message shows this directory to be an older one.
+// step takes a message from another voter. It fails with errOutdatedDirectory if the message shows that this directory is outdated.
 func (c *core) step(m *pb.Message) error {
 	from := m.GetFrom()
 	if m.GetTo() != c.id || from == c.id || from == raft.None || raft.IsLocalMsg(m.GetType()) || raft.IsLocalMsgTarget(from) {
-		return errSize
+		return errMalformed
 	}
 	switch m.GetType() {
 	case pb.MsgProp, pb.MsgReadIndex, pb.MsgReadIndexResp, pb.MsgTransferLeader, pb.MsgForgetLeader:
-		return errSize // calls are passed on by HTTP; none of these is sent by a voter of ours
+		return errMalformed // calls are forwarded by HTTP: no voter sends any of these
 	case pb.MsgPreVote, pb.MsgPreVoteResp: // their terms are not yet anyone's
 	case pb.MsgAppResp, pb.MsgHeartbeatResp:
 		c.lastContact[from] = c.tickCount
-		k := logPosition{term: m.GetTerm()}
+		p := logPosition{term: m.GetTerm()}
 		if m.GetType() == pb.MsgAppResp && !m.GetReject() {
-			k.index = m.GetIndex()
+			p.index = m.GetIndex()
 		}
-		c.noteAcknowledged(from, k)
+		c.noteAcknowledged(from, p)
 	default:
 		c.noteAcknowledged(from, logPosition{term: m.GetTerm()})
 	}
@@ -119,12 +122,12 @@
 		}
 	}
 	if m.GetType() == pb.MsgHeartbeat && m.GetTerm() >= c.status().GetTerm() && m.GetCommit() > c.lastUnstableIndex() {
-		return errOutdatedDirectory // a leader names only what this voter has acknowledged
+		return errOutdatedDirectory // a leader's commit index covers only what this voter has acknowledged
 	}
 	return c.node.Step(m)
 }
 
-// lastUnstableIndex is the last index, written or not.
+// lastUnstableIndex is the index of the last entry, written or not.
 func (c *core) lastUnstableIndex() uint64 {
 	last := c.lastIndex()
 	if c.inProgress != nil {
@@ -138,19 +141,19 @@
 	return last
 }
 
-// propose puts data into the log, at the leader alone.
+// propose appends data to the log; only the leader can.
 func (c *core) propose(data []byte) error {
 	if !c.isLeader() || c.unverified {
 		return errNoLeader
 	}
-	if err := c.node.Propose(data); errors.Is(err, raft.ErrProposalDropped) {
+	err := c.node.Propose(data)
+	if errors.Is(err, raft.ErrProposalDropped) {
 		return ErrQueueFull
-	} else {
-		return err
 	}
+	return err
 }
 
-// readIndex asks for an index at which all that was agreed before is applied.
+// readIndex requests an index up to which all that was committed before is applied; only the leader can.
 func (c *core) readIndex(id []byte) error {
 	if !c.isLeader() || c.unverified {
 		return errNoLeader
--- a/internal/consensus/core_changes.go
+++ b/internal/consensus/core_changes.go
@@ -11,98 +11,104 @@
 )
 
 const (
-	healthyTicks  = 3 * heartbeatTicks // a voter that was not heard for so long is not sound
-	proposalTicks = 60                 // a newcomer's wish counts so long after it was said
-	maxLag        = 1024               // entries that a voter may lack and still count as sound
+	healthyTicks       = 3 * heartbeatTicks // a voter without a response for longer is unhealthy
+	changeProposalTTL  = 60                 // ticks after which a change proposal expires, unless it is repeated
+	maxLag             = 1024               // entries that a voter may lack and still count as healthy
+	maxChangeProposals = 16
 )
 
+// Why a change of voters is not proposed now. The texts are sent in rejections.
 var (
 	errUnhealthyVoters  = errors.New("not all other voters are sound")
 	errChangeInProgress = errors.New("another change of voters is under way")
 	errVoterAlive       = errors.New("the one in its place still answers: are there two relays of this name?")
 	errUnknownVoter     = errors.New("no such voter")
+	errInvalidChange    = errors.New("size")
 )
 
-// sendChange is of a voter that came back under a new identity, or is to take another's place.
+// changeProposal asks the leader for a change of voters: by a voter that came back under a new identity, or by an operator (Replace).
 type changeProposal struct {
 	oldName, newName, address string
 	newID                     uint64
-	expiryTick                int // tick
+	expiryTick                int
 	byOperator                bool
 }
 
-func (w changeProposal) encode() []byte {
-	return putBytes(putBytes(putBytes(putUints(nil, boolToUint(w.byOperator), w.newID), w.oldName), w.newName), w.address)
+func (p changeProposal) encode() []byte {
+	return putBytes(putBytes(putBytes(putUints(nil, boolToUint(p.byOperator), p.newID), p.oldName), p.newName), p.address)
 }
 
-// addProposal notes a wish at the leader.
-func (c *core) addProposal(w changeProposal) {
-	if c.voters[w.newID].Name == w.newName && c.voters[w.newID].Addr == w.address {
+func (r *reader) changeProposal() changeProposal {
+	return changeProposal{byOperator: r.uint() == 1, newID: r.uint(), oldName: r.string(), newName: r.string(), address: r.string()}
+}
+
+// addProposal keeps a change proposal at the leader until it can be proposed. A voter's own does not replace an operator's.
+func (c *core) addProposal(p changeProposal) {
+	if c.voters[p.newID].Name == p.newName && c.voters[p.newID].Addr == p.address {
 		return
 	}
-	if len(c.proposals) >= 16 {
-		if _, ok := c.proposals[w.newName]; !ok {
+	if len(c.proposals) >= maxChangeProposals {
+		if _, ok := c.proposals[p.newName]; !ok {
 			return
 		}
 	}
-	w.expiryTick = c.tickCount + proposalTicks
-	if held, ok := c.proposals[w.newName]; ok && held.byOperator && !w.byOperator {
+	p.expiryTick = c.tickCount + changeProposalTTL
+	if previous, ok := c.proposals[p.newName]; ok && previous.byOperator && !p.byOperator {
 		return
 	}
-	c.proposals[w.newName] = w
+	c.proposals[p.newName] = p
 }
 
-// checkChange says whether a wish may be granted now: one change at a time, and only while all others are sound.
-func (c *core) checkChange(w changeProposal) (old uint64, err error) {
-	old = c.voters.idOf(w.oldName)
+// checkChange says whether a change may be proposed now: one at a time, and only while all other voters are healthy.
+func (c *core) checkChange(p changeProposal) (oldID uint64, err error) {
+	oldID = c.voters.idOf(p.oldName)
 	switch {
-	case old == 0:
+	case oldID == 0:
 		return 0, errUnknownVoter
-	case c.voters[w.newID].Name != "" && c.voters[w.newID].Name != w.newName:
-		return 0, errSize
-	case c.voters.idOf(w.newName) != 0 && c.voters.idOf(w.newName) != old:
-		return 0, errSize
+	case c.voters[p.newID].Name != "" && c.voters[p.newID].Name != p.newName:
+		return 0, errInvalidChange
+	case c.voters.idOf(p.newName) != 0 && c.voters.idOf(p.newName) != oldID:
+		return 0, errInvalidChange
 	case c.inJointConfig():
 		return 0, errChangeInProgress
 	}
 	committed := c.status().GetCommit()
-	err = nil
-	c.node.WithProgress(func(id uint64, _ raft.ProgressType, p tracker.Progress) {
+	c.node.WithProgress(func(id uint64, _ raft.ProgressType, progress tracker.Progress) {
 		switch {
 		case id == c.id:
-		case id == old:
-			if c.tickCount-c.lastContact[id] < electionTicks && !w.byOperator {
+		case id == oldID:
+			if c.tickCount-c.lastContact[id] < electionTicks && !p.byOperator {
 				err = errVoterAlive
 			}
-		case c.tickCount-c.lastContact[id] > healthyTicks || p.Match+maxLag < committed:
+		case c.tickCount-c.lastContact[id] > healthyTicks || progress.Match+maxLag < committed:
 			err = errUnhealthyVoters
 		}
 	})
-	return old, err
+	return oldID, err
 }
 
-// proposeChange proposes a change that was wished for, if it is allowed.
+// proposeChange proposes the first pending change that is allowed, in the order of names.
 func (c *core) proposeChange() {
 	if c.tickCount-c.lastChangeTick < electionTicks {
 		return
 	}
 	c.changeBlocked = ""
 	for _, name := range slices.Sorted(maps.Keys(c.proposals)) {
-		w := c.proposals[name]
-		old, err := c.checkChange(w)
+		p := c.proposals[name]
+		oldID, err := c.checkChange(p)
 		if err != nil {
 			c.changeBlocked = name + ": " + err.Error()
 			continue
 		}
 		c.lastChangeTick = c.tickCount
-		change := voterChange{oldID: old, newID: w.newID, newName: w.newName, address: w.address}
-		cc := &pb.ConfChangeV2{Context: change.encode(), Changes: []*pb.ConfChangeSingle{
-			{Type: pb.ConfChangeType_ConfChangeRemoveNode.Enum(), NodeId: new(old)},
-			{Type: pb.ConfChangeType_ConfChangeAddNode.Enum(), NodeId: new(w.newID)}}}
-		if old == w.newID { // a new address
-			cc.Changes = []*pb.ConfChangeSingle{{Type: pb.ConfChangeType_ConfChangeUpdateNode.Enum(), NodeId: new(old)}}
+		context := voterChange{oldID: oldID, newID: p.newID, newName: p.newName, address: p.address}.encode()
+		change := &pb.ConfChangeV2{Context: context, Changes: []*pb.ConfChangeSingle{
+			{Type: pb.ConfChangeType_ConfChangeRemoveNode.Enum(), NodeId: new(oldID)},
+			{Type: pb.ConfChangeType_ConfChangeAddNode.Enum(), NodeId: new(p.newID)}}}
+		if oldID == p.newID { // only the address changes
+			change.Changes = []*pb.ConfChangeSingle{{Type: pb.ConfChangeType_ConfChangeUpdateNode.Enum(), NodeId: new(oldID)}}
 		}
-		if err := c.node.ProposeConfChange(cc); err != nil {
+		if err := c.node.ProposeConfChange(change); err != nil {
 			c.changeBlocked = name + ": " + err.Error()
 		}
 		return
--- a/internal/consensus/core_ready.go
+++ b/internal/consensus/core_ready.go
@@ -8,139 +8,140 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// pendingReady is what has to be written before anything that follows from it goes out.
+// pendingReady is a raft Ready whose entries, hard state and snapshot have to be written before the messages that depend on them are sent.
 type pendingReady struct {
 	rd            raft.Ready
 	entries       []*pb.Entry
 	hardState     *pb.HardState
 	snapshot      *pb.Snapshot
-	beforeSync    []*pb.Message // may go before it is written
+	beforeSync    []*pb.Message // may be sent before the write
 	afterSync     []*pb.Message
 	acknowledged  map[uint64]logPosition
-	changesVoters bool // who votes changes: that this is agreed has to outlast a restart, or this voter would count by its old configuration again
+	changesVoters bool // its commit index has to outlast a restart, or this voter would count votes by its old configuration again
 }
 
-// mustSync says whether it has to be on disk first.
-func (w *pendingReady) mustSync() bool { return w.rd.MustSync || w.snapshot != nil || w.changesVoters }
+// mustSync says whether it has to be on disk before it is advanced.
+func (p *pendingReady) mustSync() bool { return p.rd.MustSync || p.snapshot != nil || p.changesVoters }
 
-// nextReady is the next work, if there is any and the last is done.
+// nextReady returns the next Ready, or nil if there is none or the last one is not advanced yet.
 func (c *core) nextReady() *pendingReady {
 	if c.inProgress != nil || !c.node.HasReady() {
 		return nil
 	}
 	rd := c.node.Ready()
-	w := &pendingReady{rd: rd, entries: rd.Entries, acknowledged: c.acknowledged}
+	p := &pendingReady{rd: rd, entries: rd.Entries, acknowledged: c.acknowledged}
 	if !raft.IsEmptyHardState(rd.HardState) {
-		w.hardState = rd.HardState
+		p.hardState = rd.HardState
 	}
 	if !raft.IsEmptySnap(rd.Snapshot) {
-		w.snapshot = rd.Snapshot
+		p.snapshot = rd.Snapshot
 	}
 	for _, e := range rd.CommittedEntries {
-		w.changesVoters = w.changesVoters || e.GetType() != pb.EntryNormal
+		p.changesVoters = p.changesVoters || e.GetType() != pb.EntryNormal
 	}
-	if w.changesVoters && w.hardState == nil {
-		w.hardState, _, _ = c.storage.InitialState()
+	if p.changesVoters && p.hardState == nil {
+		p.hardState, _, _ = c.storage.InitialState()
 	}
 	for _, m := range rd.Messages {
 		switch m.GetType() {
-		case pb.MsgApp, pb.MsgHeartbeat, pb.MsgSnap: // a leader's, of what it writes meanwhile itself
-			w.beforeSync = append(w.beforeSync, m)
+		case pb.MsgApp, pb.MsgHeartbeat, pb.MsgSnap: // a leader may send its entries while it writes them itself
+			p.beforeSync = append(p.beforeSync, m)
 		default:
-			w.afterSync = append(w.afterSync, m)
+			p.afterSync = append(p.afterSync, m)
 		}
 	}
-	c.inProgress = w
-	return w
+	c.inProgress = p
+	return p
 }
 
-// advance takes that the work is written. It returns what is to be applied, in order: a snapshot first, if there is one.
-func (c *core) advance() (snap *recordSnapshot, items []committedEntry, err error) {
-	w := c.inProgress
+// advance ends the Ready in progress, which is written. It returns what has to be applied: the snapshot first, if there is one.
+func (c *core) advance() (snapshot *recordSnapshot, entries []committedEntry, err error) {
+	p := c.inProgress
 	c.inProgress = nil
-	if w.snapshot != nil {
-		s, err := decodeSnapshot(w.snapshot.GetData())
+	if p.snapshot != nil {
+		s, err := decodeSnapshot(p.snapshot.GetData())
 		if err != nil {
 			return nil, nil, fmt.Errorf("snapshot: %w", err)
 		}
-		if err := c.storage.ApplySnapshot(w.snapshot); err != nil {
-			return nil, nil, err
+		if err := c.storage.ApplySnapshot(p.snapshot); err != nil {
+			return nil, nil, fmt.Errorf("apply snapshot: %w", err)
 		}
-		c.snapshotIndex, c.snapshotSize = s.index, len(w.snapshot.GetData())
-		c.voters, c.confState, snap = s.voters, w.snapshot.GetMetadata().GetConfState(), &s
+		c.snapshotIndex, c.snapshotSize = s.index, len(p.snapshot.GetData())
+		c.voters, c.confState, snapshot = s.voters, p.snapshot.GetMetadata().GetConfState(), &s
 	}
-	if w.hardState != nil {
-		if err := c.storage.SetHardState(w.hardState); err != nil {
-			return nil, nil, err
+	if p.hardState != nil {
+		if err := c.storage.SetHardState(p.hardState); err != nil {
+			return nil, nil, fmt.Errorf("set hard state: %w", err)
 		}
 	}
-	if err := c.storage.Append(w.entries); err != nil {
-		return nil, nil, err
+	if err := c.storage.Append(p.entries); err != nil {
+		return nil, nil, fmt.Errorf("append entries: %w", err)
 	}
-	for _, e := range w.rd.CommittedEntries {
-		it, err := c.commitEntry(e)
+	for _, e := range p.rd.CommittedEntries {
+		entry, err := c.commitEntry(e)
 		if err != nil {
 			return nil, nil, err
 		}
-		items = append(items, it)
+		entries = append(entries, entry)
 	}
-	c.node.Advance(w.rd)
-	return snap, items, nil
+	c.node.Advance(p.rd)
+	return snapshot, entries, nil
 }
 
+// commitEntry decodes a committed entry. A change of voters takes effect here.
 func (c *core) commitEntry(e *pb.Entry) (committedEntry, error) {
-	it := committedEntry{index: e.GetIndex(), term: e.GetTerm()}
+	entry := committedEntry{index: e.GetIndex(), term: e.GetTerm()}
 	if e.GetType() == pb.EntryNormal {
 		if id, command, ok := decodeCommand(e.GetData()); ok {
-			it.kind, it.proposalID, it.command = entryCommand, id, command
+			entry.kind, entry.proposalID, entry.command = entryCommand, id, command
 		}
-		return it, nil
+		return entry, nil
 	}
-	cc := &pb.ConfChangeV2{}
-	if err := proto.Unmarshal(e.GetData(), cc); err != nil || e.GetType() != pb.EntryConfChangeV2 {
-		return it, fmt.Errorf("change of voters at %d: %w", e.GetIndex(), errMalformed)
+	confChange := &pb.ConfChangeV2{}
+	if err := proto.Unmarshal(e.GetData(), confChange); err != nil || e.GetType() != pb.EntryConfChangeV2 {
+		return entry, fmt.Errorf("change of voters at %d: %w", e.GetIndex(), errMalformed)
 	}
-	c.confState = c.node.ApplyConfChange(cc)
-	if len(cc.GetChanges()) > 0 {
-		ch, err := decodeVoterChange(cc.GetContext())
+	c.confState = c.node.ApplyConfChange(confChange)
+	if len(confChange.GetChanges()) > 0 { // the entry that leaves the joint configuration has none
+		change, err := decodeVoterChange(confChange.GetContext())
 		if err != nil {
-			return it, err
+			return entry, err
 		}
-		c.voters = c.voters.withChange(ch)
-		if ch.oldID != ch.newID {
-			delete(c.acknowledged, ch.oldID)
-			delete(c.lastContact, ch.oldID)
+		c.voters = c.voters.withChange(change)
+		if change.oldID != change.newID {
+			delete(c.acknowledged, change.oldID)
+			delete(c.lastContact, change.oldID)
 		}
-		delete(c.proposals, ch.newName)
+		delete(c.proposals, change.newName)
 	}
-	conf, err := proto.MarshalOptions{Deterministic: true}.Marshal(c.confState)
-	it.kind, it.voters, it.confState = entryVoters, c.voters, conf
-	return it, err
+	confState, err := proto.MarshalOptions{Deterministic: true}.Marshal(c.confState)
+	entry.kind, entry.voters, entry.confState = entryVoters, c.voters, confState
+	return entry, err
 }
 
-// compact drops what a snapshot holds, but for the last entries: keep at most, and no more than retainedBytes.
-func (c *core) compact(s recordSnapshot, raw []byte, keep uint64) error {
-	conf := &pb.ConfState{}
-	if err := proto.Unmarshal(s.confState, conf); err != nil {
-		return err
+// compact truncates the log up to a snapshot, except for the last entries: at most retain, and retainedBytes in size.
+func (c *core) compact(s recordSnapshot, encoded []byte, retain uint64) error {
+	confState := &pb.ConfState{}
+	if err := proto.Unmarshal(s.confState, confState); err != nil {
+		return fmt.Errorf("decode configuration: %w", err)
 	}
-	if _, err := c.storage.CreateSnapshot(s.index, conf, raw); err != nil {
-		return err
+	if _, err := c.storage.CreateSnapshot(s.index, confState, encoded); err != nil {
+		return fmt.Errorf("create snapshot: %w", err)
 	}
-	c.snapshotIndex, c.snapshotSize = s.index, len(raw)
+	c.snapshotIndex, c.snapshotSize = s.index, len(encoded)
 	first, _ := c.storage.FirstIndex()
-	drop := s.index
-	for size := 0; drop >= first && s.index-drop < keep; drop-- {
-		es, err := c.storage.Entries(drop, drop+1, 0)
+	last := s.index // the last entry that is dropped
+	for size := 0; last >= first && s.index-last < retain; last-- {
+		entries, err := c.storage.Entries(last, last+1, 0)
 		if err != nil {
-			return err
+			return fmt.Errorf("read entry %d: %w", last, err)
 		}
-		if size += proto.Size(es[0]); size > retainedBytes {
+		if size += proto.Size(entries[0]); size > retainedBytes {
 			break
 		}
 	}
-	if drop < first {
+	if last < first {
 		return nil
 	}
-	return c.storage.Compact(drop)
+	return c.storage.Compact(last)
 }
--- a/internal/consensus/counting_conn.go
+++ b/internal/consensus/counting_conn.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 )
 
-// countingConn counts bytes of connections.
+// countingConn counts a connection's bytes.
 type countingConn struct {
 	net.Conn
 	bytesIn, bytesOut *atomic.Uint64
@@ -23,6 +23,7 @@
 	return n, err
 }
 
+// countingListener counts the bytes of all connections that it accepts.
 type countingListener struct {
 	net.Listener
 	bytesIn, bytesOut *atomic.Uint64
--- a/internal/consensus/engine_ready.go
+++ b/internal/consensus/engine_ready.go
@@ -3,69 +3,69 @@
 import (
 	"maps"
 
-	pb "go.etcd.io/raft/v3/raftpb"
+	"go.etcd.io/raft/v3"
 )
 
-// processReady hands the next work on, if the apply thread has room and the disk is done.
+// processReady handles Readys while the apply queue has capacity and no write is in progress.
 func (e *engine) processReady() {
-	for e.err == nil && e.pending == nil && e.diskError == nil && !e.writeInProgress {
-		if s := e.ownSnapshot; s != nil {
-			e.compact(*s)
+	for e.err == nil && e.ready == nil && e.diskError == nil && !e.writing {
+		if e.ownSnapshot != nil {
+			e.compact()
 			continue
 		}
 		if len(e.node.applyQueue) >= applyQueueSize-2 {
 			return
 		}
-		w := e.core.nextReady()
-		if w == nil {
+		ready := e.core.nextReady()
+		if ready == nil {
 			return
 		}
-		e.pending = w
-		for _, en := range w.entries {
-			if id, _, ok := decodeCommand(en.GetData()); ok && en.GetType() == pb.EntryNormal {
-				e.node.pendingCalls.assignIndex(id, en.GetIndex())
-			}
-		}
-		e.node.transport.send(e.core, w.beforeSync)
-		if e.disk == nil || !w.mustSync() {
+		e.ready = ready
+		e.noteProposals(ready.entries)
+		e.node.transport.send(e.core, ready.beforeSync)
+		if e.disk == nil || !ready.mustSync() {
 			e.completeReady()
 			continue
 		}
-		dw := diskWrite{hardState: w.hardState, entries: w.entries, acknowledged: maps.Clone(w.acknowledged)}
-		if w.snapshot != nil {
-			dw.snapshot = w.snapshot.GetData()
+		write := diskWrite{hardState: ready.hardState, entries: ready.entries, acknowledged: maps.Clone(ready.acknowledged)}
+		if ready.snapshot != nil {
+			write.snapshot = ready.snapshot.GetData()
 		}
-		e.startWrite(func() error { return e.disk.write(dw) }, e.completeReady)
+		e.startWrite(func() error { return e.disk.write(write) }, e.completeReady)
 	}
 }
 
-// completeReady is when the work is written.
+// completeReady advances a Ready that is written: its messages are sent, its committed entries applied.
 func (e *engine) completeReady() {
-	w := e.pending
-	e.pending = nil
-	was := e.core.voters
-	snap, items, err := e.core.advance()
+	ready := e.ready
+	e.ready = nil
+	votersBefore := e.core.voters
+	snapshot, entries, err := e.core.advance()
 	if err != nil {
 		e.err = err
 		return
 	}
-	e.node.transport.send(e.core, w.afterSync)
-	if snap != nil || len(items) > 0 {
-		e.node.applyQueue <- applyBatch{snapshot: snap, entries: items}
-	}
-	for _, rs := range w.rd.ReadStates {
-		var id [16]byte
-		copy(id[:], rs.RequestCtx)
-		e.node.pendingCalls.completeBarrier(id, rs.Index)
+	e.node.transport.send(e.core, ready.afterSync)
+	if snapshot != nil || len(entries) > 0 {
+		e.node.applyQueue <- applyBatch{snapshot: snapshot, entries: entries}
 	}
-	if !maps.Equal(was, e.core.voters) {
+	e.completeBarriers(ready.rd.ReadStates)
+	if !maps.Equal(votersBefore, e.core.voters) {
 		e.node.transport.setPeers(e.core.voters, e.id)
 	}
-	_, member := e.core.voters[e.id]
-	if !member && !e.core.inJointConfig() && (snap != nil || len(items) > 0) {
+	_, isVoter := e.core.voters[e.id]
+	if !isVoter && !e.core.inJointConfig() && (snapshot != nil || len(entries) > 0) {
 		e.removed = true
 	}
-	if w.rd.SoftState != nil {
+	if ready.rd.SoftState != nil {
 		e.publishView()
 	}
 }
+
+func (e *engine) completeBarriers(states []raft.ReadState) {
+	for _, s := range states {
+		var id proposalID
+		copy(id[:], s.RequestCtx)
+		e.node.pendingCalls.completeBarrier(id, s.Index)
+	}
+}
--- a/internal/consensus/engine_view.go
+++ b/internal/consensus/engine_view.go
@@ -2,33 +2,36 @@
 
 import (
 	"maps"
-	"time"
 
 	"go.etcd.io/raft/v3"
 )
 
-// engineView is what the engine shows of itself.
+// engineView is the engine's state as other goroutines see it.
 type engineView struct {
-	isLeader, unverified, inJointConfig bool
-	leader, term, committed             uint64
-	firstIndex, lastIndex               uint64
-	snapshotIndex                       uint64
-	snapshotBytes                       int
-	diskError                           error
-	voters                              voterSet
-	acknowledged                        map[uint64]logPosition
-	changeBlocked                       string
-	at                                  time.Time
+	isLeader, unverified      bool
+	inJointConfig             bool
+	leader, term, commitIndex uint64 // leader is 0 if none is known, or if the disk fails
+	firstIndex, lastIndex     uint64
+	snapshotIndex             uint64
+	snapshotSize              int
+	diskError                 error
+	voters                    voterSet
+	acknowledged              map[uint64]logPosition
+	changeBlocked             string
 }
 
+// hasLeader says whether the engine takes part with a known leader.
+func (v *engineView) hasLeader() bool { return v.leader != 0 && v.diskError == nil }
+
+// publishView makes the state visible to other goroutines, and announces a change of leadership.
 func (e *engine) publishView() {
-	b := e.core.status()
-	v := &engineView{isLeader: b.RaftState == raft.StateLeader && e.diskError == nil && e.core.tickCount >= e.silentUntilTick, unverified: e.core.unverified, inJointConfig: e.core.inJointConfig(), leader: b.Lead, term: b.GetTerm(), committed: b.GetCommit(),
-		voters: e.core.voters, acknowledged: maps.Clone(e.core.acknowledged), changeBlocked: e.core.changeBlocked, diskError: e.diskError, at: time.Now()}
+	status := e.core.status()
+	v := &engineView{isLeader: status.RaftState == raft.StateLeader && e.diskError == nil && e.core.tickCount >= e.silentUntilTick,
+		unverified: e.core.unverified, inJointConfig: e.core.inJointConfig(), leader: status.Lead, term: status.GetTerm(), commitIndex: status.GetCommit(), snapshotIndex: e.core.snapshotIndex, snapshotSize: e.core.snapshotSize,
+		voters: e.core.voters, acknowledged: maps.Clone(e.core.acknowledged), changeBlocked: e.core.changeBlocked, diskError: e.diskError}
 	v.firstIndex, _ = e.core.storage.FirstIndex()
 	v.lastIndex = e.core.lastIndex()
-	v.snapshotIndex, v.snapshotBytes = e.core.snapshotIndex, e.core.snapshotSize
-	if e.diskError != nil || b.RaftState == raft.StateLeader && !v.isLeader {
+	if e.diskError != nil || status.RaftState == raft.StateLeader && !v.isLeader {
 		v.leader = 0
 	}
 	e.view.Store(v)
--- a/internal/consensus/entry.go
+++ b/internal/consensus/entry.go
@@ -1,68 +1,75 @@
 package consensus
 
-// What an entry of the log holds.
+// entryKind says what a committed entry holds. Its values are part of the log's and the streams' encoding.
+type entryKind byte
+
 const (
-	entryEmpty   = 0 // of the engine's own
-	entryCommand = 1
-	entryVoters  = 2
+	entryEmpty   entryKind = 0 // raft's own
+	entryCommand entryKind = 1
+	entryVoters  entryKind = 2
 )
 
-// committedEntry is a committed entry as it is applied and handed to followers. Voters carry what they lead to, so that followers need no engine.
+const proposalIDSize = 16
+
+// proposalID tells a proposal from all others: the random part of its node, and a number.
+type proposalID [proposalIDSize]byte
+
+// committedEntry is an entry as it is applied and sent to followers. A change of voters carries its result, so that followers need no raft.
 type committedEntry struct {
 	index, term uint64
-	kind        byte
-	proposalID  [16]byte // of the proposal
-	command     []byte   // the command
+	kind        entryKind
+	proposalID  proposalID
+	command     []byte
 	voters      voterSet
-	confState   []byte // the engine's own form of who votes
+	confState   []byte // raft's own encoding of the configuration
 }
 
-func (it committedEntry) size() int {
-	return 64 + len(it.command) + len(it.confState) + 64*len(it.voters)
-}
+// size estimates the memory that the entry takes.
+func (e committedEntry) size() int { return 64 + len(e.command) + len(e.confState) + 64*len(e.voters) }
 
-func putEntry(b []byte, it committedEntry) []byte {
-	b = putUints(b, it.index, it.term, uint64(it.kind))
-	switch it.kind {
+func putEntry(b []byte, e committedEntry) []byte {
+	b = putUints(b, e.index, e.term, uint64(e.kind))
+	switch e.kind {
 	case entryCommand:
-		b = putBytes(append(b, it.proposalID[:]...), it.command)
+		b = putBytes(append(b, e.proposalID[:]...), e.command)
 	case entryVoters:
-		b = putVoterSet(putBytes(b, it.confState), it.voters)
+		b = putVoterSet(putBytes(b, e.confState), e.voters)
 	}
 	return b
 }
 
-func (r *reader) entry() (it committedEntry) {
-	it.index, it.term = r.uint(), r.uint()
+func (r *reader) entry() (e committedEntry) {
+	e.index, e.term = r.uint(), r.uint()
 	switch kind := r.uint(); kind {
-	case entryEmpty:
-	case entryCommand:
-		it.kind = entryCommand
-		if len(r.rest) < 16 {
-			r.err, r.rest = errMalformed, nil
-			return it
+	case uint64(entryEmpty):
+	case uint64(entryCommand):
+		e.kind = entryCommand
+		if len(r.rest) < proposalIDSize {
+			r.fail()
+			return e
 		}
-		copy(it.proposalID[:], r.rest)
-		r.rest = r.rest[16:]
-		it.command = r.bytes()
-	case entryVoters:
-		it.kind = entryVoters
-		it.confState, it.voters = r.bytes(), r.voterSet()
+		copy(e.proposalID[:], r.rest)
+		r.rest = r.rest[proposalIDSize:]
+		e.command = r.bytes()
+	case uint64(entryVoters):
+		e.kind = entryVoters
+		e.confState, e.voters = r.bytes(), r.voterSet()
 	default:
 		r.err = errMalformed
 	}
-	return it
+	return e
 }
 
-func encodeCommand(id [16]byte, command []byte) []byte {
-	return append(append([]byte{entryCommand}, id[:]...), command...)
+// encodeCommand makes the data of a raft entry.
+func encodeCommand(id proposalID, command []byte) []byte {
+	return append(append([]byte{byte(entryCommand)}, id[:]...), command...)
 }
 
-// decodeCommand takes the data of a normal entry apart. What is no command is an empty entry: it changes nothing, everywhere.
-func decodeCommand(b []byte) (id [16]byte, command []byte, ok bool) {
-	if len(b) < 17 || b[0] != entryCommand {
+// decodeCommand decodes the data of a normal raft entry. What is no command counts as an empty entry: it changes nothing, at any relay.
+func decodeCommand(b []byte) (id proposalID, command []byte, ok bool) {
+	if len(b) < 1+proposalIDSize || b[0] != byte(entryCommand) {
 		return id, nil, false
 	}
-	copy(id[:], b[1:17])
-	return id, b[17:], true
+	copy(id[:], b[1:])
+	return id, b[1+proposalIDSize:], true
 }
--- a/internal/consensus/envelope.go
+++ b/internal/consensus/envelope.go
@@ -9,20 +9,29 @@
 	"dahliarudder/internal/gossip"
 )
 
-// A request between relays: version, the key's mark, the receiver's epoch, the sender's start and number, kind, both names, the content, and a tag
-// over all of it. An answer's tag covers the request's tag, so that it answers that request and no other.
+// The envelope of a request: version, key id, the receiver's epoch, the sender's start and sequence number, kind, the names of both, the
+// body, and a tag over all of it. The tag of a response covers the request's tag, so that it answers that request and no other.
 //
-// The envelope of peers is made for datagrams in order: its window of 64 would refuse requests that run side by side over several connections,
-// and it leans on clocks. Here the receiver draws an epoch when it starts and tells it in every answer: a request that names another is refused
-// unread, so that nothing recorded before a restart counts after it; within an epoch each number counts once. No clock is read.
+// The envelope of internal/gossip is made for datagrams in order: its window of 64 would reject requests that run side by side over several
+// connections, and it relies on clocks. Here the receiver draws an epoch when it starts. It rejects a request that names another one unread,
+// with the current epoch in the response, so that nothing recorded before a restart counts after it; within an epoch each sequence number
+// counts once (replayGuard). No clock is read.
 const (
 	envelopeVersion   = 2
 	keyIDSize         = 4
 	tagSize           = 32
-	envelopeFixedSize = 1 + keyIDSize + 8 + 8 + 8 + 1
+	envelopeFixedSize = 1 + keyIDSize + 8 + 8 + 8 + 1 // up to the kind
 	maxNameSize       = 255
 )
 
+// Labels of the key derivations. They are part of the wire format.
+const (
+	keyIDLabel  = "accord mark "
+	tagLabel    = "accord\x00"
+	answerLabel = "answer"
+)
+
+// Why a request is rejected. The texts are keys of Status.Rejected.
 var (
 	errSize          = errors.New("size")
 	errVersion       = errors.New("version")
@@ -31,24 +40,25 @@
 	errWrongReceiver = errors.New("for another relay")
 )
 
+// keyID tells which of the installation's keys sealed an envelope.
 func keyID(key []byte) []byte {
-	sum := sha256.Sum256(append([]byte("accord mark "), key...))
+	sum := sha256.Sum256(append([]byte(keyIDLabel), key...))
 	return sum[:keyIDSize]
 }
 
 func computeTag(key []byte, parts ...[]byte) []byte {
 	h := hmac.New(sha256.New, key)
-	h.Write([]byte("accord\x00"))
+	h.Write([]byte(tagLabel))
 	for _, p := range parts {
 		h.Write(p)
 	}
 	return h.Sum(nil)
 }
 
-// envelope is what an envelope held.
+// envelope is a verified request.
 type envelope struct {
 	from     string
-	kind     byte
+	kind     requestKind
 	body     []byte
 	key      []byte
 	tag      []byte
@@ -57,75 +67,79 @@
 	sequence uint64
 }
 
-// sealRequest makes an envelope. It returns the tag, which the answer has to cover.
-func sealRequest(key []byte, epoch, start, seq uint64, kind byte, from, to string, body []byte) (b, tag []byte) {
-	b = make([]byte, 0, envelopeFixedSize+2+len(from)+len(to)+len(body)+tagSize)
+// sealRequest makes an envelope. It returns the tag too, which the response has to cover.
+func sealRequest(key []byte, epoch, start, sequence uint64, kind requestKind, from, to string, body []byte) (sealed, tag []byte) {
+	b := make([]byte, 0, envelopeFixedSize+2+len(from)+len(to)+len(body)+tagSize)
 	b = append(append(b, envelopeVersion), keyID(key)...)
-	for _, v := range []uint64{epoch, start, seq} {
+	for _, v := range []uint64{epoch, start, sequence} {
 		b = binary.BigEndian.AppendUint64(b, v)
 	}
-	b = append(b, kind, byte(len(from)))
+	b = append(b, byte(kind), byte(len(from)))
 	b = append(append(b, from...), byte(len(to)))
 	b = append(append(b, to...), body...)
 	tag = computeTag(key, b)
 	return append(b, tag...), tag
 }
 
-// verifyRequest checks all but freshness.
-func verifyRequest(keys gossip.Keys, self string, b []byte) (r envelope, err error) {
+// verifyRequest checks an envelope, except for its epoch, start and sequence number.
+func verifyRequest(keys gossip.Keys, self string, b []byte) (req envelope, err error) {
 	if len(b) < envelopeFixedSize+2+tagSize {
-		return r, errSize
+		return req, errSize
 	}
 	if b[0] != envelopeVersion {
-		return r, errVersion
+		return req, errVersion
 	}
-	for _, k := range keys {
-		if string(keyID(k)) == string(b[1:1+keyIDSize]) {
-			r.key = k
+	for _, key := range keys {
+		if string(keyID(key)) == string(b[1:1+keyIDSize]) {
+			req.key = key
 		}
 	}
-	if r.key == nil {
-		return r, errKey
+	if req.key == nil {
+		return req, errKey
 	}
-	body := b[:len(b)-tagSize]
-	r.tag = b[len(b)-tagSize:]
-	if !hmac.Equal(computeTag(r.key, body), r.tag) {
-		return r, errTag
+	sealed := b[:len(b)-tagSize]
+	req.tag = b[len(b)-tagSize:]
+	if !hmac.Equal(computeTag(req.key, sealed), req.tag) {
+		return req, errTag
 	}
-	at := body[1+keyIDSize:]
-	r.epoch, r.start, r.sequence = binary.BigEndian.Uint64(at), binary.BigEndian.Uint64(at[8:]), binary.BigEndian.Uint64(at[16:])
-	r.kind = at[24]
-	at = at[25:]
-	for i := range 2 {
-		if len(at) < 1 || len(at) < 1+int(at[0]) {
-			return r, errSize
-		}
-		name := string(at[1 : 1+int(at[0])])
-		at = at[1+int(at[0]):]
-		if i == 0 {
-			r.from = name
-		} else if name != self {
-			return r, errWrongReceiver
+	rest := sealed[1+keyIDSize:]
+	req.epoch, req.start, req.sequence = binary.BigEndian.Uint64(rest), binary.BigEndian.Uint64(rest[8:]), binary.BigEndian.Uint64(rest[16:])
+	req.kind = requestKind(rest[24])
+	rest = rest[25:]
+	var receiver string
+	for _, name := range []*string{&req.from, &receiver} {
+		if len(rest) < 1 || len(rest) < 1+int(rest[0]) {
+			return req, errSize
 		}
+		*name = string(rest[1 : 1+int(rest[0])])
+		rest = rest[1+int(rest[0]):]
 	}
-	if r.from == "" {
-		return r, errSize
+	if receiver != self {
+		return req, errWrongReceiver
 	}
-	r.body = at
-	return r, nil
+	if req.from == "" {
+		return req, errSize
+	}
+	req.body = rest
+	return req, nil
 }
 
-// sealAnswer seals part number part of an answer to the request with that tag; verifyAnswer takes it apart.
+// sealAnswer seals a part of the response to the request with that tag: a frame of a stream, or 0 for the only one.
 func sealAnswer(key, requestTag []byte, part uint64, body []byte) []byte {
-	return append(computeTag(key, []byte("answer"), requestTag, binary.BigEndian.AppendUint64(nil, part), body), body...)
+	return append(answerTag(key, requestTag, part, body), body...)
 }
 
+// verifyAnswer returns the body that sealAnswer sealed.
 func verifyAnswer(key, requestTag []byte, part uint64, b []byte) ([]byte, error) {
 	if len(b) < tagSize {
 		return nil, errSize
 	}
-	if !hmac.Equal(computeTag(key, []byte("answer"), requestTag, binary.BigEndian.AppendUint64(nil, part), b[tagSize:]), b[:tagSize]) {
+	if !hmac.Equal(answerTag(key, requestTag, part, b[tagSize:]), b[:tagSize]) {
 		return nil, errTag
 	}
 	return b[tagSize:], nil
 }
+
+func answerTag(key, requestTag []byte, part uint64, body []byte) []byte {
+	return computeTag(key, []byte(answerLabel), requestTag, binary.BigEndian.AppendUint64(nil, part), body)
+}
--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -8,24 +8,15 @@
 	"time"
 )
 
-// leaderCandidates is whom to ask for the leader: itself if it is known, then the voters.
-func (n *Node) leaderCandidates() []voter {
-	list := n.otherVoters()
-	if m, here, ok := n.knownLeader(); ok && !here {
-		list = append([]voter{m}, list...)
-	}
-	return list
-}
-
-const (
-	forwardTimeout = time.Second // of what is passed on to the leader and may be lost
-)
+const forwardTimeout = time.Second // of a request to the leader that may be lost
 
+// leadershipChange is a call of OnLeadership.
 type leadershipChange struct {
 	leading bool
 	term    uint64
 }
 
+// announceLeadership queues a call of OnLeadership. A full queue drops the oldest: the last state is always delivered.
 func (n *Node) announceLeadership(leading bool, term uint64) {
 	for {
 		select {
@@ -33,79 +24,89 @@
 			return
 		default:
 		}
-		select { // the oldest makes room: the last state is always told
+		select {
 		case <-n.leadership:
-			n.countDropped("led")
+			n.countDropped(droppedLeadership)
 		default:
 		}
 	}
 }
 
-// tasks are the voters to ask, the likeliest first: the leader, then from a place that differs by name, so that followers spread.
+// otherVoters are the voters that this relay contacts, by the record or else by the options. The order begins at a place that depends on
+// this relay's name, so that followers spread over the voters.
 func (n *Node) otherVoters() (list []voter) {
-	ms := n.applier.voterSet()
-	addr := map[string]string{}
-	for _, id := range ms.ids() {
-		addr[ms[id].Name] = ms[id].Addr
+	voters := n.applier.voterSet()
+	addresses := map[string]string{}
+	for _, id := range voters.ids() {
+		addresses[voters[id].Name] = voters[id].Addr
 	}
-	for name, a := range n.options.Voters {
-		if _, ok := addr[name]; !ok {
-			addr[name] = a
+	for name, address := range n.options.Voters {
+		if _, ok := addresses[name]; !ok {
+			addresses[name] = address
 		}
 	}
-	delete(addr, n.options.Name)
-	names := slices.Sorted(maps.Keys(addr))
+	delete(addresses, n.options.Name)
+	names := slices.Sorted(maps.Keys(addresses))
 	h := fnv.New32a()
 	h.Write([]byte(n.options.Name))
 	for i := range names {
 		name := names[(i+int(h.Sum32()%uint32(len(names))))%len(names)]
-		list = append(list, voter{name, addr[name]})
+		list = append(list, voter{name, addresses[name]})
 	}
 	return list
 }
 
-// knownLeader is the leader as far as is known here: by the engine, or by the stream.
-func (n *Node) knownLeader() (m voter, here, known bool) {
+// knownLeader is the leader as far as this relay knows, by its engine or by the stream that it follows.
+func (n *Node) knownLeader() (leader voter, isSelf, known bool) {
 	if e := n.engine(); e != nil {
 		v := e.view.Load()
 		if v.isLeader {
 			return voter{n.options.Name, n.address}, true, true
 		}
-		if m, ok := v.voters[v.leader]; ok && v.diskError == nil {
-			return m, false, true
+		if leader, ok := v.voters[v.leader]; ok && v.diskError == nil {
+			return leader, false, true
 		}
 	}
 	n.mu.Lock()
 	f := n.followState
 	n.mu.Unlock()
 	if f.leader != "" && time.Since(f.updatedAt) < streamTimeout && f.leader != n.options.Name {
-		for _, m := range n.otherVoters() {
-			if m.Name == f.leader {
-				return m, false, true
+		for _, v := range n.otherVoters() {
+			if v.Name == f.leader {
+				return v, false, true
 			}
 		}
 	}
-	return m, false, false
+	return voter{}, false, false
+}
+
+// leaderCandidates are the relays to contact in order to reach the leader: the leader itself if it is known, then the voters.
+func (n *Node) leaderCandidates() []voter {
+	list := n.otherVoters()
+	if leader, isSelf, ok := n.knownLeader(); ok && !isSelf {
+		list = append([]voter{leader}, list...)
+	}
+	return list
 }
 
-// atLeader has the leader do what a request asks for: here, or by passing it on, once. A body begins with how often that was done.
-func (n *Node) atLeader(ctx context.Context, kind byte, body []byte, here func(reader) []byte) []byte {
+// handleAtLeader has the leader handle a request: here, or by forwarding it once. A body begins with the number of times it was forwarded.
+func (n *Node) handleAtLeader(ctx context.Context, kind requestKind, body []byte, handle func(reader) []byte) []byte {
 	r := reader{rest: body}
 	hops := r.uint()
-	m, leads, known := n.knownLeader()
+	leader, isSelf, known := n.knownLeader()
 	switch {
 	case r.err != nil:
 		return rejection(r.err)
-	case leads:
-		return here(r)
+	case isSelf:
+		return handle(r)
 	case !known || hops > 0:
 		return []byte{codeNoLeader}
 	}
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
-	b, err := n.client.call(ctx, m.Name, m.Addr, kind, append(putUints(nil, hops+1), r.rest...))
+	response, err := n.client.call(ctx, leader, kind, append(putUints(nil, hops+1), r.rest...))
 	if err != nil {
 		return []byte{codeNoLeader}
 	}
-	return b
+	return response
 }
--- a/internal/consensus/messages.go
+++ b/internal/consensus/messages.go
@@ -1,43 +1,39 @@
 package consensus
 
 import (
-	"maps"
-	"slices"
+	"fmt"
 
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 )
 
-// peerMessages is what another voter sent.
+// peerMessages are raft messages from another voter, with the positions that it knows of all voters if one is a heartbeat.
 type peerMessages struct {
 	from         uint64
 	acknowledged map[uint64]logPosition
 	messages     []*pb.Message
 }
 
-// batch is messages of the engine for one voter. The sender's identity goes with them: the name is in the envelope.
-func encodeMessages(from uint64, marks map[uint64]logPosition, ms [][]byte) []byte {
-	b := putUints(nil, from, uint64(len(marks)))
-	for _, id := range slices.Sorted(maps.Keys(marks)) {
-		b = putUints(b, id, marks[id].term, marks[id].index)
-	}
-	return putList(b, ms)
+// encodeMessages encodes raft messages for one voter. They carry the sender's identity; its name is in the envelope.
+func encodeMessages(from uint64, acknowledged map[uint64]logPosition, messages [][]byte) []byte {
+	b := putUints(nil, from, uint64(len(acknowledged)))
+	return putList(putPositions(b, acknowledged), messages)
 }
 
-func decodeMessages(b []byte) (from uint64, marks map[uint64]logPosition, ms []*pb.Message, err error) {
+func decodeMessages(b []byte) (p peerMessages, err error) {
 	r := reader{rest: b}
-	from = r.uint()
-	marks = map[uint64]logPosition{}
+	p.from = r.uint()
+	p.acknowledged = map[uint64]logPosition{}
 	for range r.count() {
 		id := r.uint()
-		marks[id] = logPosition{r.uint(), r.uint()}
+		p.acknowledged[id] = logPosition{r.uint(), r.uint()}
 	}
 	for range r.count() {
 		m := &pb.Message{}
 		if err := proto.Unmarshal(r.bytes(), m); err != nil {
-			return 0, nil, nil, err
+			return peerMessages{}, fmt.Errorf("raft message: %w", err)
 		}
-		ms = append(ms, m)
+		p.messages = append(p.messages, m)
 	}
-	return from, marks, ms, r.finish()
+	return p, r.finish()
 }
--- a/internal/consensus/model_test.go
+++ b/internal/consensus/model_test.go
@@ -4,6 +4,7 @@
 	"cmp"
 	crand "crypto/rand"
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"hash/fnv"
 	"io"
@@ -226,7 +227,7 @@
 }
 
 func (w *world) engine(n *vnode, st *raft.MemoryStorage, s recordSnapshot, unsure bool) {
-	c, err := newCore(n.id, st, s, unsure, raftLog{w.quiet})
+	c, err := newCore(n.id, st, s, unsure, raftLogger{w.quiet})
 	if err != nil {
 		w.fail("engine of %s: %v", n.name, err)
 		return
@@ -424,18 +425,18 @@
 	if n.c == nil {
 		return
 	}
-	_, marks, ms, err := decodeMessages(body)
+	p, err := decodeMessages(body)
 	if err != nil {
 		w.fail("batch: %v", err)
 		return
 	}
-	for id, m := range marks {
+	for id, m := range p.acknowledged {
 		if id != n.id {
 			n.c.noteAcknowledged(id, m)
 		}
 	}
-	for _, m := range ms {
-		if err := n.c.step(m); err == errOutdatedDirectory {
+	for _, m := range p.messages {
+		if err := n.c.step(m); errors.Is(err, errOutdatedDirectory) {
 			if !w.sameID {
 				w.fail("%s was held for older, with a whole directory", n.name)
 			}
@@ -483,30 +484,27 @@
 		if v.c == nil {
 			return
 		}
-		whole, _, items, _ := v.ap.entriesAfter(record, index, 2000)
-		b := putUints(nil, uint64(len(items)))
-		for _, it := range items {
-			b = putEntry(b, it)
-		}
+		batch, _ := v.ap.entriesAfter(record, index, 2000)
+		b := encodeEntries(batch.entries)
 		w.send(v, n, func() {
 			if n.c != nil {
 				return
 			}
-			if whole != nil {
-				w.counts["wholes"]++
-				s, err := decodeSnapshot(whole)
+			if batch.snapshot != nil {
+				w.counts["streamed snapshots"]++
+				s, err := decodeSnapshot(batch.snapshot)
 				if err != nil {
-					w.fail("whole: %v", err)
+					w.fail("streamed snapshot: %v", err)
 					return
 				}
 				w.restore(n, s)
 			}
-			r := reader{rest: b}
-			for range r.count() {
-				w.apply(n, r.entry())
+			entries, err := decodeEntries(b)
+			if err != nil {
+				w.fail("entries: %v", err)
 			}
-			if err := r.finish(); err != nil {
-				w.fail("items: %v", err)
+			for _, e := range entries {
+				w.apply(n, e)
 			}
 			w.settle(n)
 		})
@@ -756,7 +754,7 @@
 	}
 	to := w.nodes[w.rng.IntN(w.voters)]
 	if n.c != nil {
-		if to = w.byID(n.c.leader()); to == nil {
+		if to = w.byID(n.c.status().Lead); to == nil {
 			back(callResult{err: errNoLeader})
 			return
 		}
--- a/internal/consensus/peer_status.go
+++ b/internal/consensus/peer_status.go
@@ -5,69 +5,83 @@
 	"time"
 )
 
-// peerStatus tells who this relay is; a founder's also binds the other to the record that it is about to begin.
+const peerStatusTimeout = time.Second
+
+// The states of a relay for a voter that wants to bootstrap a record.
 const (
-	peerEmpty       = 0 // no record is known, and no log held
+	peerEmpty       = 0 // it knows no record, and its directory holds no log
 	peerHasRecord   = 1
-	peerUnavailable = 2 // neither: bound to another, or no voter
+	peerUnavailable = 2 // neither: it is reserved for another bootstrap, or cannot vote
 )
 
+// peerStatus is what a relay tells another of itself.
 type peerStatus struct {
 	state, identity, recordID, index uint64
 	voters                           voterSet
-	acknowledged                     logPosition // of who asks, as it is remembered
-	knowsVoter                       bool        // it has an engine that knows who asks
-	hasQuorum                        bool        // it has one that hears a leader
+	acknowledged                     logPosition // the asking voter's, as this one remembers it
+	knowsVoter                       bool        // it has an engine whose voters include the asking one
+	hasQuorum                        bool        // it has an engine that knows a leader
 }
 
-func (n *Node) handlePeerStatus(from string, body []byte) []byte {
+// handlePeerStatus answers a request for this relay's status. With a bootstrap id it also reserves this relay for that bootstrap.
+func (n *Node) handlePeerStatus(body []byte) []byte {
 	r := reader{rest: body}
-	asker, bind := r.uint(), r.uint()
+	identity, bootstrapID := r.uint(), r.uint()
 	if err := r.finish(); err != nil {
 		return rejection(err)
 	}
-	h := peerStatus{}
-	h.recordID, h.index, _ = n.applier.position()
-	h.voters = n.applier.voterSet()
+	var status peerStatus
+	status.recordID, status.index, _ = n.applier.position()
+	status.voters = n.applier.voterSet()
 	e := n.engine()
+	status.state, status.identity = n.reserveForBootstrap(bootstrapID, status.recordID, e)
+	if e != nil {
+		v := e.view.Load()
+		status.acknowledged = v.acknowledged[identity]
+		_, status.knowsVoter = v.voters[identity]
+		status.hasQuorum = v.hasLeader()
+	}
+	return status.encode()
+}
+
+// reserveForBootstrap returns this relay's state and identity. If it is empty it is reserved for that bootstrap; 0 reserves nothing.
+func (n *Node) reserveForBootstrap(bootstrapID, recordID uint64, e *engine) (state, identity uint64) {
 	n.mu.Lock()
-	h.identity = n.identity
+	defer n.mu.Unlock()
 	switch {
-	case h.recordID != 0:
-		h.state = peerHasRecord
+	case recordID != 0:
+		return peerHasRecord, n.identity
 	case n.identity == 0 || e != nil || n.diskError != "":
-		h.state = peerUnavailable
-	case bind != 0 && n.bootstrapID != 0 && n.bootstrapID != bind && time.Since(n.bootstrapReservedAt) < bootstrapReservation:
-		h.state = peerUnavailable
-	case bind != 0:
-		n.bootstrapID, n.bootstrapReservedAt = bind, time.Now()
+		return peerUnavailable, n.identity
+	case bootstrapID != 0 && n.bootstrapID != 0 && n.bootstrapID != bootstrapID && time.Since(n.bootstrapReservedAt) < bootstrapReservation:
+		return peerUnavailable, n.identity
+	case bootstrapID != 0:
+		n.bootstrapID, n.bootstrapReservedAt = bootstrapID, time.Now()
 	}
-	n.mu.Unlock()
-	if e != nil {
-		v := e.view.Load()
-		h.acknowledged = v.acknowledged[asker]
-		_, h.knowsVoter = v.voters[asker]
-		h.hasQuorum = v.leader != 0 && v.diskError == nil
-	}
-	b := putUints([]byte{codeOK}, h.state, h.identity, h.recordID, h.index)
-	return putUints(putVoterSet(b, h.voters), h.acknowledged.term, h.acknowledged.index, boolToUint(h.knowsVoter), boolToUint(h.hasQuorum))
+	return peerEmpty, n.identity
+}
+
+func (s peerStatus) encode() []byte {
+	b := putUints([]byte{codeOK}, s.state, s.identity, s.recordID, s.index)
+	return putUints(putVoterSet(b, s.voters), s.acknowledged.term, s.acknowledged.index, boolToUint(s.knowsVoter), boolToUint(s.hasQuorum))
 }
 
-func decodePeerStatus(b []byte) (h peerStatus, err error) {
+func decodePeerStatus(b []byte) (s peerStatus, err error) {
 	if len(b) == 0 || b[0] != codeOK {
-		return h, errMalformed
+		return s, errMalformed
 	}
 	r := reader{rest: b[1:]}
-	h = peerStatus{state: r.uint(), identity: r.uint(), recordID: r.uint(), index: r.uint(), voters: r.voterSet(), acknowledged: logPosition{r.uint(), r.uint()}, knowsVoter: r.uint() == 1, hasQuorum: r.uint() == 1}
-	return h, r.finish()
+	s = peerStatus{state: r.uint(), identity: r.uint(), recordID: r.uint(), index: r.uint(), voters: r.voterSet(), acknowledged: logPosition{r.uint(), r.uint()}, knowsVoter: r.uint() == 1, hasQuorum: r.uint() == 1}
+	return s, r.finish()
 }
 
-func (n *Node) queryPeer(m voter, identity, bind uint64) (h peerStatus, err error) {
-	ctx, cancel := context.WithTimeout(n.ctx, time.Second)
+// queryPeer asks a relay for its status, as the voter of that identity (0: none), and reserves it for a bootstrap (0: none).
+func (n *Node) queryPeer(to voter, identity, bootstrapID uint64) (s peerStatus, err error) {
+	ctx, cancel := context.WithTimeout(n.ctx, peerStatusTimeout)
 	defer cancel()
-	b, err := n.client.call(ctx, m.Name, m.Addr, requestPeerStatus, putUints(nil, identity, bind))
+	b, err := n.client.call(ctx, to, requestPeerStatus, putUints(nil, identity, bootstrapID))
 	if err != nil {
-		return h, err
+		return s, err
 	}
 	return decodePeerStatus(b)
 }
--- a/internal/consensus/pending_calls.go
+++ b/internal/consensus/pending_calls.go
@@ -1,22 +1,20 @@
 package consensus
 
-import (
-	"sync"
-)
+import "sync"
 
-// pendingCalls is the proposals of this relay that wait for their answers.
+const maxPendingCalls = 1024
+
+// pendingCalls are this relay's proposals and barriers that wait for their results.
 type pendingCalls struct {
 	mu      sync.Mutex
-	byID    map[[16]byte]*pendingCall
+	byID    map[proposalID]*pendingCall
 	byIndex map[uint64]*pendingCall
 }
 
-const maxPendingCalls = 1024
-
 type pendingCall struct {
-	id      [16]byte
+	id      proposalID
 	command []byte
-	index   uint64
+	index   uint64 // of the proposal's entry; 0 before it has one
 	barrier bool
 	done    chan callResult // holds one
 }
@@ -27,83 +25,83 @@
 	err    error
 }
 
-func (p *pendingCalls) add(w *pendingCall) bool {
+func (p *pendingCalls) add(call *pendingCall) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.byID) >= maxPendingCalls {
 		return false
 	}
 	if p.byID == nil {
-		p.byID, p.byIndex = map[[16]byte]*pendingCall{}, map[uint64]*pendingCall{}
+		p.byID, p.byIndex = map[proposalID]*pendingCall{}, map[uint64]*pendingCall{}
 	}
-	p.byID[w.id] = w
+	p.byID[call.id] = call
 	return true
 }
 
-// assignIndex notes where in the log a proposal stands.
-func (p *pendingCalls) assignIndex(id [16]byte, index uint64) {
+// assignIndex notes the index of a proposal's entry.
+func (p *pendingCalls) assignIndex(id proposalID, index uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if w := p.byID[id]; w != nil && w.index == 0 {
-		w.index = index
-		p.byIndex[index] = w
+	if call := p.byID[id]; call != nil && call.index == 0 {
+		call.index = index
+		p.byIndex[index] = call
 	}
 }
 
-// completeApplied answers whoever waits for this proposal. One that stood at this index and is another's now will never be agreed.
-func (p *pendingCalls) completeApplied(index uint64, id [16]byte, answer []byte) {
+// completeApplied completes the call of an applied proposal with its result.
+func (p *pendingCalls) completeApplied(index uint64, id proposalID, answer []byte) {
+	p.completeCommitted(index, id, callResult{answer: answer, index: index})
+}
+
+// completeSkipped completes the call of a proposal that a stream had applied before this node knew of the call: its result is lost.
+func (p *pendingCalls) completeSkipped(index uint64, id proposalID) {
+	p.completeCommitted(index, id, callResult{err: ErrOutcomeUnknown})
+}
+
+// completeCommitted completes the call of a committed proposal. Another proposal that had this index will never be committed.
+func (p *pendingCalls) completeCommitted(index uint64, id proposalID, r callResult) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if w := p.byIndex[index]; w != nil && w.id != id {
-		p.complete(w, callResult{err: ErrNoQuorum})
+	if call := p.byIndex[index]; call != nil && call.id != id {
+		p.complete(call, callResult{err: ErrNoQuorum})
 	}
-	if w := p.byID[id]; w != nil {
-		p.complete(w, callResult{answer: answer, index: index})
+	if call := p.byID[id]; call != nil {
+		p.complete(call, r)
 	}
 }
 
-// completeSkipped is of an entry that was applied before this node knew that it waits for it, by a stream: it has no answer any more.
-func (p *pendingCalls) completeSkipped(index uint64, id [16]byte) {
+// completeBarrier completes a barrier with its read index.
+func (p *pendingCalls) completeBarrier(id proposalID, index uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if w := p.byIndex[index]; w != nil && w.id != id {
-		p.complete(w, callResult{err: ErrNoQuorum})
-	}
-	if w := p.byID[id]; w != nil {
-		p.complete(w, callResult{err: ErrOutcomeUnknown})
+	if call := p.byID[id]; call != nil && call.barrier {
+		p.complete(call, callResult{index: index})
 	}
 }
 
-// completeBarrier answers a barrier.
-func (p *pendingCalls) completeBarrier(id [16]byte, index uint64) {
+// fail completes a call with an error, unless it is complete.
+func (p *pendingCalls) fail(call *pendingCall, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if w := p.byID[id]; w != nil && w.barrier {
-		p.complete(w, callResult{index: index})
-	}
+	p.complete(call, callResult{err: err})
 }
 
-func (p *pendingCalls) fail(w *pendingCall, err error) {
+func (p *pendingCalls) failAll(err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.complete(w, callResult{err: err})
+	for _, call := range p.byID {
+		p.complete(call, callResult{err: err})
+	}
 }
 
-func (p *pendingCalls) complete(w *pendingCall, r callResult) {
-	if p.byID[w.id] != w {
+// complete needs p.mu.
+func (p *pendingCalls) complete(call *pendingCall, r callResult) {
+	if p.byID[call.id] != call {
 		return
 	}
-	delete(p.byID, w.id)
-	if p.byIndex[w.index] == w {
-		delete(p.byIndex, w.index)
-	}
-	w.done <- r
-}
-
-func (p *pendingCalls) failAll(err error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, w := range p.byID {
-		p.complete(w, callResult{err: err})
+	delete(p.byID, call.id)
+	if p.byIndex[call.index] == call {
+		delete(p.byIndex, call.index)
 	}
+	call.done <- r
 }
--- a/internal/consensus/protocol.go
+++ b/internal/consensus/protocol.go
@@ -1,42 +1,45 @@
 package consensus
 
-const (
-	maxFrameSize = maxLargeRequest
-)
+// endpointPath is the HTTP path of all requests between relays.
+const endpointPath = "/accord"
 
-const (
-	frameHeartbeat = 'b'
-	frameSnapshot  = 's'
-	frameEntries   = 'i'
-)
+// requestKind says what a request is.
+type requestKind byte
 
-// What a request is.
 const (
-	requestMessages   = 'r' // messages of the engine
-	requestPropose    = 'p'
-	requestBarrier    = 'b'
-	requestReport     = 's'
-	requestPeerStatus = 'h'
-	requestChange     = 'w'
-	requestFollow     = 'f'
+	requestMessages   requestKind = 'r' // raft messages
+	requestPropose    requestKind = 'p'
+	requestBarrier    requestKind = 'b'
+	requestReport     requestKind = 's'
+	requestPeerStatus requestKind = 'h'
+	requestChange     requestKind = 'w' // a change proposal
+	requestFollow     requestKind = 'f' // a follower's stream
 )
 
-// How an answer begins.
+// The first byte of a response.
 const (
 	codeOK             = 0
-	codeWrongEpoch     = 1 // sealed for an earlier process; the right epoch follows
-	codeStaleStart     = 2 // the sender's start is too low; the lowest that was refused follows
+	codeWrongEpoch     = 1 // sealed for an earlier process; the current epoch follows
+	codeStaleStart     = 2 // the sender's start is too low; the one that it has to exceed follows
 	codeNoLeader       = 3 // nothing was done
-	codeFull           = 4 // nothing was done
-	codeNoQuorum       = 5 // nothing was agreed, nor will be
+	codeQueueFull      = 4 // nothing was done
+	codeNoQuorum       = 5 // nothing was committed, nor will be
 	codeOutcomeUnknown = 6
 	codeRejected       = 7 // a text follows
 )
 
+// The first byte of a frame of a follower's stream.
+const (
+	frameHeartbeat = 'b'
+	frameSnapshot  = 's'
+	frameEntries   = 'i'
+)
+
+// Sizes in bytes.
 const (
-	endpointPath    = "/accord"
-	maxSmallRequest = 2 << 20 // bytes of a request that is no snapshot
+	maxSmallRequest = 2 << 20 // of a request or response without a snapshot
 	maxLargeRequest = MaxSnapshotSize + 1<<20
+	maxFrameSize    = maxLargeRequest
 )
 
 func rejection(err error) []byte { return append([]byte{codeRejected}, err.Error()...) }
--- a/internal/consensus/raft_logger.go
+++ b/internal/consensus/raft_logger.go
@@ -6,19 +6,13 @@
 	"github.com/sirupsen/logrus"
 )
 
-// raftLog is where the engine's library writes. What it panics with ends the engine, never the process.
-type raftLog struct{ logrus.FieldLogger }
-
-func (r raftLog) Info(v ...any) { r.Debug(v...) }
-
-func (r raftLog) Infof(f string, v ...any) { r.Debugf(f, v...) }
-
-func (r raftLog) Warningf(f string, v ...any) { r.Debugf(f, v...) }
-
-func (r raftLog) Fatal(v ...any) { panic(fmt.Sprint(v...)) }
-
-func (r raftLog) Fatalf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
-
-func (r raftLog) Panic(v ...any) { panic(fmt.Sprint(v...)) }
-
-func (r raftLog) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
+// raftLogger is the raft library's log, at debug level. Where the library wants the process to end it panics, which ends the engine alone.
+type raftLogger struct{ logrus.FieldLogger }
+
+func (r raftLogger) Info(v ...any)                    { r.Debug(v...) }
+func (r raftLogger) Infof(format string, v ...any)    { r.Debugf(format, v...) }
+func (r raftLogger) Warningf(format string, v ...any) { r.Debugf(format, v...) }
+func (r raftLogger) Fatal(v ...any)                   { panic(fmt.Sprint(v...)) }
+func (r raftLogger) Fatalf(format string, v ...any)   { panic(fmt.Sprintf(format, v...)) }
+func (r raftLogger) Panic(v ...any)                   { panic(fmt.Sprint(v...)) }
+func (r raftLogger) Panicf(format string, v ...any)   { panic(fmt.Sprintf(format, v...)) }
--- a/internal/consensus/replace.go
+++ b/internal/consensus/replace.go
@@ -7,50 +7,26 @@
 	"time"
 )
 
+// changeInterval is how often a voter under a new identity repeats its change proposal.
+const changeInterval = time.Second
+
 // Replace makes the relay newName, at address, a voter in the place of oldName. The new relay has to run already. It returns when the
 // record has the change; it is rejected unless all other voters are healthy, or while another change is in progress. If both names are
 // equal, only the address changes.
 func (n *Node) Replace(ctx context.Context, oldName, newName, address string) error {
-	return n.replaceVoter(ctx, oldName, newName, address)
-}
-
-const (
-	changeInterval = time.Second
-)
-
-// replaceVoter asks the leader for a change of voters and waits until the record here has it.
-func (n *Node) replaceVoter(ctx context.Context, old, new, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, ProposeTimeout)
 	defer cancel()
-	var identity uint64
-	if old == new {
-		identity = n.applier.voterSet().idOf(old)
-		if identity == 0 {
-			return errUnknownVoter
-		}
-	} else {
-		if new == n.options.Name {
-			n.mu.Lock()
-			identity = n.identity
-			n.mu.Unlock()
-		} else {
-			h, err := n.queryPeer(voter{new, address}, 0, 0)
-			if err != nil {
-				return fmt.Errorf("accord: %s at %s: %w", new, address, err)
-			}
-			identity = h.identity
-		}
-		if identity == 0 {
-			return fmt.Errorf("accord: %s has no identity yet", new)
-		}
+	identity, err := n.replacementIdentity(oldName, newName, address)
+	if err != nil {
+		return err
 	}
-	w := changeProposal{oldName: old, newName: new, address: address, newID: identity, byOperator: true}
-	if err := n.submitChange(ctx, append(putUints(nil, 0), w.encode()...)); err != nil {
+	proposal := changeProposal{oldName: oldName, newName: newName, address: address, newID: identity, byOperator: true}
+	if err := n.submitChange(ctx, append(putUints(nil, 0), proposal.encode()...)); err != nil {
 		return err
 	}
 	for {
-		record, _, changed := n.applier.position()
-		if m, ok := n.applier.voterSet()[identity]; ok && record != 0 && m == (voter{new, address}) {
+		recordID, _, changed := n.applier.position()
+		if v, ok := n.applier.voterSet()[identity]; ok && recordID != 0 && v == (voter{newName, address}) {
 			return nil
 		}
 		select {
@@ -63,28 +39,54 @@
 	}
 }
 
+// replacementIdentity is the identity of the relay that becomes a voter.
+func (n *Node) replacementIdentity(oldName, newName, address string) (identity uint64, err error) {
+	switch newName {
+	case oldName:
+		if identity = n.applier.voterSet().idOf(oldName); identity == 0 {
+			return 0, errUnknownVoter
+		}
+		return identity, nil
+	case n.options.Name:
+		n.mu.Lock()
+		identity = n.identity
+		n.mu.Unlock()
+	default:
+		status, err := n.queryPeer(voter{newName, address}, 0, 0)
+		if err != nil {
+			return 0, fmt.Errorf("consensus: %s at %s: %w", newName, address, err)
+		}
+		identity = status.identity
+	}
+	if identity == 0 {
+		return 0, fmt.Errorf("consensus: %s has no identity yet", newName)
+	}
+	return identity, nil
+}
+
+// submitChange has the leader take an operator's change proposal. It makes attempts until a relay has acted on one.
 func (n *Node) submitChange(ctx context.Context, body []byte) error {
 	for {
-		var list []voter
-		if m, here, ok := n.knownLeader(); here {
-			a := n.handleChange(ctx, body)
-			if a[0] == codeOK {
+		var candidates []voter
+		if leader, isSelf, ok := n.knownLeader(); isSelf {
+			response := n.handleChange(ctx, body)
+			if response[0] == codeOK {
 				return nil
 			}
-			return errors.New(string(a[1:]))
+			return errors.New(string(response[1:]))
 		} else if ok {
-			list = append(list, m)
+			candidates = append(candidates, leader)
 		}
-		for _, m := range append(list, n.otherVoters()...) {
-			a, err := n.client.call(ctx, m.Name, m.Addr, requestChange, body)
+		for _, v := range append(candidates, n.otherVoters()...) {
+			response, err := n.client.call(ctx, v, requestChange, body)
 			switch {
 			case errors.Is(err, errNotSent):
 			case err != nil:
 				return ErrOutcomeUnknown
-			case a[0] == codeOK:
+			case response[0] == codeOK:
 				return nil
-			case a[0] == codeRejected:
-				return errors.New(string(a[1:]))
+			case response[0] == codeRejected:
+				return errors.New(string(response[1:]))
 			}
 		}
 		select {
@@ -97,33 +99,33 @@
 	}
 }
 
-// sendChange has the leader know that this relay is to be taken in.
-func (n *Node) sendChange(w changeProposal) {
-	for _, m := range n.leaderCandidates() {
+// sendChange asks the leader to add this voter under its new identity.
+func (n *Node) sendChange(p changeProposal) {
+	for _, v := range n.leaderCandidates() {
 		ctx, cancel := context.WithTimeout(n.ctx, forwardTimeout)
-		b, err := n.client.call(ctx, m.Name, m.Addr, requestChange, append(putUints(nil, 0), w.encode()...))
+		response, err := n.client.call(ctx, v, requestChange, append(putUints(nil, 0), p.encode()...))
 		cancel()
-		if err == nil && b[0] == codeOK {
+		if err == nil && response[0] == codeOK {
 			return
 		}
 	}
 }
 
-// handleChange takes a change of voters at the leader. One that was ordered is refused if it is not allowed now; a newcomer's waits.
+// handleChange takes a change proposal at the leader. An operator's is rejected if it is not allowed now; a voter's own waits.
 func (n *Node) handleChange(ctx context.Context, body []byte) []byte {
-	return n.atLeader(ctx, requestChange, body, func(r reader) []byte {
-		w := changeProposal{byOperator: r.uint() == 1, newID: r.uint(), oldName: r.string(), newName: r.string(), address: r.string()}
-		if r.finish() != nil || w.newID == 0 || w.newName == "" {
+	return n.handleAtLeader(ctx, requestChange, body, func(r reader) []byte {
+		p := r.changeProposal()
+		if r.finish() != nil || p.newID == 0 || p.newName == "" {
 			return rejection(errMalformed)
 		}
 		done := make(chan error, 1)
 		n.onEngine(func(e *engine) {
 			var err error
-			if w.byOperator {
-				_, err = e.core.checkChange(w)
+			if p.byOperator {
+				_, err = e.core.checkChange(p)
 			}
 			if err == nil {
-				e.core.addProposal(w)
+				e.core.addProposal(p)
 			}
 			done <- err
 		})
--- a/internal/consensus/replay_guard.go
+++ b/internal/consensus/replay_guard.go
@@ -7,99 +7,100 @@
 )
 
 const (
-	replayWindow       = 4096 // how far behind the newest number a request may come; at most requestsMost run at a time
+	replayWindow       = 4096 // how far behind the newest sequence number a request may come; at most maxRequests are in flight
 	maxSenders         = 1024
-	duplicateThreshold = 3 // as often a name begins to send anew within twinEvery, if two relays have it
+	duplicateThreshold = 3 // restarts of a name within duplicateWindow, if two relays have it
 )
 
+// Why a verified request is rejected. The texts are keys of Status.Rejected.
 var (
 	errWrongEpoch = errors.New("epoch")
 	errStaleStart = errors.New("old")
 	errReplayed   = errors.New("repeated")
 )
 
-// replayGuard is what a receiver keeps against repeated requests. It is bounded.
+// replayGuard rejects requests that were received before. Its memory is bounded.
 type replayGuard struct {
 	mu       sync.Mutex
-	epoch    uint64
+	epoch    uint64 // drawn at the start; it never changes
 	senders  map[string]*senderWindow
-	restarts map[string]int // how often a start went up, by name, since twins forgot
+	restarts map[string]int // by name: how often a start increased, in this window
 }
 
+// senderWindow is a sender's start, and which of its last sequence numbers were received.
 type senderWindow struct {
 	start, newest uint64
-	seen          [replayWindow / 64]uint64
+	received      [replayWindow / 64]uint64
 }
 
-// admit says whether a request counts, and the start that the sender has to be above if it is errStaleStart.
-func (f *replayGuard) admit(r envelope) (start uint64, err error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if r.epoch != f.epoch {
+func (w *senderWindow) bit(sequence uint64) (group *uint64, mask uint64) {
+	return &w.received[sequence%replayWindow/64], 1 << (sequence % 64)
+}
+
+// admit says whether a request counts. With errStaleStart it returns the start that the sender has to exceed.
+func (g *replayGuard) admit(req envelope) (start uint64, err error) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if req.epoch != g.epoch {
 		return 0, errWrongEpoch
 	}
-	n := f.senders[r.from]
-	if n == nil || r.start > n.start {
-		if n == nil && len(f.senders) >= maxSenders {
+	w := g.senders[req.from]
+	if w == nil || req.start > w.start {
+		if w == nil && len(g.senders) >= maxSenders {
 			return 0, errSize
 		}
-		if f.senders == nil {
-			f.senders = map[string]*senderWindow{}
+		if g.senders == nil {
+			g.senders = map[string]*senderWindow{}
 		}
-		if n != nil {
-			f.noteRestart(r.from)
+		if w != nil {
+			g.noteRestart(req.from)
 		}
-		n = &senderWindow{start: r.start}
-		f.senders[r.from] = n
+		w = &senderWindow{start: req.start}
+		g.senders[req.from] = w
 	}
-	bit := func(seq uint64) (*uint64, uint64) { return &n.seen[seq%replayWindow/64], 1 << (seq % 64) }
+	group, mask := w.bit(req.sequence)
 	switch {
-	case r.start < n.start:
-		return n.start, errStaleStart
-	case r.sequence > n.newest:
-		for s := max(n.newest, r.sequence-min(r.sequence, replayWindow)) + 1; s < r.sequence; s++ {
-			word, mask := bit(s)
-			*word &^= mask
+	case req.start < w.start:
+		return w.start, errStaleStart
+	case req.sequence > w.newest:
+		for s := max(w.newest, req.sequence-min(req.sequence, replayWindow)) + 1; s < req.sequence; s++ {
+			skipped, skippedMask := w.bit(s)
+			*skipped &^= skippedMask
 		}
-		n.newest = r.sequence
-	case n.newest-r.sequence >= replayWindow:
+		w.newest = req.sequence
+	case w.newest-req.sequence >= replayWindow, *group&mask != 0:
 		return 0, errReplayed
-	default:
-		if word, mask := bit(r.sequence); *word&mask != 0 {
-			return 0, errReplayed
-		}
 	}
-	word, mask := bit(r.sequence)
-	*word |= mask
+	*group |= mask
 	return 0, nil
 }
 
-// noteRestart notes that a name began to send anew. Names are those of senders, and the own one.
-func (f *replayGuard) noteRestart(name string) {
-	if f.restarts == nil {
-		f.restarts = map[string]int{}
+// noteRestart notes that a name's start increased. It needs g.mu.
+func (g *replayGuard) noteRestart(name string) {
+	if g.restarts == nil {
+		g.restarts = map[string]int{}
 	}
-	f.restarts[name]++
+	g.restarts[name]++
 }
 
-func (f *replayGuard) noteOwnRestart(name string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.noteRestart(name)
+func (g *replayGuard) noteOwnRestart(name string) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.noteRestart(name)
 }
 
-// duplicateNames are the names under which two relays seem to send: each refuses the other's numbers, so that both begin anew again and again. One that
-// starts again does so once.
-func (f *replayGuard) duplicateNames(forget bool) (names []string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for name, times := range f.restarts {
+// duplicateNames are the names under which two relays seem to send: each makes the other's numbers stale, so that both restart repeatedly. A
+// relay that is restarted does so once.
+func (g *replayGuard) duplicateNames(endOfWindow bool) (names []string) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	for name, times := range g.restarts {
 		if times >= duplicateThreshold {
 			names = append(names, name)
 		}
 	}
-	if forget {
-		f.restarts = nil
+	if endOfWindow {
+		g.restarts = nil
 	}
 	slices.Sort(names)
 	return names
--- a/internal/consensus/reports.go
+++ b/internal/consensus/reports.go
@@ -3,103 +3,85 @@
 import (
 	"bytes"
 	"context"
+	"slices"
 	"time"
 )
 
-// Report sends a report to the leader, within about a second, possibly never: a full queue drops it (ErrQueueFull) and counts.
-func (n *Node) Report(report []byte) error { return n.queueReport(report) }
-
 const (
 	reportInterval       = time.Second
-	maxQueuedReports     = 256 // words that wait
+	maxQueuedReports     = 256
 	maxQueuedReportBytes = 256 << 10
-	reportQueueSize      = 1024
-	replyQueueSize       = 256                    // answers that wait to be told
-	maxReplyWaiters      = 256                    // requests that wait for answers to their words: half of what is served at a time
-	replyTimeout         = 300 * time.Millisecond // less than reportInterval: who gave a word up would say it again elsewhere
+	reportQueueSize      = 1024                   // reports that wait for OnReport
+	replyQueueSize       = 256                    // replies that wait for OnReply
+	maxReplyWaiters      = 256                    // requests that wait for replies: half of maxRequests
+	replyTimeout         = 300 * time.Millisecond // less than forwardTimeout: a sender that gave up would send its reports again elsewhere
 )
 
-type reportMessage struct {
+// incomingReport is a call of OnReport.
+type incomingReport struct {
 	from    string
 	content []byte
-	reply   chan<- []byte // with room for its answer; nil in the ring of answers
+	reply   chan<- []byte // has capacity for the reply
 }
 
-// handleReport has a word heard, and gives the answer to who waits for it.
-func (n *Node) handleReport(s reportMessage) {
-	var a []byte
-	if n.options.OnReport != nil {
-		a = n.options.OnReport(s.from, s.content)
-	}
-	if len(a) > MaxReplySize {
-		n.countDropped("answersize")
-		a = nil
-	}
-	s.reply <- a
+// incomingReply is a call of OnReply.
+type incomingReply struct {
+	leader  string
+	content []byte
 }
 
-// queueReport puts a word into the ring for the leader.
-func (n *Node) queueReport(word []byte) error {
-	if len(word) > MaxReportSize {
+// Report sends a report to the leader, within about a second, possibly never: a full queue drops it (ErrQueueFull) and counts.
+func (n *Node) Report(report []byte) error {
+	if len(report) > MaxReportSize {
 		return ErrTooLarge
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if len(n.queuedReports) >= maxQueuedReports || n.queuedReportBytes+len(word) > maxQueuedReportBytes {
-		n.dropped["said"]++
+	if len(n.queuedReports) >= maxQueuedReports || n.queuedReportBytes+len(report) > maxQueuedReportBytes {
+		n.dropped[droppedReports]++
 		return ErrQueueFull
 	}
-	n.queuedReports = append(n.queuedReports, bytes.Clone(word))
-	n.queuedReportBytes += len(word)
+	n.queuedReports = append(n.queuedReports, bytes.Clone(report))
+	n.queuedReportBytes += len(report)
 	return nil
 }
 
-// reportLoop brings what was said to the leader, once a second. What does not arrive is lost, and counted.
+// reportLoop sends the queued reports to the leader. What does not arrive is lost, and counted.
 func (n *Node) reportLoop() {
-	t := time.NewTicker(reportInterval)
-	defer t.Stop()
+	ticker := time.NewTicker(reportInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-n.quit:
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
 		n.mu.Lock()
-		words := n.queuedReports
+		reports := n.queuedReports
 		n.queuedReports, n.queuedReportBytes = nil, 0
 		n.mu.Unlock()
-		if len(words) > 0 && !n.deliverReports(words) {
-			n.countDropped("unheard")
+		if len(reports) > 0 && !n.deliverReports(reports) {
+			n.countDropped(droppedUndelivered)
 		}
 	}
 }
 
-func (n *Node) deliverReports(words [][]byte) bool {
-	if _, here, _ := n.knownLeader(); here {
-		n.queueReplies(n.options.Name, n.processReports(n.ctx, n.options.Name, words))
+// deliverReports sends reports to the leader, by another voter if need be, and queues the replies.
+func (n *Node) deliverReports(reports [][]byte) bool {
+	if _, isSelf, _ := n.knownLeader(); isSelf {
+		n.queueReplies(n.options.Name, n.processReports(n.ctx, n.options.Name, reports))
 		return true
 	}
-	b := putBytes(putUints(nil, 0), n.options.Name)
-	b = putList(b, words)
-	// By the voter whose stream is read, else by the leader: a voter has its way to the leader open.
-	list := n.leaderCandidates()
-	n.mu.Lock()
-	via := n.followState.source
-	n.mu.Unlock()
-	for i, m := range list {
-		if m.Name == via {
-			list[0], list[i] = list[i], list[0]
-		}
-	}
-	for _, m := range list {
+	body := putList(putBytes(putUints(nil, 0), n.options.Name), reports)
+	for _, v := range n.reportCandidates() {
 		ctx, cancel := context.WithTimeout(n.ctx, forwardTimeout)
-		a, err := n.client.call(ctx, m.Name, m.Addr, requestReport, b)
+		response, err := n.client.call(ctx, v, requestReport, body)
 		cancel()
-		if err == nil && a[0] == codeOK {
-			r := reader{rest: a[1:]}
-			leader, answers := r.string(), r.list(len(words))
+		if err == nil && response[0] == codeOK {
+			r := reader{rest: response[1:]}
+			leader, replies := r.string(), r.list(len(reports))
 			if r.finish() == nil {
-				n.queueReplies(leader, answers)
+				n.queueReplies(leader, replies)
 			}
 			return true
 		}
@@ -110,60 +92,88 @@
 	return false
 }
 
-// processReports puts words into the leader's ring, and waits for the answers: not for long, and not if many wait already. The words count in any case.
-func (n *Node) processReports(ctx context.Context, from string, words [][]byte) (answers [][]byte) {
-	back := make(chan []byte, len(words))
-	wait := 0
-	for _, w := range words {
+// reportCandidates are the leader candidates, with the voter whose stream is followed first: it has a connection to the leader.
+func (n *Node) reportCandidates() []voter {
+	candidates := n.leaderCandidates()
+	n.mu.Lock()
+	source := n.followState.source
+	n.mu.Unlock()
+	if i := slices.IndexFunc(candidates, func(v voter) bool { return v.Name == source }); i > 0 {
+		candidates[0], candidates[i] = candidates[i], candidates[0]
+	}
+	return candidates
+}
+
+// handleReports takes the reports of another relay, or forwards them to the leader.
+func (n *Node) handleReports(ctx context.Context, body []byte) []byte {
+	return n.handleAtLeader(ctx, requestReport, body, func(r reader) []byte {
+		from, reports := r.string(), r.list(maxQueuedReports)
+		if err := r.finish(); err != nil {
+			return rejection(err)
+		}
+		return putList(putBytes([]byte{codeOK}, n.options.Name), n.processReports(ctx, from, reports))
+	})
+}
+
+// processReports queues reports at the leader and waits for the replies: for replyTimeout at most, and not if too many requests wait
+// already. The reports count in any case.
+func (n *Node) processReports(ctx context.Context, from string, reports [][]byte) (replies [][]byte) {
+	reply := make(chan []byte, len(reports))
+	queued := 0
+	for _, report := range reports {
 		select {
-		case n.incomingReports <- reportMessage{from, w, back}:
-			wait++
+		case n.incomingReports <- incomingReport{from, report, reply}:
+			queued++
 		default:
-			n.countDropped("heard")
+			n.countDropped(droppedIncomingReports)
 		}
 	}
 	select {
 	case n.replyWaiters <- struct{}{}:
 		defer func() { <-n.replyWaiters }()
 	default:
-		n.countDropped("unanswered")
+		n.countDropped(droppedUnanswered)
 		return nil
 	}
-	late := time.NewTimer(replyTimeout)
-	defer late.Stop()
-	for range wait {
+	timeout := time.NewTimer(replyTimeout)
+	defer timeout.Stop()
+	for range queued {
 		select {
-		case a := <-back:
-			if len(a) > 0 {
-				answers = append(answers, a)
+		case r := <-reply:
+			if len(r) > 0 {
+				replies = append(replies, r)
 			}
 			continue
-		case <-late.C:
-			n.countDropped("unanswered")
+		case <-timeout.C:
+			n.countDropped(droppedUnanswered)
 		case <-ctx.Done():
 		case <-n.quit:
 		}
 		break
 	}
-	return answers
+	return replies
 }
 
-func (n *Node) queueReplies(leader string, answers [][]byte) {
-	for _, a := range answers {
-		select {
-		case n.incomingReplies <- reportMessage{from: leader, content: a}:
-		default:
-			n.countDropped("told")
-		}
+// handleReport calls OnReport and passes the reply to the request that waits for it.
+func (n *Node) handleReport(r incomingReport) {
+	var reply []byte
+	if n.options.OnReport != nil {
+		reply = n.options.OnReport(r.from, r.content)
 	}
+	if len(reply) > MaxReplySize {
+		n.countDropped(droppedReplySize)
+		reply = nil
+	}
+	r.reply <- reply
 }
 
-func (n *Node) handleReports(ctx context.Context, body []byte) []byte {
-	return n.atLeader(ctx, requestReport, body, func(r reader) []byte {
-		from, words := r.string(), r.list(maxQueuedReports)
-		if err := r.finish(); err != nil {
-			return rejection(err)
+// queueReplies queues replies for OnReply.
+func (n *Node) queueReplies(leader string, replies [][]byte) {
+	for _, reply := range replies {
+		select {
+		case n.incomingReplies <- incomingReply{leader, reply}:
+		default:
+			n.countDropped(droppedReplies)
 		}
-		return putList(putBytes([]byte{codeOK}, n.options.Name), n.processReports(ctx, from, words))
-	})
+	}
 }
--- a/internal/consensus/server.go
+++ b/internal/consensus/server.go
@@ -11,142 +11,140 @@
 )
 
 const (
-	maxRequests     = 512 // served at a time, beside streams
-	maxStreams      = 1024
-	readTimeout     = 10 * time.Second
-	snapshotTimeout = 30 * time.Second
+	maxRequests = 512 // in flight at a time, streams excepted
+	readTimeout = 10 * time.Second
 )
 
-// ServeHTTP takes what other relays send.
+// serveHTTP serves the requests of other relays.
 func (n *Node) serveHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost || r.URL.Path != endpointPath {
-		n.countRejected("path")
+		n.countRejected(rejectedPath)
 		http.NotFound(w, r)
 		return
 	}
 	select {
 	case n.requestSlots <- struct{}{}:
 	default:
-		n.countDropped("requests")
+		n.countDropped(droppedRequests)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	free := sync.OnceFunc(func() { <-n.requestSlots })
-	defer free()
+	release := sync.OnceFunc(func() { <-n.requestSlots })
+	defer release()
 	if r.ContentLength < 0 || r.ContentLength > maxLargeRequest {
-		n.countRejected("size")
+		n.countRejected(rejectedSize)
 		w.WriteHeader(http.StatusRequestEntityTooLarge)
 		return
 	}
-	if r.ContentLength > maxSmallRequest { // of unknown senders still: one at a time
+	timeout := readTimeout
+	if r.ContentLength > maxSmallRequest { // its sender is not verified yet: one at a time
 		select {
 		case n.largeSlot <- struct{}{}:
 			defer func() { <-n.largeSlot }()
 		default:
-			n.countDropped("large")
+			n.countDropped(droppedLargeRequests)
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
+		timeout = snapshotTimeout
 	}
 	rc := http.NewResponseController(w)
-	limit := readTimeout
-	if r.ContentLength > maxSmallRequest {
-		limit = snapshotTimeout
-	}
-	if err := rc.SetReadDeadline(time.Now().Add(limit)); err != nil {
-		n.countRejected("deadline")
+	req, ok := n.readRequest(w, rc, r, timeout)
+	if !ok {
 		return
 	}
-	b := make([]byte, r.ContentLength)
-	if _, err := io.ReadFull(r.Body, b); err != nil {
-		n.countRejected("read")
+	if req.kind == requestFollow {
+		release()
+		n.serveStream(r.Context(), w, rc, req)
 		return
 	}
-	if err := rc.SetReadDeadline(time.Time{}); err != nil {
-		n.countRejected("deadline")
-		return
+	n.respond(w, req, n.handle(r.Context(), req))
+}
+
+// readRequest reads a request and checks its envelope. If it is not ok, the request is answered.
+func (n *Node) readRequest(w http.ResponseWriter, rc *http.ResponseController, r *http.Request, timeout time.Duration) (req envelope, ok bool) {
+	body, rejected := readBody(rc, r, timeout)
+	if rejected != "" {
+		n.countRejected(rejected)
+		return req, false
 	}
-	req, err := verifyRequest(n.options.Keys, n.options.Name, b)
+	req, err := verifyRequest(n.options.Keys, n.options.Name, body)
 	if err != nil {
 		n.countRejected(err.Error())
 		w.WriteHeader(http.StatusForbidden)
-		return
+		return req, false
 	}
-	answer := func(b []byte) {
-		out := sealAnswer(req.key, req.tag, 0, b)
-		if req.kind == requestFollow { // its answer is frames
-			out = append(binary.BigEndian.AppendUint32(nil, uint32(len(out))), out...)
-		}
-		w.Header()["Date"] = nil
-		if _, err := w.Write(out); err != nil {
-			n.countDropped("answers")
-		}
-	}
-	switch start, err := n.replayGuard.admit(req); err {
-	case nil:
-	case errWrongEpoch:
-		answer(binary.BigEndian.AppendUint64([]byte{codeWrongEpoch}, n.replayGuard.epoch))
-		return
-	case errStaleStart:
-		answer(binary.BigEndian.AppendUint64([]byte{codeStaleStart}, start))
-		return
+	start, err := n.replayGuard.admit(req)
+	switch {
+	case err == nil:
+		return req, true
+	case errors.Is(err, errWrongEpoch):
+		n.respond(w, req, binary.BigEndian.AppendUint64([]byte{codeWrongEpoch}, n.replayGuard.epoch))
+	case errors.Is(err, errStaleStart):
+		n.respond(w, req, binary.BigEndian.AppendUint64([]byte{codeStaleStart}, start))
 	default:
 		n.countRejected(err.Error())
 		w.WriteHeader(http.StatusForbidden)
-		return
 	}
-	if req.kind == requestFollow {
-		free()
-		n.serveStream(r.Context(), w, rc, req)
-		return
+	return req, false
+}
+
+// readBody reads a request's body within a timeout. It returns the key to count a failure under.
+func readBody(rc *http.ResponseController, r *http.Request, timeout time.Duration) (body []byte, rejected string) {
+	if err := rc.SetReadDeadline(time.Now().Add(timeout)); err != nil {
+		return nil, rejectedDeadline
+	}
+	body = make([]byte, r.ContentLength)
+	if _, err := io.ReadFull(r.Body, body); err != nil {
+		return nil, rejectedRead
+	}
+	if err := rc.SetReadDeadline(time.Time{}); err != nil {
+		return nil, rejectedDeadline
+	}
+	return body, ""
+}
+
+// respond writes a sealed response.
+func (n *Node) respond(w http.ResponseWriter, req envelope, body []byte) {
+	sealed := sealAnswer(req.key, req.tag, 0, body)
+	if req.kind == requestFollow { // the response is a frame of a stream
+		sealed = append(binary.BigEndian.AppendUint32(nil, uint32(len(sealed))), sealed...)
+	}
+	w.Header()["Date"] = nil
+	if _, err := w.Write(sealed); err != nil {
+		n.countDropped(droppedResponses)
 	}
-	answer(n.handle(r.Context(), req))
 }
 
+// handle handles a verified request and returns the response.
 func (n *Node) handle(ctx context.Context, req envelope) []byte {
-	r := reader{rest: req.body}
 	switch req.kind {
 	case requestMessages:
-		from, marks, ms, err := decodeMessages(req.body)
-		e := n.engine()
-		if err != nil || e == nil {
-			return []byte{codeNoLeader}
-		}
-		select {
-		case e.messages <- peerMessages{from, marks, ms}:
-			return []byte{codeOK}
-		default:
-			n.countDropped("steps")
-			return []byte{codeFull}
-		}
+		return n.handleMessages(req.body)
 	case requestPropose, requestBarrier:
-		hops, ms := r.uint(), r.uint()
-		w := &pendingCall{barrier: req.kind == requestBarrier, done: make(chan callResult, 1)}
-		copy(w.id[:], r.bytes())
-		w.command = r.bytes()
-		if r.finish() != nil || len(w.command) > MaxCommandSize {
-			return rejection(errMalformed)
-		}
-		ctx, cancel := context.WithTimeout(ctx, min(time.Duration(ms)*time.Millisecond, ProposeTimeout))
-		defer cancel()
-		res := n.routeCall(ctx, w, int(hops))
-		switch {
-		case res.err == nil:
-			return putBytes(putUints([]byte{codeOK}, res.index), res.answer)
-		case errors.Is(res.err, errNoLeader):
-			return []byte{codeNoLeader}
-		case errors.Is(res.err, ErrQueueFull):
-			return []byte{codeFull}
-		case errors.Is(res.err, ErrNoQuorum):
-			return []byte{codeNoQuorum}
-		}
-		return []byte{codeOutcomeUnknown}
+		return n.handleCall(ctx, req)
 	case requestReport:
 		return n.handleReports(ctx, req.body)
 	case requestPeerStatus:
-		return n.handlePeerStatus(req.from, req.body)
+		return n.handlePeerStatus(req.body)
 	case requestChange:
 		return n.handleChange(ctx, req.body)
 	}
 	return rejection(errMalformed)
 }
+
+// handleMessages hands raft messages to the engine.
+func (n *Node) handleMessages(body []byte) []byte {
+	p, err := decodeMessages(body)
+	e := n.engine()
+	if err != nil || e == nil {
+		return []byte{codeNoLeader}
+	}
+	select {
+	case e.messages <- p:
+		return []byte{codeOK}
+	default:
+		n.countDropped(droppedMessages)
+		return []byte{codeQueueFull}
+	}
+}
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -1,44 +1,21 @@
 package consensus
 
 import (
+	"fmt"
+
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 )
 
-// bootstrapSnapshot is how a record begins: at index 1, agreed by those who found it.
-func bootstrapSnapshot(record uint64, m voterSet, blank []byte) (recordSnapshot, error) {
-	conf, err := proto.MarshalOptions{Deterministic: true}.Marshal(&pb.ConfState{Voters: m.ids(), AutoLeave: new(false)})
-	return recordSnapshot{recordID: record, index: 1, term: 1, confState: conf, voters: m, machineState: blank}, err
-}
-
-// newStorage makes the engine's storage from what was on disk.
-func newStorage(s recordSnapshot, raw []byte, hard *pb.HardState, entries []*pb.Entry) (*raft.MemoryStorage, error) {
-	conf := &pb.ConfState{}
-	if err := proto.Unmarshal(s.confState, conf); err != nil {
-		return nil, err
-	}
-	st := raft.NewMemoryStorage()
-	err := st.ApplySnapshot(&pb.Snapshot{Data: raw, Metadata: &pb.SnapshotMetadata{ConfState: conf, Index: new(s.index), Term: new(s.term)}})
-	if err != nil {
-		return nil, err
-	}
-	if hard != nil {
-		if err := st.SetHardState(hard); err != nil {
-			return nil, err
-		}
-	}
-	return st, st.Append(entries)
-}
-
-// recordSnapshot is a snapshot: all that a relay holds of the record at an index.
+// recordSnapshot is the whole record as of an index.
 type recordSnapshot struct {
 	recordID     uint64
 	index, term  uint64
 	confState    []byte
 	voters       voterSet
 	machineState []byte
-	votersIndex  uint64 // the index at which members were agreed; 0 as founded
+	votersIndex  uint64 // the index at which voters were committed; 0 as bootstrapped
 }
 
 func (s recordSnapshot) encode() []byte {
@@ -52,6 +29,31 @@
 	if err := r.finish(); err != nil {
 		return s, err
 	}
-	var cs pb.ConfState
-	return s, proto.Unmarshal(s.confState, &cs)
+	var confState pb.ConfState
+	return s, proto.Unmarshal(s.confState, &confState)
+}
+
+// bootstrapSnapshot is the beginning of a record, at index 1, with the voters that bootstrap it.
+func bootstrapSnapshot(recordID uint64, voters voterSet, machineState []byte) (recordSnapshot, error) {
+	confState, err := proto.MarshalOptions{Deterministic: true}.Marshal(&pb.ConfState{Voters: voters.ids(), AutoLeave: new(false)})
+	return recordSnapshot{recordID: recordID, index: 1, term: 1, confState: confState, voters: voters, machineState: machineState}, err
+}
+
+// newStorage makes raft's storage of a snapshot, decoded and encoded, and what follows it.
+func newStorage(s recordSnapshot, encoded []byte, hardState *pb.HardState, entries []*pb.Entry) (*raft.MemoryStorage, error) {
+	confState := &pb.ConfState{}
+	if err := proto.Unmarshal(s.confState, confState); err != nil {
+		return nil, fmt.Errorf("decode configuration: %w", err)
+	}
+	storage := raft.NewMemoryStorage()
+	err := storage.ApplySnapshot(&pb.Snapshot{Data: encoded, Metadata: &pb.SnapshotMetadata{ConfState: confState, Index: new(s.index), Term: new(s.term)}})
+	if err != nil {
+		return nil, fmt.Errorf("apply snapshot: %w", err)
+	}
+	if hardState != nil {
+		if err := storage.SetHardState(hardState); err != nil {
+			return nil, fmt.Errorf("set hard state: %w", err)
+		}
+	}
+	return storage, storage.Append(entries)
 }
--- a/internal/consensus/stream_follower.go
+++ b/internal/consensus/stream_follower.go
@@ -5,26 +5,40 @@
 	"context"
 	"encoding/binary"
 	"errors"
-	"fmt"
 	"io"
 	"time"
 )
 
 const (
-	streamTimeout          = 2 * time.Second  // after which a follower takes another voter
-	preferredRetryInterval = 10 * time.Second // a follower that took another voter looks so often whether its own is well again
+	streamTimeout          = 2 * time.Second  // a silent stream is broken after this
+	preferredRetryInterval = 10 * time.Second // how often a follower of another voter checks whether its preferred one is healthy again
+	leaderlessLimit        = 2 * time.Second  // a voter without a leader for longer follows a stream too: it may have been replaced
+	followRetryDelay       = 50 * time.Millisecond
 )
 
-// followLoop reads a stream whenever this node has no engine that hears a leader.
+// Why a stream is ended that did not fail.
+var (
+	errStreamNotNeeded  = errors.New("not needed any more")
+	errStreamRetry      = errors.New("refused unread: it is sent again with the right numbers")
+	errPreferredBack    = errors.New("the voter that is this relay's by name is well again")
+	errSourceLeaderless = errors.New("it hears no leader")
+	errOtherRecord      = errors.New("of another record")
+)
+
+// followStatus is what the followed stream last said.
+type followStatus struct {
+	source, leader string // names of voters
+	hasQuorum      bool
+	updatedAt      time.Time
+	commitIndex    uint64
+}
+
+// followLoop follows a voter's stream whenever this node has no engine that knows a leader.
 func (n *Node) followLoop() {
 	next := 0
 	for {
-		n.mu.Lock()
-		e, lost := n.current, n.leaderlessSince
-		n.mu.Unlock()
-		idle := e != nil && (lost.IsZero() || time.Since(lost) < leaderlessLimit)
-		list := n.otherVoters()
-		if idle || len(list) == 0 {
+		voters := n.otherVoters()
+		if n.streamNotNeeded() || len(voters) == 0 {
 			select {
 			case <-n.quit:
 				return
@@ -32,15 +46,15 @@
 			}
 			continue
 		}
-		m := list[next%len(list)]
-		err := n.follow(m, list[0])
+		f := &streamFollower{node: n, source: voters[next%len(voters)], preferred: voters[0], preferredCheckedAt: time.Now()}
+		err := f.run()
 		n.mu.Lock()
 		n.followState = followStatus{}
 		n.mu.Unlock()
-		if errors.Is(err, errStreamNotNeeded) || errors.Is(err, errStreamRetry) {
+		switch {
+		case errors.Is(err, errStreamNotNeeded), errors.Is(err, errStreamRetry):
 			continue
-		}
-		if errors.Is(err, errPreferredBack) {
+		case errors.Is(err, errPreferredBack):
 			next = 0
 			continue
 		}
@@ -48,152 +62,178 @@
 		select {
 		case <-n.quit:
 			return
-		case <-time.After(time.Duration(50+next%len(list)*50) * time.Millisecond):
+		case <-time.After(followRetryDelay * time.Duration(1+next%len(voters))):
 		}
 	}
 }
 
-var (
-	errStreamNotNeeded  = errors.New("not needed any more")
-	errStreamRetry      = errors.New("refused unread: it is sent again with the right numbers")
-	errPreferredBack    = errors.New("the voter that is this relay's by name is well again")
-	errSourceLeaderless = errors.New("it hears no leader")
-)
+// streamNotNeeded says whether the engine knows a leader, or knew one a moment ago.
+func (n *Node) streamNotNeeded() bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.current != nil && (n.leaderlessSince.IsZero() || time.Since(n.leaderlessSince) < leaderlessLimit)
+}
+
+// streamFollower follows one voter's stream.
+type streamFollower struct {
+	node               *Node
+	source, preferred  voter
+	preferredCheckedAt time.Time
+	leaderlessSince    time.Time // since when the source has no quorum; zero if it has one
+}
 
-// follow reads one voter's stream until it fails, falls silent, or hears no leader for long; or until home, the voter that this relay would
-// take first, is well again: else all would stay with the one that was up first.
-func (n *Node) follow(m, home voter) error {
-	looked := time.Now()
+// run follows the stream until it fails, falls silent, or its source has no leader for long; or until preferred, the voter that this relay
+// would follow first, is healthy again: otherwise all would stay with the voter that was up first.
+func (f *streamFollower) run() error {
+	n := f.node
 	ctx, cancel := context.WithCancel(n.ctx)
 	defer cancel()
-	alive := time.AfterFunc(streamTimeout, cancel)
-	defer alive.Stop()
-	record, index, _ := n.applier.position()
-	s, err := n.client.send(ctx, m.Name, m.Addr, requestFollow, putUints(nil, record, index))
+	timeout := time.AfterFunc(streamTimeout, cancel)
+	defer timeout.Stop()
+	recordID, index, _ := n.applier.position()
+	stream, err := n.client.send(ctx, f.source, requestFollow, putUints(nil, recordID, index))
 	if err != nil {
 		return err
 	}
-	defer s.Close()
-	var alone time.Time
-	for part := uint64(0); ; part++ {
-		var head [4]byte
-		if _, err := io.ReadFull(s, head[:]); err != nil {
+	defer stream.Close()
+	for number := uint64(0); ; number++ {
+		frame, err := f.readFrame(stream, number, timeout)
+		if err != nil {
 			return err
 		}
-		size := binary.BigEndian.Uint32(head[:])
-		if size < tagSize+1 || size > maxFrameSize {
-			return errSize
+		if number == 0 && n.client.updateFreshness(f.source.Name, stream.start, frame) {
+			return errStreamRetry
 		}
-		if size > maxSmallRequest {
-			alive.Reset(snapshotTimeout)
+		timeout.Reset(streamTimeout)
+		hasEngine, needed := f.noteFrame()
+		if !needed {
+			return errStreamNotNeeded
 		}
-		b, err := readExactly(s, int(size))
-		if err != nil {
+		if err := f.handleFrame(frame[0], frame[1:], hasEngine); err != nil {
 			return err
 		}
-		if b, err = verifyAnswer(n.options.Keys[0], s.tag, part, b); err != nil || len(b) == 0 {
-			return errTag
+		if hasEngine { // a voter without a leader: it may have been replaced
+			n.checkRemoved()
 		}
-		if part == 0 && n.client.updateFreshness(m.Name, s, b) {
-			return errStreamRetry
+	}
+}
+
+// readFrame reads and verifies one frame; it is not empty.
+func (f *streamFollower) readFrame(stream *response, number uint64, timeout *time.Timer) ([]byte, error) {
+	var head [4]byte
+	if _, err := io.ReadFull(stream, head[:]); err != nil {
+		return nil, err
+	}
+	size := binary.BigEndian.Uint32(head[:])
+	if size < tagSize+1 || size > maxFrameSize {
+		return nil, errSize
+	}
+	if size > maxSmallRequest {
+		timeout.Reset(snapshotTimeout)
+	}
+	sealed, err := readExactly(stream, int(size))
+	if err != nil {
+		return nil, err
+	}
+	frame, err := verifyAnswer(f.node.options.Keys[0], stream.tag, number, sealed)
+	if err != nil || len(frame) == 0 {
+		return nil, errTag
+	}
+	return frame, nil
+}
+
+// noteFrame notes that the stream works. The stream is not needed if this node has an engine that knows a leader.
+func (f *streamFollower) noteFrame() (hasEngine, needed bool) {
+	n := f.node
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.followState.source, n.followState.updatedAt = f.source.Name, time.Now()
+	return n.current != nil, n.current == nil || !n.leaderlessSince.IsZero()
+}
+
+func (f *streamFollower) handleFrame(kind byte, body []byte, hasEngine bool) error {
+	n := f.node
+	switch kind {
+	case frameHeartbeat:
+		return f.handleHeartbeat(body)
+	case frameSnapshot:
+		s, err := decodeSnapshot(body)
+		if err != nil {
+			return err
 		}
-		alive.Reset(streamTimeout)
-		n.mu.Lock()
-		n.followState.source, n.followState.updatedAt = m.Name, time.Now()
-		hasEngine, lost, bound, boundAt := n.current != nil, n.leaderlessSince, n.bootstrapID, n.bootstrapReservedAt
-		n.mu.Unlock()
-		if hasEngine && lost.IsZero() {
-			return errStreamNotNeeded
+		if !n.acceptsRecord(s.recordID, hasEngine) {
+			return errOtherRecord
 		}
-		switch b[0] {
-		case frameHeartbeat:
-			r := reader{rest: b[1:]}
-			committed, majority, leader := r.uint(), r.uint() == 1, r.string()
-			if err := r.finish(); err != nil {
-				return err
-			}
-			n.mu.Lock()
-			n.followState.commitIndex, n.followState.hasQuorum, n.followState.leader = committed, majority, leader
-			n.mu.Unlock()
-			if m.Name != home.Name && time.Since(looked) > preferredRetryInterval {
-				looked = time.Now()
-				record, _, _ := n.applier.position()
-				if h, err := n.queryPeer(home, 0, 0); err == nil && h.recordID == record && h.hasQuorum {
-					return errPreferredBack
-				}
-			}
-			switch {
-			case majority:
-				alone = time.Time{}
-			case alone.IsZero():
-				alone = time.Now()
-			case time.Since(alone) > streamTimeout:
-				return errSourceLeaderless
-			}
-		case frameSnapshot:
-			s, err := decodeSnapshot(b[1:])
-			if err != nil {
-				return err
-			}
-			record, _, _ := n.applier.position()
-			if hasEngine && record != s.recordID || bound != 0 && bound != s.recordID && time.Since(boundAt) < bootstrapReservation {
-				return fmt.Errorf("of another record")
-			}
-			if err := n.applyAndWait(applyBatch{snapshot: &s}); err != nil {
-				return err
-			}
-		case frameEntries:
-			r := reader{rest: b[1:]}
-			var items []committedEntry
-			for range r.count() {
-				items = append(items, r.entry())
-			}
-			if err := r.finish(); err != nil {
-				return err
-			}
-			if err := n.applyAndWait(applyBatch{entries: items}); err != nil {
-				return err
-			}
-		default:
-			return errMalformed
+		return n.applyAndWait(applyBatch{snapshot: &s})
+	case frameEntries:
+		entries, err := decodeEntries(body)
+		if err != nil {
+			return err
 		}
-		if hasEngine { // a voter without a leader: it looks whether it was replaced
-			id := n.engineID()
-			if ms := n.applier.voterSet(); ms[id].Name != n.options.Name {
-				n.tryOnEngine(func(e *engine) {
-					if _, ok := e.node.applier.voterSet()[e.id]; !ok {
-						e.removed = true
-					}
-				})
-			}
+		return n.applyAndWait(applyBatch{entries: entries})
+	}
+	return errMalformed
+}
+
+func (f *streamFollower) handleHeartbeat(body []byte) error {
+	r := reader{rest: body}
+	commitIndex, hasQuorum, leader := r.uint(), r.uint() == 1, r.string()
+	if err := r.finish(); err != nil {
+		return err
+	}
+	n := f.node
+	n.mu.Lock()
+	n.followState.commitIndex, n.followState.hasQuorum, n.followState.leader = commitIndex, hasQuorum, leader
+	n.mu.Unlock()
+	if f.source.Name != f.preferred.Name && time.Since(f.preferredCheckedAt) > preferredRetryInterval {
+		f.preferredCheckedAt = time.Now()
+		recordID, _, _ := n.applier.position()
+		if status, err := n.queryPeer(f.preferred, 0, 0); err == nil && status.recordID == recordID && status.hasQuorum {
+			return errPreferredBack
 		}
 	}
+	switch {
+	case hasQuorum:
+		f.leaderlessSince = time.Time{}
+	case f.leaderlessSince.IsZero():
+		f.leaderlessSince = time.Now()
+	case time.Since(f.leaderlessSince) > streamTimeout:
+		return errSourceLeaderless
+	}
+	return nil
 }
 
-func (n *Node) engineID() uint64 {
-	if e := n.engine(); e != nil {
-		return e.id
+// acceptsRecord says whether a snapshot of that record may replace this relay's state: one with an engine keeps its record, and one that is
+// reserved for a bootstrap waits for that.
+func (n *Node) acceptsRecord(recordID uint64, hasEngine bool) bool {
+	if current, _, _ := n.applier.position(); hasEngine && current != recordID {
+		return false
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.bootstrapID == 0 || n.bootstrapID == recordID || time.Since(n.bootstrapReservedAt) >= bootstrapReservation
+}
+
+// checkRemoved ends the engine of a voter that the stream shows to be replaced.
+func (n *Node) checkRemoved() {
+	e := n.engine()
+	if e == nil {
+		return
+	}
+	if n.applier.voterSet()[e.id].Name != n.options.Name {
+		n.tryOnEngine(func(e *engine) {
+			if _, ok := e.node.applier.voterSet()[e.id]; !ok {
+				e.removed = true
+			}
+		})
 	}
-	return 0
 }
 
-// readExactly reads without believing a size before the bytes have come.
+// readExactly reads size bytes, and allocates memory only as they arrive.
 func readExactly(r io.Reader, size int) ([]byte, error) {
 	var b bytes.Buffer
-	if m, err := io.CopyN(&b, r, int64(size)); err != nil || m != int64(size) {
+	if n, err := io.CopyN(&b, r, int64(size)); err != nil || n != int64(size) {
 		return nil, errors.Join(io.ErrUnexpectedEOF, err)
 	}
 	return b.Bytes(), nil
 }
-
-const (
-	leaderlessLimit = 2 * time.Second // entriesAfter which a voter reads a stream too: it may have been replaced
-)
-
-// followState is what the stream last told.
-type followStatus struct {
-	source, leader string
-	hasQuorum      bool
-	updatedAt      time.Time
-	commitIndex    uint64
-}
--- a/internal/consensus/stream_server.go
+++ b/internal/consensus/stream_server.go
@@ -8,68 +8,72 @@
 )
 
 const (
-	streamHeartbeatInterval = 500 * time.Millisecond // on a stream that has nothing to say
-	maxEntriesFrame         = 256 << 10              // bytes of entries in a frame
+	maxStreams              = 1024
+	streamHeartbeatInterval = 500 * time.Millisecond // on a stream without entries
+	maxEntriesFrame         = 256 << 10              // bytes of entries in a frame, about
 )
 
-// serveStream sends a follower what is agreed, as long as it listens.
+// streamWriter writes the frames of one follower's stream.
+type streamWriter struct {
+	w     http.ResponseWriter
+	rc    *http.ResponseController
+	req   envelope
+	frame uint64 // number of the next one
+}
+
+func (s *streamWriter) write(kind byte, body []byte) error {
+	timeout := streamTimeout
+	if len(body) > maxSmallRequest {
+		timeout = snapshotTimeout
+	}
+	if err := s.rc.SetWriteDeadline(time.Now().Add(timeout)); err != nil {
+		return err
+	}
+	b := sealAnswer(s.req.key, s.req.tag, s.frame, append([]byte{kind}, body...))
+	s.frame++
+	if _, err := s.w.Write(binary.BigEndian.AppendUint32(nil, uint32(len(b)))); err != nil {
+		return err
+	}
+	if _, err := s.w.Write(b); err != nil {
+		return err
+	}
+	return s.rc.Flush()
+}
+
+// serveStream sends a follower the record from its position on, until the connection fails or this relay is no voter any more.
 func (n *Node) serveStream(ctx context.Context, w http.ResponseWriter, rc *http.ResponseController, req envelope) {
 	r := reader{rest: req.body}
-	record, index := r.uint(), r.uint()
+	recordID, index := r.uint(), r.uint()
 	defer n.streamCount.Add(-1)
 	if n.streamCount.Add(1) > maxStreams || r.finish() != nil {
-		n.countDropped("streams")
+		n.countDropped(droppedStreams)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	w.Header()["Date"] = nil
-	part := uint64(0)
-	frame := func(kind byte, body []byte) bool {
-		limit := streamTimeout
-		if len(body) > maxSmallRequest {
-			limit = snapshotTimeout
-		}
-		if rc.SetWriteDeadline(time.Now().Add(limit)) != nil {
-			return false
-		}
-		b := sealAnswer(req.key, req.tag, part, append([]byte{kind}, body...))
-		part++
-		if _, err := w.Write(binary.BigEndian.AppendUint32(nil, uint32(len(b)))); err != nil {
-			return false
-		}
-		if _, err := w.Write(b); err != nil {
-			return false
-		}
-		return rc.Flush() == nil
-	}
-	beat := time.NewTicker(streamHeartbeatInterval)
-	defer beat.Stop()
-	if e := n.engine(); e == nil || !frame(frameHeartbeat, n.heartbeatFrame(e)) {
+	stream := &streamWriter{w: w, rc: rc, req: req}
+	heartbeats := time.NewTicker(streamHeartbeatInterval)
+	defer heartbeats.Stop()
+	if e := n.engine(); e == nil || stream.write(frameHeartbeat, heartbeatFrame(e)) != nil {
 		return
 	}
 	for {
 		e := n.engine()
-		if e == nil { // no voter any more
+		if e == nil {
 			return
 		}
-		whole, at, items, changed := n.applier.entriesAfter(record, index, maxEntriesFrame)
-		if whole != nil {
-			if !frame(frameSnapshot, whole) {
+		batch, changed := n.applier.entriesAfter(recordID, index, maxEntriesFrame)
+		if batch.snapshot != nil {
+			if stream.write(frameSnapshot, batch.snapshot) != nil {
 				return
 			}
-			record, _, _ = n.applier.position()
+			recordID, _, _ = n.applier.position()
 		}
-		if len(items) > 0 {
-			b := putUints(nil, uint64(len(items)))
-			for _, it := range items {
-				b = putEntry(b, it)
-			}
-			if !frame(frameEntries, b) {
-				return
-			}
+		if len(batch.entries) > 0 && stream.write(frameEntries, encodeEntries(batch.entries)) != nil {
+			return
 		}
-		if whole != nil || len(items) > 0 {
-			index = at
+		if !batch.empty() {
+			index = batch.index
 			continue
 		}
 		select {
@@ -78,22 +82,19 @@
 		case <-ctx.Done():
 			return
 		case <-changed:
-		case <-beat.C:
-			if !frame(frameHeartbeat, n.heartbeatFrame(e)) {
+		case <-heartbeats.C:
+			if stream.write(frameHeartbeat, heartbeatFrame(e)) != nil {
 				return
 			}
 			if n.applier.snapshotDue() {
-				select {
-				case n.snapshotRequests <- make(chan struct{}):
-				default:
-				}
+				n.requestSnapshot()
 			}
 		}
 	}
 }
 
-// heartbeatFrame is what a stream says of the whole.
-func (n *Node) heartbeatFrame(e *engine) []byte {
+// heartbeatFrame is the body of a stream's heartbeat: the commit index, whether there is a quorum, and the leader's name.
+func heartbeatFrame(e *engine) []byte {
 	v := e.view.Load()
-	return putBytes(putUints(nil, v.committed, boolToUint(v.leader != 0 && v.diskError == nil)), v.voters[v.leader].Name)
+	return putBytes(putUints(nil, v.commitIndex, boolToUint(v.hasLeader())), v.voters[v.leader].Name)
 }
--- a/internal/consensus/transport.go
+++ b/internal/consensus/transport.go
@@ -2,6 +2,8 @@
 
 import (
 	"context"
+	"errors"
+	"fmt"
 	"maps"
 	"sync"
 	"sync/atomic"
@@ -13,139 +15,161 @@
 )
 
 const (
-	messagesTimeout = 800 * time.Millisecond // for messages of the engine: what is late is worth nothing
+	messagesTimeout = 800 * time.Millisecond // raft messages that are later than this are worthless
+	snapshotTimeout = 30 * time.Second
 	peerQueueSize   = 512
-	maxMessagesSize = 1 << 20
+	maxMessagesSize = 1 << 20 // bytes of raft messages in one request
 )
 
-// transport are the ways to the other voters, a queue and a goroutine each.
+// transport sends raft messages to the other voters, with a queue and a goroutine for each, and one more for snapshots.
 type transport struct {
 	node  *Node
 	mu    sync.Mutex
 	peers map[uint64]*peer
 }
 
+// peer is another voter.
 type peer struct {
-	name, address       string
+	voter
+	id, self            uint64
 	messages, snapshots chan *pb.Message
 	quit                chan struct{}
-	acknowledged        atomic.Pointer[map[uint64]logPosition]
+	acknowledged        atomic.Pointer[map[uint64]logPosition] // to be sent with the next heartbeat
 }
 
-// setPeers has lanes to these and no others.
-func (l *transport) setPeers(m voterSet, self uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for id, la := range l.peers {
-		if m[id] != (voter{la.name, la.address}) {
-			close(la.quit)
-			delete(l.peers, id)
+// setPeers has queues for these voters, except self, and for no others.
+func (t *transport) setPeers(voters voterSet, self uint64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for id, p := range t.peers {
+		if voters[id] != p.voter {
+			close(p.quit)
+			delete(t.peers, id)
 		}
 	}
-	for id, v := range m {
-		if l.peers[id] == nil && id != self {
-			la := &peer{name: v.Name, address: v.Addr, messages: make(chan *pb.Message, peerQueueSize), snapshots: make(chan *pb.Message, 1), quit: make(chan struct{})}
-			l.peers[id] = la
-			l.node.wg.Go(func() { l.node.sendMessages(self, id, la) })
-			l.node.wg.Go(func() { l.node.sendSnapshots(self, id, la) })
+	for id, v := range voters {
+		if t.peers[id] == nil && id != self {
+			p := &peer{voter: v, id: id, self: self, messages: make(chan *pb.Message, peerQueueSize), snapshots: make(chan *pb.Message, 1), quit: make(chan struct{})}
+			t.peers[id] = p
+			t.node.wg.Go(func() { t.node.sendMessages(p) })
+			t.node.wg.Go(func() { t.node.sendSnapshots(p) })
 		}
 	}
 }
 
-func (l *transport) send(c *core, ms []*pb.Message) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	var marks map[uint64]logPosition
-	for _, m := range ms {
-		la := l.peers[m.GetTo()]
-		if la == nil {
+// send queues raft messages. Those for which a queue is full are dropped: raft sends them again.
+func (t *transport) send(c *core, messages []*pb.Message) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var acknowledged map[uint64]logPosition
+	for _, m := range messages {
+		p := t.peers[m.GetTo()]
+		if p == nil {
 			continue
 		}
 		if m.GetType() == pb.MsgHeartbeat {
-			if marks == nil {
-				marks = maps.Clone(c.acknowledged)
-				marks[c.id] = c.ownPosition()
+			if acknowledged == nil {
+				acknowledged = maps.Clone(c.acknowledged)
+				acknowledged[c.id] = c.ownPosition()
 			}
-			la.acknowledged.Store(&marks)
+			p.acknowledged.Store(&acknowledged)
 		}
-		ch := la.messages
+		queue := p.messages
 		if m.GetType() == pb.MsgSnap {
-			ch = la.snapshots
+			queue = p.snapshots
 		}
 		select {
-		case ch <- m:
+		case queue <- m:
 		default:
-			l.node.countDropped("engine")
+			t.node.countDropped(droppedRaftMessages)
 			if m.GetType() == pb.MsgSnap {
-				id := m.GetTo()
-				l.node.onEngine(func(e *engine) { e.core.node.ReportSnapshot(id, raft.SnapshotFailure) })
+				t.node.reportSnapshot(p.id, raft.SnapshotFailure)
 			}
 		}
 	}
 }
 
-func (n *Node) sendMessages(self, id uint64, la *peer) {
+// sendMessages sends a peer's messages, those that wait together in one request, until the peer is removed.
+func (n *Node) sendMessages(p *peer) {
 	for {
-		var ms [][]byte
+		var messages [][]byte
 		select {
-		case <-la.quit:
+		case <-p.quit:
 			return
 		case <-n.quit:
 			return
-		case m := <-la.messages:
-			size := 0
-			for m != nil {
-				b, err := proto.Marshal(m)
-				if err != nil {
-					n.countDropped("marshal")
-				} else {
-					ms = append(ms, b)
-				}
-				if size += len(b); size > maxMessagesSize {
-					break
-				}
-				select {
-				case m = <-la.messages:
-				default:
-					m = nil
-				}
-			}
+		case m := <-p.messages:
+			messages = n.marshalQueued(m, p.messages)
 		}
-		var marks map[uint64]logPosition
-		if p := la.acknowledged.Swap(nil); p != nil {
-			marks = *p
+		var acknowledged map[uint64]logPosition
+		if a := p.acknowledged.Swap(nil); a != nil {
+			acknowledged = *a
 		}
 		ctx, cancel := context.WithTimeout(n.ctx, messagesTimeout)
-		if _, err := n.client.call(ctx, la.name, la.address, requestMessages, encodeMessages(self, marks, ms)); err != nil {
-			n.countDropped("unreachable")
-			n.tryOnEngine(func(e *engine) { e.core.node.ReportUnreachable(id) })
+		if _, err := n.client.call(ctx, p.voter, requestMessages, encodeMessages(p.self, acknowledged, messages)); err != nil {
+			n.countDropped(droppedUnreachable)
+			n.tryOnEngine(func(e *engine) { e.core.node.ReportUnreachable(p.id) })
 		}
 		cancel()
 	}
 }
 
-func (n *Node) sendSnapshots(self, id uint64, la *peer) {
+// marshalQueued encodes a message and those that wait behind it, up to about maxMessagesSize.
+func (n *Node) marshalQueued(m *pb.Message, queue <-chan *pb.Message) (messages [][]byte) {
+	size := 0
+	for {
+		b, err := proto.Marshal(m)
+		if err != nil {
+			n.countDropped(droppedMarshal)
+		} else {
+			messages = append(messages, b)
+		}
+		if size += len(b); size > maxMessagesSize {
+			return messages
+		}
+		select {
+		case m = <-queue:
+		default:
+			return messages
+		}
+	}
+}
+
+// sendSnapshots sends a peer's snapshots, and reports to raft what became of them, until the peer is removed.
+func (n *Node) sendSnapshots(p *peer) {
 	for {
 		select {
-		case <-la.quit:
+		case <-p.quit:
 			return
 		case <-n.quit:
 			return
-		case m := <-la.snapshots:
-			b, err := proto.Marshal(m)
-			if err == nil {
-				ctx, cancel := context.WithTimeout(n.ctx, snapshotTimeout)
-				var a []byte
-				if a, err = n.client.call(ctx, la.name, la.address, requestMessages, encodeMessages(self, nil, [][]byte{b})); err == nil && a[0] != codeOK {
-					err = errNotSent
-				}
-				cancel()
-			}
-			how := raft.SnapshotFinish
-			if err != nil {
-				how = raft.SnapshotFailure
+		case m := <-p.snapshots:
+			status := raft.SnapshotFinish
+			if err := n.sendSnapshot(p, m); err != nil {
+				status = raft.SnapshotFailure
 			}
-			n.onEngine(func(e *engine) { e.core.node.ReportSnapshot(id, how) })
+			n.reportSnapshot(p.id, status)
 		}
 	}
 }
+
+func (n *Node) sendSnapshot(p *peer, m *pb.Message) error {
+	b, err := proto.Marshal(m)
+	if err != nil {
+		return fmt.Errorf("encode snapshot: %w", err)
+	}
+	ctx, cancel := context.WithTimeout(n.ctx, snapshotTimeout)
+	defer cancel()
+	response, err := n.client.call(ctx, p.voter, requestMessages, encodeMessages(p.self, nil, [][]byte{b}))
+	if err != nil {
+		return fmt.Errorf("send snapshot: %w", err)
+	}
+	if response[0] != codeOK {
+		return errors.New("snapshot rejected")
+	}
+	return nil
+}
+
+func (n *Node) reportSnapshot(id uint64, status raft.SnapshotStatus) {
+	n.onEngine(func(e *engine) { e.core.node.ReportSnapshot(id, status) })
+}
--- a/internal/consensus/verify.go
+++ b/internal/consensus/verify.go
@@ -1,38 +1,39 @@
 package consensus
 
-import (
-	"time"
-)
+import "time"
 
-// verifyDirectory asks the other voters what they remember of this one, before it votes again.
+// verifyTimeout is how long a voter that starts waits for all others; after it, enough of them for a majority will do.
+const verifyTimeout = time.Second
+
+// verifyDirectory asks the other voters what this one has acknowledged, before it votes again: its directory may be an outdated one.
 func (n *Node) verifyDirectory(e *engine) {
-	began := time.Now()
+	start := time.Now()
 	for {
 		v := e.view.Load()
-		heard, need := 0, len(v.voters)/2
+		replies, enough := 0, len(v.voters)/2
 		for _, id := range v.voters.ids() {
 			if id == e.id {
 				continue
 			}
-			h, err := n.queryPeer(v.voters[id], e.id, 0)
+			status, err := n.queryPeer(v.voters[id], e.id, 0)
 			if err != nil {
 				continue
 			}
-			if h.recordID == e.core.recordID && h.index > v.committed && h.voters[e.id].Name != n.options.Name {
+			if status.recordID == e.core.recordID && status.index > v.commitIndex && status.voters[e.id].Name != n.options.Name {
 				n.onEngine(func(e *engine) { e.removed = true })
 				return
 			}
-			if !h.knowsVoter || h.recordID != e.core.recordID {
+			if !status.knowsVoter || status.recordID != e.core.recordID {
 				continue
 			}
-			heard++
-			n.onEngine(func(e *engine) { // there, since it writes on meanwhile
-				if e.core.isOutdatedBy(h.acknowledged) {
+			replies++
+			n.onEngine(func(e *engine) { // compared there, since the engine writes on meanwhile
+				if e.core.isOutdatedBy(status.acknowledged) {
 					e.err = errOutdatedDirectory
 				}
 			})
 		}
-		if heard == len(v.voters)-1 || heard >= need && time.Since(began) > verifyTimeout {
+		if replies == len(v.voters)-1 || replies >= enough && time.Since(start) > verifyTimeout {
 			n.onEngine(func(e *engine) { e.core.unverified = false; e.publishView() })
 			return
 		}
@@ -45,7 +46,3 @@
 		}
 	}
 }
-
-const (
-	verifyTimeout = time.Second // how long a voter that starts waits for all others; then enough for a majority do
-)
--- a/internal/consensus/voters.go
+++ b/internal/consensus/voters.go
@@ -5,41 +5,42 @@
 	"slices"
 )
 
-// voter is a voter as the record has it; the key is its identity, which is its id in raft too.
+// voter is a voter as the record has it.
 type voter struct{ Name, Addr string }
 
+// voterSet holds the voters by identity, which is a voter's id in raft.
 type voterSet map[uint64]voter
 
-func (m voterSet) ids() []uint64 { return slices.Sorted(maps.Keys(m)) }
+func (s voterSet) ids() []uint64 { return slices.Sorted(maps.Keys(s)) }
 
-// idOf is the identity under which the record has a name; 0 for none.
-func (m voterSet) idOf(name string) uint64 {
-	for _, id := range m.ids() {
-		if m[id].Name == name {
+// idOf is the identity of the voter with that name; 0 if there is none.
+func (s voterSet) idOf(name string) uint64 {
+	for _, id := range s.ids() {
+		if s[id].Name == name {
 			return id
 		}
 	}
 	return 0
 }
 
-func putVoterSet(b []byte, m voterSet) []byte {
-	b = putUints(b, uint64(len(m)))
-	for _, id := range m.ids() {
-		b = putBytes(putBytes(putUints(b, id), m[id].Name), m[id].Addr)
+func putVoterSet(b []byte, s voterSet) []byte {
+	b = putUints(b, uint64(len(s)))
+	for _, id := range s.ids() {
+		b = putBytes(putBytes(putUints(b, id), s[id].Name), s[id].Addr)
 	}
 	return b
 }
 
 func (r *reader) voterSet() voterSet {
-	m := voterSet{}
+	s := voterSet{}
 	for range r.count() {
 		id := r.uint()
-		m[id] = voter{r.string(), r.string()}
+		s[id] = voter{r.string(), r.string()}
 	}
-	return m
+	return s
 }
 
-// voterChange is the context of a change of voters.
+// voterChange is the context of a raft configuration change: what becomes of the voter set.
 type voterChange struct {
 	oldID, newID     uint64
 	newName, address string
@@ -55,9 +56,9 @@
 	return c, r.finish()
 }
 
-func (m voterSet) withChange(c voterChange) voterSet {
-	n := maps.Clone(m)
-	delete(n, c.oldID)
-	n[c.newID] = voter{c.newName, c.address}
-	return n
+func (s voterSet) withChange(c voterChange) voterSet {
+	changed := maps.Clone(s)
+	delete(changed, c.oldID)
+	changed[c.newID] = voter{c.newName, c.address}
+	return changed
 }
--- a/internal/consensus/wire_test.go
+++ b/internal/consensus/wire_test.go
@@ -40,9 +40,9 @@
 				t.Fatal("state")
 			}
 		}
-		if from, marks, ms, err := decodeMessages(b); err == nil {
-			if len(marks)+len(ms) > len(b) {
-				t.Fatal("more than came", from)
+		if p, err := decodeMessages(b); err == nil {
+			if len(p.acknowledged)+len(p.messages) > len(b) {
+				t.Fatal("more than came", p.from)
 			}
 		}
 		if _, err := decodePeerStatus(b); err == nil && b[0] != codeOK {
