--- a/cmd/dahliarudder/fleet_status.go
+++ b/cmd/dahliarudder/fleet_status.go
@@ -9,34 +9,35 @@
 	"dahliarudder/policy"
 )
 
+// stateNames are the names of discovery's states in the fleet record's status.
 var stateNames = map[policy.ServerState]string{policy.Ready: "ready", policy.Draining: "draining", policy.Gone: "gone"}
 
-// fleetStatus is what this relay does now.
+// fleetStatus is the state of this relay that the fleet record compares with the agreed one.
 func (r *relay) fleetStatus() fleet.ObservedState {
 	set, n := r.names.Settings, r.core.Counts
 	list, _ := r.watch.Snapshot()
 	now := r.loop.Now()
 	if r.statusAt > 0 {
-		r.flowTime += time.Duration(r.core.Held()) * (now - r.statusAt)
+		r.flowTime += time.Duration(r.core.ActiveRequests()) * (now - r.statusAt)
 	}
 	r.statusAt = now
-	l := fleet.ObservedState{Phase: "serving", Flows: r.core.Held(), DemandMS: uint64((r.flowTime + n.Away).Milliseconds()), ServedMS: uint64(r.flowTime.Milliseconds()), MisroutedFlows: uint64(n.Astray),
-		LocalEjections: r.core.Banned(), AppliedExclusions: r.fleetEjected, AppliedVersion: r.recordVersion, ListGeneration: list.Generation, ConfigSections: r.configDigests, PermitsVersion: r.permits, QuarantineOrder: r.closeOrder}
+	l := fleet.ObservedState{Phase: fleet.RelayServing, Flows: r.core.ActiveRequests(), DemandMS: uint64((r.flowTime + n.BackoffTime).Milliseconds()), ServedMS: uint64(r.flowTime.Milliseconds()), MisroutedFlows: uint64(n.SentAfterGrace),
+		LocalEjections: r.core.Ejected(), AppliedExclusions: r.fleetEjected, AppliedVersion: r.recordVersion, ListGeneration: list.Generation, ConfigSections: r.configDigests, PermitsVersion: r.permits, QuarantineOrder: r.quarantineOrder}
 	if r.reloadError != "" {
 		l.RejectedItems = map[string]string{drift.ItemConfig + ".settings": r.reloadError}
 	}
 	switch {
 	case r.stopping:
-		l.Phase = "leaving"
-	case !r.accepting || !r.core.Usable() || !r.caughtUp:
-		l.Phase = "starting"
-	case r.closeOrder != 0:
-		l.Phase = "shut"
-	case !r.core.Welcomes():
-		l.Phase = "draining"
+		l.Phase = fleet.RelayLeaving
+	case !r.accepting || !r.core.HasUsableMember() || !r.caughtUp:
+		l.Phase = fleet.RelayStarting
+	case r.quarantineOrder != 0:
+		l.Phase = fleet.RelayQuarantined
+	case !r.core.AcceptsClients():
+		l.Phase = fleet.RelayDraining
 	}
 	for _, m := range r.core.Members() {
-		p := fleet.MemberState{Name: m.Name, DiscoveryState: stateNames[m.State], Out: m.Out, Flows: m.Flows, Capacity: m.Capacity, Successes: m.Good, Failures: m.Bad}
+		p := fleet.MemberState{Name: m.Name, DiscoveryState: stateNames[m.State], Flows: m.Flows, Capacity: m.Capacity, Successes: m.Successes, Failures: m.Failures}
 		if m.Zone < len(set.Zones) {
 			p.Zone = string(set.Zones[m.Zone])
 		}
--- /dev/null
+++ b/internal/canary/simulation_test.go
@@ -0,0 +1,554 @@
+package canary
+
+import (
+	"flag"
+	"fmt"
+	"hash/fnv"
+	"math"
+	"math/rand/v2"
+	"os"
+	"runtime"
+	"slices"
+	"sort"
+	"strconv"
+	"sync"
+	"testing"
+)
+
+// defect is what is wrong with the canary, or with a relay.
+type defect struct {
+	points       float64 // more attempts fail
+	slow         float64 // set-up and messages take so many times as long; 0 for 1
+	earlyEnds    float64 // share of flows that the member closes early
+	zone         string  // at relays of this zone alone
+	relay        string  // at one relay
+	faultyRelays int     // so many relays fail three in ten for canary and baseline alike
+	uniform      bool    // members all alike, no hiccups: a test of fixed level is right once
+	peeks        bool    // planted: a test of fixed level looks every second
+	large        bool    // 300 relays
+	leaders      int     // seconds until the leader changes; 0 for never
+	seconds      int     // 0 for as many as it takes
+}
+
+// simulation is a fleet in virtual time: thin traffic, relays and members that differ, members that start warming up, hiccups of one
+// member, seconds that are bad for all, reports that are lost or repeated, relays that restart with no record or an old one.
+type simulation struct {
+	defect
+	rng             *rand.Rand
+	now             int64
+	state           *State
+	judge           *Judge
+	log             [][]Weight // by index - 1
+	logAt           []int64
+	relays          []*simRelay
+	baseline        []*simMember
+	canary          []*simMember
+	fleetwideFactor float64
+	zTest           struct{ o, v float64 }
+	trace           uint64
+	last            Verdict
+}
+
+type simRelay struct {
+	name, zone     string
+	rate           float64
+	failureRate    float64
+	setUp, message float64
+	faulty         bool
+	collector      *Collector
+	resolver       *WeightResolver
+	incarnation    uint64
+	applied        int
+	oldReport      []byte
+}
+
+type simMember struct{ failureFactor, slowness, hiccup float64 }
+
+func newSimulation(seed uint64, f defect) *simulation {
+	w := &simulation{defect: f, rng: rand.New(rand.NewPCG(seed, 77)), now: 1000, state: NewState(), fleetwideFactor: 1}
+	n := []int{3, 3, 5, 8, 12, 12, 20, 40, 40, 80, 300}[w.rng.IntN(11)]
+	if f.large {
+		n = 300
+	}
+	if f.uniform {
+		n = min(n, 5)
+	}
+	if f.faultyRelays > 0 || f.zone != "" || f.relay != "" {
+		n = max(n, 6)
+	}
+	normal := func(sd float64) float64 { return math.Exp(sd * w.rng.NormFloat64()) }
+	if f.uniform {
+		normal = func(float64) float64 { return 1 }
+	}
+	fails := 0.002 + 0.018*w.rng.Float64()
+	for i := range n {
+		p := &simRelay{name: "n" + strconv.Itoa(i), zone: "z" + strconv.Itoa(i%3), rate: 20 * normal(0.5), failureRate: fails * normal(0.7),
+			setUp: 20 * normal(0.4), message: 5 * normal(0.4), faulty: i < f.faultyRelays, incarnation: 1, resolver: NewWeightResolver(5000)}
+		p.rate = min(p.rate, 100)
+		w.relays = append(w.relays, p)
+	}
+	for range max(3, n/2) {
+		w.baseline = append(w.baseline, &simMember{normal(0.3), normal(0.1), 0})
+	}
+	for range max(3, n/20) { // the mean of few members may be off by what they differ
+		w.canary = append(w.canary, &simMember{normal(0.3), normal(0.1), 0})
+	}
+	sp := spec("r")
+	sp.Salt = w.rng.Uint64() | 1
+	if f.uniform {
+		sp.Steps = []int{100, 500, 1000} // more to look at in less time
+	}
+	w.apply(Command{Op: OpOpen, Release: "r", Spec: &sp})
+	for _, p := range w.relays {
+		p.collector = NewCollector(sp.Salt, p.incarnation)
+	}
+	w.changeLeader()
+	return w
+}
+
+// changeLeader replaces the judge: the new one knows only what is in the record.
+func (w *simulation) changeLeader() {
+	c, _ := w.state.Canary("r")
+	w.judge = NewJudge(JudgeSettings{Spec: c.Spec, Epoch: c.Epoch, Step: c.Step, Checkpoint: w.state.Checkpoint("r")})
+}
+
+func (w *simulation) apply(cmd Command) {
+	was := w.state.Version()
+	w.state.Apply(w.now, "pilot", cmd.Encode())
+	if w.state.Version() != was { // a checkpoint is not for relays
+		w.log, w.logAt = append(w.log, w.state.Weights()), append(w.logAt, w.now)
+	}
+	w.hashTrace(string(w.state.Encode()))
+}
+
+func (w *simulation) hashTrace(what ...any) {
+	h := fnv.New64a()
+	fmt.Fprint(h, w.trace, what)
+	w.trace = h.Sum64()
+}
+
+// step plays a second: flows, reports, the record's way to relays, notices, the leader's proposals.
+func (w *simulation) step() (stop bool, err error) {
+	w.now += 1000
+	if w.leaders > 0 && w.now/1000%int64(w.leaders) == 0 {
+		w.changeLeader()
+	}
+	w.fleetwideFactor = math.Max(1, w.fleetwideFactor*0.6)
+	if w.rng.IntN(150) == 0 {
+		w.fleetwideFactor = 6 // bad for all
+	}
+	for _, m := range append(slices.Clone(w.baseline), w.canary...) {
+		m.hiccup--
+		if !w.uniform && w.rng.IntN(1200) == 0 {
+			m.hiccup = 2
+		}
+	}
+	for _, p := range w.relays {
+		if w.rng.IntN(600) == 0 { // a restart: counts begin at zero, its record is older
+			p.incarnation++
+			p.collector = NewCollector(w.log[0][0].Salt, p.incarnation)
+			p.resolver = NewWeightResolver(5000)
+			p.applied = 1 + w.rng.IntN(max(p.applied, 1))
+			p.resolver.ApplyRecord(uint64(p.applied), w.log[p.applied-1])
+		} else if w.rng.IntN(20) != 0 {
+			p.resolver.ConfirmRecord(w.now, uint64(len(w.log)))
+			if p.applied < len(w.log) {
+				p.applied = len(w.log)
+				p.resolver.ApplyRecord(uint64(p.applied), w.log[p.applied-1])
+			}
+		}
+		for _, n := range w.relays[w.rng.IntN(len(w.relays))].resolver.Notices() {
+			p.resolver.HandleNotice(n)
+		}
+		use := 0
+		if ws := p.resolver.EffectiveWeights(w.now); len(ws) > 0 {
+			use = ws[0].PerMille
+		}
+		for k := len(w.log) - 1; ; k-- { // never more than was agreed within the staleness bound
+			if use <= w.log[k][0].PerMille {
+				break
+			}
+			if k == 0 || w.logAt[k] < w.now-6000 {
+				return true, fmt.Errorf("relay %s uses %d per mille, long after", p.name, use)
+			}
+		}
+		w.offerFlows(p, use)
+		report := p.collector.AppendReport(nil, 1400)
+		for range w.rng.IntN(20) / 19 * 2 { // the last one again
+			if p.oldReport != nil {
+				c, _ := DecodeCountReport(p.oldReport)
+				w.judge.Observe(w.now, p.name, p.zone, c)
+			}
+		}
+		if w.rng.IntN(20) != 0 {
+			c, err := DecodeCountReport(report)
+			if err != nil {
+				return true, err
+			}
+			w.judge.Observe(w.now, p.name, p.zone, c)
+			p.oldReport = report
+		}
+	}
+	v := w.judge.Verdict(w.now)
+	w.last = v
+	w.hashTrace(math.Float64bits(v.LogEValue), v.Outcome, v.Zones, v.Relays, v.Faulty)
+	if z := w.zTest.o / math.Sqrt(w.zTest.v); w.peeks && z > 2.326 {
+		v.Outcome = Regressed
+	}
+	c, _ := w.state.Canary("r")
+	applied := true
+	for _, p := range w.relays {
+		applied = applied && p.applied == len(w.log)
+	}
+	for _, cmd := range w.state.Plan(w.now, v, applied) {
+		w.apply(cmd)
+		after, _ := w.state.Canary("r")
+		if after.Epoch != c.Epoch || after.Step != c.Step {
+			w.judge.BeginStep(after.Epoch, after.Step)
+			w.zTest.o, w.zTest.v = 0, 0
+		}
+		c = after
+	}
+	return c.Status != Progressing, nil
+}
+
+func (w *simulation) offerFlows(p *simRelay, perMille int) {
+	warmingUp := w.now < 61_000
+	for class, part := range []float64{0.7, 0.3} {
+		n := int(p.rate*part) + map[bool]int{true: 1}[w.rng.Float64() < p.rate*part-math.Floor(p.rate*part)]
+		var tried, bad [2][2]float64 // by warmth, for baseline and canary
+		for range n {
+			toCanary := RoutedToCanary(w.log[0][0].Salt, w.rng.Uint64(), perMille)
+			var m *simMember
+			s := Stratum{Class: uint8(class), Load: 1}
+			if toCanary {
+				m, s.WarmingUp = w.canary[w.rng.IntN(len(w.canary))], warmingUp
+			} else {
+				m, s.WarmingUp = w.baseline[w.rng.IntN(len(w.baseline))], w.rng.IntN(50) == 0 // some of the baseline restart too
+			}
+			if w.rng.IntN(5) == 0 {
+				s.Zone = uint8(w.rng.IntN(3))
+			}
+			fails, slow, early := p.failureRate*m.failureFactor*w.fleetwideFactor*float64(1+class), m.slowness, 0.003
+			if s.WarmingUp {
+				fails, slow = 2*fails, 3*slow
+			}
+			if toCanary && (w.zone == "" || w.zone == p.zone) && (w.relay == "" || w.relay == p.name) {
+				fails, early = fails+w.points, early+w.earlyEnds
+				if w.slow != 0 {
+					slow *= w.slow
+				}
+			}
+			if p.faulty {
+				fails += 0.3
+			}
+			if m.hiccup > 0 {
+				fails += 0.5
+			}
+			t := p.collector.Tally(s, toCanary)
+			t.Attempts++
+			u := w.rng.Float64()
+			tried[boolToInt(s.WarmingUp)][boolToInt(toCanary)]++
+			bad[boolToInt(s.WarmingUp)][boolToInt(toCanary)] += float64(boolToInt(u < fails))
+			switch {
+			case u < fails/3:
+				t.Failed++
+			case u < fails/2:
+				t.Reset++
+			case u < fails:
+				t.TimedOut++
+			default:
+				t.SetupTime.Add(p.setUp * slow * math.Exp(0.6*w.rng.NormFloat64()))
+				t.MessageTime.Add(p.message * slow * math.Exp(0.6*w.rng.NormFloat64()))
+				if t.OpenSeconds += 60; w.rng.Float64() < early {
+					t.OpenSeconds -= uint64(w.rng.IntN(60))
+					t.EarlyDisconnects++
+				}
+			}
+		}
+		for warmth, of := range tried {
+			if n, k, n1 := of[0]+of[1], bad[warmth][0]+bad[warmth][1], of[1]; n > 1 {
+				w.zTest.o += bad[warmth][1] - k*n1/n
+				w.zTest.v += k * (n - k) * n1 * of[0] / (n * n * (n - 1))
+			}
+		}
+	}
+}
+
+// runResult is how one canary ended.
+type runResult struct {
+	Canary
+	seconds       int
+	relays        int
+	weight        int // when it was stopped
+	faulty        []FaultyRelay
+	verdict       Verdict
+	trace         uint64
+	err           error
+	falselyFaulty int
+}
+
+func simulate(seed uint64, f defect) runResult {
+	w := newSimulation(seed, f)
+	o := runResult{relays: len(w.relays)}
+	if f.seconds == 0 {
+		f.seconds = 80_000 // five steps of the longest time
+	}
+	for range f.seconds {
+		before, _ := w.state.Canary("r")
+		o.weight = before.PerMille
+		stop, err := w.step()
+		if o.err = err; stop {
+			break
+		}
+		for _, faulty := range w.last.Faulty {
+			if !slices.Contains(o.faulty, faulty) && !slices.ContainsFunc(o.faulty, func(k FaultyRelay) bool { return k.Relay == faulty.Relay }) {
+				o.faulty = append(o.faulty, faulty)
+			}
+		}
+	}
+	o.Canary, _ = w.state.Canary("r")
+	o.verdict = w.last
+	o.seconds, o.trace = int(w.now/1000), w.trace
+	for _, faulty := range o.faulty {
+		if !slices.ContainsFunc(w.relays, func(p *simRelay) bool { return p.name == faulty.Relay && p.faulty }) {
+			o.falselyFaulty++
+		}
+	}
+	return o
+}
+
+// firstSeed is set by CANARY_FROM: a change is confirmed by seeds that it was not made on.
+func firstSeed() int {
+	n, _ := strconv.Atoi(os.Getenv("CANARY_FROM"))
+	return n
+}
+
+// simulateSeeds plays many seeds in parallel; results are in the order of the seeds.
+func simulateSeeds(n int, f defect, skip int) []runResult {
+	if f.leaders == 0 {
+		f.leaders, _ = strconv.Atoi(os.Getenv("CANARY_LEADERS"))
+	}
+	list := make([]runResult, n)
+	var wg sync.WaitGroup
+	turn := make(chan int)
+	for range runtime.GOMAXPROCS(0) {
+		wg.Go(func() {
+			for i := range turn {
+				list[i] = simulate(uint64(firstSeed()+skip+i), f)
+			}
+		})
+	}
+	for i := range n {
+		turn <- i
+	}
+	close(turn)
+	wg.Wait()
+	return list
+}
+
+func seedCount(short int) int {
+	if n, err := strconv.Atoi(os.Getenv("CANARY_SEEDS")); err == nil {
+		return n
+	}
+	return short
+}
+
+func logResults(t *testing.T, what string, list []runResult) {
+	t.Helper()
+	var took, weight []int
+	status := map[Status]int{}
+	faulty := 0
+	for i, o := range list {
+		if o.err != nil {
+			t.Errorf("%s, seed %d: %v", what, i, o.err)
+		}
+		took, weight = append(took, o.seconds), append(weight, o.weight)
+		status[o.Status]++
+		faulty += o.falselyFaulty
+	}
+	sort.Ints(took)
+	sort.Ints(weight)
+	t.Logf("%s: %v; seconds p50 %d p90 %d p99 %d max %d; per mille at the end p50 %d p99 %d max %d; falsely found faulty %d", what, status,
+		took[len(took)/2], took[len(took)*9/10], took[len(took)*99/100], took[len(took)-1], weight[len(weight)/2], weight[len(weight)*99/100], weight[len(weight)-1], faulty)
+}
+
+// rapid draws the same in every run, so that a test gives the same result every time. -rapid.seed draws others.
+func init() { flag.Set("rapid.seed", "1") }
+
+func TestHealthyRelease(t *testing.T) {
+	var list []runResult
+	paused := 0
+	for n := seedCount(4); len(list) < n; {
+		first := len(list)
+		list = append(list, simulateSeeds(min(n-first, 100), defect{}, first)...)
+		for i, o := range list[first:] {
+			if o.Status != Completed {
+				paused++
+				t.Logf("seed %d, %d relays: %s at %d per mille after %d s: %s %s %v", firstSeed()+first+i, o.relays, o.Status, o.weight, o.seconds, o.Outcome, o.Reason, o.Divergent)
+			}
+		}
+		logResults(t, fmt.Sprintf("sound, %d of %d paused", paused, len(list)), list)
+	}
+	if paused*100 > len(list) {
+		t.Errorf("%d of %d healthy releases were paused", paused, len(list))
+	}
+}
+
+func TestFlaws(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		defect
+		kind Outcome
+	}{
+		{"5 points", defect{points: 0.05}, Regressed},
+		{"twice as slow", defect{slow: 2}, Regressed},
+		{"ends early", defect{earlyEnds: 0.1}, Regressed},
+		{"5 points in a zone", defect{points: 0.05, zone: "z1"}, Divergent},
+		{"slow in a zone", defect{slow: 2, zone: "z1"}, Divergent},
+		{"a third fails at a relay", defect{points: 0.33, relay: "n4", zone: "z1"}, Divergent},
+		{"5 points, 300 relays", defect{points: 0.05, large: true}, Regressed},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			n := max(seedCount(12)/6, 2)
+			if c.large {
+				n = max(n/10, 1)
+			}
+			list := simulateSeeds(n, c.defect, 0)
+			logResults(t, c.name, list)
+			missed, late, named, undecided := 0, 0, 0, 0
+			for i, o := range list {
+				switch {
+				case o.Status != Completed && o.Outcome == Overdue && o.weight < 250: // stopped, neither shown nor ruled out
+					undecided++
+				case o.Status == Completed || o.verdict.Outcome != Regressed && o.verdict.Outcome != Divergent:
+					missed++
+					t.Logf("%s, seed %d, %d relays: %s, %s", c.name, firstSeed()+i, o.relays, o.Status, o.Reason)
+				case o.weight >= 250:
+					late++
+					t.Logf("%s, seed %d, %d relays: paused at %d per mille", c.name, firstSeed()+i, o.relays, o.weight)
+				}
+				if o.verdict.Outcome == c.kind && (c.kind == Regressed || slices.Equal(o.verdict.Zones, []string{c.zone}) || slices.Equal(o.verdict.Relays, []string{c.relay})) {
+					named++
+				} else {
+					t.Logf("%s, seed %d, %d relays: %s %v %v", c.name, firstSeed()+i, o.relays, o.verdict.Outcome, o.verdict.Zones, o.verdict.Relays)
+				}
+			}
+			t.Logf("%s: of %d missed %d, at a quarter or later %d, no verdict in the longest time %d, named right %d", c.name, n, missed, late, undecided, named)
+			bound, names := 100, 10 // in so many one may be missed, and one named otherwise
+			if c.relay != "" {
+				bound, names = 10, 3 // one relay of many is little harm, and little evidence
+			}
+			if (missed+late)*bound > n || (n-named)*names > max(n, 10) {
+				t.Errorf("%s: of %d missed %d, at a quarter or later %d, named right %d", c.name, n, missed, late, named)
+			}
+		})
+	}
+}
+
+func TestFaultyRelay(t *testing.T) {
+	f := defect{faultyRelays: 1}
+	n := seedCount(0) / 4
+	if n == 0 {
+		n, f.seconds = 3, 200 // a faulty relay is found long before
+	}
+	list := simulateSeeds(n, f, 0)
+	logResults(t, "a faulty relay", list)
+	paused, missed := 0, 0
+	for i, o := range list {
+		if o.Status == Paused || o.Status == RolledBack {
+			paused++
+			t.Logf("seed %d, %d relays: %s %s %v", i, o.relays, o.Status, o.Reason, o.Divergent)
+		}
+		if !slices.Contains(o.faulty, FaultyRelay{"n0", Failures}) {
+			missed++
+		}
+	}
+	if paused*100 > len(list) || missed > 0 {
+		t.Errorf("of %d: paused %d, not named %d", len(list), paused, missed)
+	}
+}
+
+// TestPlantedPeek: planted is a test that is right at one look and is taken every second.
+func TestPlantedPeek(t *testing.T) {
+	n := max(seedCount(24)/8, 24)
+	peeks, holds := 0, 0
+	looked, asked := simulateSeeds(n, defect{uniform: true, seconds: 300, peeks: true}, 0), simulateSeeds(n, defect{uniform: true, seconds: 300}, 0)
+	for i := range n {
+		if looked[i].Status == Paused {
+			peeks++
+		}
+		if asked[i].Status == Paused {
+			holds++
+		}
+	}
+	t.Logf("with a z-test at 1%% looked at every second %d of %d healthy releases are paused in 300 s; with e-values %d", peeks, n, holds)
+	if peeks*100 <= n || holds > 0 {
+		t.Error("the test that peeks was not found, or the sequential one paused")
+	}
+}
+
+// TestLeaders: the same seed gives the same result; and where leaders change, the next one continues from the checkpoint: defects are found in
+// little more time than the seconds that are lost. CANARY_LEADERS=20 has leaders change in all simulations.
+func TestLeaders(t *testing.T) {
+	for _, f := range []defect{{uniform: true}, {points: 0.33, relay: "n4", zone: "z1"}} {
+		for seed := range uint64(2) {
+			often := f
+			often.leaders = 20
+			one, again, many := simulate(seed, f), simulate(seed, f), simulate(seed, often)
+			if one.trace != again.trace {
+				t.Errorf("seed %d: two simulations differ", seed)
+			}
+			t.Logf("one leader: %s after %d s, a leader of 20 s: %s after %d s", one.Status, one.seconds, many.Status, many.seconds)
+			if many.Status != one.Status || many.seconds > 3*one.seconds {
+				t.Error("evidence was lost with the leaders")
+			}
+		}
+	}
+}
+
+// TestCheckpoint: a checkpoint is the evidence, rounded down; reports that it covers do not count again; a truncated one leaves nothing behind.
+func TestCheckpoint(t *testing.T) {
+	w := newSimulation(1, defect{points: 0.05})
+	for range 60 {
+		w.step()
+	}
+	w.now += 1000
+	w.judge.Verdict(w.now) // all that was reported is in the evidence
+	set := w.judge.settings
+	set.Checkpoint = w.judge.encodeCheckpoint()
+	next, forgets := NewJudge(set), NewJudge(set)
+	for k := range next.tests {
+		if e, was := next.guardEvidence(k), w.judge.guardEvidence(k); !(e <= was && e >= was-1.0/evidenceResolution) {
+			t.Errorf("evidence %v, and %v after", was, e)
+		}
+	}
+	for _, r := range forgets.relays {
+		r.seq = 0 // planted: the reports that the evidence covers are not known
+	}
+	for _, j := range []*Judge{next, forgets} { // a covered report comes late, as if from the step's beginning, and then the present one
+		for _, p := range w.relays {
+			now, _ := DecodeCountReport(p.collector.AppendReport(nil, 1400))
+			late := now
+			late.Seq, late.Strata = 1, slices.Clone(now.Strata)
+			for i := range late.Strata {
+				late.Strata[i].Baseline, late.Strata[i].Canary = Tally{}, Tally{}
+			}
+			j.Observe(1, p.name, p.zone, late)
+			for _, past := range j.classHistories {
+				past.Attempts = minBaselineAttempts
+			}
+			j.Observe(2, p.name, p.zone, now)
+		}
+		j.Verdict(5000)
+	}
+	if next.compared != w.judge.compared || forgets.compared <= next.compared {
+		t.Errorf("compared %d, %d after; and %d where reports count twice", w.judge.compared, next.compared, forgets.compared)
+	}
+	for cut := range set.Checkpoint {
+		part := set
+		if part.Checkpoint = set.Checkpoint[:cut]; len(NewJudge(part).relays) > 0 {
+			t.Errorf("%d bytes of %d were taken", cut, len(set.Checkpoint))
+		}
+	}
+}
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -41,12 +41,12 @@
 	shut     bool // the ledger
 	doubting bool
 	strict   bool          // during Sure
-	stopped  bool          // by Stop or GiveUp
+	stopped  bool          // by Stop or BeginHandover
 	leaving  time.Duration // by when flows have to be moved for a drain or a stop; 0 if none is on
 	done     bool          // after Finish
 	rash     bool          // something else happens in the middle of the next call to a virtual server
 	bans     map[string]bool
-	agreed   map[string]Leaving
+	agreed   map[string]Removal
 	events   map[string]int // of the record, by request and attempt
 	stood    int            // words that an attempt is up which was already
 	wrong    bool           // the module says wild things
@@ -89,7 +89,7 @@
 	ended    bool // the flow that stood
 }
 
-func (x *client) class() policy.Class { return x.w.c.set.Classes[x.q.Class] }
+func (x *client) class() policy.Class { return x.w.c.policyCfg.Classes[x.q.Class] }
 
 // out is the attempt that is out, or the open flow's.
 func (x *client) out() *tried {
@@ -208,7 +208,7 @@
 	x.then()
 }
 
-func (x *client) Move() {
+func (x *client) Migrate() {
 	x.called("move")
 	if !x.open() {
 		x.w.Fatalf("request %d: moved, though it is not open", x.id)
@@ -221,7 +221,7 @@
 
 func (x *client) leave() {
 	if !x.settled() {
-		x.w.c.Left(x.id)
+		x.w.c.ClientGone(x.id)
 		x.gone = true
 		if x.out() != nil {
 			x.w.Fatalf("request %d: an attempt is still out after its client left", x.id)
@@ -263,7 +263,7 @@
 		t.Fatal(err)
 	}
 	w := &world{T: t, now: time.Hour, wake: math.MaxInt64, byID: map[ID]*client{}, names: map[string]*place{},
-		bans: map[string]bool{}, agreed: map[string]Leaving{}, events: map[string]int{}}
+		bans: map[string]bool{}, agreed: map[string]Removal{}, events: map[string]int{}}
 	w.c = New(Options{Settings: set, Seed: uint64(evenly(64).Draw(t, "seed")), Clock: func() time.Duration { return w.now },
 		Wake: func(at time.Duration) { w.wake = at }, Watch: func() {}, Recorder: w,
 		Probe: func(to *Member) {
@@ -339,7 +339,7 @@
 	if x == nil {
 		return
 	}
-	if !w.c.Up(x.id, len(x.attempts)-1) {
+	if !w.c.FlowEstablished(x.id, len(x.attempts)-1) {
 		w.Fatalf("request %d: its attempt is out, and may not be up", x.id)
 	}
 	x.up, x.upAt = true, w.now
@@ -364,7 +364,7 @@
 	} else if a.result == policy.OK {
 		x.answers, x.up, x.ended = append(x.answers, "served"), true, true
 	}
-	w.c.Ended(x.id, try, a.result, w.report())
+	w.c.AttemptEnded(x.id, try, a.result, w.report())
 }
 
 func (w *world) report() policy.Report {
@@ -384,18 +384,18 @@
 	if a := x.out(); a != nil && try == len(x.attempts)-1 {
 		if x.up {
 			w.stood++
-			if w.c.Up(x.id, try) {
+			if w.c.FlowEstablished(x.id, try) {
 				w.Fatalf("request %d: up twice", x.id)
 			}
 		}
 		return
 	}
-	if w.c.Up(x.id, try) {
+	if w.c.FlowEstablished(x.id, try) {
 		w.Fatalf("request %d: up by attempt %d, which is not out", x.id, try)
 	}
-	w.c.Ended(x.id, try, modelResults[w.draw(len(modelResults), "result")], policy.NoReport)
+	w.c.AttemptEnded(x.id, try, modelResults[w.draw(len(modelResults), "result")], policy.NoReport)
 	if x.settled() {
-		w.c.Left(x.id)
+		w.c.ClientGone(x.id)
 	}
 }
 
@@ -406,14 +406,14 @@
 	i := w.draw(len(w.probes), "probe")
 	id := w.probes[i]
 	w.probes = slices.Delete(w.probes, i, i+1)
-	w.c.Probed(id, []policy.Result{policy.OK, policy.OK, policy.Full, policy.Timeout, policy.NotSent}[w.draw(5, "result")], w.report())
+	w.c.ProbeResult(id, []policy.Result{policy.OK, policy.OK, policy.Full, policy.Timeout, policy.NotSent}[w.draw(5, "result")], w.report())
 }
 
 // list is what discovery says.
 func (w *world) list() {
 	kind := []policy.ListKind{policy.ListDelta, policy.ListDelta, policy.ListDelta, policy.ListFull, policy.ListCached, policy.ListFailed}[w.draw(6, "kind")]
 	if kind == policy.ListFailed {
-		w.c.Pool(kind, nil)
+		w.c.UpdateMembers(kind, nil)
 		return
 	}
 	var named []Member
@@ -430,10 +430,10 @@
 		}
 	}
 	w.see()
-	w.c.Pool(kind, named)
+	w.c.UpdateMembers(kind, named)
 }
 
-// see notes which members have begun to leave.
+// refreshMember notes which members have begun to leave.
 func (w *world) see() {
 	for _, p := range w.places {
 		drain, agreed := w.agreed[p.Name]
@@ -443,7 +443,7 @@
 		}
 		spread := time.Duration(0)
 		if p.left = left; agreed && !w.bans[p.Name] && p.State == policy.Ready {
-			spread = drain.Over
+			spread = drain.SpreadOver
 		}
 		if spread != p.spread {
 			p.spread, p.changed = spread, w.now
@@ -456,29 +456,29 @@
 	if w.bans[name] {
 		delete(w.bans, name)
 		w.see()
-		w.c.Allow(name)
+		w.c.Reinstate(name)
 	} else {
 		w.bans[name] = true
 		w.see()
-		w.c.Ban(name)
+		w.c.Eject(name)
 	}
 }
 
 func (w *world) agree() {
-	out := map[string]Leaving{}
+	out := map[string]Removal{}
 	for _, p := range w.places {
 		if w.draw(4, "out") == 0 {
-			out[p.Name] = Leaving{Over: []time.Duration{0, 500 * time.Millisecond, 8 * time.Second}[w.draw(3, "over")], Ban: w.draw(2, "ban") == 0}
+			out[p.Name] = Removal{SpreadOver: []time.Duration{0, 500 * time.Millisecond, 8 * time.Second}[w.draw(3, "over")], Ejection: w.draw(2, "ban") == 0}
 		}
 	}
 	w.agreed = out
 	w.see()
-	w.c.Agree(out)
+	w.c.SetFleetRemovals(out)
 }
 
 func (w *world) drain() {
-	if w.c.Welcomes() {
-		w.leaving = w.now + drainMoves
+	if w.c.AcceptsClients() {
+		w.leaving = w.now + drainMigrationEnd
 		w.c.Drain()
 		return
 	}
@@ -491,11 +491,11 @@
 func (w *world) doubt() {
 	if !w.doubting {
 		w.doubting = true
-		w.c.Doubt()
+		w.c.PauseDispatch()
 		return
 	}
 	w.doubting, w.strict = false, true
-	w.c.Sure()
+	w.c.ResumeDispatch()
 	w.strict = false
 }
 
@@ -503,9 +503,9 @@
 	if w.stopped {
 		return
 	}
-	w.stopped, w.leaving = true, w.now+of(stopMoves, w.c.StopWithin())
+	w.stopped, w.leaving = true, w.now+fraction(stopMigrationEnd, w.c.StopTimeout())
 	if w.draw(2, "another takes its place") == 0 {
-		w.c.GiveUp()
+		w.c.BeginHandover()
 	} else {
 		w.c.Stop()
 	}
@@ -516,7 +516,7 @@
 	if x := w.pick((*client).open); x != nil && w.draw(2, "pass") == 0 {
 		a := x.out()
 		x.ended, a.over, a.result = true, true, policy.Cancelled
-		if p, ok := w.c.Pass(x.id); !ok || p.Member != a.to.Name {
+		if p, ok := w.c.ReleaseFlow(x.id); !ok || p.Member != a.to.Name {
 			w.Fatalf("request %d: passed %v with %s, it is at %s", x.id, ok, p.Member, a.to.Name)
 		}
 		return
@@ -524,7 +524,7 @@
 	p := w.places[w.draw(len(w.places), "member")]
 	x := &client{w: w, taken: true, up: true, upAt: w.now, answers: []string{"served"}, q: Request{Class: w.draw(5, "class")}}
 	x.attempts = []*tried{{to: p, at: p.Member, sent: w.now}}
-	id, _, ok := w.c.Take(Passed{Request: x.q, Member: p.Name}, x)
+	id, _, ok := w.c.AdoptFlow(FlowTransfer{Request: x.q, Member: p.Name}, x)
 	if ok != p.known {
 		w.Fatalf("taken %v from a member that is known %v", ok, p.known)
 	}
@@ -540,11 +540,11 @@
 	}
 	switch w.draw(3, "note") {
 	case 0:
-		w.c.Load(x.id, float64(w.draw(50, "load"))/100)
+		w.c.UpdateLoad(x.id, float64(w.draw(50, "load"))/100)
 	case 1:
-		w.c.Message(x.id, time.Duration(w.draw(400, "took"))*time.Millisecond)
+		w.c.ObserveMessageLatency(x.id, time.Duration(w.draw(400, "took"))*time.Millisecond)
 	default:
-		w.c.Relays(float64(w.draw(5, "relays")))
+		w.c.SetActiveRelays(float64(w.draw(5, "relays")))
 	}
 }
 
@@ -574,12 +574,12 @@
 		if due := w.wake <= w.now; !x.gone && !due { // else a Tick is still to come
 			x.inTime(a)
 		}
-		if held := !x.settled(); w.c.Holds(x.id) != held {
+		if held := !x.settled(); w.c.IsActive(x.id) != held {
 			w.Fatalf("request %d: held %v, by what was seen %v", x.id, !held, held)
 		}
 	}
 	for _, p := range w.places {
-		if n := w.c.Flows(p.ID); n != flows[p.Name] {
+		if n := w.c.FlowCount(p.ID); n != flows[p.Name] {
 			w.Fatalf("%s: %d flows, by what was seen %d", p.Name, n, flows[p.Name])
 		}
 	}
@@ -672,7 +672,7 @@
 			p.State, p.known = policy.Ready, true
 		}
 		w.see()
-		w.c.Pool(policy.ListCached, []Member{w.places[0].Member, w.places[1].Member, w.places[2].Member, w.places[3].Member})
+		w.c.UpdateMembers(policy.ListCached, []Member{w.places[0].Member, w.places[1].Member, w.places[2].Member, w.places[3].Member})
 		n := 1 + w.draw(160, "steps")
 		stop := w.draw(2*n, "stop")
 		for i := range n {
@@ -694,11 +694,11 @@
 func (w *world) finish() {
 	w.run(0)
 	w.stop()
-	w.run([]time.Duration{0, 300 * time.Millisecond, w.c.StopWithin()}[w.draw(3, "stop takes")])
-	w.c.Finish()
+	w.run([]time.Duration{0, 300 * time.Millisecond, w.c.StopTimeout()}[w.draw(3, "stop takes")])
+	w.c.FinishStop()
 	w.done = true
 	w.check()
-	if n := w.c.Held(); n > 0 {
+	if n := w.c.ActiveRequests(); n > 0 {
 		w.Fatalf("%d held after the end", n)
 	}
 	attempts, moves := 0, 0
@@ -715,11 +715,11 @@
 		}
 	}
 	c := w.c.Counts
-	if !w.wrong && c.Ignored != w.stood {
-		w.Fatalf("%d events ignored, %d of them words on a flow that stood already", c.Ignored, w.stood)
+	if !w.wrong && c.IgnoredEvents != w.stood {
+		w.Fatalf("%d events ignored, %d of them words on a flow that stood already", c.IgnoredEvents, w.stood)
 	}
-	if len(w.events) != len(w.all)+attempts || c.Requests != len(w.all) || c.Attempts != attempts || c.Moves != moves ||
-		c.Served+c.Rejected+c.Failed+c.Left != c.Requests || c.Astray > 0 {
+	if len(w.events) != len(w.all)+attempts || c.Requests != len(w.all) || c.Attempts != attempts || c.Migrations != moves ||
+		c.Served+c.Rejected+c.Failed+c.ClientsGone != c.Requests || c.SentAfterGrace > 0 {
 		w.Fatalf("%d requests, %d attempts, %d moves and %d records, counts %+v", len(w.all), attempts, moves, len(w.events), c)
 	}
 	for range 5 {
@@ -729,11 +729,11 @@
 		w.doubt()
 	}
 	w.run(20 * time.Second) // beyond all waits and all spans
-	if w.c.later != nil || len(w.c.alarms) > 0 || len(w.c.pending) > 0 || len(w.c.requests) > 0 {
-		w.Fatalf("left behind: %d held sends, %d alarms, %d verdicts, %d requests", len(w.c.later), len(w.c.alarms), len(w.c.pending), len(w.c.requests))
+	if w.c.pausedActions != nil || len(w.c.timers) > 0 || len(w.c.pendingActions) > 0 || len(w.c.requests) > 0 {
+		w.Fatalf("left behind: %d held sends, %d alarms, %d verdicts, %d requests", len(w.c.pausedActions), len(w.c.timers), len(w.c.pendingActions), len(w.c.requests))
 	}
-	w.c.Pool(policy.ListFull, nil)
-	if l := w.c.Learned().Policy.Servers; len(l) > 0 && !w.wrong { // the module keeps those alone at which it takes flows to be open
+	w.c.UpdateMembers(policy.ListFull, nil)
+	if l := w.c.LearnedState().Policy.Servers; len(l) > 0 && !w.wrong { // the module keeps those alone at which it takes flows to be open
 		w.Fatalf("the module still holds flows at %v", l)
 	}
 }
--- a/internal/front/line/client_state.go
+++ b/internal/front/line/client_state.go
@@ -1,211 +1,173 @@
 package line
 
-// clientState is what a client connection waits for.
+// clientState is the state of a client connection.
 type clientState int
 
 const (
-	clientNew      clientState = iota // for its first line; nothing but parts of one has come
-	clientResting                     // for its first line; it has been answered PONG
-	clientPlacing                     // for the final answer to its request, which is held or of which an attempt is out
-	clientOpen                        // for nothing: its flow is open, and the client stands between two lines
-	clientMidLine                     // for the rest of a line of which the member has sent a part
-	clientMoving                      // for the same, after which MOVE is put
-	clientDraining                    // for room for what the member has sent, which has ended
-	clientParting                     // for room for what the client has sent, which has ended
-	clientClosed                      // for nothing more; its connection is ended
+	clientNew              clientState = iota // no first line has come, or only a part of one
+	clientIdle                                // the last first line was PING; it has been answered, and the next is awaited
+	clientPending                             // its request is queued or has an attempt in flight
+	clientOpen                                // its flow is open, and the client has got whole lines only
+	clientMidLine                             // its flow is open, and a part of a line of the member's has been forwarded
+	clientMigrating                           // the same; MOVE follows the end of that line
+	clientFlushingToClient                    // the member has closed; what it sent still goes to the client
+	clientFlushingToMember                    // the client has closed; what it sent still goes to the member
+	clientClosed                              // its connection is closed
+	clientStateCount                          // the number of states
 )
 
-// clientEvent is what may happen to a client connection.
+// clientEvent is an event of a client connection.
 type clientEvent int
 
 const (
-	clientPinged      clientEvent = iota // PING came as a first line
-	clientLineBegun                      // a part of a first line came
-	clientAsked                          // OPEN came as a first line
-	clientMalformed                      // something else did
-	clientTimedOut                       // the time of the state is up
-	clientShed                           // its descriptor is wanted
-	clientStopped                        // the relay ends
-	clientUp                             // an attempt came up
-	clientServed                         // an attempt was served to its end without coming up
-	clientRejected                       // the core rejects the request
-	clientFailed                         // the core fails it
-	clientAbandoned                      // an attempt is abandoned
-	clientLinePart                       // a part of a line of the member's has passed, not its end
-	clientLineEnd                        // the end of one has
-	clientMoveAsked                      // the client is to come again
-	clientEnded                          // the client has ended its sending
-	clientEndedUnread                    // the client has ended its sending, and something of it has had no room yet
-	clientDrained                        // nothing of the client's waits for room
-	clientReset                          // the client's connection has broken
-	memberEnded                          // the member has ended its sending, on an open flow
-	memberEndedUnread                    // the member has ended its sending, and something of it has had no room yet
-	memberDrained                        // nothing of the member's waits for room
-	memberReset                          // the member's connection has broken, of an open flow
+	eventPing             clientEvent = iota // PING came as the first line
+	eventPartialFirstLine                    // a part of the first line came
+	eventOpen                                // OPEN came as the first line
+	eventMalformed                           // anything else came as the first line
+	eventTimeout                             // the state has lasted as long as it may
+	eventShed                                // the loop needs its descriptor
+	eventShutdown                            // the relay shuts down
+	eventAttemptUp                           // a member has answered UP
+	eventAttemptServed                       // a member has answered BYE without UP
+	eventRejected                            // the core rejects the request
+	eventFailed                              // the core fails it
+	eventAttemptAbandoned                    // an attempt is abandoned
+	eventPartialLine                         // a part of a line of the member's has been forwarded, without its end
+	eventLineEnd                             // the end of one has been forwarded
+	eventMigrate                             // the client is to be migrated
+	eventClientEOF                           // the client has closed its sending side
+	eventClientEOFBlocked                    // the same, and some of what it sent has not been forwarded yet
+	eventClientFlushed                       // all that the client sent has been forwarded
+	eventClientReset                         // the client's connection was reset or lost
+	eventMemberEOF                           // the member has closed its sending side, on an open flow
+	eventMemberEOFBlocked                    // the same, and some of what it sent has not been forwarded yet
+	eventMemberFlushed                       // all that the member sent has been forwarded
+	eventMemberReset                         // the member's connection was reset or lost, on an open flow
+	clientEventCount                         // the number of events
 )
 
-// clientAction is what is to be done as an event happens.
+// clientAction is what an event has the connection do.
 type clientAction int
 
 const (
-	doNothing      clientAction = iota
-	sendPong                    // answer PING, and wait for the first line anew
-	awaitFirstLine              // wait for the rest of the first line, for so long as firstWithin
-	placeRequest                // hand the request to the core
-	sendError                   // answer ERR and end
-	sendBusy                    // answer BUSY and end
-	openFlow                    // pass on what the client has sent early; the member's UP has gone to it
-	endClient                   // end the client's side politely
-	resetClient                 // end the client's side by a reset
-	leaveRequest                // tell the core that the client has left, answer it in case it still reads, and end its side
-	leaveFlow                   // the same, and end the member's side politely
-	leaveFlowHard               // the same, and end the member's side by a reset
-	leaveDraining               // tell the core that the client has left, and wait for room, for so long as MoveWithin
-	awaitLineEnd                // wait for the end of the line, for so long as MoveWithin
-	sendMove                    // put MOVE and end both sides
-	endBothSides                // end both sides politely
-	drain                       // wait for room, for so long as endedAfter
-	endAttempt                  // end the client's side politely, and tell the core how the flow has ended
+	doNothing          clientAction = iota
+	sendPong                        // answer PING, and await the next first line
+	awaitFirstLine                  // await the rest of the first line, for at most firstLineTimeout
+	placeRequest                    // hand the request to the core
+	sendError                       // answer ERR and close
+	sendBusy                        // answer BUSY and close
+	openFlow                        // forward what the client has sent early; the member's UP has gone to it
+	closeClient                     // close the client's side gracefully
+	resetClient                     // reset the client's side
+	cancelRequest                   // report to the core that the client has left, answer it in case it still reads, and close its side
+	closeFlow                       // the same, and close the member's side gracefully
+	resetFlow                       // the same, and reset the member's side
+	flushThenCloseFlow              // report to the core that the client has left, and keep forwarding what it sent, for at most MoveTimeout
+	awaitLineEnd                    // await the end of the line, for at most MoveTimeout
+	sendMove                        // send MOVE and close both sides
+	closeBothSides                  // close both sides gracefully
+	awaitFlush                      // keep forwarding what the member sent, for at most lingerTimeout
+	finishAttempt                   // close the client's side gracefully, and report the flow's result to the core
 )
 
-// awaitsFirstLine says that no request has come.
-func (s clientState) awaitsFirstLine() bool { return s == clientNew || s == clientResting }
+// awaitsFirstLine reports whether no request has come.
+func (s clientState) awaitsFirstLine() bool { return s == clientNew || s == clientIdle }
 
-// isOpen says that bytes pass between client and member.
+// isOpen reports whether the flow is open.
 func (s clientState) isOpen() bool {
-	return s == clientOpen || s == clientMidLine || s == clientMoving
+	return s == clientOpen || s == clientMidLine || s == clientMigrating
 }
 
-// stays says that the flow is open and nothing asks for its end.
-func (s clientState) stays() bool { return s == clientOpen || s == clientMidLine }
+// isEstablished reports whether the flow is open and is not being migrated.
+func (s clientState) isEstablished() bool { return s == clientOpen || s == clientMidLine }
 
-// openState is the state of an open flow of which a part of a line has passed, or none.
-func openState(midLine bool) clientState {
+// openStateFor is the state of an open flow, by whether a part of a line has been forwarded to the client.
+func openStateFor(midLine bool) clientState {
 	if midLine {
 		return clientMidLine
 	}
 	return clientOpen
 }
 
-// next is the one place that says how events lead from state to state. An event that a state has no use for changes nothing.
-func (s clientState) next(e clientEvent) (clientState, clientAction) {
-	switch s {
-	case clientNew, clientResting:
-		return s.nextFirstLine(e)
-	case clientPlacing:
-		return s.nextPlacing(e)
-	case clientOpen, clientMidLine, clientMoving:
-		return s.nextOpen(e)
-	case clientDraining:
-		return s.nextDraining(e)
-	case clientParting:
-		return s.nextParting(e)
-	}
-	return s, doNothing
+// clientRule is the transition from each of the states in, by an event.
+type clientRule struct {
+	in     []clientState
+	on     clientEvent
+	next   clientState
+	action clientAction
 }
 
-func (s clientState) nextFirstLine(e clientEvent) (clientState, clientAction) {
-	switch e {
-	case clientPinged:
-		return clientResting, sendPong
-	case clientLineBegun:
-		if s == clientResting {
-			return clientNew, awaitFirstLine
-		}
-	case clientAsked:
-		return clientPlacing, placeRequest
-	case clientMalformed:
-		return clientClosed, sendError
-	case clientTimedOut, clientShed:
-		if s == clientNew {
-			return clientClosed, sendError
-		}
-		return clientClosed, sendBusy
-	case clientStopped:
-		return clientClosed, sendBusy
-	case clientEnded, clientReset:
-		return clientClosed, endClient
-	}
-	return s, doNothing
+// clientRules are all transitions. An event without a rule for a state changes nothing.
+var clientRules = []clientRule{
+	{[]clientState{clientNew, clientIdle}, eventPing, clientIdle, sendPong},
+	{[]clientState{clientIdle}, eventPartialFirstLine, clientNew, awaitFirstLine},
+	{[]clientState{clientNew, clientIdle}, eventOpen, clientPending, placeRequest},
+	{[]clientState{clientNew, clientIdle}, eventMalformed, clientClosed, sendError},
+	{[]clientState{clientNew}, eventTimeout, clientClosed, sendError},
+	{[]clientState{clientNew}, eventShed, clientClosed, sendError},
+	{[]clientState{clientIdle}, eventTimeout, clientClosed, sendBusy},
+	{[]clientState{clientIdle}, eventShed, clientClosed, sendBusy},
+	{[]clientState{clientNew, clientIdle}, eventShutdown, clientClosed, sendBusy},
+	{[]clientState{clientNew, clientIdle}, eventClientEOF, clientClosed, closeClient},
+	{[]clientState{clientNew, clientIdle}, eventClientReset, clientClosed, closeClient},
+
+	{[]clientState{clientPending}, eventAttemptUp, clientOpen, openFlow},
+	{[]clientState{clientPending}, eventAttemptServed, clientClosed, closeClient},
+	{[]clientState{clientPending}, eventRejected, clientClosed, sendBusy},
+	{[]clientState{clientPending}, eventFailed, clientClosed, sendError},
+	{[]clientState{clientPending}, eventClientEOF, clientClosed, cancelRequest},
+	{[]clientState{clientPending}, eventClientReset, clientClosed, cancelRequest},
+
+	{[]clientState{clientOpen, clientMidLine}, eventPartialLine, clientMidLine, doNothing},
+	{[]clientState{clientOpen, clientMidLine}, eventLineEnd, clientOpen, doNothing},
+	{[]clientState{clientOpen}, eventMigrate, clientClosed, sendMove},
+	{[]clientState{clientMidLine}, eventMigrate, clientMigrating, awaitLineEnd},
+	{[]clientState{clientMigrating}, eventLineEnd, clientClosed, sendMove},
+	{[]clientState{clientMigrating}, eventTimeout, clientClosed, closeBothSides},
+	{[]clientState{clientOpen, clientMidLine, clientMigrating}, eventClientEOF, clientClosed, closeFlow},
+	{[]clientState{clientOpen, clientMidLine, clientMigrating}, eventClientEOFBlocked, clientFlushingToMember, flushThenCloseFlow},
+	{[]clientState{clientOpen, clientMidLine, clientMigrating}, eventClientReset, clientClosed, resetFlow},
+	{[]clientState{clientOpen, clientMidLine, clientMigrating}, eventMemberEOF, clientClosed, closeClient},
+	{[]clientState{clientOpen, clientMidLine, clientMigrating}, eventMemberEOFBlocked, clientFlushingToClient, awaitFlush},
+	{[]clientState{clientOpen, clientMidLine}, eventMemberReset, clientClosed, resetClient},
+	{[]clientState{clientMigrating}, eventMemberReset, clientClosed, closeClient},
+
+	{[]clientState{clientFlushingToClient}, eventMemberFlushed, clientClosed, finishAttempt},
+	{[]clientState{clientFlushingToClient}, eventTimeout, clientClosed, finishAttempt},
+	{[]clientState{clientFlushingToClient}, eventClientEOF, clientClosed, closeFlow},
+	{[]clientState{clientFlushingToClient}, eventClientEOFBlocked, clientClosed, closeFlow},
+	{[]clientState{clientFlushingToClient}, eventClientReset, clientClosed, resetFlow},
+
+	{[]clientState{clientFlushingToMember}, eventClientFlushed, clientClosed, closeBothSides},
+	{[]clientState{clientFlushingToMember}, eventTimeout, clientClosed, closeBothSides},
+	{[]clientState{clientFlushingToMember}, eventClientReset, clientClosed, closeBothSides},
+	{[]clientState{clientFlushingToMember}, eventMemberEOF, clientClosed, closeBothSides},
+	{[]clientState{clientFlushingToMember}, eventMemberReset, clientClosed, closeBothSides},
 }
 
-func (s clientState) nextPlacing(e clientEvent) (clientState, clientAction) {
-	switch e {
-	case clientUp:
-		return clientOpen, openFlow
-	case clientServed:
-		return clientClosed, endClient
-	case clientRejected:
-		return clientClosed, sendBusy
-	case clientFailed:
-		return clientClosed, sendError
-	case clientEnded, clientReset:
-		return clientClosed, leaveRequest
-	}
-	return s, doNothing
+// clientTransition is where an event leads from a state, and what it has the connection do.
+type clientTransition struct {
+	next   clientState
+	action clientAction
 }
 
-func (s clientState) nextOpen(e clientEvent) (clientState, clientAction) {
-	switch e {
-	case clientEnded:
-		return clientClosed, leaveFlow
-	case clientEndedUnread:
-		return clientParting, leaveDraining
-	case clientReset:
-		return clientClosed, leaveFlowHard
-	case memberEnded:
-		return clientClosed, endClient
-	case memberEndedUnread:
-		return clientDraining, drain
-	case memberReset:
-		if s == clientMoving {
-			return clientClosed, endClient
+// clientTransitions is clientRules by state and event.
+var clientTransitions = func() (table [clientStateCount][clientEventCount]clientTransition) {
+	for s := range clientStateCount {
+		for e := range clientEventCount {
+			table[s][e].next = s
 		}
-		return clientClosed, resetClient
 	}
-	if s == clientMoving {
-		return s.nextMoving(e)
-	}
-	switch e {
-	case clientLinePart:
-		return clientMidLine, doNothing
-	case clientLineEnd:
-		return clientOpen, doNothing
-	case clientMoveAsked:
-		if s == clientMidLine {
-			return clientMoving, awaitLineEnd
+	for _, r := range clientRules {
+		for _, s := range r.in {
+			table[s][r.on] = clientTransition{r.next, r.action}
 		}
-		return clientClosed, sendMove
-	}
-	return s, doNothing
-}
-
-func (s clientState) nextMoving(e clientEvent) (clientState, clientAction) {
-	switch e {
-	case clientLineEnd:
-		return clientClosed, sendMove
-	case clientTimedOut:
-		return clientClosed, endBothSides
-	}
-	return s, doNothing
-}
-
-func (s clientState) nextDraining(e clientEvent) (clientState, clientAction) {
-	switch e {
-	case memberDrained, clientTimedOut:
-		return clientClosed, endAttempt
-	case clientEnded, clientEndedUnread:
-		return clientClosed, leaveFlow
-	case clientReset:
-		return clientClosed, leaveFlowHard
 	}
-	return s, doNothing
-}
+	return table
+}()
 
-func (s clientState) nextParting(e clientEvent) (clientState, clientAction) {
-	switch e {
-	case clientDrained, clientTimedOut, clientReset, memberEnded, memberReset:
-		return clientClosed, endBothSides
-	}
-	return s, doNothing
+// next is the transition function.
+func (s clientState) next(e clientEvent) (clientState, clientAction) {
+	t := &clientTransitions[s][e]
+	return t.next, t.action
 }
--- a/internal/front/line/flow_end_test.go
+++ b/internal/front/line/flow_end_test.go
@@ -12,16 +12,16 @@
 // onlyFlow is the one client connection whose flow is open.
 func (g *rig) onlyFlow() *clientConn {
 	g.T.Helper()
-	if len(g.f.open) != 1 {
-		g.T.Fatalf("%d open flows", len(g.f.open))
+	if len(g.f.flows) != 1 {
+		g.T.Fatalf("%d open flows", len(g.f.flows))
 	}
-	for v := range g.f.open {
+	for v := range g.f.flows {
 		return v
 	}
 	return nil
 }
 
-// narrow keeps the system from holding much for a peer that does not read.
+// narrow keeps the kernel from buffering much for a peer that does not read.
 func narrow(p *looptest.Peer) { p.Conn.(*net.TCPConn).SetReadBuffer(4 << 10) }
 
 // fill has one side send lines that the other does not read, until full.
@@ -37,8 +37,8 @@
 	return sent
 }
 
-// all reads what comes until the end, which has to be polite.
-func (g *rig) all(p *looptest.Peer) []byte {
+// readAll reads what comes until the end, which has to be graceful.
+func (g *rig) readAll(p *looptest.Peer) []byte {
 	g.T.Helper()
 	p.Conn.(*net.TCPConn).SetReadBuffer(4 << 20) // or the system's own timers set the pace
 	g.WaitFor("the end", func() bool { p.Poll(); return p.EndErr != nil })
@@ -48,75 +48,75 @@
 	return p.Received
 }
 
-// TestClientEndsUnread: what a client sent before it ended politely still reaches a member that is slow to read.
-func TestClientEndsUnread(t *testing.T) {
+// TestClientEOFUndelivered: what a client sent before it closed gracefully still reaches a member that is slow to read.
+func TestClientEOFUndelivered(t *testing.T) {
 	g := newRig(t, 1)
 	c, m := g.openFlow()
 	narrow(m)
 	v := g.onlyFlow()
-	sent := g.fill(c, func() bool { return v.upstream.c.Unsent() > 0 })
+	sent := g.fill(c, func() bool { return v.upstream.conn.Unsent() > 0 })
 	c.CloseWrite()
-	g.WaitFor("the end of the request", func() bool { return g.Core.Held() == 0 })
-	if got := g.all(m); !bytes.Equal(got, sent) {
+	g.WaitFor("the end of the request", func() bool { return g.Core.ActiveRequests() == 0 })
+	if got := g.readAll(m); !bytes.Equal(got, sent) {
 		t.Errorf("%d bytes of %d", len(got), len(sent))
 	}
 	g.clean()
 }
 
-// TestClientEndsNoRoom: the same of what had no room in the relay's buffers to the member; to the core the client has
+// TestClientEOFBufferFull: the same of what did not fit in the relay's buffers to the member; to the core the client has
 // left at once, and a member that never reads is waited for no longer than MoveTimeout.
-func TestClientEndsNoRoom(t *testing.T) {
+func TestClientEOFBufferFull(t *testing.T) {
 	for _, reads := range []bool{true, false} {
 		g := newRig(t, 1)
 		c, m := g.openFlow()
 		narrow(m)
 		v := g.onlyFlow()
-		sent := g.fill(c, func() bool { return v.upstream.c.WriteCapacity() == 0 })
+		sent := g.fill(c, func() bool { return v.upstream.conn.WriteCapacity() == 0 })
 		c.Send("the last line\r\n")
 		sent = append(sent, "the last line\r\n"...)
 		c.CloseWrite()
-		g.WaitFor("the end of the request", func() bool { return g.Core.Held() == 0 })
+		g.WaitFor("the end of the request", func() bool { return g.Core.ActiveRequests() == 0 })
 		if !reads {
 			g.Advance(MoveTimeout)
-		} else if got := g.all(m); !bytes.Equal(got, sent) {
+		} else if got := g.readAll(m); !bytes.Equal(got, sent) {
 			t.Errorf("%d bytes of %d", len(got), len(sent))
 		}
 		g.clean()
 	}
 }
 
-// TestMemberEndsUnread: what a member sent before it ended politely still reaches a client that is slow to read, also
-// what had no room in the relay's buffers to it.
-func TestMemberEndsUnread(t *testing.T) {
+// TestMemberEOFUndelivered: what a member sent before it closed gracefully still reaches a client that is slow to read, also
+// what did not fit in the relay's buffers to it.
+func TestMemberEOFUndelivered(t *testing.T) {
 	g := newRig(t, 1)
 	c, m := g.openFlow()
 	narrow(c)
 	v := g.onlyFlow()
-	sent := g.fill(m, func() bool { return v.c.WriteCapacity() == 0 })
+	sent := g.fill(m, func() bool { return v.conn.WriteCapacity() == 0 })
 	m.Send("the last line\r\n")
 	sent = append(sent, "the last line\r\n"...)
 	m.CloseWrite()
 	for range 4 {
 		g.RunOnce()
 	}
-	if got := g.all(c); !bytes.Equal(got, sent) {
+	if got := g.readAll(c); !bytes.Equal(got, sent) {
 		t.Errorf("%d bytes of %d", len(got), len(sent))
 	}
-	g.WaitFor("the end of the request", func() bool { return g.Core.Held() == 0 })
+	g.WaitFor("the end of the request", func() bool { return g.Core.ActiveRequests() == 0 })
 	g.clean()
 }
 
-// TestMemberEndsNeverRead: a client that does not read holds neither the flow nor a descriptor for longer than a
+// TestMemberEOFNeverRead: a client that does not read occupies neither the flow nor a descriptor for longer than a
 // connection may outlive its member's.
-func TestMemberEndsNeverRead(t *testing.T) {
+func TestMemberEOFNeverRead(t *testing.T) {
 	g := newRig(t, 1)
 	c, m := g.openFlow()
 	narrow(c)
 	v := g.onlyFlow()
-	g.fill(m, func() bool { return v.c.WriteCapacity() == 0 })
+	g.fill(m, func() bool { return v.conn.WriteCapacity() == 0 })
 	m.Send("the last line\r\n")
 	m.CloseWrite()
-	g.WaitFor("the member's end", func() bool { return len(g.f.open) == 0 })
-	g.Advance(endedAfter)
+	g.WaitFor("the member's end", func() bool { return len(g.f.flows) == 0 })
+	g.Advance(lingerTimeout)
 	g.clean()
 }
--- a/internal/front/line/quiet_test.go
+++ b/internal/front/line/long_idle_test.go
@@ -8,10 +8,10 @@
 	"dahliarudder/policy"
 )
 
-// TestLongQuiet: after hours in which nothing happened the first request is served by its first attempt; trouble that
-// begins then is met as at any time: a member that drains gets nothing, a silent one is left in time, a client that goes is
-// heard.
-func TestLongQuiet(t *testing.T) {
+// TestLongIdle: after hours without any event the first request is served by its first attempt; a fault that
+// begins then is handled as at any time: a member that drains gets nothing, a silent one is left in time, a client that closes is
+// noticed.
+func TestLongIdle(t *testing.T) {
 	for _, quiet := range []time.Duration{time.Hour, 30 * 24 * time.Hour} {
 		g := newRig(t, 2)
 		for range 100 {
@@ -21,16 +21,16 @@
 		c.Send("a line\r\n")
 		m.ExpectLines("a line")
 		for range 7 * 4 { // nothing comes back
-			g.Advance(sweepEvery)
+			g.Advance(sweepInterval)
 		}
 		c.ExpectLines("MOVE")
 		c.ExpectEOF()
 		for range 100 {
 			g.Advance(quiet / 100)
 		}
-		g.list(at, policy.Draining)
+		g.setMemberState(at, policy.Draining)
 		before := g.Core.Counts.Attempts
-		c = g.ask(firstLine)
+		c = g.sendRequest(firstLine)
 		other, m := g.anyAttempt()
 		if other == at {
 			t.Errorf("%v: an attempt at a member that drains", quiet)
@@ -50,7 +50,7 @@
 // flowAnywhere is a client whose flow is open, and its member.
 func (g *rig) flowAnywhere() (c *looptest.Peer, at int, m *looptest.Peer) {
 	g.T.Helper()
-	c = g.ask(firstLine)
+	c = g.sendRequest(firstLine)
 	at, m = g.anyAttempt()
 	m.Send("UP x\r\n")
 	c.ExpectLines("UP x")
--- a/internal/front/line/malformed_test.go
+++ b/internal/front/line/malformed_test.go
@@ -9,7 +9,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// warnings is what the log says at warning level.
+// warnings is what is logged at warning level.
 type warnings []string
 
 func (*warnings) Levels() []logrus.Level { return []logrus.Level{logrus.WarnLevel} }
@@ -18,7 +18,7 @@
 	return nil
 }
 
-// TestMalformedLogged: malformed first lines are counted by cause; the log tells of the first of a cause, and of those
+// TestMalformedLogged: malformed first lines are counted by cause; the first of a cause is logged, and of those
 // after it once in a while, how many they are.
 func TestMalformedLogged(t *testing.T) {
 	g := newRig(t, 1)
@@ -39,10 +39,10 @@
 	if got := strings.Join(said, ", "); got != "not OPEN: 1, class: 1" {
 		t.Errorf("the log says %s", got)
 	}
-	if n := g.f.MalformedCounts(); n["not OPEN"] != 50 || n["class"] != 50 || len(n) != 2 {
+	if n := malformedCounts(g.f); n["not OPEN"] != 50 || n["class"] != 50 || len(n) != 2 {
 		t.Errorf("%v", n)
 	}
-	g.Advance(refusalsEvery)
+	g.Advance(rejectionLogInterval)
 	send("HELLO\r\n")
 	send("HELLO\r\n")
 	if got := strings.Join(said, ", "); got != "not OPEN: 1, class: 1, not OPEN: 50" {
@@ -50,7 +50,7 @@
 	}
 }
 
-// TestMalformedCauses: the detail is short whatever a client sends, and there is a word for each cause.
+// TestMalformedCauses: the detail is short whatever a client sends, and each cause has a name.
 func TestMalformedCauses(t *testing.T) {
 	for name, text := range malformedLines {
 		line := strings.TrimSuffix(text, "\r\n")
@@ -64,11 +64,22 @@
 		}
 	}
 	seen := map[string]bool{}
-	for c := range causes {
-		if word := c.String(); word == "" || seen[word] {
-			t.Errorf("cause %d is called %q", c, word)
+	for c := range causeCount {
+		if name := c.String(); name == "" || seen[name] {
+			t.Errorf("cause %d is called %q", c, name)
 		} else {
-			seen[word] = true
+			seen[name] = true
 		}
 	}
 }
+
+// malformedCounts is how many clients were rejected for malformed lines, by cause, without the causes of which there were none.
+func malformedCounts(f *Front) map[string]uint64 {
+	counts := map[string]uint64{}
+	for c, r := range f.rejections {
+		if r.count > 0 {
+			counts[cause(c).String()] = r.count
+		}
+	}
+	return counts
+}
--- a/internal/front/line/report_test.go
+++ b/internal/front/line/report_test.go
@@ -7,23 +7,23 @@
 	"dahliarudder/policy"
 )
 
-// TestNoReport: a flow on which the member has told no load report ends with none. One of zeros would say that
+// TestNoReport: a flow on which the member has sent no load report ends with none. One of zeros would say that
 // the member is idle, just as it resets its flows.
 func TestNoReport(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	first, second := New(r.Loop, r.Core, r.Log), New(r.Loop, r.Core, r.Log)
-	c, m := askedOf(r, first)
+	c, m := sendOpenTo(r, first)
 	m.Send("UP x\r\n")
 	c.ExpectLines("UP x")
 	for _, f := range []*Front{first, second} {
-		if len(f.open) != 1 {
-			t.Fatalf("%d open flows", len(f.open))
+		if len(f.flows) != 1 {
+			t.Fatalf("%d open flows", len(f.flows))
 		}
-		for v := range f.open {
+		for v := range f.flows {
 			if v.upstream.report != policy.NoReport {
 				t.Errorf("a flow with no report would end with %+v", v.upstream.report)
 			}
 		}
-		pass(t, first, second)
+		handOffFlows(t, first, second)
 	}
 }
--- /dev/null
+++ b/internal/front/line/send_first_line_test.go
@@ -0,0 +1,46 @@
+package line
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"dahliarudder/policy"
+)
+
+// TestRemainingDeadlineForwarded: d is how long the relay waits from when the line is sent, not from when the connection
+// was begun.
+func TestRemainingDeadlineForwarded(t *testing.T) {
+	forwarded := func(late time.Duration) int {
+		g := newRig(t, 1)
+		g.Core.PauseDispatch()
+		g.sendRequest(firstLine)
+		g.Core.ResumeDispatch()
+		g.Advance(late) // the connection comes up in this loop iteration
+		line := g.servers[0].Accept().ReadLine()
+		var d int
+		if _, err := fmt.Sscanf(line[strings.Index(line, ",d="):], ",d=%d", &d); err != nil {
+			t.Fatalf("%q: %v", line, err)
+		}
+		return d
+	}
+	if at, late := forwarded(0), forwarded(100*time.Millisecond); at-late != 100 {
+		t.Errorf("d is %d, and %d where the connection took 100 ms", at, late)
+	}
+}
+
+// TestNoAttemptAtDepartedMember: a connection that comes up when its member has been leaving for longer than the grace is not
+// used; the request continues without it.
+func TestNoAttemptAtDepartedMember(t *testing.T) {
+	g := newRig(t, 1)
+	c := g.sendRequest(firstLine)
+	g.setMemberState(0, policy.Draining)
+	g.Advance(time.Duration(g.Core.Settings.Guarantees.Grace)*time.Millisecond + time.Millisecond)
+	g.unsent()
+	if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
+		t.Errorf("got %q", got)
+	}
+	c.ExpectEOF()
+	g.clean()
+}
--- a/internal/front/nats/security.go
+++ b/internal/front/nats/security.go
@@ -1,14 +1,10 @@
 package nats
 
 import (
-	"crypto/rand"
 	"crypto/tls"
 	"crypto/x509"
-	"encoding/base64"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"net/netip"
 	"os"
 	"path/filepath"
 	"strings"
@@ -20,18 +16,18 @@
 	"dahliarudder/internal/auth"
 )
 
-// ServerTLS is how clients are spoken to.
+// ServerTLS configures TLS with clients.
 type ServerTLS struct {
 	Cert           string `json:"cert"`
 	Key            string `json:"key"`
-	ClientCA       string `json:"client_ca"`       // who has signed clients' certificates
-	Verify         bool   `json:"verify"`          // clients must show one
+	ClientCA       string `json:"client_ca"`       // issuer of clients' certificates
+	Verify         bool   `json:"verify"`          // clients have to present one
 	HandshakeFirst bool   `json:"handshake_first"` // before INFO
-	Optional       bool   `json:"optional"`        // clients may go without TLS
+	Optional       bool   `json:"optional"`        // clients may use plain TCP
 	MinVersion     string `json:"min_version"`     // "1.2" or "1.3"; 1.2 if empty
 }
 
-// MemberTLS is how members are spoken to.
+// MemberTLS configures TLS with members.
 type MemberTLS struct {
 	CA             string `json:"ca"` // the system's if empty
 	Cert           string `json:"cert"`
@@ -41,7 +37,7 @@
 	MinVersion     string `json:"min_version"`
 }
 
-// MemberLogin is the relay's own at members, in the place of each client's.
+// MemberLogin is the relay's own login at members, in place of each client's.
 type MemberLogin struct {
 	User            string `json:"user"`
 	Password        string `json:"password"`
@@ -50,25 +46,25 @@
 	CredentialsFile string `json:"credentials_file"` // a user's JWT and seed
 }
 
-// Security is what a Config's files hold; it can be read again while the relay runs.
+// Security is the content of the files that a Config names. It can be reloaded while the relay runs.
 type Security struct {
-	server  *tls.Config
-	member  *tls.Config
-	book    *auth.Authenticator // nil where all may enter
-	key     nkeys.KeyPair
-	jwt     string
-	enterer chan func() // to the workers that check passwords
+	server        *tls.Config
+	member        *tls.Config
+	authenticator *auth.Authenticator // nil: no authentication
+	nkey          nkeys.KeyPair
+	jwt           string
+	authQueue     chan func() // to the workers that check passwords
 }
 
 // LoadSecurity reads the files that the configuration names. Errors name the key.
 func (c *Config) LoadSecurity() (*Security, error) {
 	s := &Security{}
 	if t := c.TLS; t != nil {
-		cfg, err := pair("tls", c.file(t.Cert), c.file(t.Key), t.MinVersion, true)
+		cfg, err := loadKeyPair("tls", c.resolvePath(t.Cert), c.resolvePath(t.Key), t.MinVersion, true)
 		if err != nil {
 			return nil, err
 		}
-		if cfg.ClientCAs, err = pool("tls.client_ca", c.file(t.ClientCA)); err != nil {
+		if cfg.ClientCAs, err = loadCertPool("tls.client_ca", c.resolvePath(t.ClientCA)); err != nil {
 			return nil, err
 		}
 		switch {
@@ -84,11 +80,11 @@
 		s.server = cfg
 	}
 	if t := c.MemberTLS; t != nil {
-		cfg, err := pair("member_tls", c.file(t.Cert), c.file(t.Key), t.MinVersion, false)
+		cfg, err := loadKeyPair("member_tls", c.resolvePath(t.Cert), c.resolvePath(t.Key), t.MinVersion, false)
 		if err != nil {
 			return nil, err
 		}
-		if cfg.RootCAs, err = pool("member_tls.ca", c.file(t.CA)); err != nil {
+		if cfg.RootCAs, err = loadCertPool("member_tls.ca", c.resolvePath(t.CA)); err != nil {
 			return nil, err
 		}
 		cfg.ServerName = t.ServerName
@@ -99,27 +95,26 @@
 		if err != nil {
 			return nil, fmt.Errorf("auth.%w", err)
 		}
-		s.book = book
+		s.authenticator = book
 	}
 	if c.MemberLogin != nil {
-		if err := s.login(c.MemberLogin, c.file); err != nil {
+		if err := s.loadLogin(c.MemberLogin, c.resolvePath); err != nil {
 			return nil, fmt.Errorf("member_login.%w", err)
 		}
 	}
 	return s, nil
 }
 
-// file is where a path of the configuration leads: one that is not absolute counts from the
-// configuration's own file.
-func (c *Config) file(path string) string {
+// resolvePath resolves a path of the configuration relative to the configuration file.
+func (c *Config) resolvePath(path string) string {
 	if path == "" || filepath.IsAbs(path) {
 		return path
 	}
 	return filepath.Join(c.Dir, path)
 }
 
-// pair reads a certificate with its key.
-func pair(at, cert, key, version string, needed bool) (*tls.Config, error) {
+// loadKeyPair loads a certificate with its key.
+func loadKeyPair(at, cert, key, version string, needed bool) (*tls.Config, error) {
 	cfg := &tls.Config{MinVersion: tls.VersionTLS12}
 	switch version {
 	case "", "1.2":
@@ -133,12 +128,12 @@
 	}
 	for name, path := range map[string]string{"cert": cert, "key": key} {
 		if _, err := os.Stat(path); err != nil {
-			return nil, fmt.Errorf("%s.%s: %v", at, name, err)
+			return nil, fmt.Errorf("%s.%s: %w", at, name, err)
 		}
 	}
 	c, err := tls.LoadX509KeyPair(cert, key)
 	if err != nil {
-		return nil, fmt.Errorf("%s.cert: %v", at, err)
+		return nil, fmt.Errorf("%s.cert: %w", at, err)
 	}
 	if c.Leaf != nil && time.Now().After(c.Leaf.NotAfter) {
 		return nil, fmt.Errorf("%s.cert: has expired on %s", at, c.Leaf.NotAfter.Format(time.DateOnly))
@@ -147,14 +142,14 @@
 	return cfg, nil
 }
 
-// pool reads certificates of authorities; nil if path is empty.
-func pool(at, path string) (*x509.CertPool, error) {
+// loadCertPool loads CA certificates; it returns nil if path is empty.
+func loadCertPool(at, path string) (*x509.CertPool, error) {
 	if path == "" {
 		return nil, nil
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %v", at, err)
+		return nil, fmt.Errorf("%s: %w", at, err)
 	}
 	p := x509.NewCertPool()
 	if !p.AppendCertsFromPEM(text) {
@@ -163,7 +158,8 @@
 	return p, nil
 }
 
-func (s *Security) login(l *MemberLogin, file func(string) string) error {
+// loadLogin loads the relay's own login at members.
+func (s *Security) loadLogin(l *MemberLogin, file func(string) string) error {
 	if !auth.ExactlyOne(l.User, l.Token, l.NKeySeedFile, l.CredentialsFile) {
 		return errors.New("user: want exactly one of user, token, nkey_seed_file and credentials_file")
 	}
@@ -177,201 +173,17 @@
 	path = file(path)
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return fmt.Errorf("%s: %v", at, err)
+		return fmt.Errorf("%s: %w", at, err)
 	}
 	if l.CredentialsFile != "" {
 		if s.jwt, err = jwt.ParseDecoratedJWT(text); err == nil {
-			s.key, err = jwt.ParseDecoratedNKey(text)
+			s.nkey, err = jwt.ParseDecoratedNKey(text)
 		}
 	} else {
-		s.key, err = nkeys.FromSeed([]byte(strings.TrimSpace(string(text))))
+		s.nkey, err = nkeys.FromSeed([]byte(strings.TrimSpace(string(text))))
 	}
 	if err != nil {
-		return fmt.Errorf("%s: %s: %v", at, path, err)
-	}
-	return nil
-}
-
-// ---- Clients ----
-
-const (
-	// enterers check passwords, each a tenth of a second of work; so many clients may wait for
-	// them, and who comes then is refused at once.
-	enterers  = 2
-	enterMost = 256
-)
-
-// ReloadSecurity takes over what was read again. Who has entered stays.
-func (f *Front) ReloadSecurity(s *Security) {
-	if f.sec != nil && f.sec.enterer != nil {
-		close(f.sec.enterer) // its workers end when they are done
-	}
-	if s.book != nil {
-		s.enterer = make(chan func(), enterMost)
-		for range enterers {
-			go func() {
-				for check := range s.enterer {
-					check()
-				}
-			}()
-		}
-	}
-	f.sec = s
-}
-
-// securityInfo is what INFO says of all this.
-func (f *Front) securityInfo(c *client, v map[string]any) {
-	if f.sec.server != nil {
-		v["tls_required"] = !f.TLS.Optional
-		if f.TLS.Optional {
-			v["tls_available"] = true
-		}
-		if f.TLS.Verify {
-			v["tls_verify"] = true
-		}
-	}
-	if f.sec.book != nil {
-		v["auth_required"] = true
-		if f.sec.book.RequiresNonce() {
-			if c.nonce == "" {
-				var b [16]byte
-				rand.Read(b[:])
-				c.nonce = base64.RawURLEncoding.EncodeToString(b[:])
-			}
-			v["nonce"] = c.nonce
-		}
-	}
-}
-
-// sniff starts TLS at a client's first byte, or turns away who goes without where it must not. It
-// says whether the client's bytes may be read as they are.
-func (c *client) sniff(first byte) bool {
-	c.sniffed = true
-	const record = 0x16 // the first byte of a TLS handshake
-	switch {
-	case c.f.sec.server == nil || c.c.IsTLS():
-		return true
-	case first == record:
-		c.c.PauseReading()
-		c.f.Loop.After(0, func() { c.c.StartTLS(c.f.sec.server, false, connectWithin, func(tls.ConnectionState) {}) })
-		return false
-	case c.f.TLS.Optional:
-		return true
-	}
-	c.fail("Secure Connection - TLS Required")
-	return false
-}
-
-// enter checks who a client is; then is run once it has entered.
-func (c *client) enter(connect []byte, then func()) {
-	book := c.f.sec.book
-	if book == nil {
-		then()
-		return
-	}
-	claims, err := auth.ParseConnect(connect)
-	if err != nil {
-		c.fail(errParse.Error())
-		return
-	}
-	decide := func(id *auth.Identity, err error) {
-		if c.over {
-			return
-		}
-		if err != nil {
-			c.f.Counts.Denied++
-			c.f.Log.WithError(err).WithField("client", c.remote).Info("denied")
-			if errors.Is(err, auth.ErrExpired) {
-				c.fail("User Authentication Expired")
-			} else {
-				c.fail("Authorization Violation")
-			}
-			return
-		}
-		c.may = id.Permissions
-		c.replies = auth.NewReplyTracker(id.Permissions)
-		if !id.Expires.IsZero() {
-			c.expires = c.f.Loop.After(time.Until(id.Expires), func() { c.fail("User Authentication Expired") })
-		}
-		then()
-	}
-	if !book.ChecksPassword(claims) {
-		decide(book.Authenticate(claims, c.nonce, time.Now()))
-		return
-	}
-	c.entering = true
-	work := func() {
-		id, err := book.Authenticate(claims, c.nonce, time.Now())
-		c.f.Loop.Post(func() {
-			c.entering = false
-			decide(id, err)
-			c.goOn()
-		})
-	}
-	select {
-	case c.f.sec.enterer <- work:
-	default:
-		c.fail("Authentication Timeout")
-	}
-}
-
-// mayPublish says whether the client may publish to a subject.
-func (c *client) mayPublish(subject []byte) bool {
-	if c.may == nil || c.may.CanPublish(string(subject)) {
-		return true
-	}
-	return c.replies.AllowReply(c.f.Loop.RoundStart(), string(subject))
-}
-
-// ---- Members ----
-
-// memberTLS is what a member at that address is spoken to with; nil for plain TCP.
-func (f *Front) memberTLS(addr string) *tls.Config {
-	if f.sec.member == nil {
-		return nil
-	}
-	cfg := f.sec.member
-	if cfg.ServerName == "" {
-		cfg = cfg.Clone()
-		if at, err := netip.ParseAddrPort(addr); err == nil {
-			cfg.ServerName = at.Addr().String()
-		}
-	}
-	return cfg
-}
-
-// logIn puts the relay's own login into a CONNECT, where one is configured or the client's cannot be
-// passed on.
-func (f *Front) logIn(connect map[string]any, info []byte) error {
-	if f.MemberLogin == nil {
-		for _, key := range []string{"nkey", "sig", "jwt"} { // answers to the relay's own challenge
-			delete(connect, key)
-		}
-		return nil
-	}
-	auth.StripCredentials(connect)
-	switch {
-	case f.sec.key != nil:
-		var said struct {
-			Nonce string `json:"nonce"`
-		}
-		if err := json.Unmarshal(info, &said); err != nil {
-			return err
-		}
-		sig, err := f.sec.key.Sign([]byte(said.Nonce))
-		if err != nil {
-			return err
-		}
-		connect["sig"] = base64.RawURLEncoding.EncodeToString(sig)
-		if f.sec.jwt != "" {
-			connect["jwt"] = f.sec.jwt
-		} else if connect["nkey"], err = f.sec.key.PublicKey(); err != nil {
-			return err
-		}
-	case f.MemberLogin.Token != "":
-		connect["auth_token"] = f.MemberLogin.Token
-	default:
-		connect["user"], connect["pass"] = f.MemberLogin.User, f.MemberLogin.Password
+		return fmt.Errorf("%s: %s: %w", at, path, err)
 	}
 	return nil
 }
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -5,102 +5,92 @@
 	"time"
 )
 
-// This file is how attempts end, and what falls due.
+// This file handles the events of attempts and requests, and timers.
 
-// Established says that a connection stands.
+// Established says that an attempt has become an open connection.
 func (b *Balancer) Established(now time.Duration, id RequestID) {
-	if r := b.requests[id]; r != nil && r.open {
-		r.established, r.done = true, true
-		b.good(r.at)
-		r.at.fulls = 0
-		b.daring = min(b.daring+learn, 1)
-		b.pressed -= learn * b.pressed
+	if r := b.requests[id]; r != nil && r.inFlight {
+		r.established, r.answered = true, true
+		b.recordSuccess(r.server)
+		r.server.consecutiveFull = 0
+		b.admissionRate = min(b.admissionRate+learningRate, 1)
+		b.rejectionRate -= learningRate * b.rejectionRate
 	}
 }
 
-// AttemptEnded ends an attempt, before the connection stood or after.
+// AttemptEnded ends an attempt, before it became an open connection or after.
 func (b *Balancer) AttemptEnded(now time.Duration, o Outcome) {
 	if s := b.byID[o.Server]; s != nil {
-		b.take(now, s, o.Report)
+		b.applyReport(now, s, o.Report)
 	}
 	r := b.requests[o.ID]
-	if r == nil || o.Attempt != r.tries-1 || r.at == nil {
+	if r == nil || o.Attempt != r.attempts-1 || r.server == nil {
 		return
 	}
-	s := r.at
-	b.vacate(now, r)
+	s := r.server
+	b.detach(now, r)
 	switch o.Result {
 	case ConnectFailed, Reset, Timeout, Error:
-		b.fail(now, s)
+		b.recordFailure(now, s)
 	case OK:
-		b.good(s)
+		b.recordSuccess(s)
 	case Full:
-		// Its queue of new connections is what is full, which no report shows: leave it alone for a
-		// moment. A second in a row, as from a server that drains unlisted, doubles the moment.
-		s.fulls++
-		pause := float64(b.horizon) * math.Exp2(float64(min(s.fulls-1, backOffMost)))
-		s.until = now + time.Duration(pause*(0.5+b.rng.Float64()))
+		// Its queue of new connections is full, which no report shows: back off. Each further one in a row,
+		// as from a server that drains before the list says so, doubles the backoff.
+		s.consecutiveFull++
+		backoff := float64(b.minObjective) * math.Exp2(float64(min(s.consecutiveFull-1, maxBackoffDoublings)))
+		s.retryAt = now + time.Duration(backoff*(0.5+b.rng.Float64()))
 	}
-	r.done = r.done || o.Final
-	r.ran = r.ran || o.Result != Full && o.Result != ConnectFailed && o.Result != NotSent
-	if r.done {
+	r.answered = r.answered || o.Final
+	r.mayHaveRun = r.mayHaveRun || o.Result != Full && o.Result != ConnectFailed && o.Result != NotSent
+	if r.answered {
 		b.forget(r)
 		return
 	}
-	if now+b.set.AnswerSlack >= r.Deadline || r.tries >= b.set.MaxAttempts {
-		b.end(r)
+	if now+b.cfg.AnswerSlack >= r.Deadline || r.attempts >= b.cfg.MaxAttempts {
+		b.finish(r)
 		return
 	}
-	r.stage, r.asked = 0, 0
+	r.stage, r.probedStage = 0, 0
 	if o.Result == Timeout || o.Result == Error {
-		if b.widely() {
-			b.daring = max(b.daring*retreat, daringLeast)
+		if b.mostServersFail() { // the failures of one server are no reason to send less to all
+			b.admissionRate = max(b.admissionRate*admissionBackoff, minAdmissionRate)
 		}
-		pause := float64(b.set.Classes[r.Class].LatencyObjective) / 4 * math.Exp2(float64(r.tries)) * (0.5 + b.rng.Float64())
-		b.wait(r, time.Duration(pause))
+		objective := float64(b.cfg.Classes[r.Class].LatencyObjective)
+		backoff := objective / 4 * math.Exp2(float64(r.attempts)) * (0.5 + b.rng.Float64())
+		b.scheduleRetry(r, time.Duration(backoff))
 		return
 	}
 	b.place(now, r)
 }
 
-// widely says that most servers fail: the failures of one are no reason to send less to all.
-func (b *Balancer) widely() bool {
-	failing := 0
-	for _, s := range b.servers {
-		if s.fails > 0 {
-			failing++
-		}
-	}
-	return 2*failing > len(b.servers)
-}
-
-// RequestEnded says that the client left or that the request is over.
+// RequestEnded says that the client has gone or that the request is over.
 func (b *Balancer) RequestEnded(now time.Duration, id RequestID) {
 	if r := b.requests[id]; r != nil {
-		r.done = true
+		r.answered = true
 		b.forget(r)
 	}
 }
 
-// Timer is a timer that has fallen due.
+// Timer handles a timer that has expired.
 func (b *Balancer) Timer(now time.Duration, token uint64) {
 	id := RequestID(token &^ tokenMask)
 	switch token & tokenMask {
-	case tokenWatch:
+	case tokenPoll:
 		if !b.watching {
 			b.watching = true
-			b.act.Watch()
+			b.executor.Watch()
 		}
 	case tokenDeadline:
-		if r := b.requests[id]; r != nil && !r.done {
-			b.end(r)
+		if r := b.requests[id]; r != nil && !r.answered {
+			b.finish(r)
 		}
-	case tokenLook:
-		b.look(now)
-	case tokenWait:
+	case tokenHealthCheck:
+		b.checkHealth(now)
+	case tokenRetry:
 		if r := b.requests[id]; r != nil {
-			if r.round--; r.round == 0 {
-				r.waiting = 0
+			if r.pendingTimers--; r.pendingTimers == 0 {
+				r.pendingProbes = 0
 				b.place(now, r)
 			}
 		}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// ask brings a request and answers the probes it causes.
+// probeCandidates brings a request and answers the probes it causes.
 func (g *rig) ask(q Request) RequestID {
 	g.next++
 	q.ID = g.next
@@ -244,8 +244,8 @@
 					g.load[s.ID] = tt.home
 				}
 			}
-			g.h[1] = tt.h
-			g.alien, g.mine = 50, 100 // a settled view of its own foreign share
+			g.lendingThresholds[1] = tt.h
+			g.foreignFlows, g.ownFlows = 50, 100 // a settled view of its own foreign share
 			id := g.ask(Request{Tenant: 0, Load: 0.5})
 			g.fire(150 * ms)
 			g.now += 350 * ms
@@ -275,8 +275,8 @@
 		g.now += time.Second
 		g.ask(Request{Tenant: 0})
 	}
-	low := g.h[0]
-	if low > 0.6 || low < hLeast {
+	low := g.lendingThresholds[0]
+	if low > 0.6 || low < lendMin {
 		t.Errorf("h after six blocked owners %v", low)
 	}
 	for id := range g.load {
@@ -286,16 +286,16 @@
 		g.now += time.Second
 		g.ask(Request{Tenant: 0})
 	}
-	if g.h[0] <= low {
-		t.Errorf("h stays at %v though owners find room", g.h[0])
+	if g.lendingThresholds[0] <= low {
+		t.Errorf("h stays at %v though owners find room", g.lendingThresholds[0])
 	}
 }
 
 // TestForeignShare: a small sample leans on the proxy's wider share, a large one speaks for itself.
 func TestForeignShare(t *testing.T) {
 	b := New(settings(), 1, &recorder{})
-	b.alien, b.mine = 10, 100
-	few, many := &server{mine: 1, alien: 1}, &server{mine: 100, alien: 100}
+	b.foreignFlows, b.ownFlows = 10, 100
+	few, many := &server{ownFlows: 1, foreignFlows: 1}, &server{ownFlows: 100, foreignFlows: 100}
 	if got := b.foreignShare(few); got > 0.4 {
 		t.Errorf("one foreign connection makes a share of %v", got)
 	}
@@ -327,8 +327,8 @@
 	}
 }
 
-// TestOverShare: under pressure the tenant over its share is refused, the other is not.
-func TestOverShare(t *testing.T) {
+// TestOverQuota: under pressure the tenant over its share is refused, the other is not.
+func TestOverQuota(t *testing.T) {
 	set := settings()
 	set.Tenants = []Tenant{{Share: 0.5, Quota: 4}, {Share: 0.5, Quota: 100}}
 	set.ProbePrice = 0
@@ -339,7 +339,7 @@
 	}
 	for _, s := range g.servers {
 		g.load[s.ID] = 0.72
-		g.take(g.now, s, Report{Connections: 10, Load: 0.72, Util: -1})
+		g.applyReport(g.now, s, Report{Connections: 10, Load: 0.72, Util: -1})
 	}
 	if id := g.ask(Request{Tenant: 0, Load: 0.1}); g.ends[id] != "refused" {
 		t.Errorf("tenant over its share: %q under pressure, want refused\n%s", g.ends[id], strings.Join(g.log, "\n"))
@@ -385,7 +385,7 @@
 		g.AddExisting(g.now, Request{ID: 500, Group: 77, Load: 0.1}, held)
 		g.load[held] = load
 		g.now += time.Second
-		if to := g.where(g.ask(Request{Group: 77, Load: 0.1})); (to == held) != (load < brim) {
+		if to := g.where(g.ask(Request{Group: 77, Load: 0.1})); (to == held) != (load < fillHigh) {
 			t.Errorf("at load %v: sent to %d, held at %d, first is %d", load, to, held, first)
 		}
 	}
@@ -397,9 +397,9 @@
 	return g.where(g.ask(q))
 }
 
-// TestGroupOpening guards against paying for a group everywhere: once its home is full it goes on to the next server in
+// TestGroupSpill guards against paying for a group everywhere: once its home is full it goes on to the next server in
 // its order that is empty enough for many of it, and is turned away where all others have room for a few only.
-func TestGroupOpening(t *testing.T) {
+func TestGroupSpill(t *testing.T) {
 	set := settings()
 	set.Groups = true
 	home := alone(set, Request{Group: 77, Load: 0.1})
@@ -415,7 +415,7 @@
 			g.load[home] = 0.95
 			used[g.where(g.ask(Request{Group: 77, Load: 0.1}))] = true
 		}
-		if open := !used[0]; open != (others < opening) || len(used) > 1 || used[home] {
+		if open := !used[0]; open != (others < groupSpillFill) || len(used) > 1 || used[home] {
 			t.Errorf("home full, others at %v: sent to %v", others, used)
 		}
 	}
@@ -437,7 +437,7 @@
 			g.load[e.ID] = 0.95
 			if i >= room {
 				g.load[e.ID] = 0.1
-				g.take(t0, g.byID[e.ID], Report{Connections: 3, Load: 0.1, Util: 0.1})
+				g.applyReport(t0, g.byID[e.ID], Report{Connections: 3, Load: 0.1, Util: 0.1})
 			}
 		}
 		if id := g.where(g.ask(Request{Group: 77, Load: 0.1})); id != want {
@@ -446,9 +446,9 @@
 	}
 }
 
-// TestGroupOpeningCold guards against members that stay empty while they warm up: what counts is what a server will bear
+// TestGroupSpillSlowStart guards against members that stay empty while they warm up: what counts is what a server will bear
 // once it is warm, so a group is opened on a cold one that a warm one of that fill would not take.
-func TestGroupOpeningCold(t *testing.T) {
+func TestGroupSpillSlowStart(t *testing.T) {
 	set := settings()
 	set.Groups = true
 	for _, cold := range []bool{false, true} {
@@ -521,8 +521,8 @@
 	}
 }
 
-// TestColdStart guards rule 4: what a proxy sends to a cold server stays within its part of the fleet's budget.
-func TestColdStart(t *testing.T) {
+// TestSlowStart guards rule 4: what a proxy sends to a cold server stays within its part of the fleet's budget.
+func TestSlowStart(t *testing.T) {
 	set := settings()
 	set.Balancers = 50
 	list := fleet(6, 1)
@@ -546,14 +546,14 @@
 	}
 	// Its capacity is about 16 mean loads until reports say otherwise; it starts at 0.3 of that, and the rule
 	// allows three times its rate over the two seconds played here, beside what it bears at their end.
-	if budget := 3*0.45*16.0/9*2 + brim*16*(0.3+0.7*2.2/9); sent > budget || sent == 0 {
+	if budget := 3*0.45*16.0/9*2 + fillHigh*16*(0.3+0.7*2.2/9); sent > budget || sent == 0 {
 		t.Errorf("fifty proxies sent %v to a cold server, budget %v", sent, budget)
 	}
 }
 
-// TestRelays: where eight of twelve proxies are known to be gone, the four that are left send a cold server what twelve might, and
+// TestActiveRelays: where eight of twelve proxies are known to be gone, the four that are left send a cold server what twelve might, and
 // still no more than the rule allows; a senseless number moves nothing.
-func TestRelays(t *testing.T) {
+func TestActiveRelays(t *testing.T) {
 	set := settings()
 	set.Balancers = 12
 	play := func(share float64) (sent float64) {
@@ -578,37 +578,39 @@
 		return sent
 	}
 	all, few, odd := play(12), play(4), play(math.NaN())
-	if budget := 3*0.45*16.0/9*2 + brim*16*(0.3+0.7*2.2/9); few > budget || few < 1.5*all || odd != all {
+	if budget := 3*0.45*16.0/9*2 + fillHigh*16*(0.3+0.7*2.2/9); few > budget || few < 1.5*all || odd != all {
 		t.Errorf("four of twelve sent %v, by the number of those that live %v of %v, by none %v", all, few, budget, odd)
 	}
 }
 
-// TestGuessAsked: a proxy that has just started and gets many clients at once finds by the reports what members bear, beyond what the
+// TestLoadGuess: a proxy that has just started and gets many clients at once finds by the reports what members bear, beyond what the
 // first one with a single connection and some other load makes it believe.
-func TestGuessAsked(t *testing.T) {
+func TestLoadGuess(t *testing.T) {
 	for name, set := range sites() {
 		set.Zones, set.Groups = 1, true
 		g := newRig(set, fleet(2, 1))
 		for n := range 20 {
 			g.now += ms
 			for _, s := range g.servers {
-				g.load[s.ID], g.count[s.ID] = 0.1+0.01*s.mine, s.mine
+				g.load[s.ID], g.count[s.ID] = 0.1+0.01*s.ownFlows, s.ownFlows
 			}
 			id := g.ask(Request{Group: uint64(n + 2), Load: -1})
 			if g.where(id) == 0 {
-				t.Fatalf("%s: client %d found no room, with %v and %v connections", name, n, g.servers[0].mine, g.servers[1].mine)
+				t.Fatalf("%s: client %d found no room, with %v and %v connections", name, n, g.servers[0].ownFlows, g.servers[1].ownFlows)
 			}
 			g.Established(g.now, id)
 		}
 	}
 }
 
-// spendCold is what a send spends of a cold server's budget.
-func spendCold(s *server) { s.coldTokens, s.coldSent = s.coldTokens-1, s.coldSent+1 }
+// spendSlowStart is what a send spends of a cold server's budget.
+func spendSlowStart(s *server) {
+	s.slowStartTokens, s.slowStartSent = s.slowStartTokens-1, s.slowStartSent+1
+}
 
-// TestColdBudget guards against cold servers that stand idle while others are pressed: over its warm-up one gets most
+// TestSlowStartBudget guards against cold servers that stand idle while others are pressed: over its warm-up one gets most
 // of what the rule allows at the least capacity it can have, and never all of it.
-func TestColdBudget(t *testing.T) {
+func TestSlowStartBudget(t *testing.T) {
 	set := settings()
 	g := newRig(set, fleet(1, 1))
 	s, now, r := g.servers[0], t0, &request{load: 1}
@@ -617,8 +619,8 @@
 	for now < t0+set.SlowStartDuration-100*ms {
 		now += 10 * ms
 		allowed += set.OverloadFactor * g.capacityOf(now, s) / set.SlowStartDuration.Seconds() * 0.01
-		if g.warmEnough(now, r, s) {
-			spendCold(s)
+		if g.slowStartAllows(now, r, s) {
+			spendSlowStart(s)
 			sent++
 		}
 	}
@@ -627,10 +629,10 @@
 	}
 }
 
-// TestColdFirstWindow guards against cold servers that come into use only as they are warm where each of many proxies
+// TestSlowStartFirstWindow guards against cold servers that come into use only as they are warm where each of many proxies
 // has few requests, and rule 4: on average all send most of what a window's budget allows in the first window, or of
 // what it bears at once if that is more, and no more than both.
-func TestColdFirstWindow(t *testing.T) {
+func TestSlowStartFirstWindow(t *testing.T) {
 	for _, proxies := range []int{4, 80} {
 		set := settings()
 		set.Balancers, set.OverloadWindow = proxies, 3*time.Second
@@ -647,13 +649,13 @@
 			for now := t0; now < t0+set.OverloadWindow; now += 10 * ms {
 				g := all[rng.IntN(proxies)]
 				s := g.servers[0]
-				if g.warmEnough(now, &request{load: 1}, s) {
-					spendCold(s)
+				if g.slowStartAllows(now, &request{load: 1}, s) {
+					spendSlowStart(s)
 					sent++
 				}
 				allowed += set.OverloadFactor * g.capacityOf(now, s) / set.SlowStartDuration.Seconds() * 0.01
 			}
-			bears += brim * all[0].capacityOf(t0, all[0].servers[0])
+			bears += fillHigh * all[0].capacityOf(t0, all[0].servers[0])
 		}
 		if sent < 0.7*max(allowed, bears) || sent > allowed+bears {
 			t.Errorf("%d proxies sent %.1f; the first window allows %.1f, and it bears %.1f at once", proxies, sent,
@@ -662,8 +664,8 @@
 	}
 }
 
-// TestEffects guards rule 2 for every effect and scope.
-func TestEffects(t *testing.T) {
+// TestIdempotency guards rule 2 for every effect and scope.
+func TestIdempotency(t *testing.T) {
 	tests := []struct {
 		name    string
 		effect  Idempotency
@@ -692,7 +694,7 @@
 			id := g.ask(Request{Load: 0.1})
 			first := g.byID[g.where(id)].Server
 			g.AttemptEnded(g.now, Outcome{ID: id, Server: first.ID, Result: tt.result, Report: NoReport})
-			g.daring = 1 // the storm guard is not what is tested
+			g.admissionRate = 1 // the storm guard is not what is tested
 			g.answer()
 			g.fire(400 * ms)
 			if resent := len(g.sends) > 1; resent != tt.resend {
@@ -708,7 +710,7 @@
 				if g.ends[id] != "" {
 					break
 				}
-				g.AttemptEnded(g.now, Outcome{ID: id, Attempt: g.requests[id].tries - 1, Server: at.ID, Result: tt.result, Report: NoReport})
+				g.AttemptEnded(g.now, Outcome{ID: id, Attempt: g.requests[id].attempts - 1, Server: at.ID, Result: tt.result, Report: NoReport})
 				g.answer()
 				g.fire(1900 * ms)
 			}
@@ -730,16 +732,16 @@
 		if waited := len(g.sends) == 1; waited != wait {
 			t.Errorf("result %d: waited %v, want %v", result, waited, wait)
 		}
-		g.daring = 1 // TestDaring tests that
+		g.admissionRate = 1 // TestAdmissionRate tests that
 		if g.fire(400 * ms); len(g.sends) != 2 {
 			t.Errorf("result %d: %d attempts after the wait", result, len(g.sends))
 		}
 	}
 }
 
-// TestDaring guards against a session store kept down by tries: a proxy whose connections fail to be set up sends
+// TestAdmissionRate guards against a session store kept down by tries: a proxy whose connections fail to be set up sends
 // few of its requests, and all again once they succeed.
-func TestDaring(t *testing.T) {
+func TestAdmissionRate(t *testing.T) {
 	g := newRig(settings(), fleet(10, 1))
 	play := func(n int, result Result) (sent int) {
 		for range n {
@@ -818,9 +820,9 @@
 	}
 }
 
-// TestPiledUp guards against members on which every message waits: while work is piled up a server is neither sent
+// TestBacklogMigrates guards against members on which every message waits: while work is piled up a server is neither sent
 // to nor spared from relief, however little is asked of it now.
-func TestPiledUp(t *testing.T) {
+func TestBacklogMigrates(t *testing.T) {
 	g := newRig(settings(), fleet(2, 1))
 	full, free := g.servers[0], g.servers[1]
 	for id := range RequestID(30) {
@@ -900,19 +902,19 @@
 func TestHealth(t *testing.T) {
 	g := newRig(settings(), fleet(6, 1))
 	s := g.servers[0]
-	g.fail(g.now, s)
-	if s.bad {
+	g.recordFailure(g.now, s)
+	if s.ejected {
 		t.Error("one failure condemned the server")
 	}
 	if len(g.probes) != 1 || g.probes[0] != s.ID {
 		t.Errorf("after one failure probed %v", g.probes)
 	}
 	g.ProbeResult(g.now, s.ID, Timeout, NoReport)
-	if !s.bad || s.until <= g.now {
+	if !s.ejected || s.retryAt <= g.now {
 		t.Error("two failures in a row did not condemn the server")
 	}
 	g.ProbeResult(g.now, s.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
-	if s.bad {
+	if s.ejected {
 		t.Error("a probe that was answered did not bring it back")
 	}
 }
@@ -923,21 +925,21 @@
 	set.Zones = 2
 	g := newRig(set, fleet(20, 2))
 	for _, s := range g.servers {
-		if n := g.zones[s.Zone].fails; n < failsZone {
-			g.fail(g.now, s)
+		if n := g.zones[s.Zone].failures; n < zoneFailureThreshold {
+			g.recordFailure(g.now, s)
 		}
 	}
-	if !g.zones[1].bad || g.zones[0].bad {
-		t.Errorf("other zone condemned: %v, own zone: %v", g.zones[1].bad, g.zones[0].bad)
+	if !g.zones[1].ejected || g.zones[0].ejected {
+		t.Errorf("other zone condemned: %v, own zone: %v", g.zones[1].ejected, g.zones[0].ejected)
 	}
 }
 
-// TestDoubtsTheView: where all servers look bad one is tried all the same.
-func TestDoubtsTheView(t *testing.T) {
+// TestLastResort: where all servers look bad one is tried all the same.
+func TestLastResort(t *testing.T) {
 	g := newRig(settings(), fleet(6, 1))
 	for _, s := range g.servers {
-		g.fail(g.now, s)
-		g.fail(g.now, s)
+		g.recordFailure(g.now, s)
+		g.recordFailure(g.now, s)
 	}
 	id := RequestID(1)
 	g.Request(g.now, Request{ID: id, Deadline: g.now + 2*time.Second})
@@ -946,7 +948,7 @@
 		due := g.timers
 		g.timers = nil
 		for _, t := range due {
-			if t.token&tokenMask == tokenWait {
+			if t.token&tokenMask == tokenRetry {
 				g.Balancer.Timer(g.now, t.token)
 			}
 		}
@@ -956,17 +958,17 @@
 	}
 }
 
-// TestFullPause guards against an unlisted drainer: what answers full is left alone, longer each time.
-func TestFullPause(t *testing.T) {
+// TestFullBackoff guards against an unlisted drainer: what answers full is left alone, longer each time.
+func TestFullBackoff(t *testing.T) {
 	g := newRig(settings(), fleet(6, 1))
 	var last time.Duration
 	for i := range 3 {
 		g.now += time.Minute
 		id := g.ask(Request{Tenant: 0})
 		s := g.byID[g.where(id)]
-		s.fulls = 2 * i
+		s.consecutiveFull = 2 * i
 		g.AttemptEnded(g.now, Outcome{ID: id, Server: s.ID, Result: Full, Report: NoReport})
-		if pause := s.until - g.now; pause <= last {
+		if pause := s.retryAt - g.now; pause <= last {
 			t.Errorf("pause %v after %v", pause, last)
 		} else {
 			last = pause
@@ -974,8 +976,8 @@
 	}
 }
 
-// TestRelief: connections leave a server over its capacity, not one that only fills.
-func TestRelief(t *testing.T) {
+// TestMigrateExcess: connections leave a server over its capacity, not one that only fills.
+func TestMigrateExcess(t *testing.T) {
 	for _, tt := range []struct {
 		load  float64
 		moves bool
@@ -985,7 +987,7 @@
 		for id := range RequestID(40) {
 			g.AddExisting(g.now, Request{ID: 100 + id, Load: 0.1}, s.ID)
 		}
-		g.take(g.now, s, Report{Connections: 40, Load: tt.load, Util: -1})
+		g.applyReport(g.now, s, Report{Connections: 40, Load: tt.load, Util: -1})
 		g.ObserveLatency(g.now, 100, 90*ms)
 		if got := len(g.moves) > 0; got != tt.moves {
 			t.Errorf("load %v: moved %d", tt.load, len(g.moves))
@@ -996,8 +998,8 @@
 	}
 }
 
-// TestReliefOrder: connections of a tenant over its share leave a full server before the others.
-func TestReliefOrder(t *testing.T) {
+// TestMigrationOrder: connections of a tenant over its share leave a full server before the others.
+func TestMigrationOrder(t *testing.T) {
 	set := settings()
 	set.Tenants = []Tenant{{Share: 0.5, Quota: 10}, {Share: 0.5, Quota: 100}}
 	g := newRig(set, fleet(4, 1))
@@ -1005,8 +1007,8 @@
 	for id := range RequestID(80) {
 		g.AddExisting(g.now, Request{ID: 100 + id, Load: 0.1, Tenant: int(id % 2)}, s.ID)
 	}
-	g.take(g.now, s, Report{Connections: 80, Load: 1.1, Util: -1})
-	g.relieve(g.now, s)
+	g.applyReport(g.now, s, Report{Connections: 80, Load: 1.1, Util: -1})
+	g.migrateExcess(g.now, s)
 	count := [2]int{}
 	for _, id := range g.moves {
 		count[id%2]++
@@ -1067,9 +1069,9 @@
 	}
 }
 
-// TestCheap guards against room that is filled with what earns little while what earns much is turned away: close to
+// TestLowValue guards against room that is filled with what earns little while what earns much is turned away: close to
 // the brim there is room for the latter alone, and below for both.
-func TestCheap(t *testing.T) {
+func TestLowValue(t *testing.T) {
 	for _, tt := range []struct {
 		load  float64
 		class int
@@ -1097,16 +1099,16 @@
 	}
 }
 
-// TestSaysNothing guards against clients left with a server that has vanished: two probes that bring nothing move
+// TestProbeTimeoutMigrates guards against clients left with a server that has vanished: two probes that bring nothing move
 // them. An error does not, nor an end of the probe's connection: it may well serve clients, and who does not resets them.
-func TestSaysNothing(t *testing.T) {
+func TestProbeTimeoutMigrates(t *testing.T) {
 	for name, set := range sites() {
 		for result, want := range map[Result]int{Timeout: 5, ConnectFailed: 0, Reset: 0, Error: 0, Full: 0} {
 			g := newRig(set, fleet(4, 1))
 			for id := range RequestID(5) {
 				g.AddExisting(g.now, Request{ID: 100 + id, Load: 0.1}, g.servers[0].ID)
 			}
-			for n := range failsServer {
+			for n := range serverFailureThreshold {
 				if g.ProbeResult(g.now, g.servers[0].ID, result, NoReport); n == 0 && len(g.moves) > 0 {
 					t.Errorf("%s, %v: moved %d for one", name, result, len(g.moves))
 				}
@@ -1118,9 +1120,9 @@
 	}
 }
 
-// TestServing guards against a proxy that turns away what others, which are drained, have left to it: its part of a
+// TestServingRelays guards against a proxy that turns away what others, which are drained, have left to it: its part of a
 // tenant's quota is what it holds of all connections, where reports tell, and its plain part where they do not.
-func TestServing(t *testing.T) {
+func TestServingRelays(t *testing.T) {
 	set := settings()
 	set.Balancers, set.Tenants = 2, []Tenant{{Share: 0.5, Quota: 40}, {Share: 0.5, Quota: 40}}
 	for name, c := range map[string]struct {
@@ -1134,30 +1136,30 @@
 		for _, s := range g.servers {
 			g.ProbeResult(g.now, s.ID, OK, Report{Connections: c.reported, Load: 0.5, Util: -1, Backlog: -1})
 		}
-		if g.overShare(0) != c.over {
+		if g.overQuota(0) != c.over {
 			t.Errorf("%s: over its share %v", name, !c.over)
 		}
 	}
 }
 
-// TestDaringOne guards against one server that fails fast and has requests turned away everywhere: what fails at most
+// TestAdmissionRateOneServer guards against one server that fails fast and has requests turned away everywhere: what fails at most
 // servers makes a proxy send less, what fails at one does not.
-func TestDaringOne(t *testing.T) {
+func TestAdmissionRateOneServer(t *testing.T) {
 	for most, want := range map[int]bool{1: false, 4: true} {
 		g := newRig(settings(), fleet(4, 1))
 		for round := range 20 {
 			for _, s := range g.servers[:most] {
-				s.until, s.bad = 0, false
+				s.retryAt, s.ejected = 0, false
 				q := Request{ID: RequestID(100 + 4*round), Deadline: g.now + time.Second, Load: 0.01}
 				q.ID += RequestID(s.ID) % 4 * 1000
-				g.admit(g.now, q)
+				g.newRequest(g.now, q)
 				r := g.requests[q.ID]
 				g.send(g.now, r, s, false)
 				g.AttemptEnded(g.now, Outcome{ID: q.ID, Server: s.ID, Result: Error, Report: NoReport})
 			}
 		}
-		if got := g.daring < 0.5; got != want {
-			t.Errorf("%d of 4 fail: sends %v of its requests", most, g.daring)
+		if got := g.admissionRate < 0.5; got != want {
+			t.Errorf("%d of 4 fail: sends %v of its requests", most, g.admissionRate)
 		}
 	}
 }
@@ -1171,7 +1173,7 @@
 		t.Fatalf("asked %d times at once, %d timers", g.watch, len(g.timers))
 	}
 	g.fire(10 * time.Second)
-	g.Balancer.Timer(g.now, tokenWatch)
+	g.Balancer.Timer(g.now, tokenPoll)
 	if g.watch != 1 {
 		t.Fatalf("asked %d times, want once", g.watch)
 	}
@@ -1197,7 +1199,7 @@
 		price float64
 		can   bool
 		most  float64
-	}{{"priced", 0.002, true, 4}, {"dear", 0.01, true, 1}, {"free", 0, true, probeMost + 1}, {"forbidden", 0, false, 0}} {
+	}{{"priced", 0.002, true, 4}, {"dear", 0.01, true, 1}, {"free", 0, true, maxProbes + 1}, {"forbidden", 0, false, 0}} {
 		set := settings()
 		set.ProbePrice, set.CanProbe = tt.price, tt.can
 		g := newRig(set, fleet(100, 1))
@@ -1263,7 +1265,7 @@
 	g.ProbeResult(g.now, 4, Error, NoReport)
 	g.AddExisting(g.now, Request{ID: 6}, 4)
 	g.Balancer.Timer(g.now, tokenDeadline|5)
-	g.Balancer.Timer(g.now, tokenWait|5)
+	g.Balancer.Timer(g.now, tokenRetry|5)
 	g.Balancer.Timer(g.now, ^uint64(0))
 	if len(g.sends) != 0 || len(g.ends) != 0 {
 		t.Errorf("acted on stale ids: %v", g.log)
@@ -1325,7 +1327,7 @@
 	g := newRig(settings(), fleet(1, 1))
 	id := fleet(1, 1)[0].ID
 	s := g.byID[id]
-	connections := func() float64 { return g.capacityOf(g.now, s) / g.unit() }
+	connections := func() float64 { return g.capacityOf(g.now, s) / g.unitLoad() }
 	g.AddExisting(g.now, Request{ID: 900}, id)
 	g.load[id], g.count[id] = 0.5, 20
 	report := Report{Connections: 20, Load: 0.5, Util: -1}
@@ -1339,11 +1341,11 @@
 	for range 3 {
 		g.ask(Request{Load: -1})
 	}
-	if n := connections(); n < 38 || n > 42 || g.unit() > 0.05 {
-		t.Errorf("capacity %.1f connections of %.2f each, once loads of 0.04 are known", n, g.unit())
+	if n := connections(); n < 38 || n > 42 || g.unitLoad() > 0.05 {
+		t.Errorf("capacity %.1f connections of %.2f each, once loads of 0.04 are known", n, g.unitLoad())
 	}
 	// What ends frees what it was last said to weigh, not what was guessed when it came.
-	s.recent = nil
+	s.pendingPlacements = nil
 	before := g.usedOf(g.now, s)
 	g.AttemptEnded(g.now, Outcome{ID: 900, Server: id, Result: OK, Final: true, Report: NoReport})
 	if freed := before - g.usedOf(g.now, s); freed < 0.039 || freed > 0.041 {
@@ -1351,28 +1353,28 @@
 	}
 }
 
-// TestLook guards against work that piles up unseen while no request comes: servers that hold own connections are
+// TestHealthCheck guards against work that piles up unseen while no request comes: servers that hold own connections are
 // probed all the same, others are not, and never beyond what probes may cost.
-func TestLook(t *testing.T) {
+func TestHealthCheck(t *testing.T) {
 	g := newRig(settings(), fleet(3, 1))
 	s := g.servers[1]
 	g.AddExisting(g.now, Request{ID: 900, Load: 0.1}, s.ID)
 	g.load[s.ID] = 0.5
 	for n := range 3 {
-		g.now += 2 * g.lag()
+		g.now += 2 * g.reportLag()
 		g.probes = nil
-		g.Balancer.Timer(g.now, tokenLook)
+		g.Balancer.Timer(g.now, tokenHealthCheck)
 		if len(g.probes) != 1 || g.probes[0] != s.ID {
 			t.Fatalf("look %d probed %v, want the server with the connection alone", n, g.probes)
 		}
 		g.answer()
 	}
-	if last := g.timers[len(g.timers)-1]; last.token != tokenLook || last.delay < g.lag()/2 {
+	if last := g.timers[len(g.timers)-1]; last.token != tokenHealthCheck || last.delay < g.reportLag()/2 {
 		t.Errorf("the next look: %+v", last)
 	}
-	g.now += 2 * g.lag()
-	g.tokens = 0.5
-	if g.Balancer.Timer(g.now, tokenLook); len(g.probes) != 0 {
+	g.now += 2 * g.reportLag()
+	g.probeTokens = 0.5
+	if g.Balancer.Timer(g.now, tokenHealthCheck); len(g.probes) != 0 {
 		t.Errorf("probed %v beyond the budget", g.probes)
 	}
 }
@@ -1383,38 +1385,38 @@
 func TestFailuresStay(t *testing.T) {
 	g := newRig(settings(), fleet(1, 1))
 	s := g.servers[0]
-	for range failsServer {
-		g.fail(g.now, s)
+	for range serverFailureThreshold {
+		g.recordFailure(g.now, s)
 	}
-	until := s.until
+	until := s.retryAt
 	for range 5 {
-		g.fail(g.now, s)
+		g.recordFailure(g.now, s)
 	}
 	g.probes, s.probing = nil, false
-	g.look(g.now)
-	if !s.bad || s.until != until || s.fails != failsServer || len(g.probes) != 0 {
-		t.Fatalf("bad %v, %d failures, pause moved by %v, probed %v", s.bad, s.fails, s.until-until, g.probes)
+	g.checkHealth(g.now)
+	if !s.ejected || s.retryAt != until || s.failures != serverFailureThreshold || len(g.probes) != 0 {
+		t.Fatalf("bad %v, %d failures, pause moved by %v, probed %v", s.ejected, s.failures, s.retryAt-until, g.probes)
 	}
 	g.now = until
 	g.ProbeResult(g.now, s.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
-	if s.bad {
+	if s.ejected {
 		t.Fatal("it answered, and is not back")
 	}
-	if g.fail(g.now, s); !s.bad {
+	if g.recordFailure(g.now, s); !s.ejected {
 		t.Fatal("it fails on, and is not condemned")
 	}
-	g.now = s.until
+	g.now = s.retryAt
 	g.ProbeResult(g.now, s.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
 	id := g.ask(Request{Load: 0.1})
 	g.Established(g.now, id)
-	if g.fail(g.now, s); s.bad {
+	if g.recordFailure(g.now, s); s.ejected {
 		t.Error("condemned for one failure after a connection stood")
 	}
 }
 
-// TestAskSoon guards against a relay that is left without the list for longer than its changes may stay untold:
+// TestPollSoon guards against a relay that is left without the list for longer than its changes may stay untold:
 // a failed call is repeated within a fifth of the time allowed, however many have failed.
-func TestAskSoon(t *testing.T) {
+func TestPollSoon(t *testing.T) {
 	set := settings()
 	set.Subscribe, set.CanProbe = true, false // no timers for probes
 	g := newRig(set, fleet(2, 1))
@@ -1426,9 +1428,9 @@
 	}
 }
 
-// TestAskSpread guards against a herd of calls that all fail because they come faster than they can be served: the
+// TestPollSpread guards against a herd of calls that all fail because they come faster than they can be served: the
 // more proxies there are, the wider the first calls and the repeated ones spread, within the time allowed.
-func TestAskSpread(t *testing.T) {
+func TestPollSpread(t *testing.T) {
 	set := settings()
 	set.Subscribe, set.CanProbe = true, false // no timers for probes
 	set.Balancers = 36
--- a/policy/reports.go
+++ b/policy/reports.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// This file is what servers and connections report.
+// This file takes the reports of servers and the loads and latencies of connections.
 
 // ProbeResult takes the answer to a probe.
 func (b *Balancer) ProbeResult(now time.Duration, id ServerID, result Result, report Report) {
@@ -15,86 +15,89 @@
 		s.probing = false
 		switch result {
 		case OK:
-			b.answers(s)
-			b.take(now, s, report)
-			// A message waits for what is piled up, or where that is not told for what is asked beyond capacity.
-			full := report.Backlog > b.messageAim.Seconds()/2 || report.Backlog < 0 && report.Load > over
-			if full && now-s.relieved >= b.lag() {
-				b.relieve(now, s)
+			b.readmit(s)
+			b.applyReport(now, s, report)
+			// Messages wait for the backlog or, where none is reported, for the load beyond the capacity.
+			overloaded := report.Backlog > b.minMessageObjective.Seconds()/2 ||
+				report.Backlog < 0 && report.Load > overloadFill
+			if overloaded && now-s.relievedAt >= b.reportLag() {
+				b.migrateExcess(now, s)
 			}
-		case Full: // it answers, but too many ask: not a failure
-			b.answers(s)
-		case NotSent: // it was not asked
+		case Full: // it answers, but is probed by too many: not a failure
+			b.readmit(s)
+		case NotSent: // it was not probed
 		default:
-			if b.fail(now, s); s.bad && result == Timeout {
-				b.empty(s) // it says nothing at all, and so nothing to its clients
+			if b.recordFailure(now, s); s.ejected && result == Timeout {
+				b.migrateAll(s) // it answers nothing, and so does not answer its clients either
 			}
 		}
 	}
-	waiters := b.waiters[id]
-	delete(b.waiters, id)
+	waiters := b.probeWaiters[id]
+	delete(b.probeWaiters, id)
 	for _, w := range waiters {
-		if r := b.requests[w]; r != nil && r.waiting > 0 {
-			if r.waiting--; r.waiting == 0 {
+		if r := b.requests[w]; r != nil && r.pendingProbes > 0 {
+			if r.pendingProbes--; r.pendingProbes == 0 {
 				b.place(now, r)
 			}
 		}
 	}
 }
 
-// take learns from a report. Any field may be missing.
-func (b *Balancer) take(now time.Duration, s *server, p Report) {
+// applyReport learns from a report. Any field may be missing.
+func (b *Balancer) applyReport(now time.Duration, s *server, p Report) {
 	if !(p.Load >= 0) {
 		p.Load = p.Util
 	}
 	if !(p.Load >= 0) || math.IsInf(p.Load, 0) {
 		return
 	}
-	if !s.has || p != s.report {
-		s.since = now
+	if !s.hasReport || p != s.report {
+		s.reportChangedAt = now
 	}
-	if p != s.told {
-		s.told, s.before, s.toldAt = p, s.told.Load, now
+	if p != s.rawReport {
+		s.rawReport, s.previousLoad, s.rawReportAt = p, s.rawReport.Load, now
 	}
-	s.recent = slices.DeleteFunc(s.recent, func(x placement) bool { return now-x.at >= 2*b.horizon })
-	s.report, s.reported, s.has = p, now, true
-	b.zones[s.Zone].fill += learn * (min(p.Load, 2) - b.zones[s.Zone].fill)
-	if p.Connections > 0 && p.Load > 0.05 && b.warmth(now, s) == 1 { // an idle server tells nothing of k
+	s.pendingPlacements = slices.DeleteFunc(s.pendingPlacements, func(x placement) bool {
+		return now-x.at >= 2*b.minObjective
+	})
+	s.report, s.reportedAt, s.hasReport = p, now, true
+	b.zones[s.Zone].fill += learningRate * (min(p.Load, 2) - b.zones[s.Zone].fill)
+	if p.Connections > 0 && p.Load > minLearningLoad && b.warmupFraction(now, s) == 1 {
 		// Connections against load over capacity: pooled over the kind, and for the server itself.
 		k := b.kinds[s.Kind]
 		if k == nil {
 			k = &kind{}
 			b.kinds[s.Kind] = k
 		}
-		k.inflight = k.inflight*(1-learn/4) + p.Connections
-		k.capacity = k.capacity*(1-learn/4) + p.Load*s.Weight
-		s.capacity = (s.capacity*s.reports + p.Connections/p.Load) / (s.reports + 1)
-		s.reports = min(s.reports+1, 4*priorReports)
+		k.inflight = k.inflight*(1-learningRate/4) + p.Connections
+		k.capacity = k.capacity*(1-learningRate/4) + p.Load*s.Weight
+		s.capacity = (s.capacity*s.reportCount + p.Connections/p.Load) / (s.reportCount + 1)
+		s.reportCount = min(s.reportCount+1, 4*priorReports)
 	}
 }
 
-// UpdateLoad says what load an open connection has now.
+// UpdateLoad sets the load that an open connection has now.
 func (b *Balancer) UpdateLoad(now time.Duration, id RequestID, load float64) {
 	if r := b.requests[id]; r != nil && load > 0 && !math.IsInf(load, 0) {
 		if b.classLoad[r.Class] == 0 {
 			b.classLoad[r.Class] = load
 		}
-		b.classLoad[r.Class] += learn / 4 * (load - b.classLoad[r.Class])
+		b.classLoad[r.Class] += learningRate / 4 * (load - b.classLoad[r.Class])
 		r.load = load
 	}
 }
 
-// ObserveLatency says how long a message takes at the server of an open connection.
+// ObserveLatency takes how long a message took at the server of an open connection.
 func (b *Balancer) ObserveLatency(now time.Duration, id RequestID, message time.Duration) {
 	r := b.requests[id]
-	if r == nil || r.at == nil {
+	if r == nil || r.server == nil {
 		return
 	}
-	s := r.at
-	if aim := b.set.Classes[r.Class].MessageLatencyObjective; message > aim {
-		s.report.Load, s.since = max(s.report.Load, 1), now
-	} else if message < aim/2 {
+	s := r.server
+	if objective := b.cfg.Classes[r.Class].MessageLatencyObjective; message > objective {
+		s.report.Load, s.reportChangedAt = max(s.report.Load, 1), now
+	} else if message < objective/2 {
 		return
 	}
-	b.relieve(now, s)
+	b.migrateExcess(now, s)
 }
--- /dev/null
+++ b/policy/server_list.go
@@ -0,0 +1,142 @@
+package policy
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+)
+
+// This file holds the server list: updates, slow start and ownership of its servers, and when it is polled.
+
+// Start schedules the first poll of the server list, where the list is polled, and the first health check.
+func (b *Balancer) Start() {
+	if b.cfg.Subscribe {
+		b.schedulePoll() // not at once: all proxies of a site may start together
+	}
+	// Soon: connections that were open before may be on an overloaded server.
+	b.scheduleHealthCheck(b.minObjective / 2)
+}
+
+// schedulePoll guards against a polling storm: proxies whose calls failed together poll again spread out,
+// later each time and the more proxies there are, or all calls would wait too long for good. The spread is
+// bounded, since changes count as known MaxPollInterval after they were made.
+func (b *Balancer) schedulePoll() {
+	many := max(b.activeRelays/concurrentPolls, 1)
+	span := min(many*math.Exp2(float64(min(b.failedPolls, 2)))/20, 1) * float64(b.cfg.MaxPollInterval)
+	b.executor.Timer(time.Duration(span*b.rng.Float64()), tokenPoll)
+}
+
+// UpdateServers takes a list event of discovery.
+func (b *Balancer) UpdateServers(now time.Duration, how ListKind, list []Server) {
+	if how == ListFailed {
+		if b.cfg.Subscribe {
+			b.watching = false
+			b.failedPolls++
+			b.schedulePoll()
+		}
+		return
+	}
+	b.failedPolls = 0
+	if how != ListDelta {
+		named := make(map[ServerID]bool, len(list))
+		for _, e := range list {
+			named[e.ID] = true
+		}
+		for _, s := range b.servers {
+			if !named[s.ID] {
+				s.State = Gone
+			}
+		}
+	}
+	before := len(b.servers)
+	for _, e := range list {
+		b.updateServer(now, how, e)
+	}
+	added := len(b.servers) > before
+	for _, s := range b.servers {
+		if s.State != Ready { // clients reconnect before the server cuts them off
+			b.migrateAll(s)
+		}
+	}
+	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool {
+		if s.State == Gone && s.ownFlows == 0 {
+			delete(b.byID, s.ID)
+			return true
+		}
+		return false
+	})
+	if added {
+		slices.SortFunc(b.servers, func(x, y *server) int { return cmp.Compare(x.ID, y.ID) })
+	}
+	b.homeSlices = nil // rebuilt on demand: in a large fleet changes come faster than requests
+}
+
+// homeSlice is the home slice of a tenant.
+func (b *Balancer) homeSlice(tenant int) []*server {
+	if b.homeSlices == nil {
+		b.rebuildHomeSlices()
+	}
+	return b.homeSlices[tenant]
+}
+
+func (b *Balancer) updateServer(now time.Duration, how ListKind, e Server) {
+	e = normalizeServer(e, b.cfg.Zones)
+	s := b.byID[e.ID]
+	if s == nil {
+		if e.State == Gone {
+			return
+		}
+		if e.Started == 0 && how == ListDelta {
+			e.Started = now // it joined while we watched: it has just started
+		}
+		s = &server{owner: b.ownerOf(e.ID), report: NoReport}
+		b.byID[e.ID] = s
+		b.servers = append(b.servers, s)
+		b.startSlowStart(now, s)
+	} else if e.Started > s.Started {
+		// A new process: what was learned of the old one no longer holds.
+		s.health, s.hasReport, s.pendingPlacements = health{}, false, nil
+		b.startSlowStart(now, s)
+	}
+	s.Server, s.inCanary = e, b.inCanary(e.ID)
+}
+
+// ownerOf is the tenant whose slice a server belongs to. It depends on the id and the shares alone, so
+// that all proxies agree and a change of membership moves only the servers that changed.
+func (b *Balancer) ownerOf(id ServerID) int {
+	best, owner := -1.0, 0
+	for t, tenant := range b.cfg.Tenants {
+		if score := rendezvous(uint64(id), uint64(t), tenant.Share); score > best {
+			best, owner = score, t
+		}
+	}
+	return owner
+}
+
+// rebuildHomeSlices rebuilds the home slices. A tenant that owns no server in a zone shares the one that it
+// ranks highest there.
+func (b *Balancer) rebuildHomeSlices() {
+	b.homeSlices = make([][]*server, len(b.cfg.Tenants))
+	for t := range b.cfg.Tenants {
+		substitute := make([]*server, b.cfg.Zones)
+		owns := make([]bool, b.cfg.Zones)
+		best := make([]float64, b.cfg.Zones)
+		for _, s := range b.servers {
+			if s.State != Ready {
+				continue
+			}
+			if s.owner == t {
+				owns[s.Zone] = true
+				b.homeSlices[t] = append(b.homeSlices[t], s)
+			} else if score := rendezvous(uint64(s.ID), uint64(t), s.Weight); score > best[s.Zone] {
+				best[s.Zone], substitute[s.Zone] = score, s
+			}
+		}
+		for z, s := range substitute {
+			if !owns[z] && s != nil {
+				b.homeSlices[t] = append(b.homeSlices[t], s)
+			}
+		}
+	}
+}
