--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -49,7 +49,7 @@
 	return s
 }
 
-// ends has the attempt that is out end before it stood.
+// eventKinds has the attempt that is out end before it stood.
 func (s *side) ends(result policy.Result) {
 	s.out--
 	s.r.AttemptEnded(s.id, s.tries-1, result, policy.NoReport)
@@ -111,7 +111,7 @@
 	r := newRigOf(t, classesText, list(4, policy.Ready))
 	r.PauseDispatch()
 	s := r.bring(safeClass, 2*time.Second)
-	barred := r.later[0].Server
+	barred := r.pausedActions[0].Server
 	r.UpdateMembers(policy.ListDelta, []Member{r.drains(barred)})
 	r.ResumeDispatch()
 	if r.Counts.Blocked != 1 || s.out != 1 {
@@ -170,8 +170,8 @@
 	s := r.bring(keyedAll, 2*time.Second)
 	r.PauseDispatch()
 	s.ends(policy.Reset)
-	if s.out != 0 || len(r.later) != 1 {
-		t.Fatalf("%d out, %d held", s.out, len(r.later))
+	if s.out != 0 || len(r.pausedActions) != 1 {
+		t.Fatalf("%d out, %d held", s.out, len(r.pausedActions))
 	}
 	r.pass(901 * time.Millisecond)
 	if s.got() != "" {
@@ -208,8 +208,8 @@
 	s := r.bring(safeClass, 20*time.Second)
 	r.Drain()
 	r.FlowEstablished(s.id, 0)
-	if r.pass(drainMovesFrom); s.moved != 1 {
-		t.Errorf("moved %d times %v after the drain began", s.moved, drainMovesFrom)
+	if r.pass(drainMigrationStart); s.moved != 1 {
+		t.Errorf("moved %d times %v after the drain began", s.moved, drainMigrationStart)
 	}
 }
 
@@ -236,7 +236,7 @@
 	r, s = start()
 	r.Drain()
 	r.SetFleetRemovals(agreed(time.Hour))
-	within(r, s, drainMoves, "paced after the drain")
+	within(r, s, drainMigrationEnd, "paced after the drain")
 
 	r, s = start()
 	r.Stop()
@@ -270,7 +270,7 @@
 	for class, want := range map[int]string{safeClass: "rejected", keyedAll: "rejected", keyedZone: "failed", keyedCell: "failed", unsafeClass: "failed"} {
 		r := newRigOf(t, classesText, list(1, policy.Ready))
 		s := r.bring(class, 2*time.Second)
-		r.do(policy.Action{Kind: policy.ActionReject, ID: s.id, Duration: time.Second})
+		r.execute(policy.Action{Kind: policy.ActionReject, ID: s.id, Duration: time.Second})
 		if s.got() != want || s.out != 0 {
 			t.Errorf("class %d: %v, %d out, want %s", class, s.answers, s.out, want)
 		}
@@ -289,12 +289,12 @@
 				s := &side{r: r}
 				r.Open(Request{Class: class, CurrentMember: "m0", TimeLeft: 2 * time.Second}, s)
 				q := r.requests[s.id]
-				q.standing = false // as any other that had its attempt there
+				q.preexisting = false // as any other that had its attempt there
 				s.ends(policy.Reset)
 				if late {
 					r.now += 900 * time.Millisecond
 				}
-				r.do(policy.Action{Kind: policy.ActionSend, ID: s.id, Server: m.ID})
+				r.execute(policy.Action{Kind: policy.ActionSend, ID: s.id, Server: m.ID})
 				if ok := want[i] && (class == safeClass || !late); (s.tries == 2) != ok {
 					t.Errorf("class %d at %s, after the window %v: %d tries", class, m.Name, late, s.tries)
 				}
@@ -325,7 +325,7 @@
 	if s.to != at.Name {
 		at = r.members[policy.ServerID(11)]
 	}
-	r.do(policy.Action{Kind: policy.ActionSend, ID: s.id, Server: 10})
+	r.execute(policy.Action{Kind: policy.ActionSend, ID: s.id, Server: 10})
 	if s.tries != 1 || r.Counts.Blocked != 1 {
 		t.Fatalf("%d tries, %d barred", s.tries, r.Counts.Blocked)
 	}
@@ -361,11 +361,11 @@
 	r := newRigOf(t, classesText, list(1, policy.Ready))
 	r.up(1)
 	r.SetFleetRemovals(over(time.Hour, false))
-	before := len(r.alarms)
+	before := len(r.timers)
 	for range 10 {
 		r.SetFleetRemovals(over(time.Hour, false))
 	}
-	if n := len(r.alarms); n != before {
+	if n := len(r.timers); n != before {
 		t.Errorf("%d alarms, %d after the same was agreed again", before, n)
 	}
 }
