--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -51,7 +51,7 @@
 	r.trial, r.configDigests = newCanaryTrial(r), r.cfg.Sections()
 	var err error
 	r.fleet, err = fleet.Start(fleet.Options{Config: c, Name: r.cfg.Name, Zone: zone, Incarnation: r.peers.Incarnation(), Program: program,
-		ConfigDigest: r.cfg.Digest(), Keys: r.cfg.Peers.Keys(), SlowStartShare: set.Guarantees.ColdFrom, SlowStartDuration: settings.Duration(set.Guarantees.Cold),
+		ConfigDigest: r.cfg.Digest(), Keys: r.cfg.Peers.Keys(), SlowStartShare: set.Guarantees.SlowStartMinCapacity, SlowStartDuration: settings.Duration(set.Guarantees.SlowStartDuration),
 		WallClock: steadyWall(), Log: r.log, Post: r.loop.Post, Observe: r.fleetStatus, ApplyDesired: r.applyOrders,
 		PauseCanary: r.pauseCanary})
 	if err != nil {
--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -141,7 +141,7 @@
 	r.log.WithField("gap", gap).Warn("this process was suspended; the endpoint list is polled again")
 	r.core.PauseDispatch()
 	r.watch.Refresh(r.core.ResumeDispatch)
-	r.loop.After(settings.Duration(r.names.Settings.Guarantees.Grace), r.core.ResumeDispatch)
+	r.loop.After(settings.Duration(r.names.Settings.Guarantees.DrainGrace), r.core.ResumeDispatch)
 }
 
 // reload applies what a running relay can change: the address of discovery, and the credentials of the NATS front.
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -105,7 +105,7 @@
 	if c.Peers == nil {
 		return errors.New("fleet: peers are not set up: who lives is theirs to say, and the key that seals is theirs")
 	}
-	slowStart := settings.Duration(c.decoded.Guarantees.Cold)
+	slowStart := settings.Duration(c.decoded.Guarantees.SlowStartDuration)
 	if err := c.Fleet.Check(c.dir, max(c.decoded.Balancers, 1), slowStart); err != nil {
 		return fmt.Errorf("fleet.%w", err)
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -150,7 +150,7 @@
 		ejections: map[string]bool{},
 		tickAt:    math.MaxInt64,
 	}
-	if c.drainGrace = settings.Duration(o.Settings.Guarantees.Grace); c.drainGrace <= 0 {
+	if c.drainGrace = settings.Duration(o.Settings.Guarantees.DrainGrace); c.drainGrace <= 0 {
 		c.drainGrace = defaultDrainGrace
 	}
 	if c.LoopTime == nil {
--- a/internal/front/line/health_check_test.go
+++ b/internal/front/line/health_check_test.go
@@ -146,7 +146,7 @@
 	m.CloseWrite()
 	p.check(0)
 	p.setMemberState(0, policy.Draining)
-	p.Advance(time.Duration(p.Core.Settings.Guarantees.Grace)*time.Millisecond + time.Millisecond)
+	p.Advance(time.Duration(p.Core.Settings.Guarantees.DrainGrace)*time.Millisecond + time.Millisecond)
 	p.wantResults(policy.OK, policy.Reset)
 	if p.pending(0) != nil {
 		t.Error("a connection to a member that has left")
@@ -172,7 +172,7 @@
 	p := newCheckRig(t, 1)
 	p.check(0)
 	p.setMemberState(0, policy.Draining)
-	p.Advance(time.Duration(p.Core.Settings.Guarantees.Grace)*time.Millisecond + time.Millisecond)
+	p.Advance(time.Duration(p.Core.Settings.Guarantees.DrainGrace)*time.Millisecond + time.Millisecond)
 	p.wantResults(policy.NotSent)
 	p.unsent()
 	p.expectNoCheck()
--- a/internal/front/line/send_first_line_test.go
+++ b/internal/front/line/send_first_line_test.go
@@ -36,7 +36,7 @@
 	g := newRig(t, 1)
 	c := g.sendRequest(firstLine)
 	g.setMemberState(0, policy.Draining)
-	g.Advance(time.Duration(g.Core.Settings.Guarantees.Grace)*time.Millisecond + time.Millisecond)
+	g.Advance(time.Duration(g.Core.Settings.Guarantees.DrainGrace)*time.Millisecond + time.Millisecond)
 	g.unsent()
 	if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
 		t.Errorf("got %q", got)
--- a/internal/scenariorunner/run.go
+++ b/internal/scenariorunner/run.go
@@ -123,7 +123,7 @@
 func site(set *settings.Settings) scenario.Site {
 	s := scenario.Site{}
 	for _, c := range set.Classes {
-		s.ClassWeights = append(s.ClassWeights, c.Worth)
+		s.ClassWeights = append(s.ClassWeights, c.PriorityWeight)
 	}
 	for _, t := range set.Tenants {
 		s.TenantShares = append(s.TenantShares, t.Share)
@@ -209,8 +209,8 @@
 	x.peerViews = &peerWatch{run: x, downSince: map[string]time.Duration{}, upSince: map[string]time.Duration{}, lastState: map[[2]string]string{}, noticedBy: map[[2]string]bool{}}
 	x.service = scenario.NewService(x.plan.MeasureFrom, x.plan.End)
 	g := set.Guarantees
-	x.judge = scenario.NewJudge(scenario.Rules{MaxAttempts: set.Limits.MaxAttempts, AnswerSlack: settings.Duration(g.Slack), DrainGrace: settings.Duration(g.Grace),
-		SlowStart: slowStart(g.ColdFrom, g.Cold), OverloadFactor: g.Overload, OverloadWindow: settings.Duration(g.Fall)})
+	x.judge = scenario.NewJudge(scenario.Rules{MaxAttempts: set.Limits.MaxAttempts, AnswerSlack: settings.Duration(g.AnswerSlack), DrainGrace: settings.Duration(g.DrainGrace),
+		SlowStart: slowStart(g.SlowStartMinCapacity, g.SlowStartDuration), OverloadFactor: g.OverloadFactor, OverloadWindow: settings.Duration(g.OverloadWindow)})
 	if err := os.RemoveAll(x.dir); err != nil { // of an earlier rehearsal
 		return nil, err
 	}
@@ -356,7 +356,7 @@
 	}
 	m.name = m.ID
 	m.Capacity = fakes.Capacity{Cores: r.plan.Cores[i], MaxConnections: f.MaxConnections, ConnectionWork: scenario.Millis(f.ConnectionWorkMs), GroupWork: scenario.Millis(f.GroupWorkMs),
-		SlowStart: slowStart(g.ColdFrom, g.Cold), ReportInterval: scenario.Millis(f.ReportAgeMs), ReportError: f.ReportError, ReportFields: r.settings.Report.Names}
+		SlowStart: slowStart(g.SlowStartMinCapacity, g.SlowStartDuration), ReportInterval: scenario.Millis(f.ReportAgeMs), ReportError: f.ReportError, ReportFields: r.settings.Report.Names}
 	open := map[string]string{} // attempts by the sending address: only one end of each is told
 	var mu sync.Mutex
 	m.OnAttempt = func(a fakes.Attempt) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -20,29 +20,29 @@
 type Settings struct {
 	Balancers int `json:"balancers"`
 	Classes   []struct {
-		Name     string  `json:"name"`
-		Aim      float64 `json:"aim-ms"`
-		Deadline float64 `json:"deadline-ms"`
-		Window   float64 `json:"window-ms"`
-		Effect   string  `json:"effect"`
-		Worth    float64 `json:"worth"`
-		Scope    string  `json:"key-scope"`
+		Name             string  `json:"name"`
+		LatencyObjective float64 `json:"aim-ms"`
+		Deadline         float64 `json:"deadline-ms"`
+		DedupWindow      float64 `json:"window-ms"`
+		Idempotency      string  `json:"effect"`
+		PriorityWeight   float64 `json:"worth"`
+		Scope            string  `json:"key-scope"`
 	} `json:"classes"`
 	Discovery string `json:"discovery"`
 	Extra     struct {
-		Groups     bool      `json:"groups"`
-		MessageAim []float64 `json:"message-aim-ms"`
-		Mode       string    `json:"mode"`
-		Quota      []float64 `json:"tenant-quota-connections"`
+		Groups                  bool      `json:"groups"`
+		MessageLatencyObjective []float64 `json:"message-aim-ms"`
+		Mode                    string    `json:"mode"`
+		Quota                   []float64 `json:"tenant-quota-connections"`
 	} `json:"extra"`
 	Guarantees struct {
-		Slack     float64 `json:"answer-slack-ms"`
-		AskWithin float64 `json:"ask-within-ms"`
-		ColdFrom  float64 `json:"cold-from"`
-		Cold      float64 `json:"cold-ms"`
-		Grace     float64 `json:"drain-grace-ms"`
-		Fall      float64 `json:"fall-ms"`
-		Overload  float64 `json:"overload-factor"`
+		AnswerSlack          float64 `json:"answer-slack-ms"`
+		MaxPollInterval      float64 `json:"ask-within-ms"`
+		SlowStartMinCapacity float64 `json:"cold-from"`
+		SlowStartDuration    float64 `json:"cold-ms"`
+		DrainGrace           float64 `json:"drain-grace-ms"`
+		OverloadWindow       float64 `json:"fall-ms"`
+		OverloadFactor       float64 `json:"overload-factor"`
 	} `json:"guarantees"`
 	HostTypes []string `json:"host-types"`
 	Limits    struct {
@@ -99,9 +99,9 @@
 		CanProbe: s.Limits.Probes, CanCancel: s.Limits.Cancel,
 		MaxAttempts:    s.Limits.MaxAttempts,
 		ConnectTimeout: Duration(s.Limits.ConnectTimeout), MaxRetryAfter: Duration(s.Limits.MaxRetryAfter),
-		MaxPollInterval: Duration(s.Guarantees.AskWithin), AnswerSlack: Duration(s.Guarantees.Slack),
-		SlowStartMinCapacity: s.Guarantees.ColdFrom, SlowStartDuration: Duration(s.Guarantees.Cold),
-		OverloadFactor: s.Guarantees.Overload, OverloadWindow: Duration(s.Guarantees.Fall),
+		MaxPollInterval: Duration(s.Guarantees.MaxPollInterval), AnswerSlack: Duration(s.Guarantees.AnswerSlack),
+		SlowStartMinCapacity: s.Guarantees.SlowStartMinCapacity, SlowStartDuration: Duration(s.Guarantees.SlowStartDuration),
+		OverloadFactor: s.Guarantees.OverloadFactor, OverloadWindow: Duration(s.Guarantees.OverloadWindow),
 		CrossZonePrice: s.Prices.CrossZone,
 		ProbePrice:     s.Prices.Probe,
 	}
@@ -112,11 +112,11 @@
 		set.Reports = policy.ReportsInline
 	}
 	for i, c := range s.Classes {
-		class := policy.Class{LatencyObjective: Duration(c.Aim), Deadline: Duration(c.Deadline), DedupWindow: Duration(c.Window), PriorityWeight: c.Worth}
-		if i < len(s.Extra.MessageAim) {
-			class.MessageLatencyObjective = Duration(s.Extra.MessageAim[i])
+		class := policy.Class{LatencyObjective: Duration(c.LatencyObjective), Deadline: Duration(c.Deadline), DedupWindow: Duration(c.DedupWindow), PriorityWeight: c.PriorityWeight}
+		if i < len(s.Extra.MessageLatencyObjective) {
+			class.MessageLatencyObjective = Duration(s.Extra.MessageLatencyObjective[i])
 		}
-		switch c.Effect {
+		switch c.Idempotency {
 		case "read_like":
 		case "idempotency_key":
 			class.Idempotency = policy.IdempotencyKey
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -39,19 +39,19 @@
 	for i, c := range s.Classes {
 		key := func(name string) string { return fmt.Sprintf("classes[%d].%s", i, name) }
 		name("class ", key("name"), c.Name)
-		span(c.Aim, key("aim-ms"))
+		span(c.LatencyObjective, key("aim-ms"))
 		span(c.Deadline, key("deadline-ms"))
-		refuse(c.Aim > c.Deadline, key("aim-ms"), c.Aim, "over deadline-ms: wanted later than the client waits")
-		refuse(!(c.Worth > 0), key("worth"), c.Worth, "not over 0: who goes first in a shortage depends on it")
-		refuse(!slices.Contains([]string{"read_like", "idempotency_key", "non_idempotent"}, c.Effect), key("effect"),
-			fmt.Sprintf("%q", c.Effect), "not read_like, idempotency_key or non_idempotent")
-		if c.Effect == "idempotency_key" {
-			span(c.Window, key("window-ms"))
+		refuse(c.LatencyObjective > c.Deadline, key("aim-ms"), c.LatencyObjective, "over deadline-ms: wanted later than the client waits")
+		refuse(!(c.PriorityWeight > 0), key("worth"), c.PriorityWeight, "not over 0: who goes first in a shortage depends on it")
+		refuse(!slices.Contains([]string{"read_like", "idempotency_key", "non_idempotent"}, c.Idempotency), key("effect"),
+			fmt.Sprintf("%q", c.Idempotency), "not read_like, idempotency_key or non_idempotent")
+		if c.Idempotency == "idempotency_key" {
+			span(c.DedupWindow, key("window-ms"))
 			refuse(!slices.Contains([]string{"all", "zone", "cell"}, c.Scope), key("key-scope"),
 				fmt.Sprintf("%q", c.Scope), "not all, zone or cell")
 		}
 	}
-	aims := s.Extra.MessageAim
+	aims := s.Extra.MessageLatencyObjective
 	refuse(len(aims) != len(s.Classes), "extra.message-aim-ms", aims, "not one for each class")
 	for i, aim := range aims {
 		span(aim, fmt.Sprintf("extra.message-aim-ms[%d]", i))
@@ -64,12 +64,12 @@
 	refuse(!slices.Contains([]string{"subscribe", "automatic"}, s.Discovery), "discovery",
 		fmt.Sprintf("%q", s.Discovery), "not subscribe or automatic")
 	g := s.Guarantees
-	refuse(!(g.ColdFrom > 0 && g.ColdFrom <= 1), "guarantees.cold-from", g.ColdFrom, "not over 0 and at most 1")
-	span(g.Cold, "guarantees.cold-ms")
-	span(g.Fall, "guarantees.fall-ms")
-	refuse(!(g.Overload >= 1), "guarantees.overload-factor", g.Overload, "under 1: a member would fall below its capacity")
-	span(g.AskWithin, "guarantees.ask-within-ms")
-	span(g.Grace, "guarantees.drain-grace-ms")
+	refuse(!(g.SlowStartMinCapacity > 0 && g.SlowStartMinCapacity <= 1), "guarantees.cold-from", g.SlowStartMinCapacity, "not over 0 and at most 1")
+	span(g.SlowStartDuration, "guarantees.cold-ms")
+	span(g.OverloadWindow, "guarantees.fall-ms")
+	refuse(!(g.OverloadFactor >= 1), "guarantees.overload-factor", g.OverloadFactor, "under 1: a member would fall below its capacity")
+	span(g.MaxPollInterval, "guarantees.ask-within-ms")
+	span(g.DrainGrace, "guarantees.drain-grace-ms")
 	l := s.Limits
 	refuse(l.MaxAttempts < 1, "limits.max-attempts", l.MaxAttempts, "under 1: nothing could be sent")
 	span(l.ConnectTimeout, "limits.connect-timeout-ms")
