--- a/internal/fleet/api_canaries.go
+++ b/internal/fleet/api_canaries.go
@@ -15,13 +15,10 @@
 	if !s.ensureCurrent(w, r) {
 		return
 	}
-	s.record.mu.RLock()
-	canaries := s.record.canary.Canaries()
-	s.record.mu.RUnlock()
+	body := map[string]any{"canaries": s.record.canaries()}
 	s.mu.Lock()
 	verdict, leads := s.verdict, s.leaderSince != 0
 	s.mu.Unlock()
-	body := map[string]any{"canaries": canaries}
 	if leads {
 		body["verdict"] = verdict
 	}
--- a/internal/fleet/api_status.go
+++ b/internal/fleet/api_status.go
@@ -52,10 +52,7 @@
 	if !s.ensureCurrent(w, r) {
 		return
 	}
-	s.record.mu.RLock()
-	intent := s.record.intent // never modified: a command replaces it
-	s.record.mu.RUnlock()
-	writeJSON(w, http.StatusOK, intent)
+	writeJSON(w, http.StatusOK, s.record.currentIntent())
 }
 
 // handleSetIntent makes what a relay runs the intent. The leader alone knows what it runs.
--- a/internal/fleet/leader.go
+++ b/internal/fleet/leader.go
@@ -75,13 +75,13 @@
 	if s.leaderSince == 0 {
 		return controlStep{}, false
 	}
-	relays := s.controller.fleet
-	view := relays.buildView(now, s.leaderSince, s.Budgets().FlowHoldMS, s.Name, s.lastObserved, slowStart{s.SlowStartShare, s.SlowStartDuration.Milliseconds()})
+	reported := s.controller.fleet
+	view := reported.buildView(now, s.leaderSince, s.Budgets().FlowHoldMS, s.Name, s.lastObserved, slowStart{s.SlowStartShare, s.SlowStartDuration.Milliseconds()})
 	s.evaluateDrift(now, &view)
 	intents := s.controller.planIntent(now, &view)
 	canaries := s.evaluateCanary(now, &view)
 	s.lastView = view
-	reportsMissing := slices.ContainsFunc(view.Relays, func(r rollout.Relay) bool { return relays.relays[r.Name] == nil && !r.Exited })
+	reportsMissing := slices.ContainsFunc(view.Relays, func(r rollout.Relay) bool { return reported.relays[r.Name] == nil && !r.Exited })
 	if reportsMissing && now-s.leaderSince < silenceTimeout.Milliseconds() {
 		return controlStep{}, false
 	}
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -99,6 +99,20 @@
 	return answer
 }
 
+// currentIntent returns the intent, which is never modified: a command replaces it.
+func (r *Record) currentIntent() *intent {
+	r.mu.RLock()
+	defer r.mu.RUnlock()
+	return r.intent
+}
+
+// canaries returns a copy of all canaries.
+func (r *Record) canaries() []canary.Canary {
+	r.mu.RLock()
+	defer r.mu.RUnlock()
+	return r.canary.Canaries()
+}
+
 // canaryWeights returns the weights of all canaries and the version of the canary state.
 func (r *Record) canaryWeights() (weights []canary.Weight, version uint64) {
 	r.mu.RLock()
