--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -93,7 +93,7 @@
 	return out
 }
 
-// open brings a request that waits for two seconds.
+// established brings a request that waits for two seconds.
 func (r *rig) open() *side {
 	s := &side{r: r}
 	s.id = r.Open(Request{Load: 0.01, TimeLeft: 2 * time.Second}, s)
@@ -158,7 +158,7 @@
 	r := newRig(t, 2)
 	s := r.open()
 	q, m := r.requests[s.id], r.members[11]
-	open := func(m *member) bool { return r.gate(r.now, q.state != placing, q.tries, q.deadline, m) }
+	open := func(m *member) bool { return r.mayStart(r.now, q.state != placing, q.attempts, q.deadline, m) }
 	if open(m) {
 		t.Error("a second attempt while one is out")
 	}
@@ -168,12 +168,12 @@
 	}
 	for name, shut := range map[string]func() (undo func()){
 		"serving": func() func() { q.state = serving; return func() { q.state = placing } },
-		"over":    func() func() { q.state = over; return func() { q.state = placing } },
-		"tries":   func() func() { q.tries = 3; return func() { q.tries = 1 } },
+		"over":    func() func() { q.state = finished; return func() { q.state = placing } },
+		"tries":   func() func() { q.attempts = 3; return func() { q.attempts = 1 } },
 		"late":    func() func() { q.deadline = r.now; return func() { q.deadline = r.now + time.Second } },
 		"left": func() func() {
-			m.left, m.told = true, r.now-251*time.Millisecond
-			return func() { m.left = false }
+			m.unavailable, m.unavailableSince = true, r.now-251*time.Millisecond
+			return func() { m.unavailable = false }
 		},
 	} {
 		undo := shut()
@@ -182,7 +182,7 @@
 		}
 		undo()
 	}
-	m.left, m.told = true, r.now-250*time.Millisecond
+	m.unavailable, m.unavailableSince = true, r.now-250*time.Millisecond
 	if !open(m) || open(nil) {
 		t.Error("the grace is not kept, or an unknown member let in")
 	}
@@ -243,10 +243,10 @@
 	if s := r.open(); len(s.answers) != 1 || s.answers[0] != "rejected" {
 		t.Errorf("a request during the stop: %v", s.answers)
 	}
-	if away := r.Counts.BackoffTime; away != stopAfter {
-		t.Errorf("one was sent away for %v, counted %v", stopAfter, away)
+	if away := r.Counts.BackoffTime; away != stopRetryAfter {
+		t.Errorf("one was sent away for %v, counted %v", stopRetryAfter, away)
 	}
-	r.pass(of(stopMovesFrom, r.StopTimeout()) - time.Millisecond)
+	r.pass(fraction(stopMigrationStart, r.StopTimeout()) - time.Millisecond)
 	for _, s := range up {
 		if s.moved != 0 {
 			t.Error("moved too early")
@@ -287,13 +287,13 @@
 	if r.Open(Request{CurrentMember: "m0", TimeLeft: time.Second}, at); at.tries != 0 || len(at.answers) != 1 || at.answers[0] != "rejected" {
 		t.Errorf("a standing flow of a banned member: %d tries, %v", at.tries, at.answers)
 	}
-	r.do(policy.Action{Kind: policy.ActionProbe, Server: 10})
+	r.execute(policy.Action{Kind: policy.ActionProbe, Server: 10})
 	if probed != 0 || r.Reachable(10) {
 		t.Error("a banned member was probed")
 	}
 	r.Reinstate("m0")
 	m := r.members[10]
-	if m.left || m.Started != r.now || !r.HasUsableMember() {
+	if m.unavailable || m.Started != r.now || !r.HasUsableMember() {
 		t.Errorf("put back: %+v", m)
 	}
 	r.Reinstate("m0")
@@ -397,7 +397,7 @@
 		t.Error("clients are still welcome, or moved before the front knows")
 	}
 	open()
-	r.pass(drainMoves / 2)
+	r.pass(drainMigrationEnd / 2)
 	half := moved()
 	r.Resume()
 	r.Resume()
@@ -407,7 +407,7 @@
 	}
 	open()
 	r.Drain()
-	r.pass(drainMoves + time.Second)
+	r.pass(drainMigrationEnd + time.Second)
 	if moved() != len(up) || r.ActiveRequests() != 0 {
 		t.Errorf("%d moved of %d, %d held", moved(), len(up), r.ActiveRequests())
 	}
@@ -435,7 +435,7 @@
 	}
 	next.SetEjections([]string{"m0", "m2"})
 	next.SetEjections([]string{"m2", "m9"})
-	if next.members[10].banned || !next.members[12].banned || !next.IsKnownMember("m9") {
+	if next.members[10].ejected || !next.members[12].ejected || !next.IsKnownMember("m9") {
 		t.Error("the list of bans does not count as it stands")
 	}
 }
@@ -464,12 +464,12 @@
 	if _, _, ok := next.AdoptFlow(FlowTransfer{Member: "m9"}, s); ok {
 		t.Error("a flow at an unknown member was taken")
 	}
-	r.pass(of(passWithin, r.StopTimeout()) - time.Millisecond)
+	r.pass(fraction(handoverEnd, r.StopTimeout()) - time.Millisecond)
 	early := up[0].moved
 	for _, s := range up[1:] {
 		early += s.moved
 	}
-	r.pass(of(stopMoves, r.StopTimeout()))
+	r.pass(fraction(stopMigrationEnd, r.StopTimeout()))
 	if early != 0 || r.ActiveRequests() != 0 || up[0].moved != 0 || up[1].moved != 1 {
 		t.Errorf("%d moved early, %d held", early, r.ActiveRequests())
 	}
@@ -496,14 +496,14 @@
 	r.FlowEstablished(s.id, 0)
 	m := r.requests[s.id].member
 	r.ObserveMessageLatency(s.id, 40*time.Millisecond)
-	first := m.noted
+	first := m.slowReportedAt
 	r.now += 100 * time.Millisecond
 	r.ObserveMessageLatency(s.id, 50*time.Millisecond)
-	if !m.slow || m.noted != first {
+	if !m.slow || m.slowReportedAt != first {
 		t.Error("not told, or told again at once")
 	}
 	r.ObserveMessageLatency(s.id, 20*time.Millisecond)
-	if m.slow || m.noted != r.now {
+	if m.slow || m.slowReportedAt != r.now {
 		t.Error("not told that it is over")
 	}
 }
