--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings holds the settings of a deployment: the JSON text that an
-// instance gets in the simulator's first message and a real relay in its
-// configuration. It decodes them and translates them for package policy.
+// Package settings holds the settings of a deployment: the JSON text that an instance
+// gets in the simulator's first message and a real relay in its configuration. It decodes,
+// validates and translates them for package policy.
 package settings
 
 import (
@@ -13,10 +13,10 @@
 	"dahliarudder/policy"
 )
 
-// ErrMalformed is wrapped by every error about a text that is no settings.
+// ErrMalformed is wrapped by every error about a text that does not decode as settings.
 var ErrMalformed = errors.New("malformed settings")
 
-// Settings is the settings text, as far as the program needs it; other keys are ignored.
+// Settings is the settings text, as far as the program needs it; other keys are ignored. Times are in milliseconds.
 type Settings struct {
 	Balancers int `json:"balancers"`
 	Classes   []struct {
@@ -51,7 +51,7 @@
 		Keepalive      float64 `json:"keepalive-ms"`
 		MaxAttempts    int     `json:"max-attempts"`
 		MaxRetryAfter  float64 `json:"max-retry-after-ms"`
-		RetryAfter     *bool   `json:"retry-after"` // whether clients get advice; absent: they do
+		RetryAfter     *bool   `json:"retry-after"` // whether rejected clients are given a retry-after; absent: they are
 		Probes         bool    `json:"probes"`
 	} `json:"limits"`
 	Prices struct {
@@ -70,7 +70,7 @@
 	Zones []Zone `json:"zones"`
 }
 
-// Zone is the name of a zone. What is no string has no name, but still counts as a zone.
+// Zone is the name of a zone. A value that is not a string has no name, but still counts as a zone.
 type Zone string
 
 // UnmarshalJSON takes any value, and keeps it if it is a string.
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// Decode reads the settings text. Senseless values are left to the module.
+// Decode reads the settings text. Senseless values are left to Validate and to package policy.
 func Decode(text []byte) (*Settings, error) {
 	s := &Settings{}
 	if err := json.Unmarshal(text, s); err != nil {
@@ -91,7 +91,7 @@
 	return s, nil
 }
 
-// Policy is what the decision module is told of the settings.
+// Policy translates the settings for package policy.
 func (s *Settings) Policy() policy.Settings {
 	set := policy.Settings{
 		Balancers: s.Balancers, Zone: s.Zone, Zones: len(s.Zones), Groups: s.Extra.Groups,
@@ -120,7 +120,7 @@
 		case "read_like":
 		case "idempotency_key":
 			class.Idempotency = policy.IdempotencyKey
-		default: // unknown effects are handled as the most delicate one
+		default: // unknown values are handled as the strictest one
 			class.Idempotency = policy.NonIdempotent
 		}
 		switch c.Scope {
@@ -142,7 +142,7 @@
 	return set
 }
 
-// Class is the number of the class of that name.
+// Class is the index of the class of that name.
 func (s *Settings) Class(name string) (int, bool) {
 	for i, c := range s.Classes {
 		if c.Name == name {
@@ -152,7 +152,7 @@
 	return 0, false
 }
 
-// Tenant is the number of the tenant of that name; a deployment may have none.
+// Tenant is the index of the tenant of that name; a deployment may have none.
 func (s *Settings) Tenant(name string) (int, bool) {
 	for i, t := range s.Tenants {
 		if t.Name == name {
@@ -162,8 +162,8 @@
 	return 0, len(s.Tenants) == 0 && name == ""
 }
 
-// Report puts named values of a load report in their places. The wires name a
-// value by the simulator's word or by the settings' one.
+// Report makes a load report of named values. The wires use the simulator's names and
+// those of the settings.
 func Report(values map[string]float64) policy.Report {
 	report := policy.NoReport
 	for _, f := range []struct {
@@ -184,16 +184,16 @@
 	return report
 }
 
-// Duration is a number of milliseconds as a duration, 0 if that is no sane time.
+// Duration is a number of milliseconds as a duration, 0 if it is out of range.
 func Duration(ms float64) time.Duration {
 	d, _ := ParseMillis(ms)
 	return d
 }
 
-// ParseMillis turns milliseconds into a duration; false if they are no sane time.
+// ParseMillis turns milliseconds into a duration; false if they are out of range.
 func ParseMillis(ms float64) (time.Duration, bool) {
-	const most = 9e12 // some 285 years, what a Duration holds
-	if math.IsNaN(ms) || ms < -most || ms > most {
+	const limit = 9e12 // some 285 years, what a time.Duration holds
+	if math.IsNaN(ms) || ms < -limit || ms > limit {
 		return 0, false
 	}
 	return time.Duration(math.Round(ms*1e3)) * time.Microsecond, true
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// TestProblems: the operators' examples have none; a setting that cannot work is named with its value and the reason,
+// TestValidate: the operators' examples have none; a setting that cannot work is named with its value and the reason,
 // alone, whichever of the examples it is put into.
-func TestProblems(t *testing.T) {
+func TestValidate(t *testing.T) {
 	for _, file := range []string{"../../deploy/nats.json", "../../deploy/few-reports.json"} {
 		text, err := os.ReadFile(file)
 		if err != nil {
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -13,83 +13,134 @@
 }
 
 // Error names the setting, its value and the reason.
-func (p InvalidSetting) Error() string {
-	return fmt.Sprintf("settings.%s: %v: %s", p.Key, p.Value, p.Reason)
+func (s InvalidSetting) Error() string {
+	return fmt.Sprintf("settings.%s: %v: %s", s.Key, s.Value, s.Reason)
 }
 
-// Validate names every setting that cannot work, in the order of the page of sites. A relay starts all the same, with
-// safe values in their place: an instance that does not start serves nobody. It is for whoever writes a site's settings.
+// dayMS is the longest time that a setting may name.
+const dayMS = 86_400_000
+
+// Validate names every setting that cannot work, in the order of docs/sites.md. A relay starts all the same, with
+// safe values in their place: an instance that does not start serves nobody. It is for those who write settings.
 func (s *Settings) Validate() []error {
-	var found []error
-	refuse := func(bad bool, key string, value any, reason string) {
-		if bad {
-			found = append(found, InvalidSetting{key, value, reason})
-		}
-	}
-	span := func(ms float64, key string) {
-		refuse(!(ms > 0 && ms <= 86_400_000), key, ms, "not over 0 and at most a day, in milliseconds")
+	v := &validator{names: map[string]bool{}}
+	v.reject(s.Balancers < 1, "balancers", s.Balancers, "under 1: it is how many relays share the members")
+	v.classes(s)
+	v.extra(s)
+	v.oneOf("discovery", s.Discovery, "subscribe", "automatic")
+	v.guarantees(s)
+	v.limits(s)
+	v.part("prices.cross-zone", s.Prices.CrossZone)
+	v.part("prices.probe", s.Prices.Probe)
+	v.report(s)
+	v.tenants(s)
+	v.reject(s.Zone < 0 || s.Zone >= max(len(s.Zones), 1), "zone", s.Zone, "not the place of one of zones, from 0")
+	return v.found
+}
+
+// validator collects the settings that cannot work.
+type validator struct {
+	found []error
+	names map[string]bool
+}
+
+func (v *validator) reject(bad bool, key string, value any, reason string) {
+	if bad {
+		v.found = append(v.found, InvalidSetting{key, value, reason})
 	}
-	part := func(v float64, key string) { refuse(!(v >= 0 && v <= 1), key, v, "not from 0 to 1") }
-	names := map[string]bool{}
-	name := func(kind, key, n string) {
-		refuse(n == "" || names[kind+n], key, fmt.Sprintf("%q", n), "no name, or one that stands twice")
-		names[kind+n] = true
+}
+
+func (v *validator) duration(key string, ms float64) {
+	v.reject(!(ms > 0 && ms <= dayMS), key, ms, "not over 0 and at most a day, in milliseconds")
+}
+
+func (v *validator) part(key string, part float64) {
+	v.reject(!(part >= 0 && part <= 1), key, part, "not from 0 to 1")
+}
+
+// oneOf rejects a value that is none of those allowed.
+func (v *validator) oneOf(key, value string, allowed ...string) {
+	last := len(allowed) - 1
+	list := ""
+	for i, a := range allowed[:last] {
+		if i > 0 {
+			list += ", "
+		}
+		list += a
 	}
-	refuse(s.Balancers < 1, "balancers", s.Balancers, "under 1: it is how many relays share the members")
+	v.reject(!slices.Contains(allowed, value), key, fmt.Sprintf("%q", value), "not "+list+" or "+allowed[last])
+}
+
+// uniqueName rejects an empty name and one that was seen before among those of its kind.
+func (v *validator) uniqueName(kind, key, name string) {
+	v.reject(name == "" || v.names[kind+name], key, fmt.Sprintf("%q", name), "missing or duplicate")
+	v.names[kind+name] = true
+}
+
+func (v *validator) classes(s *Settings) {
 	for i, c := range s.Classes {
 		key := func(name string) string { return fmt.Sprintf("classes[%d].%s", i, name) }
-		name("class ", key("name"), c.Name)
-		span(c.LatencyObjective, key("aim-ms"))
-		span(c.Deadline, key("deadline-ms"))
-		refuse(c.LatencyObjective > c.Deadline, key("aim-ms"), c.LatencyObjective, "over deadline-ms: wanted later than the client waits")
-		refuse(!(c.PriorityWeight > 0), key("worth"), c.PriorityWeight, "not over 0: who goes first in a shortage depends on it")
-		refuse(!slices.Contains([]string{"read_like", "idempotency_key", "non_idempotent"}, c.Idempotency), key("effect"),
-			fmt.Sprintf("%q", c.Idempotency), "not read_like, idempotency_key or non_idempotent")
+		v.uniqueName("class ", key("name"), c.Name)
+		v.duration(key("aim-ms"), c.LatencyObjective)
+		v.duration(key("deadline-ms"), c.Deadline)
+		v.reject(c.LatencyObjective > c.Deadline, key("aim-ms"), c.LatencyObjective,
+			"over deadline-ms: later than the client waits")
+		v.reject(!(c.PriorityWeight > 0), key("worth"), c.PriorityWeight,
+			"not over 0: priorities in a shortage depend on it")
+		v.oneOf(key("effect"), c.Idempotency, "read_like", "idempotency_key", "non_idempotent")
 		if c.Idempotency == "idempotency_key" {
-			span(c.DedupWindow, key("window-ms"))
-			refuse(!slices.Contains([]string{"all", "zone", "cell"}, c.Scope), key("key-scope"),
-				fmt.Sprintf("%q", c.Scope), "not all, zone or cell")
+			v.duration(key("window-ms"), c.DedupWindow)
+			v.oneOf(key("key-scope"), c.Scope, "all", "zone", "cell")
 		}
 	}
-	aims := s.Extra.MessageLatencyObjective
-	refuse(len(aims) != len(s.Classes), "extra.message-aim-ms", aims, "not one for each class")
-	for i, aim := range aims {
-		span(aim, fmt.Sprintf("extra.message-aim-ms[%d]", i))
+}
+
+func (v *validator) extra(s *Settings) {
+	objectives := s.Extra.MessageLatencyObjective
+	v.reject(len(objectives) != len(s.Classes), "extra.message-aim-ms", objectives, "not one for each class")
+	for i, ms := range objectives {
+		v.duration(fmt.Sprintf("extra.message-aim-ms[%d]", i), ms)
 	}
-	refuse(!slices.Contains([]string{"proxy", "pass"}, s.Extra.Mode), "extra.mode", fmt.Sprintf("%q", s.Extra.Mode),
-		"not proxy or pass")
+	v.oneOf("extra.mode", s.Extra.Mode, "proxy", "pass")
 	quota := s.Extra.Quota
-	refuse(len(quota) > 0 && len(quota) != len(s.Tenants), "extra.tenant-quota-connections", quota,
+	v.reject(len(quota) > 0 && len(quota) != len(s.Tenants), "extra.tenant-quota-connections", quota,
 		"not one for each tenant")
-	refuse(!slices.Contains([]string{"subscribe", "automatic"}, s.Discovery), "discovery",
-		fmt.Sprintf("%q", s.Discovery), "not subscribe or automatic")
+}
+
+func (v *validator) guarantees(s *Settings) {
 	g := s.Guarantees
-	refuse(!(g.SlowStartMinCapacity > 0 && g.SlowStartMinCapacity <= 1), "guarantees.cold-from", g.SlowStartMinCapacity, "not over 0 and at most 1")
-	span(g.SlowStartDuration, "guarantees.cold-ms")
-	span(g.OverloadWindow, "guarantees.fall-ms")
-	refuse(!(g.OverloadFactor >= 1), "guarantees.overload-factor", g.OverloadFactor, "under 1: a member would fall below its capacity")
-	span(g.MaxPollInterval, "guarantees.ask-within-ms")
-	span(g.DrainGrace, "guarantees.drain-grace-ms")
+	v.reject(!(g.SlowStartMinCapacity > 0 && g.SlowStartMinCapacity <= 1), "guarantees.cold-from",
+		g.SlowStartMinCapacity, "not over 0 and at most 1")
+	v.duration("guarantees.cold-ms", g.SlowStartDuration)
+	v.duration("guarantees.fall-ms", g.OverloadWindow)
+	v.reject(!(g.OverloadFactor >= 1), "guarantees.overload-factor", g.OverloadFactor,
+		"under 1: a member would fall below its capacity")
+	v.duration("guarantees.ask-within-ms", g.MaxPollInterval)
+	v.duration("guarantees.drain-grace-ms", g.DrainGrace)
+}
+
+func (v *validator) limits(s *Settings) {
 	l := s.Limits
-	refuse(l.MaxAttempts < 1, "limits.max-attempts", l.MaxAttempts, "under 1: nothing could be sent")
-	span(l.ConnectTimeout, "limits.connect-timeout-ms")
-	span(l.Keepalive, "limits.keepalive-ms")
-	part(s.Prices.CrossZone, "prices.cross-zone")
-	part(s.Prices.Probe, "prices.probe")
+	v.reject(l.MaxAttempts < 1, "limits.max-attempts", l.MaxAttempts, "under 1: nothing could be sent")
+	v.duration("limits.connect-timeout-ms", l.ConnectTimeout)
+	v.duration("limits.keepalive-ms", l.Keepalive)
+}
+
+func (v *validator) report(s *Settings) {
 	r := s.Report
-	refuse(!slices.Contains([]string{"inline", "on_probe", "off"}, r.Source), "report.source",
-		fmt.Sprintf("%q", r.Source), "not inline, on_probe or off")
-	refuse(r.Source == "on_probe" && !l.Probes, "report.source", fmt.Sprintf("%q", r.Source),
+	v.oneOf("report.source", r.Source, "inline", "on_probe", "off")
+	v.reject(r.Source == "on_probe" && !s.Limits.Probes, "report.source", fmt.Sprintf("%q", r.Source),
 		"reports come with probes alone, and limits.probes forbids them")
-	told := func(name string) bool { return slices.Contains(r.Names, name) }
-	refuse(r.Source != "off" && !told("x0") && !told("utilization") && !told("util"), "report.names", r.Names,
-		"neither x0 nor utilization: nothing tells how full a member is")
-	refuse(r.Source != "off" && !told("outstanding") && !told("inflight"), "report.names", r.Names,
-		"no outstanding: nothing tells how many connections fill a member")
+	reported := func(name string) bool { return slices.Contains(r.Names, name) }
+	v.reject(r.Source != "off" && !reported("x0") && !reported("utilization") && !reported("util"), "report.names",
+		r.Names, "neither x0 nor utilization: nothing shows how full a member is")
+	v.reject(r.Source != "off" && !reported("outstanding") && !reported("inflight"), "report.names", r.Names,
+		"no outstanding: nothing shows how many connections fill a member")
+}
+
+func (v *validator) tenants(s *Settings) {
 	for i, t := range s.Tenants {
-		name("tenant ", fmt.Sprintf("tenants[%d].name", i), t.Name)
-		refuse(!(t.Share > 0), fmt.Sprintf("tenants[%d].share", i), t.Share, "not over 0")
+		v.uniqueName("tenant ", fmt.Sprintf("tenants[%d].name", i), t.Name)
+		v.reject(!(t.Share > 0), fmt.Sprintf("tenants[%d].share", i), t.Share, "not over 0")
 	}
-	refuse(s.Zone < 0 || s.Zone >= max(len(s.Zones), 1), "zone", s.Zone, "not the place of one of zones, from 0")
-	return found
 }
