--- a/internal/rollout/allowance.go
+++ b/internal/rollout/allowance.go
@@ -176,8 +176,8 @@
 
 // exhausted is overdrawn, or else shortfall.
 func (a *allowance) exhausted() string {
-	if why := a.overdrawn(); why != "" {
-		return why
+	if reason := a.overdrawn(); reason != "" {
+		return reason
 	}
 	return a.shortfall()
 }
@@ -188,8 +188,8 @@
 	if a.granted[name] {
 		return name + " is out already"
 	}
-	if why := a.overdrawn(); why != "" {
-		return why
+	if reason := a.overdrawn(); reason != "" {
+		return reason
 	}
 	if !a.out[name] {
 		if limit := a.budget.totalLimit(a.total); len(a.out)+1 > limit {
--- a/internal/rollout/apply_release.go
+++ b/internal/rollout/apply_release.go
@@ -17,8 +17,8 @@
 	if spec == nil || c.Name == "" {
 		return reject("a release has a name, and says what it releases")
 	}
-	if why := spec.invalidReason(); why != "" {
-		return reject("%s", why)
+	if reason := spec.invalidReason(); reason != "" {
+		return reject("%s", reason)
 	}
 	if rec.findRelease(c.Name) != nil {
 		return reject("there is a release %q", c.Name)
--- a/internal/rollout/apply_step.go
+++ b/internal/rollout/apply_step.go
@@ -7,8 +7,8 @@
 	if c.Basis == nil || len(c.Grants) == 0 || len(c.Grants) > MaxGrantsPerStep {
 		return reject("a step names one to %d things, and what it was reckoned from", MaxGrantsPerStep)
 	}
-	if why := rec.staleBasis(at, c); why != "" {
-		return reject("%s", why)
+	if reason := rec.staleBasis(at, c); reason != "" {
+		return reject("%s", reason)
 	}
 	basis := c.Basis
 	allowances := map[Kind]*allowance{
@@ -16,8 +16,8 @@
 		KindMember: rec.allowance(KindMember, basis.Members, basis.Budgets),
 	}
 	for i := range c.Grants {
-		if why := rec.reserveGrant(&c.Grants[i], allowances, len(c.Grants)); why != "" {
-			return reject("%s", why)
+		if reason := rec.reserveGrant(&c.Grants[i], allowances, len(c.Grants)); reason != "" {
+			return reject("%s", reason)
 		}
 	}
 	rec.Version++
@@ -51,8 +51,8 @@
 	if change < 0 {
 		return "" // it puts a member back
 	}
-	if why := allowances[budgetKind(u.Kind)].reserve(u.currentName(), u.Zone, g.Capacity); why != "" {
-		return why
+	if reason := allowances[budgetKind(u.Kind)].reserve(u.currentName(), u.Zone, g.Capacity); reason != "" {
+		return reason
 	}
 	if change > 0 && len(rec.Ejections)+grants > MaxEjections {
 		return fmt.Sprintf("over %d bans", MaxEjections)
--- a/internal/rollout/plan_halt.go
+++ b/internal/rollout/plan_halt.go
@@ -36,8 +36,8 @@
 	if p.view.Drift != "" && p.view.DriftMS > p.budgets.DriftHaltMS {
 		return HaltDrift, p.view.Drift
 	}
-	if why := p.allowanceFor(r.Spec.Kind).exhausted(); why != "" {
-		return HaltOverBudget, why
+	if reason := p.allowanceFor(r.Spec.Kind).exhausted(); reason != "" {
+		return HaltOverBudget, reason
 	}
 	for i := range r.Units {
 		if u := &r.Units[i]; u.isOut() && p.overdue(r, u) && !p.observed[unitKey{r.Name, u.Name}] {
--- a/internal/rollout/plan_step.go
+++ b/internal/rollout/plan_step.go
@@ -63,8 +63,8 @@
 				blocked = u.currentName() + " is not there"
 				continue
 			}
-			if why := p.allowanceFor(u.Kind).reserve(u.currentName(), u.Zone, g.Capacity); why != "" {
-				blocked = why
+			if reason := p.allowanceFor(u.Kind).reserve(u.currentName(), u.Zone, g.Capacity); reason != "" {
+				blocked = reason
 				continue
 			}
 		}
--- a/internal/rollout/quarantine.go
+++ b/internal/rollout/quarantine.go
@@ -23,8 +23,8 @@
 	if c.Basis == nil || c.Name == "" || len(c.Zone) > MaxNameBytes {
 		return reject("who is shut has a name and a zone, and what it was reckoned from")
 	}
-	if why := rec.staleBasis(at, c); why != "" {
-		return reject("%s", why)
+	if reason := rec.staleBasis(at, c); reason != "" {
+		return reject("%s", reason)
 	}
 	previous := rec.findQuarantine(c.Name)
 	switch {
@@ -35,8 +35,8 @@
 	case previous == nil && len(rec.Quarantines) >= MaxQuarantines:
 		return reject("%d relays are shut", MaxQuarantines)
 	}
-	if why := rec.allowance(KindRelay, c.Basis.Relays, c.Basis.Budgets).reserveQuarantine(c.Name, c.Zone, c.Capacity); why != "" {
-		return reject("%s", why)
+	if reason := rec.allowance(KindRelay, c.Basis.Relays, c.Basis.Budgets).reserveQuarantine(c.Name, c.Zone, c.Capacity); reason != "" {
+		return reject("%s", reason)
 	}
 	rec.Version++
 	number := rec.nextNumber()
