--- a/internal/netloop/address.go
+++ b/internal/netloop/address.go
@@ -7,8 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// address is a textual IP address and port as the system takes it.
-func address(addr string) (unix.Sockaddr, int, error) {
+// parseSockaddr is a textual IP address and port as the system takes it.
+func parseSockaddr(addr string) (unix.Sockaddr, int, error) {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return nil, 0, fmt.Errorf("address %q: %w", addr, err)
@@ -19,15 +19,15 @@
 	return &unix.SockaddrInet6{Port: int(at.Port()), Addr: at.Addr().As16()}, unix.AF_INET6, nil
 }
 
-func ownAddr(fd int) string {
+func localAddr(fd int) string {
 	at, err := unix.Getsockname(fd)
 	if err != nil {
 		return ""
 	}
-	return named(at)
+	return formatSockaddr(at)
 }
 
-func named(at unix.Sockaddr) string {
+func formatSockaddr(at unix.Sockaddr) string {
 	switch at := at.(type) {
 	case *unix.SockaddrInet4:
 		return netip.AddrPortFrom(netip.AddrFrom4(at.Addr), uint16(at.Port)).String()
@@ -43,6 +43,6 @@
 	if err != nil {
 		return false
 	}
-	is, err := netip.ParseAddrPort(ownAddr(fd))
+	is, err := netip.ParseAddrPort(localAddr(fd))
 	return err == nil && is.Addr().Unmap() == at.Addr().Unmap() && (at.Port() == 0 || is.Port() == at.Port())
 }
--- a/internal/netloop/buffer.go
+++ b/internal/netloop/buffer.go
@@ -1,74 +1,84 @@
 package netloop
 
-// store is bytes that wait, in a buffer of the loop's.
-type store struct {
-	buf []byte
-	off int // what stands before it is done with
+// buffer is a queue of bytes, in a buffer from the loop's pool.
+type buffer struct {
+	buf   []byte
+	start int // of the bytes that are not consumed
 }
 
-func (s *store) size() int    { return len(s.buf) - s.off }
-func (s *store) data() []byte { return s.buf[s.off:] }
+func (s *buffer) size() int    { return len(s.buf) - s.start }
+func (s *buffer) data() []byte { return s.buf[s.start:] }
 
-// open is the buffer, with room for so many bytes more, to be appended to and given to close.
-func (s *store) open(l *Loop, more int) []byte {
+// reserve is the buffer with capacity for so many bytes more, to be appended to.
+func (s *buffer) reserve(l *Loop, more int) []byte {
 	if s.buf == nil {
-		s.buf = l.borrow(more)
+		s.buf = l.getBuffer(more)
 	}
-	if s.off > len(s.buf)/2 || s.off > 0 && len(s.buf)+more > cap(s.buf) {
-		s.buf = s.buf[:copy(s.buf, s.buf[s.off:])]
-		s.off = 0
+	if s.start > len(s.buf)/2 || s.start > 0 && len(s.buf)+more > cap(s.buf) {
+		s.buf = s.buf[:copy(s.buf, s.buf[s.start:])]
+		s.start = 0
 	}
 	if len(s.buf)+more > cap(s.buf) {
 		old := s.buf
-		s.buf = append(l.borrow(max(len(old)+more, 2*len(old))), old...)
-		l.giveBack(old)
+		s.buf = append(l.getBuffer(max(len(old)+more, 2*len(old))), old...)
+		l.putBuffer(old)
 	}
 	return s.buf
 }
 
-func (s *store) add(l *Loop, b []byte) { s.buf = append(s.open(l, len(b)), b...) }
+func (s *buffer) append(l *Loop, b []byte) { s.buf = append(s.reserve(l, len(b)), b...) }
 
-// drop is done with the first n bytes.
-func (s *store) drop(l *Loop, n int) {
-	if s.off += n; s.off >= len(s.buf) {
+// consume drops the first n bytes.
+func (s *buffer) consume(l *Loop, n int) {
+	if s.start += n; s.start >= len(s.buf) {
 		s.free(l)
 	}
 }
 
-// free gives the buffer back.
-func (s *store) free(l *Loop) {
-	l.giveBack(s.buf)
-	s.buf, s.off = nil, 0
+// free drops all bytes and gives the buffer back to the pool.
+func (s *buffer) free(l *Loop) {
+	l.putBuffer(s.buf)
+	s.buf, s.start = nil, 0
 }
 
-// Buffers that nothing is in are kept for the next writer: none larger than bufferMost, and
-// freeMost bytes together. Without this every round of a busy connection has a buffer grow anew.
+// Empty buffers are pooled: none larger than maxPooledBuffer, and maxPooledBytes bytes together. Without this every round of a
+// busy connection has a buffer grow anew.
 const (
-	chunkSize  = 64 << 10 // the most that one read brings
-	bufferMost = 2 * chunkSize
-	freeMost   = 4 << 20
-	smallest   = 512
+	readSize        = 64 << 10 // the most that one read returns
+	maxPooledBuffer = 2 * readSize
+	maxPooledBytes  = 4 << 20
+	minBuffer       = 512
 )
 
-func (l *Loop) borrow(least int) []byte {
+func (l *Loop) getBuffer(capacity int) []byte {
 	switch {
-	case least <= smallest:
-		return make([]byte, 0, smallest)
-	case least > chunkSize:
-		return make([]byte, 0, least)
+	case capacity <= minBuffer:
+		return make([]byte, 0, minBuffer)
+	case capacity > readSize:
+		return make([]byte, 0, capacity)
 	}
-	if n := len(l.free); n > 0 {
-		b := l.free[n-1]
-		l.free = l.free[:n-1]
+	if n := len(l.freeBuffers); n > 0 {
+		b := l.freeBuffers[n-1]
+		l.freeBuffers = l.freeBuffers[:n-1]
 		l.freeBytes -= cap(b)
 		return b[:0]
 	}
-	return make([]byte, 0, chunkSize)
+	return make([]byte, 0, readSize)
 }
 
-func (l *Loop) giveBack(b []byte) {
-	if cap(b) >= chunkSize && cap(b) <= bufferMost && l.freeBytes+cap(b) <= freeMost {
-		l.free = append(l.free, b)
+func (l *Loop) putBuffer(b []byte) {
+	if cap(b) >= readSize && cap(b) <= maxPooledBuffer && l.freeBytes+cap(b) <= maxPooledBytes {
+		l.freeBuffers = append(l.freeBuffers, b)
 		l.freeBytes += cap(b)
 	}
 }
+
+// SetMemoryLimit bounds the bytes in all buffers together; 0 for no bound. While they have more, a connection that has more
+// than its default share is ended when it needs yet more: each may have the memory for one large message, all at once may not.
+func (l *Loop) SetMemoryLimit(limit int) { l.maxBuffered = limit }
+
+// MemoryPressure reports whether the buffers have more than half of the limit. Callers that can do with less should then,
+// well before connections are ended for it.
+func (l *Loop) MemoryPressure() bool { return l.maxBuffered > 0 && l.bufferedBytes > l.maxBuffered/2 }
+
+func (l *Loop) overMemoryLimit() bool { return l.maxBuffered > 0 && l.bufferedBytes > l.maxBuffered }
--- a/internal/netloop/channel.go
+++ b/internal/netloop/channel.go
@@ -15,21 +15,21 @@
 // Bounds of a channel: one message, the descriptors that go with it, and the
 // messages that may wait for the other process.
 const (
-	messageMost = 128 << 10
-	rightsMost  = 8
-	waitMost    = 4096
+	maxMessageSize     = 128 << 10
+	maxMessageFDs      = 8
+	maxPendingMessages = 4096
 )
 
 // Channel is a connection to another process of this machine. It carries messages,
 // each whole, and descriptors with them.
 type Channel struct {
-	l     *Loop
-	fd    int // -1 once given back
-	wait  []message
-	broke error  // how it ended, while what came before is still heard
-	retry *Timer // until epoll is asked again
-	heard func(text []byte, fds []int)
-	end   func(error)
+	loop       *Loop
+	fd         int // -1 once given back
+	pending    []message
+	sendErr    error  // how it ended, while what came before is still heard
+	retryTimer *Timer // until epoll is asked again
+	onMessage  func(text []byte, fds []int)
+	onEnd      func(error)
 }
 
 type message struct {
@@ -40,11 +40,11 @@
 // Channel serves a connected socket. Heard must take the descriptors that come over
 // or close them; end is called once, when the other process is gone.
 func (l *Loop) Channel(fd int, heard func(text []byte, fds []int), end func(error)) (*Channel, error) {
-	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, 2*messageMost)
-	c := &Channel{l: l, fd: fd, heard: heard, end: end}
+	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, 2*maxMessageSize)
+	c := &Channel{loop: l, fd: fd, onMessage: heard, onEnd: end}
 	err := unix.SetNonblock(fd, true)
 	if err == nil {
-		err = l.add(fd, unix.EPOLLIN, c, &l.descriptorBudget)
+		err = l.register(fd, unix.EPOLLIN, c, &l.descriptorBudget)
 	}
 	if err != nil {
 		unix.Close(fd)
@@ -58,10 +58,10 @@
 	if c.fd < 0 {
 		return io.ErrClosedPipe
 	}
-	if len(text) > messageMost || len(fds) > rightsMost || len(c.wait) >= waitMost {
-		return fmt.Errorf("channel: %d bytes, %d descriptors, %d waiting", len(text), len(fds), len(c.wait))
+	if len(text) > maxMessageSize || len(fds) > maxMessageFDs || len(c.pending) >= maxPendingMessages {
+		return fmt.Errorf("channel: %d bytes, %d descriptors, %d waiting", len(text), len(fds), len(c.pending))
 	}
-	if len(c.wait) == 0 {
+	if len(c.pending) == 0 {
 		err := send(c.fd, text, fds)
 		if !errors.Is(err, unix.EAGAIN) {
 			return err
@@ -76,8 +76,8 @@
 		}
 		m.fds = append(m.fds, twin)
 	}
-	c.wait = append(c.wait, m)
-	c.watch()
+	c.pending = append(c.pending, m)
+	c.updateInterest()
 	return nil
 }
 
@@ -92,68 +92,68 @@
 	if c.fd < 0 {
 		return
 	}
-	for _, m := range c.wait {
+	for _, m := range c.pending {
 		m.close()
 	}
-	c.retry.Stop()
-	c.l.drop(c.fd, &c.l.descriptorBudget)
-	c.fd, c.wait = -1, nil
+	c.retryTimer.Stop()
+	c.loop.unregister(c.fd, &c.loop.descriptorBudget)
+	c.fd, c.pending = -1, nil
 }
 
 func (c *Channel) ready(events uint32) {
-	for c.fd >= 0 && len(c.wait) > 0 && events&unix.EPOLLOUT != 0 {
-		m := c.wait[0]
+	for c.fd >= 0 && len(c.pending) > 0 && events&unix.EPOLLOUT != 0 {
+		m := c.pending[0]
 		err := send(c.fd, m.text, m.fds)
 		if errors.Is(err, unix.EAGAIN) {
 			break
 		}
 		if err != nil {
-			c.broke = err // what has come before it is heard first
+			c.sendErr = err // what has come before it is heard first
 			break
 		}
 		m.close()
-		if c.wait = c.wait[1:]; len(c.wait) == 0 {
-			c.watch()
+		if c.pending = c.pending[1:]; len(c.pending) == 0 {
+			c.updateInterest()
 		}
 	}
-	for range readMost {
+	for range maxReadsPerEvent {
 		if c.fd < 0 || events&^unix.EPOLLOUT == 0 {
 			return
 		}
 		text, fds, err := receive(c.fd, unix.MSG_DONTWAIT)
 		switch {
-		case errors.Is(err, unix.EAGAIN) && c.broke == nil:
+		case errors.Is(err, unix.EAGAIN) && c.sendErr == nil:
 			return
-		case errors.Is(err, unix.ECONNRESET) && c.broke == nil:
-			c.broke = err // the kernel shows it once, before the messages that wait
+		case errors.Is(err, unix.ECONNRESET) && c.sendErr == nil:
+			c.sendErr = err // the kernel shows it once, before the messages that wait
 			continue
 		case err != nil:
-			c.fail(cmp.Or(c.broke, err))
+			c.fail(cmp.Or(c.sendErr, err))
 			return
 		}
-		c.heard(text, fds)
+		c.onMessage(text, fds)
 	}
 }
 
-// watch has epoll tell of what comes, and of room while messages wait. Where the system has no means for that now it is
+// updateInterest has epoll tell of what comes, and of room while messages wait. Where the system has no means for that now it is
 // tried again.
-func (c *Channel) watch() {
+func (c *Channel) updateInterest() {
 	if c.fd < 0 {
 		return
 	}
 	var want uint32 = unix.EPOLLIN
-	if len(c.wait) > 0 {
+	if len(c.pending) > 0 {
 		want |= unix.EPOLLOUT
 	}
-	if c.l.watch(unix.EPOLL_CTL_MOD, c.fd, want) != nil {
-		c.retry.Stop()
-		c.retry = c.l.After(meansPause, c.watch)
+	if c.loop.epollCtl(unix.EPOLL_CTL_MOD, c.fd, want) != nil {
+		c.retryTimer.Stop()
+		c.retryTimer = c.loop.After(resourceRetryDelay, c.updateInterest)
 	}
 }
 
 func (c *Channel) fail(err error) {
 	c.Close()
-	c.end(err)
+	c.onEnd(err)
 }
 
 func send(fd int, text []byte, fds []int) error {
@@ -171,7 +171,7 @@
 
 func receive(fd, flags int) ([]byte, []int, error) {
 	// Sized for the largest, and cut to what came.
-	text, rights := make([]byte, messageMost), make([]byte, unix.CmsgSpace(4*rightsMost))
+	text, rights := make([]byte, maxMessageSize), make([]byte, unix.CmsgSpace(4*maxMessageFDs))
 	n, m, got, _, err := unix.Recvmsg(fd, text, rights, flags|unix.MSG_CMSG_CLOEXEC)
 	if err != nil {
 		return nil, nil, err
@@ -252,7 +252,7 @@
 		return nil, fmt.Errorf("channel: %w", err)
 	}
 	os.Remove(path)
-	s := &Listener{l: l, fd: fd, take: accept, budget: &l.descriptorBudget}
+	s := &Listener{loop: l, fd: fd, onAcceptFD: accept, budget: &l.descriptorBudget}
 	if err = unix.Bind(fd, at); err == nil {
 		err = s.start(1)
 	}
@@ -264,4 +264,4 @@
 }
 
 // Idle says that nothing waits to be sent.
-func (c *Channel) Idle() bool { return len(c.wait) == 0 }
+func (c *Channel) Idle() bool { return len(c.pending) == 0 }
--- a/internal/netloop/conn.go
+++ b/internal/netloop/conn.go
@@ -14,15 +14,15 @@
 const (
 	DefaultReadLimit  = 8 << 10  // unread bytes kept; beyond it reading rests
 	DefaultWriteLimit = 64 << 10 // unsent bytes at which Room is used up
-	outOver           = 32 << 10 // what may be written beyond, for answers
-	linger            = time.Second
-	// lingerMost is how much of an ended connection's rest is read, so that who
+	writeMargin       = 32 << 10 // what may be written beyond, for answers
+	lingerTimeout     = time.Second
+	// maxLingerBytes is how much of an ended connection's rest is read, so that who
 	// sends without end costs no more than that.
-	lingerMost = 256 << 10
-	// meansPause is how long what the system has no means for rests before it is tried again: asking at once would spin.
-	meansPause = 20 * time.Millisecond
-	// readMost is how many times a connection is read before others have a turn.
-	readMost = 8
+	maxLingerBytes = 256 << 10
+	// resourceRetryDelay is how long what the system has no means for rests before it is tried again: asking at once would spin.
+	resourceRetryDelay = 20 * time.Millisecond
+	// maxReadsPerEvent is how many times a connection is read before others have a turn.
+	maxReadsPerEvent = 8
 )
 
 // ErrDialTimeout is how a dial ends that took too long.
@@ -47,59 +47,59 @@
 
 // Conn is a connection. It owns its descriptor and its buffers.
 type Conn struct {
-	l        *Loop
-	fd       int // -1 once given back
-	h        Handler
-	in, out  store
-	inMost   int
-	outMost  int
-	watched  bool   // epoll has taken the descriptor
-	interest uint32 // what epoll watches it for
-	retry    *Timer // until what the system had no means for is tried again
-	stalled  bool   // nothing is read or written meanwhile
-	dialling *Timer // until a dialled connection stands
-	failing  *Timer // an error waits to be told
-	farewell *Timer // an ended connection lingers
-	eof      bool   // the peer has ended its sending
-	ending   bool   // Finish was called
-	shut     bool   // our sending is ended
-	busy     bool   // in a call of the handler's Data
-	left     int    // bytes that were unsent when it broke
-	held     int    // bytes of its buffers that the loop has counted
-	rest     int    // bytes thrown away after Finish
-	spare    *list.Element
-	giveUp   func()
-	budget   *descriptorBudget
-	dirty    bool // what Queue has kept leaves at the end of the round
-	sec      *secure
-	resting  bool // the handler has no use for more bytes before Resume
-	endFirst bool // the peer's end is told also while bytes that came before it are unread
+	loop              *Loop
+	fd                int // -1 once given back
+	handler           Handler
+	unread, unsentBuf buffer
+	maxUnread         int
+	maxUnsent         int
+	registered        bool   // epoll has taken the descriptor
+	interest          uint32 // what epoll watches it for
+	retryTimer        *Timer // until what the system had no means for is tried again
+	stalled           bool   // nothing is read or written meanwhile
+	dialTimer         *Timer // until a dialled connection stands
+	failTimer         *Timer // an error waits to be told
+	lingerTimer       *Timer // an ended connection lingers
+	eof               bool   // the peer has ended its sending
+	finishing         bool   // Finish was called
+	writeClosed       bool   // our sending is ended
+	inData            bool   // in a call of the handler's Data
+	unsentAtEnd       int    // bytes that were unsent when it broke
+	countedBytes      int    // bytes of its buffers that the loop has counted
+	discarded         int    // bytes thrown away after Finish
+	evictElement      *list.Element
+	onEvict           func()
+	budget            *descriptorBudget
+	flushQueued       bool // what Queue has kept leaves at the end of the round
+	tls               *tlsState
+	readPaused        bool // the handler has no use for more bytes before Resume
+	earlyEOF          bool // the peer's end is told also while bytes that came before it are unread
 }
 
 // newConn makes a connection, which owns the descriptor if there is one yet.
 func newConn(l *Loop, fd int, from *descriptorBudget) *Conn {
-	c := &Conn{l: l, fd: -1, inMost: DefaultReadLimit, outMost: DefaultWriteLimit, budget: from}
+	c := &Conn{loop: l, fd: -1, maxUnread: DefaultReadLimit, maxUnsent: DefaultWriteLimit, budget: from}
 	if fd >= 0 {
-		c.takeOver(fd)
+		c.adopt(fd)
 	}
 	return c
 }
 
-// takeOver makes a descriptor the connection's own. What is written is to leave at once.
-func (c *Conn) takeOver(fd int) {
-	c.l.sys.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
+// adopt makes a descriptor the connection's own. What is written is to leave at once.
+func (c *Conn) adopt(fd int) {
+	c.loop.syscalls.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	c.fd = fd
-	c.l.own(fd, c, c.budget)
+	c.loop.track(fd, c, c.budget)
 }
 
 // SetHandler names who is told from now on.
-func (c *Conn) SetHandler(h Handler) { c.h = h }
+func (c *Conn) SetHandler(h Handler) { c.handler = h }
 
 // SetBufferLimits sets how many bytes may be unread and unsent.
-func (c *Conn) SetBufferLimits(in, out int) { c.inMost, c.outMost = in, out }
+func (c *Conn) SetBufferLimits(in, out int) { c.maxUnread, c.maxUnsent = in, out }
 
 // LocalAddr is the connection's own address.
-func (c *Conn) LocalAddr() string { return ownAddr(c.fd) }
+func (c *Conn) LocalAddr() string { return localAddr(c.fd) }
 
 // RemoteIP is the other end's IP address.
 func (c *Conn) RemoteIP() string {
@@ -107,7 +107,7 @@
 	if err != nil {
 		return ""
 	}
-	ip, err := netip.ParseAddrPort(named(at))
+	ip, err := netip.ParseAddrPort(formatSockaddr(at))
 	if err != nil {
 		return ""
 	}
@@ -118,106 +118,106 @@
 // end is called, and what has left by then still arrives. Who was spared longest
 // ago goes first. Nil takes it back.
 func (c *Conn) SetEvictable(end func()) {
-	if c.spare != nil {
-		c.budget.spare.Remove(c.spare)
-		c.spare = nil
+	if c.evictElement != nil {
+		c.budget.evictable.Remove(c.evictElement)
+		c.evictElement = nil
 	}
-	if c.giveUp = end; end != nil && c.fd >= 0 {
-		c.spare = c.budget.spare.PushBack(c)
+	if c.onEvict = end; end != nil && c.fd >= 0 {
+		c.evictElement = c.budget.evictable.PushBack(c)
 	}
 }
 
-// later tells an error met inside a call of the handler's from the loop.
-func (c *Conn) later(err error) {
-	if c.failing == nil {
-		c.failing = c.l.After(0, func() { c.fail(err) })
+// failLater tells an error met inside a call of the handler's from the loop.
+func (c *Conn) failLater(err error) {
+	if c.failTimer == nil {
+		c.failTimer = c.loop.After(0, func() { c.fail(err) })
 	}
 }
 
-// count tells the loop how much the buffers hold.
-func (c *Conn) count() {
-	now := c.in.size() + c.unsent()
-	c.l.held += now - c.held
-	c.held = now
+// countBuffered tells the loop how much the buffers hold.
+func (c *Conn) countBuffered() {
+	now := c.unread.size() + c.unsent()
+	c.loop.bufferedBytes += now - c.countedBytes
+	c.countedBytes = now
 }
 
 func (c *Conn) ready(events uint32) {
 	if c.interest&unix.EPOLLOUT != 0 && events&(unix.EPOLLOUT|unix.EPOLLERR|unix.EPOLLHUP) != 0 {
-		if c.dialling != nil && !c.opened() {
+		if c.dialTimer != nil && !c.finishDial() {
 			return
 		}
 		c.flush()
 	}
-	if c.fd >= 0 && c.dialling == nil && c.failing == nil && events&(unix.EPOLLIN|unix.EPOLLERR|unix.EPOLLHUP|unix.EPOLLRDHUP) != 0 {
+	if c.fd >= 0 && c.dialTimer == nil && c.failTimer == nil && events&(unix.EPOLLIN|unix.EPOLLERR|unix.EPOLLHUP|unix.EPOLLRDHUP) != 0 {
 		c.read(events)
 	}
-	if c.fd >= 0 && c.endFirst && events&unix.EPOLLRDHUP != 0 && c.interest&unix.EPOLLRDHUP != 0 {
-		c.heardEnd()
+	if c.fd >= 0 && c.earlyEOF && events&unix.EPOLLRDHUP != 0 && c.interest&unix.EPOLLRDHUP != 0 {
+		c.handleEOF()
 	}
-	c.update()
+	c.updateInterest()
 }
 
-// update asks epoll for what the connection can use now.
-func (c *Conn) update() {
+// updateInterest asks epoll for what the connection can use now.
+func (c *Conn) updateInterest() {
 	if c.fd < 0 {
 		return
 	}
-	want := c.wanted()
+	want := c.wantedEvents()
 	operation := unix.EPOLL_CTL_MOD
 	switch {
-	case !c.watched:
+	case !c.registered:
 		operation = unix.EPOLL_CTL_ADD
 	case want == c.interest:
 		return
 	}
-	if c.l.watch(operation, c.fd, want) != nil {
-		c.tryAgain()
+	if c.loop.epollCtl(operation, c.fd, want) != nil {
+		c.retryLater()
 		return
 	}
-	c.watched, c.interest = true, want
+	c.registered, c.interest = true, want
 }
 
-// tryAgain goes on a little later with what the system has no means for now.
-func (c *Conn) tryAgain() {
-	c.retry.Stop()
-	c.retry = c.l.After(meansPause, func() {
+// retryLater goes on a little later with what the system has no means for now.
+func (c *Conn) retryLater() {
+	c.retryTimer.Stop()
+	c.retryTimer = c.loop.After(resourceRetryDelay, func() {
 		c.stalled = false
-		if c.dialling == nil {
+		if c.dialTimer == nil {
 			c.flush()
 		}
-		c.update()
+		c.updateInterest()
 	})
 }
 
 // stall has nothing read or written for a moment: epoll would report the connection as ready all the time.
 func (c *Conn) stall() {
 	c.stalled = true
-	c.tryAgain()
+	c.retryLater()
 }
 
-// outOfMeans says that a call has failed for want of the system's own memory, and may be made again.
-func outOfMeans(err error) bool { return err == unix.ENOBUFS || err == unix.ENOMEM }
+// outOfMemory says that a call has failed for want of the system's own memory, and may be made again.
+func outOfMemory(err error) bool { return err == unix.ENOBUFS || err == unix.ENOMEM }
 
-// wanted is what epoll is to watch the connection for.
-func (c *Conn) wanted() (want uint32) {
+// wantedEvents is what epoll is to watch the connection for.
+func (c *Conn) wantedEvents() (want uint32) {
 	if c.stalled {
 		return 0
 	}
-	if c.dialling != nil || c.sec == nil && c.out.size() > 0 || c.sec != nil && (c.sec.cipher.size() > 0 || c.sec.up && c.out.size() > 0) {
+	if c.dialTimer != nil || c.tls == nil && c.unsentBuf.size() > 0 || c.tls != nil && (c.tls.encrypted.size() > 0 || c.tls.established && c.unsentBuf.size() > 0) {
 		want |= unix.EPOLLOUT
 	}
-	if c.dialling == nil && c.failing == nil && !c.eof && (c.ending || c.in.size() < c.inMost && !c.resting) {
+	if c.dialTimer == nil && c.failTimer == nil && !c.eof && (c.finishing || c.unread.size() < c.maxUnread && !c.readPaused) {
 		want |= unix.EPOLLIN
-	} else if c.endFirst && c.dialling == nil && c.failing == nil && !c.eof {
+	} else if c.earlyEOF && c.dialTimer == nil && c.failTimer == nil && !c.eof {
 		want |= unix.EPOLLRDHUP
 	}
 	return want
 }
 
-// deaf is the handler of a connection that nobody listens to any more.
-type deaf struct{}
+// discardHandler is the handler of a connection that nobody listens to any more.
+type discardHandler struct{}
 
-func (deaf) Open()             {}
-func (deaf) Data(b []byte) int { return len(b) }
-func (deaf) Drained()          {}
-func (deaf) End(error)         {}
+func (discardHandler) Open()             {}
+func (discardHandler) Data(b []byte) int { return len(b) }
+func (discardHandler) Drained()          {}
+func (discardHandler) End(error)         {}
--- a/internal/netloop/conn_dial.go
+++ b/internal/netloop/conn_dial.go
@@ -31,59 +31,59 @@
 // room, which the dial after this one finds.
 func (r *DescriptorReserve) Dial(addr string, within time.Duration, h Handler) *Conn {
 	if r.FreeDescriptors() <= 0 {
-		r.giveUp()
+		r.evictOldest()
 	}
 	return r.loop.dial(addr, within, h, &r.descriptorBudget)
 }
 
 func (l *Loop) dial(addr string, within time.Duration, h Handler, from *descriptorBudget) *Conn {
 	c := newConn(l, -1, from)
-	c.h = h
+	c.handler = h
 	if err := c.connect(addr, within); err != nil {
-		c.dialling = l.After(0, func() { c.fail(err) })
+		c.dialTimer = l.After(0, func() { c.fail(err) })
 	}
 	return c
 }
 
 func (c *Conn) connect(addr string, within time.Duration) error {
-	at, family, err := address(addr)
+	at, family, err := parseSockaddr(addr)
 	if err != nil {
 		return err
 	}
 	if c.budget.FreeDescriptors() <= 0 {
 		return ErrNoDescriptors
 	}
-	fd, err := c.l.sys.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
+	fd, err := c.loop.syscalls.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return local(err)
+		return localError(err)
 	}
-	if err = c.l.sys.Connect(fd, at); err != nil && !underWay(err) {
+	if err = c.loop.syscalls.Connect(fd, at); err != nil && !inProgress(err) {
 		unix.Close(fd)
-		return refusal(err)
+		return connectError(err)
 	}
-	c.takeOver(fd)
-	c.dialling = c.l.After(within, func() { c.fail(ErrDialTimeout) })
-	c.update()
+	c.adopt(fd)
+	c.dialTimer = c.loop.After(within, func() { c.fail(ErrDialTimeout) })
+	c.updateInterest()
 	return nil
 }
 
-// underWay says that a connection is being set up, though connect has not waited for it.
-func underWay(err error) bool { return err == unix.EINPROGRESS || err == unix.EINTR }
+// inProgress says that a connection is being set up, though connect has not waited for it.
+func inProgress(err error) bool { return err == unix.EINPROGRESS || err == unix.EINTR }
 
-// refusal is what an error of connect itself says. Of these the peer can only have caused the first three.
-func refusal(err error) error {
+// connectError is what an error of connect itself says. Of these the peer can only have caused the first three.
+func connectError(err error) error {
 	switch err {
 	case unix.ECONNREFUSED, unix.EHOSTUNREACH, unix.ETIMEDOUT:
 		return err
 	}
-	return local(err)
+	return localError(err)
 }
 
-// local marks an error as a want of this machine's own means, which the peer has nothing to do with.
-func local(err error) error { return fmt.Errorf("%w: %w", ErrNoDescriptors, err) }
+// localError marks an error as a want of this machine's own means, which the peer has nothing to do with.
+func localError(err error) error { return fmt.Errorf("%w: %w", ErrNoDescriptors, err) }
 
-// opened finishes a dial; false if the connection is still on its way or over.
-func (c *Conn) opened() bool {
+// finishDial finishes a dial; false if the connection is still on its way or over.
+func (c *Conn) finishDial() bool {
 	code, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err == nil && code != 0 {
 		err = unix.Errno(code)
@@ -95,8 +95,8 @@
 	if _, err := unix.Getpeername(c.fd); err != nil {
 		return false
 	}
-	c.dialling.Stop()
-	c.dialling = nil
-	c.h.Open()
+	c.dialTimer.Stop()
+	c.dialTimer = nil
+	c.handler.Open()
 	return c.fd >= 0
 }
--- a/internal/netloop/conn_end.go
+++ b/internal/netloop/conn_end.go
@@ -9,21 +9,21 @@
 // Finish ends the connection politely: what is unsent still leaves, then the
 // peer sees the end. The handler is told nothing more.
 func (c *Conn) Finish() {
-	if c.fd < 0 || c.dialling != nil || c.failing != nil {
+	if c.fd < 0 || c.dialTimer != nil || c.failTimer != nil {
 		c.release()
 		return
 	}
-	if c.ending {
+	if c.finishing {
 		return
 	}
-	c.ending, c.h = true, deaf{}
-	c.forget()
-	c.count()
+	c.finishing, c.handler = true, discardHandler{}
+	c.dropUnread()
+	c.countBuffered()
 	// A peer that neither reads nor ends must not hold the descriptor.
-	c.farewell = c.l.After(linger, c.release)
+	c.lingerTimer = c.loop.After(lingerTimeout, c.release)
 	c.SetEvictable(c.release)
-	c.flushed()
-	c.update()
+	c.finishWriting()
+	c.updateInterest()
 }
 
 // Reset ends the connection at once; the peer sees a reset.
@@ -37,7 +37,7 @@
 // Detachable says whether Detach would work: the connection stands, is not ending and
 // has nothing to send.
 func (c *Conn) Detachable() bool {
-	return c.fd >= 0 && c.dialling == nil && c.failing == nil && !c.ending && !c.eof && c.out.size() == 0 && c.sec == nil
+	return c.fd >= 0 && c.dialTimer == nil && c.failTimer == nil && !c.finishing && !c.eof && c.unsentBuf.size() == 0 && c.tls == nil
 }
 
 // Detach takes the connection off the loop without ending it, and returns its
@@ -51,7 +51,7 @@
 	if err != nil {
 		return -1, nil
 	}
-	unread = append(unread, c.in.data()...)
+	unread = append(unread, c.unread.data()...)
 	c.release()
 	return fd, unread
 }
@@ -60,58 +60,58 @@
 // the bytes that were not taken there; they are handed to the handler by Resume.
 func (l *Loop) Attach(fd int, unread []byte, h Handler) *Conn {
 	c := newConn(l, fd, &l.descriptorBudget)
-	c.h = h
+	c.handler = h
 	if len(unread) > 0 {
-		c.in.add(l, unread)
+		c.unread.append(l, unread)
 	}
-	c.count()
-	c.update()
+	c.countBuffered()
+	c.updateInterest()
 	return c
 }
 
 // release is the one place where a connection gives back what it owns.
 func (c *Conn) release() {
-	for _, t := range []*Timer{c.dialling, c.failing, c.farewell, c.retry} {
+	for _, t := range []*Timer{c.dialTimer, c.failTimer, c.lingerTimer, c.retryTimer} {
 		t.Stop()
 	}
 	c.SetEvictable(nil)
-	c.left += c.unsent()
-	c.out.free(c.l)
-	if c.sec != nil {
-		c.sec.end()
+	c.unsentAtEnd += c.unsent()
+	c.unsentBuf.free(c.loop)
+	if c.tls != nil {
+		c.tls.end()
 	}
-	c.forget()
-	c.h, c.ending = deaf{}, true
-	c.count()
+	c.dropUnread()
+	c.handler, c.finishing = discardHandler{}, true
+	c.countBuffered()
 	if c.fd >= 0 {
-		if c.shut {
-			c.readOut()
+		if c.writeClosed {
+			c.discardUnread()
 		}
-		c.l.drop(c.fd, c.budget)
+		c.loop.unregister(c.fd, c.budget)
 		c.fd = -1
 	}
 }
 
-// leave ends the connection as the loop ends: the peer gets what the system has taken, and an end after it.
-func (c *Conn) leave() {
-	if c.dialling == nil {
+// shutdownOnExit ends the connection as the loop ends: the peer gets what the system has taken, and an end after it.
+func (c *Conn) shutdownOnExit() {
+	if c.dialTimer == nil {
 		unix.Shutdown(c.fd, unix.SHUT_WR)
-		c.readOut()
+		c.discardUnread()
 	}
 }
 
-// forget throws unread bytes away. A handler that is reading them still may.
-func (c *Conn) forget() {
-	if c.busy {
-		c.in = store{}
+// dropUnread throws unread bytes away. A handler that is reading them still may.
+func (c *Conn) dropUnread() {
+	if c.inData {
+		c.unread = buffer{}
 	} else {
-		c.in.free(c.l)
+		c.unread.free(c.loop)
 	}
 }
 
 // fail ends the connection on an error.
 func (c *Conn) fail(err error) {
-	h, told := c.h, c.eof
+	h, told := c.handler, c.eof
 	c.release()
 	if !told {
 		h.End(err)
--- a/internal/netloop/datagram.go
+++ b/internal/netloop/datagram.go
@@ -11,16 +11,16 @@
 
 // ListenUDP is a UDP socket.
 type UDPSocket struct {
-	l       *Loop
-	fd      int // -1 once given back
-	heard   func(from string, b []byte)
-	Dropped int // that could not leave: the next ones say the same
+	loop       *Loop
+	fd         int // -1 once given back
+	onDatagram func(from string, b []byte)
+	Dropped    int // that could not leave: the next ones say the same
 }
 
 // ListenUDP opens a UDP socket. Heard may keep nothing of b. What is longer than the loop's own buffer, which is longer than
 // any datagram, does not exist.
 func (l *Loop) ListenUDP(addr string, heard func(from string, b []byte)) (*UDPSocket, error) {
-	at, family, err := address(addr)
+	at, family, err := parseSockaddr(addr)
 	if err != nil {
 		return nil, err
 	}
@@ -28,9 +28,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("datagrams at %s: %w", addr, err)
 	}
-	d := &UDPSocket{l: l, fd: fd, heard: heard}
+	d := &UDPSocket{loop: l, fd: fd, onDatagram: heard}
 	if err = unix.Bind(fd, at); err == nil {
-		err = l.add(fd, unix.EPOLLIN, d, &l.descriptorBudget)
+		err = l.register(fd, unix.EPOLLIN, d, &l.descriptorBudget)
 	}
 	if err != nil {
 		unix.Close(fd)
@@ -40,11 +40,11 @@
 }
 
 // LocalAddr is where the socket is.
-func (d *UDPSocket) Addr() string { return ownAddr(d.fd) }
+func (d *UDPSocket) Addr() string { return localAddr(d.fd) }
 
 // Send sends one, or drops it where there is no room: nothing waits.
 func (d *UDPSocket) Send(to string, b []byte) {
-	at, _, err := address(to)
+	at, _, err := parseSockaddr(to)
 	if err == nil && d.fd >= 0 {
 		err = unix.Sendto(d.fd, b, unix.MSG_DONTWAIT, at)
 	}
@@ -56,7 +56,7 @@
 // Close gives the socket back. A nil one may be closed.
 func (d *UDPSocket) Close() {
 	if d != nil && d.fd >= 0 {
-		d.l.drop(d.fd, &d.l.descriptorBudget)
+		d.loop.unregister(d.fd, &d.loop.descriptorBudget)
 		d.fd = -1
 	}
 }
@@ -66,13 +66,13 @@
 		if d.fd < 0 {
 			return
 		}
-		n, from, err := unix.Recvfrom(d.fd, d.l.chunk, unix.MSG_DONTWAIT)
+		n, from, err := unix.Recvfrom(d.fd, d.loop.readBuffer, unix.MSG_DONTWAIT)
 		switch {
 		case err == unix.EINTR || err == unix.ECONNREFUSED: // the latter is of one that was sent
 			continue
 		case err != nil:
 			return
 		}
-		d.heard(named(from), d.l.chunk[:n])
+		d.onDatagram(formatSockaddr(from), d.loop.readBuffer[:n])
 	}
 }
--- a/internal/netloop/timer.go
+++ b/internal/netloop/timer.go
@@ -29,7 +29,7 @@
 	}
 }
 
-func (l *Loop) patience() int {
+func (l *Loop) pollTimeout() int {
 	if len(l.timers.heap) == 0 {
 		return -1
 	}
@@ -37,34 +37,34 @@
 	return int(max(0, min(wait+time.Millisecond-1, time.Minute)) / time.Millisecond)
 }
 
-// fire runs what is due. A timer set meanwhile waits for the next round, so that
+// runTimers runs what is due. A timer set meanwhile waits for the next round, so that
 // one that sets itself again cannot keep the sockets waiting.
-func (l *Loop) fire() {
+func (l *Loop) runTimers() {
 	now, order := l.Now(), l.timers.order
 	for len(l.timers.heap) > 0 && l.timers.heap[0].at <= now && l.timers.heap[0].order < order {
 		heap.Pop(&l.timers).(*Timer).call()
 	}
 }
 
-type timers struct {
+type timerQueue struct {
 	heap  []*Timer
 	order uint64
 }
 
-func (t *timers) Len() int { return len(t.heap) }
-func (t *timers) Less(i, j int) bool {
+func (t *timerQueue) Len() int { return len(t.heap) }
+func (t *timerQueue) Less(i, j int) bool {
 	x, y := t.heap[i], t.heap[j]
 	return x.at < y.at || x.at == y.at && x.order < y.order
 }
-func (t *timers) Swap(i, j int) {
+func (t *timerQueue) Swap(i, j int) {
 	t.heap[i], t.heap[j] = t.heap[j], t.heap[i]
 	t.heap[i].index, t.heap[j].index = i, j
 }
-func (t *timers) Push(x any) {
+func (t *timerQueue) Push(x any) {
 	t.heap = append(t.heap, x.(*Timer))
 	x.(*Timer).index = len(t.heap) - 1
 }
-func (t *timers) Pop() any {
+func (t *timerQueue) Pop() any {
 	last := len(t.heap) - 1
 	x := t.heap[last]
 	t.heap[last] = nil
--- /dev/null
+++ b/internal/netloop/tls.go
@@ -0,0 +1,253 @@
+package netloop
+
+import (
+	"crypto/tls"
+	"errors"
+	"io"
+	"net"
+	"sync"
+	"time"
+)
+
+// maxHandshakes is how many TLS handshakes may be under way at once; each has a goroutine, and a peer
+// may be slow on purpose. Who comes beyond that is refused at once.
+const maxHandshakes = 64
+
+// maxUndecrypted is how much of a peer's TLS bytes is kept undecrypted.
+const maxUndecrypted = 64 << 10
+
+// ErrHandshakes is how a connection ends for which there is no handshake to be had.
+var ErrHandshakes = errors.New("too many TLS handshakes")
+
+// tlsState is the TLS side of a connection. The handshake runs in a goroutine on a connection in
+// memory, which the loop feeds; after it only the loop calls the TLS state, on the same
+// connection in memory, whose Read no longer blocks.
+type tlsState struct {
+	conn            *Conn
+	tls             *tls.Conn
+	transport       memoryPipe
+	encrypted       buffer // encrypted and unsent
+	established     bool
+	handshakeTimer  *Timer
+	closeNotifySent bool // the peer was told that nothing more comes
+}
+
+// StartTLS has all further bytes go by TLS: what was written before leaves as it is. Done is called
+// from the loop once the handshake has succeeded; if it fails the handler is told by End.
+func (c *Conn) StartTLS(cfg *tls.Config, client bool, within time.Duration, done func(tls.ConnectionState)) {
+	if c.fd < 0 || c.tls != nil || c.failTimer != nil {
+		return
+	}
+	if c.loop.handshakes >= maxHandshakes {
+		c.failLater(ErrHandshakes)
+		return
+	}
+	c.loop.handshakes++
+	s := &tlsState{conn: c}
+	s.transport.readable = sync.NewCond(&s.transport.mu)
+	s.transport.send = func(b []byte) {
+		c.loop.Post(func() {
+			if c.tls == s && c.fd >= 0 {
+				s.encrypted.append(c.loop, b)
+				c.flush()
+				c.updateInterest()
+			}
+		})
+	}
+	if client {
+		s.tls = tls.Client(&s.transport, cfg)
+	} else {
+		s.tls = tls.Server(&s.transport, cfg)
+	}
+	s.encrypted, c.unsentBuf = c.unsentBuf, buffer{}
+	if c.unread.size() > 0 { // the peer was quicker
+		s.transport.feed(c.unread.data())
+		c.unread.free(c.loop)
+	}
+	c.tls, c.readPaused = s, false
+	s.handshakeTimer = c.loop.After(within, func() { c.fail(ErrDialTimeout) })
+	c.updateInterest()
+	go func() {
+		err := s.tls.Handshake()
+		c.loop.Post(func() { s.finishHandshake(err, done) })
+	}()
+}
+
+// IsTLS says whether the connection speaks TLS.
+func (c *Conn) IsTLS() bool { return c.tls != nil && c.tls.established }
+
+// finishHandshake takes the connection over from the handshake's goroutine.
+func (s *tlsState) finishHandshake(err error, done func(tls.ConnectionState)) {
+	c := s.conn
+	c.loop.handshakes--
+	s.handshakeTimer.Stop()
+	if c.tls != s || c.fd < 0 {
+		return
+	}
+	if err != nil {
+		if s.encrypted.size() > 0 {
+			c.flush() // the alert that says why
+		}
+		c.fail(err)
+		return
+	}
+	s.established = true
+	s.transport.mu.Lock()
+	s.transport.nonBlocking = true
+	s.transport.send = func(b []byte) { s.encrypted.append(c.loop, b) }
+	s.transport.mu.Unlock()
+	done(s.tls.ConnectionState())
+	c.flush()
+	s.read()
+	c.updateInterest()
+}
+
+// receive feeds bytes that came.
+func (s *tlsState) receive(b []byte) {
+	s.transport.feed(b)
+	if s.established {
+		s.read()
+	} else if s.transport.size() > maxUndecrypted {
+		s.conn.fail(errors.New("too much before the end of a TLS handshake"))
+	}
+}
+
+// read decrypts what has come and hands it on, while the handler takes it.
+func (s *tlsState) read() {
+	c := s.conn
+	if c.loop.tlsReadBuffer == nil {
+		c.loop.tlsReadBuffer = make([]byte, 16<<10) // a record is no longer
+	}
+	chunk := c.loop.tlsReadBuffer
+	for s.established && c.fd >= 0 && !c.readPaused && c.unread.size() < c.maxUnread {
+		n, err := s.tls.Read(chunk)
+		if n > 0 && !c.finishing {
+			c.receivePlain(chunk[:n])
+		}
+		if c.fd < 0 || err == nil {
+			continue
+		}
+		var late net.Error
+		switch {
+		case errors.As(err, &late) && late.Timeout():
+		case err == io.EOF:
+			c.handleEOF()
+		default:
+			c.fail(err)
+		}
+		return
+	}
+}
+
+// write encrypts what waits, as far as the kernel may take it soon.
+func (s *tlsState) write() error {
+	c := s.conn
+	for s.established && c.unsentBuf.size() > 0 && s.encrypted.size() < DefaultWriteLimit {
+		b := c.unsentBuf.data()
+		n, err := s.tls.Write(b[:min(len(b), 16<<10)])
+		c.unsentBuf.consume(c.loop, n)
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// closeNotify tells the peer that nothing more comes, and says whether there was anything to tell.
+func (s *tlsState) closeNotify() bool {
+	if s.closeNotifySent || !s.established {
+		return false
+	}
+	s.closeNotifySent = true
+	s.tls.CloseWrite()
+	return s.encrypted.size() > 0
+}
+
+// end gives back what the connection held, and the handshake's goroutine ends.
+func (s *tlsState) end() {
+	s.handshakeTimer.Stop()
+	s.encrypted.free(s.conn.loop)
+	s.transport.Close()
+}
+
+// memoryPipe is the connection in memory under the TLS state.
+type memoryPipe struct {
+	mu          sync.Mutex
+	readable    *sync.Cond
+	received    []byte
+	closed      bool
+	nonBlocking bool // Read does not wait: only the loop reads now
+	send        func(b []byte)
+}
+
+func (p *memoryPipe) feed(b []byte) {
+	p.mu.Lock()
+	p.received = append(p.received, b...)
+	p.mu.Unlock()
+	p.readable.Signal()
+}
+
+func (p *memoryPipe) size() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.received)
+}
+
+// Read is the TLS state's.
+func (p *memoryPipe) Read(b []byte) (int, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for len(p.received) == 0 {
+		switch {
+		case p.closed:
+			return 0, io.EOF
+		case p.nonBlocking:
+			return 0, errWouldBlock{}
+		}
+		p.readable.Wait()
+	}
+	n := copy(b, p.received)
+	if p.received = p.received[n:]; len(p.received) == 0 {
+		p.received = nil
+	}
+	return n, nil
+}
+
+// Write is the TLS state's.
+func (p *memoryPipe) Write(b []byte) (int, error) {
+	p.mu.Lock()
+	over, polled, send := p.closed, p.nonBlocking, p.send
+	p.mu.Unlock()
+	if over {
+		return 0, net.ErrClosed
+	}
+	if !polled {
+		b = append([]byte(nil), b...) // the loop sends it later
+	}
+	send(b)
+	return len(b), nil
+}
+
+// Close has a waiting handshake end.
+func (p *memoryPipe) Close() error {
+	p.mu.Lock()
+	p.closed = true
+	p.mu.Unlock()
+	p.readable.Broadcast()
+	return nil
+}
+
+// The rest of net.Conn, which the TLS state does not need here.
+func (p *memoryPipe) LocalAddr() net.Addr              { return &net.TCPAddr{} }
+func (p *memoryPipe) RemoteAddr() net.Addr             { return &net.TCPAddr{} }
+func (p *memoryPipe) SetDeadline(time.Time) error      { return nil }
+func (p *memoryPipe) SetReadDeadline(time.Time) error  { return nil }
+func (p *memoryPipe) SetWriteDeadline(time.Time) error { return nil }
+
+// errWouldBlock says that nothing has come yet. The TLS state keeps what it has over a temporary
+// error, and goes on with the next Read.
+type errWouldBlock struct{}
+
+func (errWouldBlock) Error() string   { return "nothing has come yet" }
+func (errWouldBlock) Timeout() bool   { return true }
+func (errWouldBlock) Temporary() bool { return true }
