--- a/internal/core/feed_test.go
+++ b/internal/core/feed_test.go
@@ -49,9 +49,9 @@
 		p.r.t.Errorf("message %d: attempt %d (%d)", m.Sequence, p.tries[m.Sequence], m.Attempts)
 	case p.answers[m.Sequence] != "":
 		p.r.t.Errorf("message %d is sent after its answer %s", m.Sequence, p.answers[m.Sequence])
-	case at.left && p.r.now-at.told > 250*time.Millisecond:
-		p.r.t.Errorf("message %d is sent %v after its member left", m.Sequence, p.r.now-at.told)
-	case p.r.doubting:
+	case at.unavailable && p.r.now-at.unavailableSince > 250*time.Millisecond:
+		p.r.t.Errorf("message %d is sent %v after its member left", m.Sequence, p.r.now-at.unavailableSince)
+	case p.r.dispatchPaused:
 		p.r.t.Errorf("message %d is sent during a doubt", m.Sequence)
 	case string(text) != fmt.Sprint("message ", m.Sequence):
 		p.r.t.Errorf("message %d has text %q", m.Sequence, text)
@@ -124,7 +124,7 @@
 	if len(r.book) != 1+2*300 {
 		t.Errorf("%d records", len(r.book))
 	}
-	r.pass(feedRest + time.Second)
+	r.pass(feedIdleTimeout + time.Second)
 	if r.ActiveRequests() != 0 || p.to != nil {
 		t.Error("a feed that rests keeps its place")
 	}
@@ -161,7 +161,7 @@
 	for _, p := range pipes {
 		p.put(5000)
 	}
-	if r.feedBytes > 10<<10+2*feedLeast+100 {
+	if r.feedBytes > 10<<10+2*feedMinBytes+100 {
 		t.Errorf("%d bytes are held", r.feedBytes)
 	}
 	for _, p := range pipes {
@@ -236,7 +236,7 @@
 // has shown to take, and all have their turn.
 func TestFeedCold(t *testing.T) {
 	r := newRig(t, 1)
-	r.members[10].joined = r.now // for the core alone: the module would let hardly any feed in
+	r.members[10].joinedAt = r.now // for the core alone: the module would let hardly any feed in
 	var pipes []*pipe
 	for range 200 {
 		p := newPipe(r, 100)
@@ -271,7 +271,7 @@
 		}
 	}
 	for i, p := range pipes {
-		if p.to != nil && p.f.state == feedUp && p.count(Served) != 30 {
+		if p.to != nil && p.f.state == feedConnected && p.count(Served) != 30 {
 			t.Fatalf("feed %d has had %d of 30 served", i, p.count(Served))
 		}
 	}
@@ -285,24 +285,24 @@
 func TestFeedLine(t *testing.T) {
 	r := newRig(t, 1)
 	m := r.members[10]
-	m.joined = r.now
+	m.joinedAt = r.now
 	hog, next, last := newPipe(r, 100), newPipe(r, 100), newPipe(r, 100)
 	for _, p := range []*pipe{hog, next, last} {
 		p.put(2 * window.InitialWindow)
 		p.f.Connected()
 	}
-	if len(m.line) != 2 || len(next.out) > 0 {
-		t.Fatalf("%d in line", len(m.line))
+	if len(m.feedQueue) != 2 || len(next.out) > 0 {
+		t.Fatalf("%d in line", len(m.feedQueue))
 	}
-	if last.f.Close(); len(m.line) != 1 {
-		t.Errorf("%d in line after one has closed", len(m.line))
+	if last.f.Close(); len(m.feedQueue) != 1 {
+		t.Errorf("%d in line after one has closed", len(m.feedQueue))
 	}
 	other := &member{Member: Member{Name: "other"}}
-	r.lineUp(other, next.f)
-	if len(m.line) != 0 || len(other.line) != 1 {
-		t.Errorf("%d and %d in line after one has gone to the other", len(m.line), len(other.line))
+	r.enqueueFeed(other, next.f)
+	if len(m.feedQueue) != 0 || len(other.feedQueue) != 1 {
+		t.Errorf("%d and %d in line after one has gone to the other", len(m.feedQueue), len(other.feedQueue))
 	}
-	if next.lose(policy.Reset, 0); len(other.line) != 0 {
+	if next.lose(policy.Reset, 0); len(other.feedQueue) != 0 {
 		t.Error("a feed whose link has ended is in line")
 	}
 }
@@ -400,7 +400,7 @@
 	}
 	r.Stop()
 	r.FinishStop()
-	if p.count(Rejected) != 3 || p.after != stopAfter || r.ActiveRequests() != 0 {
+	if p.count(Rejected) != 3 || p.after != stopRetryAfter || r.ActiveRequests() != 0 {
 		t.Errorf("%d rejected, for %v; held %d", p.count(Rejected), p.after, r.ActiveRequests())
 	}
 }
