--- a/internal/netloop/address.go
+++ b/internal/netloop/address.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// parseSockaddr is a textual IP address and port as the system takes it.
+// parseSockaddr parses an IP address and port for the system calls, with the address family.
 func parseSockaddr(addr string) (unix.Sockaddr, int, error) {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return ""
 }
 
-// IsBoundTo says whether a socket stands at an address.
+// IsBoundTo reports whether a socket is bound to an address.
 func IsBoundTo(fd int, addr string) bool {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil {
--- a/internal/netloop/channel.go
+++ b/internal/netloop/channel.go
@@ -12,22 +12,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// Bounds of a channel: one message, the descriptors that go with it, and the
-// messages that may wait for the other process.
+// Bounds of a channel: one message, the descriptors that go with it, and the messages that may wait for the other process.
 const (
 	maxMessageSize     = 128 << 10
 	maxMessageFDs      = 8
 	maxPendingMessages = 4096
 )
 
-// Channel is a connection to another process of this machine. It carries messages,
-// each whole, and descriptors with them.
+// Channel is a connection to another process of this machine, which carries messages and descriptors with them.
 type Channel struct {
 	loop       *Loop
 	fd         int // -1 once given back
 	pending    []message
-	sendErr    error  // how it ended, while what came before is still heard
-	retryTimer *Timer // until epoll is asked again
+	sendErr    error  // how sending ended, while messages that came before are still received
+	retryTimer *Timer // until updateInterest is tried again
 	onMessage  func(text []byte, fds []int)
 	onEnd      func(error)
 }
@@ -37,11 +35,11 @@
 	fds  []int // duplicates, closed once sent
 }
 
-// Channel serves a connected socket. Heard must take the descriptors that come over
-// or close them; end is called once, when the other process is gone.
-func (l *Loop) Channel(fd int, heard func(text []byte, fds []int), end func(error)) (*Channel, error) {
+// Channel serves a connected socket. OnMessage must take the descriptors that come over or close them; onEnd is called once, when
+// the other process is gone.
+func (l *Loop) Channel(fd int, onMessage func(text []byte, fds []int), onEnd func(error)) (*Channel, error) {
 	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, 2*maxMessageSize)
-	c := &Channel{loop: l, fd: fd, onMessage: heard, onEnd: end}
+	c := &Channel{loop: l, fd: fd, onMessage: onMessage, onEnd: onEnd}
 	err := unix.SetNonblock(fd, true)
 	if err == nil {
 		err = l.register(fd, unix.EPOLLIN, c, &l.descriptorBudget)
@@ -53,7 +51,7 @@
 	return c, nil
 }
 
-// Send hands a message over. The descriptors stay the caller's.
+// Send sends a message. The descriptors stay the caller's.
 func (c *Channel) Send(text []byte, fds ...int) error {
 	if c.fd < 0 {
 		return io.ErrClosedPipe
@@ -87,7 +85,7 @@
 	}
 }
 
-// Close gives all back; nobody is told.
+// Close closes the channel without a call of onEnd.
 func (c *Channel) Close() {
 	if c.fd < 0 {
 		return
@@ -108,7 +106,7 @@
 			break
 		}
 		if err != nil {
-			c.sendErr = err // what has come before it is heard first
+			c.sendErr = err // messages that came before it are received first
 			break
 		}
 		m.close()
@@ -125,7 +123,7 @@
 		case errors.Is(err, unix.EAGAIN) && c.sendErr == nil:
 			return
 		case errors.Is(err, unix.ECONNRESET) && c.sendErr == nil:
-			c.sendErr = err // the kernel shows it once, before the messages that wait
+			c.sendErr = err // the kernel reports it once, before the messages that wait
 			continue
 		case err != nil:
 			c.fail(cmp.Or(c.sendErr, err))
@@ -135,8 +133,8 @@
 	}
 }
 
-// updateInterest has epoll tell of what comes, and of room while messages wait. Where the system has no means for that now it is
-// tried again.
+// updateInterest has epoll watch for messages, and while some are pending for space to send them. If the system is out of resources
+// it is tried again.
 func (c *Channel) updateInterest() {
 	if c.fd < 0 {
 		return
@@ -194,8 +192,8 @@
 	return text[:n], fds, nil
 }
 
-// unixAddr is a path as a socket's address. The path goes by a descriptor of its
-// directory, since an address has room for 107 bytes only. Done gives that back.
+// unixAddr is a path as a socket's address. It goes by a descriptor of its directory, since an address has at most 107 bytes.
+// Done closes that.
 func unixAddr(path string) (at unix.Sockaddr, done func(), err error) {
 	dir, err := unix.Open(filepath.Dir(path), unix.O_PATH|unix.O_DIRECTORY|unix.O_CLOEXEC, 0)
 	if err != nil {
@@ -204,10 +202,9 @@
 	return &unix.SockaddrUnix{Name: fmt.Sprintf("/proc/self/fd/%d/%s", dir, filepath.Base(path))}, func() { unix.Close(dir) }, nil
 }
 
-// DialChannel connects to the process that listens there. What is done on the socket
-// by Say and Hear blocks, for so long at most; that is meant for a start, before the
-// loop runs.
-func DialChannel(path string, within time.Duration) (int, error) {
+// DialChannel connects to the process that listens at a path. SendBlocking and ReceiveBlocking on the socket block for at most
+// the timeout; that is meant for a start, before the loop runs.
+func DialChannel(path string, timeout time.Duration) (int, error) {
 	at, done, err := unixAddr(path)
 	if err != nil {
 		return -1, err
@@ -217,7 +214,7 @@
 	if err != nil {
 		return -1, err
 	}
-	limit := unix.NsecToTimeval(within.Nanoseconds())
+	limit := unix.NsecToTimeval(timeout.Nanoseconds())
 	for _, option := range []int{unix.SO_RCVTIMEO, unix.SO_SNDTIMEO} {
 		if err == nil {
 			err = unix.SetsockoptTimeval(fd, unix.SOL_SOCKET, option, &limit)
@@ -236,11 +233,10 @@
 // SendBlocking sends a message on a socket of DialChannel's.
 func SendBlocking(fd int, text []byte) error { return send(fd, text, nil) }
 
-// ReceiveBlocking waits for one there.
+// ReceiveBlocking waits for a message on a socket of DialChannel's.
 func ReceiveBlocking(fd int) (text []byte, fds []int, err error) { return receive(fd, 0) }
 
-// ListenChannel takes in processes that connect there. A socket that a process left
-// behind there is replaced.
+// ListenChannel accepts processes that connect at a path. A socket that a process left behind there is replaced.
 func (l *Loop) ListenChannel(path string, accept func(fd int)) (*Listener, error) {
 	at, done, err := unixAddr(path)
 	if err != nil {
@@ -263,5 +259,5 @@
 	return s, nil
 }
 
-// Idle says that nothing waits to be sent.
+// Idle reports whether no message waits to be sent.
 func (c *Channel) Idle() bool { return len(c.pending) == 0 }
--- a/internal/netloop/conn_dial.go
+++ b/internal/netloop/conn_dial.go
@@ -7,28 +7,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// This file is how connections are dialled.
-
-// Dial starts a connection. Its end, also at once, is told by the handler's End,
-// never from within Dial.
+// Dial starts a connection. A failure, also an immediate one, is reported by the handler's End, never from within Dial.
 func (l *Loop) Dial(addr string, within time.Duration, h Handler) *Conn {
 	return l.dial(addr, within, h, &l.descriptorBudget)
 }
 
-// NewDescriptorReserve is room for connections of one purpose beside the loop's limit: what the rest of the loop holds cannot
-// keep them from being dialled.
+// DescriptorReserve is a descriptor budget for dials of one purpose beside the loop's limit: what the rest of the loop has open
+// cannot keep them from being dialled.
 type DescriptorReserve struct {
 	loop *Loop
 	descriptorBudget
 }
 
-// NewDescriptorReserve makes room for so many connections.
-func (l *Loop) NewDescriptorReserve(most int) *DescriptorReserve {
-	return &DescriptorReserve{l, descriptorBudget{limit: most}}
+// NewDescriptorReserve makes a reserve for so many connections.
+func (l *Loop) NewDescriptorReserve(limit int) *DescriptorReserve {
+	return &DescriptorReserve{l, descriptorBudget{limit: limit}}
 }
 
-// Dial is the loop's Dial within the reserve. Where that is used up, a connection that has ended and lingers makes
-// room, which the dial after this one finds.
+// Dial is the loop's Dial within the reserve. If that is used up, a connection that has ended and lingers is closed, so that
+// the next dial finds a descriptor.
 func (r *DescriptorReserve) Dial(addr string, within time.Duration, h Handler) *Conn {
 	if r.FreeDescriptors() <= 0 {
 		r.evictOldest()
@@ -36,8 +33,8 @@
 	return r.loop.dial(addr, within, h, &r.descriptorBudget)
 }
 
-func (l *Loop) dial(addr string, within time.Duration, h Handler, from *descriptorBudget) *Conn {
-	c := newConn(l, -1, from)
+func (l *Loop) dial(addr string, within time.Duration, h Handler, budget *descriptorBudget) *Conn {
+	c := newConn(l, -1, budget)
 	c.handler = h
 	if err := c.connect(addr, within); err != nil {
 		c.dialTimer = l.After(0, func() { c.fail(err) })
@@ -67,10 +64,10 @@
 	return nil
 }
 
-// inProgress says that a connection is being set up, though connect has not waited for it.
+// inProgress reports whether a connection is being set up, though connect has not waited for it.
 func inProgress(err error) bool { return err == unix.EINPROGRESS || err == unix.EINTR }
 
-// connectError is what an error of connect itself says. Of these the peer can only have caused the first three.
+// connectError classifies an error of connect itself. The peer can only have caused these three.
 func connectError(err error) error {
 	switch err {
 	case unix.ECONNREFUSED, unix.EHOSTUNREACH, unix.ETIMEDOUT:
@@ -79,10 +76,10 @@
 	return localError(err)
 }
 
-// localError marks an error as a want of this machine's own means, which the peer has nothing to do with.
+// localError marks an error as a lack of this machine's own resources, which the peer has nothing to do with.
 func localError(err error) error { return fmt.Errorf("%w: %w", ErrNoDescriptors, err) }
 
-// finishDial finishes a dial; false if the connection is still on its way or over.
+// finishDial finishes a dial; false if the connection is still being set up, or over.
 func (c *Conn) finishDial() bool {
 	code, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err == nil && code != 0 {
--- a/internal/netloop/conn_end.go
+++ b/internal/netloop/conn_end.go
@@ -4,10 +4,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// This file is how connections end, or leave the loop without ending.
-
-// Finish ends the connection politely: what is unsent still leaves, then the
-// peer sees the end. The handler is told nothing more.
+// Finish closes the connection in order: what is unsent is still sent, then the peer sees EOF. The handler receives no more
+// events.
 func (c *Conn) Finish() {
 	if c.fd < 0 || c.dialTimer != nil || c.failTimer != nil {
 		c.release()
@@ -19,7 +17,7 @@
 	c.finishing, c.handler = true, discardHandler{}
 	c.dropUnread()
 	c.countBuffered()
-	// A peer that neither reads nor ends must not hold the descriptor.
+	// A peer that neither reads nor closes must not keep the descriptor.
 	c.lingerTimer = c.loop.After(lingerTimeout, c.release)
 	c.SetEvictable(c.release)
 	c.finishWriting()
@@ -34,15 +32,13 @@
 	c.release()
 }
 
-// Detachable says whether Detach would work: the connection stands, is not ending and
-// has nothing to send.
+// Detachable reports whether Detach would work: the connection is established, is not ending, and has nothing to send.
 func (c *Conn) Detachable() bool {
 	return c.fd >= 0 && c.dialTimer == nil && c.failTimer == nil && !c.finishing && !c.eof && c.unsentBuf.size() == 0 && c.tls == nil
 }
 
-// Detach takes the connection off the loop without ending it, and returns its
-// descriptor, which is the caller's then, and the bytes that were not taken. It
-// returns -1 if that cannot be.
+// Detach takes the connection off the loop without ending it, and returns its descriptor, which is the caller's then, and the
+// bytes that were not consumed. It returns -1 if that is not possible.
 func (c *Conn) Detach() (fd int, unread []byte) {
 	if !c.Detachable() {
 		return -1, nil
@@ -56,8 +52,8 @@
 	return fd, unread
 }
 
-// Attach takes over a descriptor that was detached, here or in another process, and
-// the bytes that were not taken there; they are handed to the handler by Resume.
+// Attach takes over a descriptor that was detached, here or in another process, and the bytes that were not consumed there;
+// ResumeReading hands them to the handler.
 func (l *Loop) Attach(fd int, unread []byte, h Handler) *Conn {
 	c := newConn(l, fd, &l.descriptorBudget)
 	c.handler = h
@@ -69,7 +65,7 @@
 	return c
 }
 
-// release is the one place where a connection gives back what it owns.
+// release gives back all that the connection owns. Every connection ends here.
 func (c *Conn) release() {
 	for _, t := range []*Timer{c.dialTimer, c.failTimer, c.lingerTimer, c.retryTimer} {
 		t.Stop()
@@ -92,7 +88,7 @@
 	}
 }
 
-// shutdownOnExit ends the connection as the loop ends: the peer gets what the system has taken, and an end after it.
+// shutdownOnExit closes the connection when the loop closes: the peer gets what the kernel has accepted, and EOF after it.
 func (c *Conn) shutdownOnExit() {
 	if c.dialTimer == nil {
 		unix.Shutdown(c.fd, unix.SHUT_WR)
@@ -100,7 +96,7 @@
 	}
 }
 
-// dropUnread throws unread bytes away. A handler that is reading them still may.
+// dropUnread throws unread bytes away. Inside Data their memory is left to the handler, which may still read it.
 func (c *Conn) dropUnread() {
 	if c.inData {
 		c.unread = buffer{}
@@ -111,9 +107,9 @@
 
 // fail ends the connection on an error.
 func (c *Conn) fail(err error) {
-	h, told := c.handler, c.eof
+	h, reported := c.handler, c.eof
 	c.release()
-	if !told {
+	if !reported {
 		h.End(err)
 	}
 }
--- a/internal/netloop/conn_read.go
+++ b/internal/netloop/conn_read.go
@@ -6,20 +6,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// This file is how bytes, and the end of the peer, come in on a connection.
-
-// PauseReading has nothing more read before Resume: for a handler that leaves bytes for want of room,
-// not because it needs more of them. Without this all that a peer sends is kept up to the bound.
+// PauseReading stops reading until ResumeReading: for a handler that leaves bytes because it cannot use them now, not because
+// it needs more of them. Without this, bytes are read and buffered up to the limit.
 func (c *Conn) PauseReading() { c.readPaused = true }
 
-// SetEarlyEOF has the peer's end told as soon as it comes, or again only after all bytes that came before it: for a
+// SetEarlyEOF has the peer's end reported as soon as it comes, or, by default, only after all bytes that came before it: for a
 // handler that leaves bytes in the kernel, and to which they mean nothing once their sender has gone.
 func (c *Conn) SetEarlyEOF(on bool) {
 	c.earlyEOF = on
 	c.updateInterest()
 }
 
-// ResumeReading hands over bytes that the handler left, and reads on.
+// ResumeReading hands over the bytes that the handler left, and reads on.
 func (c *Conn) ResumeReading() {
 	c.readPaused = false
 	if c.fd < 0 || c.inData || c.dialTimer != nil || c.failTimer != nil {
@@ -32,7 +30,7 @@
 	c.updateInterest()
 }
 
-// discardUnread throws away what has come since: closing a socket with unread bytes would reset the connection, and the
+// discardUnread reads and throws away what has come: closing a socket with unread bytes would reset the connection, and the
 // last answer with it.
 func (c *Conn) discardUnread() {
 	for c.discarded <= maxLingerBytes {
@@ -44,26 +42,17 @@
 	}
 }
 
-// read takes in what is there. What comes after Finish is thrown away: closing
-// a socket with unread bytes would reset it.
+// read reads what has come. What comes after Finish is thrown away: closing a socket with unread bytes would reset it.
 func (c *Conn) read(events uint32) {
-	chunk := c.loop.readBuffer
 	for range maxReadsPerEvent {
 		if c.fd < 0 || c.eof {
 			return
 		}
-		room := len(chunk)
-		if !c.finishing {
-			if room = min(room, c.maxUnread-c.unread.size()); room == 0 || c.readPaused {
-				break
-			}
-			if c.loop.MemoryPressure() { // no more than fits the basic share, or completes a large message
-				if room = min(room, DefaultReadLimit); c.unread.size() < DefaultReadLimit {
-					room = min(room, DefaultReadLimit-c.unread.size())
-				}
-			}
+		limit := c.readLimit()
+		if limit == 0 {
+			break
 		}
-		n, err := c.loop.syscalls.Read(c.fd, chunk[:room])
+		n, err := c.loop.syscalls.Read(c.fd, c.loop.readBuffer[:limit])
 		switch {
 		case err == unix.EINTR:
 			continue
@@ -80,7 +69,7 @@
 			return
 		}
 		if !c.finishing {
-			c.receive(chunk[:n])
+			c.receive(c.loop.readBuffer[:n])
 			if c.unread.size() > DefaultReadLimit && c.loop.overMemoryLimit() {
 				c.fail(ErrOverflow)
 				return
@@ -89,21 +78,42 @@
 			c.release()
 			return
 		}
-		if n < room {
+		if n < limit {
 			return
 		}
 	}
 	if events&(unix.EPOLLERR|unix.EPOLLHUP) != 0 && c.fd >= 0 && !c.finishing {
-		// Nothing more is read, yet the peer has reset the connection.
-		if code, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR); err == nil && code != 0 {
-			c.fail(unix.Errno(code))
-		} else if events&unix.EPOLLHUP != 0 {
-			c.fail(unix.ECONNRESET)
+		c.checkReset(events)
+	}
+}
+
+// readLimit is how many bytes to read at once; 0 for none now.
+func (c *Conn) readLimit() int {
+	limit := len(c.loop.readBuffer)
+	if c.finishing {
+		return limit
+	}
+	if limit = min(limit, c.maxUnread-c.unread.size()); limit == 0 || c.readPaused {
+		return 0
+	}
+	if c.loop.MemoryPressure() { // no more than fits the default limit, or completes a large message
+		if limit = min(limit, DefaultReadLimit); c.unread.size() < DefaultReadLimit {
+			limit = min(limit, DefaultReadLimit-c.unread.size())
 		}
 	}
+	return limit
+}
+
+// checkReset fails a connection that is not read now if the peer has reset it.
+func (c *Conn) checkReset(events uint32) {
+	if code, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR); err == nil && code != 0 {
+		c.fail(unix.Errno(code))
+	} else if events&unix.EPOLLHUP != 0 {
+		c.fail(unix.ECONNRESET)
+	}
 }
 
-// handleEOF says that the peer has ended its sending.
+// handleEOF handles that the peer has closed its side.
 func (c *Conn) handleEOF() {
 	if c.eof {
 		return
@@ -122,7 +132,7 @@
 	c.handler.End(io.EOF)
 }
 
-// receive takes bytes that were just read.
+// receive handles bytes that were just read.
 func (c *Conn) receive(b []byte) {
 	if c.tls != nil {
 		c.tls.receive(b)
@@ -131,8 +141,8 @@
 	}
 }
 
-// receivePlain hands over bytes that were just read. Where none are kept already they go from the
-// loop's own buffer, and only what the handler leaves is copied.
+// receivePlain hands over bytes that were just read. If no earlier ones are unread they go straight from the loop's buffer, and
+// only what the handler leaves is copied.
 func (c *Conn) receivePlain(b []byte) {
 	if c.unread.size() > 0 {
 		c.unread.append(c.loop, b)
--- a/internal/netloop/conn_write.go
+++ b/internal/netloop/conn_write.go
@@ -4,9 +4,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// This file is how bytes leave on a connection.
-
-// Unsent is how many written bytes have not left; it stays after the end.
+// Unsent is how many written bytes are not sent; it stays after the end.
 func (c *Conn) Unsent() int { return c.unsentAtEnd + c.unsent() }
 
 func (c *Conn) unsent() int {
@@ -16,11 +14,11 @@
 	return c.unsentBuf.size()
 }
 
-// WriteCapacity is how many bytes may be written before the reader should rest.
+// WriteCapacity is how many bytes may be written before the source of them should pause.
 func (c *Conn) WriteCapacity() int { return max(0, c.maxUnsent-c.unsentBuf.size()) }
 
-// Write sends b, or keeps what cannot leave yet. It must not be called before
-// Open on a dialled connection. After the end it does nothing.
+// Write sends b, and buffers what cannot be sent yet. It must not be called before Open on a dialled connection. After the end
+// it does nothing.
 func (c *Conn) Write(b []byte) {
 	if c.fd < 0 || c.finishing || c.failTimer != nil {
 		return
@@ -54,20 +52,19 @@
 	c.updateInterest()
 }
 
-// Queue is Write for those who write often: b leaves with all that is queued in this
-// round of the loop, at its end.
+// Queue is Write for callers that write often: b is sent at the end of this round of the loop, with all that is queued in it.
 func (c *Conn) Queue(b []byte) { c.Commit(append(c.Buffer(len(b)), b...)) }
 
-// Buffer is what is unsent, for a caller that appends so many bytes to it and at once calls
-// Commit with the result. This spares a copy.
+// Buffer is the unsent bytes, for a caller that appends so many more to them and at once calls Commit with the result. This
+// spares a copy.
 func (c *Conn) Buffer(more int) []byte {
 	if c.fd < 0 || c.finishing || c.failTimer != nil {
-		return c.loop.discardBuffer[:0] // thrown away by Commit
+		return c.loop.discardBuffer[:0] // Commit throws it away
 	}
 	return c.unsentBuf.reserve(c.loop, more)
 }
 
-// Commit ends what Buffer has begun.
+// Commit queues what was appended to the result of Buffer.
 func (c *Conn) Commit(out []byte) {
 	if c.fd < 0 || c.finishing || c.failTimer != nil {
 		c.loop.discardBuffer = out
@@ -128,7 +125,7 @@
 	c.handler.Drained()
 }
 
-// finishWriting ends our sending once Finish was called and all has left.
+// finishWriting closes this side once Finish was called and all is sent.
 func (c *Conn) finishWriting() {
 	if !c.finishing || c.unsent() > 0 || c.writeClosed || c.fd < 0 {
 		return
--- a/internal/netloop/datagram.go
+++ b/internal/netloop/datagram.go
@@ -9,17 +9,16 @@
 // datagramBurst bounds the datagrams that are read before other sockets have a turn.
 const datagramBurst = 64
 
-// ListenUDP is a UDP socket.
+// UDPSocket is a UDP socket.
 type UDPSocket struct {
 	loop       *Loop
 	fd         int // -1 once given back
 	onDatagram func(from string, b []byte)
-	Dropped    int // that could not leave: the next ones say the same
+	Dropped    int // datagrams that could not be sent; none is sent again
 }
 
-// ListenUDP opens a UDP socket. Heard may keep nothing of b. What is longer than the loop's own buffer, which is longer than
-// any datagram, does not exist.
-func (l *Loop) ListenUDP(addr string, heard func(from string, b []byte)) (*UDPSocket, error) {
+// ListenUDP opens a UDP socket. OnDatagram must not retain b. The loop's buffer is longer than any datagram.
+func (l *Loop) ListenUDP(addr string, onDatagram func(from string, b []byte)) (*UDPSocket, error) {
 	at, family, err := parseSockaddr(addr)
 	if err != nil {
 		return nil, err
@@ -28,7 +27,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("datagrams at %s: %w", addr, err)
 	}
-	d := &UDPSocket{loop: l, fd: fd, onDatagram: heard}
+	d := &UDPSocket{loop: l, fd: fd, onDatagram: onDatagram}
 	if err = unix.Bind(fd, at); err == nil {
 		err = l.register(fd, unix.EPOLLIN, d, &l.descriptorBudget)
 	}
@@ -39,10 +38,10 @@
 	return d, nil
 }
 
-// LocalAddr is where the socket is.
+// Addr is the address that the socket is bound to.
 func (d *UDPSocket) Addr() string { return localAddr(d.fd) }
 
-// Send sends one, or drops it where there is no room: nothing waits.
+// Send sends a datagram, or drops it if the socket cannot take it: nothing is buffered.
 func (d *UDPSocket) Send(to string, b []byte) {
 	at, _, err := parseSockaddr(to)
 	if err == nil && d.fd >= 0 {
@@ -53,7 +52,7 @@
 	}
 }
 
-// Close gives the socket back. A nil one may be closed.
+// Close closes the socket. A nil UDPSocket may be closed.
 func (d *UDPSocket) Close() {
 	if d != nil && d.fd >= 0 {
 		d.loop.unregister(d.fd, &d.loop.descriptorBudget)
@@ -68,7 +67,7 @@
 		}
 		n, from, err := unix.Recvfrom(d.fd, d.loop.readBuffer, unix.MSG_DONTWAIT)
 		switch {
-		case err == unix.EINTR || err == unix.ECONNREFUSED: // the latter is of one that was sent
+		case err == unix.EINTR || err == unix.ECONNREFUSED: // the latter is about a datagram that was sent
 			continue
 		case err != nil:
 			return
--- a/internal/netloop/listener.go
+++ b/internal/netloop/listener.go
@@ -8,43 +8,42 @@
 	"golang.org/x/sys/unix"
 )
 
-// closeTimeout is how long the end of listening waits for means to take in what is in the queue.
+// closeTimeout is how long Close waits for system resources to accept what is in the backlog.
 const closeTimeout = 300 * time.Millisecond
 
 // acceptBurst bounds the connections accepted before other sockets have a turn.
 const acceptBurst = 16
 
-// evictPause is how long a listener rests that has no descriptor left, where some are given up for it: those are
-// free after the round.
+// evictPause is how long a listener without descriptors pauses if connections were evicted for it: their descriptors are free
+// after the round.
 const evictPause = time.Millisecond
 
-// Listener takes connections in.
+// Listener accepts connections.
 type Listener struct {
 	loop         *Loop
 	fd           int
 	onAccept     func(*Conn)
-	onAcceptFD   func(fd int) // in the place of accept, for connections that are none of Conn's
+	onAcceptFD   func(fd int) // in place of onAccept, for connections that are not served by a Conn
 	pauseTimer   *Timer
 	paused       bool
-	closing      bool              // it ends once its queue is empty
-	closeTimer   *Timer            // or then
-	abortedInRow int               // connections in a row that were gone before they could be taken in
-	budget       *descriptorBudget // of the connections it takes in
+	closing      bool              // it is closed once its backlog is empty
+	closeTimer   *Timer            // or after this
+	abortedInRow int               // connections in a row that had ended before they were accepted
+	budget       *descriptorBudget // of the connections that it accepts
 }
 
-// Listen opens a listening socket. For each connection it calls accept, which
-// must give the Conn a handler by Handle.
+// Listen opens a listening socket. For each connection it calls accept, which must set a handler.
 func (l *Loop) Listen(addr string, accept func(*Conn)) (*Listener, error) {
 	return l.listen(addr, accept, &l.descriptorBudget)
 }
 
-// ListenReserved does the same with room for so many connections beside the loop's
-// limit: what the rest of the loop holds cannot keep them out, nor they the rest.
-func (l *Loop) ListenReserved(addr string, most int, accept func(*Conn)) (*Listener, error) {
-	return l.listen(addr, accept, &descriptorBudget{limit: most})
+// ListenReserved does the same with a budget of so many connections beside the loop's limit: what the rest of the loop has
+// open cannot keep them out, nor they the rest.
+func (l *Loop) ListenReserved(addr string, limit int, accept func(*Conn)) (*Listener, error) {
+	return l.listen(addr, accept, &descriptorBudget{limit: limit})
 }
 
-func (l *Loop) listen(addr string, accept func(*Conn), from *descriptorBudget) (*Listener, error) {
+func (l *Loop) listen(addr string, accept func(*Conn), budget *descriptorBudget) (*Listener, error) {
 	at, family, err := parseSockaddr(addr)
 	if err != nil {
 		return nil, err
@@ -53,7 +52,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("listening at %s: %w", addr, err)
 	}
-	s := &Listener{loop: l, fd: fd, onAccept: accept, budget: from}
+	s := &Listener{loop: l, fd: fd, onAccept: accept, budget: budget}
 	err = l.syscalls.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
 	if err == nil {
 		err = l.syscalls.Bind(fd, at)
@@ -68,12 +67,12 @@
 	return s, nil
 }
 
-// IsTransientListenError says that listening has failed by what may be over in a moment: another process holds the address, or the
-// system has no means now.
+// IsTransientListenError reports whether listening has failed for a reason that may be over in a moment: another process has the
+// address, or the system is out of resources.
 func IsTransientListenError(err error) bool {
-	for _, passing := range []unix.Errno{unix.EADDRINUSE, unix.EADDRNOTAVAIL, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM,
+	for _, transient := range []unix.Errno{unix.EADDRINUSE, unix.EADDRNOTAVAIL, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM,
 		unix.ENOSPC, unix.EINTR, unix.EAGAIN} {
-		if errors.Is(err, passing) {
+		if errors.Is(err, transient) {
 			return true
 		}
 	}
@@ -87,7 +86,7 @@
 	return s.loop.register(s.fd, unix.EPOLLIN, s, &s.loop.descriptorBudget)
 }
 
-// Inherit listens by a socket that another process has opened and listens by too.
+// Inherit listens on a socket that another process has opened and listens on too.
 func (l *Loop) Inherit(fd int, accept func(*Conn)) (*Listener, error) {
 	s := &Listener{loop: l, fd: fd, onAccept: accept, budget: &l.descriptorBudget}
 	if err := l.register(fd, unix.EPOLLIN, s, &l.descriptorBudget); err != nil {
@@ -97,30 +96,29 @@
 	return s, nil
 }
 
-// Fd is the socket, to be handed over.
+// FD is the socket, to be handed over to another process.
 func (s *Listener) FD() int { return s.fd }
 
-// SetPaused has the listener take nothing in, or go on. What waits in the queue of a
-// socket that another process shares is that one's.
-func (s *Listener) SetPaused(held bool) {
-	if s.paused = held; s.fd >= 0 {
+// SetPaused has the listener accept nothing, or go on. The backlog of a socket that another process shares is left to that one.
+func (s *Listener) SetPaused(paused bool) {
+	if s.paused = paused; s.fd >= 0 {
 		s.pauseTimer.Stop()
 		s.updateInterest()
 	}
 }
 
-// LocalAddr is the address that the socket is bound to.
+// Addr is the address that the socket is bound to.
 func (s *Listener) Addr() string { return localAddr(s.fd) }
 
-// Close ends listening; connections already taken in stay. Those in the queue are taken in first: closing the socket
-// would reset them. Where the system has no means for that now, listening ends once they are taken in, or after
-// closeTimeout. A nil one may be closed.
+// Close ends listening; accepted connections stay. Those in the backlog are accepted first: closing the socket would reset
+// them. If the system is out of resources for that, listening ends once they are accepted, or after closeTimeout. A nil
+// Listener may be closed.
 func (s *Listener) Close() {
 	if s == nil || s.fd < 0 || s.closing {
 		return
 	}
 	s.closing = true
-	if s.onAcceptFD != nil || s.paused { // what waits is another process's, or no client's
+	if s.onAcceptFD != nil || s.paused { // the backlog is another process's, or no client's
 		s.closeSocket()
 		return
 	}
@@ -128,7 +126,7 @@
 	s.drainBacklog()
 }
 
-// drainBacklog takes in what is in the queue, and ends listening after that.
+// drainBacklog accepts what is in the backlog, and closes the socket after that.
 func (s *Listener) drainBacklog() {
 	for s.fd >= 0 {
 		switch s.acceptNext() {
@@ -140,7 +138,7 @@
 	}
 }
 
-// closeSocket gives the socket back.
+// closeSocket closes the socket.
 func (s *Listener) closeSocket() {
 	s.pauseTimer.Stop()
 	s.closeTimer.Stop()
@@ -148,7 +146,7 @@
 	s.fd = -1
 }
 
-// Closed says that listening has ended.
+// Closed reports whether listening has ended.
 func (s *Listener) Closed() bool { return s.fd < 0 }
 
 func (s *Listener) ready(uint32) {
@@ -163,23 +161,23 @@
 	}
 }
 
-// acceptResult is what an attempt to take a connection in shows of the listener's queue.
+// acceptResult is what an attempt to accept shows of the listener's backlog.
 type acceptResult int
 
 const (
 	acceptTaken acceptResult = iota // there may be more
 	backlogEmpty
-	backlogStuck // it cannot be taken from now; that is tried again after a rest
+	backlogStuck // nothing can be accepted now; it is tried again after a pause
 )
 
-// acceptNext takes a connection in.
+// acceptNext accepts one connection.
 func (s *Listener) acceptNext() acceptResult {
 	if s.budget.FreeDescriptors() <= 0 {
-		rest := resourceRetryDelay
+		delay := resourceRetryDelay
 		if s.budget.evictIfLow() {
-			rest = evictPause
+			delay = evictPause
 		}
-		s.pause(rest)
+		s.pause(delay)
 		return backlogStuck
 	}
 	fd, _, err := s.loop.syscalls.Accept(s.fd, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
@@ -199,14 +197,14 @@
 		s.onAcceptFD(fd)
 		return acceptTaken
 	}
-	s.budget.evictIfLow() // before the new one may be spared: it has had no turn yet
+	s.budget.evictIfLow() // before the new one is evictable: it has had no turn yet
 	c := newConn(s.loop, fd, s.budget)
 	s.onAccept(c)
 	c.updateInterest()
 	return acceptTaken
 }
 
-// isAborted says that accept has met a connection that is gone already, or a signal: the next one may be well.
+// isAborted reports whether accept has met a connection that has ended already, or a signal: the next one may be well.
 func isAborted(err error) bool {
 	switch err {
 	case unix.EINTR, unix.ECONNABORTED, unix.EPROTO, unix.EPERM, unix.ENETDOWN, unix.ENOPROTOOPT, unix.EHOSTDOWN,
@@ -216,14 +214,14 @@
 	return false
 }
 
-// pause guards against spinning on a backlog that cannot be taken in.
-func (s *Listener) pause(rest time.Duration) {
-	s.loop.epollCtl(unix.EPOLL_CTL_MOD, s.fd, 0) // where that fails the listener spins until the rest is over
+// pause guards against spinning on a backlog that cannot be accepted.
+func (s *Listener) pause(d time.Duration) {
+	s.loop.epollCtl(unix.EPOLL_CTL_MOD, s.fd, 0) // if that fails the listener spins until the pause is over
 	s.pauseTimer.Stop()
-	s.pauseTimer = s.loop.After(rest, s.updateInterest)
+	s.pauseTimer = s.loop.After(d, s.updateInterest)
 }
 
-// updateInterest has epoll tell of connections in the queue, unless the listener is held.
+// updateInterest has epoll watch for connections in the backlog, unless the listener is paused.
 func (s *Listener) updateInterest() {
 	var want uint32
 	if !s.paused {
--- a/internal/netloop/looptest/faults.go
+++ b/internal/netloop/looptest/faults.go
@@ -9,145 +9,147 @@
 	"dahliarudder/internal/netloop"
 )
 
-// Fault is what befalls some of the calls of one kind.
+// Fault is how some calls of one kind fail.
 type Fault struct {
-	Syscall     string     // as the field of netloop.Calls
+	Syscall     string     // the name of its field in netloop.Syscalls
 	Errno       unix.Errno // 0: the call is made
-	Short       bool       // of Read and Write: one byte alone is moved
-	Probability float64    // of the calls, drawn; 0: all
-	MaxCount    int        // after so many it is over; 0: it goes on
+	Short       bool       // of Read and Write: only one byte is moved
+	Probability float64    // for each call; 0: every call fails
+	MaxCount    int        // the fault ends after so many; 0: it goes on
 }
 
-// Faults makes system calls fail by a plan and a seed. It may be used from any goroutine.
+// Faults injects failures into system calls by a plan and a seed. It may be used from any goroutine.
 type Faults struct {
-	mu     sync.Mutex
-	rng    *rand.Rand
-	plan   []planned
-	struck map[string]int
+	mu       sync.Mutex
+	rng      *rand.Rand
+	plan     []plannedFault
+	injected map[string]int
 }
 
-// planned is a fault and how many calls it has met.
-type planned struct {
+// plannedFault is a fault and how many calls it was injected into.
+type plannedFault struct {
 	Fault
-	met int
+	count int
 }
 
 // NewFaults lets all calls through until Set.
 func NewFaults(seed uint64) *Faults {
-	return &Faults{rng: rand.New(rand.NewPCG(seed, 0)), struck: map[string]int{}}
+	return &Faults{rng: rand.New(rand.NewPCG(seed, 0)), injected: map[string]int{}}
 }
 
-// Set puts a plan in the place of the one before.
+// Set replaces the plan.
 func (f *Faults) Set(plan ...Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.plan = nil
 	for _, p := range plan {
-		f.plan = append(f.plan, planned{Fault: p})
+		f.plan = append(f.plan, plannedFault{Fault: p})
 	}
 }
 
-// Injected is how many calls of a kind have met a fault.
+// Injected is how many calls of a kind a fault was injected into.
 func (f *Faults) Injected(call string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.struck[call]
+	return f.injected[call]
 }
 
-// meets draws what befalls a call.
-func (f *Faults) meets(call string) (errno unix.Errno, short bool) {
+// draw is the fault of a call: an error to return, or that it is cut short.
+func (f *Faults) draw(call string) (errno unix.Errno, short bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range f.plan {
 		p := &f.plan[i]
-		if p.Syscall != call || p.MaxCount > 0 && p.met >= p.MaxCount || p.Probability > 0 && f.rng.Float64() >= p.Probability {
+		if p.Syscall != call || p.MaxCount > 0 && p.count >= p.MaxCount || p.Probability > 0 && f.rng.Float64() >= p.Probability {
 			continue
 		}
-		p.met++
-		f.struck[call]++
+		p.count++
+		f.injected[call]++
 		return p.Errno, p.Short
 	}
 	return 0, false
 }
 
-// err is what befalls a call that moves no bytes.
-func (f *Faults) err(call string) error {
-	if errno, _ := f.meets(call); errno != 0 {
+// fail is the error that a call which moves no bytes is to return; nil if it is to be made.
+func (f *Faults) fail(call string) error {
+	if errno, _ := f.draw(call); errno != 0 {
 		return errno
 	}
 	return nil
 }
 
-// Syscalls are the kernel's, but for those that meet a fault.
-func (f *Faults) Syscalls() netloop.Syscalls {
-	k := netloop.KernelSyscalls()
-	moves := func(call string, move func(int, []byte) (int, error)) func(int, []byte) (int, error) {
-		return func(fd int, p []byte) (int, error) {
-			errno, short := f.meets(call)
-			if errno != 0 {
-				return -1, errno
-			}
-			if short && len(p) > 1 {
-				p = p[:1]
-			}
-			return move(fd, p)
-		}
-	}
-	c := k
-	c.Read, c.Write = moves("Read", k.Read), moves("Write", k.Write)
-	c.EpollWait = func(poll int, events []unix.EpollEvent, ms int) (int, error) {
-		if err := f.err("EpollWait"); err != nil {
-			return -1, err
-		}
-		return k.EpollWait(poll, events, ms)
-	}
-	c.EpollCtl = func(poll, op, fd int, event *unix.EpollEvent) error {
-		if op != unix.EPOLL_CTL_DEL { // which takes no memory
-			if err := f.err("EpollCtl"); err != nil {
-				return err
-			}
-		}
-		return k.EpollCtl(poll, op, fd, event)
-	}
-	c.Socket = func(domain, kind, protocol int) (int, error) {
-		if err := f.err("Socket"); err != nil {
-			return -1, err
-		}
-		return k.Socket(domain, kind, protocol)
-	}
-	c.Bind = func(fd int, at unix.Sockaddr) error {
-		if err := f.err("Bind"); err != nil {
-			return err
-		}
-		return k.Bind(fd, at)
-	}
-	c.Listen = func(fd, backlog int) error {
-		if err := f.err("Listen"); err != nil {
-			return err
-		}
-		return k.Listen(fd, backlog)
+// failOr makes a call unless it is to fail.
+func (f *Faults) failOr(call string, invoke func() error) error {
+	if err := f.fail(call); err != nil {
+		return err
 	}
-	c.Accept = func(fd, flags int) (int, unix.Sockaddr, error) {
-		if err := f.err("Accept"); err != nil {
-			return -1, nil, err
-		}
-		return k.Accept(fd, flags)
+	return invoke()
+}
+
+// failOrInt does the same with a call that returns a number, of a descriptor or of events.
+func (f *Faults) failOrInt(call string, invoke func() (int, error)) (int, error) {
+	if err := f.fail(call); err != nil {
+		return -1, err
 	}
-	c.Connect = func(fd int, to unix.Sockaddr) error {
-		errno, _ := f.meets("Connect")
-		if errno == unix.EINTR { // the connection goes on to be set up
-			k.Connect(fd, to)
-		}
+	return invoke()
+}
+
+// transfer is Read or Write with faults.
+func (f *Faults) transfer(call string, move func(int, []byte) (int, error)) func(int, []byte) (int, error) {
+	return func(fd int, p []byte) (int, error) {
+		errno, short := f.draw(call)
 		if errno != 0 {
-			return errno
+			return -1, errno
 		}
-		return k.Connect(fd, to)
-	}
-	c.SetsockoptInt = func(fd, level, option, value int) error {
-		if err := f.err("SetsockoptInt"); err != nil {
-			return err
+		if short && len(p) > 1 {
+			p = p[:1]
 		}
-		return k.SetsockoptInt(fd, level, option, value)
+		return move(fd, p)
+	}
+}
+
+// Syscalls are those of the kernel, except for calls that a fault is drawn for.
+func (f *Faults) Syscalls() netloop.Syscalls {
+	kernel := netloop.KernelSyscalls()
+	return netloop.Syscalls{
+		Read:  f.transfer("Read", kernel.Read),
+		Write: f.transfer("Write", kernel.Write),
+		EpollWait: func(epollFD int, events []unix.EpollEvent, ms int) (int, error) {
+			return f.failOrInt("EpollWait", func() (int, error) { return kernel.EpollWait(epollFD, events, ms) })
+		},
+		EpollCtl: func(epollFD, op, fd int, event *unix.EpollEvent) error {
+			if op == unix.EPOLL_CTL_DEL { // which takes no memory, so that it does not fail
+				return kernel.EpollCtl(epollFD, op, fd, event)
+			}
+			return f.failOr("EpollCtl", func() error { return kernel.EpollCtl(epollFD, op, fd, event) })
+		},
+		Socket: func(domain, kind, protocol int) (int, error) {
+			return f.failOrInt("Socket", func() (int, error) { return kernel.Socket(domain, kind, protocol) })
+		},
+		Bind: func(fd int, addr unix.Sockaddr) error {
+			return f.failOr("Bind", func() error { return kernel.Bind(fd, addr) })
+		},
+		Listen: func(fd, backlog int) error {
+			return f.failOr("Listen", func() error { return kernel.Listen(fd, backlog) })
+		},
+		Accept: func(fd, flags int) (int, unix.Sockaddr, error) {
+			if err := f.fail("Accept"); err != nil {
+				return -1, nil, err
+			}
+			return kernel.Accept(fd, flags)
+		},
+		Connect: func(fd int, addr unix.Sockaddr) error {
+			err := f.fail("Connect")
+			if err == unix.EINTR { // the connection goes on to be set up
+				kernel.Connect(fd, addr)
+			}
+			if err != nil {
+				return err
+			}
+			return kernel.Connect(fd, addr)
+		},
+		SetsockoptInt: func(fd, level, option, value int) error {
+			return f.failOr("SetsockoptInt", func() error { return kernel.SetsockoptInt(fd, level, option, value) })
+		},
 	}
-	return c
 }
--- a/internal/netloop/looptest/looptest.go
+++ b/internal/netloop/looptest/looptest.go
@@ -1,6 +1,5 @@
-// Package looptest is the one helper of the tests of network code: it turns a
-// loop by hand, on a clock that the test sets, and plays the other end of its
-// sockets.
+// Package looptest is the harness for tests of network code: it runs a loop round by round, on a clock that the test sets, and
+// plays the peers of its connections.
 package looptest
 
 import (
@@ -14,8 +13,7 @@
 	"dahliarudder/internal/netloop"
 )
 
-// Timeout is how long a test waits for what must come; only a failing test
-// waits that long.
+// Timeout is how long a test waits for what must come; only a failing test waits that long.
 const Timeout = 20 * time.Second
 
 // Harness is a loop and its clock.
@@ -25,13 +23,13 @@
 	now time.Duration
 }
 
-// New makes a loop that may hold limit descriptors.
+// New makes a loop that may have limit descriptors open.
 func New(t testing.TB, limit int) *Harness {
 	t.Helper()
 	return NewWithSyscalls(t, limit, netloop.KernelSyscalls())
 }
 
-// NewWithSyscalls makes one that reaches the kernel by other calls.
+// NewWithSyscalls makes one with other system calls than the kernel's.
 func NewWithSyscalls(t testing.TB, limit int, calls netloop.Syscalls) *Harness {
 	t.Helper()
 	b := &Harness{T: t, now: time.Hour}
@@ -47,14 +45,14 @@
 	return b
 }
 
-// Advance moves the clock on and runs what is due.
+// Advance moves the clock on and runs one round.
 func (b *Harness) Advance(d time.Duration) {
 	b.T.Helper()
 	b.now += d
 	b.RunOnce()
 }
 
-// RunOnce does one round without waiting.
+// RunOnce runs one round without waiting.
 func (b *Harness) RunOnce() {
 	b.T.Helper()
 	if err := b.Loop.RunOnce(0); err != nil {
@@ -62,23 +60,23 @@
 	}
 }
 
-// WaitFor turns the loop until ok, the clock standing still.
+// WaitFor runs rounds until ok, without moving the clock.
 func (b *Harness) WaitFor(what string, ok func() bool) {
 	b.T.Helper()
 	for end := time.Now().Add(Timeout); !ok(); {
 		if time.Now().After(end) {
-			b.T.Fatalf("waited in vain: %s", what)
+			b.T.Fatalf("timed out waiting for: %s", what)
 		}
 		b.RunOnce()
 	}
 }
 
-// RemoteIP is the other end of a connection.
+// Peer is the other end of a connection.
 type Peer struct {
 	net.Conn
 	b        *Harness
-	Received []byte // what has come
-	EndErr   error  // how it ended, nil while it has not
+	Received []byte // what has come and was not expected yet
+	EndErr   error  // how it ended; nil while it has not
 }
 
 // Dial connects a peer to a listener of the loop.
@@ -96,13 +94,13 @@
 	return &Peer{Conn: c, b: b}
 }
 
-// Server is a listener of the test's.
+// Server is a listener of the test's own.
 type Server struct {
 	net.Listener
 	b *Harness
 }
 
-// Listen makes one on an address of the loopback.
+// Listen makes one on a loopback address.
 func (b *Harness) Listen() *Server {
 	b.T.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -113,10 +111,10 @@
 	return &Server{l, b}
 }
 
-// LocalAddr is where it listens.
+// Addr is where it listens.
 func (s *Server) Addr() string { return s.Listener.Addr().String() }
 
-// Accept takes the next connection in, turning the loop meanwhile.
+// Accept accepts the next connection, running the loop meanwhile.
 func (s *Server) Accept() *Peer {
 	s.b.T.Helper()
 	var c net.Conn
@@ -129,7 +127,7 @@
 	return s.b.peer(c)
 }
 
-// Poll takes in what is there.
+// Poll reads what has come.
 func (p *Peer) Poll() {
 	buf := make([]byte, 64<<10)
 	for p.EndErr == nil {
@@ -143,7 +141,7 @@
 	}
 }
 
-// SendBlocking sends text.
+// Send sends text.
 func (p *Peer) Send(text string) {
 	p.b.T.Helper()
 	if _, err := p.Write([]byte(text)); err != nil {
@@ -151,7 +149,7 @@
 	}
 }
 
-// Expect waits until text, and no more, has come, and forgets it.
+// Expect waits until text, and no more, has come, and clears Received.
 func (p *Peer) Expect(text string) {
 	p.b.T.Helper()
 	p.b.WaitFor("bytes", func() bool { p.Poll(); return len(p.Received) >= len(text) || p.EndErr != nil })
@@ -161,12 +159,12 @@
 	p.Received = nil
 }
 
-// ExpectEOF waits for a polite end.
+// ExpectEOF waits for an orderly end.
 func (p *Peer) ExpectEOF() {
 	p.b.T.Helper()
 	p.b.WaitFor("the end", func() bool { p.Poll(); return p.EndErr != nil })
 	if p.EndErr != io.EOF || len(p.Received) > 0 {
-		p.b.T.Fatalf("ended with %v after %q, want a polite end", p.EndErr, p.Received)
+		p.b.T.Fatalf("ended with %v after %q, want an orderly end", p.EndErr, p.Received)
 	}
 }
 
@@ -175,7 +173,7 @@
 	p.b.T.Helper()
 	p.b.WaitFor("the reset", func() bool { p.Poll(); return p.EndErr != nil })
 	if p.EndErr == io.EOF {
-		p.b.T.Fatal("ended politely, want a reset")
+		p.b.T.Fatal("ended in order, want a reset")
 	}
 }
 
@@ -185,5 +183,5 @@
 	p.Conn.Close()
 }
 
-// CloseWrite ends the peer's sending; it still reads.
+// CloseWrite closes the peer's side; it still reads.
 func (p *Peer) CloseWrite() { p.Conn.(*net.TCPConn).CloseWrite() }
--- a/internal/netloop/looptest/relay.go
+++ b/internal/netloop/looptest/relay.go
@@ -22,7 +22,7 @@
  "limits":{"max-attempts":3,"cancel":true,"probes":false,"connect-timeout-ms":250},
  "guarantees":{"answer-slack-ms":8,"drain-grace-ms":250},"extra":{"message-aim-ms":[90]}}`
 
-// Relay is a core on a loop, before members that the test plays.
+// Relay is a core on a loop, with members that the test plays.
 type Relay struct {
 	*Harness
 	Core    *core.Core
@@ -73,14 +73,13 @@
 	return l.Addr()
 }
 
-// Drain has discovery say that a member drains.
+// Drain has discovery list a member as draining.
 func (r *Relay) Drain(i int) {
 	r.Members[i].State = policy.Draining
 	r.Core.UpdateMembers(policy.ListDelta, r.Members[i:i+1])
 }
 
-// AcceptAny takes in the next connection to any member, and says which. The clock
-// moves on by step with every look.
+// AcceptAny accepts the next connection to any member, and returns which. The clock moves on by step between tries.
 func (r *Relay) AcceptAny(step time.Duration) (int, *Peer) {
 	r.T.Helper()
 	at, c := -1, net.Conn(nil)
@@ -98,7 +97,7 @@
 	return at, r.peer(c)
 }
 
-// ReadLine waits for a line and takes it off what has come.
+// ReadLine waits for a line and removes it from Received.
 func (p *Peer) ReadLine() string {
 	p.b.T.Helper()
 	end := -1
--- a/internal/netloop/timer.go
+++ b/internal/netloop/timer.go
@@ -14,7 +14,7 @@
 	loop  *Loop
 }
 
-// After has call run once the time has passed, never from within After.
+// After runs call once the time has passed, never from within After.
 func (l *Loop) After(d time.Duration, call func()) *Timer {
 	t := &Timer{at: l.Now() + max(d, 0), order: l.timers.order, call: call, loop: l}
 	l.timers.order++
@@ -22,13 +22,14 @@
 	return t
 }
 
-// Stop takes a timer back. A nil or spent timer may be stopped too.
+// Stop cancels a timer. A nil Timer, or one that has run, may be stopped too.
 func (t *Timer) Stop() {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&t.loop.timers, t.index)
 	}
 }
 
+// pollTimeout is how many milliseconds epoll may wait until a timer is due; -1 for no end.
 func (l *Loop) pollTimeout() int {
 	if len(l.timers.heap) == 0 {
 		return -1
@@ -37,8 +38,8 @@
 	return int(max(0, min(wait+time.Millisecond-1, time.Minute)) / time.Millisecond)
 }
 
-// runTimers runs what is due. A timer set meanwhile waits for the next round, so that
-// one that sets itself again cannot keep the sockets waiting.
+// runTimers runs the timers that are due. One that is set meanwhile waits for the next round, so that a timer which sets itself
+// again cannot keep the sockets waiting.
 func (l *Loop) runTimers() {
 	now, order := l.Now(), l.timers.order
 	for len(l.timers.heap) > 0 && l.timers.heap[0].at <= now && l.timers.heap[0].order < order {
--- a/internal/netloop/tls.go
+++ b/internal/netloop/tls.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// maxHandshakes is how many TLS handshakes may be under way at once; each has a goroutine, and a peer
-// may be slow on purpose. Who comes beyond that is refused at once.
+// maxHandshakes is how many TLS handshakes may be under way at once; each has a goroutine, and a peer may be slow on purpose.
+// Further ones fail at once.
 const maxHandshakes = 64
 
-// maxUndecrypted is how much of a peer's TLS bytes is kept undecrypted.
+// maxUndecrypted is how many bytes of a peer are buffered during a handshake.
 const maxUndecrypted = 64 << 10
 
-// ErrHandshakes is how a connection ends for which there is no handshake to be had.
+// ErrHandshakes is how a connection ends when maxHandshakes are under way.
 var ErrHandshakes = errors.New("too many TLS handshakes")
 
-// tlsState is the TLS side of a connection. The handshake runs in a goroutine on a connection in
-// memory, which the loop feeds; after it only the loop calls the TLS state, on the same
-// connection in memory, whose Read no longer blocks.
+// tlsState is the TLS layer of a connection. The handshake runs in a goroutine on a pipe in memory, which the loop feeds; it ends
+// when the handshake is over or the pipe is closed. After it only the loop calls the TLS connection, on the same pipe, whose Read
+// no longer blocks.
 type tlsState struct {
 	conn            *Conn
 	tls             *tls.Conn
@@ -29,11 +29,11 @@
 	encrypted       buffer // encrypted and unsent
 	established     bool
 	handshakeTimer  *Timer
-	closeNotifySent bool // the peer was told that nothing more comes
+	closeNotifySent bool // the peer was notified that nothing more comes
 }
 
-// StartTLS has all further bytes go by TLS: what was written before leaves as it is. Done is called
-// from the loop once the handshake has succeeded; if it fails the handler is told by End.
+// StartTLS has all further bytes go by TLS: what was written before is sent as it is. Done is called from the loop once the
+// handshake has succeeded; if it fails the handler's End is called.
 func (c *Conn) StartTLS(cfg *tls.Config, client bool, within time.Duration, done func(tls.ConnectionState)) {
 	if c.fd < 0 || c.tls != nil || c.failTimer != nil {
 		return
@@ -60,7 +60,7 @@
 		s.tls = tls.Server(&s.transport, cfg)
 	}
 	s.encrypted, c.unsentBuf = c.unsentBuf, buffer{}
-	if c.unread.size() > 0 { // the peer was quicker
+	if c.unread.size() > 0 { // the peer has already begun
 		s.transport.feed(c.unread.data())
 		c.unread.free(c.loop)
 	}
@@ -73,10 +73,10 @@
 	}()
 }
 
-// IsTLS says whether the connection speaks TLS.
+// IsTLS reports whether the TLS handshake has succeeded.
 func (c *Conn) IsTLS() bool { return c.tls != nil && c.tls.established }
 
-// finishHandshake takes the connection over from the handshake's goroutine.
+// finishHandshake takes the TLS connection over from the handshake's goroutine.
 func (s *tlsState) finishHandshake(err error, done func(tls.ConnectionState)) {
 	c := s.conn
 	c.loop.handshakes--
@@ -86,7 +86,7 @@
 	}
 	if err != nil {
 		if s.encrypted.size() > 0 {
-			c.flush() // the alert that says why
+			c.flush() // the alert that has the reason
 		}
 		c.fail(err)
 		return
@@ -102,7 +102,7 @@
 	c.updateInterest()
 }
 
-// receive feeds bytes that came.
+// receive handles encrypted bytes that were read.
 func (s *tlsState) receive(b []byte) {
 	s.transport.feed(b)
 	if s.established {
@@ -112,7 +112,7 @@
 	}
 }
 
-// read decrypts what has come and hands it on, while the handler takes it.
+// read decrypts what has come and hands it on, while the handler consumes it.
 func (s *tlsState) read() {
 	c := s.conn
 	if c.loop.tlsReadBuffer == nil {
@@ -139,7 +139,7 @@
 	}
 }
 
-// write encrypts what waits, as far as the kernel may take it soon.
+// write encrypts unsent bytes, as far as the kernel may accept them soon.
 func (s *tlsState) write() error {
 	c := s.conn
 	for s.established && c.unsentBuf.size() > 0 && s.encrypted.size() < DefaultWriteLimit {
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// closeNotify tells the peer that nothing more comes, and says whether there was anything to tell.
+// closeNotify sends the close_notify alert once, and reports whether there are bytes to send for it.
 func (s *tlsState) closeNotify() bool {
 	if s.closeNotifySent || !s.established {
 		return false
@@ -163,14 +163,14 @@
 	return s.encrypted.size() > 0
 }
 
-// end gives back what the connection held, and the handshake's goroutine ends.
+// end gives back what the TLS layer has, and ends the handshake's goroutine.
 func (s *tlsState) end() {
 	s.handshakeTimer.Stop()
 	s.encrypted.free(s.conn.loop)
 	s.transport.Close()
 }
 
-// memoryPipe is the connection in memory under the TLS state.
+// memoryPipe is the net.Conn in memory under the TLS connection.
 type memoryPipe struct {
 	mu          sync.Mutex
 	readable    *sync.Cond
@@ -193,7 +193,7 @@
 	return len(p.received)
 }
 
-// Read is the TLS state's.
+// Read implements net.Conn.
 func (p *memoryPipe) Read(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -213,7 +213,7 @@
 	return n, nil
 }
 
-// Write is the TLS state's.
+// Write implements net.Conn.
 func (p *memoryPipe) Write(b []byte) (int, error) {
 	p.mu.Lock()
 	over, polled, send := p.closed, p.nonBlocking, p.send
@@ -228,7 +228,7 @@
 	return len(b), nil
 }
 
-// Close has a waiting handshake end.
+// Close implements net.Conn: a handshake that waits ends.
 func (p *memoryPipe) Close() error {
 	p.mu.Lock()
 	p.closed = true
@@ -237,15 +237,14 @@
 	return nil
 }
 
-// The rest of net.Conn, which the TLS state does not need here.
+// The rest of net.Conn, which crypto/tls does not need here.
 func (p *memoryPipe) LocalAddr() net.Addr              { return &net.TCPAddr{} }
 func (p *memoryPipe) RemoteAddr() net.Addr             { return &net.TCPAddr{} }
 func (p *memoryPipe) SetDeadline(time.Time) error      { return nil }
 func (p *memoryPipe) SetReadDeadline(time.Time) error  { return nil }
 func (p *memoryPipe) SetWriteDeadline(time.Time) error { return nil }
 
-// errWouldBlock says that nothing has come yet. The TLS state keeps what it has over a temporary
-// error, and goes on with the next Read.
+// errWouldBlock is that nothing has come yet. crypto/tls keeps its state over a temporary error, and goes on with the next Read.
 type errWouldBlock struct{}
 
 func (errWouldBlock) Error() string   { return "nothing has come yet" }
