--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -90,7 +90,7 @@
 	}
 	c.budgets = rollout.Budgets{CapacityReserve: c.Disruption.SpareLoad, ServiceTolerance: cmp.Or(c.Disruption.MaxServiceLoss, defaultServiceLoss),
 		SilentAfterMS: silenceTimeout.Milliseconds(), FlowHoldMS: (silenceTimeout + flowExpiry).Milliseconds(), ViewMaxAgeMS: planFreshness.Milliseconds(),
-		DrainMS: maxDrain.Milliseconds(), StartMS: cmp.Or(c.StartTimeoutMS, defaultStartMS), WarmupMS: warmup.Milliseconds(),
+		DrainTimeoutMS: maxDrain.Milliseconds(), StartTimeoutMS: cmp.Or(c.StartTimeoutMS, defaultStartMS), WarmupMS: warmup.Milliseconds(),
 		PermitWindowMS: permitWindowMS, ClockDrift: maxClockDrift, DriftHaltMS: maxDriftBlock.Milliseconds()}
 	relayBudget, memberBudget := &c.budgets.Relays, &c.budgets.Members
 	for _, limit := range []struct {
--- a/internal/rollout/allowance.go
+++ b/internal/rollout/allowance.go
@@ -219,9 +219,9 @@
 
 // maxOutMS is how long a unit may be out: by what the last ones took, at first by the budgets.
 func (rec *record) maxOutMS(kind Kind, b Budgets) int64 {
-	first, durations := b.DrainMS+b.StartMS+b.WarmupMS, rec.MemberDurationsMS
+	first, durations := b.DrainTimeoutMS+b.StartTimeoutMS+b.WarmupMS, rec.MemberDurationsMS
 	if kind == KindRelay {
-		first, durations = b.DrainMS+b.StartMS, rec.RelayDurationsMS
+		first, durations = b.DrainTimeoutMS+b.StartTimeoutMS, rec.RelayDurationsMS
 	}
 	if len(durations) < 3 {
 		return first
--- a/internal/rollout/budgets.go
+++ b/internal/rollout/budgets.go
@@ -16,8 +16,8 @@
 	SilentAfterMS    int64   `json:"silent"`   // without a report for longer a relay counts as lost
 	FlowHoldMS       int64   `json:"hold"`     // without a report for longer a relay has no flow any more at a member that is excluded
 	ViewMaxAgeMS     int64   `json:"fresh"`    // of a view when its step is applied
-	DrainMS          int64   `json:"drain"`    // that a relay or member may take to drain
-	StartMS          int64   `json:"start"`    // that it may take to serve
+	DrainTimeoutMS   int64   `json:"drain"`    // that a relay or member may take to drain
+	StartTimeoutMS   int64   `json:"start"`    // that it may take to serve
 	WarmupMS         int64   `json:"warm"`     // the slow start of a member
 	PermitWindowMS   int64   `json:"window"`   // in which a permit has to be begun
 	ClockDrift       float64 `json:"clock"`    // by which part a clock may run faster or slower: 0.01
--- a/internal/rollout/permit_test.go
+++ b/internal/rollout/permit_test.go
@@ -10,7 +10,7 @@
 // release may take it. Requesters without end do not block a release for good.
 func TestPermitsAndReleases(t *testing.T) {
 	s := New()
-	b := Budgets{SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainMS: 500, StartMS: 500, PermitWindowMS: 100, ClockDrift: 0.01}
+	b := Budgets{SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainTimeoutMS: 500, StartTimeoutMS: 500, PermitWindowMS: 100, ClockDrift: 0.01}
 	v := View{At: 1000}
 	for i := range 4 {
 		v.Relays = append(v.Relays, Relay{Name: "n" + strconv.Itoa(i), Zone: "z", StartNumber: 5, Phase: "serving", InService: true, Capacity: 100})
--- a/internal/rollout/plan_observe.go
+++ b/internal/rollout/plan_observe.go
@@ -52,7 +52,7 @@
 		return Observation{Phase: PhaseDone}, u.Phase == PhaseLeaving && p.appliedEverywhere(u.OrderVersion)
 	}
 	if u.Phase == PhasePending && r.State == ReleaseRunning && !p.present(u) && p.onlyMissingLeft(r) && !p.isGranted(u) &&
-		p.now-r.activeSince() > p.budgets.StartMS+p.budgets.SilentAfterMS { // longer than a crashed one takes to return
+		p.now-r.activeSince() > p.budgets.StartTimeoutMS+p.budgets.SilentAfterMS { // longer than a crashed one takes to return
 		return Observation{Phase: PhaseMissing}, true
 	}
 	if u.Phase == PhaseDone && u.Stranded {
@@ -187,7 +187,7 @@
 	for i := range p.view.Members {
 		m := &p.view.Members[i]
 		sameZone := m.Zone == u.Zone
-		if p.claimed[m.Name] || m.Started <= u.OrderedAt || !onTarget(m) || !sameZone && p.now-u.OrderedAt < p.budgets.DrainMS+p.budgets.StartMS {
+		if p.claimed[m.Name] || m.Started <= u.OrderedAt || !onTarget(m) || !sameZone && p.now-u.OrderedAt < p.budgets.DrainTimeoutMS+p.budgets.StartTimeoutMS {
 			continue
 		}
 		bestSameZone := best != nil && best.Zone == u.Zone
--- a/internal/rollout/plan_step.go
+++ b/internal/rollout/plan_step.go
@@ -171,5 +171,5 @@
 	if flows == 0 || rate <= 0 {
 		return 0
 	}
-	return min(int64(float64(flows)/rate*1000)+1, p.budgets.DrainMS)
+	return min(int64(float64(flows)/rate*1000)+1, p.budgets.DrainTimeoutMS)
 }
--- a/internal/rollout/plan_units.go
+++ b/internal/rollout/plan_units.go
@@ -77,7 +77,7 @@
 // waited for.
 func (p *planner) versionsUnknown(r *release) bool {
 	spec := &r.Spec
-	return spec.Kind == KindRelay && p.now-r.ProgressAt <= p.budgets.DrainMS+p.budgets.StartMS && slices.ContainsFunc(p.view.Relays, func(x Relay) bool {
+	return spec.Kind == KindRelay && p.now-r.ProgressAt <= p.budgets.DrainTimeoutMS+p.budgets.StartTimeoutMS && slices.ContainsFunc(p.view.Relays, func(x Relay) bool {
 		return spec.selects(x.Name, x.Zone) && (spec.Program != "" && x.Program == "" || spec.Config != "" && x.Config == "")
 	})
 }
--- a/internal/rollout/quarantine_test.go
+++ b/internal/rollout/quarantine_test.go
@@ -9,7 +9,7 @@
 // TestQuarantine: half of the fleet drifts: the worst go first, no more than the budget allows by number, zone and capacity. A quarantined relay may be
 // released at no further cost, and counts until it is seen to serve again.
 func TestQuarantine(t *testing.T) {
-	b := Budgets{Relays: Budget{Total: Limit{Count: 3}}, SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainMS: 100, StartMS: 100, PermitWindowMS: 100}
+	b := Budgets{Relays: Budget{Total: Limit{Count: 3}}, SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainTimeoutMS: 100, StartTimeoutMS: 100, PermitWindowMS: 100}
 	var s *State
 	var v View
 	begin := func() {
--- a/internal/rollout/release_test.go
+++ b/internal/rollout/release_test.go
@@ -87,7 +87,7 @@
 
 // TestStranded: a stranded member is out until it is back as it was, is gone, or an operator accepts it as it is. Each is reported once.
 func TestStranded(t *testing.T) {
-	b := Budgets{SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainMS: 100, StartMS: 100, PermitWindowMS: 100}
+	b := Budgets{SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainTimeoutMS: 100, StartTimeoutMS: 100, PermitWindowMS: 100}
 	for _, allow := range []bool{false, true} {
 		s, v := New(), View{At: 1e6, Relays: []Relay{{Name: "n", InService: true}}, Members: []Member{{Name: "a", Program: "b3", Started: 9, Capacity: 1, UsableCapacity: 1}}}
 		s.record.Releases = []release{{ReleaseStatus: ReleaseStatus{Name: "r", State: ReleaseRolledBack, RollingBack: true, Spec: ReleaseSpec{Kind: KindMember, All: true, Program: "b2"}, Units: []Unit{
@@ -111,7 +111,7 @@
 // TestUnknownVersions: a relay that has not reported what it runs could not be reverted: its release waits for the report, unless it stays silent. Then
 // it cannot be reverted.
 func TestUnknownVersions(t *testing.T) {
-	s, b := New(), Budgets{SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainMS: 500, StartMS: 500, PermitWindowMS: 100}
+	s, b := New(), Budgets{SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainTimeoutMS: 500, StartTimeoutMS: 500, PermitWindowMS: 100}
 	v := View{At: 1000, Relays: []Relay{{Name: "a", ReportAgeMS: 1}, {Name: "b", Program: "p1", StartNumber: 1, InService: true}}}
 	expect(t, s, v.At, ReleaseQueued, Command{Kind: CommandOpen, Name: "first", Release: &ReleaseSpec{Kind: KindRelay, Names: []string{"b"}}})
 	expect(t, s, v.At, ReleaseQueued, Command{Kind: CommandOpen, Name: "r", Release: &ReleaseSpec{Kind: KindRelay, All: true, Program: "p2", Queue: true}})
@@ -156,7 +156,7 @@
 
 // TestSuccessorIsNotLost: a successor of another name does not count as lost beside the member that it replaces: the release does not halt for it.
 func TestSuccessorIsNotLost(t *testing.T) {
-	b := Budgets{SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainMS: 1000, StartMS: 1000, WarmupMS: 1000, PermitWindowMS: 100}
+	b := Budgets{SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainTimeoutMS: 1000, StartTimeoutMS: 1000, WarmupMS: 1000, PermitWindowMS: 100}
 	v := View{At: 1000, Relays: []Relay{{Name: "n", InService: true}}, Members: []Member{{Name: "a.1", Started: 990, Capacity: 1, UsableCapacity: 0.3}, {Name: "b", Capacity: 1, UsableCapacity: 1}}}
 	s := New()
 	s.record.Releases = []release{{UnitsSet: true, ReleaseStatus: ReleaseStatus{Name: "r", State: ReleaseRunning, Spec: ReleaseSpec{Kind: KindMember, All: true}, Units: []Unit{
--- a/internal/rollout/simulation_test.go
+++ b/internal/rollout/simulation_test.go
@@ -112,7 +112,7 @@
 func newSimulation(seed uint64, n, m, zones int) *simulation {
 	sim := &simulation{rng: rand.New(rand.NewPCG(seed, 31)), now: 1e6, state: New(), out: map[string]func() bool{}, log: []appliedOrders{{}}}
 	sim.budgets = Budgets{Relays: Budget{Total: Limit{Share: 0.34}}, Members: Budget{Total: Limit{Share: 0.34}}, CapacityReserve: 0.05, SilentAfterMS: 1500, FlowHoldMS: 3000,
-		ViewMaxAgeMS: 1500, DrainMS: 4000, StartMS: 4000, WarmupMS: 4000, PermitWindowMS: 3000, ClockDrift: 0.02, DriftHaltMS: 2000, ServiceTolerance: 0.05}
+		ViewMaxAgeMS: 1500, DrainTimeoutMS: 4000, StartTimeoutMS: 4000, WarmupMS: 4000, PermitWindowMS: 3000, ClockDrift: 0.02, DriftHaltMS: 2000, ServiceTolerance: 0.05}
 	if sim.rng.IntN(2) == 0 {
 		sim.budgets.Relays.PerZone, sim.budgets.Members.PerZone = Limit{Count: 1 + sim.rng.IntN(2)}, Limit{Share: 0.5}
 	}
