--- a/internal/netloop/datagram.go
+++ b/internal/netloop/datagram.go
@@ -9,18 +9,17 @@
 // datagramBurst bounds the datagrams that are read before other sockets have a turn.
 const datagramBurst = 64
 
-// ListenUDP is a UDP socket.
+// UDPSocket is a UDP socket.
 type UDPSocket struct {
-	l       *Loop
-	fd      int // -1 once given back
-	heard   func(from string, b []byte)
-	Dropped int // that could not leave: the next ones say the same
+	loop       *Loop
+	fd         int // -1 once given back
+	onDatagram func(from string, b []byte)
+	Dropped    int // datagrams that could not be sent; none is sent again
 }
 
-// ListenUDP opens a UDP socket. Heard may keep nothing of b. What is longer than the loop's own buffer, which is longer than
-// any datagram, does not exist.
-func (l *Loop) ListenUDP(addr string, heard func(from string, b []byte)) (*UDPSocket, error) {
-	at, family, err := address(addr)
+// ListenUDP opens a UDP socket. OnDatagram must not retain b. The loop's buffer is longer than any datagram.
+func (l *Loop) ListenUDP(addr string, onDatagram func(from string, b []byte)) (*UDPSocket, error) {
+	at, family, err := parseSockaddr(addr)
 	if err != nil {
 		return nil, err
 	}
@@ -28,9 +27,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("datagrams at %s: %w", addr, err)
 	}
-	d := &UDPSocket{l: l, fd: fd, heard: heard}
+	d := &UDPSocket{loop: l, fd: fd, onDatagram: onDatagram}
 	if err = unix.Bind(fd, at); err == nil {
-		err = l.add(fd, unix.EPOLLIN, d, &l.descriptorBudget)
+		err = l.register(fd, unix.EPOLLIN, d, &l.descriptorBudget)
 	}
 	if err != nil {
 		unix.Close(fd)
@@ -39,12 +38,12 @@
 	return d, nil
 }
 
-// LocalAddr is where the socket is.
-func (d *UDPSocket) Addr() string { return ownAddr(d.fd) }
+// Addr is the address that the socket is bound to.
+func (d *UDPSocket) Addr() string { return localAddr(d.fd) }
 
-// Send sends one, or drops it where there is no room: nothing waits.
+// Send sends a datagram, or drops it if the socket cannot take it: nothing is buffered.
 func (d *UDPSocket) Send(to string, b []byte) {
-	at, _, err := address(to)
+	at, _, err := parseSockaddr(to)
 	if err == nil && d.fd >= 0 {
 		err = unix.Sendto(d.fd, b, unix.MSG_DONTWAIT, at)
 	}
@@ -53,10 +52,10 @@
 	}
 }
 
-// Close gives the socket back. A nil one may be closed.
+// Close closes the socket. A nil UDPSocket may be closed.
 func (d *UDPSocket) Close() {
 	if d != nil && d.fd >= 0 {
-		d.l.drop(d.fd, &d.l.descriptorBudget)
+		d.loop.unregister(d.fd, &d.loop.descriptorBudget)
 		d.fd = -1
 	}
 }
@@ -66,13 +65,13 @@
 		if d.fd < 0 {
 			return
 		}
-		n, from, err := unix.Recvfrom(d.fd, d.l.chunk, unix.MSG_DONTWAIT)
+		n, from, err := unix.Recvfrom(d.fd, d.loop.readBuffer, unix.MSG_DONTWAIT)
 		switch {
-		case err == unix.EINTR || err == unix.ECONNREFUSED: // the latter is of one that was sent
+		case err == unix.EINTR || err == unix.ECONNREFUSED: // the latter is about a datagram that was sent
 			continue
 		case err != nil:
 			return
 		}
-		d.heard(named(from), d.l.chunk[:n])
+		d.onDatagram(formatSockaddr(from), d.loop.readBuffer[:n])
 	}
 }
