--- /dev/null
+++ b/internal/consensus/cluster_test.go
@@ -0,0 +1,226 @@
+package consensus
+
+import (
+	"context"
+	"encoding/binary"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+func (f *cluster) startVoters() {
+	for name := range f.voters {
+		f.start(name)
+	}
+}
+
+// waitChangeDone waits until a change of voters has left the joint configuration: before that it takes a majority of the old voters too.
+func (f *cluster) waitChangeDone(name string) {
+	f.t.Helper()
+	id := f.nodes[name].Status().Identity
+	f.wait("all voters know, and the change is done", func() bool {
+		n := 0
+		for _, node := range f.nodes {
+			if e := node.engine(); e != nil {
+				if v := e.view.Load(); v.voters.idOf(name) != id || v.inJointConfig {
+					return false
+				}
+				n++
+			}
+		}
+		return n == len(f.voters)
+	})
+}
+
+// hashMachine is a machine that depends on the order: a hash over all commands, and their number.
+type hashMachine struct {
+	mu   sync.Mutex
+	n    uint64
+	hash uint64
+	last string
+	pad  int
+}
+
+func (s *hashMachine) Apply(index uint64, c []byte) []byte {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.n++
+	for _, b := range c {
+		s.hash = (s.hash ^ uint64(b)) * 1099511628211
+	}
+	s.last = string(c)
+	return fmt.Appendf(nil, "%d:%s", s.n, c)
+}
+
+func (s *hashMachine) Snapshot() []byte {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	b := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, s.n), s.hash)
+	return append(b, make([]byte, s.pad)...)
+}
+
+func (s *hashMachine) Restore(index uint64, b []byte) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(b) < 16 {
+		return errMalformed
+	}
+	s.n, s.hash = binary.BigEndian.Uint64(b), binary.BigEndian.Uint64(b[8:])
+	return nil
+}
+
+func (s *hashMachine) state() (n, hash uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.n, s.hash
+}
+
+// cluster is several nodes in one process.
+type cluster struct {
+	t             testing.TB
+	keys          [][]byte
+	voters        map[string]string
+	nodes         map[string]*Node
+	machines      map[string]*hashMachine
+	directory     string
+	dirs          map[string]string
+	addrs         map[string]string
+	dialAddresses map[string]map[string]string
+	faults        map[string]func(string) error
+	onReport      func(from string, report []byte) []byte
+	onReply       func(at, from, answer string)
+}
+
+var hosts atomic.Uint32
+
+// freeAddr is on a loopback address of its own: no other test, and no outgoing connection, takes the port while a node is down.
+func freeAddr(t testing.TB) string {
+	h := hosts.Add(1)
+	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+os.Getpid()%250, h/250, 1+h%250))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	return ln.Addr().String()
+}
+
+func newCluster(t testing.TB, voters int, disk bool) *cluster {
+	f := &cluster{t: t, directory: t.TempDir(), keys: [][]byte{[]byte("a key of the installation, 32 or more")}, voters: map[string]string{}, nodes: map[string]*Node{}, machines: map[string]*hashMachine{},
+		dirs: map[string]string{}, addrs: map[string]string{}, dialAddresses: map[string]map[string]string{}, faults: map[string]func(string) error{}}
+	for i := range voters {
+		name := fmt.Sprintf("v%d", i)
+		f.voters[name] = freeAddr(t)
+		f.addrs[name] = f.voters[name]
+		if disk {
+			f.dirs[name] = filepath.Join(f.directory, name)
+		}
+	}
+	t.Cleanup(func() { // before the directory above is removed: a node that still runs would write into it
+		var wg sync.WaitGroup
+		for _, n := range f.nodes {
+			wg.Go(func() { n.Close() })
+		}
+		wg.Wait()
+	})
+	return f
+}
+
+func (f *cluster) start(name string) *Node {
+	f.t.Helper()
+	if f.addrs[name] == "" {
+		f.addrs[name] = freeAddr(f.t)
+	}
+	m := &hashMachine{}
+	onReply := func(from string, answer []byte) {
+		if f.onReply != nil {
+			f.onReply(name, from, string(answer))
+		}
+	}
+	n, err := startWithFaults(Options{Name: name, Voters: f.voters, DialAddresses: f.dialAddresses[name], Listen: f.addrs[name], Dir: f.dirs[name], Keys: f.keys, Machine: m, OnReport: f.onReport, OnReply: onReply}, f.faults[name])
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	f.nodes[name], f.machines[name] = n, m
+	return n
+}
+
+func (f *cluster) stop(name string) {
+	f.t.Helper()
+	if err := f.nodes[name].Close(); err != nil {
+		f.t.Fatal(err)
+	}
+	delete(f.nodes, name)
+}
+
+func (f *cluster) wait(what string, ok func() bool) {
+	f.t.Helper()
+	for end := time.Now().Add(30 * time.Second); !ok(); time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(end) {
+			for name, n := range f.nodes {
+				f.t.Logf("%s: %+v", name, n.Status())
+			}
+			f.t.Fatalf("not in 30 s: %s", what)
+		}
+	}
+}
+
+func (f *cluster) propose(name, command string) uint64 {
+	f.t.Helper()
+	f.wait("a leader that it knows", func() bool { // otherwise a call may rightly have an unknown outcome: it contacts all in turn, one that is down too
+		l, e := f.nodes[f.nodes[name].Status().Leader], f.nodes[name].engine()
+		return l != nil && l.Status().Role == RoleLeader && (e == nil || e.view.Load().leader != 0)
+	})
+	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
+	defer cancel()
+	a, index, err := f.nodes[name].Propose(ctx, []byte(command))
+	if err != nil {
+		for name, n := range f.nodes {
+			f.t.Logf("%s: %+v", name, n.Status())
+		}
+		f.t.Fatalf("%s at %s: %v", command, name, err)
+	}
+	var n int
+	var c string
+	if _, err := fmt.Sscanf(string(a), "%d:%s", &n, &c); err != nil || c != command {
+		f.t.Fatalf("answer %q", a)
+	}
+	return index
+}
+
+func (f *cluster) leader() string {
+	name := ""
+	f.wait("a leader", func() bool {
+		for n := range f.nodes {
+			if f.nodes[n].Status().Role == RoleLeader {
+				name = n
+				return true
+			}
+		}
+		return false
+	})
+	return name
+}
+
+// waitSameState waits until all have applied the same.
+func (f *cluster) waitSameState() {
+	f.t.Helper()
+	f.wait("all the same", func() bool {
+		var n, hash uint64
+		first := true
+		for _, m := range f.machines {
+			a, b := m.state()
+			if first {
+				n, hash, first = a, b, false
+			}
+			if a != n || b != hash {
+				return false
+			}
+		}
+		return true
+	})
+}
--- /dev/null
+++ b/internal/consensus/disk_test.go
@@ -0,0 +1,313 @@
+package consensus
+
+import (
+	"bytes"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	pb "go.etcd.io/raft/v3/raftpb"
+)
+
+func TestDiskFails(t *testing.T) {
+	t.Parallel()
+	ops := []string{"sync"}
+	if os.Getenv("CONSENSUS_SEEDS") != "" {
+		ops = append(ops, "write")
+	}
+	for _, op := range ops {
+		var failing atomic.Bool
+		f := newCluster(t, 3, true)
+		f.faults["v1"] = func(at string) error {
+			if failing.Load() && (at == op || at == "open") {
+				return fmt.Errorf("no space left at %s", at)
+			}
+			return nil
+		}
+		f.startVoters()
+		f.propose("v1", "a")
+		failing.Store(true)
+		for i := range 3 {
+			f.propose("v0", fmt.Sprint("b", i))
+		}
+		f.wait("its status says so", func() bool { s := f.nodes["v1"].Status(); return s.Role == RoleDiskFailed && s.DiskError != "" })
+		f.propose("v2", "c")
+		f.wait("it follows nevertheless", func() bool { n, _ := f.machines["v1"].state(); return n == 5 })
+		failing.Store(false)
+		f.wait("it votes again", func() bool { s := f.nodes["v1"].Status(); return s.Role != RoleDiskFailed && s.DiskError == "" })
+		other := "v0"
+		if f.leader() == other {
+			other = "v2"
+		}
+		f.stop(other) // so that its vote is needed
+		f.propose("v1", "d")
+		id := f.nodes["v1"].Status().Identity
+		f.stop("v1")
+		f.start("v1")
+		f.start(other)
+		f.propose("v1", "e")
+		f.waitSameState()
+		if now := f.nodes["v1"].Status().Identity; now != id {
+			t.Fatalf("identity %d, then %d", id, now)
+		}
+	}
+}
+
+func TestUnusableDirectory(t *testing.T) {
+	t.Parallel()
+	f := newCluster(t, 1, false)
+	file := filepath.Join(f.directory, "file")
+	if err := os.WriteFile(file, []byte("x"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	f.dirs["v0"] = filepath.Join(file, "dir") // cannot be created
+	f.start("v0")
+	f.wait("its status says so", func() bool { s := f.nodes["v0"].Status(); return s.DiskError != "" && s.Role == RoleDiskFailed })
+}
+
+// TestLostDirectory: whatever happened to a voter's directory, it never votes under its old identity, and votes again under a new one.
+func TestLostDirectory(t *testing.T) {
+	t.Parallel()
+	for _, how := range []string{"emptied", "in memory", "damaged", "older"} {
+		t.Run(how, func(t *testing.T) {
+			t.Parallel()
+			f := newCluster(t, 3, how != "in memory")
+			f.startVoters()
+			f.propose("v1", "a")
+			f.waitSameState()
+			id := f.nodes["v2"].Status().Identity
+			f.stop("v2")
+			path := filepath.Join(f.dirs["v2"], databaseFile)
+			file, err := os.ReadFile(path)
+			if err != nil && f.dirs["v2"] != "" {
+				t.Fatal(err)
+			}
+			if how == "older" {
+				f.start("v2")
+				f.wait("it votes", func() bool { return f.nodes["v2"].Status().Role != RoleJoining })
+				f.propose("v2", "forgotten")
+				f.waitSameState()
+				time.Sleep(3 * heartbeatTicks * tickInterval) // until the others know what it acknowledged
+				f.stop("v2")
+			}
+			if how == "damaged" {
+				file[os.Getpagesize()+pageHeaderSize+20] ^= 1
+			}
+			if how == "emptied" {
+				err = os.Remove(path)
+			} else if f.dirs["v2"] != "" {
+				err = os.WriteFile(path, file, 0o600)
+			}
+			if err != nil && f.dirs["v2"] != "" {
+				t.Fatal(err)
+			}
+			f.propose("v1", "b")
+			f.start("v2")
+			f.wait("its status says so, and it votes again", func() bool {
+				s := f.nodes["v2"].Status()
+				return s.Identity != id && (s.Role == RoleVoter || s.Role == RoleLeader) && (strings.Contains(s.IdentityReason, how) || how == "emptied" || how == "in memory")
+			})
+			f.waitChangeDone("v2")
+			f.stop("v1")
+			f.propose("v2", "c") // its vote is needed
+			f.start("v1")
+			f.propose("v1", "d")
+			f.waitSameState()
+		})
+	}
+}
+
+// filledFile is a voter's file of that many entries, as bbolt wrote it, and what it holds.
+func filledFile(t *testing.T, entries int) (file []byte, h storedState) {
+	d := &disk{directory: t.TempDir()}
+	if _, _, err := d.open(5); err != nil {
+		t.Fatal(err)
+	}
+	s, err := bootstrapSnapshot(9, voterSet{5: {"v0", "a"}}, []byte("machine"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	must := func(err error) {
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	must(d.write(diskWrite{snapshot: s.encode(), hardState: &pb.HardState{Term: new(uint64(1)), Commit: new(uint64(1))}}))
+	entry := func(i, term uint64, size int) diskWrite {
+		return diskWrite{entries: []*pb.Entry{{Index: new(i), Term: new(term), Data: bytes.Repeat([]byte("d"), size)}}, hardState: &pb.HardState{Term: new(term), Vote: new(uint64(5)), Commit: new(i)},
+			acknowledged: map[uint64]logPosition{7: {term, i}}}
+	}
+	for i := range uint64(entries) {
+		must(d.write(entry(i+2, 1, 300+int(i%7)*40)))
+	}
+	must(d.write(entry(uint64(entries)/2, 2, 9000))) // more than a page; the entries behind it are gone
+	s.index, s.machineState = uint64(entries)/4, bytes.Repeat([]byte("m"), 6000)
+	must(d.write(diskWrite{compaction: s.encode(), compactedIndex: s.index - 3}))
+	must(d.close())
+	file, err = os.ReadFile(filepath.Join(d.directory, databaseFile))
+	must(err)
+	h, err = loadFile(file)
+	must(err)
+	if n := len(h.entries); h.identity != 5 || n == 0 || h.entries[0].GetIndex() != s.index+1 || h.entries[n-1].GetTerm() != 2 || h.hardState.GetVote() != 5 || h.acknowledged[7].term != 2 {
+		t.Fatalf("not read as written: %+v", h)
+	}
+	return file, h
+}
+
+// TestFileRoundTrip compares the file, as it is read without bbolt, with the model's.
+func TestFileRoundTrip(t *testing.T) {
+	t.Parallel()
+	rng := rand.New(rand.NewPCG(3, 1))
+	d, n, w := &disk{directory: t.TempDir()}, &modelNode{disk: storedState{identity: 5}}, &world{}
+	if _, _, err := d.open(5); err != nil {
+		t.Fatal(err)
+	}
+	s, err := bootstrapSnapshot(9, voterSet{5: {"v0", "a"}}, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	last, term := uint64(1), uint64(1)
+	for i := range 120 {
+		dw := diskWrite{acknowledged: map[uint64]logPosition{7: {term, last}}}
+		kind := rng.IntN(8)
+		if i == 0 {
+			kind = 0
+		}
+		switch kind {
+		case 0: // another's snapshot
+			last += uint64(rng.IntN(3))
+			s.index, s.term, s.machineState = last, term, make([]byte, rng.IntN(20000))
+			dw.snapshot = s.encode()
+		case 1: // its own
+			s.index += uint64(rng.IntN(int(last-s.index) + 1))
+			s.machineState = make([]byte, rng.IntN(20000))
+			dw.compaction, dw.compactedIndex = s.encode(), s.index-min(s.index, uint64(rng.IntN(10)))
+		default: // entries, some of which replace others
+			if rng.IntN(3) == 0 && last > s.index {
+				term++
+				last -= uint64(rng.IntN(int(last - s.index)))
+			}
+			for range rng.IntN(12) {
+				last++
+				dw.entries = append(dw.entries, &pb.Entry{Index: new(last), Term: new(term), Data: make([]byte, rng.IntN(200)*rng.IntN(40))})
+			}
+		}
+		dw.hardState = &pb.HardState{Term: new(term), Vote: new(uint64(5)), Commit: new(s.index)}
+		if err := d.write(dw); err != nil {
+			t.Fatal(err)
+		}
+		n.writing = &dw
+		w.completeWrite(n)
+		file, err := os.ReadFile(filepath.Join(d.directory, databaseFile))
+		if err != nil {
+			t.Fatal(err)
+		}
+		h, err := loadFile(file)
+		if err != nil {
+			t.Fatalf("write %d: %v", i, err)
+		}
+		want := n.disk
+		for len(want.entries) > 0 && want.entries[0].GetIndex() <= s.index {
+			want.entries = want.entries[1:]
+		}
+		show := func(h storedState) string {
+			return fmt.Sprint(h.identity, h.snapshot, h.hardState, h.entries, h.acknowledged)
+		}
+		if show(h) != show(want) {
+			t.Fatalf("write %d: %d entries are read, %d were written", i, len(h.entries), len(want.entries))
+		}
+		if i%20 == 19 {
+			if err := d.close(); err != nil {
+				t.Fatal(err)
+			}
+			if _, note, err := d.open(6); note != "" || err != nil {
+				t.Fatal(note, err)
+			}
+			n.disk.entries = h.entries
+		}
+	}
+	if err := d.close(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// TestDamagedFile truncates the file at each length and flips bits: it is then rejected, or read as before. The directory is then a new voter's.
+func TestDamagedFile(t *testing.T) {
+	t.Parallel()
+	good, stored := filledFile(t, 60)
+	step := 199 // coprime to 8 and the page size: each bit of a byte, and each byte of a page, has its turn
+	if os.Getenv("CONSENSUS_SEEDS") != "" {
+		step = 1
+	}
+	for n := 0; n < len(good); n += step {
+		if h, err := loadFile(good[:n]); err == nil && !reflect.DeepEqual(h, stored) { // the file is longer than its pages in use
+			t.Fatalf("truncated at %d, and something else is read", n)
+		}
+	}
+	same, refused := 0, 0
+	b := bytes.Clone(good)
+	for bit := 0; bit < 8*len(b); bit += step {
+		b[bit/8] ^= 1 << (bit % 8)
+		switch h, err := loadFile(b); {
+		case err != nil:
+			refused++
+		case reflect.DeepEqual(h, stored): // in a free page, or in unused space
+			same++
+		default:
+			t.Fatalf("bit %d flipped, and something else is read", bit)
+		}
+		b[bit/8] ^= 1 << (bit % 8)
+	}
+	size := os.Getpagesize()
+	for from := 0; from < len(b); from += size { // each page in the place of each other, under its number: such as an older one
+		for to := 0; to < len(b); to += size {
+			copy(b[to+8:to+size], good[from+8:from+size])
+			if h, err := loadFile(b); err == nil && !reflect.DeepEqual(h, stored) {
+				t.Fatalf("page at %d in the place of %d, and something else is read", from, to)
+			}
+			copy(b[to:to+size], good[to:to+size])
+		}
+	}
+	for id := 0; id < len(b)/size; id++ { // a page that is its own child: a reader that loops does not end
+		if p := b[id*size:]; binary.NativeEndian.Uint16(p[8:]) == pageKindBranch {
+			binary.NativeEndian.PutUint64(p[pageHeaderSize+8:], uint64(id))
+			if h, err := loadFile(b); err == nil && !reflect.DeepEqual(h, stored) {
+				t.Fatalf("page %d is its own child, and accepted", id)
+			}
+		}
+	}
+	t.Log(same, refused)
+	if same == 0 || refused == 0 {
+		t.Error("nothing was tried")
+	}
+	dir := t.TempDir()
+	for i, c := range []struct {
+		file []byte
+		id   uint64
+	}{{nil, 6}, {good[:size], 6}, {good, 5}, {good, 5}, {good[:3*size], 6}} {
+		if err := os.WriteFile(filepath.Join(dir, databaseFile), c.file, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		d := &disk{directory: dir}
+		h, note, err := d.open(6)
+		if err != nil || h.identity != c.id || (note == "") != (c.id == 5) || (h.snapshot == nil) != (c.id == 6) {
+			t.Fatalf("%d: %v %q, identity %d", i, err, note, h.identity)
+		}
+		if i == 2 {
+			if _, _, err := (&disk{directory: dir}).open(7); !errors.Is(err, errInUse) {
+				t.Errorf("opened twice: %v", err)
+			}
+		}
+		if err := d.close(); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/consensus/envelope_test.go
@@ -0,0 +1,101 @@
+package consensus
+
+import (
+	"bytes"
+	"context"
+	"encoding/binary"
+	"testing"
+	"time"
+)
+
+// TestDuplicateNames: two relays of one name are found, by those that receive from them and by themselves; one that is restarted is not.
+func TestDuplicateNames(t *testing.T) {
+	t.Parallel()
+	f := newCluster(t, 3, false)
+	f.startVoters()
+	f.start("r1")
+	f.nodes["its duplicate"], f.addrs["r0"] = f.start("r0"), freeAddr(t)
+	f.start("r0")
+	f.propose("r1", "a")
+	f.stop("r1")
+	f.start("r1")
+	named := map[string]bool{}
+	f.wait("they are found", func() bool {
+		for name, n := range f.nodes {
+			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+			n.Barrier(ctx) // any request; it may fail
+			cancel()
+			for _, twin := range n.Status().DuplicateNames {
+				if twin != "r0" {
+					t.Fatalf("%s names %s", name, twin)
+				}
+				named[name] = true
+			}
+		}
+		return named["r0"] && named["its duplicate"] && (named["v0"] || named["v1"] || named["v2"])
+	})
+}
+
+func FuzzEnvelope(f *testing.F) {
+	keys := [][]byte{[]byte("key one"), []byte("key two")}
+	good, _ := sealRequest(keys[1], 4, 5, 6, requestReport, "from", "to", []byte("body"))
+	f.Add(good)
+	f.Add(good[:len(good)-1])
+	f.Add([]byte{envelopeVersion})
+	f.Fuzz(func(t *testing.T, b []byte) {
+		r, err := verifyRequest(keys, "to", b)
+		if err == nil && !bytes.Equal(b, good) {
+			again, _ := sealRequest(r.key, r.epoch, r.start, r.sequence, r.kind, r.from, "to", r.body)
+			if !bytes.Equal(again, b) {
+				t.Fatal("accepted, and not sealed so")
+			}
+		}
+	})
+}
+
+func TestEnvelope(t *testing.T) {
+	keys := [][]byte{[]byte("key one"), []byte("key two")}
+	f := replayGuard{epoch: 4}
+	check := func(epoch, start, seq uint64) error {
+		b, _ := sealRequest(keys[0], epoch, start, seq, requestPropose, "a", "b", []byte("x"))
+		r, err := verifyRequest(keys, "b", b)
+		if err != nil {
+			t.Fatal(err)
+		}
+		_, err = f.admit(r)
+		return err
+	}
+	for _, c := range []struct {
+		epoch, start, seq uint64
+		want              error
+	}{
+		{3, 9, 1, errWrongEpoch}, {4, 9, 1, nil}, {4, 9, 1, errReplayed}, {4, 9, 500, nil}, {4, 9, 2, nil}, {4, 9, 2, errReplayed}, {4, 9, 499, nil},
+		{4, 9, 500 + replayWindow, nil}, {4, 9, 500, errReplayed}, {4, 9, 501, nil}, {4, 9, 501, errReplayed}, {4, 8, 900, errStaleStart}, {4, 10, 1, nil}, {4, 9, 9000, errStaleStart},
+	} {
+		if err := check(c.epoch, c.start, c.seq); err != c.want {
+			t.Errorf("%v: %v", c, err)
+		}
+	}
+	b, tag := sealRequest(keys[0], 1, 2, 3, requestPropose, "a", "b", nil)
+	if _, err := verifyRequest(keys, "c", b); err != errWrongReceiver {
+		t.Errorf("for another: %v", err)
+	}
+	for i := range b {
+		c := bytes.Clone(b)
+		c[i] ^= 1
+		if _, err := verifyRequest(keys, "b", c); err == nil {
+			t.Fatalf("byte %d flipped, and accepted", i)
+		}
+	}
+	a := sealAnswer(keys[0], tag, 0, []byte("yes"))
+	if got, err := verifyAnswer(keys[0], tag, 0, a); err != nil || string(got) != "yes" {
+		t.Fatal(err)
+	}
+	_, other := sealRequest(keys[0], 1, 2, 4, requestPropose, "a", "b", nil)
+	if _, err := verifyAnswer(keys[0], other, 0, a); err == nil {
+		t.Error("a response to another request")
+	}
+	if _, err := verifyAnswer(keys[0], tag, binary.MaxVarintLen16, a); err == nil {
+		t.Error("a response's other part")
+	}
+}
--- a/internal/consensus/figures_test.go
+++ b/internal/consensus/figures_test.go
@@ -20,18 +20,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// used is what a process says of its node and of itself.
-type used struct {
+// usage is a process's report of its node and of itself.
+type usage struct {
 	Status
-	Sound bool // it votes, and may be lost again
+	Votes bool // it votes, and may be killed again
 	CPU   time.Duration
 	Heap  uint64
 }
 
-func usedBy(n *Node) (u used) {
+func usageOf(n *Node) (u usage) {
 	u.Status = n.Status()
 	e := n.engine()
-	u.Sound = e != nil && !e.view.Load().unverified && u.HasQuorum
+	u.Votes = e != nil && !e.view.Load().unverified && u.HasQuorum
 	var r unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &r); err == nil {
 		u.CPU = time.Duration(r.Utime.Nano() + r.Stime.Nano())
@@ -45,7 +45,7 @@
 
 // TestRelayProcess is no test: TestFigures runs it as the process of a relay, which answers each line that it reads.
 func TestRelayProcess(t *testing.T) {
-	args := os.Getenv("ACCORD_RELAY")
+	args := os.Getenv("CONSENSUS_RELAY")
 	if args == "" {
 		t.Skip("a process of TestFigures")
 	}
@@ -53,16 +53,16 @@
 	if err := json.Unmarshal([]byte(args), &o); err != nil {
 		t.Fatal(err)
 	}
-	o.Machine, o.OnReport = &sum{}, func(string, []byte) []byte { return make([]byte, 100) }
+	o.Machine, o.OnReport = &hashMachine{}, func(string, []byte) []byte { return make([]byte, 100) }
 	n, err := Start(o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	out := json.NewEncoder(os.Stdout)
 	for in := bufio.NewScanner(os.Stdin); in.Scan(); {
-		if in.Text() == "say" {
+		if in.Text() == "report" {
 			n.Report(make([]byte, 400))
-		} else if err := out.Encode(usedBy(n)); err != nil {
+		} else if err := out.Encode(usageOf(n)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -74,23 +74,23 @@
 	out *json.Decoder
 }
 
-func (p *process) used() (u used) {
+func (p *process) usage() (u usage) {
 	fmt.Fprintln(p.in)
 	p.out.Decode(&u)
 	return u
 }
 
-// processes are voters as processes of their own; the fleet has the followers, in this one.
-func processes(t *testing.T) (f *fleet, ps map[string]*process, up func(name string)) {
-	f, ps = newFleet(t, 3, true), map[string]*process{}
-	f.heard = func(string, []byte) []byte { return nil }
+// processes are voters as processes of their own; the cluster has the followers, in this one.
+func processes(t *testing.T) (f *cluster, ps map[string]*process, up func(name string)) {
+	f, ps = newCluster(t, 3, true), map[string]*process{}
+	f.onReport = func(string, []byte) []byte { return nil }
 	up = func(name string) {
 		args, err := json.Marshal(map[string]any{"Name": name, "Voters": f.voters, "Listen": f.addrs[name], "Dir": f.dirs[name], "Keys": f.keys})
 		if err != nil {
 			t.Fatal(err)
 		}
 		p := &process{cmd: exec.Command(os.Args[0], "-test.run=^TestRelayProcess$")}
-		p.cmd.Env = append(os.Environ(), "ACCORD_RELAY="+string(args))
+		p.cmd.Env = append(os.Environ(), "CONSENSUS_RELAY="+string(args))
 		out, err := p.cmd.StdoutPipe()
 		if err != nil {
 			t.Fatal(err)
@@ -116,8 +116,8 @@
 	return f, ps, up
 }
 
-// until proposes at a follower until something is agreed. Each call is a new command: the operator's patience, not a repetition.
-func (f *fleet) until(name, command string) {
+// proposeUntilCommitted proposes at a follower until a command is committed. Each call is a new command, not a retry.
+func (f *cluster) proposeUntilCommitted(name, command string) {
 	for i := 0; ; i++ {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		_, _, err := f.nodes[name].Propose(ctx, fmt.Appendf(nil, "%s %d", command, i))
@@ -131,17 +131,17 @@
 	}
 }
 
-// TestFigures measures, and judges nothing: ACCORD_FIGURES=1 go test -run TestFigures -v -timeout 30m ./internal/accord
+// TestFigures measures, and judges nothing: CONSENSUS_FIGURES=1 go test -run TestFigures -v -timeout 30m ./internal/consensus
 func TestFigures(t *testing.T) {
-	if os.Getenv("ACCORD_FIGURES") == "" {
-		t.Skip("measures: ACCORD_FIGURES=1")
+	if os.Getenv("CONSENSUS_FIGURES") == "" {
+		t.Skip("measures: CONSENSUS_FIGURES=1")
 	}
 	load := func() string { b, _ := os.ReadFile("/proc/loadavg"); return string(b[:min(4, len(b))]) }
 	ms := func(h *hdrhistogram.Histogram, p float64) float64 { return float64(h.ValueAtQuantile(p)) / 1000 }
 	t.Run("commit", func(t *testing.T) {
-		f := newFleet(t, 3, true)
-		f.allUp()
-		f.up("r0")
+		f := newCluster(t, 3, true)
+		f.startVoters()
+		f.start("r0")
 		f.propose("r0", "a")
 		for _, at := range []string{f.leader(), "r0"} {
 			h := hdrhistogram.New(1, 60e6, 3)
@@ -165,29 +165,29 @@
 			})
 		}
 		wg.Wait()
-		t.Logf("%d orders at once: %.0f a second", workers, workers*each/time.Since(begin).Seconds())
+		t.Logf("%d proposals at once: %.0f a second", workers, workers*each/time.Since(begin).Seconds())
 	})
 	t.Run("killed", func(t *testing.T) {
 		f, ps, up := processes(t)
-		f.up("r0")
+		f.start("r0")
 		h := hdrhistogram.New(1, 60e6, 3)
 		for i := range 40 {
 			f.wait("all vote", func() bool {
 				n := 0
 				for _, p := range ps {
-					if u := p.used(); u.Sound {
+					if u := p.usage(); u.Votes {
 						n++
 						if u.IdentityReason != "" {
-							t.Errorf("a killed process left its directory so that it %s", u.IdentityReason)
+							t.Errorf("a killed process left its directory so that its identity is new: %s", u.IdentityReason)
 						}
 					}
 				}
 				return n == len(ps)
 			})
-			f.until("r0", "before")
+			f.proposeUntilCommitted("r0", "before")
 			l := ""
-			f.wait("a leader", func() bool { l = f.nodes["r0"].Status().Leader; return l != "" && ps[l].used().Role == RoleLeader })
-			for range 32 { // writes are under way
+			f.wait("a leader", func() bool { l = f.nodes["r0"].Status().Leader; return l != "" && ps[l].usage().Role == RoleLeader })
+			for range 32 { // writes are in progress
 				go f.nodes["r0"].Propose(context.Background(), make([]byte, 5000))
 			}
 			time.Sleep(time.Duration(i%8) * time.Millisecond)
@@ -195,7 +195,7 @@
 			if err := ps[l].cmd.Process.Kill(); err != nil {
 				t.Fatal(err)
 			}
-			f.until("r0", fmt.Sprint("after ", i))
+			f.proposeUntilCommitted("r0", fmt.Sprint("after ", i))
 			took := time.Since(begin)
 			h.RecordValue(took.Microseconds())
 			if took > 1300*time.Millisecond { // more than one election
@@ -214,9 +214,9 @@
 				crand.Reader = rand.NewChaCha8([32]byte{byte(seed), byte(seed >> 8)})
 				w := newModel(seed, 3, 0)
 				w.delay = delay
-				led := func() *vnode {
+				led := func() *modelNode {
 					for _, n := range w.nodes {
-						if n.c != nil && n.c.isLeader() {
+						if n.core != nil && n.core.isLeader() {
 							return n
 						}
 					}
@@ -239,23 +239,23 @@
 		t.Run(fmt.Sprint("bytes", followers), func(t *testing.T) {
 			f, ps, _ := processes(t)
 			for i := range followers {
-				f.up(fmt.Sprintf("r%d", i))
+				f.start(fmt.Sprintf("r%d", i))
 			}
-			f.until("r0", "a")
-			f.same()
+			f.proposeUntilCommitted("r0", "a")
+			f.waitSameState()
 			time.Sleep(preferredRetryInterval + 3*time.Second)
 			for _, busy := range []bool{false, true} {
 				time.Sleep(2 * time.Second)
-				look := func() map[string]used {
-					m := map[string]used{}
+				look := func() map[string]usage {
+					m := map[string]usage{}
 					for name, p := range ps {
-						m[name] = p.used()
+						m[name] = p.usage()
 					}
 					for name, n := range f.nodes {
 						if name == "r1" {
-							m[name] = usedBy(n)
+							m[name] = usageOf(n)
 						} else {
-							m[name] = used{Status: n.Status()}
+							m[name] = usage{Status: n.Status()}
 						}
 					}
 					return m
@@ -263,7 +263,7 @@
 				before, begin, proposed := look(), time.Now(), 0
 				for i := 0; time.Since(begin) < 10*time.Second; i++ {
 					if busy {
-						f.until("r1", fmt.Sprintf("%0500d", i))
+						f.proposeUntilCommitted("r1", fmt.Sprintf("%0500d", i))
 						proposed++
 						if i%10 == 0 {
 							for _, n := range f.nodes {
@@ -272,7 +272,7 @@
 								}
 							}
 							for _, p := range ps {
-								fmt.Fprintln(p.in, "say")
+								fmt.Fprintln(p.in, "report")
 							}
 						}
 					}
@@ -293,7 +293,7 @@
 					rows[role] = k
 					streams[u.StreamSource]++
 				}
-				t.Logf("%d followers, busy %v: %.1f orders a second, streams %v, load %s", followers, busy, float64(proposed)/secs, streams, load())
+				t.Logf("%d followers, busy %v: %.1f proposals a second, streams %v, load %s", followers, busy, float64(proposed)/secs, streams, load())
 				for _, role := range []string{RoleLeader, RoleVoter, RoleFollower} {
 					k := rows[role]
 					t.Logf("  %s: %.0f in, %.0f out B/s, %.2f ms a second, %.2f MB; of %v", role, k.in/k.n, k.out/k.n, k.cpu/k.n, k.heap/k.n, k.n)
--- a/internal/consensus/model_test.go
+++ b/internal/consensus/model_test.go
@@ -23,10 +23,10 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The model plays the same core, applier and encodings as a Node, on a network and disks in virtual time: loss, delay, messages that overtake
-// each other, cuts one way, stops, kills with a write under way, returns with nothing, clocks that drift.
+// The model runs the same core, applier and encodings as a Node, on a network and disks in virtual time: loss, delay, reordered messages,
+// one-way cuts, pauses, kills with a write in progress, lost directories, clocks that drift.
 
-// register answers each write with what stood before; its hash is over all that it ever applied.
+// register returns the previous value for each write; its hash is over all that it ever applied.
 type register struct{ value, hash uint64 }
 
 func (g *register) Apply(index uint64, c []byte) []byte {
@@ -46,95 +46,95 @@
 }
 
 type event struct {
-	at    time.Duration
-	order int
-	node  int // its life must be the same; -1: nobody's
-	life  int
-	do    func()
-}
-
-type vnode struct {
-	i         int
-	name      string
-	voter     bool
-	life      int
-	up, still bool
-	held      []event
-	tick      time.Duration
-	id        uint64
-	c         *core
-	g         *register
-	ap        *applier
-	pend      *pendingCalls
-	disk      storedState
-	writing   *diskWrite
-	slow      time.Duration
-	vouched   map[int]bool
-	began     time.Duration
-	waiting   map[[16]byte]func(callResult)
-	waiters   map[[16]byte]*pendingCall
-	snap      *recordSnapshot
-	raw       []byte
+	at          time.Duration
+	order       int
+	node        int // its incarnation must be the same; -1: of no node
+	incarnation int
+	do          func()
+}
+
+type modelNode struct {
+	i                  int
+	name               string
+	voter              bool
+	incarnation        int
+	up, paused         bool
+	pausedEvents       []event
+	tick               time.Duration
+	id                 uint64
+	core               *core
+	machine            *register
+	applier            *applier
+	pendingCalls       *pendingCalls
+	disk               storedState
+	writing            *diskWrite
+	writeDelay         time.Duration
+	verifiedBy         map[int]bool
+	startedAt          time.Duration
+	waiting            map[proposalID]func(callResult)
+	waiters            map[proposalID]*pendingCall
+	ownSnapshot        *recordSnapshot
+	ownSnapshotEncoded []byte
 }
 
 type world struct {
-	now    time.Duration
-	rng    *rand.Rand
-	q      []event // the next one last
-	order  int
-	nodes  []*vnode
-	voters int
-	cut    map[[2]int]bool
-	loss   float64
-	delay  time.Duration
-	trace  uint64
-	agreed map[uint64]uint64 // by index: the machine's hash after it, and since when these vote
-	log    map[[16]byte]uint64
-	acked  map[[16]byte]uint64
-	never  map[[16]byte]bool // refused for good
-	ops    []porcupine.Operation
-	nextID uint64
-	calm   bool
-	ending bool
-	bad    string
-	early  bool // planted: answers before commit
-	sameID bool // planted: a return with nothing keeps its identity
-	quiet  logrus.FieldLogger
-	counts map[string]int
+	now           time.Duration
+	rng           *rand.Rand
+	queue         []event // the next one last
+	order         int
+	nodes         []*modelNode
+	voters        int
+	cut           map[[2]int]bool
+	loss          float64
+	delay         time.Duration
+	trace         uint64
+	agreed        map[uint64]uint64 // by index: the machine's hash after it, with the voters' index
+	log           map[proposalID]uint64
+	acked         map[proposalID]uint64
+	rejected      map[proposalID]bool // it must never be committed
+	ops           []porcupine.Operation
+	nextID        uint64
+	noFaults      bool
+	ending        bool
+	failure       string
+	earlyAnswers  bool // planted fault: answers before commit
+	keepsIdentity bool // planted fault: a lost directory keeps its identity
+	quiet         logrus.FieldLogger
+	counts        map[string]int
 }
 
 func (w *world) fail(format string, a ...any) {
-	if w.bad == "" {
-		w.bad = fmt.Sprintf("at %v: ", w.now) + fmt.Sprintf(format, a...)
+	if w.failure == "" {
+		w.failure = fmt.Sprintf("at %v: ", w.now) + fmt.Sprintf(format, a...)
 	}
 }
 
-func (w *world) push(after time.Duration, n *vnode, do func()) {
+func (w *world) push(after time.Duration, n *modelNode, do func()) {
 	w.order++
 	e := event{at: w.now + after, order: w.order, node: -1, do: do}
 	if n != nil {
-		e.node, e.life = n.i, n.life
+		e.node, e.incarnation = n.i, n.incarnation
 	}
 	w.put(e)
 }
 
 func (w *world) put(e event) {
-	i, _ := slices.BinarySearchFunc(w.q, e, func(a, b event) int { return cmp.Or(cmp.Compare(b.at, a.at), cmp.Compare(b.order, a.order)) })
-	w.q = slices.Insert(w.q, i, e)
+	i, _ := slices.BinarySearchFunc(w.queue, e, func(a, b event) int { return cmp.Or(cmp.Compare(b.at, a.at), cmp.Compare(b.order, a.order)) })
+	w.queue = slices.Insert(w.queue, i, e)
 }
 
 func (w *world) run(until time.Duration) {
-	for last := len(w.q) - 1; last >= 0 && w.q[last].at <= until && w.bad == ""; last = len(w.q) - 1 {
-		e := w.q[last]
-		w.q = w.q[:last]
+	for last := len(w.queue) - 1; last >= 0 && w.queue[last].at <= until && w.failure == ""; last = len(w.queue) - 1 {
+		e := w.queue[last]
+		w.queue = w.queue[:last]
 		w.now = e.at
 		if e.node >= 0 {
 			n := w.nodes[e.node]
-			if n.life != e.life {
+			if n.incarnation != e.incarnation {
 				continue
 			}
-			if n.still {
-				n.held = append(n.held, e)
+			if n.paused {
+				n.pausedEvents = append(n.pausedEvents, e)
 				continue
 			}
 		}
@@ -144,15 +144,15 @@
 	w.now = until
 }
 
-// send brings something to a node, or not.
-func (w *world) send(from, to *vnode, do func()) {
+// send delivers something to a node, or loses it.
+func (w *world) send(from, to *modelNode, do func()) {
 	if w.cut[[2]int{from.i, to.i}] || w.rng.Float64() < w.loss {
 		return
 	}
 	d := time.Millisecond/2 + time.Duration(w.rng.Float64()*float64(w.delay))
 	w.order++
-	life := to.life
-	w.put(event{at: w.now + d, order: w.order, node: to.i, life: life, do: func() {
+	incarnation := to.incarnation
+	w.put(event{at: w.now + d, order: w.order, node: to.i, incarnation: incarnation, do: func() {
 		if to.up {
 			do()
 		}
@@ -164,10 +164,10 @@
 	l.SetOutput(io.Discard)
 	l.SetLevel(logrus.PanicLevel)
 	w := &world{rng: rand.New(rand.NewPCG(seed, 31)), voters: voters, cut: map[[2]int]bool{}, delay: 10 * time.Millisecond, agreed: map[uint64]uint64{},
-		log: map[[16]byte]uint64{}, acked: map[[16]byte]uint64{}, never: map[[16]byte]bool{}, quiet: l, counts: map[string]int{}}
+		log: map[proposalID]uint64{}, acked: map[proposalID]uint64{}, rejected: map[proposalID]bool{}, quiet: l, counts: map[string]int{}}
 	ms := voterSet{}
 	for i := range voters + followers {
-		n := &vnode{i: i, name: fmt.Sprintf("n%d", i), voter: i < voters, id: w.rng.Uint64()>>2 | 1}
+		n := &modelNode{i: i, name: fmt.Sprintf("n%d", i), voter: i < voters, id: w.rng.Uint64()>>2 | 1}
 		n.tick = time.Duration((0.9 + 0.2*w.rng.Float64()) * float64(tickInterval))
 		w.nodes = append(w.nodes, n)
 		n.disk.identity = n.id
@@ -188,14 +188,14 @@
 	return w
 }
 
-func (w *world) start(n *vnode) {
-	n.life++
-	n.up, n.still, n.held, n.writing, n.c = true, false, nil, nil, nil
-	n.g, n.pend = &register{}, &pendingCalls{}
-	n.ap = newApplier(n.g)
-	n.ap.snapshotInterval = 12
-	n.slow = time.Duration(w.rng.Float64() * 8 * float64(time.Millisecond))
-	n.waiting, n.waiters, n.snap = map[[16]byte]func(callResult){}, map[[16]byte]*pendingCall{}, nil
+func (w *world) start(n *modelNode) {
+	n.incarnation++
+	n.up, n.paused, n.pausedEvents, n.writing, n.core = true, false, nil, nil, nil
+	n.machine, n.pendingCalls = &register{}, &pendingCalls{}
+	n.applier = newApplier(n.machine)
+	n.applier.snapshotInterval = 12
+	n.writeDelay = time.Duration(w.rng.Float64() * 8 * float64(time.Millisecond))
+	n.waiting, n.waiters, n.ownSnapshot = map[proposalID]func(callResult){}, map[proposalID]*pendingCall{}, nil
 	if n.disk.snapshot != nil {
 		s, err := decodeSnapshot(n.disk.snapshot)
 		if err != nil {
@@ -214,47 +214,47 @@
 		if err != nil {
 			panic(err)
 		}
-		w.engine(n, st, s, w.now > 0 && !w.sameID)
+		w.engine(n, st, s, w.now > 0 && !w.keepsIdentity)
 		for id, m := range n.disk.acknowledged {
-			n.c.noteAcknowledged(id, m)
+			n.core.noteAcknowledged(id, m)
 		}
 	}
-	w.push(time.Duration(w.rng.Float64()*float64(n.tick)), n, func() { w.beat(n) })
-	w.push(time.Duration(w.rng.Float64()*100)*time.Millisecond, n, func() { w.pull(n) })
+	w.push(time.Duration(w.rng.Float64()*float64(n.tick)), n, func() { w.tick(n) })
+	w.push(time.Duration(w.rng.Float64()*100)*time.Millisecond, n, func() { w.followStream(n) })
 	if n.voter {
-		w.push(100*time.Millisecond, n, func() { w.look(n) })
+		w.push(100*time.Millisecond, n, func() { w.supervise(n) })
 	}
 }
 
-func (w *world) engine(n *vnode, st *raft.MemoryStorage, s recordSnapshot, unsure bool) {
+func (w *world) engine(n *modelNode, st *raft.MemoryStorage, s recordSnapshot, unsure bool) {
 	c, err := newCore(n.id, st, s, unsure, raftLogger{w.quiet})
 	if err != nil {
 		w.fail("engine of %s: %v", n.name, err)
 		return
 	}
-	n.c, n.vouched, n.began = c, map[int]bool{}, w.now
+	n.core, n.verifiedBy, n.startedAt = c, map[int]bool{}, w.now
 }
 
-func (w *world) restore(n *vnode, s recordSnapshot) {
-	if _, err := n.ap.restore(s); err != nil {
+func (w *world) restore(n *modelNode, s recordSnapshot) {
+	if _, err := n.applier.restore(s); err != nil {
 		w.fail("restore: %v", err)
 	}
 	w.check(n)
 }
 
-// check holds what a node has applied against what any other had at that index.
-func (w *world) check(n *vnode) {
-	_, index, _ := n.ap.position()
-	_, voters := n.ap.voterSetAt()
-	hash := n.g.hash ^ voters<<32
+// check compares what a node has applied with what any other had at that index.
+func (w *world) check(n *modelNode) {
+	_, index, _ := n.applier.position()
+	_, voters := n.applier.voterSetAt()
+	hash := n.machine.hash ^ voters<<32
 	if h, ok := w.agreed[index]; ok && h != hash {
 		w.fail("%s differs at %d", n.name, index)
 	}
 	w.agreed[index] = hash
 }
 
-func (w *world) apply(n *vnode, it committedEntry) {
-	answer, ok := n.ap.apply(it)
+func (w *world) apply(n *modelNode, it committedEntry) {
+	answer, ok := n.applier.apply(it)
 	if !ok {
 		return
 	}
@@ -262,73 +262,73 @@
 	if it.kind == entryCommand {
 		w.log[it.proposalID] = it.index
 	}
-	n.pend.completeApplied(it.index, it.proposalID, answer)
-	if n.c != nil && n.ap.snapshotDue() {
-		n.snap, n.raw = n.ap.takeSnapshot()
+	n.pendingCalls.completeApplied(it.index, it.proposalID, answer)
+	if n.core != nil && n.applier.snapshotDue() {
+		n.ownSnapshot, n.ownSnapshotEncoded = n.applier.takeSnapshot()
 	}
 }
 
-// beat is a tick, by this node's own clock.
-func (w *world) beat(n *vnode) {
-	w.push(n.tick, n, func() { w.beat(n) })
-	if n.c != nil {
-		n.c.tick()
-		w.pump(n)
+// tick is a tick, by this node's own clock.
+func (w *world) tick(n *modelNode) {
+	w.push(n.tick, n, func() { w.tick(n) })
+	if n.core != nil {
+		n.core.tick()
+		w.processReady(n)
 	}
 }
 
-func (w *world) pump(n *vnode) {
-	for n.c != nil && n.writing == nil && w.bad == "" {
-		if s := n.snap; s != nil {
-			n.snap = nil
-			if s.index <= n.c.status().Applied && s.index <= n.c.lastIndex() && s.index > n.c.snapshotIndex {
-				if err := n.c.compact(*s, n.raw, 3); err != nil {
+func (w *world) processReady(n *modelNode) {
+	for n.core != nil && n.writing == nil && w.failure == "" {
+		if s := n.ownSnapshot; s != nil {
+			n.ownSnapshot = nil
+			if s.index <= n.core.status().Applied && s.index <= n.core.lastIndex() && s.index > n.core.snapshotIndex {
+				if err := n.core.compact(*s, n.ownSnapshotEncoded, 3); err != nil {
 					w.fail("compact: %v", err)
 					return
 				}
-				first, _ := n.c.storage.FirstIndex()
-				w.write(n, diskWrite{compaction: n.raw, compactedIndex: first - 1}, func() {})
+				first, _ := n.core.storage.FirstIndex()
+				w.write(n, diskWrite{compaction: n.ownSnapshotEncoded, compactedIndex: first - 1}, func() {})
 				return
 			}
 		}
-		k := n.c.nextReady()
+		k := n.core.nextReady()
 		if k == nil {
 			break
 		}
 		for _, e := range k.entries {
 			if id, c, ok := decodeCommand(e.GetData()); ok && e.GetType() == pb.EntryNormal {
-				n.pend.assignIndex(id, e.GetIndex())
-				if w.early && n.waiters[id] != nil {
-					n.pend.completeApplied(e.GetIndex(), id, binary.BigEndian.AppendUint64(nil, n.g.value))
+				n.pendingCalls.assignIndex(id, e.GetIndex())
+				if w.earlyAnswers && n.waiters[id] != nil {
+					n.pendingCalls.completeApplied(e.GetIndex(), id, binary.BigEndian.AppendUint64(nil, n.machine.value))
 					_ = c
 				}
 			}
 		}
-		w.mail(n, k.beforeSync)
+		w.sendMessages(n, k.beforeSync)
 		if !k.mustSync() {
-			w.finish(n, k)
+			w.completeReady(n, k)
 			continue
 		}
 		dw := diskWrite{hardState: k.hardState, entries: k.entries, acknowledged: maps.Clone(k.acknowledged)}
 		if k.snapshot != nil {
 			dw.snapshot = k.snapshot.GetData()
 		}
-		w.write(n, dw, func() { w.finish(n, k) })
+		w.write(n, dw, func() { w.completeReady(n, k) })
 	}
-	w.settle(n)
+	w.deliverResults(n)
 }
 
-func (w *world) write(n *vnode, dw diskWrite, then func()) {
+func (w *world) write(n *modelNode, dw diskWrite, then func()) {
 	n.writing = &dw
-	w.push(time.Millisecond/4+time.Duration(w.rng.Float64()*float64(n.slow)), n, func() {
-		w.store(n)
+	w.push(time.Millisecond/4+time.Duration(w.rng.Float64()*float64(n.writeDelay)), n, func() {
+		w.completeWrite(n)
 		then()
-		w.pump(n)
+		w.processReady(n)
 	})
 }
 
-// store is the write that was under way, done: whole, as the file's transactions are.
-func (w *world) store(n *vnode) {
+// completeWrite does the write that was in progress: atomically, as the file's transactions are.
+func (w *world) completeWrite(n *modelNode) {
 	dw := n.writing
 	n.writing = nil
 	if dw == nil {
@@ -359,13 +359,13 @@
 	}
 }
 
-func (w *world) finish(n *vnode, k *pendingReady) {
-	snap, items, err := n.c.advance()
+func (w *world) completeReady(n *modelNode, k *pendingReady) {
+	snap, items, err := n.core.advance()
 	if err != nil {
 		w.fail("%s: %v", n.name, err)
 		return
 	}
-	w.mail(n, k.afterSync)
+	w.sendMessages(n, k.afterSync)
 	if snap != nil {
 		w.counts["snapshots"]++
 		w.restore(n, *snap)
@@ -374,13 +374,13 @@
 		w.apply(n, it)
 	}
 	for _, rs := range k.rd.ReadStates {
-		var id [16]byte
+		var id proposalID
 		copy(id[:], rs.RequestCtx)
-		n.pend.completeBarrier(id, rs.Index)
+		n.pendingCalls.completeBarrier(id, rs.Index)
 	}
 }
 
-func (w *world) byID(id uint64) *vnode {
+func (w *world) byID(id uint64) *modelNode {
 	for _, n := range w.nodes {
 		if n.id == id {
 			return n
@@ -389,7 +389,7 @@
 	return nil
 }
 
-func (w *world) mail(n *vnode, ms []*pb.Message) {
+func (w *world) sendMessages(n *modelNode, ms []*pb.Message) {
 	for _, m := range ms {
 		to := w.byID(m.GetTo())
 		if to == nil {
@@ -401,11 +401,11 @@
 		}
 		var marks map[uint64]logPosition
 		if m.GetType() == pb.MsgHeartbeat {
-			marks = maps.Clone(n.c.acknowledged)
-			marks[n.id] = n.c.ownPosition()
+			marks = maps.Clone(n.core.acknowledged)
+			marks[n.id] = n.core.ownPosition()
 		}
 		body := encodeMessages(n.id, marks, [][]byte{b})
-		w.send(n, to, func() { w.take(to, body) })
+		w.send(n, to, func() { w.step(to, body) })
 		if m.GetType() == pb.MsgSnap {
 			how := raft.SnapshotFinish
 			if w.rng.IntN(3) == 0 {
@@ -413,16 +413,16 @@
 			}
 			id := m.GetTo()
 			w.push(50*time.Millisecond, n, func() {
-				if n.c != nil {
-					n.c.node.ReportSnapshot(id, how)
+				if n.core != nil {
+					n.core.node.ReportSnapshot(id, how)
 				}
 			})
 		}
 	}
 }
 
-func (w *world) take(n *vnode, body []byte) {
-	if n.c == nil {
+func (w *world) step(n *modelNode, body []byte) {
+	if n.core == nil {
 		return
 	}
 	p, err := decodeMessages(body)
@@ -432,31 +432,31 @@
 	}
 	for id, m := range p.acknowledged {
 		if id != n.id {
-			n.c.noteAcknowledged(id, m)
+			n.core.noteAcknowledged(id, m)
 		}
 	}
 	for _, m := range p.messages {
-		if err := n.c.step(m); errors.Is(err, errOutdatedDirectory) {
-			if !w.sameID {
-				w.fail("%s was held for older, with a whole directory", n.name)
+		if err := n.core.step(m); errors.Is(err, errOutdatedDirectory) {
+			if !w.keepsIdentity {
+				w.fail("%s was found outdated, with a complete directory", n.name)
 			}
 			w.kill(n)
 			w.start(n)
 			return
 		}
 	}
-	w.pump(n)
+	w.processReady(n)
 }
 
-// settle tells those whose calls have ended.
-func (w *world) settle(n *vnode) {
+// deliverResults delivers the results of calls that have ended.
+func (w *world) deliverResults(n *modelNode) {
 	var ids []uint64
 	for id := range n.waiters {
 		ids = append(ids, binary.BigEndian.Uint64(id[8:]))
 	}
 	slices.Sort(ids)
 	for _, v := range ids {
-		var id [16]byte
+		var id proposalID
 		binary.BigEndian.PutUint64(id[8:], v)
 		select {
 		case r := <-n.waiters[id].done:
@@ -469,25 +469,25 @@
 	}
 }
 
-// pull is a follower's stream, or a newcomer's: a piece at a time.
-func (w *world) pull(n *vnode) {
-	w.push(time.Duration(20+w.rng.IntN(80))*time.Millisecond, n, func() { w.pull(n) })
-	if n.c != nil {
+// followStream is a stream of a follower or a joining voter: one batch at a time.
+func (w *world) followStream(n *modelNode) {
+	w.push(time.Duration(20+w.rng.IntN(80))*time.Millisecond, n, func() { w.followStream(n) })
+	if n.core != nil {
 		return
 	}
 	v := w.nodes[w.rng.IntN(w.voters)]
 	if v == n {
 		return
 	}
-	record, index, _ := n.ap.position()
+	record, index, _ := n.applier.position()
 	w.send(n, v, func() {
-		if v.c == nil {
+		if v.core == nil {
 			return
 		}
-		batch, _ := v.ap.entriesAfter(record, index, 2000)
+		batch, _ := v.applier.entriesAfter(record, index, 2000)
 		b := encodeEntries(batch.entries)
 		w.send(v, n, func() {
-			if n.c != nil {
+			if n.core != nil {
 				return
 			}
 			if batch.snapshot != nil {
@@ -506,57 +506,57 @@
 			for _, e := range entries {
 				w.apply(n, e)
 			}
-			w.settle(n)
+			w.deliverResults(n)
 		})
 	})
 }
 
-// look is what a Node's supervisor does: it joins, wishes, vouches.
-func (w *world) look(n *vnode) {
-	w.push(superviseInterval, n, func() { w.look(n) })
-	record, index, _ := n.ap.position()
+// supervise is what a Node's supervisor does: it joins, proposes changes, verifies its directory.
+func (w *world) supervise(n *modelNode) {
+	w.push(superviseInterval, n, func() { w.supervise(n) })
+	record, index, _ := n.applier.position()
 	switch {
-	case n.c == nil && record != 0 && n.ap.voterSet()[n.id].Name == n.name:
-		s, raw := n.ap.takeSnapshot()
+	case n.core == nil && record != 0 && n.applier.voterSet()[n.id].Name == n.name:
+		s, raw := n.applier.takeSnapshot()
 		hard := &pb.HardState{Term: new(s.term), Commit: new(index)}
 		st, err := newStorage(*s, raw, hard, nil)
 		if err != nil {
 			panic(err)
 		}
 		n.disk = storedState{identity: n.id, snapshot: raw, hardState: hard}
-		w.counts["taken in"]++
+		w.counts["joined"]++
 		w.engine(n, st, *s, false)
-	case n.c == nil:
+	case n.core == nil:
 		c := voterChange{newID: n.id, newName: n.name, address: n.name}
 		for _, v := range w.nodes[:w.voters] {
 			if v != n {
 				w.send(n, v, func() {
-					if v.c != nil && v.c.isLeader() {
-						v.c.addProposal(changeProposal{oldName: c.newName, newName: c.newName, address: c.address, newID: c.newID})
+					if v.core != nil && v.core.isLeader() {
+						v.core.addProposal(changeProposal{oldName: c.newName, newName: c.newName, address: c.address, newID: c.newID})
 					}
 				})
 			}
 		}
-	case n.c.unverified:
+	case n.core.unverified:
 		for _, v := range w.nodes[:w.voters] {
 			if v == n {
 				continue
 			}
 			w.send(n, v, func() {
-				if v.c == nil {
+				if v.core == nil {
 					return
 				}
-				m, id := v.c.acknowledged[n.id], v.i
+				m, id := v.core.acknowledged[n.id], v.i
 				w.send(v, n, func() {
-					if n.c == nil || !n.c.unverified {
+					if n.core == nil || !n.core.unverified {
 						return
 					}
-					if n.c.isOutdatedBy(m) {
-						w.fail("%s was vouched older with a whole directory: %v of %v", n.name, m, n.c.ownPosition())
+					if n.core.isOutdatedBy(m) {
+						w.fail("%s was verified as outdated with a complete directory: %v of %v", n.name, m, n.core.ownPosition())
 					}
-					n.vouched[id] = true
-					if len(n.vouched) == w.voters-1 || len(n.vouched) >= w.voters/2 && w.now-n.began > verifyTimeout {
-						n.c.unverified = false
+					n.verifiedBy[id] = true
+					if len(n.verifiedBy) == w.voters-1 || len(n.verifiedBy) >= w.voters/2 && w.now-n.startedAt > verifyTimeout {
+						n.core.unverified = false
 					}
 				})
 			})
@@ -564,21 +564,21 @@
 	}
 }
 
-// kill ends a node. A write under way may have come through whole, or not at all.
-func (w *world) kill(n *vnode) {
+// kill ends a node. A write in progress may have completed, or not at all.
+func (w *world) kill(n *modelNode) {
 	if n.writing != nil && w.rng.IntN(2) == 0 {
-		w.store(n)
+		w.completeWrite(n)
 	}
-	n.up, n.still, n.c, n.writing = false, false, nil, nil
-	n.life++
+	n.up, n.paused, n.core, n.writing = false, false, nil, nil
+	n.incarnation++
 }
 
-// whole says whether the loss of one more voter's directory is to be borne: all are up and know of the same voters. One that is down and
-// has not yet heard of the last change counts, by its own old configuration, as a second loss.
-func (w *world) whole() bool {
+// mayLoseVoter says whether the loss of one more voter's directory is tolerated: all are up and have the same voters. One that is down and
+// does not have the last change yet counts, by its own old configuration, as a second loss.
+func (w *world) mayLoseVoter() bool {
 	for _, n := range w.nodes[:w.voters] {
 		for _, v := range w.nodes[:w.voters] {
-			if !v.up || v.c == nil || v.c.voters[n.id].Name != n.name || v.c.inJointConfig() {
+			if !v.up || v.core == nil || v.core.voters[n.id].Name != n.name || v.core.inJointConfig() {
 				return false
 			}
 		}
@@ -587,7 +587,7 @@
 }
 
 func (w *world) chaos() {
-	if w.calm {
+	if w.noFaults {
 		return
 	}
 	w.push(time.Duration(100+w.rng.IntN(900))*time.Millisecond, nil, w.chaos)
@@ -619,21 +619,21 @@
 			w.loss, w.delay = w.rng.Float64()*0.3, time.Duration(w.rng.IntN(200))*time.Millisecond
 		}
 	case 6:
-		if n.up && !n.still {
-			n.still = true
-			life := n.life
+		if n.up && !n.paused {
+			n.paused = true
+			incarnation := n.incarnation
 			w.push(time.Duration(w.rng.IntN(3000))*time.Millisecond, nil, func() {
-				if n.life == life {
-					w.wakeUp(n)
+				if n.incarnation == incarnation {
+					w.resume(n)
 				}
 			})
 		}
-	case 7: // back with nothing: one at a time, else the record is lost by rights
+	case 7: // a lost directory: one at a time, otherwise the record is rightly lost
 		n = w.nodes[w.rng.IntN(w.voters)]
-		if w.whole() {
+		if w.mayLoseVoter() {
 			w.counts["emptied"]++
 			w.kill(n)
-			if !w.sameID {
+			if !w.keepsIdentity {
 				n.id = w.rng.Uint64()>>2 | 1
 				n.disk = storedState{identity: n.id}
 			} else {
@@ -655,13 +655,13 @@
 	}
 }
 
-func (w *world) wakeUp(n *vnode) {
-	n.still = false
-	for _, e := range n.held {
+func (w *world) resume(n *modelNode) {
+	n.paused = false
+	for _, e := range n.pausedEvents {
 		w.order++
-		w.put(event{at: w.now, order: w.order, node: e.node, life: e.life, do: e.do})
+		w.put(event{at: w.now, order: w.order, node: e.node, incarnation: e.incarnation, do: e.do})
 	}
-	n.held = nil
+	n.pausedEvents = nil
 }
 
 type opIn struct {
@@ -670,11 +670,11 @@
 }
 
 type opOut struct {
-	known bool
-	value uint64
+	answered bool
+	value    uint64
 }
 
-const patience = 3 * time.Second
+const callTimeout = 3 * time.Second
 
 // client makes one call after another, at any node.
 func (w *world) client(id int) {
@@ -683,12 +683,12 @@
 		return
 	}
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
-	if !n.up || n.still {
+	if !n.up || n.paused {
 		w.push(50*time.Millisecond, nil, func() { w.client(id) })
 		return
 	}
 	w.nextID++
-	var pid [16]byte
+	var pid proposalID
 	binary.BigEndian.PutUint64(pid[8:], w.nextID)
 	in := opIn{write: w.rng.IntN(3) > 0, value: w.nextID}
 	call, ended := w.now, false
@@ -699,15 +699,15 @@
 		ended = true
 		if record {
 			ret := int64(w.now)
-			if !out.known {
+			if !out.answered {
 				ret = 1 << 60
 			}
 			w.ops = append(w.ops, porcupine.Operation{ClientId: id, Input: in, Call: int64(call), Output: out, Return: ret})
 		}
 		again()
 	}
-	w.push(patience, nil, func() { end(opOut{}, in.write) })
-	w.ask(n, pid, in, 0, func(r callResult) {
+	w.push(callTimeout, nil, func() { end(opOut{}, in.write) })
+	w.call(n, pid, in, 0, func(r callResult) {
 		switch {
 		case ended:
 		case r.err == nil && in.write:
@@ -715,46 +715,46 @@
 			w.acked[pid] = r.index
 			end(opOut{true, binary.BigEndian.Uint64(r.answer)}, true)
 		case r.err == nil: // a barrier: it waits here, and reads here
-			life := n.life
+			incarnation := n.incarnation
 			var wait func()
 			wait = func() {
-				if _, index, _ := n.ap.position(); index >= r.index {
+				if _, index, _ := n.applier.position(); index >= r.index {
 					w.counts["reads"]++
-					end(opOut{true, n.g.value}, true)
-				} else if !ended && n.life == life && n.up {
+					end(opOut{true, n.machine.value}, true)
+				} else if !ended && n.incarnation == incarnation && n.up {
 					w.push(20*time.Millisecond, n, wait)
 				}
 			}
 			wait()
 		case r.err == errNoLeader || r.err == ErrNoQuorum || r.err == ErrQueueFull:
 			if in.write {
-				w.never[pid] = true
+				w.rejected[pid] = true
 			}
 			end(opOut{}, false)
 		}
 	})
 }
 
-func (w *world) ask(n *vnode, pid [16]byte, in opIn, hops int, back func(callResult)) {
-	if n.c != nil && n.c.isLeader() {
+func (w *world) call(n *modelNode, pid proposalID, in opIn, hops int, back func(callResult)) {
+	if n.core != nil && n.core.isLeader() {
 		k := &pendingCall{id: pid, barrier: !in.write, done: make(chan callResult, 1)}
-		n.pend.add(k)
+		n.pendingCalls.add(k)
 		n.waiters[pid], n.waiting[pid] = k, back
 		var err error
 		if in.write {
-			err = n.c.propose(encodeCommand(pid, binary.BigEndian.AppendUint64(nil, in.value)))
+			err = n.core.propose(encodeCommand(pid, binary.BigEndian.AppendUint64(nil, in.value)))
 		} else {
-			err = n.c.readIndex(pid[:])
+			err = n.core.readIndex(pid[:])
 		}
 		if err != nil {
-			n.pend.fail(k, err)
+			n.pendingCalls.fail(k, err)
 		}
-		w.pump(n)
+		w.processReady(n)
 		return
 	}
 	to := w.nodes[w.rng.IntN(w.voters)]
-	if n.c != nil {
-		if to = w.byID(n.c.status().Lead); to == nil {
+	if n.core != nil {
+		if to = w.byID(n.core.status().Lead); to == nil {
 			back(callResult{err: errNoLeader})
 			return
 		}
@@ -764,7 +764,7 @@
 		return
 	}
 	w.send(n, to, func() {
-		w.ask(to, pid, in, hops+1, func(r callResult) { w.send(to, n, func() { back(r) }) })
+		w.call(to, pid, in, hops+1, func(r callResult) { w.send(to, n, func() { back(r) }) })
 	})
 }
 
@@ -772,7 +772,7 @@
 	Init: func() any { return uint64(0) },
 	Step: func(s, in, out any) (bool, any) {
 		i, o := in.(opIn), out.(opOut)
-		if o.known && o.value != s.(uint64) {
+		if o.answered && o.value != s.(uint64) {
 			return false, s
 		}
 		if i.write {
@@ -782,10 +782,10 @@
 	},
 }
 
-// play runs a seed and says what was wrong.
-func play(seed uint64, plant func(*world)) (w *world) {
+// runModel runs a seed; the world's failure says what was wrong.
+func runModel(seed uint64, plant func(*world)) (w *world) {
 	old := crand.Reader
-	crand.Reader = rand.NewChaCha8([32]byte{byte(seed), byte(seed >> 8), byte(seed >> 16), 1}) // the engine draws its election times from it
+	crand.Reader = rand.NewChaCha8([32]byte{byte(seed), byte(seed >> 8), byte(seed >> 16), 1}) // raft draws its election times from it
 	defer func() { crand.Reader = old }()
 	w = newModel(seed, 3+2*int(seed%2), 2)
 	if plant != nil {
@@ -801,12 +801,12 @@
 		w.push(time.Duration(i)*100*time.Millisecond, nil, func() { w.client(i) })
 	}
 	w.run(20 * time.Second)
-	w.calm, w.loss, w.delay = true, 0, 10*time.Millisecond
+	w.noFaults, w.loss, w.delay = true, 0, 10*time.Millisecond
 	clear(w.cut)
 	for _, n := range w.nodes {
 		switch {
-		case n.still:
-			w.wakeUp(n)
+		case n.paused:
+			w.resume(n)
 		case !n.up:
 			w.start(n)
 		}
@@ -815,29 +815,29 @@
 	had := w.counts["acked"]
 	w.run(32 * time.Second)
 	w.ending = true
-	w.run(32*time.Second + 2*patience) // expiryTick every call has ended
+	w.run(32*time.Second + 2*callTimeout) // until every call has ended
 	if w.counts["acked"] == had {
-		w.fail("nothing is agreed any more")
+		w.fail("nothing is committed any more")
 	}
-	if !w.whole() && !w.sameID {
-		w.fail("a newcomer was not taken in")
+	if !w.mayLoseVoter() && !w.keepsIdentity {
+		w.fail("a replaced voter did not join")
 	}
 	for pid := range w.acked {
 		if at := w.log[pid]; at != w.acked[pid] {
 			w.fail("acknowledged at %d, in the log at %d", w.acked[pid], at)
 		}
 	}
-	for pid := range w.never {
+	for pid := range w.rejected {
 		if w.log[pid] != 0 {
-			w.fail("refused for good, and agreed")
+			w.fail("rejected, and committed")
 		}
 	}
-	if w.bad == "" {
-		// A write in doubt that is in no log was never made, and one that is has an effect: both are tried by the checker.
+	if w.failure == "" {
+		// A write of unknown outcome counts if it is in the log, and was never made otherwise.
 		ops := w.ops[:0:0]
 		for _, o := range w.ops {
-			if in := o.Input.(opIn); !o.Output.(opOut).known {
-				var pid [16]byte
+			if in := o.Input.(opIn); !o.Output.(opOut).answered {
+				var pid proposalID
 				binary.BigEndian.PutUint64(pid[8:], in.value)
 				if w.log[pid] == 0 {
 					continue
@@ -857,10 +857,10 @@
 
 func seeds(short int) (first, n uint64) {
 	n = uint64(short)
-	if v, err := strconv.ParseUint(os.Getenv("ACCORD_SEEDS"), 10, 64); err == nil {
+	if v, err := strconv.ParseUint(os.Getenv("CONSENSUS_SEEDS"), 10, 64); err == nil {
 		n = v
 	}
-	first, _ = strconv.ParseUint(os.Getenv("ACCORD_FIRST"), 10, 64)
+	first, _ = strconv.ParseUint(os.Getenv("CONSENSUS_FIRST"), 10, 64)
 	return first, n
 }
 
@@ -868,15 +868,15 @@
 	first, n := seeds(30)
 	total := map[string]int{}
 	for seed := first; seed < first+n; seed++ {
-		w := play(seed, nil)
-		if w.bad != "" {
-			t.Errorf("seed %d: %s", seed, w.bad)
+		w := runModel(seed, nil)
+		if w.failure != "" {
+			t.Errorf("seed %d: %s", seed, w.failure)
 		}
 		for k, v := range w.counts {
 			total[k] += v
 		}
 		if seed%50 == 0 {
-			if again := play(seed, nil); again.trace != w.trace {
+			if again := runModel(seed, nil); again.trace != w.trace {
 				t.Errorf("seed %d: two plays differ", seed)
 			}
 		}
@@ -884,17 +884,17 @@
 	t.Log(total)
 }
 
-// TestPlanted has the model find what it has to find.
-func TestPlanted(t *testing.T) {
+// TestPlantedFaults has the model find planted faults.
+func TestPlantedFaults(t *testing.T) {
 	for name, plant := range map[string]func(*world){
-		"an answer before commit":           func(w *world) { w.early = true },
-		"a vote after an emptied directory": func(w *world) { w.sameID = true },
+		"an answer before commit":       func(w *world) { w.earlyAnswers = true },
+		"a vote after a lost directory": func(w *world) { w.keepsIdentity = true },
 	} {
 		found := 0
 		for seed := range uint64(60) {
-			if w := play(seed, plant); w.bad != "" {
+			if w := runModel(seed, plant); w.failure != "" {
 				if found++; found == 1 {
-					t.Logf("%s: seed %d: %s", name, seed, w.bad)
+					t.Logf("%s: seed %d: %s", name, seed, w.failure)
 				}
 				if found == 2 {
 					break
--- /dev/null
+++ b/internal/consensus/replace_test.go
@@ -0,0 +1,56 @@
+package consensus
+
+import (
+	"context"
+	"path/filepath"
+	"testing"
+)
+
+func TestReplace(t *testing.T) {
+	t.Parallel()
+	f := newCluster(t, 3, true)
+	f.startVoters()
+	f.dirs["r0"] = filepath.Join(f.directory, "r0")
+	f.start("r0")
+	f.start("r1")
+	f.propose("r0", "a")
+	f.waitSameState()
+	votersAt := func() (at uint64, same bool) {
+		at, same = f.nodes["r1"].Status().VotersIndex, true
+		for _, n := range f.nodes {
+			same = same && n.Status().VotersIndex == at
+		}
+		return at, same
+	}
+	if at, same := votersAt(); at != 0 || !same {
+		t.Fatal("as bootstrapped, and voters at ", at)
+	}
+	old := f.leader() // the leader itself
+	if err := f.nodes["v1"].Replace(context.Background(), old, "r0", f.addrs["r0"]); err != nil {
+		t.Fatal(err)
+	}
+	f.wait("the new one votes", func() bool { s := f.nodes["r0"].Status().Role; return s == RoleVoter || s == RoleLeader })
+	f.wait("the old one follows", func() bool { return f.nodes[old].Status().Role == RoleFollower })
+	f.wait("all know the index", func() bool { at, same := votersAt(); return at > 1 && same })
+	f.waitChangeDone("r0")
+	f.propose(old, "b")
+	f.waitSameState()
+	other := "v0"
+	if old == other {
+		other = "v1"
+	}
+	id := f.nodes[other].Status().Identity
+	f.stop(other)
+	f.propose(old, "c") // the new one's vote is needed
+	f.wait("the leader counts it as unhealthy", func() bool {
+		gone, e := make(chan bool, 1), f.nodes[f.leader()].engine()
+		e.tasks <- func() { gone <- e.core.tickCount-e.core.lastContact[id] > healthyTicks }
+		return <-gone
+	})
+	if err := f.nodes["r0"].Replace(context.Background(), "r0", old, f.addrs[old]); err == nil {
+		t.Fatal("replaced while another voter is down")
+	}
+	f.start(other)
+	f.propose(old, "d")
+	f.waitSameState()
+}
