--- a/internal/netloop/conn_read.go
+++ b/internal/netloop/conn_read.go
@@ -6,158 +6,168 @@
 	"golang.org/x/sys/unix"
 )
 
-// This file is how bytes, and the end of the peer, come in on a connection.
+// PauseReading stops reading until ResumeReading: for a handler that leaves bytes because it cannot use them now, not because
+// it needs more of them. Without this, bytes are read and buffered up to the limit.
+func (c *Conn) PauseReading() { c.readPaused = true }
 
-// PauseReading has nothing more read before Resume: for a handler that leaves bytes for want of room,
-// not because it needs more of them. Without this all that a peer sends is kept up to the bound.
-func (c *Conn) PauseReading() { c.resting = true }
-
-// SetEarlyEOF has the peer's end told as soon as it comes, or again only after all bytes that came before it: for a
+// SetEarlyEOF has the peer's end reported as soon as it comes, or, by default, only after all bytes that came before it: for a
 // handler that leaves bytes in the kernel, and to which they mean nothing once their sender has gone.
 func (c *Conn) SetEarlyEOF(on bool) {
-	c.endFirst = on
-	c.update()
+	c.earlyEOF = on
+	c.updateInterest()
 }
 
-// ResumeReading hands over bytes that the handler left, and reads on.
+// ResumeReading hands over the bytes that the handler left, and reads on.
 func (c *Conn) ResumeReading() {
-	c.resting = false
-	if c.fd < 0 || c.busy || c.dialling != nil || c.failing != nil {
+	c.readPaused = false
+	if c.fd < 0 || c.inData || c.dialTimer != nil || c.failTimer != nil {
 		return
 	}
-	c.offer()
-	if c.sec != nil && c.fd >= 0 {
-		c.sec.read()
+	c.offerUnread()
+	if c.tls != nil && c.fd >= 0 {
+		c.tls.read()
 	}
-	c.update()
+	c.updateInterest()
 }
 
-// readOut throws away what has come since: closing a socket with unread bytes would reset the connection, and the
+// discardUnread reads and throws away what has come: closing a socket with unread bytes would reset the connection, and the
 // last answer with it.
-func (c *Conn) readOut() {
-	for c.rest <= lingerMost {
-		n, err := c.l.sys.Read(c.fd, c.l.chunk)
+func (c *Conn) discardUnread() {
+	for c.discarded <= maxLingerBytes {
+		n, err := c.loop.syscalls.Read(c.fd, c.loop.readBuffer)
 		if n <= 0 || err != nil {
 			return
 		}
-		c.rest += n
+		c.discarded += n
 	}
 }
 
-// read takes in what is there. What comes after Finish is thrown away: closing
-// a socket with unread bytes would reset it.
+// read reads what has come. What comes after Finish is thrown away: closing a socket with unread bytes would reset it.
 func (c *Conn) read(events uint32) {
-	chunk := c.l.chunk
-	for range readMost {
+	for range maxReadsPerEvent {
 		if c.fd < 0 || c.eof {
 			return
 		}
-		room := len(chunk)
-		if !c.ending {
-			if room = min(room, c.inMost-c.in.size()); room == 0 || c.resting {
-				break
-			}
-			if c.l.MemoryPressure() { // no more than fits the basic share, or completes a large message
-				if room = min(room, DefaultReadLimit); c.in.size() < DefaultReadLimit {
-					room = min(room, DefaultReadLimit-c.in.size())
-				}
-			}
+		limit := c.readLimit()
+		if limit == 0 {
+			break
 		}
-		n, err := c.l.sys.Read(c.fd, chunk[:room])
+		n, err := c.loop.syscalls.Read(c.fd, c.loop.readBuffer[:limit])
 		switch {
 		case err == unix.EINTR:
 			continue
 		case err == unix.EAGAIN:
 			return
-		case outOfMeans(err):
+		case outOfMemory(err):
 			c.stall()
 			return
 		case err != nil:
 			c.fail(err)
 			return
 		case n == 0:
-			c.heardEnd()
+			c.handleEOF()
 			return
 		}
-		if !c.ending {
-			c.takeIn(chunk[:n])
-			if c.in.size() > DefaultReadLimit && c.l.overMemoryLimit() {
+		if !c.finishing {
+			c.receive(c.loop.readBuffer[:n])
+			if c.unread.size() > DefaultReadLimit && c.loop.overMemoryLimit() {
 				c.fail(ErrOverflow)
 				return
 			}
-		} else if c.rest += n; c.rest > lingerMost {
+		} else if c.discarded += n; c.discarded > maxLingerBytes {
 			c.release()
 			return
 		}
-		if n < room {
+		if n < limit {
 			return
 		}
 	}
-	if events&(unix.EPOLLERR|unix.EPOLLHUP) != 0 && c.fd >= 0 && !c.ending {
-		// Nothing more is read, yet the peer has reset the connection.
-		if code, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR); err == nil && code != 0 {
-			c.fail(unix.Errno(code))
-		} else if events&unix.EPOLLHUP != 0 {
-			c.fail(unix.ECONNRESET)
+	if events&(unix.EPOLLERR|unix.EPOLLHUP) != 0 && c.fd >= 0 && !c.finishing {
+		c.checkReset(events)
+	}
+}
+
+// readLimit is how many bytes to read at once; 0 for none now.
+func (c *Conn) readLimit() int {
+	limit := len(c.loop.readBuffer)
+	if c.finishing {
+		return limit
+	}
+	if limit = min(limit, c.maxUnread-c.unread.size()); limit == 0 || c.readPaused {
+		return 0
+	}
+	if c.loop.MemoryPressure() { // no more than fits the default limit, or completes a large message
+		if limit = min(limit, DefaultReadLimit); c.unread.size() < DefaultReadLimit {
+			limit = min(limit, DefaultReadLimit-c.unread.size())
 		}
 	}
+	return limit
+}
+
+// checkReset fails a connection that is not read now if the peer has reset it.
+func (c *Conn) checkReset(events uint32) {
+	if code, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR); err == nil && code != 0 {
+		c.fail(unix.Errno(code))
+	} else if events&unix.EPOLLHUP != 0 {
+		c.fail(unix.ECONNRESET)
+	}
 }
 
-// heardEnd says that the peer has ended its sending.
-func (c *Conn) heardEnd() {
+// handleEOF handles that the peer has closed its side.
+func (c *Conn) handleEOF() {
 	if c.eof {
 		return
 	}
-	if c.sec != nil && !c.sec.up && !c.ending {
+	if c.tls != nil && !c.tls.established && !c.finishing {
 		c.fail(io.ErrUnexpectedEOF)
 		return
 	}
 	c.eof = true
-	if c.ending {
-		if c.shut {
+	if c.finishing {
+		if c.writeClosed {
 			c.release()
 		}
 		return
 	}
-	c.h.End(io.EOF)
+	c.handler.End(io.EOF)
 }
 
-// takeIn takes bytes that were just read.
-func (c *Conn) takeIn(b []byte) {
-	if c.sec != nil {
-		c.sec.take(b)
+// receive handles bytes that were just read.
+func (c *Conn) receive(b []byte) {
+	if c.tls != nil {
+		c.tls.receive(b)
 	} else {
-		c.takePlain(b)
+		c.receivePlain(b)
 	}
 }
 
-// takePlain hands over bytes that were just read. Where none are kept already they go from the
-// loop's own buffer, and only what the handler leaves is copied.
-func (c *Conn) takePlain(b []byte) {
-	if c.in.size() > 0 {
-		c.in.add(c.l, b)
-		c.offer()
+// receivePlain hands over bytes that were just read. If no earlier ones are unread they go straight from the loop's buffer, and
+// only what the handler leaves is copied.
+func (c *Conn) receivePlain(b []byte) {
+	if c.unread.size() > 0 {
+		c.unread.append(c.loop, b)
+		c.offerUnread()
 		return
 	}
-	c.busy = true
-	n := c.h.Data(b)
-	c.busy = false
-	if n = min(n, len(b)); n < len(b) && !c.ending {
-		c.in.add(c.l, b[n:])
+	c.inData = true
+	n := c.handler.Data(b)
+	c.inData = false
+	if n = min(n, len(b)); n < len(b) && !c.finishing {
+		c.unread.append(c.loop, b[n:])
 	}
-	c.count()
+	c.countBuffered()
 }
 
-// offer hands the unread bytes to the handler.
-func (c *Conn) offer() {
-	if c.in.size() == 0 {
+// offerUnread hands the unread bytes to the handler.
+func (c *Conn) offerUnread() {
+	if c.unread.size() == 0 {
 		return
 	}
-	c.busy = true
-	n := c.h.Data(c.in.data())
-	c.busy = false
-	if c.in.buf != nil {
-		c.in.drop(c.l, min(n, c.in.size()))
+	c.inData = true
+	n := c.handler.Data(c.unread.data())
+	c.inData = false
+	if c.unread.buf != nil {
+		c.unread.consume(c.loop, min(n, c.unread.size()))
 	}
-	c.count()
+	c.countBuffered()
 }
