--- a/internal/wire/cursor.go
+++ b/internal/wire/cursor.go
@@ -12,19 +12,19 @@
 
 // cursor reads fields off a record. Past the end it yields zeros and sets short.
 type cursor struct {
-	b     []byte
-	short bool
+	data      []byte
+	truncated bool
 }
 
 var zeros [8]byte
 
 func (c *cursor) take(n int) []byte {
-	if n > len(c.b) {
-		c.short, c.b = true, nil
+	if n > len(c.data) {
+		c.truncated, c.data = true, nil
 		return zeros[:min(n, len(zeros))]
 	}
-	part := c.b[:n]
-	c.b = c.b[n:]
+	part := c.data[:n]
+	c.data = c.data[n:]
 	return part
 }
 
@@ -37,8 +37,8 @@
 func (c *cursor) f64() float64 { return math.Float64frombits(c.u64()) }
 
 func (c *cursor) bytes(n uint32) []byte {
-	if uint64(n) > uint64(len(c.b)) {
-		c.short, c.b = true, nil
+	if uint64(n) > uint64(len(c.data)) {
+		c.truncated, c.data = true, nil
 		return nil
 	}
 	return c.take(int(n))
--- a/internal/wire/encoder.go
+++ b/internal/wire/encoder.go
@@ -43,7 +43,7 @@
 // beginAction begins an action record of the instance whose turn it is.
 func (e *Encoder) beginAction(code uint8) {
 	if e.lastInstance != int(e.instance) {
-		e.buf = append(e.buf, acBy)
+		e.buf = append(e.buf, acInstance)
 		e.buf = binary.LittleEndian.AppendUint16(e.buf, e.instance)
 		e.lastInstance = int(e.instance)
 	}
@@ -58,7 +58,7 @@
 
 // Send implements policy.Actions, as do the methods below.
 func (e *Encoder) Send(id policy.RequestID, server policy.ServerID, timeout time.Duration) {
-	e.beginAction(acForward)
+	e.beginAction(acSend)
 	e.u64(uint64(id))
 	e.ms(timeout)
 	e.u32(uint32(server))
@@ -66,7 +66,7 @@
 
 // Reject writes a refusal.
 func (e *Encoder) Reject(id policy.RequestID, retryAfter time.Duration) {
-	e.beginAction(acRefuse)
+	e.beginAction(acReject)
 	e.u64(uint64(id))
 	e.ms(retryAfter)
 }
@@ -79,7 +79,7 @@
 
 // Cancel writes the withdrawal of an attempt.
 func (e *Encoder) Cancel(id policy.RequestID, try int) {
-	e.beginAction(acRecall)
+	e.beginAction(acCancel)
 	e.u64(uint64(id))
 	e.buf = append(e.buf, uint8(try))
 }
@@ -92,13 +92,13 @@
 
 // Probe writes a probe.
 func (e *Encoder) Probe(server policy.ServerID) {
-	e.beginAction(acSample)
+	e.beginAction(acProbe)
 	e.u32(uint32(server))
 }
 
 // Timer writes the wish for a timer.
 func (e *Encoder) Timer(delay time.Duration, token uint64) {
-	e.beginAction(acSleep)
+	e.beginAction(acTimer)
 	e.ms(delay)
 	e.u64(token)
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -19,31 +19,31 @@
 const (
 	evLaunch uint8 = iota
 	evMembers
-	evCall
-	evFirst
-	evResolved
-	evAborted
+	evRequest
+	evEstablished
+	evAttemptEnded
+	evRequestEnded
 	evTimer
-	evProbed
+	evProbeResult
 	evPeer
 	evStop
-	evPool
+	evServerList
 	evExisting
 	evNote
-	evAbout
+	evInstance
 )
 
 // Codes of the actions.
 const (
-	acForward  uint8 = 0
-	acRefuse   uint8 = 1
+	acSend     uint8 = 0
+	acReject   uint8 = 1
 	acFail     uint8 = 2
-	acRecall   uint8 = 3
-	acSleep    uint8 = 4
-	acSample   uint8 = 5
+	acCancel   uint8 = 3
+	acTimer    uint8 = 4
+	acProbe    uint8 = 5
 	acWatch    uint8 = 10
 	acMigrate  uint8 = 12
-	acBy       uint8 = 13
+	acInstance uint8 = 13
 	headerSize       = 16
 	entrySize        = 21
 	maxLists         = 16
@@ -73,16 +73,16 @@
 
 // Decoder reads batches from a stream.
 type Decoder struct {
-	r       io.Reader
-	buf     []byte
-	lists   [maxLists][]policy.Server
-	reports map[uint16][]string // names of the report values, of each instance
-	encoder *Encoder
+	r           io.Reader
+	buf         []byte
+	serverLists [maxLists][]policy.Server
+	reportNames map[uint16][]string // names of the report values, of each instance
+	encoder     *Encoder
 }
 
 // NewDecoder returns a Decoder that reads from r and tells out whose turn it is.
 func NewDecoder(r io.Reader, out *Encoder) *Decoder {
-	return &Decoder{r: r, reports: map[uint16][]string{}, encoder: out}
+	return &Decoder{r: r, reportNames: map[uint16][]string{}, encoder: out}
 }
 
 // Next reads one batch and plays its events to the host. It returns io.EOF at
@@ -110,22 +110,22 @@
 	if err := d.readBody(int(size)); err != nil {
 		return err
 	}
-	c := &cursor{b: d.buf}
+	c := &cursor{data: d.buf}
 	inst := -1
 	for i := uint32(0); i < count; i++ {
 		code := c.u8()
-		if code == evAbout {
+		if code == evInstance {
 			inst = int(c.u16())
 			d.encoder.setInstance(uint16(inst))
 		} else if err := d.decodeEvent(c, code, inst, now, h); err != nil {
 			return err
 		}
-		if c.short {
+		if c.truncated {
 			return fmt.Errorf("%w: record %d (code %d) cut short", ErrMalformed, i, code)
 		}
 	}
-	if len(c.b) > 0 {
-		return fmt.Errorf("%w: %d bytes after the last record", ErrMalformed, len(c.b))
+	if len(c.data) > 0 {
+		return fmt.Errorf("%w: %d bytes after the last record", ErrMalformed, len(c.data))
 	}
 	return nil
 }
@@ -150,7 +150,7 @@
 
 // decodeEvent decodes one record and plays it.
 func (d *Decoder) decodeEvent(c *cursor, code uint8, inst int, now time.Duration, h Host) error {
-	if code == evPool {
+	if code == evServerList {
 		return d.decodeList(c)
 	}
 	if inst < 0 {
@@ -160,14 +160,14 @@
 	if code == evLaunch {
 		seed := c.u64()
 		text := c.bytes(c.u32())
-		if c.short {
+		if c.truncated {
 			return nil
 		}
 		set, err := settings.Decode(text)
 		if err != nil {
 			return fmt.Errorf("%w: %v", ErrMalformed, err)
 		}
-		d.reports[id] = set.Report.Names
+		d.reportNames[id] = set.Report.Names
 		h.Launch(id, now, seed, set.Policy())
 		return nil
 	}
@@ -183,22 +183,22 @@
 		if !known || kind != policy.ListFailed && list >= maxLists {
 			return fmt.Errorf("%w: list %d of kind %d", ErrMalformed, list, how)
 		}
-		if c.short {
+		if c.truncated {
 			return nil
 		}
 		var servers []policy.Server
 		if kind != policy.ListFailed {
-			servers = d.lists[list]
+			servers = d.serverLists[list]
 		}
 		b.UpdateServers(now, kind, servers)
-	case evCall:
+	case evRequest:
 		q := requestRecord{ID: policy.RequestID(c.u64()), Group: c.u64()}
 		q.Deadline = c.ms()
 		load := c.f64()
 		q.Tenant, q.Class = int(c.u32()), int(c.u8())
 		q.setFlags(c.u16(), load)
 		q.Key = c.u64()
-		if !c.short {
+		if !c.truncated {
 			b.Request(now, policy.Request(q))
 		}
 	case evExisting:
@@ -208,41 +208,41 @@
 		load := c.f64()
 		q.Group = c.u64()
 		q.setFlags(c.u16(), load)
-		if server := policy.ServerID(c.u32()); !c.short {
+		if server := policy.ServerID(c.u32()); !c.truncated {
 			b.AddExisting(now, policy.Request(q), server)
 		}
-	case evFirst:
+	case evEstablished:
 		r := policy.RequestID(c.u64())
 		c.skip(1 + 8 + 4)
-		if !c.short {
+		if !c.truncated {
 			b.Established(now, r)
 		}
-	case evResolved:
+	case evAttemptEnded:
 		return d.decodeOutcome(c, b, id, now)
-	case evAborted:
-		if r := policy.RequestID(c.u64()); !c.short {
+	case evRequestEnded:
+		if r := policy.RequestID(c.u64()); !c.truncated {
 			b.RequestEnded(now, r)
 		}
 	case evTimer:
-		if token := c.u64(); !c.short {
+		if token := c.u64(); !c.truncated {
 			b.Timer(now, token)
 		}
-	case evProbed:
+	case evProbeResult:
 		server := policy.ServerID(c.u32())
 		result, err := c.result()
 		c.skip(8)
-		report := c.report(d.reports[id])
+		report := c.report(d.reportNames[id])
 		if err != nil {
 			return err
 		}
-		if !c.short {
+		if !c.truncated {
 			b.ProbeResult(now, server, result, report)
 		}
 	case evNote:
 		r := policy.RequestID(c.u64())
 		c.skip(1 + 4)
 		what, value := c.u8(), float64(c.f32())
-		if c.short {
+		if c.truncated {
 			return nil
 		}
 		switch what {
@@ -272,8 +272,8 @@
 	o.Final = c.u8() != 0
 	o.Attempt = int(c.u8())
 	o.Server = policy.ServerID(c.u32())
-	o.Report = c.report(d.reports[id])
-	if err == nil && !c.short {
+	o.Report = c.report(d.reportNames[id])
+	if err == nil && !c.truncated {
 		b.AttemptEnded(now, o)
 	}
 	return err
@@ -282,14 +282,14 @@
 // decodeList reads a numbered list; instances refer to it by its number.
 func (d *Decoder) decodeList(c *cursor) error {
 	number, n := c.u16(), c.u32()
-	if c.short {
+	if c.truncated {
 		return nil
 	}
 	if number >= maxLists {
 		return fmt.Errorf("%w: list number %d", ErrMalformed, number)
 	}
-	if uint64(n)*entrySize > uint64(len(c.b)) {
-		return fmt.Errorf("%w: %d list entries in %d bytes", ErrMalformed, n, len(c.b))
+	if uint64(n)*entrySize > uint64(len(c.data)) {
+		return fmt.Errorf("%w: %d list entries in %d bytes", ErrMalformed, n, len(c.data))
 	}
 	list := make([]policy.Server, n)
 	for i := range list {
@@ -303,7 +303,7 @@
 		e.Weight = float64(c.f32())
 		e.Started = c.ms()
 	}
-	d.lists[number] = list
+	d.serverLists[number] = list
 	return nil
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -68,9 +68,9 @@
 
 // launch starts an instance that knows one server.
 func (f *frame) launch(inst uint16, list uint16) *frame {
-	f.u8(evPool).u16(list).u32(1)
+	f.u8(evServerList).u16(list).u32(1)
 	f.u32(0xfeed).u8(0, 0).u16(0).u8(1).f32(1).f64(0)
-	f.u8(evAbout).u16(inst).u8(evLaunch).u64(9).u32(uint32(len(factsText)))
+	f.u8(evInstance).u16(inst).u8(evLaunch).u64(9).u32(uint32(len(factsText)))
 	f.body = append(f.body, factsText...)
 	return f.u8(evMembers).u16(list).u8(4).u32(1)
 }
@@ -106,15 +106,15 @@
 // TestEveryEvent decodes each record once; the request among them leads to a send to the listed server.
 func TestEveryEvent(t *testing.T) {
 	f := (&frame{}).launch(3, 15)
-	f.u8(evCall).u64(77).u64(0).f64(3000).f64(12).u32(0).u8(0).u16(1).u64(5)
+	f.u8(evRequest).u64(77).u64(0).f64(3000).f64(12).u32(0).u8(0).u16(1).u64(5)
 	f.u8(evExisting).u64(78).u8(0).u32(0).u64(0).f64(0).f64(0).u64(0).u16(0).u32(0xfeed)
-	f.u8(evFirst).u64(77).u8(0).f64(3).u32(0xfeed)
+	f.u8(evEstablished).u64(77).u8(0).f64(3).u32(0xfeed)
 	f.u8(evNote).u64(77).u8(0).u32(0xfeed).u8(noteLoad).f32(4e5)
 	f.u8(evNote).u64(77).u8(0).u32(0xfeed).u8(noteSlow).f32(20)
-	f.u8(evResolved).u64(77).f64(9).u8(1, 1, 0).u32(0xfeed).u8(2).f32(3).f32(0.5)
-	f.u8(evAborted).u64(99)
+	f.u8(evAttemptEnded).u64(77).f64(9).u8(1, 1, 0).u32(0xfeed).u8(2).f32(3).f32(0.5)
+	f.u8(evRequestEnded).u64(99)
 	f.u8(evTimer).u64(1)
-	f.u8(evProbed).u32(0xfeed).u8(1).f64(1).u8(2).f32(3).f32(0.5)
+	f.u8(evProbeResult).u32(0xfeed).u8(1).f64(1).u8(2).f32(3).f32(0.5)
 	f.u8(evPeer).u32(4).u16(2).u8(1, 2)
 	f.u8(evMembers).u16(0).u8(0).u32(0)
 	f.u8(evStop)
@@ -174,10 +174,10 @@
 // TestListsReused: a list number names another list later in the same batch.
 func TestListsReused(t *testing.T) {
 	f := (&frame{}).launch(1, 0)
-	f.u8(evPool).u16(0).u32(1)
+	f.u8(evServerList).u16(0).u32(1)
 	f.u32(0xbeef).u8(0, 0).u16(0).u8(1).f32(1).f64(0)
 	f.u8(evMembers).u16(0).u8(3).u32(2)
-	f.u8(evCall).u64(7).u64(0).f64(3000).f64(0).u32(0).u8(0).u16(0).u64(0)
+	f.u8(evRequest).u64(7).u64(0).f64(3000).f64(0).u32(0).u8(0).u16(0).u64(0)
 	got, _, err := play(f.batch(1000, launchRecords+3))
 	if err != nil || !strings.Contains(got, "efbe0000") || strings.Contains(got, "edfe0000") {
 		t.Errorf("sent to the list superseded: %s, %v", got, err)
@@ -187,7 +187,7 @@
 // TestRestart: a stop and a second start in one batch give a fresh instance.
 func TestRestart(t *testing.T) {
 	f := (&frame{}).launch(1, 0).u8(evStop).launch(1, 0)
-	f.u8(evTimer).u64(1 << 56).u8(evAborted).u64(4)
+	f.u8(evTimer).u64(1 << 56).u8(evRequestEnded).u64(4)
 	if _, host, err := play(f.batch(1000, 2*launchRecords+3)); err != nil || host.instances[1] == nil {
 		t.Errorf("instance %v, %v", host.instances[1], err)
 	}
@@ -200,7 +200,7 @@
 	for i := range uint16(instances) {
 		f.launch(i, i%16)
 		for j := range uint64(requests) {
-			f.u8(evCall).u64(uint64(i)<<20 | j).u64(0).f64(3000).f64(0).u32(0).u8(0).u16(0).u64(0)
+			f.u8(evRequest).u64(uint64(i)<<20 | j).u64(0).f64(3000).f64(0).u32(0).u8(0).u16(0).u64(0)
 		}
 	}
 	got, _, err := play(f.batch(1000, instances*(launchRecords+requests)))
@@ -224,15 +224,15 @@
 		{"clock is no number", (&frame{}).batch(math.NaN(), 0)},
 		{"unknown code", (&frame{}).launch(1, 0).u8(200).batch(1, launchRecords+1)},
 		{"event without instance", (&frame{}).u8(evTimer).u64(1).batch(1, 1)},
-		{"event for an instance that does not run", (&frame{}).u8(evAbout).u16(1).u8(evTimer).u64(1).batch(1, 2)},
-		{"record cut", (&frame{}).launch(1, 0).u8(evCall).u32(1).batch(1, launchRecords+1)},
-		{"list larger than the frame", (&frame{}).u8(evPool).u16(0).u32(math.MaxUint32).batch(1, 1)},
-		{"list number", (&frame{}).u8(evPool).u16(16).u32(0).batch(1, 1)},
-		{"server state", (&frame{}).u8(evPool).u16(0).u32(1).u32(1).u8(0, 0).u16(0).u8(9).f32(1).f64(0).batch(1, 1)},
+		{"event for an instance that does not run", (&frame{}).u8(evInstance).u16(1).u8(evTimer).u64(1).batch(1, 2)},
+		{"record cut", (&frame{}).launch(1, 0).u8(evRequest).u32(1).batch(1, launchRecords+1)},
+		{"list larger than the frame", (&frame{}).u8(evServerList).u16(0).u32(math.MaxUint32).batch(1, 1)},
+		{"list number", (&frame{}).u8(evServerList).u16(16).u32(0).batch(1, 1)},
+		{"server state", (&frame{}).u8(evServerList).u16(0).u32(1).u32(1).u8(0, 0).u16(0).u8(9).f32(1).f64(0).batch(1, 1)},
 		{"list kind", (&frame{}).launch(1, 0).u8(evMembers).u16(0).u8(2).u32(0).batch(1, launchRecords+1)},
-		{"result", (&frame{}).launch(1, 0).u8(evProbed).u32(1).u8(8).f64(1).u8(0).batch(1, launchRecords+1)},
+		{"result", (&frame{}).launch(1, 0).u8(evProbeResult).u32(1).u8(8).f64(1).u8(0).batch(1, launchRecords+1)},
 		{"bytes left over", (&frame{}).u8(1, 2, 3).batch(1, 0)},
-		{"settings cut", (&frame{}).u8(evAbout).u16(1).u8(evLaunch).u64(1).u32(math.MaxUint32).batch(1, 2)},
+		{"settings cut", (&frame{}).u8(evInstance).u16(1).u8(evLaunch).u64(1).u32(math.MaxUint32).batch(1, 2)},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -246,7 +246,7 @@
 // FuzzDecoder: no stream makes the decoder panic.
 func FuzzDecoder(f *testing.F) {
 	f.Add((&frame{}).launch(1, 0).batch(1000, launchRecords))
-	f.Add((&frame{}).launch(1, 0).u8(evCall).u64(7).u64(0).f64(3000).f64(0).u32(0).u8(0).u16(0).u64(0).batch(1, launchRecords+1))
+	f.Add((&frame{}).launch(1, 0).u8(evRequest).u64(7).u64(0).f64(3000).f64(0).u32(0).u8(0).u16(0).u64(0).batch(1, launchRecords+1))
 	f.Fuzz(func(t *testing.T, stream []byte) {
 		if _, _, err := play(stream); err != nil && !errors.Is(err, ErrMalformed) {
 			t.Errorf("error %v", err)
