--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,10 +1,11 @@
-// Command drill hosts instances of the decision module on the simulator's
-// wire: batches of events on standard input, a reply to each on standard
-// output. Instances share nothing.
+// Command drill runs instances of package policy for the simulator: it reads batches of
+// events in the simulator's protocol from standard input and writes a reply to each to
+// standard output. Instances share no state.
 package main
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -14,34 +15,38 @@
 	"dahliarudder/policy"
 )
 
+// host runs the instances of the simulator.
 type host struct {
 	instances map[uint16]*policy.Balancer
-	out       *wire.Encoder
+	encoder   *wire.Encoder
 }
 
-func (h *host) Launch(inst uint16, now time.Duration, seed uint64, set policy.Settings) {
-	b := policy.New(set, seed, h.out)
-	h.instances[inst] = b
+func (h *host) Launch(instance uint16, now time.Duration, seed uint64, set policy.Settings) {
+	b := policy.New(set, seed, h.encoder)
+	h.instances[instance] = b
 	b.Start()
 }
 
-func (h *host) Stop(inst uint16) { delete(h.instances, inst) }
+func (h *host) Stop(instance uint16) { delete(h.instances, instance) }
 
-func (h *host) Instance(inst uint16) *policy.Balancer { return h.instances[inst] }
+func (h *host) Instance(instance uint16) *policy.Balancer { return h.instances[instance] }
+
+// bufferSize is that of standard input and output.
+const bufferSize = 1 << 20
 
 // run answers batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	w := bufio.NewWriterSize(out, 1<<20)
-	enc := wire.NewEncoder(w)
-	dec := wire.NewDecoder(bufio.NewReaderSize(in, 1<<20), enc)
-	h := &host{instances: map[uint16]*policy.Balancer{}, out: enc}
+	w := bufio.NewWriterSize(out, bufferSize)
+	encoder := wire.NewEncoder(w)
+	decoder := wire.NewDecoder(bufio.NewReaderSize(in, bufferSize), encoder)
+	h := &host{instances: map[uint16]*policy.Balancer{}, encoder: encoder}
 	for {
-		if err := dec.Next(h); err == io.EOF {
+		if err := decoder.Next(h); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
 			return err
 		}
-		if err := enc.Flush(); err != nil {
+		if err := encoder.Flush(); err != nil {
 			return fmt.Errorf("writing a reply: %w", err)
 		}
 		if err := w.Flush(); err != nil {
--- a/internal/wire/cursor.go
+++ b/internal/wire/cursor.go
@@ -10,7 +10,7 @@
 	"dahliarudder/policy"
 )
 
-// cursor reads fields off a record. Past the end it yields zeros and sets short.
+// cursor reads the fields of a record. Past the end it yields zeros and sets truncated.
 type cursor struct {
 	data      []byte
 	truncated bool
@@ -44,7 +44,7 @@
 	return c.take(int(n))
 }
 
-// ms reads a clock time; one that makes no sense counts as absent.
+// ms reads a clock time; one out of range counts as absent.
 func (c *cursor) ms() time.Duration {
 	t, _ := settings.ParseMillis(c.f64())
 	return t
@@ -58,7 +58,7 @@
 	return results[code], nil
 }
 
-// report reads a load report, whose values stand in the order of names.
+// report reads a load report, whose values are in the order of names.
 func (c *cursor) report(names []string) policy.Report {
 	n := int(c.u8())
 	values := make(map[string]float64, maxReport)
--- a/internal/wire/encoder.go
+++ b/internal/wire/encoder.go
@@ -9,11 +9,11 @@
 	"dahliarudder/policy"
 )
 
-// Encoder gathers the actions of one batch and writes them as a reply.
+// Encoder collects the actions of one batch and writes them as a reply. It is the policy.Executor of all instances.
 type Encoder struct {
 	w            io.Writer
 	buf          []byte
-	lastInstance int // instance named last in this reply, -1 if none
+	lastInstance int // named last in this reply, -1 if none
 	instance     uint16
 }
 
@@ -29,8 +29,8 @@
 	e.lastInstance = -1
 }
 
-// by notes whose events are being played; its actions follow.
-func (e *Encoder) setInstance(inst uint16) { e.instance = inst }
+// setInstance says whose events are played; its actions follow.
+func (e *Encoder) setInstance(instance uint16) { e.instance = instance }
 
 // Flush writes the reply to one batch.
 func (e *Encoder) Flush() error {
@@ -40,7 +40,7 @@
 	return err
 }
 
-// beginAction begins an action record of the instance whose turn it is.
+// beginAction begins an action record of the current instance.
 func (e *Encoder) beginAction(code uint8) {
 	if e.lastInstance != int(e.instance) {
 		e.buf = append(e.buf, acInstance)
@@ -56,7 +56,7 @@
 	e.u64(math.Float64bits(float64(d) / float64(time.Millisecond)))
 }
 
-// Send implements policy.Actions, as do the methods below.
+// Send implements policy.Executor, as do the methods below.
 func (e *Encoder) Send(id policy.RequestID, server policy.ServerID, timeout time.Duration) {
 	e.beginAction(acSend)
 	e.u64(uint64(id))
@@ -64,7 +64,7 @@
 	e.u32(uint32(server))
 }
 
-// Reject writes a refusal.
+// Reject writes a rejection.
 func (e *Encoder) Reject(id policy.RequestID, retryAfter time.Duration) {
 	e.beginAction(acReject)
 	e.u64(uint64(id))
@@ -77,14 +77,14 @@
 	e.u64(uint64(id))
 }
 
-// Cancel writes the withdrawal of an attempt.
-func (e *Encoder) Cancel(id policy.RequestID, try int) {
+// Cancel writes the cancellation of an attempt.
+func (e *Encoder) Cancel(id policy.RequestID, attempt int) {
 	e.beginAction(acCancel)
 	e.u64(uint64(id))
-	e.buf = append(e.buf, uint8(try))
+	e.buf = append(e.buf, uint8(attempt))
 }
 
-// Migrate writes the polite end of a connection.
+// Migrate writes the migration of a connection.
 func (e *Encoder) Migrate(id policy.RequestID) {
 	e.beginAction(acMigrate)
 	e.u64(uint64(id))
@@ -96,14 +96,14 @@
 	e.u32(uint32(server))
 }
 
-// Timer writes the wish for a timer.
+// Timer writes a timer.
 func (e *Encoder) Timer(delay time.Duration, token uint64) {
 	e.beginAction(acTimer)
 	e.ms(delay)
 	e.u64(token)
 }
 
-// Watch writes the wish to be kept informed of the server list.
+// Watch writes a subscription to the server list.
 func (e *Encoder) Watch() {
 	e.beginAction(acWatch)
 	e.buf = append(e.buf, 1)
--- /dev/null
+++ b/internal/wire/events.go
@@ -0,0 +1,223 @@
+package wire
+
+import (
+	"fmt"
+	"time"
+
+	"dahliarudder/internal/settings"
+	"dahliarudder/policy"
+)
+
+// This file decodes the records of a batch. A record that is truncated is not played; Next reports it.
+
+// decodeEvent decodes one record and plays it to the host. instance is -1 before one was named.
+func (d *Decoder) decodeEvent(c *cursor, code uint8, instance int, now time.Duration, h Host) error {
+	if code == evServerList {
+		return d.decodeList(c)
+	}
+	if instance < 0 {
+		return fmt.Errorf("%w: code %d before any instance was named", ErrMalformed, code)
+	}
+	id := uint16(instance)
+	if code == evLaunch {
+		return d.decodeLaunch(c, id, now, h)
+	}
+	b := h.Instance(id)
+	if b == nil {
+		return fmt.Errorf("%w: code %d for instance %d, which does not run", ErrMalformed, code, id)
+	}
+	switch code {
+	case evMembers:
+		return d.decodeMembers(c, b, now)
+	case evRequest:
+		decodeRequest(c, b, now)
+	case evExisting:
+		decodeExisting(c, b, now)
+	case evEstablished:
+		r := policy.RequestID(c.u64())
+		c.skip(1 + 8 + 4)
+		if !c.truncated {
+			b.Established(now, r)
+		}
+	case evAttemptEnded:
+		return d.decodeOutcome(c, b, id, now)
+	case evRequestEnded:
+		if r := policy.RequestID(c.u64()); !c.truncated {
+			b.RequestEnded(now, r)
+		}
+	case evTimer:
+		if token := c.u64(); !c.truncated {
+			b.Timer(now, token)
+		}
+	case evProbeResult:
+		return d.decodeProbeResult(c, b, id, now)
+	case evNote:
+		decodeNote(c, b, now)
+	case evPeer:
+		c.skip(4)
+		c.bytes(uint32(c.u16()))
+	case evStop:
+		h.Stop(id)
+	default:
+		return fmt.Errorf("%w: unknown code %d", ErrMalformed, code)
+	}
+	return nil
+}
+
+func (d *Decoder) decodeLaunch(c *cursor, id uint16, now time.Duration, h Host) error {
+	seed := c.u64()
+	text := c.bytes(c.u32())
+	if c.truncated {
+		return nil
+	}
+	set, err := settings.Decode(text)
+	if err != nil {
+		return fmt.Errorf("%w: %v", ErrMalformed, err)
+	}
+	d.reportNames[id] = set.Report.Names
+	h.Launch(id, now, seed, set.Policy())
+	return nil
+}
+
+func (d *Decoder) decodeMembers(c *cursor, b *policy.Balancer, now time.Duration) error {
+	list, how := c.u16(), c.u8()
+	c.u32()
+	kind, known := listKinds[how]
+	if !known || kind != policy.ListFailed && list >= maxLists {
+		return fmt.Errorf("%w: list %d of kind %d", ErrMalformed, list, how)
+	}
+	if c.truncated {
+		return nil
+	}
+	var servers []policy.Server
+	if kind != policy.ListFailed {
+		servers = d.serverLists[list]
+	}
+	b.UpdateServers(now, kind, servers)
+	return nil
+}
+
+func decodeRequest(c *cursor, b *policy.Balancer, now time.Duration) {
+	q := requestRecord{ID: policy.RequestID(c.u64()), Group: c.u64()}
+	q.Deadline = c.ms()
+	load := c.f64()
+	q.Tenant, q.Class = int(c.u32()), int(c.u8())
+	q.setFlags(c.u16(), load)
+	q.Key = c.u64()
+	if !c.truncated {
+		b.Request(now, policy.Request(q))
+	}
+}
+
+func decodeExisting(c *cursor, b *policy.Balancer, now time.Duration) {
+	q := requestRecord{ID: policy.RequestID(c.u64())}
+	q.Class, q.Tenant, q.Key = int(c.u8()), int(c.u32()), c.u64()
+	q.Deadline = c.ms()
+	load := c.f64()
+	q.Group = c.u64()
+	q.setFlags(c.u16(), load)
+	if server := policy.ServerID(c.u32()); !c.truncated {
+		b.AddExisting(now, policy.Request(q), server)
+	}
+}
+
+func (d *Decoder) decodeProbeResult(c *cursor, b *policy.Balancer, id uint16, now time.Duration) error {
+	server := policy.ServerID(c.u32())
+	result, err := c.result()
+	c.skip(8)
+	report := c.report(d.reportNames[id])
+	if err == nil && !c.truncated {
+		b.ProbeResult(now, server, result, report)
+	}
+	return err
+}
+
+func decodeNote(c *cursor, b *policy.Balancer, now time.Duration) {
+	r := policy.RequestID(c.u64())
+	c.skip(1 + 4)
+	what, value := c.u8(), float64(c.f32())
+	if c.truncated {
+		return
+	}
+	switch what {
+	case noteLoad:
+		b.UpdateLoad(now, r, value/1e6)
+	case noteLatency:
+		if latency, ok := settings.ParseMillis(value); ok {
+			b.ObserveLatency(now, r, latency)
+		}
+	}
+}
+
+func (d *Decoder) decodeOutcome(c *cursor, b *policy.Balancer, id uint16, now time.Duration) error {
+	o := policy.Outcome{ID: policy.RequestID(c.u64())}
+	c.skip(8)
+	result, err := c.result()
+	o.Result = result
+	o.Final = c.u8() != 0
+	o.Attempt = int(c.u8())
+	o.Server = policy.ServerID(c.u32())
+	o.Report = c.report(d.reportNames[id])
+	if err == nil && !c.truncated {
+		b.AttemptEnded(now, o)
+	}
+	return err
+}
+
+// decodeList reads a numbered list; instances refer to it by its number.
+func (d *Decoder) decodeList(c *cursor) error {
+	number, n := c.u16(), c.u32()
+	if c.truncated {
+		return nil
+	}
+	if number >= maxLists {
+		return fmt.Errorf("%w: list number %d", ErrMalformed, number)
+	}
+	if uint64(n)*entrySize > uint64(len(c.data)) {
+		return fmt.Errorf("%w: %d list entries in %d bytes", ErrMalformed, n, len(c.data))
+	}
+	list := make([]policy.Server, n)
+	for i := range list {
+		e := &list[i]
+		e.ID, e.Zone, e.Kind, e.Cell = policy.ServerID(c.u32()), int(c.u8()), int(c.u8()), int(c.u16())
+		state, known := states[c.u8()]
+		if !known {
+			return fmt.Errorf("%w: unknown server state", ErrMalformed)
+		}
+		e.State = state
+		e.Weight = float64(c.f32())
+		e.Started = c.ms()
+	}
+	d.serverLists[number] = list
+	return nil
+}
+
+// The codes of list kinds, server states and results.
+var listKinds = map[uint8]policy.ListKind{
+	0: policy.ListFailed, 1: policy.ListDelta, 3: policy.ListFull, 4: policy.ListCached,
+}
+
+var states = map[uint8]policy.ServerState{0: policy.Gone, 1: policy.Ready, 2: policy.Draining}
+
+var results = [...]policy.Result{
+	0: policy.Error, 1: policy.OK, 2: policy.Full, 3: policy.Timeout,
+	4: policy.ConnectFailed, 5: policy.Reset, 6: policy.Cancelled, 7: policy.NotSent,
+}
+
+// Flags of a request.
+const (
+	flagLoadHint  = 1
+	flagMidFlow   = 8
+	flagReconnect = 16
+)
+
+// requestRecord is a policy.Request that is being decoded.
+type requestRecord policy.Request
+
+// setFlags decodes the flags, and the load hint, which counts only if they say so.
+func (q *requestRecord) setFlags(flags uint16, hint float64) {
+	q.MidFlow, q.Reconnect = flags&flagMidFlow != 0, flags&flagReconnect != 0
+	if flags&flagLoadHint != 0 {
+		q.Load = hint / 1e3
+	}
+}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,6 @@
-// Package wire speaks the simulator's binary dialect: it reads batches of
-// events, hands them to whoever hosts the instances in terms of package
-// policy, and writes the reply. It decides nothing.
+// Package wire implements the simulator's binary protocol: it reads batches of events,
+// plays them to the host of the instances in terms of package policy, and writes the
+// replies. It decides nothing.
 package wire
 
 import (
@@ -44,10 +44,14 @@
 	acWatch    uint8 = 10
 	acMigrate  uint8 = 12
 	acInstance uint8 = 13
-	headerSize       = 16
-	entrySize        = 21
-	maxLists         = 16
-	// maxBatch bounds what a header may ask for; real batches are a few megabytes.
+)
+
+// Sizes and limits.
+const (
+	headerSize = 16
+	entrySize  = 21 // of a server list
+	maxLists   = 16
+	// maxBatch limits the size that a header may announce; real batches are a few megabytes.
 	maxBatch = 1 << 30
 	// maxReport is the largest number of values in a load report.
 	maxReport = 4
@@ -55,20 +59,19 @@
 
 // Kinds of notes.
 const (
-	noteLoad = 1
-	noteSlow = 2
+	noteLoad    = 1
+	noteLatency = 2
 )
 
-// ErrMalformed is wrapped by every error about a frame that breaks the dialect.
+// ErrMalformed is wrapped by every error about a frame that breaks the protocol.
 var ErrMalformed = errors.New("malformed frame")
 
-// Host receives the decoded events. Each method that concerns an instance gets
-// its number and the clock of the batch.
+// Host runs the instances to which events are played.
 type Host interface {
-	Launch(inst uint16, now time.Duration, seed uint64, set policy.Settings)
-	Stop(inst uint16)
+	Launch(instance uint16, now time.Duration, seed uint64, set policy.Settings)
+	Stop(instance uint16)
 	// Instance returns the balancer of a running instance, or nil.
-	Instance(inst uint16) *policy.Balancer
+	Instance(instance uint16) *policy.Balancer
 }
 
 // Decoder reads batches from a stream.
@@ -80,13 +83,13 @@
 	encoder     *Encoder
 }
 
-// NewDecoder returns a Decoder that reads from r and tells out whose turn it is.
+// NewDecoder returns a Decoder that reads from r and sets the instance of out.
 func NewDecoder(r io.Reader, out *Encoder) *Decoder {
 	return &Decoder{r: r, reportNames: map[uint16][]string{}, encoder: out}
 }
 
-// Next reads one batch and plays its events to the host. It returns io.EOF at
-// a clean end of the stream.
+// Next reads one batch and plays its events to the host. It returns io.EOF at a clean
+// end of the stream.
 func (d *Decoder) Next(h Host) error {
 	var header [headerSize]byte
 	if _, err := io.ReadFull(d.r, header[:]); err != nil {
@@ -111,13 +114,13 @@
 		return err
 	}
 	c := &cursor{data: d.buf}
-	inst := -1
+	instance := -1
 	for i := uint32(0); i < count; i++ {
 		code := c.u8()
 		if code == evInstance {
-			inst = int(c.u16())
-			d.encoder.setInstance(uint16(inst))
-		} else if err := d.decodeEvent(c, code, inst, now, h); err != nil {
+			instance = int(c.u16())
+			d.encoder.setInstance(uint16(instance))
+		} else if err := d.decodeEvent(c, code, instance, now, h); err != nil {
 			return err
 		}
 		if c.truncated {
@@ -147,191 +150,3 @@
 	}
 	return nil
 }
-
-// decodeEvent decodes one record and plays it.
-func (d *Decoder) decodeEvent(c *cursor, code uint8, inst int, now time.Duration, h Host) error {
-	if code == evServerList {
-		return d.decodeList(c)
-	}
-	if inst < 0 {
-		return fmt.Errorf("%w: code %d before any instance was named", ErrMalformed, code)
-	}
-	id := uint16(inst)
-	if code == evLaunch {
-		seed := c.u64()
-		text := c.bytes(c.u32())
-		if c.truncated {
-			return nil
-		}
-		set, err := settings.Decode(text)
-		if err != nil {
-			return fmt.Errorf("%w: %v", ErrMalformed, err)
-		}
-		d.reportNames[id] = set.Report.Names
-		h.Launch(id, now, seed, set.Policy())
-		return nil
-	}
-	b := h.Instance(id)
-	if b == nil {
-		return fmt.Errorf("%w: code %d for instance %d, which does not run", ErrMalformed, code, id)
-	}
-	switch code {
-	case evMembers:
-		list, how := c.u16(), c.u8()
-		c.u32()
-		kind, known := listKinds[how]
-		if !known || kind != policy.ListFailed && list >= maxLists {
-			return fmt.Errorf("%w: list %d of kind %d", ErrMalformed, list, how)
-		}
-		if c.truncated {
-			return nil
-		}
-		var servers []policy.Server
-		if kind != policy.ListFailed {
-			servers = d.serverLists[list]
-		}
-		b.UpdateServers(now, kind, servers)
-	case evRequest:
-		q := requestRecord{ID: policy.RequestID(c.u64()), Group: c.u64()}
-		q.Deadline = c.ms()
-		load := c.f64()
-		q.Tenant, q.Class = int(c.u32()), int(c.u8())
-		q.setFlags(c.u16(), load)
-		q.Key = c.u64()
-		if !c.truncated {
-			b.Request(now, policy.Request(q))
-		}
-	case evExisting:
-		q := requestRecord{ID: policy.RequestID(c.u64())}
-		q.Class, q.Tenant, q.Key = int(c.u8()), int(c.u32()), c.u64()
-		q.Deadline = c.ms()
-		load := c.f64()
-		q.Group = c.u64()
-		q.setFlags(c.u16(), load)
-		if server := policy.ServerID(c.u32()); !c.truncated {
-			b.AddExisting(now, policy.Request(q), server)
-		}
-	case evEstablished:
-		r := policy.RequestID(c.u64())
-		c.skip(1 + 8 + 4)
-		if !c.truncated {
-			b.Established(now, r)
-		}
-	case evAttemptEnded:
-		return d.decodeOutcome(c, b, id, now)
-	case evRequestEnded:
-		if r := policy.RequestID(c.u64()); !c.truncated {
-			b.RequestEnded(now, r)
-		}
-	case evTimer:
-		if token := c.u64(); !c.truncated {
-			b.Timer(now, token)
-		}
-	case evProbeResult:
-		server := policy.ServerID(c.u32())
-		result, err := c.result()
-		c.skip(8)
-		report := c.report(d.reportNames[id])
-		if err != nil {
-			return err
-		}
-		if !c.truncated {
-			b.ProbeResult(now, server, result, report)
-		}
-	case evNote:
-		r := policy.RequestID(c.u64())
-		c.skip(1 + 4)
-		what, value := c.u8(), float64(c.f32())
-		if c.truncated {
-			return nil
-		}
-		switch what {
-		case noteLoad:
-			b.UpdateLoad(now, r, value/1e6)
-		case noteSlow:
-			if slow, ok := settings.ParseMillis(value); ok {
-				b.ObserveLatency(now, r, slow)
-			}
-		}
-	case evPeer:
-		c.skip(4)
-		c.bytes(uint32(c.u16()))
-	case evStop:
-		h.Stop(id)
-	default:
-		return fmt.Errorf("%w: unknown code %d", ErrMalformed, code)
-	}
-	return nil
-}
-
-func (d *Decoder) decodeOutcome(c *cursor, b *policy.Balancer, id uint16, now time.Duration) error {
-	o := policy.Outcome{ID: policy.RequestID(c.u64())}
-	c.skip(8)
-	result, err := c.result()
-	o.Result = result
-	o.Final = c.u8() != 0
-	o.Attempt = int(c.u8())
-	o.Server = policy.ServerID(c.u32())
-	o.Report = c.report(d.reportNames[id])
-	if err == nil && !c.truncated {
-		b.AttemptEnded(now, o)
-	}
-	return err
-}
-
-// decodeList reads a numbered list; instances refer to it by its number.
-func (d *Decoder) decodeList(c *cursor) error {
-	number, n := c.u16(), c.u32()
-	if c.truncated {
-		return nil
-	}
-	if number >= maxLists {
-		return fmt.Errorf("%w: list number %d", ErrMalformed, number)
-	}
-	if uint64(n)*entrySize > uint64(len(c.data)) {
-		return fmt.Errorf("%w: %d list entries in %d bytes", ErrMalformed, n, len(c.data))
-	}
-	list := make([]policy.Server, n)
-	for i := range list {
-		e := &list[i]
-		e.ID, e.Zone, e.Kind, e.Cell = policy.ServerID(c.u32()), int(c.u8()), int(c.u8()), int(c.u16())
-		state, known := states[c.u8()]
-		if !known {
-			return fmt.Errorf("%w: unknown server state", ErrMalformed)
-		}
-		e.State = state
-		e.Weight = float64(c.f32())
-		e.Started = c.ms()
-	}
-	d.serverLists[number] = list
-	return nil
-}
-
-var listKinds = map[uint8]policy.ListKind{
-	0: policy.ListFailed, 1: policy.ListDelta, 3: policy.ListFull, 4: policy.ListCached,
-}
-
-var states = map[uint8]policy.ServerState{0: policy.Gone, 1: policy.Ready, 2: policy.Draining}
-
-var results = [...]policy.Result{
-	0: policy.Error, 1: policy.OK, 2: policy.Full, 3: policy.Timeout,
-	4: policy.ConnectFailed, 5: policy.Reset, 6: policy.Cancelled, 7: policy.NotSent,
-}
-
-// Flags of a request.
-const (
-	flagHint    = 1
-	flagMidFlow = 8
-	flagAgain   = 16
-)
-
-// requestRecord is a policy.Request being read.
-type requestRecord policy.Request
-
-// setFlags takes the flags, and the hint, which only counts if they say so.
-func (q *requestRecord) setFlags(flags uint16, hint float64) {
-	q.MidFlow, q.Reconnect = flags&flagMidFlow != 0, flags&flagAgain != 0
-	if flags&flagHint != 0 {
-		q.Load = hint / 1e3
-	}
-}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -110,7 +110,7 @@
 	f.u8(evExisting).u64(78).u8(0).u32(0).u64(0).f64(0).f64(0).u64(0).u16(0).u32(0xfeed)
 	f.u8(evEstablished).u64(77).u8(0).f64(3).u32(0xfeed)
 	f.u8(evNote).u64(77).u8(0).u32(0xfeed).u8(noteLoad).f32(4e5)
-	f.u8(evNote).u64(77).u8(0).u32(0xfeed).u8(noteSlow).f32(20)
+	f.u8(evNote).u64(77).u8(0).u32(0xfeed).u8(noteLatency).f32(20)
 	f.u8(evAttemptEnded).u64(77).f64(9).u8(1, 1, 0).u32(0xfeed).u8(2).f32(3).f32(0.5)
 	f.u8(evRequestEnded).u64(99)
 	f.u8(evTimer).u64(1)
