--- /dev/null
+++ b/internal/scenariorunner/front.go
@@ -0,0 +1,140 @@
+package scenariorunner
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"sync"
+	"time"
+
+	"dahliarudder/internal/scenario"
+)
+
+// front stands for the load balancers in front of the relays: it checks the relays' health and assigns the clients of each zone to
+// the relays of that zone.
+type front struct {
+	*run
+	addrs map[string]string // by relay
+
+	stopPings func()
+	pings     sync.WaitGroup
+
+	lock     sync.Mutex
+	lastPong map[string]time.Time
+	admitted map[string]bool // the relays that get clients
+}
+
+func newFront(r *run) *front {
+	return &front{run: r, addrs: map[string]string{}, lastPong: map[string]time.Time{}, admitted: map[string]bool{}, stopPings: func() {}}
+}
+
+const (
+	// startingPingInterval is the longest interval of the pings of a relay that is not admitted.
+	startingPingInterval = 50 * time.Millisecond
+	pingTimeout          = time.Second
+)
+
+// start checks the health of every relay until stop is called or the context ends.
+func (f *front) start(ctx context.Context) {
+	ctx, f.stopPings = context.WithCancel(ctx)
+	for _, n := range f.relays {
+		f.pings.Go(func() { f.checkHealth(ctx, n) })
+	}
+}
+
+func (f *front) stop() {
+	f.stopPings()
+	f.pings.Wait()
+}
+
+// checkHealth pings a relay until the context ends.
+func (f *front) checkHealth(ctx context.Context, n *relay) {
+	for ctx.Err() == nil {
+		healthy := f.ping(n)
+		if healthy {
+			f.recordReady(n)
+		}
+		interval := scenario.Millis(f.File.Front.PingMs)
+		if !f.update(n.name, healthy) {
+			interval = min(interval, startingPingInterval)
+		}
+		sleep(ctx, interval)
+	}
+}
+
+// update takes in a ping's result and returns whether the relay is admitted.
+func (f *front) update(name string, healthy bool) (admitted bool) {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	if now := time.Now(); healthy {
+		f.lastPong[name], f.admitted[name] = now, true
+	} else if now.Sub(f.lastPong[name]) > scenario.Millis(f.File.Front.FailureTimeoutMs) {
+		f.admitted[name] = false
+	}
+	return f.admitted[name]
+}
+
+// recordReady records how long a process took to be ready, at its first healthy ping.
+func (f *front) recordReady(n *relay) {
+	f.locked(func(at time.Duration) {
+		if n.readyStart == n.starts {
+			return
+		}
+		n.readyStart = n.starts
+		f.judge.RelayReady(at, n.name, at-n.began)
+	})
+}
+
+func (f *front) ping(n *relay) (healthy bool) {
+	c, err := net.DialTimeout("tcp", f.addrs[n.name], pingTimeout)
+	if err != nil {
+		return false
+	}
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(pingTimeout))
+	fmt.Fprint(c, "PING\r\n")
+	line, err := bufio.NewReader(c).ReadString('\n')
+	return err == nil && line == "PONG\r\n"
+}
+
+func (f *front) isAdmitted(name string) bool {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	return f.admitted[name]
+}
+
+func (f *front) admittedCount() (n int) {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	for _, admitted := range f.admitted {
+		if admitted {
+			n++
+		}
+	}
+	return n
+}
+
+// remove stops assigning clients to a relay until its next healthy ping.
+func (f *front) remove(name string) {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	f.admitted[name] = false
+}
+
+// pick assigns a client of a zone to a relay; nil if none is admitted.
+func (f *front) pick(zone int, rng *rand.Rand) *relay {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	var candidates []*relay
+	for _, n := range f.relays {
+		if n.zone == zone && f.admitted[n.name] {
+			candidates = append(candidates, n)
+		}
+	}
+	if len(candidates) == 0 {
+		return nil
+	}
+	return candidates[rng.IntN(len(candidates))]
+}
--- /dev/null
+++ b/internal/scenariorunner/member_updates.go
@@ -0,0 +1,61 @@
+package scenariorunner
+
+import (
+	"time"
+
+	"dahliarudder/internal/fakes"
+	"dahliarudder/internal/scenario"
+)
+
+// updateDeadline is how long after discovery became reachable again its changes count as delivered, whether or not they arrived.
+const updateDeadline = 6 * time.Second
+
+// recordMemberUpdates records the entries that discovery has written to a relay. Behind a cut only the proxy has received them;
+// deliverBehindCut continues.
+func (r *run) recordMemberUpdates(relay string, entries []fakes.Entry) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, e := range entries {
+		key := relayMember{relay, e.ID}
+		r.updatesWritten[key]++
+		if r.isCutOff(relay) {
+			r.updatesBehindCut[key] = e
+			continue
+		}
+		delete(r.updatesBehindCut, key)
+		r.judgeUpdate(relay, e)
+	}
+}
+
+// deliverBehindCut is called when the link between a relay and discovery is healed. A serving member may be used from then on; any
+// other change counts as delivered after updateDeadline, unless a newer one was written. The caller holds the lock.
+func (r *run) deliverBehindCut(relay string) {
+	for key, e := range r.updatesBehindCut {
+		if key.relay != relay {
+			continue
+		}
+		delete(r.updatesBehindCut, key)
+		if e.Lifecycle == fakes.Serving {
+			r.judgeUpdate(relay, e)
+			continue
+		}
+		written := r.updatesWritten[key]
+		time.AfterFunc(updateDeadline, func() {
+			r.mu.Lock()
+			defer r.mu.Unlock()
+			if r.updatesWritten[key] == written {
+				r.judgeUpdate(relay, e)
+			}
+		})
+	}
+}
+
+// isCutOff reports whether the link between a relay and discovery is cut. The caller holds the lock.
+func (r *run) isCutOff(relay string) bool {
+	l := r.links[scenario.Link{From: relay, To: "discovery"}]
+	return l != nil && (l.forward.Cut || l.backward.Cut) && !r.closing
+}
+
+func (r *run) judgeUpdate(relay string, e fakes.Entry) {
+	r.judge.MemberUpdateSent(r.now(), relay, e.ID, e.Lifecycle, r.sinceStart(e.Started))
+}
--- a/internal/scenariorunner/page.go
+++ b/internal/scenariorunner/page.go
@@ -14,10 +14,10 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// The page's colours: a line for each variant, in this order.
+// colours are those of the variants, in their order.
 var colours = []color.Color{color.RGBA{0x1f, 0x5a, 0xa6, 255}, color.RGBA{0xc4, 0x4e, 0x1c, 255}, color.RGBA{0x2c, 0x7d, 0x4f, 255}, color.RGBA{0x7a, 0x3e, 0x8e, 255}}
 
-// WritePage writes one page with the table and the plots in it.
+// WritePage writes an HTML page with the table and the plots.
 func WritePage(path, about string, all []*Result) error {
 	var table bytes.Buffer
 	WriteTable(&table, all)
@@ -45,7 +45,7 @@
 			return out
 		}, false},
 	} {
-		svg, err := lines(p.title, p.unit, all, p.of, p.asked)
+		svg, err := plotOverTime(p.title, p.unit, all, p.of, p.asked)
 		if err != nil {
 			return err
 		}
@@ -58,8 +58,8 @@
 	return os.WriteFile(path, out.Bytes(), 0o644)
 }
 
-// lines draws one figure over time, a line for each play, with the faults on the axis.
-func lines(title, unit string, all []*Result, of func(*Result) []float64, asked bool) (template.HTML, error) {
+// plotOverTime draws one figure over time as SVG: a line for each run, and a mark for each fault.
+func plotOverTime(title, unit string, all []*Result, of func(*Result) []float64, asked bool) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "s", unit
 	p.Y.Min, p.Legend.Top, p.Legend.Left = 0, false, true
@@ -115,7 +115,7 @@
 		return "", err
 	}
 	text := out.String()
-	if i := strings.Index(text, "<svg"); i > 0 { // what comes before is for a file of its own
+	if i := strings.Index(text, "<svg"); i > 0 { // skip the XML declaration
 		text = text[i:]
 	}
 	return template.HTML(text), nil
@@ -123,9 +123,9 @@
 
 var page = template.Must(template.New("page").Parse(`<!doctype html>
 <meta charset="utf-8">
-<title>Rehearsal</title>
+<title>Scenario</title>
 <style>body{font:15px/1.5 sans-serif;margin:2em auto;max-width:70em;padding:0 1em;color:#222}pre{overflow:auto;background:#f5f5f3;padding:1em}svg{max-width:100%;height:auto}li{font-variant-numeric:tabular-nums}</style>
-<h1>Rehearsal</h1>
+<h1>Scenario</h1>
 <p>{{.About}}</p>
 {{range .Plots}}{{.}}
 {{end}}
--- /dev/null
+++ b/internal/scenariorunner/relay_faults.go
@@ -0,0 +1,197 @@
+package scenariorunner
+
+import (
+	"net"
+	"sync"
+	"syscall"
+	"time"
+
+	"dahliarudder/internal/scenario"
+)
+
+// applyToRelay applies a step to a relay.
+func (r *run) applyToRelay(n *relay, s scenario.Step) {
+	switch s.Action {
+	case scenario.ActionKill:
+		n.recordUsage()
+		r.relayDown(n)
+		n.signal(syscall.SIGKILL, true)
+	case scenario.ActionTerminate:
+		r.terminate(n, s.SignalSeries)
+	case scenario.ActionStart:
+		go n.startAgain(s)
+	case scenario.ActionStop:
+		r.relayDown(n)
+		n.signal(syscall.SIGSTOP, false)
+	case scenario.ActionPause: // too short to excuse anything
+		n.signal(syscall.SIGSTOP, false)
+	case scenario.ActionContinue:
+		r.continueRelay(n, s)
+	case scenario.ActionCrowd:
+		r.openIdleConns(n, s.IdleConnections)
+	case scenario.ActionDisperse:
+		r.closeIdleConns(n)
+	default:
+		r.configureRelay(n, s)
+	}
+}
+
+// configureRelay applies a step that changes a relay's files or calls it.
+func (r *run) configureRelay(n *relay, s scenario.Step) {
+	switch s.Action {
+	case scenario.ActionCall:
+		go r.operatorCall(n, s)
+	case scenario.ActionCopyState:
+		if err := n.copyState(); err != nil {
+			r.Progress("%s's state is not copied: %v\n", n.name, err)
+		}
+	case scenario.ActionConfigure:
+		if err := n.patchConfig(s.Body); err != nil {
+			r.Progress("%s keeps its configuration: %v\n", n.name, err)
+			return
+		}
+		n.signal(syscall.SIGHUP, false)
+	case scenario.ActionSystemFaults, scenario.ActionSystemHealth:
+		if s.Action == scenario.ActionSystemHealth {
+			s.Body = nil
+		}
+		if err := n.setSystemFaults(s.Body); err != nil {
+			r.Progress("%s has no system faults: %v\n", n.name, err)
+		}
+	}
+}
+
+// relayDown records that a relay does not answer from now on.
+func (r *run) relayDown(n *relay) {
+	r.locked(func(at time.Duration) {
+		r.judge.BeginExcuse(at, n.name)
+		r.peerViews.relayDown(at, n.name)
+	})
+}
+
+// continueRelay continues a stopped or paused relay.
+func (r *run) continueRelay(n *relay, s scenario.Step) {
+	n.signal(syscall.SIGCONT, false)
+	if s.Fault >= 0 && r.File.Faults[s.Fault].Action == scenario.ActionPause {
+		return
+	}
+	r.locked(func(at time.Duration) {
+		r.judge.EndExcuse(at+wakeUpExcuse, n.name)
+		r.peerViews.relayUp(at, n.name)
+	})
+}
+
+// startAgain waits for the end of a relay's process and starts the next one.
+func (n *relay) startAgain(s scenario.Step) {
+	<-n.done
+	if err := n.prepareState(s); err != nil {
+		n.Progress("%s starts with its own files: %v\n", n.name, err)
+	}
+	n.restart()
+}
+
+// restart starts the next process of a relay that has ended, unless the run is over.
+func (n *relay) restart() {
+	n.locked(func(at time.Duration) {
+		n.judge.EndExcuse(at, n.name)
+		n.judge.RelayRestarted(n.name)
+		n.peerViews.relayUp(at, n.name)
+	})
+	n.mu.Lock()
+	closing := n.closing
+	n.mu.Unlock()
+	if closing {
+		return
+	}
+	if err := n.start(); err != nil {
+		n.locked(func(at time.Duration) { n.judge.RelayCrashed(at, n.name, err.Error()) })
+	}
+}
+
+const (
+	// frontRemovalDelay is how long after SIGTERM the front still assigns clients; the protocol says 0.2 to 0.4 s.
+	frontRemovalDelay = 300 * time.Millisecond
+	// SIGKILL comes at the earliest after the longest deadline, counted as maxCountedDeadline at most, plus killMargin.
+	maxCountedDeadline = 3 * time.Second
+	killMargin         = 700 * time.Millisecond
+	seriesInterval     = 50 * time.Millisecond
+)
+
+// signalSeries are the signals that follow a SIGTERM with the option of a series.
+var signalSeries = []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGTERM, syscall.SIGHUP}
+
+// terminate sends SIGTERM, and SIGKILL at the earliest time allowed. Nothing is excused: the judge expects an answer to everything
+// that the relay has accepted, and MOVE before each end.
+func (r *run) terminate(n *relay, series bool) {
+	n.recordUsage()
+	n.signal(syscall.SIGTERM, true)
+	kill := time.AfterFunc(r.killAfter(), func() { n.signal(syscall.SIGKILL, true) })
+	if series {
+		go func() {
+			for _, s := range signalSeries {
+				time.Sleep(seriesInterval)
+				n.signal(s, true)
+			}
+		}()
+	}
+	go func() {
+		time.Sleep(frontRemovalDelay)
+		r.front.remove(n.name)
+		<-n.done
+		kill.Stop()
+		r.locked(func(at time.Duration) { r.peerViews.relayDown(at, n.name) })
+	}()
+}
+
+// killAfter is how long after SIGTERM SIGKILL comes at the earliest.
+func (r *run) killAfter() time.Duration {
+	longest := time.Duration(0)
+	for _, c := range r.settings.Policy().Classes {
+		longest = max(longest, c.Deadline)
+	}
+	return min(longest, maxCountedDeadline) + killMargin
+}
+
+// idleDialTimeout is after how long no further idle connection is opened.
+const idleDialTimeout = time.Second
+
+// openIdleConns opens connections to a relay that send nothing.
+func (r *run) openIdleConns(n *relay, count int) {
+	r.locked(func(at time.Duration) { r.judge.BeginIdleFlood(at, n.name) })
+	go func() {
+		for range count {
+			c, err := net.DialTimeout("tcp", n.listenAddr, idleDialTimeout)
+			if err != nil {
+				return
+			}
+			n.idleConns.add(c)
+		}
+	}()
+}
+
+// closeIdleConns closes the connections that openIdleConns has opened.
+func (r *run) closeIdleConns(n *relay) {
+	n.idleConns.closeAll()
+	r.locked(func(at time.Duration) { r.judge.EndIdleFlood(at+wakeUpExcuse, n.name) })
+}
+
+// idleConns are connections that send nothing.
+type idleConns struct {
+	mu    sync.Mutex
+	conns []net.Conn
+}
+
+func (i *idleConns) add(c net.Conn) {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	i.conns = append(i.conns, c)
+}
+
+func (i *idleConns) closeAll() {
+	i.mu.Lock()
+	defer i.mu.Unlock()
+	for _, c := range i.conns {
+		c.Close()
+	}
+	i.conns = nil
+}
--- /dev/null
+++ b/internal/scenariorunner/runner.go
@@ -0,0 +1,130 @@
+// Package scenariorunner runs a fault scenario: it starts relays among fakes of the systems around them, injects the faults of the
+// scenario file, feeds what crossed the sockets to the judge, and reports the result.
+package scenariorunner
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"os"
+	"path/filepath"
+
+	"dahliarudder/internal/fakes"
+	"dahliarudder/internal/scenario"
+	"dahliarudder/internal/settings"
+)
+
+// Runner is a scenario file with what is needed to run it.
+type Runner struct {
+	File     *scenario.File
+	Dir      string // the file's directory, which its paths are relative to
+	Program  string // path of the relay
+	WorkDir  string // for the relays' files and logs
+	Progress func(format string, args ...any)
+}
+
+// Settings returns the configuration that the file names, with the file's and the variant's patches, and the settings in it.
+func (r *Runner) Settings(v scenario.Variant) (map[string]json.RawMessage, *settings.Settings, error) {
+	path := r.resolvePath(r.File.Config)
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, nil, fmt.Errorf("%w: config: %w", scenario.ErrInvalid, err)
+	}
+	merged := json.RawMessage(text)
+	for _, patch := range []json.RawMessage{r.File.Patch, v.Patch} {
+		if merged, err = scenario.MergePatch(merged, patch); err != nil {
+			return nil, nil, fmt.Errorf("%w: %s: %w", scenario.ErrInvalid, path, err)
+		}
+	}
+	config := map[string]json.RawMessage{}
+	if err := json.Unmarshal(merged, &config); err != nil {
+		return nil, nil, fmt.Errorf("%w: %s: %w", scenario.ErrInvalid, path, err)
+	}
+	decoded, err := settings.Decode(config["settings"])
+	if err != nil {
+		return nil, nil, fmt.Errorf("%w: %s: %w", scenario.ErrInvalid, path, err)
+	}
+	if len(decoded.Classes) == 0 {
+		return nil, nil, fmt.Errorf("%w: %s: settings name no classes", scenario.ErrInvalid, path)
+	}
+	return config, decoded, r.File.CheckZones(site(decoded).Zones)
+}
+
+// resolvePath makes a path of the file absolute or relative to the working directory.
+func (r *Runner) resolvePath(path string) string {
+	if filepath.IsAbs(path) {
+		return path
+	}
+	return filepath.Join(r.Dir, path)
+}
+
+// site is the part of the settings that a plan is drawn from.
+func site(decoded *settings.Settings) scenario.Site {
+	s := scenario.Site{}
+	for _, c := range decoded.Classes {
+		s.ClassWeights = append(s.ClassWeights, c.Worth)
+	}
+	for _, t := range decoded.Tenants {
+		s.TenantShares = append(s.TenantShares, t.Share)
+	}
+	for _, z := range decoded.Zones {
+		s.Zones = append(s.Zones, string(z))
+	}
+	if len(s.Zones) == 0 {
+		s.Zones = []string{""}
+	}
+	return s
+}
+
+// slowStart is the ramp of members' capacity that the settings describe.
+func slowStart(decoded *settings.Settings) scenario.SlowStart {
+	return scenario.SlowStart{From: decoded.Guarantees.ColdFrom, For: settings.Duration(decoded.Guarantees.Cold)}
+}
+
+// RunAll runs every variant on every draw as often as the file says, in turn. It returns what it has when the context ends.
+func (r *Runner) RunAll(ctx context.Context) (all []*Result, err error) {
+	fakes.Host = fmt.Sprintf("127.%d.%d.1", 64+rand.IntN(128), rand.IntN(256)) // other runs on this machine have others
+	repetitions := r.File.Repetitions * r.File.Seeds
+	for k := range repetitions {
+		seed := r.File.Seed + uint64(k%r.File.Seeds)
+		for _, v := range r.File.Variants {
+			if ctx.Err() != nil {
+				return all, nil
+			}
+			r.Progress("%s, play %d of %d, seed %d: %d relays, %d members\n", v.Name, k+1, repetitions, seed,
+				r.File.Relays.Count, r.File.Members.Count)
+			x, err := r.RunVariant(ctx, v, k+1, seed)
+			if err != nil {
+				return all, err
+			}
+			all = append(all, x)
+		}
+	}
+	return all, nil
+}
+
+// RunVariant runs one variant once. If the context ends, it returns what was measured until then, marked as invalid.
+func (r *Runner) RunVariant(ctx context.Context, v scenario.Variant, repetition int, seed uint64) (*Result, error) {
+	x, err := r.newRun(v, repetition, seed)
+	if err != nil {
+		return nil, err
+	}
+	defer x.shutdown()
+	if err := x.setUp(); err != nil {
+		return nil, err
+	}
+	if err := x.waitReady(ctx); err != nil {
+		return nil, err
+	}
+	x.restartClock()
+	x.execute(ctx)
+	if x.File.CheckLeaks && ctx.Err() == nil {
+		x.checkLeaks(ctx)
+	}
+	out := x.result(v, repetition)
+	if ctx.Err() != nil {
+		out.Invalid = "it was cut short"
+	}
+	return out, nil
+}
--- /dev/null
+++ b/internal/scenariorunner/table.go
@@ -0,0 +1,143 @@
+package scenariorunner
+
+import (
+	"fmt"
+	"io"
+	"maps"
+	"slices"
+	"text/tabwriter"
+
+	"dahliarudder/internal/scenario"
+)
+
+// maxPrintedViolations is how many violations of one run the table prints.
+const maxPrintedViolations = 8
+
+// minCompared is the least number of runs of a variant that are compared.
+const minCompared = 3
+
+// resultTable is the results by variant.
+type resultTable struct {
+	variants  []string
+	byVariant map[string][]*Result
+}
+
+// newResultTable leaves out invalid results, which say nothing about their variant, unless the first one is invalid.
+func newResultTable(all []*Result) *resultTable {
+	t := &resultTable{byVariant: map[string][]*Result{}}
+	for i, r := range all {
+		if r.Invalid != "" && i > 0 {
+			continue
+		}
+		if t.byVariant[r.Variant] == nil {
+			t.variants = append(t.variants, r.Variant)
+		}
+		t.byVariant[r.Variant] = append(t.byVariant[r.Variant], r)
+	}
+	return t
+}
+
+// WriteTable writes all results: a column of figures for each variant, then the broken rules and the invalid runs.
+func WriteTable(w io.Writer, all []*Result) {
+	t := newResultTable(all)
+	if len(t.variants) == 0 {
+		return
+	}
+	t.writeFigures(w, slices.ContainsFunc(all, func(r *Result) bool { return r.Peers != nil }))
+	for _, variant := range t.variants {
+		t.writeParts(w, variant)
+	}
+	worstDelay := 0.0
+	for _, r := range all {
+		if r.Invalid != "" {
+			fmt.Fprintf(w, "%s, play %d is INVALID: %s\n", r.Variant, r.Repetition, r.Invalid)
+		}
+		worstDelay = max(worstDelay, r.RunnerDelay["p99"])
+	}
+	fmt.Fprintf(w, "\nseed %d and on; the rehearsal itself was late by %.1f ms at p99 at worst\n", all[0].Seed, worstDelay)
+}
+
+// writeFigures writes a row for each figure, with the first variant's mean, and each further one's with its difference.
+func (t *resultTable) writeFigures(w io.Writer, withPeerViews bool) {
+	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprint(out, "\n")
+	for i, variant := range t.variants {
+		fmt.Fprintf(out, "\t%s", variant)
+		if i > 0 {
+			fmt.Fprint(out, "\tdifference\tnoise\t")
+		}
+	}
+	fmt.Fprintln(out)
+	for _, f := range figures {
+		if f.ofPeerView && !withPeerViews {
+			continue
+		}
+		fmt.Fprint(out, f.name)
+		for i, variant := range t.variants {
+			t.writeCell(out, &f, variant, i > 0)
+		}
+		fmt.Fprintln(out)
+	}
+	out.Flush()
+}
+
+// values are a figure of all runs of a variant.
+func (t *resultTable) values(f *figure, variant string) (out []float64) {
+	for _, r := range t.byVariant[variant] {
+		out = append(out, f.of(r))
+	}
+	return out
+}
+
+func (t *resultTable) writeCell(out io.Writer, f *figure, variant string, compare bool) {
+	first, values := t.values(f, t.variants[0]), t.values(f, variant)
+	c := scenario.Compare(first, values)
+	fmt.Fprintf(out, "\t%s", formatFigure(c.Mean, f.unit))
+	if len(values) > 1 {
+		fmt.Fprintf(out, " (%s to %s)", formatFigure(c.Min, ""), formatFigure(c.Max, ""))
+	}
+	if !compare {
+		return
+	}
+	verdict := "within it"
+	if c.Significant {
+		verdict = "larger"
+	}
+	if len(values) < minCompared || len(first) < minCompared {
+		verdict = "not known"
+	}
+	fmt.Fprintf(out, "\t%s\t%s\t%s", formatFigure(c.Difference, ""), formatFigure(c.Noise, ""), verdict)
+}
+
+// writeParts writes a variant's service by tag, and the rules that its runs broke.
+func (t *resultTable) writeParts(w io.Writer, variant string) {
+	results := t.byVariant[variant]
+	fmt.Fprintf(w, "\n%s, by part:", variant)
+	for _, tag := range slices.Sorted(maps.Keys(results[0].ByTag)) {
+		fmt.Fprintf(w, "  %s %.1f%%", tag, 100*results[0].ByTag[tag])
+	}
+	fmt.Fprintln(w)
+	for _, r := range results {
+		for i, v := range r.Violations {
+			if i == maxPrintedViolations {
+				fmt.Fprintf(w, "  and %d more\n", len(r.Violations)-i)
+				break
+			}
+			fmt.Fprintf(w, "%s, play %d: RULE BROKEN at %.2f s, %s: %s: %s\n", variant, r.Repetition, v.At.Seconds(), v.Relay, v.Rule, v.What)
+		}
+	}
+}
+
+// formatFigure writes a number with three significant digits.
+func formatFigure(v float64, unit string) string {
+	text := fmt.Sprintf("%.2f", v)
+	if v >= 100 || v <= -100 {
+		text = fmt.Sprintf("%.0f", v)
+	} else if v >= 10 || v <= -10 {
+		text = fmt.Sprintf("%.1f", v)
+	}
+	if unit == "" || unit == "%" || unit[0] == '/' {
+		return text + unit
+	}
+	return text + " " + unit
+}
--- /dev/null
+++ b/internal/scenariorunner/unavailability.go
@@ -0,0 +1,75 @@
+package scenariorunner
+
+import (
+	"context"
+	"time"
+
+	"dahliarudder/internal/rollout"
+)
+
+// unavailability is what was out of service, as processes and sockets show it, and the releases that may have caused it.
+type unavailability struct {
+	relays, members int     // out at the same time, at most
+	lostCapacity    float64 // part of the members' full capacity, at most
+	drift           []DriftSpan
+	callTimes       []time.Duration          // of accepted operators' calls
+	releaseStates   map[string]string        // by release
+	releaseEnds     map[string]time.Duration // by release: when its state last changed
+}
+
+// recordRelease records a release's state. It returns the state if that is new.
+func (o *unavailability) recordRelease(at time.Duration, a rollout.ReleaseStatus) (changed string) {
+	if o.releaseStates == nil {
+		o.releaseStates, o.releaseEnds = map[string]string{}, map[string]time.Duration{}
+	}
+	state := string(a.State)
+	if a.Halt != nil && a.State == rollout.ReleaseHalted {
+		state += ": " + string(a.Halt.Cause) + ": " + a.Halt.Reason
+	}
+	if o.releaseStates[a.Name] == state {
+		return ""
+	}
+	o.releaseStates[a.Name], o.releaseEnds[a.Name] = state, at
+	return state
+}
+
+// releasesDone is the time from the first call until all releases had ended, in seconds; nil if one has not.
+func (o *unavailability) releasesDone() *float64 {
+	if len(o.releaseStates) == 0 || len(o.callTimes) == 0 {
+		return nil
+	}
+	last := time.Duration(0)
+	for name, state := range o.releaseStates {
+		if state != string(rollout.ReleaseCompleted) && state != string(rollout.ReleaseRolledBack) {
+			return nil
+		}
+		last = max(last, o.releaseEnds[name])
+	}
+	s := (last - o.callTimes[0]).Seconds()
+	return &s
+}
+
+const unavailabilityInterval = 50 * time.Millisecond
+
+// watchUnavailability counts the relays that the front has not admitted, and the members that are down or in slow start, whatever the
+// cause.
+func (r *run) watchUnavailability(ctx context.Context) {
+	for sleep(ctx, unavailabilityInterval) {
+		relays := len(r.relays) - r.front.admittedCount()
+		r.locked(func(time.Duration) {
+			members, cores, lost, now := 0, 0.0, 0.0, time.Now()
+			for _, m := range r.memberByIndex {
+				share := m.share(now)
+				if m.Down() {
+					share = 0
+				}
+				if share < 1 {
+					members++
+				}
+				cores, lost = cores+m.Capacity.Cores, lost+m.Capacity.Cores*(1-share)
+			}
+			o := &r.unavailability
+			o.relays, o.members, o.lostCapacity = max(o.relays, relays), max(o.members, members), max(o.lostCapacity, lost/cores)
+		})
+	}
+}
