--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -89,7 +89,7 @@
 	ended    bool // the flow that stood
 }
 
-func (x *client) class() policy.Class { return x.w.c.set.Classes[x.q.Class] }
+func (x *client) class() policy.Class { return x.w.c.policyCfg.Classes[x.q.Class] }
 
 // out is the attempt that is out, or the open flow's.
 func (x *client) out() *tried {
@@ -433,7 +433,7 @@
 	w.c.UpdateMembers(kind, named)
 }
 
-// see notes which members have begun to leave.
+// refreshMember notes which members have begun to leave.
 func (w *world) see() {
 	for _, p := range w.places {
 		drain, agreed := w.agreed[p.Name]
@@ -478,7 +478,7 @@
 
 func (w *world) drain() {
 	if w.c.AcceptsClients() {
-		w.leaving = w.now + drainMoves
+		w.leaving = w.now + drainMigrationEnd
 		w.c.Drain()
 		return
 	}
@@ -503,7 +503,7 @@
 	if w.stopped {
 		return
 	}
-	w.stopped, w.leaving = true, w.now+of(stopMoves, w.c.StopTimeout())
+	w.stopped, w.leaving = true, w.now+fraction(stopMigrationEnd, w.c.StopTimeout())
 	if w.draw(2, "another takes its place") == 0 {
 		w.c.BeginHandover()
 	} else {
@@ -729,8 +729,8 @@
 		w.doubt()
 	}
 	w.run(20 * time.Second) // beyond all waits and all spans
-	if w.c.later != nil || len(w.c.alarms) > 0 || len(w.c.pending) > 0 || len(w.c.requests) > 0 {
-		w.Fatalf("left behind: %d held sends, %d alarms, %d verdicts, %d requests", len(w.c.later), len(w.c.alarms), len(w.c.pending), len(w.c.requests))
+	if w.c.pausedActions != nil || len(w.c.timers) > 0 || len(w.c.pendingActions) > 0 || len(w.c.requests) > 0 {
+		w.Fatalf("left behind: %d held sends, %d alarms, %d verdicts, %d requests", len(w.c.pausedActions), len(w.c.timers), len(w.c.pendingActions), len(w.c.requests))
 	}
 	w.c.UpdateMembers(policy.ListFull, nil)
 	if l := w.c.LearnedState().Policy.Servers; len(l) > 0 && !w.wrong { // the module keeps those alone at which it takes flows to be open
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -99,6 +99,20 @@
 	return answer
 }
 
+// currentIntent returns the intent, which is never modified: a command replaces it.
+func (r *Record) currentIntent() *intent {
+	r.mu.RLock()
+	defer r.mu.RUnlock()
+	return r.intent
+}
+
+// canaries returns a copy of all canaries.
+func (r *Record) canaries() []canary.Canary {
+	r.mu.RLock()
+	defer r.mu.RUnlock()
+	return r.canary.Canaries()
+}
+
 // canaryWeights returns the weights of all canaries and the version of the canary state.
 func (r *Record) canaryWeights() (weights []canary.Weight, version uint64) {
 	r.mu.RLock()
@@ -106,7 +120,7 @@
 	return r.canary.Weights(), r.canary.Version()
 }
 
-// canaryConflict is the reason why a command may not open a canary; "" if it may. There is one at a time, as relays keep one arm apart.
+// canaryConflict is the reason why a command may not open a canary; "" if it may. There is one at a time, as relays route to one alone.
 func (r *Record) canaryConflict(body []byte) string {
 	var c canary.Command
 	if json.Unmarshal(body, &c) != nil || c.Op != canary.OpOpen {
--- a/internal/front/line/client.go
+++ b/internal/front/line/client.go
@@ -1,6 +1,7 @@
 package line
 
 import (
+	"errors"
 	"io"
 	"strconv"
 	"time"
@@ -10,7 +11,7 @@
 	"dahliarudder/policy"
 )
 
-// clientConn is the connection of a client. It carries at most one request, for which it is the core's virtual server.
+// clientConn is the connection of a client. It carries at most one request, for which it is the core's Downstream.
 type clientConn struct {
 	front        *Front
 	conn         *netloop.Conn
@@ -192,16 +193,16 @@
 // End implements netloop's handler.
 func (c *clientConn) End(err error) {
 	switch {
-	case err == io.EOF && c.blockedBytes > 0:
+	case errors.Is(err, io.EOF) && c.blockedBytes > 0:
 		c.handle(eventClientEOFBlocked)
-	case err == io.EOF:
+	case errors.Is(err, io.EOF):
 		c.handle(eventClientEOF)
 	default:
 		c.handle(eventClientReset)
 	}
 }
 
-// Send implements the core's virtual server: it starts an attempt at a member.
+// Send implements core.Downstream: it starts an attempt at a member.
 func (c *clientConn) Send(id core.ID, to *core.Member, attempt int, wait time.Duration) {
 	c.requestID = id
 	u := &upstream{client: c, member: to, attempt: attempt, deadline: c.front.Loop.Now() + wait, report: policy.NoReport}
--- a/internal/scenariorunner/run.go
+++ b/internal/scenariorunner/run.go
@@ -96,8 +96,8 @@
 	x.peerViews = newPeerWatch(x)
 	x.service = scenario.NewService(x.plan.MeasureFrom, x.plan.End)
 	g := decoded.Guarantees
-	x.judge = scenario.NewJudge(scenario.Rules{MaxAttempts: decoded.Limits.MaxAttempts, AnswerSlack: settings.Duration(g.Slack),
-		DrainGrace: settings.Duration(g.Grace), SlowStart: slowStart(decoded), OverloadFactor: g.Overload, OverloadWindow: settings.Duration(g.Fall)})
+	x.judge = scenario.NewJudge(scenario.Rules{MaxAttempts: decoded.Limits.MaxAttempts, AnswerSlack: settings.Duration(g.AnswerSlack),
+		DrainGrace: settings.Duration(g.DrainGrace), SlowStart: slowStart(decoded), OverloadFactor: g.OverloadFactor, OverloadWindow: settings.Duration(g.OverloadWindow)})
 	if err := os.RemoveAll(x.dir); err != nil { // of an earlier run
 		return nil, err
 	}
--- a/internal/scenariorunner/runner.go
+++ b/internal/scenariorunner/runner.go
@@ -63,7 +63,7 @@
 func site(decoded *settings.Settings) scenario.Site {
 	s := scenario.Site{}
 	for _, c := range decoded.Classes {
-		s.ClassWeights = append(s.ClassWeights, c.Worth)
+		s.ClassWeights = append(s.ClassWeights, c.PriorityWeight)
 	}
 	for _, t := range decoded.Tenants {
 		s.TenantShares = append(s.TenantShares, t.Share)
@@ -79,7 +79,7 @@
 
 // slowStart is the ramp of members' capacity that the settings describe.
 func slowStart(decoded *settings.Settings) scenario.SlowStart {
-	return scenario.SlowStart{From: decoded.Guarantees.ColdFrom, For: settings.Duration(decoded.Guarantees.Cold)}
+	return scenario.SlowStart{From: decoded.Guarantees.SlowStartMinCapacity, For: settings.Duration(decoded.Guarantees.SlowStartDuration)}
 }
 
 // RunAll runs every variant on every draw as often as the file says, in turn. It returns what it has when the context ends.
