--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,6 @@
-// Package store is the store of record: each request's final answer and each
-// attempt, in SQLite or PostgreSQL. The relay's loop hands records over and never
-// waits; one goroutine writes them in batches. See docs/design.md, "The store".
+// Package store keeps the record of requests: each request's final answer and each
+// attempt, in SQLite or PostgreSQL. The relay's loop hands over records and never waits;
+// one goroutine writes them in batches. See docs/design.md, "The store".
 package store
 
 import (
@@ -20,7 +20,7 @@
 	"dahliarudder/policy"
 )
 
-// Config is how the operator's file names the store.
+// Config is the store's section of the configuration file.
 type Config struct {
 	Driver string `json:"driver"` // sqlite or postgres
 	DSN    string `json:"dsn"`
@@ -49,8 +49,8 @@
 	maxBackoff   = 2 * time.Second
 )
 
-// schema makes the tables. A run is one life of one relay: request ids start
-// anew with each.
+// schema makes the tables. A run is one process of one relay: request ids start anew
+// with each.
 var schema = []string{
 	`CREATE TABLE IF NOT EXISTS requests (run TEXT NOT NULL, id BIGINT NOT NULL, name TEXT NOT NULL,
  class BIGINT NOT NULL, tenant BIGINT NOT NULL, answer TEXT NOT NULL, tries BIGINT NOT NULL,
@@ -60,25 +60,26 @@
  PRIMARY KEY (run, request, try))`,
 }
 
-// insertStatement is a statement; writing a record again changes nothing, so a batch whose
-// commit was in doubt may be repeated.
+// insertStatement is an INSERT that changes nothing if the record exists, so that a batch
+// whose commit was in doubt may be repeated.
 func insertStatement(driver, table, columns string) string {
 	n := strings.Count(columns, ",") + 1
-	marks := make([]string, n)
-	for i := range marks {
-		if marks[i] = "?"; driver == "postgres" {
-			marks[i] = fmt.Sprintf("$%d", i+1)
+	placeholders := make([]string, n)
+	for i := range placeholders {
+		if placeholders[i] = "?"; driver == "postgres" {
+			placeholders[i] = fmt.Sprintf("$%d", i+1)
 		}
 	}
-	return fmt.Sprintf("INSERT INTO %s (%s) VALUES (%s) ON CONFLICT DO NOTHING", table, columns, strings.Join(marks, ", "))
+	return fmt.Sprintf("INSERT INTO %s (%s) VALUES (%s) ON CONFLICT DO NOTHING", table, columns, strings.Join(placeholders, ", "))
 }
 
+// record is a row of one of the tables.
 type record struct {
-	isAttempt bool
+	isAttempt bool // a row of attempts; otherwise of requests
 	values    []any
 }
 
-// Store is an open store.
+// Store is an open store. Its writer goroutine runs from Open to Close.
 type Store struct {
 	db            *sql.DB
 	log           logrus.FieldLogger
@@ -90,176 +91,113 @@
 
 	mu      sync.Mutex
 	queue   []record
-	failing bool
+	failing bool // the latest write failed
 	closing bool
-	wake    chan struct{}
-	done    chan struct{}
-	stop    context.CancelFunc
-	ctx     context.Context
+
+	wake       chan struct{}
+	writerDone chan struct{}
+	stopWriter context.CancelFunc
 }
 
-// Open connects, makes the tables and starts the writer. Clock times count from
-// epoch.
+// Open connects, makes the tables and starts the writer. Clock times count from epoch.
 func Open(cfg Config, run string, epoch time.Time, log logrus.FieldLogger) (*Store, error) {
-	driver, dsn := cfg.Driver, cfg.DSN
-	if driver == "postgres" {
-		driver = "pgx"
-	} else if !strings.Contains(dsn, "busy_timeout") {
-		// Two processes write during an upgrade: one waits for the other's lock.
-		mark := "?"
-		if strings.Contains(dsn, "?") {
-			mark = "&"
-		}
-		dsn += mark + "_pragma=busy_timeout(4000)"
-	}
-	db, err := sql.Open(driver, dsn)
+	db, err := sql.Open(dataSource(cfg))
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	db.SetMaxOpenConns(1) // one writer; SQLite takes no more
+	db.SetMaxOpenConns(1) // one writer; SQLite allows no more
+	if err := makeTables(db); err != nil {
+		db.Close()
+		return nil, err
+	}
 	s := &Store{db: db, log: log, run: run, epoch: epoch, queueLimit: cfg.Queue,
 		insertAttempt: insertStatement(cfg.Driver, "attempts", "run, request, try, member, result, start_us, end_us"),
 		insertRequest: insertStatement(cfg.Driver, "requests", "run, id, name, class, tenant, answer, tries, at_us"),
-		wake:          make(chan struct{}, 1), done: make(chan struct{})}
+		wake:          make(chan struct{}, 1), writerDone: make(chan struct{})}
 	if s.queueLimit == 0 {
 		s.queueLimit = defaultQueue
 	}
-	s.ctx, s.stop = context.WithCancel(context.Background())
-	ctx, cancel := context.WithTimeout(s.ctx, writeTimeout)
+	ctx, stop := context.WithCancel(context.Background())
+	s.stopWriter = stop
+	go s.runWriter(ctx)
+	return s, nil
+}
+
+// dataSource is the name of the driver and its data source.
+func dataSource(cfg Config) (driver, dsn string) {
+	if cfg.Driver == "postgres" {
+		return "pgx", cfg.DSN
+	}
+	if strings.Contains(cfg.DSN, "busy_timeout") {
+		return cfg.Driver, cfg.DSN
+	}
+	// Two processes write during an upgrade: each waits for the other's lock.
+	separator := "?"
+	if strings.Contains(cfg.DSN, "?") {
+		separator = "&"
+	}
+	return cfg.Driver, cfg.DSN + separator + "_pragma=busy_timeout(4000)"
+}
+
+func makeTables(db *sql.DB) error {
+	ctx, cancel := context.WithTimeout(context.Background(), writeTimeout)
 	defer cancel()
 	for _, statement := range schema {
 		if _, err := db.ExecContext(ctx, statement); err != nil {
-			db.Close()
-			return nil, fmt.Errorf("store: making the tables: %w", err)
+			return fmt.Errorf("store: making the tables: %w", err)
 		}
 	}
-	go s.runWriter()
-	return s, nil
+	return nil
 }
 
-// Ready says whether what follows will be recorded: the writer works and keeps
-// up. What is under way is always taken, so the queue may pass its bound by the
-// records of the requests that are held.
+// Ready says whether what follows will be recorded: the writer works and keeps up. Records
+// of requests that were accepted are always taken, so these may exceed the queue's limit.
 func (s *Store) Ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.failing && !s.closing && len(s.queue) < s.queueLimit
 }
 
+// resultNames are the results as stored.
 var resultNames = map[policy.Result]string{
 	policy.OK: "ok", policy.Error: "error", policy.Full: "full", policy.Timeout: "timeout",
 	policy.ConnectFailed: "connect_failed", policy.Reset: "reset", policy.Cancelled: "cancelled", policy.NotSent: "moot",
 }
 
 // RecordAttempt records the end of an attempt.
-func (s *Store) RecordAttempt(_ *core.Request, id core.ID, try int, member string, start, end time.Duration, result policy.Result) {
-	s.enqueue(record{true, []any{s.run, int64(id), int64(try), member, resultNames[result], s.timestamp(start), s.timestamp(end)}})
+func (s *Store) RecordAttempt(_ *core.Request, id core.ID, attempt int, member string, start, end time.Duration, result policy.Result) {
+	s.enqueue(record{true, []any{s.run, int64(id), int64(attempt), member, resultNames[result], s.timestamp(start),
+		s.timestamp(end)}})
 }
 
 // RecordAnswer records a final answer.
-func (s *Store) RecordAnswer(q *core.Request, id core.ID, at time.Duration, answer core.Answer, tries int) {
-	s.enqueue(record{false, []any{s.run, int64(id), sanitizeText(q.Name), int64(q.Class), int64(q.Tenant), string(answer), int64(tries), s.timestamp(at)}})
+func (s *Store) RecordAnswer(q *core.Request, id core.ID, at time.Duration, answer core.Answer, attempts int) {
+	s.enqueue(record{false, []any{s.run, int64(id), sanitizeText(q.Name), int64(q.Class), int64(q.Tenant), string(answer),
+		int64(attempts), s.timestamp(at)}})
 }
 
-// sanitizeText makes a client's name fit for a column of text: one that a database
-// refuses would keep the whole batch out for good.
+// sanitizeText makes a client's name fit for a column of text: one that the database
+// refuses would block the whole batch forever.
 func sanitizeText(name string) string {
 	return strings.ReplaceAll(strings.ToValidUTF8(name, "?"), "\x00", "?")
 }
 
 func (s *Store) timestamp(at time.Duration) int64 { return s.epoch.Add(at).UnixMicro() }
 
-func (s *Store) enqueue(r record) {
-	s.mu.Lock()
-	s.queue = append(s.queue, r)
-	s.mu.Unlock()
-	s.wakeWriter()
-}
-
-func (s *Store) wakeWriter() {
-	select {
-	case s.wake <- struct{}{}:
-	default:
-	}
-}
-
-// runWriter is the writer's goroutine.
-func (s *Store) runWriter() {
-	defer close(s.done)
-	pause := minBackoff
-	for {
-		s.mu.Lock()
-		batch := s.queue[:min(len(s.queue), maxBatch)]
-		closing := s.closing
-		s.mu.Unlock()
-		if len(batch) == 0 {
-			if closing {
-				return
-			}
-			<-s.wake
-			continue
-		}
-		err := s.commit(batch)
-		s.mu.Lock()
-		if err == nil {
-			s.queue = append([]record(nil), s.queue[len(batch):]...)
-		}
-		failed := s.failing
-		s.failing = err != nil
-		s.mu.Unlock()
-		if err == nil {
-			if failed {
-				s.log.Info("the store works again")
-			}
-			pause = minBackoff
-			continue
-		}
-		if !failed {
-			s.log.WithError(err).Error("the store fails; new requests are rejected")
-		}
-		select {
-		case <-s.ctx.Done():
-			return
-		case <-time.After(pause):
-			pause = min(2*pause, maxBackoff)
-		}
-	}
-}
-
-func (s *Store) commit(batch []record) error {
-	ctx, cancel := context.WithTimeout(s.ctx, writeTimeout)
-	defer cancel()
-	tx, err := s.db.BeginTx(ctx, nil)
-	if err != nil {
-		return err
-	}
-	defer tx.Rollback()
-	for _, r := range batch {
-		statement := s.insertRequest
-		if r.isAttempt {
-			statement = s.insertAttempt
-		}
-		if _, err := tx.ExecContext(ctx, statement, r.values...); err != nil {
-			return err
-		}
-	}
-	return tx.Commit()
-}
-
-// Close writes what waits, for at most so long, and closes the store. It says
-// how many records it had to leave.
-func (s *Store) Close(within time.Duration) error {
+// Close writes the queue, for at most that long, stops the writer and closes the
+// database. Its error says how many records were not written.
+func (s *Store) Close(timeout time.Duration) error {
 	s.mu.Lock()
 	s.closing = true
 	s.mu.Unlock()
 	s.wakeWriter()
 	select {
-	case <-s.done:
-	case <-time.After(within):
-		s.stop()
-		<-s.done
+	case <-s.writerDone:
+	case <-time.After(timeout):
+		s.stopWriter()
+		<-s.writerDone
 	}
-	s.stop()
+	s.stopWriter()
 	s.mu.Lock()
 	left := len(s.queue)
 	s.mu.Unlock()
