--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,5 +1,4 @@
-// Package http1 reads HTTP/1.1 messages that come in pieces: discovery's answers,
-// and the calls of operators.
+// Package http1 parses HTTP/1.1 messages incrementally: discovery's responses, and the requests of operators.
 package http1
 
 import (
@@ -11,39 +10,41 @@
 	"time"
 )
 
-// ErrMalformed is wrapped by every error about bytes that are no message.
+// ErrMalformed is wrapped by every error about bytes that are no HTTP message.
 var ErrMalformed = errors.New("malformed HTTP")
 
 // Bounds of a message.
 const (
-	maxHeadLine = 4 << 10
-	maxHead     = 100
-	maxBody     = 4 << 20
-	maxCall     = 4 << 10 // the body of a call
+	maxLineLen      = 4 << 10
+	maxHeaderLines  = 100
+	maxResponseBody = 4 << 20
+	maxRequestBody  = 4 << 10
 )
 
-// dateForm is the form of a date in a header (RFC 9110, section 5.6.7), in lower case as header values are read.
-const dateForm = "Mon, 02 Jan 2006 15:04:05 gmt"
+// dateLayout is the layout of a date in a header (RFC 9110, section 5.6.7), in lower case as header values are read.
+const dateLayout = "Mon, 02 Jan 2006 15:04:05 gmt"
 
-// Parser reads one HTTP/1.1 message. Its zero value is ready for an answer.
+// Parser parses one HTTP/1.1 message. Its zero value is ready for a response.
 type Parser struct {
-	Request         bool // it is a call that is read
+	Request         bool // it parses a request
 	Method, Target  string
 	Status          int
-	ConnectionClose bool      // the connection ends with this answer
-	Date            time.Time // when the answer was made, by the other side's clock; zero if it does not say
+	ConnectionClose bool      // the connection closes after this response
+	Date            time.Time // when the response was made, by the server's clock; zero if it has no date
 	Body            []byte
 
-	state   int
-	lines   int
-	left    int  // bytes of the body, or of its chunk, still to come
-	sized   bool // Content-Length was given
-	chunked bool
+	state     parserState
+	lines     int
+	remaining int  // bytes of the body, or of its chunk, that are still to come
+	sized     bool // Content-Length was given
+	chunked   bool
 }
 
-// What the parser reads next.
+// parserState is what the parser reads next.
+type parserState int
+
 const (
-	readStart = iota
+	readStart parserState = iota
 	readHeader
 	readBody
 	readToEnd
@@ -54,57 +55,69 @@
 	readDone
 )
 
-// Feed takes bytes, returns how many it used and whether the answer is whole.
+// Feed parses bytes. It returns how many it used and whether the message is complete.
 func (p *Parser) Feed(b []byte) (used int, done bool, err error) {
 	for p.state != readDone {
-		rest := b[used:]
+		var n int
+		var more bool
 		switch p.state {
 		case readBody, readToEnd, readChunk:
-			n := len(rest)
-			if p.state != readToEnd {
-				n = min(n, p.left)
-			}
-			if most := p.bodyMost(); len(p.Body)+n > most {
-				return used, false, fmt.Errorf("%w: body over %d bytes", ErrMalformed, most)
-			}
-			p.Body = append(p.Body, rest[:n]...)
-			used += n
-			if p.state == readToEnd {
-				return used, false, nil
-			}
-			if p.left -= n; p.left > 0 {
-				return used, false, nil
-			}
-			if p.state == readBody {
-				p.state = readDone
-			} else {
-				p.state = readChunkEnd
-			}
+			n, more, err = p.feedBody(b[used:])
 		default:
-			end := bytes.IndexByte(rest, '\n')
-			if end > maxHeadLine || end < 0 && len(rest) > maxHeadLine { // alike, however it is cut
-				return used, false, fmt.Errorf("%w: header line too long", ErrMalformed)
-			}
-			if end < 0 {
-				return used, false, nil
-			}
-			used += end + 1
-			if err := p.line(strings.TrimSuffix(string(rest[:end]), "\r")); err != nil {
-				return used, false, err
-			}
+			n, more, err = p.feedLine(b[used:])
+		}
+		used += n
+		if err != nil || more {
+			return used, false, err
 		}
 	}
 	return used, true, nil
 }
 
-func (p *Parser) bodyMost() int {
+// feedBody parses bytes of the body, or of a chunk of it. More says that it needs more bytes to go on.
+func (p *Parser) feedBody(b []byte) (used int, more bool, err error) {
+	n := len(b)
+	if p.state != readToEnd {
+		n = min(n, p.remaining)
+	}
+	if limit := p.maxBody(); len(p.Body)+n > limit {
+		return 0, false, fmt.Errorf("%w: body over %d bytes", ErrMalformed, limit)
+	}
+	p.Body = append(p.Body, b[:n]...)
+	if p.state == readToEnd {
+		return n, true, nil
+	}
+	if p.remaining -= n; p.remaining > 0 {
+		return n, true, nil
+	}
+	if p.state == readBody {
+		p.state = readDone
+	} else {
+		p.state = readChunkEnd
+	}
+	return n, false, nil
+}
+
+// feedLine parses one line. More says that the line is not complete.
+func (p *Parser) feedLine(b []byte) (used int, more bool, err error) {
+	end := bytes.IndexByte(b, '\n')
+	if end > maxLineLen || end < 0 && len(b) > maxLineLen { // the same limit, however the bytes are split
+		return 0, false, fmt.Errorf("%w: header line too long", ErrMalformed)
+	}
+	if end < 0 {
+		return 0, true, nil
+	}
+	return end + 1, false, p.parseLine(strings.TrimSuffix(string(b[:end]), "\r"))
+}
+
+func (p *Parser) maxBody() int {
 	if p.Request {
-		return maxCall
+		return maxRequestBody
 	}
-	return maxBody
+	return maxResponseBody
 }
 
-// FinishAtEOF says whether the end of the connection makes the answer whole.
+// FinishAtEOF reports whether the end of the connection completes the response.
 func (p *Parser) FinishAtEOF() bool {
 	if p.state == readToEnd {
 		p.state = readDone
@@ -114,14 +127,14 @@
 	return false
 }
 
-func (p *Parser) line(s string) error {
-	if p.lines++; p.lines > maxHead && p.state <= readHeader {
+func (p *Parser) parseLine(s string) error {
+	if p.lines++; p.lines > maxHeaderLines && p.state <= readHeader {
 		return fmt.Errorf("%w: too many header lines", ErrMalformed)
 	}
 	switch p.state {
 	case readStart:
 		if p.Request {
-			return p.callLine(s)
+			return p.parseRequestLine(s)
 		}
 		version, rest, _ := strings.Cut(s, " ")
 		code, _, _ := strings.Cut(rest, " ")
@@ -132,20 +145,21 @@
 		p.Status, p.ConnectionClose, p.state = status, version == "HTTP/1.0", readHeader
 	case readHeader:
 		if s == "" {
-			return p.headEnds()
+			p.endHeader()
+			return nil
 		}
 		name, value, ok := strings.Cut(s, ":")
 		if !ok {
 			return fmt.Errorf("%w: header line %q", ErrMalformed, s)
 		}
-		return p.header(strings.ToLower(name), strings.ToLower(strings.TrimSpace(value)))
+		return p.parseHeader(strings.ToLower(name), strings.ToLower(strings.TrimSpace(value)))
 	case readChunkSize:
 		size, _, _ := strings.Cut(s, ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 31)
 		if err != nil {
 			return fmt.Errorf("%w: chunk size %q", ErrMalformed, s)
 		}
-		if p.left, p.state = int(n), readChunk; n == 0 {
+		if p.remaining, p.state = int(n), readChunk; n == 0 {
 			p.state = readTrailer
 		}
 	case readChunkEnd:
@@ -161,30 +175,30 @@
 	return nil
 }
 
-func (p *Parser) callLine(s string) error {
-	words := strings.Split(s, " ")
-	if len(words) != 3 || words[0] == "" || words[1] == "" || !strings.HasPrefix(words[2], "HTTP/1.") {
+func (p *Parser) parseRequestLine(s string) error {
+	parts := strings.Split(s, " ")
+	if len(parts) != 3 || parts[0] == "" || parts[1] == "" || !strings.HasPrefix(parts[2], "HTTP/1.") {
 		return fmt.Errorf("%w: call %q", ErrMalformed, s)
 	}
-	p.Method, p.Target, p.state = words[0], words[1], readHeader
+	p.Method, p.Target, p.state = parts[0], parts[1], readHeader
 	return nil
 }
 
-func (p *Parser) header(name, value string) error {
+func (p *Parser) parseHeader(name, value string) error {
 	switch name {
 	case "content-length":
 		n, err := strconv.ParseUint(value, 10, 31)
-		if err != nil || p.sized && int(n) != p.left {
+		if err != nil || p.sized && int(n) != p.remaining {
 			return fmt.Errorf("%w: content length %q", ErrMalformed, value)
 		}
-		p.left, p.sized = int(n), true
+		p.remaining, p.sized = int(n), true
 	case "transfer-encoding":
 		if value != "chunked" {
 			return fmt.Errorf("%w: transfer encoding %q", ErrMalformed, value)
 		}
 		p.chunked = true
 	case "date":
-		if date, err := time.Parse(dateForm, value); err == nil {
+		if date, err := time.Parse(dateLayout, value); err == nil {
 			p.Date = date
 		}
 	case "connection":
@@ -198,22 +212,22 @@
 	return nil
 }
 
-func (p *Parser) headEnds() error {
+// endHeader decides by the header what follows it.
+func (p *Parser) endHeader() {
 	switch {
-	case !p.Request && p.Status < 200: // an interim answer: the real one follows
+	case !p.Request && p.Status < 200: // an interim response: the final one follows
 		*p = Parser{}
 	case p.Status == 204 || p.Status == 304:
 		p.state = readDone
 	case p.chunked:
-		p.left, p.state = 0, readChunkSize
-	case p.sized && p.left == 0:
+		p.remaining, p.state = 0, readChunkSize
+	case p.sized && p.remaining == 0:
 		p.state = readDone
 	case p.sized:
 		p.state = readBody
-	case p.Request: // it has no body
+	case p.Request: // without a length a request has no body
 		p.state = readDone
 	default:
 		p.state = readToEnd
 	}
-	return nil
 }
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -50,17 +50,17 @@
 // TestParser: what the seed corpus says, word for word.
 func TestParser(t *testing.T) {
 	for text, want := range map[string]string{
-		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello":                                        "200 hello false",
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n":  "200 hello false",
-		"HTTP/1.1 100 Go\r\n\r\nHTTP/1.1 503 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n": "503  true",
-		"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\n":                        "malformed",
-		"HTTP/1.1 200 OK\r\nno colon\r\n\r\n":                                                      "malformed",
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n":                                       "malformed",
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nff ff\r\n":                           "malformed",
-		"HTTP/1.1 200 OK\r\n" + strings.Repeat("X: y\r\n", 200) + "\r\n":                           "malformed",
-		"HTTP/1.1 200 " + strings.Repeat("x", 9000):                                                "malformed",
-		"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n" + strings.Repeat("x", maxBody+1):     "malformed",
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n":                         "malformed",
+		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello":                                            "200 hello false",
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n":      "200 hello false",
+		"HTTP/1.1 100 Go\r\n\r\nHTTP/1.1 503 No\r\nConnection: close\r\nContent-Length: 0\r\n\r\n":     "503  true",
+		"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\n":                            "malformed",
+		"HTTP/1.1 200 OK\r\nno colon\r\n\r\n":                                                          "malformed",
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\n":                                           "malformed",
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nff ff\r\n":                               "malformed",
+		"HTTP/1.1 200 OK\r\n" + strings.Repeat("X: y\r\n", 200) + "\r\n":                               "malformed",
+		"HTTP/1.1 200 " + strings.Repeat("x", 9000):                                                    "malformed",
+		"HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n" + strings.Repeat("x", maxResponseBody+1): "malformed",
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n":                             "malformed",
 	} {
 		var p Parser
 		_, done, err := p.Feed([]byte(text))
@@ -76,8 +76,8 @@
 	}
 }
 
-// TestCall: the calls of operators, and what is none.
-func TestCall(t *testing.T) {
+// TestRequest: the calls of operators, and what is none.
+func TestRequest(t *testing.T) {
 	for text, want := range map[string]string{
 		"GET /-/ready HTTP/1.1\r\nHost: relay\r\n\r\n":                "GET /-/ready  true",
 		"PUT /-/drain HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}":        "PUT /-/drain {} true",
