--- a/internal/auth/authenticator_test.go
+++ b/internal/auth/authenticator_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestReplies: so many answers, for so long, to the newest requests.
-func TestReplies(t *testing.T) {
+// TestReplyTracker: so many answers, for so long, to the newest requests.
+func TestReplyTracker(t *testing.T) {
 	r := NewReplyTracker(&Permissions{Responses: &Responses{Max: 2, ExpiresMS: 1000}})
 	r.RecordRequest(0, []byte("box"))
 	if !r.AllowReply(1, "box") || !r.AllowReply(2, "box") || r.AllowReply(3, "box") || r.AllowReply(3, "other") {
@@ -49,11 +49,11 @@
 	if r.AllowReply(time.Second, "late") {
 		t.Error("an answer after its time")
 	}
-	for i := range 3 * repliesMost {
+	for i := range 3 * maxPendingReplies {
 		r.RecordRequest(time.Minute, fmt.Append(nil, i))
 	}
-	if len(r.open) > repliesMost || len(r.order) > repliesMost || !r.AllowReply(time.Minute, fmt.Sprint(3*repliesMost-1)) {
-		t.Errorf("%d requests are kept", len(r.open))
+	if len(r.pending) > maxPendingReplies || len(r.order) > maxPendingReplies || !r.AllowReply(time.Minute, fmt.Sprint(3*maxPendingReplies-1)) {
+		t.Errorf("%d requests are kept", len(r.pending))
 	}
 	if NewReplyTracker(&Permissions{}).AllowReply(0, "x") {
 		t.Error("answers without a rule")
@@ -85,11 +85,11 @@
 		}
 		u := jwt.NewUserClaims(user)
 		u.BearerToken, u.IssuerAccount = true, named
-		word, err := u.Encode(by)
+		token, err := u.Encode(by)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, err = b.Authenticate(&Credentials{JWT: word}, "", now)
+		_, err = b.Authenticate(&Credentials{JWT: token}, "", now)
 		return err
 	}
 	for name, c := range map[string]struct {
--- a/internal/auth/permissions.go
+++ b/internal/auth/permissions.go
@@ -1,22 +1,20 @@
-// Package auth says who may enter at the NATS front and what they may do. It does no I/O and is
-// told the time; checking a bcrypt hash takes a tenth of a second, so callers do that off the
-// loop.
+// Package auth decides who may log in at the NATS front and what they may do. It does no I/O, and the time is passed in.
+// Checking a bcrypt hash takes a tenth of a second, so callers do that off the loop.
 package auth
 
 import (
 	"fmt"
 	"strings"
-	"time"
 )
 
-// SubjectRules is what one direction is allowed and denied: patterns of subjects, for subscriptions with the
-// pattern of a queue group behind a blank. An empty Allow allows all.
+// SubjectRules are the patterns of subjects that are allowed and denied for publishing or for subscribing; for subscribing a
+// pattern of a queue group may follow after a space. An empty Allow allows all.
 type SubjectRules struct {
 	Allow []string `json:"allow"`
 	Deny  []string `json:"deny"`
 }
 
-// Responses lets who received a request publish to its reply subject.
+// Responses lets the receiver of a request publish to its reply subject.
 type Responses struct {
 	Max       int `json:"max"`        // answers to one request; 1 if zero, without bound if negative
 	ExpiresMS int `json:"expires_ms"` // after the request; 120,000 if zero
@@ -29,40 +27,39 @@
 	Responses *Responses   `json:"allow_responses"`
 }
 
-// check says what is wrong with the patterns.
-func (p *Permissions) check() error {
-	for _, l := range []struct {
-		key string
-		all []string
+// validate checks the patterns. Errors name the key.
+func (p *Permissions) validate() error {
+	for _, list := range []struct {
+		key      string
+		patterns []string
 	}{{"publish.allow", p.Publish.Allow}, {"publish.deny", p.Publish.Deny},
 		{"subscribe.allow", p.Subscribe.Allow}, {"subscribe.deny", p.Subscribe.Deny}} {
-		for i, s := range l.all {
+		for i, s := range list.patterns {
 			subject, _, _ := strings.Cut(s, " ")
 			if subject == "" || strings.Contains("."+subject+".", "..") || strings.Contains(subject, ">.") {
-				return fmt.Errorf("%s[%d]: %q is no subject", l.key, i, s)
+				return fmt.Errorf("%s[%d]: %q is no subject", list.key, i, s)
 			}
 		}
 	}
 	return nil
 }
 
-// CanPublish says whether a subject may be published to; answers to requests aside.
+// CanPublish reports whether a subject may be published to, apart from replies to requests.
 func (p *Permissions) CanPublish(subject string) bool {
-	return p == nil || p.Publish.lets(subject, "")
+	return p == nil || p.Publish.allows(subject, "")
 }
 
-// CanSubscribe says whether a subscription may be made. One that only touches what is denied may, but
-// see Hides.
+// CanSubscribe reports whether a subscription may be made. One that overlaps with denied subjects may, but see Denies.
 func (p *Permissions) CanSubscribe(subject, queue string) bool {
-	return p == nil || p.Subscribe.lets(subject, queue)
+	return p == nil || p.Subscribe.allows(subject, queue)
 }
 
-// NeedsFilter says whether a subscription may bring messages that Hides must look at.
+// NeedsFilter reports whether messages of a subscription must be checked by Denies.
 func (p *Permissions) NeedsFilter(subject string) bool {
 	return p != nil && len(p.Subscribe.Deny) > 0 && strings.ContainsAny(subject, "*>")
 }
 
-// Denies says whether a message on a subscription with wildcards must not be delivered.
+// Denies reports whether a message on a subscription with wildcards must not be delivered.
 func (p *Permissions) Denies(subject string) bool {
 	for _, d := range p.Subscribe.Deny {
 		if pattern, _, named := strings.Cut(d, " "); !named && Covers(pattern, subject) {
@@ -72,27 +69,27 @@
 	return false
 }
 
-func (l *SubjectRules) lets(subject, queue string) bool {
+func (l *SubjectRules) allows(subject, queue string) bool {
 	for _, d := range l.Deny {
-		if covers(d, subject, queue) {
+		if coversQueue(d, subject, queue) {
 			return false
 		}
 	}
 	for _, a := range l.Allow {
-		if covers(a, subject, queue) {
+		if coversQueue(a, subject, queue) {
 			return true
 		}
 	}
 	return len(l.Allow) == 0
 }
 
-// covers is Covers for a pattern that may name a queue group; without one it is for all.
-func covers(pattern, subject, queue string) bool {
+// coversQueue is Covers for a pattern that may name a queue group; without one it covers every group.
+func coversQueue(pattern, subject, queue string) bool {
 	pattern, group, named := strings.Cut(pattern, " ")
 	return Covers(pattern, subject) && (!named || queue != "" && Covers(group, queue))
 }
 
-// Covers says whether a pattern takes all that a subject, itself perhaps with wildcards, takes.
+// Covers reports whether a pattern matches all that a subject, itself perhaps with wildcards, matches.
 func Covers(pattern, subject string) bool {
 	for {
 		p, rest, more := strings.Cut(pattern, ".")
@@ -108,66 +105,3 @@
 		pattern, subject = rest, tail
 	}
 }
-
-// ReplyTracker remembers the reply subjects that a client may answer to. It is bounded: the oldest goes.
-type ReplyTracker struct {
-	rule  Responses
-	open  map[string]reply
-	order []string
-}
-
-type reply struct {
-	left  int
-	until time.Duration
-}
-
-// repliesMost is how many requests a client may leave unanswered before the oldest is forgotten.
-const repliesMost = 1024
-
-// NewReplyTracker makes the memory for what a user may do; nil if no answers are allowed apart.
-func NewReplyTracker(p *Permissions) *ReplyTracker {
-	if p == nil || p.Responses == nil {
-		return nil
-	}
-	r := &ReplyTracker{rule: *p.Responses, open: map[string]reply{}}
-	if r.rule.Max == 0 {
-		r.rule.Max = 1
-	}
-	if r.rule.ExpiresMS <= 0 {
-		r.rule.ExpiresMS = 120_000
-	}
-	return r
-}
-
-// RecordRequest notes that the client got a request.
-func (r *ReplyTracker) RecordRequest(now time.Duration, subject []byte) {
-	if r == nil || len(subject) == 0 {
-		return
-	}
-	name := string(subject)
-	if _, known := r.open[name]; !known {
-		r.order = append(r.order, name)
-	}
-	r.open[name] = reply{r.rule.Max, now + time.Duration(r.rule.ExpiresMS)*time.Millisecond}
-	for len(r.order) > repliesMost || len(r.order) > 0 && r.open[r.order[0]].until <= now {
-		delete(r.open, r.order[0])
-		r.order = r.order[1:]
-	}
-}
-
-// AllowReply says whether the client may publish to a reply subject now, and counts it.
-func (r *ReplyTracker) AllowReply(now time.Duration, subject string) bool {
-	if r == nil {
-		return false
-	}
-	a, ok := r.open[subject]
-	if !ok || a.until <= now {
-		return false
-	}
-	if a.left--; a.left == 0 {
-		delete(r.open, subject)
-	} else {
-		r.open[subject] = a
-	}
-	return true
-}
--- a/internal/front/nats/client_auth.go
+++ b/internal/front/nats/client_auth.go
@@ -111,7 +111,7 @@
 		}
 		then()
 	}
-	if !authenticator.ChecksPassword(claims) {
+	if !authenticator.UsesBcrypt(claims) {
 		decide(authenticator.Authenticate(claims, c.nonce, time.Now()))
 		return
 	}
