--- a/internal/atomicfile/atomicfile.go
+++ b/internal/atomicfile/atomicfile.go
@@ -1,5 +1,5 @@
-// Package atomicfile replaces files whole: whoever reads one, also after a crash or a failed write, finds the old content
-// or the new one, and nothing in between.
+// Package atomicfile replaces files atomically: a reader finds the old content or the new one and nothing in between, also
+// after a crash or a failed write.
 package atomicfile
 
 import (
@@ -11,45 +11,45 @@
 	"golang.org/x/sys/unix"
 )
 
-// suffix is what the name of a file has while its new content is written beside it.
-const suffix = ".new"
+// tempSuffix is appended to the name of a file for the one beside it that its new content is written to.
+const tempSuffix = ".new"
 
-// calls is the system calls that a replacement is made of. Tests put calls that fail in the place of some.
-type calls struct {
+// fileCalls are the system calls that a replacement makes. Tests replace some of them by ones that fail.
+type fileCalls struct {
 	write  func(f *os.File, b []byte) (int, error)
 	sync   func(f *os.File) error
 	close  func(f *os.File) error
 	rename func(from, to string) error
 }
 
-var system = calls{write: (*os.File).Write, sync: (*os.File).Sync, close: (*os.File).Close, rename: os.Rename}
+var kernel = fileCalls{write: (*os.File).Write, sync: (*os.File).Sync, close: (*os.File).Close, rename: os.Rename}
 
-// Write puts content in the place of a file's, or makes the file, for its owner alone. After an error the file holds what
-// it held, but for an error of the last step, when the directory is synchronised: then it holds the new content, which
-// may be gone after the machine's power is. Processes that write the same file take turns.
+// Write replaces a file's content, or creates the file, readable by its owner only. After an error the file has its old
+// content, except if the last step fails, the sync of the directory: then it has the new content, which a power failure may
+// undo. Processes that write files in the same directory wait for each other.
 func Write(path string, content []byte) error {
 	dir, err := os.Open(filepath.Dir(path))
 	if err != nil {
 		return err
 	}
-	defer dir.Close() // gives the lock back
-	if err := lock(dir); err != nil {
+	defer dir.Close() // releases the lock
+	if err := lockDir(dir); err != nil {
 		return err
 	}
-	fresh := path + suffix
-	if err := fill(fresh, content); err != nil {
-		os.Remove(fresh)
+	temp := path + tempSuffix
+	if err := writeAndSync(temp, content); err != nil {
+		os.Remove(temp)
 		return err
 	}
-	if err := system.rename(fresh, path); err != nil {
-		os.Remove(fresh)
+	if err := kernel.rename(temp, path); err != nil {
+		os.Remove(temp)
 		return err
 	}
-	return system.sync(dir)
+	return kernel.sync(dir)
 }
 
-// lock waits until no other process writes in a directory.
-func lock(dir *os.File) error {
+// lockDir waits until no other process has the lock of a directory.
+func lockDir(dir *os.File) error {
 	for {
 		err := unix.Flock(int(dir.Fd()), unix.LOCK_EX)
 		if err != unix.EINTR {
@@ -61,15 +61,15 @@
 	}
 }
 
-// fill makes a file of that content, which is on the disk when it returns.
-func fill(path string, content []byte) error {
+// writeAndSync writes a file. Its content is on the disk when it returns.
+func writeAndSync(path string, content []byte) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
-	_, err = system.write(f, content)
+	_, err = kernel.write(f, content)
 	if err == nil {
-		err = system.sync(f)
+		err = kernel.sync(f)
 	}
-	return errors.Join(err, system.close(f))
+	return errors.Join(err, kernel.close(f))
 }
--- a/internal/atomicfile/atomicfile_test.go
+++ b/internal/atomicfile/atomicfile_test.go
@@ -9,22 +9,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestWriteFails: whichever step fails, by whatever a full or broken disk answers, the file holds its old content or the
-// new one, whole; the error is told, nothing is left beside the file, and the next write is well.
+// TestWriteFails: whichever step fails, with any error of a full or broken disk, the file has its complete old content or the
+// new one; the error is returned, nothing is left beside the file, and the next write succeeds.
 func TestWriteFails(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ENOSPC, unix.EIO, unix.EDQUOT} {
-		for step, failing := range map[string]func(c *calls){
-			"write": func(c *calls) { c.write = func(*os.File, []byte) (int, error) { return 0, errno } },
-			"short write": func(c *calls) {
+		for step, failing := range map[string]func(c *fileCalls){
+			"write": func(c *fileCalls) { c.write = func(*os.File, []byte) (int, error) { return 0, errno } },
+			"short write": func(c *fileCalls) {
 				c.write = func(f *os.File, b []byte) (int, error) {
 					n, _ := f.Write(b[:len(b)/2])
 					return n, errno
 				}
 			},
-			"sync":   func(c *calls) { c.sync = func(*os.File) error { return errno } },
-			"close":  func(c *calls) { c.close = func(f *os.File) error { return errors.Join(f.Close(), errno) } },
-			"rename": func(c *calls) { c.rename = func(string, string) error { return errno } },
-			"sync of the directory": func(c *calls) {
+			"sync":   func(c *fileCalls) { c.sync = func(*os.File) error { return errno } },
+			"close":  func(c *fileCalls) { c.close = func(f *os.File) error { return errors.Join(f.Close(), errno) } },
+			"rename": func(c *fileCalls) { c.rename = func(string, string) error { return errno } },
+			"sync of the directory": func(c *fileCalls) {
 				c.sync = func(f *os.File) error {
 					if info, err := f.Stat(); err != nil || info.IsDir() {
 						return errno
@@ -47,10 +47,10 @@
 				if err := Write(path, []byte("the old content")); err != nil {
 					t.Fatal(err)
 				}
-				whole := system
-				failing(&system)
+				working := kernel
+				failing(&kernel)
 				err := Write(path, []byte("another one"))
-				system = whole
+				kernel = working
 				if !errors.Is(err, errno) {
 					t.Errorf("ended with %v", err)
 				}
@@ -68,13 +68,13 @@
 	}
 }
 
-// TestHalfWritten: what a process has left behind that was killed amid a write is no content, and in nobody's way.
+// TestHalfWritten: what a process that was killed during a write has left behind is not read, and does not disturb the next write.
 func TestHalfWritten(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "file")
 	if err := Write(path, []byte("the old content")); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(path+suffix, []byte("half of a much longer one that was never fini"), 0o600); err != nil {
+	if err := os.WriteFile(path+tempSuffix, []byte("half of a much longer one that was never fini"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if text, err := os.ReadFile(path); err != nil || string(text) != "the old content" {
