--- a/internal/consensus/client.go
+++ b/internal/consensus/client.go
@@ -54,14 +54,14 @@
 
 // send sends a request. An error that is errNotSent says that nobody has acted on it.
 func (c *client) send(ctx context.Context, to voter, kind requestKind, body []byte) (*response, error) {
-	address := to.Addr
-	if override, ok := c.node.options.DialAddresses[to.Name]; ok {
+	address := to.address
+	if override, ok := c.node.options.DialAddresses[to.name]; ok {
 		address = override
 	}
 	c.mu.Lock()
 	c.sequence++
 	start := c.start
-	sealed, tag := sealRequest(c.node.options.Keys[0], c.epochs[to.Name], start, c.sequence, kind, c.node.options.Name, to.Name, body)
+	sealed, tag := sealRequest(c.node.options.Keys[0], c.epochs[to.name], start, c.sequence, kind, c.node.options.Name, to.name, body)
 	c.mu.Unlock()
 	connected := false
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }})
@@ -119,9 +119,9 @@
 		}
 		b, err = verifyAnswer(c.node.options.Keys[0], resp.tag, 0, b)
 		if err != nil || len(b) == 0 {
-			return nil, fmt.Errorf("answer of %s: %w", to.Name, errTag)
+			return nil, fmt.Errorf("answer of %s: %w", to.name, errTag)
 		}
-		if !c.updateFreshness(to.Name, resp.start, b) {
+		if !c.updateFreshness(to.name, resp.start, b) {
 			return b, nil
 		}
 	}
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -30,7 +30,7 @@
 // and reads no clock.
 type core struct {
 	id             uint64
-	node           *raft.RawNode
+	rawNode        *raft.RawNode
 	storage        *raft.MemoryStorage
 	voters         voterSet
 	confState      *pb.ConfState
@@ -64,13 +64,13 @@
 	if err := proto.Unmarshal(s.confState, confState); err != nil {
 		return nil, fmt.Errorf("decode configuration: %w", err)
 	}
-	return &core{id: id, node: node, storage: storage, voters: s.voters, confState: confState, recordID: s.recordID, unverified: unverified, snapshotIndex: s.index,
+	return &core{id: id, rawNode: node, storage: storage, voters: s.voters, confState: confState, recordID: s.recordID, unverified: unverified, snapshotIndex: s.index,
 		acknowledged: map[uint64]logPosition{}, proposals: map[string]changeProposal{}, lastContact: map[uint64]int{}, lastChangeTick: -electionTicks * 2}, nil
 }
 
 func (c *core) lastIndex() uint64 { i, _ := c.storage.LastIndex(); return i }
 
-func (c *core) status() raft.BasicStatus { return c.node.BasicStatus() }
+func (c *core) status() raft.BasicStatus { return c.rawNode.BasicStatus() }
 
 func (c *core) isLeader() bool { return c.status().RaftState == raft.StateLeader }
 
@@ -80,9 +80,9 @@
 func (c *core) tick() {
 	c.tickCount++
 	if !c.unverified {
-		c.node.Tick()
+		c.rawNode.Tick()
 		if state := c.status().RaftState; state == raft.StateCandidate || state == raft.StatePreCandidate {
-			c.node.Tick() // a split vote is retried in half the time: otherwise the next leader may take over 2 s
+			c.rawNode.Tick() // a split vote is retried in half the time: otherwise the next leader may take over 2 s
 		}
 	}
 	for name, p := range c.proposals {
@@ -124,7 +124,7 @@
 	if m.GetType() == pb.MsgHeartbeat && m.GetTerm() >= c.status().GetTerm() && m.GetCommit() > c.lastUnstableIndex() {
 		return errOutdatedDirectory // a leader's commit index covers only what this voter has acknowledged
 	}
-	return c.node.Step(m)
+	return c.rawNode.Step(m)
 }
 
 // lastUnstableIndex is the index of the last entry, written or not.
@@ -146,7 +146,7 @@
 	if !c.isLeader() || c.unverified {
 		return errNoLeader
 	}
-	err := c.node.Propose(data)
+	err := c.rawNode.Propose(data)
 	if errors.Is(err, raft.ErrProposalDropped) {
 		return ErrQueueFull
 	}
@@ -158,6 +158,6 @@
 	if !c.isLeader() || c.unverified {
 		return errNoLeader
 	}
-	c.node.ReadIndex(id)
+	c.rawNode.ReadIndex(id)
 	return nil
 }
--- a/internal/consensus/core_changes.go
+++ b/internal/consensus/core_changes.go
@@ -44,7 +44,7 @@
 
 // addProposal keeps a change proposal at the leader until it can be proposed. A voter's own does not replace an operator's.
 func (c *core) addProposal(p changeProposal) {
-	if c.voters[p.newID].Name == p.newName && c.voters[p.newID].Addr == p.address {
+	if c.voters[p.newID].name == p.newName && c.voters[p.newID].address == p.address {
 		return
 	}
 	if len(c.proposals) >= maxChangeProposals {
@@ -65,7 +65,7 @@
 	switch {
 	case oldID == 0:
 		return 0, errUnknownVoter
-	case c.voters[p.newID].Name != "" && c.voters[p.newID].Name != p.newName:
+	case c.voters[p.newID].name != "" && c.voters[p.newID].name != p.newName:
 		return 0, errInvalidChange
 	case c.voters.idOf(p.newName) != 0 && c.voters.idOf(p.newName) != oldID:
 		return 0, errInvalidChange
@@ -73,7 +73,7 @@
 		return 0, errChangeInProgress
 	}
 	committed := c.status().GetCommit()
-	c.node.WithProgress(func(id uint64, _ raft.ProgressType, progress tracker.Progress) {
+	c.rawNode.WithProgress(func(id uint64, _ raft.ProgressType, progress tracker.Progress) {
 		switch {
 		case id == c.id:
 		case id == oldID:
@@ -108,7 +108,7 @@
 		if oldID == p.newID { // only the address changes
 			change.Changes = []*pb.ConfChangeSingle{{Type: pb.ConfChangeType_ConfChangeUpdateNode.Enum(), NodeId: new(oldID)}}
 		}
-		if err := c.node.ProposeConfChange(change); err != nil {
+		if err := c.rawNode.ProposeConfChange(change); err != nil {
 			c.changeBlocked = name + ": " + err.Error()
 		}
 		return
--- a/internal/consensus/core_ready.go
+++ b/internal/consensus/core_ready.go
@@ -25,10 +25,10 @@
 
 // nextReady returns the next Ready, or nil if there is none or the last one is not advanced yet.
 func (c *core) nextReady() *pendingReady {
-	if c.inProgress != nil || !c.node.HasReady() {
+	if c.inProgress != nil || !c.rawNode.HasReady() {
 		return nil
 	}
-	rd := c.node.Ready()
+	rd := c.rawNode.Ready()
 	p := &pendingReady{rd: rd, entries: rd.Entries, acknowledged: c.acknowledged}
 	if !raft.IsEmptyHardState(rd.HardState) {
 		p.hardState = rd.HardState
@@ -84,7 +84,7 @@
 		}
 		entries = append(entries, entry)
 	}
-	c.node.Advance(p.rd)
+	c.rawNode.Advance(p.rd)
 	return snapshot, entries, nil
 }
 
@@ -101,7 +101,7 @@
 	if err := proto.Unmarshal(e.GetData(), confChange); err != nil || e.GetType() != pb.EntryConfChangeV2 {
 		return entry, fmt.Errorf("change of voters at %d: %w", e.GetIndex(), errMalformed)
 	}
-	c.confState = c.node.ApplyConfChange(confChange)
+	c.confState = c.rawNode.ApplyConfChange(confChange)
 	if len(confChange.GetChanges()) > 0 { // the entry that leaves the joint configuration has none
 		change, err := decodeVoterChange(confChange.GetContext())
 		if err != nil {
--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -38,7 +38,7 @@
 	voters := n.applier.voterSet()
 	addresses := map[string]string{}
 	for _, id := range voters.ids() {
-		addresses[voters[id].Name] = voters[id].Addr
+		addresses[voters[id].name] = voters[id].address
 	}
 	for name, address := range n.options.Voters {
 		if _, ok := addresses[name]; !ok {
@@ -72,7 +72,7 @@
 	n.mu.Unlock()
 	if f.leader != "" && time.Since(f.updatedAt) < streamTimeout && f.leader != n.options.Name {
 		for _, v := range n.otherVoters() {
-			if v.Name == f.leader {
+			if v.name == f.leader {
 				return v, false, true
 			}
 		}
--- a/internal/consensus/lifecycle.go
+++ b/internal/consensus/lifecycle.go
@@ -78,7 +78,7 @@
 	n.mu.Lock()
 	id, d := n.identity, n.disk
 	n.mu.Unlock()
-	if s == nil || s.voters[id].Name != n.options.Name {
+	if s == nil || s.voters[id].name != n.options.Name {
 		return
 	}
 	if err := n.startFromSnapshot(id, d, *s, encoded); err != nil {
--- a/internal/consensus/model_test.go
+++ b/internal/consensus/model_test.go
@@ -414,7 +414,7 @@
 			id := m.GetTo()
 			w.push(50*time.Millisecond, n, func() {
 				if n.core != nil {
-					n.core.node.ReportSnapshot(id, how)
+					n.core.rawNode.ReportSnapshot(id, how)
 				}
 			})
 		}
@@ -516,7 +516,7 @@
 	w.push(superviseInterval, n, func() { w.supervise(n) })
 	record, index, _ := n.applier.position()
 	switch {
-	case n.core == nil && record != 0 && n.applier.voterSet()[n.id].Name == n.name:
+	case n.core == nil && record != 0 && n.applier.voterSet()[n.id].name == n.name:
 		s, raw := n.applier.takeSnapshot()
 		hard := &pb.HardState{Term: new(s.term), Commit: new(index)}
 		st, err := newStorage(*s, raw, hard, nil)
@@ -578,7 +578,7 @@
 func (w *world) mayLoseVoter() bool {
 	for _, n := range w.nodes[:w.voters] {
 		for _, v := range w.nodes[:w.voters] {
-			if !v.up || v.core == nil || v.core.voters[n.id].Name != n.name || v.core.inJointConfig() {
+			if !v.up || v.core == nil || v.core.voters[n.id].name != n.name || v.core.inJointConfig() {
 				return false
 			}
 		}
--- a/internal/consensus/protocol.go
+++ b/internal/consensus/protocol.go
@@ -30,9 +30,9 @@
 
 // The first byte of a frame of a follower's stream.
 const (
-	frameHeartbeat = 'b'
-	frameSnapshot  = 's'
-	frameEntries   = 'i'
+	frameStatus   = 'b'
+	frameSnapshot = 's'
+	frameEntries  = 'i'
 )
 
 // Sizes in bytes.
--- a/internal/consensus/reports.go
+++ b/internal/consensus/reports.go
@@ -98,7 +98,7 @@
 	n.mu.Lock()
 	source := n.followState.source
 	n.mu.Unlock()
-	if i := slices.IndexFunc(candidates, func(v voter) bool { return v.Name == source }); i > 0 {
+	if i := slices.IndexFunc(candidates, func(v voter) bool { return v.name == source }); i > 0 {
 		candidates[0], candidates[i] = candidates[i], candidates[0]
 	}
 	return candidates
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -84,10 +84,10 @@
 	voters, votersIndex := n.applier.voterSetAt()
 	s.VotersIndex = votersIndex
 	for _, v := range voters {
-		s.Voters[v.Name] = v.Addr
+		s.Voters[v.name] = v.address
 	}
 	if leader, _, ok := n.knownLeader(); ok {
-		s.Leader = leader.Name
+		s.Leader = leader.name
 	}
 	e := n.engine()
 	n.mu.Lock()
--- a/internal/consensus/stream_follower.go
+++ b/internal/consensus/stream_follower.go
@@ -18,14 +18,14 @@
 
 // Why a stream is ended that did not fail.
 var (
-	errStreamNotNeeded  = errors.New("not needed any more")
-	errStreamRetry      = errors.New("refused unread: it is sent again with the right numbers")
-	errPreferredBack    = errors.New("the voter that is this relay's by name is well again")
-	errSourceLeaderless = errors.New("it hears no leader")
-	errOtherRecord      = errors.New("of another record")
+	errStreamNotNeeded  = errors.New("the engine knows a leader again")
+	errStreamRetry      = errors.New("rejected unread: sent again with the current epoch and start")
+	errPreferredBack    = errors.New("the preferred voter is healthy again")
+	errSourceLeaderless = errors.New("the followed voter knows no leader")
+	errOtherRecord      = errors.New("snapshot of another record")
 )
 
-// followStatus is what the followed stream last said.
+// followStatus is what the followed stream last reported.
 type followStatus struct {
 	source, leader string // names of voters
 	hasQuorum      bool
@@ -101,7 +101,7 @@
 		if err != nil {
 			return err
 		}
-		if number == 0 && n.client.updateFreshness(f.source.Name, stream.start, frame) {
+		if number == 0 && n.client.updateFreshness(f.source.name, stream.start, frame) {
 			return errStreamRetry
 		}
 		timeout.Reset(streamTimeout)
@@ -147,15 +147,15 @@
 	n := f.node
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.followState.source, n.followState.updatedAt = f.source.Name, time.Now()
+	n.followState.source, n.followState.updatedAt = f.source.name, time.Now()
 	return n.current != nil, n.current == nil || !n.leaderlessSince.IsZero()
 }
 
 func (f *streamFollower) handleFrame(kind byte, body []byte, hasEngine bool) error {
 	n := f.node
 	switch kind {
-	case frameHeartbeat:
-		return f.handleHeartbeat(body)
+	case frameStatus:
+		return f.handleStatus(body)
 	case frameSnapshot:
 		s, err := decodeSnapshot(body)
 		if err != nil {
@@ -175,7 +175,7 @@
 	return errMalformed
 }
 
-func (f *streamFollower) handleHeartbeat(body []byte) error {
+func (f *streamFollower) handleStatus(body []byte) error {
 	r := reader{rest: body}
 	commitIndex, hasQuorum, leader := r.uint(), r.uint() == 1, r.string()
 	if err := r.finish(); err != nil {
@@ -185,7 +185,7 @@
 	n.mu.Lock()
 	n.followState.commitIndex, n.followState.hasQuorum, n.followState.leader = commitIndex, hasQuorum, leader
 	n.mu.Unlock()
-	if f.source.Name != f.preferred.Name && time.Since(f.preferredCheckedAt) > preferredRetryInterval {
+	if f.source.name != f.preferred.name && time.Since(f.preferredCheckedAt) > preferredRetryInterval {
 		f.preferredCheckedAt = time.Now()
 		recordID, _, _ := n.applier.position()
 		if status, err := n.queryPeer(f.preferred, 0, 0); err == nil && status.recordID == recordID && status.hasQuorum {
@@ -220,7 +220,7 @@
 	if e == nil {
 		return
 	}
-	if n.applier.voterSet()[e.id].Name != n.options.Name {
+	if n.applier.voterSet()[e.id].name != n.options.Name {
 		n.tryOnEngine(func(e *engine) {
 			if _, ok := e.node.applier.voterSet()[e.id]; !ok {
 				e.removed = true
--- a/internal/consensus/stream_server.go
+++ b/internal/consensus/stream_server.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	maxStreams              = 1024
-	streamHeartbeatInterval = 500 * time.Millisecond // on a stream without entries
-	maxEntriesFrame         = 256 << 10              // bytes of entries in a frame, about
+	maxStreams           = 1024
+	streamStatusInterval = 500 * time.Millisecond // on a stream without entries
+	maxEntriesFrame      = 256 << 10              // bytes of entries in a frame, about
 )
 
 // streamWriter writes the frames of one follower's stream.
@@ -52,9 +52,9 @@
 	}
 	w.Header()["Date"] = nil
 	stream := &streamWriter{w: w, rc: rc, req: req}
-	heartbeats := time.NewTicker(streamHeartbeatInterval)
-	defer heartbeats.Stop()
-	if e := n.engine(); e == nil || stream.write(frameHeartbeat, heartbeatFrame(e)) != nil {
+	ticker := time.NewTicker(streamStatusInterval)
+	defer ticker.Stop()
+	if e := n.engine(); e == nil || stream.write(frameStatus, statusFrame(e)) != nil {
 		return
 	}
 	for {
@@ -82,8 +82,8 @@
 		case <-ctx.Done():
 			return
 		case <-changed:
-		case <-heartbeats.C:
-			if stream.write(frameHeartbeat, heartbeatFrame(e)) != nil {
+		case <-ticker.C:
+			if stream.write(frameStatus, statusFrame(e)) != nil {
 				return
 			}
 			if n.applier.snapshotDue() {
@@ -93,8 +93,8 @@
 	}
 }
 
-// heartbeatFrame is the body of a stream's heartbeat: the commit index, whether there is a quorum, and the leader's name.
-func heartbeatFrame(e *engine) []byte {
+// statusFrame is the body of a status frame, which also shows that the stream works: the commit index, whether there is a quorum, and the leader's name.
+func statusFrame(e *engine) []byte {
 	v := e.view.Load()
-	return putBytes(putUints(nil, v.commitIndex, boolToUint(v.hasLeader())), v.voters[v.leader].Name)
+	return putBytes(putUints(nil, v.commitIndex, boolToUint(v.hasLeader())), v.voters[v.leader].name)
 }
--- a/internal/consensus/supervisor.go
+++ b/internal/consensus/supervisor.go
@@ -74,7 +74,7 @@
 	n.mu.Unlock()
 	recordID, _, _ := n.applier.position()
 	voters := n.applier.voterSet()
-	if v, ok := voters[id]; ok && recordID != 0 && v.Name == n.options.Name {
+	if v, ok := voters[id]; ok && recordID != 0 && v.name == n.options.Name {
 		n.joinAsVoter()
 		return lastChangeSent
 	}
@@ -108,7 +108,7 @@
 		return address
 	}
 	if id := voters.idOf(n.options.Name); id != 0 {
-		return voters[id].Addr
+		return voters[id].address
 	}
 	return n.address
 }
--- a/internal/consensus/transport.go
+++ b/internal/consensus/transport.go
@@ -108,7 +108,7 @@
 		ctx, cancel := context.WithTimeout(n.ctx, messagesTimeout)
 		if _, err := n.client.call(ctx, p.voter, requestMessages, encodeMessages(p.self, acknowledged, messages)); err != nil {
 			n.countDropped(droppedUnreachable)
-			n.tryOnEngine(func(e *engine) { e.core.node.ReportUnreachable(p.id) })
+			n.tryOnEngine(func(e *engine) { e.core.rawNode.ReportUnreachable(p.id) })
 		}
 		cancel()
 	}
@@ -171,5 +171,5 @@
 }
 
 func (n *Node) reportSnapshot(id uint64, status raft.SnapshotStatus) {
-	n.onEngine(func(e *engine) { e.core.node.ReportSnapshot(id, status) })
+	n.onEngine(func(e *engine) { e.core.rawNode.ReportSnapshot(id, status) })
 }
--- a/internal/consensus/verify.go
+++ b/internal/consensus/verify.go
@@ -19,7 +19,7 @@
 			if err != nil {
 				continue
 			}
-			if status.recordID == e.core.recordID && status.index > v.commitIndex && status.voters[e.id].Name != n.options.Name {
+			if status.recordID == e.core.recordID && status.index > v.commitIndex && status.voters[e.id].name != n.options.Name {
 				n.onEngine(func(e *engine) { e.removed = true })
 				return
 			}
--- a/internal/consensus/voters.go
+++ b/internal/consensus/voters.go
@@ -6,7 +6,7 @@
 )
 
 // voter is a voter as the record has it.
-type voter struct{ Name, Addr string }
+type voter struct{ name, address string }
 
 // voterSet holds the voters by identity, which is a voter's id in raft.
 type voterSet map[uint64]voter
@@ -16,7 +16,7 @@
 // idOf is the identity of the voter with that name; 0 if there is none.
 func (s voterSet) idOf(name string) uint64 {
 	for _, id := range s.ids() {
-		if s[id].Name == name {
+		if s[id].name == name {
 			return id
 		}
 	}
@@ -26,7 +26,7 @@
 func putVoterSet(b []byte, s voterSet) []byte {
 	b = putUints(b, uint64(len(s)))
 	for _, id := range s.ids() {
-		b = putBytes(putBytes(putUints(b, id), s[id].Name), s[id].Addr)
+		b = putBytes(putBytes(putUints(b, id), s[id].name), s[id].address)
 	}
 	return b
 }
