--- a/internal/rollout/allowance.go
+++ b/internal/rollout/allowance.go
@@ -176,8 +176,8 @@
 
 // exhausted is overdrawn, or else shortfall.
 func (a *allowance) exhausted() string {
-	if why := a.overdrawn(); why != "" {
-		return why
+	if reason := a.overdrawn(); reason != "" {
+		return reason
 	}
 	return a.shortfall()
 }
@@ -188,8 +188,8 @@
 	if a.granted[name] {
 		return name + " is out already"
 	}
-	if why := a.overdrawn(); why != "" {
-		return why
+	if reason := a.overdrawn(); reason != "" {
+		return reason
 	}
 	if !a.out[name] {
 		if limit := a.budget.totalLimit(a.total); len(a.out)+1 > limit {
@@ -219,9 +219,9 @@
 
 // maxOutMS is how long a unit may be out: by what the last ones took, at first by the budgets.
 func (rec *record) maxOutMS(kind Kind, b Budgets) int64 {
-	first, durations := b.DrainMS+b.StartMS+b.WarmupMS, rec.MemberDurationsMS
+	first, durations := b.DrainTimeoutMS+b.StartTimeoutMS+b.WarmupMS, rec.MemberDurationsMS
 	if kind == KindRelay {
-		first, durations = b.DrainMS+b.StartMS, rec.RelayDurationsMS
+		first, durations = b.DrainTimeoutMS+b.StartTimeoutMS, rec.RelayDurationsMS
 	}
 	if len(durations) < 3 {
 		return first
--- a/internal/rollout/plan_step.go
+++ b/internal/rollout/plan_step.go
@@ -63,8 +63,8 @@
 				blocked = u.currentName() + " is not there"
 				continue
 			}
-			if why := p.allowanceFor(u.Kind).reserve(u.currentName(), u.Zone, g.Capacity); why != "" {
-				blocked = why
+			if reason := p.allowanceFor(u.Kind).reserve(u.currentName(), u.Zone, g.Capacity); reason != "" {
+				blocked = reason
 				continue
 			}
 		}
@@ -171,5 +171,5 @@
 	if flows == 0 || rate <= 0 {
 		return 0
 	}
-	return min(int64(float64(flows)/rate*1000)+1, p.budgets.DrainMS)
+	return min(int64(float64(flows)/rate*1000)+1, p.budgets.DrainTimeoutMS)
 }
--- a/internal/wire/cursor.go
+++ b/internal/wire/cursor.go
@@ -10,21 +10,21 @@
 	"dahliarudder/policy"
 )
 
-// cursor reads fields off a record. Past the end it yields zeros and sets short.
+// cursor reads the fields of a record. Past the end it yields zeros and sets truncated.
 type cursor struct {
-	b     []byte
-	short bool
+	data      []byte
+	truncated bool
 }
 
 var zeros [8]byte
 
 func (c *cursor) take(n int) []byte {
-	if n > len(c.b) {
-		c.short, c.b = true, nil
+	if n > len(c.data) {
+		c.truncated, c.data = true, nil
 		return zeros[:min(n, len(zeros))]
 	}
-	part := c.b[:n]
-	c.b = c.b[n:]
+	part := c.data[:n]
+	c.data = c.data[n:]
 	return part
 }
 
@@ -37,14 +37,14 @@
 func (c *cursor) f64() float64 { return math.Float64frombits(c.u64()) }
 
 func (c *cursor) bytes(n uint32) []byte {
-	if uint64(n) > uint64(len(c.b)) {
-		c.short, c.b = true, nil
+	if uint64(n) > uint64(len(c.data)) {
+		c.truncated, c.data = true, nil
 		return nil
 	}
 	return c.take(int(n))
 }
 
-// ms reads a clock time; one that makes no sense counts as absent.
+// ms reads a clock time; one out of range counts as absent.
 func (c *cursor) ms() time.Duration {
 	t, _ := settings.ParseMillis(c.f64())
 	return t
@@ -58,7 +58,7 @@
 	return results[code], nil
 }
 
-// report reads a load report, whose values stand in the order of names.
+// report reads a load report, whose values are in the order of names.
 func (c *cursor) report(names []string) policy.Report {
 	n := int(c.u8())
 	values := make(map[string]float64, maxReport)
