--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -65,7 +65,7 @@
 
 // Recorder keeps the record of attempts and answers. Its calls must not block.
 type Recorder interface {
-	// Ready says whether what follows will be recorded.
+	// Ready reports whether what follows will be recorded.
 	Ready() bool
 	// RecordAttempt records the end of a server-side flow, or of its setup.
 	RecordAttempt(q *Request, id ID, attempt int, member string, start, end time.Duration, result policy.Result)
@@ -167,7 +167,7 @@
 // ActiveRequests is how many requests wait, are in flight or are open flows.
 func (c *Core) ActiveRequests() int { return len(c.requests) }
 
-// IsActive says whether a request waits, is in flight or is an open flow.
+// IsActive reports whether a request waits, is in flight or is an open flow.
 func (c *Core) IsActive(id ID) bool { return c.requests[id] != nil }
 
 // FlowCount is how many flows this relay holds at a member or is setting up there.
@@ -181,7 +181,7 @@
 // PolicySettings are the normalized settings of the policy.
 func (c *Core) PolicySettings() policy.Settings { return c.policyCfg }
 
-// AcceptsClients says whether clients should be sent here: there is no stop or drain.
+// AcceptsClients reports whether clients should be sent here: there is no stop or drain.
 func (c *Core) AcceptsClients() bool { return !c.stopping && !c.draining }
 
 // SetSyncing has fronts report that they are not ready, while this relay waits for what the fleet agreed on when
@@ -191,7 +191,7 @@
 // Ready is the readiness that fronts report: clients may be sent here.
 func (c *Core) Ready() bool { return c.AcceptsClients() && !c.syncing }
 
-// HasUsableMember says whether some member may be sent to.
+// HasUsableMember reports whether some member may be sent to.
 func (c *Core) HasUsableMember() bool {
 	for _, m := range c.members {
 		if !m.unavailable {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -153,8 +153,8 @@
 	}
 }
 
-// TestGate: the module's word alone starts no attempt.
-func TestGate(t *testing.T) {
+// TestMayStart: the module's word alone starts no attempt.
+func TestMayStart(t *testing.T) {
 	r := newRig(t, 2)
 	s := r.open()
 	q, m := r.requests[s.id], r.members[11]
@@ -205,9 +205,9 @@
 	}
 }
 
-// TestStandingFlow: a flow that was open goes to its member, and fails if that
+// TestResumedFlow: a flow that was open goes to its member, and fails if that
 // does not take it.
-func TestStandingFlow(t *testing.T) {
+func TestResumedFlow(t *testing.T) {
 	r := newRig(t, 2)
 	s, lost := &side{r: r}, &side{r: r}
 	id := r.Open(Request{CurrentMember: "m1", TimeLeft: time.Second}, s)
@@ -224,8 +224,8 @@
 	}
 }
 
-// TestLedgerNotReady: what would not be recorded is rejected, and never sent.
-func TestLedgerNotReady(t *testing.T) {
+// TestRecorderNotReady: what would not be recorded is rejected, and never sent.
+func TestRecorderNotReady(t *testing.T) {
 	r := newRig(t, 1)
 	r.shut = true
 	if s := r.open(); s.tries != 0 || len(s.answers) != 1 || s.answers[0] != "rejected" {
@@ -264,10 +264,10 @@
 	}
 }
 
-// TestBan: a banned member gets nothing new, whatever discovery says and whoever
+// TestEject: a banned member gets nothing new, whatever discovery says and whoever
 // asks for it, and its flows are moved; put back it is taken for cold until discovery
 // knows of its start, and old failures count no more. Two words out, one back.
-func TestBan(t *testing.T) {
+func TestEject(t *testing.T) {
 	r := newRig(t, 1)
 	var probed int
 	r.Probe = func(*Member) { probed++ }
@@ -312,9 +312,9 @@
 	}
 }
 
-// TestDoubt: while this process does not know what it has missed nothing is sent; then what has waited goes only where it may
+// TestPauseDispatch: while this process does not know what it has missed nothing is sent; then what has waited goes only where it may
 // still go, within the grace too, and who waited too long has an answer of the relay's own.
-func TestDoubt(t *testing.T) {
+func TestPauseDispatch(t *testing.T) {
 	r := newRig(t, 4)
 	r.PauseDispatch()
 	var all []*side
@@ -355,9 +355,9 @@
 	}
 }
 
-// TestBanUnlisted: a ban that an earlier process has kept holds for a member that
+// TestEjectUnlisted: a ban that an earlier process has kept holds for a member that
 // discovery names only later.
-func TestBanUnlisted(t *testing.T) {
+func TestEjectUnlisted(t *testing.T) {
 	r := newRig(t, 0)
 	r.Eject("m0")
 	r.UpdateMembers(policy.ListFull, list(1, policy.Ready))
@@ -413,9 +413,9 @@
 	}
 }
 
-// TestRecall: a core goes on from what another has learned, by a clock of its own: a
+// TestRestore: a core goes on from what another has learned, by a clock of its own: a
 // member put back is as cold as it was, and a list of bans counts as it stands.
-func TestRecall(t *testing.T) {
+func TestRestore(t *testing.T) {
 	old, next := newRig(t, 3), newRig(t, 3)
 	old.Eject("m1")
 	old.Reinstate("m1")
@@ -440,9 +440,9 @@
 	}
 }
 
-// TestGiveUp: with another process in its place flows are passed on to it, one by one,
+// TestBeginHandover: with another process in its place flows are passed on to it, one by one,
 // and those that are left after a while are moved, all within the time of a stop.
-func TestGiveUp(t *testing.T) {
+func TestBeginHandover(t *testing.T) {
 	r := newRig(t, 2)
 	up := r.up(5)
 	r.BeginHandover()
@@ -475,9 +475,9 @@
 	}
 }
 
-// TestFinish: when the time of a stop is up nobody is left without an answer or
+// TestFinishStop: when the time of a stop is up nobody is left without an answer or
 // without being told to move.
-func TestFinish(t *testing.T) {
+func TestFinishStop(t *testing.T) {
 	r := newRig(t, 2)
 	up, late := r.open(), r.open()
 	r.FlowEstablished(up.id, 0)
@@ -488,9 +488,9 @@
 	}
 }
 
-// TestMessages: slow messages at one member are told at most once a second, and
+// TestMessageLatency: slow messages at one member are told at most once a second, and
 // once more when they are fast again.
-func TestMessages(t *testing.T) {
+func TestMessageLatency(t *testing.T) {
 	r := newRig(t, 1)
 	s := r.open()
 	r.FlowEstablished(s.id, 0)
@@ -570,10 +570,10 @@
 	})
 }
 
-// TestAgree: a member that the fleet takes out gets nothing new at once, and its flows leave spread over the time that is agreed. Revoked,
+// TestFleetRemovals: a member that the fleet takes out gets nothing new at once, and its flows leave spread over the time that is agreed. Revoked,
 // who was not moved stays; agreed again, they are moved, though the module asks once; when discovery says that it drains, none
 // waits; and an operator's own ban outlives the fleet's word.
-func TestAgree(t *testing.T) {
+func TestFleetRemovals(t *testing.T) {
 	const members = 12
 	r := newRig(t, members)
 	var all []*side // of flows that stand
--- a/internal/core/crossings_test.go
+++ b/internal/core/crossings_test.go
@@ -49,8 +49,8 @@
 	},
 }
 
-// TestWaitsGoOn: each way of waiting ends in an attempt, so that the tests below force what they say.
-func TestWaitsGoOn(t *testing.T) {
+// TestWaitingContinues: each way of waiting ends in an attempt, so that the tests below force what they say.
+func TestWaitingContinues(t *testing.T) {
 	for name, of := range waits {
 		r, s, goOn := of(t)
 		before := s.tries
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestLeftWaiting: no attempt begins for a client that has gone, whatever is still to come in the module.
-func TestLeftWaiting(t *testing.T) {
+// TestClientGoneWaiting: no attempt begins for a client that has gone, whatever is still to come in the module.
+func TestClientGoneWaiting(t *testing.T) {
 	for name, of := range waits {
 		r, s, goOn := of(t)
 		before := s.tries
@@ -136,9 +136,9 @@
 	v.then()
 }
 
-// TestLeftInBatch: of two requests that one report lets go on, the client of the second goes away as the first is sent: the second is
+// TestClientGoneInBatch: of two requests that one report lets go on, the client of the second goes away as the first is sent: the second is
 // not sent, and nothing of it stays in the module.
-func TestLeftInBatch(t *testing.T) {
+func TestClientGoneInBatch(t *testing.T) {
 	r := newRigOf(t, probedText, list(1, policy.Ready))
 	first, second := &side{r: r}, &side{r: r}
 	leave := func(s *side) func() {
@@ -166,9 +166,9 @@
 	}
 }
 
-// TestStandingEnds: a flow that goes on to its own member has one answer however that ends, before it is up, and none after; its end
+// TestResumedFlowEnds: a flow that goes on to its own member has one answer however that ends, before it is up, and none after; its end
 // leaves nothing in the module.
-func TestStandingEnds(t *testing.T) {
+func TestResumedFlowEnds(t *testing.T) {
 	for result := policy.OK; result <= policy.NotSent; result++ {
 		for _, up := range []bool{false, true} {
 			r := newRigOf(t, classesText, list(2, policy.Ready))
@@ -193,8 +193,8 @@
 	}
 }
 
-// TestUpInTwo: an attempt comes up at the moment at which it is given up, each way round: the first word counts.
-func TestUpInTwo(t *testing.T) {
+// TestEstablishedOrTimeout: an attempt comes up at the moment at which it is given up, each way round: the first word counts.
+func TestEstablishedOrTimeout(t *testing.T) {
 	for _, upFirst := range []bool{true, false} {
 		r := newRigOf(t, classesText, list(2, policy.Ready))
 		s := r.bring(safeClass, 2*time.Second)
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -102,7 +102,7 @@
 	return !busyOrAnswered && attempts < c.policyCfg.MaxAttempts && now < deadline && m != nil && c.reachable(now, m)
 }
 
-// reachable says whether anything new may go to a member, probes included.
+// reachable reports whether anything new may go to a member, probes included.
 func (c *Core) reachable(now time.Duration, m *member) bool {
 	return !m.unavailable || !c.ignoreGrace && now-m.unavailableSince <= c.drainGrace
 }
@@ -113,7 +113,7 @@
 	return m != nil && !c.dispatchPaused && c.reachable(c.Clock(), m)
 }
 
-// answerPending says whether a final answer of that request is among the pending actions: when Tick is late, the
+// answerPending reports whether a final answer of that request is among the pending actions: when Tick is late, the
 // policy's timers run together.
 func (c *Core) answerPending(id ID) bool {
 	return slices.ContainsFunc(c.pendingActions, func(a policy.Action) bool {
@@ -141,7 +141,7 @@
 	c.startAttempt(now, r, m, timeout)
 }
 
-// MaySend says whether an attempt may be sent now that its connection is established. It may not if its member has
+// MaySend reports whether an attempt may be sent now that its connection is established. It may not if its member has
 // become unavailable meanwhile, however recently: its first byte would come later than mayStart assumed. Nor may it
 // while dispatch is paused, nor as a repeat whose dedup window is over by now. It then ends as one that was never
 // sent. A flow that its member holds already is exempt.
--- a/internal/core/feed.go
+++ b/internal/core/feed.go
@@ -20,7 +20,7 @@
 	// Connect starts the link of a new flow, which is abandoned after timeout. It ends in
 	// Connected or Disconnected.
 	Connect(to *Member, timeout time.Duration)
-	// Writable says whether the link takes more now; if not, the feed's OnWritable says
+	// Writable reports whether the link takes more now; if not, the feed's OnWritable says
 	// when it does.
 	Writable() bool
 	// WriteMessage hands a message to the link and sets its Offset there. Messages are
@@ -102,7 +102,7 @@
 	return f
 }
 
-// HasCapacity says whether Publish may be called; if not, the transport's OnCapacity will say when.
+// HasCapacity reports whether Publish may be called; if not, the transport's OnCapacity will say when.
 func (f *Feed) HasCapacity() bool {
 	f.blocked = !f.withinMemory()
 	return !f.blocked
--- a/internal/core/feed_test.go
+++ b/internal/core/feed_test.go
@@ -203,9 +203,9 @@
 	}
 }
 
-// TestFeedRefused: messages wait while nothing has room, and are given up at once when their time
+// TestFeedRejected: messages wait while nothing has room, and are given up at once when their time
 // ends before they may come again.
-func TestFeedRefused(t *testing.T) {
+func TestFeedRejected(t *testing.T) {
 	r := newRig(t, 0)
 	p := newPipe(r, 500)
 	p.put(3)
@@ -232,9 +232,9 @@
 	}
 }
 
-// TestFeedCold: feeds that come together to a member that has just started send it no more than it
+// TestFeedSlowStart: feeds that come together to a member that has just started send it no more than it
 // has shown to take, and all have their turn.
-func TestFeedCold(t *testing.T) {
+func TestFeedSlowStart(t *testing.T) {
 	r := newRig(t, 1)
 	r.members[10].joinedAt = r.now // for the core alone: the module would let hardly any feed in
 	var pipes []*pipe
@@ -280,9 +280,9 @@
 	}
 }
 
-// TestFeedLine: who waits for a cold member leaves its line with its link, and is in the line of
+// TestFeedQueue: who waits for a cold member leaves its line with its link, and is in the line of
 // where it goes next: else it would wait there until its messages' time is over.
-func TestFeedLine(t *testing.T) {
+func TestFeedQueue(t *testing.T) {
 	r := newRig(t, 1)
 	m := r.members[10]
 	m.joinedAt = r.now
@@ -388,9 +388,9 @@
 	}
 }
 
-// TestFeedFinish: messages whose feed still looks for a place when the time of a stop is up are rejected, for as long as any other
+// TestFeedFinishStop: messages whose feed still looks for a place when the time of a stop is up are rejected, for as long as any other
 // request then, also of a class whose flow's own request may not be.
-func TestFeedFinish(t *testing.T) {
+func TestFeedFinishStop(t *testing.T) {
 	r := newRigOf(t, classesText, list(1, policy.Ready))
 	p := newPipe(r, 10)
 	p.f.Close()
@@ -405,8 +405,8 @@
 	}
 }
 
-// TestFeedDoubt: messages are new to a member too: during a doubt none is handed to it, and after that none to one that has left.
-func TestFeedDoubt(t *testing.T) {
+// TestFeedPauseDispatch: messages are new to a member too: during a doubt none is handed to it, and after that none to one that has left.
+func TestFeedPauseDispatch(t *testing.T) {
 	for _, left := range []bool{false, true} {
 		r := newRig(t, 2)
 		p := newPipe(r, 20)
@@ -439,9 +439,9 @@
 	}
 }
 
-// TestFeedWindow: a message that may have been taken is sent again only within the window of its first such attempt, and
+// TestFeedDedupWindow: a message that may have been taken is sent again only within the window of its first such attempt, and
 // has its answer all the same.
-func TestFeedWindow(t *testing.T) {
+func TestFeedDedupWindow(t *testing.T) {
 	for _, c := range []struct {
 		class int
 		after time.Duration // from the first attempt until the second link stands
--- a/internal/core/idempotency.go
+++ b/internal/core/idempotency.go
@@ -8,7 +8,7 @@
 
 // This file holds the rules on repeats: no request may take effect twice, whatever the policy decides.
 
-// mayHaveRun says whether an attempt with that result may have run at its member.
+// mayHaveRun reports whether an attempt with that result may have run at its member.
 func mayHaveRun(result policy.Result) bool {
 	return result != policy.Full && result != policy.ConnectFailed && result != policy.NotSent
 }
@@ -19,7 +19,7 @@
 	server policy.Server
 }
 
-// safeToRepeat says whether an attempt may go to a member without the request taking effect twice.
+// safeToRepeat reports whether an attempt may go to a member without the request taking effect twice.
 func (c *Core) safeToRepeat(now time.Duration, r *request, m *member) bool {
 	class := c.policyCfg.Classes[r.Class]
 	switch {
@@ -32,7 +32,7 @@
 		class.Scope == policy.ScopeCell && m.Cell == r.firstRun.server.Cell
 }
 
-// safeToRetry says whether the client of a request may be answered that a retry is harmless.
+// safeToRetry reports whether the client of a request may be answered that a retry is harmless.
 func (c *Core) safeToRetry(r *request) bool {
 	class := c.policyCfg.Classes[r.Class]
 	return class.Idempotency == policy.Idempotent ||
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -19,10 +19,10 @@
 	finished                // it is answered, and nothing of it is left
 )
 
-// atMember says whether a member holds an attempt or a flow of the request.
+// atMember reports whether a member holds an attempt or a flow of the request.
 func (s state) atMember() bool { return s == attempting || s == serving }
 
-// final says whether the request has its final answer.
+// final reports whether the request has its final answer.
 func (s state) final() bool { return s == serving || s == finished }
 
 // event is what happens to a request.
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -93,7 +93,7 @@
 	c.notifyPolicy(policy.ServerList{Kind: policy.ListDelta, Servers: []policy.Server{m.Server}})
 }
 
-// IsKnownMember says whether a member of that name is or was in the pool, or is removed.
+// IsKnownMember reports whether a member of that name is or was in the pool, or is removed.
 func (c *Core) IsKnownMember(name string) bool { return c.byName[name] != nil || c.isRemoved(name) }
 
 // MemberStatus is a pool member as this relay sees it, for operators.
--- a/internal/core/removals.go
+++ b/internal/core/removals.go
@@ -16,7 +16,7 @@
 	Ejection bool
 }
 
-// isRemoved says whether an operator of this relay or the fleet has removed a member.
+// isRemoved reports whether an operator of this relay or the fleet has removed a member.
 func (c *Core) isRemoved(name string) bool {
 	_, agreed := c.fleetRemovals[name]
 	return agreed || c.ejections[name]
--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -57,8 +57,8 @@
 
 func (s *side) got() string { return strings.Join(s.answers, ",") }
 
-// TestFinishEffects: at the end of a planned stop only those are rejected whose repeat is harmless: the rest may have run.
-func TestFinishEffects(t *testing.T) {
+// TestFinishStopIdempotency: at the end of a planned stop only those are rejected whose repeat is harmless: the rest may have run.
+func TestFinishStopIdempotency(t *testing.T) {
 	for class, want := range map[int]string{safeClass: "rejected", keyedAll: "rejected", keyedZone: "failed", keyedCell: "failed", unsafeClass: "failed"} {
 		r := newRigOf(t, classesText, list(2, policy.Ready))
 		out, ran, none := r.bring(class, 2*time.Second), r.bring(class, 2*time.Second), r.bring(class, 2*time.Second)
@@ -96,8 +96,8 @@
 	}
 }
 
-// TestShortWait: who has no time left is answered at once, and nothing is sent.
-func TestShortWait(t *testing.T) {
+// TestShortTimeLeft: who has no time left is answered at once, and nothing is sent.
+func TestShortTimeLeft(t *testing.T) {
 	for _, wait := range []time.Duration{-time.Second, 0, time.Millisecond, 8 * time.Millisecond} {
 		r := newRigOf(t, classesText, list(2, policy.Ready))
 		if s := r.bring(unsafeClass, wait); s.tries != 0 || s.got() != "rejected" || r.ActiveRequests() != 0 {
@@ -139,9 +139,9 @@
 	return m
 }
 
-// TestHeldEnds: the client of a request leaves, or its deadline comes, while its send waits for the end of a doubt: nothing is sent
+// TestPausedSendEnds: the client of a request leaves, or its deadline comes, while its send waits for the end of a doubt: nothing is sent
 // for it, and nothing of it stays in the module.
-func TestHeldEnds(t *testing.T) {
+func TestPausedSendEnds(t *testing.T) {
 	for name, end := range map[string]func(r *rig, s *side){
 		"left":     func(r *rig, s *side) { r.ClientGone(s.id) },
 		"deadline": func(r *rig, s *side) { r.pass(2 * time.Second) },
@@ -164,8 +164,8 @@
 	}
 }
 
-// TestHeldWindow: a repeat that waited for the end of a doubt is not sent once its window is over.
-func TestHeldWindow(t *testing.T) {
+// TestPausedSendDedupWindow: a repeat that waited for the end of a doubt is not sent once its window is over.
+func TestPausedSendDedupWindow(t *testing.T) {
 	r := newRigOf(t, classesText, list(3, policy.Ready))
 	s := r.bring(keyedAll, 2*time.Second)
 	r.PauseDispatch()
@@ -187,9 +187,9 @@
 	}
 }
 
-// TestUpAtLeaving: a flow that comes up at a member that has begun to drain meanwhile is moved, though the module asks for moves
+// TestEstablishedAtUnavailable: a flow that comes up at a member that has begun to drain meanwhile is moved, though the module asks for moves
 // only as it hears of the drain.
-func TestUpAtLeaving(t *testing.T) {
+func TestEstablishedAtUnavailable(t *testing.T) {
 	r := newRigOf(t, classesText, list(1, policy.Ready))
 	s := r.bring(safeClass, 2*time.Second)
 	r.UpdateMembers(policy.ListDelta, list(1, policy.Draining))
@@ -202,8 +202,8 @@
 	}
 }
 
-// TestUpWhileDraining: a flow that comes up while the relay drains is moved at its time, whatever else is due then.
-func TestUpWhileDraining(t *testing.T) {
+// TestEstablishedWhileDraining: a flow that comes up while the relay drains is moved at its time, whatever else is due then.
+func TestEstablishedWhileDraining(t *testing.T) {
 	r := newRigOf(t, classesText, list(1, policy.Ready))
 	s := r.bring(safeClass, 20*time.Second)
 	r.Drain()
@@ -213,9 +213,9 @@
 	}
 }
 
-// TestPacedAndDrained: a member's agreed drain and the relay's own both move a flow, the earlier one of them; and the end of the
+// TestDeferredAndDrained: a member's agreed drain and the relay's own both move a flow, the earlier one of them; and the end of the
 // relay's drain does not undo the other.
-func TestPacedAndDrained(t *testing.T) {
+func TestDeferredAndDrained(t *testing.T) {
 	agreed := func(over time.Duration) map[string]Removal { return map[string]Removal{"m0": {SpreadOver: over}} }
 	within := func(r *rig, s *side, d time.Duration, what string) {
 		t.Helper()
@@ -249,8 +249,8 @@
 	within(r, s, 100*time.Millisecond, "drained after the pace")
 }
 
-// TestServedUnseen: an attempt that is served to its end without ever being up counts for its member, once.
-func TestServedUnseen(t *testing.T) {
+// TestServedWithoutFlow: an attempt that is served to its end without ever being up counts for its member, once.
+func TestServedWithoutFlow(t *testing.T) {
 	r := newRigOf(t, classesText, list(1, policy.Ready))
 	s := r.bring(safeClass, 2*time.Second)
 	s.ends(policy.OK)
@@ -265,8 +265,8 @@
 	}
 }
 
-// TestRejectEffects: a reject by the module does not pass for a request that may have run and may not be repeated.
-func TestRejectEffects(t *testing.T) {
+// TestRejectIdempotency: a reject by the module does not pass for a request that may have run and may not be repeated.
+func TestRejectIdempotency(t *testing.T) {
 	for class, want := range map[int]string{safeClass: "rejected", keyedAll: "rejected", keyedZone: "failed", keyedCell: "failed", unsafeClass: "failed"} {
 		r := newRigOf(t, classesText, list(1, policy.Ready))
 		s := r.bring(class, 2*time.Second)
@@ -277,8 +277,8 @@
 	}
 }
 
-// TestRepeatEffects: after an attempt that may have run the module's word alone starts another only where the class lets it.
-func TestRepeatEffects(t *testing.T) {
+// TestRepeatIdempotency: after an attempt that may have run the module's word alone starts another only where the class lets it.
+func TestRepeatIdempotency(t *testing.T) {
 	away := list(4, policy.Ready)
 	away[1].Cell, away[2].Zone, away[2].Cell, away[3].Zone = 1, 1, 2, 1
 	for class, want := range map[int][4]bool{safeClass: {true, true, true, true}, keyedAll: {true, true, true, true},
@@ -303,8 +303,8 @@
 	}
 }
 
-// TestStandingDeadline: a flow that its member is asked to go on with has its answer by its deadline, though nothing else is due.
-func TestStandingDeadline(t *testing.T) {
+// TestResumedFlowDeadline: a flow that its member is asked to go on with has its answer by its deadline, though nothing else is due.
+func TestResumedFlowDeadline(t *testing.T) {
 	r := newRigOf(t, classesText, list(1, policy.Ready))
 	s := &side{r: r}
 	r.Open(Request{CurrentMember: "m0", Class: unsafeClass, TimeLeft: time.Second}, s)
@@ -334,9 +334,9 @@
 	}
 }
 
-// TestPaceChanges: while the flows of a member leave spread over an agreed time, another word on that member counts at once: a ban by
+// TestDeferredChanges: while the flows of a member leave spread over an agreed time, another word on that member counts at once: a ban by
 // the fleet or by this relay's own operators moves the rest now, and so does a drain in less time.
-func TestPaceChanges(t *testing.T) {
+func TestDeferredChanges(t *testing.T) {
 	over := func(d time.Duration, ban bool) map[string]Removal {
 		return map[string]Removal{"m0": {SpreadOver: d, Ejection: ban}}
 	}
@@ -370,8 +370,8 @@
 	}
 }
 
-// TestTakePaced: flows that another process passes on leave a member spread over the time that is agreed, as those that were here.
-func TestTakePaced(t *testing.T) {
+// TestAdoptDeferred: flows that another process passes on leave a member spread over the time that is agreed, as those that were here.
+func TestAdoptDeferred(t *testing.T) {
 	r := newRigOf(t, classesText, list(1, policy.Ready))
 	r.SetFleetRemovals(map[string]Removal{"m0": {SpreadOver: 10 * time.Second}})
 	var all []*side
@@ -412,8 +412,8 @@
 	}
 }
 
-// TestBeginWindow: a repeat whose connection comes up only after the window is not sent: the send is when its line leaves.
-func TestBeginWindow(t *testing.T) {
+// TestMaySendDedupWindow: a repeat whose connection comes up only after the window is not sent: the send is when its line leaves.
+func TestMaySendDedupWindow(t *testing.T) {
 	for class, late := range map[int]bool{keyedAll: false, safeClass: true} {
 		r := newRigOf(t, classesText, list(2, policy.Ready))
 		s := r.bring(class, 2*time.Second)
@@ -429,8 +429,8 @@
 	}
 }
 
-// TestLeftEffects: a client that ends its sending and still listens may be told that coming again is harmless only where it is.
-func TestLeftEffects(t *testing.T) {
+// TestClientGoneIdempotency: a client that ends its sending and still listens may be told that coming again is harmless only where it is.
+func TestClientGoneIdempotency(t *testing.T) {
 	for class, harmless := range map[int]bool{safeClass: true, keyedAll: true, keyedZone: false, keyedCell: false, unsafeClass: false} {
 		r := newRigOf(t, classesText, list(2, policy.Ready))
 		out, ran, none := r.bring(class, 2*time.Second), r.bring(class, 2*time.Second), r.bring(class, 2*time.Second)
@@ -454,9 +454,9 @@
 	}
 }
 
-// TestAdvice: whoever rejects, for whatever cause, tells the client to come again after no longer than clients heed, and
+// TestRetryAfter: whoever rejects, for whatever cause, tells the client to come again after no longer than clients heed, and
 // tells it nothing where the settings say that clients get no advice.
-func TestAdvice(t *testing.T) {
+func TestRetryAfter(t *testing.T) {
 	for limits, most := range map[string]time.Duration{
 		`"max-attempts":3,"retry-after":true,"max-retry-after-ms":200`:   200 * time.Millisecond,
 		`"max-attempts":3,"max-retry-after-ms":200`:                      200 * time.Millisecond,
@@ -483,9 +483,9 @@
 	}
 }
 
-// TestNoWindow: a class whose repeats are told apart by a key, but for no time that the settings name, is never repeated once it
+// TestNoDedupWindow: a class whose repeats are told apart by a key, but for no time that the settings name, is never repeated once it
 // may have run.
-func TestNoWindow(t *testing.T) {
+func TestNoDedupWindow(t *testing.T) {
 	for _, window := range []string{`,"window-ms":0`, ``, `,"window-ms":-1`} {
 		r := newRigOf(t, strings.ReplaceAll(classesText, `,"window-ms":900`, window), list(2, policy.Ready))
 		s := r.bring(keyedAll, 2*time.Second)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -150,7 +150,7 @@
 	return nil
 }
 
-// Ready says whether what follows will be recorded: the writer works and keeps up. Records
+// Ready reports whether what follows will be recorded: the writer works and keeps up. Records
 // of requests that were accepted are always taken, so these may exceed the queue's limit.
 func (s *Store) Ready() bool {
 	s.mu.Lock()
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// TestBehind: a store that cannot write is not ready, loses nothing that was put
+// TestQueueLimit: a store that cannot write is not ready, loses nothing that was put
 // in, and is ready again once it can.
-func TestBehind(t *testing.T) {
+func TestQueueLimit(t *testing.T) {
 	s, _ := open(t, 4)
 	if _, err := s.db.Exec("ALTER TABLE requests RENAME TO elsewhere"); err != nil {
 		t.Fatal(err)
@@ -98,8 +98,8 @@
 	}
 }
 
-// TestTellsTrouble: a store that fails for a while says so once, and once that it works again, however often it tries.
-func TestTellsTrouble(t *testing.T) {
+// TestLogsFailures: a store that fails for a while says so once, and once that it works again, however often it tries.
+func TestLogsFailures(t *testing.T) {
 	s, _ := open(t, 0)
 	log, hook := test.NewNullLogger()
 	s.log = log
--- a/internal/window/slow_start.go
+++ b/internal/window/slow_start.go
@@ -19,10 +19,10 @@
 	return s
 }
 
-// Active says whether there is a limit now.
+// Active reports whether there is a limit now.
 func (s *SlowStart) Active(now time.Duration) bool { return now < s.endsAt }
 
-// MaySend says whether one more message may be sent.
+// MaySend reports whether one more message may be sent.
 func (s *SlowStart) MaySend(now time.Duration) bool { return !s.Active(now) || s.inFlight < s.limit }
 
 // Sent counts a message that is sent.
--- a/internal/window/window.go
+++ b/internal/window/window.go
@@ -84,7 +84,7 @@
 	return &Window{Limits: l, maxInFlight: min(InitialWindow, l.MaxMessages)}
 }
 
-// HasCapacity says whether another message may be put.
+// HasCapacity reports whether another message may be put.
 func (w *Window) HasCapacity() bool { return w.Len() < w.MaxMessages && w.bytes < w.MaxBytes }
 
 // Len is how many messages it holds.
--- a/internal/window/window_test.go
+++ b/internal/window/window_test.go
@@ -84,9 +84,9 @@
 	}
 }
 
-// TestRefused: after a refusal nothing is sent until all that is out is settled; the refused one
+// TestRejected: after a refusal nothing is sent until all that is out is settled; the refused one
 // is sent again only if its subject has not gone on behind it.
-func TestRefused(t *testing.T) {
+func TestRejected(t *testing.T) {
 	for _, c := range []struct {
 		subjects    []uint64
 		again, fail []uint64
@@ -118,9 +118,9 @@
 	}
 }
 
-// TestPatience: an attempt leaves time for another, the last one has all of it; who waits in
+// TestAckDeadline: an attempt leaves time for another, the last one has all of it; who waits in
 // vain is given up when its time is over and not before.
-func TestPatience(t *testing.T) {
+func TestAckDeadline(t *testing.T) {
 	w := New(Limits{MaxMessages: 10, MaxBytes: 1000, MaxAttempts: 2, LatencyObjective: 100, Repeatable: true})
 	put(w, 1, 7, 1000)
 	begin(w, 0)
@@ -160,9 +160,9 @@
 	want(t, "after late ones", len(begin(w, 1400)), InitialWindow)
 }
 
-// TestPace: all feeds together send a cold member no more than it has shown to take; a warm one
+// TestSlowStart: all feeds together send a cold member no more than it has shown to take; a warm one
 // is not held back.
-func TestPace(t *testing.T) {
+func TestSlowStart(t *testing.T) {
 	p := NewSlowStart(1000, 500)
 	n := 0
 	for ; p.MaySend(1100); n++ {
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -4,7 +4,7 @@
 
 // This file holds the rules on attempts and final answers: every one of them goes through here.
 
-// maySendTo says whether the rules allow an attempt on the server now.
+// maySendTo reports whether the rules allow an attempt on the server now.
 func (r *request) maySendTo(b *Balancer, now time.Duration, s *server) bool {
 	if r.answered || r.inFlight || r.attempts >= b.cfg.MaxAttempts || now >= r.Deadline || s.State != Ready {
 		return false
@@ -23,7 +23,7 @@
 	return false
 }
 
-// mayReject says whether the client may be answered that a further try is harmless.
+// mayReject reports whether the client may be answered that a further try is harmless.
 func (r *request) mayReject(b *Balancer) bool {
 	c := b.cfg.Classes[r.Class]
 	return c.Idempotency == Idempotent || !r.mayHaveRun && !r.inFlight ||
--- a/policy/candidates.go
+++ b/policy/candidates.go
@@ -86,7 +86,7 @@
 	return first
 }
 
-// usable says whether a server may be sent this request at all, capacity aside.
+// usable reports whether a server may be sent this request at all, capacity aside.
 func (b *Balancer) usable(now time.Duration, r *request, s *server) bool {
 	return !slices.Contains(r.triedServers, s.ID) && r.maySendTo(b, now, s) && now >= s.retryAt &&
 		now >= b.zones[s.Zone].retryAt
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -51,7 +51,7 @@
 	b.lendingThresholds[r.Tenant] = min(max(b.lendingThresholds[r.Tenant]+by, lendMin), 1)
 }
 
-// overQuota says whether a tenant holds more than this proxy's part of its quota, with an allowance for
+// overQuota reports whether a tenant holds more than this proxy's part of its quota, with an allowance for
 // chance.
 func (b *Balancer) overQuota(t int) bool {
 	part := b.cfg.Tenants[t].Quota / b.servingRelays()
--- a/policy/migration.go
+++ b/policy/migration.go
@@ -49,8 +49,8 @@
 	return b.cfg.Classes[r.Class].PriorityWeight / b.loadOf(r)
 }
 
-// isLowValue says whether a class is worth under lowValueRatio of what the best one is for its load, once
-// its load is known.
+// isLowValue reports whether a class is worth under lowValueRatio of what the best one is for its load,
+// once its load is known.
 func (b *Balancer) isLowValue(class int) bool {
 	best, load := 0.0, b.classLoad[class]
 	for i, other := range b.classLoad {
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -57,8 +57,8 @@
 	b.waitForCapacity(now, r)
 }
 
-// probeCandidates probes candidates of the stage whose reports are old, within the budget, and says whether
-// the request waits for the answers.
+// probeCandidates probes candidates of the stage whose reports are old, within the budget, and reports
+// whether the request waits for the answers.
 func (b *Balancer) probeCandidates(now time.Duration, r *request, tiered [tierCount][]*server) bool {
 	if b.probeAllowance() == 0 || r.MidFlow || r.probedStage > r.stage {
 		return false
--- a/policy/state.go
+++ b/policy/state.go
@@ -133,17 +133,17 @@
 	canaryOverflows uint64 // connections that were assigned to the canary group and went elsewhere
 }
 
-// inCanary says whether a server belongs to the canary group.
+// inCanary reports whether a server belongs to the canary group.
 func (b *Balancer) inCanary(id ServerID) bool {
 	return b.canary.Contains != nil && b.canary.Contains(id)
 }
 
-// isCanaryFlow says whether a connection is assigned to the canary group.
+// isCanaryFlow reports whether a connection is assigned to the canary group.
 func (b *Balancer) isCanaryFlow(q Request) bool {
 	return b.canary.Assigned != nil && !q.MidFlow && b.canary.Assigned(cmp.Or(q.Group, q.Key))
 }
 
-// hasGroup says whether the server holds own connections of a group.
+// hasGroup reports whether the server holds own connections of a group.
 func (s *server) hasGroup(group uint64) bool {
 	return slices.ContainsFunc(s.conns, func(r *request) bool { return r.Group == group })
 }
