--- a/internal/rollout/allowance.go
+++ b/internal/rollout/allowance.go
@@ -125,7 +125,8 @@
 }
 
 func (rec *record) allowance(kind Kind, s KindSummary, b Budgets) *allowance {
-	a := &allowance{budget: b.Members, capacityReserve: b.CapacityReserve, summary: s, out: map[string]bool{}, outByZone: map[string]int{}, granted: map[string]bool{}}
+	a := &allowance{budget: b.Members, capacityReserve: b.CapacityReserve, summary: s,
+		out: map[string]bool{}, outByZone: map[string]int{}, granted: map[string]bool{}}
 	if kind == KindRelay {
 		a.budget = b.Relays
 	}
--- a/internal/rollout/command.go
+++ b/internal/rollout/command.go
@@ -25,7 +25,7 @@
 	CommandObserve       CommandKind = "seen"  // Observations: units, permits and readmitted relays that were seen to have progressed
 	CommandExpirePermits CommandKind = "void"  // PermitNumbers: not begun in time, or whose requester is gone
 	CommandQuarantine    CommandKind = "shut"  // Name, Reason, Zone, Capacity, StartNumber, BaseVersion, Basis: a drifted relay takes no clients
-	CommandReadmit       CommandKind = "admit" // Name, Reason: it may take clients again. The leader's has Cause and BaseVersion; an operator's overrides the drift
+	CommandReadmit       CommandKind = "admit" // Name, Reason: it may take clients again; by the leader also Cause and BaseVersion
 )
 
 // Cause is why the leader halts, resumes or readmits; an operator's command has none.
--- a/internal/rollout/plan_units.go
+++ b/internal/rollout/plan_units.go
@@ -77,7 +77,10 @@
 // waited for.
 func (p *planner) versionsUnknown(r *release) bool {
 	spec := &r.Spec
-	return spec.Kind == KindRelay && p.now-r.ProgressAt <= p.budgets.DrainTimeoutMS+p.budgets.StartTimeoutMS && slices.ContainsFunc(p.view.Relays, func(x Relay) bool {
+	if spec.Kind != KindRelay || p.now-r.ProgressAt > p.budgets.DrainTimeoutMS+p.budgets.StartTimeoutMS {
+		return false
+	}
+	return slices.ContainsFunc(p.view.Relays, func(x Relay) bool {
 		return spec.selects(x.Name, x.Zone) && (spec.Program != "" && x.Program == "" || spec.Config != "" && x.Config == "")
 	})
 }
--- a/internal/rollout/view.go
+++ b/internal/rollout/view.go
@@ -9,7 +9,7 @@
 	Service         []ServiceWindow `json:"service"` // windows in which all relays counted, oldest first
 	Degraded        string          `json:"worse,omitempty"`
 	DegradedRelease string          `json:"worse_of,omitempty"` // the release that Degraded speaks of; "" for all
-	Drift           string          `json:"drift,omitempty"`    // of relays that are not quarantined: it blocks releases, and one of them may be what repairs a quarantined relay
+	Drift           string          `json:"drift,omitempty"`    // of relays that are not quarantined; it blocks releases
 	DriftMS         int64           `json:"drift_ms,omitempty"` // for how long
 	// Relays that should be quarantined, with the reason, and in order from the worst. A relay that is quarantined and not in here is readmitted, so
 	// a leader that does not know yet names those that are.
