--- a/internal/knownfailures/gotest/main.go
+++ b/internal/knownfailures/gotest/main.go
@@ -1,4 +1,4 @@
-// Command gotest runs a go test command and judges it against a list of tests that are known to fail (package knownred).
+// Command gotest runs a go test command and judges it against a list of tests that are known to fail (package knownfailures).
 //
 //	gotest LIST COMMAND
 //
@@ -19,7 +19,7 @@
 	"dahliarudder/internal/knownfailures"
 )
 
-const prefix = "go test "
+const commandPrefix = "go test "
 
 func main() {
 	if len(os.Args) != 3 {
@@ -36,23 +36,23 @@
 }
 
 func run(list, command string, out io.Writer) (passes bool, err error) {
-	arguments, ok := strings.CutPrefix(command, prefix)
+	arguments, ok := strings.CutPrefix(command, commandPrefix)
 	if !ok || strings.Contains(command, "\n") {
 		return false, fmt.Errorf("%q is not one go test command", command)
 	}
-	entries, err := read(list)
+	entries, err := readList(list)
 	if err != nil {
 		return false, err
 	}
-	if err := exist(entries); err != nil {
+	if err := checkExist(entries); err != nil {
 		return false, err
 	}
 	tests := knownfailures.NewRun()
-	exit, err := events("go test -json "+arguments, func(line string) { tests.Line(line, out) })
+	exit, err := runCommand("go test -json "+arguments, func(line string) { tests.AddLine(line, out) })
 	if err != nil {
 		return false, err
 	}
-	tests.End(out)
+	tests.Finish(out)
 	passes, report := tests.Judge(entries, exit)
 	if !passes {
 		fmt.Fprintln(out, "FAIL")
@@ -63,7 +63,7 @@
 	return passes, nil
 }
 
-func read(list string) ([]knownfailures.Entry, error) {
+func readList(list string) ([]knownfailures.Entry, error) {
 	text, err := os.ReadFile(list)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -74,24 +74,24 @@
 	return knownfailures.Parse(string(text))
 }
 
-// exist fails if a listed test does not exist.
-func exist(entries []knownfailures.Entry) error {
+// checkExist returns an error if a listed test does not exist.
+func checkExist(entries []knownfailures.Entry) error {
 	for _, entry := range entries {
 		list := exec.Command("go", "test", "-list", "^"+entry.Test+"$", entry.Package)
 		list.Stderr = os.Stderr
 		listing, err := list.Output()
 		if err != nil {
-			return fmt.Errorf("known red: the tests of %s cannot be listed: %w: %s", entry.Package, err, listing)
+			return fmt.Errorf("known failures: the tests of %s cannot be listed: %w: %s", entry.Package, err, listing)
 		}
 		if !entry.Exists(string(listing)) {
-			return fmt.Errorf("known red: %s does not exist", entry.Name)
+			return fmt.Errorf("known failures: %s does not exist", entry.Name)
 		}
 	}
 	return nil
 }
 
-// events runs a command and hands on each line of its output.
-func events(command string, take func(line string)) (exit int, err error) {
+// runCommand runs a shell command and calls take with each line of its output.
+func runCommand(command string, take func(line string)) (exit int, err error) {
 	shell := exec.Command("sh", "-c", command)
 	shell.Stderr = os.Stderr
 	output, err := shell.StdoutPipe()
--- a/internal/knownfailures/knownred_test.go
+++ b/internal/knownfailures/knownfailures_test.go
@@ -104,7 +104,7 @@
 	} {
 		run := NewRun()
 		for _, line := range c.lines {
-			run.Line(line, t.Output())
+			run.AddLine(line, t.Output())
 		}
 		passes, report := run.Judge(listed, c.exit)
 		if text := strings.Join(report, "\n"); passes != c.passes || !strings.Contains(text, c.report) {
@@ -140,9 +140,9 @@
 		`{"Action":"output","Package":"relay/wire","Output":"cut off\n"}`,
 		"no event",
 	} {
-		run.Line(line, &out)
+		run.AddLine(line, &out)
 	}
-	run.End(&out)
+	run.Finish(&out)
 	const want = "core.go:1:1: undefined\nok  \trelay/policy\t0.1s\n--- FAIL: TestRed (0.00s)\nFAIL\nFAIL\trelay\t0.1s\nno event\ncut off\n"
 	if out.String() != want {
 		t.Errorf("%q", out.String())
--- a/internal/knownfailures/list.go
+++ b/internal/knownfailures/list.go
@@ -11,12 +11,12 @@
 	"strings"
 )
 
-// Most is how many tests the list may name: the project's rule on tests.
-const Most = 3
+// MaxEntries is how many tests the list may name, by the project's rule on tests.
+const MaxEntries = 3
 
 const (
-	separator = "|"
-	fields    = 4
+	separator  = "|"
+	fieldCount = 4
 )
 
 var (
@@ -32,7 +32,7 @@
 	Test    string
 }
 
-// String is the name as reports have it.
+// String returns the name as reports print it.
 func (n Name) String() string { return n.Package + "." + n.Test }
 
 // Entry is one line of the list.
@@ -42,21 +42,21 @@
 	Issue string
 }
 
-// ListError is a list that cannot be used. Line counts from 1; it is 0 if the list as a whole is at fault.
+// ListError says why a list cannot be used. Line counts from 1; it is 0 if no single line is at fault.
 type ListError struct {
 	Line   int
 	Reason string
 }
 
-// Error names the line, if one is at fault, and the reason.
+// Error returns the reason, with the line if one is at fault.
 func (e *ListError) Error() string {
 	if e.Line == 0 {
-		return "known red: " + e.Reason
+		return "known failures: " + e.Reason
 	}
-	return fmt.Sprintf("known red, line %d: %s", e.Line, e.Reason)
+	return fmt.Sprintf("known failures, line %d: %s", e.Line, e.Reason)
 }
 
-// Parse reads the text of a list; empty lines do not count.
+// Parse parses the text of a list. Empty lines are ignored.
 func Parse(text string) ([]Entry, error) {
 	var entries []Entry
 	seen := map[Name]bool{}
@@ -74,15 +74,15 @@
 		seen[entry.Name] = true
 		entries = append(entries, entry)
 	}
-	if len(entries) > Most {
-		return nil, &ListError{Reason: fmt.Sprintf("%d tests are listed, at most %d may be", len(entries), Most)}
+	if len(entries) > MaxEntries {
+		return nil, &ListError{Reason: fmt.Sprintf("%d tests are listed, at most %d may be", len(entries), MaxEntries)}
 	}
 	return entries, nil
 }
 
 func parseLine(line string) (entry Entry, reason string) {
 	parts := strings.Split(line, separator)
-	if len(parts) != fields {
+	if len(parts) != fieldCount {
 		return entry, "not of the form TestFullName | package | cause | issue"
 	}
 	for i, part := range parts {
@@ -100,7 +100,7 @@
 	return Entry{Name: Name{Package: parts[1], Test: parts[0]}, Cause: parts[2], Issue: parts[3]}, ""
 }
 
-// Exists says whether the output of go test -list has the test.
+// Exists reports whether the output of go test -list contains the test.
 func (n Name) Exists(listing string) bool {
 	for _, line := range strings.Split(listing, "\n") {
 		if line == n.Test {
--- a/internal/knownfailures/run.go
+++ b/internal/knownfailures/run.go
@@ -4,12 +4,13 @@
 	"encoding/json"
 	"fmt"
 	"io"
+	"maps"
 	"regexp"
 	"slices"
 	"strings"
 )
 
-// Actions of go test -json that are used here (go doc test2json).
+// Actions of go test -json (go doc test2json) that are used here. The last three are also results of tests and packages.
 const (
 	actionOutput      = "output"
 	actionBuildOutput = "build-output"
@@ -19,17 +20,17 @@
 	actionSkip        = "skip"
 )
 
-// Outcomes of a listed test that has no action as its result.
+// Results of a listed test without such an action.
 const (
-	notRun     = "did not run"
-	unfinished = "did not finish"
+	resultNotRun     = "did not run"
+	resultUnfinished = "did not finish"
 )
 
-// progress is what go test prints of a test's progress with -json or -v alone.
-var progress = regexp.MustCompile(`^=== (RUN|PAUSE|CONT|NAME) `)
+// progressLine matches the output on a test's progress that go test prints only with -json or -v.
+var progressLine = regexp.MustCompile(`^=== (RUN|PAUSE|CONT|NAME) `)
 
-// event is a line of go test -json.
-type event struct {
+// testEvent is one line of go test -json.
+type testEvent struct {
 	Action      string
 	Package     string
 	Test        string
@@ -37,10 +38,10 @@
 	FailedBuild string
 }
 
-// Run is what go test said of its packages and tests.
+// Run is the state of a run of go test, as its events report it.
 type Run struct {
-	packages map[string]*packageRun
-	strange  bool // a line was no event
+	packages  map[string]*packageRun
+	malformed bool // a line was not an event
 }
 
 // packageRun is one package's part of a run.
@@ -48,18 +49,18 @@
 	result      string // pass, fail, skip; empty before
 	failedBuild string
 	tests       map[string]string // each test and subtest, with its result; empty before
-	output      []event
+	output      []testEvent
 }
 
-// NewRun is a run of which nothing is known yet.
+// NewRun returns a run without events.
 func NewRun() *Run { return &Run{packages: map[string]*packageRun{}} }
 
-// Line takes in one line of go test -json and writes what go test without it would print: for a package that passes its closing
-// line alone, otherwise also the output of what did not pass.
-func (r *Run) Line(line string, out io.Writer) {
-	var e event
+// AddLine adds one line of go test -json, and writes what go test would print without that flag: of a package that passes only its
+// last line, of others also the output of what did not pass.
+func (r *Run) AddLine(line string, out io.Writer) {
+	var e testEvent
 	if err := json.Unmarshal([]byte(line), &e); err != nil || e.Action == "" {
-		r.strange = true
+		r.malformed = true
 		fmt.Fprintln(out, line)
 		return
 	}
@@ -74,22 +75,22 @@
 		p = &packageRun{tests: map[string]string{}}
 		r.packages[e.Package] = p
 	}
-	if p.take(e) {
-		p.print(out)
+	if p.record(e) {
+		p.writeOutput(out)
 	}
 }
 
-// End writes what packages printed that came to no result.
-func (r *Run) End(out io.Writer) {
-	for _, name := range sorted(r.packages) {
+// Finish writes the output of packages that came to no result.
+func (r *Run) Finish(out io.Writer) {
+	for _, name := range slices.Sorted(maps.Keys(r.packages)) {
 		if p := r.packages[name]; p.result == "" {
-			p.print(out)
+			p.writeOutput(out)
 		}
 	}
 }
 
-// take notes an event; it says whether it is the package's last.
-func (p *packageRun) take(e event) (ended bool) {
+// record adds an event. It reports whether that is the package's last.
+func (p *packageRun) record(e testEvent) (ended bool) {
 	switch e.Action {
 	case actionOutput:
 		p.output = append(p.output, e)
@@ -109,61 +110,61 @@
 	return false
 }
 
-func (p *packageRun) print(out io.Writer) {
+func (p *packageRun) writeOutput(out io.Writer) {
 	if last := len(p.output) - 1; last >= 0 && (p.result == actionPass || p.result == actionSkip) {
 		io.WriteString(out, p.output[last].Output)
 		return
 	}
 	for _, e := range p.output {
-		if !progress.MatchString(e.Output) && !p.passed(e.Test) {
+		if !progressLine.MatchString(e.Output) && !p.testPassed(e.Test) {
 			io.WriteString(out, e.Output)
 		}
 	}
 }
 
-func (p *packageRun) passed(test string) bool {
-	result := p.tests[top(test)]
+func (p *packageRun) testPassed(test string) bool {
+	result := p.tests[topLevelTest(test)]
 	return result == actionPass || result == actionSkip
 }
 
-// top is the test that a subtest belongs to.
-func top(test string) string {
+// topLevelTest returns the test that a subtest belongs to.
+func topLevelTest(test string) string {
 	name, _, _ := strings.Cut(test, "/")
 	return name
 }
 
-// Judge says whether a run passes. exit is go test's own exit code. The report has a line for each listed test and one for each
-// failure that is not excused.
+// Judge reports whether a run passes, given go test's exit code. The report has a line for each listed test and one for each failure
+// that is not excused.
 func (r *Run) Judge(entries []Entry, exit int) (passes bool, report []string) {
 	listed := map[Name]bool{}
 	for _, entry := range entries {
 		listed[entry.Name] = true
-		report = append(report, r.describe(entry))
+		report = append(report, r.describeEntry(entry))
 	}
-	var faults []string
-	if r.strange {
-		faults = append(faults, "go test printed a line that is no event")
+	var failures []string
+	if r.malformed {
+		failures = append(failures, "go test printed a line that is no event")
 	}
 	failed := 0
-	for _, name := range sorted(r.packages) {
+	for _, name := range slices.Sorted(maps.Keys(r.packages)) {
 		p := r.packages[name]
 		if p.result == actionFail {
 			failed++
 		}
-		faults = append(faults, p.faults(name, listed)...)
+		failures = append(failures, p.unexcusedFailures(name, listed)...)
 	}
-	// go test's exit code is 1 if a package failed, 0 if none did; anything else is a fault of the call.
+	// go test exits with 1 if a package failed and with 0 if none did. Anything else is an error of the call.
 	if want := min(failed, 1); exit != want {
-		faults = append(faults, fmt.Sprintf("go test ended with exit code %d and %d failed packages", exit, failed))
+		failures = append(failures, fmt.Sprintf("go test ended with exit code %d and %d failed packages", exit, failed))
 	}
 	if len(r.packages) == 0 {
-		faults = append(faults, "go test ran no package")
+		failures = append(failures, "go test ran no package")
 	}
-	return len(faults) == 0, append(report, faults...)
+	return len(failures) == 0, append(report, failures...)
 }
 
-func (r *Run) describe(entry Entry) string {
-	text := fmt.Sprintf("known red: %s: %s (%s): ", entry.Name, entry.Cause, entry.Issue)
+func (r *Run) describeEntry(entry Entry) string {
+	text := fmt.Sprintf("known failure: %s: %s (%s): ", entry.Name, entry.Cause, entry.Issue)
 	switch result := r.result(entry.Name); result {
 	case actionFail:
 		return text + "failed"
@@ -179,51 +180,51 @@
 func (r *Run) result(name Name) string {
 	p := r.packages[name.Package]
 	if p == nil {
-		return notRun
+		return resultNotRun
 	}
 	result, ran := p.tests[name.Test]
 	switch {
 	case !ran:
-		return notRun
+		return resultNotRun
 	case result == "":
-		return unfinished
+		return resultUnfinished
 	}
 	return result
 }
 
-// faults are a package's failures that the list does not excuse.
-func (p *packageRun) faults(name string, listed map[Name]bool) (faults []string) {
+// unexcusedFailures returns the package's failures that the list does not excuse.
+func (p *packageRun) unexcusedFailures(name string, listed map[Name]bool) (failures []string) {
 	if p.failedBuild != "" {
 		return []string{name + " does not build"}
 	}
 	anyFailed := false
-	for _, test := range sorted(p.tests) {
+	for _, test := range slices.Sorted(maps.Keys(p.tests)) {
 		switch p.tests[test] {
 		case "":
-			faults = append(faults, fmt.Sprintf("%s.%s did not finish", name, test))
+			failures = append(failures, fmt.Sprintf("%s.%s did not finish", name, test))
 		case actionFail:
 			anyFailed = true
-			if !listed[Name{name, top(test)}] {
-				faults = append(faults, fmt.Sprintf("%s.%s failed", name, test))
+			if !listed[Name{name, topLevelTest(test)}] {
+				failures = append(failures, fmt.Sprintf("%s.%s failed", name, test))
 			}
 		}
 	}
 	switch {
 	case p.result == "":
-		faults = append(faults, name+" has no result")
+		failures = append(failures, name+" has no result")
 	case p.result != actionFail && anyFailed:
-		faults = append(faults, name+" passed though a test failed")
+		failures = append(failures, name+" passed though a test failed")
 	case p.result == actionFail && !anyFailed:
-		faults = append(faults, name+" failed outside its tests")
-	case p.result == actionFail && !p.complete():
-		faults = append(faults, name+" ended before its verdict (panic, time limit or exit)")
+		failures = append(failures, name+" failed outside its tests")
+	case p.result == actionFail && !p.ranToEnd():
+		failures = append(failures, name+" ended before its verdict (panic, time limit or exit)")
 	}
-	return faults
+	return failures
 }
 
-// complete says whether the package ran to the end of its tests: the testing package's FAIL, then go test's own line, and
-// nothing between. A panic, the time limit or an exit leave the first out, or print something after it.
-func (p *packageRun) complete() bool {
+// ranToEnd reports whether the package ran to the end of its tests: it printed the testing package's FAIL, then go test's own line,
+// and nothing between. After a panic, a timeout or an exit the first is missing or something follows it.
+func (p *packageRun) ranToEnd() bool {
 	var last []string
 	for _, e := range p.output {
 		if e.Test == "" {
@@ -233,12 +234,3 @@
 	n := len(last)
 	return n >= 2 && last[n-2] == "FAIL\n" && strings.HasPrefix(last[n-1], "FAIL\t")
 }
-
-func sorted[V any](m map[string]V) []string {
-	names := make([]string, 0, len(m))
-	for name := range m {
-		names = append(names, name)
-	}
-	slices.Sort(names)
-	return names
-}
