--- /dev/null
+++ b/internal/gossip/stale_list_test.go
@@ -0,0 +1,47 @@
+package gossip
+
+import (
+	"testing"
+	"time"
+)
+
+// TestStaleListDetector: a relay polls when others stay ahead, less and less often while that brings nothing, and not for one of several.
+func TestStaleListDetector(t *testing.T) {
+	peer := func(generation uint64, state State) *Peer {
+		return &Peer{Update: Update{State: state, Phase: Serving, Generation: generation}, LastContact: 1}
+	}
+	for _, c := range []struct {
+		what  string
+		peers []*Peer
+		polls int // in a minute
+	}{
+		{"nobody ahead", []*Peer{peer(7, Alive), peer(5, Alive)}, 0},
+		{"one of three ahead", []*Peer{peer(9, Alive), peer(7, Alive), peer(7, Alive)}, 0},
+		{"the only one ahead", []*Peer{peer(8, Alive)}, 5},
+		{"two of three", []*Peer{peer(8, Alive), peer(9, Alive), peer(7, Alive)}, 5},
+		{"two that are gone", []*Peer{peer(8, Gone), peer(9, Dead), peer(7, Alive)}, 0},
+	} {
+		var s StaleListDetector
+		polls, first := 0, time.Duration(0)
+		for now := time.Second; now <= time.Minute; now += 250 * time.Millisecond {
+			if s.ShouldRefresh(now, 7, c.peers) {
+				if polls++; polls == 1 {
+					first = now
+				}
+			}
+		}
+		if polls != c.polls || polls > 0 && first != 2*time.Second {
+			t.Errorf("%s: %d polls, the first after %v", c.what, polls, first)
+		}
+	}
+	var s StaleListDetector
+	for now := time.Second; now < 5*time.Second; now += 250 * time.Millisecond {
+		own := uint64(7)
+		if now > 1500*time.Millisecond {
+			own = 8 // its own watch has brought it a little later
+		}
+		if s.ShouldRefresh(now, own, []*Peer{peer(8, Alive)}) {
+			t.Errorf("polled at %v for what it has", now)
+		}
+	}
+}
--- a/internal/netloop/conn_test.go
+++ b/internal/netloop/conn_test.go
@@ -198,10 +198,10 @@
 	b.WaitFor("the second", func() bool { b.Advance(time.Second); return len(taken) == 2 })
 }
 
-// TestSpare: when descriptors run short, who may be spared is given up for those
+// TestEvict: when descriptors run short, who may be spared is given up for those
 // that come, longest so first, and nobody else. Guards against connections that
 // say nothing keeping others out.
-func TestSpare(t *testing.T) {
+func TestEvict(t *testing.T) {
 	const limit = 16
 	b := looptest.New(t, limit)
 	var taken []*netloop.Conn
@@ -239,10 +239,10 @@
 	peers[0].Expect("yes")
 }
 
-// TestSpareNew: while descriptors are short and nobody else can be spared, who comes
+// TestEvictNew: while descriptors are short and nobody else can be spared, who comes
 // is heard before it may be given up. Guards against a relay that many open flows
 // fill turning everyone away unheard.
-func TestSpareNew(t *testing.T) {
+func TestEvictNew(t *testing.T) {
 	const limit = 16
 	b := looptest.New(t, limit)
 	var last *end
--- a/internal/netloop/ending_test.go
+++ b/internal/netloop/ending_test.go
@@ -13,9 +13,9 @@
 	"dahliarudder/internal/netloop/looptest"
 )
 
-// TestEndFirst: the end of a peer that has sent more than is taken in is told while its bytes are unread, once, to
+// TestEarlyEOF: the end of a peer that has sent more than is taken in is told while its bytes are unread, once, to
 // who wants that, and to others only after the bytes.
-func TestEndFirst(t *testing.T) {
+func TestEarlyEOF(t *testing.T) {
 	for _, first := range []bool{true, false} {
 		b := looptest.New(t, 8)
 		e, p := pair(b)
@@ -115,9 +115,9 @@
 	return state
 }
 
-// TestReserve: connections of a reserve are dialled however many the rest of the loop holds, and no more than the
+// TestDescriptorReserve: connections of a reserve are dialled however many the rest of the loop holds, and no more than the
 // reserve has room for; one that has ended and lingers makes room.
-func TestReserve(t *testing.T) {
+func TestDescriptorReserve(t *testing.T) {
 	b := looptest.New(t, 1)
 	other := b.Listen()
 	b.Loop.Dial(other.Addr(), time.Second, &end{})
--- a/internal/netloop/stall_test.go
+++ b/internal/netloop/stall_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestGap: a process that stood still is told of, before anything else; a start that took its time, and a usual wait, are not.
-func TestGap(t *testing.T) {
+// TestOnStall: a process that stood still is told of, before anything else; a start that took its time, and a usual wait, are not.
+func TestOnStall(t *testing.T) {
 	now := time.Hour
 	l, err := New(func() time.Duration { return now }, 8)
 	if err != nil {
--- a/internal/netloop/tls_test.go
+++ b/internal/netloop/tls_test.go
@@ -50,9 +50,9 @@
 	}()
 }
 
-// TestSecure: bytes pass both ways in pieces of any size, by both versions, with the handshake to
+// TestTLS: bytes pass both ways in pieces of any size, by both versions, with the handshake to
 // either side, and a polite end is one on both.
-func TestSecure(t *testing.T) {
+func TestTLS(t *testing.T) {
 	for _, version := range []uint16{tls.VersionTLS12, tls.VersionTLS13} {
 		for _, client := range []bool{false, true} {
 			b := looptest.New(t, 32)
@@ -121,9 +121,9 @@
 	}
 }
 
-// TestSecureFails: what is no handshake, one that does not come, and one too many end the connection
+// TestTLSFails: what is no handshake, one that does not come, and one too many end the connection
 // with a word to the handler, and their goroutines.
-func TestSecureFails(t *testing.T) {
+func TestTLSFails(t *testing.T) {
 	b := looptest.New(t, 16)
 	cfg := certificate(t)
 	start := func() (*end, *looptest.Peer) {
