--- a/cmd/dahliarudder/listen.go
+++ b/cmd/dahliarudder/listen.go
@@ -78,7 +78,7 @@
 		unix.Close(fd)
 		return r.listenOnNewSocket(addr, accept)
 	}
-	l, err := r.loop.Inherit(fd, accept)
+	l, err := r.loop.ListenInherited(fd, accept)
 	if err == nil {
 		l.SetPaused(true)
 	}
--- a/internal/handover/peer.go
+++ b/internal/handover/peer.go
@@ -30,7 +30,7 @@
 func NewPeer(loop *netloop.Loop, fd int, onMessage func(m *Message, fds []int), onEnd func(error)) (*Peer, error) {
 	p := &Peer{unconfirmed: map[uint64]Transfer{}}
 	var err error
-	p.channel, err = loop.Channel(fd, func(frame []byte, fds []int) {
+	p.channel, err = loop.ServeChannel(fd, func(frame []byte, fds []int) {
 		p.fds = append(p.fds, fds...)
 		n, err := p.assembler.add(frame)
 		if err != nil {
--- a/internal/netloop/channel.go
+++ b/internal/netloop/channel.go
@@ -35,9 +35,9 @@
 	fds  []int // duplicates, closed once sent
 }
 
-// Channel serves a connected socket. OnMessage must take the descriptors that come over or close them; onEnd is called once, when
+// ServeChannel serves a connected socket. OnMessage must take the descriptors that come over or close them; onEnd is called once, when
 // the other process is gone.
-func (l *Loop) Channel(fd int, onMessage func(text []byte, fds []int), onEnd func(error)) (*Channel, error) {
+func (l *Loop) ServeChannel(fd int, onMessage func(text []byte, fds []int), onEnd func(error)) (*Channel, error) {
 	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, 2*maxMessageSize)
 	c := &Channel{loop: l, fd: fd, onMessage: onMessage, onEnd: onEnd}
 	err := unix.SetNonblock(fd, true)
--- a/internal/netloop/channel_test.go
+++ b/internal/netloop/channel_test.go
@@ -26,7 +26,7 @@
 func (e *ends) join(b *looptest.Harness, fd int) {
 	b.T.Helper()
 	var err error
-	e.c, err = b.Channel(fd, func(text []byte, fds []int) { e.got, e.fds = append(e.got, text), append(e.fds, fds...) },
+	e.c, err = b.ServeChannel(fd, func(text []byte, fds []int) { e.got, e.fds = append(e.got, text), append(e.fds, fds...) },
 		func(err error) { e.over = err })
 	if err != nil {
 		b.T.Fatal(err)
@@ -156,7 +156,7 @@
 	if !netloop.IsBoundTo(twin, old.Addr()) || netloop.IsBoundTo(twin, "127.0.0.1:1") || !netloop.IsBoundTo(twin, "127.0.0.1:0") {
 		t.Error("where it listens is not known")
 	}
-	heir, err := b.Inherit(twin, listener("heir"))
+	heir, err := b.ListenInherited(twin, listener("heir"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/netloop/listener.go
+++ b/internal/netloop/listener.go
@@ -86,8 +86,8 @@
 	return s.loop.register(s.fd, unix.EPOLLIN, s, &s.loop.descriptorBudget)
 }
 
-// Inherit listens on a socket that another process has opened and listens on too.
-func (l *Loop) Inherit(fd int, accept func(*Conn)) (*Listener, error) {
+// ListenInherited listens on a socket that another process has opened and listens on too.
+func (l *Loop) ListenInherited(fd int, accept func(*Conn)) (*Listener, error) {
 	s := &Listener{loop: l, fd: fd, onAccept: accept, budget: &l.descriptorBudget}
 	if err := l.register(fd, unix.EPOLLIN, s, &l.descriptorBudget); err != nil {
 		unix.Close(fd)
