--- a/internal/netloop/loop.go
+++ b/internal/netloop/loop.go
@@ -43,8 +43,9 @@
 	tlsReadBuffer []byte // for decrypted TLS records; nil until there are any
 	discardBuffer []byte // for what is written to connections that have ended
 	freeBuffers   [][]byte
-	freeBytes     int // the capacity of freeBuffers
-	handshakes    int // TLS handshakes under way
+	freeBytes     int            // the capacity of freeBuffers
+	handshakes    int            // TLS handshakes under way
+	handshakers   sync.WaitGroup // their goroutines
 
 	mu     sync.Mutex
 	posted []func()
@@ -167,7 +168,7 @@
 	return nil
 }
 
-// Close closes every descriptor of the loop.
+// Close closes every descriptor of the loop, and waits for the goroutines of TLS handshakes, which end at once.
 func (l *Loop) Close() {
 	if l.sources == nil {
 		return
@@ -176,7 +177,9 @@
 	l.closed, l.posted = true, nil
 	l.mu.Unlock()
 	for fd, s := range l.sources {
-		if c, ok := s.(*Conn); ok && c.tls == nil {
+		if c, ok := s.(*Conn); ok && c.tls != nil {
+			c.tls.transport.Close()
+		} else if ok {
 			c.shutdownOnExit()
 		}
 		unix.Close(fd)
@@ -184,6 +187,7 @@
 	l.closeReleased()
 	unix.Close(l.epollFD)
 	l.sources = nil
+	l.handshakers.Wait()
 }
 
 func (l *Loop) epollCtl(op, fd int, events uint32) error {
--- a/internal/netloop/tls.go
+++ b/internal/netloop/tls.go
@@ -67,10 +67,10 @@
 	c.tls, c.readPaused = s, false
 	s.handshakeTimer = c.loop.After(within, func() { c.fail(ErrDialTimeout) })
 	c.updateInterest()
-	go func() {
+	c.loop.handshakers.Go(func() {
 		err := s.tls.Handshake()
 		c.loop.Post(func() { s.finishHandshake(err, done) })
-	}()
+	})
 }
 
 // IsTLS reports whether the TLS handshake has succeeded.
--- a/internal/netloop/tls_test.go
+++ b/internal/netloop/tls_test.go
@@ -1,6 +1,7 @@
 package netloop_test
 
 import (
+	"bytes"
 	"crypto/ecdsa"
 	"crypto/elliptic"
 	"crypto/rand"
@@ -10,6 +11,7 @@
 	"io"
 	"math/big"
 	random "math/rand/v2"
+	"runtime"
 	"strings"
 	"testing"
 	"time"
@@ -169,3 +171,18 @@
 		return up
 	})
 }
+
+// TestCloseEndsHandshakes: when a loop is closed, no goroutine of a handshake is left, also of one whose peer sends nothing.
+func TestCloseEndsHandshakes(t *testing.T) {
+	b := looptest.New(t, 16)
+	cfg := certificate(t)
+	for range 3 {
+		e, _ := pair(b)
+		e.c.StartTLS(cfg, false, time.Minute, func(tls.ConnectionState) { t.Error("a handshake succeeded") })
+	}
+	b.Close()
+	stacks := make([]byte, 1<<20)
+	if stacks = stacks[:runtime.Stack(stacks, true)]; bytes.Contains(stacks, []byte("tls.(*Conn).Handshake")) {
+		t.Errorf("a handshake goes on:\n%s", stacks)
+	}
+}
