--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -29,7 +29,7 @@
 	shut bool
 }
 
-// side is a virtual server that keeps what it is told.
+// side is a downstream that keeps what it receives.
 type side struct {
 	r       *rig
 	id      ID
@@ -93,7 +93,7 @@
 	return out
 }
 
-// established brings a request that waits for two seconds.
+// open brings a request that waits for two seconds.
 func (r *rig) open() *side {
 	s := &side{r: r}
 	s.id = r.Open(Request{Load: 0.01, TimeLeft: 2 * time.Second}, s)
@@ -153,7 +153,7 @@
 	}
 }
 
-// TestMayStart: the module's word alone starts no attempt.
+// TestMayStart: the policy's action alone starts no attempt.
 func TestMayStart(t *testing.T) {
 	r := newRig(t, 2)
 	s := r.open()
@@ -264,8 +264,8 @@
 	}
 }
 
-// TestEject: a banned member gets nothing new, whatever discovery says and whoever
-// asks for it, and its flows are moved; put back it is taken for cold until discovery
+// TestEject: an ejected member gets nothing new, whatever discovery says and whoever
+// asks for it, and its flows are moved; put back it is taken for just started until discovery
 // knows of its start, and old failures count no more. Two words out, one back.
 func TestEject(t *testing.T) {
 	r := newRig(t, 1)
@@ -355,7 +355,7 @@
 	}
 }
 
-// TestEjectUnlisted: a ban that an earlier process has kept holds for a member that
+// TestEjectUnlisted: an ejection that an earlier process has kept holds for a member that
 // discovery names only later.
 func TestEjectUnlisted(t *testing.T) {
 	r := newRig(t, 0)
@@ -414,7 +414,7 @@
 }
 
 // TestRestore: a core goes on from what another has learned, by a clock of its own: a
-// member put back is as cold as it was, and a list of bans counts as it stands.
+// member put back is as warmed up as it was, and a list of ejections counts as it stands.
 func TestRestore(t *testing.T) {
 	old, next := newRig(t, 3), newRig(t, 3)
 	old.Eject("m1")
@@ -571,8 +571,8 @@
 }
 
 // TestFleetRemovals: a member that the fleet takes out gets nothing new at once, and its flows leave spread over the time that is agreed. Revoked,
-// who was not moved stays; agreed again, they are moved, though the module asks once; when discovery says that it drains, none
-// waits; and an operator's own ban outlives the fleet's word.
+// who was not moved stays; agreed again, they are moved, though the policy asks once; when discovery says that it drains, none
+// waits; and an operator's own ejection outlives the fleet's decision.
 func TestFleetRemovals(t *testing.T) {
 	const members = 12
 	r := newRig(t, members)
--- a/internal/core/crossings_test.go
+++ b/internal/core/crossings_test.go
@@ -15,7 +15,7 @@
 var probedText = strings.NewReplacer(`"probes":false`, `"probes":true`,
 	`"extra":{`, `"report":{"source":"on_probe","names":["x0","outstanding"]},"extra":{"groups":true,`).Replace(classesText)
 
-// waits has a request in each way that the module can hold one, and says how it may go on.
+// waits has a request in each way that the policy can hold one, and says how it may go on.
 var waits = map[string]func(t *testing.T) (r *rig, s *side, goOn func()){
 	"for a probe": func(t *testing.T) (*rig, *side, func()) {
 		r := newRigOf(t, probedText, list(1, policy.Ready))
@@ -62,7 +62,7 @@
 	}
 }
 
-// TestClientGoneWaiting: no attempt begins for a client that has gone, whatever is still to come in the module.
+// TestClientGoneWaiting: no attempt begins for a client that has gone, whatever is still to come in the policy.
 func TestClientGoneWaiting(t *testing.T) {
 	for name, of := range waits {
 		r, s, goOn := of(t)
@@ -125,7 +125,7 @@
 	}
 }
 
-// rude is a virtual server in whose Send something else happens.
+// rude is a downstream in whose Send something else happens.
 type rude struct {
 	*side
 	then func()
@@ -137,7 +137,7 @@
 }
 
 // TestClientGoneInBatch: of two requests that one report lets go on, the client of the second goes away as the first is sent: the second is
-// not sent, and nothing of it stays in the module.
+// not sent, and nothing of it stays in the policy.
 func TestClientGoneInBatch(t *testing.T) {
 	r := newRigOf(t, probedText, list(1, policy.Ready))
 	first, second := &side{r: r}, &side{r: r}
@@ -167,7 +167,7 @@
 }
 
 // TestResumedFlowEnds: a flow that goes on to its own member has one answer however that ends, before it is up, and none after; its end
-// leaves nothing in the module.
+// leaves nothing in the policy.
 func TestResumedFlowEnds(t *testing.T) {
 	for result := policy.OK; result <= policy.NotSent; result++ {
 		for _, up := range []bool{false, true} {
--- a/internal/core/feed_test.go
+++ b/internal/core/feed_test.go
@@ -10,7 +10,7 @@
 	"dahliarudder/policy"
 )
 
-// pipe is a carrier that keeps what it is told, and holds the core to the rules.
+// pipe is a transport that keeps what it receives, and holds the core to the rules.
 type pipe struct {
 	r       *rig
 	f       *Feed
@@ -72,7 +72,7 @@
 }
 func (p *pipe) OnCapacity() { p.rooms++ }
 
-// put publishes so many messages, as far as there is room.
+// put publishes so many messages, as far as there is capacity.
 func (p *pipe) put(n int) {
 	for range n {
 		if !p.f.HasCapacity() {
@@ -140,7 +140,7 @@
 	}
 }
 
-// TestFeedFull: a full window takes no more, and says when there is room.
+// TestFeedFull: a full window takes no more, and says when there is capacity.
 func TestFeedFull(t *testing.T) {
 	r := newRig(t, 2)
 	p := newPipe(r, 10)
@@ -203,7 +203,7 @@
 	}
 }
 
-// TestFeedRejected: messages wait while nothing has room, and are given up at once when their time
+// TestFeedRejected: messages wait while nothing has capacity, and are given up at once when their time
 // ends before they may come again.
 func TestFeedRejected(t *testing.T) {
 	r := newRig(t, 0)
@@ -236,7 +236,7 @@
 // has shown to take, and all have their turn.
 func TestFeedSlowStart(t *testing.T) {
 	r := newRig(t, 1)
-	r.members[10].joinedAt = r.now // for the core alone: the module would let hardly any feed in
+	r.members[10].joinedAt = r.now // for the core alone: the policy would let hardly any feed in
 	var pipes []*pipe
 	for range 200 {
 		p := newPipe(r, 100)
@@ -280,7 +280,7 @@
 	}
 }
 
-// TestFeedQueue: who waits for a cold member leaves its line with its link, and is in the line of
+// TestFeedQueue: who waits for a member in slow start leaves its line with its link, and is in the line of
 // where it goes next: else it would wait there until its messages' time is over.
 func TestFeedQueue(t *testing.T) {
 	r := newRig(t, 1)
@@ -308,7 +308,7 @@
 }
 
 // TestFeedSteps: random publications, acknowledgements, refusals, lost links, drains and pauses:
-// the carrier checks each step, and in the end every message has one answer. In half of the runs doubts, bans, agreed drains, and
+// the transport checks each step, and in the end every message has one answer. In half of the runs pauses of dispatch, ejections, agreed drains, and
 // drains and the stop of the relay come too.
 func TestFeedSteps(t *testing.T) {
 	all := 0 // of the messages sent in the runs with more
@@ -405,7 +405,7 @@
 	}
 }
 
-// TestFeedPauseDispatch: messages are new to a member too: during a doubt none is handed to it, and after that none to one that has left.
+// TestFeedPauseDispatch: messages are new to a member too: while dispatch is paused none is handed to it, and after that none to one that has left.
 func TestFeedPauseDispatch(t *testing.T) {
 	for _, left := range []bool{false, true} {
 		r := newRig(t, 2)
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -38,25 +38,25 @@
 	places   []*place
 	names    map[string]*place
 	probes   []policy.ServerID
-	shut     bool // the ledger
+	shut     bool // the recorder
 	doubting bool
 	strict   bool          // during Sure
 	stopped  bool          // by Stop or BeginHandover
 	leaving  time.Duration // by when flows have to be moved for a drain or a stop; 0 if none is on
 	done     bool          // after Finish
-	rash     bool          // something else happens in the middle of the next call to a virtual server
+	rash     bool          // something else happens in the middle of the next call to a downstream
 	bans     map[string]bool
 	agreed   map[string]Removal
 	events   map[string]int // of the record, by request and attempt
 	stood    int            // words that an attempt is up which was already
-	wrong    bool           // the module says wild things
+	wrong    bool           // the policy says wild things
 }
 
 // place is a member as the observer sees it.
 type place struct {
 	Member
 	known   bool // the core has been told of it
-	left    bool // it drains, is gone, banned or agreed out
+	left    bool // it drains, is gone, ejected or agreed out
 	told    time.Duration
 	spread  time.Duration // over which its flows may be moved
 	changed time.Duration // when that last changed
@@ -72,7 +72,7 @@
 	over   bool
 }
 
-// client is a request and its virtual server.
+// client is a request and its downstream.
 type client struct {
 	w        *world
 	id       ID
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// called is the start of every call to a virtual server.
+// called is the start of every call to a downstream.
 func (x *client) called(what string) {
 	w := x.w
 	if x.gone || x.moved > 0 || w.done && what != "move" && what != "cancel" && !x.late {
@@ -433,7 +433,7 @@
 	w.c.UpdateMembers(kind, named)
 }
 
-// refreshMember notes which members have begun to leave.
+// see notes which members have begun to leave.
 func (w *world) see() {
 	for _, p := range w.places {
 		drain, agreed := w.agreed[p.Name]
@@ -598,14 +598,14 @@
 	case w.leaving > 0 && w.now > max(w.leaving, x.upAt+StopNotice/2):
 		w.Fatalf("request %d: its flow is not moved by the end of a drain or stop", x.id)
 	}
-	if p := a.to; p.left && !w.wrong { // which moves when a member leaves is the module's word
+	if p := a.to; p.left && !w.wrong { // which moves when a member leaves is the policy's decision
 		if w.now > max(p.told+p.spread, p.changed, x.upAt) {
 			w.Fatalf("request %d: its flow is not moved %v after %s left", x.id, w.now-p.told, p.Name)
 		}
 	}
 }
 
-// wild is a word that a module gone wrong might say: the rules hold all the same.
+// wild is a word that a faulty policy might decide: the rules hold all the same.
 func (w *world) wild() {
 	if !w.wrong {
 		return
@@ -733,7 +733,7 @@
 		w.Fatalf("left behind: %d held sends, %d alarms, %d verdicts, %d requests", len(w.c.pausedActions), len(w.c.timers), len(w.c.pendingActions), len(w.c.requests))
 	}
 	w.c.UpdateMembers(policy.ListFull, nil)
-	if l := w.c.LearnedState().Policy.Servers; len(l) > 0 && !w.wrong { // the module keeps those alone at which it takes flows to be open
+	if l := w.c.LearnedState().Policy.Servers; len(l) > 0 && !w.wrong { // the policy keeps those alone at which it takes flows to be open
 		w.Fatalf("the module still holds flows at %v", l)
 	}
 }
--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -49,7 +49,7 @@
 	return s
 }
 
-// eventKinds has the attempt that is out end before it stood.
+// ends has the attempt that is out end before it stood.
 func (s *side) ends(result policy.Result) {
 	s.out--
 	s.r.AttemptEnded(s.id, s.tries-1, result, policy.NoReport)
@@ -62,7 +62,7 @@
 	for class, want := range map[int]string{safeClass: "rejected", keyedAll: "rejected", keyedZone: "failed", keyedCell: "failed", unsafeClass: "failed"} {
 		r := newRigOf(t, classesText, list(2, policy.Ready))
 		out, ran, none := r.bring(class, 2*time.Second), r.bring(class, 2*time.Second), r.bring(class, 2*time.Second)
-		ran.ends(policy.Error) // the module pauses before the next attempt, if there is one
+		ran.ends(policy.Error) // the policy pauses before the next attempt, if there is one
 		none.ends(policy.Full)
 		if none.out > 0 {
 			none.ends(policy.ConnectFailed)
@@ -106,7 +106,7 @@
 	}
 }
 
-// TestNumbering: after a send that the gate has barred, the module still hears how the next attempt ends, and makes another.
+// TestNumbering: after a send that mayStart has blocked, the policy still hears how the next attempt ends, and makes another.
 func TestNumbering(t *testing.T) {
 	r := newRigOf(t, classesText, list(4, policy.Ready))
 	r.PauseDispatch()
@@ -139,8 +139,8 @@
 	return m
 }
 
-// TestPausedSendEnds: the client of a request leaves, or its deadline comes, while its send waits for the end of a doubt: nothing is sent
-// for it, and nothing of it stays in the module.
+// TestPausedSendEnds: the client of a request leaves, or its deadline comes, while its send waits for the end of a pause of dispatch: nothing is sent
+// for it, and nothing of it stays in the policy.
 func TestPausedSendEnds(t *testing.T) {
 	for name, end := range map[string]func(r *rig, s *side){
 		"left":     func(r *rig, s *side) { r.ClientGone(s.id) },
@@ -164,7 +164,7 @@
 	}
 }
 
-// TestPausedSendDedupWindow: a repeat that waited for the end of a doubt is not sent once its window is over.
+// TestPausedSendDedupWindow: a repeat that waited for the end of a pause of dispatch is not sent once its window is over.
 func TestPausedSendDedupWindow(t *testing.T) {
 	r := newRigOf(t, classesText, list(3, policy.Ready))
 	s := r.bring(keyedAll, 2*time.Second)
@@ -187,7 +187,7 @@
 	}
 }
 
-// TestEstablishedAtUnavailable: a flow that comes up at a member that has begun to drain meanwhile is moved, though the module asks for moves
+// TestEstablishedAtUnavailable: a flow that comes up at a member that has begun to drain meanwhile is moved, though the policy asks for moves
 // only as it hears of the drain.
 func TestEstablishedAtUnavailable(t *testing.T) {
 	r := newRigOf(t, classesText, list(1, policy.Ready))
@@ -265,7 +265,7 @@
 	}
 }
 
-// TestRejectIdempotency: a reject by the module does not pass for a request that may have run and may not be repeated.
+// TestRejectIdempotency: a reject by the policy does not pass for a request that may have run and may not be repeated.
 func TestRejectIdempotency(t *testing.T) {
 	for class, want := range map[int]string{safeClass: "rejected", keyedAll: "rejected", keyedZone: "failed", keyedCell: "failed", unsafeClass: "failed"} {
 		r := newRigOf(t, classesText, list(1, policy.Ready))
@@ -277,7 +277,7 @@
 	}
 }
 
-// TestRepeatIdempotency: after an attempt that may have run the module's word alone starts another only where the class lets it.
+// TestRepeatIdempotency: after an attempt that may have run the policy's action alone starts another only where the class lets it.
 func TestRepeatIdempotency(t *testing.T) {
 	away := list(4, policy.Ready)
 	away[1].Cell, away[2].Zone, away[2].Cell, away[3].Zone = 1, 1, 2, 1
@@ -316,7 +316,7 @@
 	}
 }
 
-// TestSendWhileOpen: a send for a request whose flow stands is barred, and the module keeps the flow: it asks for its move when the
+// TestSendWhileOpen: a send for a request whose flow stands is blocked, and the policy keeps the flow: it asks for its move when the
 // member leaves.
 func TestSendWhileOpen(t *testing.T) {
 	r := newRigOf(t, classesText, list(2, policy.Ready))
@@ -334,7 +334,7 @@
 	}
 }
 
-// TestDeferredChanges: while the flows of a member leave spread over an agreed time, another word on that member counts at once: a ban by
+// TestDeferredChanges: while the flows of a member leave spread over an agreed time, another word on that member counts at once: an ejection by
 // the fleet or by this relay's own operators moves the rest now, and so does a drain in less time.
 func TestDeferredChanges(t *testing.T) {
 	over := func(d time.Duration, ban bool) map[string]Removal {
@@ -395,7 +395,7 @@
 	}
 }
 
-// TestLateRetry: where the loop comes so late that the pause before a further attempt and the module's time for an answer are over
+// TestLateRetry: where the loop comes so late that the pause before a further attempt and the policy's time for an answer are over
 // together, no attempt begins that is abandoned at once.
 func TestLateRetry(t *testing.T) {
 	r := newRigOf(t, strings.Replace(classesText, `"answer-slack-ms":8`, `"answer-slack-ms":60`, 1), list(3, policy.Ready))
--- a/internal/window/acknowledgement.go
+++ b/internal/window/acknowledgement.go
@@ -11,7 +11,7 @@
 	if n <= 0 {
 		return
 	}
-	took := now - w.at(w.acked+uint64(n)-1).Sent
+	elapsed := now - w.at(w.acked+uint64(n)-1).Sent
 	for range n {
 		m := w.at(w.acked)
 		w.acked++
@@ -21,9 +21,9 @@
 		}
 	}
 	switch {
-	case took < time.Duration(growBelow*float64(w.LatencyObjective)):
+	case elapsed < time.Duration(growBelow*float64(w.LatencyObjective)):
 		w.maxInFlight = min(w.maxInFlight+n, w.MaxMessages)
-	case took > time.Duration(shrinkAbove*float64(w.LatencyObjective)) && now-w.lastDecrease >= took:
+	case elapsed > time.Duration(shrinkAbove*float64(w.LatencyObjective)) && now-w.lastDecrease >= elapsed:
 		w.maxInFlight, w.lastDecrease = max(w.maxInFlight/2, 1), now
 	}
 	w.compact()
--- a/internal/window/storage.go
+++ b/internal/window/storage.go
@@ -51,8 +51,8 @@
 		}
 		return
 	}
-	if gone := w.at(w.head).textStart - w.base; gone > len(w.text)/2 {
-		w.text = w.text[:copy(w.text, w.text[gone:])]
-		w.base += gone
+	if dropped := w.at(w.head).textStart - w.base; dropped > len(w.text)/2 {
+		w.text = w.text[:copy(w.text, w.text[dropped:])]
+		w.base += dropped
 	}
 }
--- a/internal/window/window_test.go
+++ b/internal/window/window_test.go
@@ -160,7 +160,7 @@
 	want(t, "after late ones", len(begin(w, 1400)), InitialWindow)
 }
 
-// TestSlowStart: all feeds together send a cold member no more than it has shown to take; a warm one
+// TestSlowStart: all feeds together send a member in slow start no more than it has shown to take; a warm one
 // is not held back.
 func TestSlowStart(t *testing.T) {
 	p := NewSlowStart(1000, 500)
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -67,11 +67,11 @@
 			connections, reporting = connections+s.report.Connections, reporting+1
 		}
 	}
-	most := float64(b.cfg.Balancers)
+	all := float64(b.cfg.Balancers)
 	if reporting == 0 || b.ownFlows == 0 {
-		return most
+		return all
 	}
-	return min(max(connections/reporting*float64(len(b.servers))/b.ownFlows, 1), most)
+	return min(max(connections/reporting*float64(len(b.servers))/b.ownFlows, 1), all)
 }
 
 // reportLag is how old the reports that this proxy has may be: two refresh intervals, each taken for about
--- a/policy/facade_test.go
+++ b/policy/facade_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestFacade drives a request from its arrival to its end by verdicts alone.
+// TestFacade drives a request from its arrival to its end by actions alone.
 func TestFacade(t *testing.T) {
 	set := settings()
 	f := NewFacade(t0, set, 7)
@@ -90,7 +90,7 @@
 }
 
 // TestFacadeTimers: timers come in order of time, those of one time in the order
-// in which they were set, so that equal events give equal verdicts.
+// in which they were set, so that equal events give equal actions.
 func TestFacadeTimers(t *testing.T) {
 	g := &actionCollector{now: t0}
 	for i, d := range []time.Duration{5, 3, 3, -1} {
@@ -170,7 +170,7 @@
 	}
 }
 
-// TestCanaryGroup: whose group is drawn for an arm goes there and nobody else does; where the arm has no room, or is gone, limits and drains go before
+// TestCanaryGroup: whose group is drawn for an arm goes there and nobody else does; where the arm has no capacity, or is gone, limits and drains go before
 // its share, and what could not be kept is counted; with no weight nothing new goes there, however full the others are.
 func TestCanaryGroup(t *testing.T) {
 	set := settings()
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -96,7 +96,7 @@
 
 // TestFleetGroups guards against a fleet that fills up with the price of its groups: eighty relays, each of which sees
 // two of the connections, are told three times that members leave, whose connections come again. Without a word between
-// them the relays keep each of five groups on few members, or what the groups cost leaves no room for connections. The
+// them the relays keep each of five groups on few members, or what the groups cost leaves no capacity for connections. The
 // figures are means of many plays: one play's swing by a tenth.
 func TestFleetGroups(t *testing.T) {
 	const plays = 24
@@ -143,7 +143,7 @@
 	return pairs, most, p.turned
 }
 
-// TestSlowStartAtOnce guards against a cold server that stands idle while many proxies each have one request for it within
+// TestSlowStartAtOnce guards against a server in slow start that stands idle while many proxies each have one request for it within
 // half a second: together they send most of what it bears at once, and no more than that and the rate's budget. Any
 // of 300 proxies may want it, also one without a group on a site with groups; of a group only those of the few groups that it stands near in the order of, the largest too.
 func TestSlowStartAtOnce(t *testing.T) {
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -13,7 +13,7 @@
 	now      time.Duration
 	b        *Balancer
 	requests map[RequestID]*life
-	told     map[ServerID]ServerState
+	listed   map[ServerID]ServerState
 	list     map[ServerID]Server
 	queue    []timer
 	out      []attempt
@@ -50,8 +50,8 @@
 	if r.open {
 		w.t.Fatalf("request %d has two attempts out", id)
 	}
-	if w.told[server] != Ready {
-		w.t.Fatalf("sent to server %d in state %d", server, w.told[server])
+	if w.listed[server] != Ready {
+		w.t.Fatalf("sent to server %d in state %d", server, w.listed[server])
 	}
 	c := w.set.Classes[r.class]
 	to := w.list[server]
@@ -138,18 +138,18 @@
 		}
 	}
 	set.Classes = classes
-	w := &world{t: t, set: set, now: t0, requests: map[RequestID]*life{}, told: map[ServerID]ServerState{},
+	w := &world{t: t, set: set, now: t0, requests: map[RequestID]*life{}, listed: map[ServerID]ServerState{},
 		list: map[ServerID]Server{}}
 	w.b = New(set, 3, w)
 	w.b.Start()
 	tell := func(how ListKind, list []Server) {
 		if how == ListFull || how == ListCached {
-			for id := range w.told {
-				w.told[id] = Gone
+			for id := range w.listed {
+				w.listed[id] = Gone
 			}
 		}
 		for _, e := range list {
-			w.told[e.ID], w.list[e.ID] = e.State, e
+			w.listed[e.ID], w.list[e.ID] = e.State, e
 		}
 		w.b.UpdateServers(w.now, how, list)
 	}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -123,7 +123,7 @@
 	}
 }
 
-// probeCandidates brings a request and answers the probes it causes.
+// ask brings a request and answers the probes it causes.
 func (g *rig) ask(q Request) RequestID {
 	g.next++
 	q.ID = g.next
@@ -263,7 +263,7 @@
 	}
 }
 
-// TestThresholdAdapts: owners that find their home full take h down, owners that find room bring it back.
+// TestThresholdAdapts: owners that find their home full lower h, owners that find capacity bring it back.
 func TestThresholdAdapts(t *testing.T) {
 	g := newRig(settings(), fleet(10, 1))
 	for _, s := range g.servers {
@@ -398,7 +398,7 @@
 }
 
 // TestGroupSpill guards against paying for a group everywhere: once its home is full it goes on to the next server in
-// its order that is empty enough for many of it, and is turned away where all others have room for a few only.
+// its order that is empty enough for many of it, and is rejected where all others have room for a few only.
 func TestGroupSpill(t *testing.T) {
 	set := settings()
 	set.Groups = true
@@ -521,7 +521,7 @@
 	}
 }
 
-// TestSlowStart guards rule 4: what a proxy sends to a cold server stays within its part of the fleet's budget.
+// TestSlowStart guards rule 4: what a proxy sends to a server in slow start stays within its part of the fleet's budget.
 func TestSlowStart(t *testing.T) {
 	set := settings()
 	set.Balancers = 50
@@ -551,7 +551,7 @@
 	}
 }
 
-// TestActiveRelays: where eight of twelve proxies are known to be gone, the four that are left send a cold server what twelve might, and
+// TestActiveRelays: where eight of twelve proxies are known to be gone, the four that are left send a server in slow start what twelve might, and
 // still no more than the rule allows; a senseless number moves nothing.
 func TestActiveRelays(t *testing.T) {
 	set := settings()
@@ -603,12 +603,12 @@
 	}
 }
 
-// spendSlowStart is what a send spends of a cold server's budget.
+// spendSlowStart is what a send spends of a server in slow start's budget.
 func spendSlowStart(s *server) {
 	s.slowStartTokens, s.slowStartSent = s.slowStartTokens-1, s.slowStartSent+1
 }
 
-// TestSlowStartBudget guards against cold servers that stand idle while others are pressed: over its warm-up one gets most
+// TestSlowStartBudget guards against servers in slow start that stand idle while others are pressed: over its warm-up one gets most
 // of what the rule allows at the least capacity it can have, and never all of it.
 func TestSlowStartBudget(t *testing.T) {
 	set := settings()
@@ -629,7 +629,7 @@
 	}
 }
 
-// TestSlowStartFirstWindow guards against cold servers that come into use only as they are warm where each of many proxies
+// TestSlowStartFirstWindow guards against servers in slow start that come into use only as they are warm where each of many proxies
 // has few requests, and rule 4: on average all send most of what a window's budget allows in the first window, or of
 // what it bears at once if that is more, and no more than both.
 func TestSlowStartFirstWindow(t *testing.T) {
@@ -797,7 +797,7 @@
 	}
 }
 
-// TestBacklog guards against full servers left alone where no message is timed: a report that shows work piled up
+// TestBacklog guards against full servers left alone where no message is timed: a report that shows work queued
 // leads to relief, one that shows little does not, and the next one at once moves nobody more.
 func TestBacklog(t *testing.T) {
 	g := newRig(settings(), fleet(4, 1))
@@ -820,7 +820,7 @@
 	}
 }
 
-// TestBacklogMigrates guards against members on which every message waits: while work is piled up a server is neither sent
+// TestBacklogMigrates guards against members on which every message waits: while work is queued a server is neither sent
 // to nor spared from relief, however little is asked of it now.
 func TestBacklogMigrates(t *testing.T) {
 	g := newRig(settings(), fleet(2, 1))
@@ -853,7 +853,7 @@
 	}
 }
 
-// TestWindow: a keyed request is not sent again once the servers may have forgotten it.
+// TestWindow: an idempotency-key request is not sent again once the servers may have forgotten it.
 func TestWindow(t *testing.T) {
 	set := settings()
 	set.Classes[0].Idempotency, set.Classes[0].DedupWindow = IdempotencyKey, 100*ms
@@ -1069,8 +1069,8 @@
 	}
 }
 
-// TestLowValue guards against room that is filled with what earns little while what earns much is turned away: close to
-// the brim there is room for the latter alone, and below for both.
+// TestLowValue guards against room that is filled with what earns little while what earns much is rejected: close to
+// fillHigh there is capacity for the latter alone, and below for both.
 func TestLowValue(t *testing.T) {
 	for _, tt := range []struct {
 		load  float64
@@ -1120,7 +1120,7 @@
 	}
 }
 
-// TestServingRelays guards against a proxy that turns away what others, which are drained, have left to it: its part of a
+// TestServingRelays guards against a proxy that rejects what others, which are drained, have left to it: its part of a
 // tenant's quota is what it holds of all connections, where reports tell, and its plain part where they do not.
 func TestServingRelays(t *testing.T) {
 	set := settings()
@@ -1142,7 +1142,7 @@
 	}
 }
 
-// TestAdmissionRateOneServer guards against one server that fails fast and has requests turned away everywhere: what fails at most
+// TestAdmissionRateOneServer guards against one server that fails fast and has requests rejected everywhere: what fails at most
 // servers makes a proxy send less, what fails at one does not.
 func TestAdmissionRateOneServer(t *testing.T) {
 	for most, want := range map[int]bool{1: false, 4: true} {
@@ -1353,7 +1353,7 @@
 	}
 }
 
-// TestHealthCheck guards against work that piles up unseen while no request comes: servers that hold own connections are
+// TestHealthCheck guards against work that piles up unseen while no request arrives: servers that hold own connections are
 // probed all the same, others are not, and never beyond what probes may cost.
 func TestHealthCheck(t *testing.T) {
 	g := newRig(settings(), fleet(3, 1))
@@ -1380,8 +1380,8 @@
 }
 
 // TestFailuresStay guards against a server that fails connections but answers probes: its answers bring it back
-// after a pause, yet one more failure condemns it again, until a connection stands there. Failures of what was
-// under way when it was condemned do not lengthen the pause, and nobody probes it meanwhile.
+// after a pause, yet one more failure ejects it again, until a connection stands there. Failures of what was
+// under way when it was ejected do not lengthen the pause, and nobody probes it meanwhile.
 func TestFailuresStay(t *testing.T) {
 	g := newRig(settings(), fleet(1, 1))
 	s := g.servers[0]
--- a/policy/server_list.go
+++ b/policy/server_list.go
@@ -22,8 +22,8 @@
 // later each time and the more proxies there are, or all calls would wait too long for good. The spread is
 // bounded, since changes count as known MaxPollInterval after they were made.
 func (b *Balancer) schedulePoll() {
-	many := max(b.activeRelays/concurrentPolls, 1)
-	span := min(many*math.Exp2(float64(min(b.failedPolls, 2)))/20, 1) * float64(b.cfg.MaxPollInterval)
+	crowding := max(b.activeRelays/concurrentPolls, 1)
+	span := min(crowding*math.Exp2(float64(min(b.failedPolls, 2)))/20, 1) * float64(b.cfg.MaxPollInterval)
 	b.executor.Timer(time.Duration(span*b.rng.Float64()), tokenPoll)
 }
 
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -8,7 +8,7 @@
 )
 
 // slowStartFleet has many relays place a burst while one member joins cold and the others are nearly full. Nothing passes
-// between relays. It returns when the cold member got requests, all of them counted as of mean load.
+// between relays. It returns when the member in slow start got requests, all of them counted as of mean load.
 type slowStartFleet struct {
 	relays []*Facade
 	set    Settings
@@ -35,7 +35,7 @@
 	return p
 }
 
-// capacity is how many connections a member bears now: the cold one rises evenly, as slowly as the settings let it.
+// capacity is how many connections a member bears now: the one in slow start rises evenly, as slowly as the settings let it.
 func (p *slowStartFleet) capacity(now time.Duration, id ServerID) float64 {
 	if id != p.cold.ID {
 		return bears
@@ -107,7 +107,7 @@
 	return worst
 }
 
-// TestSlowStartSum: what twenty to thirty relays send to a cold member together stays under what its windows allow, on three
+// TestSlowStartSum: what twenty to thirty relays send to a member in slow start together stays under what its windows allow, on three
 // lengths of window, with groups, with one group that all are of, and without.
 func TestSlowStartSum(t *testing.T) {
 	for _, relays := range []int{20, 25, 30} {
