--- a/cmd/dahliarudder/stop.go
+++ b/cmd/dahliarudder/stop.go
@@ -11,7 +11,7 @@
 	}
 	r.stopping = true
 	loop := r.loop
-	r.log.WithField("open_requests", r.core.ActiveRequests()).Info("stopping")
+	open := r.core.ActiveRequests()
 	r.peers.Leave() // nothing new is placed from here on
 	deadline := loop.Now() + r.core.StopTimeout()
 	earliest := loop.Now() + core.StopNotice
@@ -21,6 +21,7 @@
 	} else {
 		r.core.Stop()
 	}
+	r.log.WithField("open_requests", open).Info("stopping") // once the sibling has its notice: what reads the log may rely on that
 	if r.natsFront != nil {
 		r.natsFront.EnterLameDuck()
 	}
