--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -20,17 +20,17 @@
 
 // usedOf is the load on a server: its report, which loses weight with age, and what was placed since.
 func (b *Balancer) usedOf(now time.Duration, s *server) float64 {
-	fill := b.zones[s.Zone].fill
-	x := fill
+	zoneFill := b.zones[s.Zone].fill
+	fill := zoneFill
 	if s.hasReport {
 		trust := 1 / (1 + max(0, (now-s.reportChangedAt).Seconds())/b.maxDeadline.Seconds())
 		// A backlog keeps every message waiting: it counts as load to be worked off by the next report.
-		x = trust*(s.report.Load+max(s.report.Backlog, 0)/b.reportLag().Seconds()) + (1-trust)*fill
+		fill = trust*(s.report.Load+max(s.report.Backlog, 0)/b.reportLag().Seconds()) + (1-trust)*zoneFill
 	} else if b.cfg.Reports == ReportsOff {
 		// Nothing is reported: this proxy's own connections, taken for a fair sample, are all there is.
-		x = fill * (s.ownFlows + 1) / ((b.ownFlows+1)/max(float64(len(b.servers)), 1) + 1)
+		fill = zoneFill * (s.ownFlows + 1) / ((b.ownFlows+1)/max(float64(len(b.servers)), 1) + 1)
 	}
-	used := x * b.capacityOf(now, s)
+	used := fill * b.capacityOf(now, s)
 	for _, p := range s.pendingPlacements {
 		if now-p.at < 2*b.minObjective {
 			used += p.load
--- a/policy/migration.go
+++ b/policy/migration.go
@@ -13,29 +13,29 @@
 // more. Connections of the least value for their load go first, so that the fewest clients and the least
 // value move.
 func (b *Balancer) migrateExcess(now time.Duration, s *server) {
-	x := b.usedOf(now, s) / b.capacityOf(now, s)
+	fill := b.usedOf(now, s) / b.capacityOf(now, s)
 	if s.rawReport.Load > stallLoad {
-		x = min(x, max(s.previousLoad, 1))
+		fill = min(fill, max(s.previousLoad, 1))
 	}
 	// Guards against moving the same excess twice: reports go on showing it for a while.
-	if x <= fillHigh || s.relievedAt > 0 && s.rawReportAt-b.minObjective < s.relievedAt {
+	if fill <= fillHigh || s.migratedAt > 0 && s.rawReportAt-b.minObjective < s.migratedAt {
 		return
 	}
-	s.relievedAt = now
-	left := 0.0
+	s.migratedAt = now
+	excess := 0.0 // the load to migrate
 	for _, r := range s.conns {
-		left += b.loadOf(r)
+		excess += b.loadOf(r)
 	}
-	part := b.admissionRate * (x - fillHigh) / x
-	left *= part * (2 - part) // as two passes would: each proxy checks only now and then
+	part := b.admissionRate * (fill - fillHigh) / fill
+	excess *= part * (2 - part) // as two passes would: each proxy checks only now and then
 	list := slices.Clone(s.conns)
 	slices.SortStableFunc(list, func(p, q *request) int {
 		return cmp.Compare(b.valuePerLoad(p), b.valuePerLoad(q))
 	})
 	for _, r := range list {
-		if load := b.loadOf(r); b.rng.Float64()*load < left {
+		if load := b.loadOf(r); b.rng.Float64()*load < excess {
 			b.migrate(r)
-			left -= load
+			excess -= load
 		}
 	}
 }
--- a/policy/reports.go
+++ b/policy/reports.go
@@ -20,7 +20,7 @@
 			// Messages wait for the backlog or, where none is reported, for the load beyond the capacity.
 			overloaded := report.Backlog > b.minMessageObjective.Seconds()/2 ||
 				report.Backlog < 0 && report.Load > overloadFill
-			if overloaded && now-s.relievedAt >= b.reportLag() {
+			if overloaded && now-s.migratedAt >= b.reportLag() {
 				b.migrateExcess(now, s)
 			}
 		case Full: // it answers, but is probed by too many: not a failure
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -26,11 +26,11 @@
 			b.probeAllowance() > 0 && !s.hasReport && b.warmupFraction(now, s) == 1 {
 			continue
 		}
-		k, used := b.capacityOf(now, s), b.usedOf(now, s)
+		capacity, used := b.capacityOf(now, s), b.usedOf(now, s)
 		// The levels are parts of what the server bears once it has warmed up.
 		level := min(level/b.warmupFraction(now, s), max(fillHigh, level))
-		spare := k*level - used - load
-		if spare <= 0 || foreign && used*b.foreignShare(s)+load > k*level*b.lendingThreshold(s) {
+		spare := capacity*level - used - load
+		if spare <= 0 || foreign && used*b.foreignShare(s)+load > capacity*level*b.lendingThreshold(s) {
 			continue
 		}
 		if ordered {
@@ -38,7 +38,7 @@
 			// filled one after the other. As the first one fills, fewer connections go there, or all proxies
 			// would herd on one late report. With packets passed through no draw is made: another proxy must
 			// find the same server.
-			if b.cfg.PassThrough || tier != homeLocal || b.rng.Float64()*groupTaper*k < spare {
+			if b.cfg.PassThrough || tier != homeLocal || b.rng.Float64()*groupTaper*capacity < spare {
 				return s
 			}
 			continue
@@ -46,7 +46,7 @@
 		eligible = append(eligible, s)
 		// Cubed, so that of two servers the emptier is clearly preferred, yet not always: all proxies may be
 		// reading the same late report.
-		weight := math.Pow(spare/k, 3) * k
+		weight := math.Pow(spare/capacity, 3) * capacity
 		weights = append(weights, weight)
 		sum += weight
 	}
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -30,13 +30,13 @@
 	if b.warmupFraction(now, s) == 1 {
 		return true
 	}
-	k, sharers := b.capacityOf(now, s)/b.unitLoad(), b.activeRelays
+	capacity, sharers := b.capacityOf(now, s)/b.unitLoad(), b.activeRelays
 	// Few other proxies have connections for it, and need no part of the budget.
 	if b.cfg.Groups && r.Group != 0 {
-		sharers = min(sharers, max(groupDemand*max(b.meanFill(), fillLow)*k/b.warmupFraction(now, s), 1))
+		sharers = min(sharers, max(groupDemand*max(b.meanFill(), fillLow)*capacity/b.warmupFraction(now, s), 1))
 	}
 	// In mean loads a second: filling it over its warm-up, at the part of its capacity that it has at least.
-	rate := slowStartMargin * b.cfg.OverloadFactor * k / b.cfg.SlowStartDuration.Seconds() / sharers
+	rate := slowStartMargin * b.cfg.OverloadFactor * capacity / b.cfg.SlowStartDuration.Seconds() / sharers
 	accrued := rate * (now - s.slowStartRefilledAt).Seconds()
 	if now-s.slowStartRefilledAt > b.cfg.OverloadWindow && s.slowStartTokens+accrued >= 0 {
 		// Nothing was sent to it for a window. What many proxies save meanwhile they could spend all at once.
@@ -47,7 +47,7 @@
 	// What it bears now, as far as a window allows, may be sent from the start, by the same random offset:
 	// tokens that accrue came 2 to 5 s late. A send is charged to both, so all proxies together spend the
 	// larger one.
-	atOnce := min(fillHigh*k/sharers, rate/slowStartMargin*b.cfg.OverloadWindow.Seconds())
+	atOnce := min(fillHigh*capacity/sharers, rate/slowStartMargin*b.cfg.OverloadWindow.Seconds())
 	// One heavy connection could spend the budget of all proxies.
 	return (s.slowStartTokens >= 0 || s.slowStartSent+s.slowStartOffset <= atOnce) &&
 		b.loadOf(r) <= 2*b.unitLoad()
--- a/policy/state.go
+++ b/policy/state.go
@@ -53,7 +53,7 @@
 	rank              float64 // in the order of the key that is being placed
 	consecutiveFull   int     // attempts in a row that it answered Full
 	probing           bool
-	relievedAt        time.Duration // when own connections were last migrated off it for its load
+	migratedAt        time.Duration // when own connections were last migrated off it for its load
 	capacity          float64       // learned capacity, in connections
 	reportCount       float64       // reports that capacity was learned from, up to a limit
 	pendingPlacements []placement
