--- a/internal/scenariorunner/growth_test.go
+++ b/internal/scenariorunner/growth_test.go
@@ -1,20 +1,14 @@
 package scenariorunner
 
 import (
-	"context"
-	"fmt"
 	"os"
-	"os/exec"
-	"path/filepath"
 	"strconv"
 	"strings"
 	"testing"
-
-	"dahliarudder/internal/scenario"
 )
 
-// growthMembers names, by hand, the sizes to play, the usual one first; here a small fleet and sixteen times as many.
-const growthMembers, growthUsual = "GROWTH_MEMBERS", "12,192"
+// growthSizesVariable names the variable for other sizes, the usual one first. By default a small pool and sixteen times as many.
+const growthSizesVariable, growthSizes = "GROWTH_MEMBERS", "12,192"
 
 // Bounds of the operators' page on what a relay may need over the same day at the usual size: a factor, what may be added,
 // and what may be added for each thousand members.
@@ -30,24 +24,16 @@
 	{"bytes of lists", func(x *Result) float64 { return float64(x.Relays[0].ListBytes) }, 2, 64 << 10, 500 << 10},
 }
 
-// servedLeast is the part of the share served at the usual size that has to be served at the others.
-const servedLeast = 0.85
+// minServedShare is the part of the usual size's service that other sizes have to reach.
+const minServedShare = 0.85
 
-// TestGrowth: one relay with the same traffic and the same capacity of all members together, of which there are few or many;
-// some are replaced and discovery is down for a while. What it needs grows no more than the page allows.
+// TestGrowth runs one relay with the same traffic and the same capacity of all members together, of which there are few or many. Some
+// are replaced, and discovery is down for a while. What the relay needs grows no more than allowed.
 func TestGrowth(t *testing.T) {
-	dir := t.TempDir()
-	program := filepath.Join(dir, "dahliarudder")
-	if out, err := exec.Command("go", "build", "-o", program, "dahliarudder/cmd/dahliarudder").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
-	}
-	config, err := filepath.Abs("../../deploy/peers.json")
-	if err != nil {
-		t.Fatal(err)
-	}
-	sizes := os.Getenv(growthMembers)
+	program, config := buildRelay(t, "build"), deployedConfig(t)
+	sizes := os.Getenv(growthSizesVariable)
 	if sizes == "" {
-		sizes = growthUsual
+		sizes = growthSizes
 	}
 	var usual *Result
 	for _, size := range strings.Split(sizes, ",") {
@@ -55,7 +41,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		x := grown(t, members, config, program)
+		x := runWithMembers(t, members, config, program)
 		if usual == nil {
 			usual = x
 		}
@@ -68,33 +54,24 @@
 			}
 		}
 		t.Logf("%d members: %.3f served", members, x.Service)
-		if x.Service < servedLeast*usual.Service {
+		if x.Service < minServedShare*usual.Service {
 			t.Errorf("%d members: %.3f served, %.3f at the usual size", members, x.Service, usual.Service)
 		}
 		if len(x.Violations) > 0 {
-			t.Errorf("%d members:\n%s", members, breaks(x.Violations))
+			t.Errorf("%d members:\n%s", members, violationLines(x.Violations))
 		}
 	}
 }
 
-// grown plays the day with so many members.
-func grown(t *testing.T, members int, config, program string) *Result {
+// runWithMembers runs the day with a number of members.
+func runWithMembers(t *testing.T, members int, config, program string) *Result {
 	t.Helper()
 	const cores = 36.0 // of all members
 	each := cores / float64(members)
-	f, err := scenario.Decode(fmt.Appendf(nil, `{"config":%q,"seed":5,"seconds":14,"from_ms":2000,
+	return runScenario(t, program, `{"config":%q,"seed":5,"seconds":14,"from_ms":2000,
 	 "change":{"peers":null,"state":null,"counts_ms":0,"settings":{"zones":["north"],"guarantees":{"cold-ms":4000}}},
 	 "relays":{"count":1},"members":{"count":%d,"cores":[%g,%g],"open_ms":1,"leave_ms":500},"discovery":{"lag_ms":100},
 	 "clients":{"standing":60,"per_second":15,"stay_ms":6000,"load":[0.002,0.004],"groups":200,"line_ms":300},
 	 "faults":[{"at_ms":3000,"do":"replace","who":["s*"],"part":0.1,"every_ms":%g},{"at_ms":8000,"do":"down","for_ms":2000}]}`,
-		config, members, each, each, 3000/(0.1*float64(members))))
-	if err != nil {
-		t.Fatal(err)
-	}
-	r := &Runner{File: f, Dir: ".", Program: program, WorkDir: t.TempDir(), Progress: func(string, ...any) {}}
-	x, err := r.RunVariant(context.Background(), f.Variants[0], 1, f.Seed)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return x
+		config, members, each, each, 3000/(0.1*float64(members)))
 }
--- a/internal/scenariorunner/relay_config.go
+++ b/internal/scenariorunner/relay_config.go
@@ -18,7 +18,7 @@
 	maxKnownPeers = 3
 	// seedStride spreads the relays' seeds.
 	seedStride = 7919
-	gossipKey  = "a key that lives as long as the rehearsal does\n"
+	gossipKey  = "a key that lives as long as the scenario runs\n"
 )
 
 // writeConfig writes the relay's configuration and key.
--- a/internal/scenariorunner/false_test.go
+++ b/internal/scenariorunner/scripted_relay_test.go
@@ -22,16 +22,16 @@
 	"dahliarudder/internal/scenario"
 )
 
-// The test's own program is also the relay that it rehearses: one that breaks a rule as its configuration's "script" says.
+// TestMain also serves as the relay under test: one that breaks the rule that its configuration's "script" names.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "serve" {
-		falseRelay(os.Args[3])
+		serveScripted(os.Args[3])
 	}
 	os.Exit(m.Run())
 }
 
-// falseRelay is as simple as a relay can be that keeps all rules, but for what the script says.
-func falseRelay(path string) {
+// serveScripted is the simplest relay that follows all rules, except for what its script says.
+func serveScripted(path string) {
 	var c struct {
 		Listen, Discovery, Script string
 		Known                     fakes.List
@@ -65,12 +65,12 @@
 			at = l.Generation
 		}
 	}()
-	// pick is a member with that lifecycle: the newest one for "cold", else the first.
+	// pick is a member with a lifecycle: the newest one for "overload in slow start", otherwise the first.
 	pick := func(lifecycle string) string {
 		mu.Lock()
 		defer mu.Unlock()
 		all := slices.Clone(order)
-		if c.Script == "cold" {
+		if c.Script == "overload in slow start" {
 			slices.Reverse(all)
 		}
 		for _, id := range all {
@@ -89,16 +89,16 @@
 		if err != nil {
 			os.Exit(4)
 		}
-		go serveFalsely(client, c.Script, pick)
+		go serveClient(client, c.Script, pick)
 	}
 }
 
-// often is the scripts that break their rule only under conditions of the rehearsal's.
-var often = map[string]bool{"cold": true, "draining": true, "sent late": true, "deaf": true, "ends at once": true}
+// repeatedScripts are the scripts that break their rule only under conditions of the scenario, and so have to try more than once.
+var repeatedScripts = map[string]bool{"overload in slow start": true, "sent to draining": true, "sent for gone client": true, "ignores half close": true, "ends at once": true}
 
-var brokeOnce atomic.Bool
+var ruleBroken atomic.Bool
 
-func serveFalsely(client net.Conn, script string, pick func(string) string) {
+func serveClient(client net.Conn, script string, pick func(string) string) {
 	defer client.Close()
 	in := bufio.NewReader(client)
 	line, err := in.ReadString('\n')
@@ -110,65 +110,53 @@
 		return
 	}
 	at := pick("SERVING")
-	if !often[script] && brokeOnce.Swap(true) {
+	if !repeatedScripts[script] && ruleBroken.Swap(true) {
 		script = "" // once is enough
 	}
 	switch script {
-	case "two answers":
+	case "multiple answers":
 		io.WriteString(client, "BUSY 9000\r\nBUSY 9000\r\n")
 		return
 	case "no answer":
 		carry(io.Discard, in)
 		return
-	case "false answer":
+	case "forged answer":
 		io.WriteString(client, "UP s0/0000000000000000\r\n")
 		carry(io.Discard, in)
 		return
 	case "crash":
 		os.Exit(1)
-	case "sent late": // whatever its client does meanwhile
+	case "sent for gone client": // whatever its client does meanwhile
 		time.Sleep(time.Second)
-	case "leaks":
+	case "descriptor leak":
 		for range 40 {
 			syscall.Open(os.DevNull, syscall.O_RDONLY, 0)
 		}
-	case "repeats", "false hope":
+	case "disallowed repeat", "wrong rejection":
 		for range 2 {
-			if other, err := net.Dial("tcp", at); err == nil {
-				io.WriteString(other, line)
-				bufio.NewReader(other).ReadString('\n')
-				other.Close()
-				time.Sleep(100 * time.Millisecond) // the member has seen the end of it
-			}
-			if script == "false hope" {
+			attemptAndClose(at, line)
+			if script == "wrong rejection" {
 				io.WriteString(client, "BUSY 9000\r\n")
 				return
 			}
 		}
 		io.WriteString(client, "ERR\r\n")
 		return
-	case "deaf": // who ends its sending is taken to have gone
-		if _, err := in.ReadByte(); err == nil {
-			return
-		}
+	case "ignores half close": // a client that ends its sending direction is taken to have gone
+		in.ReadByte()
 		return
-	case "draining":
+	case "sent to draining":
 		if drains := pick("DRAINING"); drains != "" {
 			at = drains
 		}
-	case "two out":
+	case "concurrent attempts":
 		if other, err := net.Dial("tcp", at); err == nil {
 			defer other.Close()
 			io.WriteString(other, line)
 		}
-	case "too many":
+	case "too many attempts":
 		for range 4 {
-			if other, err := net.Dial("tcp", at); err == nil {
-				io.WriteString(other, line)
-				bufio.NewReader(other).ReadString('\n')
-				other.Close()
-				time.Sleep(100 * time.Millisecond) // the member has seen the end of it
-			}
+			attemptAndClose(at, line)
 		}
 	}
 	member, err := net.Dial("tcp", at)
@@ -185,12 +173,12 @@
 	}
 	io.WriteString(client, up)
 	switch script {
-	case "cut off":
+	case "flow cut off":
 		time.Sleep(500 * time.Millisecond)
 		client.Close()
 		time.Sleep(10 * time.Second) // the member's side stays
 		return
-	case "waiting":
+	case "flow stalled":
 		carry(io.Discard, in)
 		return
 	}
@@ -198,14 +186,26 @@
 	carry(client, out)
 }
 
+// attemptAndClose makes an attempt at a member, and returns when the member has seen its end.
+func attemptAndClose(member, line string) {
+	c, err := net.Dial("tcp", member)
+	if err != nil {
+		return
+	}
+	io.WriteString(c, line)
+	bufio.NewReader(c).ReadString('\n')
+	c.Close()
+	time.Sleep(100 * time.Millisecond)
+}
+
 // carry copies without the system's splice, for which the runtime keeps pipes that would be taken for a leak.
 func carry(to io.Writer, from io.Reader) {
 	io.Copy(struct{ io.Writer }{to}, struct{ io.Reader }{from})
 }
 
-// TestFalseRelays: the judge catches each rule that a scripted relay breaks, and nothing else; the relay that breaks none is
-// found to break none.
-func TestFalseRelays(t *testing.T) {
+// TestScriptedRelays: the judge finds the rule that a scripted relay breaks, and nothing else; a relay that breaks none is found to
+// break none.
+func TestScriptedRelays(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -219,25 +219,25 @@
 		t.Fatal(err)
 	}
 	for script, rule := range map[string]string{
-		"honest": "", "two answers": scenario.MultipleAnswers, "no answer": scenario.NoAnswer, "false answer": scenario.ForgedAnswer,
-		"two out": scenario.ConcurrentAttempts, "too many": scenario.TooManyAttempts, "draining": scenario.SentToDraining, "cold": scenario.OverloadedInSlowStart,
-		"cut off": scenario.FlowCutOff, "waiting": scenario.FlowStalled, "crash": scenario.RelayCrash,
-		"sent late": scenario.SentForGoneClient, "repeats": scenario.DisallowedRepeat, "false hope": scenario.WrongRejection, "leaks": scenario.DescriptorLeak,
-		"deaf": scenario.NoAnswer, "ends at once": scenario.FlowCutOff,
+		"honest": "", "multiple answers": scenario.MultipleAnswers, "no answer": scenario.NoAnswer, "forged answer": scenario.ForgedAnswer,
+		"concurrent attempts": scenario.ConcurrentAttempts, "too many attempts": scenario.TooManyAttempts, "sent to draining": scenario.SentToDraining, "overload in slow start": scenario.OverloadedInSlowStart,
+		"flow cut off": scenario.FlowCutOff, "flow stalled": scenario.FlowStalled, "crash": scenario.RelayCrash,
+		"sent for gone client": scenario.SentForGoneClient, "disallowed repeat": scenario.DisallowedRepeat, "wrong rejection": scenario.WrongRejection, "descriptor leak": scenario.DescriptorLeak,
+		"ignores half close": scenario.NoAnswer, "ends at once": scenario.FlowCutOff,
 	} {
 		t.Run(script, func(t *testing.T) {
 			t.Parallel()
 			seconds, step := 6, `{"at_ms":1500,"do":"drain","who":["s0"]}`
-			if script == "cold" {
+			if script == "overload in slow start" {
 				step = `{"at_ms":1500,"do":"replace","who":["s0"]}`
 			}
 			effect, leave := "read_like", 0.0
 			switch script {
-			case "waiting":
+			case "flow stalled":
 				seconds = 12
-			case "sent late", "deaf":
+			case "sent for gone client", "ignores half close":
 				leave, step = 1, "" // what waits a second would go to a member that drains by then
-			case "repeats", "false hope":
+			case "disallowed repeat", "wrong rejection":
 				effect = "non_idempotent"
 			case "ends at once":
 				step = `{"at_ms":3000,"do":"term","who":["n0"]}`
@@ -245,7 +245,7 @@
 			f, err := scenario.Decode(fmt.Appendf(nil, `{"config":"config.json","settle":true,"change":{"script":%q,"settings":{"classes":[{"name":"pay","aim-ms":500,"deadline-ms":2500,"worth":1,"effect":%q,"key-scope":"all"}]}},"seed":3,"seconds":%d,"from_ms":1000,
 			 "relays":{"count":1},"members":{"count":3,"cores":[1,1],"open_ms":40,"leave_ms":3000},"front":{"ping_ms":200},
 			 "clients":{"standing":5,"per_second":%d,"stay_ms":20000,"load":[0.001,0.001],"line_ms":200,"leave":%g},"faults":[%s]}`,
-				script, effect, seconds, map[bool]int{true: 24, false: 6}[script == "cold"], leave, step))
+				script, effect, seconds, map[bool]int{true: 24, false: 6}[script == "overload in slow start"], leave, step))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -281,7 +281,7 @@
 	}
 }
 
-// TestFiles: the rehearsals that are shipped can be used, with the configurations that they name.
+// TestFiles: the scenarios that are shipped can be used, with the configurations that they name.
 func TestFiles(t *testing.T) {
 	all, err := filepath.Glob("../../deploy/scenarios/*.json")
 	if err != nil || len(all) == 0 {
@@ -305,8 +305,8 @@
 	}
 }
 
-// TestFree: an address is given once, though nobody listens at it yet.
-func TestFree(t *testing.T) {
+// TestFreeAddr: an address is returned once, though nobody listens at it yet.
+func TestFreeAddr(t *testing.T) {
 	r := &run{usedAddrs: map[string]bool{}}
 	for range 900 { // enough for the same number to be drawn again
 		if _, err := r.freeAddr(); err != nil {
--- a/internal/scenariorunner/soak_test.go
+++ b/internal/scenariorunner/soak_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"fmt"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"strconv"
 	"strings"
@@ -15,20 +14,27 @@
 	"dahliarudder/internal/scenario"
 )
 
-// The soak plays soakSeeds seeds from soakFrom on. By hand these variables say otherwise; soakKeep names a directory for
-// the logs of all sides.
+// Variables that set a soak by hand: the first seed, how many seeds, how many runs at a time, and a directory to keep all logs in.
 const (
-	soakFrom, soakSeeds, soakKeep, soakBeside = "SOAK_FROM", "SOAK_SEEDS", "SOAK_KEEP", "SOAK_BESIDE"
-	soakFromUsual, soakUsual                  = 1, 4
-	// soakBesideUsual is how many plays run beside each other: each takes about one core.
-	soakBesideUsual = 2
+	firstSeedVariable   = "SOAK_FROM"
+	seedCountVariable   = "SOAK_SEEDS"
+	concurrencyVariable = "SOAK_BESIDE"
+	keepDirVariable     = "SOAK_KEEP"
 )
 
-func number(t *testing.T, name string, usual int) int {
+// Defaults of these. Each run takes about one core.
+const (
+	defaultFirstSeed   = 1
+	defaultSeedCount   = 4
+	defaultConcurrency = 2
+)
+
+// environmentNumber is the number that a variable holds.
+func environmentNumber(t *testing.T, name string, byDefault int) int {
 	t.Helper()
 	text := os.Getenv(name)
 	if text == "" {
-		return usual
+		return byDefault
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil {
@@ -37,41 +43,33 @@
 	return n
 }
 
-// TestSoak: relays among stand-ins, with settings, sizes and faults drawn from seeds. The judge sees sockets alone. What it
-// finds stands on a line with the command that plays it again.
+// TestSoak runs relays among fakes, with settings, sizes and faults drawn from seeds. A violation is printed with the command that
+// runs its seed again.
 func TestSoak(t *testing.T) {
-	dir := t.TempDir()
-	program := filepath.Join(dir, "relay")
-	if out, err := exec.Command("go", "test", "-c", "-o", program, "dahliarudder/cmd/dahliarudder").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
-	}
-	config, err := filepath.Abs("../../deploy/peers.json")
-	if err != nil {
-		t.Fatal(err)
-	}
-	if fakes.Host == "127.0.0.1" { // another run of the tests on this machine has another
+	program, config := buildRelay(t, "test", "-c"), deployedConfig(t)
+	if fakes.Host == "127.0.0.1" { // another run of the tests on this machine uses another
 		fakes.Host = fmt.Sprintf("127.%d.%d.2", 64+os.Getpid()%128, os.Getpid()/128%250)
 	}
 	seeds := make(chan uint64)
-	var players sync.WaitGroup
-	for range number(t, soakBeside, soakBesideUsual) {
-		players.Add(1)
+	var workers sync.WaitGroup
+	for range environmentNumber(t, concurrencyVariable, defaultConcurrency) {
+		workers.Add(1)
 		go func() {
-			defer players.Done()
+			defer workers.Done()
 			for seed := range seeds {
 				soak(t, seed, config, program)
 			}
 		}()
 	}
-	from := number(t, soakFrom, soakFromUsual)
-	for n := range number(t, soakSeeds, soakUsual) {
+	from := environmentNumber(t, firstSeedVariable, defaultFirstSeed)
+	for n := range environmentNumber(t, seedCountVariable, defaultSeedCount) {
 		seeds <- uint64(from + n)
 	}
 	close(seeds)
-	players.Wait()
+	workers.Wait()
 }
 
-// soak plays one seed.
+// soak runs one seed.
 func soak(t *testing.T, seed uint64, config, program string) {
 	f, err := scenario.DrawSoak(seed, config, true)
 	if err != nil {
@@ -79,16 +77,16 @@
 		return
 	}
 	work := t.TempDir()
-	if keep := os.Getenv(soakKeep); keep != "" {
+	if keep := os.Getenv(keepDirVariable); keep != "" {
 		work = filepath.Join(keep, fmt.Sprint("seed-", seed))
 	}
-	var said strings.Builder
+	var printed strings.Builder
 	var mu sync.Mutex
 	r := &Runner{File: f, Dir: ".", Program: program, WorkDir: work, Progress: func(format string, a ...any) {
 		mu.Lock()
 		defer mu.Unlock()
 		if line := strings.TrimSpace(fmt.Sprintf(format, a...)); !strings.Contains(line, "connections asked for") {
-			fmt.Fprintln(&said, line)
+			fmt.Fprintln(&printed, line)
 		}
 	}}
 	x, err := r.RunVariant(context.Background(), f.Variants[0], 1, seed)
@@ -112,15 +110,6 @@
 	if verdict == "well" {
 		return
 	}
-	t.Errorf("seed %d: %s %s\n%s%v\nagain: %s=%d %s=1 %s=logs go test -count=1 -run TestSoak ./internal/rehearse", seed, verdict, x.Invalid, said.String(),
-		breaks(x.Violations), soakFrom, seed, soakSeeds, soakKeep)
-}
-
-// violations is a line for each rule broken.
-func breaks(all []scenario.Violation) string {
-	var b strings.Builder
-	for _, x := range all {
-		fmt.Fprintf(&b, "  at %.2f s, %s: %s: %s\n", x.At.Seconds(), x.Relay, x.Rule, x.What)
-	}
-	return b.String()
+	t.Errorf("seed %d: %s %s\n%s%v\nagain: %s=%d %s=1 %s=logs go test -count=1 -run TestSoak ./internal/scenariorunner", seed, verdict, x.Invalid, printed.String(),
+		violationLines(x.Violations), firstSeedVariable, seed, seedCountVariable, keepDirVariable)
 }
