--- a/integration/asleep_test.go
+++ b/integration/asleep_test.go
@@ -16,8 +16,8 @@
 // meanwhile is read before anything is held for overdue, and nothing is sent by what it knew before: not to a member that
 // discovery has called draining, neither by those who have waited for it nor by those who come at once.
 func TestAsleep(t *testing.T) {
-	s := newSite(t, 6, nil)
-	s.hold(6)
+	s := newLineRig(t, 6, nil)
+	s.openFlows(6)
 	s.cmd.Process.Signal(syscall.SIGSTOP)
 	time.Sleep(4500 * time.Millisecond) // the call that was out has its answer
 	for _, b := range s.backends[1:] {
@@ -31,7 +31,7 @@
 	var all []*client
 	for n := range 12 {
 		c := s.dial()
-		c.say(fmt.Sprintf("OPEN %016x %016x c=pay-status,t=water,d=9000", 100+n, 300+n))
+		c.send(fmt.Sprintf("OPEN %016x %016x c=pay-status,t=water,d=9000", 100+n, 300+n))
 		all = append(all, c)
 	}
 	s.cmd.Process.Signal(syscall.SIGCONT)
@@ -48,23 +48,23 @@
 	if strings.Contains(s.log.String(), "discovery call failed") {
 		t.Error("an answer that had come was held for missing")
 	}
-	checkTries(t, s.tries)
+	checkAttemptCounter(t, s.tries)
 }
 
 // TestState: a relay that is killed goes on from its snapshot: what it says it came back with, where the list is from while discovery is
 // down and its configuration knows none; and a snapshot that is torn, another's or in a directory that cannot be had never stops a start.
 func TestState(t *testing.T) {
-	s := newSite(t, 3, map[string]any{"operator": "127.0.0.1:0", "state": map[string]any{"dir": "state", "every_ms": 1000}, "known": nil})
-	until(t, "the list", func() bool { return s.call("GET", "/-/ready") == 200 })
-	s.hold(3)
-	at := filepath.Join(filepath.Dir(s.path), "state", "snapshot")
-	until(t, "a snapshot", func() bool { _, err := os.Stat(at); return err == nil })
+	s := newLineRig(t, 3, map[string]any{"operator": "127.0.0.1:0", "state": map[string]any{"dir": "state", "every_ms": 1000}, "known": nil})
+	waitFor(t, "the list", func() bool { return s.call("GET", "/-/ready") == 200 })
+	s.openFlows(3)
+	at := filepath.Join(filepath.Dir(s.configPath), "state", "snapshot")
+	waitFor(t, "a snapshot", func() bool { _, err := os.Stat(at); return err == nil })
 	s.d.SetDown(true)
 	s.cmd.Process.Kill()
 	<-s.done
 	said := func(r *relay) string {
 		t.Helper()
-		answer, err := http.Get("http://" + r.addr["operator"] + "/-/recovery")
+		answer, err := http.Get("http://" + r.addrs["operator"] + "/-/recovery")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -72,11 +72,11 @@
 		text, _ := io.ReadAll(answer.Body)
 		return string(text)
 	}
-	next := start(t, s.path, 2)
+	next := start(t, s.configPath, 2)
 	if text := said(next); !strings.Contains(text, `"from": "snapshot"`) {
 		t.Errorf("came back %s", text)
 	}
-	next.open(50, "").want("UP ")
+	next.openFlow(50, "").wantLine("UP ")
 	next.cmd.Process.Kill()
 	<-next.done
 	text, err := os.ReadFile(at)
@@ -85,24 +85,24 @@
 	}
 	s.d.SetDown(false)
 	for what, do := range map[string]func(){
-		"torn": func() { write(t, at, string(text[:len(text)/2])) },
+		"torn": func() { writeFile(t, at, string(text[:len(text)/2])) },
 		"of another relay": func() {
-			write(t, at, string(text))
-			config, _ := os.ReadFile(s.path)
-			write(t, s.path, strings.Replace(string(config), `"name":"n0"`, `"name":"n9"`, 1))
+			writeFile(t, at, string(text))
+			config, _ := os.ReadFile(s.configPath)
+			writeFile(t, s.configPath, strings.Replace(string(config), `"name":"n0"`, `"name":"n9"`, 1))
 		},
 		"not a directory": func() {
 			os.RemoveAll(filepath.Dir(at))
-			write(t, filepath.Dir(at), "")
+			writeFile(t, filepath.Dir(at), "")
 		},
 	} {
 		do()
-		r := start(t, s.path, 2)
+		r := start(t, s.configPath, 2)
 		if text := said(r); !strings.Contains(text, `"from": "nothing"`) || !strings.Contains(text, `"why"`) {
 			t.Errorf("%s: came back %s", what, text)
 		}
-		until(t, "the list", func() bool { return r.call("GET", "/-/ready") == 200 })
-		r.open(60, "").want("UP ")
+		waitFor(t, "the list", func() bool { return r.call("GET", "/-/ready") == 200 })
+		r.openFlow(60, "").wantLine("UP ")
 		r.cmd.Process.Kill()
 		<-r.done
 		os.RemoveAll(filepath.Dir(at))
--- a/integration/crossing_queue_test.go
+++ b/integration/crossing_queue_test.go
@@ -11,22 +11,22 @@
 func TestCrossingStopQueue(t *testing.T) {
 	t.Parallel()
 	const waiting = 40 // acceptBurst of netloop is 16
-	s := newCrossing(t, 2, nil)
+	s := newScriptedRig(t, 2, nil)
 	since := s.terminate()
-	s.freeze()
+	s.suspend()
 	var all []*client
 	for n := range waiting {
-		all = append(all, s.openFor(100+n, 9*time.Second))
+		all = append(all, s.openWithDeadline(100+n, 9*time.Second))
 	}
-	time.Sleep(time.Until(since.Add(longestStop + timeSlack))) // its clock goes on; that is the event
-	s.thaw()
+	time.Sleep(time.Until(since.Add(maxCountedDeadline + socketTolerance))) // its clock goes on; that is the event
+	s.resume()
 	answers := map[string]int{}
 	for _, c := range all {
 		word, _, _ := strings.Cut(c.line(), " ")
 		answers[word]++
 	}
-	s.ends()
-	s.checkTries()
+	s.waitExit()
+	s.checkAttempts()
 	if answers["BUSY"] != waiting {
 		t.Errorf("answers %v", answers)
 	}
--- a/integration/crossing_rig_test.go
+++ b/integration/crossing_rig_test.go
@@ -17,52 +17,52 @@
 	"dahliarudder/internal/fakes"
 )
 
-// The tests named Crossing let two events meet at the built program. Their members answer only what the test tells them to, so that the
-// order of the events is forced. What decides is what clients, members, discovery and /proc show.
+// The tests named Crossing force two events at the built program into one order. Their members answer only what the test tells them to.
+// Results are taken from clients, members, discovery and /proc.
 
 // Figures of the protocol.
 const (
-	longestStop  = 3 * time.Second        // the longest deadline of the settings used here; also the most that counts
-	stopReserve  = 700 * time.Millisecond // after which the process is killed
-	answerLate   = 500 * time.Millisecond // after its time an answer is lost and not only worthless
-	drainGrace   = 250 * time.Millisecond // in which something may still go to a member that drains
-	timeSlack    = 50 * time.Millisecond  // by which every time limit is extended
-	silenceTold  = 6 * time.Second        // after its start what a silent watch misses counts as told
-	hangupTold   = 4 * time.Second        // after SIGHUP what the new discovery has counts as told
-	arrivalsMost = 256                    // attempts that wait for the test to look at them
+	maxCountedDeadline  = 3 * time.Second        // the longest deadline of these settings, and the most that counts
+	killMargin          = 700 * time.Millisecond // after the deadline the process is killed
+	lostAnswerDelay     = 500 * time.Millisecond // this late an answer counts as lost
+	drainGrace          = 250 * time.Millisecond // for which something may still go to a draining member
+	socketTolerance     = 50 * time.Millisecond  // extends every time limit
+	silentWatchDeadline = 6 * time.Second        // after the start of a silent watch what it misses counts as delivered
+	reloadDeadline      = 4 * time.Second        // after SIGHUP the new discovery's changes count as delivered
+	maxArrivals         = 256                    // attempts that wait for the test
 )
 
-// scriptedMember is a pool member that answers probes by itself and first lines only as the test says.
+// scriptedMember is a fake pool member that answers health checks by itself and first lines only as the test says.
 type scriptedMember struct {
-	t       testing.TB
-	id      string
-	addr    string
-	tries   *fakes.AttemptCounter
-	arrived chan *attempt
+	t           testing.TB
+	id          string
+	addr        string
+	attempts    *fakes.AttemptCounter
+	newAttempts chan *attempt
 
-	mu    sync.Mutex
-	lines []arrival
-	auto  bool // first lines are answered UP at once
+	mu         sync.Mutex
+	firstLines []arrival
+	autoAccept bool // first lines are answered UP at once
 }
 
-// arrival is a first line that has come.
+// arrival is a first line that was received.
 type arrival struct {
 	id string
 	at time.Time
 }
 
-// attempt is one at a scripted member.
+// attempt is an attempt at a scripted member.
 type attempt struct {
 	net.Conn
-	member *scriptedMember
-	id     string
-	lines  chan string   // what came after the first line
-	ended  chan struct{} // the relay has ended the connection
-	over   func()
+	member   *scriptedMember
+	id       string
+	lines    chan string   // lines after the first one
+	ended    chan struct{} // closed when the relay has ended the connection
+	countEnd func()
 }
 
 func newScriptedMember(t testing.TB, id string, tries *fakes.AttemptCounter) *scriptedMember {
-	m := &scriptedMember{t: t, id: id, tries: tries, arrived: make(chan *attempt, arrivalsMost)}
+	m := &scriptedMember{t: t, id: id, attempts: tries, newAttempts: make(chan *attempt, maxArrivals)}
 	m.addr = listen(t, m.serve).Addr().String()
 	return m
 }
@@ -94,16 +94,16 @@
 		m.t.Errorf("%s got the first line %q", m.id, first)
 		return
 	}
-	a := &attempt{Conn: c, member: m, id: words[1], lines: make(chan string, arrivalsMost), ended: make(chan struct{})}
-	a.over = m.tries.Begin(a.id, c).End
+	a := &attempt{Conn: c, member: m, id: words[1], lines: make(chan string, maxArrivals), ended: make(chan struct{})}
+	a.countEnd = m.attempts.Begin(a.id, c).End
 	m.mu.Lock()
-	m.lines = append(m.lines, arrival{a.id, time.Now()})
-	auto := m.auto
+	m.firstLines = append(m.firstLines, arrival{a.id, time.Now()})
+	auto := m.autoAccept
 	m.mu.Unlock()
 	if auto {
-		a.up()
+		a.accept()
 	} else {
-		m.arrived <- a
+		m.newAttempts <- a
 	}
 	for {
 		line, err := in.ReadString('\n')
@@ -112,22 +112,22 @@
 		}
 		a.lines <- strings.TrimSuffix(line, "\r\n")
 	}
-	a.over()
+	a.countEnd()
 	close(a.ended)
 }
 
-// answers has every first line answered UP from now on, without a word to the test, or none.
-func (m *scriptedMember) answers(on bool) {
+// setAutoAccept makes the member accept every attempt by itself from now on, or ends that.
+func (m *scriptedMember) setAutoAccept(on bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.auto = on
+	m.autoAccept = on
 }
 
-// arrivals are all first lines that came.
+// arrivals returns all first lines received.
 func (m *scriptedMember) arrivals() []arrival {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return append([]arrival(nil), m.lines...)
+	return append([]arrival(nil), m.firstLines...)
 }
 
 func (a *attempt) write(text string) {
@@ -137,23 +137,23 @@
 	}
 }
 
-func (a *attempt) up() { a.write("UP " + a.member.id + "/" + a.id + "\r\n") }
+func (a *attempt) accept() { a.write("UP " + a.member.id + "/" + a.id + "\r\n") }
 
-// refuse ends the attempt with an answer that proves that it has not run.
-func (a *attempt) refuse() {
-	a.over()
+// reject ends the attempt with BUSY, which says that it has not run.
+func (a *attempt) reject() {
+	a.countEnd()
 	a.write("BUSY\r\n")
 	a.Close()
 }
 
 func (a *attempt) reset() {
-	a.over()
+	a.countEnd()
 	a.Conn.(*net.TCPConn).SetLinger(0)
 	a.Close()
 }
 
-// next is the next line of the client's.
-func (a *attempt) next() string {
+// nextLine returns the client's next line.
+func (a *attempt) nextLine() string {
 	a.member.t.Helper()
 	select {
 	case line := <-a.lines:
@@ -164,8 +164,8 @@
 	}
 }
 
-// waitEnd waits until the relay has ended the attempt's connection.
-func (a *attempt) waitEnd() {
+// waitClosed waits until the relay has ended the connection.
+func (a *attempt) waitClosed() {
 	a.member.t.Helper()
 	select {
 	case <-a.ended:
@@ -174,12 +174,12 @@
 	}
 }
 
-// crossing is a relay among scripted members.
-type crossing struct {
+// scriptedRig is a relay among scripted members.
+type scriptedRig struct {
 	*relay
-	d       *discovery
-	members []*scriptedMember
-	tries   *fakes.AttemptCounter
+	d              *discovery
+	members        []*scriptedMember
+	attemptCounter *fakes.AttemptCounter
 }
 
 func newMembers(t testing.TB, n int, tries *fakes.AttemptCounter) (members []*scriptedMember, list []member) {
@@ -190,29 +190,29 @@
 	return members, list
 }
 
-func newCrossing(t *testing.T, members int, more map[string]any) *crossing {
+func newScriptedRig(t *testing.T, members int, more map[string]any) *scriptedRig {
 	t.Helper()
-	s := &crossing{tries: fakes.NewAttemptCounter()}
+	s := &scriptedRig{attemptCounter: fakes.NewAttemptCounter()}
 	var list []member
-	s.members, list = newMembers(t, members, s.tries)
+	s.members, list = newMembers(t, members, s.attemptCounter)
 	s.d = newDiscovery(t, list...)
 	fronts := 1
 	if more["operator"] != nil {
 		fronts++
 	}
 	s.relay = start(t, configure(t, s.d, more), fronts)
-	until(t, "the first watch", func() bool { return s.d.Calls() > 1 })
+	waitFor(t, "the first watch", func() bool { return s.d.Calls() > 1 })
 	return s
 }
 
-// attempt waits for the next one at any member.
-func (s *crossing) attempt() *attempt {
+// nextAttempt waits for the next attempt at any member.
+func (s *scriptedRig) nextAttempt() *attempt {
 	s.t.Helper()
 	var got *attempt
-	until(s.t, "an attempt", func() bool {
+	waitFor(s.t, "an attempt", func() bool {
 		for _, m := range s.members {
 			select {
-			case got = <-m.arrived:
+			case got = <-m.newAttempts:
 				return true
 			default:
 			}
@@ -222,11 +222,11 @@
 	return got
 }
 
-// attempts counts those of one request, at all members.
-func (s *crossing) attempts(n int) (count int) {
+// attemptCount counts the attempts of request number n at all members.
+func (s *scriptedRig) attemptCount(n int) (count int) {
 	for _, m := range s.members {
 		for _, a := range m.arrivals() {
-			if a.id == name(n) {
+			if a.id == requestID(n) {
 				count++
 			}
 		}
@@ -234,14 +234,14 @@
 	return count
 }
 
-// name is the id that request number n has.
-func name(n int) string { return fmt.Sprintf("%016x", n) }
+// requestID returns the id of request number n.
+func requestID(n int) string { return fmt.Sprintf("%016x", n) }
 
-// openFor is open with another wait.
-func (s *crossing) openFor(n int, wait time.Duration) *client {
+// openWithDeadline is openFlow with another deadline.
+func (s *scriptedRig) openWithDeadline(n int, wait time.Duration) *client {
 	s.t.Helper()
 	c := s.dial()
-	c.say(firstLine(n, wait))
+	c.send(firstLine(n, wait))
 	return c
 }
 
@@ -249,48 +249,66 @@
 	return fmt.Sprintf("OPEN %016x %016x c=pay-status,t=water,d=%d,g=%016x", n, n+1, wait.Milliseconds(), n+2)
 }
 
-// flow opens one that stands, and returns both ends.
-func (s *crossing) flow(n int) (*client, *attempt) {
+// newFlow opens an accepted flow and returns both ends.
+func (s *scriptedRig) newFlow(n int) (*client, *attempt) {
 	s.t.Helper()
-	c := s.open(n, "")
-	a := s.attempt()
-	if a.id != name(n) {
-		s.t.Fatalf("an attempt of request %s, want %s", a.id, name(n))
+	c := s.openFlow(n, "")
+	a := s.nextAttempt()
+	if a.id != requestID(n) {
+		s.t.Fatalf("an attempt of request %s, want %s", a.id, requestID(n))
 	}
-	a.up()
-	c.want("UP ")
+	a.accept()
+	c.wantLine("UP ")
 	return c, a
 }
 
-// terminate sends SIGTERM, and returns when, once the relay says that it stops.
-func (s *crossing) terminate() time.Time {
+// newFlows opens flows, from request 1 on, and returns the clients' ends.
+func (s *scriptedRig) newFlows(count int) (all []*client) {
+	s.t.Helper()
+	for n := range count {
+		c, _ := s.newFlow(n + 1)
+		all = append(all, c)
+	}
+	return all
+}
+
+// entries are the members' entries in discovery's list.
+func (s *scriptedRig) entries() (all []member) {
+	for _, m := range s.members {
+		all = append(all, m.entry())
+	}
+	return all
+}
+
+// terminate sends SIGTERM, waits until the relay logs that it stops, and returns when it was sent.
+func (s *scriptedRig) terminate() time.Time {
 	s.t.Helper()
 	at := time.Now()
 	s.cmd.Process.Signal(syscall.SIGTERM)
-	s.logged("msg=stopping")
+	s.waitLogged("msg=stopping")
 	return at
 }
 
-// gone waits for the end of the process, which must be in time.
-func (s *crossing) gone(since time.Time) {
+// wantTimelyExit waits for the end of the process, which has to be in time.
+func (s *scriptedRig) wantTimelyExit(since time.Time) {
 	s.t.Helper()
-	s.ends()
+	s.waitExit()
 	took := time.Since(since)
 	s.t.Logf("gone %v after SIGTERM", took.Round(time.Millisecond))
-	if took > longestStop+stopReserve {
+	if took > maxCountedDeadline+killMargin {
 		s.t.Errorf("the process ended %v after SIGTERM", took)
 	}
-	s.checkTries()
+	s.checkAttempts()
 }
 
-func (s *crossing) checkTries() {
+func (s *scriptedRig) checkAttempts() {
 	s.t.Helper()
-	for _, broken := range s.tries.Violations() {
+	for _, broken := range s.attemptCounter.Violations() {
 		s.t.Error(broken)
 	}
 }
 
-// descriptors is how many a process holds.
+// descriptors counts a process's descriptors.
 func descriptors(t testing.TB, pid int) int {
 	t.Helper()
 	held, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
@@ -305,18 +323,18 @@
 	return descriptors(r.t, r.cmd.Process.Pid)
 }
 
-// settled waits until the relay holds no more descriptors than before. Its probes' connections take some seconds to go.
-func (r *relay) settled(before int) {
+// waitDescriptorsReleased waits until the relay has no more descriptors than before. Connections for health checks take some seconds.
+func (r *relay) waitDescriptorsReleased(before int) {
 	r.t.Helper()
 	for end := time.Now().Add(patience); r.descriptors() > before; time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Fatalf("%d descriptors, %d before: %q", r.descriptors(), before, r.links())
+			r.t.Fatalf("%d descriptors, %d before: %q", r.descriptors(), before, r.describeDescriptors())
 		}
 	}
 }
 
-// links are what the relay's descriptors stand for; TCP sockets with their lines in /proc/net/tcp: own address, the other one, state.
-func (r *relay) links() (all []string) {
+// describeDescriptors describes the relay's descriptors: TCP sockets by local address, remote address and state from /proc/net/tcp.
+func (r *relay) describeDescriptors() (all []string) {
 	text, _ := os.ReadFile("/proc/net/tcp")
 	tcp := map[string]string{}
 	for _, line := range strings.Split(string(text), "\n") {
@@ -332,11 +350,11 @@
 	return all
 }
 
-// freeze stops the process, and returns once it stands still.
-func (r *relay) freeze() {
+// suspend stops the process by SIGSTOP and waits until all its threads are stopped.
+func (r *relay) suspend() {
 	r.t.Helper()
 	r.cmd.Process.Signal(syscall.SIGSTOP)
-	until(r.t, "the process to stand still", func() bool {
+	waitFor(r.t, "the process to stand still", func() bool {
 		tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", r.cmd.Process.Pid))
 		if err != nil || len(tasks) == 0 {
 			r.t.Fatal("the process has gone")
@@ -355,27 +373,27 @@
 	})
 }
 
-// thaw has it go on.
-func (r *relay) thaw() { r.cmd.Process.Signal(syscall.SIGCONT) }
+// resume continues a suspended process.
+func (r *relay) resume() { r.cmd.Process.Signal(syscall.SIGCONT) }
 
-// door is where a member is served whose machine lets no connection come up until opened.
-type door struct {
-	l      net.Listener
-	serve  func(net.Conn)
-	filler []net.Conn
+// blockedListener is the listener of a member that is unreachable until unblocked: no connection is established or refused.
+type blockedListener struct {
+	listener       net.Listener
+	serve          func(net.Conn)
+	backlogFillers []net.Conn
 }
 
-// fillWithin is how long a connection may take that is to fill a queue of the loopback.
-const fillWithin = 200 * time.Millisecond
+// fillTimeout is after how long a connection on the loopback counts as blocked.
+const fillTimeout = 200 * time.Millisecond
 
-// newDoor is closed: the queue of its socket is full, so that the kernel drops what knocks.
-func newDoor(t testing.TB, serve func(net.Conn)) *door {
+// newBlockedListener returns a blocked listener: its accept queue is full, so that the kernel drops handshakes.
+func newBlockedListener(t testing.TB, serve func(net.Conn)) *blockedListener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &door{l: l, serve: serve}
+	d := &blockedListener{listener: l, serve: serve}
 	t.Cleanup(func() { l.Close() })
 	raw, err := l.(*net.TCPListener).SyscallConn()
 	if err != nil {
@@ -385,26 +403,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	until(t, "a full queue", func() bool {
-		c, err := net.DialTimeout("tcp", d.addr(), fillWithin)
+	waitFor(t, "a full queue", func() bool {
+		c, err := net.DialTimeout("tcp", d.addr(), fillTimeout)
 		if err == nil {
-			d.filler = append(d.filler, c)
+			d.backlogFillers = append(d.backlogFillers, c)
 		}
 		return err != nil
 	})
 	return d
 }
 
-func (d *door) addr() string { return d.l.Addr().String() }
+func (d *blockedListener) addr() string { return d.listener.Addr().String() }
 
-// open has it serve.
-func (d *door) open() {
-	for _, c := range d.filler {
+// unblock serves connections.
+func (d *blockedListener) unblock() {
+	for _, c := range d.backlogFillers {
 		c.Close()
 	}
 	go func() {
 		for {
-			c, err := d.l.Accept()
+			c, err := d.listener.Accept()
 			if err != nil {
 				return
 			}
@@ -416,7 +434,7 @@
 // States of a socket in /proc/net/tcp.
 const synSent = "02"
 
-// sockets counts the sockets to an address in a state, as the kernel shows them.
+// sockets counts the sockets to an address in a state of /proc/net/tcp.
 func sockets(t testing.TB, to, state string) (count int) {
 	t.Helper()
 	_, port, err := net.SplitHostPort(to)
--- a/integration/crossing_signals_test.go
+++ b/integration/crossing_signals_test.go
@@ -31,11 +31,11 @@
 	return &slowFile{t, path, string(text)}
 }
 
-// read waits until somebody reads it, who goes on waiting for what the test writes to the file returned.
-func (s *slowFile) read() *os.File {
+// waitReader waits until somebody reads it, who goes on waiting for what the test writes to the file returned.
+func (s *slowFile) waitReader() *os.File {
 	s.t.Helper()
 	var f *os.File
-	until(s.t, "a read of the configuration", func() bool {
+	waitFor(s.t, "a read of the configuration", func() bool {
 		fd, err := syscall.Open(s.path, syscall.O_WRONLY|syscall.O_NONBLOCK|syscall.O_CLOEXEC, 0)
 		if err == nil {
 			f = os.NewFile(uintptr(fd), s.path)
@@ -52,26 +52,26 @@
 	t.Parallel()
 	t.Run("SIGTERM while a reload hangs", func(t *testing.T) {
 		t.Parallel()
-		s := newCrossing(t, 2, nil)
-		c, _ := s.flow(1)
-		file := newSlowFile(t, s.path)
+		s := newScriptedRig(t, 2, nil)
+		c, _ := s.newFlow(1)
+		file := newSlowFile(t, s.configPath)
 		s.cmd.Process.Signal(syscall.SIGHUP)
-		file.read()
+		file.waitReader()
 		for range 40 { // more than any queue of signals holds
 			s.cmd.Process.Signal(syscall.SIGHUP)
 			time.Sleep(time.Millisecond)
 		}
 		since := s.terminate()
 		s.cmd.Process.Signal(syscall.SIGHUP)
-		moved(c)
-		s.gone(since)
+		wantMoved(c)
+		s.wantTimelyExit(since)
 	})
 	t.Run("HUP, TERM, TERM, HUP while it ends", func(t *testing.T) {
 		t.Parallel()
-		s := newCrossing(t, 2, nil)
-		c, _ := s.flow(1)
-		held := s.open(2, "")
-		a := s.attempt()
+		s := newScriptedRig(t, 2, nil)
+		c, _ := s.newFlow(1)
+		held := s.openFlow(2, "")
+		a := s.nextAttempt()
 		s.cmd.Process.Signal(syscall.SIGHUP)
 		since := s.terminate()
 		for range 5 {
@@ -79,33 +79,33 @@
 			s.cmd.Process.Signal(syscall.SIGHUP)
 			s.cmd.Process.Signal(syscall.SIGINT)
 		}
-		a.up()
-		held.want("UP ")
-		moved(c, held)
-		s.gone(since)
+		a.accept()
+		held.wantLine("UP ")
+		wantMoved(c, held)
+		s.wantTimelyExit(since)
 	})
 	t.Run("SIGHUP before the configuration is read", func(t *testing.T) {
 		t.Parallel()
 		b := newBackend(t, "s-00000001", nil)
 		file := newSlowFile(t, configure(t, newDiscovery(t, b.member()), nil))
 		r := launch(t, file.path)
-		f := file.read()
+		f := file.waitReader()
 		r.cmd.Process.Signal(syscall.SIGHUP)
 		if _, err := f.WriteString(file.text); err != nil {
 			t.Fatal(err)
 		}
 		f.Close()
-		r.serves(1)
-		r.open(1, "").want("UP ")
+		r.waitServing(1)
+		r.openFlow(1, "").wantLine("UP ")
 		r.stop()
 	})
 	t.Run("SIGTERM before the configuration is read", func(t *testing.T) {
 		t.Parallel()
 		file := newSlowFile(t, configure(t, newDiscovery(t), nil))
 		r := launch(t, file.path)
-		file.read()
+		file.waitReader()
 		r.cmd.Process.Signal(syscall.SIGTERM)
-		r.ends()
+		r.waitExit()
 	})
 }
 
@@ -113,14 +113,14 @@
 func TestStartAddressHeld(t *testing.T) {
 	t.Parallel()
 	b := newBackend(t, "s-00000001", nil)
-	addr := ownPort(t)
+	addr := reservePort(t)
 	holder, err := net.Listen("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer holder.Close()
 	r := launch(t, configure(t, newDiscovery(t, b.member()), map[string]any{"listen": addr}))
-	until(t, "the relay to find its address held", func() bool {
+	waitFor(t, "the relay to find its address held", func() bool {
 		select {
 		case err := <-r.done:
 			t.Fatalf("the relay has ended: %v", err)
@@ -133,7 +133,7 @@
 		return len(r.log.String()) > 0
 	})
 	holder.Close()
-	r.serves(1)
-	r.open(1, "").want("UP ")
+	r.waitServing(1)
+	r.openFlow(1, "").wantLine("UP ")
 	r.stop()
 }
--- a/integration/crossing_silent_test.go
+++ b/integration/crossing_silent_test.go
@@ -14,17 +14,17 @@
 	close(w.done)
 }
 
-// hangs keeps a call for ever.
-func hangs(*scriptedWatch) { select {} }
+// answerNever keeps a call for ever.
+func answerNever(*scriptedWatch) { select {} }
 
 // TestCrossingWatchSilent: a member drains just as the watch falls silent, or ends and the next call is silent. Nothing new goes to it later than the
 // protocol allows after the silence began.
 func TestCrossingWatchSilent(t *testing.T) {
 	t.Parallel()
 	for _, test := range []watchCase{
-		{"silent", silenceTold, answerNothing, nil},
-		{"503 then silence", silenceTold, answerUnavailable, []func(*scriptedWatch){hangs}},
-		{"reset then silence", silenceTold, answerReset, []func(*scriptedWatch){hangs}},
+		{"silent", silentWatchDeadline, answerNothing, nil},
+		{"503 then silence", silentWatchDeadline, answerUnavailable, []func(*scriptedWatch){answerNever}},
+		{"reset then silence", silentWatchDeadline, answerReset, []func(*scriptedWatch){answerNever}},
 	} {
 		t.Run(test.what, test.run)
 	}
@@ -33,20 +33,16 @@
 // TestCrossingWatchMovedSilent: SIGHUP moves discovery, where a member drains, and the first call there is silent.
 func TestCrossingWatchMovedSilent(t *testing.T) {
 	t.Parallel()
-	s, old := watchSite(t)
-	c, m := s.flowAt()
-	var list []member
-	for _, x := range s.members {
-		list = append(list, x.entry())
-	}
-	next := newScriptedDiscovery(t, list)
-	next.drain(m.id, nil, hangs)
+	s, old := newWatchRig(t)
+	c, m := s.flowToDrain()
+	next := newScriptedDiscovery(t, s.entries())
+	next.drain(m.id, nil, answerNever)
 	at := time.Now()
 	s.reload(old.addr, next.addr)
-	last := s.goesOn(m, c).Sub(at)
+	last := s.lastSendTo(m, c).Sub(at)
 	t.Logf("the last send went %v after SIGHUP", last.Round(time.Millisecond))
-	if most := silenceTold + drainGrace + timeSlack; last > most {
+	if most := silentWatchDeadline + drainGrace + socketTolerance; last > most {
 		t.Errorf("sent to a member %v after SIGHUP; %v are allowed", last, most)
 	}
-	s.checkTries()
+	s.checkAttempts()
 }
--- a/integration/crossing_stop_test.go
+++ b/integration/crossing_stop_test.go
@@ -16,15 +16,15 @@
 // process ends.
 func TestCrossingStopAnswered(t *testing.T) {
 	t.Parallel()
-	s := newCrossing(t, 2, nil)
-	c := s.open(1, "")
-	a := s.attempt()
+	s := newScriptedRig(t, 2, nil)
+	c := s.openFlow(1, "")
+	a := s.nextAttempt()
 	since := s.terminate()
-	a.up()
-	c.want("UP " + a.member.id + "/")
-	moved(c)
-	s.gone(since)
-	if n := s.attempts(1); n != 1 {
+	a.accept()
+	c.wantLine("UP " + a.member.id + "/")
+	wantMoved(c)
+	s.wantTimelyExit(since)
+	if n := s.attemptCount(1); n != 1 {
 		t.Errorf("%d attempts", n)
 	}
 }
@@ -35,10 +35,10 @@
 	for _, wait := range []time.Duration{time.Second, 2900 * time.Millisecond} {
 		t.Run(wait.String(), func(t *testing.T) {
 			t.Parallel()
-			s := newCrossing(t, 2, nil)
+			s := newScriptedRig(t, 2, nil)
 			sent := time.Now()
-			c := s.openFor(1, wait)
-			a := s.attempt()
+			c := s.openWithDeadline(1, wait)
+			a := s.nextAttempt()
 			since := s.terminate()
 			answer := c.line()
 			took := time.Since(sent)
@@ -46,14 +46,14 @@
 			if !strings.HasPrefix(answer, "BUSY") && answer != "ERR" {
 				t.Errorf("answered %q", answer)
 			}
-			if took > wait+answerLate {
+			if took > wait+lostAnswerDelay {
 				t.Errorf("answered after %v of %v", took, wait)
 			}
-			c.want(io.EOF.Error())
-			before := s.attempts(1)
-			a.waitEnd()
-			s.gone(since)
-			if n := s.attempts(1); n != before {
+			c.wantLine(io.EOF.Error())
+			before := s.attemptCount(1)
+			a.waitClosed()
+			s.wantTimelyExit(since)
+			if n := s.attemptCount(1); n != before {
 				t.Errorf("%d attempts after the answer", n-before)
 			}
 		})
@@ -64,24 +64,24 @@
 // that was answered PONG, is answered BUSY and never sent on.
 func TestCrossingStopArrives(t *testing.T) {
 	t.Parallel()
-	s := newCrossing(t, 2, nil)
+	s := newScriptedRig(t, 2, nil)
 	quiet, half, front := s.dial(), s.dial(), s.dial()
 	line := firstLine(2, 2*time.Second) + "\r\n"
 	fmt.Fprint(half, line[:30])
-	front.say("PING")
-	front.want("PONG") // the others were accepted before
+	front.send("PING")
+	front.wantLine("PONG") // the others were accepted before
 	since := s.terminate()
-	fresh := s.openFor(1, 2*time.Second)
+	fresh := s.openWithDeadline(1, 2*time.Second)
 	fmt.Fprint(half, line[30:])
-	quiet.say(firstLine(3, 2*time.Second))
-	front.say(firstLine(4, 2*time.Second))
+	quiet.send(firstLine(3, 2*time.Second))
+	front.send(firstLine(4, 2*time.Second))
 	for _, c := range []*client{fresh, half, quiet, front} {
-		c.want("BUSY ")
-		c.want(io.EOF.Error())
+		c.wantLine("BUSY ")
+		c.wantLine(io.EOF.Error())
 	}
-	s.gone(since)
+	s.wantTimelyExit(since)
 	for n := 1; n <= 4; n++ {
-		if s.attempts(n) > 0 {
+		if s.attemptCount(n) > 0 {
 			t.Errorf("request %d was sent on", n)
 		}
 	}
@@ -90,8 +90,8 @@
 // TestCrossingStopHalfLine: half a line of a member's stands at the client when SIGTERM comes. The rest follows, then MOVE.
 func TestCrossingStopHalfLine(t *testing.T) {
 	t.Parallel()
-	s := newCrossing(t, 2, nil)
-	c, a := s.flow(1)
+	s := newScriptedRig(t, 2, nil)
+	c, a := s.newFlow(1)
 	a.write("GOT ha")
 	got := make([]byte, len("GOT ha"))
 	if _, err := io.ReadFull(c.in, got); err != nil {
@@ -102,27 +102,27 @@
 	if line := c.line(); line != "lf" {
 		t.Errorf("the rest came as %q", line)
 	}
-	moved(c)
-	s.gone(since)
+	wantMoved(c)
+	s.wantTimelyExit(since)
 }
 
 // TestCrossingStopRests: a client that was answered PONG rests until the relay ends it, and sends a request just then. It sees a polite end, with or
 // without BUSY before, and no member sees the request.
 func TestCrossingStopRests(t *testing.T) {
 	t.Parallel()
-	s := newCrossing(t, 1, nil)
+	s := newScriptedRig(t, 1, nil)
 	c := s.dial()
-	c.say("PING")
-	c.want("PONG")
+	c.send("PING")
+	c.wantLine("PONG")
 	since := s.terminate()
 	if line := c.line(); strings.HasPrefix(line, "BUSY") {
-		c.want(io.EOF.Error())
+		c.wantLine(io.EOF.Error())
 	} else if line != io.EOF.Error() {
 		t.Errorf("ended by %q", line)
 	}
 	fmt.Fprint(c, firstLine(1, 2*time.Second)+"\r\n") // may fail
-	s.gone(since)
-	if s.attempts(1) > 0 {
+	s.wantTimelyExit(since)
+	if s.attemptCount(1) > 0 {
 		t.Error("sent on after the end of its connection")
 	}
 }
@@ -131,26 +131,18 @@
 // the same, and MOVE is not lost by its end.
 func TestCrossingStopRestsOpen(t *testing.T) {
 	t.Parallel()
-	s := newCrossing(t, 2, nil)
-	var all []*client
-	for n := range 6 {
-		c, _ := s.flow(n + 1)
-		all = append(all, c)
-	}
+	s := newScriptedRig(t, 2, nil)
+	all := s.newFlows(6)
 	since := s.terminate()
-	s.gone(since)
-	moved(all...) // read only now
+	s.wantTimelyExit(since)
+	wantMoved(all...) // read only now
 }
 
 // TestCrossingStopWrites: clients write lines on open flows while they are moved: MOVE reaches each, no connection is reset under it.
 func TestCrossingStopWrites(t *testing.T) {
 	t.Parallel()
-	s := newCrossing(t, 2, nil)
-	var all []*client
-	for n := range 6 {
-		c, _ := s.flow(n + 1)
-		all = append(all, c)
-	}
+	s := newScriptedRig(t, 2, nil)
+	all := s.newFlows(6)
 	since := s.terminate()
 	ended := make(chan struct{})
 	for _, c := range all {
@@ -169,54 +161,54 @@
 		}()
 	}
 	for _, c := range all {
-		c.want("MOVE")
+		c.wantLine("MOVE")
 	}
 	close(ended)
-	s.gone(since)
+	s.wantTimelyExit(since)
 }
 
 // TestCrossingStopTwice: a second and a third SIGTERM change nothing: what is held is answered, what stands is moved, and the process ends well.
 func TestCrossingStopTwice(t *testing.T) {
 	t.Parallel()
-	s := newCrossing(t, 2, nil)
-	stands, _ := s.flow(1)
-	c := s.open(2, "")
-	a := s.attempt()
+	s := newScriptedRig(t, 2, nil)
+	stands, _ := s.newFlow(1)
+	c := s.openFlow(2, "")
+	a := s.nextAttempt()
 	since := s.terminate()
 	s.cmd.Process.Signal(syscall.SIGTERM)
-	late := s.openFor(3, time.Second)
-	late.want("BUSY ")
+	late := s.openWithDeadline(3, time.Second)
+	late.wantLine("BUSY ")
 	s.cmd.Process.Signal(syscall.SIGTERM)
-	a.up()
-	c.want("UP ")
-	moved(stands, c)
-	s.gone(since)
+	a.accept()
+	c.wantLine("UP ")
+	wantMoved(stands, c)
+	s.wantTimelyExit(since)
 }
 
 // TestCrossingStopRefused: a member turns a request away after SIGTERM. It gets one answer; what is tried meanwhile never overlaps.
 func TestCrossingStopRefused(t *testing.T) {
 	t.Parallel()
-	for what, end := range map[string]func(*attempt){"busy": (*attempt).refuse, "reset": (*attempt).reset} {
+	for what, end := range map[string]func(*attempt){"busy": (*attempt).reject, "reset": (*attempt).reset} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			s := newCrossing(t, 2, nil)
-			c := s.open(1, "")
-			a := s.attempt()
+			s := newScriptedRig(t, 2, nil)
+			c := s.openFlow(1, "")
+			a := s.nextAttempt()
 			for _, m := range s.members {
-				m.answers(m != a.member)
+				m.setAutoAccept(m != a.member)
 			}
 			since := s.terminate()
 			end(a)
 			answer, _, _ := strings.Cut(c.line(), " ")
 			switch answer {
 			case "UP":
-				moved(c)
+				wantMoved(c)
 			case "BUSY", "ERR":
-				c.want(io.EOF.Error())
+				c.wantLine(io.EOF.Error())
 			default:
 				t.Errorf("answered %q", answer)
 			}
-			s.gone(since)
+			s.wantTimelyExit(since)
 		})
 	}
 }
@@ -234,22 +226,22 @@
 func TestCrossingLeftHeld(t *testing.T) {
 	t.Parallel()
 	for what, leave := range clientEnds {
-		for how, end := range map[string]func(*attempt){"busy": (*attempt).refuse, "reset": (*attempt).reset} {
+		for how, end := range map[string]func(*attempt){"busy": (*attempt).reject, "reset": (*attempt).reset} {
 			t.Run(what+" "+how, func(t *testing.T) {
 				t.Parallel()
-				s := newCrossing(t, 3, nil)
+				s := newScriptedRig(t, 3, nil)
 				before := s.descriptors()
-				c := s.open(1, "")
-				a := s.attempt()
-				s.freeze() // both events wait for the same round, the client's first
+				c := s.openFlow(1, "")
+				a := s.nextAttempt()
+				s.suspend() // both events wait for the same round, the client's first
 				leave(c)
 				end(a)
-				s.thaw()
-				a.waitEnd()
-				s.fence(2)
-				s.settled(before)
-				s.gone(s.terminate())
-				if n := s.attempts(1); n != 1 {
+				s.resume()
+				a.waitClosed()
+				s.serveOne(2)
+				s.waitDescriptorsReleased(before)
+				s.wantTimelyExit(s.terminate())
+				if n := s.attemptCount(1); n != 1 {
 					t.Errorf("%d attempts for a client that has gone", n)
 				}
 			})
@@ -257,19 +249,19 @@
 	}
 }
 
-// fence is a request that is served to its end: what came to the relay before it has been handled.
-func (s *crossing) fence(n int) {
+// serveOne is a request that is served to its end: what came to the relay before it has been handled.
+func (s *scriptedRig) serveOne(n int) {
 	s.t.Helper()
-	c, a := s.flow(n)
-	c.say("END")
-	if got := a.next(); got != "END" {
+	c, a := s.newFlow(n)
+	c.send("END")
+	if got := a.nextLine(); got != "END" {
 		s.t.Errorf("the member got %q", got)
 	}
-	a.over()
+	a.countEnd()
 	a.write("BYE\r\n")
 	a.Close()
-	c.want("BYE")
-	c.want(io.EOF.Error())
+	c.wantLine("BYE")
+	c.wantLine(io.EOF.Error())
 }
 
 // TestCrossingLeftDial: the client goes while no member takes the connection in. Once they do, none gets the request.
@@ -280,20 +272,20 @@
 			t.Parallel()
 			tries := fakes.NewAttemptCounter()
 			members, list := newMembers(t, 1, tries)
-			shut := newDoor(t, members[0].serve)
+			shut := newBlockedListener(t, members[0].serve)
 			list[0].Addr = shut.addr()
-			s := &crossing{d: newDiscovery(t, list...), members: members, tries: tries}
+			s := &scriptedRig{d: newDiscovery(t, list...), members: members, attemptCounter: tries}
 			s.relay = start(t, configure(t, s.d, nil), 1)
-			until(t, "the first watch", func() bool { return s.d.Calls() > 1 })
+			waitFor(t, "the first watch", func() bool { return s.d.Calls() > 1 })
 			before := s.descriptors()
-			c := s.open(1, "")
-			until(t, "a connection that does not come up", func() bool { return sockets(t, shut.addr(), synSent) > 0 })
+			c := s.openFlow(1, "")
+			waitFor(t, "a connection that does not come up", func() bool { return sockets(t, shut.addr(), synSent) > 0 })
 			leave(c)
-			s.settled(before)
-			shut.open()
+			s.waitDescriptorsReleased(before)
+			shut.unblock()
 			since := s.terminate()
-			s.gone(since)
-			if n := s.attempts(1); n != 0 {
+			s.wantTimelyExit(since)
+			if n := s.attemptCount(1); n != 0 {
 				t.Errorf("%d attempts for a client that has gone", n)
 			}
 		})
@@ -306,19 +298,19 @@
 	for what, leave := range clientEnds {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			s := newCrossing(t, 2, nil)
+			s := newScriptedRig(t, 2, nil)
 			before := s.descriptors()
-			c := s.open(1, "")
-			a := s.attempt()
-			s.freeze()
+			c := s.openFlow(1, "")
+			a := s.nextAttempt()
+			s.suspend()
 			leave(c)
-			a.up()
-			s.thaw()
-			a.waitEnd()
-			s.fence(2)
-			s.settled(before)
-			s.gone(s.terminate())
-			if n := s.attempts(1); n != 1 {
+			a.accept()
+			s.resume()
+			a.waitClosed()
+			s.serveOne(2)
+			s.waitDescriptorsReleased(before)
+			s.wantTimelyExit(s.terminate())
+			if n := s.attemptCount(1); n != 1 {
 				t.Errorf("%d attempts", n)
 			}
 		})
--- a/integration/crossing_upgrade_test.go
+++ b/integration/crossing_upgrade_test.go
@@ -10,29 +10,29 @@
 	"time"
 )
 
-// newUpgrade is a relay that can be succeeded, with flows that stand.
-func newUpgrade(t *testing.T, flows int) (s *crossing, clients []*client, members []*attempt) {
+// newUpgradeRig is a relay that can be succeeded, with flows that stand.
+func newUpgradeRig(t *testing.T, flows int) (s *scriptedRig, clients []*client, members []*attempt) {
 	t.Helper()
-	s = newCrossing(t, 2, map[string]any{"operator": "127.0.0.1:0"})
+	s = newScriptedRig(t, 2, map[string]any{"operator": "127.0.0.1:0"})
 	for n := range flows {
-		c, a := s.flow(n + 1)
+		c, a := s.newFlow(n + 1)
 		clients, members = append(clients, c), append(members, a)
 	}
 	return s, clients, members
 }
 
-// passes has the relay stop while its successor stands still, and returns once it has given flows up.
-func (s *crossing) passes(next *relay) time.Time {
+// passFlows has the relay stop while its successor stands still, and returns once it has given flows up.
+func (s *scriptedRig) passFlows(next *relay) time.Time {
 	s.t.Helper()
-	next.freeze()
+	next.suspend()
 	since := s.terminate()
-	s.round()
+	s.waitLoopRound()
 	return since
 }
 
-// round returns when the loop has been through a round: an operator's call is answered, or refused since the listeners are closed.
-func (s *crossing) round() {
-	c, err := net.Dial("tcp", s.addr["operator"])
+// waitLoopRound returns when the loop has been through a round: an operator's call is answered, or refused since the listeners are closed.
+func (s *scriptedRig) waitLoopRound() {
+	c, err := net.Dial("tcp", s.addrs["operator"])
 	if err != nil {
 		return
 	}
@@ -42,10 +42,10 @@
 	c.Read(make([]byte, 1))
 }
 
-// socketOf is the file at which a successor is waited for, by its number: a process that begins to take clients in makes it anew.
-func (r *relay) socketOf() uint64 {
+// handoverSocket is the file at which a successor is waited for, by its number: a process that begins to take clients in makes it anew.
+func (r *relay) handoverSocket() uint64 {
 	r.t.Helper()
-	paths, err := filepath.Glob(filepath.Join(filepath.Dir(r.path), "dahliarudder-*", "upgrade.sock"))
+	paths, err := filepath.Glob(filepath.Join(filepath.Dir(r.configPath), "dahliarudder-*", "upgrade.sock"))
 	if err != nil || len(paths) > 1 {
 		r.t.Fatalf("sockets %q, %v", paths, err)
 	}
@@ -56,44 +56,44 @@
 	return at.Ino
 }
 
-// speaks passes a line each way on a flow.
-func speaks(c *client, a *attempt, line string) {
+// exchangeLine passes a line each way on a flow.
+func exchangeLine(c *client, a *attempt, line string) {
 	c.t.Helper()
-	c.say(line)
-	if got := a.next(); got != line {
+	c.send(line)
+	if got := a.nextLine(); got != line {
 		c.t.Errorf("the member got %q for %q", got, line)
 	}
 	a.write("GOT " + line + "\r\n")
-	c.want("GOT " + line)
+	c.wantLine("GOT " + line)
 }
 
 // TestCrossingPassBytes: bytes arrive both ways while a flow is on its way to the successor. All arrive, in order.
 func TestCrossingPassBytes(t *testing.T) {
 	t.Parallel()
-	s, clients, members := newUpgrade(t, 6)
-	next := s.successor(2)
+	s, clients, members := newUpgradeRig(t, 6)
+	next := s.startSuccessor(2)
 	for i := range clients {
 		members[i].write("GOT ha")
 	}
-	since := s.passes(next)
+	since := s.passFlows(next)
 	for i, c := range clients {
-		c.say(fmt.Sprint("line ", i))
+		c.send(fmt.Sprint("line ", i))
 		members[i].write("lf\r\nGOT more\r\n")
 	}
-	next.thaw()
+	next.resume()
 	for i, c := range clients {
-		c.want("GOT half")
-		c.want("GOT more")
-		if got, want := members[i].next(), fmt.Sprint("line ", i); got != want {
+		c.wantLine("GOT half")
+		c.wantLine("GOT more")
+		if got, want := members[i].nextLine(), fmt.Sprint("line ", i); got != want {
 			t.Errorf("the member got %q, want %q", got, want)
 		}
 	}
-	s.gone(since)
+	s.wantTimelyExit(since)
 	for i, c := range clients {
-		speaks(c, members[i], "still here")
+		exchangeLine(c, members[i], "still here")
 	}
 	next.stop()
-	moved(clients...)
+	wantMoved(clients...)
 }
 
 // TestCrossingPassEnds: the client, or the member, ends a flow while it is on its way to the successor. The other side ends in the same manner.
@@ -102,40 +102,40 @@
 	for what, leave := range clientEnds {
 		t.Run("client "+what, func(t *testing.T) {
 			t.Parallel()
-			s, clients, members := newUpgrade(t, 4)
-			next := s.successor(2)
+			s, clients, members := newUpgradeRig(t, 4)
+			next := s.startSuccessor(2)
 			before := next.descriptors()
-			since := s.passes(next)
+			since := s.passFlows(next)
 			for _, c := range clients {
 				leave(c)
 			}
-			next.thaw()
+			next.resume()
 			for _, a := range members {
-				a.waitEnd()
+				a.waitClosed()
 			}
-			s.gone(since)
-			next.settled(before)
+			s.wantTimelyExit(since)
+			next.waitDescriptorsReleased(before)
 			next.stop()
 		})
 	}
 	t.Run("member", func(t *testing.T) {
 		t.Parallel()
-		s, clients, members := newUpgrade(t, 4)
-		next := s.successor(2)
+		s, clients, members := newUpgradeRig(t, 4)
+		next := s.startSuccessor(2)
 		before := next.descriptors()
-		since := s.passes(next)
+		since := s.passFlows(next)
 		for _, a := range members {
-			a.over()
+			a.countEnd()
 			a.write("BYE\r\n")
 			a.Close()
 		}
-		next.thaw()
+		next.resume()
 		for _, c := range clients {
-			c.want("BYE")
-			c.want(io.EOF.Error())
+			c.wantLine("BYE")
+			c.wantLine(io.EOF.Error())
 		}
-		s.gone(since)
-		next.settled(before)
+		s.wantTimelyExit(since)
+		next.waitDescriptorsReleased(before)
 		next.stop()
 	})
 }
@@ -146,18 +146,18 @@
 	for _, lifecycle := range []string{"DRAINING", "DELETED"} {
 		t.Run(lifecycle, func(t *testing.T) {
 			t.Parallel()
-			s, clients, members := newUpgrade(t, 4)
-			next := s.successor(2)
-			since := s.passes(next)
+			s, clients, members := newUpgradeRig(t, 4)
+			next := s.startSuccessor(2)
+			since := s.passFlows(next)
 			for _, m := range s.members {
 				s.d.SetLifecycle(m.id, lifecycle)
 			}
-			next.thaw()
-			moved(clients...)
+			next.resume()
+			wantMoved(clients...)
 			for _, a := range members {
-				a.waitEnd()
+				a.waitClosed()
 			}
-			s.gone(since)
+			s.wantTimelyExit(since)
 			next.stop()
 		})
 	}
@@ -166,72 +166,86 @@
 // TestCrossingPassNewerKilled: the successor is killed with flows on their way to it. The first one, which has given them up, moves their clients.
 func TestCrossingPassNewerKilled(t *testing.T) {
 	t.Parallel()
-	s, clients, _ := newUpgrade(t, 6)
-	next := s.successor(2)
-	since := s.passes(next)
+	s, clients, _ := newUpgradeRig(t, 6)
+	next := s.startSuccessor(2)
+	since := s.passFlows(next)
 	next.cmd.Process.Kill()
 	<-next.done
-	moved(clients...)
-	s.gone(since)
+	wantMoved(clients...)
+	s.wantTimelyExit(since)
+}
+
+// newRigWithoutMembers is a relay all of whose members drain. Once they serve they accept all attempts.
+func newRigWithoutMembers(t *testing.T, members int) *scriptedRig {
+	t.Helper()
+	s := newScriptedRig(t, members, map[string]any{"operator": "127.0.0.1:0"})
+	for _, m := range s.members {
+		m.setAutoAccept(true)
+		s.d.SetLifecycle(m.id, "DRAINING")
+	}
+	waitFor(t, "no member", func() bool { return s.call("GET", "/-/ready") == 503 })
+	return s
+}
+
+// suspendBothAtTakeover starts a successor, and suspends both processes just as that begins to accept clients: once the members serve.
+func (s *scriptedRig) suspendBothAtTakeover() *relay {
+	s.t.Helper()
+	next := start(s.t, s.configPath, 2) // it accepts no clients before it has a member
+	s.waitLogged("a successor starts")
+	s.suspend()
+	before := s.handoverSocket()
+	for _, m := range s.members {
+		s.d.SetLifecycle(m.id, "SERVING")
+	}
+	waitFor(s.t, "the successor's beginning", func() bool { now := s.handoverSocket(); return now != 0 && now != before })
+	next.suspend()
+	return next
 }
 
 // TestCrossingFreshNewerKilled: the successor is killed with connections on their way to it whose first lines have come or are still to come. The
 // first one serves them.
 func TestCrossingFreshNewerKilled(t *testing.T) {
 	t.Parallel()
-	s := newCrossing(t, 2, map[string]any{"operator": "127.0.0.1:0"})
-	for _, m := range s.members {
-		m.answers(true)
-		s.d.SetLifecycle(m.id, "DRAINING")
-	}
-	until(t, "no member", func() bool { return s.call("GET", "/-/ready") == 503 })
+	s := newRigWithoutMembers(t, 2)
 	quiet, half, asks, front := s.dial(), s.dial(), s.dial(), s.dial()
 	line := firstLine(3, 2900*time.Millisecond) + "\r\n"
 	fmt.Fprint(half, line[:30])
-	front.say("PING")
-	front.want("PONG")          // the others were accepted before
-	next := start(t, s.path, 2) // it takes no clients in before it has a member
-	s.logged("a successor starts")
-	s.freeze()
-	before := s.socketOf()
-	for _, m := range s.members {
-		s.d.SetLifecycle(m.id, "SERVING")
-	}
-	until(t, "the successor's beginning", func() bool { now := s.socketOf(); return now != 0 && now != before })
-	next.freeze()
-	asks.say(firstLine(1, 2900*time.Millisecond))
-	s.thaw()
-	s.logged("a successor serves")
-	s.round()
+	front.send("PING")
+	front.wantLine("PONG") // the others were accepted before
+	next := s.suspendBothAtTakeover()
+	asks.send(firstLine(1, 2900*time.Millisecond))
+	s.resume()
+	s.waitLogged("a successor serves")
+	s.waitLoopRound()
 	next.cmd.Process.Kill()
 	<-next.done
-	asks.want("UP ")
-	quiet.say(firstLine(2, 2900*time.Millisecond))
-	quiet.want("UP ")
+	asks.wantLine("UP ")
+	quiet.send(firstLine(2, 2900*time.Millisecond))
+	quiet.wantLine("UP ")
 	fmt.Fprint(half, line[30:])
-	half.want("UP ")
-	front.say("PING")
-	front.want("PONG")
-	s.open(900, "").want("UP ")
-	s.checkTries()
+	half.wantLine("UP ")
+	front.send("PING")
+	front.wantLine("PONG")
+	s.openFlow(900, "").wantLine("UP ")
+	s.checkAttempts()
 	s.stop()
 }
 
 // TestCrossingPassOlderKilled: the first process is killed with flows on their way to its successor, which serves them.
 func TestCrossingPassOlderKilled(t *testing.T) {
 	t.Parallel()
-	s, clients, members := newUpgrade(t, 6)
-	next := s.successor(2)
-	s.passes(next)
+	s, clients, members := newUpgradeRig(t, 6)
+	next := s.startSuccessor(2)
+	s.passFlows(next)
 	s.cmd.Process.Kill()
 	<-s.done
-	next.thaw()
+	next.resume()
 	for i, c := range clients {
-		speaks(c, members[i], "still here")
+		exchangeLine(c, members[i], "still here")
 	}
-	next.logged("the other process is gone")
+	next.waitLogged("the other process is gone")
 	next.stop()
-	moved(clients...)
+	wantMoved(clients...)
 }
 
 // TestCrossingFreshMany: SIGTERM comes while more connections that have asked for nothing wait to be handed over than may be on their way, and
@@ -239,42 +253,29 @@
 func TestCrossingFreshMany(t *testing.T) {
 	t.Parallel()
 	const many = 20 // passBurst of the program is 8
-	s := newCrossing(t, 8, map[string]any{"operator": "127.0.0.1:0"})
-	for _, m := range s.members {
-		m.answers(true)
-		s.d.SetLifecycle(m.id, "DRAINING")
-	}
-	until(t, "no member", func() bool { return s.call("GET", "/-/ready") == 503 })
+	s := newRigWithoutMembers(t, 8)
 	var all []*client
 	for range many {
 		all = append(all, s.dial())
 	}
 	front := s.dial()
-	front.say("PING")
-	front.want("PONG")          // the others were accepted before
-	next := start(t, s.path, 2) // it takes no clients in before it has a member
-	s.logged("a successor starts")
-	s.freeze()
-	before := s.socketOf()
-	for _, m := range s.members {
-		s.d.SetLifecycle(m.id, "SERVING")
-	}
-	until(t, "the successor's beginning", func() bool { now := s.socketOf(); return now != 0 && now != before })
-	next.freeze()
-	s.thaw()
-	s.logged("a successor serves")
+	front.send("PING")
+	front.wantLine("PONG") // the others were accepted before
+	next := s.suspendBothAtTakeover()
+	s.resume()
+	s.waitLogged("a successor serves")
 	s.terminate()
-	s.round()
+	s.waitLoopRound()
 	for n, c := range all {
-		c.say(firstLine(100+n, 2900*time.Millisecond))
+		c.send(firstLine(100+n, 2900*time.Millisecond))
 	}
-	s.round()
-	next.thaw()
-	s.ends()
+	s.waitLoopRound()
+	next.resume()
+	s.waitExit()
 	for _, c := range all {
-		c.want("UP ")
+		c.wantLine("UP ")
 	}
-	s.checkTries()
+	s.checkAttempts()
 	next.stop()
 }
 
@@ -282,77 +283,77 @@
 // still arrives is answered by one of them, and flows are moved.
 func TestCrossingBothStop(t *testing.T) {
 	t.Parallel()
-	arrives := func(t *testing.T, s *crossing, n int) {
+	arrives := func(t *testing.T, s *scriptedRig, n int) {
 		t.Helper()
-		c := s.openFor(n, 2*time.Second)
-		c.want("BUSY ")
-		c.want(io.EOF.Error())
+		c := s.openWithDeadline(n, 2*time.Second)
+		c.wantLine("BUSY ")
+		c.wantLine(io.EOF.Error())
 	}
 	t.Run("the first is past its listeners", func(t *testing.T) {
 		t.Parallel()
-		s, _, _ := newUpgrade(t, 0)
-		next := s.successor(2)
+		s, _, _ := newUpgradeRig(t, 0)
+		next := s.startSuccessor(2)
 		s.terminate()
-		s.freeze() // within the time that its last answers have
+		s.suspend() // within the time that its last answers have
 		since := time.Now()
 		next.cmd.Process.Signal(syscall.SIGTERM)
-		next.logged("msg=stopping")
+		next.waitLogged("msg=stopping")
 		for n := range 5 {
 			arrives(t, s, 100+n)
 		}
-		next.ends()
-		if took := time.Since(since); took > longestStop+stopReserve {
+		next.waitExit()
+		if took := time.Since(since); took > maxCountedDeadline+killMargin {
 			t.Errorf("the successor ended %v after SIGTERM", took)
 		}
-		s.thaw()
-		s.ends()
+		s.resume()
+		s.waitExit()
 	})
 	for what, first := range map[string]bool{"at once, the first stands still": true, "at once, the successor stands still": false} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			s, _, _ := newUpgrade(t, 0)
-			next := s.successor(2)
+			s, _, _ := newUpgradeRig(t, 0)
+			next := s.startSuccessor(2)
 			still, other := s.relay, next
 			if !first {
 				still, other = next, s.relay
 			}
-			still.freeze() // its own SIGTERM and the other's word wait for the same round
+			still.suspend() // its own SIGTERM and the other's word wait for the same round
 			other.cmd.Process.Signal(syscall.SIGTERM)
-			other.logged("msg=stopping")
+			other.waitLogged("msg=stopping")
 			still.cmd.Process.Signal(syscall.SIGTERM)
-			still.thaw()
-			still.logged("msg=stopping")
+			still.resume()
+			still.waitLogged("msg=stopping")
 			for n := range 5 {
 				arrives(t, s, 100+n)
 			}
-			next.ends()
-			s.ends()
+			next.waitExit()
+			s.waitExit()
 		})
 	}
 	for what, first := range map[string]bool{"the first at first": true, "the successor at first": false} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			s, clients, _ := newUpgrade(t, 4)
-			held := s.open(50, "") // keeps the first one from ending
-			a := s.attempt()
-			next := s.successor(2)
+			s, clients, _ := newUpgradeRig(t, 4)
+			held := s.openFlow(50, "") // keeps the first one from ending
+			a := s.nextAttempt()
+			next := s.startSuccessor(2)
 			one, other := s.relay, next
 			if !first {
 				one, other = next, s.relay
 			}
 			since := time.Now()
 			one.cmd.Process.Signal(syscall.SIGTERM)
-			one.logged("msg=stopping")
+			one.waitLogged("msg=stopping")
 			other.cmd.Process.Signal(syscall.SIGTERM)
-			other.logged("msg=stopping")
+			other.waitLogged("msg=stopping")
 			for n := range 5 {
 				arrives(t, s, 100+n)
 			}
-			a.up()
-			held.want("UP ")
-			moved(append(clients, held)...)
-			next.ends()
-			s.gone(since)
+			a.accept()
+			held.wantLine("UP ")
+			wantMoved(append(clients, held)...)
+			next.waitExit()
+			s.wantTimelyExit(since)
 		})
 	}
 }
@@ -361,25 +362,25 @@
 // passes, and after. It is turned away each time, and there is one attempt.
 func TestCrossingElsewhere(t *testing.T) {
 	t.Parallel()
-	s, _, _ := newUpgrade(t, 0)
-	c := s.open(7, "")
-	a := s.attempt()
-	next := s.successor(2)
+	s, _, _ := newUpgradeRig(t, 0)
+	c := s.openFlow(7, "")
+	a := s.nextAttempt()
+	next := s.startSuccessor(2)
 	for _, m := range s.members {
-		m.answers(true) // a second attempt would succeed
+		m.setAutoAccept(true) // a second attempt would succeed
 	}
 	s.call("GET", "/-/ready")
-	next.open(7, "").want("ERR")
+	next.openFlow(7, "").wantLine("ERR")
 	since := s.terminate()
-	next.open(7, "").want("ERR")
-	a.up()
-	c.want("UP ")
-	s.gone(since)
-	next.open(7, "").want("ERR")
-	if n := s.attempts(7); n != 1 {
+	next.openFlow(7, "").wantLine("ERR")
+	a.accept()
+	c.wantLine("UP ")
+	s.wantTimelyExit(since)
+	next.openFlow(7, "").wantLine("ERR")
+	if n := s.attemptCount(7); n != 1 {
 		t.Errorf("%d attempts", n)
 	}
-	speaks(c, a, "still here")
+	exchangeLine(c, a, "still here")
 	next.stop()
-	moved(c)
+	wantMoved(c)
 }
--- a/integration/crossing_waiting_test.go
+++ b/integration/crossing_waiting_test.go
@@ -16,23 +16,23 @@
 	for what, leave := range clientEnds {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			s := newCrossing(t, 2, nil)
+			s := newScriptedRig(t, 2, nil)
 			before := s.descriptors()
 			c := s.dial()
-			c.say("PING")
-			c.want("PONG")
+			c.send("PING")
+			c.wantLine("PONG")
 			s.d.SetAnswerDelay(patience) // the relay is to be sure only after the grace
-			s.freeze()
+			s.suspend()
 			time.Sleep(doubtAfter) // its clock goes on; that is the event
-			c.say(firstLine(1, 2900*time.Millisecond))
-			s.thaw()
-			s.logged("this process was suspended")
+			c.send(firstLine(1, 2900*time.Millisecond))
+			s.resume()
+			s.waitLogged("this process was suspended")
 			leave(c)
 			s.d.SetAnswerDelay(0)
-			s.fence(2)
-			s.settled(before)
-			s.gone(s.terminate())
-			if n := s.attempts(1); n != 0 {
+			s.serveOne(2)
+			s.waitDescriptorsReleased(before)
+			s.wantTimelyExit(s.terminate())
+			if n := s.attemptCount(1); n != 0 {
 				t.Errorf("%d attempts for a client that has gone", n)
 			}
 		})
--- a/integration/crossing_watch_test.go
+++ b/integration/crossing_watch_test.go
@@ -19,13 +19,13 @@
 type scriptedDiscovery struct {
 	addr string
 
-	mu      sync.Mutex
-	at      int // the newest generation
-	list    []member
-	changed map[string]int          // by member, when it changed last
-	watches map[*scriptedWatch]bool // that are open now
-	next    []func(*scriptedWatch)  // what happens to the calls that come next, one each
-	opened  int                     // calls so far
+	mu        sync.Mutex
+	at        int // the newest generation
+	list      []member
+	changed   map[string]int          // by member, when it changed last
+	watches   map[*scriptedWatch]bool // that are open now
+	nextCalls []func(*scriptedWatch)  // what happens to the calls that come next, one each
+	opened    int                     // calls so far
 }
 
 // scriptedWatch is a call that waits for a change.
@@ -57,14 +57,14 @@
 				return
 			}
 		}
-		if !d.call(c, strings.Fields(head)[1]) {
+		if !d.handleCall(c, strings.Fields(head)[1]) {
 			return
 		}
 	}
 }
 
-// call serves one; false if the connection is of no more use.
-func (d *scriptedDiscovery) call(c net.Conn, target string) bool {
+// handleCall serves one; false if the connection is of no more use.
+func (d *scriptedDiscovery) handleCall(c net.Conn, target string) bool {
 	u, err := url.Parse(target)
 	if err != nil {
 		return false
@@ -76,15 +76,15 @@
 	}
 	d.mu.Lock()
 	d.opened++
-	if len(d.next) > 0 {
-		handle := d.next[0]
-		d.next = d.next[1:]
+	if len(d.nextCalls) > 0 {
+		handle := d.nextCalls[0]
+		d.nextCalls = d.nextCalls[1:]
 		d.mu.Unlock()
 		handle(w)
 		return false
 	}
 	if w.since != d.at || wait == 0 {
-		text := d.text(w.since, "")
+		text := d.listText(w.since, "")
 		d.mu.Unlock()
 		return respond(c, text)
 	}
@@ -98,7 +98,7 @@
 	d.mu.Lock()
 	stands := d.watches[w]
 	delete(d.watches, w)
-	text := d.text(w.since, "")
+	text := d.listText(w.since, "")
 	d.mu.Unlock()
 	if !stands { // it is answered elsewhere, or never
 		<-w.done
@@ -107,8 +107,8 @@
 	return respond(c, text)
 }
 
-// text is the answer to who holds a generation.
-func (d *scriptedDiscovery) text(since int, indent string) string {
+// listText is the answer to who holds a generation.
+func (d *scriptedDiscovery) listText(since int, indent string) string {
 	out := fakes.List{Generation: d.at, Reset: since < 0, Instances: []member{}}
 	for _, m := range d.list {
 		if since < 0 || d.changed[m.ID] > since {
@@ -131,8 +131,8 @@
 	return err == nil
 }
 
-// watched says that a call waits.
-func (d *scriptedDiscovery) watched() bool {
+// hasWatch says that a call waits.
+func (d *scriptedDiscovery) hasWatch() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.watches) > 0
@@ -149,7 +149,7 @@
 			d.list[i].Lifecycle = "DRAINING"
 		}
 	}
-	d.next = next
+	d.nextCalls = next
 	at := time.Now()
 	for w := range d.watches {
 		delete(d.watches, w)
@@ -160,20 +160,20 @@
 
 // What happens to a call.
 
-func answerWhole(w *scriptedWatch, d *scriptedDiscovery) {
-	fmt.Fprint(w, response(d.text(-1, "")))
+func answerFullList(w *scriptedWatch, d *scriptedDiscovery) {
+	fmt.Fprint(w, response(d.listText(-1, "")))
 	close(w.done)
 }
 
 func answerIndented(w *scriptedWatch, d *scriptedDiscovery) {
-	fmt.Fprint(w, response(d.text(w.since, "    ")))
+	fmt.Fprint(w, response(d.listText(w.since, "    ")))
 	close(w.done)
 }
 
-// answerPieces has every byte leave by itself.
-func answerPieces(w *scriptedWatch, d *scriptedDiscovery) {
+// answerBytewise has every byte leave by itself.
+func answerBytewise(w *scriptedWatch, d *scriptedDiscovery) {
 	w.Conn.(*net.TCPConn).SetNoDelay(true)
-	for _, b := range []byte(response(d.text(w.since, ""))) {
+	for _, b := range []byte(response(d.listText(w.since, ""))) {
 		w.Write([]byte{b})
 	}
 	close(w.done)
@@ -185,29 +185,29 @@
 	close(w.done)
 }
 
-// watchSite is a relay whose members take all, and discovery by script.
-func watchSite(t *testing.T) (*crossing, *scriptedDiscovery) {
+// newWatchRig is a relay whose members take all, and discovery by script.
+func newWatchRig(t *testing.T) (*scriptedRig, *scriptedDiscovery) {
 	t.Helper()
-	s := &crossing{tries: fakes.NewAttemptCounter()}
+	s := &scriptedRig{attemptCounter: fakes.NewAttemptCounter()}
 	var list []member
-	s.members, list = newMembers(t, 2, s.tries)
+	s.members, list = newMembers(t, 2, s.attemptCounter)
 	for _, m := range s.members {
-		m.answers(true)
+		m.setAutoAccept(true)
 	}
 	d := newScriptedDiscovery(t, list)
 	s.relay = start(t, configure(t, &discovery{Discovery: fakes.NewDiscovery(list...), addr: d.addr}, nil), 1)
-	until(t, "a watch", d.watched)
+	waitFor(t, "a watch", d.hasWatch)
 	return s, d
 }
 
-// goesOn makes requests, one after another, until the flow of the member that drains is moved, and returns when the last of them reached it.
-func (s *crossing) goesOn(from *scriptedMember, stands *client) time.Time {
+// lastSendTo makes requests, one after another, until the flow of the member that drains is moved, and returns when the last of them reached it.
+func (s *scriptedRig) lastSendTo(from *scriptedMember, stands *client) time.Time {
 	s.t.Helper()
 	told := make(chan string, 1)
 	go func() { told <- stands.line() }()
 	n := 1000
 	serve := func() {
-		c := s.open(n, "")
+		c := s.openFlow(n, "")
 		c.line() // UP or BUSY
 		c.Close()
 		n++
@@ -234,11 +234,11 @@
 	return last
 }
 
-// flowAt opens flows until one stands at a member that is to drain.
-func (s *crossing) flowAt() (*client, *scriptedMember) {
+// flowToDrain opens flows until one stands at a member that is to drain.
+func (s *scriptedRig) flowToDrain() (*client, *scriptedMember) {
 	s.t.Helper()
-	c := s.open(1, "")
-	up := c.want("UP ")
+	c := s.openFlow(1, "")
+	up := c.wantLine("UP ")
 	for _, m := range s.members {
 		if strings.HasPrefix(up, "UP "+m.id+"/") {
 			return c, m
@@ -250,33 +250,33 @@
 
 // watchCase is a member's drain that meets a watch which fails in some manner.
 type watchCase struct {
-	what string
-	told time.Duration // by the protocol, after the drain
-	open func(*scriptedWatch, *scriptedDiscovery)
-	next []func(*scriptedWatch)
+	what     string
+	deadline time.Duration // by the protocol, after the drain
+	open     func(*scriptedWatch, *scriptedDiscovery)
+	next     []func(*scriptedWatch)
 }
 
 func (test watchCase) run(t *testing.T) {
 	t.Parallel()
-	s, d := watchSite(t)
-	c, m := s.flowAt()
+	s, d := newWatchRig(t)
+	c, m := s.flowToDrain()
 	at := d.drain(m.id, test.open, test.next...)
-	last := s.goesOn(m, c).Sub(at)
+	last := s.lastSendTo(m, c).Sub(at)
 	t.Logf("the last send went %v after the drain", last.Round(time.Millisecond))
-	if most := test.told + drainGrace + timeSlack; last > most {
+	if most := test.deadline + drainGrace + socketTolerance; last > most {
 		t.Errorf("sent to a member %v after its drain; %v are allowed", last, most)
 	}
-	s.checkTries()
+	s.checkAttempts()
 }
 
 // TestCrossingWatch: a member drains, and what tells of it comes in one of the forms that the protocol allows, or the watch is reset just then.
 func TestCrossingWatch(t *testing.T) {
 	t.Parallel()
 	for _, test := range []watchCase{
-		{"in pieces", 0, answerPieces, nil},
+		{"in pieces", 0, answerBytewise, nil},
 		{"indented", 0, answerIndented, nil},
-		{"whole list", 0, answerWhole, nil},
-		{"reset", silenceTold, answerReset, nil},
+		{"whole list", 0, answerFullList, nil},
+		{"reset", silentWatchDeadline, answerReset, nil},
 	} {
 		t.Run(test.what, test.run)
 	}
@@ -285,22 +285,18 @@
 // TestCrossingWatchMoved: SIGHUP moves discovery, and a member drains right after, at the new address alone.
 func TestCrossingWatchMoved(t *testing.T) {
 	t.Parallel()
-	s, old := watchSite(t)
-	c, m := s.flowAt()
-	var list []member
-	for _, x := range s.members {
-		list = append(list, x.entry())
-	}
+	s, old := newWatchRig(t)
+	c, m := s.flowToDrain()
 	before := s.descriptors()
-	next := newScriptedDiscovery(t, list)
+	next := newScriptedDiscovery(t, s.entries())
 	at := time.Now()
 	s.reload(old.addr, next.addr)
 	next.drain(m.id, nil)
-	last := s.goesOn(m, c).Sub(at)
+	last := s.lastSendTo(m, c).Sub(at)
 	t.Logf("the last send went %v after SIGHUP", last.Round(time.Millisecond))
-	if most := hangupTold + drainGrace + timeSlack; last > most {
+	if most := reloadDeadline + drainGrace + socketTolerance; last > most {
 		t.Errorf("sent to a member %v after SIGHUP; %v are allowed", last, most)
 	}
-	s.checkTries()
-	s.settled(before)
+	s.checkAttempts()
+	s.waitDescriptorsReleased(before)
 }
--- a/integration/fleet_faults_test.go
+++ b/integration/fleet_faults_test.go
@@ -13,8 +13,8 @@
 	"dahliarudder/internal/rollout"
 )
 
-// leads is the relay that leads now by its own word, -1 if none does.
-func (f *fleetRig) leads() int {
+// leaderOrNone is the relay that leads now by its own word, -1 if none does.
+func (f *fleetRig) leaderOrNone() int {
 	for i := range f.relays {
 		var a struct{ Engine struct{ Role string } }
 		if f.call(i, "GET", "/-/fleet", nil, &a) == 200 && a.Engine.Role == "leader" {
@@ -24,8 +24,8 @@
 	return -1
 }
 
-// within is until with a time of its own, for what takes several waits.
-func within(t *testing.T, span time.Duration, what string, ok func() bool) {
+// waitForWithin is until with a time of its own, for what takes several waits.
+func waitForWithin(t *testing.T, span time.Duration, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(span); !ok(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -34,17 +34,17 @@
 	}
 }
 
-// shows logs the release when the test fails.
-func (f *fleetRig) shows(name string) {
+// logReleaseOnFailure logs the release when the test fails.
+func (f *fleetRig) logReleaseOnFailure(name string) {
 	f.t.Cleanup(func() {
 		if f.t.Failed() {
-			f.show(name)
+			f.logRelease(name)
 		}
 	})
 }
 
-// out is how many things a release has out, by the record of a relay as it is.
-func (f *fleetRig) out(i int, name string) int {
+// unavailableCount is how many things a release has out, by the record of a relay as it is.
+func (f *fleetRig) unavailableCount(i int, name string) int {
 	var a rollout.ReleaseStatus
 	if f.call(i, "GET", "/-/releases/"+name+"?stale", nil, &a) != 200 {
 		return 0
@@ -52,8 +52,8 @@
 	return a.Counts.Out
 }
 
-// leaves says that a relay was told to leave, and not since that it may stay.
-func leaves(r *relay) bool {
+// isLeaving says that a relay was told to leave, and not since that it may stay.
+func isLeaving(r *relay) bool {
 	log := r.log.String()
 	return strings.LastIndex(log, "fleet: ordered to leave") > strings.LastIndex(log, "fleet: may stay")
 }
@@ -63,8 +63,8 @@
 func TestFleetSame(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 3, 3, nil)
-	f.leader()
-	f.agreed(0, "POST", "/-/releases", map[string]any{"name": "a", "kind": "member", "drain": true, "names": []string{"s0"}})
+	f.waitLeader()
+	f.mustCall(0, "POST", "/-/releases", map[string]any{"name": "a", "kind": "member", "drain": true, "names": []string{"s0"}})
 	var a rollout.Result
 	code := f.call(1, "POST", "/-/releases", map[string]any{"name": "b", "kind": "member", "drain": true, "names": []string{"s0", "s1"}}, &a)
 	if code != 409 || !strings.Contains(a.Error, `"a"`) {
@@ -73,41 +73,41 @@
 	if code := f.call(2, "GET", "/-/releases/b", nil, nil); code != 404 {
 		t.Errorf("what was refused is answered with %d", code)
 	}
-	f.agreed(1, "POST", "/-/releases", map[string]any{"name": "c", "kind": "member", "drain": true, "wait": true, "names": []string{"s0"}})
-	if a := f.release(2, "c", rollout.ReleaseQueued); a.QueuedBehind != "a" {
+	f.mustCall(1, "POST", "/-/releases", map[string]any{"name": "c", "kind": "member", "drain": true, "wait": true, "names": []string{"s0"}})
+	if a := f.waitRelease(2, "c", rollout.ReleaseQueued); a.QueuedBehind != "a" {
 		t.Errorf("behind %q", a.QueuedBehind)
 	}
-	until(t, "s0 to be out", func() bool { return len(f.outs(2)) == 1 })
-	f.agreed(2, "PUT", "/-/releases/a/back", nil)
-	f.release(0, "a", rollout.ReleaseRolledBack)
-	if a := f.release(0, "c", rollout.ReleaseRunning, rollout.ReleaseCompleted); a.QueuedBehind != "" {
+	waitFor(t, "s0 to be out", func() bool { return len(f.ejectedMembers(2)) == 1 })
+	f.mustCall(2, "PUT", "/-/releases/a/back", nil)
+	f.waitRelease(0, "a", rollout.ReleaseRolledBack)
+	if a := f.waitRelease(0, "c", rollout.ReleaseRunning, rollout.ReleaseCompleted); a.QueuedBehind != "" {
 		t.Errorf("still behind %q", a.QueuedBehind)
 	}
-	until(t, "s0 to be out for the one that waited", func() bool { return f.out(1, "c") == 1 && len(f.outs(1)) == 1 })
+	waitFor(t, "s0 to be out for the one that waited", func() bool { return f.unavailableCount(1, "c") == 1 && len(f.ejectedMembers(1)) == 1 })
 }
 
-// wave is what is seen of a release that has relays leave, one at a time.
-type wave struct {
+// rolloutWatch is what is seen of a release that has relays leave, one at a time.
+type rolloutWatch struct {
 	f     *fleetRig
 	name  string
 	ended map[int]int // by order
 	dead  int         // one that is down beside, -1 for none
 }
 
-func (f *fleetRig) watch(name string) *wave {
-	f.shows(name)
-	return &wave{f, name, map[int]int{}, -1}
+func (f *fleetRig) watch(name string) *rolloutWatch {
+	f.logReleaseOnFailure(name)
+	return &rolloutWatch{f, name, map[int]int{}, -1}
 }
 
-// most wants no more than one out, by any record and by what relays were told.
-func (w *wave) most() {
+// checkOneOut wants no more than one out, by any record and by what relays were told.
+func (w *rolloutWatch) checkOneOut() {
 	w.f.t.Helper()
 	told := 0
 	for i, r := range w.f.relays {
-		if n := w.f.out(i, w.name); n > 1 {
+		if n := w.f.unavailableCount(i, w.name); n > 1 {
 			w.f.t.Errorf("n%d: %d are out by order", i, n)
 		}
-		if leaves(r) && i != w.dead {
+		if isLeaving(r) && i != w.dead {
 			told++
 		}
 	}
@@ -116,10 +116,10 @@
 	}
 }
 
-// hosts starts who has ended by order.
-func (w *wave) hosts() {
+// restartOrdered starts who has ended by order.
+func (w *rolloutWatch) restartOrdered() {
 	for i := range w.f.relays {
-		if i != w.dead && w.f.host(i) {
+		if i != w.dead && w.f.restartOnExit(i) {
 			w.ended[i]++
 		}
 	}
@@ -131,19 +131,19 @@
 func TestFleetLeaderKilled(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 4, map[string]any{"relays": map[string]string{"whole": "1"}})
-	f.leader()
-	f.agreed(3, "POST", "/-/releases", map[string]any{"name": "r", "kind": "relay", "all": true})
+	f.waitLeader()
+	f.mustCall(3, "POST", "/-/releases", map[string]any{"name": "r", "kind": "relay", "all": true})
 	w := f.watch("r")
 	other := -1
-	within(t, patience, "one relay to have left, and another to leave that does not lead", func() bool {
-		w.most()
-		w.hosts()
-		l := f.leads()
-		if len(w.ended) == 0 || l < 0 || leaves(f.relays[l]) {
+	waitForWithin(t, patience, "one relay to have left, and another to leave that does not lead", func() bool {
+		w.checkOneOut()
+		w.restartOrdered()
+		l := f.leaderOrNone()
+		if len(w.ended) == 0 || l < 0 || isLeaving(f.relays[l]) {
 			return false
 		}
 		for i, r := range f.relays {
-			if i != l && leaves(r) {
+			if i != l && isLeaving(r) {
 				w.dead, other = l, i
 			}
 		}
@@ -153,14 +153,14 @@
 	f.kill(killed)
 	// The other one is not started again before the killed one: while it is out there is no room, so that all are told to leave once. If
 	// both vote, there is no majority and no leader until then.
-	within(t, patience, "another leader, or the end of the other one", func() bool {
-		w.most()
-		return f.leads() >= 0 || len(f.relays[other].done) > 0
+	waitForWithin(t, patience, "another leader, or the end of the other one", func() bool {
+		w.checkOneOut()
+		return f.leaderOrNone() >= 0 || len(f.relays[other].done) > 0
 	})
 	f.start(killed)
 	w.dead = -1
-	within(t, 2*patience, "all relays to have left by order", func() bool { w.most(); w.hosts(); return len(w.ended) == 4 })
-	if a := f.release(killed, "r", rollout.ReleaseCompleted); a.Counts.Done != 4 {
+	waitForWithin(t, 2*patience, "all relays to have left by order", func() bool { w.checkOneOut(); w.restartOrdered(); return len(w.ended) == 4 })
+	if a := f.waitRelease(killed, "r", rollout.ReleaseCompleted); a.Counts.Done != 4 {
 		t.Errorf("%+v", a)
 	}
 	for i, n := range w.ended {
@@ -176,13 +176,13 @@
 func TestFleetAllKilled(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 4, map[string]any{"relays": map[string]string{"whole": "1"}})
-	f.leader()
-	f.agreed(3, "POST", "/-/releases", map[string]any{"name": "r", "kind": "relay", "all": true})
+	f.waitLeader()
+	f.mustCall(3, "POST", "/-/releases", map[string]any{"name": "r", "kind": "relay", "all": true})
 	w := f.watch("r")
-	told := func() int { return slices.IndexFunc(f.relays, leaves) }
-	within(t, patience, "one relay to have left, and another to leave", func() bool {
-		w.most()
-		w.hosts()
+	told := func() int { return slices.IndexFunc(f.relays, isLeaving) }
+	waitForWithin(t, patience, "one relay to have left, and another to leave", func() bool {
+		w.checkOneOut()
+		w.restartOrdered()
 		return len(w.ended) > 0 && told() >= 0
 	})
 	had := told()
@@ -194,9 +194,9 @@
 		f.start(i)
 	}
 	before := w.ended[had]
-	within(t, 3*patience, "the release to end", func() bool {
-		w.most()
-		w.hosts()
+	waitForWithin(t, 3*patience, "the release to end", func() bool {
+		w.checkOneOut()
+		w.restartOrdered()
 		var a rollout.ReleaseStatus
 		return f.call(3, "GET", "/-/releases/r", nil, &a) == 200 && a.State == rollout.ReleaseCompleted && a.Counts.Done == 4
 	})
@@ -207,8 +207,8 @@
 	}
 }
 
-// again has a member begin anew at its address, cold, as its owner does who replaces it.
-func (f *fleetRig) again(i int) time.Time {
+// restartMember has a member begin anew at its address, cold, as its owner does who replaces it.
+func (f *fleetRig) restartMember(i int) time.Time {
 	f.t.Helper()
 	b := f.members[i]
 	b.Kill()
@@ -230,18 +230,18 @@
 // against a leader that gives out what nobody else knows of, and against relays that forget an order with the record out of reach.
 func TestFleetNoMajority(t *testing.T) {
 	t.Parallel()
-	f := newFleetBy(t, shortCold, 4, 3, 3, nil)
-	l := f.leader()
-	f.agreed(3, "POST", "/-/releases", map[string]any{"name": "m", "kind": "member", "names": []string{"s0", "s1"}})
-	f.shows("m")
-	out := func(i int) string { return strings.Join(f.outs(i), " ") }
+	f := newFleetWithSettings(t, shortCold, 4, 3, 3, nil)
+	l := f.waitLeader()
+	f.mustCall(3, "POST", "/-/releases", map[string]any{"name": "m", "kind": "member", "names": []string{"s0", "s1"}})
+	f.logReleaseOnFailure("m")
+	out := func(i int) string { return strings.Join(f.ejectedMembers(i), " ") }
 	for i := range f.relays {
-		until(t, "the first to be out", func() bool { return out(i) != "" })
+		waitFor(t, "the first to be out", func() bool { return out(i) != "" })
 	}
 	empty := func(name string) {
 		t.Helper()
-		within(t, patience, name+" to be empty", func() bool {
-			for _, u := range f.release(3, "m", rollout.ReleaseRunning).Units {
+		waitForWithin(t, patience, name+" to be empty", func() bool {
+			for _, u := range f.waitRelease(3, "m", rollout.ReleaseRunning).Units {
 				if u.Name == name {
 					return u.Phase == rollout.PhaseDrained
 				}
@@ -252,28 +252,28 @@
 	first := out(l)
 	at := int(first[1] - '0')
 	empty(first) // its owner may replace it
-	f.apart(l, true)
-	f.apart((l+1)%3, true)
-	f.again(at)
+	f.isolate(l, true)
+	f.isolate((l+1)%3, true)
+	f.restartMember(at)
 	for end := time.Now().Add(6 * time.Second); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 		for i := range f.relays {
 			if got := out(i); got != first {
 				t.Fatalf("n%d has %q out, before the cut %q", i, got, first)
 			}
-			if n := f.flows(i, 1, at); n > 0 {
+			if n := f.flowsToMember(i, 1, at); n > 0 {
 				t.Errorf("n%d: a flow at a member that is out", i)
 			}
 		}
 	}
-	f.apart(l, false)
-	f.apart((l+1)%3, false)
+	f.isolate(l, false)
+	f.isolate((l+1)%3, false)
 	other := map[string]string{"s0": "s1", "s1": "s0"}[first]
 	for i := range f.relays {
-		until(t, "the next to be out", func() bool { return out(i) == other })
+		waitFor(t, "the next to be out", func() bool { return out(i) == other })
 	}
 	empty(other)
-	f.again(1 - at)
-	if a := f.release(3, "m", rollout.ReleaseCompleted, rollout.ReleaseHalted); a.State != rollout.ReleaseCompleted {
+	f.restartMember(1 - at)
+	if a := f.waitRelease(3, "m", rollout.ReleaseCompleted, rollout.ReleaseHalted); a.State != rollout.ReleaseCompleted {
 		t.Errorf("%+v", a)
 	}
 }
@@ -284,26 +284,26 @@
 func TestFleetOldOrder(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
-	old := (f.leader() + 1) % 3
+	old := (f.waitLeader() + 1) % 3
 	r := f.relays[old]
-	f.takes(old)
-	r.hold(24)
-	f.agreed(3, "POST", "/-/releases", map[string]any{"name": "o", "kind": "relay", "names": []string{fmt.Sprintf("n%d", old)}})
-	f.shows("o")
-	r.logged("fleet: ordered to leave")
+	f.waitAccepting(old)
+	r.openFlows(24)
+	f.mustCall(3, "POST", "/-/releases", map[string]any{"name": "o", "kind": "relay", "names": []string{fmt.Sprintf("n%d", old)}})
+	f.logReleaseOnFailure("o")
+	r.waitLogged("fleet: ordered to leave")
 	r.cmd.Process.Signal(syscall.SIGSTOP)
 	t.Cleanup(func() { r.cmd.Process.Signal(syscall.SIGCONT) })
-	f.agreed(3, "PUT", "/-/releases/o/halt", nil)
-	f.agreed(3, "PUT", "/-/releases/o/back", nil)
+	f.mustCall(3, "PUT", "/-/releases/o/halt", nil)
+	f.mustCall(3, "PUT", "/-/releases/o/back", nil)
 	time.Sleep(6 * time.Second) // beyond what a drain is waited for
-	if a := f.release(3, "o", rollout.ReleaseRollingBack); a.Counts.Out != 1 {
+	if a := f.waitRelease(3, "o", rollout.ReleaseRollingBack); a.Counts.Out != 1 {
 		t.Errorf("nobody has seen it serve: %+v", a)
 	}
 	r.cmd.Process.Signal(syscall.SIGCONT)
-	r.logged("fleet: may stay")
-	f.release(3, "o", rollout.ReleaseRolledBack)
+	r.waitLogged("fleet: may stay")
+	f.waitRelease(3, "o", rollout.ReleaseRolledBack)
 	for n := range 6 {
-		r.open(1000+n, "").want("UP ")
+		r.openFlow(1000+n, "").wantLine("UP ")
 	}
 	select {
 	case err := <-r.done:
@@ -317,23 +317,23 @@
 func TestFleetMissedBan(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
-	f.leader()
-	f.apart(3, true)
-	f.everywhere(0, "s0", true)
+	f.waitLeader()
+	f.isolate(3, true)
+	f.setEverywhere(0, "s0", true)
 	for i := range 3 {
-		f.relays[i].logged("fleet: members that are out")
-		if n := f.flows(i, 12, 0); n > 0 {
+		f.relays[i].waitLogged("fleet: members that are out")
+		if n := f.flowsToMember(i, 12, 0); n > 0 {
 			t.Errorf("n%d: %d flows though it knows", i, n)
 		}
 	}
-	if n := f.flows(3, 24, 0); n == 0 {
+	if n := f.flowsToMember(3, 24, 0); n == 0 {
 		t.Error("the one that cannot know of the ban sends nothing there: nothing is shown here")
 	}
 	states := func() (all []string) {
 		var a struct {
 			Rows []struct{ Relay, Item, State string }
 		}
-		if f.call(f.leader(), "GET", "/-/drift", nil, &a) != 200 {
+		if f.call(f.waitLeader(), "GET", "/-/drift", nil, &a) != 200 {
 			return []string{"unknown"}
 		}
 		for _, r := range a.Rows {
@@ -344,18 +344,18 @@
 		return all
 	}
 	var last []string
-	until(t, "n3 to be shown as not heard", func() bool {
+	waitFor(t, "n3 to be shown as not heard", func() bool {
 		time.Sleep(100 * time.Millisecond)
 		last = states()
 		return strings.Contains(strings.Join(last, ","), "not heard") || strings.Contains(strings.Join(last, ","), "late")
 	})
 	t.Logf("shown as %q", last)
-	f.apart(3, false)
-	f.relays[3].logged("fleet: members that are out")
-	if n := f.flows(3, 12, 0); n > 0 {
+	f.isolate(3, false)
+	f.relays[3].waitLogged("fleet: members that are out")
+	if n := f.flowsToMember(3, 12, 0); n > 0 {
 		t.Errorf("%d flows after it took the ban", n)
 	}
-	within(t, 2*patience, "the row to go", func() bool { last = states(); return len(last) == 0 })
+	waitForWithin(t, 2*patience, "the row to go", func() bool { last = states(); return len(last) == 0 })
 }
 
 // TestFleetPauseApart: no two relays' records reach each other when an operator pauses a canary at one relay. The call cannot be agreed, yet every
@@ -364,19 +364,19 @@
 func TestFleetPauseApart(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 4, nil)
-	f.leader()
-	f.agreed(0, "POST", "/-/canaries", map[string]any{"release": "c", "arm": map[string]any{"members": []string{"s0"}}, "ladder": []int{500, 1000},
+	f.waitLeader()
+	f.mustCall(0, "POST", "/-/canaries", map[string]any{"release": "c", "arm": map[string]any{"members": []string{"s0"}}, "ladder": []int{500, 1000},
 		"floor": 100000, "longest": 600000, "error": 0.01, "guards": []map[string]any{{"metric": "failures", "points": 50}}})
 	flows := func() (n int) { // at the arm, of 40 at each relay
 		for i := range f.relays {
-			n += f.flows(i, 40, 0)
+			n += f.flowsToMember(i, 40, 0)
 		}
 		return n
 	}
 	logged := func(weight string) { // the newest
 		t.Helper()
 		for i, r := range f.relays {
-			until(t, fmt.Sprintf("n%d to go to %s", i, weight), func() bool {
+			waitFor(t, fmt.Sprintf("n%d to go to %s", i, weight), func() bool {
 				log := r.log.String()
 				at := strings.LastIndex(log, "fleet: canary weights")
 				return at >= 0 && strings.Contains(log[at:], weight)
@@ -385,7 +385,7 @@
 	}
 	logged("map[c:500]")
 	for i := range 3 {
-		f.apart(i, true)
+		f.isolate(i, true)
 	}
 	if flows() == 0 {
 		t.Error("nothing at the arm before the pause")
@@ -402,9 +402,9 @@
 		t.Error("a pause was agreed without a majority")
 	}
 	for i := range 3 {
-		f.apart(i, false)
+		f.isolate(i, false)
 	}
-	f.agreed(3, "PUT", "/-/canaries/c/pause", nil)
+	f.mustCall(3, "PUT", "/-/canaries/c/pause", nil)
 	var a struct {
 		Canaries []struct {
 			Status   string
@@ -412,7 +412,7 @@
 		}
 	}
 	for i := range f.relays {
-		until(t, "the pause in the record", func() bool {
+		waitFor(t, "the pause in the record", func() bool {
 			a.Canaries = nil
 			return f.call(i, "GET", "/-/canaries", nil, &a) == 200 && len(a.Canaries) == 1 && a.Canaries[0].PerMille == 0
 		})
@@ -421,7 +421,7 @@
 	if k := flows(); k > 0 {
 		t.Errorf("%d flows at the arm after the pause was agreed", k)
 	}
-	f.agreed(1, "PUT", "/-/canaries/c/resume", nil)
+	f.mustCall(1, "PUT", "/-/canaries/c/resume", nil)
 	logged("map[c:500]")
 	if flows() == 0 {
 		t.Error("nothing at the arm after it was resumed")
@@ -433,22 +433,22 @@
 // with does nothing. Guards against a budget that is given out twice.
 func TestFleetPermits(t *testing.T) {
 	t.Parallel()
-	f := newFleetBy(t, strings.Replace(settingsText, `"cold-ms":8600`, `"cold-ms":7000`, 1), 4, 3, 3, nil)
-	f.leader()
+	f := newFleetWithSettings(t, strings.Replace(settingsText, `"cold-ms":8600`, `"cold-ms":7000`, 1), 4, 3, 3, nil)
+	f.waitLeader()
 	for i, r := range f.relays {
-		f.takes(i)
-		r.hold(6) // so that what members bear is known
+		f.waitAccepting(i)
+		r.openFlows(6) // so that what members bear is known
 	}
 	ask := func(i int, who, name string) rollout.Result {
 		t.Helper()
-		a := f.agreed(i, "POST", "/-/permits", map[string]any{"kind": "member", "name": name, "who": who, "for_ms": 60000, "why": "a kernel"})
+		a := f.mustCall(i, "POST", "/-/permits", map[string]any{"kind": "member", "name": name, "who": who, "for_ms": 60000, "why": "a kernel"})
 		time.Sleep(100 * time.Millisecond)
 		return a
 	}
 	var a, b rollout.Result
 	first := ask(0, "ann", "s0")
 	second := ask(1, "bob", "s1")
-	until(t, "the first to be granted", func() bool { a = ask(2, "ann", "s0"); return a.State == string(rollout.PermitGranted) })
+	waitFor(t, "the first to be granted", func() bool { a = ask(2, "ann", "s0"); return a.State == string(rollout.PermitGranted) })
 	if b = ask(3, "bob", "s1"); b.State != string(rollout.PermitWaiting) || b.Reason == "" || b.RetryAfterMS <= 0 {
 		t.Errorf("%+v", b)
 	}
@@ -458,11 +458,11 @@
 	if code := f.call(0, "PUT", fmt.Sprintf("/-/permits/%d/begin", b.Number), nil, nil); code != 409 {
 		t.Errorf("one that waits may begin: %d", code)
 	}
-	f.agreed(1, "PUT", fmt.Sprintf("/-/permits/%d/begin", a.Number), nil)
-	begun := f.again(0)
-	f.agreed(2, "PUT", fmt.Sprintf("/-/permits/%d/done", a.Number), nil)
+	f.mustCall(1, "PUT", fmt.Sprintf("/-/permits/%d/begin", a.Number), nil)
+	begun := f.restartMember(0)
+	f.mustCall(2, "PUT", fmt.Sprintf("/-/permits/%d/done", a.Number), nil)
 	var took time.Duration
-	within(t, patience, "the second to be granted", func() bool {
+	waitForWithin(t, patience, "the second to be granted", func() bool {
 		b = ask(3, "bob", "s1")
 		took = time.Since(begun)
 		return b.State == string(rollout.PermitGranted)
@@ -486,30 +486,30 @@
 func TestFleetDisableApart(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
-	f.leader()
-	f.apart(0, true)
-	f.apart(1, true)
-	f.lost(0, 1, 2, 3)
-	f.relays[3].put("/-/backends/s2/disable")
+	f.waitLeader()
+	f.isolate(0, true)
+	f.isolate(1, true)
+	f.waitNoMajority(0, 1, 2, 3)
+	f.relays[3].mustPut("/-/backends/s2/disable")
 	check := func(when string) {
 		t.Helper()
-		if n := f.flows(3, 12, 2); n > 0 {
+		if n := f.flowsToMember(3, 12, 2); n > 0 {
 			t.Errorf("%s: %d flows at a member that is disabled here", when, n)
 		}
 		for i := range 3 {
-			if f.flows(i, 24, 2) == 0 {
+			if f.flowsToMember(i, 24, 2) == 0 {
 				t.Errorf("%s: n%d was told nothing, and uses it no more", when, i)
 			}
 		}
 	}
 	check("without a majority")
-	f.apart(0, false)
-	f.apart(1, false)
-	until(t, "it to be shown as drift", func() bool { return f.local(3) == 1 })
+	f.isolate(0, false)
+	f.isolate(1, false)
+	waitFor(t, "it to be shown as drift", func() bool { return f.localEjections(3) == 1 })
 	check("with the majority back")
-	f.relays[3].put("/-/backends/s2/enable")
-	until(t, "the drift to end", func() bool { return f.local(3) == 0 })
-	until(t, "n3 to use it again", func() bool { return f.flows(3, 1, 2) > 0 })
+	f.relays[3].mustPut("/-/backends/s2/enable")
+	waitFor(t, "the drift to end", func() bool { return f.localEjections(3) == 0 })
+	waitFor(t, "n3 to use it again", func() bool { return f.flowsToMember(3, 1, 2) > 0 })
 }
 
 // TestFleetStartApart: a voter and a follower that start while the record is out of reach hold to what they knew: nothing goes to a member that was
@@ -517,26 +517,26 @@
 func TestFleetStartApart(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
-	f.leader()
-	f.everywhere(1, "s0", true)
+	f.waitLeader()
+	f.setEverywhere(1, "s0", true)
 	for _, i := range []int{0, 3} {
 		path := filepath.Join(filepath.Dir(f.conf[i]), "record", "agreed.json")
-		until(t, "the ban to be kept", func() bool {
+		waitFor(t, "the ban to be kept", func() bool {
 			text, _ := os.ReadFile(path)
 			return strings.Contains(string(text), `"s0"`)
 		})
-		f.apart(i, true)
+		f.isolate(i, true)
 	}
 	f.kill(0, 3)
 	for _, i := range []int{0, 3} {
 		f.start(i)
-		if n := f.flows(i, 24, 0); n > 0 {
+		if n := f.flowsToMember(i, 24, 0); n > 0 {
 			t.Errorf("n%d: %d flows at a member that it knew to be banned", i, n)
 		}
-		f.apart(i, false)
+		f.isolate(i, false)
 	}
-	f.everywhere(1, "s0", false)
+	f.setEverywhere(1, "s0", false)
 	for _, i := range []int{0, 3} {
-		until(t, "it to be used again", func() bool { return f.flows(i, 1, 0) > 0 })
+		waitFor(t, "it to be used again", func() bool { return f.flowsToMember(i, 1, 0) > 0 })
 	}
 }
--- a/integration/fleet_test.go
+++ b/integration/fleet_test.go
@@ -23,25 +23,25 @@
 // fleet is several relays that agree on one record. The ways between their records are pipes that can be cut; what tells who lives goes
 // straight.
 type fleetRig struct {
-	t       *testing.T
-	d       *discovery
-	members []*backend
-	relays  []*relay
-	conf    []string
-	listen  []string // of the record
-	pipes   [][]*fakes.TCPProxy
-	groups  int // of flows that were opened
+	t           *testing.T
+	d           *discovery
+	members     []*backend
+	relays      []*relay
+	conf        []string
+	recordAddrs []string // of the record
+	pipes       [][]*fakes.TCPProxy
+	groups      int // of flows that were opened
 }
 
-const fleetKey = circleKey
+const fleetKey = gossipRigKey
 
 // newFleet starts n relays of which the first voters vote, before so many members that bear everything.
 func newFleet(t *testing.T, n, voters, members int, out map[string]any) *fleetRig {
-	return newFleetBy(t, settingsText, n, voters, members, out)
+	return newFleetWithSettings(t, settingsText, n, voters, members, out)
 }
 
-// newFleetBy is the same with other settings.
-func newFleetBy(t *testing.T, settings string, n, voters, members int, out map[string]any) *fleetRig {
+// newFleetWithSettings is the same with other settings.
+func newFleetWithSettings(t *testing.T, settings string, n, voters, members int, out map[string]any) *fleetRig {
 	f := &fleetRig{t: t}
 	var list []member
 	for i := range members {
@@ -52,11 +52,11 @@
 	f.d = newDiscovery(t, list...)
 	var gossip []string
 	for range n {
-		f.listen, gossip = append(f.listen, ownPort(t)), append(gossip, ownPort(t))
+		f.recordAddrs, gossip = append(f.recordAddrs, reservePort(t)), append(gossip, reservePort(t))
 	}
 	votes := map[string]string{}
 	for i := range voters {
-		votes[fmt.Sprintf("n%d", i)] = f.listen[i]
+		votes[fmt.Sprintf("n%d", i)] = f.recordAddrs[i]
 	}
 	for i := range n {
 		reach := map[string]string{}
@@ -65,7 +65,7 @@
 			if i == j {
 				continue
 			}
-			p, err := fakes.NewTCPProxy(f.listen[j])
+			p, err := fakes.NewTCPProxy(f.recordAddrs[j])
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -76,8 +76,8 @@
 		path := configure(t, f.d, map[string]any{"name": fmt.Sprintf("n%d", i), "operator": "127.0.0.1:0", "seed": fmt.Sprintf("%x", 99+i),
 			"settings": json.RawMessage(strings.Replace(settings, `"balancers":1`, fmt.Sprintf(`"balancers":%d`, n), 1)),
 			"peers":    map[string]any{"listen": gossip[i], "known": gossip[:min(2, n)], "key_file": "key"},
-			"fleet":    map[string]any{"listen": f.listen[i], "calls": "127.0.0.1:0", "dir": "record", "voters": votes, "reach": reach, "out": out}})
-		write(t, filepath.Join(filepath.Dir(path), "key"), fleetKey+"\n")
+			"fleet":    map[string]any{"listen": f.recordAddrs[i], "calls": "127.0.0.1:0", "dir": "record", "voters": votes, "reach": reach, "out": out}})
+		writeFile(t, filepath.Join(filepath.Dir(path), "key"), fleetKey+"\n")
 		f.conf, f.relays = append(f.conf, path), append(f.relays, nil)
 	}
 	for i := range n {
@@ -99,36 +99,36 @@
 	}
 }
 
-// everywhere repeats an operator's call on a member until it is agreed: with no leader just then, it holds at that relay alone.
-func (f *fleetRig) everywhere(i int, member string, out bool) {
+// setEverywhere repeats an operator's call on a member until it is agreed: with no leader just then, it holds at that relay alone.
+func (f *fleetRig) setEverywhere(i int, member string, out bool) {
 	f.t.Helper()
 	path := map[bool]string{true: "/disable", false: "/enable"}[out]
-	until(f.t, member+path, func() bool {
-		return f.relays[i].call("PUT", "/-/backends/"+member+path) == 200 && slices.Contains(f.outs(i), member) == out
+	waitFor(f.t, member+path, func() bool {
+		return f.relays[i].call("PUT", "/-/backends/"+member+path) == 200 && slices.Contains(f.ejectedMembers(i), member) == out
 	})
 }
 
-// takes waits until a relay takes flows: until it has heard the record, or has waited for it, it sends nothing and answers BUSY.
-func (f *fleetRig) takes(i int) {
+// waitAccepting waits until a relay takes flows: until it has heard the record, or has waited for it, it sends nothing and answers BUSY.
+func (f *fleetRig) waitAccepting(i int) {
 	f.t.Helper()
-	until(f.t, fmt.Sprintf("n%d to take flows", i), func() bool {
-		c := f.relays[i].open(f.group(), "")
+	waitFor(f.t, fmt.Sprintf("n%d to take flows", i), func() bool {
+		c := f.relays[i].openFlow(f.newGroup(), "")
 		defer c.Close()
 		return strings.HasPrefix(c.line(), "UP ")
 	})
 }
 
-// group is a number for a flow of a group of its own.
-func (f *fleetRig) group() int { f.groups++; return f.groups * 7919 }
+// newGroup is a number for a flow of a group of its own.
+func (f *fleetRig) newGroup() int { f.groups++; return f.groups * 7919 }
 
-// flows opens so many at a relay, one after another, and says how many came to a member.
-func (f *fleetRig) flows(i, n, member int) int {
+// flowsToMember opens so many at a relay, one after another, and says how many came to a member.
+func (f *fleetRig) flowsToMember(i, n, member int) int {
 	f.t.Helper()
-	f.takes(i)
+	f.waitAccepting(i)
 	before := len(f.members[member].firstLines())
 	for range n {
-		c := f.relays[i].open(f.group(), "")
-		c.want("UP ")
+		c := f.relays[i].openFlow(f.newGroup(), "")
+		c.wantLine("UP ")
 		c.Close()
 	}
 	return len(f.members[member].firstLines()) - before
@@ -147,7 +147,7 @@
 	if body != nil {
 		text, _ = json.Marshal(body)
 	}
-	q, err := http.NewRequest(method, "http://"+f.relays[i].addr["fleet"]+path, bytes.NewReader(text))
+	q, err := http.NewRequest(method, "http://"+f.relays[i].addrs["fleet"]+path, bytes.NewReader(text))
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -173,10 +173,10 @@
 	return answer.StatusCode
 }
 
-// agreed repeats a call until it is answered with yes: a leader may be sought just then.
-func (f *fleetRig) agreed(i int, method, path string, body any) (a rollout.Result) {
+// mustCall repeats a call until it is answered with yes: a leader may be sought just then.
+func (f *fleetRig) mustCall(i int, method, path string, body any) (a rollout.Result) {
 	f.t.Helper()
-	until(f.t, method+" "+path, func() bool {
+	waitFor(f.t, method+" "+path, func() bool {
 		a = rollout.Result{}
 		if f.call(i, method, path, body, &a) == 200 {
 			return true
@@ -187,10 +187,10 @@
 	return a
 }
 
-// release waits until one is in one of these states.
-func (f *fleetRig) release(i int, name string, states ...rollout.ReleaseState) (a rollout.ReleaseStatus) {
+// waitRelease waits until one is in one of these states.
+func (f *fleetRig) waitRelease(i int, name string, states ...rollout.ReleaseState) (a rollout.ReleaseStatus) {
 	f.t.Helper()
-	until(f.t, fmt.Sprintf("release %s to be %v", name, states), func() bool {
+	waitFor(f.t, fmt.Sprintf("release %s to be %v", name, states), func() bool {
 		a = rollout.ReleaseStatus{}
 		f.call(i, "GET", "/-/releases/"+name, nil, &a)
 		for _, s := range states {
@@ -204,11 +204,11 @@
 	return a
 }
 
-// leader is the relay that leads by its own word.
-func (f *fleetRig) leader() (at int) {
+// waitLeader is the relay that leads by its own word.
+func (f *fleetRig) waitLeader() (at int) {
 	f.t.Helper()
 	at = -1
-	until(f.t, "a leader", func() bool {
+	waitFor(f.t, "a leader", func() bool {
 		for i, r := range f.relays {
 			var a struct{ Engine struct{ Role string } }
 			if r != nil && f.call(i, "GET", "/-/fleet", nil, &a) == 200 && a.Engine.Role == "leader" {
@@ -222,7 +222,7 @@
 }
 
 // hosts starts a relay again whenever it ends because it was told to.
-func (f *fleetRig) host(i int) (ended bool) {
+func (f *fleetRig) restartOnExit(i int) (ended bool) {
 	r := f.relays[i]
 	select {
 	case err := <-r.done:
@@ -241,19 +241,19 @@
 func TestFleetBan(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
-	f.leader()
+	f.waitLeader()
 	f.kill(2)
-	f.everywhere(3, "s0", true)
+	f.setEverywhere(3, "s0", true)
 	f.start(2)
 	for i := range f.relays {
-		f.relays[i].logged("fleet: members that are out")
-		if n := f.flows(i, 12, 0); n > 0 {
+		f.relays[i].waitLogged("fleet: members that are out")
+		if n := f.flowsToMember(i, 12, 0); n > 0 {
 			t.Errorf("n%d: %d flows at a member that is banned everywhere", i, n)
 		}
 	}
-	f.everywhere(0, "s0", false)
+	f.setEverywhere(0, "s0", false)
 	for i := range f.relays {
-		until(t, fmt.Sprintf("n%d to follow", i), func() bool {
+		waitFor(t, fmt.Sprintf("n%d to follow", i), func() bool {
 			var a struct {
 				Version, Follows uint64
 				Orders           rollout.Orders
@@ -269,31 +269,31 @@
 func TestFleetRelease(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 4, map[string]any{"relays": map[string]string{"whole": "1"}, "members": map[string]string{"whole": "1"}})
-	f.leader()
-	f.agreed(3, "POST", "/-/releases", map[string]any{"name": "r1", "kind": "relay", "all": true, "who": "test"})
+	f.waitLeader()
+	f.mustCall(3, "POST", "/-/releases", map[string]any{"name": "r1", "kind": "relay", "all": true, "who": "test"})
 	t.Cleanup(func() {
 		if t.Failed() {
-			f.show("r1")
+			f.logRelease("r1")
 		}
 	})
 	ended := 0
-	until(t, "all relays to have left once", func() bool {
+	waitFor(t, "all relays to have left once", func() bool {
 		for i := range f.relays {
-			if f.host(i) {
+			if f.restartOnExit(i) {
 				ended++
 			}
 		}
 		time.Sleep(50 * time.Millisecond)
 		return ended == len(f.relays)
 	})
-	a := f.release(3, "r1", rollout.ReleaseCompleted, rollout.ReleaseHalted)
+	a := f.waitRelease(3, "r1", rollout.ReleaseCompleted, rollout.ReleaseHalted)
 	if a.State != rollout.ReleaseCompleted || a.Counts.Done != 4 {
 		t.Fatalf("%+v", a)
 	}
 }
 
-// show logs what the leader says, for a failing test.
-func (f *fleetRig) show(release string) {
+// logRelease logs what the leader says, for a failing test.
+func (f *fleetRig) logRelease(release string) {
 	for i, r := range f.relays {
 		var a, b json.RawMessage
 		if r != nil && f.call(i, "GET", "/-/fleet", nil, &a) == 200 && bytes.Contains(a, []byte(`"Role": "leader"`)) {
@@ -305,21 +305,21 @@
 	}
 }
 
-// outs are the members that a relay's record has out, in order.
-func (f *fleetRig) outs(i int) []string {
+// ejectedMembers are the members that a relay's record has out, in order.
+func (f *fleetRig) ejectedMembers(i int) []string {
 	var a struct{ Orders rollout.Orders }
 	f.call(i, "GET", "/-/fleet", nil, &a)
 	return slices.Sorted(maps.Keys(a.Orders.Exclusions))
 }
 
-// local is how many rows the leader shows of bans of a relay's own, -1 if no leader says so now.
-func (f *fleetRig) local(i int) (n int) {
+// localEjections is how many rows the leader shows of bans of a relay's own, -1 if no leader says so now.
+func (f *fleetRig) localEjections(i int) (n int) {
 	f.t.Helper()
 	time.Sleep(200 * time.Millisecond)
 	var a struct {
 		Rows []struct{ Relay, Item, State string }
 	}
-	if f.call(f.leader(), "GET", "/-/drift", nil, &a) != 200 {
+	if f.call(f.waitLeader(), "GET", "/-/drift", nil, &a) != 200 {
 		return -1
 	}
 	for _, r := range a.Rows {
@@ -330,8 +330,8 @@
 	return n
 }
 
-// apart cuts a relay's record off from all others, or brings it back.
-func (f *fleetRig) apart(i int, on bool) {
+// isolate cuts a relay's record off from all others, or brings it back.
+func (f *fleetRig) isolate(i int, on bool) {
 	way := fakes.Impairment{Cut: on}
 	for from, row := range f.pipes {
 		for to, p := range row {
@@ -347,30 +347,30 @@
 func TestFleetHaltBack(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
-	f.leader()
+	f.waitLeader()
 	at := func(what string, n int) {
 		t.Helper()
 		for i := range f.relays {
-			until(t, fmt.Sprintf("n%d: %s", i, what), func() bool { return len(f.outs(i)) == n })
+			waitFor(t, fmt.Sprintf("n%d: %s", i, what), func() bool { return len(f.ejectedMembers(i)) == n })
 		}
 	}
-	f.agreed(3, "POST", "/-/releases", map[string]any{"name": "d1", "kind": "member", "drain": true, "names": []string{"s1"}})
+	f.mustCall(3, "POST", "/-/releases", map[string]any{"name": "d1", "kind": "member", "drain": true, "names": []string{"s1"}})
 	t.Cleanup(func() {
 		if t.Failed() {
-			f.show("d1")
+			f.logRelease("d1")
 		}
 	})
 	at("the drain", 1)
-	f.agreed(2, "PUT", "/-/releases/d1/halt", nil)
-	l := f.leader()
+	f.mustCall(2, "PUT", "/-/releases/d1/halt", nil)
+	l := f.waitLeader()
 	f.kill(l)
 	f.start(l)
-	f.release(3, "d1", rollout.ReleaseHalted)
-	f.agreed(3, "PUT", "/-/releases/d1/resume", nil)
+	f.waitRelease(3, "d1", rollout.ReleaseHalted)
+	f.mustCall(3, "PUT", "/-/releases/d1/resume", nil)
 	at("the drain again", 1)
-	f.agreed(3, "PUT", "/-/releases/d1/back", nil)
+	f.mustCall(3, "PUT", "/-/releases/d1/back", nil)
 	at("the way back", 0)
-	f.release(3, "d1", rollout.ReleaseRolledBack)
+	f.waitRelease(3, "d1", rollout.ReleaseRolledBack)
 }
 
 // TestFleetApart: a relay that is cut off from the record has nothing agreed, and answers so; a ban told to it holds at it alone, and is shown
@@ -378,20 +378,20 @@
 func TestFleetApart(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
-	l := f.leader()
+	l := f.waitLeader()
 	cut := (l + 1) % 3
-	f.apart(cut, true)
+	f.isolate(cut, true)
 	if code := f.call(cut, "POST", "/-/releases", map[string]any{"name": "x", "kind": "relay", "all": true}, nil); code == 200 {
 		t.Error("a release was agreed without a majority")
 	}
-	f.relays[cut].put("/-/backends/s2/disable")
-	if n := f.flows(cut, 12, 2); n > 0 {
+	f.relays[cut].mustPut("/-/backends/s2/disable")
+	if n := f.flowsToMember(cut, 12, 2); n > 0 {
 		t.Errorf("%d flows at a member that is banned here", n)
 	}
-	f.apart(cut, false)
-	until(t, "the ban to be shown as drift", func() bool { return f.local(cut) == 1 })
-	f.relays[cut].put("/-/backends/s2/enable")
-	until(t, "the drift to end", func() bool { return f.local(cut) == 0 })
+	f.isolate(cut, false)
+	waitFor(t, "the ban to be shown as drift", func() bool { return f.localEjections(cut) == 1 })
+	f.relays[cut].mustPut("/-/backends/s2/enable")
+	waitFor(t, "the drift to end", func() bool { return f.localEjections(cut) == 0 })
 }
 
 // TestFleetCanary: a member of a new build that answers errors gets a small share of new flows at every relay, the same groups everywhere; the
@@ -399,16 +399,16 @@
 func TestFleetCanary(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 3, 4, nil)
-	f.leader()
-	f.agreed(0, "POST", "/-/canaries", map[string]any{"release": "c1", "arm": map[string]any{"members": []string{"s0"}}, "ladder": []int{300, 1000},
+	f.waitLeader()
+	f.mustCall(0, "POST", "/-/canaries", map[string]any{"release": "c1", "arm": map[string]any{"members": []string{"s0"}}, "ladder": []int{300, 1000},
 		"floor": 200, "longest": 120000, "error": 0.01, "guards": []map[string]any{{"metric": "failures", "points": 50}}, "salt": 7})
 	for i := range f.relays {
-		f.relays[i].logged("map[c1:300]")
+		f.relays[i].waitLogged("map[c1:300]")
 	}
 	before := map[string]int{}
 	flows := func(from, to int) {
 		for n := from; n < to; n++ {
-			c := f.relays[n%3].open(n, "")
+			c := f.relays[n%3].openFlow(n, "")
 			c.line()
 			c.Close()
 		}
@@ -428,7 +428,7 @@
 			t.Logf("canaries: %s", all)
 		}
 	})
-	within(t, 3*patience, "a verdict on an arm that answers errors", func() bool { // which takes some seconds, however many flows there are
+	waitForWithin(t, 3*patience, "a verdict on an arm that answers errors", func() bool { // which takes some seconds, however many flows there are
 		flows(n, n+30)
 		n += 30
 		var a struct{ Canaries []struct{ Status string } }
@@ -447,8 +447,8 @@
 		t.Skip("FLEET_PROCESSES is not set")
 	}
 	f := newFleet(t, n, 3, 4, nil)
-	l := f.leader()
-	until(t, "all to be heard", func() bool {
+	l := f.waitLeader()
+	waitFor(t, "all to be heard", func() bool {
 		var a struct{ Relays map[string]any }
 		f.call(l, "GET", "/-/fleet", nil, &a)
 		return len(a.Relays) == n
@@ -484,22 +484,22 @@
 	for k := range 5 {
 		name := fmt.Sprintf("d%d", k)
 		told := logs(out)
-		f.agreed(0, "POST", "/-/releases", map[string]any{"name": name, "kind": "member", "drain": true, "names": []string{"s1"}})
+		f.mustCall(0, "POST", "/-/releases", map[string]any{"name": name, "kind": "member", "drain": true, "names": []string{"s1"}})
 		heed("a drain, from the call's answer", told)
 		halted := logs(in)
 		if f.call(k%n, "PUT", "/-/releases/"+name+"/halt", nil, nil) != 200 {
 			t.Fatal("no halt")
 		}
 		heed("a halt, from the call's answer", halted)
-		f.agreed(0, "PUT", "/-/releases/"+name+"/back", nil)
-		f.release(0, name, rollout.ReleaseRolledBack)
+		f.mustCall(0, "PUT", "/-/releases/"+name+"/back", nil)
+		f.waitRelease(0, name, rollout.ReleaseRolledBack)
 	}
 	weighed := logs("map[c1:300]")
-	f.agreed(0, "POST", "/-/canaries", map[string]any{"release": "c1", "arm": map[string]any{"members": []string{"s0"}}, "ladder": []int{300, 1000},
+	f.mustCall(0, "POST", "/-/canaries", map[string]any{"release": "c1", "arm": map[string]any{"members": []string{"s0"}}, "ladder": []int{300, 1000},
 		"floor": 200, "longest": 120000, "error": 0.01, "guards": []map[string]any{{"metric": "failures", "points": 50}}})
 	heed("a canary's first weight", weighed)
 	for i := range 3 {
-		f.apart(i, true)
+		f.isolate(i, true)
 	}
 	pause := f.request(n-1, "PUT", "/-/canaries/c1/pause", nil)
 	go f.send(n-1, pause, nil)
--- a/integration/fleet_voters_test.go
+++ b/integration/fleet_voters_test.go
@@ -11,40 +11,40 @@
 	"dahliarudder/internal/consensus"
 )
 
-// engine is what a relay says of its part in the record.
-func (f *fleetRig) engine(i int) consensus.Status {
+// consensusStatus is what a relay says of its part in the record.
+func (f *fleetRig) consensusStatus(i int) consensus.Status {
 	var a struct{ Engine consensus.Status }
 	f.call(i, "GET", "/-/fleet", nil, &a)
 	return a.Engine
 }
 
-// lost waits until these relays know that there is no majority: a call before that may end in doubt, by rights.
-func (f *fleetRig) lost(all ...int) {
+// waitNoMajority waits until these relays know that there is no majority: a call before that may end in doubt, by rights.
+func (f *fleetRig) waitNoMajority(all ...int) {
 	f.t.Helper()
 	for _, i := range all {
-		until(f.t, fmt.Sprintf("n%d to miss the majority", i), func() bool {
-			e := f.engine(i)
+		waitFor(f.t, fmt.Sprintf("n%d to miss the majority", i), func() bool {
+			e := f.consensusStatus(i)
 			return e.Name != "" && !e.HasQuorum && e.Leader == ""
 		})
 	}
 }
 
-// votes waits until a relay votes. Without an engine there is no term: its role is then what it was under an identity that it gave up. What is
+// waitVoter waits until a relay votes. Without an engine there is no term: its role is then what it was under an identity that it gave up. What is
 // agreed after this stands in the log behind the end of the change of voters.
-func (f *fleetRig) votes(i int) {
+func (f *fleetRig) waitVoter(i int) {
 	f.t.Helper()
-	until(f.t, fmt.Sprintf("n%d to vote", i), func() bool {
-		e := f.engine(i)
+	waitFor(f.t, fmt.Sprintf("n%d to vote", i), func() bool {
+		e := f.consensusStatus(i)
 		return e.Term > 0 && (e.Role == consensus.RoleVoter || e.Role == consensus.RoleLeader)
 	})
 }
 
-// banned has the next member out at these relays, by a call at the first of them; s0 is the first.
-func (f *fleetRig) banned(member int, at ...int) {
+// eject has the next member out at these relays, by a call at the first of them; s0 is the first.
+func (f *fleetRig) eject(member int, at ...int) {
 	f.t.Helper()
-	f.everywhere(at[0], fmt.Sprintf("s%d", member), true)
+	f.setEverywhere(at[0], fmt.Sprintf("s%d", member), true)
 	for _, i := range at {
-		until(f.t, fmt.Sprintf("n%d to follow", i), func() bool { return len(f.outs(i)) == member+1 })
+		waitFor(f.t, fmt.Sprintf("n%d to follow", i), func() bool { return len(f.ejectedMembers(i)) == member+1 })
 	}
 }
 
@@ -54,23 +54,23 @@
 func TestFleetVoterReplaced(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 4, nil)
-	old := f.leader()
+	old := f.waitLeader()
 	a, b := (old+1)%3, (old+2)%3
 	f.kill(old)
-	f.apart(old, true)
-	until(t, "n3 to be a voter", func() bool { // the call is refused while those that are left have not settled
-		f.call(3, "PUT", fmt.Sprintf("/-/voters/n%d/n3?address=%s", old, f.listen[3]), nil, nil)
-		return f.engine(3).Voters["n3"] == f.listen[3]
+	f.isolate(old, true)
+	waitFor(t, "n3 to be a voter", func() bool { // the call is refused while those that are left have not settled
+		f.call(3, "PUT", fmt.Sprintf("/-/voters/n%d/n3?address=%s", old, f.recordAddrs[3]), nil, nil)
+		return f.consensusStatus(3).Voters["n3"] == f.recordAddrs[3]
 	})
-	f.votes(3)
-	f.banned(0, 3, a, b)
+	f.waitVoter(3)
+	f.eject(0, 3, a, b)
 	f.kill(b, 3) // by the old one's disk, two of three are left
 	f.start(old)
-	f.apart(old, false)
-	f.lost(a, old)
+	f.isolate(old, false)
+	f.waitNoMajority(a, old)
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) { // elections take 1.2 s
 		for _, i := range []int{old, a} {
-			if e := f.engine(i); e.HasQuorum || e.Leader != "" {
+			if e := f.consensusStatus(i); e.HasQuorum || e.Leader != "" {
 				t.Fatalf("n%d has a majority with one of three voters there: %+v", i, e)
 			}
 		}
@@ -81,11 +81,11 @@
 		}
 	}
 	f.start(3) // its vote is needed, and that of the old one is not
-	f.banned(1, a, 3, old)
+	f.eject(1, a, 3, old)
 	f.start(b)
-	f.banned(2, old, 0, 1, 2, 3)
-	until(t, "what was refused to be unknown", func() bool { return f.call(old, "GET", "/-/releases/x", nil, nil) == 404 })
-	if e := f.engine(old); e.Role != consensus.RoleFollower || e.Voters[e.Name] != "" {
+	f.eject(2, old, 0, 1, 2, 3)
+	waitFor(t, "what was refused to be unknown", func() bool { return f.call(old, "GET", "/-/releases/x", nil, nil) == 404 })
+	if e := f.consensusStatus(old); e.Role != consensus.RoleFollower || e.Voters[e.Name] != "" {
 		t.Errorf("%+v", e)
 	}
 }
@@ -96,25 +96,25 @@
 func TestFleetVoterForgets(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 10, nil)
-	l := f.leader()
+	l := f.waitLeader()
 	older, emptied := (l+1)%3, (l+2)%3
 	dir := func(i int) string { return filepath.Join(filepath.Dir(f.conf[i]), "record") }
 	out := 0
-	ban := func(at ...int) { f.banned(out, at...); out++ }
+	ban := func(at ...int) { f.eject(out, at...); out++ }
 	ban(3, 0, 1, 2)
-	record := f.engine(l).RecordID
+	record := f.consensusStatus(l).RecordID
 	f.kill(older)
 	kept := filepath.Join(t.TempDir(), "kept")
 	if err := os.CopyFS(kept, os.DirFS(dir(older))); err != nil {
 		t.Fatal(err)
 	}
 	f.start(older)
-	f.votes(older)
+	f.waitVoter(older)
 	ban(3, 0, 1, 2)
 	ban(older, 0, 1, 2, 3) // what it has acknowledged before the last one is known to the others
 	anew := func(i, other int, why, kept string) {
 		t.Helper()
-		id := f.engine(i).Identity
+		id := f.consensusStatus(i).Identity
 		f.kill(i)
 		if err := os.RemoveAll(dir(i)); err != nil {
 			t.Fatal(err)
@@ -125,22 +125,22 @@
 			}
 		}
 		f.start(i)
-		until(t, fmt.Sprintf("n%d to be another voter", i), func() bool {
-			e := f.engine(i)
+		waitFor(t, fmt.Sprintf("n%d to be another voter", i), func() bool {
+			e := f.consensusStatus(i)
 			return e.Identity != 0 && e.Identity != id && strings.Contains(e.IdentityReason, why)
 		})
-		f.votes(i)
+		f.waitVoter(i)
 		ban(3, 0, 1, 2)
 		f.kill(other)
 		ban(3, i, 3-i-other) // its vote is needed
 		f.start(other)
-		f.votes(other)
+		f.waitVoter(other)
 		ban(other, 0, 1, 2, 3)
 	}
 	anew(older, emptied, "older", kept)
 	anew(emptied, older, "", "")
 	for i := range f.relays {
-		if e := f.engine(i); e.RecordID != record {
+		if e := f.consensusStatus(i); e.RecordID != record {
 			t.Errorf("n%d is of record %d, which was %d", i, e.RecordID, record)
 		}
 	}
--- a/integration/folder_test.go
+++ b/integration/folder_test.go
@@ -22,7 +22,7 @@
 	config := configure(t, d, map[string]any{"operator": "127.0.0.1:0", "state": map[string]any{"dir": dir, "every_ms": 1000}})
 	r := start(t, config, 2)
 	path := filepath.Join(dir, "snapshot")
-	until(t, "a snapshot", func() bool { _, err := os.Stat(path); return err == nil })
+	waitFor(t, "a snapshot", func() bool { _, err := os.Stat(path); return err == nil })
 	whole := func() []byte {
 		text, err := os.ReadFile(path)
 		if err != nil {
@@ -41,17 +41,17 @@
 	if err := os.Symlink(fullDisk, path+".new"); err != nil { // for one write: the relay clears away what that has left
 		t.Fatal(err)
 	}
-	r.logged(works)
+	r.waitLogged(works)
 	told(failed, 1)
 	told(works, 1)
-	until(t, "the next whole state", func() bool { return !bytes.Equal(whole(), before) })
+	waitFor(t, "the next whole state", func() bool { return !bytes.Equal(whole(), before) })
 
 	if err := os.MkdirAll(filepath.Join(path+".new", "in the way"), 0o700); err != nil { // for all that follow
 		t.Fatal(err)
 	}
-	until(t, "the trouble", func() bool { return strings.Count(r.log.String(), failed) == 2 })
+	waitFor(t, "the trouble", func() bool { return strings.Count(r.log.String(), failed) == 2 })
 	before = whole()
-	r.open(1, "").want("UP ")
+	r.openFlow(1, "").wantLine("UP ")
 	r.cmd.Process.Signal(syscall.SIGKILL)
 	<-r.done
 	told(works, 1)
@@ -59,7 +59,7 @@
 		t.Error("the last whole state is another one")
 	}
 	next := start(t, config, 2)
-	next.logged("restored from the snapshot")
-	next.open(2, "").want("UP ")
+	next.waitLogged("restored from the snapshot")
+	next.openFlow(2, "").wantLine("UP ")
 	next.stop()
 }
--- a/integration/line_test.go
+++ b/integration/line_test.go
@@ -14,17 +14,17 @@
 	"dahliarudder/internal/fakes"
 )
 
-// site is a relay with its discovery and members.
-type site struct {
+// lineRig is a relay with its discovery and members.
+type lineRig struct {
 	*relay
 	d        *discovery
 	backends []*backend
 	tries    *fakes.AttemptCounter
 }
 
-func newSite(t *testing.T, members int, more map[string]any) *site {
+func newLineRig(t *testing.T, members int, more map[string]any) *lineRig {
 	t.Helper()
-	s := &site{tries: fakes.NewAttemptCounter()}
+	s := &lineRig{tries: fakes.NewAttemptCounter()}
 	var list []member
 	for i := range members {
 		b := newBackend(t, fmt.Sprintf("s-%08x", 0x5be2a000+i*0x01234567), s.tries)
@@ -40,8 +40,8 @@
 	return s
 }
 
-// holder is the member that holds a flow, by its receipt.
-func (s *site) holder(up string) *backend {
+// memberOfFlow is the member that holds a flow, by its receipt.
+func (s *lineRig) memberOfFlow(up string) *backend {
 	s.t.Helper()
 	for _, b := range s.backends {
 		if strings.HasPrefix(up, "UP "+b.id+"/") {
@@ -55,24 +55,24 @@
 // TestCalm: flows come up with a member's receipt, lines pass both ways
 // unchanged, only d is rewritten, and a served flow ends politely.
 func TestCalm(t *testing.T) {
-	s := newSite(t, 3, nil)
+	s := newLineRig(t, 3, nil)
 	for n := range 20 {
-		c := s.open(n, ",x-mark=7")
-		up := c.want("UP ")
-		b := s.holder(up)
+		c := s.openFlow(n, ",x-mark=7")
+		up := c.wantLine("UP ")
+		b := s.memberOfFlow(up)
 		if up != fmt.Sprintf("UP %s/%016x", b.id, n) {
 			t.Fatalf("receipt %q", up)
 		}
 		for _, word := range []string{"hello", "OPEN sesame", ""} {
-			c.say(word)
-			c.want("LOAD ")
-			if got := c.want("GOT "); !strings.HasSuffix(got, " "+word) {
+			c.send(word)
+			c.wantLine("LOAD ")
+			if got := c.wantLine("GOT "); !strings.HasSuffix(got, " "+word) {
 				t.Fatalf("got %q for %q", got, word)
 			}
 		}
-		c.say("END")
-		c.want("BYE inflight=1")
-		c.want(io.EOF.Error())
+		c.send("END")
+		c.wantLine("BYE inflight=1")
+		c.wantLine(io.EOF.Error())
 		var d int
 		lines := b.firstLines()
 		want := fmt.Sprintf("OPEN %016x %016x c=pay-status,t=water,d=%%d,g=%016x,x-mark=7", n, n+1, n+2)
@@ -80,20 +80,20 @@
 			t.Fatalf("the member got %q, want %q", lines[len(lines)-1], want)
 		}
 	}
-	checkTries(t, s.tries)
+	checkAttemptCounter(t, s.tries)
 	s.stop()
 }
 
 // TestPing: a front admits a relay by PING on a connection that may go on.
 func TestPing(t *testing.T) {
-	s := newSite(t, 1, nil)
+	s := newLineRig(t, 1, nil)
 	c := s.dial()
-	c.say("PING")
-	c.want("PONG")
-	c.say("PING")
-	c.want("PONG")
-	c.say("OPEN 00000000000000aa 00000000000000bb c=pay-status,t=water,d=2000")
-	c.want("UP ")
+	c.send("PING")
+	c.wantLine("PONG")
+	c.send("PING")
+	c.wantLine("PONG")
+	c.send("OPEN 00000000000000aa 00000000000000bb c=pay-status,t=water,d=2000")
+	c.wantLine("UP ")
 }
 
 // TestTrouble: members that turn away, fail or reset cost a request at most three
@@ -101,24 +101,24 @@
 func TestTrouble(t *testing.T) {
 	for _, mode := range []string{"busy", "err", "reset"} {
 		t.Run(mode, func(t *testing.T) {
-			s := newSite(t, 3, nil)
+			s := newLineRig(t, 3, nil)
 			s.backends[0].SetMode(mode)
 			s.backends[1].SetMode(mode)
 			answers := map[string]int{}
 			for n := range 12 {
-				c := s.open(n, "")
+				c := s.openFlow(n, "")
 				answer, _, _ := strings.Cut(c.line(), " ")
 				answers[answer]++
 				if answer == "UP" {
-					c.say("END")
-					c.want("BYE")
+					c.send("END")
+					c.wantLine("BYE")
 				}
-				c.want(io.EOF.Error())
+				c.wantLine(io.EOF.Error())
 			}
 			if answers["UP"] == 0 || answers["UP"]+answers["BUSY"]+answers["ERR"] != 12 {
 				t.Errorf("answers %v", answers)
 			}
-			checkTries(t, s.tries)
+			checkAttemptCounter(t, s.tries)
 			s.stop()
 		})
 	}
@@ -126,40 +126,40 @@
 
 // TestAllBad: with no member that works a request still gets its final answer.
 func TestAllBad(t *testing.T) {
-	s := newSite(t, 2, nil)
+	s := newLineRig(t, 2, nil)
 	for _, b := range s.backends {
 		b.SetMode("err")
 	}
-	c := s.open(1, "")
+	c := s.openFlow(1, "")
 	if answer := c.line(); !strings.HasPrefix(answer, "BUSY") && answer != "ERR" {
 		t.Errorf("answer %q", answer)
 	}
-	c.want(io.EOF.Error())
-	checkTries(t, s.tries)
+	c.wantLine(io.EOF.Error())
+	checkAttemptCounter(t, s.tries)
 }
 
 // TestSilentMember: a member that takes a request and says nothing must not keep
 // it beyond the client's wait.
 func TestSilentMember(t *testing.T) {
-	s := newSite(t, 2, nil)
+	s := newLineRig(t, 2, nil)
 	for _, b := range s.backends {
 		b.SetMode("silent")
 	}
-	c := s.open(1, "")
+	c := s.openFlow(1, "")
 	if answer := c.line(); !strings.HasPrefix(answer, "BUSY") && answer != "ERR" {
 		t.Errorf("answer %q", answer)
 	}
-	checkTries(t, s.tries)
+	checkAttemptCounter(t, s.tries)
 }
 
 // TestDrain: when a member drains, its clients are told to move between two lines
 // and new ones go elsewhere.
 func TestDrain(t *testing.T) {
-	s := newSite(t, 3, nil)
+	s := newLineRig(t, 3, nil)
 	held := map[*backend][]*client{}
 	for n := range 12 {
-		c := s.open(n, "")
-		b := s.holder(c.want("UP "))
+		c := s.openFlow(n, "")
+		b := s.memberOfFlow(c.wantLine("UP "))
 		held[b] = append(held[b], c)
 	}
 	var leaving *backend
@@ -168,103 +168,103 @@
 	}
 	s.d.SetLifecycle(leaving.id, "DRAINING")
 	for _, c := range held[leaving] {
-		c.want("MOVE")
-		c.want(io.EOF.Error())
+		c.wantLine("MOVE")
+		c.wantLine(io.EOF.Error())
 	}
-	until(t, "the member to be left", func() bool { return leaving.OpenFlows() == 0 })
+	waitFor(t, "the member to be left", func() bool { return leaving.OpenFlows() == 0 })
 	for n := range 12 {
-		c := s.open(100+n, "")
-		if b := s.holder(c.want("UP ")); b == leaving {
+		c := s.openFlow(100+n, "")
+		if b := s.memberOfFlow(c.wantLine("UP ")); b == leaving {
 			t.Error("sent to a draining member")
 		}
 	}
 	for b, clients := range held {
 		for _, c := range clients {
 			if b != leaving {
-				c.say("still here")
-				c.want("LOAD ")
-				c.want("GOT 1 still here")
+				c.send("still here")
+				c.wantLine("LOAD ")
+				c.wantLine("GOT 1 still here")
 			}
 		}
 	}
-	checkTries(t, s.tries)
+	checkAttemptCounter(t, s.tries)
 	s.stop()
 }
 
 // TestStanding: a flow that was open before goes to the member that holds it.
 func TestStanding(t *testing.T) {
-	s := newSite(t, 3, nil)
+	s := newLineRig(t, 3, nil)
 	for n, b := range s.backends {
-		c := s.open(n, ",at="+b.id)
-		if got := s.holder(c.want("UP ")); got != b {
+		c := s.openFlow(n, ",at="+b.id)
+		if got := s.memberOfFlow(c.wantLine("UP ")); got != b {
 			t.Errorf("went to %s instead of %s", got.id, b.id)
 		}
 	}
-	c := s.open(9, ",at=s-ffffffff")
-	c.want("ERR")
+	c := s.openFlow(9, ",at=s-ffffffff")
+	c.wantLine("ERR")
 }
 
 // TestTerm: on SIGTERM every held client is told to move, who still arrives is
 // answered, a front is told that the relay is not ready, and the program ends.
 func TestTerm(t *testing.T) {
-	s := newSite(t, 2, nil)
-	held := s.hold(10)
+	s := newLineRig(t, 2, nil)
+	held := s.openFlows(10)
 	front, late := s.dial(), s.dial()
-	front.say("PING")
-	front.want("PONG")
+	front.send("PING")
+	front.wantLine("PONG")
 	s.cmd.Process.Signal(os.Interrupt)
-	s.logged("msg=stopping")
-	front.say("PING")
-	front.want("ERR")
-	late.say("OPEN 00000000000000aa 00000000000000bb c=pay-status,t=water,d=2000")
-	late.want("BUSY ")
-	late.want(io.EOF.Error())
-	moved(held...)
+	s.waitLogged("msg=stopping")
+	front.send("PING")
+	front.wantLine("ERR")
+	late.send("OPEN 00000000000000aa 00000000000000bb c=pay-status,t=water,d=2000")
+	late.wantLine("BUSY ")
+	late.wantLine(io.EOF.Error())
+	wantMoved(held...)
 	if err := <-s.done; err != nil {
 		t.Errorf("ended with %v", err)
 	}
-	checkTries(t, s.tries)
+	checkAttemptCounter(t, s.tries)
 }
 
 // TestEnds: an end is answered in its manner, politely or by a reset, both ways.
 func TestEnds(t *testing.T) {
-	s := newSite(t, 1, nil)
+	s := newLineRig(t, 1, nil)
 	b := s.backends[0]
-	c := s.open(1, "")
-	c.want("UP ")
+	c := s.openFlow(1, "")
+	c.wantLine("UP ")
 	c.Conn.(*net.TCPConn).CloseWrite()
-	until(t, "the member's end", func() bool { return b.OpenFlows() == 0 })
-	c = s.open(2, "")
-	c.want("UP ")
+	waitFor(t, "the member's end", func() bool { return b.OpenFlows() == 0 })
+	c = s.openFlow(2, "")
+	c.wantLine("UP ")
 	b.EachConnection(func(m net.Conn) { m.(*net.TCPConn).SetLinger(0); m.Close() })
 	if end := c.line(); !strings.Contains(end, "reset") {
 		t.Errorf("a member's reset reached the client as %q", end)
 	}
-	c = s.open(3, "")
-	c.want("UP ")
+	c = s.openFlow(3, "")
+	c.wantLine("UP ")
 	b.EachConnection(func(m net.Conn) { m.(*net.TCPConn).CloseWrite() })
-	c.want(io.EOF.Error())
-	c = s.open(4, "")
-	c.want("UP ")
+	c.wantLine(io.EOF.Error())
+	c = s.openFlow(4, "")
+	c.wantLine("UP ")
 	c.Conn.(*net.TCPConn).SetLinger(0)
 	c.Close()
-	until(t, "the member's end", func() bool { return b.OpenFlows() == 0 })
+	waitFor(t, "the member's end", func() bool { return b.OpenFlows() == 0 })
 	s.stop()
 }
 
 // TestDiscoveryLoss: while discovery is down the relay serves from the list it
 // has, and goes on asking; once it is back, changes reach it.
 func TestDiscoveryLoss(t *testing.T) {
-	s := newSite(t, 2, nil)
-	until(t, "the first watch", func() bool { return s.d.Calls() > 0 })
+	s := newLineRig(t, 2, nil)
+	waitFor(t, "the first watch", func() bool { return s.d.Calls() > 0 })
 	s.d.SetDown(true)
-	s.logged("discovery call failed")
-	c := s.open(1, "")
-	b := s.holder(c.want("UP "))
+	s.waitLogged("discovery call failed")
+	c := s.openFlow(1, "")
+	b := s.memberOfFlow(c.wantLine("UP "))
 	s.d.SetDown(false)
 	s.d.SetLifecycle(b.id, "DRAINING")
-	c.want("MOVE")
-	s.open(2, "").want("UP ")
+	c.wantLine("MOVE")
+	s.openFlow(2, "").wantLine("UP ")
 	s.stop()
 }
 
@@ -273,17 +273,17 @@
 // with every flow standing, also when a second SIGHUP comes before the first
 // new address has answered. Guards against SIGHUP ending the program.
 func TestReload(t *testing.T) {
-	s := newSite(t, 3, nil)
-	c := s.open(1, "")
-	b := s.holder(c.want("UP "))
+	s := newLineRig(t, 3, nil)
+	c := s.openFlow(1, "")
+	b := s.memberOfFlow(c.wantLine("UP "))
 	s.reload(`"discovery"`, `"discover`)
-	s.logged("the old configuration stays")
+	s.waitLogged("the old configuration stays")
 	s.reload(`"discover`, `"discovery"`, `"sockets":1024`, `"sockets":2048`)
-	s.logged("keys=\"[limits]\"")
+	s.waitLogged("keys=\"[limits]\"")
 
 	silent := listen(t, func(net.Conn) { select {} })
 	s.reload(s.d.addr, silent.Addr().String())
-	s.logged("discovery=\"" + silent.Addr().String())
+	s.waitLogged("discovery=\"" + silent.Addr().String())
 	gone := s.backends[0]
 	if gone == b { // that flow is to stay
 		gone = s.backends[1]
@@ -298,23 +298,23 @@
 	}
 	next := newDiscovery(t, list...)
 	s.reload(silent.Addr().String(), next.addr)
-	until(t, "a watch at the new address", func() bool { return next.Calls() > 1 })
+	waitFor(t, "a watch at the new address", func() bool { return next.Calls() > 1 })
 	for n := range 12 {
-		if s.holder(s.open(100+n, "").want("UP ")) == gone {
+		if s.memberOfFlow(s.openFlow(100+n, "").wantLine("UP ")) == gone {
 			t.Error("sent to a member that the new address says is draining")
 		}
 	}
 	next.SetLifecycle(b.id, "DRAINING")
-	c.want("MOVE")
+	c.wantLine("MOVE")
 	s.reload(next.addr, silent.Addr().String())
-	s.logged("read again")
+	s.waitLogged("read again")
 	s.stop()
 }
 
 // TestBadInput: what is no first line gets a failing line and never reaches a
 // member; the relay goes on.
 func TestBadInput(t *testing.T) {
-	s := newSite(t, 1, nil)
+	s := newLineRig(t, 1, nil)
 	for _, first := range []string{
 		"HELLO",
 		"",
@@ -341,7 +341,7 @@
 			t.Errorf("%.60q was answered %q", first, answer)
 		}
 	}
-	s.open(1, "").want("UP ")
+	s.openFlow(1, "").wantLine("UP ")
 	if lines := s.backends[0].firstLines(); len(lines) != 1 {
 		t.Errorf("members got %q", lines)
 	}
@@ -380,11 +380,11 @@
 // TestCrowd: with few descriptors left, clients are rejected before accepting or
 // connecting fails, and the relay recovers when they go.
 func TestCrowd(t *testing.T) {
-	s := newSite(t, 1, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 100}})
+	s := newLineRig(t, 1, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 100}})
 	var clients []*client
 	up, busy := 0, 0
 	for n := range 60 {
-		c := s.open(n, "")
+		c := s.openFlow(n, "")
 		clients = append(clients, c)
 		switch answer := c.line(); {
 		case strings.HasPrefix(answer, "UP "):
@@ -401,9 +401,9 @@
 	for _, c := range clients {
 		c.Close()
 	}
-	until(t, "the flows' end", func() bool { return s.backends[0].OpenFlows() == 0 })
+	waitFor(t, "the flows' end", func() bool { return s.backends[0].OpenFlows() == 0 })
 	n := 1000
-	until(t, "room", func() bool { n++; return strings.HasPrefix(s.open(n, "").line(), "UP ") })
+	waitFor(t, "room", func() bool { n++; return strings.HasPrefix(s.openFlow(n, "").line(), "UP ") })
 	s.stop()
 }
 
@@ -411,33 +411,33 @@
 // ask once and stay, do not keep usual clients out. Guards against a relay that
 // holds them until its descriptors are gone.
 func TestIdleCrowd(t *testing.T) {
-	s := newSite(t, 1, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": 100}})
-	held := s.open(1, "")
-	held.want("UP ")
+	s := newLineRig(t, 1, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": 100}})
+	held := s.openFlow(1, "")
+	held.wantLine("UP ")
 	for n := range 250 {
 		if c := s.dial(); n%2 == 0 {
-			c.say("PING")
-			c.want("PONG")
+			c.send("PING")
+			c.wantLine("PONG")
 		}
 	}
 	for n := range 10 {
-		s.open(100+n, "").want("UP ")
+		s.openFlow(100+n, "").wantLine("UP ")
 	}
-	held.say("still here")
-	held.want("LOAD ")
-	held.want("GOT 1 still here")
+	held.send("still here")
+	held.wantLine("LOAD ")
+	held.wantLine("GOT 1 still here")
 	s.stop()
 }
 
 // TestCounts: with counts_ms each relay logs what it counted in each span, and the
 // spans add up to what happened.
 func TestCounts(t *testing.T) {
-	s := newSite(t, 2, map[string]any{"counts_ms": 100})
+	s := newLineRig(t, 2, map[string]any{"counts_ms": 100})
 	for n := range 5 {
-		s.open(n, "").want("UP ")
+		s.openFlow(n, "").wantLine("UP ")
 	}
 	sum := regexp.MustCompile(`msg=counts at=[0-9.]+ attempts=\d+ barred=\d+ failed=\d+ left=\d+ moves=\d+ rejected=\d+ requests=(\d+)`)
-	until(t, "five requests counted", func() bool {
+	waitFor(t, "five requests counted", func() bool {
 		n := 0
 		for _, m := range sum.FindAllStringSubmatch(s.relay.log.String(), -1) {
 			k, _ := strconv.Atoi(m[1])
--- a/integration/nats_bench_test.go
+++ b/integration/nats_bench_test.go
@@ -16,9 +16,9 @@
 	"dahliarudder/internal/fakes"
 )
 
-// ways are the two that every figure is taken by in one run: to the nodes directly, and through
+// benchBothWays are the two that every figure is taken by in one run: to the nodes directly, and through
 // the relay before the same nodes.
-func ways(b *testing.B, run func(b *testing.B, url string, r *relay)) {
+func benchBothWays(b *testing.B, run func(b *testing.B, url string, r *relay)) {
 	k, err := fakes.NewNATSCluster(3)
 	if err != nil {
 		b.Fatal(err)
@@ -27,7 +27,7 @@
 	r := natsRelay(b, k, nil)
 	b.Cleanup(r.stop)
 	b.Run("direct", func(b *testing.B) { run(b, "nats://"+k.Nodes[0].Addr, nil) })
-	b.Run("relay", func(b *testing.B) { run(b, "nats://"+r.addr["nats"], r) })
+	b.Run("relay", func(b *testing.B) { run(b, "nats://"+r.addrs["nats"], r) })
 }
 
 func benchClients(b *testing.B, url string, n int) []*nats.Conn {
@@ -56,8 +56,8 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// resident is the relay's memory in bytes.
-func (r *relay) resident() int {
+// residentMemory is the relay's memory in bytes.
+func (r *relay) residentMemory() int {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.cmd.Process.Pid))
 	_, rest, _ := strings.Cut(string(text), "VmRSS:")
 	n, _ := strconv.Atoi(strings.Fields(rest)[0])
@@ -75,7 +75,7 @@
 					name = "delivered"
 				}
 				b.Run(fmt.Sprintf("%s/%dB/%d", name, size, clients), func(b *testing.B) {
-					ways(b, func(b *testing.B, url string, r *relay) { benchPublish(b, url, r, delivered, size, clients) })
+					benchBothWays(b, func(b *testing.B, url string, r *relay) { benchPublish(b, url, r, delivered, size, clients) })
 				})
 			}
 		}
@@ -119,7 +119,7 @@
 	}
 	wait.Wait()
 	if delivered {
-		until(b, "all deliveries", func() bool { return got.Load() >= int64(each*clients) })
+		waitFor(b, "all deliveries", func() bool { return got.Load() >= int64(each*clients) })
 	}
 	b.StopTimer()
 	b.ReportMetric(float64(each*clients)/b.Elapsed().Seconds(), "msgs/s")
@@ -130,7 +130,7 @@
 
 // BenchmarkNATSRequest: how long a request and its reply take, one at a time.
 func BenchmarkNATSRequest(b *testing.B) {
-	ways(b, func(b *testing.B, url string, r *relay) {
+	benchBothWays(b, func(b *testing.B, url string, r *relay) {
 		all := benchClients(b, url, 2)
 		if _, err := all[0].Subscribe("ask", func(m *nats.Msg) { m.Respond(m.Data) }); err != nil {
 			b.Fatal(err)
@@ -163,20 +163,20 @@
 			}
 			defer k.Close()
 			r := natsRelay(b, k, nil)
-			before := r.resident()
+			before := r.residentMemory()
 			for range b.N {
 				var all []*client
 				for i := range clients {
 					c := r.natsDial()
-					c.want("INFO ")
+					c.wantLine("INFO ")
 					fmt.Fprintf(c, "CONNECT {\"verbose\":false,\"protocol\":1}\r\nSUB feed.%d 1\r\nPING\r\n", i)
 					all = append(all, c)
 				}
 				for _, c := range all {
-					c.want("PONG")
+					c.wantLine("PONG")
 				}
-				b.ReportMetric(float64(r.resident()-before)/float64(clients), "bytes/client")
-				b.ReportMetric(float64(r.resident())/(1<<20), "MiB")
+				b.ReportMetric(float64(r.residentMemory()-before)/float64(clients), "bytes/client")
+				b.ReportMetric(float64(r.residentMemory())/(1<<20), "MiB")
 				for _, c := range all {
 					c.Close()
 				}
--- a/integration/nats_chaos_test.go
+++ b/integration/nats_chaos_test.go
@@ -23,8 +23,8 @@
 	unorder []string
 }
 
-// took is told by the cluster.
-func (l *ledger) took(subject, payload string) {
+// record is told by the cluster.
+func (l *ledger) record(subject, payload string) {
 	var client, n int
 	if c, _ := fmt.Sscanf(payload, "c%d n%d", &client, &n); c != 2 {
 		return
@@ -53,14 +53,14 @@
 			rng := rand.New(rand.NewPCG(seed, 9))
 			k := newCluster(t, 4)
 			led := &ledger{newest: map[string]int{}, seen: map[string]bool{}, turned: map[string]int{}}
-			k.Watch(led.took)
+			k.Watch(led.record)
 			d := newDiscovery(t, natsMembers(k)...)
 			r := start(t, configure(t, d, map[string]any{"fronts": map[string]any{"nats": map[string]any{"listen": "127.0.0.1:0",
 				"class": "pay-status", "tenant": "water", "load_subject": "node.load"}}}), 1)
 			const clients, rounds, burst = 8, 25, 20
 			var all []*nats.Conn
 			for i := range clients {
-				c, err := nats.Connect("nats://"+r.addr["nats"], nats.Timeout(patience), nats.NoReconnect(),
+				c, err := nats.Connect("nats://"+r.addrs["nats"], nats.Timeout(patience), nats.NoReconnect(),
 					nats.ErrorHandler(func(_ *nats.Conn, _ *nats.Subscription, err error) {
 						led.mu.Lock()
 						led.turned[fmt.Sprint(i)]++
@@ -84,7 +84,7 @@
 				switch rng.IntN(6) {
 				case 0:
 					o.Kill()
-					undo = func() { until(t, "a restart", func() bool { return o.Restart() == nil }) }
+					undo = func() { waitFor(t, "a restart", func() bool { return o.Restart() == nil }) }
 				case 1:
 					d.SetLifecycle(o.ID, "DRAINING")
 					undo = func() { d.SetLifecycle(o.ID, "SERVING") }
@@ -133,7 +133,7 @@
 			}
 			taken := len(led.seen)
 			led.mu.Unlock()
-			until(t, "one place for each subscription", func() bool {
+			waitFor(t, "one place for each subscription", func() bool {
 				for i := range clients {
 					held := 0
 					for _, n := range k.Subscriptions(fmt.Sprint("stay.", i)) {
@@ -163,7 +163,7 @@
 	for range 2 {
 		for range clients {
 			c := r.natsDial()
-			c.want("INFO ")
+			c.wantLine("INFO ")
 			text := "CONNECT {}\r\n"
 			for n := range each {
 				text += fmt.Sprintf("SUB herd.%d %d\r\n", n, n+1)
@@ -174,7 +174,7 @@
 			all = append(all, c)
 		}
 		for _, c := range all {
-			c.want("PONG")
+			c.wantLine("PONG")
 		}
 		for n := range each {
 			held := 0
@@ -189,7 +189,7 @@
 			c.Close()
 		}
 		all = nil
-		until(t, "the end of them", func() bool {
+		waitFor(t, "the end of them", func() bool {
 			return k.Subscriptions("herd.0")[0]+k.Subscriptions("herd.0")[1]+k.Subscriptions("herd.0")[2] == 0
 		})
 	}
@@ -205,7 +205,7 @@
 	d := newDiscovery(t, natsMembers(k)...)
 	r := start(t, configure(t, d, map[string]any{"fronts": map[string]any{"nats": map[string]any{"listen": "127.0.0.1:0",
 		"class": "pay-status", "tenant": "water"}}}), 1)
-	c := must[*nats.Conn](t)(nats.Connect("nats://"+r.addr["nats"], nats.Timeout(patience), nats.NoReconnect()))
+	c := must[*nats.Conn](t)(nats.Connect("nats://"+r.addrs["nats"], nats.Timeout(patience), nats.NoReconnect()))
 	defer c.Close()
 	for i := range many {
 		must[*nats.Subscription](t)(c.Subscribe(fmt.Sprint("load.", i), func(*nats.Msg) {}))
@@ -269,19 +269,19 @@
 	r := start(t, configure(t, d, map[string]any{"operator": "127.0.0.1:0", "fronts": map[string]any{"nats": map[string]any{"listen": "127.0.0.1:0",
 		"class": "pay-status", "tenant": "water"}}}), 2)
 	again := make(chan bool, 10)
-	c := must[*nats.Conn](t)(nats.Connect("nats://"+r.addr["nats"], nats.Timeout(patience), nats.MaxReconnects(-1), nats.ReconnectWait(20*time.Millisecond),
+	c := must[*nats.Conn](t)(nats.Connect("nats://"+r.addrs["nats"], nats.Timeout(patience), nats.MaxReconnects(-1), nats.ReconnectWait(20*time.Millisecond),
 		nats.ReconnectHandler(func(*nats.Conn) { again <- true }), nats.ErrorHandler(func(*nats.Conn, *nats.Subscription, error) {})))
 	defer c.Close()
 	sub := must[*nats.Subscription](t)(c.SubscribeSync("through"))
 	flush(t, c)
-	next := r.successor(2)
+	next := r.startSuccessor(2)
 	r.cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-again:
 	case <-time.After(patience):
 		t.Fatal("the client never came again")
 	}
-	r.ends()
+	r.waitExit()
 	flush(t, c)
 	c.Publish("through", []byte("after"))
 	if m := must[*nats.Msg](t)(sub.NextMsg(patience)); string(m.Data) != "after" {
--- a/integration/nats_conformance_own_test.go
+++ b/integration/nats_conformance_own_test.go
@@ -27,8 +27,8 @@
 	"dahliarudder/internal/fakes"
 )
 
-// direct is a client of a node itself, which plays a service there.
-func (s *confSite) direct(t *testing.T) *nats.Conn {
+// nodeClient is a client of a node itself, which plays a service there.
+func (s *conformanceRig) nodeClient(t *testing.T) *nats.Conn {
 	t.Helper()
 	c, err := nats.Connect("nats://"+s.k.Nodes[0].Addr, nats.Timeout(patience))
 	if err != nil {
@@ -38,8 +38,8 @@
 	return c
 }
 
-// script answers requests on subjects by scripted JSON.
-func script(t *testing.T, c *nats.Conn, answers map[string]func(m *nats.Msg) string) {
+// answerRequests answers requests on subjects by scripted JSON.
+func answerRequests(t *testing.T, c *nats.Conn, answers map[string]func(m *nats.Msg) string) {
 	t.Helper()
 	for subject, f := range answers {
 		must[*nats.Subscription](t)(c.Subscribe(subject, func(m *nats.Msg) {
@@ -51,17 +51,17 @@
 	flush(t, c)
 }
 
-func says(text string) func(*nats.Msg) string { return func(*nats.Msg) string { return text } }
+func answerText(text string) func(*nats.Msg) string { return func(*nats.Msg) string { return text } }
 
 // jetStream: the relay knows nothing of JetStream; its requests and reply subjects pass.
-func jetStream(t *testing.T, s *confSite) {
-	server := s.direct(t)
+func jetStream(t *testing.T, s *conformanceRig) {
+	server := s.nodeClient(t)
 	acks := make(chan string, 10)
 	const consumer = `{"type":"io.nats.jetstream.api.v1.consumer_info_response","stream_name":"ORDERS","name":"work","config":{"durable_name":"work","ack_policy":"explicit"},"num_pending":2}`
-	script(t, server, map[string]func(*nats.Msg) string{
-		"orders.new":                        says(`{"stream":"ORDERS","seq":7}`),
-		"$JS.API.STREAM.NAMES":              says(`{"type":"io.nats.jetstream.api.v1.stream_names_response","total":1,"offset":0,"limit":1024,"streams":["ORDERS"]}`),
-		"$JS.API.CONSUMER.INFO.ORDERS.work": says(consumer),
+	answerRequests(t, server, map[string]func(*nats.Msg) string{
+		"orders.new":                        answerText(`{"stream":"ORDERS","seq":7}`),
+		"$JS.API.STREAM.NAMES":              answerText(`{"type":"io.nats.jetstream.api.v1.stream_names_response","total":1,"offset":0,"limit":1024,"streams":["ORDERS"]}`),
+		"$JS.API.CONSUMER.INFO.ORDERS.work": answerText(consumer),
 		"$JS.API.CONSUMER.MSG.NEXT.ORDERS.work": func(m *nats.Msg) string {
 			for i := range 2 {
 				out := nats.NewMsg(m.Reply)
@@ -72,7 +72,7 @@
 		},
 		"$JS.ACK.>": func(m *nats.Msg) string { acks <- m.Subject + " " + string(m.Data); return "" },
 	})
-	js := must[nats.JetStreamContext](t)(s.lib(t).JetStream())
+	js := must[nats.JetStreamContext](t)(s.libraryClient(t).JetStream())
 	if ack := must[*nats.PubAck](t)(js.Publish("orders.new", []byte("x"))); ack.Sequence != 7 {
 		t.Errorf("%+v", ack)
 	}
@@ -91,8 +91,8 @@
 }
 
 // keyValue: a watch is an ordered push consumer on a subject of the client's.
-func keyValue(t *testing.T, s *confSite) {
-	server := s.direct(t)
+func keyValue(t *testing.T, s *conformanceRig) {
+	server := s.nodeClient(t)
 	const stream = `{"type":"io.nats.jetstream.api.v1.stream_info_response","config":{"name":"KV_b","subjects":["$KV.b.>"],"max_msgs_per_subject":1,"allow_direct":true},"state":{"messages":1,"last_seq":1}}`
 	create := func(m *nats.Msg) string {
 		var q struct {
@@ -108,13 +108,13 @@
 		time.AfterFunc(50*time.Millisecond, func() { server.PublishMsg(out) })
 		return fmt.Sprintf(`{"type":"io.nats.jetstream.api.v1.consumer_create_response","stream_name":"KV_b","name":"c","config":%s,"num_pending":1}`, config)
 	}
-	script(t, server, map[string]func(*nats.Msg) string{
-		"$JS.API.STREAM.INFO.KV_b":       says(stream),
+	answerRequests(t, server, map[string]func(*nats.Msg) string{
+		"$JS.API.STREAM.INFO.KV_b":       answerText(stream),
 		"$JS.API.CONSUMER.CREATE.KV_b.>": create,
 		"$JS.API.CONSUMER.CREATE.KV_b":   create,
-		"$JS.API.CONSUMER.DELETE.>":      says(`{"success":true}`),
+		"$JS.API.CONSUMER.DELETE.>":      answerText(`{"success":true}`),
 	})
-	c := s.lib(t)
+	c := s.libraryClient(t)
 	js := must[nats.JetStreamContext](t)(c.JetStream())
 	kv, err := js.KeyValue("b")
 	if err != nil {
@@ -134,67 +134,67 @@
 
 // ---- Clauses that need a relay of their own ----
 
-// hash is a quick bcrypt hash.
-func hash(word string) string {
+// quickHash is a quick bcrypt hash.
+func quickHash(word string) string {
 	h, _ := bcrypt.GenerateFromPassword([]byte(word), bcrypt.MinCost)
 	return string(h)
 }
 
-// own is a relay set up so, for one clause.
-func own(front map[string]any, play func(t *testing.T, s *confSite)) func(*testing.T, *confSite) {
-	return func(t *testing.T, _ *confSite) { play(t, newConfSite(t, front)) }
+// withFront is a relay set up so, for one clause.
+func withFront(front map[string]any, play func(t *testing.T, s *conformanceRig)) func(*testing.T, *conformanceRig) {
+	return func(t *testing.T, _ *conformanceRig) { play(t, newConformanceRig(t, front)) }
 }
 
-// enters says how a connection by the library ends: nil where it may enter.
-func (s *confSite) enters(options ...nats.Option) error {
-	c, err := nats.Connect("nats://"+s.addr["nats"], append(options, nats.Timeout(patience), nats.NoReconnect())...)
+// connectError says how a connection by the library ends: nil where it may enter.
+func (s *conformanceRig) connectError(options ...nats.Option) error {
+	c, err := nats.Connect("nats://"+s.addrs["nats"], append(options, nats.Timeout(patience), nats.NoReconnect())...)
 	if err == nil {
 		c.Close()
 	}
 	return err
 }
 
-func (s *confSite) admits(t *testing.T, yes bool, options ...nats.Option) {
+func (s *conformanceRig) wantAdmission(t *testing.T, yes bool, options ...nats.Option) {
 	t.Helper()
-	if err := s.enters(options...); (err == nil) != yes {
+	if err := s.connectError(options...); (err == nil) != yes {
 		t.Errorf("entering: %v, want %v", err, yes)
 	}
 }
 
 var ownSites = []clause{
-	{name: "ping interval and stale connections", raw: own(map[string]any{"ping_interval_ms": 150, "ping_max": 2}, func(t *testing.T, s *confSite) {
-		c := s.raw(t, "")
-		c.gets("PING")
-		c.says("PONG")
-		c.gets("PING", "PING", "-ERR 'Stale Connection'", "EOF")
+	{name: "ping interval and stale connections", raw: withFront(map[string]any{"ping_interval_ms": 150, "ping_max": 2}, func(t *testing.T, s *conformanceRig) {
+		c := s.rawClient(t, "")
+		c.wantLines("PING")
+		c.sendLines("PONG")
+		c.wantLines("PING", "PING", "-ERR 'Stale Connection'", "EOF")
 	})},
-	{name: "max_connections", raw: own(map[string]any{"max_connections": 2}, func(t *testing.T, s *confSite) {
-		s.raw(t, "")
-		c := s.raw(t, "")
-		c.says("PING")
-		c.gets("PONG")
+	{name: "max_connections", raw: withFront(map[string]any{"max_connections": 2}, func(t *testing.T, s *conformanceRig) {
+		s.rawClient(t, "")
+		c := s.rawClient(t, "")
+		c.sendLines("PING")
+		c.wantLines("PONG")
 		d := s.natsDial()
-		d.want("INFO ")
-		d.gets("-ERR 'maximum connections exceeded'", "EOF")
+		d.wantLine("INFO ")
+		d.wantLines("-ERR 'maximum connections exceeded'", "EOF")
 	})},
-	{name: "a slow consumer is ended, and nobody waits for it", raw: own(map[string]any{"slow_after_ms": 300}, func(t *testing.T, s *confSite) {
-		slow, quick := s.raw(t, ""), s.raw(t, "")
+	{name: "a slow consumer is ended, and nobody waits for it", raw: withFront(map[string]any{"slow_after_ms": 300}, func(t *testing.T, s *conformanceRig) {
+		slow, quick := s.rawClient(t, ""), s.rawClient(t, "")
 		for _, c := range []*client{slow, quick} {
-			c.says("SUB flood 1", "PING")
-			c.gets("PONG")
+			c.sendLines("SUB flood 1", "PING")
+			c.wantLines("PONG")
 		}
 		const many = 3000
-		p, payload := s.lib(t), make([]byte, 16<<10)
+		p, payload := s.libraryClient(t), make([]byte, 16<<10)
 		go func() {
 			for range many {
 				p.Publish("flood", payload)
 			}
 		}()
 		for range many {
-			quick.want("MSG flood 1 16384")
+			quick.wantLine("MSG flood 1 16384")
 			quick.line()
 		}
-		s.logged("slow consumer")
+		s.waitLogged("slow consumer")
 		for last := ""; ; {
 			line := slow.line()
 			if line == "EOF" || strings.Contains(line, "reset") {
@@ -206,9 +206,9 @@
 			last = line
 		}
 	})},
-	{name: "a relay that stops says so (ldm)", lib: own(nil, func(t *testing.T, s *confSite) {
+	{name: "a relay that stops says so (ldm)", lib: withFront(nil, func(t *testing.T, s *conformanceRig) {
 		lame := make(chan bool, 1)
-		c := s.lib(t, nats.LameDuckModeHandler(func(*nats.Conn) { lame <- true }))
+		c := s.libraryClient(t, nats.LameDuckModeHandler(func(*nats.Conn) { lame <- true }))
 		flush(t, c)
 		s.stop()
 		select {
@@ -217,47 +217,47 @@
 			t.Error("the client never saw the notice")
 		}
 	})},
-	{name: "user and password, token", lib: own(map[string]any{"auth": map[string]any{"users": []any{
-		map[string]any{"user": "ann", "password": hash("one")}, map[string]any{"token": hash("two")}}}}, func(t *testing.T, s *confSite) {
-		s.admits(t, true, nats.UserInfo("ann", "one"))
-		s.admits(t, true, nats.Token("two"))
-		s.admits(t, false, nats.UserInfo("ann", "two"))
-		s.admits(t, false, nats.UserInfo("bob", "one"))
-		s.admits(t, false, nats.Token("one"))
-		s.admits(t, false)
+	{name: "user and password, token", lib: withFront(map[string]any{"auth": map[string]any{"users": []any{
+		map[string]any{"user": "ann", "password": quickHash("one")}, map[string]any{"token": quickHash("two")}}}}, func(t *testing.T, s *conformanceRig) {
+		s.wantAdmission(t, true, nats.UserInfo("ann", "one"))
+		s.wantAdmission(t, true, nats.Token("two"))
+		s.wantAdmission(t, false, nats.UserInfo("ann", "two"))
+		s.wantAdmission(t, false, nats.UserInfo("bob", "one"))
+		s.wantAdmission(t, false, nats.Token("one"))
+		s.wantAdmission(t, false)
 		c := s.natsDial()
-		c.want("INFO ")
-		c.says(`CONNECT {"user":"ann","pass":"no"}`)
-		c.gets("-ERR 'Authorization Violation'", "EOF")
+		c.wantLine("INFO ")
+		c.sendLines(`CONNECT {"user":"ann","pass":"no"}`)
+		c.wantLines("-ERR 'Authorization Violation'", "EOF")
 	})},
-	{name: "NKey challenge", lib: func(t *testing.T, _ *confSite) {
+	{name: "NKey challenge", lib: func(t *testing.T, _ *conformanceRig) {
 		key, _ := nkeys.CreateUser()
 		public, _ := key.PublicKey()
-		s := newConfSite(t, map[string]any{"auth": map[string]any{"users": []any{map[string]any{"nkey": public}}}})
-		s.admits(t, true, nats.Nkey(public, key.Sign))
-		s.admits(t, false, nats.Nkey(public, func(nonce []byte) ([]byte, error) { return key.Sign(append(nonce, 'x')) }))
+		s := newConformanceRig(t, map[string]any{"auth": map[string]any{"users": []any{map[string]any{"nkey": public}}}})
+		s.wantAdmission(t, true, nats.Nkey(public, key.Sign))
+		s.wantAdmission(t, false, nats.Nkey(public, func(nonce []byte) ([]byte, error) { return key.Sign(append(nonce, 'x')) }))
 		other, _ := nkeys.CreateUser()
-		s.admits(t, false, nats.Nkey(public, other.Sign))
+		s.wantAdmission(t, false, nats.Nkey(public, other.Sign))
 	}},
 	{name: "JWT credentials: signature, trust, expiry, permissions", lib: jwtCredentials},
-	{name: "permissions to publish and subscribe, allow_responses", raw: own(map[string]any{"auth": map[string]any{"users": []any{
-		map[string]any{"user": "all", "password": hash("w")},
-		map[string]any{"user": "few", "password": hash("w"), "permissions": map[string]any{
+	{name: "permissions to publish and subscribe, allow_responses", raw: withFront(map[string]any{"auth": map[string]any{"users": []any{
+		map[string]any{"user": "all", "password": quickHash("w")},
+		map[string]any{"user": "few", "password": quickHash("w"), "permissions": map[string]any{
 			"publish": map[string]any{"allow": []string{"out.>"}, "deny": []string{"out.secret"}}, "allow_responses": map[string]any{"max": 1},
-			"subscribe": map[string]any{"allow": []string{"in.>", "work.* crew"}, "deny": []string{"in.secret"}}}}}}}, func(t *testing.T, s *confSite) {
-		few, all := s.raw(t, `"user":"few","pass":"w"`), s.raw(t, `"user":"all","pass":"w"`)
-		few.says("PUB out.secret 0", "", "PUB other 0", "", "PUB out.ok 0", "", "SUB other 1", "SUB in.secret 2", "SUB work.a 3", "SUB work.a crew 4", "SUB in.* 5", "PING")
-		few.gets(`-ERR 'Permissions Violation for Publish to "out.secret"'`, `-ERR 'Permissions Violation for Publish to "other"'`,
+			"subscribe": map[string]any{"allow": []string{"in.>", "work.* crew"}, "deny": []string{"in.secret"}}}}}}}, func(t *testing.T, s *conformanceRig) {
+		few, all := s.rawClient(t, `"user":"few","pass":"w"`), s.rawClient(t, `"user":"all","pass":"w"`)
+		few.sendLines("PUB out.secret 0", "", "PUB other 0", "", "PUB out.ok 0", "", "SUB other 1", "SUB in.secret 2", "SUB work.a 3", "SUB work.a crew 4", "SUB in.* 5", "PING")
+		few.wantLines(`-ERR 'Permissions Violation for Publish to "out.secret"'`, `-ERR 'Permissions Violation for Publish to "other"'`,
 			`-ERR 'Permissions Violation for Subscription to "other"'`, `-ERR 'Permissions Violation for Subscription to "in.secret"'`,
 			`-ERR 'Permissions Violation for Subscription to "work.a"'`, "PONG")
-		all.says("SUB box 1", "PUB in.secret 1", "1", "PUB in.open box 1", "2", "PING")
-		all.gets("PONG")                     // before it is answered: PONG waits for all of a client's links, and the answer could pass it
-		few.gets("MSG in.open 5 box 1", "2") // what is denied is not delivered by the wildcard
-		few.says("PUB box 2", "ok", "PUB box 2", "no", "PING")
-		few.gets(`-ERR 'Permissions Violation for Publish to "box"'`, "PONG")
-		all.gets("MSG box 1 2", "ok")
+		all.sendLines("SUB box 1", "PUB in.secret 1", "1", "PUB in.open box 1", "2", "PING")
+		all.wantLines("PONG")                     // before it is answered: PONG waits for all of a client's links, and the answer could pass it
+		few.wantLines("MSG in.open 5 box 1", "2") // what is denied is not delivered by the wildcard
+		few.sendLines("PUB box 2", "ok", "PUB box 2", "no", "PING")
+		few.wantLines(`-ERR 'Permissions Violation for Publish to "box"'`, "PONG")
+		all.wantLines("MSG box 1 2", "ok")
 	})},
-	{name: "TLS after INFO and handshake first, client certificates", lib: func(t *testing.T, _ *confSite) {
+	{name: "TLS after INFO and handshake first, client certificates", lib: func(t *testing.T, _ *conformanceRig) {
 		ca := newAuthority(t)
 		cert, key := ca.issue(t, "relay")
 		for name, more := range map[string]map[string]any{"after INFO": {}, "first": {"handshake_first": true}, "1.3": {"min_version": "1.3"}} {
@@ -265,14 +265,14 @@
 			for k, v := range more {
 				set[k] = v
 			}
-			s := newConfSite(t, map[string]any{"tls": set})
+			s := newConformanceRig(t, map[string]any{"tls": set})
 			mine, mineKey := ca.issue(t, "client")
 			options := []nats.Option{nats.RootCAs(ca.file), nats.Secure()}
 			if name == "first" {
 				options = append(options, nats.TLSHandshakeFirst())
 			}
-			s.admits(t, false, options...) // shows no certificate
-			c := s.lib(t, append(options, nats.ClientCert(mine, mineKey))...)
+			s.wantAdmission(t, false, options...) // shows no certificate
+			c := s.libraryClient(t, append(options, nats.ClientCert(mine, mineKey))...)
 			sub := must[*nats.Subscription](t)(c.SubscribeSync("secret"))
 			big := make([]byte, 60000)
 			for range 50 {
@@ -285,34 +285,34 @@
 			}
 			if name == "after INFO" {
 				p := s.natsDial()
-				p.want("INFO ")
-				p.says("CONNECT {}")
-				p.gets("-ERR 'Secure Connection - TLS Required'", "EOF")
+				p.wantLine("INFO ")
+				p.sendLines("CONNECT {}")
+				p.wantLines("-ERR 'Secure Connection - TLS Required'", "EOF")
 			}
 			c.Close()
 			s.stop()
 		}
 	}},
-	{name: "certificates read again on SIGHUP, a bad one refused whole", lib: func(t *testing.T, _ *confSite) {
+	{name: "certificates read again on SIGHUP, a bad one refused whole", lib: func(t *testing.T, _ *conformanceRig) {
 		ca, next := newAuthority(t), newAuthority(t)
 		cert, key := ca.issue(t, "relay")
-		s := newConfSite(t, map[string]any{"tls": map[string]any{"cert": cert, "key": key}})
-		old := s.lib(t, nats.RootCAs(ca.file))
-		write(t, cert, "no certificate")
+		s := newConformanceRig(t, map[string]any{"tls": map[string]any{"cert": cert, "key": key}})
+		old := s.libraryClient(t, nats.RootCAs(ca.file))
+		writeFile(t, cert, "no certificate")
 		s.reload()
-		s.logged("the old configuration stays")
-		s.admits(t, true, nats.RootCAs(ca.file))
+		s.waitLogged("the old configuration stays")
+		s.wantAdmission(t, true, nats.RootCAs(ca.file))
 		cert2, key2 := next.issue(t, "relay")
 		for from, to := range map[string]string{cert2: cert, key2: key} {
 			text, _ := os.ReadFile(from)
-			write(t, to, string(text))
+			writeFile(t, to, string(text))
 		}
 		s.reload()
-		until(t, "the new certificate", func() bool { return s.enters(nats.RootCAs(next.file)) == nil })
-		s.admits(t, false, nats.RootCAs(ca.file))
+		waitFor(t, "the new certificate", func() bool { return s.connectError(nats.RootCAs(next.file)) == nil })
+		s.wantAdmission(t, false, nats.RootCAs(ca.file))
 		flush(t, old) // who has entered stays
 	}},
-	{name: "TLS and the relay's own login at members", lib: func(t *testing.T, _ *confSite) {
+	{name: "TLS and the relay's own login at members", lib: func(t *testing.T, _ *conformanceRig) {
 		ca := newAuthority(t)
 		cert, key := ca.issue(t, "member")
 		pair, err := tls.LoadX509KeyPair(cert, key)
@@ -333,9 +333,9 @@
 			names[fmt.Sprint(connect["user"], connect["pass"], connect["sig"])] = true
 			return connect["user"] == "relay" && connect["pass"] == "word"
 		}
-		s := &confSite{k: k, relay: natsRelay(t, k, map[string]any{"member_tls": map[string]any{"ca": ca.file},
-			"member_login": map[string]any{"user": "relay", "password": "word"}, "auth": map[string]any{"users": []any{map[string]any{"user": "ann", "password": hash("one")}}}})}
-		c := s.lib(t, nats.UserInfo("ann", "one"))
+		s := &conformanceRig{k: k, relay: natsRelay(t, k, map[string]any{"member_tls": map[string]any{"ca": ca.file},
+			"member_login": map[string]any{"user": "relay", "password": "word"}, "auth": map[string]any{"users": []any{map[string]any{"user": "ann", "password": quickHash("one")}}}})}
+		c := s.libraryClient(t, nats.UserInfo("ann", "one"))
 		sub := must[*nats.Subscription](t)(c.SubscribeSync("by.tls"))
 		c.Publish("by.tls", []byte("x"))
 		must[*nats.Msg](t)(sub.NextMsg(patience))
@@ -347,7 +347,7 @@
 	}},
 }
 
-func jwtCredentials(t *testing.T, _ *confSite) {
+func jwtCredentials(t *testing.T, _ *conformanceRig) {
 	operator, _ := nkeys.CreateOperator()
 	account, _ := nkeys.CreateAccount()
 	stranger, _ := nkeys.CreateAccount()
@@ -370,18 +370,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := newConfSite(t, map[string]any{"auth": map[string]any{"jwt": map[string]any{"operators": []string{public(operator)}, "accounts": []string{signed}}}})
+	s := newConformanceRig(t, map[string]any{"auth": map[string]any{"jwt": map[string]any{"operators": []string{public(operator)}, "accounts": []string{signed}}}})
 	by := func(text string, key nkeys.KeyPair) nats.Option {
 		return nats.UserJWT(func() (string, error) { return text, nil }, key.Sign)
 	}
-	s.admits(t, true, by(issue(account, time.Hour), user))
-	s.admits(t, true, by(issue(account, 0), user))
-	s.admits(t, false, by(issue(account, -time.Minute), user))
-	s.admits(t, false, by(issue(stranger, time.Hour), user))
+	s.wantAdmission(t, true, by(issue(account, time.Hour), user))
+	s.wantAdmission(t, true, by(issue(account, 0), user))
+	s.wantAdmission(t, false, by(issue(account, -time.Minute), user))
+	s.wantAdmission(t, false, by(issue(stranger, time.Hour), user))
 	other, _ := nkeys.CreateUser()
-	s.admits(t, false, by(issue(account, time.Hour), other))
+	s.wantAdmission(t, false, by(issue(account, time.Hour), other))
 	got := make(chan error, 10)
-	c := s.lib(t, by(issue(account, 3*time.Second), user), nats.ErrorHandler(func(_ *nats.Conn, _ *nats.Subscription, err error) { got <- err }),
+	c := s.libraryClient(t, by(issue(account, 3*time.Second), user), nats.ErrorHandler(func(_ *nats.Conn, _ *nats.Subscription, err error) { got <- err }),
 		nats.ClosedHandler(func(c *nats.Conn) { got <- c.LastError() }))
 	c.Publish("theirs", nil)
 	for _, want := range []string{"Permissions Violation for Publish", "authentication expired"} {
@@ -420,7 +420,7 @@
 
 func (a *authority) pem(t *testing.T, name, kind string, der []byte) string {
 	path := filepath.Join(a.dir, name)
-	write(t, path, string(pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})))
+	writeFile(t, path, string(pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})))
 	return path
 }
 
--- a/integration/nats_conformance_test.go
+++ b/integration/nats_conformance_test.go
@@ -20,12 +20,12 @@
 // whether it is played by raw bytes or by the client library.
 type clause struct {
 	name string
-	raw  func(t *testing.T, s *confSite)
-	lib  func(t *testing.T, s *confSite)
+	raw  func(t *testing.T, s *conformanceRig)
+	lib  func(t *testing.T, s *conformanceRig)
 }
 
-// confSite is a relay with small limits before three nodes.
-type confSite struct {
+// conformanceRig is a relay with small limits before three nodes.
+type conformanceRig struct {
 	*relay
 	k *fakes.NATSCluster
 	d *discovery
@@ -34,8 +34,8 @@
 // page is where the cases are listed for people; TestConformance holds it to the table.
 const page = "../docs/nats-conformance.md"
 
-func newConfSite(t *testing.T, front map[string]any) *confSite {
-	s := &confSite{k: newCluster(t, 3)}
+func newConformanceRig(t *testing.T, front map[string]any) *conformanceRig {
+	s := &conformanceRig{k: newCluster(t, 3)}
 	s.k.Attempts = nil // payloads repeat
 	s.d = newDiscovery(t, natsMembers(s.k)...)
 	set := map[string]any{"listen": "127.0.0.1:0", "class": "pay-status", "tenant": "water", "max_payload": 65536,
@@ -43,28 +43,28 @@
 	for key, v := range front {
 		set[key] = v
 	}
-	s.relay = start(t, configure(t, s.d, map[string]any{"fronts": map[string]any{"nats": set}, "settings": patient(false)}), 1)
+	s.relay = start(t, configure(t, s.d, map[string]any{"fronts": map[string]any{"nats": set}, "settings": patientSettings(false)}), 1)
 	return s
 }
 
-// raw connects without a library and says CONNECT with these options.
-func (s *confSite) raw(t *testing.T, options string) *client {
+// rawClient connects without a library and says CONNECT with these options.
+func (s *conformanceRig) rawClient(t *testing.T, options string) *client {
 	t.Helper()
 	c := s.natsDial()
 	c.t = t
-	c.want("INFO ")
+	c.wantLine("INFO ")
 	fmt.Fprintf(c, "CONNECT {%s}\r\n", options)
 	return c
 }
 
-// says sends lines.
-func (c *client) says(lines ...string) {
+// sendLines sends lines.
+func (c *client) sendLines(lines ...string) {
 	c.t.Helper()
-	c.say(strings.Join(lines, "\r\n"))
+	c.send(strings.Join(lines, "\r\n"))
 }
 
-// gets wants exactly these lines.
-func (c *client) gets(lines ...string) {
+// wantLines wants exactly these lines.
+func (c *client) wantLines(lines ...string) {
 	c.t.Helper()
 	for _, want := range lines {
 		if got := c.line(); got != want {
@@ -73,10 +73,10 @@
 	}
 }
 
-// lib connects with the library.
-func (s *confSite) lib(t *testing.T, options ...nats.Option) *nats.Conn {
+// libraryClient connects with the library.
+func (s *conformanceRig) libraryClient(t *testing.T, options ...nats.Option) *nats.Conn {
 	t.Helper()
-	c, err := nats.Connect("nats://"+s.addr["nats"], append([]nats.Option{nats.Timeout(patience), nats.NoReconnect(),
+	c, err := nats.Connect("nats://"+s.addrs["nats"], append([]nats.Option{nats.Timeout(patience), nats.NoReconnect(),
 		nats.ErrorHandler(func(*nats.Conn, *nats.Subscription, error) {})}, options...)...)
 	if err != nil {
 		t.Fatal(err)
@@ -92,8 +92,8 @@
 	}
 }
 
-// move drains the node that holds a subscription until it stands elsewhere.
-func (s *confSite) move(t *testing.T, subject string) {
+// moveSubscription drains the node that holds a subscription until it stands elsewhere.
+func (s *conformanceRig) moveSubscription(t *testing.T, subject string) {
 	t.Helper()
 	at := slices.IndexFunc(s.k.Subscriptions(subject), func(n int) bool { return n > 0 })
 	if at < 0 {
@@ -101,7 +101,7 @@
 	}
 	id := s.k.Nodes[at].ID
 	s.d.SetLifecycle(id, "DRAINING")
-	until(t, "the move", func() bool {
+	waitFor(t, "the move", func() bool {
 		n := s.k.Subscriptions(subject)
 		return n[at] == 0 && slices.Max(n) > 0
 	})
@@ -111,7 +111,7 @@
 const headersOn = `"headers":true,"no_responders":true`
 
 var clauses = []clause{
-	{name: "INFO tells what clients read", raw: func(t *testing.T, s *confSite) {
+	{name: "INFO tells what clients read", raw: func(t *testing.T, s *conformanceRig) {
 		c := s.natsDial()
 		var info struct {
 			ClientID   uint64   `json:"client_id"`
@@ -126,7 +126,7 @@
 			Headers    bool     `json:"headers"`
 			LDM        bool     `json:"ldm"`
 		}
-		line := c.want("INFO ")
+		line := c.wantLine("INFO ")
 		if err := json.Unmarshal([]byte(line[5:]), &info); err != nil {
 			t.Fatal(err)
 		}
@@ -135,46 +135,46 @@
 			t.Errorf("%s", line)
 		}
 	}},
-	{name: "INFO comes again when members' offers change", raw: func(t *testing.T, s *confSite) {
-		c := s.raw(t, `"protocol":1`)
-		c.says("PING")
-		c.gets("PONG")
+	{name: "INFO comes again when members' offers change", raw: func(t *testing.T, s *conformanceRig) {
+		c := s.rawClient(t, `"protocol":1`)
+		c.sendLines("PING")
+		c.wantLines("PONG")
 		k := s.k.Nodes[0]
 		k.SetInfo(map[string]any{"jetstream": true, "max_payload": 4096})
 		defer k.SetInfo(nil)
 		k.ResetConnections() // who connects again hears it
-		d := s.raw(t, "")
+		d := s.rawClient(t, "")
 		for i := range 9 { // some flow comes to that node in time
-			d.says(fmt.Sprintf("SUB again.%d %d", i, i+1), "PING")
-			d.want("PONG")
+			d.sendLines(fmt.Sprintf("SUB again.%d %d", i, i+1), "PING")
+			d.wantLine("PONG")
 		}
-		line := c.want("INFO ")
+		line := c.wantLine("INFO ")
 		if !strings.Contains(line, `"jetstream":true`) || !strings.Contains(line, `"max_payload":4096`) {
 			t.Errorf("%s", line)
 		}
 	}},
-	{name: "verbose: +OK to each command, in order", raw: func(t *testing.T, s *confSite) {
-		c := s.raw(t, `"verbose":true`)
-		c.says("SUB v 1", "PUB v 1", "x", "UNSUB 1", "PING")
-		c.gets("+OK", "+OK")
+	{name: "verbose: +OK to each command, in order", raw: func(t *testing.T, s *conformanceRig) {
+		c := s.rawClient(t, `"verbose":true`)
+		c.sendLines("SUB v 1", "PUB v 1", "x", "UNSUB 1", "PING")
+		c.wantLines("+OK", "+OK")
 		got := []string{c.line(), c.line(), c.line(), c.line(), c.line()}
 		slices.Sort(got[:4]) // the message may come before or after the answer to its publication
 		if fmt.Sprint(got) != "[+OK +OK MSG v 1 1 x PONG]" {
 			t.Errorf("got %q", got)
 		}
 	}},
-	{name: "operations in any case, blanks and tabs", raw: func(t *testing.T, s *confSite) {
-		c := s.raw(t, "")
-		c.says("sub\tcase   1", "Pub case  3", "abc", "ping")
-		c.gets("MSG case 1 3", "abc", "PONG")
+	{name: "operations in any case, blanks and tabs", raw: func(t *testing.T, s *conformanceRig) {
+		c := s.rawClient(t, "")
+		c.sendLines("sub\tcase   1", "Pub case  3", "abc", "ping")
+		c.wantLines("MSG case 1 3", "abc", "PONG")
 	}},
-	{name: "PUB, MSG, empty payload, reply subject", raw: func(t *testing.T, s *confSite) {
-		c := s.raw(t, "")
-		c.says("SUB r.* 9", "PUB r.a answer.here 2", "hi", "PUB r.b 0", "", "PING")
-		c.gets("MSG r.a 9 answer.here 2", "hi", "MSG r.b 9 0", "", "PONG")
+	{name: "PUB, MSG, empty payload, reply subject", raw: func(t *testing.T, s *conformanceRig) {
+		c := s.rawClient(t, "")
+		c.sendLines("SUB r.* 9", "PUB r.a answer.here 2", "hi", "PUB r.b 0", "", "PING")
+		c.wantLines("MSG r.a 9 answer.here 2", "hi", "MSG r.b 9 0", "", "PONG")
 	}},
-	{name: "PONG comes when all before it is done", raw: func(t *testing.T, s *confSite) {
-		c := s.raw(t, "")
+	{name: "PONG comes when all before it is done", raw: func(t *testing.T, s *conformanceRig) {
+		c := s.rawClient(t, "")
 		seen := atomic.Int64{}
 		s.k.Watch(func(subject, _ string) {
 			if strings.HasPrefix(subject, "done.") {
@@ -183,20 +183,20 @@
 		})
 		defer s.k.Watch(nil)
 		for range 100 {
-			c.says("PUB done.x 1", "x")
+			c.sendLines("PUB done.x 1", "x")
 		}
-		c.says("PING")
-		c.gets("PONG")
+		c.sendLines("PING")
+		c.wantLines("PONG")
 		if seen.Load() != 100 {
 			t.Errorf("%d of 100 were taken when PONG came", seen.Load())
 		}
 	}},
-	{name: "headers pass unchanged", raw: func(t *testing.T, s *confSite) {
-		c := s.raw(t, headersOn)
-		c.says("SUB h 1", "HPUB h 23 25", "NATS/1.0\r\nTrace: 12\r\n\r\nhi", "PING")
-		c.gets("HMSG h 1 23 25", "NATS/1.0", "Trace: 12", "", "hi", "PONG")
-	}, lib: func(t *testing.T, s *confSite) {
-		c := s.lib(t)
+	{name: "headers pass unchanged", raw: func(t *testing.T, s *conformanceRig) {
+		c := s.rawClient(t, headersOn)
+		c.sendLines("SUB h 1", "HPUB h 23 25", "NATS/1.0\r\nTrace: 12\r\n\r\nhi", "PING")
+		c.wantLines("HMSG h 1 23 25", "NATS/1.0", "Trace: 12", "", "hi", "PONG")
+	}, lib: func(t *testing.T, s *conformanceRig) {
+		c := s.libraryClient(t)
 		sub := must[*nats.Subscription](t)(c.SubscribeSync("h.lib"))
 		m := nats.NewMsg("h.lib")
 		m.Header.Add("A", "1")
@@ -206,93 +206,93 @@
 			t.Errorf("%v", got.Header)
 		}
 	}},
-	{name: "a client without headers gets the payload alone", raw: func(t *testing.T, s *confSite) {
-		c, p := s.raw(t, ""), s.raw(t, headersOn)
-		c.says("SUB h.not 1", "PING")
-		c.gets("PONG")
-		p.says("HPUB h.not 23 25", "NATS/1.0\r\nTrace: 12\r\n\r\nhi", "PING")
-		c.gets("MSG h.not 1 2", "hi")
+	{name: "a client without headers gets the payload alone", raw: func(t *testing.T, s *conformanceRig) {
+		c, p := s.rawClient(t, ""), s.rawClient(t, headersOn)
+		c.sendLines("SUB h.not 1", "PING")
+		c.wantLines("PONG")
+		p.sendLines("HPUB h.not 23 25", "NATS/1.0\r\nTrace: 12\r\n\r\nhi", "PING")
+		c.wantLines("MSG h.not 1 2", "hi")
 	}},
-	{name: "HPUB without headers agreed ends the connection", raw: func(t *testing.T, s *confSite) {
-		c := s.raw(t, "")
-		c.says("HPUB h 12 12", "NATS/1.0\r\n\r\n")
-		c.gets("-ERR 'message headers not supported'", "EOF")
+	{name: "HPUB without headers agreed ends the connection", raw: func(t *testing.T, s *conformanceRig) {
+		c := s.rawClient(t, "")
+		c.sendLines("HPUB h 12 12", "NATS/1.0\r\n\r\n")
+		c.wantLines("-ERR 'message headers not supported'", "EOF")
 	}},
-	{name: "wildcards", raw: func(t *testing.T, s *confSite) {
-		c := s.raw(t, "")
-		c.says("SUB w.*.z 1", "SUB w.> 2", "PING")
-		c.gets("PONG")
-		c.says("PUB w.a.z 1", "1", "PUB w.b 1", "2", "PUB other 1", "3", "PING")
+	{name: "wildcards", raw: func(t *testing.T, s *conformanceRig) {
+		c := s.rawClient(t, "")
+		c.sendLines("SUB w.*.z 1", "SUB w.> 2", "PING")
+		c.wantLines("PONG")
+		c.sendLines("PUB w.a.z 1", "1", "PUB w.b 1", "2", "PUB other 1", "3", "PING")
 		got := []string{c.line() + c.line(), c.line() + c.line(), c.line() + c.line()}
 		slices.Sort(got)
 		if fmt.Sprint(got) != "[MSG w.a.z 1 11 MSG w.a.z 2 11 MSG w.b 2 12]" {
 			t.Errorf("got %q", got)
 		}
-		c.gets("PONG")
+		c.wantLines("PONG")
 	}},
-	{name: "queue groups: one of each group", lib: func(t *testing.T, s *confSite) {
+	{name: "queue groups: one of each group", lib: func(t *testing.T, s *conformanceRig) {
 		var got [3]atomic.Int64
-		p := s.lib(t)
+		p := s.libraryClient(t)
 		for i := range got {
 			group := []string{"a", "a", "b"}[i]
-			c := s.lib(t)
+			c := s.libraryClient(t)
 			must[*nats.Subscription](t)(c.QueueSubscribe("q.work", group, func(*nats.Msg) { got[i].Add(1) }))
 			flush(t, c)
 		}
 		for range 60 {
 			p.Publish("q.work", nil)
 		}
-		until(t, "the jobs", func() bool { return got[0].Load()+got[1].Load() == 60 && got[2].Load() == 60 })
+		waitFor(t, "the jobs", func() bool { return got[0].Load()+got[1].Load() == 60 && got[2].Load() == 60 })
 		if got[0].Load() == 0 || got[1].Load() == 0 {
 			t.Error("one member of the group has all")
 		}
 	}},
-	{name: "queue groups across a move", lib: func(t *testing.T, s *confSite) {
+	{name: "queue groups across a move", lib: func(t *testing.T, s *conformanceRig) {
 		var got atomic.Int64
-		c, p := s.lib(t), s.lib(t)
+		c, p := s.libraryClient(t), s.libraryClient(t)
 		must[*nats.Subscription](t)(c.QueueSubscribe("q.moved", "crew", func(*nats.Msg) { got.Add(1) }))
 		flush(t, c)
-		s.move(t, "q.moved")
+		s.moveSubscription(t, "q.moved")
 		for range 20 {
 			p.Publish("q.moved", nil)
 		}
-		until(t, "the jobs", func() bool { return got.Load() == 20 })
+		waitFor(t, "the jobs", func() bool { return got.Load() == 20 })
 	}},
-	{name: "UNSUB at once, and after so many", raw: func(t *testing.T, s *confSite) {
-		c := s.raw(t, "")
-		c.says("SUB u 1", "UNSUB 1 2", "PUB u 1", "1", "PUB u 1", "2", "PUB u 1", "3", "PING")
-		c.gets("MSG u 1 1", "1", "MSG u 1 1", "2", "PONG")
-		c.says("SUB u 1", "PUB u 1", "4", "UNSUB 1 1", "PUB u 1", "5", "PING") // already reached
-		c.gets("MSG u 1 1", "4", "PONG")
-		c.says("SUB u 1", "UNSUB 1", "PUB u 1", "6", "PING")
-		c.gets("PONG")
+	{name: "UNSUB at once, and after so many", raw: func(t *testing.T, s *conformanceRig) {
+		c := s.rawClient(t, "")
+		c.sendLines("SUB u 1", "UNSUB 1 2", "PUB u 1", "1", "PUB u 1", "2", "PUB u 1", "3", "PING")
+		c.wantLines("MSG u 1 1", "1", "MSG u 1 1", "2", "PONG")
+		c.sendLines("SUB u 1", "PUB u 1", "4", "UNSUB 1 1", "PUB u 1", "5", "PING") // already reached
+		c.wantLines("MSG u 1 1", "4", "PONG")
+		c.sendLines("SUB u 1", "UNSUB 1", "PUB u 1", "6", "PING")
+		c.wantLines("PONG")
 	}},
-	{name: "UNSUB after so many counts across a move", raw: func(t *testing.T, s *confSite) {
-		c := s.raw(t, "")
-		c.says("SUB u.moved 1", "PUB u.moved 1", "1", "UNSUB 1 3", "PING")
-		c.gets("MSG u.moved 1 1", "1", "PONG")
-		s.move(t, "u.moved")
-		c.says("PUB u.moved 1", "2", "PUB u.moved 1", "3", "PUB u.moved 1", "4", "PING")
-		c.gets("MSG u.moved 1 1", "2", "MSG u.moved 1 1", "3", "PONG")
+	{name: "UNSUB after so many counts across a move", raw: func(t *testing.T, s *conformanceRig) {
+		c := s.rawClient(t, "")
+		c.sendLines("SUB u.moved 1", "PUB u.moved 1", "1", "UNSUB 1 3", "PING")
+		c.wantLines("MSG u.moved 1 1", "1", "PONG")
+		s.moveSubscription(t, "u.moved")
+		c.sendLines("PUB u.moved 1", "2", "PUB u.moved 1", "3", "PUB u.moved 1", "4", "PING")
+		c.wantLines("MSG u.moved 1 1", "2", "MSG u.moved 1 1", "3", "PONG")
 	}},
-	{name: "a second SUB with a sid leaves the first", raw: func(t *testing.T, s *confSite) {
-		c := s.raw(t, "")
-		c.says("SUB first 1", "SUB second 1", "PUB second 1", "x", "PUB first 1", "y", "PING")
-		c.gets("MSG first 1 1", "y", "PONG")
+	{name: "a second SUB with a sid leaves the first", raw: func(t *testing.T, s *conformanceRig) {
+		c := s.rawClient(t, "")
+		c.sendLines("SUB first 1", "SUB second 1", "PUB second 1", "x", "PUB first 1", "y", "PING")
+		c.wantLines("MSG first 1 1", "y", "PONG")
 	}},
-	{name: "echo:false keeps own publications away, also across links", raw: func(t *testing.T, s *confSite) {
-		c, d := s.raw(t, headersOn+`,"echo":false`), s.raw(t, headersOn)
-		c.says("SUB e 1", "PING")
-		c.gets("PONG")
-		d.says("SUB e 1", "PING")
-		d.gets("PONG")
-		c.says("PUB e 2", "me", "HPUB e 20 22", "NATS/1.0\r\nTag: 1\r\n\r\nme", "PING")
-		c.gets("PONG")
-		d.gets("MSG e 1 2", "me", "HMSG e 1 20 22", "NATS/1.0", "Tag: 1", "", "me") // and no trace of the relay's own header
-		d.says("PUB e 3", "you", "PING")
-		c.gets("MSG e 1 3", "you")
-	}, lib: func(t *testing.T, s *confSite) {
-		c := s.lib(t, nats.NoEcho())
+	{name: "echo:false keeps own publications away, also across links", raw: func(t *testing.T, s *conformanceRig) {
+		c, d := s.rawClient(t, headersOn+`,"echo":false`), s.rawClient(t, headersOn)
+		c.sendLines("SUB e 1", "PING")
+		c.wantLines("PONG")
+		d.sendLines("SUB e 1", "PING")
+		d.wantLines("PONG")
+		c.sendLines("PUB e 2", "me", "HPUB e 20 22", "NATS/1.0\r\nTag: 1\r\n\r\nme", "PING")
+		c.wantLines("PONG")
+		d.wantLines("MSG e 1 2", "me", "HMSG e 1 20 22", "NATS/1.0", "Tag: 1", "", "me") // and no trace of the relay's own header
+		d.sendLines("PUB e 3", "you", "PING")
+		c.wantLines("MSG e 1 3", "you")
+	}, lib: func(t *testing.T, s *conformanceRig) {
+		c := s.libraryClient(t, nats.NoEcho())
 		sub := must[*nats.Subscription](t)(c.SubscribeSync("e.lib"))
 		c.Publish("e.lib", nil)
 		flush(t, c)
@@ -300,22 +300,22 @@
 			t.Errorf("%d own messages came", n)
 		}
 	}},
-	{name: "no_responders for each request that asks", raw: func(t *testing.T, s *confSite) {
-		c := s.raw(t, headersOn)
-		c.says("SUB box.* 1", "PING")
-		c.gets("PONG")
-		c.says("PUB nobody box.1 0", "", "PUB nobody box.2 0", "", "PUB nobody box.3 0", "", "PING")
+	{name: "no_responders for each request that asks", raw: func(t *testing.T, s *conformanceRig) {
+		c := s.rawClient(t, headersOn)
+		c.sendLines("SUB box.* 1", "PING")
+		c.wantLines("PONG")
+		c.sendLines("PUB nobody box.1 0", "", "PUB nobody box.2 0", "", "PUB nobody box.3 0", "", "PING")
 		for i := range 3 {
-			c.gets(fmt.Sprintf("HMSG box.%d 1 16 16", i+1), "NATS/1.0 503", "", "")
+			c.wantLines(fmt.Sprintf("HMSG box.%d 1 16 16", i+1), "NATS/1.0 503", "", "")
 		}
-		c.gets("PONG")
-	}, lib: func(t *testing.T, s *confSite) {
-		if _, err := s.lib(t).Request("nobody", nil, patience); err != nats.ErrNoResponders {
+		c.wantLines("PONG")
+	}, lib: func(t *testing.T, s *conformanceRig) {
+		if _, err := s.libraryClient(t).Request("nobody", nil, patience); err != nats.ErrNoResponders {
 			t.Error(err)
 		}
 	}},
-	{name: "order is kept for 3000 pipelined publications", lib: func(t *testing.T, s *confSite) {
-		c := s.lib(t)
+	{name: "order is kept for 3000 pipelined publications", lib: func(t *testing.T, s *conformanceRig) {
+		c := s.libraryClient(t)
 		sub := must[*nats.Subscription](t)(c.SubscribeSync("ordered.>"))
 		for i := range 3000 {
 			c.Publish(fmt.Sprintf("ordered.%d", i%5), fmt.Append(nil, i))
@@ -326,8 +326,8 @@
 			}
 		}
 	}},
-	{name: "request, reply, and many replies", lib: func(t *testing.T, s *confSite) {
-		a, b := s.lib(t), s.lib(t)
+	{name: "request, reply, and many replies", lib: func(t *testing.T, s *conformanceRig) {
+		a, b := s.libraryClient(t), s.libraryClient(t)
 		must[*nats.Subscription](t)(a.Subscribe("many", func(m *nats.Msg) {
 			for i := range 5 {
 				a.Publish(m.Reply, fmt.Append(nil, i))
@@ -346,8 +346,8 @@
 			t.Errorf("reply %s", m.Data)
 		}
 	}},
-	{name: "drain of a subscription loses nothing that was sent", lib: func(t *testing.T, s *confSite) {
-		c, p := s.lib(t), s.lib(t)
+	{name: "drain of a subscription loses nothing that was sent", lib: func(t *testing.T, s *conformanceRig) {
+		c, p := s.libraryClient(t), s.libraryClient(t)
 		var got atomic.Int64
 		sub := must[*nats.Subscription](t)(c.Subscribe("drained", func(*nats.Msg) { got.Add(1) }))
 		flush(t, c)
@@ -356,14 +356,14 @@
 		}
 		flush(t, p) // a member has taken, and so has sent, all of them
 		sub.Drain()
-		until(t, "the end of the drain", func() bool { return !sub.IsValid() })
+		waitFor(t, "the end of the drain", func() bool { return !sub.IsValid() })
 		if got.Load() != 500 {
 			t.Errorf("%d of 500 came", got.Load())
 		}
 	}},
-	{name: "drain of a connection", lib: func(t *testing.T, s *confSite) {
+	{name: "drain of a connection", lib: func(t *testing.T, s *conformanceRig) {
 		closed := make(chan bool, 1)
-		c, p := s.lib(t, nats.ClosedHandler(func(*nats.Conn) { closed <- true })), s.lib(t)
+		c, p := s.libraryClient(t, nats.ClosedHandler(func(*nats.Conn) { closed <- true })), s.libraryClient(t)
 		var got atomic.Int64
 		must[*nats.Subscription](t)(c.Subscribe("drained.all", func(*nats.Msg) { got.Add(1) }))
 		flush(t, c)
@@ -382,8 +382,8 @@
 			t.Errorf("%d of 500 came; %v", got.Load(), c.LastError())
 		}
 	}},
-	{name: "services API", lib: func(t *testing.T, s *confSite) {
-		a, b := s.lib(t), s.lib(t)
+	{name: "services API", lib: func(t *testing.T, s *conformanceRig) {
+		a, b := s.libraryClient(t), s.libraryClient(t)
 		service, err := micro.AddService(a, micro.Config{Name: "balance", Version: "1.0.0",
 			Endpoint: &micro.EndpointConfig{Subject: "svc.balance", Handler: micro.HandlerFunc(func(r micro.Request) { r.Respond([]byte("42")) })}})
 		if err != nil {
@@ -400,53 +400,53 @@
 	}},
 	{name: "JetStream publishes, pulls and acknowledgements pass", lib: jetStream},
 	{name: "key-value watches pass", lib: keyValue},
-	{name: "unknown operation", raw: refusal("HELLO", "Unknown Protocol Operation", true)},
-	{name: "malformed arguments", raw: refusal("PUB a", "Parser Error", true)},
-	{name: "max_control_line", raw: refusal("SUB "+strings.Repeat("a", 5000)+" 1", "maximum control line exceeded", true)},
-	{name: "max_payload", raw: refusal("PUB a 65537", "Maximum Payload Violation", true)},
-	{name: "pedantic: no publication to what is no subject", raw: func(t *testing.T, s *confSite) {
-		c := s.raw(t, `"pedantic":true`)
-		c.says("PUB a..b 0", "", "PUB a.* 0", "", "PING")
-		c.gets("-ERR 'Invalid Publish Subject'", "-ERR 'Invalid Publish Subject'", "PONG")
+	{name: "unknown operation", raw: wantError("HELLO", "Unknown Protocol Operation", true)},
+	{name: "malformed arguments", raw: wantError("PUB a", "Parser Error", true)},
+	{name: "max_control_line", raw: wantError("SUB "+strings.Repeat("a", 5000)+" 1", "maximum control line exceeded", true)},
+	{name: "max_payload", raw: wantError("PUB a 65537", "Maximum Payload Violation", true)},
+	{name: "pedantic: no publication to what is no subject", raw: func(t *testing.T, s *conformanceRig) {
+		c := s.rawClient(t, `"pedantic":true`)
+		c.sendLines("PUB a..b 0", "", "PUB a.* 0", "", "PING")
+		c.wantLines("-ERR 'Invalid Publish Subject'", "-ERR 'Invalid Publish Subject'", "PONG")
 	}},
-	{name: "a subscription to no subject", raw: refusal("SUB a.>.b 1", "Invalid Subject", false)},
-	{name: "max_subscriptions", raw: func(t *testing.T, s *confSite) {
-		c := s.raw(t, "")
+	{name: "a subscription to no subject", raw: wantError("SUB a.>.b 1", "Invalid Subject", false)},
+	{name: "max_subscriptions", raw: func(t *testing.T, s *conformanceRig) {
+		c := s.rawClient(t, "")
 		for i := range 21 {
-			c.says(fmt.Sprintf("SUB most.%d %d", i, i+1))
+			c.sendLines(fmt.Sprintf("SUB most.%d %d", i, i+1))
 		}
-		c.says("PING")
-		c.gets("-ERR 'maximum subscriptions exceeded'", "PONG")
+		c.sendLines("PING")
+		c.wantLines("-ERR 'maximum subscriptions exceeded'", "PONG")
 	}},
-	{name: "commands before CONNECT", raw: func(t *testing.T, s *confSite) {
+	{name: "commands before CONNECT", raw: func(t *testing.T, s *conformanceRig) {
 		c := s.natsDial()
-		c.want("INFO ")
-		c.says("PING")
-		c.gets("-ERR 'Authorization Violation'", "EOF")
+		c.wantLine("INFO ")
+		c.sendLines("PING")
+		c.wantLines("-ERR 'Authorization Violation'", "EOF")
 	}},
-	{name: "no CONNECT in time", raw: func(t *testing.T, s *confSite) {
+	{name: "no CONNECT in time", raw: func(t *testing.T, s *conformanceRig) {
 		c := s.natsDial()
-		c.want("INFO ")
-		c.gets("-ERR 'Authentication Timeout'", "EOF")
+		c.wantLine("INFO ")
+		c.wantLines("-ERR 'Authentication Timeout'", "EOF")
 	}},
-	{name: "input cut at every byte", raw: func(t *testing.T, s *confSite) {
-		c := s.raw(t, headersOn)
+	{name: "input cut at every byte", raw: func(t *testing.T, s *conformanceRig) {
+		c := s.rawClient(t, headersOn)
 		for _, b := range []byte("SUB cut 1\r\nPUB cut re 5\r\nhello\r\nHPUB cut 12 14\r\nNATS/1.0\r\n\r\nhi\r\nPING\r\n") {
 			if _, err := c.Write([]byte{b}); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(time.Millisecond)
 		}
-		c.gets("MSG cut 1 re 5", "hello", "HMSG cut 1 12 14", "NATS/1.0", "", "hi", "PONG")
+		c.wantLines("MSG cut 1 re 5", "hello", "HMSG cut 1 12 14", "NATS/1.0", "", "hi", "PONG")
 	}},
-	{name: "a member that closes in mid-message", raw: func(t *testing.T, s *confSite) {
-		c, p := s.raw(t, ""), s.raw(t, "")
-		c.says("SUB torn 1", "PING")
-		c.gets("PONG")
+	{name: "a member that closes in mid-message", raw: func(t *testing.T, s *conformanceRig) {
+		c, p := s.rawClient(t, ""), s.rawClient(t, "")
+		c.sendLines("SUB torn 1", "PING")
+		c.wantLines("PONG")
 		at := slices.IndexFunc(s.k.Subscriptions("torn"), func(n int) bool { return n > 0 })
 		s.k.Nodes[at].SetMode(fakes.NodeTruncates)
-		p.says("PUB torn 5", "first", "PING")
-		p.gets("PONG")
+		p.sendLines("PUB torn 5", "first", "PING")
+		p.wantLines("PONG")
 		s.k.Nodes[at].SetMode(fakes.NodeHealthy)
 		stop := make(chan bool)
 		go func() { // some of these come before it has a place again, perhaps at the same node
@@ -459,23 +459,23 @@
 				}
 			}
 		}()
-		c.gets("MSG torn 1 6", "second") // and nothing of the torn one
+		c.wantLines("MSG torn 1 6", "second") // and nothing of the torn one
 		close(stop)
 	}},
 }
 
-// refusal is a command that is answered by an error, which ends the connection or does not.
-func refusal(command, text string, ends bool) func(t *testing.T, s *confSite) {
-	return func(t *testing.T, s *confSite) {
-		c := s.raw(t, "")
-		c.says(command)
-		c.gets("-ERR '" + text + "'")
+// wantError is a command that is answered by an error, which ends the connection or does not.
+func wantError(command, text string, ends bool) func(t *testing.T, s *conformanceRig) {
+	return func(t *testing.T, s *conformanceRig) {
+		c := s.rawClient(t, "")
+		c.sendLines(command)
+		c.wantLines("-ERR '" + text + "'")
 		if ends {
-			c.want("EOF")
+			c.wantLine("EOF")
 			return
 		}
-		c.says("PING")
-		c.gets("PONG")
+		c.sendLines("PING")
+		c.wantLines("PONG")
 	}
 }
 
@@ -486,8 +486,8 @@
 		t.Fatal(err)
 	}
 	held, played := 0, 0
-	play := func(s *confSite, c clause) {
-		for way, f := range map[string]func(*testing.T, *confSite){"raw": c.raw, "nats.go": c.lib} {
+	play := func(s *conformanceRig, c clause) {
+		for way, f := range map[string]func(*testing.T, *conformanceRig){"raw": c.raw, "nats.go": c.lib} {
 			if f == nil {
 				continue
 			}
@@ -500,7 +500,7 @@
 			t.Errorf("%s does not list %q", page, c.name)
 		}
 	}
-	s := newConfSite(t, nil)
+	s := newConformanceRig(t, nil)
 	for _, c := range clauses {
 		play(s, c)
 	}
--- a/integration/nats_load_test.go
+++ b/integration/nats_load_test.go
@@ -13,9 +13,9 @@
 	"dahliarudder/internal/fakes"
 )
 
-// patient is the settings with classes that wait so long that a machine busy with other tests has
+// patientSettings is the settings with classes that wait so long that a machine busy with other tests has
 // nothing refused for that; where members are not probed, it cannot have them condemned either.
-func patient(probes bool) json.RawMessage {
+func patientSettings(probes bool) json.RawMessage {
 	return json.RawMessage(strings.NewReplacer(`"deadline-ms":3000`, `"deadline-ms":25000`, `"deadline-ms":2000`, `"deadline-ms":25000`,
 		`"probes":true`, fmt.Sprintf(`"probes":%v`, probes)).Replace(settingsText))
 }
@@ -29,7 +29,7 @@
 	for key, v := range front {
 		set[key] = v
 	}
-	return start(t, configure(t, d, map[string]any{"fronts": map[string]any{"nats": set}, "settings": patient(true),
+	return start(t, configure(t, d, map[string]any{"fronts": map[string]any{"nats": set}, "settings": patientSettings(true),
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 24000}}), 1)
 }
 
@@ -42,7 +42,7 @@
 			r := natsRelay(t, k, front)
 			var mu sync.Mutex
 			refused, got := 0, 0
-			c, err := nats.Connect("nats://"+r.addr["nats"], nats.Timeout(patience), nats.ErrorHandler(func(_ *nats.Conn, _ *nats.Subscription, err error) {
+			c, err := nats.Connect("nats://"+r.addrs["nats"], nats.Timeout(patience), nats.ErrorHandler(func(_ *nats.Conn, _ *nats.Subscription, err error) {
 				mu.Lock()
 				refused++
 				t.Log(err)
@@ -69,11 +69,11 @@
 			if err := c.FlushTimeout(patience); err != nil {
 				t.Fatal(err)
 			}
-			until(t, "all messages", func() bool { mu.Lock(); defer mu.Unlock(); return got == many })
+			waitFor(t, "all messages", func() bool { mu.Lock(); defer mu.Unlock(); return got == many })
 			if refused > 0 {
 				t.Errorf("%d of %d refused", refused, many)
 			}
-			checkTries(t, k.Attempts)
+			checkAttemptCounter(t, k.Attempts)
 		})
 	}
 }
--- a/integration/nats_rig_test.go
+++ b/integration/nats_rig_test.go
@@ -29,8 +29,8 @@
 	return list
 }
 
-// checkTries fails the test if a request had two attempts out, or more than three.
-func checkTries(t *testing.T, c *fakes.AttemptCounter) {
+// checkAttempts fails the test if a request had two attempts out, or more than three.
+func checkAttemptCounter(t *testing.T, c *fakes.AttemptCounter) {
 	t.Helper()
 	for _, broken := range c.Violations() {
 		t.Error(broken)
--- a/integration/nats_test.go
+++ b/integration/nats_test.go
@@ -18,17 +18,17 @@
 	_ "modernc.org/sqlite"
 )
 
-// natsSite is a relay with its NATS front on, before a cluster.
-type natsSite struct {
+// natsRig is a relay with its NATS front on, before a cluster.
+type natsRig struct {
 	*relay
 	k  *fakes.NATSCluster
 	d  *discovery
 	db string
 }
 
-func newNATSSite(t *testing.T, nodes int) *natsSite {
+func newNATSRig(t *testing.T, nodes int) *natsRig {
 	t.Helper()
-	s := &natsSite{k: newCluster(t, nodes), db: filepath.Join(t.TempDir(), "record.db")}
+	s := &natsRig{k: newCluster(t, nodes), db: filepath.Join(t.TempDir(), "record.db")}
 	s.d = newDiscovery(t, natsMembers(s.k)...)
 	s.relay = start(t, configure(t, s.d, map[string]any{
 		"fronts": map[string]any{"nats": map[string]any{"listen": "127.0.0.1:0", "max_payload": 65536, "load_subject": "node.load",
@@ -40,11 +40,11 @@
 }
 
 // connect is a client of the public library.
-func (s *natsSite) connect(options ...nats.Option) *nats.Conn {
+func (s *natsRig) connect(options ...nats.Option) *nats.Conn {
 	s.t.Helper()
 	options = append(options, nats.Timeout(patience), nats.NoReconnect(),
 		nats.ErrorHandler(func(*nats.Conn, *nats.Subscription, error) {}))
-	c, err := nats.Connect("nats://"+s.addr["nats"], options...)
+	c, err := nats.Connect("nats://"+s.addrs["nats"], options...)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -62,7 +62,7 @@
 	}
 }
 
-func (s *natsSite) flush(c *nats.Conn) {
+func (s *natsRig) flush(c *nats.Conn) {
 	s.t.Helper()
 	if err := c.FlushTimeout(patience); err != nil {
 		s.t.Fatal(err)
@@ -72,7 +72,7 @@
 // TestNATS: the client protocol through the relay: messages with headers, replies,
 // queue groups, an end after so many messages, and nobody listening.
 func TestNATS(t *testing.T) {
-	s := newNATSSite(t, 3)
+	s := newNATSRig(t, 3)
 	a, b := s.connect(), s.connect()
 	sub := must[*nats.Subscription](t)(a.SubscribeSync("status.*"))
 	s.flush(a)
@@ -124,18 +124,18 @@
 	s.flush(b)
 	must[*nats.Msg](t)(few.NextMsg(patience))
 	must[*nats.Msg](t)(few.NextMsg(patience))
-	until(t, "its end at the node", func() bool { return fmt.Sprint(s.k.Subscriptions("few")) == "[0 0 0]" })
+	waitFor(t, "its end at the node", func() bool { return fmt.Sprint(s.k.Subscriptions("few")) == "[0 0 0]" })
 	if err := b.Publish("status.big", make([]byte, 70000)); !errors.Is(err, nats.ErrMaxPayload) {
 		t.Errorf("a payload over the limit: %v", err)
 	}
-	checkTries(t, s.k.Attempts)
+	checkAttemptCounter(t, s.k.Attempts)
 	s.stop()
 }
 
 // TestNATSDrain: when a node starts to drain, the subscriptions on it move to
 // others though it goes on serving them, and messages go on coming.
 func TestNATSDrain(t *testing.T) {
-	s := newNATSSite(t, 3)
+	s := newNATSRig(t, 3)
 	c, p := s.connect(), s.connect()
 	got := make(chan *nats.Msg, 100)
 	for range 8 {
@@ -155,7 +155,7 @@
 		}
 	}
 	s.d.SetLifecycle(s.k.Nodes[leaving].ID, "DRAINING")
-	until(t, "the move", func() bool {
+	waitFor(t, "the move", func() bool {
 		held := s.k.Subscriptions("feed")
 		return held[leaving] == 0 && sum(held) == 8
 	})
@@ -170,16 +170,16 @@
 	}
 	c.Close()
 	p.Close()
-	checkTries(t, s.k.Attempts)
+	checkAttemptCounter(t, s.k.Attempts)
 	s.stop()
-	s.record(map[string]int{"served": 8 + 1}) // the record also holds the moved ones
+	s.checkStored(map[string]int{"served": 8 + 1}) // the record also holds the moved ones
 }
 
-// record reads the store back: one answer a request, its attempts one after
+// checkStored reads the store back: one answer a request, its attempts one after
 // another, at most three, and at least so many answers of each kind.
-func (s *natsSite) record(least map[string]int) {
+func (s *natsRig) checkStored(least map[string]int) {
 	s.t.Helper()
-	count := s.count
+	count := s.queryCount
 	for answer, n := range least {
 		if got := count("SELECT count(*) FROM requests WHERE answer = '" + answer + "'"); got < n {
 			s.t.Errorf("%d of at least %d recorded as %s", got, n, answer)
@@ -200,8 +200,8 @@
 	}
 }
 
-// count reads one number from the store.
-func (s *natsSite) count(query string) (n int) {
+// queryCount reads one number from the store.
+func (s *natsRig) queryCount(query string) (n int) {
 	s.t.Helper()
 	db := must[*sql.DB](s.t)(sql.Open("sqlite", s.db))
 	defer db.Close()
@@ -216,7 +216,7 @@
 func TestNATSRetry(t *testing.T) {
 	for name, mode := range map[string]fakes.NodeMode{"err": fakes.NodeRefuses, "silent": fakes.NodeSilent, "reset": fakes.NodeResets} {
 		t.Run(name, func(t *testing.T) {
-			s := newNATSSite(t, 3)
+			s := newNATSRig(t, 3)
 			c := s.connect()
 			c.Publish("job.first", []byte("first"))
 			s.flush(c)
@@ -232,14 +232,14 @@
 				}
 			}
 			s.flush(c)
-			checkTries(t, s.k.Attempts)
+			checkAttemptCounter(t, s.k.Attempts)
 			c.Close()
 			s.stop()
-			s.record(map[string]int{"served": 1})
-			if n := s.count("SELECT count(*) FROM requests WHERE name LIKE 'PUB job.%'"); n != jobs+1 {
+			s.checkStored(map[string]int{"served": 1})
+			if n := s.queryCount("SELECT count(*) FROM requests WHERE name LIKE 'PUB job.%'"); n != jobs+1 {
 				t.Errorf("%d final answers for %d publications", n, jobs)
 			}
-			if n := s.count("SELECT count(*) FROM attempts WHERE result NOT IN ('ok', 'cancelled')"); n == 0 {
+			if n := s.queryCount("SELECT count(*) FROM attempts WHERE result NOT IN ('ok', 'cancelled')"); n == 0 {
 				t.Error("no attempt failed: nothing was tried")
 			}
 		})
@@ -248,7 +248,7 @@
 
 // TestNATSTerm: a relay that stops says so, and its clients' connections end.
 func TestNATSTerm(t *testing.T) {
-	s := newNATSSite(t, 2)
+	s := newNATSRig(t, 2)
 	lame, closed := make(chan bool, 1), make(chan bool, 1)
 	c := s.connect(nats.LameDuckModeHandler(func(*nats.Conn) { lame <- true }),
 		nats.ClosedHandler(func(*nats.Conn) { closed <- true }))
@@ -273,7 +273,7 @@
 
 // TestProcessor: another proxy carries requests itself and asks for verdicts.
 func TestProcessor(t *testing.T) {
-	s := newNATSSite(t, 3)
+	s := newNATSRig(t, 3)
 	c := s.connect(nats.CustomInboxPrefix("_dahlia.inbox"))
 	control := must[*nats.Subscription](t)(c.SubscribeSync("_dahlia.control.one"))
 	call := func(subject, text string) processorVerdict {
@@ -338,13 +338,13 @@
 	}
 	c.Close()
 	s.stop()
-	s.record(map[string]int{"served": 5})
+	s.checkStored(map[string]int{"served": 5})
 }
 
 // TestNATSBadInput: what is no protocol ends that connection with a word, and the
 // relay goes on.
 func TestNATSBadInput(t *testing.T) {
-	s := newNATSSite(t, 1)
+	s := newNATSRig(t, 1)
 	connect := "CONNECT {\"verbose\":true}\r\n"
 	for text, want := range map[string]string{
 		"HELLO\r\n":                 "-ERR 'Unknown Protocol Operation'",
@@ -358,12 +358,12 @@
 		connect + "SUB " + strings.Repeat("a", 5000) + " 1\r\n": "-ERR 'maximum control line exceeded'",
 	} {
 		c := s.natsDial()
-		c.want("INFO ")
+		c.wantLine("INFO ")
 		if _, err := c.Write([]byte(text)); err != nil {
 			t.Fatal(err)
 		}
 		if strings.HasPrefix(text, connect) {
-			c.want("+OK")
+			c.wantLine("+OK")
 		}
 		if got := c.line(); got != want {
 			t.Errorf("%.40q got %q, want %q", text, got, want)
@@ -391,14 +391,14 @@
 		text = strings.ReplaceAll(text, old, now)
 	}
 	path := filepath.Join(dir, "nats.json")
-	write(t, path, text)
+	writeFile(t, path, text)
 	if out, err := run("check", "--config", path); err != nil {
 		t.Fatalf("%v, %s", err, out)
 	}
 	r := start(t, path, 1)
 	ca := nats.RootCAs(filepath.Join(dir, "tls", "ca.pem"))
 	connect := func(user, word string) (*nats.Conn, error) {
-		return nats.Connect("nats://"+r.addr["nats"], ca, nats.UserInfo(user, word), nats.Timeout(patience), nats.NoReconnect())
+		return nats.Connect("nats://"+r.addrs["nats"], ca, nats.UserInfo(user, word), nats.Timeout(patience), nats.NoReconnect())
 	}
 	desk := must[*nats.Conn](t)(connect("status-desk", "desk-trial"))
 	defer desk.Close()
@@ -418,7 +418,7 @@
 // TestProcessorAsksAgain: a proxy that has had no answer in time asks again, by the same name, on its connection or on
 // another one of its own. Both calls speak of one request: never are there two attempts out.
 func TestProcessorAsksAgain(t *testing.T) {
-	s := newNATSSite(t, 3)
+	s := newNATSRig(t, 3)
 	first, second := s.connect(nats.CustomInboxPrefix("_dahlia.inbox")), s.connect(nats.CustomInboxPrefix("_dahlia.inbox"))
 	call := func(c *nats.Conn, subject, text string) (v processorVerdict) {
 		t.Helper()
@@ -469,7 +469,7 @@
 	}
 	second.Close()
 	s.stop()
-	s.record(map[string]int{"served": 1, "left": 2})
+	s.checkStored(map[string]int{"served": 1, "left": 2})
 }
 
 // TestNATSLeft: publications of a client that goes while they are out, or wait for a place, are not tried again; those of
@@ -483,26 +483,26 @@
 				o.SetMode(mode)
 			}
 			c := r.natsDial()
-			c.want("INFO ")
-			c.say("CONNECT {}\r\nPUB s 7\r\nleaving")
+			c.wantLine("INFO ")
+			c.send("CONNECT {}\r\nPUB s 7\r\nleaving")
 			taken := func() (n int) {
 				for _, o := range k.Nodes {
 					n += o.Published()
 				}
 				return n
 			}
-			until(t, "the first attempt", func() bool { return taken() > 0 })
+			waitFor(t, "the first attempt", func() bool { return taken() > 0 })
 			c.Conn.(*net.TCPConn).SetLinger(0)
 			c.Close()
-			until(t, "the end of its links", func() bool { return k.Nodes[0].Connections()+k.Nodes[1].Connections() == 0 })
+			waitFor(t, "the end of its links", func() bool { return k.Nodes[0].Connections()+k.Nodes[1].Connections() == 0 })
 			before := taken()
 			for _, o := range k.Nodes {
 				o.SetMode(fakes.NodeHealthy)
 			}
 			other := r.natsDial() // what it says is taken after all that was under way
-			other.want("INFO ")
-			other.say("CONNECT {}\r\nPUB s 5\r\nstays\r\nPING")
-			other.want("PONG")
+			other.wantLine("INFO ")
+			other.send("CONNECT {}\r\nPUB s 5\r\nstays\r\nPING")
+			other.wantLine("PONG")
 			if n := taken() - before; n != 1 {
 				t.Errorf("%d publications after the client had gone, one of them another's", n)
 			}
