--- a/integration/peers_test.go
+++ b/integration/peers_test.go
@@ -19,8 +19,8 @@
 	"dahliarudder/internal/gossip"
 )
 
-// circle is several relays that know of each other, each reaching each other by a link of its own.
-type circle struct {
+// gossipRig is several relays that know of each other, each reaching each other by a link of its own.
+type gossipRig struct {
 	t      testing.TB
 	d      *discovery
 	relays []*relay
@@ -29,14 +29,14 @@
 	addrs  []string
 }
 
-const circleKey = "a key of this installation, 32 characters and more"
+const gossipRigKey = "a key of this installation, 32 characters and more"
 
-func newCircle(t testing.TB, n int, linked bool) *circle {
-	c := &circle{t: t}
+func newGossipRig(t testing.TB, n int, linked bool) *gossipRig {
+	c := &gossipRig{t: t}
 	d := newDiscovery(t)
 	c.d = d
 	for range n {
-		c.addrs = append(c.addrs, ownPort(t))
+		c.addrs = append(c.addrs, reservePort(t))
 	}
 	for i := range n {
 		reach := map[string]string{}
@@ -66,7 +66,7 @@
 		path := configure(t, d, map[string]any{"name": fmt.Sprintf("n%d", i), "operator": "127.0.0.1:0", "seed": fmt.Sprintf("%x", 77+i),
 			"settings": json.RawMessage(strings.Replace(settingsText, `"balancers":1`, fmt.Sprintf(`"balancers":%d`, n), 1)),
 			"peers":    map[string]any{"listen": c.addrs[i], "known": known, "key_file": "key", "reach": reach}})
-		write(t, filepath.Join(filepath.Dir(path), "key"), circleKey+"\n")
+		writeFile(t, filepath.Join(filepath.Dir(path), "key"), gossipRigKey+"\n")
 		c.conf = append(c.conf, path)
 		c.relays = append(c.relays, nil)
 	}
@@ -76,10 +76,10 @@
 	return c
 }
 
-func (c *circle) start(i int) { c.relays[i] = start(c.t, c.conf[i], 2) }
+func (c *gossipRig) start(i int) { c.relays[i] = start(c.t, c.conf[i], 2) }
 
-// account is what a relay says of its peers.
-type account struct {
+// peersAnswer is what a relay says of its peers.
+type peersAnswer struct {
 	Self  struct{ Incarnation, Generation uint64 }
 	Live  int
 	Down  int
@@ -93,9 +93,9 @@
 	Clashes int
 }
 
-func (c *circle) account(i int) (a account) {
+func (c *gossipRig) peersAnswer(i int) (a peersAnswer) {
 	client := http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
-	answer, err := client.Get("http://" + c.relays[i].addr["operator"] + "/-/peers")
+	answer, err := client.Get("http://" + c.relays[i].addrs["operator"] + "/-/peers")
 	if err != nil {
 		return a
 	}
@@ -105,11 +105,11 @@
 	return a
 }
 
-// sees waits until relay i holds another for one of these states.
-func (c *circle) sees(i, j int, states ...string) {
+// waitSeen waits until relay i holds another for one of these states.
+func (c *gossipRig) waitSeen(i, j int, states ...string) {
 	c.t.Helper()
-	until(c.t, fmt.Sprintf("n%d to hold n%d for %v", i, j, states), func() bool {
-		for _, p := range c.account(i).Peers {
+	waitFor(c.t, fmt.Sprintf("n%d to hold n%d for %v", i, j, states), func() bool {
+		for _, p := range c.peersAnswer(i).Peers {
 			for _, s := range states {
 				if p.Name == fmt.Sprintf("n%d", j) && p.State == s {
 					return true
@@ -121,19 +121,19 @@
 	})
 }
 
-func (c *circle) allAlive() {
+func (c *gossipRig) waitAllAlive() {
 	c.t.Helper()
 	for i := range c.relays {
 		for j := range c.relays {
 			if i != j {
-				c.sees(i, j, "alive")
+				c.waitSeen(i, j, "alive")
 			}
 		}
 	}
 }
 
 // cut parts the relays before side from the others, both ways or one.
-func (c *circle) cut(side int, on, both bool) {
+func (c *gossipRig) cut(side int, on, both bool) {
 	for i, row := range c.links {
 		for j, l := range row {
 			if l != nil && (i < side && j >= side || both && i >= side && j < side) {
@@ -147,48 +147,48 @@
 // the refusal at its door, and known again when it is back with all it knew lost; one that is stopped for a while is
 // missed and taken back; one that ends by itself has said so.
 func TestPeersProcesses(t *testing.T) {
-	c := newCircle(t, 4, false)
-	c.allAlive()
-	before := c.account(1).Peers
+	c := newGossipRig(t, 4, false)
+	c.waitAllAlive()
+	before := c.peersAnswer(1).Peers
 	c.relays[3].cmd.Process.Kill()
 	for i := range 3 {
-		c.sees(i, 3, "gone")
+		c.waitSeen(i, 3, "gone")
 	}
-	if a := c.account(0); a.Live != 3 || a.Down != 1 {
+	if a := c.peersAnswer(0); a.Live != 3 || a.Down != 1 {
 		t.Errorf("%d live, %d down", a.Live, a.Down)
 	}
 	c.start(3)
-	c.allAlive()
+	c.waitAllAlive()
 	for _, was := range before {
-		for _, is := range c.account(1).Peers {
+		for _, is := range c.peersAnswer(1).Peers {
 			if was.Name == "n3" && is.Name == "n3" && is.Incarnation <= was.Incarnation {
 				t.Errorf("back with incarnation %d, before %d", is.Incarnation, was.Incarnation)
 			}
 		}
 	}
 	c.relays[2].cmd.Process.Signal(syscall.SIGSTOP)
-	c.sees(0, 2, "suspect", "dead")
-	c.sees(1, 2, "dead")
+	c.waitSeen(0, 2, "suspect", "dead")
+	c.waitSeen(1, 2, "dead")
 	c.relays[2].cmd.Process.Signal(syscall.SIGCONT)
-	c.allAlive()
+	c.waitAllAlive()
 	c.relays[1].stop()
 	for _, i := range []int{0, 2, 3} {
-		c.sees(i, 1, "left")
+		c.waitSeen(i, 1, "left")
 	}
 }
 
 // TestPeersLinks: what is between the processes breaks. A cut both ways and one way, loss, repetition and delays beyond the time of
 // a ping; who is in the minority takes half of its part of the budgets that all share, and all agree again afterwards.
 func TestPeersLinks(t *testing.T) {
-	c := newCircle(t, 5, true)
-	c.allAlive()
-	until(t, "budgets divided by five", func() bool { return c.account(0).Share == 5 && c.account(4).Share == 5 })
+	c := newGossipRig(t, 5, true)
+	c.waitAllAlive()
+	waitFor(t, "budgets divided by five", func() bool { return c.peersAnswer(0).Share == 5 && c.peersAnswer(4).Share == 5 })
 	c.cut(2, true, true)
-	c.sees(0, 4, "dead")
-	c.sees(4, 0, "dead")
+	c.waitSeen(0, 4, "dead")
+	c.waitSeen(4, 0, "dead")
 	for i := range c.relays {
-		until(t, fmt.Sprintf("n%d to divide budgets as its side may", i), func() bool {
-			if share := c.account(i).Share; i >= 2 {
+		waitFor(t, fmt.Sprintf("n%d to divide budgets as its side may", i), func() bool {
+			if share := c.peersAnswer(i).Share; i >= 2 {
 				return share <= 4 && share >= 3 // three of five, and a fifth less at most in 5 s
 			} else {
 				return share == 10 // two of five: half of a fifth
@@ -196,9 +196,9 @@
 		})
 	}
 	c.cut(2, false, true)
-	c.allAlive()
+	c.waitAllAlive()
 	c.cut(1, true, false) // n0 is not heard, but hears
-	c.sees(4, 0, "suspect", "dead")
+	c.waitSeen(4, 0, "suspect", "dead")
 	c.cut(1, false, false)
 	for _, row := range c.links {
 		for _, l := range row {
@@ -215,7 +215,7 @@
 			}
 		}
 	}
-	c.allAlive()
+	c.waitAllAlive()
 
 	// What no peer has sent, or has sent before, is refused by its reason.
 	l := c.links[0][1]
@@ -228,44 +228,44 @@
 	foreign := append([]byte(nil), real...)
 	foreign[2] ^= 1
 	l.Inject(foreign)
-	until(t, "what was refused", func() bool {
-		r := c.account(1).Refused
+	waitFor(t, "what was refused", func() bool {
+		r := c.peersAnswer(1).Refused
 		return r["repeated"] > 0 && r["size"] > 1 && r["tag"] > 0 && r["key"] > 0
 	})
-	c.allAlive()
+	c.waitAllAlive()
 }
 
 // TestPeersOneName: two processes under one name. The others go on with the later one, refuse the earlier one by that reason, and hold nobody
 // for dead; once the name is one process's again, started anew, all is as before.
 func TestPeersOneName(t *testing.T) {
-	c := newCircle(t, 3, false)
-	c.allAlive()
+	c := newGossipRig(t, 3, false)
+	c.waitAllAlive()
 	text, err := os.ReadFile(c.conf[2])
 	if err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
-	write(t, path, strings.Replace(string(text), c.addrs[2], ownPort(t), 1))
-	write(t, filepath.Join(filepath.Dir(path), "key"), circleKey+"\n")
+	writeFile(t, path, strings.Replace(string(text), c.addrs[2], reservePort(t), 1))
+	writeFile(t, filepath.Join(filepath.Dir(path), "key"), gossipRigKey+"\n")
 	second := start(t, path, 2)
-	until(t, "the clash to be counted", func() bool {
+	waitFor(t, "the clash to be counted", func() bool {
 		time.Sleep(30 * time.Millisecond)
-		return c.account(0).Refused["two relays of one name"] > 0
+		return c.peersAnswer(0).Refused["two relays of one name"] > 0
 	})
-	c.sees(0, 2, "alive")
-	c.sees(0, 1, "alive")
-	c.sees(1, 0, "alive")
+	c.waitSeen(0, 2, "alive")
+	c.waitSeen(0, 1, "alive")
+	c.waitSeen(1, 0, "alive")
 	second.cmd.Process.Kill()
 	c.relays[2].cmd.Process.Kill()
 	c.start(2)
-	c.allAlive()
+	c.waitAllAlive()
 }
 
 // TestPeersNoDoor: somebody else has a relay's TCP port, its datagrams are free. It is among the others all the same, and has its door once the port
 // is given back. Guards against a relay that serves and hears nothing, no pause of a canary either.
 func TestPeersNoDoor(t *testing.T) {
-	c := newCircle(t, 2, false)
-	c.allAlive()
+	c := newGossipRig(t, 2, false)
+	c.waitAllAlive()
 	c.relays[1].stop()
 	other, err := net.Listen("tcp", c.addrs[1])
 	if err != nil {
@@ -273,9 +273,9 @@
 	}
 	defer other.Close()
 	c.start(1)
-	c.allAlive()
+	c.waitAllAlive()
 	other.Close()
-	until(t, "the door", func() bool {
+	waitFor(t, "the door", func() bool {
 		d, err := net.Dial("tcp", c.addrs[1])
 		if err == nil {
 			d.Close()
@@ -286,13 +286,13 @@
 
 // TestPeersSeen: what one relay sees of its members reaches the others.
 func TestPeersSeen(t *testing.T) {
-	c := newCircle(t, 2, false)
+	c := newGossipRig(t, 2, false)
 	b := newBackend(t, "s-5be2a000", fakes.NewAttemptCounter())
 	b.SetMode(fakes.ModeErr)
 	c.d.Put(b.member())
-	until(t, "n1 to hear what n0 saw", func() bool {
-		c.relays[0].open(int(time.Now().UnixNano()&0xffffff), "").line()
-		for _, p := range c.account(1).Peers {
+	waitFor(t, "n1 to hear what n0 saw", func() bool {
+		c.relays[0].openFlow(int(time.Now().UnixNano()&0xffffff), "").line()
+		for _, p := range c.peersAnswer(1).Peers {
 			if len(p.Seen.Members) == 1 && p.Seen.Members[0].Name == b.id && p.Seen.Members[0].Failures > 0 && p.Seen.Zones[0].Name == "a" {
 				return true
 			}
@@ -305,7 +305,7 @@
 // TestPeersStale: the way on which discovery tells one relay of changes is dead and nobody says so. It hears from the others that they hold a
 // newer list, asks anew, and sends nothing more to the member that drains, seconds before its own call would have been given up.
 func TestPeersStale(t *testing.T) {
-	c := newCircle(t, 3, false)
+	c := newGossipRig(t, 3, false)
 	a, b := newBackend(t, "s-5be2a000", fakes.NewAttemptCounter()), newBackend(t, "s-5be2a001", fakes.NewAttemptCounter())
 	c.d.Put(a.member())
 	c.d.Put(b.member())
@@ -315,14 +315,14 @@
 	}
 	t.Cleanup(pipe.Close)
 	c.relays[0].reload(c.d.addr, pipe.Addr())
-	c.allAlive()
-	generation := func(i int) uint64 { return c.account(i).Self.Generation }
-	until(t, "the list", func() bool { return generation(0) == 3 && generation(1) == 3 && generation(2) == 3 })
+	c.waitAllAlive()
+	generation := func(i int) uint64 { return c.peersAnswer(i).Self.Generation }
+	waitFor(t, "the list", func() bool { return generation(0) == 3 && generation(1) == 3 && generation(2) == 3 })
 	time.Sleep(200 * time.Millisecond) // the next call is out
 	pipe.Stall()
 	c.d.SetLifecycle(b.id, "DRAINING")
-	until(t, "n0 to hold what the others hold", func() bool { time.Sleep(50 * time.Millisecond); return generation(0) == 4 })
-	c.relays[0].logged("other relays hold a newer list")
+	waitFor(t, "n0 to hold what the others hold", func() bool { time.Sleep(50 * time.Millisecond); return generation(0) == 4 })
+	c.relays[0].waitLogged("other relays hold a newer list")
 	if strings.Contains(c.relays[0].log.String(), "no answer in time") {
 		t.Error("its own call was given up first")
 	}
@@ -330,14 +330,14 @@
 
 // TestPeersOff: without the setting there is no account and no descriptor more; a key that others may read stops the start.
 func TestPeersOff(t *testing.T) {
-	s := newSite(t, 1, map[string]any{"operator": "127.0.0.1:0"})
+	s := newLineRig(t, 1, map[string]any{"operator": "127.0.0.1:0"})
 	if code := s.call("GET", "/-/peers"); code != http.StatusNotFound {
 		t.Errorf("peers are off, and the call says %d", code)
 	}
 	d := newDiscovery(t)
 	path := configure(t, d, map[string]any{"peers": map[string]any{"listen": "127.0.0.1:0", "key_file": "key"}})
 	key := filepath.Join(filepath.Dir(path), "key")
-	write(t, key, circleKey)
+	writeFile(t, key, gossipRigKey)
 	if out, err := run("check", "--config", path); err != nil {
 		t.Errorf("%v, %s", err, out)
 	}
@@ -356,15 +356,18 @@
 	if err != nil {
 		t.Skip("PEERS_PROCESSES is not set")
 	}
-	c := newCircle(t, n, false)
-	until(t, "all to see all", func() bool { time.Sleep(time.Second); return c.account(0).Live == n && c.account(n-1).Live == n })
+	c := newGossipRig(t, n, false)
+	waitFor(t, "all to see all", func() bool {
+		time.Sleep(time.Second)
+		return c.peersAnswer(0).Live == n && c.peersAnswer(n-1).Live == n
+	})
 	time.Sleep(10 * time.Second)
 	var took []time.Duration
 	c.relays[n/2].cmd.Process.Kill()
 	began, seen := time.Now(), map[int]bool{n / 2: true}
 	for len(seen) < n && time.Since(began) < patience {
 		for i := range n {
-			if !seen[i] && c.account(i).Live < n {
+			if !seen[i] && c.peersAnswer(i).Live < n {
 				seen[i] = true
 				took = append(took, time.Since(began))
 			}
--- a/integration/plain_test.go
+++ b/integration/plain_test.go
@@ -15,8 +15,8 @@
 	b := newBackend(t, "s-00000001", nil)
 	d := newDiscovery(t, b.member())
 	r := start(t, configure(t, d, nil), 1)
-	until(t, "the first watch", func() bool { return d.Calls() > 1 })
-	r.open(1, "").want("UP ")
+	waitFor(t, "the first watch", func() bool { return d.Calls() > 1 })
+	r.openFlow(1, "").wantLine("UP ")
 	pid := r.cmd.Process.Pid
 	own := map[string]bool{} // sockets, by inode
 	paths, _ := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", pid))
@@ -52,7 +52,7 @@
 	if children, err := os.ReadFile(fmt.Sprintf("/proc/%d/task/%d/children", pid, pid)); err == nil && len(strings.TrimSpace(string(children))) > 0 {
 		t.Errorf("children: %s", children)
 	}
-	files, err := os.ReadDir(filepath.Dir(r.path))
+	files, err := os.ReadDir(filepath.Dir(r.configPath))
 	if err != nil || len(files) != 1 {
 		t.Errorf("files: %v, %v", files, err)
 	}
--- a/integration/postgres_rig_test.go
+++ b/integration/postgres_rig_test.go
@@ -13,7 +13,7 @@
 	"testing"
 )
 
-// postgres is the stand-in for a PostgreSQL server, written from the public
+// postgres is a fake PostgreSQL server, written from the public
 // description of its protocol. It knows as much as a store of records needs:
 // tables are made, rows are put in, transactions begin and end.
 type postgres struct {
@@ -42,8 +42,8 @@
 	p.down = down
 }
 
-// table is a copy of a table's rows.
-func (p *postgres) table(name string) (out [][]string) {
+// tableRows is a copy of a table's rows.
+func (p *postgres) tableRows(name string) (out [][]string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, row := range p.rows[name] {
@@ -74,9 +74,9 @@
 	if _, err := io.CopyN(io.Discard, in, int64(size-4)); err != nil {
 		return
 	}
-	s.say('R', 0, 0, 0, 0)
-	s.say('K', 0, 0, 0, 1, 0, 0, 0, 1)
-	s.ready()
+	s.send('R', 0, 0, 0, 0)
+	s.send('K', 0, 0, 0, 1, 0, 0, 0, 1)
+	s.sendReady()
 	for {
 		kind, err := in.ReadByte()
 		if err != nil || binary.Read(in, binary.BigEndian, &size) != nil {
@@ -90,20 +90,20 @@
 	}
 }
 
-func (s *pgSession) say(kind byte, body ...byte) {
+func (s *pgSession) send(kind byte, body ...byte) {
 	s.out.WriteByte(kind)
 	binary.Write(s.out, binary.BigEndian, int32(len(body)+4))
 	s.out.Write(body)
 }
 
-func (s *pgSession) ready() {
+func (s *pgSession) sendReady() {
 	s.skip = false
-	s.say('Z', s.status)
+	s.send('Z', s.status)
 	s.out.Flush()
 }
 
 func (s *pgSession) fail(text string) {
-	s.say('E', []byte("SERROR\x00VERROR\x00CXX000\x00M"+text+"\x00\x00")...)
+	s.send('E', []byte("SERROR\x00VERROR\x00CXX000\x00M"+text+"\x00\x00")...)
 	if s.status == 'T' {
 		s.status = 'E'
 	}
@@ -122,42 +122,42 @@
 	switch kind {
 	case 'Q':
 		text, _ := cstring(b)
-		s.simple(strings.TrimSpace(text))
-		s.ready()
+		s.simpleQuery(strings.TrimSpace(text))
+		s.sendReady()
 	case 'P':
 		name, rest := cstring(b)
 		s.statements[name], _ = cstring(rest)
-		s.say('1')
+		s.send('1')
 	case 'D':
 		if b[0] == 'S' {
 			name, _ := cstring(b[1:])
-			s.say('t', parameters(s.statements[name])...)
+			s.send('t', parameters(s.statements[name])...)
 		}
-		s.say('n')
+		s.send('n')
 	case 'B':
 		_, rest := cstring(b)
 		s.bound, rest = cstring(rest)
 		s.values = bindings(rest)
-		s.say('2')
+		s.send('2')
 	case 'E':
 		s.insert(s.statements[s.bound], s.values)
 	case 'C':
-		s.say('3')
+		s.send('3')
 	case 'H':
 		s.out.Flush()
 	case 'S':
-		s.ready()
+		s.sendReady()
 	}
 }
 
-func (s *pgSession) simple(text string) {
+func (s *pgSession) simpleQuery(text string) {
 	s.mu.Lock()
 	down := s.down
 	s.mu.Unlock()
 	word, _, _ := strings.Cut(strings.ToLower(text), " ")
 	switch {
 	case text == "" || strings.HasPrefix(text, "--"):
-		s.say('I')
+		s.send('I')
 		return
 	case down && word != "rollback":
 		s.fail("the disk is full")
@@ -180,7 +180,7 @@
 		s.fail("not known here: " + text)
 		return
 	}
-	s.say('C', []byte(strings.ToUpper(word)+"\x00")...)
+	s.send('C', []byte(strings.ToUpper(word)+"\x00")...)
 }
 
 var inserting = regexp.MustCompile(`^INSERT INTO (\w+) \(([\w, ]+)\) VALUES \(([$\d, ]+)\) ON CONFLICT DO NOTHING$`)
@@ -234,5 +234,5 @@
 		return
 	}
 	s.pending = append(s.pending, append([]string{m[1]}, values...))
-	s.say('C', []byte("INSERT 0 1\x00")...)
+	s.send('C', []byte("INSERT 0 1\x00")...)
 }
--- a/integration/pushed_test.go
+++ b/integration/pushed_test.go
@@ -13,16 +13,16 @@
 // told, whether or not a watch is open.
 var pushedText = json.RawMessage(strings.Replace(settingsText, `"discovery":"subscribe"`, `"discovery":"automatic"`, 1))
 
-// newPushed is a relay among members that answer by themselves; the first of them is listed as it says by an agent of which the
+// newPushedRig is a relay among members that answer by themselves; the first of them is listed as it says by an agent of which the
 // relay's own last list knows nothing.
-func newPushed(t *testing.T, lifecycle string) *crossing {
+func newPushedRig(t *testing.T, lifecycle string) *scriptedRig {
 	t.Helper()
-	s := &crossing{}
+	s := &scriptedRig{}
 	var list []member
 	s.members, list = newMembers(t, 2, fakes.NewAttemptCounter())
-	s.tries = s.members[0].tries
+	s.attemptCounter = s.members[0].attempts
 	for _, m := range s.members {
-		m.answers(true)
+		m.setAutoAccept(true)
 	}
 	s.d = newDiscovery(t, list...)
 	config := configure(t, s.d, map[string]any{"settings": pushedText})
@@ -31,14 +31,14 @@
 	return s
 }
 
-// avoids opens requests, none of which may go to the first member any more once the grace is over.
-func (s *crossing) avoids(from int) {
+// wantFirstAvoided opens requests, none of which may go to the first member any more once the grace is over.
+func (s *scriptedRig) wantFirstAvoided(from int) {
 	s.t.Helper()
-	time.Sleep(drainGrace + timeSlack)
+	time.Sleep(drainGrace + socketTolerance)
 	before := len(s.members[0].arrivals())
 	for n := range 12 {
-		c := s.openFor(from+n, 2*time.Second)
-		c.want("UP " + s.members[1].id)
+		c := s.openWithDeadline(from+n, 2*time.Second)
+		c.wantLine("UP " + s.members[1].id)
 		c.Close()
 	}
 	if sent := len(s.members[0].arrivals()) - before; sent > 0 {
@@ -52,24 +52,24 @@
 	t.Parallel()
 	t.Run("from the first moment", func(t *testing.T) {
 		t.Parallel()
-		newPushed(t, "DRAINING").avoids(100)
+		newPushedRig(t, "DRAINING").wantFirstAvoided(100)
 	})
 	t.Run("while it runs", func(t *testing.T) {
 		t.Parallel()
-		s := newPushed(t, "SERVING")
-		until(t, "a watch", func() bool { return s.d.Calls() > 1 })
+		s := newPushedRig(t, "SERVING")
+		waitFor(t, "a watch", func() bool { return s.d.Calls() > 1 })
 		s.d.SetLifecycle(s.members[0].id, "DRAINING")
-		s.avoids(100)
+		s.wantFirstAvoided(100)
 	})
 	t.Run("after an outage", func(t *testing.T) {
 		t.Parallel()
-		s := newPushed(t, "SERVING")
-		until(t, "a watch", func() bool { return s.d.Calls() > 1 })
+		s := newPushedRig(t, "SERVING")
+		waitFor(t, "a watch", func() bool { return s.d.Calls() > 1 })
 		s.d.SetDown(true)
 		calls := s.d.Calls()
-		until(t, "failures in a row", func() bool { return s.d.Calls() > calls+8 })
+		waitFor(t, "failures in a row", func() bool { return s.d.Calls() > calls+8 })
 		s.d.SetLifecycle(s.members[0].id, "DRAINING")
 		s.d.SetDown(false)
-		s.avoids(100)
+		s.wantFirstAvoided(100)
 	})
 }
--- a/integration/ready_test.go
+++ b/integration/ready_test.go
@@ -16,11 +16,13 @@
 func TestReadyInTime(t *testing.T) {
 	t.Parallel()
 	for what, trouble := range map[string]func(t *testing.T, d *discovery, dir string){
-		"down":  func(_ *testing.T, d *discovery, _ string) { d.SetDown(true) },
-		"slow":  func(_ *testing.T, d *discovery, _ string) { d.SetAnswerDelay(2 * time.Second) },
-		"mute":  func(_ *testing.T, d *discovery, _ string) { d.SetAnswerDelay(time.Hour) },
-		"gone":  func(_ *testing.T, d *discovery, _ string) { d.Close() },
-		"state": func(t *testing.T, _ *discovery, dir string) { write(t, filepath.Join(dir, "snapshot"), "half of one") },
+		"down": func(_ *testing.T, d *discovery, _ string) { d.SetDown(true) },
+		"slow": func(_ *testing.T, d *discovery, _ string) { d.SetAnswerDelay(2 * time.Second) },
+		"mute": func(_ *testing.T, d *discovery, _ string) { d.SetAnswerDelay(time.Hour) },
+		"gone": func(_ *testing.T, d *discovery, _ string) { d.Close() },
+		"state": func(t *testing.T, _ *discovery, dir string) {
+			writeFile(t, filepath.Join(dir, "snapshot"), "half of one")
+		},
 	} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
@@ -43,14 +45,14 @@
 			}
 			slow := 0
 			for n, r := range all {
-				r.serves(1)
+				r.waitServing(1)
 				c := r.dial()
-				c.say("PING")
-				c.want("PONG")
+				c.send("PING")
+				c.wantLine("PONG")
 				if took := time.Since(began); took > readyMost {
 					slow++
 				}
-				r.open(n, "").want("UP ")
+				r.openFlow(n, "").wantLine("UP ")
 			}
 			if slow > relays/10 {
 				t.Errorf("%d of %d relays took over %v", slow, relays, readyMost)
--- a/integration/rig_test.go
+++ b/integration/rig_test.go
@@ -1,5 +1,4 @@
-// Package integration starts the built program and speaks to it over sockets.
-// The stand-ins for discovery and pool members are written here.
+// Package integration tests the built program over sockets, among fakes of discovery, pool members, NATS servers and PostgreSQL.
 package integration
 
 import (
@@ -26,21 +25,20 @@
 	"dahliarudder/internal/fakes"
 )
 
-// patience is how long a test waits for what must come; only a failing test
-// waits that long.
+// patience is how long a test waits for an event. Only a failing test waits that long.
 const patience = 30 * time.Second
 
 var program string
 
-// besides is how many tests that may run beside each other do so, on a machine with fewer cores too: they mostly wait for processes.
-const besides = 4
+// minParallel is how many parallel tests run at a time, on a machine with fewer cores too: they mostly wait for processes.
+const minParallel = 4
 
 func TestMain(m *testing.M) {
 	flag.Parse()
 	given := false
 	flag.Visit(func(f *flag.Flag) { given = given || f.Name == "test.parallel" })
-	if !given && runtime.GOMAXPROCS(0) < besides {
-		flag.Set("test.parallel", strconv.Itoa(besides))
+	if !given && runtime.GOMAXPROCS(0) < minParallel {
+		flag.Set("test.parallel", strconv.Itoa(minParallel))
 	}
 	dir, err := os.MkdirTemp("", "dahliarudder")
 	if err != nil {
@@ -59,8 +57,8 @@
 	os.Exit(code)
 }
 
-// until waits for ok.
-func until(t testing.TB, what string, ok func() bool) {
+// waitFor waits until ok returns true.
+func waitFor(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(patience); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -69,7 +67,7 @@
 	}
 }
 
-// listen serves connections to a new port of the loopback, each on its own.
+// listen serves connections to a new port of the loopback, each in its own goroutine.
 func listen(t testing.TB, serve func(net.Conn)) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -89,7 +87,7 @@
 	return l
 }
 
-var ports struct {
+var loopbackPorts struct {
 	sync.Mutex
 	host string
 	hold net.Listener
@@ -97,26 +95,26 @@
 }
 
 const (
-	ownFirst = 12000 // below what systems draw ports from
-	ownPorts = 20000
+	firstReservedPort = 12000 // below the ports that systems assign
+	reservedPorts     = 20000
 )
 
-// ownPort is an address for a relay that has to be known before it listens, or kept while it is down: nobody else is ever given it. Each
-// run of the tests has an address of the loopback for itself, held by its first port, and gives no port there twice. Guards against a relay whose
-// port was given to another meanwhile: where its peers' port is taken it neither tells nor hears, and serves all the same.
-func ownPort(t testing.TB) string {
+// reservePort returns an address for a relay that has to be known before it listens, or reserved while it is down. Each run of the
+// tests has a loopback address for itself, reserved by its first port, and returns no port of it twice: a relay whose gossip port was
+// taken by another process meanwhile would serve without gossip.
+func reservePort(t testing.TB) string {
 	t.Helper()
-	ports.Lock()
-	defer ports.Unlock()
-	for n := os.Getpid(); ports.hold == nil; n++ {
+	loopbackPorts.Lock()
+	defer loopbackPorts.Unlock()
+	for n := os.Getpid(); loopbackPorts.hold == nil; n++ {
 		if n-os.Getpid() == 1000 {
 			t.Fatal("no address of the loopback is free")
 		}
-		ports.host = fmt.Sprintf("127.64.%d.%d", n/250%250, 1+n%250)
-		ports.hold, _ = net.Listen("tcp", fmt.Sprintf("%s:%d", ports.host, ownFirst)) // until this process ends
+		loopbackPorts.host = fmt.Sprintf("127.64.%d.%d", n/250%250, 1+n%250)
+		loopbackPorts.hold, _ = net.Listen("tcp", fmt.Sprintf("%s:%d", loopbackPorts.host, firstReservedPort)) // until this process ends
 	}
-	for ports.last++; ports.last < ownPorts; ports.last++ {
-		addr := fmt.Sprintf("%s:%d", ports.host, ownFirst+ports.last)
+	for loopbackPorts.last++; loopbackPorts.last < reservedPorts; loopbackPorts.last++ {
+		addr := fmt.Sprintf("%s:%d", loopbackPorts.host, firstReservedPort+loopbackPorts.last)
 		l, err := net.Listen("tcp", addr)
 		if err != nil {
 			continue // somebody has it at all addresses
@@ -131,12 +129,12 @@
 	return ""
 }
 
-// ---- Stand-ins ----
+// ---- Fakes ----
 
 // member is an entry of discovery's list.
 type member = fakes.Entry
 
-// discovery is the stand-in for discovery, at one address.
+// discovery is a fake discovery service at one address.
 type discovery struct {
 	*fakes.Discovery
 	addr string
@@ -149,7 +147,7 @@
 	return d
 }
 
-// open has it served at one more address.
+// open serves the list at one more address.
 func (d *discovery) open(t testing.TB) string {
 	t.Helper()
 	addr, err := d.Open("", nil)
@@ -159,7 +157,7 @@
 	return addr
 }
 
-// backend is a pool member that bears everything.
+// backend is a fake pool member with unlimited capacity.
 type backend struct {
 	*fakes.Member
 	id string
@@ -189,7 +187,7 @@
 	return all
 }
 
-// bad are the first lines that no client may send.
+// bad returns the first lines that no client may send.
 func (b *backend) bad() []string {
 	_, bad := b.FirstLines()
 	return bad
@@ -206,14 +204,14 @@
  "guarantees":{"answer-slack-ms":8,"cold-ms":8600,"cold-from":0.31,"overload-factor":2.5,"ask-within-ms":10000,"drain-grace-ms":250,"fall-ms":3000},
  "extra":{"mode":"proxy","groups":true,"message-aim-ms":[250,100]},"discovery":"subscribe"}`
 
-// relay is the program, running.
+// relay is a process of the program.
 type relay struct {
-	t    testing.TB
-	cmd  *exec.Cmd
-	log  *syncBuffer
-	done chan error
-	addr map[string]string // where each front listens
-	path string            // of its configuration
+	t          testing.TB
+	cmd        *exec.Cmd
+	log        *syncBuffer
+	done       chan error
+	addrs      map[string]string // by front
+	configPath string            // of its configuration
 }
 
 type syncBuffer struct {
@@ -233,7 +231,7 @@
 	return s.b.String()
 }
 
-// configure writes a configuration; more holds further keys.
+// configure writes a configuration with further keys.
 func configure(t testing.TB, d *discovery, more map[string]any) string {
 	t.Helper()
 	c := map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": d.addr, "seed": "8c1f30d27a5be964",
@@ -247,11 +245,11 @@
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
-	write(t, path, string(text))
+	writeFile(t, path, string(text))
 	return path
 }
 
-func write(t testing.TB, path, text string) {
+func writeFile(t testing.TB, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -260,28 +258,28 @@
 
 var serving = regexp.MustCompile(`msg=serving front=(\w+) listen="([0-9.:]+)"`)
 
-// start runs the program until it serves.
+// start starts the program and waits until it serves.
 func start(t testing.TB, config string, fronts int) *relay {
 	t.Helper()
 	r := launch(t, config)
-	r.serves(fronts)
+	r.waitServing(fronts)
 	return r
 }
 
-// launch runs the program.
+// launch starts the program.
 func launch(t testing.TB, config string) *relay {
 	t.Helper()
 	return launchProgram(t, program, config)
 }
 
-// launchProgram runs some program as the relay, with more variables in its environment.
+// launchProgram starts a program as the relay, with further environment variables.
 func launchProgram(t testing.TB, path, config string, more ...string) *relay {
 	t.Helper()
 	r := &relay{t: t, cmd: exec.Command(path, "serve", "--config", config), log: &syncBuffer{},
-		done: make(chan error, 1), addr: map[string]string{}, path: config}
+		done: make(chan error, 1), addrs: map[string]string{}, configPath: config}
 	r.cmd.Stderr = r.log
 	r.cmd.Env = append(os.Environ(), "EDGE_NAME=", "EDGE_LISTEN=", "EDGE_DISCOVERY=", "EDGE_CONFIG=", "EDGE_OPERATOR=",
-		"TMPDIR="+filepath.Dir(config)) // private, and shared by all that run with this file
+		"TMPDIR="+filepath.Dir(config)) // private, and shared by all processes with this file
 	r.cmd.Env = append(r.cmd.Env, more...)
 	if err := r.cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -296,26 +294,26 @@
 	return r
 }
 
-// serves waits until so many fronts listen.
-func (r *relay) serves(fronts int) {
+// waitServing waits until a number of fronts listen.
+func (r *relay) waitServing(fronts int) {
 	r.t.Helper()
-	until(r.t, "the relay to serve", func() bool {
+	waitFor(r.t, "the relay to serve", func() bool {
 		for _, m := range serving.FindAllStringSubmatch(r.log.String(), -1) {
-			r.addr[m[1]] = m[2]
+			r.addrs[m[1]] = m[2]
 		}
 		select {
 		case err := <-r.done:
 			r.t.Fatalf("the relay has ended: %v", err)
 		default:
 		}
-		return len(r.addr) == fronts
+		return len(r.addrs) == fronts
 	})
 }
 
-// call is an operator's call; it returns the answer's status.
+// call makes an operator's call and returns the status.
 func (r *relay) call(method, path string) int {
 	r.t.Helper()
-	q, err := http.NewRequest(method, "http://"+r.addr["operator"]+path, nil)
+	q, err := http.NewRequest(method, "http://"+r.addrs["operator"]+path, nil)
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -328,33 +326,32 @@
 	return answer.StatusCode
 }
 
-// put is a call that must be answered with yes.
-func (r *relay) put(path string) {
+// mustPut makes an operator's PUT that has to succeed.
+func (r *relay) mustPut(path string) {
 	r.t.Helper()
 	if code := r.call("PUT", path); code != 200 {
 		r.t.Fatalf("PUT %s: %d", path, code)
 	}
 }
 
-// reload puts new text in the place of parts of the configuration and sends
-// SIGHUP.
+// reload replaces texts of the configuration and sends SIGHUP.
 func (r *relay) reload(oldnew ...string) {
 	r.t.Helper()
-	text, err := os.ReadFile(r.path)
+	text, err := os.ReadFile(r.configPath)
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	write(r.t, r.path, strings.NewReplacer(oldnew...).Replace(string(text)))
+	writeFile(r.t, r.configPath, strings.NewReplacer(oldnew...).Replace(string(text)))
 	r.cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// logged waits for a text in the log.
-func (r *relay) logged(text string) {
+// waitLogged waits until the log contains a text.
+func (r *relay) waitLogged(text string) {
 	r.t.Helper()
-	until(r.t, "the log to tell: "+text, func() bool { return strings.Contains(r.log.String(), text) })
+	waitFor(r.t, "the log to tell: "+text, func() bool { return strings.Contains(r.log.String(), text) })
 }
 
-// stop sends SIGTERM and waits for a clean end.
+// stop sends SIGTERM and waits for an exit without error.
 func (r *relay) stop() {
 	r.t.Helper()
 	r.cmd.Process.Signal(syscall.SIGTERM)
@@ -373,8 +370,8 @@
 type client struct {
 	t testing.TB
 	net.Conn
-	in  *bufio.Reader
-	got string // its final answer, where that was noted
+	in          *bufio.Reader
+	finalAnswer string // where a test has recorded it
 }
 
 func (r *relay) dial() *client {
@@ -384,7 +381,7 @@
 
 func (r *relay) dialFront(front string) *client {
 	r.t.Helper()
-	c, err := net.Dial("tcp", r.addr[front])
+	c, err := net.Dial("tcp", r.addrs[front])
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -393,42 +390,42 @@
 	return &client{t: r.t, Conn: c, in: bufio.NewReader(c)}
 }
 
-// open sends a first line for request number n.
-func (r *relay) open(n int, more string) *client {
+// openFlow sends the first line of request number n.
+func (r *relay) openFlow(n int, more string) *client {
 	r.t.Helper()
 	c := r.dial()
-	c.say(fmt.Sprintf("OPEN %016x %016x c=pay-status,t=water,d=2900,g=%016x%s", n, n+1, n+2, more))
+	c.send(fmt.Sprintf("OPEN %016x %016x c=pay-status,t=water,d=2900,g=%016x%s", n, n+1, n+2, more))
 	return c
 }
 
-// hold opens so many flows.
-func (r *relay) hold(n int) (held []*client) {
+// openFlows opens flows that are accepted.
+func (r *relay) openFlows(n int) (held []*client) {
 	r.t.Helper()
 	for i := range n {
-		c := r.open(i, "")
-		c.want("UP ")
+		c := r.openFlow(i, "")
+		c.wantLine("UP ")
 		held = append(held, c)
 	}
 	return held
 }
 
-// moved wants all of them to be asked to move.
-func moved(held ...*client) {
+// wantMoved expects MOVE and the end of the connection on each flow.
+func wantMoved(held ...*client) {
 	for _, c := range held {
 		c.t.Helper()
-		c.want("MOVE")
-		c.want(io.EOF.Error())
+		c.wantLine("MOVE")
+		c.wantLine(io.EOF.Error())
 	}
 }
 
-func (c *client) say(line string) {
+func (c *client) send(line string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c, line+"\r\n"); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-// line reads a line; at the end of the connection it is the error's text.
+// line reads a line. At the end of the connection it returns the error's text.
 func (c *client) line() string {
 	line, err := c.in.ReadString('\n')
 	if err != nil {
@@ -437,8 +434,8 @@
 	return strings.TrimSuffix(line, "\r\n")
 }
 
-// want reads a line that starts so.
-func (c *client) want(prefix string) string {
+// wantLine reads a line that has to start with prefix.
+func (c *client) wantLine(prefix string) string {
 	c.t.Helper()
 	line := c.line()
 	if !strings.HasPrefix(line, prefix) {
@@ -447,13 +444,13 @@
 	return line
 }
 
-// natsDial connects to the NATS front without a library.
+// natsDial connects to the NATS front without a client library.
 func (r *relay) natsDial() *client {
 	r.t.Helper()
 	return r.dialFront("nats")
 }
 
-// run runs a sub-command to its end.
+// run runs a sub-command.
 func run(args ...string) (string, error) {
 	out, err := exec.Command(program, args...).CombinedOutput()
 	return string(out), err
--- a/integration/short_stop_test.go
+++ b/integration/short_stop_test.go
@@ -26,14 +26,14 @@
 	for _, longest := range []time.Duration{600 * time.Millisecond, time.Second, 2 * time.Second} {
 		t.Run(longest.String(), func(t *testing.T) {
 			t.Parallel()
-			s := newCrossing(t, 4, map[string]any{"settings": withDeadlines(longest, longest/2)})
+			s := newScriptedRig(t, 4, map[string]any{"settings": withDeadlines(longest, longest/2)})
 			var flows []*client
 			var hung []*client
 			for n := range 12 {
-				c := s.openFor(n, longest)
-				a := s.attempt()
-				a.up()
-				c.want("UP ")
+				c := s.openWithDeadline(n, longest)
+				a := s.nextAttempt()
+				a.accept()
+				c.wantLine("UP ")
 				if n%4 == 3 { // its member hangs in the middle of a line, for good
 					a.write("GOT ha")
 					if _, err := io.ReadFull(c.in, make([]byte, len("GOT ha"))); err != nil {
@@ -46,11 +46,11 @@
 			}
 			var held []*client
 			for n := range 4 { // of these no member says a word
-				held = append(held, s.openFor(100+n, longest))
-				s.attempt()
+				held = append(held, s.openWithDeadline(100+n, longest))
+				s.nextAttempt()
 			}
 			since := s.terminate()
-			kill := time.AfterFunc(time.Until(since.Add(longest+stopReserve)), func() { s.cmd.Process.Kill() })
+			kill := time.AfterFunc(time.Until(since.Add(longest+killMargin)), func() { s.cmd.Process.Kill() })
 			defer kill.Stop()
 			var writers sync.WaitGroup
 			for _, c := range append(append([]*client(nil), flows...), hung...) {
@@ -65,10 +65,10 @@
 			for _, signal := range []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGINT} {
 				s.cmd.Process.Signal(signal)
 			}
-			late := s.openFor(200, longest)
-			late.want("BUSY")
+			late := s.openWithDeadline(200, longest)
+			late.wantLine("BUSY")
 			for _, c := range flows {
-				c.want("MOVE")
+				c.wantLine("MOVE")
 			}
 			for _, c := range held {
 				if answer := c.line(); !strings.HasPrefix(answer, "BUSY") && answer != "ERR" {
@@ -80,14 +80,14 @@
 					t.Errorf("amid a line came %q", line)
 				}
 			}
-			s.ends()
+			s.waitExit()
 			took := time.Since(since)
 			t.Logf("gone %v after SIGTERM", took.Round(time.Millisecond))
 			writers.Wait()
-			if took > longest+stopReserve {
-				t.Errorf("the process ended %v after SIGTERM, killed after %v", took, longest+stopReserve)
+			if took > longest+killMargin {
+				t.Errorf("the process ended %v after SIGTERM, killed after %v", took, longest+killMargin)
 			}
-			s.checkTries()
+			s.checkAttempts()
 		})
 	}
 }
--- a/integration/syscalls_test.go
+++ b/integration/syscalls_test.go
@@ -40,44 +40,44 @@
 				all, list = append(all, b), append(list, b.member())
 			}
 			d := newDiscovery(t, list...)
-			r := newTroubled(t, configure(t, d, nil), 1, 0)
-			until(t, "the first watch", func() bool { return d.Calls() > 1 })
+			r := newFaultyRelay(t, configure(t, d, nil), 1, 0)
+			waitFor(t, "the first watch", func() bool { return d.Calls() > 1 })
 			held := r.descriptors()
-			flows := r.hold(before)
-			r.trouble(0, plan...)
+			flows := r.openFlows(before)
+			r.setFaults(0, plan...)
 			asked := time.Now()
 			var amidst []*client
 			for n := range amid {
-				amidst = append(amidst, r.open(100+n, ""))
+				amidst = append(amidst, r.openFlow(100+n, ""))
 			}
 			if what == "accept never" || what == "no way" { // nothing of it goes by itself
 				time.Sleep(drainGrace)
 			} else {
 				for _, c := range amidst[:amid/2] {
-					c.answered(asked)
+					c.wantAnswerInTime(asked)
 				}
 			}
-			r.trouble(0)
+			r.setFaults(0)
 			for _, c := range amidst {
-				c.answered(asked)
+				c.wantAnswerInTime(asked)
 			}
 			for _, c := range amidst {
 				c.Close()
 			}
-			until(t, "room at the members", func() bool {
+			waitFor(t, "room at the members", func() bool {
 				held := 0
 				for _, b := range all {
 					held += b.OpenFlows()
 				}
 				return held == before
 			})
-			sent := attempts(all)
+			sent := firstLineCount(all)
 			for n := range after {
-				c := r.open(200+n, "")
-				c.want("UP ")
+				c := r.openFlow(200+n, "")
+				c.wantLine("UP ")
 				flows = append(flows, c)
 			}
-			if more := attempts(all) - sent; more != after {
+			if more := firstLineCount(all) - sent; more != after {
 				t.Errorf("%d attempts for %d requests after the trouble", more, after)
 			}
 			for _, b := range all {
@@ -86,12 +86,12 @@
 				}
 			}
 			for _, c := range flows {
-				c.say("still here")
-				c.want("LOAD ")
-				c.want("GOT 1 still here")
+				c.send("still here")
+				c.wantLine("LOAD ")
+				c.wantLine("GOT 1 still here")
 				c.Close()
 			}
-			r.settled(held)
+			r.waitDescriptorsReleased(held)
 			for _, broken := range tries.Violations() {
 				t.Error(broken)
 			}
@@ -99,28 +99,28 @@
 	}
 }
 
-// answered wants one final answer, in time; of a request that was answered already it wants nothing more.
-func (c *client) answered(asked time.Time) {
+// wantAnswerInTime wants one final answer, in time; of a request that was answered already it wants nothing more.
+func (c *client) wantAnswerInTime(asked time.Time) {
 	c.t.Helper()
-	if c.got != "" {
+	if c.finalAnswer != "" {
 		return
 	}
-	c.got = c.line()
+	c.finalAnswer = c.line()
 	took := time.Since(asked)
-	switch word, _, _ := strings.Cut(c.got, " "); word {
+	switch word, _, _ := strings.Cut(c.finalAnswer, " "); word {
 	case "UP":
 	case "BUSY", "ERR":
-		c.want(io.EOF.Error())
+		c.wantLine(io.EOF.Error())
 	default:
-		c.t.Errorf("answered %q", c.got)
+		c.t.Errorf("answered %q", c.finalAnswer)
 	}
-	if most := 2900*time.Millisecond + answerLate; took > most {
-		c.t.Errorf("%q after %v", c.got, took)
+	if most := 2900*time.Millisecond + lostAnswerDelay; took > most {
+		c.t.Errorf("%q after %v", c.finalAnswer, took)
 	}
 }
 
-// attempts is how many first lines have come to all of them.
-func attempts(all []*backend) (n int) {
+// firstLineCount is how many first lines have come to all of them.
+func firstLineCount(all []*backend) (n int) {
 	for _, b := range all {
 		n += len(b.firstLines())
 	}
--- a/integration/upgrade_test.go
+++ b/integration/upgrade_test.go
@@ -11,16 +11,16 @@
 	"time"
 )
 
-// successor starts a second process beside the first, and waits until it says yes.
-func (r *relay) successor(fronts int) *relay {
+// startSuccessor starts a second process beside the first, and waits until it says yes.
+func (r *relay) startSuccessor(fronts int) *relay {
 	r.t.Helper()
-	next := start(r.t, r.path, fronts)
-	until(r.t, "the successor's yes", func() bool { return next.call("GET", "/-/ready") == 200 })
-	r.logged("a successor serves")
+	next := start(r.t, r.configPath, fronts)
+	waitFor(r.t, "the successor's yes", func() bool { return next.call("GET", "/-/ready") == 200 })
+	r.waitLogged("a successor serves")
 	return next
 }
 
-func (r *relay) ends() {
+func (r *relay) waitExit() {
 	r.t.Helper()
 	select {
 	case err := <-r.done:
@@ -37,83 +37,83 @@
 // open flows stay, through two upgrades, an id that is open at the first is refused at the second,
 // and the first alone ends.
 func TestUpgrade(t *testing.T) {
-	s := operated(t, 3, nil)
-	held := s.hold(6)
+	s := newOperatedRig(t, 3, nil)
+	held := s.openFlows(6)
 	quiet, half, front := s.dial(), s.dial(), s.dial()
 	fmt.Fprint(half, "OPEN 00000000000000aa 00000000000000bb c=pay-sta")
-	front.say("PING")
-	front.want("PONG")
-	next := s.successor(2)
-	if next.addr["line"] != s.addr["line"] {
-		t.Fatalf("serves at %s beside %s", next.addr["line"], s.addr["line"])
+	front.send("PING")
+	front.wantLine("PONG")
+	next := s.startSuccessor(2)
+	if next.addrs["line"] != s.addrs["line"] {
+		t.Fatalf("serves at %s beside %s", next.addrs["line"], s.addrs["line"])
 	}
-	until(t, "the open ids", func() bool { return next.open(3, "").line() == "ERR" })
+	waitFor(t, "the open ids", func() bool { return next.openFlow(3, "").line() == "ERR" })
 	s.cmd.Process.Signal(syscall.SIGTERM)
 	fmt.Fprint(half, "tus,t=water,d=2000\r\n")
-	half.want("UP ")
-	quiet.say("OPEN 00000000000000ab 00000000000000bb c=pay-status,t=water,d=2000")
-	quiet.want("UP ")
-	front.say("PING")
-	front.want("PONG")
+	half.wantLine("UP ")
+	quiet.send("OPEN 00000000000000ab 00000000000000bb c=pay-status,t=water,d=2000")
+	quiet.wantLine("UP ")
+	front.send("PING")
+	front.wantLine("PONG")
 	for n := range 20 {
-		next.open(100+n, "").want("UP ")
+		next.openFlow(100+n, "").wantLine("UP ")
 	}
-	s.ends()
-	next.logged("the other process is gone")
-	next.open(3, "").want("ERR") // that flow has passed over
+	s.waitExit()
+	next.waitLogged("the other process is gone")
+	next.openFlow(3, "").wantLine("ERR") // that flow has passed over
 	all := append(held, quiet, half)
 	speak := func(n int) {
 		t.Helper()
 		for _, c := range all {
-			c.say("still here")
-			c.want("LOAD ")
-			c.want(fmt.Sprintf("GOT %d still here", n))
+			c.send("still here")
+			c.wantLine("LOAD ")
+			c.wantLine(fmt.Sprintf("GOT %d still here", n))
 		}
 	}
 	speak(1)
-	third := next.successor(2)
+	third := next.startSuccessor(2)
 	next.cmd.Process.Signal(syscall.SIGTERM)
-	next.ends()
+	next.waitExit()
 	speak(2)
-	third.open(200, "").want("UP ")
-	held[0].say("END")
-	held[0].want("BYE")
-	held[0].want(io.EOF.Error())
-	checkTries(t, s.tries)
+	third.openFlow(200, "").wantLine("UP ")
+	held[0].send("END")
+	held[0].wantLine("BYE")
+	held[0].wantLine(io.EOF.Error())
+	checkAttemptCounter(t, s.tries)
 	third.cmd.Process.Signal(syscall.SIGTERM)
-	moved(all[1:]...)
-	third.ends()
+	wantMoved(all[1:]...)
+	third.waitExit()
 }
 
 // TestUpgradeBans: a ban holds over an upgrade, and while there are two processes the
 // word given to either counts for both.
 func TestUpgradeBans(t *testing.T) {
-	s := operated(t, 3, nil)
+	s := newOperatedRig(t, 3, nil)
 	first, second := s.backends[0], s.backends[1]
-	s.put("/-/backends/" + first.id + "/disable")
-	next := s.successor(2)
-	next.put("/-/backends/" + second.id + "/disable")
+	s.mustPut("/-/backends/" + first.id + "/disable")
+	next := s.startSuccessor(2)
+	next.mustPut("/-/backends/" + second.id + "/disable")
 	n := 100
 	quiet := func(b *backend) {
 		t.Helper()
 		for range 15 {
 			n++
-			c := next.open(n, "")
-			if s.holder(c.want("UP ")) == b {
+			c := next.openFlow(n, "")
+			if s.memberOfFlow(c.wantLine("UP ")) == b {
 				t.Errorf("sent to %s, which was taken out", b.id)
 			}
-			c.say("END") // the members that are left have little room
-			c.want("BYE")
+			c.send("END") // the members that are left have little room
+			c.wantLine("BYE")
 		}
 	}
 	quiet(first)
 	quiet(second)
-	s.put("/-/backends/" + second.id + "/enable")
+	s.mustPut("/-/backends/" + second.id + "/enable")
 	s.cmd.Process.Signal(syscall.SIGTERM)
-	s.ends()
-	until(t, "the member to be used again", func() bool {
+	s.waitExit()
+	waitFor(t, "the member to be used again", func() bool {
 		n++
-		return s.holder(next.open(n, "").want("UP ")) == second
+		return s.memberOfFlow(next.openFlow(n, "").wantLine("UP ")) == second
 	})
 	quiet(first)
 	next.stop()
@@ -123,39 +123,39 @@
 // told to stop, leaves everything to the first. Guards against a relay that stands
 // still with its listeners held.
 func TestUpgradeFails(t *testing.T) {
-	s := operated(t, 2, nil)
-	c := s.open(1, "")
-	c.want("UP ")
-	bad := filepath.Join(filepath.Dir(s.path), "bad.json")
-	write(t, bad, `{"name":"n0"}`)
+	s := newOperatedRig(t, 2, nil)
+	c := s.openFlow(1, "")
+	c.wantLine("UP ")
+	bad := filepath.Join(filepath.Dir(s.configPath), "bad.json")
+	writeFile(t, bad, `{"name":"n0"}`)
 	if out, err := run("serve", "--config", bad); err == nil {
 		t.Errorf("it serves: %s", out)
 	}
 	for n, end := range []syscall.Signal{syscall.SIGKILL, syscall.SIGTERM} {
-		next := s.successor(2)
-		next.open(10+n, "").want("UP ")
+		next := s.startSuccessor(2)
+		next.openFlow(10+n, "").wantLine("UP ")
 		next.cmd.Process.Signal(end)
 		<-next.done
-		s.open(20+n, "").want("UP ")
+		s.openFlow(20+n, "").wantLine("UP ")
 	}
-	c.say("still here")
-	c.want("LOAD ")
-	c.want("GOT 1 still here")
-	next := s.successor(2)
+	c.send("still here")
+	c.wantLine("LOAD ")
+	c.wantLine("GOT 1 still here")
+	next := s.startSuccessor(2)
 	s.cmd.Process.Signal(syscall.SIGTERM)
-	s.ends()
+	s.waitExit()
 	next.stop()
 }
 
 // TestUpgradeDrain: a drain and its end reach both processes.
 func TestUpgradeDrain(t *testing.T) {
-	s := operated(t, 2, nil)
-	next := s.successor(2)
+	s := newOperatedRig(t, 2, nil)
+	next := s.startSuccessor(2)
 	front := next.dial()
-	s.put("/-/drain")
-	until(t, "the no", func() bool { front.say("PING"); return front.line() == "ERR" })
-	s.put("/-/resume")
-	until(t, "the yes", func() bool { front.say("PING"); return front.line() == "PONG" })
+	s.mustPut("/-/drain")
+	waitFor(t, "the no", func() bool { front.send("PING"); return front.line() == "ERR" })
+	s.mustPut("/-/resume")
+	waitFor(t, "the yes", func() bool { front.send("PING"); return front.line() == "PONG" })
 	next.stop()
 	s.stop()
 }
@@ -165,13 +165,13 @@
 // queue which nobody may take them from.
 func TestUpgradeBudget(t *testing.T) {
 	const sockets = 160
-	s := operated(t, 2, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": sockets}})
+	s := newOperatedRig(t, 2, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": sockets}})
 	for n := range 20 {
-		s.open(n, "").want("UP ")
+		s.openFlow(n, "").wantLine("UP ")
 	}
-	next := s.successor(2)
+	next := s.startSuccessor(2)
 	for n := range 60 {
-		answer := next.open(100+n, "").line()
+		answer := next.openFlow(100+n, "").line()
 		if !strings.HasPrefix(answer, "UP ") && !strings.HasPrefix(answer, "BUSY ") {
 			t.Fatalf("answer %q", answer)
 		}
@@ -187,11 +187,11 @@
 		t.Errorf("%d descriptors of %d", both, sockets)
 	}
 	s.cmd.Process.Signal(syscall.SIGTERM)
-	s.ends()
+	s.waitExit()
 	n := 300
-	until(t, "the first one's room", func() bool {
+	waitFor(t, "the first one's room", func() bool {
 		n++
-		return strings.HasPrefix(next.open(n, "").line(), "UP ")
+		return strings.HasPrefix(next.openFlow(n, "").line(), "UP ")
 	})
 	next.stop()
 }
@@ -199,18 +199,18 @@
 // TestUpgradeStore: two processes write to one SQLite file, and neither rejects for
 // it.
 func TestUpgradeStore(t *testing.T) {
-	s := operated(t, 2, map[string]any{"store": map[string]any{"driver": "sqlite",
+	s := newOperatedRig(t, 2, map[string]any{"store": map[string]any{"driver": "sqlite",
 		"dsn": filepath.Join(t.TempDir(), "record.db")}})
-	next := s.successor(2)
+	next := s.startSuccessor(2)
 	for n := range 10 {
-		c := next.open(n, "")
-		c.want("UP ")
-		c.say("END")
-		c.want("BYE")
+		c := next.openFlow(n, "")
+		c.wantLine("UP ")
+		c.send("END")
+		c.wantLine("BYE")
 	}
 	s.cmd.Process.Signal(syscall.SIGTERM)
-	s.ends()
-	next.open(100, "").want("UP ")
+	s.waitExit()
+	next.openFlow(100, "").wantLine("UP ")
 	if log := s.log.String() + next.log.String(); strings.Contains(log, "the store fails") {
 		t.Error("the store failed")
 	}
--- a/integration/wall_clock_test.go
+++ b/integration/wall_clock_test.go
@@ -14,9 +14,9 @@
 	"time"
 )
 
-// troubled is a relay that runs in trouble: its wall clock is stepped and its system calls fail as the test says. It is
+// faultyRelay is a relay that runs in trouble: its wall clock is stepped and its system calls fail as the test says. It is
 // the test program of cmd/dahliarudder, which starts itself as the relay; the built program has no switch for that.
-type troubled struct {
+type faultyRelay struct {
 	*relay
 	file   string
 	number int
@@ -41,21 +41,21 @@
 	return path, err
 })
 
-// newTroubled starts one, in no trouble yet but for a clock that is wrong by step.
-func newTroubled(t testing.TB, config string, fronts int, step time.Duration) *troubled {
+// newFaultyRelay starts one, in no trouble yet but for a clock that is wrong by step.
+func newFaultyRelay(t testing.TB, config string, fronts int, step time.Duration) *faultyRelay {
 	t.Helper()
 	path, err := troubledProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &troubled{file: filepath.Join(t.TempDir(), "trouble")}
-	r.write(t, step)
+	r := &faultyRelay{file: filepath.Join(t.TempDir(), "trouble")}
+	r.writeFaults(t, step)
 	r.relay = launchProgram(t, path, config, "RELAY_TROUBLE="+r.file)
-	r.serves(fronts)
+	r.waitServing(fronts)
 	return r
 }
 
-func (r *troubled) write(t testing.TB, step time.Duration, plan ...failing) {
+func (r *faultyRelay) writeFaults(t testing.TB, step time.Duration, plan ...failing) {
 	t.Helper()
 	r.number++
 	text, err := json.Marshal(map[string]any{"number": r.number, "step_ms": step.Milliseconds(), "failing": plan})
@@ -70,11 +70,11 @@
 	}
 }
 
-// trouble has the relay's clock be wrong by step, and its calls fail by the plan, from its return on.
-func (r *troubled) trouble(step time.Duration, plan ...failing) {
+// setFaults has the relay's clock be wrong by step, and its calls fail by the plan, from its return on.
+func (r *faultyRelay) setFaults(step time.Duration, plan ...failing) {
 	r.t.Helper()
-	r.write(r.t, step, plan...)
-	r.logged(fmt.Sprintf("trouble %d begins", r.number))
+	r.writeFaults(r.t, step, plan...)
+	r.waitLogged(fmt.Sprintf("trouble %d begins", r.number))
 }
 
 // TestStateWallStepped: a relay that comes back after a step of its wall clock takes its state for as old as it really is.
@@ -87,20 +87,20 @@
 			d := newDiscovery(t, b.member())
 			dir := filepath.Join(t.TempDir(), "state")
 			config := configure(t, d, map[string]any{"operator": "127.0.0.1:0", "state": map[string]any{"dir": dir, "every_ms": 1000}})
-			first := newTroubled(t, config, 2, 0)
-			first.open(1, "").want("UP ")
+			first := newFaultyRelay(t, config, 2, 0)
+			first.openFlow(1, "").wantLine("UP ")
 			snapshot := filepath.Join(dir, "snapshot")
-			until(t, "a snapshot", func() bool { _, err := os.Stat(snapshot); return err == nil })
+			waitFor(t, "a snapshot", func() bool { _, err := os.Stat(snapshot); return err == nil })
 			first.cmd.Process.Signal(syscall.SIGKILL)
 			<-first.done
 			written, err := os.Stat(snapshot)
 			if err != nil {
 				t.Fatal(err)
 			}
-			least := time.Since(written.ModTime()) - timeSlack
-			next := newTroubled(t, config, 2, step)
+			least := time.Since(written.ModTime()) - socketTolerance
+			next := newFaultyRelay(t, config, 2, step)
 			most := time.Since(written.ModTime()) + time.Second // which it may have taken from its making to the disk
-			answer, err := http.Get("http://" + next.addr["operator"] + "/-/recovery")
+			answer, err := http.Get("http://" + next.addrs["operator"] + "/-/recovery")
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/scenario/judge_attempts.go
+++ b/internal/scenario/judge_attempts.go
@@ -63,7 +63,7 @@
 	if r.clientLeft > 0 && at > r.clientLeft+maxAfterClientGone+j.tolerance() {
 		j.violate(at, SentForGoneClient, r.relay, "%s: %v after", id, at-r.clientLeft)
 	}
-	outsideWindow := r.effect.Kind == IdempotencyKeyed && at > r.mayHaveRun+r.effect.Window+j.tolerance()
+	outsideWindow := r.effect.Kind == IdempotencyKey && at > r.mayHaveRun+r.effect.Window+j.tolerance()
 	if r.mayHaveRun > 0 && (r.effect.Kind == NonIdempotent || outsideWindow) {
 		j.violate(at, DisallowedRepeat, r.relay, "%s: %v after the first attempt", id, at-r.mayHaveRun)
 	}
--- a/internal/scenario/judge_test.go
+++ b/internal/scenario/judge_test.go
@@ -46,7 +46,7 @@
 // TestJudgeEffects: what may be run again, refused, or sent for a client that has gone, at the limits and beyond.
 func TestJudgeEffects(t *testing.T) {
 	const ms = time.Millisecond
-	window := Effect{Kind: IdempotencyKeyed, Window: 500 * ms}
+	window := Effect{Kind: IdempotencyKey, Window: 500 * ms}
 	for what, c := range map[string]struct {
 		effect Effect
 		play   func(j *Judge)
--- a/internal/scenario/rules.go
+++ b/internal/scenario/rules.go
@@ -71,7 +71,7 @@
 // Effect is what a class of requests allows.
 type Effect struct {
 	Kind   EffectKind
-	Window time.Duration // of IdempotencyKeyed
+	Window time.Duration // of IdempotencyKey
 }
 
 // EffectKind says when a request may be repeated.
@@ -80,6 +80,6 @@
 // The kinds of effects.
 const (
 	Idempotent       EffectKind = iota // at any time
-	IdempotencyKeyed                   // within the window of its idempotency key
+	IdempotencyKey                   // within the window of its idempotency key
 	NonIdempotent                      // never
 )
--- a/internal/scenariorunner/session.go
+++ b/internal/scenariorunner/session.go
@@ -111,7 +111,7 @@
 	case policy.NonIdempotent:
 		return scenario.Effect{Kind: scenario.NonIdempotent}
 	case policy.IdempotencyKey:
-		return scenario.Effect{Kind: scenario.IdempotencyKeyed, Window: class.DedupWindow}
+		return scenario.Effect{Kind: scenario.IdempotencyKey, Window: class.DedupWindow}
 	}
 	return scenario.Effect{}
 }
