--- a/internal/netloop/tls_test.go
+++ b/internal/netloop/tls_test.go
@@ -1,6 +1,7 @@
 package netloop_test
 
 import (
+	"bytes"
 	"crypto/ecdsa"
 	"crypto/elliptic"
 	"crypto/rand"
@@ -10,6 +11,7 @@
 	"io"
 	"math/big"
 	random "math/rand/v2"
+	"runtime"
 	"strings"
 	"testing"
 	"time"
@@ -18,7 +20,7 @@
 	"dahliarudder/internal/netloop/looptest"
 )
 
-// certificate is one for a test, which nobody checks.
+// certificate is a certificate for tests, which nobody verifies.
 func certificate(t *testing.T) *tls.Config {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -33,7 +35,7 @@
 	return &tls.Config{Certificates: []tls.Certificate{{Certificate: [][]byte{der}, PrivateKey: key}}, InsecureSkipVerify: true}
 }
 
-// talker is the far end of a TLS connection, in goroutines of its own.
+// talker is the peer of a TLS connection, in goroutines of its own.
 type talker struct {
 	*tls.Conn
 	got chan []byte // all that came, once it has ended
@@ -50,9 +52,9 @@
 	}()
 }
 
-// TestSecure: bytes pass both ways in pieces of any size, by both versions, with the handshake to
-// either side, and a polite end is one on both.
-func TestSecure(t *testing.T) {
+// TestTLS: bytes pass both ways in pieces of any size, by both versions, as client and as server, and an
+// orderly end is one on both sides.
+func TestTLS(t *testing.T) {
 	for _, version := range []uint16{tls.VersionTLS12, tls.VersionTLS13} {
 		for _, client := range []bool{false, true} {
 			b := looptest.New(t, 32)
@@ -121,9 +123,9 @@
 	}
 }
 
-// TestSecureFails: what is no handshake, one that does not come, and one too many end the connection
-// with a word to the handler, and their goroutines.
-func TestSecureFails(t *testing.T) {
+// TestTLSFails: bytes that are no handshake, one that does not come, and one too many end the connection with a notification of the
+// handler, and their goroutines.
+func TestTLSFails(t *testing.T) {
 	b := looptest.New(t, 16)
 	cfg := certificate(t)
 	start := func() (*end, *looptest.Peer) {
@@ -138,7 +140,7 @@
 	p.CloseWrite()
 	b.WaitFor("its end", func() bool { return len(e.over) > 0 })
 
-	// On a loop of its own: who ended above may have a goroutine, and so a place, for a while yet.
+	// On a loop of its own: those that ended above may count as handshakes for a while yet.
 	b = looptest.New(t, 512)
 	var slow []*end
 	for range 64 {
@@ -156,7 +158,7 @@
 			t.Fatalf("a slow handshake ends with %v", e.over)
 		}
 	}
-	b.WaitFor("room for others", func() bool {
+	b.WaitFor("a handshake for others", func() bool {
 		e, p := pair(b)
 		up := false
 		e.c.StartTLS(cfg, false, looptest.Timeout, func(tls.ConnectionState) { up = true })
@@ -169,3 +171,18 @@
 		return up
 	})
 }
+
+// TestCloseEndsHandshakes: when a loop is closed, no goroutine of a handshake is left, also of one whose peer sends nothing.
+func TestCloseEndsHandshakes(t *testing.T) {
+	b := looptest.New(t, 16)
+	cfg := certificate(t)
+	for range 3 {
+		e, _ := pair(b)
+		e.c.StartTLS(cfg, false, time.Minute, func(tls.ConnectionState) { t.Error("a handshake succeeded") })
+	}
+	b.Close()
+	stacks := make([]byte, 1<<20)
+	if stacks = stacks[:runtime.Stack(stacks, true)]; bytes.Contains(stacks, []byte("tls.(*Conn).Handshake")) {
+		t.Errorf("a handshake goes on:\n%s", stacks)
+	}
+}
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -51,7 +51,7 @@
 	b.lendingThresholds[r.Tenant] = min(max(b.lendingThresholds[r.Tenant]+by, lendMin), 1)
 }
 
-// overQuota says whether a tenant holds more than this proxy's part of its quota, with an allowance for
+// overQuota reports whether a tenant holds more than this proxy's part of its quota, with an allowance for
 // chance.
 func (b *Balancer) overQuota(t int) bool {
 	part := b.cfg.Tenants[t].Quota / b.servingRelays()
@@ -67,11 +67,11 @@
 			connections, reporting = connections+s.report.Connections, reporting+1
 		}
 	}
-	most := float64(b.cfg.Balancers)
+	all := float64(b.cfg.Balancers)
 	if reporting == 0 || b.ownFlows == 0 {
-		return most
+		return all
 	}
-	return min(max(connections/reporting*float64(len(b.servers))/b.ownFlows, 1), most)
+	return min(max(connections/reporting*float64(len(b.servers))/b.ownFlows, 1), all)
 }
 
 // reportLag is how old the reports that this proxy has may be: two refresh intervals, each taken for about
