--- a/internal/scenario/rules.go
+++ b/internal/scenario/rules.go
@@ -79,7 +79,7 @@
 
 // The kinds of effects.
 const (
-	Idempotent       EffectKind = iota // at any time
+	Idempotent     EffectKind = iota // at any time
 	IdempotencyKey                   // within the window of its idempotency key
-	NonIdempotent                      // never
+	NonIdempotent                    // never
 )
