--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,6 +1,5 @@
-// Package operator serves the relay's second address: the calls by which operators
-// ask whether it is ready, take members out, and empty it. One call a connection,
-// HTTP/1.1. It decides nothing. See docs/design.md, "The operators' address".
+// Package operator serves the operators' address of the relay: HTTP/1.1 calls that query its readiness, eject and restore members, and
+// drain it. Each connection carries one call. It decides nothing. See docs/design.md, "The operators' address".
 package operator
 
 import (
@@ -17,43 +16,44 @@
 )
 
 const (
-	// MaxCallers is how many connections have room at once.
+	// MaxCallers bounds the connections that are open at once.
 	MaxCallers = 12
-	// callTimeout is how long a caller may take to send its call.
+	// callTimeout is how long a caller has to send its request.
 	callTimeout = 5 * time.Second
 )
 
-// Relay is what calls are handed to.
+// Relay is what the calls act on. Its methods are called on the loop.
 type Relay interface {
-	// Ready says whether this process can serve.
+	// Ready reports whether this process can serve clients.
 	Ready() bool
-	// Known says whether there is such a member.
+	// Known reports whether there is a member of that name.
 	Known(member string) bool
-	// SetEjected takes a member out, or puts it back, and then calls done, once, from the
-	// loop.
-	SetEjected(member string, out bool, done func(error))
+	// SetEjected ejects a member or restores it, and then calls done once, on the loop.
+	SetEjected(member string, ejected bool, done func(error))
+	// Drain drains the relay until Resume.
 	Drain()
+	// Resume ends a drain.
 	Resume()
-	// Peers is what is known of the other relays, as JSON; empty if this one knows of none.
+	// Peers is the gossip state as JSON; empty where gossip is off.
 	Peers() string
-	// Recovery is what this relay came back with; empty where no state is kept.
+	// Recovery is the recovery report as JSON; empty where no state directory is configured.
 	Recovery() string
 }
 
-// Front serves the second address.
+// Front serves the operators' address.
 type Front struct {
 	Loop  *netloop.Loop
 	Relay Relay
 	Log   logrus.FieldLogger
 }
 
-// Accept serves a caller.
+// Accept serves a connection of an operator.
 func (f *Front) Accept(conn *netloop.Conn) {
 	c := &caller{front: f, conn: conn}
 	c.parser.Request = true
-	late := func() { c.answer(http.StatusRequestTimeout, "no whole call came") }
-	c.timer = f.Loop.After(callTimeout, late)
-	conn.SetEvictable(late)
+	timedOut := func() { c.answer(http.StatusRequestTimeout, "no whole call came") }
+	c.timer = f.Loop.After(callTimeout, timedOut)
+	conn.SetEvictable(timedOut)
 	conn.SetHandler(c)
 }
 
@@ -66,13 +66,13 @@
 	called bool
 }
 
-// Open is told by the loop.
+// Open implements netloop.Handler.
 func (c *caller) Open() {}
 
-// Drained is told by the loop.
+// Drained implements netloop.Handler.
 func (c *caller) Drained() {}
 
-// Data is told by the loop.
+// Data implements netloop.Handler.
 func (c *caller) Data(b []byte) int {
 	if c.called {
 		return len(b)
@@ -89,7 +89,7 @@
 	return used
 }
 
-// End is told by the loop. A caller that has ended its sending may still wait for
+// End implements netloop.Handler. A caller that has closed its sending side may still wait for
 // its answer.
 func (c *caller) End(error) {
 	if !c.called {
@@ -97,7 +97,7 @@
 	}
 }
 
-// The calls and their methods.
+// The paths of the calls.
 const (
 	pathReady    = "/-/ready"
 	pathDrain    = "/-/drain"
@@ -107,66 +107,81 @@
 	pathBackends = "/-/backends/"
 )
 
+// route is one call: its method, and what it does.
+type route struct {
+	method string
+	handle func(c *caller)
+}
+
+var routes = map[string]route{
+	pathReady:    {http.MethodGet, (*caller).ready},
+	pathPeers:    {http.MethodGet, (*caller).peers},
+	pathRecovery: {http.MethodGet, (*caller).recovery},
+	pathDrain:    {http.MethodPut, func(c *caller) { c.front.Relay.Drain(); c.answer(http.StatusOK, "draining") }},
+	pathResume:   {http.MethodPut, func(c *caller) { c.front.Relay.Resume(); c.answer(http.StatusOK, "serving") }},
+}
+
 func (c *caller) dispatch(method, target string) {
 	path, _, _ := strings.Cut(target, "?")
-	want := http.MethodPut
-	var do func()
-	switch path {
-	case pathReady:
-		want, do = http.MethodGet, func() {
-			if c.front.Relay.Ready() {
-				c.answer(http.StatusOK, "ready")
-			} else {
-				c.answer(http.StatusServiceUnavailable, "not ready")
-			}
-		}
-	case pathPeers:
-		want, do = http.MethodGet, func() {
-			if text := c.front.Relay.Peers(); text != "" {
-				c.answer(http.StatusOK, text)
-			} else {
-				c.answer(http.StatusNotFound, "peers are not set up")
-			}
-		}
-	case pathRecovery:
-		want, do = http.MethodGet, func() {
-			if text := c.front.Relay.Recovery(); text != "" {
-				c.answer(http.StatusOK, text)
-			} else {
-				c.answer(http.StatusNotFound, "no state is kept")
-			}
-		}
-	case pathDrain:
-		do = func() { c.front.Relay.Drain(); c.answer(http.StatusOK, "draining") }
-	case pathResume:
-		do = func() { c.front.Relay.Resume(); c.answer(http.StatusOK, "serving") }
-	default:
-		id, verb, ok := strings.Cut(strings.TrimPrefix(path, pathBackends), "/")
-		id, err := url.PathUnescape(id)
-		if !strings.HasPrefix(path, pathBackends) || !ok || err != nil || id == "" || verb != "disable" && verb != "enable" {
+	r, ok := routes[path]
+	if !ok {
+		member, ejected, valid := parseBackendCall(path)
+		if !valid {
 			c.answer(http.StatusNotFound, "no such call")
 			return
 		}
-		do = func() { c.setEjected(id, verb == "disable") }
+		r = route{http.MethodPut, func(c *caller) { c.setEjected(member, ejected) }}
 	}
-	if method != want {
-		c.answer(http.StatusMethodNotAllowed, "use "+want)
+	if method != r.method {
+		c.answer(http.StatusMethodNotAllowed, "use "+r.method)
+		return
+	}
+	r.handle(c)
+}
+
+// parseBackendCall parses the path of a call that disables or enables a member.
+func parseBackendCall(path string) (member string, disable, valid bool) {
+	rest, isBackend := strings.CutPrefix(path, pathBackends)
+	id, verb, ok := strings.Cut(rest, "/")
+	member, err := url.PathUnescape(id)
+	if !isBackend || !ok || err != nil || member == "" || verb != "disable" && verb != "enable" {
+		return "", false, false
+	}
+	return member, verb == "disable", true
+}
+
+func (c *caller) ready() {
+	if c.front.Relay.Ready() {
+		c.answer(http.StatusOK, "ready")
+	} else {
+		c.answer(http.StatusServiceUnavailable, "not ready")
+	}
+}
+
+func (c *caller) peers() { c.answerIfSet(c.front.Relay.Peers(), "peers are not set up") }
+
+func (c *caller) recovery() { c.answerIfSet(c.front.Relay.Recovery(), "no state is kept") }
+
+// answerIfSet answers with a text, and with 404 and the reason if it is empty.
+func (c *caller) answerIfSet(text, otherwise string) {
+	if text == "" {
+		c.answer(http.StatusNotFound, otherwise)
 		return
 	}
-	do()
+	c.answer(http.StatusOK, text)
 }
 
-func (c *caller) setEjected(member string, out bool) {
+func (c *caller) setEjected(member string, ejected bool) {
 	if !c.front.Relay.Known(member) {
 		c.answer(http.StatusNotFound, "no such backend")
 		return
 	}
-	c.front.Relay.SetEjected(member, out, func(err error) {
+	c.front.Relay.SetEjected(member, ejected, func(err error) {
 		switch {
 		case err != nil:
 			c.front.Log.WithError(err).WithField("member", member).Error("an operator's call failed")
 			c.answer(http.StatusInternalServerError, "could not be kept")
-		case out:
+		case ejected:
 			c.answer(http.StatusOK, "disabled")
 		default:
 			c.answer(http.StatusOK, "enabled")
@@ -174,7 +189,7 @@
 	})
 }
 
-// answer is the one end of a caller.
+// answer responds to the call and closes the connection.
 func (c *caller) answer(status int, text string) {
 	c.called = true
 	c.timer.Stop()
