--- a/internal/consensus/api.go
+++ b/internal/consensus/api.go
@@ -13,12 +13,17 @@
 	"dahliarudder/internal/gossip"
 )
 
-// Errors of Propose, Barrier and Replace. The end of the caller's context counts as ErrOutcomeUnknown once a request was sent.
+// Errors of Propose, Barrier and Replace that tell the outcome. The end of the caller's context counts as ErrOutcomeUnknown once a
+// request was sent.
 var (
 	// ErrNoQuorum says that nothing was committed, and nothing will be by this call. The call may be retried.
 	ErrNoQuorum = errors.New("no majority: nothing was agreed")
 	// ErrOutcomeUnknown says that the command may have been committed, or may still be. Only the record itself can tell.
 	ErrOutcomeUnknown = errors.New("in doubt: it may have been agreed")
+)
+
+// Errors of Propose, Barrier and Replace for calls that were not sent.
+var (
 	// ErrQueueFull says that a queue is full; nothing was committed by this call.
 	ErrQueueFull = errors.New("full: nothing was agreed")
 	// ErrClosed says that the node is closed.
--- a/internal/consensus/client.go
+++ b/internal/consensus/client.go
@@ -12,6 +12,8 @@
 	"net/http/httptrace"
 	"sync"
 	"time"
+
+	"dahliarudder/internal/gossip"
 )
 
 const (
@@ -119,7 +121,7 @@
 		}
 		b, err = verifyAnswer(c.node.options.Keys[0], resp.tag, 0, b)
 		if err != nil || len(b) == 0 {
-			return nil, fmt.Errorf("answer of %s: %w", to.name, errTag)
+			return nil, fmt.Errorf("answer of %s: %w", to.name, gossip.ErrBadTag)
 		}
 		if !c.updateFreshness(to.name, resp.start, b) {
 			return b, nil
--- a/internal/consensus/core_changes.go
+++ b/internal/consensus/core_changes.go
@@ -23,9 +23,11 @@
 	errChangeInProgress = errors.New("another change of voters is under way")
 	errVoterAlive       = errors.New("the one in its place still answers: are there two relays of this name?")
 	errUnknownVoter     = errors.New("no such voter")
-	errInvalidChange    = errors.New("size")
 )
 
+// errInvalidChange rejects a change of voters whose names or address are too long. The text is sent too.
+var errInvalidChange = errors.New("size")
+
 // changeProposal asks the leader for a change of voters: by a voter that came back under a new identity, or by an operator (Replace).
 type changeProposal struct {
 	oldName, newName, address string
--- a/internal/consensus/envelope.go
+++ b/internal/consensus/envelope.go
@@ -31,14 +31,9 @@
 	answerLabel = "answer"
 )
 
-// Why a request is rejected. The texts are keys of Status.Rejected.
-var (
-	errSize          = errors.New("size")
-	errVersion       = errors.New("version")
-	errKey           = errors.New("key")
-	errTag           = errors.New("tag")
-	errWrongReceiver = errors.New("for another relay")
-)
+// errWrongReceiver rejects a request for another relay. The other reasons are those of gossip's envelopes; all texts are keys of
+// Status.Rejected.
+var errWrongReceiver = errors.New("for another relay")
 
 // keyID tells which of the installation's keys sealed an envelope.
 func keyID(key []byte) []byte {
@@ -84,10 +79,10 @@
 // verifyRequest checks an envelope, except for its epoch, start and sequence number.
 func verifyRequest(keys gossip.Keys, self string, b []byte) (req envelope, err error) {
 	if len(b) < envelopeFixedSize+2+tagSize {
-		return req, errSize
+		return req, gossip.ErrSize
 	}
 	if b[0] != envelopeVersion {
-		return req, errVersion
+		return req, gossip.ErrVersion
 	}
 	for _, key := range keys {
 		if string(keyID(key)) == string(b[1:1+keyIDSize]) {
@@ -95,12 +90,12 @@
 		}
 	}
 	if req.key == nil {
-		return req, errKey
+		return req, gossip.ErrUnknownKey
 	}
 	sealed := b[:len(b)-tagSize]
 	req.tag = b[len(b)-tagSize:]
 	if !hmac.Equal(computeTag(req.key, sealed), req.tag) {
-		return req, errTag
+		return req, gossip.ErrBadTag
 	}
 	rest := sealed[1+keyIDSize:]
 	req.epoch, req.start, req.sequence = binary.BigEndian.Uint64(rest), binary.BigEndian.Uint64(rest[8:]), binary.BigEndian.Uint64(rest[16:])
@@ -109,7 +104,7 @@
 	var receiver string
 	for _, name := range []*string{&req.from, &receiver} {
 		if len(rest) < 1 || len(rest) < 1+int(rest[0]) {
-			return req, errSize
+			return req, gossip.ErrSize
 		}
 		*name = string(rest[1 : 1+int(rest[0])])
 		rest = rest[1+int(rest[0]):]
@@ -118,7 +113,7 @@
 		return req, errWrongReceiver
 	}
 	if req.from == "" {
-		return req, errSize
+		return req, gossip.ErrSize
 	}
 	req.body = rest
 	return req, nil
@@ -132,10 +127,10 @@
 // verifyAnswer returns the body that sealAnswer sealed.
 func verifyAnswer(key, requestTag []byte, part uint64, b []byte) ([]byte, error) {
 	if len(b) < tagSize {
-		return nil, errSize
+		return nil, gossip.ErrSize
 	}
 	if !hmac.Equal(answerTag(key, requestTag, part, b[tagSize:]), b[:tagSize]) {
-		return nil, errTag
+		return nil, gossip.ErrBadTag
 	}
 	return b[tagSize:], nil
 }
--- a/internal/consensus/replay_guard.go
+++ b/internal/consensus/replay_guard.go
@@ -4,6 +4,8 @@
 	"errors"
 	"slices"
 	"sync"
+
+	"dahliarudder/internal/gossip"
 )
 
 const (
@@ -47,7 +49,7 @@
 	w := g.senders[req.from]
 	if w == nil || req.start > w.start {
 		if w == nil && len(g.senders) >= maxSenders {
-			return 0, errSize
+			return 0, gossip.ErrSize
 		}
 		if g.senders == nil {
 			g.senders = map[string]*senderWindow{}
--- a/internal/consensus/stream_follower.go
+++ b/internal/consensus/stream_follower.go
@@ -7,6 +7,8 @@
 	"errors"
 	"io"
 	"time"
+
+	"dahliarudder/internal/gossip"
 )
 
 const (
@@ -22,9 +24,11 @@
 	errStreamRetry      = errors.New("rejected unread: sent again with the current epoch and start")
 	errPreferredBack    = errors.New("the preferred voter is healthy again")
 	errSourceLeaderless = errors.New("the followed voter knows no leader")
-	errOtherRecord      = errors.New("snapshot of another record")
 )
 
+// errOtherRecord ends a stream whose snapshot is of another record.
+var errOtherRecord = errors.New("snapshot of another record")
+
 // followStatus is what the followed stream last reported.
 type followStatus struct {
 	source, leader string // names of voters
@@ -126,7 +130,7 @@
 	}
 	size := binary.BigEndian.Uint32(head[:])
 	if size < tagSize+1 || size > maxFrameSize {
-		return nil, errSize
+		return nil, gossip.ErrSize
 	}
 	if size > maxSmallRequest {
 		timeout.Reset(snapshotTimeout)
@@ -137,7 +141,7 @@
 	}
 	frame, err := verifyAnswer(f.node.options.Keys[0], stream.tag, number, sealed)
 	if err != nil || len(frame) == 0 {
-		return nil, errTag
+		return nil, gossip.ErrBadTag
 	}
 	return frame, nil
 }
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -15,10 +15,14 @@
 	"dahliarudder/internal/pool"
 )
 
-// Why a snapshot is not used. None of them stops a start.
+// Errors of Decode. None of them stops a start.
+var (
+	ErrCorrupt = errors.New("torn")
+	ErrVersion = errors.New("of another version")
+)
+
+// Errors of Validate. None of them stops a start.
 var (
-	ErrCorrupt    = errors.New("torn")
-	ErrVersion    = errors.New("of another version")
 	ErrOtherRelay = errors.New("of another relay")
 	ErrFuture     = errors.New("from the future")
 	ErrExpired    = errors.New("too old")
