--- a/internal/drift/word.go
+++ b/internal/drift/codec.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-var errWord = errors.New("drift: not a word of a relay")
+var errMalformed = errors.New("drift: not a word of a relay")
 
 // GroupOf is the group of an item: its name up to the first dot.
 func GroupOf(item string) string {
@@ -18,8 +18,10 @@
 	return group
 }
 
-// byGroup orders items so that those of a group stand together, which names alone do not: "config-x" sorts before "config.a".
-func byGroup(x, y string) int { return cmp.Or(cmp.Compare(GroupOf(x), GroupOf(y)), cmp.Compare(x, y)) }
+// compareByGroup orders items so that those of a group stand together, which names alone do not: "config-x" sorts before "config.a".
+func compareByGroup(x, y string) int {
+	return cmp.Or(cmp.Compare(GroupOf(x), GroupOf(y)), cmp.Compare(x, y))
+}
 
 // DigestOf is the digest of a group's items, sorted by name. An item of which the relay runs nothing and refused nothing does not count. Since, From
 // and Step do not either: the leader, which has intent alone, must come to the same.
@@ -27,7 +29,7 @@
 	h := fnv.New64a()
 	var b []byte
 	for _, it := range items {
-		if it.none() {
+		if it.empty() {
 			continue
 		}
 		b = protowire.AppendString(b[:0], it.Name)
@@ -40,12 +42,12 @@
 	return h.Sum64()
 }
 
-func (a Applied) none() bool {
+func (a Applied) empty() bool {
 	return a.Version == 0 && a.Digest == 0 && a.RejectedVersion == 0 && !a.LocalOverride
 }
 
-// cut makes text fit for a word: bounded, whole runes, nothing that would break a line of a log.
-func cut(s string, most int) string {
+// sanitize makes text fit for a word: bounded, whole runes, nothing that would break a line of a log.
+func sanitize(s string, most int) string {
 	s = strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f || r == utf8.RuneError {
 			return '?'
@@ -132,12 +134,12 @@
 	return b
 }
 
-// each hands out the fields of a message: numbers as n, all else as v. False from take is an error.
-func each(b []byte, take func(field protowire.Number, n uint64, v []byte) bool) error {
+// forEachField hands out the fields of a message: numbers as n, all else as v. False from take is an error.
+func forEachField(b []byte, take func(field protowire.Number, n uint64, v []byte) bool) error {
 	for len(b) > 0 {
 		field, kind, size := protowire.ConsumeTag(b)
 		if size < 0 {
-			return errWord
+			return errMalformed
 		}
 		b = b[size:]
 		var n uint64
@@ -153,32 +155,32 @@
 			size = protowire.ConsumeFieldValue(field, kind, b)
 		}
 		if size < 0 || !take(field, n, v) {
-			return errWord
+			return errMalformed
 		}
 		b = b[size:]
 	}
 	return nil
 }
 
-// text takes a string that is bounded and clean, so that it can go to logs as it is.
-func text(to *string, v []byte, most int) bool {
+// decodeText takes a string that is bounded and clean, so that it can go to logs as it is.
+func decodeText(to *string, v []byte, most int) bool {
 	if len(v) > most {
 		return false
 	}
 	*to = string(v)
-	return cut(*to, most) == *to
+	return sanitize(*to, most) == *to
 }
 
 // DecodeReport reads a word, whoever wrote it: what it returns is within the bounds.
 func DecodeReport(b []byte) (Report, error) {
 	var w Report
 	if len(b) > MaxReportBytes {
-		return w, errWord
+		return w, errMalformed
 	}
-	err := each(b, func(field protowire.Number, n uint64, v []byte) bool {
+	err := forEachField(b, func(field protowire.Number, n uint64, v []byte) bool {
 		switch field {
 		case 1:
-			return text(&w.Relay, v, MaxRelayNameBytes)
+			return decodeText(&w.Relay, v, MaxRelayNameBytes)
 		case 2:
 			w.Incarnation = n
 		case 3:
@@ -201,7 +203,7 @@
 		return true
 	})
 	if err != nil || w.Relay == "" {
-		return Report{}, errWord
+		return Report{}, errMalformed
 	}
 	for i := range w.Items {
 		w.Items[i].Since = w.SentAt - w.Items[i].Since // was written as how long before
@@ -210,10 +212,10 @@
 }
 
 func decodeGroup(b []byte) (g GroupDigest, ok bool) {
-	err := each(b, func(field protowire.Number, n uint64, v []byte) bool {
+	err := forEachField(b, func(field protowire.Number, n uint64, v []byte) bool {
 		switch field {
 		case 1:
-			return text(&g.Name, v, MaxGroupNameBytes)
+			return decodeText(&g.Name, v, MaxGroupNameBytes)
 		case 2:
 			g.Digest = n
 		}
@@ -223,10 +225,10 @@
 }
 
 func decodeApplied(b []byte) (a Applied, ok bool) {
-	err := each(b, func(field protowire.Number, n uint64, v []byte) bool {
+	err := forEachField(b, func(field protowire.Number, n uint64, v []byte) bool {
 		switch field {
 		case 1:
-			return text(&a.Name, v, MaxNameBytes)
+			return decodeText(&a.Name, v, MaxNameBytes)
 		case 2:
 			a.Version = n
 		case 3:
@@ -234,9 +236,9 @@
 		case 4:
 			a.Since = protowire.DecodeZigZag(n)
 		case 5:
-			return text(&a.Source, v, MaxSourceBytes)
+			return decodeText(&a.Source, v, MaxSourceBytes)
 		case 6:
-			return text(&a.RejectReason, v, MaxReasonBytes)
+			return decodeText(&a.RejectReason, v, MaxReasonBytes)
 		case 7:
 			a.RejectedVersion = n
 		case 8:
@@ -250,12 +252,12 @@
 }
 
 func decodeDoing(b []byte) (d Activity, ok bool) {
-	err := each(b, func(field protowire.Number, n uint64, v []byte) bool {
+	err := forEachField(b, func(field protowire.Number, n uint64, v []byte) bool {
 		switch field {
 		case 1:
-			return text(&d.Item, v, MaxNameBytes)
+			return decodeText(&d.Item, v, MaxNameBytes)
 		case 2:
-			return text(&d.Kind, v, MaxNameBytes)
+			return decodeText(&d.Kind, v, MaxNameBytes)
 		case 3:
 			d.Count = n
 		case 4:
@@ -270,29 +272,29 @@
 func DecodeReply(b []byte) (Reply, error) {
 	var r Reply
 	if len(b) > MaxReplyBytes {
-		return r, errWord
+		return r, errMalformed
 	}
-	err := each(b, func(field protowire.Number, n uint64, v []byte) bool {
+	err := forEachField(b, func(field protowire.Number, n uint64, v []byte) bool {
 		var s string
 		switch field {
 		case 1:
-			return text(&r.Relay, v, MaxRelayNameBytes)
+			return decodeText(&r.Relay, v, MaxRelayNameBytes)
 		case 2:
 			r.Incarnation = n
 		case 3:
 			r.Seq = n
 		case 4:
 			r.WantDetails = append(r.WantDetails, "")
-			return len(r.WantDetails) <= MaxGroups && text(&r.WantDetails[len(r.WantDetails)-1], v, MaxGroupNameBytes)
+			return len(r.WantDetails) <= MaxGroups && decodeText(&r.WantDetails[len(r.WantDetails)-1], v, MaxGroupNameBytes)
 		case 5:
-			ok := text(&s, v, MaxNameBytes)
+			ok := decodeText(&s, v, MaxNameBytes)
 			r.Resync = append(r.Resync, s)
-			return ok && len(r.Resync) <= tellMost
+			return ok && len(r.Resync) <= maxResync
 		}
 		return true
 	})
 	if err != nil || r.Relay == "" {
-		return Reply{}, errWord
+		return Reply{}, errMalformed
 	}
 	return r, nil
 }
--- a/internal/drift/word_test.go
+++ b/internal/drift/codec_test.go
@@ -37,7 +37,7 @@
 				for i := range MaxGroups {
 					want = append(want, fmt.Sprint("g", i))
 				}
-				b.HandleReply(Reply{Relay: b.relay, Incarnation: b.start, WantDetails: want})
+				b.HandleReply(Reply{Relay: b.relay, Incarnation: b.incarnation, WantDetails: want})
 			}
 			w := b.NextReport(1 << 62)
 			e := w.Encode()
@@ -140,7 +140,7 @@
 	}
 	b.seq = 1 << 63
 	for range 2 * MaxItems {
-		b.HandleReply(Reply{Relay: b.relay, Incarnation: b.start, WantDetails: want[:MaxGroups]})
+		b.HandleReply(Reply{Relay: b.relay, Incarnation: b.incarnation, WantDetails: want[:MaxGroups]})
 		w := b.NextReport(1 << 62)
 		if n := len(w.Encode()); n > MaxReportBytes || len(w.Items) == 0 || len(w.Activities) == 0 {
 			t.Fatalf("%d bytes, %d items, %d counts", n, len(w.Items), len(w.Activities))
--- a/internal/drift/show.go
+++ b/internal/drift/findings.go
@@ -10,19 +10,19 @@
 // Findings is all that is not in step, by relay and item. A relay that is not heard has one row.
 func (w *Monitor) Findings() []Finding {
 	var rows []Finding
-	for _, r := range w.order {
-		if r.quiet {
-			rows = append(rows, Finding{Relay: r.name, State: Unknown, Since: r.quietAt, Reason: r.silence()})
+	for _, r := range w.sorted {
+		if r.silent {
+			rows = append(rows, Finding{Relay: r.name, State: Unknown, Since: r.silentSince, Reason: r.silenceReason()})
 			continue
 		}
 		for _, g := range r.groups {
-			for _, p := range g.pairs {
+			for _, p := range g.items {
 				if p.state == InSync {
 					continue
 				}
-				row := Finding{Relay: r.name, State: p.state, Since: p.since, OutOfSyncSince: p.behind, Agreed: p.intent, Applied: p.has}
-				if p.trouble != nil {
-					row.Reason, row.Evidence = p.trouble.why, slices.Clone(p.trouble.evidence)
+				row := Finding{Relay: r.name, State: p.state, Since: p.stateSince, OutOfSyncSince: p.outOfSyncSince, Agreed: p.agreed, Applied: p.applied}
+				if p.suspicion != nil {
+					row.Reason, row.Evidence = p.suspicion.reason, slices.Clone(p.suspicion.evidence)
 				}
 				rows = append(rows, row)
 			}
@@ -34,15 +34,15 @@
 // History is the last changes, oldest first.
 func (w *Monitor) History() []Change { return slices.Clone(w.history) }
 
-// rank orders what drifts by how much it is to be mistrusted.
-var rank = map[State]int{Contradicting: 6, Regressed: 5, Ahead: 4, Rejected: 3, Lagging: 2, Overridden: 1}
+// severity orders what drifts by how much it is to be mistrusted.
+var severity = map[State]int{Contradicting: 6, Regressed: 5, Ahead: 4, Rejected: 3, Lagging: 2, Overridden: 1}
 
 // worst is the pair of a relay that ranks highest, the longest in it, then by name. Those that are spared do not count.
-func (r *relay) worst(spared func(relay, item string) bool) (worst *pair) {
+func (r *relayState) worst(spared func(relay, item string) bool) (worst *trackedItem) {
 	for _, g := range r.groups {
-		for _, p := range g.pairs {
-			if rank[p.state] > 0 && (worst == nil || rank[p.state] > rank[worst.state] || rank[p.state] == rank[worst.state] && p.since < worst.since) &&
-				(spared == nil || !spared(r.name, p.intent.Name)) {
+		for _, p := range g.items {
+			if severity[p.state] > 0 && (worst == nil || severity[p.state] > severity[worst.state] || severity[p.state] == severity[worst.state] && p.stateSince < worst.stateSince) &&
+				(spared == nil || !spared(r.name, p.agreed.Name)) {
 				worst = p
 			}
 		}
@@ -59,16 +59,16 @@
 		switch {
 		case r == nil:
 			why = append(why, name+": nothing is known of it")
-		case r.quiet:
-			why = append(why, name+": not heard, "+r.silence())
+		case r.silent:
+			why = append(why, name+": not heard, "+r.silenceReason())
 		default:
 			if p := r.worst(spared); p != nil {
-				why = append(why, fmt.Sprintf("%s: %s %s, %s", name, p.intent.Name, p.state, p.trouble.why))
+				why = append(why, fmt.Sprintf("%s: %s %s, %s", name, p.agreed.Name, p.state, p.suspicion.reason))
 			}
 			for _, g := range r.groups {
-				for _, p := range g.pairs {
-					if rank[p.state] > 0 && (since == 0 || p.since < since) && (spared == nil || !spared(r.name, p.intent.Name)) {
-						since = p.since
+				for _, p := range g.items {
+					if severity[p.state] > 0 && (since == 0 || p.stateSince < since) && (spared == nil || !spared(r.name, p.agreed.Name)) {
+						since = p.stateSince
 					}
 				}
 			}
@@ -83,11 +83,11 @@
 // FullyInSync says that a relay is heard and in step with all that is agreed, but what its own operators have changed: who was taken out may come back.
 func (w *Monitor) FullyInSync(relay string) bool {
 	r := w.relays[relay]
-	if r == nil || r.quiet {
+	if r == nil || r.silent {
 		return false
 	}
 	for _, g := range r.groups {
-		for _, p := range g.pairs {
+		for _, p := range g.items {
 			if p.state != InSync && p.state != Overridden {
 				return false
 			}
@@ -99,10 +99,10 @@
 // StateOf is that of a relay and an item. Unknown: of the relay, or of such an item, nothing is known.
 func (w *Monitor) StateOf(relay, item string) State {
 	r := w.relays[relay]
-	if r == nil || r.quiet {
+	if r == nil || r.silent {
 		return Unknown
 	}
-	if p := r.pair(item); p != nil {
+	if p := r.item(item); p != nil {
 		return p.state
 	}
 	return Unknown
@@ -113,9 +113,9 @@
 	var lack []string
 	for _, name := range slices.Sorted(slices.Values(relays)) {
 		r := w.relays[name]
-		if r == nil || r.quiet {
+		if r == nil || r.silent {
 			lack = append(lack, name)
-		} else if p := r.pair(item); p == nil || p.state != InSync {
+		} else if p := r.item(item); p == nil || p.state != InSync {
 			lack = append(lack, name)
 		}
 	}
@@ -125,7 +125,7 @@
 // WantDetails is the groups of which a relay is asked for details: those whose digest is not the agreed one.
 func (w *Monitor) WantedDetails(relay string) []string {
 	r := w.relays[relay]
-	if r == nil || r.quiet {
+	if r == nil || r.silent {
 		return nil
 	}
 	var want []string
@@ -144,11 +144,11 @@
 	if r == nil || len(want) == 0 {
 		return Reply{}, false
 	}
-	reply := Reply{Relay: r.name, Incarnation: r.start, Seq: r.seq, WantDetails: want}
+	reply := Reply{Relay: r.name, Incarnation: r.incarnation, Seq: r.seq, WantDetails: want}
 	for _, g := range r.groups {
-		for _, p := range g.pairs {
-			if (p.state == Lagging || p.state == Regressed || p.state == Ahead) && p.agreed && len(reply.Resync) < tellMost {
-				reply.Resync = append(reply.Resync, p.intent.Name)
+		for _, p := range g.items {
+			if (p.state == Lagging || p.state == Regressed || p.state == Ahead) && p.isAgreed && len(reply.Resync) < maxResync {
+				reply.Resync = append(reply.Resync, p.agreed.Name)
 			}
 		}
 	}
@@ -167,9 +167,9 @@
 		since int64
 	}
 	var list []candidate
-	for _, r := range w.order {
-		if p := r.worst(spared); p != nil && !r.quiet && p.state != Overridden {
-			c := candidate{UnfitRelay{r.name, fmt.Sprintf("%s %s: %s", p.intent.Name, p.state, p.trouble.why)}, rank[p.state], p.since}
+	for _, r := range w.sorted {
+		if p := r.worst(spared); p != nil && !r.silent && p.state != Overridden {
+			c := candidate{UnfitRelay{r.name, fmt.Sprintf("%s %s: %s", p.agreed.Name, p.state, p.suspicion.reason)}, severity[p.state], p.stateSince}
 			if slices.Contains(out, r.name) {
 				c.rank += 100
 			}
@@ -188,10 +188,10 @@
 
 // LagBound is how long a version of an item's group may be on its way now, in ms.
 func (w *Monitor) LagBound(group string) int64 {
-	if p := w.paces[group]; p != nil {
+	if p := w.lags[group]; p != nil {
 		return p.bound
 	}
-	return w.all.bound
+	return w.fleetLag.bound
 }
 
 // Counts is what could not be used.
--- a/internal/drift/watch_test.go
+++ b/internal/drift/monitor_test.go
@@ -108,7 +108,7 @@
 
 // check holds a state against the rules.
 func check(t *rapid.T, w *Monitor, words []seen, now int64) {
-	state := w.relays["n1"].pair("config.tls").state
+	state := w.relays["n1"].item("config.tls").state
 	last := words[len(words)-1]
 	same, since := 0, last.at // how long it has said the same, heard without a break
 	for i := len(words) - 1; i >= 0 && words[i].kind == last.kind; i-- {
@@ -122,7 +122,7 @@
 	if len(words) > 1 && !last.first {
 		before = words[len(words)-2].kind
 	}
-	bound := max(w.LagBound("config"), w.back.bound)
+	bound := max(w.LagBound("config"), w.recoveryLag.bound)
 	switch {
 	case same >= 2 && (last.kind == InSync || last.kind == Rejected || last.kind == Overridden) && state != last.kind:
 		t.Fatalf("said to be %v twice, yet %v", last.kind, state)
@@ -190,7 +190,7 @@
 	return now
 }
 
-func state(w *Monitor, relay, item string) State { return w.relays[relay].pair(item).state }
+func state(w *Monitor, relay, item string) State { return w.relays[relay].item(item).state }
 
 // TestHalfDrifts: drift at half of the fleet takes out no more than the budget, the same ones while they drift, and none that others do not name.
 func TestHalfDrifts(t *testing.T) {
@@ -298,7 +298,7 @@
 	books[1].Remove("config.x")
 	now = say(w, books, now, 3)
 	w.SetIntent(now, "n2", nil)
-	if rows := w.Findings(); len(rows) != 0 || len(w.order) != 3 {
+	if rows := w.Findings(); len(rows) != 0 || len(w.sorted) != 3 {
 		t.Fatalf("%+v", rows)
 	}
 	if say(w, books, now, 1); w.Counts().UnknownRelay != 1 {
--- a/internal/drift/planted_test.go
+++ b/internal/drift/planted_test.go
@@ -143,7 +143,7 @@
 func TestDefects(t *testing.T) {
 	for _, d := range []struct {
 		name string
-		flaw flaw
+		flaw defect
 		play func(w *world)
 	}{
 		{"a fixed bound where propagation is slow", fixedBound, func(w *world) {
@@ -156,7 +156,7 @@
 				w.more(10_000)
 			}
 		}},
-		{"a cut counted as drift", cutIsDrift, func(w *world) {
+		{"a cut counted as drift", partitionIsDrift, func(w *world) {
 			w.warm(120_000)
 			for _, s := range w.sims[:4] {
 				s.cut = w.now + 30_000
@@ -164,12 +164,12 @@
 			w.warm(60_000)
 		}},
 	} {
-		for _, f := range []flaw{sound, d.flaw} {
+		for _, f := range []defect{noDefect, d.flaw} {
 			w := newWorld(3, 12, 12)
-			w.watch.flaw = f
+			w.watch.defect = f
 			d.play(w)
-			if found := len(w.falsely) > 0; found != (f != sound) {
-				t.Errorf("%s: switched on %v, found %v %v", d.name, f != sound, found, w.falsely[:min(len(w.falsely), 1)])
+			if found := len(w.falsely) > 0; found != (f != noDefect) {
+				t.Errorf("%s: switched on %v, found %v %v", d.name, f != noDefect, found, w.falsely[:min(len(w.falsely), 1)])
 			}
 		}
 	}
--- a/internal/drift/model_test.go
+++ b/internal/drift/simulation_test.go
@@ -85,12 +85,12 @@
 
 // lead makes a new leader, which knows nothing but what is agreed.
 func (w *world) lead() {
-	f := sound
+	f := noDefect
 	if w.watch != nil {
-		f = w.watch.flaw
+		f = w.watch.defect
 	}
 	w.watch = NewMonitor(w.set)
-	w.watch.flaw = f
+	w.watch.defect = f
 	w.intend()
 }
 
@@ -212,14 +212,14 @@
 func (w *world) look(relay string) {
 	r := w.watch.relays[relay]
 	for _, g := range r.groups {
-		for _, p := range g.pairs {
-			key := relay + " " + p.intent.Name
-			if r.quiet || p.state < Lagging || p.state == Unknown {
+		for _, p := range g.items {
+			key := relay + " " + p.agreed.Name
+			if r.silent || p.state < Lagging || p.state == Unknown {
 				continue
 			}
 			if want, ok := w.planted[key]; !ok {
-				w.falsely = append(w.falsely, fmt.Sprintf("%s at %d: %v, %s; behind %d moved %d returned %d said %d life %d", key, w.now, p.state, p.trouble.why,
-					w.now-p.behind, w.now-p.moved, w.now-p.returned, w.now-r.said, r.life))
+				w.falsely = append(w.falsely, fmt.Sprintf("%s at %d: %v, %s; behind %d moved %d returned %d said %d life %d", key, w.now, p.state, p.suspicion.reason,
+					w.now-p.outOfSyncSince, w.now-p.progressedAt, w.now-p.returnedAt, w.now-r.sentAt, r.liveness))
 			} else if want == p.state && w.found[key] == 0 {
 				w.found[key] = w.now
 			}
@@ -236,7 +236,7 @@
 		relay, item, _ := strings.Cut(key, " ")
 		r := w.watch.relays[relay]
 		g := r.group(GroupOf(item))
-		if p := g.find(item); p.behind > 0 && p.cond == w.planted[key] && !r.quiet && w.watch.overdue(w.now, g, p) {
+		if p := g.find(item); p.outOfSyncSince > 0 && p.lastReading == w.planted[key] && !r.silent && w.watch.overdue(w.now, g, p) {
 			w.due[key] = w.now
 		}
 	}
