--- /dev/null
+++ b/internal/drift/agreement.go
@@ -0,0 +1,180 @@
+package drift
+
+import (
+	"cmp"
+	"iter"
+	"slices"
+)
+
+// SetIntent sets all that is agreed for a relay. It makes the relay known; without items the relay is forgotten.
+func (m *Monitor) SetIntent(now int64, name string, items []Item) {
+	at, known := slices.BinarySearchFunc(m.sorted, name, func(r *relayState, n string) int { return cmp.Compare(r.name, n) })
+	switch {
+	case len(items) == 0:
+		if known {
+			m.forget(now, at)
+		}
+		return
+	case !known && len(m.sorted) >= MaxRelays:
+		m.counts.OverLimit++
+		return
+	case !known:
+		r := &relayState{name: name, silent: true, silentSince: now}
+		m.sorted = slices.Insert(m.sorted, at, r)
+		m.relays[name] = r
+	}
+	r := m.sorted[at]
+	for _, i := range r.allItems() {
+		i.isAgreed = false
+	}
+	for n, item := range items {
+		g := r.group(GroupOf(item.Name))
+		if g == nil && len(r.groups) < MaxGroups {
+			g = r.addGroup(GroupOf(item.Name), m.lagOf(GroupOf(item.Name)))
+		}
+		if g == nil || n >= MaxItems {
+			m.counts.OverLimit++
+			continue
+		}
+		i := g.item(item.Name)
+		if i == nil {
+			i = g.addItem(item.Name, now)
+		}
+		i.isAgreed = true
+		m.agree(now, r, g, i, item)
+	}
+	for _, g := range r.groups {
+		for _, i := range g.items {
+			if !i.isAgreed {
+				m.trackArrival(now, i, nil)
+				i.agreed = Item{Name: i.agreed.Name} // if the relay still runs it, it reports that, and nobody agrees on it any more
+			}
+		}
+		g.updateDigest()
+	}
+	r.groups = slices.DeleteFunc(r.groups, func(g *groupState) bool { // a group of which nothing is agreed is not looked at
+		return !slices.ContainsFunc(g.items, func(i *trackedItem) bool { return i.isAgreed })
+	})
+}
+
+// forget drops a relay.
+func (m *Monitor) forget(now int64, at int) {
+	r := m.sorted[at]
+	for _, i := range r.allItems() {
+		m.trackArrival(now, i, nil)
+	}
+	m.sorted = slices.Delete(m.sorted, at, at+1)
+	delete(m.relays, r.name)
+}
+
+// agree sets what is agreed of one item.
+func (m *Monitor) agree(now int64, r *relayState, g *groupState, i *trackedItem, item Item) {
+	if i.agreed == item && i.arrival != nil {
+		return
+	}
+	i.agreed = item
+	m.trackArrival(now, i, &item)
+	i.highestAgreed = max(i.highestAgreed, item.Version)
+	copy(i.recentVersions[:], i.recentVersions[1:])
+	i.recentVersions[maxRecentVersions-1] = agreedVersion{item.Version, now}
+	if i.outOfSyncSince == 0 {
+		i.outOfSyncSince, i.progressedAt, i.readingCount = now, now, 0
+		i.measurable = !r.silent && i.state == InSync && i.inSyncSince > 0
+	}
+	i.inSyncSince = 0
+	if i.state == Rejected { // that was another version's answer: a new chance
+		i.outOfSyncSince, i.progressedAt, i.measurable = now, now, false
+		m.setState(now, r, i, Propagating, "")
+	}
+	if i.state == InSync {
+		m.setState(now, r, i, Propagating, "")
+	}
+	g.settled = false
+}
+
+// trackArrival moves an item from the version at which it was to arrive to another; nil for none.
+func (m *Monitor) trackArrival(now int64, i *trackedItem, to *Item) {
+	if a := i.arrival; a != nil {
+		if a.refs--; a.refs == 0 {
+			delete(m.arrivals, a.version)
+		}
+		i.arrival = nil
+	}
+	if to != nil {
+		version := Item{Name: to.Name, Version: to.Version}
+		if m.arrivals[version] == nil {
+			m.arrivals[version] = &arrivalCount{version: version, agreedAt: now}
+		}
+		i.arrival = m.arrivals[version]
+		i.arrival.refs++
+	}
+}
+
+// allItems visits the items of all groups.
+func (r *relayState) allItems() iter.Seq2[*groupState, *trackedItem] {
+	return func(yield func(*groupState, *trackedItem) bool) {
+		for _, g := range r.groups {
+			for _, i := range g.items {
+				if !yield(g, i) {
+					return
+				}
+			}
+		}
+	}
+}
+
+func (r *relayState) findGroup(name string) (int, bool) {
+	return slices.BinarySearchFunc(r.groups, name, func(g *groupState, n string) int { return cmp.Compare(g.name, n) })
+}
+
+// group returns a group, nil if there is none.
+func (r *relayState) group(name string) *groupState {
+	if at, ok := r.findGroup(name); ok {
+		return r.groups[at]
+	}
+	return nil
+}
+
+func (r *relayState) addGroup(name string, lag *lagEstimate) *groupState {
+	g := &groupState{name: name, lag: lag}
+	at, _ := r.findGroup(name)
+	r.groups = slices.Insert(r.groups, at, g)
+	return g
+}
+
+// item returns an item of any group, nil if there is none.
+func (r *relayState) item(name string) *trackedItem {
+	if g := r.group(GroupOf(name)); g != nil {
+		return g.item(name)
+	}
+	return nil
+}
+
+func (g *groupState) find(name string) (int, bool) {
+	return slices.BinarySearchFunc(g.items, name, func(i *trackedItem, n string) int { return cmp.Compare(i.agreed.Name, n) })
+}
+
+// item returns an item of the group, nil if there is none.
+func (g *groupState) item(name string) *trackedItem {
+	if at, ok := g.find(name); ok {
+		return g.items[at]
+	}
+	return nil
+}
+
+func (g *groupState) addItem(name string, now int64) *trackedItem {
+	i := &trackedItem{agreed: Item{Name: name}, state: Propagating, stateSince: now, lastReading: Propagating}
+	i.applied.Name = name
+	at, _ := g.find(name)
+	g.items = slices.Insert(g.items, at, i)
+	return i
+}
+
+// updateDigest computes the digest of what is agreed.
+func (g *groupState) updateDigest() {
+	var list []Applied
+	for _, i := range g.items {
+		list = append(list, Applied{Item: i.agreed})
+	}
+	g.agreedDigest = DigestOf(list)
+}
--- a/internal/drift/classify.go
+++ b/internal/drift/classify.go
@@ -5,177 +5,169 @@
 	"slices"
 )
 
-// reading is what a pair's words say, whatever time it took.
-func (p *trackedItem) reading() State {
+const (
+	minFleetToCompare = 3 // relays that report: with fewer, a relay cannot be compared with the others
+	fixedBoundForTest = 5 // intervals, with the defect fixedBound
+)
+
+// reading returns what an item's reports say, whatever time it took.
+func (i *trackedItem) reading() State {
 	switch {
-	case p.applied.LocalOverride:
+	case i.applied.LocalOverride:
 		return Overridden
-	case p.applied.Item == p.agreed:
+	case i.applied.Item == i.agreed:
 		return InSync
-	case p.applied.RejectedVersion == p.agreed.Version && p.applied.RejectedVersion != 0:
+	case i.applied.RejectedVersion == i.agreed.Version && i.applied.RejectedVersion != 0:
 		return Rejected
-	case p.applied.Version > p.highestAgreed, p.applied.Version == p.agreed.Version && p.applied.Digest != p.agreed.Digest:
+	case i.applied.Version > i.highestAgreed, i.applied.Version == i.agreed.Version && i.applied.Digest != i.agreed.Digest:
 		return Ahead
-	case p.applied.Version < p.lastInSync:
+	case i.applied.Version < i.lastInSync:
 		return Regressed
 	}
 	return Lagging
 }
 
-// classify takes one more word on a pair.
-func (w *Monitor) classify(said int64, r *relayState, g *groupState, p *trackedItem) {
-	cond := p.reading()
-	if cond != p.lastReading {
-		p.lastReading, p.readingCount = cond, 0
-	}
-	p.readingCount++
-	if cond == InSync {
-		w.recordArrival(said, r, g, p)
+// classify takes one more report on an item, and sets its state.
+func (m *Monitor) classify(sentAt int64, r *relayState, g *groupState, i *trackedItem) {
+	reading := i.reading()
+	if reading != i.lastReading {
+		i.lastReading, i.readingCount = reading, 0
+	}
+	i.readingCount++
+	if reading == InSync {
+		m.recordArrival(sentAt, r, g, i)
 	} else {
-		p.inSyncSince = 0
-		if p.outOfSyncSince == 0 {
-			p.outOfSyncSince, p.progressedAt, p.measurable = said, said, false
+		i.inSyncSince = 0
+		if i.outOfSyncSince == 0 {
+			i.outOfSyncSince, i.progressedAt, i.measurable = sentAt, sentAt, false
+		}
+	}
+	excused := (r.liveness == Restarting || r.liveness == Upgrading) && (i.returnedAt > 0 || appliedAtRestart(g.name))
+	if excused && reading != InSync { // its time begins when the restart is over
+		i.outOfSyncSince, i.progressedAt, i.measurable = sentAt, sentAt, false
+	}
+	next := m.nextState(sentAt, g, i, reading)
+	// A claim is taken back, or changed, on the second report that says so. It is made on the evidence of nextState.
+	if i.state >= Lagging && next != i.state {
+		if i.leavingCount++; i.leavingCount < confirmations {
+			return
 		}
 	}
-	held := (r.liveness == Restarting || r.liveness == Upgrading) && (p.returnedAt > 0 || appliedAtRestart(g.name))
-	if held && cond != InSync { // it is being seen to, and its time begins when that is over
-		p.outOfSyncSince, p.progressedAt, p.measurable = said, said, false
+	i.leavingCount = 0
+	if next != i.state {
+		m.setState(sentAt, r, i, next, m.explain(sentAt, g, i, next))
 	}
+}
+
+// nextState returns the state that a reading gives with the time it took and the relay's activities.
+func (m *Monitor) nextState(sentAt int64, g *groupState, i *trackedItem, reading State) State {
 	next := Propagating
-	switch cond {
+	switch reading {
 	case InSync, Rejected, Overridden:
-		next = cond
+		next = reading
 	case Regressed:
-		if p.returnedAt == 0 || w.overdue(said, g, p) {
-			next = cond
+		if i.returnedAt == 0 || m.overdue(sentAt, g, i) {
+			next = reading
 		}
 	default:
-		if p.readingCount >= confirmations && w.overdue(said, g, p) {
-			next = cond
+		if i.readingCount >= confirmations && m.overdue(sentAt, g, i) {
+			next = reading
 		}
 	}
-	if p.suspicion != nil && p.suspicion.contradicted && next <= Propagating {
+	if i.suspicion != nil && i.suspicion.contradicted && next <= Propagating {
 		next = Contradicting
 	}
-	// A claim is taken back, or changed, on the second word that says so. It is made on the evidence above.
-	if p.state >= Lagging && next != p.state {
-		if p.leavingCount++; p.leavingCount < confirmations {
-			return
-		}
-	}
-	p.leavingCount = 0
-	if next != p.state {
-		w.setState(said, r, p, next, w.explain(said, g, p, next))
-	}
+	return next
 }
 
-// recordArrival notes that a relay says it runs what is agreed.
-func (w *Monitor) recordArrival(said int64, r *relayState, g *groupState, p *trackedItem) {
-	if p.outOfSyncSince > 0 {
-		slow := p.arrival != nil && p.arrival.live >= 3 && 2*p.arrival.arrived <= p.arrival.live // so it was for most
+// recordArrival notes that a relay reports to run what is agreed.
+func (m *Monitor) recordArrival(sentAt int64, r *relayState, g *groupState, i *trackedItem) {
+	if i.outOfSyncSince > 0 {
+		took := sentAt - i.outOfSyncSince
+		slowFleet := i.arrival != nil && i.arrival.live >= minFleetToCompare && 2*i.arrival.arrived <= i.arrival.live
 		switch {
-		case p.returnedAt > 0:
-			if p.state < Lagging && said > p.outOfSyncSince { // who was in step by its first word tells nothing of how long it takes
-				w.recoveryLag.add(said - p.outOfSyncSince)
+		case i.returnedAt > 0:
+			if i.state < Lagging && took > 0 { // a relay that was in sync by its first report tells nothing of how long it takes
+				m.recoveryLag.add(took)
 			}
-		case p.measurable && (p.state < Lagging || slow) && !slices.Contains(w.settings.UnmeasuredGroups, g.name):
-			g.lag.add(said - p.outOfSyncSince)
-			if g.lag != w.fleetLag {
-				w.fleetLag.add(said - p.outOfSyncSince)
+		case i.measurable && (i.state < Lagging || slowFleet) && !slices.Contains(m.settings.UnmeasuredGroups, g.name):
+			g.lag.add(took)
+			if g.lag != m.fleetLag {
+				m.fleetLag.add(took)
 			}
 		}
 	}
-	if p.inSyncSince == 0 {
-		p.inSyncSince, p.inSyncReceivedAt = said, r.receivedAt
+	if i.inSyncSince == 0 {
+		i.inSyncSince, i.inSyncReceivedAt = sentAt, r.receivedAt
 	}
-	p.outOfSyncSince, p.returnedAt, p.measurable = 0, 0, false
-	p.lastInSync = p.agreed.Version
+	i.outOfSyncSince, i.returnedAt, i.measurable = 0, 0, false
+	i.lastInSync = i.agreed.Version
 }
 
-// appliedAtRestart is whether a group's items are taken by a process that begins, so that their time is that of the restart.
+// appliedAtRestart reports whether a group's items are applied by a process as it starts, so that they take as long as a restart.
 func appliedAtRestart(group string) bool { return group == ItemProgram || group == ItemConfig }
 
-// overdue is whether a pair had all the time that propagation takes in this fleet.
-func (w *Monitor) overdue(said int64, g *groupState, p *trackedItem) bool {
+// overdue reports whether an item had all the time that propagation takes in this fleet.
+func (m *Monitor) overdue(sentAt int64, g *groupState, i *trackedItem) bool {
 	bound := g.lag.bound
-	if p.returnedAt > 0 {
-		bound = max(bound, w.recoveryLag.bound)
+	if i.returnedAt > 0 {
+		bound = max(bound, m.recoveryLag.bound)
 	}
-	if w.defect == fixedBound {
-		return said-p.outOfSyncSince > 5*w.settings.ReportInterval
+	if m.defect == fixedBound {
+		return sentAt-i.outOfSyncSince > fixedBoundForTest*m.settings.ReportInterval
 	}
-	switch t := p.arrival; {
-	case t == nil || t.live == 1 || t.live == 2: // nobody to be compared with
-	case 2*t.arrived < t.live || t.live == 0: // most of the fleet has not arrived (or it was agreed just now): it is slow, not the relay
-		bound = int64(w.settings.SlowFleetFactor * float64(bound))
-	case g.lag.n < lagSamples: // little is known but how long half of them took
-		bound = max(bound, int64(w.settings.SlowFleetFactor*float64(t.halfTime)))
+	switch a := i.arrival; {
+	case a == nil || a.live > 0 && a.live < minFleetToCompare: // there is no fleet to compare it with
+	case !a.mostArrived() || a.live == 0: // the fleet is slow and not the relay, or the version was agreed just now
+		bound = int64(m.settings.SlowFleetFactor * float64(bound))
+	case g.lag.n < maxLagSamples: // all that is known is how long half of the fleet took
+		bound = max(bound, int64(m.settings.SlowFleetFactor*float64(a.halfTime)))
 	}
-	return said-max(p.outOfSyncSince, p.progressedAt) > bound || said-p.outOfSyncSince > max(w.settings.MaxBound, bound) // who moves has a slow disk, yet not for ever
+	// Progress (a slow disk) puts the bound off, but not forever.
+	return sentAt-max(i.outOfSyncSince, i.progressedAt) > bound || sentAt-i.outOfSyncSince > max(m.settings.MaxBound, bound)
 }
 
-func (w *Monitor) explain(now int64, g *groupState, p *trackedItem, to State) string {
+// explain returns the reason for a state, for operators.
+func (m *Monitor) explain(now int64, g *groupState, i *trackedItem, to State) string {
 	switch to {
 	case Lagging:
-		return fmt.Sprintf("runs %d for %.1f s, %d is agreed; the bound is %.1f s", p.applied.Version, float64(now-p.outOfSyncSince)/1000, p.agreed.Version,
+		return fmt.Sprintf("runs %d for %.1f s, %d is agreed; the bound is %.1f s", i.applied.Version, float64(now-i.outOfSyncSince)/1000, i.agreed.Version,
 			float64(g.lag.bound)/1000)
 	case Rejected:
-		return fmt.Sprintf("refused %d: %s", p.applied.RejectedVersion, p.applied.RejectReason)
+		return fmt.Sprintf("refused %d: %s", i.applied.RejectedVersion, i.applied.RejectReason)
 	case Regressed:
-		return fmt.Sprintf("runs %d, ran %d before", p.applied.Version, p.lastInSync)
+		return fmt.Sprintf("runs %d, ran %d before", i.applied.Version, i.lastInSync)
 	case Ahead:
-		if !p.isAgreed {
-			return fmt.Sprintf("runs %d, no such item is agreed", p.applied.Version)
+		if !i.isAgreed {
+			return fmt.Sprintf("runs %d, no such item is agreed", i.applied.Version)
 		}
-		return fmt.Sprintf("runs %d/%x, which nobody agreed on; %d/%x is", p.applied.Version, p.applied.Digest, p.agreed.Version, p.agreed.Digest)
+		return fmt.Sprintf("runs %d/%x, which nobody agreed on; %d/%x is", i.applied.Version, i.applied.Digest, i.agreed.Version, i.agreed.Digest)
 	case Overridden:
-		return "changed by a call at this relay: " + p.applied.Source
+		return "changed by a call at this relay: " + i.applied.Source
 	case Contradicting:
-		return p.suspicion.evidence[len(p.suspicion.evidence)-1]
+		return i.suspicion.evidence[len(i.suspicion.evidence)-1]
 	}
 	return ""
 }
 
-// setState puts a pair into a state. What goes between in step and on its way is not told: that is every change of every item.
-func (w *Monitor) setState(now int64, r *relayState, p *trackedItem, to State, why string) {
-	if p.state == to {
+// setState puts an item into a state. Changes between InSync and Propagating are not recorded: every change of an item makes two.
+func (m *Monitor) setState(now int64, r *relayState, i *trackedItem, to State, reason string) {
+	if i.state == to {
 		return
 	}
-	from := p.state
-	p.state, p.stateSince, p.leavingCount = to, now, 0
+	from := i.state
+	i.state, i.stateSince, i.leavingCount = to, now, 0
 	if to >= Lagging {
-		if p.suspicion == nil {
-			p.suspicion = &suspicion{}
-		}
-		p.suspicion.reason = sanitize(why, MaxReasonBytes)
+		s := i.suspected()
+		s.reason = sanitize(reason, MaxReasonBytes)
 		if to != Contradicting {
-			p.suspicion.addEvidence(why)
+			s.addEvidence(reason)
 		}
 	}
 	if from >= Lagging || to >= Lagging {
-		w.recordChange(Change{At: now, Relay: r.name, Item: p.agreed.Name, From: from, To: to, Reason: sanitize(why, MaxReasonBytes)})
+		m.recordChange(Change{At: now, Relay: r.name, Item: i.agreed.Name, From: from, To: to, Reason: sanitize(reason, MaxReasonBytes)})
 	}
 	if to == InSync {
-		p.suspicion = nil
-	}
-}
-
-// addEvidence keeps a piece of evidence: the first ones, and the newest.
-func (t *suspicion) addEvidence(evidence string) {
-	if len(t.evidence) == MaxEvidence {
-		t.evidence = t.evidence[:MaxEvidence-1]
-	}
-	t.evidence = append(t.evidence, sanitize(evidence, MaxReasonBytes))
-}
-
-func (w *Monitor) recordChange(c Change) {
-	if len(w.history) >= MaxHistory {
-		w.history = slices.Delete(w.history, 0, 1)
-	}
-	w.history = append(w.history, c)
-	if len(w.pendingChanges) >= maxPendingChanges {
-		w.counts.OverLimit++
-		return
+		i.suspicion = nil
 	}
-	w.pendingChanges = append(w.pendingChanges, c)
 }
--- a/internal/drift/codec.go
+++ b/internal/drift/codec.go
@@ -1,300 +1,259 @@
 package drift
 
 import (
-	"cmp"
 	"errors"
-	"hash/fnv"
-	"strings"
-	"unicode/utf8"
 
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-var errMalformed = errors.New("drift: not a word of a relay")
+// Reports and replies are encoded in protobuf's wire format. Unknown fields are skipped.
 
-// GroupOf is the group of an item: its name up to the first dot.
-func GroupOf(item string) string {
-	group, _, _ := strings.Cut(item, ".")
-	return group
-}
-
-// compareByGroup orders items so that those of a group stand together, which names alone do not: "config-x" sorts before "config.a".
-func compareByGroup(x, y string) int {
-	return cmp.Or(cmp.Compare(GroupOf(x), GroupOf(y)), cmp.Compare(x, y))
-}
-
-// DigestOf is the digest of a group's items, sorted by name. An item of which the relay runs nothing and refused nothing does not count. Since, From
-// and Step do not either: the leader, which has intent alone, must come to the same.
-func DigestOf(items []Applied) uint64 {
-	h := fnv.New64a()
-	var b []byte
-	for _, it := range items {
-		if it.empty() {
-			continue
-		}
-		b = protowire.AppendString(b[:0], it.Name)
-		b = protowire.AppendFixed64(b, it.Version)
-		b = protowire.AppendFixed64(b, it.Digest)
-		b = protowire.AppendFixed64(b, it.RejectedVersion)
-		b = append(b, byte(protowire.EncodeBool(it.LocalOverride)))
-		h.Write(b)
-	}
-	return h.Sum64()
-}
-
-func (a Applied) empty() bool {
-	return a.Version == 0 && a.Digest == 0 && a.RejectedVersion == 0 && !a.LocalOverride
-}
-
-// sanitize makes text fit for a word: bounded, whole runes, nothing that would break a line of a log.
-func sanitize(s string, most int) string {
-	s = strings.Map(func(r rune) rune {
-		if r < ' ' || r == 0x7f || r == utf8.RuneError {
-			return '?'
-		}
-		return r
-	}, s)
-	for len(s) > most {
-		_, n := utf8.DecodeLastRuneInString(s)
-		s = s[:len(s)-n]
-	}
-	return s
-}
-
-// ---- Encoding: protobuf's wire format. What is unknown is passed over ----
+var (
+	errReport = errors.New("drift: malformed report")
+	errReply  = errors.New("drift: malformed reply")
+)
 
-func appendString(b []byte, n protowire.Number, s string) []byte {
+func appendString(b []byte, field protowire.Number, s string) []byte {
 	if s == "" {
 		return b
 	}
-	return protowire.AppendString(protowire.AppendTag(b, n, protowire.BytesType), s)
+	return protowire.AppendString(protowire.AppendTag(b, field, protowire.BytesType), s)
 }
 
-func appendUint(b []byte, n protowire.Number, v uint64) []byte {
+func appendUint(b []byte, field protowire.Number, v uint64) []byte {
 	if v == 0 {
 		return b
 	}
-	return protowire.AppendVarint(protowire.AppendTag(b, n, protowire.VarintType), v)
+	return protowire.AppendVarint(protowire.AppendTag(b, field, protowire.VarintType), v)
 }
 
-func appendFixed(b []byte, n protowire.Number, v uint64) []byte {
-	return protowire.AppendFixed64(protowire.AppendTag(b, n, protowire.Fixed64Type), v)
+func appendFixed(b []byte, field protowire.Number, v uint64) []byte {
+	return protowire.AppendFixed64(protowire.AppendTag(b, field, protowire.Fixed64Type), v)
 }
 
-func appendBytes(b []byte, n protowire.Number, v []byte) []byte {
-	return protowire.AppendBytes(protowire.AppendTag(b, n, protowire.BytesType), v)
+func appendBytes(b []byte, field protowire.Number, v []byte) []byte {
+	return protowire.AppendBytes(protowire.AppendTag(b, field, protowire.BytesType), v)
 }
 
 func (g GroupDigest) append(b []byte) []byte {
 	return appendFixed(appendString(b, 1, g.Name), 2, g.Digest)
 }
 
-func (d Activity) append(b []byte) []byte {
-	b = appendString(appendString(b, 1, d.Item), 2, d.Kind)
-	return appendUint(appendUint(b, 3, d.Count), 4, d.Violations)
+func (a Activity) append(b []byte) []byte {
+	b = appendString(appendString(b, 1, a.Item), 2, a.Kind)
+	return appendUint(appendUint(b, 3, a.Count), 4, a.Violations)
 }
 
-// append writes since as how long before the word, which is shorter.
-func (a Applied) append(b []byte, at int64) []byte {
+// append writes Since as the time before the report was sent, which is shorter.
+func (a Applied) append(b []byte, sentAt int64) []byte {
 	b = appendUint(appendString(b, 1, a.Name), 2, a.Version)
 	b = appendFixed(b, 3, a.Digest)
-	b = appendUint(b, 4, protowire.EncodeZigZag(at-a.Since))
+	b = appendUint(b, 4, protowire.EncodeZigZag(sentAt-a.Since))
 	b = appendString(appendString(b, 5, a.Source), 6, a.RejectReason)
 	b = appendUint(appendUint(b, 7, a.RejectedVersion), 8, a.Progress)
 	return appendUint(b, 9, protowire.EncodeBool(a.LocalOverride))
 }
 
-// Encode is a word as bytes. A Book's word is no longer than MaxReportBytes.
-func (w Report) Encode() []byte {
-	b := appendString(nil, 1, w.Relay)
-	b = appendUint(appendUint(b, 2, w.Incarnation), 3, w.Seq)
-	b = appendUint(b, 4, protowire.EncodeZigZag(w.SentAt))
-	for _, g := range w.Groups {
+// Encode returns the encoded report. A Reporter's report is at most MaxReportBytes long.
+func (r Report) Encode() []byte {
+	b := appendString(nil, 1, r.Relay)
+	b = appendUint(appendUint(b, 2, r.Incarnation), 3, r.Seq)
+	b = appendUint(b, 4, protowire.EncodeZigZag(r.SentAt))
+	for _, g := range r.Groups {
 		b = appendBytes(b, 5, g.append(nil))
 	}
-	for _, a := range w.Items {
-		b = appendBytes(b, 6, a.append(nil, w.SentAt))
+	for _, a := range r.Items {
+		b = appendBytes(b, 6, a.append(nil, r.SentAt))
 	}
-	for _, d := range w.Activities {
-		b = appendBytes(b, 7, d.append(nil))
+	for _, a := range r.Activities {
+		b = appendBytes(b, 7, a.append(nil))
 	}
 	return b
 }
 
-// Encode is a reply as bytes.
+// Encode returns the encoded reply.
 func (r Reply) Encode() []byte {
 	b := appendString(nil, 1, r.Relay)
 	b = appendUint(appendUint(b, 2, r.Incarnation), 3, r.Seq)
-	for _, g := range r.WantDetails {
-		b = appendString(b, 4, g)
+	for _, group := range r.WantDetails {
+		b = appendString(b, 4, group)
 	}
-	for _, t := range r.Resync {
-		b = appendString(b, 5, t)
+	for _, item := range r.Resync {
+		b = appendString(b, 5, item)
 	}
 	return b
 }
 
-// forEachField hands out the fields of a message: numbers as n, all else as v. False from take is an error.
-func forEachField(b []byte, take func(field protowire.Number, n uint64, v []byte) bool) error {
-	for len(b) > 0 {
-		field, kind, size := protowire.ConsumeTag(b)
-		if size < 0 {
-			return errMalformed
-		}
-		b = b[size:]
-		var n uint64
-		var v []byte
-		switch kind {
-		case protowire.VarintType:
-			n, size = protowire.ConsumeVarint(b)
-		case protowire.Fixed64Type:
-			n, size = protowire.ConsumeFixed64(b)
-		case protowire.BytesType:
-			v, size = protowire.ConsumeBytes(b)
-		default:
-			size = protowire.ConsumeFieldValue(field, kind, b)
-		}
-		if size < 0 || !take(field, n, v) {
-			return errMalformed
-		}
-		b = b[size:]
-	}
-	return nil
+// fieldReader reads the fields of a message one by one. After an error next is false and ok too.
+type fieldReader struct {
+	rest   []byte
+	field  protowire.Number
+	number uint64 // of a field that is a number
+	bytes  []byte // of a field that is bytes
+	failed bool
 }
 
-// decodeText takes a string that is bounded and clean, so that it can go to logs as it is.
-func decodeText(to *string, v []byte, most int) bool {
-	if len(v) > most {
+func (r *fieldReader) next() bool {
+	if r.failed || len(r.rest) == 0 {
+		return false
+	}
+	field, kind, size := protowire.ConsumeTag(r.rest)
+	if size < 0 {
+		r.failed = true
+		return false
+	}
+	r.rest = r.rest[size:]
+	r.field, r.number, r.bytes = field, 0, nil
+	switch kind {
+	case protowire.VarintType:
+		r.number, size = protowire.ConsumeVarint(r.rest)
+	case protowire.Fixed64Type:
+		r.number, size = protowire.ConsumeFixed64(r.rest)
+	case protowire.BytesType:
+		r.bytes, size = protowire.ConsumeBytes(r.rest)
+	default:
+		size = protowire.ConsumeFieldValue(field, kind, r.rest)
+	}
+	if size < 0 {
+		r.failed = true
 		return false
 	}
-	*to = string(v)
-	return sanitize(*to, most) == *to
+	r.rest = r.rest[size:]
+	return true
 }
 
-// DecodeReport reads a word, whoever wrote it: what it returns is within the bounds.
-func DecodeReport(b []byte) (Report, error) {
-	var w Report
-	if len(b) > MaxReportBytes {
-		return w, errMalformed
+func (r *fieldReader) ok() bool { return !r.failed }
+
+// require fails the message unless a condition holds.
+func (r *fieldReader) require(condition bool) { r.failed = r.failed || !condition }
+
+// text returns a string that is bounded and has no control characters, so that it can go to logs as it is.
+func (r *fieldReader) text(maxBytes int) string {
+	if len(r.bytes) > maxBytes {
+		r.failed = true
+		return ""
 	}
-	err := forEachField(b, func(field protowire.Number, n uint64, v []byte) bool {
-		switch field {
+	s := string(r.bytes)
+	r.require(sanitize(s, maxBytes) == s)
+	return s
+}
+
+// DecodeReport decodes a report, whoever wrote it: what it returns is within the bounds.
+func DecodeReport(b []byte) (Report, error) {
+	var report Report
+	r := fieldReader{rest: b, failed: len(b) > MaxReportBytes}
+	for r.next() {
+		switch r.field {
 		case 1:
-			return decodeText(&w.Relay, v, MaxRelayNameBytes)
+			report.Relay = r.text(MaxRelayNameBytes)
 		case 2:
-			w.Incarnation = n
+			report.Incarnation = r.number
 		case 3:
-			w.Seq = n
+			report.Seq = r.number
 		case 4:
-			w.SentAt = protowire.DecodeZigZag(n)
+			report.SentAt = protowire.DecodeZigZag(r.number)
 		case 5:
-			g, ok := decodeGroup(v)
-			w.Groups = append(w.Groups, g)
-			return ok && len(w.Groups) <= MaxGroups
+			g, ok := decodeGroupDigest(r.bytes)
+			report.Groups = append(report.Groups, g)
+			r.require(ok && len(report.Groups) <= MaxGroups)
 		case 6:
-			a, ok := decodeApplied(v)
-			w.Items = append(w.Items, a)
-			return ok && len(w.Items) <= MaxItems
+			a, ok := decodeApplied(r.bytes)
+			report.Items = append(report.Items, a)
+			r.require(ok && len(report.Items) <= MaxItems)
 		case 7:
-			d, ok := decodeDoing(v)
-			w.Activities = append(w.Activities, d)
-			return ok && len(w.Activities) <= MaxActivities
+			a, ok := decodeActivity(r.bytes)
+			report.Activities = append(report.Activities, a)
+			r.require(ok && len(report.Activities) <= MaxActivities)
 		}
-		return true
-	})
-	if err != nil || w.Relay == "" {
-		return Report{}, errMalformed
 	}
-	for i := range w.Items {
-		w.Items[i].Since = w.SentAt - w.Items[i].Since // was written as how long before
+	if !r.ok() || report.Relay == "" {
+		return Report{}, errReport
+	}
+	for i := range report.Items {
+		report.Items[i].Since = report.SentAt - report.Items[i].Since // was written as the time before SentAt
 	}
-	return w, nil
+	return report, nil
 }
 
-func decodeGroup(b []byte) (g GroupDigest, ok bool) {
-	err := forEachField(b, func(field protowire.Number, n uint64, v []byte) bool {
-		switch field {
+func decodeGroupDigest(b []byte) (g GroupDigest, ok bool) {
+	r := fieldReader{rest: b}
+	for r.next() {
+		switch r.field {
 		case 1:
-			return decodeText(&g.Name, v, MaxGroupNameBytes)
+			g.Name = r.text(MaxGroupNameBytes)
 		case 2:
-			g.Digest = n
+			g.Digest = r.number
 		}
-		return true
-	})
-	return g, err == nil && g.Name != ""
+	}
+	return g, r.ok() && g.Name != ""
 }
 
 func decodeApplied(b []byte) (a Applied, ok bool) {
-	err := forEachField(b, func(field protowire.Number, n uint64, v []byte) bool {
-		switch field {
+	r := fieldReader{rest: b}
+	for r.next() {
+		switch r.field {
 		case 1:
-			return decodeText(&a.Name, v, MaxNameBytes)
+			a.Name = r.text(MaxNameBytes)
 		case 2:
-			a.Version = n
+			a.Version = r.number
 		case 3:
-			a.Digest = n
+			a.Digest = r.number
 		case 4:
-			a.Since = protowire.DecodeZigZag(n)
+			a.Since = protowire.DecodeZigZag(r.number)
 		case 5:
-			return decodeText(&a.Source, v, MaxSourceBytes)
+			a.Source = r.text(MaxSourceBytes)
 		case 6:
-			return decodeText(&a.RejectReason, v, MaxReasonBytes)
+			a.RejectReason = r.text(MaxReasonBytes)
 		case 7:
-			a.RejectedVersion = n
+			a.RejectedVersion = r.number
 		case 8:
-			a.Progress = n
+			a.Progress = r.number
 		case 9:
-			a.LocalOverride = n != 0
+			a.LocalOverride = r.number != 0
 		}
-		return true
-	})
-	return a, err == nil && a.Name != "" && len(GroupOf(a.Name)) <= MaxGroupNameBytes
+	}
+	return a, r.ok() && a.Name != "" && len(GroupOf(a.Name)) <= MaxGroupNameBytes
 }
 
-func decodeDoing(b []byte) (d Activity, ok bool) {
-	err := forEachField(b, func(field protowire.Number, n uint64, v []byte) bool {
-		switch field {
+func decodeActivity(b []byte) (a Activity, ok bool) {
+	r := fieldReader{rest: b}
+	for r.next() {
+		switch r.field {
 		case 1:
-			return decodeText(&d.Item, v, MaxNameBytes)
+			a.Item = r.text(MaxNameBytes)
 		case 2:
-			return decodeText(&d.Kind, v, MaxNameBytes)
+			a.Kind = r.text(MaxNameBytes)
 		case 3:
-			d.Count = n
+			a.Count = r.number
 		case 4:
-			d.Violations = n
+			a.Violations = r.number
 		}
-		return true
-	})
-	return d, err == nil && d.Item != "" && d.Kind != ""
+	}
+	return a, r.ok() && a.Item != "" && a.Kind != ""
 }
 
-// DecodeReply reads a reply, whoever wrote it.
+// DecodeReply decodes a reply, whoever wrote it.
 func DecodeReply(b []byte) (Reply, error) {
-	var r Reply
-	if len(b) > MaxReplyBytes {
-		return r, errMalformed
-	}
-	err := forEachField(b, func(field protowire.Number, n uint64, v []byte) bool {
-		var s string
-		switch field {
+	var reply Reply
+	r := fieldReader{rest: b, failed: len(b) > MaxReplyBytes}
+	for r.next() {
+		switch r.field {
 		case 1:
-			return decodeText(&r.Relay, v, MaxRelayNameBytes)
+			reply.Relay = r.text(MaxRelayNameBytes)
 		case 2:
-			r.Incarnation = n
+			reply.Incarnation = r.number
 		case 3:
-			r.Seq = n
+			reply.Seq = r.number
 		case 4:
-			r.WantDetails = append(r.WantDetails, "")
-			return len(r.WantDetails) <= MaxGroups && decodeText(&r.WantDetails[len(r.WantDetails)-1], v, MaxGroupNameBytes)
+			reply.WantDetails = append(reply.WantDetails, r.text(MaxGroupNameBytes))
+			r.require(len(reply.WantDetails) <= MaxGroups)
 		case 5:
-			ok := decodeText(&s, v, MaxNameBytes)
-			r.Resync = append(r.Resync, s)
-			return ok && len(r.Resync) <= maxResync
+			reply.Resync = append(reply.Resync, r.text(MaxNameBytes))
+			r.require(len(reply.Resync) <= maxResync)
 		}
-		return true
-	})
-	if err != nil || r.Relay == "" {
-		return Reply{}, errMalformed
 	}
-	return r, nil
+	if !r.ok() || reply.Relay == "" {
+		return Reply{}, errReply
+	}
+	return reply, nil
 }
--- a/internal/drift/findings.go
+++ b/internal/drift/findings.go
@@ -7,149 +7,143 @@
 	"strings"
 )
 
-// Findings is all that is not in step, by relay and item. A relay that is not heard has one row.
-func (w *Monitor) Findings() []Finding {
-	var rows []Finding
-	for _, r := range w.sorted {
+const maxBlockReasons = 3 // named by BlockReason; the others are counted
+
+// Findings returns all that is not in sync, by relay and item.
+func (m *Monitor) Findings() []Finding {
+	var list []Finding
+	for _, r := range m.sorted {
 		if r.silent {
-			rows = append(rows, Finding{Relay: r.name, State: Unknown, Since: r.silentSince, Reason: r.silenceReason()})
+			list = append(list, Finding{Relay: r.name, State: Unknown, Since: r.silentSince, Reason: r.silenceReason()})
 			continue
 		}
-		for _, g := range r.groups {
-			for _, p := range g.items {
-				if p.state == InSync {
-					continue
-				}
-				row := Finding{Relay: r.name, State: p.state, Since: p.stateSince, OutOfSyncSince: p.outOfSyncSince, Agreed: p.agreed, Applied: p.applied}
-				if p.suspicion != nil {
-					row.Reason, row.Evidence = p.suspicion.reason, slices.Clone(p.suspicion.evidence)
-				}
-				rows = append(rows, row)
+		for _, i := range r.allItems() {
+			if i.state == InSync {
+				continue
 			}
+			f := Finding{Relay: r.name, State: i.state, Since: i.stateSince, OutOfSyncSince: i.outOfSyncSince, Agreed: i.agreed, Applied: i.applied}
+			if i.suspicion != nil {
+				f.Reason, f.Evidence = i.suspicion.reason, slices.Clone(i.suspicion.evidence)
+			}
+			list = append(list, f)
 		}
 	}
-	return rows
+	return list
 }
 
-// History is the last changes, oldest first.
-func (w *Monitor) History() []Change { return slices.Clone(w.history) }
+// Exempt reports whether drift of a relay's item does not count, as a release will mend it. Nil exempts nothing.
+type Exempt func(relay, item string) bool
 
-// severity orders what drifts by how much it is to be mistrusted.
-var severity = map[State]int{Contradicting: 6, Regressed: 5, Ahead: 4, Rejected: 3, Lagging: 2, Overridden: 1}
+func (e Exempt) counts(r *relayState, i *trackedItem) bool {
+	return i.state.severity() > 0 && (e == nil || !e(r.name, i.agreed.Name))
+}
 
-// worst is the pair of a relay that ranks highest, the longest in it, then by name. Those that are spared do not count.
-func (r *relayState) worst(spared func(relay, item string) bool) (worst *trackedItem) {
-	for _, g := range r.groups {
-		for _, p := range g.items {
-			if severity[p.state] > 0 && (worst == nil || severity[p.state] > severity[worst.state] || severity[p.state] == severity[worst.state] && p.stateSince < worst.stateSince) &&
-				(spared == nil || !spared(r.name, p.agreed.Name)) {
-				worst = p
-			}
+// worst returns the item of a relay in the severest state, the longest in it, then by name; nil if none drifts.
+func (r *relayState) worst(exempt Exempt) (worst *trackedItem) {
+	for _, i := range r.allItems() {
+		if !exempt.counts(r, i) {
+			continue
+		}
+		if worst == nil || i.state.severity() > worst.state.severity() ||
+			i.state.severity() == worst.state.severity() && i.stateSince < worst.stateSince {
+			worst = i
 		}
 	}
 	return worst
 }
 
-// BlockReason says why a release must not step on, as to the relays that count: one of them is late or worse, or was not heard. "" if nothing. Who is on its way
-// does not block; Lacking names it. Spared are those that the release itself is to mend; nil spares none. Since is the oldest drift among what blocks, 0 if none drifts.
-func (w *Monitor) BlockReason(relays []string, spared func(relay, item string) bool) (blocks string, since int64) {
-	var why []string
+// BlockReason returns why a release must not proceed: one of the relays that count drifts or does not report; "" if nothing blocks it.
+// Propagating items do not block. Since is the oldest drift among what blocks, 0 if none drifts.
+func (m *Monitor) BlockReason(relays []string, exempt Exempt) (reason string, since int64) {
+	var reasons []string
 	for _, name := range slices.Sorted(slices.Values(relays)) {
-		r := w.relays[name]
+		r := m.relays[name]
 		switch {
 		case r == nil:
-			why = append(why, name+": nothing is known of it")
+			reasons = append(reasons, name+": nothing is known of it")
 		case r.silent:
-			why = append(why, name+": not heard, "+r.silenceReason())
+			reasons = append(reasons, name+": not heard, "+r.silenceReason())
 		default:
-			if p := r.worst(spared); p != nil {
-				why = append(why, fmt.Sprintf("%s: %s %s, %s", name, p.agreed.Name, p.state, p.suspicion.reason))
+			if i := r.worst(exempt); i != nil {
+				reasons = append(reasons, fmt.Sprintf("%s: %s %s, %s", name, i.agreed.Name, i.state, i.suspicion.reason))
 			}
-			for _, g := range r.groups {
-				for _, p := range g.items {
-					if severity[p.state] > 0 && (since == 0 || p.stateSince < since) && (spared == nil || !spared(r.name, p.agreed.Name)) {
-						since = p.stateSince
-					}
+			for _, i := range r.allItems() {
+				if exempt.counts(r, i) && (since == 0 || i.stateSince < since) {
+					since = i.stateSince
 				}
 			}
 		}
 	}
-	if len(why) > 3 {
-		why = append(why[:3], fmt.Sprintf("and %d more", len(why)-3))
+	if len(reasons) > maxBlockReasons {
+		reasons = append(reasons[:maxBlockReasons], fmt.Sprintf("and %d more", len(reasons)-maxBlockReasons))
 	}
-	return strings.Join(why, "; "), since
+	return strings.Join(reasons, "; "), since
 }
 
-// FullyInSync says that a relay is heard and in step with all that is agreed, but what its own operators have changed: who was taken out may come back.
-func (w *Monitor) FullyInSync(relay string) bool {
-	r := w.relays[relay]
+// FullyInSync reports whether a relay reports and is in sync with all that is agreed, except what its own operators changed: if it was taken
+// out it may come back.
+func (m *Monitor) FullyInSync(relay string) bool {
+	r := m.relays[relay]
 	if r == nil || r.silent {
 		return false
 	}
-	for _, g := range r.groups {
-		for _, p := range g.items {
-			if p.state != InSync && p.state != Overridden {
-				return false
-			}
+	for _, i := range r.allItems() {
+		if i.state != InSync && i.state != Overridden {
+			return false
 		}
 	}
 	return true
 }
 
-// StateOf is that of a relay and an item. Unknown: of the relay, or of such an item, nothing is known.
-func (w *Monitor) StateOf(relay, item string) State {
-	r := w.relays[relay]
+// StateOf returns the state of a relay's item; Unknown if the relay does not report, or not on such an item.
+func (m *Monitor) StateOf(relay, item string) State {
+	r := m.relays[relay]
 	if r == nil || r.silent {
 		return Unknown
 	}
-	if p := r.item(item); p != nil {
-		return p.state
+	if i := r.item(item); i != nil {
+		return i.state
 	}
 	return Unknown
 }
 
-// OutOfSyncRelays is which of the relays are not known to be in step with an item.
-func (w *Monitor) OutOfSyncRelays(item string, relays []string) []string {
-	var lack []string
+// OutOfSyncRelays returns which of the relays are not known to be in sync on an item, sorted.
+func (m *Monitor) OutOfSyncRelays(item string, relays []string) []string {
+	var list []string
 	for _, name := range slices.Sorted(slices.Values(relays)) {
-		r := w.relays[name]
-		if r == nil || r.silent {
-			lack = append(lack, name)
-		} else if p := r.item(item); p == nil || p.state != InSync {
-			lack = append(lack, name)
+		if m.StateOf(name, item) != InSync {
+			list = append(list, name)
 		}
 	}
-	return lack
+	return list
 }
 
-// WantDetails is the groups of which a relay is asked for details: those whose digest is not the agreed one.
-func (w *Monitor) WantedDetails(relay string) []string {
-	r := w.relays[relay]
+// WantedDetails returns the groups of whose items a relay is asked for details: those whose digest is not the agreed one.
+func (m *Monitor) WantedDetails(relay string) []string {
+	r := m.relays[relay]
 	if r == nil || r.silent {
 		return nil
 	}
-	var want []string
+	var groups []string
 	for _, g := range r.groups {
 		if !g.matched {
-			want = append(want, g.name)
+			groups = append(groups, g.name)
 		}
 	}
-	return want
+	return groups
 }
 
-// Reply is what to send a relay back; false if there is nothing to say.
-func (w *Monitor) Reply(relay string) (Reply, bool) {
-	r := w.relays[relay]
-	want := w.WantedDetails(relay)
-	if r == nil || len(want) == 0 {
+// Reply returns what to answer to a relay; false if there is nothing.
+func (m *Monitor) Reply(relay string) (Reply, bool) {
+	groups := m.WantedDetails(relay)
+	if len(groups) == 0 {
 		return Reply{}, false
 	}
-	reply := Reply{Relay: r.name, Incarnation: r.incarnation, Seq: r.seq, WantDetails: want}
-	for _, g := range r.groups {
-		for _, p := range g.items {
-			if (p.state == Lagging || p.state == Regressed || p.state == Ahead) && p.isAgreed && len(reply.Resync) < maxResync {
-				reply.Resync = append(reply.Resync, p.agreed.Name)
-			}
+	r := m.relays[relay]
+	reply := Reply{Relay: r.name, Incarnation: r.incarnation, Seq: r.seq, WantDetails: groups}
+	for _, i := range r.allItems() {
+		if (i.state == Lagging || i.state == Regressed || i.state == Ahead) && i.isAgreed && len(reply.Resync) < maxResync {
+			reply.Resync = append(reply.Resync, i.agreed.Name)
 		}
 	}
 	return reply, true
@@ -158,41 +152,35 @@
 // UnfitRelay is a relay that is to take no clients, and why.
 type UnfitRelay struct{ Relay, Reason string }
 
-// SelectUnfit is which relays are to take no clients because of drift, the worst first: never more than the budget, those that are out by it already
-// and still drift before all others. An operator's own call takes nobody out, nor does silence. Spared is as with Blocks.
-func (w *Monitor) SelectUnfit(budget int, out []string, spared func(relay, item string) bool) []UnfitRelay {
+// SelectUnfit returns which relays are to take no clients because they drift, the worst first: at most the budget, and those that are out
+// already and still drift before all others, so that relays do not take turns. An override by the relay's operators takes nobody out, nor does
+// silence.
+func (m *Monitor) SelectUnfit(budget int, out []string, exempt Exempt) []UnfitRelay {
 	type candidate struct {
 		UnfitRelay
-		rank  int
-		since int64
+		out      bool
+		severity int
+		since    int64
 	}
 	var list []candidate
-	for _, r := range w.sorted {
-		if p := r.worst(spared); p != nil && !r.silent && p.state != Overridden {
-			c := candidate{UnfitRelay{r.name, fmt.Sprintf("%s %s: %s", p.agreed.Name, p.state, p.suspicion.reason)}, severity[p.state], p.stateSince}
-			if slices.Contains(out, r.name) {
-				c.rank += 100
-			}
-			list = append(list, c)
+	for _, r := range m.sorted {
+		if i := r.worst(exempt); i != nil && !r.silent && i.state != Overridden {
+			unfit := UnfitRelay{r.name, fmt.Sprintf("%s %s: %s", i.agreed.Name, i.state, i.suspicion.reason)}
+			list = append(list, candidate{unfit, slices.Contains(out, r.name), i.state.severity(), i.stateSince})
 		}
 	}
 	slices.SortFunc(list, func(x, y candidate) int {
-		return cmp.Or(-cmp.Compare(x.rank, y.rank), cmp.Compare(x.since, y.since), cmp.Compare(x.Relay, y.Relay))
+		if x.out != y.out {
+			if x.out {
+				return -1
+			}
+			return 1
+		}
+		return cmp.Or(-cmp.Compare(x.severity, y.severity), cmp.Compare(x.since, y.since), cmp.Compare(x.Relay, y.Relay))
 	})
-	var take []UnfitRelay
+	var unfit []UnfitRelay
 	for _, c := range list[:min(max(budget, 0), len(list))] {
-		take = append(take, c.UnfitRelay)
+		unfit = append(unfit, c.UnfitRelay)
 	}
-	return take
+	return unfit
 }
-
-// LagBound is how long a version of an item's group may be on its way now, in ms.
-func (w *Monitor) LagBound(group string) int64 {
-	if p := w.lags[group]; p != nil {
-		return p.bound
-	}
-	return w.fleetLag.bound
-}
-
-// Counts is what could not be used.
-func (w *Monitor) Counts() Counts { return w.counts }
--- a/internal/drift/lag.go
+++ b/internal/drift/lag.go
@@ -6,45 +6,76 @@
 )
 
 const (
-	lagSamples      = 256 // samples kept: 6 changes at 40 relays. Until there are so many, the prior counts for the rest
-	minBoundPeriods = 3   // periods: a word may just have gone, the next may be lost
-	maxStretch      = 32  // how far beyond the quantile the bound may lie
+	maxLagSamples     = 256 // 6 changes at 40 relays. While there are fewer, the prior counts for the rest
+	minBoundIntervals = 3   // a report may just have been sent, the next may be lost
+	maxStretch        = 32  // how many times a quantile the bound may be
 )
 
-// lagEstimate is how long versions took from being agreed until relays said that they run them. The bound is to lie beyond what the same distribution would
-// ever reach, without being moved by the few that drift (who was late is no sample): a high quantile, stretched by how far it
-// lies from the median. docs/design/drift.md has what that means for some distributions.
+// lagEstimate is how long versions took from being agreed until relays reported to run them. The bound is meant to lie beyond what the same
+// distribution would ever reach, without being moved by the few relays that drift (a late arrival is no sample): a high quantile, stretched by
+// how far it lies from the median. docs/design/drift.md shows what that means for some distributions.
 type lagEstimate struct {
-	samples [lagSamples]float64
+	samples [maxLagSamples]float64 // ms
 	n, next int
-	prior   int64 // of the last reckoning
+	prior   int64 // of the last update
 	bound   int64
-	stale   bool
+	stale   bool // samples came after the last update
 }
 
-func (p *lagEstimate) add(ms int64) {
-	p.samples[p.next] = float64(max(ms, 1))
-	p.next = (p.next + 1) % lagSamples
-	p.n = min(p.n+1, lagSamples)
-	p.stale = true
+func (l *lagEstimate) add(ms int64) {
+	l.samples[l.next] = float64(max(ms, 1))
+	l.next = (l.next + 1) % maxLagSamples
+	l.n = min(l.n+1, maxLagSamples)
+	l.stale = true
 }
 
-// update derives the bound anew, if there is news.
-func (p *lagEstimate) update(set Settings, prior int64) {
-	if !p.stale && p.prior == prior {
+// update computes the bound, if there are new samples or another prior.
+func (l *lagEstimate) update(s Settings, prior int64) {
+	if !l.stale && l.prior == prior {
 		return
 	}
-	p.stale, p.prior = false, prior
-	measured := float64(0)
-	if p.n > 0 {
-		sorted := slices.Clone(p.samples[:p.n])
+	l.stale, l.prior = false, prior
+	bound := float64(0)
+	if l.n > 0 {
+		sorted := slices.Clone(l.samples[:l.n])
 		slices.Sort(sorted)
-		half, high, top := sorted[p.n/2], sorted[p.n*9/10], sorted[p.n*49/50]
-		measured = max(high*min(math.Pow(high/half, 2), maxStretch), top*min(top/half, maxStretch), 2*high)
+		p50, p90, p98 := sorted[l.n/2], sorted[l.n*9/10], sorted[l.n*49/50]
+		bound = max(p90*min(math.Pow(p90/p50, 2), maxStretch), p98*min(p98/p50, maxStretch), 2*p90)
 	}
-	measured = max(measured, float64(minBoundPeriods*set.ReportInterval))
-	if known := float64(p.n) / lagSamples; known < 1 {
-		measured = max(measured, measured*known+float64(prior)*(1-known))
+	bound = max(bound, float64(minBoundIntervals*s.ReportInterval))
+	if known := float64(l.n) / maxLagSamples; known < 1 {
+		bound = max(bound, bound*known+float64(prior)*(1-known))
 	}
-	p.bound = min(int64(measured), set.MaxBound)
+	l.bound = min(int64(bound), s.MaxBound)
+}
+
+// lagOf returns the estimate of a group.
+func (m *Monitor) lagOf(group string) *lagEstimate {
+	l := m.lags[group]
+	if l == nil {
+		if len(m.lags) > maxLagEstimates {
+			return m.fleetLag // names of groups that come and go
+		}
+		l = &lagEstimate{}
+		l.update(m.settings, m.fleetLag.bound)
+		m.lags[group] = l
+	}
+	return l
+}
+
+// updateBounds computes the bounds from what was learned.
+func (m *Monitor) updateBounds() {
+	m.fleetLag.update(m.settings, m.settings.PriorBound)
+	m.recoveryLag.update(m.settings, m.settings.PriorBound)
+	for _, l := range m.lags {
+		l.update(m.settings, m.fleetLag.bound)
+	}
+}
+
+// LagBound returns how long a version of an item of the group may take now, in ms.
+func (m *Monitor) LagBound(group string) int64 {
+	if l := m.lags[group]; l != nil {
+		return l.bound
+	}
+	return m.fleetLag.bound
 }
--- a/internal/drift/reporter.go
+++ b/internal/drift/reporter.go
@@ -6,178 +6,202 @@
 )
 
 const (
-	reportsPerChange  = 3 // words in which a change is told unasked: all of them are lost once in 8,000 at 5% loss, and the leader asks then
-	reportsPerRequest = 3 // words for which the leader's asking holds: it repeats it in each reply
+	reportsPerChange  = 3 // in which a change is sent unasked: all of them are lost once in 8,000 at 5% loss, and then the leader asks
+	reportsPerRequest = 3 // for which a request of the leader holds: it repeats it in each reply
 	maxResync         = 16
+
+	// activityShare is the divisor for the part of a report's free bytes that activities may take.
+	activityShare = 3
+
+	// Of a nested field: a tag and a length of up to 127, or longer.
+	activityOverhead = 2
+	itemOverhead     = 3
 )
 
-// Reporter is in which a relay notes what it has applied and counts what it does. All calls come from one goroutine.
+// Reporter notes what a relay has applied, counts what it does, and makes its reports. It is for one goroutine.
 type Reporter struct {
 	relay            string
 	incarnation, seq uint64
 	items            []reportedItem // by group and name
 	activities       []Activity     // by item and kind
-	wantedGroups     []string
-	wantedReports    int
-	lastSent         string // after which name the next word's items begin, so that all get their turn
+	wantedGroups     []string       // of which the leader wants the items
+	wantedReports    int            // for which the request still holds
+	lastItem         string         // after which the next report's items begin, so that all get their turn
 	nextActivity     int
 }
 
 type reportedItem struct {
 	Applied
-	pendingReports int
+	pendingReports int // in which it is still to be sent unasked
 }
 
-// NewReporter makes the book of a process. Start is above that of every process of this name before it, as a wall clock in milliseconds is.
-func NewReporter(relay string, start uint64) *Reporter {
-	return &Reporter{relay: sanitize(relay, MaxRelayNameBytes), incarnation: start}
+// NewReporter returns the reporter of a process. The incarnation is above that of every earlier process of this name, as a wall clock in
+// milliseconds is.
+func NewReporter(relay string, incarnation uint64) *Reporter {
+	return &Reporter{relay: sanitize(relay, MaxRelayNameBytes), incarnation: incarnation}
 }
 
-func (b *Reporter) find(name string) (int, bool) {
-	return slices.BinarySearchFunc(b.items, name, func(e reportedItem, n string) int { return compareByGroup(e.Name, n) })
+func (r *Reporter) find(name string) (int, bool) {
+	return slices.BinarySearchFunc(r.items, name, func(i reportedItem, n string) int { return compareByGroup(i.Name, n) })
 }
 
-// update changes an item, or makes it. False: the name is none, or there is no room.
-func (b *Reporter) update(name string, change func(*Applied)) bool {
-	i, ok := b.find(name)
+// update changes an item, or adds it. False if the name is not valid, or there are too many.
+func (r *Reporter) update(name string, change func(*Applied)) bool {
+	i, ok := r.find(name)
 	if !ok {
-		if name == "" || len(b.items) >= MaxItems || sanitize(name, MaxNameBytes) != name || len(GroupOf(name)) > MaxGroupNameBytes {
+		if name == "" || len(r.items) >= MaxItems || sanitize(name, MaxNameBytes) != name || len(GroupOf(name)) > MaxGroupNameBytes {
 			return false
 		}
-		b.items = slices.Insert(b.items, i, reportedItem{Applied: Applied{Item: Item{Name: name}}})
-		if len(b.digests()) > MaxGroups {
-			b.items = slices.Delete(b.items, i, i+1)
+		r.items = slices.Insert(r.items, i, reportedItem{Applied: Applied{Item: Item{Name: name}}})
+		if len(r.groupDigests()) > MaxGroups {
+			r.items = slices.Delete(r.items, i, i+1)
 			return false
 		}
 	}
-	e := &b.items[i]
-	was := e.Applied
-	change(&e.Applied)
-	if e.Applied != was {
-		e.pendingReports = reportsPerChange
+	item := &r.items[i]
+	before := item.Applied
+	change(&item.Applied)
+	if item.Applied != before {
+		item.pendingReports = reportsPerChange
 	}
 	return true
 }
 
-// RecordApplied says that an item was applied as agreed. It ends what was refused or local of it. False: there is no room.
-func (b *Reporter) RecordApplied(now int64, item Item, from string) bool {
-	return b.update(item.Name, func(a *Applied) {
+// RecordApplied notes that an item was applied as agreed. It ends a rejection or an override. False if there are too many items.
+func (r *Reporter) RecordApplied(now int64, item Item, source string) bool {
+	return r.update(item.Name, func(a *Applied) {
 		if a.Item != item || a.LocalOverride || a.RejectedVersion != 0 {
-			*a = Applied{Item: item, Since: now, Source: sanitize(from, MaxSourceBytes)}
+			*a = Applied{Item: item, Since: now, Source: sanitize(source, MaxSourceBytes)}
 		}
 	})
 }
 
-// RecordRejected says that a version was not taken, and why. What it runs stays.
-func (b *Reporter) RecordRejected(now int64, item Item, from, why string) bool {
-	return b.update(item.Name, func(a *Applied) {
-		if a.RejectedVersion != item.Version || a.RejectReason != sanitize(why, MaxReasonBytes) {
-			a.RejectedVersion, a.RejectReason = item.Version, sanitize(cmp.Or(why, "refused"), MaxReasonBytes)
-			a.Since, a.Source = now, sanitize(from, MaxSourceBytes)
+// RecordRejected notes that a version was rejected, and why. What the relay runs stays.
+func (r *Reporter) RecordRejected(now int64, item Item, source, reason string) bool {
+	return r.update(item.Name, func(a *Applied) {
+		if a.RejectedVersion != item.Version || a.RejectReason != sanitize(reason, MaxReasonBytes) {
+			a.RejectedVersion, a.RejectReason = item.Version, sanitize(cmp.Or(reason, "refused"), MaxReasonBytes)
+			a.Since, a.Source = now, sanitize(source, MaxSourceBytes)
 		}
 	})
 }
 
-// LocalOverride says that an operator's call at this relay changed an item, by whom. Version and digest are what it runs now.
-func (b *Reporter) RecordOverride(now int64, item Item, by string) bool {
-	return b.update(item.Name, func(a *Applied) {
+// RecordOverride notes that an operator's call at this relay changed an item. Version and digest are what the relay runs now.
+func (r *Reporter) RecordOverride(now int64, item Item, by string) bool {
+	return r.update(item.Name, func(a *Applied) {
 		if a.Item != item || !a.LocalOverride {
 			*a = Applied{Item: item, Since: now, Source: sanitize(by, MaxSourceBytes), LocalOverride: true}
 		}
 	})
 }
 
-// Progress says that the relay has come further with the next version of an item: it is slow, not stuck.
-func (b *Reporter) RecordProgress(name string) {
-	if i, ok := b.find(name); ok {
-		b.items[i].Progress++
+// RecordProgress notes that the relay got further with the next version of an item: it is slow, not stuck.
+func (r *Reporter) RecordProgress(name string) {
+	if i, ok := r.find(name); ok {
+		r.items[i].Progress++
 	}
 }
 
-// Remove says that it runs no such item any more. It is told so for as long as any change is.
-func (b *Reporter) Remove(name string) {
-	if i, ok := b.find(name); ok {
-		b.items[i] = reportedItem{Applied{Item: Item{Name: b.items[i].Name}}, reportsPerChange}
+// Remove notes that the relay does not run the item any more. That is reported in as many reports as any change.
+func (r *Reporter) Remove(name string) {
+	if i, ok := r.find(name); ok {
+		r.items[i] = reportedItem{Applied{Item: Item{Name: r.items[i].Name}}, reportsPerChange}
 	}
 }
 
-// CountActivity adds to what it did. Count what must not happen with 0 at the start, so that the first time is seen to be one. False: there is no room.
-func (b *Reporter) CountActivity(item, kind string, count, astray uint64) bool {
-	i, ok := slices.BinarySearchFunc(b.activities, Activity{Item: item, Kind: kind}, func(x, y Activity) int {
+// CountActivity adds to a count of what the relay did. Count what must not happen with 0 at the start, so that its first time is seen to be
+// one. False if there are too many kinds.
+func (r *Reporter) CountActivity(item, kind string, count, violations uint64) bool {
+	i, ok := slices.BinarySearchFunc(r.activities, Activity{Item: item, Kind: kind}, func(x, y Activity) int {
 		return cmp.Or(cmp.Compare(x.Item, y.Item), cmp.Compare(x.Kind, y.Kind))
 	})
 	if !ok {
-		if len(b.activities) >= MaxActivities || item == "" || kind == "" || sanitize(item, MaxNameBytes) != item || sanitize(kind, MaxNameBytes) != kind {
+		if len(r.activities) >= MaxActivities || item == "" || kind == "" || sanitize(item, MaxNameBytes) != item || sanitize(kind, MaxNameBytes) != kind {
 			return false
 		}
-		b.activities = slices.Insert(b.activities, i, Activity{Item: item, Kind: kind})
+		r.activities = slices.Insert(r.activities, i, Activity{Item: item, Kind: kind})
 	}
-	b.activities[i].Count += count
-	b.activities[i].Violations += astray
+	r.activities[i].Count += count
+	r.activities[i].Violations += violations
 	return true
 }
 
-// HandleReply takes the leader's reply. It returns the items to be taken from the record anew.
-func (b *Reporter) HandleReply(r Reply) (tell []string) {
-	if r.Relay != b.relay || r.Incarnation != b.incarnation {
-		return nil // meant for a process before this one
+// HandleReply takes the leader's reply, and returns the items to take from the record again.
+func (r *Reporter) HandleReply(reply Reply) (resync []string) {
+	if reply.Relay != r.relay || reply.Incarnation != r.incarnation {
+		return nil // for an earlier process
 	}
-	b.wantedGroups, b.wantedReports = r.WantDetails, reportsPerRequest
-	return r.Resync
+	r.wantedGroups, r.wantedReports = reply.WantDetails, reportsPerRequest
+	return reply.Resync
 }
 
-func (b *Reporter) digests() []GroupDigest {
+func (r *Reporter) groupDigests() []GroupDigest {
 	var list []GroupDigest
-	for i := 0; i < len(b.items); {
-		name := GroupOf(b.items[i].Name)
-		var of []Applied
-		for ; i < len(b.items) && GroupOf(b.items[i].Name) == name; i++ {
-			of = append(of, b.items[i].Applied)
+	for i := 0; i < len(r.items); {
+		group := GroupOf(r.items[i].Name)
+		var items []Applied
+		for ; i < len(r.items) && GroupOf(r.items[i].Name) == group; i++ {
+			items = append(items, r.items[i].Applied)
 		}
-		list = append(list, GroupDigest{name, DigestOf(of)})
+		list = append(list, GroupDigest{group, DigestOf(items)})
 	}
 	return list
 }
 
-// Report is what to say now. Its encoding is no longer than MaxReportBytes: digests of all groups always; of what is left a third for what it did, the rest
-// for items, changed ones first. What does not fit is told by the words after it.
-func (b *Reporter) NextReport(now int64) Report {
-	b.seq++
-	w := Report{Relay: b.relay, Incarnation: b.incarnation, Seq: b.seq, SentAt: now, Groups: b.digests()}
-	left := MaxReportBytes - len(w.Encode())
-	does := left / 3
-	for range b.activities {
-		d := b.activities[b.nextActivity%len(b.activities)]
-		size := 2 + len(d.append(nil))
-		if size > does {
+// NextReport returns the report to send now. Its encoding is at most MaxReportBytes long: it always has the digests of all groups; of what is
+// left a third is for activities, the rest for items, changed ones first. What does not fit is in the next reports.
+func (r *Reporter) NextReport(now int64) Report {
+	r.seq++
+	report := Report{Relay: r.relay, Incarnation: r.incarnation, Seq: r.seq, SentAt: now, Groups: r.groupDigests()}
+	free := MaxReportBytes - len(report.Encode())
+	free = r.addActivities(&report, free)
+	r.addItems(&report, free)
+	r.items = slices.DeleteFunc(r.items, func(i reportedItem) bool { return i.empty() && i.pendingReports == 0 })
+	r.wantedReports = max(r.wantedReports-1, 0)
+	return report
+}
+
+// addActivities adds as many activities as their share of the free bytes allows, in turn, and returns what is still free.
+func (r *Reporter) addActivities(report *Report, free int) int {
+	share := free / activityShare
+	for range r.activities {
+		a := r.activities[r.nextActivity%len(r.activities)]
+		size := activityOverhead + len(a.append(nil))
+		if size > share {
 			break
 		}
-		does, left = does-size, left-size
-		w.Activities = append(w.Activities, d)
-		b.nextActivity = (b.nextActivity + 1) % len(b.activities)
+		share, free = share-size, free-size
+		report.Activities = append(report.Activities, a)
+		r.nextActivity = (r.nextActivity + 1) % len(r.activities)
 	}
-	start, ok := b.find(b.lastSent)
+	return free
+}
+
+// addItems adds as many items as fit: first those that changed, then those that the leader wants.
+func (r *Reporter) addItems(report *Report, free int) {
+	start, ok := r.find(r.lastItem)
 	if ok {
 		start++
 	}
-	for _, fresh := range []bool{true, false} {
-		for k := range b.items {
-			e := &b.items[(start+k)%len(b.items)]
-			if fresh != (e.pendingReports > 0) || !fresh && (b.wantedReports == 0 || !slices.Contains(b.wantedGroups, GroupOf(e.Name))) ||
-				slices.ContainsFunc(w.Items, func(a Applied) bool { return a.Name == e.Name }) {
+	for _, changed := range []bool{true, false} {
+		for k := range r.items {
+			item := &r.items[(start+k)%len(r.items)]
+			if changed != (item.pendingReports > 0) || !changed && !r.wanted(item.Name) ||
+				slices.ContainsFunc(report.Items, func(a Applied) bool { return a.Name == item.Name }) {
 				continue
 			}
-			size := 3 + len(e.Applied.append(nil, now))
-			if size > left {
+			size := itemOverhead + len(item.Applied.append(nil, report.SentAt))
+			if size > free {
 				break
 			}
-			left -= size
-			w.Items = append(w.Items, e.Applied)
-			e.pendingReports = max(e.pendingReports-1, 0)
-			b.lastSent = e.Name
+			free -= size
+			report.Items = append(report.Items, item.Applied)
+			item.pendingReports = max(item.pendingReports-1, 0)
+			r.lastItem = item.Name
 		}
 	}
-	b.items = slices.DeleteFunc(b.items, func(e reportedItem) bool { return e.empty() && e.pendingReports == 0 })
-	b.wantedReports = max(b.wantedReports-1, 0)
-	return w
+}
+
+func (r *Reporter) wanted(item string) bool {
+	return r.wantedReports > 0 && slices.Contains(r.wantedGroups, GroupOf(item))
 }
--- a/internal/drift/reports.go
+++ b/internal/drift/reports.go
@@ -1,141 +1,160 @@
 package drift
 
-import (
-	"fmt"
-	"slices"
-)
+import "slices"
 
-// ---- What is said ----
+const (
+	delayWindowIntervals = 30 // the fastest report in such a window tells how late another one is
 
-// estimateSentAt is when a word was said, by this clock. The quickest word of the last half minute tells the difference of the clocks.
-func (r *relayState) estimateSentAt(now, at int64, period int64) int64 {
-	d := now - at
-	if now-r.delayWindowAt > delayWindowPeriods*period {
-		r.minDelay[1], r.minDelay[0], r.delayWindowAt = r.minDelay[0], d, now
-	}
-	r.minDelay[0] = min(r.minDelay[0], d)
-	return max(now-(d-min(r.minDelay[0], r.minDelay[1])), r.sentAt)
+	// detailIntervals is after how many intervals an item of a requested group that was not reported is taken to be gone: 64 items take 10
+	// reports at most.
+	detailIntervals = 15
+
+	maxTrackedItems = 2 * MaxItems // of one relay: as many as are agreed, and as many that are not
+)
+
+// estimateSentAt returns when a report was sent, by this clock. The fastest report of the last windows tells the difference of the clocks.
+func (r *relayState) estimateSentAt(now, sentAt, interval int64) int64 {
+	delay := now - sentAt
+	if now-r.delayWindowAt > delayWindowIntervals*interval {
+		r.minDelay[1], r.minDelay[0], r.delayWindowAt = r.minDelay[0], delay, now
+	}
+	r.minDelay[0] = min(r.minDelay[0], delay)
+	return max(now-(delay-min(r.minDelay[0], r.minDelay[1])), r.sentAt)
 }
 
-// HandleReply takes what a relay says it has applied and did.
-func (w *Monitor) HandleReport(now int64, word Report) {
-	r := w.relays[word.Relay]
+// HandleReport takes a relay's report.
+func (m *Monitor) HandleReport(now int64, report Report) {
+	r := m.relays[report.Relay]
 	switch {
 	case r == nil:
-		w.counts.UnknownRelay++
+		m.counts.UnknownRelay++
 		return
-	case r.everReported && word.Incarnation == r.incarnation && word.Seq <= r.seq, r.everReported && word.Incarnation < r.incarnation && !r.silent:
-		w.counts.Stale++ // repeated, overtaken, or of a process that another one has replaced
+	case r.stale(report):
+		m.counts.Stale++
 		return
 	}
-	w.counts.Reports++
-	restarted := !r.everReported || word.Incarnation != r.incarnation
+	m.counts.Reports++
+	restarted := !r.everReported || report.Incarnation != r.incarnation
 	if restarted {
-		r.minDelay, r.delayWindowAt, r.activities = [2]int64{now - word.SentAt, now - word.SentAt}, now, r.activities[:0]
+		delay := now - report.SentAt
+		r.minDelay, r.delayWindowAt, r.activities = [2]int64{delay, delay}, now, r.activities[:0]
 	}
-	said := r.estimateSentAt(now, word.SentAt, w.settings.ReportInterval)
-	if restarted || r.silent && w.defect != partitionIsDrift {
-		w.restartClocks(said, r, restarted)
+	sentAt := r.estimateSentAt(now, report.SentAt, m.settings.ReportInterval)
+	if restarted || r.silent && m.defect != partitionIsDrift {
+		m.restartClocks(sentAt, r, restarted)
 	}
-	if gap := said - r.sentAt - w.settings.ReportInterval; r.everReported && 2*gap > 3*w.settings.ReportInterval && w.defect != partitionIsDrift {
-		r.excuseGap(said, gap)
+	gap := sentAt - r.sentAt - m.settings.ReportInterval
+	if r.everReported && 2*gap > 3*m.settings.ReportInterval && m.defect != partitionIsDrift {
+		r.excuseGap(sentAt, gap)
 	}
 	if r.silent {
 		if r.everReported {
-			w.recordChange(Change{At: now, Relay: r.name, From: Unknown, To: Propagating})
+			m.recordChange(Change{At: now, Relay: r.name, From: Unknown, To: Propagating})
 		}
 		r.silent = false
 	}
 	if r.liveness == Unreachable || r.liveness == Terminated {
-		r.liveness, r.livenessAt = Alive, now // its own word is the better proof
+		r.liveness = Alive // its own report is the better proof
+	}
+	r.everReported, r.incarnation, r.seq, r.receivedAt, r.sentAt = true, report.Incarnation, report.Seq, now, sentAt
+	for _, a := range report.Items {
+		m.takeDetail(sentAt, r, a)
 	}
-	r.everReported, r.incarnation, r.seq, r.receivedAt, r.sentAt = true, word.Incarnation, word.Seq, now, said
-	w.takeDetails(said, r, word.Items)
 	for _, g := range r.groups {
-		w.compareGroup(said, r, g, word)
+		m.compareGroup(sentAt, r, g, report)
 	}
-	for _, d := range word.Activities {
-		w.takeActivity(said, r, d)
+	for _, a := range report.Activities {
+		m.takeActivity(sentAt, r, a)
 	}
 }
 
-// excuseGap takes the time in which words are missing off what its pairs had: only time in which a relay was heard makes it late, so that one that was
-// stopped or cut off for less than it takes to be not heard is no drift either.
-func (r *relayState) excuseGap(said, gap int64) {
-	for _, g := range r.groups {
-		if g.settled {
-			continue
-		}
-		for _, p := range g.items {
-			if p.outOfSyncSince > 0 {
-				p.progressedAt = min(said, max(p.progressedAt, p.outOfSyncSince)+gap)
-			}
+// stale reports whether a report is repeated, overtaken, or of a process that another one has replaced.
+func (r *relayState) stale(report Report) bool {
+	if !r.everReported {
+		return false
+	}
+	return report.Incarnation == r.incarnation && report.Seq <= r.seq || report.Incarnation < r.incarnation && !r.silent
+}
+
+// excuseGap takes the time in which reports are missing off what its items had: only time in which a relay reports makes it late, so that one
+// that was stopped or partitioned for less than it takes to be silent does not drift either.
+func (r *relayState) excuseGap(sentAt, gap int64) {
+	for g, i := range r.allItems() {
+		if !g.settled && i.outOfSyncSince > 0 {
+			i.progressedAt = min(sentAt, max(i.progressedAt, i.outOfSyncSince)+gap)
 		}
 	}
 }
 
-// restartClocks starts all clocks of a relay anew: it restarted, or was not heard for a while. What it says from here on counts, within the bound for those
+// restartClocks restarts all clocks of a relay that restarted or was silent. What it reports from here on counts, within the bound for relays
 // that come back.
-func (w *Monitor) restartClocks(said int64, r *relayState, restarted bool) {
-	why := "heard again"
+func (m *Monitor) restartClocks(sentAt int64, r *relayState, restarted bool) {
+	reason := "heard again"
 	if restarted {
-		why = "restarted"
+		reason = "restarted"
 	}
-	for _, g := range r.groups {
+	for g, i := range r.allItems() {
 		g.settled = false
-		for _, p := range g.items {
-			p.outOfSyncSince, p.progressedAt, p.returnedAt = said, said, said
-			p.inSyncSince, p.readingCount, p.leavingCount, p.measurable = 0, 0, 0, false
-			if restarted {
-				p.appliedKnown, p.detailedSeq, p.applied = false, 0, Applied{Item: Item{Name: p.agreed.Name}}
-			}
-			if p.suspicion != nil {
-				p.suspicion.contradicted, p.suspicion.sightings = false, 0
-			}
-			w.setState(said, r, p, Propagating, why)
+		i.outOfSyncSince, i.progressedAt, i.returnedAt = sentAt, sentAt, sentAt
+		i.inSyncSince, i.readingCount, i.leavingCount, i.measurable = 0, 0, 0, false
+		if restarted {
+			i.appliedKnown, i.detailedSeq, i.applied = false, 0, Applied{Item: Item{Name: i.agreed.Name}}
 		}
+		if i.suspicion != nil {
+			i.suspicion.clear()
+		}
+		m.setState(sentAt, r, i, Propagating, reason)
 	}
 }
 
-// takeDetails takes what a word tells of single items.
-func (w *Monitor) takeDetails(said int64, r *relayState, items []Applied) {
-	for _, a := range items {
-		g := r.group(GroupOf(a.Name))
-		if g == nil {
-			continue
-		}
-		p := g.find(a.Name)
-		if p == nil && a.empty() {
-			continue
-		}
-		if p == nil {
-			n := 0
-			for _, g := range r.groups {
-				n += len(g.items)
-			}
-			if n >= 2*MaxItems { // as many as are agreed, and as many that are not
-				w.counts.OverLimit++
-				continue
-			}
-			p = g.add(a.Name, said)
-			p.outOfSyncSince, p.progressedAt, g.settled = said, said, false
+// takeDetail takes what a report says of a single item.
+func (m *Monitor) takeDetail(sentAt int64, r *relayState, a Applied) {
+	g := r.group(GroupOf(a.Name))
+	if g == nil {
+		return
+	}
+	i := g.item(a.Name)
+	if i == nil {
+		if a.empty() {
+			return
 		}
-		if p.appliedKnown && (a.Version > p.applied.Version && a.Version <= p.highestAgreed || a.Item == p.applied.Item && a.Progress > p.applied.Progress) {
-			p.progressedAt = said
+		if r.itemCount() >= maxTrackedItems {
+			m.counts.OverLimit++
+			return
 		}
-		if p.appliedKnown && a.Version > p.applied.Version && a.Item != p.agreed && p.outOfSyncSince > 0 && p.returnedAt == 0 {
-			if i := slices.IndexFunc(p.recentVersions[:], func(m agreedVersion) bool { return m.version > a.Version }); i >= 0 {
-				p.outOfSyncSince = max(p.outOfSyncSince, p.recentVersions[i].at) // it has taken all that was agreed before that
-			}
+		i = g.addItem(a.Name, sentAt)
+		i.outOfSyncSince, i.progressedAt, g.settled = sentAt, sentAt, false
+	}
+	if i.appliedKnown {
+		i.noteProgress(sentAt, a)
+	}
+	i.applied, i.appliedKnown, i.detailedAt, i.detailedSeq = a, true, sentAt, r.seq
+}
+
+// noteProgress compares what an item runs now with what it ran before.
+func (i *trackedItem) noteProgress(sentAt int64, a Applied) {
+	newer := a.Version > i.applied.Version
+	if newer && a.Version <= i.highestAgreed || a.Item == i.applied.Item && a.Progress > i.applied.Progress {
+		i.progressedAt = sentAt
+	}
+	if newer && a.Item != i.agreed && i.outOfSyncSince > 0 && i.returnedAt == 0 {
+		if k := slices.IndexFunc(i.recentVersions[:], func(v agreedVersion) bool { return v.version > a.Version }); k >= 0 {
+			i.outOfSyncSince = max(i.outOfSyncSince, i.recentVersions[k].at) // it has taken all that was agreed before that
 		}
-		p.applied, p.appliedKnown, p.detailedAt, p.detailedSeq = a, true, said, r.seq
 	}
 }
 
-// compareGroup looks at a group by its digest, and at each of its items of which the word tells anything.
-func (w *Monitor) compareGroup(said int64, r *relayState, g *groupState, word Report) {
+func (r *relayState) itemCount() (n int) {
+	for _, g := range r.groups {
+		n += len(g.items)
+	}
+	return n
+}
+
+// compareGroup compares a group by its digest, and classifies each of its items of which the report says anything.
+func (m *Monitor) compareGroup(sentAt int64, r *relayState, g *groupState, report Report) {
 	digest := DigestOf(nil)
-	for _, d := range word.Groups {
+	for _, d := range report.Groups {
 		if d.Name == g.name {
 			digest = d.Digest
 		}
@@ -144,120 +163,62 @@
 	if g.matched && g.settled {
 		return
 	}
-	whole := g.matched
+	complete := true // all items of the group are known
 	if g.matched {
-		g.items = slices.DeleteFunc(g.items, func(p *trackedItem) bool {
-			if !p.isAgreed {
-				w.setState(said, r, p, InSync, "gone")
-			}
-			return !p.isAgreed
-		})
-		for _, p := range g.items {
-			if p.applied.Item != p.agreed || p.applied.LocalOverride || p.applied.RejectedVersion != 0 {
-				p.applied = Applied{Item: p.agreed, Since: word.SentAt, Source: p.applied.Source}
-			}
-			p.appliedKnown = true
-		}
+		m.applyAgreed(sentAt, r, g, report.SentAt)
 	} else {
-		var list []Applied
-		for _, p := range g.items {
-			list = append(list, p.applied)
-		}
-		whole = DigestOf(list) == digest // all that it has was told; of the rest it has nothing
-		if digest != g.reportedDigest {
-			g.reportedDigest, g.reportedSince = digest, said
-		}
-		for _, p := range g.items { // what is not told though it was asked for is there no more
-			if !whole && said-max(p.detailedAt, g.reportedSince) > detailPeriods*w.settings.ReportInterval {
-				p.applied = Applied{Item: Item{Name: p.agreed.Name}}
-			}
-		}
+		complete = m.applyReported(sentAt, g, digest)
 	}
 	g.settled = g.matched
-	for _, p := range g.items {
-		if whole {
-			p.appliedKnown = true
+	for _, i := range g.items {
+		if complete {
+			i.appliedKnown = true
 		}
-		if !whole && p.detailedSeq != r.seq {
-			p.inSyncSince = 0
+		if !complete && i.detailedSeq != r.seq {
+			i.inSyncSince = 0
 			continue
 		}
-		w.classify(said, r, g, p)
-		if p.state != InSync || p.readingCount < confirmations {
+		m.classify(sentAt, r, g, i)
+		if i.state != InSync || i.readingCount < confirmations {
 			g.settled = false
 		}
 	}
 }
 
-// ---- What it does ----
-
-// takeActivity takes one of a relay's counts. What was under way when it applied an item may still be counted for as long as an attempt takes, so the count
-// of the first word after that is where astray begins. By both clocks: a word may be late, and a relay's clock may be set.
-func (w *Monitor) takeActivity(said int64, r *relayState, d Activity) {
-	i := slices.IndexFunc(r.activities, func(x trackedActivity) bool { return x.Item == d.Item && x.Kind == d.Kind })
-	if i < 0 {
-		if len(r.activities) >= MaxActivities {
-			w.counts.OverLimit++
-			return
+// applyAgreed notes that a relay runs all that is agreed of a group and nothing else, as its digest says.
+func (m *Monitor) applyAgreed(sentAt int64, r *relayState, g *groupState, relayClock int64) {
+	g.items = slices.DeleteFunc(g.items, func(i *trackedItem) bool {
+		if !i.isAgreed {
+			m.setState(sentAt, r, i, InSync, "gone")
 		}
-		r.activities = append(r.activities, trackedActivity{Activity: d, base: d.Violations, sentAt: said, receivedAt: r.receivedAt})
-		return
-	}
-	x := &r.activities[i]
-	p, grace := r.item(d.Item), w.settings.InFlightGrace
-	if w.defect == noGrace {
-		grace = 0
-	}
-	switch {
-	case p == nil || p.inSyncSince == 0 || min(x.sentAt-p.inSyncSince, x.receivedAt-p.inSyncReceivedAt) < grace || d.Violations < x.base:
-		x.base = d.Violations
-	case d.Violations == x.Violations && said-x.grewAt > grace+r.group(GroupOf(d.Item)).lag.bound:
-		x.base = d.Violations // one send astray in a long time is chance: an attempt that hung, a race
-	case d.Violations > x.Violations && d.Violations-x.base >= confirmations:
-		w.contradict(said, r, p, fmt.Sprintf("%d sends of %q astray by its own count since it said that it runs %d", d.Violations-x.base, d.Kind, p.applied.Version))
-	}
-	if d.Violations != x.Violations {
-		x.grewAt = said
+		return !i.isAgreed
+	})
+	for _, i := range g.items {
+		if i.applied.Item != i.agreed || i.applied.LocalOverride || i.applied.RejectedVersion != 0 {
+			i.applied = Applied{Item: i.agreed, Since: relayClock, Source: i.applied.Source}
+		}
+		i.appliedKnown = true
 	}
-	x.Activity, x.sentAt, x.receivedAt = d, said, r.receivedAt
 }
 
-// RecordSighting takes that others saw a relay do otherwise than an item asks, each time that it is seen anew. What they say may have been under way, and took
-// its time to get here.
-func (w *Monitor) RecordSighting(now int64, relay, item, evidence string) {
-	r := w.relays[relay]
-	if r == nil {
-		w.counts.UnknownRelay++
-		return
+// applyReported reports whether the digest is that of the items reported so far: then all that the relay runs of the group is known, and of
+// the other items it runs none. Items that were not reported though they were asked for are gone.
+func (m *Monitor) applyReported(sentAt int64, g *groupState, digest uint64) (complete bool) {
+	var list []Applied
+	for _, i := range g.items {
+		list = append(list, i.applied)
 	}
-	p, g := r.item(item), r.group(GroupOf(item))
-	if p == nil || p.inSyncSince == 0 || now < p.inSyncReceivedAt+w.settings.InFlightGrace+g.lag.bound {
-		return
-	}
-	if p.suspicion == nil {
-		p.suspicion = &suspicion{}
-	}
-	p.suspicion.sightings++
-	p.suspicion.lastSeenAt = now
-	p.suspicion.addEvidence(evidence)
-	if p.suspicion.sightings >= confirmations {
-		w.contradict(now, r, p, evidence)
-	}
-}
-
-func (w *Monitor) contradict(now int64, r *relayState, p *trackedItem, evidence string) {
-	if p.suspicion == nil {
-		p.suspicion = &suspicion{}
+	complete = DigestOf(list) == digest
+	if digest != g.reportedDigest {
+		g.reportedDigest, g.reportedSince = digest, sentAt
 	}
-	p.suspicion.lastSeenAt = now
-	if len(p.suspicion.evidence) == 0 || p.suspicion.evidence[len(p.suspicion.evidence)-1] != sanitize(evidence, MaxReasonBytes) {
-		p.suspicion.addEvidence(evidence)
+	if complete {
+		return true
 	}
-	if !p.suspicion.contradicted {
-		p.suspicion.contradicted = true
-		r.group(GroupOf(p.agreed.Name)).settled = false
-		if p.state <= Propagating {
-			w.setState(now, r, p, Contradicting, evidence)
+	for _, i := range g.items {
+		if sentAt-max(i.detailedAt, g.reportedSince) > detailIntervals*m.settings.ReportInterval {
+			i.applied = Applied{Item: Item{Name: i.agreed.Name}}
 		}
 	}
+	return false
 }
--- a/internal/drift/simulation_test.go
+++ b/internal/drift/simulation_test.go
@@ -236,7 +236,7 @@
 		relay, item, _ := strings.Cut(key, " ")
 		r := w.watch.relays[relay]
 		g := r.group(GroupOf(item))
-		if p := g.find(item); p.outOfSyncSince > 0 && p.lastReading == w.planted[key] && !r.silent && w.watch.overdue(w.now, g, p) {
+		if p := g.item(item); p.outOfSyncSince > 0 && p.lastReading == w.planted[key] && !r.silent && w.watch.overdue(w.now, g, p) {
 			w.due[key] = w.now
 		}
 	}
@@ -295,12 +295,12 @@
 func (w *world) restart(s *sim, wait int64, told bool) {
 	s.up = false
 	if told {
-		w.watch.SetLiveness(w.now, s.name, Restarting)
+		w.watch.SetLiveness(s.name, Restarting)
 	}
 	w.at(w.now+wait, func() {
 		w.start(s)
 		if told {
-			w.at(w.now+2000, func() { w.watch.SetLiveness(w.now, s.name, Alive) })
+			w.at(w.now+2000, func() { w.watch.SetLiveness(s.name, Alive) })
 		}
 	})
 }
@@ -330,15 +330,15 @@
 			s.run = map[string]Item{}
 			w.restart(s, w.rng.Int64N(3000), false)
 		case k == 9: // upgrade: the new process is there before the old one has gone
-			w.watch.SetLiveness(w.now, s.name, Upgrading)
+			w.watch.SetLiveness(s.name, Upgrading)
 			w.start(s)
-			w.at(w.now+4000, func() { w.watch.SetLiveness(w.now, s.name, Alive) })
+			w.at(w.now+4000, func() { w.watch.SetLiveness(s.name, Alive) })
 		case k == 10:
 			s.stopped = w.now + w.rng.Int64N(12000)
 		case k == 11:
 			s.cut = w.now + w.rng.Int64N(40000)
 			if w.rng.IntN(2) == 0 {
-				w.watch.SetLiveness(w.now+1000, s.name, Unreachable)
+				w.watch.SetLiveness(s.name, Unreachable)
 			}
 		case k == 14: // its clock is set
 			s.skew += w.rng.Int64N(40_000) - 20_000
--- a/internal/fleet/drift_evaluation.go
+++ b/internal/fleet/drift_evaluation.go
@@ -17,7 +17,7 @@
 	for _, r := range v.Relays {
 		c.updateExpected(now, r.Name)
 		liveness := c.liveness(&r)
-		c.driftMonitor.SetLiveness(now, r.Name, liveness)
+		c.driftMonitor.SetLiveness(r.Name, liveness)
 		if _, quarantined := c.quarantined[r.Name]; liveness == drift.Alive && !quarantined { // in quarantine it counts as out instead
 			counted = append(counted, r.Name)
 		}
