--- a/internal/pool/endpoint_list.go
+++ b/internal/pool/endpoint_list.go
@@ -43,8 +43,8 @@
 	if err := json.Unmarshal(text, l); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	for i, e := range l.Instances {
-		if e.ID == "" {
+	for i, instance := range l.Instances {
+		if instance.ID == "" {
 			return nil, fmt.Errorf("%w: entry %d has no id", ErrMalformed, i)
 		}
 	}
--- a/internal/pool/watcher.go
+++ b/internal/pool/watcher.go
@@ -95,9 +95,9 @@
 	if l.Full || w.instances == nil {
 		w.instances = map[string]Instance{}
 	}
-	for _, e := range l.Instances {
-		if w.instances[e.ID] = e; lifecycleStates[e.Lifecycle] == policy.Gone {
-			delete(w.instances, e.ID)
+	for _, instance := range l.Instances {
+		if w.instances[instance.ID] = instance; lifecycleStates[instance.Lifecycle] == policy.Gone {
+			delete(w.instances, instance.ID)
 		}
 	}
 }
@@ -105,8 +105,8 @@
 // Snapshot is the current list, and whether a watch can continue from it.
 func (w *Watcher) Snapshot() (l *EndpointList, resumable bool) {
 	l = &EndpointList{Generation: w.generation, Full: true}
-	for _, e := range w.instances {
-		l.Instances = append(l.Instances, e)
+	for _, instance := range w.instances {
+		l.Instances = append(l.Instances, instance)
 	}
 	return l, w.hasList
 }
