--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -29,7 +29,7 @@
 	shut bool
 }
 
-// side is a virtual server that keeps what it is told.
+// side is a downstream that keeps what it receives.
 type side struct {
 	r       *rig
 	id      ID
@@ -153,12 +153,12 @@
 	}
 }
 
-// TestGate: the module's word alone starts no attempt.
-func TestGate(t *testing.T) {
+// TestMayStart: the policy's action alone starts no attempt.
+func TestMayStart(t *testing.T) {
 	r := newRig(t, 2)
 	s := r.open()
 	q, m := r.requests[s.id], r.members[11]
-	open := func(m *member) bool { return r.gate(r.now, q.state != placing, q.tries, q.deadline, m) }
+	open := func(m *member) bool { return r.mayStart(r.now, q.state != placing, q.attempts, q.deadline, m) }
 	if open(m) {
 		t.Error("a second attempt while one is out")
 	}
@@ -168,12 +168,12 @@
 	}
 	for name, shut := range map[string]func() (undo func()){
 		"serving": func() func() { q.state = serving; return func() { q.state = placing } },
-		"over":    func() func() { q.state = over; return func() { q.state = placing } },
-		"tries":   func() func() { q.tries = 3; return func() { q.tries = 1 } },
+		"over":    func() func() { q.state = finished; return func() { q.state = placing } },
+		"tries":   func() func() { q.attempts = 3; return func() { q.attempts = 1 } },
 		"late":    func() func() { q.deadline = r.now; return func() { q.deadline = r.now + time.Second } },
 		"left": func() func() {
-			m.left, m.told = true, r.now-251*time.Millisecond
-			return func() { m.left = false }
+			m.unavailable, m.unavailableSince = true, r.now-251*time.Millisecond
+			return func() { m.unavailable = false }
 		},
 	} {
 		undo := shut()
@@ -182,7 +182,7 @@
 		}
 		undo()
 	}
-	m.left, m.told = true, r.now-250*time.Millisecond
+	m.unavailable, m.unavailableSince = true, r.now-250*time.Millisecond
 	if !open(m) || open(nil) {
 		t.Error("the grace is not kept, or an unknown member let in")
 	}
@@ -205,9 +205,9 @@
 	}
 }
 
-// TestStandingFlow: a flow that was open goes to its member, and fails if that
+// TestResumedFlow: a flow that was open goes to its member, and fails if that
 // does not take it.
-func TestStandingFlow(t *testing.T) {
+func TestResumedFlow(t *testing.T) {
 	r := newRig(t, 2)
 	s, lost := &side{r: r}, &side{r: r}
 	id := r.Open(Request{CurrentMember: "m1", TimeLeft: time.Second}, s)
@@ -224,8 +224,8 @@
 	}
 }
 
-// TestLedgerNotReady: what would not be recorded is rejected, and never sent.
-func TestLedgerNotReady(t *testing.T) {
+// TestRecorderNotReady: what would not be recorded is rejected, and never sent.
+func TestRecorderNotReady(t *testing.T) {
 	r := newRig(t, 1)
 	r.shut = true
 	if s := r.open(); s.tries != 0 || len(s.answers) != 1 || s.answers[0] != "rejected" {
@@ -243,10 +243,10 @@
 	if s := r.open(); len(s.answers) != 1 || s.answers[0] != "rejected" {
 		t.Errorf("a request during the stop: %v", s.answers)
 	}
-	if away := r.Counts.BackoffTime; away != stopAfter {
-		t.Errorf("one was sent away for %v, counted %v", stopAfter, away)
+	if away := r.Counts.BackoffTime; away != stopRetryAfter {
+		t.Errorf("one was sent away for %v, counted %v", stopRetryAfter, away)
 	}
-	r.pass(of(stopMovesFrom, r.StopTimeout()) - time.Millisecond)
+	r.pass(fraction(stopMigrationStart, r.StopTimeout()) - time.Millisecond)
 	for _, s := range up {
 		if s.moved != 0 {
 			t.Error("moved too early")
@@ -264,10 +264,10 @@
 	}
 }
 
-// TestBan: a banned member gets nothing new, whatever discovery says and whoever
-// asks for it, and its flows are moved; put back it is taken for cold until discovery
+// TestEject: an ejected member gets nothing new, whatever discovery says and whoever
+// asks for it, and its flows are moved; put back it is taken for just started until discovery
 // knows of its start, and old failures count no more. Two words out, one back.
-func TestBan(t *testing.T) {
+func TestEject(t *testing.T) {
 	r := newRig(t, 1)
 	var probed int
 	r.Probe = func(*Member) { probed++ }
@@ -287,13 +287,13 @@
 	if r.Open(Request{CurrentMember: "m0", TimeLeft: time.Second}, at); at.tries != 0 || len(at.answers) != 1 || at.answers[0] != "rejected" {
 		t.Errorf("a standing flow of a banned member: %d tries, %v", at.tries, at.answers)
 	}
-	r.do(policy.Action{Kind: policy.ActionProbe, Server: 10})
+	r.execute(policy.Action{Kind: policy.ActionProbe, Server: 10})
 	if probed != 0 || r.Reachable(10) {
 		t.Error("a banned member was probed")
 	}
 	r.Reinstate("m0")
 	m := r.members[10]
-	if m.left || m.Started != r.now || !r.HasUsableMember() {
+	if m.unavailable || m.Started != r.now || !r.HasUsableMember() {
 		t.Errorf("put back: %+v", m)
 	}
 	r.Reinstate("m0")
@@ -312,9 +312,9 @@
 	}
 }
 
-// TestDoubt: while this process does not know what it has missed nothing is sent; then what has waited goes only where it may
+// TestPauseDispatch: while this process does not know what it has missed nothing is sent; then what has waited goes only where it may
 // still go, within the grace too, and who waited too long has an answer of the relay's own.
-func TestDoubt(t *testing.T) {
+func TestPauseDispatch(t *testing.T) {
 	r := newRig(t, 4)
 	r.PauseDispatch()
 	var all []*side
@@ -355,9 +355,9 @@
 	}
 }
 
-// TestBanUnlisted: a ban that an earlier process has kept holds for a member that
+// TestEjectUnlisted: an ejection that an earlier process has kept holds for a member that
 // discovery names only later.
-func TestBanUnlisted(t *testing.T) {
+func TestEjectUnlisted(t *testing.T) {
 	r := newRig(t, 0)
 	r.Eject("m0")
 	r.UpdateMembers(policy.ListFull, list(1, policy.Ready))
@@ -397,7 +397,7 @@
 		t.Error("clients are still welcome, or moved before the front knows")
 	}
 	open()
-	r.pass(drainMoves / 2)
+	r.pass(drainMigrationEnd / 2)
 	half := moved()
 	r.Resume()
 	r.Resume()
@@ -407,15 +407,15 @@
 	}
 	open()
 	r.Drain()
-	r.pass(drainMoves + time.Second)
+	r.pass(drainMigrationEnd + time.Second)
 	if moved() != len(up) || r.ActiveRequests() != 0 {
 		t.Errorf("%d moved of %d, %d held", moved(), len(up), r.ActiveRequests())
 	}
 }
 
-// TestRecall: a core goes on from what another has learned, by a clock of its own: a
-// member put back is as cold as it was, and a list of bans counts as it stands.
-func TestRecall(t *testing.T) {
+// TestRestore: a core goes on from what another has learned, by a clock of its own: a
+// member put back is as warmed up as it was, and a list of ejections counts as it stands.
+func TestRestore(t *testing.T) {
 	old, next := newRig(t, 3), newRig(t, 3)
 	old.Eject("m1")
 	old.Reinstate("m1")
@@ -435,14 +435,14 @@
 	}
 	next.SetEjections([]string{"m0", "m2"})
 	next.SetEjections([]string{"m2", "m9"})
-	if next.members[10].banned || !next.members[12].banned || !next.IsKnownMember("m9") {
+	if next.members[10].ejected || !next.members[12].ejected || !next.IsKnownMember("m9") {
 		t.Error("the list of bans does not count as it stands")
 	}
 }
 
-// TestGiveUp: with another process in its place flows are passed on to it, one by one,
+// TestBeginHandover: with another process in its place flows are passed on to it, one by one,
 // and those that are left after a while are moved, all within the time of a stop.
-func TestGiveUp(t *testing.T) {
+func TestBeginHandover(t *testing.T) {
 	r := newRig(t, 2)
 	up := r.up(5)
 	r.BeginHandover()
@@ -464,20 +464,20 @@
 	if _, _, ok := next.AdoptFlow(FlowTransfer{Member: "m9"}, s); ok {
 		t.Error("a flow at an unknown member was taken")
 	}
-	r.pass(of(passWithin, r.StopTimeout()) - time.Millisecond)
+	r.pass(fraction(handoverEnd, r.StopTimeout()) - time.Millisecond)
 	early := up[0].moved
 	for _, s := range up[1:] {
 		early += s.moved
 	}
-	r.pass(of(stopMoves, r.StopTimeout()))
+	r.pass(fraction(stopMigrationEnd, r.StopTimeout()))
 	if early != 0 || r.ActiveRequests() != 0 || up[0].moved != 0 || up[1].moved != 1 {
 		t.Errorf("%d moved early, %d held", early, r.ActiveRequests())
 	}
 }
 
-// TestFinish: when the time of a stop is up nobody is left without an answer or
+// TestFinishStop: when the time of a stop is up nobody is left without an answer or
 // without being told to move.
-func TestFinish(t *testing.T) {
+func TestFinishStop(t *testing.T) {
 	r := newRig(t, 2)
 	up, late := r.open(), r.open()
 	r.FlowEstablished(up.id, 0)
@@ -488,22 +488,22 @@
 	}
 }
 
-// TestMessages: slow messages at one member are told at most once a second, and
+// TestMessageLatency: slow messages at one member are told at most once a second, and
 // once more when they are fast again.
-func TestMessages(t *testing.T) {
+func TestMessageLatency(t *testing.T) {
 	r := newRig(t, 1)
 	s := r.open()
 	r.FlowEstablished(s.id, 0)
 	m := r.requests[s.id].member
 	r.ObserveMessageLatency(s.id, 40*time.Millisecond)
-	first := m.noted
+	first := m.slowReportedAt
 	r.now += 100 * time.Millisecond
 	r.ObserveMessageLatency(s.id, 50*time.Millisecond)
-	if !m.slow || m.noted != first {
+	if !m.slow || m.slowReportedAt != first {
 		t.Error("not told, or told again at once")
 	}
 	r.ObserveMessageLatency(s.id, 20*time.Millisecond)
-	if m.slow || m.noted != r.now {
+	if m.slow || m.slowReportedAt != r.now {
 		t.Error("not told that it is over")
 	}
 }
@@ -570,10 +570,10 @@
 	})
 }
 
-// TestAgree: a member that the fleet takes out gets nothing new at once, and its flows leave spread over the time that is agreed. Revoked,
-// who was not moved stays; agreed again, they are moved, though the module asks once; when discovery says that it drains, none
-// waits; and an operator's own ban outlives the fleet's word.
-func TestAgree(t *testing.T) {
+// TestFleetRemovals: a member that the fleet takes out gets nothing new at once, and its flows leave spread over the time that is agreed. Revoked,
+// who was not moved stays; agreed again, they are moved, though the policy asks once; when discovery says that it drains, none
+// waits; and an operator's own ejection outlives the fleet's decision.
+func TestFleetRemovals(t *testing.T) {
 	const members = 12
 	r := newRig(t, members)
 	var all []*side // of flows that stand
--- /dev/null
+++ b/internal/core/idempotency.go
@@ -0,0 +1,41 @@
+package core
+
+import (
+	"time"
+
+	"dahliarudder/policy"
+)
+
+// This file holds the rules on repeats: no request may take effect twice, whatever the policy decides.
+
+// mayHaveRun reports whether an attempt with that result may have run at its member.
+func mayHaveRun(result policy.Result) bool {
+	return result != policy.Full && result != policy.ConnectFailed && result != policy.NotSent
+}
+
+// firstRun is the first attempt of a request that may have run.
+type firstRun struct {
+	sentAt time.Duration
+	server policy.Server
+}
+
+// safeToRepeat reports whether an attempt may go to a member without the request taking effect twice.
+func (c *Core) safeToRepeat(now time.Duration, r *request, m *member) bool {
+	class := c.policyCfg.Classes[r.Class]
+	switch {
+	case r.firstRun == nil, class.Idempotency == policy.Idempotent:
+		return true
+	case class.Idempotency == policy.NonIdempotent, now >= r.firstRun.sentAt+class.DedupWindow:
+		return false
+	}
+	return class.Scope == policy.ScopeAll || class.Scope == policy.ScopeZone && m.Zone == r.firstRun.server.Zone ||
+		class.Scope == policy.ScopeCell && m.Cell == r.firstRun.server.Cell
+}
+
+// safeToRetry reports whether the client of a request may be answered that a retry is harmless.
+func (c *Core) safeToRetry(r *request) bool {
+	class := c.policyCfg.Classes[r.Class]
+	return class.Idempotency == policy.Idempotent ||
+		class.Idempotency == policy.IdempotencyKey && class.Scope == policy.ScopeAll ||
+		r.state == placing && r.firstRun == nil
+}
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -2,16 +2,41 @@
 
 import (
 	"maps"
-	"math"
 	"slices"
 	"time"
 
+	"dahliarudder/internal/window"
 	"dahliarudder/policy"
 )
 
-// This file is what the core holds of pool members: what discovery says of them, what operators do, and what is passed on.
+// This file holds the pool members as discovery lists them and as operators and the fleet change them.
 
-// ServerList is what discovery says of the members.
+// member is what the core knows of a pool member.
+type member struct {
+	Member // as the policy knows it
+
+	listed           policy.Server // as discovery lists it
+	unavailable      bool          // it drains, is gone or is removed
+	unavailableSince time.Duration // when this relay learned that
+	joinedAt         time.Duration // when it was first listed, if that was a delta
+
+	ejected           bool          // removed by operators or the fleet
+	startedAtEjection time.Duration // its start as listed when it was removed
+	reinstatedAt      time.Duration // when it was reinstated
+
+	flows     int    // attempts in flight and open flows
+	successes uint64 // attempts and probes
+	failures  uint64
+
+	slow           bool // its messages were slow lately
+	slowReportedAt time.Duration
+
+	slowStart   *window.SlowStart // limits the messages in flight there
+	slowStartOf time.Duration     // the start that slowStart was made for
+	feedQueue   []*Feed           // that wait for slowStart
+}
+
+// UpdateMembers takes a list event of discovery.
 func (c *Core) UpdateMembers(kind policy.ListKind, list []Member) {
 	now := c.Clock()
 	servers := make([]policy.Server, len(list))
@@ -20,194 +45,76 @@
 		named[e.ID] = true
 		m := c.members[e.ID]
 		if m == nil {
-			m = &member{noted: -noteEvery, banned: c.ruled(e.Name), started: e.Started}
+			m = &member{slowReportedAt: -slowReportInterval, ejected: c.isRemoved(e.Name), startedAtEjection: e.Started}
 			c.members[e.ID] = m
 			if kind == policy.ListDelta {
-				m.joined = now
+				m.joinedAt = now
 			}
 		}
 		m.Member, m.listed = e, e.Server
 		c.byName[e.Name] = m
-		c.see(now, m)
+		c.refreshMember(now, m)
 		servers[i] = m.Server
 	}
 	if kind == policy.ListFull || kind == policy.ListCached {
 		for _, id := range slices.Sorted(maps.Keys(c.members)) {
 			if m := c.members[id]; !named[id] {
 				m.listed.State = policy.Gone
-				c.see(now, m)
+				c.refreshMember(now, m)
 			}
 		}
 	}
-	c.tell(policy.ServerList{Kind: kind, Servers: servers})
+	c.notifyPolicy(policy.ServerList{Kind: kind, Servers: servers})
 }
 
-// see makes of what discovery and the operators say of a member what the module
-// and the gate go by. A banned member is one that drains; one put back has started
-// just then, unless discovery knows of a start since the ban.
-func (c *Core) see(now time.Duration, m *member) {
+// refreshMember derives the effective state of a member from the list and from removals. A removed member counts as
+// draining; a reinstated one has started at that moment, unless discovery lists a start since the removal.
+func (c *Core) refreshMember(now time.Duration, m *member) {
 	m.Server = m.listed
-	if m.back > 0 && m.Started <= m.started {
-		m.Started = m.back
+	if m.reinstatedAt > 0 && m.Started <= m.startedAtEjection {
+		m.Started = m.reinstatedAt
 	}
-	if m.banned && m.State == policy.Ready {
+	if m.ejected && m.State == policy.Ready {
 		m.State = policy.Draining
 	}
-	left := m.State != policy.Ready
-	if left && !m.left {
-		m.told = now
-	}
-	m.left = left
-	if c.paced {
-		c.settle(m)
-	}
-}
-
-// ---- What operators and the fleet tell ----
-
-// IsKnownMember says whether a member of that name is or was in the pool, or is banned.
-func (c *Core) IsKnownMember(name string) bool { return c.byName[name] != nil || c.ruled(name) }
-
-// Removal is how a member that the fleet has agreed to take out is left.
-type Removal struct {
-	SpreadOver time.Duration // its flows are moved spread over so long; 0: at once
-	Ejection   bool          // an operator's word, after which the member may be another one; else it is drained, and warm if that is revoked
-}
-
-// ruled says whether an operator of this relay or the fleet has taken a member out.
-func (c *Core) ruled(name string) bool {
-	_, agreed := c.agreed[name]
-	return agreed || c.bans[name]
-}
-
-// Eject has nothing new sent to a member, whatever the pool says of it, and its flows
-// moved.
-func (c *Core) Eject(name string) {
-	c.bans[name] = true
-	c.rule(name, false)
-}
-
-// Reinstate ends a ban. Whatever the member was restarted for meanwhile, it is taken
-// for cold, and nothing that was learned of it before counts.
-func (c *Core) Reinstate(name string) {
-	delete(c.bans, name)
-	c.rule(name, false)
-}
-
-// SetFleetRemovals puts what the fleet has agreed on in the place of all that it agreed on before. Bans of this relay's own operators stay.
-func (c *Core) SetFleetRemovals(out map[string]Removal) {
-	before := c.agreed
-	c.agreed = maps.Clone(out)
-	for _, name := range slices.Sorted(maps.Keys(before)) {
-		if _, still := out[name]; !still {
-			c.rule(name, !before[name].Ejection)
-		}
+	unavailable := m.State != policy.Ready
+	if unavailable && !m.unavailable {
+		m.unavailableSince = now
 	}
-	for _, name := range slices.Sorted(maps.Keys(out)) {
-		if was, still := before[name]; !still || was != out[name] {
-			c.rule(name, false)
-		}
+	m.unavailable = unavailable
+	if c.migrationsDeferred {
+		c.updateDeferred(m)
 	}
 }
 
-// rule has a member be in or out as is ruled now, and its flows leave as is said now. One that is back is taken for just started, but for a drain that was revoked
-// (warm): discovery would know of a new start.
-func (c *Core) rule(name string, warm bool) {
-	m, out := c.byName[name], c.ruled(name)
-	switch {
-	case m == nil || !m.banned && !out:
-		return
-	case m.banned && out: // still out, maybe by another word
-		if c.paced {
-			c.settle(m)
-			c.arm()
-		}
-		return
-	case out:
-		m.started = m.listed.Started
-	case !warm:
-		m.back = c.Clock()
-	}
-	m.banned = out
-	c.word(m)
+// notifyMemberChange tells the policy that a removal has changed a member.
+func (c *Core) notifyMemberChange(m *member) {
+	c.refreshMember(c.Clock(), m)
+	c.notifyPolicy(policy.ServerList{Kind: policy.ListDelta, Servers: []policy.Server{m.Server}})
 }
 
-// word tells the module of a member about which somebody has spoken.
-func (c *Core) word(m *member) {
-	c.see(c.Clock(), m)
-	c.tell(policy.ServerList{Kind: policy.ListDelta, Servers: []policy.Server{m.Server}})
-}
+// IsKnownMember reports whether a member of that name is or was in the pool, or is removed.
+func (c *Core) IsKnownMember(name string) bool { return c.byName[name] != nil || c.isRemoved(name) }
 
-// SetEjections puts these names in the place of all that are banned.
-func (c *Core) SetEjections(names []string) {
-	for _, name := range c.Ejected() {
-		if !slices.Contains(names, name) {
-			c.Reinstate(name)
-		}
-	}
-	for _, name := range names {
-		c.Eject(name)
-	}
-}
-
-// Ejected are the members that this relay's own operators have taken out, in order.
-func (c *Core) Ejected() []string { return slices.Sorted(maps.Keys(c.bans)) }
-
-// pace puts the move of a flow off that the module asks for, where its member leaves by agreement and the flows of all relays are
-// spread over a time. The module asks once, so what is put off is the core's to do.
-func (c *Core) pace(r *request) bool {
-	if r.state != serving || r.member.listed.State != policy.Ready { // it leaves by itself, and sends its clients away soon
-		return false
-	}
-	over := c.agreed[r.member.Name].SpreadOver
-	if !r.member.banned || c.bans[r.member.Name] || over <= 0 { // an operator of this relay wants it left now
-		return false
-	}
-	r.owed, c.paced = true, true
-	// A part of the span that is the request's own, and spreads those of one relay evenly.
-	part := math.Mod(float64(r.id)*math.Phi, 1)
-	c.dueAt(r, max(c.Clock(), r.member.told+time.Duration(part*float64(over))))
-	return true
-}
-
-// quit has a flow moved that has just come to a member that is being left: the module asks for moves only as it hears of that.
-func (c *Core) quit(r *request) {
-	if r.state == serving && r.member.left && !c.pace(r) {
-		c.dueAt(r, c.Clock())
-	}
-}
-
-// settle looks at flows of a member whose move was put off, when what is said of it changes: it leaves after all, sooner, or stays.
-func (c *Core) settle(m *member) {
-	for _, r := range c.held() {
-		switch {
-		case r.state != serving || r.member != m || !r.owed:
-		case !m.left:
-			r.due = 0
-		case m.left && !c.pace(r):
-			c.move(r)
-		}
-	}
-}
-
-// MemberStatus is a pool member as this relay holds it, for those who look.
+// MemberStatus is a pool member as this relay sees it, for operators.
 type MemberStatus struct {
 	Name                string
 	Zone                int
-	State               policy.ServerState // as discovery has it
+	State               policy.ServerState // as discovery lists it
 	Started             time.Duration
-	Removed             bool // by an operator or by agreement
+	Removed             bool // by operators or the fleet
 	Flows               int
-	Capacity            float64 // in flows, as far as it is known; 0: not known
-	Successes, Failures uint64  // attempts and probes that ended so, since this process started
+	Capacity            float64 // in flows; 0 while it is unknown
+	Successes, Failures uint64  // of attempts and probes, since this process started
 }
 
-// Members is what is held of all members that discovery names, by name.
+// Members is the status of all members that are listed or hold flows, by name.
 func (c *Core) Members() (all []MemberStatus) {
 	learned := c.facade.LearnedState(c.Clock()).Servers
 	for _, name := range slices.Sorted(maps.Keys(c.byName)) {
 		m := c.byName[name]
-		v := MemberStatus{Name: name, Zone: m.Zone, State: m.listed.State, Started: m.listed.Started, Removed: m.banned, Flows: m.flows, Successes: m.good, Failures: m.bad}
+		v := MemberStatus{Name: name, Zone: m.Zone, State: m.listed.State, Started: m.listed.Started,
+			Removed: m.ejected, Flows: m.flows, Successes: m.successes, Failures: m.failures}
 		if l, ok := learned[m.ID]; ok && l.Reports > 0 {
 			v.Capacity = l.Capacity
 		}
@@ -217,33 +124,3 @@
 	}
 	return all
 }
-
-// LearnedState is what another core can go on from. Times are ages.
-type LearnedState struct {
-	Policy         policy.LearnedState      `json:"policy"`
-	ReinstatedAges map[string]time.Duration `json:"back"` // how long ago members were put back
-}
-
-// LearnedState is what has been learned so far.
-func (c *Core) LearnedState() LearnedState {
-	now := c.Clock()
-	l := LearnedState{Policy: c.facade.LearnedState(now), ReinstatedAges: map[string]time.Duration{}}
-	for name, m := range c.byName {
-		if m.back > 0 {
-			l.ReinstatedAges[name] = now - m.back
-		}
-	}
-	return l
-}
-
-// Restore goes on from what another core has learned. It comes after Pool.
-func (c *Core) Restore(l LearnedState) {
-	now := c.Clock()
-	for name, ago := range l.ReinstatedAges {
-		if m := c.byName[name]; m != nil {
-			m.started, m.back = m.listed.Started, now-ago
-			c.see(now, m)
-		}
-	}
-	c.facade.Restore(now, l.Policy)
-}
--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -57,12 +57,12 @@
 
 func (s *side) got() string { return strings.Join(s.answers, ",") }
 
-// TestFinishEffects: at the end of a planned stop only those are rejected whose repeat is harmless: the rest may have run.
-func TestFinishEffects(t *testing.T) {
+// TestFinishStopIdempotency: at the end of a planned stop only those are rejected whose repeat is harmless: the rest may have run.
+func TestFinishStopIdempotency(t *testing.T) {
 	for class, want := range map[int]string{safeClass: "rejected", keyedAll: "rejected", keyedZone: "failed", keyedCell: "failed", unsafeClass: "failed"} {
 		r := newRigOf(t, classesText, list(2, policy.Ready))
 		out, ran, none := r.bring(class, 2*time.Second), r.bring(class, 2*time.Second), r.bring(class, 2*time.Second)
-		ran.ends(policy.Error) // the module pauses before the next attempt, if there is one
+		ran.ends(policy.Error) // the policy pauses before the next attempt, if there is one
 		none.ends(policy.Full)
 		if none.out > 0 {
 			none.ends(policy.ConnectFailed)
@@ -96,8 +96,8 @@
 	}
 }
 
-// TestShortWait: who has no time left is answered at once, and nothing is sent.
-func TestShortWait(t *testing.T) {
+// TestShortTimeLeft: who has no time left is answered at once, and nothing is sent.
+func TestShortTimeLeft(t *testing.T) {
 	for _, wait := range []time.Duration{-time.Second, 0, time.Millisecond, 8 * time.Millisecond} {
 		r := newRigOf(t, classesText, list(2, policy.Ready))
 		if s := r.bring(unsafeClass, wait); s.tries != 0 || s.got() != "rejected" || r.ActiveRequests() != 0 {
@@ -106,12 +106,12 @@
 	}
 }
 
-// TestNumbering: after a send that the gate has barred, the module still hears how the next attempt ends, and makes another.
+// TestNumbering: after a send that mayStart has blocked, the policy still hears how the next attempt ends, and makes another.
 func TestNumbering(t *testing.T) {
 	r := newRigOf(t, classesText, list(4, policy.Ready))
 	r.PauseDispatch()
 	s := r.bring(safeClass, 2*time.Second)
-	barred := r.later[0].Server
+	barred := r.pausedActions[0].Server
 	r.UpdateMembers(policy.ListDelta, []Member{r.drains(barred)})
 	r.ResumeDispatch()
 	if r.Counts.Blocked != 1 || s.out != 1 {
@@ -139,9 +139,9 @@
 	return m
 }
 
-// TestHeldEnds: the client of a request leaves, or its deadline comes, while its send waits for the end of a doubt: nothing is sent
-// for it, and nothing of it stays in the module.
-func TestHeldEnds(t *testing.T) {
+// TestPausedSendEnds: the client of a request leaves, or its deadline comes, while its send waits for the end of a pause of dispatch: nothing is sent
+// for it, and nothing of it stays in the policy.
+func TestPausedSendEnds(t *testing.T) {
 	for name, end := range map[string]func(r *rig, s *side){
 		"left":     func(r *rig, s *side) { r.ClientGone(s.id) },
 		"deadline": func(r *rig, s *side) { r.pass(2 * time.Second) },
@@ -164,14 +164,14 @@
 	}
 }
 
-// TestHeldWindow: a repeat that waited for the end of a doubt is not sent once its window is over.
-func TestHeldWindow(t *testing.T) {
+// TestPausedSendDedupWindow: a repeat that waited for the end of a pause of dispatch is not sent once its window is over.
+func TestPausedSendDedupWindow(t *testing.T) {
 	r := newRigOf(t, classesText, list(3, policy.Ready))
 	s := r.bring(keyedAll, 2*time.Second)
 	r.PauseDispatch()
 	s.ends(policy.Reset)
-	if s.out != 0 || len(r.later) != 1 {
-		t.Fatalf("%d out, %d held", s.out, len(r.later))
+	if s.out != 0 || len(r.pausedActions) != 1 {
+		t.Fatalf("%d out, %d held", s.out, len(r.pausedActions))
 	}
 	r.pass(901 * time.Millisecond)
 	if s.got() != "" {
@@ -187,9 +187,9 @@
 	}
 }
 
-// TestUpAtLeaving: a flow that comes up at a member that has begun to drain meanwhile is moved, though the module asks for moves
+// TestEstablishedAtUnavailable: a flow that comes up at a member that has begun to drain meanwhile is moved, though the policy asks for moves
 // only as it hears of the drain.
-func TestUpAtLeaving(t *testing.T) {
+func TestEstablishedAtUnavailable(t *testing.T) {
 	r := newRigOf(t, classesText, list(1, policy.Ready))
 	s := r.bring(safeClass, 2*time.Second)
 	r.UpdateMembers(policy.ListDelta, list(1, policy.Draining))
@@ -202,20 +202,20 @@
 	}
 }
 
-// TestUpWhileDraining: a flow that comes up while the relay drains is moved at its time, whatever else is due then.
-func TestUpWhileDraining(t *testing.T) {
+// TestEstablishedWhileDraining: a flow that comes up while the relay drains is moved at its time, whatever else is due then.
+func TestEstablishedWhileDraining(t *testing.T) {
 	r := newRigOf(t, classesText, list(1, policy.Ready))
 	s := r.bring(safeClass, 20*time.Second)
 	r.Drain()
 	r.FlowEstablished(s.id, 0)
-	if r.pass(drainMovesFrom); s.moved != 1 {
-		t.Errorf("moved %d times %v after the drain began", s.moved, drainMovesFrom)
+	if r.pass(drainMigrationStart); s.moved != 1 {
+		t.Errorf("moved %d times %v after the drain began", s.moved, drainMigrationStart)
 	}
 }
 
-// TestPacedAndDrained: a member's agreed drain and the relay's own both move a flow, the earlier one of them; and the end of the
+// TestDeferredAndDrained: a member's agreed drain and the relay's own both move a flow, the earlier one of them; and the end of the
 // relay's drain does not undo the other.
-func TestPacedAndDrained(t *testing.T) {
+func TestDeferredAndDrained(t *testing.T) {
 	agreed := func(over time.Duration) map[string]Removal { return map[string]Removal{"m0": {SpreadOver: over}} }
 	within := func(r *rig, s *side, d time.Duration, what string) {
 		t.Helper()
@@ -236,7 +236,7 @@
 	r, s = start()
 	r.Drain()
 	r.SetFleetRemovals(agreed(time.Hour))
-	within(r, s, drainMoves, "paced after the drain")
+	within(r, s, drainMigrationEnd, "paced after the drain")
 
 	r, s = start()
 	r.Stop()
@@ -249,8 +249,8 @@
 	within(r, s, 100*time.Millisecond, "drained after the pace")
 }
 
-// TestServedUnseen: an attempt that is served to its end without ever being up counts for its member, once.
-func TestServedUnseen(t *testing.T) {
+// TestServedWithoutFlow: an attempt that is served to its end without ever being up counts for its member, once.
+func TestServedWithoutFlow(t *testing.T) {
 	r := newRigOf(t, classesText, list(1, policy.Ready))
 	s := r.bring(safeClass, 2*time.Second)
 	s.ends(policy.OK)
@@ -265,20 +265,20 @@
 	}
 }
 
-// TestRejectEffects: a reject by the module does not pass for a request that may have run and may not be repeated.
-func TestRejectEffects(t *testing.T) {
+// TestRejectIdempotency: a reject by the policy does not pass for a request that may have run and may not be repeated.
+func TestRejectIdempotency(t *testing.T) {
 	for class, want := range map[int]string{safeClass: "rejected", keyedAll: "rejected", keyedZone: "failed", keyedCell: "failed", unsafeClass: "failed"} {
 		r := newRigOf(t, classesText, list(1, policy.Ready))
 		s := r.bring(class, 2*time.Second)
-		r.do(policy.Action{Kind: policy.ActionReject, ID: s.id, Duration: time.Second})
+		r.execute(policy.Action{Kind: policy.ActionReject, ID: s.id, Duration: time.Second})
 		if s.got() != want || s.out != 0 {
 			t.Errorf("class %d: %v, %d out, want %s", class, s.answers, s.out, want)
 		}
 	}
 }
 
-// TestRepeatEffects: after an attempt that may have run the module's word alone starts another only where the class lets it.
-func TestRepeatEffects(t *testing.T) {
+// TestRepeatIdempotency: after an attempt that may have run the policy's action alone starts another only where the class lets it.
+func TestRepeatIdempotency(t *testing.T) {
 	away := list(4, policy.Ready)
 	away[1].Cell, away[2].Zone, away[2].Cell, away[3].Zone = 1, 1, 2, 1
 	for class, want := range map[int][4]bool{safeClass: {true, true, true, true}, keyedAll: {true, true, true, true},
@@ -289,12 +289,12 @@
 				s := &side{r: r}
 				r.Open(Request{Class: class, CurrentMember: "m0", TimeLeft: 2 * time.Second}, s)
 				q := r.requests[s.id]
-				q.standing = false // as any other that had its attempt there
+				q.preexisting = false // as any other that had its attempt there
 				s.ends(policy.Reset)
 				if late {
 					r.now += 900 * time.Millisecond
 				}
-				r.do(policy.Action{Kind: policy.ActionSend, ID: s.id, Server: m.ID})
+				r.execute(policy.Action{Kind: policy.ActionSend, ID: s.id, Server: m.ID})
 				if ok := want[i] && (class == safeClass || !late); (s.tries == 2) != ok {
 					t.Errorf("class %d at %s, after the window %v: %d tries", class, m.Name, late, s.tries)
 				}
@@ -303,8 +303,8 @@
 	}
 }
 
-// TestStandingDeadline: a flow that its member is asked to go on with has its answer by its deadline, though nothing else is due.
-func TestStandingDeadline(t *testing.T) {
+// TestResumedFlowDeadline: a flow that its member is asked to go on with has its answer by its deadline, though nothing else is due.
+func TestResumedFlowDeadline(t *testing.T) {
 	r := newRigOf(t, classesText, list(1, policy.Ready))
 	s := &side{r: r}
 	r.Open(Request{CurrentMember: "m0", Class: unsafeClass, TimeLeft: time.Second}, s)
@@ -316,7 +316,7 @@
 	}
 }
 
-// TestSendWhileOpen: a send for a request whose flow stands is barred, and the module keeps the flow: it asks for its move when the
+// TestSendWhileOpen: a send for a request whose flow stands is blocked, and the policy keeps the flow: it asks for its move when the
 // member leaves.
 func TestSendWhileOpen(t *testing.T) {
 	r := newRigOf(t, classesText, list(2, policy.Ready))
@@ -325,7 +325,7 @@
 	if s.to != at.Name {
 		at = r.members[policy.ServerID(11)]
 	}
-	r.do(policy.Action{Kind: policy.ActionSend, ID: s.id, Server: 10})
+	r.execute(policy.Action{Kind: policy.ActionSend, ID: s.id, Server: 10})
 	if s.tries != 1 || r.Counts.Blocked != 1 {
 		t.Fatalf("%d tries, %d barred", s.tries, r.Counts.Blocked)
 	}
@@ -334,9 +334,9 @@
 	}
 }
 
-// TestPaceChanges: while the flows of a member leave spread over an agreed time, another word on that member counts at once: a ban by
+// TestDeferredChanges: while the flows of a member leave spread over an agreed time, another word on that member counts at once: an ejection by
 // the fleet or by this relay's own operators moves the rest now, and so does a drain in less time.
-func TestPaceChanges(t *testing.T) {
+func TestDeferredChanges(t *testing.T) {
 	over := func(d time.Duration, ban bool) map[string]Removal {
 		return map[string]Removal{"m0": {SpreadOver: d, Ejection: ban}}
 	}
@@ -361,17 +361,17 @@
 	r := newRigOf(t, classesText, list(1, policy.Ready))
 	r.up(1)
 	r.SetFleetRemovals(over(time.Hour, false))
-	before := len(r.alarms)
+	before := len(r.timers)
 	for range 10 {
 		r.SetFleetRemovals(over(time.Hour, false))
 	}
-	if n := len(r.alarms); n != before {
+	if n := len(r.timers); n != before {
 		t.Errorf("%d alarms, %d after the same was agreed again", before, n)
 	}
 }
 
-// TestTakePaced: flows that another process passes on leave a member spread over the time that is agreed, as those that were here.
-func TestTakePaced(t *testing.T) {
+// TestAdoptDeferred: flows that another process passes on leave a member spread over the time that is agreed, as those that were here.
+func TestAdoptDeferred(t *testing.T) {
 	r := newRigOf(t, classesText, list(1, policy.Ready))
 	r.SetFleetRemovals(map[string]Removal{"m0": {SpreadOver: 10 * time.Second}})
 	var all []*side
@@ -395,7 +395,7 @@
 	}
 }
 
-// TestLateRetry: where the loop comes so late that the pause before a further attempt and the module's time for an answer are over
+// TestLateRetry: where the loop comes so late that the pause before a further attempt and the policy's time for an answer are over
 // together, no attempt begins that is abandoned at once.
 func TestLateRetry(t *testing.T) {
 	r := newRigOf(t, strings.Replace(classesText, `"answer-slack-ms":8`, `"answer-slack-ms":60`, 1), list(3, policy.Ready))
@@ -412,8 +412,8 @@
 	}
 }
 
-// TestBeginWindow: a repeat whose connection comes up only after the window is not sent: the send is when its line leaves.
-func TestBeginWindow(t *testing.T) {
+// TestMaySendDedupWindow: a repeat whose connection comes up only after the window is not sent: the send is when its line leaves.
+func TestMaySendDedupWindow(t *testing.T) {
 	for class, late := range map[int]bool{keyedAll: false, safeClass: true} {
 		r := newRigOf(t, classesText, list(2, policy.Ready))
 		s := r.bring(class, 2*time.Second)
@@ -429,8 +429,8 @@
 	}
 }
 
-// TestLeftEffects: a client that ends its sending and still listens may be told that coming again is harmless only where it is.
-func TestLeftEffects(t *testing.T) {
+// TestClientGoneIdempotency: a client that ends its sending and still listens may be told that coming again is harmless only where it is.
+func TestClientGoneIdempotency(t *testing.T) {
 	for class, harmless := range map[int]bool{safeClass: true, keyedAll: true, keyedZone: false, keyedCell: false, unsafeClass: false} {
 		r := newRigOf(t, classesText, list(2, policy.Ready))
 		out, ran, none := r.bring(class, 2*time.Second), r.bring(class, 2*time.Second), r.bring(class, 2*time.Second)
@@ -454,9 +454,9 @@
 	}
 }
 
-// TestAdvice: whoever rejects, for whatever cause, tells the client to come again after no longer than clients heed, and
+// TestRetryAfter: whoever rejects, for whatever cause, tells the client to come again after no longer than clients heed, and
 // tells it nothing where the settings say that clients get no advice.
-func TestAdvice(t *testing.T) {
+func TestRetryAfter(t *testing.T) {
 	for limits, most := range map[string]time.Duration{
 		`"max-attempts":3,"retry-after":true,"max-retry-after-ms":200`:   200 * time.Millisecond,
 		`"max-attempts":3,"max-retry-after-ms":200`:                      200 * time.Millisecond,
@@ -483,9 +483,9 @@
 	}
 }
 
-// TestNoWindow: a class whose repeats are told apart by a key, but for no time that the settings name, is never repeated once it
+// TestNoDedupWindow: a class whose repeats are told apart by a key, but for no time that the settings name, is never repeated once it
 // may have run.
-func TestNoWindow(t *testing.T) {
+func TestNoDedupWindow(t *testing.T) {
 	for _, window := range []string{`,"window-ms":0`, ``, `,"window-ms":-1`} {
 		r := newRigOf(t, strings.ReplaceAll(classesText, `,"window-ms":900`, window), list(2, policy.Ready))
 		s := r.bring(keyedAll, 2*time.Second)
--- a/internal/fleet/leader.go
+++ b/internal/fleet/leader.go
@@ -75,13 +75,13 @@
 	if s.leaderSince == 0 {
 		return controlStep{}, false
 	}
-	relays := s.controller.fleet
-	view := relays.buildView(now, s.leaderSince, s.Budgets().FlowHoldMS, s.Name, s.lastObserved, slowStart{s.SlowStartShare, s.SlowStartDuration.Milliseconds()})
+	reported := s.controller.fleet
+	view := reported.buildView(now, s.leaderSince, s.Budgets().FlowHoldMS, s.Name, s.lastObserved, slowStart{s.SlowStartShare, s.SlowStartDuration.Milliseconds()})
 	s.evaluateDrift(now, &view)
 	intents := s.controller.planIntent(now, &view)
 	canaries := s.evaluateCanary(now, &view)
 	s.lastView = view
-	reportsMissing := slices.ContainsFunc(view.Relays, func(r rollout.Relay) bool { return relays.relays[r.Name] == nil && !r.Exited })
+	reportsMissing := slices.ContainsFunc(view.Relays, func(r rollout.Relay) bool { return reported.relays[r.Name] == nil && !r.Exited })
 	if reportsMissing && now-s.leaderSince < silenceTimeout.Milliseconds() {
 		return controlStep{}, false
 	}
@@ -104,13 +104,13 @@
 func (s *Service) proposeStep(step controlStep) {
 	for _, c := range step.canaries {
 		if err := s.proposeCanary(context.Background(), c); err != nil {
-			s.noteFailure("canary "+string(c.Op), err)
+			s.noteFailure(opCanary+string(c.Op), err)
 			return
 		}
 	}
 	for _, c := range step.intents {
 		if result, err := s.proposeIntent(context.Background(), c); err != nil || result.Error != "" {
-			s.noteFailure("intent", cmp.Or(err, rejection(result)))
+			s.noteFailure(opIntent, cmp.Or(err, rejection(result)))
 		}
 	}
 	var plan []rollout.Command
@@ -123,7 +123,7 @@
 	for _, c := range s.gateOnCanary(plan) {
 		result, err := s.propose(context.Background(), c)
 		if err = cmp.Or(err, rejection(result)); err != nil {
-			s.noteFailure("plan "+string(c.Kind), err)
+			s.noteFailure(opPlan+string(c.Kind), err)
 			return
 		}
 	}
--- a/internal/pool/watch_test.go
+++ b/internal/pool/watcher_test.go
@@ -10,12 +10,12 @@
 	"dahliarudder/policy"
 )
 
-// rig is a watch, the list of what it told, and discovery's end of its calls.
+// rig is a watch, the updates that it handed on, and discovery's end of its polls.
 type rig struct {
 	*looptest.Harness
 	*Watcher
-	server *looptest.Server
-	told   []string
+	server  *looptest.Server
+	updates []string
 }
 
 // newRig has a watch that holds generation 41 and has begun.
@@ -27,7 +27,7 @@
 		for _, m := range list {
 			names += fmt.Sprintf(" %s:%d", m.Name, m.State)
 		}
-		r.told = append(r.told, fmt.Sprint(kind, names))
+		r.updates = append(r.updates, fmt.Sprint(kind, names))
 	})
 	return r
 }
@@ -48,11 +48,11 @@
 
 var drained = fmt.Sprint(policy.ListDelta, " s-5be2a07c:", int(policy.Draining))
 
-// want fails unless just this was told.
-func (r *rig) want(told ...string) {
+// want fails unless just these updates were handed on.
+func (r *rig) want(updates ...string) {
 	r.T.Helper()
-	if fmt.Sprint(r.told) != fmt.Sprint(told) {
-		r.T.Fatalf("told %q, want %q", r.told, told)
+	if fmt.Sprint(r.updates) != fmt.Sprint(updates) {
+		r.T.Fatalf("updates %q, want %q", r.updates, updates)
 	}
 }
 
@@ -64,17 +64,17 @@
 	}
 }
 
-// TestWatch: the first call says which list is held, and each further one follows its answer at once, on the same
+// TestWatch: the first poll continues from the initial list, and each further one follows the last answer at once, on the same
 // connection.
 func TestWatch(t *testing.T) {
 	r := newRig(t)
 	r.Start()
 	p := r.server.Accept()
-	p.Expect(r.text(41, watchWait))
+	p.Expect(r.text(41, longPollWait))
 	p.Send(changes(43))
-	p.Expect(r.text(43, watchWait))
+	p.Expect(r.text(43, longPollWait))
 	p.Send(message(`{"generation":44,"reset":true,"instances":[]}`))
-	p.Expect(r.text(44, watchWait))
+	p.Expect(r.text(44, longPollWait))
 	r.want(drained, fmt.Sprint(policy.ListFull, ""))
 	r.Stop()
 	r.Start()
@@ -108,7 +108,7 @@
 			r := newRig(t)
 			r.Start()
 			p := r.server.Accept()
-			p.Expect(r.text(41, watchWait))
+			p.Expect(r.text(41, longPollWait))
 			step := c.pieces
 			if step == 0 {
 				step = len(c.answer)
@@ -123,54 +123,54 @@
 				p.CloseWrite()
 				p = r.server.Accept()
 			}
-			p.Expect(r.text(43, watchWait))
+			p.Expect(r.text(43, longPollWait))
 			r.want(c.want)
 		})
 	}
 }
 
-// TestSilentWatch: a watch that has fallen silent is noticed, and what it missed arrives within the protocol's time,
-// though it stays silent. Before the second call of its own connection, the call was given up 5.8 s after it began
-// and the next one left to the decision module, up to half a second later.
+// TestSilentWatch: a watch that has fallen silent is noticed, and what it missed arrives within the deadline, though it stays
+// silent. Before there were second polls, the poll was abandoned 5.8 s after it began and the next one left to the decision
+// module, up to half a second later.
 func TestSilentWatch(t *testing.T) {
 	r := newRig(t)
 	r.Start()
 	began := r.Now()
 	silent := r.server.Accept()
-	silent.Expect(r.text(41, watchWait))
-	r.Advance(watchWait)
+	silent.Expect(r.text(41, longPollWait))
+	r.Advance(longPollWait)
 	mute(t, silent)
-	r.Advance(lateAfter)
+	r.Advance(overdueMargin)
 	second := r.server.Accept()
 	second.Expect(r.text(41, 0))
-	mute(t, silent) // it may only be late: it stays
+	mute(t, silent) // its answer may only be late: it goes on
 	second.Send(changes(43))
-	second.Expect(r.text(43, watchWait))
+	second.Expect(r.text(43, longPollWait))
 	r.want(drained)
 	silent.ExpectEOF()
-	if late := r.Now() - began - toldWithin; late >= 0 {
-		t.Errorf("told %v too late", late)
+	if late := r.Now() - began - deliveryDeadline; late >= 0 {
+		t.Errorf("delivered %v too late", late)
 	}
 }
 
-// TestLateAnswer: the answer of a call that is late counts, and its second call is given up.
+// TestLateAnswer: the answer of an overdue poll counts, and the second poll is abandoned.
 func TestLateAnswer(t *testing.T) {
 	r := newRig(t)
 	r.Start()
 	first := r.server.Accept()
-	first.Expect(r.text(41, watchWait))
-	r.Advance(watchWait + lateAfter)
+	first.Expect(r.text(41, longPollWait))
+	r.Advance(longPollWait + overdueMargin)
 	second := r.server.Accept()
 	second.Expect(r.text(41, 0))
 	first.Send(changes(43))
-	first.Expect(r.text(43, watchWait))
+	first.Expect(r.text(43, longPollWait))
 	second.ExpectEOF()
 	r.want(drained)
 }
 
-// TestSecondCallFails: while the first call is silent, the second one is made again after each way to fail, and the
-// change arrives in time.
-func TestSecondCallFails(t *testing.T) {
+// TestSecondPollFails: while the first poll is silent, the second one is sent again after each kind of failure, and the change
+// arrives in time.
+func TestSecondPollFails(t *testing.T) {
 	for name, fail := range map[string]func(*looptest.Peer){
 		"refused":  func(p *looptest.Peer) { p.Send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n") },
 		"reset":    (*looptest.Peer).Reset,
@@ -184,28 +184,28 @@
 			r.Start()
 			began := r.Now()
 			silent := r.server.Accept()
-			silent.Expect(r.text(41, watchWait))
-			r.Advance(watchWait + lateAfter)
+			silent.Expect(r.text(41, longPollWait))
+			r.Advance(longPollWait + overdueMargin)
 			second := r.server.Accept()
 			second.Expect(r.text(41, 0))
 			fail(second)
-			r.WaitFor("the failure", func() bool { return r.state == watchPausing })
-			r.Advance(pauseFirst)
+			r.WaitFor("the failure", func() bool { return r.state == watchBackingOff })
+			r.Advance(initialBackoff)
 			third := r.server.Accept()
 			third.Expect(r.text(41, 0))
 			third.Send(changes(43))
-			third.Expect(r.text(43, watchWait))
+			third.Expect(r.text(43, longPollWait))
 			r.want(drained)
-			if late := r.Now() - began - toldWithin; late >= 0 {
-				t.Errorf("told %v too late", late)
+			if late := r.Now() - began - deliveryDeadline; late >= 0 {
+				t.Errorf("delivered %v too late", late)
 			}
 		})
 	}
 }
 
-// TestCallFails: after each way to fail, the next call comes after a pause, on a new connection, and asks for what
-// was missed.
-func TestCallFails(t *testing.T) {
+// TestPollFails: after each kind of failure, the next poll comes after a backoff, on a new connection, and asks for what was
+// missed.
+func TestPollFails(t *testing.T) {
 	r := newRig(t)
 	r.Start()
 	failures := 0
@@ -218,19 +218,19 @@
 	} {
 		wait := time.Duration(0)
 		if i == 0 {
-			wait = watchWait
+			wait = longPollWait
 		}
 		p := r.server.Accept()
 		p.Expect(r.text(41, wait))
 		fail(p)
 		failures++
 		r.WaitFor("the failure", func() bool { return r.failures == failures })
-		if r.state != watchPausing || len(r.calls) != 0 {
-			t.Fatalf("failure %d: state %d, %d calls", i, r.state, len(r.calls))
+		if r.state != watchBackingOff || len(r.polls) != 0 {
+			t.Fatalf("failure %d: state %d, %d calls", i, r.state, len(r.polls))
 		}
-		r.Start() // the decision module's wish changes nothing
-		r.Advance(asking.pause(failures, 1) - time.Millisecond)
-		if len(r.calls) != 0 {
+		r.Start() // that the decision module starts it again changes nothing
+		r.Advance(pollTiming.backoff(failures, 1) - time.Millisecond)
+		if len(r.polls) != 0 {
 			t.Fatalf("failure %d: no pause", i)
 		}
 		r.Advance(time.Millisecond)
@@ -238,171 +238,172 @@
 	p := r.server.Accept()
 	p.Expect(r.text(41, 0))
 	p.Send(changes(43))
-	p.Expect(r.text(43, watchWait))
+	p.Expect(r.text(43, longPollWait))
 	r.want(drained)
 	if r.failures != 0 {
 		t.Errorf("%d failures counted after an answer", r.failures)
 	}
 }
 
-// TestReturn: discovery swallows calls and comes back at the worst moment, right after one: a further call is made
-// beside it early enough that there is time for the longest queue. The first one stays until its own time is up.
+// TestReturn: discovery swallows polls and comes back at the worst moment, right after one: a further poll is sent beside it
+// early enough that there is time for the longest queue. The first one goes on until it is abandoned.
 func TestReturn(t *testing.T) {
-	const queue = 3 * time.Second // the longest of three sites after which discovery refuses a call
-	if left := toldWithin - queueMost - dialWithin; left < queue {
+	const queue = 3 * time.Second // the longest of three sites after which discovery rejects a poll
+	if left := deliveryDeadline - maxQueueTime - dialTimeout; left < queue {
 		t.Fatalf("%v are left for the answer of the call after the return", left)
 	}
-	if left := toldWithin - pauseMost - dialWithin; left < queue {
+	if left := deliveryDeadline - maxBackoff - dialTimeout; left < queue {
 		t.Fatalf("%v are left after a refused call", left)
 	}
 	r := newRig(t)
 	r.Start()
 	p := r.server.Accept()
-	p.Expect(r.text(41, watchWait))
+	p.Expect(r.text(41, longPollWait))
 	p.Reset()
-	r.WaitFor("the failure", func() bool { return r.state == watchPausing })
-	r.Advance(pauseFirst)
+	r.WaitFor("the failure", func() bool { return r.state == watchBackingOff })
+	r.Advance(initialBackoff)
 	first := r.server.Accept()
 	first.Expect(r.text(41, 0))
-	r.Advance(queueMost)
+	r.Advance(maxQueueTime)
 	second := r.server.Accept()
 	second.Expect(r.text(41, 0))
-	r.Advance(queueMost - time.Millisecond)
+	r.Advance(maxQueueTime - time.Millisecond)
 	mute(t, first)
-	if len(r.calls) != callsMost {
-		t.Fatalf("%d calls", len(r.calls))
+	if len(r.polls) != maxPolls {
+		t.Fatalf("%d calls", len(r.polls))
 	}
-	r.Advance(time.Millisecond) // the first is given up, and the second is late by now
+	r.Advance(time.Millisecond) // the first is abandoned, and the second is overdue by now
 	first.ExpectEOF()
-	r.Advance(pauseMost)
+	r.Advance(maxBackoff)
 	third := r.server.Accept()
 	third.Expect(r.text(41, 0))
 	third.Send(changes(43))
-	third.Expect(r.text(43, watchWait))
+	third.Expect(r.text(43, longPollWait))
 	second.ExpectEOF()
 	r.want(drained)
 }
 
-// TestQueue: a call that stands in discovery's queue for as long as that may be is not given up, and its answer counts.
-// Before, calls were given up after 2 s where discovery let them stand for 2.5 s, and nobody was answered.
+// TestQueue: a poll that stands in discovery's queue for as long as that may be is not abandoned, and its answer counts. Before,
+// polls were abandoned after 2 s where discovery let them queue for 2.5 s, and nobody was answered.
 func TestQueue(t *testing.T) {
 	r := newRig(t)
 	r.Start()
 	p := r.server.Accept()
-	p.Expect(r.text(41, watchWait))
+	p.Expect(r.text(41, longPollWait))
 	p.Reset()
-	r.WaitFor("the failure", func() bool { return r.state == watchPausing })
-	r.Advance(pauseFirst)
+	r.WaitFor("the failure", func() bool { return r.state == watchBackingOff })
+	r.Advance(initialBackoff)
 	queued := r.server.Accept()
 	queued.Expect(r.text(41, 0))
-	r.Advance(queueMost)
+	r.Advance(maxQueueTime)
 	refused := r.server.Accept()
 	refused.Expect(r.text(41, 0))
 	refused.Send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
-	r.WaitFor("the failure", func() bool { return r.state == watchPausing })
+	r.WaitFor("the failure", func() bool { return r.state == watchBackingOff })
 	r.Advance(time.Second)
 	queued.Send(changes(43))
-	queued.Expect(r.text(43, watchWait))
+	queued.Expect(r.text(43, longPollWait))
 	r.want(drained)
 }
 
-// TestQueueAfterRefusal: discovery that has refused a call is up, and full. The next call has no other one beside it for as long as it
-// may stand in the longest queue, since discovery that refuses the other one may fail both; a call that was swallowed has one after that.
-func TestQueueAfterRefusal(t *testing.T) {
+// TestQueueAfterRejection: discovery that has rejected a poll is up, and overloaded. The next poll has no second one beside it for
+// as long as it may stand in the longest queue, since discovery that rejects the second may fail both; a poll that was swallowed
+// has one after that.
+func TestQueueAfterRejection(t *testing.T) {
 	const queue = 3 * time.Second // the longest of three sites
 	r := newRig(t)
 	r.Start()
 	p := r.server.Accept()
-	p.Expect(r.text(41, watchWait))
+	p.Expect(r.text(41, longPollWait))
 	p.Send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
-	r.WaitFor("the failure", func() bool { return r.state == watchPausing })
-	r.Advance(pauseFirst)
+	r.WaitFor("the failure", func() bool { return r.state == watchBackingOff })
+	r.Advance(initialBackoff)
 	queued := r.server.Accept()
 	queued.Expect(r.text(41, 0))
 	r.Advance(queue)
-	if len(r.calls) != 1 {
-		t.Fatalf("%d calls while one stands in the queue", len(r.calls))
+	if len(r.polls) != 1 {
+		t.Fatalf("%d calls while one stands in the queue", len(r.polls))
 	}
-	r.Advance(lateAfter)
-	if len(r.calls) != callsMost {
-		t.Fatalf("%d calls after the longest queue", len(r.calls))
+	r.Advance(overdueMargin)
+	if len(r.polls) != maxPolls {
+		t.Fatalf("%d calls after the longest queue", len(r.polls))
 	}
 	r.server.Accept().Expect(r.text(41, 0))
 	queued.Send(changes(43))
-	queued.Expect(r.text(43, watchWait))
+	queued.Expect(r.text(43, longPollWait))
 	r.want(drained)
 }
 
-// TestBudget: the steps of a watch in the worst order add up to less than the protocol's time, each failure once.
+// TestBudget: the steps of a watch in the worst order add up to less than the deadline, each failure once.
 func TestBudget(t *testing.T) {
-	const noticed = watchWait + lateAfter                           // the watch fell silent as its call was written
-	const again = dialWithin + pauseFirst                           // the connection of the second call never comes up
-	const answered = noticed + again + dialWithin                   // that of the third takes all that it may
-	if left := toldWithin - answered; left < 200*time.Millisecond { // the gap that the protocol allows between calls
+	const noticed = longPollWait + overdueMargin                          // the watch fell silent as its poll was sent
+	const again = dialTimeout + initialBackoff                            // the connection of the second poll never comes up
+	const answered = noticed + again + dialTimeout                        // that of the third takes as long as it may
+	if left := deliveryDeadline - answered; left < 200*time.Millisecond { // the gap that the protocol allows between polls
 		t.Errorf("a silent watch: %v are left for the answer", left)
 	}
-	if watchWait+toldAfterWait > toldWithin {
-		t.Errorf("what a call of %v misses counts after %v", watchWait, toldWithin)
+	if longPollWait+deliveryAfterWait > deliveryDeadline {
+		t.Errorf("what a call of %v misses counts after %v", longPollWait, deliveryDeadline)
 	}
 }
 
-// TestPause: pauses grow to their most, and are spread over the half of their span.
-func TestPause(t *testing.T) {
-	for failures, span := range map[int]time.Duration{1: pauseFirst, 2: 2 * pauseFirst, 3: pauseMost, 4: pauseMost, 1000: pauseMost} {
-		if low, high := asking.pause(failures, 0), asking.pause(failures, 1); low != span/2 || high != span {
+// TestBackoff: backoffs grow to the longest, and are spread over half of their span.
+func TestBackoff(t *testing.T) {
+	for failures, span := range map[int]time.Duration{1: initialBackoff, 2: 2 * initialBackoff, 3: maxBackoff, 4: maxBackoff, 1000: maxBackoff} {
+		if low, high := pollTiming.backoff(failures, 0), pollTiming.backoff(failures, 1); low != span/2 || high != span {
 			t.Errorf("after %d failures %v to %v, want %v to %v", failures, low, high, span/2, span)
 		}
 	}
 }
 
-// TestFirstBy: a process makes its first call early enough that the longest queue and a refused call before leave its
-// answer within the protocol's time, and within the time for asking where that is shorter; those that start together
-// are spread.
-func TestFirstBy(t *testing.T) {
+// TestInitialDelay: a process sends its first poll early enough that with the longest queue and a rejected poll before it the
+// answer is within the deadline, and within the longest time between polls if that is shorter; processes that start together are
+// spread.
+func TestInitialDelay(t *testing.T) {
 	const queue = 3 * time.Second
-	for askWithin, most := range map[time.Duration]time.Duration{10 * time.Second: firstWithin, 2 * time.Second: time.Second} {
+	for askWithin, most := range map[time.Duration]time.Duration{10 * time.Second: maxInitialDelay, 2 * time.Second: time.Second} {
 		if low, high := InitialDelay(askWithin, func() float64 { return 0 }), InitialDelay(askWithin, func() float64 { return 1 }); low != 0 || high != most {
 			t.Errorf("asking within %v: from %v to %v", askWithin, low, high)
 		}
 	}
-	if firstWithin+queue > toldWithin {
-		t.Errorf("a first call after %v may be answered %v too late", firstWithin, firstWithin+queue-toldWithin)
+	if maxInitialDelay+queue > deliveryDeadline {
+		t.Errorf("a first call after %v may be answered %v too late", maxInitialDelay, maxInitialDelay+queue-deliveryDeadline)
 	}
 }
 
-// TestRefresh: news is asked for at once in the place of the call that is out, also in a pause.
+// TestRefresh: a refresh polls at once in place of the poll in flight, also during a backoff.
 func TestRefresh(t *testing.T) {
 	r := newRig(t)
 	r.Refresh(func() { t.Error("refreshed a watch that had not begun") })
 	r.Start()
 	p := r.server.Accept()
-	p.Expect(r.text(41, watchWait))
+	p.Expect(r.text(41, longPollWait))
 	done := 0
 	r.Refresh(func() { done++ })
 	p.ExpectEOF()
 	p = r.server.Accept()
 	p.Expect(r.text(41, 0))
 	p.Reset()
-	r.WaitFor("the failure", func() bool { return r.state == watchPausing })
+	r.WaitFor("the failure", func() bool { return r.state == watchBackingOff })
 	r.Refresh(func() { done += 10 })
 	p = r.server.Accept()
 	p.Expect(r.text(41, 0))
 	p.Send(changes(43))
-	p.Expect(r.text(43, watchWait))
+	p.Expect(r.text(43, longPollWait))
 	r.want(drained)
-	if r.Advance(pauseMost); done != 10 {
+	if r.Advance(maxBackoff); done != 10 {
 		t.Errorf("done %d", done)
 	}
 	mute(t, p)
 }
 
-// TestMoveAmidFailure: a new address counts at once, whatever was under way at the old one.
-func TestMoveAmidFailure(t *testing.T) {
+// TestSwitchAddressAmidFailure: a new address is used at once, whatever was under way at the old one.
+func TestSwitchAddressAmidFailure(t *testing.T) {
 	for name, before := range map[string]func(*rig, *looptest.Peer){
-		"late": func(r *rig, p *looptest.Peer) { r.Advance(watchWait + lateAfter); r.server.Accept() },
+		"late": func(r *rig, p *looptest.Peer) { r.Advance(longPollWait + overdueMargin); r.server.Accept() },
 		"pausing": func(r *rig, p *looptest.Peer) {
 			p.Reset()
-			r.WaitFor("", func() bool { return r.state == watchPausing })
+			r.WaitFor("", func() bool { return r.state == watchBackingOff })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -410,16 +411,16 @@
 			next := r.Listen()
 			r.Start()
 			p := r.server.Accept()
-			p.Expect(r.text(41, watchWait))
+			p.Expect(r.text(41, longPollWait))
 			before(r, p)
 			r.SwitchAddress(next.Addr())
 			q := next.Accept()
 			q.Expect("GET /api/targets HTTP/1.1\r\nHost: " + next.Addr() + "\r\nAccept: application/json\r\n\r\n")
 			q.Send(message(`{"generation":3,"reset":true,"instances":[]}`))
-			r.WaitFor("the list", func() bool { return len(r.told) == 1 })
-			r.Advance(pauseMost)
-			if len(r.calls) != 1 || r.state != watchCalling {
-				t.Errorf("%d calls, state %d", len(r.calls), r.state)
+			r.WaitFor("the list", func() bool { return len(r.updates) == 1 })
+			r.Advance(maxBackoff)
+			if len(r.polls) != 1 || r.state != watchPolling {
+				t.Errorf("%d calls, state %d", len(r.polls), r.state)
 			}
 		})
 	}
--- a/internal/scenario/rules.go
+++ b/internal/scenario/rules.go
@@ -71,7 +71,7 @@
 // Effect is what a class of requests allows.
 type Effect struct {
 	Kind   EffectKind
-	Window time.Duration // of IdempotencyKeyed
+	Window time.Duration // of IdempotencyKey
 }
 
 // EffectKind says when a request may be repeated.
@@ -79,7 +79,7 @@
 
 // The kinds of effects.
 const (
-	Idempotent       EffectKind = iota // at any time
-	IdempotencyKeyed                   // within the window of its idempotency key
-	NonIdempotent                      // never
+	Idempotent     EffectKind = iota // at any time
+	IdempotencyKey                   // within the window of its idempotency key
+	NonIdempotent                    // never
 )
--- a/internal/wire/encoder.go
+++ b/internal/wire/encoder.go
@@ -9,12 +9,12 @@
 	"dahliarudder/policy"
 )
 
-// Encoder gathers the actions of one batch and writes them as a reply.
+// Encoder collects the actions of one batch and writes them as a reply. It is the policy.Executor of all instances.
 type Encoder struct {
-	w       io.Writer
-	buf     []byte
-	current int // instance named last in this reply, -1 if none
-	turn    uint16
+	w            io.Writer
+	buf          []byte
+	lastInstance int // named last in this reply, -1 if none
+	instance     uint16
 }
 
 // NewEncoder returns an Encoder that writes to w.
@@ -26,11 +26,11 @@
 
 func (e *Encoder) reset() {
 	e.buf = append(e.buf[:0], 0, 0, 0, 0)
-	e.current = -1
+	e.lastInstance = -1
 }
 
-// by notes whose events are being played; its actions follow.
-func (e *Encoder) by(inst uint16) { e.turn = inst }
+// setInstance says whose events are played; its actions follow.
+func (e *Encoder) setInstance(instance uint16) { e.instance = instance }
 
 // Flush writes the reply to one batch.
 func (e *Encoder) Flush() error {
@@ -40,12 +40,12 @@
 	return err
 }
 
-// start begins an action record of the instance whose turn it is.
-func (e *Encoder) start(code uint8) {
-	if e.current != int(e.turn) {
-		e.buf = append(e.buf, acBy)
-		e.buf = binary.LittleEndian.AppendUint16(e.buf, e.turn)
-		e.current = int(e.turn)
+// beginAction begins an action record of the current instance.
+func (e *Encoder) beginAction(code uint8) {
+	if e.lastInstance != int(e.instance) {
+		e.buf = append(e.buf, acInstance)
+		e.buf = binary.LittleEndian.AppendUint16(e.buf, e.instance)
+		e.lastInstance = int(e.instance)
 	}
 	e.buf = append(e.buf, code)
 }
@@ -56,55 +56,55 @@
 	e.u64(math.Float64bits(float64(d) / float64(time.Millisecond)))
 }
 
-// Send implements policy.Actions, as do the methods below.
+// Send implements policy.Executor, as do the methods below.
 func (e *Encoder) Send(id policy.RequestID, server policy.ServerID, timeout time.Duration) {
-	e.start(acForward)
+	e.beginAction(acSend)
 	e.u64(uint64(id))
 	e.ms(timeout)
 	e.u32(uint32(server))
 }
 
-// Reject writes a refusal.
+// Reject writes a rejection.
 func (e *Encoder) Reject(id policy.RequestID, retryAfter time.Duration) {
-	e.start(acRefuse)
+	e.beginAction(acReject)
 	e.u64(uint64(id))
 	e.ms(retryAfter)
 }
 
 // Fail writes a failure.
 func (e *Encoder) Fail(id policy.RequestID) {
-	e.start(acFail)
+	e.beginAction(acFail)
 	e.u64(uint64(id))
 }
 
-// Cancel writes the withdrawal of an attempt.
-func (e *Encoder) Cancel(id policy.RequestID, try int) {
-	e.start(acRecall)
+// Cancel writes the cancellation of an attempt.
+func (e *Encoder) Cancel(id policy.RequestID, attempt int) {
+	e.beginAction(acCancel)
 	e.u64(uint64(id))
-	e.buf = append(e.buf, uint8(try))
+	e.buf = append(e.buf, uint8(attempt))
 }
 
-// Migrate writes the polite end of a connection.
+// Migrate writes the migration of a connection.
 func (e *Encoder) Migrate(id policy.RequestID) {
-	e.start(acMigrate)
+	e.beginAction(acMigrate)
 	e.u64(uint64(id))
 }
 
 // Probe writes a probe.
 func (e *Encoder) Probe(server policy.ServerID) {
-	e.start(acSample)
+	e.beginAction(acProbe)
 	e.u32(uint32(server))
 }
 
-// Timer writes the wish for a timer.
+// Timer writes a timer.
 func (e *Encoder) Timer(delay time.Duration, token uint64) {
-	e.start(acSleep)
+	e.beginAction(acTimer)
 	e.ms(delay)
 	e.u64(token)
 }
 
-// Watch writes the wish to be kept informed of the server list.
+// Watch writes a subscription to the server list.
 func (e *Encoder) Watch() {
-	e.start(acWatch)
+	e.beginAction(acWatch)
 	e.buf = append(e.buf, 1)
 }
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -20,17 +20,17 @@
 
 // usedOf is the load on a server: its report, which loses weight with age, and what was placed since.
 func (b *Balancer) usedOf(now time.Duration, s *server) float64 {
-	fill := b.zones[s.Zone].fill
-	x := fill
+	zoneFill := b.zones[s.Zone].fill
+	fill := zoneFill
 	if s.hasReport {
 		trust := 1 / (1 + max(0, (now-s.reportChangedAt).Seconds())/b.maxDeadline.Seconds())
 		// A backlog keeps every message waiting: it counts as load to be worked off by the next report.
-		x = trust*(s.report.Load+max(s.report.Backlog, 0)/b.reportLag().Seconds()) + (1-trust)*fill
+		fill = trust*(s.report.Load+max(s.report.Backlog, 0)/b.reportLag().Seconds()) + (1-trust)*zoneFill
 	} else if b.cfg.Reports == ReportsOff {
 		// Nothing is reported: this proxy's own connections, taken for a fair sample, are all there is.
-		x = fill * (s.ownFlows + 1) / ((b.ownFlows+1)/max(float64(len(b.servers)), 1) + 1)
+		fill = zoneFill * (s.ownFlows + 1) / ((b.ownFlows+1)/max(float64(len(b.servers)), 1) + 1)
 	}
-	used := x * b.capacityOf(now, s)
+	used := fill * b.capacityOf(now, s)
 	for _, p := range s.pendingPlacements {
 		if now-p.at < 2*b.minObjective {
 			used += p.load
@@ -51,7 +51,7 @@
 	b.lendingThresholds[r.Tenant] = min(max(b.lendingThresholds[r.Tenant]+by, lendMin), 1)
 }
 
-// overQuota says whether a tenant holds more than this proxy's part of its quota, with an allowance for
+// overQuota reports whether a tenant holds more than this proxy's part of its quota, with an allowance for
 // chance.
 func (b *Balancer) overQuota(t int) bool {
 	part := b.cfg.Tenants[t].Quota / b.servingRelays()
@@ -67,11 +67,11 @@
 			connections, reporting = connections+s.report.Connections, reporting+1
 		}
 	}
-	most := float64(b.cfg.Balancers)
+	all := float64(b.cfg.Balancers)
 	if reporting == 0 || b.ownFlows == 0 {
-		return most
+		return all
 	}
-	return min(max(connections/reporting*float64(len(b.servers))/b.ownFlows, 1), most)
+	return min(max(connections/reporting*float64(len(b.servers))/b.ownFlows, 1), all)
 }
 
 // reportLag is how old the reports that this proxy has may be: two refresh intervals, each taken for about
