--- a/internal/drift/codec_test.go
+++ b/internal/drift/codec_test.go
@@ -11,8 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestWordFits: whatever a relay notes, a word is within its bound, all items get their turn, and it is read as it was written.
-func TestWordFits(t *testing.T) {
+// TestReportFits: whatever a relay notes, a report is within its bound, all items get their turn, and it is read as it was written.
+func TestReportFits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewReporter(strings.Repeat("r", rapid.IntRange(1, MaxRelayNameBytes).Draw(t, "name")), 1<<63)
 		long := rapid.IntRange(1, MaxNameBytes).Draw(t, "long")
@@ -29,10 +29,10 @@
 			}
 			b.CountActivity(name, KindRemovedMember, 1<<63, 1<<62)
 		}
-		told := map[string]bool{}
+		reported := map[string]bool{}
 		done := map[string]bool{}
 		for k := range 2*n + 8 {
-			if k > n { // and now by asking
+			if k > n { // and now by request
 				var want []string
 				for i := range MaxGroups {
 					want = append(want, fmt.Sprint("g", i))
@@ -49,24 +49,24 @@
 				t.Fatalf("%v\n%+v\n%+v", err, w, r)
 			}
 			for _, a := range w.Items {
-				told[a.Name] = true
+				reported[a.Name] = true
 			}
 			for _, d := range w.Activities {
 				done[d.Item] = true
 			}
 		}
 		for name, ok := range noted {
-			if ok != told[name] {
-				t.Fatalf("%s: noted %v, told %v", name, ok, told[name])
+			if ok != reported[name] {
+				t.Fatalf("%s: noted %v, reported %v", name, ok, reported[name])
 			}
 		}
 		if len(done) != min(n, MaxActivities) {
-			t.Fatalf("%d of %d counts told", len(done), min(n, MaxActivities))
+			t.Fatalf("%d of %d counts reported", len(done), min(n, MaxActivities))
 		}
 	})
 }
 
-func FuzzWord(f *testing.F) {
+func FuzzDecodeReport(f *testing.F) {
 	b := NewReporter("n1", 7)
 	b.RecordApplied(1, Item{ItemEjections, 3, 4}, "record")
 	b.RecordRejected(1, Item{"config.tls", 3, 4}, "file", "no such key")
@@ -81,20 +81,20 @@
 		if again, err := DecodeReport(w.Encode()); err == nil && !reflect.DeepEqual(w, again) {
 			t.Fatalf("%+v\n%+v", w, again)
 		}
-		watch := NewMonitor(Settings{})
-		watch.SetIntent(1, w.Relay, []Item{{ItemEjections, 3, 4}, {"config.tls", 2, 2}})
-		watch.HandleReport(2, w)
+		monitor := NewMonitor(Settings{})
+		monitor.SetIntent(1, w.Relay, []Item{{ItemEjections, 3, 4}, {"config.tls", 2, 2}})
+		monitor.HandleReport(2, w)
 		w.Seq++
-		watch.HandleReport(3, w)
-		watch.Tick(4)
-		watch.Findings()
-		if r, ok := watch.Reply(w.Relay); ok && len(r.Encode()) > MaxReplyBytes {
+		monitor.HandleReport(3, w)
+		monitor.Tick(4)
+		monitor.Findings()
+		if r, ok := monitor.Reply(w.Relay); ok && len(r.Encode()) > MaxReplyBytes {
 			t.Fatal("a long reply")
 		}
 	})
 }
 
-func FuzzReply(f *testing.F) {
+func FuzzDecodeReply(f *testing.F) {
 	f.Add(Reply{"n1", 1, 2, []string{ItemEjections}, []string{ItemEjections, ItemDrains}}.Encode())
 	f.Fuzz(func(t *testing.T, in []byte) {
 		r, err := DecodeReply(in)
@@ -125,8 +125,8 @@
 	}
 }
 
-// TestLongest: beside the longest names, digests of all groups and counts, the longest item still gets its turn.
-func TestLongest(t *testing.T) {
+// TestLongestItem: beside the longest names, digests of all groups and counts, the longest item still gets its turn.
+func TestLongestItem(t *testing.T) {
 	b := NewReporter(strings.Repeat("r", MaxRelayNameBytes), 1<<63)
 	var want []string
 	for i := range MaxItems {
--- a/internal/drift/forms_test.go
+++ b/internal/drift/forms_test.go
@@ -54,14 +54,14 @@
 		lines = append(lines, string(text))
 	}
 	next := 0
-	var word Report
-	fill(reflect.ValueOf(&word).Elem(), &next)
+	var report Report
+	fill(reflect.ValueOf(&report).Elem(), &next)
 	var reply Reply
 	fill(reflect.ValueOf(&reply).Elem(), &next)
-	lines = append(lines, hex.EncodeToString(word.Encode()), hex.EncodeToString(reply.Encode()), fmt.Sprintf("%x", DigestOf(word.Items)))
-	w := newWorld(7, 12, 24)
-	w.plant(w.sims[3], ItemEjections, Lagging, false)
-	w.upset(120_000)
+	lines = append(lines, hex.EncodeToString(report.Encode()), hex.EncodeToString(reply.Encode()), fmt.Sprintf("%x", DigestOf(report.Items)))
+	w := newSimulation(7, 12, 24)
+	w.plant(w.relays[3], ItemEjections, Lagging, false)
+	w.disturb(120_000)
 	lines = append(lines, fmt.Sprintf("%d bytes, %x", w.bytes, w.trace))
 	got := strings.Join(lines, "\n") + "\n"
 	want, err := os.ReadFile("testdata/forms.txt")
--- a/internal/drift/monitor_test.go
+++ b/internal/drift/monitor_test.go
@@ -10,15 +10,15 @@
 	"pgregory.net/rapid"
 )
 
-// seen is what the oracle keeps of a word: what it said, and whether it was the first after a silence or a restart.
-type seen struct {
-	at    int64
-	kind  State
-	first bool
-	agree int64 // when what was agreed then was agreed
+// reportSeen is what the oracle stores of a report: its reading, and whether it was the first after a silence or a restart.
+type reportSeen struct {
+	at      int64
+	reading State
+	first   bool
+	agree   int64 // when what was agreed then was agreed
 }
 
-// TestOracle: random sequences of one relay and one item, held against rules that know all of what was said.
+// TestOracle: random sequences of one relay and one item, checked against rules that know all reports.
 func TestOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := NewMonitor(Settings{})
@@ -27,8 +27,8 @@
 		top, best, starts := uint64(5), uint64(0), uint64(1)
 		b := NewReporter("n1", starts)
 		run, local, refused := intent, false, uint64(0)
-		var words []seen
-		lastWord, fresh := int64(-1), true
+		var reports []reportSeen
+		lastReport, fresh := int64(-1), true
 		w.SetIntent(now, "n1", []Item{intent})
 		note := func() {
 			switch {
@@ -67,17 +67,17 @@
 				now += 1000 * rapid.Int64Range(1, 20).Draw(t, "silent")
 			}
 			note()
-			for range rapid.IntRange(1, 12).Draw(t, "words") {
+			for range rapid.IntRange(1, 12).Draw(t, "reports") {
 				now += 1000
 				w.Tick(now)
-				if lastWord < 0 || now-lastWord > 4000 {
+				if lastReport < 0 || now-lastReport > 4000 {
 					fresh = true
 				}
-				word, err := DecodeReport(b.NextReport(now).Encode())
+				report, err := DecodeReport(b.NextReport(now).Encode())
 				if err != nil {
 					t.Fatal(err)
 				}
-				w.HandleReport(now, word)
+				w.HandleReport(now, report)
 				if r, ok := w.Reply("n1"); ok {
 					b.HandleReply(r)
 				}
@@ -94,9 +94,9 @@
 				case run.Version < best:
 					kind = Regressed
 				}
-				words = append(words, seen{now, kind, fresh, agreedAt})
-				lastWord, fresh = now, false
-				check(t, w, words, now)
+				reports = append(reports, reportSeen{now, kind, fresh, agreedAt})
+				lastReport, fresh = now, false
+				checkState(t, w, reports, now)
 			}
 		}
 		w.Tick(now + 4001)
@@ -106,80 +106,80 @@
 	})
 }
 
-// check holds a state against the rules.
-func check(t *rapid.T, w *Monitor, words []seen, now int64) {
+// checkState checks a state against the rules.
+func checkState(t *rapid.T, w *Monitor, reports []reportSeen, now int64) {
 	state := w.relays["n1"].item("config.tls").state
-	last := words[len(words)-1]
-	same, since := 0, last.at // how long it has said the same, heard without a break
-	for i := len(words) - 1; i >= 0 && words[i].kind == last.kind; i-- {
+	last := reports[len(reports)-1]
+	same, since := 0, last.at // how long it has reported the same, without a break
+	for i := len(reports) - 1; i >= 0 && reports[i].reading == last.reading; i-- {
 		same++
-		since = words[i].at
-		if words[i].first || words[i].agree != last.agree || i > 0 && words[i].at-words[i-1].at > 1500 {
+		since = reports[i].at
+		if reports[i].first || reports[i].agree != last.agree || i > 0 && reports[i].at-reports[i-1].at > 1500 {
 			break
 		}
 	}
-	before := last.kind
-	if len(words) > 1 && !last.first {
-		before = words[len(words)-2].kind
+	before := last.reading
+	if len(reports) > 1 && !last.first {
+		before = reports[len(reports)-2].reading
 	}
 	bound := max(w.LagBound("config"), w.recoveryLag.bound)
 	switch {
-	case same >= 2 && (last.kind == InSync || last.kind == Rejected || last.kind == Overridden) && state != last.kind:
-		t.Fatalf("said to be %v twice, yet %v", last.kind, state)
-	case last.kind == InSync && state == Propagating, last.kind != InSync && state == InSync:
-		t.Fatalf("says %v, yet %v", last.kind, state)
-	case state >= Lagging && state != last.kind && state != before && len(words) > 1 && state != held(words):
-		t.Fatalf("%v, which no word says: %v %v", state, before, last.kind)
-	case (state == Lagging || state == Ahead) && state == last.kind && oldest(words, w) < min(int64(3000), bound):
+	case same >= 2 && (last.reading == InSync || last.reading == Rejected || last.reading == Overridden) && state != last.reading:
+		t.Fatalf("reported to be %v twice, yet %v", last.reading, state)
+	case last.reading == InSync && state == Propagating, last.reading != InSync && state == InSync:
+		t.Fatalf("reports %v, yet %v", last.reading, state)
+	case state >= Lagging && state != last.reading && state != before && len(reports) > 1 && state != lastClaim(reports):
+		t.Fatalf("%v, which no report gives: %v %v", state, before, last.reading)
+	case (state == Lagging || state == Ahead) && state == last.reading && reportedOutOfSyncFor(reports, w) < min(int64(3000), bound):
 		t.Fatalf("%v too soon", state)
-	case (last.kind == Lagging || last.kind == Ahead || last.kind == Regressed) && now-since > bound+2000 && state != last.kind:
-		t.Fatalf("says %v for %d ms, the bound is %d, and it is %v", last.kind, now-since, bound, state)
+	case (last.reading == Lagging || last.reading == Ahead || last.reading == Regressed) && now-since > bound+2000 && state != last.reading:
+		t.Fatalf("reports %v for %d ms, the bound is %d, and it is %v", last.reading, now-since, bound, state)
 	}
 }
 
-// held is what was claimed on a word that only one other has contradicted since.
-func held(words []seen) State {
-	for i := len(words) - 1; i > 0; i-- {
-		if words[i].kind == words[i-1].kind {
-			return words[i].kind
+// lastClaim is what was claimed on a report that only one other has contradicted since.
+func lastClaim(reports []reportSeen) State {
+	for i := len(reports) - 1; i > 0; i-- {
+		if reports[i].reading == reports[i-1].reading {
+			return reports[i].reading
 		}
 	}
-	return words[0].kind
+	return reports[0].reading
 }
 
-// oldest is since when it was heard not to be in step.
-func oldest(words []seen, w *Monitor) int64 {
-	last := words[len(words)-1]
+// reportedOutOfSyncFor is for how long it has reported to be out of sync.
+func reportedOutOfSyncFor(reports []reportSeen, w *Monitor) int64 {
+	last := reports[len(reports)-1]
 	at := last.at
-	for i := len(words) - 1; i >= 0 && words[i].kind != InSync; i-- {
-		at = min(words[i].at, words[i].agree)
-		if words[i].first {
-			at = words[i].at
+	for i := len(reports) - 1; i >= 0 && reports[i].reading != InSync; i-- {
+		at = min(reports[i].at, reports[i].agree)
+		if reports[i].first {
+			at = reports[i].at
 			break
 		}
 	}
 	return last.at - at
 }
 
-// one is a Watch with n relays that are in step on some items, heard for a minute.
-func one(n int, items ...Item) (*Monitor, []*Reporter, int64) {
-	w, books, now := NewMonitor(Settings{}), []*Reporter{}, int64(1_000_000)
+// newFleet is a Monitor with n relays that are in sync on some items and have reported for half a minute.
+func newFleet(n int, items ...Item) (*Monitor, []*Reporter, int64) {
+	w, reporters, now := NewMonitor(Settings{}), []*Reporter{}, int64(1_000_000)
 	for i := range n {
 		b := NewReporter(fmt.Sprintf("n%d", i), 1)
 		for _, it := range items {
 			b.RecordApplied(now, it, "record")
 		}
 		b.CountActivity(ItemEjections, KindRemovedMember, 0, 0)
-		books = append(books, b)
+		reporters = append(reporters, b)
 		w.SetIntent(now, b.relay, items)
 	}
-	return w, books, say(w, books, now, 30)
+	return w, reporters, exchangeReports(w, reporters, now, 30)
 }
 
-func say(w *Monitor, books []*Reporter, now int64, words int) int64 {
-	for range words {
+func exchangeReports(w *Monitor, reporters []*Reporter, now int64, reports int) int64 {
+	for range reports {
 		now += 1000
-		for _, b := range books {
+		for _, b := range reporters {
 			w.HandleReport(now, b.NextReport(now))
 			if r, ok := w.Reply(b.relay); ok {
 				b.HandleReply(r)
@@ -190,21 +190,21 @@
 	return now
 }
 
-func state(w *Monitor, relay, item string) State { return w.relays[relay].item(item).state }
+func stateOf(w *Monitor, relay, item string) State { return w.relays[relay].item(item).state }
 
-// TestHalfDrifts: drift at half of the fleet takes out no more than the budget, the same ones while they drift, and none that others do not name.
-func TestHalfDrifts(t *testing.T) {
-	w, books, now := one(10, Item{ItemEjections, 1, 1}, Item{ItemEndpointList, 1, 1})
-	for _, b := range books[:5] {
+// TestSelectUnfitHalfFleet: drift at half of the fleet takes out no more than the budget, and the same relays while they drift.
+func TestSelectUnfitHalfFleet(t *testing.T) {
+	w, reporters, now := newFleet(10, Item{ItemEjections, 1, 1}, Item{ItemEndpointList, 1, 1})
+	for _, b := range reporters[:5] {
 		b.RecordRejected(now, Item{ItemEjections, 2, 2}, "record", "no such member")
 	}
-	for _, b := range books[5:] {
+	for _, b := range reporters[5:] {
 		b.RecordApplied(now, Item{ItemEjections, 2, 2}, "record")
 	}
-	for _, b := range books {
+	for _, b := range reporters {
 		w.SetIntent(now, b.relay, []Item{{ItemEjections, 2, 2}, {ItemEndpointList, 1, 1}})
 	}
-	now = say(w, books, now, 5)
+	now = exchangeReports(w, reporters, now, 5)
 	take := func(budget int, out []string) (names []string) {
 		for _, u := range w.SelectUnfit(budget, out, nil) {
 			names = append(names, u.Relay)
@@ -216,34 +216,35 @@
 	if len(take(0, nil)) != 0 || len(take(-1, nil)) != 0 || len(out) != 2 {
 		t.Fatal(out)
 	}
-	books[4].RecordApplied(now, Item{ItemEndpointList, 0, 9}, "file") // a worse one does not push another out
-	now = say(w, books, now, 5)
+	reporters[4].RecordApplied(now, Item{ItemEndpointList, 0, 9}, "file") // a worse one does not push another out
+	now = exchangeReports(w, reporters, now, 5)
 	if again := take(2, out); !slices.Equal(again, out) {
 		t.Fatal(again)
 	}
-	books[0].RecordApplied(now, Item{ItemEjections, 2, 2}, "record")
-	now = say(w, books, now, 1)
-	if state(w, "n0", ItemEjections) != Rejected {
-		t.Fatal("one word takes a claim back")
+	reporters[0].RecordApplied(now, Item{ItemEjections, 2, 2}, "record")
+	now = exchangeReports(w, reporters, now, 1)
+	if stateOf(w, "n0", ItemEjections) != Rejected {
+		t.Fatal("one report takes a claim back")
 	}
-	say(w, books, now, 1)
+	exchangeReports(w, reporters, now, 1)
 	if again := take(2, out); !slices.Equal(again, []string{"n1", "n4"}) {
 		t.Fatal(again)
 	}
-	if lack := w.OutOfSyncRelays(ItemEjections, []string{"n0", "n1", "nobody"}); !slices.Equal(lack, []string{"nobody"}) && !slices.Equal(lack, []string{"n1", "nobody"}) {
-		t.Fatal(lack)
+	if outOfSync := w.OutOfSyncRelays(ItemEjections, []string{"n0", "n1", "nobody"}); !slices.Equal(outOfSync, []string{"nobody"}) && !slices.Equal(outOfSync, []string{"n1", "nobody"}) {
+		t.Fatal(outOfSync)
 	}
 }
 
-// TestSaw: others' sights count twice, after the time that sends and sights may have been under way, and are forgotten once they end.
-func TestSaw(t *testing.T) {
-	w, books, now := one(3, Item{ItemEjections, 1, 1})
+// TestRecordSighting: two sightings by others are a claim, after the time for which sends and sightings may have been in flight, and are forgotten
+// once they end.
+func TestRecordSighting(t *testing.T) {
+	w, reporters, now := newFleet(3, Item{ItemEjections, 1, 1})
 	w.RecordSighting(now, "n1", ItemEjections, "m2 got 3 flows")
-	if state(w, "n1", ItemEjections) != InSync {
-		t.Fatal("one sight is a claim")
+	if stateOf(w, "n1", ItemEjections) != InSync {
+		t.Fatal("one sighting is a claim")
 	}
 	w.RecordSighting(now+1000, "n1", ItemEjections, "m2 got 5 flows")
-	now = say(w, books, now, 2)
+	now = exchangeReports(w, reporters, now, 2)
 	if rows := w.Findings(); len(rows) != 1 || rows[0].State != Contradicting || len(rows[0].Evidence) != 2 || w.FullyInSync("n1") || !w.FullyInSync("n0") {
 		t.Fatalf("%+v", rows)
 	}
@@ -253,62 +254,62 @@
 	if why, since := w.BlockReason([]string{"n0", "n1"}, func(relay, item string) bool { return relay == "n1" && item == ItemEjections }); why != "" || since != 0 {
 		t.Fatal(why, since)
 	}
-	now = say(w, books, now, 40)
+	now = exchangeReports(w, reporters, now, 40)
 	if rows := w.Findings(); len(rows) != 0 {
 		t.Fatalf("behaves, and %+v", rows)
 	}
-	for _, b := range books {
+	for _, b := range reporters {
 		w.SetIntent(now, b.relay, []Item{{ItemEjections, 2, 2}})
 		b.RecordApplied(now, Item{ItemEjections, 2, 2}, "record")
 	}
-	now = say(w, books, now, 2)
+	now = exchangeReports(w, reporters, now, 2)
 	w.RecordSighting(now, "n1", ItemEjections, "m2 got 3 flows")
 	w.RecordSighting(now, "n1", ItemEjections, "m2 got 4 flows")
-	if state(w, "n1", ItemEjections) != InSync {
-		t.Fatal("what was under way is held against it")
+	if stateOf(w, "n1", ItemEjections) != InSync {
+		t.Fatal("what was in flight counts against it")
 	}
 }
 
-// TestOneAstray: one send astray in a long time is no contradiction however often that happens; two close together are.
-func TestOneAstray(t *testing.T) {
-	w, books, now := one(3, Item{ItemEjections, 1, 1})
+// TestSingleViolation: one violation in a long time is no contradiction however often that happens; two close together are.
+func TestSingleViolation(t *testing.T) {
+	w, reporters, now := newFleet(3, Item{ItemEjections, 1, 1})
 	for range 5 {
-		books[1].CountActivity(ItemEjections, KindRemovedMember, 1, 1)
-		now = say(w, books, now, 30)
+		reporters[1].CountActivity(ItemEjections, KindRemovedMember, 1, 1)
+		now = exchangeReports(w, reporters, now, 30)
 	}
 	if rows := w.Findings(); len(rows) != 0 {
 		t.Fatalf("%+v", rows)
 	}
-	books[1].CountActivity(ItemEjections, KindRemovedMember, 2, 2)
-	say(w, books, now, 1)
-	if state(w, "n1", ItemEjections) != Contradicting {
-		t.Fatal(state(w, "n1", ItemEjections))
+	reporters[1].CountActivity(ItemEjections, KindRemovedMember, 2, 2)
+	exchangeReports(w, reporters, now, 1)
+	if stateOf(w, "n1", ItemEjections) != Contradicting {
+		t.Fatal(stateOf(w, "n1", ItemEjections))
 	}
 }
 
-// TestNobodyAgreed: an item that a relay runs and nobody agreed on is ahead, a missing one late, and a relay that is let go is forgotten.
-func TestNobodyAgreed(t *testing.T) {
-	w, books, now := one(4, Item{"config.a", 1, 1}, Item{"config.b", 1, 1})
-	books[1].RecordApplied(now, Item{"config.x", 1, 1}, "file")
-	books[2].Remove("config.b")
-	now = say(w, books, now, 40)
-	if state(w, "n1", "config.x") != Ahead || state(w, "n2", "config.b") != Regressed || len(w.Findings()) != 2 {
+// TestItemNotAgreed: an item that a relay runs and nobody agreed on is ahead, a missing one has regressed, and a relay without items is forgotten.
+func TestItemNotAgreed(t *testing.T) {
+	w, reporters, now := newFleet(4, Item{"config.a", 1, 1}, Item{"config.b", 1, 1})
+	reporters[1].RecordApplied(now, Item{"config.x", 1, 1}, "file")
+	reporters[2].Remove("config.b")
+	now = exchangeReports(w, reporters, now, 40)
+	if stateOf(w, "n1", "config.x") != Ahead || stateOf(w, "n2", "config.b") != Regressed || len(w.Findings()) != 2 {
 		t.Fatalf("%+v", w.Findings())
 	}
-	books[1].Remove("config.x")
-	now = say(w, books, now, 3)
+	reporters[1].Remove("config.x")
+	now = exchangeReports(w, reporters, now, 3)
 	w.SetIntent(now, "n2", nil)
 	if rows := w.Findings(); len(rows) != 0 || len(w.sorted) != 3 {
 		t.Fatalf("%+v", rows)
 	}
-	if say(w, books, now, 1); w.Counts().UnknownRelay != 1 {
+	if exchangeReports(w, reporters, now, 1); w.Counts().UnknownRelay != 1 {
 		t.Fatal(w.Counts())
 	}
 }
 
-// TestOtherPaces: no version is claimed to be late where the whole fleet is slow, from its first change on, in small fleets too; with tails as
+// TestSlowFleets: no version is claimed to lag where the whole fleet is slow, from its first change on, in small fleets too; with tails as
 // long as the last two, 1 in 4,000 and 1 in 2,000 at most is.
-func TestOtherPaces(t *testing.T) {
+func TestSlowFleets(t *testing.T) {
 	for _, pace := range []struct {
 		name  string
 		apply func(*rng) int64
@@ -320,14 +321,14 @@
 	} {
 		for _, n := range []int{3, 40} {
 			claims, agreed, first := 0, 0, ""
-			for seed := range seeds(2) {
-				w := newWorld(seed, n, 8)
-				w.apply = pace.apply
-				w.warm(120_000)
+			for seed := range seedCount(2) {
+				w := newSimulation(seed, n, 8)
+				w.propagation = pace.apply
+				w.warmUp(120_000)
 				for _, it := range w.agreed {
 					agreed += n * int(it.Version-1)
 				}
-				for _, c := range w.watch.History() {
+				for _, c := range w.monitor.History() {
 					if c.To >= Lagging && c.To != Unknown {
 						claims++
 						first = cmp.Or(first, fmt.Sprintf("seed %d: %+v", seed, c))
@@ -342,22 +343,22 @@
 	}
 }
 
-// full is a Watch at its usual most: 300 relays with 64 items.
-func full() (*Monitor, []*Reporter, int64) {
+// fullFleet is a Monitor at its usual maximum: 300 relays with 64 items.
+func fullFleet() (*Monitor, []*Reporter, int64) {
 	var items []Item
 	for i := range 64 {
 		items = append(items, Item{fmt.Sprintf("g%d.item%d", i%10, i), 1, uint64(i)})
 	}
-	return one(300, items...)
+	return newFleet(300, items...)
 }
 
-// TestBounded: memory of 300 relays with 64 items, all of them drifting, whatever they say.
+// TestBounded: memory of 300 relays with 64 items, all of them drifting, whatever they report.
 func TestBounded(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	w, books, now := full()
-	for _, b := range books {
+	w, reporters, now := fullFleet()
+	for _, b := range reporters {
 		for i := range 64 {
 			b.RecordRejected(now, Item{fmt.Sprintf("g%d.item%d", i%10, i), 2, 1}, "record", fmt.Sprintf("%100d", now))
 		}
@@ -369,14 +370,14 @@
 	for i := range 64 {
 		items = append(items, Item{fmt.Sprintf("g%d.item%d", i%10, i), 2, uint64(i)})
 	}
-	for _, b := range books {
+	for _, b := range reporters {
 		w.SetIntent(now, b.relay, items)
 	}
-	say(w, books, now, 15)
+	exchangeReports(w, reporters, now, 15)
 	if n := len(w.Findings()); n != 300*64 {
 		t.Fatal(n, w.Counts())
 	}
-	books = nil
+	reporters = nil
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	mb := float64(after.HeapAlloc-before.HeapAlloc) / (1 << 20)
@@ -388,46 +389,46 @@
 }
 
 func BenchmarkTick(b *testing.B) {
-	w, _, now := full()
+	w, _, now := fullFleet()
 	for b.Loop() {
 		w.Tick(now)
 	}
 }
 
-// BenchmarkHear is a word of a relay that is in step.
-func BenchmarkHear(b *testing.B) {
-	w, books, now := full()
+// BenchmarkHandleReport is a report of a relay that is in sync.
+func BenchmarkHandleReport(b *testing.B) {
+	w, reporters, now := fullFleet()
 	for b.Loop() {
 		b.StopTimer()
-		e := books[7].NextReport(now).Encode()
+		e := reporters[7].NextReport(now).Encode()
 		b.StartTimer()
-		word, _ := DecodeReport(e)
-		w.HandleReport(now, word)
+		report, _ := DecodeReport(e)
+		w.HandleReport(now, report)
 	}
 }
 
-// BenchmarkHearDrifting is one of a relay that is not, with as many details as fit.
-func BenchmarkHearDrifting(b *testing.B) {
-	w, books, now := full()
+// BenchmarkHandleReportDrifting is one of a relay that is not, with as many details as fit.
+func BenchmarkHandleReportDrifting(b *testing.B) {
+	w, reporters, now := fullFleet()
 	for i := range 64 {
-		books[7].RecordApplied(now, Item{fmt.Sprintf("g%d.item%d", i%10, i), 1, 77}, "record")
+		reporters[7].RecordApplied(now, Item{fmt.Sprintf("g%d.item%d", i%10, i), 1, 77}, "record")
 	}
-	now = say(w, books, now, 30)
+	now = exchangeReports(w, reporters, now, 30)
 	for b.Loop() {
 		b.StopTimer()
-		books[7].HandleReply(Reply{Relay: "n7", Incarnation: 1, WantDetails: w.WantedDetails("n7")})
-		e := books[7].NextReport(now).Encode()
+		reporters[7].HandleReply(Reply{Relay: "n7", Incarnation: 1, WantDetails: w.WantedDetails("n7")})
+		e := reporters[7].NextReport(now).Encode()
 		b.StartTimer()
-		word, _ := DecodeReport(e)
-		w.HandleReport(now, word)
+		report, _ := DecodeReport(e)
+		w.HandleReport(now, report)
 	}
 }
 
-// TestClockSet: what was in flight is not held against a relay whose clock is set back, wherever the change falls.
+// TestClockSet: what was in flight does not count against a relay whose clock is stepped back, wherever the change falls.
 func TestClockSet(t *testing.T) {
 	for apart := range 70 {
-		w, books, now := one(1, Item{ItemEjections, 1, 1})
-		b := books[0]
+		w, reporters, now := newFleet(1, Item{ItemEjections, 1, 1})
+		b := reporters[0]
 		for k := range 90 {
 			now += 1000
 			if k == apart {
@@ -439,7 +440,7 @@
 			}
 			w.HandleReport(now, b.NextReport(now-20_000))
 			w.Tick(now)
-			if s := state(w, b.relay, ItemEjections); s != InSync {
+			if s := stateOf(w, b.relay, ItemEjections); s != InSync {
 				t.Fatalf("changed %d s after, %d s after that: %v", apart, k-apart, s)
 			}
 		}
