--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -20,11 +20,10 @@
 	maxCommittedSize    = 1 << 20 // bytes of committed entries in one Ready
 )
 
-var (
-	// The text is part of Status.IdentityReason.
-	errOutdatedDirectory = errors.New("this directory is older than what this voter has acknowledged")
-	errNoLeader          = errors.New("no leader")
-)
+// errOutdatedDirectory: the voter may not vote with this directory. The text is part of Status.IdentityReason.
+var errOutdatedDirectory = errors.New("this directory is older than what this voter has acknowledged")
+
+var errNoLeader = errors.New("no leader")
 
 // core is one voter's raft state machine around a RawNode. It is driven by messages, ticks, and the completion of writes; it does no I/O
 // and reads no clock.
--- a/internal/consensus/core_changes.go
+++ b/internal/consensus/core_changes.go
@@ -25,9 +25,6 @@
 	errUnknownVoter     = errors.New("no such voter")
 )
 
-// errInvalidChange rejects a change of voters whose names or address are too long. The text is sent too.
-var errInvalidChange = errors.New("size")
-
 // changeProposal asks the leader for a change of voters: by a voter that came back under a new identity, or by an operator (Replace).
 type changeProposal struct {
 	oldName, newName, address string
@@ -61,6 +58,9 @@
 	c.proposals[p.newName] = p
 }
 
+// errInvalidChange rejects a change of voters whose names or address are too long. The text is sent too.
+var errInvalidChange = errors.New("size")
+
 // checkChange says whether a change may be proposed now: one at a time, and only while all other voters are healthy.
 func (c *core) checkChange(p changeProposal) (oldID uint64, err error) {
 	oldID = c.voters.idOf(p.oldName)
--- a/internal/consensus/stream_follower.go
+++ b/internal/consensus/stream_follower.go
@@ -26,9 +26,6 @@
 	errSourceLeaderless = errors.New("the followed voter knows no leader")
 )
 
-// errOtherRecord ends a stream whose snapshot is of another record.
-var errOtherRecord = errors.New("snapshot of another record")
-
 // followStatus is what the followed stream last reported.
 type followStatus struct {
 	source, leader string // names of voters
@@ -155,6 +152,9 @@
 	return n.current != nil, n.current == nil || !n.leaderlessSince.IsZero()
 }
 
+// errOtherRecord ends a stream whose snapshot is of another record.
+var errOtherRecord = errors.New("snapshot of another record")
+
 func (f *streamFollower) handleFrame(kind byte, body []byte, hasEngine bool) error {
 	n := f.node
 	switch kind {
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -15,19 +15,6 @@
 	"dahliarudder/internal/pool"
 )
 
-// Errors of Decode. None of them stops a start.
-var (
-	ErrCorrupt = errors.New("torn")
-	ErrVersion = errors.New("of another version")
-)
-
-// Errors of Validate. None of them stops a start.
-var (
-	ErrOtherRelay = errors.New("of another relay")
-	ErrFuture     = errors.New("from the future")
-	ErrExpired    = errors.New("too old")
-)
-
 const (
 	magic      = "DAHLIASN"
 	version    = 1
@@ -73,6 +60,12 @@
 	return append(b, body...), nil
 }
 
+// Errors of Decode. None of them stops a start.
+var (
+	ErrCorrupt = errors.New("torn")
+	ErrVersion = errors.New("of another version")
+)
+
 // Decode reads it, whole or not at all.
 func Decode(b []byte) (*Snapshot, error) {
 	if len(b) < headerSize || string(b[:len(magic)]) != magic {
@@ -130,6 +123,13 @@
 	return now.Wall.Sub(time.UnixMilli(s.Written)), false
 }
 
+// Errors of Validate. None of them stops a start.
+var (
+	ErrOtherRelay = errors.New("of another relay")
+	ErrFuture     = errors.New("from the future")
+	ErrExpired    = errors.New("too old")
+)
+
 // Validate takes out of a snapshot what cannot be believed now, and moves its ages on. The generation is that of the list that the relay
 // holds otherwise; a list that is no newer is not taken. An error says that nothing is left.
 func (s *Snapshot) Validate(now Clocks, name string, generation uint64, l Limits) (age time.Duration, out []DiscardedPart, err error) {
