--- a/internal/canary/counts.go
+++ b/internal/canary/counts.go
@@ -10,7 +10,7 @@
 	Class     uint8
 	Zone      uint8 // of the member: index into the sorted names of zones
 	WarmingUp bool
-	Load      uint8 // see LoadBand
+	Load      uint8 // below LoadBands
 }
 
 const (
@@ -36,24 +36,11 @@
 	return cmp.Or(cmp.Compare(x.Class, y.Class), cmp.Compare(x.Zone, y.Zone), cmp.Compare(x.flags(), y.flags()))
 }
 
-// LoadBands is the number of load bands.
+// LoadBands is the number of load bands. A member's load is the flows offered to it as a share of what its cores can carry, and each band
+// halves the spare capacity: waiting times go as one over that, so within a band they differ by a factor of 2 at most. It is what is offered,
+// not how busy the member is: a build that burns more CPU must not hide in a band of its own.
 const LoadBands = 4
 
-// LoadBand returns the band of a member's load (the flows offered to it, as a share of what its cores can carry). Each band halves the
-// spare capacity: waiting times go as one over that, so within a band they differ by a factor of 2 at most. The load is what is offered, not
-// how busy the member is: a build that burns more CPU must not hide in a band of its own.
-func LoadBand(load float64) uint8 {
-	switch {
-	case load < 0.5:
-		return 0
-	case load < 0.75:
-		return 1
-	case load < 0.875:
-		return 2
-	}
-	return 3
-}
-
 // HistogramBuckets is the number of buckets of a Histogram: two an octave, up to 2 minutes.
 const HistogramBuckets = 40
 
