--- a/internal/front/nats/security.go
+++ b/internal/front/nats/security.go
@@ -60,13 +60,11 @@
 func (c *Config) LoadSecurity() (*Security, error) {
 	s := &Security{}
 	if t := c.TLS; t != nil {
-		cfg, err := loadKeyPair("tls", c.resolvePath(t.Cert), c.resolvePath(t.Key), t.MinVersion, true)
+		cfg, ca, err := loadTLS("tls", tlsFiles{c.resolvePath(t.Cert), c.resolvePath(t.Key), c.resolvePath(t.ClientCA)}, "client_ca", t.MinVersion, true)
 		if err != nil {
 			return nil, err
 		}
-		if cfg.ClientCAs, err = loadCertPool("tls.client_ca", c.resolvePath(t.ClientCA)); err != nil {
-			return nil, err
-		}
+		cfg.ClientCAs = ca
 		switch {
 		case t.Verify && cfg.ClientCAs == nil:
 			return nil, errors.New("tls.verify: needs tls.client_ca")
@@ -80,13 +78,11 @@
 		s.server = cfg
 	}
 	if t := c.MemberTLS; t != nil {
-		cfg, err := loadKeyPair("member_tls", c.resolvePath(t.Cert), c.resolvePath(t.Key), t.MinVersion, false)
+		cfg, ca, err := loadTLS("member_tls", tlsFiles{c.resolvePath(t.Cert), c.resolvePath(t.Key), c.resolvePath(t.CA)}, "ca", t.MinVersion, false)
 		if err != nil {
 			return nil, err
 		}
-		if cfg.RootCAs, err = loadCertPool("member_tls.ca", c.resolvePath(t.CA)); err != nil {
-			return nil, err
-		}
+		cfg.RootCAs = ca
 		cfg.ServerName = t.ServerName
 		s.member = cfg
 	}
@@ -113,6 +109,19 @@
 	return filepath.Join(c.Dir, path)
 }
 
+// tlsFiles are the paths of one side's certificate, key and authorities; empty where the key is absent.
+type tlsFiles struct{ cert, key, ca string }
+
+// loadTLS loads one side's certificate and authorities. Errors name the key below section.
+func loadTLS(section string, files tlsFiles, caKey, minVersion string, needed bool) (*tls.Config, *x509.CertPool, error) {
+	cfg, err := loadKeyPair(section, files.cert, files.key, minVersion, needed)
+	if err != nil {
+		return nil, nil, err
+	}
+	ca, err := loadCertPool(section+"."+caKey, files.ca)
+	return cfg, ca, err
+}
+
 // loadKeyPair loads a certificate with its key.
 func loadKeyPair(at, cert, key, version string, needed bool) (*tls.Config, error) {
 	cfg := &tls.Config{MinVersion: tls.VersionTLS12}
