--- a/internal/consensus/stream_follower.go
+++ b/internal/consensus/stream_follower.go
@@ -18,12 +18,16 @@
 	followRetryDelay       = 50 * time.Millisecond
 )
 
-// Why a stream is ended that did not fail.
-var (
-	errStreamNotNeeded  = errors.New("the engine knows a leader again")
-	errStreamRetry      = errors.New("rejected unread: sent again with the current epoch and start")
-	errPreferredBack    = errors.New("the preferred voter is healthy again")
-	errSourceLeaderless = errors.New("the followed voter knows no leader")
+// streamEnd is why this node ends a stream that did not fail.
+type streamEnd string
+
+func (e streamEnd) Error() string { return string(e) }
+
+const (
+	errStreamNotNeeded  streamEnd = "the engine knows a leader again"
+	errStreamRetry      streamEnd = "rejected unread: sent again with the current epoch and start"
+	errPreferredBack    streamEnd = "the preferred voter is healthy again"
+	errSourceLeaderless streamEnd = "the followed voter knows no leader"
 )
 
 // followStatus is what the followed stream last reported.
