--- a/cmd/dahliarudder/clock_test.go
+++ b/cmd/dahliarudder/clock_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// stepClock has the wall clock be off by what the test says.
+// stepClock sets the wall clock off by the returned step, which the test may change.
 func stepClock(t *testing.T) (step *time.Duration) {
 	step = new(time.Duration)
 	wallClock = func() time.Time { return time.Now().Add(*step) }
@@ -13,7 +13,7 @@
 	return step
 }
 
-// TestSteadyWall: what the fleet's spans are measured by runs on through steps of the wall clock.
+// TestSteadyWall: the clock by which the fleet measures durations is not affected by steps of the wall clock.
 func TestSteadyWall(t *testing.T) {
 	step := stepClock(t)
 	wall := steadyWall()
@@ -27,7 +27,7 @@
 	}
 }
 
-// TestRunName: two processes of one relay never write to the store under one name, though the clock shows the same again.
+// TestRunName: two processes of one relay never share a run name in the store, even if the clock shows the same time twice.
 func TestRunName(t *testing.T) {
 	at := time.UnixMilli(1700000000000)
 	seen := map[string]bool{}
--- a/integration/wall_clock_test.go
+++ b/integration/wall_clock_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// faultyRelay is a relay that runs in trouble: its wall clock is stepped and its system calls fail as the test says. It is
-// the test program of cmd/dahliarudder, which starts itself as the relay; the built program has no switch for that.
+// faultyRelay is a relay that runs under a fault plan: its wall clock is stepped and its system calls fail as the test says. It
+// is the test program of cmd/dahliarudder, which runs as the relay; the built program has no switch for that.
 type faultyRelay struct {
 	*relay
 	file   string
@@ -31,9 +31,9 @@
 	Times int     `json:"times"`
 }
 
-// troubledProgram builds that program, once.
-var troubledProgram = sync.OnceValues(func() (string, error) {
-	path := filepath.Join(filepath.Dir(program), "troubled")
+// faultyProgram builds that program, once.
+var faultyProgram = sync.OnceValues(func() (string, error) {
+	path := filepath.Join(filepath.Dir(program), "faulty")
 	out, err := exec.Command("go", "test", "-c", "-o", path, "dahliarudder/cmd/dahliarudder").CombinedOutput()
 	if err != nil {
 		err = fmt.Errorf("%w: %s", err, out)
@@ -41,16 +41,16 @@
 	return path, err
 })
 
-// newFaultyRelay starts one, in no trouble yet but for a clock that is wrong by step.
+// newFaultyRelay starts one whose clock is off by step, with no other fault yet.
 func newFaultyRelay(t testing.TB, config string, fronts int, step time.Duration) *faultyRelay {
 	t.Helper()
-	path, err := troubledProgram()
+	path, err := faultyProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &faultyRelay{file: filepath.Join(t.TempDir(), "trouble")}
+	r := &faultyRelay{file: filepath.Join(t.TempDir(), "fault-plan")}
 	r.writeFaults(t, step)
-	r.relay = launchProgram(t, path, config, "RELAY_TROUBLE="+r.file)
+	r.relay = launchProgram(t, path, config, "RELAY_FAULT_PLAN="+r.file)
 	r.waitServing(fronts)
 	return r
 }
@@ -74,7 +74,7 @@
 func (r *faultyRelay) setFaults(step time.Duration, plan ...failing) {
 	r.t.Helper()
 	r.writeFaults(r.t, step, plan...)
-	r.waitLogged(fmt.Sprintf("trouble %d begins", r.number))
+	r.waitLogged(fmt.Sprintf("fault plan %d in effect", r.number))
 }
 
 // TestStateWallStepped: a relay that comes back after a step of its wall clock takes its state for as old as it really is.
--- a/internal/scenariorunner/relay.go
+++ b/internal/scenariorunner/relay.go
@@ -45,7 +45,7 @@
 	gossipKeyFile    = "key"
 	stateDir         = "state"
 	stateCopyDir     = "old"
-	systemFaultsFile = "trouble"
+	systemFaultsFile = "fault-plan"
 )
 
 // start starts a process.
@@ -62,7 +62,7 @@
 	cmd := exec.Command(n.program, "serve", "--config", n.path(configFile))
 	cmd.Stderr, cmd.Stdout, cmd.Dir = log, log, state
 	cmd.Env = append(os.Environ(), "EDGE_NAME=", "EDGE_LISTEN=", "EDGE_DISCOVERY=", "EDGE_CONFIG=", "EDGE_OPERATOR=", "TMPDIR="+state,
-		"RELAY_TROUBLE="+n.path(systemFaultsFile)) // read by test programs that start themselves as the relay
+		"RELAY_FAULT_PLAN="+n.path(systemFaultsFile)) // read by test programs that start themselves as the relay
 	// A process group of its own: Ctrl-C is for the runner, which ends the relays itself. They never outlive it.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
