--- a/internal/scenariorunner/fleet.go
+++ b/internal/scenariorunner/fleet.go
@@ -48,9 +48,9 @@
 }
 
 // operatorCall makes a step's call, and retries while nobody can accept it.
-func (r *run) operatorCall(n *relay, s scenario.Step) {
+func (r *run) operatorCall(ctx context.Context, n *relay, s scenario.Step) {
 	method, path, _ := strings.Cut(s.Call, " ")
-	for end := time.Now().Add(operatorCallTimeout); ; time.Sleep(fleetPollInterval) {
+	for end := time.Now().Add(operatorCallTimeout); ctx.Err() == nil; sleep(ctx, fleetPollInterval) {
 		var answer rollout.Result
 		status := fleetRequest(method, n.fleetAddr, path, s.Body, &answer)
 		if status == http.StatusOK {
--- a/internal/scenariorunner/front.go
+++ b/internal/scenariorunner/front.go
@@ -18,16 +18,13 @@
 	*run
 	addrs map[string]string // by relay
 
-	stopPings func()
-	pings     sync.WaitGroup
-
 	lock     sync.Mutex
 	lastPong map[string]time.Time
 	admitted map[string]bool // the relays that get clients
 }
 
 func newFront(r *run) *front {
-	return &front{run: r, addrs: map[string]string{}, lastPong: map[string]time.Time{}, admitted: map[string]bool{}, stopPings: func() {}}
+	return &front{run: r, addrs: map[string]string{}, lastPong: map[string]time.Time{}, admitted: map[string]bool{}}
 }
 
 const (
@@ -36,19 +33,13 @@
 	pingTimeout          = time.Second
 )
 
-// start checks the health of every relay until stop is called or the context ends.
-func (f *front) start(ctx context.Context) {
-	ctx, f.stopPings = context.WithCancel(ctx)
+// start checks the health of every relay until the run ends.
+func (f *front) start() {
 	for _, n := range f.relays {
-		f.pings.Go(func() { f.checkHealth(ctx, n) })
+		f.background.start(func(ctx context.Context) { f.checkHealth(ctx, n) })
 	}
 }
 
-func (f *front) stop() {
-	f.stopPings()
-	f.pings.Wait()
-}
-
 // checkHealth pings a relay until the context ends.
 func (f *front) checkHealth(ctx context.Context, n *relay) {
 	for ctx.Err() == nil {
--- a/internal/scenariorunner/relay.go
+++ b/internal/scenariorunner/relay.go
@@ -1,6 +1,7 @@
 package scenariorunner
 
 import (
+	"context"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -94,7 +95,7 @@
 	n.endedCPU += (cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()).Seconds()
 	ordered := cmd.ProcessState.ExitCode() == rollout.ExitOrderedRestart
 	if ordered && !n.closing {
-		go n.restartAfterExit()
+		n.background.start(n.restartAfterExit)
 	}
 	if !n.exitExpected && !n.closing && !ordered {
 		n.judge.RelayCrashed(n.now(), n.name, n.exitStatus)
@@ -102,10 +103,11 @@
 }
 
 // restartAfterExit restarts, as a service manager does, a relay that has ended for that.
-func (n *relay) restartAfterExit() {
+func (n *relay) restartAfterExit(ctx context.Context) {
 	n.relayDown(n)
-	time.Sleep(scenario.Millis(n.File.Relays.RestartDelayMs))
-	n.restart()
+	if sleep(ctx, scenario.Millis(n.File.Relays.RestartDelayMs)) {
+		n.restart()
+	}
 }
 
 // exitReason is how the process ended; "" while it runs.
--- a/internal/scenariorunner/relay_faults.go
+++ b/internal/scenariorunner/relay_faults.go
@@ -1,6 +1,7 @@
 package scenariorunner
 
 import (
+	"context"
 	"net"
 	"sync"
 	"syscall"
@@ -19,7 +20,7 @@
 	case scenario.ActionTerminate:
 		r.terminate(n, s.SignalSeries)
 	case scenario.ActionStart:
-		go n.startAgain(s)
+		r.background.start(func(context.Context) { n.startAgain(s) })
 	case scenario.ActionStop:
 		r.relayDown(n)
 		n.signal(syscall.SIGSTOP, false)
@@ -40,7 +41,7 @@
 func (r *run) configureRelay(n *relay, s scenario.Step) {
 	switch s.Action {
 	case scenario.ActionCall:
-		go r.operatorCall(n, s)
+		r.background.start(func(ctx context.Context) { r.operatorCall(ctx, n, s) })
 	case scenario.ActionCopyState:
 		if err := n.copyState(); err != nil {
 			r.Progress("%s's state is not copied: %v\n", n.name, err)
@@ -127,20 +128,20 @@
 	n.signal(syscall.SIGTERM, true)
 	kill := time.AfterFunc(r.killAfter(), func() { n.signal(syscall.SIGKILL, true) })
 	if series {
-		go func() {
+		r.background.start(func(context.Context) {
 			for _, s := range signalSeries {
 				time.Sleep(seriesInterval)
 				n.signal(s, true)
 			}
-		}()
+		})
 	}
-	go func() {
+	r.background.start(func(context.Context) {
 		time.Sleep(frontRemovalDelay)
 		r.front.remove(n.name)
 		<-n.done
 		kill.Stop()
 		r.locked(func(at time.Duration) { r.peerViews.relayDown(at, n.name) })
-	}()
+	})
 }
 
 // killAfter is how long after SIGTERM SIGKILL comes at the earliest.
@@ -158,7 +159,7 @@
 // openIdleConns opens connections to a relay that send nothing.
 func (r *run) openIdleConns(n *relay, count int) {
 	r.locked(func(at time.Duration) { r.judge.BeginIdleFlood(at, n.name) })
-	go func() {
+	r.background.start(func(context.Context) {
 		for range count {
 			c, err := net.DialTimeout("tcp", n.listenAddr, idleDialTimeout)
 			if err != nil {
@@ -166,7 +167,7 @@
 			}
 			n.idleConns.add(c)
 		}
-	}()
+	})
 }
 
 // closeIdleConns closes the connections that openIdleConns has opened.
--- a/internal/scenariorunner/run.go
+++ b/internal/scenariorunner/run.go
@@ -29,6 +29,7 @@
 	usedAddrs     map[string]bool
 	leaderByFault map[int]string // the leader that a fault was applied to; used by the timeline alone
 	began         time.Time
+	background    *background
 
 	mu               sync.Mutex // guards everything below, and the judge
 	closing          bool
@@ -76,7 +77,7 @@
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxRecordedMicros, 3) }
 
 // newRun prepares a run; nothing is started yet.
-func (r *Runner) newRun(v scenario.Variant, repetition int, seed uint64) (*run, error) {
+func (r *Runner) newRun(ctx context.Context, v scenario.Variant, repetition int, seed uint64) (*run, error) {
 	config, decoded, err := r.Settings(v)
 	if err != nil {
 		return nil, err
@@ -101,7 +102,7 @@
 	if err := os.RemoveAll(x.dir); err != nil { // of an earlier run
 		return nil, err
 	}
-	x.began = time.Now()
+	x.began, x.background = time.Now(), newBackground(ctx)
 	return x, nil
 }
 
@@ -148,7 +149,7 @@
 
 // waitReady waits until the front has admitted every relay.
 func (r *run) waitReady(ctx context.Context) error {
-	r.front.start(ctx)
+	r.front.start()
 	for end := time.Now().Add(readyTimeout); ; time.Sleep(20 * time.Millisecond) {
 		ready := 0
 		for _, n := range r.relays {
@@ -277,6 +278,7 @@
 	r.mu.Lock()
 	r.closing = true
 	r.mu.Unlock()
+	r.background.stop()
 	for _, n := range r.relays {
 		n.stopGracefully()
 	}
@@ -294,8 +296,9 @@
 			l.udp.Close()
 		}
 	}
-	if r.front != nil {
-		r.front.stop()
+	r.background.wait()
+	for _, n := range r.relays {
+		n.idleConns.closeAll()
 	}
 }
 
--- a/internal/scenariorunner/runner.go
+++ b/internal/scenariorunner/runner.go
@@ -106,7 +106,7 @@
 
 // RunVariant runs one variant once. If the context ends, it returns what was measured until then, marked as invalid.
 func (r *Runner) RunVariant(ctx context.Context, v scenario.Variant, repetition int, seed uint64) (*Result, error) {
-	x, err := r.newRun(v, repetition, seed)
+	x, err := r.newRun(ctx, v, repetition, seed)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/scenariorunner/timeline.go
+++ b/internal/scenariorunner/timeline.go
@@ -78,7 +78,8 @@
 		case scenario.ActionStall:
 			p.Stall()
 		default:
-			go p.SetImpairment(l.forward, l.backward) // a cut takes a moment, and the timeline goes on
+			there, back := l.forward, l.backward
+			r.background.start(func(context.Context) { p.SetImpairment(there, back) }) // a cut takes a moment, and the timeline goes on
 		}
 	}
 	r.excuseLink(s, l)
@@ -152,16 +153,16 @@
 // moveToExit is how long after it has moved its clients a draining member ends.
 const moveToExit = time.Second
 
-// drainMember makes a member drain, and end in its time.
+// drainMember makes a member drain, and end in its time. The context ends with the timeline.
 func (r *run) drainMember(ctx context.Context, m *member) {
 	m.SetMode(fakes.ModeBusy)
 	r.discovery.SetLifecycle(m.ID, fakes.Draining)
-	go func() {
+	r.background.start(func(context.Context) {
 		if sleep(ctx, scenario.Millis(r.File.Members.DrainMs)) {
 			m.MoveClients()
 			sleep(ctx, moveToExit)
 			m.Kill()
 			r.discovery.SetLifecycle(m.ID, fakes.Deleted)
 		}
-	}()
+	})
 }
