--- a/integration/crossing_signals_test.go
+++ b/integration/crossing_signals_test.go
@@ -109,8 +109,8 @@
 	})
 }
 
-// TestStartAddressHeld: a relay whose address is still another's for a moment waits for it and serves.
-func TestStartAddressHeld(t *testing.T) {
+// TestStartAddressInUse: a relay whose address is still another's for a moment waits for it and serves.
+func TestStartAddressInUse(t *testing.T) {
 	t.Parallel()
 	b := newBackend(t, "s-00000001", nil)
 	addr := reservePort(t)
--- a/integration/crossing_stop_test.go
+++ b/integration/crossing_stop_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// TestCrossingStopHeld: a request that a member holds until its time is up gets its one answer in time, and nothing starts after.
-func TestCrossingStopHeld(t *testing.T) {
+// TestCrossingStopInFlight: a request that a member holds until its time is up gets its one answer in time, and nothing starts after.
+func TestCrossingStopInFlight(t *testing.T) {
 	t.Parallel()
 	for _, wait := range []time.Duration{time.Second, 2900 * time.Millisecond} {
 		t.Run(wait.String(), func(t *testing.T) {
@@ -222,8 +222,8 @@
 	},
 }
 
-// TestCrossingLeftHeld: the client goes while its attempt is held by the member, which turns it away after that, or resets it. No attempt starts.
-func TestCrossingLeftHeld(t *testing.T) {
+// TestCrossingLeftInFlight: the client goes while its attempt is held by the member, which turns it away after that, or resets it. No attempt starts.
+func TestCrossingLeftInFlight(t *testing.T) {
 	t.Parallel()
 	for what, leave := range clientEnds {
 		for how, end := range map[string]func(*attempt){"busy": (*attempt).reject, "reset": (*attempt).reset} {
--- a/integration/fleet_faults_test.go
+++ b/integration/fleet_faults_test.go
@@ -58,9 +58,9 @@
 	return strings.LastIndex(log, "fleet: ordered to leave") > strings.LastIndex(log, "fleet: may stay")
 }
 
-// TestFleetSame: a release that touches what another one does is refused with that one's name, or waits for it if that is wanted; one that
+// TestFleetConflictingRelease: a release that touches what another one does is refused with that one's name, or waits for it if that is wanted; one that
 // touches other things goes. Guards against two releases that pull at one thing.
-func TestFleetSame(t *testing.T) {
+func TestFleetConflictingRelease(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 3, 3, nil)
 	f.waitLeader()
@@ -278,10 +278,10 @@
 	}
 }
 
-// TestFleetOldOrder: a relay that was told to leave stands still before it can end; meanwhile the release is halted and taken back. When it goes on,
+// TestFleetStaleOrder: a relay that was told to leave stands still before it can end; meanwhile the release is halted and taken back. When it goes on,
 // its time to end is over by far, and all it knows of is the order: it asks, stays, and serves. Guards against an end by an order
 // that was taken back.
-func TestFleetOldOrder(t *testing.T) {
+func TestFleetStaleOrder(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
 	old := (f.waitLeader() + 1) % 3
@@ -312,9 +312,9 @@
 	}
 }
 
-// TestFleetMissedBan: a relay whose record is cut off does not learn of a ban, and sends there still; the leader shows that it is not heard. When
+// TestFleetMissedEjection: a relay whose record is cut off does not learn of a ban, and sends there still; the leader shows that it is not heard. When
 // the record is back the relay takes the ban by itself, and the row goes. Guards against drift that nobody sees.
-func TestFleetMissedBan(t *testing.T) {
+func TestFleetMissedEjection(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
 	f.waitLeader()
@@ -358,10 +358,10 @@
 	waitForWithin(t, 2*patience, "the row to go", func() bool { last = states(); return len(last) == 0 })
 }
 
-// TestFleetPauseApart: no two relays' records reach each other when an operator pauses a canary at one relay. The call cannot be agreed, yet every
+// TestFleetPausePartitioned: no two relays' records reach each other when an operator pauses a canary at one relay. The call cannot be agreed, yet every
 // relay goes to zero by what relays pass on in datagrams, and stays there when the record is back, until a resume is agreed. Guards against a
 // bad build that gets flows for as long as there is no majority.
-func TestFleetPauseApart(t *testing.T) {
+func TestFleetPausePartitioned(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 4, nil)
 	f.waitLeader()
@@ -480,10 +480,10 @@
 	}
 }
 
-// TestFleetDisableApart: two of three voters are cut off, so that nobody has a majority, and an operator disables a member at one relay. The call
+// TestFleetDisablePartitioned: two of three voters are cut off, so that nobody has a majority, and an operator disables a member at one relay. The call
 // holds there and then, and at no other; with the majority back it still holds at that relay alone, is shown as drift, and ends when it is
 // lifted there. Guards against a call that does nothing in the worst hour, and against one that comes into the record later, unasked.
-func TestFleetDisableApart(t *testing.T) {
+func TestFleetDisablePartitioned(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
 	f.waitLeader()
@@ -512,9 +512,9 @@
 	waitFor(t, "n3 to use it again", func() bool { return f.flowsToMember(3, 1, 2) > 0 })
 }
 
-// TestFleetStartApart: a voter and a follower that start while the record is out of reach hold to what they knew: nothing goes to a member that was
+// TestFleetStartPartitioned: a voter and a follower that start while the record is out of reach hold to what they knew: nothing goes to a member that was
 // banned. Guards against a start that is a way round a ban.
-func TestFleetStartApart(t *testing.T) {
+func TestFleetStartPartitioned(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
 	f.waitLeader()
--- a/integration/fleet_test.go
+++ b/integration/fleet_test.go
@@ -237,8 +237,8 @@
 	}
 }
 
-// TestFleetBan: one call at any relay takes a member out at all of them, also at one that was down then; and puts it back.
-func TestFleetBan(t *testing.T) {
+// TestFleetEjection: one call at any relay takes a member out at all of them, also at one that was down then; and puts it back.
+func TestFleetEjection(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
 	f.waitLeader()
@@ -342,9 +342,9 @@
 	}
 }
 
-// TestFleetHaltBack: a member is drained by all relays; halted, all use it again; resumed, it is drained; and the way back brings it in.
+// TestFleetRollback: a member is drained by all relays; halted, all use it again; resumed, it is drained; and the way back brings it in.
 // The relay that leads is killed half-way.
-func TestFleetHaltBack(t *testing.T) {
+func TestFleetRollback(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
 	f.waitLeader()
@@ -373,9 +373,9 @@
 	f.waitRelease(3, "d1", rollout.ReleaseRolledBack)
 }
 
-// TestFleetApart: a relay that is cut off from the record has nothing agreed, and answers so; a ban told to it holds at it alone, and is shown
+// TestFleetPartition: a relay that is cut off from the record has nothing agreed, and answers so; a ban told to it holds at it alone, and is shown
 // as drift when it is back, until it is lifted there.
-func TestFleetApart(t *testing.T) {
+func TestFleetPartition(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
 	l := f.waitLeader()
--- a/integration/line_test.go
+++ b/integration/line_test.go
@@ -52,9 +52,9 @@
 	return nil
 }
 
-// TestCalm: flows come up with a member's receipt, lines pass both ways
+// TestFlow: flows come up with a member's receipt, lines pass both ways
 // unchanged, only d is rewritten, and a served flow ends politely.
-func TestCalm(t *testing.T) {
+func TestFlow(t *testing.T) {
 	s := newLineRig(t, 3, nil)
 	for n := range 20 {
 		c := s.openFlow(n, ",x-mark=7")
@@ -96,9 +96,9 @@
 	c.wantLine("UP ")
 }
 
-// TestTrouble: members that turn away, fail or reset cost a request at most three
+// TestMemberFaults: members that turn away, fail or reset cost a request at most three
 // attempts, one after another, and every request gets exactly one final answer.
-func TestTrouble(t *testing.T) {
+func TestMemberFaults(t *testing.T) {
 	for _, mode := range []string{"busy", "err", "reset"} {
 		t.Run(mode, func(t *testing.T) {
 			s := newLineRig(t, 3, nil)
@@ -124,8 +124,8 @@
 	}
 }
 
-// TestAllBad: with no member that works a request still gets its final answer.
-func TestAllBad(t *testing.T) {
+// TestAllMembersFail: with no member that works a request still gets its final answer.
+func TestAllMembersFail(t *testing.T) {
 	s := newLineRig(t, 2, nil)
 	for _, b := range s.backends {
 		b.SetMode("err")
@@ -191,8 +191,8 @@
 	s.stop()
 }
 
-// TestStanding: a flow that was open before goes to the member that holds it.
-func TestStanding(t *testing.T) {
+// TestResumeFlow: a flow that was open before goes to the member that holds it.
+func TestResumeFlow(t *testing.T) {
 	s := newLineRig(t, 3, nil)
 	for n, b := range s.backends {
 		c := s.openFlow(n, ",at="+b.id)
@@ -204,9 +204,9 @@
 	c.wantLine("ERR")
 }
 
-// TestTerm: on SIGTERM every held client is told to move, who still arrives is
+// TestTerminate: on SIGTERM every held client is told to move, who still arrives is
 // answered, a front is told that the relay is not ready, and the program ends.
-func TestTerm(t *testing.T) {
+func TestTerminate(t *testing.T) {
 	s := newLineRig(t, 2, nil)
 	held := s.openFlows(10)
 	front, late := s.dial(), s.dial()
@@ -226,8 +226,8 @@
 	checkAttemptCounter(t, s.tries)
 }
 
-// TestEnds: an end is answered in its manner, politely or by a reset, both ways.
-func TestEnds(t *testing.T) {
+// TestConnectionEnds: an end is answered in its manner, politely or by a reset, both ways.
+func TestConnectionEnds(t *testing.T) {
 	s := newLineRig(t, 1, nil)
 	b := s.backends[0]
 	c := s.openFlow(1, "")
@@ -377,9 +377,9 @@
 	}
 }
 
-// TestCrowd: with few descriptors left, clients are rejected before accepting or
+// TestDescriptorLimit: with few descriptors left, clients are rejected before accepting or
 // connecting fails, and the relay recovers when they go.
-func TestCrowd(t *testing.T) {
+func TestDescriptorLimit(t *testing.T) {
 	s := newLineRig(t, 1, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 100}})
 	var clients []*client
 	up, busy := 0, 0
@@ -407,10 +407,10 @@
 	s.stop()
 }
 
-// TestIdleCrowd: more connections than there are descriptors, which say nothing or
+// TestIdleConnectionFlood: more connections than there are descriptors, which say nothing or
 // ask once and stay, do not keep usual clients out. Guards against a relay that
 // holds them until its descriptors are gone.
-func TestIdleCrowd(t *testing.T) {
+func TestIdleConnectionFlood(t *testing.T) {
 	s := newLineRig(t, 1, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": 100}})
 	held := s.openFlow(1, "")
 	held.wantLine("UP ")
--- a/integration/linked_test.go
+++ b/integration/linking_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// TestLinked guards against a relay that is no longer linked against the C library: what the platform loads into the
+// TestDynamicLinking guards against a relay that is no longer linked against the C library: what the platform loads into the
 // process would not be loaded, without a word.
-func TestLinked(t *testing.T) {
+func TestDynamicLinking(t *testing.T) {
 	f, err := elf.Open(program)
 	if err != nil {
 		t.Fatal(err)
--- a/integration/plain_test.go
+++ b/integration/minimal_config_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// TestPlain: a relay with a plain configuration is one process that listens where clients come and nowhere else, by TCP
+// TestMinimalConfig: a relay with a plain configuration is one process that listens where clients come and nowhere else, by TCP
 // alone, and writes no file.
-func TestPlain(t *testing.T) {
+func TestMinimalConfig(t *testing.T) {
 	t.Parallel()
 	b := newBackend(t, "s-00000001", nil)
 	d := newDiscovery(t, b.member())
--- a/integration/nats_chaos_test.go
+++ b/integration/nats_chaos_test.go
@@ -153,9 +153,9 @@
 	}
 }
 
-// TestNATSHerd: a relay that is replaced has its clients come back together, each with many
+// TestNATSReconnectStorm: a relay that is replaced has its clients come back together, each with many
 // subscriptions; all stand again, at one place each.
-func TestNATSHerd(t *testing.T) {
+func TestNATSReconnectStorm(t *testing.T) {
 	k := newCluster(t, 3)
 	r := natsRelay(t, k, nil)
 	const clients, each = 40, 50
--- a/integration/nats_load_test.go
+++ b/integration/nats_load_test.go
@@ -33,9 +33,9 @@
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 24000}}), 1)
 }
 
-// TestNATSNothingRefused: before idle members a client's publications are never refused,
+// TestNATSNoRejections: before idle members a client's publications are never refused,
 // paced or all at once, whether members report load or not.
-func TestNATSNothingRefused(t *testing.T) {
+func TestNATSNoRejections(t *testing.T) {
 	for name, front := range map[string]map[string]any{"reports": {"load_subject": "node.load"}, "own view": {}} {
 		t.Run(name, func(t *testing.T) {
 			k := newCluster(t, 3)
--- a/integration/nats_test.go
+++ b/integration/nats_test.go
@@ -415,9 +415,9 @@
 	}
 }
 
-// TestProcessorAsksAgain: a proxy that has had no answer in time asks again, by the same name, on its connection or on
+// TestProcessorRetry: a proxy that has had no answer in time asks again, by the same name, on its connection or on
 // another one of its own. Both calls speak of one request: never are there two attempts out.
-func TestProcessorAsksAgain(t *testing.T) {
+func TestProcessorRetry(t *testing.T) {
 	s := newNATSRig(t, 3)
 	first, second := s.connect(nats.CustomInboxPrefix("_dahlia.inbox")), s.connect(nats.CustomInboxPrefix("_dahlia.inbox"))
 	call := func(c *nats.Conn, subject, text string) (v processorVerdict) {
@@ -472,9 +472,9 @@
 	s.checkStored(map[string]int{"served": 1, "left": 2})
 }
 
-// TestNATSLeft: publications of a client that goes while they are out, or wait for a place, are not tried again; those of
+// TestNATSClientGone: publications of a client that goes while they are out, or wait for a place, are not tried again; those of
 // others are.
-func TestNATSLeft(t *testing.T) {
+func TestNATSClientGone(t *testing.T) {
 	for what, mode := range map[string]fakes.NodeMode{"out at a silent node": fakes.NodeSilent, "refused by a node": fakes.NodeRefuses, "reset by a node": fakes.NodeResets} {
 		t.Run(what, func(t *testing.T) {
 			k := newCluster(t, 2)
--- a/integration/operator_test.go
+++ b/integration/operator_test.go
@@ -19,10 +19,10 @@
 	return newLineRig(t, members, all)
 }
 
-// TestOperatorBan: a member that is taken out gets nothing more and its clients move,
+// TestOperatorEjection: a member that is taken out gets nothing more and its clients move,
 // also when discovery lists it again and after SIGHUP; the second word out changes
 // nothing, one word back undoes both, and the member is used again.
-func TestOperatorBan(t *testing.T) {
+func TestOperatorEjection(t *testing.T) {
 	s := newOperatedRig(t, 2, nil)
 	if code := s.call("GET", "/-/ready"); code != 200 {
 		t.Errorf("ready: %d", code)
--- a/integration/peers_test.go
+++ b/integration/peers_test.go
@@ -235,9 +235,9 @@
 	c.waitAllAlive()
 }
 
-// TestPeersOneName: two processes under one name. The others go on with the later one, refuse the earlier one by that reason, and hold nobody
+// TestPeersDuplicateName: two processes under one name. The others go on with the later one, refuse the earlier one by that reason, and hold nobody
 // for dead; once the name is one process's again, started anew, all is as before.
-func TestPeersOneName(t *testing.T) {
+func TestPeersDuplicateName(t *testing.T) {
 	c := newGossipRig(t, 3, false)
 	c.waitAllAlive()
 	text, err := os.ReadFile(c.conf[2])
@@ -261,9 +261,9 @@
 	c.waitAllAlive()
 }
 
-// TestPeersNoDoor: somebody else has a relay's TCP port, its datagrams are free. It is among the others all the same, and has its door once the port
+// TestPeersPortTaken: somebody else has a relay's TCP port, its datagrams are free. It is among the others all the same, and has its door once the port
 // is given back. Guards against a relay that serves and hears nothing, no pause of a canary either.
-func TestPeersNoDoor(t *testing.T) {
+func TestPeersPortTaken(t *testing.T) {
 	c := newGossipRig(t, 2, false)
 	c.waitAllAlive()
 	c.relays[1].stop()
@@ -284,8 +284,8 @@
 	})
 }
 
-// TestPeersSeen: what one relay sees of its members reaches the others.
-func TestPeersSeen(t *testing.T) {
+// TestPeersObservations: what one relay sees of its members reaches the others.
+func TestPeersObservations(t *testing.T) {
 	c := newGossipRig(t, 2, false)
 	b := newBackend(t, "s-5be2a000", fakes.NewAttemptCounter())
 	b.SetMode(fakes.ModeErr)
--- a/integration/pushed_test.go
+++ b/integration/pushed_lists_test.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// TestPushedLists: where lists are pushed, what the agent has counts at once: from the first moment of a process, while it
+// TestPushedEndpointLists: where lists are pushed, what the agent has counts at once: from the first moment of a process, while it
 // runs, as the agent comes back after an outage, and after a watch was cut off.
-func TestPushedLists(t *testing.T) {
+func TestPushedEndpointLists(t *testing.T) {
 	t.Parallel()
 	t.Run("from the first moment", func(t *testing.T) {
 		t.Parallel()
--- a/integration/folder_test.go
+++ b/integration/state_dir_test.go
@@ -12,9 +12,9 @@
 // fullDisk is a file of the system that has no room: each write to it fails as on a disk that is full.
 const fullDisk = "/dev/full"
 
-// TestStateFolderFull: a folder for kept state that is full for a while: clients are served on, the last whole state stays
+// TestStateDirFull: a folder for kept state that is full for a while: clients are served on, the last whole state stays
 // and is what the next process comes back with, and the log tells of the trouble and of its end, once each.
-func TestStateFolderFull(t *testing.T) {
+func TestStateDirFull(t *testing.T) {
 	t.Parallel()
 	b := newBackend(t, "s-00000001", nil)
 	d := newDiscovery(t, b.member())
--- a/integration/asleep_test.go
+++ b/integration/suspend_test.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// TestAsleep: a relay that stood still for longer than its calls wait, while most of its members began to drain. What has come in
+// TestSuspended: a relay that stood still for longer than its calls wait, while most of its members began to drain. What has come in
 // meanwhile is read before anything is held for overdue, and nothing is sent by what it knew before: not to a member that
 // discovery has called draining, neither by those who have waited for it nor by those who come at once.
-func TestAsleep(t *testing.T) {
+func TestSuspended(t *testing.T) {
 	s := newLineRig(t, 6, nil)
 	s.openFlows(6)
 	s.cmd.Process.Signal(syscall.SIGSTOP)
@@ -51,9 +51,9 @@
 	checkAttemptCounter(t, s.tries)
 }
 
-// TestState: a relay that is killed goes on from its snapshot: what it says it came back with, where the list is from while discovery is
+// TestSnapshotRestore: a relay that is killed goes on from its snapshot: what it says it came back with, where the list is from while discovery is
 // down and its configuration knows none; and a snapshot that is torn, another's or in a directory that cannot be had never stops a start.
-func TestState(t *testing.T) {
+func TestSnapshotRestore(t *testing.T) {
 	s := newLineRig(t, 3, map[string]any{"operator": "127.0.0.1:0", "state": map[string]any{"dir": "state", "every_ms": 1000}, "known": nil})
 	waitFor(t, "the list", func() bool { return s.call("GET", "/-/ready") == 200 })
 	s.openFlows(3)
--- a/integration/upgrade_test.go
+++ b/integration/upgrade_test.go
@@ -85,9 +85,9 @@
 	third.waitExit()
 }
 
-// TestUpgradeBans: a ban holds over an upgrade, and while there are two processes the
+// TestUpgradeEjections: a ban holds over an upgrade, and while there are two processes the
 // word given to either counts for both.
-func TestUpgradeBans(t *testing.T) {
+func TestUpgradeEjections(t *testing.T) {
 	s := newOperatedRig(t, 3, nil)
 	first, second := s.backends[0], s.backends[1]
 	s.mustPut("/-/backends/" + first.id + "/disable")
--- a/internal/fakes/attempt_counter_test.go
+++ b/internal/fakes/attempt_counter_test.go
@@ -36,9 +36,9 @@
 	}
 }
 
-// TestTriesOrder: an attempt has ended once its connection has: a sender that tries elsewhere as soon as the first
+// TestAttemptCounterOrder: an attempt has ended once its connection has: a sender that tries elsewhere as soon as the first
 // connection is over, by whoever's end, is not taken to have two out; one that does not wait is.
-func TestTriesOrder(t *testing.T) {
+func TestAttemptCounterOrder(t *testing.T) {
 	for what, over := range map[string]func(n *NATSNode, c net.Conn){
 		"ended by the node":   func(n *NATSNode, c net.Conn) { n.ResetConnections(); io.ReadAll(c) },
 		"killed":              func(n *NATSNode, c net.Conn) { n.Kill(); io.ReadAll(c) },
--- a/internal/fakes/proxy_test.go
+++ b/internal/fakes/proxy_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// TestPipe: what passes, passes unchanged; in a cut, one way or both, nothing does and no connection comes up, until it is healed;
+// TestTCPProxy: what passes, passes unchanged; in a cut, one way or both, nothing does and no connection comes up, until it is healed;
 // what was given up behind a cut is not delivered later.
-func TestPipe(t *testing.T) {
+func TestTCPProxy(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -99,8 +99,8 @@
 	says(c, in, "five")
 }
 
-// TestLinkRate: datagrams that come faster than a link's rate wait in turn.
-func TestLinkRate(t *testing.T) {
+// TestUDPProxyRate: datagrams that come faster than a link's rate wait in turn.
+func TestUDPProxyRate(t *testing.T) {
 	to, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
@@ -134,8 +134,8 @@
 	}
 }
 
-// TestPipeGone: a connection that the far side has reset is not one that the calling side has ended.
-func TestPipeGone(t *testing.T) {
+// TestTCPProxyCallerClosed: a connection that the far side has reset is not one that the calling side has ended.
+func TestTCPProxyCallerClosed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scenario/judge_test.go
+++ b/internal/scenario/judge_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// TestJudgeKept: what a relay holds in the end, at the limits and beyond.
-func TestJudgeKept(t *testing.T) {
+// TestJudgeResources: what a relay holds in the end, at the limits and beyond.
+func TestJudgeResources(t *testing.T) {
 	j := NewJudge(Rules{})
 	j.CheckResources(0, "n0", 20, 20, 64, 64)
 	j.CheckResources(0, "n0", 20, 20, 64, 0)
@@ -88,8 +88,8 @@
 	j.AttemptEnded(at, "a", "s0", 0, true, turned)
 }
 
-// TestJudgeCrowd: while a crowd fills a relay's descriptors a new connection may be shut unread, and no longer.
-func TestJudgeCrowd(t *testing.T) {
+// TestJudgeIdleFlood: while a crowd fills a relay's descriptors a new connection may be shut unread, and no longer.
+func TestJudgeIdleFlood(t *testing.T) {
 	j := NewJudge(Rules{})
 	j.BeginIdleFlood(time.Second, "n0")
 	j.RequestSent(2*time.Second, "amid", "n0", time.Second, Effect{})
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -19,8 +19,8 @@
  ]
 }`
 
-// TestErrors: every error names the line and the key.
-func TestErrors(t *testing.T) {
+// TestDecodeErrors: every error names the line and the key.
+func TestDecodeErrors(t *testing.T) {
 	if _, err := Decode([]byte(sound)); err != nil {
 		t.Fatal(err)
 	}
