--- a/internal/core/feed_test.go
+++ b/internal/core/feed_test.go
@@ -10,466 +10,467 @@
 	"dahliarudder/policy"
 )
 
-// pipe is a transport that keeps what it receives, and holds the core to the rules.
-type pipe struct {
-	r       *rig
-	f       *Feed
-	to      *Member // of the link that is there
-	out     []uint64
-	written uint64
-	shut    bool // the link takes nothing more for now
-	tries   map[uint64]int
-	due     map[uint64]time.Duration
-	answers map[uint64]Answer
-	after   time.Duration
-	rooms   int
+// feedTransport is a transport that keeps what it receives, and checks that the core may send it.
+type feedTransport struct {
+	harness       *harness
+	feed          *Feed
+	member        *Member // of the present link; nil without one
+	inFlight      []uint64
+	written       uint64
+	blocked       bool // the link is not writable
+	attempts      map[uint64]int
+	deadlines     map[uint64]time.Duration
+	answers       map[uint64]Answer
+	retryAfter    time.Duration
+	capacityCalls int
 }
 
-func newPipe(r *rig, messages int) *pipe {
-	p := &pipe{r: r, tries: map[uint64]int{}, due: map[uint64]time.Duration{}, answers: map[uint64]Answer{}}
-	p.f = r.NewFeed(Request{Load: 0.01, TimeLeft: 2 * time.Second}, FeedLimits{Messages: messages, Bytes: 1 << 20}, p)
-	return p
+// newFeedTransport opens a feed in the first class that may hold so many messages.
+func newFeedTransport(h *harness, messages int) *feedTransport {
+	return newFeedTransportInClass(h, 0, messages)
 }
 
-func (p *pipe) Connect(to *Member, _ time.Duration) {
-	if p.to != nil {
-		p.r.t.Errorf("a second link, to %s beside %s", to.Name, p.to.Name)
+func newFeedTransportInClass(h *harness, class, messages int) *feedTransport {
+	tr := &feedTransport{harness: h, attempts: map[uint64]int{}, deadlines: map[uint64]time.Duration{}, answers: map[uint64]Answer{}}
+	tr.feed = h.NewFeed(Request{Class: class, Load: 0.01, TimeLeft: 2 * time.Second}, FeedLimits{Messages: messages, Bytes: 1 << 20}, tr)
+	return tr
+}
+
+func (tr *feedTransport) Connect(to *Member, _ time.Duration) {
+	if tr.member != nil {
+		tr.harness.t.Errorf("a second link, to %s beside %s", to.Name, tr.member.Name)
 	}
-	p.to, p.out, p.written = to, nil, 0
+	tr.member, tr.inFlight, tr.written = to, nil, 0
 }
-func (p *pipe) Writable() bool { return !p.shut }
-func (p *pipe) WriteMessage(text []byte, m *window.Message) {
-	p.written += uint64(len(text))
-	m.Offset = p.written
-	p.out = append(p.out, m.Sequence)
-	p.tries[m.Sequence]++
-	at := p.r.members[p.to.ID]
+func (tr *feedTransport) Writable() bool { return !tr.blocked }
+func (tr *feedTransport) WriteMessage(text []byte, m *window.Message) {
+	tr.written += uint64(len(text))
+	m.Offset = tr.written
+	tr.inFlight = append(tr.inFlight, m.Sequence)
+	tr.attempts[m.Sequence]++
+	member := tr.harness.members[tr.member.ID]
 	switch {
-	case p.tries[m.Sequence] > 3, m.Attempts != p.tries[m.Sequence]:
-		p.r.t.Errorf("message %d: attempt %d (%d)", m.Sequence, p.tries[m.Sequence], m.Attempts)
-	case p.answers[m.Sequence] != "":
-		p.r.t.Errorf("message %d is sent after its answer %s", m.Sequence, p.answers[m.Sequence])
-	case at.unavailable && p.r.now-at.unavailableSince > 250*time.Millisecond:
-		p.r.t.Errorf("message %d is sent %v after its member left", m.Sequence, p.r.now-at.unavailableSince)
-	case p.r.dispatchPaused:
-		p.r.t.Errorf("message %d is sent during a doubt", m.Sequence)
+	case tr.attempts[m.Sequence] > 3, m.Attempts != tr.attempts[m.Sequence]:
+		tr.harness.t.Errorf("message %d: attempt %d (%d)", m.Sequence, tr.attempts[m.Sequence], m.Attempts)
+	case tr.answers[m.Sequence] != "":
+		tr.harness.t.Errorf("message %d is sent after its answer %s", m.Sequence, tr.answers[m.Sequence])
+	case member.unavailable && tr.harness.now-member.unavailableSince > 250*time.Millisecond:
+		tr.harness.t.Errorf("message %d is sent %v after its member became unavailable", m.Sequence, tr.harness.now-member.unavailableSince)
+	case tr.harness.dispatchPaused:
+		tr.harness.t.Errorf("message %d is sent while dispatch is paused", m.Sequence)
 	case string(text) != fmt.Sprint("message ", m.Sequence):
-		p.r.t.Errorf("message %d has text %q", m.Sequence, text)
+		tr.harness.t.Errorf("message %d has text %q", m.Sequence, text)
 	}
 }
-func (p *pipe) Disconnect() uint64 {
-	p.to, p.out = nil, nil
-	return p.written
+func (tr *feedTransport) Disconnect() uint64 {
+	tr.member, tr.inFlight = nil, nil
+	return tr.written
 }
-func (p *pipe) Answer(m *window.Message, _ []byte, a Answer, after time.Duration) {
-	if p.answers[m.Sequence] != "" {
-		p.r.t.Errorf("message %d is answered %s after %s", m.Sequence, a, p.answers[m.Sequence])
+func (tr *feedTransport) Answer(m *window.Message, _ []byte, answer Answer, retryAfter time.Duration) {
+	if tr.answers[m.Sequence] != "" {
+		tr.harness.t.Errorf("message %d is answered %s after %s", m.Sequence, answer, tr.answers[m.Sequence])
 	}
-	if late := p.r.now - p.due[m.Sequence]; late > 0 {
-		p.r.t.Errorf("message %d is answered %v late", m.Sequence, late)
+	if late := tr.harness.now - tr.deadlines[m.Sequence]; late > 0 {
+		tr.harness.t.Errorf("message %d is answered %v late", m.Sequence, late)
 	}
-	p.answers[m.Sequence], p.after = a, after
+	tr.answers[m.Sequence], tr.retryAfter = answer, retryAfter
 }
-func (p *pipe) OnCapacity() { p.rooms++ }
+func (tr *feedTransport) OnCapacity() { tr.capacityCalls++ }
 
-// put publishes so many messages, as far as there is capacity.
-func (p *pipe) put(n int) {
+// publish publishes n messages, or fewer if the feed has no capacity.
+func (tr *feedTransport) publish(n int) {
 	for range n {
-		if !p.f.HasCapacity() {
+		if !tr.feed.HasCapacity() {
 			return
 		}
-		mark := uint64(len(p.due) + 1)
-		p.due[mark] = p.r.now + 2*time.Second
-		p.f.Publish(window.Message{Subject: mark % 3, Sequence: mark}, fmt.Append(p.f.Buffer(20), "message ", mark))
+		sequence := uint64(len(tr.deadlines) + 1)
+		tr.deadlines[sequence] = tr.harness.now + 2*time.Second
+		tr.feed.Publish(window.Message{Subject: sequence % 3, Sequence: sequence}, fmt.Append(tr.feed.Buffer(20), "message ", sequence))
 	}
 }
 
-// take has the member take so many.
-func (p *pipe) take(n int) {
-	n = min(n, len(p.out))
-	p.out = p.out[n:]
-	p.f.Acknowledged(n)
+// acknowledge acknowledges n messages in flight, or all if there are fewer.
+func (tr *feedTransport) acknowledge(n int) {
+	n = min(n, len(tr.inFlight))
+	tr.inFlight = tr.inFlight[n:]
+	tr.feed.Acknowledged(n)
 }
 
-// lose breaks the link, with so many of its bytes sent.
-func (p *pipe) lose(result policy.Result, left uint64) {
-	p.to, p.out = nil, nil
-	p.f.Disconnected(result, left)
+// disconnect breaks the link after written bytes of it.
+func (tr *feedTransport) disconnect(result policy.Result, written uint64) {
+	tr.member, tr.inFlight = nil, nil
+	tr.feed.Disconnected(result, written)
 }
 
-func (p *pipe) count(a Answer) (n int) {
-	for _, x := range p.answers {
-		if x == a {
+func (tr *feedTransport) countAnswers(want Answer) (n int) {
+	for _, answer := range tr.answers {
+		if answer == want {
 			n++
 		}
 	}
 	return n
 }
 
-// TestFeed: any number of messages takes one place, and each has its answer and its record.
+// TestFeed: a feed takes one place whatever the number of its messages, and each message is answered and recorded.
 func TestFeed(t *testing.T) {
-	r := newRig(t, 2)
-	p := newPipe(r, 500)
-	p.put(300)
-	if p.to == nil || len(p.out) > 0 {
-		t.Fatal("messages are sent before the link stands")
+	h := newHarness(t, 2)
+	tr := newFeedTransport(h, 500)
+	tr.publish(300)
+	if tr.member == nil || len(tr.inFlight) > 0 {
+		t.Fatal("messages are sent before the link is established")
 	}
-	p.f.Connected()
-	for len(p.out) > 0 {
-		p.take(7)
+	tr.feed.Connected()
+	for len(tr.inFlight) > 0 {
+		tr.acknowledge(7)
 	}
-	if c := r.Counts; c.Requests != 1 || c.Messages.Served != 300 || p.count(Served) != 300 || r.FlowCount(p.to.ID) != 1 {
+	if c := h.Counts; c.Requests != 1 || c.Messages.Served != 300 || tr.countAnswers(Served) != 300 || h.FlowCount(tr.member.ID) != 1 {
 		t.Errorf("%+v", c)
 	}
-	if len(r.book) != 1+2*300 {
-		t.Errorf("%d records", len(r.book))
+	if len(h.records) != 1+2*300 {
+		t.Errorf("%d records", len(h.records))
 	}
-	r.pass(feedIdleTimeout + time.Second)
-	if r.ActiveRequests() != 0 || p.to != nil {
-		t.Error("a feed that rests keeps its place")
+	h.advance(feedIdleTimeout + time.Second)
+	if h.ActiveRequests() != 0 || tr.member != nil {
+		t.Error("an idle feed keeps its place")
 	}
-	p.put(1)
-	p.f.Connected()
-	p.take(1)
-	if p.count(Served) != 301 {
-		t.Error("a feed that has rested does not go on")
+	tr.publish(1)
+	tr.feed.Connected()
+	tr.acknowledge(1)
+	if tr.countAnswers(Served) != 301 {
+		t.Error("a feed does not continue after it was idle")
 	}
-	p.f.Close()
-	if r.ActiveRequests() != 0 || len(r.feeds) != 0 {
-		t.Error("something is left of a feed that was closed")
+	tr.feed.Close()
+	if h.ActiveRequests() != 0 || len(h.feeds) != 0 {
+		t.Error("a closed feed leaves something behind")
 	}
 }
 
-// TestFeedFull: a full window takes no more, and says when there is capacity.
+// TestFeedFull: a full feed takes no more, and calls back once it has capacity.
 func TestFeedFull(t *testing.T) {
-	r := newRig(t, 2)
-	p := newPipe(r, 10)
-	p.put(20)
-	if p.f.Connected(); len(p.due) != 10 || len(p.out) != 10 || p.rooms != 0 {
-		t.Fatalf("%d taken, %d out", len(p.due), len(p.out))
+	h := newHarness(t, 2)
+	tr := newFeedTransport(h, 10)
+	tr.publish(20)
+	if tr.feed.Connected(); len(tr.deadlines) != 10 || len(tr.inFlight) != 10 || tr.capacityCalls != 0 {
+		t.Fatalf("%d accepted, %d in flight", len(tr.deadlines), len(tr.inFlight))
 	}
-	if p.take(1); p.rooms != 1 {
-		t.Errorf("room was told %d times", p.rooms)
+	if tr.acknowledge(1); tr.capacityCalls != 1 {
+		t.Errorf("OnCapacity was called %d times", tr.capacityCalls)
 	}
 }
 
-// TestFeedMemory: all feeds together keep within their memory, yet each may hold a message.
+// TestFeedMemory: all feeds together stay within their memory limit, yet each may hold a message.
 func TestFeedMemory(t *testing.T) {
-	r := newRig(t, 2)
-	r.FeedMemoryLimit = 10 << 10
-	pipes := []*pipe{newPipe(r, 5000), newPipe(r, 5000), newPipe(r, 5000)}
-	for _, p := range pipes {
-		p.put(5000)
-	}
-	if r.feedBytes > 10<<10+2*feedMinBytes+100 {
-		t.Errorf("%d bytes are held", r.feedBytes)
-	}
-	for _, p := range pipes {
-		if len(p.due) == 0 {
-			t.Error("a feed may hold nothing")
+	h := newHarness(t, 2)
+	h.FeedMemoryLimit = 10 << 10
+	transports := []*feedTransport{newFeedTransport(h, 5000), newFeedTransport(h, 5000), newFeedTransport(h, 5000)}
+	for _, tr := range transports {
+		tr.publish(5000)
+	}
+	if h.feedBytes > 10<<10+2*feedMinBytes+100 {
+		t.Errorf("%d bytes in use", h.feedBytes)
+	}
+	for _, tr := range transports {
+		if len(tr.deadlines) == 0 {
+			t.Error("a feed may hold no message")
 		}
-		p.f.Close()
+		tr.feed.Close()
 	}
-	if r.feedBytes != 0 {
-		t.Errorf("%d bytes are counted after the end", r.feedBytes)
+	if h.feedBytes != 0 {
+		t.Errorf("%d bytes are counted after the end", h.feedBytes)
 	}
 }
 
-// TestFeedDrain: nothing more is handed to a member once it drains; what is out is answered
-// there or sent again elsewhere, after its link has ended.
+// TestFeedDrain: a draining member gets no more messages; those in flight are answered there, or retried elsewhere after the link has
+// ended.
 func TestFeedDrain(t *testing.T) {
-	r := newRig(t, 2)
-	p := newPipe(r, 500)
-	p.put(5)
-	p.f.Connected()
-	first := p.to.ID
-	drained := list(2, policy.Ready)
-	drained[first-10].State = policy.Draining
-	r.UpdateMembers(policy.ListFull, drained)
-	if p.put(3); len(p.out) != 5 || p.to.ID != first {
-		t.Fatalf("%d out", len(p.out))
-	}
-	r.pass(time.Millisecond)
-	if p.take(3); p.to.ID != first {
-		t.Error("the link was cut while its answers come")
-	}
-	r.pass(1500 * time.Millisecond) // the last two say nothing
-	if p.to == nil || p.to.ID == first {
-		t.Fatal("no new place")
-	}
-	p.f.Connected()
-	if p.take(9); p.count(Served) != 8 || p.tries[4] != 2 || p.tries[6] != 1 {
-		t.Errorf("%d served, attempts %v", p.count(Served), p.tries)
+	h := newHarness(t, 2)
+	tr := newFeedTransport(h, 500)
+	tr.publish(5)
+	tr.feed.Connected()
+	first := tr.member.ID
+	members := testMembers(2, policy.Ready)
+	members[first-10].State = policy.Draining
+	h.UpdateMembers(policy.ListFull, members)
+	if tr.publish(3); len(tr.inFlight) != 5 || tr.member.ID != first {
+		t.Fatalf("%d in flight", len(tr.inFlight))
+	}
+	h.advance(time.Millisecond)
+	if tr.acknowledge(3); tr.member.ID != first {
+		t.Error("the link was closed while acknowledgements arrive")
+	}
+	h.advance(1500 * time.Millisecond) // the last two are not acknowledged
+	if tr.member == nil || tr.member.ID == first {
+		t.Fatal("not connected to another member")
+	}
+	tr.feed.Connected()
+	if tr.acknowledge(9); tr.countAnswers(Served) != 8 || tr.attempts[4] != 2 || tr.attempts[6] != 1 {
+		t.Errorf("%d served, attempts %v", tr.countAnswers(Served), tr.attempts)
 	}
 }
 
-// TestFeedRejected: messages wait while nothing has capacity, and are given up at once when their time
-// ends before they may come again.
+// TestFeedRejected: messages wait while no member has capacity, and are rejected at their deadline.
 func TestFeedRejected(t *testing.T) {
-	r := newRig(t, 0)
-	p := newPipe(r, 500)
-	p.put(3)
-	r.pass(time.Second)
-	if len(p.answers) != 0 {
-		t.Fatalf("given up early: %v", p.answers)
-	}
-	if r.pass(time.Second); p.count(Rejected) != 3 || p.after <= 0 {
-		t.Errorf("answers %v, come again in %v", p.answers, p.after)
-	}
-	p.put(2)
-	r.UpdateMembers(policy.ListFull, list(2, policy.Ready))
-	r.pass(time.Second)
-	if p.to == nil {
-		t.Fatal("no place is asked for again")
-	}
-	p.f.Connected()
-	if p.take(2); p.count(Served) != 2 {
-		t.Errorf("answers %v", p.answers)
-	}
-	r.shut = true // the store fails
-	if p.put(1); p.count(Rejected) != 4 {
-		t.Errorf("answers %v while nothing can be recorded", p.answers)
+	h := newHarness(t, 0)
+	tr := newFeedTransport(h, 500)
+	tr.publish(3)
+	h.advance(time.Second)
+	if len(tr.answers) != 0 {
+		t.Fatalf("answered early: %v", tr.answers)
+	}
+	if h.advance(time.Second); tr.countAnswers(Rejected) != 3 || tr.retryAfter <= 0 {
+		t.Errorf("answers %v, Retry-After %v", tr.answers, tr.retryAfter)
+	}
+	tr.publish(2)
+	h.UpdateMembers(policy.ListFull, testMembers(2, policy.Ready))
+	h.advance(time.Second)
+	if tr.member == nil {
+		t.Fatal("the feed does not connect")
+	}
+	tr.feed.Connected()
+	if tr.acknowledge(2); tr.countAnswers(Served) != 2 {
+		t.Errorf("answers %v", tr.answers)
+	}
+	h.notReady = true // the store fails
+	if tr.publish(1); tr.countAnswers(Rejected) != 4 {
+		t.Errorf("answers %v while nothing can be recorded", tr.answers)
 	}
 }
 
-// TestFeedSlowStart: feeds that come together to a member that has just started send it no more than it
-// has shown to take, and all have their turn.
+// TestFeedSlowStart: feeds that connect together to a member in slow start send it no more than it has shown to handle, and all have their
+// turn.
 func TestFeedSlowStart(t *testing.T) {
-	r := newRig(t, 1)
-	r.members[10].joinedAt = r.now // for the core alone: the policy would let hardly any feed in
-	var pipes []*pipe
+	h := newHarness(t, 1)
+	h.members[10].joinedAt = h.now // in the core only: the policy would admit hardly any feed
+	var transports []*feedTransport
 	for range 200 {
-		p := newPipe(r, 100)
-		p.put(30)
-		pipes = append(pipes, p)
-	}
-	r.pass(50 * time.Millisecond)
-	out := func() (n int) {
-		for _, p := range pipes {
-			n += len(p.out)
+		tr := newFeedTransport(h, 100)
+		tr.publish(30)
+		transports = append(transports, tr)
+	}
+	h.advance(50 * time.Millisecond)
+	inFlight := func() (n int) {
+		for _, tr := range transports {
+			n += len(tr.inFlight)
 		}
 		return n
 	}
-	for _, p := range pipes {
-		if p.to != nil {
-			p.f.Connected()
+	for _, tr := range transports {
+		if tr.member != nil {
+			tr.feed.Connected()
 		}
 	}
-	if n := out(); n == 0 || n > window.InitialWindow {
-		t.Fatalf("%d messages are out at a cold member", n)
+	if n := inFlight(); n == 0 || n > window.InitialWindow {
+		t.Fatalf("%d messages are in flight at a member in slow start", n)
 	}
-	taken := 0
+	acknowledged := 0
 	for range 1000 {
-		for _, p := range pipes {
-			if len(p.out) > 0 {
-				p.take(1)
-				taken++
+		for _, tr := range transports {
+			if len(tr.inFlight) > 0 {
+				tr.acknowledge(1)
+				acknowledged++
 			}
-			if n := out(); n > window.InitialWindow+taken {
-				t.Fatalf("%d messages are out after %d were taken", n, taken)
+			if n := inFlight(); n > window.InitialWindow+acknowledged {
+				t.Fatalf("%d messages are in flight after %d were acknowledged", n, acknowledged)
 			}
 		}
 	}
-	for i, p := range pipes {
-		if p.to != nil && p.f.state == feedConnected && p.count(Served) != 30 {
-			t.Fatalf("feed %d has had %d of 30 served", i, p.count(Served))
+	for i, tr := range transports {
+		if tr.member != nil && tr.feed.state == feedConnected && tr.countAnswers(Served) != 30 {
+			t.Fatalf("feed %d: %d of 30 served", i, tr.countAnswers(Served))
 		}
 	}
-	if taken < 100 {
-		t.Fatalf("only %d messages were taken: this test shows nothing", taken)
+	if acknowledged < 100 {
+		t.Fatalf("only %d messages were acknowledged: this test shows nothing", acknowledged)
 	}
 }
 
-// TestFeedQueue: who waits for a member in slow start leaves its line with its link, and is in the line of
-// where it goes next: else it would wait there until its messages' time is over.
+// TestFeedQueue: a feed that waits for a member in slow start leaves that member's queue with its link, and joins the queue of the next
+// one; otherwise it would wait until its messages' deadlines.
 func TestFeedQueue(t *testing.T) {
-	r := newRig(t, 1)
-	m := r.members[10]
-	m.joinedAt = r.now
-	hog, next, last := newPipe(r, 100), newPipe(r, 100), newPipe(r, 100)
-	for _, p := range []*pipe{hog, next, last} {
-		p.put(2 * window.InitialWindow)
-		p.f.Connected()
+	h := newHarness(t, 1)
+	m := h.members[10]
+	m.joinedAt = h.now
+	first, second, third := newFeedTransport(h, 100), newFeedTransport(h, 100), newFeedTransport(h, 100)
+	for _, tr := range []*feedTransport{first, second, third} {
+		tr.publish(2 * window.InitialWindow)
+		tr.feed.Connected()
 	}
-	if len(m.feedQueue) != 2 || len(next.out) > 0 {
-		t.Fatalf("%d in line", len(m.feedQueue))
+	if len(m.feedQueue) != 2 || len(second.inFlight) > 0 {
+		t.Fatalf("%d queued", len(m.feedQueue))
 	}
-	if last.f.Close(); len(m.feedQueue) != 1 {
-		t.Errorf("%d in line after one has closed", len(m.feedQueue))
+	if third.feed.Close(); len(m.feedQueue) != 1 {
+		t.Errorf("%d queued after one has closed", len(m.feedQueue))
 	}
 	other := &member{Member: Member{Name: "other"}}
-	r.enqueueFeed(other, next.f)
+	h.enqueueFeed(other, second.feed)
 	if len(m.feedQueue) != 0 || len(other.feedQueue) != 1 {
-		t.Errorf("%d and %d in line after one has gone to the other", len(m.feedQueue), len(other.feedQueue))
+		t.Errorf("%d and %d queued after one has joined the other member's queue", len(m.feedQueue), len(other.feedQueue))
 	}
-	if next.lose(policy.Reset, 0); len(other.feedQueue) != 0 {
-		t.Error("a feed whose link has ended is in line")
+	if second.disconnect(policy.Reset, 0); len(other.feedQueue) != 0 {
+		t.Error("a feed whose link has ended is still queued")
 	}
 }
 
-// TestFeedSteps: random publications, acknowledgements, refusals, lost links, drains and pauses:
-// the transport checks each step, and in the end every message has one answer. In half of the runs pauses of dispatch, ejections, agreed drains, and
-// drains and the stop of the relay come too.
-func TestFeedSteps(t *testing.T) {
-	all := 0 // of the messages sent in the runs with more
+// TestFeedRandomEvents: random publications, acknowledgements, rejections, lost links, draining members and blocked links. The transport
+// checks each step, and in the end every message has one answer. Half of the runs add pauses of dispatch, ejections, removals by the
+// fleet, and drains and the stop of the relay.
+func TestFeedRandomEvents(t *testing.T) {
+	sentWithRelayEvents := 0
 	for seed := range uint64(120) {
-		more := seed >= 60
+		relayEvents := seed >= 60
 		rng := rand.New(rand.NewPCG(seed, 2))
-		r := newRig(t, 3)
-		var pipes []*pipe
+		h := newHarness(t, 3)
+		var transports []*feedTransport
 		for range 4 {
-			pipes = append(pipes, newPipe(r, 30))
+			transports = append(transports, newFeedTransport(h, 30))
 		}
-		members := list(3, policy.Ready)
+		members := testMembers(3, policy.Ready)
 		for range 600 {
-			p := pipes[rng.IntN(len(pipes))]
+			tr := transports[rng.IntN(len(transports))]
 			switch rng.IntN(12) {
 			case 0, 1, 2:
-				p.put(rng.IntN(8))
+				tr.publish(rng.IntN(8))
 			case 3, 4:
-				if p.to != nil {
-					p.f.Connected()
+				if tr.member != nil {
+					tr.feed.Connected()
 				}
 			case 5, 6, 7:
-				p.take(rng.IntN(6))
+				tr.acknowledge(rng.IntN(6))
 			case 8:
-				if p.to != nil {
-					p.lose([]policy.Result{policy.Reset, policy.ConnectFailed, policy.Error}[rng.IntN(3)], rng.Uint64N(p.written+1))
+				if tr.member != nil {
+					tr.disconnect([]policy.Result{policy.Reset, policy.ConnectFailed, policy.Error}[rng.IntN(3)], rng.Uint64N(tr.written+1))
 				}
 			case 9:
-				p.f.MessageRejected(rng.Uint64N(3))
+				tr.feed.MessageRejected(rng.Uint64N(3))
 			case 10:
 				i := rng.IntN(3)
 				members[i].State = []policy.ServerState{policy.Ready, policy.Draining}[rng.IntN(2)]
-				r.UpdateMembers(policy.ListDelta, members[i:i+1])
+				h.UpdateMembers(policy.ListDelta, members[i:i+1])
 			case 11:
-				p.shut = !p.shut
-				if !p.shut {
-					p.f.OnWritable()
+				tr.blocked = !tr.blocked
+				if !tr.blocked {
+					tr.feed.OnWritable()
 				}
 			}
-			if more && rng.IntN(4) == 0 {
+			if relayEvents && rng.IntN(4) == 0 {
 				name := fmt.Sprint("m", rng.IntN(3))
-				[]func(){r.PauseDispatch, r.ResumeDispatch, r.ResumeDispatch, func() { r.Eject(name) }, func() { r.Reinstate(name) }, func() { r.Reinstate(name) },
-					func() { r.SetFleetRemovals(map[string]Removal{name: {SpreadOver: 300 * time.Millisecond}}) }, func() { r.SetFleetRemovals(nil) },
-					r.Drain, r.Resume}[rng.IntN(10)]()
+				[]func(){h.PauseDispatch, h.ResumeDispatch, h.ResumeDispatch, func() { h.Eject(name) }, func() { h.Reinstate(name) }, func() { h.Reinstate(name) },
+					func() { h.SetFleetRemovals(map[string]Removal{name: {SpreadOver: 300 * time.Millisecond}}) }, func() { h.SetFleetRemovals(nil) },
+					h.Drain, h.Resume}[rng.IntN(10)]()
 			}
-			r.pass(time.Duration(rng.IntN(60)) * time.Millisecond)
+			h.advance(time.Duration(rng.IntN(60)) * time.Millisecond)
 		}
-		if more {
-			r.Stop()
-			r.pass(r.StopTimeout())
-			r.FinishStop()
-			if r.ActiveRequests() != 0 {
-				t.Errorf("seed %d: %d held after the end of the stop", seed, r.ActiveRequests())
+		if relayEvents {
+			h.Stop()
+			h.advance(h.StopTimeout())
+			h.FinishStop()
+			if h.ActiveRequests() != 0 {
+				t.Errorf("seed %d: %d active after the end of the stop", seed, h.ActiveRequests())
 			}
 		}
-		r.pass(3 * time.Second)
+		h.advance(3 * time.Second)
 		sent := 0
-		for i, p := range pipes {
-			if len(p.answers) != len(p.due) {
-				t.Errorf("seed %d, feed %d: %d answers to %d messages", seed, i, len(p.answers), len(p.due))
+		for i, tr := range transports {
+			if len(tr.answers) != len(tr.deadlines) {
+				t.Errorf("seed %d, feed %d: %d answers to %d messages", seed, i, len(tr.answers), len(tr.deadlines))
 			}
-			sent += len(p.tries)
-			p.f.Close()
+			sent += len(tr.attempts)
+			tr.feed.Close()
 		}
-		if c := r.Counts.Messages; c.Accepted != c.Served+c.Rejected+c.Failed || sent == 0 && !more || r.ActiveRequests() != 0 || r.feedBytes != 0 {
-			t.Errorf("seed %d: %+v, %d held", seed, r.Counts, r.ActiveRequests())
+		if c := h.Counts.Messages; c.Accepted != c.Served+c.Rejected+c.Failed || sent == 0 && !relayEvents || h.ActiveRequests() != 0 || h.feedBytes != 0 {
+			t.Errorf("seed %d: %+v, %d active", seed, h.Counts, h.ActiveRequests())
 		}
-		if more {
-			all += sent
+		if relayEvents {
+			sentWithRelayEvents += sent
 		}
 		if t.Failed() {
 			return
 		}
 	}
-	if all < 1000 {
-		t.Errorf("%d messages sent in the runs with more", all)
+	if sentWithRelayEvents < 1000 {
+		t.Errorf("%d messages sent in the runs with relay events", sentWithRelayEvents)
 	}
 }
 
-// TestFeedFinishStop: messages whose feed still looks for a place when the time of a stop is up are rejected, for as long as any other
-// request then, also of a class whose flow's own request may not be.
+// TestFeedFinishStop: messages whose feed is still connecting at the end of a stop are rejected, with the same Retry-After as requests. That
+// holds for a non-idempotent class too, as none of them was sent.
 func TestFeedFinishStop(t *testing.T) {
-	r := newRigOf(t, classesText, list(1, policy.Ready))
-	p := newPipe(r, 10)
-	p.f.Close()
-	p.f = r.NewFeed(Request{Class: unsafeClass, Load: 0.01, TimeLeft: 2 * time.Second}, FeedLimits{Messages: 10, Bytes: 1 << 20}, p)
-	if p.put(3); p.to == nil {
-		t.Fatal("no attempt is out")
-	}
-	r.Stop()
-	r.FinishStop()
-	if p.count(Rejected) != 3 || p.after != stopRetryAfter || r.ActiveRequests() != 0 {
-		t.Errorf("%d rejected, for %v; held %d", p.count(Rejected), p.after, r.ActiveRequests())
+	h := newHarnessWith(t, classesText, testMembers(1, policy.Ready))
+	tr := newFeedTransportInClass(h, nonIdempotentClass, 10)
+	if tr.publish(3); tr.member == nil {
+		t.Fatal("no attempt is in flight")
+	}
+	h.Stop()
+	h.FinishStop()
+	if tr.countAnswers(Rejected) != 3 || tr.retryAfter != stopRetryAfter || h.ActiveRequests() != 0 {
+		t.Errorf("%d rejected, Retry-After %v; %d active", tr.countAnswers(Rejected), tr.retryAfter, h.ActiveRequests())
 	}
 }
 
-// TestFeedPauseDispatch: messages are new to a member too: while dispatch is paused none is handed to it, and after that none to one that has left.
+// TestFeedPauseDispatch: a pause of dispatch holds messages back too, and afterwards a member that has become unavailable gets none.
 func TestFeedPauseDispatch(t *testing.T) {
-	for _, left := range []bool{false, true} {
-		r := newRig(t, 2)
-		p := newPipe(r, 20)
-		p.put(1)
-		p.f.Connected()
-		p.take(1)
-		first := p.to.ID
-		r.PauseDispatch()
-		if p.put(3); len(p.out) != 0 {
-			t.Errorf("%d messages were sent during a doubt", len(p.out))
+	for _, drains := range []bool{false, true} {
+		h := newHarness(t, 2)
+		tr := newFeedTransport(h, 20)
+		tr.publish(1)
+		tr.feed.Connected()
+		tr.acknowledge(1)
+		first := tr.member.ID
+		h.PauseDispatch()
+		if tr.publish(3); len(tr.inFlight) != 0 {
+			t.Errorf("%d messages were sent while dispatch was paused", len(tr.inFlight))
 		}
-		if left {
-			r.UpdateMembers(policy.ListDelta, []Member{r.drains(first)})
+		if drains {
+			h.UpdateMembers(policy.ListDelta, []Member{h.draining(first)})
 		}
-		r.ResumeDispatch()
-		r.pass(time.Millisecond)
-		if left {
-			if p.to == nil || p.to.ID == first {
-				t.Fatal("no new place")
+		h.ResumeDispatch()
+		h.advance(time.Millisecond)
+		if drains {
+			if tr.member == nil || tr.member.ID == first {
+				t.Fatal("not connected to another member")
 			}
-			p.f.Connected()
+			tr.feed.Connected()
 		}
-		if len(p.out) != 3 || (p.to.ID == first) == left {
-			t.Errorf("left %v: %d messages are out at %d, it was at %d", left, len(p.out), p.to.ID, first)
+		if len(tr.inFlight) != 3 || (tr.member.ID == first) == drains {
+			t.Errorf("drains %v: %d messages are in flight at %d, before at %d", drains, len(tr.inFlight), tr.member.ID, first)
 		}
-		p.take(3)
-		if p.count(Served) != 4 {
-			t.Errorf("%d served", p.count(Served))
+		tr.acknowledge(3)
+		if tr.countAnswers(Served) != 4 {
+			t.Errorf("%d served", tr.countAnswers(Served))
 		}
 	}
 }
 
-// TestFeedDedupWindow: a message that may have been taken is sent again only within the window of its first such attempt, and
-// has its answer all the same.
+// TestFeedDedupWindow: a message that may have been processed is retried only within the deduplication window of its first such attempt,
+// and is answered all the same.
 func TestFeedDedupWindow(t *testing.T) {
 	for _, c := range []struct {
-		class int
-		after time.Duration // from the first attempt until the second link stands
-		tries int
+		class    int
+		after    time.Duration // from the first attempt until the second link is established
+		attempts int
 	}{
-		{keyedAll, 890 * time.Millisecond, 2}, {keyedAll, 910 * time.Millisecond, 1}, {safeClass, 910 * time.Millisecond, 2},
+		{keyScopeAllClass, 890 * time.Millisecond, 2}, {keyScopeAllClass, 910 * time.Millisecond, 1}, {idempotentClass, 910 * time.Millisecond, 2},
 	} {
-		r := newRigOf(t, classesText, list(2, policy.Ready))
-		p := &pipe{r: r, tries: map[uint64]int{}, due: map[uint64]time.Duration{}, answers: map[uint64]Answer{}}
-		p.f = r.NewFeed(Request{Class: c.class, Load: 0.01, TimeLeft: 2 * time.Second}, FeedLimits{Messages: 10, Bytes: 1 << 20}, p)
-		p.put(1)
-		p.f.Connected()
-		first := r.now
-		r.now += 800 * time.Millisecond
-		p.lose(policy.Reset, p.written)
-		if p.to == nil {
+		h := newHarnessWith(t, classesText, testMembers(2, policy.Ready))
+		tr := newFeedTransportInClass(h, c.class, 10)
+		tr.publish(1)
+		tr.feed.Connected()
+		first := h.now
+		h.now += 800 * time.Millisecond
+		tr.disconnect(policy.Reset, tr.written)
+		if tr.member == nil {
 			t.Fatalf("class %d: no second link", c.class)
 		}
-		r.now = first + c.after
-		p.f.Connected()
-		if p.tries[1] != c.tries {
-			t.Errorf("class %d: the second link stood %v after the first send: %d attempts, want %d", c.class, c.after, p.tries[1], c.tries)
+		h.now = first + c.after
+		tr.feed.Connected()
+		if tr.attempts[1] != c.attempts {
+			t.Errorf("class %d: the second link was established %v after the first send: %d attempts, want %d", c.class, c.after, tr.attempts[1], c.attempts)
 		}
-		if p.take(1); c.tries == 1 {
-			r.pass(2 * time.Second)
+		if tr.acknowledge(1); c.attempts == 1 {
+			h.advance(2 * time.Second)
 		}
-		if want := map[int]Answer{1: Failed, 2: Served}[c.tries]; p.answers[1] != want {
-			t.Errorf("class %d, after %v: answered %q, want %s", c.class, c.after, p.answers[1], want)
+		if want := map[int]Answer{1: Failed, 2: Served}[c.attempts]; tr.answers[1] != want {
+			t.Errorf("class %d, after %v: answered %q, want %s", c.class, c.after, tr.answers[1], want)
 		}
 	}
 }
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -18,238 +18,238 @@
 	"dahliarudder/policy"
 )
 
-// The random steps of rapid draw the same in every run. CORE_SEEDS is how many cases are played, a thousand else (under a second);
-// -rapid.seed draws others.
+// A fixed seed makes every run draw the same steps. CORE_SEEDS is the number of cases, a thousand by default (under a second);
+// -rapid.seed draws other ones.
 func init() {
 	flag.Set("rapid.seed", "1")
 	flag.Set("rapid.checks", cmp.Or(os.Getenv("CORE_SEEDS"), "1000"))
 }
 
-// world is a core among members, clients, discovery and operators that are drawn, and an observer who goes by what passes between
-// them alone.
-type world struct {
+// model surrounds a core with members, clients, discovery and operators whose steps are drawn at random. It checks the core by what
+// passes between them, not by the core's own state.
+type model struct {
 	*rapid.T
-	c        *Core
-	now      time.Duration
-	wake     time.Duration
-	all      []*client
-	byID     map[ID]*client
-	opening  *client // during Open
-	places   []*place
-	names    map[string]*place
-	probes   []policy.ServerID
-	shut     bool // the recorder
-	doubting bool
-	strict   bool          // during Sure
-	stopped  bool          // by Stop or BeginHandover
-	leaving  time.Duration // by when flows have to be moved for a drain or a stop; 0 if none is on
-	done     bool          // after Finish
-	rash     bool          // something else happens in the middle of the next call to a downstream
-	bans     map[string]bool
-	agreed   map[string]Removal
-	events   map[string]int // of the record, by request and attempt
-	stood    int            // words that an attempt is up which was already
-	wrong    bool           // the policy says wild things
-}
-
-// place is a member as the observer sees it.
-type place struct {
+	core                *Core
+	now                 time.Duration
+	wakeAt              time.Duration
+	clients             []*modelClient
+	byID                map[ID]*modelClient
+	opening             *modelClient // whose Open has not returned
+	members             []*modelMember
+	byName              map[string]*modelMember
+	pendingProbes       []policy.ServerID
+	notReady            bool // the recorder refuses
+	paused              bool
+	resuming            bool          // ResumeDispatch has not returned
+	stopped             bool          // by Stop or BeginHandover
+	migrateBy           time.Duration // the time by which a drain or stop has to migrate all flows; 0 without one
+	finished            bool          // FinishStop has returned
+	reentrant           bool          // the next call to a downstream makes another event happen before it returns
+	ejected             map[string]bool
+	removals            map[string]Removal
+	records             map[string]int // how often each answer and attempt was recorded
+	repeatedEstablished int            // FlowEstablished calls for a flow that was established already
+	faultyPolicy        bool           // the policy takes arbitrary actions
+}
+
+// modelMember is a member as the model sees it.
+type modelMember struct {
 	Member
-	known   bool // the core has been told of it
-	left    bool // it drains, is gone, ejected or agreed out
-	told    time.Duration
-	spread  time.Duration // over which its flows may be moved
-	changed time.Duration // when that last changed
-}
-
-// tried is an attempt.
-type tried struct {
-	to     *place
-	at     Member // as it was then
-	sent   time.Duration
-	until  time.Duration
-	result policy.Result
-	over   bool
-}
-
-// client is a request and its downstream.
-type client struct {
-	w        *world
-	id       ID
-	q        Request
-	deadline time.Duration
-	late     bool // it came when the stop was on
-	taken    bool // from another process
-	gone     bool
-	answers  []string
-	attempts []*tried
-	up       bool
-	upAt     time.Duration
-	moved    int
-	ended    bool // the flow that stood
-}
-
-func (x *client) class() policy.Class { return x.w.c.policyCfg.Classes[x.q.Class] }
-
-// out is the attempt that is out, or the open flow's.
-func (x *client) out() *tried {
-	if n := len(x.attempts); n > 0 && !x.attempts[n-1].over {
-		return x.attempts[n-1]
+	known            bool // the core has had it in a member list
+	unavailable      bool // draining, gone, ejected, or removed by the fleet
+	unavailableSince time.Duration
+	spreadOver       time.Duration // the time over which its flows may be migrated
+	spreadChangedAt  time.Duration // when spreadOver last changed
+}
+
+type modelAttempt struct {
+	member     *modelMember
+	memberThen Member // a copy, as it may move to another zone or cell
+	sentAt     time.Duration
+	timeoutAt  time.Duration
+	result     policy.Result
+	ended      bool
+}
+
+// modelClient is a request and its downstream.
+type modelClient struct {
+	model            *model
+	id               ID
+	request          Request
+	deadline         time.Duration
+	arrivedAfterStop bool // it arrived after Stop or BeginHandover
+	adopted          bool // from another process
+	gone             bool
+	answers          []string
+	attempts         []*modelAttempt
+	established      bool
+	establishedAt    time.Duration
+	migrations       int
+	flowEnded        bool // the established flow has ended
+}
+
+func (c *modelClient) class() policy.Class { return c.model.core.policyCfg.Classes[c.request.Class] }
+
+// currentAttempt returns the attempt in flight, or that of the open flow; nil if there is neither.
+func (c *modelClient) currentAttempt() *modelAttempt {
+	if n := len(c.attempts); n > 0 && !c.attempts[n-1].ended {
+		return c.attempts[n-1]
 	}
 	return nil
 }
 
-func (x *client) open() bool { return x.up && !x.ended }
+func (c *modelClient) flowOpen() bool { return c.established && !c.flowEnded }
 
-// settled says whether nothing more may happen to it.
-func (x *client) settled() bool { return x.gone || len(x.answers) > 0 && !x.open() }
+// settled reports whether the core may not call the downstream any more.
+func (c *modelClient) settled() bool { return c.gone || len(c.answers) > 0 && !c.flowOpen() }
 
-// ran is the first attempt that may have run.
-func (x *client) ran() *tried {
-	for _, a := range x.attempts {
-		if !a.over || a.result != policy.Full && a.result != policy.ConnectFailed && a.result != policy.NotSent {
+// firstPossibleRun returns the first attempt that may have run at its member.
+func (c *modelClient) firstPossibleRun() *modelAttempt {
+	for _, a := range c.attempts {
+		if !a.ended || a.result != policy.Full && a.result != policy.ConnectFailed && a.result != policy.NotSent {
 			return a
 		}
 	}
 	return nil
 }
 
-// called is the start of every call to a downstream.
-func (x *client) called(what string) {
-	w := x.w
-	if x.gone || x.moved > 0 || w.done && what != "move" && what != "cancel" && !x.late {
-		w.Fatalf("request %d: %s after its end (gone %v, moved %d, finished %v)", x.id, what, x.gone, x.moved, w.done)
+// checkMayCall fails if the core may not call the downstream any more.
+func (c *modelClient) checkMayCall(what string) {
+	m := c.model
+	if c.gone || c.migrations > 0 || m.finished && what != "migrate" && what != "cancel" && !c.arrivedAfterStop {
+		m.Fatalf("request %d: %s after its end (gone %v, migrated %d times, finished %v)", c.id, what, c.gone, c.migrations, m.finished)
 	}
 }
 
-// then has something else happen in the middle of a call: another one's client goes away, its attempt ends, or a request comes.
-func (x *client) then() {
-	w := x.w
-	if !w.rash {
+// reenter makes another event happen before a call to a downstream returns: another client disconnects, another attempt ends, or a
+// request arrives.
+func (c *modelClient) reenter() {
+	m := c.model
+	if !m.reentrant {
 		return
 	}
-	w.rash = false
-	others := func(also func(*client) bool) *client {
-		return w.pick(func(other *client) bool { return other != x && other != w.opening && also(other) })
+	m.reentrant = false
+	pickOther := func(matches func(*modelClient) bool) *modelClient {
+		return m.pickClient(func(other *modelClient) bool { return other != c && other != m.opening && matches(other) })
 	}
-	switch w.draw(3, "meanwhile") {
+	switch m.draw(3, "meanwhile") {
 	case 0:
-		if other := others(func(other *client) bool { return !other.settled() }); other != nil {
-			other.leave()
+		if other := pickOther(func(other *modelClient) bool { return !other.settled() }); other != nil {
+			other.disconnect()
 		}
 	case 1:
-		if other := others(func(other *client) bool { return other.out() != nil }); other != nil {
-			other.ends()
+		if other := pickOther(func(other *modelClient) bool { return other.currentAttempt() != nil }); other != nil {
+			other.endAttempt()
 		}
 	case 2:
-		w.arrive()
-	}
-}
-
-func (x *client) Send(id ID, to *Member, try int, wait time.Duration) {
-	w := x.w
-	x.called("send")
-	x.id, w.byID[id] = id, x
-	p := w.names[to.Name]
-	switch max := w.c.Settings.Limits.MaxAttempts; {
-	case len(x.answers) > 0, x.out() != nil, try != len(x.attempts), try >= max:
-		w.Fatalf("request %d: attempt %d after answers %v, attempts %d of %d", id, try, x.answers, len(x.attempts), max)
-	case wait <= 0, w.now+wait > x.deadline:
-		w.Fatalf("request %d: sent for %v at %v, deadline %v", id, wait, w.now, x.deadline)
-	case x.late:
-		w.Fatalf("request %d: sent, though it came after the stop", id)
-	case x.q.CurrentMember == "" && p.left && (w.strict || w.now-p.told > 250*time.Millisecond):
-		w.Fatalf("request %d: sent to %s, which left %v ago", id, p.Name, w.now-p.told)
-	case x.q.CurrentMember == "" && w.doubting:
-		w.Fatalf("request %d: sent during a doubt", id)
-	case to.Addr != p.Addr:
-		w.Fatalf("request %d: sent to %s at %s, it is at %s", id, to.Name, to.Addr, p.Addr)
-	}
-	if first := x.ran(); first != nil {
-		class := x.class()
-		same := class.Scope == policy.ScopeAll || class.Scope == policy.ScopeZone && p.Zone == first.at.Zone ||
-			class.Scope == policy.ScopeCell && p.Cell == first.at.Cell
-		if class.Idempotency == policy.NonIdempotent || class.Idempotency == policy.IdempotencyKey && (!same || w.now >= first.sent+class.DedupWindow) {
-			w.Fatalf("request %d: a double effect: first %v at %s, now %v at %s", id, first.sent, first.at.Name, w.now, p.Name)
+		m.arrive()
+	}
+}
+
+func (c *modelClient) Send(id ID, to *Member, attempt int, timeout time.Duration) {
+	m := c.model
+	c.checkMayCall("send")
+	c.id, m.byID[id] = id, c
+	member := m.byName[to.Name]
+	switch max := m.core.Settings.Limits.MaxAttempts; {
+	case len(c.answers) > 0, c.currentAttempt() != nil, attempt != len(c.attempts), attempt >= max:
+		m.Fatalf("request %d: attempt %d after answers %v, attempts %d of %d", id, attempt, c.answers, len(c.attempts), max)
+	case timeout <= 0, m.now+timeout > c.deadline:
+		m.Fatalf("request %d: sent with timeout %v at %v, deadline %v", id, timeout, m.now, c.deadline)
+	case c.arrivedAfterStop:
+		m.Fatalf("request %d: sent, though it arrived after the stop", id)
+	case c.request.CurrentMember == "" && member.unavailable && (m.resuming || m.now-member.unavailableSince > 250*time.Millisecond):
+		m.Fatalf("request %d: sent to %s, which became unavailable %v ago", id, member.Name, m.now-member.unavailableSince)
+	case c.request.CurrentMember == "" && m.paused:
+		m.Fatalf("request %d: sent while dispatch is paused", id)
+	case to.Addr != member.Addr:
+		m.Fatalf("request %d: sent to %s at %s, it is at %s", id, to.Name, to.Addr, member.Addr)
+	}
+	if first := c.firstPossibleRun(); first != nil {
+		class := c.class()
+		inScope := class.Scope == policy.ScopeAll || class.Scope == policy.ScopeZone && member.Zone == first.memberThen.Zone ||
+			class.Scope == policy.ScopeCell && member.Cell == first.memberThen.Cell
+		if class.Idempotency == policy.NonIdempotent || class.Idempotency == policy.IdempotencyKey && (!inScope || m.now >= first.sentAt+class.DedupWindow) {
+			m.Fatalf("request %d: repeated against its idempotency: first %v at %s, now %v at %s", id, first.sentAt, first.memberThen.Name, m.now, member.Name)
 		}
 	}
-	x.attempts = append(x.attempts, &tried{to: p, at: p.Member, sent: w.now, until: w.now + wait})
-	x.then()
+	c.attempts = append(c.attempts, &modelAttempt{member: member, memberThen: member.Member, sentAt: m.now, timeoutAt: m.now + timeout})
+	c.reenter()
 }
 
-func (x *client) Cancel(try int) {
-	a := x.out()
-	if a == nil || try != len(x.attempts)-1 {
-		x.w.Fatalf("request %d: cancelled attempt %d, which is not out", x.id, try)
+func (c *modelClient) Cancel(attempt int) {
+	a := c.currentAttempt()
+	if a == nil || attempt != len(c.attempts)-1 {
+		c.model.Fatalf("request %d: cancelled attempt %d, which is not in flight", c.id, attempt)
 	}
-	a.over, a.result = true, policy.Cancelled
-	x.ended = x.up
-	x.then()
+	a.ended, a.result = true, policy.Cancelled
+	c.flowEnded = c.established
+	c.reenter()
 }
 
-func (x *client) Reject(after time.Duration) {
-	class := x.class()
-	if x.ran() != nil && !(class.Idempotency == policy.Idempotent || class.Idempotency == policy.IdempotencyKey && class.Scope == policy.ScopeAll) {
-		x.w.Fatalf("request %d: rejected, though it may have run", x.id)
+func (c *modelClient) Reject(retryAfter time.Duration) {
+	class := c.class()
+	if c.firstPossibleRun() != nil && !(class.Idempotency == policy.Idempotent || class.Idempotency == policy.IdempotencyKey && class.Scope == policy.ScopeAll) {
+		c.model.Fatalf("request %d: rejected, though it may have run", c.id)
 	}
-	if after < 0 {
-		x.w.Fatalf("request %d: rejected for %v", x.id, after)
+	if retryAfter < 0 {
+		c.model.Fatalf("request %d: rejected with Retry-After %v", c.id, retryAfter)
 	}
-	x.final("rejected")
+	c.answer("rejected")
 }
 
-func (x *client) Fail() { x.final("failed") }
+func (c *modelClient) Fail() { c.answer("failed") }
 
-func (x *client) final(answer string) {
-	x.called(answer)
-	if x.answers = append(x.answers, answer); len(x.answers) > 1 || x.out() != nil {
-		x.w.Fatalf("request %d: answers %v", x.id, x.answers)
+func (c *modelClient) answer(answer string) {
+	c.checkMayCall(answer)
+	if c.answers = append(c.answers, answer); len(c.answers) > 1 || c.currentAttempt() != nil {
+		c.model.Fatalf("request %d: answers %v", c.id, c.answers)
 	}
-	x.then()
+	c.reenter()
 }
 
-func (x *client) Migrate() {
-	x.called("move")
-	if !x.open() {
-		x.w.Fatalf("request %d: moved, though it is not open", x.id)
+func (c *modelClient) Migrate() {
+	c.checkMayCall("migrate")
+	if !c.flowOpen() {
+		c.model.Fatalf("request %d: migrated, though it is not open", c.id)
 	}
-	a := x.out()
-	x.moved++
-	x.ended, a.over, a.result = true, true, policy.Cancelled
-	x.then()
+	a := c.currentAttempt()
+	c.migrations++
+	c.flowEnded, a.ended, a.result = true, true, policy.Cancelled
+	c.reenter()
 }
 
-func (x *client) leave() {
-	if !x.settled() {
-		x.w.c.ClientGone(x.id)
-		x.gone = true
-		if x.out() != nil {
-			x.w.Fatalf("request %d: an attempt is still out after its client left", x.id)
+func (c *modelClient) disconnect() {
+	if !c.settled() {
+		c.model.core.ClientGone(c.id)
+		c.gone = true
+		if c.currentAttempt() != nil {
+			c.model.Fatalf("request %d: an attempt is still in flight after its client disconnected", c.id)
 		}
 	}
 }
 
-// ---- The record ----
+// ---- Recorder ----
 
-func (w *world) Ready() bool { return !w.shut }
-func (w *world) RecordAttempt(_ *Request, id ID, try int, _ string, _, _ time.Duration, _ policy.Result) {
-	w.note(fmt.Sprintf("attempt %d.%d", id, try))
+func (m *model) Ready() bool { return !m.notReady }
+func (m *model) RecordAttempt(_ *Request, id ID, attempt int, _ string, _, _ time.Duration, _ policy.Result) {
+	m.record(fmt.Sprintf("attempt %d.%d", id, attempt))
 }
-func (w *world) RecordAnswer(_ *Request, id ID, _ time.Duration, _ Answer, _ int) {
-	w.note(fmt.Sprintf("answer %d", id))
+func (m *model) RecordAnswer(_ *Request, id ID, _ time.Duration, _ Answer, _ int) {
+	m.record(fmt.Sprintf("answer %d", id))
 }
-func (w *world) note(line string) {
-	if w.events[line]++; w.events[line] > 1 {
-		w.Fatalf("recorded twice: %s", line)
+func (m *model) record(event string) {
+	if m.records[event]++; m.records[event] > 1 {
+		m.Fatalf("recorded twice: %s", event)
 	}
 }
 
-// ---- What happens ----
+// ---- Events ----
 
-// modelText is settings with all effects, by the slack, the most attempts and what probes there are.
-func modelText(t *rapid.T) string {
+// drawSettings returns settings with classes of every idempotency and scope; answer slack, attempts and probes are drawn.
+func drawSettings(t *rapid.T) string {
 	text := strings.Replace(classesText, `"answer-slack-ms":8`, fmt.Sprintf(`"answer-slack-ms":%d`, rapid.SampledFrom([]int{0, 8, 60}).Draw(t, "slack")), 1)
-	text = strings.Replace(text, `"max-attempts":3`, fmt.Sprintf(`"max-attempts":%d`, 1+evenly(4).Draw(t, "attempts")), 1)
+	text = strings.Replace(text, `"max-attempts":3`, fmt.Sprintf(`"max-attempts":%d`, 1+evenlyBelow(4).Draw(t, "attempts")), 1)
 	if rapid.Bool().Draw(t, "probes") {
 		text = strings.Replace(text, `"probes":false`, `"probes":true`, 1)
 		text = strings.Replace(text, `"extra":{`, `"report":{"source":"on_probe","names":["x0","outstanding","x1"]},"discovery":"subscribe","extra":{"groups":true,`, 1)
@@ -257,34 +257,35 @@
 	return text
 }
 
-func newWorld(t *rapid.T) *world {
-	set, err := settings.Decode([]byte(modelText(t)))
+func newModel(t *rapid.T) *model {
+	set, err := settings.Decode([]byte(drawSettings(t)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{T: t, now: time.Hour, wake: math.MaxInt64, byID: map[ID]*client{}, names: map[string]*place{},
-		bans: map[string]bool{}, agreed: map[string]Removal{}, events: map[string]int{}}
-	w.c = New(Options{Settings: set, Seed: uint64(evenly(64).Draw(t, "seed")), Clock: func() time.Duration { return w.now },
-		Wake: func(at time.Duration) { w.wake = at }, Watch: func() {}, Recorder: w,
+	m := &model{T: t, now: time.Hour, wakeAt: math.MaxInt64, byID: map[ID]*modelClient{}, byName: map[string]*modelMember{},
+		ejected: map[string]bool{}, removals: map[string]Removal{}, records: map[string]int{}}
+	m.core = New(Options{Settings: set, Seed: uint64(evenlyBelow(64).Draw(t, "seed")), Clock: func() time.Duration { return m.now },
+		Wake: func(at time.Duration) { m.wakeAt = at }, Watch: func() {}, Recorder: m,
 		Probe: func(to *Member) {
-			if p := w.names[to.Name]; w.doubting || p.left && (w.strict || w.now-p.told > 250*time.Millisecond) {
-				w.Fatalf("%s is probed, which left %v ago; doubt %v", to.Name, w.now-p.told, w.doubting)
+			if member := m.byName[to.Name]; m.paused || member.unavailable && (m.resuming || m.now-member.unavailableSince > 250*time.Millisecond) {
+				m.Fatalf("%s is probed, which became unavailable %v ago; dispatch paused %v", to.Name, m.now-member.unavailableSince, m.paused)
 			}
-			w.probes = append(w.probes, to.ID)
+			m.pendingProbes = append(m.pendingProbes, to.ID)
 		}})
 	for i := range 6 {
-		p := &place{Member: Member{Name: fmt.Sprint("m", i), Addr: fmt.Sprint("127.0.0.1:", 1000+i),
+		member := &modelMember{Member: Member{Name: fmt.Sprint("m", i), Addr: fmt.Sprint("127.0.0.1:", 1000+i),
 			Server: policy.Server{ID: policy.ServerID(10 + i), Zone: i % 2, Cell: 1 + i%4, Weight: 1, State: policy.Gone}}}
-		w.places = append(w.places, p)
-		w.names[p.Name] = p
+		m.members = append(m.members, member)
+		m.byName[member.Name] = member
 	}
-	return w
+	return m
 }
 
-func (w *world) draw(n int, what string) int { return evenly(n).Draw(w.T, what) }
+func (m *model) draw(n int, what string) int { return evenlyBelow(n).Draw(m.T, what) }
 
-// evenly draws a number below n. Those of package rapid itself prefer small ones, so that rare events would hardly come.
-func evenly(n int) *rapid.Generator[int] {
+// evenlyBelow draws a number below n, all equally likely. Rapid's own integers prefer small values, which would starve the events
+// with high indices.
+func evenlyBelow(n int) *rapid.Generator[int] {
 	return rapid.Custom(func(t *rapid.T) int {
 		at := 0
 		for range bits.Len(uint(n)) + 3 {
@@ -296,444 +297,443 @@
 	})
 }
 
-// pick draws one of the clients that a condition holds for; nil if there is none.
-func (w *world) pick(of func(*client) bool) *client {
-	var some []*client
-	for _, x := range w.all {
-		if of(x) {
-			some = append(some, x)
+// pickClient draws one of the clients that match; nil if there is none.
+func (m *model) pickClient(matches func(*modelClient) bool) *modelClient {
+	var matching []*modelClient
+	for _, c := range m.clients {
+		if matches(c) {
+			matching = append(matching, c)
 		}
 	}
-	if len(some) == 0 {
+	if len(matching) == 0 {
 		return nil
 	}
-	return some[w.draw(len(some), "client")]
+	return matching[m.draw(len(matching), "client")]
 }
 
-var modelWaits = []time.Duration{-time.Second, 0, 5 * time.Millisecond, 9 * time.Millisecond, 70 * time.Millisecond, 400 * time.Millisecond,
+var modelTimesLeft = []time.Duration{-time.Second, 0, 5 * time.Millisecond, 9 * time.Millisecond, 70 * time.Millisecond, 400 * time.Millisecond,
 	2 * time.Second, 2 * time.Second, 2 * time.Second}
 
-func (w *world) arrive() {
-	x := &client{w: w, late: w.stopped}
-	x.q = Request{Class: w.draw(5, "class"), Load: 0.01, Group: uint64(w.draw(3, "group")), Reconnect: w.draw(4, "again") == 0,
-		TimeLeft: modelWaits[w.draw(len(modelWaits), "wait")]}
-	if w.draw(12, "at") == 0 {
-		x.q.CurrentMember = fmt.Sprint("m", w.draw(8, "member"))
+func (m *model) arrive() {
+	c := &modelClient{model: m, arrivedAfterStop: m.stopped}
+	c.request = Request{Class: m.draw(5, "class"), Load: 0.01, Group: uint64(m.draw(3, "group")), Reconnect: m.draw(4, "reconnect") == 0,
+		TimeLeft: modelTimesLeft[m.draw(len(modelTimesLeft), "time left")]}
+	if m.draw(12, "resumed") == 0 {
+		c.request.CurrentMember = fmt.Sprint("m", m.draw(8, "member"))
 	}
-	x.deadline = w.now + x.q.TimeLeft
-	w.all = append(w.all, x)
-	before := w.opening // its front does not know the id before Open has returned
-	w.opening = x
-	x.id = w.c.Open(x.q, x)
-	w.opening, w.byID[x.id] = before, x
-	if (x.late || w.shut) && (len(x.answers) != 1 || x.answers[0] != "rejected") {
-		w.Fatalf("request %d: came after the stop, or could not be recorded: answers %v", x.id, x.answers)
+	c.deadline = m.now + c.request.TimeLeft
+	m.clients = append(m.clients, c)
+	outer := m.opening // a reentrant arrival opens within another Open, whose id is not known yet
+	m.opening = c
+	c.id = m.core.Open(c.request, c)
+	m.opening, m.byID[c.id] = outer, c
+	if (c.arrivedAfterStop || m.notReady) && (len(c.answers) != 1 || c.answers[0] != "rejected") {
+		m.Fatalf("request %d: arrived after the stop, or could not be recorded: answers %v", c.id, c.answers)
 	}
-	if x.q.TimeLeft <= 0 && len(x.answers) != 1 {
-		w.Fatalf("request %d: came with no time left: answers %v", x.id, x.answers)
+	if c.request.TimeLeft <= 0 && len(c.answers) != 1 {
+		m.Fatalf("request %d: arrived with no time left: answers %v", c.id, c.answers)
 	}
 }
 
-func (w *world) comesUp() {
-	x := w.pick(func(x *client) bool { return x.out() != nil && !x.up })
-	if x == nil {
+func (m *model) establishOne() {
+	c := m.pickClient(func(c *modelClient) bool { return c.currentAttempt() != nil && !c.established })
+	if c == nil {
 		return
 	}
-	if !w.c.FlowEstablished(x.id, len(x.attempts)-1) {
-		w.Fatalf("request %d: its attempt is out, and may not be up", x.id)
+	if !m.core.FlowEstablished(c.id, len(c.attempts)-1) {
+		m.Fatalf("request %d: its attempt is in flight, and could not be established", c.id)
 	}
-	x.up, x.upAt = true, w.now
-	x.answers = append(x.answers, "served")
+	c.established, c.establishedAt = true, m.now
+	c.answers = append(c.answers, "served")
 }
 
 var modelResults = []policy.Result{policy.OK, policy.Error, policy.Full, policy.Timeout, policy.ConnectFailed, policy.Reset, policy.Cancelled, policy.NotSent}
 
-func (w *world) ends() {
-	if x := w.pick(func(x *client) bool { return x.out() != nil }); x != nil {
-		x.ends()
+func (m *model) endOneAttempt() {
+	if c := m.pickClient(func(c *modelClient) bool { return c.currentAttempt() != nil }); c != nil {
+		c.endAttempt()
 	}
 }
 
-// ends has the attempt that is out, or the flow, end in some way.
-func (x *client) ends() {
-	w := x.w
-	a, try := x.out(), len(x.attempts)-1
-	a.over, a.result = true, modelResults[w.draw(len(modelResults), "result")]
-	if x.up {
-		x.ended = true
+// endAttempt ends the attempt in flight, or the open flow, with a drawn result.
+func (c *modelClient) endAttempt() {
+	m := c.model
+	a, number := c.currentAttempt(), len(c.attempts)-1
+	a.ended, a.result = true, modelResults[m.draw(len(modelResults), "result")]
+	if c.established {
+		c.flowEnded = true
 	} else if a.result == policy.OK {
-		x.answers, x.up, x.ended = append(x.answers, "served"), true, true
+		c.answers, c.established, c.flowEnded = append(c.answers, "served"), true, true
 	}
-	w.c.AttemptEnded(x.id, try, a.result, w.report())
+	m.core.AttemptEnded(c.id, number, a.result, m.report())
 }
 
-func (w *world) report() policy.Report {
-	if w.draw(2, "report") == 0 {
+func (m *model) report() policy.Report {
+	if m.draw(2, "report") == 0 {
 		return policy.NoReport
 	}
-	return policy.Report{Connections: float64(w.draw(40, "connections")), Load: float64(w.draw(20, "load")) / 10, Util: -1, Backlog: float64(w.draw(3, "backlog")) / 10}
+	return policy.Report{Connections: float64(m.draw(40, "connections")), Load: float64(m.draw(20, "load")) / 10, Util: -1, Backlog: float64(m.draw(3, "backlog")) / 10}
 }
 
-// stale is a word that comes too late or speaks of nothing.
-func (w *world) stale() {
-	x := w.pick(func(x *client) bool { return true })
-	if x == nil {
+// sendStaleEvents reports events of an attempt that has ended or never was.
+func (m *model) sendStaleEvents() {
+	c := m.pickClient(func(c *modelClient) bool { return true })
+	if c == nil {
 		return
 	}
-	try := w.draw(5, "try") - 1
-	if a := x.out(); a != nil && try == len(x.attempts)-1 {
-		if x.up {
-			w.stood++
-			if w.c.FlowEstablished(x.id, try) {
-				w.Fatalf("request %d: up twice", x.id)
+	number := m.draw(5, "attempt") - 1
+	if a := c.currentAttempt(); a != nil && number == len(c.attempts)-1 {
+		if c.established {
+			m.repeatedEstablished++
+			if m.core.FlowEstablished(c.id, number) {
+				m.Fatalf("request %d: established twice", c.id)
 			}
 		}
 		return
 	}
-	if w.c.FlowEstablished(x.id, try) {
-		w.Fatalf("request %d: up by attempt %d, which is not out", x.id, try)
+	if m.core.FlowEstablished(c.id, number) {
+		m.Fatalf("request %d: established by attempt %d, which is not in flight", c.id, number)
 	}
-	w.c.AttemptEnded(x.id, try, modelResults[w.draw(len(modelResults), "result")], policy.NoReport)
-	if x.settled() {
-		w.c.ClientGone(x.id)
+	m.core.AttemptEnded(c.id, number, modelResults[m.draw(len(modelResults), "result")], policy.NoReport)
+	if c.settled() {
+		m.core.ClientGone(c.id)
 	}
 }
 
-func (w *world) probed() {
-	if len(w.probes) == 0 {
+func (m *model) answerProbe() {
+	if len(m.pendingProbes) == 0 {
 		return
 	}
-	i := w.draw(len(w.probes), "probe")
-	id := w.probes[i]
-	w.probes = slices.Delete(w.probes, i, i+1)
-	w.c.ProbeResult(id, []policy.Result{policy.OK, policy.OK, policy.Full, policy.Timeout, policy.NotSent}[w.draw(5, "result")], w.report())
+	i := m.draw(len(m.pendingProbes), "probe")
+	id := m.pendingProbes[i]
+	m.pendingProbes = slices.Delete(m.pendingProbes, i, i+1)
+	m.core.ProbeResult(id, []policy.Result{policy.OK, policy.OK, policy.Full, policy.Timeout, policy.NotSent}[m.draw(5, "result")], m.report())
 }
 
-// list is what discovery says.
-func (w *world) list() {
-	kind := []policy.ListKind{policy.ListDelta, policy.ListDelta, policy.ListDelta, policy.ListFull, policy.ListCached, policy.ListFailed}[w.draw(6, "kind")]
+// updateMembers draws a change of the member list, a full one, or a failed poll.
+func (m *model) updateMembers() {
+	kind := []policy.ListKind{policy.ListDelta, policy.ListDelta, policy.ListDelta, policy.ListFull, policy.ListCached, policy.ListFailed}[m.draw(6, "kind")]
 	if kind == policy.ListFailed {
-		w.c.UpdateMembers(kind, nil)
+		m.core.UpdateMembers(kind, nil)
 		return
 	}
-	var named []Member
-	for _, p := range w.places {
-		if w.draw(3, "named") == 0 == (kind == policy.ListDelta) { // few of a change, most of a whole list
-			p.State = []policy.ServerState{policy.Ready, policy.Ready, policy.Ready, policy.Draining, policy.Gone}[w.draw(5, "state")]
-			if w.draw(6, "restart") == 0 {
-				p.Started, p.State = w.now, policy.Ready
+	var listed []Member
+	for _, member := range m.members {
+		if m.draw(3, "listed") == 0 == (kind == policy.ListDelta) { // a third of them in a delta, two thirds in a full list
+			member.State = []policy.ServerState{policy.Ready, policy.Ready, policy.Ready, policy.Draining, policy.Gone}[m.draw(5, "state")]
+			if m.draw(6, "restart") == 0 {
+				member.Started, member.State = m.now, policy.Ready
 			}
-			p.known = true
-			named = append(named, p.Member)
+			member.known = true
+			listed = append(listed, member.Member)
 		} else if kind != policy.ListDelta {
-			p.State = policy.Gone
+			member.State = policy.Gone
 		}
 	}
-	w.see()
-	w.c.UpdateMembers(kind, named)
+	m.updateAvailability()
+	m.core.UpdateMembers(kind, listed)
 }
 
-// see notes which members have begun to leave.
-func (w *world) see() {
-	for _, p := range w.places {
-		drain, agreed := w.agreed[p.Name]
-		left := p.known && (p.State != policy.Ready || w.bans[p.Name] || agreed)
-		if left && !p.left {
-			p.told = w.now
+// updateAvailability follows which members may get nothing new, since when, and how long their flows may stay.
+func (m *model) updateAvailability() {
+	for _, member := range m.members {
+		removal, removed := m.removals[member.Name]
+		unavailable := member.known && (member.State != policy.Ready || m.ejected[member.Name] || removed)
+		if unavailable && !member.unavailable {
+			member.unavailableSince = m.now
 		}
-		spread := time.Duration(0)
-		if p.left = left; agreed && !w.bans[p.Name] && p.State == policy.Ready {
-			spread = drain.SpreadOver
+		spreadOver := time.Duration(0)
+		if member.unavailable = unavailable; removed && !m.ejected[member.Name] && member.State == policy.Ready {
+			spreadOver = removal.SpreadOver
 		}
-		if spread != p.spread {
-			p.spread, p.changed = spread, w.now
+		if spreadOver != member.spreadOver {
+			member.spreadOver, member.spreadChangedAt = spreadOver, m.now
 		}
 	}
 }
 
-func (w *world) ban() {
-	name := fmt.Sprint("m", w.draw(7, "member"))
-	if w.bans[name] {
-		delete(w.bans, name)
-		w.see()
-		w.c.Reinstate(name)
+func (m *model) toggleEjection() {
+	name := fmt.Sprint("m", m.draw(7, "member"))
+	if m.ejected[name] {
+		delete(m.ejected, name)
+		m.updateAvailability()
+		m.core.Reinstate(name)
 	} else {
-		w.bans[name] = true
-		w.see()
-		w.c.Eject(name)
+		m.ejected[name] = true
+		m.updateAvailability()
+		m.core.Eject(name)
 	}
 }
 
-func (w *world) agree() {
-	out := map[string]Removal{}
-	for _, p := range w.places {
-		if w.draw(4, "out") == 0 {
-			out[p.Name] = Removal{SpreadOver: []time.Duration{0, 500 * time.Millisecond, 8 * time.Second}[w.draw(3, "over")], Ejection: w.draw(2, "ban") == 0}
+func (m *model) setRemovals() {
+	removals := map[string]Removal{}
+	for _, member := range m.members {
+		if m.draw(4, "removed") == 0 {
+			removals[member.Name] = Removal{SpreadOver: []time.Duration{0, 500 * time.Millisecond, 8 * time.Second}[m.draw(3, "spread over")], Ejection: m.draw(2, "ejection") == 0}
 		}
 	}
-	w.agreed = out
-	w.see()
-	w.c.SetFleetRemovals(out)
+	m.removals = removals
+	m.updateAvailability()
+	m.core.SetFleetRemovals(removals)
 }
 
-func (w *world) drain() {
-	if w.c.AcceptsClients() {
-		w.leaving = w.now + drainMigrationEnd
-		w.c.Drain()
+func (m *model) toggleDrain() {
+	if m.core.AcceptsClients() {
+		m.migrateBy = m.now + drainMigrationEnd
+		m.core.Drain()
 		return
 	}
-	w.c.Resume()
-	if !w.stopped {
-		w.leaving = 0
+	m.core.Resume()
+	if !m.stopped {
+		m.migrateBy = 0
 	}
 }
 
-func (w *world) doubt() {
-	if !w.doubting {
-		w.doubting = true
-		w.c.PauseDispatch()
+func (m *model) togglePause() {
+	if !m.paused {
+		m.paused = true
+		m.core.PauseDispatch()
 		return
 	}
-	w.doubting, w.strict = false, true
-	w.c.ResumeDispatch()
-	w.strict = false
+	m.paused, m.resuming = false, true
+	m.core.ResumeDispatch()
+	m.resuming = false
 }
 
-func (w *world) stop() {
-	if w.stopped {
+func (m *model) stop() {
+	if m.stopped {
 		return
 	}
-	w.stopped, w.leaving = true, w.now+fraction(stopMigrationEnd, w.c.StopTimeout())
-	if w.draw(2, "another takes its place") == 0 {
-		w.c.BeginHandover()
+	m.stopped, m.migrateBy = true, m.now+fraction(stopMigrationEnd, m.core.StopTimeout())
+	if m.draw(2, "handover") == 0 {
+		m.core.BeginHandover()
 	} else {
-		w.c.Stop()
+		m.core.Stop()
 	}
 }
 
-// pass is another process that goes on with a flow of this one, or this one with that of another.
-func (w *world) pass() {
-	if x := w.pick((*client).open); x != nil && w.draw(2, "pass") == 0 {
-		a := x.out()
-		x.ended, a.over, a.result = true, true, policy.Cancelled
-		if p, ok := w.c.ReleaseFlow(x.id); !ok || p.Member != a.to.Name {
-			w.Fatalf("request %d: passed %v with %s, it is at %s", x.id, ok, p.Member, a.to.Name)
+// handOver releases a flow to another process, or adopts one from it.
+func (m *model) handOver() {
+	if c := m.pickClient((*modelClient).flowOpen); c != nil && m.draw(2, "release") == 0 {
+		a := c.currentAttempt()
+		c.flowEnded, a.ended, a.result = true, true, policy.Cancelled
+		if transfer, ok := m.core.ReleaseFlow(c.id); !ok || transfer.Member != a.member.Name {
+			m.Fatalf("request %d: released %v with member %s, it is at %s", c.id, ok, transfer.Member, a.member.Name)
 		}
 		return
 	}
-	p := w.places[w.draw(len(w.places), "member")]
-	x := &client{w: w, taken: true, up: true, upAt: w.now, answers: []string{"served"}, q: Request{Class: w.draw(5, "class")}}
-	x.attempts = []*tried{{to: p, at: p.Member, sent: w.now}}
-	id, _, ok := w.c.AdoptFlow(FlowTransfer{Request: x.q, Member: p.Name}, x)
-	if ok != p.known {
-		w.Fatalf("taken %v from a member that is known %v", ok, p.known)
+	member := m.members[m.draw(len(m.members), "member")]
+	c := &modelClient{model: m, adopted: true, established: true, establishedAt: m.now, answers: []string{"served"}, request: Request{Class: m.draw(5, "class")}}
+	c.attempts = []*modelAttempt{{member: member, memberThen: member.Member, sentAt: m.now}}
+	id, _, ok := m.core.AdoptFlow(FlowTransfer{Request: c.request, Member: member.Name}, c)
+	if ok != member.known {
+		m.Fatalf("adopted %v at a member that is known %v", ok, member.known)
 	}
-	if x.id = id; ok {
-		w.all, w.byID[id] = append(w.all, x), x
+	if c.id = id; ok {
+		m.clients, m.byID[id] = append(m.clients, c), c
 	}
 }
 
-func (w *world) notes() {
-	x := w.pick((*client).open)
-	if x == nil {
+func (m *model) observe() {
+	c := m.pickClient((*modelClient).flowOpen)
+	if c == nil {
 		return
 	}
-	switch w.draw(3, "note") {
+	switch m.draw(3, "observation") {
 	case 0:
-		w.c.UpdateLoad(x.id, float64(w.draw(50, "load"))/100)
+		m.core.UpdateLoad(c.id, float64(m.draw(50, "load"))/100)
 	case 1:
-		w.c.ObserveMessageLatency(x.id, time.Duration(w.draw(400, "took"))*time.Millisecond)
+		m.core.ObserveMessageLatency(c.id, time.Duration(m.draw(400, "latency"))*time.Millisecond)
 	default:
-		w.c.SetActiveRelays(float64(w.draw(5, "relays")))
+		m.core.SetActiveRelays(float64(m.draw(5, "relays")))
 	}
 }
 
-// run lets time pass, with a Tick whenever one is due.
-func (w *world) run(d time.Duration) {
-	end := w.now + d
-	for n := 0; w.wake <= end; n++ {
+// advance moves the clock on, with a Tick whenever one is due.
+func (m *model) advance(d time.Duration) {
+	end := m.now + d
+	for n := 0; m.wakeAt <= end; n++ {
 		if n > 100_000 {
-			w.Fatalf("ticks without end at %v", w.now)
+			m.Fatalf("ticks without end at %v", m.now)
 		}
-		w.now, w.wake = max(w.now, w.wake), math.MaxInt64
-		w.c.Tick()
-		w.check()
+		m.now, m.wakeAt = max(m.now, m.wakeAt), math.MaxInt64
+		m.core.Tick()
+		m.check()
 	}
-	w.now = end
+	m.now = end
 }
 
-// ---- What has to hold at any time ----
+// ---- Invariants ----
 
-func (w *world) check() {
+func (m *model) check() {
 	flows := map[string]int{}
-	for _, x := range w.all {
-		a := x.out()
+	for _, c := range m.clients {
+		a := c.currentAttempt()
 		if a != nil {
-			flows[a.to.Name]++
+			flows[a.member.Name]++
 		}
-		if due := w.wake <= w.now; !x.gone && !due { // else a Tick is still to come
-			x.inTime(a)
+		if tickDue := m.wakeAt <= m.now; !c.gone && !tickDue {
+			c.checkOverdue(a)
 		}
-		if held := !x.settled(); w.c.IsActive(x.id) != held {
-			w.Fatalf("request %d: held %v, by what was seen %v", x.id, !held, held)
+		if active := !c.settled(); m.core.IsActive(c.id) != active {
+			m.Fatalf("request %d: active %v, want %v", c.id, !active, active)
 		}
 	}
-	for _, p := range w.places {
-		if n := w.c.FlowCount(p.ID); n != flows[p.Name] {
-			w.Fatalf("%s: %d flows, by what was seen %d", p.Name, n, flows[p.Name])
+	for _, member := range m.members {
+		if n := m.core.FlowCount(member.ID); n != flows[member.Name] {
+			m.Fatalf("%s: %d flows, want %d", member.Name, n, flows[member.Name])
 		}
 	}
 }
 
-// inTime says that nothing of a client is overdue: its answer, its attempt, the move of its flow.
-func (x *client) inTime(a *tried) {
-	w := x.w
+// checkOverdue fails if an answer, the end of an attempt or the migration of a flow is overdue.
+func (c *modelClient) checkOverdue(a *modelAttempt) {
+	m := c.model
 	switch {
-	case len(x.answers) == 0 && w.now >= x.deadline:
-		w.Fatalf("request %d: no answer at %v, deadline %v", x.id, w.now, x.deadline)
-	case a != nil && !x.up && w.now >= a.until:
-		w.Fatalf("request %d: its attempt is still out at %v, it was for until %v", x.id, w.now, a.until)
-	case !x.open():
+	case len(c.answers) == 0 && m.now >= c.deadline:
+		m.Fatalf("request %d: no answer at %v, deadline %v", c.id, m.now, c.deadline)
+	case a != nil && !c.established && m.now >= a.timeoutAt:
+		m.Fatalf("request %d: its attempt is still in flight at %v, its timeout was at %v", c.id, m.now, a.timeoutAt)
+	case !c.flowOpen():
 		return
-	case w.leaving > 0 && w.now > max(w.leaving, x.upAt+StopNotice/2):
-		w.Fatalf("request %d: its flow is not moved by the end of a drain or stop", x.id)
+	case m.migrateBy > 0 && m.now > max(m.migrateBy, c.establishedAt+StopNotice/2):
+		m.Fatalf("request %d: its flow is not migrated by the end of a drain or stop", c.id)
 	}
-	if p := a.to; p.left && !w.wrong { // which moves when a member leaves is the policy's decision
-		if w.now > max(p.told+p.spread, p.changed, x.upAt) {
-			w.Fatalf("request %d: its flow is not moved %v after %s left", x.id, w.now-p.told, p.Name)
+	if member := a.member; member.unavailable && !m.faultyPolicy { // a member's flows are migrated on the policy's request
+		if m.now > max(member.unavailableSince+member.spreadOver, member.spreadChangedAt, c.establishedAt) {
+			m.Fatalf("request %d: its flow is not migrated %v after %s became unavailable", c.id, m.now-member.unavailableSince, member.Name)
 		}
 	}
 }
 
-// wild is a word that a faulty policy might decide: the rules hold all the same.
-func (w *world) wild() {
-	if !w.wrong {
+// injectAction applies an action that only a faulty policy would request: the invariants hold all the same.
+func (m *model) injectAction() {
+	if !m.faultyPolicy {
 		return
 	}
-	x := w.pick(func(x *client) bool { return !x.settled() })
-	if x == nil || w.draw(6, "any") == 0 {
-		x = w.pick(func(x *client) bool { return true })
+	c := m.pickClient(func(c *modelClient) bool { return !c.settled() })
+	if c == nil || m.draw(6, "any") == 0 {
+		c = m.pickClient(func(c *modelClient) bool { return true })
 	}
-	if x == nil {
+	if c == nil {
 		return
 	}
-	do := policy.ActionSend
-	if w.draw(2, "send") == 0 {
-		do = policy.ActionKind(w.draw(int(policy.ActionWait)+1, "do"))
+	kind := policy.ActionSend
+	if m.draw(2, "send") == 0 {
+		kind = policy.ActionKind(m.draw(int(policy.ActionWait)+1, "kind"))
 	}
-	v := policy.Action{Kind: do, ID: x.id, Server: policy.ServerID(10 + w.draw(7, "member")),
-		Attempt: w.draw(4, "try"), Duration: time.Duration(w.draw(900, "for")) * time.Millisecond}
-	w.c.apply([]policy.Action{v})
+	action := policy.Action{Kind: kind, ID: c.id, Server: policy.ServerID(10 + m.draw(7, "member")),
+		Attempt: m.draw(4, "attempt"), Duration: time.Duration(m.draw(900, "duration")) * time.Millisecond}
+	m.core.apply([]policy.Action{action})
 }
 
-// step is what happens next, the likelier ones several times.
+// modelSteps are the events that are drawn, each with its relative frequency.
 var modelSteps = []struct {
-	name string
-	of   int
-	do   func(w *world)
+	name   string
+	weight int
+	do     func(m *model)
 }{
-	{"arrive", 10, (*world).arrive},
-	{"up", 5, (*world).comesUp},
-	{"end", 7, (*world).ends},
-	{"stale", 1, (*world).stale},
-	{"leave", 2, func(w *world) {
-		if x := w.pick(func(x *client) bool { return !x.settled() }); x != nil {
-			x.leave()
+	{"arrive", 10, (*model).arrive},
+	{"establish", 5, (*model).establishOne},
+	{"end", 7, (*model).endOneAttempt},
+	{"stale", 1, (*model).sendStaleEvents},
+	{"disconnect", 2, func(m *model) {
+		if c := m.pickClient(func(c *modelClient) bool { return !c.settled() }); c != nil {
+			c.disconnect()
 		}
 	}},
-	{"rash", 2, func(w *world) { w.rash = true }},
-	{"probed", 4, (*world).probed},
-	{"list", 3, (*world).list},
-	{"ban", 1, (*world).ban},
-	{"agree", 1, (*world).agree},
-	{"drain", 1, (*world).drain},
-	{"doubt", 2, (*world).doubt},
-	{"pass", 1, (*world).pass},
-	{"wild", 6, (*world).wild},
-	{"notes", 1, (*world).notes},
-	{"ledger", 1, func(w *world) { w.shut = !w.shut && w.draw(4, "shut") == 0 }},
-	{"time", 6, func(w *world) {
-		w.run([]time.Duration{0, time.Millisecond, 30 * time.Millisecond, 249 * time.Millisecond, 251 * time.Millisecond, 700 * time.Millisecond, 2 * time.Second}[w.draw(7, "time")])
+	{"reenter", 2, func(m *model) { m.reentrant = true }},
+	{"probe answer", 4, (*model).answerProbe},
+	{"member list", 3, (*model).updateMembers},
+	{"ejection", 1, (*model).toggleEjection},
+	{"removals", 1, (*model).setRemovals},
+	{"drain", 1, (*model).toggleDrain},
+	{"pause dispatch", 2, (*model).togglePause},
+	{"handover", 1, (*model).handOver},
+	{"faulty action", 6, (*model).injectAction},
+	{"observation", 1, (*model).observe},
+	{"recorder", 1, func(m *model) { m.notReady = !m.notReady && m.draw(4, "not ready") == 0 }},
+	{"time", 6, func(m *model) {
+		m.advance([]time.Duration{0, time.Millisecond, 30 * time.Millisecond, 249 * time.Millisecond, 251 * time.Millisecond, 700 * time.Millisecond, 2 * time.Second}[m.draw(7, "time")])
 	}},
-	{"stall", 1, func(w *world) { w.now += time.Duration(1+w.draw(900, "stall")) * time.Millisecond }},
+	{"stall", 1, func(m *model) { m.now += time.Duration(1+m.draw(900, "stall")) * time.Millisecond }},
 }
 
-// TestModel plays requests and connections among all that may happen to them, and holds the core to what clients, members and the
-// record may see.
+// TestModel draws random sequences of events around a core, and checks all that clients, members and the record see of it.
 func TestModel(t *testing.T) {
 	var steps []int
 	for i, s := range modelSteps {
-		steps = append(steps, slices.Repeat([]int{i}, s.of)...)
+		steps = append(steps, slices.Repeat([]int{i}, s.weight)...)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
-		w.wrong = w.draw(4, "wrong") == 0
-		for _, p := range w.places[:4] {
-			p.State, p.known = policy.Ready, true
+		m := newModel(t)
+		m.faultyPolicy = m.draw(4, "faulty policy") == 0
+		for _, member := range m.members[:4] {
+			member.State, member.known = policy.Ready, true
 		}
-		w.see()
-		w.c.UpdateMembers(policy.ListCached, []Member{w.places[0].Member, w.places[1].Member, w.places[2].Member, w.places[3].Member})
-		n := 1 + w.draw(160, "steps")
-		stop := w.draw(2*n, "stop")
+		m.updateAvailability()
+		m.core.UpdateMembers(policy.ListCached, []Member{m.members[0].Member, m.members[1].Member, m.members[2].Member, m.members[3].Member})
+		n := 1 + m.draw(160, "steps")
+		stop := m.draw(2*n, "stop")
 		for i := range n {
 			if i == stop {
-				w.stop()
+				m.stop()
 			}
-			s := modelSteps[steps[w.draw(len(steps), "step")]]
-			s.do(w)
-			if s.name != "stall" { // there the next one comes before what is due
-				w.run(0)
-				w.check()
+			s := modelSteps[steps[m.draw(len(steps), "step")]]
+			s.do(m)
+			if s.name != "stall" { // a stalled loop handles the next event before the timers that are due
+				m.advance(0)
+				m.check()
 			}
 		}
-		w.finish()
+		m.finish()
 	})
 }
 
-// finish ends the relay, and looks at what is left.
-func (w *world) finish() {
-	w.run(0)
-	w.stop()
-	w.run([]time.Duration{0, 300 * time.Millisecond, w.c.StopTimeout()}[w.draw(3, "stop takes")])
-	w.c.FinishStop()
-	w.done = true
-	w.check()
-	if n := w.c.ActiveRequests(); n > 0 {
-		w.Fatalf("%d held after the end", n)
-	}
-	attempts, moves := 0, 0
-	for _, x := range w.all {
-		if attempts += len(x.attempts); len(x.answers) == 0 != x.gone && !(x.gone && x.up) {
-			w.Fatalf("request %d: answers %v, its client left %v", x.id, x.answers, x.gone)
+// finish stops the relay, and checks that nothing is left over.
+func (m *model) finish() {
+	m.advance(0)
+	m.stop()
+	m.advance([]time.Duration{0, 300 * time.Millisecond, m.core.StopTimeout()}[m.draw(3, "time to stop")])
+	m.core.FinishStop()
+	m.finished = true
+	m.check()
+	if n := m.core.ActiveRequests(); n > 0 {
+		m.Fatalf("%d requests active after the end", n)
+	}
+	attempts, migrations := 0, 0
+	for _, c := range m.clients {
+		if attempts += len(c.attempts); len(c.answers) == 0 != c.gone && !(c.gone && c.established) {
+			m.Fatalf("request %d: answers %v, its client disconnected %v", c.id, c.answers, c.gone)
 		}
-		moves += x.moved
-		if x.out() != nil {
-			w.Fatalf("request %d: an attempt is out after the end", x.id)
+		migrations += c.migrations
+		if c.currentAttempt() != nil {
+			m.Fatalf("request %d: an attempt is in flight after the end", c.id)
 		}
-		if w.events[fmt.Sprintf("answer %d", x.id)] != 1 {
-			w.Fatalf("request %d: its answer is not recorded", x.id)
+		if m.records[fmt.Sprintf("answer %d", c.id)] != 1 {
+			m.Fatalf("request %d: its answer is not recorded", c.id)
 		}
 	}
-	c := w.c.Counts
-	if !w.wrong && c.IgnoredEvents != w.stood {
-		w.Fatalf("%d events ignored, %d of them words on a flow that stood already", c.IgnoredEvents, w.stood)
+	counts := m.core.Counts
+	if !m.faultyPolicy && counts.IgnoredEvents != m.repeatedEstablished {
+		m.Fatalf("%d events ignored, %d of them about a flow that was established already", counts.IgnoredEvents, m.repeatedEstablished)
 	}
-	if len(w.events) != len(w.all)+attempts || c.Requests != len(w.all) || c.Attempts != attempts || c.Migrations != moves ||
-		c.Served+c.Rejected+c.Failed+c.ClientsGone != c.Requests || c.SentAfterGrace > 0 {
-		w.Fatalf("%d requests, %d attempts, %d moves and %d records, counts %+v", len(w.all), attempts, moves, len(w.events), c)
+	if len(m.records) != len(m.clients)+attempts || counts.Requests != len(m.clients) || counts.Attempts != attempts || counts.Migrations != migrations ||
+		counts.Served+counts.Rejected+counts.Failed+counts.ClientsGone != counts.Requests || counts.SentAfterGrace > 0 {
+		m.Fatalf("%d requests, %d attempts, %d migrations and %d records, counts %+v", len(m.clients), attempts, migrations, len(m.records), counts)
 	}
 	for range 5 {
-		w.stale()
+		m.sendStaleEvents()
 	}
-	if w.doubting {
-		w.doubt()
+	if m.paused {
+		m.togglePause()
 	}
-	w.run(20 * time.Second) // beyond all waits and all spans
-	if w.c.pausedActions != nil || len(w.c.timers) > 0 || len(w.c.pendingActions) > 0 || len(w.c.requests) > 0 {
-		w.Fatalf("left behind: %d held sends, %d alarms, %d verdicts, %d requests", len(w.c.pausedActions), len(w.c.timers), len(w.c.pendingActions), len(w.c.requests))
+	m.advance(20 * time.Second) // longer than any deadline, timer or spread
+	if m.core.pausedActions != nil || len(m.core.timers) > 0 || len(m.core.pendingActions) > 0 || len(m.core.requests) > 0 {
+		m.Fatalf("left behind: %d paused sends, %d timers, %d actions, %d requests", len(m.core.pausedActions), len(m.core.timers), len(m.core.pendingActions), len(m.core.requests))
 	}
-	w.c.UpdateMembers(policy.ListFull, nil)
-	if l := w.c.LearnedState().Policy.Servers; len(l) > 0 && !w.wrong { // the policy keeps those alone at which it takes flows to be open
-		w.Fatalf("the module still holds flows at %v", l)
+	m.core.UpdateMembers(policy.ListFull, nil)
+	if servers := m.core.LearnedState().Policy.Servers; len(servers) > 0 && !m.faultyPolicy { // it keeps an unlisted server only for its open flows
+		m.Fatalf("the policy still has flows at %v", servers)
 	}
 }
--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"fmt"
 	"math"
 	"strings"
 	"testing"
@@ -10,16 +11,16 @@
 	"dahliarudder/policy"
 )
 
-// Classes of classesText, by their place in it.
+// Classes of classesText, by index.
 const (
-	safeClass = iota
-	keyedAll
-	keyedZone
-	unsafeClass
-	keyedCell
+	idempotentClass = iota
+	keyScopeAllClass
+	keyScopeZoneClass
+	nonIdempotentClass
+	keyScopeCellClass
 )
 
-// classesText is settings with a class of each effect and scope; windows are shorter than deadlines.
+// classesText has a class of each idempotency and key scope; deduplication windows are shorter than deadlines.
 const classesText = `{"balancers":1,"zones":["a","b"],
  "classes":[{"name":"safe","aim-ms":400,"deadline-ms":2000,"effect":"read_like","key-scope":"all"},
   {"name":"all","aim-ms":400,"deadline-ms":2000,"effect":"idempotency_key","key-scope":"all","window-ms":900},
@@ -29,469 +30,486 @@
  "limits":{"max-attempts":3,"cancel":true,"probes":false,"connect-timeout-ms":250},
  "guarantees":{"answer-slack-ms":8,"drain-grace-ms":250},"extra":{"message-aim-ms":[90]}}`
 
-// newRigOf is a rig of other settings.
-func newRigOf(t *testing.T, text string, members []Member) *rig {
-	set, err := settings.Decode([]byte(text))
+// newHarnessWith starts a core with these settings and members.
+func newHarnessWith(t *testing.T, settingsText string, members []Member) *harness {
+	t.Helper()
+	set, err := settings.Decode([]byte(settingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, now: time.Hour, wake: math.MaxInt64, out: map[ID]*side{}}
-	r.Core = New(Options{Settings: set, Seed: 7, Clock: func() time.Duration { return r.now },
-		Wake: func(at time.Duration) { r.wake = at }, Probe: func(*Member) {}, Watch: func() {}, Recorder: r})
-	r.UpdateMembers(policy.ListCached, members)
-	return r
+	h := &harness{t: t, now: time.Hour, wakeAt: math.MaxInt64, downstreams: map[ID]*downstream{}}
+	h.Core = New(Options{Settings: set, Seed: 7, Clock: func() time.Duration { return h.now },
+		Wake: func(at time.Duration) { h.wakeAt = at }, Probe: func(*Member) {}, Watch: func() {}, Recorder: h})
+	h.UpdateMembers(policy.ListCached, members)
+	return h
 }
 
-// bring opens a request of a class that waits so long.
-func (r *rig) bring(class int, wait time.Duration) *side {
-	s := &side{r: r}
-	s.id = r.Open(Request{Class: class, Load: 0.01, TimeLeft: wait}, s)
-	return s
+// openInClass opens a request of a class whose client waits for timeLeft.
+func (h *harness) openInClass(class int, timeLeft time.Duration) *downstream {
+	d := &downstream{harness: h}
+	d.id = h.Open(Request{Class: class, Load: 0.01, TimeLeft: timeLeft}, d)
+	return d
 }
 
-// ends has the attempt that is out end before it stood.
-func (s *side) ends(result policy.Result) {
-	s.out--
-	s.r.AttemptEnded(s.id, s.tries-1, result, policy.NoReport)
+// endAttempt ends the attempt in flight before it is established.
+func (d *downstream) endAttempt(result policy.Result) {
+	d.inFlight--
+	d.harness.AttemptEnded(d.id, d.attempts-1, result, policy.NoReport)
 }
 
-func (s *side) got() string { return strings.Join(s.answers, ",") }
+// openThree opens three requests of a class: one with an attempt in flight, one whose attempt has failed but may have run, which the
+// policy backs off before it retries, and one whose attempts cannot have run.
+func (h *harness) openThree(class int) (sent, mayHaveRun, neverRan *downstream) {
+	sent, mayHaveRun, neverRan = h.openInClass(class, 2*time.Second), h.openInClass(class, 2*time.Second), h.openInClass(class, 2*time.Second)
+	mayHaveRun.endAttempt(policy.Error)
+	neverRan.endAttempt(policy.Full)
+	if neverRan.inFlight > 0 {
+		neverRan.endAttempt(policy.ConnectFailed)
+	}
+	return sent, mayHaveRun, neverRan
+}
+
+// wantNoFlowsInPolicy checks that the policy has no open flow: it keeps a server that is no longer listed only for those.
+func (h *harness) wantNoFlowsInPolicy(when string) {
+	h.t.Helper()
+	h.UpdateMembers(policy.ListFull, nil)
+	if servers := h.facade.LearnedState(h.now).Servers; len(servers) != 0 {
+		h.t.Errorf("%s: the policy still has flows at %v", when, servers)
+	}
+}
+
+// migrations counts the migrations of all flows.
+func migrations(flows []*downstream) (n int) {
+	for _, d := range flows {
+		n += d.migrations
+	}
+	return n
+}
+
+// answerText joins the final answers, of which there may be one at most.
+func (d *downstream) answerText() string { return strings.Join(d.answers, ",") }
 
-// TestFinishStopIdempotency: at the end of a planned stop only those are rejected whose repeat is harmless: the rest may have run.
+// TestFinishStopIdempotency: at the end of a graceful shutdown a request that may have run is rejected only if repeating it is harmless; the
+// others fail.
 func TestFinishStopIdempotency(t *testing.T) {
-	for class, want := range map[int]string{safeClass: "rejected", keyedAll: "rejected", keyedZone: "failed", keyedCell: "failed", unsafeClass: "failed"} {
-		r := newRigOf(t, classesText, list(2, policy.Ready))
-		out, ran, none := r.bring(class, 2*time.Second), r.bring(class, 2*time.Second), r.bring(class, 2*time.Second)
-		ran.ends(policy.Error) // the policy pauses before the next attempt, if there is one
-		none.ends(policy.Full)
-		if none.out > 0 {
-			none.ends(policy.ConnectFailed)
+	for class, want := range map[int]string{idempotentClass: "rejected", keyScopeAllClass: "rejected", keyScopeZoneClass: "failed", keyScopeCellClass: "failed", nonIdempotentClass: "failed"} {
+		h := newHarnessWith(t, classesText, testMembers(2, policy.Ready))
+		sent, mayHaveRun, neverRan := h.openThree(class)
+		if sent.inFlight != 1 || neverRan.inFlight != 0 || neverRan.answerText() != "" {
+			t.Fatalf("class %d: %d and %d in flight, answers %v", class, sent.inFlight, neverRan.inFlight, neverRan.answers)
 		}
-		if out.out != 1 || none.out != 0 || none.got() != "" {
-			t.Fatalf("class %d: %d out, %d out, %v", class, out.out, none.out, none.answers)
-		}
-		r.Stop()
-		r.FinishStop()
-		if out.got() != want || ran.got() != want || none.got() != "rejected" || r.ActiveRequests() != 0 {
-			t.Errorf("class %d: with an attempt out %s, that may have run %s, want %s; never run %s; held %d",
-				class, out.got(), ran.got(), want, none.got(), r.ActiveRequests())
+		h.Stop()
+		h.FinishStop()
+		if sent.answerText() != want || mayHaveRun.answerText() != want || neverRan.answerText() != "rejected" || h.ActiveRequests() != 0 {
+			t.Errorf("class %d: with an attempt in flight %s, after one that may have run %s, want %s; never run %s; %d active",
+				class, sent.answerText(), mayHaveRun.answerText(), want, neverRan.answerText(), h.ActiveRequests())
 		}
 	}
 }
 
-// TestLateDeadline: where the loop comes so late that the core answers by itself, who was never sent on is rejected, and who may
-// have run is not.
+// TestLateDeadline: if the loop is so late that the core answers by itself, a request that was never forwarded is rejected, and one that
+// may have run fails.
 func TestLateDeadline(t *testing.T) {
-	r := newRigOf(t, classesText, list(2, policy.Draining))
-	held, out := r.bring(unsafeClass, 2*time.Second), &side{}
-	r.UpdateMembers(policy.ListDelta, list(1, policy.Ready))
-	out = r.bring(unsafeClass, 2*time.Second)
-	if held.tries != 0 || held.got() != "" || out.out != 1 {
-		t.Fatalf("%d tries, %v; %d out", held.tries, held.answers, out.out)
-	}
-	r.now += 3 * time.Second
-	r.Tick()
-	if held.got() != "rejected" || out.got() != "failed" || r.ActiveRequests() != 0 {
-		t.Errorf("never sent: %s; with an attempt out: %s; held %d", held.got(), out.got(), r.ActiveRequests())
+	h := newHarnessWith(t, classesText, testMembers(2, policy.Draining))
+	waiting := h.openInClass(nonIdempotentClass, 2*time.Second)
+	h.UpdateMembers(policy.ListDelta, testMembers(1, policy.Ready))
+	sent := h.openInClass(nonIdempotentClass, 2*time.Second)
+	if waiting.attempts != 0 || waiting.answerText() != "" || sent.inFlight != 1 {
+		t.Fatalf("%d attempts, answers %v; %d in flight", waiting.attempts, waiting.answers, sent.inFlight)
+	}
+	h.now += 3 * time.Second
+	h.Tick()
+	if waiting.answerText() != "rejected" || sent.answerText() != "failed" || h.ActiveRequests() != 0 {
+		t.Errorf("never forwarded: %s; with an attempt in flight: %s; %d active", waiting.answerText(), sent.answerText(), h.ActiveRequests())
 	}
 }
 
-// TestShortTimeLeft: who has no time left is answered at once, and nothing is sent.
+// TestShortTimeLeft: a request without time for an attempt is rejected at once.
 func TestShortTimeLeft(t *testing.T) {
-	for _, wait := range []time.Duration{-time.Second, 0, time.Millisecond, 8 * time.Millisecond} {
-		r := newRigOf(t, classesText, list(2, policy.Ready))
-		if s := r.bring(unsafeClass, wait); s.tries != 0 || s.got() != "rejected" || r.ActiveRequests() != 0 {
-			t.Errorf("wait %v: %d tries, answers %v", wait, s.tries, s.answers)
+	for _, timeLeft := range []time.Duration{-time.Second, 0, time.Millisecond, 8 * time.Millisecond} {
+		h := newHarnessWith(t, classesText, testMembers(2, policy.Ready))
+		if d := h.openInClass(nonIdempotentClass, timeLeft); d.attempts != 0 || d.answerText() != "rejected" || h.ActiveRequests() != 0 {
+			t.Errorf("time left %v: %d attempts, answers %v", timeLeft, d.attempts, d.answers)
 		}
 	}
 }
 
-// TestNumbering: after a send that mayStart has blocked, the policy still hears how the next attempt ends, and makes another.
-func TestNumbering(t *testing.T) {
-	r := newRigOf(t, classesText, list(4, policy.Ready))
-	r.PauseDispatch()
-	s := r.bring(safeClass, 2*time.Second)
-	barred := r.pausedActions[0].Server
-	r.UpdateMembers(policy.ListDelta, []Member{r.drains(barred)})
-	r.ResumeDispatch()
-	if r.Counts.Blocked != 1 || s.out != 1 {
-		t.Fatalf("%d barred, %d out", r.Counts.Blocked, s.out)
-	}
-	s.ends(policy.ConnectFailed)
-	if s.out != 1 || s.tries != 2 {
-		t.Fatalf("after an attempt that failed: %d out, %d tries", s.out, s.tries)
-	}
-	at := r.out[s.id].to
-	if !r.FlowEstablished(s.id, 1) {
-		t.Fatal("not up")
-	}
-	r.AttemptEnded(s.id, 1, policy.OK, policy.NoReport)
-	r.UpdateMembers(policy.ListFull, nil)
-	if learned := r.facade.LearnedState(r.now); len(learned.Servers) != 0 {
-		t.Errorf("%s is still held in the module: %v", at, learned.Servers)
-	}
+// TestAttemptNumbers: after a send that mayStart has blocked, the end of the next attempt still reaches the policy, which makes another.
+func TestAttemptNumbers(t *testing.T) {
+	h := newHarnessWith(t, classesText, testMembers(4, policy.Ready))
+	h.PauseDispatch()
+	d := h.openInClass(idempotentClass, 2*time.Second)
+	blocked := h.pausedActions[0].Server
+	h.UpdateMembers(policy.ListDelta, []Member{h.draining(blocked)})
+	h.ResumeDispatch()
+	if h.Counts.Blocked != 1 || d.inFlight != 1 {
+		t.Fatalf("%d blocked, %d in flight", h.Counts.Blocked, d.inFlight)
+	}
+	d.endAttempt(policy.ConnectFailed)
+	if d.inFlight != 1 || d.attempts != 2 {
+		t.Fatalf("after a failed attempt: %d in flight, %d attempts", d.inFlight, d.attempts)
+	}
+	if !h.FlowEstablished(d.id, 1) {
+		t.Fatal("not established")
+	}
+	h.AttemptEnded(d.id, 1, policy.OK, policy.NoReport)
+	h.wantNoFlowsInPolicy("after the request")
 }
 
-// drains is a member as one that drains.
-func (r *rig) drains(id policy.ServerID) Member {
-	m := r.members[id].Member
+// draining returns a member in the draining state.
+func (h *harness) draining(id policy.ServerID) Member {
+	m := h.members[id].Member
 	m.State = policy.Draining
 	return m
 }
 
-// TestPausedSendEnds: the client of a request leaves, or its deadline comes, while its send waits for the end of a pause of dispatch: nothing is sent
-// for it, and nothing of it stays in the policy.
+// TestPausedSendEnds: a request that ends while its send is paused, as its client goes away, at its deadline or by a stop, is never sent
+// and leaves nothing in the policy.
 func TestPausedSendEnds(t *testing.T) {
-	for name, end := range map[string]func(r *rig, s *side){
-		"left":     func(r *rig, s *side) { r.ClientGone(s.id) },
-		"deadline": func(r *rig, s *side) { r.pass(2 * time.Second) },
-		"finish":   func(r *rig, s *side) { r.Stop(); r.FinishStop() },
+	for name, end := range map[string]func(h *harness, d *downstream){
+		"client gone": func(h *harness, d *downstream) { h.ClientGone(d.id) },
+		"deadline":    func(h *harness, d *downstream) { h.advance(2 * time.Second) },
+		"stop":        func(h *harness, d *downstream) { h.Stop(); h.FinishStop() },
 	} {
 		for class := range 5 {
-			r := newRigOf(t, classesText, list(1, policy.Ready))
-			r.PauseDispatch()
-			s := r.bring(class, 2*time.Second)
-			end(r, s)
-			r.ResumeDispatch()
-			if want := map[bool]string{true: "", false: "rejected"}[name == "left"]; s.tries != 0 || s.got() != want || r.ActiveRequests() != 0 {
-				t.Errorf("%s, class %d: %d tries, answers %v, held %d", name, class, s.tries, s.answers, r.ActiveRequests())
-			}
-			r.UpdateMembers(policy.ListFull, nil)
-			if learned := r.facade.LearnedState(r.now); len(learned.Servers) != 0 {
-				t.Errorf("%s, class %d: the module still holds %v", name, class, learned.Servers)
+			h := newHarnessWith(t, classesText, testMembers(1, policy.Ready))
+			h.PauseDispatch()
+			d := h.openInClass(class, 2*time.Second)
+			end(h, d)
+			h.ResumeDispatch()
+			if want := map[bool]string{true: "", false: "rejected"}[name == "client gone"]; d.attempts != 0 || d.answerText() != want || h.ActiveRequests() != 0 {
+				t.Errorf("%s, class %d: %d attempts, answers %v, %d active", name, class, d.attempts, d.answers, h.ActiveRequests())
 			}
+			h.wantNoFlowsInPolicy(fmt.Sprintf("%s, class %d", name, class))
 		}
 	}
 }
 
-// TestPausedSendDedupWindow: a repeat that waited for the end of a pause of dispatch is not sent once its window is over.
+// TestPausedSendDedupWindow: a retry that was paused is not sent once its deduplication window is over.
 func TestPausedSendDedupWindow(t *testing.T) {
-	r := newRigOf(t, classesText, list(3, policy.Ready))
-	s := r.bring(keyedAll, 2*time.Second)
-	r.PauseDispatch()
-	s.ends(policy.Reset)
-	if s.out != 0 || len(r.pausedActions) != 1 {
-		t.Fatalf("%d out, %d held", s.out, len(r.pausedActions))
+	h := newHarnessWith(t, classesText, testMembers(3, policy.Ready))
+	d := h.openInClass(keyScopeAllClass, 2*time.Second)
+	h.PauseDispatch()
+	d.endAttempt(policy.Reset)
+	if d.inFlight != 0 || len(h.pausedActions) != 1 {
+		t.Fatalf("%d in flight, %d paused", d.inFlight, len(h.pausedActions))
 	}
-	r.pass(901 * time.Millisecond)
-	if s.got() != "" {
-		t.Fatalf("answers %v", s.answers)
+	h.advance(901 * time.Millisecond)
+	if d.answerText() != "" {
+		t.Fatalf("answers %v", d.answers)
 	}
-	r.ResumeDispatch()
-	if s.tries != 1 {
-		t.Errorf("%d tries, the last after its window", s.tries)
+	h.ResumeDispatch()
+	if d.attempts != 1 {
+		t.Errorf("%d attempts, the last after the window", d.attempts)
 	}
-	r.pass(2 * time.Second)
-	if s.tries != 1 || len(s.answers) != 1 {
-		t.Errorf("%d tries, answers %v", s.tries, s.answers)
+	h.advance(2 * time.Second)
+	if d.attempts != 1 || len(d.answers) != 1 {
+		t.Errorf("%d attempts, answers %v", d.attempts, d.answers)
 	}
 }
 
-// TestEstablishedAtUnavailable: a flow that comes up at a member that has begun to drain meanwhile is moved, though the policy asks for moves
-// only as it hears of the drain.
+// TestEstablishedAtUnavailable: a flow that is established at a member that began to drain meanwhile is migrated, though the policy requests
+// migrations only when the drain begins.
 func TestEstablishedAtUnavailable(t *testing.T) {
-	r := newRigOf(t, classesText, list(1, policy.Ready))
-	s := r.bring(safeClass, 2*time.Second)
-	r.UpdateMembers(policy.ListDelta, list(1, policy.Draining))
-	if !r.FlowEstablished(s.id, 0) || s.moved != 0 {
-		t.Fatal("not up, or moved before its front knows")
+	h := newHarnessWith(t, classesText, testMembers(1, policy.Ready))
+	d := h.openInClass(idempotentClass, 2*time.Second)
+	h.UpdateMembers(policy.ListDelta, testMembers(1, policy.Draining))
+	if !h.FlowEstablished(d.id, 0) || d.migrations != 0 {
+		t.Fatal("not established, or migrated before its front knows of the flow")
 	}
-	r.pass(0)
-	if s.moved != 1 || r.ActiveRequests() != 0 {
-		t.Errorf("moved %d times, %d held", s.moved, r.ActiveRequests())
+	h.advance(0)
+	if d.migrations != 1 || h.ActiveRequests() != 0 {
+		t.Errorf("migrated %d times, %d active", d.migrations, h.ActiveRequests())
 	}
 }
 
-// TestEstablishedWhileDraining: a flow that comes up while the relay drains is moved at its time, whatever else is due then.
+// TestEstablishedWhileDraining: a flow that is established while the relay drains is migrated in its turn, whatever else is due then.
 func TestEstablishedWhileDraining(t *testing.T) {
-	r := newRigOf(t, classesText, list(1, policy.Ready))
-	s := r.bring(safeClass, 20*time.Second)
-	r.Drain()
-	r.FlowEstablished(s.id, 0)
-	if r.pass(drainMigrationStart); s.moved != 1 {
-		t.Errorf("moved %d times %v after the drain began", s.moved, drainMigrationStart)
+	h := newHarnessWith(t, classesText, testMembers(1, policy.Ready))
+	d := h.openInClass(idempotentClass, 20*time.Second)
+	h.Drain()
+	h.FlowEstablished(d.id, 0)
+	if h.advance(drainMigrationStart); d.migrations != 1 {
+		t.Errorf("migrated %d times %v after the drain began", d.migrations, drainMigrationStart)
 	}
 }
 
-// TestDeferredAndDrained: a member's agreed drain and the relay's own both move a flow, the earlier one of them; and the end of the
-// relay's drain does not undo the other.
+// TestDeferredAndDrained: if the fleet removes a member while this relay drains, the earlier of the two migrates the flow; resuming the
+// relay does not cancel the removal.
 func TestDeferredAndDrained(t *testing.T) {
-	agreed := func(over time.Duration) map[string]Removal { return map[string]Removal{"m0": {SpreadOver: over}} }
-	within := func(r *rig, s *side, d time.Duration, what string) {
+	removal := func(spreadOver time.Duration) map[string]Removal {
+		return map[string]Removal{"m0": {SpreadOver: spreadOver}}
+	}
+	wantMigrated := func(h *harness, d *downstream, within time.Duration, what string) {
 		t.Helper()
-		if r.pass(d); s.moved != 1 {
-			t.Errorf("%s: moved %d times within %v", what, s.moved, d)
+		if h.advance(within); d.migrations != 1 {
+			t.Errorf("%s: migrated %d times within %v", what, d.migrations, within)
 		}
 	}
-	start := func() (*rig, *side) {
-		r := newRigOf(t, classesText, list(1, policy.Ready))
-		return r, r.up(1)[0]
-	}
-	r, s := start()
-	r.SetFleetRemovals(agreed(time.Second))
-	r.Drain()
-	r.Resume()
-	within(r, s, time.Second, "resume")
-
-	r, s = start()
-	r.Drain()
-	r.SetFleetRemovals(agreed(time.Hour))
-	within(r, s, drainMigrationEnd, "paced after the drain")
-
-	r, s = start()
-	r.Stop()
-	r.SetFleetRemovals(agreed(time.Hour))
-	within(r, s, r.StopTimeout(), "paced after the stop")
-
-	r, s = start()
-	r.SetFleetRemovals(agreed(100 * time.Millisecond))
-	r.Drain()
-	within(r, s, 100*time.Millisecond, "drained after the pace")
+	start := func() (*harness, *downstream) {
+		h := newHarnessWith(t, classesText, testMembers(1, policy.Ready))
+		return h, h.establishFlows(1)[0]
+	}
+	h, d := start()
+	h.SetFleetRemovals(removal(time.Second))
+	h.Drain()
+	h.Resume()
+	wantMigrated(h, d, time.Second, "resume")
+
+	h, d = start()
+	h.Drain()
+	h.SetFleetRemovals(removal(time.Hour))
+	wantMigrated(h, d, drainMigrationEnd, "removal after the drain")
+
+	h, d = start()
+	h.Stop()
+	h.SetFleetRemovals(removal(time.Hour))
+	wantMigrated(h, d, h.StopTimeout(), "removal after the stop")
+
+	h, d = start()
+	h.SetFleetRemovals(removal(100 * time.Millisecond))
+	h.Drain()
+	wantMigrated(h, d, 100*time.Millisecond, "drain after the removal")
 }
 
-// TestServedWithoutFlow: an attempt that is served to its end without ever being up counts for its member, once.
+// TestServedWithoutFlow: an attempt that is served without an established flow counts as one success of its member.
 func TestServedWithoutFlow(t *testing.T) {
-	r := newRigOf(t, classesText, list(1, policy.Ready))
-	s := r.bring(safeClass, 2*time.Second)
-	s.ends(policy.OK)
-	if v := r.Members()[0]; v.Successes != 1 || v.Failures != 0 || r.Counts.Served != 1 {
+	h := newHarnessWith(t, classesText, testMembers(1, policy.Ready))
+	d := h.openInClass(idempotentClass, 2*time.Second)
+	d.endAttempt(policy.OK)
+	if v := h.Members()[0]; v.Successes != 1 || v.Failures != 0 || h.Counts.Served != 1 {
 		t.Errorf("%+v", v)
 	}
-	s = r.bring(safeClass, 2*time.Second)
-	r.FlowEstablished(s.id, 0)
-	s.ends(policy.OK)
-	if v := r.Members()[0]; v.Successes != 2 {
+	d = h.openInClass(idempotentClass, 2*time.Second)
+	h.FlowEstablished(d.id, 0)
+	d.endAttempt(policy.OK)
+	if v := h.Members()[0]; v.Successes != 2 {
 		t.Errorf("%+v", v)
 	}
 }
 
-// TestRejectIdempotency: a reject by the policy does not pass for a request that may have run and may not be repeated.
+// TestRejectIdempotency: a rejection by the policy becomes a failure if the request may have run and may not be repeated.
 func TestRejectIdempotency(t *testing.T) {
-	for class, want := range map[int]string{safeClass: "rejected", keyedAll: "rejected", keyedZone: "failed", keyedCell: "failed", unsafeClass: "failed"} {
-		r := newRigOf(t, classesText, list(1, policy.Ready))
-		s := r.bring(class, 2*time.Second)
-		r.execute(policy.Action{Kind: policy.ActionReject, ID: s.id, Duration: time.Second})
-		if s.got() != want || s.out != 0 {
-			t.Errorf("class %d: %v, %d out, want %s", class, s.answers, s.out, want)
+	for class, want := range map[int]string{idempotentClass: "rejected", keyScopeAllClass: "rejected", keyScopeZoneClass: "failed", keyScopeCellClass: "failed", nonIdempotentClass: "failed"} {
+		h := newHarnessWith(t, classesText, testMembers(1, policy.Ready))
+		d := h.openInClass(class, 2*time.Second)
+		h.execute(policy.Action{Kind: policy.ActionReject, ID: d.id, Duration: time.Second})
+		if d.answerText() != want || d.inFlight != 0 {
+			t.Errorf("class %d: answers %v, %d in flight, want %s", class, d.answers, d.inFlight, want)
 		}
 	}
 }
 
-// TestRepeatIdempotency: after an attempt that may have run the policy's action alone starts another only where the class lets it.
+// TestRepeatIdempotency: after an attempt that may have run, the policy's send is carried out only where the class allows a repeat.
 func TestRepeatIdempotency(t *testing.T) {
-	away := list(4, policy.Ready)
-	away[1].Cell, away[2].Zone, away[2].Cell, away[3].Zone = 1, 1, 2, 1
-	for class, want := range map[int][4]bool{safeClass: {true, true, true, true}, keyedAll: {true, true, true, true},
-		keyedZone: {true, true, false, false}, keyedCell: {true, false, false, true}, unsafeClass: {}} {
-		for i, m := range away {
-			for _, late := range []bool{false, true} {
-				r := newRigOf(t, classesText, away)
-				s := &side{r: r}
-				r.Open(Request{Class: class, CurrentMember: "m0", TimeLeft: 2 * time.Second}, s)
-				q := r.requests[s.id]
-				q.preexisting = false // as any other that had its attempt there
-				s.ends(policy.Reset)
-				if late {
-					r.now += 900 * time.Millisecond
+	members := testMembers(4, policy.Ready)
+	members[1].Cell, members[2].Zone, members[2].Cell, members[3].Zone = 1, 1, 2, 1
+	for class, want := range map[int][4]bool{idempotentClass: {true, true, true, true}, keyScopeAllClass: {true, true, true, true},
+		keyScopeZoneClass: {true, true, false, false}, keyScopeCellClass: {true, false, false, true}, nonIdempotentClass: {}} {
+		for i, m := range members {
+			for _, afterWindow := range []bool{false, true} {
+				h := newHarnessWith(t, classesText, members)
+				d := &downstream{harness: h}
+				h.Open(Request{Class: class, CurrentMember: "m0", TimeLeft: 2 * time.Second}, d)
+				q := h.requests[d.id]
+				q.preexisting = false // or the core would never send it to another member
+				d.endAttempt(policy.Reset)
+				if afterWindow {
+					h.now += 900 * time.Millisecond
 				}
-				r.execute(policy.Action{Kind: policy.ActionSend, ID: s.id, Server: m.ID})
-				if ok := want[i] && (class == safeClass || !late); (s.tries == 2) != ok {
-					t.Errorf("class %d at %s, after the window %v: %d tries", class, m.Name, late, s.tries)
+				h.execute(policy.Action{Kind: policy.ActionSend, ID: d.id, Server: m.ID})
+				if ok := want[i] && (class == idempotentClass || !afterWindow); (d.attempts == 2) != ok {
+					t.Errorf("class %d at %s, after the window %v: %d attempts", class, m.Name, afterWindow, d.attempts)
 				}
 			}
 		}
 	}
 }
 
-// TestResumedFlowDeadline: a flow that its member is asked to go on with has its answer by its deadline, though nothing else is due.
+// TestResumedFlowDeadline: a resumed flow that its member does not confirm is answered by its deadline, though no other timer is set.
 func TestResumedFlowDeadline(t *testing.T) {
-	r := newRigOf(t, classesText, list(1, policy.Ready))
-	s := &side{r: r}
-	r.Open(Request{CurrentMember: "m0", Class: unsafeClass, TimeLeft: time.Second}, s)
-	if s.out != 1 || r.wake != r.now+time.Second {
-		t.Errorf("%d out, the core is to be called in %v", s.out, r.wake-r.now)
+	h := newHarnessWith(t, classesText, testMembers(1, policy.Ready))
+	d := &downstream{harness: h}
+	h.Open(Request{CurrentMember: "m0", Class: nonIdempotentClass, TimeLeft: time.Second}, d)
+	if d.inFlight != 1 || h.wakeAt != h.now+time.Second {
+		t.Errorf("%d in flight, the next tick is in %v", d.inFlight, h.wakeAt-h.now)
 	}
-	if r.pass(time.Second); s.got() != "failed" || s.out != 0 || r.ActiveRequests() != 0 {
-		t.Errorf("answers %v, %d out, held %d", s.answers, s.out, r.ActiveRequests())
+	if h.advance(time.Second); d.answerText() != "failed" || d.inFlight != 0 || h.ActiveRequests() != 0 {
+		t.Errorf("answers %v, %d in flight, %d active", d.answers, d.inFlight, h.ActiveRequests())
 	}
 }
 
-// TestSendWhileOpen: a send for a request whose flow stands is blocked, and the policy keeps the flow: it asks for its move when the
-// member leaves.
+// TestSendWhileOpen: a send for a request with an open flow is blocked, and the policy still requests the flow's migration when its
+// member drains.
 func TestSendWhileOpen(t *testing.T) {
-	r := newRigOf(t, classesText, list(2, policy.Ready))
-	s := r.up(1)[0]
-	at := r.members[policy.ServerID(10)]
-	if s.to != at.Name {
-		at = r.members[policy.ServerID(11)]
+	h := newHarnessWith(t, classesText, testMembers(2, policy.Ready))
+	d := h.establishFlows(1)[0]
+	current := h.members[policy.ServerID(10)]
+	if d.member != current.Name {
+		current = h.members[policy.ServerID(11)]
 	}
-	r.execute(policy.Action{Kind: policy.ActionSend, ID: s.id, Server: 10})
-	if s.tries != 1 || r.Counts.Blocked != 1 {
-		t.Fatalf("%d tries, %d barred", s.tries, r.Counts.Blocked)
+	h.execute(policy.Action{Kind: policy.ActionSend, ID: d.id, Server: 10})
+	if d.attempts != 1 || h.Counts.Blocked != 1 {
+		t.Fatalf("%d attempts, %d blocked", d.attempts, h.Counts.Blocked)
 	}
-	if r.UpdateMembers(policy.ListDelta, []Member{r.drains(at.ID)}); s.moved != 1 {
-		t.Errorf("moved %d times", s.moved)
+	if h.UpdateMembers(policy.ListDelta, []Member{h.draining(current.ID)}); d.migrations != 1 {
+		t.Errorf("migrated %d times", d.migrations)
 	}
 }
 
-// TestDeferredChanges: while the flows of a member leave spread over an agreed time, another word on that member counts at once: an ejection by
-// the fleet or by this relay's own operators moves the rest now, and so does a drain in less time.
+// TestDeferredChanges: while a removal by the fleet migrates a member's flows over a time, a later decision counts at once: an ejection by
+// the fleet or by this relay's operators migrates the rest now, and a removal with less time within that.
 func TestDeferredChanges(t *testing.T) {
-	over := func(d time.Duration, ban bool) map[string]Removal {
-		return map[string]Removal{"m0": {SpreadOver: d, Ejection: ban}}
-	}
-	for name, change := range map[string]func(r *rig){
-		"a ban by the fleet":    func(r *rig) { r.SetFleetRemovals(over(0, true)) },
-		"an operator's ban":     func(r *rig) { r.Eject("m0") },
-		"a drain in less time":  func(r *rig) { r.SetFleetRemovals(over(2*time.Second, false)); r.pass(time.Second) },
-		"a ban after the drain": func(r *rig) { r.Eject("m0"); r.SetFleetRemovals(nil) },
+	removal := func(spreadOver time.Duration, ejection bool) map[string]Removal {
+		return map[string]Removal{"m0": {SpreadOver: spreadOver, Ejection: ejection}}
+	}
+	for name, change := range map[string]func(h *harness){
+		"ejection by the fleet":      func(h *harness) { h.SetFleetRemovals(removal(0, true)) },
+		"ejection by an operator":    func(h *harness) { h.Eject("m0") },
+		"removal with less time":     func(h *harness) { h.SetFleetRemovals(removal(2*time.Second, false)); h.advance(time.Second) },
+		"ejection after the removal": func(h *harness) { h.Eject("m0"); h.SetFleetRemovals(nil) },
 	} {
-		r := newRigOf(t, classesText, list(1, policy.Ready))
-		all := r.up(8)
-		r.SetFleetRemovals(over(time.Hour, false))
-		r.pass(time.Second)
-		change(r)
-		r.pass(0)
-		for _, s := range all {
-			if s.out > 0 {
-				t.Errorf("%s: request %d is not moved", name, s.id)
+		h := newHarnessWith(t, classesText, testMembers(1, policy.Ready))
+		flows := h.establishFlows(8)
+		h.SetFleetRemovals(removal(time.Hour, false))
+		h.advance(time.Second)
+		change(h)
+		h.advance(0)
+		for _, d := range flows {
+			if d.inFlight > 0 {
+				t.Errorf("%s: request %d is not migrated", name, d.id)
 			}
 		}
 	}
-	r := newRigOf(t, classesText, list(1, policy.Ready))
-	r.up(1)
-	r.SetFleetRemovals(over(time.Hour, false))
-	before := len(r.timers)
+	h := newHarnessWith(t, classesText, testMembers(1, policy.Ready))
+	h.establishFlows(1)
+	h.SetFleetRemovals(removal(time.Hour, false))
+	before := len(h.timers)
 	for range 10 {
-		r.SetFleetRemovals(over(time.Hour, false))
+		h.SetFleetRemovals(removal(time.Hour, false))
 	}
-	if n := len(r.timers); n != before {
-		t.Errorf("%d alarms, %d after the same was agreed again", before, n)
+	if n := len(h.timers); n != before {
+		t.Errorf("%d timers, %d after the same removal again", before, n)
 	}
 }
 
-// TestAdoptDeferred: flows that another process passes on leave a member spread over the time that is agreed, as those that were here.
+// TestAdoptDeferred: flows adopted from another process are migrated over the time of a removal, like this process's own.
 func TestAdoptDeferred(t *testing.T) {
-	r := newRigOf(t, classesText, list(1, policy.Ready))
-	r.SetFleetRemovals(map[string]Removal{"m0": {SpreadOver: 10 * time.Second}})
-	var all []*side
+	h := newHarnessWith(t, classesText, testMembers(1, policy.Ready))
+	h.SetFleetRemovals(map[string]Removal{"m0": {SpreadOver: 10 * time.Second}})
+	var adopted []*downstream
 	for range 10 {
-		s := &side{r: r, out: 1, tries: 1}
-		s.id, _, _ = r.AdoptFlow(FlowTransfer{Member: "m0"}, s)
-		all = append(all, s)
+		d := &downstream{harness: h, inFlight: 1, attempts: 1}
+		d.id, _, _ = h.AdoptFlow(FlowTransfer{Member: "m0"}, d)
+		adopted = append(adopted, d)
 	}
-	moved := func() (n int) {
-		for _, s := range all {
-			n += s.moved
-		}
-		return n
-	}
-	r.pass(5 * time.Second)
-	if n := moved(); n < 3 || n > 7 {
-		t.Errorf("%d of 10 moved after half of the time", n)
+	h.advance(5 * time.Second)
+	if n := migrations(adopted); n < 3 || n > 7 {
+		t.Errorf("%d of 10 migrated after half of the time", n)
 	}
-	if r.pass(5 * time.Second); moved() != 10 {
-		t.Errorf("%d of 10 moved after the time", moved())
+	if h.advance(5 * time.Second); migrations(adopted) != 10 {
+		t.Errorf("%d of 10 migrated after the time", migrations(adopted))
 	}
 }
 
-// TestLateRetry: where the loop comes so late that the pause before a further attempt and the policy's time for an answer are over
-// together, no attempt begins that is abandoned at once.
+// TestLateRetry: if the loop is so late that a retry's backoff and the time for an answer are over at once, no attempt is started only to be
+// cancelled.
 func TestLateRetry(t *testing.T) {
-	r := newRigOf(t, strings.Replace(classesText, `"answer-slack-ms":8`, `"answer-slack-ms":60`, 1), list(3, policy.Ready))
-	s := r.bring(safeClass, 2*time.Second)
-	r.now += 1600 * time.Millisecond
-	s.ends(policy.Error)
-	r.now += 350 * time.Millisecond // within the slack
-	if r.Tick(); s.tries != 1 || s.got() != "rejected" || r.ActiveRequests() != 0 {
-		t.Errorf("%d tries, answers %v, held %d", s.tries, s.answers, r.ActiveRequests())
-	}
-	r.UpdateMembers(policy.ListFull, nil)
-	if learned := r.facade.LearnedState(r.now); len(learned.Servers) != 0 {
-		t.Errorf("the module still holds %v", learned.Servers)
-	}
+	h := newHarnessWith(t, strings.Replace(classesText, `"answer-slack-ms":8`, `"answer-slack-ms":60`, 1), testMembers(3, policy.Ready))
+	d := h.openInClass(idempotentClass, 2*time.Second)
+	h.now += 1600 * time.Millisecond
+	d.endAttempt(policy.Error)
+	h.now += 350 * time.Millisecond // within the slack
+	if h.Tick(); d.attempts != 1 || d.answerText() != "rejected" || h.ActiveRequests() != 0 {
+		t.Errorf("%d attempts, answers %v, %d active", d.attempts, d.answers, h.ActiveRequests())
+	}
+	h.wantNoFlowsInPolicy("after the request")
 }
 
-// TestMaySendDedupWindow: a repeat whose connection comes up only after the window is not sent: the send is when its line leaves.
+// TestMaySendDedupWindow: a retry whose connection is established only after the deduplication window is not sent: what counts is when the
+// request is written.
 func TestMaySendDedupWindow(t *testing.T) {
-	for class, late := range map[int]bool{keyedAll: false, safeClass: true} {
-		r := newRigOf(t, classesText, list(2, policy.Ready))
-		s := r.bring(class, 2*time.Second)
-		r.now += 850 * time.Millisecond
-		s.ends(policy.Reset)
-		if s.out != 1 || s.tries != 2 || !r.MaySend(s.id, 1) {
-			t.Fatalf("class %d: %d out, %d tries; a repeat within the window is not sent", class, s.out, s.tries)
+	for class, allowed := range map[int]bool{keyScopeAllClass: false, idempotentClass: true} {
+		h := newHarnessWith(t, classesText, testMembers(2, policy.Ready))
+		d := h.openInClass(class, 2*time.Second)
+		h.now += 850 * time.Millisecond
+		d.endAttempt(policy.Reset)
+		if d.inFlight != 1 || d.attempts != 2 || !h.MaySend(d.id, 1) {
+			t.Fatalf("class %d: %d in flight, %d attempts; a retry within the window may not be sent", class, d.inFlight, d.attempts)
 		}
-		r.now += 50 * time.Millisecond
-		if r.MaySend(s.id, 1) != late {
-			t.Errorf("class %d, 900 ms after the first send, the window's end: sent is %v, want %v", class, !late, late)
+		h.now += 50 * time.Millisecond
+		if h.MaySend(d.id, 1) != allowed {
+			t.Errorf("class %d, 900 ms after the first send, the window's end: may send %v, want %v", class, !allowed, allowed)
 		}
 	}
 }
 
-// TestClientGoneIdempotency: a client that ends its sending and still listens may be told that coming again is harmless only where it is.
+// TestClientGoneIdempotency: a client that has closed its sending side and still reads may be rejected only if repeating is harmless.
 func TestClientGoneIdempotency(t *testing.T) {
-	for class, harmless := range map[int]bool{safeClass: true, keyedAll: true, keyedZone: false, keyedCell: false, unsafeClass: false} {
-		r := newRigOf(t, classesText, list(2, policy.Ready))
-		out, ran, none := r.bring(class, 2*time.Second), r.bring(class, 2*time.Second), r.bring(class, 2*time.Second)
-		ran.ends(policy.Error)
-		none.ends(policy.Full)
-		if none.out > 0 {
-			none.ends(policy.ConnectFailed)
-		}
-		if got := r.ClientGone(out.id); got != harmless {
-			t.Errorf("class %d, with an attempt out: %v", class, got)
+	for class, harmless := range map[int]bool{idempotentClass: true, keyScopeAllClass: true, keyScopeZoneClass: false, keyScopeCellClass: false, nonIdempotentClass: false} {
+		h := newHarnessWith(t, classesText, testMembers(2, policy.Ready))
+		sent, mayHaveRun, neverRan := h.openThree(class)
+		if got := h.ClientGone(sent.id); got != harmless {
+			t.Errorf("class %d, with an attempt in flight: %v", class, got)
 		}
-		if got := r.ClientGone(ran.id); got != harmless {
-			t.Errorf("class %d, after one that may have run: %v", class, got)
+		if got := h.ClientGone(mayHaveRun.id); got != harmless {
+			t.Errorf("class %d, after an attempt that may have run: %v", class, got)
 		}
-		if !r.ClientGone(none.id) {
-			t.Errorf("class %d, never run: not harmless", class)
+		if !h.ClientGone(neverRan.id) {
+			t.Errorf("class %d, after attempts that never ran: not harmless", class)
 		}
-		if r.ClientGone(none.id) || r.ActiveRequests() != 0 || r.Counts.ClientsGone != 3 {
-			t.Errorf("class %d: held %d, %+v", class, r.ActiveRequests(), r.Counts)
+		if h.ClientGone(neverRan.id) || h.ActiveRequests() != 0 || h.Counts.ClientsGone != 3 {
+			t.Errorf("class %d: %d active, %+v", class, h.ActiveRequests(), h.Counts)
 		}
 	}
 }
 
-// TestRetryAfter: whoever rejects, for whatever cause, tells the client to come again after no longer than clients heed, and
-// tells it nothing where the settings say that clients get no advice.
+// TestRetryAfter: a rejection's Retry-After never exceeds the limit of the settings, whatever the cause, and there is none if the settings
+// turn it off.
 func TestRetryAfter(t *testing.T) {
-	for limits, most := range map[string]time.Duration{
+	for limits, maxRetryAfter := range map[string]time.Duration{
 		`"max-attempts":3,"retry-after":true,"max-retry-after-ms":200`:   200 * time.Millisecond,
 		`"max-attempts":3,"max-retry-after-ms":200`:                      200 * time.Millisecond,
 		`"max-attempts":3,"retry-after":false,"max-retry-after-ms":2000`: 0,
 	} {
 		text := strings.Replace(classesText, `"max-attempts":3`, limits, 1)
-		for what, reject := range map[string]func(r *rig) *side{
-			"no room":      func(r *rig) *side { s := r.bring(safeClass, 2*time.Second); r.pass(2 * time.Second); return s },
-			"no time":      func(r *rig) *side { return r.bring(safeClass, 0) },
-			"a stop":       func(r *rig) *side { r.Stop(); return r.bring(safeClass, 2*time.Second) },
-			"a stop's end": func(r *rig) *side { s := r.bring(safeClass, 2*time.Second); r.Stop(); r.FinishStop(); return s },
-			"the ledger":   func(r *rig) *side { r.shut = true; return r.bring(safeClass, 2*time.Second) },
+		for cause, reject := range map[string]func(h *harness) *downstream{
+			"no capacity": func(h *harness) *downstream {
+				d := h.openInClass(idempotentClass, 2*time.Second)
+				h.advance(2 * time.Second)
+				return d
+			},
+			"no time left": func(h *harness) *downstream { return h.openInClass(idempotentClass, 0) },
+			"stop":         func(h *harness) *downstream { h.Stop(); return h.openInClass(idempotentClass, 2*time.Second) },
+			"end of a stop": func(h *harness) *downstream {
+				d := h.openInClass(idempotentClass, 2*time.Second)
+				h.Stop()
+				h.FinishStop()
+				return d
+			},
+			"recorder not ready": func(h *harness) *downstream { h.notReady = true; return h.openInClass(idempotentClass, 2*time.Second) },
 		} {
-			r := newRigOf(t, text, list(2, policy.Draining))
-			s := reject(r)
-			if s.got() != "rejected" || s.after > most || s.after < 0 {
-				t.Errorf("%s, %s: %s, after %v, at most %v", limits, what, s.got(), s.after, most)
+			h := newHarnessWith(t, text, testMembers(2, policy.Draining))
+			d := reject(h)
+			if d.answerText() != "rejected" || d.retryAfter > maxRetryAfter || d.retryAfter < 0 {
+				t.Errorf("%s, %s: %s, Retry-After %v, at most %v", limits, cause, d.answerText(), d.retryAfter, maxRetryAfter)
 			}
 		}
-		r := newRigOf(t, text, nil)
-		if after := r.RetryAfter(time.Hour); after > most {
-			t.Errorf("%s: advice for fronts of %v, at most %v", limits, after, most)
+		h := newHarnessWith(t, text, nil)
+		if after := h.RetryAfter(time.Hour); after > maxRetryAfter {
+			t.Errorf("%s: Retry-After %v for the fronts, at most %v", limits, after, maxRetryAfter)
 		}
 	}
 }
 
-// TestNoDedupWindow: a class whose repeats are told apart by a key, but for no time that the settings name, is never repeated once it
-// may have run.
+// TestNoDedupWindow: with an idempotency key but no deduplication window in the settings, a request that may have run is never retried.
 func TestNoDedupWindow(t *testing.T) {
 	for _, window := range []string{`,"window-ms":0`, ``, `,"window-ms":-1`} {
-		r := newRigOf(t, strings.ReplaceAll(classesText, `,"window-ms":900`, window), list(2, policy.Ready))
-		s := r.bring(keyedAll, 2*time.Second)
-		s.ends(policy.Reset)
-		if r.pass(2 * time.Second); s.tries != 1 || s.got() == "" {
-			t.Errorf("%q: %d attempts, answers %v", window, s.tries, s.answers)
+		h := newHarnessWith(t, strings.ReplaceAll(classesText, `,"window-ms":900`, window), testMembers(2, policy.Ready))
+		d := h.openInClass(keyScopeAllClass, 2*time.Second)
+		d.endAttempt(policy.Reset)
+		if h.advance(2 * time.Second); d.attempts != 1 || d.answerText() == "" {
+			t.Errorf("%q: %d attempts, answers %v", window, d.attempts, d.answers)
 		}
 	}
 }
