--- a/integration/line_test.go
+++ b/integration/line_test.go
@@ -99,8 +99,8 @@
 // TestMemberFaults: members that turn away, fail or reset cost a request at most three
 // attempts, one after another, and every request gets exactly one final answer.
 func TestMemberFaults(t *testing.T) {
-	for _, mode := range []string{"busy", "err", "reset"} {
-		t.Run(mode, func(t *testing.T) {
+	for _, mode := range []fakes.MemberMode{fakes.ModeBusy, fakes.ModeErr, fakes.ModeReset} {
+		t.Run(string(mode), func(t *testing.T) {
 			s := newLineRig(t, 3, nil)
 			s.backends[0].SetMode(mode)
 			s.backends[1].SetMode(mode)
--- a/internal/fakes/member.go
+++ b/internal/fakes/member.go
@@ -8,14 +8,17 @@
 	"time"
 )
 
-// Modes of a member's answers.
+// MemberMode is how a member answers.
+type MemberMode string
+
+// The modes of a member.
 const (
-	ModeHealthy      = ""       // UP, and each line at once
-	ModeBusy         = "busy"   // first lines are answered with BUSY
-	ModeErr          = "err"    // first lines are answered with ERR
-	ModeReset        = "reset"  // first lines are answered with a reset
-	ModeSilent       = "silent" // first lines are not answered
-	ModeUnresponsive = "mute"   // nothing is answered, health checks and open flows included
+	ModeHealthy      MemberMode = ""       // UP, and each line at once
+	ModeBusy         MemberMode = "busy"   // first lines are answered with BUSY
+	ModeErr          MemberMode = "err"    // first lines are answered with ERR
+	ModeReset        MemberMode = "reset"  // first lines are answered with a reset
+	ModeSilent       MemberMode = "silent" // first lines are not answered
+	ModeUnresponsive MemberMode = "mute"   // nothing is answered, health checks and open flows included
 )
 
 // Attempt is an attempt that has reached a member.
@@ -44,7 +47,7 @@
 
 	mu           sync.Mutex
 	listeners    []*memberListener
-	mode         string
+	mode         MemberMode
 	flows        map[net.Conn]*flow
 	conns        map[net.Conn]bool
 	groups       map[string]int // flows by group
@@ -156,13 +159,13 @@
 }
 
 // SetMode sets how the member answers from now on.
-func (m *Member) SetMode(mode string) {
+func (m *Member) SetMode(mode MemberMode) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.mode = mode
 }
 
-func (m *Member) hasMode(mode string) bool {
+func (m *Member) hasMode(mode MemberMode) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.mode == mode
--- a/internal/fakes/member_flow.go
+++ b/internal/fakes/member_flow.go
@@ -150,7 +150,7 @@
 
 // answerInMode answers a first line without accepting it. The attempt's end is recorded before the answer is written: the next
 // attempt may arrive before this goroutine continues.
-func (f *flow) answerInMode(mode string) {
+func (f *flow) answerInMode(mode MemberMode) {
 	switch mode {
 	case ModeBusy:
 		f.Rejected = true
--- a/internal/scenario/judge.go
+++ b/internal/scenario/judge.go
@@ -46,7 +46,7 @@
 		memberUpdates: map[relayMember]memberUpdate{}, excuses: map[string][]span{}, idleFloods: map[string][]span{}}
 }
 
-func (j *Judge) violate(at time.Duration, rule, relay, format string, args ...any) {
+func (j *Judge) violate(at time.Duration, rule Rule, relay, format string, args ...any) {
 	j.violations = append(j.violations, Violation{at, rule, relay, fmt.Sprintf(format, args...)})
 }
 
--- a/internal/scenario/judge_test.go
+++ b/internal/scenario/judge_test.go
@@ -6,8 +6,8 @@
 )
 
 // rules counts what a judge found, by rule.
-func rules(j *Judge) map[string]int {
-	found := map[string]int{}
+func rules(j *Judge) map[Rule]int {
+	found := map[Rule]int{}
 	for _, b := range j.Finish(time.Hour) {
 		found[b.Rule]++
 	}
@@ -50,7 +50,7 @@
 	for what, c := range map[string]struct {
 		effect Effect
 		play   func(j *Judge)
-		rule   string
+		rule   Rule
 	}{
 		"a safe one again":                 {Effect{}, func(j *Judge) { j.attempt(0, false); j.attempt(900*ms, false) }, ""},
 		"within the window":                {window, func(j *Judge) { j.attempt(0, false); j.attempt(500*ms, false) }, ""},
--- a/internal/scenario/rules.go
+++ b/internal/scenario/rules.go
@@ -26,24 +26,27 @@
 	return s.From + (1-s.From)*age.Seconds()/s.For.Seconds()
 }
 
-// The rules that a relay can break, by the names that results print.
+// Rule is a rule that a relay can break, by the name that results print.
+type Rule string
+
+// The rules.
 const (
-	MultipleAnswers       = "more than one final answer"
-	NoAnswer              = "no final answer"
-	ForgedAnswer          = "an answer that no member made"
-	ConcurrentAttempts    = "two attempts of one request out"
-	TooManyAttempts       = "more attempts than the limit"
-	SentToDraining        = "something new to a draining member"
-	OverloadedInSlowStart = "a cold member overdriven"
-	FlowCutOff            = "a client cut off without MOVE"
-	FlowStalled           = "a client left waiting on a flow that has stopped"
-	RelayCrash            = "a relay ended by itself"
-	SentForGoneClient     = "an attempt for a client that has gone"
-	DisallowedRepeat      = "run again though its effect or its window does not allow it"
-	WrongRejection        = "refused though it may have run"
-	NotReadyInTime        = "a relay not ready in time"
-	DescriptorLeak        = "descriptors that were not given back"
-	MemoryOverLimit       = "a relay over its limit of memory"
+	MultipleAnswers       Rule = "more than one final answer"
+	NoAnswer              Rule = "no final answer"
+	ForgedAnswer          Rule = "an answer that no member made"
+	ConcurrentAttempts    Rule = "two attempts of one request out"
+	TooManyAttempts       Rule = "more attempts than the limit"
+	SentToDraining        Rule = "something new to a draining member"
+	OverloadedInSlowStart Rule = "a cold member overdriven"
+	FlowCutOff            Rule = "a client cut off without MOVE"
+	FlowStalled           Rule = "a client left waiting on a flow that has stopped"
+	RelayCrash            Rule = "a relay ended by itself"
+	SentForGoneClient     Rule = "an attempt for a client that has gone"
+	DisallowedRepeat      Rule = "run again though its effect or its window does not allow it"
+	WrongRejection        Rule = "refused though it may have run"
+	NotReadyInTime        Rule = "a relay not ready in time"
+	DescriptorLeak        Rule = "descriptors that were not given back"
+	MemoryOverLimit       Rule = "a relay over its limit of memory"
 )
 
 // Limits that the protocol sets, apart from Rules.
@@ -63,7 +66,7 @@
 // Violation is a rule that a relay broke.
 type Violation struct {
 	At    time.Duration `json:"at_ns"`
-	Rule  string        `json:"rule"`
+	Rule  Rule          `json:"rule"`
 	Relay string        `json:"relay"`
 	What  string        `json:"what"`
 }
--- a/internal/scenariorunner/scripted_relay_test.go
+++ b/internal/scenariorunner/scripted_relay_test.go
@@ -218,7 +218,7 @@
 	if err := os.WriteFile(filepath.Join(dir, "config.json"), []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for script, rule := range map[string]string{
+	for script, rule := range map[string]scenario.Rule{
 		"honest": "", "multiple answers": scenario.MultipleAnswers, "no answer": scenario.NoAnswer, "forged answer": scenario.ForgedAnswer,
 		"concurrent attempts": scenario.ConcurrentAttempts, "too many attempts": scenario.TooManyAttempts, "sent to draining": scenario.SentToDraining, "overload in slow start": scenario.OverloadedInSlowStart,
 		"flow cut off": scenario.FlowCutOff, "flow stalled": scenario.FlowStalled, "crash": scenario.RelayCrash,
@@ -254,7 +254,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			broken := map[string]int{}
+			broken := map[scenario.Rule]int{}
 			for _, b := range x.Violations {
 				broken[b.Rule]++
 			}
