--- a/internal/consensus/stream_follower.go
+++ b/internal/consensus/stream_follower.go
@@ -18,16 +18,16 @@
 	followRetryDelay       = 50 * time.Millisecond
 )
 
-// streamEnd is why this node ends a stream that did not fail.
-type streamEnd string
-
-func (e streamEnd) Error() string { return string(e) }
+// Why a stream that did not fail is ended, to be opened again at once if it is still needed.
+var (
+	errStreamNotNeeded = errors.New("the engine knows a leader again")
+	errStreamRetry     = errors.New("rejected unread: sent again with the current epoch and start")
+)
 
-const (
-	errStreamNotNeeded  streamEnd = "the engine knows a leader again"
-	errStreamRetry      streamEnd = "rejected unread: sent again with the current epoch and start"
-	errPreferredBack    streamEnd = "the preferred voter is healthy again"
-	errSourceLeaderless streamEnd = "the followed voter knows no leader"
+// Why a stream that did not fail is ended in favour of another voter.
+var (
+	errPreferredBack    = errors.New("the preferred voter is healthy again")
+	errSourceLeaderless = errors.New("the followed voter knows no leader")
 )
 
 // followStatus is what the followed stream last reported.
--- a/internal/consensus/transport.go
+++ b/internal/consensus/transport.go
@@ -89,18 +89,26 @@
 	}
 }
 
+// nextMessage waits for a message of a peer's queue. It returns nil once the peer is removed or the node is closed.
+func (n *Node) nextMessage(p *peer, queue <-chan *pb.Message) *pb.Message {
+	select {
+	case <-p.quit:
+		return nil
+	case <-n.quit:
+		return nil
+	case m := <-queue:
+		return m
+	}
+}
+
 // sendMessages sends a peer's messages, those that wait together in one request, until the peer is removed.
 func (n *Node) sendMessages(p *peer) {
 	for {
-		var messages [][]byte
-		select {
-		case <-p.quit:
-			return
-		case <-n.quit:
+		m := n.nextMessage(p, p.messages)
+		if m == nil {
 			return
-		case m := <-p.messages:
-			messages = n.marshalQueued(m, p.messages)
 		}
+		messages := n.marshalQueued(m, p.messages)
 		var acknowledged map[uint64]logPosition
 		if a := p.acknowledged.Swap(nil); a != nil {
 			acknowledged = *a
@@ -138,18 +146,15 @@
 // sendSnapshots sends a peer's snapshots, and reports to raft what became of them, until the peer is removed.
 func (n *Node) sendSnapshots(p *peer) {
 	for {
-		select {
-		case <-p.quit:
-			return
-		case <-n.quit:
+		m := n.nextMessage(p, p.snapshots)
+		if m == nil {
 			return
-		case m := <-p.snapshots:
-			status := raft.SnapshotFinish
-			if err := n.sendSnapshot(p, m); err != nil {
-				status = raft.SnapshotFailure
-			}
-			n.reportSnapshot(p.id, status)
 		}
+		status := raft.SnapshotFinish
+		if err := n.sendSnapshot(p, m); err != nil {
+			status = raft.SnapshotFailure
+		}
+		n.reportSnapshot(p.id, status)
 	}
 }
 
