--- a/internal/consensus/stream_follower.go
+++ b/internal/consensus/stream_follower.go
@@ -24,12 +24,6 @@
 	errStreamRetry     = errors.New("rejected unread: sent again with the current epoch and start")
 )
 
-// Why a stream that did not fail is ended in favour of another voter.
-var (
-	errPreferredBack    = errors.New("the preferred voter is healthy again")
-	errSourceLeaderless = errors.New("the followed voter knows no leader")
-)
-
 // followStatus is what the followed stream last reported.
 type followStatus struct {
 	source, leader string // names of voters
@@ -183,6 +177,12 @@
 	return errMalformed
 }
 
+// Why a stream that did not fail is ended in favour of another voter.
+var (
+	errPreferredBack    = errors.New("the preferred voter is healthy again")
+	errSourceLeaderless = errors.New("the followed voter knows no leader")
+)
+
 func (f *streamFollower) handleStatus(body []byte) error {
 	r := reader{rest: body}
 	commitIndex, hasQuorum, leader := r.uint(), r.uint() == 1, r.string()
--- a/internal/consensus/supervisor.go
+++ b/internal/consensus/supervisor.go
@@ -113,6 +113,12 @@
 	return n.address
 }
 
+func (n *Node) currentDisk() *disk {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.disk
+}
+
 func (n *Node) roleWithoutDisk() string {
 	if n.isVoter() {
 		return RoleDiskFailed
@@ -120,12 +126,6 @@
 	return RoleFollower
 }
 
-func (n *Node) currentDisk() *disk {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.disk
-}
-
 func (n *Node) directoryFailed() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
