--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,19 +7,21 @@
 	"dahliarudder/policy"
 )
 
-// proxy shows what a proxy does with the actions. This one only prints them.
+// proxy stands for a proxy that carries out the actions. This one only prints them.
 type proxy struct{ probes []policy.ServerID }
 
 func (p *proxy) Send(id policy.RequestID, server policy.ServerID, timeout time.Duration) {
 	fmt.Printf("connect client %d to server %d within %v\n", id, server, timeout)
 }
-func (p *proxy) Reject(id policy.RequestID, _ time.Duration) { fmt.Printf("refuse client %d\n", id) }
+func (p *proxy) Reject(id policy.RequestID, _ time.Duration) { fmt.Printf("reject client %d\n", id) }
 func (p *proxy) Fail(id policy.RequestID)                    { fmt.Printf("fail client %d\n", id) }
-func (p *proxy) Cancel(id policy.RequestID, try int)         { fmt.Printf("give up try %d of %d\n", try, id) }
-func (p *proxy) Migrate(id policy.RequestID)                 { fmt.Printf("ask client %d to reconnect\n", id) }
-func (p *proxy) Probe(server policy.ServerID)                { p.probes = append(p.probes, server) }
-func (p *proxy) Timer(time.Duration, uint64)                 {} // a real proxy calls Timer with the token then
-func (p *proxy) Watch()                                      {} // a real proxy subscribes to the server list
+func (p *proxy) Cancel(id policy.RequestID, attempt int) {
+	fmt.Printf("cancel attempt %d of %d\n", attempt, id)
+}
+func (p *proxy) Migrate(id policy.RequestID)  { fmt.Printf("tell client %d to reconnect\n", id) }
+func (p *proxy) Probe(server policy.ServerID) { p.probes = append(p.probes, server) }
+func (p *proxy) Timer(time.Duration, uint64)  {} // a real proxy calls Balancer.Timer with the token after the delay
+func (p *proxy) Watch()                       {} // a real proxy subscribes to the server list
 
 func Example() {
 	p := &proxy{}
@@ -32,7 +34,7 @@
 	now := time.Hour // any monotonic clock
 	b.UpdateServers(now, policy.ListFull, []policy.Server{{ID: 1, State: policy.Ready, Weight: 1}})
 	b.Request(now, policy.Request{ID: 42, Tenant: 1, Deadline: now + 2*time.Second})
-	for _, server := range p.probes { // the proxy asks the servers and hands in what they say
+	for _, server := range p.probes { // a real proxy probes the servers and passes on their reports
 		b.ProbeResult(now, server, policy.OK, policy.Report{Connections: 3, Load: 0.4, Util: -1})
 	}
 	b.Established(now+20*time.Millisecond, 42)
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -20,57 +20,60 @@
 	t0 = 100 * time.Second
 )
 
-// recorder keeps what a Balancer asked for.
+// recorder keeps the actions that a Balancer requests.
 type recorder struct {
-	log    []string
-	sends  []sent
-	ends   map[RequestID]string
-	probes []ServerID
-	timers []timer
-	moves  []RequestID
-	watch  int
+	log        []string
+	sends      []sentRequest
+	answers    map[RequestID]string
+	probes     []ServerID
+	timers     []requestedTimer
+	migrations []RequestID
+	watches    int
 }
 
-type sent struct {
+type sentRequest struct {
 	id      RequestID
 	server  ServerID
 	timeout time.Duration
 }
 
-type timer struct {
+type requestedTimer struct {
 	delay time.Duration
 	token uint64
 }
 
-func (r *recorder) note(format string, args ...any) {
+func (r *recorder) logf(format string, args ...any) {
 	r.log = append(r.log, fmt.Sprintf(format, args...))
 }
 
 func (r *recorder) Send(id RequestID, server ServerID, timeout time.Duration) {
-	r.sends = append(r.sends, sent{id, server, timeout})
-	r.note("send %d %d %v", id, server, timeout)
+	r.sends = append(r.sends, sentRequest{id, server, timeout})
+	r.logf("send %d %d %v", id, server, timeout)
 }
 
-func (r *recorder) end(id RequestID, how string) {
-	if r.ends == nil {
-		r.ends = map[RequestID]string{}
+func (r *recorder) answer(id RequestID, answer string) {
+	if r.answers == nil {
+		r.answers = map[RequestID]string{}
 	}
-	r.ends[id] += how
-	r.note("%s %d", how, id)
+	r.answers[id] += answer
+	r.logf("%s %d", answer, id)
 }
 
-func (r *recorder) Reject(id RequestID, _ time.Duration) { r.end(id, "refused") }
-func (r *recorder) Fail(id RequestID)                    { r.end(id, "failed") }
-func (r *recorder) Cancel(id RequestID, try int)         { r.note("cancel %d %d", id, try) }
-func (r *recorder) Migrate(id RequestID)                 { r.moves = append(r.moves, id); r.note("move %d", id) }
-func (r *recorder) Probe(s ServerID)                     { r.probes = append(r.probes, s); r.note("probe %d", s) }
-func (r *recorder) Watch()                               { r.watch++; r.note("watch") }
+func (r *recorder) Reject(id RequestID, _ time.Duration) { r.answer(id, "rejected") }
+func (r *recorder) Fail(id RequestID)                    { r.answer(id, "failed") }
+func (r *recorder) Cancel(id RequestID, attempt int)     { r.logf("cancel %d %d", id, attempt) }
+func (r *recorder) Migrate(id RequestID) {
+	r.migrations = append(r.migrations, id)
+	r.logf("migrate %d", id)
+}
+func (r *recorder) Probe(s ServerID) { r.probes = append(r.probes, s); r.logf("probe %d", s) }
+func (r *recorder) Watch()           { r.watches++; r.logf("watch") }
 func (r *recorder) Timer(d time.Duration, token uint64) {
-	r.timers = append(r.timers, timer{d, token})
-	r.note("timer %v %x", d, token)
+	r.timers = append(r.timers, requestedTimer{d, token})
+	r.logf("timer %v %x", d, token)
 }
 
-// settings returns plain settings for tests: two tenants, one class, one zone.
+// settings has two tenants, one class and one zone.
 func settings() Settings {
 	return Settings{
 		Balancers: 1, Zones: 1,
@@ -82,7 +85,7 @@
 	}
 }
 
-// fleet is n ready servers, long started, spread over the zones.
+// fleet returns n ready servers that are past their slow start, spread over the zones.
 func fleet(n, zones int) []Server {
 	list := make([]Server, n)
 	for i := range list {
@@ -91,85 +94,85 @@
 	return list
 }
 
-// rig is a Balancer with its recorder and the load its servers report.
-type rig struct {
+// harness is a Balancer, the recorder of its actions, and the load reports of its servers.
+type harness struct {
 	*Balancer
 	*recorder
-	now   time.Duration
-	load  map[ServerID]float64
-	count map[ServerID]float64
-	next  RequestID
+	now         time.Duration
+	load        map[ServerID]float64
+	connections map[ServerID]float64
+	next        RequestID
 }
 
-func newRig(set Settings, list []Server) *rig {
+func newHarness(set Settings, list []Server) *harness {
 	rec := &recorder{}
-	g := &rig{recorder: rec, now: t0, load: map[ServerID]float64{}, count: map[ServerID]float64{}}
-	g.Balancer = New(set, 7, rec)
-	g.Start()
-	g.UpdateServers(t0, ListCached, list)
-	return g
-}
-
-// answer answers the probes sent so far.
-func (g *rig) answer() {
-	for len(g.probes) > 0 {
-		id := g.probes[0]
-		g.probes = g.probes[1:]
-		n, ok := g.count[id]
+	h := &harness{recorder: rec, now: t0, load: map[ServerID]float64{}, connections: map[ServerID]float64{}}
+	h.Balancer = New(set, 7, rec)
+	h.Start()
+	h.UpdateServers(t0, ListCached, list)
+	return h
+}
+
+// answerProbes answers all pending probes.
+func (h *harness) answerProbes() {
+	for len(h.probes) > 0 {
+		id := h.probes[0]
+		h.probes = h.probes[1:]
+		connections, ok := h.connections[id]
 		if !ok {
-			n = 10
+			connections = 10
 		}
-		g.ProbeResult(g.now, id, OK, Report{Connections: n, Load: g.load[id], Util: -1})
+		h.ProbeResult(h.now, id, OK, Report{Connections: connections, Load: h.load[id], Util: -1})
 	}
 }
 
-// ask brings a request and answers the probes it causes.
-func (g *rig) ask(q Request) RequestID {
-	g.next++
-	q.ID = g.next
+// submit passes a request to the Balancer and answers the probes that it causes.
+func (h *harness) submit(q Request) RequestID {
+	h.next++
+	q.ID = h.next
 	if q.Deadline == 0 {
-		q.Deadline = g.now + 2*time.Second
+		q.Deadline = h.now + 2*time.Second
 	}
 	if q.Load == 0 {
 		q.Load = 1
 	}
-	g.Request(g.now, q)
-	g.answer()
+	h.Request(h.now, q)
+	h.answerProbes()
 	return q.ID
 }
 
-// where returns the server of the latest attempt of a request, 0 if none.
-func (g *rig) where(id RequestID) ServerID {
-	at := ServerID(0)
-	for _, s := range g.sends {
+// serverOf returns the server of a request's latest attempt, 0 if it has none.
+func (h *harness) serverOf(id RequestID) ServerID {
+	var server ServerID
+	for _, s := range h.sends {
 		if s.id == id {
-			at = s.server
+			server = s.server
 		}
 	}
-	return at
+	return server
 }
 
-// fire lets the timers due within d happen, in order of their delay.
-func (g *rig) fire(d time.Duration) {
-	due := g.timers
-	g.timers = nil
+// fireTimers fires the timers that are due within d, in the order in which they were requested.
+func (h *harness) fireTimers(d time.Duration) {
+	due := h.timers
+	h.timers = nil
 	for _, t := range due {
 		if t.delay <= d {
-			g.Balancer.Timer(g.now+t.delay, t.token)
-			g.answer()
+			h.Balancer.Timer(h.now+t.delay, t.token)
+			h.answerProbes()
 		} else {
-			g.timers = append(g.timers, t)
+			h.timers = append(h.timers, t)
 		}
 	}
 }
 
-// TestSlices guards against proxies that disagree about homes, and against slices that a change reshuffles.
+// TestSlices: proxies agree on the home slice of each tenant, and a change of the list moves no more of it than it must.
 func TestSlices(t *testing.T) {
 	set := settings()
 	set.Zones = 2
 	set.Tenants = []Tenant{{Share: 0.6}, {Share: 0.3}, {Share: 0.1}, {Share: 1e-6}}
 	list := fleet(60, 2)
-	a, b := newRig(set, list), New(set, 99, &recorder{})
+	a, b := newHarness(set, list), New(set, 99, &recorder{})
 	shuffled := append([]Server(nil), list...)
 	rand.New(rand.NewPCG(1, 2)).Shuffle(len(shuffled), func(i, j int) {
 		shuffled[i], shuffled[j] = shuffled[j], shuffled[i]
@@ -187,10 +190,10 @@
 		}
 	}
 	if n := len(ids(a.Balancer, 0)); n < 25 || n > 47 {
-		t.Errorf("tenant with 0.6 of the shares owns %d of 60 servers", n)
+		t.Errorf("tenant with a share of 0.6 has %d home servers of 60", n)
 	}
 	if n := len(ids(a.Balancer, 3)); n != 2 {
-		t.Errorf("tenant too small to own a server has %d homes, want one a zone", n)
+		t.Errorf("tenant with too small a share for a server has %d home servers, want one for each zone", n)
 	}
 	before := ids(a.Balancer, 0)
 	gone := list[0]
@@ -198,100 +201,86 @@
 	a.UpdateServers(t0, ListDelta, []Server{gone})
 	after := ids(a.Balancer, 0)
 	for _, id := range after {
-		if !contains(before, id) {
-			t.Errorf("server %d changed hands though only %d left", id, gone.ID)
+		if !slices.Contains(before, id) {
+			t.Errorf("server %d joined the slice though only %d left it", id, gone.ID)
 		}
 	}
 }
 
-func contains(list []ServerID, id ServerID) bool {
-	for _, x := range list {
-		if x == id {
-			return true
-		}
-	}
-	return false
+func (h *harness) isHome(tenant int, id ServerID) bool {
+	return slices.ContainsFunc(h.homeSlice(tenant), func(s *server) bool { return s.ID == id })
 }
 
-func (g *rig) home(tenant int, id ServerID) bool {
-	for _, s := range g.homeSlice(tenant) {
-		if s.ID == id {
-			return true
-		}
-	}
-	return false
-}
-
-// TestPlacement tells home, foreign and refused decisions apart.
+// TestPlacement: a request goes to its tenant's home slice, to a foreign server that lends capacity, or is rejected.
 func TestPlacement(t *testing.T) {
 	tests := []struct {
 		name          string
 		home, foreign float64 // load reported by the slice and by the others
-		h             float64
+		lending       float64
 		want          string
 	}{
-		{"home has room", 0.2, 0.1, 1, "home"},
+		{"home has capacity", 0.2, 0.1, 1, "home"},
 		{"home full, others lend", 0.9, 0.2, 1, "foreign"},
-		{"home full, others over h", 0.9, 0.5, 0.2, "refused"},
-		{"nobody has room", 0.95, 0.95, 1, "refused"},
+		{"home full, others over the lending threshold", 0.9, 0.5, 0.2, "rejected"},
+		{"no capacity anywhere", 0.95, 0.95, 1, "rejected"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			g := newRig(settings(), fleet(10, 1))
-			for _, s := range g.servers {
-				g.load[s.ID] = tt.foreign
-				if g.home(0, s.ID) {
-					g.load[s.ID] = tt.home
+			h := newHarness(settings(), fleet(10, 1))
+			for _, s := range h.servers {
+				h.load[s.ID] = tt.foreign
+				if h.isHome(0, s.ID) {
+					h.load[s.ID] = tt.home
 				}
 			}
-			g.lendingThresholds[1] = tt.h
-			g.foreignFlows, g.ownFlows = 50, 100 // a settled view of its own foreign share
-			id := g.ask(Request{Tenant: 0, Load: 0.5})
-			g.fire(150 * ms)
-			g.now += 350 * ms
-			g.fire(time.Second)
-			got := "refused"
-			if at := g.where(id); at != 0 {
-				got = map[bool]string{true: "home", false: "foreign"}[g.home(0, at)]
-			} else if g.ends[id] != "refused" {
+			h.lendingThresholds[1] = tt.lending
+			h.foreignFlows, h.ownFlows = 50, 100 // enough flows for an estimate of the foreign share
+			id := h.submit(Request{Tenant: 0, Load: 0.5})
+			h.fireTimers(150 * ms)
+			h.now += 350 * ms
+			h.fireTimers(time.Second)
+			got := "rejected"
+			if server := h.serverOf(id); server != 0 {
+				got = map[bool]string{true: "home", false: "foreign"}[h.isHome(0, server)]
+			} else if h.answers[id] != "rejected" {
 				got = "open"
 			}
 			if got != tt.want {
-				t.Errorf("decision %s, want %s\n%s", got, tt.want, strings.Join(g.log, "\n"))
+				t.Errorf("placement %s, want %s\n%s", got, tt.want, strings.Join(h.log, "\n"))
 			}
 		})
 	}
 }
 
-// TestThresholdAdapts: owners that find their home full lower h, owners that find capacity bring it back.
+// TestThresholdAdapts: requests that find their home slice full lower its lending threshold, and requests that find capacity raise it.
 func TestThresholdAdapts(t *testing.T) {
-	g := newRig(settings(), fleet(10, 1))
-	for _, s := range g.servers {
-		if g.home(0, s.ID) {
-			g.load[s.ID] = 0.95
+	h := newHarness(settings(), fleet(10, 1))
+	for _, s := range h.servers {
+		if h.isHome(0, s.ID) {
+			h.load[s.ID] = 0.95
 		}
 	}
 	for range 6 {
-		g.now += time.Second
-		g.ask(Request{Tenant: 0})
+		h.now += time.Second
+		h.submit(Request{Tenant: 0})
 	}
-	low := g.lendingThresholds[0]
-	if low > 0.6 || low < lendMin {
-		t.Errorf("h after six blocked owners %v", low)
+	lowered := h.lendingThresholds[0]
+	if lowered > 0.6 || lowered < lendMin {
+		t.Errorf("threshold %v after six requests that found their home full", lowered)
 	}
-	for id := range g.load {
-		g.load[id] = 0.1
+	for id := range h.load {
+		h.load[id] = 0.1
 	}
 	for range 20 {
-		g.now += time.Second
-		g.ask(Request{Tenant: 0})
+		h.now += time.Second
+		h.submit(Request{Tenant: 0})
 	}
-	if g.lendingThresholds[0] <= low {
-		t.Errorf("h stays at %v though owners find room", g.lendingThresholds[0])
+	if h.lendingThresholds[0] <= lowered {
+		t.Errorf("threshold stays at %v though requests find capacity at home", h.lendingThresholds[0])
 	}
 }
 
-// TestForeignShare: a small sample leans on the proxy's wider share, a large one speaks for itself.
+// TestForeignShare: the share of a server with few connections is shrunk towards the proxy's, that of one with many is its own.
 func TestForeignShare(t *testing.T) {
 	b := New(settings(), 1, &recorder{})
 	b.foreignFlows, b.ownFlows = 10, 100
@@ -304,7 +293,7 @@
 	}
 }
 
-// TestPickSpreads guards against a herd: the emptier server is preferred, yet not by all.
+// TestPickSpreads: the emptier server is preferred, but not by all proxies, which would overload it together.
 func TestPickSpreads(t *testing.T) {
 	set := settings()
 	set.Tenants = nil
@@ -327,102 +316,102 @@
 	}
 }
 
-// TestOverQuota: under pressure the tenant over its share is refused, the other is not.
+// TestOverQuota: under load, requests of a tenant over its quota are rejected, those of the others are not.
 func TestOverQuota(t *testing.T) {
 	set := settings()
 	set.Tenants = []Tenant{{Share: 0.5, Quota: 4}, {Share: 0.5, Quota: 100}}
 	set.ProbePrice = 0
-	g := newRig(set, fleet(4, 1))
+	h := newHarness(set, fleet(4, 1))
 	for range 8 {
-		g.now += time.Second
-		g.ask(Request{Tenant: 0, Load: 0.1})
+		h.now += time.Second
+		h.submit(Request{Tenant: 0, Load: 0.1})
 	}
-	for _, s := range g.servers {
-		g.load[s.ID] = 0.72
-		g.applyReport(g.now, s, Report{Connections: 10, Load: 0.72, Util: -1})
+	for _, s := range h.servers {
+		h.load[s.ID] = 0.72
+		h.applyReport(h.now, s, Report{Connections: 10, Load: 0.72, Util: -1})
 	}
-	if id := g.ask(Request{Tenant: 0, Load: 0.1}); g.ends[id] != "refused" {
-		t.Errorf("tenant over its share: %q under pressure, want refused\n%s", g.ends[id], strings.Join(g.log, "\n"))
+	if id := h.submit(Request{Tenant: 0, Load: 0.1}); h.answers[id] != "rejected" {
+		t.Errorf("tenant over its quota: %q, want rejected\n%s", h.answers[id], strings.Join(h.log, "\n"))
 	}
-	if id := g.ask(Request{Tenant: 1, Load: 0.1}); g.where(id) == 0 {
-		g.fire(200 * ms)
-		if g.where(id) == 0 {
-			t.Errorf("tenant within its share not placed")
+	if id := h.submit(Request{Tenant: 1, Load: 0.1}); h.serverOf(id) == 0 {
+		h.fireTimers(200 * ms)
+		if h.serverOf(id) == 0 {
+			t.Errorf("tenant within its quota not placed")
 		}
 	}
 }
 
-// TestGroups guards against a group paid for in the slice of every tenant: its few servers are the same for all.
+// TestGroups: the few servers of a group are the same for all tenants, as each further server costs capacity for the group.
 func TestGroups(t *testing.T) {
 	set := settings()
 	set.Groups = true
-	used := map[ServerID]bool{}
+	usedServers := map[ServerID]bool{}
 	for seed := range uint64(40) {
 		rec := &recorder{}
-		g := &rig{Balancer: New(set, seed, rec), recorder: rec, now: t0, load: map[ServerID]float64{}}
-		g.UpdateServers(t0, ListCached, fleet(20, 1))
-		used[g.where(g.ask(Request{Tenant: int(seed % 2), Group: 77, Load: 0.1}))] = true
+		h := &harness{Balancer: New(set, seed, rec), recorder: rec, now: t0, load: map[ServerID]float64{}}
+		h.UpdateServers(t0, ListCached, fleet(20, 1))
+		usedServers[h.serverOf(h.submit(Request{Tenant: int(seed % 2), Group: 77, Load: 0.1}))] = true
 	}
-	if len(used) > 1 || used[0] {
-		t.Errorf("one group went to %d servers while the first had room", len(used))
+	if len(usedServers) > 1 || usedServers[0] {
+		t.Errorf("one group went to %d servers while the first had capacity", len(usedServers))
 	}
 }
 
-// TestGroupStays guards against paying for a group on one more server: a proxy that holds a connection of it sends the
-// next ones there, though another server comes first in the order of the group, until it is full.
-func TestGroupStays(t *testing.T) {
+// TestGroupKeepsServer: a proxy with a connection of a group sends the next ones to the same server until it is full, even if another
+// server is first in the order of the group.
+func TestGroupKeepsServer(t *testing.T) {
 	set := settings()
 	set.Groups = true
 	for _, load := range []float64{0.4, 0.9} {
-		first := alone(set, Request{Group: 77, Load: 0.1})
-		g := newRig(set, fleet(8, 1))
-		var held ServerID
-		for _, s := range g.servers {
+		first := firstChoice(set, Request{Group: 77, Load: 0.1})
+		h := newHarness(set, fleet(8, 1))
+		var current ServerID
+		for _, s := range h.servers {
 			if s.ID != first {
-				held = s.ID
+				current = s.ID
 			}
 		}
-		g.AddExisting(g.now, Request{ID: 500, Group: 77, Load: 0.1}, held)
-		g.load[held] = load
-		g.now += time.Second
-		if to := g.where(g.ask(Request{Group: 77, Load: 0.1})); (to == held) != (load < fillHigh) {
-			t.Errorf("at load %v: sent to %d, held at %d, first is %d", load, to, held, first)
+		h.AddExisting(h.now, Request{ID: 500, Group: 77, Load: 0.1}, current)
+		h.load[current] = load
+		h.now += time.Second
+		if to := h.serverOf(h.submit(Request{Group: 77, Load: 0.1})); (to == current) != (load < fillHigh) {
+			t.Errorf("at load %v: sent to %d, current is %d, first is %d", load, to, current, first)
 		}
 	}
 }
 
-// alone is where a request goes while eight servers are empty.
-func alone(set Settings, q Request) ServerID {
-	g := newRig(set, fleet(8, 1))
-	return g.where(g.ask(q))
+// firstChoice returns the server that a request is sent to while all eight are empty.
+func firstChoice(set Settings, q Request) ServerID {
+	h := newHarness(set, fleet(8, 1))
+	return h.serverOf(h.submit(q))
 }
 
-// TestGroupSpill guards against paying for a group everywhere: once its home is full it goes on to the next server in
-// its order that is empty enough for many of it, and is rejected where all others have room for a few only.
+// TestGroupSpill: once the first server of a group is full, the group spills to the next one in its order that has capacity for many of its
+// connections, and is rejected if all others have capacity for a few only.
 func TestGroupSpill(t *testing.T) {
 	set := settings()
 	set.Groups = true
-	home := alone(set, Request{Group: 77, Load: 0.1})
+	home := firstChoice(set, Request{Group: 77, Load: 0.1})
 	for _, others := range []float64{0.2, 0.7} {
-		used := map[ServerID]bool{}
+		usedServers := map[ServerID]bool{}
 		for seed := range uint64(40) {
 			rec := &recorder{}
-			g := &rig{Balancer: New(set, seed, rec), recorder: rec, now: t0, load: map[ServerID]float64{}}
-			g.UpdateServers(t0, ListCached, fleet(8, 1))
-			for _, s := range g.servers {
-				g.load[s.ID] = others
+			h := &harness{Balancer: New(set, seed, rec), recorder: rec, now: t0, load: map[ServerID]float64{}}
+			h.UpdateServers(t0, ListCached, fleet(8, 1))
+			for _, s := range h.servers {
+				h.load[s.ID] = others
 			}
-			g.load[home] = 0.95
-			used[g.where(g.ask(Request{Group: 77, Load: 0.1}))] = true
+			h.load[home] = 0.95
+			usedServers[h.serverOf(h.submit(Request{Group: 77, Load: 0.1}))] = true
 		}
-		if open := !used[0]; open != (others < groupSpillFill) || len(used) > 1 || used[home] {
-			t.Errorf("home full, others at %v: sent to %v", others, used)
+		if placed := !usedServers[0]; placed != (others < groupSpillFill) || len(usedServers) > 1 || usedServers[home] {
+			t.Errorf("home full, others at %v: sent to %v", others, usedServers)
 		}
 	}
 }
 
-// TestGroupReach guards against groups scattered by chance: what a relay happens to have a report of, far down the order, is
-// another place to pay for, and each relay happens to know others.
+// TestGroupReach: a group is sent to the first groupReach servers of its order only. Relays have reports of different servers, and would
+// otherwise scatter the group over all that they happen to know.
 func TestGroupReach(t *testing.T) {
 	set := settings()
 	set.Groups = true
@@ -430,67 +419,67 @@
 	slices.SortFunc(list, func(x, y Server) int {
 		return cmp.Compare(rendezvous(uint64(y.ID), 77, y.Weight), rendezvous(uint64(x.ID), 77, x.Weight))
 	})
-	for room, want := range map[int]ServerID{groupReach - 1: list[groupReach-1].ID, groupReach: 0} { // the first that has any
-		g := newRig(set, nil)
-		g.UpdateServers(t0, ListCached, slices.Clone(list))
+	for firstFree, want := range map[int]ServerID{groupReach - 1: list[groupReach-1].ID, groupReach: 0} { // the first with capacity
+		h := newHarness(set, nil)
+		h.UpdateServers(t0, ListCached, slices.Clone(list))
 		for i, e := range list {
-			g.load[e.ID] = 0.95
-			if i >= room {
-				g.load[e.ID] = 0.1
-				g.applyReport(t0, g.byID[e.ID], Report{Connections: 3, Load: 0.1, Util: 0.1})
+			h.load[e.ID] = 0.95
+			if i >= firstFree {
+				h.load[e.ID] = 0.1
+				h.applyReport(t0, h.byID[e.ID], Report{Connections: 3, Load: 0.1, Util: 0.1})
 			}
 		}
-		if id := g.where(g.ask(Request{Group: 77, Load: 0.1})); id != want {
-			t.Errorf("room from place %d of the order on: sent to %d, want %d", room, id, want)
+		if id := h.serverOf(h.submit(Request{Group: 77, Load: 0.1})); id != want {
+			t.Errorf("capacity from place %d of the order on: sent to %d, want %d", firstFree, id, want)
 		}
 	}
 }
 
-// TestGroupSpillSlowStart guards against members that stay empty while they warm up: what counts is what a server will bear
-// once it is warm, so a group is opened on a cold one that a warm one of that fill would not take.
+// TestGroupSpillSlowStart: a group spills to a server in slow start at a load at which a warm one would not get it, as what counts is the
+// server's capacity once it is warm. Otherwise servers in slow start would stay empty.
 func TestGroupSpillSlowStart(t *testing.T) {
 	set := settings()
 	set.Groups = true
-	for _, cold := range []bool{false, true} {
-		g := newRig(set, nil)
+	for _, slowStart := range []bool{false, true} {
+		h := newHarness(set, nil)
 		list := fleet(4, 1)
-		if cold {
+		if slowStart {
 			for i := range list {
 				list[i].Started = t0 - 3*time.Second
 			}
 		}
-		g.UpdateServers(t0-3*time.Second, ListCached, list)
-		for _, s := range g.servers {
-			g.load[s.ID] = 0.6
+		h.UpdateServers(t0-3*time.Second, ListCached, list)
+		for _, s := range h.servers {
+			h.load[s.ID] = 0.6
 		}
-		g.load[alone(set, Request{Group: 77, Load: 0.1})] = 0.95
-		if sent := g.where(g.ask(Request{Group: 77, Load: 0.1})) != 0; sent != cold {
-			t.Errorf("cold %v: sent %v", cold, sent)
+		h.load[firstChoice(set, Request{Group: 77, Load: 0.1})] = 0.95
+		if sent := h.serverOf(h.submit(Request{Group: 77, Load: 0.1})) != 0; sent != slowStart {
+			t.Errorf("slow start %v: sent %v", slowStart, sent)
 		}
 	}
 }
 
-// TestPassMode: another proxy sends packets of an open connection where the first sent it, even a full server.
-func TestPassMode(t *testing.T) {
+// TestPassThrough: another proxy sends packets of an open connection to the server that the first one chose, even if it is full.
+func TestPassThrough(t *testing.T) {
 	set := settings()
 	set.PassThrough = true
-	a, b := newRig(set, fleet(20, 1)), newRig(set, fleet(20, 1))
-	first := a.where(a.ask(Request{Key: 5, Load: 0.1}))
+	a, b := newHarness(set, fleet(20, 1)), newHarness(set, fleet(20, 1))
+	first := a.serverOf(a.submit(Request{Key: 5, Load: 0.1}))
 	for _, s := range b.servers {
 		b.load[s.ID] = 2
 	}
-	if got := b.where(b.ask(Request{Key: 5, MidFlow: true})); got != first || first == 0 {
+	if got := b.serverOf(b.submit(Request{Key: 5, MidFlow: true})); got != first || first == 0 {
 		t.Errorf("mid-flow packets went to %d, the connection is on %d", got, first)
 	}
 }
 
-// TestDrain guards rule 3: nothing new to a server told to drain, gone, or missing from a full list.
+// TestDrain guards rule 3: nothing new is sent to a server that drains, is gone, or is missing from a full list.
 func TestDrain(t *testing.T) {
 	list := fleet(4, 1)
 	tests := []struct {
-		name string
-		how  ListKind
-		tell []Server
+		name    string
+		kind    ListKind
+		servers []Server
 	}{
 		{"draining", ListDelta, []Server{{ID: list[0].ID, State: Draining}}},
 		{"gone", ListDelta, []Server{{ID: list[0].ID, State: Gone}}},
@@ -498,30 +487,30 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			g := newRig(settings(), list)
+			h := newHarness(settings(), list)
 			for _, s := range list[1:] {
-				g.load[s.ID] = 0.6
+				h.load[s.ID] = 0.6
 			}
-			g.ask(Request{Tenant: g.byID[list[0].ID].owner})
-			g.UpdateServers(g.now, tt.how, tt.tell)
-			before := len(g.sends)
+			h.submit(Request{Tenant: h.byID[list[0].ID].owner})
+			h.UpdateServers(h.now, tt.kind, tt.servers)
+			before := len(h.sends)
 			for i := range 20 {
-				g.now += 500 * ms
-				g.ask(Request{Tenant: i % 2, Load: 0.1})
+				h.now += 500 * ms
+				h.submit(Request{Tenant: i % 2, Load: 0.1})
 			}
-			for _, s := range g.sends[before:] {
+			for _, s := range h.sends[before:] {
 				if s.server == list[0].ID {
 					t.Fatalf("sent to a server that is %s", tt.name)
 				}
 			}
-			if len(g.sends) == before {
+			if len(h.sends) == before {
 				t.Error("nothing was sent anywhere")
 			}
 		})
 	}
 }
 
-// TestSlowStart guards rule 4: what a proxy sends to a server in slow start stays within its part of the fleet's budget.
+// TestSlowStart guards rule 4: what each proxy sends to a server in slow start stays within its part of the fleet's budget.
 func TestSlowStart(t *testing.T) {
 	set := settings()
 	set.Balancers = 50
@@ -530,96 +519,96 @@
 	const proxies = 50
 	for seed := range uint64(proxies) {
 		rec := &recorder{}
-		g := &rig{Balancer: New(set, seed, rec), recorder: rec, now: t0, load: map[ServerID]float64{}}
-		cold := append([]Server(nil), list...)
-		cold[0].Started = t0 - ms
-		g.UpdateServers(t0, ListCached, cold)
+		h := &harness{Balancer: New(set, seed, rec), recorder: rec, now: t0, load: map[ServerID]float64{}}
+		servers := slices.Clone(list)
+		servers[0].Started = t0 - ms
+		h.UpdateServers(t0, ListCached, servers)
 		for _, s := range list[1:] {
-			g.load[s.ID] = 0.7
+			h.load[s.ID] = 0.7
 		}
 		for range 10 {
-			g.now += 200 * ms
-			if g.where(g.ask(Request{Tenant: g.byID[list[0].ID].owner, Load: 1})) == list[0].ID {
+			h.now += 200 * ms
+			if h.serverOf(h.submit(Request{Tenant: h.byID[list[0].ID].owner, Load: 1})) == list[0].ID {
 				sent++
 			}
 		}
 	}
-	// Its capacity is about 16 mean loads until reports say otherwise; it starts at 0.3 of that, and the rule
-	// allows three times its rate over the two seconds played here, beside what it bears at their end.
+	// Its capacity is 16 mean loads by default, and it starts at 0.3 of that. The rule allows three times its rate over the two
+	// seconds simulated here, and its capacity at their end on top.
 	if budget := 3*0.45*16.0/9*2 + fillHigh*16*(0.3+0.7*2.2/9); sent > budget || sent == 0 {
-		t.Errorf("fifty proxies sent %v to a cold server, budget %v", sent, budget)
+		t.Errorf("fifty proxies sent %v to a server in slow start, budget %v", sent, budget)
 	}
 }
 
-// TestActiveRelays: where eight of twelve proxies are known to be gone, the four that are left send a server in slow start what twelve might, and
-// still no more than the rule allows; a senseless number moves nothing.
+// TestActiveRelays: if eight of twelve proxies are known to be gone, the other four may send a server in slow start the share of all twelve,
+// and still no more than the rule allows; an invalid number changes nothing.
 func TestActiveRelays(t *testing.T) {
 	set := settings()
 	set.Balancers = 12
-	play := func(share float64) (sent float64) {
+	sentWith := func(activeRelays float64) (sent float64) {
 		list := fleet(6, 1)
 		for seed := range uint64(4) {
-			g := &rig{recorder: &recorder{}, now: t0, load: map[ServerID]float64{}}
-			g.Balancer = New(set, seed, g.recorder)
-			cold := append([]Server(nil), list...)
-			cold[0].Started = t0 - ms
-			g.UpdateServers(t0, ListCached, cold)
+			h := &harness{recorder: &recorder{}, now: t0, load: map[ServerID]float64{}}
+			h.Balancer = New(set, seed, h.recorder)
+			servers := slices.Clone(list)
+			servers[0].Started = t0 - ms
+			h.UpdateServers(t0, ListCached, servers)
 			for _, s := range list[1:] {
-				g.load[s.ID] = 0.7
+				h.load[s.ID] = 0.7
 			}
-			ActiveRelays{Count: share}.apply(g.Balancer, t0)
+			ActiveRelays{Count: activeRelays}.apply(h.Balancer, t0)
 			for range 40 {
-				g.now += 50 * ms
-				if g.where(g.ask(Request{Tenant: g.byID[list[0].ID].owner, Load: 1})) == list[0].ID {
+				h.now += 50 * ms
+				if h.serverOf(h.submit(Request{Tenant: h.byID[list[0].ID].owner, Load: 1})) == list[0].ID {
 					sent++
 				}
 			}
 		}
 		return sent
 	}
-	all, few, odd := play(12), play(4), play(math.NaN())
-	if budget := 3*0.45*16.0/9*2 + fillHigh*16*(0.3+0.7*2.2/9); few > budget || few < 1.5*all || odd != all {
-		t.Errorf("four of twelve sent %v, by the number of those that live %v of %v, by none %v", all, few, budget, odd)
+	all, few, invalid := sentWith(12), sentWith(4), sentWith(math.NaN())
+	if budget := 3*0.45*16.0/9*2 + fillHigh*16*(0.3+0.7*2.2/9); few > budget || few < 1.5*all || invalid != all {
+		t.Errorf("four proxies sent %v as four of twelve, %v as all that are active, of %v allowed, %v by an invalid number", all, few, budget, invalid)
 	}
 }
 
-// TestLoadGuess: a proxy that has just started and gets many clients at once finds by the reports what members bear, beyond what the
-// first one with a single connection and some other load makes it believe.
-func TestLoadGuess(t *testing.T) {
-	for name, set := range sites() {
+// TestCapacityAfterStart: a proxy that has just started and gets many clients at once learns the servers' capacity from their reports. The
+// first report, of one connection and some other load, suggests far too little.
+func TestCapacityAfterStart(t *testing.T) {
+	for name, set := range siteSettings() {
 		set.Zones, set.Groups = 1, true
-		g := newRig(set, fleet(2, 1))
+		h := newHarness(set, fleet(2, 1))
 		for n := range 20 {
-			g.now += ms
-			for _, s := range g.servers {
-				g.load[s.ID], g.count[s.ID] = 0.1+0.01*s.ownFlows, s.ownFlows
+			h.now += ms
+			for _, s := range h.servers {
+				h.load[s.ID], h.connections[s.ID] = 0.1+0.01*s.ownFlows, s.ownFlows
 			}
-			id := g.ask(Request{Group: uint64(n + 2), Load: -1})
-			if g.where(id) == 0 {
-				t.Fatalf("%s: client %d found no room, with %v and %v connections", name, n, g.servers[0].ownFlows, g.servers[1].ownFlows)
+			id := h.submit(Request{Group: uint64(n + 2), Load: -1})
+			if h.serverOf(id) == 0 {
+				t.Fatalf("%s: client %d found no capacity, with %v and %v connections", name, n, h.servers[0].ownFlows, h.servers[1].ownFlows)
 			}
-			g.Established(g.now, id)
+			h.Established(h.now, id)
 		}
 	}
 }
 
-// spendSlowStart is what a send spends of a server in slow start's budget.
+// spendSlowStart accounts for one send in the budget of a server in slow start.
 func spendSlowStart(s *server) {
 	s.slowStartTokens, s.slowStartSent = s.slowStartTokens-1, s.slowStartSent+1
 }
 
-// TestSlowStartBudget guards against servers in slow start that stand idle while others are pressed: over its warm-up one gets most
-// of what the rule allows at the least capacity it can have, and never all of it.
+// TestSlowStartBudget: over its slow start a server gets most of what the rule allows at the least capacity that it can have, and never all
+// of it. With less it would be idle while others are overloaded.
 func TestSlowStartBudget(t *testing.T) {
 	set := settings()
-	g := newRig(set, fleet(1, 1))
-	s, now, r := g.servers[0], t0, &request{load: 1}
+	h := newHarness(set, fleet(1, 1))
+	s, now, r := h.servers[0], t0, &request{load: 1}
 	s.Started = t0
 	sent, allowed := 0.0, 0.0
 	for now < t0+set.SlowStartDuration-100*ms {
 		now += 10 * ms
-		allowed += set.OverloadFactor * g.capacityOf(now, s) / set.SlowStartDuration.Seconds() * 0.01
-		if g.slowStartAllows(now, r, s) {
+		allowed += set.OverloadFactor * h.capacityOf(now, s) / set.SlowStartDuration.Seconds() * 0.01
+		if h.slowStartAllows(now, r, s) {
 			spendSlowStart(s)
 			sent++
 		}
@@ -629,151 +618,151 @@
 	}
 }
 
-// TestSlowStartFirstWindow guards against servers in slow start that come into use only as they are warm where each of many proxies
-// has few requests, and rule 4: on average all send most of what a window's budget allows in the first window, or of
-// what it bears at once if that is more, and no more than both.
+// TestSlowStartFirstWindow: in the first window all proxies together send, on average, most of what the window's budget allows, or of the
+// server's capacity if that is more, and no more than both. Otherwise a server would come into use only when warm if each of many proxies
+// has few requests.
 func TestSlowStartFirstWindow(t *testing.T) {
 	for _, proxies := range []int{4, 80} {
 		set := settings()
 		set.Balancers, set.OverloadWindow = proxies, 3*time.Second
 		rng := rand.New(rand.NewPCG(1, 2))
-		sent, allowed, bears := 0.0, 0.0, 0.0
+		sent, allowed, capacity := 0.0, 0.0, 0.0
 		for trial := range uint64(40) {
-			var all []*rig
+			var harnesses []*harness
 			for p := range uint64(proxies) {
-				g := newRig(set, nil)
-				g.Balancer = New(set, 100*trial+p, g.recorder)
-				g.UpdateServers(t0, ListDelta, []Server{{ID: 1, State: Ready, Weight: 1, Started: t0}})
-				all = append(all, g)
+				h := newHarness(set, nil)
+				h.Balancer = New(set, 100*trial+p, h.recorder)
+				h.UpdateServers(t0, ListDelta, []Server{{ID: 1, State: Ready, Weight: 1, Started: t0}})
+				harnesses = append(harnesses, h)
 			}
 			for now := t0; now < t0+set.OverloadWindow; now += 10 * ms {
-				g := all[rng.IntN(proxies)]
-				s := g.servers[0]
-				if g.slowStartAllows(now, &request{load: 1}, s) {
+				h := harnesses[rng.IntN(proxies)]
+				s := h.servers[0]
+				if h.slowStartAllows(now, &request{load: 1}, s) {
 					spendSlowStart(s)
 					sent++
 				}
-				allowed += set.OverloadFactor * g.capacityOf(now, s) / set.SlowStartDuration.Seconds() * 0.01
+				allowed += set.OverloadFactor * h.capacityOf(now, s) / set.SlowStartDuration.Seconds() * 0.01
 			}
-			bears += fillHigh * all[0].capacityOf(t0, all[0].servers[0])
+			capacity += fillHigh * harnesses[0].capacityOf(t0, harnesses[0].servers[0])
 		}
-		if sent < 0.7*max(allowed, bears) || sent > allowed+bears {
-			t.Errorf("%d proxies sent %.1f; the first window allows %.1f, and it bears %.1f at once", proxies, sent,
-				allowed, bears)
+		if sent < 0.7*max(allowed, capacity) || sent > allowed+capacity {
+			t.Errorf("%d proxies sent %.1f; the first window allows %.1f, and the capacity is %.1f", proxies, sent,
+				allowed, capacity)
 		}
 	}
 }
 
-// TestIdempotency guards rule 2 for every effect and scope.
+// TestIdempotency guards rule 2 for every idempotency and scope.
 func TestIdempotency(t *testing.T) {
 	tests := []struct {
-		name    string
-		effect  Idempotency
-		scope   Scope
-		result  Result
-		resend  bool
-		refused bool // how it ends if no try is left
+		name        string
+		idempotency Idempotency
+		scope       Scope
+		result      Result
+		resend      bool
+		rejected    bool // the answer when no attempt is left; else it fails
 	}{
-		{"safe after time-out", Idempotent, ScopeAll, Timeout, true, true},
-		{"keyed, all, after time-out", IdempotencyKey, ScopeAll, Timeout, true, true},
-		{"keyed, zone, after time-out", IdempotencyKey, ScopeZone, Timeout, true, false},
-		{"keyed, cell, after error", IdempotencyKey, ScopeCell, Error, true, false},
-		{"keyed, cell, after full", IdempotencyKey, ScopeCell, Full, true, true},
-		{"unsafe after time-out", NonIdempotent, ScopeAll, Timeout, false, false},
-		{"unsafe after reset", NonIdempotent, ScopeAll, Reset, false, false},
-		{"unsafe after cancelled", NonIdempotent, ScopeAll, Cancelled, false, false},
-		{"unsafe after full", NonIdempotent, ScopeAll, Full, true, true},
-		{"unsafe after connect failed", NonIdempotent, ScopeAll, ConnectFailed, true, true},
+		{"idempotent after time-out", Idempotent, ScopeAll, Timeout, true, true},
+		{"key, all, after time-out", IdempotencyKey, ScopeAll, Timeout, true, true},
+		{"key, zone, after time-out", IdempotencyKey, ScopeZone, Timeout, true, false},
+		{"key, cell, after error", IdempotencyKey, ScopeCell, Error, true, false},
+		{"key, cell, after full", IdempotencyKey, ScopeCell, Full, true, true},
+		{"non-idempotent after time-out", NonIdempotent, ScopeAll, Timeout, false, false},
+		{"non-idempotent after reset", NonIdempotent, ScopeAll, Reset, false, false},
+		{"non-idempotent after cancelled", NonIdempotent, ScopeAll, Cancelled, false, false},
+		{"non-idempotent after full", NonIdempotent, ScopeAll, Full, true, true},
+		{"non-idempotent after connect failed", NonIdempotent, ScopeAll, ConnectFailed, true, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			set := settings()
 			set.Zones = 2
-			set.Classes[0].Idempotency, set.Classes[0].Scope = tt.effect, tt.scope
-			g := newRig(set, fleet(20, 2))
-			id := g.ask(Request{Load: 0.1})
-			first := g.byID[g.where(id)].Server
-			g.AttemptEnded(g.now, Outcome{ID: id, Server: first.ID, Result: tt.result, Report: NoReport})
-			g.admissionRate = 1 // the storm guard is not what is tested
-			g.answer()
-			g.fire(400 * ms)
-			if resent := len(g.sends) > 1; resent != tt.resend {
-				t.Fatalf("sent again: %v, want %v", resent, tt.resend)
+			set.Classes[0].Idempotency, set.Classes[0].Scope = tt.idempotency, tt.scope
+			h := newHarness(set, fleet(20, 2))
+			id := h.submit(Request{Load: 0.1})
+			first := h.byID[h.serverOf(id)].Server
+			h.AttemptEnded(h.now, Outcome{ID: id, Server: first.ID, Result: tt.result, Report: NoReport})
+			h.admissionRate = 1 // TestAdmissionRate tests that
+			h.answerProbes()
+			h.fireTimers(400 * ms)
+			if resent := len(h.sends) > 1; resent != tt.resend {
+				t.Fatalf("retried: %v, want %v", resent, tt.resend)
 			}
-			ran := tt.result != Full && tt.result != ConnectFailed
+			mayHaveRun := tt.result != Full && tt.result != ConnectFailed
 			for range 10 {
-				at := g.byID[g.where(id)].Server
-				if ran && tt.effect == IdempotencyKey && (tt.scope == ScopeZone && at.Zone != first.Zone ||
-					tt.scope == ScopeCell && at.Cell != first.Cell) {
-					t.Fatalf("sent to zone %d cell %d after zone %d cell %d", at.Zone, at.Cell, first.Zone, first.Cell)
+				current := h.byID[h.serverOf(id)].Server
+				if mayHaveRun && tt.idempotency == IdempotencyKey && (tt.scope == ScopeZone && current.Zone != first.Zone ||
+					tt.scope == ScopeCell && current.Cell != first.Cell) {
+					t.Fatalf("sent to zone %d cell %d after zone %d cell %d", current.Zone, current.Cell, first.Zone, first.Cell)
 				}
-				if g.ends[id] != "" {
+				if h.answers[id] != "" {
 					break
 				}
-				g.AttemptEnded(g.now, Outcome{ID: id, Attempt: g.requests[id].attempts - 1, Server: at.ID, Result: tt.result, Report: NoReport})
-				g.answer()
-				g.fire(1900 * ms)
+				h.AttemptEnded(h.now, Outcome{ID: id, Attempt: h.requests[id].attempts - 1, Server: current.ID, Result: tt.result, Report: NoReport})
+				h.answerProbes()
+				h.fireTimers(1900 * ms)
 			}
-			if want := map[bool]string{true: "refused", false: "failed"}[tt.refused]; g.ends[id] != want {
-				t.Errorf("ended %q, want %q", g.ends[id], want)
+			if want := map[bool]string{true: "rejected", false: "failed"}[tt.rejected]; h.answers[id] != want {
+				t.Errorf("answered %q, want %q", h.answers[id], want)
 			}
 		})
 	}
 }
 
-// TestRetryStorm guards against tries that keep a slow session store slow: after a time-out or an error the next
-// try waits; after full, which proves that nothing ran, it goes out at once.
+// TestRetryStorm: after a time-out or an error the retry backs off, as retries would keep a slow session store slow; after full, which
+// proves that nothing ran, it is sent at once.
 func TestRetryStorm(t *testing.T) {
-	for result, wait := range map[Result]bool{Timeout: true, Error: true, Full: false, ConnectFailed: false} {
-		g := newRig(settings(), fleet(10, 1))
-		id := g.ask(Request{Load: 0.1})
-		g.AttemptEnded(g.now, Outcome{ID: id, Server: g.where(id), Result: result, Report: NoReport})
-		g.answer()
-		if waited := len(g.sends) == 1; waited != wait {
-			t.Errorf("result %d: waited %v, want %v", result, waited, wait)
+	for result, backsOff := range map[Result]bool{Timeout: true, Error: true, Full: false, ConnectFailed: false} {
+		h := newHarness(settings(), fleet(10, 1))
+		id := h.submit(Request{Load: 0.1})
+		h.AttemptEnded(h.now, Outcome{ID: id, Server: h.serverOf(id), Result: result, Report: NoReport})
+		h.answerProbes()
+		if got := len(h.sends) == 1; got != backsOff {
+			t.Errorf("result %d: backs off %v, want %v", result, got, backsOff)
 		}
-		g.admissionRate = 1 // TestAdmissionRate tests that
-		if g.fire(400 * ms); len(g.sends) != 2 {
-			t.Errorf("result %d: %d attempts after the wait", result, len(g.sends))
+		h.admissionRate = 1 // TestAdmissionRate tests that
+		if h.fireTimers(400 * ms); len(h.sends) != 2 {
+			t.Errorf("result %d: %d attempts after the backoff", result, len(h.sends))
 		}
 	}
 }
 
-// TestAdmissionRate guards against a session store kept down by tries: a proxy whose connections fail to be set up sends
-// few of its requests, and all again once they succeed.
+// TestAdmissionRate: a proxy whose attempts fail admits few of its requests, as retries would keep a failed session store down, and all
+// again once they succeed.
 func TestAdmissionRate(t *testing.T) {
-	g := newRig(settings(), fleet(10, 1))
-	play := func(n int, result Result) (sent int) {
+	h := newHarness(settings(), fleet(10, 1))
+	sendAll := func(n int, result Result) (sent int) {
 		for range n {
-			g.now += 3 * time.Second
-			id := g.ask(Request{Load: 0.1})
-			if g.where(id) == 0 {
+			h.now += 3 * time.Second
+			id := h.submit(Request{Load: 0.1})
+			if h.serverOf(id) == 0 {
 				continue
 			}
 			sent++
 			if result == OK {
-				g.Established(g.now, id)
+				h.Established(h.now, id)
 			}
-			g.AttemptEnded(g.now, Outcome{ID: id, Server: g.where(id), Result: result, Final: result == OK, Report: NoReport})
-			g.answer()
-			g.fire(10 * time.Second)
+			h.AttemptEnded(h.now, Outcome{ID: id, Server: h.serverOf(id), Result: result, Final: result == OK, Report: NoReport})
+			h.answerProbes()
+			h.fireTimers(10 * time.Second)
 		}
 		return sent
 	}
-	play(40, Error)
-	if sent := play(100, Error); sent > 40 || sent == 0 {
+	sendAll(40, Error)
+	if sent := sendAll(100, Error); sent > 40 || sent == 0 {
 		t.Errorf("sent %d of 100 while every one fails", sent)
 	}
-	play(200, OK)
-	if sent := play(100, OK); sent < 95 {
+	sendAll(200, OK)
+	if sent := sendAll(100, OK); sent < 95 {
 		t.Errorf("sent %d of 100 once they succeed", sent)
 	}
 }
 
-// TestLeaving guards against clients cut off by a server that drains, is deleted or is no longer listed: they
-// are asked to move as soon as the list says so, once each, and those on other servers are left alone.
-func TestLeaving(t *testing.T) {
-	for _, how := range []struct {
+// TestMigrateFromUnavailable: the connections of a server that drains, is deleted or is no longer listed are migrated as soon as the list
+// changes, once each; those of other servers stay.
+func TestMigrateFromUnavailable(t *testing.T) {
+	for _, tt := range []struct {
 		name string
 		kind ListKind
 		list func(list []Server) []Server
@@ -782,503 +771,501 @@
 		{"deleted", ListDelta, func(list []Server) []Server { list[0].State = Gone; return list[:1] }},
 		{"not listed", ListFull, func(list []Server) []Server { return list[1:] }},
 	} {
-		t.Run(how.name, func(t *testing.T) {
-			g := newRig(settings(), fleet(2, 1))
+		t.Run(tt.name, func(t *testing.T) {
+			h := newHarness(settings(), fleet(2, 1))
 			for id := range RequestID(6) {
-				g.AddExisting(g.now, Request{ID: 100 + id, Load: 0.1}, fleet(2, 1)[id%2].ID)
+				h.AddExisting(h.now, Request{ID: 100 + id, Load: 0.1}, fleet(2, 1)[id%2].ID)
 			}
 			for range 2 {
-				g.UpdateServers(g.now, how.kind, how.list(fleet(2, 1)))
+				h.UpdateServers(h.now, tt.kind, tt.list(fleet(2, 1)))
 			}
-			if len(g.moves) != 3 || g.moves[0]%2 != 0 || g.moves[1]%2 != 0 || g.moves[2]%2 != 0 {
-				t.Errorf("moved %v", g.moves)
+			if len(h.migrations) != 3 || h.migrations[0]%2 != 0 || h.migrations[1]%2 != 0 || h.migrations[2]%2 != 0 {
+				t.Errorf("migrated %v", h.migrations)
 			}
 		})
 	}
 }
 
-// TestBacklog guards against full servers left alone where no message is timed: a report that shows work queued
-// leads to relief, one that shows little does not, and the next one at once moves nobody more.
+// TestBacklog: a report with a long backlog migrates connections, one with a short backlog does not, and the next report at once migrates no
+// more. Sites without message latencies have no other sign of a full server.
 func TestBacklog(t *testing.T) {
-	g := newRig(settings(), fleet(4, 1))
-	s := g.servers[0]
+	h := newHarness(settings(), fleet(4, 1))
+	s := h.servers[0]
 	for id := range RequestID(40) {
-		g.AddExisting(g.now, Request{ID: 100 + id, Load: 0.1}, s.ID)
+		h.AddExisting(h.now, Request{ID: 100 + id, Load: 0.1}, s.ID)
 	}
 	report := Report{Connections: 40, Load: 2, Util: -1, Backlog: 0.05}
-	if g.ProbeResult(g.now, s.ID, OK, report); len(g.moves) != 0 {
-		t.Fatalf("moved %d with little piled up", len(g.moves))
+	if h.ProbeResult(h.now, s.ID, OK, report); len(h.migrations) != 0 {
+		t.Fatalf("migrated %d with a short backlog", len(h.migrations))
 	}
 	report.Backlog = 0.5
-	g.ProbeResult(g.now, s.ID, OK, report)
-	moved := len(g.moves)
-	if moved == 0 || moved == 40 {
-		t.Fatalf("moved %d of 40", moved)
+	h.ProbeResult(h.now, s.ID, OK, report)
+	migrated := len(h.migrations)
+	if migrated == 0 || migrated == 40 {
+		t.Fatalf("migrated %d of 40", migrated)
 	}
-	if g.ProbeResult(g.now, s.ID, OK, report); len(g.moves) != moved {
-		t.Error("moved more before the relief can show")
+	if h.ProbeResult(h.now, s.ID, OK, report); len(h.migrations) != migrated {
+		t.Error("migrated more before the effect can show")
 	}
 }
 
-// TestBacklogMigrates guards against members on which every message waits: while work is queued a server is neither sent
-// to nor spared from relief, however little is asked of it now.
+// TestBacklogMigrates: a server with a backlog gets no new connections and loses some, however low its present load is, as every message
+// waits there.
 func TestBacklogMigrates(t *testing.T) {
-	g := newRig(settings(), fleet(2, 1))
-	full, free := g.servers[0], g.servers[1]
+	h := newHarness(settings(), fleet(2, 1))
+	full, free := h.servers[0], h.servers[1]
 	for id := range RequestID(30) {
-		g.AddExisting(g.now, Request{ID: 100 + id, Load: 0.1}, full.ID)
+		h.AddExisting(h.now, Request{ID: 100 + id, Load: 0.1}, full.ID)
 	}
-	g.ProbeResult(g.now, free.ID, OK, Report{Connections: 30, Load: 0.5, Util: -1, Backlog: 0})
-	g.ProbeResult(g.now, full.ID, OK, Report{Connections: 30, Load: 0.3, Util: -1, Backlog: 1.5})
-	if len(g.moves) == 0 || len(g.moves) == 30 {
-		t.Errorf("moved %d of 30", len(g.moves))
+	h.ProbeResult(h.now, free.ID, OK, Report{Connections: 30, Load: 0.5, Util: -1, Backlog: 0})
+	h.ProbeResult(h.now, full.ID, OK, Report{Connections: 30, Load: 0.3, Util: -1, Backlog: 1.5})
+	if len(h.migrations) == 0 || len(h.migrations) == 30 {
+		t.Errorf("migrated %d of 30", len(h.migrations))
 	}
 	for id := range RequestID(6) {
-		g.Request(g.now, Request{ID: 200 + id, Deadline: g.now + 2*time.Second, Load: 0.01})
-		for ; len(g.probes) > 0; g.probes = g.probes[1:] {
-			again := Report{Connections: 30, Load: 0.5, Util: -1}
-			if g.probes[0] == full.ID {
-				again.Load, again.Backlog = 0.3, 1.5
+		h.Request(h.now, Request{ID: 200 + id, Deadline: h.now + 2*time.Second, Load: 0.01})
+		for ; len(h.probes) > 0; h.probes = h.probes[1:] {
+			report := Report{Connections: 30, Load: 0.5, Util: -1}
+			if h.probes[0] == full.ID {
+				report.Load, report.Backlog = 0.3, 1.5
 			}
-			g.ProbeResult(g.now, g.probes[0], OK, again)
+			h.ProbeResult(h.now, h.probes[0], OK, report)
 		}
 	}
-	for _, s := range g.sends {
+	for _, s := range h.sends {
 		if s.server == full.ID {
-			t.Fatal("sent to a server with work piled up")
+			t.Fatal("sent to a server with a backlog")
 		}
 	}
-	if len(g.sends) == 0 {
-		t.Error("sent nowhere")
+	if len(h.sends) == 0 {
+		t.Error("nothing was sent")
 	}
 }
 
-// TestWindow: an idempotency-key request is not sent again once the servers may have forgotten it.
-func TestWindow(t *testing.T) {
+// TestDedupWindow: a request with an idempotency key is not retried once the servers may have discarded the key.
+func TestDedupWindow(t *testing.T) {
 	set := settings()
 	set.Classes[0].Idempotency, set.Classes[0].DedupWindow = IdempotencyKey, 100*ms
-	g := newRig(set, fleet(10, 1))
-	id := g.ask(Request{Load: 0.1})
-	g.now += 150 * ms
-	g.AttemptEnded(g.now, Outcome{ID: id, Server: g.where(id), Result: Timeout, Report: NoReport})
-	g.answer()
-	g.fire(100 * ms)
-	if len(g.sends) != 1 {
-		t.Errorf("%d attempts, the second after the window", len(g.sends))
+	h := newHarness(set, fleet(10, 1))
+	id := h.submit(Request{Load: 0.1})
+	h.now += 150 * ms
+	h.AttemptEnded(h.now, Outcome{ID: id, Server: h.serverOf(id), Result: Timeout, Report: NoReport})
+	h.answerProbes()
+	h.fireTimers(100 * ms)
+	if len(h.sends) != 1 {
+		t.Errorf("%d attempts, the second after the window", len(h.sends))
 	}
 }
 
 // TestDeadline guards rule 1: a request without an outcome is answered by its timer, once.
 func TestDeadline(t *testing.T) {
-	g := newRig(settings(), fleet(4, 1))
-	id := g.ask(Request{})
-	g.fire(2 * time.Second)
-	if g.ends[id] != "refused" {
-		t.Fatalf("at the deadline: %q", g.ends[id])
-	}
-	sends := len(g.sends)
-	g.AttemptEnded(g.now+2*time.Second, Outcome{ID: id, Server: g.where(id), Result: Cancelled, Final: true, Report: NoReport})
-	g.AttemptEnded(g.now+2*time.Second, Outcome{ID: id, Server: g.where(id), Result: Cancelled, Final: true, Report: NoReport})
-	g.fire(time.Hour)
-	g.RequestEnded(g.now, id)
-	if g.ends[id] != "refused" || len(g.sends) != sends || len(g.requests) != 0 {
-		t.Errorf("after the end: %q, %d requests kept", g.ends[id], len(g.requests))
-	}
-	if late := g.ask(Request{Deadline: g.now - ms}); g.ends[late] != "refused" || g.where(late) != 0 {
-		t.Errorf("a request past its deadline: %q", g.ends[late])
-	}
-	if none := newRig(settings(), nil); true {
-		id := none.ask(Request{})
-		none.fire(time.Second)
-		none.now += time.Second
-		none.fire(time.Second)
-		if none.ends[id] != "refused" {
-			t.Errorf("without servers: %q", none.ends[id])
-		}
-	}
-}
-
-// TestHealth: one failure is no verdict, two are; a probe brings the server back.
+	h := newHarness(settings(), fleet(4, 1))
+	id := h.submit(Request{})
+	h.fireTimers(2 * time.Second)
+	if h.answers[id] != "rejected" {
+		t.Fatalf("at the deadline: %q", h.answers[id])
+	}
+	sends := len(h.sends)
+	h.AttemptEnded(h.now+2*time.Second, Outcome{ID: id, Server: h.serverOf(id), Result: Cancelled, Final: true, Report: NoReport})
+	h.AttemptEnded(h.now+2*time.Second, Outcome{ID: id, Server: h.serverOf(id), Result: Cancelled, Final: true, Report: NoReport})
+	h.fireTimers(time.Hour)
+	h.RequestEnded(h.now, id)
+	if h.answers[id] != "rejected" || len(h.sends) != sends || len(h.requests) != 0 {
+		t.Errorf("after the end: %q, %d requests left", h.answers[id], len(h.requests))
+	}
+	if late := h.submit(Request{Deadline: h.now - ms}); h.answers[late] != "rejected" || h.serverOf(late) != 0 {
+		t.Errorf("a request past its deadline: %q", h.answers[late])
+	}
+	h = newHarness(settings(), nil)
+	id = h.submit(Request{})
+	h.fireTimers(time.Second)
+	h.now += time.Second
+	h.fireTimers(time.Second)
+	if h.answers[id] != "rejected" {
+		t.Errorf("without servers: %q", h.answers[id])
+	}
+}
+
+// TestHealth: two failures in a row eject a server, one does not; a probe that succeeds ends the ejection.
 func TestHealth(t *testing.T) {
-	g := newRig(settings(), fleet(6, 1))
-	s := g.servers[0]
-	g.recordFailure(g.now, s)
+	h := newHarness(settings(), fleet(6, 1))
+	s := h.servers[0]
+	h.recordFailure(h.now, s)
 	if s.ejected {
-		t.Error("one failure condemned the server")
+		t.Error("one failure ejected the server")
 	}
-	if len(g.probes) != 1 || g.probes[0] != s.ID {
-		t.Errorf("after one failure probed %v", g.probes)
+	if len(h.probes) != 1 || h.probes[0] != s.ID {
+		t.Errorf("after one failure probed %v", h.probes)
 	}
-	g.ProbeResult(g.now, s.ID, Timeout, NoReport)
-	if !s.ejected || s.retryAt <= g.now {
-		t.Error("two failures in a row did not condemn the server")
+	h.ProbeResult(h.now, s.ID, Timeout, NoReport)
+	if !s.ejected || s.retryAt <= h.now {
+		t.Error("two failures in a row did not eject the server")
 	}
-	g.ProbeResult(g.now, s.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
+	h.ProbeResult(h.now, s.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
 	if s.ejected {
-		t.Error("a probe that was answered did not bring it back")
+		t.Error("a probe that succeeded did not end the ejection")
 	}
 }
 
-// TestZoneCut: a few failures from another zone stop traffic to all of it; the own zone is never given up.
-func TestZoneCut(t *testing.T) {
+// TestZoneEjection: a few failures in another zone eject all of it; the proxy's own zone is never ejected.
+func TestZoneEjection(t *testing.T) {
 	set := settings()
 	set.Zones = 2
-	g := newRig(set, fleet(20, 2))
-	for _, s := range g.servers {
-		if n := g.zones[s.Zone].failures; n < zoneFailureThreshold {
-			g.recordFailure(g.now, s)
+	h := newHarness(set, fleet(20, 2))
+	for _, s := range h.servers {
+		if n := h.zones[s.Zone].failures; n < zoneFailureThreshold {
+			h.recordFailure(h.now, s)
 		}
 	}
-	if !g.zones[1].ejected || g.zones[0].ejected {
-		t.Errorf("other zone condemned: %v, own zone: %v", g.zones[1].ejected, g.zones[0].ejected)
+	if !h.zones[1].ejected || h.zones[0].ejected {
+		t.Errorf("other zone ejected: %v, own zone: %v", h.zones[1].ejected, h.zones[0].ejected)
 	}
 }
 
-// TestLastResort: where all servers look bad one is tried all the same.
-func TestLastResort(t *testing.T) {
-	g := newRig(settings(), fleet(6, 1))
-	for _, s := range g.servers {
-		g.recordFailure(g.now, s)
-		g.recordFailure(g.now, s)
+// TestAllServersEjected: if all servers are ejected, a request is still sent to one of them.
+func TestAllServersEjected(t *testing.T) {
+	h := newHarness(settings(), fleet(6, 1))
+	for _, s := range h.servers {
+		h.recordFailure(h.now, s)
+		h.recordFailure(h.now, s)
 	}
 	id := RequestID(1)
-	g.Request(g.now, Request{ID: id, Deadline: g.now + 2*time.Second})
-	for range 6 { // no probe is ever answered
-		g.now += 100 * ms
-		due := g.timers
-		g.timers = nil
+	h.Request(h.now, Request{ID: id, Deadline: h.now + 2*time.Second})
+	for range 6 { // without an answer to any probe
+		h.now += 100 * ms
+		due := h.timers
+		h.timers = nil
 		for _, t := range due {
 			if t.token&tokenMask == tokenRetry {
-				g.Balancer.Timer(g.now, t.token)
+				h.Balancer.Timer(h.now, t.token)
 			}
 		}
 	}
-	if g.where(id) == 0 {
-		t.Error("nothing was tried")
+	if h.serverOf(id) == 0 {
+		t.Error("nothing was sent")
 	}
 }
 
-// TestFullBackoff guards against an unlisted drainer: what answers full is left alone, longer each time.
+// TestFullBackoff: a server that answers full gets nothing for a backoff that grows each time, as it may drain without being listed so.
 func TestFullBackoff(t *testing.T) {
-	g := newRig(settings(), fleet(6, 1))
-	var last time.Duration
+	h := newHarness(settings(), fleet(6, 1))
+	var previous time.Duration
 	for i := range 3 {
-		g.now += time.Minute
-		id := g.ask(Request{Tenant: 0})
-		s := g.byID[g.where(id)]
+		h.now += time.Minute
+		id := h.submit(Request{Tenant: 0})
+		s := h.byID[h.serverOf(id)]
 		s.consecutiveFull = 2 * i
-		g.AttemptEnded(g.now, Outcome{ID: id, Server: s.ID, Result: Full, Report: NoReport})
-		if pause := s.retryAt - g.now; pause <= last {
-			t.Errorf("pause %v after %v", pause, last)
-		} else {
-			last = pause
+		h.AttemptEnded(h.now, Outcome{ID: id, Server: s.ID, Result: Full, Report: NoReport})
+		backoff := s.retryAt - h.now
+		if backoff <= previous {
+			t.Errorf("backoff %v after %v", backoff, previous)
 		}
+		previous = backoff
 	}
 }
 
-// TestMigrateExcess: connections leave a server over its capacity, not one that only fills.
+// TestMigrateExcess: connections are migrated from a server over its capacity, not from one that is filling up.
 func TestMigrateExcess(t *testing.T) {
 	for _, tt := range []struct {
-		load  float64
-		moves bool
+		load     float64
+		migrates bool
 	}{{0.5, false}, {0.8, false}, {2, true}} {
-		g := newRig(settings(), fleet(4, 1))
-		s := g.servers[0]
+		h := newHarness(settings(), fleet(4, 1))
+		s := h.servers[0]
 		for id := range RequestID(40) {
-			g.AddExisting(g.now, Request{ID: 100 + id, Load: 0.1}, s.ID)
+			h.AddExisting(h.now, Request{ID: 100 + id, Load: 0.1}, s.ID)
 		}
-		g.applyReport(g.now, s, Report{Connections: 40, Load: tt.load, Util: -1})
-		g.ObserveLatency(g.now, 100, 90*ms)
-		if got := len(g.moves) > 0; got != tt.moves {
-			t.Errorf("load %v: moved %d", tt.load, len(g.moves))
+		h.applyReport(h.now, s, Report{Connections: 40, Load: tt.load, Util: -1})
+		h.ObserveLatency(h.now, 100, 90*ms)
+		if got := len(h.migrations) > 0; got != tt.migrates {
+			t.Errorf("load %v: migrated %d", tt.load, len(h.migrations))
 		}
-		if len(g.moves) > 36 {
-			t.Errorf("load %v: moved %d of 40, a herd", tt.load, len(g.moves))
+		if len(h.migrations) > 36 {
+			t.Errorf("load %v: migrated %d of 40, too many at once", tt.load, len(h.migrations))
 		}
 	}
 }
 
-// TestMigrationOrder: connections of a tenant over its share leave a full server before the others.
+// TestMigrationOrder: connections of a tenant over its quota are migrated from a full server before the others.
 func TestMigrationOrder(t *testing.T) {
 	set := settings()
 	set.Tenants = []Tenant{{Share: 0.5, Quota: 10}, {Share: 0.5, Quota: 100}}
-	g := newRig(set, fleet(4, 1))
-	s := g.servers[0]
+	h := newHarness(set, fleet(4, 1))
+	s := h.servers[0]
 	for id := range RequestID(80) {
-		g.AddExisting(g.now, Request{ID: 100 + id, Load: 0.1, Tenant: int(id % 2)}, s.ID)
+		h.AddExisting(h.now, Request{ID: 100 + id, Load: 0.1, Tenant: int(id % 2)}, s.ID)
 	}
-	g.applyReport(g.now, s, Report{Connections: 80, Load: 1.1, Util: -1})
-	g.migrateExcess(g.now, s)
-	count := [2]int{}
-	for _, id := range g.moves {
-		count[id%2]++
+	h.applyReport(h.now, s, Report{Connections: 80, Load: 1.1, Util: -1})
+	h.migrateExcess(h.now, s)
+	migrated := [2]int{}
+	for _, id := range h.migrations {
+		migrated[id%2]++
 	}
-	if count[0] <= count[1] {
-		t.Errorf("moved %d over the share, %d within", count[0], count[1])
+	if migrated[0] <= migrated[1] {
+		t.Errorf("migrated %d of the tenant over its quota, %d of the other", migrated[0], migrated[1])
 	}
 }
 
-// sites are settings of the shapes that sites have: what reports tell, how many classes, what they are worth.
-func sites() map[string]Settings {
-	both := settings()
-	both.Classes = append(both.Classes, both.Classes[0])
-	both.Classes[0].PriorityWeight, both.Classes[1].PriorityWeight = 2, 1
-	wide := both
+// siteSettings are settings as sites have them: two classes of different priority weight, without and with zones and groups.
+func siteSettings() map[string]Settings {
+	few := settings()
+	few.Classes = append(few.Classes, few.Classes[0])
+	few.Classes[0].PriorityWeight, few.Classes[1].PriorityWeight = 2, 1
+	wide := few
 	wide.Balancers, wide.OverloadWindow, wide.Groups, wide.Zones = 4, time.Second, true, 4
-	return map[string]Settings{"few": both, "zones and groups": wide}
+	return map[string]Settings{"few": few, "zones and groups": wide}
 }
 
-// TestShortage guards against a full server on a site whose reports tell its load alone: those leave that earn least
-// for their load, about as much load as is too much, once for one report, and not for one moment's standstill.
-func TestShortage(t *testing.T) {
-	for name, set := range sites() {
+// TestOverloadMigration: a report of an overloaded server migrates the connections with the least priority weight for their load, about as
+// much load as the excess, once for each report, and not for a momentary stall. The reports have a load but no backlog.
+func TestOverloadMigration(t *testing.T) {
+	for name, set := range siteSettings() {
 		for _, tt := range []struct {
-			name      string
-			loads     []float64 // as reports tell them, one a second
-			least, no float64   // part of all load that goes at least, and at most
+			name        string
+			loads       []float64 // of the reports, one a second
+			least, most float64   // part of the load that is migrated
 		}{
-			{"it only fills", []float64{0.8, 0.9}, 0, 0},
-			{"over", []float64{1.2}, 0.25, 0.6},
+			{"filling up", []float64{0.8, 0.9}, 0, 0},
+			{"overloaded", []float64{1.2}, 0.25, 0.6},
 			{"the same report again", []float64{1.2, 1.2}, 0.25, 0.6},
-			{"a standstill", []float64{0.7, 9}, 0, 0.3},
-			{"far over", []float64{4, 4.1, 4.2}, 0.7, 1},
+			{"a momentary stall", []float64{0.7, 9}, 0, 0.3},
+			{"far overloaded", []float64{4, 4.1, 4.2}, 0.7, 1},
 		} {
 			t.Run(name+"/"+tt.name, func(t *testing.T) {
-				g := newRig(set, fleet(4, 1))
-				s := g.servers[0]
+				h := newHarness(set, fleet(4, 1))
+				s := h.servers[0]
 				for id := range RequestID(60) { // the second class is five times as heavy
-					g.AddExisting(g.now, Request{ID: 100 + id, Class: int(id % 2), Load: 0.1 + 0.4*float64(id%2)}, s.ID)
+					h.AddExisting(h.now, Request{ID: 100 + id, Class: int(id % 2), Load: 0.1 + 0.4*float64(id%2)}, s.ID)
 				}
 				for _, load := range tt.loads {
-					g.now += time.Second
-					g.ProbeResult(g.now, s.ID, OK, Report{Connections: 60, Load: load, Util: -1, Backlog: -1})
+					h.now += time.Second
+					h.ProbeResult(h.now, s.ID, OK, Report{Connections: 60, Load: load, Util: -1, Backlog: -1})
 				}
-				gone, dear := 0.0, 0
-				for _, id := range g.moves {
-					gone += (0.1 + 0.4*float64(id%2)) / 18
-					dear += 1 - int(id%2)
+				migrated, highValue := 0.0, 0
+				for _, id := range h.migrations {
+					migrated += (0.1 + 0.4*float64(id%2)) / 18
+					highValue += 1 - int(id%2)
 				}
-				if gone < tt.least || gone > tt.no {
-					t.Errorf("%.2f of the load went, want %v to %v", gone, tt.least, tt.no)
+				if migrated < tt.least || migrated > tt.most {
+					t.Errorf("%.2f of the load migrated, want %v to %v", migrated, tt.least, tt.most)
 				}
-				if dear > 0 && gone < 0.8 {
-					t.Errorf("%d dear ones went with %.2f of the load", dear, gone)
+				if highValue > 0 && migrated < 0.8 {
+					t.Errorf("%d of high value migrated with %.2f of the load", highValue, migrated)
 				}
 			})
 		}
 	}
 }
 
-// TestLowValue guards against room that is filled with what earns little while what earns much is rejected: close to
-// fillHigh there is capacity for the latter alone, and below for both.
+// TestLowValue: close to fillHigh there is capacity only for the class with the higher priority weight for its load, below that for both.
 func TestLowValue(t *testing.T) {
 	for _, tt := range []struct {
 		load  float64
 		class int
 		sent  bool
 	}{{0.7, 0, true}, {0.7, 1, true}, {0.82, 0, true}, {0.82, 1, false}} {
-		g := newRig(sites()["few"], fleet(3, 1))
-		for i, s := range g.servers {
-			g.load[s.ID], g.count[s.ID] = tt.load, 1000
+		h := newHarness(siteSettings()["few"], fleet(3, 1))
+		for i, s := range h.servers {
+			h.load[s.ID], h.connections[s.ID] = tt.load, 1000
 			for class, load := range []float64{0.1, 0.5} {
-				g.AddExisting(g.now, Request{ID: RequestID(500 + 2*i + class), Class: class}, s.ID)
-				g.Balancer.UpdateLoad(g.now, RequestID(500+2*i+class), load)
+				h.AddExisting(h.now, Request{ID: RequestID(500 + 2*i + class), Class: class}, s.ID)
+				h.Balancer.UpdateLoad(h.now, RequestID(500+2*i+class), load)
 			}
 		}
-		id := g.ask(Request{Class: tt.class, Load: []float64{0.1, 0.5}[tt.class]})
+		id := h.submit(Request{Class: tt.class, Load: []float64{0.1, 0.5}[tt.class]})
 		for range 6 {
-			g.now += 2 * time.Second / 10
-			for _, at := range slices.Clone(g.timers) {
-				g.Balancer.Timer(g.now, at.token)
+			h.now += 2 * time.Second / 10
+			for _, timer := range slices.Clone(h.timers) {
+				h.Balancer.Timer(h.now, timer.token)
 			}
-			g.answer()
+			h.answerProbes()
 		}
-		if got := g.where(id) != 0; got != tt.sent {
+		if got := h.serverOf(id) != 0; got != tt.sent {
 			t.Errorf("class %d at a fill of %v: sent %v", tt.class, tt.load, got)
 		}
 	}
 }
 
-// TestProbeTimeoutMigrates guards against clients left with a server that has vanished: two probes that bring nothing move
-// them. An error does not, nor an end of the probe's connection: it may well serve clients, and who does not resets them.
+// TestProbeTimeoutMigrates: two probes that time out migrate a server's connections, as it may have vanished. Errors and resets do not: such a
+// server may still serve its clients, and otherwise it resets them itself.
 func TestProbeTimeoutMigrates(t *testing.T) {
-	for name, set := range sites() {
+	for name, set := range siteSettings() {
 		for result, want := range map[Result]int{Timeout: 5, ConnectFailed: 0, Reset: 0, Error: 0, Full: 0} {
-			g := newRig(set, fleet(4, 1))
+			h := newHarness(set, fleet(4, 1))
 			for id := range RequestID(5) {
-				g.AddExisting(g.now, Request{ID: 100 + id, Load: 0.1}, g.servers[0].ID)
+				h.AddExisting(h.now, Request{ID: 100 + id, Load: 0.1}, h.servers[0].ID)
 			}
 			for n := range serverFailureThreshold {
-				if g.ProbeResult(g.now, g.servers[0].ID, result, NoReport); n == 0 && len(g.moves) > 0 {
-					t.Errorf("%s, %v: moved %d for one", name, result, len(g.moves))
+				if h.ProbeResult(h.now, h.servers[0].ID, result, NoReport); n == 0 && len(h.migrations) > 0 {
+					t.Errorf("%s, %v: migrated %d after one probe", name, result, len(h.migrations))
 				}
 			}
-			if len(g.moves) != want {
-				t.Errorf("%s, %v: moved %d of 5, want %d", name, result, len(g.moves), want)
+			if len(h.migrations) != want {
+				t.Errorf("%s, %v: migrated %d of 5, want %d", name, result, len(h.migrations), want)
 			}
 		}
 	}
 }
 
-// TestServingRelays guards against a proxy that rejects what others, which are drained, have left to it: its part of a
-// tenant's quota is what it holds of all connections, where reports tell, and its plain part where they do not.
+// TestServingRelays: a proxy's part of a tenant's quota is its part of all connections, if reports have their number, and an equal part
+// otherwise. A proxy that takes the connections of drained ones must not reject them.
 func TestServingRelays(t *testing.T) {
 	set := settings()
 	set.Balancers, set.Tenants = 2, []Tenant{{Share: 0.5, Quota: 40}, {Share: 0.5, Quota: 40}}
 	for name, c := range map[string]struct {
 		reported float64
 		over     bool
-	}{"none tell": {-1, true}, "the other holds as many": {30, true}, "the other is drained": {15, false}} {
-		g := newRig(set, fleet(2, 1))
+	}{"not reported": {-1, true}, "the other has as many": {30, true}, "the other is drained": {15, false}} {
+		h := newHarness(set, fleet(2, 1))
 		for id := range RequestID(30) {
-			g.AddExisting(g.now, Request{ID: 100 + id, Load: 0.1}, g.servers[id%2].ID)
+			h.AddExisting(h.now, Request{ID: 100 + id, Load: 0.1}, h.servers[id%2].ID)
 		}
-		for _, s := range g.servers {
-			g.ProbeResult(g.now, s.ID, OK, Report{Connections: c.reported, Load: 0.5, Util: -1, Backlog: -1})
+		for _, s := range h.servers {
+			h.ProbeResult(h.now, s.ID, OK, Report{Connections: c.reported, Load: 0.5, Util: -1, Backlog: -1})
 		}
-		if g.overQuota(0) != c.over {
-			t.Errorf("%s: over its share %v", name, !c.over)
+		if h.overQuota(0) != c.over {
+			t.Errorf("%s: over its quota %v", name, !c.over)
 		}
 	}
 }
 
-// TestAdmissionRateOneServer guards against one server that fails fast and has requests rejected everywhere: what fails at most
-// servers makes a proxy send less, what fails at one does not.
+// TestAdmissionRateOneServer: failures at most servers lower a proxy's admission rate, failures at one server do not, or one that fails fast
+// would have requests rejected for all.
 func TestAdmissionRateOneServer(t *testing.T) {
-	for most, want := range map[int]bool{1: false, 4: true} {
-		g := newRig(settings(), fleet(4, 1))
+	for failing, want := range map[int]bool{1: false, 4: true} {
+		h := newHarness(settings(), fleet(4, 1))
 		for round := range 20 {
-			for _, s := range g.servers[:most] {
+			for _, s := range h.servers[:failing] {
 				s.retryAt, s.ejected = 0, false
-				q := Request{ID: RequestID(100 + 4*round), Deadline: g.now + time.Second, Load: 0.01}
+				q := Request{ID: RequestID(100 + 4*round), Deadline: h.now + time.Second, Load: 0.01}
 				q.ID += RequestID(s.ID) % 4 * 1000
-				g.newRequest(g.now, q)
-				r := g.requests[q.ID]
-				g.send(g.now, r, s, false)
-				g.AttemptEnded(g.now, Outcome{ID: q.ID, Server: s.ID, Result: Error, Report: NoReport})
+				h.newRequest(h.now, q)
+				r := h.requests[q.ID]
+				h.send(h.now, r, s, false)
+				h.AttemptEnded(h.now, Outcome{ID: q.ID, Server: s.ID, Result: Error, Report: NoReport})
 			}
 		}
-		if got := g.admissionRate < 0.5; got != want {
-			t.Errorf("%d of 4 fail: sends %v of its requests", most, g.admissionRate)
+		if got := h.admissionRate < 0.5; got != want {
+			t.Errorf("%d of 4 fail: admission rate %v", failing, h.admissionRate)
 		}
 	}
 }
 
-// TestDiscovery: one subscription, asked for with jitter, again after a failure and later each time.
+// TestDiscovery: the proxy subscribes once, after a jitter, and again after a failure.
 func TestDiscovery(t *testing.T) {
 	set := settings()
 	set.Subscribe, set.CanProbe = true, false // no timers for probes
-	g := newRig(set, fleet(4, 1))
-	if g.watch != 0 || len(g.timers) != 1 {
-		t.Fatalf("asked %d times at once, %d timers", g.watch, len(g.timers))
+	h := newHarness(set, fleet(4, 1))
+	if h.watches != 0 || len(h.timers) != 1 {
+		t.Fatalf("subscribed %d times at once, %d timers", h.watches, len(h.timers))
 	}
-	g.fire(10 * time.Second)
-	g.Balancer.Timer(g.now, tokenPoll)
-	if g.watch != 1 {
-		t.Fatalf("asked %d times, want once", g.watch)
+	h.fireTimers(10 * time.Second)
+	h.Balancer.Timer(h.now, tokenPoll)
+	if h.watches != 1 {
+		t.Fatalf("subscribed %d times, want once", h.watches)
 	}
-	g.UpdateServers(g.now, ListFailed, nil)
-	if len(g.servers) != 4 {
-		t.Error("a failed call emptied the list")
+	h.UpdateServers(h.now, ListFailed, nil)
+	if len(h.servers) != 4 {
+		t.Error("a failed poll emptied the list")
 	}
-	g.fire(20 * time.Second)
-	if g.watch != 2 {
-		t.Errorf("asked %d times after a failure, want again", g.watch)
+	h.fireTimers(20 * time.Second)
+	if h.watches != 2 {
+		t.Errorf("subscribed %d times after a failure, want twice", h.watches)
 	}
 	set.Subscribe = false
-	other := newRig(set, nil)
+	other := newHarness(set, nil)
 	if len(other.timers) != 0 {
-		t.Error("asked where the list comes by itself")
+		t.Error("a timer to subscribe, though the list is pushed")
 	}
 }
 
-// TestProbeBudget: probes stay within the price they may cost, and stop where they are not allowed.
+// TestProbeBudget: probes stay within the budget that their price allows, and there are none if the settings forbid them.
 func TestProbeBudget(t *testing.T) {
 	for _, tt := range []struct {
-		name  string
-		price float64
-		can   bool
-		most  float64
-	}{{"priced", 0.002, true, 4}, {"dear", 0.01, true, 1}, {"free", 0, true, maxProbes + 1}, {"forbidden", 0, false, 0}} {
+		name           string
+		price          float64
+		canProbe       bool
+		mostPerRequest float64
+	}{{"priced", 0.002, true, 4}, {"expensive", 0.01, true, 1}, {"free", 0, true, maxProbes + 1}, {"forbidden", 0, false, 0}} {
 		set := settings()
-		set.ProbePrice, set.CanProbe = tt.price, tt.can
-		g := newRig(set, fleet(100, 1))
+		set.ProbePrice, set.CanProbe = tt.price, tt.canProbe
+		h := newHarness(set, fleet(100, 1))
 		for i := range 200 {
-			g.now += 300 * ms
-			g.ask(Request{Tenant: i % 2, Load: 0.01})
+			h.now += 300 * ms
+			h.submit(Request{Tenant: i % 2, Load: 0.01})
 		}
 		probes := 0.0
-		for _, l := range g.log {
-			if strings.HasPrefix(l, "probe") {
+		for _, action := range h.log {
+			if strings.HasPrefix(action, "probe") {
 				probes++
 			}
 		}
-		if probes > 200*tt.most+30 || tt.most > 0 && probes == 0 {
+		if probes > 200*tt.mostPerRequest+30 || tt.mostPerRequest > 0 && probes == 0 {
 			t.Errorf("%s: %v probes for 200 requests", tt.name, probes)
 		}
 	}
 }
 
-// TestNoReports: where servers report nothing connections are still placed, and spread.
+// TestNoReports: without load reports connections are still placed, and spread over the servers.
 func TestNoReports(t *testing.T) {
 	set := settings()
 	set.Reports, set.Tenants = ReportsOff, nil
-	g := newRig(set, fleet(5, 1))
-	used := map[ServerID]bool{}
+	h := newHarness(set, fleet(5, 1))
+	usedServers := map[ServerID]bool{}
 	for range 40 {
-		g.now += 100 * ms
-		used[g.where(g.ask(Request{Load: 0.1}))] = true
+		h.now += 100 * ms
+		usedServers[h.serverOf(h.submit(Request{Load: 0.1}))] = true
 	}
-	if len(used) < 4 || used[0] {
-		t.Errorf("used %v", used)
+	if len(usedServers) < 4 || usedServers[0] {
+		t.Errorf("used servers %v", usedServers)
 	}
 }
 
-// TestBadSettings: New survives settings that are missing or absurd.
-func TestBadSettings(t *testing.T) {
+// TestInvalidSettings: New accepts missing and absurd settings, and still answers requests.
+func TestInvalidSettings(t *testing.T) {
 	absurd := settings()
 	absurd.Balancers, absurd.Zone, absurd.Zones, absurd.MaxAttempts = -3, 900, -1, -1
 	absurd.SlowStartMinCapacity, absurd.OverloadFactor, absurd.ProbePrice = -1, 0, -5
 	absurd.Classes[0].LatencyObjective = -time.Hour
 	for _, set := range []Settings{{}, absurd} {
-		g := newRig(set, fleet(4, 1))
-		g.ask(Request{Load: math.Inf(1)})
-		id := g.ask(Request{Class: 99, Tenant: -4})
-		if math.IsNaN(g.meanLoad) || math.IsInf(g.meanLoad, 0) {
-			t.Errorf("mean load %v after an absurd hint", g.meanLoad)
+		h := newHarness(set, fleet(4, 1))
+		h.submit(Request{Load: math.Inf(1)})
+		id := h.submit(Request{Class: 99, Tenant: -4})
+		if math.IsNaN(h.meanLoad) || math.IsInf(h.meanLoad, 0) {
+			t.Errorf("mean load %v after an absurd hint", h.meanLoad)
 		}
-		g.fire(5 * time.Second)
-		if g.where(id) == 0 && g.ends[id] == "" {
+		h.fireTimers(5 * time.Second)
+		if h.serverOf(id) == 0 && h.answers[id] == "" {
 			t.Error("request neither sent nor answered")
 		}
 	}
 }
 
-// TestStaleIDs: unknown and finished ids, and events out of order, are harmless.
+// TestStaleIDs: events of unknown or finished requests, servers and timers are ignored.
 func TestStaleIDs(t *testing.T) {
-	g := newRig(settings(), fleet(3, 1))
-	g.Established(g.now, 5)
-	g.RequestEnded(g.now, 5)
-	g.UpdateLoad(g.now, 5, 1)
-	g.ObserveLatency(g.now, 5, time.Second)
-	g.AttemptEnded(g.now, Outcome{ID: 5, Server: 4, Attempt: 9, Report: NoReport})
-	g.ProbeResult(g.now, 4, Error, NoReport)
-	g.AddExisting(g.now, Request{ID: 6}, 4)
-	g.Balancer.Timer(g.now, tokenDeadline|5)
-	g.Balancer.Timer(g.now, tokenRetry|5)
-	g.Balancer.Timer(g.now, ^uint64(0))
-	if len(g.sends) != 0 || len(g.ends) != 0 {
-		t.Errorf("acted on stale ids: %v", g.log)
-	}
-}
-
-// Files of the package that decide nothing: what crosses its border, what is kept, and how settings are read.
-var undeciding = []string{"api.go", "facade.go", "hash.go", "learned.go", "settings.go", "state.go"}
-
-// TestLimits checks what the project promises its auditor: decisions stand in files that a reader can take in, and the deploy
-// file names them all.
-func TestLimits(t *testing.T) {
-	const linesMost, widthMost = 250, 110
+	h := newHarness(settings(), fleet(3, 1))
+	h.Established(h.now, 5)
+	h.RequestEnded(h.now, 5)
+	h.UpdateLoad(h.now, 5, 1)
+	h.ObserveLatency(h.now, 5, time.Second)
+	h.AttemptEnded(h.now, Outcome{ID: 5, Server: 4, Attempt: 9, Report: NoReport})
+	h.ProbeResult(h.now, 4, Error, NoReport)
+	h.AddExisting(h.now, Request{ID: 6}, 4)
+	h.Balancer.Timer(h.now, tokenDeadline|5)
+	h.Balancer.Timer(h.now, tokenRetry|5)
+	h.Balancer.Timer(h.now, ^uint64(0))
+	if len(h.sends) != 0 || len(h.answers) != 0 {
+		t.Errorf("acted on stale ids: %v", h.log)
+	}
+}
+
+// nonDecisionFiles make no decisions: the API, the state, and the reading of settings.
+var nonDecisionFiles = []string{"api.go", "facade.go", "hash.go", "learned.go", "settings.go", "state.go"}
+
+// TestDecisionFiles checks what the project promises its auditor: the files that make decisions are short, and the deploy file lists
+// them all.
+func TestDecisionFiles(t *testing.T) {
+	const maxLines, maxWidth = 250, 110
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -1287,150 +1274,150 @@
 	if key == nil {
 		t.Fatal("no policy key in the deploy file")
 	}
-	var named []string
+	var listed []string
 	for _, quoted := range strings.Split(string(key[1]), ", ") {
-		named = append(named, strings.TrimPrefix(strings.Trim(quoted, `"`), "policy/"))
+		listed = append(listed, strings.TrimPrefix(strings.Trim(quoted, `"`), "policy/"))
 	}
 	files, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var deciding []string
+	var decisionFiles []string
 	for _, name := range files {
-		if strings.HasSuffix(name, "_test.go") || slices.Contains(undeciding, name) {
+		if strings.HasSuffix(name, "_test.go") || slices.Contains(nonDecisionFiles, name) {
 			continue
 		}
-		deciding = append(deciding, name)
+		decisionFiles = append(decisionFiles, name)
 		text, err := os.ReadFile(name)
 		if err != nil {
 			t.Fatal(err)
 		}
 		lines := strings.Split(string(text), "\n")
-		if len(lines) > linesMost {
-			t.Errorf("%s has %d lines, %d at most", name, len(lines), linesMost)
+		if len(lines) > maxLines {
+			t.Errorf("%s has %d lines, %d at most", name, len(lines), maxLines)
 		}
 		for i, line := range lines {
-			if len([]rune(line)) > widthMost {
-				t.Errorf("%s: line %d has over %d characters", name, i+1, widthMost)
+			if len([]rune(line)) > maxWidth {
+				t.Errorf("%s: line %d has over %d characters", name, i+1, maxWidth)
 			}
 		}
 	}
-	slices.Sort(named)
-	if !slices.Equal(named, deciding) {
-		t.Errorf("the deploy file names %v, decisions stand in %v", named, deciding)
+	slices.Sort(listed)
+	if !slices.Equal(listed, decisionFiles) {
+		t.Errorf("the deploy file lists %v, the package has %v", listed, decisionFiles)
 	}
 }
 
-// TestLoadsUnknown guards against a relay that takes a connection's load for 1 until it hears better and counts
-// capacities in that: it believed servers to hold fifteen times what they do, for as long as that mean lasted.
-func TestLoadsUnknown(t *testing.T) {
-	g := newRig(settings(), fleet(1, 1))
+// TestCapacityWithUnknownLoads: before the load of any connection is known, a server's capacity in connections follows from its reports. A
+// relay that assumed a load of 1 overestimated capacities fifteenfold.
+func TestCapacityWithUnknownLoads(t *testing.T) {
+	h := newHarness(settings(), fleet(1, 1))
 	id := fleet(1, 1)[0].ID
-	s := g.byID[id]
-	connections := func() float64 { return g.capacityOf(g.now, s) / g.unitLoad() }
-	g.AddExisting(g.now, Request{ID: 900}, id)
-	g.load[id], g.count[id] = 0.5, 20
+	s := h.byID[id]
+	connections := func() float64 { return h.capacityOf(h.now, s) / h.unitLoad() }
+	h.AddExisting(h.now, Request{ID: 900}, id)
+	h.load[id], h.connections[id] = 0.5, 20
 	report := Report{Connections: 20, Load: 0.5, Util: -1}
 	for range 40 {
-		g.ProbeResult(g.now, id, OK, report)
+		h.ProbeResult(h.now, id, OK, report)
 	}
 	if n := connections(); n < 38 || n > 42 {
 		t.Fatalf("capacity %.1f connections where 20 make a load of 0.5", n)
 	}
-	g.Balancer.UpdateLoad(g.now, 900, 0.04)
+	h.Balancer.UpdateLoad(h.now, 900, 0.04)
 	for range 3 {
-		g.ask(Request{Load: -1})
+		h.submit(Request{Load: -1})
 	}
-	if n := connections(); n < 38 || n > 42 || g.unitLoad() > 0.05 {
-		t.Errorf("capacity %.1f connections of %.2f each, once loads of 0.04 are known", n, g.unitLoad())
+	if n := connections(); n < 38 || n > 42 || h.unitLoad() > 0.05 {
+		t.Errorf("capacity %.1f connections of %.2f each, once loads of 0.04 are known", n, h.unitLoad())
 	}
-	// What ends frees what it was last said to weigh, not what was guessed when it came.
+	// The end of a connection frees its last known load, not the estimate at its arrival.
 	s.pendingPlacements = nil
-	before := g.usedOf(g.now, s)
-	g.AttemptEnded(g.now, Outcome{ID: 900, Server: id, Result: OK, Final: true, Report: NoReport})
-	if freed := before - g.usedOf(g.now, s); freed < 0.039 || freed > 0.041 {
+	before := h.usedOf(h.now, s)
+	h.AttemptEnded(h.now, Outcome{ID: 900, Server: id, Result: OK, Final: true, Report: NoReport})
+	if freed := before - h.usedOf(h.now, s); freed < 0.039 || freed > 0.041 {
 		t.Errorf("a connection of 0.04 freed %.3f", freed)
 	}
 }
 
-// TestHealthCheck guards against work that piles up unseen while no request arrives: servers that hold own connections are
-// probed all the same, others are not, and never beyond what probes may cost.
+// TestHealthCheck: servers with own connections are probed even while no request arrives, or a backlog would go unseen; others are not, and
+// never beyond the budget of probes.
 func TestHealthCheck(t *testing.T) {
-	g := newRig(settings(), fleet(3, 1))
-	s := g.servers[1]
-	g.AddExisting(g.now, Request{ID: 900, Load: 0.1}, s.ID)
-	g.load[s.ID] = 0.5
+	h := newHarness(settings(), fleet(3, 1))
+	s := h.servers[1]
+	h.AddExisting(h.now, Request{ID: 900, Load: 0.1}, s.ID)
+	h.load[s.ID] = 0.5
 	for n := range 3 {
-		g.now += 2 * g.reportLag()
-		g.probes = nil
-		g.Balancer.Timer(g.now, tokenHealthCheck)
-		if len(g.probes) != 1 || g.probes[0] != s.ID {
-			t.Fatalf("look %d probed %v, want the server with the connection alone", n, g.probes)
+		h.now += 2 * h.reportLag()
+		h.probes = nil
+		h.Balancer.Timer(h.now, tokenHealthCheck)
+		if len(h.probes) != 1 || h.probes[0] != s.ID {
+			t.Fatalf("check %d probed %v, want only the server with the connection", n, h.probes)
 		}
-		g.answer()
+		h.answerProbes()
 	}
-	if last := g.timers[len(g.timers)-1]; last.token != tokenHealthCheck || last.delay < g.reportLag()/2 {
-		t.Errorf("the next look: %+v", last)
+	if last := h.timers[len(h.timers)-1]; last.token != tokenHealthCheck || last.delay < h.reportLag()/2 {
+		t.Errorf("the next check: %+v", last)
 	}
-	g.now += 2 * g.reportLag()
-	g.probeTokens = 0.5
-	if g.Balancer.Timer(g.now, tokenHealthCheck); len(g.probes) != 0 {
-		t.Errorf("probed %v beyond the budget", g.probes)
+	h.now += 2 * h.reportLag()
+	h.probeTokens = 0.5
+	if h.Balancer.Timer(h.now, tokenHealthCheck); len(h.probes) != 0 {
+		t.Errorf("probed %v beyond the budget", h.probes)
 	}
 }
 
-// TestFailuresStay guards against a server that fails connections but answers probes: its answers bring it back
-// after a pause, yet one more failure ejects it again, until a connection stands there. Failures of what was
-// under way when it was ejected do not lengthen the pause, and nobody probes it meanwhile.
-func TestFailuresStay(t *testing.T) {
-	g := newRig(settings(), fleet(1, 1))
-	s := g.servers[0]
+// TestFailuresOutlastProbes: a server that fails connections but answers probes is reinstated by a probe after its backoff, yet one more
+// failure ejects it again, until a connection is established there. Failures of attempts that were in flight at the ejection do not lengthen
+// the backoff, and there are no probes meanwhile.
+func TestFailuresOutlastProbes(t *testing.T) {
+	h := newHarness(settings(), fleet(1, 1))
+	s := h.servers[0]
 	for range serverFailureThreshold {
-		g.recordFailure(g.now, s)
+		h.recordFailure(h.now, s)
 	}
 	until := s.retryAt
 	for range 5 {
-		g.recordFailure(g.now, s)
+		h.recordFailure(h.now, s)
 	}
-	g.probes, s.probing = nil, false
-	g.checkHealth(g.now)
-	if !s.ejected || s.retryAt != until || s.failures != serverFailureThreshold || len(g.probes) != 0 {
-		t.Fatalf("bad %v, %d failures, pause moved by %v, probed %v", s.ejected, s.failures, s.retryAt-until, g.probes)
+	h.probes, s.probing = nil, false
+	h.checkHealth(h.now)
+	if !s.ejected || s.retryAt != until || s.failures != serverFailureThreshold || len(h.probes) != 0 {
+		t.Fatalf("ejected %v, %d failures, backoff longer by %v, probed %v", s.ejected, s.failures, s.retryAt-until, h.probes)
 	}
-	g.now = until
-	g.ProbeResult(g.now, s.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
+	h.now = until
+	h.ProbeResult(h.now, s.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
 	if s.ejected {
-		t.Fatal("it answered, and is not back")
+		t.Fatal("not reinstated by a successful probe")
 	}
-	if g.recordFailure(g.now, s); !s.ejected {
-		t.Fatal("it fails on, and is not condemned")
+	if h.recordFailure(h.now, s); !s.ejected {
+		t.Fatal("not ejected by a further failure")
 	}
-	g.now = s.retryAt
-	g.ProbeResult(g.now, s.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
-	id := g.ask(Request{Load: 0.1})
-	g.Established(g.now, id)
-	if g.recordFailure(g.now, s); s.ejected {
-		t.Error("condemned for one failure after a connection stood")
+	h.now = s.retryAt
+	h.ProbeResult(h.now, s.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
+	id := h.submit(Request{Load: 0.1})
+	h.Established(h.now, id)
+	if h.recordFailure(h.now, s); s.ejected {
+		t.Error("ejected for one failure after a connection was established")
 	}
 }
 
-// TestPollSoon guards against a relay that is left without the list for longer than its changes may stay untold:
-// a failed call is repeated within a fifth of the time allowed, however many have failed.
-func TestPollSoon(t *testing.T) {
+// TestPollRetryBound: a failed poll is retried within a fifth of the longest time that the relay may go without the list, however many have
+// failed.
+func TestPollRetryBound(t *testing.T) {
 	set := settings()
 	set.Subscribe, set.CanProbe = true, false // no timers for probes
-	g := newRig(set, fleet(2, 1))
+	h := newHarness(set, fleet(2, 1))
 	for range 40 {
-		if wait := g.timers[len(g.timers)-1].delay; wait > set.MaxPollInterval/5 {
-			t.Fatalf("asks again after %v", wait)
+		if wait := h.timers[len(h.timers)-1].delay; wait > set.MaxPollInterval/5 {
+			t.Fatalf("polls again after %v", wait)
 		}
-		g.UpdateServers(g.now, ListFailed, nil)
+		h.UpdateServers(h.now, ListFailed, nil)
 	}
 }
 
-// TestPollSpread guards against a herd of calls that all fail because they come faster than they can be served: the
-// more proxies there are, the wider the first calls and the repeated ones spread, within the time allowed.
-func TestPollSpread(t *testing.T) {
+// TestPollJitter: the more proxies there are, the wider their first polls and their retries spread, within the time allowed. Polls that
+// arrive faster than they can be served would all fail.
+func TestPollJitter(t *testing.T) {
 	set := settings()
 	set.Subscribe, set.CanProbe = true, false // no timers for probes
 	set.Balancers = 36
@@ -1446,6 +1433,6 @@
 		last = max(last, rec.timers[len(rec.timers)-1].delay)
 	}
 	if first < 2*time.Second || first > 3*time.Second || last < 8*time.Second || last > set.MaxPollInterval {
-		t.Errorf("the first calls come within %v, repeated ones within %v", first, last)
+		t.Errorf("the first polls are within %v, retries within %v", first, last)
 	}
 }
