--- /dev/null
+++ b/policy/capacity_test.go
@@ -0,0 +1,57 @@
+package policy
+
+import (
+	"testing"
+)
+
+// TestCapacityAfterStart: a proxy that has just started and gets many clients at once learns the servers' capacity from their reports. The
+// first report, of one connection and some other load, suggests far too little.
+func TestCapacityAfterStart(t *testing.T) {
+	for name, set := range siteSettings() {
+		set.Zones, set.Groups = 1, true
+		h := newHarness(set, fleet(2, 1))
+		for n := range 20 {
+			h.now += ms
+			for _, s := range h.servers {
+				h.load[s.ID], h.connections[s.ID] = 0.1+0.01*s.ownFlows, s.ownFlows
+			}
+			id := h.submit(Request{Group: uint64(n + 2), Load: -1})
+			if h.serverOf(id) == 0 {
+				t.Fatalf("%s: client %d found no capacity, with %v and %v connections", name, n, h.servers[0].ownFlows, h.servers[1].ownFlows)
+			}
+			h.Established(h.now, id)
+		}
+	}
+}
+
+// TestCapacityWithUnknownLoads: before the load of any connection is known, a server's capacity in connections follows from its reports. A
+// relay that assumed a load of 1 overestimated capacities fifteenfold.
+func TestCapacityWithUnknownLoads(t *testing.T) {
+	h := newHarness(settings(), fleet(1, 1))
+	id := fleet(1, 1)[0].ID
+	s := h.byID[id]
+	connections := func() float64 { return h.capacityOf(h.now, s) / h.unitLoad() }
+	h.AddExisting(h.now, Request{ID: 900}, id)
+	h.load[id], h.connections[id] = 0.5, 20
+	report := Report{Connections: 20, Load: 0.5, Util: -1}
+	for range 40 {
+		h.ProbeResult(h.now, id, OK, report)
+	}
+	if n := connections(); n < 38 || n > 42 {
+		t.Fatalf("capacity %.1f connections where 20 make a load of 0.5", n)
+	}
+	h.Balancer.UpdateLoad(h.now, 900, 0.04)
+	for range 3 {
+		h.submit(Request{Load: -1})
+	}
+	if n := connections(); n < 38 || n > 42 || h.unitLoad() > 0.05 {
+		t.Errorf("capacity %.1f connections of %.2f each, once loads of 0.04 are known", n, h.unitLoad())
+	}
+	// The end of a connection frees its last known load, not the estimate at its arrival.
+	s.pendingPlacements = nil
+	before := h.usedOf(h.now, s)
+	h.AttemptEnded(h.now, Outcome{ID: 900, Server: id, Result: OK, Final: true, Report: NoReport})
+	if freed := before - h.usedOf(h.now, s); freed < 0.039 || freed > 0.041 {
+		t.Errorf("a connection of 0.04 freed %.3f", freed)
+	}
+}
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+	"math/rand/v2"
 	"slices"
 	"testing"
 	"time"
@@ -182,3 +183,164 @@
 		}
 	}
 }
+
+// TestSlowStartManyProxies: if many proxies have one request each within half a second for a server in slow start, they together send most
+// of its capacity, and no more than that and the rate's budget; less would leave the server idle. Without a group all 300 proxies may send,
+// also on a site with groups; with a group, as many proxies send as the largest group needs.
+func TestSlowStartManyProxies(t *testing.T) {
+	const proxies, trials = 300, 20
+	set := settings()
+	set.Balancers, set.OverloadWindow, set.Groups = proxies, 3*time.Second, true
+	for _, group := range []uint64{0, 77} {
+		rng := rand.New(rand.NewPCG(3, 4))
+		sent, capacity, allowed := 0.0, 0.0, 0.0
+		for trial := range uint64(trials) {
+			senders := uint64(proxies)
+			for p := uint64(0); p < senders; p++ {
+				h := newHarness(set, nil)
+				h.Balancer = New(set, 1000*trial+p, h.recorder)
+				h.UpdateServers(t0, ListDelta, []Server{{ID: 1, State: Ready, Weight: 1, Started: t0}})
+				now, s := t0+time.Duration(rng.Int64N(int64(500*ms))), h.servers[0]
+				if h.slowStartAllows(now, &request{Request: Request{Group: group}, load: 1}, s) {
+					sent++
+				}
+				if p == 0 {
+					if group != 0 {
+						senders = uint64(groupDemand * fillLow * h.capacityOf(t0+set.SlowStartDuration, s))
+					}
+					capacity += fillHigh * h.capacityOf(t0, s)
+					// What the rate allows by the end of the half second, including the part of a window that is granted at once.
+					seconds := set.OverloadWindow.Seconds()*(1/slowStartMargin-1) + 0.5
+					allowed += slowStartMargin * set.OverloadFactor * h.capacityOf(t0+500*ms, s) / set.SlowStartDuration.Seconds() * seconds
+				}
+			}
+		}
+		if sent < 0.7*capacity || sent > capacity+allowed {
+			t.Errorf("group %d: %.1f sent in %d trials; the capacity is %.1f, the rate allows %.1f", group, sent, trials,
+				capacity, allowed)
+		}
+	}
+}
+
+// TestSlowStart guards rule 4: what each proxy sends to a server in slow start stays within its part of the fleet's budget.
+func TestSlowStart(t *testing.T) {
+	set := settings()
+	set.Balancers = 50
+	list := fleet(6, 1)
+	sent := 0.0
+	const proxies = 50
+	for seed := range uint64(proxies) {
+		rec := &recorder{}
+		h := &harness{Balancer: New(set, seed, rec), recorder: rec, now: t0, load: map[ServerID]float64{}}
+		servers := slices.Clone(list)
+		servers[0].Started = t0 - ms
+		h.UpdateServers(t0, ListCached, servers)
+		for _, s := range list[1:] {
+			h.load[s.ID] = 0.7
+		}
+		for range 10 {
+			h.now += 200 * ms
+			if h.serverOf(h.submit(Request{Tenant: h.byID[list[0].ID].owner, Load: 1})) == list[0].ID {
+				sent++
+			}
+		}
+	}
+	// Its capacity is 16 mean loads by default, and it starts at 0.3 of that. The rule allows three times its rate over the two
+	// seconds simulated here, and its capacity at their end on top.
+	if budget := 3*0.45*16.0/9*2 + fillHigh*16*(0.3+0.7*2.2/9); sent > budget || sent == 0 {
+		t.Errorf("fifty proxies sent %v to a server in slow start, budget %v", sent, budget)
+	}
+}
+
+// TestActiveRelays: if eight of twelve proxies are known to be gone, the other four may send a server in slow start the share of all twelve,
+// and still no more than the rule allows; an invalid number changes nothing.
+func TestActiveRelays(t *testing.T) {
+	set := settings()
+	set.Balancers = 12
+	sentWith := func(activeRelays float64) (sent float64) {
+		list := fleet(6, 1)
+		for seed := range uint64(4) {
+			h := &harness{recorder: &recorder{}, now: t0, load: map[ServerID]float64{}}
+			h.Balancer = New(set, seed, h.recorder)
+			servers := slices.Clone(list)
+			servers[0].Started = t0 - ms
+			h.UpdateServers(t0, ListCached, servers)
+			for _, s := range list[1:] {
+				h.load[s.ID] = 0.7
+			}
+			ActiveRelays{Count: activeRelays}.apply(h.Balancer, t0)
+			for range 40 {
+				h.now += 50 * ms
+				if h.serverOf(h.submit(Request{Tenant: h.byID[list[0].ID].owner, Load: 1})) == list[0].ID {
+					sent++
+				}
+			}
+		}
+		return sent
+	}
+	all, few, invalid := sentWith(12), sentWith(4), sentWith(math.NaN())
+	if budget := 3*0.45*16.0/9*2 + fillHigh*16*(0.3+0.7*2.2/9); few > budget || few < 1.5*all || invalid != all {
+		t.Errorf("four proxies sent %v as four of twelve, %v as all that are active, of %v allowed, %v by an invalid number", all, few, budget, invalid)
+	}
+}
+
+// spendSlowStart accounts for one send in the budget of a server in slow start.
+func spendSlowStart(s *server) {
+	s.slowStartTokens, s.slowStartSent = s.slowStartTokens-1, s.slowStartSent+1
+}
+
+// TestSlowStartBudget: over its slow start a server gets most of what the rule allows at the least capacity that it can have, and never all
+// of it. With less it would be idle while others are overloaded.
+func TestSlowStartBudget(t *testing.T) {
+	set := settings()
+	h := newHarness(set, fleet(1, 1))
+	s, now, r := h.servers[0], t0, &request{load: 1}
+	s.Started = t0
+	sent, allowed := 0.0, 0.0
+	for now < t0+set.SlowStartDuration-100*ms {
+		now += 10 * ms
+		allowed += set.OverloadFactor * h.capacityOf(now, s) / set.SlowStartDuration.Seconds() * 0.01
+		if h.slowStartAllows(now, r, s) {
+			spendSlowStart(s)
+			sent++
+		}
+	}
+	if sent < 0.6*allowed || sent > 0.85*allowed {
+		t.Errorf("sent %v where %v are allowed", sent, allowed)
+	}
+}
+
+// TestSlowStartFirstWindow: in the first window all proxies together send, on average, most of what the window's budget allows, or of the
+// server's capacity if that is more, and no more than both. Otherwise a server would come into use only when warm if each of many proxies
+// has few requests.
+func TestSlowStartFirstWindow(t *testing.T) {
+	for _, proxies := range []int{4, 80} {
+		set := settings()
+		set.Balancers, set.OverloadWindow = proxies, 3*time.Second
+		rng := rand.New(rand.NewPCG(1, 2))
+		sent, allowed, capacity := 0.0, 0.0, 0.0
+		for trial := range uint64(40) {
+			var harnesses []*harness
+			for p := range uint64(proxies) {
+				h := newHarness(set, nil)
+				h.Balancer = New(set, 100*trial+p, h.recorder)
+				h.UpdateServers(t0, ListDelta, []Server{{ID: 1, State: Ready, Weight: 1, Started: t0}})
+				harnesses = append(harnesses, h)
+			}
+			for now := t0; now < t0+set.OverloadWindow; now += 10 * ms {
+				h := harnesses[rng.IntN(proxies)]
+				s := h.servers[0]
+				if h.slowStartAllows(now, &request{load: 1}, s) {
+					spendSlowStart(s)
+					sent++
+				}
+				allowed += set.OverloadFactor * h.capacityOf(now, s) / set.SlowStartDuration.Seconds() * 0.01
+			}
+			capacity += fillHigh * harnesses[0].capacityOf(t0, harnesses[0].servers[0])
+		}
+		if sent < 0.7*max(allowed, capacity) || sent > allowed+capacity {
+			t.Errorf("%d proxies sent %.1f; the first window allows %.1f, and the capacity is %.1f", proxies, sent,
+				allowed, capacity)
+		}
+	}
+}
