--- a/integration/comments_test.go
+++ b/integration/comments_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// TestComments says which packages and exported names of the code outside tests have no comment.
+// TestComments lists the packages and exported names outside tests that have no comment.
 func TestComments(t *testing.T) {
 	packages := map[string]bool{} // by directory: whether it has a comment
 	files := token.NewFileSet()
--- a/integration/crossing_descriptors_test.go
+++ b/integration/crossing_descriptors_test.go
@@ -15,7 +15,8 @@
 	return s, s.descriptors()
 }
 
-// returnAndDrain has discovery come back and lets a member drain there: the clients of its flows are moved once the relay has reached it.
+// returnAndDrain brings discovery back and lets a member drain there. The clients of its flows are moved once the relay has
+// reached discovery.
 func (s *lineRig) returnAndDrain(stands *client, b *backend) {
 	s.t.Helper()
 	s.d.SetDown(false)
@@ -35,8 +36,8 @@
 	})
 }
 
-// TestCrossingFullIdle: clients that say nothing, ask for readiness and stay, or send half a line, fill the descriptors while discovery is down. Once it
-// is back the relay reaches it and its members, while they stay.
+// TestCrossingFullIdle: clients that send nothing, check readiness and stay, or send half a line, fill the descriptors while
+// discovery is down. Once it is back the relay reaches it and its members, while these clients stay.
 func TestCrossingFullIdle(t *testing.T) {
 	t.Parallel()
 	s, before := newFullRig(t, 2)
@@ -68,8 +69,8 @@
 	s.stop()
 }
 
-// TestCrossingFullOpen: open flows fill the descriptors while discovery is down, and clients that are turned away stay as long as they may. Once it
-// is back the relay reaches it; service resumes when clients go.
+// TestCrossingFullOpen: open flows fill the descriptors while discovery is down, and rejected clients stay as long as they may.
+// Once discovery is back the relay reaches it; service resumes when clients go.
 func TestCrossingFullOpen(t *testing.T) {
 	t.Parallel()
 	s, before := newFullRig(t, 2)
--- a/integration/crossing_queue_test.go
+++ b/integration/crossing_queue_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestCrossingStopQueue: connections with a whole request wait in the accept queue, more than one round takes in, when the listener's time is
-// over: the process stands still from SIGTERM until then. Each is answered.
+// TestCrossingStopQueue: connections with a complete request wait in the accept queue, more than one loop round accepts, when
+// the listener is about to close: the process is suspended from SIGTERM until then. Each is answered.
 func TestCrossingStopQueue(t *testing.T) {
 	t.Parallel()
 	const waiting = 40 // acceptBurst of netloop is 16
--- a/integration/crossing_signals_test.go
+++ b/integration/crossing_signals_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// slowFile is a configuration on a disk that does not answer: whoever reads it waits until the test goes on.
+// slowFile is a configuration on a disk that does not answer: a reader waits until the test continues.
 type slowFile struct {
 	t    testing.TB
 	path string
@@ -31,7 +31,7 @@
 	return &slowFile{t, path, string(text)}
 }
 
-// waitReader waits until somebody reads it, who goes on waiting for what the test writes to the file returned.
+// waitReader waits until a process reads the file. That process waits for what the test writes to the returned file.
 func (s *slowFile) waitReader() *os.File {
 	s.t.Helper()
 	var f *os.File
--- a/integration/crossing_stop_test.go
+++ b/integration/crossing_stop_test.go
@@ -12,8 +12,8 @@
 	"dahliarudder/internal/fakes"
 )
 
-// TestCrossingStopAnswered: an attempt is held by its member when SIGTERM comes, and answered after. The client gets UP, then MOVE, before the
-// process ends.
+// TestCrossingStopAnswered: an attempt is in flight at its member when SIGTERM comes, and is answered after that. The client
+// gets UP, then MOVE, before the process ends.
 func TestCrossingStopAnswered(t *testing.T) {
 	t.Parallel()
 	s := newScriptedRig(t, 2, nil)
@@ -29,7 +29,8 @@
 	}
 }
 
-// TestCrossingStopInFlight: a request that a member holds until its time is up gets its one answer in time, and nothing starts after.
+// TestCrossingStopInFlight: a request that a member leaves unanswered until its deadline gets its one answer in time, and no
+// attempt starts after that.
 func TestCrossingStopInFlight(t *testing.T) {
 	t.Parallel()
 	for _, wait := range []time.Duration{time.Second, 2900 * time.Millisecond} {
@@ -60,8 +61,8 @@
 	}
 }
 
-// TestCrossingStopArrives: what comes after SIGTERM, on a new connection, on one that has said nothing, on one that has said half and on one
-// that was answered PONG, is answered BUSY and never sent on.
+// TestCrossingStopArrives: a request after SIGTERM, on a new connection, on an idle one, on one with half a line and on one
+// that was answered PONG, is answered BUSY and never forwarded.
 func TestCrossingStopArrives(t *testing.T) {
 	t.Parallel()
 	s := newScriptedRig(t, 2, nil)
@@ -87,7 +88,7 @@
 	}
 }
 
-// TestCrossingStopHalfLine: half a line of a member's stands at the client when SIGTERM comes. The rest follows, then MOVE.
+// TestCrossingStopHalfLine: half of a member's line has reached the client when SIGTERM comes. The rest follows, then MOVE.
 func TestCrossingStopHalfLine(t *testing.T) {
 	t.Parallel()
 	s := newScriptedRig(t, 2, nil)
@@ -106,8 +107,8 @@
 	s.wantTimelyExit(since)
 }
 
-// TestCrossingStopRests: a client that was answered PONG rests until the relay ends it, and sends a request just then. It sees a polite end, with or
-// without BUSY before, and no member sees the request.
+// TestCrossingStopRests: a client that was answered PONG stays until the relay closes the connection, and sends a request just
+// then. It sees an orderly close, with or without BUSY before, and no member gets the request.
 func TestCrossingStopRests(t *testing.T) {
 	t.Parallel()
 	s := newScriptedRig(t, 1, nil)
@@ -167,7 +168,8 @@
 	s.wantTimelyExit(since)
 }
 
-// TestCrossingStopTwice: a second and a third SIGTERM change nothing: what is held is answered, what stands is moved, and the process ends well.
+// TestCrossingStopTwice: a second and a third SIGTERM change nothing: requests in flight are answered, open flows are moved,
+// and the process exits without error.
 func TestCrossingStopTwice(t *testing.T) {
 	t.Parallel()
 	s := newScriptedRig(t, 2, nil)
@@ -185,7 +187,7 @@
 	s.wantTimelyExit(since)
 }
 
-// TestCrossingStopRefused: a member turns a request away after SIGTERM. It gets one answer; what is tried meanwhile never overlaps.
+// TestCrossingStopRefused: a member rejects a request after SIGTERM. The client gets one answer, and attempts never overlap.
 func TestCrossingStopRefused(t *testing.T) {
 	t.Parallel()
 	for what, end := range map[string]func(*attempt){"busy": (*attempt).reject, "reset": (*attempt).reset} {
@@ -222,7 +224,8 @@
 	},
 }
 
-// TestCrossingLeftInFlight: the client goes while its attempt is held by the member, which turns it away after that, or resets it. No attempt starts.
+// TestCrossingLeftInFlight: the client leaves while its attempt is in flight at a member, which rejects or resets it after
+// that. No further attempt starts.
 func TestCrossingLeftInFlight(t *testing.T) {
 	t.Parallel()
 	for what, leave := range clientEnds {
@@ -264,7 +267,7 @@
 	c.wantLine(io.EOF.Error())
 }
 
-// TestCrossingLeftDial: the client goes while no member takes the connection in. Once they do, none gets the request.
+// TestCrossingLeftDial: the client leaves while no member accepts the connection. Once they do, none gets the request.
 func TestCrossingLeftDial(t *testing.T) {
 	t.Parallel()
 	for what, leave := range clientEnds {
--- a/integration/crossing_upgrade_test.go
+++ b/integration/crossing_upgrade_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// newUpgradeRig is a relay that can be succeeded, with flows that stand.
+// newUpgradeRig is a relay that can have a successor, with open flows.
 func newUpgradeRig(t *testing.T, flows int) (s *scriptedRig, clients []*client, members []*attempt) {
 	t.Helper()
 	s = newScriptedRig(t, 2, map[string]any{"operator": "127.0.0.1:0"})
@@ -21,7 +21,7 @@
 	return s, clients, members
 }
 
-// passFlows has the relay stop while its successor stands still, and returns once it has given flows up.
+// passFlows stops the relay while its successor is suspended, and returns once it has handed its flows over.
 func (s *scriptedRig) passFlows(next *relay) time.Time {
 	s.t.Helper()
 	next.suspend()
@@ -30,7 +30,8 @@
 	return since
 }
 
-// waitLoopRound returns when the loop has been through a round: an operator's call is answered, or refused since the listeners are closed.
+// waitLoopRound returns when the event loop has completed a round: an operator's call is answered, or refused because the
+// listeners are closed.
 func (s *scriptedRig) waitLoopRound() {
 	c, err := net.Dial("tcp", s.addrs["operator"])
 	if err != nil {
@@ -42,7 +43,8 @@
 	c.Read(make([]byte, 1))
 }
 
-// handoverSocket is the file at which a successor is waited for, by its number: a process that begins to take clients in makes it anew.
+// handoverSocket is the inode of the socket at which a successor is awaited. A process that begins to accept clients creates it
+// again.
 func (r *relay) handoverSocket() uint64 {
 	r.t.Helper()
 	paths, err := filepath.Glob(filepath.Join(filepath.Dir(r.configPath), "dahliarudder-*", "upgrade.sock"))
@@ -248,8 +250,8 @@
 	wantMoved(clients...)
 }
 
-// TestCrossingFreshMany: SIGTERM comes while more connections that have asked for nothing wait to be handed over than may be on their way, and
-// then their first lines come. The successor serves each.
+// TestCrossingFreshMany: SIGTERM comes while more idle connections wait for the handover than may be in transit, and then their
+// first lines come. The successor serves each.
 func TestCrossingFreshMany(t *testing.T) {
 	t.Parallel()
 	const many = 20 // passBurst of the program is 8
@@ -358,8 +360,8 @@
 	}
 }
 
-// TestCrossingElsewhere: a request is on its way in the first process while its id is asked for at the successor: before the flow stands, while it
-// passes, and after. It is turned away each time, and there is one attempt.
+// TestCrossingElsewhere: a request is in progress in the first process while its id is sent to the successor: before the flow
+// is open, during the handover, and after it. It is rejected each time, and there is one attempt.
 func TestCrossingElsewhere(t *testing.T) {
 	t.Parallel()
 	s, _, _ := newUpgradeRig(t, 0)
--- a/integration/crossing_waiting_test.go
+++ b/integration/crossing_waiting_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// doubtAfter is over the time for which a relay may stand still without asking for its members anew: a second by the settings used here, beside what
-// it may have waited anyway.
+// doubtAfter is longer than the time for which a relay may be suspended without asking discovery again: a second by these
+// settings, besides what it may have waited anyway.
 const doubtAfter = 1500 * time.Millisecond
 
-// TestCrossingLeftWaiting: the client goes while its request waits in the relay, before its first attempt: the relay has stood still and sends
-// nothing before it is sure of its members. No attempt starts for it afterwards.
+// TestCrossingLeftWaiting: the client leaves while its request waits in the relay, before its first attempt: the relay was
+// suspended and sends nothing before its endpoint list is current. No attempt starts after that.
 func TestCrossingLeftWaiting(t *testing.T) {
 	t.Parallel()
 	for what, leave := range clientEnds {
--- a/integration/crossing_watch_test.go
+++ b/integration/crossing_watch_test.go
@@ -107,7 +107,7 @@
 	return respond(c, text)
 }
 
-// listText is the answer to who holds a generation.
+// listText is the answer to a reader that has a generation.
 func (d *scriptedDiscovery) listText(since int, indent string) string {
 	out := fakes.List{Generation: d.at, Reset: since < 0, Instances: []member{}}
 	for _, m := range d.list {
@@ -131,7 +131,7 @@
 	return err == nil
 }
 
-// hasWatch says that a call waits.
+// hasWatch reports whether a call waits.
 func (d *scriptedDiscovery) hasWatch() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -185,7 +185,7 @@
 	close(w.done)
 }
 
-// newWatchRig is a relay whose members take all, and discovery by script.
+// newWatchRig is a relay whose members accept all attempts, with a scripted discovery.
 func newWatchRig(t *testing.T) (*scriptedRig, *scriptedDiscovery) {
 	t.Helper()
 	s := &scriptedRig{attemptCounter: fakes.NewAttemptCounter()}
@@ -234,7 +234,7 @@
 	return last
 }
 
-// flowToDrain opens flows until one stands at a member that is to drain.
+// flowToDrain opens flows until one is at a member that is to drain.
 func (s *scriptedRig) flowToDrain() (*client, *scriptedMember) {
 	s.t.Helper()
 	c := s.openFlow(1, "")
@@ -248,7 +248,7 @@
 	return nil, nil
 }
 
-// watchCase is a member's drain that meets a watch which fails in some manner.
+// watchCase is a member's drain during which the watch fails in some way.
 type watchCase struct {
 	what     string
 	deadline time.Duration // by the protocol, after the drain
@@ -269,7 +269,8 @@
 	s.checkAttempts()
 }
 
-// TestCrossingWatch: a member drains, and what tells of it comes in one of the forms that the protocol allows, or the watch is reset just then.
+// TestCrossingWatch: a member drains, and the update comes in one of the forms that the protocol allows, or the watch is reset
+// just then.
 func TestCrossingWatch(t *testing.T) {
 	t.Parallel()
 	for _, test := range []watchCase{
--- a/integration/fleet_faults_test.go
+++ b/integration/fleet_faults_test.go
@@ -13,7 +13,7 @@
 	"dahliarudder/internal/rollout"
 )
 
-// leaderOrNone is the relay that leads now by its own word, -1 if none does.
+// leaderOrNone is the relay that reports itself as the leader; -1 if none does.
 func (f *fleetRig) leaderOrNone() int {
 	for i := range f.relays {
 		var a struct{ Engine struct{ Role string } }
@@ -24,7 +24,7 @@
 	return -1
 }
 
-// waitForWithin is until with a time of its own, for what takes several waits.
+// waitForWithin is waitFor with its own time limit, for what takes several waits.
 func waitForWithin(t *testing.T, span time.Duration, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(span); !ok(); time.Sleep(50 * time.Millisecond) {
@@ -52,14 +52,14 @@
 	return a.Counts.Out
 }
 
-// isLeaving says that a relay was told to leave, and not since that it may stay.
+// isLeaving reports whether a relay was ordered to leave, and not since then to stay.
 func isLeaving(r *relay) bool {
 	log := r.log.String()
 	return strings.LastIndex(log, "fleet: ordered to leave") > strings.LastIndex(log, "fleet: may stay")
 }
 
-// TestFleetConflictingRelease: a release that touches what another one does is refused with that one's name, or waits for it if that is wanted; one that
-// touches other things goes. Guards against two releases that pull at one thing.
+// TestFleetConflictingRelease: a release that touches what another one touches is refused with that one's name, or queued if
+// that is wanted; one that touches other things starts. Guards against two releases that contend for one unit.
 func TestFleetConflictingRelease(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 3, 3, nil)
@@ -99,7 +99,7 @@
 	return &rolloutWatch{f, name, map[int]int{}, -1}
 }
 
-// checkOneOut wants no more than one out, by any record and by what relays were told.
+// checkOneOut checks that at most one relay is out, by any record and by the relays' orders.
 func (w *rolloutWatch) checkOneOut() {
 	w.f.t.Helper()
 	told := 0
@@ -125,9 +125,9 @@
 	}
 }
 
-// TestFleetLeaderKilled: the relay that leads is killed while another one is out by order. The release goes on under the next leader once the
-// killed one is there again; nothing more is given out meanwhile, and each relay ends by order once. Guards against a new leader that does not know
-// what its predecessor gave out, and against one that takes a loss for room.
+// TestFleetLeaderKilled: the leader is killed while another relay is out by order. The release continues under the next leader
+// once the killed relay is back; nothing more is ordered meanwhile, and each relay exits by order once. Guards against a new
+// leader that does not know its predecessor's orders, and against one that counts a lost relay as free budget.
 func TestFleetLeaderKilled(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 4, map[string]any{"relays": map[string]string{"whole": "1"}})
@@ -170,9 +170,9 @@
 	}
 }
 
-// TestFleetAllKilled: all relays are killed at once while one has left by order and the next one is told to. Started again they go on from their disks
-// to the release's end: never more than one out, and nobody leaves twice, not even who was killed with its order. Guards against a release
-// that is forgotten, begun anew, or held for ever by a loss of power.
+// TestFleetAllKilled: all relays are killed at once while one has left by order and the next one has its order. Started again
+// they continue from their disks to the release's end: never more than one is out, and nobody leaves twice, not even the one
+// that was killed with its order. Guards against a release that is lost, restarted or blocked for ever by a loss of power.
 func TestFleetAllKilled(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 4, map[string]any{"relays": map[string]string{"whole": "1"}})
@@ -207,7 +207,7 @@
 	}
 }
 
-// restartMember has a member begin anew at its address, cold, as its owner does who replaces it.
+// restartMember starts a member again at its address, in slow start, as its owner does who replaces it.
 func (f *fleetRig) restartMember(i int) time.Time {
 	f.t.Helper()
 	b := f.members[i]
@@ -222,15 +222,16 @@
 	return now
 }
 
-// shortCold are settings by which a member is cold for three seconds.
-var shortCold = strings.Replace(settingsText, `"cold-ms":8600`, `"cold-ms":3000`, 1)
+// shortSlowStart are settings with a slow start of three seconds.
+var shortSlowStart = strings.Replace(settingsText, `"cold-ms":8600`, `"cold-ms":3000`, 1)
 
-// TestFleetNoMajority: two of three voters are cut off while one member of a release is out. Its owner replaces it meanwhile, so that the next
-// one would be due: it does not go out, the order that was given holds at every relay, and after the cut the release goes on to its end. Guards
-// against a leader that gives out what nobody else knows of, and against relays that forget an order with the record out of reach.
+// TestFleetNoMajority: two of three voters are cut off while one member of a release is out. Its owner replaces it meanwhile,
+// so that the next one would be due: it does not go out, the order holds at every relay, and after the cut the release
+// continues to its end. Guards against a leader that orders what no other voter knows, and against relays that forget an order
+// while the record is out of reach.
 func TestFleetNoMajority(t *testing.T) {
 	t.Parallel()
-	f := newFleetWithSettings(t, shortCold, 4, 3, 3, nil)
+	f := newFleetWithSettings(t, shortSlowStart, 4, 3, 3, nil)
 	l := f.waitLeader()
 	f.mustCall(3, "POST", "/-/releases", map[string]any{"name": "m", "kind": "member", "names": []string{"s0", "s1"}})
 	f.logReleaseOnFailure("m")
@@ -278,9 +279,9 @@
 	}
 }
 
-// TestFleetStaleOrder: a relay that was told to leave stands still before it can end; meanwhile the release is halted and taken back. When it goes on,
-// its time to end is over by far, and all it knows of is the order: it asks, stays, and serves. Guards against an end by an order
-// that was taken back.
+// TestFleetStaleOrder: a relay that was ordered to leave is suspended before it can exit; meanwhile the release is halted and
+// rolled back. When the relay continues, its exit is long overdue, and it knows only the order: it asks the leader, stays, and
+// serves. Guards against an exit by a revoked order.
 func TestFleetStaleOrder(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
@@ -312,8 +313,9 @@
 	}
 }
 
-// TestFleetMissedEjection: a relay whose record is cut off does not learn of a ban, and sends there still; the leader shows that it is not heard. When
-// the record is back the relay takes the ban by itself, and the row goes. Guards against drift that nobody sees.
+// TestFleetMissedEjection: a relay whose record is cut off does not learn of an ejection and still uses the member; the leader
+// reports it as unreachable. When the record is back the relay applies the ejection by itself, and the drift row goes. Guards
+// against drift that nobody sees.
 func TestFleetMissedEjection(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
@@ -428,9 +430,9 @@
 	}
 }
 
-// TestFleetPermits: two owners ask for one member each, and one may be out. The second waits, is told why and when to ask again, and keeps its
-// number; it is granted once the first one's member, restarted, bears all again, by what relays see and not by its owner's word. A number that is done
-// with does nothing. Guards against a budget that is given out twice.
+// TestFleetPermits: two owners request one member each, and one may be out. The second one waits, is told why and when to
+// retry, and keeps its number. It is granted once the first member, restarted, has its full capacity, by the relays'
+// observations and not by its owner's statement. A finished number does nothing. Guards against a budget that is granted twice.
 func TestFleetPermits(t *testing.T) {
 	t.Parallel()
 	f := newFleetWithSettings(t, strings.Replace(settingsText, `"cold-ms":8600`, `"cold-ms":7000`, 1), 4, 3, 3, nil)
@@ -480,9 +482,10 @@
 	}
 }
 
-// TestFleetDisablePartitioned: two of three voters are cut off, so that nobody has a majority, and an operator disables a member at one relay. The call
-// holds there and then, and at no other; with the majority back it still holds at that relay alone, is shown as drift, and ends when it is
-// lifted there. Guards against a call that does nothing in the worst hour, and against one that comes into the record later, unasked.
+// TestFleetDisablePartitioned: two of three voters are cut off, so that there is no majority, and an operator disables a member
+// at one relay. The call takes effect there and then, and at no other relay; with the majority back it still holds at that
+// relay alone, is shown as drift, and ends when it is lifted there. Guards against a call that does nothing during a partition,
+// and against one that enters the record later.
 func TestFleetDisablePartitioned(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
@@ -512,8 +515,8 @@
 	waitFor(t, "n3 to use it again", func() bool { return f.flowsToMember(3, 1, 2) > 0 })
 }
 
-// TestFleetStartPartitioned: a voter and a follower that start while the record is out of reach hold to what they knew: nothing goes to a member that was
-// banned. Guards against a start that is a way round a ban.
+// TestFleetStartPartitioned: a voter and a follower that start while the record is out of reach keep what they knew: nothing
+// goes to an ejected member. Guards against a restart that bypasses an ejection.
 func TestFleetStartPartitioned(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
--- a/integration/fleet_test.go
+++ b/integration/fleet_test.go
@@ -20,8 +20,7 @@
 	"dahliarudder/internal/rollout"
 )
 
-// fleet is several relays that agree on one record. The ways between their records are pipes that can be cut; what tells who lives goes
-// straight.
+// fleetRig is several relays that agree on one record. The links of consensus pass through proxies that can be cut; gossip is direct.
 type fleetRig struct {
 	t           *testing.T
 	d           *discovery
@@ -35,7 +34,7 @@
 
 const fleetKey = gossipRigKey
 
-// newFleet starts n relays of which the first voters vote, before so many members that bear everything.
+// newFleet starts n relays of which the first voters vote, and members with unlimited capacity.
 func newFleet(t *testing.T, n, voters, members int, out map[string]any) *fleetRig {
 	return newFleetWithSettings(t, settingsText, n, voters, members, out)
 }
@@ -99,7 +98,7 @@
 	}
 }
 
-// setEverywhere repeats an operator's call on a member until it is agreed: with no leader just then, it holds at that relay alone.
+// setEverywhere repeats an operator's call on a member until it is agreed: without a leader it holds at that relay alone.
 func (f *fleetRig) setEverywhere(i int, member string, out bool) {
 	f.t.Helper()
 	path := map[bool]string{true: "/disable", false: "/enable"}[out]
@@ -108,7 +107,7 @@
 	})
 }
 
-// waitAccepting waits until a relay takes flows: until it has heard the record, or has waited for it, it sends nothing and answers BUSY.
+// waitAccepting waits until a relay accepts flows. Until it has received the record, or has waited for it, it answers BUSY.
 func (f *fleetRig) waitAccepting(i int) {
 	f.t.Helper()
 	waitFor(f.t, fmt.Sprintf("n%d to take flows", i), func() bool {
@@ -121,7 +120,7 @@
 // newGroup is a number for a flow of a group of its own.
 func (f *fleetRig) newGroup() int { f.groups++; return f.groups * 7919 }
 
-// flowsToMember opens so many at a relay, one after another, and says how many came to a member.
+// flowsToMember opens n flows at a relay, one after another, and returns how many reached a member.
 func (f *fleetRig) flowsToMember(i, n, member int) int {
 	f.t.Helper()
 	f.waitAccepting(i)
@@ -204,7 +203,7 @@
 	return a
 }
 
-// waitLeader is the relay that leads by its own word.
+// waitLeader is the relay that reports itself as the leader.
 func (f *fleetRig) waitLeader() (at int) {
 	f.t.Helper()
 	at = -1
@@ -221,7 +220,7 @@
 	return at
 }
 
-// hosts starts a relay again whenever it ends because it was told to.
+// restartOnExit restarts a relay whenever it exits by order.
 func (f *fleetRig) restartOnExit(i int) (ended bool) {
 	r := f.relays[i]
 	select {
@@ -237,7 +236,8 @@
 	}
 }
 
-// TestFleetEjection: one call at any relay takes a member out at all of them, also at one that was down then; and puts it back.
+// TestFleetEjection: one call at any relay ejects a member at all relays, also at one that was down then; another call
+// reinstates it.
 func TestFleetEjection(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
@@ -264,8 +264,9 @@
 	}
 }
 
-// TestFleetRelease: all relays are restarted by one order, the one that leads too, while clients stay connected through their moves: never
-// more out than the budget says, and each comes back. Then all members are drained and replaced by their owner, one after another.
+// TestFleetRelease: all relays are restarted by one order, the leader too, while clients stay connected through their moves:
+// never more are out than the budget allows, and each comes back. Then all members are drained and replaced by their owner, one
+// after another.
 func TestFleetRelease(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 4, map[string]any{"relays": map[string]string{"whole": "1"}, "members": map[string]string{"whole": "1"}})
@@ -292,7 +293,7 @@
 	}
 }
 
-// logRelease logs what the leader says, for a failing test.
+// logRelease logs the leader's report, for a failing test.
 func (f *fleetRig) logRelease(release string) {
 	for i, r := range f.relays {
 		var a, b json.RawMessage
@@ -312,7 +313,7 @@
 	return slices.Sorted(maps.Keys(a.Orders.Exclusions))
 }
 
-// localEjections is how many rows the leader shows of bans of a relay's own, -1 if no leader says so now.
+// localEjections is how many rows of a relay's own ejections the leader shows; -1 if no relay reports itself as the leader.
 func (f *fleetRig) localEjections(i int) (n int) {
 	f.t.Helper()
 	time.Sleep(200 * time.Millisecond)
@@ -373,8 +374,8 @@
 	f.waitRelease(3, "d1", rollout.ReleaseRolledBack)
 }
 
-// TestFleetPartition: a relay that is cut off from the record has nothing agreed, and answers so; a ban told to it holds at it alone, and is shown
-// as drift when it is back, until it is lifted there.
+// TestFleetPartition: a relay that is cut off from the record gets nothing agreed, and answers so. An ejection at it takes
+// effect at it alone, and is shown as drift when the relay is back, until it is lifted there.
 func TestFleetPartition(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
@@ -394,8 +395,8 @@
 	waitFor(t, "the drift to end", func() bool { return f.localEjections(cut) == 0 })
 }
 
-// TestFleetCanary: a member of a new build that answers errors gets a small share of new flows at every relay, the same groups everywhere; the
-// fleet finds it worse, holds it at zero everywhere, and goes back.
+// TestFleetCanary: a member of a new build that answers errors gets a small share of new flows at every relay, the same groups
+// everywhere; the fleet finds it worse, sets it to zero everywhere, and rolls back.
 func TestFleetCanary(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 3, 4, nil)
@@ -439,8 +440,8 @@
 	})
 }
 
-// TestFleetMany measures with as many processes as FLEET_PROCESSES says: how long until the last relay heeds a halt, and a canary's pause
-// without a majority; what a relay says and uses.
+// TestFleetMany measures, with FLEET_PROCESSES processes, how long until the last relay applies a halt, and a canary's pause
+// without a majority, and what a relay reports and uses.
 func TestFleetMany(t *testing.T) {
 	n, _ := strconv.Atoi(os.Getenv("FLEET_PROCESSES"))
 	if n == 0 {
--- a/integration/fleet_voters_test.go
+++ b/integration/fleet_voters_test.go
@@ -11,7 +11,7 @@
 	"dahliarudder/internal/consensus"
 )
 
-// consensusStatus is what a relay says of its part in the record.
+// consensusStatus is a relay's report on its part in the consensus.
 func (f *fleetRig) consensusStatus(i int) consensus.Status {
 	var a struct{ Engine consensus.Status }
 	f.call(i, "GET", "/-/fleet", nil, &a)
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestFleetVoterReplaced: the relay that leads is killed and cut off, and an operator has a follower vote in its place. The record goes on. The old
-// one's process returns while the new one and another are down, with a disk by which it votes and two of three are there: nothing is agreed, it
-// follows, also when all are up again. Guards against two majorities that share nobody.
+// TestFleetVoterReplaced: the leader is killed and cut off, and an operator makes a follower vote in its place. The record
+// continues. The old process returns while the new voter and another one are down, with a disk by which it votes and two of
+// three are present: nothing is agreed and it follows, also when all are up again. Guards against two disjoint majorities.
 func TestFleetVoterReplaced(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 4, nil)
@@ -90,9 +90,9 @@
 	}
 }
 
-// TestFleetVoterForgets: a voter is started with an older copy of its directory, and then another one with an emptied directory. Each says so, votes as
-// a new one, which is then needed, and takes all that was agreed. Guards against a voter that votes twice, or forgets what it has
-// acknowledged; and against a second record.
+// TestFleetVoterForgets: a voter is started with an older copy of its directory, and then another one with an emptied
+// directory. Each reports so, votes as a new voter, which is then needed, and receives all that was agreed. Guards against a
+// voter that votes twice or loses what it has acknowledged, and against a second record.
 func TestFleetVoterForgets(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 10, nil)
--- a/integration/line_test.go
+++ b/integration/line_test.go
@@ -40,7 +40,7 @@
 	return s
 }
 
-// memberOfFlow is the member that holds a flow, by its receipt.
+// memberOfFlow is the member that has a flow, by the UP line.
 func (s *lineRig) memberOfFlow(up string) *backend {
 	s.t.Helper()
 	for _, b := range s.backends {
@@ -138,8 +138,7 @@
 	checkAttemptCounter(t, s.tries)
 }
 
-// TestSilentMember: a member that takes a request and says nothing must not keep
-// it beyond the client's wait.
+// TestSilentMember: a member that receives a request and does not answer must not keep it beyond the client's deadline.
 func TestSilentMember(t *testing.T) {
 	s := newLineRig(t, 2, nil)
 	for _, b := range s.backends {
@@ -152,8 +151,7 @@
 	checkAttemptCounter(t, s.tries)
 }
 
-// TestDrain: when a member drains, its clients are told to move between two lines
-// and new ones go elsewhere.
+// TestDrain: when a member drains, its clients are moved between two lines, and new ones go elsewhere.
 func TestDrain(t *testing.T) {
 	s := newLineRig(t, 3, nil)
 	held := map[*backend][]*client{}
@@ -191,7 +189,7 @@
 	s.stop()
 }
 
-// TestResumeFlow: a flow that was open before goes to the member that holds it.
+// TestResumeFlow: a client that resumes a flow goes to the member that has it.
 func TestResumeFlow(t *testing.T) {
 	s := newLineRig(t, 3, nil)
 	for n, b := range s.backends {
@@ -204,8 +202,8 @@
 	c.wantLine("ERR")
 }
 
-// TestTerminate: on SIGTERM every held client is told to move, who still arrives is
-// answered, a front is told that the relay is not ready, and the program ends.
+// TestTerminate: on SIGTERM every client with an open flow gets MOVE, new requests are answered, a front sees that the relay is
+// not ready, and the program exits.
 func TestTerminate(t *testing.T) {
 	s := newLineRig(t, 2, nil)
 	held := s.openFlows(10)
@@ -252,8 +250,8 @@
 	s.stop()
 }
 
-// TestDiscoveryLoss: while discovery is down the relay serves from the list it
-// has, and goes on asking; once it is back, changes reach it.
+// TestDiscoveryLoss: while discovery is down the relay serves from its cached list and goes on polling; once discovery is back,
+// changes arrive.
 func TestDiscoveryLoss(t *testing.T) {
 	s := newLineRig(t, 2, nil)
 	waitFor(t, "the first watch", func() bool { return s.d.Calls() > 0 })
@@ -268,10 +266,9 @@
 	s.stop()
 }
 
-// TestReload: on SIGHUP the file is read again. One that cannot be used changes
-// nothing; what only a restart takes is named; discovery's new address takes over
-// with every flow standing, also when a second SIGHUP comes before the first
-// new address has answered. Guards against SIGHUP ending the program.
+// TestReload: on SIGHUP the file is read again. One that cannot be used changes nothing; settings that need a restart are
+// named; discovery's new address takes over with every flow open, also when a second SIGHUP comes before the first new address
+// has answered. Guards against SIGHUP ending the program.
 func TestReload(t *testing.T) {
 	s := newLineRig(t, 3, nil)
 	c := s.openFlow(1, "")
@@ -311,8 +308,7 @@
 	s.stop()
 }
 
-// TestBadInput: what is no first line gets a failing line and never reaches a
-// member; the relay goes on.
+// TestBadInput: an invalid first line gets an error answer and never reaches a member; the relay goes on.
 func TestBadInput(t *testing.T) {
 	s := newLineRig(t, 1, nil)
 	for _, first := range []string{
@@ -407,9 +403,8 @@
 	s.stop()
 }
 
-// TestIdleConnectionFlood: more connections than there are descriptors, which say nothing or
-// ask once and stay, do not keep usual clients out. Guards against a relay that
-// holds them until its descriptors are gone.
+// TestIdleConnectionFlood: more connections than there are descriptors, which send nothing or one PING and stay, do not keep
+// usual clients out. Guards against a relay that keeps them until its descriptors are exhausted.
 func TestIdleConnectionFlood(t *testing.T) {
 	s := newLineRig(t, 1, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": 100}})
 	held := s.openFlow(1, "")
--- a/integration/linking_test.go
+++ b/integration/linking_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestDynamicLinking guards against a relay that is no longer linked against the C library: what the platform loads into the
-// process would not be loaded, without a word.
+// TestDynamicLinking guards against a relay that is no longer linked against the C library: what the platform preloads into the
+// process would silently not be loaded.
 func TestDynamicLinking(t *testing.T) {
 	f, err := elf.Open(program)
 	if err != nil {
--- a/integration/nats_bench_test.go
+++ b/integration/nats_bench_test.go
@@ -16,8 +16,7 @@
 	"dahliarudder/internal/fakes"
 )
 
-// benchBothWays are the two that every figure is taken by in one run: to the nodes directly, and through
-// the relay before the same nodes.
+// benchBothWays takes every figure in two ways in one run: at the nodes directly, and through the relay before the same nodes.
 func benchBothWays(b *testing.B, run func(b *testing.B, url string, r *relay)) {
 	k, err := fakes.NewNATSCluster(3)
 	if err != nil {
@@ -152,8 +151,8 @@
 	})
 }
 
-// BenchmarkNATSIdle: the relay's memory for each client that has connected, holds a
-// subscription and says nothing. Its clients speak no library's code, to have room for them.
+// BenchmarkNATSIdle: the relay's memory for each client that has connected, has a subscription and sends nothing. The clients
+// use no library, which would need memory of its own.
 func BenchmarkNATSIdle(b *testing.B) {
 	for _, clients := range []int{1000, 7000} {
 		b.Run(strconv.Itoa(clients), func(b *testing.B) {
--- a/integration/nats_chaos_test.go
+++ b/integration/nats_chaos_test.go
@@ -14,7 +14,7 @@
 	"dahliarudder/internal/fakes"
 )
 
-// ledger is what each publication's client has heard, and the order in which members took them.
+// ledger is what each publication's client has received, and the order in which members accepted the publications.
 type ledger struct {
 	mu      sync.Mutex
 	newest  map[string]int // of each client and subject, the latest number that a member took first
@@ -23,7 +23,7 @@
 	unorder []string
 }
 
-// record is told by the cluster.
+// record is called by the cluster.
 func (l *ledger) record(subject, payload string) {
 	var client, n int
 	if c, _ := fmt.Sscanf(payload, "c%d n%d", &client, &n); c != 2 {
@@ -42,11 +42,10 @@
 	l.newest[key] = max(l.newest[key], n)
 }
 
-// TestNATSChaos: publications while members are killed, restarted, drained, refuse, reset and
-// fall silent at random. Counted by payload at the members: none out twice at once, none beyond three
-// attempts; each answered: the client's flush returns, and what no member took was told as turned
-// away. First arrivals keep the order of their client and subject. In the end every subscription
-// stands at exactly one member.
+// TestNATSChaos: publications while members are killed, restarted, drained, refuse, reset and fall silent at random. Counted by
+// payload at the members: no publication has two attempts in flight, none has more than three; each is answered: the client's
+// flush returns, and what no member accepted was reported as rejected. First arrivals keep the order of their client and
+// subject. In the end every subscription is at exactly one member.
 func TestNATSChaos(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -153,8 +152,8 @@
 	}
 }
 
-// TestNATSReconnectStorm: a relay that is replaced has its clients come back together, each with many
-// subscriptions; all stand again, at one place each.
+// TestNATSReconnectStorm: the clients of a relay that is replaced reconnect together, each with many subscriptions; all are
+// restored, at one node each.
 func TestNATSReconnectStorm(t *testing.T) {
 	k := newCluster(t, 3)
 	r := natsRelay(t, k, nil)
@@ -195,9 +194,8 @@
 	}
 }
 
-// TestNATSDrainUnderLoad: while clients publish, each node in turn drains: within the 250 ms of the
-// rule and a generous allowance for a busy machine it holds no subscription, and each stands
-// at exactly one other.
+// TestNATSDrainUnderLoad: while clients publish, each node in turn drains: within the 250 ms of the rule, and a generous
+// allowance for a busy machine, it has no subscription, and each is at exactly one other node.
 func TestNATSDrainUnderLoad(t *testing.T) {
 	const allowance, many = 3 * time.Second, 60
 	k := newCluster(t, 3)
@@ -260,8 +258,8 @@
 	<-done
 }
 
-// TestNATSUpgrade: a client of the library comes through an upgrade of the relay: it is told, it
-// connects to the second process, its subscription stands there and its publications arrive.
+// TestNATSUpgrade: a client of the library stays through an upgrade of the relay: it is notified, connects to the second
+// process, its subscription is restored there and its publications arrive.
 func TestNATSUpgrade(t *testing.T) {
 	k := newCluster(t, 2)
 	k.Attempts = nil
--- a/integration/nats_conformance_own_test.go
+++ b/integration/nats_conformance_own_test.go
@@ -145,7 +145,7 @@
 	return func(t *testing.T, _ *conformanceRig) { play(t, newConformanceRig(t, front)) }
 }
 
-// connectError says how a connection by the library ends: nil where it may enter.
+// connectError is the error of a connection by the library; nil if it is admitted.
 func (s *conformanceRig) connectError(options ...nats.Option) error {
 	c, err := nats.Connect("nats://"+s.addrs["nats"], append(options, nats.Timeout(patience), nats.NoReconnect())...)
 	if err == nil {
--- a/integration/nats_conformance_test.go
+++ b/integration/nats_conformance_test.go
@@ -16,8 +16,8 @@
 	"dahliarudder/internal/fakes"
 )
 
-// clause is a case of the conformance suite: what of the public protocol it holds the front to, and
-// whether it is played by raw bytes or by the client library.
+// clause is a case of the conformance suite: a rule of the public protocol, and whether it is tested by raw bytes or by the
+// client library.
 type clause struct {
 	name string
 	raw  func(t *testing.T, s *conformanceRig)
@@ -31,7 +31,7 @@
 	d *discovery
 }
 
-// page is where the cases are listed for people; TestConformance holds it to the table.
+// page is the document that lists the cases; TestConformance compares it with the table.
 const page = "../docs/nats-conformance.md"
 
 func newConformanceRig(t *testing.T, front map[string]any) *conformanceRig {
@@ -47,7 +47,7 @@
 	return s
 }
 
-// rawClient connects without a library and says CONNECT with these options.
+// rawClient connects without a library and sends CONNECT with these options.
 func (s *conformanceRig) rawClient(t *testing.T, options string) *client {
 	t.Helper()
 	c := s.natsDial()
@@ -92,7 +92,7 @@
 	}
 }
 
-// moveSubscription drains the node that holds a subscription until it stands elsewhere.
+// moveSubscription drains the node that has a subscription until another one has it.
 func (s *conformanceRig) moveSubscription(t *testing.T, subject string) {
 	t.Helper()
 	at := slices.IndexFunc(s.k.Subscriptions(subject), func(n int) bool { return n > 0 })
@@ -479,7 +479,7 @@
 	}
 }
 
-// TestConformance plays every clause and says how many hold.
+// TestConformance runs every clause and reports how many hold.
 func TestConformance(t *testing.T) {
 	text, err := os.ReadFile(page)
 	if err != nil {
--- a/integration/nats_load_test.go
+++ b/integration/nats_load_test.go
@@ -13,8 +13,8 @@
 	"dahliarudder/internal/fakes"
 )
 
-// patientSettings is the settings with classes that wait so long that a machine busy with other tests has
-// nothing refused for that; where members are not probed, it cannot have them condemned either.
+// patientSettings have classes with such long deadlines that nothing is rejected for them on a busy machine; where members have
+// no health checks, it cannot have them ejected either.
 func patientSettings(probes bool) json.RawMessage {
 	return json.RawMessage(strings.NewReplacer(`"deadline-ms":3000`, `"deadline-ms":25000`, `"deadline-ms":2000`, `"deadline-ms":25000`,
 		`"probes":true`, fmt.Sprintf(`"probes":%v`, probes)).Replace(settingsText))
@@ -33,8 +33,8 @@
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 24000}}), 1)
 }
 
-// TestNATSNoRejections: before idle members a client's publications are never refused,
-// paced or all at once, whether members report load or not.
+// TestNATSNoRejections: with idle members a client's publications are never rejected, paced or all at once, whether members
+// report load or not.
 func TestNATSNoRejections(t *testing.T) {
 	for name, front := range map[string]map[string]any{"reports": {"load_subject": "node.load"}, "own view": {}} {
 		t.Run(name, func(t *testing.T) {
--- a/integration/nats_test.go
+++ b/integration/nats_test.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestNATS: the client protocol through the relay: messages with headers, replies,
-// queue groups, an end after so many messages, and nobody listening.
+// TestNATS: the client protocol through the relay: messages with headers, replies, queue groups, a limit on a subscription's
+// messages, and requests without a responder.
 func TestNATS(t *testing.T) {
 	s := newNATSRig(t, 3)
 	a, b := s.connect(), s.connect()
@@ -132,8 +132,8 @@
 	s.stop()
 }
 
-// TestNATSDrain: when a node starts to drain, the subscriptions on it move to
-// others though it goes on serving them, and messages go on coming.
+// TestNATSDrain: when a node starts to drain, the subscriptions on it move to others while it goes on serving them, and
+// messages keep arriving.
 func TestNATSDrain(t *testing.T) {
 	s := newNATSRig(t, 3)
 	c, p := s.connect(), s.connect()
@@ -175,8 +175,8 @@
 	s.checkStored(map[string]int{"served": 8 + 1}) // the record also holds the moved ones
 }
 
-// checkStored reads the store back: one answer a request, its attempts one after
-// another, at most three, and at least so many answers of each kind.
+// checkStored reads the store back: one answer for each request, its attempts one after another, three at most, and at least a
+// number of answers of each kind.
 func (s *natsRig) checkStored(least map[string]int) {
 	s.t.Helper()
 	count := s.queryCount
@@ -211,8 +211,8 @@
 	return n
 }
 
-// TestNATSRetry: a publication that a node refuses at once is tried elsewhere, and
-// never has two attempts out; each has one final answer.
+// TestNATSRetry: a publication that a node refuses is retried at another one, and never has two attempts in flight; each has
+// one final answer.
 func TestNATSRetry(t *testing.T) {
 	for name, mode := range map[string]fakes.NodeMode{"err": fakes.NodeRefuses, "silent": fakes.NodeSilent, "reset": fakes.NodeResets} {
 		t.Run(name, func(t *testing.T) {
@@ -246,7 +246,7 @@
 	}
 }
 
-// TestNATSTerm: a relay that stops says so, and its clients' connections end.
+// TestNATSTerm: a relay that stops announces it, and its clients' connections end.
 func TestNATSTerm(t *testing.T) {
 	s := newNATSRig(t, 2)
 	lame, closed := make(chan bool, 1), make(chan bool, 1)
@@ -271,7 +271,7 @@
 	Member  string `json:"member"`
 }
 
-// TestProcessor: another proxy carries requests itself and asks for verdicts.
+// TestProcessor: another proxy carries requests itself and requests verdicts.
 func TestProcessor(t *testing.T) {
 	s := newNATSRig(t, 3)
 	c := s.connect(nats.CustomInboxPrefix("_dahlia.inbox"))
@@ -341,8 +341,7 @@
 	s.checkStored(map[string]int{"served": 5})
 }
 
-// TestNATSBadInput: what is no protocol ends that connection with a word, and the
-// relay goes on.
+// TestNATSBadInput: invalid protocol ends that connection with an error, and the relay goes on.
 func TestNATSBadInput(t *testing.T) {
 	s := newNATSRig(t, 1)
 	connect := "CONNECT {\"verbose\":true}\r\n"
@@ -374,8 +373,8 @@
 	s.stop()
 }
 
-// TestDeployed: the operator's file that is shipped works as docs/nats.md says: with certificates
-// for trial, by TLS, for its users.
+// TestDeployed: the operator's file that is shipped works as docs/nats.md describes: with trial certificates, by TLS, for its
+// users.
 func TestDeployed(t *testing.T) {
 	dir := t.TempDir()
 	if out, err := run("keys", "certificate", "--dir", filepath.Join(dir, "tls")); err != nil {
@@ -415,8 +414,8 @@
 	}
 }
 
-// TestProcessorRetry: a proxy that has had no answer in time asks again, by the same name, on its connection or on
-// another one of its own. Both calls speak of one request: never are there two attempts out.
+// TestProcessorRetry: a proxy that has had no answer in time asks again, by the same name, on its connection or on another one
+// of its own. Both calls are about one request: there are never two attempts in flight.
 func TestProcessorRetry(t *testing.T) {
 	s := newNATSRig(t, 3)
 	first, second := s.connect(nats.CustomInboxPrefix("_dahlia.inbox")), s.connect(nats.CustomInboxPrefix("_dahlia.inbox"))
--- a/integration/operator_test.go
+++ b/integration/operator_test.go
@@ -19,9 +19,8 @@
 	return newLineRig(t, members, all)
 }
 
-// TestOperatorEjection: a member that is taken out gets nothing more and its clients move,
-// also when discovery lists it again and after SIGHUP; the second word out changes
-// nothing, one word back undoes both, and the member is used again.
+// TestOperatorEjection: an ejected member gets nothing more and its clients move, also when discovery lists it again and after
+// SIGHUP; a second ejection changes nothing, one reinstatement undoes both, and the member is used again.
 func TestOperatorEjection(t *testing.T) {
 	s := newOperatedRig(t, 2, nil)
 	if code := s.call("GET", "/-/ready"); code != 200 {
@@ -62,8 +61,8 @@
 	s.stop()
 }
 
-// TestOperatorDrain: a drained relay says so to the front at once, serves what still
-// arrives and moves everyone; resumed, it takes clients in and keeps them.
+// TestOperatorDrain: a drained relay reports that to the front at once, serves what still arrives and moves everyone; resumed,
+// it accepts clients and keeps them.
 func TestOperatorDrain(t *testing.T) {
 	s := newOperatedRig(t, 2, nil)
 	held := s.openFlows(6)
@@ -88,8 +87,8 @@
 	s.stop()
 }
 
-// TestOperatorSlowCallers: callers that say nothing keep neither operators nor
-// clients out, also when clients have taken every descriptor they may.
+// TestOperatorSlowCallers: idle callers keep neither operators nor clients out, also when clients have every descriptor they
+// may have.
 func TestOperatorSlowCallers(t *testing.T) {
 	s := newOperatedRig(t, 1, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": 100}})
 	for range 100 {
@@ -110,8 +109,7 @@
 	s.stop()
 }
 
-// TestOperatorTornState: what an earlier process left half-written keeps none from
-// starting, and bans can be kept again.
+// TestOperatorTornState: a file that an earlier process left half-written prevents no start, and ejections can be stored again.
 func TestOperatorTornState(t *testing.T) {
 	s := newOperatedRig(t, 2, nil)
 	id := s.backends[0].id
--- a/integration/peers_test.go
+++ b/integration/peers_test.go
@@ -78,7 +78,7 @@
 
 func (c *gossipRig) start(i int) { c.relays[i] = start(c.t, c.conf[i], 2) }
 
-// peersAnswer is what a relay says of its peers.
+// peersAnswer is a relay's report of its peers.
 type peersAnswer struct {
 	Self  struct{ Incarnation, Generation uint64 }
 	Live  int
@@ -105,7 +105,7 @@
 	return a
 }
 
-// waitSeen waits until relay i holds another for one of these states.
+// waitSeen waits until relay i sees another one in one of these states.
 func (c *gossipRig) waitSeen(i, j int, states ...string) {
 	c.t.Helper()
 	waitFor(c.t, fmt.Sprintf("n%d to hold n%d for %v", i, j, states), func() bool {
@@ -143,9 +143,9 @@
 	}
 }
 
-// TestPeersProcesses: relays that start together with one known address down find each other; a killed one is known to be gone by
-// the refusal at its door, and known again when it is back with all it knew lost; one that is stopped for a while is
-// missed and taken back; one that ends by itself has said so.
+// TestPeersProcesses: relays that start together with one known address down find each other. A killed one is known to be gone
+// because its port refuses connections, and known again when it is back without its state; a suspended one is missed and taken
+// back; one that exits by itself has announced it.
 func TestPeersProcesses(t *testing.T) {
 	c := newGossipRig(t, 4, false)
 	c.waitAllAlive()
@@ -177,8 +177,9 @@
 	}
 }
 
-// TestPeersLinks: what is between the processes breaks. A cut both ways and one way, loss, repetition and delays beyond the time of
-// a ping; who is in the minority takes half of its part of the budgets that all share, and all agree again afterwards.
+// TestPeersLinks: the links between the processes fail. A cut in both directions and in one, loss, duplication and delays
+// beyond a ping's timeout. A relay in the minority uses half of its share of the common budgets, and all agree again
+// afterwards.
 func TestPeersLinks(t *testing.T) {
 	c := newGossipRig(t, 5, true)
 	c.waitAllAlive()
@@ -235,8 +236,8 @@
 	c.waitAllAlive()
 }
 
-// TestPeersDuplicateName: two processes under one name. The others go on with the later one, refuse the earlier one by that reason, and hold nobody
-// for dead; once the name is one process's again, started anew, all is as before.
+// TestPeersDuplicateName: two processes have one name. The others accept the later one, refuse the earlier one with that
+// reason, and see nobody as dead; once one process with that name is left, restarted, all is as before.
 func TestPeersDuplicateName(t *testing.T) {
 	c := newGossipRig(t, 3, false)
 	c.waitAllAlive()
@@ -261,8 +262,9 @@
 	c.waitAllAlive()
 }
 
-// TestPeersPortTaken: somebody else has a relay's TCP port, its datagrams are free. It is among the others all the same, and has its door once the port
-// is given back. Guards against a relay that serves and hears nothing, no pause of a canary either.
+// TestPeersPortTaken: another process has a relay's TCP port, while its UDP port is free. It is a peer of the others all the
+// same, and has its listener once the port is free. Guards against a relay that serves and receives nothing, not even a
+// canary's pause.
 func TestPeersPortTaken(t *testing.T) {
 	c := newGossipRig(t, 2, false)
 	c.waitAllAlive()
@@ -284,7 +286,7 @@
 	})
 }
 
-// TestPeersObservations: what one relay sees of its members reaches the others.
+// TestPeersObservations: what one relay observes of its members reaches the others.
 func TestPeersObservations(t *testing.T) {
 	c := newGossipRig(t, 2, false)
 	b := newBackend(t, "s-5be2a000", fakes.NewAttemptCounter())
@@ -302,8 +304,9 @@
 	})
 }
 
-// TestPeersStale: the way on which discovery tells one relay of changes is dead and nobody says so. It hears from the others that they hold a
-// newer list, asks anew, and sends nothing more to the member that drains, seconds before its own call would have been given up.
+// TestPeersStale: the link on which discovery notifies one relay of changes is silently dead. The relay learns from the others
+// that they have a newer list, polls again, and sends nothing more to the draining member, seconds before its own call would
+// have timed out.
 func TestPeersStale(t *testing.T) {
 	c := newGossipRig(t, 3, false)
 	a, b := newBackend(t, "s-5be2a000", fakes.NewAttemptCounter()), newBackend(t, "s-5be2a001", fakes.NewAttemptCounter())
@@ -349,8 +352,8 @@
 	}
 }
 
-// TestPeersFifty measures with as many real processes as PEERS_PROCESSES says: how soon all others hold a killed one for gone. It is not part
-// of the usual run.
+// TestPeersFifty measures with PEERS_PROCESSES processes how soon all others see a killed one as gone. It is not part of the
+// usual run.
 func TestPeersFifty(t *testing.T) {
 	n, err := strconv.Atoi(os.Getenv("PEERS_PROCESSES"))
 	if err != nil {
--- a/integration/postgres_rig_test.go
+++ b/integration/postgres_rig_test.go
@@ -185,7 +185,7 @@
 
 var inserting = regexp.MustCompile(`^INSERT INTO (\w+) \(([\w, ]+)\) VALUES \(([$\d, ]+)\) ON CONFLICT DO NOTHING$`)
 
-// texts are the columns that hold text; the others hold numbers.
+// texts are the columns that contain text; the others contain numbers.
 var texts = regexp.MustCompile(`^(run|name|answer|member|result)$`)
 
 // parameters describes the parameters of a statement by its columns.
--- a/integration/pushed_lists_test.go
+++ b/integration/pushed_lists_test.go
@@ -9,12 +9,12 @@
 	"dahliarudder/internal/fakes"
 )
 
-// pushedText are the settings used here where lists are pushed: an agent beside the relay has them, and what it has counts as
-// told, whether or not a watch is open.
+// pushedText are the settings used here with pushed lists: an agent beside the relay has the lists, and what it has counts as
+// delivered, whether or not a watch is open.
 var pushedText = json.RawMessage(strings.Replace(settingsText, `"discovery":"subscribe"`, `"discovery":"automatic"`, 1))
 
-// newPushedRig is a relay among members that answer by themselves; the first of them is listed as it says by an agent of which the
-// relay's own last list knows nothing.
+// newPushedRig is a relay among members that answer by themselves; the first one's lifecycle is listed by an agent, and the
+// relay's own last list does not have it.
 func newPushedRig(t *testing.T, lifecycle string) *scriptedRig {
 	t.Helper()
 	s := &scriptedRig{}
--- a/integration/ready_test.go
+++ b/integration/ready_test.go
@@ -11,8 +11,8 @@
 // readyMost is within which nine in ten restarted relays have to be ready.
 const readyMost = 10 * time.Second
 
-// TestReadyInTime: relays that come back while discovery is down, slow, crowded or says nothing, or while what was kept cannot
-// be read, are ready in time, all of them, by the list that they last held; and they serve.
+// TestReadyInTime: relays that return while discovery is down, slow, crowded or silent, or while their state cannot be read,
+// are all ready in time, with their last list; and they serve.
 func TestReadyInTime(t *testing.T) {
 	t.Parallel()
 	for what, trouble := range map[string]func(t *testing.T, d *discovery, dir string){
--- a/integration/short_deadlines_test.go
+++ b/integration/short_deadlines_test.go
@@ -20,8 +20,8 @@
 }
 
 // TestStopShortDeadlines: with short deadlines SIGKILL may come soon after SIGTERM. Until then clients go on sending on open
-// connections, members hang, some in the middle of a line, and signals come in series. Every client has its MOVE or its
-// answer, and the process has ended, before that.
+// connections, members hang, some in the middle of a line, and signals come in series. Every client has its MOVE or its answer,
+// and the process has ended, before that.
 func TestStopShortDeadlines(t *testing.T) {
 	for _, longest := range []time.Duration{600 * time.Millisecond, time.Second, 2 * time.Second} {
 		t.Run(longest.String(), func(t *testing.T) {
--- a/integration/state_dir_test.go
+++ b/integration/state_dir_test.go
@@ -12,8 +12,8 @@
 // fullDisk is a file of the system that has no room: each write to it fails as on a disk that is full.
 const fullDisk = "/dev/full"
 
-// TestStateDirFull: a folder for kept state that is full for a while: clients are served on, the last whole state stays
-// and is what the next process comes back with, and the log tells of the trouble and of its end, once each.
+// TestStateDirFull: a state directory is full for a while: clients are served, the last complete state stays and is what the
+// next process restores, and the log reports the failure and its end, once each.
 func TestStateDirFull(t *testing.T) {
 	t.Parallel()
 	b := newBackend(t, "s-00000001", nil)
--- a/integration/suspend_test.go
+++ b/integration/suspend_test.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// TestSuspended: a relay that stood still for longer than its calls wait, while most of its members began to drain. What has come in
-// meanwhile is read before anything is held for overdue, and nothing is sent by what it knew before: not to a member that
-// discovery has called draining, neither by those who have waited for it nor by those who come at once.
+// TestSuspended: a relay was suspended for longer than its calls wait, while most of its members began to drain. What has
+// arrived meanwhile is read before anything counts as overdue, and nothing is forwarded by the outdated list: not to a member
+// that discovery has listed as draining, neither for waiting requests nor for new ones.
 func TestSuspended(t *testing.T) {
 	s := newLineRig(t, 6, nil)
 	s.openFlows(6)
@@ -51,8 +51,9 @@
 	checkAttemptCounter(t, s.tries)
 }
 
-// TestSnapshotRestore: a relay that is killed goes on from its snapshot: what it says it came back with, where the list is from while discovery is
-// down and its configuration knows none; and a snapshot that is torn, another's or in a directory that cannot be had never stops a start.
+// TestSnapshotRestore: a relay that is killed continues from its snapshot: what it reports as restored, where the list is from
+// while discovery is down and its configuration has none; and a snapshot that is torn, another relay's or in an unreadable
+// directory never prevents a start.
 func TestSnapshotRestore(t *testing.T) {
 	s := newLineRig(t, 3, map[string]any{"operator": "127.0.0.1:0", "state": map[string]any{"dir": "state", "every_ms": 1000}, "known": nil})
 	waitFor(t, "the list", func() bool { return s.call("GET", "/-/ready") == 200 })
--- a/integration/syscalls_test.go
+++ b/integration/syscalls_test.go
@@ -24,8 +24,8 @@
 	"all together": {{Call: "Accept", Errno: "ENOBUFS", Part: 0.2}, {Call: "Socket", Errno: "EMFILE", Part: 0.2}, {Call: "Connect", Errno: "EADDRNOTAVAIL", Part: 0.2}, {Call: "EpollCtl", Errno: "ENOSPC", Part: 0.2}, {Call: "Read", Short: true, Part: 0.3}, {Call: "Write", Short: true, Part: 0.3}, {Call: "Read", Errno: "ENOBUFS", Part: 0.1}, {Call: "Write", Errno: "ENOMEM", Part: 0.1}, {Call: "EpollWait", Errno: "EINTR", Part: 0.3}},
 }
 
-// TestSystemCalls: a relay whose system calls fail for a while. Every request that is taken amid that gets one final answer
-// in time, open flows stay, no member is blamed for it, and the first request after it is served by its first attempt.
+// TestSystemCalls: a relay's system calls fail for a while. Every request that is accepted meanwhile gets one final answer in
+// time, open flows stay, no member is blamed, and the first request after it is served by its first attempt.
 func TestSystemCalls(t *testing.T) {
 	t.Parallel()
 	for what, plan := range troubles {
--- a/integration/upgrade_test.go
+++ b/integration/upgrade_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// startSuccessor starts a second process beside the first, and waits until it says yes.
+// startSuccessor starts a second process beside the first one, and waits until it is ready to take over.
 func (r *relay) startSuccessor(fronts int) *relay {
 	r.t.Helper()
 	next := start(r.t, r.configPath, fronts)
@@ -32,10 +32,9 @@
 	}
 }
 
-// TestUpgrade: a second process takes the first one's place without turning anybody
-// away: who has connected to either and said nothing yet, or half a line, is served,
-// open flows stay, through two upgrades, an id that is open at the first is refused at the second,
-// and the first alone ends.
+// TestUpgrade: a second process takes over without a rejection: clients that have connected to either and sent nothing yet, or
+// half a line, are served, open flows stay, through two upgrades, an id that is open at the first is refused at the second, and
+// only the first exits.
 func TestUpgrade(t *testing.T) {
 	s := newOperatedRig(t, 3, nil)
 	held := s.openFlows(6)
@@ -85,8 +84,8 @@
 	third.waitExit()
 }
 
-// TestUpgradeEjections: a ban holds over an upgrade, and while there are two processes the
-// word given to either counts for both.
+// TestUpgradeEjections: an ejection lasts through an upgrade, and while there are two processes a call to either counts for
+// both.
 func TestUpgradeEjections(t *testing.T) {
 	s := newOperatedRig(t, 3, nil)
 	first, second := s.backends[0], s.backends[1]
@@ -119,9 +118,8 @@
 	next.stop()
 }
 
-// TestUpgradeFails: a second process that cannot be used, or ends before the first is
-// told to stop, leaves everything to the first. Guards against a relay that stands
-// still with its listeners held.
+// TestUpgradeFails: a second process that cannot be used, or ends before the first one is told to stop, leaves everything to
+// the first. Guards against a relay that is stuck with its listeners open.
 func TestUpgradeFails(t *testing.T) {
 	s := newOperatedRig(t, 2, nil)
 	c := s.openFlow(1, "")
@@ -160,9 +158,8 @@
 	s.stop()
 }
 
-// TestUpgradeBudget: two processes together hold no more descriptors than one may, and
-// for want of them clients are rejected at once. Guards against clients that wait in a
-// queue which nobody may take them from.
+// TestUpgradeBudget: two processes together have no more descriptors than one may, and without a free one clients are rejected
+// at once. Guards against clients that wait in an accept queue from which nobody may take them.
 func TestUpgradeBudget(t *testing.T) {
 	const sockets = 160
 	s := newOperatedRig(t, 2, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": sockets}})
--- a/integration/wall_clock_test.go
+++ b/integration/wall_clock_test.go
@@ -77,7 +77,7 @@
 	r.waitLogged(fmt.Sprintf("fault plan %d in effect", r.number))
 }
 
-// TestStateWallStepped: a relay that comes back after a step of its wall clock takes its state for as old as it really is.
+// TestStateWallStepped: a relay that returns after a step of its wall clock treats its state as being as old as it really is.
 func TestStateWallStepped(t *testing.T) {
 	t.Parallel()
 	for _, step := range []time.Duration{time.Hour, -time.Hour, 2 * time.Second, -2 * time.Second} {
