--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -99,8 +99,8 @@
 }
 
 // LimitsFor derives them from how long the settings allow a relay not to ask for the list.
-func LimitsFor(askWithin time.Duration) Limits {
-	return Limits{Transient: askWithin, Learned: 24 * time.Hour, ClockSkew: time.Minute}
+func LimitsFor(maxPollInterval time.Duration) Limits {
+	return Limits{Transient: maxPollInterval, Learned: 24 * time.Hour, ClockSkew: time.Minute}
 }
 
 // DiscardedPart is what was thrown away, and why.
