--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -12,7 +12,7 @@
 
 const settingsText = `"settings":{"zones":["a"],"classes":[{"name":"pay","aim-ms":400,"deadline-ms":2000,"effect":"read_like"}],"tenants":[{"name":"water","share":1}]}`
 
-func load(t *testing.T, text string, env map[string]string) (*Config, error) {
+func loadText(t *testing.T, text string, env map[string]string) (*Config, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -21,10 +21,10 @@
 	return Load(path, func(name string) string { return env[name] })
 }
 
-// TestLoad: the variables take precedence over the file, keys that are unknown are
-// passed over, and without fronts the line front is on alone.
+// TestLoad: environment variables take precedence over the file, unknown keys are ignored, and without fronts only the line front is
+// enabled.
 func TestLoad(t *testing.T) {
-	c, err := load(t, `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964","more":[1],
+	c, err := loadText(t, `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964","more":[1],
 		"known":{"generation":7,"instances":[{"instanceId":"s-00000001"}]},`+settingsText+`}`,
 		map[string]string{"EDGE_NAME": "n3", "EDGE_LISTEN": "127.0.0.1:3"})
 	if err != nil {
@@ -35,37 +35,37 @@
 		t.Errorf("%+v", c)
 	}
 	if _, err := Load("", func(string) string { return "" }); !errors.Is(err, ErrInvalid) {
-		t.Errorf("nothing at all: %v", err)
+		t.Errorf("empty configuration: %v", err)
 	}
 }
 
-// TestInvalid: what the operator's own keys may get wrong is told at the start.
-func TestInvalid(t *testing.T) {
+// TestLoadInvalid: invalid values of the operator's keys are errors.
+func TestLoadInvalid(t *testing.T) {
 	const head = `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2",` + settingsText + `,`
-	if _, err := load(t, head+`"fronts":{"nats":{"listen":"127.0.0.1:4","class":"pay","tenant":"water"}},"store":{"driver":"sqlite","dsn":"x"},"counts_ms":1000}`, nil); err != nil {
+	if _, err := loadText(t, head+`"fronts":{"nats":{"listen":"127.0.0.1:4","class":"pay","tenant":"water"}},"store":{"driver":"sqlite","dsn":"x"},"counts_ms":1000}`, nil); err != nil {
 		t.Fatal(err)
 	}
 	for name, rest := range map[string]string{
-		"no front":        `"fronts":{}}`,
-		"NATS address":    `"fronts":{"nats":{}}}`,
-		"NATS payload":    `"fronts":{"nats":{"listen":"127.0.0.1:4","max_payload":-1}}}`,
-		"NATS class":      `"fronts":{"nats":{"listen":"127.0.0.1:4","class":"gold"}}}`,
-		"NATS route":      `"fronts":{"nats":{"listen":"127.0.0.1:4","routes":[{"subject":"a..b"}]}}}`,
-		"NATS load":       `"fronts":{"nats":{"listen":"127.0.0.1:4","load_subject":"a.>"}}}`,
-		"store driver":    `"store":{"driver":"paper","dsn":"x"}}`,
-		"store without":   `"store":{"driver":"sqlite"}}`,
-		"limits":          `"limits":{"sockets":-1}}`,
-		"members no list": `"known":[]}`,
-		"counts often":    `"counts_ms":10}`,
-		"counts below":    `"counts_ms":-1}`,
+		"no front":           `"fronts":{}}`,
+		"NATS address":       `"fronts":{"nats":{}}}`,
+		"NATS payload":       `"fronts":{"nats":{"listen":"127.0.0.1:4","max_payload":-1}}}`,
+		"NATS class":         `"fronts":{"nats":{"listen":"127.0.0.1:4","class":"gold"}}}`,
+		"NATS route":         `"fronts":{"nats":{"listen":"127.0.0.1:4","routes":[{"subject":"a..b"}]}}}`,
+		"NATS load":          `"fronts":{"nats":{"listen":"127.0.0.1:4","load_subject":"a.>"}}}`,
+		"store driver":       `"store":{"driver":"paper","dsn":"x"}}`,
+		"store without dsn":  `"store":{"driver":"sqlite"}}`,
+		"limits":             `"limits":{"sockets":-1}}`,
+		"known is no object": `"known":[]}`,
+		"counts too often":   `"counts_ms":10}`,
+		"counts negative":    `"counts_ms":-1}`,
 	} {
-		if _, err := load(t, head+rest, nil); !errors.Is(err, ErrInvalid) {
+		if _, err := loadText(t, head+rest, nil); !errors.Is(err, ErrInvalid) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-// TestPeers: the operators' example is sound once its key is there; what it may get wrong is told.
+// TestPeers: the operators' example is valid with a key file; invalid addresses, keys and names are errors.
 func TestPeers(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/peers.json")
 	if err != nil {
@@ -73,7 +73,7 @@
 	}
 	for _, tt := range []struct {
 		old, new string
-		sound    bool
+		valid    bool
 	}{{"", "", true}, {`"listen": "127.0.0.1:7400"`, `"listen": "here"`, false}, {"127.0.0.1:7401", "there:1", false},
 		{"peers.key", "none", false}, {"guide-relay-1", "", false}, {`"peers.key"`, `"peers.key", "reach": {"n1": "x"}`, false}} {
 		dir := t.TempDir()
@@ -85,24 +85,23 @@
 			t.Fatal(err)
 		}
 		c, err := Load(path, func(string) string { return "" })
-		if (err == nil) != tt.sound || err != nil && !errors.Is(err, ErrInvalid) {
+		if (err == nil) != tt.valid || err != nil && !errors.Is(err, ErrInvalid) {
 			t.Errorf("%s in the place of %s: %v", tt.new, tt.old, err)
 		}
-		if tt.sound && (c.Peers.Address != c.Peers.Listen || len(c.Peers.Keys()) != 1) {
+		if tt.valid && (c.Peers.Address != c.Peers.Listen || len(c.Peers.Keys()) != 1) {
 			t.Errorf("%+v", c.Peers)
 		}
 	}
 }
 
-// TestReload: a discovery address that the file has changed counts, also over the
-// variable that named the one before; one that it has not changed does not bring
-// an older one back. What only a restart takes is named, and nothing else.
+// TestReload: a discovery address that changes in the file takes precedence over the environment variable; one that does not change does
+// not restore an earlier address. Only the keys that need a restart are reported.
 func TestReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := func(name string) string {
 		return map[string]string{"EDGE_LISTEN": "127.0.0.1:1", "EDGE_DISCOVERY": "127.0.0.1:2"}[name]
 	}
-	c, err := load(t, `{`+settingsText+`}`, map[string]string{"EDGE_LISTEN": "127.0.0.1:1", "EDGE_DISCOVERY": "127.0.0.1:2"})
+	c, err := loadText(t, `{`+settingsText+`}`, map[string]string{"EDGE_LISTEN": "127.0.0.1:1", "EDGE_DISCOVERY": "127.0.0.1:2"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,68 +115,68 @@
 		if err := os.WriteFile(path, []byte(step.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		fresh, err := c.Reload(path, env)
+		reloaded, err := c.Reload(path, env)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := fmt.Sprint(c.KeysNeedingRestart(fresh)); fresh.Discovery != step.discovery || got != step.restart {
-			t.Errorf("%s: discovery %s, restart for %s", step.text, fresh.Discovery, got)
+		if got := fmt.Sprint(c.KeysNeedingRestart(reloaded)); reloaded.Discovery != step.discovery || got != step.restart {
+			t.Errorf("%s: discovery %s, restart for %s", step.text, reloaded.Discovery, got)
 		}
-		c = fresh
+		c = reloaded
 	}
 	if err := os.WriteFile(path, []byte(`{"discovery":"nowhere",`+settingsText+`}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := c.Reload(path, env); !errors.Is(err, ErrInvalid) {
-		t.Errorf("an address that is none: %v", err)
+		t.Errorf("invalid address: %v", err)
 	}
 }
 
-// TestSucceed: a second process goes on where the first one asks, if the file names
-// that address, over a variable that names an older one; it never loses its own for a
-// first process that knows of none. A second address must be one.
-func TestSucceed(t *testing.T) {
+// TestAdoptDiscovery: a process that takes over adopts its predecessor's discovery address if the file has the same, over an environment
+// variable with an earlier one; it keeps its own if the predecessor has none. An operator address must be valid.
+func TestAdoptDiscovery(t *testing.T) {
 	for _, c := range []struct {
-		file, first, want string
-		same              bool
+		file, predecessor, want string
+		same                    bool
 	}{
 		{"127.0.0.1:3", "127.0.0.1:3", "127.0.0.1:3", true},
 		{"127.0.0.1:3", "127.0.0.1:2", "127.0.0.1:2", true},
 		{"127.0.0.1:3", "127.0.0.1:4", "127.0.0.1:2", false},
 		{"", "", "127.0.0.1:2", false},
 	} {
-		cfg, err := load(t, `{"discovery":"`+c.file+`",`+settingsText+`}`,
+		cfg, err := loadText(t, `{"discovery":"`+c.file+`",`+settingsText+`}`,
 			map[string]string{"EDGE_LISTEN": "127.0.0.1:1", "EDGE_DISCOVERY": "127.0.0.1:2", "EDGE_OPERATOR": "127.0.0.1:5"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if same := cfg.AdoptDiscovery(c.first); same != c.same || cfg.Discovery != c.want || cfg.Operator != "127.0.0.1:5" {
+		if same := cfg.AdoptDiscovery(c.predecessor); same != c.same || cfg.Discovery != c.want || cfg.Operator != "127.0.0.1:5" {
 			t.Errorf("%+v: %s, same %v", c, cfg.Discovery, same)
 		}
 	}
-	if _, err := load(t, `{`+settingsText+`}`, map[string]string{"EDGE_LISTEN": "127.0.0.1:1",
+	if _, err := loadText(t, `{`+settingsText+`}`, map[string]string{"EDGE_LISTEN": "127.0.0.1:1",
 		"EDGE_DISCOVERY": "127.0.0.1:2", "EDGE_OPERATOR": "here"}); !errors.Is(err, ErrInvalid) {
-		t.Errorf("an operators' address that is none: %v", err)
+		t.Errorf("invalid operator address: %v", err)
 	}
 }
 
-// TestSections: relays of one installation have the same digests whatever is each one's own; what is not each one's own shows in its section alone.
+// TestSections: relays of one installation have equal digests, though their own names, zones and directories differ; any other difference
+// shows only in the digest of its section.
 func TestSections(t *testing.T) {
-	text := func(name, more string, zone int) string {
+	text := func(name, extraLimits string, zone int) string {
 		return fmt.Sprintf(`{"name":%q,"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","limits":{"sockets":1024%s},"state":{"dir":%q},`+
-			strings.Replace(settingsText, `"settings":{`, `"settings":{"zone":%d,`, 1)+`}`, name, more, name, zone)
+			strings.Replace(settingsText, `"settings":{`, `"settings":{"zone":%d,`, 1)+`}`, name, extraLimits, name, zone)
 	}
-	var all []*Config
+	var configs []*Config
 	for _, c := range []string{text("n1", "", 0), text("n2", "", 1), text("n1", `,"cores":2`, 0)} {
-		x, err := load(t, c, nil)
+		config, err := loadText(t, c, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		all = append(all, x)
+		configs = append(configs, config)
 	}
-	a, b, c := all[0].Sections(), all[1].Sections(), all[2].Sections()
-	if !maps.Equal(a, b) || all[0].Digest() != all[1].Digest() {
-		t.Errorf("each relay's own shows: %v, %v", a, b)
+	a, b, c := configs[0].Sections(), configs[1].Sections(), configs[2].Sections()
+	if !maps.Equal(a, b) || configs[0].Digest() != configs[1].Digest() {
+		t.Errorf("a relay's own keys are in the digests: %v, %v", a, b)
 	}
 	if a["limits"] == c["limits"] || a["settings"] != c["settings"] || a["peers"] != "" {
 		t.Errorf("%v, %v", a, c)
--- a/internal/handover/stored_test.go
+++ b/internal/handover/stored_test.go
@@ -11,8 +11,8 @@
 	"dahliarudder/internal/encodingtest"
 )
 
-// TestEncodedForms: a message with all fields set, as release 63fa232 sends it, is what this version sends and reads, so that
-// either version can replace the other.
+// TestEncodedForms: a message with all fields set is encoded as by release 63fa232, and that release's encoding can be decoded, so that
+// either version can take over from the other.
 func TestEncodedForms(t *testing.T) {
 	written, err := os.ReadFile(filepath.Join("testdata", "head", "message.json"))
 	if err != nil {
--- a/internal/knownfailures/knownfailures_test.go
+++ b/internal/knownfailures/knownfailures_test.go
@@ -17,13 +17,13 @@
 		t.Fatalf("%v %v", entries, err)
 	}
 	if entries, err := Parse(""); err != nil || len(entries) != 0 {
-		t.Fatalf("an empty list: %v %v", entries, err)
+		t.Fatalf("empty list: %v %v", entries, err)
 	}
 }
 
-func TestParseRefuses(t *testing.T) {
+func TestParseErrors(t *testing.T) {
 	const end = " | relay/policy | cause | #1\n"
-	for what, text := range map[string]string{
+	for name, text := range map[string]string{
 		"three fields":    "TestOne | relay/policy | cause\n",
 		"five fields":     "TestOne | relay/policy | cause | #1 | more\n",
 		"no cause":        "TestOne | relay/policy |  | #1\n",
@@ -38,7 +38,7 @@
 		"more than three": "TestOne" + end + "TestTwo" + end + "TestThree" + end + "TestFour" + end,
 	} {
 		if entries, err := Parse(text); err == nil {
-			t.Errorf("%s: taken as %v", what, entries)
+			t.Errorf("%s: parsed as %v", name, entries)
 		}
 	}
 	if _, err := Parse("TestOne" + end + "TestTwo" + end + "TestThree" + end); err != nil {
@@ -53,7 +53,7 @@
 	}
 }
 
-// Lines of go test -json for one package, relay.
+// Lines of go test -json for a package relay.
 const (
 	testRun     = `{"Action":"run","Package":"relay","Test":"TestRed"}`
 	testFail    = `{"Action":"fail","Package":"relay","Test":"TestRed"}`
@@ -71,15 +71,15 @@
 	buildFail   = `{"Action":"fail","Package":"relay","FailedBuild":"relay [relay.test]"}`
 )
 
-// TestJudge has runs with TestRed listed.
+// TestJudge judges runs of a package whose TestRed is listed, not listed, and listed for another package.
 func TestJudge(t *testing.T) {
 	listed := []Entry{{Name{"relay", "TestRed"}, "cause", "#1"}}
 	for _, c := range []struct {
-		what   string
+		name   string
 		lines  []string
 		exit   int
 		passes bool
-		report string // a part of it
+		report string // must be contained in it
 	}{
 		{"it fails", []string{testRun, testFail, verdict, closing, packageFail}, 1, true, "cause (#1): failed"},
 		{"a subtest fails", []string{testRun, subtestRun, subtestFail, testFail, verdict, closing, packageFail}, 1, true, "failed"},
@@ -108,20 +108,20 @@
 		}
 		passes, report := run.Judge(listed, c.exit)
 		if text := strings.Join(report, "\n"); passes != c.passes || !strings.Contains(text, c.report) {
-			t.Errorf("%s: passes %v\n%s", c.what, passes, text)
+			t.Errorf("%s: passes %v\n%s", c.name, passes, text)
 		}
 		if passes, _ := run.Judge(nil, c.exit); passes && slices.Contains(c.lines, testFail) {
-			t.Errorf("%s, not listed: passes", c.what)
+			t.Errorf("%s, not listed: passes", c.name)
 		}
 		elsewhere := []Entry{{Name{"relay/core", "TestRed"}, "cause", "#1"}}
 		if passes, _ := run.Judge(elsewhere, c.exit); passes && slices.Contains(c.lines, testFail) {
-			t.Errorf("%s, listed for another package: passes", c.what)
+			t.Errorf("%s, listed for another package: passes", c.name)
 		}
 	}
 }
 
-// TestLine shows what is printed: all of a package that fails but the tests that passed, one line of a package that passes.
-func TestLine(t *testing.T) {
+// TestOutput: the whole output of a failed package is printed, without its passed tests, and one line of a package that passed.
+func TestOutput(t *testing.T) {
 	run := NewRun()
 	var out strings.Builder
 	for _, line := range []string{
--- a/internal/loadestimate/estimator_test.go
+++ b/internal/loadestimate/estimator_test.go
@@ -7,8 +7,8 @@
 	"dahliarudder/policy"
 )
 
-// TestReport: an idle member has its configured capacity and no backlog; flows of all
-// relays count; answers later than its best show as a backlog and are forgotten again.
+// TestReport: an idle member has its configured capacity and no backlog. The flows of all relays count. Latencies above the member's best
+// show as a backlog, which decays again.
 func TestReport(t *testing.T) {
 	e := New(1000, 4)
 	if r := e.Report(1, 0); r.Connections/r.Load != 1000 || r.Load > 0.1 || r.Backlog != 0 {
@@ -24,26 +24,26 @@
 		e.ObserveLatency(1, 200*time.Millisecond)
 	}
 	if r := e.Report(1, 0); r.Backlog < 0.1 || r.Backlog > 0.2 {
-		t.Errorf("backlog %v after answers 199 ms late", r.Backlog)
+		t.Errorf("backlog %v after latencies 199 ms above the best", r.Backlog)
 	}
 	for range 40 {
 		e.ObserveLatency(1, 4*time.Millisecond)
 	}
 	if r := e.Report(1, 0); r.Backlog > 0.001 {
-		t.Errorf("backlog %v long after", r.Backlog)
+		t.Errorf("backlog %v after low latencies", r.Backlog)
 	}
 	e.Forget(func(policy.ServerID) bool { return false })
 	if len(e.members) != 0 {
-		t.Error("a member that is gone is still known")
+		t.Error("a forgotten member is still known")
 	}
 }
 
-// TestFillMissing: a report that shows something is left alone.
+// TestFillMissing: only a report without a usable capacity is completed.
 func TestFillMissing(t *testing.T) {
 	e := New(1000, 1)
 	for _, r := range []policy.Report{{Connections: 75, Load: 0.5}, {Connections: 100, Load: 0.01}, policy.NoReport} {
 		if got := e.FillMissing(r); got != r {
-			t.Errorf("%+v became %+v", r, got)
+			t.Errorf("%+v was changed to %+v", r, got)
 		}
 	}
 	if got := e.FillMissing(policy.Report{Connections: 3, Load: 0.001, Backlog: 0.5}); got.Connections/got.Load != 1000 || got.Backlog != 0.5 {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -11,27 +11,28 @@
 	"dahliarudder/internal/netloop/looptest"
 )
 
-// relay keeps what it was told; a ban is done when the test says so.
-type relay struct {
-	peers string
-	ready bool
-	said  []string
-	done  func(error)
+// fakeRelay keeps the calls that it receives. The test finishes an ejection by finishEjection.
+type fakeRelay struct {
+	peers          string
+	ready          bool
+	calls          []string
+	finishEjection func(error)
 }
 
-func (r *relay) Ready() bool          { return r.ready }
-func (r *relay) Known(id string) bool { return id == "s-1" || id == "a b" }
-func (r *relay) Drain()               { r.said = append(r.said, "drain") }
-func (r *relay) Resume()              { r.said = append(r.said, "resume") }
-func (r *relay) Peers() string        { return r.peers }
-func (r *relay) Recovery() string     { return "" }
-func (r *relay) SetEjected(id string, out bool, done func(error)) {
-	r.said, r.done = append(r.said, fmt.Sprint(id, " ", out)), done
+func (r *fakeRelay) Ready() bool          { return r.ready }
+func (r *fakeRelay) Known(id string) bool { return id == "s-1" || id == "a b" }
+func (r *fakeRelay) Drain()               { r.calls = append(r.calls, "drain") }
+func (r *fakeRelay) Resume()              { r.calls = append(r.calls, "resume") }
+func (r *fakeRelay) Peers() string        { return r.peers }
+func (r *fakeRelay) Recovery() string     { return "" }
+func (r *fakeRelay) SetEjected(id string, ejected bool, done func(error)) {
+	r.calls, r.finishEjection = append(r.calls, fmt.Sprint(id, " ", ejected)), done
 }
 
-// desk is the second address on a loop of the test's.
-func desk(t testing.TB) (*looptest.Harness, *relay, string) {
-	b, r, log := looptest.New(t, 8), &relay{ready: true}, logrus.New()
+// newTestFront starts a front for a fake relay on a test loop, and returns its address.
+func newTestFront(t testing.TB) (*looptest.Harness, *fakeRelay, string) {
+	t.Helper()
+	b, r, log := looptest.New(t, 8), &fakeRelay{ready: true}, logrus.New()
 	log.SetOutput(t.Output())
 	f := &Front{Loop: b.Loop, Relay: r, Log: log}
 	l, err := b.ListenReserved("127.0.0.1:0", MaxCallers, f.Accept)
@@ -41,16 +42,17 @@
 	return b, r, l.Addr()
 }
 
-func status(p *looptest.Peer) string {
-	_, code, _ := strings.Cut(p.ReadLine(), " ")
-	code, _, _ = strings.Cut(code, " ")
-	return code
+// readStatus reads the status code of a response.
+func readStatus(p *looptest.Peer) string {
+	_, rest, _ := strings.Cut(p.ReadLine(), " ")
+	status, _, _ := strings.Cut(rest, " ")
+	return status
 }
 
-// TestCalls: what each call is answered, and what it has the relay do.
+// TestCalls: the status code of each call, and what the relay is called for.
 func TestCalls(t *testing.T) {
-	b, r, addr := desk(t)
-	for _, call := range []struct{ first, code, said string }{
+	b, r, addr := newTestFront(t)
+	for _, tt := range []struct{ request, status, call string }{
 		{"GET /-/ready", "200", ""},
 		{"GET /-/ready?verbose=1", "200", ""},
 		{"PUT /-/drain", "200", "drain"},
@@ -71,59 +73,58 @@
 		{"OPEN", "400", ""},
 		{"PUT /-/drain HTTP/1.1\r\nContent-Length: x", "400", ""},
 	} {
-		r.said, r.done = nil, nil
+		r.calls, r.finishEjection = nil, nil
 		p := b.Dial(addr)
-		text := call.first
+		text := tt.request
 		if !strings.Contains(text, "HTTP/1.1") && text != "OPEN" {
 			text += " HTTP/1.1\r\nHost: relay"
 		}
-		for i := range len(text) + 4 { // in pieces, as a slow network brings it
+		for i := range len(text) + 4 { // byte by byte, as on a slow network
 			p.Send((text + "\r\n\r\n")[i : i+1])
 			if i%7 == 0 {
 				b.RunOnce()
 			}
-			if call.code == "400" && i > len(text) {
-				break // it may be ended by now
+			if tt.status == "400" && i > len(text) {
+				break // the connection may be closed by now
 			}
 		}
-		b.WaitFor("the relay to be asked", func() bool { p.Poll(); return r.done != nil || len(p.Received) > 0 })
-		if r.done != nil {
-			r.done(nil)
+		b.WaitFor("the relay to be called", func() bool { p.Poll(); return r.finishEjection != nil || len(p.Received) > 0 })
+		if r.finishEjection != nil {
+			r.finishEjection(nil)
 		}
-		if code := status(p); code != call.code || strings.Join(r.said, ",") != call.said {
-			t.Errorf("%s: %s, said %q", call.first, code, r.said)
+		if status := readStatus(p); status != tt.status || strings.Join(r.calls, ",") != tt.call {
+			t.Errorf("%s: status %s, calls %q", tt.request, status, r.calls)
 		}
 		p.Received = nil
 		b.WaitFor("the end", func() bool { p.Poll(); return p.EndErr != nil })
 	}
 }
 
-// TestNo: what is not so, or could not be kept, is no yes.
-func TestNo(t *testing.T) {
-	b, r, addr := desk(t)
+// TestErrorStatus: a relay that is not ready, and an ejection that could not be stored, have an error status.
+func TestErrorStatus(t *testing.T) {
+	b, r, addr := newTestFront(t)
 	r.ready = false
 	p := b.Dial(addr)
 	p.Send("GET /-/ready HTTP/1.1\r\n\r\n")
-	if code := status(p); code != "503" {
-		t.Errorf("not ready: %s", code)
+	if status := readStatus(p); status != "503" {
+		t.Errorf("not ready: status %s", status)
 	}
 	p = b.Dial(addr)
 	p.Send("PUT /-/backends/s-1/disable HTTP/1.1\r\n\r\n")
-	p.CloseWrite() // a caller that ends its sending still waits
-	b.WaitFor("the relay to be asked", func() bool { return r.done != nil })
-	r.done(errors.New("no disk"))
-	if code := status(p); code != "500" {
-		t.Errorf("not kept: %s", code)
+	p.CloseWrite() // a caller that half-closes its connection still waits for the answer
+	b.WaitFor("the relay to be called", func() bool { return r.finishEjection != nil })
+	r.finishEjection(errors.New("no disk"))
+	if status := readStatus(p); status != "500" {
+		t.Errorf("not stored: status %s", status)
 	}
 }
 
-// TestSlow: callers that say nothing, or half a call, keep nobody else out, though
-// they have all the room there is and the rest of the loop has none left; and they
-// are answered and ended in time.
-func TestSlow(t *testing.T) {
-	b, _, addr := desk(t)
+// TestSlowCallers: callers that send nothing or half a request do not keep others out, though they use all connections of the front and the
+// loop has no descriptor left; they are answered and closed in time.
+func TestSlowCallers(t *testing.T) {
+	b, _, addr := newTestFront(t)
 	for b.FreeDescriptors() > 0 {
-		b.Loop.Dial(addr, callTimeout, idle{})
+		b.Loop.Dial(addr, callTimeout, idleConn{})
 	}
 	var slow []*looptest.Peer
 	for range 3 * MaxCallers {
@@ -134,20 +135,21 @@
 	}
 	p := b.Dial(addr)
 	p.Send("GET /-/ready HTTP/1.1\r\n\r\n")
-	if code := status(p); code != "200" {
-		t.Errorf("among slow callers: %s", code)
+	if status := readStatus(p); status != "200" {
+		t.Errorf("among slow callers: status %s", status)
 	}
 	b.Advance(callTimeout)
 	for _, p := range slow {
-		if code := status(p); code != "408" {
-			t.Errorf("a slow caller: %s", code)
+		if status := readStatus(p); status != "408" {
+			t.Errorf("a slow caller: status %s", status)
 		}
 	}
 }
 
-type idle struct{}
+// idleConn is a handler that reads and sends nothing.
+type idleConn struct{}
 
-func (idle) Open()             {}
-func (idle) Data(b []byte) int { return len(b) }
-func (idle) Drained()          {}
-func (idle) End(error)         {}
+func (idleConn) Open()             {}
+func (idleConn) Data(b []byte) int { return len(b) }
+func (idleConn) Drained()          {}
+func (idleConn) End(error)         {}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,15 +12,15 @@
 	"dahliarudder/policy"
 )
 
-const factsText = `{"balancers":2,"zone":0,"zones":["a","b"],"tenants":[{"share":1}],"unheard-of":[1],
+const settingsText = `{"balancers":2,"zone":0,"zones":["a","b"],"tenants":[{"share":1}],"unheard-of":[1],
  "classes":[{"aim-ms":400,"deadline-ms":2000,"effect":"read_like","key-scope":"all","window-ms":5000}],
  "limits":{"probes":false,"max-attempts":3,"cancel":true},"report":{"names":["outstanding","x0"],"source":"on_probe"},
  "guarantees":{"answer-slack-ms":20,"cold-ms":9000,"cold-from":0.3,"overload-factor":3,"ask-within-ms":10000},
  "extra":{"mode":"proxy","message-aim-ms":[150],"tenant-quota-connections":[40]},"discovery":"automatic"}`
 
-// TestSettings: what the module is told, and what happens to keys that are unknown or missing.
-func TestSettings(t *testing.T) {
-	s, err := Decode([]byte(factsText))
+// TestDecode: the settings that the policy gets; unknown keys are ignored, missing ones have defaults.
+func TestDecode(t *testing.T) {
+	s, err := Decode([]byte(settingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,30 +36,30 @@
 	if _, err := Decode([]byte(`{}`)); err != nil {
 		t.Errorf("empty settings: %v", err)
 	}
-	oddText, err := Decode([]byte(`{"classes":[{"effect":"odd"},{"effect":"idempotency_key","key-scope":"zone"}],
+	unusual, err := Decode([]byte(`{"classes":[{"effect":"odd"},{"effect":"idempotency_key","key-scope":"zone"}],
 		"report":{"source":"inline"},"extra":{"mode":"pass","groups":true},"discovery":"subscribe"}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	odd := oddText.Policy()
-	if odd.Classes[0].Idempotency != policy.NonIdempotent || odd.Classes[1].Scope != policy.ScopeZone ||
-		!odd.PassThrough || !odd.Groups || !odd.Subscribe || odd.Reports != policy.ReportsInline {
-		t.Errorf("odd settings %+v, %v", odd, err)
+	set = unusual.Policy()
+	if set.Classes[0].Idempotency != policy.NonIdempotent || set.Classes[1].Scope != policy.ScopeZone ||
+		!set.PassThrough || !set.Groups || !set.Subscribe || set.Reports != policy.ReportsInline {
+		t.Errorf("unusual settings %+v, %v", set, err)
 	}
 	if _, err := Decode([]byte(`{"classes":7}`)); !errors.Is(err, ErrMalformed) {
-		t.Errorf("senseless settings: %v", err)
+		t.Errorf("malformed settings: %v", err)
 	}
 }
 
-// TestValidate: the operators' examples have none; a setting that cannot work is named with its value and the reason,
-// alone, whichever of the examples it is put into.
+// TestValidate: the operators' examples are valid. A setting that cannot work, put into any of them, is the only error, with its key, its
+// value and the reason.
 func TestValidate(t *testing.T) {
 	for _, file := range []string{"../../deploy/nats.json", "../../deploy/few-reports.json"} {
 		text, err := os.ReadFile(file)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for path, bad := range map[string]any{
+		for path, invalid := range map[string]any{
 			"":                           nil,
 			"balancers":                  0,
 			"classes.0.aim-ms":           -1,
@@ -79,38 +79,38 @@
 			"tenants.0.share":            0,
 			"zone":                       9,
 		} {
-			var whole map[string]any
-			if err := json.Unmarshal(text, &whole); err != nil {
+			var example map[string]any
+			if err := json.Unmarshal(text, &example); err != nil {
 				t.Fatal(err)
 			}
-			var at any = whole["settings"]
+			var parent any = example["settings"]
 			keys := strings.Split(path, ".")
 			for _, key := range keys[:len(keys)-1] {
-				if list, ok := at.([]any); ok {
+				if list, ok := parent.([]any); ok {
 					i, _ := strconv.Atoi(key)
-					at = list[i]
+					parent = list[i]
 				} else {
-					at = at.(map[string]any)[key]
+					parent = parent.(map[string]any)[key]
 				}
 			}
 			if path != "" {
-				at.(map[string]any)[keys[len(keys)-1]] = bad
+				parent.(map[string]any)[keys[len(keys)-1]] = invalid
 			}
-			set, _ := json.Marshal(whole["settings"])
+			set, _ := json.Marshal(example["settings"])
 			s, err := Decode(set)
 			if err != nil {
 				t.Fatal(err)
 			}
-			found := s.Validate()
-			if path == "" && len(found) == 0 {
+			problems := s.Validate()
+			if path == "" && len(problems) == 0 {
 				continue
 			}
-			last := keys[len(keys)-1]
+			key := keys[len(keys)-1]
 			if path == "limits.probes" {
-				last = "report.source" // which wants them
+				key = "report.source" // which requires probes
 			}
-			if len(found) != 1 || !strings.Contains(found[0].Error(), last) || strings.HasSuffix(found[0].Error(), ": ") {
-				t.Errorf("%s, %s = %v: %v", file, path, bad, found)
+			if len(problems) != 1 || !strings.Contains(problems[0].Error(), key) || strings.HasSuffix(problems[0].Error(), ": ") {
+				t.Errorf("%s, %s = %v: %v", file, path, invalid, problems)
 			}
 		}
 	}
--- a/internal/snapshot/stored_test.go
+++ b/internal/snapshot/stored_test.go
@@ -8,14 +8,14 @@
 	"testing"
 )
 
-// TestStoredFormsSnapshot: a snapshot file written by release 63fa232 is read whole, and encoding what was read gives the same bytes again.
+// TestStoredFormsSnapshot: a snapshot file of release 63fa232 is decoded completely, and encoded again to the same bytes.
 func TestStoredFormsSnapshot(t *testing.T) {
 	dir := filepath.Join("testdata", "head")
 	s, err := Read(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(s, sample()) {
+	if !reflect.DeepEqual(s, testSnapshot()) {
 		t.Fatalf("read %+v", s)
 	}
 	written, err := os.ReadFile(filepath.Join(dir, fileName))
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -1,20 +1,18 @@
 package store
 
 import (
-	"fmt"
 	"os"
 	"path/filepath"
 	"slices"
+	"strings"
 	"testing"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
 	"dahliarudder/internal/core"
 	"dahliarudder/policy"
 )
 
-// TestStoredFormsStore: a SQLite store of record written by release 63fa232 is opened, written to and read by its columns' names.
+// TestStoredFormsStore: a SQLite store written by release 63fa232 can be opened, written to, and read by its column names.
 func TestStoredFormsStore(t *testing.T) {
 	written, err := os.ReadFile(filepath.Join("testdata", "head", "record.db"))
 	if err != nil {
@@ -24,43 +22,13 @@
 	if err := os.WriteFile(path, written, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	log := logrus.New()
-	log.SetOutput(t.Output())
-	s, err := Open(Config{Driver: "sqlite", DSN: path}, "run-new", time.UnixMicro(1_800_000_000_000_000), log)
-	if err != nil {
-		t.Fatal(err)
-	}
-	q := &core.Request{Name: "client-3", Class: 1, Tenant: 2}
-	s.RecordAttempt(q, 1, 0, "s-3", time.Second, 2*time.Second, policy.OK)
-	s.RecordAnswer(q, 1, 2*time.Second, core.Served, 1)
-	until(t, "the records", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.queue) == 0 })
-	var requests, attempts []string
-	rows, err := s.db.Query("SELECT run, id, name, class, tenant, answer, tries, at_us FROM requests ORDER BY run, id")
-	if err != nil {
-		t.Fatal(err)
-	}
-	for rows.Next() {
-		var run, name, answer string
-		var id, class, tenant, tries, at int64
-		if err := rows.Scan(&run, &id, &name, &class, &tenant, &answer, &tries, &at); err != nil {
-			t.Fatal(err)
-		}
-		requests = append(requests, fmtRow(run, id, name, class, tenant, answer, tries, at))
-	}
-	rows.Close()
-	rows, err = s.db.Query("SELECT run, request, try, member, result, start_us, end_us FROM attempts ORDER BY run, request, try")
-	if err != nil {
-		t.Fatal(err)
-	}
-	for rows.Next() {
-		var run, member, result string
-		var request, try, start, end int64
-		if err := rows.Scan(&run, &request, &try, &member, &result, &start, &end); err != nil {
-			t.Fatal(err)
-		}
-		attempts = append(attempts, fmtRow(run, request, try, member, result, start, end))
-	}
-	rows.Close()
+	s := openStoreAt(t, Config{Driver: "sqlite", DSN: path}, "run-new", time.UnixMicro(1_800_000_000_000_000))
+	request := &core.Request{Name: "client-3", Class: 1, Tenant: 2}
+	s.RecordAttempt(request, 1, 0, "s-3", time.Second, 2*time.Second, policy.OK)
+	s.RecordAnswer(request, 1, 2*time.Second, core.Served, 1)
+	s.waitWritten(t)
+	requests := s.queryRows(t, "SELECT run, id, name, class, tenant, answer, tries, at_us FROM requests ORDER BY run, id")
+	attempts := s.queryRows(t, "SELECT run, request, try, member, result, start_us, end_us FROM attempts ORDER BY run, request, try")
 	if err := s.Close(20 * time.Second); err != nil {
 		t.Fatal(err)
 	}
@@ -82,13 +50,30 @@
 	}
 }
 
-func fmtRow(values ...any) string {
-	text := ""
-	for i, v := range values {
-		if i > 0 {
-			text += " "
+// queryRows returns each row as the text of its values, separated by spaces.
+func (s *Store) queryRows(t *testing.T, query string) (result []string) {
+	t.Helper()
+	rows, err := s.db.Query(query)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer rows.Close()
+	columns, err := rows.Columns()
+	if err != nil {
+		t.Fatal(err)
+	}
+	values, pointers := make([]string, len(columns)), make([]any, len(columns))
+	for i := range values {
+		pointers[i] = &values[i]
+	}
+	for rows.Next() {
+		if err := rows.Scan(pointers...); err != nil {
+			t.Fatal(err)
 		}
-		text += fmt.Sprint(v)
+		result = append(result, strings.Join(values, " "))
+	}
+	if err := rows.Err(); err != nil {
+		t.Fatal(err)
 	}
-	return text
+	return result
 }
--- a/internal/window/window_test.go
+++ b/internal/window/window_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-func put(w *Window, id, subject uint64, due time.Duration) {
-	w.Put(Message{ID: id, Subject: subject, Sequence: id, Deadline: due}, fmt.Appendf(w.Buffer(16), "text of %d;", id))
+func putMessage(w *Window, id, subject uint64, deadline time.Duration) {
+	w.Put(Message{ID: id, Subject: subject, Sequence: id, Deadline: deadline}, fmt.Appendf(w.Buffer(16), "text of %d;", id))
 }
 
-// begin sends what may be sent and returns the ids.
-func begin(w *Window, now time.Duration) (ids []uint64) {
+// beginAll begins an attempt for each message that may be sent, and returns their IDs.
+func beginAll(w *Window, now time.Duration) (ids []uint64) {
 	for m := w.Next(); m != nil; m = w.Next() {
 		w.Begin(now)
 		m.Offset = m.ID
@@ -21,244 +21,243 @@
 	return ids
 }
 
-// book notes what becomes of messages.
-type book struct {
-	served, failed, given []uint64
-	ended                 map[uint64]Result
+// outcomes collects the IDs of messages by what became of them.
+type outcomes struct {
+	served, failed, expired []uint64
+	results                 map[uint64]Result
 }
 
-func (b *book) serve(m *Message) { b.served = append(b.served, m.ID) }
-func (b *book) fail(m *Message)  { b.failed = append(b.failed, m.ID) }
-func (b *book) end(m *Message, r Result) {
-	if b.ended == nil {
-		b.ended = map[uint64]Result{}
+func (o *outcomes) onServed(m *Message) { o.served = append(o.served, m.ID) }
+func (o *outcomes) onFailed(m *Message) { o.failed = append(o.failed, m.ID) }
+func (o *outcomes) onAttemptEnded(m *Message, r Result) {
+	if o.results == nil {
+		o.results = map[uint64]Result{}
 	}
-	b.ended[m.ID] = r
+	o.results[m.ID] = r
 }
-func (b *book) give(m *Message, _ bool) { b.given = append(b.given, m.ID) }
+func (o *outcomes) onExpired(m *Message, _ bool) { o.expired = append(o.expired, m.ID) }
 
-func want(t *testing.T, what string, got, want any) {
+func wantEqual(t *testing.T, what string, got, want any) {
 	t.Helper()
 	if fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("%s: %v, want %v", what, got, want)
 	}
 }
 
-// TestLostLink: what has no answer comes back in its order; what had left counts as perhaps taken,
-// what had not does not, and where a class may not be repeated that decides.
-func TestLostLink(t *testing.T) {
-	for _, repeat := range []bool{true, false} {
-		w := New(Limits{MaxMessages: 10, MaxBytes: 1000, MaxAttempts: 3, LatencyObjective: time.Second, Repeatable: repeat})
+// TestLinkClosed: messages without an acknowledgement are queued again in their order. Those that were written may have been processed, so
+// they fail if the class may not be repeated; those that were not written are retried in any class.
+func TestLinkClosed(t *testing.T) {
+	for _, repeatable := range []bool{true, false} {
+		w := New(Limits{MaxMessages: 10, MaxBytes: 1000, MaxAttempts: 3, LatencyObjective: time.Second, Repeatable: repeatable})
 		for id := range uint64(6) {
-			put(w, id+1, 7, time.Minute)
+			putMessage(w, id+1, 7, time.Minute)
 		}
-		want(t, "sent", begin(w, 1), []uint64{1, 2, 3, 4, 5, 6})
-		var b book
-		w.Acknowledged(2, 2, b.serve)
-		put(w, 7, 7, time.Minute)
-		w.LinkClosed(4, b.end, b.fail) // 3 and 4 had left, 5 and 6 had not
-		want(t, "served", b.served, []uint64{1, 2})
-		want(t, "results", b.ended, map[uint64]Result{3: AckLost, 4: AckLost, 5: NotWritten, 6: NotWritten})
-		if repeat {
-			want(t, "failed", b.failed, []uint64(nil))
-			want(t, "sent again", begin(w, 3), []uint64{3, 4, 5, 6, 7})
+		wantEqual(t, "sent", beginAll(w, 1), []uint64{1, 2, 3, 4, 5, 6})
+		var got outcomes
+		w.Acknowledged(2, 2, got.onServed)
+		putMessage(w, 7, 7, time.Minute)
+		w.LinkClosed(4, got.onAttemptEnded, got.onFailed) // 3 and 4 were written, 5 and 6 were not
+		wantEqual(t, "served", got.served, []uint64{1, 2})
+		wantEqual(t, "results", got.results, map[uint64]Result{3: AckLost, 4: AckLost, 5: NotWritten, 6: NotWritten})
+		if repeatable {
+			wantEqual(t, "failed", got.failed, []uint64(nil))
+			wantEqual(t, "retried", beginAll(w, 3), []uint64{3, 4, 5, 6, 7})
 		} else {
-			want(t, "failed", b.failed, []uint64{3, 4})
-			want(t, "sent again", begin(w, 3), []uint64{5, 6, 7})
+			wantEqual(t, "failed", got.failed, []uint64{3, 4})
+			wantEqual(t, "retried", beginAll(w, 3), []uint64{5, 6, 7})
 		}
 	}
 }
 
-// TestAttempts: a message is not sent a fourth time.
+// TestAttempts: a message fails after its third attempt.
 func TestAttempts(t *testing.T) {
 	w := New(Limits{MaxMessages: 10, MaxBytes: 1000, MaxAttempts: 3, LatencyObjective: time.Second, Repeatable: true})
-	put(w, 1, 7, time.Minute)
-	var b book
+	putMessage(w, 1, 7, time.Minute)
+	var got outcomes
 	for range 3 {
-		want(t, "sent", begin(w, 1), []uint64{1})
-		w.LinkClosed(9, b.end, b.fail)
+		wantEqual(t, "sent", beginAll(w, 1), []uint64{1})
+		w.LinkClosed(9, got.onAttemptEnded, got.onFailed)
 	}
-	want(t, "failed", b.failed, []uint64{1})
+	wantEqual(t, "failed", got.failed, []uint64{1})
 	if !w.Idle() || w.Next() != nil {
-		t.Error("it is still held")
+		t.Error("the message is still in the window")
 	}
 }
 
-// TestRejected: after a refusal nothing is sent until all that is out is settled; the refused one
-// is sent again only if its subject has not gone on behind it.
+// TestRejected: after a rejection nothing is sent until all messages in flight are settled. The rejected one is retried only if no later
+// message of its subject was acknowledged, which would change their order.
 func TestRejected(t *testing.T) {
 	for _, c := range []struct {
-		subjects    []uint64
-		again, fail []uint64
+		subjects        []uint64
+		retried, failed []uint64
 	}{
 		{[]uint64{7, 8, 9}, []uint64{1, 4}, nil},
 		{[]uint64{7, 8, 7}, []uint64{4}, []uint64{1}},
 	} {
 		w := New(Limits{MaxMessages: 10, MaxBytes: 1000, MaxAttempts: 3, LatencyObjective: time.Second, Repeatable: true})
 		for i, s := range c.subjects {
-			put(w, uint64(i+1), s, time.Minute)
+			putMessage(w, uint64(i+1), s, time.Minute)
 		}
-		begin(w, 1)
+		beginAll(w, 1)
 		if w.MarkRejected(7) == nil || w.MarkRejected(99) != nil {
-			t.Fatal("the wrong message")
+			t.Fatal("MarkRejected returned the wrong message")
 		}
-		put(w, 4, 5, time.Minute)
-		want(t, "sent meanwhile", begin(w, 2), []uint64(nil))
-		var b book
-		if w.Acknowledged(3, 2, b.serve); w.Settled() {
-			t.Error("settled with one out")
+		putMessage(w, 4, 5, time.Minute)
+		wantEqual(t, "sent before it is settled", beginAll(w, 2), []uint64(nil))
+		var got outcomes
+		if w.Acknowledged(3, 2, got.onServed); w.Settled() {
+			t.Error("settled with one in flight")
 		}
-		if w.Acknowledged(3, 1, b.serve); !w.Settled() {
+		if w.Acknowledged(3, 1, got.onServed); !w.Settled() {
 			t.Error("not settled")
 		}
-		want(t, "served", b.served, []uint64{2, 3})
-		w.LinkClosed(9, b.end, b.fail)
-		want(t, "failed", b.failed, c.fail)
-		want(t, "sent again", begin(w, 4), c.again)
+		wantEqual(t, "served", got.served, []uint64{2, 3})
+		w.LinkClosed(9, got.onAttemptEnded, got.onFailed)
+		wantEqual(t, "failed", got.failed, c.failed)
+		wantEqual(t, "retried", beginAll(w, 4), c.retried)
 	}
 }
 
-// TestAckDeadline: an attempt leaves time for another, the last one has all of it; who waits in
-// vain is given up when its time is over and not before.
+// TestAckDeadline: an attempt leaves time for another one, the last attempt has all the time. A waiting message expires at its deadline, one
+// in flight does not.
 func TestAckDeadline(t *testing.T) {
 	w := New(Limits{MaxMessages: 10, MaxBytes: 1000, MaxAttempts: 2, LatencyObjective: 100, Repeatable: true})
-	put(w, 1, 7, 1000)
-	begin(w, 0)
+	putMessage(w, 1, 7, 1000)
+	beginAll(w, 0)
 	if at, ok := w.AckDeadline(); !ok || at != 600 {
-		t.Errorf("silent at %v", at)
+		t.Errorf("acknowledgement due at %v", at)
 	}
-	var b book
-	w.LinkClosed(0, b.end, b.fail)
-	begin(w, 600)
+	var got outcomes
+	w.LinkClosed(0, got.onAttemptEnded, got.onFailed)
+	beginAll(w, 600)
 	if at, _ := w.AckDeadline(); at != 1000 {
-		t.Errorf("the last one is silent at %v", at)
+		t.Errorf("last acknowledgement due at %v", at)
 	}
-	if w.Expire(2000, b.give); b.given != nil {
-		t.Error("given up while it is out")
+	if w.Expire(2000, got.onExpired); got.expired != nil {
+		t.Error("expired while in flight")
 	}
-	w.LinkClosed(0, b.end, b.fail)
-	put(w, 2, 7, 3000)
-	put(w, 3, 7, 3001)
-	w.Expire(3000, b.give)
-	want(t, "failed, given up", fmt.Sprint(b.failed, b.given), "[1] [2]")
+	w.LinkClosed(0, got.onAttemptEnded, got.onFailed)
+	putMessage(w, 2, 7, 3000)
+	putMessage(w, 3, 7, 3001)
+	w.Expire(3000, got.onExpired)
+	wantEqual(t, "failed, expired", fmt.Sprint(got.failed, got.expired), "[1] [2]")
 }
 
-// TestSize: the number that is out grows while answers are quick and falls when they are late,
-// once for each round.
-func TestSize(t *testing.T) {
+// TestWindowSize: the window grows while acknowledgements are fast and shrinks when they are late, once for each round trip.
+func TestWindowSize(t *testing.T) {
 	w := New(Limits{MaxMessages: 100, MaxBytes: 1 << 20, MaxAttempts: 3, LatencyObjective: 1000, Repeatable: true})
 	for id := range uint64(100) {
-		put(w, id+1, 7, time.Minute)
+		putMessage(w, id+1, 7, time.Minute)
 	}
-	var b book
-	want(t, "at first", len(begin(w, 0)), InitialWindow)
-	w.Acknowledged(100, InitialWindow, b.serve)
-	want(t, "after quick ones", len(begin(w, 200)), 2*InitialWindow)
-	w.Acknowledged(900, 1, b.serve)
-	w.Acknowledged(901, 1, b.serve)
-	w.Acknowledged(1300, 2*InitialWindow-2, b.serve)
-	want(t, "after late ones", len(begin(w, 1400)), InitialWindow)
+	var got outcomes
+	wantEqual(t, "initial window", len(beginAll(w, 0)), InitialWindow)
+	w.Acknowledged(100, InitialWindow, got.onServed)
+	wantEqual(t, "after fast acknowledgements", len(beginAll(w, 200)), 2*InitialWindow)
+	w.Acknowledged(900, 1, got.onServed)
+	w.Acknowledged(901, 1, got.onServed)
+	w.Acknowledged(1300, 2*InitialWindow-2, got.onServed)
+	wantEqual(t, "after late acknowledgements", len(beginAll(w, 1400)), InitialWindow)
 }
 
-// TestSlowStart: all feeds together send a member in slow start no more than it has shown to take; a warm one
-// is not held back.
+// TestSlowStart: all feeds together send a member in slow start no more than it has shown to handle; a warm one has no such limit.
 func TestSlowStart(t *testing.T) {
 	p := NewSlowStart(1000, 500)
 	n := 0
 	for ; p.MaySend(1100); n++ {
 		p.Sent()
 	}
-	want(t, "out at first", n, InitialWindow)
+	wantEqual(t, "in flight at first", n, InitialWindow)
 	p.Release(InitialWindow, InitialWindow)
 	for n = 0; p.MaySend(1200); n++ {
 		p.Sent()
 	}
-	want(t, "out after that", n, 2*InitialWindow)
+	wantEqual(t, "in flight after that", n, 2*InitialWindow)
 	if p.Active(1500) || !p.MaySend(1500) || !NewSlowStart(0, 500).MaySend(0) {
-		t.Error("a warm member is held back")
+		t.Error("a warm member is limited")
 	}
 }
 
-// TestSteps: random steps against a plain account of each message: one end each, attempts within
-// their limit, one out at a time, in order, and the text that was put.
-func TestSteps(t *testing.T) {
+// TestRandomEvents: random events, checked against a record of each message: one final outcome, a limited number of attempts, one at a time
+// and in order, and the text that was put.
+func TestRandomEvents(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		w := New(Limits{MaxMessages: 40, MaxBytes: 400, MaxAttempts: 3, LatencyObjective: 100, Repeatable: seed%2 == 0})
-		type account struct {
-			subject uint64
-			tries   int
-			out     bool
-			ended   string
+		type messageState struct {
+			subject  uint64
+			attempts int
+			inFlight bool
+			outcome  string
 		}
-		all := map[uint64]*account{}
-		var next, last uint64 // to be put, and sent last on this link
-		newest := map[uint64]uint64{}
+		states := map[uint64]*messageState{}
+		var lastPut, lastSent uint64        // lastSent is of the present link
+		newestServed := map[uint64]uint64{} // by subject
 		now := time.Duration(0)
-		end := func(m *Message, how string) {
-			a := all[m.ID]
-			if a.ended != "" || a.out && how != "served" {
-				t.Fatalf("seed %d: message %d %s, was %q, out %v", seed, m.ID, how, a.ended, a.out)
+		finish := func(m *Message, outcome string) {
+			state := states[m.ID]
+			if state.outcome != "" || state.inFlight && outcome != "served" {
+				t.Fatalf("seed %d: message %d %s, was %q, in flight %v", seed, m.ID, outcome, state.outcome, state.inFlight)
 			}
 			if string(w.Text(m)) != fmt.Sprintf("text of %d;", m.ID) {
 				t.Fatalf("seed %d: message %d has text %q", seed, m.ID, w.Text(m))
 			}
-			a.ended, a.out = how, false
+			state.outcome, state.inFlight = outcome, false
 		}
 		serve := func(m *Message) {
-			end(m, "served")
-			if s := all[m.ID].subject; newest[s] > m.ID {
-				t.Fatalf("seed %d: message %d of subject %d was taken after %d", seed, m.ID, s, newest[s])
+			finish(m, "served")
+			subject := states[m.ID].subject
+			if newestServed[subject] > m.ID {
+				t.Fatalf("seed %d: message %d of subject %d was served after %d", seed, m.ID, subject, newestServed[subject])
 			}
-			newest[all[m.ID].subject] = m.ID
+			newestServed[subject] = m.ID
 		}
-		back := func() {
-			w.LinkClosed(rng.Uint64N(next+2), func(m *Message, _ Result) { all[m.ID].out = false }, func(m *Message) { end(m, "failed") })
-			last = 0
+		closeLink := func() {
+			w.LinkClosed(rng.Uint64N(lastPut+2), func(m *Message, _ Result) { states[m.ID].inFlight = false }, func(m *Message) { finish(m, "failed") })
+			lastSent = 0
 		}
 		for range 400 {
 			now += time.Duration(rng.IntN(20))
 			switch rng.IntN(9) {
 			case 0, 1, 2:
 				if w.HasCapacity() {
-					next++
+					lastPut++
 					subject := rng.Uint64N(4)
-					all[next] = &account{subject: subject}
-					put(w, next, subject, now+300)
+					states[lastPut] = &messageState{subject: subject}
+					putMessage(w, lastPut, subject, now+300)
 				}
 			case 3, 4:
 				if m := w.Next(); m != nil {
 					w.Begin(now)
-					a := all[m.ID]
-					if a.tries++; a.out || a.ended != "" || a.tries > 3 || a.tries != m.Attempts || m.ID <= last {
-						t.Fatalf("seed %d: message %d sent: %+v, after %d", seed, m.ID, *a, last)
+					state := states[m.ID]
+					if state.attempts++; state.inFlight || state.outcome != "" || state.attempts > 3 || state.attempts != m.Attempts || m.ID <= lastSent {
+						t.Fatalf("seed %d: message %d sent: %+v, after %d", seed, m.ID, *state, lastSent)
 					}
-					a.out, last, m.Offset = true, m.ID, m.ID
+					state.inFlight, lastSent, m.Offset = true, m.ID, m.ID
 				}
 			case 5, 6:
 				w.Acknowledged(now, rng.IntN(4), serve)
 			case 7:
 				w.MarkRejected(rng.Uint64N(4))
 				if w.Settled() {
-					back()
+					closeLink()
 				}
 			case 8:
-				if at, ok := w.AckDeadline(); ok && at <= now {
-					back()
+				if deadline, ok := w.AckDeadline(); ok && deadline <= now {
+					closeLink()
 				}
-				w.Expire(now, func(m *Message, ran bool) {
-					if ran != (all[m.ID].tries > 0) && ran {
-						t.Fatalf("seed %d: message %d never ran", seed, m.ID)
+				w.Expire(now, func(m *Message, mayHaveRun bool) {
+					if mayHaveRun && states[m.ID].attempts == 0 {
+						t.Fatalf("seed %d: message %d was never sent", seed, m.ID)
 					}
-					end(m, "given up")
+					finish(m, "expired")
 				})
 			}
 		}
-		back()
-		w.Expire(1<<62, func(m *Message, _ bool) { end(m, "given up") })
-		for id, a := range all {
-			if a.ended == "" {
-				t.Errorf("seed %d: message %d has no end: %+v", seed, id, *a)
+		closeLink()
+		w.Expire(1<<62, func(m *Message, _ bool) { finish(m, "expired") })
+		for id, state := range states {
+			if state.outcome == "" {
+				t.Errorf("seed %d: message %d has no outcome: %+v", seed, id, *state)
 			}
 		}
 		if !w.Idle() || w.Bytes() != 0 {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -14,74 +14,74 @@
 	"dahliarudder/policy"
 )
 
-// frame builds a batch by hand.
-type frame struct{ body []byte }
+// frameBuilder encodes a batch field by field.
+type frameBuilder struct{ body []byte }
 
-func (f *frame) u8(v ...uint8) *frame { f.body = append(f.body, v...); return f }
-func (f *frame) u16(v uint16) *frame {
+func (f *frameBuilder) u8(v ...uint8) *frameBuilder { f.body = append(f.body, v...); return f }
+func (f *frameBuilder) u16(v uint16) *frameBuilder {
 	f.body = binary.LittleEndian.AppendUint16(f.body, v)
 	return f
 }
-func (f *frame) u32(v uint32) *frame {
+func (f *frameBuilder) u32(v uint32) *frameBuilder {
 	f.body = binary.LittleEndian.AppendUint32(f.body, v)
 	return f
 }
-func (f *frame) u64(v uint64) *frame {
+func (f *frameBuilder) u64(v uint64) *frameBuilder {
 	f.body = binary.LittleEndian.AppendUint64(f.body, v)
 	return f
 }
-func (f *frame) f64(v float64) *frame { return f.u64(math.Float64bits(v)) }
-func (f *frame) f32(v float32) *frame { return f.u32(math.Float32bits(v)) }
+func (f *frameBuilder) f64(v float64) *frameBuilder { return f.u64(math.Float64bits(v)) }
+func (f *frameBuilder) f32(v float32) *frameBuilder { return f.u32(math.Float32bits(v)) }
 
-// batch puts the header in front.
-func (f *frame) batch(clock float64, count uint32) []byte {
-	h := (&frame{}).u32(uint32(len(f.body))).f64(clock).u32(count)
+// batch returns the frame with its header.
+func (f *frameBuilder) batch(clock float64, count uint32) []byte {
+	h := (&frameBuilder{}).u32(uint32(len(f.body))).f64(clock).u32(count)
 	return append(h.body, f.body...)
 }
 
-// testHost hosts balancers as the adapter does.
-type testHost struct {
+// fakeHost runs balancers as the adapter does.
+type fakeHost struct {
 	instances map[uint16]*policy.Balancer
-	out       *Encoder
+	encoder   *Encoder
 	seeds     map[uint16]uint64
-	sets      map[uint16]policy.Settings
+	settings  map[uint16]policy.Settings
 }
 
-func (h *testHost) Launch(inst uint16, _ time.Duration, seed uint64, set policy.Settings) {
-	h.seeds[inst], h.sets[inst] = seed, set
-	h.instances[inst] = policy.New(set, seed, h.out)
+func (h *fakeHost) Launch(inst uint16, _ time.Duration, seed uint64, set policy.Settings) {
+	h.seeds[inst], h.settings[inst] = seed, set
+	h.instances[inst] = policy.New(set, seed, h.encoder)
 	h.instances[inst].Start()
 }
-func (h *testHost) Stop(inst uint16)                      { delete(h.instances, inst) }
-func (h *testHost) Instance(inst uint16) *policy.Balancer { return h.instances[inst] }
+func (h *fakeHost) Stop(inst uint16)                      { delete(h.instances, inst) }
+func (h *fakeHost) Instance(inst uint16) *policy.Balancer { return h.instances[inst] }
 
-func newHost(out *Encoder) *testHost {
-	return &testHost{instances: map[uint16]*policy.Balancer{}, out: out, seeds: map[uint16]uint64{},
-		sets: map[uint16]policy.Settings{}}
+func newFakeHost(out *Encoder) *fakeHost {
+	return &fakeHost{instances: map[uint16]*policy.Balancer{}, encoder: out, seeds: map[uint16]uint64{},
+		settings: map[uint16]policy.Settings{}}
 }
 
-const factsText = `{"balancers":2,"zone":0,"zones":["a","b"],"tenants":[{"share":1}],"unheard-of":[1],
+const settingsText = `{"balancers":2,"zone":0,"zones":["a","b"],"tenants":[{"share":1}],"unheard-of":[1],
  "classes":[{"aim-ms":400,"deadline-ms":2000,"effect":"read_like","key-scope":"all","window-ms":5000}],
  "limits":{"probes":false,"max-attempts":3,"cancel":true},"report":{"names":["outstanding","x0"],"source":"on_probe"},
  "guarantees":{"answer-slack-ms":20,"cold-ms":9000,"cold-from":0.3,"overload-factor":3,"ask-within-ms":10000},
  "extra":{"mode":"proxy","message-aim-ms":[150],"tenant-quota-connections":[40]},"discovery":"automatic"}`
 
-// launch starts an instance that knows one server.
-func (f *frame) launch(inst uint16, list uint16) *frame {
+// launch starts an instance with a list of one server.
+func (f *frameBuilder) launch(inst uint16, list uint16) *frameBuilder {
 	f.u8(evServerList).u16(list).u32(1)
 	f.u32(0xfeed).u8(0, 0).u16(0).u8(1).f32(1).f64(0)
-	f.u8(evInstance).u16(inst).u8(evLaunch).u64(9).u32(uint32(len(factsText)))
-	f.body = append(f.body, factsText...)
+	f.u8(evInstance).u16(inst).u8(evLaunch).u64(9).u32(uint32(len(settingsText)))
+	f.body = append(f.body, settingsText...)
 	return f.u8(evMembers).u16(list).u8(4).u32(1)
 }
 
 const launchRecords = 4
 
-// play feeds a stream to a fresh decoder and returns the replies.
-func play(stream []byte) (string, *testHost, error) {
+// decodeStream passes a stream to a new decoder and returns the replies in hexadecimal.
+func decodeStream(stream []byte) (string, *fakeHost, error) {
 	var out bytes.Buffer
 	enc := NewEncoder(&out)
-	host := newHost(enc)
+	host := newFakeHost(enc)
 	dec := NewDecoder(bytes.NewReader(stream), enc)
 	for {
 		if err := dec.Next(host); err == io.EOF {
@@ -97,7 +97,7 @@
 
 // TestEmptyBatch answers the smallest batch with the smallest reply.
 func TestEmptyBatch(t *testing.T) {
-	got, _, err := play((&frame{}).batch(8412.25, 0))
+	got, _, err := decodeStream((&frameBuilder{}).batch(8412.25, 0))
 	if err != nil || got != "00000000" {
 		t.Errorf("reply %s, %v", got, err)
 	}
@@ -105,7 +105,7 @@
 
 // TestEveryEvent decodes each record once; the request among them leads to a send to the listed server.
 func TestEveryEvent(t *testing.T) {
-	f := (&frame{}).launch(3, 15)
+	f := (&frameBuilder{}).launch(3, 15)
 	f.u8(evRequest).u64(77).u64(0).f64(3000).f64(12).u32(0).u8(0).u16(1).u64(5)
 	f.u8(evExisting).u64(78).u8(0).u32(0).u64(0).f64(0).f64(0).u64(0).u16(0).u32(0xfeed)
 	f.u8(evEstablished).u64(77).u8(0).f64(3).u32(0xfeed)
@@ -118,11 +118,11 @@
 	f.u8(evPeer).u32(4).u16(2).u8(1, 2)
 	f.u8(evMembers).u16(0).u8(0).u32(0)
 	f.u8(evStop)
-	got, host, err := play(f.batch(1000, launchRecords+12))
+	got, host, err := decodeStream(f.batch(1000, launchRecords+12))
 	if err != nil {
 		t.Fatal(err)
 	}
-	// By 3; a timer for the deadline; the attempt, for at most six tenths of the time left.
+	// Of instance 3: a timer for the deadline, and the attempt with a timeout of six tenths of the time left.
 	want := "0d0300" + "04" + "0000000000f09e40"
 	if !strings.Contains(got, want) {
 		t.Errorf("reply %s lacks the timer %s", got, want)
@@ -138,26 +138,26 @@
 // TestEveryAction encodes each record once.
 func TestEveryAction(t *testing.T) {
 	tests := []struct {
-		name string
-		do   func(*Encoder)
-		want string
+		name   string
+		encode func(*Encoder)
+		want   string
 	}{
 		{"send", func(e *Encoder) { e.Send(1, 2, 500*time.Millisecond) }, "00" + "0100000000000000" + "0000000000407f40" + "02000000"},
-		{"refuse", func(e *Encoder) { e.Reject(1, 0) }, "01" + "0100000000000000" + "0000000000000000"},
+		{"reject", func(e *Encoder) { e.Reject(1, 0) }, "01" + "0100000000000000" + "0000000000000000"},
 		{"fail", func(e *Encoder) { e.Fail(1) }, "02" + "0100000000000000"},
 		{"cancel", func(e *Encoder) { e.Cancel(1, 3) }, "03" + "0100000000000000" + "03"},
 		{"timer", func(e *Encoder) { e.Timer(500*time.Millisecond, 77) }, "04" + "0000000000407f40" + "4d00000000000000"},
 		{"probe", func(e *Encoder) { e.Probe(2) }, "05" + "02000000"},
 		{"watch", func(e *Encoder) { e.Watch() }, "0a" + "01"},
-		{"move", func(e *Encoder) { e.Migrate(1) }, "0c" + "0100000000000000"},
+		{"migrate", func(e *Encoder) { e.Migrate(1) }, "0c" + "0100000000000000"},
 	}
 	for _, tt := range tests {
 		var out bytes.Buffer
 		e := NewEncoder(&out)
 		e.setInstance(5)
-		tt.do(e)
+		tt.encode(e)
 		e.setInstance(5)
-		tt.do(e)
+		tt.encode(e)
 		if err := e.Flush(); err != nil {
 			t.Fatal(err)
 		}
@@ -171,31 +171,31 @@
 	}
 }
 
-// TestListsReused: a list number names another list later in the same batch.
+// TestListsReused: a list number can be given to another list later in the same batch.
 func TestListsReused(t *testing.T) {
-	f := (&frame{}).launch(1, 0)
+	f := (&frameBuilder{}).launch(1, 0)
 	f.u8(evServerList).u16(0).u32(1)
 	f.u32(0xbeef).u8(0, 0).u16(0).u8(1).f32(1).f64(0)
 	f.u8(evMembers).u16(0).u8(3).u32(2)
 	f.u8(evRequest).u64(7).u64(0).f64(3000).f64(0).u32(0).u8(0).u16(0).u64(0)
-	got, _, err := play(f.batch(1000, launchRecords+3))
+	got, _, err := decodeStream(f.batch(1000, launchRecords+3))
 	if err != nil || !strings.Contains(got, "efbe0000") || strings.Contains(got, "edfe0000") {
-		t.Errorf("sent to the list superseded: %s, %v", got, err)
+		t.Errorf("sent to the replaced list: %s, %v", got, err)
 	}
 }
 
-// TestRestart: a stop and a second start in one batch give a fresh instance.
+// TestRestart: a stop and a second launch in one batch give a new instance.
 func TestRestart(t *testing.T) {
-	f := (&frame{}).launch(1, 0).u8(evStop).launch(1, 0)
+	f := (&frameBuilder{}).launch(1, 0).u8(evStop).launch(1, 0)
 	f.u8(evTimer).u64(1 << 56).u8(evRequestEnded).u64(4)
-	if _, host, err := play(f.batch(1000, 2*launchRecords+3)); err != nil || host.instances[1] == nil {
+	if _, host, err := decodeStream(f.batch(1000, 2*launchRecords+3)); err != nil || host.instances[1] == nil {
 		t.Errorf("instance %v, %v", host.instances[1], err)
 	}
 }
 
 // TestLargeBatch: several megabytes and many instances in one batch.
 func TestLargeBatch(t *testing.T) {
-	f := &frame{}
+	f := &frameBuilder{}
 	const instances, requests = 300, 200
 	for i := range uint16(instances) {
 		f.launch(i, i%16)
@@ -203,40 +203,40 @@
 			f.u8(evRequest).u64(uint64(i)<<20 | j).u64(0).f64(3000).f64(0).u32(0).u8(0).u16(0).u64(0)
 		}
 	}
-	got, _, err := play(f.batch(1000, instances*(launchRecords+requests)))
+	got, _, err := decodeStream(f.batch(1000, instances*(launchRecords+requests)))
 	if err != nil || len(f.body) < 2<<20 || len(got) < instances*requests*2*20 {
 		t.Errorf("%d bytes in, %d out, %v", len(f.body), len(got)/2, err)
 	}
 }
 
-// TestMalformed: what is no frame ends with a plain error, without a panic or a huge allocation.
+// TestMalformed: an invalid stream ends with ErrMalformed, without a panic or a huge allocation.
 func TestMalformed(t *testing.T) {
-	whole := (&frame{}).launch(1, 0).batch(1000, launchRecords)
+	valid := (&frameBuilder{}).launch(1, 0).batch(1000, launchRecords)
 	tests := []struct {
 		name   string
 		stream []byte
 	}{
-		{"header cut", whole[:7]},
-		{"body cut", whole[:len(whole)-3]},
-		{"huge size", (&frame{}).u32(math.MaxUint32).f64(1).u32(0).body},
-		{"size never sent", (&frame{}).u32(1 << 29).f64(1).u32(0).body},
-		{"more records than bytes", (&frame{}).u32(4).f64(1).u32(9).u32(0).body},
-		{"clock is no number", (&frame{}).batch(math.NaN(), 0)},
-		{"unknown code", (&frame{}).launch(1, 0).u8(200).batch(1, launchRecords+1)},
-		{"event without instance", (&frame{}).u8(evTimer).u64(1).batch(1, 1)},
-		{"event for an instance that does not run", (&frame{}).u8(evInstance).u16(1).u8(evTimer).u64(1).batch(1, 2)},
-		{"record cut", (&frame{}).launch(1, 0).u8(evRequest).u32(1).batch(1, launchRecords+1)},
-		{"list larger than the frame", (&frame{}).u8(evServerList).u16(0).u32(math.MaxUint32).batch(1, 1)},
-		{"list number", (&frame{}).u8(evServerList).u16(16).u32(0).batch(1, 1)},
-		{"server state", (&frame{}).u8(evServerList).u16(0).u32(1).u32(1).u8(0, 0).u16(0).u8(9).f32(1).f64(0).batch(1, 1)},
-		{"list kind", (&frame{}).launch(1, 0).u8(evMembers).u16(0).u8(2).u32(0).batch(1, launchRecords+1)},
-		{"result", (&frame{}).launch(1, 0).u8(evProbeResult).u32(1).u8(8).f64(1).u8(0).batch(1, launchRecords+1)},
-		{"bytes left over", (&frame{}).u8(1, 2, 3).batch(1, 0)},
-		{"settings cut", (&frame{}).u8(evInstance).u16(1).u8(evLaunch).u64(1).u32(math.MaxUint32).batch(1, 2)},
+		{"truncated header", valid[:7]},
+		{"truncated body", valid[:len(valid)-3]},
+		{"huge size", (&frameBuilder{}).u32(math.MaxUint32).f64(1).u32(0).body},
+		{"body never sent", (&frameBuilder{}).u32(1 << 29).f64(1).u32(0).body},
+		{"more records than bytes", (&frameBuilder{}).u32(4).f64(1).u32(9).u32(0).body},
+		{"clock is NaN", (&frameBuilder{}).batch(math.NaN(), 0)},
+		{"unknown code", (&frameBuilder{}).launch(1, 0).u8(200).batch(1, launchRecords+1)},
+		{"event without instance", (&frameBuilder{}).u8(evTimer).u64(1).batch(1, 1)},
+		{"event for an instance that does not run", (&frameBuilder{}).u8(evInstance).u16(1).u8(evTimer).u64(1).batch(1, 2)},
+		{"truncated record", (&frameBuilder{}).launch(1, 0).u8(evRequest).u32(1).batch(1, launchRecords+1)},
+		{"list larger than the frame", (&frameBuilder{}).u8(evServerList).u16(0).u32(math.MaxUint32).batch(1, 1)},
+		{"list number out of range", (&frameBuilder{}).u8(evServerList).u16(16).u32(0).batch(1, 1)},
+		{"unknown server state", (&frameBuilder{}).u8(evServerList).u16(0).u32(1).u32(1).u8(0, 0).u16(0).u8(9).f32(1).f64(0).batch(1, 1)},
+		{"unknown list kind", (&frameBuilder{}).launch(1, 0).u8(evMembers).u16(0).u8(2).u32(0).batch(1, launchRecords+1)},
+		{"unknown result", (&frameBuilder{}).launch(1, 0).u8(evProbeResult).u32(1).u8(8).f64(1).u8(0).batch(1, launchRecords+1)},
+		{"bytes left over", (&frameBuilder{}).u8(1, 2, 3).batch(1, 0)},
+		{"truncated settings", (&frameBuilder{}).u8(evInstance).u16(1).u8(evLaunch).u64(1).u32(math.MaxUint32).batch(1, 2)},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			if _, _, err := play(tt.stream); !errors.Is(err, ErrMalformed) {
+			if _, _, err := decodeStream(tt.stream); !errors.Is(err, ErrMalformed) {
 				t.Errorf("error %v", err)
 			}
 		})
@@ -245,10 +245,10 @@
 
 // FuzzDecoder: no stream makes the decoder panic.
 func FuzzDecoder(f *testing.F) {
-	f.Add((&frame{}).launch(1, 0).batch(1000, launchRecords))
-	f.Add((&frame{}).launch(1, 0).u8(evRequest).u64(7).u64(0).f64(3000).f64(0).u32(0).u8(0).u16(0).u64(0).batch(1, launchRecords+1))
+	f.Add((&frameBuilder{}).launch(1, 0).batch(1000, launchRecords))
+	f.Add((&frameBuilder{}).launch(1, 0).u8(evRequest).u64(7).u64(0).f64(3000).f64(0).u32(0).u8(0).u16(0).u64(0).batch(1, launchRecords+1))
 	f.Fuzz(func(t *testing.T, stream []byte) {
-		if _, _, err := play(stream); err != nil && !errors.Is(err, ErrMalformed) {
+		if _, _, err := decodeStream(stream); err != nil && !errors.Is(err, ErrMalformed) {
 			t.Errorf("error %v", err)
 		}
 	})
