--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -162,16 +162,16 @@
 
 // ejectFleetWide ejects a member at all relays, or restores it. Without a majority the ejection holds at this relay alone, and shows as
 // drift once the majority is back.
-func (r *relay) ejectFleetWide(member string, out bool, done func(error)) {
-	r.fleet.SetEjected(member, out, func(err error) {
+func (r *relay) ejectFleetWide(member string, ejected bool, done func(error)) {
+	r.fleet.SetEjected(member, ejected, func(err error) {
 		switch {
-		case err == nil && out: // agreed: an ejection of this relay's own would outlive it
+		case err == nil && ejected: // agreed: an ejection of this relay's own would outlive it
 			done(nil)
 		case err == nil:
 			r.applyEjections(member, false, done)
 		case errors.Is(err, consensus.ErrNoQuorum), errors.Is(err, consensus.ErrQueueFull):
 			r.log.WithError(err).WithField("member", member).Warn("fleet: the call holds at this relay alone")
-			r.applyEjections(member, out, done)
+			r.applyEjections(member, ejected, done)
 		default:
 			done(err)
 		}
--- a/cmd/dahliarudder/gossip.go
+++ b/cmd/dahliarudder/gossip.go
@@ -10,7 +10,7 @@
 	"dahliarudder/policy"
 )
 
-// outcomeOfResult maps the results of attempts that tell something of a member: a client that leaves tells nothing.
+// outcomeOfResult maps the results that are evidence about a member; a cancelled attempt is none.
 var outcomeOfResult = map[policy.Result]gossip.Outcome{policy.OK: gossip.Success, policy.Full: gossip.Success, policy.Error: gossip.Failure, policy.Reset: gossip.Failure,
 	policy.ConnectFailed: gossip.Failure, policy.Timeout: gossip.Timeout}
 
--- a/cmd/dahliarudder/listen.go
+++ b/cmd/dahliarudder/listen.go
@@ -35,13 +35,13 @@
 			return l, err
 		}
 		if !logged {
-			r.log.WithError(err).Warn("the address cannot be had yet")
+			r.log.WithError(err).Warn("cannot listen at the address yet, trying again")
 			logged = true
 		}
 	}
 }
 
-// addListener keeps a listener, unless listening failed.
+// addListener registers a listener, unless listening failed.
 func (r *relay) addListener(front string, l *netloop.Listener, err error) {
 	if err == nil {
 		r.listeners = append(r.listeners, l)
--- a/cmd/dahliarudder/operator.go
+++ b/cmd/dahliarudder/operator.go
@@ -43,12 +43,12 @@
 func (r *relay) Known(member string) bool { return r.core.IsKnownMember(member) }
 
 // SetEjected ejects a member or restores it, at all relays if there is a fleet.
-func (r *relay) SetEjected(member string, out bool, done func(error)) {
+func (r *relay) SetEjected(member string, ejected bool, done func(error)) {
 	if r.fleet != nil {
-		r.ejectFleetWide(member, out, done)
+		r.ejectFleetWide(member, ejected, done)
 		return
 	}
-	r.applyEjections(member, out, done)
+	r.applyEjections(member, ejected, done)
 }
 
 // errTooManyCalls: the disk does not keep up with the operators' calls.
@@ -56,11 +56,11 @@
 
 // applyEjections writes an ejection, if member names one, and then applies the file, which the sibling process may have
 // written too. It does so off the loop, which a slow disk must not block.
-func (r *relay) applyEjections(member string, out bool, done func(error)) {
+func (r *relay) applyEjections(member string, ejected bool, done func(error)) {
 	write := func() {
 		var err error
 		if member != "" {
-			err = r.ejections.Set(member, out)
+			err = r.ejections.Set(member, ejected)
 		}
 		names, readErr := r.ejections.Read()
 		err = errors.Join(err, readErr)
--- a/cmd/dahliarudder/snapshot.go
+++ b/cmd/dahliarudder/snapshot.go
@@ -53,7 +53,7 @@
 func (r *relay) resumeFromSnapshot(c config.State) {
 	r.recovery = newRecoveryReport("nothing", c.Dir)
 	if err := os.MkdirAll(c.Dir, 0o700); err != nil {
-		r.log.WithError(err).Error("state: the directory cannot be made")
+		r.log.WithError(err).Error("state: the directory cannot be created")
 	}
 	s, err := snapshot.Read(c.Dir)
 	if err != nil || s == nil {
--- a/cmd/dahliarudder/upgrade.go
+++ b/cmd/dahliarudder/upgrade.go
@@ -44,11 +44,11 @@
 
 // siblingProcess is the other process of this relay during an upgrade.
 type siblingProcess struct {
-	peer     *handover.Peer
-	origin   siblingOrigin
-	stage    siblingStage
-	sentOpen handover.OpenRequests // what a newer one was sent last
-	passing  *netloop.Timer        // until the next connections are handed over to it
+	peer          *handover.Peer
+	origin        siblingOrigin
+	stage         siblingStage
+	sentOpen      handover.OpenRequests // what a newer one was sent last
+	handoverTimer *netloop.Timer        // until the next connections are handed over to it
 }
 
 // joinPredecessor requests the state of the process that this one replaces, if there is
@@ -93,31 +93,31 @@
 }
 
 // onMessage handles a message of the sibling. It owns the descriptors.
-func (r *relay) onMessage(n *handover.Message, fds []int) {
+func (r *relay) onMessage(m *handover.Message, fds []int) {
 	switch {
-	case n.Hello > 0:
-		r.sendStateToSuccessor(n.Hello)
-	case n.Serving:
+	case m.Hello > 0:
+		r.sendStateToSuccessor(m.Hello)
+	case m.Serving:
 		r.log.Info("a successor serves")
 		r.sibling.stage = stageServing
 		r.pauseAccepting(true)
 		r.sendOpenState()
 		r.handOverConnections()
-	case n.Stopping:
+	case m.Stopping:
 		r.onSiblingStopping()
-	case n.TakingOver:
+	case m.TakingOver:
 		r.onTakeoverConfirmed()
-	case n.EjectionsChanged:
+	case m.EjectionsChanged:
 		r.applyEjections("", false, func(error) {})
-	case n.Drain != nil:
-		r.drainedByOperator = *n.Drain
-		r.setDraining(*n.Drain)
-	case n.OpenRequests != nil:
-		r.limitToRemainingSockets(n.OpenRequests.Limit)
+	case m.Drain != nil:
+		r.drainedByOperator = *m.Drain
+		r.setDraining(*m.Drain)
+	case m.OpenRequests != nil:
+		r.limitToRemainingSockets(m.OpenRequests.Limit)
 		if r.lineFront != nil {
-			r.lineFront.SetRemoteIDs(n.OpenRequests.IDs)
+			r.lineFront.SetRemoteIDs(m.OpenRequests.IDs)
 		}
-	case r.adoptConnection(n, fds):
+	case r.adoptConnection(m, fds):
 		return
 	}
 	for _, fd := range fds {
@@ -147,13 +147,13 @@
 
 // limitToOwnSockets leaves the descriptors that this process does not need to its successor.
 func (r *relay) limitToOwnSockets() {
-	passing := r.sibling.peer.PendingFDs()
-	limit := r.loop.OpenDescriptors() + passing + retrySockets
+	inTransfer := r.sibling.peer.PendingFDs()
+	limit := r.loop.OpenDescriptors() + inTransfer + retrySockets
 	if r.sibling.sentOpen.Limit > 0 {
 		limit = min(limit, r.sibling.sentOpen.Limit)
 	}
 	r.sibling.sentOpen.Limit = limit
-	r.loop.SetDescriptorLimit(limit - passing)
+	r.loop.SetDescriptorLimit(limit - inTransfer)
 	r.loop.SetMemoryLimit(r.maxBufferBytes / 2)
 }
 
@@ -190,11 +190,11 @@
 	}
 }
 
-func (r *relay) sendMessage(n handover.Message, fds ...int) {
+func (r *relay) sendMessage(m handover.Message, fds ...int) {
 	if r.sibling == nil {
 		return
 	}
-	if err := r.sibling.peer.Send(n, fds...); err != nil {
+	if err := r.sibling.peer.Send(m, fds...); err != nil {
 		r.log.WithError(err).Error("cannot send to the other process")
 	}
 }
@@ -204,7 +204,7 @@
 func (r *relay) onSiblingGone(err error) {
 	was := r.sibling
 	r.sibling, r.takeover = nil, takeoverNone
-	was.passing.Stop()
+	was.handoverTimer.Stop()
 	r.log.WithError(err).WithField("older", was.origin == originOlder).Info("the other process is gone")
 	r.loop.SetDescriptorLimit(r.maxSockets)
 	r.loop.SetMemoryLimit(r.maxBufferBytes)
--- a/cmd/dahliarudder/upgrade_connections.go
+++ b/cmd/dahliarudder/upgrade_connections.go
@@ -6,16 +6,16 @@
 )
 
 // adoptConnection takes over the connection that a message carries. It returns false, and does not own the descriptors, if it carries none.
-func (r *relay) adoptConnection(n *handover.Message, fds []int) bool {
+func (r *relay) adoptConnection(m *handover.Message, fds []int) bool {
 	switch {
 	case r.lineFront == nil:
 		return false
-	case n.Client != nil && len(fds) == 1:
+	case m.Client != nil && len(fds) == 1:
 		r.loop.RaiseDescriptorLimit(len(fds))
-		r.lineFront.AdoptIdle(*n.Client, fds[0])
-	case n.Flow != nil && len(fds) == 2:
+		r.lineFront.AdoptIdle(*m.Client, fds[0])
+	case m.Flow != nil && len(fds) == 2:
 		r.loop.RaiseDescriptorLimit(len(fds))
-		r.lineFront.AdoptFlow(*n.Flow, fds[0], fds[1])
+		r.lineFront.AdoptFlow(*m.Flow, fds[0], fds[1])
 	default:
 		return false
 	}
@@ -36,12 +36,12 @@
 			r.sendConnection(handover.Message{Flow: &f}, client, member)
 		})
 	}
-	again := openStateInterval
+	next := openStateInterval
 	if r.stopping || r.sibling.peer.Pending() > 0 || r.lineFront.IdleCount() > 0 {
-		again = handoverInterval
+		next = handoverInterval
 	}
-	r.sibling.passing.Stop()
-	r.sibling.passing = r.loop.After(again, r.handOverConnections)
+	r.sibling.handoverTimer.Stop()
+	r.sibling.handoverTimer = r.loop.After(next, r.handOverConnections)
 }
 
 // handsOver reports whether connections go to a successor that serves.
@@ -61,9 +61,9 @@
 func (r *relay) handoverWindow() int { return handoverBurst - r.sibling.peer.Pending() }
 
 // sendConnection hands a connection over. One that cannot be sent is served on here.
-func (r *relay) sendConnection(n handover.Message, fds ...int) {
-	if err := r.sibling.peer.SendConnection(n, fds...); err != nil {
+func (r *relay) sendConnection(m handover.Message, fds ...int) {
+	if err := r.sibling.peer.SendConnection(m, fds...); err != nil {
 		r.log.WithError(err).Error("cannot send to the other process")
-		r.loop.After(0, func() { r.adoptConnection(&n, fds) })
+		r.loop.After(0, func() { r.adoptConnection(&m, fds) })
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,4 @@
-// Package config reads what a relay is told at its start: the EDGE_* variables
+// Package config reads the configuration of a relay: the EDGE_* environment variables
 // and the JSON file that EDGE_CONFIG names. An operator's own file has the same
 // form, plus "fronts" and "store".
 package config
@@ -41,9 +41,9 @@
 	Settings json.RawMessage `json:"settings"`
 	Fronts   *Fronts         `json:"fronts"` // nil: the line front alone
 	Store    *store.Config   `json:"store"`  // nil: nothing is recorded
-	Peers    *Peers          `json:"peers"`  // nil: this relay knows of no other
-	State    *State          `json:"state"`  // nil: nothing is kept for the next start
-	Fleet    *fleet.Config   `json:"fleet"`  // nil: nothing is agreed with other relays
+	Peers    *Peers          `json:"peers"`  // nil: no gossip with other relays
+	State    *State          `json:"state"`  // nil: no snapshots
+	Fleet    *fleet.Config   `json:"fleet"`  // nil: no fleet record
 	// CountsMS is how often, in milliseconds, the relay logs what it has counted since the
 	// last time; 0: never.
 	CountsMS float64 `json:"counts_ms"`
@@ -62,7 +62,7 @@
 	NATS *nats.Config `json:"nats"`
 }
 
-// restartOnly is what only a start takes: who may enter is read again on SIGHUP.
+// restartOnly is what needs a restart to change: credentials are read again on SIGHUP.
 func (f *Fronts) restartOnly() Fronts {
 	if f == nil {
 		return Fronts{}
@@ -106,7 +106,7 @@
 	return fresh, fresh.validate()
 }
 
-// KeysNeedingRestart names the keys in which fresh differs and which only a start takes.
+// KeysNeedingRestart names the keys in which fresh differs and which need a restart to take effect.
 func (c *Config) KeysNeedingRestart(fresh *Config) []string {
 	var keys []string
 	for _, k := range []struct {
@@ -158,9 +158,9 @@
 	}
 }
 
-// AdoptDiscovery takes over where discovery is from the process whose place this one takes,
-// if the file names that: a variable may be older than what SIGHUP has brought there.
-// It returns whether both ask at the same address.
+// AdoptDiscovery takes over the discovery address of the process that this one replaces, if
+// the file has the same: the environment variable may be older than that process's last reload.
+// It returns whether both now use the same address.
 func (c *Config) AdoptDiscovery(discovery string) bool {
 	if discovery != "" && c.discoveryInFile == discovery {
 		c.Discovery = discovery
@@ -174,7 +174,7 @@
 // Decoded is the settings.
 func (c *Config) Decoded() *settings.Settings { return c.decoded }
 
-// KnownList is the list of members as last held, nil if there is none.
+// KnownList is the configured list of members, nil if there is none.
 func (c *Config) KnownList() *pool.EndpointList { return c.known }
 
 // SeedNumber is the seed of random numbers.
--- a/internal/config/digest.go
+++ b/internal/config/digest.go
@@ -7,10 +7,10 @@
 	"slices"
 )
 
-// perRelayKeys are keys of what is each relay's own, in whatever section: where it is and what it is called.
+// perRelayKeys are the keys, in any section, whose values differ between relays by design: locations, addresses and names.
 var perRelayKeys = []string{"zone", "me", "listen", "address", "calls", "reach", "known", "dir", "key_file", "program"}
 
-// Sections is what all relays of an installation have the same of their configurations: a digest of each section that is set.
+// Sections is a digest of each section that is set, equal for all relays of an installation.
 func (c *Config) Sections() map[string]string {
 	out := map[string]string{}
 	for name, section := range map[string]any{"settings": c.Settings, "limits": c.Limits, "fronts": c.Fronts, "store": c.Store, "peers": c.Peers,
@@ -21,13 +21,13 @@
 			continue
 		}
 		removeKeys(all, perRelayKeys)
-		text, _ = json.Marshal(all) // keys in order, so that one digest is of one meaning
+		text, _ = json.Marshal(all) // with sorted keys, so that equal sections have equal digests
 		out[name] = digest(text)
 	}
 	return out
 }
 
-// Digest is of all sections together: what a release of a configuration names.
+// Digest is of all sections together. It identifies a configuration in releases.
 func (c *Config) Digest() string {
 	text, _ := json.Marshal(c.Sections())
 	return digest(text)
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -8,18 +8,18 @@
 	"dahliarudder/internal/gossip"
 )
 
-// Peers is how this relay and the others of its installation know of each other.
+// Peers configures the gossip between the relays of an installation.
 type Peers struct {
-	Listen  string            `json:"listen"`   // UDP, and TCP that says no more than that a process is there
-	Address string            `json:"address"`  // what others reach it at, if not Listen
-	Known   []string          `json:"known"`    // addresses to begin with
+	Listen  string            `json:"listen"`   // UDP, and TCP for reachability checks
+	Address string            `json:"address"`  // the address for other relays, if not Listen
+	Known   []string          `json:"known"`    // seed addresses
 	KeyFile string            `json:"key_file"` // one or two keys, a line each; relative to the configuration
-	Reach   map[string]string `json:"reach"`    // by name: where this relay reaches one, if not at the address it names
+	Reach   map[string]string `json:"reach"`    // by name: overrides of other relays' addresses
 
 	keys gossip.Keys
 }
 
-// Keys is what the file holds.
+// Keys is the content of the key file.
 func (p *Peers) Keys() gossip.Keys { return p.keys }
 
 func (p *Peers) validate(name, dir string) (err error) {
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -6,7 +6,7 @@
 	"path/filepath"
 )
 
-// State is where and how often a relay keeps what its next start can use.
+// State is where and how often a relay writes snapshots for its next start.
 type State struct {
 	Dir     string  `json:"dir"`      // relative to the configuration
 	EveryMS float64 `json:"every_ms"` // 5,000 if absent
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -103,7 +103,7 @@
 		return nil
 	}
 	if c.Peers == nil {
-		return errors.New("fleet: peers are not set up: who lives is theirs to say, and the key that seals is theirs")
+		return errors.New("fleet: peers are not configured: the fleet needs their membership and their key")
 	}
 	slowStart := settings.Duration(c.decoded.Guarantees.SlowStartDuration)
 	if err := c.Fleet.Check(c.dir, max(c.decoded.Balancers, 1), slowStart); err != nil {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -132,7 +132,7 @@
 	SentAfterGrace                                                                 int // attempts begun at members that were removed for longer than the grace
 	Messages                                                                       MessageCounts
 	IgnoredEvents                                                                  int           // events that the state of their request does not allow
-	BackoffTime                                                                    time.Duration // that clients were told to wait, or waited for a failure
+	BackoffTime                                                                    time.Duration // retry-after of rejected clients, and the time that failed ones may have waited
 }
 
 // defaultDrainGrace is the drain grace where the settings have none.
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -9,11 +9,11 @@
 
 // This file carries out the actions of the policy, and holds the rules that every attempt is checked against.
 
-// PauseDispatch holds back everything new to members: this process stood still, and discovery may have said
-// meanwhile that a member drains or is gone. ResumeDispatch ends it.
+// PauseDispatch holds back everything new to members: this process was suspended, and a member may have begun to drain
+// or gone meanwhile. ResumeDispatch ends it.
 func (c *Core) PauseDispatch() { c.dispatchPaused = true }
 
-// ResumeDispatch is called once the server list is up to date again, and also when no update is to be had. What was
+// ResumeDispatch is called once the server list is up to date again, or when no update is available. What was
 // held back is sent where that is still allowed, and placed anew where it is not.
 func (c *Core) ResumeDispatch() {
 	if !c.dispatchPaused {
--- a/internal/handover/frames.go
+++ b/internal/handover/frames.go
@@ -30,8 +30,8 @@
 	if frame[0] == frameContinues {
 		return nil, nil
 	}
-	n := &Message{}
-	err := json.Unmarshal(p.text, n)
+	m := &Message{}
+	err := json.Unmarshal(p.text, m)
 	p.text = nil
-	return n, err
+	return m, err
 }
--- a/internal/handover/peer.go
+++ b/internal/handover/peer.go
@@ -32,13 +32,13 @@
 	var err error
 	p.channel, err = loop.ServeChannel(fd, func(frame []byte, fds []int) {
 		p.fds = append(p.fds, fds...)
-		n, err := p.assembler.add(frame)
+		m, err := p.assembler.add(frame)
 		if err != nil {
 			p.Close()
 			onEnd(err)
-		} else if n != nil {
+		} else if m != nil {
 			fds, p.fds = p.fds, nil
-			p.dispatch(n, fds, onMessage)
+			p.dispatch(m, fds, onMessage)
 		}
 	}, func(err error) {
 		closeAll(p.fds)
@@ -55,34 +55,34 @@
 func (p *Peer) ConfirmsTransfers() bool { return p.confirmsTransfers }
 
 // dispatch handles confirmations, passes on all other messages, and confirms transfers.
-func (p *Peer) dispatch(n *Message, fds []int, onMessage func(m *Message, fds []int)) {
-	if n.Confirmed > 0 {
-		closeAll(p.unconfirmed[n.Confirmed].FDs)
-		delete(p.unconfirmed, n.Confirmed)
+func (p *Peer) dispatch(m *Message, fds []int, onMessage func(m *Message, fds []int)) {
+	if m.Confirmed > 0 {
+		closeAll(p.unconfirmed[m.Confirmed].FDs)
+		delete(p.unconfirmed, m.Confirmed)
 		return
 	}
-	onMessage(n, fds)
-	if n.Transfer > 0 {
-		p.Send(Message{Confirmed: n.Transfer}) // if that fails, the other process has gone
+	onMessage(m, fds)
+	if m.Transfer > 0 {
+		p.Send(Message{Confirmed: m.Transfer}) // if that fails, the other process has gone
 	}
 }
 
 // SendConnection sends a connection and takes over its descriptors. They stay open until the other process confirms the transfer;
 // transfers that are not confirmed when it is gone come back by Unconfirmed. On an error the descriptors stay the caller's.
-func (p *Peer) SendConnection(n Message, fds ...int) error {
+func (p *Peer) SendConnection(m Message, fds ...int) error {
 	if !p.confirmsTransfers {
-		err := p.Send(n, fds...)
+		err := p.Send(m, fds...)
 		if err == nil {
 			closeAll(fds)
 		}
 		return err
 	}
 	p.lastTransfer++
-	n.Transfer = p.lastTransfer
-	if err := p.Send(n, fds...); err != nil {
+	m.Transfer = p.lastTransfer
+	if err := p.Send(m, fds...); err != nil {
 		return err
 	}
-	p.unconfirmed[n.Transfer] = Transfer{n, fds}
+	p.unconfirmed[m.Transfer] = Transfer{m, fds}
 	return nil
 }
 
@@ -107,8 +107,8 @@
 }
 
 // Send sends a message. The descriptors stay the caller's.
-func (p *Peer) Send(n Message, fds ...int) error {
-	text, err := json.Marshal(n)
+func (p *Peer) Send(m Message, fds ...int) error {
+	text, err := json.Marshal(m)
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
--- a/internal/handover/request.go
+++ b/internal/handover/request.go
@@ -45,17 +45,17 @@
 	if err == nil {
 		err = netloop.SendBlocking(fd, append([]byte{frameFinal}, text...))
 	}
-	var p messageAssembler
+	var assembler messageAssembler
 	for err == nil && state == nil {
 		var frame []byte
-		var some []int
-		if frame, some, err = netloop.ReceiveBlocking(fd); err != nil {
+		var frameFDs []int
+		if frame, frameFDs, err = netloop.ReceiveBlocking(fd); err != nil {
 			break
 		}
-		fds = append(fds, some...)
-		var n *Message
-		if n, err = p.add(frame); err == nil && n != nil {
-			if state = n.State; state == nil || state.Version < versionUnconfirmed || state.Version > version || len(state.Fronts) != len(fds) {
+		fds = append(fds, frameFDs...)
+		var m *Message
+		if m, err = assembler.add(frame); err == nil && m != nil {
+			if state = m.State; state == nil || state.Version < versionUnconfirmed || state.Version > version || len(state.Fronts) != len(fds) {
 				err = errIncompatible
 			}
 		}
--- a/internal/loadestimate/estimator.go
+++ b/internal/loadestimate/estimator.go
@@ -53,7 +53,7 @@
 	m.bestLatency += forgetRate * (t - m.bestLatency)
 }
 
-// Forget drops members that the pool no longer names.
+// Forget drops members that are not known any more.
 func (e *Estimator) Forget(known func(policy.ServerID) bool) {
 	for id := range e.members {
 		if !known(id) {
--- a/internal/snapshot/file.go
+++ b/internal/snapshot/file.go
@@ -14,12 +14,12 @@
 
 const fileName = "snapshot"
 
-// Write puts an encoded snapshot in the place of the one in a directory: whole, or not at all.
+// Write replaces the snapshot in a directory atomically.
 func Write(dir string, b []byte) error { return atomicfile.Write(filepath.Join(dir, fileName), b) }
 
-// Read reads what is there. Nothing there is no error, and no snapshot.
+// Read reads the snapshot in a directory; nil without an error if there is none.
 func Read(dir string) (*Snapshot, error) {
-	// Not to be held up by what is no file.
+	// Without O_NONBLOCK opening a FIFO would block.
 	f, err := os.OpenFile(filepath.Join(dir, fileName), os.O_RDONLY|unix.O_NONBLOCK, 0)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
--- a/internal/wire/encoder.go
+++ b/internal/wire/encoder.go
@@ -29,7 +29,7 @@
 	e.lastInstance = -1
 }
 
-// setInstance says whose events are played; its actions follow.
+// setInstance sets the instance whose actions follow.
 func (e *Encoder) setInstance(instance uint16) { e.instance = instance }
 
 // Flush writes the reply to one batch.
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -8,9 +8,9 @@
 	"dahliarudder/policy"
 )
 
-// This file decodes the records of a batch. A record that is truncated is not played; Next reports it.
+// This file decodes the records of a batch. A truncated record has no effect; Next reports it.
 
-// decodeEvent decodes one record and plays it to the host. instance is -1 before one was named.
+// decodeEvent decodes one record and passes it to the host. instance is -1 before one was named.
 func (d *Decoder) decodeEvent(c *cursor, code uint8, instance int, now time.Duration, h Host) error {
 	if code == evServerList {
 		return d.decodeList(c)
@@ -80,11 +80,11 @@
 }
 
 func (d *Decoder) decodeMembers(c *cursor, b *policy.Balancer, now time.Duration) error {
-	list, how := c.u16(), c.u8()
+	list, kindCode := c.u16(), c.u8()
 	c.u32()
-	kind, known := listKinds[how]
+	kind, known := listKinds[kindCode]
 	if !known || kind != policy.ListFailed && list >= maxLists {
-		return fmt.Errorf("%w: list %d of kind %d", ErrMalformed, list, how)
+		return fmt.Errorf("%w: list %d of kind %d", ErrMalformed, list, kindCode)
 	}
 	if c.truncated {
 		return nil
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
 // Package wire implements the simulator's binary protocol: it reads batches of events,
-// plays them to the host of the instances in terms of package policy, and writes the
+// passes them to the balancers of the host in terms of package policy, and writes the
 // replies. It decides nothing.
 package wire
 
@@ -66,7 +66,7 @@
 // ErrMalformed is wrapped by every error about a frame that breaks the protocol.
 var ErrMalformed = errors.New("malformed frame")
 
-// Host runs the instances to which events are played.
+// Host runs the instances that the events are for.
 type Host interface {
 	Launch(instance uint16, now time.Duration, seed uint64, set policy.Settings)
 	Stop(instance uint16)
@@ -88,7 +88,7 @@
 	return &Decoder{r: r, reportNames: map[uint16][]string{}, encoder: out}
 }
 
-// Next reads one batch and plays its events to the host. It returns io.EOF at a clean
+// Next reads one batch and passes its events to the host. It returns io.EOF at a clean
 // end of the stream.
 func (d *Decoder) Next(h Host) error {
 	var header [headerSize]byte
--- a/policy/health.go
+++ b/policy/health.go
@@ -12,9 +12,9 @@
 	s.health, b.zones[s.Zone].health = health{}, health{}
 }
 
-// readmit takes a server back that has answered a probe. Its failures stay counted until a connection
-// stands: a server that fails connections may well answer probes, and would attract the next ones because
-// it is empty.
+// readmit takes a server back that has answered a probe. Its failures stay counted until a connection is
+// established: a server that fails connections may well answer probes, and would attract the next ones
+// because it is empty.
 func (b *Balancer) readmit(s *server) {
 	s.ejected, b.zones[s.Zone].health = false, health{}
 }
--- a/policy/reports.go
+++ b/policy/reports.go
@@ -28,7 +28,7 @@
 		case NotSent: // it was not probed
 		default:
 			if b.recordFailure(now, s); s.ejected && result == Timeout {
-				b.migrateAll(s) // it answers nothing, and so does not answer its clients either
+				b.migrateAll(s) // it most likely does not answer its clients either
 			}
 		}
 	}
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -27,7 +27,7 @@
 			continue
 		}
 		capacity, used := b.capacityOf(now, s), b.usedOf(now, s)
-		// The levels are parts of what the server bears once it has warmed up.
+		// The levels are parts of the server's capacity once it has warmed up.
 		level := min(level/b.warmupFraction(now, s), max(fillHigh, level))
 		spare := capacity*level - used - load
 		if spare <= 0 || foreign && used*b.foreignShare(s)+load > capacity*level*b.lendingThreshold(s) {
--- a/policy/server_list.go
+++ b/policy/server_list.go
@@ -28,8 +28,8 @@
 }
 
 // UpdateServers takes a list event of discovery.
-func (b *Balancer) UpdateServers(now time.Duration, how ListKind, list []Server) {
-	if how == ListFailed {
+func (b *Balancer) UpdateServers(now time.Duration, kind ListKind, list []Server) {
+	if kind == ListFailed {
 		if b.cfg.Subscribe {
 			b.watching = false
 			b.failedPolls++
@@ -38,7 +38,7 @@
 		return
 	}
 	b.failedPolls = 0
-	if how != ListDelta {
+	if kind != ListDelta {
 		named := make(map[ServerID]bool, len(list))
 		for _, e := range list {
 			named[e.ID] = true
@@ -51,7 +51,7 @@
 	}
 	before := len(b.servers)
 	for _, e := range list {
-		b.updateServer(now, how, e)
+		b.updateServer(now, kind, e)
 	}
 	added := len(b.servers) > before
 	for _, s := range b.servers {
@@ -80,14 +80,14 @@
 	return b.homeSlices[tenant]
 }
 
-func (b *Balancer) updateServer(now time.Duration, how ListKind, e Server) {
+func (b *Balancer) updateServer(now time.Duration, kind ListKind, e Server) {
 	e = normalizeServer(e, b.cfg.Zones)
 	s := b.byID[e.ID]
 	if s == nil {
 		if e.State == Gone {
 			return
 		}
-		if e.Started == 0 && how == ListDelta {
+		if e.Started == 0 && kind == ListDelta {
 			e.Started = now // it joined while we watched: it has just started
 		}
 		s = &server{owner: b.ownerOf(e.ID), report: NoReport}
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -44,7 +44,7 @@
 	}
 	s.slowStartTokens = min(s.slowStartTokens+rate*(now-s.slowStartRefilledAt).Seconds(), 1)
 	s.slowStartRefilledAt = now
-	// What it bears now, as far as a window allows, may be sent from the start, by the same random offset:
+	// Its present capacity, as far as a window allows, may be sent from the start, by the same random offset:
 	// tokens that accrue came 2 to 5 s late. A send is charged to both, so all proxies together spend the
 	// larger one.
 	atOnce := min(fillHigh*capacity/sharers, rate/slowStartMargin*b.cfg.OverloadWindow.Seconds())
--- a/policy/waiting.go
+++ b/policy/waiting.go
@@ -32,20 +32,20 @@
 	b.scheduleRetry(r, delay)
 }
 
-// lastResort is the panic mode: where nearly all servers look bad, the view of them is doubted, and one of
-// them is tried all the same.
+// lastResort is the panic mode: if nearly all servers are ejected, the failure is probably this proxy's
+// own, and one of them is tried all the same.
 func (b *Balancer) lastResort(now time.Duration, r *request) *server {
-	var bad []*server
-	good := 0
+	var ejected []*server
+	usable := 0
 	for _, s := range b.servers {
 		if s.State == Ready && !s.ejected && !b.zones[s.Zone].ejected {
-			good++
+			usable++
 		} else if r.maySendTo(b, now, s) && b.slowStartAllows(now, r, s) && !slices.Contains(r.triedServers, s.ID) {
-			bad = append(bad, s)
+			ejected = append(ejected, s)
 		}
 	}
-	if len(bad) == 0 || good > len(bad)/9 { // under nine in ten are bad: that may well be true
+	if len(ejected) == 0 || usable > len(ejected)/9 { // under nine in ten: they may well have failed
 		return nil
 	}
-	return bad[b.rng.IntN(len(bad))]
+	return ejected[b.rng.IntN(len(ejected))]
 }
