--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -59,9 +59,11 @@
 		"counts too often":   `"counts_ms":10}`,
 		"counts negative":    `"counts_ms":-1}`,
 	} {
-		if _, err := loadText(t, head+rest, nil); !errors.Is(err, ErrInvalid) {
-			t.Errorf("%s: %v", name, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			if _, err := loadText(t, head+rest, nil); !errors.Is(err, ErrInvalid) {
+				t.Error(err)
+			}
+		})
 	}
 }
 
--- a/internal/core/interleaving_test.go
+++ b/internal/core/interleaving_test.go
@@ -52,45 +52,51 @@
 // TestWaitingContinues: each wait ends in an attempt, or the tests below would show nothing.
 func TestWaitingContinues(t *testing.T) {
 	for name, start := range waitingRequests {
-		h, d, proceed := start(t)
-		before := d.attempts
-		proceed()
-		h.advance(900 * time.Millisecond)
-		if d.attempts != before+1 {
-			t.Errorf("%s: %d more attempts", name, d.attempts-before)
-		}
+		t.Run(name, func(t *testing.T) {
+			h, d, proceed := start(t)
+			before := d.attempts
+			proceed()
+			h.advance(900 * time.Millisecond)
+			if d.attempts != before+1 {
+				t.Errorf("%d more attempts", d.attempts-before)
+			}
+		})
 	}
 }
 
 // TestClientGoneWaiting: no attempt is started for a client that has gone, whatever event the policy waited for.
 func TestClientGoneWaiting(t *testing.T) {
 	for name, start := range waitingRequests {
-		h, d, proceed := start(t)
-		before := d.attempts
-		h.ClientGone(d.id)
-		proceed()
-		h.advance(3 * time.Second)
-		if d.attempts != before || len(d.answers) != 0 || h.ActiveRequests() != 0 || h.Counts.ClientsGone != 1 {
-			t.Errorf("%s: %d more attempts, answers %v, %d active", name, d.attempts-before, d.answers, h.ActiveRequests())
-		}
+		t.Run(name, func(t *testing.T) {
+			h, d, proceed := start(t)
+			before := d.attempts
+			h.ClientGone(d.id)
+			proceed()
+			h.advance(3 * time.Second)
+			if d.attempts != before || len(d.answers) != 0 || h.ActiveRequests() != 0 || h.Counts.ClientsGone != 1 {
+				t.Errorf("%d more attempts, answers %v, %d active", d.attempts-before, d.answers, h.ActiveRequests())
+			}
+		})
 	}
 }
 
 // TestDeadlineWaiting: a waiting request is answered by its deadline, and nothing is sent for it afterwards.
 func TestDeadlineWaiting(t *testing.T) {
 	for name, start := range waitingRequests {
-		h, d, proceed := start(t)
-		before := d.attempts
-		h.now += 2 * time.Second // the loop is late: no tick in between
-		h.Tick()
-		if len(d.answers) != 1 || h.ActiveRequests() != 0 {
-			t.Errorf("%s: answers %v, %d active", name, d.answers, h.ActiveRequests())
-		}
-		proceed()
-		h.advance(3 * time.Second)
-		if d.attempts != before || len(d.answers) != 1 {
-			t.Errorf("%s: %d more attempts, answers %v", name, d.attempts-before, d.answers)
-		}
+		t.Run(name, func(t *testing.T) {
+			h, d, proceed := start(t)
+			before := d.attempts
+			h.now += 2 * time.Second // the loop is late: no tick in between
+			h.Tick()
+			if len(d.answers) != 1 || h.ActiveRequests() != 0 {
+				t.Errorf("answers %v, %d active", d.answers, h.ActiveRequests())
+			}
+			proceed()
+			h.advance(3 * time.Second)
+			if d.attempts != before || len(d.answers) != 1 {
+				t.Errorf("%d more attempts, answers %v", d.attempts-before, d.answers)
+			}
+		})
 	}
 }
 
@@ -98,30 +104,32 @@
 // still waits at the end is answered then.
 func TestStopWaiting(t *testing.T) {
 	for name, start := range waitingRequests {
-		h, d, proceed := start(t)
-		before := d.attempts
-		h.Stop()
-		if late := h.openInClass(idempotentClass, 2*time.Second); late.answerText() != "rejected" || late.attempts != 0 || h.records[len(h.records)-1] != fmt.Sprint("answer ", late.id) {
-			t.Errorf("%s: arrived after the stop: %v, %d attempts, records %v", name, late.answers, late.attempts, h.records)
-		}
-		proceed()
-		h.advance(900 * time.Millisecond)
-		if d.attempts != before+1 {
-			t.Errorf("%s: %d more attempts during the stop", name, d.attempts-before)
-		}
+		t.Run(name, func(t *testing.T) {
+			h, d, proceed := start(t)
+			before := d.attempts
+			h.Stop()
+			if late := h.openInClass(idempotentClass, 2*time.Second); late.answerText() != "rejected" || late.attempts != 0 || h.records[len(h.records)-1] != fmt.Sprint("answer ", late.id) {
+				t.Errorf("arrived after the stop: %v, %d attempts, records %v", late.answers, late.attempts, h.records)
+			}
+			proceed()
+			h.advance(900 * time.Millisecond)
+			if d.attempts != before+1 {
+				t.Errorf("%d more attempts during the stop", d.attempts-before)
+			}
 
-		h, d, proceed = start(t)
-		h.Stop()
-		h.FinishStop()
-		before = d.attempts
-		if d.answerText() != "rejected" || h.ActiveRequests() != 0 {
-			t.Errorf("%s: answers %v at the end, %d active", name, d.answers, h.ActiveRequests())
-		}
-		proceed()
-		h.advance(3 * time.Second)
-		if d.attempts != before || len(d.answers) != 1 {
-			t.Errorf("%s: after the end %d more attempts, answers %v", name, d.attempts-before, d.answers)
-		}
+			h, d, proceed = start(t)
+			h.Stop()
+			h.FinishStop()
+			before = d.attempts
+			if d.answerText() != "rejected" || h.ActiveRequests() != 0 {
+				t.Errorf("answers %v at the end, %d active", d.answers, h.ActiveRequests())
+			}
+			proceed()
+			h.advance(3 * time.Second)
+			if d.attempts != before || len(d.answers) != 1 {
+				t.Errorf("after the end %d more attempts, answers %v", d.attempts-before, d.answers)
+			}
+		})
 	}
 }
 
--- a/internal/knownfailures/gotest/main_test.go
+++ b/internal/knownfailures/gotest/main_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// module has a package for each way in which a run can fail.
+// module has a package for each way in which a run of go test can end.
 var module = map[string]string{
 	"go.mod": "module trial\n\ngo 1.26\n",
 	"green/green_test.go": `package green
@@ -44,9 +44,10 @@
 `,
 }
 
-func line(name, path string) string { return name + " | trial/" + path + " | the cause | #1\n" }
+// listLine returns a line of the list for a test of the module.
+func listLine(name, path string) string { return name + " | trial/" + path + " | the cause | #1\n" }
 
-// TestRun runs go test on the module.
+// TestRun runs go test on packages of the module, with lists of known failures.
 func TestRun(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range module {
@@ -61,46 +62,48 @@
 	t.Chdir(dir)
 	const list = "KNOWN-RED.txt"
 	for _, c := range []struct {
-		what, list, command string
+		name, list, command string
 		passes              bool
-		says                string
+		output              string // must be contained in it
 	}{
 		{"no list", "", "go test ./green", true, "ok  \ttrial/green"},
 		{"no list, and a failure", "", "go test ./red ./green", false, "trial/red.TestRed failed"},
-		{"a listed failure", line("TestRed", "red"), "go test ./red ./green", true, "the cause (#1): failed"},
-		{"a listed failure is printed", line("TestRed", "red"), "go test ./red", true, "FAIL\nFAIL\ttrial/red\t"},
-		{"so is what it said", line("TestRed", "red"), "go test ./red", true, "to be printed"},
-		{"a listed test passes", line("TestRed", "green"), "go test ./green", true, "passed, its line can go"},
-		{"listed for another package", line("TestRed", "green"), "go test ./red ./green", false, "trial/red.TestRed failed"},
-		{"a listed test panics", line("TestRed", "panics"), "go test ./panics", false, "ended before its verdict"},
-		{"a listed test is over the time limit", line("TestRed", "late"), "go test -timeout 100ms ./late", false, "panic: test timed out"},
-		{"its package exits", line("TestRed", "exits"), "go test ./exits", false, "trial/exits.TestZ did not finish"},
-		{"its package panics after the tests", line("TestRed", "after"), "go test ./after", false, "ended before its verdict"},
-		{"its package does not build", line("TestRed", "broken"), "go test ./broken", false, "cannot be listed"},
-		{"another package does not build", line("TestRed", "red"), "go test ./red ./broken", false, "trial/broken does not build"},
-		{"a listed test does not exist", line("TestNone", "green"), "go test ./green", false, "trial/green.TestNone does not exist"},
-		{"its package does not exist", line("TestRed", "none"), "go test ./green", false, "cannot be listed"},
+		{"a listed failure", listLine("TestRed", "red"), "go test ./red ./green", true, "the cause (#1): failed"},
+		{"a listed failure is printed", listLine("TestRed", "red"), "go test ./red", true, "FAIL\nFAIL\ttrial/red\t"},
+		{"its output is printed", listLine("TestRed", "red"), "go test ./red", true, "to be printed"},
+		{"a listed test passes", listLine("TestRed", "green"), "go test ./green", true, "passed, its line can go"},
+		{"listed for another package", listLine("TestRed", "green"), "go test ./red ./green", false, "trial/red.TestRed failed"},
+		{"a listed test panics", listLine("TestRed", "panics"), "go test ./panics", false, "ended before its verdict"},
+		{"a listed test is over the time limit", listLine("TestRed", "late"), "go test -timeout 100ms ./late", false, "panic: test timed out"},
+		{"its package exits", listLine("TestRed", "exits"), "go test ./exits", false, "trial/exits.TestZ did not finish"},
+		{"its package panics after the tests", listLine("TestRed", "after"), "go test ./after", false, "ended before its verdict"},
+		{"its package does not build", listLine("TestRed", "broken"), "go test ./broken", false, "cannot be listed"},
+		{"another package does not build", listLine("TestRed", "red"), "go test ./red ./broken", false, "trial/broken does not build"},
+		{"a listed test does not exist", listLine("TestNone", "green"), "go test ./green", false, "trial/green.TestNone does not exist"},
+		{"its package does not exist", listLine("TestRed", "none"), "go test ./green", false, "cannot be listed"},
 		{"a malformed line", "TestRed trial/green\n", "go test ./green", false, "line 1"},
-		{"four lines", line("TestRed", "red") + line("TestRed", "green") + line("TestGreen", "red") + line("TestGreen", "green"), "go test ./green", false, "at most 3"},
-		{"a wrong flag", line("TestRed", "red"), "go test -count=none ./red", false, "exit code 2"},
+		{"four lines", listLine("TestRed", "red") + listLine("TestRed", "green") + listLine("TestGreen", "red") + listLine("TestGreen", "green"), "go test ./green", false, "at most 3"},
+		{"a wrong flag", listLine("TestRed", "red"), "go test -count=none ./red", false, "exit code 2"},
 		{"no package", "", "go test ./none", false, "./none does not build"},
 		{"another command", "", "true", false, "not one go test command"},
 		{"two commands", "", "go test ./green\ngo test ./red", false, "not one go test command"},
 	} {
-		os.Remove(list)
-		if c.list != "" {
-			if err := os.WriteFile(list, []byte(c.list), 0o644); err != nil {
-				t.Fatal(err)
+		t.Run(c.name, func(t *testing.T) {
+			os.Remove(list)
+			if c.list != "" {
+				if err := os.WriteFile(list, []byte(c.list), 0o644); err != nil {
+					t.Fatal(err)
+				}
 			}
-		}
-		var out strings.Builder
-		passes, err := run(list, c.command, &out)
-		if err != nil {
-			out.WriteString(err.Error())
-		}
-		text := out.String()
-		if passes != c.passes || !strings.Contains(text, c.says) || strings.Contains(text, "not to be printed") {
-			t.Errorf("%s: passes %v\n%s", c.what, passes, text)
-		}
+			var out strings.Builder
+			passes, err := run(list, c.command, &out)
+			if err != nil {
+				out.WriteString(err.Error())
+			}
+			text := out.String()
+			if passes != c.passes || !strings.Contains(text, c.output) || strings.Contains(text, "not to be printed") {
+				t.Errorf("passes %v\n%s", passes, text)
+			}
+		})
 	}
 }
--- a/internal/knownfailures/knownfailures_test.go
+++ b/internal/knownfailures/knownfailures_test.go
@@ -37,9 +37,11 @@
 		"a test twice":    "TestOne" + end + "TestOne" + end,
 		"more than three": "TestOne" + end + "TestTwo" + end + "TestThree" + end + "TestFour" + end,
 	} {
-		if entries, err := Parse(text); err == nil {
-			t.Errorf("%s: parsed as %v", name, entries)
-		}
+		t.Run(name, func(t *testing.T) {
+			if entries, err := Parse(text); err == nil {
+				t.Errorf("parsed as %v", entries)
+			}
+		})
 	}
 	if _, err := Parse("TestOne" + end + "TestTwo" + end + "TestThree" + end); err != nil {
 		t.Error("three tests: ", err)
@@ -102,21 +104,23 @@
 		{"a line is no event", []string{"pattern ./...: no Go files", testRun, testFail, verdict, closing, packageFail}, 1, false, "no event"},
 		{"nothing runs", nil, 0, false, "ran no package"},
 	} {
-		run := NewRun()
-		for _, line := range c.lines {
-			run.AddLine(line, t.Output())
-		}
-		passes, report := run.Judge(listed, c.exit)
-		if text := strings.Join(report, "\n"); passes != c.passes || !strings.Contains(text, c.report) {
-			t.Errorf("%s: passes %v\n%s", c.name, passes, text)
-		}
-		if passes, _ := run.Judge(nil, c.exit); passes && slices.Contains(c.lines, testFail) {
-			t.Errorf("%s, not listed: passes", c.name)
-		}
-		elsewhere := []Entry{{Name{"relay/core", "TestRed"}, "cause", "#1"}}
-		if passes, _ := run.Judge(elsewhere, c.exit); passes && slices.Contains(c.lines, testFail) {
-			t.Errorf("%s, listed for another package: passes", c.name)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			run := NewRun()
+			for _, line := range c.lines {
+				run.AddLine(line, t.Output())
+			}
+			passes, report := run.Judge(listed, c.exit)
+			if text := strings.Join(report, "\n"); passes != c.passes || !strings.Contains(text, c.report) {
+				t.Errorf("passes %v\n%s", passes, text)
+			}
+			if passes, _ := run.Judge(nil, c.exit); passes && slices.Contains(c.lines, testFail) {
+				t.Error("not listed: passes")
+			}
+			elsewhere := []Entry{{Name{"relay/core", "TestRed"}, "cause", "#1"}}
+			if passes, _ := run.Judge(elsewhere, c.exit); passes && slices.Contains(c.lines, testFail) {
+				t.Error("listed for another package: passes")
+			}
+		})
 	}
 }
 
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -70,21 +70,23 @@
 		{"from the future", "n1", -time.Hour, 6, ErrFuture, 0},
 		{"clock some seconds ahead", "n1", -5 * time.Second, 6, nil, 0},
 	} {
-		s := testSnapshot()
-		age, discarded, err := s.Validate(Clocks{Wall: testTime.Add(c.age)}, c.relay, c.generation, limits)
-		if !errors.Is(err, c.err) || len(discarded) != c.discarded {
-			t.Errorf("%s: %v, discarded %v", c.name, err, discarded)
-			continue
-		}
-		if err != nil {
-			continue
-		}
-		m := s.Learned.Policy.Servers[5]
-		expired := c.age > limits.Transient
-		if (s.List == nil) != (c.generation >= 7) || age < 0 || m.Ejected == expired || (m.Load < 0) != expired || (s.Learned.Policy.AdmissionRate == 1) != expired ||
-			m.Capacity != 40 || m.Uptime != 4*time.Second || m.Backoff != max(3*time.Second-age, 0) || s.Learned.Policy.Age != age {
-			t.Errorf("%s: age %v, %+v, admission rate %v", c.name, age, m, s.Learned.Policy.AdmissionRate)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			s := testSnapshot()
+			age, discarded, err := s.Validate(Clocks{Wall: testTime.Add(c.age)}, c.relay, c.generation, limits)
+			if !errors.Is(err, c.err) || len(discarded) != c.discarded {
+				t.Errorf("%v, discarded %v", err, discarded)
+				return
+			}
+			if err != nil {
+				return
+			}
+			m := s.Learned.Policy.Servers[5]
+			expired := c.age > limits.Transient
+			if (s.List == nil) != (c.generation >= 7) || age < 0 || m.Ejected == expired || (m.Load < 0) != expired || (s.Learned.Policy.AdmissionRate == 1) != expired ||
+				m.Capacity != 40 || m.Uptime != 4*time.Second || m.Backoff != max(3*time.Second-age, 0) || s.Learned.Policy.Age != age {
+				t.Errorf("age %v, %+v, admission rate %v", age, m, s.Learned.Policy.AdmissionRate)
+			}
+		})
 	}
 }
 
--- a/internal/window/window_test.go
+++ b/internal/window/window_test.go
@@ -88,33 +88,36 @@
 // message of its subject was acknowledged, which would change their order.
 func TestRejected(t *testing.T) {
 	for _, c := range []struct {
+		name            string
 		subjects        []uint64
 		retried, failed []uint64
 	}{
-		{[]uint64{7, 8, 9}, []uint64{1, 4}, nil},
-		{[]uint64{7, 8, 7}, []uint64{4}, []uint64{1}},
+		{"subject without later messages", []uint64{7, 8, 9}, []uint64{1, 4}, nil},
+		{"subject with a later message", []uint64{7, 8, 7}, []uint64{4}, []uint64{1}},
 	} {
-		w := New(Limits{MaxMessages: 10, MaxBytes: 1000, MaxAttempts: 3, LatencyObjective: time.Second, Repeatable: true})
-		for i, s := range c.subjects {
-			putMessage(w, uint64(i+1), s, time.Minute)
-		}
-		beginAll(w, 1)
-		if w.MarkRejected(7) == nil || w.MarkRejected(99) != nil {
-			t.Fatal("MarkRejected returned the wrong message")
-		}
-		putMessage(w, 4, 5, time.Minute)
-		wantEqual(t, "sent before it is settled", beginAll(w, 2), []uint64(nil))
-		var got outcomes
-		if w.Acknowledged(3, 2, got.onServed); w.Settled() {
-			t.Error("settled with one in flight")
-		}
-		if w.Acknowledged(3, 1, got.onServed); !w.Settled() {
-			t.Error("not settled")
-		}
-		wantEqual(t, "served", got.served, []uint64{2, 3})
-		w.LinkClosed(9, got.onAttemptEnded, got.onFailed)
-		wantEqual(t, "failed", got.failed, c.failed)
-		wantEqual(t, "retried", beginAll(w, 4), c.retried)
+		t.Run(c.name, func(t *testing.T) {
+			w := New(Limits{MaxMessages: 10, MaxBytes: 1000, MaxAttempts: 3, LatencyObjective: time.Second, Repeatable: true})
+			for i, s := range c.subjects {
+				putMessage(w, uint64(i+1), s, time.Minute)
+			}
+			beginAll(w, 1)
+			if w.MarkRejected(7) == nil || w.MarkRejected(99) != nil {
+				t.Fatal("MarkRejected returned the wrong message")
+			}
+			putMessage(w, 4, 5, time.Minute)
+			wantEqual(t, "sent before it is settled", beginAll(w, 2), []uint64(nil))
+			var got outcomes
+			if w.Acknowledged(3, 2, got.onServed); w.Settled() {
+				t.Error("settled with one in flight")
+			}
+			if w.Acknowledged(3, 1, got.onServed); !w.Settled() {
+				t.Error("not settled")
+			}
+			wantEqual(t, "served", got.served, []uint64{2, 3})
+			w.LinkClosed(9, got.onAttemptEnded, got.onFailed)
+			wantEqual(t, "failed", got.failed, c.failed)
+			wantEqual(t, "retried", beginAll(w, 4), c.retried)
+		})
 	}
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -152,22 +152,24 @@
 		{"migrate", func(e *Encoder) { e.Migrate(1) }, "0c" + "0100000000000000"},
 	}
 	for _, tt := range tests {
-		var out bytes.Buffer
-		e := NewEncoder(&out)
-		e.setInstance(5)
-		tt.encode(e)
-		e.setInstance(5)
-		tt.encode(e)
-		if err := e.Flush(); err != nil {
-			t.Fatal(err)
-		}
-		got := hex.EncodeToString(out.Bytes()[4:])
-		if want := "0d0500" + tt.want + tt.want; got != want {
-			t.Errorf("%s: %s, want %s", tt.name, got, want)
-		}
-		if n := binary.LittleEndian.Uint32(out.Bytes()); int(n) != out.Len()-4 {
-			t.Errorf("%s: length %d of %d", tt.name, n, out.Len()-4)
-		}
+		t.Run(tt.name, func(t *testing.T) {
+			var out bytes.Buffer
+			e := NewEncoder(&out)
+			e.setInstance(5)
+			tt.encode(e)
+			e.setInstance(5)
+			tt.encode(e)
+			if err := e.Flush(); err != nil {
+				t.Fatal(err)
+			}
+			got := hex.EncodeToString(out.Bytes()[4:])
+			if want := "0d0500" + tt.want + tt.want; got != want {
+				t.Errorf("encoded %s, want %s", got, want)
+			}
+			if n := binary.LittleEndian.Uint32(out.Bytes()); int(n) != out.Len()-4 {
+				t.Errorf("length %d of %d", n, out.Len()-4)
+			}
+		})
 	}
 }
 
--- a/policy/capacity_test.go
+++ b/policy/capacity_test.go
@@ -8,19 +8,21 @@
 // first report, of one connection and some other load, suggests far too little.
 func TestCapacityAfterStart(t *testing.T) {
 	for name, set := range siteSettings() {
-		set.Zones, set.Groups = 1, true
-		h := newHarness(set, fleet(2, 1))
-		for n := range 20 {
-			h.now += ms
-			for _, s := range h.servers {
-				h.load[s.ID], h.connections[s.ID] = 0.1+0.01*s.ownFlows, s.ownFlows
+		t.Run(name, func(t *testing.T) {
+			set.Zones, set.Groups = 1, true
+			h := newHarness(set, fleet(2, 1))
+			for n := range 20 {
+				h.now += ms
+				for _, s := range h.servers {
+					h.load[s.ID], h.connections[s.ID] = 0.1+0.01*s.ownFlows, s.ownFlows
+				}
+				id := h.submit(Request{Group: uint64(n + 2), Load: -1})
+				if h.serverOf(id) == 0 {
+					t.Fatalf("client %d found no capacity, with %v and %v connections", n, h.servers[0].ownFlows, h.servers[1].ownFlows)
+				}
+				h.Established(h.now, id)
 			}
-			id := h.submit(Request{Group: uint64(n + 2), Load: -1})
-			if h.serverOf(id) == 0 {
-				t.Fatalf("%s: client %d found no capacity, with %v and %v connections", name, n, h.servers[0].ownFlows, h.servers[1].ownFlows)
-			}
-			h.Established(h.now, id)
-		}
+		})
 	}
 }
 
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -89,22 +89,24 @@
 		canProbe       bool
 		mostPerRequest float64
 	}{{"priced", 0.002, true, 4}, {"expensive", 0.01, true, 1}, {"free", 0, true, maxProbes + 1}, {"forbidden", 0, false, 0}} {
-		set := settings()
-		set.ProbePrice, set.CanProbe = tt.price, tt.canProbe
-		h := newHarness(set, fleet(100, 1))
-		for i := range 200 {
-			h.now += 300 * ms
-			h.submit(Request{Tenant: i % 2, Load: 0.01})
-		}
-		probes := 0.0
-		for _, action := range h.log {
-			if strings.HasPrefix(action, "probe") {
-				probes++
+		t.Run(tt.name, func(t *testing.T) {
+			set := settings()
+			set.ProbePrice, set.CanProbe = tt.price, tt.canProbe
+			h := newHarness(set, fleet(100, 1))
+			for i := range 200 {
+				h.now += 300 * ms
+				h.submit(Request{Tenant: i % 2, Load: 0.01})
 			}
-		}
-		if probes > 200*tt.mostPerRequest+30 || tt.mostPerRequest > 0 && probes == 0 {
-			t.Errorf("%s: %v probes for 200 requests", tt.name, probes)
-		}
+			probes := 0.0
+			for _, action := range h.log {
+				if strings.HasPrefix(action, "probe") {
+					probes++
+				}
+			}
+			if probes > 200*tt.mostPerRequest+30 || tt.mostPerRequest > 0 && probes == 0 {
+				t.Errorf("%v probes for 200 requests", probes)
+			}
+		})
 	}
 }
 
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -256,16 +256,18 @@
 		reported float64
 		over     bool
 	}{"not reported": {-1, true}, "the other has as many": {30, true}, "the other is drained": {15, false}} {
-		h := newHarness(set, fleet(2, 1))
-		for id := range RequestID(30) {
-			h.AddExisting(h.now, Request{ID: 100 + id, Load: 0.1}, h.servers[id%2].ID)
-		}
-		for _, s := range h.servers {
-			h.ProbeResult(h.now, s.ID, OK, Report{Connections: c.reported, Load: 0.5, Util: -1, Backlog: -1})
-		}
-		if h.overQuota(0) != c.over {
-			t.Errorf("%s: over its quota %v", name, !c.over)
-		}
+		t.Run(name, func(t *testing.T) {
+			h := newHarness(set, fleet(2, 1))
+			for id := range RequestID(30) {
+				h.AddExisting(h.now, Request{ID: 100 + id, Load: 0.1}, h.servers[id%2].ID)
+			}
+			for _, s := range h.servers {
+				h.ProbeResult(h.now, s.ID, OK, Report{Connections: c.reported, Load: 0.5, Util: -1, Backlog: -1})
+			}
+			if h.overQuota(0) != c.over {
+				t.Errorf("over its quota %v, want %v", !c.over, c.over)
+			}
+		})
 	}
 }
 
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -109,6 +109,20 @@
 	return worst
 }
 
+// checkExcess simulates five seeds, checks that none sends more than allowed, and returns the number of sends to the joining server.
+func checkExcess(t *testing.T, relays int, set Settings, simulate func(*slowStartFleet)) (sent int) {
+	t.Helper()
+	for seed := range uint64(5) {
+		p := newSlowStartFleet(seed, relays, set)
+		simulate(p)
+		sent += len(p.sentAt)
+		if excess := p.excess(); excess > 0 {
+			t.Errorf("seed %d: %.1f too many of %d sent", seed, excess, len(p.sentAt))
+		}
+	}
+	return sent
+}
+
 // TestSlowStartFleetTotal: what twenty to thirty relays together send to a server in slow start stays within what its windows allow, for
 // three lengths of the window, with groups, with one group for all, and without groups.
 func TestSlowStartFleetTotal(t *testing.T) {
@@ -122,15 +136,7 @@
 				t.Run(fmt.Sprint(relays, window, name), func(t *testing.T) {
 					set := settings()
 					set.OverloadWindow, set.Groups = window, name != "no groups"
-					sent := 0
-					for seed := range uint64(5) {
-						p := newSlowStartFleet(seed, relays, set)
-						p.run(group)
-						sent += len(p.sentAt)
-						if excess := p.excess(); excess > 0 {
-							t.Errorf("seed %d: %.1f too many of %d sent", seed, excess, len(p.sentAt))
-						}
-					}
+					sent := checkExcess(t, relays, set, func(p *slowStartFleet) { p.run(group) })
 					if name != "one group" && sent == 0 { // the first server of that group may be another one
 						t.Error("nothing was sent: the simulation shows nothing")
 					}
@@ -167,16 +173,7 @@
 			t.Run(fmt.Sprintf("%d relays, %.0f%% warm", relays, 100*part), func(t *testing.T) {
 				set := settings()
 				set.OverloadWindow = 1500 * ms
-				sent := 0
-				for seed := range uint64(5) {
-					p := newSlowStartFleet(seed, relays, set)
-					p.burst(part)
-					sent += len(p.sentAt)
-					if excess := p.excess(); excess > 0 {
-						t.Errorf("seed %d: %.1f too many of %d sent", seed, excess, len(p.sentAt))
-					}
-				}
-				if sent == 0 {
+				if checkExcess(t, relays, set, func(p *slowStartFleet) { p.burst(part) }) == 0 {
 					t.Error("nothing was sent: the simulation shows nothing")
 				}
 			})
