--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -61,7 +61,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := loadText(t, head+rest, nil); !errors.Is(err, ErrInvalid) {
-				t.Error(err)
+				t.Errorf("error %v, want %v", err, ErrInvalid)
 			}
 		})
 	}
