--- a/internal/consensus/stream_follower.go
+++ b/internal/consensus/stream_follower.go
@@ -18,16 +18,10 @@
 	followRetryDelay       = 50 * time.Millisecond
 )
 
-// streamEnd is why this node ends a stream that did not fail.
-type streamEnd string
-
-func (e streamEnd) Error() string { return string(e) }
-
-const (
-	errStreamNotNeeded  streamEnd = "the engine knows a leader again"
-	errStreamRetry      streamEnd = "rejected unread: sent again with the current epoch and start"
-	errPreferredBack    streamEnd = "the preferred voter is healthy again"
-	errSourceLeaderless streamEnd = "the followed voter knows no leader"
+// Why a stream that did not fail is ended, to be opened again at once if it is still needed.
+var (
+	errStreamNotNeeded = errors.New("the engine knows a leader again")
+	errStreamRetry     = errors.New("rejected unread: sent again with the current epoch and start")
 )
 
 // followStatus is what the followed stream last reported.
@@ -183,6 +177,12 @@
 	return errMalformed
 }
 
+// Why a stream that did not fail is ended in favour of another voter.
+var (
+	errPreferredBack    = errors.New("the preferred voter is healthy again")
+	errSourceLeaderless = errors.New("the followed voter knows no leader")
+)
+
 func (f *streamFollower) handleStatus(body []byte) error {
 	r := reader{rest: body}
 	commitIndex, hasQuorum, leader := r.uint(), r.uint() == 1, r.string()
