--- /dev/null
+++ b/internal/core/fuzz_test.go
@@ -0,0 +1,71 @@
+package core
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"dahliarudder/policy"
+)
+
+// FuzzCore plays random events. The downstream checks that each request has one final answer and at most three attempts, never two in
+// flight; the records must hold one answer for each request and one end for each attempt.
+func FuzzCore(f *testing.F) {
+	for seed := range uint64(8) {
+		f.Add(seed, uint16(400))
+	}
+	f.Fuzz(func(t *testing.T, seed uint64, steps uint16) {
+		rng := rand.New(rand.NewPCG(seed, 1))
+		h := newHarness(t, 4)
+		var requests []*downstream
+		states := []policy.ServerState{policy.Ready, policy.Ready, policy.Ready, policy.Draining, policy.Gone}
+		results := []policy.Result{policy.OK, policy.Error, policy.Full, policy.ConnectFailed, policy.Reset}
+		for range min(steps, 2000) {
+			if rng.IntN(3) == 0 || len(requests) == 0 {
+				requests = append(requests, h.openRequest())
+			}
+			d := requests[rng.IntN(len(requests))]
+			switch q := h.requests[d.id]; rng.IntN(7) {
+			case 0:
+				if q != nil && q.member != nil {
+					h.FlowEstablished(d.id, d.attempts-1)
+				}
+			case 1:
+				if q != nil && q.member != nil {
+					d.inFlight--
+					h.AttemptEnded(d.id, d.attempts-1, results[rng.IntN(len(results))], policy.NoReport)
+				}
+			case 2:
+				if rng.IntN(4) == 0 {
+					h.ClientGone(d.id)
+				}
+			case 4:
+				name := fmt.Sprint("m", rng.IntN(4))
+				[]func(){func() { h.Eject(name) }, func() { h.Reinstate(name) }, h.Drain, h.Resume}[rng.IntN(4)]()
+			case 3:
+				changed := testMembers(4, states[rng.IntN(len(states))])[rng.IntN(4):][:1]
+				h.UpdateMembers(policy.ListDelta, changed)
+			default:
+				h.advance(time.Duration(rng.IntN(300)) * time.Millisecond)
+			}
+		}
+		h.Stop()
+		h.Resume() // ends a drain, not the stop
+		h.advance(5 * time.Second)
+		c := h.Counts
+		if h.ActiveRequests() != 0 || c.Requests != len(requests) || c.Served+c.Rejected+c.Failed+c.ClientsGone != c.Requests {
+			t.Errorf("%d active, %d requests, counts %+v", h.ActiveRequests(), len(requests), c)
+		}
+		seen := map[string]bool{}
+		for _, event := range h.records {
+			if seen[event] {
+				t.Errorf("recorded twice: %s", event)
+			}
+			seen[event] = true
+		}
+		if len(h.records) != c.Requests+c.Attempts {
+			t.Errorf("%d records of %+v", len(h.records), c)
+		}
+	})
+}
--- /dev/null
+++ b/internal/core/harness_test.go
@@ -0,0 +1,206 @@
+package core
+
+import (
+	"fmt"
+	"math"
+	"strings"
+	"testing"
+	"time"
+
+	"dahliarudder/internal/settings"
+	"dahliarudder/policy"
+)
+
+const defaultSettings = `{"balancers":1,"zones":["a"],
+ "classes":[{"name":"pay","aim-ms":400,"deadline-ms":2000,"effect":"read_like","key-scope":"all"}],
+ "limits":{"max-attempts":3,"cancel":true,"probes":false,"connect-timeout-ms":250},
+ "guarantees":{"answer-slack-ms":8,"drain-grace-ms":250},"extra":{"message-aim-ms":[90]}}`
+
+// harness is a core on a fake clock, and what it requested of its fronts and recorder.
+type harness struct {
+	*Core
+	t        *testing.T
+	now      time.Duration
+	wakeAt   time.Duration
+	records  []string
+	notReady bool
+}
+
+// downstream keeps the calls that it receives, and checks that they are allowed.
+type downstream struct {
+	harness    *harness
+	id         ID
+	inFlight   int // attempts in flight
+	attempts   int
+	answers    []string
+	migrations int
+	timeout    time.Duration
+	member     string
+	retryAfter time.Duration // of the rejection
+}
+
+func (d *downstream) Send(id ID, to *Member, attempt int, timeout time.Duration) {
+	d.id, d.timeout, d.member = id, timeout, to.Name
+	d.inFlight++
+	d.attempts++
+	if d.inFlight > 1 || len(d.answers) > 0 || attempt != d.attempts-1 || d.attempts > 3 || timeout <= 0 {
+		d.harness.t.Errorf("send: attempt %d, %d in flight, answers %v, timeout %v", attempt, d.inFlight, d.answers, timeout)
+	}
+}
+
+func (d *downstream) Cancel(int) { d.inFlight-- }
+
+func (d *downstream) Reject(retryAfter time.Duration) {
+	d.retryAfter = retryAfter
+	d.answer("rejected")
+}
+
+func (d *downstream) Fail() { d.answer("failed") }
+
+func (d *downstream) Migrate() { d.migrations++; d.inFlight-- }
+
+func (d *downstream) answer(answer string) {
+	if d.answers = append(d.answers, answer); len(d.answers) > 1 || d.inFlight > 0 {
+		d.harness.t.Errorf("answers %v with %d attempts in flight", d.answers, d.inFlight)
+	}
+}
+
+func (h *harness) Ready() bool { return !h.notReady }
+
+func (h *harness) RecordAttempt(_ *Request, id ID, attempt int, _ string, _, _ time.Duration, _ policy.Result) {
+	h.records = append(h.records, fmt.Sprintf("attempt %d.%d", id, attempt))
+}
+
+func (h *harness) RecordAnswer(_ *Request, id ID, _ time.Duration, _ Answer, _ int) {
+	h.records = append(h.records, fmt.Sprintf("answer %d", id))
+}
+
+// newHarness starts a core with the default settings and members ready servers.
+func newHarness(t *testing.T, members int) *harness {
+	t.Helper()
+	return newHarnessWith(t, defaultSettings, testMembers(members, policy.Ready))
+}
+
+// testMembers returns the members m0, m1 and so on, whose server IDs count from 10.
+func testMembers(n int, state policy.ServerState) []Member {
+	members := make([]Member, n)
+	for i := range members {
+		members[i].Server = policy.Server{ID: policy.ServerID(10 + i), State: state, Weight: 1}
+		members[i].Name = fmt.Sprint("m", i)
+	}
+	return members
+}
+
+// openRequest opens a request whose client waits for two seconds.
+func (h *harness) openRequest() *downstream {
+	d := &downstream{harness: h}
+	d.id = h.Open(Request{Load: 0.01, TimeLeft: 2 * time.Second}, d)
+	return d
+}
+
+// establishFlows opens n requests and establishes their flows.
+func (h *harness) establishFlows(n int) (flows []*downstream) {
+	for range n {
+		d := h.openRequest()
+		h.FlowEstablished(d.id, 0)
+		flows = append(flows, d)
+	}
+	return flows
+}
+
+// advance moves the clock on, with a Tick whenever one is due.
+func (h *harness) advance(by time.Duration) {
+	for end := h.now + by; ; {
+		if h.wakeAt > end {
+			h.now = end
+			return
+		}
+		h.now, h.wakeAt = max(h.now, h.wakeAt), math.MaxInt64
+		h.Tick()
+	}
+}
+
+// Classes of classesText, by index.
+const (
+	idempotentClass = iota
+	keyScopeAllClass
+	keyScopeZoneClass
+	nonIdempotentClass
+	keyScopeCellClass
+)
+
+// classesText has a class of each idempotency and key scope; deduplication windows are shorter than deadlines.
+const classesText = `{"balancers":1,"zones":["a","b"],
+ "classes":[{"name":"safe","aim-ms":400,"deadline-ms":2000,"effect":"read_like","key-scope":"all"},
+  {"name":"all","aim-ms":400,"deadline-ms":2000,"effect":"idempotency_key","key-scope":"all","window-ms":900},
+  {"name":"zone","aim-ms":400,"deadline-ms":2000,"effect":"idempotency_key","key-scope":"zone","window-ms":900},
+  {"name":"unsafe","aim-ms":400,"deadline-ms":2000,"effect":"non_idempotent","key-scope":"all"},
+  {"name":"cell","aim-ms":400,"deadline-ms":2000,"effect":"idempotency_key","key-scope":"cell","window-ms":900}],
+ "limits":{"max-attempts":3,"cancel":true,"probes":false,"connect-timeout-ms":250},
+ "guarantees":{"answer-slack-ms":8,"drain-grace-ms":250},"extra":{"message-aim-ms":[90]}}`
+
+// newHarnessWith starts a core with these settings and members.
+func newHarnessWith(t *testing.T, settingsText string, members []Member) *harness {
+	t.Helper()
+	set, err := settings.Decode([]byte(settingsText))
+	if err != nil {
+		t.Fatal(err)
+	}
+	h := &harness{t: t, now: time.Hour, wakeAt: math.MaxInt64}
+	h.Core = New(Options{Settings: set, Seed: 7, Clock: func() time.Duration { return h.now },
+		Wake: func(at time.Duration) { h.wakeAt = at }, Probe: func(*Member) {}, Watch: func() {}, Recorder: h})
+	h.UpdateMembers(policy.ListCached, members)
+	return h
+}
+
+// openInClass opens a request of a class whose client waits for timeLeft.
+func (h *harness) openInClass(class int, timeLeft time.Duration) *downstream {
+	d := &downstream{harness: h}
+	d.id = h.Open(Request{Class: class, Load: 0.01, TimeLeft: timeLeft}, d)
+	return d
+}
+
+// endAttempt ends the attempt in flight before it is established.
+func (d *downstream) endAttempt(result policy.Result) {
+	d.inFlight--
+	d.harness.AttemptEnded(d.id, d.attempts-1, result, policy.NoReport)
+}
+
+// openThree opens three requests of a class: one with an attempt in flight, one whose attempt has failed but may have run, which the
+// policy backs off before it retries, and one whose attempts cannot have run.
+func (h *harness) openThree(class int) (sent, mayHaveRun, neverRan *downstream) {
+	sent, mayHaveRun, neverRan = h.openInClass(class, 2*time.Second), h.openInClass(class, 2*time.Second), h.openInClass(class, 2*time.Second)
+	mayHaveRun.endAttempt(policy.Error)
+	neverRan.endAttempt(policy.Full)
+	if neverRan.inFlight > 0 {
+		neverRan.endAttempt(policy.ConnectFailed)
+	}
+	return sent, mayHaveRun, neverRan
+}
+
+// wantNoFlowsInPolicy checks that the policy has no open flow: it keeps a server that is no longer listed only for those.
+func (h *harness) wantNoFlowsInPolicy(when string) {
+	h.t.Helper()
+	h.UpdateMembers(policy.ListFull, nil)
+	if servers := h.facade.LearnedState(h.now).Servers; len(servers) != 0 {
+		h.t.Errorf("%s: the policy still has flows at %v", when, servers)
+	}
+}
+
+// migrations counts the migrations of all flows.
+func migrations(flows []*downstream) (n int) {
+	for _, d := range flows {
+		n += d.migrations
+	}
+	return n
+}
+
+// answerText joins the final answers, of which there may be one at most.
+func (d *downstream) answerText() string { return strings.Join(d.answers, ",") }
+
+// draining returns a member in the draining state.
+func (h *harness) draining(id policy.ServerID) Member {
+	m := h.members[id].Member
+	m.State = policy.Draining
+	return m
+}
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -33,7 +33,6 @@
 	now                 time.Duration
 	wakeAt              time.Duration
 	clients             []*modelClient
-	byID                map[ID]*modelClient
 	opening             *modelClient // whose Open has not returned
 	members             []*modelMember
 	byName              map[string]*modelMember
@@ -52,183 +51,6 @@
 	faultyPolicy        bool           // the policy takes arbitrary actions
 }
 
-// modelMember is a member as the model sees it.
-type modelMember struct {
-	Member
-	known            bool // the core has had it in a member list
-	unavailable      bool // draining, gone, ejected, or removed by the fleet
-	unavailableSince time.Duration
-	spreadOver       time.Duration // the time over which its flows may be migrated
-	spreadChangedAt  time.Duration // when spreadOver last changed
-}
-
-type modelAttempt struct {
-	member     *modelMember
-	memberThen Member // a copy, as it may move to another zone or cell
-	sentAt     time.Duration
-	timeoutAt  time.Duration
-	result     policy.Result
-	ended      bool
-}
-
-// modelClient is a request and its downstream.
-type modelClient struct {
-	model            *model
-	id               ID
-	request          Request
-	deadline         time.Duration
-	arrivedAfterStop bool // it arrived after Stop or BeginHandover
-	adopted          bool // from another process
-	gone             bool
-	answers          []string
-	attempts         []*modelAttempt
-	established      bool
-	establishedAt    time.Duration
-	migrations       int
-	flowEnded        bool // the established flow has ended
-}
-
-func (c *modelClient) class() policy.Class { return c.model.core.policyCfg.Classes[c.request.Class] }
-
-// currentAttempt returns the attempt in flight, or that of the open flow; nil if there is neither.
-func (c *modelClient) currentAttempt() *modelAttempt {
-	if n := len(c.attempts); n > 0 && !c.attempts[n-1].ended {
-		return c.attempts[n-1]
-	}
-	return nil
-}
-
-func (c *modelClient) flowOpen() bool { return c.established && !c.flowEnded }
-
-// settled reports whether the core may not call the downstream any more.
-func (c *modelClient) settled() bool { return c.gone || len(c.answers) > 0 && !c.flowOpen() }
-
-// firstPossibleRun returns the first attempt that may have run at its member.
-func (c *modelClient) firstPossibleRun() *modelAttempt {
-	for _, a := range c.attempts {
-		if !a.ended || a.result != policy.Full && a.result != policy.ConnectFailed && a.result != policy.NotSent {
-			return a
-		}
-	}
-	return nil
-}
-
-// checkMayCall fails if the core may not call the downstream any more.
-func (c *modelClient) checkMayCall(what string) {
-	m := c.model
-	if c.gone || c.migrations > 0 || m.finished && what != "migrate" && what != "cancel" && !c.arrivedAfterStop {
-		m.Fatalf("request %d: %s after its end (gone %v, migrated %d times, finished %v)", c.id, what, c.gone, c.migrations, m.finished)
-	}
-}
-
-// reenter makes another event happen before a call to a downstream returns: another client disconnects, another attempt ends, or a
-// request arrives.
-func (c *modelClient) reenter() {
-	m := c.model
-	if !m.reentrant {
-		return
-	}
-	m.reentrant = false
-	pickOther := func(matches func(*modelClient) bool) *modelClient {
-		return m.pickClient(func(other *modelClient) bool { return other != c && other != m.opening && matches(other) })
-	}
-	switch m.draw(3, "meanwhile") {
-	case 0:
-		if other := pickOther(func(other *modelClient) bool { return !other.settled() }); other != nil {
-			other.disconnect()
-		}
-	case 1:
-		if other := pickOther(func(other *modelClient) bool { return other.currentAttempt() != nil }); other != nil {
-			other.endAttempt()
-		}
-	case 2:
-		m.arrive()
-	}
-}
-
-func (c *modelClient) Send(id ID, to *Member, attempt int, timeout time.Duration) {
-	m := c.model
-	c.checkMayCall("send")
-	c.id, m.byID[id] = id, c
-	member := m.byName[to.Name]
-	switch max := m.core.Settings.Limits.MaxAttempts; {
-	case len(c.answers) > 0, c.currentAttempt() != nil, attempt != len(c.attempts), attempt >= max:
-		m.Fatalf("request %d: attempt %d after answers %v, attempts %d of %d", id, attempt, c.answers, len(c.attempts), max)
-	case timeout <= 0, m.now+timeout > c.deadline:
-		m.Fatalf("request %d: sent with timeout %v at %v, deadline %v", id, timeout, m.now, c.deadline)
-	case c.arrivedAfterStop:
-		m.Fatalf("request %d: sent, though it arrived after the stop", id)
-	case c.request.CurrentMember == "" && member.unavailable && (m.resuming || m.now-member.unavailableSince > 250*time.Millisecond):
-		m.Fatalf("request %d: sent to %s, which became unavailable %v ago", id, member.Name, m.now-member.unavailableSince)
-	case c.request.CurrentMember == "" && m.paused:
-		m.Fatalf("request %d: sent while dispatch is paused", id)
-	case to.Addr != member.Addr:
-		m.Fatalf("request %d: sent to %s at %s, it is at %s", id, to.Name, to.Addr, member.Addr)
-	}
-	if first := c.firstPossibleRun(); first != nil {
-		class := c.class()
-		inScope := class.Scope == policy.ScopeAll || class.Scope == policy.ScopeZone && member.Zone == first.memberThen.Zone ||
-			class.Scope == policy.ScopeCell && member.Cell == first.memberThen.Cell
-		if class.Idempotency == policy.NonIdempotent || class.Idempotency == policy.IdempotencyKey && (!inScope || m.now >= first.sentAt+class.DedupWindow) {
-			m.Fatalf("request %d: repeated against its idempotency: first %v at %s, now %v at %s", id, first.sentAt, first.memberThen.Name, m.now, member.Name)
-		}
-	}
-	c.attempts = append(c.attempts, &modelAttempt{member: member, memberThen: member.Member, sentAt: m.now, timeoutAt: m.now + timeout})
-	c.reenter()
-}
-
-func (c *modelClient) Cancel(attempt int) {
-	a := c.currentAttempt()
-	if a == nil || attempt != len(c.attempts)-1 {
-		c.model.Fatalf("request %d: cancelled attempt %d, which is not in flight", c.id, attempt)
-	}
-	a.ended, a.result = true, policy.Cancelled
-	c.flowEnded = c.established
-	c.reenter()
-}
-
-func (c *modelClient) Reject(retryAfter time.Duration) {
-	class := c.class()
-	if c.firstPossibleRun() != nil && !(class.Idempotency == policy.Idempotent || class.Idempotency == policy.IdempotencyKey && class.Scope == policy.ScopeAll) {
-		c.model.Fatalf("request %d: rejected, though it may have run", c.id)
-	}
-	if retryAfter < 0 {
-		c.model.Fatalf("request %d: rejected with Retry-After %v", c.id, retryAfter)
-	}
-	c.answer("rejected")
-}
-
-func (c *modelClient) Fail() { c.answer("failed") }
-
-func (c *modelClient) answer(answer string) {
-	c.checkMayCall(answer)
-	if c.answers = append(c.answers, answer); len(c.answers) > 1 || c.currentAttempt() != nil {
-		c.model.Fatalf("request %d: answers %v", c.id, c.answers)
-	}
-	c.reenter()
-}
-
-func (c *modelClient) Migrate() {
-	c.checkMayCall("migrate")
-	if !c.flowOpen() {
-		c.model.Fatalf("request %d: migrated, though it is not open", c.id)
-	}
-	a := c.currentAttempt()
-	c.migrations++
-	c.flowEnded, a.ended, a.result = true, true, policy.Cancelled
-	c.reenter()
-}
-
-func (c *modelClient) disconnect() {
-	if !c.settled() {
-		c.model.core.ClientGone(c.id)
-		c.gone = true
-		if c.currentAttempt() != nil {
-			c.model.Fatalf("request %d: an attempt is still in flight after its client disconnected", c.id)
-		}
-	}
-}
-
 // ---- Recorder ----
 
 func (m *model) Ready() bool { return !m.notReady }
@@ -262,7 +84,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &model{T: t, now: time.Hour, wakeAt: math.MaxInt64, byID: map[ID]*modelClient{}, byName: map[string]*modelMember{},
+	m := &model{T: t, now: time.Hour, wakeAt: math.MaxInt64, byName: map[string]*modelMember{},
 		ejected: map[string]bool{}, removals: map[string]Removal{}, records: map[string]int{}}
 	m.core = New(Options{Settings: set, Seed: uint64(evenlyBelow(64).Draw(t, "seed")), Clock: func() time.Duration { return m.now },
 		Wake: func(at time.Duration) { m.wakeAt = at }, Watch: func() {}, Recorder: m,
@@ -326,7 +148,7 @@
 	outer := m.opening // a reentrant arrival opens within another Open, whose id is not known yet
 	m.opening = c
 	c.id = m.core.Open(c.request, c)
-	m.opening, m.byID[c.id] = outer, c
+	m.opening = outer
 	if (c.arrivedAfterStop || m.notReady) && (len(c.answers) != 1 || c.answers[0] != "rejected") {
 		m.Fatalf("request %d: arrived after the stop, or could not be recorded: answers %v", c.id, c.answers)
 	}
@@ -355,19 +177,6 @@
 	}
 }
 
-// endAttempt ends the attempt in flight, or the open flow, with a drawn result.
-func (c *modelClient) endAttempt() {
-	m := c.model
-	a, number := c.currentAttempt(), len(c.attempts)-1
-	a.ended, a.result = true, modelResults[m.draw(len(modelResults), "result")]
-	if c.established {
-		c.flowEnded = true
-	} else if a.result == policy.OK {
-		c.answers, c.established, c.flowEnded = append(c.answers, "served"), true, true
-	}
-	m.core.AttemptEnded(c.id, number, a.result, m.report())
-}
-
 func (m *model) report() policy.Report {
 	if m.draw(2, "report") == 0 {
 		return policy.NoReport
@@ -523,14 +332,14 @@
 		return
 	}
 	member := m.members[m.draw(len(m.members), "member")]
-	c := &modelClient{model: m, adopted: true, established: true, establishedAt: m.now, answers: []string{"served"}, request: Request{Class: m.draw(5, "class")}}
+	c := &modelClient{model: m, established: true, establishedAt: m.now, answers: []string{"served"}, request: Request{Class: m.draw(5, "class")}}
 	c.attempts = []*modelAttempt{{member: member, memberThen: member.Member, sentAt: m.now}}
 	id, _, ok := m.core.AdoptFlow(FlowTransfer{Request: c.request, Member: member.Name}, c)
 	if ok != member.known {
 		m.Fatalf("adopted %v at a member that is known %v", ok, member.known)
 	}
 	if c.id = id; ok {
-		m.clients, m.byID[id] = append(m.clients, c), c
+		m.clients = append(m.clients, c)
 	}
 }
 
@@ -586,26 +395,6 @@
 	}
 }
 
-// checkOverdue fails if an answer, the end of an attempt or the migration of a flow is overdue.
-func (c *modelClient) checkOverdue(a *modelAttempt) {
-	m := c.model
-	switch {
-	case len(c.answers) == 0 && m.now >= c.deadline:
-		m.Fatalf("request %d: no answer at %v, deadline %v", c.id, m.now, c.deadline)
-	case a != nil && !c.established && m.now >= a.timeoutAt:
-		m.Fatalf("request %d: its attempt is still in flight at %v, its timeout was at %v", c.id, m.now, a.timeoutAt)
-	case !c.flowOpen():
-		return
-	case m.migrateBy > 0 && m.now > max(m.migrateBy, c.establishedAt+StopNotice/2):
-		m.Fatalf("request %d: its flow is not migrated by the end of a drain or stop", c.id)
-	}
-	if member := a.member; member.unavailable && !m.faultyPolicy { // a member's flows are migrated on the policy's request
-		if m.now > max(member.unavailableSince+member.spreadOver, member.spreadChangedAt, c.establishedAt) {
-			m.Fatalf("request %d: its flow is not migrated %v after %s became unavailable", c.id, m.now-member.unavailableSince, member.Name)
-		}
-	}
-}
-
 // injectAction applies an action that only a faulty policy would request: the invariants hold all the same.
 func (m *model) injectAction() {
 	if !m.faultyPolicy {
--- /dev/null
+++ b/internal/core/observations_test.go
@@ -0,0 +1,25 @@
+package core
+
+import (
+	"testing"
+	"time"
+)
+
+// TestMessageLatency: slow messages at a member are reported at most once a second, and once more when they are fast again.
+func TestMessageLatency(t *testing.T) {
+	h := newHarness(t, 1)
+	d := h.openRequest()
+	h.FlowEstablished(d.id, 0)
+	m := h.requests[d.id].member
+	h.ObserveMessageLatency(d.id, 40*time.Millisecond)
+	first := m.slowReportedAt
+	h.now += 100 * time.Millisecond
+	h.ObserveMessageLatency(d.id, 50*time.Millisecond)
+	if !m.slow || m.slowReportedAt != first {
+		t.Error("not reported, or reported again at once")
+	}
+	h.ObserveMessageLatency(d.id, 20*time.Millisecond)
+	if m.slow || m.slowReportedAt != h.now {
+		t.Error("the end is not reported")
+	}
+}
