--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -74,25 +74,33 @@
 		t.Fatal(err)
 	}
 	for _, tt := range []struct {
-		old, new string
-		valid    bool
-	}{{"", "", true}, {`"listen": "127.0.0.1:7400"`, `"listen": "here"`, false}, {"127.0.0.1:7401", "there:1", false},
-		{"peers.key", "none", false}, {"guide-relay-1", "", false}, {`"peers.key"`, `"peers.key", "reach": {"n1": "x"}`, false}} {
-		dir := t.TempDir()
-		if err := os.WriteFile(filepath.Join(dir, "peers.key"), []byte("a key of 32 characters at the least"), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		path := filepath.Join(dir, "c.json")
-		if err := os.WriteFile(path, []byte(strings.Replace(string(text), tt.old, tt.new, 1)), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		c, err := Load(path, func(string) string { return "" })
-		if (err == nil) != tt.valid || err != nil && !errors.Is(err, ErrInvalid) {
-			t.Errorf("%s in the place of %s: %v", tt.new, tt.old, err)
-		}
-		if tt.valid && (c.Peers.Address != c.Peers.Listen || len(c.Peers.Keys()) != 1) {
-			t.Errorf("%+v", c.Peers)
-		}
+		name, old, new string
+		valid          bool
+	}{
+		{"the example", "", "", true},
+		{"listen address", `"listen": "127.0.0.1:7400"`, `"listen": "here"`, false},
+		{"seed address", "127.0.0.1:7401", "there:1", false},
+		{"no key file", "peers.key", "none", false},
+		{"no name", "guide-relay-1", "", false},
+		{"address override", `"peers.key"`, `"peers.key", "reach": {"n1": "x"}`, false},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			dir := t.TempDir()
+			if err := os.WriteFile(filepath.Join(dir, "peers.key"), []byte("a key of 32 characters at the least"), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			path := filepath.Join(dir, "c.json")
+			if err := os.WriteFile(path, []byte(strings.Replace(string(text), tt.old, tt.new, 1)), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			c, err := Load(path, func(string) string { return "" })
+			if (err == nil) != tt.valid || err != nil && !errors.Is(err, ErrInvalid) {
+				t.Errorf("%s in place of %s: error %v", tt.new, tt.old, err)
+			}
+			if tt.valid && (c.Peers.Address != c.Peers.Listen || len(c.Peers.Keys()) != 1) {
+				t.Errorf("%+v", c.Peers)
+			}
+		})
 	}
 }
 
