--- a/internal/core/member_events.go
+++ b/internal/core/member_events.go
@@ -66,6 +66,3 @@
 		return m != nil && contains(&m.Member)
 	}})
 }
-
-// CanaryOverflows is how many flows were assigned to the canary group when it had no capacity for them.
-func (c *Core) CanaryOverflows() uint64 { return c.facade.CanaryOverflows() }
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -156,6 +156,3 @@
 		s.Log.WithError(err).WithField("operation", operation).Debug("fleet: operation failed and is retried")
 	}
 }
-
-// Status is that of the consensus node.
-func (s *Service) Status() consensus.Status { return s.node.Status() }
--- a/internal/scenariorunner/floors_test.go
+++ b/internal/scenariorunner/floors_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"strings"
 	"testing"
+	"time"
 )
 
 // minServed is the part of the demand that has to be served, in all, of each class, each tenant and in each third of a day on which
@@ -11,6 +12,9 @@
 // than all.
 const minServed = 0.5
 
+// maxRejecting is for how long a relay may reject all that it gets, if that is minRejections or more.
+const maxRejecting = 4 * time.Second
+
 // TestFloors runs a calm day, and one on which members are replaced while all relays are restarted one after the other. Each class,
 // tenant and third of the day is served, and no relay rejects all that it gets for 4 s.
 func TestFloors(t *testing.T) {
--- a/internal/scenariorunner/result.go
+++ b/internal/scenariorunner/result.go
@@ -11,8 +11,7 @@
 )
 
 const (
-	// maxRejecting is for how long a relay may reject all that it gets, if that is minRejections or more.
-	maxRejecting  = 4 * time.Second
+	// minRejections is how many rejections in a row make a series, see Result.LongestRejecting.
 	minRejections = 15
 	// worstWindow is the window of Result.Worst.
 	worstWindow = 10 * time.Second
