--- a/internal/auth/config.go
+++ b/internal/auth/config.go
@@ -120,7 +120,7 @@
 		}
 		claims, err := jwt.DecodeAccountClaims(text)
 		if err != nil {
-			return fmt.Errorf("accounts[%d]: is neither a public account key nor an account's JWT: %v", i, err)
+			return fmt.Errorf("accounts[%d]: is neither a public account key nor an account's JWT: %w", i, err)
 		}
 		if !operators[claims.Issuer] {
 			return fmt.Errorf("accounts[%d]: its issuer %s is not among operators", i, claims.Issuer)
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -72,7 +72,7 @@
 	for _, addresses := range []map[string]string{c.Voters, c.DialAddresses} {
 		for name, address := range addresses {
 			if _, err := netip.ParseAddrPort(address); name == "" || err != nil {
-				return fmt.Errorf("%q: %v", name, err)
+				return fmt.Errorf("%q: %w", name, err)
 			}
 		}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -86,7 +86,7 @@
 func Decode(text []byte) (*Settings, error) {
 	s := &Settings{}
 	if err := json.Unmarshal(text, s); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrMalformed, err)
+		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	return s, nil
 }
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -72,7 +72,7 @@
 	}
 	set, err := settings.Decode(text)
 	if err != nil {
-		return fmt.Errorf("%w: %v", ErrMalformed, err)
+		return fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	d.reportNames[id] = set.Report.Names
 	h.Launch(id, now, seed, set.Policy())
