--- a/integration/nats_rig_test.go
+++ b/integration/nats_rig_test.go
@@ -29,7 +29,7 @@
 	return list
 }
 
-// checkAttempts fails the test if a request had two attempts out, or more than three.
+// checkAttemptCounter fails the test if a request had two attempts out, or more than three.
 func checkAttemptCounter(t *testing.T, c *fakes.AttemptCounter) {
 	t.Helper()
 	for _, broken := range c.Violations() {
--- a/internal/pool/watcher_test.go
+++ b/internal/pool/watcher_test.go
@@ -32,7 +32,7 @@
 	return r
 }
 
-// call is what a call looks like that goes on from a generation and waits so long.
+// text is the request of a poll that continues from a generation and waits for a time.
 func (r *rig) text(since int, wait time.Duration) string {
 	return fmt.Sprintf("GET /api/targets?since=%d&timeout_ms=%d HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n", since, wait.Milliseconds(), r.server.Addr())
 }
