--- /dev/null
+++ b/cmd/dahliarudder/background_test.go
@@ -0,0 +1,41 @@
+package main
+
+import (
+	"testing"
+	"time"
+)
+
+// TestBackgroundStop: what is queued at the stop is handled, all goroutines end, and one that is held up does not hold up the stop.
+func TestBackgroundStop(t *testing.T) {
+	b, queue, handled := newBackground(), make(chan int, 4), 0
+	first := make(chan struct{})
+	b.run(func(quit <-chan struct{}) {
+		consume(quit, queue, func(n int) {
+			if n == 0 {
+				close(first)
+				<-quit // so that the rest is still queued at the stop
+			}
+			handled++
+		})
+	})
+	for n := range 4 {
+		queue <- n
+	}
+	<-first
+	closed := false
+	b.stop(func() { closed = true })
+	b.wg.Wait() // the stop itself waits for a short time only
+	if handled != 4 || !closed {
+		t.Errorf("%d of 4 handled, closer called: %v", handled, closed)
+	}
+	b, held := newBackground(), make(chan struct{})
+	defer close(held)
+	b.run(func(<-chan struct{}) { <-held })
+	returned := make(chan struct{})
+	go func() { b.stop(); close(returned) }()
+	select {
+	case <-returned:
+	case <-time.After(time.Minute):
+		t.Error("a goroutine that is held up holds up the stop")
+	}
+}
--- a/cmd/dahliarudder/operator.go
+++ b/cmd/dahliarudder/operator.go
@@ -7,19 +7,16 @@
 	"dahliarudder/internal/handover"
 )
 
-// restoreEjections applies the ejections that an earlier process has stored, and starts the goroutine that writes them. That one is not
-// waited for at the end: a slow disk must not delay a shutdown, and the file is replaced atomically.
+// restoreEjections applies the ejections that an earlier process has stored, and starts the goroutine that writes them.
 func (r *relay) restoreEjections() error {
 	dir, err := ejections.StateDir(r.cfg.Name)
 	if err != nil {
 		return err
 	}
 	r.stateDir, r.ejections, r.ejectionWrites = dir, &ejections.File{Dir: dir}, make(chan func(), maxEjectionWrites)
-	go func() {
-		for write := range r.ejectionWrites {
-			write()
-		}
-	}()
+	r.background.run(func(quit <-chan struct{}) {
+		consume(quit, r.ejectionWrites, func(write func()) { write() })
+	})
 	if err := r.joinPredecessor(dir); err != nil {
 		return err
 	}
--- a/cmd/dahliarudder/relay.go
+++ b/cmd/dahliarudder/relay.go
@@ -23,6 +23,7 @@
 type relay struct {
 	cfg               *config.Config
 	signals           *signals
+	background        *background
 	log               *logrus.Logger
 	loop              *netloop.Loop
 	clock             func() time.Duration
--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -70,7 +70,7 @@
 	set := cfg.Decoded()
 	began := time.Now()
 	clock := func() time.Duration { return clockStart + time.Since(began) }
-	r := &relay{cfg: cfg, log: log, clock: clock, signals: caught, names: pool.MemberMapper{Settings: set, StartTimes: &pool.StartTimes{Clock: clock, WallClock: wallClock, MaxListingDelay: policy.Normalize(set.Policy()).MaxPollInterval}},
+	r := &relay{cfg: cfg, log: log, clock: clock, signals: caught, background: newBackground(), names: pool.MemberMapper{Settings: set, StartTimes: &pool.StartTimes{Clock: clock, WallClock: wallClock, MaxListingDelay: policy.Normalize(set.Policy()).MaxPollInterval}},
 		maxBufferBytes: int(cfg.Limits.MemoryMB * bufferMemoryFraction * (1 << 20))}
 	r.maxSockets = descriptorLimit(cfg) - reservedSockets - r.operatorDescriptors()
 	loop, err := netloop.New(clock, r.maxSockets)
@@ -81,19 +81,24 @@
 	loop.SetMemoryLimit(r.maxBufferBytes)
 	if err := r.build(); err != nil {
 		loop.Close()
+		r.stopBackground()
 		return errors.Join(err, r.closeStore())
 	}
 	loop.OnStall(r.core.PolicySettings().MaxPollInterval/suspensionFraction, r.afterSuspension)
 	if cfg.CountsMS > 0 {
 		r.logCounts(time.Duration(cfg.CountsMS*float64(time.Millisecond)), core.Counts{})
 	}
-	go func() {
-		<-caught.stop
-		loop.Post(r.stop)
-	}()
-	go r.watchReloads(caught.reload, reload)
+	r.background.run(func(quit <-chan struct{}) {
+		select {
+		case <-caught.stop:
+			loop.Post(r.stop)
+		case <-quit:
+		}
+	})
+	r.background.run(func(quit <-chan struct{}) { r.watchReloads(quit, caught.reload, reload) })
 	err = loop.Run()
 	r.fleet.Close()
+	r.stopBackground()
 	if err == nil && r.exitOrdered {
 		err = orderedExit(rollout.ExitOrderedRestart)
 	}
@@ -101,11 +106,25 @@
 	return errors.Join(err, r.closeStore())
 }
 
+// stopBackground ends all goroutines of this process but its loop.
+func (r *relay) stopBackground() {
+	if r.natsFront != nil {
+		r.background.stop(r.natsFront.Close)
+		return
+	}
+	r.background.stop()
+}
+
 // watchReloads reads the configuration again for each SIGHUP, on a goroutine of its own: a slow disk delays neither the loop nor a
-// shutdown. For that reason nothing waits for it at the end of the process.
-func (r *relay) watchReloads(hangups <-chan os.Signal, reload func(*config.Config) (*config.Config, error)) {
+// shutdown.
+func (r *relay) watchReloads(quit <-chan struct{}, hangups <-chan os.Signal, reload func(*config.Config) (*config.Config, error)) {
 	current := r.cfg
-	for range hangups {
+	for {
+		select {
+		case <-quit:
+			return
+		case <-hangups:
+		}
 		fresh, err := reload(current)
 		if err != nil {
 			r.log.WithError(err).Error("the old configuration stays")
--- a/cmd/dahliarudder/snapshot.go
+++ b/cmd/dahliarudder/snapshot.go
@@ -109,17 +109,15 @@
 }
 
 // writeSnapshots writes a snapshot at intervals, on a goroutine of its own: a slow disk blocks nobody, and while it is busy snapshots are
-// skipped. Nothing waits for that goroutine at the end: the file is replaced atomically.
+// skipped.
 func (r *relay) writeSnapshots(every time.Duration) {
 	c := r.recovery
-	go func() {
-		for b := range c.pending {
+	r.background.run(func(quit <-chan struct{}) {
+		consume(quit, c.pending, func(b []byte) {
 			err := snapshot.Write(c.dir, b)
-			r.loop.Post(func() {
-				r.onSnapshotWritten(err)
-			})
-		}
-	}()
+			r.loop.Post(func() { r.onSnapshotWritten(err) })
+		})
+	})
 	var write func()
 	write = func() {
 		if r.core.HasUsableMember() { // a relay that knows no member must not overwrite what it knew
--- a/internal/front/nats/client_auth.go
+++ b/internal/front/nats/client_auth.go
@@ -19,22 +19,33 @@
 
 // ReloadSecurity replaces the security files' content. Authenticated clients stay connected.
 func (f *Front) ReloadSecurity(s *Security) {
-	if f.security != nil && f.security.authQueue != nil {
-		close(f.security.authQueue) // its workers finish the queue and exit
-	}
+	f.stopAuthWorkers()
 	if s.authenticator != nil {
 		s.authQueue = make(chan func(), authQueueSize)
 		for range authWorkers {
-			go func() {
+			f.authWorkers.Go(func() {
 				for check := range s.authQueue {
 					check()
 				}
-			}()
+			})
 		}
 	}
 	f.security = s
 }
 
+// stopAuthWorkers closes the queue of the workers that check passwords: they finish it and exit.
+func (f *Front) stopAuthWorkers() {
+	if f.security != nil && f.security.authQueue != nil {
+		close(f.security.authQueue)
+	}
+}
+
+// Close ends the goroutines of the front once its loop has ended, and waits for them.
+func (f *Front) Close() {
+	f.stopAuthWorkers()
+	f.authWorkers.Wait()
+}
+
 // addSecurityInfo adds the TLS and authentication options to INFO.
 func (f *Front) addSecurityInfo(c *client, v map[string]any) {
 	if f.security.server != nil {
--- a/internal/front/nats/nats.go
+++ b/internal/front/nats/nats.go
@@ -7,6 +7,7 @@
 import (
 	"crypto/tls"
 	"hash/fnv"
+	"sync"
 	"time"
 
 	"github.com/sirupsen/logrus"
@@ -65,6 +66,7 @@
 	lameDuckSince time.Duration // when that began
 	Counts        Counts
 	security      *Security
+	authWorkers   sync.WaitGroup // checks passwords
 }
 
 // Counts counts the clients and messages that this front has rejected.
