--- a/cmd/dahliarudder/fleet_status.go
+++ b/cmd/dahliarudder/fleet_status.go
@@ -10,7 +10,7 @@
 )
 
 // stateNames are the names of discovery's states in the fleet record's status.
-var stateNames = map[policy.ServerState]string{policy.Ready: "ready", policy.Draining: "draining", policy.Gone: "gone"}
+var stateNames = map[policy.MemberState]string{policy.Ready: "ready", policy.Draining: "draining", policy.Gone: "gone"}
 
 // fleetStatus is the state of this relay that the fleet record compares with the agreed one.
 func (r *relay) fleetStatus() fleet.ObservedState {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -18,7 +18,7 @@
 
 // Member is a pool member.
 type Member struct {
-	policy.Server
+	policy.Endpoint
 	Name string
 	Addr string
 }
@@ -102,7 +102,7 @@
 	requests map[ID]*request
 	lastID   ID
 
-	members       map[policy.ServerID]*member
+	members       map[policy.MemberID]*member
 	byName        map[string]*member
 	ejections     map[string]bool    // by this relay's operators; also of members that are not listed
 	fleetRemovals map[string]Removal // by agreement of the fleet
@@ -144,7 +144,7 @@
 		Options:   o,
 		policyCfg: policy.Normalize(o.Settings.Policy()),
 		requests:  map[ID]*request{},
-		members:   map[policy.ServerID]*member{},
+		members:   map[policy.MemberID]*member{},
 		byName:    map[string]*member{},
 		feeds:     map[ID]*Feed{},
 		ejections: map[string]bool{},
@@ -171,7 +171,7 @@
 func (c *Core) IsActive(id ID) bool { return c.requests[id] != nil }
 
 // FlowCount is how many flows this relay holds at a member or is setting up there.
-func (c *Core) FlowCount(id policy.ServerID) int {
+func (c *Core) FlowCount(id policy.MemberID) int {
 	if m := c.members[id]; m != nil {
 		return m.flows
 	}
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -52,7 +52,7 @@
 	}
 	switch a.Kind {
 	case policy.ActionProbe:
-		c.sendProbe(a.Server)
+		c.sendProbe(a.Member)
 		return
 	case policy.ActionWatch:
 		c.Watch()
@@ -83,7 +83,7 @@
 	}
 }
 
-func (c *Core) sendProbe(server policy.ServerID) {
+func (c *Core) sendProbe(server policy.MemberID) {
 	m := c.members[server]
 	switch {
 	case m == nil:
@@ -91,7 +91,7 @@
 		c.Probe(&m.Member)
 	default:
 		c.Counts.Blocked++
-		c.notifyPolicy(policy.ProbeResult{Server: server, Result: policy.NotSent, Report: policy.NoReport})
+		c.notifyPolicy(policy.ProbeResult{Member: server, Result: policy.NotSent, Report: policy.NoReport})
 	}
 }
 
@@ -108,7 +108,7 @@
 }
 
 // Reachable is the same for fronts that start something new by themselves.
-func (c *Core) Reachable(id policy.ServerID) bool {
+func (c *Core) Reachable(id policy.MemberID) bool {
 	m := c.members[id]
 	return m != nil && !c.dispatchPaused && c.reachable(c.Clock(), m)
 }
@@ -123,7 +123,7 @@
 
 // dispatch starts an attempt as the policy decided, if the rules allow it.
 func (c *Core) dispatch(r *request, a policy.Action) {
-	now, m := c.Clock(), c.members[a.Server]
+	now, m := c.Clock(), c.members[a.Member]
 	r.policySends++
 	if c.answerPending(r.id) || !c.mayStart(now, r.state != placing, r.attempts, r.deadline, m) ||
 		!c.safeToRepeat(now, r, m) {
--- a/internal/core/dispatch_test.go
+++ b/internal/core/dispatch_test.go
@@ -136,11 +136,11 @@
 func TestSendWhileOpen(t *testing.T) {
 	h := newHarnessWith(t, classesText, testMembers(2, policy.Ready))
 	d := h.establishFlows(1)[0]
-	current := h.members[policy.ServerID(10)]
+	current := h.members[policy.MemberID(10)]
 	if d.member != current.Name {
-		current = h.members[policy.ServerID(11)]
+		current = h.members[policy.MemberID(11)]
 	}
-	h.execute(policy.Action{Kind: policy.ActionSend, ID: d.id, Server: 10})
+	h.execute(policy.Action{Kind: policy.ActionSend, ID: d.id, Member: 10})
 	if d.attempts != 1 || h.Counts.Blocked != 1 {
 		t.Fatalf("%d attempts, %d blocked", d.attempts, h.Counts.Blocked)
 	}
--- a/internal/core/feed_test.go
+++ b/internal/core/feed_test.go
@@ -344,7 +344,7 @@
 				tr.feed.MessageRejected(rng.Uint64N(3))
 			case 10:
 				i := rng.IntN(3)
-				members[i].State = []policy.ServerState{policy.Ready, policy.Draining}[rng.IntN(2)]
+				members[i].State = []policy.MemberState{policy.Ready, policy.Draining}[rng.IntN(2)]
 				h.UpdateMembers(policy.ListDelta, members[i:i+1])
 			case 11:
 				tr.blocked = !tr.blocked
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -19,7 +19,7 @@
 		rng := rand.New(rand.NewPCG(seed, 1))
 		h := newHarness(t, 4)
 		var requests []*downstream
-		states := []policy.ServerState{policy.Ready, policy.Ready, policy.Ready, policy.Draining, policy.Gone}
+		states := []policy.MemberState{policy.Ready, policy.Ready, policy.Ready, policy.Draining, policy.Gone}
 		results := []policy.Result{policy.OK, policy.Error, policy.Full, policy.ConnectFailed, policy.Reset}
 		for range min(steps, 2000) {
 			if rng.IntN(3) == 0 || len(requests) == 0 {
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -41,7 +41,7 @@
 	c.Counts.Requests++
 	c.Counts.Attempts++
 	c.recordAnswer(r, Served)
-	c.notifyPolicy(policy.ExistingFlow{Request: r.policyRequest(), Server: m.ID})
+	c.notifyPolicy(policy.ExistingFlow{Request: r.policyRequest(), Member: m.ID})
 	if !c.AcceptsClients() {
 		c.migrateAt(r, c.migrateNotBefore)
 	}
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -82,10 +82,10 @@
 }
 
 // testMembers returns the members m0, m1 and so on, whose server IDs count from 10.
-func testMembers(n int, state policy.ServerState) []Member {
+func testMembers(n int, state policy.MemberState) []Member {
 	members := make([]Member, n)
 	for i := range members {
-		members[i].Server = policy.Server{ID: policy.ServerID(10 + i), State: state, Weight: 1}
+		members[i].Endpoint = policy.Endpoint{ID: policy.MemberID(10 + i), State: state, Weight: 1}
 		members[i].Name = fmt.Sprint("m", i)
 	}
 	return members
@@ -182,7 +182,7 @@
 func (h *harness) wantNoFlowsInPolicy(when string) {
 	h.t.Helper()
 	h.UpdateMembers(policy.ListFull, nil)
-	if servers := h.facade.LearnedState(h.now).Servers; len(servers) != 0 {
+	if servers := h.facade.LearnedState(h.now).Members; len(servers) != 0 {
 		h.t.Errorf("%s: the policy still has flows at %v", when, servers)
 	}
 }
@@ -199,7 +199,7 @@
 func (d *downstream) answerText() string { return strings.Join(d.answers, ",") }
 
 // draining returns a member in the draining state.
-func (h *harness) draining(id policy.ServerID) Member {
+func (h *harness) draining(id policy.MemberID) Member {
 	m := h.members[id].Member
 	m.State = policy.Draining
 	return m
--- a/internal/core/idempotency.go
+++ b/internal/core/idempotency.go
@@ -16,7 +16,7 @@
 // firstRun is the first attempt of a request that may have run.
 type firstRun struct {
 	sentAt time.Duration
-	server policy.Server
+	server policy.Endpoint
 }
 
 // safeToRepeat reports whether an attempt may go to a member without the request taking effect twice.
--- a/internal/core/idempotency_test.go
+++ b/internal/core/idempotency_test.go
@@ -37,7 +37,7 @@
 				if afterWindow {
 					h.now += 900 * time.Millisecond
 				}
-				h.execute(policy.Action{Kind: policy.ActionSend, ID: d.id, Server: m.ID})
+				h.execute(policy.Action{Kind: policy.ActionSend, ID: d.id, Member: m.ID})
 				if ok := want[i] && (class == idempotentClass || !afterWindow); (d.attempts == 2) != ok {
 					t.Errorf("class %d at %s, after the window %v: %d attempts", class, m.Name, afterWindow, d.attempts)
 				}
--- a/internal/core/interleaving_test.go
+++ b/internal/core/interleaving_test.go
@@ -19,7 +19,7 @@
 var waitingRequests = map[string]func(t *testing.T) (h *harness, d *downstream, proceed func()){
 	"for a probe": func(t *testing.T) (*harness, *downstream, func()) {
 		h := newHarnessWith(t, probesText, testMembers(1, policy.Ready))
-		var probed []policy.ServerID
+		var probed []policy.MemberID
 		h.Probe = func(to *Member) { probed = append(probed, to.ID) }
 		d := h.openInClass(nonIdempotentClass, 2*time.Second)
 		if len(probed) == 0 || d.attempts != 0 {
--- a/internal/core/member_events.go
+++ b/internal/core/member_events.go
@@ -61,7 +61,7 @@
 		c.notifyPolicy(policy.CanaryGroup{})
 		return
 	}
-	c.notifyPolicy(policy.CanaryGroup{Assigned: assigned, Contains: func(id policy.ServerID) bool {
+	c.notifyPolicy(policy.CanaryGroup{Assigned: assigned, Contains: func(id policy.MemberID) bool {
 		m := c.members[id]
 		return m != nil && contains(&m.Member)
 	}})
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -15,10 +15,10 @@
 type member struct {
 	Member // as the policy knows it
 
-	listed           policy.Server // as discovery lists it
-	unavailable      bool          // it drains, is gone or is removed
-	unavailableSince time.Duration // when this relay learned that
-	joinedAt         time.Duration // when it was first listed, if that was a delta
+	listed           policy.Endpoint // as discovery lists it
+	unavailable      bool            // it drains, is gone or is removed
+	unavailableSince time.Duration   // when this relay learned that
+	joinedAt         time.Duration   // when it was first listed, if that was a delta
 
 	ejected           bool          // removed by operators or the fleet
 	startedAtEjection time.Duration // its start as listed when it was removed
@@ -39,8 +39,8 @@
 // UpdateMembers takes a list event of discovery.
 func (c *Core) UpdateMembers(kind policy.ListKind, list []Member) {
 	now := c.Clock()
-	servers := make([]policy.Server, len(list))
-	named := map[policy.ServerID]bool{}
+	servers := make([]policy.Endpoint, len(list))
+	named := map[policy.MemberID]bool{}
 	for i, e := range list {
 		named[e.ID] = true
 		m := c.members[e.ID]
@@ -51,10 +51,10 @@
 				m.joinedAt = now
 			}
 		}
-		m.Member, m.listed = e, e.Server
+		m.Member, m.listed = e, e.Endpoint
 		c.byName[e.Name] = m
 		c.refreshMember(now, m)
-		servers[i] = m.Server
+		servers[i] = m.Endpoint
 	}
 	if kind == policy.ListFull || kind == policy.ListCached {
 		for _, id := range slices.Sorted(maps.Keys(c.members)) {
@@ -64,13 +64,13 @@
 			}
 		}
 	}
-	c.notifyPolicy(policy.ServerList{Kind: kind, Servers: servers})
+	c.notifyPolicy(policy.EndpointList{Kind: kind, Endpoints: servers})
 }
 
 // refreshMember derives the effective state of a member from the list and from removals. A removed member counts as
 // draining; a reinstated one has started at that moment, unless discovery lists a start since the removal.
 func (c *Core) refreshMember(now time.Duration, m *member) {
-	m.Server = m.listed
+	m.Endpoint = m.listed
 	if m.reinstatedAt > 0 && m.Started <= m.startedAtEjection {
 		m.Started = m.reinstatedAt
 	}
@@ -90,7 +90,7 @@
 // notifyMemberChange tells the policy that a removal has changed a member.
 func (c *Core) notifyMemberChange(m *member) {
 	c.refreshMember(c.Clock(), m)
-	c.notifyPolicy(policy.ServerList{Kind: policy.ListDelta, Servers: []policy.Server{m.Server}})
+	c.notifyPolicy(policy.EndpointList{Kind: policy.ListDelta, Endpoints: []policy.Endpoint{m.Endpoint}})
 }
 
 // IsKnownMember reports whether a member of that name is or was in the pool, or is removed.
@@ -100,7 +100,7 @@
 type MemberStatus struct {
 	Name                string
 	Zone                int
-	State               policy.ServerState // as discovery lists it
+	State               policy.MemberState // as discovery lists it
 	Started             time.Duration
 	Removed             bool // by operators or the fleet
 	Flows               int
@@ -110,7 +110,7 @@
 
 // Members is the status of all members that are listed or hold flows, by name.
 func (c *Core) Members() (all []MemberStatus) {
-	learned := c.facade.LearnedState(c.Clock()).Servers
+	learned := c.facade.LearnedState(c.Clock()).Members
 	for _, name := range slices.Sorted(maps.Keys(c.byName)) {
 		m := c.byName[name]
 		v := MemberStatus{Name: name, Zone: m.Zone, State: m.listed.State, Started: m.listed.Started,
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -36,7 +36,7 @@
 	opening             *modelClient // whose Open has not returned
 	members             []*modelMember
 	byName              map[string]*modelMember
-	pendingProbes       []policy.ServerID
+	pendingProbes       []policy.MemberID
 	notReady            bool // the recorder refuses
 	paused              bool
 	resuming            bool          // ResumeDispatch has not returned
@@ -96,7 +96,7 @@
 		}})
 	for i := range 6 {
 		member := &modelMember{Member: Member{Name: fmt.Sprint("m", i), Addr: fmt.Sprint("127.0.0.1:", 1000+i),
-			Server: policy.Server{ID: policy.ServerID(10 + i), Zone: i % 2, Cell: 1 + i%4, Weight: 1, State: policy.Gone}}}
+			Endpoint: policy.Endpoint{ID: policy.MemberID(10 + i), Zone: i % 2, Cell: 1 + i%4, Weight: 1, State: policy.Gone}}}
 		m.members = append(m.members, member)
 		m.byName[member.Name] = member
 	}
@@ -229,7 +229,7 @@
 	var listed []Member
 	for _, member := range m.members {
 		if m.draw(3, "listed") == 0 == (kind == policy.ListDelta) { // a third of them in a delta, two thirds in a full list
-			member.State = []policy.ServerState{policy.Ready, policy.Ready, policy.Ready, policy.Draining, policy.Gone}[m.draw(5, "state")]
+			member.State = []policy.MemberState{policy.Ready, policy.Ready, policy.Ready, policy.Draining, policy.Gone}[m.draw(5, "state")]
 			if m.draw(6, "restart") == 0 {
 				member.Started, member.State = m.now, policy.Ready
 			}
@@ -411,7 +411,7 @@
 	if m.draw(2, "send") == 0 {
 		kind = policy.ActionKind(m.draw(int(policy.ActionWait)+1, "kind"))
 	}
-	action := policy.Action{Kind: kind, ID: c.id, Server: policy.ServerID(10 + m.draw(7, "member")),
+	action := policy.Action{Kind: kind, ID: c.id, Member: policy.MemberID(10 + m.draw(7, "member")),
 		Attempt: m.draw(4, "attempt"), Duration: time.Duration(m.draw(900, "duration")) * time.Millisecond}
 	m.core.apply([]policy.Action{action})
 }
@@ -522,7 +522,7 @@
 		m.Fatalf("left behind: %d paused sends, %d timers, %d actions, %d requests", len(m.core.pausedActions), len(m.core.timers), len(m.core.pendingActions), len(m.core.requests))
 	}
 	m.core.UpdateMembers(policy.ListFull, nil)
-	if servers := m.core.LearnedState().Policy.Servers; len(servers) > 0 && !m.faultyPolicy { // it keeps an unlisted server only for its open flows
+	if servers := m.core.LearnedState().Policy.Members; len(servers) > 0 && !m.faultyPolicy { // it keeps an unlisted server only for its open flows
 		m.Fatalf("the policy still has flows at %v", servers)
 	}
 }
--- a/internal/core/removals_test.go
+++ b/internal/core/removals_test.go
@@ -29,7 +29,7 @@
 	if h.Open(Request{CurrentMember: "m0", TimeLeft: time.Second}, resumed); resumed.attempts != 0 || len(resumed.answers) != 1 || resumed.answers[0] != "rejected" {
 		t.Errorf("a resumed flow of an ejected member: %d attempts, answers %v", resumed.attempts, resumed.answers)
 	}
-	h.execute(policy.Action{Kind: policy.ActionProbe, Server: 10})
+	h.execute(policy.Action{Kind: policy.ActionProbe, Member: 10})
 	if probed != 0 || h.Reachable(10) {
 		t.Error("an ejected member was probed")
 	}
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -75,7 +75,7 @@
 		c.emitMemberEvent(r, r.member, FlowEstablished, c.Clock()-r.sentAt)
 	}
 	if r.preexisting {
-		c.notifyPolicy(policy.ExistingFlow{Request: r.policyRequest(), Server: r.member.ID})
+		c.notifyPolicy(policy.ExistingFlow{Request: r.policyRequest(), Member: r.member.ID})
 	} else {
 		c.notifyPolicy(policy.FlowEstablished{ID: id})
 	}
@@ -161,7 +161,7 @@
 	m, attempt := r.member, r.attempts-1
 	r.member = nil
 	if r.firstRun == nil && mayHaveRun(result) {
-		r.firstRun = &firstRun{r.sentAt, m.Server}
+		r.firstRun = &firstRun{r.sentAt, m.Endpoint}
 	}
 	m.flows--
 	if result != policy.OK || was == attempting { // an open flow was counted when it was established
@@ -176,6 +176,6 @@
 	if r.preexisting && was != serving { // the policy does not know of it
 		return
 	}
-	c.notifyPolicy(policy.AttemptEnded{ID: r.id, Attempt: r.policySends - 1, Server: m.ID, Result: result,
+	c.notifyPolicy(policy.AttemptEnded{ID: r.id, Attempt: r.policySends - 1, Member: m.ID, Result: result,
 		Final: r.state.final(), Report: report})
 }
--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -40,7 +40,7 @@
 	h := newHarnessWith(t, classesText, testMembers(4, policy.Ready))
 	h.PauseDispatch()
 	d := h.openInClass(idempotentClass, 2*time.Second)
-	blocked := h.pausedActions[0].Server
+	blocked := h.pausedActions[0].Member
 	h.UpdateMembers(policy.ListDelta, []Member{h.draining(blocked)})
 	h.ResumeDispatch()
 	if h.Counts.Blocked != 1 || d.inFlight != 1 {
--- a/internal/front/line/attempt_test.go
+++ b/internal/front/line/attempt_test.go
@@ -109,7 +109,7 @@
 			for g.Core.ActiveRequests() > 0 {
 				out := 0
 				for i := range g.servers {
-					out += g.Core.FlowCount(policy.ServerID(i + 1))
+					out += g.Core.FlowCount(policy.MemberID(i + 1))
 				}
 				if out > 1 {
 					t.Fatalf("%d attempts are out", out)
--- a/internal/front/line/client_leave_test.go
+++ b/internal/front/line/client_leave_test.go
@@ -166,7 +166,7 @@
 	at := -1
 	g.WaitFor("an attempt", func() bool {
 		for i := range g.servers {
-			if g.Core.FlowCount(policy.ServerID(i+1)) > 0 {
+			if g.Core.FlowCount(policy.MemberID(i+1)) > 0 {
 				at = i
 			}
 		}
@@ -186,7 +186,7 @@
 		leave(c)
 		g.WaitFor("the client's end", func() bool { return len(g.f.requests) == 0 })
 		for i, p := range g.servers {
-			if g.f.healthChecks[policy.ServerID(i+1)] != nil {
+			if g.f.healthChecks[policy.MemberID(i+1)] != nil {
 				m := p.Accept()
 				m.ExpectLines("STATS")
 				m.Send("PONG x0=0.1\r\n")
--- a/internal/front/line/crossing_test.go
+++ b/internal/front/line/crossing_test.go
@@ -58,7 +58,7 @@
 	case 3, 4, 5, 6:
 		x.answerLastAttempt()
 	case 7:
-		x.setMemberState(x.rng.IntN(2), []policy.ServerState{policy.Ready, policy.Draining, policy.Gone}[x.rng.IntN(3)])
+		x.setMemberState(x.rng.IntN(2), []policy.MemberState{policy.Ready, policy.Draining, policy.Gone}[x.rng.IntN(3)])
 	case 8:
 		x.Core.PauseDispatch()
 		x.doubting = true
--- a/internal/front/line/health_check.go
+++ b/internal/front/line/health_check.go
@@ -21,7 +21,7 @@
 // healthCheck is the connection on which the health of one member is checked.
 type healthCheck struct {
 	front *Front
-	id    policy.ServerID
+	id    policy.MemberID
 	addr  string
 	conn  *netloop.Conn
 	state healthCheckState
--- a/internal/front/line/line.go
+++ b/internal/front/line/line.go
@@ -39,7 +39,7 @@
 	idle             map[*clientConn]struct{} // no request has come yet
 	requests         map[uint64]*clientConn   // by the client's id, from its first line to its end
 	remoteIDs        map[uint64]bool          // client ids of the open requests of another process of this relay
-	healthChecks     map[policy.ServerID]*healthCheck
+	healthChecks     map[policy.MemberID]*healthCheck
 	rejections       [causeCount]rejectionCount
 }
 
@@ -48,7 +48,7 @@
 	f := &Front{Loop: loop, Core: c, Log: log, connectTimeout: c.PolicySettings().ConnectTimeout,
 		checkIdleTimeout: time.Duration(checkIdleFraction * float64(cmp.Or(settings.Duration(c.Settings.Limits.Keepalive), defaultKeepalive))),
 		flows:            map[*clientConn]struct{}{}, idle: map[*clientConn]struct{}{}, remoteIDs: map[uint64]bool{},
-		requests: map[uint64]*clientConn{}, healthChecks: map[policy.ServerID]*healthCheck{}}
+		requests: map[uint64]*clientConn{}, healthChecks: map[policy.MemberID]*healthCheck{}}
 	loop.After(sweepInterval, f.sweep)
 	return f
 }
--- a/internal/front/line/rig_test.go
+++ b/internal/front/line/rig_test.go
@@ -45,7 +45,7 @@
 func (g *rig) addMember(addr string) {
 	n := len(g.Members) + 1
 	m := core.Member{Name: "s-" + strings.Repeat("0", 7) + string(rune('0'+n)), Addr: addr}
-	m.ID, m.State, m.Weight = policy.ServerID(n), policy.Ready, 1
+	m.ID, m.State, m.Weight = policy.MemberID(n), policy.Ready, 1
 	g.Members = append(g.Members, m)
 	g.Core.UpdateMembers(policy.ListFull, g.Members)
 }
@@ -78,7 +78,7 @@
 }
 
 // setMemberState has discovery report a member's state.
-func (g *rig) setMemberState(member int, state policy.ServerState) {
+func (g *rig) setMemberState(member int, state policy.MemberState) {
 	g.Members[member].State = state
 	g.Core.UpdateMembers(policy.ListDelta, g.Members[member:member+1])
 }
--- a/internal/front/nats/health_check.go
+++ b/internal/front/nats/health_check.go
@@ -17,7 +17,7 @@
 // healthCheck is one health check of a member, on a connection of its own.
 type healthCheck struct {
 	front  *Front
-	id     policy.ServerID
+	id     policy.MemberID
 	addr   string
 	conn   *netloop.Conn
 	sentAt time.Duration
--- a/internal/front/nats/info.go
+++ b/internal/front/nats/info.go
@@ -61,7 +61,7 @@
 }
 
 // updateMemberInfo records a member's INFO. If that changes what clients may do, they get INFO again.
-func (f *Front) updateMemberInfo(id policy.ServerID, info []byte) {
+func (f *Front) updateMemberInfo(id policy.MemberID, info []byte) {
 	received := &memberInfo{}
 	if json.Unmarshal(info, received) != nil {
 		return
--- a/internal/front/nats/nats.go
+++ b/internal/front/nats/nats.go
@@ -56,10 +56,10 @@
 
 	clients       map[*client]struct{}
 	proxied       map[string]*proxiedRequest // requests that proxies carry themselves, by requestKey
-	healthChecks  map[policy.ServerID]*healthCheck
+	healthChecks  map[policy.MemberID]*healthCheck
 	routes        []route
 	loadEstimate  *loadestimate.Estimator
-	memberInfos   map[policy.ServerID]*memberInfo
+	memberInfos   map[policy.MemberID]*memberInfo
 	advertised    advertisedInfo
 	lastClientID  uint64
 	lameDuck      bool          // the relay shuts down or is drained
@@ -85,7 +85,7 @@
 func New(loop *netloop.Loop, c *core.Core, log logrus.FieldLogger, name string, cfg Config, sec *Security) *Front {
 	cfg.setDefaults()
 	f := &Front{Loop: loop, Core: c, Log: log, Config: cfg, Name: name, clients: map[*client]struct{}{}, proxied: map[string]*proxiedRequest{},
-		healthChecks: map[policy.ServerID]*healthCheck{}, memberInfos: map[policy.ServerID]*memberInfo{},
+		healthChecks: map[policy.MemberID]*healthCheck{}, memberInfos: map[policy.MemberID]*memberInfo{},
 		loadEstimate: loadestimate.New(cfg.MemberFlows, c.PolicySettings().Balancers), advertised: advertisedInfo{maxPayload: cfg.MaxPayload}}
 	for _, r := range append(cfg.Routes, Route{">", cfg.Class, cfg.Tenant}) {
 		resolved := route{subject: r.Subject}
--- a/internal/loadestimate/estimator.go
+++ b/internal/loadestimate/estimator.go
@@ -26,7 +26,7 @@
 type Estimator struct {
 	Capacity float64 // flows that fill a member
 	Relays   float64 // that are assumed to hold as many flows as this one
-	members  map[policy.ServerID]*memberEstimate
+	members  map[policy.MemberID]*memberEstimate
 }
 
 // memberEstimate is what is known of a member, in seconds.
@@ -35,11 +35,11 @@
 // New makes an Estimator.
 func New(capacity, relays int) *Estimator {
 	return &Estimator{Capacity: max(float64(capacity), 1), Relays: max(float64(relays), 1),
-		members: map[policy.ServerID]*memberEstimate{}}
+		members: map[policy.MemberID]*memberEstimate{}}
 }
 
 // ObserveLatency takes how long a member took for an answer.
-func (e *Estimator) ObserveLatency(id policy.ServerID, latency time.Duration) {
+func (e *Estimator) ObserveLatency(id policy.MemberID, latency time.Duration) {
 	t := latency.Seconds()
 	m := e.members[id]
 	if m == nil {
@@ -54,7 +54,7 @@
 }
 
 // Forget drops members that are not known any more.
-func (e *Estimator) Forget(known func(policy.ServerID) bool) {
+func (e *Estimator) Forget(known func(policy.MemberID) bool) {
 	for id := range e.members {
 		if !known(id) {
 			delete(e.members, id)
@@ -64,7 +64,7 @@
 
 // Report is the estimated load report of a member: the flows of all relays against its
 // capacity, and the lateness of its answers as its backlog.
-func (e *Estimator) Report(id policy.ServerID, flows int) policy.Report {
+func (e *Estimator) Report(id policy.MemberID, flows int) policy.Report {
 	r := policy.NoReport
 	r.Load, r.Backlog = float64(flows)*e.Relays/e.Capacity, 0
 	if m := e.members[id]; m != nil {
--- a/internal/loadestimate/estimator_test.go
+++ b/internal/loadestimate/estimator_test.go
@@ -32,7 +32,7 @@
 	if r := e.Report(1, 0); r.Backlog > 0.001 {
 		t.Errorf("backlog %v after low latencies", r.Backlog)
 	}
-	e.Forget(func(policy.ServerID) bool { return false })
+	e.Forget(func(policy.MemberID) bool { return false })
 	if len(e.members) != 0 {
 		t.Error("a forgotten member is still known")
 	}
--- a/internal/netloop/looptest/relay.go
+++ b/internal/netloop/looptest/relay.go
@@ -56,7 +56,7 @@
 	for i := range members {
 		s := b.Listen()
 		m := core.Member{Name: fmt.Sprintf("s-%08x", i+1), Addr: s.Addr()}
-		m.ID, m.State, m.Weight = policy.ServerID(i+1), policy.Ready, 1
+		m.ID, m.State, m.Weight = policy.MemberID(i+1), policy.Ready, 1
 		r.Members, r.servers = append(r.Members, m), append(r.servers, s)
 	}
 	r.Core.UpdateMembers(policy.ListCached, r.Members)
--- a/internal/pool/endpoint_list.go
+++ b/internal/pool/endpoint_list.go
@@ -57,7 +57,7 @@
 	StartTimes *StartTimes
 }
 
-var lifecycleStates = map[string]policy.ServerState{
+var lifecycleStates = map[string]policy.MemberState{
 	"SERVING": policy.Ready, "DRAINING": policy.Draining, "DELETED": policy.Gone,
 }
 
@@ -96,13 +96,13 @@
 
 // DeriveServerID is the member's number in the decision module. It depends on the name alone, so that all relays partition
 // the members alike: the eight hexadecimal digits that end it, or a hash.
-func DeriveServerID(name string) policy.ServerID {
+func DeriveServerID(name string) policy.MemberID {
 	if i := strings.LastIndexByte(name, '-'); len(name)-i-1 == 8 {
 		if n, err := strconv.ParseUint(name[i+1:], 16, 32); err == nil {
-			return policy.ServerID(n)
+			return policy.MemberID(n)
 		}
 	}
 	h := fnv.New32a()
 	h.Write([]byte(name))
-	return policy.ServerID(h.Sum32())
+	return policy.MemberID(h.Sum32())
 }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -20,7 +20,7 @@
 func testSnapshot() *Snapshot {
 	return &Snapshot{Name: "n1", Written: testTime.UnixMilli(), Boot: "b1", Up: int64(time.Hour), DiscoveryAddr: "127.0.0.1:1", Peers: []string{"127.0.0.1:2"},
 		List: &pool.EndpointList{Generation: 7, Full: true, Instances: []pool.Instance{{ID: "s-1", Lifecycle: "SERVING", Weight: 1}}},
-		Learned: core.LearnedState{Policy: policy.LearnedState{MeanLoad: 0.03, ZoneFill: []float64{0.4}, AdmissionRate: 0.2, Servers: map[policy.ServerID]policy.LearnedServer{
+		Learned: core.LearnedState{Policy: policy.LearnedState{MeanLoad: 0.03, ZoneFill: []float64{0.4}, AdmissionRate: 0.2, Members: map[policy.MemberID]policy.LearnedMember{
 			5: {Capacity: 40, Reports: 9, Load: 0.5, Age: time.Second, Failures: 3, Ejected: true, Backoff: 3 * time.Second, Uptime: 4 * time.Second}}},
 			ReinstatedAges: map[string]time.Duration{"s-1": time.Second}}}
 }
@@ -80,7 +80,7 @@
 			if err != nil {
 				return
 			}
-			m := s.Learned.Policy.Servers[5]
+			m := s.Learned.Policy.Members[5]
 			expired := c.age > limits.Transient
 			if (s.List == nil) != (c.generation >= 7) || age < 0 || m.Ejected == expired || (m.Load < 0) != expired || (s.Learned.Policy.AdmissionRate == 1) != expired ||
 				m.Capacity != 40 || m.Uptime != 4*time.Second || m.Backoff != max(3*time.Second-age, 0) || s.Learned.Policy.Age != age {
@@ -98,7 +98,7 @@
 	for _, step := range []time.Duration{0, 2 * time.Second, -2 * time.Second, time.Hour, -time.Hour, 48 * time.Hour} {
 		s := testSnapshot()
 		age, _, err := s.Validate(Clocks{testTime.Add(down + step), "b1", time.Hour + down}, "n1", 6, limits)
-		m := s.Learned.Policy.Servers[5]
+		m := s.Learned.Policy.Members[5]
 		if err != nil || age != down || m.Uptime != 4*time.Second+down || s.Learned.ReinstatedAges["s-1"] != time.Second+down || m.Backoff != time.Second {
 			t.Errorf("clock stepped by %v: %v, age %v, %+v, reinstated %v", step, err, age, m, s.Learned.ReinstatedAges)
 		}
@@ -106,7 +106,7 @@
 		if _, _, err := s.Validate(Clocks{testTime.Add(down + step), "b2", down}, "n1", 6, limits); err != nil {
 			continue
 		}
-		if m := s.Learned.Policy.Servers[5]; m.Uptime != 4*time.Second || s.Learned.ReinstatedAges["s-1"] != time.Second {
+		if m := s.Learned.Policy.Members[5]; m.Uptime != 4*time.Second || s.Learned.ReinstatedAges["s-1"] != time.Second {
 			t.Errorf("rebooted, clock stepped by %v: %+v, reinstated %v", step, m, s.Learned.ReinstatedAges)
 		}
 	}
--- a/internal/snapshot/validity.go
+++ b/internal/snapshot/validity.go
@@ -102,8 +102,8 @@
 func (s *Snapshot) addAge(age, certainAge time.Duration, expired bool) {
 	p := &s.Learned.Policy
 	p.Age += age
-	p.Servers = maps.Clone(p.Servers)
-	for id, m := range p.Servers {
+	p.Members = maps.Clone(p.Members)
+	for id, m := range p.Members {
 		m.Backoff = max(m.Backoff-age, 0)
 		if expired {
 			m.Failures, m.Ejected, m.Backoff, m.Load = 0, false, 0, noLoad
@@ -112,7 +112,7 @@
 		if m.Uptime > 0 {
 			m.Uptime += certainAge
 		}
-		p.Servers[id] = m
+		p.Members[id] = m
 	}
 	for name, sinceReinstated := range s.Learned.ReinstatedAges {
 		s.Learned.ReinstatedAges[name] = sinceReinstated + certainAge
--- a/internal/wire/encoder.go
+++ b/internal/wire/encoder.go
@@ -57,7 +57,7 @@
 }
 
 // Send implements policy.Executor, as do the methods below.
-func (e *Encoder) Send(id policy.RequestID, server policy.ServerID, timeout time.Duration) {
+func (e *Encoder) Send(id policy.RequestID, server policy.MemberID, timeout time.Duration) {
 	e.beginAction(acSend)
 	e.u64(uint64(id))
 	e.ms(timeout)
@@ -91,7 +91,7 @@
 }
 
 // Probe writes a probe.
-func (e *Encoder) Probe(server policy.ServerID) {
+func (e *Encoder) Probe(server policy.MemberID) {
 	e.beginAction(acProbe)
 	e.u32(uint32(server))
 }
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -89,11 +89,11 @@
 	if c.truncated {
 		return nil
 	}
-	var servers []policy.Server
+	var servers []policy.Endpoint
 	if kind != policy.ListFailed {
 		servers = d.serverLists[list]
 	}
-	b.UpdateServers(now, kind, servers)
+	b.UpdateEndpoints(now, kind, servers)
 	return nil
 }
 
@@ -116,13 +116,13 @@
 	load := c.f64()
 	q.Group = c.u64()
 	q.setFlags(c.u16(), load)
-	if server := policy.ServerID(c.u32()); !c.truncated {
+	if server := policy.MemberID(c.u32()); !c.truncated {
 		b.AddExisting(now, policy.Request(q), server)
 	}
 }
 
 func (d *Decoder) decodeProbeResult(c *cursor, b *policy.Balancer, id uint16, now time.Duration) error {
-	server := policy.ServerID(c.u32())
+	server := policy.MemberID(c.u32())
 	result, err := c.result()
 	c.skip(8)
 	report := c.report(d.reportNames[id])
@@ -156,7 +156,7 @@
 	o.Result = result
 	o.Final = c.u8() != 0
 	o.Attempt = int(c.u8())
-	o.Server = policy.ServerID(c.u32())
+	o.Member = policy.MemberID(c.u32())
 	o.Report = c.report(d.reportNames[id])
 	if err == nil && !c.truncated {
 		b.AttemptEnded(now, o)
@@ -176,10 +176,10 @@
 	if uint64(n)*entrySize > uint64(len(c.data)) {
 		return fmt.Errorf("%w: %d list entries in %d bytes", ErrMalformed, n, len(c.data))
 	}
-	list := make([]policy.Server, n)
+	list := make([]policy.Endpoint, n)
 	for i := range list {
 		e := &list[i]
-		e.ID, e.Zone, e.Kind, e.Cell = policy.ServerID(c.u32()), int(c.u8()), int(c.u8()), int(c.u16())
+		e.ID, e.Zone, e.Kind, e.Cell = policy.MemberID(c.u32()), int(c.u8()), int(c.u8()), int(c.u16())
 		state, known := states[c.u8()]
 		if !known {
 			return fmt.Errorf("%w: unknown server state", ErrMalformed)
@@ -197,7 +197,7 @@
 	0: policy.ListFailed, 1: policy.ListDelta, 3: policy.ListFull, 4: policy.ListCached,
 }
 
-var states = map[uint8]policy.ServerState{0: policy.Gone, 1: policy.Ready, 2: policy.Draining}
+var states = map[uint8]policy.MemberState{0: policy.Gone, 1: policy.Ready, 2: policy.Draining}
 
 var results = [...]policy.Result{
 	0: policy.Error, 1: policy.OK, 2: policy.Full, 3: policy.Timeout,
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -78,7 +78,7 @@
 type Decoder struct {
 	r           io.Reader
 	buf         []byte
-	serverLists [maxLists][]policy.Server
+	serverLists [maxLists][]policy.Endpoint
 	reportNames map[uint16][]string // names of the report values, of each instance
 	encoder     *Encoder
 }
--- a/policy/api.go
+++ b/policy/api.go
@@ -9,8 +9,8 @@
 
 import "time"
 
-// ServerID names a server. It is the same at every proxy and carries no meaning.
-type ServerID uint32
+// MemberID identifies a member of the pool. It is the same at every proxy.
+type MemberID uint32
 
 // RequestID names a request; it must be under 1<<52 and never be used again.
 type RequestID uint64
@@ -92,23 +92,23 @@
 	ProbePrice     float64
 }
 
-// ServerState is the state of a server in the server list.
-type ServerState int
+// MemberState is the state of a member in the endpoint list.
+type MemberState int
 
 // The states of a server.
 const (
-	Gone ServerState = iota
+	Gone MemberState = iota
 	Ready
 	Draining
 )
 
-// Server is one entry of the server list.
-type Server struct {
-	ID      ServerID
+// Endpoint is one entry of the endpoint list: a member of the pool as discovery describes it.
+type Endpoint struct {
+	ID      MemberID
 	Zone    int
 	Kind    int
 	Cell    int
-	State   ServerState
+	State   MemberState
 	Weight  float64       // relative size; a rough guide
 	Started time.Duration // time of the latest start; 0 if long ago
 }
@@ -167,7 +167,7 @@
 type Outcome struct {
 	ID      RequestID
 	Attempt int // attempts are numbered from 0 in the order of Send
-	Server  ServerID
+	Member  MemberID
 	Result  Result
 	Final   bool // the request has its final answer, by this outcome or before
 	Report  Report
@@ -176,7 +176,7 @@
 // Executor carries out the decisions of a Balancer.
 type Executor interface {
 	// Send starts an attempt. A timeout of 0 lasts until the client gives up.
-	Send(id RequestID, server ServerID, timeout time.Duration)
+	Send(id RequestID, member MemberID, timeout time.Duration)
 	// Reject is a final answer by which a retry of the client is harmless.
 	Reject(id RequestID, retryAfter time.Duration)
 	// Fail is a final answer without any promise.
@@ -186,7 +186,7 @@
 	// Migrate ends an open connection gracefully; its client reconnects.
 	Migrate(id RequestID)
 	// Probe requests a load report of a server.
-	Probe(server ServerID)
+	Probe(member MemberID)
 	// Timer requests a Timer event after the delay.
 	Timer(delay time.Duration, token uint64)
 	// Watch subscribes to the server list and its changes.
--- a/policy/arrival.go
+++ b/policy/arrival.go
@@ -24,16 +24,16 @@
 }
 
 // AddExisting takes a connection that was open through this proxy at its start.
-func (b *Balancer) AddExisting(now time.Duration, q Request, id ServerID) {
+func (b *Balancer) AddExisting(now time.Duration, q Request, id MemberID) {
 	if b.requests[q.ID] != nil {
 		return
 	}
 	r := b.newRequest(now, q)
 	r.attempts, r.established, r.answered = 1, true, true
 	b.probeTokens += b.probeAllowance() // it was a request once, and its server is to be probed all the same
-	if s := b.byID[id]; s != nil {
-		b.attach(now, r, s)
-		s.pendingPlacements = nil // the server's reports include it already
+	if m := b.byID[id]; m != nil {
+		b.attach(now, r, m)
+		m.pendingPlacements = nil // the server's reports include it already
 	} else {
 		delete(b.requests, q.ID)
 	}
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -5,20 +5,20 @@
 // This file holds the rules on attempts and final answers: every one of them goes through here.
 
 // maySendTo reports whether the rules allow an attempt on the server now.
-func (r *request) maySendTo(b *Balancer, now time.Duration, s *server) bool {
-	if r.answered || r.inFlight || r.attempts >= b.cfg.MaxAttempts || now >= r.Deadline || s.State != Ready {
+func (r *request) maySendTo(b *Balancer, now time.Duration, m *member) bool {
+	if r.answered || r.inFlight || r.attempts >= b.cfg.MaxAttempts || now >= r.Deadline || m.State != Ready {
 		return false
 	}
-	if !r.mayHaveRun || s.inCanary != r.canary {
-		return s.inCanary == r.canary
+	if !r.mayHaveRun || m.inCanary != r.canary {
+		return m.inCanary == r.canary
 	}
 	switch c := b.cfg.Classes[r.Class]; c.Idempotency {
 	case Idempotent:
 		return true
 	case IdempotencyKey:
 		return now < r.firstRunAt+c.DedupWindow &&
-			(c.Scope == ScopeAll || c.Scope == ScopeZone && s.Zone == r.firstRunOn.Zone ||
-				c.Scope == ScopeCell && s.Cell == r.firstRunOn.Cell)
+			(c.Scope == ScopeAll || c.Scope == ScopeZone && m.Zone == r.firstRunOn.Zone ||
+				c.Scope == ScopeCell && m.Cell == r.firstRunOn.Cell)
 	}
 	return false
 }
@@ -31,8 +31,8 @@
 }
 
 // send starts an attempt if the rules allow it.
-func (b *Balancer) send(now time.Duration, r *request, s *server, foreign bool) {
-	if !r.maySendTo(b, now, s) {
+func (b *Balancer) send(now time.Duration, r *request, m *member, foreign bool) {
+	if !r.maySendTo(b, now, m) {
 		return
 	}
 	left := r.Deadline - now
@@ -44,17 +44,17 @@
 	r.attempts++
 	r.inFlight = true
 	r.foreign = foreign
-	r.triedServers = append(r.triedServers, s.ID)
+	r.triedMembers = append(r.triedMembers, m.ID)
 	if !r.mayHaveRun {
-		r.firstRunAt, r.firstRunOn = now, s.Server
+		r.firstRunAt, r.firstRunOn = now, m.Endpoint
 	}
-	s.slowStartTokens -= b.loadOf(r) / b.unitLoad()
-	s.slowStartSent += b.loadOf(r) / b.unitLoad()
-	b.attach(now, r, s)
+	m.slowStartTokens -= b.loadOf(r) / b.unitLoad()
+	m.slowStartSent += b.loadOf(r) / b.unitLoad()
+	b.attach(now, r, m)
 	if !foreign {
 		b.adaptLending(r, lendStep*lendTolerance)
 	}
-	b.executor.Send(r.ID, s.ID, timeout)
+	b.executor.Send(r.ID, m.ID, timeout)
 }
 
 // finish gives the final answer that the rules allow, to a request that has none.
@@ -79,7 +79,7 @@
 
 // forget drops a request once it is answered and none of its attempts is in flight.
 func (b *Balancer) forget(r *request) {
-	if r.answered && r.server == nil {
+	if r.answered && r.member == nil {
 		delete(b.requests, r.ID)
 	}
 }
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -33,8 +33,8 @@
 			set.Classes[0].Idempotency, set.Classes[0].Scope = tt.idempotency, tt.scope
 			h := newHarness(set, fleet(20, 2))
 			id := h.submit(Request{Load: 0.1})
-			first := h.byID[h.serverOf(id)].Server
-			h.AttemptEnded(h.now, Outcome{ID: id, Server: first.ID, Result: tt.result, Report: NoReport})
+			first := h.byID[h.memberOf(id)].Endpoint
+			h.AttemptEnded(h.now, Outcome{ID: id, Member: first.ID, Result: tt.result, Report: NoReport})
 			h.admissionRate = 1 // TestAdmissionRate tests that
 			h.answerProbes()
 			h.fireTimers(400 * ms)
@@ -43,7 +43,7 @@
 			}
 			mayHaveRun := tt.result != Full && tt.result != ConnectFailed
 			for range 10 {
-				current := h.byID[h.serverOf(id)].Server
+				current := h.byID[h.memberOf(id)].Endpoint
 				if mayHaveRun && tt.idempotency == IdempotencyKey && (tt.scope == ScopeZone && current.Zone != first.Zone ||
 					tt.scope == ScopeCell && current.Cell != first.Cell) {
 					t.Fatalf("sent to zone %d cell %d after zone %d cell %d", current.Zone, current.Cell, first.Zone, first.Cell)
@@ -51,7 +51,7 @@
 				if h.answers[id] != "" {
 					break
 				}
-				h.AttemptEnded(h.now, Outcome{ID: id, Attempt: h.requests[id].attempts - 1, Server: current.ID, Result: tt.result, Report: NoReport})
+				h.AttemptEnded(h.now, Outcome{ID: id, Attempt: h.requests[id].attempts - 1, Member: current.ID, Result: tt.result, Report: NoReport})
 				h.answerProbes()
 				h.fireTimers(1900 * ms)
 			}
@@ -68,7 +68,7 @@
 	for result, backsOff := range map[Result]bool{Timeout: true, Error: true, Full: false, ConnectFailed: false} {
 		h := newHarness(settings(), fleet(10, 1))
 		id := h.submit(Request{Load: 0.1})
-		h.AttemptEnded(h.now, Outcome{ID: id, Server: h.serverOf(id), Result: result, Report: NoReport})
+		h.AttemptEnded(h.now, Outcome{ID: id, Member: h.memberOf(id), Result: result, Report: NoReport})
 		h.answerProbes()
 		if got := len(h.sends) == 1; got != backsOff {
 			t.Errorf("result %d: backs off %v, want %v", result, got, backsOff)
@@ -88,14 +88,14 @@
 		for range n {
 			h.now += 3 * time.Second
 			id := h.submit(Request{Load: 0.1})
-			if h.serverOf(id) == 0 {
+			if h.memberOf(id) == 0 {
 				continue
 			}
 			sent++
 			if result == OK {
 				h.Established(h.now, id)
 			}
-			h.AttemptEnded(h.now, Outcome{ID: id, Server: h.serverOf(id), Result: result, Final: result == OK, Report: NoReport})
+			h.AttemptEnded(h.now, Outcome{ID: id, Member: h.memberOf(id), Result: result, Final: result == OK, Report: NoReport})
 			h.answerProbes()
 			h.fireTimers(10 * time.Second)
 		}
@@ -118,7 +118,7 @@
 	h := newHarness(set, fleet(10, 1))
 	id := h.submit(Request{Load: 0.1})
 	h.now += 150 * ms
-	h.AttemptEnded(h.now, Outcome{ID: id, Server: h.serverOf(id), Result: Timeout, Report: NoReport})
+	h.AttemptEnded(h.now, Outcome{ID: id, Member: h.memberOf(id), Result: Timeout, Report: NoReport})
 	h.answerProbes()
 	h.fireTimers(100 * ms)
 	if len(h.sends) != 1 {
@@ -135,14 +135,14 @@
 		t.Fatalf("at the deadline: %q", h.answers[id])
 	}
 	sends := len(h.sends)
-	h.AttemptEnded(h.now+2*time.Second, Outcome{ID: id, Server: h.serverOf(id), Result: Cancelled, Final: true, Report: NoReport})
-	h.AttemptEnded(h.now+2*time.Second, Outcome{ID: id, Server: h.serverOf(id), Result: Cancelled, Final: true, Report: NoReport})
+	h.AttemptEnded(h.now+2*time.Second, Outcome{ID: id, Member: h.memberOf(id), Result: Cancelled, Final: true, Report: NoReport})
+	h.AttemptEnded(h.now+2*time.Second, Outcome{ID: id, Member: h.memberOf(id), Result: Cancelled, Final: true, Report: NoReport})
 	h.fireTimers(time.Hour)
 	h.RequestEnded(h.now, id)
 	if h.answers[id] != "rejected" || len(h.sends) != sends || len(h.requests) != 0 {
 		t.Errorf("after the end: %q, %d requests left", h.answers[id], len(h.requests))
 	}
-	if late := h.submit(Request{Deadline: h.now - ms}); h.answers[late] != "rejected" || h.serverOf(late) != 0 {
+	if late := h.submit(Request{Deadline: h.now - ms}); h.answers[late] != "rejected" || h.memberOf(late) != 0 {
 		t.Errorf("a request past its deadline: %q", h.answers[late])
 	}
 	h = newHarness(settings(), nil)
@@ -155,20 +155,20 @@
 	}
 }
 
-// TestAdmissionRateOneServer: failures at most servers lower a proxy's admission rate, failures at one server do not, or one that fails fast
+// TestAdmissionRateOneMember: failures at most servers lower a proxy's admission rate, failures at one server do not, or one that fails fast
 // would have requests rejected for all.
-func TestAdmissionRateOneServer(t *testing.T) {
+func TestAdmissionRateOneMember(t *testing.T) {
 	for failing, want := range map[int]bool{1: false, 4: true} {
 		h := newHarness(settings(), fleet(4, 1))
 		for round := range 20 {
-			for _, s := range h.servers[:failing] {
-				s.retryAt, s.ejected = 0, false
+			for _, m := range h.members[:failing] {
+				m.retryAt, m.ejected = 0, false
 				q := Request{ID: RequestID(100 + 4*round), Deadline: h.now + time.Second, Load: 0.01}
-				q.ID += RequestID(s.ID) % 4 * 1000
+				q.ID += RequestID(m.ID) % 4 * 1000
 				h.newRequest(h.now, q)
 				r := h.requests[q.ID]
-				h.send(h.now, r, s, false)
-				h.AttemptEnded(h.now, Outcome{ID: q.ID, Server: s.ID, Result: Error, Report: NoReport})
+				h.send(h.now, r, m, false)
+				h.AttemptEnded(h.now, Outcome{ID: q.ID, Member: m.ID, Result: Error, Report: NoReport})
 			}
 		}
 		if got := h.admissionRate < 0.5; got != want {
@@ -184,7 +184,7 @@
 	h.RequestEnded(h.now, 5)
 	h.UpdateLoad(h.now, 5, 1)
 	h.ObserveLatency(h.now, 5, time.Second)
-	h.AttemptEnded(h.now, Outcome{ID: 5, Server: 4, Attempt: 9, Report: NoReport})
+	h.AttemptEnded(h.now, Outcome{ID: 5, Member: 4, Attempt: 9, Report: NoReport})
 	h.ProbeResult(h.now, 4, Error, NoReport)
 	h.AddExisting(h.now, Request{ID: 6}, 4)
 	h.Balancer.Timer(h.now, tokenDeadline|5)
--- a/policy/capacity_test.go
+++ b/policy/capacity_test.go
@@ -13,12 +13,12 @@
 			h := newHarness(set, fleet(2, 1))
 			for n := range 20 {
 				h.now += ms
-				for _, s := range h.servers {
-					h.load[s.ID], h.connections[s.ID] = 0.1+0.01*s.ownFlows, s.ownFlows
+				for _, m := range h.members {
+					h.load[m.ID], h.connections[m.ID] = 0.1+0.01*m.ownFlows, m.ownFlows
 				}
 				id := h.submit(Request{Group: uint64(n + 2), Load: -1})
-				if h.serverOf(id) == 0 {
-					t.Fatalf("client %d found no capacity, with %v and %v connections", n, h.servers[0].ownFlows, h.servers[1].ownFlows)
+				if h.memberOf(id) == 0 {
+					t.Fatalf("client %d found no capacity, with %v and %v connections", n, h.members[0].ownFlows, h.members[1].ownFlows)
 				}
 				h.Established(h.now, id)
 			}
@@ -31,8 +31,8 @@
 func TestCapacityWithUnknownLoads(t *testing.T) {
 	h := newHarness(settings(), fleet(1, 1))
 	id := fleet(1, 1)[0].ID
-	s := h.byID[id]
-	connections := func() float64 { return h.capacityOf(h.now, s) / h.unitLoad() }
+	m := h.byID[id]
+	connections := func() float64 { return h.capacityOf(h.now, m) / h.unitLoad() }
 	h.AddExisting(h.now, Request{ID: 900}, id)
 	h.load[id], h.connections[id] = 0.5, 20
 	report := Report{Connections: 20, Load: 0.5, Util: -1}
@@ -50,10 +50,10 @@
 		t.Errorf("capacity %.1f connections of %.2f each, once loads of 0.04 are known", n, h.unitLoad())
 	}
 	// The end of a connection frees its last known load, not the estimate at its arrival.
-	s.pendingPlacements = nil
-	before := h.usedOf(h.now, s)
-	h.AttemptEnded(h.now, Outcome{ID: 900, Server: id, Result: OK, Final: true, Report: NoReport})
-	if freed := before - h.usedOf(h.now, s); freed < 0.039 || freed > 0.041 {
+	m.pendingPlacements = nil
+	before := h.usedOf(h.now, m)
+	h.AttemptEnded(h.now, Outcome{ID: 900, Member: id, Result: OK, Final: true, Report: NoReport})
+	if freed := before - h.usedOf(h.now, m); freed < 0.039 || freed > 0.041 {
 		t.Errorf("a connection of 0.04 freed %.3f", freed)
 	}
 }
--- a/policy/server_list.go
+++ b/policy/endpoint_list.go
@@ -27,8 +27,8 @@
 	b.executor.Timer(time.Duration(span*b.rng.Float64()), tokenPoll)
 }
 
-// UpdateServers takes a list event of discovery.
-func (b *Balancer) UpdateServers(now time.Duration, kind ListKind, list []Server) {
+// UpdateEndpoints takes a list event of discovery.
+func (b *Balancer) UpdateEndpoints(now time.Duration, kind ListKind, list []Endpoint) {
 	if kind == ListFailed {
 		if b.cfg.Subscribe {
 			b.watching = false
@@ -39,72 +39,72 @@
 	}
 	b.failedPolls = 0
 	if kind != ListDelta {
-		named := make(map[ServerID]bool, len(list))
+		named := make(map[MemberID]bool, len(list))
 		for _, e := range list {
 			named[e.ID] = true
 		}
-		for _, s := range b.servers {
-			if !named[s.ID] {
-				s.State = Gone
+		for _, m := range b.members {
+			if !named[m.ID] {
+				m.State = Gone
 			}
 		}
 	}
-	before := len(b.servers)
+	before := len(b.members)
 	for _, e := range list {
-		b.updateServer(now, kind, e)
+		b.updateMember(now, kind, e)
 	}
-	added := len(b.servers) > before
-	for _, s := range b.servers {
-		if s.State != Ready { // clients reconnect before the server cuts them off
-			b.migrateAll(s)
+	added := len(b.members) > before
+	for _, m := range b.members {
+		if m.State != Ready { // clients reconnect before the server cuts them off
+			b.migrateAll(m)
 		}
 	}
-	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool {
-		if s.State == Gone && s.ownFlows == 0 {
-			delete(b.byID, s.ID)
+	b.members = slices.DeleteFunc(b.members, func(m *member) bool {
+		if m.State == Gone && m.ownFlows == 0 {
+			delete(b.byID, m.ID)
 			return true
 		}
 		return false
 	})
 	if added {
-		slices.SortFunc(b.servers, func(x, y *server) int { return cmp.Compare(x.ID, y.ID) })
+		slices.SortFunc(b.members, func(x, y *member) int { return cmp.Compare(x.ID, y.ID) })
 	}
 	b.homeSlices = nil // rebuilt on demand: in a large fleet changes come faster than requests
 }
 
 // homeSlice is the home slice of a tenant.
-func (b *Balancer) homeSlice(tenant int) []*server {
+func (b *Balancer) homeSlice(tenant int) []*member {
 	if b.homeSlices == nil {
 		b.rebuildHomeSlices()
 	}
 	return b.homeSlices[tenant]
 }
 
-func (b *Balancer) updateServer(now time.Duration, kind ListKind, e Server) {
-	e = normalizeServer(e, b.cfg.Zones)
-	s := b.byID[e.ID]
-	if s == nil {
+func (b *Balancer) updateMember(now time.Duration, kind ListKind, e Endpoint) {
+	e = normalizeEndpoint(e, b.cfg.Zones)
+	m := b.byID[e.ID]
+	if m == nil {
 		if e.State == Gone {
 			return
 		}
 		if e.Started == 0 && kind == ListDelta {
 			e.Started = now // it joined while we watched: it has just started
 		}
-		s = &server{owner: b.ownerOf(e.ID), report: NoReport}
-		b.byID[e.ID] = s
-		b.servers = append(b.servers, s)
-		b.startSlowStart(now, s)
-	} else if e.Started > s.Started {
+		m = &member{owner: b.ownerOf(e.ID), report: NoReport}
+		b.byID[e.ID] = m
+		b.members = append(b.members, m)
+		b.startSlowStart(now, m)
+	} else if e.Started > m.Started {
 		// A new process: what was learned of the old one no longer holds.
-		s.health, s.hasReport, s.pendingPlacements = health{}, false, nil
-		b.startSlowStart(now, s)
+		m.health, m.hasReport, m.pendingPlacements = health{}, false, nil
+		b.startSlowStart(now, m)
 	}
-	s.Server, s.inCanary = e, b.inCanary(e.ID)
+	m.Endpoint, m.inCanary = e, b.inCanary(e.ID)
 }
 
 // ownerOf is the tenant whose slice a server belongs to. It depends on the id and the shares alone, so
 // that all proxies agree and a change of membership moves only the servers that changed.
-func (b *Balancer) ownerOf(id ServerID) int {
+func (b *Balancer) ownerOf(id MemberID) int {
 	best, owner := -1.0, 0
 	for t, tenant := range b.cfg.Tenants {
 		if score := rendezvous(uint64(id), uint64(t), tenant.Share); score > best {
@@ -117,25 +117,25 @@
 // rebuildHomeSlices rebuilds the home slices. A tenant that owns no server in a zone shares the one that it
 // ranks highest there.
 func (b *Balancer) rebuildHomeSlices() {
-	b.homeSlices = make([][]*server, len(b.cfg.Tenants))
+	b.homeSlices = make([][]*member, len(b.cfg.Tenants))
 	for t := range b.cfg.Tenants {
-		substitute := make([]*server, b.cfg.Zones)
+		substitute := make([]*member, b.cfg.Zones)
 		owns := make([]bool, b.cfg.Zones)
 		best := make([]float64, b.cfg.Zones)
-		for _, s := range b.servers {
-			if s.State != Ready {
+		for _, m := range b.members {
+			if m.State != Ready {
 				continue
 			}
-			if s.owner == t {
-				owns[s.Zone] = true
-				b.homeSlices[t] = append(b.homeSlices[t], s)
-			} else if score := rendezvous(uint64(s.ID), uint64(t), s.Weight); score > best[s.Zone] {
-				best[s.Zone], substitute[s.Zone] = score, s
+			if m.owner == t {
+				owns[m.Zone] = true
+				b.homeSlices[t] = append(b.homeSlices[t], m)
+			} else if score := rendezvous(uint64(m.ID), uint64(t), m.Weight); score > best[m.Zone] {
+				best[m.Zone], substitute[m.Zone] = score, m
 			}
 		}
-		for z, s := range substitute {
-			if !owns[z] && s != nil {
-				b.homeSlices[t] = append(b.homeSlices[t], s)
+		for z, m := range substitute {
+			if !owns[z] && m != nil {
+				b.homeSlices[t] = append(b.homeSlices[t], m)
 			}
 		}
 	}
--- a/policy/server_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -11,27 +11,27 @@
 	tests := []struct {
 		name    string
 		kind    ListKind
-		servers []Server
+		members []Endpoint
 	}{
-		{"draining", ListDelta, []Server{{ID: list[0].ID, State: Draining}}},
-		{"gone", ListDelta, []Server{{ID: list[0].ID, State: Gone}}},
+		{"draining", ListDelta, []Endpoint{{ID: list[0].ID, State: Draining}}},
+		{"gone", ListDelta, []Endpoint{{ID: list[0].ID, State: Gone}}},
 		{"missing from a full list", ListFull, list[1:]},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			h := newHarness(settings(), list)
-			for _, s := range list[1:] {
-				h.load[s.ID] = 0.6
+			for _, m := range list[1:] {
+				h.load[m.ID] = 0.6
 			}
 			h.submit(Request{Tenant: h.byID[list[0].ID].owner})
-			h.UpdateServers(h.now, tt.kind, tt.servers)
+			h.UpdateEndpoints(h.now, tt.kind, tt.members)
 			before := len(h.sends)
 			for i := range 20 {
 				h.now += 500 * ms
 				h.submit(Request{Tenant: i % 2, Load: 0.1})
 			}
 			for _, s := range h.sends[before:] {
-				if s.server == list[0].ID {
+				if s.member == list[0].ID {
 					t.Fatalf("sent to a server that is %s", tt.name)
 				}
 			}
@@ -55,8 +55,8 @@
 	if h.watches != 1 {
 		t.Fatalf("subscribed %d times, want once", h.watches)
 	}
-	h.UpdateServers(h.now, ListFailed, nil)
-	if len(h.servers) != 4 {
+	h.UpdateEndpoints(h.now, ListFailed, nil)
+	if len(h.members) != 4 {
 		t.Error("a failed poll emptied the list")
 	}
 	h.fireTimers(20 * time.Second)
@@ -80,7 +80,7 @@
 		if wait := h.timers[len(h.timers)-1].delay; wait > set.MaxPollInterval/5 {
 			t.Fatalf("polls again after %v", wait)
 		}
-		h.UpdateServers(h.now, ListFailed, nil)
+		h.UpdateEndpoints(h.now, ListFailed, nil)
 	}
 }
 
@@ -97,7 +97,7 @@
 		b.Start()
 		first = max(first, rec.timers[0].delay)
 		for range 5 {
-			b.UpdateServers(t0, ListFailed, nil)
+			b.UpdateEndpoints(t0, ListFailed, nil)
 		}
 		last = max(last, rec.timers[len(rec.timers)-1].delay)
 	}
--- a/policy/facade.go
+++ b/policy/facade.go
@@ -29,7 +29,7 @@
 type Action struct {
 	Kind     ActionKind
 	ID       RequestID
-	Server   ServerID
+	Member   MemberID
 	Attempt  int
 	Duration time.Duration
 }
@@ -40,15 +40,15 @@
 }
 
 type (
-	// ServerList is a list event of discovery.
-	ServerList struct {
-		Kind    ListKind
-		Servers []Server
+	// EndpointList is a list event of discovery.
+	EndpointList struct {
+		Kind      ListKind
+		Endpoints []Endpoint
 	}
 	// ExistingFlow is a flow that was open before the relay started.
 	ExistingFlow struct {
 		Request Request
-		Server  ServerID
+		Member  MemberID
 	}
 	// FlowEstablished says that an attempt has become an open flow.
 	FlowEstablished struct{ ID RequestID }
@@ -63,7 +63,7 @@
 	ClientGone struct{ ID RequestID }
 	// ProbeResult is the answer to a probe.
 	ProbeResult struct {
-		Server ServerID
+		Member MemberID
 		Result Result
 		Report Report
 	}
@@ -78,7 +78,7 @@
 	// their Group, or their Key where they have none. Servers of the canary group get no others. With nil
 	// functions there is no canary.
 	CanaryGroup struct {
-		Contains func(ServerID) bool
+		Contains func(MemberID) bool
 		Assigned func(group uint64) bool
 	}
 	// MessageLatency is how long a message on an open flow took at its server.
@@ -88,19 +88,21 @@
 	}
 )
 
-func (e ServerList) apply(b *Balancer, now time.Duration)      { b.UpdateServers(now, e.Kind, e.Servers) }
-func (e ExistingFlow) apply(b *Balancer, now time.Duration)    { b.AddExisting(now, e.Request, e.Server) }
+func (e EndpointList) apply(b *Balancer, now time.Duration) {
+	b.UpdateEndpoints(now, e.Kind, e.Endpoints)
+}
+func (e ExistingFlow) apply(b *Balancer, now time.Duration)    { b.AddExisting(now, e.Request, e.Member) }
 func (e FlowEstablished) apply(b *Balancer, now time.Duration) { b.Established(now, e.ID) }
 func (e AttemptEnded) apply(b *Balancer, now time.Duration)    { b.AttemptEnded(now, Outcome(e)) }
 func (e SendSkipped) apply(b *Balancer, now time.Duration) {
-	if r := b.requests[e.ID]; r != nil && r.server != nil {
-		b.AttemptEnded(now, Outcome{ID: e.ID, Attempt: r.attempts - 1, Server: r.server.ID, Result: NotSent,
+	if r := b.requests[e.ID]; r != nil && r.member != nil {
+		b.AttemptEnded(now, Outcome{ID: e.ID, Attempt: r.attempts - 1, Member: r.member.ID, Result: NotSent,
 			Final: e.Final, Report: NoReport})
 	}
 }
 func (e ClientGone) apply(b *Balancer, now time.Duration) { b.RequestEnded(now, e.ID) }
 func (e ProbeResult) apply(b *Balancer, now time.Duration) {
-	b.ProbeResult(now, e.Server, e.Result, e.Report)
+	b.ProbeResult(now, e.Member, e.Result, e.Report)
 }
 func (e FlowLoad) apply(b *Balancer, now time.Duration) { b.UpdateLoad(now, e.ID, e.Load) }
 func (e ActiveRelays) apply(b *Balancer, _ time.Duration) {
@@ -110,8 +112,8 @@
 }
 func (e CanaryGroup) apply(b *Balancer, _ time.Duration) {
 	b.canary = e
-	for _, s := range b.servers {
-		s.inCanary = b.inCanary(s.ID)
+	for _, m := range b.members {
+		m.inCanary = b.inCanary(m.ID)
 	}
 }
 func (e MessageLatency) apply(b *Balancer, now time.Duration) { b.ObserveLatency(now, e.ID, e.Latency) }
@@ -193,8 +195,8 @@
 func (c *actionCollector) begin(now time.Duration) { c.now, c.actions = now, c.actions[:0] }
 func (c *actionCollector) add(a Action)            { c.actions = append(c.actions, a) }
 
-func (c *actionCollector) Send(id RequestID, server ServerID, timeout time.Duration) {
-	c.add(Action{Kind: ActionSend, ID: id, Server: server, Duration: timeout})
+func (c *actionCollector) Send(id RequestID, member MemberID, timeout time.Duration) {
+	c.add(Action{Kind: ActionSend, ID: id, Member: member, Duration: timeout})
 }
 func (c *actionCollector) Reject(id RequestID, retryAfter time.Duration) {
 	c.add(Action{Kind: ActionReject, ID: id, Duration: retryAfter})
@@ -204,7 +206,7 @@
 	c.add(Action{Kind: ActionCancel, ID: id, Attempt: attempt})
 }
 func (c *actionCollector) Migrate(id RequestID)  { c.add(Action{Kind: ActionMigrate, ID: id}) }
-func (c *actionCollector) Probe(server ServerID) { c.add(Action{Kind: ActionProbe, Server: server}) }
+func (c *actionCollector) Probe(member MemberID) { c.add(Action{Kind: ActionProbe, Member: member}) }
 func (c *actionCollector) Watch()                { c.add(Action{Kind: ActionWatch}) }
 func (c *actionCollector) Timer(delay time.Duration, token uint64) {
 	c.timersSet++
--- a/policy/facade_test.go
+++ b/policy/facade_test.go
@@ -11,8 +11,8 @@
 func TestFacade(t *testing.T) {
 	set := settings()
 	f := NewFacade(t0, set, 7)
-	f.Observe(t0, ServerList{Kind: ListCached, Servers: fleet(1, 1)})
-	server := fleet(1, 1)[0].ID
+	f.Observe(t0, EndpointList{Kind: ListCached, Endpoints: fleet(1, 1)})
+	member := fleet(1, 1)[0].ID
 	q := Request{ID: 1, Deadline: t0 + 2*time.Second, Load: 0.1}
 	actions := f.Pick(t0, q)
 	if len(actions) != 2 || actions[0].Kind != ActionProbe || actions[1].Kind != ActionWait {
@@ -21,15 +21,15 @@
 	if at, ok := f.Next(); !ok || at <= t0 {
 		t.Errorf("next tick at %v, %v", at, ok)
 	}
-	actions = f.Observe(t0, ProbeResult{Server: server, Result: OK, Report: Report{Connections: 1, Load: 0.1, Util: -1}})
-	if len(actions) != 1 || actions[0].Kind != ActionSend || actions[0].ID != 1 || actions[0].Server != server {
+	actions = f.Observe(t0, ProbeResult{Member: member, Result: OK, Report: Report{Connections: 1, Load: 0.1, Util: -1}})
+	if len(actions) != 1 || actions[0].Kind != ActionSend || actions[0].ID != 1 || actions[0].Member != member {
 		t.Fatalf("actions %v on the report", actions)
 	}
 	f.Observe(t0, FlowEstablished{ID: 1})
-	if actions = f.Observe(t0, ServerList{Kind: ListFull}); len(actions) != 1 || actions[0].Kind != ActionMigrate {
+	if actions = f.Observe(t0, EndpointList{Kind: ListFull}); len(actions) != 1 || actions[0].Kind != ActionMigrate {
 		t.Errorf("actions %v on a server that is gone", actions)
 	}
-	f.Observe(t0, AttemptEnded{ID: 1, Server: server, Result: Cancelled, Final: true, Report: NoReport})
+	f.Observe(t0, AttemptEnded{ID: 1, Member: member, Result: Cancelled, Final: true, Report: NoReport})
 	q.ID, q.Deadline = 2, t0+3*time.Second
 	f.Pick(t0, q)
 	if actions = f.Tick(q.Deadline); len(actions) == 0 || actions[0].Kind != ActionReject || actions[0].ID != 2 {
@@ -42,7 +42,7 @@
 func TestRejectRetryAfter(t *testing.T) {
 	set := settings()
 	f := NewFacade(t0, set, 7)
-	f.Observe(t0, ServerList{Kind: ListCached})
+	f.Observe(t0, EndpointList{Kind: ListCached})
 	reject := func(n int) (retryAfter []time.Duration, mean time.Duration) {
 		for id := range RequestID(n) {
 			f.Pick(t0, Request{ID: 1000 + id, Deadline: t0 + time.Second})
@@ -67,17 +67,17 @@
 	if len(retryAfter) != 60 || len(seen) < 30 || meanOfLastTen < 2*set.Classes[0].LatencyObjective {
 		t.Errorf("%d rejected, %d different durations, the last ten %v on average", len(retryAfter), len(seen), meanOfLastTen)
 	}
-	f.Observe(t0, ServerList{Kind: ListFull, Servers: []Server{{ID: 5, State: Ready, Weight: 1}}})
-	f.Observe(t0, ProbeResult{Server: 5, Result: OK, Report: Report{Connections: 1, Load: 0.1, Util: -1, Backlog: -1}})
+	f.Observe(t0, EndpointList{Kind: ListFull, Endpoints: []Endpoint{{ID: 5, State: Ready, Weight: 1}}})
+	f.Observe(t0, ProbeResult{Member: 5, Result: OK, Report: Report{Connections: 1, Load: 0.1, Util: -1, Backlog: -1}})
 	for id := range RequestID(40) { // admitted again
 		for _, action := range f.Pick(t0, Request{ID: id + 1, Load: 0.01, Deadline: t0 + time.Second}) {
 			if action.Kind == ActionSend {
 				f.Observe(t0, FlowEstablished{ID: action.ID})
-				f.Observe(t0, AttemptEnded{ID: action.ID, Server: action.Server, Result: OK, Final: true, Report: NoReport})
+				f.Observe(t0, AttemptEnded{ID: action.ID, Member: action.Member, Result: OK, Final: true, Report: NoReport})
 			}
 		}
 	}
-	f.Observe(t0, ServerList{Kind: ListFull})
+	f.Observe(t0, EndpointList{Kind: ListFull})
 	if _, mean := reject(5); mean > meanOfLastTen*3/4 {
 		t.Errorf("Retry-After %v on average, %v while no request was admitted", mean, meanOfLastTen)
 	}
@@ -101,12 +101,12 @@
 func TestNotSentIsNoFailure(t *testing.T) {
 	for result, ejected := range map[Result]bool{NotSent: false, Timeout: true} {
 		f := NewFacade(t0, settings(), 7)
-		f.Observe(t0, ServerList{Kind: ListCached, Servers: fleet(1, 1)})
-		server := fleet(1, 1)[0].ID
-		for range 2 * serverFailureThreshold {
-			f.Observe(t0, ProbeResult{Server: server, Result: result, Report: NoReport})
+		f.Observe(t0, EndpointList{Kind: ListCached, Endpoints: fleet(1, 1)})
+		member := fleet(1, 1)[0].ID
+		for range 2 * memberFailureThreshold {
+			f.Observe(t0, ProbeResult{Member: member, Result: result, Report: NoReport})
 		}
-		if got := f.balancer.byID[server].ejected; got != ejected {
+		if got := f.balancer.byID[member].ejected; got != ejected {
 			t.Errorf("after probes that ended %v: ejected %v", result, got)
 		}
 	}
@@ -116,27 +116,27 @@
 // settings is dropped.
 func TestRestore(t *testing.T) {
 	set := settings()
-	servers := fleet(2, 1)
+	members := fleet(2, 1)
 	start := func(now time.Duration) *Facade {
 		f := NewFacade(now, set, 7)
-		f.Observe(now, ServerList{Kind: ListCached, Servers: servers})
+		f.Observe(now, EndpointList{Kind: ListCached, Endpoints: members})
 		return f
 	}
 	old := start(t0)
-	s := old.balancer.byID[servers[0].ID]
+	m := old.balancer.byID[members[0].ID]
 	for range 40 {
-		old.Observe(t0, ProbeResult{Server: s.ID, Result: OK, Report: Report{Connections: 40, Load: 0.5, Util: -1}})
+		old.Observe(t0, ProbeResult{Member: m.ID, Result: OK, Report: Report{Connections: 40, Load: 0.5, Util: -1}})
 	}
-	old.Observe(t0, ProbeResult{Server: servers[1].ID, Result: Timeout, Report: NoReport})
-	old.Observe(t0, ProbeResult{Server: servers[1].ID, Result: Timeout, Report: NoReport})
+	old.Observe(t0, ProbeResult{Member: members[1].ID, Result: Timeout, Report: NoReport})
+	old.Observe(t0, ProbeResult{Member: members[1].ID, Result: Timeout, Report: NoReport})
 	now := t0 + time.Hour
 	next := start(now)
 	next.Restore(now, old.LearnedState(t0+time.Second))
-	restored, failed := next.balancer.byID[servers[0].ID], next.balancer.byID[servers[1].ID]
-	if restored.capacity != s.capacity || restored.capacity == 0 || !restored.hasReport || restored.report.Load != 0.5 || restored.reportChangedAt != now-time.Second {
-		t.Errorf("learned %+v, restored %+v", s, restored)
+	restored, failed := next.balancer.byID[members[0].ID], next.balancer.byID[members[1].ID]
+	if restored.capacity != m.capacity || restored.capacity == 0 || !restored.hasReport || restored.report.Load != 0.5 || restored.reportChangedAt != now-time.Second {
+		t.Errorf("learned %+v, restored %+v", m, restored)
 	}
-	if !failed.ejected || failed.failures != serverFailureThreshold {
+	if !failed.ejected || failed.failures != memberFailureThreshold {
 		t.Errorf("an ejected server is restored as %+v", failed.health)
 	}
 	// State from before the clock's zero still applies to servers that were running then, not to those that have started since.
@@ -144,16 +144,16 @@
 	state.Age = now + time.Hour
 	later := start(now)
 	later.Restore(now, state)
-	if got := later.balancer.byID[servers[0].ID]; got.capacity != s.capacity {
+	if got := later.balancer.byID[members[0].ID]; got.capacity != m.capacity {
 		t.Errorf("restored from an old state: %+v", got)
 	}
 	state.Age = 10 * time.Second
-	restarted := slices.Clone(servers)
+	restarted := slices.Clone(members)
 	restarted[0].Started = now - time.Second
-	later.Observe(now, ServerList{Kind: ListFull, Servers: restarted})
-	later.balancer.byID[servers[0].ID].capacity = 0
+	later.Observe(now, EndpointList{Kind: ListFull, Endpoints: restarted})
+	later.balancer.byID[members[0].ID].capacity = 0
 	later.Restore(now, state)
-	if got := later.balancer.byID[servers[0].ID]; got.capacity != 0 {
+	if got := later.balancer.byID[members[0].ID]; got.capacity != 0 {
 		t.Errorf("a restarted server has its earlier process's state: %+v", got)
 	}
 	set.Zones++
@@ -172,11 +172,11 @@
 	f := NewFacade(t0, set, 7)
 	all := fleet(6, 1)
 	canary := all[0].ID
-	f.Observe(t0, ServerList{Kind: ListCached, Servers: all})
+	f.Observe(t0, EndpointList{Kind: ListCached, Endpoints: all})
 	const assigned = 2 // groups up to this one
-	f.Observe(t0, CanaryGroup{Contains: func(id ServerID) bool { return id == canary }, Assigned: func(group uint64) bool { return group <= assigned }})
+	f.Observe(t0, CanaryGroup{Contains: func(id MemberID) bool { return id == canary }, Assigned: func(group uint64) bool { return group <= assigned }})
 	next := RequestID(0)
-	sentTo := func(group uint64) (server ServerID) {
+	sentTo := func(group uint64) (member MemberID) {
 		next++
 		actions := slices.Clone(f.Pick(t0, Request{ID: next, Group: group, Deadline: t0 + 2*time.Second, Load: 0.01}))
 		for len(actions) > 0 {
@@ -184,28 +184,28 @@
 			actions = actions[1:]
 			switch {
 			case action.Kind == ActionProbe:
-				actions = append(actions, f.Observe(t0, ProbeResult{Server: action.Server, Result: OK, Report: Report{Connections: 1, Load: 0.1, Util: -1}})...)
+				actions = append(actions, f.Observe(t0, ProbeResult{Member: action.Member, Result: OK, Report: Report{Connections: 1, Load: 0.1, Util: -1}})...)
 			case action.Kind == ActionSend && action.ID == next:
-				server = action.Server
+				member = action.Member
 			}
 		}
-		return server
+		return member
 	}
 	for group := uint64(1); group <= 20; group++ {
-		if server := sentTo(group); server == 0 || (server == canary) != (group <= assigned) {
-			t.Errorf("group %d was sent to %d, the canary is %d", group, server, canary)
+		if member := sentTo(group); member == 0 || (member == canary) != (group <= assigned) {
+			t.Errorf("group %d was sent to %d, the canary is %d", group, member, canary)
 		}
 	}
 	draining := all[0]
 	draining.State = Draining
-	f.Observe(t0, ServerList{Kind: ListDelta, Servers: []Server{draining}})
+	f.Observe(t0, EndpointList{Kind: ListDelta, Endpoints: []Endpoint{draining}})
 	if sentTo(1); f.CanaryOverflows() != 0 {
 		t.Error("counted as an overflow before its wait")
 	}
 	overflowed := false
 	for now := t0; now < t0+2*time.Second; now += 10 * time.Millisecond {
 		for _, action := range f.Tick(now) {
-			overflowed = overflowed || action.Kind == ActionSend && action.ID == next && action.Server != canary
+			overflowed = overflowed || action.Kind == ActionSend && action.ID == next && action.Member != canary
 		}
 	}
 	if !overflowed || f.CanaryOverflows() != 1 {
@@ -218,17 +218,17 @@
 func TestSendSkipped(t *testing.T) {
 	for _, final := range []bool{false, true} {
 		f := NewFacade(t0, settings(), 7)
-		f.Observe(t0, ServerList{Kind: ListCached, Servers: fleet(1, 1)})
-		server := fleet(1, 1)[0].ID
+		f.Observe(t0, EndpointList{Kind: ListCached, Endpoints: fleet(1, 1)})
+		member := fleet(1, 1)[0].ID
 		f.Pick(t0, Request{ID: 1, Deadline: t0 + 2*time.Second, Load: 0.1})
-		f.Observe(t0, ProbeResult{Server: server, Result: OK, Report: Report{Connections: 1, Load: 0.1, Util: -1}})
-		if s, r := f.balancer.byID[server], f.balancer.requests[1]; s.ownFlows != 1 || r == nil || !r.inFlight {
-			t.Fatalf("%v connections, request %+v", s.ownFlows, r)
+		f.Observe(t0, ProbeResult{Member: member, Result: OK, Report: Report{Connections: 1, Load: 0.1, Util: -1}})
+		if m, r := f.balancer.byID[member], f.balancer.requests[1]; m.ownFlows != 1 || r == nil || !r.inFlight {
+			t.Fatalf("%v connections, request %+v", m.ownFlows, r)
 		}
 		f.Observe(t0, SendSkipped{ID: 1, Final: final})
 		r := f.balancer.requests[1]
-		if s := f.balancer.byID[server]; s.ownFlows != 0 || len(s.conns) != 0 || final != (r == nil) {
-			t.Errorf("final %v: %v connections, request %+v", final, s.ownFlows, r)
+		if m := f.balancer.byID[member]; m.ownFlows != 0 || len(m.conns) != 0 || final != (r == nil) {
+			t.Errorf("final %v: %v connections, request %+v", final, m.ownFlows, r)
 		}
 		if r != nil && (r.attempts != 1 || r.mayHaveRun || r.inFlight) {
 			t.Errorf("%d attempts, may have run %v, in flight %v", r.attempts, r.mayHaveRun, r.inFlight)
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -12,10 +12,10 @@
 type fleetSimulation struct {
 	relays             []*Facade
 	rng                *rand.Rand
-	servers            []Server
-	connections        map[ServerID]map[RequestID]uint64 // by server; the values are the connections' groups
+	members            []Endpoint
+	connections        map[MemberID]map[RequestID]uint64 // by server; the values are the connections' groups
 	groupOf            map[RequestID]uint64
-	reports            map[ServerID]Report // late and inexact
+	reports            map[MemberID]Report // late and inexact
 	reportsRefreshedAt time.Duration
 	unserved           int
 	probes             int
@@ -23,22 +23,22 @@
 
 func newFleetSimulation(seed uint64, relays, members int, set Settings) *fleetSimulation {
 	set.Balancers, set.Groups = relays, true
-	p := &fleetSimulation{rng: rand.New(rand.NewPCG(seed, 2)), servers: fleet(members, 1), connections: map[ServerID]map[RequestID]uint64{},
+	p := &fleetSimulation{rng: rand.New(rand.NewPCG(seed, 2)), members: fleet(members, 1), connections: map[MemberID]map[RequestID]uint64{},
 		groupOf: map[RequestID]uint64{}}
-	for _, s := range p.servers {
-		p.connections[s.ID] = map[RequestID]uint64{}
+	for _, m := range p.members {
+		p.connections[m.ID] = map[RequestID]uint64{}
 	}
 	for i := range relays {
 		f := NewFacade(t0, set, 1000*seed+uint64(i))
-		f.Observe(t0, ServerList{ListFull, p.servers})
+		f.Observe(t0, EndpointList{ListFull, p.members})
 		p.relays = append(p.relays, f)
 	}
 	return p
 }
 
-func (p *fleetSimulation) groupsAt(server ServerID) int {
+func (p *fleetSimulation) groupsAt(member MemberID) int {
 	groups := map[uint64]bool{}
-	for _, group := range p.connections[server] {
+	for _, group := range p.connections[member] {
 		groups[group] = true
 	}
 	return len(groups)
@@ -48,11 +48,11 @@
 	for _, action := range slices.Clone(actions) {
 		switch action.Kind {
 		case ActionSend:
-			p.connections[action.Server][action.ID] = p.groupOf[action.ID]
+			p.connections[action.Member][action.ID] = p.groupOf[action.ID]
 			p.execute(now, f, f.Observe(now, FlowEstablished{action.ID}))
 		case ActionProbe:
 			p.probes++
-			p.execute(now, f, f.Observe(now, ProbeResult{action.Server, OK, p.reports[action.Server]}))
+			p.execute(now, f, f.Observe(now, ProbeResult{action.Member, OK, p.reports[action.Member]}))
 		case ActionReject, ActionFail:
 			p.unserved++
 		case ActionMigrate:
@@ -68,11 +68,11 @@
 	if now-p.reportsRefreshedAt < 400*ms {
 		return
 	}
-	p.reportsRefreshedAt, p.reports = now, map[ServerID]Report{}
-	for _, s := range p.servers {
-		n := float64(len(p.connections[s.ID]))
-		load := (n + 3*float64(p.groupsAt(s.ID))) / 35 * (0.85 + 0.3*p.rng.Float64())
-		p.reports[s.ID] = Report{n, load, load, max(load-1, 0)}
+	p.reportsRefreshedAt, p.reports = now, map[MemberID]Report{}
+	for _, m := range p.members {
+		n := float64(len(p.connections[m.ID]))
+		load := (n + 3*float64(p.groupsAt(m.ID))) / 35 * (0.85 + 0.3*p.rng.Float64())
+		p.reports[m.ID] = Report{n, load, load, max(load-1, 0)}
 	}
 }
 
@@ -123,23 +123,23 @@
 	for drained := 0; drained < 6; drained += 2 {
 		ids = ids[:0]
 		for i := drained; i < drained+2; i++ {
-			p.servers[i].State = Draining
+			p.members[i].State = Draining
 			for id := range RequestID(1000) {
-				if _, connected := p.connections[p.servers[i].ID][id]; connected {
+				if _, connected := p.connections[p.members[i].ID][id]; connected {
 					ids = append(ids, id+1000*RequestID(drained/2+1))
 					p.groupOf[ids[len(ids)-1]] = p.groupOf[id]
 				}
 			}
-			clear(p.connections[p.servers[i].ID])
+			clear(p.connections[p.members[i].ID])
 		}
 		for _, f := range p.relays {
-			p.execute(now, f, f.Observe(now, ServerList{ListDelta, p.servers[drained : drained+2]}))
+			p.execute(now, f, f.Observe(now, EndpointList{ListDelta, p.members[drained : drained+2]}))
 		}
 		now = p.arrive(now, ids) + time.Second
 	}
-	for _, s := range p.servers {
-		pairs += p.groupsAt(s.ID)
-		highest = max(highest, len(p.connections[s.ID])+3*p.groupsAt(s.ID))
+	for _, m := range p.members {
+		pairs += p.groupsAt(m.ID)
+		highest = max(highest, len(p.connections[m.ID])+3*p.groupsAt(m.ID))
 	}
 	return pairs, highest, p.unserved
 }
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -15,11 +15,11 @@
 	now           time.Duration
 	balancer      *Balancer
 	requests      map[RequestID]*requestState
-	states        map[ServerID]ServerState
-	servers       map[ServerID]Server
+	states        map[MemberID]MemberState
+	members       map[MemberID]Endpoint
 	timerQueue    []requestedTimer
 	openAttempts  []openAttempt
-	pendingProbes []ServerID
+	pendingProbes []MemberID
 	recorder
 }
 
@@ -32,19 +32,19 @@
 	established bool
 	mayHaveRun  bool
 	firstRunAt  time.Duration
-	firstRunOn  Server
+	firstRunOn  Endpoint
 	lastSentAt  time.Duration
-	lastSentTo  Server
+	lastSentTo  Endpoint
 }
 
 type openAttempt struct {
 	id     RequestID
 	number int
-	server ServerID
+	member MemberID
 }
 
-func (w *invariantChecker) Send(id RequestID, server ServerID, timeout time.Duration) {
-	w.recorder.Send(id, server, timeout)
+func (w *invariantChecker) Send(id RequestID, member MemberID, timeout time.Duration) {
+	w.recorder.Send(id, member, timeout)
 	r := w.requests[id]
 	if r == nil || r.ended {
 		w.t.Fatalf("send for request %d, which has ended or is unknown", id)
@@ -52,11 +52,11 @@
 	if r.inFlight {
 		w.t.Fatalf("request %d has two attempts in flight", id)
 	}
-	if w.states[server] != Ready {
-		w.t.Fatalf("sent to server %d in state %d", server, w.states[server])
+	if w.states[member] != Ready {
+		w.t.Fatalf("sent to server %d in state %d", member, w.states[member])
 	}
 	c := w.set.Classes[r.class]
-	to := w.servers[server]
+	to := w.members[member]
 	if r.mayHaveRun {
 		switch {
 		case c.Idempotency == NonIdempotent:
@@ -68,7 +68,7 @@
 			w.t.Fatalf("request %d with a key left its scope", id)
 		}
 	}
-	w.openAttempts = append(w.openAttempts, openAttempt{id, r.attempts, server})
+	w.openAttempts = append(w.openAttempts, openAttempt{id, r.attempts, member})
 	r.inFlight, r.lastSentAt, r.lastSentTo = true, w.now, to
 	r.attempts++
 }
@@ -93,9 +93,9 @@
 	w.recordAnswer(id, true)
 }
 func (w *invariantChecker) Fail(id RequestID) { w.recorder.Fail(id); w.recordAnswer(id, false) }
-func (w *invariantChecker) Probe(s ServerID) {
-	w.recorder.Probe(s)
-	w.pendingProbes = append(w.pendingProbes, s)
+func (w *invariantChecker) Probe(id MemberID) {
+	w.recorder.Probe(id)
+	w.pendingProbes = append(w.pendingProbes, id)
 }
 func (w *invariantChecker) Timer(d time.Duration, token uint64) {
 	w.recorder.Timer(d, token)
@@ -146,20 +146,20 @@
 		}
 	}
 	set.Classes = classes
-	w := &invariantChecker{t: t, set: set, now: t0, requests: map[RequestID]*requestState{}, states: map[ServerID]ServerState{},
-		servers: map[ServerID]Server{}}
+	w := &invariantChecker{t: t, set: set, now: t0, requests: map[RequestID]*requestState{}, states: map[MemberID]MemberState{},
+		members: map[MemberID]Endpoint{}}
 	w.balancer = New(set, 3, w)
 	w.balancer.Start()
-	update := func(kind ListKind, servers []Server) {
+	update := func(kind ListKind, members []Endpoint) {
 		if kind == ListFull || kind == ListCached {
 			for id := range w.states {
 				w.states[id] = Gone
 			}
 		}
-		for _, s := range servers {
-			w.states[s.ID], w.servers[s.ID] = s.State, s
+		for _, m := range members {
+			w.states[m.ID], w.members[m.ID] = m.State, m
 		}
-		w.balancer.UpdateServers(w.now, kind, servers)
+		w.balancer.UpdateEndpoints(w.now, kind, members)
 	}
 	list := fleet(8, 2)
 	update(ListCached, list)
@@ -194,7 +194,7 @@
 			if result == OK || r.established {
 				r.ended = true
 			}
-			w.balancer.AttemptEnded(w.now, Outcome{ID: a.id, Attempt: a.number, Server: a.server, Result: result, Final: r.ended,
+			w.balancer.AttemptEnded(w.now, Outcome{ID: a.id, Attempt: a.number, Member: a.member, Result: result, Final: r.ended,
 				Report: Report{Connections: float64(draw() % 30), Load: float64(draw()) / 100, Util: -1}})
 		case 6: // an attempt is established
 			if len(w.openAttempts) > 0 {
@@ -213,19 +213,19 @@
 			}
 		case 8: // the list changes
 			changed := list[draw()%len(list)]
-			changed.State = ServerState(draw() % 3)
+			changed.State = MemberState(draw() % 3)
 			if draw()%3 == 0 {
 				changed.Started = w.now
 			}
 			switch kind := ListKind(draw() % 4); kind {
 			case ListFailed:
-				w.balancer.UpdateServers(w.now, ListFailed, nil)
+				w.balancer.UpdateEndpoints(w.now, ListFailed, nil)
 			case ListDelta:
-				update(ListDelta, []Server{changed})
+				update(ListDelta, []Endpoint{changed})
 			default:
-				servers := slices.Clone(list[draw()%len(list):])
-				servers[0].State = changed.State
-				update(kind, servers)
+				members := slices.Clone(list[draw()%len(list):])
+				members[0].State = changed.State
+				update(kind, members)
 			}
 		case 9:
 			id := RequestID(draw()) % (next + 2)
--- a/policy/groups_test.go
+++ b/policy/groups_test.go
@@ -11,45 +11,45 @@
 func TestGroups(t *testing.T) {
 	set := settings()
 	set.Groups = true
-	usedServers := map[ServerID]bool{}
+	usedMembers := map[MemberID]bool{}
 	for seed := range uint64(40) {
 		rec := &recorder{}
-		h := &harness{Balancer: New(set, seed, rec), recorder: rec, now: t0, load: map[ServerID]float64{}}
-		h.UpdateServers(t0, ListCached, fleet(20, 1))
-		usedServers[h.serverOf(h.submit(Request{Tenant: int(seed % 2), Group: 77, Load: 0.1}))] = true
+		h := &harness{Balancer: New(set, seed, rec), recorder: rec, now: t0, load: map[MemberID]float64{}}
+		h.UpdateEndpoints(t0, ListCached, fleet(20, 1))
+		usedMembers[h.memberOf(h.submit(Request{Tenant: int(seed % 2), Group: 77, Load: 0.1}))] = true
 	}
-	if len(usedServers) > 1 || usedServers[0] {
-		t.Errorf("one group went to %d servers while the first had capacity", len(usedServers))
+	if len(usedMembers) > 1 || usedMembers[0] {
+		t.Errorf("one group went to %d servers while the first had capacity", len(usedMembers))
 	}
 }
 
-// TestGroupKeepsServer: a proxy with a connection of a group sends the next ones to the same server until it is full, even if another
+// TestGroupKeepsMember: a proxy with a connection of a group sends the next ones to the same server until it is full, even if another
 // server is first in the order of the group.
-func TestGroupKeepsServer(t *testing.T) {
+func TestGroupKeepsMember(t *testing.T) {
 	set := settings()
 	set.Groups = true
 	for _, load := range []float64{0.4, 0.9} {
 		first := firstChoice(set, Request{Group: 77, Load: 0.1})
 		h := newHarness(set, fleet(8, 1))
-		var current ServerID
-		for _, s := range h.servers {
-			if s.ID != first {
-				current = s.ID
+		var current MemberID
+		for _, m := range h.members {
+			if m.ID != first {
+				current = m.ID
 			}
 		}
 		h.AddExisting(h.now, Request{ID: 500, Group: 77, Load: 0.1}, current)
 		h.load[current] = load
 		h.now += time.Second
-		if to := h.serverOf(h.submit(Request{Group: 77, Load: 0.1})); (to == current) != (load < fillHigh) {
+		if to := h.memberOf(h.submit(Request{Group: 77, Load: 0.1})); (to == current) != (load < fillHigh) {
 			t.Errorf("at load %v: sent to %d, current is %d, first is %d", load, to, current, first)
 		}
 	}
 }
 
 // firstChoice returns the server that a request is sent to while all eight are empty.
-func firstChoice(set Settings, q Request) ServerID {
+func firstChoice(set Settings, q Request) MemberID {
 	h := newHarness(set, fleet(8, 1))
-	return h.serverOf(h.submit(q))
+	return h.memberOf(h.submit(q))
 }
 
 // TestGroupSpill: once the first server of a group is full, the group spills to the next one in its order that has capacity for many of its
@@ -59,19 +59,19 @@
 	set.Groups = true
 	home := firstChoice(set, Request{Group: 77, Load: 0.1})
 	for _, others := range []float64{0.2, 0.7} {
-		usedServers := map[ServerID]bool{}
+		usedMembers := map[MemberID]bool{}
 		for seed := range uint64(40) {
 			rec := &recorder{}
-			h := &harness{Balancer: New(set, seed, rec), recorder: rec, now: t0, load: map[ServerID]float64{}}
-			h.UpdateServers(t0, ListCached, fleet(8, 1))
-			for _, s := range h.servers {
-				h.load[s.ID] = others
+			h := &harness{Balancer: New(set, seed, rec), recorder: rec, now: t0, load: map[MemberID]float64{}}
+			h.UpdateEndpoints(t0, ListCached, fleet(8, 1))
+			for _, m := range h.members {
+				h.load[m.ID] = others
 			}
 			h.load[home] = 0.95
-			usedServers[h.serverOf(h.submit(Request{Group: 77, Load: 0.1}))] = true
+			usedMembers[h.memberOf(h.submit(Request{Group: 77, Load: 0.1}))] = true
 		}
-		if placed := !usedServers[0]; placed != (others < groupSpillFill) || len(usedServers) > 1 || usedServers[home] {
-			t.Errorf("home full, others at %v: sent to %v", others, usedServers)
+		if placed := !usedMembers[0]; placed != (others < groupSpillFill) || len(usedMembers) > 1 || usedMembers[home] {
+			t.Errorf("home full, others at %v: sent to %v", others, usedMembers)
 		}
 	}
 }
@@ -82,12 +82,12 @@
 	set := settings()
 	set.Groups = true
 	list := fleet(20, 1)
-	slices.SortFunc(list, func(x, y Server) int {
+	slices.SortFunc(list, func(x, y Endpoint) int {
 		return cmp.Compare(rendezvous(uint64(y.ID), 77, y.Weight), rendezvous(uint64(x.ID), 77, x.Weight))
 	})
-	for firstFree, want := range map[int]ServerID{groupReach - 1: list[groupReach-1].ID, groupReach: 0} { // the first with capacity
+	for firstFree, want := range map[int]MemberID{groupReach - 1: list[groupReach-1].ID, groupReach: 0} { // the first with capacity
 		h := newHarness(set, nil)
-		h.UpdateServers(t0, ListCached, slices.Clone(list))
+		h.UpdateEndpoints(t0, ListCached, slices.Clone(list))
 		for i, e := range list {
 			h.load[e.ID] = 0.95
 			if i >= firstFree {
@@ -95,7 +95,7 @@
 				h.applyReport(t0, h.byID[e.ID], Report{Connections: 3, Load: 0.1, Util: 0.1})
 			}
 		}
-		if id := h.serverOf(h.submit(Request{Group: 77, Load: 0.1})); id != want {
+		if id := h.memberOf(h.submit(Request{Group: 77, Load: 0.1})); id != want {
 			t.Errorf("capacity from place %d of the order on: sent to %d, want %d", firstFree, id, want)
 		}
 	}
@@ -114,12 +114,12 @@
 				list[i].Started = t0 - 3*time.Second
 			}
 		}
-		h.UpdateServers(t0-3*time.Second, ListCached, list)
-		for _, s := range h.servers {
-			h.load[s.ID] = 0.6
+		h.UpdateEndpoints(t0-3*time.Second, ListCached, list)
+		for _, m := range h.members {
+			h.load[m.ID] = 0.6
 		}
 		h.load[firstChoice(set, Request{Group: 77, Load: 0.1})] = 0.95
-		if sent := h.serverOf(h.submit(Request{Group: 77, Load: 0.1})) != 0; sent != slowStart {
+		if sent := h.memberOf(h.submit(Request{Group: 77, Load: 0.1})) != 0; sent != slowStart {
 			t.Errorf("slow start %v: sent %v", slowStart, sent)
 		}
 	}
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -16,7 +16,7 @@
 	log        []string
 	sends      []sentRequest
 	answers    map[RequestID]string
-	probes     []ServerID
+	probes     []MemberID
 	timers     []requestedTimer
 	migrations []RequestID
 	watches    int
@@ -24,7 +24,7 @@
 
 type sentRequest struct {
 	id      RequestID
-	server  ServerID
+	member  MemberID
 	timeout time.Duration
 }
 
@@ -37,9 +37,9 @@
 	r.log = append(r.log, fmt.Sprintf(format, args...))
 }
 
-func (r *recorder) Send(id RequestID, server ServerID, timeout time.Duration) {
-	r.sends = append(r.sends, sentRequest{id, server, timeout})
-	r.logf("send %d %d %v", id, server, timeout)
+func (r *recorder) Send(id RequestID, member MemberID, timeout time.Duration) {
+	r.sends = append(r.sends, sentRequest{id, member, timeout})
+	r.logf("send %d %d %v", id, member, timeout)
 }
 
 func (r *recorder) answer(id RequestID, answer string) {
@@ -61,7 +61,7 @@
 	r.logf("migrate %d", id)
 }
 
-func (r *recorder) Probe(s ServerID) { r.probes = append(r.probes, s); r.logf("probe %d", s) }
+func (r *recorder) Probe(id MemberID) { r.probes = append(r.probes, id); r.logf("probe %d", id) }
 
 func (r *recorder) Watch() { r.watches++; r.logf("watch") }
 
@@ -83,10 +83,10 @@
 }
 
 // fleet returns n ready servers that are past their slow start, spread over the zones.
-func fleet(n, zones int) []Server {
-	list := make([]Server, n)
+func fleet(n, zones int) []Endpoint {
+	list := make([]Endpoint, n)
 	for i := range list {
-		list[i] = Server{ID: ServerID(1000 + 17*i), Zone: i % zones, Cell: i / 2, State: Ready, Weight: 1}
+		list[i] = Endpoint{ID: MemberID(1000 + 17*i), Zone: i % zones, Cell: i / 2, State: Ready, Weight: 1}
 	}
 	return list
 }
@@ -96,17 +96,17 @@
 	*Balancer
 	*recorder
 	now         time.Duration
-	load        map[ServerID]float64
-	connections map[ServerID]float64
+	load        map[MemberID]float64
+	connections map[MemberID]float64
 	next        RequestID
 }
 
-func newHarness(set Settings, list []Server) *harness {
+func newHarness(set Settings, list []Endpoint) *harness {
 	rec := &recorder{}
-	h := &harness{recorder: rec, now: t0, load: map[ServerID]float64{}, connections: map[ServerID]float64{}}
+	h := &harness{recorder: rec, now: t0, load: map[MemberID]float64{}, connections: map[MemberID]float64{}}
 	h.Balancer = New(set, 7, rec)
 	h.Start()
-	h.UpdateServers(t0, ListCached, list)
+	h.UpdateEndpoints(t0, ListCached, list)
 	return h
 }
 
@@ -138,15 +138,15 @@
 	return q.ID
 }
 
-// serverOf returns the server of a request's latest attempt, 0 if it has none.
-func (h *harness) serverOf(id RequestID) ServerID {
-	var server ServerID
+// memberOf returns the member of a request's latest attempt, 0 if it has none.
+func (h *harness) memberOf(id RequestID) MemberID {
+	var member MemberID
 	for _, s := range h.sends {
 		if s.id == id {
-			server = s.server
+			member = s.member
 		}
 	}
-	return server
+	return member
 }
 
 // fireTimers fires the timers that are due within d, in the order in which they were requested.
@@ -163,8 +163,8 @@
 	}
 }
 
-func (h *harness) isHome(tenant int, id ServerID) bool {
-	return slices.ContainsFunc(h.homeSlice(tenant), func(s *server) bool { return s.ID == id })
+func (h *harness) isHome(tenant int, id MemberID) bool {
+	return slices.ContainsFunc(h.homeSlice(tenant), func(m *member) bool { return m.ID == id })
 }
 
 // siteSettings are settings as sites have them: two classes of different priority weight, without and with zones and groups.
--- a/policy/health.go
+++ b/policy/health.go
@@ -8,31 +8,31 @@
 // This file ejects servers and zones that fail, readmits them, and schedules health checks.
 
 // recordSuccess clears the failures of a server and of its zone.
-func (b *Balancer) recordSuccess(s *server) {
-	s.health, b.zones[s.Zone].health = health{}, health{}
+func (b *Balancer) recordSuccess(m *member) {
+	m.health, b.zones[m.Zone].health = health{}, health{}
 }
 
 // readmit takes a server back that has answered a probe. Its failures stay counted until a connection is
 // established: a server that fails connections may well answer probes, and would attract the next ones
 // because it is empty.
-func (b *Balancer) readmit(s *server) {
-	s.ejected, b.zones[s.Zone].health = false, health{}
+func (b *Balancer) readmit(m *member) {
+	m.ejected, b.zones[m.Zone].health = false, health{}
 }
 
-// recordFailure counts a failure against a server and its zone. serverFailureThreshold failures in a row
+// recordFailure counts a failure against a server and its zone. memberFailureThreshold failures in a row
 // eject the server and zoneFailureThreshold the zone: nothing is sent to either until its backoff is over
 // and a probe has been answered.
-func (b *Balancer) recordFailure(now time.Duration, s *server) {
-	if now >= s.retryAt {
-		s.failures++
+func (b *Balancer) recordFailure(now time.Duration, m *member) {
+	if now >= m.retryAt {
+		m.failures++
 	}
-	if s.failures == 1 && b.cfg.CanProbe && !s.probing {
-		b.probe(s) // one failure proves nothing: probe
+	if m.failures == 1 && b.cfg.CanProbe && !m.probing {
+		b.probe(m) // one failure proves nothing: probe
 	}
-	b.eject(now, &s.health, serverFailureThreshold)
-	z := &b.zones[s.Zone]
+	b.eject(now, &m.health, memberFailureThreshold)
+	z := &b.zones[m.Zone]
 	z.failures++
-	if s.Zone != b.cfg.Zone {
+	if m.Zone != b.cfg.Zone {
 		b.eject(now, &z.health, zoneFailureThreshold)
 	}
 }
@@ -47,15 +47,15 @@
 	h.ejected, h.retryAt = b.cfg.CanProbe, now+time.Duration(backoff*(0.5+b.rng.Float64()))
 }
 
-// mostServersFail says that the failures are not those of a few servers.
-func (b *Balancer) mostServersFail() bool {
+// mostMembersFail says that the failures are not those of a few servers.
+func (b *Balancer) mostMembersFail() bool {
 	failing := 0
-	for _, s := range b.servers {
-		if s.failures > 0 {
+	for _, m := range b.members {
+		if m.failures > 0 {
 			failing++
 		}
 	}
-	return 2*failing > len(b.servers)
+	return 2*failing > len(b.members)
 }
 
 func (b *Balancer) scheduleHealthCheck(within time.Duration) {
@@ -67,17 +67,17 @@
 // checkHealth probes the servers that hold own connections, and ejected ones whose backoff is over, also
 // while no request arrives: a backlog there shows nowhere else.
 func (b *Balancer) checkHealth(now time.Duration) {
-	for _, s := range b.servers {
-		if b.probeTokens >= 1 && s.State == Ready && !s.probing && now-s.reportedAt >= b.reportLag()/2 &&
-			(s.ownFlows > 0 || s.ejected && now >= s.retryAt) {
-			b.probe(s)
+	for _, m := range b.members {
+		if b.probeTokens >= 1 && m.State == Ready && !m.probing && now-m.reportedAt >= b.reportLag()/2 &&
+			(m.ownFlows > 0 || m.ejected && now >= m.retryAt) {
+			b.probe(m)
 		}
 	}
 	b.scheduleHealthCheck(b.reportLag())
 }
 
-func (b *Balancer) probe(s *server) {
-	s.probing = true
+func (b *Balancer) probe(m *member) {
+	m.probing = true
 	b.probeTokens--
-	b.executor.Probe(s.ID)
+	b.executor.Probe(m.ID)
 }
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -9,20 +9,20 @@
 // TestHealth: two failures in a row eject a server, one does not; a probe that succeeds ends the ejection.
 func TestHealth(t *testing.T) {
 	h := newHarness(settings(), fleet(6, 1))
-	s := h.servers[0]
-	h.recordFailure(h.now, s)
-	if s.ejected {
+	m := h.members[0]
+	h.recordFailure(h.now, m)
+	if m.ejected {
 		t.Error("one failure ejected the server")
 	}
-	if len(h.probes) != 1 || h.probes[0] != s.ID {
+	if len(h.probes) != 1 || h.probes[0] != m.ID {
 		t.Errorf("after one failure probed %v", h.probes)
 	}
-	h.ProbeResult(h.now, s.ID, Timeout, NoReport)
-	if !s.ejected || s.retryAt <= h.now {
+	h.ProbeResult(h.now, m.ID, Timeout, NoReport)
+	if !m.ejected || m.retryAt <= h.now {
 		t.Error("two failures in a row did not eject the server")
 	}
-	h.ProbeResult(h.now, s.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
-	if s.ejected {
+	h.ProbeResult(h.now, m.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
+	if m.ejected {
 		t.Error("a probe that succeeded did not end the ejection")
 	}
 }
@@ -32,9 +32,9 @@
 	set := settings()
 	set.Zones = 2
 	h := newHarness(set, fleet(20, 2))
-	for _, s := range h.servers {
-		if n := h.zones[s.Zone].failures; n < zoneFailureThreshold {
-			h.recordFailure(h.now, s)
+	for _, m := range h.members {
+		if n := h.zones[m.Zone].failures; n < zoneFailureThreshold {
+			h.recordFailure(h.now, m)
 		}
 	}
 	if !h.zones[1].ejected || h.zones[0].ejected {
@@ -49,10 +49,10 @@
 	for i := range 3 {
 		h.now += time.Minute
 		id := h.submit(Request{Tenant: 0})
-		s := h.byID[h.serverOf(id)]
-		s.consecutiveFull = 2 * i
-		h.AttemptEnded(h.now, Outcome{ID: id, Server: s.ID, Result: Full, Report: NoReport})
-		backoff := s.retryAt - h.now
+		m := h.byID[h.memberOf(id)]
+		m.consecutiveFull = 2 * i
+		h.AttemptEnded(h.now, Outcome{ID: id, Member: m.ID, Result: Full, Report: NoReport})
+		backoff := m.retryAt - h.now
 		if backoff <= previous {
 			t.Errorf("backoff %v after %v", backoff, previous)
 		}
@@ -67,10 +67,10 @@
 		for result, want := range map[Result]int{Timeout: 5, ConnectFailed: 0, Reset: 0, Error: 0, Full: 0} {
 			h := newHarness(set, fleet(4, 1))
 			for id := range RequestID(5) {
-				h.AddExisting(h.now, Request{ID: 100 + id, Load: 0.1}, h.servers[0].ID)
+				h.AddExisting(h.now, Request{ID: 100 + id, Load: 0.1}, h.members[0].ID)
 			}
-			for n := range serverFailureThreshold {
-				if h.ProbeResult(h.now, h.servers[0].ID, result, NoReport); n == 0 && len(h.migrations) > 0 {
+			for n := range memberFailureThreshold {
+				if h.ProbeResult(h.now, h.members[0].ID, result, NoReport); n == 0 && len(h.migrations) > 0 {
 					t.Errorf("%s, %v: migrated %d after one probe", name, result, len(h.migrations))
 				}
 			}
@@ -114,14 +114,14 @@
 // never beyond the budget of probes.
 func TestHealthCheck(t *testing.T) {
 	h := newHarness(settings(), fleet(3, 1))
-	s := h.servers[1]
-	h.AddExisting(h.now, Request{ID: 900, Load: 0.1}, s.ID)
-	h.load[s.ID] = 0.5
+	m := h.members[1]
+	h.AddExisting(h.now, Request{ID: 900, Load: 0.1}, m.ID)
+	h.load[m.ID] = 0.5
 	for n := range 3 {
 		h.now += 2 * h.reportLag()
 		h.probes = nil
 		h.Balancer.Timer(h.now, tokenHealthCheck)
-		if len(h.probes) != 1 || h.probes[0] != s.ID {
+		if len(h.probes) != 1 || h.probes[0] != m.ID {
 			t.Fatalf("check %d probed %v, want only the server with the connection", n, h.probes)
 		}
 		h.answerProbes()
@@ -141,32 +141,32 @@
 // the backoff, and there are no probes meanwhile.
 func TestFailuresOutlastProbes(t *testing.T) {
 	h := newHarness(settings(), fleet(1, 1))
-	s := h.servers[0]
-	for range serverFailureThreshold {
-		h.recordFailure(h.now, s)
+	m := h.members[0]
+	for range memberFailureThreshold {
+		h.recordFailure(h.now, m)
 	}
-	until := s.retryAt
+	until := m.retryAt
 	for range 5 {
-		h.recordFailure(h.now, s)
+		h.recordFailure(h.now, m)
 	}
-	h.probes, s.probing = nil, false
+	h.probes, m.probing = nil, false
 	h.checkHealth(h.now)
-	if !s.ejected || s.retryAt != until || s.failures != serverFailureThreshold || len(h.probes) != 0 {
-		t.Fatalf("ejected %v, %d failures, backoff longer by %v, probed %v", s.ejected, s.failures, s.retryAt-until, h.probes)
+	if !m.ejected || m.retryAt != until || m.failures != memberFailureThreshold || len(h.probes) != 0 {
+		t.Fatalf("ejected %v, %d failures, backoff longer by %v, probed %v", m.ejected, m.failures, m.retryAt-until, h.probes)
 	}
 	h.now = until
-	h.ProbeResult(h.now, s.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
-	if s.ejected {
+	h.ProbeResult(h.now, m.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
+	if m.ejected {
 		t.Fatal("not reinstated by a successful probe")
 	}
-	if h.recordFailure(h.now, s); !s.ejected {
+	if h.recordFailure(h.now, m); !m.ejected {
 		t.Fatal("not ejected by a further failure")
 	}
-	h.now = s.retryAt
-	h.ProbeResult(h.now, s.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
+	h.now = m.retryAt
+	h.ProbeResult(h.now, m.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
 	id := h.submit(Request{Load: 0.1})
 	h.Established(h.now, id)
-	if h.recordFailure(h.now, s); s.ejected {
+	if h.recordFailure(h.now, m); m.ejected {
 		t.Error("ejected for one failure after a connection was established")
 	}
 }
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -17,12 +17,12 @@
 	ZoneFill          []float64                  `json:"Fill"` // of each zone
 	Kinds             map[int][2]float64         `json:"Kinds"`
 	AdmissionRate     float64                    `json:"Daring"`
-	Servers           map[ServerID]LearnedServer `json:"Servers"`
+	Members           map[MemberID]LearnedMember `json:"Servers"`
 	Age               time.Duration              `json:"Ago"` // when all this was learned
 }
 
-// LearnedServer is what a successor takes over of one server.
-type LearnedServer struct {
+// LearnedMember is what a successor takes over about one member.
+type LearnedMember struct {
 	Capacity float64       `json:"Capacity"`
 	Reports  float64       `json:"Reports"`
 	Load     float64       `json:"Load"` // its last report's; negative for none
@@ -37,29 +37,29 @@
 func (f *Facade) LearnedState(now time.Duration) LearnedState {
 	b := f.balancer
 	l := LearnedState{MeanLoad: b.meanLoad, ClassLoad: b.classLoad, LendingThresholds: b.lendingThresholds,
-		Kinds: map[int][2]float64{}, AdmissionRate: b.admissionRate, Servers: map[ServerID]LearnedServer{}}
+		Kinds: map[int][2]float64{}, AdmissionRate: b.admissionRate, Members: map[MemberID]LearnedMember{}}
 	for _, z := range b.zones {
 		l.ZoneFill = append(l.ZoneFill, z.fill)
 	}
 	for kind, k := range b.kinds {
 		l.Kinds[kind] = [2]float64{k.inflight, k.capacity}
 	}
-	for _, s := range b.servers {
-		learned := LearnedServer{Capacity: s.capacity, Reports: s.reportCount, Load: -1, Failures: s.failures,
-			Ejected: s.ejected, Backoff: max(s.retryAt-now, 0)}
-		if s.hasReport && s.report.Load <= math.MaxFloat64 {
-			learned.Load, learned.Age = s.report.Load, now-s.reportChangedAt
+	for _, m := range b.members {
+		learned := LearnedMember{Capacity: m.capacity, Reports: m.reportCount, Load: -1, Failures: m.failures,
+			Ejected: m.ejected, Backoff: max(m.retryAt-now, 0)}
+		if m.hasReport && m.report.Load <= math.MaxFloat64 {
+			learned.Load, learned.Age = m.report.Load, now-m.reportChangedAt
 		}
-		if s.Started != 0 {
-			learned.Uptime = now - s.Started
+		if m.Started != 0 {
+			learned.Uptime = now - m.Started
 		}
-		l.Servers[s.ID] = learned
+		l.Members[m.ID] = learned
 	}
 	return l
 }
 
 // Restore takes over what another Balancer has learned of the same deployment. It is
-// called after the first ServerList; what does not fit the settings is left out.
+// called after the first EndpointList; what does not fit the settings is left out.
 func (f *Facade) Restore(now time.Duration, l LearnedState) {
 	b := f.balancer
 	if len(l.ClassLoad) == len(b.classLoad) && len(l.LendingThresholds) == len(b.lendingThresholds) &&
@@ -74,19 +74,19 @@
 	for id, k := range l.Kinds {
 		b.kinds[id] = &kind{k[0], k[1]}
 	}
-	for _, s := range b.servers {
-		learned, known := l.Servers[s.ID]
-		if !known || s.Started != 0 && s.Started > now-l.Age { // it has restarted since
+	for _, m := range b.members {
+		learned, known := l.Members[m.ID]
+		if !known || m.Started != 0 && m.Started > now-l.Age { // it has restarted since
 			continue
 		}
-		s.capacity, s.reportCount = learned.Capacity, learned.Reports
-		if up := now - learned.Uptime; learned.Uptime > 0 && up > s.Started {
-			s.Started = up
+		m.capacity, m.reportCount = learned.Capacity, learned.Reports
+		if up := now - learned.Uptime; learned.Uptime > 0 && up > m.Started {
+			m.Started = up
 		}
-		s.failures, s.ejected, s.retryAt = learned.Failures, learned.Ejected, now+learned.Backoff
+		m.failures, m.ejected, m.retryAt = learned.Failures, learned.Ejected, now+learned.Backoff
 		if learned.Load >= 0 {
-			s.report, s.hasReport = Report{Connections: -1, Load: learned.Load, Util: -1, Backlog: -1}, true
-			s.reportChangedAt, s.reportedAt = now-learned.Age, now-learned.Age
+			m.report, m.hasReport = Report{Connections: -1, Load: learned.Load, Util: -1, Backlog: -1}, true
+			m.reportChangedAt, m.reportedAt = now-learned.Age, now-learned.Age
 		}
 	}
 }
--- a/policy/migration.go
+++ b/policy/migration.go
@@ -12,23 +12,23 @@
 // is served well. Each proxy moves a part of its own load, so that all together move the excess and no
 // more. Connections of the least value for their load go first, so that the fewest clients and the least
 // value move.
-func (b *Balancer) migrateExcess(now time.Duration, s *server) {
-	fill := b.usedOf(now, s) / b.capacityOf(now, s)
-	if s.rawReport.Load > stallLoad {
-		fill = min(fill, max(s.previousLoad, 1))
+func (b *Balancer) migrateExcess(now time.Duration, m *member) {
+	fill := b.usedOf(now, m) / b.capacityOf(now, m)
+	if m.rawReport.Load > stallLoad {
+		fill = min(fill, max(m.previousLoad, 1))
 	}
 	// Guards against moving the same excess twice: reports go on showing it for a while.
-	if fill <= fillHigh || s.migratedAt > 0 && s.rawReportAt-b.minObjective < s.migratedAt {
+	if fill <= fillHigh || m.migratedAt > 0 && m.rawReportAt-b.minObjective < m.migratedAt {
 		return
 	}
-	s.migratedAt = now
+	m.migratedAt = now
 	excess := 0.0 // the load to migrate
-	for _, r := range s.conns {
+	for _, r := range m.conns {
 		excess += b.loadOf(r)
 	}
 	part := b.admissionRate * (fill - fillHigh) / fill
 	excess *= part * (2 - part) // as two passes would: each proxy checks only now and then
-	list := slices.Clone(s.conns)
+	list := slices.Clone(m.conns)
 	slices.SortStableFunc(list, func(p, q *request) int {
 		return cmp.Compare(b.valuePerLoad(p), b.valuePerLoad(q))
 	})
@@ -70,8 +70,8 @@
 }
 
 // migrateAll moves all own connections off a server.
-func (b *Balancer) migrateAll(s *server) {
-	for _, r := range slices.Clone(s.conns) {
+func (b *Balancer) migrateAll(m *member) {
+	for _, r := range slices.Clone(m.conns) {
 		b.migrate(r)
 	}
 }
--- a/policy/migration_test.go
+++ b/policy/migration_test.go
@@ -11,11 +11,11 @@
 	for _, tt := range []struct {
 		name string
 		kind ListKind
-		list func(list []Server) []Server
+		list func(list []Endpoint) []Endpoint
 	}{
-		{"draining", ListDelta, func(list []Server) []Server { list[0].State = Draining; return list[:1] }},
-		{"deleted", ListDelta, func(list []Server) []Server { list[0].State = Gone; return list[:1] }},
-		{"not listed", ListFull, func(list []Server) []Server { return list[1:] }},
+		{"draining", ListDelta, func(list []Endpoint) []Endpoint { list[0].State = Draining; return list[:1] }},
+		{"deleted", ListDelta, func(list []Endpoint) []Endpoint { list[0].State = Gone; return list[:1] }},
+		{"not listed", ListFull, func(list []Endpoint) []Endpoint { return list[1:] }},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			h := newHarness(settings(), fleet(2, 1))
@@ -23,7 +23,7 @@
 				h.AddExisting(h.now, Request{ID: 100 + id, Load: 0.1}, fleet(2, 1)[id%2].ID)
 			}
 			for range 2 {
-				h.UpdateServers(h.now, tt.kind, tt.list(fleet(2, 1)))
+				h.UpdateEndpoints(h.now, tt.kind, tt.list(fleet(2, 1)))
 			}
 			if len(h.migrations) != 3 || h.migrations[0]%2 != 0 || h.migrations[1]%2 != 0 || h.migrations[2]%2 != 0 {
 				t.Errorf("migrated %v", h.migrations)
@@ -36,21 +36,21 @@
 // more. Sites without message latencies have no other sign of a full server.
 func TestBacklog(t *testing.T) {
 	h := newHarness(settings(), fleet(4, 1))
-	s := h.servers[0]
+	m := h.members[0]
 	for id := range RequestID(40) {
-		h.AddExisting(h.now, Request{ID: 100 + id, Load: 0.1}, s.ID)
+		h.AddExisting(h.now, Request{ID: 100 + id, Load: 0.1}, m.ID)
 	}
 	report := Report{Connections: 40, Load: 2, Util: -1, Backlog: 0.05}
-	if h.ProbeResult(h.now, s.ID, OK, report); len(h.migrations) != 0 {
+	if h.ProbeResult(h.now, m.ID, OK, report); len(h.migrations) != 0 {
 		t.Fatalf("migrated %d with a short backlog", len(h.migrations))
 	}
 	report.Backlog = 0.5
-	h.ProbeResult(h.now, s.ID, OK, report)
+	h.ProbeResult(h.now, m.ID, OK, report)
 	migrated := len(h.migrations)
 	if migrated == 0 || migrated == 40 {
 		t.Fatalf("migrated %d of 40", migrated)
 	}
-	if h.ProbeResult(h.now, s.ID, OK, report); len(h.migrations) != migrated {
+	if h.ProbeResult(h.now, m.ID, OK, report); len(h.migrations) != migrated {
 		t.Error("migrated more before the effect can show")
 	}
 }
@@ -59,7 +59,7 @@
 // waits there.
 func TestBacklogMigrates(t *testing.T) {
 	h := newHarness(settings(), fleet(2, 1))
-	full, free := h.servers[0], h.servers[1]
+	full, free := h.members[0], h.members[1]
 	for id := range RequestID(30) {
 		h.AddExisting(h.now, Request{ID: 100 + id, Load: 0.1}, full.ID)
 	}
@@ -79,7 +79,7 @@
 		}
 	}
 	for _, s := range h.sends {
-		if s.server == full.ID {
+		if s.member == full.ID {
 			t.Fatal("sent to a server with a backlog")
 		}
 	}
@@ -95,11 +95,11 @@
 		migrates bool
 	}{{0.5, false}, {0.8, false}, {2, true}} {
 		h := newHarness(settings(), fleet(4, 1))
-		s := h.servers[0]
+		m := h.members[0]
 		for id := range RequestID(40) {
-			h.AddExisting(h.now, Request{ID: 100 + id, Load: 0.1}, s.ID)
+			h.AddExisting(h.now, Request{ID: 100 + id, Load: 0.1}, m.ID)
 		}
-		h.applyReport(h.now, s, Report{Connections: 40, Load: tt.load, Util: -1})
+		h.applyReport(h.now, m, Report{Connections: 40, Load: tt.load, Util: -1})
 		h.ObserveLatency(h.now, 100, 90*ms)
 		if got := len(h.migrations) > 0; got != tt.migrates {
 			t.Errorf("load %v: migrated %d", tt.load, len(h.migrations))
@@ -115,12 +115,12 @@
 	set := settings()
 	set.Tenants = []Tenant{{Share: 0.5, Quota: 10}, {Share: 0.5, Quota: 100}}
 	h := newHarness(set, fleet(4, 1))
-	s := h.servers[0]
+	m := h.members[0]
 	for id := range RequestID(80) {
-		h.AddExisting(h.now, Request{ID: 100 + id, Load: 0.1, Tenant: int(id % 2)}, s.ID)
+		h.AddExisting(h.now, Request{ID: 100 + id, Load: 0.1, Tenant: int(id % 2)}, m.ID)
 	}
-	h.applyReport(h.now, s, Report{Connections: 80, Load: 1.1, Util: -1})
-	h.migrateExcess(h.now, s)
+	h.applyReport(h.now, m, Report{Connections: 80, Load: 1.1, Util: -1})
+	h.migrateExcess(h.now, m)
 	migrated := [2]int{}
 	for _, id := range h.migrations {
 		migrated[id%2]++
@@ -147,13 +147,13 @@
 		} {
 			t.Run(name+"/"+tt.name, func(t *testing.T) {
 				h := newHarness(set, fleet(4, 1))
-				s := h.servers[0]
+				m := h.members[0]
 				for id := range RequestID(60) { // the second class is five times as heavy
-					h.AddExisting(h.now, Request{ID: 100 + id, Class: int(id % 2), Load: 0.1 + 0.4*float64(id%2)}, s.ID)
+					h.AddExisting(h.now, Request{ID: 100 + id, Class: int(id % 2), Load: 0.1 + 0.4*float64(id%2)}, m.ID)
 				}
 				for _, load := range tt.loads {
 					h.now += time.Second
-					h.ProbeResult(h.now, s.ID, OK, Report{Connections: 60, Load: load, Util: -1, Backlog: -1})
+					h.ProbeResult(h.now, m.ID, OK, Report{Connections: 60, Load: load, Util: -1, Backlog: -1})
 				}
 				migrated, highValue := 0.0, 0
 				for _, id := range h.migrations {
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -11,8 +11,8 @@
 func (b *Balancer) Established(now time.Duration, id RequestID) {
 	if r := b.requests[id]; r != nil && r.inFlight {
 		r.established, r.answered = true, true
-		b.recordSuccess(r.server)
-		r.server.consecutiveFull = 0
+		b.recordSuccess(r.member)
+		r.member.consecutiveFull = 0
 		b.admissionRate = min(b.admissionRate+learningRate, 1)
 		b.rejectionRate -= learningRate * b.rejectionRate
 	}
@@ -20,26 +20,26 @@
 
 // AttemptEnded ends an attempt, before it became an open connection or after.
 func (b *Balancer) AttemptEnded(now time.Duration, o Outcome) {
-	if s := b.byID[o.Server]; s != nil {
-		b.applyReport(now, s, o.Report)
+	if m := b.byID[o.Member]; m != nil {
+		b.applyReport(now, m, o.Report)
 	}
 	r := b.requests[o.ID]
-	if r == nil || o.Attempt != r.attempts-1 || r.server == nil {
+	if r == nil || o.Attempt != r.attempts-1 || r.member == nil {
 		return
 	}
-	s := r.server
+	m := r.member
 	b.detach(now, r)
 	switch o.Result {
 	case ConnectFailed, Reset, Timeout, Error:
-		b.recordFailure(now, s)
+		b.recordFailure(now, m)
 	case OK:
-		b.recordSuccess(s)
+		b.recordSuccess(m)
 	case Full:
 		// Its queue of new connections is full, which no report shows: back off. Each further one in a row,
 		// as from a server that drains before the list says so, doubles the backoff.
-		s.consecutiveFull++
-		backoff := float64(b.minObjective) * math.Exp2(float64(min(s.consecutiveFull-1, maxBackoffDoublings)))
-		s.retryAt = now + time.Duration(backoff*(0.5+b.rng.Float64()))
+		m.consecutiveFull++
+		backoff := float64(b.minObjective) * math.Exp2(float64(min(m.consecutiveFull-1, maxBackoffDoublings)))
+		m.retryAt = now + time.Duration(backoff*(0.5+b.rng.Float64()))
 	}
 	r.answered = r.answered || o.Final
 	r.mayHaveRun = r.mayHaveRun || o.Result != Full && o.Result != ConnectFailed && o.Result != NotSent
@@ -53,7 +53,7 @@
 	}
 	r.stage, r.probedStage = 0, 0
 	if o.Result == Timeout || o.Result == Error {
-		if b.mostServersFail() { // the failures of one server are no reason to send less to all
+		if b.mostMembersFail() { // the failures of one server are no reason to send less to all
 			b.admissionRate = max(b.admissionRate*admissionBackoff, minAdmissionRate)
 		}
 		objective := float64(b.cfg.Classes[r.Class].LatencyObjective)
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -45,8 +45,8 @@
 			if b.cfg.Groups && ordered && tier != homeLocal {
 				level = min(level, groupSpillFill) // a server outside the slice bears the shared work again
 			}
-			if s := b.pick(now, r, tier, tiered[tier], level); s != nil {
-				b.send(now, r, s, tier == foreignLocal || tier == foreignRemote)
+			if m := b.pick(now, r, tier, tiered[tier], level); m != nil {
+				b.send(now, r, m, tier == foreignLocal || tier == foreignRemote)
 				return
 			}
 		}
@@ -59,7 +59,7 @@
 
 // probeCandidates probes candidates of the stage whose reports are old, within the budget, and reports
 // whether the request waits for the answers.
-func (b *Balancer) probeCandidates(now time.Duration, r *request, tiered [tierCount][]*server) bool {
+func (b *Balancer) probeCandidates(now time.Duration, r *request, tiered [tierCount][]*member) bool {
 	if b.probeAllowance() == 0 || r.MidFlow || r.probedStage > r.stage {
 		return false
 	}
@@ -74,16 +74,16 @@
 	if b.affinityKey(r) == 0 {
 		b.rng.Shuffle(len(want), func(i, j int) { want[i], want[j] = want[j], want[i] })
 	}
-	for _, s := range want[:min(len(want), probesPerTier)] {
-		fresh := s.hasReport && now-s.reportedAt < 2*b.minObjective &&
-			(s.ownFlows < shrinkage || s.placedAt <= s.reportedAt)
-		if fresh || b.probeTokens < 1 && !s.probing {
+	for _, m := range want[:min(len(want), probesPerTier)] {
+		fresh := m.hasReport && now-m.reportedAt < 2*b.minObjective &&
+			(m.ownFlows < shrinkage || m.placedAt <= m.reportedAt)
+		if fresh || b.probeTokens < 1 && !m.probing {
 			continue
 		}
-		if !s.probing {
-			b.probe(s)
+		if !m.probing {
+			b.probe(m)
 		}
-		b.probeWaiters[s.ID] = append(b.probeWaiters[s.ID], r.ID)
+		b.probeWaiters[m.ID] = append(b.probeWaiters[m.ID], r.ID)
 		r.pendingProbes++
 	}
 	if r.pendingProbes > 0 {
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -16,14 +16,14 @@
 	set.Tenants = []Tenant{{Share: 0.6}, {Share: 0.3}, {Share: 0.1}, {Share: 1e-6}}
 	list := fleet(60, 2)
 	a, b := newHarness(set, list), New(set, 99, &recorder{})
-	shuffled := append([]Server(nil), list...)
+	shuffled := append([]Endpoint(nil), list...)
 	rand.New(rand.NewPCG(1, 2)).Shuffle(len(shuffled), func(i, j int) {
 		shuffled[i], shuffled[j] = shuffled[j], shuffled[i]
 	})
-	b.UpdateServers(t0, ListCached, shuffled)
-	ids := func(b *Balancer, tenant int) (ids []ServerID) {
-		for _, s := range b.homeSlice(tenant) {
-			ids = append(ids, s.ID)
+	b.UpdateEndpoints(t0, ListCached, shuffled)
+	ids := func(b *Balancer, tenant int) (ids []MemberID) {
+		for _, m := range b.homeSlice(tenant) {
+			ids = append(ids, m.ID)
 		}
 		return ids
 	}
@@ -41,7 +41,7 @@
 	before := ids(a.Balancer, 0)
 	gone := list[0]
 	gone.State = Gone
-	a.UpdateServers(t0, ListDelta, []Server{gone})
+	a.UpdateEndpoints(t0, ListDelta, []Endpoint{gone})
 	after := ids(a.Balancer, 0)
 	for _, id := range after {
 		if !slices.Contains(before, id) {
@@ -66,10 +66,10 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			h := newHarness(settings(), fleet(10, 1))
-			for _, s := range h.servers {
-				h.load[s.ID] = tt.foreign
-				if h.isHome(0, s.ID) {
-					h.load[s.ID] = tt.home
+			for _, m := range h.members {
+				h.load[m.ID] = tt.foreign
+				if h.isHome(0, m.ID) {
+					h.load[m.ID] = tt.home
 				}
 			}
 			h.lendingThresholds[1] = tt.lending
@@ -79,8 +79,8 @@
 			h.now += 350 * ms
 			h.fireTimers(time.Second)
 			got := "rejected"
-			if server := h.serverOf(id); server != 0 {
-				got = map[bool]string{true: "home", false: "foreign"}[h.isHome(0, server)]
+			if member := h.memberOf(id); member != 0 {
+				got = map[bool]string{true: "home", false: "foreign"}[h.isHome(0, member)]
 			} else if h.answers[id] != "rejected" {
 				got = "open"
 			}
@@ -94,9 +94,9 @@
 // TestThresholdAdapts: requests that find their home slice full lower its lending threshold, and requests that find capacity raise it.
 func TestThresholdAdapts(t *testing.T) {
 	h := newHarness(settings(), fleet(10, 1))
-	for _, s := range h.servers {
-		if h.isHome(0, s.ID) {
-			h.load[s.ID] = 0.95
+	for _, m := range h.members {
+		if h.isHome(0, m.ID) {
+			h.load[m.ID] = 0.95
 		}
 	}
 	for range 6 {
@@ -123,7 +123,7 @@
 func TestForeignShare(t *testing.T) {
 	b := New(settings(), 1, &recorder{})
 	b.foreignFlows, b.ownFlows = 10, 100
-	few, many := &server{ownFlows: 1, foreignFlows: 1}, &server{ownFlows: 100, foreignFlows: 100}
+	few, many := &member{ownFlows: 1, foreignFlows: 1}, &member{ownFlows: 100, foreignFlows: 100}
 	if got := b.foreignShare(few); got > 0.4 {
 		t.Errorf("one foreign connection makes a share of %v", got)
 	}
@@ -137,18 +137,18 @@
 	set := settings()
 	set.Tenants = nil
 	list := fleet(2, 1)
-	hits := map[ServerID]int{}
+	hits := map[MemberID]int{}
 	for seed := range uint64(200) {
 		rec := &recorder{}
 		b := New(set, seed, rec)
-		b.UpdateServers(t0, ListCached, list)
+		b.UpdateEndpoints(t0, ListCached, list)
 		b.Request(t0, Request{ID: 1, Deadline: t0 + time.Second, Load: 0.1})
 		for len(rec.probes) > 0 {
 			id := rec.probes[0]
 			rec.probes = rec.probes[1:]
 			b.ProbeResult(t0, id, OK, Report{Connections: 10, Load: map[bool]float64{true: 0.1, false: 0.3}[id == list[0].ID], Util: -1})
 		}
-		hits[rec.sends[0].server]++
+		hits[rec.sends[0].member]++
 	}
 	if a, b := hits[list[0].ID], hits[list[1].ID]; a <= b || b == 0 {
 		t.Errorf("emptier server got %d, fuller one %d", a, b)
@@ -165,16 +165,16 @@
 		h.now += time.Second
 		h.submit(Request{Tenant: 0, Load: 0.1})
 	}
-	for _, s := range h.servers {
-		h.load[s.ID] = 0.72
-		h.applyReport(h.now, s, Report{Connections: 10, Load: 0.72, Util: -1})
+	for _, m := range h.members {
+		h.load[m.ID] = 0.72
+		h.applyReport(h.now, m, Report{Connections: 10, Load: 0.72, Util: -1})
 	}
 	if id := h.submit(Request{Tenant: 0, Load: 0.1}); h.answers[id] != "rejected" {
 		t.Errorf("tenant over its quota: %q, want rejected\n%s", h.answers[id], strings.Join(h.log, "\n"))
 	}
-	if id := h.submit(Request{Tenant: 1, Load: 0.1}); h.serverOf(id) == 0 {
+	if id := h.submit(Request{Tenant: 1, Load: 0.1}); h.memberOf(id) == 0 {
 		h.fireTimers(200 * ms)
-		if h.serverOf(id) == 0 {
+		if h.memberOf(id) == 0 {
 			t.Errorf("tenant within its quota not placed")
 		}
 	}
@@ -185,21 +185,21 @@
 	set := settings()
 	set.PassThrough = true
 	a, b := newHarness(set, fleet(20, 1)), newHarness(set, fleet(20, 1))
-	first := a.serverOf(a.submit(Request{Key: 5, Load: 0.1}))
-	for _, s := range b.servers {
-		b.load[s.ID] = 2
+	first := a.memberOf(a.submit(Request{Key: 5, Load: 0.1}))
+	for _, m := range b.members {
+		b.load[m.ID] = 2
 	}
-	if got := b.serverOf(b.submit(Request{Key: 5, MidFlow: true})); got != first || first == 0 {
+	if got := b.memberOf(b.submit(Request{Key: 5, MidFlow: true})); got != first || first == 0 {
 		t.Errorf("mid-flow packets went to %d, the connection is on %d", got, first)
 	}
 }
 
-// TestAllServersEjected: if all servers are ejected, a request is still sent to one of them.
-func TestAllServersEjected(t *testing.T) {
+// TestAllMembersEjected: if all servers are ejected, a request is still sent to one of them.
+func TestAllMembersEjected(t *testing.T) {
 	h := newHarness(settings(), fleet(6, 1))
-	for _, s := range h.servers {
-		h.recordFailure(h.now, s)
-		h.recordFailure(h.now, s)
+	for _, m := range h.members {
+		h.recordFailure(h.now, m)
+		h.recordFailure(h.now, m)
 	}
 	id := RequestID(1)
 	h.Request(h.now, Request{ID: id, Deadline: h.now + 2*time.Second})
@@ -213,7 +213,7 @@
 			}
 		}
 	}
-	if h.serverOf(id) == 0 {
+	if h.memberOf(id) == 0 {
 		t.Error("nothing was sent")
 	}
 }
@@ -226,10 +226,10 @@
 		sent  bool
 	}{{0.7, 0, true}, {0.7, 1, true}, {0.82, 0, true}, {0.82, 1, false}} {
 		h := newHarness(siteSettings()["few"], fleet(3, 1))
-		for i, s := range h.servers {
-			h.load[s.ID], h.connections[s.ID] = tt.load, 1000
+		for i, m := range h.members {
+			h.load[m.ID], h.connections[m.ID] = tt.load, 1000
 			for class, load := range []float64{0.1, 0.5} {
-				h.AddExisting(h.now, Request{ID: RequestID(500 + 2*i + class), Class: class}, s.ID)
+				h.AddExisting(h.now, Request{ID: RequestID(500 + 2*i + class), Class: class}, m.ID)
 				h.Balancer.UpdateLoad(h.now, RequestID(500+2*i+class), load)
 			}
 		}
@@ -241,7 +241,7 @@
 			}
 			h.answerProbes()
 		}
-		if got := h.serverOf(id) != 0; got != tt.sent {
+		if got := h.memberOf(id) != 0; got != tt.sent {
 			t.Errorf("class %d at a fill of %v: sent %v", tt.class, tt.load, got)
 		}
 	}
@@ -259,10 +259,10 @@
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(set, fleet(2, 1))
 			for id := range RequestID(30) {
-				h.AddExisting(h.now, Request{ID: 100 + id, Load: 0.1}, h.servers[id%2].ID)
+				h.AddExisting(h.now, Request{ID: 100 + id, Load: 0.1}, h.members[id%2].ID)
 			}
-			for _, s := range h.servers {
-				h.ProbeResult(h.now, s.ID, OK, Report{Connections: c.reported, Load: 0.5, Util: -1, Backlog: -1})
+			for _, m := range h.members {
+				h.ProbeResult(h.now, m.ID, OK, Report{Connections: c.reported, Load: 0.5, Util: -1, Backlog: -1})
 			}
 			if h.overQuota(0) != c.over {
 				t.Errorf("over its quota %v, want %v", !c.over, c.over)
@@ -276,12 +276,12 @@
 	set := settings()
 	set.Reports, set.Tenants = ReportsOff, nil
 	h := newHarness(set, fleet(5, 1))
-	usedServers := map[ServerID]bool{}
+	usedMembers := map[MemberID]bool{}
 	for range 40 {
 		h.now += 100 * ms
-		usedServers[h.serverOf(h.submit(Request{Load: 0.1}))] = true
+		usedMembers[h.memberOf(h.submit(Request{Load: 0.1}))] = true
 	}
-	if len(usedServers) < 4 || usedServers[0] {
-		t.Errorf("used servers %v", usedServers)
+	if len(usedMembers) < 4 || usedMembers[0] {
+		t.Errorf("used servers %v", usedMembers)
 	}
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -35,8 +35,8 @@
 	// crossZoneFill turns the price of crossing zones into fill: a server across a priced border must be
 	// emptier.
 	crossZoneFill = 4.0
-	// serverFailureThreshold and zoneFailureThreshold are the failures in a row that eject a server or a zone.
-	serverFailureThreshold, zoneFailureThreshold = 2, 4
+	// memberFailureThreshold and zoneFailureThreshold are the failures in a row that eject a server or a zone.
+	memberFailureThreshold, zoneFailureThreshold = 2, 4
 	// maxBackoffDoublings bounds the exponential backoff before an ejected server is tried again.
 	maxBackoffDoublings = 5
 	// groupSlice is how many servers form the home slice of a group. Those that come next in its order, up to
@@ -72,10 +72,10 @@
 		cfg:               set,
 		executor:          executor,
 		rng:               rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
-		byID:              map[ServerID]*server{},
+		byID:              map[MemberID]*member{},
 		requests:          map[RequestID]*request{},
 		zones:             slices.Repeat([]zone{{fill: fillLow}}, set.Zones), // until reports say otherwise
-		probeWaiters:      map[ServerID][]RequestID{},
+		probeWaiters:      map[MemberID][]RequestID{},
 		kinds:             map[int]*kind{},
 		lendingThresholds: slices.Repeat([]float64{1}, len(set.Tenants)),
 		openByTenant:      make([]float64, len(set.Tenants)),
--- a/policy/reports.go
+++ b/policy/reports.go
@@ -9,26 +9,26 @@
 // This file takes the reports of servers and the loads and latencies of connections.
 
 // ProbeResult takes the answer to a probe.
-func (b *Balancer) ProbeResult(now time.Duration, id ServerID, result Result, report Report) {
-	s := b.byID[id]
-	if s != nil {
-		s.probing = false
+func (b *Balancer) ProbeResult(now time.Duration, id MemberID, result Result, report Report) {
+	m := b.byID[id]
+	if m != nil {
+		m.probing = false
 		switch result {
 		case OK:
-			b.readmit(s)
-			b.applyReport(now, s, report)
+			b.readmit(m)
+			b.applyReport(now, m, report)
 			// Messages wait for the backlog or, where none is reported, for the load beyond the capacity.
 			overloaded := report.Backlog > b.minMessageObjective.Seconds()/2 ||
 				report.Backlog < 0 && report.Load > overloadFill
-			if overloaded && now-s.migratedAt >= b.reportLag() {
-				b.migrateExcess(now, s)
+			if overloaded && now-m.migratedAt >= b.reportLag() {
+				b.migrateExcess(now, m)
 			}
 		case Full: // it answers, but is probed by too many: not a failure
-			b.readmit(s)
+			b.readmit(m)
 		case NotSent: // it was not probed
 		default:
-			if b.recordFailure(now, s); s.ejected && result == Timeout {
-				b.migrateAll(s) // it most likely does not answer its clients either
+			if b.recordFailure(now, m); m.ejected && result == Timeout {
+				b.migrateAll(m) // it most likely does not answer its clients either
 			}
 		}
 	}
@@ -44,35 +44,35 @@
 }
 
 // applyReport learns from a report. Any field may be missing.
-func (b *Balancer) applyReport(now time.Duration, s *server, p Report) {
+func (b *Balancer) applyReport(now time.Duration, m *member, p Report) {
 	if !(p.Load >= 0) {
 		p.Load = p.Util
 	}
 	if !(p.Load >= 0) || math.IsInf(p.Load, 0) {
 		return
 	}
-	if !s.hasReport || p != s.report {
-		s.reportChangedAt = now
+	if !m.hasReport || p != m.report {
+		m.reportChangedAt = now
 	}
-	if p != s.rawReport {
-		s.rawReport, s.previousLoad, s.rawReportAt = p, s.rawReport.Load, now
+	if p != m.rawReport {
+		m.rawReport, m.previousLoad, m.rawReportAt = p, m.rawReport.Load, now
 	}
-	s.pendingPlacements = slices.DeleteFunc(s.pendingPlacements, func(x placement) bool {
+	m.pendingPlacements = slices.DeleteFunc(m.pendingPlacements, func(x placement) bool {
 		return now-x.at >= 2*b.minObjective
 	})
-	s.report, s.reportedAt, s.hasReport = p, now, true
-	b.zones[s.Zone].fill += learningRate * (min(p.Load, 2) - b.zones[s.Zone].fill)
-	if p.Connections > 0 && p.Load > minLearningLoad && b.warmupFraction(now, s) == 1 {
+	m.report, m.reportedAt, m.hasReport = p, now, true
+	b.zones[m.Zone].fill += learningRate * (min(p.Load, 2) - b.zones[m.Zone].fill)
+	if p.Connections > 0 && p.Load > minLearningLoad && b.warmupFraction(now, m) == 1 {
 		// Connections against load over capacity: pooled over the kind, and for the server itself.
-		k := b.kinds[s.Kind]
+		k := b.kinds[m.Kind]
 		if k == nil {
 			k = &kind{}
-			b.kinds[s.Kind] = k
+			b.kinds[m.Kind] = k
 		}
 		k.inflight = k.inflight*(1-learningRate/4) + p.Connections
-		k.capacity = k.capacity*(1-learningRate/4) + p.Load*s.Weight
-		s.capacity = (s.capacity*s.reportCount + p.Connections/p.Load) / (s.reportCount + 1)
-		s.reportCount = min(s.reportCount+1, 4*priorReports)
+		k.capacity = k.capacity*(1-learningRate/4) + p.Load*m.Weight
+		m.capacity = (m.capacity*m.reportCount + p.Connections/p.Load) / (m.reportCount + 1)
+		m.reportCount = min(m.reportCount+1, 4*priorReports)
 	}
 }
 
@@ -90,14 +90,14 @@
 // ObserveLatency takes how long a message took at the server of an open connection.
 func (b *Balancer) ObserveLatency(now time.Duration, id RequestID, message time.Duration) {
 	r := b.requests[id]
-	if r == nil || r.server == nil {
+	if r == nil || r.member == nil {
 		return
 	}
-	s := r.server
+	m := r.member
 	if objective := b.cfg.Classes[r.Class].MessageLatencyObjective; message > objective {
-		s.report.Load, s.reportChangedAt = max(s.report.Load, 1), now
+		m.report.Load, m.reportChangedAt = max(m.report.Load, 1), now
 	} else if message < objective/2 {
 		return
 	}
-	b.migrateExcess(now, s)
+	b.migrateExcess(now, m)
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -54,8 +54,8 @@
 	return s
 }
 
-// normalizeServer does the same for an entry of the server list.
-func normalizeServer(e Server, zones int) Server {
+// normalizeEndpoint does the same for an entry of the server list.
+func normalizeEndpoint(e Endpoint, zones int) Endpoint {
 	e.Zone = min(max(e.Zone, 0), zones-1)
 	if math.IsNaN(e.Weight) || e.Weight <= 0 || e.Weight > 1e9 {
 		e.Weight = 1
--- a/policy/settings_test.go
+++ b/policy/settings_test.go
@@ -20,7 +20,7 @@
 			t.Errorf("mean load %v after an absurd hint", h.meanLoad)
 		}
 		h.fireTimers(5 * time.Second)
-		if h.serverOf(id) == 0 && h.answers[id] == "" {
+		if h.memberOf(id) == 0 && h.answers[id] == "" {
 			t.Error("request neither sent nor answered")
 		}
 	}
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -14,10 +14,10 @@
 type slowStartFleet struct {
 	relays      []*Facade
 	set         Settings
-	joining     Server
-	others      []Server
-	placed      map[RequestID]ServerID
-	connections map[ServerID]int
+	joining     Endpoint
+	others      []Endpoint
+	placed      map[RequestID]MemberID
+	connections map[MemberID]int
 	sentAt      []time.Duration
 }
 
@@ -26,19 +26,19 @@
 
 func newSlowStartFleet(seed uint64, relays int, set Settings) *slowStartFleet {
 	set.Balancers = relays
-	p := &slowStartFleet{set: set, placed: map[RequestID]ServerID{}, connections: map[ServerID]int{}}
+	p := &slowStartFleet{set: set, placed: map[RequestID]MemberID{}, connections: map[MemberID]int{}}
 	list := fleet(7, 1)
 	p.others, p.joining = list[:6], list[6]
 	for i := range relays {
 		f := NewFacade(t0, set, 1000*seed+uint64(i))
-		f.Observe(t0, ServerList{ListFull, p.others})
+		f.Observe(t0, EndpointList{ListFull, p.others})
 		p.relays = append(p.relays, f)
 	}
 	return p
 }
 
 // capacity is how many connections a server has capacity for now; in slow start it rises linearly, as slowly as the settings allow.
-func (p *slowStartFleet) capacity(now time.Duration, id ServerID) float64 {
+func (p *slowStartFleet) capacity(now time.Duration, id MemberID) float64 {
 	if id != p.joining.ID {
 		return warmCapacity
 	}
@@ -46,7 +46,7 @@
 	return warmCapacity * (p.set.SlowStartMinCapacity + (1-p.set.SlowStartMinCapacity)*progress)
 }
 
-func (p *slowStartFleet) report(now time.Duration, id ServerID) Report {
+func (p *slowStartFleet) report(now time.Duration, id MemberID) Report {
 	n := float64(p.connections[id])
 	load := n / p.capacity(now, id)
 	return Report{n, load, load, max(load-1, 0)}
@@ -56,17 +56,17 @@
 	for _, action := range slices.Clone(actions) {
 		switch action.Kind {
 		case ActionSend:
-			p.placed[action.ID] = action.Server
-			p.connections[action.Server]++
-			if action.Server == p.joining.ID {
+			p.placed[action.ID] = action.Member
+			p.connections[action.Member]++
+			if action.Member == p.joining.ID {
 				p.sentAt = append(p.sentAt, now)
 			}
 			p.execute(now, f, f.Observe(now, FlowEstablished{action.ID}))
 		case ActionProbe:
-			p.execute(now, f, f.Observe(now, ProbeResult{action.Server, OK, p.report(now, action.Server)}))
+			p.execute(now, f, f.Observe(now, ProbeResult{action.Member, OK, p.report(now, action.Member)}))
 		case ActionMigrate:
 			p.connections[p.placed[action.ID]]--
-			p.execute(now, f, f.Observe(now, AttemptEnded{ID: action.ID, Server: p.placed[action.ID], Result: Cancelled, Final: true, Report: NoReport}))
+			p.execute(now, f, f.Observe(now, AttemptEnded{ID: action.ID, Member: p.placed[action.ID], Result: Cancelled, Final: true, Report: NoReport}))
 		}
 	}
 }
@@ -80,7 +80,7 @@
 		now += every
 		for i, f := range p.relays {
 			if listedAt := joins + time.Duration(i)*500*ms/time.Duration(len(p.relays)); now-every < listedAt && listedAt <= now {
-				p.execute(now, f, f.Observe(now, ServerList{ListDelta, []Server{p.joining}}))
+				p.execute(now, f, f.Observe(now, EndpointList{ListDelta, []Endpoint{p.joining}}))
 			}
 			p.execute(now, f, f.Tick(now))
 		}
@@ -151,7 +151,7 @@
 	now, joins := t0, t0+3*time.Second
 	p.joining.Started = joins
 	for _, f := range p.relays {
-		p.execute(joins, f, f.Observe(joins, ServerList{ListDelta, []Server{p.joining}}))
+		p.execute(joins, f, f.Observe(joins, EndpointList{ListDelta, []Endpoint{p.joining}}))
 	}
 	for now = joins; now < joins+time.Duration(part*float64(p.set.SlowStartDuration)); now += 100 * ms {
 		for _, f := range p.relays {
@@ -196,19 +196,19 @@
 			for p := uint64(0); p < senders; p++ {
 				h := newHarness(set, nil)
 				h.Balancer = New(set, 1000*trial+p, h.recorder)
-				h.UpdateServers(t0, ListDelta, []Server{{ID: 1, State: Ready, Weight: 1, Started: t0}})
-				now, s := t0+time.Duration(rng.Int64N(int64(500*ms))), h.servers[0]
-				if h.slowStartAllows(now, &request{Request: Request{Group: group}, load: 1}, s) {
+				h.UpdateEndpoints(t0, ListDelta, []Endpoint{{ID: 1, State: Ready, Weight: 1, Started: t0}})
+				now, m := t0+time.Duration(rng.Int64N(int64(500*ms))), h.members[0]
+				if h.slowStartAllows(now, &request{Request: Request{Group: group}, load: 1}, m) {
 					sent++
 				}
 				if p == 0 {
 					if group != 0 {
-						senders = uint64(groupDemand * fillLow * h.capacityOf(t0+set.SlowStartDuration, s))
+						senders = uint64(groupDemand * fillLow * h.capacityOf(t0+set.SlowStartDuration, m))
 					}
-					capacity += fillHigh * h.capacityOf(t0, s)
+					capacity += fillHigh * h.capacityOf(t0, m)
 					// What the rate allows by the end of the half second, including the part of a window that is granted at once.
 					seconds := set.OverloadWindow.Seconds()*(1/slowStartMargin-1) + 0.5
-					allowed += slowStartMargin * set.OverloadFactor * h.capacityOf(t0+500*ms, s) / set.SlowStartDuration.Seconds() * seconds
+					allowed += slowStartMargin * set.OverloadFactor * h.capacityOf(t0+500*ms, m) / set.SlowStartDuration.Seconds() * seconds
 				}
 			}
 		}
@@ -228,16 +228,16 @@
 	const proxies = 50
 	for seed := range uint64(proxies) {
 		rec := &recorder{}
-		h := &harness{Balancer: New(set, seed, rec), recorder: rec, now: t0, load: map[ServerID]float64{}}
-		servers := slices.Clone(list)
-		servers[0].Started = t0 - ms
-		h.UpdateServers(t0, ListCached, servers)
-		for _, s := range list[1:] {
-			h.load[s.ID] = 0.7
+		h := &harness{Balancer: New(set, seed, rec), recorder: rec, now: t0, load: map[MemberID]float64{}}
+		members := slices.Clone(list)
+		members[0].Started = t0 - ms
+		h.UpdateEndpoints(t0, ListCached, members)
+		for _, m := range list[1:] {
+			h.load[m.ID] = 0.7
 		}
 		for range 10 {
 			h.now += 200 * ms
-			if h.serverOf(h.submit(Request{Tenant: h.byID[list[0].ID].owner, Load: 1})) == list[0].ID {
+			if h.memberOf(h.submit(Request{Tenant: h.byID[list[0].ID].owner, Load: 1})) == list[0].ID {
 				sent++
 			}
 		}
@@ -257,18 +257,18 @@
 	sentWith := func(activeRelays float64) (sent float64) {
 		list := fleet(6, 1)
 		for seed := range uint64(4) {
-			h := &harness{recorder: &recorder{}, now: t0, load: map[ServerID]float64{}}
+			h := &harness{recorder: &recorder{}, now: t0, load: map[MemberID]float64{}}
 			h.Balancer = New(set, seed, h.recorder)
-			servers := slices.Clone(list)
-			servers[0].Started = t0 - ms
-			h.UpdateServers(t0, ListCached, servers)
-			for _, s := range list[1:] {
-				h.load[s.ID] = 0.7
+			members := slices.Clone(list)
+			members[0].Started = t0 - ms
+			h.UpdateEndpoints(t0, ListCached, members)
+			for _, m := range list[1:] {
+				h.load[m.ID] = 0.7
 			}
 			ActiveRelays{Count: activeRelays}.apply(h.Balancer, t0)
 			for range 40 {
 				h.now += 50 * ms
-				if h.serverOf(h.submit(Request{Tenant: h.byID[list[0].ID].owner, Load: 1})) == list[0].ID {
+				if h.memberOf(h.submit(Request{Tenant: h.byID[list[0].ID].owner, Load: 1})) == list[0].ID {
 					sent++
 				}
 			}
@@ -282,8 +282,8 @@
 }
 
 // spendSlowStart accounts for one send in the budget of a server in slow start.
-func spendSlowStart(s *server) {
-	s.slowStartTokens, s.slowStartSent = s.slowStartTokens-1, s.slowStartSent+1
+func spendSlowStart(m *member) {
+	m.slowStartTokens, m.slowStartSent = m.slowStartTokens-1, m.slowStartSent+1
 }
 
 // TestSlowStartBudget: over its slow start a server gets most of what the rule allows at the least capacity that it can have, and never all
@@ -291,14 +291,14 @@
 func TestSlowStartBudget(t *testing.T) {
 	set := settings()
 	h := newHarness(set, fleet(1, 1))
-	s, now, r := h.servers[0], t0, &request{load: 1}
-	s.Started = t0
+	m, now, r := h.members[0], t0, &request{load: 1}
+	m.Started = t0
 	sent, allowed := 0.0, 0.0
 	for now < t0+set.SlowStartDuration-100*ms {
 		now += 10 * ms
-		allowed += set.OverloadFactor * h.capacityOf(now, s) / set.SlowStartDuration.Seconds() * 0.01
-		if h.slowStartAllows(now, r, s) {
-			spendSlowStart(s)
+		allowed += set.OverloadFactor * h.capacityOf(now, m) / set.SlowStartDuration.Seconds() * 0.01
+		if h.slowStartAllows(now, r, m) {
+			spendSlowStart(m)
 			sent++
 		}
 	}
@@ -321,19 +321,19 @@
 			for p := range uint64(proxies) {
 				h := newHarness(set, nil)
 				h.Balancer = New(set, 100*trial+p, h.recorder)
-				h.UpdateServers(t0, ListDelta, []Server{{ID: 1, State: Ready, Weight: 1, Started: t0}})
+				h.UpdateEndpoints(t0, ListDelta, []Endpoint{{ID: 1, State: Ready, Weight: 1, Started: t0}})
 				harnesses = append(harnesses, h)
 			}
 			for now := t0; now < t0+set.OverloadWindow; now += 10 * ms {
 				h := harnesses[rng.IntN(proxies)]
-				s := h.servers[0]
-				if h.slowStartAllows(now, &request{load: 1}, s) {
-					spendSlowStart(s)
+				m := h.members[0]
+				if h.slowStartAllows(now, &request{load: 1}, m) {
+					spendSlowStart(m)
 					sent++
 				}
-				allowed += set.OverloadFactor * h.capacityOf(now, s) / set.SlowStartDuration.Seconds() * 0.01
+				allowed += set.OverloadFactor * h.capacityOf(now, m) / set.SlowStartDuration.Seconds() * 0.01
 			}
-			capacity += fillHigh * harnesses[0].capacityOf(t0, harnesses[0].servers[0])
+			capacity += fillHigh * harnesses[0].capacityOf(t0, harnesses[0].members[0])
 		}
 		if sent < 0.7*max(allowed, capacity) || sent > allowed+capacity {
 			t.Errorf("%d proxies sent %.1f; the first window allows %.1f, and the capacity is %.1f", proxies, sent,
--- a/policy/state.go
+++ b/policy/state.go
@@ -37,9 +37,9 @@
 	fill float64 // mean fill of its servers in the reports of this proxy
 }
 
-// server is an entry of the server list, with what is known of it.
-type server struct {
-	Server
+// member is an Endpoint of the list with the state that this Balancer has learned of it.
+type member struct {
+	Endpoint
 	health
 	owner             int  // tenant whose home slice it belongs to
 	inCanary          bool // it belongs to the canary group
@@ -79,8 +79,8 @@
 	probedStage   int // the stages before this one have been probed
 	pendingProbes int // probes that it waits for
 	pendingTimers int // retry timers that are set; only the last one counts
-	triedServers  []ServerID
-	server        *server // of the attempt in flight or of the open connection
+	triedMembers  []MemberID
+	member        *member // of the attempt in flight or of the open connection
 	foreign       bool    // the server is outside its tenant's home slice
 	canary        bool    // it is assigned to the canary group
 	inFlight      bool    // an attempt is in flight
@@ -89,7 +89,7 @@
 	answered      bool // it has its final answer
 	mayHaveRun    bool // an attempt may have run
 	firstRunAt    time.Duration
-	firstRunOn    Server
+	firstRunOn    Endpoint
 }
 
 // kind holds sums over reports that give the capacity of one unit of weight.
@@ -101,14 +101,14 @@
 	executor Executor
 	rng      *rand.Rand
 
-	servers    []*server // in order of id
-	byID       map[ServerID]*server
+	members    []*member // in order of id
+	byID       map[MemberID]*member
 	zones      []zone
 	kinds      map[int]*kind
-	homeSlices [][]*server // of each tenant, over all zones; nil until they are needed
+	homeSlices [][]*member // of each tenant, over all zones; nil until they are needed
 
 	requests     map[RequestID]*request
-	probeWaiters map[ServerID][]RequestID
+	probeWaiters map[MemberID][]RequestID
 
 	lendingThresholds []float64 // of each tenant's servers, as a part of their capacity
 	openByTenant      []float64 // own connections of each tenant
@@ -134,7 +134,7 @@
 }
 
 // inCanary reports whether a server belongs to the canary group.
-func (b *Balancer) inCanary(id ServerID) bool {
+func (b *Balancer) inCanary(id MemberID) bool {
 	return b.canary.Contains != nil && b.canary.Contains(id)
 }
 
@@ -144,37 +144,37 @@
 }
 
 // hasGroup reports whether the server holds own connections of a group.
-func (s *server) hasGroup(group uint64) bool {
-	return slices.ContainsFunc(s.conns, func(r *request) bool { return r.Group == group })
+func (m *member) hasGroup(group uint64) bool {
+	return slices.ContainsFunc(m.conns, func(r *request) bool { return r.Group == group })
 }
 
 // attach counts a connection on a server.
-func (b *Balancer) attach(now time.Duration, r *request, s *server) {
-	r.server = s
-	s.pendingPlacements, s.placedAt = append(s.pendingPlacements, placement{now, b.loadOf(r)}), now
-	b.countFlow(r, s, 1)
+func (b *Balancer) attach(now time.Duration, r *request, m *member) {
+	r.member = m
+	m.pendingPlacements, m.placedAt = append(m.pendingPlacements, placement{now, b.loadOf(r)}), now
+	b.countFlow(r, m, 1)
 }
 
 // detach takes it off its server again.
 func (b *Balancer) detach(now time.Duration, r *request) {
-	if s := r.server; s != nil {
-		s.pendingPlacements = append(s.pendingPlacements, placement{now, -b.loadOf(r)})
-		b.countFlow(r, s, -1)
-		r.server, r.inFlight = nil, false
+	if m := r.member; m != nil {
+		m.pendingPlacements = append(m.pendingPlacements, placement{now, -b.loadOf(r)})
+		b.countFlow(r, m, -1)
+		r.member, r.inFlight = nil, false
 	}
 }
 
-func (b *Balancer) countFlow(r *request, s *server, n float64) {
+func (b *Balancer) countFlow(r *request, m *member, n float64) {
 	if n > 0 {
-		s.conns = append(s.conns, r)
-	} else if i := slices.Index(s.conns, r); i >= 0 {
-		s.conns = slices.Delete(s.conns, i, i+1)
+		m.conns = append(m.conns, r)
+	} else if i := slices.Index(m.conns, r); i >= 0 {
+		m.conns = slices.Delete(m.conns, i, i+1)
 	}
-	s.ownFlows += n
+	m.ownFlows += n
 	b.ownFlows += n
 	b.openByTenant[r.Tenant] += n
 	if r.foreign {
-		s.foreignFlows += n
+		m.foreignFlows += n
 		b.foreignFlows += n
 	}
 }
--- a/policy/waiting.go
+++ b/policy/waiting.go
@@ -21,27 +21,27 @@
 			b.place(now, r)
 			return
 		}
-		if s := b.lastResort(now, r); s != nil {
-			b.send(now, r, s, true)
+		if m := b.lastResort(now, r); m != nil {
+			b.send(now, r, m, true)
 			return
 		}
 		b.finish(r)
 		return
 	}
-	r.stage, r.probedStage, r.triedServers = 0, 0, r.triedServers[:0]
+	r.stage, r.probedStage, r.triedMembers = 0, 0, r.triedMembers[:0]
 	b.scheduleRetry(r, delay)
 }
 
 // lastResort is the panic mode: if nearly all servers are ejected, the failure is probably this proxy's
 // own, and one of them is tried all the same.
-func (b *Balancer) lastResort(now time.Duration, r *request) *server {
-	var ejected []*server
+func (b *Balancer) lastResort(now time.Duration, r *request) *member {
+	var ejected []*member
 	usable := 0
-	for _, s := range b.servers {
-		if s.State == Ready && !s.ejected && !b.zones[s.Zone].ejected {
+	for _, m := range b.members {
+		if m.State == Ready && !m.ejected && !b.zones[m.Zone].ejected {
 			usable++
-		} else if r.maySendTo(b, now, s) && b.slowStartAllows(now, r, s) && !slices.Contains(r.triedServers, s.ID) {
-			ejected = append(ejected, s)
+		} else if r.maySendTo(b, now, m) && b.slowStartAllows(now, r, m) && !slices.Contains(r.triedMembers, m.ID) {
+			ejected = append(ejected, m)
 		}
 	}
 	if len(ejected) == 0 || usable > len(ejected)/9 { // under nine in ten: they may well have failed
