--- a/policy/arrival.go
+++ b/policy/arrival.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// This file holds the arrival of connections.
+// This file handles requests and open connections that are new to the Balancer.
 
-// Request takes a connection that a client wants.
+// Request places a connection that a client asks for.
 func (b *Balancer) Request(now time.Duration, q Request) {
 	if b.requests[q.ID] != nil {
 		return
@@ -23,17 +23,17 @@
 	}
 }
 
-// AddExisting takes a connection that was open through this proxy at its start.
+// AddExisting registers a connection that was already open through this relay when it started.
 func (b *Balancer) AddExisting(now time.Duration, q Request, id MemberID) {
 	if b.requests[q.ID] != nil {
 		return
 	}
 	r := b.newRequest(now, q)
 	r.attempts, r.established, r.answered = 1, true, true
-	b.probeTokens += b.probeAllowance() // it was a request once, and its server is to be probed all the same
+	b.probeTokens += b.probeAllowance() // as for a request: its member needs probes as well
 	if m := b.byID[id]; m != nil {
 		b.attach(now, r, m)
-		m.pendingPlacements = nil // the server's reports include it already
+		m.pendingPlacements = nil // the member's reports already include it
 	} else {
 		delete(b.requests, q.ID)
 	}
@@ -46,7 +46,7 @@
 	if q.Load > 0 && !math.IsInf(q.Load, 1) {
 		r.load = q.Load
 	}
-	if load := cmp.Or(r.load, b.classLoad[q.Class]); load > 0 { // a default would teach the mean nothing
+	if load := cmp.Or(r.load, b.classLoad[q.Class]); load > 0 { // unknown loads do not enter the mean
 		b.meanLoad = cmp.Or(b.meanLoad, load)
 		b.meanLoad += learningRate / 4 * (load - b.meanLoad)
 	}
@@ -54,17 +54,19 @@
 	return r
 }
 
-// loadOf is the load of a connection as far as it is known now: its own, else its class's mean, else the
-// mean of all. Attach and detach use the same value, so that what a connection frees is what it took.
+// loadOf returns the load of a connection: its own if known, otherwise the mean of its class,
+// otherwise the mean of all connections. attach and detach both use it, so that a connection
+// releases at its end the load that it was counted with.
 func (b *Balancer) loadOf(r *request) float64 {
 	return cmp.Or(r.load, b.classLoad[r.Class], b.unitLoad())
 }
 
-// unitLoad is the mean load of a connection. Capacities are kept in connections and multiplied by it, since
-// the load of a connection may be known only after the number of connections that fill a server.
+// unitLoad returns the mean load of a connection. Capacities are stored in connections and
+// multiplied by unitLoad, since the number of connections that fill a member may be known before
+// the load of one connection is.
 func (b *Balancer) unitLoad() float64 { return cmp.Or(b.meanLoad, 1) }
 
-// probeAllowance is how many probes one request may pay for; 0 if probes are off.
+// probeAllowance returns how many probes one request may pay for; 0 if probes are off.
 func (b *Balancer) probeAllowance() float64 {
 	if !b.cfg.CanProbe || b.cfg.Reports == ReportsOff {
 		return 0
@@ -72,12 +74,12 @@
 	return min(probeBudget/max(b.cfg.ProbePrice, 1e-9), maxProbes)
 }
 
-// affinityKey is the key by which connections belong on one server, 0 if none.
+// affinityKey returns the key by which connections belong on the same member; 0 if there is none.
 func (b *Balancer) affinityKey(r *request) uint64 {
 	if b.cfg.Groups && r.Group != 0 {
 		return r.Group
 	}
-	if b.cfg.PassThrough { // another proxy must find the same server for packets of an open connection
+	if b.cfg.PassThrough { // another relay must find the same member for packets of an open connection
 		return r.Key
 	}
 	return 0
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// This file holds the rules on attempts and final answers: every one of them goes through here.
+// This file enforces the rules on attempts and final answers: every attempt and every final answer
+// goes through it.
 
-// maySendTo reports whether the rules allow an attempt on the server now.
+// maySendTo reports whether the rules allow an attempt of the request at the member now.
 func (r *request) maySendTo(b *Balancer, now time.Duration, m *member) bool {
 	if r.answered || r.inFlight || r.attempts >= b.cfg.MaxAttempts || now >= r.Deadline || m.State != Ready {
 		return false
@@ -23,7 +24,7 @@
 	return false
 }
 
-// mayReject reports whether the client may be answered that a further try is harmless.
+// mayReject reports whether the rules allow the answer that a retry is safe.
 func (r *request) mayReject(b *Balancer) bool {
 	c := b.cfg.Classes[r.Class]
 	return c.Idempotency == Idempotent || !r.mayHaveRun && !r.inFlight ||
@@ -36,7 +37,8 @@
 		return
 	}
 	left := r.Deadline - now
-	// A server that accepts an attempt and never answers must leave time for another attempt.
+	// If the member accepts the attempt and never answers, there must be time left for another
+	// attempt.
 	timeout := max(b.cfg.Classes[r.Class].LatencyObjective, left*6/10)
 	if r.attempts+1 >= b.cfg.MaxAttempts || timeout >= left {
 		timeout = 0
@@ -61,9 +63,9 @@
 func (b *Balancer) finish(r *request) {
 	r.answered = true
 	if r.mayReject(b) {
-		// By then there are new reports, and as many attempts have passed as it takes to be admitted now; spread,
-		// so that clients that were rejected together do not come back together. See docs/design.md, "Coming
-		// again".
+		// The delay covers the arrival of new reports and the number of attempts that admission
+		// takes at the current rejection rate. It is randomized so that clients rejected together
+		// do not return together. See docs/design.md, "Coming again".
 		b.rejectionRate += learningRate * (1 - b.rejectionRate)
 		retryAfter := float64(b.minObjective) / max(1-b.rejectionRate, learningRate)
 		retryAfter = min(retryAfter, float64(b.cfg.MaxRetryAfter)/1.5)
@@ -77,7 +79,7 @@
 	b.forget(r)
 }
 
-// forget drops a request once it is answered and none of its attempts is in flight.
+// forget drops a request that has its final answer and no attempt in flight.
 func (b *Balancer) forget(r *request) {
 	if r.answered && r.member == nil {
 		delete(b.requests, r.ID)
--- a/policy/candidates.go
+++ b/policy/candidates.go
@@ -7,10 +7,12 @@
 	"time"
 )
 
-// This file finds the servers that may take a connection, in tiers and in the order of its affinity key.
+// This file finds the members that may take a connection: it sorts them into tiers and, within a
+// tier, by affinity key.
 
-// The tiers of candidates in the order in which they are tried: the home slice first, then servers outside
-// it.
+// The tiers of candidates in the order in which placement tries them. Home means the home slice of
+// the connection, foreign the members outside it; local means the relay's own zone, remote the
+// other zones.
 const (
 	homeLocal = iota
 	foreignLocal
@@ -19,10 +21,10 @@
 	tierCount
 )
 
-// candidates sorts the usable servers into tiers.
+// candidates returns the usable members of each tier.
 func (b *Balancer) candidates(now time.Duration, r *request) (tiered [tierCount][]*member) {
 	key := b.affinityKey(r)
-	if b.cfg.Groups && r.Group != 0 { // one slice for all zones: the first in the order of the key
+	if b.cfg.Groups && r.Group != 0 { // one slice for all zones: the members that rank highest for the key
 		list := b.topRanked(now, r, key)
 		n := min(len(list), groupSlice)
 		tiered[homeLocal], tiered[foreignLocal] = list[:n:n], list[n:]
@@ -41,9 +43,9 @@
 		}
 		tiered[tier] = append(tiered[tier], m)
 	}
-	// Connections that belong together share a slice of their own instead of their tenants': the first servers
-	// in the weighted order of their key. Otherwise every tenant's slice would bear the shared work of a
-	// group.
+	// Connections with an affinity key do not use their tenants' home slices: the members of every
+	// slice would then carry the shared work of a group. Their home slice is the groupSlice members
+	// that rank highest for the key.
 	for tier := homeLocal; key != 0 && tier < tierCount; tier += 2 {
 		list := tiered[tier+foreignLocal]
 		for _, m := range list {
@@ -56,16 +58,17 @@
 	return tiered
 }
 
-// rankOf is a server's rank in the order of a key: the highest comes first.
+// rankOf returns a member's rank for a key; the highest rank is tried first.
 func (b *Balancer) rankOf(m *member, key uint64) float64 {
 	if b.cfg.Groups && m.hasGroup(key) {
-		return math.Inf(1) // it bears the shared work of the group already
+		return math.Inf(1) // it already carries the shared work of the group
 	}
 	return rendezvous(uint64(m.ID), key, m.Weight)
 }
 
-// topRanked is the groupReach usable servers that come first in the order of a group's key. No more are
-// sorted: in a large fleet sorting all for each request took most of a relay's time.
+// topRanked returns the groupReach usable members that rank highest for a group's key. It does not
+// sort the others, since sorting every member of a large fleet for each request takes most of a
+// relay's CPU time.
 func (b *Balancer) topRanked(now time.Duration, r *request, key uint64) []*member {
 	first := make([]*member, 0, groupReach+1)
 	for _, m := range b.members {
@@ -77,7 +80,7 @@
 			continue
 		}
 		at := len(first)
-		for at > 0 && first[at-1].rank < m.rank { // behind its equals, which come before it in the list
+		for at > 0 && first[at-1].rank < m.rank { // after members of equal rank, which precede it in b.members
 			at--
 		}
 		first = slices.Insert(first, at, m)
@@ -86,7 +89,8 @@
 	return first
 }
 
-// usable reports whether a server may be sent this request at all, capacity aside.
+// usable reports whether the request may be sent to a member now, regardless of the member's
+// capacity.
 func (b *Balancer) usable(now time.Duration, r *request, m *member) bool {
 	return !slices.Contains(r.triedMembers, m.ID) && r.maySendTo(b, now, m) && now >= m.retryAt &&
 		now >= b.zones[m.Zone].retryAt
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -7,27 +7,30 @@
 	"time"
 )
 
-// This file holds the server list: updates, slow start and ownership of its servers, and when it is polled.
+// This file keeps the endpoint list: it schedules polls, applies updates, and assigns members to
+// home slices.
 
-// Start schedules the first poll of the server list, where the list is polled, and the first health check.
+// Start schedules the first poll of the endpoint list, if the relay subscribes to it, and the first
+// health check.
 func (b *Balancer) Start() {
 	if b.cfg.Subscribe {
-		b.schedulePoll() // not at once: all proxies of a site may start together
+		b.schedulePoll() // delayed, since all relays of a site may start together
 	}
-	// Soon: connections that were open before may be on an overloaded server.
+	// The first check is early: connections that were already open may be on an overloaded member.
 	b.scheduleHealthCheck(b.minObjective / 2)
 }
 
-// schedulePoll guards against a polling storm: proxies whose calls failed together poll again spread out,
-// later each time and the more proxies there are, or all calls would wait too long for good. The spread is
-// bounded, since changes count as known MaxPollInterval after they were made.
+// schedulePoll spreads polls over time: if relays whose polls failed together polled again
+// together, the polls would overload discovery and fail again. The spread grows with the number of
+// relays and of failed polls. It is at most MaxPollInterval, the time after which the relay has to
+// know a change.
 func (b *Balancer) schedulePoll() {
 	crowding := max(b.activeRelays/concurrentPolls, 1)
 	span := min(crowding*math.Exp2(float64(min(b.failedPolls, 2)))/20, 1) * float64(b.cfg.MaxPollInterval)
 	b.executor.Timer(time.Duration(span*b.rng.Float64()), tokenPoll)
 }
 
-// UpdateEndpoints takes a list event of discovery.
+// UpdateEndpoints applies a list event of discovery.
 func (b *Balancer) UpdateEndpoints(now time.Duration, kind ListKind, list []Endpoint) {
 	if kind == ListFailed {
 		if b.cfg.Subscribe {
@@ -55,7 +58,7 @@
 	}
 	added := len(b.members) > before
 	for _, m := range b.members {
-		if m.State != Ready { // clients reconnect before the server cuts them off
+		if m.State != Ready { // clients reconnect before the member cuts them off
 			b.migrateAll(m)
 		}
 	}
@@ -69,10 +72,10 @@
 	if added {
 		slices.SortFunc(b.members, func(x, y *member) int { return cmp.Compare(x.ID, y.ID) })
 	}
-	b.homeSlices = nil // rebuilt on demand: in a large fleet changes come faster than requests
+	b.homeSlices = nil // rebuilt on demand: in a large fleet changes are more frequent than requests
 }
 
-// homeSlice is the home slice of a tenant.
+// homeSlice returns the home slice of a tenant.
 func (b *Balancer) homeSlice(tenant int) []*member {
 	if b.homeSlices == nil {
 		b.rebuildHomeSlices()
@@ -88,22 +91,23 @@
 			return
 		}
 		if e.Started == 0 && kind == ListDelta {
-			e.Started = now // it joined while we watched: it has just started
+			e.Started = now // it joined while this relay was subscribed, so it has just started
 		}
 		m = &member{owner: b.ownerOf(e.ID), report: NoReport}
 		b.byID[e.ID] = m
 		b.members = append(b.members, m)
 		b.startSlowStart(now, m)
 	} else if e.Started > m.Started {
-		// A new process: what was learned of the old one no longer holds.
+		// The member has restarted: what was learned of the earlier process does not apply.
 		m.health, m.hasReport, m.pendingPlacements = health{}, false, nil
 		b.startSlowStart(now, m)
 	}
 	m.Endpoint, m.inCanary = e, b.inCanary(e.ID)
 }
 
-// ownerOf is the tenant whose slice a server belongs to. It depends on the id and the shares alone, so
-// that all proxies agree and a change of membership moves only the servers that changed.
+// ownerOf returns the tenant whose home slice a member belongs to. It depends only on the ID and
+// the shares, so that all relays agree and a change of the list moves only the members that
+// changed.
 func (b *Balancer) ownerOf(id MemberID) int {
 	best, owner := -1.0, 0
 	for t, tenant := range b.cfg.Tenants {
@@ -114,8 +118,8 @@
 	return owner
 }
 
-// rebuildHomeSlices rebuilds the home slices. A tenant that owns no server in a zone shares the one that it
-// ranks highest there.
+// rebuildHomeSlices rebuilds the home slices. A tenant that owns no member in a zone uses the
+// member of another tenant that ranks highest for it there.
 func (b *Balancer) rebuildHomeSlices() {
 	b.homeSlices = make([][]*member, len(b.cfg.Tenants))
 	for t := range b.cfg.Tenants {
--- a/policy/facade.go
+++ b/policy/facade.go
@@ -5,27 +5,26 @@
 	"time"
 )
 
-// This file is the interface for a real relay: calls that return the actions to carry
-// out, and when the next call is due. It decides nothing; see docs/design.md, "The
-// facade".
+// This file is the interface for a relay: calls that return the actions to carry out, and the time
+// at which the next call is due. It makes no decisions; see docs/design.md, "The facade".
 
 // ActionKind says what an Action requests.
 type ActionKind int
 
 // The kinds of actions.
 const (
-	// Start a server-side flow to Server, for at most Duration (0: until the client gives up).
+	// Start an attempt at Member, for at most Duration (0: until the client's deadline).
 	ActionSend    ActionKind = iota
-	ActionReject             // final answer: a retry is harmless, after Duration
-	ActionFail               // final answer without any promise
+	ActionReject             // final answer: a retry after Duration is safe
+	ActionFail               // final answer that does not say whether a retry is safe
 	ActionCancel             // abandon attempt Attempt
 	ActionMigrate            // ask the client of an open flow to reconnect
-	ActionProbe              // request a load report of Server
-	ActionWatch              // subscribe to the server list and its changes
-	ActionWait               // nothing yet: the request waits for a later call
+	ActionProbe              // request a load report from Member
+	ActionWatch              // subscribe to the endpoint list and its changes
+	ActionWait               // no decision yet: a later call returns it
 )
 
-// Action is one thing to do. Fields that its Kind does not mention are zero.
+// Action is one action for the relay to carry out. Fields that do not apply to its Kind are zero.
 type Action struct {
 	Kind     ActionKind
 	ID       RequestID
@@ -34,7 +33,7 @@
 	Duration time.Duration
 }
 
-// Event is something that a relay reports: one of the types below.
+// Event is something that a relay observes: one of the types below.
 type Event interface {
 	apply(b *Balancer, now time.Duration)
 }
@@ -50,16 +49,17 @@
 		Request Request
 		Member  MemberID
 	}
-	// FlowEstablished says that an attempt has become an open flow.
+	// FlowEstablished reports that an attempt has become an open flow.
 	FlowEstablished struct{ ID RequestID }
 	// AttemptEnded is the end of an attempt or of an open flow.
 	AttemptEnded Outcome
-	// SendSkipped says that the latest ActionSend of a request was not carried out; Final is as in an Outcome.
+	// SendSkipped reports that the latest ActionSend of a request was not carried out.
+	// Final is as in Outcome.
 	SendSkipped struct {
 		ID    RequestID
 		Final bool
 	}
-	// ClientGone says that the client of a request has gone.
+	// ClientGone reports that the client of a request has disconnected.
 	ClientGone struct{ ID RequestID }
 	// ProbeResult is the answer to a probe.
 	ProbeResult struct {
@@ -67,21 +67,22 @@
 		Result Result
 		Report Report
 	}
-	// FlowLoad is the load that an open flow has now, as work a second.
+	// FlowLoad is the present load of an open flow, in work per second.
 	FlowLoad struct {
 		ID   RequestID
 		Load float64
 	}
 	// ActiveRelays is the number of relays among which shared budgets are divided.
 	ActiveRelays struct{ Count float64 }
-	// CanaryGroup says which servers belong to the canary group, and which connections are assigned to it, by
-	// their Group, or their Key where they have none. Servers of the canary group get no others. With nil
+	// CanaryGroup defines the canary group. Contains reports whether a member belongs to it;
+	// Assigned reports whether the connections with a Group, or with a Key if they have no Group,
+	// are assigned to it. Members of the canary group get only assigned connections. With nil
 	// functions there is no canary.
 	CanaryGroup struct {
 		Contains func(MemberID) bool
 		Assigned func(group uint64) bool
 	}
-	// MessageLatency is how long a message on an open flow took at its server.
+	// MessageLatency is the time that a message on an open flow took at its member.
 	MessageLatency struct {
 		ID      RequestID
 		Latency time.Duration
@@ -106,7 +107,7 @@
 }
 func (e FlowLoad) apply(b *Balancer, now time.Duration) { b.UpdateLoad(now, e.ID, e.Load) }
 func (e ActiveRelays) apply(b *Balancer, _ time.Duration) {
-	if e.Count >= 1 { // ignore senseless counts
+	if e.Count >= 1 { // ignore invalid counts
 		b.activeRelays = e.Count
 	}
 }
@@ -118,22 +119,22 @@
 }
 func (e MessageLatency) apply(b *Balancer, now time.Duration) { b.ObserveLatency(now, e.ID, e.Latency) }
 
-// CanaryOverflows is how many connections were assigned to the canary group and went elsewhere, since it
-// had no capacity.
+// CanaryOverflows returns how many connections were assigned to the canary group but placed without
+// it, because it had no capacity.
 func (f *Facade) CanaryOverflows() uint64 { return f.balancer.canaryOverflows }
 
-// Facade drives a Balancer by calls that return actions. The slice that a call
-// returns is valid until the next call.
+// Facade drives a Balancer through calls that return actions. The slice that a call returns is
+// valid until the next call.
 type Facade struct {
 	balancer  *Balancer
 	collector actionCollector
 }
 
-// Normalize returns the settings as a Balancer reads them, with safe values in place
-// of missing or senseless ones.
+// Normalize returns the settings as a Balancer uses them, with safe values in place of missing and
+// invalid ones.
 func Normalize(set Settings) Settings { return normalize(set) }
 
-// NewFacade makes a Facade for one relay; the settings are normalized as by New.
+// NewFacade makes a Facade for one relay. It normalizes the settings as New does.
 func NewFacade(now time.Duration, set Settings, seed uint64) *Facade {
 	f := &Facade{}
 	f.collector.now = now
@@ -142,8 +143,8 @@
 	return f
 }
 
-// Pick decides where a new request goes. If the request itself is not decided yet,
-// the result holds ActionWait, and a later Observe or Tick brings the decision.
+// Pick decides where a new request goes. If there is no decision on this request yet, the result
+// contains ActionWait, and a later Observe or Tick returns the decision.
 func (f *Facade) Pick(now time.Duration, q Request) []Action {
 	f.collector.begin(now)
 	f.balancer.Request(now, q)
@@ -156,14 +157,14 @@
 	return f.collector.actions
 }
 
-// Observe takes an event that the relay reports.
+// Observe applies an event that the relay observed and returns the resulting actions.
 func (f *Facade) Observe(now time.Duration, e Event) []Action {
 	f.collector.begin(now)
 	e.apply(f.balancer, now)
 	return f.collector.actions
 }
 
-// Tick runs the timers that are due by now, but none that it has set itself.
+// Tick runs the timers that are due. Timers that are set during the call wait for the next Tick.
 func (f *Facade) Tick(now time.Duration) []Action {
 	f.collector.begin(now)
 	var due []uint64
@@ -176,7 +177,7 @@
 	return f.collector.actions
 }
 
-// Next is the time of the next Tick; false if none is due.
+// Next returns the time at which the next Tick is due; false if no timer is set.
 func (f *Facade) Next() (time.Duration, bool) {
 	if len(f.collector.timers) == 0 {
 		return 0, false
@@ -184,12 +185,12 @@
 	return f.collector.timers[0].at, true
 }
 
-// actionCollector is the Executor that collects actions and holds the timers.
+// actionCollector is the Executor that collects actions and stores the timers.
 type actionCollector struct {
 	now       time.Duration
 	actions   []Action
 	timers    timerHeap
-	timersSet uint64 // orders timers of the same time
+	timersSet uint64 // number of timers set so far; orders timers that are due at the same time
 }
 
 func (c *actionCollector) begin(now time.Duration) { c.now, c.actions = now, c.actions[:0] }
@@ -213,14 +214,14 @@
 	heap.Push(&c.timers, scheduledTimer{at: c.now + max(delay, 0), order: c.timersSet, token: token})
 }
 
-// scheduledTimer is a timer that the Balancer has set; timers of the same time expire in the order of
-// setting.
+// scheduledTimer is a timer that the Balancer has set. Timers due at the same time run in the order
+// in which they were set.
 type scheduledTimer struct {
 	at           time.Duration
 	order, token uint64
 }
 
-// timerHeap is the timers as a heap.
+// timerHeap is a heap of timers; the first one is due next.
 type timerHeap []scheduledTimer
 
 func (h timerHeap) Len() int      { return len(h) }
--- a/policy/hash.go
+++ b/policy/hash.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// hash mixes its arguments; all proxies compute the same value.
+// hash mixes its arguments into one value; it is the same at every relay.
 func hash(a, c uint64) uint64 {
 	x := a*0x9e3779b97f4a7c15 ^ (c+0x632be59bd9b4e019)*0xbf58476d1ce4e5b9
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -10,7 +10,8 @@
 	return x ^ x>>31
 }
 
-// rendezvous is the score of weighted rendezvous hashing: the highest wins, in proportion to its weight.
+// rendezvous returns a score for weighted rendezvous hashing: the candidate with the highest score
+// wins, and each candidate wins in proportion to its weight.
 func rendezvous(a, c uint64, weight float64) float64 {
 	return -weight / math.Log((float64(hash(a, c)>>11)+0.5)/(1<<53))
 }
--- a/policy/health.go
+++ b/policy/health.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// This file ejects servers and zones that fail, readmits them, and schedules health checks.
+// This file ejects members and zones that fail, readmits them, and schedules health checks.
 
-// recordSuccess clears the failures of a server and of its zone.
+// recordSuccess clears the failures of a member and of its zone.
 func (b *Balancer) recordSuccess(m *member) {
 	m.health, b.zones[m.Zone].health = health{}, health{}
 }
 
-// readmit takes a server back that has answered a probe. Its failures stay counted until a connection is
-// established: a server that fails connections may well answer probes, and would attract the next ones
-// because it is empty.
+// readmit ends the ejection of a member that has answered a probe. Its failure count stays until a
+// connection is established: a member that fails connections may still answer probes, and would
+// attract the next connections because it is empty.
 func (b *Balancer) readmit(m *member) {
 	m.ejected, b.zones[m.Zone].health = false, health{}
 }
 
-// recordFailure counts a failure against a server and its zone. memberFailureThreshold failures in a row
-// eject the server and zoneFailureThreshold the zone: nothing is sent to either until its backoff is over
-// and a probe has been answered.
+// recordFailure counts a failure of a member and of its zone. memberFailureThreshold consecutive
+// failures eject the member, zoneFailureThreshold the zone unless it is the relay's own. Nothing is
+// sent to an ejected member or zone during its backoff, nor, where the relay can probe, to the
+// member until it has answered a probe.
 func (b *Balancer) recordFailure(now time.Duration, m *member) {
 	if now >= m.retryAt {
 		m.failures++
 	}
 	if m.failures == 1 && b.cfg.CanProbe && !m.probing {
-		b.probe(m) // one failure proves nothing: probe
+		b.probe(m) // one failure is not enough to eject: probe
 	}
 	b.eject(now, &m.health, memberFailureThreshold)
 	z := &b.zones[m.Zone]
@@ -38,7 +39,7 @@
 }
 
 func (b *Balancer) eject(now time.Duration, h *health, threshold int) {
-	// Attempts that were in flight at the ejection prove nothing new.
+	// Attempts that were in flight at the ejection are not counted as further failures.
 	if h.failures < threshold || now < h.retryAt {
 		return
 	}
@@ -47,7 +48,7 @@
 	h.ejected, h.retryAt = b.cfg.CanProbe, now+time.Duration(backoff*(0.5+b.rng.Float64()))
 }
 
-// mostMembersFail says that the failures are not those of a few servers.
+// mostMembersFail reports whether more than half of the members have recent failures.
 func (b *Balancer) mostMembersFail() bool {
 	failing := 0
 	for _, m := range b.members {
@@ -64,8 +65,9 @@
 	}
 }
 
-// checkHealth probes the servers that hold own connections, and ejected ones whose backoff is over, also
-// while no request arrives: a backlog there shows nowhere else.
+// checkHealth probes the members that have connections of this relay, and ejected members after
+// their backoff. It runs also while no requests arrive, when a backlog would otherwise remain
+// undetected.
 func (b *Balancer) checkHealth(now time.Duration) {
 	for _, m := range b.members {
 		if b.probeTokens >= 1 && m.State == Ready && !m.probing && now-m.reportedAt >= b.reportLag()/2 &&
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// This file passes what a Balancer has learned on to its successor. It decides nothing.
-// Times are ages, since the two have clocks of their own. The JSON names are a stored
-// form: snapshots and upgrades use them.
+// This file passes what a Balancer has learned to its successor; it makes no decisions. Times are
+// stored as ages, since the clocks of the two Balancers differ. The JSON names are a stored format:
+// snapshots and upgrades use them.
 
-// LearnedState is what a successor takes over from a Balancer.
+// LearnedState is the state that a successor takes over from a Balancer.
 type LearnedState struct {
 	MeanLoad          float64                    `json:"MeanLoad"`
 	ClassLoad         []float64                  `json:"ClassLoad"`
-	LendingThresholds []float64                  `json:"Lent"` // of each tenant's servers
-	ZoneFill          []float64                  `json:"Fill"` // of each zone
+	LendingThresholds []float64                  `json:"Lent"` // per tenant: of the members it owns
+	ZoneFill          []float64                  `json:"Fill"` // per zone
 	Kinds             map[int][2]float64         `json:"Kinds"`
 	AdmissionRate     float64                    `json:"Daring"`
 	Members           map[MemberID]LearnedMember `json:"Servers"`
-	Age               time.Duration              `json:"Ago"` // when all this was learned
+	Age               time.Duration              `json:"Ago"` // time since this state was learned
 }
 
-// LearnedMember is what a successor takes over about one member.
+// LearnedMember is the state that a successor takes over about one member.
 type LearnedMember struct {
 	Capacity float64       `json:"Capacity"`
 	Reports  float64       `json:"Reports"`
-	Load     float64       `json:"Load"` // its last report's; negative for none
-	Age      time.Duration `json:"Age"`  // of that report
+	Load     float64       `json:"Load"` // load of its latest report; negative without a report
+	Age      time.Duration `json:"Age"`  // age of that report
 	Failures int           `json:"Fails"`
 	Ejected  bool          `json:"Bad"`
-	Backoff  time.Duration `json:"Pause"` // until it may be tried again
-	Uptime   time.Duration `json:"Up"`    // since its start; 0 if long ago
+	Backoff  time.Duration `json:"Pause"` // time until the next attempt is allowed
+	Uptime   time.Duration `json:"Up"`    // time since its start; 0 if unknown or long ago
 }
 
-// LearnedState is what b has learned.
+// LearnedState returns what the Balancer has learned; ages are relative to now.
 func (f *Facade) LearnedState(now time.Duration) LearnedState {
 	b := f.balancer
 	l := LearnedState{MeanLoad: b.meanLoad, ClassLoad: b.classLoad, LendingThresholds: b.lendingThresholds,
@@ -58,8 +58,9 @@
 	return l
 }
 
-// Restore takes over what another Balancer has learned of the same deployment. It is
-// called after the first EndpointList; what does not fit the settings is left out.
+// Restore takes over the state of another Balancer of the same deployment. It is called after the
+// first EndpointList. Per-class, per-tenant and per-zone values are ignored if their numbers differ
+// from the settings, and members that are unlisted or have restarted since are ignored.
 func (f *Facade) Restore(now time.Duration, l LearnedState) {
 	b := f.balancer
 	if len(l.ClassLoad) == len(b.classLoad) && len(l.LendingThresholds) == len(b.lendingThresholds) &&
--- a/policy/migration.go
+++ b/policy/migration.go
@@ -6,28 +6,27 @@
 	"time"
 )
 
-// This file decides which open connections are migrated off a server.
+// This file decides which open connections migrate away from a member.
 
-// migrateExcess moves own connections off a server that is over its capacity: on an overloaded server none
-// is served well. Each proxy moves a part of its own load, so that all together move the excess and no
-// more. Connections of the least value for their load go first, so that the fewest clients and the least
-// value move.
+// migrateExcess migrates this relay's connections from a member that is over its capacity, where no
+// connection is served well. Each relay moves the same fraction of its own load, so that all relays
+// together move the excess and no more. Connections of the least value per load go first.
 func (b *Balancer) migrateExcess(now time.Duration, m *member) {
 	fill := b.usedOf(now, m) / b.capacityOf(now, m)
 	if m.rawReport.Load > stallLoad {
 		fill = min(fill, max(m.previousLoad, 1))
 	}
-	// Guards against moving the same excess twice: reports go on showing it for a while.
+	// Prevents moving the same excess twice: reports still show it for some time after a migration.
 	if fill <= fillHigh || m.migratedAt > 0 && m.rawReportAt-b.minObjective < m.migratedAt {
 		return
 	}
 	m.migratedAt = now
-	excess := 0.0 // the load to migrate
+	excess := 0.0 // load to migrate
 	for _, r := range m.conns {
 		excess += b.loadOf(r)
 	}
 	part := b.admissionRate * (fill - fillHigh) / fill
-	excess *= part * (2 - part) // as two passes would: each proxy checks only now and then
+	excess *= part * (2 - part) // as much as two passes would move, since each relay checks rarely
 	list := slices.Clone(m.conns)
 	slices.SortStableFunc(list, func(p, q *request) int {
 		return cmp.Compare(b.valuePerLoad(p), b.valuePerLoad(q))
@@ -40,8 +39,8 @@
 	}
 }
 
-// valuePerLoad is the priority weight of a connection for its load; beyond a tenant's quota it counts for
-// nothing.
+// valuePerLoad returns the priority weight of a connection divided by its load; 0 for tenants that
+// are over their quota.
 func (b *Balancer) valuePerLoad(r *request) float64 {
 	if b.overQuota(r.Tenant) {
 		return 0
@@ -49,8 +48,8 @@
 	return b.cfg.Classes[r.Class].PriorityWeight / b.loadOf(r)
 }
 
-// isLowValue reports whether a class is worth under lowValueRatio of what the best one is for its load,
-// once its load is known.
+// isLowValue reports whether the value per load of a class is less than lowValueRatio of the best
+// class's. It is false until the load of the class is known.
 func (b *Balancer) isLowValue(class int) bool {
 	best, load := 0.0, b.classLoad[class]
 	for i, other := range b.classLoad {
@@ -61,7 +60,7 @@
 	return load > 0 && b.cfg.Classes[class].PriorityWeight/load < lowValueRatio*best
 }
 
-// migrate asks the client of an open connection to reconnect, once.
+// migrate asks the client of an open connection to reconnect, at most once per connection.
 func (b *Balancer) migrate(r *request) {
 	if r.established && !r.migrated {
 		r.migrated = true
@@ -69,7 +68,7 @@
 	}
 }
 
-// migrateAll moves all own connections off a server.
+// migrateAll migrates all of this relay's connections from a member.
 func (b *Balancer) migrateAll(m *member) {
 	for _, r := range slices.Clone(m.conns) {
 		b.migrate(r)
--- a/policy/outcomes.go
+++ b/policy/outcomes.go
@@ -7,7 +7,7 @@
 
 // This file handles the events of attempts and requests, and timers.
 
-// Established says that an attempt has become an open connection.
+// Established reports to the Balancer that an attempt has become an open connection.
 func (b *Balancer) Established(now time.Duration, id RequestID) {
 	if r := b.requests[id]; r != nil && r.inFlight {
 		r.established, r.answered = true, true
@@ -18,7 +18,7 @@
 	}
 }
 
-// AttemptEnded ends an attempt, before it became an open connection or after.
+// AttemptEnded applies the end of an attempt, before or after it became an open connection.
 func (b *Balancer) AttemptEnded(now time.Duration, o Outcome) {
 	if m := b.byID[o.Member]; m != nil {
 		b.applyReport(now, m, o.Report)
@@ -35,8 +35,9 @@
 	case OK:
 		b.recordSuccess(m)
 	case Full:
-		// Its queue of new connections is full, which no report shows: back off. Each further one in a row,
-		// as from a server that drains before the list says so, doubles the backoff.
+		// Its queue of new connections is full, which no report shows: back off. Each further
+		// consecutive Full, as from a member that drains before the endpoint list says so, doubles
+		// the backoff.
 		m.consecutiveFull++
 		backoff := float64(b.minObjective) * math.Exp2(float64(min(m.consecutiveFull-1, maxBackoffDoublings)))
 		m.retryAt = now + time.Duration(backoff*(0.5+b.rng.Float64()))
@@ -53,7 +54,7 @@
 	}
 	r.stage, r.probedStage = 0, 0
 	if o.Result == Timeout || o.Result == Error {
-		if b.mostMembersFail() { // the failures of one server are no reason to send less to all
+		if b.mostMembersFail() { // failures of a few members are no reason to send less to all
 			b.admissionRate = max(b.admissionRate*admissionBackoff, minAdmissionRate)
 		}
 		objective := float64(b.cfg.Classes[r.Class].LatencyObjective)
@@ -64,7 +65,8 @@
 	b.place(now, r)
 }
 
-// RequestEnded says that the client has gone or that the request is over.
+// RequestEnded reports to the Balancer that the client has disconnected or that the request is
+// over.
 func (b *Balancer) RequestEnded(now time.Duration, id RequestID) {
 	if r := b.requests[id]; r != nil {
 		r.answered = true
@@ -72,7 +74,7 @@
 	}
 }
 
-// Timer handles a timer that has expired.
+// Timer handles the expiry of a timer that the Balancer requested of its Executor.
 func (b *Balancer) Timer(now time.Duration, token uint64) {
 	id := RequestID(token &^ tokenMask)
 	switch token & tokenMask {
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// This file decides where a connection goes, and which reports that decision needs first.
+// This file decides where a connection goes, and which reports it needs before the decision.
 
-// The stages of placement: how far it has looked.
+// The stages of placement, each of which considers more candidates than the one before.
 const (
 	stageHomeSlice = iota
 	stageOwnZone
 	stageEverywhere
 )
 
-// place decides where a connection goes, or probes for the reports that the decision needs.
+// place sends the request to a member, probes for the reports that the decision needs, or postpones
+// it.
 func (b *Balancer) place(now time.Duration, r *request) {
 	if r.answered || r.inFlight || r.pendingProbes > 0 {
 		return
 	}
-	// Guards against a retry storm that keeps a shared session store down: only a part of the attempts is sent
-	// while setting up fails, as by congestion control in TCP.
+	// While establishing fails, only a part of the attempts is sent, as in TCP congestion control:
+	// otherwise retries could keep a shared session store down.
 	if r.probedStage == 0 && !r.MidFlow && b.rng.Float64() > b.admissionRate {
 		b.finish(r)
 		return
@@ -32,7 +33,7 @@
 		}
 		levels, ordered := []float64{fillLow, fillMedium, fillHigh}, b.affinityKey(r) != 0
 		if b.overQuota(r.Tenant) || r.stage < stageEverywhere && !ordered {
-			levels = levels[:1] // over its quota: only capacity that nobody else needs
+			levels = levels[:1] // over its quota: only capacity that no other tenant needs
 		} else if ordered {
 			levels = levels[2:]
 		}
@@ -43,7 +44,7 @@
 		for i := range (lastTier + 1) * len(levels) {
 			tier, level := i%(lastTier+1), levels[i/(lastTier+1)]
 			if b.cfg.Groups && ordered && tier != homeLocal {
-				level = min(level, groupSpillFill) // a server outside the slice bears the shared work again
+				level = min(level, groupSpillFill) // members outside the slice also have to carry the group's shared work
 			}
 			if m := b.pick(now, r, tier, tiered[tier], level); m != nil {
 				b.send(now, r, m, tier == foreignLocal || tier == foreignRemote)
@@ -51,23 +52,23 @@
 			}
 		}
 		if r.stage == stageHomeSlice {
-			b.adaptLending(r, -lendStep*(1-lendTolerance)) // its home was full
+			b.adaptLending(r, -lendStep*(1-lendTolerance)) // the home slice was full
 		}
 	}
 	b.waitForCapacity(now, r)
 }
 
-// probeCandidates probes candidates of the stage whose reports are old, within the budget, and reports
-// whether the request waits for the answers.
+// probeCandidates probes the stage's candidates that have no recent report, within the probe
+// budget, and reports whether the request waits for the answers.
 func (b *Balancer) probeCandidates(now time.Duration, r *request, tiered [tierCount][]*member) bool {
 	if b.probeAllowance() == 0 || r.MidFlow || r.probedStage > r.stage {
 		return false
 	}
-	r.probedStage = r.stage + 1 // once: a server that answers without a report must not be probed forever
+	r.probedStage = r.stage + 1 // probe once per stage, also if a member answers without a report
 	want := slices.Clone(tiered[min(r.stage, homeRemote)])
 	if r.stage == stageEverywhere {
 		want = append(want, tiered[foreignRemote]...)
-		if near := tiered[foreignLocal]; b.cfg.Groups && r.Group != 0 { // those that were not probed before
+		if near := tiered[foreignLocal]; b.cfg.Groups && r.Group != 0 { // those that no earlier stage probed
 			want = slices.Clone(near[min(probesPerTier, len(near)):])
 		}
 	}
@@ -93,7 +94,8 @@
 	return r.pendingProbes > 0
 }
 
-// scheduleRetry has the request placed after a delay. Only the latest timer of a request counts.
+// scheduleRetry places the request again after a delay. Only the latest timer of a request has an
+// effect.
 func (b *Balancer) scheduleRetry(r *request, d time.Duration) {
 	r.pendingTimers++
 	b.executor.Timer(d, tokenRetry|uint64(r.ID))
--- a/policy/reports.go
+++ b/policy/reports.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// This file takes the reports of servers and the loads and latencies of connections.
+// This file applies the load reports of members and the loads and latencies of connections.
 
-// ProbeResult takes the answer to a probe.
+// ProbeResult applies the answer to a probe.
 func (b *Balancer) ProbeResult(now time.Duration, id MemberID, result Result, report Report) {
 	m := b.byID[id]
 	if m != nil {
@@ -17,15 +17,16 @@
 		case OK:
 			b.readmit(m)
 			b.applyReport(now, m, report)
-			// Messages wait for the backlog or, where none is reported, for the load beyond the capacity.
+			// Messages wait for the backlog to be worked off; without a reported backlog the load
+			// indicates waiting.
 			overloaded := report.Backlog > b.minMessageObjective.Seconds()/2 ||
 				report.Backlog < 0 && report.Load > overloadFill
 			if overloaded && now-m.migratedAt >= b.reportLag() {
 				b.migrateExcess(now, m)
 			}
-		case Full: // it answers, but is probed by too many: not a failure
+		case Full: // the member answers but gets too many probes: not a failure
 			b.readmit(m)
-		case NotSent: // it was not probed
+		case NotSent: // the probe was not sent
 		default:
 			if b.recordFailure(now, m); m.ejected && result == Timeout {
 				b.migrateAll(m) // it most likely does not answer its clients either
@@ -43,7 +44,7 @@
 	}
 }
 
-// applyReport learns from a report. Any field may be missing.
+// applyReport updates the estimates from a report, any field of which may be missing.
 func (b *Balancer) applyReport(now time.Duration, m *member, p Report) {
 	if !(p.Load >= 0) {
 		p.Load = p.Util
@@ -63,7 +64,7 @@
 	m.report, m.reportedAt, m.hasReport = p, now, true
 	b.zones[m.Zone].fill += learningRate * (min(p.Load, 2) - b.zones[m.Zone].fill)
 	if p.Connections > 0 && p.Load > minLearningLoad && b.warmupFraction(now, m) == 1 {
-		// Connections against load over capacity: pooled over the kind, and for the server itself.
+		// Learn the connections at full load, both for the kind and for the member itself.
 		k := b.kinds[m.Kind]
 		if k == nil {
 			k = &kind{}
@@ -76,7 +77,7 @@
 	}
 }
 
-// UpdateLoad sets the load that an open connection has now.
+// UpdateLoad sets the present load of an open connection, in work per second.
 func (b *Balancer) UpdateLoad(now time.Duration, id RequestID, load float64) {
 	if r := b.requests[id]; r != nil && load > 0 && !math.IsInf(load, 0) {
 		if b.classLoad[r.Class] == 0 {
@@ -87,7 +88,7 @@
 	}
 }
 
-// ObserveLatency takes how long a message took at the server of an open connection.
+// ObserveLatency applies the time that a message on an open connection took at its member.
 func (b *Balancer) ObserveLatency(now time.Duration, id RequestID, message time.Duration) {
 	r := b.requests[id]
 	if r == nil || r.member == nil {
--- a/policy/selection.go
+++ b/policy/selection.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// This file picks one server among the candidates of a tier.
+// This file picks one member among the candidates of a tier.
 
-// pick chooses among the candidates of one tier that have capacity at the fill level, weighted by their
-// spare capacity. It returns nil if none has.
+// pick chooses among the candidates of one tier that have spare capacity at the fill level, at
+// random with a preference for more spare capacity; with an affinity key it chooses by rank. It
+// returns nil if none has any.
 func (b *Balancer) pick(now time.Duration, r *request, tier int, list []*member, level float64) *member {
 	foreign := tier == foreignLocal || tier == foreignRemote
 	if tier >= homeRemote {
@@ -20,32 +21,33 @@
 	sum := 0.0
 	for _, m := range list {
 		if r.MidFlow {
-			return m // the first in the order of its key most likely holds the connection
+			return m // the highest-ranked member most likely has the connection
 		}
 		if m.ejected || !b.slowStartAllows(now, r, m) ||
 			b.probeAllowance() > 0 && !m.hasReport && b.warmupFraction(now, m) == 1 {
 			continue
 		}
 		capacity, used := b.capacityOf(now, m), b.usedOf(now, m)
-		// The levels are parts of the server's capacity once it has warmed up.
+		// The levels are fractions of the member's capacity after its warm-up.
 		level := min(level/b.warmupFraction(now, m), max(fillHigh, level))
 		spare := capacity*level - used - load
 		if spare <= 0 || foreign && used*b.foreignShare(m)+load > capacity*level*b.lendingThreshold(m) {
 			continue
 		}
 		if ordered {
-			// All proxies use the same order, and few servers are to bear the shared work of a group: they are
-			// filled one after the other. As the first one fills, fewer connections go there, or all proxies
-			// would herd on one late report. With packets passed through no draw is made: another proxy must
-			// find the same server.
+			// Members are filled one after the other, in the order that all relays share, so that
+			// few carry the shared work of a group. As the home member fills, a random part of the
+			// connections passes it over, since otherwise all relays would overload it before its
+			// reports show it. With PassThrough there is no randomness: another relay must find the
+			// same member.
 			if b.cfg.PassThrough || tier != homeLocal || b.rng.Float64()*groupTaper*capacity < spare {
 				return m
 			}
 			continue
 		}
 		eligible = append(eligible, m)
-		// Cubed, so that of two servers the emptier is clearly preferred, yet not always: all proxies may be
-		// reading the same late report.
+		// Cubed, so that the emptier of two members is clearly preferred but not always chosen: all
+		// relays may act on the same outdated report.
 		weight := math.Pow(spare/capacity, 3) * capacity
 		weights = append(weights, weight)
 		sum += weight
@@ -59,8 +61,8 @@
 	return nil
 }
 
-// lendingThreshold is up to which part of its capacity a server takes foreign connections. It is learned in
-// the own zone, whose owners this proxy serves.
+// lendingThreshold returns the fraction of a member's capacity that foreign connections may use. It
+// is learned only in the relay's own zone, the zone of the owners that this relay serves.
 func (b *Balancer) lendingThreshold(m *member) float64 {
 	if m.Zone != b.cfg.Zone {
 		return 1
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// normalize returns settings with safe values, on which every decision can rely.
+// normalize returns the settings with every missing or invalid value replaced by a safe one.
 func normalize(s Settings) Settings {
 	within := func(v, lo, hi, otherwise float64) float64 {
 		if math.IsNaN(v) || v < lo || v > hi {
@@ -30,7 +30,7 @@
 		span(&c.Deadline, 2*time.Second)
 		span(&c.LatencyObjective, c.Deadline/4)
 		span(&c.MessageLatencyObjective, c.LatencyObjective)
-		c.DedupWindow = max(c.DedupWindow, 0) // without one a repeat is never known to be harmless
+		c.DedupWindow = max(c.DedupWindow, 0) // 0: no repeat is known to be safe
 		c.PriorityWeight = within(c.PriorityWeight, 1e-6, 1e9, 1)
 	}
 	s.Tenants = slices.Clone(s.Tenants)
@@ -54,7 +54,7 @@
 	return s
 }
 
-// normalizeEndpoint does the same for an entry of the server list.
+// normalizeEndpoint replaces invalid values in an entry of the endpoint list.
 func normalizeEndpoint(e Endpoint, zones int) Endpoint {
 	e.Zone = min(max(e.Zone, 0), zones-1)
 	if math.IsNaN(e.Weight) || e.Weight <= 0 || e.Weight > 1e9 {
--- a/policy/waiting.go
+++ b/policy/waiting.go
@@ -5,17 +5,20 @@
 	"time"
 )
 
-// This file handles requests for which no server has capacity.
+// This file handles requests for which no member has capacity.
 
-// waitForCapacity schedules another placement of a request for which no server had capacity, and ends the
-// request once that would come too late.
+// waitForCapacity schedules another placement of a request for which no member has capacity. If
+// that would be too late, it tries without the canary restriction, then a last resort, and
+// otherwise ends the request.
 func (b *Balancer) waitForCapacity(now time.Duration, r *request) {
 	objective := b.cfg.Classes[r.Class].LatencyObjective
 	delay := time.Duration(float64(objective) / 4 * (0.5 + b.rng.Float64()))
 	if b.overQuota(r.Tenant) || r.attempts >= b.cfg.MaxAttempts ||
 		now+delay > min(r.arrivedAt+objective, r.Deadline) ||
 		r.mayHaveRun && b.cfg.Classes[r.Class].Idempotency == NonIdempotent {
-		if r.canary { // no capacity in the canary: limits, drains and slow start go before its share
+		if r.canary {
+			// No canary member has capacity. Capacity limits, drains and slow start take precedence
+			// over the canary's share of the requests, so the request is placed elsewhere.
 			r.canary, r.stage, r.probedStage = false, 0, 0
 			b.canaryOverflows++
 			b.place(now, r)
@@ -32,8 +35,8 @@
 	b.scheduleRetry(r, delay)
 }
 
-// lastResort is the panic mode: if nearly all servers are ejected, the failure is probably this proxy's
-// own, and one of them is tried all the same.
+// lastResort returns a random member that is ejected, if at least nine in ten are: then the cause
+// is probably this relay or its network, not the members. Otherwise it returns nil.
 func (b *Balancer) lastResort(now time.Duration, r *request) *member {
 	var ejected []*member
 	usable := 0
@@ -44,7 +47,7 @@
 			ejected = append(ejected, m)
 		}
 	}
-	if len(ejected) == 0 || usable > len(ejected)/9 { // under nine in ten: they may well have failed
+	if len(ejected) == 0 || usable > len(ejected)/9 { // under nine in ten: the members have probably failed
 		return nil
 	}
 	return ejected[b.rng.IntN(len(ejected))]
