--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestIdempotency guards rule 2 for every idempotency and scope.
+// TestIdempotency checks for every idempotency and scope that an attempt that may have run is
+// repeated only where the class allows it, and that a rejection is sent only where a retry is safe.
 func TestIdempotency(t *testing.T) {
 	tests := []struct {
 		name        string
@@ -13,7 +14,7 @@
 		scope       Scope
 		result      Result
 		resend      bool
-		rejected    bool // the answer when no attempt is left; else it fails
+		rejected    bool // final answer after the last attempt: rejected, otherwise failed
 	}{
 		{"idempotent after time-out", Idempotent, ScopeAll, Timeout, true, true},
 		{"key, all, after time-out", IdempotencyKey, ScopeAll, Timeout, true, true},
@@ -35,18 +36,19 @@
 			id := h.submit(Request{Load: 0.1})
 			first := h.byID[h.memberOf(id)].Endpoint
 			h.AttemptEnded(h.now, Outcome{ID: id, Member: first.ID, Result: tt.result, Report: NoReport})
-			h.admissionRate = 1 // TestAdmissionRate tests that
+			h.admissionRate = 1 // not under test here; see TestAdmissionRate
 			h.answerProbes()
 			h.fireTimers(400 * ms)
 			if resent := len(h.sends) > 1; resent != tt.resend {
-				t.Fatalf("retried: %v, want %v", resent, tt.resend)
+				t.Fatalf("retried after result %d: %v, want %v", tt.result, resent, tt.resend)
 			}
 			mayHaveRun := tt.result != Full && tt.result != ConnectFailed
 			for range 10 {
 				current := h.byID[h.memberOf(id)].Endpoint
 				if mayHaveRun && tt.idempotency == IdempotencyKey && (tt.scope == ScopeZone && current.Zone != first.Zone ||
 					tt.scope == ScopeCell && current.Cell != first.Cell) {
-					t.Fatalf("sent to zone %d cell %d after zone %d cell %d", current.Zone, current.Cell, first.Zone, first.Cell)
+					t.Fatalf("retry sent to zone %d cell %d, out of the scope of the first attempt, "+
+						"zone %d cell %d", current.Zone, current.Cell, first.Zone, first.Cell)
 				}
 				if h.answers[id] != "" {
 					break
@@ -56,14 +58,15 @@
 				h.fireTimers(1900 * ms)
 			}
 			if want := map[bool]string{true: "rejected", false: "failed"}[tt.rejected]; h.answers[id] != want {
-				t.Errorf("answered %q, want %q", h.answers[id], want)
+				t.Errorf("final answer %q, want %q", h.answers[id], want)
 			}
 		})
 	}
 }
 
-// TestRetryStorm: after a time-out or an error the retry backs off, as retries would keep a slow session store slow; after full, which
-// proves that nothing ran, it is sent at once.
+// TestRetryStorm checks that a retry after a time-out or an error backs off, since immediate
+// retries would keep a slow session store slow, and that a retry after Full or ConnectFailed, which
+// prove that nothing ran, is sent at once.
 func TestRetryStorm(t *testing.T) {
 	for result, backsOff := range map[Result]bool{Timeout: true, Error: true, Full: false, ConnectFailed: false} {
 		h := newHarness(settings(), fleet(10, 1))
@@ -71,17 +74,17 @@
 		h.AttemptEnded(h.now, Outcome{ID: id, Member: h.memberOf(id), Result: result, Report: NoReport})
 		h.answerProbes()
 		if got := len(h.sends) == 1; got != backsOff {
-			t.Errorf("result %d: backs off %v, want %v", result, got, backsOff)
+			t.Errorf("after result %d: backed off %v, want %v", result, got, backsOff)
 		}
-		h.admissionRate = 1 // TestAdmissionRate tests that
+		h.admissionRate = 1 // not under test here; see TestAdmissionRate
 		if h.fireTimers(400 * ms); len(h.sends) != 2 {
-			t.Errorf("result %d: %d attempts after the backoff", result, len(h.sends))
+			t.Errorf("after result %d: %d attempts after the backoff, want 2", result, len(h.sends))
 		}
 	}
 }
 
-// TestAdmissionRate: a proxy whose attempts fail admits few of its requests, as retries would keep a failed session store down, and all
-// again once they succeed.
+// TestAdmissionRate checks that a relay whose attempts fail admits few of its requests, since more
+// attempts would keep a failed session store down, and admits all again once attempts succeed.
 func TestAdmissionRate(t *testing.T) {
 	h := newHarness(settings(), fleet(10, 1))
 	sendAll := func(n int, result Result) (sent int) {
@@ -103,15 +106,16 @@
 	}
 	sendAll(40, Error)
 	if sent := sendAll(100, Error); sent > 40 || sent == 0 {
-		t.Errorf("sent %d of 100 while every one fails", sent)
+		t.Errorf("sent %d of 100 requests while all attempts fail, want 1 to 40", sent)
 	}
 	sendAll(200, OK)
 	if sent := sendAll(100, OK); sent < 95 {
-		t.Errorf("sent %d of 100 once they succeed", sent)
+		t.Errorf("sent %d of 100 requests after attempts succeed again, want at least 95", sent)
 	}
 }
 
-// TestDedupWindow: a request with an idempotency key is not retried once the servers may have discarded the key.
+// TestDedupWindow checks that a request with an idempotency key is not retried after DedupWindow,
+// when the members may have discarded the key.
 func TestDedupWindow(t *testing.T) {
 	set := settings()
 	set.Classes[0].Idempotency, set.Classes[0].DedupWindow = IdempotencyKey, 100*ms
@@ -122,17 +126,18 @@
 	h.answerProbes()
 	h.fireTimers(100 * ms)
 	if len(h.sends) != 1 {
-		t.Errorf("%d attempts, the second after the window", len(h.sends))
+		t.Errorf("%d attempts, want 1: no retry after the deduplication window", len(h.sends))
 	}
 }
 
-// TestDeadline guards rule 1: a request without an outcome is answered by its timer, once.
+// TestDeadline checks that a request gets exactly one final answer by its deadline, also if its
+// attempt has no outcome.
 func TestDeadline(t *testing.T) {
 	h := newHarness(settings(), fleet(4, 1))
 	id := h.submit(Request{})
 	h.fireTimers(2 * time.Second)
 	if h.answers[id] != "rejected" {
-		t.Fatalf("at the deadline: %q", h.answers[id])
+		t.Fatalf("answer at the deadline %q, want rejected", h.answers[id])
 	}
 	sends := len(h.sends)
 	h.AttemptEnded(h.now+2*time.Second, Outcome{ID: id, Member: h.memberOf(id), Result: Cancelled, Final: true, Report: NoReport})
@@ -140,10 +145,11 @@
 	h.fireTimers(time.Hour)
 	h.RequestEnded(h.now, id)
 	if h.answers[id] != "rejected" || len(h.sends) != sends || len(h.requests) != 0 {
-		t.Errorf("after the end: %q, %d requests left", h.answers[id], len(h.requests))
+		t.Errorf("after the end: answers %q, %d attempts, %d requests left; want one rejection, %d "+
+			"attempts, no requests", h.answers[id], len(h.sends), len(h.requests), sends)
 	}
 	if late := h.submit(Request{Deadline: h.now - ms}); h.answers[late] != "rejected" || h.memberOf(late) != 0 {
-		t.Errorf("a request past its deadline: %q", h.answers[late])
+		t.Errorf("answer to a request after its deadline %q, want rejected without an attempt", h.answers[late])
 	}
 	h = newHarness(settings(), nil)
 	id = h.submit(Request{})
@@ -151,12 +157,13 @@
 	h.now += time.Second
 	h.fireTimers(time.Second)
 	if h.answers[id] != "rejected" {
-		t.Errorf("without servers: %q", h.answers[id])
+		t.Errorf("answer without members %q, want rejected", h.answers[id])
 	}
 }
 
-// TestAdmissionRateOneMember: failures at most servers lower a proxy's admission rate, failures at one server do not, or one that fails fast
-// would have requests rejected for all.
+// TestAdmissionRateOneMember checks that failures at most members lower a relay's admission rate
+// and that failures at one member do not: otherwise a single member that fails fast would cause the
+// rejection of requests that other members can serve.
 func TestAdmissionRateOneMember(t *testing.T) {
 	for failing, want := range map[int]bool{1: false, 4: true} {
 		h := newHarness(settings(), fleet(4, 1))
@@ -172,12 +179,13 @@
 			}
 		}
 		if got := h.admissionRate < 0.5; got != want {
-			t.Errorf("%d of 4 fail: admission rate %v", failing, h.admissionRate)
+			t.Errorf("with %d of 4 members failing: admission rate %v, want below 0.5: %v",
+				failing, h.admissionRate, want)
 		}
 	}
 }
 
-// TestStaleIDs: events of unknown or finished requests, servers and timers are ignored.
+// TestStaleIDs checks that events of unknown or finished requests, members and timers are ignored.
 func TestStaleIDs(t *testing.T) {
 	h := newHarness(settings(), fleet(3, 1))
 	h.Established(h.now, 5)
@@ -191,6 +199,6 @@
 	h.Balancer.Timer(h.now, tokenRetry|5)
 	h.Balancer.Timer(h.now, ^uint64(0))
 	if len(h.sends) != 0 || len(h.answers) != 0 {
-		t.Errorf("acted on stale ids: %v", h.log)
+		t.Errorf("actions for unknown IDs: %v, want no attempt and no answer", h.log)
 	}
 }
--- a/policy/capacity_test.go
+++ b/policy/capacity_test.go
@@ -4,8 +4,9 @@
 	"testing"
 )
 
-// TestCapacityAfterStart: a proxy that has just started and gets many clients at once learns the servers' capacity from their reports. The
-// first report, of one connection and some other load, suggests far too little.
+// TestCapacityAfterStart checks that a relay that has just started and gets many clients at once
+// learns the capacity of members from their reports. The first report, with one connection and load
+// from other sources, suggests a capacity that is far too small.
 func TestCapacityAfterStart(t *testing.T) {
 	for name, set := range siteSettings() {
 		t.Run(name, func(t *testing.T) {
@@ -18,7 +19,8 @@
 				}
 				id := h.submit(Request{Group: uint64(n + 2), Load: -1})
 				if h.memberOf(id) == 0 {
-					t.Fatalf("client %d found no capacity, with %v and %v connections", n, h.members[0].ownFlows, h.members[1].ownFlows)
+					t.Fatalf("client %d was not placed; the members have %v and %v connections",
+						n, h.members[0].ownFlows, h.members[1].ownFlows)
 				}
 				h.Established(h.now, id)
 			}
@@ -26,8 +28,9 @@
 	}
 }
 
-// TestCapacityWithUnknownLoads: before the load of any connection is known, a server's capacity in connections follows from its reports. A
-// relay that assumed a load of 1 overestimated capacities fifteenfold.
+// TestCapacityWithUnknownLoads checks that a member's capacity in connections follows from its
+// reports before the load of any connection is known. Assuming a load of 1 overestimates the
+// capacity fifteenfold.
 func TestCapacityWithUnknownLoads(t *testing.T) {
 	h := newHarness(settings(), fleet(1, 1))
 	id := fleet(1, 1)[0].ID
@@ -40,20 +43,21 @@
 		h.ProbeResult(h.now, id, OK, report)
 	}
 	if n := connections(); n < 38 || n > 42 {
-		t.Fatalf("capacity %.1f connections where 20 make a load of 0.5", n)
+		t.Fatalf("capacity %.1f connections, want 38 to 42, as 20 make a load of 0.5", n)
 	}
 	h.Balancer.UpdateLoad(h.now, 900, 0.04)
 	for range 3 {
 		h.submit(Request{Load: -1})
 	}
 	if n := connections(); n < 38 || n > 42 || h.unitLoad() > 0.05 {
-		t.Errorf("capacity %.1f connections of %.2f each, once loads of 0.04 are known", n, h.unitLoad())
+		t.Errorf("after loads of 0.04 are known: capacity %.1f connections of load %.2f, want 38 to "+
+			"42 of at most 0.05", n, h.unitLoad())
 	}
-	// The end of a connection frees its last known load, not the estimate at its arrival.
+	// The end of a connection releases its last known load, not the estimate at its arrival.
 	m.pendingPlacements = nil
 	before := h.usedOf(h.now, m)
 	h.AttemptEnded(h.now, Outcome{ID: 900, Member: id, Result: OK, Final: true, Report: NoReport})
 	if freed := before - h.usedOf(h.now, m); freed < 0.039 || freed > 0.041 {
-		t.Errorf("a connection of 0.04 freed %.3f", freed)
+		t.Errorf("the end of a connection of load 0.04 released %.3f", freed)
 	}
 }
--- a/policy/cost_test.go
+++ b/policy/cost_test.go
@@ -17,18 +17,21 @@
 	return float64(after.TotalAlloc-before.TotalAlloc) / float64(n)
 }
 
-// wantIndependentOfFleetSize checks that what an event allocates hardly grows from 90 servers to 1,440.
+// wantIndependentOfFleetSize checks that the bytes allocated per event grow by at most 40 % from 90
+// to 1,440 members.
 func wantIndependentOfFleetSize(t *testing.T, event string, allocated func(members int) float64) {
 	t.Helper()
 	few, many := allocated(90), allocated(1440)
-	t.Logf("%.0f bytes for a %s with 90 servers, %.0f with 1,440", few, event, many)
+	t.Logf("%.0f bytes allocated per %s with 90 members, %.0f with 1,440", few, event, many)
 	if many > 1.4*few {
-		t.Errorf("%.0f bytes for a %s with 1,440 servers, %.0f with 90", many, event, few)
+		t.Errorf("%.0f bytes allocated per %s with 1,440 members, %.0f with 90, want at most 1.4 "+
+			"times as many", many, event, few)
 	}
 }
 
-// TestRequestCost: what a request of a group allocates does not grow with the fleet, as only the first few servers in the order of the
-// group are examined more than once. Sorting the whole fleet for each request took most of a relay's time at 1,440 servers.
+// TestRequestCost checks that the bytes allocated per request of a group do not grow with the
+// fleet. Only the members that rank highest for the group are examined more than once: sorting all
+// 1,440 members for each request would take most of a relay's CPU time.
 func TestRequestCost(t *testing.T) {
 	wantIndependentOfFleetSize(t, "request", func(members int) float64 {
 		set := settings()
@@ -43,8 +46,9 @@
 	})
 }
 
-// TestChangeCost: nor does what a change of the server list allocates on a site with groups, as the tenants' slices, which groups do not
-// use, are not built for each change.
+// TestChangeCost checks that the bytes allocated per change of the endpoint list do not grow with
+// the fleet on a site with groups: the tenants' home slices, which groups do not use, are not
+// rebuilt for each change.
 func TestChangeCost(t *testing.T) {
 	wantIndependentOfFleetSize(t, "change", func(members int) float64 {
 		set := settings()
--- a/policy/decision_files_test.go
+++ b/policy/decision_files_test.go
@@ -9,11 +9,11 @@
 	"testing"
 )
 
-// nonDecisionFiles make no decisions: the API, the state, and the reading of settings.
+// nonDecisionFiles are the files that make no decisions: the API, the state and the settings.
 var nonDecisionFiles = []string{"api.go", "facade.go", "hash.go", "learned.go", "settings.go", "state.go"}
 
-// TestDecisionFiles checks what the project promises its auditor: the files that make decisions are short, and the deploy file lists
-// them all.
+// TestDecisionFiles checks that the files that make decisions are short, so that an auditor can
+// read them, and that the deploy file lists them all.
 func TestDecisionFiles(t *testing.T) {
 	const maxLines, maxWidth = 250, 110
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
@@ -44,16 +44,16 @@
 		}
 		lines := strings.Split(string(text), "\n")
 		if len(lines) > maxLines {
-			t.Errorf("%s has %d lines, %d at most", name, len(lines), maxLines)
+			t.Errorf("%s has %d lines, want at most %d", name, len(lines), maxLines)
 		}
 		for i, line := range lines {
 			if len([]rune(line)) > maxWidth {
-				t.Errorf("%s: line %d has over %d characters", name, i+1, maxWidth)
+				t.Errorf("%s:%d: line longer than %d characters", name, i+1, maxWidth)
 			}
 		}
 	}
 	slices.Sort(listed)
 	if !slices.Equal(listed, decisionFiles) {
-		t.Errorf("the deploy file lists %v, the package has %v", listed, decisionFiles)
+		t.Errorf("the deploy file lists the decision files %v, the package has %v", listed, decisionFiles)
 	}
 }
--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestDrain guards rule 3: nothing new is sent to a server that drains, is gone, or is missing from a full list.
+// TestDrain checks that no new request is sent to a member that drains, is gone, or is missing from
+// a full list.
 func TestDrain(t *testing.T) {
 	list := fleet(4, 1)
 	tests := []struct {
@@ -32,60 +33,62 @@
 			}
 			for _, s := range h.sends[before:] {
 				if s.member == list[0].ID {
-					t.Fatalf("sent to a server that is %s", tt.name)
+					t.Fatalf("sent to a member that is %s", tt.name)
 				}
 			}
 			if len(h.sends) == before {
-				t.Error("nothing was sent anywhere")
+				t.Error("no request was sent to the remaining members")
 			}
 		})
 	}
 }
 
-// TestDiscovery: the proxy subscribes once, after a jitter, and again after a failure.
+// TestDiscovery checks that the relay subscribes to the endpoint list once, after a random delay,
+// and again after a failure.
 func TestDiscovery(t *testing.T) {
 	set := settings()
 	set.Subscribe, set.CanProbe = true, false // no timers for probes
 	h := newHarness(set, fleet(4, 1))
 	if h.watches != 0 || len(h.timers) != 1 {
-		t.Fatalf("subscribed %d times at once, %d timers", h.watches, len(h.timers))
+		t.Fatalf("at the start: %d subscriptions, %d timers; want 0, 1", h.watches, len(h.timers))
 	}
 	h.fireTimers(10 * time.Second)
 	h.Balancer.Timer(h.now, tokenPoll)
 	if h.watches != 1 {
-		t.Fatalf("subscribed %d times, want once", h.watches)
+		t.Fatalf("%d subscriptions after the delay, want 1", h.watches)
 	}
 	h.UpdateEndpoints(h.now, ListFailed, nil)
 	if len(h.members) != 4 {
-		t.Error("a failed poll emptied the list")
+		t.Errorf("%d members after a failed poll, want 4", len(h.members))
 	}
 	h.fireTimers(20 * time.Second)
 	if h.watches != 2 {
-		t.Errorf("subscribed %d times after a failure, want twice", h.watches)
+		t.Errorf("%d subscriptions after a failure, want 2", h.watches)
 	}
 	set.Subscribe = false
 	other := newHarness(set, nil)
 	if len(other.timers) != 0 {
-		t.Error("a timer to subscribe, though the list is pushed")
+		t.Errorf("%d timers though the endpoint list is pushed, want 0", len(other.timers))
 	}
 }
 
-// TestPollRetryBound: a failed poll is retried within a fifth of the longest time that the relay may go without the list, however many have
-// failed.
+// TestPollRetryBound checks that a failed poll is retried within a fifth of MaxPollInterval,
+// however many polls have failed.
 func TestPollRetryBound(t *testing.T) {
 	set := settings()
 	set.Subscribe, set.CanProbe = true, false // no timers for probes
 	h := newHarness(set, fleet(2, 1))
 	for range 40 {
 		if wait := h.timers[len(h.timers)-1].delay; wait > set.MaxPollInterval/5 {
-			t.Fatalf("polls again after %v", wait)
+			t.Fatalf("next poll after %v, want at most %v", wait, set.MaxPollInterval/5)
 		}
 		h.UpdateEndpoints(h.now, ListFailed, nil)
 	}
 }
 
-// TestPollJitter: the more proxies there are, the wider their first polls and their retries spread, within the time allowed. Polls that
-// arrive faster than they can be served would all fail.
+// TestPollJitter checks that the first polls and the retries of many relays are spread over a time
+// that grows with the number of relays, up to MaxPollInterval. Polls that arrive faster than
+// discovery can serve them would all fail.
 func TestPollJitter(t *testing.T) {
 	set := settings()
 	set.Subscribe, set.CanProbe = true, false // no timers for probes
@@ -102,6 +105,7 @@
 		last = max(last, rec.timers[len(rec.timers)-1].delay)
 	}
 	if first < 2*time.Second || first > 3*time.Second || last < 8*time.Second || last > set.MaxPollInterval {
-		t.Errorf("the first polls are within %v, retries within %v", first, last)
+		t.Errorf("first polls within %v, want 2 s to 3 s; retries within %v, want 8 s to %v",
+			first, last, set.MaxPollInterval)
 	}
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -7,15 +7,16 @@
 	"time"
 )
 
-// fleetSimulation drives many relays in virtual time against servers that each have a capacity of 35 connections, of which every group
-// costs 3. Probes are answered at once, with reports up to 400 ms old.
+// fleetSimulation drives many relays in virtual time. Each member has a capacity of 35 connections,
+// of which every group with a connection there costs 3. Probes are answered at once, with reports
+// up to 400 ms old.
 type fleetSimulation struct {
 	relays             []*Facade
 	rng                *rand.Rand
 	members            []Endpoint
-	connections        map[MemberID]map[RequestID]uint64 // by server; the values are the connections' groups
+	connections        map[MemberID]map[RequestID]uint64 // per member: the group of each connection
 	groupOf            map[RequestID]uint64
-	reports            map[MemberID]Report // late and inexact
+	reports            map[MemberID]Report // up to 400 ms old, loads off by up to 15 %
 	reportsRefreshedAt time.Duration
 	unserved           int
 	probes             int
@@ -76,7 +77,8 @@
 	}
 }
 
-// arrive has connections arrive at random relays, 20 ms apart, and returns the time of the last one.
+// arrive simulates the arrival of connections at random relays, 20 ms apart, and returns the time
+// of the last one.
 func (p *fleetSimulation) arrive(now time.Duration, ids []RequestID) time.Duration {
 	for _, id := range ids {
 		now += 20 * ms
@@ -94,9 +96,10 @@
 	return now
 }
 
-// TestFleetGroups: eighty relays, each with two or three of the connections, keep each of five groups on few servers without communication,
-// though servers drain three times and their connections arrive again. On more servers the groups' cost would leave no capacity for
-// connections. The bounds are for means of many simulations, as single ones vary by a tenth.
+// TestFleetGroups checks that 80 relays, each with two or three of the connections, keep each of
+// five groups on few members without communication, though members drain three times and their
+// connections arrive again. On more members the cost of the groups would leave no capacity for
+// connections. The bounds are for means of many simulations, since single ones vary by a tenth.
 func TestFleetGroups(t *testing.T) {
 	const simulations = 24
 	pairs, highest, unserved := 0, 0, 0
@@ -104,15 +107,17 @@
 		p, h, u := simulateFleetGroups(seed)
 		pairs, highest, unserved = pairs+p, highest+h, unserved+u
 	}
-	t.Logf("%d simulations: %d pairs of group and server, %d used at the fullest server, %d unserved", simulations, pairs, highest, unserved)
+	t.Logf("%d simulations: %d pairs of group and member, capacity of %d used at the fullest "+
+		"members, %d connections unserved", simulations, pairs, highest, unserved)
 	if pairs > 17*simulations || highest > 35*simulations || unserved > 4*simulations {
-		t.Errorf("in %d simulations: %d pairs of group and server, %d of %d used at the fullest servers, %d unserved", simulations,
-			pairs, highest, 35*simulations, unserved)
+		t.Errorf("in %d simulations: %d pairs of group and member, want at most %d; capacity of %d "+
+			"used at the fullest members, want at most %d; %d connections unserved, want at most %d",
+			simulations, pairs, 17*simulations, highest, 35*simulations, unserved, 4*simulations)
 	}
 }
 
-// simulateFleetGroups returns the pairs of a group and a server that has it, the capacity used at the fullest server, and the connections
-// that were rejected or failed.
+// simulateFleetGroups returns the number of pairs of a group and a member that serves it, the
+// capacity used at the fullest member, and the number of connections that were rejected or failed.
 func simulateFleetGroups(seed uint64) (pairs, highest, unserved int) {
 	p := newFleetSimulation(seed, 80, 16, settings())
 	var ids []RequestID
--- a/policy/fuzz_test.go
+++ b/policy/fuzz_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// invariantChecker is a proxy that checks rules 1 to 3 on every action: one answer by the deadline, no repeat that the class forbids,
-// and nothing sent to a server that is not ready.
+// invariantChecker is an Executor that checks these rules on every action: each request gets
+// exactly one final answer by its deadline, no attempt is repeated against the idempotency of its
+// class, and nothing is sent to a member that is not ready.
 type invariantChecker struct {
 	t             *testing.T
 	set           Settings
@@ -47,13 +48,13 @@
 	w.recorder.Send(id, member, timeout)
 	r := w.requests[id]
 	if r == nil || r.ended {
-		w.t.Fatalf("send for request %d, which has ended or is unknown", id)
+		w.t.Fatalf("attempt of request %d, which has ended or is unknown", id)
 	}
 	if r.inFlight {
 		w.t.Fatalf("request %d has two attempts in flight", id)
 	}
 	if w.states[member] != Ready {
-		w.t.Fatalf("sent to server %d in state %d", member, w.states[member])
+		w.t.Fatalf("attempt sent to member %d in state %d, want ready (%d)", member, w.states[member], Ready)
 	}
 	c := w.set.Classes[r.class]
 	to := w.members[member]
@@ -65,7 +66,7 @@
 			w.t.Fatalf("request %d with a key retried after the deduplication window", id)
 		case c.Idempotency == IdempotencyKey && c.Scope == ScopeZone && to.Zone != r.firstRunOn.Zone,
 			c.Idempotency == IdempotencyKey && c.Scope == ScopeCell && to.Cell != r.firstRunOn.Cell:
-			w.t.Fatalf("request %d with a key left its scope", id)
+			w.t.Fatalf("request %d with a key retried out of its scope", id)
 		}
 	}
 	w.openAttempts = append(w.openAttempts, openAttempt{id, r.attempts, member})
@@ -79,7 +80,8 @@
 		w.t.Fatalf("second answer for request %d", id)
 	}
 	if w.now > r.deadline+w.set.AnswerSlack && r.deadline > 0 && !r.established {
-		w.t.Fatalf("request %d answered %v after its deadline", id, w.now-r.deadline)
+		w.t.Fatalf("request %d answered %v after its deadline, want at most %v",
+			id, w.now-r.deadline, w.set.AnswerSlack)
 	}
 	c := w.set.Classes[r.class]
 	if rejected && c.Idempotency != Idempotent && (r.mayHaveRun || r.inFlight) && !(c.Idempotency == IdempotencyKey && c.Scope == ScopeAll) {
@@ -102,7 +104,7 @@
 	w.timerQueue = append(w.timerQueue, requestedTimer{w.now + d, token})
 }
 
-// advance moves the clock on and fires the timers that are due, earliest first.
+// advance moves the clock forward by d and fires the timers that are due, earliest first.
 func (w *invariantChecker) advance(d time.Duration) {
 	until := w.now + d
 	for {
@@ -211,7 +213,7 @@
 				w.balancer.ProbeResult(w.now, id, Result(draw()%8), Report{Connections: float64(draw() % 30),
 					Load: float64(draw()) / 100, Util: -1})
 			}
-		case 8: // the list changes
+		case 8: // the endpoint list changes
 			changed := list[draw()%len(list)]
 			changed.State = MemberState(draw() % 3)
 			if draw()%3 == 0 {
@@ -241,13 +243,14 @@
 	w.advance(10 * time.Second)
 	for id, r := range w.requests {
 		if !r.ended {
-			t.Fatalf("request %d never got a final answer", id)
+			t.Fatalf("request %d has no final answer after 10 s", id)
 		}
 	}
 	return w.recorder.log
 }
 
-// FuzzRules runs arbitrary sequences of events: rules 1 to 3 hold, and equal events give equal actions.
+// FuzzRules checks, for arbitrary sequences of events, the rules of invariantChecker and that the
+// same events give the same actions.
 func FuzzRules(f *testing.F) {
 	for seed := range byte(12) {
 		data := make([]byte, 4000)
@@ -260,7 +263,7 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if a, b := runEvents(t, data), runEvents(t, data); !reflect.DeepEqual(a, b) {
-			t.Fatal("equal events gave different actions")
+			t.Fatal("two runs of the same events gave different actions")
 		}
 	})
 }
--- a/policy/groups_test.go
+++ b/policy/groups_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// TestGroups: the few servers of a group are the same for all tenants, as each further server costs capacity for the group.
+// TestGroups checks that a group uses the same member for all tenants, since each further member
+// costs capacity for the shared work.
 func TestGroups(t *testing.T) {
 	set := settings()
 	set.Groups = true
@@ -19,12 +20,12 @@
 		usedMembers[h.memberOf(h.submit(Request{Tenant: int(seed % 2), Group: 77, Load: 0.1}))] = true
 	}
 	if len(usedMembers) > 1 || usedMembers[0] {
-		t.Errorf("one group went to %d servers while the first had capacity", len(usedMembers))
+		t.Errorf("group sent to members %v while the first had capacity, want one member", usedMembers)
 	}
 }
 
-// TestGroupKeepsMember: a proxy with a connection of a group sends the next ones to the same server until it is full, even if another
-// server is first in the order of the group.
+// TestGroupKeepsMember checks that a relay with a connection of a group sends the next ones to the
+// same member until it is full, even if another member ranks first for the group.
 func TestGroupKeepsMember(t *testing.T) {
 	set := settings()
 	set.Groups = true
@@ -41,19 +42,21 @@
 		h.load[current] = load
 		h.now += time.Second
 		if to := h.memberOf(h.submit(Request{Group: 77, Load: 0.1})); (to == current) != (load < fillHigh) {
-			t.Errorf("at load %v: sent to %d, current is %d, first is %d", load, to, current, first)
+			t.Errorf("at load %v of the current member: sent to member %d, current is %d, first in "+
+				"rank is %d", load, to, current, first)
 		}
 	}
 }
 
-// firstChoice returns the server that a request is sent to while all eight are empty.
+// firstChoice returns the member that the request is sent to when all eight members are empty.
 func firstChoice(set Settings, q Request) MemberID {
 	h := newHarness(set, fleet(8, 1))
 	return h.memberOf(h.submit(q))
 }
 
-// TestGroupSpill: once the first server of a group is full, the group spills to the next one in its order that has capacity for many of its
-// connections, and is rejected if all others have capacity for a few only.
+// TestGroupSpill checks that once the first member of a group is full, the group spills to the next
+// one in rank that has capacity for many connections, and is rejected if all others have capacity
+// for only a few.
 func TestGroupSpill(t *testing.T) {
 	set := settings()
 	set.Groups = true
@@ -71,13 +74,16 @@
 			usedMembers[h.memberOf(h.submit(Request{Group: 77, Load: 0.1}))] = true
 		}
 		if placed := !usedMembers[0]; placed != (others < groupSpillFill) || len(usedMembers) > 1 || usedMembers[home] {
-			t.Errorf("home full, others at %v: sent to %v", others, usedMembers)
+			t.Errorf("with the home member full and the others at load %v: sent to members %v (0: "+
+				"none); want one member, none if the load is %v or more",
+				others, usedMembers, groupSpillFill)
 		}
 	}
 }
 
-// TestGroupReach: a group is sent to the first groupReach servers of its order only. Relays have reports of different servers, and would
-// otherwise scatter the group over all that they happen to know.
+// TestGroupReach checks that a group is sent only to the groupReach members that rank highest for
+// it. Relays have reports of different members and would otherwise scatter the group over all of
+// them.
 func TestGroupReach(t *testing.T) {
 	set := settings()
 	set.Groups = true
@@ -85,7 +91,8 @@
 	slices.SortFunc(list, func(x, y Endpoint) int {
 		return cmp.Compare(rendezvous(uint64(y.ID), 77, y.Weight), rendezvous(uint64(x.ID), 77, x.Weight))
 	})
-	for firstFree, want := range map[int]MemberID{groupReach - 1: list[groupReach-1].ID, groupReach: 0} { // the first with capacity
+	// firstFree is the rank of the first member with capacity.
+	for firstFree, want := range map[int]MemberID{groupReach - 1: list[groupReach-1].ID, groupReach: 0} {
 		h := newHarness(set, nil)
 		h.UpdateEndpoints(t0, ListCached, slices.Clone(list))
 		for i, e := range list {
@@ -96,13 +103,14 @@
 			}
 		}
 		if id := h.memberOf(h.submit(Request{Group: 77, Load: 0.1})); id != want {
-			t.Errorf("capacity from place %d of the order on: sent to %d, want %d", firstFree, id, want)
+			t.Errorf("with capacity from rank %d on: sent to member %d, want %d (0: none)", firstFree, id, want)
 		}
 	}
 }
 
-// TestGroupSpillSlowStart: a group spills to a server in slow start at a load at which a warm one would not get it, as what counts is the
-// server's capacity once it is warm. Otherwise servers in slow start would stay empty.
+// TestGroupSpillSlowStart checks that a group spills to a member in slow start at a load at which a
+// warm member would not get it, since the member's capacity once it is warm counts. Otherwise
+// members in slow start would stay empty.
 func TestGroupSpillSlowStart(t *testing.T) {
 	set := settings()
 	set.Groups = true
@@ -120,7 +128,7 @@
 		}
 		h.load[firstChoice(set, Request{Group: 77, Load: 0.1})] = 0.95
 		if sent := h.memberOf(h.submit(Request{Group: 77, Load: 0.1})) != 0; sent != slowStart {
-			t.Errorf("slow start %v: sent %v", slowStart, sent)
+			t.Errorf("members in slow start %v: sent %v, want %v", slowStart, sent, slowStart)
 		}
 	}
 }
--- a/policy/harness_test.go
+++ b/policy/harness_test.go
@@ -11,7 +11,7 @@
 	t0 = 100 * time.Second
 )
 
-// recorder keeps the actions that a Balancer requests.
+// recorder is an Executor that records the actions that a Balancer requests.
 type recorder struct {
 	log        []string
 	sends      []sentRequest
@@ -70,7 +70,7 @@
 	r.logf("timer %v %x", d, token)
 }
 
-// settings has two tenants, one class and one zone.
+// settings returns settings with two tenants, one class and one zone.
 func settings() Settings {
 	return Settings{
 		Balancers: 1, Zones: 1,
@@ -82,7 +82,7 @@
 	}
 }
 
-// fleet returns n ready servers that are past their slow start, spread over the zones.
+// fleet returns n ready members that are past their slow start, spread over the zones.
 func fleet(n, zones int) []Endpoint {
 	list := make([]Endpoint, n)
 	for i := range list {
@@ -91,7 +91,7 @@
 	return list
 }
 
-// harness is a Balancer, the recorder of its actions, and the load reports of its servers.
+// harness combines a Balancer, the recorder of its actions, and the values that its members report.
 type harness struct {
 	*Balancer
 	*recorder
@@ -123,7 +123,7 @@
 	}
 }
 
-// submit passes a request to the Balancer and answers the probes that it causes.
+// submit passes a request to the Balancer, answers the probes that it causes, and returns its ID.
 func (h *harness) submit(q Request) RequestID {
 	h.next++
 	q.ID = h.next
@@ -167,12 +167,13 @@
 	return slices.ContainsFunc(h.homeSlice(tenant), func(m *member) bool { return m.ID == id })
 }
 
-// siteSettings are settings as sites have them: two classes of different priority weight, without and with zones and groups.
+// siteSettings returns settings of typical sites, by name: two classes of different priority
+// weight, without and with zones and groups.
 func siteSettings() map[string]Settings {
-	few := settings()
-	few.Classes = append(few.Classes, few.Classes[0])
-	few.Classes[0].PriorityWeight, few.Classes[1].PriorityWeight = 2, 1
-	wide := few
-	wide.Balancers, wide.OverloadWindow, wide.Groups, wide.Zones = 4, time.Second, true, 4
-	return map[string]Settings{"few": few, "zones and groups": wide}
+	small := settings()
+	small.Classes = append(small.Classes, small.Classes[0])
+	small.Classes[0].PriorityWeight, small.Classes[1].PriorityWeight = 2, 1
+	large := small
+	large.Balancers, large.OverloadWindow, large.Groups, large.Zones = 4, time.Second, true, 4
+	return map[string]Settings{"one zone": small, "zones and groups": large}
 }
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -6,28 +6,30 @@
 	"time"
 )
 
-// TestHealth: two failures in a row eject a server, one does not; a probe that succeeds ends the ejection.
+// TestHealth checks that two consecutive failures eject a member, that one does not, and that a
+// successful probe ends the ejection.
 func TestHealth(t *testing.T) {
 	h := newHarness(settings(), fleet(6, 1))
 	m := h.members[0]
 	h.recordFailure(h.now, m)
 	if m.ejected {
-		t.Error("one failure ejected the server")
+		t.Error("one failure ejected the member")
 	}
 	if len(h.probes) != 1 || h.probes[0] != m.ID {
-		t.Errorf("after one failure probed %v", h.probes)
+		t.Errorf("after one failure probed members %v, want only %d", h.probes, m.ID)
 	}
 	h.ProbeResult(h.now, m.ID, Timeout, NoReport)
 	if !m.ejected || m.retryAt <= h.now {
-		t.Error("two failures in a row did not eject the server")
+		t.Error("two consecutive failures did not eject the member")
 	}
 	h.ProbeResult(h.now, m.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
 	if m.ejected {
-		t.Error("a probe that succeeded did not end the ejection")
+		t.Error("a successful probe did not end the ejection")
 	}
 }
 
-// TestZoneEjection: a few failures in another zone eject all of it; the proxy's own zone is never ejected.
+// TestZoneEjection checks that zoneFailureThreshold failures eject another zone and that the
+// relay's own zone is not ejected.
 func TestZoneEjection(t *testing.T) {
 	set := settings()
 	set.Zones = 2
@@ -38,11 +40,13 @@
 		}
 	}
 	if !h.zones[1].ejected || h.zones[0].ejected {
-		t.Errorf("other zone ejected: %v, own zone: %v", h.zones[1].ejected, h.zones[0].ejected)
+		t.Errorf("other zone ejected: %v, own zone ejected: %v; want true, false",
+			h.zones[1].ejected, h.zones[0].ejected)
 	}
 }
 
-// TestFullBackoff: a server that answers full gets nothing for a backoff that grows each time, as it may drain without being listed so.
+// TestFullBackoff checks that the backoff of a member grows with each consecutive Full, since it
+// may drain before the endpoint list says so.
 func TestFullBackoff(t *testing.T) {
 	h := newHarness(settings(), fleet(6, 1))
 	var previous time.Duration
@@ -54,14 +58,16 @@
 		h.AttemptEnded(h.now, Outcome{ID: id, Member: m.ID, Result: Full, Report: NoReport})
 		backoff := m.retryAt - h.now
 		if backoff <= previous {
-			t.Errorf("backoff %v after %v", backoff, previous)
+			t.Errorf("after %d consecutive Full: backoff %v, want more than %v",
+				m.consecutiveFull, backoff, previous)
 		}
 		previous = backoff
 	}
 }
 
-// TestProbeTimeoutMigrates: two probes that time out migrate a server's connections, as it may have vanished. Errors and resets do not: such a
-// server may still serve its clients, and otherwise it resets them itself.
+// TestProbeTimeoutMigrates checks that two probes that time out cause the migration of a member's
+// connections, since the member may be unreachable. Errors and resets do not: such a member may
+// still serve its clients, and otherwise it resets them itself.
 func TestProbeTimeoutMigrates(t *testing.T) {
 	for name, set := range siteSettings() {
 		for result, want := range map[Result]int{Timeout: 5, ConnectFailed: 0, Reset: 0, Error: 0, Full: 0} {
@@ -71,23 +77,26 @@
 			}
 			for n := range memberFailureThreshold {
 				if h.ProbeResult(h.now, h.members[0].ID, result, NoReport); n == 0 && len(h.migrations) > 0 {
-					t.Errorf("%s, %v: migrated %d after one probe", name, result, len(h.migrations))
+					t.Errorf("%s, result %v: %d migrations after one probe, want 0",
+						name, result, len(h.migrations))
 				}
 			}
 			if len(h.migrations) != want {
-				t.Errorf("%s, %v: migrated %d of 5, want %d", name, result, len(h.migrations), want)
+				t.Errorf("%s, result %v: %d of 5 connections migrated, want %d",
+					name, result, len(h.migrations), want)
 			}
 		}
 	}
 }
 
-// TestProbeBudget: probes stay within the budget that their price allows, and there are none if the settings forbid them.
+// TestProbeBudget checks that the number of probes stays within the budget that ProbePrice allows,
+// and that none are sent if CanProbe is false.
 func TestProbeBudget(t *testing.T) {
 	for _, tt := range []struct {
-		name           string
-		price          float64
-		canProbe       bool
-		mostPerRequest float64
+		name          string
+		price         float64
+		canProbe      bool
+		maxPerRequest float64
 	}{{"priced", 0.002, true, 4}, {"expensive", 0.01, true, 1}, {"free", 0, true, maxProbes + 1}, {"forbidden", 0, false, 0}} {
 		t.Run(tt.name, func(t *testing.T) {
 			set := settings()
@@ -103,15 +112,17 @@
 					probes++
 				}
 			}
-			if probes > 200*tt.mostPerRequest+30 || tt.mostPerRequest > 0 && probes == 0 {
-				t.Errorf("%v probes for 200 requests", probes)
+			if probes > 200*tt.maxPerRequest+30 || tt.maxPerRequest > 0 && probes == 0 {
+				t.Errorf("%v probes for 200 requests, want at most %v per request plus 30, and some "+
+					"unless forbidden", probes, tt.maxPerRequest)
 			}
 		})
 	}
 }
 
-// TestHealthCheck: servers with own connections are probed even while no request arrives, or a backlog would go unseen; others are not, and
-// never beyond the budget of probes.
+// TestHealthCheck checks that members with connections of this relay, and no others, are probed
+// while no requests arrive, when a backlog would otherwise remain undetected, and never beyond the
+// probe budget.
 func TestHealthCheck(t *testing.T) {
 	h := newHarness(settings(), fleet(3, 1))
 	m := h.members[1]
@@ -122,23 +133,25 @@
 		h.probes = nil
 		h.Balancer.Timer(h.now, tokenHealthCheck)
 		if len(h.probes) != 1 || h.probes[0] != m.ID {
-			t.Fatalf("check %d probed %v, want only the server with the connection", n, h.probes)
+			t.Fatalf("health check %d probed members %v, want only %d, which has the connection",
+				n, h.probes, m.ID)
 		}
 		h.answerProbes()
 	}
 	if last := h.timers[len(h.timers)-1]; last.token != tokenHealthCheck || last.delay < h.reportLag()/2 {
-		t.Errorf("the next check: %+v", last)
+		t.Errorf("last timer %+v, want the next health check after at least %v", last, h.reportLag()/2)
 	}
 	h.now += 2 * h.reportLag()
 	h.probeTokens = 0.5
 	if h.Balancer.Timer(h.now, tokenHealthCheck); len(h.probes) != 0 {
-		t.Errorf("probed %v beyond the budget", h.probes)
+		t.Errorf("probed members %v without budget, want none", h.probes)
 	}
 }
 
-// TestFailuresOutlastProbes: a server that fails connections but answers probes is reinstated by a probe after its backoff, yet one more
-// failure ejects it again, until a connection is established there. Failures of attempts that were in flight at the ejection do not lengthen
-// the backoff, and there are no probes meanwhile.
+// TestFailuresOutlastProbes checks a member that fails connections but answers probes: a probe
+// after the backoff readmits it, but one more failure ejects it again unless a connection was
+// established there. Failures of attempts that were in flight at the ejection do not lengthen the
+// backoff, and the member is not probed during it.
 func TestFailuresOutlastProbes(t *testing.T) {
 	h := newHarness(settings(), fleet(1, 1))
 	m := h.members[0]
@@ -152,21 +165,23 @@
 	h.probes, m.probing = nil, false
 	h.checkHealth(h.now)
 	if !m.ejected || m.retryAt != until || m.failures != memberFailureThreshold || len(h.probes) != 0 {
-		t.Fatalf("ejected %v, %d failures, backoff longer by %v, probed %v", m.ejected, m.failures, m.retryAt-until, h.probes)
+		t.Fatalf("during the backoff: ejected %v, %d failures, backoff longer by %v, probed %v; want "+
+			"ejected, %d failures, the same backoff, no probes",
+			m.ejected, m.failures, m.retryAt-until, h.probes, memberFailureThreshold)
 	}
 	h.now = until
 	h.ProbeResult(h.now, m.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
 	if m.ejected {
-		t.Fatal("not reinstated by a successful probe")
+		t.Fatal("a successful probe after the backoff did not readmit the member")
 	}
 	if h.recordFailure(h.now, m); !m.ejected {
-		t.Fatal("not ejected by a further failure")
+		t.Fatal("a failure after the readmission did not eject the member again")
 	}
 	h.now = m.retryAt
 	h.ProbeResult(h.now, m.ID, OK, Report{Connections: 1, Load: 0.1, Util: -1})
 	id := h.submit(Request{Load: 0.1})
 	h.Established(h.now, id)
 	if h.recordFailure(h.now, m); m.ejected {
-		t.Error("ejected for one failure after a connection was established")
+		t.Error("a single failure after an established connection ejected the member")
 	}
 }
--- a/policy/migration_test.go
+++ b/policy/migration_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// TestMigrateFromUnavailable: the connections of a server that drains, is deleted or is no longer listed are migrated as soon as the list
-// changes, once each; those of other servers stay.
+// TestMigrateFromUnavailable checks that the connections of a member that drains, is deleted or is
+// no longer listed are migrated when the list changes, once each, and those of other members are
+// not.
 func TestMigrateFromUnavailable(t *testing.T) {
 	for _, tt := range []struct {
 		name string
@@ -26,14 +27,15 @@
 				h.UpdateEndpoints(h.now, tt.kind, tt.list(fleet(2, 1)))
 			}
 			if len(h.migrations) != 3 || h.migrations[0]%2 != 0 || h.migrations[1]%2 != 0 || h.migrations[2]%2 != 0 {
-				t.Errorf("migrated %v", h.migrations)
+				t.Errorf("migrated connections %v, want the three with even IDs, once each", h.migrations)
 			}
 		})
 	}
 }
 
-// TestBacklog: a report with a long backlog migrates connections, one with a short backlog does not, and the next report at once migrates no
-// more. Sites without message latencies have no other sign of a full server.
+// TestBacklog checks that a report with a long backlog causes migrations, that one with a short
+// backlog does not, and that another report directly afterwards causes no more. Without message
+// latencies a backlog is the only sign of a full member.
 func TestBacklog(t *testing.T) {
 	h := newHarness(settings(), fleet(4, 1))
 	m := h.members[0]
@@ -42,21 +44,21 @@
 	}
 	report := Report{Connections: 40, Load: 2, Util: -1, Backlog: 0.05}
 	if h.ProbeResult(h.now, m.ID, OK, report); len(h.migrations) != 0 {
-		t.Fatalf("migrated %d with a short backlog", len(h.migrations))
+		t.Fatalf("%d connections migrated with a short backlog, want 0", len(h.migrations))
 	}
 	report.Backlog = 0.5
 	h.ProbeResult(h.now, m.ID, OK, report)
 	migrated := len(h.migrations)
 	if migrated == 0 || migrated == 40 {
-		t.Fatalf("migrated %d of 40", migrated)
+		t.Fatalf("%d of 40 connections migrated with a long backlog, want some but not all", migrated)
 	}
 	if h.ProbeResult(h.now, m.ID, OK, report); len(h.migrations) != migrated {
-		t.Error("migrated more before the effect can show")
+		t.Errorf("%d connections migrated after a repeated report, want still %d", len(h.migrations), migrated)
 	}
 }
 
-// TestBacklogMigrates: a server with a backlog gets no new connections and loses some, however low its present load is, as every message
-// waits there.
+// TestBacklogMigrates checks that a member with a backlog gets no new connections and loses some,
+// however low its load is, since every message waits there.
 func TestBacklogMigrates(t *testing.T) {
 	h := newHarness(settings(), fleet(2, 1))
 	full, free := h.members[0], h.members[1]
@@ -66,7 +68,7 @@
 	h.ProbeResult(h.now, free.ID, OK, Report{Connections: 30, Load: 0.5, Util: -1, Backlog: 0})
 	h.ProbeResult(h.now, full.ID, OK, Report{Connections: 30, Load: 0.3, Util: -1, Backlog: 1.5})
 	if len(h.migrations) == 0 || len(h.migrations) == 30 {
-		t.Errorf("migrated %d of 30", len(h.migrations))
+		t.Errorf("%d of 30 connections migrated, want some but not all", len(h.migrations))
 	}
 	for id := range RequestID(6) {
 		h.Request(h.now, Request{ID: 200 + id, Deadline: h.now + 2*time.Second, Load: 0.01})
@@ -80,15 +82,16 @@
 	}
 	for _, s := range h.sends {
 		if s.member == full.ID {
-			t.Fatal("sent to a server with a backlog")
+			t.Fatal("sent to a member with a backlog")
 		}
 	}
 	if len(h.sends) == 0 {
-		t.Error("nothing was sent")
+		t.Error("no request was sent to the other member")
 	}
 }
 
-// TestMigrateExcess: connections are migrated from a server over its capacity, not from one that is filling up.
+// TestMigrateExcess checks that connections are migrated from a member that is over its capacity,
+// not from one that is below it.
 func TestMigrateExcess(t *testing.T) {
 	for _, tt := range []struct {
 		load     float64
@@ -102,15 +105,17 @@
 		h.applyReport(h.now, m, Report{Connections: 40, Load: tt.load, Util: -1})
 		h.ObserveLatency(h.now, 100, 90*ms)
 		if got := len(h.migrations) > 0; got != tt.migrates {
-			t.Errorf("load %v: migrated %d", tt.load, len(h.migrations))
+			t.Errorf("at load %v: %d connections migrated, want any: %v", tt.load, len(h.migrations), tt.migrates)
 		}
 		if len(h.migrations) > 36 {
-			t.Errorf("load %v: migrated %d of 40, too many at once", tt.load, len(h.migrations))
+			t.Errorf("at load %v: %d of 40 connections migrated at once, want at most 36",
+				tt.load, len(h.migrations))
 		}
 	}
 }
 
-// TestMigrationOrder: connections of a tenant over its quota are migrated from a full server before the others.
+// TestMigrationOrder checks that connections of a tenant over its quota are migrated from a full
+// member before the others.
 func TestMigrationOrder(t *testing.T) {
 	set := settings()
 	set.Tenants = []Tenant{{Share: 0.5, Quota: 10}, {Share: 0.5, Quota: 100}}
@@ -126,18 +131,20 @@
 		migrated[id%2]++
 	}
 	if migrated[0] <= migrated[1] {
-		t.Errorf("migrated %d of the tenant over its quota, %d of the other", migrated[0], migrated[1])
+		t.Errorf("migrated %d connections of the tenant over its quota and %d of the other, want "+
+			"more of the first", migrated[0], migrated[1])
 	}
 }
 
-// TestOverloadMigration: a report of an overloaded server migrates the connections with the least priority weight for their load, about as
-// much load as the excess, once for each report, and not for a momentary stall. The reports have a load but no backlog.
+// TestOverloadMigration checks that a report of an overloaded member causes the migration of the
+// connections with the least priority weight per load, about as much load as the excess, once for
+// each report, and not for a momentary stall. The reports have a load but no backlog.
 func TestOverloadMigration(t *testing.T) {
 	for name, set := range siteSettings() {
 		for _, tt := range []struct {
 			name        string
-			loads       []float64 // of the reports, one a second
-			least, most float64   // part of the load that is migrated
+			loads       []float64 // in consecutive reports, one per second
+			least, most float64   // bounds for the migrated fraction of the load
 		}{
 			{"filling up", []float64{0.8, 0.9}, 0, 0},
 			{"overloaded", []float64{1.2}, 0.25, 0.6},
@@ -161,10 +168,11 @@
 					highValue += 1 - int(id%2)
 				}
 				if migrated < tt.least || migrated > tt.most {
-					t.Errorf("%.2f of the load migrated, want %v to %v", migrated, tt.least, tt.most)
+					t.Errorf("fraction %.2f of the load migrated, want %v to %v", migrated, tt.least, tt.most)
 				}
 				if highValue > 0 && migrated < 0.8 {
-					t.Errorf("%d of high value migrated with %.2f of the load", highValue, migrated)
+					t.Errorf("%d connections of the more valuable class migrated though only %.2f of "+
+						"the load was, want 0", highValue, migrated)
 				}
 			})
 		}
--- a/policy/placement_test.go
+++ b/policy/placement_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// TestSlices: proxies agree on the home slice of each tenant, and a change of the list moves no more of it than it must.
+// TestSlices checks that relays agree on the home slice of each tenant, and that the removal of a
+// member adds no other member to the slice.
 func TestSlices(t *testing.T) {
 	set := settings()
 	set.Zones = 2
@@ -29,14 +30,14 @@
 	}
 	for tenant := range set.Tenants {
 		if got, want := ids(b, tenant), ids(a.Balancer, tenant); !reflect.DeepEqual(got, want) {
-			t.Errorf("tenant %d: one proxy has %v, another %v", tenant, got, want)
+			t.Errorf("home slice of tenant %d: %v at one relay, %v at another", tenant, got, want)
 		}
 	}
 	if n := len(ids(a.Balancer, 0)); n < 25 || n > 47 {
-		t.Errorf("tenant with a share of 0.6 has %d home servers of 60", n)
+		t.Errorf("tenant with a share of 0.6 has %d home members of 60, want 25 to 47", n)
 	}
 	if n := len(ids(a.Balancer, 3)); n != 2 {
-		t.Errorf("tenant with too small a share for a server has %d home servers, want one for each zone", n)
+		t.Errorf("tenant with too small a share for a member has %d home members, want one for each zone", n)
 	}
 	before := ids(a.Balancer, 0)
 	gone := list[0]
@@ -45,12 +46,13 @@
 	after := ids(a.Balancer, 0)
 	for _, id := range after {
 		if !slices.Contains(before, id) {
-			t.Errorf("server %d joined the slice though only %d left it", id, gone.ID)
+			t.Errorf("member %d joined the slice though only %d left it", id, gone.ID)
 		}
 	}
 }
 
-// TestPlacement: a request goes to its tenant's home slice, to a foreign server that lends capacity, or is rejected.
+// TestPlacement checks that a request goes to its tenant's home slice or to a foreign member that
+// lends capacity, or is rejected.
 func TestPlacement(t *testing.T) {
 	tests := []struct {
 		name          string
@@ -85,13 +87,14 @@
 				got = "open"
 			}
 			if got != tt.want {
-				t.Errorf("placement %s, want %s\n%s", got, tt.want, strings.Join(h.log, "\n"))
+				t.Errorf("request placed: %s, want %s; actions:\n%s", got, tt.want, strings.Join(h.log, "\n"))
 			}
 		})
 	}
 }
 
-// TestThresholdAdapts: requests that find their home slice full lower its lending threshold, and requests that find capacity raise it.
+// TestThresholdAdapts checks that requests that find their home slice full lower its lending
+// threshold, and requests that find capacity raise it.
 func TestThresholdAdapts(t *testing.T) {
 	h := newHarness(settings(), fleet(10, 1))
 	for _, m := range h.members {
@@ -105,7 +108,8 @@
 	}
 	lowered := h.lendingThresholds[0]
 	if lowered > 0.6 || lowered < lendMin {
-		t.Errorf("threshold %v after six requests that found their home full", lowered)
+		t.Errorf("lending threshold %v after six requests that found their home slice full, want %v "+
+			"to 0.6", lowered, lendMin)
 	}
 	for id := range h.load {
 		h.load[id] = 0.1
@@ -115,24 +119,27 @@
 		h.submit(Request{Tenant: 0})
 	}
 	if h.lendingThresholds[0] <= lowered {
-		t.Errorf("threshold stays at %v though requests find capacity at home", h.lendingThresholds[0])
+		t.Errorf("lending threshold %v after requests that found capacity at home, want more than %v",
+			h.lendingThresholds[0], lowered)
 	}
 }
 
-// TestForeignShare: the share of a server with few connections is shrunk towards the proxy's, that of one with many is its own.
+// TestForeignShare checks that the estimate for a member with few connections is close to the
+// relay's overall foreign share, and that for a member with many connections close to its own.
 func TestForeignShare(t *testing.T) {
 	b := New(settings(), 1, &recorder{})
 	b.foreignFlows, b.ownFlows = 10, 100
 	few, many := &member{ownFlows: 1, foreignFlows: 1}, &member{ownFlows: 100, foreignFlows: 100}
 	if got := b.foreignShare(few); got > 0.4 {
-		t.Errorf("one foreign connection makes a share of %v", got)
+		t.Errorf("foreignShare with one connection = %v, want at most 0.4", got)
 	}
 	if got := b.foreignShare(many); got < 0.9 {
-		t.Errorf("a hundred foreign connections make a share of %v", got)
+		t.Errorf("foreignShare with 100 foreign connections = %v, want at least 0.9", got)
 	}
 }
 
-// TestPickSpreads: the emptier server is preferred, but not by all proxies, which would overload it together.
+// TestPickSpreads checks that most but not all relays choose the emptier member: all together would
+// overload it.
 func TestPickSpreads(t *testing.T) {
 	set := settings()
 	set.Tenants = nil
@@ -151,11 +158,13 @@
 		hits[rec.sends[0].member]++
 	}
 	if a, b := hits[list[0].ID], hits[list[1].ID]; a <= b || b == 0 {
-		t.Errorf("emptier server got %d, fuller one %d", a, b)
+		t.Errorf("emptier member got %d requests, fuller one %d; want more for the emptier and some "+
+			"for the fuller", a, b)
 	}
 }
 
-// TestOverQuota: under load, requests of a tenant over its quota are rejected, those of the others are not.
+// TestOverQuota checks that, under load, requests of a tenant over its quota are rejected and those
+// of other tenants are not.
 func TestOverQuota(t *testing.T) {
 	set := settings()
 	set.Tenants = []Tenant{{Share: 0.5, Quota: 4}, {Share: 0.5, Quota: 100}}
@@ -170,17 +179,19 @@
 		h.applyReport(h.now, m, Report{Connections: 10, Load: 0.72, Util: -1})
 	}
 	if id := h.submit(Request{Tenant: 0, Load: 0.1}); h.answers[id] != "rejected" {
-		t.Errorf("tenant over its quota: %q, want rejected\n%s", h.answers[id], strings.Join(h.log, "\n"))
+		t.Errorf("answer to the tenant over its quota %q, want rejected; actions:\n%s",
+			h.answers[id], strings.Join(h.log, "\n"))
 	}
 	if id := h.submit(Request{Tenant: 1, Load: 0.1}); h.memberOf(id) == 0 {
 		h.fireTimers(200 * ms)
 		if h.memberOf(id) == 0 {
-			t.Errorf("tenant within its quota not placed")
+			t.Error("request of the tenant within its quota was not placed")
 		}
 	}
 }
 
-// TestPassThrough: another proxy sends packets of an open connection to the server that the first one chose, even if it is full.
+// TestPassThrough checks that another relay sends packets of an open connection to the member that
+// the first relay chose, even if that member is full.
 func TestPassThrough(t *testing.T) {
 	set := settings()
 	set.PassThrough = true
@@ -190,11 +201,11 @@
 		b.load[m.ID] = 2
 	}
 	if got := b.memberOf(b.submit(Request{Key: 5, MidFlow: true})); got != first || first == 0 {
-		t.Errorf("mid-flow packets went to %d, the connection is on %d", got, first)
+		t.Errorf("packets of the open connection went to member %d, want %d", got, first)
 	}
 }
 
-// TestAllMembersEjected: if all servers are ejected, a request is still sent to one of them.
+// TestAllMembersEjected checks that a request is still sent to a member if all members are ejected.
 func TestAllMembersEjected(t *testing.T) {
 	h := newHarness(settings(), fleet(6, 1))
 	for _, m := range h.members {
@@ -203,7 +214,7 @@
 	}
 	id := RequestID(1)
 	h.Request(h.now, Request{ID: id, Deadline: h.now + 2*time.Second})
-	for range 6 { // without an answer to any probe
+	for range 6 { // no probe is answered
 		h.now += 100 * ms
 		due := h.timers
 		h.timers = nil
@@ -214,18 +225,19 @@
 		}
 	}
 	if h.memberOf(id) == 0 {
-		t.Error("nothing was sent")
+		t.Error("request not sent though it should go to an ejected member")
 	}
 }
 
-// TestLowValue: close to fillHigh there is capacity only for the class with the higher priority weight for its load, below that for both.
+// TestLowValue checks that members filled almost to fillHigh accept only the class with the higher
+// priority weight per load, and emptier ones accept both classes.
 func TestLowValue(t *testing.T) {
 	for _, tt := range []struct {
 		load  float64
 		class int
 		sent  bool
 	}{{0.7, 0, true}, {0.7, 1, true}, {0.82, 0, true}, {0.82, 1, false}} {
-		h := newHarness(siteSettings()["few"], fleet(3, 1))
+		h := newHarness(siteSettings()["one zone"], fleet(3, 1))
 		for i, m := range h.members {
 			h.load[m.ID], h.connections[m.ID] = tt.load, 1000
 			for class, load := range []float64{0.1, 0.5} {
@@ -242,13 +254,14 @@
 			h.answerProbes()
 		}
 		if got := h.memberOf(id) != 0; got != tt.sent {
-			t.Errorf("class %d at a fill of %v: sent %v", tt.class, tt.load, got)
+			t.Errorf("class %d at a fill of %v: sent %v, want %v", tt.class, tt.load, got, tt.sent)
 		}
 	}
 }
 
-// TestServingRelays: a proxy's part of a tenant's quota is its part of all connections, if reports have their number, and an equal part
-// otherwise. A proxy that takes the connections of drained ones must not reject them.
+// TestServingRelays checks that a relay's share of a tenant's quota is its share of all connections
+// if members report the number of connections, and an equal share otherwise. A relay that takes
+// over the connections of drained relays must not reject them.
 func TestServingRelays(t *testing.T) {
 	set := settings()
 	set.Balancers, set.Tenants = 2, []Tenant{{Share: 0.5, Quota: 40}, {Share: 0.5, Quota: 40}}
@@ -265,13 +278,14 @@
 				h.ProbeResult(h.now, m.ID, OK, Report{Connections: c.reported, Load: 0.5, Util: -1, Backlog: -1})
 			}
 			if h.overQuota(0) != c.over {
-				t.Errorf("over its quota %v, want %v", !c.over, c.over)
+				t.Errorf("overQuota(0) = %v, want %v", !c.over, c.over)
 			}
 		})
 	}
 }
 
-// TestNoReports: without load reports connections are still placed, and spread over the servers.
+// TestNoReports checks that connections are placed and spread over the members without load
+// reports.
 func TestNoReports(t *testing.T) {
 	set := settings()
 	set.Reports, set.Tenants = ReportsOff, nil
@@ -282,6 +296,7 @@
 		usedMembers[h.memberOf(h.submit(Request{Load: 0.1}))] = true
 	}
 	if len(usedMembers) < 4 || usedMembers[0] {
-		t.Errorf("used servers %v", usedMembers)
+		t.Errorf("connections were placed on members %v (0: not placed), want at least 4 of 5 members",
+			usedMembers)
 	}
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// slowStartFleet simulates relays that place many requests of equal load while one server joins in slow start and the others are nearly
-// full. The relays do not communicate. sentAt has the times of the sends to the joining server.
+// slowStartFleet simulates relays that place many requests of equal load while one member joins in
+// slow start and the others are nearly full. The relays do not communicate.
 type slowStartFleet struct {
 	relays      []*Facade
 	set         Settings
@@ -18,10 +18,10 @@
 	others      []Endpoint
 	placed      map[RequestID]MemberID
 	connections map[MemberID]int
-	sentAt      []time.Duration
+	sentAt      []time.Duration // times of the sends to the joining member
 }
 
-// warmCapacity is how many connections a warm server has capacity for.
+// warmCapacity is the capacity of a member after slow start, in connections.
 const warmCapacity = 35
 
 func newSlowStartFleet(seed uint64, relays int, set Settings) *slowStartFleet {
@@ -37,7 +37,8 @@
 	return p
 }
 
-// capacity is how many connections a server has capacity for now; in slow start it rises linearly, as slowly as the settings allow.
+// capacity returns the present capacity of a member, in connections. In slow start it rises
+// linearly, as slowly as the settings allow.
 func (p *slowStartFleet) capacity(now time.Duration, id MemberID) float64 {
 	if id != p.joining.ID {
 		return warmCapacity
@@ -71,15 +72,16 @@
 	}
 }
 
-// run places requests until the end of the slow start. The relays learn of the joining server one after another, within half a second.
+// run places requests until the end of the slow start. The relays learn of the joining member one
+// after another, within 500 ms.
 func (p *slowStartFleet) run(group func(RequestID) uint64) {
-	const every = 12 * ms
+	const interval = 12 * ms
 	now, joins := t0, t0+3*time.Second
 	p.joining.Started = joins
 	for id := RequestID(1); now < joins+p.set.SlowStartDuration; id++ {
-		now += every
+		now += interval
 		for i, f := range p.relays {
-			if listedAt := joins + time.Duration(i)*500*ms/time.Duration(len(p.relays)); now-every < listedAt && listedAt <= now {
+			if listedAt := joins + time.Duration(i)*500*ms/time.Duration(len(p.relays)); now-interval < listedAt && listedAt <= now {
 				p.execute(now, f, f.Observe(now, EndpointList{ListDelta, []Endpoint{p.joining}}))
 			}
 			p.execute(now, f, f.Tick(now))
@@ -89,8 +91,9 @@
 	}
 }
 
-// excess is by how much the sends in the worst window of OverloadWindow exceed the allowed N + 2 x sqrt(N) + 2, where N is OverloadFactor
-// times the rate that fills the server over its slow start, at its present capacity.
+// excess returns by how much the sends in the worst window of OverloadWindow exceed the allowed N +
+// 2 x sqrt(N) + 2, where N is OverloadFactor times the rate that fills the member's present
+// capacity within SlowStartDuration.
 func (p *slowStartFleet) excess() float64 {
 	worst := math.Inf(-1)
 	for i, from := range p.sentAt {
@@ -109,7 +112,8 @@
 	return worst
 }
 
-// checkExcess simulates five seeds, checks that none sends more than allowed, and returns the number of sends to the joining server.
+// checkExcess runs simulate with five seeds, checks that none sends more than allowed, and returns
+// the number of sends to the joining member.
 func checkExcess(t *testing.T, relays int, set Settings, simulate func(*slowStartFleet)) (sent int) {
 	t.Helper()
 	for seed := range uint64(5) {
@@ -117,14 +121,16 @@
 		simulate(p)
 		sent += len(p.sentAt)
 		if excess := p.excess(); excess > 0 {
-			t.Errorf("seed %d: %.1f too many of %d sent", seed, excess, len(p.sentAt))
+			t.Errorf("seed %d: %d sent to the joining member, %.1f more than allowed in one window",
+				seed, len(p.sentAt), excess)
 		}
 	}
 	return sent
 }
 
-// TestSlowStartFleetTotal: what twenty to thirty relays together send to a server in slow start stays within what its windows allow, for
-// three lengths of the window, with groups, with one group for all, and without groups.
+// TestSlowStartFleetTotal checks that 20 to 30 relays together send no more to a member in slow
+// start than each window allows, for three window lengths, with several groups, with one group, and
+// without groups.
 func TestSlowStartFleetTotal(t *testing.T) {
 	for _, relays := range []int{20, 25, 30} {
 		for _, window := range []time.Duration{time.Second, 1500 * ms, 3 * time.Second} {
@@ -137,7 +143,7 @@
 					set := settings()
 					set.OverloadWindow, set.Groups = window, name != "no groups"
 					sent := checkExcess(t, relays, set, func(p *slowStartFleet) { p.run(group) })
-					if name != "one group" && sent == 0 { // the first server of that group may be another one
+					if name != "one group" && sent == 0 { // one group may use another member
 						t.Error("nothing was sent: the simulation shows nothing")
 					}
 				})
@@ -146,7 +152,8 @@
 	}
 }
 
-// burst has no requests for a part of the slow start, and then, at once, more of them at each relay than it may send.
+// burst simulates no requests for a fraction of the slow start and then more requests at each relay
+// than it may send.
 func (p *slowStartFleet) burst(part float64) {
 	now, joins := t0, t0+3*time.Second
 	p.joining.Started = joins
@@ -158,7 +165,7 @@
 			p.execute(now, f, f.Tick(now))
 		}
 	}
-	const requests = 1000 // within the shortest window, and enough to fill all servers
+	const requests = 1000 // within the shortest window, and enough to fill all members
 	for id := RequestID(1); id <= requests; id++ {
 		f := p.relays[int(id)%len(p.relays)]
 		now += ms
@@ -166,7 +173,8 @@
 	}
 }
 
-// TestSlowStartBurst: the budgets that all relays have saved up without requests, used at once, stay within what one window allows.
+// TestSlowStartBurst checks that relays that had no requests for some time do not together exceed
+// what one window allows when many requests arrive at once.
 func TestSlowStartBurst(t *testing.T) {
 	for _, relays := range []int{2, 30, 60} {
 		for _, part := range []float64{0.3, 0.6, 0.85} {
@@ -181,18 +189,19 @@
 	}
 }
 
-// TestSlowStartManyProxies: if many proxies have one request each within half a second for a server in slow start, they together send most
-// of its capacity, and no more than that and the rate's budget; less would leave the server idle. Without a group all 300 proxies may send,
-// also on a site with groups; with a group, as many proxies send as the largest group needs.
-func TestSlowStartManyProxies(t *testing.T) {
-	const proxies, trials = 300, 20
+// TestSlowStartManyRelays checks that many relays with one request each within half a second for a
+// member in slow start together send most of its capacity, as less would leave the member idle, and
+// no more than its capacity plus the budget of the rate. Without a group all 300 relays may send,
+// also on a site with groups; with a group, as many relays send as the largest group needs.
+func TestSlowStartManyRelays(t *testing.T) {
+	const relays, trials = 300, 20
 	set := settings()
-	set.Balancers, set.OverloadWindow, set.Groups = proxies, 3*time.Second, true
+	set.Balancers, set.OverloadWindow, set.Groups = relays, 3*time.Second, true
 	for _, group := range []uint64{0, 77} {
 		rng := rand.New(rand.NewPCG(3, 4))
 		sent, capacity, allowed := 0.0, 0.0, 0.0
 		for trial := range uint64(trials) {
-			senders := uint64(proxies)
+			senders := uint64(relays)
 			for p := uint64(0); p < senders; p++ {
 				h := newHarness(set, nil)
 				h.Balancer = New(set, 1000*trial+p, h.recorder)
@@ -206,27 +215,29 @@
 						senders = uint64(groupDemand * fillLow * h.capacityOf(t0+set.SlowStartDuration, m))
 					}
 					capacity += fillHigh * h.capacityOf(t0, m)
-					// What the rate allows by the end of the half second, including the part of a window that is granted at once.
+					// What the rate allows by the end of the half second, including the part of a
+					// window that is granted at once.
 					seconds := set.OverloadWindow.Seconds()*(1/slowStartMargin-1) + 0.5
 					allowed += slowStartMargin * set.OverloadFactor * h.capacityOf(t0+500*ms, m) / set.SlowStartDuration.Seconds() * seconds
 				}
 			}
 		}
 		if sent < 0.7*capacity || sent > capacity+allowed {
-			t.Errorf("group %d: %.1f sent in %d trials; the capacity is %.1f, the rate allows %.1f", group, sent, trials,
-				capacity, allowed)
+			t.Errorf("group %d: %.1f sent in %d trials; want at least 0.7 of the capacity %.1f, at most "+
+				"%.1f more than it", group, sent, trials, capacity, allowed)
 		}
 	}
 }
 
-// TestSlowStart guards rule 4: what each proxy sends to a server in slow start stays within its part of the fleet's budget.
+// TestSlowStart checks that each relay's sends to a member in slow start stay within its share of
+// the fleet's budget.
 func TestSlowStart(t *testing.T) {
 	set := settings()
 	set.Balancers = 50
 	list := fleet(6, 1)
 	sent := 0.0
-	const proxies = 50
-	for seed := range uint64(proxies) {
+	const relays = 50
+	for seed := range uint64(relays) {
 		rec := &recorder{}
 		h := &harness{Balancer: New(set, seed, rec), recorder: rec, now: t0, load: map[MemberID]float64{}}
 		members := slices.Clone(list)
@@ -242,15 +253,17 @@
 			}
 		}
 	}
-	// Its capacity is 16 mean loads by default, and it starts at 0.3 of that. The rule allows three times its rate over the two
-	// seconds simulated here, and its capacity at their end on top.
+	// The member's default capacity is 16 mean loads, and it starts at 0.3 of that. Relays may
+	// together send three times its rate over the two seconds simulated here, plus its capacity at
+	// their end.
 	if budget := 3*0.45*16.0/9*2 + fillHigh*16*(0.3+0.7*2.2/9); sent > budget || sent == 0 {
-		t.Errorf("fifty proxies sent %v to a server in slow start, budget %v", sent, budget)
+		t.Errorf("50 relays sent %v to a member in slow start, want some, at most %v", sent, budget)
 	}
 }
 
-// TestActiveRelays: if eight of twelve proxies are known to be gone, the other four may send a server in slow start the share of all twelve,
-// and still no more than the rule allows; an invalid number changes nothing.
+// TestActiveRelays checks that four active relays of twelve may send a member in slow start the
+// share of all twelve, but no more than its budget, and that an invalid number of active relays
+// changes nothing.
 func TestActiveRelays(t *testing.T) {
 	set := settings()
 	set.Balancers = 12
@@ -277,17 +290,21 @@
 	}
 	all, few, invalid := sentWith(12), sentWith(4), sentWith(math.NaN())
 	if budget := 3*0.45*16.0/9*2 + fillHigh*16*(0.3+0.7*2.2/9); few > budget || few < 1.5*all || invalid != all {
-		t.Errorf("four proxies sent %v as four of twelve, %v as all that are active, of %v allowed, %v by an invalid number", all, few, budget, invalid)
+		t.Errorf("four relays sent %v with twelve active, %v with four active, %v with an invalid "+
+			"number; want at least 1.5 times as many with four as with twelve, at most %v, and the "+
+			"same with an invalid number as with twelve",
+			all, few, invalid, budget)
 	}
 }
 
-// spendSlowStart accounts for one send in the budget of a server in slow start.
+// spendSlowStart charges one send to the budget of a member in slow start.
 func spendSlowStart(m *member) {
 	m.slowStartTokens, m.slowStartSent = m.slowStartTokens-1, m.slowStartSent+1
 }
 
-// TestSlowStartBudget: over its slow start a server gets most of what the rule allows at the least capacity that it can have, and never all
-// of it. With less it would be idle while others are overloaded.
+// TestSlowStartBudget checks that over its slow start a member gets most of the allowed sends,
+// computed for the least capacity that it can have, but not all. With fewer it would be idle while
+// others are overloaded.
 func TestSlowStartBudget(t *testing.T) {
 	set := settings()
 	h := newHarness(set, fleet(1, 1))
@@ -303,29 +320,30 @@
 		}
 	}
 	if sent < 0.6*allowed || sent > 0.85*allowed {
-		t.Errorf("sent %v where %v are allowed", sent, allowed)
+		t.Errorf("sent %v during slow start, want 0.6 to 0.85 of the allowed %v", sent, allowed)
 	}
 }
 
-// TestSlowStartFirstWindow: in the first window all proxies together send, on average, most of what the window's budget allows, or of the
-// server's capacity if that is more, and no more than both. Otherwise a server would come into use only when warm if each of many proxies
-// has few requests.
+// TestSlowStartFirstWindow checks that in the first window all relays together send, on average, at
+// least 0.7 of the window's budget or of the member's capacity, whichever is more, and no more than
+// their sum. Otherwise, with many relays that each have few requests, a member would not be used
+// until it is warm.
 func TestSlowStartFirstWindow(t *testing.T) {
-	for _, proxies := range []int{4, 80} {
+	for _, relays := range []int{4, 80} {
 		set := settings()
-		set.Balancers, set.OverloadWindow = proxies, 3*time.Second
+		set.Balancers, set.OverloadWindow = relays, 3*time.Second
 		rng := rand.New(rand.NewPCG(1, 2))
 		sent, allowed, capacity := 0.0, 0.0, 0.0
 		for trial := range uint64(40) {
 			var harnesses []*harness
-			for p := range uint64(proxies) {
+			for p := range uint64(relays) {
 				h := newHarness(set, nil)
 				h.Balancer = New(set, 100*trial+p, h.recorder)
 				h.UpdateEndpoints(t0, ListDelta, []Endpoint{{ID: 1, State: Ready, Weight: 1, Started: t0}})
 				harnesses = append(harnesses, h)
 			}
 			for now := t0; now < t0+set.OverloadWindow; now += 10 * ms {
-				h := harnesses[rng.IntN(proxies)]
+				h := harnesses[rng.IntN(relays)]
 				m := h.members[0]
 				if h.slowStartAllows(now, &request{load: 1}, m) {
 					spendSlowStart(m)
@@ -336,8 +354,8 @@
 			capacity += fillHigh * harnesses[0].capacityOf(t0, harnesses[0].members[0])
 		}
 		if sent < 0.7*max(allowed, capacity) || sent > allowed+capacity {
-			t.Errorf("%d proxies sent %.1f; the first window allows %.1f, and the capacity is %.1f", proxies, sent,
-				allowed, capacity)
+			t.Errorf("%d relays sent %.1f in the first window; want at least 0.7 of the larger and at most "+
+				"the sum of its budget %.1f and the capacity %.1f", relays, sent, allowed, capacity)
 		}
 	}
 }
