--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -11,8 +11,8 @@
 // reports and those of its kind show, weighted by the number of its own reports.
 func (b *Balancer) capacityOf(now time.Duration, m *member) float64 {
 	prior := m.Weight * 16 // default per unit of weight, until the kind has reports
-	if k := b.kinds[m.Kind]; k != nil && k.capacity > 0 {
-		prior = m.Weight * k.inflight / k.capacity
+	if k := b.kinds[m.Kind]; k != nil && k.weightedLoad > 0 {
+		prior = m.Weight * k.connections / k.weightedLoad
 	}
 	return b.unitLoad() * b.warmupFraction(now, m) *
 		(priorReports*prior + m.reportCount*m.capacity) / (priorReports + m.reportCount)
--- a/policy/learned.go
+++ b/policy/learned.go
@@ -13,9 +13,9 @@
 type LearnedState struct {
 	MeanLoad          float64                    `json:"MeanLoad"`
 	ClassLoad         []float64                  `json:"ClassLoad"`
-	LendingThresholds []float64                  `json:"Lent"` // per tenant: of the members it owns
-	ZoneFill          []float64                  `json:"Fill"` // per zone
-	Kinds             map[int][2]float64         `json:"Kinds"`
+	LendingThresholds []float64                  `json:"Lent"`  // per tenant: of the members it owns
+	ZoneFill          []float64                  `json:"Fill"`  // per zone
+	Kinds             map[int][2]float64         `json:"Kinds"` // per kind: sum of connections, sum of load times weight
 	AdmissionRate     float64                    `json:"Daring"`
 	Members           map[MemberID]LearnedMember `json:"Servers"`
 	Age               time.Duration              `json:"Ago"` // time since this state was learned
@@ -42,7 +42,7 @@
 		l.ZoneFill = append(l.ZoneFill, z.fill)
 	}
 	for kind, k := range b.kinds {
-		l.Kinds[kind] = [2]float64{k.inflight, k.capacity}
+		l.Kinds[kind] = [2]float64{k.connections, k.weightedLoad}
 	}
 	for _, m := range b.members {
 		learned := LearnedMember{Capacity: m.capacity, Reports: m.reportCount, Load: -1, Failures: m.failures,
--- a/policy/placement.go
+++ b/policy/placement.go
@@ -65,17 +65,17 @@
 		return false
 	}
 	r.probedStage = r.stage + 1 // probe once per stage, also if a member answers without a report
-	want := slices.Clone(tiered[min(r.stage, homeRemote)])
+	toProbe := slices.Clone(tiered[min(r.stage, homeRemote)])
 	if r.stage == stageEverywhere {
-		want = append(want, tiered[foreignRemote]...)
+		toProbe = append(toProbe, tiered[foreignRemote]...)
 		if near := tiered[foreignLocal]; b.cfg.Groups && r.Group != 0 { // those that no earlier stage probed
-			want = slices.Clone(near[min(probesPerTier, len(near)):])
+			toProbe = slices.Clone(near[min(probesPerTier, len(near)):])
 		}
 	}
 	if b.affinityKey(r) == 0 {
-		b.rng.Shuffle(len(want), func(i, j int) { want[i], want[j] = want[j], want[i] })
+		b.rng.Shuffle(len(toProbe), func(i, j int) { toProbe[i], toProbe[j] = toProbe[j], toProbe[i] })
 	}
-	for _, m := range want[:min(len(want), probesPerTier)] {
+	for _, m := range toProbe[:min(len(toProbe), probesPerTier)] {
 		fresh := m.hasReport && now-m.reportedAt < 2*b.minObjective &&
 			(m.ownFlows < shrinkage || m.placedAt <= m.reportedAt)
 		if fresh || b.probeTokens < 1 && !m.probing {
--- a/policy/reports.go
+++ b/policy/reports.go
@@ -70,8 +70,8 @@
 			k = &kind{}
 			b.kinds[m.Kind] = k
 		}
-		k.inflight = k.inflight*(1-learningRate/4) + p.Connections
-		k.capacity = k.capacity*(1-learningRate/4) + p.Load*m.Weight
+		k.connections = k.connections*(1-learningRate/4) + p.Connections
+		k.weightedLoad = k.weightedLoad*(1-learningRate/4) + p.Load*m.Weight
 		m.capacity = (m.capacity*m.reportCount + p.Connections/p.Load) / (m.reportCount + 1)
 		m.reportCount = min(m.reportCount+1, 4*priorReports)
 	}
--- a/policy/state.go
+++ b/policy/state.go
@@ -94,9 +94,9 @@
 	firstRunOn    Endpoint
 }
 
-// kind holds sums over the reports of members of one kind; their ratio is the capacity, in
+// kind holds decaying sums over the reports of members of one kind. Their ratio is the capacity, in
 // connections, per unit of weight.
-type kind struct{ inflight, capacity float64 }
+type kind struct{ connections, weightedLoad float64 }
 
 // Balancer makes the decisions of one relay. See the package comment.
 type Balancer struct {
