--- a/internal/rollout/allowance.go
+++ b/internal/rollout/allowance.go
@@ -70,7 +70,7 @@
 		}
 		s.CountByZone[r.Zone]++
 	}
-	s.countPlanned(rec.plannedOut(KindRelay))
+	s.countPlannedOut(rec.plannedOut(KindRelay))
 	return s
 }
 
@@ -98,12 +98,12 @@
 		}
 		s.CountByZone[m.Zone]++
 	}
-	s.countPlanned(rec.plannedOut(KindMember))
+	s.countPlannedOut(rec.plannedOut(KindMember))
 	return s
 }
 
-// countPlanned counts what is out by plan among what there is, each once.
-func (s *KindSummary) countPlanned(planned []ZonedName) {
+// countPlannedOut counts what is out by plan among what there is, each once.
+func (s *KindSummary) countPlannedOut(planned []ZonedName) {
 	seen := map[string]bool{}
 	for _, out := range planned {
 		if !seen[out.Name] {
@@ -154,8 +154,8 @@
 	}
 }
 
-// overdrawn says what of the budget is overdrawn; "" if nothing.
-func (a *allowance) overdrawn() string {
+// overdrawnReason says what of the budget is overdrawn; "" if nothing.
+func (a *allowance) overdrawnReason() string {
 	if limit := a.budget.totalLimit(a.total); len(a.out) > limit {
 		return fmt.Sprintf("%d are out, of %d that may be", len(a.out), limit)
 	}
@@ -167,20 +167,20 @@
 	return ""
 }
 
-// shortfall says that what is left does not even carry the load, without any reserve; "" if it does.
-func (a *allowance) shortfall() string {
+// shortfallReason says that what is left does not even carry the load, without any reserve; "" if it does.
+func (a *allowance) shortfallReason() string {
 	if s := &a.summary; s.CapacityKnown && s.RemainingCapacity < s.Load {
 		return fmt.Sprintf("what is left bears %.0f, the load is %.0f", s.RemainingCapacity, s.Load)
 	}
 	return ""
 }
 
-// exhausted is overdrawn, or else shortfall.
-func (a *allowance) exhausted() string {
-	if reason := a.overdrawn(); reason != "" {
+// exhaustedReason is overdrawnReason, or else shortfallReason.
+func (a *allowance) exhaustedReason() string {
+	if reason := a.overdrawnReason(); reason != "" {
 		return reason
 	}
-	return a.shortfall()
+	return a.shortfallReason()
 }
 
 // reserve counts a thing as out, or says why it may not go. One that is lost already costs nothing more, and may go out as long as nothing is
@@ -189,7 +189,7 @@
 	if a.granted[name] {
 		return name + " is out already"
 	}
-	if reason := a.overdrawn(); reason != "" {
+	if reason := a.overdrawnReason(); reason != "" {
 		return reason
 	}
 	if !a.out[name] {
@@ -220,14 +220,14 @@
 
 // maxOutMS is how long a unit may be out: by what the last ones took, at first by the budgets.
 func (rec *record) maxOutMS(kind Kind, b Budgets) int64 {
-	first, durations := b.DrainTimeoutMS+b.StartTimeoutMS+b.WarmupMS, rec.MemberDurationsMS
+	initial, durations := b.DrainTimeoutMS+b.StartTimeoutMS+b.WarmupMS, rec.MemberDurationsMS
 	if kind == KindRelay {
-		first, durations = b.DrainTimeoutMS+b.StartTimeoutMS, rec.RelayDurationsMS
+		initial, durations = b.DrainTimeoutMS+b.StartTimeoutMS, rec.RelayDurationsMS
 	}
 	if len(durations) < 3 {
-		return first
+		return initial
 	}
-	return min(first, max(3*slices.Max(durations), b.SilentAfterMS))
+	return min(initial, max(3*slices.Max(durations), b.SilentAfterMS))
 }
 
 // recordDuration remembers how long a unit was out.
--- a/internal/rollout/apply.go
+++ b/internal/rollout/apply.go
@@ -49,7 +49,7 @@
 	case CommandReturnPermit:
 		result = rec.returnPermit(at, c)
 	case CommandHalt, CommandResume, CommandRollBack:
-		result = rec.steerRelease(at, c)
+		result = rec.changeReleaseState(at, c)
 	case CommandEject, CommandReinstate:
 		result = rec.changeEjections(at, c)
 	case CommandSetUnits:
@@ -69,20 +69,20 @@
 	}
 	if result.Error == "" {
 		rec.Time = at
-		rec.settleReleases(at)
+		rec.advanceReleases(at)
 	}
 	return result
 }
 
-// staleBasis says why what a command was planned from does not hold any more; "" if it does.
-func (rec *record) staleBasis(at int64, c *Command) string {
-	basis, budgets := c.Basis, &c.Basis.Budgets
+// stalePlanReason says why what a command was planned from does not hold any more; "" if it does.
+func (rec *record) stalePlanReason(at int64, c *Command) string {
+	summary, budgets := c.ViewSummary, &c.ViewSummary.Budgets
 	switch {
 	case c.BaseVersion != rec.Version && plantedDefect != defectNoFencing:
 		return fmt.Sprintf("it was reckoned from version %d, this is %d", c.BaseVersion, rec.Version)
-	case at-basis.At > budgets.ViewMaxAgeMS:
-		return fmt.Sprintf("what it was reckoned from is %d ms old", at-basis.At)
-	case budgets.PermitWindowMS <= 0 || budgets.PermitWindowMS > maxPermitMS || !(budgets.ClockDrift >= 0 && budgets.ClockDrift < 1):
+	case at-summary.At > budgets.ViewMaxAgeMS:
+		return fmt.Sprintf("what it was reckoned from is %d ms old", at-summary.At)
+	case budgets.PermitWindowMS <= 0 || budgets.PermitWindowMS > maxPermitDurationMS || !(budgets.ClockDrift >= 0 && budgets.ClockDrift < 1):
 		return "a sight without window or clock"
 	}
 	return ""
--- a/internal/rollout/apply_observe.go
+++ b/internal/rollout/apply_observe.go
@@ -60,7 +60,7 @@
 		u.Phase = PhaseMissing
 	case o.Phase == PhaseDrained && u.Kind == KindMember && (u.Phase == PhaseLeaving || u.Phase == PhaseDone && r.Spec.Drain):
 		u.Phase, u.SeenStart = PhaseDrained, o.SeenStart
-	case o.Phase == PhaseReplaced && u.replaceable(o) && !r.Spec.Drain:
+	case o.Phase == PhaseReplaced && u.acceptsSuccessor(o) && !r.Spec.Drain:
 		u.Phase, u.OrderVersion, u.Successor, u.Zone = PhaseReplaced, next, o.Successor, o.Zone
 		if u.Successor == u.Name {
 			u.Successor = ""
@@ -88,8 +88,8 @@
 	return true
 }
 
-// replaceable says whether an observed successor is news about a member that may have one.
-func (u *Unit) replaceable(o *Observation) bool {
+// acceptsSuccessor says whether an observed successor is news about a member that may have one.
+func (u *Unit) acceptsSuccessor(o *Observation) bool {
 	return u.Kind == KindMember && (u.Phase == PhaseDrained || u.Phase == PhaseRevoked ||
 		u.Phase == PhaseReplaced && u.currentName() != cmp.Or(o.Successor, u.Name))
 }
--- a/internal/rollout/apply_release.go
+++ b/internal/rollout/apply_release.go
@@ -50,8 +50,8 @@
 	return ""
 }
 
-// steerRelease halts a release, resumes it or rolls it back.
-func (rec *record) steerRelease(at int64, c *Command) Result {
+// changeReleaseState halts a release, resumes it or rolls it back.
+func (rec *record) changeReleaseState(at int64, c *Command) Result {
 	r := rec.findRelease(c.Name)
 	byLeader := c.Cause != "" && c.Cause != HaltByOperator
 	switch {
@@ -84,7 +84,7 @@
 			r.Units[i].cancelDrain(r, rec.Version)
 		}
 	}
-	rec.settleReleases(at)
+	rec.advanceReleases(at)
 	return Result{Name: r.Name, State: string(r.State)}
 }
 
@@ -148,9 +148,9 @@
 	return Result{Name: r.Name, State: string(r.State)}
 }
 
-// settleReleases ends the releases that are finished, then lets those go on that waited for them: an ended one that has something left to
+// advanceReleases ends the releases that are finished, then lets those go on that waited for them: an ended one that has something left to
 // revert before the next.
-func (rec *record) settleReleases(at int64) {
+func (rec *record) advanceReleases(at int64) {
 	for i := range rec.Releases {
 		r := &rec.Releases[i]
 		if !r.finished() {
--- a/internal/rollout/apply_step.go
+++ b/internal/rollout/apply_step.go
@@ -4,16 +4,16 @@
 
 // applyStep lets things go out: all that the step grants, or nothing.
 func (rec *record) applyStep(at int64, c *Command) Result {
-	if c.Basis == nil || len(c.Grants) == 0 || len(c.Grants) > MaxGrantsPerStep {
+	if c.ViewSummary == nil || len(c.Grants) == 0 || len(c.Grants) > MaxGrantsPerStep {
 		return reject("a step names one to %d things, and what it was reckoned from", MaxGrantsPerStep)
 	}
-	if reason := rec.staleBasis(at, c); reason != "" {
+	if reason := rec.stalePlanReason(at, c); reason != "" {
 		return reject("%s", reason)
 	}
-	basis := c.Basis
+	summary := c.ViewSummary
 	allowances := map[Kind]*allowance{
-		KindRelay:  rec.allowance(KindRelay, basis.Relays, basis.Budgets),
-		KindMember: rec.allowance(KindMember, basis.Members, basis.Budgets),
+		KindRelay:  rec.allowance(KindRelay, summary.Relays, summary.Budgets),
+		KindMember: rec.allowance(KindMember, summary.Members, summary.Budgets),
 	}
 	for i := range c.Grants {
 		if reason := rec.reserveGrant(&c.Grants[i], allowances, len(c.Grants)); reason != "" {
@@ -22,7 +22,7 @@
 	}
 	rec.Version++
 	for i := range c.Grants {
-		rec.applyGrant(at, &c.Grants[i], &basis.Budgets)
+		rec.applyGrant(at, &c.Grants[i], &summary.Budgets)
 	}
 	return Result{}
 }
--- a/internal/rollout/command.go
+++ b/internal/rollout/command.go
@@ -21,10 +21,10 @@
 // Commands of the leader.
 const (
 	CommandSetUnits      CommandKind = "lay"   // Name, Units in order and as they were before, Baseline
-	CommandStep          CommandKind = "step"  // Grants, BaseVersion, Basis: what goes out now, permits among them
+	CommandStep          CommandKind = "step"  // Grants, BaseVersion, ViewSummary: what goes out now, permits among them
 	CommandObserve       CommandKind = "seen"  // Observations: units, permits and readmitted relays that were seen to have progressed
 	CommandExpirePermits CommandKind = "void"  // PermitNumbers: not begun in time, or whose requester is gone
-	CommandQuarantine    CommandKind = "shut"  // Name, Reason, Zone, Capacity, StartNumber, BaseVersion, Basis: a drifted relay takes no clients
+	CommandQuarantine    CommandKind = "shut"  // Name, Reason, Zone, Capacity, StartNumber, BaseVersion, ViewSummary: a drifted relay takes no clients
 	CommandReadmit       CommandKind = "admit" // Name, Reason: it may take clients again; by the leader also Cause and BaseVersion
 )
 
@@ -63,7 +63,7 @@
 	Release       *ReleaseSpec    `json:"release,omitempty"`
 	Cause         Cause           `json:"cause,omitempty"`
 	BaseVersion   uint64          `json:"base,omitempty"` // the state's version that it was planned from
-	Basis         *ViewSummary    `json:"sight,omitempty"`
+	ViewSummary   *ViewSummary    `json:"sight,omitempty"`
 	Units         []Unit          `json:"units,omitempty"`
 	Grants        []Grant         `json:"gives,omitempty"`
 	Observations  []Observation   `json:"saw,omitempty"`
--- a/internal/rollout/doc.go
+++ b/internal/rollout/doc.go
@@ -47,8 +47,8 @@
 	Zone string `json:"zone,omitempty"`
 }
 
-// find is the first item that matches, or nil.
-func find[T any](list []T, match func(*T) bool) *T {
+// findFirst is the first item that matches, or nil.
+func findFirst[T any](list []T, match func(*T) bool) *T {
 	for i := range list {
 		if match(&list[i]) {
 			return &list[i]
--- a/internal/rollout/ejection.go
+++ b/internal/rollout/ejection.go
@@ -56,14 +56,14 @@
 }
 
 func (rec *record) setEjected(at int64, name, reason, by string, ejected bool) (changed bool) {
-	i, is := rec.findEjection(name)
+	index, ejectedNow := rec.findEjection(name)
 	switch {
-	case is == ejected:
+	case ejectedNow == ejected:
 		return false
 	case !ejected:
-		rec.Ejections = slices.Delete(rec.Ejections, i, i+1)
+		rec.Ejections = slices.Delete(rec.Ejections, index, index+1)
 	default:
-		rec.Ejections = slices.Insert(rec.Ejections, i, Ejection{Name: name, Reason: reason, EjectedBy: by, Since: at, Number: rec.nextNumber()})
+		rec.Ejections = slices.Insert(rec.Ejections, index, Ejection{Name: name, Reason: reason, EjectedBy: by, Since: at, Number: rec.nextNumber()})
 	}
 	return true
 }
--- a/internal/rollout/figures_test.go
+++ b/internal/rollout/figures_test.go
@@ -29,16 +29,16 @@
 		out := map[string]int64{} // ms that things were really out, not until they were seen to be back
 		for !sim.state.record.Releases[0].ended() || !sim.state.record.Releases[1].ended() {
 			sim.tick()
-			for key, is := range sim.out {
-				if kind, _, _ := strings.Cut(key, " "); is() {
+			for key, stillOut := range sim.out {
+				if kind, _, _ := strings.Cut(key, " "); stillOut() {
 					out[kind] += 100
 				}
 			}
 		}
-		best := max(out[string(KindRelay)], out[string(KindMember)]) / 3 // a quarter of 12 at a time
-		ratio := float64(sim.now-from) / float64(best)
+		bestMS := max(out[string(KindRelay)], out[string(KindMember)]) / 3 // a quarter of 12 at a time
+		ratio := float64(sim.now-from) / float64(bestMS)
 		worst = max(worst, ratio)
-		t.Logf("seed %d: %.1f s, best %.1f s, %.2f times", seed, float64(sim.now-from)/1000, float64(best)/1000, ratio)
+		t.Logf("seed %d: %.1f s, best %.1f s, %.2f times", seed, float64(sim.now-from)/1000, float64(bestMS)/1000, ratio)
 	}
 	if worst > 2 {
 		t.Errorf("a release takes %.2f times what the budgets allow", worst)
@@ -50,7 +50,7 @@
 	}
 	sim.call(Command{Kind: CommandOpen, Name: "r", Release: &ReleaseSpec{Kind: KindRelay, All: true, Program: "p2"}})
 	sim.call(Command{Kind: CommandOpen, Name: "m", Release: &ReleaseSpec{Kind: KindMember, All: true, Program: "b2"}})
-	var all []time.Duration
+	var durations []time.Duration
 	largest := 0
 	for range 100 {
 		sim.tick()
@@ -59,8 +59,8 @@
 		for _, c := range sim.state.Plan(sim.now, v, sim.budgets) {
 			largest = max(largest, len(c.Encode()))
 		}
-		all = append(all, time.Since(from))
+		durations = append(durations, time.Since(from))
 	}
-	slices.Sort(all)
-	t.Logf("Plan with 300 relays and 300 members: median %v, most %v; the largest command %d bytes, the state %d", all[50], all[99], largest, len(sim.state.Encode()))
+	slices.Sort(durations)
+	t.Logf("Plan with 300 relays and 300 members: median %v, most %v; the largest command %d bytes, the state %d", durations[50], durations[99], largest, len(sim.state.Encode()))
 }
--- a/internal/rollout/permit.go
+++ b/internal/rollout/permit.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	maxPermitMS    = 7 * 24 * 3600 * 1000
-	permitRetryMS  = 1000               // the leader looks several times a second
-	permitForgetMS = 30 * permitRetryMS // a waiting permit whose requester does not ask again is forgotten
+	maxPermitDurationMS    = 7 * 24 * 3600 * 1000
+	permitRetryMS          = 1000               // the leader looks several times a second
+	permitRequestTimeoutMS = 30 * permitRetryMS // a waiting permit whose requester does not ask again is forgotten
 )
 
 // PermitState is where a permit stands.
@@ -45,15 +45,15 @@
 
 // expired says that the permit was not begun in time, or that its requester is gone.
 func (p *Permit) expired(at int64) bool {
-	return p.State == PermitGranted && at > p.ExpiresAt || p.State == PermitWaiting && at-p.RequestedAt > permitForgetMS
+	return p.State == PermitGranted && at > p.ExpiresAt || p.State == PermitWaiting && at-p.RequestedAt > permitRequestTimeoutMS
 }
 
 // requestPermit notes who wants a permit; the leader grants it. The same request by the same requester gets the same permit.
 func (rec *record) requestPermit(at int64, c *Command) Result {
-	if c.TargetKind != KindRelay && c.TargetKind != KindMember || c.Name == "" || c.DurationMS <= 0 || c.DurationMS > maxPermitMS {
-		return reject("a permit is for a relay or a member, by name, for up to %d ms", maxPermitMS)
+	if c.TargetKind != KindRelay && c.TargetKind != KindMember || c.Name == "" || c.DurationMS <= 0 || c.DurationMS > maxPermitDurationMS {
+		return reject("a permit is for a relay or a member, by name, for up to %d ms", maxPermitDurationMS)
 	}
-	if p := find(rec.Permits, func(p *Permit) bool { return p.Kind == c.TargetKind && p.Name == c.Name }); p != nil {
+	if p := findFirst(rec.Permits, func(p *Permit) bool { return p.Kind == c.TargetKind && p.Name == c.Name }); p != nil {
 		return rec.repeatPermitRequest(at, c, p)
 	}
 	if len(rec.Permits) >= MaxPermits {
@@ -91,13 +91,13 @@
 			names = append(names, x.Name)
 		}
 	}
-	before := 0
+	ahead := 0
 	for i := range rec.Permits {
 		if x := &rec.Permits[i]; x.State == PermitWaiting && x.Kind == p.Kind && x.Number < p.Number {
-			before++
+			ahead++
 		}
 	}
-	return fmt.Sprintf("out by plan: %d %v; waiting before it: %d", len(out), names, before)
+	return fmt.Sprintf("out by plan: %d %v; waiting before it: %d", len(out), names, ahead)
 }
 
 // beginPermit starts a granted permit. It goes by number, so that an outdated call does nothing.
@@ -105,7 +105,7 @@
 	p := rec.findPermit(c.PermitNumber)
 	switch {
 	case p == nil:
-		return noPermit(c.PermitNumber)
+		return rejectUnknownPermit(c.PermitNumber)
 	case p.State == PermitWaiting:
 		return reject("permit %d is not granted", p.Number)
 	case p.State == PermitGranted && at > p.ExpiresAt:
@@ -122,7 +122,7 @@
 	p := rec.findPermit(c.PermitNumber)
 	switch {
 	case p == nil:
-		return noPermit(c.PermitNumber)
+		return rejectUnknownPermit(c.PermitNumber)
 	case p.State == PermitBegun && p.ReturnedAt > 0:
 		return Result{Number: p.Number, State: string(p.State)}
 	case p.State != PermitBegun:
@@ -135,7 +135,9 @@
 	return Result{Number: p.Number, State: string(p.State)}
 }
 
-func noPermit(number uint64) Result { return reject("there is no permit %d, or no more", number) }
+func rejectUnknownPermit(number uint64) Result {
+	return reject("there is no permit %d, or no more", number)
+}
 
 func (rec *record) removePermit(number uint64) {
 	rec.Permits = slices.DeleteFunc(rec.Permits, func(p Permit) bool { return p.Number == number })
--- a/internal/rollout/permit_test.go
+++ b/internal/rollout/permit_test.go
@@ -24,8 +24,8 @@
 	plan()
 	expect(t, s, v.At, PermitBegun, Command{Kind: CommandBeginPermit, PermitNumber: 1})
 	expect(t, s, v.At, PermitBegun, Command{Kind: CommandReturnPermit, PermitNumber: 1})
-	gone, all := slices.Clone(v.Relays[1:]), v.Relays
-	v.Relays = gone // one that is down and not listed looks like one that is gone
+	withoutN0, all := slices.Clone(v.Relays[1:]), v.Relays
+	v.Relays = withoutN0 // one that is down and not listed looks like one that is gone
 	v.At += 1100
 	plan()
 	if len(s.Permits()) != 1 {
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -27,7 +27,7 @@
 // them is not, the rest is rejected and the next look plans anew. A relay that never reported must have the view's age as ReportAgeMS: with
 // less nothing of it would ever be overdue.
 func (s *State) Plan(now int64, v View, b Budgets) []Command {
-	p := s.record.planner(now, v, b)
+	p := s.record.newPlanner(now, v, b)
 	next := State{s.record.clone()}
 	var commands []Command
 	propose := func(c Command) {
@@ -39,7 +39,7 @@
 	if observations := p.observations(); len(observations) > 0 {
 		propose(Command{Kind: CommandObserve, Observations: observations})
 		observed := p.observed
-		p = next.record.planner(now, v, b)
+		p = next.record.newPlanner(now, v, b)
 		p.observed = observed
 	}
 	_, stalled := p.stepCommand()
@@ -51,14 +51,14 @@
 		propose(Command{Kind: CommandExpirePermits, PermitNumbers: numbers})
 	}
 	if len(s.record.Quarantines)+len(v.Unfit) > 0 {
-		p = next.record.planner(now, v, b)
+		p = next.record.newPlanner(now, v, b)
 		for _, c := range append(p.readmissions(), p.quarantines()...) {
 			c.BaseVersion = next.Version()
 			propose(c)
 		}
 	}
 	if len(commands) > 0 {
-		if c, _ := next.record.planner(now, v, b).stepCommand(); c != nil {
+		if c, _ := next.record.newPlanner(now, v, b).stepCommand(); c != nil {
 			commands = append(commands, *c)
 		}
 		return commands
@@ -77,11 +77,11 @@
 
 // BlockReasons says, by release, why nothing of it may go out now, where nothing is out. For operators, at the leader.
 func (s *State) BlockReasons(now int64, v View, b Budgets) map[string]string {
-	_, reasons := s.record.planner(now, v, b).stepCommand()
+	_, reasons := s.record.newPlanner(now, v, b).stepCommand()
 	return reasons
 }
 
-func (rec *record) planner(now int64, v View, b Budgets) *planner {
+func (rec *record) newPlanner(now int64, v View, b Budgets) *planner {
 	p := &planner{record: rec, now: now, view: v, budgets: b, relays: map[string]*Relay{}, members: map[string]*Member{},
 		observed: map[unitKey]bool{}, claimed: map[string]bool{}}
 	p.view.Relays, p.view.Members = slices.Clone(v.Relays), slices.Clone(v.Members)
@@ -114,8 +114,8 @@
 // isGranted says whether a unit's relay or member is out by a grant.
 func (p *planner) isGranted(u *Unit) bool { return p.allowanceFor(u.Kind).granted[u.currentName()] }
 
-// basis is what a command rests on that lets something out.
-func (p *planner) basis() *ViewSummary {
+// viewSummary is what a command rests on that lets something out.
+func (p *planner) viewSummary() *ViewSummary {
 	return &ViewSummary{At: p.view.At, Budgets: p.budgets, Relays: p.allowances[KindRelay].summary, Members: p.allowances[KindMember].summary}
 }
 
@@ -205,7 +205,7 @@
 		}
 		seen[name] = true
 		c := Command{Kind: CommandQuarantine, Name: name, Reason: truncate(reason, MaxReasonBytes), Zone: r.Zone,
-			Capacity: p.usableCapacity(&Unit{Name: name, Kind: KindRelay}), StartNumber: r.StartNumber, Basis: p.basis()}
+			Capacity: p.usableCapacity(&Unit{Name: name, Kind: KindRelay}), StartNumber: r.StartNumber, ViewSummary: p.viewSummary()}
 		if p.allowances[KindRelay].reserveQuarantine(name, r.Zone, c.Capacity) == "" {
 			commands = append(commands, c)
 		}
--- a/internal/rollout/plan_halt.go
+++ b/internal/rollout/plan_halt.go
@@ -36,7 +36,7 @@
 	if p.view.Drift != "" && p.view.DriftMS > p.budgets.DriftHaltMS {
 		return HaltDrift, p.view.Drift
 	}
-	if reason := p.allowanceFor(r.Spec.Kind).exhausted(); reason != "" {
+	if reason := p.allowanceFor(r.Spec.Kind).exhaustedReason(); reason != "" {
 		return HaltOverBudget, reason
 	}
 	for i := range r.Units {
@@ -68,7 +68,7 @@
 func (p *planner) haltCauseGone(r *release) bool {
 	switch r.Halt.Cause {
 	case HaltOverBudget:
-		return p.allowanceFor(r.Spec.Kind).exhausted() == ""
+		return p.allowanceFor(r.Spec.Kind).exhaustedReason() == ""
 	case HaltOverdue:
 		return !r.hasUnitReturning()
 	case HaltServiceDegraded:
@@ -83,7 +83,7 @@
 
 // hasUnitReturning says whether a unit is out that is to come back.
 func (r *release) hasUnitReturning() bool {
-	return find(r.Units, func(u *Unit) bool { return u.isOut() && !(r.Spec.Drain && u.Phase == PhaseDrained) }) != nil
+	return findFirst(r.Units, func(u *Unit) bool { return u.isOut() && !(r.Spec.Drain && u.Phase == PhaseDrained) }) != nil
 }
 
 // canGrant says whether a halted release could let something out if it went on.
--- a/internal/rollout/plan_observe.go
+++ b/internal/rollout/plan_observe.go
@@ -207,11 +207,11 @@
 // crashed just before. One that is not back within the time that a unit may take is lost, and counts as that; if it is not even in the view it
 // would count nowhere, so its permit has to be returned.
 func (p *planner) permitReturned(x *Permit) bool {
-	over := cmp.Or(x.ReturnedAt, x.ExpiresAt) + p.budgets.SilentAfterMS
-	if p.now <= over && plantedDefect != defectTrustsOwnReport {
+	holdEndsAt := cmp.Or(x.ReturnedAt, x.ExpiresAt) + p.budgets.SilentAfterMS
+	if p.now <= holdEndsAt && plantedDefect != defectTrustsOwnReport {
 		return false
 	}
-	overdue := p.now > over+p.record.maxOutMS(x.Kind, p.budgets)
+	overdue := p.now > holdEndsAt+p.record.maxOutMS(x.Kind, p.budgets)
 	if x.Kind == KindRelay {
 		r := p.relays[x.Name]
 		return r == nil && x.ReturnedAt > 0 && overdue ||
--- a/internal/rollout/plan_step.go
+++ b/internal/rollout/plan_step.go
@@ -9,7 +9,7 @@
 // first once one has waited for half of its limit, else permits without end would hold it up. It also says, by release, why nothing of it may go
 // where nothing is out.
 func (p *planner) stepCommand() (step *Command, stalled map[string]string) {
-	step = &Command{Kind: CommandStep, BaseVersion: p.record.Version, Basis: p.basis()}
+	step = &Command{Kind: CommandStep, BaseVersion: p.record.Version, ViewSummary: p.viewSummary()}
 	stalled = map[string]string{}
 	if len(p.view.Relays) == 0 || p.now-p.view.At > p.budgets.ViewMaxAgeMS {
 		return nil, stalled
@@ -85,7 +85,7 @@
 	for i := range p.record.Permits {
 		x := &p.record.Permits[i]
 		u := Unit{Name: x.Name, Kind: x.Kind}
-		if x.State != PermitWaiting || p.now-x.RequestedAt > permitForgetMS || !p.present(&u) || len(step.Grants) >= MaxGrantsPerStep {
+		if x.State != PermitWaiting || p.now-x.RequestedAt > permitRequestTimeoutMS || !p.present(&u) || len(step.Grants) >= MaxGrantsPerStep {
 			continue
 		}
 		g := p.newGrant(&u)
--- a/internal/rollout/plan_units.go
+++ b/internal/rollout/plan_units.go
@@ -8,7 +8,7 @@
 // setUnitsCommand sets the units of the first release that waits for it: from the smallest risk up; zone by zone where the budget lets no more
 // than one zone's units out anyway, else spread over the zones.
 func (p *planner) setUnitsCommand() *Command {
-	r := find(p.record.Releases, func(r *release) bool {
+	r := findFirst(p.record.Releases, func(r *release) bool {
 		return r.State == ReleaseQueued && !r.UnitsSet && r.QueuedBehind == "" && !p.versionsUnknown(r)
 	})
 	if r == nil || len(p.view.Relays) == 0 {
--- a/internal/rollout/quarantine.go
+++ b/internal/rollout/quarantine.go
@@ -20,10 +20,10 @@
 
 // quarantine takes a drifted relay out of service, within the budget: drift at half of the fleet must not empty it.
 func (rec *record) quarantine(at int64, c *Command) Result {
-	if c.Basis == nil || c.Name == "" || len(c.Zone) > MaxNameBytes {
+	if c.ViewSummary == nil || c.Name == "" || len(c.Zone) > MaxNameBytes {
 		return reject("who is shut has a name and a zone, and what it was reckoned from")
 	}
-	if reason := rec.staleBasis(at, c); reason != "" {
+	if reason := rec.stalePlanReason(at, c); reason != "" {
 		return reject("%s", reason)
 	}
 	previous := rec.findQuarantine(c.Name)
@@ -35,7 +35,7 @@
 	case previous == nil && len(rec.Quarantines) >= MaxQuarantines:
 		return reject("%d relays are shut", MaxQuarantines)
 	}
-	if reason := rec.allowance(KindRelay, c.Basis.Relays, c.Basis.Budgets).reserveQuarantine(c.Name, c.Zone, c.Capacity); reason != "" {
+	if reason := rec.allowance(KindRelay, c.ViewSummary.Relays, c.ViewSummary.Budgets).reserveQuarantine(c.Name, c.Zone, c.Capacity); reason != "" {
 		return reject("%s", reason)
 	}
 	rec.Version++
--- a/internal/rollout/quarantine_test.go
+++ b/internal/rollout/quarantine_test.go
@@ -12,7 +12,7 @@
 	b := Budgets{Relays: Budget{Total: Limit{Count: 3}}, SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainTimeoutMS: 100, StartTimeoutMS: 100, PermitWindowMS: 100}
 	var s *State
 	var v View
-	begin := func() {
+	reset := func() {
 		s, v = New(), View{At: 1e6, Unfit: map[string]string{}, UnfitOrder: []string{"n6", "n2", "n1"}}
 		for i := range 8 {
 			r := Relay{Name: "n" + strconv.Itoa(i), Zone: "z" + strconv.Itoa(i%2), StartNumber: 5, Phase: "serving", InService: true, Flows: 50, Capacity: 100}
@@ -38,20 +38,20 @@
 	zonal, tight, wide := b, b, b
 	zonal.Relays.PerZone, tight.CapacityReserve, wide.Relays.Total = Limit{Count: 2}, 0.7, Limit{Count: 9}
 	for want, budgets := range map[string]Budgets{"n6 n2 ": zonal, "n6 ": tight, "n6 n2 n0 n4 ": wide} {
-		begin()
+		reset()
 		plan(budgets, want)
 		plan(budgets, want)
 	}
-	begin()
+	reset()
 	plan(b, "n6 n2 n0 ")
 	if o := s.Orders("n6").Quarantine; o == nil || o.Reason != "late" || o.StartNumber != 5 || s.Orders("n1").Quarantine != nil {
 		t.Errorf("%+v", o)
 	}
-	if old, err := Decode([]byte(`{"version":3,"at":9,"number":1}`)); err != nil || len(old.Quarantines()) > 0 {
+	if withoutQuarantines, err := Decode([]byte(`{"version":3,"at":9,"number":1}`)); err != nil || len(withoutQuarantines.Quarantines()) > 0 {
 		t.Error("a state of before", err)
 	}
 	// What was planned from a stale state or view takes nothing out.
-	c := Command{Kind: CommandQuarantine, Name: "n4", Zone: "z0", StartNumber: 5, BaseVersion: s.Version(), Basis: s.record.planner(v.At, v, b).basis()}
+	c := Command{Kind: CommandQuarantine, Name: "n4", Zone: "z0", StartNumber: 5, BaseVersion: s.Version(), ViewSummary: s.record.newPlanner(v.At, v, b).viewSummary()}
 	expect(t, s, v.At, "3 of 3", c)
 	expect(t, s, v.At+101, "ms old", c)
 	c.BaseVersion--
@@ -101,7 +101,7 @@
 	plan(b, "n2 n0 ")
 
 	// An operator's readmission overrides the drift, until the relay restarts. One that is gone needs no tracking.
-	begin()
+	reset()
 	r = &v.Relays[6]
 	plan(b, "n6 n2 n0 ")
 	expect(t, s, v.At, CommandReadmit, Command{Kind: CommandReadmit, Name: "n6"})
--- a/internal/rollout/random_calls_test.go
+++ b/internal/rollout/random_calls_test.go
@@ -25,7 +25,7 @@
 // TestRandomCalls: operators and leaders that call anything, in any order: parts of a simulation's commands, put together anew. What is out never
 // exceeds the budget of the view that the command was planned from.
 func TestRandomCalls(t *testing.T) {
-	var history []op
+	var history []appliedCommand
 	sim := midRelease(2, &history)
 	pool := []Command{{Kind: CommandHalt, Name: "relays"}, {Kind: CommandResume, Name: "relays"}, {Kind: CommandRollBack, Name: "relays"}, {Kind: CommandReturnPermit}, {Kind: CommandBeginPermit},
 		{Kind: CommandOpen, Name: "bans", Release: &ReleaseSpec{Kind: KindEject, Eject: []string{"m1"}}}, {Kind: CommandReadmit, Name: "n2"}, {Kind: CommandReinstate, Names: []string{"m3"}}, {Kind: CommandExpirePermits, PermitNumbers: []uint64{1, 2, 3, 4, 5, 6, 7, 8}}}
@@ -35,16 +35,16 @@
 	accepted := map[CommandKind]int{}
 	for seed := range uint64(150) {
 		rng, s := rand.New(rand.NewPCG(seed, 7)), New()
-		one := func() Command { return pool[rng.IntN(len(pool))] }
+		randomCommand := func() Command { return pool[rng.IntN(len(pool))] }
 		for _, o := range history[:rng.IntN(len(history))] {
 			s.Apply(o.proposedAt, "n1", o.command.Encode())
 		}
 		for range 40 {
-			c, other := one(), one()
+			c, other := randomCommand(), randomCommand()
 			c.PermitNumber = uint64(rng.IntN(8))
-			if c.Basis != nil {
-				seen := *c.Basis
-				seen.At, c.BaseVersion, c.Basis = s.record.Time, s.Version(), &seen
+			if c.ViewSummary != nil {
+				summary := *c.ViewSummary
+				summary.At, c.BaseVersion, c.ViewSummary = s.record.Time, s.Version(), &summary
 			}
 			switch rng.IntN(5) {
 			case 0:
@@ -54,7 +54,7 @@
 			case 2:
 				c.Kind, c.TargetKind, c.Cause = other.Kind, other.TargetKind, other.Cause
 			case 3:
-				c.Grants, c.Units, c.Basis = other.Grants, other.Units, other.Basis
+				c.Grants, c.Units, c.ViewSummary = other.Grants, other.Units, other.ViewSummary
 			}
 			out := func(kind Kind) int {
 				names := map[string]bool{}
@@ -63,16 +63,16 @@
 				}
 				return len(names)
 			}
-			relays, members, a := out(KindRelay), out(KindMember), Result{}
-			if s, a = tryApply(t, s, s.record.Time+int64(rng.IntN(10)/9)*40000, c.Encode()); a.Error != "" {
+			relaysBefore, membersBefore, result := out(KindRelay), out(KindMember), Result{}
+			if s, result = tryApply(t, s, s.record.Time+int64(rng.IntN(10)/9)*40000, c.Encode()); result.Error != "" {
 				continue
 			}
-			if accepted[c.Kind]++; c.Basis == nil {
+			if accepted[c.Kind]++; c.ViewSummary == nil {
 				continue
 			}
-			for kind, is := range map[Kind]bool{KindRelay: out(KindRelay) > relays, KindMember: out(KindMember) > members} {
-				if most := s.record.allowance(kind, map[Kind]KindSummary{KindRelay: c.Basis.Relays, KindMember: c.Basis.Members}[kind], c.Basis.Budgets); is && most.overdrawn() != "" {
-					t.Fatalf("%s: %s", c.Encode(), most.overdrawn())
+			for kind, increased := range map[Kind]bool{KindRelay: out(KindRelay) > relaysBefore, KindMember: out(KindMember) > membersBefore} {
+				if counted := s.record.allowance(kind, map[Kind]KindSummary{KindRelay: c.ViewSummary.Relays, KindMember: c.ViewSummary.Members}[kind], c.ViewSummary.Budgets); increased && counted.overdrawnReason() != "" {
+					t.Fatalf("%s: %s", c.Encode(), counted.overdrawnReason())
 				}
 			}
 		}
@@ -88,7 +88,7 @@
 }
 
 // midRelease is a fleet in the middle of two releases and a permit.
-func midRelease(seed uint64, history *[]op) *simulation {
+func midRelease(seed uint64, history *[]appliedCommand) *simulation {
 	sim := newSimulation(seed, 4, 4, 2)
 	sim.faultFree, sim.history = true, history
 	sim.call(Command{Kind: CommandOpen, Name: "relays", Release: &ReleaseSpec{Kind: KindRelay, All: true, Program: "p2"}})
@@ -107,7 +107,7 @@
 }
 
 func FuzzApply(f *testing.F) {
-	var history []op
+	var history []appliedCommand
 	midRelease(2, &history)
 	kinds := map[CommandKind]int{}
 	for _, o := range history {
--- a/internal/rollout/release.go
+++ b/internal/rollout/release.go
@@ -131,7 +131,7 @@
 }
 
 func (r *release) findUnit(name string) *Unit {
-	return find(r.Units, func(u *Unit) bool { return u.Name == name })
+	return findFirst(r.Units, func(u *Unit) bool { return u.Name == name })
 }
 
 func (r *release) ended() bool { return r.State == ReleaseCompleted || r.State == ReleaseRolledBack }
@@ -170,9 +170,9 @@
 func (r *release) finished() bool {
 	switch r.State {
 	case ReleaseRunning:
-		return find(r.Units, func(u *Unit) bool { return !r.updateFinished(u) }) == nil
+		return findFirst(r.Units, func(u *Unit) bool { return !r.updateFinished(u) }) == nil
 	case ReleaseRollingBack:
-		return find(r.Units, func(u *Unit) bool { return !r.rollbackFinished(u) }) == nil
+		return findFirst(r.Units, func(u *Unit) bool { return !r.rollbackFinished(u) }) == nil
 	}
 	return false
 }
--- a/internal/rollout/release_test.go
+++ b/internal/rollout/release_test.go
@@ -11,9 +11,9 @@
 // expect applies a command and wants it answered with a state, or with an error that contains a text.
 func expect[S ~string](t *testing.T, s *State, at int64, want S, c Command) {
 	t.Helper()
-	var a Result
-	if err := json.Unmarshal(s.Apply(at, "n1", c.Encode()), &a); err != nil || !strings.Contains(a.State+a.Error, string(want)) {
-		t.Fatalf("%+v: %+v, %v, not %q", c, a, err, want)
+	var result Result
+	if err := json.Unmarshal(s.Apply(at, "n1", c.Encode()), &result); err != nil || !strings.Contains(result.State+result.Error, string(want)) {
+		t.Fatalf("%+v: %+v, %v, not %q", c, result, err, want)
 	}
 }
 
@@ -25,21 +25,21 @@
 		expect(t, s, 2, ReleaseRunning, Command{Kind: CommandSetUnits, Name: "r", Units: []Unit{{Name: "a", Kind: KindRelay}, {Name: "b", Kind: KindRelay}}})
 		return s
 	}
-	itself := func(s *State, kind CommandKind, cause Cause) Command {
+	leaderCommand := func(s *State, kind CommandKind, cause Cause) Command {
 		return Command{Kind: kind, Name: "r", Cause: cause, BaseVersion: s.Version()}
 	}
 	for _, cause := range []Cause{HaltOverBudget, HaltOverdue, HaltServiceDegraded, HaltDrift, HaltStalled, HaltVerdict, ""} {
 		s := open()
-		halt := itself(s, CommandHalt, cause)
+		halt := leaderCommand(s, CommandHalt, cause)
 		expect(t, s, 3, ReleaseHalted, halt)
-		expect(t, s, 4, "", itself(s, CommandResume, cmp.Or(cause, HaltOverdue)))
-		stays := cause == HaltVerdict || cause == ""
-		if a, _ := s.Release("r"); (a.State == ReleaseHalted) != stays {
+		expect(t, s, 4, "", leaderCommand(s, CommandResume, cmp.Or(cause, HaltOverdue)))
+		needsOperator := cause == HaltVerdict || cause == ""
+		if a, _ := s.Release("r"); (a.State == ReleaseHalted) != needsOperator {
 			t.Errorf("%q: %s after it resumed by itself", cause, a.State)
 		}
-		if !stays {
-			expect(t, s, 5, ReleaseHalted, itself(s, CommandHalt, cause))
-			s.Apply(6, "n1", itself(s, CommandResume, cause).Encode())
+		if !needsOperator {
+			expect(t, s, 5, ReleaseHalted, leaderCommand(s, CommandHalt, cause))
+			s.Apply(6, "n1", leaderCommand(s, CommandResume, cause).Encode())
 			if a, _ := s.Release("r"); (a.State == ReleaseHalted) != (cause == HaltServiceDegraded || cause == HaltOverdue) {
 				t.Errorf("%q a second time: %s", cause, a.State)
 			}
@@ -51,9 +51,9 @@
 	}
 	s := open()
 	expect(t, s, 3, "version", Command{Kind: CommandHalt, Name: "r", Cause: HaltDrift, BaseVersion: s.Version() - 1})
-	expect(t, s, 3, ReleaseHalted, itself(s, CommandHalt, HaltDrift))
+	expect(t, s, 3, ReleaseHalted, leaderCommand(s, CommandHalt, HaltDrift))
 	expect(t, s, 4, ReleaseHalted, Command{Kind: CommandHalt, Name: "r"}) // an operator's takes precedence
-	expect(t, s, 5, "operator", itself(s, CommandResume, HaltDrift))
+	expect(t, s, 5, "operator", leaderCommand(s, CommandResume, HaltDrift))
 }
 
 // TestOverlappingReleases: of two that touch the same members the second waits, or is rejected with the first's name.
@@ -88,14 +88,14 @@
 // TestStranded: a stranded member is out until it is back as it was, is gone, or an operator accepts it as it is. Each is reported once.
 func TestStranded(t *testing.T) {
 	b := Budgets{SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainTimeoutMS: 100, StartTimeoutMS: 100, PermitWindowMS: 100}
-	for _, allow := range []bool{false, true} {
+	for _, reinstate := range []bool{false, true} {
 		s, v := New(), View{At: 1e6, Relays: []Relay{{Name: "n", InService: true}}, Members: []Member{{Name: "a", Program: "b3", Started: 9, Capacity: 1, UsableCapacity: 1}}}
 		s.record.Releases = []release{{ReleaseStatus: ReleaseStatus{Name: "r", State: ReleaseRolledBack, RollingBack: true, Spec: ReleaseSpec{Kind: KindMember, All: true, Program: "b2"}, Units: []Unit{
 			{Name: "a", Kind: KindMember, PreviousProgram: "b1", Phase: PhaseDrained, Stranded: true, OrderNumber: 1, SeenStart: 5}}}}}
 		if plan := s.Plan(v.At, v, b); plan != nil || s.Orders("n").Exclusions["a"].Reason != "drain" {
 			t.Errorf("%+v, %+v", plan, s.Orders("n"))
 		}
-		if allow {
+		if reinstate {
 			expect(t, s, v.At, "", Command{Kind: CommandReinstate, Names: []string{"a"}})
 		} else {
 			v.Members = nil
@@ -103,7 +103,7 @@
 		}
 		a, _ := s.Release("r")
 		if plan := s.Plan(v.At, v, b); plan != nil || s.Orders("n").Exclusions != nil || len(s.record.plannedOut(KindMember)) > 0 || len(a.Exceptions) != 1 {
-			t.Errorf("allowed %v: %+v, %+v", allow, plan, a)
+			t.Errorf("allowed %v: %+v, %+v", reinstate, plan, a)
 		}
 	}
 }
--- a/internal/rollout/service_baseline_test.go
+++ b/internal/rollout/service_baseline_test.go
@@ -18,21 +18,21 @@
 		}
 		return ServiceWindow{1, float64(n), float64(served)}
 	}
-	halted, found := 0, 0
+	falseHalts, detected := 0, 0
 	for range 2000 {
-		var counts []ServiceWindow
+		var windows []ServiceWindow
 		for range 30 {
-			counts = append(counts, window(0.97))
+			windows = append(windows, window(0.97))
 		}
-		before := newServiceBaseline(counts)
-		if before.degraded(0.01, []ServiceWindow{window(0.97), window(0.97), window(0.97)}, 0) {
-			halted++
+		baseline := newServiceBaseline(windows)
+		if baseline.degraded(0.01, []ServiceWindow{window(0.97), window(0.97), window(0.97)}, 0) {
+			falseHalts++
 		}
-		if before.degraded(0.01, []ServiceWindow{window(0.85), window(0.85), window(0.85)}, 0) {
-			found++
+		if baseline.degraded(0.01, []ServiceWindow{window(0.85), window(0.85), window(0.85)}, 0) {
+			detected++
 		}
 	}
-	if halted > 0 || found < 1990 {
-		t.Errorf("%d of 2000 halted by noise, %d found", halted, found)
+	if falseHalts > 0 || detected < 1990 {
+		t.Errorf("%d of 2000 halted by noise, %d found", falseHalts, detected)
 	}
 }
--- a/internal/rollout/simulation_checks_test.go
+++ b/internal/rollout/simulation_checks_test.go
@@ -16,11 +16,11 @@
 		}
 	}
 	sim.dropReturned()
-	fresh, bears := map[string]bool{}, c.Kind == CommandQuarantine && c.Capacity > 0
+	newlyOut, takesCapacity := map[string]bool{}, c.Kind == CommandQuarantine && c.Capacity > 0
 	switch c.Kind {
 	case CommandQuarantine:
 		sim.quarantines++
-		fresh[thingKey(KindRelay, c.Name)] = true
+		newlyOut[targetKey(KindRelay, c.Name)] = true
 		sim.markOut(KindRelay, c.Name, 0)
 	case CommandStep:
 	default:
@@ -36,52 +36,52 @@
 		} else {
 			continue
 		}
-		bears = bears || kind == KindRelay && g.Capacity > 0
-		fresh[thingKey(kind, name)] = true
+		takesCapacity = takesCapacity || kind == KindRelay && g.Capacity > 0
+		newlyOut[targetKey(kind, name)] = true
 		sim.markOut(kind, name, g.Permit)
 	}
 	sim.dropReturned()
 	// Long enough that the view had it.
-	known := sim.budgets.SilentAfterMS + sim.budgets.ViewMaxAgeMS + 3500
-	out, zones, total := map[Kind]int{}, map[string]int{}, map[string]int{}
-	left, serve, who := 0.0, 0.0, ""
-	count := func(kind Kind, name, zone string, lost int64, bears float64) {
+	detectionMS := sim.budgets.SilentAfterMS + sim.budgets.ViewMaxAgeMS + 3500
+	out, outByZone, total := map[Kind]int{}, map[string]int{}, map[string]int{}
+	memberCapacity, relayCapacity, details := 0.0, 0.0, ""
+	count := func(kind Kind, name, zone string, unavailableSince int64, capacity float64) {
 		total[string(kind)]++
 		total[string(kind)+zone]++
-		is := sim.out[thingKey(kind, name)] != nil
-		if is || lost > 0 && sim.now-lost > known {
+		plannedOut := sim.out[targetKey(kind, name)] != nil
+		if plannedOut || unavailableSince > 0 && sim.now-unavailableSince > detectionMS {
 			out[kind]++
-			zones[string(kind)+zone]++
-			who += fmt.Sprintf(" %s (given %v, lost since %d)", name, is, lost)
+			outByZone[string(kind)+zone]++
+			details += fmt.Sprintf(" %s (given %v, lost since %d)", name, plannedOut, unavailableSince)
 		}
 		if kind == KindMember {
-			left += bears
-		} else if !is {
-			serve += bears
+			memberCapacity += capacity
+		} else if !plannedOut {
+			relayCapacity += capacity
 		}
 	}
 	for _, h := range sim.relays {
-		bears := h.capacity
-		if h.unavailableSince > 0 && sim.now-h.unavailableSince > known {
-			bears = 0
+		capacity := h.capacity
+		if h.unavailableSince > 0 && sim.now-h.unavailableSince > detectionMS {
+			capacity = 0
 		}
-		count(KindRelay, h.name, h.zone, h.unavailableSince, bears)
+		count(KindRelay, h.name, h.zone, h.unavailableSince, capacity)
 	}
-	if need := c.Basis.Relays.Load * (1 + sim.budgets.CapacityReserve); bears && serve < need {
-		sim.violation("the relays that are left bear %.0f, %.0f are needed:%s", serve, need, who)
+	if needed := c.ViewSummary.Relays.Load * (1 + sim.budgets.CapacityReserve); takesCapacity && relayCapacity < needed {
+		sim.violation("the relays that are left bear %.0f, %.0f are needed:%s", relayCapacity, needed, details)
 	}
 	for _, x := range sim.members {
-		bears := x.capacity
+		capacity := x.capacity
 		_, excluded := sim.log[len(sim.log)-1].excluded[x.name]
 		switch {
 		case excluded:
-			bears = 0
-		case sim.now-x.unavailableSince > known && x.unavailableSince > 0 && !x.up:
-			bears = 0
+			capacity = 0
+		case sim.now-x.unavailableSince > detectionMS && x.unavailableSince > 0 && !x.up:
+			capacity = 0
 		case sim.now < x.warmAt:
-			bears *= slowStartShare
+			capacity *= slowStartShare
 		}
-		count(KindMember, x.name, x.zone, x.unavailableSince, bears)
+		count(KindMember, x.name, x.zone, x.unavailableSince, capacity)
 	}
 	for _, kind := range []Kind{KindRelay, KindMember} {
 		b := sim.budgets.Members
@@ -89,26 +89,26 @@
 			b = sim.budgets.Relays
 		}
 		sim.peak = max(sim.peak, out[kind])
-		any := false
-		for key := range fresh {
-			any = any || key[:3] == string(kind[:3])
+		hasNewlyOut := false
+		for key := range newlyOut {
+			hasNewlyOut = hasNewlyOut || key[:3] == string(kind[:3])
 		}
-		if !any {
+		if !hasNewlyOut {
 			continue
 		}
-		if most := b.totalLimit(total[string(kind)]); out[kind] > most {
-			sim.violation("%d of kind %s are out, of %d:%s", out[kind], kind, most, who)
+		if limit := b.totalLimit(total[string(kind)]); out[kind] > limit {
+			sim.violation("%d of kind %s are out, of %d:%s", out[kind], kind, limit, details)
 		}
-		for z, n := range zones {
+		for z, n := range outByZone {
 			if len(z) > len(kind) && z[:len(kind)] == string(kind) && n > b.zoneLimit(total[z]) {
-				sim.violation("%d are out in %s of %d:%s", n, z, b.zoneLimit(total[z]), who)
+				sim.violation("%d are out in %s of %d:%s", n, z, b.zoneLimit(total[z]), details)
 			}
 		}
-		if kind == KindMember && left < sim.load*(1+sim.budgets.CapacityReserve) {
-			for key := range fresh {
-				i := slices.IndexFunc(sim.members, func(x *simMember) bool { return thingKey(KindMember, x.name) == key })
+		if kind == KindMember && memberCapacity < sim.load*(1+sim.budgets.CapacityReserve) {
+			for key := range newlyOut {
+				i := slices.IndexFunc(sim.members, func(x *simMember) bool { return targetKey(KindMember, x.name) == key })
 				if i >= 0 && sim.members[i].unavailableSince == 0 {
-					sim.violation("what is left bears %.0f, the load is %.0f", left, sim.load)
+					sim.violation("what is left bears %.0f, the load is %.0f", memberCapacity, sim.load)
 					break
 				}
 			}
@@ -116,8 +116,8 @@
 	}
 }
 
-// thingKey is the key of a relay or member among both.
-func thingKey(kind Kind, name string) string { return string(kind) + " " + name }
+// targetKey is the key of a relay or member among both.
+func targetKey(kind Kind, name string) string { return string(kind) + " " + name }
 
 // dropReturned forgets what was let out and is really back.
 func (sim *simulation) dropReturned() {
@@ -130,17 +130,17 @@
 
 // markOut notes that a thing was let out, and how to tell that it is really back.
 func (sim *simulation) markOut(kind Kind, name string, permit uint64) {
-	var truth func() bool
+	var stillOut func() bool
 	if kind == KindRelay {
 		h := sim.relays[slices.IndexFunc(sim.relays, func(h *simRelay) bool { return h.name == name })]
-		truth = func() bool { return !sim.serves(h) || sim.mayStopServing(h) }
+		stillOut = func() bool { return !sim.serves(h) || sim.mayStopServing(h) }
 	} else {
 		i := slices.IndexFunc(sim.members, func(x *simMember) bool { return x.name == name })
 		if i < 0 {
 			return // it has another name by now: its unit is already being replaced
 		}
 		x := sim.members[i]
-		truth = func() bool { return sim.memberUnavailable(x) }
+		stillOut = func() bool { return sim.memberUnavailable(x) }
 	}
 	if permit != 0 {
 		i := slices.IndexFunc(sim.requesters, func(a *requester) bool { return a.kind == kind && a.name == name })
@@ -148,23 +148,23 @@
 			return
 		}
 		a := sim.requesters[i]
-		thing := truth
-		truth = func() bool {
+		targetOut := stillOut
+		stillOut = func() bool {
 			mayBegin := a.permit == permit && !a.begun && !a.finished && sim.now < a.beginBy
-			mayTake := a.permit == permit && a.begun && !a.finished && (a.down || sim.now < a.takeDownBy)
+			mayTakeDown := a.permit == permit && a.begun && !a.finished && (a.down || sim.now < a.takeDownBy)
 			granted := sim.state.record.findPermit(permit)
-			return granted != nil && granted.State == PermitGranted || mayBegin || mayTake || thing()
+			return granted != nil && granted.State == PermitGranted || mayBegin || mayTakeDown || targetOut()
 		}
 	}
-	sim.out[thingKey(kind, name)] = truth
+	sim.out[targetKey(kind, name)] = stillOut
 }
 
-func (sim *simulation) checkDrained(s Observation) {
-	r := sim.state.record.findRelease(s.Release)
-	if r == nil || r.findUnit(s.Unit) == nil || r.findUnit(s.Unit).Phase != PhaseDrained {
+func (sim *simulation) checkDrained(o Observation) {
+	r := sim.state.record.findRelease(o.Release)
+	if r == nil || r.findUnit(o.Unit) == nil || r.findUnit(o.Unit).Phase != PhaseDrained {
 		return
 	}
-	name := r.findUnit(s.Unit).currentName()
+	name := r.findUnit(o.Unit).currentName()
 	if slices.ContainsFunc(sim.members, func(x *simMember) bool { return x.name == name && !x.up }) {
 		return // no flow outlives it
 	}
@@ -172,9 +172,9 @@
 		if !sim.serves(h) || max(h.serveAt, h.reconnectAt, h.unpauseAt) > sim.now-5000 || sim.now-h.lastContact > sim.releasesFlowsAfterMS() {
 			continue // it may have come back since: such a relay catches up before it serves
 		}
-		until, moving := h.flowsUntil[name]
+		until, migrating := h.flowsUntil[name]
 		_, out := sim.log[h.appliedIndex].excluded[name]
-		if moving && until > sim.now {
+		if migrating && until > sim.now {
 			sim.violation("%s counts as drained, %s migrates its flows", name, h.name)
 		}
 		if !out {
--- a/internal/rollout/simulation_test.go
+++ b/internal/rollout/simulation_test.go
@@ -35,7 +35,7 @@
 	reencode         bool
 	peak             int
 	service          []ServiceWindow
-	history          *[]op
+	history          *[]appliedCommand
 	driftUntil       int64
 	massDriftAt      int64 // when half of the relays drift
 	quarantines      int
@@ -119,21 +119,21 @@
 	if sim.rng.IntN(3) == 0 {
 		sim.budgets.Relays.Total, sim.budgets.Members.Total = Limit{Count: 1}, Limit{Count: 2}
 	}
-	sum, sumOf := 0.0, 0.0
+	totalMemberCapacity, totalRelayCapacity := 0.0, 0.0
 	for i := range n {
 		sim.relays = append(sim.relays, &simRelay{name: fmt.Sprintf("n%d", i), zone: fmt.Sprintf("z%d", i%zones), program: "p1", originalProgram: "p1", up: true,
 			startNumber: 1, sentAt: sim.now - int64(sim.rng.IntN(500)), capacity: 100 + float64(sim.rng.IntN(100)), flowsUntil: map[string]int64{},
 			quarantinedAcrossRestarts: sim.rng.IntN(2) == 0})
-		sumOf += sim.relays[i].capacity
+		totalRelayCapacity += sim.relays[i].capacity
 	}
-	sim.utilization = min(0.4+0.3*sim.rng.Float64(), (sumOf-200)/sumOf/1.06) // the largest may be out
+	sim.utilization = min(0.4+0.3*sim.rng.Float64(), (totalRelayCapacity-200)/totalRelayCapacity/1.06) // the largest may be out
 	for i := range m {
 		x := &simMember{name: fmt.Sprintf("m%d", i), zone: fmt.Sprintf("z%d", i%zones), program: "b1", originalProgram: "b1", up: true, startedAt: sim.now - 1e5,
 			capacity: 50 + float64(sim.rng.IntN(100)), renamesSuccessor: sim.rng.IntN(2) == 0, reportsProgram: sim.rng.IntN(2) == 0}
 		sim.members = append(sim.members, x)
-		sum += x.capacity
+		totalMemberCapacity += x.capacity
 	}
-	sim.load = min(sum*(0.4+0.3*sim.rng.Float64()), (sum-300)/1.06) // the two largest may be out: else nothing ever ends
+	sim.load = min(totalMemberCapacity*(0.4+0.3*sim.rng.Float64()), (totalMemberCapacity-300)/1.06) // the two largest may be out: else nothing ever ends
 	return sim
 }
 
@@ -146,8 +146,8 @@
 func (sim *simulation) between(low, high int64) int64 { return low + sim.rng.Int64N(high-low+1) }
 
 // propose sends a command: it is agreed later, or never, or its result is lost.
-func (sim *simulation) propose(by string, c Command, answer func(Result)) {
-	p := proposal{sim.now + sim.between(30, 200), sim.now, by, c, answer}
+func (sim *simulation) propose(by string, c Command, onResult func(Result)) {
+	p := proposal{sim.now + sim.between(30, 200), sim.now, by, c, onResult}
 	if !sim.faultFree {
 		switch sim.rng.IntN(30) {
 		case 0:
@@ -171,25 +171,25 @@
 	}
 	before := sim.state.Version()
 	body := p.command.Encode()
-	answer := sim.state.Apply(at, p.by, body)
-	var a Result
-	if err := json.Unmarshal(answer, &a); err != nil {
+	encodedResult := sim.state.Apply(at, p.by, body)
+	var result Result
+	if err := json.Unmarshal(encodedResult, &result); err != nil {
 		sim.violation("answer: %v", err)
 	}
 	h := fnv.New64a()
 	fmt.Fprint(h, sim.trace, at, p.by)
 	h.Write(body)
-	h.Write(answer)
+	h.Write(encodedResult)
 	sim.trace = h.Sum64()
-	if a.Error == "" && sim.state.Version() != before {
+	if result.Error == "" && sim.state.Version() != before {
 		sim.logOrders()
 		sim.checkCommand(p.command)
 	}
 	if sim.history != nil {
-		*sim.history = append(*sim.history, op{p.command, a, p.sent, sim.now})
+		*sim.history = append(*sim.history, appliedCommand{p.command, result, p.sent, sim.now})
 	}
 	if p.onResult != nil && (sim.faultFree || sim.rng.IntN(10) > 0) {
-		p.onResult(a)
+		p.onResult(result)
 	}
 	if !sim.faultFree && p.onResult == nil && sim.rng.IntN(12) == 0 {
 		sim.injectFault() // at a command of the leader
@@ -320,7 +320,7 @@
 		sim.service = sim.service[max(0, len(sim.service)-30):]
 	}
 	if sim.now%200 == 0 && sim.hasLeader(sim.now) {
-		sim.leaderLook()
+		sim.runLeader()
 	}
 	if !sim.faultFree && sim.rng.IntN(400) == 0 {
 		sim.injectFault()
@@ -521,17 +521,17 @@
 		r.Exited = !h.up
 		r.InService = sim.serves(h) && h.startNumber == r.StartNumber
 		v.Relays = append(v.Relays, r)
-		if was := sim.state.record.findQuarantine(h.name); h.reportedAt >= sim.leaderSince && sim.now < h.unfitUntil || h.reportedAt < sim.leaderSince && was != nil && was.ReadmittedVersion == 0 {
+		if quarantine := sim.state.record.findQuarantine(h.name); h.reportedAt >= sim.leaderSince && sim.now < h.unfitUntil || h.reportedAt < sim.leaderSince && quarantine != nil && quarantine.ReadmittedVersion == 0 {
 			v.Unfit[h.name] = "it does not do what was agreed"
 			v.UnfitOrder = append(v.UnfitOrder, h.name)
 		}
 	}
 	for _, x := range sim.members {
-		bears := x.capacity
+		usableCapacity := x.capacity
 		if sim.now < x.warmAt {
-			bears = x.capacity * slowStartShare
+			usableCapacity = x.capacity * slowStartShare
 		}
-		m := Member{Name: x.name, Zone: x.zone, Started: x.startedAt, Capacity: x.capacity, UsableCapacity: bears, Failing: !x.up, Program: x.program, FlowsByRelay: map[string]RelayFlows{}}
+		m := Member{Name: x.name, Zone: x.zone, Started: x.startedAt, Capacity: x.capacity, UsableCapacity: usableCapacity, Failing: !x.up, Program: x.program, FlowsByRelay: map[string]RelayFlows{}}
 		if !x.reportsProgram {
 			m.Program = "" // not all report what they run
 		}
@@ -539,7 +539,7 @@
 			if h.reportedAt < sim.leaderSince {
 				continue
 			}
-			if _, moving := h.flowsUntil[x.name]; moving {
+			if _, migrating := h.flowsUntil[x.name]; migrating {
 				m.FlowsByRelay[h.name] = RelayFlows{1, h.reportedAt}
 			} else if _, out := sim.log[h.reportedIndex].excluded[x.name]; !out && len(sim.relays) <= 40 {
 				m.FlowsByRelay[h.name] = RelayFlows{2, h.reportedAt}
@@ -554,7 +554,7 @@
 	return v
 }
 
-func (sim *simulation) leaderLook() {
+func (sim *simulation) runLeader() {
 	if sim.now-sim.leaderSince < sim.budgets.SilentAfterMS && sim.leaderSince > 1e6 {
 		return // not all have reported yet
 	}
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -27,7 +27,7 @@
 // maxDurations is how many durations of each kind are remembered.
 const maxDurations = 32
 
-var errBeyondBounds = errors.New("beyond its bounds")
+var errStateTooLarge = errors.New("beyond its bounds")
 
 // New is a state in which nothing was agreed.
 func New() *State { return &State{} }
@@ -56,7 +56,7 @@
 	}
 	if len(s.record.Releases) > MaxReleases || units > MaxUnits || len(s.record.Permits) > MaxPermits ||
 		len(s.record.Ejections) > MaxEjections || len(s.record.Quarantines) > MaxQuarantines {
-		return nil, fmt.Errorf("rollout: decode state: %w", errBeyondBounds)
+		return nil, fmt.Errorf("rollout: decode state: %w", errStateTooLarge)
 	}
 	return s, nil
 }
@@ -121,15 +121,15 @@
 }
 
 func (rec *record) findRelease(name string) *release {
-	return find(rec.Releases, func(r *release) bool { return r.Name == name })
+	return findFirst(rec.Releases, func(r *release) bool { return r.Name == name })
 }
 
 func (rec *record) findPermit(number uint64) *Permit {
-	return find(rec.Permits, func(p *Permit) bool { return p.Number == number })
+	return findFirst(rec.Permits, func(p *Permit) bool { return p.Number == number })
 }
 
 func (rec *record) findQuarantine(relay string) *Quarantine {
-	return find(rec.Quarantines, func(q *Quarantine) bool { return q.Name == relay })
+	return findFirst(rec.Quarantines, func(q *Quarantine) bool { return q.Name == relay })
 }
 
 // nextNumber is the number of a new order, ejection, quarantine or permit.
