--- a/internal/rollout/allowance.go
+++ b/internal/rollout/allowance.go
@@ -6,10 +6,11 @@
 	"slices"
 )
 
-// The account of what is out by plan (units, permits, quarantined relays) and what is lost beside it, against the budgets. Plan and Apply count
-// by this same code: Plan from the view, Apply from the state and the view's summary that stands in the command.
+// This file counts what is out by plan (units, permits, quarantined relays) and what is unavailable for
+// other reasons, and compares both with the budgets. Plan counts from the view; Apply counts from the
+// state and the summary of the view in the command, with the same code.
 
-// plannedOut is what is out by plan.
+// plannedOut returns the relays or members that are out by plan, including quarantined relays.
 func (rec *record) plannedOut(kind Kind) []ZonedName {
 	list := rec.grantedOut(kind)
 	if kind == KindRelay {
@@ -22,7 +23,8 @@
 	return list
 }
 
-// grantedOut is what is out by a grant. A quarantined relay may be granted as well: that is how it is repaired.
+// grantedOut returns the relays or members that are out by a grant. A quarantined relay may be granted
+// as well, because a release is how it is repaired.
 func (rec *record) grantedOut(kind Kind) []ZonedName {
 	var list []ZonedName
 	for _, u := range rec.units() {
@@ -38,7 +40,8 @@
 	return list
 }
 
-// coveredNames are the names that what is out by plan accounts for: of units also the one before their successor's.
+// coveredNames returns the names that are accounted for by what is out by plan. For a unit with a
+// successor these are both names.
 func (rec *record) coveredNames(kind Kind) map[string]bool {
 	names := map[string]bool{}
 	for _, out := range rec.plannedOut(kind) {
@@ -52,7 +55,7 @@
 	return names
 }
 
-// summarizeRelays sums up the relays of a view.
+// summarizeRelays summarizes the relays of a view.
 func (rec *record) summarizeRelays(v *View, b Budgets) KindSummary {
 	s := KindSummary{CountByZone: map[string]int{}, CapacityKnown: len(v.Relays) > 0}
 	covered := rec.coveredNames(KindRelay)
@@ -74,7 +77,8 @@
 	return s
 }
 
-// summarizeMembers sums up the members of a view. Those that were replaced count with what is usable of them.
+// summarizeMembers summarizes the members of a view. Replaced members that are not yet in full service
+// contribute their usable capacity.
 func (rec *record) summarizeMembers(v *View) KindSummary {
 	s := KindSummary{CountByZone: map[string]int{}, Load: v.Load, CapacityKnown: len(v.Members) > 0}
 	covered, replaced := rec.coveredNames(KindMember), map[string]bool{}
@@ -102,7 +106,7 @@
 	return s
 }
 
-// countPlannedOut counts what is out by plan among what there is, each once.
+// countPlannedOut adds what is out by plan to the counts by zone, each name once.
 func (s *KindSummary) countPlannedOut(planned []ZonedName) {
 	seen := map[string]bool{}
 	for _, out := range planned {
@@ -113,15 +117,15 @@
 	}
 }
 
-// allowance is what of one kind is out, and what may still go out.
+// allowance counts the relays or members that are out, and decides whether more may go out.
 type allowance struct {
 	budget          Budget
 	capacityReserve float64
 	summary         KindSummary
 	total           int
-	out             map[string]bool // by plan, or lost
+	out             map[string]bool // by name: out by plan, or unavailable
 	outByZone       map[string]int
-	granted         map[string]bool // out by a grant
+	granted         map[string]bool // by name: out by a grant
 }
 
 func (rec *record) allowance(kind Kind, s KindSummary, b Budgets) *allowance {
@@ -154,7 +158,7 @@
 	}
 }
 
-// overdrawnReason says what of the budget is overdrawn; "" if nothing.
+// overdrawnReason returns which limit of the budget is exceeded and by what, or "".
 func (a *allowance) overdrawnReason() string {
 	if limit := a.budget.totalLimit(a.total); len(a.out) > limit {
 		return fmt.Sprintf("%d are out, of %d that may be", len(a.out), limit)
@@ -167,7 +171,8 @@
 	return ""
 }
 
-// shortfallReason says that what is left does not even carry the load, without any reserve; "" if it does.
+// shortfallReason returns a text if the remaining capacity is below the load, without any reserve, or
+// "". "Bears" in the texts of this file means capacity, "headroom" the capacity reserve.
 func (a *allowance) shortfallReason() string {
 	if s := &a.summary; s.CapacityKnown && s.RemainingCapacity < s.Load {
 		return fmt.Sprintf("what is left bears %.0f, the load is %.0f", s.RemainingCapacity, s.Load)
@@ -175,7 +180,7 @@
 	return ""
 }
 
-// exhaustedReason is overdrawnReason, or else shortfallReason.
+// exhaustedReason returns overdrawnReason, or shortfallReason if that is empty.
 func (a *allowance) exhaustedReason() string {
 	if reason := a.overdrawnReason(); reason != "" {
 		return reason
@@ -183,8 +188,8 @@
 	return a.shortfallReason()
 }
 
-// reserve counts a thing as out, or says why it may not go. One that is lost already costs nothing more, and may go out as long as nothing is
-// overdrawn.
+// reserve counts a relay or member as out, or returns why it may not go out. One that is already
+// unavailable uses up nothing more of the limits, and may go out unless a limit is exceeded already.
 func (a *allowance) reserve(name, zone string, capacity float64) string {
 	if a.granted[name] {
 		return name + " is out already"
@@ -218,7 +223,9 @@
 	return a.reserve(name, zone, capacity)
 }
 
-// maxOutMS is how long a unit may be out: by what the last ones took, at first by the budgets.
+// maxOutMS returns how long a unit may be out before it is overdue. Until three durations are recorded
+// this is the sum of the timeouts in the budgets; then it is three times the longest recorded duration,
+// at least SilentAfterMS and at most that sum.
 func (rec *record) maxOutMS(kind Kind, b Budgets) int64 {
 	initial, durations := b.DrainTimeoutMS+b.StartTimeoutMS+b.WarmupMS, rec.MemberDurationsMS
 	if kind == KindRelay {
@@ -230,7 +237,7 @@
 	return min(initial, max(3*slices.Max(durations), b.SilentAfterMS))
 }
 
-// recordDuration remembers how long a unit was out.
+// recordDuration stores how long a relay or member was out.
 func (rec *record) recordDuration(kind Kind, ms int64) {
 	durations := &rec.MemberDurationsMS
 	switch kind {
--- a/internal/rollout/apply.go
+++ b/internal/rollout/apply.go
@@ -6,19 +6,20 @@
 	"fmt"
 )
 
-// Apply changes the state by one command, and answers with a Result as JSON. It is deterministic; an error changes nothing. The record's
-// time never runs backwards.
+// Apply changes the state by one command and returns a Result as JSON. It is deterministic. A command
+// that is answered with an error changes nothing. A time before that of the last applied command
+// counts as that time.
 func (s *State) Apply(at int64, by string, body []byte) []byte {
 	var c Command
 	var result Result
 	if err := json.Unmarshal(body, &c); err != nil {
-		result = reject("no command: %v", err)
+		result = reject("no command: %v", err) // the body is not a JSON command
 	} else {
 		result = s.record.apply(max(at, s.record.Time), truncate(by, MaxNameBytes), &c)
 	}
 	b, err := json.Marshal(result)
 	if err != nil {
-		panic(err) // a Result is of strings and numbers
+		panic(err) // a Result holds only strings and integers
 	}
 	return b
 }
@@ -32,7 +33,7 @@
 	return text
 }
 
-// apply dispatches a command. Each handler checks everything before it changes anything.
+// apply dispatches a command to its handler. Each handler checks everything before it changes anything.
 func (rec *record) apply(at int64, by string, c *Command) Result {
 	c.Reason, c.Requester = truncate(c.Reason, MaxReasonBytes), cmp.Or(truncate(c.Requester, MaxNameBytes), by)
 	if len(c.Name) > MaxNameBytes {
@@ -74,7 +75,10 @@
 	return result
 }
 
-// stalePlanReason says why what a command was planned from does not hold any more; "" if it does.
+// stalePlanReason returns why the state or view that a command was planned from is no longer valid,
+// or "". In its texts, "it was reckoned from version" means that the command was planned from an
+// older version of the state, and "a sight without window or clock" that the command's budgets have
+// no valid PermitWindowMS or ClockDrift.
 func (rec *record) stalePlanReason(at int64, c *Command) string {
 	summary, budgets := c.ViewSummary, &c.ViewSummary.Budgets
 	switch {
--- a/internal/rollout/apply_observe.go
+++ b/internal/rollout/apply_observe.go
@@ -2,17 +2,18 @@
 
 import "cmp"
 
-// observe takes over what others saw. What does not fit the state any more is left aside.
+// observe applies observations. One that no longer fits the state is skipped; if all are, the command
+// is rejected.
 func (rec *record) observe(at int64, c *Command) Result {
 	if len(c.Observations) > MaxUnits+MaxPermits {
-		return reject("over %d sights", MaxUnits+MaxPermits)
+		return reject("over %d sights", MaxUnits+MaxPermits) // too many observations
 	}
 	changed := false
 	for i := range c.Observations {
 		changed = rec.applyObservation(at, &c.Observations[i]) || changed
 	}
 	if !changed {
-		return reject("nothing of this is so any more")
+		return reject("nothing of this is so any more") // every observation is outdated
 	}
 	rec.Version++
 	return Result{}
@@ -43,8 +44,8 @@
 	return true
 }
 
-// advanceUnit is one transition of a unit, and says whether the observation allows it. The unit's orders change with the version that the
-// command makes.
+// advanceUnit makes one phase transition of a unit and reports whether the observation allows it. The
+// unit's OrderVersion becomes the version that this command creates.
 func (rec *record) advanceUnit(at int64, r *release, u *Unit, o *Observation) bool {
 	next := rec.Version + 1
 	switch {
@@ -80,7 +81,7 @@
 			u.Phase = PhaseDone
 		}
 		u.closeOrder(next)
-	case o.Phase == PhasePending && u.Phase == PhaseDone && u.Stranded: // it is there again, to be reverted after all
+	case o.Phase == PhasePending && u.Phase == PhaseDone && u.Stranded: // it is back in the view and can be reverted after all
 		u.Stranded = false
 	default:
 		return false
@@ -88,13 +89,14 @@
 	return true
 }
 
-// acceptsSuccessor says whether an observed successor is news about a member that may have one.
+// acceptsSuccessor reports whether the unit is a member in a phase that can be followed by
+// PhaseReplaced, and the observed successor is not already recorded.
 func (u *Unit) acceptsSuccessor(o *Observation) bool {
 	return u.Kind == KindMember && (u.Phase == PhaseDrained || u.Phase == PhaseRevoked ||
 		u.Phase == PhaseReplaced && u.currentName() != cmp.Or(o.Successor, u.Name))
 }
 
-// closeOrder ends a unit's order: it is in service again.
+// closeOrder ends the order of a unit that is back in service.
 func (u *Unit) closeOrder(version uint64) {
 	u.Reverting, u.Stranded, u.OrderVersion = false, false, version
 }
--- a/internal/rollout/apply_release.go
+++ b/internal/rollout/apply_release.go
@@ -11,7 +11,7 @@
 	maxHaltCauses      = 8
 )
 
-// openRelease takes a release up. Its units are set by the leader, who knows what there is.
+// openRelease adds a release. The leader sets its units later, from its view.
 func (rec *record) openRelease(at int64, c *Command) Result {
 	spec := c.Release
 	if spec == nil || c.Name == "" {
@@ -25,12 +25,12 @@
 	}
 	queuedBehind := rec.overlappingRelease(len(rec.Releases), spec)
 	if queuedBehind != "" && !spec.Queue {
-		return reject("release %q touches the same things", queuedBehind)
+		return reject("release %q touches the same things", queuedBehind) // the two overlap
 	}
 	if len(rec.Releases) >= MaxReleases {
 		drop := slices.IndexFunc(rec.Releases, func(r release) bool { return r.ended() && !r.hasUnitOut() })
 		if drop < 0 {
-			return reject("%d releases are open or still hold something out", MaxReleases)
+			return reject("%d releases are open or still hold something out", MaxReleases) // too many that have not ended or have units out
 		}
 		rec.Releases = slices.Delete(rec.Releases, drop, drop+1)
 	}
@@ -40,7 +40,8 @@
 	return Result{Name: c.Name, State: string(ReleaseQueued), Reason: queuedBehind}
 }
 
-// overlappingRelease is the first of the first n releases that has not ended and overlaps a spec; "" if there is none.
+// overlappingRelease returns the name of the first of the first n releases that has not ended and
+// overlaps the spec, or "".
 func (rec *record) overlappingRelease(n int, spec *ReleaseSpec) string {
 	for i := range rec.Releases[:n] {
 		if r := &rec.Releases[i]; !r.ended() && r.Spec.overlaps(spec) {
@@ -50,7 +51,7 @@
 	return ""
 }
 
-// changeReleaseState halts a release, resumes it or rolls it back.
+// changeReleaseState halts, resumes or rolls back a release.
 func (rec *record) changeReleaseState(at int64, c *Command) Result {
 	r := rec.findRelease(c.Name)
 	byLeader := c.Cause != "" && c.Cause != HaltByOperator
@@ -62,7 +63,7 @@
 	case c.Kind != CommandRollBack && r.ended():
 		return reject("release %q has ended", c.Name)
 	case c.Kind == CommandRollBack && r.ended() && !r.Spec.Drain && r.Spec.Kind != KindEject && rec.activeOverlap(r) != "":
-		return reject("release %q touches the same things, and is not through", rec.activeOverlap(r))
+		return reject("release %q touches the same things, and is not through", rec.activeOverlap(r)) // it overlaps and has not ended
 	case c.Kind == CommandHalt && r.Halt != nil && (r.Halt.NeedsOperator || byLeader && c.Cause != HaltVerdict):
 		return reject("release %q is halted: %s %s", c.Name, r.Halt.Cause, r.Halt.Reason)
 	case c.Kind == CommandResume && r.Halt == nil:
@@ -98,7 +99,8 @@
 	r.State = ReleaseHalted
 }
 
-// activeOverlap is another release that is under way at the same things; "" if there is none.
+// activeOverlap returns the name of another release that has not ended, is not queued behind a release
+// and overlaps r, or "".
 func (rec *record) activeOverlap(r *release) string {
 	for i := range rec.Releases {
 		if o := &rec.Releases[i]; o.Name != r.Name && !o.ended() && o.QueuedBehind == "" && o.Spec.overlaps(&r.Spec) {
@@ -108,30 +110,30 @@
 	return ""
 }
 
-// setUnits fixes a release's units, their order, and how they were before.
+// setUnits stores a release's units in order, with their state before the release, and starts it.
 func (rec *record) setUnits(at int64, c *Command) Result {
 	r := rec.findRelease(c.Name)
 	if r == nil || r.UnitsSet || r.State != ReleaseQueued || r.QueuedBehind != "" {
-		return reject("release %q is not to be laid out", c.Name)
+		return reject("release %q is not to be laid out", c.Name) // there is none, its units are set, or it is not next in the queue
 	}
 	total := len(c.Units)
 	for i := range rec.Releases {
 		total += len(rec.Releases[i].Units)
 	}
 	if total > MaxUnits || len(c.Baseline) > maxBaselineWindows {
-		return reject("over %d things in all, or %d windows", MaxUnits, maxBaselineWindows)
+		return reject("over %d things in all, or %d windows", MaxUnits, maxBaselineWindows) // too many units over all releases, or baseline windows
 	}
 	names := map[string]bool{}
 	for _, u := range c.Units {
 		fits := u.Kind == r.Spec.Kind || r.Spec.Kind == KindEject && u.Kind == KindReinstate
 		if u.Name == "" || max(len(u.Name), len(u.Zone), len(u.PreviousProgram), len(u.PreviousConfig)) > MaxNameBytes || names[u.Name] || !fits {
-			return reject("unit %q is no thing of this release, or stands twice", truncate(u.Name, MaxNameBytes))
+			return reject("unit %q is no thing of this release, or stands twice", truncate(u.Name, MaxNameBytes)) // wrong kind, invalid or repeated name
 		}
 		names[u.Name] = true
 	}
 	for _, w := range c.Baseline {
 		if !(w.Requested >= 0 && w.Served >= 0 && w.Served <= w.Requested && w.Requested <= maxWindowRequests) {
-			return reject("a window that served more than was asked")
+			return reject("a window that served more than was asked") // or has a count that is negative, too large or NaN
 		}
 	}
 	for _, u := range c.Units {
@@ -148,8 +150,9 @@
 	return Result{Name: r.Name, State: string(r.State)}
 }
 
-// advanceReleases ends the releases that are finished, then lets those go on that waited for them: an ended one that has something left to
-// revert before the next.
+// advanceReleases ends the releases that are finished. It then restarts the rollback of a rolled-back
+// release that has a unit left to revert, and updates what the queued releases wait for. An earlier
+// release's rollback restarts before a later release leaves the queue.
 func (rec *record) advanceReleases(at int64) {
 	for i := range rec.Releases {
 		r := &rec.Releases[i]
@@ -179,7 +182,7 @@
 	}
 }
 
-// hasRevertibleUnit says whether a release that rolled back left a unit that can be reverted after all.
+// hasRevertibleUnit reports whether a rolled-back release has an updated unit that can be reverted now.
 func (r *release) hasRevertibleUnit() bool {
 	return slices.ContainsFunc(r.Units, func(u Unit) bool { return u.Phase == PhaseDone && !u.Stranded && r.revertible(&u) })
 }
--- a/internal/rollout/apply_step.go
+++ b/internal/rollout/apply_step.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// applyStep lets things go out: all that the step grants, or nothing.
+// applyStep applies all grants of a step, or none of them.
 func (rec *record) applyStep(at int64, c *Command) Result {
 	if c.ViewSummary == nil || len(c.Grants) == 0 || len(c.Grants) > MaxGrantsPerStep {
-		return reject("a step names one to %d things, and what it was reckoned from", MaxGrantsPerStep)
+		return reject("a step names one to %d things, and what it was reckoned from", MaxGrantsPerStep) // a field is missing, or too many grants
 	}
 	if reason := rec.stalePlanReason(at, c); reason != "" {
 		return reject("%s", reason)
@@ -27,7 +27,8 @@
 	return Result{}
 }
 
-// reserveGrant counts a grant against the allowances, or says why it does not fit. It changes nothing of the record.
+// reserveGrant counts a grant against the allowances, or returns why it does not fit. It does not
+// change the record.
 func (rec *record) reserveGrant(g *Grant, allowances map[Kind]*allowance, grants int) string {
 	if len(g.Zone) > MaxNameBytes {
 		return fmt.Sprintf("a zone of over %d bytes", MaxNameBytes)
@@ -49,7 +50,7 @@
 	}
 	change := u.ejectionChange()
 	if change < 0 {
-		return "" // it puts a member back
+		return "" // it puts a member back into service
 	}
 	if reason := allowances[budgetKind(u.Kind)].reserve(u.currentName(), u.Zone, g.Capacity); reason != "" {
 		return reason
--- a/internal/rollout/budgets.go
+++ b/internal/rollout/budgets.go
@@ -8,36 +8,36 @@
 	"strings"
 )
 
-// Budgets are the settings by which the leader plans; all durations are in milliseconds.
+// Budgets are the settings that the leader plans with. All durations are in milliseconds.
 type Budgets struct {
 	Relays           Budget  `json:"relays"`
 	Members          Budget  `json:"members"`
-	CapacityReserve  float64 `json:"headroom"` // what is left must carry 1+CapacityReserve times the load
-	SilentAfterMS    int64   `json:"silent"`   // without a report for longer a relay counts as lost
-	FlowHoldMS       int64   `json:"hold"`     // without a report for longer a relay has no flow any more at a member that is excluded
-	ViewMaxAgeMS     int64   `json:"fresh"`    // of a view when its step is applied
-	DrainTimeoutMS   int64   `json:"drain"`    // that a relay or member may take to drain
-	StartTimeoutMS   int64   `json:"start"`    // that it may take to serve
-	WarmupMS         int64   `json:"warm"`     // the slow start of a member
-	PermitWindowMS   int64   `json:"window"`   // in which a permit has to be begun
-	ClockDrift       float64 `json:"clock"`    // by which part a clock may run faster or slower: 0.01
-	DriftHaltMS      int64   `json:"drift"`    // View.Drift for longer halts releases
-	ServiceTolerance float64 `json:"slack"`    // the part of the service that a release may cost: 0.05; beyond it and noise it halts
+	CapacityReserve  float64 `json:"headroom"` // the remaining capacity must be at least 1+CapacityReserve times the load
+	SilentAfterMS    int64   `json:"silent"`   // a relay without a report for longer counts as unavailable
+	FlowHoldMS       int64   `json:"hold"`     // a relay without a report for longer has no flows left at excluded members
+	ViewMaxAgeMS     int64   `json:"fresh"`    // greatest age of a view when a command planned from it is applied
+	DrainTimeoutMS   int64   `json:"drain"`    // time allowed for a relay or member to drain
+	StartTimeoutMS   int64   `json:"start"`    // time allowed from the start of a relay or member until it serves
+	WarmupMS         int64   `json:"warm"`     // duration of a member's slow start
+	PermitWindowMS   int64   `json:"window"`   // time within which a granted permit must be begun, and the target of a begun one taken down
+	ClockDrift       float64 `json:"clock"`    // greatest relative error of a clock's rate, such as 0.01
+	DriftHaltMS      int64   `json:"drift"`    // View.Drift that lasts longer halts releases
+	ServiceTolerance float64 `json:"slack"`    // share of requests, such as 0.05, that a release may cost before it halts; noise is allowed on top
 }
 
-// Budget is how many may be out at once.
+// Budget limits how many relays or members may be out at once.
 type Budget struct {
-	Total   Limit `json:"whole"` // not set: 1
-	PerZone Limit `json:"zone"`  // of what is in the zone; not set: no bound but Total
+	Total   Limit `json:"whole"` // if not set: 1
+	PerZone Limit `json:"zone"`  // share of the zone, or a number per zone; if not set, only Total applies
 }
 
-// Limit is a number, or a share of all. The zero value is not set.
+// Limit is either a number or a share of a total. The zero value means that no limit is set.
 type Limit struct {
 	Count int     `json:"count,omitempty"`
 	Share float64 `json:"share,omitempty"`
 }
 
-// ParseLimit reads "25%" or "2".
+// ParseLimit parses a share such as "25%", above 0% and up to 100%, or a number from 1 such as "2".
 func ParseLimit(text string) (Limit, error) {
 	if number, ok := strings.CutSuffix(text, "%"); ok {
 		percent, err := strconv.ParseFloat(number, 64)
@@ -55,7 +55,7 @@
 
 func (l Limit) isSet() bool { return l.Count > 0 || l.Share > 0 }
 
-// resolve is how many of n. A share is rounded down: a quarter of three is none.
+// resolve returns the limit as a number out of n. A share is rounded down: a quarter of three is zero.
 func (l Limit) resolve(n int) int {
 	if l.Count > 0 {
 		return min(l.Count, n)
@@ -63,7 +63,7 @@
 	return int(math.Floor(l.Share*float64(n) + 1e-9))
 }
 
-// totalLimit is how many of n may be out at once.
+// totalLimit returns how many of n may be out at once in the whole fleet.
 func (b Budget) totalLimit(n int) int {
 	if !b.Total.isSet() {
 		return min(1, n)
@@ -71,7 +71,7 @@
 	return b.Total.resolve(n)
 }
 
-// zoneLimit is how many of n in one zone may be out at once.
+// zoneLimit returns how many of the n in one zone may be out at once.
 func (b Budget) zoneLimit(n int) int {
 	if !b.PerZone.isSet() {
 		return n
@@ -79,7 +79,8 @@
 	return b.PerZone.resolve(n)
 }
 
-// Unusable says which of the budgets can never let anything out in a fleet with so many relays and members by zone; "" if none.
+// Unusable returns which budgets can never let anything go out, given the numbers of relays and members
+// by zone, or "".
 func (b Budgets) Unusable(relays, members map[string]int) string {
 	var problems []string
 	for _, x := range []struct {
--- a/internal/rollout/defects.go
+++ b/internal/rollout/defects.go
@@ -1,17 +1,17 @@
 package rollout
 
-// defect is a fault that a test plants to see that its checks find it.
+// defect is a fault that tests switch on to check that the simulation's checks detect it.
 type defect string
 
 const (
 	defectNone                defect = ""
-	defectIgnoresFailures     defect = "no failures"
+	defectIgnoresFailures     defect = "ignores failures"
 	defectNoFencing           defect = "no fencing"
-	defectMapOrder            defect = "a map's order"
-	defectTrustsOwnReport     defect = "own word"
-	defectForgetsRevoked      defect = "half forgotten"
-	defectQuarantineUnbounded defect = "shut without budget"
+	defectMapOrder            defect = "map order"
+	defectTrustsOwnReport     defect = "trusts own report"
+	defectForgetsRevoked      defect = "forgets revoked units"
+	defectQuarantineUnbounded defect = "quarantine without budget"
 )
 
-// plantedDefect is always defectNone outside tests.
+// plantedDefect is the defect that is switched on. It is always defectNone outside tests.
 var plantedDefect = defectNone
--- a/internal/rollout/doc.go
+++ b/internal/rollout/doc.go
@@ -1,39 +1,42 @@
-// Package rollout decides what may leave a fleet, when and in which order: releases, drains, permits for outside requesters, ejections,
-// halts and rollbacks, and the quarantine of relays that have drifted.
+// Package rollout decides which relays and members of a fleet may go out of service, when and in
+// which order: releases, drains, permits for requesters outside the fleet, ejections, halts,
+// rollbacks, and the quarantine of relays that have drifted.
 //
-// State is replicated: it changes by commands alone, the same on every relay (State.Apply). State.Plan is the leader's: a pure function of the
-// state and the leader's view that says which commands to propose next. Both count what is out by the same code, so that a command that was
-// planned from an outdated state or view is rejected when it is applied. There is no I/O, no clock and no randomness in here;
-// times are milliseconds of wall clock that the caller passes in. docs/design/rollout.md gives the reasons.
+// The state is replicated. It changes only by commands, which have the same effect on every relay
+// (State.Apply). State.Plan runs on the leader: it is a pure function of the state and the leader's
+// view, and returns the commands to propose next. Plan and Apply share the code that counts what is
+// out, so a command planned from an outdated state or view is rejected when it is applied. The
+// package does no I/O and uses no clock and no randomness; times are wall-clock milliseconds passed
+// in by the caller. docs/design/rollout.md gives the reasons.
 package rollout
 
-// ExitOrderedRestart is the exit status of a relay that was ordered to leave: its host starts it again.
+// ExitOrderedRestart is the exit status of a relay that exits by a LeaveOrder: its host starts it again.
 const ExitOrderedRestart = 75
 
-// Bounds of what the state holds, whatever is requested.
+// Limits on the size of the state. Apply rejects commands that would exceed them.
 const (
-	MaxReleases      = 16   // an ended one makes way for a new one, the oldest first
+	MaxReleases      = 16   // to open one more, the oldest ended release with no unit out is dropped
 	MaxUnits         = 2048 // over all releases
 	MaxPermits       = 256
 	MaxEjections     = 1024
-	MaxNameBytes     = 128 // of a name, a program or a configuration
+	MaxNameBytes     = 128 // length of a name, program or configuration version
 	MaxReasonBytes   = 512
-	MaxGrantsPerStep = 64 // also of relays that are quarantined in one plan
+	MaxGrantsPerStep = 64 // also the most relays that one plan quarantines
 	MaxQuarantines   = 1024
 )
 
-// Kind is what a unit or permit is about.
+// Kind is the kind of target that a unit or permit refers to.
 type Kind string
 
-// Kinds of units. Permits are for relays and members alone.
+// Kinds of units. A permit is only for a relay or a member.
 const (
 	KindRelay     Kind = "relay"
 	KindMember    Kind = "member"
-	KindEject     Kind = "ban"   // a release of ejections: a member that it ejects
-	KindReinstate Kind = "allow" // the same: a member whose ejection it lifts
+	KindEject     Kind = "ban"   // in a release of ejections: a member to eject
+	KindReinstate Kind = "allow" // in a release of ejections: a member whose ejection is lifted
 )
 
-// budgetKind is the kind whose budget a unit of this kind draws on.
+// budgetKind returns the kind whose budget a unit of the given kind draws on.
 func budgetKind(kind Kind) Kind {
 	if kind == KindRelay {
 		return KindRelay
@@ -47,7 +50,7 @@
 	Zone string `json:"zone,omitempty"`
 }
 
-// findFirst is the first item that matches, or nil.
+// findFirst returns a pointer to the first item that matches, or nil.
 func findFirst[T any](list []T, match func(*T) bool) *T {
 	for i := range list {
 		if match(&list[i]) {
--- a/internal/rollout/ejection.go
+++ b/internal/rollout/ejection.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// Ejection keeps a member out of service by an operator's or a release's decision.
+// Ejection keeps a member out of service until an operator or a release lifts it. The commands "ban"
+// and "allow" and their answers call it a ban. Unlike a drain it leaves the member's flows in place.
 type Ejection struct {
 	Name      string `json:"name"`
 	Reason    string `json:"why,omitempty"`
@@ -14,7 +15,8 @@
 	Number    uint64 `json:"number"`
 }
 
-// changeEjections ejects or reinstates members for an operator. It draws on no budget and is never held back; what is ejected counts as lost.
+// changeEjections ejects or reinstates members for an operator. It is not limited by the budgets.
+// Ejected members count as unavailable.
 func (rec *record) changeEjections(at int64, c *Command) Result {
 	if len(c.Names) == 0 || len(c.Names) > MaxEjections {
 		return reject("no names, or over %d", MaxEjections)
@@ -40,7 +42,8 @@
 	return Result{}
 }
 
-// reinstateUnits ends the drain of a member, and accepts one that was stranded as it is: nothing else ever might.
+// reinstateUnits ends the drain of a member. It also accepts a stranded member of an ended release as it
+// is; otherwise the member might stay out for good.
 func (rec *record) reinstateUnits(at int64, name string) (changed bool) {
 	for r, u := range rec.units() {
 		switch {
@@ -68,7 +71,7 @@
 	return true
 }
 
-// findEjection is where a member's ejection is, or would be inserted.
+// findEjection returns the index of the member's ejection, or the index at which to insert it.
 func (rec *record) findEjection(name string) (index int, found bool) {
 	return slices.BinarySearchFunc(rec.Ejections, name, func(e Ejection, name string) int { return cmp.Compare(e.Name, name) })
 }
--- a/internal/rollout/orders.go
+++ b/internal/rollout/orders.go
@@ -1,22 +1,22 @@
 package rollout
 
-// Orders are what one relay is to do now.
+// Orders is what one relay is to do now.
 type Orders struct {
 	Leave      *LeaveOrder          `json:"leave,omitempty"`
-	Exclusions map[string]Exclusion `json:"out,omitempty"` // members that get no new flows
+	Exclusions map[string]Exclusion `json:"out,omitempty"` // by member; excluded members get no new flows
 	Quarantine *QuarantineOrder     `json:"shut,omitempty"`
 }
 
-// LeaveOrder is the order to drain, migrate the clients and exit with ExitOrderedRestart.
+// LeaveOrder orders a relay to drain, migrate its clients and exit with ExitOrderedRestart.
 type LeaveOrder struct {
 	Number      uint64 `json:"number"`
 	Release     string `json:"release"`
-	StartNumber uint64 `json:"start"`             // for the process with this start number or an earlier one; a later one ignores it
-	Program     string `json:"program,omitempty"` // to be started next
+	StartNumber uint64 `json:"start"`             // applies to processes with this start number or an earlier one
+	Program     string `json:"program,omitempty"` // version to start next, if the release names one
 	Config      string `json:"config,omitempty"`
 }
 
-// ExclusionReason is why a member gets no new flows.
+// ExclusionReason is why a member is excluded.
 type ExclusionReason string
 
 // Reasons of an exclusion.
@@ -25,23 +25,24 @@
 	ExcludedByDrain    ExclusionReason = "drain"
 )
 
-// Exclusion keeps new flows from a member.
+// Exclusion keeps new flows from a member. An ejection excludes the member until it is lifted; a
+// drain excludes it while its release unit is leaving or drained.
 type Exclusion struct {
 	Reason        ExclusionReason `json:"why"`
 	Number        uint64          `json:"number"`
 	Since         int64           `json:"since"`
-	MigrateOverMS int64           `json:"move_over,omitempty"` // its flows are migrated over this time; an ejection leaves them with 0
+	MigrateOverMS int64           `json:"move_over,omitempty"` // the member's flows are migrated over this time; 0 for an ejection, which leaves its flows in place
 }
 
-// QuarantineOrder is the order to take no clients, and to migrate those that are there.
+// QuarantineOrder orders a relay to take no new clients and to migrate those it has.
 type QuarantineOrder struct {
 	Number      uint64 `json:"number"`
 	Since       int64  `json:"since"`
 	Reason      string `json:"why"`
-	StartNumber uint64 `json:"start"` // of the process that drifted; a later one may ignore the order and is readmitted once it is seen
+	StartNumber uint64 `json:"start"` // of the process that drifted; a later process may ignore the order and is readmitted once it is seen
 }
 
-// Orders are what a relay is to do now.
+// Orders returns what a relay is to do now.
 func (s *State) Orders(relay string) Orders {
 	var orders Orders
 	exclude := func(member string, e Exclusion) {
--- a/internal/rollout/permit.go
+++ b/internal/rollout/permit.go
@@ -8,11 +8,11 @@
 
 const (
 	maxPermitDurationMS    = 7 * 24 * 3600 * 1000
-	permitRetryMS          = 1000               // the leader looks several times a second
-	permitRequestTimeoutMS = 30 * permitRetryMS // a waiting permit whose requester does not ask again is forgotten
+	permitRetryMS          = 1000               // the leader plans several times a second
+	permitRequestTimeoutMS = 30 * permitRetryMS // a waiting permit is dropped if its request is not repeated for longer
 )
 
-// PermitState is where a permit stands.
+// PermitState is the state of a permit.
 type PermitState string
 
 // States of a permit.
@@ -22,7 +22,8 @@
 	PermitBegun   PermitState = "begun"
 )
 
-// Permit lets an outside requester take one relay or member down for a while. It waits, is granted by the leader, and is begun by its holder.
+// Permit lets a requester outside the fleet take one relay or member down for a while. It waits until the
+// leader grants it; its holder then begins it.
 type Permit struct {
 	Number      uint64      `json:"number"`
 	Kind        Kind        `json:"kind"`
@@ -32,23 +33,25 @@
 	Reason      string      `json:"why,omitempty"`
 	DurationMS  int64       `json:"for"`
 	State       PermitState `json:"state"`
-	RequestedAt int64       `json:"asked"`            // last
-	StateSince  int64       `json:"at,omitempty"`     // granted, or begun
-	WindowMS    int64       `json:"window,omitempty"` // to begin in
-	ExpiresAt   int64       `json:"until,omitempty"`  // by the record's time: granted, not begun after it; begun, not taken down after it
+	RequestedAt int64       `json:"asked"`            // time of the latest request
+	StateSince  int64       `json:"at,omitempty"`     // when it was granted or begun
+	WindowMS    int64       `json:"window,omitempty"` // Budgets.PermitWindowMS when it was granted
+	ExpiresAt   int64       `json:"until,omitempty"`  // granted: latest time to begin; begun: latest time to take the target down; by the record's time
 	ReturnedAt  int64       `json:"given,omitempty"`
 	ClockDrift  float64     `json:"clock,omitempty"`
 }
 
-// inForce says that the permit's holder may take the thing down, now or once it has begun.
+// inForce reports whether the permit's target counts as out: its holder may take it down now or after
+// beginning the permit.
 func (p *Permit) inForce() bool { return p.State == PermitGranted || p.State == PermitBegun }
 
-// expired says that the permit was not begun in time, or that its requester is gone.
+// expired reports whether a granted permit was not begun in time, or a waiting one is no longer requested.
 func (p *Permit) expired(at int64) bool {
 	return p.State == PermitGranted && at > p.ExpiresAt || p.State == PermitWaiting && at-p.RequestedAt > permitRequestTimeoutMS
 }
 
-// requestPermit notes who wants a permit; the leader grants it. The same request by the same requester gets the same permit.
+// requestPermit stores a request for a permit, which the leader grants later. A repeated request by the
+// same requester for the same target gets the same permit.
 func (rec *record) requestPermit(at int64, c *Command) Result {
 	if c.TargetKind != KindRelay && c.TargetKind != KindMember || c.Name == "" || c.DurationMS <= 0 || c.DurationMS > maxPermitDurationMS {
 		return reject("a permit is for a relay or a member, by name, for up to %d ms", maxPermitDurationMS)
@@ -57,7 +60,7 @@
 		return rec.repeatPermitRequest(at, c, p)
 	}
 	if len(rec.Permits) >= MaxPermits {
-		return reject("%d permits are asked for or in force", MaxPermits)
+		return reject("%d permits are asked for or in force", MaxPermits) // the limit on permits is reached
 	}
 	rec.Permits = append(rec.Permits, Permit{Number: rec.nextNumber(), Kind: c.TargetKind, Name: c.Name, Holder: c.Requester, Reason: c.Reason,
 		DurationMS: c.DurationMS, State: PermitWaiting, RequestedAt: at})
@@ -65,7 +68,7 @@
 	return Result{State: string(PermitWaiting), Number: p.Number, RetryAfterMS: permitRetryMS, Reason: rec.permitWaitReason(p)}
 }
 
-// repeatPermitRequest answers a request for a thing that has a permit.
+// repeatPermitRequest answers a request for a target that already has a permit.
 func (rec *record) repeatPermitRequest(at int64, c *Command, p *Permit) Result {
 	if p.Holder != c.Requester {
 		return Result{State: string(PermitWaiting), RetryAfterMS: permitRetryMS, Reason: fmt.Sprintf("%s holds permit %d for it", p.Holder, p.Number)}
@@ -82,7 +85,8 @@
 	return result
 }
 
-// permitWaitReason says why a permit waits, as far as the record knows: what is out by plan, and how many permits wait before it.
+// permitWaitReason returns why a permit waits, as far as the record shows: what is out by plan, and how
+// many permits for the same kind wait ahead of it.
 func (rec *record) permitWaitReason(p *Permit) string {
 	out := rec.plannedOut(p.Kind)
 	var names []string
@@ -100,7 +104,7 @@
 	return fmt.Sprintf("out by plan: %d %v; waiting before it: %d", len(out), names, ahead)
 }
 
-// beginPermit starts a granted permit. It goes by number, so that an outdated call does nothing.
+// beginPermit begins a granted permit. It takes the permit's number, so that an outdated call has no effect.
 func (rec *record) beginPermit(at int64, c *Command) Result {
 	p := rec.findPermit(c.PermitNumber)
 	switch {
@@ -117,7 +121,8 @@
 	return Result{Number: p.Number, State: string(p.State)}
 }
 
-// returnPermit ends a permit that was not begun. One that was begun stays until others see the thing in full service.
+// returnPermit ends a permit that was not begun. A begun permit stays until others see its target in full
+// service. The state "given" in the answer means returned.
 func (rec *record) returnPermit(at int64, c *Command) Result {
 	p := rec.findPermit(c.PermitNumber)
 	switch {
@@ -143,16 +148,16 @@
 	rec.Permits = slices.DeleteFunc(rec.Permits, func(p Permit) bool { return p.Number == number })
 }
 
-// expirePermits forgets permits whose time is over, or whose requester is gone.
+// expirePermits removes those of the given permits that have expired.
 func (rec *record) expirePermits(at int64, c *Command) Result {
 	n := len(rec.Permits)
 	rec.Permits = slices.DeleteFunc(rec.Permits, func(p Permit) bool { return slices.Contains(c.PermitNumbers, p.Number) && p.expired(at) })
 	if len(rec.Permits) == n {
-		return reject("none of these is void")
+		return reject("none of these is void") // none of the given permits has expired
 	}
 	rec.Version++
 	return Result{}
 }
 
-// onSlowestClock is a duration as the slowest clock would count it.
+// onSlowestClock returns how much time may really pass while the slowest allowed clock counts ms.
 func onSlowestClock(ms int64, drift float64) int64 { return ms + int64(math.Ceil(float64(ms)*drift)) }
--- a/internal/rollout/quarantine.go
+++ b/internal/rollout/quarantine.go
@@ -21,7 +21,7 @@
 // quarantine takes a drifted relay out of service, within the budget: drift at half of the fleet must not empty it.
 func (rec *record) quarantine(at int64, c *Command) Result {
 	if c.ViewSummary == nil || c.Name == "" || len(c.Zone) > MaxNameBytes {
-		return reject("who is shut has a name and a zone, and what it was reckoned from")
+		return reject("who is shut has a name and a zone, and what it was reckoned from") // no name, no ViewSummary, or a zone too long
 	}
 	if reason := rec.stalePlanReason(at, c); reason != "" {
 		return reject("%s", reason)
--- a/internal/rollout/release.go
+++ b/internal/rollout/release.go
@@ -5,23 +5,24 @@
 	"slices"
 )
 
-// ReleaseSpec is what an operator wants to release.
+// ReleaseSpec describes a release as the operator requests it.
 type ReleaseSpec struct {
 	Kind       Kind     `json:"kind"`            // KindRelay, KindMember, or KindEject for a release of ejections (Eject and Reinstate)
 	Drain      bool     `json:"drain,omitempty"` // members stay out until the release is rolled back
 	All        bool     `json:"all,omitempty"`
-	Zones      []string `json:"zones,omitempty"` // all of these zones
+	Zones      []string `json:"zones,omitempty"` // selects every relay or member in these zones
 	Names      []string `json:"names,omitempty"`
-	Program    string   `json:"program,omitempty"` // that a unit is to report when it is back
+	Program    string   `json:"program,omitempty"` // the program version that an updated unit reports
 	Config     string   `json:"config,omitempty"`
 	Eject      []string `json:"ban,omitempty"`
 	Reinstate  []string `json:"allow,omitempty"`
-	Queue      bool     `json:"wait,omitempty"` // behind a release that overlaps; without it an overlap is an error
-	FirstAlone bool     `json:"lone,omitempty"` // the first unit goes alone, and has to be back before the next
+	Queue      bool     `json:"wait,omitempty"` // wait for an overlapping release to end; if false, an overlap is an error
+	FirstAlone bool     `json:"lone,omitempty"` // the first unit goes out alone and must be back before the next one
 	ZoneByZone bool     `json:"zonal,omitempty"`
 }
 
-// invalidReason says why a spec cannot be released; "" if it can.
+// invalidReason returns why the spec is invalid, or "". The text is the answer to the operator's
+// command. It calls ejections bans, after the keys "ban" and "allow".
 func (spec *ReleaseSpec) invalidReason() string {
 	targets := len(spec.Names)
 	if spec.Kind == KindEject {
@@ -36,7 +37,7 @@
 	case spec.Kind != KindRelay && spec.Kind != KindMember && spec.Kind != KindEject:
 		return "a release is of relays, members or bans"
 	case targets == 0 && len(spec.Zones) == 0 && !spec.All:
-		return "it names nothing"
+		return "it names nothing" // no name, no zone and not all
 	case targets+len(spec.Zones) > MaxUnits:
 		return fmt.Sprintf("over %d things", MaxUnits)
 	case len(spec.Program) > MaxNameBytes || len(spec.Config) > MaxNameBytes:
@@ -57,12 +58,13 @@
 	return ""
 }
 
-// selects says whether the spec is about a relay or member.
+// selects reports whether the spec selects a relay or member of the given name and zone.
 func (spec *ReleaseSpec) selects(name, zone string) bool {
 	return spec.All || slices.Contains(spec.Names, name) || slices.Contains(spec.Zones, zone)
 }
 
-// overlaps says whether two specs may touch the same relays or members. One that selects all, or zones, may touch any.
+// overlaps reports whether two specs may select the same relays or members. A spec that selects all
+// or whole zones may overlap with any spec of its kind.
 func (spec *ReleaseSpec) overlaps(other *ReleaseSpec) bool {
 	if budgetKind(spec.Kind) != budgetKind(other.Kind) {
 		return false
@@ -74,12 +76,12 @@
 	return slices.ContainsFunc(slices.Concat(other.Names, other.Eject, other.Reinstate), func(name string) bool { return slices.Contains(names, name) })
 }
 
-// ReleaseState is where a release stands.
+// ReleaseState is the state of a release.
 type ReleaseState string
 
 // States of a release.
 const (
-	ReleaseQueued      ReleaseState = "queued" // behind another, or its units are not set yet
+	ReleaseQueued      ReleaseState = "queued" // queued behind another release, or its units are not set yet
 	ReleaseRunning     ReleaseState = "running"
 	ReleaseHalted      ReleaseState = "halted"
 	ReleaseRollingBack ReleaseState = "backing"
@@ -87,11 +89,11 @@
 	ReleaseRolledBack  ReleaseState = "back"
 )
 
-// ReleaseStatus is a release as operators see it.
+// ReleaseStatus is the status of a release as shown to operators.
 type ReleaseStatus struct {
 	Name         string       `json:"name"`
 	State        ReleaseState `json:"state"`
-	RollingBack  bool         `json:"backing,omitempty"` // its direction, also while it is halted
+	RollingBack  bool         `json:"backing,omitempty"` // its direction, kept while it is halted
 	Spec         ReleaseSpec  `json:"wish"`
 	OpenedBy     string       `json:"by"`
 	OpenedAt     int64        `json:"opened"`
@@ -110,7 +112,7 @@
 	Done    int `json:"done"`
 }
 
-// HaltInfo is why a release halted.
+// HaltInfo describes a halt of a release.
 type HaltInfo struct {
 	Cause         Cause  `json:"cause"`
 	Reason        string `json:"why,omitempty"`
@@ -123,11 +125,11 @@
 type release struct {
 	ReleaseStatus
 	UnitsSet   bool  `json:"laid,omitempty"`
-	UnitsSetAt int64 `json:"since,omitempty"`   // the service after it is compared with the baseline
-	ResumedAt  int64 `json:"resumed,omitempty"` // overdue counts from here
+	UnitsSetAt int64 `json:"since,omitempty"`   // service windows after this time are compared with the baseline
+	ResumedAt  int64 `json:"resumed,omitempty"` // a unit is overdue relative to this time or its order, whichever is later
 	ProgressAt int64 `json:"moved,omitempty"`
 	serviceBaseline
-	HaltCauses []Cause `json:"causes,omitempty"` // of its halts by the leader so far
+	HaltCauses []Cause `json:"causes,omitempty"` // distinct causes for which the leader has halted it
 }
 
 func (r *release) findUnit(name string) *Unit {
@@ -140,10 +142,11 @@
 	return slices.ContainsFunc(r.Units, func(u Unit) bool { return u.isOut() })
 }
 
-// activeSince is from when an overdue unit or a stalled release is counted.
+// activeSince returns the time from which the release counts as stalled, or a unit waiting for its
+// revert as overdue.
 func (r *release) activeSince() int64 { return max(r.ProgressAt, r.ResumedAt) }
 
-// activeState is the state of a release that is not halted.
+// activeState returns the state that the release has when it is not halted.
 func (r *release) activeState() ReleaseState {
 	switch {
 	case r.RollingBack:
@@ -154,19 +157,19 @@
 	return ReleaseRunning
 }
 
-// restart makes a release go on from now, in the direction that it has.
+// restart lets a halted or ended release continue in its current direction.
 func (r *release) restart(at int64) {
 	r.Halt, r.ResumedAt, r.ProgressAt = nil, at, at
 	r.State = r.activeState()
 }
 
-// rollBack sends a release back, or on its way back again.
+// rollBack starts a rollback, or restarts one that is halted or ended.
 func (r *release) rollBack(at int64) {
 	r.RollingBack, r.EndedAt = true, 0
 	r.restart(at)
 }
 
-// finished says that a release has nothing left to do.
+// finished reports whether an active release has no unit left to process.
 func (r *release) finished() bool {
 	switch r.State {
 	case ReleaseRunning:
@@ -185,7 +188,8 @@
 	return u.Stranded || !u.isOut() && !(u.Phase == PhaseDone && r.revertible(u))
 }
 
-// grantable says whether a unit may go out: for the update, or to be reverted.
+// grantable reports whether the release's state and the unit's phase allow the unit to go out, to be
+// updated or to be reverted.
 func (r *release) grantable(u *Unit) bool {
 	switch r.State {
 	case ReleaseRunning:
@@ -196,14 +200,16 @@
 	return false
 }
 
-// revertible says whether an updated unit can go back to what it was. A relay's bare restart cannot.
+// revertible reports whether an updated unit can go back to its previous version. A relay that was
+// only restarted cannot.
 func (r *release) revertible(u *Unit) bool {
 	if !u.Updated || r.Spec.Drain {
 		return false
 	}
 	switch u.Kind {
 	case KindRelay:
-		changed := func(now, previous string) bool { return now != "" && previous != "" && now != previous } // what it ran may not be known
+		// The previous version is "" if the relay had not reported it when the units were set.
+		changed := func(now, previous string) bool { return now != "" && previous != "" && now != previous }
 		return changed(r.Spec.Program, u.PreviousProgram) || changed(r.Spec.Config, u.PreviousConfig)
 	case KindEject:
 		return !u.PreviouslyEjected
@@ -213,7 +219,8 @@
 	return true
 }
 
-// targetVersion is the program and configuration that a unit is to come back with; "" for any.
+// targetVersion returns the program and configuration version that the unit must come back with; ""
+// matches any version.
 func (r *release) targetVersion(u *Unit) (program, config string) {
 	switch {
 	case !u.Reverting:
@@ -228,8 +235,9 @@
 	return "", ""
 }
 
-// revokeOrders takes back what can be: a relay that has not begun to exit, a member that is not drained. They count as out until they are
-// seen to be in service.
+// revokeOrders revokes the orders of relays and members that are still leaving: a relay that has not
+// begun to exit stays, and so does a member that is not drained. They count as out until they are
+// seen in service.
 func (r *release) revokeOrders(version uint64) {
 	for i := range r.Units {
 		if u := &r.Units[i]; u.Phase == PhaseLeaving && (u.Kind == KindRelay || u.Kind == KindMember) {
@@ -242,7 +250,7 @@
 	}
 }
 
-// status is the release as operators see it; it shares nothing with the record.
+// status returns the release's status as shown to operators. It shares no memory with the record.
 func (r *release) status() ReleaseStatus {
 	status := r.ReleaseStatus
 	status.Units = slices.Clone(status.Units)
--- a/internal/rollout/state.go
+++ b/internal/rollout/state.go
@@ -8,43 +8,46 @@
 	"slices"
 )
 
-// State is what the fleet has agreed on. Made by New or Decode.
+// State is the replicated rollout state. New and Decode create one.
 type State struct{ record record }
 
-// record is the state as it is encoded.
+// record is the encoded form of the state.
 type record struct {
 	Version           uint64       `json:"version"` // rises with every change of what is out or ordered
 	Time              int64        `json:"at"`
-	LastNumber        uint64       `json:"number"` // the last given to an order, an ejection, a quarantine or a permit
+	LastNumber        uint64       `json:"number"` // last number given to an order, ejection, quarantine or permit
 	Releases          []release    `json:"releases,omitempty"`
 	Permits           []Permit     `json:"permits,omitempty"`
-	Ejections         []Ejection   `json:"bans,omitempty"` // by name
+	Ejections         []Ejection   `json:"bans,omitempty"` // sorted by name
 	Quarantines       []Quarantine `json:"shuts,omitempty"`
-	RelayDurationsMS  []int64      `json:"relays,omitempty"` // that the last units were out
+	RelayDurationsMS  []int64      `json:"relays,omitempty"` // how long each of the last relays was out
 	MemberDurationsMS []int64      `json:"members,omitempty"`
 }
 
-// maxDurations is how many durations of each kind are remembered.
+// maxDurations is how many of the latest durations are stored for relays and for members each.
 const maxDurations = 32
 
+// errStateTooLarge reports a decoded state that exceeds one of the limits MaxReleases, MaxUnits,
+// MaxPermits, MaxEjections or MaxQuarantines. Its text is part of the error that Decode returns to
+// the restore of a snapshot.
 var errStateTooLarge = errors.New("beyond its bounds")
 
-// New is a state in which nothing was agreed.
+// New returns an empty state.
 func New() *State { return &State{} }
 
-// Version rises with every change of what is out or ordered.
+// Version returns the state's version, which rises with every change of what is out or ordered.
 func (s *State) Version() uint64 { return s.record.Version }
 
-// Encode is the whole state.
+// Encode returns the whole state as JSON.
 func (s *State) Encode() []byte {
 	b, err := json.Marshal(s.record)
 	if err != nil {
-		panic(err) // only a float that is no number, and Apply lets none in
+		panic(err) // only NaN or an infinity cannot be encoded, and Apply lets neither in
 	}
 	return b
 }
 
-// Decode is the reverse of Encode. A state beyond the bounds is an error.
+// Decode decodes the output of Encode. It returns an error if the state exceeds its limits.
 func Decode(b []byte) (*State, error) {
 	s := New()
 	if err := json.Unmarshal(b, &s.record); err != nil {
@@ -61,7 +64,7 @@
 	return s, nil
 }
 
-// Releases are all that the state holds, in the order in which they were opened.
+// Releases returns the status of all releases in the state, in the order in which they were opened.
 func (s *State) Releases() []ReleaseStatus {
 	var list []ReleaseStatus
 	for i := range s.record.Releases {
@@ -70,7 +73,7 @@
 	return list
 }
 
-// Release is one of them.
+// Release returns the status of the named release, and whether there is one.
 func (s *State) Release(name string) (ReleaseStatus, bool) {
 	if r := s.record.findRelease(name); r != nil {
 		return r.status(), true
@@ -78,18 +81,18 @@
 	return ReleaseStatus{}, false
 }
 
-// Permits are those that wait or are in force, the oldest first.
+// Permits returns the permits that wait or are in force, oldest first.
 func (s *State) Permits() []Permit { return slices.Clone(s.record.Permits) }
 
-// Ejections are all that are in force, by name.
+// Ejections returns all ejections in force, sorted by name.
 func (s *State) Ejections() []Ejection { return slices.Clone(s.record.Ejections) }
 
-// Quarantines are the relays that are quarantined and not readmitted.
+// Quarantines returns the quarantines of relays that have not been readmitted.
 func (s *State) Quarantines() []Quarantine {
 	return slices.DeleteFunc(slices.Clone(s.record.Quarantines), func(q Quarantine) bool { return q.ReadmittedVersion != 0 })
 }
 
-// clone shares nothing that a command changes.
+// clone returns a copy that shares no memory that a command changes.
 func (rec *record) clone() record {
 	c := *rec
 	c.Releases, c.Permits, c.Ejections = slices.Clone(rec.Releases), slices.Clone(rec.Permits), slices.Clone(rec.Ejections)
@@ -106,7 +109,7 @@
 	return c
 }
 
-// units are the units of all releases, in order.
+// units iterates over the units of all releases, in order.
 func (rec *record) units() iter.Seq2[*release, *Unit] {
 	return func(yield func(*release, *Unit) bool) {
 		for i := range rec.Releases {
@@ -132,7 +135,7 @@
 	return findFirst(rec.Quarantines, func(q *Quarantine) bool { return q.Name == relay })
 }
 
-// nextNumber is the number of a new order, ejection, quarantine or permit.
+// nextNumber returns the number for a new order, ejection, quarantine or permit.
 func (rec *record) nextNumber() uint64 {
 	rec.LastNumber++
 	return rec.LastNumber
--- a/internal/rollout/unit.go
+++ b/internal/rollout/unit.go
@@ -2,18 +2,18 @@
 
 import "cmp"
 
-// Phase is where a unit stands.
+// Phase is the progress of a unit within its release.
 type Phase string
 
 // Phases of a unit.
 const (
-	PhasePending  Phase = ""        // not touched, or as it was before the release
+	PhasePending  Phase = ""        // not ordered to leave yet, or back as it was before the release
 	PhaseLeaving  Phase = "out"     // ordered to leave
 	PhaseDrained  Phase = "empty"   // a member at which no relay has a flow: its owner may replace it
 	PhaseReplaced Phase = "coming"  // a member that was replaced and is not yet in full service
-	PhaseRevoked  Phase = "revoked" // its order was taken back; out until it is seen in service
+	PhaseRevoked  Phase = "revoked" // its order was revoked; counts as out until it is seen in service
 	PhaseDone     Phase = "done"
-	PhaseMissing  Phase = "missing" // was not in the view any more
+	PhaseMissing  Phase = "missing" // not in the leader's view any more
 )
 
 // Unit is one relay or member of a release.
@@ -21,31 +21,34 @@
 	Name              string  `json:"name"`
 	Zone              string  `json:"zone,omitempty"`
 	Kind              Kind    `json:"kind"`
-	Capacity          float64 `json:"size,omitempty"`    // when the units were set
+	Capacity          float64 `json:"size,omitempty"`    // when the release's units were set
 	PreviousProgram   string  `json:"program,omitempty"` // before the release
 	PreviousConfig    string  `json:"config,omitempty"`
 	PreviouslyEjected bool    `json:"banned,omitempty"`
-	Successor         string  `json:"now,omitempty"` // the name of what replaced it, if it is another
+	Successor         string  `json:"now,omitempty"` // name of the member that replaced it, if the name differs
 	Phase             Phase   `json:"phase,omitempty"`
-	Updated           bool    `json:"got,omitempty"`      // it has what the release brings
-	Reverting         bool    `json:"undo,omitempty"`     // it is out to go back to what it was
-	Stranded          bool    `json:"stranded,omitempty"` // it did not come back in time while the release rolled back; out until it is seen
-	OrderNumber       uint64  `json:"number,omitempty"`
-	OrderVersion      uint64  `json:"order,omitempty"` // the state's version that changed its orders last
-	OrderedAt         int64   `json:"at,omitempty"`
-	SeenStart         int64   `json:"start,omitempty"` // the start number or time that was seen when it was ordered, or drained
-	MigrateOverMS     int64   `json:"move_over,omitempty"`
+	Updated           bool    `json:"got,omitempty"`  // it has what the release brings
+	Reverting         bool    `json:"undo,omitempty"` // it is out in order to be reverted
+	// Stranded is set if the unit did not come back, or could not be granted, in time during a rollback.
+	// A stranded unit that is out counts as out until it is seen in service.
+	Stranded      bool   `json:"stranded,omitempty"`
+	OrderNumber   uint64 `json:"number,omitempty"`
+	OrderVersion  uint64 `json:"order,omitempty"` // the state's version that last changed the unit's order
+	OrderedAt     int64  `json:"at,omitempty"`
+	SeenStart     int64  `json:"start,omitempty"` // relay: start number when ordered; member: start time when ordered or drained
+	MigrateOverMS int64  `json:"move_over,omitempty"`
 }
 
-// currentName is the name of its successor, or its own.
+// currentName returns the name of the unit's successor, or its own if there is none.
 func (u *Unit) currentName() string { return cmp.Or(u.Successor, u.Name) }
 
-// isOut says whether it counts as out by plan.
+// isOut reports whether the unit counts as out by plan.
 func (u *Unit) isOut() bool {
 	return u.Phase == PhaseLeaving || u.Phase == PhaseDrained || u.Phase == PhaseReplaced || u.Phase == PhaseRevoked
 }
 
-// ejectionChange is what granting the unit does to the ejections: 1 ejects, -1 reinstates, 0 for relays and members. Its revert is the reverse.
+// ejectionChange returns what granting the unit does to the ejections: 1 ejects the member, -1
+// reinstates it, 0 for relays and members. Granting an updated unit (a revert) does the opposite.
 func (u *Unit) ejectionChange() int {
 	switch {
 	case u.Kind == KindEject && !u.Updated, u.Kind == KindReinstate && u.Updated:
@@ -56,12 +59,12 @@
 	return 0
 }
 
-// cancelDrain ends the drain of a member that was to stay out, and says whether there was one.
+// cancelDrain ends the unit's part in a drain, and reports whether it took part in one.
 func (u *Unit) cancelDrain(r *release, version uint64) bool {
 	if !r.Spec.Drain || u.Kind != KindMember || u.Phase == PhasePending || u.Phase == PhaseRevoked || u.Phase == PhaseMissing {
 		return false
 	}
-	if u.Phase == PhaseDone { // it is not even there
+	if u.Phase == PhaseDone { // the drained member is not in the view any more
 		u.Phase, u.Updated = PhasePending, false
 		return true
 	}
