--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// planner is one look of the leader at the state and its view.
+// planner plans one set of commands from the state and the leader's view.
 type planner struct {
 	record     *record
 	now        int64
@@ -14,18 +14,24 @@
 	budgets    Budgets
 	relays     map[string]*Relay
 	members    map[string]*Member
-	observed   map[unitKey]bool // units whose progress this look has observed
-	claimed    map[string]bool  // names of units and their successors: no new member by that name is another unit's successor
+	observed   map[unitKey]bool // units for which this plan has an observation
+	claimed    map[string]bool  // names of all units and their successors; a member with such a name cannot become another unit's successor
 	allowances map[Kind]*allowance
 }
 
 type unitKey struct{ release, unit string }
 
-// Plan says what to propose next, in this order: the same few commands for the same state and view. What others saw comes first; then a halt
-// (a successor that is not yet known as one would count as a member in slow start, beside the drained one); then who is readmitted and who is
-// quarantined; then what goes out. Each command is planned as if those before it were agreed, and names the version that they make: if one of
-// them is not, the rest is rejected and the next look plans anew. A relay that never reported must have the view's age as ReportAgeMS: with
-// less nothing of it would ever be overdue.
+// Plan returns the commands to propose next, in order. It returns the same commands for the same state
+// and view.
+//
+// Observations come first. A halt follows; if it came before, a successor not yet recorded would count
+// as a member in slow start in addition to the drained member that it replaces. Then come expired
+// permits, readmissions and quarantines, and last the step with the grants. Each command is planned as
+// if those before it were applied, and names the version that they produce. If one of them is not
+// applied, the rest is rejected and the next call plans again.
+//
+// For a relay that never reported, ReportAgeMS must be the age of the view. With a smaller value the relay
+// would count as holding flows forever, and members would never count as drained.
 func (s *State) Plan(now int64, v View, b Budgets) []Command {
 	p := s.record.newPlanner(now, v, b)
 	next := State{s.record.clone()}
@@ -75,7 +81,8 @@
 	return nil
 }
 
-// BlockReasons says, by release, why nothing of it may go out now, where nothing is out. For operators, at the leader.
+// BlockReasons returns, for each release that has no unit out and may not let one out now, the reason.
+// The leader shows it to operators.
 func (s *State) BlockReasons(now int64, v View, b Budgets) map[string]string {
 	_, reasons := s.record.newPlanner(now, v, b).stepCommand()
 	return reasons
@@ -100,7 +107,7 @@
 	return p
 }
 
-// resetAllowances forgets what this look has reserved.
+// resetAllowances drops the reservations that this plan has made so far.
 func (p *planner) resetAllowances() {
 	p.allowances = map[Kind]*allowance{
 		KindRelay:  p.record.allowance(KindRelay, p.record.summarizeRelays(&p.view, p.budgets), p.budgets),
@@ -108,18 +115,18 @@
 	}
 }
 
-// allowanceFor is the allowance that a unit of a kind draws on.
+// allowanceFor returns the allowance that a unit of the given kind draws on.
 func (p *planner) allowanceFor(kind Kind) *allowance { return p.allowances[budgetKind(kind)] }
 
-// isGranted says whether a unit's relay or member is out by a grant.
+// isGranted reports whether the unit's relay or member is out by a grant.
 func (p *planner) isGranted(u *Unit) bool { return p.allowanceFor(u.Kind).granted[u.currentName()] }
 
-// viewSummary is what a command rests on that lets something out.
+// viewSummary returns the summary of the view for a command that takes something out of service.
 func (p *planner) viewSummary() *ViewSummary {
 	return &ViewSummary{At: p.view.At, Budgets: p.budgets, Relays: p.allowances[KindRelay].summary, Members: p.allowances[KindMember].summary}
 }
 
-// present says whether a unit's relay or member is in the view.
+// present reports whether the unit's relay or member is in the view.
 func (p *planner) present(u *Unit) bool {
 	if u.Kind == KindRelay {
 		return p.relays[u.Name] != nil
@@ -127,10 +134,11 @@
 	return p.members[u.currentName()] != nil
 }
 
-// overdue says that a unit is out for longer than its kind takes; of one that is to be reverted, that it could not be granted for so long.
+// overdue reports whether a unit has been out for longer than maxOutMS, or a unit that is to be reverted
+// could not be granted for that long.
 func (p *planner) overdue(r *release, u *Unit) bool {
 	if !u.isOut() {
-		unavailable := !p.present(u) || p.isGranted(u) // by another release or a permit
+		unavailable := !p.present(u) || p.isGranted(u) // granted by another release or a permit
 		return r.State == ReleaseRollingBack && u.Phase == PhaseDone && r.revertible(u) && unavailable &&
 			p.now-r.activeSince() > p.record.maxOutMS(u.Kind, p.budgets)
 	}
@@ -140,7 +148,7 @@
 	return p.now-max(u.OrderedAt, r.ResumedAt) > p.record.maxOutMS(u.Kind, p.budgets)
 }
 
-// usableCapacity is what is lost to the rest when a unit goes out: nothing, if it is lost already.
+// usableCapacity returns the capacity that is lost when the unit goes out: 0 if it is unavailable already.
 func (p *planner) usableCapacity(u *Unit) float64 {
 	if u.Kind == KindRelay {
 		q := p.record.findQuarantine(u.Name)
@@ -166,7 +174,8 @@
 	return numbers
 }
 
-// readmissions are for the relays that need not be quarantined any more. One that is silent may be as it was.
+// readmissions returns the commands that readmit relays that need not be quarantined any more. A silent
+// relay stays quarantined, since its drift may not have ended.
 func (p *planner) readmissions() []Command {
 	var commands []Command
 	for i := range p.record.Quarantines {
@@ -179,7 +188,7 @@
 			cause = readmitGone
 		case r.StartNumber > q.StartNumber:
 			cause = readmitRestarted
-		case !unfit && p.now-q.Since >= p.budgets.SilentAfterMS: // drift that comes and goes must not move it in and out at each look
+		case !unfit && p.now-q.Since >= p.budgets.SilentAfterMS: // intermittent drift must not quarantine and readmit it with every plan
 			cause = readmitFit
 		}
 		if cause != "" {
@@ -189,7 +198,7 @@
 	return commands
 }
 
-// quarantines are for the relays that drifted, the worst first, as far as the budget allows.
+// quarantines returns the commands that quarantine drifted relays, worst first, as far as the budget allows.
 func (p *planner) quarantines() []Command {
 	if p.now-p.view.At > p.budgets.ViewMaxAgeMS {
 		return nil
--- a/internal/rollout/plan_halt.go
+++ b/internal/rollout/plan_halt.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// haltCommand halts the first release that has a cause to.
+// haltCommand returns the command that halts the first release with a cause to halt, or nil.
 func (p *planner) haltCommand(stalled map[string]string) *Command {
 	for i := range p.record.Releases {
 		r := &p.record.Releases[i]
@@ -17,8 +17,9 @@
 	return nil
 }
 
-// haltCause is why a release is to halt; "" if it is not. One that rolls back halts only where nothing of it can go: what is bad about the fleet
-// then may be what it reverts.
+// haltCause returns why a release must halt; the cause is "" if it need not. A release that rolls back
+// halts only if it is stalled, because what degrades the fleet may be what it reverts. Verdict means that
+// View.Degraded applies to the release.
 func (p *planner) haltCause(r *release, verdict bool, stalled map[string]string) (cause Cause, reason string) {
 	if !r.RollingBack {
 		cause, reason = p.forwardHaltCause(r, verdict)
@@ -50,8 +51,9 @@
 	return "", ""
 }
 
-// resumeCommand resumes the first release whose halt's cause is gone, if that needs no operator. A cause has to be gone for as long as a silence
-// takes to be one.
+// resumeCommand returns the command that resumes the first halted release whose cause of the halt no
+// longer applies, unless only an operator may resume it. No release resumes within SilentAfterMS of its
+// halt: failures that go on are seen by then.
 func (p *planner) resumeCommand() *Command {
 	for i := range p.record.Releases {
 		r := &p.record.Releases[i]
@@ -81,12 +83,12 @@
 	return false
 }
 
-// hasUnitReturning says whether a unit is out that is to come back.
+// hasUnitReturning reports whether a unit is out that is expected to come back.
 func (r *release) hasUnitReturning() bool {
 	return findFirst(r.Units, func(u *Unit) bool { return u.isOut() && !(r.Spec.Drain && u.Phase == PhaseDrained) }) != nil
 }
 
-// canGrant says whether a halted release could let something out if it went on.
+// canGrant reports whether a halted release could let a unit out if it were resumed.
 func (p *planner) canGrant(r *release) bool {
 	resumed := *r
 	resumed.State = resumed.activeState()
--- a/internal/rollout/plan_observe.go
+++ b/internal/rollout/plan_observe.go
@@ -2,7 +2,7 @@
 
 import "cmp"
 
-// observations are what others see of units, permits and readmitted relays that the state does not know yet.
+// observations returns the progress in the view that the state does not record yet.
 func (p *planner) observations() []Observation {
 	var list []Observation
 	for r, u := range p.record.units() {
@@ -33,33 +33,33 @@
 	return list
 }
 
-// observeReadmitted says whether a readmitted relay serves, or needs no tracking any more.
+// observeReadmitted returns whether a readmitted relay is seen to serve, or needs no more tracking.
 func (p *planner) observeReadmitted(q *Quarantine) (Observation, bool) {
 	r := p.relays[q.Name]
 	switch _, unfit := p.view.Unfit[q.Name]; {
 	case q.ReadmittedVersion == 0:
 	case r == nil || q.InService && r.reporting(p.budgets) && (!unfit || r.StartNumber > q.StartNumber):
 		return Observation{Quarantine: q.Number, Phase: PhaseMissing}, true
-	case !q.InService && r.healthy(p.budgets) && r.AppliedVersion >= q.ReadmittedVersion: // before that it may yet follow the old order
+	case !q.InService && r.healthy(p.budgets) && r.AppliedVersion >= q.ReadmittedVersion: // with an older version it may still apply the quarantine order
 		return Observation{Quarantine: q.Number, Phase: PhaseDone}, true
 	}
 	return Observation{}, false
 }
 
-// observeUnit says whether a unit has progressed, and to which phase.
+// observeUnit returns the next phase of a unit, and whether it has progressed to it.
 func (p *planner) observeUnit(r *release, u *Unit) (Observation, bool) {
 	if u.Kind == KindEject || u.Kind == KindReinstate {
 		return Observation{Phase: PhaseDone}, u.Phase == PhaseLeaving && p.appliedEverywhere(u.OrderVersion)
 	}
 	if u.Phase == PhasePending && r.State == ReleaseRunning && !p.present(u) && p.onlyMissingLeft(r) && !p.isGranted(u) &&
-		p.now-r.activeSince() > p.budgets.StartTimeoutMS+p.budgets.SilentAfterMS { // longer than a crashed one takes to return
+		p.now-r.activeSince() > p.budgets.StartTimeoutMS+p.budgets.SilentAfterMS { // longer than a crashed unit takes to return
 		return Observation{Phase: PhaseMissing}, true
 	}
 	if u.Phase == PhaseDone && u.Stranded {
 		return Observation{Phase: PhasePending}, p.present(u) && !p.isGranted(u)
 	}
 	if u.Stranded && u.isOut() && r.ended() && !p.present(u) {
-		return Observation{Phase: PhaseMissing}, true // nobody knows of it any more
+		return Observation{Phase: PhaseMissing}, true // it is not expected back
 	}
 	if u.Phase == PhaseDone && r.Spec.Drain && u.Kind == KindMember {
 		return Observation{Phase: PhaseDrained, SeenStart: u.SeenStart}, p.present(u)
@@ -82,7 +82,8 @@
 	if plantedDefect == defectTrustsOwnReport {
 		inService = relay.Phase == relayServing
 	}
-	// One that is quarantined serves nobody, and counts as such: that it is not about to leave is enough.
+	// A quarantined relay takes no clients and counts as out for that reason. To be back from a revoked
+	// order it only has to report that it is not draining.
 	if q := p.record.findQuarantine(u.Name); u.Phase == PhaseRevoked && q != nil && !q.InService {
 		inService = relay.reporting(p.budgets) && (relay.Phase == relayServing || relay.Phase == relayQuarantined)
 	}
@@ -96,7 +97,7 @@
 	case u.Phase == PhaseLeaving:
 		return Observation{Phase: PhaseDone}, restarted && onTarget
 	case relay.AppliedVersion < u.OrderVersion:
-		return Observation{}, false // it may yet follow the order that was revoked
+		return Observation{}, false // it may still follow the order that was revoked
 	case onTarget && (restarted || program+config != ""):
 		return Observation{Phase: PhaseDone}, true
 	}
@@ -106,7 +107,8 @@
 func (p *planner) observeMember(r *release, u *Unit) (Observation, bool) {
 	m := p.members[u.currentName()]
 	program, _ := r.targetVersion(u)
-	// A member that does not report its program is on target. During a rollback its owner may put back what was there before at once.
+	// A member that does not report its program counts as on target. During a rollback the owner may put
+	// back the previous program even if the unit was not updated.
 	onTarget := func(m *Member) bool {
 		return program == "" || m.Program == "" || m.Program == program || r.RollingBack && m.Program == u.PreviousProgram
 	}
@@ -118,25 +120,26 @@
 		}
 		return o, p.drained(u, m)
 	case r.Spec.Drain && u.Phase != PhaseRevoked:
-		return Observation{Phase: PhaseDone}, m == nil // gone for good: no member any more, so not out
+		return Observation{Phase: PhaseDone}, m == nil // not a member any more, so it does not count as out
 	case m == nil && r.Spec.Drain:
 		return Observation{}, false
 	case m == nil:
 		name := p.findSuccessor(u, onTarget)
 		return Observation{Phase: PhaseReplaced, Successor: name}, name != ""
-	case u.Phase == PhaseDrained: // one that crashed and came back as it was is still to be replaced
+	case u.Phase == PhaseDrained: // a member that crashed and came back unchanged is still to be replaced
 		return Observation{Phase: PhaseReplaced, Successor: m.Name}, m.Started > u.SeenStart && onTarget(m)
 	case !p.inFullService(m) || u.Phase == PhaseRevoked && !p.appliedEverywhere(u.OrderVersion):
 		return Observation{}, false
 	case u.Phase == PhaseRevoked && !(program != "" && program == m.Program):
 		return Observation{Phase: PhasePending}, true
-	case program != "" && m.Program != "" && program != m.Program: // not on target, but in service all the same, once nothing waits for it
+	case program != "" && m.Program != "" && program != m.Program: // not on target, but accepted as in service once the release no longer runs
 		return Observation{Phase: PhasePending}, !u.Reverting && r.State != ReleaseRunning
 	}
 	return Observation{Phase: PhaseDone}, true
 }
 
-// onlyMissingLeft says that all else of a release is finished, so that a unit that is not there holds it up.
+// onlyMissingLeft reports whether no unit of the release is out or pending in the view, so that only
+// missing units hold up the release.
 func (p *planner) onlyMissingLeft(r *release) bool {
 	for i := range r.Units {
 		if u := &r.Units[i]; u.isOut() || u.Phase == PhasePending && p.present(u) {
@@ -146,7 +149,7 @@
 	return true
 }
 
-// appliedEverywhere says that every relay that reports has applied a version of the state.
+// appliedEverywhere reports whether every reporting relay has applied the given version of the state.
 func (p *planner) appliedEverywhere(version uint64) bool {
 	for i := range p.view.Relays {
 		if r := &p.view.Relays[i]; r.reporting(p.budgets) && r.AppliedVersion < version {
@@ -156,8 +159,8 @@
 	return len(p.view.Relays) > 0
 }
 
-// drained says that no relay has a flow at a member: each that reports has said so after it applied the order, and each silent one is past the
-// time for which it still could.
+// drained reports whether no relay has a flow at a member: every reporting relay has applied the order
+// and reports none, and every silent relay has been silent for longer than it can keep flows there.
 func (p *planner) drained(u *Unit, m *Member) bool {
 	if !p.appliedEverywhere(u.OrderVersion) {
 		return false
@@ -177,11 +180,12 @@
 	return true
 }
 
-// inFullService says that a member takes its full share of the load.
+// inFullService reports whether a member is healthy, out of slow start and not ejected.
 func (p *planner) inFullService(m *Member) bool { return m.healthy() && !p.record.isEjected(m.Name) }
 
-// findSuccessor is the new member that has come in the place of one that is gone: the earliest of its zone; one of another zone only once its own
-// has had the time to come.
+// findSuccessor returns the name of the new member that replaces a missing one, or "". It prefers the
+// earliest started member in the unit's zone. A member of another zone qualifies only after the time
+// allowed to drain and start, so that one in the unit's own zone can appear first.
 func (p *planner) findSuccessor(u *Unit, onTarget func(*Member) bool) string {
 	var best *Member
 	for i := range p.view.Members {
@@ -202,10 +206,14 @@
 	return best.Name
 }
 
-// permitReturned says that others see the thing of a begun permit in full service, when its holder may not take it down any more: the time for
-// that is over, or the permit was returned; and so long ago that the view is of after that. A later start proves nothing: the thing may have
-// crashed just before. One that is not back within the time that a unit may take is lost, and counts as that; if it is not even in the view it
-// would count nowhere, so its permit has to be returned.
+// permitReturned reports whether a begun permit ends. This is the case if its target is seen in full
+// service after the holder can no longer take it down: the permit has expired or was returned, and
+// SilentAfterMS has passed, so that the view is more recent. A later start of the target proves nothing,
+// because the target may have crashed just before.
+//
+// The permit also ends if the target is not back within maxOutMS; the target then counts as unavailable.
+// A target that is not in the view would be counted nowhere, so then the permit must have been returned
+// as well.
 func (p *planner) permitReturned(x *Permit) bool {
 	holdEndsAt := cmp.Or(x.ReturnedAt, x.ExpiresAt) + p.budgets.SilentAfterMS
 	if p.now <= holdEndsAt && plantedDefect != defectTrustsOwnReport {
--- a/internal/rollout/plan_step.go
+++ b/internal/rollout/plan_step.go
@@ -5,9 +5,11 @@
 	"slices"
 )
 
-// stepCommand is what goes out now: permits first, whose requesters wait outside, then releases in the order in which they were opened; releases
-// first once one has waited for half of its limit, else permits without end would hold it up. It also says, by release, why nothing of it may go
-// where nothing is out.
+// stepCommand returns the step that grants what may go out now, or nil. Permits come first, because their
+// requesters wait outside the fleet, then releases in the order in which they were opened. Once a
+// release has waited for half of maxOutMS, releases come first, so that a steady flow of permits cannot
+// block them. Stalled holds, by release, why none of its units may go out, for releases that wait for no
+// unit to come back.
 func (p *planner) stepCommand() (step *Command, stalled map[string]string) {
 	step = &Command{Kind: CommandStep, BaseVersion: p.record.Version, ViewSummary: p.viewSummary()}
 	stalled = map[string]string{}
@@ -40,7 +42,7 @@
 	return step, stalled
 }
 
-// releaseStarved says that a release has had nothing out for half of the time that a unit may take.
+// releaseStarved reports whether an active release has had no unit out for half of maxOutMS.
 func (p *planner) releaseStarved() bool {
 	return slices.ContainsFunc(p.record.Releases, func(r release) bool {
 		return (r.State == ReleaseRunning || r.State == ReleaseRollingBack) && !r.hasUnitOut() &&
@@ -48,8 +50,8 @@
 	})
 }
 
-// grantUnits adds to a step the units of a release that may go out, and says why the last one that may not does not. Migrating counts the flows
-// that members are to give up.
+// grantUnits adds to a step the units of a release that may go out. It returns why the last unit that was
+// not granted is blocked. Migrating accumulates the flows that leaving members give up.
 func (p *planner) grantUnits(step *Command, r *release, migrating *int) (blocked string) {
 	blocked = p.view.Drift
 	for _, u := range p.candidates(r) {
@@ -96,7 +98,7 @@
 	}
 }
 
-// newGrant is what is seen now of a unit that is to go out.
+// newGrant returns a grant for a unit with its zone, capacity and start as seen in the view.
 func (p *planner) newGrant(u *Unit) Grant {
 	g := Grant{Capacity: p.usableCapacity(u)}
 	if u.Kind == KindRelay {
@@ -109,13 +111,14 @@
 	return g
 }
 
-// candidates are the units of a release that may go out, in order: those that are lost already come last. A rollback goes in reverse.
+// candidates returns the units of a release that may go out, in order; those that are unavailable already
+// come last. A rollback takes the most recently ordered units first.
 func (p *planner) candidates(r *release) []*Unit {
 	if r.Spec.FirstAlone && r.State == ReleaseRunning && !r.firstDone() && r.hasUnitOut() {
 		return nil
 	}
 	var available, lost []*Unit
-	zone, zoneFound := "", false // with ZoneByZone: the first zone that is not finished
+	zone, zoneFound := "", false // with ZoneByZone: the zone of the first unit that is pending or out
 	for i := range r.Units {
 		u := &r.Units[i]
 		if !zoneFound && r.Spec.ZoneByZone && r.State == ReleaseRunning && (u.Phase == PhasePending || u.isOut()) {
@@ -138,12 +141,12 @@
 	return append(available, lost...)
 }
 
-// firstDone says that the first unit of a release is back.
+// firstDone reports whether a unit of the release is done.
 func (r *release) firstDone() bool {
 	return slices.ContainsFunc(r.Units, func(u Unit) bool { return u.Phase == PhaseDone })
 }
 
-// migratingFlows are the flows of members that are ordered to leave.
+// migratingFlows returns the number of flows at members that are ordered to leave.
 func (p *planner) migratingFlows() int {
 	n := 0
 	for _, u := range p.record.units() {
@@ -154,8 +157,9 @@
 	return n
 }
 
-// migrateOverMS is how long so many flows take to migrate: by the new flows a second that the other members accept, where that is known; else by
-// the slow start of a member.
+// migrateOverMS returns how long the given number of flows takes to migrate, at most DrainTimeoutMS. The
+// rate is the sum of the new flows per second that the remaining members accept. If a member's rate is
+// unknown, the rate is the remaining capacity over the time of a slow start.
 func (p *planner) migrateOverMS(flows int) int64 {
 	rate, known := 0.0, true
 	covered := p.record.coveredNames(KindMember)
--- a/internal/rollout/plan_units.go
+++ b/internal/rollout/plan_units.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// setUnitsCommand sets the units of the first release that waits for it: from the smallest risk up; zone by zone where the budget lets no more
-// than one zone's units out anyway, else spread over the zones.
+// setUnitsCommand returns the command that sets the units of the first release that is ready for it, or
+// nil.
 func (p *planner) setUnitsCommand() *Command {
 	r := findFirst(p.record.Releases, func(r *release) bool {
 		return r.State == ReleaseQueued && !r.UnitsSet && r.QueuedBehind == "" && !p.versionsUnknown(r)
@@ -23,7 +23,7 @@
 	return &Command{Kind: CommandSetUnits, Name: r.Name, Units: units, Baseline: p.baselineWindows()}
 }
 
-// ejectionUnits are the units of a release of ejections, those that it reinstates first.
+// ejectionUnits returns the units of a release of ejections, the reinstated members first.
 func (p *planner) ejectionUnits(spec *ReleaseSpec) []Unit {
 	var units []Unit
 	add := func(kind Kind, names []string) {
@@ -40,10 +40,12 @@
 	return units
 }
 
-// orderedUnits are the relays or members that a spec selects, in the order in which they are to go out, and then the names that are not there.
+// orderedUnits returns the relays or members that a spec selects, in the order in which they are to go out
+// (lowest risk first: a relay's flows, a member's usable capacity), followed by the names in the spec
+// that are not in the view.
 func (p *planner) orderedUnits(spec *ReleaseSpec) []Unit {
 	var units []Unit
-	risk := map[string]float64{} // by name, of those that are there
+	risk := map[string]float64{} // by name, for those in the view
 	if spec.Kind == KindRelay {
 		for _, r := range p.view.Relays {
 			if spec.selects(r.Name, r.Zone) {
@@ -73,8 +75,9 @@
 	return units
 }
 
-// versionsUnknown says that a relay of the release has not yet reported what it runs: it could not be reverted. One that stays silent is not
-// waited for.
+// versionsUnknown reports whether a relay of the release has not yet reported its versions, without which
+// it could not be reverted. It stops waiting for a relay that stays silent beyond the drain and start
+// timeouts.
 func (p *planner) versionsUnknown(r *release) bool {
 	spec := &r.Spec
 	if spec.Kind != KindRelay || p.now-r.ProgressAt > p.budgets.DrainTimeoutMS+p.budgets.StartTimeoutMS {
@@ -85,7 +88,7 @@
 	})
 }
 
-// baselineWindows are the view's service windows that make up a baseline.
+// baselineWindows returns the valid service windows of the view, for the baseline.
 func (p *planner) baselineWindows() []ServiceWindow {
 	var windows []ServiceWindow
 	for _, w := range p.view.Service[max(0, len(p.view.Service)-maxBaselineWindows):] {
@@ -96,7 +99,8 @@
 	return windows
 }
 
-// zoneByZone says whether one zone's units come before the next: as the spec has it, or where all that may be out at once fits into one zone.
+// zoneByZone reports whether the units of one zone all go out before those of the next: if the spec says
+// so, or if every zone's limit allows as many out as the total limit.
 func (p *planner) zoneByZone(spec *ReleaseSpec) bool {
 	a := p.allowanceFor(spec.Kind)
 	if spec.ZoneByZone || !a.budget.PerZone.isSet() {
@@ -110,7 +114,8 @@
 	return len(a.summary.CountByZone) > 1
 }
 
-// orderByZone orders units: those of the zone with the smallest risk first, or one of each zone in turn.
+// orderByZone orders units, either zone by zone or taking one unit of each zone in turn. The zone with the
+// smallest total risk comes first.
 func orderByZone(units []Unit, zoneByZone bool, risk map[string]float64) []Unit {
 	byZone, total, zones := map[string][]Unit{}, map[string]float64{}, []string{}
 	for _, u := range units {
--- a/internal/rollout/quarantine.go
+++ b/internal/rollout/quarantine.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// Quarantine is one relay that takes no clients because it drifted, or that was readmitted and is not yet seen to serve.
+// Quarantine is a relay that takes no clients because it drifted, or one that was readmitted and is
+// still tracked. The commands "shut" and "admit" and their answers call a quarantined relay shut.
 type Quarantine struct {
 	Name              string `json:"name"`
 	Zone              string `json:"zone,omitempty"`
@@ -13,12 +14,13 @@
 	Since             int64  `json:"since"`
 	StartNumber       uint64 `json:"start"`
 	Number            uint64 `json:"number"`
-	ReadmittedVersion uint64 `json:"opened,omitempty"` // the state's version that readmitted it; out until it has applied that and serves
-	OperatorOverride  bool   `json:"let,omitempty"`    // readmitted by an operator: not quarantined again until it is fit, or restarts
-	InService         bool   `json:"back,omitempty"`   // it serves, and is listed for OperatorOverride alone
+	ReadmittedVersion uint64 `json:"opened,omitempty"` // the state's version that readmitted it; counts as out until it has applied that version and serves
+	OperatorOverride  bool   `json:"let,omitempty"`    // readmitted by an operator: not quarantined again until it no longer drifts or restarts
+	InService         bool   `json:"back,omitempty"`   // it serves; the entry stays only for OperatorOverride
 }
 
-// quarantine takes a drifted relay out of service, within the budget: drift at half of the fleet must not empty it.
+// quarantine takes a drifted relay out of service if the budget allows it, so that drift at half of the
+// fleet does not take half of the fleet out.
 func (rec *record) quarantine(at int64, c *Command) Result {
 	if c.ViewSummary == nil || c.Name == "" || len(c.Zone) > MaxNameBytes {
 		return reject("who is shut has a name and a zone, and what it was reckoned from") // no name, no ViewSummary, or a zone too long
@@ -45,7 +47,7 @@
 	return Result{Name: c.Name, State: string(CommandQuarantine), Number: number}
 }
 
-// readmit lets a relay take clients again. It counts as out until it is seen to serve.
+// readmit lets a relay take clients again. The relay counts as out until it is seen to serve.
 func (rec *record) readmit(c *Command) Result {
 	q, byLeader := rec.findQuarantine(c.Name), c.Cause != ""
 	switch {
@@ -59,7 +61,8 @@
 	return Result{Name: q.Name, State: string(CommandReadmit)}
 }
 
-// confirmReadmitted records that a readmitted relay was seen to serve, or that nothing is left to track.
+// confirmReadmitted records that a readmitted relay was seen to serve, or removes its entry if it needs no
+// more tracking.
 func (rec *record) confirmReadmitted(o *Observation) (changed bool) {
 	i := slices.IndexFunc(rec.Quarantines, func(q Quarantine) bool { return q.Number == o.Quarantine && q.ReadmittedVersion != 0 })
 	switch {
--- a/internal/rollout/service_baseline.go
+++ b/internal/rollout/service_baseline.go
@@ -2,18 +2,20 @@
 
 import "math"
 
-// falseHaltProbability bounds the chance that one look takes noise for a degradation. With one look a window, an hour of one-second windows is 3600
-// looks: chance halts a release in 0.4% of such hours at most, as Chernoff's bound is never below the true probability.
+// falseHaltProbability bounds the probability that one comparison takes noise for a degradation. An hour
+// of one-second windows has 3600 comparisons, so noise halts a release in at most 0.4% of such hours:
+// Chernoff's bound is never below the true probability.
 const falseHaltProbability = 1e-6
 
-// recentWindows is how many windows are compared with the baseline: enough that one bad window is no verdict.
+// recentWindows is how many of the latest windows are compared with the baseline. One bad window alone
+// must not count as a degradation.
 const recentWindows = 3
 
-// serviceBaseline sums up the service before a release. It is stored with the release.
+// serviceBaseline summarizes the fleet's service before a release. It is stored with the release.
 type serviceBaseline struct {
 	Requested  float64 `json:"asked,omitempty"`
 	Served     float64 `json:"served,omitempty"`
-	Dispersion float64 `json:"spread,omitempty"` // by how much the windows differ beyond chance; 1 if they do not
+	Dispersion float64 `json:"spread,omitempty"` // variance between windows relative to that of independent requests, at least 1
 }
 
 func newServiceBaseline(windows []ServiceWindow) serviceBaseline {
@@ -41,7 +43,8 @@
 	return b
 }
 
-// degraded says whether the last windows that end after a time served less than the baseline, by more than tolerance and noise.
+// degraded reports whether the latest recentWindows windows that end after since served a smaller share
+// than the baseline, by more than the tolerance and noise.
 func (b serviceBaseline) degraded(tolerance float64, windows []ServiceWindow, since int64) bool {
 	var requested, served float64
 	n := 0
@@ -51,9 +54,9 @@
 	if n < recentWindows || b.Requested <= 0 || requested <= 0 {
 		return false
 	}
-	// Counts are divided by the dispersion: windows that differ beyond chance say less.
+	// Dividing counts by the dispersion gives less weight to windows that differ by more than chance.
 	baselineCount, recentCount, bound := b.Requested/b.Dispersion, requested/b.Dispersion, -math.Log(falseHaltProbability)
-	// The largest share of failures that the baseline allows, by Chernoff's bound.
+	// Bisect for the largest share of failures that is consistent with the baseline, by Chernoff's bound.
 	baselineFailures := 1 - b.Served/b.Requested
 	low, high := baselineFailures, 1.0
 	for range 40 {
@@ -69,7 +72,7 @@
 	return failures > allowed && recentCount*klDivergence(failures, allowed) > bound
 }
 
-// klDivergence is the divergence of Bernoulli p from q after Kullback and Leibler.
+// klDivergence returns the Kullback-Leibler divergence of Bernoulli distribution p from q.
 func klDivergence(p, q float64) float64 {
 	term := func(x, y float64) float64 {
 		if x <= 0 {
--- a/internal/rollout/view.go
+++ b/internal/rollout/view.go
@@ -1,77 +1,79 @@
 package rollout
 
-// View is what the leader knows. A relay's fields and its flows at members come from one and the same load report. Names are unique.
+// View is the leader's view of the fleet. A relay's fields and its flows at members come from the same
+// load report. Names are unique.
 type View struct {
 	At              int64           `json:"at"`
 	Relays          []Relay         `json:"relays"`
 	Members         []Member        `json:"members"`
-	Load            float64         `json:"load"`    // member connections in use, or requested
-	Service         []ServiceWindow `json:"service"` // windows in which all relays counted, oldest first
+	Load            float64         `json:"load"`    // member connections in use or requested
+	Service         []ServiceWindow `json:"service"` // windows with counts from all relays, oldest first
 	Degraded        string          `json:"worse,omitempty"`
-	DegradedRelease string          `json:"worse_of,omitempty"` // the release that Degraded speaks of; "" for all
-	Drift           string          `json:"drift,omitempty"`    // of relays that are not quarantined; it blocks releases
-	DriftMS         int64           `json:"drift_ms,omitempty"` // for how long
-	// Relays that should be quarantined, with the reason, and in order from the worst. A relay that is quarantined and not in here is readmitted, so
-	// a leader that does not know yet names those that are.
+	DegradedRelease string          `json:"worse_of,omitempty"` // release that Degraded refers to; "" for all
+	Drift           string          `json:"drift,omitempty"`    // drift of relays that are not quarantined; blocks releases
+	DriftMS         int64           `json:"drift_ms,omitempty"` // how long Drift has lasted
+	// Unfit holds the relays that should be quarantined, with the reason. A quarantined relay that is
+	// not in it is readmitted, so a leader that does not know yet must list those that are quarantined.
 	Unfit      map[string]string `json:"unfit,omitempty"`
-	UnfitOrder []string          `json:"unfit_order,omitempty"`
+	UnfitOrder []string          `json:"unfit_order,omitempty"` // names in Unfit, worst first
 }
 
-// ServiceWindow counts the requests of one window, over all relays.
+// ServiceWindow counts the requests of all relays in one window of time.
 type ServiceWindow struct {
 	EndsAt    int64   `json:"at"`
 	Requested float64 `json:"asked"`
 	Served    float64 `json:"served"`
 }
 
-// Phases that a relay reports of itself and that matter here.
+// Phases that a relay reports about itself and that this package distinguishes.
 const (
 	relayServing     = "serving"
 	relayQuarantined = "shut"
 )
 
-// Relay is one relay as the leader sees it.
+// Relay is one relay as seen by the leader.
 type Relay struct {
 	Name           string  `json:"name"`
 	Zone           string  `json:"zone"`
-	ReportAgeMS    int64   `json:"heard_ms"` // since its last load report; -1 if there was none
-	Exited         bool    `json:"gone"`     // for certain, there is no process
+	ReportAgeMS    int64   `json:"heard_ms"` // time since its last load report, or since the view began if there was none; negative: not reporting
+	Exited         bool    `json:"gone"`     // it is certain that its process has ended
 	StartNumber    uint64  `json:"start"`    // rises with every process
-	Phase          string  `json:"phase"`    // as it reports itself: "serving", "shut" or another
+	Phase          string  `json:"phase"`    // as reported by the relay: "serving", "shut" or another
 	Program        string  `json:"program"`
 	Config         string  `json:"config"`
-	AppliedVersion uint64  `json:"applied"` // the state's version that it has applied
-	InService      bool    `json:"full"`    // others see it serve
+	AppliedVersion uint64  `json:"applied"` // version of the state that the relay has applied
+	InService      bool    `json:"full"`    // other relays see it serve
 	Flows          int     `json:"flows"`
-	Capacity       float64 `json:"capacity"` // in flows; 0 unknown
+	Capacity       float64 `json:"capacity"` // in flows; 0 if unknown
 }
 
-// Member is one member as the fleet sees it. One that is not listed any more stays in the view as long as a relay has flows there.
+// Member is one member as seen by the fleet. One that is not listed any more stays in the view as long as
+// a relay has flows there.
 type Member struct {
 	Name              string                `json:"name"`
 	Zone              string                `json:"zone"`
 	Listed            string                `json:"listed"`
 	Program           string                `json:"program"`
-	Started           int64                 `json:"started"` // wall clock
+	Started           int64                 `json:"started"` // wall-clock milliseconds
 	Capacity          float64               `json:"capacity"`
-	UsableCapacity    float64               `json:"bears"` // now; below Capacity in slow start
-	NewFlowsPerSecond float64               `json:"takes"` // that it accepts; 0 unknown
+	UsableCapacity    float64               `json:"bears"` // now; less than Capacity during slow start
+	NewFlowsPerSecond float64               `json:"takes"` // rate that it accepts; 0 if unknown
 	Failing           bool                  `json:"failing"`
-	FlowsByRelay      map[string]RelayFlows `json:"held"` // by relay; no entry: its last report named none
+	FlowsByRelay      map[string]RelayFlows `json:"held"` // by relay; no entry if its last report names no flows
 }
 
-// RelayFlows is how many flows a relay reported at a member.
+// RelayFlows is the number of flows that a relay reported at a member.
 type RelayFlows struct {
 	Flows      int   `json:"flows"`
 	ReportedAt int64 `json:"at"`
 }
 
-// reporting says that the relay's last report is recent enough for its process to count as running.
+// reporting reports whether the relay's last report is recent enough for its process to count as running.
 func (r *Relay) reporting(b Budgets) bool {
 	return !r.Exited && r.ReportAgeMS >= 0 && r.ReportAgeMS <= b.SilentAfterMS
 }
 
-// healthy says that others see the relay serve, and that nothing in its own report contradicts them.
+// healthy reports whether others see the relay serve and its own report does not contradict them.
 func (r *Relay) healthy(b Budgets) bool {
 	return r.InService && !r.Exited && r.reporting(b) && (r.Phase == relayServing || r.Phase == "")
 }
@@ -86,7 +88,8 @@
 	return n
 }
 
-// ViewSummary is the part of a view that a grant or quarantine was decided from. It stands in the command, so that Apply can check it.
+// ViewSummary is the part of a view that a grant or quarantine is decided from. It is part of the command,
+// so that Apply can check the decision.
 type ViewSummary struct {
 	At      int64       `json:"at"`
 	Budgets Budgets     `json:"budgets"`
@@ -94,11 +97,11 @@
 	Members KindSummary `json:"members"`
 }
 
-// KindSummary sums up the relays or the members of a view.
+// KindSummary summarizes the relays or the members of a view.
 type KindSummary struct {
-	CountByZone       map[string]int `json:"zones,omitempty"` // those out by plan included
-	Unavailable       []ZonedName    `json:"lost,omitempty"`  // not by plan: silent, exited, failing, in slow start or ejected
-	RemainingCapacity float64        `json:"left,omitempty"`  // of all that is healthy and not out; in slow start by what is usable now
+	CountByZone       map[string]int `json:"zones,omitempty"` // including those that are out by plan
+	Unavailable       []ZonedName    `json:"lost,omitempty"`  // not out by plan, but silent, exited, failing, in slow start or ejected
+	RemainingCapacity float64        `json:"left,omitempty"`  // usable capacity of those that are healthy or in slow start, and not out
 	Load              float64        `json:"load,omitempty"`
-	CapacityKnown     bool           `json:"known,omitempty"` // of all of them
+	CapacityKnown     bool           `json:"known,omitempty"` // the capacity of every one is known
 }
