--- a/internal/rollout/apply_observe.go
+++ b/internal/rollout/apply_observe.go
@@ -81,7 +81,8 @@
 			u.Phase = PhaseDone
 		}
 		u.closeOrder(next)
-	case o.Phase == PhasePending && u.Phase == PhaseDone && u.Stranded: // it is back in the view and can be reverted after all
+	case o.Phase == PhasePending && u.Phase == PhaseDone && u.Stranded:
+		// It is back in the view and can be reverted after all.
 		u.Stranded = false
 	default:
 		return false
--- a/internal/rollout/apply_release.go
+++ b/internal/rollout/apply_release.go
@@ -30,7 +30,8 @@
 	if len(rec.Releases) >= MaxReleases {
 		drop := slices.IndexFunc(rec.Releases, func(r release) bool { return r.ended() && !r.hasUnitOut() })
 		if drop < 0 {
-			return reject("%d releases are open or still hold something out", MaxReleases) // too many that have not ended or have units out
+			// Too many releases have not ended or still have units out.
+			return reject("%d releases are open or still hold something out", MaxReleases)
 		}
 		rec.Releases = slices.Delete(rec.Releases, drop, drop+1)
 	}
@@ -63,7 +64,8 @@
 	case c.Kind != CommandRollBack && r.ended():
 		return reject("release %q has ended", c.Name)
 	case c.Kind == CommandRollBack && r.ended() && !r.Spec.Drain && r.Spec.Kind != KindEject && rec.activeOverlap(r) != "":
-		return reject("release %q touches the same things, and is not through", rec.activeOverlap(r)) // it overlaps and has not ended
+		// That release overlaps and has not ended.
+		return reject("release %q touches the same things, and is not through", rec.activeOverlap(r))
 	case c.Kind == CommandHalt && r.Halt != nil && (r.Halt.NeedsOperator || byLeader && c.Cause != HaltVerdict):
 		return reject("release %q is halted: %s %s", c.Name, r.Halt.Cause, r.Halt.Reason)
 	case c.Kind == CommandResume && r.Halt == nil:
@@ -114,20 +116,23 @@
 func (rec *record) setUnits(at int64, c *Command) Result {
 	r := rec.findRelease(c.Name)
 	if r == nil || r.UnitsSet || r.State != ReleaseQueued || r.QueuedBehind != "" {
-		return reject("release %q is not to be laid out", c.Name) // there is none, its units are set, or it is not next in the queue
+		// There is no such release, its units are set already, or it is halted or queued behind another.
+		return reject("release %q is not to be laid out", c.Name)
 	}
 	total := len(c.Units)
 	for i := range rec.Releases {
 		total += len(rec.Releases[i].Units)
 	}
 	if total > MaxUnits || len(c.Baseline) > maxBaselineWindows {
-		return reject("over %d things in all, or %d windows", MaxUnits, maxBaselineWindows) // too many units over all releases, or baseline windows
+		// Too many units over all releases, or too many baseline windows.
+		return reject("over %d things in all, or %d windows", MaxUnits, maxBaselineWindows)
 	}
 	names := map[string]bool{}
 	for _, u := range c.Units {
 		fits := u.Kind == r.Spec.Kind || r.Spec.Kind == KindEject && u.Kind == KindReinstate
 		if u.Name == "" || max(len(u.Name), len(u.Zone), len(u.PreviousProgram), len(u.PreviousConfig)) > MaxNameBytes || names[u.Name] || !fits {
-			return reject("unit %q is no thing of this release, or stands twice", truncate(u.Name, MaxNameBytes)) // wrong kind, invalid or repeated name
+			// The unit has the wrong kind, or an invalid or repeated name.
+			return reject("unit %q is no thing of this release, or stands twice", truncate(u.Name, MaxNameBytes))
 		}
 		names[u.Name] = true
 	}
--- a/internal/rollout/apply_step.go
+++ b/internal/rollout/apply_step.go
@@ -5,7 +5,8 @@
 // applyStep applies all grants of a step, or none of them.
 func (rec *record) applyStep(at int64, c *Command) Result {
 	if c.ViewSummary == nil || len(c.Grants) == 0 || len(c.Grants) > MaxGrantsPerStep {
-		return reject("a step names one to %d things, and what it was reckoned from", MaxGrantsPerStep) // a field is missing, or too many grants
+		// ViewSummary or Grants is missing, or there are too many grants.
+		return reject("a step names one to %d things, and what it was reckoned from", MaxGrantsPerStep)
 	}
 	if reason := rec.stalePlanReason(at, c); reason != "" {
 		return reject("%s", reason)
--- a/internal/rollout/command.go
+++ b/internal/rollout/command.go
@@ -15,17 +15,21 @@
 	CommandResume        CommandKind = "resume" // Name; from the leader also Cause and BaseVersion
 	CommandRollBack      CommandKind = "back"   // Name
 	CommandEject         CommandKind = "ban"    // Names, Reason
-	CommandReinstate     CommandKind = "allow"  // Names: lifts ejections, ends drains, accepts stranded members as they are
+	// Names: lifts ejections, ends drains, accepts stranded members as they are.
+	CommandReinstate CommandKind = "allow"
 )
 
 // Commands of the leader. An operator may send CommandReadmit too.
 const (
-	CommandSetUnits      CommandKind = "lay"   // Name, Units in order and as they were before the release, Baseline
-	CommandStep          CommandKind = "step"  // Grants (units and permits that may go out now), BaseVersion, ViewSummary
-	CommandObserve       CommandKind = "seen"  // Observations: progress of units, permits and readmitted relays
-	CommandExpirePermits CommandKind = "void"  // PermitNumbers: permits not begun in time, or no longer requested
-	CommandQuarantine    CommandKind = "shut"  // Name, Reason, Zone, Capacity, StartNumber, BaseVersion, ViewSummary: a drifted relay stops taking clients
-	CommandReadmit       CommandKind = "admit" // Name: the relay may take clients again; from the leader also Cause and BaseVersion
+	CommandSetUnits      CommandKind = "lay"  // Name, Units in order and as they were before the release, Baseline
+	CommandStep          CommandKind = "step" // Grants (units and permits that may go out now), BaseVersion, ViewSummary
+	CommandObserve       CommandKind = "seen" // Observations: progress of units, permits and readmitted relays
+	CommandExpirePermits CommandKind = "void" // PermitNumbers: permits not begun in time, or no longer requested
+	// Name, Reason, Zone, Capacity, StartNumber, BaseVersion, ViewSummary: a drifted relay stops
+	// taking clients.
+	CommandQuarantine CommandKind = "shut"
+	// Name: the relay may take clients again; from the leader also Cause and BaseVersion.
+	CommandReadmit CommandKind = "admit"
 )
 
 // Cause is why the leader halts, resumes or readmits. It is empty in an operator's command.
@@ -33,13 +37,14 @@
 
 // Causes of a halt. When the leader resumes a release, it gives the cause of the halt that no longer applies.
 const (
-	HaltByOperator      Cause = "operator"
-	HaltVerdict         Cause = "verdict"   // View.Degraded is set
-	HaltOverBudget      Cause = "overdrawn" // more is out or lost than the budget allows, or the remaining capacity is below the load
-	HaltOverdue         Cause = "overdue"   // a unit has been out for too long
-	HaltServiceDegraded Cause = "service"   // the service is worse than before the release, beyond tolerance and noise
-	HaltDrift           Cause = "drift"     // View.Drift lasts longer than Budgets.DriftHaltMS
-	HaltStalled         Cause = "stalled"   // no unit is out and none may go out
+	HaltByOperator Cause = "operator"
+	HaltVerdict    Cause = "verdict" // View.Degraded is set
+	// More is out or lost than the budget allows, or the remaining capacity is below the load.
+	HaltOverBudget      Cause = "overdrawn"
+	HaltOverdue         Cause = "overdue" // a unit has been out for too long
+	HaltServiceDegraded Cause = "service" // the service is worse than before the release, beyond tolerance and noise
+	HaltDrift           Cause = "drift"   // View.Drift lasts longer than Budgets.DriftHaltMS
+	HaltStalled         Cause = "stalled" // no unit is out and none may go out
 )
 
 // Causes of a readmission by the leader.
@@ -51,12 +56,13 @@
 
 // Command is the body of a command in the replicated record: one struct for all kinds.
 type Command struct {
-	Kind          CommandKind     `json:"kind"`
-	TargetKind    Kind            `json:"thing,omitempty"` // of a permit: KindRelay or KindMember
-	Name          string          `json:"name,omitempty"`
-	Names         []string        `json:"names,omitempty"`
-	Reason        string          `json:"why,omitempty"`
-	Requester     string          `json:"who,omitempty"` // the operator, or the requester of a permit: the same requester gets the same permit again
+	Kind       CommandKind `json:"kind"`
+	TargetKind Kind        `json:"thing,omitempty"` // of a permit: KindRelay or KindMember
+	Name       string      `json:"name,omitempty"`
+	Names      []string    `json:"names,omitempty"`
+	Reason     string      `json:"why,omitempty"`
+	// The operator, or the requester of a permit: the same requester gets the same permit again.
+	Requester     string          `json:"who,omitempty"`
 	DurationMS    int64           `json:"for,omitempty"` // of a permit: how long the target will be out
 	PermitNumber  uint64          `json:"number,omitempty"`
 	PermitNumbers []uint64        `json:"numbers,omitempty"`
@@ -96,12 +102,16 @@
 
 // Observation is the progress of one unit, permit or readmitted relay as seen from outside it.
 type Observation struct {
-	Release      string `json:"release,omitempty"`
-	Unit         string `json:"unit,omitempty"`
-	Permit       uint64 `json:"permit,omitempty"`
-	Quarantine   uint64 `json:"shut,omitempty"` // Quarantine.Number of a readmitted relay; Phase is PhaseDone when it serves, PhaseMissing when it needs no more tracking
-	OrderVersion uint64 `json:"order"`          // Unit.OrderVersion when observed: an outdated observation changes nothing; 0 for a permit or quarantine
-	Phase        Phase  `json:"phase"`          // next phase of the unit; PhasePending: it is as it was before the release
+	Release string `json:"release,omitempty"`
+	Unit    string `json:"unit,omitempty"`
+	Permit  uint64 `json:"permit,omitempty"`
+	// Quarantine.Number of a readmitted relay; Phase is PhaseDone when it serves, PhaseMissing when
+	// it needs no more tracking.
+	Quarantine uint64 `json:"shut,omitempty"`
+	// Unit.OrderVersion when observed: an outdated observation changes nothing; 0 for a permit or
+	// quarantine.
+	OrderVersion uint64 `json:"order"`
+	Phase        Phase  `json:"phase"` // next phase of the unit; PhasePending: it is as it was before the release
 	Successor    string `json:"now,omitempty"`
 	Zone         string `json:"zone,omitempty"`  // of the successor
 	SeenStart    int64  `json:"start,omitempty"` // the member's start time when it was seen drained
@@ -110,11 +120,12 @@
 
 // Result is the answer to a command. If Error is set, the command changed nothing.
 type Result struct {
-	Error        string `json:"error,omitempty"`
-	Name         string `json:"name,omitempty"`
-	State        string `json:"state,omitempty"`  // a ReleaseState, a PermitState, "given", "shut" or "admit"
-	Number       uint64 `json:"number,omitempty"` // of the permit or quarantine
-	RemainingMS  int64  `json:"left,omitempty"`   // of a granted permit: how long it may be begun, counted from when the request was sent
+	Error  string `json:"error,omitempty"`
+	Name   string `json:"name,omitempty"`
+	State  string `json:"state,omitempty"`  // a ReleaseState, a PermitState, "given", "shut" or "admit"
+	Number uint64 `json:"number,omitempty"` // of the permit or quarantine
+	// Of a granted permit: how long it may be begun, counted from when the request was sent.
+	RemainingMS  int64  `json:"left,omitempty"`
 	Reason       string `json:"why,omitempty"`
 	RetryAfterMS int64  `json:"again,omitempty"` // of a waiting permit
 }
--- a/internal/rollout/orders.go
+++ b/internal/rollout/orders.go
@@ -28,18 +28,22 @@
 // Exclusion keeps new flows from a member. An ejection excludes the member until it is lifted; a
 // drain excludes it while its release unit is leaving or drained.
 type Exclusion struct {
-	Reason        ExclusionReason `json:"why"`
-	Number        uint64          `json:"number"`
-	Since         int64           `json:"since"`
-	MigrateOverMS int64           `json:"move_over,omitempty"` // the member's flows are migrated over this time; 0 for an ejection, which leaves its flows in place
+	Reason ExclusionReason `json:"why"`
+	Number uint64          `json:"number"`
+	Since  int64           `json:"since"`
+	// The member's flows are migrated over this time; 0 for an ejection, which leaves its flows in
+	// place.
+	MigrateOverMS int64 `json:"move_over,omitempty"`
 }
 
 // QuarantineOrder orders a relay to take no new clients and to migrate those it has.
 type QuarantineOrder struct {
-	Number      uint64 `json:"number"`
-	Since       int64  `json:"since"`
-	Reason      string `json:"why"`
-	StartNumber uint64 `json:"start"` // of the process that drifted; a later process may ignore the order and is readmitted once it is seen
+	Number uint64 `json:"number"`
+	Since  int64  `json:"since"`
+	Reason string `json:"why"`
+	// Of the process that drifted; a later process may ignore the order and is readmitted once it is
+	// seen.
+	StartNumber uint64 `json:"start"`
 }
 
 // Orders returns what a relay is to do now.
--- a/internal/rollout/permit.go
+++ b/internal/rollout/permit.go
@@ -36,9 +36,11 @@
 	RequestedAt int64       `json:"asked"`            // time of the latest request
 	StateSince  int64       `json:"at,omitempty"`     // when it was granted or begun
 	WindowMS    int64       `json:"window,omitempty"` // Budgets.PermitWindowMS when it was granted
-	ExpiresAt   int64       `json:"until,omitempty"`  // granted: latest time to begin; begun: latest time to take the target down; by the record's time
-	ReturnedAt  int64       `json:"given,omitempty"`
-	ClockDrift  float64     `json:"clock,omitempty"`
+	// Granted: latest time to begin; begun: latest time to take the target down; by the record's
+	// time.
+	ExpiresAt  int64   `json:"until,omitempty"`
+	ReturnedAt int64   `json:"given,omitempty"`
+	ClockDrift float64 `json:"clock,omitempty"`
 }
 
 // inForce reports whether the permit's target counts as out: its holder may take it down now or after
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -8,14 +8,16 @@
 
 // planner plans one set of commands from the state and the leader's view.
 type planner struct {
-	record     *record
-	now        int64
-	view       View
-	budgets    Budgets
-	relays     map[string]*Relay
-	members    map[string]*Member
-	observed   map[unitKey]bool // units for which this plan has an observation
-	claimed    map[string]bool  // names of all units and their successors; a member with such a name cannot become another unit's successor
+	record   *record
+	now      int64
+	view     View
+	budgets  Budgets
+	relays   map[string]*Relay
+	members  map[string]*Member
+	observed map[unitKey]bool // units for which this plan has an observation
+	// Names of all units and their successors; a member with such a name cannot become another
+	// unit's successor.
+	claimed    map[string]bool
 	allowances map[Kind]*allowance
 }
 
@@ -188,7 +190,8 @@
 			cause = readmitGone
 		case r.StartNumber > q.StartNumber:
 			cause = readmitRestarted
-		case !unfit && p.now-q.Since >= p.budgets.SilentAfterMS: // intermittent drift must not quarantine and readmit it with every plan
+		case !unfit && p.now-q.Since >= p.budgets.SilentAfterMS:
+			// Intermittent drift must not quarantine and readmit it with every plan.
 			cause = readmitFit
 		}
 		if cause != "" {
--- a/internal/rollout/plan_observe.go
+++ b/internal/rollout/plan_observe.go
@@ -40,7 +40,8 @@
 	case q.ReadmittedVersion == 0:
 	case r == nil || q.InService && r.reporting(p.budgets) && (!unfit || r.StartNumber > q.StartNumber):
 		return Observation{Quarantine: q.Number, Phase: PhaseMissing}, true
-	case !q.InService && r.healthy(p.budgets) && r.AppliedVersion >= q.ReadmittedVersion: // with an older version it may still apply the quarantine order
+	case !q.InService && r.healthy(p.budgets) && r.AppliedVersion >= q.ReadmittedVersion:
+		// With an older version it may still apply the quarantine order.
 		return Observation{Quarantine: q.Number, Phase: PhaseDone}, true
 	}
 	return Observation{}, false
@@ -52,7 +53,8 @@
 		return Observation{Phase: PhaseDone}, u.Phase == PhaseLeaving && p.appliedEverywhere(u.OrderVersion)
 	}
 	if u.Phase == PhasePending && r.State == ReleaseRunning && !p.present(u) && p.onlyMissingLeft(r) && !p.isGranted(u) &&
-		p.now-r.activeSince() > p.budgets.StartTimeoutMS+p.budgets.SilentAfterMS { // longer than a crashed unit takes to return
+		p.now-r.activeSince() > p.budgets.StartTimeoutMS+p.budgets.SilentAfterMS {
+		// This is longer than a crashed unit takes to return.
 		return Observation{Phase: PhaseMissing}, true
 	}
 	if u.Phase == PhaseDone && u.Stranded {
@@ -132,7 +134,8 @@
 		return Observation{}, false
 	case u.Phase == PhaseRevoked && !(program != "" && program == m.Program):
 		return Observation{Phase: PhasePending}, true
-	case program != "" && m.Program != "" && program != m.Program: // not on target, but accepted as in service once the release no longer runs
+	case program != "" && m.Program != "" && program != m.Program:
+		// Not on target, but accepted as in service once the release no longer runs.
 		return Observation{Phase: PhasePending}, !u.Reverting && r.State != ReleaseRunning
 	}
 	return Observation{Phase: PhaseDone}, true
--- a/internal/rollout/quarantine.go
+++ b/internal/rollout/quarantine.go
@@ -8,22 +8,26 @@
 // Quarantine is a relay that takes no clients because it drifted, or one that was readmitted and is
 // still tracked. The commands "shut" and "admit" and their answers call a quarantined relay shut.
 type Quarantine struct {
-	Name              string `json:"name"`
-	Zone              string `json:"zone,omitempty"`
-	Reason            string `json:"why,omitempty"`
-	Since             int64  `json:"since"`
-	StartNumber       uint64 `json:"start"`
-	Number            uint64 `json:"number"`
-	ReadmittedVersion uint64 `json:"opened,omitempty"` // the state's version that readmitted it; counts as out until it has applied that version and serves
-	OperatorOverride  bool   `json:"let,omitempty"`    // readmitted by an operator: not quarantined again until it no longer drifts or restarts
-	InService         bool   `json:"back,omitempty"`   // it serves; the entry stays only for OperatorOverride
+	Name        string `json:"name"`
+	Zone        string `json:"zone,omitempty"`
+	Reason      string `json:"why,omitempty"`
+	Since       int64  `json:"since"`
+	StartNumber uint64 `json:"start"`
+	Number      uint64 `json:"number"`
+	// The state's version that readmitted it; counts as out until it has applied that version and
+	// serves.
+	ReadmittedVersion uint64 `json:"opened,omitempty"`
+	// Readmitted by an operator: not quarantined again until it no longer drifts or restarts.
+	OperatorOverride bool `json:"let,omitempty"`
+	InService        bool `json:"back,omitempty"` // it serves; the entry stays only for OperatorOverride
 }
 
 // quarantine takes a drifted relay out of service if the budget allows it, so that drift at half of the
 // fleet does not take half of the fleet out.
 func (rec *record) quarantine(at int64, c *Command) Result {
 	if c.ViewSummary == nil || c.Name == "" || len(c.Zone) > MaxNameBytes {
-		return reject("who is shut has a name and a zone, and what it was reckoned from") // no name, no ViewSummary, or a zone too long
+		// Name or ViewSummary is missing, or the zone is too long.
+		return reject("who is shut has a name and a zone, and what it was reckoned from")
 	}
 	if reason := rec.stalePlanReason(at, c); reason != "" {
 		return reject("%s", reason)
--- a/internal/rollout/release.go
+++ b/internal/rollout/release.go
@@ -7,7 +7,8 @@
 
 // ReleaseSpec describes a release as the operator requests it.
 type ReleaseSpec struct {
-	Kind       Kind     `json:"kind"`            // KindRelay, KindMember, or KindEject for a release of ejections (Eject and Reinstate)
+	// KindRelay, KindMember, or KindEject for a release of ejections (Eject and Reinstate).
+	Kind       Kind     `json:"kind"`
 	Drain      bool     `json:"drain,omitempty"` // members stay out until the release is rolled back
 	All        bool     `json:"all,omitempty"`
 	Zones      []string `json:"zones,omitempty"` // selects every relay or member in these zones
--- a/internal/rollout/service_baseline.go
+++ b/internal/rollout/service_baseline.go
@@ -13,9 +13,10 @@
 
 // serviceBaseline summarizes the fleet's service before a release. It is stored with the release.
 type serviceBaseline struct {
-	Requested  float64 `json:"asked,omitempty"`
-	Served     float64 `json:"served,omitempty"`
-	Dispersion float64 `json:"spread,omitempty"` // variance between windows relative to that of independent requests, at least 1
+	Requested float64 `json:"asked,omitempty"`
+	Served    float64 `json:"served,omitempty"`
+	// Variance between windows relative to that of independent requests, at least 1.
+	Dispersion float64 `json:"spread,omitempty"`
 }
 
 func newServiceBaseline(windows []ServiceWindow) serviceBaseline {
--- a/internal/rollout/unit.go
+++ b/internal/rollout/unit.go
@@ -31,12 +31,13 @@
 	Reverting         bool    `json:"undo,omitempty"` // it is out in order to be reverted
 	// Stranded is set if the unit did not come back, or could not be granted, in time during a rollback.
 	// A stranded unit that is out counts as out until it is seen in service.
-	Stranded      bool   `json:"stranded,omitempty"`
-	OrderNumber   uint64 `json:"number,omitempty"`
-	OrderVersion  uint64 `json:"order,omitempty"` // the state's version that last changed the unit's order
-	OrderedAt     int64  `json:"at,omitempty"`
-	SeenStart     int64  `json:"start,omitempty"` // relay: start number when ordered; member: start time when ordered or drained
-	MigrateOverMS int64  `json:"move_over,omitempty"`
+	Stranded     bool   `json:"stranded,omitempty"`
+	OrderNumber  uint64 `json:"number,omitempty"`
+	OrderVersion uint64 `json:"order,omitempty"` // the state's version that last changed the unit's order
+	OrderedAt    int64  `json:"at,omitempty"`
+	// Relay: start number when ordered; member: start time when ordered or drained.
+	SeenStart     int64 `json:"start,omitempty"`
+	MigrateOverMS int64 `json:"move_over,omitempty"`
 }
 
 // currentName returns the name of the unit's successor, or its own if there is none.
--- a/internal/rollout/view.go
+++ b/internal/rollout/view.go
@@ -10,8 +10,9 @@
 	Service         []ServiceWindow `json:"service"` // windows with counts from all relays, oldest first
 	Degraded        string          `json:"worse,omitempty"`
 	DegradedRelease string          `json:"worse_of,omitempty"` // release that Degraded refers to; "" for all
-	Drift           string          `json:"drift,omitempty"`    // drift of relays that are not quarantined; blocks releases
-	DriftMS         int64           `json:"drift_ms,omitempty"` // how long Drift has lasted
+	// Drift of relays that are not quarantined; blocks releases.
+	Drift   string `json:"drift,omitempty"`
+	DriftMS int64  `json:"drift_ms,omitempty"` // how long Drift has lasted
 	// Unfit holds the relays that should be quarantined, with the reason. A quarantined relay that is
 	// not in it is readmitted, so a leader that does not know yet must list those that are quarantined.
 	Unfit      map[string]string `json:"unfit,omitempty"`
@@ -33,12 +34,14 @@
 
 // Relay is one relay as seen by the leader.
 type Relay struct {
-	Name           string  `json:"name"`
-	Zone           string  `json:"zone"`
-	ReportAgeMS    int64   `json:"heard_ms"` // time since its last load report, or since the view began if there was none; negative: not reporting
-	Exited         bool    `json:"gone"`     // it is certain that its process has ended
-	StartNumber    uint64  `json:"start"`    // rises with every process
-	Phase          string  `json:"phase"`    // as reported by the relay: "serving", "shut" or another
+	Name string `json:"name"`
+	Zone string `json:"zone"`
+	// Time since its last load report, or since the view began if there was none; negative: not
+	// reporting.
+	ReportAgeMS    int64   `json:"heard_ms"`
+	Exited         bool    `json:"gone"`  // it is certain that its process has ended
+	StartNumber    uint64  `json:"start"` // rises with every process
+	Phase          string  `json:"phase"` // as reported by the relay: "serving", "shut" or another
 	Program        string  `json:"program"`
 	Config         string  `json:"config"`
 	AppliedVersion uint64  `json:"applied"` // version of the state that the relay has applied
@@ -99,9 +102,11 @@
 
 // KindSummary summarizes the relays or the members of a view.
 type KindSummary struct {
-	CountByZone       map[string]int `json:"zones,omitempty"` // including those that are out by plan
-	Unavailable       []ZonedName    `json:"lost,omitempty"`  // not out by plan, but silent, exited, failing, in slow start or ejected
-	RemainingCapacity float64        `json:"left,omitempty"`  // usable capacity of those that are healthy or in slow start, and not out
-	Load              float64        `json:"load,omitempty"`
-	CapacityKnown     bool           `json:"known,omitempty"` // the capacity of every one is known
+	CountByZone map[string]int `json:"zones,omitempty"` // including those that are out by plan
+	// Not out by plan, but silent, exited, failing, in slow start or ejected.
+	Unavailable []ZonedName `json:"lost,omitempty"`
+	// Usable capacity of those that are healthy or in slow start, and not out.
+	RemainingCapacity float64 `json:"left,omitempty"`
+	Load              float64 `json:"load,omitempty"`
+	CapacityKnown     bool    `json:"known,omitempty"` // the capacity of every one is known
 }
