--- a/internal/rollout/figures_test.go
+++ b/internal/rollout/figures_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// TestFigures gives the figures of the design page: how long a release of 12 relays and 12 members takes against the best that the budgets allow, and
-// Plan with 300 of each. Run with -v.
+// TestFigures logs figures for the design page (run with -v): the duration of a release of 12 relays and
+// 12 members relative to the shortest that the budgets allow, and the time that Plan takes with 300 of
+// each. It fails if a release takes more than twice the shortest duration.
 func TestFigures(t *testing.T) {
 	worst := 0.0
 	for seed := range uint64(5) {
@@ -26,7 +27,7 @@
 		sim.call(Command{Kind: CommandOpen, Name: "r", Release: &ReleaseSpec{Kind: KindRelay, All: true, Program: "p2"}})
 		sim.call(Command{Kind: CommandOpen, Name: "m", Release: &ReleaseSpec{Kind: KindMember, All: true, Program: "b2"}})
 		from := sim.now
-		out := map[string]int64{} // ms that things were really out, not until they were seen to be back
+		out := map[string]int64{} // by kind: sum of the ms that each target was really out, not until it was seen to be back
 		for !sim.state.record.Releases[0].ended() || !sim.state.record.Releases[1].ended() {
 			sim.tick()
 			for key, stillOut := range sim.out {
@@ -35,13 +36,13 @@
 				}
 			}
 		}
-		bestMS := max(out[string(KindRelay)], out[string(KindMember)]) / 3 // a quarter of 12 at a time
+		bestMS := max(out[string(KindRelay)], out[string(KindMember)]) / 3 // the budgets let a quarter of 12 out at a time
 		ratio := float64(sim.now-from) / float64(bestMS)
 		worst = max(worst, ratio)
-		t.Logf("seed %d: %.1f s, best %.1f s, %.2f times", seed, float64(sim.now-from)/1000, float64(bestMS)/1000, ratio)
+		t.Logf("seed %d: the releases took %.1f s, at best %.1f s, ratio %.2f", seed, float64(sim.now-from)/1000, float64(bestMS)/1000, ratio)
 	}
 	if worst > 2 {
-		t.Errorf("a release takes %.2f times what the budgets allow", worst)
+		t.Errorf("the slowest run took %.2f times the shortest duration that the budgets allow, want at most 2", worst)
 	}
 	sim := newSimulation(1, 300, 300, 3)
 	sim.faultFree = true
@@ -62,5 +63,5 @@
 		durations = append(durations, time.Since(from))
 	}
 	slices.Sort(durations)
-	t.Logf("Plan with 300 relays and 300 members: median %v, most %v; the largest command %d bytes, the state %d", durations[50], durations[99], largest, len(sim.state.Encode()))
+	t.Logf("Plan with 300 relays and 300 members: median %v, maximum %v; largest command %d bytes, state %d bytes", durations[50], durations[99], largest, len(sim.state.Encode()))
 }
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -13,14 +13,15 @@
 	"testing"
 )
 
-// appliedCommand is one command with its result.
+// appliedCommand is a command that was applied in a simulation, with its result.
 type appliedCommand struct {
 	command               Command
 	result                Result
 	proposedAt, appliedAt int64
 }
 
-// Simulations allocate a lot that is soon garbage: at the default rate half of the time goes to the collector.
+// Simulations allocate many short-lived objects: with the default GC percentage half of the time goes to
+// the garbage collector.
 func init() { debug.SetGCPercent(400) }
 
 func seedCount(defaultCount uint64) uint64 {
@@ -32,7 +33,9 @@
 
 func isLarge(seed uint64) bool { return seed%500 == 39 }
 
-// simulate plays one seed: releases of relays and members, permits, faults; then no more faults, and everything has to end.
+// simulate runs the simulation of one seed: releases of relays and members, permits and faults. Then the
+// faults stop and everything must end. If roundtrip is set, the state is encoded and decoded before each
+// command.
 func simulate(seed uint64, roundtrip bool, history *[]appliedCommand) *simulation {
 	setupRNG := newSimulation(seed, 1, 1, 1).rng
 	n, m := 3+setupRNG.IntN(10), 3+setupRNG.IntN(10)
@@ -40,13 +43,14 @@
 		n, m = 60+setupRNG.IntN(240), 60+setupRNG.IntN(240)
 	}
 	sim := newSimulation(seed, n, m, 1+setupRNG.IntN(3))
-	if isLarge(seed) { // so that it ends within a simulation
+	if isLarge(seed) { // larger budgets, so that the releases end within the simulation
 		sim.budgets.Relays, sim.budgets.Members = Budget{Total: Limit{Share: 0.2}}, Budget{Total: Limit{Share: 0.2}, PerZone: Limit{Share: 0.3}}
 	}
 	sim.reencode, sim.history = roundtrip, history
-	sim.faultFree = seed%5 == 0 // some without faults
+	sim.faultFree = seed%5 == 0 // every fifth seed runs without faults
 	sim.hadFaults = !sim.faultFree
-	if sim.twoLeaders = plantedDefect == defectNoFencing; sim.twoLeaders { // the load leaves as much as a step from a stale state overdraws
+	if sim.twoLeaders = plantedDefect == defectNoFencing; sim.twoLeaders {
+		// Set the load so high that a step from a stale state overdraws the capacity.
 		sim.load = 0
 		for _, x := range sim.members {
 			sim.load += x.capacity
@@ -104,7 +108,7 @@
 			sim.call(Command{Kind: CommandRollBack, Name: name})
 			rollBackAt = 0
 			if sim.rng.IntN(3) == 0 {
-				haltAt = sim.now + sim.between(100, 3000) // a second halt, on the way back
+				haltAt = sim.now + sim.between(100, 3000) // a second halt, during the rollback
 			}
 		}
 		if haltAt > 0 && sim.now >= haltAt {
@@ -119,22 +123,22 @@
 	sim.runUntilSettled(600, CommandResume)
 	sim.runUntilSettled(1000, CommandRollBack)
 	if sim.state.record.findRelease("drain") != nil {
-		sim.call(Command{Kind: CommandRollBack, Name: "drain"}) // it may have blocked what else is to roll back
+		sim.call(Command{Kind: CommandRollBack, Name: "drain"}) // it may have blocked other releases that must roll back
 	}
 	if sim.state.record.findRelease("bans") != nil {
 		sim.call(Command{Kind: CommandRollBack, Name: "bans"})
 	}
-	for range 4 { // one may have stalled behind another
+	for range 4 { // a release may have stalled behind another one
 		sim.runUntilSettled(1500, CommandRollBack)
 	}
 	sim.runUntilSettled(1500, "")
-	for quietTicks, n := 0, 0; quietTicks < 50; n++ { // a fleet in which nothing happens must agree on nothing
+	for quietTicks, n := 0, 0; quietTicks < 50; n++ { // once nothing happens in the fleet, no command may be applied any more
 		version := sim.state.Version()
 		if sim.tick(); sim.state.Version() != version || len(sim.pending) > 0 {
 			quietTicks = -1
 		}
 		if quietTicks++; n > 500 {
-			sim.violation("it does not settle")
+			sim.violation("the state still changes 500 ticks after all releases ended: version %d, %d proposals pending", sim.state.Version(), len(sim.pending))
 			break
 		}
 	}
@@ -142,7 +146,7 @@
 	return sim
 }
 
-// call is an operator's call, repeated until it is answered.
+// call sends an operator's command and repeats it until it is answered.
 func (sim *simulation) call(c Command) {
 	for {
 		done := false
@@ -155,7 +159,8 @@
 	}
 }
 
-// runUntilSettled waits until all releases have ended, and then sends a command to those that are halted.
+// runUntilSettled runs until all releases have ended or are halted, for the given number of ticks at most.
+// It then sends retryCommand for each halted release, unless retryCommand is empty.
 func (sim *simulation) runUntilSettled(ticks int, retryCommand CommandKind) {
 	for i := range ticks {
 		sim.tick()
@@ -170,17 +175,17 @@
 	}
 }
 
-// checkEnd checks what has to be true at the end.
+// checkEnd checks the state and the fleet at the end of a simulation.
 func (sim *simulation) checkEnd() {
 	if len(sim.state.record.Quarantines) > 0 {
-		sim.violation("quarantined without faults: %+v", sim.state.record.Quarantines)
+		sim.violation("relays are still quarantined after the faults have ended: %+v", sim.state.record.Quarantines)
 	}
 	if len(sim.state.record.Ejections) > 0 {
-		sim.violation("ejections are left: %v", sim.state.record.Ejections)
+		sim.violation("ejections left at the end, want none: %v", sim.state.record.Ejections)
 	}
 	for _, r := range sim.state.record.Releases {
 		if !r.ended() && r.State != ReleaseHalted {
-			sim.violation("release %s is %s behind %q: %+v", r.Name, r.State, r.QueuedBehind, slices.DeleteFunc(slices.Clone(r.Units), func(u Unit) bool {
+			sim.violation("release %s has not ended: state %s, queued behind %q, unfinished units %+v", r.Name, r.State, r.QueuedBehind, slices.DeleteFunc(slices.Clone(r.Units), func(u Unit) bool {
 				return u.Phase == PhasePending || u.Phase == PhaseDone && !r.revertible(&u)
 			}))
 			continue
@@ -198,26 +203,31 @@
 			for _, x := range sim.members {
 				if u.Kind == KindMember && x.name == u.currentName() {
 					program, originalProgram = x.program, x.originalProgram
-					programUnknown = !x.reportsProgram && x.lastOrder != u.OrderNumber // it crashed before its owner replaced it, and does not report its program
+					// It does not report its program and crashed before its owner replaced it.
+					programUnknown = !x.reportsProgram && x.lastOrder != u.OrderNumber
 				}
 			}
 			if u.OrderNumber == 0 && orderedExits > 0 {
-				sim.violation("%s was never ordered to leave, and left", u.Name)
+				sim.violation("relay %s exited by an order %d times, but its unit was never ordered to leave", u.Name, orderedExits)
 			}
-			programUnknown = programUnknown || u.Kind == KindRelay && u.PreviousProgram == "" // it was silent for as long as a release waits for a report
+			// Without a previous program the relay was silent for as long as a release waits for a report.
+			programUnknown = programUnknown || u.Kind == KindRelay && u.PreviousProgram == ""
 			wrong := r.State == ReleaseRolledBack && program != originalProgram || r.State == ReleaseCompleted && program != r.Spec.Program
 			if sim.checkedUnits++; sim.hadFaults && (programUnknown || u.Phase == PhaseMissing || u.Successor != "" && !strings.HasPrefix(u.Successor, u.Name)) {
-				if wrong { // it was down while all else was done, and is listed; or one that was down when the units were set passes for it
+				// It was down until all other units were done, and is listed as missing; or a member that was
+				// down when the units were set was taken for its successor.
+				if wrong {
 					sim.excusedUnits++
 				}
 			} else if wrong || u.Stranded || u.Phase == PhaseMissing {
-				sim.violation("%s: %s runs %q, before %q: %+v", r.State, u.Name, program, originalProgram, u)
+				sim.violation("release is %s, but %s runs %q (originally %q), want no stranded or missing unit and the right program: %+v", r.State, u.Name, program, originalProgram, u)
 			}
 		}
 	}
 }
 
-// forEachSeed runs seeds in parallel and returns the violations by seed. With first it ends at the first one.
+// forEachSeed runs the seeds from up to, but not including, n in parallel and returns the violations by
+// seed. With stopAtFirst it starts no further seed after the first violation.
 func forEachSeed(from, n uint64, stopAtFirst bool, runSeed func(seed uint64) []string) map[uint64][]string {
 	next, violations := atomic.Uint64{}, map[uint64][]string{}
 	next.Store(from)
@@ -241,20 +251,20 @@
 	return violations
 }
 
-// TestModel plays the seeds from ROLLOUT_FROM up to ROLLOUT_SEEDS. Some are played twice: the same seed gives the same trace, also where the state goes
-// through Encode and Decode before each command.
+// TestModel simulates the seeds from ROLLOUT_FROM up to, but not including, ROLLOUT_SEEDS. Some are run a
+// second time with the state encoded and decoded before each command, and must give the same trace.
 func TestModel(t *testing.T) {
 	var completed, rolledBack, halted, quarantines, granted, units, excused atomic.Int64
-	var traces atomic.Uint64 // the same for two programs that behave the same
+	var traces atomic.Uint64 // sum of all trace hashes: equal for two versions of the package that behave the same
 	from, _ := strconv.ParseUint(os.Getenv("ROLLOUT_FROM"), 10, 64)
 	violations := forEachSeed(from, seedCount(70), false, func(seed uint64) []string {
 		if isLarge(seed) && os.Getenv("ROLLOUT_SEEDS") == "" {
-			return nil // a fifth of the time of all; TestFigures plans for as many
+			return nil // it would take a fifth of the whole test's time; TestFigures plans for as large a fleet
 		}
 		var history []appliedCommand
 		sim := simulate(seed, false, &history)
 		if seed%8 == 3 && !isLarge(seed) && simulate(seed, true, nil).trace != sim.trace {
-			sim.violation("the second run of the seed differs")
+			sim.violation("the second run of the seed, with the state encoded and decoded, has another trace")
 		}
 		checkPermits(sim, history)
 		quarantines.Add(int64(sim.quarantines))
@@ -270,22 +280,23 @@
 				rolledBack.Add(1)
 			default:
 				halted.Add(1)
-				t.Logf("seed %d: %s is %s, back %v: %+v", seed, r.Name, r.State, r.RollingBack, r.Halt)
+				t.Logf("seed %d: release %s ended the run as %s, rolling back %v: %+v", seed, r.Name, r.State, r.RollingBack, r.Halt)
 			}
 		}
 		return sim.violations
 	})
 	for _, seed := range slices.Sorted(maps.Keys(violations)) {
-		t.Errorf("seed %d: %q", seed, violations[seed])
+		t.Errorf("seed %d: violations %q, want none", seed, violations[seed])
 	}
 	if granted.Load() == 0 {
-		t.Error("no permit was ever granted")
+		t.Error("no permit was granted in any seed, want at least one")
 	}
-	t.Logf("seeds %d to %d: %d releases done, %d went back, %d halted; relays shut: %d; units: %d, %d of them excused; seeds with a fault: %d; all their traces: %x", from, seedCount(70)-1,
+	t.Logf("seeds %d to %d: %d releases completed, %d rolled back, %d halted; %d relays quarantined; %d units checked, %d of them excused; %d seeds with violations; sum of traces %x", from, seedCount(70)-1,
 		completed.Load(), rolledBack.Load(), halted.Load(), quarantines.Load(), units.Load(), excused.Load(), len(violations), traces.Load())
 }
 
-// checkPermits checks the results of all calls, in the order in which they were agreed, against one permit at a time for each relay or member.
+// checkPermits replays the results of all applied commands, in order, against a model with one permit at a
+// time for each relay or member.
 func checkPermits(sim *simulation, history []appliedCommand) {
 	states, permitByTarget := map[uint64]PermitState{}, map[string]uint64{}
 	for _, o := range history {
@@ -334,12 +345,13 @@
 			}
 		}
 		if !ok {
-			sim.violation("%s was answered %+v, permits are %v", c.Encode(), result, states)
+			sim.violation("permits: %s was answered %+v, which does not fit the permit states %v", c.Encode(), result, states)
 		}
 	}
 }
 
-// TestPlantedDefects: each defect is found by the checks of a simulation, or by its trace.
+// TestPlantedDefects checks that the simulation finds each planted defect, by its checks or, for
+// defectMapOrder, by a trace that differs between two runs.
 func TestPlantedDefects(t *testing.T) {
 	defer func() { plantedDefect = defectNone }()
 	for _, planted := range []defect{defectIgnoresFailures, defectNoFencing, defectMapOrder, defectTrustsOwnReport, defectForgetsRevoked, defectQuarantineUnbounded} {
@@ -355,10 +367,10 @@
 			return sim.violations
 		})
 		if len(violations) == 0 {
-			t.Errorf("%s: not found", planted)
+			t.Errorf("planted defect %q: no violation in 400 seeds, want at least one", planted)
 		}
 		for _, seed := range slices.Sorted(maps.Keys(violations))[:min(1, len(violations))] {
-			t.Logf("%s: seed %d: %s", planted, seed, violations[seed][0])
+			t.Logf("planted defect %q: seed %d: %s", planted, seed, violations[seed][0])
 		}
 	}
 }
--- a/internal/rollout/permit_test.go
+++ b/internal/rollout/permit_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// TestPermitsAndReleases: a begun permit whose relay does not come back ends when it has had the time: the relay is lost then and counts as that, and a
-// release may take it. Requesters without end do not block a release for good.
+// TestPermitsAndReleases checks two things. A begun permit whose relay does not come back ends after the
+// allowed time; the relay then counts as unavailable and a release may take it. And permit requests that
+// follow one another without a pause do not block a release for good.
 func TestPermitsAndReleases(t *testing.T) {
 	s := New()
 	b := Budgets{SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainTimeoutMS: 500, StartTimeoutMS: 500, PermitWindowMS: 100, ClockDrift: 0.01}
@@ -25,25 +26,25 @@
 	expect(t, s, v.At, PermitBegun, Command{Kind: CommandBeginPermit, PermitNumber: 1})
 	expect(t, s, v.At, PermitBegun, Command{Kind: CommandReturnPermit, PermitNumber: 1})
 	withoutN0, all := slices.Clone(v.Relays[1:]), v.Relays
-	v.Relays = withoutN0 // one that is down and not listed looks like one that is gone
+	v.Relays = withoutN0 // a relay that is down and not listed must be treated as one that is gone
 	v.At += 1100
 	plan()
 	if len(s.Permits()) != 1 {
-		t.Error("it may come back yet")
+		t.Errorf("Permits() = %+v, want the begun permit: its relay may still come back", s.Permits())
 	}
 	v.Relays = all
 	v.Relays[0].InService = false
 	v.At++
 	plan()
 	if a := s.record.allowance(KindRelay, s.record.summarizeRelays(&v, b), b); len(s.Permits()) != 0 || !a.out["n0"] || len(a.out) != 1 {
-		t.Errorf("%+v, out %v", s.Permits(), a.out)
+		t.Errorf("once n0 is overdue: Permits() = %+v, out %v, want no permit and only n0 out", s.Permits(), a.out)
 	}
 
 	v.Relays[0].InService = true
 	expect(t, s, v.At, ReleaseQueued, Command{Kind: CommandOpen, Name: "r", Release: &ReleaseSpec{Kind: KindRelay, Names: []string{"n3"}}})
 	plan()
 	orderedAt := 0
-	for number := uint64(2); number < 20 && orderedAt == 0; number++ { // there is always a permit that waits
+	for number := uint64(2); number < 20 && orderedAt == 0; number++ { // a permit is always waiting
 		expect(t, s, v.At, PermitWaiting, Command{Kind: CommandRequestPermit, TargetKind: KindRelay, Name: "n" + strconv.Itoa(int(number%2)), Requester: "a", DurationMS: 50})
 		plan()
 		if s.Orders("n3").Leave != nil {
@@ -54,6 +55,6 @@
 		v.At += 90
 	}
 	if r, _ := s.Release("r"); orderedAt == 0 || r.Halt != nil {
-		t.Errorf("%+v", r)
+		t.Errorf("n3 was ordered to leave at %d (0: never), release %+v, want an order and no halt", orderedAt, r)
 	}
 }
--- a/internal/rollout/random_calls_test.go
+++ b/internal/rollout/random_calls_test.go
@@ -7,23 +7,24 @@
 	"testing"
 )
 
-// tryApply applies anything at all: what is rejected changes nothing, and the state that comes of it goes through Encode and Decode.
+// tryApply applies any body. A rejected command must not change the state, and the resulting state must
+// survive Encode and Decode.
 func tryApply(t *testing.T, s *State, at int64, body []byte) (*State, Result) {
 	before := s.Encode()
 	var a Result
 	if err := json.Unmarshal(s.Apply(at, "n2", body), &a); err != nil || a.Error != "" && !bytes.Equal(before, s.Encode()) {
-		t.Fatalf("%s: %+v, %v", body, a, err)
+		t.Fatalf("Apply(%s) = %+v, %v, want a Result, and an unchanged state if it has an error", body, a, err)
 	}
 	s.Orders("n1")
 	next, err := Decode(s.Encode())
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Decode of the state after %s: %v", body, err)
 	}
 	return next, a
 }
 
-// TestRandomCalls: operators and leaders that call anything, in any order: parts of a simulation's commands, put together anew. What is out never
-// exceeds the budget of the view that the command was planned from.
+// TestRandomCalls applies random commands in random order: commands of a simulation with parts exchanged
+// between them. What is out must never exceed the budget in the view summary of the command.
 func TestRandomCalls(t *testing.T) {
 	var history []appliedCommand
 	sim := midRelease(2, &history)
@@ -72,7 +73,7 @@
 			}
 			for kind, increased := range map[Kind]bool{KindRelay: out(KindRelay) > relaysBefore, KindMember: out(KindMember) > membersBefore} {
 				if counted := s.record.allowance(kind, map[Kind]KindSummary{KindRelay: c.ViewSummary.Relays, KindMember: c.ViewSummary.Members}[kind], c.ViewSummary.Budgets); increased && counted.overdrawnReason() != "" {
-					t.Fatalf("%s: %s", c.Encode(), counted.overdrawnReason())
+					t.Fatalf("%s was accepted, but overdraws its budget: %s", c.Encode(), counted.overdrawnReason())
 				}
 			}
 		}
@@ -82,12 +83,12 @@
 	}
 	for _, kind := range []CommandKind{CommandOpen, CommandRequestPermit, CommandBeginPermit, CommandReturnPermit, CommandHalt, CommandResume, CommandRollBack, CommandEject, CommandReinstate, CommandSetUnits, CommandStep, CommandObserve, CommandExpirePermits, CommandQuarantine, CommandReadmit} {
 		if accepted[kind] == 0 {
-			t.Errorf("no %s was ever accepted: %v", kind, accepted)
+			t.Errorf("no command %q was accepted, want at least one; accepted %v", kind, accepted)
 		}
 	}
 }
 
-// midRelease is a fleet in the middle of two releases and a permit.
+// midRelease returns a simulation in the middle of two releases and a permit.
 func midRelease(seed uint64, history *[]appliedCommand) *simulation {
 	sim := newSimulation(seed, 4, 4, 2)
 	sim.faultFree, sim.history = true, history
--- a/internal/rollout/release_test.go
+++ b/internal/rollout/release_test.go
@@ -8,16 +8,17 @@
 	"testing"
 )
 
-// expect applies a command and wants it answered with a state, or with an error that contains a text.
+// expect applies a command and checks that the answer's state or error contains want.
 func expect[S ~string](t *testing.T, s *State, at int64, want S, c Command) {
 	t.Helper()
 	var result Result
 	if err := json.Unmarshal(s.Apply(at, "n1", c.Encode()), &result); err != nil || !strings.Contains(result.State+result.Error, string(want)) {
-		t.Fatalf("%+v: %+v, %v, not %q", c, result, err, want)
+		t.Fatalf("Apply(%+v) = %+v, %v, want state or error to contain %q", c, result, err, want)
 	}
 }
 
-// TestHalts: who may resume what: nobody but an operator after an operator or a verdict, nor after a second time for the same cause.
+// TestHalts checks who may resume a halted release. Only an operator may after an operator's halt, after a
+// verdict, and after a second halt for degraded service or an overdue unit.
 func TestHalts(t *testing.T) {
 	open := func() *State {
 		s := New()
@@ -35,28 +36,29 @@
 		expect(t, s, 4, "", leaderCommand(s, CommandResume, cmp.Or(cause, HaltOverdue)))
 		needsOperator := cause == HaltVerdict || cause == ""
 		if a, _ := s.Release("r"); (a.State == ReleaseHalted) != needsOperator {
-			t.Errorf("%q: %s after it resumed by itself", cause, a.State)
+			t.Errorf("halt cause %q: state after a resume by the leader = %s, want it halted: %v", cause, a.State, needsOperator)
 		}
 		if !needsOperator {
 			expect(t, s, 5, ReleaseHalted, leaderCommand(s, CommandHalt, cause))
 			s.Apply(6, "n1", leaderCommand(s, CommandResume, cause).Encode())
 			if a, _ := s.Release("r"); (a.State == ReleaseHalted) != (cause == HaltServiceDegraded || cause == HaltOverdue) {
-				t.Errorf("%q a second time: %s", cause, a.State)
+				t.Errorf("second halt with cause %q: state after a resume by the leader = %s, want it halted only for %q and %q", cause, a.State, HaltServiceDegraded, HaltOverdue)
 			}
 		}
 		s.Apply(7, "n1", Command{Kind: CommandResume, Name: "r"}.Encode())
 		if a, _ := s.Release("r"); a.State != ReleaseRunning {
-			t.Errorf("%q: an operator could not resume it", cause)
+			t.Errorf("halt cause %q: state after a resume by an operator = %s, want %s", cause, a.State, ReleaseRunning)
 		}
 	}
 	s := open()
 	expect(t, s, 3, "version", Command{Kind: CommandHalt, Name: "r", Cause: HaltDrift, BaseVersion: s.Version() - 1})
 	expect(t, s, 3, ReleaseHalted, leaderCommand(s, CommandHalt, HaltDrift))
-	expect(t, s, 4, ReleaseHalted, Command{Kind: CommandHalt, Name: "r"}) // an operator's takes precedence
+	expect(t, s, 4, ReleaseHalted, Command{Kind: CommandHalt, Name: "r"}) // an operator's halt takes precedence over the leader's
 	expect(t, s, 5, "operator", leaderCommand(s, CommandResume, HaltDrift))
 }
 
-// TestOverlappingReleases: of two that touch the same members the second waits, or is rejected with the first's name.
+// TestOverlappingReleases checks that a release that overlaps an earlier one is queued behind it, or is
+// rejected with the earlier one's name if it may not be queued.
 func TestOverlappingReleases(t *testing.T) {
 	s := New()
 	expect(t, s, 1, ReleaseQueued, Command{Kind: CommandOpen, Name: "first", Release: &ReleaseSpec{Kind: KindMember, Names: []string{"a", "b"}}})
@@ -67,25 +69,27 @@
 	expect(t, s, 2, "laid out", Command{Kind: CommandSetUnits, Name: "second", Units: []Unit{{Name: "a", Kind: KindMember}}})
 	expect(t, s, 3, ReleaseRolledBack, Command{Kind: CommandRollBack, Name: "first"})
 	if a, _ := s.Release("second"); a.QueuedBehind != "other" {
-		t.Errorf("it waits behind %q", a.QueuedBehind)
+		t.Errorf("QueuedBehind of release second = %q, want %q", a.QueuedBehind, "other")
 	}
 	expect(t, s, 3, ReleaseRolledBack, Command{Kind: CommandRollBack, Name: "other"})
 	expect(t, s, 4, ReleaseRunning, Command{Kind: CommandSetUnits, Name: "second", Units: []Unit{{Name: "a", Kind: KindMember}}})
 	expect(t, s, 5, `"second"`, Command{Kind: CommandRollBack, Name: "first"})
 
-	// A stranded unit is reverted as soon as what blocked it has ended: no other command may ever come.
+	// A stranded unit that is back is reverted as soon as the release that blocked it has ended, without a
+	// further command: none might ever come.
 	s = New()
 	s.record.Releases = []release{{ReleaseStatus: ReleaseStatus{Name: "first", State: ReleaseRolledBack, Spec: ReleaseSpec{Kind: KindMember, All: true}, Units: []Unit{{Name: "a", Kind: KindMember, Phase: PhaseDone, Updated: true}}}},
 		{ReleaseStatus: ReleaseStatus{Name: "second", State: ReleaseRollingBack, Spec: ReleaseSpec{Kind: KindEject, Eject: []string{"a"}}, Units: []Unit{{Name: "a", Kind: KindEject, Phase: PhaseLeaving, Reverting: true}}}}}
 	expect(t, s, 6, "", Command{Kind: CommandObserve, Observations: []Observation{{Release: "second", Unit: "a", Phase: PhaseDone}}})
 	for name, want := range map[string]ReleaseState{"first": ReleaseRollingBack, "second": ReleaseRolledBack} {
 		if a, _ := s.Release(name); a.State != want {
-			t.Errorf("%s is %s", name, a.State)
+			t.Errorf("state of release %s = %s, want %s", name, a.State, want)
 		}
 	}
 }
 
-// TestStranded: a stranded member is out until it is back as it was, is gone, or an operator accepts it as it is. Each is reported once.
+// TestStranded checks that a stranded member counts as out until it is back as it was, is gone, or an
+// operator accepts it as it is, and that it is listed as an exception once.
 func TestStranded(t *testing.T) {
 	b := Budgets{SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainTimeoutMS: 100, StartTimeoutMS: 100, PermitWindowMS: 100}
 	for _, reinstate := range []bool{false, true} {
@@ -93,7 +97,7 @@
 		s.record.Releases = []release{{ReleaseStatus: ReleaseStatus{Name: "r", State: ReleaseRolledBack, RollingBack: true, Spec: ReleaseSpec{Kind: KindMember, All: true, Program: "b2"}, Units: []Unit{
 			{Name: "a", Kind: KindMember, PreviousProgram: "b1", Phase: PhaseDrained, Stranded: true, OrderNumber: 1, SeenStart: 5}}}}}
 		if plan := s.Plan(v.At, v, b); plan != nil || s.Orders("n").Exclusions["a"].Reason != "drain" {
-			t.Errorf("%+v, %+v", plan, s.Orders("n"))
+			t.Errorf("stranded member: Plan() = %+v, Orders(n) = %+v, want no command, and the member excluded by a drain", plan, s.Orders("n"))
 		}
 		if reinstate {
 			expect(t, s, v.At, "", Command{Kind: CommandReinstate, Names: []string{"a"}})
@@ -103,13 +107,13 @@
 		}
 		a, _ := s.Release("r")
 		if plan := s.Plan(v.At, v, b); plan != nil || s.Orders("n").Exclusions != nil || len(s.record.plannedOut(KindMember)) > 0 || len(a.Exceptions) != 1 {
-			t.Errorf("allowed %v: %+v, %+v", reinstate, plan, a)
+			t.Errorf("stranded member reinstated (%v) or gone: Plan() = %+v, release %+v, want no command, no exclusion, nothing out and one exception", reinstate, plan, a)
 		}
 	}
 }
 
-// TestUnknownVersions: a relay that has not reported what it runs could not be reverted: its release waits for the report, unless it stays silent. Then
-// it cannot be reverted.
+// TestUnknownVersions checks that a release waits for a relay that has not reported its program, because the
+// relay could not be reverted. If the relay stays silent, the release starts and the relay is not revertible.
 func TestUnknownVersions(t *testing.T) {
 	s, b := New(), Budgets{SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainTimeoutMS: 500, StartTimeoutMS: 500, PermitWindowMS: 100}
 	v := View{At: 1000, Relays: []Relay{{Name: "a", ReportAgeMS: 1}, {Name: "b", Program: "p1", StartNumber: 1, InService: true}}}
@@ -117,9 +121,9 @@
 	expect(t, s, v.At, ReleaseQueued, Command{Kind: CommandOpen, Name: "r", Release: &ReleaseSpec{Kind: KindRelay, All: true, Program: "p2", Queue: true}})
 	v.At += 5000
 	expect(t, s, v.At, ReleaseRolledBack, Command{Kind: CommandRollBack, Name: "first"})
-	v.At += 1000 // since it is queued behind none
+	v.At += 1000 // since the release left the queue
 	if plan := s.Plan(v.At, v, b); plan != nil {
-		t.Errorf("%+v", plan)
+		t.Errorf("Plan() = %+v, want no command while relay a may still report its program", plan)
 	}
 	v.At++
 	expect(t, s, v.At, ReleaseRunning, s.Plan(v.At, v, b)[0])
@@ -128,11 +132,12 @@
 		r.Units[i].Updated = true
 	}
 	if r.revertible(r.findUnit("a")) || !r.revertible(r.findUnit("b")) {
-		t.Errorf("%+v", r.Units)
+		t.Errorf("units %+v: want a not revertible and b revertible", r.Units)
 	}
 }
 
-// TestUnitOrder: the smallest first, one of each zone in turn; zone by zone where all that may be out fits into one.
+// TestUnitOrder checks the order of the units: the smallest usable capacity first, taking one of each zone in
+// turn; zone by zone if all that may be out fits into one zone.
 func TestUnitOrder(t *testing.T) {
 	v := View{At: 1, Relays: []Relay{{Name: "r", Zone: "a"}}}
 	for i, zone := range []string{"a", "b", "a", "b"} {
@@ -149,12 +154,13 @@
 			got += u.Name + " "
 		}
 		if got != want {
-			t.Errorf("%+v: %s, not %s", budget, got, want)
+			t.Errorf("budget %+v: units in order %q, want %q", budget, got, want)
 		}
 	}
 }
 
-// TestSuccessorIsNotLost: a successor of another name does not count as lost beside the member that it replaces: the release does not halt for it.
+// TestSuccessorIsNotLost checks that a successor with a new name does not count as unavailable in addition to
+// the member that it replaces, which would halt the release.
 func TestSuccessorIsNotLost(t *testing.T) {
 	b := Budgets{SilentAfterMS: 100, ViewMaxAgeMS: 100, DrainTimeoutMS: 1000, StartTimeoutMS: 1000, WarmupMS: 1000, PermitWindowMS: 100}
 	v := View{At: 1000, Relays: []Relay{{Name: "n", InService: true}}, Members: []Member{{Name: "a.1", Started: 990, Capacity: 1, UsableCapacity: 0.3}, {Name: "b", Capacity: 1, UsableCapacity: 1}}}
@@ -165,6 +171,6 @@
 		expect(t, s, v.At, "", c)
 	}
 	if a, _ := s.Release("r"); a.State != ReleaseRunning || a.Units[0].Phase != PhaseReplaced || a.Units[0].Successor != "a.1" {
-		t.Errorf("%+v, %+v", a, a.Halt)
+		t.Errorf("release = %+v, halt %+v, want it running with unit a replaced by a.1", a, a.Halt)
 	}
 }
--- a/internal/rollout/service_baseline_test.go
+++ b/internal/rollout/service_baseline_test.go
@@ -5,12 +5,13 @@
 	"testing"
 )
 
-// TestServiceBaseline: neither the dispersion of the windows nor a single bad one counts as a degradation.
+// TestServiceBaseline checks that windows that vary by more than chance do not count as a degradation, and
+// that a real degradation is detected.
 func TestServiceBaseline(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	window := func(p float64) ServiceWindow {
 		n, served := 400+rng.IntN(200), 0
-		p += (rng.Float64() - 0.5) / 50 // windows differ by more than chance
+		p += (rng.Float64() - 0.5) / 50 // make windows differ by more than chance
 		for range n {
 			if rng.Float64() < p {
 				served++
@@ -33,6 +34,6 @@
 		}
 	}
 	if falseHalts > 0 || detected < 1990 {
-		t.Errorf("%d of 2000 halted by noise, %d found", falseHalts, detected)
+		t.Errorf("degraded() in 2000 runs: %d false halts, %d degradations detected, want 0 and at least 1990", falseHalts, detected)
 	}
 }
--- a/internal/rollout/simulation_checks_test.go
+++ b/internal/rollout/simulation_checks_test.go
@@ -5,8 +5,9 @@
 	"slices"
 )
 
-// checkCommand checks an agreed command against the truth of the fleet: what was let out and is, and what is lost for so long that it had to be
-// known, against the budgets.
+// checkCommand checks an applied command against the real state of the simulated fleet. It compares the
+// budgets with the targets that were let out and are still out, plus those that have been unavailable for so
+// long that the leader must have known.
 func (sim *simulation) checkCommand(c Command) {
 	if c.Kind == CommandObserve {
 		for _, s := range c.Observations {
@@ -41,7 +42,7 @@
 		sim.markOut(kind, name, g.Permit)
 	}
 	sim.dropReturned()
-	// Long enough that the view had it.
+	// After this time the leader's view must show that a target is unavailable.
 	detectionMS := sim.budgets.SilentAfterMS + sim.budgets.ViewMaxAgeMS + 3500
 	out, outByZone, total := map[Kind]int{}, map[string]int{}, map[string]int{}
 	memberCapacity, relayCapacity, details := 0.0, 0.0, ""
@@ -52,7 +53,7 @@
 		if plannedOut || unavailableSince > 0 && sim.now-unavailableSince > detectionMS {
 			out[kind]++
 			outByZone[string(kind)+zone]++
-			details += fmt.Sprintf(" %s (given %v, lost since %d)", name, plannedOut, unavailableSince)
+			details += fmt.Sprintf(" %s (out by plan %v, unavailable since %d)", name, plannedOut, unavailableSince)
 		}
 		if kind == KindMember {
 			memberCapacity += capacity
@@ -68,7 +69,7 @@
 		count(KindRelay, h.name, h.zone, h.unavailableSince, capacity)
 	}
 	if needed := c.ViewSummary.Relays.Load * (1 + sim.budgets.CapacityReserve); takesCapacity && relayCapacity < needed {
-		sim.violation("the relays that are left bear %.0f, %.0f are needed:%s", relayCapacity, needed, details)
+		sim.violation("the remaining relays have capacity %.0f, want at least %.0f; out:%s", relayCapacity, needed, details)
 	}
 	for _, x := range sim.members {
 		capacity := x.capacity
@@ -97,18 +98,18 @@
 			continue
 		}
 		if limit := b.totalLimit(total[string(kind)]); out[kind] > limit {
-			sim.violation("%d of kind %s are out, of %d:%s", out[kind], kind, limit, details)
+			sim.violation("%d of kind %s are out, want at most %d; out:%s", out[kind], kind, limit, details)
 		}
 		for z, n := range outByZone {
 			if len(z) > len(kind) && z[:len(kind)] == string(kind) && n > b.zoneLimit(total[z]) {
-				sim.violation("%d are out in %s of %d:%s", n, z, b.zoneLimit(total[z]), details)
+				sim.violation("%d are out in kind and zone %s, want at most %d; out:%s", n, z, b.zoneLimit(total[z]), details)
 			}
 		}
 		if kind == KindMember && memberCapacity < sim.load*(1+sim.budgets.CapacityReserve) {
 			for key := range newlyOut {
 				i := slices.IndexFunc(sim.members, func(x *simMember) bool { return targetKey(KindMember, x.name) == key })
 				if i >= 0 && sim.members[i].unavailableSince == 0 {
-					sim.violation("what is left bears %.0f, the load is %.0f", memberCapacity, sim.load)
+					sim.violation("the remaining members have capacity %.0f, want at least %.0f", memberCapacity, sim.load*(1+sim.budgets.CapacityReserve))
 					break
 				}
 			}
@@ -116,10 +117,10 @@
 	}
 }
 
-// targetKey is the key of a relay or member among both.
+// targetKey returns a key for a relay or member that is unique over both kinds.
 func targetKey(kind Kind, name string) string { return string(kind) + " " + name }
 
-// dropReturned forgets what was let out and is really back.
+// dropReturned removes the targets that were let out and are really back.
 func (sim *simulation) dropReturned() {
 	for key, out := range sim.out {
 		if !out() {
@@ -128,7 +129,7 @@
 	}
 }
 
-// markOut notes that a thing was let out, and how to tell that it is really back.
+// markOut records that a target was let out, with a function that reports whether it is still really out.
 func (sim *simulation) markOut(kind Kind, name string, permit uint64) {
 	var stillOut func() bool
 	if kind == KindRelay {
@@ -137,7 +138,7 @@
 	} else {
 		i := slices.IndexFunc(sim.members, func(x *simMember) bool { return x.name == name })
 		if i < 0 {
-			return // it has another name by now: its unit is already being replaced
+			return // the member has another name by now: its unit is already being replaced
 		}
 		x := sim.members[i]
 		stillOut = func() bool { return sim.memberUnavailable(x) }
@@ -159,6 +160,7 @@
 	sim.out[targetKey(kind, name)] = stillOut
 }
 
+// checkDrained checks that no relay can have flows at a member that was observed as drained.
 func (sim *simulation) checkDrained(o Observation) {
 	r := sim.state.record.findRelease(o.Release)
 	if r == nil || r.findUnit(o.Unit) == nil || r.findUnit(o.Unit).Phase != PhaseDrained {
@@ -166,19 +168,19 @@
 	}
 	name := r.findUnit(o.Unit).currentName()
 	if slices.ContainsFunc(sim.members, func(x *simMember) bool { return x.name == name && !x.up }) {
-		return // no flow outlives it
+		return // the member's process has ended, and its flows with it
 	}
 	for _, h := range sim.relays {
 		if !sim.serves(h) || max(h.serveAt, h.reconnectAt, h.unpauseAt) > sim.now-5000 || sim.now-h.lastContact > sim.releasesFlowsAfterMS() {
-			continue // it may have come back since: such a relay catches up before it serves
+			continue // it may have come back since the observation; such a relay applies the record before it serves
 		}
 		until, migrating := h.flowsUntil[name]
 		_, out := sim.log[h.appliedIndex].excluded[name]
 		if migrating && until > sim.now {
-			sim.violation("%s counts as drained, %s migrates its flows", name, h.name)
+			sim.violation("%s was observed as drained, but relay %s still migrates flows from it", name, h.name)
 		}
 		if !out {
-			sim.violation("%s counts as drained, %s has not applied that it is out", name, h.name)
+			sim.violation("%s was observed as drained, but relay %s has not applied its exclusion", name, h.name)
 		}
 	}
 }
--- a/internal/rollout/simulation_test.go
+++ b/internal/rollout/simulation_test.go
@@ -7,8 +7,9 @@
 	"math/rand/v2"
 )
 
-// simulation is a fleet in virtual time: relays that apply the record late, owners of members, requesters of permits, a leader whose view is late
-// and partial, faults. Its checks know the truth of the fleet, and use nothing that the package counts.
+// simulation is a fleet in virtual time: relays that apply the record late, owners that replace members,
+// permit requesters, a leader with a late and partial view, and faults. Its checks look at the real state of
+// the fleet and use none of the package's counts.
 type simulation struct {
 	rng              *rand.Rand
 	now              int64
@@ -20,16 +21,16 @@
 	pending          []proposal
 	budgets          Budgets
 	load             float64
-	utilization      float64 // the part of a relay's capacity that its flows take
-	leaderSince      int64   // the leader's view began; in the future: there is none until then
+	utilization      float64 // share of each relay's capacity that its flows use
+	leaderSince      int64   // when the leader's view began; if in the future, there is no leader until then
 	skew             int64
-	staleState       []byte // of a while ago, which a second leader still plans from
+	staleState       []byte // earlier state that a second leader still plans from
 	staleView        View
-	faultFree        bool // no more faults
-	twoLeaders       bool // a second leader plans at every look
-	hadFaults        bool // there were faults
+	faultFree        bool // no faults from now on
+	twoLeaders       bool // the second leader plans each time that the leader does
+	hadFaults        bool // the simulation began with faults
 	serviceDropUntil int64
-	out              map[string]func() bool // what was granted or quarantined, and whether it is still out
+	out              map[string]func() bool // by targetKey: granted or quarantined targets; the function reports whether one is still out
 	trace            uint64
 	violations       []string
 	reencode         bool
@@ -37,14 +38,14 @@
 	service          []ServiceWindow
 	history          *[]appliedCommand
 	driftUntil       int64
-	massDriftAt      int64 // when half of the relays drift
+	massDriftAt      int64 // when half of the relays start to drift
 	quarantines      int
 	grantedPermits   int
-	checkedUnits     int // at the end
-	excusedUnits     int // that do not run what they should, for a reason that the design page names as open
+	checkedUnits     int // units checked at the end
+	excusedUnits     int // of those, units that run the wrong program for a reason that the design page lists as open
 }
 
-const slowStartShare = 0.3 // of its capacity that a member has usable in slow start
+const slowStartShare = 0.3 // share of a member's capacity that is usable during slow start
 
 type appliedOrders struct {
 	at         int64
@@ -61,26 +62,26 @@
 	onResult func(Result)
 }
 
-// simRelay is a relay's host: it starts the relay again, whatever ended it.
+// simRelay is a relay and its host, which restarts the relay whenever its process ends.
 type simRelay struct {
 	name, zone, program, originalProgram string
 	up, paused                           bool
 	partitioned                          bool
 	startNumber                          uint64
-	appliedIndex, reportedIndex          int // indexes of the log
+	appliedIndex, reportedIndex          int // indexes into simulation.log
 	serveAt, exitAt, restartAt           int64
 	unpauseAt, reconnectAt               int64
 	lastContact                          int64
-	nextProgram                          string // the program after an ordered exit
+	nextProgram                          string // program to start after an ordered exit
 	orderedExits                         int
 	capacity                             float64
 	report                               Relay
 	sentAt                               int64
 	reportedAt                           int64
-	flowsUntil                           map[string]int64 // by member that is out: until when it has flows there
+	flowsUntil                           map[string]int64 // by excluded member: until when the relay has flows there
 	unavailableSince                     int64
-	unfitUntil                           int64 // it drifts until then; a restart may repair it
-	quarantinedAcrossRestarts            bool  // it stays quarantined until the record readmits it, also with a later start
+	unfitUntil                           int64 // until when the relay drifts; a restart may end the drift earlier
+	quarantinedAcrossRestarts            bool  // a later process stays quarantined until the record readmits it
 }
 
 // simMember is a member and its owner, who replaces it.
@@ -91,16 +92,16 @@
 	capacity                             float64
 	nextProgram                          string
 	renamesSuccessor, reportsProgram     bool
-	lastOrder                            uint64 // the order that its owner followed last
+	lastOrder                            uint64 // number of the order that the owner followed last
 	unavailableSince                     int64
 }
 
 type requester struct {
 	kind         Kind
 	name, holder string
-	clockRate    float64 // of its clock
+	clockRate    float64 // rate of the requester's clock relative to the simulation's
 	permit       uint64
-	beginBy      int64 // by the simulation's clock, as its own counts it
+	beginBy      int64 // latest time to begin the permit as the requester's clock measures it, in simulation time
 	begun        bool
 	takeDownBy   int64
 	doneAt       int64
@@ -126,14 +127,15 @@
 			quarantinedAcrossRestarts: sim.rng.IntN(2) == 0})
 		totalRelayCapacity += sim.relays[i].capacity
 	}
-	sim.utilization = min(0.4+0.3*sim.rng.Float64(), (totalRelayCapacity-200)/totalRelayCapacity/1.06) // the largest may be out
+	sim.utilization = min(0.4+0.3*sim.rng.Float64(), (totalRelayCapacity-200)/totalRelayCapacity/1.06) // low enough that the largest relay may go out
 	for i := range m {
 		x := &simMember{name: fmt.Sprintf("m%d", i), zone: fmt.Sprintf("z%d", i%zones), program: "b1", originalProgram: "b1", up: true, startedAt: sim.now - 1e5,
 			capacity: 50 + float64(sim.rng.IntN(100)), renamesSuccessor: sim.rng.IntN(2) == 0, reportsProgram: sim.rng.IntN(2) == 0}
 		sim.members = append(sim.members, x)
 		totalMemberCapacity += x.capacity
 	}
-	sim.load = min(totalMemberCapacity*(0.4+0.3*sim.rng.Float64()), (totalMemberCapacity-300)/1.06) // the two largest may be out: else nothing ever ends
+	// The load is low enough that the two largest members may be out; otherwise nothing would ever end.
+	sim.load = min(totalMemberCapacity*(0.4+0.3*sim.rng.Float64()), (totalMemberCapacity-300)/1.06)
 	return sim
 }
 
@@ -145,7 +147,7 @@
 
 func (sim *simulation) between(low, high int64) int64 { return low + sim.rng.Int64N(high-low+1) }
 
-// propose sends a command: it is agreed later, or never, or its result is lost.
+// propose sends a command. It is applied later or never, and its result may be lost.
 func (sim *simulation) propose(by string, c Command, onResult func(Result)) {
 	p := proposal{sim.now + sim.between(30, 200), sim.now, by, c, onResult}
 	if !sim.faultFree {
@@ -153,7 +155,7 @@
 		case 0:
 			return
 		case 1:
-			p.at += sim.between(500, 3000) // it seems lost, and is agreed after all
+			p.at += sim.between(500, 3000) // it seems lost, but is applied later
 		}
 	}
 	sim.pending = append(sim.pending, p)
@@ -164,7 +166,7 @@
 	if sim.reencode {
 		s, err := Decode(sim.state.Encode())
 		if err != nil {
-			sim.violation("decode: %v", err)
+			sim.violation("Decode of the encoded state: %v", err)
 			return
 		}
 		sim.state = s
@@ -174,7 +176,7 @@
 	encodedResult := sim.state.Apply(at, p.by, body)
 	var result Result
 	if err := json.Unmarshal(encodedResult, &result); err != nil {
-		sim.violation("answer: %v", err)
+		sim.violation("decode the result of Apply: %v", err)
 	}
 	h := fnv.New64a()
 	fmt.Fprint(h, sim.trace, at, p.by)
@@ -192,7 +194,7 @@
 		p.onResult(result)
 	}
 	if !sim.faultFree && p.onResult == nil && sim.rng.IntN(12) == 0 {
-		sim.injectFault() // at a command of the leader
+		sim.injectFault() // a fault right after a command of the leader
 	}
 }
 
@@ -245,18 +247,19 @@
 	}
 }
 
-// serves says whether clients get through, as others see it.
+// serves reports whether clients get through to the relay, as others see it.
 func (sim *simulation) serves(h *simRelay) bool {
 	return h.up && !h.paused && h.serveAt <= sim.now && h.exitAt == 0 && !h.quarantinedBy(sim.log[h.appliedIndex])
 }
 
-// quarantinedBy says whether orders quarantine the process that runs.
+// quarantinedBy reports whether the orders quarantine the relay's running process.
 func (h *simRelay) quarantinedBy(a appliedOrders) bool {
 	c := a.quarantine[h.name]
 	return c != nil && (h.quarantinedAcrossRestarts || h.startNumber <= c.StartNumber)
 }
 
-// mayStopServing says whether the process that runs may leave, or be quarantined, by orders that it has not applied yet.
+// mayStopServing reports whether the relay's running process may leave or be quarantined by orders in the log
+// from the last applied one on.
 func (sim *simulation) mayStopServing(h *simRelay) bool {
 	for _, a := range sim.log[h.appliedIndex:] {
 		if l := a.leave[h.name]; l != nil && h.startNumber <= l.StartNumber || h.quarantinedBy(a) {
@@ -273,15 +276,15 @@
 	return !x.up || sim.now < x.warmAt
 }
 
-// releasesFlowsAfterMS is after how long without the record a relay gives up its flows at members that may be out: before FlowHoldMS, by as much as
-// a report may take.
+// releasesFlowsAfterMS returns how long a relay may be without contact to the record before it gives up its
+// flows at members that may be excluded. This is FlowHoldMS minus the time that a report may take.
 func (sim *simulation) releasesFlowsAfterMS() int64 {
 	return sim.budgets.FlowHoldMS - sim.budgets.SilentAfterMS
 }
 
 func (sim *simulation) hasLeader(at int64) bool { return sim.leaderSince <= at }
 
-// tick plays a tenth of a second.
+// tick advances the simulation by 100 ms.
 func (sim *simulation) tick() {
 	sim.now += 100
 	for _, h := range sim.relays {
@@ -293,14 +296,14 @@
 	for _, a := range sim.requesters {
 		sim.stepRequester(a)
 	}
-	sim.dropReturned() // what was back for a moment, and fails then, is not out by plan any more
+	sim.dropReturned() // a target that is back, if only for a moment, and fails then, is no longer out by plan
 	due := sim.pending
 	sim.pending = nil
 	for _, p := range due {
 		switch {
 		case p.at > sim.now || !sim.hasLeader(sim.now) && sim.rng.IntN(4) > 0:
 			sim.pending = append(sim.pending, p)
-		case !sim.hasLeader(sim.now): // lost with the leader
+		case !sim.hasLeader(sim.now): // the proposal is lost with the leader
 		default:
 			sim.commit(p)
 		}
@@ -351,7 +354,7 @@
 		}
 		h.nextProgram = ""
 		if !sim.faultFree && sim.rng.IntN(4) == 0 {
-			h.appliedIndex = max(0, h.appliedIndex-sim.rng.IntN(5)) // an older directory
+			h.appliedIndex = max(0, h.appliedIndex-sim.rng.IntN(5)) // it restarts from an older state directory
 		}
 		clear(h.flowsUntil)
 		if sim.rng.IntN(4) > 0 {
@@ -375,19 +378,19 @@
 			sim.applyOrders(h)
 		}
 	}
-	if h.exitAt > 0 && sim.now >= h.exitAt { // it exits as it was ordered
+	if h.exitAt > 0 && sim.now >= h.exitAt { // an ordered exit
 		h.up, h.restartAt = false, sim.now+sim.between(100, 500)
 		h.orderedExits++
 		return
 	}
-	for m, until := range h.flowsUntil { // flows at members that are out
+	for m, until := range h.flowsUntil { // flows at excluded members
 		if sim.now >= until || sim.now-h.lastContact > sim.releasesFlowsAfterMS() {
 			delete(h.flowsUntil, m)
 		}
 	}
 	if !h.partitioned && sim.now-h.sentAt >= 500 && (sim.faultFree || sim.rng.IntN(10) > 0) {
 		h.sentAt, h.reportedAt = sim.now, sim.now
-		phase := relayServing // it reports so before others see it
+		phase := relayServing // reported before others see it serve
 		if h.exitAt > 0 {
 			phase = "draining"
 		} else if h.quarantinedBy(sim.log[h.appliedIndex]) {
@@ -399,14 +402,14 @@
 	}
 }
 
-// applyOrders is what a relay does with orders that it has just applied.
+// applyOrders lets a relay follow the orders that it has just applied.
 func (sim *simulation) applyOrders(h *simRelay) {
 	a := sim.log[h.appliedIndex]
 	l := a.leave[h.name]
 	switch {
 	case l != nil && h.startNumber <= l.StartNumber && h.exitAt == 0:
 		h.exitAt, h.nextProgram = sim.now+sim.between(300, 2000), l.Program
-	case l == nil && h.exitAt > sim.now+200: // it was revoked, and it has not begun to exit
+	case l == nil && h.exitAt > sim.now+200: // the order was revoked before the relay began to exit
 		h.exitAt, h.nextProgram = 0, ""
 	}
 	for m, o := range a.excluded {
@@ -424,7 +427,8 @@
 	} else {
 		x.unavailableSince = 0
 	}
-	// Its owner replaces it when the record says that it is drained; should it crash just then, it is replaced as it starts.
+	// The owner replaces the member when the record says that it is drained. A member that has crashed by
+	// then starts as the replacement.
 	for i := range sim.state.record.Releases {
 		r := &sim.state.record.Releases[i]
 		for j := range r.Units {
@@ -434,7 +438,7 @@
 			}
 			x.lastOrder, x.nextProgram = u.OrderNumber, r.Spec.Program
 			if u.Reverting || r.RollingBack {
-				x.nextProgram = x.originalProgram // its owner knows, whether or not it reports it to the fleet
+				x.nextProgram = x.originalProgram // the owner knows the program, even if the member does not report it
 			}
 			if x.up {
 				x.up, x.restartAt = false, sim.now+sim.between(200, 1000)
@@ -464,7 +468,7 @@
 		a.finished = true
 		return
 	}
-	if a.begun { // it may take the thing down for a while
+	if a.begun { // the requester may take the target down until takeDownBy
 		if sim.now < a.takeDownBy {
 			a.takeDown(sim)
 		}
@@ -506,7 +510,7 @@
 	}
 }
 
-// view is what the leader knows: load reports that are late or lost, and what peers gossip.
+// view returns the leader's view, built from load reports that are late or lost and from gossip of the peers.
 func (sim *simulation) view() View {
 	v := View{At: sim.now + sim.skew, Load: sim.load, Service: sim.service, Unfit: map[string]string{}}
 	if sim.driftUntil > sim.now {
@@ -533,7 +537,7 @@
 		}
 		m := Member{Name: x.name, Zone: x.zone, Started: x.startedAt, Capacity: x.capacity, UsableCapacity: usableCapacity, Failing: !x.up, Program: x.program, FlowsByRelay: map[string]RelayFlows{}}
 		if !x.reportsProgram {
-			m.Program = "" // not all report what they run
+			m.Program = "" // this member does not report its program
 		}
 		for _, h := range sim.relays {
 			if h.reportedAt < sim.leaderSince {
@@ -546,7 +550,7 @@
 			}
 		}
 		if x.renamesSuccessor && !x.up {
-			continue // the new name is listed when it is there
+			continue // the successor is listed under its new name once it is up
 		}
 		v.Members = append(v.Members, m)
 	}
@@ -556,20 +560,20 @@
 
 func (sim *simulation) runLeader() {
 	if sim.now-sim.leaderSince < sim.budgets.SilentAfterMS && sim.leaderSince > 1e6 {
-		return // not all have reported yet
+		return // not all relays have reported yet
 	}
 	v := sim.view()
 	at := sim.now + sim.between(30, 200)
 	for _, c := range sim.state.Plan(sim.now+sim.skew, v, sim.budgets) {
 		sim.propose("pilot", c, nil)
 		if n := len(sim.pending); n > 0 && sim.pending[n-1].sent == sim.now && sim.rng.IntN(10) > 0 {
-			sim.pending[n-1].at = at // mostly in order
+			sim.pending[n-1].at = at // mostly in the planned order
 		}
 	}
 	if sim.staleState != nil && (sim.twoLeaders || sim.rng.IntN(4) == 0) && !sim.faultFree {
 		s, err := Decode(sim.staleState)
 		if err != nil {
-			sim.violation("decode: %v", err)
+			sim.violation("Decode of the stale state: %v", err)
 			return
 		}
 		for _, c := range s.Plan(sim.staleView.At, sim.staleView, sim.budgets) {
