--- a/internal/rollout/command.go
+++ b/internal/rollout/command.go
@@ -32,7 +32,8 @@
 	CommandReadmit CommandKind = "admit"
 )
 
-// Cause is why the leader halts, resumes or readmits. It is empty in an operator's command.
+// Cause is why the leader halts, resumes or readmits. It is empty in an operator's command; a halt by an
+// operator is stored with HaltByOperator.
 type Cause string
 
 // Causes of a halt. When the leader resumes a release, it gives the cause of the halt that no longer applies.
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -132,7 +132,8 @@
 		sim.runUntilSettled(1500, CommandRollBack)
 	}
 	sim.runUntilSettled(1500, "")
-	for quietTicks, n := 0, 0; quietTicks < 50; n++ { // once nothing happens in the fleet, no command may be applied any more
+	for quietTicks, n := 0, 0; quietTicks < 50; n++ {
+		// Once nothing happens in the fleet, no command may be applied any more.
 		version := sim.state.Version()
 		if sim.tick(); sim.state.Version() != version || len(sim.pending) > 0 {
 			quietTicks = -1
--- a/internal/rollout/quarantine.go
+++ b/internal/rollout/quarantine.go
@@ -17,7 +17,7 @@
 	// The state's version that readmitted it; counts as out until it has applied that version and
 	// serves.
 	ReadmittedVersion uint64 `json:"opened,omitempty"`
-	// Readmitted by an operator: not quarantined again until it no longer drifts or restarts.
+	// Readmitted by an operator: not quarantined again until it no longer drifts, or until it restarts.
 	OperatorOverride bool `json:"let,omitempty"`
 	InService        bool `json:"back,omitempty"` // it serves; the entry stays only for OperatorOverride
 }
--- a/internal/rollout/release_test.go
+++ b/internal/rollout/release_test.go
@@ -53,7 +53,8 @@
 	s := open()
 	expect(t, s, 3, "version", Command{Kind: CommandHalt, Name: "r", Cause: HaltDrift, BaseVersion: s.Version() - 1})
 	expect(t, s, 3, ReleaseHalted, leaderCommand(s, CommandHalt, HaltDrift))
-	expect(t, s, 4, ReleaseHalted, Command{Kind: CommandHalt, Name: "r"}) // an operator's halt takes precedence over the leader's
+	// An operator's halt takes precedence over the leader's.
+	expect(t, s, 4, ReleaseHalted, Command{Kind: CommandHalt, Name: "r"})
 	expect(t, s, 5, "operator", leaderCommand(s, CommandResume, HaltDrift))
 }
 
--- a/internal/rollout/simulation_test.go
+++ b/internal/rollout/simulation_test.go
@@ -30,19 +30,20 @@
 	twoLeaders       bool // the second leader plans each time that the leader does
 	hadFaults        bool // the simulation began with faults
 	serviceDropUntil int64
-	out              map[string]func() bool // by targetKey: granted or quarantined targets; the function reports whether one is still out
-	trace            uint64
-	violations       []string
-	reencode         bool
-	peak             int
-	service          []ServiceWindow
-	history          *[]appliedCommand
-	driftUntil       int64
-	massDriftAt      int64 // when half of the relays start to drift
-	quarantines      int
-	grantedPermits   int
-	checkedUnits     int // units checked at the end
-	excusedUnits     int // of those, units that run the wrong program for a reason that the design page lists as open
+	// By targetKey: granted or quarantined targets; the function reports whether one is still out.
+	out            map[string]func() bool
+	trace          uint64
+	violations     []string
+	reencode       bool
+	peak           int
+	service        []ServiceWindow
+	history        *[]appliedCommand
+	driftUntil     int64
+	massDriftAt    int64 // when half of the relays start to drift
+	quarantines    int
+	grantedPermits int
+	checkedUnits   int // units checked at the end
+	excusedUnits   int // of those, units that run the wrong program for a reason that the design page lists as open
 }
 
 const slowStartShare = 0.3 // share of a member's capacity that is usable during slow start
@@ -127,7 +128,8 @@
 			quarantinedAcrossRestarts: sim.rng.IntN(2) == 0})
 		totalRelayCapacity += sim.relays[i].capacity
 	}
-	sim.utilization = min(0.4+0.3*sim.rng.Float64(), (totalRelayCapacity-200)/totalRelayCapacity/1.06) // low enough that the largest relay may go out
+	// The utilization is low enough that the largest relay may go out.
+	sim.utilization = min(0.4+0.3*sim.rng.Float64(), (totalRelayCapacity-200)/totalRelayCapacity/1.06)
 	for i := range m {
 		x := &simMember{name: fmt.Sprintf("m%d", i), zone: fmt.Sprintf("z%d", i%zones), program: "b1", originalProgram: "b1", up: true, startedAt: sim.now - 1e5,
 			capacity: 50 + float64(sim.rng.IntN(100)), renamesSuccessor: sim.rng.IntN(2) == 0, reportsProgram: sim.rng.IntN(2) == 0}
--- a/internal/rollout/unit.go
+++ b/internal/rollout/unit.go
@@ -13,7 +13,7 @@
 	PhaseReplaced Phase = "coming"  // a member that was replaced and is not yet in full service
 	PhaseRevoked  Phase = "revoked" // its order was revoked; counts as out until it is seen in service
 	PhaseDone     Phase = "done"
-	PhaseMissing  Phase = "missing" // not in the leader's view any more
+	PhaseMissing  Phase = "missing" // not in the leader's view any more, or stranded and accepted as it is
 )
 
 // Unit is one relay or member of a release.
--- a/internal/rollout/view.go
+++ b/internal/rollout/view.go
@@ -55,7 +55,7 @@
 type Member struct {
 	Name              string                `json:"name"`
 	Zone              string                `json:"zone"`
-	Listed            string                `json:"listed"`
+	Listed            string                `json:"listed"` // state of the member in discovery
 	Program           string                `json:"program"`
 	Started           int64                 `json:"started"` // wall-clock milliseconds
 	Capacity          float64               `json:"capacity"`
