--- a/internal/rollout/apply_step.go
+++ b/internal/rollout/apply_step.go
@@ -2,18 +2,19 @@
 
 import "fmt"
 
-// applyStep lets things go out: all that the step grants, or nothing.
+// applyStep applies all grants of a step, or none of them.
 func (rec *record) applyStep(at int64, c *Command) Result {
-	if c.Basis == nil || len(c.Grants) == 0 || len(c.Grants) > MaxGrantsPerStep {
+	if c.ViewSummary == nil || len(c.Grants) == 0 || len(c.Grants) > MaxGrantsPerStep {
+		// ViewSummary or Grants is missing, or there are too many grants.
 		return reject("a step names one to %d things, and what it was reckoned from", MaxGrantsPerStep)
 	}
-	if reason := rec.staleBasis(at, c); reason != "" {
+	if reason := rec.stalePlanReason(at, c); reason != "" {
 		return reject("%s", reason)
 	}
-	basis := c.Basis
+	summary := c.ViewSummary
 	allowances := map[Kind]*allowance{
-		KindRelay:  rec.allowance(KindRelay, basis.Relays, basis.Budgets),
-		KindMember: rec.allowance(KindMember, basis.Members, basis.Budgets),
+		KindRelay:  rec.allowance(KindRelay, summary.Relays, summary.Budgets),
+		KindMember: rec.allowance(KindMember, summary.Members, summary.Budgets),
 	}
 	for i := range c.Grants {
 		if reason := rec.reserveGrant(&c.Grants[i], allowances, len(c.Grants)); reason != "" {
@@ -22,12 +23,13 @@
 	}
 	rec.Version++
 	for i := range c.Grants {
-		rec.applyGrant(at, &c.Grants[i], &basis.Budgets)
+		rec.applyGrant(at, &c.Grants[i], &summary.Budgets)
 	}
 	return Result{}
 }
 
-// reserveGrant counts a grant against the allowances, or says why it does not fit. It changes nothing of the record.
+// reserveGrant counts a grant against the allowances, or returns why it does not fit. It does not
+// change the record.
 func (rec *record) reserveGrant(g *Grant, allowances map[Kind]*allowance, grants int) string {
 	if len(g.Zone) > MaxNameBytes {
 		return fmt.Sprintf("a zone of over %d bytes", MaxNameBytes)
@@ -49,7 +51,7 @@
 	}
 	change := u.ejectionChange()
 	if change < 0 {
-		return "" // it puts a member back
+		return "" // it puts a member back into service
 	}
 	if reason := allowances[budgetKind(u.Kind)].reserve(u.currentName(), u.Zone, g.Capacity); reason != "" {
 		return reason
