--- a/internal/canary/apply.go
+++ b/internal/canary/apply.go
@@ -11,7 +11,7 @@
 // Apply executes one command of the log and returns the answer to its proposer. A command that is not possible is answered with an error
 // and changes nothing.
 func (s *State) Apply(at int64, by string, body []byte) []byte {
-	at = max(s.form.At, at) // time in the record never goes back
+	at = max(s.stored.At, at) // time in the record never goes back
 	var cmd Command
 	err := json.Unmarshal(body, &cmd)
 	if err == nil {
@@ -24,8 +24,8 @@
 	if err != nil {
 		answer.Error = err.Error()
 	} else {
-		s.form.At = at
-		answer.Canary = s.find(cmd.Release)
+		s.stored.At = at
+		answer.Canary = s.findCanary(cmd.Release)
 	}
 	b, err := json.Marshal(answer)
 	if err != nil {
@@ -38,7 +38,7 @@
 	if cmd.Op == OpOpen {
 		return s.open(at, by, cmd)
 	}
-	c := s.find(cmd.Release)
+	c := s.findCanary(cmd.Release)
 	if c == nil {
 		return fmt.Errorf("no canary of release %q", cmd.Release)
 	}
@@ -70,8 +70,8 @@
 	}
 	c.ChangedBy, c.Reason = by, cmd.Reason
 	c.Revision++
-	s.form.Version++
-	delete(s.form.Checkpoints, c.Release)
+	s.stored.Version++
+	delete(s.stored.Checkpoints, c.Release)
 	return nil
 }
 
@@ -86,14 +86,14 @@
 	if err := ValidateSpec(spec); err != nil {
 		return err
 	}
-	if len(s.form.Canaries) >= MaxCanaries {
+	if len(s.stored.Canaries) >= MaxCanaries {
 		return fmt.Errorf("%d canaries are held, close one that is over", MaxCanaries)
 	}
-	i, found := slices.BinarySearchFunc(s.form.Canaries, spec.Release, func(c Canary, name string) int { return strings.Compare(c.Release, name) })
+	i, found := slices.BinarySearchFunc(s.stored.Canaries, spec.Release, func(c Canary, name string) int { return strings.Compare(c.Release, name) })
 	if found {
 		return fmt.Errorf("release %q has one", spec.Release)
 	}
-	for _, c := range s.form.Canaries {
+	for _, c := range s.stored.Canaries {
 		if mayOverlap(c.Target, spec.Target) {
 			return fmt.Errorf("its arm may hold members of release %q", c.Release)
 		}
@@ -101,10 +101,10 @@
 			return fmt.Errorf("the salt of release %q", c.Release)
 		}
 	}
-	s.form.Epochs++
-	c := Canary{Spec: spec, Status: Progressing, PerMille: spec.Steps[0], Epoch: s.form.Epochs, Revision: 1, StepStartedAt: at, ChangedBy: by, Reason: cmd.Reason}
-	s.form.Canaries = slices.Insert(s.form.Canaries, i, c)
-	s.form.Version++
+	s.stored.Epochs++
+	c := Canary{Spec: spec, Status: Progressing, PerMille: spec.Steps[0], Epoch: s.stored.Epochs, Revision: 1, StepStartedAt: at, ChangedBy: by, Reason: cmd.Reason}
+	s.stored.Canaries = slices.Insert(s.stored.Canaries, i, c)
+	s.stored.Version++
 	return nil
 }
 
@@ -176,11 +176,11 @@
 	if c.Status != Paused {
 		return fmt.Errorf("nothing to resume: it is %s", c.Status)
 	}
-	if cmd.Epoch > s.form.Epochs && cmd.Epoch-s.form.Epochs > maxEpochLead {
+	if cmd.Epoch > s.stored.Epochs && cmd.Epoch-s.stored.Epochs > maxEpochLead {
 		return fmt.Errorf("no epoch comes near %d", cmd.Epoch)
 	}
-	s.form.Epochs = max(s.form.Epochs, cmd.Epoch) + 1
-	c.Status, c.Epoch = Progressing, s.form.Epochs
+	s.stored.Epochs = max(s.stored.Epochs, cmd.Epoch) + 1
+	c.Status, c.Epoch = Progressing, s.stored.Epochs
 	c.enterStep(max(c.Step-1, 0), at)
 	c.Outcome, c.Divergent = "", nil
 	return nil
@@ -191,10 +191,10 @@
 	if cmd.Revision == 0 || c.Status != Progressing || len(cmd.Checkpoint) == 0 || len(cmd.Checkpoint) > MaxCheckpointBytes {
 		return errors.New("no evidence of a rung that is going")
 	}
-	if s.form.Checkpoints == nil {
-		s.form.Checkpoints = map[string]checkpoint{}
+	if s.stored.Checkpoints == nil {
+		s.stored.Checkpoints = map[string]checkpoint{}
 	}
-	s.form.Checkpoints[cmd.Release] = checkpoint{c.Revision, cmd.Checkpoint}
+	s.stored.Checkpoints[cmd.Release] = checkpoint{c.Revision, cmd.Checkpoint}
 	return nil
 }
 
@@ -204,8 +204,8 @@
 		return fmt.Errorf("not over: it is %s", c.Status)
 	}
 	release := c.Release
-	delete(s.form.Checkpoints, release)
-	s.form.Canaries = slices.DeleteFunc(s.form.Canaries, func(c Canary) bool { return c.Release == release })
-	s.form.Version++
+	delete(s.stored.Checkpoints, release)
+	s.stored.Canaries = slices.DeleteFunc(s.stored.Canaries, func(c Canary) bool { return c.Release == release })
+	s.stored.Version++
 	return nil
 }
--- a/internal/canary/checkpoint.go
+++ b/internal/canary/checkpoint.go
@@ -47,7 +47,7 @@
 		b = binary.AppendUvarint(b, n)
 	}
 	for z, name := range j.zones {
-		b = appendText(b, name)
+		b = appendString(b, name)
 		for _, t := range j.tests {
 			b = appendLogs(b, t.zones[z])
 		}
@@ -59,7 +59,7 @@
 		b = appendTally(append(b, h.Class, h.flags()), &h.Tally)
 	}
 	for _, r := range j.relays {
-		b = appendText(appendText(appendText(b, r.name), r.zone), string(r.faultyMetric))
+		b = appendString(appendString(appendString(b, r.name), r.zone), string(r.faultyMetric))
 		for _, n := range []uint64{r.incarnation, r.seq, r.compared} {
 			b = binary.AppendUvarint(b, n)
 		}
@@ -70,7 +70,7 @@
 	return b
 }
 
-func appendText(b []byte, s string) []byte {
+func appendString(b []byte, s string) []byte {
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
@@ -81,7 +81,7 @@
 	return b
 }
 
-func (r *reader) text() string {
+func (r *reader) string() string {
 	n := r.uvarint()
 	if n > uint64(len(r.rest)) {
 		r.failed = true
@@ -134,7 +134,7 @@
 }
 
 func (j *Judge) restoreZone(r *reader) bool {
-	z, ok := j.zoneIndex(r.text())
+	z, ok := j.zoneIndex(r.string())
 	if !ok || r.failed {
 		return false
 	}
@@ -155,7 +155,7 @@
 }
 
 func (j *Judge) restoreRelay(r *reader) bool {
-	name, zone, faultyMetric := r.text(), r.text(), Metric(r.text())
+	name, zone, faultyMetric := r.string(), r.string(), Metric(r.string())
 	if _, ok := j.zoneIndex(zone); !ok || r.failed {
 		return false
 	}
--- a/internal/canary/counts_test.go
+++ b/internal/canary/counts_test.go
@@ -43,7 +43,7 @@
 }
 
 // TestReportsArrive: all counts arrive, though reports are bounded and a third of their strata is lost.
-func TestReportsArrive(t *testing.T) {
+func TestCountsSurviveLostReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		c := NewCollector(7, 1)
@@ -97,19 +97,19 @@
 	c.Tally(Stratum{}, false).Attempts++
 	f.Add(c.AppendReport(nil, 600))
 	f.Add([]byte{reportVersion})
-	j := NewJudge(JudgeSettings{Spec: spec("r"), Epoch: 1})
+	j := NewJudge(JudgeSettings{Spec: validSpec("r"), Epoch: 1})
 	j.relayNamed("n", "z")
 	j.zoneIndex("z")
 	f.Add(j.encodeCheckpoint())
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if v := NewJudge(JudgeSettings{Spec: spec("r"), Epoch: 1, Checkpoint: b}).Verdict(60_000); math.IsNaN(v.LogEValue) {
+		if v := NewJudge(JudgeSettings{Spec: validSpec("r"), Epoch: 1, Checkpoint: b}).Verdict(60_000); math.IsNaN(v.LogEValue) {
 			t.Fatalf("%+v", v)
 		}
 		w, err := DecodeCountReport(b)
 		if err != nil {
 			return
 		}
-		j := NewJudge(JudgeSettings{Spec: spec("r"), Epoch: 1})
+		j := NewJudge(JudgeSettings{Spec: validSpec("r"), Epoch: 1})
 		w.Salt = j.settings.Salt
 		for i, start := range []uint64{0, w.Incarnation, w.Incarnation} { // an earlier process, this one, and a repetition
 			r := w
@@ -136,15 +136,15 @@
 		null := nullHypothesis{factor: rapid.SampledFrom([]float64{1, defaultFactor, 2}).Draw(t, "factor"),
 			margin: rapid.SampledFrom([]float64{0, 0.0002, 0.01, 0.05}).Draw(t, "margin")}
 		harm := rapid.SampledFrom([]float64{0.0002, 0.01, 0.04, 0.16, 0.5}).Draw(t, "harm")
-		estimate := rapid.Float64Range(1e-6, 0.9).Draw(t, "guess")
+		estimatedRate := rapid.Float64Range(1e-6, 0.9).Draw(t, "guess")
 		q0 := rapid.Float64Range(0, 0.9).Draw(t, "base rate")
-		q1 := min(rapid.Float64Range(0, 1).Draw(t, "of what is allowed")*null.rate(q0), 1)
+		q1 := min(rapid.Float64Range(0, 1).Draw(t, "of what is allowed")*null.maxCanaryRate(q0), 1)
 		mean := 0.0
 		for k1 := range n1 + 1 {
 			for k0 := range n0 + 1 {
 				p := choose(n1, k1) * math.Pow(q1, float64(k1)) * math.Pow(1-q1, float64(n1-k1)) *
 					choose(n0, k0) * math.Pow(q0, float64(k0)) * math.Pow(1-q0, float64(n0-k0))
-				mean += p * math.Exp(null.logEValue(blockCounts{uint64(n1), uint64(k1), uint64(n0), uint64(k0)}, estimate, harm))
+				mean += p * math.Exp(null.logEValue(blockCounts{uint64(n1), uint64(k1), uint64(n0), uint64(k0)}, estimatedRate, harm))
 			}
 		}
 		if !(mean <= 1+1e-6) {
--- a/internal/canary/evalue.go
+++ b/internal/canary/evalue.go
@@ -33,7 +33,7 @@
 }
 
 // rate is the canary's highest rate that the null hypothesis allows at a rate of the baseline.
-func (h nullHypothesis) rate(baseline float64) float64 { return h.factor*baseline + h.margin }
+func (h nullHypothesis) maxCanaryRate(baseline float64) float64 { return h.factor*baseline + h.margin }
 
 // Estimated rates are kept off 0 and 1, where logarithms end; hypothetical ones off 1.
 const (
@@ -45,21 +45,21 @@
 func (h nullHypothesis) logEValue(c blockCounts, baselineRate, harm float64) float64 {
 	n1, k1, n0, k0 := float64(c.canaryTrials), float64(c.canaryBad), float64(c.baselineTrials), float64(c.baselineBad)
 	t0 := min(max(baselineRate, minRate), 1-minRate)
-	t1 := h.rate(t0) + harm
+	t1 := h.maxCanaryRate(t0) + harm
 	if t1 > maxHypothetical { // so much harm is not possible: as much as is
 		t1 = maxHypothetical
-		if t1 <= h.rate(t0) {
+		if t1 <= h.maxCanaryRate(t0) {
 			return 0
 		}
 	}
-	x := h.nearest(n1, n0, t1, t0)
-	y := h.rate(x)
+	x := h.nearestBaselineRate(n1, n0, t1, t0)
+	y := h.maxCanaryRate(x)
 	return k1*math.Log(t1/y) + (n1-k1)*math.Log((1-t1)/(1-y)) + k0*math.Log(t0/x) + (n0-k0)*math.Log((1-t0)/(1-x))
 }
 
 // nearest finds the baseline rate x of the null hypothesis' nearest point, between t0 and (t1-margin)/factor, where the slopes of canary and
 // baseline cancel: Newton's method, bisecting where a step leaves the bracket.
-func (h nullHypothesis) nearest(n1, n0, t1, t0 float64) float64 {
+func (h nullHypothesis) nearestBaselineRate(n1, n0, t1, t0 float64) float64 {
 	const (
 		maxIterations = 60
 		tolerance     = 1e-10
@@ -68,7 +68,7 @@
 	v1, v0 := f*f*n1/(t1*(1-t1)), n0/(t0*(1-t0))
 	x := (t0*v0 + high*v1) / (v0 + v1)
 	for range maxIterations {
-		y := h.rate(x)
+		y := h.maxCanaryRate(x)
 		a, b := y*(1-y), x*(1-x)
 		g := f*n1*(y-t1)/a + n0*(x-t0)/b
 		if g > 0 {
--- a/internal/canary/forms_test.go
+++ b/internal/canary/forms_test.go
@@ -14,7 +14,7 @@
 // TestEncodedForms compares what goes into the record, onto a wire or into an HTTP answer with the bytes of an earlier version.
 func TestEncodedForms(t *testing.T) {
 	var lines []string
-	for _, value := range []any{&Spec{}, &Canary{}, &Weight{}, &Command{}, &Notice{}, &Verdict{}, &stateForm{}} {
+	for _, value := range []any{&Spec{}, &Canary{}, &Weight{}, &Command{}, &Notice{}, &Verdict{}, &storedState{}} {
 		var counter encodingtest.Counter
 		counter.Fill(value)
 		text, err := json.Marshal(value)
@@ -28,7 +28,7 @@
 	counter.Fill(c.Tally(Stratum{Class: 1, Zone: 2, WarmingUp: true, Load: 3}, true))
 	counter.Fill(c.Tally(Stratum{Class: 1}, false))
 	lines = append(lines, hex.EncodeToString(c.AppendReport(nil, 1400)))
-	w := newSimulation(1, defect{points: 0.05})
+	w := newSimulation(1, defect{extraFailureRate: 0.05})
 	for range 60 {
 		w.step()
 	}
--- a/internal/canary/judge.go
+++ b/internal/canary/judge.go
@@ -17,8 +17,8 @@
 
 	// soughtMultiple and soughtShift are the harm that must be ruled out before a step up. For rates: this many times the margin, beyond it
 	// (5 points in all where 1 is allowed). For durations: this much more of the canary above what the slowest quarter of the baseline takes.
-	soughtMultiple = 4
-	soughtShift    = 0.15
+	ruleOutMarginMultiple = 4
+	ruleOutShareIncrease  = 0.15
 
 	// defaultFactor is how many times as often as the baseline the canary may fail: with few members it may by who they are. With it about 1%
 	// of healthy seeds lie outside of the null hypothesis: 90 of 8,000 (3% at 1). At 1.25 flaws are missed.
@@ -54,14 +54,14 @@
 // guardTest is the sequential test of one guardrail.
 type guardTest struct {
 	Guardrail
-	null         nullHypothesis
-	shiftBuckets int // durations: how much slower the canary may be, in buckets
-	hypotheses   []harmHypothesis
-	soughtIndex  int         // of the hypothesis that must be ruled out before a step up
-	grossIndex   int         // of the one that each relay must rule out by itself before a wide step
-	fleet        []float64   // evidence of the whole fleet, by hypothesis
-	zones        [][]float64 // evidence by zone and hypothesis
-	threshold    float64     // evidence that pauses the canary
+	null           nullHypothesis
+	shiftBuckets   int // durations: how much slower the canary may be, in buckets
+	hypotheses     []harmHypothesis
+	ruleOutIndex   int         // of the hypothesis that must be ruled out before a step up
+	grossHarmIndex int         // of the one that each relay must rule out by itself before a wide step
+	fleet          []float64   // evidence of the whole fleet, by hypothesis
+	zones          [][]float64 // evidence by zone and hypothesis
+	threshold      float64     // evidence that pauses the canary
 }
 
 // evidence has logarithms of e-values, by guardrail and harm hypothesis.
@@ -148,15 +148,15 @@
 		if g.Metric == EarlyDisconnects {
 			t.null.margin /= earlyDisconnectSeconds
 		}
-		t.soughtIndex, t.grossIndex = 2, 3
-		for _, multiple := range []float64{1, 2, soughtMultiple, 16} { // of the margin
+		t.ruleOutIndex, t.grossHarmIndex = 2, 3
+		for _, multiple := range []float64{1, 2, ruleOutMarginMultiple, 16} { // of the margin
 			t.hypotheses = append(t.hypotheses, harmHypothesis{harm: min(t.null.margin*multiple, 0.5)})
 		}
 	default:
 		t.shiftBuckets = int(math.Ceil(2*math.Log2(g.Factor) - 1e-9))
-		t.soughtIndex, t.grossIndex = 1, 2
+		t.ruleOutIndex, t.grossHarmIndex = 1, 2
 		for _, share := range []float64{0.25, 0.05} { // slower in general, and in the tail
-			for _, harm := range []float64{0.05, soughtShift, 0.4} {
+			for _, harm := range []float64{0.05, ruleOutShareIncrease, 0.4} {
 				t.hypotheses = append(t.hypotheses, harmHypothesis{harm, share})
 			}
 		}
--- a/internal/canary/judge_attribute.go
+++ b/internal/canary/judge_attribute.go
@@ -8,7 +8,7 @@
 // attribution is where harm is, if it is not everywhere.
 type attribution struct {
 	zones, relays []string
-	lead          float64 // natural logarithm of how many times likelier this is than harm everywhere
+	logRatio      float64 // natural logarithm of how many times likelier this is than harm everywhere
 }
 
 // suspects are the places with the highest likelihood of harm.
@@ -32,28 +32,28 @@
 		}
 	}
 	if zones.names == nil && relays.names == nil {
-		return attribution{lead: -decisive}
+		return attribution{logRatio: -decisiveLogRatio}
 	}
 	var a attribution
 	switch {
-	case relays.logLikelihood > zones.logLikelihood+decisive:
-		a = attribution{zones: j.zonesLikelyAffected(relays.names, k), relays: relays.names, lead: relays.logLikelihood - everywhere}
+	case relays.logLikelihood > zones.logLikelihood+decisiveLogRatio:
+		a = attribution{zones: j.zonesLikelyAffected(relays.names, k), relays: relays.names, logRatio: relays.logLikelihood - everywhere}
 	case relays.logLikelihood > zones.logLikelihood: // not decisive, so the zone is named, which contains the relay
-		a = attribution{zones: zones.names, lead: min(relays.logLikelihood-everywhere, decisive/2)}
+		a = attribution{zones: zones.names, logRatio: min(relays.logLikelihood-everywhere, decisiveLogRatio/2)}
 	default:
-		a = attribution{zones: zones.names, lead: zones.logLikelihood - everywhere}
+		a = attribution{zones: zones.names, logRatio: zones.logLikelihood - everywhere}
 	}
 	if !j.othersHealthy(a, k) { // a weight may be kept at the others
-		a.lead = min(a.lead, -decisive/2)
+		a.logRatio = min(a.logRatio, -decisiveLogRatio/2)
 	}
 	return a
 }
 
 func (j *Judge) suspectZones(evidence []float64) (s suspects) {
-	price := math.Log(float64(len(j.zones) + 1))
+	penalty := math.Log(float64(len(j.zones) + 1))
 	for z, sum := range evidence {
-		if sum > price {
-			s.logLikelihood += sum - price
+		if sum > penalty {
+			s.logLikelihood += sum - penalty
 			s.names = append(s.names, j.zones[z])
 		}
 	}
@@ -61,10 +61,10 @@
 }
 
 func (j *Judge) suspectRelays(k, hypothesis int) (s suspects) {
-	price := math.Log(float64(len(j.relays) + 1))
+	penalty := math.Log(float64(len(j.relays) + 1))
 	for _, r := range j.relays {
-		if !r.faulty() && r.evidence[k][hypothesis] > price {
-			s.logLikelihood += r.evidence[k][hypothesis] - price
+		if !r.faulty() && r.evidence[k][hypothesis] > penalty {
+			s.logLikelihood += r.evidence[k][hypothesis] - penalty
 			s.names = append(s.names, r.name)
 		}
 	}
@@ -76,10 +76,10 @@
 	sum := 0.0
 	for _, r := range j.relays {
 		if !r.faulty() && !slices.Contains(a.zones, r.zone) && !slices.Contains(a.relays, r.name) {
-			sum += r.evidence[k][j.tests[k].soughtIndex]
+			sum += r.evidence[k][j.tests[k].ruleOutIndex]
 		}
 	}
-	return sum <= -decisive
+	return sum <= -decisiveLogRatio
 }
 
 // zonesLikelyAffected returns the zones of named relays whose other relays have not ruled out the sought harm: all of the zone may have it.
@@ -90,10 +90,10 @@
 			if r.zone == z && slices.Contains(named, r.name) {
 				affected = true
 			} else if r.zone == z && !r.faulty() {
-				others += r.evidence[k][j.tests[k].soughtIndex]
+				others += r.evidence[k][j.tests[k].ruleOutIndex]
 			}
 		}
-		if affected && others > -decisive {
+		if affected && others > -decisiveLogRatio {
 			zones = append(zones, z)
 		}
 	}
--- a/internal/canary/judge_decide.go
+++ b/internal/canary/judge_decide.go
@@ -7,7 +7,7 @@
 
 const (
 	// decisive is the natural logarithm of how many times likelier an explanation must be than another to be taken: 20.
-	decisive = 3.0
+	decisiveLogRatio = 3.0
 
 	// attributionSlices is for how many slices the judge waits for a decisive attribution once the evidence suffices; or, if longer, this part
 	// of the slices that the evidence took.
@@ -67,12 +67,12 @@
 	}
 	j.attributionLeft--
 	a := j.attribute(worst)
-	if math.Abs(a.lead) < decisive && j.attributionLeft > 1 {
+	if math.Abs(a.logRatio) < decisiveLogRatio && j.attributionLeft > 1 {
 		return
 	}
 	j.decided = true
 	j.verdict.Outcome = Regressed
-	if a.lead > 0 {
+	if a.logRatio > 0 {
 		j.verdict.Outcome, j.verdict.Zones, j.verdict.Relays = Divergent, a.zones, a.relays
 	}
 }
@@ -113,7 +113,7 @@
 		}
 	}
 	for k, t := range j.tests {
-		zones, fleet := j.relayEvidence(k, t.soughtIndex)
+		zones, fleet := j.relayEvidence(k, t.ruleOutIndex)
 		for z, sum := range zones {
 			if compared[z]*uint64(len(j.zones))*minShareDivisor >= j.compared && sum > limit {
 				return false
@@ -133,16 +133,16 @@
 func (j *Judge) harmRuledOutPerRelay() bool {
 	for k, t := range j.tests {
 		for i := range t.hypotheses {
-			if zones, _ := j.relayEvidence(k, i); len(zones) > 0 && slices.Max(zones) > decisive {
+			if zones, _ := j.relayEvidence(k, i); len(zones) > 0 && slices.Max(zones) > decisiveLogRatio {
 				return false
 			}
 		}
 		for _, r := range j.relays {
 			limit := math.Log(maxMissRateSingleRelay)
 			if r.compared*uint64(len(j.relays))*minShareDivisor < j.compared {
-				limit = decisive
+				limit = decisiveLogRatio
 			}
-			if !r.faulty() && j.slices-r.lastReportSlice <= maxWaitSlices && r.evidence[k][t.grossIndex] > limit {
+			if !r.faulty() && j.slices-r.lastReportSlice <= maxWaitSlices && r.evidence[k][t.grossHarmIndex] > limit {
 				return false
 			}
 		}
--- a/internal/canary/judge_fault.go
+++ b/internal/canary/judge_fault.go
@@ -23,7 +23,7 @@
 		if t.Metric == EarlyDisconnects {
 			continue // its rates are per second: a margin in points means nothing there
 		}
-		for i, g := range t.faultGain(r) {
+		for i, g := range t.sliceFaultEvidence(r) {
 			r.faultEvidence[k][i] += min(g, threshold/sliceCapDivisor)
 		}
 		if logMeanExp(r.faultEvidence[k]) >= threshold {
@@ -34,7 +34,7 @@
 }
 
 // faultGain is what the current slice says on a relay's baseline, by fault harm: logarithms of e-values.
-func (t *guardTest) faultGain(r *relayState) []float64 {
+func (t *guardTest) sliceFaultEvidence(r *relayState) []float64 {
 	null, shift := nullHypothesis{factor: 1, margin: float64(faultyMarginPerMille) / 1000}, 0
 	if t.shiftBuckets != 0 {
 		null.margin, shift = 0, faultyShiftBuckets
--- a/internal/canary/notices.go
+++ b/internal/canary/notices.go
@@ -33,7 +33,7 @@
 	pauseOfRecorded   noticePriority = iota
 	pauseOfUnrecorded                // of a release that the record here does not know
 	newerThanRecord
-	asRecorded // the record spreads it too
+	sameAsRecord // the record spreads it too
 )
 
 func (r *WeightResolver) priority(n Notice) noticePriority {
@@ -45,7 +45,7 @@
 	case w == nil || n.Epoch != w.Epoch || n.Revision != w.Revision:
 		return newerThanRecord
 	}
-	return asRecorded
+	return sameAsRecord
 }
 
 // EncodeNotices returns as many of the notices as fit into maxBytes, as a JSON array, by priority: a pause spreads whatever else there is to
--- a/internal/canary/plan.go
+++ b/internal/canary/plan.go
@@ -5,7 +5,7 @@
 // Plan returns what the leader should propose next for the canary that a verdict is on. Applied says that every live relay that counts has
 // applied the present weight. A step up is fenced by the canary's revision, so that an overtaken verdict raises nothing.
 func (s *State) Plan(now int64, v Verdict, applied bool) []Command {
-	c := s.find(v.Release)
+	c := s.findCanary(v.Release)
 	if c == nil {
 		return nil
 	}
--- a/internal/canary/report_codec.go
+++ b/internal/canary/report_codec.go
@@ -14,7 +14,7 @@
 	stratumFlags  = 7       // the bits of Stratum.flags
 	maxCount      = 1 << 48 // sums of many counts must not overflow
 
-	usualStrata = 12 // in a report: capacity allocated at once
+	typicalStrata = 12 // in a report: capacity allocated at once
 )
 
 var errCountReport = errors.New("canary: malformed count report")
@@ -129,7 +129,7 @@
 	c.Salt = binary.LittleEndian.Uint64(r.rest)
 	r.rest = r.rest[8:]
 	c.Incarnation, c.Seq = r.uvarint(), r.uvarint()
-	c.Strata = make([]StratumCounts, 0, usualStrata)
+	c.Strata = make([]StratumCounts, 0, typicalStrata)
 	for len(r.rest) > 0 && !r.failed {
 		s := Stratum{Class: r.byte(), Zone: r.byte()}
 		flags := r.byte()
--- a/internal/canary/resolver.go
+++ b/internal/canary/resolver.go
@@ -18,7 +18,7 @@
 type WeightResolver struct {
 	maxStaleness int64
 
-	index        uint64   // of the record, up to which it is applied here
+	appliedIndex uint64   // of the record, up to which it is applied here
 	recorded     []Weight // as applied
 	highestEpoch uint64   // that the record has shown here
 
@@ -51,28 +51,28 @@
 // ApplyRecord takes the weights as applied from the record up to an index, from disk too. Call it for every index, or at least before
 // ConfirmRecord: a relay that does not show its index counts as behind.
 func (r *WeightResolver) ApplyRecord(index uint64, weights []Weight) {
-	if index < r.index {
+	if index < r.appliedIndex {
 		r.Stale++
 		return
 	}
-	r.index, r.recorded = index, slices.Clone(weights)
+	r.appliedIndex, r.recorded = index, slices.Clone(weights)
 	for _, w := range weights {
 		r.highestEpoch = max(r.highestEpoch, w.Epoch)
 	}
 	for name, s := range r.notices {
-		if s = r.unresolved(name, s); s == (noticeState{}) {
+		if s = r.withoutSuperseded(name, s); s == (noticeState{}) {
 			delete(r.notices, name)
 		} else {
 			r.notices[name] = s
 		}
 	}
-	if r.pending && r.index >= r.pendingIndex {
+	if r.pending && r.appliedIndex >= r.pendingIndex {
 		r.confirm(r.pendingSince)
 	}
 }
 
 // unresolved is what is left of notices on a release that the record has not overtaken.
-func (r *WeightResolver) unresolved(release string, s noticeState) noticeState {
+func (r *WeightResolver) withoutSuperseded(release string, s noticeState) noticeState {
 	w := findWeight(r.recorded, release)
 	if w == nil {
 		if s.pausedEpoch <= r.highestEpoch {
@@ -94,7 +94,7 @@
 
 // ConfirmRecord notes that a majority stood behind the record up to an index at this time.
 func (r *WeightResolver) ConfirmRecord(now int64, index uint64) {
-	if index <= r.index {
+	if index <= r.appliedIndex {
 		r.confirm(now)
 	} else if !r.pending {
 		r.pending, r.pendingSince, r.pendingIndex = true, now, index
--- a/internal/canary/simulation_test.go
+++ b/internal/canary/simulation_test.go
@@ -17,17 +17,17 @@
 
 // defect is what is wrong with the canary, or with a relay.
 type defect struct {
-	points       float64 // more attempts fail
-	slow         float64 // set-up and messages take so many times as long; 0 for 1
-	earlyEnds    float64 // share of flows that the member closes early
-	zone         string  // at relays of this zone alone
-	relay        string  // at one relay
-	faultyRelays int     // so many relays fail three in ten for canary and baseline alike
-	uniform      bool    // members all alike, no hiccups: a test of fixed level is right once
-	peeks        bool    // planted: a test of fixed level looks every second
-	large        bool    // 300 relays
-	leaders      int     // seconds until the leader changes; 0 for never
-	seconds      int     // 0 for as many as it takes
+	extraFailureRate    float64 // more attempts fail
+	slowdown            float64 // set-up and messages take so many times as long; 0 for 1
+	earlyDisconnectRate float64 // share of flows that the member closes early
+	zone                string  // at relays of this zone alone
+	relay               string  // at one relay
+	faultyRelays        int     // so many relays fail three in ten for canary and baseline alike
+	uniform             bool    // members all alike, no hiccups: a test of fixed level is right once
+	repeatedZTest       bool    // planted: a test of fixed level looks every second
+	large               bool    // 300 relays
+	leaderTermSeconds   int     // seconds until the leader changes; 0 for never
+	seconds             int     // 0 for as many as it takes
 }
 
 // simulation is a fleet in virtual time: thin traffic, relays and members that differ, members that start warming up, hiccups of one
@@ -44,7 +44,7 @@
 	baseline        []*simMember
 	canary          []*simMember
 	fleetwideFactor float64
-	zTest           struct{ o, v float64 }
+	zTest           struct{ excess, variance float64 }
 	trace           uint64
 	last            Verdict
 }
@@ -93,7 +93,7 @@
 	for range max(3, n/20) { // the mean of few members may be off by what they differ
 		w.canary = append(w.canary, &simMember{normal(0.3), normal(0.1), 0})
 	}
-	sp := spec("r")
+	sp := validSpec("r")
 	sp.Salt = w.rng.Uint64() | 1
 	if f.uniform {
 		sp.Steps = []int{100, 500, 1000} // more to look at in less time
@@ -121,16 +121,16 @@
 	w.hashTrace(string(w.state.Encode()))
 }
 
-func (w *simulation) hashTrace(what ...any) {
+func (w *simulation) hashTrace(values ...any) {
 	h := fnv.New64a()
-	fmt.Fprint(h, w.trace, what)
+	fmt.Fprint(h, w.trace, values)
 	w.trace = h.Sum64()
 }
 
 // step plays a second: flows, reports, the record's way to relays, notices, the leader's proposals.
 func (w *simulation) step() (stop bool, err error) {
 	w.now += 1000
-	if w.leaders > 0 && w.now/1000%int64(w.leaders) == 0 {
+	if w.leaderTermSeconds > 0 && w.now/1000%int64(w.leaderTermSeconds) == 0 {
 		w.changeLeader()
 	}
 	w.fleetwideFactor = math.Max(1, w.fleetwideFactor*0.6)
@@ -160,19 +160,19 @@
 		for _, n := range w.relays[w.rng.IntN(len(w.relays))].resolver.Notices() {
 			p.resolver.HandleNotice(n)
 		}
-		use := 0
+		perMille := 0
 		if ws := p.resolver.EffectiveWeights(w.now); len(ws) > 0 {
-			use = ws[0].PerMille
+			perMille = ws[0].PerMille
 		}
 		for k := len(w.log) - 1; ; k-- { // never more than was agreed within the staleness bound
-			if use <= w.log[k][0].PerMille {
+			if perMille <= w.log[k][0].PerMille {
 				break
 			}
 			if k == 0 || w.logAt[k] < w.now-6000 {
-				return true, fmt.Errorf("relay %s uses %d per mille, long after", p.name, use)
+				return true, fmt.Errorf("relay %s uses %d per mille, long after", p.name, perMille)
 			}
 		}
-		w.offerFlows(p, use)
+		w.offerFlows(p, perMille)
 		report := p.collector.AppendReport(nil, 1400)
 		for range w.rng.IntN(20) / 19 * 2 { // the last one again
 			if p.oldReport != nil {
@@ -192,7 +192,7 @@
 	v := w.judge.Verdict(w.now)
 	w.last = v
 	w.hashTrace(math.Float64bits(v.LogEValue), v.Outcome, v.Zones, v.Relays, v.Faulty)
-	if z := w.zTest.o / math.Sqrt(w.zTest.v); w.peeks && z > 2.326 {
+	if z := w.zTest.excess / math.Sqrt(w.zTest.variance); w.repeatedZTest && z > 2.326 {
 		v.Outcome = Regressed
 	}
 	c, _ := w.state.Canary("r")
@@ -205,7 +205,7 @@
 		after, _ := w.state.Canary("r")
 		if after.Epoch != c.Epoch || after.Step != c.Step {
 			w.judge.BeginStep(after.Epoch, after.Step)
-			w.zTest.o, w.zTest.v = 0, 0
+			w.zTest.excess, w.zTest.variance = 0, 0
 		}
 		c = after
 	}
@@ -214,8 +214,8 @@
 
 func (w *simulation) offerFlows(p *simRelay, perMille int) {
 	warmingUp := w.now < 61_000
-	for class, part := range []float64{0.7, 0.3} {
-		n := int(p.rate*part) + map[bool]int{true: 1}[w.rng.Float64() < p.rate*part-math.Floor(p.rate*part)]
+	for class, share := range []float64{0.7, 0.3} {
+		n := int(p.rate*share) + map[bool]int{true: 1}[w.rng.Float64() < p.rate*share-math.Floor(p.rate*share)]
 		var tried, bad [2][2]float64 // by warmth, for baseline and canary
 		for range n {
 			toCanary := RoutedToCanary(w.log[0][0].Salt, w.rng.Uint64(), perMille)
@@ -234,9 +234,9 @@
 				fails, slow = 2*fails, 3*slow
 			}
 			if toCanary && (w.zone == "" || w.zone == p.zone) && (w.relay == "" || w.relay == p.name) {
-				fails, early = fails+w.points, early+w.earlyEnds
-				if w.slow != 0 {
-					slow *= w.slow
+				fails, early = fails+w.extraFailureRate, early+w.earlyDisconnectRate
+				if w.slowdown != 0 {
+					slow *= w.slowdown
 				}
 			}
 			if p.faulty {
@@ -266,10 +266,10 @@
 				}
 			}
 		}
-		for warmth, of := range tried {
-			if n, k, n1 := of[0]+of[1], bad[warmth][0]+bad[warmth][1], of[1]; n > 1 {
-				w.zTest.o += bad[warmth][1] - k*n1/n
-				w.zTest.v += k * (n - k) * n1 * of[0] / (n * n * (n - 1))
+		for warmth, attempts := range tried {
+			if n, k, n1 := attempts[0]+attempts[1], bad[warmth][0]+bad[warmth][1], attempts[1]; n > 1 {
+				w.zTest.excess += bad[warmth][1] - k*n1/n
+				w.zTest.variance += k * (n - k) * n1 * attempts[0] / (n * n * (n - 1))
 			}
 		}
 	}
@@ -280,7 +280,7 @@
 	Canary
 	seconds       int
 	relays        int
-	weight        int // when it was stopped
+	finalPerMille int // when it was stopped
 	faulty        []FaultyRelay
 	verdict       Verdict
 	trace         uint64
@@ -296,7 +296,7 @@
 	}
 	for range f.seconds {
 		before, _ := w.state.Canary("r")
-		o.weight = before.PerMille
+		o.finalPerMille = before.PerMille
 		stop, err := w.step()
 		if o.err = err; stop {
 			break
@@ -326,8 +326,8 @@
 
 // simulateSeeds plays many seeds in parallel; results are in the order of the seeds.
 func simulateSeeds(n int, f defect, skip int) []runResult {
-	if f.leaders == 0 {
-		f.leaders, _ = strconv.Atoi(os.Getenv("CANARY_LEADERS"))
+	if f.leaderTermSeconds == 0 {
+		f.leaderTermSeconds, _ = strconv.Atoi(os.Getenv("CANARY_LEADERS"))
 	}
 	list := make([]runResult, n)
 	var wg sync.WaitGroup
@@ -354,23 +354,23 @@
 	return short
 }
 
-func logResults(t *testing.T, what string, list []runResult) {
+func logResults(t *testing.T, title string, list []runResult) {
 	t.Helper()
-	var took, weight []int
+	var seconds, weight []int
 	status := map[Status]int{}
 	faulty := 0
 	for i, o := range list {
 		if o.err != nil {
-			t.Errorf("%s, seed %d: %v", what, i, o.err)
+			t.Errorf("%s, seed %d: %v", title, i, o.err)
 		}
-		took, weight = append(took, o.seconds), append(weight, o.weight)
+		seconds, weight = append(seconds, o.seconds), append(weight, o.finalPerMille)
 		status[o.Status]++
 		faulty += o.falselyFaulty
 	}
-	sort.Ints(took)
+	sort.Ints(seconds)
 	sort.Ints(weight)
-	t.Logf("%s: %v; seconds p50 %d p90 %d p99 %d max %d; per mille at the end p50 %d p99 %d max %d; falsely found faulty %d", what, status,
-		took[len(took)/2], took[len(took)*9/10], took[len(took)*99/100], took[len(took)-1], weight[len(weight)/2], weight[len(weight)*99/100], weight[len(weight)-1], faulty)
+	t.Logf("%s: %v; seconds p50 %d p90 %d p99 %d max %d; per mille at the end p50 %d p99 %d max %d; falsely found faulty %d", title, status,
+		seconds[len(seconds)/2], seconds[len(seconds)*9/10], seconds[len(seconds)*99/100], seconds[len(seconds)-1], weight[len(weight)/2], weight[len(weight)*99/100], weight[len(weight)-1], faulty)
 }
 
 // rapid draws the same in every run, so that a test gives the same result every time. -rapid.seed draws others.
@@ -385,7 +385,7 @@
 		for i, o := range list[first:] {
 			if o.Status != Completed {
 				paused++
-				t.Logf("seed %d, %d relays: %s at %d per mille after %d s: %s %s %v", firstSeed()+first+i, o.relays, o.Status, o.weight, o.seconds, o.Outcome, o.Reason, o.Divergent)
+				t.Logf("seed %d, %d relays: %s at %d per mille after %d s: %s %s %v", firstSeed()+first+i, o.relays, o.Status, o.finalPerMille, o.seconds, o.Outcome, o.Reason, o.Divergent)
 			}
 		}
 		logResults(t, fmt.Sprintf("sound, %d of %d paused", paused, len(list)), list)
@@ -395,19 +395,19 @@
 	}
 }
 
-func TestFlaws(t *testing.T) {
+func TestDefectiveRelease(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		defect
-		kind Outcome
+		want Outcome
 	}{
-		{"5 points", defect{points: 0.05}, Regressed},
-		{"twice as slow", defect{slow: 2}, Regressed},
-		{"ends early", defect{earlyEnds: 0.1}, Regressed},
-		{"5 points in a zone", defect{points: 0.05, zone: "z1"}, Divergent},
-		{"slow in a zone", defect{slow: 2, zone: "z1"}, Divergent},
-		{"a third fails at a relay", defect{points: 0.33, relay: "n4", zone: "z1"}, Divergent},
-		{"5 points, 300 relays", defect{points: 0.05, large: true}, Regressed},
+		{"5 points", defect{extraFailureRate: 0.05}, Regressed},
+		{"twice as slow", defect{slowdown: 2}, Regressed},
+		{"ends early", defect{earlyDisconnectRate: 0.1}, Regressed},
+		{"5 points in a zone", defect{extraFailureRate: 0.05, zone: "z1"}, Divergent},
+		{"slow in a zone", defect{slowdown: 2, zone: "z1"}, Divergent},
+		{"a third fails at a relay", defect{extraFailureRate: 0.33, relay: "n4", zone: "z1"}, Divergent},
+		{"5 points, 300 relays", defect{extraFailureRate: 0.05, large: true}, Regressed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n := max(seedCount(12)/6, 2)
@@ -416,31 +416,31 @@
 			}
 			list := simulateSeeds(n, c.defect, 0)
 			logResults(t, c.name, list)
-			missed, late, named, undecided := 0, 0, 0, 0
+			missed, lateStops, attributed, undecided := 0, 0, 0, 0
 			for i, o := range list {
 				switch {
-				case o.Status != Completed && o.Outcome == Overdue && o.weight < 250: // stopped, neither shown nor ruled out
+				case o.Status != Completed && o.Outcome == Overdue && o.finalPerMille < 250: // stopped, neither shown nor ruled out
 					undecided++
 				case o.Status == Completed || o.verdict.Outcome != Regressed && o.verdict.Outcome != Divergent:
 					missed++
 					t.Logf("%s, seed %d, %d relays: %s, %s", c.name, firstSeed()+i, o.relays, o.Status, o.Reason)
-				case o.weight >= 250:
-					late++
-					t.Logf("%s, seed %d, %d relays: paused at %d per mille", c.name, firstSeed()+i, o.relays, o.weight)
+				case o.finalPerMille >= 250:
+					lateStops++
+					t.Logf("%s, seed %d, %d relays: paused at %d per mille", c.name, firstSeed()+i, o.relays, o.finalPerMille)
 				}
-				if o.verdict.Outcome == c.kind && (c.kind == Regressed || slices.Equal(o.verdict.Zones, []string{c.zone}) || slices.Equal(o.verdict.Relays, []string{c.relay})) {
-					named++
+				if o.verdict.Outcome == c.want && (c.want == Regressed || slices.Equal(o.verdict.Zones, []string{c.zone}) || slices.Equal(o.verdict.Relays, []string{c.relay})) {
+					attributed++
 				} else {
 					t.Logf("%s, seed %d, %d relays: %s %v %v", c.name, firstSeed()+i, o.relays, o.verdict.Outcome, o.verdict.Zones, o.verdict.Relays)
 				}
 			}
-			t.Logf("%s: of %d missed %d, at a quarter or later %d, no verdict in the longest time %d, named right %d", c.name, n, missed, late, undecided, named)
-			bound, names := 100, 10 // in so many one may be missed, and one named otherwise
+			t.Logf("%s: of %d missed %d, at a quarter or later %d, no verdict in the longest time %d, named right %d", c.name, n, missed, lateStops, undecided, attributed)
+			missedDivisor, misattributedDivisor := 100, 10 // in so many one may be missed, and one named otherwise
 			if c.relay != "" {
-				bound, names = 10, 3 // one relay of many is little harm, and little evidence
+				missedDivisor, misattributedDivisor = 10, 3 // one relay of many is little harm, and little evidence
 			}
-			if (missed+late)*bound > n || (n-named)*names > max(n, 10) {
-				t.Errorf("%s: of %d missed %d, at a quarter or later %d, named right %d", c.name, n, missed, late, named)
+			if (missed+lateStops)*missedDivisor > n || (n-attributed)*misattributedDivisor > max(n, 10) {
+				t.Errorf("%s: of %d missed %d, at a quarter or later %d, named right %d", c.name, n, missed, lateStops, attributed)
 			}
 		})
 	}
@@ -470,32 +470,32 @@
 }
 
 // TestPlantedPeek: planted is a test that is right at one look and is taken every second.
-func TestPlantedPeek(t *testing.T) {
+func TestRepeatedZTestPausesHealthyReleases(t *testing.T) {
 	n := max(seedCount(24)/8, 24)
-	peeks, holds := 0, 0
-	looked, asked := simulateSeeds(n, defect{uniform: true, seconds: 300, peeks: true}, 0), simulateSeeds(n, defect{uniform: true, seconds: 300}, 0)
+	zTestPauses, eValuePauses := 0, 0
+	zTestResults, eValueResults := simulateSeeds(n, defect{uniform: true, seconds: 300, repeatedZTest: true}, 0), simulateSeeds(n, defect{uniform: true, seconds: 300}, 0)
 	for i := range n {
-		if looked[i].Status == Paused {
-			peeks++
+		if zTestResults[i].Status == Paused {
+			zTestPauses++
 		}
-		if asked[i].Status == Paused {
-			holds++
+		if eValueResults[i].Status == Paused {
+			eValuePauses++
 		}
 	}
-	t.Logf("with a z-test at 1%% looked at every second %d of %d healthy releases are paused in 300 s; with e-values %d", peeks, n, holds)
-	if peeks*100 <= n || holds > 0 {
+	t.Logf("with a z-test at 1%% looked at every second %d of %d healthy releases are paused in 300 s; with e-values %d", zTestPauses, n, eValuePauses)
+	if zTestPauses*100 <= n || eValuePauses > 0 {
 		t.Error("the test that peeks was not found, or the sequential one paused")
 	}
 }
 
 // TestLeaders: the same seed gives the same result; and where leaders change, the next one continues from the checkpoint: defects are found in
 // little more time than the seconds that are lost. CANARY_LEADERS=20 has leaders change in all simulations.
-func TestLeaders(t *testing.T) {
-	for _, f := range []defect{{uniform: true}, {points: 0.33, relay: "n4", zone: "z1"}} {
+func TestLeaderChanges(t *testing.T) {
+	for _, f := range []defect{{uniform: true}, {extraFailureRate: 0.33, relay: "n4", zone: "z1"}} {
 		for seed := range uint64(2) {
-			often := f
-			often.leaders = 20
-			one, again, many := simulate(seed, f), simulate(seed, f), simulate(seed, often)
+			frequentChanges := f
+			frequentChanges.leaderTermSeconds = 20
+			one, again, many := simulate(seed, f), simulate(seed, f), simulate(seed, frequentChanges)
 			if one.trace != again.trace {
 				t.Errorf("seed %d: two simulations differ", seed)
 			}
@@ -509,7 +509,7 @@
 
 // TestCheckpoint: a checkpoint is the evidence, rounded down; reports that it covers do not count again; a truncated one leaves nothing behind.
 func TestCheckpoint(t *testing.T) {
-	w := newSimulation(1, defect{points: 0.05})
+	w := newSimulation(1, defect{extraFailureRate: 0.05})
 	for range 60 {
 		w.step()
 	}
@@ -517,16 +517,16 @@
 	w.judge.Verdict(w.now) // all that was reported is in the evidence
 	set := w.judge.settings
 	set.Checkpoint = w.judge.encodeCheckpoint()
-	next, forgets := NewJudge(set), NewJudge(set)
+	next, withoutSeqs := NewJudge(set), NewJudge(set)
 	for k := range next.tests {
 		if e, was := next.guardEvidence(k), w.judge.guardEvidence(k); !(e <= was && e >= was-1.0/evidenceResolution) {
 			t.Errorf("evidence %v, and %v after", was, e)
 		}
 	}
-	for _, r := range forgets.relays {
+	for _, r := range withoutSeqs.relays {
 		r.seq = 0 // planted: the reports that the evidence covers are not known
 	}
-	for _, j := range []*Judge{next, forgets} { // a covered report comes late, as if from the step's beginning, and then the present one
+	for _, j := range []*Judge{next, withoutSeqs} { // a covered report comes late, as if from the step's beginning, and then the present one
 		for _, p := range w.relays {
 			now, _ := DecodeCountReport(p.collector.AppendReport(nil, 1400))
 			late := now
@@ -535,20 +535,20 @@
 				late.Strata[i].Baseline, late.Strata[i].Canary = Tally{}, Tally{}
 			}
 			j.Observe(1, p.name, p.zone, late)
-			for _, past := range j.classHistories {
-				past.Attempts = minBaselineAttempts
+			for _, history := range j.classHistories {
+				history.Attempts = minBaselineAttempts
 			}
 			j.Observe(2, p.name, p.zone, now)
 		}
 		j.Verdict(5000)
 	}
-	if next.compared != w.judge.compared || forgets.compared <= next.compared {
-		t.Errorf("compared %d, %d after; and %d where reports count twice", w.judge.compared, next.compared, forgets.compared)
+	if next.compared != w.judge.compared || withoutSeqs.compared <= next.compared {
+		t.Errorf("compared %d, %d after; and %d where reports count twice", w.judge.compared, next.compared, withoutSeqs.compared)
 	}
-	for cut := range set.Checkpoint {
-		part := set
-		if part.Checkpoint = set.Checkpoint[:cut]; len(NewJudge(part).relays) > 0 {
-			t.Errorf("%d bytes of %d were taken", cut, len(set.Checkpoint))
+	for length := range set.Checkpoint {
+		truncated := set
+		if truncated.Checkpoint = set.Checkpoint[:length]; len(NewJudge(truncated).relays) > 0 {
+			t.Errorf("%d bytes of %d were taken", length, len(set.Checkpoint))
 		}
 	}
 }
--- a/internal/canary/state.go
+++ b/internal/canary/state.go
@@ -10,11 +10,11 @@
 // State is what the fleet has agreed on. Only Apply changes it, from the log, with the same result at every relay: it reads no clock, and
 // its canaries are a list sorted by release.
 type State struct {
-	form stateForm
+	stored storedState
 }
 
 // stateForm is the state as a snapshot stores it.
-type stateForm struct {
+type storedState struct {
 	Version     uint64                `json:"version"` // commands that changed something
 	At          int64                 `json:"at"`      // of the last command: it never goes back
 	Epochs      uint64                `json:"epochs"`  // the last one given out
@@ -33,7 +33,7 @@
 
 // Encode returns the state as a snapshot stores it.
 func (s *State) Encode() []byte {
-	b, err := json.Marshal(s.form)
+	b, err := json.Marshal(s.stored)
 	if err != nil {
 		panic(err) // unreachable: ValidateSpec rejects what JSON cannot represent
 	}
@@ -43,7 +43,7 @@
 // DecodeState reads the state of a snapshot.
 func DecodeState(b []byte) (*State, error) {
 	s := NewState()
-	if err := json.Unmarshal(b, &s.form); err != nil {
+	if err := json.Unmarshal(b, &s.stored); err != nil {
 		return nil, fmt.Errorf("canary: snapshot: %w", err)
 	}
 	if err := s.validate(); err != nil {
@@ -54,22 +54,22 @@
 
 // validate rejects what Apply cannot have made.
 func (s *State) validate() error {
-	if len(s.form.Canaries) > MaxCanaries {
-		return fmt.Errorf("%d canaries, at most %d", len(s.form.Canaries), MaxCanaries)
+	if len(s.stored.Canaries) > MaxCanaries {
+		return fmt.Errorf("%d canaries, at most %d", len(s.stored.Canaries), MaxCanaries)
 	}
-	for release, k := range s.form.Checkpoints {
-		if s.find(release) == nil || len(k.Evidence) > MaxCheckpointBytes {
+	for release, k := range s.stored.Checkpoints {
+		if s.findCanary(release) == nil || len(k.Evidence) > MaxCheckpointBytes {
 			return errors.New("evidence of nothing, or too much")
 		}
 	}
-	for i, c := range s.form.Canaries {
+	for i, c := range s.stored.Canaries {
 		if err := ValidateSpec(c.Spec); err != nil {
 			return fmt.Errorf("%s: %w", c.Release, err)
 		}
 		switch {
-		case i > 0 && s.form.Canaries[i-1].Release >= c.Release:
+		case i > 0 && s.stored.Canaries[i-1].Release >= c.Release:
 			return errors.New("not in order")
-		case c.Step < 0 || c.Step >= len(c.Steps) || c.PerMille < 0 || c.PerMille > c.Steps[c.Step] || c.Epoch > s.form.Epochs:
+		case c.Step < 0 || c.Step >= len(c.Steps) || c.PerMille < 0 || c.PerMille > c.Steps[c.Step] || c.Epoch > s.stored.Epochs:
 			return fmt.Errorf("%s: it cannot stand where it does", c.Release)
 		case !slices.Contains([]Status{Progressing, Paused, RolledBack, Completed}, c.Status):
 			return fmt.Errorf("%s: unknown status %q", c.Release, c.Status)
@@ -79,23 +79,23 @@
 }
 
 // Version rises with each command that changed something.
-func (s *State) Version() uint64 { return s.form.Version }
+func (s *State) Version() uint64 { return s.stored.Version }
 
 // Canaries returns all canaries, sorted by release.
-func (s *State) Canaries() []Canary { return slices.Clone(s.form.Canaries) }
+func (s *State) Canaries() []Canary { return slices.Clone(s.stored.Canaries) }
 
 // Canary returns the canary of a release.
 func (s *State) Canary(release string) (Canary, bool) {
-	if c := s.find(release); c != nil {
+	if c := s.findCanary(release); c != nil {
 		return *c, true
 	}
 	return Canary{}, false
 }
 
-func (s *State) find(release string) *Canary {
-	for i := range s.form.Canaries {
-		if s.form.Canaries[i].Release == release {
-			return &s.form.Canaries[i]
+func (s *State) findCanary(release string) *Canary {
+	for i := range s.stored.Canaries {
+		if s.stored.Canaries[i].Release == release {
+			return &s.stored.Canaries[i]
 		}
 	}
 	return nil
@@ -105,7 +105,7 @@
 // closed.
 func (s *State) Weights() []Weight {
 	var list []Weight
-	for _, c := range s.form.Canaries {
+	for _, c := range s.stored.Canaries {
 		list = append(list, Weight{Release: c.Release, Target: c.Target, Salt: c.Salt, PerMille: c.PerMille, Step: c.Step, Epoch: c.Epoch, Revision: c.Revision})
 	}
 	return list
@@ -113,8 +113,8 @@
 
 // Checkpoint returns the evidence stored for a canary's present step, nil if there is none.
 func (s *State) Checkpoint(release string) []byte {
-	if c := s.find(release); c != nil && s.form.Checkpoints[release].Revision == c.Revision {
-		return s.form.Checkpoints[release].Evidence
+	if c := s.findCanary(release); c != nil && s.stored.Checkpoints[release].Revision == c.Revision {
+		return s.stored.Checkpoints[release].Evidence
 	}
 	return nil
 }
--- a/internal/canary/state_test.go
+++ b/internal/canary/state_test.go
@@ -11,13 +11,13 @@
 	"pgregory.net/rapid"
 )
 
-func spec(release string) Spec {
+func validSpec(release string) Spec {
 	return Spec{Release: release, Target: Selector{Members: []string{release + "-1", release + "-2"}}, Salt: mix(uint64(len(release)) + uint64(release[0])),
 		Steps: []int{10, 50, 250, 500, 1000}, MinAttempts: 600, MaxStepMS: 4 * 3600_000, FalsePositiveRate: 0.01,
 		Guardrails: []Guardrail{{Metric: Failures, MarginPerMille: 10}, {Metric: SetupTime, Factor: 1.4}, {Metric: MessageTime, Factor: 1.4}, {Metric: EarlyDisconnects, MarginPerMille: 10}}}
 }
 
-func apply(t interface{ Fatalf(string, ...any) }, s *State, at int64, cmd Command) (Canary, string) {
+func applyCommand(t interface{ Fatalf(string, ...any) }, s *State, at int64, cmd Command) (Canary, string) {
 	var answer struct {
 		Error  string
 		Canary Canary
@@ -30,7 +30,7 @@
 
 func TestLifecycle(t *testing.T) {
 	s := NewState()
-	sp := spec("r")
+	sp := validSpec("r")
 	steps := []struct {
 		cmd    Command
 		status Status
@@ -55,7 +55,7 @@
 	}
 	for i, st := range steps {
 		st.cmd.Release = "r"
-		c, failed := apply(t, s, int64(i), st.cmd)
+		c, failed := applyCommand(t, s, int64(i), st.cmd)
 		if c.Status != st.status || c.Step != st.step || c.PerMille != st.weight || (failed == "") == (st.status == "" && st.cmd.Op != OpClose) {
 			t.Errorf("%d %v: %s step %d at %d, %q", i, st.cmd, c.Status, c.Step, c.PerMille, failed)
 		}
@@ -64,24 +64,24 @@
 		t.Error("closed and still stored")
 	}
 	for diverge, want := range map[DivergencePolicy]int{"": 0, ZeroWeight: 0, LowerWeight: 10, KeepWeight: 50} {
-		s, sp := NewState(), spec("r")
+		s, sp := NewState(), validSpec("r")
 		sp.OnDivergence = diverge
-		apply(t, s, 0, Command{Op: OpOpen, Release: "r", Spec: &sp})
-		apply(t, s, 0, Command{Op: OpAdvance, Release: "r", Revision: 1})
-		if c, _ := apply(t, s, 0, Command{Op: OpPause, Release: "r", Outcome: Divergent}); c.PerMille != want {
+		applyCommand(t, s, 0, Command{Op: OpOpen, Release: "r", Spec: &sp})
+		applyCommand(t, s, 0, Command{Op: OpAdvance, Release: "r", Revision: 1})
+		if c, _ := applyCommand(t, s, 0, Command{Op: OpPause, Release: "r", Outcome: Divergent}); c.PerMille != want {
 			t.Errorf("%q while outcomes diverge: %d", diverge, c.PerMille)
 		}
-		if c, _ := apply(t, s, 0, Command{Op: OpPause, Release: "r", Outcome: Regressed}); c.PerMille != 0 || len(c.PausedSteps) != 1 {
+		if c, _ := applyCommand(t, s, 0, Command{Op: OpPause, Release: "r", Outcome: Regressed}); c.PerMille != 0 || len(c.PausedSteps) != 1 {
 			t.Errorf("%q and then worse: %d", diverge, c.PerMille)
 		}
 	}
 }
 
 func TestValidateSpec(t *testing.T) {
-	if err := ValidateSpec(spec("r")); err != nil {
+	if err := ValidateSpec(validSpec("r")); err != nil {
 		t.Fatal(err)
 	}
-	for name, spoil := range map[string]func(*Spec){
+	for name, invalidate := range map[string]func(*Spec){
 		"ladder": func(s *Spec) { s.Steps = []int{10, 10} }, "empty ladder": func(s *Spec) { s.Steps = nil },
 		"above all": func(s *Spec) { s.Steps = []int{10, 1001} }, "none": func(s *Spec) { s.Steps = []int{0, 10} },
 		"long": func(s *Spec) { s.Steps = make([]int, MaxSteps+1) }, "arm": func(s *Spec) { s.Target = Selector{} },
@@ -91,8 +91,8 @@
 		"factor": func(s *Spec) { s.Guardrails[1].Factor = 1 }, "twice": func(s *Spec) { s.Guardrails[1] = s.Guardrails[2] },
 		"diverge": func(s *Spec) { s.OnDivergence = "?" }, "name": func(s *Spec) { s.Release = "" }, "salt": func(s *Spec) { s.Salt = 0 },
 	} {
-		sp := spec("r")
-		spoil(&sp)
+		sp := validSpec("r")
+		invalidate(&sp)
 		if ValidateSpec(sp) == nil {
 			t.Errorf("%s: accepted", name)
 		}
@@ -102,39 +102,39 @@
 // TestRandomCommands: a weight rises only by a step up or a resume, never above its step's; a rejected command changes nothing; a copy from a
 // snapshot continues alike. Planted: an order that comes from a map, as two relays would write it.
 func TestRandomCommands(t *testing.T) {
-	planted := 0
+	unsortedRejected := 0
 	rapid.Check(t, func(t *rapid.T) {
-		s, twin := NewState(), NewState()
+		s, replica := NewState(), NewState()
 		names := []string{"a", "bb", "ccc"}
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			name := rapid.SampledFrom(names).Draw(t, "release")
-			sp := spec(name)
+			sp := validSpec(name)
 			sp.OnDivergence = rapid.SampledFrom([]DivergencePolicy{"", KeepWeight, LowerWeight}).Draw(t, "diverge")
-			before, had := s.Canary(name)
+			before, existed := s.Canary(name)
 			cmd := Command{Release: name, Op: rapid.SampledFrom([]Op{OpOpen, OpAdvance, OpAdvance, OpAdvance, OpPause, OpResume, OpRollBack, OpClose, OpCheckpoint, "?"}).Draw(t, "do"),
 				Checkpoint: []byte(name), Outcome: rapid.SampledFrom([]Outcome{"", Regressed, Divergent}).Draw(t, "kind"), Epoch: uint64(rapid.IntRange(0, 6).Draw(t, "epoch")),
 				Revision: before.Revision + uint64(rapid.SampledFrom([]int{0, 0, 0, 1}).Draw(t, "off"))}
 			if cmd.Op == OpOpen {
 				cmd.Spec, cmd.Revision = &sp, 0
 			}
-			was, version := s.Encode(), s.Version()
-			c, failed := apply(t, s, int64(i), cmd)
-			twin.Apply(int64(i), "op", cmd.Encode())
-			if failed != "" && (!bytes.Equal(was, s.Encode()) || version != s.Version()) {
+			encodedBefore, version := s.Encode(), s.Version()
+			c, failed := applyCommand(t, s, int64(i), cmd)
+			replica.Apply(int64(i), "op", cmd.Encode())
+			if failed != "" && (!bytes.Equal(encodedBefore, s.Encode()) || version != s.Version()) {
 				t.Fatalf("%v was rejected and changed something", cmd)
 			}
-			if !bytes.Equal(s.Encode(), twin.Encode()) {
+			if !bytes.Equal(s.Encode(), replica.Encode()) {
 				t.Fatal("two of one log differ")
 			}
-			if jumbled := *twin; len(s.form.Canaries) > 1 {
-				jumbled.form.Canaries = s.Canaries()
-				slices.Reverse(jumbled.form.Canaries)
-				if _, err := DecodeState(jumbled.Encode()); err != nil && !bytes.Equal(s.Encode(), jumbled.Encode()) {
-					planted++
+			if unsorted := *replica; len(s.stored.Canaries) > 1 {
+				unsorted.stored.Canaries = s.Canaries()
+				slices.Reverse(unsorted.stored.Canaries)
+				if _, err := DecodeState(unsorted.Encode()); err != nil && !bytes.Equal(s.Encode(), unsorted.Encode()) {
+					unsortedRejected++
 				}
 			}
 			var err error
-			if twin, err = DecodeState(s.Encode()); err != nil || !bytes.Equal(s.Encode(), twin.Encode()) {
+			if replica, err = DecodeState(s.Encode()); err != nil || !bytes.Equal(s.Encode(), replica.Encode()) {
 				t.Fatalf("snapshot: %v", err)
 			}
 			if failed != "" {
@@ -146,7 +146,7 @@
 			switch {
 			case c.PerMille > 0 && c.PerMille > c.Steps[c.Step]:
 				t.Fatalf("%d on step %d", c.PerMille, c.Step)
-			case had && c.PerMille > before.PerMille && cmd.Op != OpAdvance && cmd.Op != OpResume:
+			case existed && c.PerMille > before.PerMille && cmd.Op != OpAdvance && cmd.Op != OpResume:
 				t.Fatalf("%s raised it", cmd.Op)
 			case cmd.Op == OpAdvance && (before.Status != Progressing || cmd.Revision != before.Revision || c.Step > before.Step+1):
 				t.Fatalf("a step up from %s at %d, by %d", before.Status, before.Revision, cmd.Revision)
@@ -159,27 +159,27 @@
 			}
 		}
 	})
-	if planted == 0 {
+	if unsortedRejected == 0 {
 		t.Error("a map's order was not found")
 	}
 }
 
 func TestRoutedToCanary(t *testing.T) {
-	ladder := []int{1, 10, 50, 250, 500, 1000}
-	counts := make([]int, len(ladder))
+	steps := []int{1, 10, 50, 250, 500, 1000}
+	counts := make([]int, len(steps))
 	const groups = 100_000
 	for g := range uint64(groups) {
-		in := false
-		for i, w := range ladder {
+		routed := false
+		for i, w := range steps {
 			now := RoutedToCanary(7, g, w)
-			if in && !now {
+			if routed && !now {
 				t.Fatalf("group %d left the canary at %d per mille", g, w)
 			}
-			if in = now; now {
+			if routed = now; now {
 				counts[i]++
 			}
 		}
-		if !in || RoutedToCanary(7, g, 0) {
+		if !routed || RoutedToCanary(7, g, 0) {
 			t.Fatalf("group %d is not in all, or in none", g)
 		}
 	}
@@ -190,7 +190,7 @@
 		}
 	}
 	counts = append(counts, both) // two releases are drawn apart: a tenth of a tenth
-	for i, w := range append(ladder, 10) {
+	for i, w := range append(steps, 10) {
 		if want := float64(w) / 1000 * groups; float64(counts[i]) < want*0.8-5 || float64(counts[i]) > want*1.2+5 {
 			t.Errorf("%d per mille: %d groups of %d", w, counts[i], groups)
 		}
@@ -198,8 +198,8 @@
 }
 
 func TestDecodeStateRejects(t *testing.T) {
-	s, sp := NewState(), spec("r")
-	apply(t, s, 0, Command{Op: OpOpen, Release: "r", Spec: &sp})
+	s, sp := NewState(), validSpec("r")
+	applyCommand(t, s, 0, Command{Op: OpOpen, Release: "r", Spec: &sp})
 	text := string(s.Encode())
 	for _, change := range [][2]string{{`"rung":0`, `"rung":9`}, {`"per_mille":10`, `"per_mille":11`}, {`"going"`, `"flying"`},
 		{`[10,50,`, `[50,10,`}, {`"epoch":1`, `"epoch":2`}, {`}`, ``}} {
@@ -211,21 +211,21 @@
 }
 
 func TestPlan(t *testing.T) {
-	s, sp := NewState(), spec("r")
-	apply(t, s, 1000, Command{Op: OpOpen, Release: "r", Spec: &sp})
+	s, sp := NewState(), validSpec("r")
+	applyCommand(t, s, 1000, Command{Op: OpOpen, Release: "r", Spec: &sp})
 	v := Verdict{Release: "r", Epoch: 1, Outcome: Healthy}
-	late := 1000 + sp.MaxStepMS + 1
+	overdue := 1000 + sp.MaxStepMS + 1
 	for i, c := range []struct {
 		now     int64
 		v       Verdict
 		applied bool
 		want    string
 	}{
-		{2000, v, true, "rung"}, {2000, v, false, ""}, {late, v, false, ""},
+		{2000, v, true, "rung"}, {2000, v, false, ""}, {overdue, v, false, ""},
 		{2000, Verdict{Release: "r", Epoch: 1, Outcome: Healthy, Suspected: true}, true, ""},
-		{late, Verdict{Release: "r", Epoch: 1, Outcome: Healthy, Suspected: true}, true, "pause late"},
+		{overdue, Verdict{Release: "r", Epoch: 1, Outcome: Healthy, Suspected: true}, true, "pause late"},
 		{2000, Verdict{Release: "r", Epoch: 1, Outcome: Inconclusive}, true, ""},
-		{late, Verdict{Release: "r", Epoch: 1, Outcome: Inconclusive, Checkpoint: []byte{1}}, true, "pause late"},
+		{overdue, Verdict{Release: "r", Epoch: 1, Outcome: Inconclusive, Checkpoint: []byte{1}}, true, "pause late"},
 		{2000, Verdict{Release: "r", Epoch: 1, Outcome: Inconclusive, Checkpoint: []byte{1}}, true, "keep"},
 		{2000, Verdict{Release: "r", Epoch: 1, Outcome: Healthy, Checkpoint: []byte{1}}, false, "keep"},
 		{2000, Verdict{Release: "r", Epoch: 2, Outcome: Inconclusive, Checkpoint: []byte{1}}, true, ""},
@@ -247,10 +247,10 @@
 		}
 	}
 	cmd := s.Plan(2000, Verdict{Release: "r", Epoch: 1, Outcome: Regressed}, true)[0]
-	apply(t, s, 2000, cmd)
+	applyCommand(t, s, 2000, cmd)
 	if next := s.Plan(2001, Verdict{Release: "r"}, true); len(next) != 1 || next[0].Op != OpRollBack {
 		t.Errorf("after worse: %v", next)
-	} else if c, failed := apply(t, s, 2001, next[0]); failed != "" || c.Status != RolledBack {
+	} else if c, failed := applyCommand(t, s, 2001, next[0]); failed != "" || c.Status != RolledBack {
 		t.Errorf("%v %s", c, failed)
 	}
 }
