--- a/internal/canary/apply.go
+++ b/internal/canary/apply.go
@@ -8,10 +8,11 @@
 	"strings"
 )
 
-// Apply executes one command of the log and returns the answer to its proposer. A command that is not possible is answered with an error
-// and changes nothing.
+// Apply executes one command of the log and returns the JSON answer to its proposer. The answer to an
+// invalid command has an error and changes nothing. The error texts below go to operators as they are,
+// so they use the stored words: see the package comment.
 func (s *State) Apply(at int64, by string, body []byte) []byte {
-	at = max(s.stored.At, at) // time in the record never goes back
+	at = max(s.stored.At, at) // time in the record never decreases
 	var cmd Command
 	err := json.Unmarshal(body, &cmd)
 	if err == nil {
@@ -43,6 +44,7 @@
 		return fmt.Errorf("no canary of release %q", cmd.Release)
 	}
 	if cmd.Revision != 0 && cmd.Revision != c.Revision {
+		// The command was computed at another revision of the canary.
 		return fmt.Errorf("overtaken: it was reckoned at %d and the canary is at %d", cmd.Revision, c.Revision)
 	}
 	var err error
@@ -77,11 +79,11 @@
 
 func (s *State) open(at int64, by string, cmd Command) error {
 	if cmd.Spec == nil {
-		return errors.New("nothing to open")
+		return errors.New("nothing to open") // the command has no spec
 	}
 	spec := *cmd.Spec
 	if spec.Release != cmd.Release {
-		return errors.New("two names of a release")
+		return errors.New("two names of a release") // command and spec name different releases
 	}
 	if err := ValidateSpec(spec); err != nil {
 		return err
@@ -91,14 +93,15 @@
 	}
 	i, found := slices.BinarySearchFunc(s.stored.Canaries, spec.Release, func(c Canary, name string) int { return strings.Compare(c.Release, name) })
 	if found {
-		return fmt.Errorf("release %q has one", spec.Release)
+		return fmt.Errorf("release %q has one", spec.Release) // the release already has a canary
 	}
 	for _, c := range s.stored.Canaries {
 		if mayOverlap(c.Target, spec.Target) {
+			// A member could be selected by both canaries.
 			return fmt.Errorf("its arm may hold members of release %q", c.Release)
 		}
 		if c.Salt == spec.Salt {
-			return fmt.Errorf("the salt of release %q", c.Release)
+			return fmt.Errorf("the salt of release %q", c.Release) // that canary already uses this salt
 		}
 	}
 	s.stored.Epochs++
@@ -108,10 +111,11 @@
 	return nil
 }
 
-// mayOverlap reports whether a member may belong to both: then which weight applies to it would depend on their order.
+// mayOverlap reports whether both selectors may select the same member: which weight applied to it
+// would then depend on the order of the canaries.
 func mayOverlap(x, y Selector) bool {
 	if len(x.Members) == 0 || len(y.Members) == 0 {
-		return true // all that started since a time may be any
+		return true // the members that started since a time are not known here
 	}
 	return slices.ContainsFunc(x.Members, func(m string) bool { return slices.Contains(y.Members, m) })
 }
@@ -120,7 +124,7 @@
 func (c *Canary) advance(at int64, cmd Command) error {
 	switch {
 	case cmd.Revision == 0:
-		return errors.New("a step up names the number that it was reckoned at")
+		return errors.New("a step up names the number that it was reckoned at") // Command.Revision is missing
 	case c.Status != Progressing:
 		return fmt.Errorf("no step up: it is %s", c.Status)
 	case c.Step == len(c.Steps)-1:
@@ -136,8 +140,8 @@
 	c.Step, c.PerMille, c.StepStartedAt = step, c.Steps[step], at
 }
 
-// pause lowers the weight: to zero, or as the spec's policy says where outcomes diverge. It never raises it. The second pause on a step rolls
-// the canary back.
+// pause lowers the weight, never raises it: to zero, or as Spec.OnDivergence says for a divergent
+// outcome. The second pause on the same step rolls the canary back.
 func (c *Canary) pause(cmd Command) error {
 	if cmd.Epoch != 0 && cmd.Epoch < c.Epoch {
 		return fmt.Errorf("it was resumed since, in epoch %d", c.Epoch)
@@ -160,10 +164,10 @@
 			c.PausedSteps = append(slices.Clone(c.PausedSteps), c.Step)
 		}
 	case RolledBack:
-		return errors.New("it has gone back")
+		return errors.New("it has gone back") // the canary is already rolled back
 	case Paused:
 		if weight >= c.PerMille && cmd.Outcome != Regressed {
-			return errors.New("it is paused")
+			return errors.New("it is paused") // already, and this pause does not lower the weight further
 		}
 	}
 	c.PerMille = min(c.PerMille, weight)
@@ -171,13 +175,14 @@
 	return nil
 }
 
-// resume continues one step below the paused one, in a new epoch: it ends all pauses of earlier epochs.
+// resume continues one step below the paused one. It starts a new epoch, which ends all pauses of
+// earlier epochs.
 func (s *State) resume(c *Canary, at int64, cmd Command) error {
 	if c.Status != Paused {
 		return fmt.Errorf("nothing to resume: it is %s", c.Status)
 	}
 	if cmd.Epoch > s.stored.Epochs && cmd.Epoch-s.stored.Epochs > maxEpochLead {
-		return fmt.Errorf("no epoch comes near %d", cmd.Epoch)
+		return fmt.Errorf("no epoch comes near %d", cmd.Epoch) // more than maxEpochLead above the last one
 	}
 	s.stored.Epochs = max(s.stored.Epochs, cmd.Epoch) + 1
 	c.Status, c.Epoch = Progressing, s.stored.Epochs
@@ -186,9 +191,11 @@
 	return nil
 }
 
-// storeCheckpoint stores a step's evidence. It changes no weight, so neither revision nor version rises.
+// storeCheckpoint stores a step's evidence. Relays need not apply it, so neither the canary's revision
+// nor the state's version increases.
 func (s *State) storeCheckpoint(c *Canary, cmd Command) error {
 	if cmd.Revision == 0 || c.Status != Progressing || len(cmd.Checkpoint) == 0 || len(cmd.Checkpoint) > MaxCheckpointBytes {
+		// The revision or the evidence is missing, the evidence is too long, or the canary is not progressing.
 		return errors.New("no evidence of a rung that is going")
 	}
 	if s.stored.Checkpoints == nil {
@@ -198,10 +205,10 @@
 	return nil
 }
 
-// close removes a canary that is over from the record.
+// close removes a completed or rolled back canary from the record.
 func (s *State) close(c *Canary) error {
 	if c.Status != RolledBack && c.Status != Completed {
-		return fmt.Errorf("not over: it is %s", c.Status)
+		return fmt.Errorf("not over: it is %s", c.Status) // only a completed or rolled back canary can be closed
 	}
 	release := c.Release
 	delete(s.stored.Checkpoints, release)
--- a/internal/canary/notices.go
+++ b/internal/canary/notices.go
@@ -8,7 +8,8 @@
 	"slices"
 )
 
-// Notices returns what to gossip: the weights as recorded here, and what notices say that the record does not yet.
+// Notices returns the notices to gossip: the weights of the record as applied here, and received notices
+// that the record does not contain yet.
 func (r *WeightResolver) Notices() []Notice {
 	var list []Notice
 	for _, w := range r.recorded {
@@ -26,14 +27,14 @@
 	return list
 }
 
-// noticePriority orders notices for EncodeNotices, the most urgent first.
+// noticePriority is the order of notices in EncodeNotices, the most urgent first.
 type noticePriority int
 
 const (
 	pauseOfRecorded   noticePriority = iota
-	pauseOfUnrecorded                // of a release that the record here does not know
+	pauseOfUnrecorded                // of a release that the record applied here does not contain
 	newerThanRecord
-	sameAsRecord // the record spreads it too
+	sameAsRecord // replication of the record delivers it too
 )
 
 func (r *WeightResolver) priority(n Notice) noticePriority {
@@ -48,8 +49,9 @@
 	return sameAsRecord
 }
 
-// EncodeNotices returns as many of the notices as fit into maxBytes, as a JSON array, by priority: a pause spreads whatever else there is to
-// gossip and however long the names are. Nil if there are none.
+// EncodeNotices returns as many notices as fit into maxBytes, as a JSON array in order of priority, so
+// that a pause is sent whatever other notices there are. It returns nil if no notice fits or there are
+// none.
 func (r *WeightResolver) EncodeNotices(maxBytes int) []byte {
 	list := r.Notices()
 	slices.SortStableFunc(list, func(x, y Notice) int { return cmp.Compare(r.priority(x), r.priority(y)) })
@@ -58,7 +60,8 @@
 		var element bytes.Buffer
 		e := json.NewEncoder(&element)
 		e.SetEscapeHTML(false)
-		if e.Encode(n) != nil || len(array)+element.Len()+1 > maxBytes { // a bracket or comma before it; the closing bracket for its newline
+		// One more byte for the bracket or comma before the element; the closing bracket replaces its newline.
+		if e.Encode(n) != nil || len(array)+element.Len()+1 > maxBytes {
 			continue
 		}
 		array = append(append(array, ','), bytes.TrimSuffix(element.Bytes(), []byte("\n"))...)
--- a/internal/canary/plan.go
+++ b/internal/canary/plan.go
@@ -2,8 +2,10 @@
 
 import "fmt"
 
-// Plan returns what the leader should propose next for the canary that a verdict is on. Applied says that every live relay that counts has
-// applied the present weight. A step up is fenced by the canary's revision, so that an overtaken verdict raises nothing.
+// Plan returns the commands that the leader should propose next for the canary of a verdict. applied
+// is whether all live relays of known status have applied the current weight. A step up is fenced by
+// the canary's revision, so that an outdated verdict cannot raise the weight. The reasons are stored in
+// the record and shown to operators.
 func (s *State) Plan(now int64, v Verdict, applied bool) []Command {
 	c := s.findCanary(v.Release)
 	if c == nil {
@@ -16,7 +18,7 @@
 		return nil
 	}
 	if v.Epoch != c.Epoch || v.Step != c.Step {
-		v = Verdict{Release: v.Release, Outcome: Inconclusive} // of another step: void here
+		v = Verdict{Release: v.Release, Outcome: Inconclusive} // the verdict is on another step or epoch
 	}
 	var storeCheckpoint []Command
 	if v.Checkpoint != nil {
@@ -36,7 +38,7 @@
 		pause.Reason = fmt.Sprintf("%s worse at some relays only, at %d per mille", v.Metric, c.PerMille)
 	case v.Outcome == Healthy && !v.Suspected:
 		if !applied {
-			return storeCheckpoint // a relay that lags behind is for drift to report
+			return storeCheckpoint // wait; drift detection reports the relay that lags behind
 		}
 		return []Command{{Op: OpAdvance, Release: c.Release, Revision: c.Revision, Reason: fmt.Sprintf("sound after %d compared", v.Compared)}}
 	case now-c.StepStartedAt > c.MaxStepMS:
@@ -47,7 +49,7 @@
 	return []Command{pause}
 }
 
-// overdueReason says what a step without a verdict was missing.
+// overdueReason returns why a step got no verdict within Spec.MaxStepMS.
 func overdueReason(v Verdict, minAttempts uint64) string {
 	switch {
 	case v.Suspected:
--- a/internal/canary/split.go
+++ b/internal/canary/split.go
@@ -2,8 +2,9 @@
 
 import "math/bits"
 
-// RoutedToCanary reports whether a group's new flows go to the canary. All relays answer alike. A higher weight adds groups and moves none
-// back, since each group has one position between 0 and 1000 and the canary gets those below the weight.
+// RoutedToCanary reports whether a group's new flows go to the canary. All relays give the same answer.
+// Raising the weight adds groups and never moves one back: each group has a fixed position from 0 to
+// 999, and the canary gets the positions below the weight.
 func RoutedToCanary(salt, group uint64, perMille int) bool {
 	if perMille <= 0 {
 		return false
--- a/internal/canary/types.go
+++ b/internal/canary/types.go
@@ -1,48 +1,55 @@
-// Package canary decides which share of new flows goes to the members of a new build, and whether those members do worse.
+// Package canary decides which share of new flows goes to the members of a new build, and whether
+// those members do worse than the others.
 //
-// State is what the fleet has agreed on, WeightResolver is one relay's view of the weights in force, Collector counts outcomes at one
-// relay, and Judge is the leader's analysis of what the relays counted. The package does no I/O and reads no clock: commands, counts, time
-// and gossiped notices are passed in. docs/design/canary.md gives the reasons behind the design.
+// State is the replicated record of canaries, WeightResolver derives the weights that one relay uses,
+// Collector counts outcomes at one relay, and Judge is the leader's analysis of the relays' counts. The
+// package does no I/O and reads no clock: its callers pass in commands, counts, time and gossiped
+// notices. docs/design/canary.md gives the reasons behind the design.
+//
+// Stored and sent texts use older words than the Go names: a rung is a step and a ladder the list of
+// steps, the arm is the set of members that run the canary's build, the floor is Spec.MinAttempts, a
+// number is a revision, and guards are guardrails.
 package canary
 
 import "encoding/json"
 
-// Bounds on what is stored, whatever a command or a report claims.
+// Limits on stored data, whatever a command or a report contains.
 const (
 	MaxCanaries        = 16   // in the record, completed and rolled back ones included
 	MaxSteps           = 16   // of one canary
 	MaxSelectedMembers = 4096 // named by one selector
-	MaxRelays          = 1024 // whose counts the judge holds
+	MaxRelays          = 1024 // whose counts a judge stores; also the limit on its zones
 	MaxStrata          = 64   // of one relay
-	MaxNotices         = 64   // that a relay holds for releases it does not know
+	MaxNotices         = 64   // releases that a relay stores notices for
 )
 
-// Status is where a canary stands.
+// Status is the state of a canary's rollout.
 type Status string
 
 // The statuses of a canary.
 const (
-	Progressing Status = "going"  // its steps advance
-	Paused      Status = "paused" // it waits for an operator
-	RolledBack  Status = "back"   // its members get no new flows, for good
+	Progressing Status = "going"  // the leader may advance it from step to step
+	Paused      Status = "paused" // waits for an operator to resume it; the leader rolls it back if it regressed
+	RolledBack  Status = "back"   // its members never get new flows again
 	Completed   Status = "done"   // the last step was healthy
 )
 
-// Op is what a Command does.
+// Op is the operation of a Command.
 type Op string
 
 // The operations of a Command.
 const (
-	OpOpen       Op = "open"   // a canary of a release begins
-	OpAdvance    Op = "rung"   // to the next step, or to completed after the last one
-	OpPause      Op = "pause"  // no new flows, until an operator resumes
-	OpResume     Op = "resume" // one step below the paused one
-	OpRollBack   Op = "back"   // no new flows, for good
-	OpClose      Op = "close"  // a completed or rolled back canary leaves the record
-	OpCheckpoint Op = "keep"   // the step's evidence goes into the record
+	OpOpen       Op = "open"   // start a canary of a release
+	OpAdvance    Op = "rung"   // go to the next step, or complete the canary after the last one
+	OpPause      Op = "pause"  // lower the weight, usually to 0, until an operator resumes
+	OpResume     Op = "resume" // continue one step below the paused one
+	OpRollBack   Op = "back"   // permanently stop new flows to the canary
+	OpClose      Op = "close"  // remove a completed or rolled back canary from the record
+	OpCheckpoint Op = "keep"   // store the evidence of the current step in the record
 )
 
-// DivergencePolicy is what a pause does to the weight where outcomes diverge between zones or relays. Empty is ZeroWeight.
+// DivergencePolicy is how a pause changes the weight when outcomes diverge between zones or relays.
+// The empty policy means ZeroWeight.
 type DivergencePolicy string
 
 // The divergence policies.
@@ -52,54 +59,57 @@
 	ZeroWeight  DivergencePolicy = "zero"
 )
 
-// Metric is something that must not get worse.
+// Metric is a measurement on which the canary is compared with the baseline.
 type Metric string
 
-// The metrics that a guardrail can be about.
+// The metrics that a guardrail can limit.
 const (
 	Failures         Metric = "failures"   // attempts that failed, were reset or timed out
 	SetupTime        Metric = "set-up"     // time until a flow is established
 	MessageTime      Metric = "message"    // response time of a message on a flow
-	EarlyDisconnects Metric = "early-ends" // flows that a member closed before their client did, within their first minute
+	EarlyDisconnects Metric = "early-ends" // flows that the member, not the client, closed within their first minute
 )
 
-// Guardrail is a metric and how much worse than the baseline the canary may be on it.
+// Guardrail limits how much worse than the baseline the canary may be on one metric.
 type Guardrail struct {
 	Metric Metric `json:"metric"`
-	// MarginPerMille is for Failures and EarlyDisconnects: per mille of attempts, or of the minutes that flows were open (10 is one percentage point).
+	// MarginPerMille is for Failures and EarlyDisconnects: the allowed excess over the baseline, per
+	// mille of attempts, or of the minutes that flows were open (10 is one percentage point).
 	MarginPerMille int `json:"points,omitempty"`
-	// Factor is for SetupTime and MessageTime: slower by this factor, applied in steps of the square root of 2, rounded up. For Failures and
-	// EarlyDisconnects: as many times as often as the baseline, in addition to the margin; defaultFactor if absent.
+	// Factor is, for SetupTime and MessageTime, how many times as slow the canary may be, rounded up
+	// to a power of the square root of 2. For Failures and EarlyDisconnects it is how many times as
+	// often as the baseline they may occur, in addition to the margin; 0 means defaultFactor.
 	Factor float64 `json:"factor,omitempty"`
 }
 
-// Selector is which members run the canary's build: those named, or all that started at Since or later (wall clock, ms).
+// Selector selects the members that run the canary's build: those named, or all that started at Since
+// or later (wall clock, Unix ms).
 type Selector struct {
 	Members []string `json:"members,omitempty"`
 	Since   int64    `json:"since,omitempty"`
 }
 
-// Spec is a canary as a release defines it.
+// Spec is the configuration of a canary, as its release defines it.
 type Spec struct {
 	Release           string           `json:"release"`
 	Target            Selector         `json:"arm"`
-	Salt              uint64           `json:"salt"`    // drawn by the proposer, a different one for each release
-	Steps             []int            `json:"ladder"`  // weights in per mille of new flows, rising
-	MinAttempts       uint64           `json:"floor"`   // attempts of the canary on a step that could be compared with the baseline
-	MaxStepMS         int64            `json:"longest"` // after so long on a step without a verdict the canary pauses
+	Salt              uint64           `json:"salt"`    // chosen by the proposer; different for each release
+	Steps             []int            `json:"ladder"`  // weights in per mille of new flows, increasing
+	MinAttempts       uint64           `json:"floor"`   // attempts to the canary that a step needs, counting only those comparable with the baseline
+	MaxStepMS         int64            `json:"longest"` // the canary pauses after this time on a step without a verdict
 	Guardrails        []Guardrail      `json:"guards"`
-	FalsePositiveRate float64          `json:"error"` // at most this share of healthy releases is paused, over all steps and guardrails
+	FalsePositiveRate float64          `json:"error"` // upper bound on the share of healthy releases paused, over all steps and guardrails
 	OnDivergence      DivergencePolicy `json:"diverge,omitempty"`
 }
 
-// Canary is a canary in the record.
+// Canary is a canary in the record: its spec and its progress.
 type Canary struct {
 	Spec
 	Status        Status   `json:"status"`
 	Step          int      `json:"rung"`
-	PerMille      int      `json:"per_mille"` // weight now, of new flows
-	Epoch         uint64   `json:"epoch"`     // rises with open and resume: a pause is for an epoch and ends with it
-	Revision      uint64   `json:"number"`    // rises with each change of this canary
+	PerMille      int      `json:"per_mille"` // current weight, of new flows
+	Epoch         uint64   `json:"epoch"`     // increases with open and resume; a pause applies to one epoch and ends with it
+	Revision      uint64   `json:"number"`    // increases with each change of this canary
 	StepStartedAt int64    `json:"rung_at"`
 	PausedSteps   []int    `json:"paused,omitempty"`
 	ChangedBy     string   `json:"by,omitempty"`
@@ -108,7 +118,7 @@
 	Divergent     []string `json:"named,omitempty"` // zones and relays where outcomes diverge
 }
 
-// Weight is how a relay splits new flows for one canary.
+// Weight is the split of new flows for one canary.
 type Weight struct {
 	Release  string   `json:"Release"`
 	Target   Selector `json:"Arm"`
@@ -119,14 +129,16 @@
 	Revision uint64   `json:"Number"`
 }
 
-// Command is a change of State, as a body for State.Apply.
+// Command is a change of State, JSON-encoded as the body for State.Apply.
 type Command struct {
 	Op      Op     `json:"do"`
 	Release string `json:"release"`
 	Spec    *Spec  `json:"spec,omitempty"` // OpOpen
-	// Revision fences OpAdvance, OpRollBack and OpCheckpoint: rejected unless the canary is still at it.
+	// Revision fences a command: it is rejected if the canary is at another revision. It is required
+	// for OpAdvance and OpCheckpoint; 0 in any other command skips the check.
 	Revision uint64 `json:"number,omitempty"`
-	// Epoch, with OpPause: rejected if the canary was resumed in a later one; 0 for any. With OpResume: the new epoch is above it.
+	// Epoch, with OpPause: the command is rejected if the canary was resumed in a later epoch; 0 skips
+	// the check. With OpResume: the new epoch is above it.
 	Epoch      uint64   `json:"epoch,omitempty"`
 	Reason     string   `json:"why,omitempty"`
 	Outcome    Outcome  `json:"kind,omitempty"`
@@ -138,16 +150,17 @@
 func (c Command) Encode() json.RawMessage {
 	b, err := json.Marshal(c)
 	if err != nil {
-		panic(err) // unreachable: a command has only strings and numbers
+		panic(err) // unreachable: a command contains only strings and numbers that JSON can represent
 	}
 	return b
 }
 
-// Notice is what relays gossip about weights, agreed or not. A notice can only lower a weight.
+// Notice is a gossiped upper bound of a weight, whether or not the record has it yet. A notice can only
+// lower a weight.
 type Notice struct {
 	Release  string `json:"release"`
 	Pause    bool   `json:"pause,omitempty"` // no new flows to the canary in this epoch or an earlier one
 	Epoch    uint64 `json:"epoch"`
-	Revision uint64 `json:"number,omitempty"`    // without Pause: PerMille was agreed at this revision
+	Revision uint64 `json:"number,omitempty"`    // without Pause: the revision of the record that set PerMille
 	PerMille int    `json:"per_mille,omitempty"` // upper bound of the weight
 }
--- a/internal/canary/validate.go
+++ b/internal/canary/validate.go
@@ -12,17 +12,18 @@
 	maxMinAttempts       = 1 << 40
 	maxFalsePositiveRate = 0.5
 	maxMarginPerMille    = 500
-	maxRateFactor        = 4  // of failures and early disconnects
-	maxTimeFactor        = 16 // of durations
+	maxRateFactor        = 4  // Guardrail.Factor for failures and early disconnects
+	maxTimeFactor        = 16 // Guardrail.Factor for durations
 )
 
-// ValidateSpec returns why a spec cannot work; nil if it can.
+// ValidateSpec returns an error if a spec is invalid. Operators receive its text: it begins with the
+// stored name of the field (floor is MinAttempts, longest is MaxStepMS, error is FalsePositiveRate).
 func ValidateSpec(s Spec) error {
 	if s.Release == "" || len(s.Release) > maxReleaseNameBytes {
 		return errors.New("a canary needs a release's name, of 128 bytes at most")
 	}
 	if s.Salt == 0 {
-		return errors.New("salt: none")
+		return errors.New("salt: none") // Salt is 0
 	}
 	if err := s.Target.validate(); err != nil {
 		return err
@@ -31,13 +32,13 @@
 		return err
 	}
 	if s.MinAttempts == 0 || s.MinAttempts > maxMinAttempts {
-		return errors.New("floor: a rung needs some evidence")
+		return errors.New("floor: a rung needs some evidence") // MinAttempts is 0 or above maxMinAttempts
 	}
 	if s.MaxStepMS < minStepSlices*sliceMS {
 		return fmt.Errorf("longest: nothing can be judged in under %d s", minStepSlices*sliceMS/1000)
 	}
 	if !(s.FalsePositiveRate > 0 && s.FalsePositiveRate <= maxFalsePositiveRate) { // rejects NaN too
-		return errors.New("error: above 0, 0.5 at most")
+		return errors.New("error: above 0, 0.5 at most") // the allowed range of FalsePositiveRate
 	}
 	if err := validateGuardrails(s.Guardrails); err != nil {
 		return err
@@ -57,7 +58,7 @@
 	}
 	for i, m := range s.Members {
 		if m == "" || i > 0 && m <= s.Members[i-1] {
-			return errors.New("arm: members in the order of their names, each once")
+			return errors.New("arm: members in the order of their names, each once") // empty, unsorted or repeated
 		}
 	}
 	return nil
@@ -80,7 +81,7 @@
 
 func validateGuardrails(guardrails []Guardrail) error {
 	if len(guardrails) == 0 {
-		return errors.New("guards: nothing that must not get worse")
+		return errors.New("guards: nothing that must not get worse") // there is no guardrail
 	}
 	var seen []Metric
 	for _, g := range guardrails {
--- a/internal/canary/verdict.go
+++ b/internal/canary/verdict.go
@@ -1,15 +1,15 @@
 package canary
 
-// Outcome is what a verdict concludes.
+// Outcome is the conclusion of a verdict.
 type Outcome string
 
 // The outcomes of a verdict.
 const (
 	Inconclusive Outcome = "not-enough" // evidence is missing
-	Healthy      Outcome = "sound"      // so far, with the required evidence
-	Regressed    Outcome = "worse"      // everywhere
-	Divergent    Outcome = "diverge"    // worse at some relays or zones only
-	Overdue      Outcome = "late"       // the required evidence did not come within the longest time of a step
+	Healthy      Outcome = "sound"      // no harm found so far, with the required evidence
+	Regressed    Outcome = "worse"      // worse than the baseline everywhere
+	Divergent    Outcome = "diverge"    // worse than the baseline at some relays or zones only
+	Overdue      Outcome = "late"       // no conclusive verdict within Spec.MaxStepMS
 )
 
 // Verdict is the judge's conclusion on one step.
@@ -21,25 +21,25 @@
 	Outcome    Outcome       `json:"Kind"`
 	Metric     Metric        `json:"Metric"`   // the one with the strongest evidence
 	LogEValue  float64       `json:"Evidence"` // natural logarithm of that metric's e-value
-	Threshold  float64       `json:"Needed"`   // LogEValue that pauses the canary
-	Compared   uint64        `json:"Compared"` // attempts of the canary that could be compared with the baseline
-	Suspected  bool          `json:"Doubt"`    // evidence of harm is half way to the threshold: no step up, whatever Compared is
-	Zones      []string      `json:"Zones"`    // where outcomes diverge
+	Threshold  float64       `json:"Needed"`   // the LogEValue at which the canary pauses
+	Compared   uint64        `json:"Compared"` // attempts to the canary that could be compared with the baseline
+	Suspected  bool          `json:"Doubt"`    // LogEValue is at least half the threshold: no step up, whatever Compared is
+	Zones      []string      `json:"Zones"`    // zones where outcomes diverge
 	Relays     []string      `json:"Relays"`   // single relays where outcomes diverge
-	Faulty     []FaultyRelay `json:"Ill"`      // relays that are bad for canary and baseline alike: left out
-	Checkpoint []byte        `json:"-"`        // now and then: the evidence, to be stored in the record
+	Faulty     []FaultyRelay `json:"Ill"`      // relays that are excluded: their baseline is bad too
+	Checkpoint []byte        `json:"-"`        // the evidence to store in the record; nil until the next checkpoint is due
 }
 
-// FaultyRelay is a relay whose baseline is worse than that of the others.
+// FaultyRelay is a relay whose baseline is worse than that of the other relays.
 type FaultyRelay struct {
 	Relay  string `json:"Relay"`
 	Metric Metric `json:"Metric"`
 }
 
-// JudgeSettings are a canary on one step, which a Judge evaluates.
+// JudgeSettings describe a canary on one step for a Judge to evaluate.
 type JudgeSettings struct {
 	Spec
 	Epoch      uint64
 	Step       int
-	Checkpoint []byte // State.Checkpoint: the evidence that an earlier leader stored for this step
+	Checkpoint []byte // from State.Checkpoint: the evidence that an earlier leader stored for this step
 }
