--- a/internal/canary/checkpoint.go
+++ b/internal/canary/checkpoint.go
@@ -5,26 +5,33 @@
 	"math"
 )
 
-// This file is how a step's evidence outlives its leader. Reports are counts since a relay's start: a new leader cannot tell the counts of
-// this step from those of earlier ones, and one block over several steps is no evidence (if everything got worse while the canary had more
-// weight, the canary's mean is worse and its members are not). So the leader proposes its evidence to the record now and then, and the next
-// leader continues from there. A product of blocks remains an e-value: which blocks are left out (those between the last checkpoint and the
-// first report) depends on when leaders change, not on what was counted. No block counts twice: the checkpoint has the sequence numbers of
-// the reports that it covers, and the first report after them is not evidence, as always.
+// This file lets a step's evidence survive a change of leader. Relays report counts since their start,
+// so a new leader cannot tell the counts of this step from those of earlier steps. Treating them as one
+// block over several steps would not be evidence: if everything got worse while the canary had more
+// weight, the canary's mean is worse although its members are not. So the leader regularly stores its
+// evidence in the record, and the next leader continues from there.
+//
+// The product of the blocks remains an e-value: which blocks are lost (those between the last checkpoint
+// and the first report to the new leader) depends on when the leader changes, not on the counts. No
+// block counts twice: the checkpoint contains the sequence numbers of the reports that it covers, and
+// the first report after a change of leader is only the base for later differences.
 
 const (
-	// MaxCheckpointBytes bounds a checkpoint. 1,024 relays need less, and in JSON, a third longer, it fits into one command of the record.
+	// MaxCheckpointBytes limits a checkpoint. The evidence of 1,024 relays is smaller, and the JSON form,
+	// a third longer, fits into one command of the record.
 	MaxCheckpointBytes = 128 << 10
 
-	minCheckpointIntervalMS  = 5000 // so much evidence is lost with a leader
-	checkpointBytesPerSecond = 1000 // that checkpoints may cost each relay which follows the record: as much as two reports
+	minCheckpointIntervalMS  = 5000 // a change of leader may lose the evidence of this time
+	checkpointBytesPerSecond = 1000 // limit on checkpoint traffic to each relay that follows the record: as much as two reports
 	checkpointVersion        = 1
 
-	// evidenceResolution is the part of 1 that evidence is rounded down to: less evidence is still evidence.
+	// evidenceResolution is the number of steps per unit of log evidence in a checkpoint. Values are
+	// rounded down: less evidence is still valid evidence.
 	evidenceResolution = 256
 )
 
-// checkpoint returns the evidence to store in the record, nil if it is too long, and schedules the next one.
+// checkpoint returns the evidence to store in the record, or nil if it is too long, and schedules the
+// next checkpoint.
 func (j *Judge) checkpoint(now int64) []byte {
 	b := j.encodeCheckpoint()
 	if len(b) > MaxCheckpointBytes {
@@ -34,13 +41,14 @@
 	return b
 }
 
-// encodeCheckpoint encodes the step's evidence: totals, zones, the fleet, the classes' baseline histories (an estimate from few counts makes
-// harm seem ruled out), relays.
+// encodeCheckpoint encodes the step's evidence: totals, zones, the fleet, the baseline histories of the
+// classes, and relays. The histories are included because a baseline rate estimated from few counts
+// makes harm seem ruled out.
 func (j *Judge) encodeCheckpoint() []byte {
 	b := []byte{checkpointVersion}
 	attributionLeft := j.attributionLeft
 	if j.decided {
-		attributionLeft = 1 // the next leader decides at its first slice
+		attributionLeft = 1 // the next leader decides after its first slice
 	}
 	for _, n := range []uint64{uint64(j.slices), uint64(attributionLeft), j.compared, j.canaryAttempts,
 		uint64(len(j.zones)), uint64(len(j.classHistories)), uint64(len(j.relays))} {
@@ -103,7 +111,8 @@
 	}
 }
 
-// restoreCheckpoint takes up what encodeCheckpoint has written. If it is false the checkpoint is malformed, and the judge must not be used.
+// restoreCheckpoint restores the evidence that encodeCheckpoint encoded. It returns false if the
+// checkpoint is malformed; the judge is then partly restored and must not be used.
 func (j *Judge) restoreCheckpoint(b []byte) bool {
 	r := &reader{rest: b}
 	if r.byte() != checkpointVersion {
--- a/internal/canary/collector.go
+++ b/internal/canary/collector.go
@@ -6,22 +6,23 @@
 	"slices"
 )
 
-// reportsPerChange is in how many reports a change is sent. With every third report lost, one change in 27 waits for the next change of its
-// stratum or for its turn.
+// reportsPerChange is the number of reports that carry a change, so that lost reports rarely delay it.
+// If every third report is lost, one change in 27 is delayed until its stratum changes again or is sent
+// in turn.
 const reportsPerChange = 3
 
-// Collector counts outcomes at one relay for one canary. It is for one goroutine.
+// Collector counts the outcomes of one canary at one relay. It is not safe for concurrent use.
 type Collector struct {
 	salt, incarnation, seq uint64
 	strata                 []*collectedStratum
-	overflow               Tally  // takes counts of strata beyond MaxStrata
-	Rejected               uint64 // how many such counts there were
+	overflow               Tally  // receives the counts of strata beyond MaxStrata; never reported
+	Rejected               uint64 // calls of Tally that got the overflow tally
 }
 
 type collectedStratum struct {
 	StratumCounts
-	pendingReports int    // in how many reports it is still to be sent
-	lastReport     uint64 // the last report that it was in
+	pendingReports int    // number of further reports that must include it
+	lastReport     uint64 // sequence number of the last report that included it
 }
 
 // NewCollector returns a collector without counts.
@@ -29,7 +30,8 @@
 	return &Collector{salt: salt, incarnation: incarnation}
 }
 
-// Tally returns the tally of a stratum to count in, which the next reports then include. It is valid until the next call.
+// Tally returns the tally in which to count outcomes of a stratum; the next reports include it. The
+// pointer is valid until the next call.
 func (c *Collector) Tally(s Stratum, canary bool) *Tally {
 	s.Load = min(s.Load, LoadBands-1)
 	i, found := slices.BinarySearchFunc(c.strata, s, func(k *collectedStratum, s Stratum) int { return compareStrata(k.Stratum, s) })
@@ -48,8 +50,8 @@
 	return &k.Baseline
 }
 
-// AppendReport appends the next report to dst, in at most maxBytes: the strata that changed, those that waited longest first, or one
-// unchanged stratum in turn.
+// AppendReport appends the next report to dst, in at most maxBytes. It contains the strata that changed,
+// the least recently reported first; if none changed, the least recently reported stratum.
 func (c *Collector) AppendReport(dst []byte, maxBytes int) []byte {
 	c.seq++
 	begin := len(dst)
@@ -70,7 +72,7 @@
 		}
 		encoded = appendStratum(encoded[:0], &k.StratumCounts)
 		if size+len(encoded) > maxBytes {
-			break // it is the first one of the next report
+			break // the next report begins with it
 		}
 		size += len(encoded)
 		selected = append(selected, k)
--- a/internal/canary/counts.go
+++ b/internal/canary/counts.go
@@ -5,20 +5,21 @@
 	"math"
 )
 
-// Stratum is a set of flows that are compared only with each other.
+// Stratum is a group of flows under like conditions: the canary's flows are compared only with baseline
+// flows of the same stratum.
 type Stratum struct {
 	Class     uint8
-	Zone      uint8 // of the member: index into the sorted names of zones
+	Zone      uint8 // of the member: index into the sorted zone names
 	WarmingUp bool
-	Load      uint8 // below LoadBands
+	Load      uint8 // load band, below LoadBands
 }
 
 const (
 	flagWarmingUp = 1
-	loadShift     = 1 // of the load band within the flags
+	loadShift     = 1 // position of the load band within the flags
 )
 
-// flags is the stratum's warmth and load as they are encoded.
+// flags returns WarmingUp and Load in their encoded form.
 func (s Stratum) flags() uint8 {
 	f := s.Load << loadShift
 	if s.WarmingUp {
@@ -27,7 +28,7 @@
 	return f
 }
 
-// setFlags is the inverse of flags; bits beyond are ignored.
+// setFlags sets WarmingUp and Load from the result of flags; it ignores other bits.
 func (s *Stratum) setFlags(f uint8) {
 	s.WarmingUp, s.Load = f&flagWarmingUp != 0, f>>loadShift&(LoadBands-1)
 }
@@ -36,20 +37,23 @@
 	return cmp.Or(cmp.Compare(x.Class, y.Class), cmp.Compare(x.Zone, y.Zone), cmp.Compare(x.flags(), y.flags()))
 }
 
-// LoadBands is the number of load bands. A member's load is the flows offered to it as a share of what its cores can carry, and each band
-// halves the spare capacity: waiting times go as one over that, so within a band they differ by a factor of 2 at most. It is what is offered,
-// not how busy the member is: a build that burns more CPU must not hide in a band of its own.
+// LoadBands is the number of load bands. A member's load is the flows offered to it divided by what its
+// cores can carry. Each band spans a halving of the spare capacity: waiting times are inversely
+// proportional to that, so within a band they differ by at most a factor of 2. The offered load is used
+// rather than the CPU usage because a build that burns more CPU would otherwise get a band of its own,
+// without baseline flows to compare with.
 const LoadBands = 4
 
-// HistogramBuckets is the number of buckets of a Histogram: two an octave, up to 2 minutes.
+// HistogramBuckets is the number of buckets of a Histogram: two per octave, up to about 1.5 minutes.
 const HistogramBuckets = 40
 
 const firstBucketMS = 0.125
 
-// Histogram counts durations: bucket i has those of up to 1/8 ms times the square root of 2 to the power of i.
+// Histogram counts durations: bucket i ends at 1/8 ms times the square root of 2 to the power of i; the
+// last bucket also counts longer durations.
 type Histogram [HistogramBuckets]uint64
 
-// Add counts one duration.
+// Add counts one duration, in milliseconds.
 func (h *Histogram) Add(ms float64) {
 	i := 0
 	if ms > firstBucketMS { // false for NaN
@@ -58,10 +62,10 @@
 	h[i]++
 }
 
-// total is how many durations were counted.
+// total returns the number of durations.
 func (h *Histogram) total() uint64 { return h.above(-1) }
 
-// above is how many durations lie above bucket i.
+// above returns the number of durations above bucket i.
 func (h *Histogram) above(i int) (n uint64) {
 	for _, k := range h[min(i+1, HistogramBuckets):] {
 		n += k
@@ -69,23 +73,25 @@
 	return n
 }
 
-// Tally is what was counted for the canary or for the baseline of one stratum.
+// Tally contains the counts of the canary or of the baseline in one stratum.
 type Tally struct {
 	Attempts, Failed, Reset, TimedOut uint64
-	// OpenSeconds are whole seconds that flows were open, each flow's first minute only, so that flows of the same age are compared.
+	// OpenSeconds is the number of whole seconds that flows were open, within the first minute of each
+	// flow only, so that flows of the same age are compared.
 	OpenSeconds      uint64
-	EarlyDisconnects uint64    // of these flows, those that the member closed within that minute
-	SetupTime        Histogram // one for each attempt whose flow was established
-	// MessageTime has one for each flow, from its first minute: messages of one flow are alike and count once.
+	EarlyDisconnects uint64    // flows that the member closed within that minute
+	SetupTime        Histogram // one duration for each attempt whose flow was established
+	// MessageTime has one duration per flow, from its first minute: the messages of a flow are
+	// similar, so they count once.
 	MessageTime Histogram
 }
 
-// scalars are the counts that are not histograms, in their encoded order.
+// scalars returns the counts that are not histograms, in their encoded order.
 func (t *Tally) scalars() [6]*uint64 {
 	return [...]*uint64{&t.Attempts, &t.Failed, &t.Reset, &t.TimedOut, &t.OpenSeconds, &t.EarlyDisconnects}
 }
 
-// add adds another tally.
+// add adds the counts of another tally.
 func (t *Tally) add(other *Tally) {
 	theirs := other.scalars()
 	for i, n := range t.scalars() {
@@ -108,7 +114,7 @@
 	}
 }
 
-// since returns what was counted after an earlier tally; false if a count went down.
+// since returns the difference to an earlier tally, and false if a count decreased.
 func (t *Tally) since(earlier *Tally) (d Tally, ok bool) {
 	ok = true
 	difference := func(n, m uint64) uint64 {
@@ -135,11 +141,11 @@
 	Baseline, Canary Tally
 }
 
-// CountReport is what a relay reports: all counts since its start, complete strata at a time, so that a lost report costs nothing once the
-// next one has come.
+// CountReport is a relay's report of all counts since its start. Each report contains some of the
+// strata, with all of their counts, so that the next report of a stratum makes up for a lost one.
 type CountReport struct {
 	Salt        uint64          // of the canary
-	Incarnation uint64          // of the relay's process; rises with each start
-	Seq         uint64          // of this report
-	Strata      []StratumCounts // sorted
+	Incarnation uint64          // of the relay's process; increases with each start
+	Seq         uint64          // of this report; increases within an incarnation
+	Strata      []StratumCounts // sorted by class, zone and flags
 }
--- a/internal/canary/judge.go
+++ b/internal/canary/judge.go
@@ -6,49 +6,54 @@
 )
 
 const (
-	sliceMS = 1000 // evidence is evaluated in slices of this length, as relays report once a second
+	sliceMS = 1000 // evidence is evaluated in slices of this length, because relays report once a second
 
-	// minStepSlices is the least number of slices of a step: sliceCapDivisor of them can bring a verdict at best, and as many more are for a
-	// harm that does not show in all of them.
+	// minStepSlices is the minimum number of slices of a step. At least sliceCapDivisor slices are needed
+	// for a verdict, and as many more allow for a harm that does not show in every slice.
 	minStepSlices = 16
 
-	// maxHistoryTrials bounds the trials that the baseline's rate is estimated from; beyond, half are forgotten.
+	// maxHistoryTrials limits the history that the baseline rate is estimated from: above it, all counts
+	// of the history are halved.
 	maxHistoryTrials = 4000
 
-	// soughtMultiple and soughtShift are the harm that must be ruled out before a step up. For rates: this many times the margin, beyond it
-	// (5 points in all where 1 is allowed). For durations: this much more of the canary above what the slowest quarter of the baseline takes.
+	// ruleOutMarginMultiple and ruleOutShareIncrease define the harm that must be ruled out before a step
+	// up. For rates it is this multiple of the margin, beyond the margin (5 percentage points in all at a
+	// margin of 1). For durations it is this increase of the share of canary durations above the cut
+	// that the slowest quarter of the baseline exceeds.
 	ruleOutMarginMultiple = 4
 	ruleOutShareIncrease  = 0.15
 
-	// defaultFactor is how many times as often as the baseline the canary may fail: with few members it may by who they are. With it about 1%
-	// of healthy seeds lie outside of the null hypothesis: 90 of 8,000 (3% at 1). At 1.25 flaws are missed.
+	// defaultFactor is how many times as often as the baseline the canary may fail if the guardrail sets
+	// no factor. A canary of few members may fail more often only because its members differ from the
+	// rest. At 1.15, about 1% of healthy simulated releases (90 of 8,000) violate the null hypothesis; at
+	// 1 it is 3%, and at 1.25 defects are missed.
 	defaultFactor = 1.15
 
-	earlyDisconnectSeconds = 60 // of a flow count for EarlyDisconnects: its margin is per minute, its trials are seconds
+	earlyDisconnectSeconds = 60 // the margin of EarlyDisconnects is per minute, but its trials are seconds
 )
 
-// Judge evaluates what relays counted for one canary on one step. BeginStep starts the next step without evidence; what is known of the
-// relays' baselines stays. It is for one goroutine.
+// Judge evaluates the relays' counts for one canary on one step. BeginStep starts the next step without
+// evidence but keeps the histories of the baselines. A Judge is not safe for concurrent use.
 type Judge struct {
 	settings       JudgeSettings
 	tests          []*guardTest
-	relays         []*relayState      // by name
-	zones          []string           // by name
-	classHistories []*baselineHistory // by class, warmth and load: the baseline of all relays
+	relays         []*relayState      // sorted by name
+	zones          []string           // sorted
+	classHistories []*baselineHistory // baseline of all relays, by class, WarmingUp and load
 
 	sliceEnd         int64 // when the current slice ends
-	slices           int   // evaluated on this step
+	slices           int   // evaluated on this step so far
 	nextCheckpointAt int64
 
-	compared        uint64 // attempts of the canary that could be compared
-	canaryAttempts  uint64 // attempts of the canary, compared or not
+	compared        uint64 // attempts to the canary that could be compared with the baseline
+	canaryAttempts  uint64 // attempts to the canary, compared or not
 	verdict         Verdict
 	decided         bool
-	attributionLeft int // slices left to attribute the harm in; 0 while the evidence does not suffice
+	attributionLeft int // slices left to attribute the harm; 0 until the evidence reaches the threshold
 
-	Rejected uint64 // counts of relays, zones or strata beyond the bounds
-	Stale    uint64 // reports that came again, or after a later one
-	Invalid  uint64 // counts that went down without a restart, and malformed checkpoints
+	Rejected uint64 // relays, zones or strata ignored because of a limit
+	Stale    uint64 // reports that were repeated or arrived after a later one
+	Invalid  uint64 // strata with a count that decreased without a restart, and malformed checkpoints
 }
 
 // guardTest is the sequential test of one guardrail.
@@ -64,7 +69,7 @@
 	threshold      float64     // evidence that pauses the canary
 }
 
-// evidence has logarithms of e-values, by guardrail and harm hypothesis.
+// evidence contains logarithms of e-values, by guardrail and harm hypothesis.
 type evidence [][]float64
 
 func newEvidence(tests []*guardTest) evidence {
@@ -75,40 +80,41 @@
 	return e
 }
 
-// relayState is what the judge knows of one relay.
+// relayState is the judge's state for one relay.
 type relayState struct {
 	name, zone       string
 	incarnation, seq uint64 // of its last report
 	strata           []*stratumState
 	evidence         evidence
-	faultEvidence    [][]float64 // by guardrail and fault harm: that the relay itself is faulty
-	faultyMetric     Metric      // that shows it to be faulty; "" if it is not
-	compared         uint64
-	lastReportSlice  int // of the step, in which its last report came
+	faultEvidence    [][]float64 // evidence that the relay itself is faulty, by guardrail and fault harm
+	faultyMetric     Metric      // the metric whose evidence shows the relay to be faulty; "" if none does
+	compared         uint64      // attempts to the canary that could be compared with the baseline
+	lastReportSlice  int         // number of the step's slice in which its last report arrived
 }
 
 func (r *relayState) faulty() bool { return r.faultyMetric != "" }
 
-// stratumState is what the judge knows of one stratum of a relay.
+// stratumState is the judge's state for one stratum of a relay.
 type stratumState struct {
 	Stratum
-	reported         StratumCounts // as last reported
-	baseline, canary Tally         // counted since the last block
-	waitedSlices     int           // that one of the two has waited for the other
+	reported         StratumCounts // the last report
+	baseline, canary Tally         // counted since the last evaluated block
+	waitedSlices     int           // slices that counts of the one have waited for counts of the other
 	history          baselineHistory
 	classHistory     *baselineHistory
 }
 
 func (s *stratumState) clearBlock() { s.baseline, s.canary, s.waitedSlices = Tally{}, Tally{}, 0 }
 
-// baselineHistory is what the baseline's rate is estimated from: its counts before the current slice.
+// baselineHistory contains the baseline's counts before the current slice, from which its rate is
+// estimated.
 type baselineHistory struct {
 	Stratum
 	Tally
-	current Tally // of the current slice, not in Tally yet
+	current Tally // counts of the current slice, not yet in Tally
 }
 
-// endSlice adds the slice to the history, and forgets half of the history once it is long.
+// endSlice adds the current slice to the history, and halves the history once it is long.
 func (h *baselineHistory) endSlice() {
 	h.add(&h.current)
 	h.current = Tally{}
@@ -117,7 +123,9 @@
 	}
 }
 
-// NewJudge returns a judge with the evidence of the settings' checkpoint, or with none. The spec has passed ValidateSpec.
+// NewJudge returns a judge with the evidence of the settings' checkpoint. It starts without evidence if
+// there is no checkpoint or it is malformed; the latter counts as Invalid. ValidateSpec must accept the
+// spec.
 func NewJudge(s JudgeSettings) *Judge {
 	j := newJudge(s)
 	if len(s.Checkpoint) > 0 && !j.restoreCheckpoint(s.Checkpoint) {
@@ -132,7 +140,8 @@
 	j.settings.Checkpoint = nil
 	for _, g := range s.Guardrails {
 		t := newGuardTest(g)
-		// The error rate is shared by the guardrails and the steps, each of which begins anew.
+		// The false positive rate is divided among the guardrails and the steps, because each step starts
+		// a new test.
 		t.threshold = math.Log(float64(len(s.Guardrails)*len(s.Steps)) / s.FalsePositiveRate)
 		j.tests = append(j.tests, t)
 	}
@@ -155,7 +164,7 @@
 	default:
 		t.shiftBuckets = int(math.Ceil(2*math.Log2(g.Factor) - 1e-9))
 		t.ruleOutIndex, t.grossHarmIndex = 1, 2
-		for _, share := range []float64{0.25, 0.05} { // slower in general, and in the tail
+		for _, share := range []float64{0.25, 0.05} { // in general, and in the tail
 			for _, harm := range []float64{0.05, ruleOutShareIncrease, 0.4} {
 				t.hypotheses = append(t.hypotheses, harmHypothesis{harm, share})
 			}
@@ -164,7 +173,7 @@
 	return t
 }
 
-// BeginStep starts a step: all evidence is forgotten, faulty relays count again.
+// BeginStep starts a step: it discards all evidence and includes faulty relays again.
 func (j *Judge) BeginStep(epoch uint64, step int) {
 	j.settings.Epoch, j.settings.Step = epoch, step
 	j.decided, j.attributionLeft, j.compared, j.canaryAttempts, j.slices = false, 0, 0, 0, 0
@@ -192,7 +201,8 @@
 	}
 }
 
-// Verdict returns the conclusion at this time. Once it is Regressed or Divergent it stays so until the next BeginStep.
+// Verdict returns the current conclusion. Once its outcome is Regressed or Divergent, it stays so until
+// the next BeginStep.
 func (j *Judge) Verdict(now int64) Verdict {
 	j.advance(now)
 	v := j.verdict
--- a/internal/canary/judge_attribute.go
+++ b/internal/canary/judge_attribute.go
@@ -5,19 +5,20 @@
 	"slices"
 )
 
-// attribution is where harm is, if it is not everywhere.
+// attribution names the zones and relays where harm is, if it is not everywhere.
 type attribution struct {
 	zones, relays []string
-	logRatio      float64 // natural logarithm of how many times likelier this is than harm everywhere
+	logRatio      float64 // natural logarithm of the likelihood of this attribution over that of harm everywhere
 }
 
-// suspects are the places with the highest likelihood of harm.
+// suspects are the zones or relays with the highest likelihood of harm.
 type suspects struct {
 	names         []string
 	logLikelihood float64
 }
 
-// attribute says where harm is likeliest if it is not everywhere. Naming some of many places costs what it takes to write down which.
+// attribute returns the most likely attribution of the harm that guardrail k shows. Each suspect that is
+// named costs a penalty, the logarithm of the number of zones or relays plus one.
 func (j *Judge) attribute(k int) attribution {
 	everywhere := math.Inf(-1)
 	zones, relays := suspects{logLikelihood: math.Inf(-1)}, suspects{logLikelihood: math.Inf(-1)}
@@ -38,12 +39,12 @@
 	switch {
 	case relays.logLikelihood > zones.logLikelihood+decisiveLogRatio:
 		a = attribution{zones: j.zonesLikelyAffected(relays.names, k), relays: relays.names, logRatio: relays.logLikelihood - everywhere}
-	case relays.logLikelihood > zones.logLikelihood: // not decisive, so the zone is named, which contains the relay
+	case relays.logLikelihood > zones.logLikelihood: // not decisive: name the zone, which contains the relay
 		a = attribution{zones: zones.names, logRatio: min(relays.logLikelihood-everywhere, decisiveLogRatio/2)}
 	default:
 		a = attribution{zones: zones.names, logRatio: zones.logLikelihood - everywhere}
 	}
-	if !j.othersHealthy(a, k) { // a weight may be kept at the others
+	if !j.othersHealthy(a, k) { // a divergent verdict may leave a weight above 0 at the others
 		a.logRatio = min(a.logRatio, -decisiveLogRatio/2)
 	}
 	return a
@@ -71,7 +72,8 @@
 	return s
 }
 
-// othersHealthy reports whether the relays that are not named have ruled out the sought harm.
+// othersHealthy reports whether the relays outside the attribution have ruled out the harm of
+// ruleOutIndex.
 func (j *Judge) othersHealthy(a attribution, k int) bool {
 	sum := 0.0
 	for _, r := range j.relays {
@@ -82,7 +84,8 @@
 	return sum <= -decisiveLogRatio
 }
 
-// zonesLikelyAffected returns the zones of named relays whose other relays have not ruled out the sought harm: all of the zone may have it.
+// zonesLikelyAffected returns the zones of the named relays in which the other relays have not ruled out
+// the harm of ruleOutIndex: the harm may affect the whole zone.
 func (j *Judge) zonesLikelyAffected(named []string, k int) (zones []string) {
 	for _, z := range j.zones {
 		affected, others := false, 0.0
--- a/internal/canary/judge_decide.go
+++ b/internal/canary/judge_decide.go
@@ -6,30 +6,37 @@
 )
 
 const (
-	// decisive is the natural logarithm of how many times likelier an explanation must be than another to be taken: 20.
+	// decisiveLogRatio is the natural logarithm of the likelihood ratio (20) at which one explanation is
+	// preferred to another.
 	decisiveLogRatio = 3.0
 
-	// attributionSlices is for how many slices the judge waits for a decisive attribution once the evidence suffices; or, if longer, this part
-	// of the slices that the evidence took.
+	// attributionSlices is how many slices the judge waits for a decisive attribution once the evidence
+	// reaches the threshold. It waits longer if the evidence took longer: the number of slices so far
+	// divided by attributionSlices.
 	attributionSlices = 8
 
-	// A harm of the sought size passes a step up with at most this probability, each step by itself. Before a wide step the rate is lower: the
-	// step before it has more flows of the canary than the first one, so that costs little time. Both together: 1 in 2,000.
+	// maxMissRate and maxMissRateWideStep limit the probability that a harm of the size to rule out
+	// passes a step up, for each step by itself. The limit is lower before a wide step: the step before it
+	// has more canary flows than the first one, so the stricter limit costs little time. Together they
+	// let 1 in 2,000 pass.
 	maxMissRate         = 0.05
 	maxMissRateWideStep = 0.01
 
-	// maxMissRateSingleRelay is the probability with which a relay's gross harm passes a wide step: 16 flows without a failure, which come
-	// once in 600 where a third fails.
+	// maxMissRateSingleRelay limits the probability that gross harm at one relay passes a wide step. It
+	// takes 16 flows without a failure, which happens once in 600 times where a third of flows fail.
 	maxMissRateSingleRelay = 0.15
 
-	// minShareDivisor: a zone or a relay with less than its fair share of what was compared, divided by this, is not waited for.
+	// minShareDivisor: a step up does not wait for a zone or relay that has less than its equal share of
+	// the compared attempts divided by this.
 	minShareDivisor = 4
 
-	wideStepPerMille = 250 // a step to this weight or beyond needs each relay to rule out gross harm
+	wideStepPerMille = 250 // at a step to this weight or above, each relay must have ruled out gross harm
 )
 
-// guardEvidence is the logarithm of a guardrail's e-value: half of it for harm everywhere, a quarter for harm in one zone, a quarter for harm
-// at one relay, each the mean over all zones or relays. A mean of e-values is an e-value: this is the price of many relays.
+// guardEvidence returns the logarithm of a guardrail's e-value: one half for harm everywhere, a quarter
+// for harm in one zone and a quarter for harm at one relay, each the mean over all zones or relays. A
+// mean of e-values is an e-value, so testing many relays does not raise the false positive rate; it
+// lowers the evidence of each instead.
 func (j *Judge) guardEvidence(k int) float64 {
 	t := j.tests[k]
 	var zones, relays []float64
@@ -45,12 +52,12 @@
 	return logMeanExp([]float64{fleet, fleet, logMeanExp(zones), logMeanExp(relays)})
 }
 
-// decide looks at the evidence after a slice. A decision stays until the next BeginStep.
+// decide evaluates the evidence after a slice. A decision is final until the next BeginStep.
 func (j *Judge) decide() {
 	if j.decided {
 		return
 	}
-	worst, excess := 0, math.Inf(-1) // evidence beyond the threshold
+	worst, excess := 0, math.Inf(-1) // the guardrail with the most evidence beyond its threshold
 	for k, t := range j.tests {
 		if e := j.guardEvidence(k) - t.threshold; e > excess {
 			worst, excess = k, e
@@ -77,13 +84,13 @@
 	}
 }
 
-// healthy reports whether the step has the evidence for the next one.
+// healthy reports whether the step has enough evidence for a step up.
 func (j *Judge) healthy() bool {
 	weight := j.settings.Steps[j.settings.Step]
 	switch {
-	case j.attributionLeft > 0 || j.slices < minStepSlices: // harm was found and is being attributed, or could not be found yet
+	case j.attributionLeft > 0 || j.slices < minStepSlices: // harm is being attributed, or there was no time to find any
 		return false
-	case weight == fullWeight: // there is no baseline left to compare with
+	case weight == fullWeight: // no baseline is left to compare with
 		return j.canaryAttempts >= j.settings.MinAttempts
 	case j.compared < j.settings.MinAttempts || !j.harmRuledOut():
 		return false
@@ -92,14 +99,16 @@
 	return !firstWideStep || j.harmRuledOutPerRelay()
 }
 
-// nextStepIsWide reports whether the next step is to a weight at which harm to one zone, or to single relays, would be large.
+// nextStepIsWide reports whether the next step has a weight at which harm in one zone or at single relays
+// would be large.
 func (j *Judge) nextStepIsWide() bool {
 	next := j.settings.Step + 1
 	return next < len(j.settings.Steps) && j.settings.Steps[next] >= wideStepPerMille
 }
 
-// harmRuledOut reports whether the sought harm is unlikely by now, by every guardrail and in each zone that counts. A number of attempts
-// would not suffice: what they show depends on how often the baseline is bad.
+// harmRuledOut reports whether the evidence of every guardrail rules out the harm of ruleOutIndex, over
+// all relays and in each zone with enough compared attempts. A minimum number of attempts would not
+// suffice: how many are needed depends on how often the baseline is bad.
 func (j *Judge) harmRuledOut() bool {
 	limit := math.Log(maxMissRate)
 	if j.nextStepIsWide() {
@@ -126,10 +135,13 @@
 	return true
 }
 
-// harmRuledOutPerRelay reports whether the first wide step has what it needs beyond harmRuledOut. One relay among many hardly shows in the sum
-// of its zone, so each relay rules out gross harm by itself (smaller harm would take each of them as long as a zone). Relays with few flows
-// are not waited for unless their evidence of harm is decisive, nor are those that sent no report for longer than counts wait. And in no
-// zone may any harm be decisively likely: a harm below the sought size is ruled out with it, and would else be found where it costs most.
+// harmRuledOutPerRelay reports whether the additional conditions of the first wide step are met. Harm at
+// one relay among many hardly shows in the sum of its zone, so each relay must rule out gross harm by
+// itself (smaller harm would take each relay as long as a zone). Relays with few flows only block the
+// step if their evidence of harm is decisive; relays that have not reported for longer than
+// maxWaitSlices do not block it. And no harm of any tested size may be decisively likely in a zone: this
+// also covers harm below the size of ruleOutIndex, which would otherwise be found at a weight where it
+// costs most.
 func (j *Judge) harmRuledOutPerRelay() bool {
 	for k, t := range j.tests {
 		for i := range t.hypotheses {
@@ -150,7 +162,8 @@
 	return true
 }
 
-// relayEvidence sums the evidence of the relays that are not faulty on one hypothesis, by zone and in all.
+// relayEvidence sums the evidence of the relays that are not faulty on one hypothesis, by zone and in
+// total.
 func (j *Judge) relayEvidence(k, hypothesis int) (zones []float64, fleet float64) {
 	zones = make([]float64, len(j.zones))
 	for _, r := range j.relays {
--- a/internal/canary/judge_fault.go
+++ b/internal/canary/judge_fault.go
@@ -3,17 +3,17 @@
 import "math"
 
 const (
-	faultyMarginPerMille = 100  // a relay is faulty if its baseline fails by so many per mille more than the others',
-	faultyShiftBuckets   = 4    // or is slower by so many buckets: four times
-	faultyCutShare       = 0.25 // of the class's baseline, which lies above the cut
-	minRelaysForFault    = 3    // of two that differ it is not known which one is faulty
+	faultyMarginPerMille = 100  // a relay is faulty if its baseline's failure rate exceeds that of the others by this,
+	faultyShiftBuckets   = 4    // or is slower by this many buckets (a factor of 4)
+	faultyCutShare       = 0.25 // share of the class's baseline durations above the cut
+	minRelaysForFault    = 3    // of two relays that differ, either may be the faulty one
 )
 
 // faultHarms are the harms that testRelayFault looks for, beyond its null hypothesis.
 var faultHarms = []float64{0.1, 0.3}
 
-// testRelayFault tests whether a relay's baseline is bad compared with the other relays' baselines: then the fault is the relay's, whatever
-// the canary does there.
+// testRelayFault tests whether a relay's baseline is worse than that of the other relays. If it is, the
+// relay is at fault, whatever the canary's outcomes there are.
 func (j *Judge) testRelayFault(r *relayState) {
 	if r.faulty() || len(j.relays) < minRelaysForFault {
 		return
@@ -21,7 +21,7 @@
 	threshold := math.Log(float64(len(j.relays)*len(j.tests)*len(j.settings.Steps)) / j.settings.FalsePositiveRate)
 	for k, t := range j.tests {
 		if t.Metric == EarlyDisconnects {
-			continue // its rates are per second: a margin in points means nothing there
+			continue // its rates are per second: faultyMarginPerMille does not apply to them
 		}
 		for i, g := range t.sliceFaultEvidence(r) {
 			r.faultEvidence[k][i] += min(g, threshold/sliceCapDivisor)
@@ -33,7 +33,8 @@
 	}
 }
 
-// faultGain is what the current slice says on a relay's baseline, by fault harm: logarithms of e-values.
+// sliceFaultEvidence returns the current slice's evidence that a relay's baseline is bad: logarithms of
+// e-values, by fault harm.
 func (t *guardTest) sliceFaultEvidence(r *relayState) []float64 {
 	null, shift := nullHypothesis{factor: 1, margin: float64(faultyMarginPerMille) / 1000}, 0
 	if t.shiftBuckets != 0 {
@@ -47,7 +48,7 @@
 				continue
 			}
 		}
-		var c blockCounts // the relay in the canary's place, the other relays in the baseline's
+		var c blockCounts // the relay takes the place of the canary, the other relays that of the baseline
 		if c.canaryTrials, c.canaryBad = t.trials(&s.history.current, cut+shift); c.canaryTrials == 0 {
 			continue
 		}
--- a/internal/canary/judge_observe.go
+++ b/internal/canary/judge_observe.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// Observe takes a relay's report. What a relay counted before its first report here is not evidence, since it is not known when it was
-// counted.
+// Observe adds a relay's report. The counts before the first report of a relay are not evidence, because
+// it is unknown when they were counted.
 func (j *Judge) Observe(now int64, name, zone string, c CountReport) {
 	j.advance(now)
 	if c.Salt != j.settings.Salt {
-		return // of another canary
+		return // a report on another canary
 	}
 	if _, ok := j.zoneIndex(zone); !ok {
 		return
@@ -23,7 +23,7 @@
 		j.Stale++
 		return
 	}
-	if found && c.Incarnation > r.incarnation { // a restart: it counts from zero again
+	if found && c.Incarnation > r.incarnation { // the relay restarted: its counts begin at zero
 		for _, s := range r.strata {
 			s.reported.Baseline, s.reported.Canary = Tally{}, Tally{}
 		}
@@ -34,7 +34,7 @@
 	}
 }
 
-// zoneIndex returns the index of a zone, which it adds if it is new; false if there are too many.
+// zoneIndex returns the index of a zone, which it adds if it is new, and false if there are too many.
 func (j *Judge) zoneIndex(name string) (int, bool) {
 	z, known := slices.BinarySearch(j.zones, name)
 	if !known {
@@ -50,7 +50,8 @@
 	return z, true
 }
 
-// relayNamed returns a relay, which it adds if it is new, and whether it was known; nil if there are too many.
+// relayNamed returns a relay, which it adds if it is new, and whether it existed. The relay is nil if
+// there are too many.
 func (j *Judge) relayNamed(name, zone string) (*relayState, bool) {
 	i, found := slices.BinarySearchFunc(j.relays, name, func(r *relayState, n string) int { return strings.Compare(r.name, n) })
 	if !found {
@@ -65,7 +66,7 @@
 	return j.relays[i], found
 }
 
-// addCounts adds what a relay counted in a stratum since its last report.
+// addCounts adds a relay's counts of a stratum since its previous report.
 func (j *Judge) addCounts(r *relayState, counts StratumCounts) {
 	i, found := slices.BinarySearchFunc(r.strata, counts.Stratum, func(s *stratumState, k Stratum) int { return compareStrata(s.Stratum, k) })
 	if !found {
@@ -75,7 +76,7 @@
 		}
 		s := &stratumState{Stratum: counts.Stratum, reported: counts, classHistory: j.classHistoryOf(counts.Stratum)}
 		r.strata = slices.Insert(r.strata, i, s)
-		return // it is not known when this was counted
+		return // it is unknown when these counts were made
 	}
 	s := r.strata[i]
 	baseline, baselineOK := counts.Baseline.since(&s.reported.Baseline)
@@ -92,9 +93,10 @@
 	j.canaryAttempts += canary.Attempts
 }
 
-// classHistoryOf returns the history of a stratum's class, warmth and load over all relays and zones.
+// classHistoryOf returns the baseline history of a stratum's class, WarmingUp and load, over all relays
+// and zones.
 func (j *Judge) classHistoryOf(s Stratum) *baselineHistory {
-	s.Zone = 0 // by zone there would be too few counts
+	s.Zone = 0 // each zone by itself would have too few counts
 	i, found := slices.BinarySearchFunc(j.classHistories, s, func(h *baselineHistory, s Stratum) int { return compareStrata(h.Stratum, s) })
 	if !found {
 		j.classHistories = slices.Insert(j.classHistories, i, &baselineHistory{Stratum: s})
--- a/internal/canary/judge_slice.go
+++ b/internal/canary/judge_slice.go
@@ -6,23 +6,25 @@
 )
 
 const (
-	// minBaselineAttempts is how many attempts of the baseline a class needs before anything is evaluated: an estimate from none is one half,
-	// and with that every harm seems ruled out.
+	// minBaselineAttempts is how many baseline attempts a class needs before its blocks are evaluated:
+	// without any, the estimated rate is one half, and at that rate every harm seems ruled out.
 	minBaselineAttempts = 50
 
-	priorTrials = 20 // weight of the class's rate in the estimate for a relay with few trials of its own
+	priorTrials = 20 // weight of the class's rate, in trials, when estimating a relay's baseline rate
 
-	maxWaitSlices = 10 // for which counts of canary or baseline wait for the other's
+	maxWaitSlices = 10 // how long counts of the canary or the baseline wait for counts of the other
 
-	// sliceCapDivisor limits what one slice may bring to this part of what a pause needs: a hiccup of a few seconds is no verdict.
+	// sliceCapDivisor limits the evidence of one slice to this fraction of what a pause needs, so that
+	// a fault of a few seconds cannot cause a verdict.
 	sliceCapDivisor = 8
 
-	// For an estimate of a cut, the baseline needs this many durations above it: of the relay itself, and of its class.
+	// A cut is estimated from at least this many baseline durations above it: of the relay itself, or
+	// else of its class.
 	minOwnAboveCut   = 10
 	minClassAboveCut = 5
 )
 
-// advance evaluates a slice that is over.
+// advance closes the current slice if its time is over.
 func (j *Judge) advance(now int64) {
 	if j.sliceEnd == 0 {
 		j.sliceEnd, j.nextCheckpointAt = now+sliceMS, now+minCheckpointIntervalMS
@@ -34,9 +36,9 @@
 	j.closeSlice()
 }
 
-// closeSlice adds a slice to the evidence.
+// closeSlice adds the counts of the current slice to the evidence.
 func (j *Judge) closeSlice() {
-	fleet := newEvidence(j.tests) // what this slice brings, for the fleet and by zone
+	fleet := newEvidence(j.tests) // evidence of this slice, for the fleet; zones has it by zone
 	zones := make([]evidence, len(j.zones))
 	for z := range zones {
 		zones[z] = newEvidence(j.tests)
@@ -80,18 +82,21 @@
 	j.decide()
 }
 
-// sliceCap is what one slice may bring to one of so many places where harm may be: guardEvidence contains what that choice costs.
+// sliceCap returns the maximum evidence of one slice for one of the given number of zones or relays.
+// guardEvidence averages over them and over the hypotheses, which lowers the evidence by the logarithm
+// of their number; the cap allows for that.
 func (t *guardTest) sliceCap(places int) float64 {
 	return (t.threshold + math.Log(float64(max(places, 1)*len(t.hypotheses)))) / sliceCapDivisor
 }
 
-// evaluateBlock adds a stratum's block to the evidence, once both canary and baseline have counts.
+// evaluateBlock adds the evidence of a stratum's block once both canary and baseline have counts, or
+// after maxWaitSlices.
 func (j *Judge) evaluateBlock(r *relayState, s *stratumState, gain evidence) {
 	if s.canary.Attempts+s.canary.OpenSeconds+s.canary.EarlyDisconnects == 0 && s.canary.MessageTime.total() == 0 {
-		s.baseline, s.waitedSlices = Tally{}, 0 // the baseline by itself says nothing of the canary
+		s.baseline, s.waitedSlices = Tally{}, 0 // baseline counts alone are no evidence about the canary
 		return
 	}
-	if s.classHistory.Attempts < minBaselineAttempts { // decided by the past only: what is left out does not depend on its own counts
+	if s.classHistory.Attempts < minBaselineAttempts { // depends on earlier counts only, so dropping the block adds no bias
 		s.clearBlock()
 		return
 	}
@@ -111,7 +116,7 @@
 	s.clearBlock()
 }
 
-// evaluateBlock adds the logarithms of a block's e-values, by hypothesis.
+// evaluateBlock adds the logarithms of a block's e-values to gain, by hypothesis.
 func (t *guardTest) evaluateBlock(s *stratumState, gain []float64) {
 	cut, share := 0, 0.0
 	for i, hypothesis := range t.hypotheses {
@@ -124,7 +129,7 @@
 		}
 		var c blockCounts
 		c.baselineTrials, c.baselineBad = t.trials(&s.baseline, cut)
-		c.canaryTrials, c.canaryBad = t.trials(&s.canary, cut+t.shiftBuckets) // slower by the guardrail's factor is not bad
+		c.canaryTrials, c.canaryBad = t.trials(&s.canary, cut+t.shiftBuckets) // the guardrail's factor allows slower durations
 		if c.baselineTrials == 0 || c.canaryTrials == 0 {
 			continue
 		}
@@ -132,13 +137,14 @@
 	}
 }
 
-// trials returns a tally as the guardrail sees it: how many trials, and how many of them were bad. Durations above the cut are bad.
+// trials returns the number of trials in a tally for the guardrail's metric, and how many were bad.
+// Durations are bad if they lie above the cut, a histogram bucket; other metrics ignore it.
 func (t *guardTest) trials(c *Tally, cut int) (n, bad uint64) {
 	switch t.Metric {
 	case Failures:
 		return c.Attempts, c.Failed + c.Reset + c.TimedOut
 	case EarlyDisconnects:
-		return c.OpenSeconds + c.EarlyDisconnects, c.EarlyDisconnects // each second is a trial
+		return c.OpenSeconds + c.EarlyDisconnects, c.EarlyDisconnects // each open second is a trial
 	}
 	h := t.histogram(c)
 	return h.total(), h.above(cut)
@@ -151,8 +157,9 @@
 	return &c.MessageTime
 }
 
-// cutBucket returns the highest bucket that at least this share of the baseline was above (a bucket is wide, so it may be much more), by the
-// relay's own history if that is long enough, else by its class's; -1 if neither is.
+// cutBucket returns the highest bucket with at least the given share of the baseline above it (because
+// buckets are wide, it may be much more). It uses the relay's own history if that is long enough, or
+// else its class's, and returns -1 if neither is.
 func (t *guardTest) cutBucket(own, class *Tally, share float64) int {
 	h := t.histogram(own)
 	if float64(h.total())*share < minOwnAboveCut {
@@ -171,7 +178,7 @@
 	return 0
 }
 
-// baselineRate estimates the baseline's rate from the relay's own history and its class's.
+// baselineRate estimates the baseline's rate of bad trials from the histories of the relay and its class.
 func (t *guardTest) baselineRate(own, class *Tally, cut int) float64 {
 	n, bad := t.trials(own, cut)
 	classN, classBad := t.trials(class, cut)
--- a/internal/canary/report_codec.go
+++ b/internal/canary/report_codec.go
@@ -5,16 +5,17 @@
 	"errors"
 )
 
-// The encoded form of a CountReport: a version, the salt (8 bytes, little endian), incarnation and sequence number, then the strata. Numbers
-// are varints. Tallies that are zero are left out, as the flags of their stratum say.
+// The encoded form of a CountReport: the version, the salt (8 bytes, little-endian), incarnation and
+// sequence number, then the strata. Numbers are varints. The flags of a stratum say which of its two
+// tallies follow; a zero tally is omitted.
 const (
 	reportVersion = 1
-	flagBaseline  = 1 << 3 // beside Stratum.flags: a tally of the baseline follows
-	flagCanary    = 1 << 4
-	stratumFlags  = 7       // the bits of Stratum.flags
-	maxCount      = 1 << 48 // sums of many counts must not overflow
+	flagBaseline  = 1 << 3  // in addition to Stratum.flags: a tally of the baseline follows
+	flagCanary    = 1 << 4  // a tally of the canary follows
+	stratumFlags  = 7       // bits used by Stratum.flags
+	maxCount      = 1 << 48 // prevents overflow when many counts are added
 
-	typicalStrata = 12 // in a report: capacity allocated at once
+	typicalStrata = 12 // initial capacity for the strata of a report
 )
 
 var errCountReport = errors.New("canary: malformed count report")
@@ -44,7 +45,8 @@
 	return appendHistogram(appendHistogram(dst, &t.SetupTime), &t.MessageTime)
 }
 
-// appendHistogram writes the first bucket in use, how many follow, and each of them.
+// appendHistogram appends the index of the first nonzero bucket, the number of buckets up to the last
+// nonzero one, and their counts.
 func appendHistogram(dst []byte, h *Histogram) []byte {
 	first, end := 0, HistogramBuckets
 	for end > 0 && h[end-1] == 0 {
@@ -60,9 +62,9 @@
 	return dst
 }
 
-// reader decodes reports and checkpoints. After the first error it returns zeros.
+// reader decodes reports and checkpoints. Malformed input sets failed; later results are then meaningless.
 type reader struct {
-	rest   []byte
+	rest   []byte // input not yet read
 	failed bool
 }
 
@@ -119,7 +121,7 @@
 	}
 }
 
-// DecodeCountReport decodes a report. It rejects what no Collector can have written.
+// DecodeCountReport decodes a report. It returns an error for input that no Collector can have encoded.
 func DecodeCountReport(b []byte) (CountReport, error) {
 	var c CountReport
 	r := reader{rest: b}
--- a/internal/canary/resolver.go
+++ b/internal/canary/resolver.go
@@ -9,47 +9,50 @@
 const (
 	maxReleaseNameBytes = 128
 
-	// maxEpochLead bounds by how much a claimed epoch may be above the last agreed one: a false claim must not use up the epochs.
+	// maxEpochLead limits how far the epoch of a notice or a command may be above the last one in the
+	// record, so that a wrong epoch cannot exhaust the range of epochs.
 	maxEpochLead = 1 << 32
 )
 
-// WeightResolver derives the weights that one relay uses now. Only the record raises a weight; a notice from any relay lowers it.
-// Times are of the relay's own monotonic clock, in milliseconds.
+// WeightResolver determines the weights that one relay uses. Only the replicated record raises a weight;
+// a notice from any relay can lower it. Times are milliseconds of the relay's own monotonic clock.
 type WeightResolver struct {
-	maxStaleness int64
+	maxStaleness int64 // ms
 
-	appliedIndex uint64   // of the record, up to which it is applied here
-	recorded     []Weight // as applied
-	highestEpoch uint64   // that the record has shown here
+	appliedIndex uint64   // index of the record up to which it is applied at this relay
+	recorded     []Weight // weights of the record at appliedIndex
+	highestEpoch uint64   // highest epoch in the weights applied so far
 
-	everConfirmed bool // a majority has confirmed the record since this process began
+	everConfirmed bool // a majority has confirmed the record since this process started
 	confirmedAt   int64
-	confirmed     []Weight // as they were then
+	confirmed     []Weight // recorded at the last confirmation
 
-	pending      bool // a majority confirmed the record at pendingSince, up to an index that is not applied here yet
+	pending      bool // a majority confirmed the record at pendingSince, up to an index not yet applied here
 	pendingSince int64
 	pendingIndex uint64
 
 	notices  map[string]noticeState // by release
-	Rejected uint64                 // notices beyond the bounds
-	Stale    uint64                 // states of the record older than the one applied
+	Rejected uint64                 // notices that were invalid or beyond MaxNotices
+	Stale    uint64                 // states of the record older than the applied one
 }
 
-// noticeState is what notices say of a release beyond what the record here does.
+// noticeState contains what received notices say about a release that the record applied here does not.
 type noticeState struct {
-	pausedEpoch uint64 // the highest epoch that a relay paused; 0 for none
-	lowered     Notice // the weight at the highest revision; zero for none
+	pausedEpoch uint64 // the highest epoch with a pause; 0 for none
+	lowered     Notice // the notice of a weight at the highest epoch and revision; zero for none
 }
 
 func (s noticeState) epoch() uint64 { return max(s.pausedEpoch, s.lowered.Epoch) }
 
-// NewWeightResolver returns a resolver without weights. Once the record is unconfirmed for maxStaleness it raises no weight any more.
+// NewWeightResolver returns a resolver without weights. If the record has not been confirmed for longer
+// than maxStaleness (ms), the resolver uses no weight above the one last confirmed.
 func NewWeightResolver(maxStaleness int64) *WeightResolver {
 	return &WeightResolver{maxStaleness: maxStaleness, notices: map[string]noticeState{}}
 }
 
-// ApplyRecord takes the weights as applied from the record up to an index, from disk too. Call it for every index, or at least before
-// ConfirmRecord: a relay that does not show its index counts as behind.
+// ApplyRecord sets the weights of the record as applied up to an index, including those restored from
+// disk. Call it for every index, or at least before ConfirmRecord: a confirmation of an index that is not
+// applied takes effect only once it is.
 func (r *WeightResolver) ApplyRecord(index uint64, weights []Weight) {
 	if index < r.appliedIndex {
 		r.Stale++
@@ -71,12 +74,12 @@
 	}
 }
 
-// unresolved is what is left of notices on a release that the record has not overtaken.
+// withoutSuperseded returns s without the notices that the record has superseded.
 func (r *WeightResolver) withoutSuperseded(release string, s noticeState) noticeState {
 	w := findWeight(r.recorded, release)
 	if w == nil {
 		if s.pausedEpoch <= r.highestEpoch {
-			s.pausedEpoch = 0 // closed since
+			s.pausedEpoch = 0 // the canary was closed since
 		}
 		if s.lowered.Epoch <= r.highestEpoch {
 			s.lowered = Notice{}
@@ -84,7 +87,7 @@
 		return s
 	}
 	if s.pausedEpoch < w.Epoch {
-		s.pausedEpoch = 0 // resumed since
+		s.pausedEpoch = 0 // the canary was resumed since
 	}
 	if s.lowered.Revision != 0 && (s.lowered.Epoch < w.Epoch || s.lowered.Revision <= w.Revision) {
 		s.lowered = Notice{}
@@ -92,7 +95,7 @@
 	return s
 }
 
-// ConfirmRecord notes that a majority stood behind the record up to an index at this time.
+// ConfirmRecord records that a majority confirmed the record up to an index at this time.
 func (r *WeightResolver) ConfirmRecord(now int64, index uint64) {
 	if index <= r.appliedIndex {
 		r.confirm(now)
@@ -106,7 +109,7 @@
 	r.everConfirmed, r.confirmedAt, r.confirmed = true, max(r.confirmedAt, at), r.recorded
 }
 
-// HandleNotice takes a notice from any relay, and reports whether it was new.
+// HandleNotice applies a notice from any relay and reports whether it was new.
 func (r *WeightResolver) HandleNotice(n Notice) bool {
 	if n.Release == "" || len(n.Release) > maxReleaseNameBytes || n.PerMille < 0 || n.Epoch == 0 ||
 		n.Epoch > r.highestEpoch && n.Epoch-r.highestEpoch > maxEpochLead {
@@ -115,7 +118,7 @@
 	}
 	w := findWeight(r.recorded, n.Release)
 	if w == nil && n.Epoch <= r.highestEpoch || w != nil && n.Epoch < w.Epoch {
-		return false // closed or resumed since
+		return false // the canary was closed or resumed since
 	}
 	s, known := r.notices[n.Release]
 	if !known && len(r.notices) >= MaxNotices && !r.evictOldest(n, w != nil) {
@@ -135,8 +138,9 @@
 	return true
 }
 
-// evictOldest drops the notices of the release with the lowest epoch among those that the record here does not know, to make room for a
-// notice with a higher epoch or of a recorded release. False if there is none to drop.
+// evictOldest removes the notices of the release with the lowest epoch among the releases that are not in
+// the record applied here, to make room for a notice with a higher epoch or of a recorded release. It
+// returns false if there is none to remove.
 func (r *WeightResolver) evictOldest(n Notice, recorded bool) bool {
 	oldest, epoch := "", uint64(0)
 	for _, name := range slices.Sorted(maps.Keys(r.notices)) {
@@ -154,8 +158,9 @@
 	return true
 }
 
-// Pause sets a release's weight to zero at this relay at once, and returns the notice to gossip. It needs no majority: where the epoch in
-// notices is newer than the one applied here, the pause is for that one. False if the release is unknown here.
+// Pause immediately sets a release's weight to zero at this relay and returns the notice to gossip. It
+// needs no majority. If notices contain a newer epoch than the record applied here, the pause is for
+// that epoch. It returns false if neither the record nor a notice contains the release.
 func (r *WeightResolver) Pause(release string) (Notice, bool) {
 	n := Notice{Release: release, Pause: true, Epoch: r.notices[release].epoch()}
 	if w := findWeight(r.recorded, release); w != nil {
@@ -168,7 +173,7 @@
 	return n, true
 }
 
-// EffectiveWeights returns the weights to use now, sorted by release.
+// EffectiveWeights returns the current weights, sorted by release.
 func (r *WeightResolver) EffectiveWeights(now int64) []Weight {
 	list := slices.Clone(r.recorded)
 	for i := range list {
@@ -180,7 +185,7 @@
 
 func (r *WeightResolver) effectivePerMille(now int64, w Weight) int {
 	if !r.everConfirmed {
-		return 0 // the weight on disk may be an old one, and higher than the one agreed now
+		return 0 // the weight on disk may be outdated and higher than the current one of the record
 	}
 	perMille := w.PerMille
 	if now-r.confirmedAt > r.maxStaleness {
