--- a/internal/canary/counts_test.go
+++ b/internal/canary/counts_test.go
@@ -47,16 +47,16 @@
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		c := NewCollector(7, 1)
-		got := map[Stratum]StratumCounts{}
+		received := map[Stratum]StratumCounts{}
 		report := func() {
 			b := c.AppendReport(nil, 1400)
-			w, err := DecodeCountReport(b)
+			decoded, err := DecodeCountReport(b)
 			if err != nil || len(b) > 1400 {
 				t.Fatalf("%d bytes: %v", len(b), err)
 			}
-			for _, p := range w.Strata {
+			for _, p := range decoded.Strata {
 				if rng.IntN(3) > 0 {
-					got[p.Stratum] = p
+					received[p.Stratum] = p
 				}
 			}
 		}
@@ -73,7 +73,7 @@
 			report()
 		}
 		for _, k := range c.strata {
-			if got[k.Stratum] != k.StratumCounts {
+			if received[k.Stratum] != k.StratumCounts {
 				t.Fatalf("%v did not arrive", k.Stratum)
 			}
 		}
@@ -105,14 +105,14 @@
 		if v := NewJudge(JudgeSettings{Spec: validSpec("r"), Epoch: 1, Checkpoint: b}).Verdict(60_000); math.IsNaN(v.LogEValue) {
 			t.Fatalf("%+v", v)
 		}
-		w, err := DecodeCountReport(b)
+		report, err := DecodeCountReport(b)
 		if err != nil {
 			return
 		}
 		j := NewJudge(JudgeSettings{Spec: validSpec("r"), Epoch: 1})
-		w.Salt = j.settings.Salt
-		for i, start := range []uint64{0, w.Incarnation, w.Incarnation} { // an earlier process, this one, and a repetition
-			r := w
+		report.Salt = j.settings.Salt
+		for i, start := range []uint64{0, report.Incarnation, report.Incarnation} { // an earlier process, this one, and a repetition
+			r := report
 			r.Incarnation, r.Seq = start, uint64(i+1)
 			j.Observe(int64(1000*i), "n", "z", r)
 		}
--- a/internal/canary/simulation_test.go
+++ b/internal/canary/simulation_test.go
@@ -62,7 +62,7 @@
 	oldReport      []byte
 }
 
-type simMember struct{ failureFactor, slowness, hiccup float64 }
+type simMember struct{ failureFactor, slowness, degradedSeconds float64 }
 
 func newSimulation(seed uint64, f defect) *simulation {
 	w := &simulation{defect: f, rng: rand.New(rand.NewPCG(seed, 77)), now: 1000, state: NewState(), fleetwideFactor: 1}
@@ -113,9 +113,9 @@
 }
 
 func (w *simulation) apply(cmd Command) {
-	was := w.state.Version()
+	versionBefore := w.state.Version()
 	w.state.Apply(w.now, "pilot", cmd.Encode())
-	if w.state.Version() != was { // a checkpoint is not for relays
+	if w.state.Version() != versionBefore { // a checkpoint is not for relays
 		w.log, w.logAt = append(w.log, w.state.Weights()), append(w.logAt, w.now)
 	}
 	w.hashTrace(string(w.state.Encode()))
@@ -138,9 +138,9 @@
 		w.fleetwideFactor = 6 // bad for all
 	}
 	for _, m := range append(slices.Clone(w.baseline), w.canary...) {
-		m.hiccup--
+		m.degradedSeconds--
 		if !w.uniform && w.rng.IntN(1200) == 0 {
-			m.hiccup = 2
+			m.degradedSeconds = 2
 		}
 	}
 	for _, p := range w.relays {
@@ -242,7 +242,7 @@
 			if p.faulty {
 				fails += 0.3
 			}
-			if m.hiccup > 0 {
+			if m.degradedSeconds > 0 {
 				fails += 0.5
 			}
 			t := p.collector.Tally(s, toCanary)
@@ -266,9 +266,9 @@
 				}
 			}
 		}
-		for warmth, attempts := range tried {
-			if n, k, n1 := attempts[0]+attempts[1], bad[warmth][0]+bad[warmth][1], attempts[1]; n > 1 {
-				w.zTest.excess += bad[warmth][1] - k*n1/n
+		for i, attempts := range tried {
+			if n, k, n1 := attempts[0]+attempts[1], bad[i][0]+bad[i][1], attempts[1]; n > 1 {
+				w.zTest.excess += bad[i][1] - k*n1/n
 				w.zTest.variance += k * (n - k) * n1 * attempts[0] / (n * n * (n - 1))
 			}
 		}
@@ -495,12 +495,12 @@
 		for seed := range uint64(2) {
 			frequentChanges := f
 			frequentChanges.leaderTermSeconds = 20
-			one, again, many := simulate(seed, f), simulate(seed, f), simulate(seed, frequentChanges)
-			if one.trace != again.trace {
+			stable, repeated, changing := simulate(seed, f), simulate(seed, f), simulate(seed, frequentChanges)
+			if stable.trace != repeated.trace {
 				t.Errorf("seed %d: two simulations differ", seed)
 			}
-			t.Logf("one leader: %s after %d s, a leader of 20 s: %s after %d s", one.Status, one.seconds, many.Status, many.seconds)
-			if many.Status != one.Status || many.seconds > 3*one.seconds {
+			t.Logf("one leader: %s after %d s, a leader of 20 s: %s after %d s", stable.Status, stable.seconds, changing.Status, changing.seconds)
+			if changing.Status != stable.Status || changing.seconds > 3*stable.seconds {
 				t.Error("evidence was lost with the leaders")
 			}
 		}
@@ -515,12 +515,12 @@
 	}
 	w.now += 1000
 	w.judge.Verdict(w.now) // all that was reported is in the evidence
-	set := w.judge.settings
-	set.Checkpoint = w.judge.encodeCheckpoint()
-	next, withoutSeqs := NewJudge(set), NewJudge(set)
+	settings := w.judge.settings
+	settings.Checkpoint = w.judge.encodeCheckpoint()
+	next, withoutSeqs := NewJudge(settings), NewJudge(settings)
 	for k := range next.tests {
-		if e, was := next.guardEvidence(k), w.judge.guardEvidence(k); !(e <= was && e >= was-1.0/evidenceResolution) {
-			t.Errorf("evidence %v, and %v after", was, e)
+		if got, want := next.guardEvidence(k), w.judge.guardEvidence(k); !(got <= want && got >= want-1.0/evidenceResolution) {
+			t.Errorf("evidence %v, and %v after", want, got)
 		}
 	}
 	for _, r := range withoutSeqs.relays {
@@ -528,9 +528,9 @@
 	}
 	for _, j := range []*Judge{next, withoutSeqs} { // a covered report comes late, as if from the step's beginning, and then the present one
 		for _, p := range w.relays {
-			now, _ := DecodeCountReport(p.collector.AppendReport(nil, 1400))
-			late := now
-			late.Seq, late.Strata = 1, slices.Clone(now.Strata)
+			current, _ := DecodeCountReport(p.collector.AppendReport(nil, 1400))
+			late := current
+			late.Seq, late.Strata = 1, slices.Clone(current.Strata)
 			for i := range late.Strata {
 				late.Strata[i].Baseline, late.Strata[i].Canary = Tally{}, Tally{}
 			}
@@ -538,17 +538,17 @@
 			for _, history := range j.classHistories {
 				history.Attempts = minBaselineAttempts
 			}
-			j.Observe(2, p.name, p.zone, now)
+			j.Observe(2, p.name, p.zone, current)
 		}
 		j.Verdict(5000)
 	}
 	if next.compared != w.judge.compared || withoutSeqs.compared <= next.compared {
 		t.Errorf("compared %d, %d after; and %d where reports count twice", w.judge.compared, next.compared, withoutSeqs.compared)
 	}
-	for length := range set.Checkpoint {
-		truncated := set
-		if truncated.Checkpoint = set.Checkpoint[:length]; len(NewJudge(truncated).relays) > 0 {
-			t.Errorf("%d bytes of %d were taken", length, len(set.Checkpoint))
+	for length := range settings.Checkpoint {
+		truncated := settings
+		if truncated.Checkpoint = settings.Checkpoint[:length]; len(NewJudge(truncated).relays) > 0 {
+			t.Errorf("%d bytes of %d were taken", length, len(settings.Checkpoint))
 		}
 	}
 }
--- a/internal/canary/state_test.go
+++ b/internal/canary/state_test.go
@@ -18,14 +18,14 @@
 }
 
 func applyCommand(t interface{ Fatalf(string, ...any) }, s *State, at int64, cmd Command) (Canary, string) {
-	var answer struct {
+	var response struct {
 		Error  string
 		Canary Canary
 	}
-	if err := json.Unmarshal(s.Apply(at, "op", cmd.Encode()), &answer); err != nil {
+	if err := json.Unmarshal(s.Apply(at, "op", cmd.Encode()), &response); err != nil {
 		t.Fatalf("%v: %v", cmd, err)
 	}
-	return answer.Canary, answer.Error
+	return response.Canary, response.Error
 }
 
 func TestLifecycle(t *testing.T) {
@@ -55,24 +55,24 @@
 	}
 	for i, st := range steps {
 		st.cmd.Release = "r"
-		c, failed := applyCommand(t, s, int64(i), st.cmd)
-		if c.Status != st.status || c.Step != st.step || c.PerMille != st.weight || (failed == "") == (st.status == "" && st.cmd.Op != OpClose) {
-			t.Errorf("%d %v: %s step %d at %d, %q", i, st.cmd, c.Status, c.Step, c.PerMille, failed)
+		c, rejection := applyCommand(t, s, int64(i), st.cmd)
+		if c.Status != st.status || c.Step != st.step || c.PerMille != st.weight || (rejection == "") == (st.status == "" && st.cmd.Op != OpClose) {
+			t.Errorf("%d %v: %s step %d at %d, %q", i, st.cmd, c.Status, c.Step, c.PerMille, rejection)
 		}
 	}
 	if len(s.Canaries()) != 0 {
 		t.Error("closed and still stored")
 	}
-	for diverge, want := range map[DivergencePolicy]int{"": 0, ZeroWeight: 0, LowerWeight: 10, KeepWeight: 50} {
+	for policy, want := range map[DivergencePolicy]int{"": 0, ZeroWeight: 0, LowerWeight: 10, KeepWeight: 50} {
 		s, sp := NewState(), validSpec("r")
-		sp.OnDivergence = diverge
+		sp.OnDivergence = policy
 		applyCommand(t, s, 0, Command{Op: OpOpen, Release: "r", Spec: &sp})
 		applyCommand(t, s, 0, Command{Op: OpAdvance, Release: "r", Revision: 1})
 		if c, _ := applyCommand(t, s, 0, Command{Op: OpPause, Release: "r", Outcome: Divergent}); c.PerMille != want {
-			t.Errorf("%q while outcomes diverge: %d", diverge, c.PerMille)
+			t.Errorf("%q while outcomes diverge: %d", policy, c.PerMille)
 		}
 		if c, _ := applyCommand(t, s, 0, Command{Op: OpPause, Release: "r", Outcome: Regressed}); c.PerMille != 0 || len(c.PausedSteps) != 1 {
-			t.Errorf("%q and then worse: %d", diverge, c.PerMille)
+			t.Errorf("%q and then worse: %d", policy, c.PerMille)
 		}
 	}
 }
@@ -118,9 +118,9 @@
 				cmd.Spec, cmd.Revision = &sp, 0
 			}
 			encodedBefore, version := s.Encode(), s.Version()
-			c, failed := applyCommand(t, s, int64(i), cmd)
+			c, rejection := applyCommand(t, s, int64(i), cmd)
 			replica.Apply(int64(i), "op", cmd.Encode())
-			if failed != "" && (!bytes.Equal(encodedBefore, s.Encode()) || version != s.Version()) {
+			if rejection != "" && (!bytes.Equal(encodedBefore, s.Encode()) || version != s.Version()) {
 				t.Fatalf("%v was rejected and changed something", cmd)
 			}
 			if !bytes.Equal(s.Encode(), replica.Encode()) {
@@ -137,7 +137,7 @@
 			if replica, err = DecodeState(s.Encode()); err != nil || !bytes.Equal(s.Encode(), replica.Encode()) {
 				t.Fatalf("snapshot: %v", err)
 			}
-			if failed != "" {
+			if rejection != "" {
 				continue
 			}
 			if stored := s.Checkpoint(name) != nil; stored != (cmd.Op == OpCheckpoint) || stored && version != s.Version() {
@@ -250,7 +250,7 @@
 	applyCommand(t, s, 2000, cmd)
 	if next := s.Plan(2001, Verdict{Release: "r"}, true); len(next) != 1 || next[0].Op != OpRollBack {
 		t.Errorf("after worse: %v", next)
-	} else if c, failed := applyCommand(t, s, 2001, next[0]); failed != "" || c.Status != RolledBack {
-		t.Errorf("%v %s", c, failed)
+	} else if c, rejection := applyCommand(t, s, 2001, next[0]); rejection != "" || c.Status != RolledBack {
+		t.Errorf("%v %s", c, rejection)
 	}
 }
