--- a/internal/canary/counts_test.go
+++ b/internal/canary/counts_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestReportSize: a relay of thirty flows a second, two classes, three zones, members warm and warming up, reports every second for an hour.
+// TestReportSize checks the size limit of reports: a relay with thirty flows per second, two classes,
+// three zones and members that are warming up or not reports every second for an hour.
 func TestReportSize(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 3))
 	c := NewCollector(1<<63, 1_733_100_000_000)
@@ -33,16 +34,17 @@
 		sum += len(b)
 		largest = max(largest, len(b))
 		if _, err := DecodeCountReport(b); err != nil {
-			t.Fatal(err)
+			t.Fatalf("DecodeCountReport: %v", err)
 		}
 	}
-	t.Logf("%d strata: %d bytes a report, %d at most", len(c.strata), sum/seconds, largest)
+	t.Logf("%d strata: mean report size %d bytes, largest %d", len(c.strata), sum/seconds, largest)
 	if largest > 600 {
-		t.Errorf("a report of %d bytes", largest)
+		t.Errorf("largest report has %d bytes, want at most 600", largest)
 	}
 }
 
-// TestReportsArrive: all counts arrive, though reports are bounded and a third of their strata is lost.
+// TestCountsSurviveLostReports checks that the receiver gets all counts although the size of reports is
+// limited and a third of their strata is lost.
 func TestCountsSurviveLostReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -52,7 +54,7 @@
 			b := c.AppendReport(nil, 1400)
 			decoded, err := DecodeCountReport(b)
 			if err != nil || len(b) > 1400 {
-				t.Fatalf("%d bytes: %v", len(b), err)
+				t.Fatalf("report of %d bytes, want at most 1400; DecodeCountReport error %v", len(b), err)
 			}
 			for _, p := range decoded.Strata {
 				if rng.IntN(3) > 0 {
@@ -69,12 +71,12 @@
 				report()
 			}
 		}
-		for range 15 * len(c.strata) { // in turn alone each is sent some fifteen times: that all are lost has no chance
+		for range 15 * len(c.strata) { // unchanged strata are sent in turn, each about fifteen times, so it is all but impossible to lose them all
 			report()
 		}
 		for _, k := range c.strata {
 			if received[k.Stratum] != k.StratumCounts {
-				t.Fatalf("%v did not arrive", k.Stratum)
+				t.Fatalf("stratum %+v: received counts %+v, want %+v", k.Stratum, received[k.Stratum], k.StratumCounts)
 			}
 		}
 	})
@@ -83,7 +85,7 @@
 		c.Tally(Stratum{Class: uint8(i)}, true).Attempts++
 	}
 	if len(c.strata) != MaxStrata || c.Rejected != 2*MaxStrata {
-		t.Errorf("%d strata, %d counts were rejected", len(c.strata), c.Rejected)
+		t.Errorf("%d strata, Rejected = %d; want %d and %d", len(c.strata), c.Rejected, MaxStrata, 2*MaxStrata)
 	}
 }
 
@@ -103,7 +105,7 @@
 	f.Add(j.encodeCheckpoint())
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if v := NewJudge(JudgeSettings{Spec: validSpec("r"), Epoch: 1, Checkpoint: b}).Verdict(60_000); math.IsNaN(v.LogEValue) {
-			t.Fatalf("%+v", v)
+			t.Fatalf("verdict from a decoded checkpoint: %+v, want a LogEValue other than NaN", v)
 		}
 		report, err := DecodeCountReport(b)
 		if err != nil {
@@ -111,19 +113,20 @@
 		}
 		j := NewJudge(JudgeSettings{Spec: validSpec("r"), Epoch: 1})
 		report.Salt = j.settings.Salt
-		for i, start := range []uint64{0, report.Incarnation, report.Incarnation} { // an earlier process, this one, and a repetition
+		for i, start := range []uint64{0, report.Incarnation, report.Incarnation} { // an earlier process, this one, and this one again
 			r := report
 			r.Incarnation, r.Seq = start, uint64(i+1)
 			j.Observe(int64(1000*i), "n", "z", r)
 		}
 		if v := j.Verdict(60_000); math.IsNaN(v.LogEValue) {
-			t.Fatalf("%+v", v)
+			t.Fatalf("verdict from a decoded report: %+v, want a LogEValue other than NaN", v)
 		}
 	})
 }
 
-// TestEValueMean: the mean of a block's e-value is at most 1 under any rates that the null hypothesis allows, however wrong the estimate of
-// the baseline's rate is. All outcomes of small blocks are added up, weighted by their probability.
+// TestEValueMean checks that the mean of a block's e-value is at most 1 under any rates that the null
+// hypothesis allows, however wrong the estimated baseline rate is. It adds up all outcomes of small
+// blocks, weighted by their probability.
 func TestEValueMean(t *testing.T) {
 	choose := func(n, k int) float64 {
 		a, _ := math.Lgamma(float64(n + 1))
@@ -132,13 +135,13 @@
 		return math.Exp(a - b - c)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		n1, n0 := rapid.IntRange(1, 12).Draw(t, "arm"), rapid.IntRange(1, 30).Draw(t, "base")
+		n1, n0 := rapid.IntRange(1, 12).Draw(t, "canary trials"), rapid.IntRange(1, 30).Draw(t, "baseline trials")
 		null := nullHypothesis{factor: rapid.SampledFrom([]float64{1, defaultFactor, 2}).Draw(t, "factor"),
 			margin: rapid.SampledFrom([]float64{0, 0.0002, 0.01, 0.05}).Draw(t, "margin")}
 		harm := rapid.SampledFrom([]float64{0.0002, 0.01, 0.04, 0.16, 0.5}).Draw(t, "harm")
-		estimatedRate := rapid.Float64Range(1e-6, 0.9).Draw(t, "guess")
-		q0 := rapid.Float64Range(0, 0.9).Draw(t, "base rate")
-		q1 := min(rapid.Float64Range(0, 1).Draw(t, "of what is allowed")*null.maxCanaryRate(q0), 1)
+		estimatedRate := rapid.Float64Range(1e-6, 0.9).Draw(t, "estimated baseline rate")
+		q0 := rapid.Float64Range(0, 0.9).Draw(t, "baseline rate")
+		q1 := min(rapid.Float64Range(0, 1).Draw(t, "share of the allowed canary rate")*null.maxCanaryRate(q0), 1)
 		mean := 0.0
 		for k1 := range n1 + 1 {
 			for k0 := range n0 + 1 {
@@ -148,7 +151,7 @@
 			}
 		}
 		if !(mean <= 1+1e-6) {
-			t.Fatalf("the mean is %v", mean)
+			t.Fatalf("mean e-value = %v, want at most 1", mean)
 		}
 	})
 }
--- a/internal/canary/forms_test.go
+++ b/internal/canary/forms_test.go
@@ -11,7 +11,8 @@
 	"dahliarudder/internal/encodingtest"
 )
 
-// TestEncodedForms compares what goes into the record, onto a wire or into an HTTP answer with the bytes of an earlier version.
+// TestEncodedForms checks that the encoded forms in the record, in messages between relays and in HTTP
+// answers are byte for byte those of an earlier version. It also compares the trace of a simulation.
 func TestEncodedForms(t *testing.T) {
 	var lines []string
 	for _, value := range []any{&Spec{}, &Canary{}, &Weight{}, &Command{}, &Notice{}, &Verdict{}, &storedState{}} {
@@ -19,7 +20,7 @@
 		counter.Fill(value)
 		text, err := json.Marshal(value)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("encode %T: %v", value, err)
 		}
 		lines = append(lines, string(text))
 	}
@@ -40,6 +41,6 @@
 		t.Fatal(err)
 	}
 	if got != string(want) {
-		t.Errorf("encoded now:\n%s\nearlier:\n%s", got, want)
+		t.Errorf("encoded forms changed: got\n%s\nwant those of an earlier version:\n%s", got, want)
 	}
 }
--- a/internal/canary/simulation_test.go
+++ b/internal/canary/simulation_test.go
@@ -15,30 +15,31 @@
 	"testing"
 )
 
-// defect is what is wrong with the canary, or with a relay.
+// defect is a defect of the canary or of relays, and the setting of a simulation.
 type defect struct {
-	extraFailureRate    float64 // more attempts fail
-	slowdown            float64 // set-up and messages take so many times as long; 0 for 1
-	earlyDisconnectRate float64 // share of flows that the member closes early
-	zone                string  // at relays of this zone alone
-	relay               string  // at one relay
-	faultyRelays        int     // so many relays fail three in ten for canary and baseline alike
-	uniform             bool    // members all alike, no hiccups: a test of fixed level is right once
-	repeatedZTest       bool    // planted: a test of fixed level looks every second
+	extraFailureRate    float64 // share of attempts that fail in addition
+	slowdown            float64 // factor on set-up and message times; 0 means 1
+	earlyDisconnectRate float64 // share of flows that the member closes early, in addition
+	zone                string  // the canary's defect shows only at relays of this zone
+	relay               string  // the canary's defect shows only at this relay
+	faultyRelays        int     // number of relays where three attempts in ten fail, of canary and baseline alike
+	uniform             bool    // relays and members are all alike, members never degraded, as a z-test assumes
+	repeatedZTest       bool    // a planted defect of the judge: a z-test for a single look is evaluated every second
 	large               bool    // 300 relays
 	leaderTermSeconds   int     // seconds until the leader changes; 0 for never
-	seconds             int     // 0 for as many as it takes
+	seconds             int     // limit on the simulated time; 0 for 80,000
 }
 
-// simulation is a fleet in virtual time: thin traffic, relays and members that differ, members that start warming up, hiccups of one
-// member, seconds that are bad for all, reports that are lost or repeated, relays that restart with no record or an old one.
+// simulation is a fleet in virtual time, with little traffic, different relays and members, members that
+// start warming up or are degraded for seconds, seconds in which all attempts fail more often, lost and
+// repeated reports, and relays that restart with an older record.
 type simulation struct {
 	defect
 	rng             *rand.Rand
 	now             int64
 	state           *State
 	judge           *Judge
-	log             [][]Weight // by index - 1
+	log             [][]Weight // the weights at each index of the record, from index 1
 	logAt           []int64
 	relays          []*simRelay
 	baseline        []*simMember
@@ -90,13 +91,13 @@
 	for range max(3, n/2) {
 		w.baseline = append(w.baseline, &simMember{normal(0.3), normal(0.1), 0})
 	}
-	for range max(3, n/20) { // the mean of few members may be off by what they differ
+	for range max(3, n/20) { // the mean of few members may differ from the baseline's by chance
 		w.canary = append(w.canary, &simMember{normal(0.3), normal(0.1), 0})
 	}
 	sp := validSpec("r")
 	sp.Salt = w.rng.Uint64() | 1
 	if f.uniform {
-		sp.Steps = []int{100, 500, 1000} // more to look at in less time
+		sp.Steps = []int{100, 500, 1000} // higher weights give more counts in less time
 	}
 	w.apply(Command{Op: OpOpen, Release: "r", Spec: &sp})
 	for _, p := range w.relays {
@@ -106,7 +107,7 @@
 	return w
 }
 
-// changeLeader replaces the judge: the new one knows only what is in the record.
+// changeLeader replaces the judge by one that has only the evidence in the record.
 func (w *simulation) changeLeader() {
 	c, _ := w.state.Canary("r")
 	w.judge = NewJudge(JudgeSettings{Spec: c.Spec, Epoch: c.Epoch, Step: c.Step, Checkpoint: w.state.Checkpoint("r")})
@@ -115,7 +116,7 @@
 func (w *simulation) apply(cmd Command) {
 	versionBefore := w.state.Version()
 	w.state.Apply(w.now, "pilot", cmd.Encode())
-	if w.state.Version() != versionBefore { // a checkpoint is not for relays
+	if w.state.Version() != versionBefore { // a checkpoint does not change the weights
 		w.log, w.logAt = append(w.log, w.state.Weights()), append(w.logAt, w.now)
 	}
 	w.hashTrace(string(w.state.Encode()))
@@ -127,7 +128,7 @@
 	w.trace = h.Sum64()
 }
 
-// step plays a second: flows, reports, the record's way to relays, notices, the leader's proposals.
+// step simulates one second: flows, reports, replication of the record, notices and the leader's commands.
 func (w *simulation) step() (stop bool, err error) {
 	w.now += 1000
 	if w.leaderTermSeconds > 0 && w.now/1000%int64(w.leaderTermSeconds) == 0 {
@@ -135,7 +136,7 @@
 	}
 	w.fleetwideFactor = math.Max(1, w.fleetwideFactor*0.6)
 	if w.rng.IntN(150) == 0 {
-		w.fleetwideFactor = 6 // bad for all
+		w.fleetwideFactor = 6 // failures at all members, of canary and baseline
 	}
 	for _, m := range append(slices.Clone(w.baseline), w.canary...) {
 		m.degradedSeconds--
@@ -144,7 +145,7 @@
 		}
 	}
 	for _, p := range w.relays {
-		if w.rng.IntN(600) == 0 { // a restart: counts begin at zero, its record is older
+		if w.rng.IntN(600) == 0 { // the relay restarts: its counts begin at zero, its record may be older
 			p.incarnation++
 			p.collector = NewCollector(w.log[0][0].Salt, p.incarnation)
 			p.resolver = NewWeightResolver(5000)
@@ -164,17 +165,17 @@
 		if ws := p.resolver.EffectiveWeights(w.now); len(ws) > 0 {
 			perMille = ws[0].PerMille
 		}
-		for k := len(w.log) - 1; ; k-- { // never more than was agreed within the staleness bound
+		for k := len(w.log) - 1; ; k-- { // the weight must be at most the highest one within the staleness bound
 			if perMille <= w.log[k][0].PerMille {
 				break
 			}
 			if k == 0 || w.logAt[k] < w.now-6000 {
-				return true, fmt.Errorf("relay %s uses %d per mille, long after", p.name, perMille)
+				return true, fmt.Errorf("relay %s uses %d per mille, above all weights of the record within the staleness bound", p.name, perMille)
 			}
 		}
 		w.offerFlows(p, perMille)
 		report := p.collector.AppendReport(nil, 1400)
-		for range w.rng.IntN(20) / 19 * 2 { // the last one again
+		for range w.rng.IntN(20) / 19 * 2 { // sometimes the previous report arrives again, twice
 			if p.oldReport != nil {
 				c, _ := DecodeCountReport(p.oldReport)
 				w.judge.Observe(w.now, p.name, p.zone, c)
@@ -216,7 +217,7 @@
 	warmingUp := w.now < 61_000
 	for class, share := range []float64{0.7, 0.3} {
 		n := int(p.rate*share) + map[bool]int{true: 1}[w.rng.Float64() < p.rate*share-math.Floor(p.rate*share)]
-		var tried, bad [2][2]float64 // by warmth, for baseline and canary
+		var tried, bad [2][2]float64 // by warming up (0 or 1), then by baseline and canary
 		for range n {
 			toCanary := RoutedToCanary(w.log[0][0].Salt, w.rng.Uint64(), perMille)
 			var m *simMember
@@ -224,7 +225,7 @@
 			if toCanary {
 				m, s.WarmingUp = w.canary[w.rng.IntN(len(w.canary))], warmingUp
 			} else {
-				m, s.WarmingUp = w.baseline[w.rng.IntN(len(w.baseline))], w.rng.IntN(50) == 0 // some of the baseline restart too
+				m, s.WarmingUp = w.baseline[w.rng.IntN(len(w.baseline))], w.rng.IntN(50) == 0 // some baseline members are warming up too
 			}
 			if w.rng.IntN(5) == 0 {
 				s.Zone = uint8(w.rng.IntN(3))
@@ -275,12 +276,12 @@
 	}
 }
 
-// runResult is how one canary ended.
+// runResult is the result of one simulation.
 type runResult struct {
 	Canary
 	seconds       int
 	relays        int
-	finalPerMille int // when it was stopped
+	finalPerMille int // weight before the last second
 	faulty        []FaultyRelay
 	verdict       Verdict
 	trace         uint64
@@ -292,7 +293,7 @@
 	w := newSimulation(seed, f)
 	o := runResult{relays: len(w.relays)}
 	if f.seconds == 0 {
-		f.seconds = 80_000 // five steps of the longest time
+		f.seconds = 80_000 // five steps of MaxStepMS each, with a margin
 	}
 	for range f.seconds {
 		before, _ := w.state.Canary("r")
@@ -318,13 +319,14 @@
 	return o
 }
 
-// firstSeed is set by CANARY_FROM: a change is confirmed by seeds that it was not made on.
+// firstSeed returns the first seed, CANARY_FROM or 0: a change is confirmed with seeds that were not used
+// while it was made.
 func firstSeed() int {
 	n, _ := strconv.Atoi(os.Getenv("CANARY_FROM"))
 	return n
 }
 
-// simulateSeeds plays many seeds in parallel; results are in the order of the seeds.
+// simulateSeeds runs many seeds in parallel; the results are in the order of the seeds.
 func simulateSeeds(n int, f defect, skip int) []runResult {
 	if f.leaderTermSeconds == 0 {
 		f.leaderTermSeconds, _ = strconv.Atoi(os.Getenv("CANARY_LEADERS"))
@@ -369,11 +371,11 @@
 	}
 	sort.Ints(seconds)
 	sort.Ints(weight)
-	t.Logf("%s: %v; seconds p50 %d p90 %d p99 %d max %d; per mille at the end p50 %d p99 %d max %d; falsely found faulty %d", title, status,
+	t.Logf("%s: %v; seconds p50 %d p90 %d p99 %d max %d; final weight p50 %d p99 %d max %d per mille; %d healthy relays reported as faulty", title, status,
 		seconds[len(seconds)/2], seconds[len(seconds)*9/10], seconds[len(seconds)*99/100], seconds[len(seconds)-1], weight[len(weight)/2], weight[len(weight)*99/100], weight[len(weight)-1], faulty)
 }
 
-// rapid draws the same in every run, so that a test gives the same result every time. -rapid.seed draws others.
+// The fixed seed of rapid makes each run draw the same values. The flag -rapid.seed overrides it.
 func init() { flag.Set("rapid.seed", "1") }
 
 func TestHealthyRelease(t *testing.T) {
@@ -385,13 +387,13 @@
 		for i, o := range list[first:] {
 			if o.Status != Completed {
 				paused++
-				t.Logf("seed %d, %d relays: %s at %d per mille after %d s: %s %s %v", firstSeed()+first+i, o.relays, o.Status, o.finalPerMille, o.seconds, o.Outcome, o.Reason, o.Divergent)
+				t.Logf("seed %d, %d relays: status %q at %d per mille after %d s: outcome %q, %s %v", firstSeed()+first+i, o.relays, o.Status, o.finalPerMille, o.seconds, o.Outcome, o.Reason, o.Divergent)
 			}
 		}
-		logResults(t, fmt.Sprintf("sound, %d of %d paused", paused, len(list)), list)
+		logResults(t, fmt.Sprintf("healthy releases, %d of %d not completed", paused, len(list)), list)
 	}
 	if paused*100 > len(list) {
-		t.Errorf("%d of %d healthy releases were paused", paused, len(list))
+		t.Errorf("%d of %d healthy releases were not completed, want at most 1%%", paused, len(list))
 	}
 }
 
@@ -401,13 +403,13 @@
 		defect
 		want Outcome
 	}{
-		{"5 points", defect{extraFailureRate: 0.05}, Regressed},
+		{"5 points more failures", defect{extraFailureRate: 0.05}, Regressed},
 		{"twice as slow", defect{slowdown: 2}, Regressed},
-		{"ends early", defect{earlyDisconnectRate: 0.1}, Regressed},
-		{"5 points in a zone", defect{extraFailureRate: 0.05, zone: "z1"}, Divergent},
-		{"slow in a zone", defect{slowdown: 2, zone: "z1"}, Divergent},
-		{"a third fails at a relay", defect{extraFailureRate: 0.33, relay: "n4", zone: "z1"}, Divergent},
-		{"5 points, 300 relays", defect{extraFailureRate: 0.05, large: true}, Regressed},
+		{"early disconnects", defect{earlyDisconnectRate: 0.1}, Regressed},
+		{"5 points more failures in a zone", defect{extraFailureRate: 0.05, zone: "z1"}, Divergent},
+		{"twice as slow in a zone", defect{slowdown: 2, zone: "z1"}, Divergent},
+		{"a third of attempts fail at a relay", defect{extraFailureRate: 0.33, relay: "n4", zone: "z1"}, Divergent},
+		{"5 points more failures, 300 relays", defect{extraFailureRate: 0.05, large: true}, Regressed},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n := max(seedCount(12)/6, 2)
@@ -419,28 +421,29 @@
 			missed, lateStops, attributed, undecided := 0, 0, 0, 0
 			for i, o := range list {
 				switch {
-				case o.Status != Completed && o.Outcome == Overdue && o.finalPerMille < 250: // stopped, neither shown nor ruled out
+				case o.Status != Completed && o.Outcome == Overdue && o.finalPerMille < 250: // stopped; harm neither shown nor ruled out
 					undecided++
 				case o.Status == Completed || o.verdict.Outcome != Regressed && o.verdict.Outcome != Divergent:
 					missed++
-					t.Logf("%s, seed %d, %d relays: %s, %s", c.name, firstSeed()+i, o.relays, o.Status, o.Reason)
+					t.Logf("%s, seed %d, %d relays: defect not found, status %q, reason %q", c.name, firstSeed()+i, o.relays, o.Status, o.Reason)
 				case o.finalPerMille >= 250:
 					lateStops++
-					t.Logf("%s, seed %d, %d relays: paused at %d per mille", c.name, firstSeed()+i, o.relays, o.finalPerMille)
+					t.Logf("%s, seed %d, %d relays: paused late, at %d per mille", c.name, firstSeed()+i, o.relays, o.finalPerMille)
 				}
 				if o.verdict.Outcome == c.want && (c.want == Regressed || slices.Equal(o.verdict.Zones, []string{c.zone}) || slices.Equal(o.verdict.Relays, []string{c.relay})) {
 					attributed++
 				} else {
-					t.Logf("%s, seed %d, %d relays: %s %v %v", c.name, firstSeed()+i, o.relays, o.verdict.Outcome, o.verdict.Zones, o.verdict.Relays)
+					t.Logf("%s, seed %d, %d relays: verdict %q for zones %v, relays %v", c.name, firstSeed()+i, o.relays, o.verdict.Outcome, o.verdict.Zones, o.verdict.Relays)
 				}
 			}
-			t.Logf("%s: of %d missed %d, at a quarter or later %d, no verdict in the longest time %d, named right %d", c.name, n, missed, lateStops, undecided, attributed)
-			missedDivisor, misattributedDivisor := 100, 10 // in so many one may be missed, and one named otherwise
+			t.Logf("%s: of %d releases, missed %d, paused at 250 per mille or more %d, overdue %d, attributed correctly %d", c.name, n, missed, lateStops, undecided, attributed)
+			missedDivisor, misattributedDivisor := 100, 10 // at most one in so many may be missed or late, and misattributed
 			if c.relay != "" {
-				missedDivisor, misattributedDivisor = 10, 3 // one relay of many is little harm, and little evidence
+				missedDivisor, misattributedDivisor = 10, 3 // harm at one relay of many gives little evidence
 			}
 			if (missed+lateStops)*missedDivisor > n || (n-attributed)*misattributedDivisor > max(n, 10) {
-				t.Errorf("%s: of %d missed %d, at a quarter or later %d, named right %d", c.name, n, missed, lateStops, attributed)
+				t.Errorf("%s: of %d releases, missed %d, paused at 250 per mille or more %d, attributed correctly %d; want missed or paused that late at most %d/%d, misattributed at most %d/%d",
+					c.name, n, missed, lateStops, attributed, n, missedDivisor, max(n, 10), misattributedDivisor)
 			}
 		})
 	}
@@ -450,7 +453,7 @@
 	f := defect{faultyRelays: 1}
 	n := seedCount(0) / 4
 	if n == 0 {
-		n, f.seconds = 3, 200 // a faulty relay is found long before
+		n, f.seconds = 3, 200 // enough time to find a faulty relay
 	}
 	list := simulateSeeds(n, f, 0)
 	logResults(t, "a faulty relay", list)
@@ -458,18 +461,20 @@
 	for i, o := range list {
 		if o.Status == Paused || o.Status == RolledBack {
 			paused++
-			t.Logf("seed %d, %d relays: %s %s %v", i, o.relays, o.Status, o.Reason, o.Divergent)
+			t.Logf("seed %d, %d relays: status %q, %s %v", i, o.relays, o.Status, o.Reason, o.Divergent)
 		}
 		if !slices.Contains(o.faulty, FaultyRelay{"n0", Failures}) {
 			missed++
 		}
 	}
 	if paused*100 > len(list) || missed > 0 {
-		t.Errorf("of %d: paused %d, not named %d", len(list), paused, missed)
+		t.Errorf("of %d healthy releases with a faulty relay: %d paused or rolled back, want at most 1%%; faulty relay not found in %d, want 0", len(list), paused, missed)
 	}
 }
 
-// TestPlantedPeek: planted is a test that is right at one look and is taken every second.
+// TestRepeatedZTestPausesHealthyReleases checks that the simulation shows the fault of a planted test: a
+// z-test for a single look that is evaluated every second pauses too many healthy releases, where the
+// e-values pause none.
 func TestRepeatedZTestPausesHealthyReleases(t *testing.T) {
 	n := max(seedCount(24)/8, 24)
 	zTestPauses, eValuePauses := 0, 0
@@ -482,14 +487,15 @@
 			eValuePauses++
 		}
 	}
-	t.Logf("with a z-test at 1%% looked at every second %d of %d healthy releases are paused in 300 s; with e-values %d", zTestPauses, n, eValuePauses)
+	t.Logf("healthy releases paused in 300 s, of %d: %d by a 1%% z-test evaluated every second, %d by e-values", n, zTestPauses, eValuePauses)
 	if zTestPauses*100 <= n || eValuePauses > 0 {
-		t.Error("the test that peeks was not found, or the sequential one paused")
+		t.Errorf("healthy releases paused, of %d: %d by the repeated z-test, want more than 1%%; %d by e-values, want 0", n, zTestPauses, eValuePauses)
 	}
 }
 
-// TestLeaders: the same seed gives the same result; and where leaders change, the next one continues from the checkpoint: defects are found in
-// little more time than the seconds that are lost. CANARY_LEADERS=20 has leaders change in all simulations.
+// TestLeaderChanges checks that the same seed gives the same result, and that a new leader continues from
+// the checkpoint: the outcome is the same and takes at most three times as long although evidence after
+// the last checkpoint is lost. CANARY_LEADERS=20 makes leaders change every 20 s in all simulations.
 func TestLeaderChanges(t *testing.T) {
 	for _, f := range []defect{{uniform: true}, {extraFailureRate: 0.33, relay: "n4", zone: "z1"}} {
 		for seed := range uint64(2) {
@@ -497,36 +503,37 @@
 			frequentChanges.leaderTermSeconds = 20
 			stable, repeated, changing := simulate(seed, f), simulate(seed, f), simulate(seed, frequentChanges)
 			if stable.trace != repeated.trace {
-				t.Errorf("seed %d: two simulations differ", seed)
+				t.Errorf("seed %d: two simulations have traces %x and %x, want equal ones", seed, stable.trace, repeated.trace)
 			}
-			t.Logf("one leader: %s after %d s, a leader of 20 s: %s after %d s", stable.Status, stable.seconds, changing.Status, changing.seconds)
+			t.Logf("one leader: status %q after %d s; a new leader every 20 s: status %q after %d s", stable.Status, stable.seconds, changing.Status, changing.seconds)
 			if changing.Status != stable.Status || changing.seconds > 3*stable.seconds {
-				t.Error("evidence was lost with the leaders")
+				t.Errorf("seed %d: a new leader every 20 s: status %q after %d s, want %q after at most %d s", seed, changing.Status, changing.seconds, stable.Status, 3*stable.seconds)
 			}
 		}
 	}
 }
 
-// TestCheckpoint: a checkpoint is the evidence, rounded down; reports that it covers do not count again; a truncated one leaves nothing behind.
+// TestCheckpoint checks that a checkpoint restores the evidence, rounded down, that the reports which it
+// covers do not count again, and that a truncated checkpoint is ignored.
 func TestCheckpoint(t *testing.T) {
 	w := newSimulation(1, defect{extraFailureRate: 0.05})
 	for range 60 {
 		w.step()
 	}
 	w.now += 1000
-	w.judge.Verdict(w.now) // all that was reported is in the evidence
+	w.judge.Verdict(w.now) // adds all reported counts to the evidence
 	settings := w.judge.settings
 	settings.Checkpoint = w.judge.encodeCheckpoint()
 	next, withoutSeqs := NewJudge(settings), NewJudge(settings)
 	for k := range next.tests {
 		if got, want := next.guardEvidence(k), w.judge.guardEvidence(k); !(got <= want && got >= want-1.0/evidenceResolution) {
-			t.Errorf("evidence %v, and %v after", want, got)
+			t.Errorf("guardrail %d: evidence after restore = %v, want at most %v and at most 1/%d below that", k, got, want, evidenceResolution)
 		}
 	}
 	for _, r := range withoutSeqs.relays {
-		r.seq = 0 // planted: the reports that the evidence covers are not known
+		r.seq = 0 // planted defect: the judge forgets which reports the evidence covers
 	}
-	for _, j := range []*Judge{next, withoutSeqs} { // a covered report comes late, as if from the step's beginning, and then the present one
+	for _, j := range []*Judge{next, withoutSeqs} { // a covered report arrives late, as if from the start of the step, then the current one
 		for _, p := range w.relays {
 			current, _ := DecodeCountReport(p.collector.AppendReport(nil, 1400))
 			late := current
@@ -543,12 +550,12 @@
 		j.Verdict(5000)
 	}
 	if next.compared != w.judge.compared || withoutSeqs.compared <= next.compared {
-		t.Errorf("compared %d, %d after; and %d where reports count twice", w.judge.compared, next.compared, withoutSeqs.compared)
+		t.Errorf("Compared: %d before, %d after restore, %d if covered reports count again; want the first two equal and the third higher", w.judge.compared, next.compared, withoutSeqs.compared)
 	}
 	for length := range settings.Checkpoint {
 		truncated := settings
 		if truncated.Checkpoint = settings.Checkpoint[:length]; len(NewJudge(truncated).relays) > 0 {
-			t.Errorf("%d bytes of %d were taken", length, len(settings.Checkpoint))
+			t.Errorf("checkpoint truncated to %d of %d bytes was restored, want it ignored", length, len(settings.Checkpoint))
 		}
 	}
 }
--- a/internal/canary/state_test.go
+++ b/internal/canary/state_test.go
@@ -23,7 +23,7 @@
 		Canary Canary
 	}
 	if err := json.Unmarshal(s.Apply(at, "op", cmd.Encode()), &response); err != nil {
-		t.Fatalf("%v: %v", cmd, err)
+		t.Fatalf("decode the answer to %+v: %v", cmd, err)
 	}
 	return response.Canary, response.Error
 }
@@ -39,16 +39,16 @@
 	}{
 		{Command{Op: OpOpen, Spec: &sp}, Progressing, 0, 10},
 		{Command{Op: OpAdvance, Revision: 1}, Progressing, 1, 50},
-		{Command{Op: OpAdvance, Revision: 1}, "", 0, 0}, // the same step again
+		{Command{Op: OpAdvance, Revision: 1}, "", 0, 0}, // repeats the previous command: the revision is outdated
 		{Command{Op: OpAdvance}, "", 0, 0},
 		{Command{Op: OpResume}, "", 0, 0},
 		{Command{Op: OpAdvance, Revision: 2}, Progressing, 2, 250},
 		{Command{Op: OpPause, Epoch: 1}, Paused, 2, 0},
 		{Command{Op: OpAdvance, Revision: 4}, "", 0, 0},
-		{Command{Op: OpResume, Epoch: 5}, Progressing, 1, 50}, // somebody paused an epoch that was never agreed
-		{Command{Op: OpPause, Epoch: 1}, "", 0, 0},            // from before the resume
+		{Command{Op: OpResume, Epoch: 5}, Progressing, 1, 50}, // a relay paused an epoch that the record did not have
+		{Command{Op: OpPause, Epoch: 1}, "", 0, 0},            // proposed before the resume
 		{Command{Op: OpAdvance, Revision: 5}, Progressing, 2, 250},
-		{Command{Op: OpPause, Outcome: Divergent}, RolledBack, 2, 0}, // the second time on this step
+		{Command{Op: OpPause, Outcome: Divergent}, RolledBack, 2, 0}, // the second pause on this step
 		{Command{Op: OpResume}, "", 0, 0},
 		{Command{Op: OpClose}, "", 0, 0},
 		{Command{Op: "what"}, "", 0, 0},
@@ -57,11 +57,12 @@
 		st.cmd.Release = "r"
 		c, rejection := applyCommand(t, s, int64(i), st.cmd)
 		if c.Status != st.status || c.Step != st.step || c.PerMille != st.weight || (rejection == "") == (st.status == "" && st.cmd.Op != OpClose) {
-			t.Errorf("%d %v: %s step %d at %d, %q", i, st.cmd, c.Status, c.Step, c.PerMille, rejection)
+			t.Errorf("command %d %+v: status %q, step %d, weight %d, error %q; want status %q, step %d, weight %d (no status: an error, except for close)",
+				i, st.cmd, c.Status, c.Step, c.PerMille, rejection, st.status, st.step, st.weight)
 		}
 	}
 	if len(s.Canaries()) != 0 {
-		t.Error("closed and still stored")
+		t.Errorf("after close: Canaries() = %+v, want none", s.Canaries())
 	}
 	for policy, want := range map[DivergencePolicy]int{"": 0, ZeroWeight: 0, LowerWeight: 10, KeepWeight: 50} {
 		s, sp := NewState(), validSpec("r")
@@ -69,38 +70,44 @@
 		applyCommand(t, s, 0, Command{Op: OpOpen, Release: "r", Spec: &sp})
 		applyCommand(t, s, 0, Command{Op: OpAdvance, Release: "r", Revision: 1})
 		if c, _ := applyCommand(t, s, 0, Command{Op: OpPause, Release: "r", Outcome: Divergent}); c.PerMille != want {
-			t.Errorf("%q while outcomes diverge: %d", policy, c.PerMille)
+			t.Errorf("policy %q, divergent pause: weight = %d, want %d", policy, c.PerMille, want)
 		}
 		if c, _ := applyCommand(t, s, 0, Command{Op: OpPause, Release: "r", Outcome: Regressed}); c.PerMille != 0 || len(c.PausedSteps) != 1 {
-			t.Errorf("%q and then worse: %d", policy, c.PerMille)
+			t.Errorf("policy %q, regressed pause after a divergent one: weight = %d with %d paused steps, want 0 with 1",
+				policy, c.PerMille, len(c.PausedSteps))
 		}
 	}
 }
 
 func TestValidateSpec(t *testing.T) {
 	if err := ValidateSpec(validSpec("r")); err != nil {
-		t.Fatal(err)
+		t.Fatalf("ValidateSpec(valid spec) = %v, want nil", err)
 	}
 	for name, invalidate := range map[string]func(*Spec){
-		"ladder": func(s *Spec) { s.Steps = []int{10, 10} }, "empty ladder": func(s *Spec) { s.Steps = nil },
-		"above all": func(s *Spec) { s.Steps = []int{10, 1001} }, "none": func(s *Spec) { s.Steps = []int{0, 10} },
-		"long": func(s *Spec) { s.Steps = make([]int, MaxSteps+1) }, "arm": func(s *Spec) { s.Target = Selector{} },
-		"two arms": func(s *Spec) { s.Target.Since = 1 }, "member twice": func(s *Spec) { s.Target.Members = []string{"a", "a"} },
-		"floor": func(s *Spec) { s.MinAttempts = 0 }, "longest": func(s *Spec) { s.MaxStepMS = 15_000 }, "error": func(s *Spec) { s.FalsePositiveRate = 0 },
-		"guards": func(s *Spec) { s.Guardrails = nil }, "guard": func(s *Spec) { s.Guardrails[0].Metric = "?" }, "points": func(s *Spec) { s.Guardrails[0].MarginPerMille = 0 },
-		"factor": func(s *Spec) { s.Guardrails[1].Factor = 1 }, "twice": func(s *Spec) { s.Guardrails[1] = s.Guardrails[2] },
-		"diverge": func(s *Spec) { s.OnDivergence = "?" }, "name": func(s *Spec) { s.Release = "" }, "salt": func(s *Spec) { s.Salt = 0 },
+		"steps not increasing": func(s *Spec) { s.Steps = []int{10, 10} }, "no steps": func(s *Spec) { s.Steps = nil },
+		"step above 1000": func(s *Spec) { s.Steps = []int{10, 1001} }, "step of 0": func(s *Spec) { s.Steps = []int{0, 10} },
+		"too many steps": func(s *Spec) { s.Steps = make([]int, MaxSteps+1) }, "empty selector": func(s *Spec) { s.Target = Selector{} },
+		"members and a start time": func(s *Spec) { s.Target.Since = 1 }, "repeated member": func(s *Spec) { s.Target.Members = []string{"a", "a"} },
+		"no minimum of attempts": func(s *Spec) { s.MinAttempts = 0 }, "step time too short": func(s *Spec) { s.MaxStepMS = 15_000 },
+		"no false positive rate": func(s *Spec) { s.FalsePositiveRate = 0 },
+		"no guardrails":          func(s *Spec) { s.Guardrails = nil }, "unknown metric": func(s *Spec) { s.Guardrails[0].Metric = "?" },
+		"no margin": func(s *Spec) { s.Guardrails[0].MarginPerMille = 0 }, "time factor of 1": func(s *Spec) { s.Guardrails[1].Factor = 1 },
+		"repeated metric":           func(s *Spec) { s.Guardrails[1] = s.Guardrails[2] },
+		"unknown divergence policy": func(s *Spec) { s.OnDivergence = "?" }, "no release": func(s *Spec) { s.Release = "" },
+		"no salt": func(s *Spec) { s.Salt = 0 },
 	} {
 		sp := validSpec("r")
 		invalidate(&sp)
 		if ValidateSpec(sp) == nil {
-			t.Errorf("%s: accepted", name)
+			t.Errorf("%s: ValidateSpec = nil, want an error", name)
 		}
 	}
 }
 
-// TestRandomCommands: a weight rises only by a step up or a resume, never above its step's; a rejected command changes nothing; a copy from a
-// snapshot continues alike. Planted: an order that comes from a map, as two relays would write it.
+// TestRandomCommands checks invariants under random commands: only a step up or a resume raises a weight,
+// and never above the weight of its step; a rejected command changes nothing; and a state restored from a
+// snapshot behaves like the original. It also checks that DecodeState rejects canaries in another order,
+// such as a map's, since relays with different orders would encode different snapshots.
 func TestRandomCommands(t *testing.T) {
 	unsortedRejected := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -111,9 +118,9 @@
 			sp := validSpec(name)
 			sp.OnDivergence = rapid.SampledFrom([]DivergencePolicy{"", KeepWeight, LowerWeight}).Draw(t, "diverge")
 			before, existed := s.Canary(name)
-			cmd := Command{Release: name, Op: rapid.SampledFrom([]Op{OpOpen, OpAdvance, OpAdvance, OpAdvance, OpPause, OpResume, OpRollBack, OpClose, OpCheckpoint, "?"}).Draw(t, "do"),
-				Checkpoint: []byte(name), Outcome: rapid.SampledFrom([]Outcome{"", Regressed, Divergent}).Draw(t, "kind"), Epoch: uint64(rapid.IntRange(0, 6).Draw(t, "epoch")),
-				Revision: before.Revision + uint64(rapid.SampledFrom([]int{0, 0, 0, 1}).Draw(t, "off"))}
+			cmd := Command{Release: name, Op: rapid.SampledFrom([]Op{OpOpen, OpAdvance, OpAdvance, OpAdvance, OpPause, OpResume, OpRollBack, OpClose, OpCheckpoint, "?"}).Draw(t, "op"),
+				Checkpoint: []byte(name), Outcome: rapid.SampledFrom([]Outcome{"", Regressed, Divergent}).Draw(t, "outcome"), Epoch: uint64(rapid.IntRange(0, 6).Draw(t, "epoch")),
+				Revision: before.Revision + uint64(rapid.SampledFrom([]int{0, 0, 0, 1}).Draw(t, "revision offset"))}
 			if cmd.Op == OpOpen {
 				cmd.Spec, cmd.Revision = &sp, 0
 			}
@@ -121,10 +128,10 @@
 			c, rejection := applyCommand(t, s, int64(i), cmd)
 			replica.Apply(int64(i), "op", cmd.Encode())
 			if rejection != "" && (!bytes.Equal(encodedBefore, s.Encode()) || version != s.Version()) {
-				t.Fatalf("%v was rejected and changed something", cmd)
+				t.Fatalf("command %+v was rejected (%s) but changed the state", cmd, rejection)
 			}
 			if !bytes.Equal(s.Encode(), replica.Encode()) {
-				t.Fatal("two of one log differ")
+				t.Fatalf("states with the same commands differ:\n%s\n%s", s.Encode(), replica.Encode())
 			}
 			if unsorted := *replica; len(s.stored.Canaries) > 1 {
 				unsorted.stored.Canaries = s.Canaries()
@@ -135,32 +142,34 @@
 			}
 			var err error
 			if replica, err = DecodeState(s.Encode()); err != nil || !bytes.Equal(s.Encode(), replica.Encode()) {
-				t.Fatalf("snapshot: %v", err)
+				t.Fatalf("DecodeState(Encode()): error %v, want an equal state", err)
 			}
 			if rejection != "" {
 				continue
 			}
 			if stored := s.Checkpoint(name) != nil; stored != (cmd.Op == OpCheckpoint) || stored && version != s.Version() {
-				t.Fatalf("%s: evidence of another step, or a version of weights that did not change", cmd.Op)
+				t.Fatalf("after %q: Checkpoint stored = %v, version %d, before %d; want a checkpoint only after %q, without a new version",
+					cmd.Op, stored, s.Version(), version, OpCheckpoint)
 			}
 			switch {
 			case c.PerMille > 0 && c.PerMille > c.Steps[c.Step]:
-				t.Fatalf("%d on step %d", c.PerMille, c.Step)
+				t.Fatalf("weight = %d on step %d, want at most %d", c.PerMille, c.Step, c.Steps[c.Step])
 			case existed && c.PerMille > before.PerMille && cmd.Op != OpAdvance && cmd.Op != OpResume:
-				t.Fatalf("%s raised it", cmd.Op)
+				t.Fatalf("command %q raised the weight from %d to %d", cmd.Op, before.PerMille, c.PerMille)
 			case cmd.Op == OpAdvance && (before.Status != Progressing || cmd.Revision != before.Revision || c.Step > before.Step+1):
-				t.Fatalf("a step up from %s at %d, by %d", before.Status, before.Revision, cmd.Revision)
+				t.Fatalf("step up accepted in status %q at revision %d (command's: %d), from step %d to %d", before.Status, before.Revision, cmd.Revision, before.Step, c.Step)
 			case cmd.Op == OpResume && (c.Step != max(before.Step-1, 0) || c.Epoch <= before.Epoch || c.Epoch <= cmd.Epoch):
-				t.Fatalf("resumed at step %d from %d, epoch %d", c.Step, before.Step, c.Epoch)
+				t.Fatalf("resume from step %d in epoch %d (command's: %d): step = %d, epoch = %d; want one step below and a higher epoch",
+					before.Step, before.Epoch, cmd.Epoch, c.Step, c.Epoch)
 			case cmd.Op == OpPause && before.Status != Paused && slices.Contains(before.PausedSteps, before.Step) && c.Status != RolledBack:
-				t.Fatal("paused twice on one step, and not rolled back")
+				t.Fatalf("second pause on step %d: status = %q, want %q", before.Step, c.Status, RolledBack)
 			case c.Status == RolledBack && c.PerMille != 0:
-				t.Fatal("rolled back, with a weight")
+				t.Fatalf("rolled back canary has weight %d, want 0", c.PerMille)
 			}
 		}
 	})
 	if unsortedRejected == 0 {
-		t.Error("a map's order was not found")
+		t.Error("DecodeState rejected no state with canaries in reverse order, want at least one")
 	}
 }
 
@@ -173,14 +182,14 @@
 		for i, w := range steps {
 			now := RoutedToCanary(7, g, w)
 			if routed && !now {
-				t.Fatalf("group %d left the canary at %d per mille", g, w)
+				t.Fatalf("group %d: routed to the canary at a lower weight but not at %d per mille", g, w)
 			}
 			if routed = now; now {
 				counts[i]++
 			}
 		}
 		if !routed || RoutedToCanary(7, g, 0) {
-			t.Fatalf("group %d is not in all, or in none", g)
+			t.Fatalf("group %d: routed at 1000 per mille: %v, at 0: %v; want true, false", g, routed, RoutedToCanary(7, g, 0))
 		}
 	}
 	both := 0
@@ -189,10 +198,10 @@
 			both++
 		}
 	}
-	counts = append(counts, both) // two releases are drawn apart: a tenth of a tenth
+	counts = append(counts, both) // different salts are independent: a tenth of a tenth of the groups is in both
 	for i, w := range append(steps, 10) {
 		if want := float64(w) / 1000 * groups; float64(counts[i]) < want*0.8-5 || float64(counts[i]) > want*1.2+5 {
-			t.Errorf("%d per mille: %d groups of %d", w, counts[i], groups)
+			t.Errorf("at %d per mille: %d of %d groups routed to the canary, want about %.0f", w, counts[i], groups, want)
 		}
 	}
 }
@@ -205,7 +214,8 @@
 		{`[10,50,`, `[50,10,`}, {`"epoch":1`, `"epoch":2`}, {`}`, ``}} {
 		bad := strings.Replace(text, change[0], change[1], 1)
 		if _, err := DecodeState([]byte(bad)); err == nil || bad == text {
-			t.Errorf("%v was not rejected", change)
+			t.Errorf("snapshot with %q replaced by %q: changed = %v, DecodeState error = %v; want a changed snapshot and an error",
+				change[0], change[1], bad != text, err)
 		}
 	}
 }
@@ -231,7 +241,7 @@
 		{2000, Verdict{Release: "r", Epoch: 2, Outcome: Inconclusive, Checkpoint: []byte{1}}, true, ""},
 		{2000, Verdict{Release: "r", Epoch: 1, Outcome: Regressed}, false, "pause worse"},
 		{2000, Verdict{Release: "r", Epoch: 1, Outcome: Divergent, Zones: []string{"z"}, Relays: []string{"n"}}, false, "pause diverge [zone z relay n]"},
-		{2000, Verdict{Release: "r", Epoch: 1, Step: 1, Outcome: Regressed}, true, ""}, // of another step
+		{2000, Verdict{Release: "r", Epoch: 1, Step: 1, Outcome: Regressed}, true, ""}, // a verdict on another step
 		{2000, Verdict{Release: "r", Epoch: 2, Outcome: Healthy}, true, ""},
 		{2000, Verdict{Release: "x", Epoch: 1, Outcome: Regressed}, true, ""},
 	} {
@@ -243,14 +253,14 @@
 			}
 		}
 		if got != c.want {
-			t.Errorf("%d: %q, not %q", i, got, c.want)
+			t.Errorf("case %d: Plan(%d, %+v, %v) = %q, want %q", i, c.now, c.v, c.applied, got, c.want)
 		}
 	}
 	cmd := s.Plan(2000, Verdict{Release: "r", Epoch: 1, Outcome: Regressed}, true)[0]
 	applyCommand(t, s, 2000, cmd)
 	if next := s.Plan(2001, Verdict{Release: "r"}, true); len(next) != 1 || next[0].Op != OpRollBack {
-		t.Errorf("after worse: %v", next)
+		t.Errorf("Plan after a regressed pause = %+v, want one %q command", next, OpRollBack)
 	} else if c, rejection := applyCommand(t, s, 2001, next[0]); rejection != "" || c.Status != RolledBack {
-		t.Errorf("%v %s", c, rejection)
+		t.Errorf("roll back: status = %q, error %q; want status %q", c.Status, rejection, RolledBack)
 	}
 }
