--- a/internal/canary/plan.go
+++ b/internal/canary/plan.go
@@ -49,7 +49,8 @@
 	return []Command{pause}
 }
 
-// overdueReason returns why a step got no verdict within Spec.MaxStepMS.
+// overdueReason returns why a step got no verdict within Spec.MaxStepMS; "compared" counts attempts to the
+// canary.
 func overdueReason(v Verdict, minAttempts uint64) string {
 	switch {
 	case v.Suspected:
