--- a/internal/canary/forms_test.go
+++ b/internal/canary/forms_test.go
@@ -11,15 +11,16 @@
 	"dahliarudder/internal/encodingtest"
 )
 
-// TestEncodedForms compares what goes into the record, onto a wire or into an HTTP answer with the bytes of an earlier version.
+// TestEncodedForms checks that the encoded forms in the record, in messages between relays and in HTTP
+// answers are byte for byte those of an earlier version. It also compares the trace of a simulation.
 func TestEncodedForms(t *testing.T) {
 	var lines []string
-	for _, value := range []any{&Spec{}, &Canary{}, &Weight{}, &Command{}, &Notice{}, &Verdict{}, &stateForm{}} {
+	for _, value := range []any{&Spec{}, &Canary{}, &Weight{}, &Command{}, &Notice{}, &Verdict{}, &storedState{}} {
 		var counter encodingtest.Counter
 		counter.Fill(value)
 		text, err := json.Marshal(value)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("encode %T: %v", value, err)
 		}
 		lines = append(lines, string(text))
 	}
@@ -28,7 +29,7 @@
 	counter.Fill(c.Tally(Stratum{Class: 1, Zone: 2, WarmingUp: true, Load: 3}, true))
 	counter.Fill(c.Tally(Stratum{Class: 1}, false))
 	lines = append(lines, hex.EncodeToString(c.AppendReport(nil, 1400)))
-	w := newSimulation(1, defect{points: 0.05})
+	w := newSimulation(1, defect{extraFailureRate: 0.05})
 	for range 60 {
 		w.step()
 	}
@@ -40,6 +41,6 @@
 		t.Fatal(err)
 	}
 	if got != string(want) {
-		t.Errorf("encoded now:\n%s\nearlier:\n%s", got, want)
+		t.Errorf("encoded forms changed: got\n%s\nwant those of an earlier version:\n%s", got, want)
 	}
 }
