--- a/internal/drift/activities.go
+++ b/internal/drift/activities.go
@@ -8,19 +8,19 @@
 // trackedActivity is one count of a relay.
 type trackedActivity struct {
 	Activity
-	base       uint64 // violations when the grace ended
-	sentAt     int64  // of the last report that had it
-	receivedAt int64
-	grewAt     int64 // when violations last rose
+	baseViolations   uint64 // violations when the grace ended
+	sentAt           int64  // of the last report that had it
+	receivedAt       int64
+	violationsRoseAt int64 // when violations last rose
 }
 
 // suspicion is what speaks against an item.
 type suspicion struct {
-	reason       string // of the present state
-	evidence     []string
-	contradicted bool  // the relay was seen to do otherwise than it reports
-	sightings    int   // by others
-	lastSeenAt   int64 // when it was last seen to do otherwise
+	reason          string // of the present state
+	evidence        []string
+	contradicted    bool  // the relay was seen to do otherwise than it reports
+	sightings       int   // by others
+	lastViolationAt int64 // when it was last seen to do otherwise
 }
 
 func (s *suspicion) clear() { s.contradicted, s.sightings = false, 0 }
@@ -34,7 +34,7 @@
 }
 
 // suspected returns the item's suspicion, which it adds if there is none.
-func (i *trackedItem) suspected() *suspicion {
+func (i *trackedItem) ensureSuspicion() *suspicion {
 	if i.suspicion == nil {
 		i.suspicion = &suspicion{}
 	}
@@ -43,14 +43,14 @@
 
 // takeActivity takes one of a relay's counts. What was in flight when the relay applied an item may still be counted for as long as an attempt
 // takes, so violations count from the first report after that. By both clocks: a report may be late, and a relay's clock may be stepped.
-func (m *Monitor) takeActivity(sentAt int64, r *relayState, a Activity) {
+func (m *Monitor) handleActivity(sentAt int64, r *relayState, a Activity) {
 	k := slices.IndexFunc(r.activities, func(x trackedActivity) bool { return x.Item == a.Item && x.Kind == a.Kind })
 	if k < 0 {
 		if len(r.activities) >= MaxActivities {
 			m.counts.OverLimit++
 			return
 		}
-		r.activities = append(r.activities, trackedActivity{Activity: a, base: a.Violations, sentAt: sentAt, receivedAt: r.receivedAt})
+		r.activities = append(r.activities, trackedActivity{Activity: a, baseViolations: a.Violations, sentAt: sentAt, receivedAt: r.receivedAt})
 		return
 	}
 	t := &r.activities[k]
@@ -59,15 +59,15 @@
 		grace = 0
 	}
 	switch {
-	case i == nil || i.inSyncSince == 0 || min(t.sentAt-i.inSyncSince, t.receivedAt-i.inSyncReceivedAt) < grace || a.Violations < t.base:
-		t.base = a.Violations
-	case a.Violations == t.Violations && sentAt-t.grewAt > grace+r.group(GroupOf(a.Item)).lag.bound:
-		t.base = a.Violations // one violation in a long time is chance: an attempt that hung, a race
-	case a.Violations > t.Violations && a.Violations-t.base >= confirmations:
-		m.contradict(sentAt, r, i, fmt.Sprintf("%d sends of %q astray by its own count since it said that it runs %d", a.Violations-t.base, a.Kind, i.applied.Version))
+	case i == nil || i.inSyncSince == 0 || min(t.sentAt-i.inSyncSince, t.receivedAt-i.inSyncReceivedAt) < grace || a.Violations < t.baseViolations:
+		t.baseViolations = a.Violations
+	case a.Violations == t.Violations && sentAt-t.violationsRoseAt > grace+r.group(GroupOf(a.Item)).lag.bound:
+		t.baseViolations = a.Violations // one violation in a long time is chance: an attempt that hung, a race
+	case a.Violations > t.Violations && a.Violations-t.baseViolations >= confirmations:
+		m.recordContradiction(sentAt, r, i, fmt.Sprintf("%d sends of %q astray by its own count since it said that it runs %d", a.Violations-t.baseViolations, a.Kind, i.applied.Version))
 	}
 	if a.Violations != t.Violations {
-		t.grewAt = sentAt
+		t.violationsRoseAt = sentAt
 	}
 	t.Activity, t.sentAt, t.receivedAt = a, sentAt, r.receivedAt
 }
@@ -84,19 +84,19 @@
 	if i == nil || i.inSyncSince == 0 || now < i.inSyncReceivedAt+m.settings.InFlightGrace+g.lag.bound {
 		return
 	}
-	s := i.suspected()
+	s := i.ensureSuspicion()
 	s.sightings++
-	s.lastSeenAt = now
+	s.lastViolationAt = now
 	s.addEvidence(evidence)
 	if s.sightings >= confirmations {
-		m.contradict(now, r, i, evidence)
+		m.recordContradiction(now, r, i, evidence)
 	}
 }
 
 // contradict notes that what a relay does contradicts its reports on an item.
-func (m *Monitor) contradict(now int64, r *relayState, i *trackedItem, evidence string) {
-	s := i.suspected()
-	s.lastSeenAt = now
+func (m *Monitor) recordContradiction(now int64, r *relayState, i *trackedItem, evidence string) {
+	s := i.ensureSuspicion()
+	s.lastViolationAt = now
 	if len(s.evidence) == 0 || s.evidence[len(s.evidence)-1] != sanitize(evidence, MaxReasonBytes) {
 		s.addEvidence(evidence)
 	}
@@ -110,14 +110,14 @@
 }
 
 // forgive drops what a relay was seen to do once it has behaved for as long as the claim had to wait.
-func (m *Monitor) forgive(now int64, r *relayState, g *groupState, i *trackedItem) {
-	if r.silent || min(now, r.sentAt)-i.suspicion.lastSeenAt <= m.settings.InFlightGrace+g.lag.bound {
+func (m *Monitor) expireSuspicion(now int64, r *relayState, g *groupState, i *trackedItem) {
+	if r.silent || min(now, r.sentAt)-i.suspicion.lastViolationAt <= m.settings.InFlightGrace+g.lag.bound {
 		return
 	}
 	i.suspicion.clear()
 	for k := range r.activities {
 		if r.activities[k].Item == i.agreed.Name {
-			r.activities[k].base = r.activities[k].Violations
+			r.activities[k].baseViolations = r.activities[k].Violations
 		}
 	}
 	if i.state == Contradicting {
--- a/internal/drift/agreement.go
+++ b/internal/drift/agreement.go
@@ -8,11 +8,11 @@
 
 // SetIntent sets all that is agreed for a relay. It makes the relay known; without items the relay is forgotten.
 func (m *Monitor) SetIntent(now int64, name string, items []Item) {
-	at, known := slices.BinarySearchFunc(m.sorted, name, func(r *relayState, n string) int { return cmp.Compare(r.name, n) })
+	index, known := slices.BinarySearchFunc(m.sorted, name, func(r *relayState, n string) int { return cmp.Compare(r.name, n) })
 	switch {
 	case len(items) == 0:
 		if known {
-			m.forget(now, at)
+			m.removeRelay(now, index)
 		}
 		return
 	case !known && len(m.sorted) >= MaxRelays:
@@ -20,10 +20,10 @@
 		return
 	case !known:
 		r := &relayState{name: name, silent: true, silentSince: now}
-		m.sorted = slices.Insert(m.sorted, at, r)
+		m.sorted = slices.Insert(m.sorted, index, r)
 		m.relays[name] = r
 	}
-	r := m.sorted[at]
+	r := m.sorted[index]
 	for _, i := range r.allItems() {
 		i.isAgreed = false
 	}
@@ -41,7 +41,7 @@
 			i = g.addItem(item.Name, now)
 		}
 		i.isAgreed = true
-		m.agree(now, r, g, i, item)
+		m.setAgreed(now, r, g, i, item)
 	}
 	for _, g := range r.groups {
 		for _, i := range g.items {
@@ -58,32 +58,32 @@
 }
 
 // forget drops a relay.
-func (m *Monitor) forget(now int64, at int) {
-	r := m.sorted[at]
+func (m *Monitor) removeRelay(now int64, index int) {
+	r := m.sorted[index]
 	for _, i := range r.allItems() {
 		m.trackArrival(now, i, nil)
 	}
-	m.sorted = slices.Delete(m.sorted, at, at+1)
+	m.sorted = slices.Delete(m.sorted, index, index+1)
 	delete(m.relays, r.name)
 }
 
 // agree sets what is agreed of one item.
-func (m *Monitor) agree(now int64, r *relayState, g *groupState, i *trackedItem, item Item) {
+func (m *Monitor) setAgreed(now int64, r *relayState, g *groupState, i *trackedItem, item Item) {
 	if i.agreed == item && i.arrival != nil {
 		return
 	}
 	i.agreed = item
 	m.trackArrival(now, i, &item)
-	i.highestAgreed = max(i.highestAgreed, item.Version)
+	i.highestAgreedVersion = max(i.highestAgreedVersion, item.Version)
 	copy(i.recentVersions[:], i.recentVersions[1:])
 	i.recentVersions[maxRecentVersions-1] = agreedVersion{item.Version, now}
 	if i.outOfSyncSince == 0 {
-		i.outOfSyncSince, i.progressedAt, i.readingCount = now, now, 0
-		i.measurable = !r.silent && i.state == InSync && i.inSyncSince > 0
+		i.outOfSyncSince, i.progressedAt, i.reportedStateCount = now, now, 0
+		i.lagMeasurable = !r.silent && i.state == InSync && i.inSyncSince > 0
 	}
 	i.inSyncSince = 0
 	if i.state == Rejected { // that was another version's answer: a new chance
-		i.outOfSyncSince, i.progressedAt, i.measurable = now, now, false
+		i.outOfSyncSince, i.progressedAt, i.lagMeasurable = now, now, false
 		m.setState(now, r, i, Propagating, "")
 	}
 	if i.state == InSync {
@@ -129,16 +129,16 @@
 
 // group returns a group, nil if there is none.
 func (r *relayState) group(name string) *groupState {
-	if at, ok := r.findGroup(name); ok {
-		return r.groups[at]
+	if index, ok := r.findGroup(name); ok {
+		return r.groups[index]
 	}
 	return nil
 }
 
 func (r *relayState) addGroup(name string, lag *lagEstimate) *groupState {
 	g := &groupState{name: name, lag: lag}
-	at, _ := r.findGroup(name)
-	r.groups = slices.Insert(r.groups, at, g)
+	index, _ := r.findGroup(name)
+	r.groups = slices.Insert(r.groups, index, g)
 	return g
 }
 
@@ -150,23 +150,23 @@
 	return nil
 }
 
-func (g *groupState) find(name string) (int, bool) {
+func (g *groupState) findItem(name string) (int, bool) {
 	return slices.BinarySearchFunc(g.items, name, func(i *trackedItem, n string) int { return cmp.Compare(i.agreed.Name, n) })
 }
 
 // item returns an item of the group, nil if there is none.
 func (g *groupState) item(name string) *trackedItem {
-	if at, ok := g.find(name); ok {
-		return g.items[at]
+	if index, ok := g.findItem(name); ok {
+		return g.items[index]
 	}
 	return nil
 }
 
 func (g *groupState) addItem(name string, now int64) *trackedItem {
-	i := &trackedItem{agreed: Item{Name: name}, state: Propagating, stateSince: now, lastReading: Propagating}
+	i := &trackedItem{agreed: Item{Name: name}, state: Propagating, stateSince: now, lastReportedState: Propagating}
 	i.applied.Name = name
-	at, _ := g.find(name)
-	g.items = slices.Insert(g.items, at, i)
+	index, _ := g.findItem(name)
+	g.items = slices.Insert(g.items, index, i)
 	return i
 }
 
--- a/internal/drift/classify.go
+++ b/internal/drift/classify.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	minFleetToCompare = 3 // relays that report: with fewer, a relay cannot be compared with the others
-	fixedBoundForTest = 5 // intervals, with the defect fixedBound
+	minFleetToCompare   = 3 // relays that report: with fewer, a relay cannot be compared with the others
+	fixedBoundIntervals = 5 // intervals, with the defect fixedBound
 )
 
 // reading returns what an item's reports say, whatever time it took.
-func (i *trackedItem) reading() State {
+func (i *trackedItem) reportedState() State {
 	switch {
 	case i.applied.LocalOverride:
 		return Overridden
@@ -19,9 +19,9 @@
 		return InSync
 	case i.applied.RejectedVersion == i.agreed.Version && i.applied.RejectedVersion != 0:
 		return Rejected
-	case i.applied.Version > i.highestAgreed, i.applied.Version == i.agreed.Version && i.applied.Digest != i.agreed.Digest:
+	case i.applied.Version > i.highestAgreedVersion, i.applied.Version == i.agreed.Version && i.applied.Digest != i.agreed.Digest:
 		return Ahead
-	case i.applied.Version < i.lastInSync:
+	case i.applied.Version < i.lastInSyncVersion:
 		return Regressed
 	}
 	return Lagging
@@ -29,49 +29,49 @@
 
 // classify takes one more report on an item, and sets its state.
 func (m *Monitor) classify(sentAt int64, r *relayState, g *groupState, i *trackedItem) {
-	reading := i.reading()
-	if reading != i.lastReading {
-		i.lastReading, i.readingCount = reading, 0
+	reported := i.reportedState()
+	if reported != i.lastReportedState {
+		i.lastReportedState, i.reportedStateCount = reported, 0
 	}
-	i.readingCount++
-	if reading == InSync {
+	i.reportedStateCount++
+	if reported == InSync {
 		m.recordArrival(sentAt, r, g, i)
 	} else {
 		i.inSyncSince = 0
 		if i.outOfSyncSince == 0 {
-			i.outOfSyncSince, i.progressedAt, i.measurable = sentAt, sentAt, false
+			i.outOfSyncSince, i.progressedAt, i.lagMeasurable = sentAt, sentAt, false
 		}
 	}
-	excused := (r.liveness == Restarting || r.liveness == Upgrading) && (i.returnedAt > 0 || appliedAtRestart(g.name))
-	if excused && reading != InSync { // its time begins when the restart is over
-		i.outOfSyncSince, i.progressedAt, i.measurable = sentAt, sentAt, false
+	lagClockPaused := (r.liveness == Restarting || r.liveness == Upgrading) && (i.returnedAt > 0 || appliedAtRestart(g.name))
+	if lagClockPaused && reported != InSync { // its time begins when the restart is over
+		i.outOfSyncSince, i.progressedAt, i.lagMeasurable = sentAt, sentAt, false
 	}
-	next := m.nextState(sentAt, g, i, reading)
+	next := m.nextState(sentAt, g, i, reported)
 	// A claim is taken back, or changed, on the second report that says so. It is made on the evidence of nextState.
 	if i.state >= Lagging && next != i.state {
-		if i.leavingCount++; i.leavingCount < confirmations {
+		if i.reportsAgainstState++; i.reportsAgainstState < confirmations {
 			return
 		}
 	}
-	i.leavingCount = 0
+	i.reportsAgainstState = 0
 	if next != i.state {
 		m.setState(sentAt, r, i, next, m.explain(sentAt, g, i, next))
 	}
 }
 
 // nextState returns the state that a reading gives with the time it took and the relay's activities.
-func (m *Monitor) nextState(sentAt int64, g *groupState, i *trackedItem, reading State) State {
+func (m *Monitor) nextState(sentAt int64, g *groupState, i *trackedItem, reported State) State {
 	next := Propagating
-	switch reading {
+	switch reported {
 	case InSync, Rejected, Overridden:
-		next = reading
+		next = reported
 	case Regressed:
 		if i.returnedAt == 0 || m.overdue(sentAt, g, i) {
-			next = reading
+			next = reported
 		}
 	default:
-		if i.readingCount >= confirmations && m.overdue(sentAt, g, i) {
-			next = reading
+		if i.reportedStateCount >= confirmations && m.overdue(sentAt, g, i) {
+			next = reported
 		}
 	}
 	if i.suspicion != nil && i.suspicion.contradicted && next <= Propagating {
@@ -83,25 +83,25 @@
 // recordArrival notes that a relay reports to run what is agreed.
 func (m *Monitor) recordArrival(sentAt int64, r *relayState, g *groupState, i *trackedItem) {
 	if i.outOfSyncSince > 0 {
-		took := sentAt - i.outOfSyncSince
+		lag := sentAt - i.outOfSyncSince
 		slowFleet := i.arrival != nil && i.arrival.live >= minFleetToCompare && 2*i.arrival.arrived <= i.arrival.live
 		switch {
 		case i.returnedAt > 0:
-			if i.state < Lagging && took > 0 { // a relay that was in sync by its first report tells nothing of how long it takes
-				m.recoveryLag.add(took)
+			if i.state < Lagging && lag > 0 { // a relay that was in sync by its first report tells nothing of how long it takes
+				m.recoveryLag.add(lag)
 			}
-		case i.measurable && (i.state < Lagging || slowFleet) && !slices.Contains(m.settings.UnmeasuredGroups, g.name):
-			g.lag.add(took)
+		case i.lagMeasurable && (i.state < Lagging || slowFleet) && !slices.Contains(m.settings.UnmeasuredGroups, g.name):
+			g.lag.add(lag)
 			if g.lag != m.fleetLag {
-				m.fleetLag.add(took)
+				m.fleetLag.add(lag)
 			}
 		}
 	}
 	if i.inSyncSince == 0 {
 		i.inSyncSince, i.inSyncReceivedAt = sentAt, r.receivedAt
 	}
-	i.outOfSyncSince, i.returnedAt, i.measurable = 0, 0, false
-	i.lastInSync = i.agreed.Version
+	i.outOfSyncSince, i.returnedAt, i.lagMeasurable = 0, 0, false
+	i.lastInSyncVersion = i.agreed.Version
 }
 
 // appliedAtRestart reports whether a group's items are applied by a process as it starts, so that they take as long as a restart.
@@ -114,14 +114,14 @@
 		bound = max(bound, m.recoveryLag.bound)
 	}
 	if m.defect == fixedBound {
-		return sentAt-i.outOfSyncSince > fixedBoundForTest*m.settings.ReportInterval
+		return sentAt-i.outOfSyncSince > fixedBoundIntervals*m.settings.ReportInterval
 	}
 	switch a := i.arrival; {
 	case a == nil || a.live > 0 && a.live < minFleetToCompare: // there is no fleet to compare it with
-	case !a.mostArrived() || a.live == 0: // the fleet is slow and not the relay, or the version was agreed just now
+	case !a.halfArrived() || a.live == 0: // the fleet is slow and not the relay, or the version was agreed just now
 		bound = int64(m.settings.SlowFleetFactor * float64(bound))
 	case g.lag.n < maxLagSamples: // all that is known is how long half of the fleet took
-		bound = max(bound, int64(m.settings.SlowFleetFactor*float64(a.halfTime)))
+		bound = max(bound, int64(m.settings.SlowFleetFactor*float64(a.halfArrivedAfter)))
 	}
 	// Progress (a slow disk) puts the bound off, but not forever.
 	return sentAt-max(i.outOfSyncSince, i.progressedAt) > bound || sentAt-i.outOfSyncSince > max(m.settings.MaxBound, bound)
@@ -136,7 +136,7 @@
 	case Rejected:
 		return fmt.Sprintf("refused %d: %s", i.applied.RejectedVersion, i.applied.RejectReason)
 	case Regressed:
-		return fmt.Sprintf("runs %d, ran %d before", i.applied.Version, i.lastInSync)
+		return fmt.Sprintf("runs %d, ran %d before", i.applied.Version, i.lastInSyncVersion)
 	case Ahead:
 		if !i.isAgreed {
 			return fmt.Sprintf("runs %d, no such item is agreed", i.applied.Version)
@@ -156,9 +156,9 @@
 		return
 	}
 	from := i.state
-	i.state, i.stateSince, i.leavingCount = to, now, 0
+	i.state, i.stateSince, i.reportsAgainstState = to, now, 0
 	if to >= Lagging {
-		s := i.suspected()
+		s := i.ensureSuspicion()
 		s.reason = sanitize(reason, MaxReasonBytes)
 		if to != Contradicting {
 			s.addEvidence(reason)
--- a/internal/drift/findings.go
+++ b/internal/drift/findings.go
@@ -126,7 +126,7 @@
 	}
 	var groups []string
 	for _, g := range r.groups {
-		if !g.matched {
+		if !g.digestMatches {
 			groups = append(groups, g.name)
 		}
 	}
@@ -155,23 +155,23 @@
 // SelectUnfit returns which relays are to take no clients because they drift, the worst first: at most the budget, and those that are out
 // already and still drift before all others, so that relays do not take turns. An override by the relay's operators takes nobody out, nor does
 // silence.
-func (m *Monitor) SelectUnfit(budget int, out []string, exempt Exempt) []UnfitRelay {
+func (m *Monitor) SelectUnfit(budget int, quarantined []string, exempt Exempt) []UnfitRelay {
 	type candidate struct {
 		UnfitRelay
-		out      bool
-		severity int
-		since    int64
+		quarantined bool
+		severity    int
+		since       int64
 	}
 	var list []candidate
 	for _, r := range m.sorted {
 		if i := r.worst(exempt); i != nil && !r.silent && i.state != Overridden {
 			unfit := UnfitRelay{r.name, fmt.Sprintf("%s %s: %s", i.agreed.Name, i.state, i.suspicion.reason)}
-			list = append(list, candidate{unfit, slices.Contains(out, r.name), i.state.severity(), i.stateSince})
+			list = append(list, candidate{unfit, slices.Contains(quarantined, r.name), i.state.severity(), i.stateSince})
 		}
 	}
 	slices.SortFunc(list, func(x, y candidate) int {
-		if x.out != y.out {
-			if x.out {
+		if x.quarantined != y.quarantined {
+			if x.quarantined {
 				return -1
 			}
 			return 1
--- a/internal/drift/lag.go
+++ b/internal/drift/lag.go
@@ -19,22 +19,22 @@
 	n, next int
 	prior   int64 // of the last update
 	bound   int64
-	stale   bool // samples came after the last update
+	changed bool // samples came after the last update
 }
 
 func (l *lagEstimate) add(ms int64) {
 	l.samples[l.next] = float64(max(ms, 1))
 	l.next = (l.next + 1) % maxLagSamples
 	l.n = min(l.n+1, maxLagSamples)
-	l.stale = true
+	l.changed = true
 }
 
 // update computes the bound, if there are new samples or another prior.
 func (l *lagEstimate) update(s Settings, prior int64) {
-	if !l.stale && l.prior == prior {
+	if !l.changed && l.prior == prior {
 		return
 	}
-	l.stale, l.prior = false, prior
+	l.changed, l.prior = false, prior
 	bound := float64(0)
 	if l.n > 0 {
 		sorted := slices.Clone(l.samples[:l.n])
@@ -43,8 +43,8 @@
 		bound = max(p90*min(math.Pow(p90/p50, 2), maxStretch), p98*min(p98/p50, maxStretch), 2*p90)
 	}
 	bound = max(bound, float64(minBoundIntervals*s.ReportInterval))
-	if known := float64(l.n) / maxLagSamples; known < 1 {
-		bound = max(bound, bound*known+float64(prior)*(1-known))
+	if weight := float64(l.n) / maxLagSamples; weight < 1 {
+		bound = max(bound, bound*weight+float64(prior)*(1-weight))
 	}
 	l.bound = min(int64(bound), s.MaxBound)
 }
--- a/internal/drift/monitor.go
+++ b/internal/drift/monitor.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	confirmations      = 2    // how often something must be seen before it is claimed, and before a claim is taken back
-	maxRecentVersions  = 4    // agreed versions remembered for an item that follows them slowly
-	maxPendingChanges  = 8192 // between two Ticks
-	maxLagEstimates    = 4 * MaxGroups
-	defaultInterval    = 1000 // ms
-	defaultGrace       = 5000 // ms
-	defaultPrior       = 15   // intervals
-	defaultMaxBound    = 300  // intervals
-	defaultSlowFactor  = 8
-	intervalsOfSilence = 4 // without a report: four lost in a row are 6 in a million at 5% loss, and claim no drift
+	confirmations        = 2    // how often something must be seen before it is claimed, and before a claim is taken back
+	maxRecentVersions    = 4    // agreed versions remembered for an item that follows them slowly
+	maxPendingChanges    = 8192 // between two Ticks
+	maxLagEstimates      = 4 * MaxGroups
+	defaultInterval      = 1000 // ms
+	defaultGrace         = 5000 // ms
+	defaultPrior         = 15   // intervals
+	defaultMaxBound      = 300  // intervals
+	defaultSlowFactor    = 8
+	silentAfterIntervals = 4 // without a report: four lost in a row are 6 in a million at 5% loss, and claim no drift
 
 	// intervalsIfUnreachable is intervalsOfSilence where others receive nothing from the relay either.
-	intervalsIfUnreachable = 2
+	unreachableSilentAfterIntervals = 2
 )
 
 // Monitor is the leader's view of all relays. It is for one goroutine.
@@ -50,15 +50,15 @@
 
 // arrivalCount is how many of the relays that report have arrived at a version.
 type arrivalCount struct {
-	version       Item // without its digest
-	refs          int  // items that are to arrive at it
-	live, arrived int  // relays that report, and those of them that arrived, at the last Tick
-	agreedAt      int64
-	halfTime      int64 // how long half of them took; 0 while they have not arrived
+	version          Item // without its digest
+	refs             int  // items that are to arrive at it
+	live, arrived    int  // relays that report, and those of them that arrived, at the last Tick
+	agreedAt         int64
+	halfArrivedAfter int64 // how long half of them took; 0 while they have not arrived
 }
 
 // mostArrived reports whether at least half of the relays arrived.
-func (c *arrivalCount) mostArrived() bool { return 2*c.arrived >= c.live }
+func (c *arrivalCount) halfArrived() bool { return 2*c.arrived >= c.live }
 
 type relayState struct {
 	name             string
@@ -82,37 +82,37 @@
 	agreedDigest   uint64
 	reportedDigest uint64 // the last one that differs from agreedDigest
 	reportedSince  int64
-	matched        bool // the last report had the agreed digest
+	digestMatches  bool // the last report had the agreed digest
 	settled        bool // and nothing remains to be looked at while it does
 }
 
 // trackedItem is an item of a relay.
 type trackedItem struct {
-	agreed         Item
-	isAgreed       bool // it is agreed for this relay; else only the relay reports it
-	arrival        *arrivalCount
-	recentVersions [maxRecentVersions]agreedVersion // oldest first
-	highestAgreed  uint64                           // highest version ever agreed
+	agreed               Item
+	isAgreed             bool // it is agreed for this relay; else only the relay reports it
+	arrival              *arrivalCount
+	recentVersions       [maxRecentVersions]agreedVersion // oldest first
+	highestAgreedVersion uint64                           // highest version ever agreed
 
 	applied      Applied
 	appliedKnown bool   // applied is of the present process
 	detailedAt   int64  // when it was last reported in detail
 	detailedSeq  uint64 // in which report
 
-	inSyncSince      int64 // since when it reports without a break to be in sync; 0 if it does not
-	inSyncReceivedAt int64 // when the first such report came
-	lastInSync       uint64
-	outOfSyncSince   int64 // 0 if it is in sync
-	progressedAt     int64 // when it last came nearer
-	returnedAt       int64 // when the relay came back and was not in sync since; 0 otherwise
-	measurable       bool  // its arrival will tell how long propagation takes
-
-	state        State
-	stateSince   int64
-	lastReading  State      // what the last reports say
-	readingCount int        // how many of them in a row
-	leavingCount int        // how many of them in a row would have ended the present claim
-	suspicion    *suspicion // of an item that drifts or was seen to contradict its reports
+	inSyncSince       int64 // since when it reports without a break to be in sync; 0 if it does not
+	inSyncReceivedAt  int64 // when the first such report came
+	lastInSyncVersion uint64
+	outOfSyncSince    int64 // 0 if it is in sync
+	progressedAt      int64 // when it last came nearer
+	returnedAt        int64 // when the relay came back and was not in sync since; 0 otherwise
+	lagMeasurable     bool  // its arrival will tell how long propagation takes
+
+	state               State
+	stateSince          int64
+	lastReportedState   State      // what the last reports say
+	reportedStateCount  int        // how many of them in a row
+	reportsAgainstState int        // how many of them in a row would have ended the present claim
+	suspicion           *suspicion // of an item that drifts or was seen to contradict its reports
 }
 
 // agreedVersion is when a version was agreed.
@@ -158,14 +158,14 @@
 					}
 				}
 				if i.suspicion != nil && (i.suspicion.contradicted || i.suspicion.sightings > 0) {
-					m.forgive(now, r, g, i)
+					m.expireSuspicion(now, r, g, i)
 				}
 			}
 		}
 	}
 	for _, a := range m.arrivals {
-		if a.halfTime == 0 && a.live > 0 && a.mostArrived() {
-			a.halfTime = max(now-a.agreedAt, 1)
+		if a.halfArrivedAfter == 0 && a.live > 0 && a.halfArrived() {
+			a.halfArrivedAfter = max(now-a.agreedAt, 1)
 		}
 	}
 	changes := m.pendingChanges
@@ -175,9 +175,9 @@
 
 // checkSilence notes that a relay sends no reports. Then nothing is claimed of it.
 func (m *Monitor) checkSilence(now int64, r *relayState) {
-	limit := intervalsOfSilence * m.settings.ReportInterval
+	limit := silentAfterIntervals * m.settings.ReportInterval
 	if r.liveness == Unreachable || r.liveness == Terminated {
-		limit = intervalsIfUnreachable * m.settings.ReportInterval
+		limit = unreachableSilentAfterIntervals * m.settings.ReportInterval
 	}
 	if r.silent || now-r.receivedAt <= limit {
 		return
--- a/internal/drift/planted_test.go
+++ b/internal/drift/planted_test.go
@@ -17,7 +17,7 @@
 		s.ignores[item] = true
 		w.commit(item)
 	case Rejected:
-		s.refuses[item] = true
+		s.rejects[item] = true
 		w.commit(item)
 	case Regressed:
 		s.ignores[item] = true
@@ -27,7 +27,7 @@
 			return
 		}
 		s.reporter.RecordApplied(s.clock(w.now), s.running[item], "file")
-		w.due[key] = w.now
+		w.driftSince[key] = w.now
 	case Ahead:
 		s.ignores[item] = true
 		s.running[item] = Item{item, cur.Version + 3, 6}
@@ -35,18 +35,18 @@
 	case Overridden:
 		s.ignores[item] = true
 		s.reporter.RecordOverride(s.clock(w.now), cur, "PUT /-/members/m1/disable")
-		w.due[key] = w.now
+		w.driftSince[key] = w.now
 	case Contradicting:
 		s.violates[item] = true
-		w.due[key] = w.now
+		w.driftSince[key] = w.now
 	}
 }
 
 // heal ends all that was planted.
-func (w *simulation) heal() {
+func (w *simulation) repairAll() {
 	for _, s := range w.relays {
 		clear(s.ignores)
-		clear(s.refuses)
+		clear(s.rejects)
 		clear(s.violates)
 		for _, it := range s.reporter.items {
 			if it.LocalOverride || it.RejectedVersion > 0 || s.running[it.Name].Version > w.agreed[it.Name].Version {
@@ -67,10 +67,10 @@
 
 // TestPlanted: drift of each kind is found, p99 under 3 s after it counts, nothing else is, and it ends once it is repaired: what a relay
 // can repair by itself it is asked to resync.
-func TestPlanted(t *testing.T) {
+func TestPlantedDriftFound(t *testing.T) {
 	took := map[string][]int64{}
 	var all []int64
-	for seed := range seedCount(7) {
+	for seed := range seedsToRun(7) {
 		w := newSimulation(seed, 40, 16)
 		w.warmUp(150_000)
 		kinds := map[string]State{}
@@ -88,11 +88,11 @@
 		}
 		w.advance(90_000)
 		for key, kind := range kinds {
-			if w.found[key] == 0 || w.due[key] == 0 {
-				t.Fatalf("seed %d: %s, planted %v: due %d, found %d", seed, key, kind, w.due[key], w.found[key])
+			if w.found[key] == 0 || w.driftSince[key] == 0 {
+				t.Fatalf("seed %d: %s, planted %v: due %d, found %d", seed, key, kind, w.driftSince[key], w.found[key])
 			}
-			took[kind.String()] = append(took[kind.String()], w.found[key]-w.due[key])
-			all = append(all, w.found[key]-w.due[key])
+			took[kind.String()] = append(took[kind.String()], w.found[key]-w.driftSince[key])
+			all = append(all, w.found[key]-w.driftSince[key])
 		}
 		if len(w.falseFindings) > 0 {
 			t.Fatalf("seed %d: %s", seed, w.falseFindings[0])
@@ -107,7 +107,7 @@
 		if out := w.monitor.SelectUnfit(4, nil, nil); len(out) != 4 {
 			t.Fatalf("seed %d: SelectUnfit returns %v", seed, out)
 		}
-		w.heal()
+		w.repairAll()
 		w.advance(60_000)
 		if rows := w.monitor.Findings(); len(rows) > 0 {
 			t.Fatalf("seed %d: repaired, yet %+v", seed, rows[0])
@@ -126,25 +126,25 @@
 
 // TestReplay: the same seed gives the same result, to the last report and change.
 func TestReplay(t *testing.T) {
-	var was string
+	var previous string
 	for range 2 {
 		w := newSimulation(7, 12, 24)
 		w.plant(w.relays[3], ItemEjections, Lagging, false)
 		w.disturb(120_000)
-		now := fmt.Sprintf("%d %x %+v %v", w.bytes, w.trace, w.monitor.Findings(), w.monitor.History())
-		if was != "" && was != now {
-			t.Fatalf("%s\n%s", was, now)
+		current := fmt.Sprintf("%d %x %+v %v", w.bytes, w.trace, w.monitor.Findings(), w.monitor.History())
+		if previous != "" && previous != current {
+			t.Fatalf("%s\n%s", previous, current)
 		}
-		was = now
+		previous = current
 	}
 }
 
 // TestDefects: each of these defects, switched on, makes the monitor claim what was not planted; without it nothing is claimed.
-func TestDefects(t *testing.T) {
+func TestInjectedDefects(t *testing.T) {
 	for _, d := range []struct {
-		name string
-		flaw defect
-		play func(w *simulation)
+		name   string
+		defect defect
+		run    func(w *simulation)
 	}{
 		{"a fixed bound where propagation is slow", fixedBound, func(w *simulation) {
 			w.propagation = func(*rng) int64 { return 3000 + w.rng.Int64N(9000) }
@@ -164,10 +164,10 @@
 			w.warmUp(60_000)
 		}},
 	} {
-		for _, f := range []defect{noDefect, d.flaw} {
+		for _, f := range []defect{noDefect, d.defect} {
 			w := newSimulation(3, 12, 12)
 			w.monitor.defect = f
-			d.play(w)
+			d.run(w)
 			if found := len(w.falseFindings) > 0; found != (f != noDefect) {
 				t.Errorf("%s: switched on %v, found %v %v", d.name, f != noDefect, found, w.falseFindings[:min(len(w.falseFindings), 1)])
 			}
@@ -197,7 +197,7 @@
 
 // TestPlantedAmongFaults: drift is found while other relays restart, are partitioned and stop, and the leader changes.
 func TestPlantedAmongFaults(t *testing.T) {
-	for seed := range seedCount(3) {
+	for seed := range seedsToRun(3) {
 		w := newSimulation(seed, 30, 12)
 		w.warmUp(60_000)
 		for i, p := range []struct {
--- a/internal/drift/reporter.go
+++ b/internal/drift/reporter.go
@@ -20,14 +20,14 @@
 
 // Reporter notes what a relay has applied, counts what it does, and makes its reports. It is for one goroutine.
 type Reporter struct {
-	relay            string
-	incarnation, seq uint64
-	items            []reportedItem // by group and name
-	activities       []Activity     // by item and kind
-	wantedGroups     []string       // of which the leader wants the items
-	wantedReports    int            // for which the request still holds
-	lastItem         string         // after which the next report's items begin, so that all get their turn
-	nextActivity     int
+	relay              string
+	incarnation, seq   uint64
+	items              []reportedItem // by group and name
+	activities         []Activity     // by item and kind
+	requestedGroups    []string       // of which the leader wants the items
+	requestReportsLeft int            // for which the request still holds
+	lastSentItem       string         // after which the next report's items begin, so that all get their turn
+	nextActivity       int
 }
 
 type reportedItem struct {
@@ -41,13 +41,13 @@
 	return &Reporter{relay: sanitize(relay, MaxRelayNameBytes), incarnation: incarnation}
 }
 
-func (r *Reporter) find(name string) (int, bool) {
+func (r *Reporter) findItem(name string) (int, bool) {
 	return slices.BinarySearchFunc(r.items, name, func(i reportedItem, n string) int { return compareByGroup(i.Name, n) })
 }
 
 // update changes an item, or adds it. False if the name is not valid, or there are too many.
 func (r *Reporter) update(name string, change func(*Applied)) bool {
-	i, ok := r.find(name)
+	i, ok := r.findItem(name)
 	if !ok {
 		if name == "" || len(r.items) >= MaxItems || sanitize(name, MaxNameBytes) != name || len(GroupOf(name)) > MaxGroupNameBytes {
 			return false
@@ -97,14 +97,14 @@
 
 // RecordProgress notes that the relay got further with the next version of an item: it is slow, not stuck.
 func (r *Reporter) RecordProgress(name string) {
-	if i, ok := r.find(name); ok {
+	if i, ok := r.findItem(name); ok {
 		r.items[i].Progress++
 	}
 }
 
 // Remove notes that the relay does not run the item any more. That is reported in as many reports as any change.
 func (r *Reporter) Remove(name string) {
-	if i, ok := r.find(name); ok {
+	if i, ok := r.findItem(name); ok {
 		r.items[i] = reportedItem{Applied{Item: Item{Name: r.items[i].Name}}, reportsPerChange}
 	}
 }
@@ -131,7 +131,7 @@
 	if reply.Relay != r.relay || reply.Incarnation != r.incarnation {
 		return nil // for an earlier process
 	}
-	r.wantedGroups, r.wantedReports = reply.WantDetails, reportsPerRequest
+	r.requestedGroups, r.requestReportsLeft = reply.WantDetails, reportsPerRequest
 	return reply.Resync
 }
 
@@ -157,7 +157,7 @@
 	free = r.addActivities(&report, free)
 	r.addItems(&report, free)
 	r.items = slices.DeleteFunc(r.items, func(i reportedItem) bool { return i.empty() && i.pendingReports == 0 })
-	r.wantedReports = max(r.wantedReports-1, 0)
+	r.requestReportsLeft = max(r.requestReportsLeft-1, 0)
 	return report
 }
 
@@ -179,14 +179,14 @@
 
 // addItems adds as many items as fit: first those that changed, then those that the leader wants.
 func (r *Reporter) addItems(report *Report, free int) {
-	start, ok := r.find(r.lastItem)
+	start, ok := r.findItem(r.lastSentItem)
 	if ok {
 		start++
 	}
 	for _, changed := range []bool{true, false} {
 		for k := range r.items {
 			item := &r.items[(start+k)%len(r.items)]
-			if changed != (item.pendingReports > 0) || !changed && !r.wanted(item.Name) ||
+			if changed != (item.pendingReports > 0) || !changed && !r.requested(item.Name) ||
 				slices.ContainsFunc(report.Items, func(a Applied) bool { return a.Name == item.Name }) {
 				continue
 			}
@@ -197,11 +197,11 @@
 			free -= size
 			report.Items = append(report.Items, item.Applied)
 			item.pendingReports = max(item.pendingReports-1, 0)
-			r.lastItem = item.Name
+			r.lastSentItem = item.Name
 		}
 	}
 }
 
-func (r *Reporter) wanted(item string) bool {
-	return r.wantedReports > 0 && slices.Contains(r.wantedGroups, GroupOf(item))
+func (r *Reporter) requested(item string) bool {
+	return r.requestReportsLeft > 0 && slices.Contains(r.requestedGroups, GroupOf(item))
 }
--- a/internal/drift/reports.go
+++ b/internal/drift/reports.go
@@ -7,7 +7,7 @@
 
 	// detailIntervals is after how many intervals an item of a requested group that was not reported is taken to be gone: 64 items take 10
 	// reports at most.
-	detailIntervals = 15
+	detailTimeoutIntervals = 15
 
 	maxTrackedItems = 2 * MaxItems // of one relay: as many as are agreed, and as many that are not
 )
@@ -45,7 +45,7 @@
 	}
 	gap := sentAt - r.sentAt - m.settings.ReportInterval
 	if r.everReported && 2*gap > 3*m.settings.ReportInterval && m.defect != partitionIsDrift {
-		r.excuseGap(sentAt, gap)
+		r.discountReportGap(sentAt, gap)
 	}
 	if r.silent {
 		if r.everReported {
@@ -58,13 +58,13 @@
 	}
 	r.everReported, r.incarnation, r.seq, r.receivedAt, r.sentAt = true, report.Incarnation, report.Seq, now, sentAt
 	for _, a := range report.Items {
-		m.takeDetail(sentAt, r, a)
+		m.handleItem(sentAt, r, a)
 	}
 	for _, g := range r.groups {
 		m.compareGroup(sentAt, r, g, report)
 	}
 	for _, a := range report.Activities {
-		m.takeActivity(sentAt, r, a)
+		m.handleActivity(sentAt, r, a)
 	}
 }
 
@@ -78,7 +78,7 @@
 
 // excuseGap takes the time in which reports are missing off what its items had: only time in which a relay reports makes it late, so that one
 // that was stopped or partitioned for less than it takes to be silent does not drift either.
-func (r *relayState) excuseGap(sentAt, gap int64) {
+func (r *relayState) discountReportGap(sentAt, gap int64) {
 	for g, i := range r.allItems() {
 		if !g.settled && i.outOfSyncSince > 0 {
 			i.progressedAt = min(sentAt, max(i.progressedAt, i.outOfSyncSince)+gap)
@@ -96,7 +96,7 @@
 	for g, i := range r.allItems() {
 		g.settled = false
 		i.outOfSyncSince, i.progressedAt, i.returnedAt = sentAt, sentAt, sentAt
-		i.inSyncSince, i.readingCount, i.leavingCount, i.measurable = 0, 0, 0, false
+		i.inSyncSince, i.reportedStateCount, i.reportsAgainstState, i.lagMeasurable = 0, 0, 0, false
 		if restarted {
 			i.appliedKnown, i.detailedSeq, i.applied = false, 0, Applied{Item: Item{Name: i.agreed.Name}}
 		}
@@ -108,7 +108,7 @@
 }
 
 // takeDetail takes what a report says of a single item.
-func (m *Monitor) takeDetail(sentAt int64, r *relayState, a Applied) {
+func (m *Monitor) handleItem(sentAt int64, r *relayState, a Applied) {
 	g := r.group(GroupOf(a.Name))
 	if g == nil {
 		return
@@ -134,7 +134,7 @@
 // noteProgress compares what an item runs now with what it ran before.
 func (i *trackedItem) noteProgress(sentAt int64, a Applied) {
 	newer := a.Version > i.applied.Version
-	if newer && a.Version <= i.highestAgreed || a.Item == i.applied.Item && a.Progress > i.applied.Progress {
+	if newer && a.Version <= i.highestAgreedVersion || a.Item == i.applied.Item && a.Progress > i.applied.Progress {
 		i.progressedAt = sentAt
 	}
 	if newer && a.Item != i.agreed && i.outOfSyncSince > 0 && i.returnedAt == 0 {
@@ -159,17 +159,17 @@
 			digest = d.Digest
 		}
 	}
-	g.matched = digest == g.agreedDigest
-	if g.matched && g.settled {
+	g.digestMatches = digest == g.agreedDigest
+	if g.digestMatches && g.settled {
 		return
 	}
 	complete := true // all items of the group are known
-	if g.matched {
-		m.applyAgreed(sentAt, r, g, report.SentAt)
+	if g.digestMatches {
+		m.assumeAgreedApplied(sentAt, r, g, report.SentAt)
 	} else {
-		complete = m.applyReported(sentAt, g, digest)
+		complete = m.checkReportedItems(sentAt, g, digest)
 	}
-	g.settled = g.matched
+	g.settled = g.digestMatches
 	for _, i := range g.items {
 		if complete {
 			i.appliedKnown = true
@@ -179,14 +179,14 @@
 			continue
 		}
 		m.classify(sentAt, r, g, i)
-		if i.state != InSync || i.readingCount < confirmations {
+		if i.state != InSync || i.reportedStateCount < confirmations {
 			g.settled = false
 		}
 	}
 }
 
 // applyAgreed notes that a relay runs all that is agreed of a group and nothing else, as its digest says.
-func (m *Monitor) applyAgreed(sentAt int64, r *relayState, g *groupState, relayClock int64) {
+func (m *Monitor) assumeAgreedApplied(sentAt int64, r *relayState, g *groupState, relayClock int64) {
 	g.items = slices.DeleteFunc(g.items, func(i *trackedItem) bool {
 		if !i.isAgreed {
 			m.setState(sentAt, r, i, InSync, "gone")
@@ -203,7 +203,7 @@
 
 // applyReported reports whether the digest is that of the items reported so far: then all that the relay runs of the group is known, and of
 // the other items it runs none. Items that were not reported though they were asked for are gone.
-func (m *Monitor) applyReported(sentAt int64, g *groupState, digest uint64) (complete bool) {
+func (m *Monitor) checkReportedItems(sentAt int64, g *groupState, digest uint64) (complete bool) {
 	var list []Applied
 	for _, i := range g.items {
 		list = append(list, i.applied)
@@ -216,7 +216,7 @@
 		return true
 	}
 	for _, i := range g.items {
-		if sentAt-max(i.detailedAt, g.reportedSince) > detailIntervals*m.settings.ReportInterval {
+		if sentAt-max(i.detailedAt, g.reportedSince) > detailTimeoutIntervals*m.settings.ReportInterval {
 			i.applied = Applied{Item: Item{Name: i.agreed.Name}}
 		}
 	}
--- a/internal/drift/simulation_test.go
+++ b/internal/drift/simulation_test.go
@@ -18,7 +18,7 @@
 type simulation struct {
 	now           int64
 	rng           *rand.Rand
-	set           Settings
+	settings      Settings
 	monitor       *Monitor
 	relays        []*simRelay
 	itemNames     []string
@@ -29,7 +29,7 @@
 	propagation   func(r *rng) int64 // how long a relay takes for a change
 	planted       map[string]State   // by relay and item: what is to be found
 	found         map[string]int64   // when it was
-	due           map[string]int64   // since when it counts as drift
+	driftSince    map[string]int64   // since when it counts as drift
 	falseFindings []string           // of what was not planted
 	bytes         int
 	longestReport int
@@ -46,22 +46,22 @@
 	up               bool
 	stoppedUntil     int64 // by SIGSTOP
 	partitionedUntil int64 // until then nothing reaches it or comes from it
-	phase            int64
+	reportPhase      int64
 	ignores          map[string]bool
-	refuses          map[string]bool
+	rejects          map[string]bool
 	violates         map[string]bool
-	slow             bool
+	slowDisk         bool
 	undisturbed      bool            // nothing else happens to it
 	progressing      map[string]bool // moves on with an item while it is slow
 	inFlightUntil    int64           // until then sends that began before a change are counted
 	clockSkew        int64
 }
 
-const tick = 100
+const tickMs = 100
 
 func newSimulation(seed uint64, n, items int) *simulation {
 	w := &simulation{now: 1_100_000_000_000, rng: rand.New(rand.NewPCG(seed, 31)), agreed: map[string]Item{}, events: map[int64][]func(){}, loss: 0.05, delay: 200,
-		planted: map[string]State{}, found: map[string]int64{}, due: map[string]int64{}}
+		planted: map[string]State{}, found: map[string]int64{}, driftSince: map[string]int64{}}
 	w.propagation = func(r *rng) int64 { return 20 + int64(r.ExpFloat64()*150) }
 	w.itemNames = []string{ItemProgram, ItemEndpointList, ItemEjections, ItemDrains, ItemCanaryWeights, ItemVoters, ItemPermits}
 	for i := 0; len(w.itemNames) < items; i++ {
@@ -71,8 +71,8 @@
 		w.agreed[name] = Item{name, 1, w.rng.Uint64()}
 	}
 	for i := range n {
-		s := &simRelay{index: i, name: fmt.Sprintf("relay-%d", i), phase: w.rng.Int64N(1000) / tick * tick, clockSkew: w.rng.Int64N(20000) - 10000, running: map[string]Item{},
-			ignores: map[string]bool{}, refuses: map[string]bool{}, violates: map[string]bool{}}
+		s := &simRelay{index: i, name: fmt.Sprintf("relay-%d", i), reportPhase: w.rng.Int64N(1000) / tickMs * tickMs, clockSkew: w.rng.Int64N(20000) - 10000, running: map[string]Item{},
+			ignores: map[string]bool{}, rejects: map[string]bool{}, violates: map[string]bool{}}
 		for name, it := range w.agreed {
 			s.running[name] = it
 		}
@@ -85,12 +85,12 @@
 
 // changeLeader makes a new leader, which knows nothing but what is agreed.
 func (w *simulation) changeLeader() {
-	f := noDefect
+	injected := noDefect
 	if w.monitor != nil {
-		f = w.monitor.defect
+		injected = w.monitor.defect
 	}
-	w.monitor = NewMonitor(w.set)
-	w.monitor.defect = f
+	w.monitor = NewMonitor(w.settings)
+	w.monitor.defect = injected
 	w.setIntents()
 }
 
@@ -129,31 +129,31 @@
 	}
 }
 
-func (w *simulation) at(when int64, what func()) {
-	when = max((when+tick-1)/tick*tick, w.now+tick)
-	w.events[when] = append(w.events[when], what)
+func (w *simulation) schedule(dueAt int64, event func()) {
+	dueAt = max((dueAt+tickMs-1)/tickMs*tickMs, w.now+tickMs)
+	w.events[dueAt] = append(w.events[dueAt], event)
 }
 
 // deliver has a relay apply a change after a while, if it can.
 func (w *simulation) deliver(s *simRelay, it Item) {
-	start, wait := s.incarnation, w.propagation(w.rng)
-	if s.slow {
-		wait += 40_000
+	incarnation, delay := s.incarnation, w.propagation(w.rng)
+	if s.slowDisk {
+		delay += 40_000
 		s.progressing[it.Name] = true
 	}
-	w.at(w.now+wait, func() { w.applyItem(s, start, it) })
+	w.schedule(w.now+delay, func() { w.applyItem(s, incarnation, it) })
 }
 
-func (w *simulation) applyItem(s *simRelay, start uint64, it Item) {
+func (w *simulation) applyItem(s *simRelay, incarnation uint64, it Item) {
 	switch {
-	case !s.up || s.incarnation != start || s.ignores[it.Name] || w.now < s.partitionedUntil || s.running[it.Name].Version >= it.Version && s.running[it.Name] == it:
+	case !s.up || s.incarnation != incarnation || s.ignores[it.Name] || w.now < s.partitionedUntil || s.running[it.Name].Version >= it.Version && s.running[it.Name] == it:
 	case w.now < s.stoppedUntil:
-		w.at(s.stoppedUntil, func() { w.applyItem(s, start, it) })
+		w.schedule(s.stoppedUntil, func() { w.applyItem(s, incarnation, it) })
 	case s.running[it.Name].Version > it.Version && s.running[it.Name].Version <= w.agreed[it.Name].Version:
-	case s.refuses[it.Name]:
+	case s.rejects[it.Name]:
 		s.reporter.RecordRejected(s.clock(w.now), it, "record", "no such key")
-		if key := s.name + " " + it.Name; w.due[key] == 0 {
-			w.due[key] = w.now
+		if key := s.name + " " + it.Name; w.driftSince[key] == 0 {
+			w.driftSince[key] = w.now
 		}
 	default:
 		if it == w.agreed[it.Name] {
@@ -179,12 +179,12 @@
 // send carries a datagram to the leader or from it.
 func (w *simulation) send(s *simRelay, arrive func()) {
 	for range 1 + map[bool]int{true: 1}[w.rng.Float64() < 0.02] {
-		late := 1 + w.rng.Int64N(w.delay)
+		delay := 1 + w.rng.Int64N(w.delay)
 		if w.rng.Float64() < 0.01 {
-			late *= 10 // overtaken by others
+			delay *= 10 // overtaken by others
 		}
 		if w.rng.Float64() >= w.loss && w.now >= s.partitionedUntil {
-			w.at(w.now+late, arrive)
+			w.schedule(w.now+delay, arrive)
 		}
 	}
 }
@@ -228,23 +228,23 @@
 }
 
 // noteDue notes when planted drift that takes its time to count as drift does so.
-func (w *simulation) noteDue() {
+func (w *simulation) updateDriftSince() {
 	for _, key := range slices.Sorted(maps.Keys(w.planted)) {
-		if w.due[key] != 0 || w.planted[key] == Rejected {
+		if w.driftSince[key] != 0 || w.planted[key] == Rejected {
 			continue
 		}
 		relay, item, _ := strings.Cut(key, " ")
 		r := w.monitor.relays[relay]
 		g := r.group(GroupOf(item))
-		if p := g.item(item); p.outOfSyncSince > 0 && p.lastReading == w.planted[key] && !r.silent && w.monitor.overdue(w.now, g, p) {
-			w.due[key] = w.now
+		if p := g.item(item); p.outOfSyncSince > 0 && p.lastReportedState == w.planted[key] && !r.silent && w.monitor.overdue(w.now, g, p) {
+			w.driftSince[key] = w.now
 		}
 	}
 }
 
 // runUntil plays the events until a time.
 func (w *simulation) runUntil(until int64) {
-	for ; w.now < until; w.now += tick {
+	for ; w.now < until; w.now += tickMs {
 		due := w.events[w.now]
 		delete(w.events, w.now)
 		for _, do := range due {
@@ -258,7 +258,7 @@
 				s.partitionedUntil = 0
 				w.catchUp(s)
 			}
-			if (w.now+s.phase)%1000 != 0 {
+			if (w.now+s.reportPhase)%1000 != 0 {
 				continue
 			}
 			for name := range s.violates {
@@ -285,11 +285,11 @@
 				w.checkFindings(s.name)
 			}
 		}
-		w.noteDue()
+		w.updateDriftSince()
 	}
 }
 
-func (w *simulation) advance(ms int64) { w.runUntil((w.now + ms) / tick * tick) }
+func (w *simulation) advance(ms int64) { w.runUntil((w.now + ms) / tickMs * tickMs) }
 
 // restart ends a relay, and starts it again after a while with what it had then; known is whether others know of it.
 func (w *simulation) restart(s *simRelay, wait int64, known bool) {
@@ -297,16 +297,16 @@
 	if known {
 		w.monitor.SetLiveness(s.name, Restarting)
 	}
-	w.at(w.now+wait, func() {
+	w.schedule(w.now+wait, func() {
 		w.start(s)
 		if known {
-			w.at(w.now+2000, func() { w.monitor.SetLiveness(s.name, Alive) })
+			w.schedule(w.now+2000, func() { w.monitor.SetLiveness(s.name, Alive) })
 		}
 	})
 }
 
 // seedCount is how many seeds a test plays: a few in CI, as many as DRIFT_SEEDS says by hand.
-func seedCount(few int) uint64 {
+func seedsToRun(few int) uint64 {
 	if n, err := strconv.Atoi(os.Getenv("DRIFT_SEEDS")); err == nil {
 		return uint64(n)
 	}
@@ -317,13 +317,13 @@
 func (w *simulation) disturb(ms int64) {
 	for end := w.now + ms; w.now < end; {
 		s := w.relays[w.rng.IntN(len(w.relays))]
-		free := !s.undisturbed && s.up && w.now > s.stoppedUntil && s.partitionedUntil == 0 && !s.slow
+		canDisturb := !s.undisturbed && s.up && w.now > s.stoppedUntil && s.partitionedUntil == 0 && !s.slowDisk
 		switch k := w.rng.IntN(15); {
 		case k < 6:
 			w.commit(w.itemNames[w.rng.IntN(len(w.itemNames))])
 		case k == 6:
 			w.commit(ItemEjections)
-		case !free:
+		case !canDisturb:
 		case k == 7:
 			w.restart(s, w.rng.Int64N(8000), w.rng.IntN(2) == 0)
 		case k == 8: // with nothing of what it had
@@ -332,7 +332,7 @@
 		case k == 9: // upgrade: the new process is there before the old one has gone
 			w.monitor.SetLiveness(s.name, Upgrading)
 			w.start(s)
-			w.at(w.now+4000, func() { w.monitor.SetLiveness(s.name, Alive) })
+			w.schedule(w.now+4000, func() { w.monitor.SetLiveness(s.name, Alive) })
 		case k == 10:
 			s.stoppedUntil = w.now + w.rng.Int64N(12000)
 		case k == 11:
@@ -345,8 +345,8 @@
 		case k == 12 && w.rng.IntN(4) == 0:
 			w.changeLeader()
 		case k == 13 && w.rng.IntN(4) == 0: // a slow disk, for a minute
-			s.slow = true
-			w.at(w.now+60_000, func() { s.slow = false })
+			s.slowDisk = true
+			w.schedule(w.now+60_000, func() { s.slowDisk = false })
 		}
 		w.advance(w.rng.Int64N(5000))
 	}
@@ -359,7 +359,7 @@
 	if err != nil {
 		minutes = 3
 	}
-	for seed := range seedCount(2) {
+	for seed := range seedsToRun(2) {
 		for _, n := range []int{3, 40, 300} {
 			w := newSimulation(seed, n, 16)
 			w.disturb(minutes * 60_000 / int64(1+n/100*4))
