--- a/internal/drift/activities.go
+++ b/internal/drift/activities.go
@@ -5,27 +5,27 @@
 	"slices"
 )
 
-// trackedActivity is one count of a relay.
+// trackedActivity is one of a relay's activity counts, as last reported.
 type trackedActivity struct {
 	Activity
-	baseViolations   uint64 // violations when the grace ended
-	sentAt           int64  // of the last report that had it
-	receivedAt       int64
-	violationsRoseAt int64 // when violations last rose
+	baseViolations   uint64 // violations up to this number are not held against the relay
+	sentAt           int64  // when the last report with this count was sent
+	receivedAt       int64  // when that report was received
+	violationsRoseAt int64  // when Violations last changed
 }
 
-// suspicion is what speaks against an item.
+// suspicion holds the reason and the evidence for a finding about an item.
 type suspicion struct {
-	reason          string // of the present state
+	reason          string // for the current state
 	evidence        []string
-	contradicted    bool  // the relay was seen to do otherwise than it reports
-	sightings       int   // by others
-	lastViolationAt int64 // when it was last seen to do otherwise
+	contradicted    bool  // the relay's behaviour was seen to contradict its reports
+	sightings       int   // how often other relays saw that
+	lastViolationAt int64 // when it was last seen
 }
 
 func (s *suspicion) clear() { s.contradicted, s.sightings = false, 0 }
 
-// addEvidence stores a piece of evidence: the first ones, and the newest.
+// addEvidence adds a piece of evidence. If there are MaxEvidence pieces, it replaces the newest one.
 func (s *suspicion) addEvidence(evidence string) {
 	if len(s.evidence) == MaxEvidence {
 		s.evidence = s.evidence[:MaxEvidence-1]
@@ -33,7 +33,7 @@
 	s.evidence = append(s.evidence, sanitize(evidence, MaxReasonBytes))
 }
 
-// suspected returns the item's suspicion, which it adds if there is none.
+// ensureSuspicion returns the item's suspicion, creating it if there is none.
 func (i *trackedItem) ensureSuspicion() *suspicion {
 	if i.suspicion == nil {
 		i.suspicion = &suspicion{}
@@ -41,8 +41,10 @@
 	return i.suspicion
 }
 
-// takeActivity takes one of a relay's counts. What was in flight when the relay applied an item may still be counted for as long as an attempt
-// takes, so violations count from the first report after that. By both clocks: a report may be late, and a relay's clock may be stepped.
+// handleActivity processes one of a relay's activity counts. Attempts that were in flight when the relay
+// applied an item may still count as violations until InFlightGrace has passed. Violations are therefore
+// counted from the first report after the grace. The grace must have passed both by the time of sending
+// and by the time of receipt: a report may be delayed, and the relay's clock may be stepped.
 func (m *Monitor) handleActivity(sentAt int64, r *relayState, a Activity) {
 	k := slices.IndexFunc(r.activities, func(x trackedActivity) bool { return x.Item == a.Item && x.Kind == a.Kind })
 	if k < 0 {
@@ -62,8 +64,10 @@
 	case i == nil || i.inSyncSince == 0 || min(t.sentAt-i.inSyncSince, t.receivedAt-i.inSyncReceivedAt) < grace || a.Violations < t.baseViolations:
 		t.baseViolations = a.Violations
 	case a.Violations == t.Violations && sentAt-t.violationsRoseAt > grace+r.group(GroupOf(a.Item)).lag.bound:
-		t.baseViolations = a.Violations // one violation in a long time is chance: an attempt that hung, a race
+		t.baseViolations = a.Violations // an isolated violation is ignored: an attempt that hung, or a race
 	case a.Violations > t.Violations && a.Violations-t.baseViolations >= confirmations:
+		// The text is shown in GET /-/drift and logs. It means: by its own count, the relay sent this many new
+		// flows or attempts to members that it should not use, after it reported to run the agreed version.
 		m.recordContradiction(sentAt, r, i, fmt.Sprintf("%d sends of %q astray by its own count since it said that it runs %d", a.Violations-t.baseViolations, a.Kind, i.applied.Version))
 	}
 	if a.Violations != t.Violations {
@@ -72,8 +76,10 @@
 	t.Activity, t.sentAt, t.receivedAt = a, sentAt, r.receivedAt
 }
 
-// RecordSighting notes that others saw a relay do otherwise than an item asks, each time that it is seen again. What they saw may have been
-// in flight, and took its time to get here.
+// RecordSighting records that other relays saw a relay contradict an item that it reports in sync. Call
+// it for each time that this is seen. Sightings are ignored until InFlightGrace and the lag bound have
+// passed since the first report in sync: the flows may have been in flight, and the sighting itself takes
+// time to arrive.
 func (m *Monitor) RecordSighting(now int64, relay, item, evidence string) {
 	r := m.relays[relay]
 	if r == nil {
@@ -93,7 +99,7 @@
 	}
 }
 
-// contradict notes that what a relay does contradicts its reports on an item.
+// recordContradiction records that a relay's behaviour contradicts its reports on an item.
 func (m *Monitor) recordContradiction(now int64, r *relayState, i *trackedItem, evidence string) {
 	s := i.ensureSuspicion()
 	s.lastViolationAt = now
@@ -109,7 +115,8 @@
 	}
 }
 
-// forgive drops what a relay was seen to do once it has behaved for as long as the claim had to wait.
+// expireSuspicion clears the contradictions of an item once none was seen for InFlightGrace plus the lag
+// bound.
 func (m *Monitor) expireSuspicion(now int64, r *relayState, g *groupState, i *trackedItem) {
 	if r.silent || min(now, r.sentAt)-i.suspicion.lastViolationAt <= m.settings.InFlightGrace+g.lag.bound {
 		return
@@ -125,6 +132,6 @@
 		if i.inSyncSince > 0 {
 			to = InSync
 		}
-		m.setState(now, r, i, to, "behaves")
+		m.setState(now, r, i, to, "behaves") // shown in logs: the relay no longer contradicts its reports
 	}
 }
--- a/internal/drift/agreement.go
+++ b/internal/drift/agreement.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// SetIntent sets all that is agreed for a relay. It makes the relay known; without items the relay is forgotten.
+// SetIntent sets all items that are agreed for a relay and starts tracking the relay if it is new. Without
+// items, the Monitor stops tracking the relay.
 func (m *Monitor) SetIntent(now int64, name string, items []Item) {
 	index, known := slices.BinarySearchFunc(m.sorted, name, func(r *relayState, n string) int { return cmp.Compare(r.name, n) })
 	switch {
@@ -47,17 +48,18 @@
 		for _, i := range g.items {
 			if !i.isAgreed {
 				m.trackArrival(now, i, nil)
-				i.agreed = Item{Name: i.agreed.Name} // if the relay still runs it, it reports that, and nobody agrees on it any more
+				i.agreed = Item{Name: i.agreed.Name} // no version is agreed; the item stays tracked while the relay may still run it
 			}
 		}
 		g.updateDigest()
 	}
-	r.groups = slices.DeleteFunc(r.groups, func(g *groupState) bool { // a group of which nothing is agreed is not looked at
+	// A group without agreed items is not checked.
+	r.groups = slices.DeleteFunc(r.groups, func(g *groupState) bool {
 		return !slices.ContainsFunc(g.items, func(i *trackedItem) bool { return i.isAgreed })
 	})
 }
 
-// forget drops a relay.
+// removeRelay stops tracking the relay at an index of m.sorted.
 func (m *Monitor) removeRelay(now int64, index int) {
 	r := m.sorted[index]
 	for _, i := range r.allItems() {
@@ -67,7 +69,7 @@
 	delete(m.relays, r.name)
 }
 
-// agree sets what is agreed of one item.
+// setAgreed sets the agreed version of one item.
 func (m *Monitor) setAgreed(now int64, r *relayState, g *groupState, i *trackedItem, item Item) {
 	if i.agreed == item && i.arrival != nil {
 		return
@@ -82,7 +84,7 @@
 		i.lagMeasurable = !r.silent && i.state == InSync && i.inSyncSince > 0
 	}
 	i.inSyncSince = 0
-	if i.state == Rejected { // that was another version's answer: a new chance
+	if i.state == Rejected { // the relay rejected an earlier version; it may accept this one
 		i.outOfSyncSince, i.progressedAt, i.lagMeasurable = now, now, false
 		m.setState(now, r, i, Propagating, "")
 	}
@@ -92,7 +94,8 @@
 	g.settled = false
 }
 
-// trackArrival moves an item from the version at which it was to arrive to another; nil for none.
+// trackArrival counts an item towards the arrivals at version to instead of those at its earlier version;
+// with nil it counts towards none.
 func (m *Monitor) trackArrival(now int64, i *trackedItem, to *Item) {
 	if a := i.arrival; a != nil {
 		if a.refs--; a.refs == 0 {
@@ -110,7 +113,7 @@
 	}
 }
 
-// allItems visits the items of all groups.
+// allItems iterates over the items of all groups.
 func (r *relayState) allItems() iter.Seq2[*groupState, *trackedItem] {
 	return func(yield func(*groupState, *trackedItem) bool) {
 		for _, g := range r.groups {
@@ -127,7 +130,7 @@
 	return slices.BinarySearchFunc(r.groups, name, func(g *groupState, n string) int { return cmp.Compare(g.name, n) })
 }
 
-// group returns a group, nil if there is none.
+// group returns the group with a name, or nil.
 func (r *relayState) group(name string) *groupState {
 	if index, ok := r.findGroup(name); ok {
 		return r.groups[index]
@@ -142,7 +145,7 @@
 	return g
 }
 
-// item returns an item of any group, nil if there is none.
+// item returns the item with a name, in whichever group it is, or nil.
 func (r *relayState) item(name string) *trackedItem {
 	if g := r.group(GroupOf(name)); g != nil {
 		return g.item(name)
@@ -154,7 +157,7 @@
 	return slices.BinarySearchFunc(g.items, name, func(i *trackedItem, n string) int { return cmp.Compare(i.agreed.Name, n) })
 }
 
-// item returns an item of the group, nil if there is none.
+// item returns the item of the group with a name, or nil.
 func (g *groupState) item(name string) *trackedItem {
 	if index, ok := g.findItem(name); ok {
 		return g.items[index]
@@ -170,7 +173,7 @@
 	return i
 }
 
-// updateDigest computes the digest of what is agreed.
+// updateDigest recomputes the digest of the agreed items.
 func (g *groupState) updateDigest() {
 	var list []Applied
 	for _, i := range g.items {
--- a/internal/drift/classify.go
+++ b/internal/drift/classify.go
@@ -6,11 +6,12 @@
 )
 
 const (
-	minFleetToCompare   = 3 // relays that report: with fewer, a relay cannot be compared with the others
-	fixedBoundIntervals = 5 // intervals, with the defect fixedBound
+	minFleetToCompare   = 3 // with fewer reporting relays, a relay cannot be compared with the others
+	fixedBoundIntervals = 5 // lag bound with the injected defect fixedBound
 )
 
-// reading returns what an item's reports say, whatever time it took.
+// reportedState returns the state that follows from the last report on the item alone, without regard
+// to the time that has passed or to activities.
 func (i *trackedItem) reportedState() State {
 	switch {
 	case i.applied.LocalOverride:
@@ -27,7 +28,7 @@
 	return Lagging
 }
 
-// classify takes one more report on an item, and sets its state.
+// classify updates the state of an item after a report that says something about it.
 func (m *Monitor) classify(sentAt int64, r *relayState, g *groupState, i *trackedItem) {
 	reported := i.reportedState()
 	if reported != i.lastReportedState {
@@ -43,11 +44,12 @@
 		}
 	}
 	lagClockPaused := (r.liveness == Restarting || r.liveness == Upgrading) && (i.returnedAt > 0 || appliedAtRestart(g.name))
-	if lagClockPaused && reported != InSync { // its time begins when the restart is over
+	if lagClockPaused && reported != InSync { // the lag counts from the end of the restart
 		i.outOfSyncSince, i.progressedAt, i.lagMeasurable = sentAt, sentAt, false
 	}
 	next := m.nextState(sentAt, g, i, reported)
-	// A claim is taken back, or changed, on the second report that says so. It is made on the evidence of nextState.
+	// nextState decides when there is enough evidence for a finding. A finding ends or changes only when
+	// several reports in a row (confirmations) say so.
 	if i.state >= Lagging && next != i.state {
 		if i.reportsAgainstState++; i.reportsAgainstState < confirmations {
 			return
@@ -59,7 +61,8 @@
 	}
 }
 
-// nextState returns the state that a reading gives with the time it took and the relay's activities.
+// nextState returns the state that follows from the reported one, the time that has passed and the
+// relay's activities.
 func (m *Monitor) nextState(sentAt int64, g *groupState, i *trackedItem, reported State) State {
 	next := Propagating
 	switch reported {
@@ -80,14 +83,15 @@
 	return next
 }
 
-// recordArrival notes that a relay reports to run what is agreed.
+// recordArrival records that a relay reports an item in sync, and samples the lag if it tells how long
+// propagation takes.
 func (m *Monitor) recordArrival(sentAt int64, r *relayState, g *groupState, i *trackedItem) {
 	if i.outOfSyncSince > 0 {
 		lag := sentAt - i.outOfSyncSince
 		slowFleet := i.arrival != nil && i.arrival.live >= minFleetToCompare && 2*i.arrival.arrived <= i.arrival.live
 		switch {
 		case i.returnedAt > 0:
-			if i.state < Lagging && lag > 0 { // a relay that was in sync by its first report tells nothing of how long it takes
+			if i.state < Lagging && lag > 0 { // 0: it was in sync in its first report, which says nothing about the recovery time
 				m.recoveryLag.add(lag)
 			}
 		case i.lagMeasurable && (i.state < Lagging || slowFleet) && !slices.Contains(m.settings.UnmeasuredGroups, g.name):
@@ -104,10 +108,11 @@
 	i.lastInSyncVersion = i.agreed.Version
 }
 
-// appliedAtRestart reports whether a group's items are applied by a process as it starts, so that they take as long as a restart.
+// appliedAtRestart reports whether processes apply the items of a group only when they start, so that a
+// change takes as long as a restart.
 func appliedAtRestart(group string) bool { return group == ItemProgram || group == ItemConfig }
 
-// overdue reports whether an item had all the time that propagation takes in this fleet.
+// overdue reports whether an item has been out of sync for longer than propagation takes in this fleet.
 func (m *Monitor) overdue(sentAt int64, g *groupState, i *trackedItem) bool {
 	bound := g.lag.bound
 	if i.returnedAt > 0 {
@@ -117,17 +122,18 @@
 		return sentAt-i.outOfSyncSince > fixedBoundIntervals*m.settings.ReportInterval
 	}
 	switch a := i.arrival; {
-	case a == nil || a.live > 0 && a.live < minFleetToCompare: // there is no fleet to compare it with
-	case !a.halfArrived() || a.live == 0: // the fleet is slow and not the relay, or the version was agreed just now
+	case a == nil || a.live > 0 && a.live < minFleetToCompare: // too few relays to compare with
+	case !a.halfArrived() || a.live == 0: // the whole fleet is slow, or the version was agreed after the last Tick
 		bound = int64(m.settings.SlowFleetFactor * float64(bound))
-	case g.lag.n < maxLagSamples: // all that is known is how long half of the fleet took
+	case g.lag.n < maxLagSamples: // with few samples, the best measure is how long half of the fleet took
 		bound = max(bound, int64(m.settings.SlowFleetFactor*float64(a.halfArrivedAfter)))
 	}
-	// Progress (a slow disk) puts the bound off, but not forever.
+	// Progress, as with a slow disk, postpones the finding, but not beyond MaxBound.
 	return sentAt-max(i.outOfSyncSince, i.progressedAt) > bound || sentAt-i.outOfSyncSince > max(m.settings.MaxBound, bound)
 }
 
-// explain returns the reason for a state, for operators.
+// explain returns the reason for a state. The texts are shown in GET /-/drift and logs, and block
+// reasons and quarantine reasons contain them, so they stay as they are.
 func (m *Monitor) explain(now int64, g *groupState, i *trackedItem, to State) string {
 	switch to {
 	case Lagging:
@@ -150,7 +156,8 @@
 	return ""
 }
 
-// setState puts an item into a state. Changes between InSync and Propagating are not recorded: every change of an item makes two.
+// setState changes the state of an item. Changes between InSync and Propagating are not recorded:
+// every new version causes two of them per relay.
 func (m *Monitor) setState(now int64, r *relayState, i *trackedItem, to State, reason string) {
 	if i.state == to {
 		return
--- a/internal/drift/codec.go
+++ b/internal/drift/codec.go
@@ -44,7 +44,7 @@
 	return appendUint(appendUint(b, 3, a.Count), 4, a.Violations)
 }
 
-// append writes Since as the time before the report was sent, which is shorter.
+// append encodes Since as the time from Since to sentAt, which takes fewer bytes than a timestamp.
 func (a Applied) append(b []byte, sentAt int64) []byte {
 	b = appendUint(appendString(b, 1, a.Name), 2, a.Version)
 	b = appendFixed(b, 3, a.Digest)
@@ -54,7 +54,7 @@
 	return appendUint(b, 9, protowire.EncodeBool(a.LocalOverride))
 }
 
-// Encode returns the encoded report. A Reporter's report is at most MaxReportBytes long.
+// Encode returns the encoded report. It is at most MaxReportBytes long for a report of a Reporter.
 func (r Report) Encode() []byte {
 	b := appendString(nil, 1, r.Relay)
 	b = appendUint(appendUint(b, 2, r.Incarnation), 3, r.Seq)
@@ -84,12 +84,12 @@
 	return b
 }
 
-// fieldReader reads the fields of a message one by one. After an error next is false and ok too.
+// fieldReader reads the fields of a message one by one. After an error, next and ok return false.
 type fieldReader struct {
 	rest   []byte
 	field  protowire.Number
-	number uint64 // of a field that is a number
-	bytes  []byte // of a field that is bytes
+	number uint64 // value of a varint or fixed64 field
+	bytes  []byte // value of a length-delimited field
 	failed bool
 }
 
@@ -124,10 +124,11 @@
 
 func (r *fieldReader) ok() bool { return !r.failed }
 
-// require fails the message unless a condition holds.
+// require marks the message as malformed if condition is false.
 func (r *fieldReader) require(condition bool) { r.failed = r.failed || !condition }
 
-// text returns a string that is bounded and has no control characters, so that it can go to logs as it is.
+// text returns the current field as a string. The message is malformed if the string is longer than
+// maxBytes or has control characters or invalid UTF-8, so the result can be logged as it is.
 func (r *fieldReader) text(maxBytes int) string {
 	if len(r.bytes) > maxBytes {
 		r.failed = true
@@ -138,7 +139,8 @@
 	return s
 }
 
-// DecodeReport decodes a report, whoever wrote it: what it returns is within the bounds.
+// DecodeReport decodes a report from an untrusted sender. It returns an error if the report is malformed
+// or exceeds one of the limits of this package.
 func DecodeReport(b []byte) (Report, error) {
 	var report Report
 	r := fieldReader{rest: b, failed: len(b) > MaxReportBytes}
@@ -170,7 +172,7 @@
 		return Report{}, errReport
 	}
 	for i := range report.Items {
-		report.Items[i].Since = report.SentAt - report.Items[i].Since // was written as the time before SentAt
+		report.Items[i].Since = report.SentAt - report.Items[i].Since // encoded as the time from Since to SentAt
 	}
 	return report, nil
 }
@@ -232,7 +234,8 @@
 	return a, r.ok() && a.Item != "" && a.Kind != ""
 }
 
-// DecodeReply decodes a reply, whoever wrote it.
+// DecodeReply decodes a reply from an untrusted sender. It returns an error if the reply is malformed or
+// exceeds one of the limits of this package.
 func DecodeReply(b []byte) (Reply, error) {
 	var reply Reply
 	r := fieldReader{rest: b, failed: len(b) > MaxReplyBytes}
--- a/internal/drift/findings.go
+++ b/internal/drift/findings.go
@@ -7,9 +7,10 @@
 	"strings"
 )
 
-const maxBlockReasons = 3 // named by BlockReason; the others are counted
+const maxBlockReasons = 3 // relays that BlockReason names; it only counts the others
 
-// Findings returns all that is not in sync, by relay and item.
+// Findings returns all items that are not in sync and all relays that do not report, sorted by relay and
+// group.
 func (m *Monitor) Findings() []Finding {
 	var list []Finding
 	for _, r := range m.sorted {
@@ -31,14 +32,17 @@
 	return list
 }
 
-// Exempt reports whether drift of a relay's item does not count, as a release will mend it. Nil exempts nothing.
+// Exempt reports whether drift of an item of a relay is to be ignored, because a release will repair it.
+// A nil Exempt ignores nothing.
 type Exempt func(relay, item string) bool
 
 func (e Exempt) counts(r *relayState, i *trackedItem) bool {
 	return i.state.severity() > 0 && (e == nil || !e(r.name, i.agreed.Name))
 }
 
-// worst returns the item of a relay in the severest state, the longest in it, then by name; nil if none drifts.
+// worst returns the item of a relay with the most severe drift, or nil if none drifts. Among items of the
+// same severity it returns the one that has been in its state longest, and of these the first by group and
+// name.
 func (r *relayState) worst(exempt Exempt) (worst *trackedItem) {
 	for _, i := range r.allItems() {
 		if !exempt.counts(r, i) {
@@ -52,8 +56,12 @@
 	return worst
 }
 
-// BlockReason returns why a release must not proceed: one of the relays that count drifts or does not report; "" if nothing blocks it.
-// Propagating items do not block. Since is the oldest drift among what blocks, 0 if none drifts.
+// BlockReason returns why a release must not proceed: a text that names which of the given relays drift
+// or do not report, or "" if nothing blocks it. Propagating items do not block. since is when the oldest
+// of this drift began, or 0 if no relay drifts.
+//
+// The text is shown in HTTP answers and stays as it is. "nothing is known of it" means that nothing is
+// agreed for the relay, and "not heard" that the relay sends no reports.
 func (m *Monitor) BlockReason(relays []string, exempt Exempt) (reason string, since int64) {
 	var reasons []string
 	for _, name := range slices.Sorted(slices.Values(relays)) {
@@ -80,8 +88,8 @@
 	return strings.Join(reasons, "; "), since
 }
 
-// FullyInSync reports whether a relay reports and is in sync with all that is agreed, except what its own operators changed: if it was taken
-// out it may come back.
+// FullyInSync reports whether a relay sends reports and all of its items are in sync, not counting those
+// that its own operators changed. A relay in quarantine for drift may then be readmitted.
 func (m *Monitor) FullyInSync(relay string) bool {
 	r := m.relays[relay]
 	if r == nil || r.silent {
@@ -95,7 +103,8 @@
 	return true
 }
 
-// StateOf returns the state of a relay's item; Unknown if the relay does not report, or not on such an item.
+// StateOf returns the state of an item of a relay. It returns Unknown if the relay sends no reports or the
+// item is not tracked for it.
 func (m *Monitor) StateOf(relay, item string) State {
 	r := m.relays[relay]
 	if r == nil || r.silent {
@@ -107,7 +116,7 @@
 	return Unknown
 }
 
-// OutOfSyncRelays returns which of the relays are not known to be in sync on an item, sorted.
+// OutOfSyncRelays returns, sorted, the given relays whose item is not known to be in sync.
 func (m *Monitor) OutOfSyncRelays(item string, relays []string) []string {
 	var list []string
 	for _, name := range slices.Sorted(slices.Values(relays)) {
@@ -118,7 +127,8 @@
 	return list
 }
 
-// WantedDetails returns the groups of whose items a relay is asked for details: those whose digest is not the agreed one.
+// WantedDetails returns the groups whose items the relay should report: those whose digest does not match
+// the agreed one.
 func (m *Monitor) WantedDetails(relay string) []string {
 	r := m.relays[relay]
 	if r == nil || r.silent {
@@ -133,7 +143,7 @@
 	return groups
 }
 
-// Reply returns what to answer to a relay; false if there is nothing.
+// Reply returns the reply to a relay's last report, or false if there is nothing to request.
 func (m *Monitor) Reply(relay string) (Reply, bool) {
 	groups := m.WantedDetails(relay)
 	if len(groups) == 0 {
@@ -149,12 +159,13 @@
 	return reply, true
 }
 
-// UnfitRelay is a relay that is to take no clients, and why.
+// UnfitRelay is a relay that should take no clients, with the reason.
 type UnfitRelay struct{ Relay, Reason string }
 
-// SelectUnfit returns which relays are to take no clients because they drift, the worst first: at most the budget, and those that are out
-// already and still drift before all others, so that relays do not take turns. An override by the relay's operators takes nobody out, nor does
-// silence.
+// SelectUnfit returns at most budget relays that should take no clients because they drift, the most
+// severe drift first. Relays that are already in quarantine and still drift come before all others, so
+// that relays do not replace each other in quarantine. Items that a relay's operators changed and missing
+// reports do not make a relay unfit.
 func (m *Monitor) SelectUnfit(budget int, quarantined []string, exempt Exempt) []UnfitRelay {
 	type candidate struct {
 		UnfitRelay
--- a/internal/drift/lag.go
+++ b/internal/drift/lag.go
@@ -6,20 +6,22 @@
 )
 
 const (
-	maxLagSamples     = 256 // 6 changes at 40 relays. While there are fewer, the prior counts for the rest
-	minBoundIntervals = 3   // a report may just have been sent, the next may be lost
-	maxStretch        = 32  // how many times a quantile the bound may be
+	maxLagSamples     = 256 // 6 changes at 40 relays; while there are fewer, the prior bound is weighed in
+	minBoundIntervals = 3   // a report may just have been sent and the next one may be lost, so the third shows the change
+	maxStretch        = 32  // the bound is at most this many times a quantile
 )
 
-// lagEstimate is how long versions took from being agreed until relays reported to run them. The bound is meant to lie beyond what the same
-// distribution would ever reach, without being moved by the few relays that drift (a late arrival is no sample): a high quantile, stretched by
-// how far it lies from the median. docs/design/drift.md shows what that means for some distributions.
+// lagEstimate estimates a lag bound from samples of the lag: the time from when a version was agreed
+// until a relay reported to run it. The bound should lie above all values of the distribution that the
+// samples come from, and a few relays that drift must not raise it: an arrival after the bound is not
+// sampled. Therefore the bound is a high quantile, multiplied by a factor that grows with its distance
+// from the median. docs/design/drift.md shows the result for several distributions.
 type lagEstimate struct {
-	samples [maxLagSamples]float64 // ms
+	samples [maxLagSamples]float64 // ms; a ring
 	n, next int
-	prior   int64 // of the last update
+	prior   int64 // prior bound of the last update
 	bound   int64
-	changed bool // samples came after the last update
+	changed bool // samples were added since the last update
 }
 
 func (l *lagEstimate) add(ms int64) {
@@ -29,7 +31,7 @@
 	l.changed = true
 }
 
-// update computes the bound, if there are new samples or another prior.
+// update recomputes the bound if there are new samples or the prior bound changed.
 func (l *lagEstimate) update(s Settings, prior int64) {
 	if !l.changed && l.prior == prior {
 		return
@@ -49,12 +51,12 @@
 	l.bound = min(int64(bound), s.MaxBound)
 }
 
-// lagOf returns the estimate of a group.
+// lagOf returns the estimate of a group, creating it if necessary.
 func (m *Monitor) lagOf(group string) *lagEstimate {
 	l := m.lags[group]
 	if l == nil {
 		if len(m.lags) > maxLagEstimates {
-			return m.fleetLag // names of groups that come and go
+			return m.fleetLag // limits memory if group names keep changing: estimates are never removed
 		}
 		l = &lagEstimate{}
 		l.update(m.settings, m.fleetLag.bound)
@@ -63,7 +65,7 @@
 	return l
 }
 
-// updateBounds computes the bounds from what was learned.
+// updateBounds recomputes all lag bounds from the samples.
 func (m *Monitor) updateBounds() {
 	m.fleetLag.update(m.settings, m.settings.PriorBound)
 	m.recoveryLag.update(m.settings, m.settings.PriorBound)
@@ -72,7 +74,8 @@
 	}
 }
 
-// LagBound returns how long a version of an item of the group may take now, in ms.
+// LagBound returns the time, in ms, within which relays should apply a new version of an item of the
+// group. A group without an estimate has the bound of the whole fleet.
 func (m *Monitor) LagBound(group string) int64 {
 	if l := m.lags[group]; l != nil {
 		return l.bound
--- a/internal/drift/monitor.go
+++ b/internal/drift/monitor.go
@@ -6,30 +6,30 @@
 )
 
 const (
-	confirmations        = 2    // how often something must be seen before it is claimed, and before a claim is taken back
-	maxRecentVersions    = 4    // agreed versions remembered for an item that follows them slowly
-	maxPendingChanges    = 8192 // between two Ticks
+	confirmations        = 2    // reports or sightings needed to make a finding, and reports needed to end it
+	maxRecentVersions    = 4    // agreed versions remembered per item, for a relay that applies them one by one
+	maxPendingChanges    = 8192 // between two calls of Tick
 	maxLagEstimates      = 4 * MaxGroups
 	defaultInterval      = 1000 // ms
 	defaultGrace         = 5000 // ms
 	defaultPrior         = 15   // intervals
 	defaultMaxBound      = 300  // intervals
 	defaultSlowFactor    = 8
-	silentAfterIntervals = 4 // without a report: four lost in a row are 6 in a million at 5% loss, and claim no drift
+	silentAfterIntervals = 4 // at 5% loss, four reports in a row are lost 6 times in a million, and silence is not drift
 
-	// intervalsIfUnreachable is intervalsOfSilence where others receive nothing from the relay either.
+	// unreachableSilentAfterIntervals replaces silentAfterIntervals if the relay is Unreachable or Terminated.
 	unreachableSilentAfterIntervals = 2
 )
 
-// Monitor is the leader's view of all relays. It is for one goroutine.
+// Monitor is the leader's view of all relays. It is not safe for concurrent use.
 type Monitor struct {
 	settings Settings
 	relays   map[string]*relayState
 	sorted   []*relayState // by name
 
 	lags        map[string]*lagEstimate // by group
-	fleetLag    *lagEstimate            // of all groups: what is expected of one of which little is known
-	recoveryLag *lagEstimate            // of relays that came back: from their first report until each item was in sync
+	fleetLag    *lagEstimate            // over all groups; the prior for groups with few samples
+	recoveryLag *lagEstimate            // of relays that came back: from their first report until an item was in sync
 	arrivals    map[Item]*arrivalCount  // by name and version
 
 	pendingChanges []Change // since the last Tick
@@ -38,7 +38,7 @@
 	defect         defect
 }
 
-// defect is a fault that tests inject, to see that they find it.
+// defect selects a fault that tests inject into the Monitor to check that they detect it.
 type defect uint8
 
 const (
@@ -48,27 +48,28 @@
 	partitionIsDrift
 )
 
-// arrivalCount is how many of the relays that report have arrived at a version.
+// arrivalCount counts the relays that have arrived at an agreed version of an item, that is, report the
+// item in sync.
 type arrivalCount struct {
-	version          Item // without its digest
-	refs             int  // items that are to arrive at it
-	live, arrived    int  // relays that report, and those of them that arrived, at the last Tick
+	version          Item // without the digest
+	refs             int  // tracked items that have this version as the agreed one
+	live, arrived    int  // relays that send reports, and how many of these have arrived, as of the last Tick
 	agreedAt         int64
-	halfArrivedAfter int64 // how long half of them took; 0 while they have not arrived
+	halfArrivedAfter int64 // time from agreedAt until half of the relays had arrived; 0 until then
 }
 
-// mostArrived reports whether at least half of the relays arrived.
+// halfArrived reports whether at least half of the reporting relays have arrived.
 func (c *arrivalCount) halfArrived() bool { return 2*c.arrived >= c.live }
 
 type relayState struct {
 	name             string
 	liveness         Liveness
-	everReported     bool  // since this Monitor began
-	receivedAt       int64 // when its last report came
-	sentAt           int64 // when that was sent, by this clock
+	everReported     bool  // since this Monitor was created
+	receivedAt       int64 // when the last report was received
+	sentAt           int64 // when the last report was sent, by the Monitor's clock
 	incarnation, seq uint64
-	minDelay         [2]int64 // least delay of reports by the difference of the clocks, in this window and the last
-	delayWindowAt    int64    // when this window began
+	minDelay         [2]int64 // least delay plus clock difference of a report, in this window and the previous one
+	delayWindowAt    int64    // start of this window
 	silent           bool
 	silentSince      int64
 	groups           []*groupState // by name
@@ -80,48 +81,48 @@
 	items          []*trackedItem // by name
 	lag            *lagEstimate
 	agreedDigest   uint64
-	reportedDigest uint64 // the last one that differs from agreedDigest
+	reportedDigest uint64 // last reported digest that differs from agreedDigest
 	reportedSince  int64
 	digestMatches  bool // the last report had the agreed digest
-	settled        bool // and nothing remains to be looked at while it does
+	settled        bool // all items are confirmed in sync: reports are not examined further while the digest matches
 }
 
-// trackedItem is an item of a relay.
+// trackedItem is the Monitor's view of an item of a relay.
 type trackedItem struct {
 	agreed               Item
-	isAgreed             bool // it is agreed for this relay; else only the relay reports it
+	isAgreed             bool // false if only the relay reports the item
 	arrival              *arrivalCount
 	recentVersions       [maxRecentVersions]agreedVersion // oldest first
-	highestAgreedVersion uint64                           // highest version ever agreed
+	highestAgreedVersion uint64                           // highest version ever agreed for this relay
 
 	applied      Applied
-	appliedKnown bool   // applied is of the present process
-	detailedAt   int64  // when it was last reported in detail
-	detailedSeq  uint64 // in which report
+	appliedKnown bool   // applied was reported by the current process
+	detailedAt   int64  // when the item was last in a report
+	detailedSeq  uint64 // Seq of that report
 
-	inSyncSince       int64 // since when it reports without a break to be in sync; 0 if it does not
-	inSyncReceivedAt  int64 // when the first such report came
+	inSyncSince       int64 // since when all reports say that the item is in sync; 0 if the last one does not
+	inSyncReceivedAt  int64 // when the first of these reports was received
 	lastInSyncVersion uint64
-	outOfSyncSince    int64 // 0 if it is in sync
-	progressedAt      int64 // when it last came nearer
-	returnedAt        int64 // when the relay came back and was not in sync since; 0 otherwise
-	lagMeasurable     bool  // its arrival will tell how long propagation takes
+	outOfSyncSince    int64 // 0 if the item is in sync
+	progressedAt      int64 // when the relay last got closer to the agreed version
+	returnedAt        int64 // when the relay restarted or reported again, if the item was not in sync since; else 0
+	lagMeasurable     bool  // the lag of this item will be sampled
 
 	state               State
 	stateSince          int64
-	lastReportedState   State      // what the last reports say
-	reportedStateCount  int        // how many of them in a row
-	reportsAgainstState int        // how many of them in a row would have ended the present claim
-	suspicion           *suspicion // of an item that drifts or was seen to contradict its reports
+	lastReportedState   State      // reportedState of the last report
+	reportedStateCount  int        // number of reports in a row with lastReportedState
+	reportsAgainstState int        // number of reports in a row that do not support the finding in state
+	suspicion           *suspicion // nil unless the item drifts or contradictions were seen
 }
 
-// agreedVersion is when a version was agreed.
+// agreedVersion is a version with the time at which it was agreed.
 type agreedVersion struct {
 	version uint64
 	at      int64
 }
 
-// NewMonitor returns a monitor that knows nothing.
+// NewMonitor returns a Monitor that tracks no relays.
 func NewMonitor(s Settings) *Monitor {
 	s.ReportInterval = cmp.Or(s.ReportInterval, defaultInterval)
 	s.InFlightGrace = cmp.Or(s.InFlightGrace, defaultGrace)
@@ -134,14 +135,14 @@
 	return m
 }
 
-// SetLiveness notes what others know of a relay's process.
+// SetLiveness sets what gossip and the record say about a relay's process.
 func (m *Monitor) SetLiveness(relay string, l Liveness) {
 	if r := m.relays[relay]; r != nil {
 		r.liveness = l
 	}
 }
 
-// Tick is due once in an interval. It returns the changes since the last one.
+// Tick must be called once per interval. It returns the changes since the previous call.
 func (m *Monitor) Tick(now int64) []Change {
 	m.updateBounds()
 	for _, a := range m.arrivals {
@@ -173,7 +174,8 @@
 	return changes
 }
 
-// checkSilence notes that a relay sends no reports. Then nothing is claimed of it.
+// checkSilence marks a relay as silent if its reports are missing. A silent relay has no findings about its
+// items.
 func (m *Monitor) checkSilence(now int64, r *relayState) {
 	limit := silentAfterIntervals * m.settings.ReportInterval
 	if r.liveness == Unreachable || r.liveness == Terminated {
@@ -194,6 +196,10 @@
 	m.recordChange(Change{At: now, Relay: r.name, From: Propagating, To: Unknown, Reason: r.silenceReason()})
 }
 
+// silenceReason returns why a relay may be silent. The texts are shown in GET /-/drift and logs, and in
+// reasons that block releases, so they stay as they are. "gone" means that the process has ended, "others do
+// not hear it either" that no other relay receives anything from it, and "says nothing" that the process is
+// believed to be alive but sends no reports.
 func (r *relayState) silenceReason() string {
 	switch r.liveness {
 	case Terminated:
@@ -208,7 +214,7 @@
 	return "says nothing"
 }
 
-// recordChange stores a change for the next Tick and for operators.
+// recordChange adds a change to the result of the next Tick and to the history.
 func (m *Monitor) recordChange(c Change) {
 	if len(m.history) >= MaxHistory {
 		m.history = slices.Delete(m.history, 0, 1)
@@ -221,8 +227,8 @@
 	m.pendingChanges = append(m.pendingChanges, c)
 }
 
-// History returns the last changes, oldest first.
+// History returns the last changes, at most MaxHistory, the oldest first.
 func (m *Monitor) History() []Change { return slices.Clone(m.history) }
 
-// Counts returns how many reports were received, and what could not be used.
+// Counts returns how many reports were processed and how much input was discarded.
 func (m *Monitor) Counts() Counts { return m.counts }
--- a/internal/drift/reporter.go
+++ b/internal/drift/reporter.go
@@ -6,37 +6,41 @@
 )
 
 const (
-	reportsPerChange  = 3 // in which a change is sent unasked: all of them are lost once in 8,000 at 5% loss, and then the leader asks
-	reportsPerRequest = 3 // for which a request of the leader holds: it repeats it in each reply
+	// At 5% loss, all three reports that carry a change are lost once in 8,000. The leader then requests the
+	// items.
+	reportsPerChange = 3
+
+	reportsPerRequest = 3 // reports for which a request of the leader applies; the leader repeats it in each reply
 	maxResync         = 16
 
-	// activityShare is the divisor for the part of a report's free bytes that activities may take.
+	// Activities may take 1/activityShare of the bytes that are free in a report.
 	activityShare = 3
 
-	// Of a nested field: a tag and a length of up to 127, or longer.
+	// Encoding overhead of a nested field: its tag and a length of one byte (up to 127) or two.
 	activityOverhead = 2
 	itemOverhead     = 3
 )
 
-// Reporter notes what a relay has applied, counts what it does, and makes its reports. It is for one goroutine.
+// Reporter records what a relay has applied, counts what it does and builds its reports. It is not
+// safe for concurrent use.
 type Reporter struct {
 	relay              string
 	incarnation, seq   uint64
 	items              []reportedItem // by group and name
 	activities         []Activity     // by item and kind
-	requestedGroups    []string       // of which the leader wants the items
-	requestReportsLeft int            // for which the request still holds
-	lastSentItem       string         // after which the next report's items begin, so that all get their turn
+	requestedGroups    []string       // groups whose items the leader requested
+	requestReportsLeft int            // number of reports for which requestedGroups still applies
+	lastSentItem       string         // the next report starts with the item after this one, so that all are sent in turn
 	nextActivity       int
 }
 
 type reportedItem struct {
 	Applied
-	pendingReports int // in which it is still to be sent unasked
+	pendingReports int // number of reports that still have to carry the latest change
 }
 
-// NewReporter returns the reporter of a process. The incarnation is above that of every earlier process of this name, as a wall clock in
-// milliseconds is.
+// NewReporter returns the reporter of a process. The incarnation must be higher than that of every
+// earlier process with this relay name, for example the wall clock in ms at the start.
 func NewReporter(relay string, incarnation uint64) *Reporter {
 	return &Reporter{relay: sanitize(relay, MaxRelayNameBytes), incarnation: incarnation}
 }
@@ -45,7 +49,8 @@
 	return slices.BinarySearchFunc(r.items, name, func(i reportedItem, n string) int { return compareByGroup(i.Name, n) })
 }
 
-// update changes an item, or adds it. False if the name is not valid, or there are too many.
+// update applies change to an item, adding the item if necessary. It returns false if the name is not
+// valid or there are too many items or groups.
 func (r *Reporter) update(name string, change func(*Applied)) bool {
 	i, ok := r.findItem(name)
 	if !ok {
@@ -67,7 +72,8 @@
 	return true
 }
 
-// RecordApplied notes that an item was applied as agreed. It ends a rejection or an override. False if there are too many items.
+// RecordApplied records that the relay applied an item as agreed, which ends a rejection or an
+// override. It returns false if the name is not valid or there are too many items or groups.
 func (r *Reporter) RecordApplied(now int64, item Item, source string) bool {
 	return r.update(item.Name, func(a *Applied) {
 		if a.Item != item || a.LocalOverride || a.RejectedVersion != 0 {
@@ -76,7 +82,8 @@
 	})
 }
 
-// RecordRejected notes that a version was rejected, and why. What the relay runs stays.
+// RecordRejected records that the relay rejected a version and why. The version that it runs does not
+// change. The result is that of RecordApplied.
 func (r *Reporter) RecordRejected(now int64, item Item, source, reason string) bool {
 	return r.update(item.Name, func(a *Applied) {
 		if a.RejectedVersion != item.Version || a.RejectReason != sanitize(reason, MaxReasonBytes) {
@@ -86,7 +93,8 @@
 	})
 }
 
-// RecordOverride notes that an operator's call at this relay changed an item. Version and digest are what the relay runs now.
+// RecordOverride records that an operator's call at this relay changed an item. The item's version and
+// digest are those that the relay runs now. The result is that of RecordApplied.
 func (r *Reporter) RecordOverride(now int64, item Item, by string) bool {
 	return r.update(item.Name, func(a *Applied) {
 		if a.Item != item || !a.LocalOverride {
@@ -95,22 +103,25 @@
 	})
 }
 
-// RecordProgress notes that the relay got further with the next version of an item: it is slow, not stuck.
+// RecordProgress records that the relay is still working on the next version of an item, so that a slow
+// relay is not taken for a stuck one.
 func (r *Reporter) RecordProgress(name string) {
 	if i, ok := r.findItem(name); ok {
 		r.items[i].Progress++
 	}
 }
 
-// Remove notes that the relay does not run the item any more. That is reported in as many reports as any change.
+// Remove records that the relay no longer runs the item. The removal is sent in as many reports as any
+// other change.
 func (r *Reporter) Remove(name string) {
 	if i, ok := r.findItem(name); ok {
 		r.items[i] = reportedItem{Applied{Item: Item{Name: r.items[i].Name}}, reportsPerChange}
 	}
 }
 
-// CountActivity adds to a count of what the relay did. Count what must not happen with 0 at the start, so that its first time is seen to be
-// one. False if there are too many kinds.
+// CountActivity adds to a count of what the relay did. The Monitor takes the first count it receives as
+// the starting point, so report a count of violations with 0 at the start: otherwise the first violations
+// are not detected. CountActivity returns false if a name is not valid or there are too many counts.
 func (r *Reporter) CountActivity(item, kind string, count, violations uint64) bool {
 	i, ok := slices.BinarySearchFunc(r.activities, Activity{Item: item, Kind: kind}, func(x, y Activity) int {
 		return cmp.Or(cmp.Compare(x.Item, y.Item), cmp.Compare(x.Kind, y.Kind))
@@ -126,10 +137,11 @@
 	return true
 }
 
-// HandleReply takes the leader's reply, and returns the items to take from the record again.
+// HandleReply processes the leader's reply and returns the items that the relay should read from the
+// record again.
 func (r *Reporter) HandleReply(reply Reply) (resync []string) {
 	if reply.Relay != r.relay || reply.Incarnation != r.incarnation {
-		return nil // for an earlier process
+		return nil // the reply is for another relay or an earlier process
 	}
 	r.requestedGroups, r.requestReportsLeft = reply.WantDetails, reportsPerRequest
 	return reply.Resync
@@ -148,8 +160,9 @@
 	return list
 }
 
-// NextReport returns the report to send now. Its encoding is at most MaxReportBytes long: it always has the digests of all groups; of what is
-// left a third is for activities, the rest for items, changed ones first. What does not fit is in the next reports.
+// NextReport returns the next report to send. Its encoding is at most MaxReportBytes long. It always
+// contains the digests of all groups. A third of the remaining bytes is for activities and the rest
+// for items, changed ones first. What does not fit is sent in later reports.
 func (r *Reporter) NextReport(now int64) Report {
 	r.seq++
 	report := Report{Relay: r.relay, Incarnation: r.incarnation, Seq: r.seq, SentAt: now, Groups: r.groupDigests()}
@@ -161,7 +174,8 @@
 	return report
 }
 
-// addActivities adds as many activities as their share of the free bytes allows, in turn, and returns what is still free.
+// addActivities adds as many activities as fit into their share of the free bytes, continuing where the
+// previous report stopped, and returns the number of bytes that are still free.
 func (r *Reporter) addActivities(report *Report, free int) int {
 	share := free / activityShare
 	for range r.activities {
@@ -177,7 +191,7 @@
 	return free
 }
 
-// addItems adds as many items as fit: first those that changed, then those that the leader wants.
+// addItems adds as many items as fit: first those that changed, then those that the leader requested.
 func (r *Reporter) addItems(report *Report, free int) {
 	start, ok := r.findItem(r.lastSentItem)
 	if ok {
--- a/internal/drift/reports.go
+++ b/internal/drift/reports.go
@@ -3,16 +3,17 @@
 import "slices"
 
 const (
-	delayWindowIntervals = 30 // the fastest report in such a window tells how late another one is
+	delayWindowIntervals = 30 // window in which the fastest report is the reference for the delay of the others
 
-	// detailIntervals is after how many intervals an item of a requested group that was not reported is taken to be gone: 64 items take 10
-	// reports at most.
+	// After detailTimeoutIntervals, an item of a requested group that was not in any report is taken to be
+	// no longer run. Reporting 64 items takes at most 10 reports.
 	detailTimeoutIntervals = 15
 
-	maxTrackedItems = 2 * MaxItems // of one relay: as many as are agreed, and as many that are not
+	maxTrackedItems = 2 * MaxItems // per relay: room for as many items that are not agreed as are agreed
 )
 
-// estimateSentAt returns when a report was sent, by this clock. The fastest report of the last windows tells the difference of the clocks.
+// estimateSentAt returns when a report was sent, by the Monitor's clock. The fastest report of the current
+// and the previous window gives the difference between the clocks; it is assumed to have had no delay.
 func (r *relayState) estimateSentAt(now, sentAt, interval int64) int64 {
 	delay := now - sentAt
 	if now-r.delayWindowAt > delayWindowIntervals*interval {
@@ -22,7 +23,7 @@
 	return max(now-(delay-min(r.minDelay[0], r.minDelay[1])), r.sentAt)
 }
 
-// HandleReport takes a relay's report.
+// HandleReport processes a relay's report.
 func (m *Monitor) HandleReport(now int64, report Report) {
 	r := m.relays[report.Relay]
 	switch {
@@ -54,7 +55,7 @@
 		r.silent = false
 	}
 	if r.liveness == Unreachable || r.liveness == Terminated {
-		r.liveness = Alive // its own report is the better proof
+		r.liveness = Alive // a report from the relay itself outweighs what others say
 	}
 	r.everReported, r.incarnation, r.seq, r.receivedAt, r.sentAt = true, report.Incarnation, report.Seq, now, sentAt
 	for _, a := range report.Items {
@@ -68,7 +69,7 @@
 	}
 }
 
-// stale reports whether a report is repeated, overtaken, or of a process that another one has replaced.
+// stale reports whether a report is repeated, out of order, or from a process that has been replaced.
 func (r *relayState) stale(report Report) bool {
 	if !r.everReported {
 		return false
@@ -76,8 +77,9 @@
 	return report.Incarnation == r.incarnation && report.Seq <= r.seq || report.Incarnation < r.incarnation && !r.silent
 }
 
-// excuseGap takes the time in which reports are missing off what its items had: only time in which a relay reports makes it late, so that one
-// that was stopped or partitioned for less than it takes to be silent does not drift either.
+// discountReportGap adds a gap between reports to the time that out-of-sync items have. Only time in which
+// the relay reports counts towards the lag bound, so a relay that is stopped or partitioned too briefly to be
+// marked silent does not drift because of that.
 func (r *relayState) discountReportGap(sentAt, gap int64) {
 	for g, i := range r.allItems() {
 		if !g.settled && i.outOfSyncSince > 0 {
@@ -86,10 +88,10 @@
 	}
 }
 
-// restartClocks restarts all clocks of a relay that restarted or was silent. What it reports from here on counts, within the bound for relays
-// that come back.
+// restartClocks restarts the times of all items of a relay that restarted or was silent. From then on its
+// reports count again, and its items may take until the recovery lag bound if that is the longer one.
 func (m *Monitor) restartClocks(sentAt int64, r *relayState, restarted bool) {
-	reason := "heard again"
+	reason := "heard again" // shown in logs: the relay reports again after a silence
 	if restarted {
 		reason = "restarted"
 	}
@@ -107,7 +109,7 @@
 	}
 }
 
-// takeDetail takes what a report says of a single item.
+// handleItem stores what a report says about one item.
 func (m *Monitor) handleItem(sentAt int64, r *relayState, a Applied) {
 	g := r.group(GroupOf(a.Name))
 	if g == nil {
@@ -131,15 +133,16 @@
 	i.applied, i.appliedKnown, i.detailedAt, i.detailedSeq = a, true, sentAt, r.seq
 }
 
-// noteProgress compares what an item runs now with what it ran before.
+// noteProgress compares what the relay runs of an item now with what it ran before.
 func (i *trackedItem) noteProgress(sentAt int64, a Applied) {
 	newer := a.Version > i.applied.Version
 	if newer && a.Version <= i.highestAgreedVersion || a.Item == i.applied.Item && a.Progress > i.applied.Progress {
 		i.progressedAt = sentAt
 	}
 	if newer && a.Item != i.agreed && i.outOfSyncSince > 0 && i.returnedAt == 0 {
+		// The relay has applied every version agreed before the first one that is newer than a.
 		if k := slices.IndexFunc(i.recentVersions[:], func(v agreedVersion) bool { return v.version > a.Version }); k >= 0 {
-			i.outOfSyncSince = max(i.outOfSyncSince, i.recentVersions[k].at) // it has taken all that was agreed before that
+			i.outOfSyncSince = max(i.outOfSyncSince, i.recentVersions[k].at)
 		}
 	}
 }
@@ -151,7 +154,8 @@
 	return n
 }
 
-// compareGroup compares a group by its digest, and classifies each of its items of which the report says anything.
+// compareGroup compares the reported digest of a group with the agreed one, and classifies each item of the
+// group about which the report says something.
 func (m *Monitor) compareGroup(sentAt int64, r *relayState, g *groupState, report Report) {
 	digest := DigestOf(nil)
 	for _, d := range report.Groups {
@@ -163,7 +167,7 @@
 	if g.digestMatches && g.settled {
 		return
 	}
-	complete := true // all items of the group are known
+	complete := true // applied is known for all items of the group
 	if g.digestMatches {
 		m.assumeAgreedApplied(sentAt, r, g, report.SentAt)
 	} else {
@@ -185,11 +189,12 @@
 	}
 }
 
-// applyAgreed notes that a relay runs all that is agreed of a group and nothing else, as its digest says.
+// assumeAgreedApplied records that a relay runs exactly the agreed items of a group, because the digest
+// matches.
 func (m *Monitor) assumeAgreedApplied(sentAt int64, r *relayState, g *groupState, relayClock int64) {
 	g.items = slices.DeleteFunc(g.items, func(i *trackedItem) bool {
 		if !i.isAgreed {
-			m.setState(sentAt, r, i, InSync, "gone")
+			m.setState(sentAt, r, i, InSync, "gone") // shown in logs: the relay no longer runs the item
 		}
 		return !i.isAgreed
 	})
@@ -201,8 +206,9 @@
 	}
 }
 
-// applyReported reports whether the digest is that of the items reported so far: then all that the relay runs of the group is known, and of
-// the other items it runs none. Items that were not reported though they were asked for are gone.
+// checkReportedItems reports whether the reported digest is that of the items reported so far. If it is, the
+// relay runs nothing else of the group. Otherwise it takes items that were requested but not reported in time
+// as no longer run.
 func (m *Monitor) checkReportedItems(sentAt int64, g *groupState, digest uint64) (complete bool) {
 	var list []Applied
 	for _, i := range g.items {
--- a/internal/drift/sanitize.go
+++ b/internal/drift/sanitize.go
@@ -5,7 +5,8 @@
 	"unicode/utf8"
 )
 
-// sanitize makes text fit for a report and for logs: at most maxBytes of whole runes, without control characters.
+// sanitize makes s safe for reports and logs: it replaces control characters and invalid UTF-8 by '?'
+// and cuts the result to at most maxBytes without splitting a rune.
 func sanitize(s string, maxBytes int) string {
 	s = strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f || r == utf8.RuneError {
--- a/internal/drift/state.go
+++ b/internal/drift/state.go
@@ -2,26 +2,28 @@
 
 import "fmt"
 
-// State is where an item of a relay stands. States from Lagging on are claims that something is wrong.
+// State describes how an item of a relay compares with what was agreed. The states from Lagging to
+// Contradicting are findings: they claim that something is wrong.
 type State uint8
 
 // The states of an item.
 const (
-	InSync        State = iota // it runs what was agreed
-	Propagating                // not yet, and nothing is claimed
-	Lagging                    // it runs an older version beyond the lag bound
-	Rejected                   // it reported that it does not take the version
-	Regressed                  // it runs an older version than it ran
-	Ahead                      // it runs a version or digest that was never agreed on
-	Overridden                 // an operator changed it at that relay
-	Contradicting              // it reports to be in sync, and what it does shows otherwise
-	Unknown                    // no reports
+	InSync        State = iota // the relay runs what was agreed
+	Propagating                // the relay does not run it yet, but within the time allowed
+	Lagging                    // the relay still runs an older version after the lag bound
+	Rejected                   // the relay reported that it rejected the agreed version
+	Regressed                  // the relay runs an older version than the last one it was in sync with
+	Ahead                      // the relay runs a version or digest that was never agreed on
+	Overridden                 // an operator changed the item at that relay
+	Contradicting              // the relay reports the item in sync, but its behaviour shows otherwise
+	Unknown                    // the relay sends no reports
 )
 
-// stateNames are what operators read, in answers and logs.
+// stateNames are the names shown in HTTP answers, logs and reasons. Operators match them, so they
+// stay as they are even where a constant has another name.
 var stateNames = [...]string{"in step", "on its way", "late", "refused", "gone back", "ahead", "local", "contradicts", "not heard"}
 
-// String returns the state's name for operators.
+// String returns the state's name as shown to operators.
 func (s State) String() string {
 	if int(s) < len(stateNames) {
 		return stateNames[s]
@@ -29,10 +31,10 @@
 	return fmt.Sprint("state ", int(s))
 }
 
-// MarshalText encodes the state's name in JSON.
+// MarshalText encodes the state as the name that String returns.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// severity orders the states of drift by how far a relay in them is to be mistrusted; 0 is no drift.
+// severity ranks the states that count as drift, the most serious highest. It is 0 for the others.
 func (s State) severity() int {
 	switch s {
 	case Contradicting:
--- a/internal/drift/types.go
+++ b/internal/drift/types.go
@@ -1,28 +1,31 @@
-// Package drift answers whether each relay runs what was agreed.
+// Package drift detects relays that do not run what was agreed for them.
 //
-// A Reporter is one relay's side: it notes what the relay has applied and counts what it does. A Monitor is the leader's side: it compares the
-// relays' reports with what was agreed, and gives findings. The package does no I/O and reads no clock: times (wall clock, ms), reports and
-// what is agreed are passed in, reports and replies to send are returned. docs/design/drift.md gives the reasons behind the design.
+// A Reporter runs on each relay: it records what the relay has applied, counts what the relay does
+// and builds its reports. A Monitor runs on the leader: it compares the reports with what was agreed
+// and returns findings. The package does no I/O and reads no clock: callers pass in the time (wall
+// clock, in ms), received reports and agreed items, and send the reports and replies that it
+// returns. docs/design/drift.md gives the reasons behind the design.
 package drift
 
-// Bounds on what is sent and stored, whatever a report claims.
+// Limits on what is sent and stored. Decoding and the Monitor enforce them on every report.
 const (
-	MaxReportBytes    = 900  // of an encoded report, which is sent once in an interval
-	MaxReplyBytes     = 1200 // of an encoded reply
+	MaxReportBytes    = 900  // size of an encoded report; a relay sends one per interval
+	MaxReplyBytes     = 1200 // size of an encoded reply
 	MaxRelays         = 1024
-	MaxItems          = 64 // of one relay
-	MaxGroups         = 16
-	MaxActivities     = 16
-	MaxNameBytes      = 36 // of an item's name, and of a kind of activity
+	MaxItems          = 64 // per relay
+	MaxGroups         = 16 // per relay
+	MaxActivities     = 16 // per relay
+	MaxNameBytes      = 36 // of an item name or an activity kind
 	MaxGroupNameBytes = 16
 	MaxRelayNameBytes = 64
 	MaxSourceBytes    = 24
-	MaxReasonBytes    = 100 // of a reason, and of a piece of evidence
-	MaxEvidence       = 4   // pieces of evidence stored for an item: the first ones and the newest
-	MaxHistory        = 256 // changes stored for operators
+	MaxReasonBytes    = 100 // of a reason or one piece of evidence
+	MaxEvidence       = 4   // pieces of evidence per item: the first three and the newest
+	MaxHistory        = 256 // state changes kept by a Monitor
 )
 
-// Names of items whose group is the whole name; "config.SECTION" is of the group "config".
+// Item names without a dot, which are also the names of their groups. An item "config.SECTION"
+// belongs to the group "config".
 const (
 	ItemProgram       = "program"
 	ItemConfig        = "config"
@@ -34,101 +37,108 @@
 	ItemPermits       = "permits"
 )
 
-// KindRemovedMember is a kind of Activity of ItemEjections and ItemDrains: new flows and attempts at members that are agreed to be ejected or
-// drained. Each is a violation.
+// KindRemovedMember is the Activity kind, for ItemEjections and ItemDrains, that counts new flows and
+// attempts sent to members that are agreed to be ejected or drained. Each one is a violation.
 const KindRemovedMember = "out"
 
-// Item is a version of something that is agreed on, or that a relay runs. Versions of an item rise; to go back, the former content is agreed
-// on as a higher version, or the former version is agreed on again.
+// Item identifies one version of something that is agreed on or that a relay runs. The agreed versions
+// of an item usually rise. To roll back, the earlier content is agreed on as a higher version, or the
+// earlier version is agreed on again.
 type Item struct {
 	Name    string `json:"Name"`
 	Version uint64 `json:"Version"`
 	Digest  uint64 `json:"Digest"`
 }
 
-// Applied is what a relay runs of an item. With version 0 it runs none, though it may have rejected one.
+// Applied is what a relay runs of an item. Version 0 means that it runs none, although it may have
+// rejected a version.
 type Applied struct {
 	Item
-	Since           int64  // by the relay's clock
-	Source          string // record, stream, snapshot, file, a call, ...
-	RejectReason    string // why it rejected RejectedVersion; "" if it has rejected none since
-	RejectedVersion uint64
-	Progress        uint64 // rises while it works on the next version: a slow disk is not a stuck relay
-	LocalOverride   bool   // changed by an operator's call at that relay
+	Since           int64  // when it was applied, rejected or overridden, by the relay's clock
+	Source          string // where the version came from: the record, a file, an operator's call, ...
+	RejectReason    string // why the relay rejected RejectedVersion; "" if there is none
+	RejectedVersion uint64 // 0 if no version was rejected since the last one was applied
+	Progress        uint64 // rises while the relay works on the next version, so that slow is not taken for stuck
+	LocalOverride   bool   // an operator's call at that relay changed the item
 }
 
-// empty reports whether the relay runs nothing of the item and rejected nothing.
+// empty reports whether the relay neither runs nor has rejected any version of the item.
 func (a Applied) empty() bool {
 	return a.Version == 0 && a.Digest == 0 && a.RejectedVersion == 0 && !a.LocalOverride
 }
 
-// Activity is a count of what a relay did since its start.
+// Activity counts how often a relay did something since its process started.
 type Activity struct {
 	Item, Kind string
 	Count      uint64
-	Violations uint64 // of Count: what it must not do by what it claims to have applied
+	Violations uint64 // how many of Count contradict what the relay reports to have applied
 }
 
-// GroupDigest is the digest over all items of a group, see GroupOf and DigestOf.
+// GroupDigest is the digest of all items of a group. See GroupOf and DigestOf.
 type GroupDigest struct {
 	Name   string
 	Digest uint64
 }
 
-// Report is what a relay reports of itself once in an interval.
+// Report is what a relay sends to the leader once per interval.
 type Report struct {
 	Relay       string
-	Incarnation uint64 // rises with each process of that name
+	Incarnation uint64 // rises with each process that has this relay name
 	Seq         uint64 // rises with each report of the process
-	SentAt      int64  // by the relay's clock: only differences are used
+	SentAt      int64  // by the relay's clock; the Monitor uses only differences
 	Groups      []GroupDigest
-	Items       []Applied // of groups that changed or that the leader asked for, as far as they fit; the rest in the next reports
+	Items       []Applied // changed or requested items; those that do not fit follow in later reports
 	Activities  []Activity
 }
 
 // Reply is the leader's answer to a report.
 type Reply struct {
 	Relay            string
-	Incarnation, Seq uint64   // of the report that it answers
-	WantDetails      []string // groups whose items the relay should report
-	Resync           []string // items that the relay should take from the record again
+	Incarnation, Seq uint64   // of the report that is answered
+	WantDetails      []string // groups whose items the relay should include in its reports
+	Resync           []string // items that the relay should read from the record again
 }
 
-// Liveness is what other relays and the record know of a relay's process.
+// Liveness is what gossip and the record say about a relay's process.
 type Liveness uint8
 
 // The values of Liveness.
 const (
-	Alive       Liveness = iota // by its own report, or by others
-	Unreachable                 // nobody receives from it: partitioned, stopped, or dead
-	Terminated                  // no process, for certain
-	Restarting                  // as ordered
-	Upgrading                   // another process is taking its place
+	Alive       Liveness = iota // the relay itself or other relays report it alive
+	Unreachable                 // no relay receives anything from it: it is partitioned, stopped or dead
+	Terminated                  // the process is certain to have ended
+	Restarting                  // restarting as ordered
+	Upgrading                   // a new process is replacing the old one
 )
 
-// Settings of a Monitor. NewMonitor replaces zeros by the defaults. Times are in ms.
+// Settings configures a Monitor. NewMonitor replaces zero values by the defaults given below. Times
+// are in ms; an interval is ReportInterval.
 type Settings struct {
-	ReportInterval   int64    // between the reports of a relay; 1000
-	InFlightGrace    int64    // the longest time of an attempt: one that began before a change may still end after it; 5000
-	PriorBound       int64    // the lag bound while little is known of propagation; 15 intervals
-	MaxBound         int64    // the highest lag bound, and how long a relay may make progress without arriving; 300 intervals
-	UnmeasuredGroups []string // groups whose arrivals tell nothing of propagation: they have the fleet's lag bound
-	SlowFleetFactor  float64  // times the bound while most of the fleet has not arrived, and times what half of it took while little is known; 8
+	ReportInterval   int64    // between two reports of a relay; default 1000
+	InFlightGrace    int64    // longest duration of an attempt, which may begin just before a change; default 5000
+	PriorBound       int64    // lag bound while there are few samples of the lag; default 15 intervals
+	MaxBound         int64    // highest lag bound, also for a relay that makes progress; default 300 intervals
+	UnmeasuredGroups []string // groups whose lag is not sampled: it says nothing about propagation; they use the fleet's bound
+	// SlowFleetFactor multiplies the lag bound of a version while fewer than half of the reporting
+	// relays run it. While a group has few lag samples, the bound is at least this factor times the
+	// time that half of the relays took. Default 8.
+	SlowFleetFactor float64
 }
 
-// Finding is an item of a relay that is not in sync, for operators. A relay that does not report has one finding, without an item.
+// Finding describes an item of a relay that is not in sync. A relay that does not report has one
+// finding, with the state Unknown and no item.
 type Finding struct {
 	Relay          string
 	State          State
-	Since          int64 // in this state
-	OutOfSyncSince int64 // 0 if it was never reported to be
+	Since          int64 // when the item entered State
+	OutOfSyncSince int64 // 0 if the relay reports the item in sync
 	Agreed         Item
-	Applied        Applied // its Since is by the relay's clock
+	Applied        Applied // Since is by the relay's clock
 	Reason         string
 	Evidence       []string
 }
 
-// Change is an item of a relay that went from one state to another. Without an item it is the relay itself.
+// Change is a state change of one of a relay's items, or of the relay itself if Item is empty.
 type Change struct {
 	At          int64
 	Relay, Item string
@@ -136,10 +146,10 @@
 	Reason      string
 }
 
-// Counts are the reports that a Monitor received, and what it could not use.
+// Counts counts the reports that a Monitor received and the input that it discarded.
 type Counts struct {
-	Reports      uint64 `json:"Words"`   // used
-	UnknownRelay uint64 `json:"Unknown"` // of relays for which nothing is agreed
-	Stale        uint64 `json:"Old"`     // repeated or overtaken
-	OverLimit    uint64 `json:"Full"`    // relays, items or changes beyond the bounds
+	Reports      uint64 `json:"Words"`   // reports that were processed
+	UnknownRelay uint64 `json:"Unknown"` // reports and sightings of relays for which nothing is agreed
+	Stale        uint64 `json:"Old"`     // reports that were repeated, out of order or from a replaced process
+	OverLimit    uint64 `json:"Full"`    // relays, items, activities or changes dropped because of a limit
 }
