--- a/internal/drift/codec_test.go
+++ b/internal/drift/codec_test.go
@@ -11,7 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestReportFits: whatever a relay notes, a report is within its bound, all items get their turn, and it is read as it was written.
+// TestReportFits checks that, whatever is recorded, no report exceeds MaxReportBytes, all accepted
+// items and counts are reported in turn, and a decoded report equals the encoded one.
 func TestReportFits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reporter := NewReporter(strings.Repeat("r", rapid.IntRange(1, MaxRelayNameBytes).Draw(t, "name")), 1<<63)
@@ -32,7 +33,7 @@
 		reported := map[string]bool{}
 		reportedCounts := map[string]bool{}
 		for k := range 2*n + 8 {
-			if k > n { // and now by request
+			if k > n { // the leader requests all items from here on
 				var want []string
 				for i := range MaxGroups {
 					want = append(want, fmt.Sprint("g", i))
@@ -42,11 +43,11 @@
 			report := reporter.NextReport(1 << 62)
 			encoded := report.Encode()
 			if len(encoded) > MaxReportBytes {
-				t.Fatalf("%d bytes", len(encoded))
+				t.Fatalf("len(Encode()) = %d bytes, want at most %d", len(encoded), MaxReportBytes)
 			}
 			decoded, err := DecodeReport(encoded)
 			if err != nil || !reflect.DeepEqual(report, decoded) {
-				t.Fatalf("%v\n%+v\n%+v", err, report, decoded)
+				t.Fatalf("DecodeReport(Encode()): error %v\ngot  %+v\nwant %+v", err, decoded, report)
 			}
 			for _, a := range report.Items {
 				reported[a.Name] = true
@@ -57,11 +58,11 @@
 		}
 		for name, ok := range accepted {
 			if ok != reported[name] {
-				t.Fatalf("%s: noted %v, reported %v", name, ok, reported[name])
+				t.Fatalf("item %s: accepted by the reporter: %v, reported: %v", name, ok, reported[name])
 			}
 		}
 		if len(reportedCounts) != min(n, MaxActivities) {
-			t.Fatalf("%d of %d counts reported", len(reportedCounts), min(n, MaxActivities))
+			t.Fatalf("%d activity counts reported, want %d", len(reportedCounts), min(n, MaxActivities))
 		}
 	})
 }
@@ -79,7 +80,7 @@
 			return
 		}
 		if again, err := DecodeReport(report.Encode()); err == nil && !reflect.DeepEqual(report, again) {
-			t.Fatalf("%+v\n%+v", report, again)
+			t.Fatalf("report changed when encoded and decoded again:\nbefore %+v\nafter  %+v", report, again)
 		}
 		monitor := NewMonitor(Settings{})
 		monitor.SetIntent(1, report.Relay, []Item{{ItemEjections, 3, 4}, {"config.tls", 2, 2}})
@@ -89,7 +90,7 @@
 		monitor.Tick(4)
 		monitor.Findings()
 		if r, ok := monitor.Reply(report.Relay); ok && len(r.Encode()) > MaxReplyBytes {
-			t.Fatal("a long reply")
+			t.Fatalf("len(Reply.Encode()) = %d bytes, want at most %d", len(r.Encode()), MaxReplyBytes)
 		}
 	})
 }
@@ -102,12 +103,13 @@
 			return
 		}
 		if again, err := DecodeReply(r.Encode()); err != nil || !bytes.Equal(again.Encode(), r.Encode()) {
-			t.Fatalf("%+v\n%+v %v", r, again, err)
+			t.Fatalf("reply changed when encoded and decoded again:\nbefore %+v\nafter  %+v, error %v", r, again, err)
 		}
 	})
 }
 
-// TestDigestGroups: a group's items stand together though another group's name sorts between them, and the leader comes to the same digest.
+// TestDigestGroups checks that a group has one digest even if the name of another group sorts between
+// its items, and that the leader computes the same digest from the agreed items.
 func TestDigestGroups(t *testing.T) {
 	reporter, monitor := NewReporter("n1", 1), NewMonitor(Settings{})
 	items := []Item{{"config", 1, 2}, {"config-x", 3, 4}, {"config.a", 5, 6}}
@@ -115,17 +117,18 @@
 		reporter.RecordApplied(1, it, "")
 	}
 	if g := reporter.NextReport(1).Groups; len(g) != 2 {
-		t.Fatal(g)
+		t.Fatalf("report has groups %v, want 2 groups", g)
 	}
 	slices.Reverse(items)
 	monitor.SetIntent(1, "n1", items)
 	monitor.HandleReport(2, reporter.NextReport(2))
 	if rows := monitor.Findings(); len(rows) != 0 {
-		t.Fatalf("%+v", rows)
+		t.Fatalf("Findings() = %+v, want none for a relay in sync", rows)
 	}
 }
 
-// TestLongestItem: beside the longest names, digests of all groups and counts, the longest item still gets its turn.
+// TestLongestItem checks that every report has room for an item and an activity, even if all names,
+// reasons and numbers are as long as they can be.
 func TestLongestItem(t *testing.T) {
 	reporter := NewReporter(strings.Repeat("r", MaxRelayNameBytes), 1<<63)
 	var want []string
@@ -143,7 +146,8 @@
 		reporter.HandleReply(Reply{Relay: reporter.relay, Incarnation: reporter.incarnation, WantDetails: want[:MaxGroups]})
 		report := reporter.NextReport(1 << 62)
 		if n := len(report.Encode()); n > MaxReportBytes || len(report.Items) == 0 || len(report.Activities) == 0 {
-			t.Fatalf("%d bytes, %d items, %d counts", n, len(report.Items), len(report.Activities))
+			t.Fatalf("report has %d bytes, %d items and %d activities, want at most %d bytes and at least 1 of each", n, len(report.Items),
+				len(report.Activities), MaxReportBytes)
 		}
 	}
 }
--- a/internal/drift/forms_test.go
+++ b/internal/drift/forms_test.go
@@ -11,7 +11,8 @@
 	"dahliarudder/internal/encodingtest"
 )
 
-// TestEncodedForms compares what goes into the record, onto a wire or into an HTTP answer with the bytes of an earlier version.
+// TestEncodedForms compares the encoded forms that are stored in the record, sent between relays or
+// shown in HTTP answers with those of an earlier version, in testdata/forms.txt.
 func TestEncodedForms(t *testing.T) {
 	var lines []string
 	for _, value := range []any{&Item{}, &Counts{}} {
@@ -46,6 +47,6 @@
 		t.Fatal(err)
 	}
 	if got != string(want) {
-		t.Errorf("encoded now:\n%s\nearlier:\n%s", got, want)
+		t.Errorf("encoded forms differ from testdata/forms.txt:\ngot:\n%s\nwant:\n%s", got, want)
 	}
 }
--- a/internal/drift/monitor_test.go
+++ b/internal/drift/monitor_test.go
@@ -10,15 +10,16 @@
 	"pgregory.net/rapid"
 )
 
-// reportSeen is what the oracle stores of a report: its reading, and whether it was the first after a silence or a restart.
+// observedReport is what the oracle stores of a report.
 type observedReport struct {
 	at       int64
-	state    State
-	afterGap bool
-	agreedAt int64 // when what was agreed then was agreed
+	state    State // that follows from this report alone
+	afterGap bool  // first report after a silence or a restart
+	agreedAt int64 // when the version that was agreed at the time of the report was agreed
 }
 
-// TestOracle: random sequences of one relay and one item, checked against rules that know all reports.
+// TestStateAgainstOracle runs random sequences of changes and reports of one item of one relay, and
+// checks the state after each report against rules that look at all reports so far.
 func TestStateAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		monitor := NewMonitor(Settings{})
@@ -44,16 +45,16 @@
 		recordRunning()
 		for range rapid.IntRange(20, 120).Draw(t, "steps") {
 			switch rapid.IntRange(0, 16).Draw(t, "what") {
-			case 0, 1: // agreed anew
+			case 0, 1: // a new version is agreed
 				intent = Item{"config.tls", highestVersion + 1, highestVersion + 51}
 				highestVersion++
 				agreedAt = now
 				monitor.SetIntent(now, "n1", []Item{intent})
-			case 2, 3: // applied
+			case 2, 3: // the agreed version is applied
 				running, overridden, rejectedVersion = intent, false, 0
-			case 4:
+			case 4: // goes back by one version
 				running, overridden, rejectedVersion = Item{"config.tls", running.Version - min(running.Version-1, 1), 7}, false, 0
-			case 5:
+			case 5: // runs a version that was never agreed
 				running, overridden, rejectedVersion = Item{"config.tls", highestVersion + 2, 9}, false, 0
 			case 6:
 				overridden, rejectedVersion = true, 0
@@ -75,42 +76,42 @@
 				}
 				report, err := DecodeReport(reporter.NextReport(now).Encode())
 				if err != nil {
-					t.Fatal(err)
+					t.Fatalf("DecodeReport: %v", err)
 				}
 				monitor.HandleReport(now, report)
 				if r, ok := monitor.Reply("n1"); ok {
 					reporter.HandleReply(r)
 				}
-				want := Lagging
+				reported := Lagging
 				switch {
 				case overridden:
-					want = Overridden
+					reported = Overridden
 				case running == intent:
-					want, lastInSync = InSync, intent.Version
+					reported, lastInSync = InSync, intent.Version
 				case rejectedVersion == intent.Version:
-					want = Rejected
+					reported = Rejected
 				case running.Version > highestVersion || running.Version == intent.Version:
-					want = Ahead
+					reported = Ahead
 				case running.Version < lastInSync:
-					want = Regressed
+					reported = Regressed
 				}
-				reports = append(reports, observedReport{now, want, afterGap, agreedAt})
+				reports = append(reports, observedReport{now, reported, afterGap, agreedAt})
 				lastReport, afterGap = now, false
 				checkState(t, monitor, reports, now)
 			}
 		}
 		monitor.Tick(now + 4001)
 		if rows := monitor.Findings(); len(rows) != 1 || rows[0].State != Unknown {
-			t.Fatalf("silent, and %+v", rows)
+			t.Fatalf("Findings() after 4 s without reports = %+v, want one finding with the state %v", rows, Unknown)
 		}
 	})
 }
 
-// checkState checks a state against the rules.
+// checkState checks the Monitor's state of the item against the rules.
 func checkState(t *rapid.T, monitor *Monitor, reports []observedReport, now int64) {
 	state := monitor.relays["n1"].item("config.tls").state
 	last := reports[len(reports)-1]
-	sameCount, since := 0, last.at // how long it has reported the same, without a break
+	sameCount, since := 0, last.at // how many reports in a row have given the same state, and since when
 	for i := len(reports) - 1; i >= 0 && reports[i].state == last.state; i-- {
 		sameCount++
 		since = reports[i].at
@@ -125,19 +126,21 @@
 	bound := max(monitor.LagBound("config"), monitor.recoveryLag.bound)
 	switch {
 	case sameCount >= 2 && (last.state == InSync || last.state == Rejected || last.state == Overridden) && state != last.state:
-		t.Fatalf("reported to be %v twice, yet %v", last.state, state)
+		t.Fatalf("state after two reports of %v in a row = %v", last.state, state)
 	case last.state == InSync && state == Propagating, last.state != InSync && state == InSync:
-		t.Fatalf("reports %v, yet %v", last.state, state)
+		t.Fatalf("state = %v, but the last report gives %v", state, last.state)
 	case state >= Lagging && state != last.state && state != previousState && len(reports) > 1 && state != lastClaim(reports):
-		t.Fatalf("%v, which no report gives: %v %v", state, previousState, last.state)
+		t.Fatalf("state = %v, want one that a recent report gives: %v or %v", state, previousState, last.state)
 	case (state == Lagging || state == Ahead) && state == last.state && reportedOutOfSyncFor(reports, monitor) < min(int64(3000), bound):
-		t.Fatalf("%v too soon", state)
+		t.Fatalf("state = %v after reports of being out of sync for %d ms, want that only after %d ms", state,
+			reportedOutOfSyncFor(reports, monitor), min(int64(3000), bound))
 	case (last.state == Lagging || last.state == Ahead || last.state == Regressed) && now-since > bound+2000 && state != last.state:
-		t.Fatalf("reports %v for %d ms, the bound is %d, and it is %v", last.state, now-since, bound, state)
+		t.Fatalf("state = %v after reports of %v for %d ms, want the reported state: the lag bound is %d ms", state, last.state, now-since, bound)
 	}
 }
 
-// lastClaim is what was claimed on a report that only one other has contradicted since.
+// lastClaim returns the state of the last two reports in a row that agree: a single later report does
+// not end it.
 func lastClaim(reports []observedReport) State {
 	for i := len(reports) - 1; i > 0; i-- {
 		if reports[i].state == reports[i-1].state {
@@ -147,7 +150,7 @@
 	return reports[0].state
 }
 
-// reportedOutOfSyncFor is for how long it has reported to be out of sync.
+// reportedOutOfSyncFor returns for how long, in ms, the reports have said that the item is out of sync.
 func reportedOutOfSyncFor(reports []observedReport, monitor *Monitor) int64 {
 	last := reports[len(reports)-1]
 	at := last.at
@@ -161,7 +164,8 @@
 	return last.at - at
 }
 
-// newFleet is a Monitor with n relays that are in sync on some items and have reported for half a minute.
+// newFleet returns a Monitor and n reporters that run all items as agreed and have reported for 30 s,
+// and the time after that.
 func newFleet(n int, items ...Item) (*Monitor, []*Reporter, int64) {
 	monitor, reporters, now := NewMonitor(Settings{}), []*Reporter{}, int64(1_000_000)
 	for i := range n {
@@ -176,6 +180,8 @@
 	return monitor, reporters, exchangeReports(monitor, reporters, now, 30)
 }
 
+// exchangeReports lets all reporters send a number of reports, one a second, and handle the replies.
+// It returns the time after that.
 func exchangeReports(monitor *Monitor, reporters []*Reporter, now int64, reports int) int64 {
 	for range reports {
 		now += 1000
@@ -194,7 +200,8 @@
 	return monitor.relays[relay].item(item).state
 }
 
-// TestSelectUnfitHalfFleet: drift at half of the fleet takes out no more than the budget, and the same relays while they drift.
+// TestSelectUnfitHalfFleet checks that, when half of the fleet drifts, SelectUnfit returns no more
+// relays than the budget, and the same ones for as long as they drift.
 func TestSelectUnfitHalfFleet(t *testing.T) {
 	monitor, reporters, now := newFleet(10, Item{ItemEjections, 1, 1}, Item{ItemEndpointList, 1, 1})
 	for _, b := range reporters[:5] {
@@ -216,49 +223,51 @@
 	}
 	out := selectNames(2, nil)
 	if len(selectNames(0, nil)) != 0 || len(selectNames(-1, nil)) != 0 || len(out) != 2 {
-		t.Fatal(out)
+		t.Fatalf("SelectUnfit with budgets 0, -1 and 2 = %v, %v and %v, want 0, 0 and 2 relays", selectNames(0, nil), selectNames(-1, nil), out)
 	}
-	reporters[4].RecordApplied(now, Item{ItemEndpointList, 0, 9}, "file") // a worse one does not push another out
+	reporters[4].RecordApplied(now, Item{ItemEndpointList, 0, 9}, "file") // more severe, but does not replace a relay in quarantine
 	now = exchangeReports(monitor, reporters, now, 5)
 	if again := selectNames(2, out); !slices.Equal(again, out) {
-		t.Fatal(again)
+		t.Fatalf("SelectUnfit while the quarantined relays drift = %v, want %v", again, out)
 	}
 	reporters[0].RecordApplied(now, Item{ItemEjections, 2, 2}, "record")
 	now = exchangeReports(monitor, reporters, now, 1)
 	if stateOf(monitor, "n0", ItemEjections) != Rejected {
-		t.Fatal("one report takes a claim back")
+		t.Fatalf("state after one report in sync = %v, want %v until a second one", stateOf(monitor, "n0", ItemEjections), Rejected)
 	}
 	exchangeReports(monitor, reporters, now, 1)
 	if again := selectNames(2, out); !slices.Equal(again, []string{"n1", "n4"}) {
-		t.Fatal(again)
+		t.Fatalf("SelectUnfit after n0 was repaired = %v, want n1 and n4", again)
 	}
 	if outOfSync := monitor.OutOfSyncRelays(ItemEjections, []string{"n0", "n1", "nobody"}); !slices.Equal(outOfSync, []string{"nobody"}) && !slices.Equal(outOfSync, []string{"n1", "nobody"}) {
-		t.Fatal(outOfSync)
+		t.Fatalf("OutOfSyncRelays(n0, n1, nobody) = %v, want nobody, with or without n1", outOfSync)
 	}
 }
 
-// TestRecordSighting: two sightings by others are a claim, after the time for which sends and sightings may have been in flight, and are forgotten
-// once they end.
+// TestRecordSighting checks that two sightings by others make a finding, that the finding ends some
+// time after the last one, and that sightings soon after a change are ignored because the flows may
+// have been in flight.
 func TestRecordSighting(t *testing.T) {
 	monitor, reporters, now := newFleet(3, Item{ItemEjections, 1, 1})
 	monitor.RecordSighting(now, "n1", ItemEjections, "m2 got 3 flows")
 	if stateOf(monitor, "n1", ItemEjections) != InSync {
-		t.Fatal("one sighting is a claim")
+		t.Fatalf("state after one sighting = %v, want %v", stateOf(monitor, "n1", ItemEjections), InSync)
 	}
 	monitor.RecordSighting(now+1000, "n1", ItemEjections, "m2 got 5 flows")
 	now = exchangeReports(monitor, reporters, now, 2)
 	if rows := monitor.Findings(); len(rows) != 1 || rows[0].State != Contradicting || len(rows[0].Evidence) != 2 || monitor.FullyInSync("n1") || !monitor.FullyInSync("n0") {
-		t.Fatalf("%+v", rows)
+		t.Fatalf("after two sightings: Findings() = %+v, want one with the state %v and 2 pieces of evidence; FullyInSync(n1) = %v, want false; FullyInSync(n0) = %v, want true",
+			rows, Contradicting, monitor.FullyInSync("n1"), monitor.FullyInSync("n0"))
 	}
 	if why, since := monitor.BlockReason([]string{"n0", "n1"}, nil); why == "" || since != monitor.Findings()[0].Since {
-		t.Fatal(why, since)
+		t.Fatalf("BlockReason = %q since %d, want a reason and the start of the finding", why, since)
 	}
 	if why, since := monitor.BlockReason([]string{"n0", "n1"}, func(relay, item string) bool { return relay == "n1" && item == ItemEjections }); why != "" || since != 0 {
-		t.Fatal(why, since)
+		t.Fatalf("BlockReason with the drift exempt = %q since %d, want none", why, since)
 	}
 	now = exchangeReports(monitor, reporters, now, 40)
 	if rows := monitor.Findings(); len(rows) != 0 {
-		t.Fatalf("behaves, and %+v", rows)
+		t.Fatalf("Findings() = %+v after 40 s without sightings, want none", rows)
 	}
 	for _, b := range reporters {
 		monitor.SetIntent(now, b.relay, []Item{{ItemEjections, 2, 2}})
@@ -268,11 +277,12 @@
 	monitor.RecordSighting(now, "n1", ItemEjections, "m2 got 3 flows")
 	monitor.RecordSighting(now, "n1", ItemEjections, "m2 got 4 flows")
 	if stateOf(monitor, "n1", ItemEjections) != InSync {
-		t.Fatal("what was in flight counts against it")
+		t.Fatalf("state after sightings 2 s after a change = %v, want %v", stateOf(monitor, "n1", ItemEjections), InSync)
 	}
 }
 
-// TestSingleViolation: one violation in a long time is no contradiction however often that happens; two close together are.
+// TestSingleViolation checks that isolated violations, each long after the last, make no finding, and
+// that two in one interval do.
 func TestSingleViolation(t *testing.T) {
 	monitor, reporters, now := newFleet(3, Item{ItemEjections, 1, 1})
 	for range 5 {
@@ -280,37 +290,39 @@
 		now = exchangeReports(monitor, reporters, now, 30)
 	}
 	if rows := monitor.Findings(); len(rows) != 0 {
-		t.Fatalf("%+v", rows)
+		t.Fatalf("Findings() after isolated violations = %+v, want none", rows)
 	}
 	reporters[1].CountActivity(ItemEjections, KindRemovedMember, 2, 2)
 	exchangeReports(monitor, reporters, now, 1)
 	if stateOf(monitor, "n1", ItemEjections) != Contradicting {
-		t.Fatal(stateOf(monitor, "n1", ItemEjections))
+		t.Fatalf("state after two violations in one interval = %v, want %v", stateOf(monitor, "n1", ItemEjections), Contradicting)
 	}
 }
 
-// TestItemNotAgreed: an item that a relay runs and nobody agreed on is ahead, a missing one has regressed, and a relay without items is forgotten.
+// TestItemNotAgreed checks that an item that a relay runs without agreement is Ahead, that a removed
+// one is Regressed, and that a relay without agreed items is no longer tracked.
 func TestItemNotAgreed(t *testing.T) {
 	monitor, reporters, now := newFleet(4, Item{"config.a", 1, 1}, Item{"config.b", 1, 1})
 	reporters[1].RecordApplied(now, Item{"config.x", 1, 1}, "file")
 	reporters[2].Remove("config.b")
 	now = exchangeReports(monitor, reporters, now, 40)
 	if stateOf(monitor, "n1", "config.x") != Ahead || stateOf(monitor, "n2", "config.b") != Regressed || len(monitor.Findings()) != 2 {
-		t.Fatalf("%+v", monitor.Findings())
+		t.Fatalf("Findings() = %+v, want config.x %v at n1 and config.b %v at n2", monitor.Findings(), Ahead, Regressed)
 	}
 	reporters[1].Remove("config.x")
 	now = exchangeReports(monitor, reporters, now, 3)
 	monitor.SetIntent(now, "n2", nil)
 	if rows := monitor.Findings(); len(rows) != 0 || len(monitor.sorted) != 3 {
-		t.Fatalf("%+v", rows)
+		t.Fatalf("Findings() = %+v with %d relays tracked, want none with 3", rows, len(monitor.sorted))
 	}
 	if exchangeReports(monitor, reporters, now, 1); monitor.Counts().UnknownRelay != 1 {
-		t.Fatal(monitor.Counts())
+		t.Fatalf("Counts() = %+v, want one report of an unknown relay", monitor.Counts())
 	}
 }
 
-// TestSlowFleets: no version is claimed to lag where the whole fleet is slow, from its first change on, in small fleets too; with tails as
-// long as the last two, 1 in 4,000 and 1 in 2,000 at most is.
+// TestSlowFleets checks that no relay is found to lag if the whole fleet is slow, from the first
+// change on, in small fleets too. With the long tails of the last two distributions, at most 1 in
+// 4,000 and 1 in 2,000 changes may be.
 func TestSlowFleets(t *testing.T) {
 	for _, pace := range []struct {
 		name  string
@@ -337,15 +349,15 @@
 					}
 				}
 			}
-			t.Logf("%s, %d relays: %d claims of %d", pace.name, n, claims, agreed)
+			t.Logf("%s, %d relays: %d findings in %d changes", pace.name, n, claims, agreed)
 			if float64(claims) > pace.share*float64(agreed) {
-				t.Errorf("%s", first)
+				t.Errorf("%s, %d relays: %d findings in %d changes, want at most a share of %g; first: %s", pace.name, n, claims, agreed, pace.share, first)
 			}
 		}
 	}
 }
 
-// fullFleet is a Monitor at its usual maximum: 300 relays with 64 items.
+// fullFleet returns a fleet of the usual maximum size: 300 relays with 64 items each.
 func fullFleet() (*Monitor, []*Reporter, int64) {
 	var items []Item
 	for i := range 64 {
@@ -354,7 +366,7 @@
 	return newFleet(300, items...)
 }
 
-// TestBounded: memory of 300 relays with 64 items, all of them drifting, whatever they report.
+// TestMemoryBound checks the memory of a Monitor for 300 relays with 64 items each, all of which drift.
 func TestMemoryBound(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -377,15 +389,15 @@
 	}
 	exchangeReports(monitor, reporters, now, 15)
 	if n := len(monitor.Findings()); n != 300*64 {
-		t.Fatal(n, monitor.Counts())
+		t.Fatalf("%d findings, want %d; counts %+v", n, 300*64, monitor.Counts())
 	}
 	reporters = nil
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	mb := float64(after.HeapAlloc-before.HeapAlloc) / (1 << 20)
-	t.Logf("%.1f MB", mb)
+	t.Logf("the monitor takes %.1f MB", mb)
 	if mb > 32 || len(monitor.History()) > MaxHistory {
-		t.Fatalf("%.1f MB, %d changes", mb, len(monitor.History()))
+		t.Fatalf("the monitor takes %.1f MB with %d changes in the history, want at most 32 MB and %d changes", mb, len(monitor.History()), MaxHistory)
 	}
 	runtime.KeepAlive(monitor)
 }
@@ -397,7 +409,7 @@
 	}
 }
 
-// BenchmarkHandleReport is a report of a relay that is in sync.
+// BenchmarkHandleReport measures a report of a relay that is in sync.
 func BenchmarkHandleReport(b *testing.B) {
 	monitor, reporters, now := fullFleet()
 	for b.Loop() {
@@ -409,7 +421,8 @@
 	}
 }
 
-// BenchmarkHandleReportDrifting is one of a relay that is not, with as many details as fit.
+// BenchmarkHandleReportDrifting measures a report of a relay that drifts on all items, with as many
+// items as fit.
 func BenchmarkHandleReportDrifting(b *testing.B) {
 	monitor, reporters, now := fullFleet()
 	for i := range 64 {
@@ -426,7 +439,8 @@
 	}
 }
 
-// TestClockSet: what was in flight does not count against a relay whose clock is stepped back, wherever the change falls.
+// TestClockStepped checks that a relay whose clock was stepped back by 20 s is not blamed for
+// attempts that were in flight when it applied a change, whenever the change happens after the step.
 func TestClockStepped(t *testing.T) {
 	for changeAfter := range 70 {
 		monitor, reporters, now := newFleet(1, Item{ItemEjections, 1, 1})
@@ -443,7 +457,7 @@
 			monitor.HandleReport(now, reporter.NextReport(now-20_000))
 			monitor.Tick(now)
 			if s := stateOf(monitor, reporter.relay, ItemEjections); s != InSync {
-				t.Fatalf("changed %d s after, %d s after that: %v", changeAfter, k-changeAfter, s)
+				t.Fatalf("state = %v, want %v: change applied %d s after the clock was stepped, report sent %d s after the change", s, InSync, changeAfter, k-changeAfter)
 			}
 		}
 	}
--- a/internal/drift/planted_test.go
+++ b/internal/drift/planted_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// plant makes a relay drift on an item.
+// plant makes a relay drift on an item. With restart, a Regressed relay restarts with its old state.
 func (w *simulation) plant(s *simRelay, item string, kind State, restart bool) {
 	key := s.name + " " + item
 	w.planted[key] = kind
@@ -22,7 +22,7 @@
 	case Regressed:
 		s.ignores[item] = true
 		s.running[item] = Item{item, cur.Version - 1, 5}
-		if restart { // restarts with an old directory
+		if restart { // with the old version in its directory
 			w.restart(s, 1000, false)
 			return
 		}
@@ -42,7 +42,7 @@
 	}
 }
 
-// heal ends all that was planted.
+// repairAll ends all planted drift.
 func (w *simulation) repairAll() {
 	for _, s := range w.relays {
 		clear(s.ignores)
@@ -57,7 +57,7 @@
 	}
 }
 
-// warmUp lets the monitor learn how long propagation takes.
+// warmUp commits changes for some time, from which the monitor learns how long propagation takes.
 func (w *simulation) warmUp(ms int64) {
 	for end := w.now + ms; w.now < end; {
 		w.commit(w.itemNames[w.rng.IntN(len(w.itemNames))])
@@ -65,8 +65,9 @@
 	}
 }
 
-// TestPlanted: drift of each kind is found, p99 under 3 s after it counts, nothing else is, and it ends once it is repaired: what a relay
-// can repair by itself it is asked to resync.
+// TestPlantedDriftFound checks that planted drift of each kind is found, with a p99 under 3 s from
+// when it counts as drift, that nothing else is found, and that the findings end once the drift is
+// repaired. A relay that can repair the drift itself is asked to resync.
 func TestPlantedDriftFound(t *testing.T) {
 	took := map[string][]int64{}
 	var all []int64
@@ -89,42 +90,43 @@
 		w.advance(90_000)
 		for key, kind := range kinds {
 			if w.found[key] == 0 || w.driftSince[key] == 0 {
-				t.Fatalf("seed %d: %s, planted %v: due %d, found %d", seed, key, kind, w.driftSince[key], w.found[key])
+				t.Fatalf("seed %d: %s, planted %v: counts as drift at %d, found at %d, want both above 0", seed, key, kind, w.driftSince[key], w.found[key])
 			}
 			took[kind.String()] = append(took[kind.String()], w.found[key]-w.driftSince[key])
 			all = append(all, w.found[key]-w.driftSince[key])
 		}
 		if len(w.falseFindings) > 0 {
-			t.Fatalf("seed %d: %s", seed, w.falseFindings[0])
+			t.Fatalf("seed %d: found drift that was not planted: %s", seed, w.falseFindings[0])
 		}
 		names := make([]string, len(w.relays))
 		for i, s := range w.relays {
 			names[i] = s.name
 		}
 		if why, _ := w.monitor.BlockReason(names, nil); !strings.Contains(why, "and 13 more") {
-			t.Fatalf("seed %d: BlockReason says %q", seed, why)
+			t.Fatalf("seed %d: BlockReason = %q, want a text with \"and 13 more\"", seed, why)
 		}
 		if out := w.monitor.SelectUnfit(4, nil, nil); len(out) != 4 {
-			t.Fatalf("seed %d: SelectUnfit returns %v", seed, out)
+			t.Fatalf("seed %d: SelectUnfit = %v, want 4 relays", seed, out)
 		}
 		w.repairAll()
 		w.advance(60_000)
 		if rows := w.monitor.Findings(); len(rows) > 0 {
-			t.Fatalf("seed %d: repaired, yet %+v", seed, rows[0])
+			t.Fatalf("seed %d: finding 60 s after the repair: %+v", seed, rows[0])
 		}
 	}
 	for _, kind := range []State{Lagging, Rejected, Regressed, Ahead, Overridden, Contradicting} {
 		list := took[kind.String()]
 		slices.Sort(list)
-		t.Logf("%-12v %4d: p50 %d ms, p99 %d, most %d", kind, len(list), list[len(list)/2], list[len(list)*99/100], list[len(list)-1])
+		t.Logf("%-12v %4d found: p50 %d ms, p99 %d ms, max %d ms", kind, len(list), list[len(list)/2], list[len(list)*99/100], list[len(list)-1])
 	}
 	slices.Sort(all)
 	if p99 := all[len(all)*99/100]; p99 >= 3000 {
-		t.Fatalf("p99 %d ms", p99)
+		t.Fatalf("p99 of the time to find drift = %d ms, want less than 3000 ms", p99)
 	}
 }
 
-// TestReplay: the same seed gives the same result, to the last report and change.
+// TestReplay checks that two simulations with the same seed send the same reports and make the same
+// changes.
 func TestReplay(t *testing.T) {
 	var previous string
 	for range 2 {
@@ -133,30 +135,31 @@
 		w.disturb(120_000)
 		current := fmt.Sprintf("%d %x %+v %v", w.bytes, w.trace, w.monitor.Findings(), w.monitor.History())
 		if previous != "" && previous != current {
-			t.Fatalf("%s\n%s", previous, current)
+			t.Fatalf("two simulations with the same seed differ:\n%s\n%s", previous, current)
 		}
 		previous = current
 	}
 }
 
-// TestDefects: each of these defects, switched on, makes the monitor claim what was not planted; without it nothing is claimed.
+// TestInjectedDefects checks that the simulation detects defects of the Monitor: with each of them
+// there are findings that were not planted, without it there are none.
 func TestInjectedDefects(t *testing.T) {
 	for _, d := range []struct {
 		name   string
 		defect defect
 		run    func(w *simulation)
 	}{
-		{"a fixed bound where propagation is slow", fixedBound, func(w *simulation) {
+		{"fixed lag bound with slow propagation", fixedBound, func(w *simulation) {
 			w.propagation = func(*rng) int64 { return 3000 + w.rng.Int64N(9000) }
 			w.warmUp(120_000)
 		}},
-		{"no grace for sends in flight", noGrace, func(w *simulation) {
+		{"no grace for attempts in flight", noGrace, func(w *simulation) {
 			for range 10 {
 				w.commit(ItemEjections)
 				w.advance(10_000)
 			}
 		}},
-		{"a partition counted as drift", partitionIsDrift, func(w *simulation) {
+		{"partition counted as drift", partitionIsDrift, func(w *simulation) {
 			w.warmUp(120_000)
 			for _, s := range w.relays[:4] {
 				s.partitionedUntil = w.now + 30_000
@@ -169,13 +172,14 @@
 			w.monitor.defect = f
 			d.run(w)
 			if found := len(w.falseFindings) > 0; found != (f != noDefect) {
-				t.Errorf("%s: switched on %v, found %v %v", d.name, f != noDefect, found, w.falseFindings[:min(len(w.falseFindings), 1)])
+				t.Errorf("%s: defect injected: %v, false findings: %v, want the same; first: %v", d.name, f != noDefect, found, w.falseFindings[:min(len(w.falseFindings), 1)])
 			}
 		}
 	}
 }
 
-// TestReportBytes: a relay's reports cost the same in a small fleet and in a large one, under 1 KB/s with 64 items, of which some change.
+// TestReportBytes checks that the reports of a relay take less than 1 KB/s with 64 items, some of
+// which change, and about the same in a small fleet as in a large one.
 func TestReportBytes(t *testing.T) {
 	var least, most float64
 	for _, n := range []int{10, 40, 300} {
@@ -184,18 +188,19 @@
 		from, bytes := w.now, w.bytes
 		w.warmUp(30_000)
 		rate := float64(w.bytes-bytes) / float64(n) / (float64(w.now-from) / 1000)
-		t.Logf("%d relays: %.0f bytes a second each, longest report %d", n, rate, w.longestReport)
+		t.Logf("%d relays: %.0f bytes/s per relay, longest report %d bytes", n, rate, w.longestReport)
 		if least == 0 {
 			least = rate
 		}
 		least, most = min(least, rate), max(most, rate)
 	}
 	if most >= 1000 || most > 1.5*least {
-		t.Errorf("%.0f to %.0f bytes a second", least, most)
+		t.Errorf("%.0f to %.0f bytes/s per relay, want less than 1000, and the most at most 1.5 times the least", least, most)
 	}
 }
 
-// TestPlantedAmongFaults: drift is found while other relays restart, are partitioned and stop, and the leader changes.
+// TestPlantedAmongFaults checks that planted drift is found, and nothing else, while other relays
+// restart, stop and are partitioned and the leader changes.
 func TestPlantedAmongFaults(t *testing.T) {
 	for seed := range seedsToRun(3) {
 		w := newSimulation(seed, 30, 12)
@@ -211,11 +216,11 @@
 		w.advance(60_000)
 		for key, kind := range w.planted {
 			if w.found[key] == 0 {
-				t.Errorf("seed %d: %s, %v, was not found", seed, key, kind)
+				t.Errorf("seed %d: planted drift not found: %s, %v", seed, key, kind)
 			}
 		}
 		if len(w.falseFindings) > 0 {
-			t.Errorf("seed %d: %s", seed, w.falseFindings[0])
+			t.Errorf("seed %d: found drift that was not planted: %s", seed, w.falseFindings[0])
 		}
 	}
 }
--- a/internal/drift/seed_test.go
+++ b/internal/drift/seed_test.go
@@ -2,5 +2,6 @@
 
 import "flag"
 
-// The random steps draw the same in every run: a verdict that changes from run to run is none. -rapid.seed draws others.
+// Uses a fixed seed for the property tests, so that every run draws the same values and results are
+// reproducible. The flag -rapid.seed selects another seed.
 func init() { flag.Set("rapid.seed", "1") }
--- a/internal/drift/simulation_test.go
+++ b/internal/drift/simulation_test.go
@@ -14,7 +14,8 @@
 
 type rng = rand.Rand
 
-// simulation is a fleet in virtual time: relays with a Reporter each, one leader with a Monitor, and a network that loses, delays, reorders and repeats.
+// simulation is a fleet in virtual time: relays with a Reporter each, one leader with a Monitor, and
+// a network that loses, delays, reorders and repeats datagrams. Times are in ms.
 type simulation struct {
 	now           int64
 	rng           *rand.Rand
@@ -23,17 +24,17 @@
 	relays        []*simRelay
 	itemNames     []string
 	agreed        map[string]Item
-	events        map[int64][]func() // what arrives when
-	loss          float64
-	delay         int64              // of a datagram, at most
-	propagation   func(r *rng) int64 // how long a relay takes for a change
-	planted       map[string]State   // by relay and item: what is to be found
-	found         map[string]int64   // when it was
-	driftSince    map[string]int64   // since when it counts as drift
-	falseFindings []string           // of what was not planted
-	bytes         int
+	events        map[int64][]func() // by due time
+	loss          float64            // share of datagrams that are lost
+	delay         int64              // highest delay of a datagram that is not reordered
+	propagation   func(r *rng) int64 // draws the time from a change to its application at a relay
+	planted       map[string]State   // planted drift, by relay and item
+	found         map[string]int64   // when planted drift was found
+	driftSince    map[string]int64   // since when planted drift counts as drift
+	falseFindings []string           // findings that were not planted
+	bytes         int                // total size of all reports
 	longestReport int
-	trace         uint64
+	trace         uint64 // hash of all changes
 }
 
 type simRelay struct {
@@ -41,19 +42,19 @@
 	name             string
 	reporter         *Reporter
 	incarnation      uint64
-	running          map[string]Item // what it runs
-	received         map[string]Item // what it has received of the record, and would apply
+	running          map[string]Item // versions that the relay runs
+	received         map[string]Item
 	up               bool
-	stoppedUntil     int64 // by SIGSTOP
-	partitionedUntil int64 // until then nothing reaches it or comes from it
-	reportPhase      int64
-	ignores          map[string]bool
-	rejects          map[string]bool
-	violates         map[string]bool
+	stoppedUntil     int64           // the process is stopped, as by SIGSTOP
+	partitionedUntil int64           // nothing reaches the relay or comes from it
+	reportPhase      int64           // offset of its reports within a second
+	ignores          map[string]bool // items whose changes it does not apply
+	rejects          map[string]bool // items whose changes it rejects
+	violates         map[string]bool // items that it violates although it reports them in sync
 	slowDisk         bool
-	undisturbed      bool            // nothing else happens to it
-	progressing      map[string]bool // moves on with an item while it is slow
-	inFlightUntil    int64           // until then sends that began before a change are counted
+	undisturbed      bool            // disturb leaves the relay alone
+	progressing      map[string]bool // items for which it reports progress
+	inFlightUntil    int64           // until then it counts attempts that began before a change
 	clockSkew        int64
 }
 
@@ -83,7 +84,7 @@
 	return w
 }
 
-// changeLeader makes a new leader, which knows nothing but what is agreed.
+// changeLeader replaces the Monitor by a new one that knows only what is agreed.
 func (w *simulation) changeLeader() {
 	injected := noDefect
 	if w.monitor != nil {
@@ -106,7 +107,8 @@
 
 func (s *simRelay) clock(now int64) int64 { return now + s.clockSkew }
 
-// start begins a process with what it runs by now, which may be old, and has it catch up.
+// start starts a new process of a relay with the versions that the relay runs, which may be old, and
+// delivers the newer ones.
 func (w *simulation) start(s *simRelay) {
 	s.incarnation++
 	s.up, s.stoppedUntil = true, 0
@@ -134,7 +136,7 @@
 	w.events[dueAt] = append(w.events[dueAt], event)
 }
 
-// deliver has a relay apply a change after a while, if it can.
+// deliver sends a change to a relay, which applies it after the propagation time.
 func (w *simulation) deliver(s *simRelay, it Item) {
 	incarnation, delay := s.incarnation, w.propagation(w.rng)
 	if s.slowDisk {
@@ -144,6 +146,8 @@
 	w.schedule(w.now+delay, func() { w.applyItem(s, incarnation, it) })
 }
 
+// applyItem applies a change at a relay, unless the relay cannot or already runs the same or a newer
+// agreed version.
 func (w *simulation) applyItem(s *simRelay, incarnation uint64, it Item) {
 	switch {
 	case !s.up || s.incarnation != incarnation || s.ignores[it.Name] || w.now < s.partitionedUntil || s.running[it.Name].Version >= it.Version && s.running[it.Name] == it:
@@ -176,12 +180,12 @@
 	}
 }
 
-// send carries a datagram to the leader or from it.
+// send sends a datagram between a relay and the leader.
 func (w *simulation) send(s *simRelay, arrive func()) {
 	for range 1 + map[bool]int{true: 1}[w.rng.Float64() < 0.02] {
 		delay := 1 + w.rng.Int64N(w.delay)
 		if w.rng.Float64() < 0.01 {
-			delay *= 10 // overtaken by others
+			delay *= 10 // later datagrams may arrive first
 		}
 		if w.rng.Float64() >= w.loss && w.now >= s.partitionedUntil {
 			w.schedule(w.now+delay, arrive)
@@ -208,7 +212,7 @@
 	}
 }
 
-// checkFindings compares the states of a relay's items with what was planted.
+// checkFindings compares the states of a relay's items with the planted drift.
 func (w *simulation) checkFindings(relay string) {
 	r := w.monitor.relays[relay]
 	for _, g := range r.groups {
@@ -218,7 +222,7 @@
 				continue
 			}
 			if want, ok := w.planted[key]; !ok {
-				w.falseFindings = append(w.falseFindings, fmt.Sprintf("%s at %d: %v, %s; out of sync %d progressed %d returned %d sent %d liveness %d", key, w.now, p.state, p.suspicion.reason,
+				w.falseFindings = append(w.falseFindings, fmt.Sprintf("%s at %d: %v, %s; ms since out of sync %d, progress %d, return %d, last report %d; liveness %d", key, w.now, p.state, p.suspicion.reason,
 					w.now-p.outOfSyncSince, w.now-p.progressedAt, w.now-p.returnedAt, w.now-r.sentAt, r.liveness))
 			} else if want == p.state && w.found[key] == 0 {
 				w.found[key] = w.now
@@ -227,7 +231,8 @@
 	}
 }
 
-// noteDue notes when planted drift that takes its time to count as drift does so.
+// updateDriftSince records when planted drift starts to count as drift, for kinds that count only
+// after the lag bound.
 func (w *simulation) updateDriftSince() {
 	for _, key := range slices.Sorted(maps.Keys(w.planted)) {
 		if w.driftSince[key] != 0 || w.planted[key] == Rejected {
@@ -242,7 +247,7 @@
 	}
 }
 
-// runUntil plays the events until a time.
+// runUntil runs all events and reports that are due before a time.
 func (w *simulation) runUntil(until int64) {
 	for ; w.now < until; w.now += tickMs {
 		due := w.events[w.now]
@@ -265,7 +270,7 @@
 				s.reporter.CountActivity(name, KindRemovedMember, 3, 3)
 			}
 			if w.now < s.inFlightUntil {
-				s.reporter.CountActivity(ItemEjections, KindRemovedMember, 4, 4) // begun before the change
+				s.reporter.CountActivity(ItemEjections, KindRemovedMember, 4, 4) // attempts that began before the change
 			}
 			for name := range s.progressing {
 				s.reporter.RecordProgress(name)
@@ -291,7 +296,8 @@
 
 func (w *simulation) advance(ms int64) { w.runUntil((w.now + ms) / tickMs * tickMs) }
 
-// restart ends a relay, and starts it again after a while with what it had then; known is whether others know of it.
+// restart ends a relay's process and starts a new one after wait, with the same versions. With known,
+// the Monitor is told of the restart.
 func (w *simulation) restart(s *simRelay, wait int64, known bool) {
 	s.up = false
 	if known {
@@ -305,7 +311,7 @@
 	})
 }
 
-// seedCount is how many seeds a test plays: a few in CI, as many as DRIFT_SEEDS says by hand.
+// seedsToRun returns the number of seeds that a test runs: DRIFT_SEEDS, or few if that is not set.
 func seedsToRun(few int) uint64 {
 	if n, err := strconv.Atoi(os.Getenv("DRIFT_SEEDS")); err == nil {
 		return uint64(n)
@@ -313,7 +319,7 @@
 	return uint64(few)
 }
 
-// disturb plays a fleet with faults and changes of all sorts, none of them drift.
+// disturb runs the fleet with faults and changes of all kinds, none of which is drift.
 func (w *simulation) disturb(ms int64) {
 	for end := w.now + ms; w.now < end; {
 		s := w.relays[w.rng.IntN(len(w.relays))]
@@ -326,10 +332,10 @@
 		case !canDisturb:
 		case k == 7:
 			w.restart(s, w.rng.Int64N(8000), w.rng.IntN(2) == 0)
-		case k == 8: // with nothing of what it had
+		case k == 8: // restarts with an empty directory
 			s.running = map[string]Item{}
 			w.restart(s, w.rng.Int64N(3000), false)
-		case k == 9: // upgrade: the new process is there before the old one has gone
+		case k == 9: // upgrade: the new process starts before the old one has ended
 			w.monitor.SetLiveness(s.name, Upgrading)
 			w.start(s)
 			w.schedule(w.now+4000, func() { w.monitor.SetLiveness(s.name, Alive) })
@@ -344,7 +350,7 @@
 			s.clockSkew += w.rng.Int64N(40_000) - 20_000
 		case k == 12 && w.rng.IntN(4) == 0:
 			w.changeLeader()
-		case k == 13 && w.rng.IntN(4) == 0: // a slow disk, for a minute
+		case k == 13 && w.rng.IntN(4) == 0: // slow disk for a minute
 			s.slowDisk = true
 			w.schedule(w.now+60_000, func() { s.slowDisk = false })
 		}
@@ -352,8 +358,10 @@
 	}
 }
 
-// TestNoFalseFinding: an hour (DRIFT_MINUTES=60; short in CI) of 40 relays at 5% loss with restarts, upgrades, partitions, stops, slow disks, clocks
-// that are stepped and new leaders; also of 3, and a part of it of 300.
+// TestNoFalseFinding checks that faults and changes that are not drift cause no findings: restarts,
+// upgrades, partitions, stops, slow disks, clock steps and new leaders at 5% loss. It runs fleets of
+// 3 and 40 relays for DRIFT_MINUTES simulated minutes, 3 by default, and one of 300 relays for a part
+// of that.
 func TestNoFalseFinding(t *testing.T) {
 	minutes, err := strconv.ParseInt(os.Getenv("DRIFT_MINUTES"), 10, 64)
 	if err != nil {
@@ -364,11 +372,11 @@
 			w := newSimulation(seed, n, 16)
 			w.disturb(minutes * 60_000 / int64(1+n/100*4))
 			if len(w.falseFindings) > 0 {
-				t.Fatalf("seed %d, %d relays: %d, first: %s", seed, n, len(w.falseFindings), w.falseFindings[0])
+				t.Fatalf("seed %d, %d relays: %d findings, want none; first: %s", seed, n, len(w.falseFindings), w.falseFindings[0])
 			}
 			w.advance(120_000)
 			if rows := w.monitor.Findings(); len(rows) > 0 && !slices.ContainsFunc(w.relays, func(s *simRelay) bool { return !s.up }) {
-				t.Fatalf("seed %d, %d relays: not in sync at the end: %+v", seed, n, rows[0])
+				t.Fatalf("seed %d, %d relays: not in sync 2 minutes after the last fault: %+v", seed, n, rows[0])
 			}
 		}
 	}
