--- a/internal/drift/activities.go
+++ b/internal/drift/activities.go
@@ -66,8 +66,9 @@
 	case a.Violations == t.Violations && sentAt-t.violationsRoseAt > grace+r.group(GroupOf(a.Item)).lag.bound:
 		t.baseViolations = a.Violations // an isolated violation is ignored: an attempt that hung, or a race
 	case a.Violations > t.Violations && a.Violations-t.baseViolations >= confirmations:
-		// The text is shown in GET /-/drift and logs. It means: by its own count, the relay sent this many new
-		// flows or attempts to members that it should not use, after it reported to run the agreed version.
+		// The text is shown in GET /-/drift, logs and quarantine reasons. It means: by its own count, the
+		// relay sent this many new flows or attempts to members that it should not use, after it reported
+		// to run the agreed version.
 		m.recordContradiction(sentAt, r, i, fmt.Sprintf("%d sends of %q astray by its own count since it said that it runs %d", a.Violations-t.baseViolations, a.Kind, i.applied.Version))
 	}
 	if a.Violations != t.Violations {
--- a/internal/drift/agreement.go
+++ b/internal/drift/agreement.go
@@ -48,7 +48,8 @@
 		for _, i := range g.items {
 			if !i.isAgreed {
 				m.trackArrival(now, i, nil)
-				i.agreed = Item{Name: i.agreed.Name} // no version is agreed; the item stays tracked while the relay may still run it
+				// No version is agreed any more. The item stays tracked, as the relay may still run it.
+				i.agreed = Item{Name: i.agreed.Name}
 			}
 		}
 		g.updateDigest()
@@ -94,8 +95,8 @@
 	g.settled = false
 }
 
-// trackArrival counts an item towards the arrivals at version to instead of those at its earlier version;
-// with nil it counts towards none.
+// trackArrival makes an item count towards the arrivals at the version of to, instead of those at its
+// previous version. If to is nil, the item counts towards none.
 func (m *Monitor) trackArrival(now int64, i *trackedItem, to *Item) {
 	if a := i.arrival; a != nil {
 		if a.refs--; a.refs == 0 {
@@ -145,7 +146,7 @@
 	return g
 }
 
-// item returns the item with a name, in whichever group it is, or nil.
+// item returns the relay's item with a name, or nil.
 func (r *relayState) item(name string) *trackedItem {
 	if g := r.group(GroupOf(name)); g != nil {
 		return g.item(name)
--- a/internal/drift/classify.go
+++ b/internal/drift/classify.go
@@ -91,7 +91,9 @@
 		slowFleet := i.arrival != nil && i.arrival.live >= minFleetToCompare && 2*i.arrival.arrived <= i.arrival.live
 		switch {
 		case i.returnedAt > 0:
-			if i.state < Lagging && lag > 0 { // 0: it was in sync in its first report, which says nothing about the recovery time
+			// A lag of 0 means that the item was in sync in the relay's first report, which says nothing
+			// about the recovery time.
+			if i.state < Lagging && lag > 0 {
 				m.recoveryLag.add(lag)
 			}
 		case i.lagMeasurable && (i.state < Lagging || slowFleet) && !slices.Contains(m.settings.UnmeasuredGroups, g.name):
--- a/internal/drift/lag.go
+++ b/internal/drift/lag.go
@@ -7,7 +7,7 @@
 
 const (
 	maxLagSamples     = 256 // 6 changes at 40 relays; while there are fewer, the prior bound is weighed in
-	minBoundIntervals = 3   // a report may just have been sent and the next one may be lost, so the third shows the change
+	minBoundIntervals = 3   // a report may just have been sent and the next may be lost; the third shows the change
 	maxStretch        = 32  // the bound is at most this many times a quantile
 )
 
--- a/internal/drift/monitor.go
+++ b/internal/drift/monitor.go
@@ -6,7 +6,10 @@
 )
 
 const (
-	confirmations        = 2    // reports or sightings needed to make a finding, and reports needed to end it
+	// confirmations is the number of reports in a row needed for the states Lagging and Ahead and for the end of
+	// a finding, and the number of sightings or violations needed for the state Contradicting.
+	confirmations = 2
+
 	maxRecentVersions    = 4    // agreed versions remembered per item, for a relay that applies them one by one
 	maxPendingChanges    = 8192 // between two calls of Tick
 	maxLagEstimates      = 4 * MaxGroups
@@ -42,10 +45,10 @@
 type defect uint8
 
 const (
-	noDefect defect = iota
-	fixedBound
-	noGrace
-	partitionIsDrift
+	noDefect         defect = iota
+	fixedBound              // the lag bound is fixedBoundIntervals, whatever the fleet's lag is
+	noGrace                 // violations count without InFlightGrace
+	partitionIsDrift        // time without reports counts towards the lag bound
 )
 
 // arrivalCount counts the relays that have arrived at an agreed version of an item, that is, report the
@@ -96,7 +99,7 @@
 	highestAgreedVersion uint64                           // highest version ever agreed for this relay
 
 	applied      Applied
-	appliedKnown bool   // applied was reported by the current process
+	appliedKnown bool   // applied is what the current process runs
 	detailedAt   int64  // when the item was last in a report
 	detailedSeq  uint64 // Seq of that report
 
--- a/internal/drift/reporter.go
+++ b/internal/drift/reporter.go
@@ -30,7 +30,7 @@
 	activities         []Activity     // by item and kind
 	requestedGroups    []string       // groups whose items the leader requested
 	requestReportsLeft int            // number of reports for which requestedGroups still applies
-	lastSentItem       string         // the next report starts with the item after this one, so that all are sent in turn
+	lastSentItem       string         // the next report continues after this item, so that all are sent in turn
 	nextActivity       int
 }
 
--- a/internal/drift/reports.go
+++ b/internal/drift/reports.go
@@ -5,8 +5,8 @@
 const (
 	delayWindowIntervals = 30 // window in which the fastest report is the reference for the delay of the others
 
-	// After detailTimeoutIntervals, an item of a requested group that was not in any report is taken to be
-	// no longer run. Reporting 64 items takes at most 10 reports.
+	// detailTimeoutIntervals is the number of intervals after which an item of a requested group that was
+	// in no report is taken to be no longer run. Reporting 64 items takes at most 10 reports.
 	detailTimeoutIntervals = 15
 
 	maxTrackedItems = 2 * MaxItems // per relay: room for as many items that are not agreed as are agreed
--- a/internal/drift/types.go
+++ b/internal/drift/types.go
@@ -114,11 +114,13 @@
 // Settings configures a Monitor. NewMonitor replaces zero values by the defaults given below. Times
 // are in ms; an interval is ReportInterval.
 type Settings struct {
-	ReportInterval   int64    // between two reports of a relay; default 1000
-	InFlightGrace    int64    // longest duration of an attempt, which may begin just before a change; default 5000
-	PriorBound       int64    // lag bound while there are few samples of the lag; default 15 intervals
-	MaxBound         int64    // highest lag bound, also for a relay that makes progress; default 300 intervals
-	UnmeasuredGroups []string // groups whose lag is not sampled: it says nothing about propagation; they use the fleet's bound
+	ReportInterval int64 // between two reports of a relay; default 1000
+	InFlightGrace  int64 // longest duration of an attempt, which may begin just before a change; default 5000
+	PriorBound     int64 // lag bound while there are few samples of the lag; default 15 intervals
+	MaxBound       int64 // highest lag bound, also for a relay that makes progress; default 300 intervals
+	// UnmeasuredGroups are groups whose lag is not sampled because it says nothing about how long
+	// propagation takes. They use the lag bound of the whole fleet.
+	UnmeasuredGroups []string
 	// SlowFleetFactor multiplies the lag bound of a version while fewer than half of the reporting
 	// relays run it. While a group has few lag samples, the bound is at least this factor times the
 	// time that half of the relays took. Default 8.
