--- a/internal/core/feed.go
+++ b/internal/core/feed.go
@@ -95,7 +95,7 @@
 	case class.Idempotency == policy.Idempotent:
 		limits.Repeatable = true
 	case class.Idempotency == policy.IdempotencyKey && class.Scope == policy.ScopeAll:
-		limits.Repeatable, limits.RepeatWindow = class.DedupWindow > 0, class.DedupWindow
+		limits.Repeatable, limits.DedupWindow = class.DedupWindow > 0, class.DedupWindow
 	}
 	f := &Feed{core: c, request: q, transport: transport, id: c.lastID, window: window.New(limits)}
 	c.feeds[f.id] = f
--- a/internal/window/acknowledgement.go
+++ b/internal/window/acknowledgement.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// This file settles messages: by acknowledgements, rejections, lost links and expiry.
+// This file settles messages: after acknowledgements, rejections, the end of the link, and expiry.
 
-// Acknowledged says that the member has accepted the n oldest messages in flight, except those that it has
-// rejected. It calls served for each, and adapts the window to the time that the acknowledgement took.
+// Acknowledged records that the member has accepted the n oldest messages in flight, except
+// those that it has rejected. It calls served for each accepted message, and adapts the window
+// to how long the newest of the n took to be acknowledged.
 func (w *Window) Acknowledged(now time.Duration, n int, served func(*Message)) {
 	n = min(n, w.InFlight())
 	if n <= 0 {
@@ -29,8 +30,9 @@
 	w.compact()
 }
 
-// MarkRejected says that the member has rejected the oldest message of that subject in flight. It returns the
-// message, or nil if there is none. Nothing more is sent until Settled.
+// MarkRejected records that the member has rejected the oldest message in flight of the given
+// subject. It returns that message, or nil if none is in flight. After a rejection the window
+// sends nothing until the link has been closed; Settled reports when to close it.
 func (w *Window) MarkRejected(subject uint64) *Message {
 	for n := w.acked; n < w.sent; n++ {
 		if m := w.at(n); m.state == inFlight && m.Subject == subject {
@@ -41,20 +43,21 @@
 	return nil
 }
 
-// Settled says that a message was rejected and all others in flight are acknowledged: now the link may be closed
-// without a message being sent twice for nothing.
+// Settled reports whether a message was rejected and all other messages in flight have been
+// acknowledged. The link can then be closed without any accepted message being sent a second time.
 func (w *Window) Settled() bool { return w.awaitingAcks && w.acked == w.sent }
 
-// LinkClosed says that the link has surely ended, and how many of its bytes were written. Every message on it
-// without an acknowledgement waits again, in its order. It calls ended with how the attempt ended; where no other
-// attempt may follow, it then calls failed, and the message has its final answer.
+// LinkClosed handles the end of the link; written is the number of bytes that were written to
+// it. Every message in flight waits again, in its original order. For each of them LinkClosed
+// calls ended with how the attempt ended. If no further attempt is allowed, it then calls
+// failed, which is the final answer of the message.
 func (w *Window) LinkClosed(written uint64, ended func(*Message, Result), failed func(*Message)) {
-	var last map[uint64]uint64 // the newest message of each subject that was accepted
+	var newestAccepted map[uint64]uint64 // by subject, the number of its newest accepted message
 	if w.awaitingAcks {
-		last = map[uint64]uint64{}
+		newestAccepted = map[uint64]uint64{}
 		for n := w.head; n < w.sent; n++ {
 			if m := w.at(n); m.state == answered {
-				last[m.Subject] = n
+				newestAccepted[m.Subject] = n
 			}
 		}
 	}
@@ -74,41 +77,44 @@
 				ended(m, NotWritten)
 			}
 		}
-		// One that later messages of its subject have overtaken would break the order.
-		if m.Attempts >= w.MaxAttempts || m.mayHaveRun && !w.Repeatable || m.state == rejected && last[m.Subject] > n {
+		// A rejected message is not retried once a later message of its subject was accepted: it
+		// would arrive out of order.
+		if m.Attempts >= w.MaxAttempts || m.mayHaveRun && !w.Repeatable || m.state == rejected && newestAccepted[m.Subject] > n {
 			m.state = answered
 			failed(m)
 		} else {
 			m.state = waiting
 		}
 	}
-	// Drop the answered messages; the rest moves together in its order.
-	to := w.sent
+	// Drop the answered messages and close the gaps, keeping the order of the others.
+	firstKept := w.sent
 	for n := w.sent; n > w.head; n-- {
 		if m := w.at(n - 1); m.state == waiting {
-			to--
-			*w.at(to) = *m
+			firstKept--
+			*w.at(firstKept) = *m
 		} else {
 			w.bytes -= m.textEnd - m.textStart
 		}
 	}
-	w.head, w.acked, w.sent = to, to, to
+	w.head, w.acked, w.sent = firstKept, firstKept, firstKept
 	w.awaitingAcks, w.maxInFlight = false, min(InitialWindow, w.MaxMessages)
 	w.compact()
 }
 
-// markMayHaveRun notes that the latest attempt of a message may have been accepted. The first such attempt bounds
-// the time of the message.
+// markMayHaveRun records that the member may have accepted the latest attempt of a message.
+// After the first such attempt the message may be retried only within the DedupWindow, so its
+// deadline is moved forward to the end of that window.
 func (w *Window) markMayHaveRun(m *Message) {
-	if !m.mayHaveRun && w.RepeatWindow > 0 {
-		m.Deadline = min(m.Deadline, m.Sent+w.RepeatWindow)
+	if !m.mayHaveRun && w.DedupWindow > 0 {
+		m.Deadline = min(m.Deadline, m.Sent+w.DedupWindow)
 	}
 	m.mayHaveRun = true
 }
 
-// Expire gives up the oldest waiting messages whose deadlines are not after by. It calls expired for each with whether
-// it may have been accepted. Messages in flight stay: their link must end first.
-func (w *Window) Expire(by time.Duration, expired func(m *Message, ran bool)) {
+// Expire gives up the oldest waiting messages whose deadlines are at or before by. It calls
+// expired for each; mayHaveRun says whether the member may have accepted it. While a message is
+// in flight nothing expires: the link must end first.
+func (w *Window) Expire(by time.Duration, expired func(m *Message, mayHaveRun bool)) {
 	for w.head == w.sent && w.head < w.next {
 		m := w.at(w.head)
 		if m.Deadline > by {
--- a/internal/window/storage.go
+++ b/internal/window/storage.go
@@ -1,8 +1,9 @@
 package window
 
-// This file manages the memory of a window: its ring of messages and their text.
+// This file manages the memory of a window: the ring of messages and the buffer with their text.
 
-// Buffer is where the text of the next message, of that size at least, is appended, for Put.
+// Buffer returns the buffer to which the text of the next message is appended before Put. It has
+// room for at least size more bytes.
 func (w *Window) Buffer(size int) []byte {
 	if len(w.text)+size > cap(w.text) {
 		live, old := w.text, w.text
@@ -16,7 +17,7 @@
 	return w.text
 }
 
-// grow gives the ring a larger one of the pool.
+// grow replaces the ring with one from the pool that holds at least size messages.
 func (w *Window) grow(size int) {
 	old := *w
 	w.ring = ringPool.get(max(size, minRing))
@@ -27,7 +28,8 @@
 	ringPool.put(old.ring)
 }
 
-// compact drops the answered messages, from the oldest on, and returns what an idle feed does not need to the pools.
+// compact drops the answered messages, starting with the oldest, until it reaches one without a
+// final answer. If the window is then empty, it returns memory above the minimum to the pools.
 func (w *Window) compact() {
 	for w.head < w.acked {
 		m := w.at(w.head)
--- a/internal/window/window_test.go
+++ b/internal/window/window_test.go
@@ -37,10 +37,10 @@
 }
 func (o *outcomes) onExpired(m *Message, _ bool) { o.expired = append(o.expired, m.ID) }
 
-func wantEqual(t *testing.T, what string, got, want any) {
+func wantEqual(t *testing.T, label string, got, want any) {
 	t.Helper()
 	if fmt.Sprint(got) != fmt.Sprint(want) {
-		t.Errorf("%s: %v, want %v", what, got, want)
+		t.Errorf("%s: %v, want %v", label, got, want)
 	}
 }
 
