--- a/internal/window/window_test.go
+++ b/internal/window/window_test.go
@@ -21,7 +21,7 @@
 	return ids
 }
 
-// outcomes collects the IDs of messages by what became of them.
+// outcomes collects the IDs of messages by outcome.
 type outcomes struct {
 	served, failed, expired []uint64
 	results                 map[uint64]Result
@@ -40,12 +40,13 @@
 func wantEqual(t *testing.T, label string, got, want any) {
 	t.Helper()
 	if fmt.Sprint(got) != fmt.Sprint(want) {
-		t.Errorf("%s: %v, want %v", label, got, want)
+		t.Errorf("%s: got %v, want %v", label, got, want)
 	}
 }
 
-// TestLinkClosed: messages without an acknowledgement are queued again in their order. Those that were written may have been processed, so
-// they fail if the class may not be repeated; those that were not written are retried in any class.
+// TestLinkClosed checks that messages without an acknowledgement wait again in their order. Those
+// that were written may have been processed, so they fail if they may not be repeated; those that
+// were not written are retried in any case.
 func TestLinkClosed(t *testing.T) {
 	for _, repeatable := range []bool{true, false} {
 		w := New(Limits{MaxMessages: 10, MaxBytes: 1000, MaxAttempts: 3, LatencyObjective: time.Second, Repeatable: repeatable})
@@ -69,7 +70,7 @@
 	}
 }
 
-// TestAttempts: a message fails after its third attempt.
+// TestAttempts checks that a message fails after its third attempt.
 func TestAttempts(t *testing.T) {
 	w := New(Limits{MaxMessages: 10, MaxBytes: 1000, MaxAttempts: 3, LatencyObjective: time.Second, Repeatable: true})
 	putMessage(w, 1, 7, time.Minute)
@@ -80,12 +81,13 @@
 	}
 	wantEqual(t, "failed", got.failed, []uint64{1})
 	if !w.Idle() || w.Next() != nil {
-		t.Error("the message is still in the window")
+		t.Error("the window still holds the message after its last attempt")
 	}
 }
 
-// TestRejected: after a rejection nothing is sent until all messages in flight are settled. The rejected one is retried only if no later
-// message of its subject was acknowledged, which would change their order.
+// TestRejected checks that after a rejection nothing is sent until all messages in flight are
+// acknowledged, and that the rejected message is retried only if no later message of its subject
+// was acknowledged, since the order would change.
 func TestRejected(t *testing.T) {
 	for _, c := range []struct {
 		name            string
@@ -102,16 +104,16 @@
 			}
 			beginAll(w, 1)
 			if w.MarkRejected(7) == nil || w.MarkRejected(99) != nil {
-				t.Fatal("MarkRejected returned the wrong message")
+				t.Fatal("MarkRejected(7) found no message, or MarkRejected(99) found one")
 			}
 			putMessage(w, 4, 5, time.Minute)
-			wantEqual(t, "sent before it is settled", beginAll(w, 2), []uint64(nil))
+			wantEqual(t, "sent before all others are acknowledged", beginAll(w, 2), []uint64(nil))
 			var got outcomes
 			if w.Acknowledged(3, 2, got.onServed); w.Settled() {
-				t.Error("settled with one in flight")
+				t.Error("Settled() = true with one message in flight")
 			}
 			if w.Acknowledged(3, 1, got.onServed); !w.Settled() {
-				t.Error("not settled")
+				t.Error("Settled() = false with all messages in flight acknowledged")
 			}
 			wantEqual(t, "served", got.served, []uint64{2, 3})
 			w.LinkClosed(9, got.onAttemptEnded, got.onFailed)
@@ -121,23 +123,24 @@
 	}
 }
 
-// TestAckDeadline: an attempt leaves time for another one, the last attempt has all the time. A waiting message expires at its deadline, one
-// in flight does not.
+// TestAckDeadline checks that an attempt leaves time for another one, while the last attempt has
+// all the remaining time, and that a waiting message expires at its deadline while one in flight
+// does not.
 func TestAckDeadline(t *testing.T) {
 	w := New(Limits{MaxMessages: 10, MaxBytes: 1000, MaxAttempts: 2, LatencyObjective: 100, Repeatable: true})
 	putMessage(w, 1, 7, 1000)
 	beginAll(w, 0)
 	if at, ok := w.AckDeadline(); !ok || at != 600 {
-		t.Errorf("acknowledgement due at %v", at)
+		t.Errorf("AckDeadline() of the first attempt = %v, %v, want 600", at, ok)
 	}
 	var got outcomes
 	w.LinkClosed(0, got.onAttemptEnded, got.onFailed)
 	beginAll(w, 600)
 	if at, _ := w.AckDeadline(); at != 1000 {
-		t.Errorf("last acknowledgement due at %v", at)
+		t.Errorf("AckDeadline() of the last attempt = %v, want 1000", at)
 	}
 	if w.Expire(2000, got.onExpired); got.expired != nil {
-		t.Error("expired while in flight")
+		t.Errorf("messages %v expired while in flight", got.expired)
 	}
 	w.LinkClosed(0, got.onAttemptEnded, got.onFailed)
 	putMessage(w, 2, 7, 3000)
@@ -146,7 +149,8 @@
 	wantEqual(t, "failed, expired", fmt.Sprint(got.failed, got.expired), "[1] [2]")
 }
 
-// TestWindowSize: the window grows while acknowledgements are fast and shrinks when they are late, once for each round trip.
+// TestWindowSize checks that the window grows while acknowledgements are fast and shrinks when
+// they are late, once for each round trip.
 func TestWindowSize(t *testing.T) {
 	w := New(Limits{MaxMessages: 100, MaxBytes: 1 << 20, MaxAttempts: 3, LatencyObjective: 1000, Repeatable: true})
 	for id := range uint64(100) {
@@ -162,7 +166,8 @@
 	wantEqual(t, "after late acknowledgements", len(beginAll(w, 1400)), InitialWindow)
 }
 
-// TestSlowStart: all feeds together send a member in slow start no more than it has shown to handle; a warm one has no such limit.
+// TestSlowStart checks that all feeds together send a member in slow start no more than the limit,
+// which grows with accepted messages, and that a warm member has no limit.
 func TestSlowStart(t *testing.T) {
 	p := NewSlowStart(1000, 500)
 	n := 0
@@ -174,14 +179,15 @@
 	for n = 0; p.MaySend(1200); n++ {
 		p.Sent()
 	}
-	wantEqual(t, "in flight after that", n, 2*InitialWindow)
+	wantEqual(t, "in flight after the first were accepted", n, 2*InitialWindow)
 	if p.Active(1500) || !p.MaySend(1500) || !NewSlowStart(0, 500).MaySend(0) {
-		t.Error("a warm member is limited")
+		t.Error("the limit still applies after the slow start, or to a member that was warm from the start")
 	}
 }
 
-// TestRandomEvents: random events, checked against a record of each message: one final outcome, a limited number of attempts, one at a time
-// and in order, and the text that was put.
+// TestRandomEvents plays random events against a separate account of each message, and checks that
+// each message has one final outcome, a limited number of attempts, one at a time and in order, and
+// the text that was put.
 func TestRandomEvents(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -193,16 +199,16 @@
 			outcome  string
 		}
 		states := map[uint64]*messageState{}
-		var lastPut, lastSent uint64        // lastSent is of the present link
+		var lastPut, lastSent uint64        // message IDs; lastSent is on the current link, 0 for none
 		newestServed := map[uint64]uint64{} // by subject
 		now := time.Duration(0)
 		finish := func(m *Message, outcome string) {
 			state := states[m.ID]
 			if state.outcome != "" || state.inFlight && outcome != "served" {
-				t.Fatalf("seed %d: message %d %s, was %q, in flight %v", seed, m.ID, outcome, state.outcome, state.inFlight)
+				t.Fatalf("seed %d: message %d %s, but its outcome was %q, in flight %v", seed, m.ID, outcome, state.outcome, state.inFlight)
 			}
 			if string(w.Text(m)) != fmt.Sprintf("text of %d;", m.ID) {
-				t.Fatalf("seed %d: message %d has text %q", seed, m.ID, w.Text(m))
+				t.Fatalf("seed %d: message %d has text %q, want the text that was put", seed, m.ID, w.Text(m))
 			}
 			state.outcome, state.inFlight = outcome, false
 		}
@@ -210,7 +216,7 @@
 			finish(m, "served")
 			subject := states[m.ID].subject
 			if newestServed[subject] > m.ID {
-				t.Fatalf("seed %d: message %d of subject %d was served after %d", seed, m.ID, subject, newestServed[subject])
+				t.Fatalf("seed %d: message %d of subject %d was served after message %d", seed, m.ID, subject, newestServed[subject])
 			}
 			newestServed[subject] = m.ID
 		}
@@ -233,7 +239,7 @@
 					w.Begin(now)
 					state := states[m.ID]
 					if state.attempts++; state.inFlight || state.outcome != "" || state.attempts > 3 || state.attempts != m.Attempts || m.ID <= lastSent {
-						t.Fatalf("seed %d: message %d sent: %+v, after %d", seed, m.ID, *state, lastSent)
+						t.Fatalf("seed %d: message %d (attempt %d) was sent in state %+v after message %d", seed, m.ID, m.Attempts, *state, lastSent)
 					}
 					state.inFlight, lastSent, m.Offset = true, m.ID, m.ID
 				}
@@ -250,7 +256,7 @@
 				}
 				w.Expire(now, func(m *Message, mayHaveRun bool) {
 					if mayHaveRun && states[m.ID].attempts == 0 {
-						t.Fatalf("seed %d: message %d was never sent", seed, m.ID)
+						t.Fatalf("seed %d: message %d expired as one that may have run, but was never sent", seed, m.ID)
 					}
 					finish(m, "expired")
 				})
@@ -264,7 +270,7 @@
 			}
 		}
 		if !w.Idle() || w.Bytes() != 0 {
-			t.Errorf("seed %d: %d messages, %d bytes are left", seed, w.Len(), w.Bytes())
+			t.Errorf("seed %d: the window still holds %d messages, %d bytes at the end", seed, w.Len(), w.Bytes())
 		}
 	}
 }
