--- a/internal/core/answers.go
+++ b/internal/core/answers.go
@@ -16,7 +16,7 @@
 
 // rejectOrFail rejects a request, or fails one of which a retry may take effect twice.
 func (c *Core) rejectOrFail(r *request, retryAfter time.Duration) {
-	if c.safeToRetry(r) {
+	if c.clientMayRetry(r) {
 		c.answer(r, Rejected, retryAfter)
 	} else {
 		c.answer(r, Failed, 0)
@@ -34,11 +34,11 @@
 
 // answer rejects or fails a request, once. Its attempt in flight is abandoned.
 func (c *Core) answer(r *request, a Answer, retryAfter time.Duration) {
-	was := r.state
+	previous := r.state
 	if !c.transition(r, answered) {
 		return
 	}
-	c.abandon(r, was)
+	c.abandon(r, previous)
 	c.recordAnswer(r, a)
 	if a == Rejected {
 		retryAfter = c.RetryAfter(retryAfter)
--- a/internal/core/dispatch.go
+++ b/internal/core/dispatch.go
@@ -83,15 +83,15 @@
 	}
 }
 
-func (c *Core) sendProbe(server policy.MemberID) {
-	m := c.members[server]
+func (c *Core) sendProbe(id policy.MemberID) {
+	m := c.members[id]
 	switch {
 	case m == nil:
 	case c.reachable(c.Clock(), m):
 		c.Probe(&m.Member)
 	default:
 		c.Counts.Blocked++
-		c.notifyPolicy(policy.ProbeResult{Member: server, Result: policy.NotSent, Report: policy.NoReport})
+		c.notifyPolicy(policy.ProbeResult{Member: id, Result: policy.NotSent, Report: policy.NoReport})
 	}
 }
 
@@ -126,7 +126,7 @@
 	now, m := c.Clock(), c.members[a.Member]
 	r.policySends++
 	if c.answerPending(r.id) || !c.mayStart(now, r.state != placing, r.attempts, r.deadline, m) ||
-		!c.safeToRepeat(now, r, m) {
+		!c.mayRetryAt(now, r, m) {
 		c.Counts.Blocked++
 		if r.state == placing { // otherwise the policy is notified when the attempt in flight ends
 			c.notifyPolicy(policy.SendSkipped{ID: r.id})
@@ -150,5 +150,5 @@
 	if r == nil || r.state != attempting {
 		return false
 	}
-	return r.preexisting || !r.member.unavailable && !c.dispatchPaused && c.safeToRepeat(c.Clock(), r, r.member)
+	return r.preexisting || !r.member.unavailable && !c.dispatchPaused && c.mayRetryAt(c.Clock(), r, r.member)
 }
--- a/internal/core/feed.go
+++ b/internal/core/feed.go
@@ -63,23 +63,23 @@
 
 // Feed is the publishing side of a client.
 type Feed struct {
-	core          *Core
-	request       Request
-	transport     FeedTransport
-	window        *window.Window
-	id            ID // of the feed itself, for timers
-	state         feedState
-	flowID        ID // the request of its flow
-	attemptNumber int
-	member        *member // of its flow
-	hadFlow       bool    // it had a flow before
-	retryAt       time.Duration
-	lastUsed      time.Duration
-	timerAt       time.Duration // when its timer is due; 0 if there is none
-	blocked       bool          // HasCapacity has denied capacity
-	countedBytes  int           // its part of Core.feedBytes
-	queuedAt      *member       // in whose feedQueue it waits; nil if in none
-	closed        bool
+	core           *Core
+	request        Request
+	transport      FeedTransport
+	window         *window.Window
+	id             ID // of the feed itself, for timers
+	state          feedState
+	flowID         ID // the request of its flow
+	attemptNumber  int
+	member         *member // of its flow
+	hadFlow        bool    // it had a flow before
+	retryAt        time.Duration
+	lastUsed       time.Duration
+	timerAt        time.Duration // when its timer is due; 0 if there is none
+	capacityDenied bool          // HasCapacity has denied capacity
+	countedBytes   int           // its part of Core.feedBytes
+	queueMember    *member       // in whose feedQueue it waits; nil if in none
+	closed         bool
 }
 
 // FeedLimits bounds what one feed holds.
@@ -104,13 +104,13 @@
 
 // HasCapacity reports whether Publish may be called; if not, the transport's OnCapacity will say when.
 func (f *Feed) HasCapacity() bool {
-	f.blocked = !f.withinMemory()
-	return !f.blocked
+	f.capacityDenied = !f.hasCapacity()
+	return !f.capacityDenied
 }
 
-// withinMemory keeps the windows of all feeds together within FeedMemoryLimit: beyond it each feed has its fair
+// hasCapacity keeps the windows of all feeds together within FeedMemoryLimit: beyond it each feed has its fair
 // share, and always one message.
-func (f *Feed) withinMemory() bool {
+func (f *Feed) hasCapacity() bool {
 	c := f.core
 	if c.FeedMemoryLimit > 0 && c.feedBytes > c.FeedMemoryLimit && f.window.Bytes() > 0 &&
 		f.window.Bytes() >= max(c.FeedMemoryLimit/len(c.feeds), feedMinBytes) {
@@ -119,12 +119,12 @@
 	return f.window.HasCapacity()
 }
 
-// updateUsage updates the memory use of all feeds, and tells the front when there is capacity again.
-func (f *Feed) updateUsage() {
+// updateMemoryUse updates the memory use of all feeds, and tells the front when there is capacity again.
+func (f *Feed) updateMemoryUse() {
 	f.core.feedBytes += f.window.Bytes() - f.countedBytes
 	f.countedBytes = f.window.Bytes()
-	if f.blocked && f.withinMemory() && !f.closed {
-		f.blocked = false
+	if f.capacityDenied && f.hasCapacity() && !f.closed {
+		f.capacityDenied = false
 		f.transport.OnCapacity()
 	}
 }
@@ -157,7 +157,7 @@
 	case feedConnected:
 		f.sendPending(now)
 	}
-	f.updateUsage()
+	f.updateMemoryUse()
 	f.scheduleTimer()
 }
 
@@ -200,7 +200,7 @@
 		f.sendPending(now)
 	}
 	c.serveFeedQueue(f.member)
-	f.updateUsage()
+	f.updateMemoryUse()
 	f.scheduleTimer()
 }
 
@@ -211,7 +211,7 @@
 // Disconnected says that the link is gone, and how many of its bytes were written.
 func (f *Feed) Disconnected(result policy.Result, written uint64) {
 	f.endLink(result, written)
-	f.updateUsage()
+	f.updateMemoryUse()
 	f.scheduleTimer()
 }
 
@@ -221,13 +221,13 @@
 		return
 	}
 	f.closed = true
-	f.reclaim(policy.Cancelled, f.transport.Disconnect())
+	f.requeueInFlight(policy.Cancelled, f.transport.Disconnect())
 	f.window.Expire(forever, func(m *window.Message, _ bool) { f.recordAnswer(m, ClientGone) })
 	state := f.state
 	f.state = feedIdle
 	if state == feedPlacing || state == feedConnected {
 		f.core.ClientGone(f.flowID)
 	}
-	f.updateUsage()
+	f.updateMemoryUse()
 	delete(f.core.feeds, f.id)
 }
--- a/internal/core/feed_answers.go
+++ b/internal/core/feed_answers.go
@@ -16,8 +16,8 @@
 }
 
 // answerExpired rejects a message whose time is over, or fails one that may have been accepted.
-func (f *Feed) answerExpired(m *window.Message, ran bool, retryAfter time.Duration) {
-	if ran {
+func (f *Feed) answerExpired(m *window.Message, maybeAccepted bool, retryAfter time.Duration) {
+	if maybeAccepted {
 		f.answerMessage(m, Failed, 0)
 	} else {
 		f.answerMessage(m, Rejected, retryAfter)
@@ -33,14 +33,14 @@
 
 // recordAnswer counts and records the final answer of a message.
 func (f *Feed) recordAnswer(m *window.Message, a Answer) {
-	n := &f.core.Counts.Messages
+	counts := &f.core.Counts.Messages
 	switch a {
 	case Served:
-		n.Served++
+		counts.Served++
 	case Rejected:
-		n.Rejected++
+		counts.Rejected++
 	default:
-		n.Failed++
+		counts.Failed++
 	}
 	if f.core.Recorder != nil {
 		q := f.request
--- a/internal/core/feed_flow.go
+++ b/internal/core/feed_flow.go
@@ -34,7 +34,7 @@
 }
 
 // Cancel abandons the link, during its setup or afterwards.
-func (f *Feed) Cancel(int) { f.reclaim(policy.Cancelled, f.transport.Disconnect()) }
+func (f *Feed) Cancel(int) { f.requeueInFlight(policy.Cancelled, f.transport.Disconnect()) }
 
 // Reject has the feed placed again later. Messages that expire before then are answered at once.
 func (f *Feed) Reject(retryAfter time.Duration) { f.backOff(cmp.Or(retryAfter, feedRetryDelay)) }
@@ -49,8 +49,8 @@
 		retryAfter, expireBy = max(retryAfter, stopRetryAfter), forever
 	}
 	f.state, f.retryAt = feedBackoff, now+retryAfter
-	f.window.Expire(expireBy, func(m *window.Message, ran bool) { f.answerExpired(m, ran, retryAfter) })
-	f.updateUsage()
+	f.window.Expire(expireBy, func(m *window.Message, maybeAccepted bool) { f.answerExpired(m, maybeAccepted, retryAfter) })
+	f.updateMemoryUse()
 	f.scheduleTimer()
 }
 
@@ -67,7 +67,7 @@
 		return
 	}
 	state := f.state
-	f.reclaim(result, written)
+	f.requeueInFlight(result, written)
 	switch state {
 	case feedPlacing: // the core makes the next attempt or answers
 		f.core.AttemptEnded(f.flowID, f.attemptNumber, result, policy.NoReport)
@@ -80,8 +80,8 @@
 	}
 }
 
-// reclaim takes back the messages that were in flight on a link that has surely ended.
-func (f *Feed) reclaim(result policy.Result, written uint64) {
+// requeueInFlight takes back the messages that were in flight on a link that has surely ended.
+func (f *Feed) requeueInFlight(result policy.Result, written uint64) {
 	f.leaveQueue()
 	inFlight := f.window.InFlight()
 	f.window.LinkClosed(written, func(m *window.Message, r window.Result) {
@@ -97,7 +97,7 @@
 		}
 		f.core.Counts.Messages.Retried++
 	}, func(m *window.Message) { f.answerMessage(m, Failed, 0) })
-	f.window.Expire(f.core.Clock(), func(m *window.Message, ran bool) { f.answerExpired(m, ran, feedRetryDelay) })
+	f.window.Expire(f.core.Clock(), func(m *window.Message, maybeAccepted bool) { f.answerExpired(m, maybeAccepted, feedRetryDelay) })
 	f.releaseSlowStart(inFlight, 0)
 	if f.member != nil {
 		f.core.serveFeedQueue(f.member)
--- a/internal/core/feed_send.go
+++ b/internal/core/feed_send.go
@@ -55,8 +55,8 @@
 
 // slowStartLimiter limits the messages in flight at a member that has just started.
 func (m *member) slowStartLimiter(c *Core) *window.SlowStart {
-	if started := max(m.Started, m.joinedAt); m.slowStart == nil || m.slowStartOf != started {
-		m.slowStart, m.slowStartOf = window.NewSlowStart(started, c.policyCfg.SlowStartDuration), started
+	if started := max(m.Started, m.joinedAt); m.slowStart == nil || m.slowStartFrom != started {
+		m.slowStart, m.slowStartFrom = window.NewSlowStart(started, c.policyCfg.SlowStartDuration), started
 	}
 	return m.slowStart
 }
@@ -70,9 +70,9 @@
 
 // enqueueFeed has a feed wait until the member has accepted more.
 func (c *Core) enqueueFeed(m *member, f *Feed) {
-	if f.queuedAt != m {
+	if f.queueMember != m {
 		f.leaveQueue()
-		f.queuedAt = m
+		f.queueMember = m
 		m.feedQueue = append(m.feedQueue, f)
 	}
 }
@@ -80,8 +80,8 @@
 // leaveQueue takes a feed out of the queue. A feed whose link has ended would otherwise stay there, and get no turn
 // at its next member.
 func (f *Feed) leaveQueue() {
-	if m := f.queuedAt; m != nil {
-		f.queuedAt = nil
+	if m := f.queueMember; m != nil {
+		f.queueMember = nil
 		if i := slices.Index(m.feedQueue, f); i >= 0 {
 			m.feedQueue = slices.Delete(m.feedQueue, i, i+1)
 		}
--- a/internal/core/feed_timer.go
+++ b/internal/core/feed_timer.go
@@ -55,8 +55,8 @@
 		f.sendPending(now)
 	}
 	if _, inFlight := f.window.AckDeadline(); !inFlight {
-		f.window.Expire(now, func(m *window.Message, ran bool) { f.answerExpired(m, ran, feedRetryDelay) })
+		f.window.Expire(now, func(m *window.Message, maybeAccepted bool) { f.answerExpired(m, maybeAccepted, feedRetryDelay) })
 	}
-	f.updateUsage()
+	f.updateMemoryUse()
 	f.scheduleTimer()
 }
--- a/internal/core/handover.go
+++ b/internal/core/handover.go
@@ -74,7 +74,7 @@
 	now := c.Clock()
 	for name, ago := range l.ReinstatedAges {
 		if m := c.byName[name]; m != nil {
-			m.startedAtEjection, m.reinstatedAt = m.listed.Started, now-ago
+			m.startedAtRemoval, m.reinstatedAt = m.listed.Started, now-ago
 			c.refreshMember(now, m)
 		}
 	}
--- a/internal/core/handover_test.go
+++ b/internal/core/handover_test.go
@@ -30,7 +30,7 @@
 	}
 	next.SetEjections([]string{"m0", "m2"})
 	next.SetEjections([]string{"m2", "m9"})
-	if next.members[10].ejected || !next.members[12].ejected || !next.IsKnownMember("m9") {
+	if next.members[10].removed || !next.members[12].removed || !next.IsKnownMember("m9") {
 		t.Error("SetEjections did not replace the ejections")
 	}
 }
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -182,8 +182,8 @@
 func (h *harness) wantNoFlowsInPolicy(when string) {
 	h.t.Helper()
 	h.UpdateMembers(policy.ListFull, nil)
-	if servers := h.facade.LearnedState(h.now).Members; len(servers) != 0 {
-		h.t.Errorf("%s: the policy still has flows at %v", when, servers)
+	if members := h.facade.LearnedState(h.now).Members; len(members) != 0 {
+		h.t.Errorf("%s: the policy still has flows at %v", when, members)
 	}
 }
 
--- a/internal/core/idempotency.go
+++ b/internal/core/idempotency.go
@@ -15,12 +15,12 @@
 
 // firstRun is the first attempt of a request that may have run.
 type firstRun struct {
-	sentAt time.Duration
-	server policy.Endpoint
+	sentAt   time.Duration
+	endpoint policy.Endpoint
 }
 
-// safeToRepeat reports whether an attempt may go to a member without the request taking effect twice.
-func (c *Core) safeToRepeat(now time.Duration, r *request, m *member) bool {
+// mayRetryAt reports whether an attempt may go to a member without the request taking effect twice.
+func (c *Core) mayRetryAt(now time.Duration, r *request, m *member) bool {
 	class := c.policyCfg.Classes[r.Class]
 	switch {
 	case r.firstRun == nil, class.Idempotency == policy.Idempotent:
@@ -28,12 +28,12 @@
 	case class.Idempotency == policy.NonIdempotent, now >= r.firstRun.sentAt+class.DedupWindow:
 		return false
 	}
-	return class.Scope == policy.ScopeAll || class.Scope == policy.ScopeZone && m.Zone == r.firstRun.server.Zone ||
-		class.Scope == policy.ScopeCell && m.Cell == r.firstRun.server.Cell
+	return class.Scope == policy.ScopeAll || class.Scope == policy.ScopeZone && m.Zone == r.firstRun.endpoint.Zone ||
+		class.Scope == policy.ScopeCell && m.Cell == r.firstRun.endpoint.Cell
 }
 
-// safeToRetry reports whether the client of a request may be answered that a retry is harmless.
-func (c *Core) safeToRetry(r *request) bool {
+// clientMayRetry reports whether the client of a request may be answered that a retry is harmless.
+func (c *Core) clientMayRetry(r *request) bool {
 	class := c.policyCfg.Classes[r.Class]
 	return class.Idempotency == policy.Idempotent ||
 		class.Idempotency == policy.IdempotencyKey && class.Scope == policy.ScopeAll ||
--- a/internal/core/member_events.go
+++ b/internal/core/member_events.go
@@ -35,8 +35,8 @@
 	result      policy.Result
 }
 
-// eventKinds has no entry for attempts that the relay or the client ended: they say nothing about the member.
-var eventKinds = map[attemptEnd]MemberEventKind{
+// memberEventKinds has no entry for attempts that the relay or the client ended: they say nothing about the member.
+var memberEventKinds = map[attemptEnd]MemberEventKind{
 	{false, policy.Error}:         AttemptError,
 	{false, policy.Reset}:         ConnectionFailed,
 	{false, policy.ConnectFailed}: ConnectionFailed,
--- a/internal/core/members.go
+++ b/internal/core/members.go
@@ -20,9 +20,9 @@
 	unavailableSince time.Duration   // when this relay learned that
 	joinedAt         time.Duration   // when it was first listed, if that was a delta
 
-	ejected           bool          // removed by operators or the fleet
-	startedAtEjection time.Duration // its start as listed when it was removed
-	reinstatedAt      time.Duration // when it was reinstated
+	removed          bool          // removed by operators or the fleet
+	startedAtRemoval time.Duration // its start as listed when it was removed
+	reinstatedAt     time.Duration // when it was reinstated
 
 	flows     int    // attempts in flight and open flows
 	successes uint64 // attempts and probes
@@ -31,21 +31,21 @@
 	slow           bool // its messages were slow lately
 	slowReportedAt time.Duration
 
-	slowStart   *window.SlowStart // limits the messages in flight there
-	slowStartOf time.Duration     // the start that slowStart was made for
-	feedQueue   []*Feed           // that wait for slowStart
+	slowStart     *window.SlowStart // limits the messages in flight there
+	slowStartFrom time.Duration     // the start that slowStart was made for
+	feedQueue     []*Feed           // that wait for slowStart
 }
 
 // UpdateMembers takes a list event of discovery.
 func (c *Core) UpdateMembers(kind policy.ListKind, list []Member) {
 	now := c.Clock()
-	servers := make([]policy.Endpoint, len(list))
-	named := map[policy.MemberID]bool{}
+	endpoints := make([]policy.Endpoint, len(list))
+	listed := map[policy.MemberID]bool{}
 	for i, e := range list {
-		named[e.ID] = true
+		listed[e.ID] = true
 		m := c.members[e.ID]
 		if m == nil {
-			m = &member{slowReportedAt: -slowReportInterval, ejected: c.isRemoved(e.Name), startedAtEjection: e.Started}
+			m = &member{slowReportedAt: -slowReportInterval, removed: c.isRemoved(e.Name), startedAtRemoval: e.Started}
 			c.members[e.ID] = m
 			if kind == policy.ListDelta {
 				m.joinedAt = now
@@ -54,27 +54,27 @@
 		m.Member, m.listed = e, e.Endpoint
 		c.byName[e.Name] = m
 		c.refreshMember(now, m)
-		servers[i] = m.Endpoint
+		endpoints[i] = m.Endpoint
 	}
 	if kind == policy.ListFull || kind == policy.ListCached {
 		for _, id := range slices.Sorted(maps.Keys(c.members)) {
-			if m := c.members[id]; !named[id] {
+			if m := c.members[id]; !listed[id] {
 				m.listed.State = policy.Gone
 				c.refreshMember(now, m)
 			}
 		}
 	}
-	c.notifyPolicy(policy.EndpointList{Kind: kind, Endpoints: servers})
+	c.notifyPolicy(policy.EndpointList{Kind: kind, Endpoints: endpoints})
 }
 
 // refreshMember derives the effective state of a member from the list and from removals. A removed member counts as
 // draining; a reinstated one has started at that moment, unless discovery lists a start since the removal.
 func (c *Core) refreshMember(now time.Duration, m *member) {
 	m.Endpoint = m.listed
-	if m.reinstatedAt > 0 && m.Started <= m.startedAtEjection {
+	if m.reinstatedAt > 0 && m.Started <= m.startedAtRemoval {
 		m.Started = m.reinstatedAt
 	}
-	if m.ejected && m.State == policy.Ready {
+	if m.removed && m.State == policy.Ready {
 		m.State = policy.Draining
 	}
 	unavailable := m.State != policy.Ready
@@ -113,13 +113,13 @@
 	learned := c.facade.LearnedState(c.Clock()).Members
 	for _, name := range slices.Sorted(maps.Keys(c.byName)) {
 		m := c.byName[name]
-		v := MemberStatus{Name: name, Zone: m.Zone, State: m.listed.State, Started: m.listed.Started,
-			Removed: m.ejected, Flows: m.flows, Successes: m.successes, Failures: m.failures}
+		status := MemberStatus{Name: name, Zone: m.Zone, State: m.listed.State, Started: m.listed.Started,
+			Removed: m.removed, Flows: m.flows, Successes: m.successes, Failures: m.failures}
 		if l, ok := learned[m.ID]; ok && l.Reports > 0 {
-			v.Capacity = l.Capacity
+			status.Capacity = l.Capacity
 		}
 		if m.listed.State != policy.Gone || m.flows > 0 {
-			all = append(all, v)
+			all = append(all, status)
 		}
 	}
 	return all
--- a/internal/core/migration.go
+++ b/internal/core/migration.go
@@ -56,7 +56,7 @@
 		return false
 	}
 	spread := c.fleetRemovals[r.member.Name].SpreadOver
-	if !r.member.ejected || c.ejections[r.member.Name] || spread <= 0 { // an operator of this relay ejected it
+	if !r.member.removed || c.ejections[r.member.Name] || spread <= 0 { // an operator of this relay ejected it
 		return false
 	}
 	r.migrationDeferred, c.migrationsDeferred = true, true
--- a/internal/core/model_client_test.go
+++ b/internal/core/model_client_test.go
@@ -17,12 +17,12 @@
 }
 
 type modelAttempt struct {
-	member     *modelMember
-	memberThen Member // a copy, as it may move to another zone or cell
-	sentAt     time.Duration
-	timeoutAt  time.Duration
-	result     policy.Result
-	ended      bool
+	member       *modelMember
+	memberAtSend Member // a copy, as it may move to another zone or cell
+	sentAt       time.Duration
+	timeoutAt    time.Duration
+	result       policy.Result
+	ended        bool
 }
 
 // modelClient is a request and its downstream.
@@ -67,10 +67,10 @@
 }
 
 // checkMayCall fails if the core may not call the downstream any more.
-func (c *modelClient) checkMayCall(what string) {
+func (c *modelClient) checkMayCall(call string) {
 	m := c.model
-	if c.gone || c.migrations > 0 || m.finished && what != "migrate" && what != "cancel" && !c.arrivedAfterStop {
-		m.Fatalf("request %d: %s after its end (gone %v, migrated %d times, finished %v)", c.id, what, c.gone, c.migrations, m.finished)
+	if c.gone || c.migrations > 0 || m.finished && call != "migrate" && call != "cancel" && !c.arrivedAfterStop {
+		m.Fatalf("request %d: %s after its end (gone %v, migrated %d times, finished %v)", c.id, call, c.gone, c.migrations, m.finished)
 	}
 }
 
@@ -104,9 +104,9 @@
 	c.checkMayCall("send")
 	c.id = id
 	member := m.byName[to.Name]
-	switch max := m.core.Settings.Limits.MaxAttempts; {
-	case len(c.answers) > 0, c.currentAttempt() != nil, attempt != len(c.attempts), attempt >= max:
-		m.Fatalf("request %d: attempt %d after answers %v, attempts %d of %d", id, attempt, c.answers, len(c.attempts), max)
+	switch maxAttempts := m.core.Settings.Limits.MaxAttempts; {
+	case len(c.answers) > 0, c.currentAttempt() != nil, attempt != len(c.attempts), attempt >= maxAttempts:
+		m.Fatalf("request %d: attempt %d after answers %v, attempts %d of %d", id, attempt, c.answers, len(c.attempts), maxAttempts)
 	case timeout <= 0, m.now+timeout > c.deadline:
 		m.Fatalf("request %d: sent with timeout %v at %v, deadline %v", id, timeout, m.now, c.deadline)
 	case c.arrivedAfterStop:
@@ -120,13 +120,13 @@
 	}
 	if first := c.firstPossibleRun(); first != nil {
 		class := c.class()
-		inScope := class.Scope == policy.ScopeAll || class.Scope == policy.ScopeZone && member.Zone == first.memberThen.Zone ||
-			class.Scope == policy.ScopeCell && member.Cell == first.memberThen.Cell
+		inScope := class.Scope == policy.ScopeAll || class.Scope == policy.ScopeZone && member.Zone == first.memberAtSend.Zone ||
+			class.Scope == policy.ScopeCell && member.Cell == first.memberAtSend.Cell
 		if class.Idempotency == policy.NonIdempotent || class.Idempotency == policy.IdempotencyKey && (!inScope || m.now >= first.sentAt+class.DedupWindow) {
-			m.Fatalf("request %d: repeated against its idempotency: first %v at %s, now %v at %s", id, first.sentAt, first.memberThen.Name, m.now, member.Name)
+			m.Fatalf("request %d: repeated against its idempotency: first %v at %s, now %v at %s", id, first.sentAt, first.memberAtSend.Name, m.now, member.Name)
 		}
 	}
-	c.attempts = append(c.attempts, &modelAttempt{member: member, memberThen: member.Member, sentAt: m.now, timeoutAt: m.now + timeout})
+	c.attempts = append(c.attempts, &modelAttempt{member: member, memberAtSend: member.Member, sentAt: m.now, timeoutAt: m.now + timeout})
 	c.reenter()
 }
 
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -103,7 +103,7 @@
 	return m
 }
 
-func (m *model) draw(n int, what string) int { return evenlyBelow(n).Draw(m.T, what) }
+func (m *model) draw(n int, label string) int { return evenlyBelow(n).Draw(m.T, label) }
 
 // evenlyBelow draws a number below n, all equally likely. Rapid's own integers prefer small values, which would starve the events
 // with high indices.
@@ -333,7 +333,7 @@
 	}
 	member := m.members[m.draw(len(m.members), "member")]
 	c := &modelClient{model: m, established: true, establishedAt: m.now, answers: []string{"served"}, request: Request{Class: m.draw(5, "class")}}
-	c.attempts = []*modelAttempt{{member: member, memberThen: member.Member, sentAt: m.now}}
+	c.attempts = []*modelAttempt{{member: member, memberAtSend: member.Member, sentAt: m.now}}
 	id, _, ok := m.core.AdoptFlow(FlowTransfer{Request: c.request, Member: member.Name}, c)
 	if ok != member.known {
 		m.Fatalf("adopted %v at a member that is known %v", ok, member.known)
@@ -522,7 +522,7 @@
 		m.Fatalf("left behind: %d paused sends, %d timers, %d actions, %d requests", len(m.core.pausedActions), len(m.core.timers), len(m.core.pendingActions), len(m.core.requests))
 	}
 	m.core.UpdateMembers(policy.ListFull, nil)
-	if servers := m.core.LearnedState().Policy.Members; len(servers) > 0 && !m.faultyPolicy { // it keeps an unlisted server only for its open flows
-		m.Fatalf("the policy still has flows at %v", servers)
+	if members := m.core.LearnedState().Policy.Members; len(members) > 0 && !m.faultyPolicy { // it keeps an unlisted server only for its open flows
+		m.Fatalf("the policy still has flows at %v", members)
 	}
 }
--- a/internal/core/observations.go
+++ b/internal/core/observations.go
@@ -37,11 +37,11 @@
 func (c *Core) SetActiveRelays(count float64) { c.notifyPolicy(policy.ActiveRelays{Count: count}) }
 
 // ProbeResult takes the answer to a probe.
-func (c *Core) ProbeResult(server policy.MemberID, result policy.Result, report policy.Report) {
-	if m := c.members[server]; m != nil {
+func (c *Core) ProbeResult(id policy.MemberID, result policy.Result, report policy.Report) {
+	if m := c.members[id]; m != nil {
 		c.countResult(m, result)
 	}
-	c.notifyPolicy(policy.ProbeResult{Member: server, Result: result, Report: report})
+	c.notifyPolicy(policy.ProbeResult{Member: id, Result: result, Report: report})
 }
 
 // countResult counts the result of an attempt or a probe. A client that goes away says nothing about the member.
--- a/internal/core/removals.go
+++ b/internal/core/removals.go
@@ -52,15 +52,15 @@
 
 // SetFleetRemovals replaces what the fleet has agreed on. Ejections by this relay's own operators stay.
 func (c *Core) SetFleetRemovals(removals map[string]Removal) {
-	before := c.fleetRemovals
+	previous := c.fleetRemovals
 	c.fleetRemovals = maps.Clone(removals)
-	for _, name := range slices.Sorted(maps.Keys(before)) {
-		if _, still := removals[name]; !still {
-			c.applyRemoval(name, !before[name].Ejection)
+	for _, name := range slices.Sorted(maps.Keys(previous)) {
+		if _, remains := removals[name]; !remains {
+			c.applyRemoval(name, !previous[name].Ejection)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(removals)) {
-		if was, still := before[name]; !still || was != removals[name] {
+		if old, existed := previous[name]; !existed || old != removals[name] {
 			c.applyRemoval(name, false)
 		}
 	}
@@ -71,19 +71,19 @@
 func (c *Core) applyRemoval(name string, warm bool) {
 	m, removed := c.byName[name], c.isRemoved(name)
 	switch {
-	case m == nil || !m.ejected && !removed:
+	case m == nil || !m.removed && !removed:
 		return
-	case m.ejected && removed: // still removed, maybe by another decision
+	case m.removed && removed: // still removed, maybe by another decision
 		if c.migrationsDeferred {
 			c.updateDeferred(m)
 			c.scheduleTick()
 		}
 		return
 	case removed:
-		m.startedAtEjection = m.listed.Started
+		m.startedAtRemoval = m.listed.Started
 	case !warm:
 		m.reinstatedAt = c.Clock()
 	}
-	m.ejected = removed
+	m.removed = removed
 	c.notifyMemberChange(m)
 }
--- a/internal/core/removals_test.go
+++ b/internal/core/removals_test.go
@@ -128,10 +128,10 @@
 	removal := func(spreadOver time.Duration) map[string]Removal {
 		return map[string]Removal{"m0": {SpreadOver: spreadOver}}
 	}
-	wantMigrated := func(h *harness, d *downstream, within time.Duration, what string) {
+	wantMigrated := func(h *harness, d *downstream, within time.Duration, trigger string) {
 		t.Helper()
 		if h.advance(within); d.migrations != 1 {
-			t.Errorf("%s: migrated %d times within %v", what, d.migrations, within)
+			t.Errorf("%s: migrated %d times within %v", trigger, d.migrations, within)
 		}
 	}
 	start := func() (*harness, *downstream) {
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -39,7 +39,7 @@
 		c.answer(r, Failed, 0)
 		return
 	}
-	if m.ejected {
+	if m.removed {
 		c.answer(r, Rejected, stopRetryAfter)
 		return
 	}
@@ -102,16 +102,16 @@
 	if r == nil {
 		return false
 	}
-	was := r.state
-	safeToRetry = c.safeToRetry(r)
+	previous := r.state
+	safeToRetry = c.clientMayRetry(r)
 	c.transition(r, clientGone)
-	if !was.final() {
+	if !previous.final() {
 		c.recordAnswer(r, ClientGone)
 		if !r.preexisting {
 			c.notifyPolicy(policy.ClientGone{ID: id})
 		}
 	}
-	c.abandon(r, was)
+	c.abandon(r, previous)
 	return safeToRetry
 }
 
@@ -124,7 +124,7 @@
 	m.flows++
 	r.attempts++
 	c.Counts.Attempts++
-	if m.ejected && now-m.unavailableSince > c.drainGrace {
+	if m.removed && now-m.unavailableSince > c.drainGrace {
 		c.Counts.SentAfterGrace++ // mayStart prevents this: the count is of what was done, as a check on it
 	}
 	r.downstream.Send(r.id, &m.Member, r.attempts-1, timeout)
@@ -132,8 +132,8 @@
 
 // endAttempt handles the end of an attempt or of an open flow.
 func (c *Core) endAttempt(r *request, result policy.Result, report policy.Report) {
-	was, e := r.state, attemptEnded
-	if was == attempting && result == policy.OK {
+	previous, e := r.state, attemptEnded
+	if previous == attempting && result == policy.OK {
 		e = servedWithoutFlow
 	}
 	if !c.transition(r, e) {
@@ -142,38 +142,38 @@
 	if e == servedWithoutFlow {
 		c.recordAnswer(r, Served)
 	}
-	c.releaseAttempt(r, was, result, report)
+	c.releaseAttempt(r, previous, result, report)
 	if r.preexisting && r.state == placing { // no other member holds the flow
 		c.answer(r, Failed, 0)
 	}
 }
 
 // abandon cancels the attempt or flow of a request that is over.
-func (c *Core) abandon(r *request, was state) {
-	if was.atMember() {
+func (c *Core) abandon(r *request, previous state) {
+	if previous.atMember() {
 		r.downstream.Cancel(r.attempts - 1)
-		c.releaseAttempt(r, was, policy.Cancelled, policy.NoReport)
+		c.releaseAttempt(r, previous, policy.Cancelled, policy.NoReport)
 	}
 }
 
 // releaseAttempt closes the accounts of an attempt or an open flow that is over, and notifies the policy.
-func (c *Core) releaseAttempt(r *request, was state, result policy.Result, report policy.Report) {
+func (c *Core) releaseAttempt(r *request, previous state, result policy.Result, report policy.Report) {
 	m, attempt := r.member, r.attempts-1
 	r.member = nil
 	if r.firstRun == nil && mayHaveRun(result) {
 		r.firstRun = &firstRun{r.sentAt, m.Endpoint}
 	}
 	m.flows--
-	if result != policy.OK || was == attempting { // an open flow was counted when it was established
+	if result != policy.OK || previous == attempting { // an open flow was counted when it was established
 		c.countResult(m, result)
 	}
-	if kind, ok := eventKinds[attemptEnd{was == serving, result}]; ok {
+	if kind, ok := memberEventKinds[attemptEnd{previous == serving, result}]; ok {
 		c.emitMemberEvent(r, m, kind, c.Clock()-r.sentAt)
 	}
 	if c.Recorder != nil {
 		c.Recorder.RecordAttempt(&r.Request, r.id, attempt, m.Name, r.sentAt, c.Clock(), result)
 	}
-	if r.preexisting && was != serving { // the policy does not know of it
+	if r.preexisting && previous != serving { // the policy does not know of it
 		return
 	}
 	c.notifyPolicy(policy.AttemptEnded{ID: r.id, Attempt: r.policySends - 1, Member: m.ID, Result: result,
