--- a/internal/core/feed_test.go
+++ b/internal/core/feed_test.go
@@ -10,22 +10,23 @@
 	"dahliarudder/policy"
 )
 
-// feedTransport is a transport that keeps what it receives, and checks that the core may send it.
+// feedTransport is a FeedTransport that records what it receives, and checks that the core may
+// send it.
 type feedTransport struct {
 	harness       *harness
 	feed          *Feed
-	member        *Member // of the present link; nil without one
-	inFlight      []uint64
-	written       uint64
-	blocked       bool // the link is not writable
+	member        *Member  // at the other end of the link; nil without a link
+	inFlight      []uint64 // sequence numbers of the messages on the link without an acknowledgement
+	written       uint64   // bytes written to the link
+	blocked       bool     // the link is not writable
 	attempts      map[uint64]int
 	deadlines     map[uint64]time.Duration
 	answers       map[uint64]Answer
 	retryAfter    time.Duration
-	capacityCalls int
+	capacityCalls int // calls of OnCapacity
 }
 
-// newFeedTransport opens a feed in the first class that may hold so many messages.
+// newFeedTransport opens a feed in the first class that may hold the given number of messages.
 func newFeedTransport(h *harness, messages int) *feedTransport {
 	return newFeedTransportInClass(h, 0, messages)
 }
@@ -38,7 +39,7 @@
 
 func (tr *feedTransport) Connect(to *Member, _ time.Duration) {
 	if tr.member != nil {
-		tr.harness.t.Errorf("a second link, to %s beside %s", to.Name, tr.member.Name)
+		tr.harness.t.Errorf("Connect to %s while the link to %s is open", to.Name, tr.member.Name)
 	}
 	tr.member, tr.inFlight, tr.written = to, nil, 0
 }
@@ -51,15 +52,15 @@
 	member := tr.harness.members[tr.member.ID]
 	switch {
 	case tr.attempts[m.Sequence] > 3, m.Attempts != tr.attempts[m.Sequence]:
-		tr.harness.t.Errorf("message %d: attempt %d (%d)", m.Sequence, tr.attempts[m.Sequence], m.Attempts)
+		tr.harness.t.Errorf("message %d is written for the %d. time as attempt %d; want equal numbers, at most 3", m.Sequence, tr.attempts[m.Sequence], m.Attempts)
 	case tr.answers[m.Sequence] != "":
-		tr.harness.t.Errorf("message %d is sent after its answer %s", m.Sequence, tr.answers[m.Sequence])
+		tr.harness.t.Errorf("message %d is sent after it was answered %s", m.Sequence, tr.answers[m.Sequence])
 	case member.unavailable && tr.harness.now-member.unavailableSince > 250*time.Millisecond:
-		tr.harness.t.Errorf("message %d is sent %v after its member became unavailable", m.Sequence, tr.harness.now-member.unavailableSince)
+		tr.harness.t.Errorf("message %d is sent %v after its member became unavailable, want at most 250 ms", m.Sequence, tr.harness.now-member.unavailableSince)
 	case tr.harness.dispatchPaused:
 		tr.harness.t.Errorf("message %d is sent while dispatch is paused", m.Sequence)
 	case string(text) != fmt.Sprint("message ", m.Sequence):
-		tr.harness.t.Errorf("message %d has text %q", m.Sequence, text)
+		tr.harness.t.Errorf("message %d is sent with text %q", m.Sequence, text)
 	}
 }
 func (tr *feedTransport) Disconnect() uint64 {
@@ -68,16 +69,16 @@
 }
 func (tr *feedTransport) Answer(m *window.Message, _ []byte, answer Answer, retryAfter time.Duration) {
 	if tr.answers[m.Sequence] != "" {
-		tr.harness.t.Errorf("message %d is answered %s after %s", m.Sequence, answer, tr.answers[m.Sequence])
+		tr.harness.t.Errorf("message %d is answered %s after it was answered %s", m.Sequence, answer, tr.answers[m.Sequence])
 	}
 	if late := tr.harness.now - tr.deadlines[m.Sequence]; late > 0 {
-		tr.harness.t.Errorf("message %d is answered %v late", m.Sequence, late)
+		tr.harness.t.Errorf("message %d is answered %v after its deadline", m.Sequence, late)
 	}
 	tr.answers[m.Sequence], tr.retryAfter = answer, retryAfter
 }
 func (tr *feedTransport) OnCapacity() { tr.capacityCalls++ }
 
-// publish publishes n messages, or fewer if the feed has no capacity.
+// publish publishes up to n messages, as long as the feed has capacity.
 func (tr *feedTransport) publish(n int) {
 	for range n {
 		if !tr.feed.HasCapacity() {
@@ -89,14 +90,14 @@
 	}
 }
 
-// acknowledge acknowledges n messages in flight, or all if there are fewer.
+// acknowledge acknowledges the n oldest messages in flight, or all if there are fewer.
 func (tr *feedTransport) acknowledge(n int) {
 	n = min(n, len(tr.inFlight))
 	tr.inFlight = tr.inFlight[n:]
 	tr.feed.Acknowledged(n)
 }
 
-// disconnect breaks the link after written bytes of it.
+// disconnect breaks the link after the given number of its bytes was written.
 func (tr *feedTransport) disconnect(result policy.Result, written uint64) {
 	tr.member, tr.inFlight = nil, nil
 	tr.feed.Disconnected(result, written)
@@ -111,54 +112,58 @@
 	return n
 }
 
-// TestFeed: a feed takes one place whatever the number of its messages, and each message is answered and recorded.
+// TestFeed checks that a feed counts as one request whatever the number of its messages, that each
+// message is answered and recorded, and that an idle feed gives up its flow and requests a new one
+// later.
 func TestFeed(t *testing.T) {
 	h := newHarness(t, 2)
 	tr := newFeedTransport(h, 500)
 	tr.publish(300)
 	if tr.member == nil || len(tr.inFlight) > 0 {
-		t.Fatal("messages are sent before the link is established")
+		t.Fatalf("member %v, %d messages in flight before the link is established; want a member and no message", tr.member, len(tr.inFlight))
 	}
 	tr.feed.Connected()
 	for len(tr.inFlight) > 0 {
 		tr.acknowledge(7)
 	}
 	if c := h.Counts; c.Requests != 1 || c.Messages.Served != 300 || tr.countAnswers(Served) != 300 || h.FlowCount(tr.member.ID) != 1 {
-		t.Errorf("%+v", c)
+		t.Errorf("counts %+v, %d served, want 1 request, 1 flow and 300 messages served", c, tr.countAnswers(Served))
 	}
 	if len(h.records) != 1+2*300 {
-		t.Errorf("%d records", len(h.records))
+		t.Errorf("%d records, want %d: an answer of the flow, an attempt and an answer of each message", len(h.records), 1+2*300)
 	}
 	h.advance(feedIdleTimeout + time.Second)
 	if h.ActiveRequests() != 0 || tr.member != nil {
-		t.Error("an idle feed keeps its place")
+		t.Errorf("an idle feed still has %d active requests, or a link to %v", h.ActiveRequests(), tr.member)
 	}
 	tr.publish(1)
 	tr.feed.Connected()
 	tr.acknowledge(1)
 	if tr.countAnswers(Served) != 301 {
-		t.Error("a feed does not continue after it was idle")
+		t.Errorf("%d messages served after the feed was idle, want 301", tr.countAnswers(Served))
 	}
 	tr.feed.Close()
 	if h.ActiveRequests() != 0 || len(h.feeds) != 0 {
-		t.Error("a closed feed leaves something behind")
+		t.Errorf("after Close: %d active requests, %d feeds, want none", h.ActiveRequests(), len(h.feeds))
 	}
 }
 
-// TestFeedFull: a full feed takes no more, and calls back once it has capacity.
+// TestFeedFull checks that a full feed accepts no message, and calls OnCapacity when it has
+// capacity again.
 func TestFeedFull(t *testing.T) {
 	h := newHarness(t, 2)
 	tr := newFeedTransport(h, 10)
 	tr.publish(20)
 	if tr.feed.Connected(); len(tr.deadlines) != 10 || len(tr.inFlight) != 10 || tr.capacityCalls != 0 {
-		t.Fatalf("%d accepted, %d in flight", len(tr.deadlines), len(tr.inFlight))
+		t.Fatalf("%d accepted, %d in flight, OnCapacity called %d times; want 10, 10, 0", len(tr.deadlines), len(tr.inFlight), tr.capacityCalls)
 	}
 	if tr.acknowledge(1); tr.capacityCalls != 1 {
-		t.Errorf("OnCapacity was called %d times", tr.capacityCalls)
+		t.Errorf("OnCapacity was called %d times after an acknowledgement, want 1", tr.capacityCalls)
 	}
 }
 
-// TestFeedMemory: all feeds together stay within their memory limit, yet each may hold a message.
+// TestFeedMemory checks that all feeds together stay within their memory limit, while each may hold
+// at least one message.
 func TestFeedMemory(t *testing.T) {
 	h := newHarness(t, 2)
 	h.FeedMemoryLimit = 10 << 10
@@ -167,21 +172,21 @@
 		tr.publish(5000)
 	}
 	if h.feedBytes > 10<<10+2*feedMinBytes+100 {
-		t.Errorf("%d bytes in use", h.feedBytes)
+		t.Errorf("feeds use %d bytes, want at most %d", h.feedBytes, 10<<10+2*feedMinBytes+100)
 	}
 	for _, tr := range transports {
 		if len(tr.deadlines) == 0 {
-			t.Error("a feed may hold no message")
+			t.Error("a feed could not publish any message")
 		}
 		tr.feed.Close()
 	}
 	if h.feedBytes != 0 {
-		t.Errorf("%d bytes are counted after the end", h.feedBytes)
+		t.Errorf("feedBytes = %d after all feeds were closed, want 0", h.feedBytes)
 	}
 }
 
-// TestFeedDrain: a draining member gets no more messages; those in flight are answered there, or retried elsewhere after the link has
-// ended.
+// TestFeedDrain checks that a draining member gets no more messages. Those in flight are answered
+// there, or retried at another member after the link has ended.
 func TestFeedDrain(t *testing.T) {
 	h := newHarness(t, 2)
 	tr := newFeedTransport(h, 500)
@@ -192,55 +197,56 @@
 	members[first-10].State = policy.Draining
 	h.UpdateMembers(policy.ListFull, members)
 	if tr.publish(3); len(tr.inFlight) != 5 || tr.member.ID != first {
-		t.Fatalf("%d in flight", len(tr.inFlight))
+		t.Fatalf("%d messages in flight at member %d after it began to drain, want 5 at %d", len(tr.inFlight), tr.member.ID, first)
 	}
 	h.advance(time.Millisecond)
 	if tr.acknowledge(3); tr.member.ID != first {
-		t.Error("the link was closed while acknowledgements arrive")
+		t.Error("the link was closed before all messages in flight were acknowledged")
 	}
-	h.advance(1500 * time.Millisecond) // the last two are not acknowledged
+	h.advance(1500 * time.Millisecond) // two messages in flight are not acknowledged
 	if tr.member == nil || tr.member.ID == first {
-		t.Fatal("not connected to another member")
+		t.Fatal("the feed did not connect to another member")
 	}
 	tr.feed.Connected()
 	if tr.acknowledge(9); tr.countAnswers(Served) != 8 || tr.attempts[4] != 2 || tr.attempts[6] != 1 {
-		t.Errorf("%d served, attempts %v", tr.countAnswers(Served), tr.attempts)
+		t.Errorf("%d served, attempts %v; want 8, two attempts of message 4, one of message 6", tr.countAnswers(Served), tr.attempts)
 	}
 }
 
-// TestFeedRejected: messages wait while no member has capacity, and are rejected at their deadline.
+// TestFeedRejected checks that messages wait while no member has capacity, and are rejected at
+// their deadline, and that they are rejected at once while nothing can be recorded.
 func TestFeedRejected(t *testing.T) {
 	h := newHarness(t, 0)
 	tr := newFeedTransport(h, 500)
 	tr.publish(3)
 	h.advance(time.Second)
 	if len(tr.answers) != 0 {
-		t.Fatalf("answered early: %v", tr.answers)
+		t.Fatalf("answers %v before the deadline, want none", tr.answers)
 	}
 	if h.advance(time.Second); tr.countAnswers(Rejected) != 3 || tr.retryAfter <= 0 {
-		t.Errorf("answers %v, Retry-After %v", tr.answers, tr.retryAfter)
+		t.Errorf("answers %v with Retry-After %v at the deadline, want 3 rejections with a Retry-After", tr.answers, tr.retryAfter)
 	}
 	tr.publish(2)
 	h.UpdateMembers(policy.ListFull, testMembers(2, policy.Ready))
 	h.advance(time.Second)
 	if tr.member == nil {
-		t.Fatal("the feed does not connect")
+		t.Fatal("the feed did not connect once members were available")
 	}
 	tr.feed.Connected()
 	if tr.acknowledge(2); tr.countAnswers(Served) != 2 {
-		t.Errorf("answers %v", tr.answers)
+		t.Errorf("answers %v, want 2 served", tr.answers)
 	}
-	h.notReady = true // the store fails
+	h.notReady = true // the recorder cannot record
 	if tr.publish(1); tr.countAnswers(Rejected) != 4 {
-		t.Errorf("answers %v while nothing can be recorded", tr.answers)
+		t.Errorf("answers %v while nothing can be recorded, want 4 rejections", tr.answers)
 	}
 }
 
-// TestFeedSlowStart: feeds that connect together to a member in slow start send it no more than it has shown to handle, and all have their
-// turn.
+// TestFeedSlowStart checks that many feeds that connect to a member in slow start at once send it no
+// more messages than the limit, which grows with acknowledgements, and that each gets its turn.
 func TestFeedSlowStart(t *testing.T) {
 	h := newHarness(t, 1)
-	h.members[10].joinedAt = h.now // in the core only: the policy would admit hardly any feed
+	h.members[10].joinedAt = h.now // only in the core: the policy would admit hardly any feed
 	var transports []*feedTransport
 	for range 200 {
 		tr := newFeedTransport(h, 100)
@@ -260,7 +266,7 @@
 		}
 	}
 	if n := inFlight(); n == 0 || n > window.InitialWindow {
-		t.Fatalf("%d messages are in flight at a member in slow start", n)
+		t.Fatalf("%d messages are in flight at a member in slow start, want 1 to %d", n, window.InitialWindow)
 	}
 	acknowledged := 0
 	for range 1000 {
@@ -270,22 +276,23 @@
 				acknowledged++
 			}
 			if n := inFlight(); n > window.InitialWindow+acknowledged {
-				t.Fatalf("%d messages are in flight after %d were acknowledged", n, acknowledged)
+				t.Fatalf("%d messages are in flight after %d were acknowledged, want at most %d", n, acknowledged, window.InitialWindow+acknowledged)
 			}
 		}
 	}
 	for i, tr := range transports {
 		if tr.member != nil && tr.feed.state == feedConnected && tr.countAnswers(Served) != 30 {
-			t.Fatalf("feed %d: %d of 30 served", i, tr.countAnswers(Served))
+			t.Fatalf("feed %d: %d messages served, want 30", i, tr.countAnswers(Served))
 		}
 	}
 	if acknowledged < 100 {
-		t.Fatalf("only %d messages were acknowledged: this test shows nothing", acknowledged)
+		t.Fatalf("%d messages were acknowledged, want at least 100 for the checks above to mean anything", acknowledged)
 	}
 }
 
-// TestFeedQueue: a feed that waits for a member in slow start leaves that member's queue with its link, and joins the queue of the next
-// one; otherwise it would wait until its messages' deadlines.
+// TestFeedQueue checks that a feed that waits for a member in slow start leaves the queue of that
+// member when its link ends or another member's queue takes it. Otherwise it would get no turn at
+// its next member, and its messages would wait until their deadlines.
 func TestFeedQueue(t *testing.T) {
 	h := newHarness(t, 1)
 	m := h.members[10]
@@ -296,24 +303,25 @@
 		tr.feed.Connected()
 	}
 	if len(m.feedQueue) != 2 || len(second.inFlight) > 0 {
-		t.Fatalf("%d queued", len(m.feedQueue))
+		t.Fatalf("%d feeds queued, %d messages of a queued feed in flight; want 2 and 0", len(m.feedQueue), len(second.inFlight))
 	}
 	if third.feed.Close(); len(m.feedQueue) != 1 {
-		t.Errorf("%d queued after one has closed", len(m.feedQueue))
+		t.Errorf("%d feeds queued after one was closed, want 1", len(m.feedQueue))
 	}
 	other := &member{Member: Member{Name: "other"}}
 	h.enqueueFeed(other, second.feed)
 	if len(m.feedQueue) != 0 || len(other.feedQueue) != 1 {
-		t.Errorf("%d and %d queued after one has joined the other member's queue", len(m.feedQueue), len(other.feedQueue))
+		t.Errorf("%d and %d feeds queued after one joined the queue of the other member, want 0 and 1", len(m.feedQueue), len(other.feedQueue))
 	}
 	if second.disconnect(policy.Reset, 0); len(other.feedQueue) != 0 {
-		t.Error("a feed whose link has ended is still queued")
+		t.Error("a feed is still queued after its link has ended")
 	}
 }
 
-// TestFeedRandomEvents: random publications, acknowledgements, rejections, lost links, draining members and blocked links. The transport
-// checks each step, and in the end every message has one answer. Half of the runs add pauses of dispatch, ejections, removals by the
-// fleet, and drains and the stop of the relay.
+// TestFeedRandomEvents plays random publications, acknowledgements, rejections, lost links,
+// draining members and blocked links. The transport checks each step, and in the end every message
+// must have one answer. Half of the runs add relay events: pauses of dispatch, ejections, removals
+// by the fleet, drains and the stop of the relay.
 func TestFeedRandomEvents(t *testing.T) {
 	sentWithRelayEvents := 0
 	for seed := range uint64(120) {
@@ -365,7 +373,7 @@
 			h.advance(h.StopTimeout())
 			h.FinishStop()
 			if h.ActiveRequests() != 0 {
-				t.Errorf("seed %d: %d active after the end of the stop", seed, h.ActiveRequests())
+				t.Errorf("seed %d: %d active requests after the end of the stop, want 0", seed, h.ActiveRequests())
 			}
 		}
 		h.advance(3 * time.Second)
@@ -378,7 +386,7 @@
 			tr.feed.Close()
 		}
 		if c := h.Counts.Messages; c.Accepted != c.Served+c.Rejected+c.Failed || sent == 0 && !relayEvents || h.ActiveRequests() != 0 || h.feedBytes != 0 {
-			t.Errorf("seed %d: %+v, %d active", seed, h.Counts, h.ActiveRequests())
+			t.Errorf("seed %d: counts %+v, %d messages sent, %d active requests, %d bytes at the end", seed, h.Counts, sent, h.ActiveRequests(), h.feedBytes)
 		}
 		if relayEvents {
 			sentWithRelayEvents += sent
@@ -388,26 +396,28 @@
 		}
 	}
 	if sentWithRelayEvents < 1000 {
-		t.Errorf("%d messages sent in the runs with relay events", sentWithRelayEvents)
+		t.Errorf("%d messages were sent in the runs with relay events, want at least 1000", sentWithRelayEvents)
 	}
 }
 
-// TestFeedFinishStop: messages whose feed is still connecting at the end of a stop are rejected, with the same Retry-After as requests. That
-// holds for a non-idempotent class too, as none of them was sent.
+// TestFeedFinishStop checks that messages whose feed is still connecting at the end of a stop are
+// rejected, with the same Retry-After as requests. That holds for a non-idempotent class too, as
+// none of them was sent.
 func TestFeedFinishStop(t *testing.T) {
 	h := newHarnessWith(t, classesText, testMembers(1, policy.Ready))
 	tr := newFeedTransportInClass(h, nonIdempotentClass, 10)
 	if tr.publish(3); tr.member == nil {
-		t.Fatal("no attempt is in flight")
+		t.Fatal("the feed has no attempt in flight after publishing")
 	}
 	h.Stop()
 	h.FinishStop()
 	if tr.countAnswers(Rejected) != 3 || tr.retryAfter != stopRetryAfter || h.ActiveRequests() != 0 {
-		t.Errorf("%d rejected, Retry-After %v; %d active", tr.countAnswers(Rejected), tr.retryAfter, h.ActiveRequests())
+		t.Errorf("%d rejected with Retry-After %v, %d active requests; want 3, %v, 0", tr.countAnswers(Rejected), tr.retryAfter, h.ActiveRequests(), stopRetryAfter)
 	}
 }
 
-// TestFeedPauseDispatch: a pause of dispatch holds messages back too, and afterwards a member that has become unavailable gets none.
+// TestFeedPauseDispatch checks that a pause of dispatch holds back messages too, and that a member
+// that became unavailable during the pause gets none afterwards.
 func TestFeedPauseDispatch(t *testing.T) {
 	for _, drains := range []bool{false, true} {
 		h := newHarness(t, 2)
@@ -418,7 +428,7 @@
 		first := tr.member.ID
 		h.PauseDispatch()
 		if tr.publish(3); len(tr.inFlight) != 0 {
-			t.Errorf("%d messages were sent while dispatch was paused", len(tr.inFlight))
+			t.Errorf("%d messages were sent while dispatch was paused, want 0", len(tr.inFlight))
 		}
 		if drains {
 			h.UpdateMembers(policy.ListDelta, []Member{h.draining(first)})
@@ -427,22 +437,22 @@
 		h.advance(time.Millisecond)
 		if drains {
 			if tr.member == nil || tr.member.ID == first {
-				t.Fatal("not connected to another member")
+				t.Fatal("the feed did not connect to another member")
 			}
 			tr.feed.Connected()
 		}
 		if len(tr.inFlight) != 3 || (tr.member.ID == first) == drains {
-			t.Errorf("drains %v: %d messages are in flight at %d, before at %d", drains, len(tr.inFlight), tr.member.ID, first)
+			t.Errorf("drains %v: %d messages are in flight at member %d, want 3; the first member was %d", drains, len(tr.inFlight), tr.member.ID, first)
 		}
 		tr.acknowledge(3)
 		if tr.countAnswers(Served) != 4 {
-			t.Errorf("%d served", tr.countAnswers(Served))
+			t.Errorf("drains %v: %d messages served, want 4", drains, tr.countAnswers(Served))
 		}
 	}
 }
 
-// TestFeedDedupWindow: a message that may have been processed is retried only within the deduplication window of its first such attempt,
-// and is answered all the same.
+// TestFeedDedupWindow checks that a message that may have been processed is retried only within the
+// deduplication window of its first such attempt, and is answered in either case.
 func TestFeedDedupWindow(t *testing.T) {
 	for _, c := range []struct {
 		class    int
@@ -459,18 +469,18 @@
 		h.now += 800 * time.Millisecond
 		tr.disconnect(policy.Reset, tr.written)
 		if tr.member == nil {
-			t.Fatalf("class %d: no second link", c.class)
+			t.Fatalf("class %d: the feed did not connect again", c.class)
 		}
 		h.now = first + c.after
 		tr.feed.Connected()
 		if tr.attempts[1] != c.attempts {
-			t.Errorf("class %d: the second link was established %v after the first send: %d attempts, want %d", c.class, c.after, tr.attempts[1], c.attempts)
+			t.Errorf("class %d: link established again %v after the first send: %d attempts, want %d", c.class, c.after, tr.attempts[1], c.attempts)
 		}
 		if tr.acknowledge(1); c.attempts == 1 {
 			h.advance(2 * time.Second)
 		}
 		if want := map[int]Answer{1: Failed, 2: Served}[c.attempts]; tr.answers[1] != want {
-			t.Errorf("class %d, after %v: answered %q, want %s", c.class, c.after, tr.answers[1], want)
+			t.Errorf("class %d, link established again after %v: answer %q, want %q", c.class, c.after, tr.answers[1], want)
 		}
 	}
 }
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -9,8 +9,9 @@
 	"dahliarudder/policy"
 )
 
-// FuzzCore plays random events. The downstream checks that each request has one final answer and at most three attempts, never two in
-// flight; the records must hold one answer for each request and one end for each attempt.
+// FuzzCore plays random events. The downstream checks that each request has one final answer and at
+// most three attempts, never two of them in flight. The records must hold one answer for each
+// request and one end for each attempt.
 func FuzzCore(f *testing.F) {
 	for seed := range uint64(8) {
 		f.Add(seed, uint16(400))
@@ -51,11 +52,11 @@
 			}
 		}
 		h.Stop()
-		h.Resume() // ends a drain, not the stop
+		h.Resume() // must not end the stop, only a drain
 		h.advance(5 * time.Second)
 		c := h.Counts
 		if h.ActiveRequests() != 0 || c.Requests != len(requests) || c.Served+c.Rejected+c.Failed+c.ClientsGone != c.Requests {
-			t.Errorf("%d active, %d requests, counts %+v", h.ActiveRequests(), len(requests), c)
+			t.Errorf("%d active requests, want 0; %d requests opened, counts %+v: each must have one answer", h.ActiveRequests(), len(requests), c)
 		}
 		seen := map[string]bool{}
 		for _, event := range h.records {
@@ -65,7 +66,7 @@
 			seen[event] = true
 		}
 		if len(h.records) != c.Requests+c.Attempts {
-			t.Errorf("%d records of %+v", len(h.records), c)
+			t.Errorf("%d records, want one for each of %d requests and %d attempts", len(h.records), c.Requests, c.Attempts)
 		}
 	})
 }
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -16,26 +16,27 @@
  "limits":{"max-attempts":3,"cancel":true,"probes":false,"connect-timeout-ms":250},
  "guarantees":{"answer-slack-ms":8,"drain-grace-ms":250},"extra":{"message-aim-ms":[90]}}`
 
-// harness is a core on a fake clock, and what it requested of its fronts and recorder.
+// harness is a core with a fake clock, and records what the core requests. It is the core's Recorder.
 type harness struct {
 	*Core
 	t        *testing.T
 	now      time.Duration
-	wakeAt   time.Duration
+	wakeAt   time.Duration // when the core wants its next Tick
 	records  []string
-	notReady bool
+	notReady bool // the recorder cannot record
 }
 
-// downstream keeps the calls that it receives, and checks that they are allowed.
+// downstream is a Downstream that records the calls that it receives, and checks that they are
+// allowed.
 type downstream struct {
 	harness    *harness
 	id         ID
 	inFlight   int // attempts in flight
-	attempts   int
+	attempts   int // all, including the one in flight
 	answers    []string
 	migrations int
 	timeout    time.Duration
-	member     string
+	member     string        // of the latest attempt
 	retryAfter time.Duration // of the rejection
 }
 
@@ -44,7 +45,7 @@
 	d.inFlight++
 	d.attempts++
 	if d.inFlight > 1 || len(d.answers) > 0 || attempt != d.attempts-1 || d.attempts > 3 || timeout <= 0 {
-		d.harness.t.Errorf("send: attempt %d, %d in flight, answers %v, timeout %v", attempt, d.inFlight, d.answers, timeout)
+		d.harness.t.Errorf("Send(attempt %d, timeout %v) as attempt %d of at most 3, with %d in flight, answers %v", attempt, timeout, d.attempts-1, d.inFlight, d.answers)
 	}
 }
 
@@ -61,7 +62,7 @@
 
 func (d *downstream) answer(answer string) {
 	if d.answers = append(d.answers, answer); len(d.answers) > 1 || d.inFlight > 0 {
-		d.harness.t.Errorf("answers %v with %d attempts in flight", d.answers, d.inFlight)
+		d.harness.t.Errorf("answers %v with %d attempts in flight, want one answer and no attempt", d.answers, d.inFlight)
 	}
 }
 
@@ -75,13 +76,13 @@
 	h.records = append(h.records, fmt.Sprintf("answer %d", id))
 }
 
-// newHarness starts a core with the default settings and members ready servers.
+// newHarness starts a core with the default settings and the given number of ready members.
 func newHarness(t *testing.T, members int) *harness {
 	t.Helper()
 	return newHarnessWith(t, defaultSettings, testMembers(members, policy.Ready))
 }
 
-// testMembers returns the members m0, m1 and so on, whose server IDs count from 10.
+// testMembers returns the members m0, m1 and so on, whose member IDs count from 10.
 func testMembers(n int, state policy.MemberState) []Member {
 	members := make([]Member, n)
 	for i := range members {
@@ -91,7 +92,7 @@
 	return members
 }
 
-// openRequest opens a request whose client waits for two seconds.
+// openRequest opens a request with a deadline in two seconds.
 func (h *harness) openRequest() *downstream {
 	d := &downstream{harness: h}
 	d.id = h.Open(Request{Load: 0.01, TimeLeft: 2 * time.Second}, d)
@@ -108,7 +109,7 @@
 	return flows
 }
 
-// advance moves the clock on, with a Tick whenever one is due.
+// advance moves the clock forward and calls Tick whenever it is due.
 func (h *harness) advance(by time.Duration) {
 	for end := h.now + by; ; {
 		if h.wakeAt > end {
@@ -120,7 +121,7 @@
 	}
 }
 
-// Classes of classesText, by index.
+// The classes of classesText, by index.
 const (
 	idempotentClass = iota
 	keyScopeAllClass
@@ -129,7 +130,8 @@
 	keyScopeCellClass
 )
 
-// classesText has a class of each idempotency and key scope; deduplication windows are shorter than deadlines.
+// classesText has a class of each idempotency and key scope. Their deduplication windows are shorter
+// than their deadlines.
 const classesText = `{"balancers":1,"zones":["a","b"],
  "classes":[{"name":"safe","aim-ms":400,"deadline-ms":2000,"effect":"read_like","key-scope":"all"},
   {"name":"all","aim-ms":400,"deadline-ms":2000,"effect":"idempotency_key","key-scope":"all","window-ms":900},
@@ -153,7 +155,7 @@
 	return h
 }
 
-// openInClass opens a request of a class whose client waits for timeLeft.
+// openInClass opens a request of the given class with a deadline in timeLeft.
 func (h *harness) openInClass(class int, timeLeft time.Duration) *downstream {
 	d := &downstream{harness: h}
 	d.id = h.Open(Request{Class: class, Load: 0.01, TimeLeft: timeLeft}, d)
@@ -166,8 +168,9 @@
 	d.harness.AttemptEnded(d.id, d.attempts-1, result, policy.NoReport)
 }
 
-// openThree opens three requests of a class: one with an attempt in flight, one whose attempt has failed but may have run, which the
-// policy backs off before it retries, and one whose attempts cannot have run.
+// openThree opens three requests of a class: one with an attempt in flight, one whose attempt has
+// failed but may have run, so that the policy backs off before it retries, and one whose attempts
+// cannot have run.
 func (h *harness) openThree(class int) (sent, mayHaveRun, neverRan *downstream) {
 	sent, mayHaveRun, neverRan = h.openInClass(class, 2*time.Second), h.openInClass(class, 2*time.Second), h.openInClass(class, 2*time.Second)
 	mayHaveRun.endAttempt(policy.Error)
@@ -178,7 +181,8 @@
 	return sent, mayHaveRun, neverRan
 }
 
-// wantNoFlowsInPolicy checks that the policy has no open flow: it keeps a server that is no longer listed only for those.
+// wantNoFlowsInPolicy checks that the policy counts no open flow: it keeps a member that is no
+// longer listed only for its open flows.
 func (h *harness) wantNoFlowsInPolicy(when string) {
 	h.t.Helper()
 	h.UpdateMembers(policy.ListFull, nil)
@@ -187,7 +191,7 @@
 	}
 }
 
-// migrations counts the migrations of all flows.
+// migrations returns how often the flows were migrated, all together.
 func migrations(flows []*downstream) (n int) {
 	for _, d := range flows {
 		n += d.migrations
@@ -195,10 +199,10 @@
 	return n
 }
 
-// answerText joins the final answers, of which there may be one at most.
+// answerText joins the final answers. At most one is allowed.
 func (d *downstream) answerText() string { return strings.Join(d.answers, ",") }
 
-// draining returns a member in the draining state.
+// draining returns a member as it is listed when it drains.
 func (h *harness) draining(id policy.MemberID) Member {
 	m := h.members[id].Member
 	m.State = policy.Draining
--- a/internal/core/lifecycle_test.go
+++ b/internal/core/lifecycle_test.go
@@ -7,7 +7,8 @@
 	"dahliarudder/policy"
 )
 
-// TestTransitions: each state allows just these events; any other is counted as ignored and changes nothing.
+// TestTransitions checks that each state allows exactly these events, and that any other event is
+// counted as ignored and changes nothing.
 func TestTransitions(t *testing.T) {
 	events := []event{attemptStarted, attemptEstablished, attemptEnded, servedWithoutFlow, answered, clientGone, migrated, handedOver}
 	allowed := map[state]map[event]state{
@@ -26,41 +27,42 @@
 				to = from
 			}
 			if got := h.transition(q, e); got != ok || q.state != to {
-				t.Errorf("state %d, event %d: %v to state %d, want %v to %d", from, e, got, q.state, ok, to)
+				t.Errorf("state %d, event %d: transition = %v to state %d, want %v to %d", from, e, got, q.state, ok, to)
 			}
 			if counted := h.Counts.IgnoredEvents == 1; counted == ok {
-				t.Errorf("state %d, event %d: %d counted as ignored", from, e, h.Counts.IgnoredEvents)
+				t.Errorf("state %d, event %d, allowed %v: %d events counted as ignored", from, e, ok, h.Counts.IgnoredEvents)
 			}
 			if gone := h.requests[1] == nil; gone != (ok && to == finished) {
-				t.Errorf("state %d, event %d: still active %v", from, e, !gone)
+				t.Errorf("state %d, event %d to state %d: request still active: %v", from, e, to, !gone)
 			}
 		}
 	}
 }
 
-// TestIgnoredEvents: a repeated event of an attempt, and late ones, change nothing that the client or the recorder sees.
+// TestIgnoredEvents checks that repeated and late events of an attempt change nothing that the client
+// or the recorder sees.
 func TestIgnoredEvents(t *testing.T) {
 	h := newHarness(t, 1)
 	d := h.openRequest()
 	h.FlowEstablished(d.id, 0)
 	before := h.Counts
 	if h.FlowEstablished(d.id, 0) || h.Counts.IgnoredEvents != 1 {
-		t.Errorf("established twice, %d ignored", h.Counts.IgnoredEvents)
+		t.Errorf("FlowEstablished for an open flow was accepted, or %d events ignored, want 1", h.Counts.IgnoredEvents)
 	}
 	h.execute(policy.Action{Kind: policy.ActionReject, ID: d.id, Duration: time.Second})
 	h.execute(policy.Action{Kind: policy.ActionFail, ID: d.id})
 	h.execute(policy.Action{Kind: policy.ActionCancel, ID: d.id})
 	if len(d.answers) != 0 || d.inFlight != 1 || !h.IsActive(d.id) {
-		t.Errorf("an open flow was answered %v, %d in flight", d.answers, d.inFlight)
+		t.Errorf("actions for an open flow: answers %v, %d in flight, active %v; want none, 1, true", d.answers, d.inFlight, h.IsActive(d.id))
 	}
 	before.IgnoredEvents = h.Counts.IgnoredEvents
 	if h.Counts != before || h.Counts.IgnoredEvents != 3 {
-		t.Errorf("counts %+v, before %+v", h.Counts, before)
+		t.Errorf("counts %+v, want 3 ignored events and otherwise %+v", h.Counts, before)
 	}
 	h.ClientGone(d.id)
 	h.AttemptEnded(d.id, 0, policy.Reset, policy.NoReport)
 	h.ClientGone(d.id)
 	if _, ok := h.ReleaseFlow(d.id); ok || len(h.records) != 2 || h.ActiveRequests() != 0 {
-		t.Errorf("released %v, records %v, %d active", ok, h.records, h.ActiveRequests())
+		t.Errorf("after ClientGone: ReleaseFlow = %v, records %v, %d active requests; want false, 2 records, 0", ok, h.records, h.ActiveRequests())
 	}
 }
--- a/internal/core/observations_test.go
+++ b/internal/core/observations_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestMessageLatency: slow messages at a member are reported at most once a second, and once more when they are fast again.
+// TestMessageLatency checks that slow messages at a member are reported at most once a second, and
+// once more when they are fast again.
 func TestMessageLatency(t *testing.T) {
 	h := newHarness(t, 1)
 	d := h.openRequest()
@@ -16,10 +17,10 @@
 	h.now += 100 * time.Millisecond
 	h.ObserveMessageLatency(d.id, 50*time.Millisecond)
 	if !m.slow || m.slowReportedAt != first {
-		t.Error("not reported, or reported again at once")
+		t.Errorf("slow message 100 ms after another: slow %v, reported at %v; want true, %v", m.slow, m.slowReportedAt, first)
 	}
 	h.ObserveMessageLatency(d.id, 20*time.Millisecond)
 	if m.slow || m.slowReportedAt != h.now {
-		t.Error("the end is not reported")
+		t.Errorf("fast message after slow ones: slow %v, reported at %v; want false, %v", m.slow, m.slowReportedAt, h.now)
 	}
 }
