--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -18,37 +18,38 @@
 	"dahliarudder/policy"
 )
 
-// A fixed seed makes every run draw the same steps. CORE_SEEDS is the number of cases, a thousand by default (under a second);
-// -rapid.seed draws other ones.
+// With a fixed seed every run draws the same steps; -rapid.seed draws others. CORE_SEEDS sets the
+// number of cases, 1000 by default, which take under a second.
 func init() {
 	flag.Set("rapid.seed", "1")
 	flag.Set("rapid.checks", cmp.Or(os.Getenv("CORE_SEEDS"), "1000"))
 }
 
-// model surrounds a core with members, clients, discovery and operators whose steps are drawn at random. It checks the core by what
-// passes between them, not by the core's own state.
+// model surrounds a core with members, clients, discovery and operators whose steps are drawn at
+// random. It checks the calls and results that pass between them and the core, not the core's own
+// state.
 type model struct {
 	*rapid.T
 	core                *Core
 	now                 time.Duration
 	wakeAt              time.Duration
 	clients             []*modelClient
-	opening             *modelClient // whose Open has not returned
+	opening             *modelClient // the client whose call of Open is running; nil without one
 	members             []*modelMember
 	byName              map[string]*modelMember
 	pendingProbes       []policy.MemberID
-	notReady            bool // the recorder refuses
-	paused              bool
-	resuming            bool          // ResumeDispatch has not returned
-	stopped             bool          // by Stop or BeginHandover
-	migrateBy           time.Duration // the time by which a drain or stop has to migrate all flows; 0 without one
+	notReady            bool          // the recorder cannot record
+	paused              bool          // dispatch is paused
+	resuming            bool          // a call of ResumeDispatch is running
+	stopped             bool          // Stop or BeginHandover was called
+	migrateBy           time.Duration // when a drain or stop must have migrated all flows; 0 without one
 	finished            bool          // FinishStop has returned
 	reentrant           bool          // the next call to a downstream makes another event happen before it returns
 	ejected             map[string]bool
 	removals            map[string]Removal
 	records             map[string]int // how often each answer and attempt was recorded
-	repeatedEstablished int            // FlowEstablished calls for a flow that was established already
-	faultyPolicy        bool           // the policy takes arbitrary actions
+	repeatedEstablished int            // calls of FlowEstablished for a flow that was established already
+	faultyPolicy        bool           // the policy requests arbitrary actions
 }
 
 // ---- Recorder ----
@@ -68,7 +69,8 @@
 
 // ---- Events ----
 
-// drawSettings returns settings with classes of every idempotency and scope; answer slack, attempts and probes are drawn.
+// drawSettings returns settings with classes of every idempotency and key scope. It draws the answer
+// slack, the number of attempts and whether there are probes.
 func drawSettings(t *rapid.T) string {
 	text := strings.Replace(classesText, `"answer-slack-ms":8`, fmt.Sprintf(`"answer-slack-ms":%d`, rapid.SampledFrom([]int{0, 8, 60}).Draw(t, "slack")), 1)
 	text = strings.Replace(text, `"max-attempts":3`, fmt.Sprintf(`"max-attempts":%d`, 1+evenlyBelow(4).Draw(t, "attempts")), 1)
@@ -90,7 +92,7 @@
 		Wake: func(at time.Duration) { m.wakeAt = at }, Watch: func() {}, Recorder: m,
 		Probe: func(to *Member) {
 			if member := m.byName[to.Name]; m.paused || member.unavailable && (m.resuming || m.now-member.unavailableSince > 250*time.Millisecond) {
-				m.Fatalf("%s is probed, which became unavailable %v ago; dispatch paused %v", to.Name, m.now-member.unavailableSince, m.paused)
+				m.Fatalf("probe of %s (unavailable %v, became unavailable %v ago); dispatch paused %v, resuming %v", to.Name, member.unavailable, m.now-member.unavailableSince, m.paused, m.resuming)
 			}
 			m.pendingProbes = append(m.pendingProbes, to.ID)
 		}})
@@ -105,8 +107,8 @@
 
 func (m *model) draw(n int, label string) int { return evenlyBelow(n).Draw(m.T, label) }
 
-// evenlyBelow draws a number below n, all equally likely. Rapid's own integers prefer small values, which would starve the events
-// with high indices.
+// evenlyBelow draws a number below n, all equally likely. Rapid's own integers prefer small values,
+// so that events with high indices would hardly occur.
 func evenlyBelow(n int) *rapid.Generator[int] {
 	return rapid.Custom(func(t *rapid.T) int {
 		at := 0
@@ -119,7 +121,7 @@
 	})
 }
 
-// pickClient draws one of the clients that match; nil if there is none.
+// pickClient draws one of the clients that match, or returns nil if there is none.
 func (m *model) pickClient(matches func(*modelClient) bool) *modelClient {
 	var matching []*modelClient
 	for _, c := range m.clients {
@@ -133,6 +135,7 @@
 	return matching[m.draw(len(matching), "client")]
 }
 
+// modelTimesLeft are the values that TimeLeft of a request is drawn from.
 var modelTimesLeft = []time.Duration{-time.Second, 0, 5 * time.Millisecond, 9 * time.Millisecond, 70 * time.Millisecond, 400 * time.Millisecond,
 	2 * time.Second, 2 * time.Second, 2 * time.Second}
 
@@ -145,15 +148,15 @@
 	}
 	c.deadline = m.now + c.request.TimeLeft
 	m.clients = append(m.clients, c)
-	outer := m.opening // a reentrant arrival opens within another Open, whose id is not known yet
+	outer := m.opening // another Open may be running, whose client has no ID yet
 	m.opening = c
 	c.id = m.core.Open(c.request, c)
 	m.opening = outer
 	if (c.arrivedAfterStop || m.notReady) && (len(c.answers) != 1 || c.answers[0] != "rejected") {
-		m.Fatalf("request %d: arrived after the stop, or could not be recorded: answers %v", c.id, c.answers)
+		m.Fatalf("request %d: arrived after the stop (%v) or while nothing could be recorded (%v): answers %v, want a rejection", c.id, c.arrivedAfterStop, m.notReady, c.answers)
 	}
 	if c.request.TimeLeft <= 0 && len(c.answers) != 1 {
-		m.Fatalf("request %d: arrived with no time left: answers %v", c.id, c.answers)
+		m.Fatalf("request %d: arrived with no time left: answers %v, want one", c.id, c.answers)
 	}
 }
 
@@ -163,12 +166,13 @@
 		return
 	}
 	if !m.core.FlowEstablished(c.id, len(c.attempts)-1) {
-		m.Fatalf("request %d: its attempt is in flight, and could not be established", c.id)
+		m.Fatalf("request %d: FlowEstablished for the attempt in flight = false, want true", c.id)
 	}
 	c.established, c.establishedAt = true, m.now
 	c.answers = append(c.answers, "served")
 }
 
+// modelResults are the results that the end of an attempt is drawn from.
 var modelResults = []policy.Result{policy.OK, policy.Error, policy.Full, policy.Timeout, policy.ConnectFailed, policy.Reset, policy.Cancelled, policy.NotSent}
 
 func (m *model) endOneAttempt() {
@@ -184,7 +188,7 @@
 	return policy.Report{Connections: float64(m.draw(40, "connections")), Load: float64(m.draw(20, "load")) / 10, Util: -1, Backlog: float64(m.draw(3, "backlog")) / 10}
 }
 
-// sendStaleEvents reports events of an attempt that has ended or never was.
+// sendStaleEvents reports events of an attempt that has ended or never existed.
 func (m *model) sendStaleEvents() {
 	c := m.pickClient(func(c *modelClient) bool { return true })
 	if c == nil {
@@ -195,13 +199,13 @@
 		if c.established {
 			m.repeatedEstablished++
 			if m.core.FlowEstablished(c.id, number) {
-				m.Fatalf("request %d: established twice", c.id)
+				m.Fatalf("request %d: second FlowEstablished for attempt %d = true, want false", c.id, number)
 			}
 		}
 		return
 	}
 	if m.core.FlowEstablished(c.id, number) {
-		m.Fatalf("request %d: established by attempt %d, which is not in flight", c.id, number)
+		m.Fatalf("request %d: FlowEstablished for attempt %d, which is not in flight = true, want false", c.id, number)
 	}
 	m.core.AttemptEnded(c.id, number, modelResults[m.draw(len(modelResults), "result")], policy.NoReport)
 	if c.settled() {
@@ -219,7 +223,7 @@
 	m.core.ProbeResult(id, []policy.Result{policy.OK, policy.OK, policy.Full, policy.Timeout, policy.NotSent}[m.draw(5, "result")], m.report())
 }
 
-// updateMembers draws a change of the member list, a full one, or a failed poll.
+// updateMembers sends a randomly drawn change of the endpoint list, a full list, or a failed poll.
 func (m *model) updateMembers() {
 	kind := []policy.ListKind{policy.ListDelta, policy.ListDelta, policy.ListDelta, policy.ListFull, policy.ListCached, policy.ListFailed}[m.draw(6, "kind")]
 	if kind == policy.ListFailed {
@@ -228,7 +232,7 @@
 	}
 	var listed []Member
 	for _, member := range m.members {
-		if m.draw(3, "listed") == 0 == (kind == policy.ListDelta) { // a third of them in a delta, two thirds in a full list
+		if m.draw(3, "listed") == 0 == (kind == policy.ListDelta) { // one third of the members in a delta, two thirds in a full list
 			member.State = []policy.MemberState{policy.Ready, policy.Ready, policy.Ready, policy.Draining, policy.Gone}[m.draw(5, "state")]
 			if m.draw(6, "restart") == 0 {
 				member.Started, member.State = m.now, policy.Ready
@@ -243,7 +247,8 @@
 	m.core.UpdateMembers(kind, listed)
 }
 
-// updateAvailability follows which members may get nothing new, since when, and how long their flows may stay.
+// updateAvailability updates which members are unavailable, since when, and over which period their
+// flows may be migrated.
 func (m *model) updateAvailability() {
 	for _, member := range m.members {
 		removal, removed := m.removals[member.Name]
@@ -327,7 +332,7 @@
 		a := c.currentAttempt()
 		c.flowEnded, a.ended, a.result = true, true, policy.Cancelled
 		if transfer, ok := m.core.ReleaseFlow(c.id); !ok || transfer.Member != a.member.Name {
-			m.Fatalf("request %d: released %v with member %s, it is at %s", c.id, ok, transfer.Member, a.member.Name)
+			m.Fatalf("request %d: ReleaseFlow = %v with member %s, want true with %s", c.id, ok, transfer.Member, a.member.Name)
 		}
 		return
 	}
@@ -336,7 +341,7 @@
 	c.attempts = []*modelAttempt{{member: member, memberAtSend: member.Member, sentAt: m.now}}
 	id, _, ok := m.core.AdoptFlow(FlowTransfer{Request: c.request, Member: member.Name}, c)
 	if ok != member.known {
-		m.Fatalf("adopted %v at a member that is known %v", ok, member.known)
+		m.Fatalf("AdoptFlow at member %s = %v, want %v", member.Name, ok, member.known)
 	}
 	if c.id = id; ok {
 		m.clients = append(m.clients, c)
@@ -358,12 +363,12 @@
 	}
 }
 
-// advance moves the clock on, with a Tick whenever one is due.
+// advance moves the clock forward and calls Tick whenever it is due.
 func (m *model) advance(d time.Duration) {
 	end := m.now + d
 	for n := 0; m.wakeAt <= end; n++ {
 		if n > 100_000 {
-			m.Fatalf("ticks without end at %v", m.now)
+			m.Fatalf("more than %d ticks until %v", n-1, m.now)
 		}
 		m.now, m.wakeAt = max(m.now, m.wakeAt), math.MaxInt64
 		m.core.Tick()
@@ -374,6 +379,8 @@
 
 // ---- Invariants ----
 
+// check fails the test if something is overdue, or if the core's active requests or flows differ
+// from the model's.
 func (m *model) check() {
 	flows := map[string]int{}
 	for _, c := range m.clients {
@@ -385,17 +392,18 @@
 			c.checkOverdue(a)
 		}
 		if active := !c.settled(); m.core.IsActive(c.id) != active {
-			m.Fatalf("request %d: active %v, want %v", c.id, !active, active)
+			m.Fatalf("request %d: IsActive = %v, want %v", c.id, !active, active)
 		}
 	}
 	for _, member := range m.members {
 		if n := m.core.FlowCount(member.ID); n != flows[member.Name] {
-			m.Fatalf("%s: %d flows, want %d", member.Name, n, flows[member.Name])
+			m.Fatalf("FlowCount of %s = %d, want %d", member.Name, n, flows[member.Name])
 		}
 	}
 }
 
-// injectAction applies an action that only a faulty policy would request: the invariants hold all the same.
+// injectAction applies an action that only a faulty policy would request. The invariants must hold
+// nevertheless.
 func (m *model) injectAction() {
 	if !m.faultyPolicy {
 		return
@@ -416,7 +424,7 @@
 	m.core.apply([]policy.Action{action})
 }
 
-// modelSteps are the events that are drawn, each with its relative frequency.
+// modelSteps are the events that are drawn at random, each with its relative frequency.
 var modelSteps = []struct {
 	name   string
 	weight int
@@ -448,7 +456,8 @@
 	{"stall", 1, func(m *model) { m.now += time.Duration(1+m.draw(900, "stall")) * time.Millisecond }},
 }
 
-// TestModel draws random sequences of events around a core, and checks all that clients, members and the record see of it.
+// TestModel plays random sequences of events against a core, and checks everything that clients,
+// members and the recorder see of it.
 func TestModel(t *testing.T) {
 	var steps []int
 	for i, s := range modelSteps {
@@ -470,7 +479,7 @@
 			}
 			s := modelSteps[steps[m.draw(len(steps), "step")]]
 			s.do(m)
-			if s.name != "stall" { // a stalled loop handles the next event before the timers that are due
+			if s.name != "stall" { // after a stall the loop handles the next event before the timers that are due
 				m.advance(0)
 				m.check()
 			}
@@ -479,7 +488,7 @@
 	})
 }
 
-// finish stops the relay, and checks that nothing is left over.
+// finish stops the relay and checks that nothing remains.
 func (m *model) finish() {
 	m.advance(0)
 	m.stop()
@@ -488,28 +497,29 @@
 	m.finished = true
 	m.check()
 	if n := m.core.ActiveRequests(); n > 0 {
-		m.Fatalf("%d requests active after the end", n)
+		m.Fatalf("%d requests are active after FinishStop, want 0", n)
 	}
 	attempts, migrations := 0, 0
 	for _, c := range m.clients {
 		if attempts += len(c.attempts); len(c.answers) == 0 != c.gone && !(c.gone && c.established) {
-			m.Fatalf("request %d: answers %v, its client disconnected %v", c.id, c.answers, c.gone)
+			m.Fatalf("request %d: answers %v, client gone %v; want an answer unless the client has gone", c.id, c.answers, c.gone)
 		}
 		migrations += c.migrations
 		if c.currentAttempt() != nil {
-			m.Fatalf("request %d: an attempt is in flight after the end", c.id)
+			m.Fatalf("request %d: an attempt is in flight after FinishStop", c.id)
 		}
 		if m.records[fmt.Sprintf("answer %d", c.id)] != 1 {
-			m.Fatalf("request %d: its answer is not recorded", c.id)
+			m.Fatalf("request %d: its answer was recorded %d times, want once", c.id, m.records[fmt.Sprintf("answer %d", c.id)])
 		}
 	}
 	counts := m.core.Counts
 	if !m.faultyPolicy && counts.IgnoredEvents != m.repeatedEstablished {
-		m.Fatalf("%d events ignored, %d of them about a flow that was established already", counts.IgnoredEvents, m.repeatedEstablished)
+		m.Fatalf("%d events ignored, want %d, all of them repeated calls of FlowEstablished", counts.IgnoredEvents, m.repeatedEstablished)
 	}
 	if len(m.records) != len(m.clients)+attempts || counts.Requests != len(m.clients) || counts.Attempts != attempts || counts.Migrations != migrations ||
 		counts.Served+counts.Rejected+counts.Failed+counts.ClientsGone != counts.Requests || counts.SentAfterGrace > 0 {
-		m.Fatalf("%d requests, %d attempts, %d migrations and %d records, counts %+v", len(m.clients), attempts, migrations, len(m.records), counts)
+		m.Fatalf("counts %+v, %d records; want %d requests with one answer each, %d attempts, %d migrations, none sent after the grace, one record for each request and attempt",
+			counts, len(m.records), len(m.clients), attempts, migrations)
 	}
 	for range 5 {
 		m.sendStaleEvents()
@@ -519,10 +529,11 @@
 	}
 	m.advance(20 * time.Second) // longer than any deadline, timer or spread
 	if m.core.pausedActions != nil || len(m.core.timers) > 0 || len(m.core.pendingActions) > 0 || len(m.core.requests) > 0 {
-		m.Fatalf("left behind: %d paused sends, %d timers, %d actions, %d requests", len(m.core.pausedActions), len(m.core.timers), len(m.core.pendingActions), len(m.core.requests))
+		m.Fatalf("left after the end: %d paused actions, %d timers, %d pending actions, %d requests; want none", len(m.core.pausedActions), len(m.core.timers), len(m.core.pendingActions), len(m.core.requests))
 	}
 	m.core.UpdateMembers(policy.ListFull, nil)
-	if members := m.core.LearnedState().Policy.Members; len(members) > 0 && !m.faultyPolicy { // it keeps an unlisted server only for its open flows
-		m.Fatalf("the policy still has flows at %v", members)
+	// The policy keeps a member that is no longer listed only for its open flows.
+	if members := m.core.LearnedState().Policy.Members; len(members) > 0 && !m.faultyPolicy {
+		m.Fatalf("the policy still counts open flows at %v", members)
 	}
 }
--- a/internal/core/shutdown_test.go
+++ b/internal/core/shutdown_test.go
@@ -8,46 +8,46 @@
 	"dahliarudder/policy"
 )
 
-// TestStop: a graceful shutdown rejects new requests, waits for pending ones, and migrates every flow, none before clients are no longer
-// sent here.
+// TestStop checks that a graceful shutdown rejects new requests, waits for pending ones, and migrates
+// every flow, but none while clients may still be sent to this relay.
 func TestStop(t *testing.T) {
 	h := newHarness(t, 2)
 	flows := h.establishFlows(5)
 	pending := h.openRequest()
 	h.Stop()
 	if d := h.openRequest(); len(d.answers) != 1 || d.answers[0] != "rejected" {
-		t.Errorf("a request during the stop: %v", d.answers)
+		t.Errorf("answers to a request during the stop: %v, want a rejection", d.answers)
 	}
 	if got := h.Counts.BackoffTime; got != stopRetryAfter {
-		t.Errorf("backoff time %v, want %v", got, stopRetryAfter)
+		t.Errorf("Counts.BackoffTime = %v after a rejection, want %v", got, stopRetryAfter)
 	}
 	h.advance(fraction(stopMigrationStart, h.StopTimeout()) - time.Millisecond)
 	for _, d := range flows {
 		if d.migrations != 0 {
-			t.Error("migrated too early")
+			t.Errorf("flow of request %d was migrated before stopMigrationStart", d.id)
 		}
 	}
 	h.FlowEstablished(pending.id, 0)
 	h.advance(2 * time.Second)
 	for _, d := range append(flows, pending) {
 		if d.migrations != 1 {
-			t.Errorf("migrated %d times", d.migrations)
+			t.Errorf("flow of request %d was migrated %d times by the end of the stop, want 1", d.id, d.migrations)
 		}
 	}
 	if h.ActiveRequests() != 0 {
-		t.Errorf("%d active", h.ActiveRequests())
+		t.Errorf("%d active requests at the end of the stop, want 0", h.ActiveRequests())
 	}
 }
 
-// TestDrainRelay: a drain still serves what arrives and migrates every flow in time; resume keeps the flows that were not migrated yet, and
-// a second drain migrates those.
+// TestDrainRelay checks that a draining relay still serves new requests and migrates every flow in
+// time, that Resume keeps the flows that were not migrated, and that a second drain migrates those.
 func TestDrainRelay(t *testing.T) {
 	h := newHarness(t, 6)
 	var flows []*downstream
 	establish := func() {
 		d := h.openRequest()
 		if !h.FlowEstablished(d.id, 0) {
-			t.Fatal("not served")
+			t.Fatal("FlowEstablished = false, want true")
 		}
 		flows = append(flows, d)
 	}
@@ -57,7 +57,7 @@
 	h.Drain()
 	h.Drain()
 	if h.AcceptsClients() || migrations(flows) != 0 {
-		t.Error("clients are still accepted, or flows migrated before the front knows")
+		t.Errorf("after Drain: AcceptsClients = %v, %d flows migrated at once; want false, 0", h.AcceptsClients(), migrations(flows))
 	}
 	establish()
 	h.advance(drainMigrationEnd / 2)
@@ -66,17 +66,18 @@
 	h.Resume()
 	h.advance(10 * time.Second)
 	if !h.AcceptsClients() || half == 0 || half == len(flows) || migrations(flows) != half {
-		t.Errorf("%d migrated before the resume, %d in the end, of %d", half, migrations(flows), len(flows))
+		t.Errorf("AcceptsClients = %v after Resume; flows migrated: %d before it, %d at the end, of %d; want some before it and no more after it", h.AcceptsClients(), half, migrations(flows), len(flows))
 	}
 	establish()
 	h.Drain()
 	h.advance(drainMigrationEnd + time.Second)
 	if migrations(flows) != len(flows) || h.ActiveRequests() != 0 {
-		t.Errorf("%d migrated of %d, %d active", migrations(flows), len(flows), h.ActiveRequests())
+		t.Errorf("second drain: %d of %d flows migrated, %d active requests; want all and 0", migrations(flows), len(flows), h.ActiveRequests())
 	}
 }
 
-// TestFinishStop: at the end of a graceful shutdown every request is answered and every flow migrated.
+// TestFinishStop checks that at the end of a graceful shutdown every request is answered and every
+// flow is migrated.
 func TestFinishStop(t *testing.T) {
 	h := newHarness(t, 2)
 	flow, pending := h.openRequest(), h.openRequest()
@@ -84,46 +85,48 @@
 	h.Stop()
 	h.FinishStop()
 	if flow.migrations != 1 || len(pending.answers) != 1 || pending.answers[0] != "rejected" || pending.inFlight != 0 || h.ActiveRequests() != 0 {
-		t.Errorf("migrated %d times, answers %v, %d active", flow.migrations, pending.answers, h.ActiveRequests())
+		t.Errorf("flow migrated %d times; pending request: answers %v, %d in flight; %d active requests; want 1, a rejection, 0, 0", flow.migrations, pending.answers, pending.inFlight, h.ActiveRequests())
 	}
 }
 
-// TestStopTimeoutShortDeadline: with clients that wait for a second at most, SIGKILL comes 1.7 s after SIGTERM: no flow is left then.
+// TestStopTimeoutShortDeadline checks that if clients wait for at most a second, so that SIGKILL may
+// come 1.7 s after SIGTERM, no flow is left then.
 func TestStopTimeoutShortDeadline(t *testing.T) {
 	h := newHarnessWith(t, strings.Replace(defaultSettings, `"deadline-ms":2000`, `"deadline-ms":1000`, 1), testMembers(3, policy.Ready))
 	h.establishFlows(3)
 	h.Stop()
 	h.advance(h.StopTimeout())
 	if h.StopTimeout() > 1200*time.Millisecond || h.ActiveRequests() > 0 {
-		t.Errorf("a stop takes %v, and %d flows are left then", h.StopTimeout(), h.ActiveRequests())
+		t.Errorf("StopTimeout = %v, want at most 1.2s; %d active requests after it, want 0", h.StopTimeout(), h.ActiveRequests())
 	}
 }
 
-// TestFinishStopIdempotency: at the end of a graceful shutdown a request that may have run is rejected only if repeating it is harmless; the
-// others fail.
+// TestFinishStopIdempotency checks that at the end of a graceful shutdown a request that may have run
+// is rejected only if repeating it is harmless, and fails otherwise.
 func TestFinishStopIdempotency(t *testing.T) {
 	for class, want := range map[int]string{idempotentClass: "rejected", keyScopeAllClass: "rejected", keyScopeZoneClass: "failed", keyScopeCellClass: "failed", nonIdempotentClass: "failed"} {
 		h := newHarnessWith(t, classesText, testMembers(2, policy.Ready))
 		sent, mayHaveRun, neverRan := h.openThree(class)
 		if sent.inFlight != 1 || neverRan.inFlight != 0 || neverRan.answerText() != "" {
-			t.Fatalf("class %d: %d and %d in flight, answers %v", class, sent.inFlight, neverRan.inFlight, neverRan.answers)
+			t.Fatalf("class %d: %d and %d attempts in flight, answers %v; want 1, 0, none", class, sent.inFlight, neverRan.inFlight, neverRan.answers)
 		}
 		h.Stop()
 		h.FinishStop()
 		if sent.answerText() != want || mayHaveRun.answerText() != want || neverRan.answerText() != "rejected" || h.ActiveRequests() != 0 {
-			t.Errorf("class %d: with an attempt in flight %s, after one that may have run %s, want %s; never run %s; %d active",
+			t.Errorf("class %d: answers with an attempt in flight %q, after one that may have run %q, want %q; without one that can have run %q, want rejected; %d active requests, want 0",
 				class, sent.answerText(), mayHaveRun.answerText(), want, neverRan.answerText(), h.ActiveRequests())
 		}
 	}
 }
 
-// TestEstablishedWhileDraining: a flow that is established while the relay drains is migrated in its turn, whatever else is due then.
+// TestEstablishedWhileDraining checks that a flow that is established while the relay drains is
+// migrated when the migrations of the drain begin.
 func TestEstablishedWhileDraining(t *testing.T) {
 	h := newHarnessWith(t, classesText, testMembers(1, policy.Ready))
 	d := h.openInClass(idempotentClass, 20*time.Second)
 	h.Drain()
 	h.FlowEstablished(d.id, 0)
 	if h.advance(drainMigrationStart); d.migrations != 1 {
-		t.Errorf("migrated %d times %v after the drain began", d.migrations, drainMigrationStart)
+		t.Errorf("flow was migrated %d times by %v after the drain began, want 1", d.migrations, drainMigrationStart)
 	}
 }
