--- a/internal/core/dispatch_test.go
+++ b/internal/core/dispatch_test.go
@@ -80,11 +80,13 @@
 	d := h.openRequest()
 	h.advance(3 * time.Second)
 	if d.attempts > 0 || len(d.answers) != 1 {
-		t.Errorf("past the deadline in a pause: %d attempts, answers %v, want no attempt and one answer", d.attempts, d.answers)
+		t.Errorf("past the deadline in a pause: %d attempts, answers %v, want no attempt and one answer",
+			d.attempts, d.answers)
 	}
 	h.ResumeDispatch()
 	if d.attempts > 0 || len(d.answers) != 1 {
-		t.Errorf("after ResumeDispatch: %d attempts, answers %v, want no attempt and the one answer from before", d.attempts, d.answers)
+		t.Errorf("after ResumeDispatch: %d attempts, answers %v, want no attempt and the one answer from before",
+			d.attempts, d.answers)
 	}
 }
 
@@ -103,7 +105,8 @@
 			end(h, d)
 			h.ResumeDispatch()
 			if want := map[bool]string{true: "", false: "rejected"}[name == "client gone"]; d.attempts != 0 || d.answerText() != want || h.ActiveRequests() != 0 {
-				t.Errorf("%s, class %d: %d attempts, answers %v, %d active requests; want none, %q, none", name, class, d.attempts, d.answers, h.ActiveRequests(), want)
+				t.Errorf("%s, class %d: %d attempts, answers %v, %d active requests; want none, %q, none",
+					name, class, d.attempts, d.answers, h.ActiveRequests(), want)
 			}
 			h.wantNoFlowsInPolicy(fmt.Sprintf("%s, class %d", name, class))
 		}
@@ -161,11 +164,13 @@
 		h.now += 850 * time.Millisecond
 		d.endAttempt(policy.Reset)
 		if d.inFlight != 1 || d.attempts != 2 || !h.MaySend(d.id, 1) {
-			t.Fatalf("class %d: %d in flight, %d attempts, want 1 and 2; MaySend must allow a retry within the window", class, d.inFlight, d.attempts)
+			t.Fatalf("class %d: %d in flight, %d attempts, want 1 and 2; MaySend must allow a retry within the window",
+				class, d.inFlight, d.attempts)
 		}
 		h.now += 50 * time.Millisecond
 		if h.MaySend(d.id, 1) != allowed {
-			t.Errorf("class %d: MaySend at the end of the window, 900 ms after the first send = %v, want %v", class, !allowed, allowed)
+			t.Errorf("class %d: MaySend at the end of the window, 900 ms after the first send = %v, want %v",
+				class, !allowed, allowed)
 		}
 	}
 }
--- a/internal/core/feed_test.go
+++ b/internal/core/feed_test.go
@@ -52,11 +52,13 @@
 	member := tr.harness.members[tr.member.ID]
 	switch {
 	case tr.attempts[m.Sequence] > 3, m.Attempts != tr.attempts[m.Sequence]:
-		tr.harness.t.Errorf("message %d is written for the %d. time as attempt %d; want equal numbers, at most 3", m.Sequence, tr.attempts[m.Sequence], m.Attempts)
+		tr.harness.t.Errorf("message %d is written for the %d. time as attempt %d; want equal numbers, at most 3",
+			m.Sequence, tr.attempts[m.Sequence], m.Attempts)
 	case tr.answers[m.Sequence] != "":
 		tr.harness.t.Errorf("message %d is sent after it was answered %s", m.Sequence, tr.answers[m.Sequence])
 	case member.unavailable && tr.harness.now-member.unavailableSince > 250*time.Millisecond:
-		tr.harness.t.Errorf("message %d is sent %v after its member became unavailable, want at most 250 ms", m.Sequence, tr.harness.now-member.unavailableSince)
+		tr.harness.t.Errorf("message %d is sent %v after its member became unavailable, want at most 250 ms",
+			m.Sequence, tr.harness.now-member.unavailableSince)
 	case tr.harness.dispatchPaused:
 		tr.harness.t.Errorf("message %d is sent while dispatch is paused", m.Sequence)
 	case string(text) != fmt.Sprint("message ", m.Sequence):
@@ -69,7 +71,8 @@
 }
 func (tr *feedTransport) Answer(m *window.Message, _ []byte, answer Answer, retryAfter time.Duration) {
 	if tr.answers[m.Sequence] != "" {
-		tr.harness.t.Errorf("message %d is answered %s after it was answered %s", m.Sequence, answer, tr.answers[m.Sequence])
+		tr.harness.t.Errorf("message %d is answered %s after it was answered %s",
+			m.Sequence, answer, tr.answers[m.Sequence])
 	}
 	if late := tr.harness.now - tr.deadlines[m.Sequence]; late > 0 {
 		tr.harness.t.Errorf("message %d is answered %v after its deadline", m.Sequence, late)
@@ -120,7 +123,8 @@
 	tr := newFeedTransport(h, 500)
 	tr.publish(300)
 	if tr.member == nil || len(tr.inFlight) > 0 {
-		t.Fatalf("member %v, %d messages in flight before the link is established; want a member and no message", tr.member, len(tr.inFlight))
+		t.Fatalf("member %v, %d messages in flight before the link is established; want a member and no message",
+			tr.member, len(tr.inFlight))
 	}
 	tr.feed.Connected()
 	for len(tr.inFlight) > 0 {
@@ -130,7 +134,8 @@
 		t.Errorf("counts %+v, %d served, want 1 request, 1 flow and 300 messages served", c, tr.countAnswers(Served))
 	}
 	if len(h.records) != 1+2*300 {
-		t.Errorf("%d records, want %d: an answer of the flow, an attempt and an answer of each message", len(h.records), 1+2*300)
+		t.Errorf("%d records, want %d: an answer of the flow, an attempt and an answer of each message",
+			len(h.records), 1+2*300)
 	}
 	h.advance(feedIdleTimeout + time.Second)
 	if h.ActiveRequests() != 0 || tr.member != nil {
@@ -155,7 +160,8 @@
 	tr := newFeedTransport(h, 10)
 	tr.publish(20)
 	if tr.feed.Connected(); len(tr.deadlines) != 10 || len(tr.inFlight) != 10 || tr.capacityCalls != 0 {
-		t.Fatalf("%d accepted, %d in flight, OnCapacity called %d times; want 10, 10, 0", len(tr.deadlines), len(tr.inFlight), tr.capacityCalls)
+		t.Fatalf("%d accepted, %d in flight, OnCapacity called %d times; want 10, 10, 0",
+			len(tr.deadlines), len(tr.inFlight), tr.capacityCalls)
 	}
 	if tr.acknowledge(1); tr.capacityCalls != 1 {
 		t.Errorf("OnCapacity was called %d times after an acknowledgement, want 1", tr.capacityCalls)
@@ -197,7 +203,8 @@
 	members[first-10].State = policy.Draining
 	h.UpdateMembers(policy.ListFull, members)
 	if tr.publish(3); len(tr.inFlight) != 5 || tr.member.ID != first {
-		t.Fatalf("%d messages in flight at member %d after it began to drain, want 5 at %d", len(tr.inFlight), tr.member.ID, first)
+		t.Fatalf("%d messages in flight at member %d after it began to drain, want 5 at %d",
+			len(tr.inFlight), tr.member.ID, first)
 	}
 	h.advance(time.Millisecond)
 	if tr.acknowledge(3); tr.member.ID != first {
@@ -209,7 +216,8 @@
 	}
 	tr.feed.Connected()
 	if tr.acknowledge(9); tr.countAnswers(Served) != 8 || tr.attempts[4] != 2 || tr.attempts[6] != 1 {
-		t.Errorf("%d served, attempts %v; want 8, two attempts of message 4, one of message 6", tr.countAnswers(Served), tr.attempts)
+		t.Errorf("%d served, attempts %v; want 8, two attempts of message 4, one of message 6",
+			tr.countAnswers(Served), tr.attempts)
 	}
 }
 
@@ -224,7 +232,8 @@
 		t.Fatalf("answers %v before the deadline, want none", tr.answers)
 	}
 	if h.advance(time.Second); tr.countAnswers(Rejected) != 3 || tr.retryAfter <= 0 {
-		t.Errorf("answers %v with Retry-After %v at the deadline, want 3 rejections with a Retry-After", tr.answers, tr.retryAfter)
+		t.Errorf("answers %v with Retry-After %v at the deadline, want 3 rejections with a Retry-After",
+			tr.answers, tr.retryAfter)
 	}
 	tr.publish(2)
 	h.UpdateMembers(policy.ListFull, testMembers(2, policy.Ready))
@@ -276,7 +285,8 @@
 				acknowledged++
 			}
 			if n := inFlight(); n > window.InitialWindow+acknowledged {
-				t.Fatalf("%d messages are in flight after %d were acknowledged, want at most %d", n, acknowledged, window.InitialWindow+acknowledged)
+				t.Fatalf("%d messages are in flight after %d were acknowledged, want at most %d",
+					n, acknowledged, window.InitialWindow+acknowledged)
 			}
 		}
 	}
@@ -286,7 +296,8 @@
 		}
 	}
 	if acknowledged < 100 {
-		t.Fatalf("%d messages were acknowledged, want at least 100 for the checks above to mean anything", acknowledged)
+		t.Fatalf("%d messages were acknowledged, want at least 100 for the checks above to mean anything",
+			acknowledged)
 	}
 }
 
@@ -303,7 +314,8 @@
 		tr.feed.Connected()
 	}
 	if len(m.feedQueue) != 2 || len(second.inFlight) > 0 {
-		t.Fatalf("%d feeds queued, %d messages of a queued feed in flight; want 2 and 0", len(m.feedQueue), len(second.inFlight))
+		t.Fatalf("%d feeds queued, %d messages of a queued feed in flight; want 2 and 0",
+			len(m.feedQueue), len(second.inFlight))
 	}
 	if third.feed.Close(); len(m.feedQueue) != 1 {
 		t.Errorf("%d feeds queued after one was closed, want 1", len(m.feedQueue))
@@ -311,7 +323,8 @@
 	other := &member{Member: Member{Name: "other"}}
 	h.enqueueFeed(other, second.feed)
 	if len(m.feedQueue) != 0 || len(other.feedQueue) != 1 {
-		t.Errorf("%d and %d feeds queued after one joined the queue of the other member, want 0 and 1", len(m.feedQueue), len(other.feedQueue))
+		t.Errorf("%d and %d feeds queued after one joined the queue of the other member, want 0 and 1",
+			len(m.feedQueue), len(other.feedQueue))
 	}
 	if second.disconnect(policy.Reset, 0); len(other.feedQueue) != 0 {
 		t.Error("a feed is still queued after its link has ended")
@@ -386,7 +399,8 @@
 			tr.feed.Close()
 		}
 		if c := h.Counts.Messages; c.Accepted != c.Served+c.Rejected+c.Failed || sent == 0 && !relayEvents || h.ActiveRequests() != 0 || h.feedBytes != 0 {
-			t.Errorf("seed %d: counts %+v, %d messages sent, %d active requests, %d bytes at the end", seed, h.Counts, sent, h.ActiveRequests(), h.feedBytes)
+			t.Errorf("seed %d: counts %+v, %d messages sent, %d active requests, %d bytes at the end",
+				seed, h.Counts, sent, h.ActiveRequests(), h.feedBytes)
 		}
 		if relayEvents {
 			sentWithRelayEvents += sent
@@ -412,7 +426,8 @@
 	h.Stop()
 	h.FinishStop()
 	if tr.countAnswers(Rejected) != 3 || tr.retryAfter != stopRetryAfter || h.ActiveRequests() != 0 {
-		t.Errorf("%d rejected with Retry-After %v, %d active requests; want 3, %v, 0", tr.countAnswers(Rejected), tr.retryAfter, h.ActiveRequests(), stopRetryAfter)
+		t.Errorf("%d rejected with Retry-After %v, %d active requests; want 3, %v, 0",
+			tr.countAnswers(Rejected), tr.retryAfter, h.ActiveRequests(), stopRetryAfter)
 	}
 }
 
@@ -442,7 +457,8 @@
 			tr.feed.Connected()
 		}
 		if len(tr.inFlight) != 3 || (tr.member.ID == first) == drains {
-			t.Errorf("drains %v: %d messages are in flight at member %d, want 3; the first member was %d", drains, len(tr.inFlight), tr.member.ID, first)
+			t.Errorf("drains %v: %d messages are in flight at member %d, want 3; the first member was %d",
+				drains, len(tr.inFlight), tr.member.ID, first)
 		}
 		tr.acknowledge(3)
 		if tr.countAnswers(Served) != 4 {
@@ -474,13 +490,15 @@
 		h.now = first + c.after
 		tr.feed.Connected()
 		if tr.attempts[1] != c.attempts {
-			t.Errorf("class %d: link established again %v after the first send: %d attempts, want %d", c.class, c.after, tr.attempts[1], c.attempts)
+			t.Errorf("class %d: link established again %v after the first send: %d attempts, want %d",
+				c.class, c.after, tr.attempts[1], c.attempts)
 		}
 		if tr.acknowledge(1); c.attempts == 1 {
 			h.advance(2 * time.Second)
 		}
 		if want := map[int]Answer{1: Failed, 2: Served}[c.attempts]; tr.answers[1] != want {
-			t.Errorf("class %d, link established again after %v: answer %q, want %q", c.class, c.after, tr.answers[1], want)
+			t.Errorf("class %d, link established again after %v: answer %q, want %q",
+				c.class, c.after, tr.answers[1], want)
 		}
 	}
 }
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -56,7 +56,8 @@
 		h.advance(5 * time.Second)
 		c := h.Counts
 		if h.ActiveRequests() != 0 || c.Requests != len(requests) || c.Served+c.Rejected+c.Failed+c.ClientsGone != c.Requests {
-			t.Errorf("%d active requests, want 0; %d requests opened, counts %+v: each must have one answer", h.ActiveRequests(), len(requests), c)
+			t.Errorf("%d active requests, want 0; %d requests opened, counts %+v: each must have one answer",
+				h.ActiveRequests(), len(requests), c)
 		}
 		seen := map[string]bool{}
 		for _, event := range h.records {
@@ -66,7 +67,8 @@
 			seen[event] = true
 		}
 		if len(h.records) != c.Requests+c.Attempts {
-			t.Errorf("%d records, want one for each of %d requests and %d attempts", len(h.records), c.Requests, c.Attempts)
+			t.Errorf("%d records, want one for each of %d requests and %d attempts",
+				len(h.records), c.Requests, c.Attempts)
 		}
 	})
 }
--- a/internal/core/handover_test.go
+++ b/internal/core/handover_test.go
@@ -27,7 +27,8 @@
 	next.now += 5 * time.Minute
 	next.Restore(learned)
 	if uptime := next.now - next.members[11].Started; uptime != 2*time.Second || next.members[10].Started != 0 {
-		t.Errorf("uptime of the reinstated member = %v, want 2s; start of another member = %v, want 0", uptime, next.members[10].Started)
+		t.Errorf("uptime of the reinstated member = %v, want 2s; start of another member = %v, want 0",
+			uptime, next.members[10].Started)
 	}
 	next.SetEjections([]string{"m0", "m2"})
 	next.SetEjections([]string{"m2", "m9"})
@@ -47,16 +48,19 @@
 	next.now += time.Hour
 	transfer, ok := h.ReleaseFlow(flows[0].id)
 	if _, twice := h.ReleaseFlow(flows[0].id); !ok || twice || h.ActiveRequests() != 4 {
-		t.Errorf("ReleaseFlow = %v, for the second time %v, then %d active requests; want true, false, 4", ok, twice, h.ActiveRequests())
+		t.Errorf("ReleaseFlow = %v, for the second time %v, then %d active requests; want true, false, 4",
+			ok, twice, h.ActiveRequests())
 	}
 	d := &downstream{harness: next, inFlight: 1, attempts: 1}
 	id, m, ok := next.AdoptFlow(transfer, d)
 	if !ok || m.Name != transfer.Member || !next.IsActive(id) || next.FlowEstablished(id, 0) || next.Counts.Served != 1 {
-		t.Errorf("AdoptFlow = %v at %v, counts %+v; want true at %s, served once", ok, m, next.Counts, transfer.Member)
+		t.Errorf("AdoptFlow = %v at %v, counts %+v; want true at %s, served once",
+			ok, m, next.Counts, transfer.Member)
 	}
 	next.AttemptEnded(id, 0, policy.OK, policy.NoReport)
 	if next.ActiveRequests() != 0 || d.migrations != 0 || len(d.answers) != 0 {
-		t.Errorf("after the adopted flow has ended: %d active requests, %d migrations, answers %v; want none", next.ActiveRequests(), d.migrations, d.answers)
+		t.Errorf("after the adopted flow has ended: %d active requests, %d migrations, answers %v; want none",
+			next.ActiveRequests(), d.migrations, d.answers)
 	}
 	if _, _, ok := next.AdoptFlow(FlowTransfer{Member: "m9"}, d); ok {
 		t.Error("AdoptFlow accepted a flow at an unknown member")
@@ -65,8 +69,8 @@
 	early := migrations(flows)
 	h.advance(fraction(stopMigrationEnd, h.StopTimeout()))
 	if early != 0 || h.ActiveRequests() != 0 || flows[0].migrations != 0 || flows[1].migrations != 1 {
-		t.Errorf("%d flows migrated before the end of the handover, want 0; %d active requests at the end, want 0; migrations of the released flow %d, want 0, of another %d, want 1",
-			early, h.ActiveRequests(), flows[0].migrations, flows[1].migrations)
+		t.Errorf("%d flows migrated during the handover, the released one %d times, another one %d times; want 0, 0, 1; "+
+			"%d active requests at the end, want 0", early, flows[0].migrations, flows[1].migrations, h.ActiveRequests())
 	}
 }
 
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -45,7 +45,8 @@
 	d.inFlight++
 	d.attempts++
 	if d.inFlight > 1 || len(d.answers) > 0 || attempt != d.attempts-1 || d.attempts > 3 || timeout <= 0 {
-		d.harness.t.Errorf("Send(attempt %d, timeout %v) as attempt %d of at most 3, with %d in flight, answers %v", attempt, timeout, d.attempts-1, d.inFlight, d.answers)
+		d.harness.t.Errorf("Send(attempt %d, timeout %v) as attempt %d of at most 3, with %d in flight, answers %v",
+			attempt, timeout, d.attempts-1, d.inFlight, d.answers)
 	}
 }
 
@@ -62,7 +63,8 @@
 
 func (d *downstream) answer(answer string) {
 	if d.answers = append(d.answers, answer); len(d.answers) > 1 || d.inFlight > 0 {
-		d.harness.t.Errorf("answers %v with %d attempts in flight, want one answer and no attempt", d.answers, d.inFlight)
+		d.harness.t.Errorf("answers %v with %d attempts in flight, want one answer and no attempt",
+			d.answers, d.inFlight)
 	}
 }
 
--- a/internal/core/idempotency_test.go
+++ b/internal/core/idempotency_test.go
@@ -41,7 +41,8 @@
 				}
 				h.execute(policy.Action{Kind: policy.ActionSend, ID: d.id, Member: m.ID})
 				if ok := want[i] && (class == idempotentClass || !afterWindow); (d.attempts == 2) != ok {
-					t.Errorf("class %d at %s, after the deduplication window %v: %d attempts, a second one allowed: %v", class, m.Name, afterWindow, d.attempts, ok)
+					t.Errorf("class %d at %s, after the deduplication window %v: %d attempts, a second one allowed: %v",
+						class, m.Name, afterWindow, d.attempts, ok)
 				}
 			}
 		}
@@ -64,7 +65,8 @@
 			t.Errorf("class %d, after attempts that cannot have run: ClientGone = false, want true", class)
 		}
 		if h.ClientGone(neverRan.id) || h.ActiveRequests() != 0 || h.Counts.ClientsGone != 3 {
-			t.Errorf("class %d, at the end: %d active requests, counts %+v; want none, 3 clients gone", class, h.ActiveRequests(), h.Counts)
+			t.Errorf("class %d, at the end: %d active requests, counts %+v; want none, 3 clients gone",
+				class, h.ActiveRequests(), h.Counts)
 		}
 	}
 }
@@ -77,7 +79,8 @@
 		d := h.openInClass(keyScopeAllClass, 2*time.Second)
 		d.endAttempt(policy.Reset)
 		if h.advance(2 * time.Second); d.attempts != 1 || d.answerText() == "" {
-			t.Errorf("window setting %q: %d attempts, answers %v; want 1 attempt and an answer", window, d.attempts, d.answers)
+			t.Errorf("window setting %q: %d attempts, answers %v; want 1 attempt and an answer",
+				window, d.attempts, d.answers)
 		}
 	}
 }
--- a/internal/core/interleaving_test.go
+++ b/internal/core/interleaving_test.go
@@ -95,12 +95,14 @@
 			h.now += 2 * time.Second // the event loop is late: there was no tick in between
 			h.Tick()
 			if len(d.answers) != 1 || h.ActiveRequests() != 0 {
-				t.Errorf("at the deadline: answers %v, %d active requests; want one answer, 0", d.answers, h.ActiveRequests())
+				t.Errorf("at the deadline: answers %v, %d active requests; want one answer, 0",
+					d.answers, h.ActiveRequests())
 			}
 			proceed()
 			h.advance(3 * time.Second)
 			if d.attempts != before || len(d.answers) != 1 {
-				t.Errorf("after the deadline: %d more attempts, answers %v; want none, one answer", d.attempts-before, d.answers)
+				t.Errorf("after the deadline: %d more attempts, answers %v; want none, one answer",
+					d.attempts-before, d.answers)
 			}
 		})
 	}
@@ -116,7 +118,8 @@
 			before := d.attempts
 			h.Stop()
 			if late := h.openInClass(idempotentClass, 2*time.Second); late.answerText() != "rejected" || late.attempts != 0 || h.records[len(h.records)-1] != fmt.Sprint("answer ", late.id) {
-				t.Errorf("request opened after the stop: answers %v, %d attempts, records %v; want a recorded rejection", late.answers, late.attempts, h.records)
+				t.Errorf("request opened after the stop: answers %v, %d attempts, records %v; want a recorded rejection",
+					late.answers, late.attempts, h.records)
 			}
 			proceed()
 			h.advance(900 * time.Millisecond)
@@ -129,12 +132,14 @@
 			h.FinishStop()
 			before = d.attempts
 			if d.answerText() != "rejected" || h.ActiveRequests() != 0 {
-				t.Errorf("at the end of the stop: answers %v, %d active requests; want a rejection, 0", d.answers, h.ActiveRequests())
+				t.Errorf("at the end of the stop: answers %v, %d active requests; want a rejection, 0",
+					d.answers, h.ActiveRequests())
 			}
 			proceed()
 			h.advance(3 * time.Second)
 			if d.attempts != before || len(d.answers) != 1 {
-				t.Errorf("after the end of the stop: %d more attempts, answers %v; want none, one answer", d.attempts-before, d.answers)
+				t.Errorf("after the end of the stop: %d more attempts, answers %v; want none, one answer",
+					d.attempts-before, d.answers)
 			}
 		})
 	}
@@ -171,7 +176,8 @@
 	}
 	h.ProbeResult(10, policy.OK, policy.Report{Connections: 1, Load: 0.1, Util: -1, Backlog: 0})
 	if first.attempts+second.attempts != 1 || h.ActiveRequests() != 1 {
-		t.Errorf("%d and %d attempts, %d active requests; want one attempt in all, one active", first.attempts, second.attempts, h.ActiveRequests())
+		t.Errorf("%d and %d attempts, %d active requests; want one attempt in all, one active",
+			first.attempts, second.attempts, h.ActiveRequests())
 	}
 	for _, d := range []*downstream{first, second} {
 		h.ClientGone(d.id)
@@ -196,7 +202,8 @@
 				want = ""
 			}
 			if d.answerText() != want || d.attempts != 1 || h.ActiveRequests() != 0 || h.Counts.Served+h.Counts.Failed != 1 || len(h.records) != 2 {
-				t.Errorf("result %d, established %v: answers %v, want %q; %d attempts, want 1; %d active requests, counts %+v, records %v", result, established, d.answers, want, d.attempts, h.ActiveRequests(), h.Counts, h.records)
+				t.Errorf("result %d, established %v: answers %v, want %q; %d attempts, want 1; %d active requests, counts %+v, records %v",
+					result, established, d.answers, want, d.attempts, h.ActiveRequests(), h.Counts, h.records)
 			}
 			h.wantNoFlowsInPolicy(fmt.Sprintf("result %d, established %v", result, established))
 		}
@@ -216,7 +223,8 @@
 			}
 			h.Tick()
 			if d.inFlight != 1 || d.attempts != 1 || len(d.answers) != 0 {
-				t.Errorf("after Tick: %d in flight, %d attempts, answers %v; want the established flow, no timeout", d.inFlight, d.attempts, d.answers)
+				t.Errorf("after Tick: %d in flight, %d attempts, answers %v; want the established flow, no timeout",
+					d.inFlight, d.attempts, d.answers)
 			}
 			continue
 		}
--- a/internal/core/lifecycle_test.go
+++ b/internal/core/lifecycle_test.go
@@ -27,10 +27,12 @@
 				to = from
 			}
 			if got := h.transition(q, e); got != ok || q.state != to {
-				t.Errorf("state %d, event %d: transition = %v to state %d, want %v to %d", from, e, got, q.state, ok, to)
+				t.Errorf("state %d, event %d: transition = %v to state %d, want %v to %d",
+					from, e, got, q.state, ok, to)
 			}
 			if counted := h.Counts.IgnoredEvents == 1; counted == ok {
-				t.Errorf("state %d, event %d, allowed %v: %d events counted as ignored", from, e, ok, h.Counts.IgnoredEvents)
+				t.Errorf("state %d, event %d, allowed %v: %d events counted as ignored",
+					from, e, ok, h.Counts.IgnoredEvents)
 			}
 			if gone := h.requests[1] == nil; gone != (ok && to == finished) {
 				t.Errorf("state %d, event %d to state %d: request still active: %v", from, e, to, !gone)
@@ -47,13 +49,15 @@
 	h.FlowEstablished(d.id, 0)
 	before := h.Counts
 	if h.FlowEstablished(d.id, 0) || h.Counts.IgnoredEvents != 1 {
-		t.Errorf("FlowEstablished for an open flow was accepted, or %d events ignored, want 1", h.Counts.IgnoredEvents)
+		t.Errorf("FlowEstablished for an open flow was accepted, or %d events ignored, want 1",
+			h.Counts.IgnoredEvents)
 	}
 	h.execute(policy.Action{Kind: policy.ActionReject, ID: d.id, Duration: time.Second})
 	h.execute(policy.Action{Kind: policy.ActionFail, ID: d.id})
 	h.execute(policy.Action{Kind: policy.ActionCancel, ID: d.id})
 	if len(d.answers) != 0 || d.inFlight != 1 || !h.IsActive(d.id) {
-		t.Errorf("actions for an open flow: answers %v, %d in flight, active %v; want none, 1, true", d.answers, d.inFlight, h.IsActive(d.id))
+		t.Errorf("actions for an open flow: answers %v, %d in flight, active %v; want none, 1, true",
+			d.answers, d.inFlight, h.IsActive(d.id))
 	}
 	before.IgnoredEvents = h.Counts.IgnoredEvents
 	if h.Counts != before || h.Counts.IgnoredEvents != 3 {
@@ -63,6 +67,7 @@
 	h.AttemptEnded(d.id, 0, policy.Reset, policy.NoReport)
 	h.ClientGone(d.id)
 	if _, ok := h.ReleaseFlow(d.id); ok || len(h.records) != 2 || h.ActiveRequests() != 0 {
-		t.Errorf("after ClientGone: ReleaseFlow = %v, records %v, %d active requests; want false, 2 records, 0", ok, h.records, h.ActiveRequests())
+		t.Errorf("after ClientGone: ReleaseFlow = %v, records %v, %d active requests; want false, 2 records, 0",
+			ok, h.records, h.ActiveRequests())
 	}
 }
--- a/internal/core/model_client_test.go
+++ b/internal/core/model_client_test.go
@@ -71,7 +71,8 @@
 func (c *modelClient) checkMayCall(call string) {
 	m := c.model
 	if c.gone || c.migrations > 0 || m.finished && call != "migrate" && call != "cancel" && !c.arrivedAfterStop {
-		m.Fatalf("request %d: call of %s, which is not allowed any more (client gone %v, migrated %d times, FinishStop called %v)", c.id, call, c.gone, c.migrations, m.finished)
+		m.Fatalf("request %d: call of %s, which is not allowed any more (client gone %v, migrated %d times, FinishStop called %v)",
+			c.id, call, c.gone, c.migrations, m.finished)
 	}
 }
 
@@ -107,13 +108,16 @@
 	member := m.byName[to.Name]
 	switch maxAttempts := m.core.Settings.Limits.MaxAttempts; {
 	case len(c.answers) > 0, c.currentAttempt() != nil, attempt != len(c.attempts), attempt >= maxAttempts:
-		m.Fatalf("request %d: Send of attempt %d, %d sent before, at most %d, answers %v, in flight %v", id, attempt, len(c.attempts), maxAttempts, c.answers, c.currentAttempt() != nil)
+		m.Fatalf("request %d: Send of attempt %d, %d sent before, at most %d, answers %v, in flight %v",
+			id, attempt, len(c.attempts), maxAttempts, c.answers, c.currentAttempt() != nil)
 	case timeout <= 0, m.now+timeout > c.deadline:
-		m.Fatalf("request %d: Send at %v with timeout %v, want a positive one that ends by the deadline %v", id, m.now, timeout, c.deadline)
+		m.Fatalf("request %d: Send at %v with timeout %v, want a positive one that ends by the deadline %v",
+			id, m.now, timeout, c.deadline)
 	case c.arrivedAfterStop:
 		m.Fatalf("request %d: Send, though the request arrived after the stop", id)
 	case c.request.CurrentMember == "" && member.unavailable && (m.resuming || m.now-member.unavailableSince > 250*time.Millisecond):
-		m.Fatalf("request %d: Send to %s, which became unavailable %v ago; resuming dispatch %v", id, member.Name, m.now-member.unavailableSince, m.resuming)
+		m.Fatalf("request %d: Send to %s, which became unavailable %v ago; resuming dispatch %v",
+			id, member.Name, m.now-member.unavailableSince, m.resuming)
 	case c.request.CurrentMember == "" && m.paused:
 		m.Fatalf("request %d: Send while dispatch is paused", id)
 	case to.Addr != member.Addr:
@@ -124,7 +128,8 @@
 		inScope := class.Scope == policy.ScopeAll || class.Scope == policy.ScopeZone && member.Zone == first.memberAtSend.Zone ||
 			class.Scope == policy.ScopeCell && member.Cell == first.memberAtSend.Cell
 		if class.Idempotency == policy.NonIdempotent || class.Idempotency == policy.IdempotencyKey && (!inScope || m.now >= first.sentAt+class.DedupWindow) {
-			m.Fatalf("request %d: retry that its class does not allow: first sent at %v to %s, now at %v to %s", id, first.sentAt, first.memberAtSend.Name, m.now, member.Name)
+			m.Fatalf("request %d: retry that its class does not allow: first sent at %v to %s, now at %v to %s",
+				id, first.sentAt, first.memberAtSend.Name, m.now, member.Name)
 		}
 	}
 	c.attempts = append(c.attempts, &modelAttempt{member: member, memberAtSend: member.Member, sentAt: m.now, timeoutAt: m.now + timeout})
@@ -157,7 +162,8 @@
 func (c *modelClient) answer(answer string) {
 	c.checkMayCall(answer)
 	if c.answers = append(c.answers, answer); len(c.answers) > 1 || c.currentAttempt() != nil {
-		c.model.Fatalf("request %d: answers %v, attempt in flight %v; want one answer and no attempt", c.id, c.answers, c.currentAttempt() != nil)
+		c.model.Fatalf("request %d: answers %v, attempt in flight %v; want one answer and no attempt",
+			c.id, c.answers, c.currentAttempt() != nil)
 	}
 	c.reenter()
 }
@@ -208,12 +214,14 @@
 	case !c.flowOpen():
 		return
 	case m.migrateBy > 0 && m.now > max(m.migrateBy, c.establishedAt+StopNotice/2):
-		m.Fatalf("request %d: flow not migrated at %v, but a drain or stop had to migrate it by %v", c.id, m.now, m.migrateBy)
+		m.Fatalf("request %d: flow not migrated at %v, but a drain or stop had to migrate it by %v",
+			c.id, m.now, m.migrateBy)
 	}
 	// The flows of an unavailable member are migrated at the request of the policy.
 	if member := a.member; member.unavailable && !m.faultyPolicy {
 		if m.now > max(member.unavailableSince+member.spreadOver, member.spreadChangedAt, c.establishedAt) {
-			m.Fatalf("request %d: flow not migrated %v after %s became unavailable, want it within %v", c.id, m.now-member.unavailableSince, member.Name, member.spreadOver)
+			m.Fatalf("request %d: flow not migrated %v after %s became unavailable, want it within %v",
+				c.id, m.now-member.unavailableSince, member.Name, member.spreadOver)
 		}
 	}
 }
--- a/internal/core/model_test.go
+++ b/internal/core/model_test.go
@@ -92,7 +92,8 @@
 		Wake: func(at time.Duration) { m.wakeAt = at }, Watch: func() {}, Recorder: m,
 		Probe: func(to *Member) {
 			if member := m.byName[to.Name]; m.paused || member.unavailable && (m.resuming || m.now-member.unavailableSince > 250*time.Millisecond) {
-				m.Fatalf("probe of %s (unavailable %v, became unavailable %v ago); dispatch paused %v, resuming %v", to.Name, member.unavailable, m.now-member.unavailableSince, m.paused, m.resuming)
+				m.Fatalf("probe of %s (unavailable %v, became unavailable %v ago); dispatch paused %v, resuming %v",
+					to.Name, member.unavailable, m.now-member.unavailableSince, m.paused, m.resuming)
 			}
 			m.pendingProbes = append(m.pendingProbes, to.ID)
 		}})
@@ -153,7 +154,8 @@
 	c.id = m.core.Open(c.request, c)
 	m.opening = outer
 	if (c.arrivedAfterStop || m.notReady) && (len(c.answers) != 1 || c.answers[0] != "rejected") {
-		m.Fatalf("request %d: arrived after the stop (%v) or while nothing could be recorded (%v): answers %v, want a rejection", c.id, c.arrivedAfterStop, m.notReady, c.answers)
+		m.Fatalf("request %d: arrived after the stop (%v) or while nothing could be recorded (%v): answers %v, want a rejection",
+			c.id, c.arrivedAfterStop, m.notReady, c.answers)
 	}
 	if c.request.TimeLeft <= 0 && len(c.answers) != 1 {
 		m.Fatalf("request %d: arrived with no time left: answers %v, want one", c.id, c.answers)
@@ -205,7 +207,8 @@
 		return
 	}
 	if m.core.FlowEstablished(c.id, number) {
-		m.Fatalf("request %d: FlowEstablished for attempt %d, which is not in flight = true, want false", c.id, number)
+		m.Fatalf("request %d: FlowEstablished for attempt %d, which is not in flight = true, want false",
+			c.id, number)
 	}
 	m.core.AttemptEnded(c.id, number, modelResults[m.draw(len(modelResults), "result")], policy.NoReport)
 	if c.settled() {
@@ -332,7 +335,8 @@
 		a := c.currentAttempt()
 		c.flowEnded, a.ended, a.result = true, true, policy.Cancelled
 		if transfer, ok := m.core.ReleaseFlow(c.id); !ok || transfer.Member != a.member.Name {
-			m.Fatalf("request %d: ReleaseFlow = %v with member %s, want true with %s", c.id, ok, transfer.Member, a.member.Name)
+			m.Fatalf("request %d: ReleaseFlow = %v with member %s, want true with %s",
+				c.id, ok, transfer.Member, a.member.Name)
 		}
 		return
 	}
@@ -502,23 +506,27 @@
 	attempts, migrations := 0, 0
 	for _, c := range m.clients {
 		if attempts += len(c.attempts); len(c.answers) == 0 != c.gone && !(c.gone && c.established) {
-			m.Fatalf("request %d: answers %v, client gone %v; want an answer unless the client has gone", c.id, c.answers, c.gone)
+			m.Fatalf("request %d: answers %v, client gone %v; want an answer unless the client has gone",
+				c.id, c.answers, c.gone)
 		}
 		migrations += c.migrations
 		if c.currentAttempt() != nil {
 			m.Fatalf("request %d: an attempt is in flight after FinishStop", c.id)
 		}
 		if m.records[fmt.Sprintf("answer %d", c.id)] != 1 {
-			m.Fatalf("request %d: its answer was recorded %d times, want once", c.id, m.records[fmt.Sprintf("answer %d", c.id)])
+			m.Fatalf("request %d: its answer was recorded %d times, want once",
+				c.id, m.records[fmt.Sprintf("answer %d", c.id)])
 		}
 	}
 	counts := m.core.Counts
 	if !m.faultyPolicy && counts.IgnoredEvents != m.repeatedEstablished {
-		m.Fatalf("%d events ignored, want %d, all of them repeated calls of FlowEstablished", counts.IgnoredEvents, m.repeatedEstablished)
+		m.Fatalf("%d events ignored, want %d, all of them repeated calls of FlowEstablished",
+			counts.IgnoredEvents, m.repeatedEstablished)
 	}
 	if len(m.records) != len(m.clients)+attempts || counts.Requests != len(m.clients) || counts.Attempts != attempts || counts.Migrations != migrations ||
 		counts.Served+counts.Rejected+counts.Failed+counts.ClientsGone != counts.Requests || counts.SentAfterGrace > 0 {
-		m.Fatalf("counts %+v, %d records; want %d requests with one answer each, %d attempts, %d migrations, none sent after the grace, one record for each request and attempt",
+		m.Fatalf("counts %+v, %d records; want %d requests with one answer each, %d attempts, %d migrations, "+
+			"none sent after the grace, one record for each request and attempt",
 			counts, len(m.records), len(m.clients), attempts, migrations)
 	}
 	for range 5 {
@@ -529,7 +537,8 @@
 	}
 	m.advance(20 * time.Second) // longer than any deadline, timer or spread
 	if m.core.pausedActions != nil || len(m.core.timers) > 0 || len(m.core.pendingActions) > 0 || len(m.core.requests) > 0 {
-		m.Fatalf("left after the end: %d paused actions, %d timers, %d pending actions, %d requests; want none", len(m.core.pausedActions), len(m.core.timers), len(m.core.pendingActions), len(m.core.requests))
+		m.Fatalf("left after the end: %d paused actions, %d timers, %d pending actions, %d requests; want none",
+			len(m.core.pausedActions), len(m.core.timers), len(m.core.pendingActions), len(m.core.requests))
 	}
 	m.core.UpdateMembers(policy.ListFull, nil)
 	// The policy keeps a member that is no longer listed only for its open flows.
--- a/internal/core/observations_test.go
+++ b/internal/core/observations_test.go
@@ -17,10 +17,12 @@
 	h.now += 100 * time.Millisecond
 	h.ObserveMessageLatency(d.id, 50*time.Millisecond)
 	if !m.slow || m.slowReportedAt != first {
-		t.Errorf("slow message 100 ms after another: slow %v, reported at %v; want true, %v", m.slow, m.slowReportedAt, first)
+		t.Errorf("slow message 100 ms after another: slow %v, reported at %v; want true, %v",
+			m.slow, m.slowReportedAt, first)
 	}
 	h.ObserveMessageLatency(d.id, 20*time.Millisecond)
 	if m.slow || m.slowReportedAt != h.now {
-		t.Errorf("fast message after slow ones: slow %v, reported at %v; want false, %v", m.slow, m.slowReportedAt, h.now)
+		t.Errorf("fast message after slow ones: slow %v, reported at %v; want false, %v",
+			m.slow, m.slowReportedAt, h.now)
 	}
 }
--- a/internal/core/removals_test.go
+++ b/internal/core/removals_test.go
@@ -30,7 +30,8 @@
 	}
 	resumed := &downstream{harness: h}
 	if h.Open(Request{CurrentMember: "m0", TimeLeft: time.Second}, resumed); resumed.attempts != 0 || len(resumed.answers) != 1 || resumed.answers[0] != "rejected" {
-		t.Errorf("resumed flow of an ejected member: %d attempts, answers %v; want none, a rejection", resumed.attempts, resumed.answers)
+		t.Errorf("resumed flow of an ejected member: %d attempts, answers %v; want none, a rejection",
+			resumed.attempts, resumed.answers)
 	}
 	h.execute(policy.Action{Kind: policy.ActionProbe, Member: 10})
 	if probed != 0 || h.Reachable(10) {
@@ -94,7 +95,8 @@
 	h.SetFleetRemovals(removals)
 	h.advance(5 * time.Second)
 	if n := migrations(flows); total < 20 || n < total/3 || n > total-total/3 {
-		t.Fatalf("%d of %d flows migrated after half of the period, want at least 20 flows and one to two thirds of them", n, total)
+		t.Fatalf("%d of %d flows migrated after half of the period, want at least 20 flows and one to two thirds of them",
+			n, total)
 	}
 	if d := h.openRequest(); d.inFlight > 0 {
 		t.Error("a request was sent to a member that the fleet removed")
@@ -111,7 +113,8 @@
 	h.SetFleetRemovals(removals)
 	h.advance(7 * time.Second) // the first removal has migrated the flows that are due in the first 5 s
 	if n := migrations(flows); n == before || n == total {
-		t.Errorf("%d of %d flows migrated 7 s after the second removal, %d before it; want more, but not all", n, total, before)
+		t.Errorf("%d of %d flows migrated 7 s after the second removal, %d before it; want more, but not all",
+			n, total, before)
 	}
 	h.UpdateMembers(policy.ListDelta, testMembers(members, policy.Draining))
 	if n := migrations(flows); n != total {
--- a/internal/core/request_test.go
+++ b/internal/core/request_test.go
@@ -16,12 +16,14 @@
 	h.UpdateMembers(policy.ListDelta, testMembers(1, policy.Ready))
 	sent := h.openInClass(nonIdempotentClass, 2*time.Second)
 	if waiting.attempts != 0 || waiting.answerText() != "" || sent.inFlight != 1 {
-		t.Fatalf("waiting request: %d attempts, answers %v, want none; other request: %d in flight, want 1", waiting.attempts, waiting.answers, sent.inFlight)
+		t.Fatalf("waiting request: %d attempts, answers %v, want none; other request: %d in flight, want 1",
+			waiting.attempts, waiting.answers, sent.inFlight)
 	}
 	h.now += 3 * time.Second
 	h.Tick()
 	if waiting.answerText() != "rejected" || sent.answerText() != "failed" || h.ActiveRequests() != 0 {
-		t.Errorf("answer without an attempt %q, want rejected; with an attempt in flight %q, want failed; %d active requests, want 0", waiting.answerText(), sent.answerText(), h.ActiveRequests())
+		t.Errorf("answer without an attempt %q, want rejected; with an attempt in flight %q, want failed; %d active requests, want 0",
+			waiting.answerText(), sent.answerText(), h.ActiveRequests())
 	}
 }
 
@@ -30,7 +32,8 @@
 	for _, timeLeft := range []time.Duration{-time.Second, 0, time.Millisecond, 8 * time.Millisecond} {
 		h := newHarnessWith(t, classesText, testMembers(2, policy.Ready))
 		if d := h.openInClass(nonIdempotentClass, timeLeft); d.attempts != 0 || d.answerText() != "rejected" || h.ActiveRequests() != 0 {
-			t.Errorf("time left %v: %d attempts, answers %v, %d active requests; want a rejection only", timeLeft, d.attempts, d.answers, h.ActiveRequests())
+			t.Errorf("time left %v: %d attempts, answers %v, %d active requests; want a rejection only",
+				timeLeft, d.attempts, d.answers, h.ActiveRequests())
 		}
 	}
 }
@@ -101,7 +104,8 @@
 		t.Errorf("%d attempts in flight, next tick in %v; want 1 and 1s", d.inFlight, h.wakeAt-h.now)
 	}
 	if h.advance(time.Second); d.answerText() != "failed" || d.inFlight != 0 || h.ActiveRequests() != 0 {
-		t.Errorf("at the deadline: answers %v, %d in flight, %d active requests; want failed, 0, 0", d.answers, d.inFlight, h.ActiveRequests())
+		t.Errorf("at the deadline: answers %v, %d in flight, %d active requests; want failed, 0, 0",
+			d.answers, d.inFlight, h.ActiveRequests())
 	}
 }
 
@@ -114,7 +118,8 @@
 	d.endAttempt(policy.Error)
 	h.now += 350 * time.Millisecond // within the answer slack before the deadline
 	if h.Tick(); d.attempts != 1 || d.answerText() != "rejected" || h.ActiveRequests() != 0 {
-		t.Errorf("%d attempts, answers %v, %d active requests; want 1, rejected, 0", d.attempts, d.answers, h.ActiveRequests())
+		t.Errorf("%d attempts, answers %v, %d active requests; want 1, rejected, 0",
+			d.attempts, d.answers, h.ActiveRequests())
 	}
 	h.wantNoFlowsInPolicy("after the request")
 }
@@ -147,7 +152,8 @@
 			h := newHarnessWith(t, text, testMembers(2, policy.Draining))
 			d := reject(h)
 			if d.answerText() != "rejected" || d.retryAfter > maxRetryAfter || d.retryAfter < 0 {
-				t.Errorf("%s, %s: answer %q with Retry-After %v, want rejected with at most %v", limits, cause, d.answerText(), d.retryAfter, maxRetryAfter)
+				t.Errorf("%s, %s: answer %q with Retry-After %v, want rejected with at most %v",
+					limits, cause, d.answerText(), d.retryAfter, maxRetryAfter)
 			}
 		}
 		h := newHarnessWith(t, text, nil)
@@ -167,7 +173,8 @@
 	}
 	h.AttemptEnded(d.id, 0, policy.OK, policy.NoReport)
 	if h.ActiveRequests() != 0 || h.Counts.Served != 1 || len(h.records) != 2 {
-		t.Errorf("%d active requests, counts %+v, records %v; want 0, 1 served, 2 records", h.ActiveRequests(), h.Counts, h.records)
+		t.Errorf("%d active requests, counts %+v, records %v; want 0, 1 served, 2 records",
+			h.ActiveRequests(), h.Counts, h.records)
 	}
 }
 
@@ -202,7 +209,8 @@
 	}
 	h.advance(2*time.Second - d.timeout)
 	if len(d.answers) != 1 || d.inFlight != 0 || h.ActiveRequests() != 0 {
-		t.Errorf("at the deadline: answers %v, %d in flight, %d active requests; want one answer, 0, 0", d.answers, d.inFlight, h.ActiveRequests())
+		t.Errorf("at the deadline: answers %v, %d in flight, %d active requests; want one answer, 0, 0",
+			d.answers, d.inFlight, h.ActiveRequests())
 	}
 }
 
--- a/internal/core/shutdown_test.go
+++ b/internal/core/shutdown_test.go
@@ -57,7 +57,8 @@
 	h.Drain()
 	h.Drain()
 	if h.AcceptsClients() || migrations(flows) != 0 {
-		t.Errorf("after Drain: AcceptsClients = %v, %d flows migrated at once; want false, 0", h.AcceptsClients(), migrations(flows))
+		t.Errorf("after Drain: AcceptsClients = %v, %d flows migrated at once; want false, 0",
+			h.AcceptsClients(), migrations(flows))
 	}
 	establish()
 	h.advance(drainMigrationEnd / 2)
@@ -66,13 +67,16 @@
 	h.Resume()
 	h.advance(10 * time.Second)
 	if !h.AcceptsClients() || half == 0 || half == len(flows) || migrations(flows) != half {
-		t.Errorf("AcceptsClients = %v after Resume; flows migrated: %d before it, %d at the end, of %d; want some before it and no more after it", h.AcceptsClients(), half, migrations(flows), len(flows))
+		t.Errorf("AcceptsClients = %v after Resume; %d flows migrated before it, %d at the end, of %d; "+
+			"want some, but not all, and no more after Resume",
+			h.AcceptsClients(), half, migrations(flows), len(flows))
 	}
 	establish()
 	h.Drain()
 	h.advance(drainMigrationEnd + time.Second)
 	if migrations(flows) != len(flows) || h.ActiveRequests() != 0 {
-		t.Errorf("second drain: %d of %d flows migrated, %d active requests; want all and 0", migrations(flows), len(flows), h.ActiveRequests())
+		t.Errorf("second drain: %d of %d flows migrated, %d active requests; want all and 0",
+			migrations(flows), len(flows), h.ActiveRequests())
 	}
 }
 
@@ -85,7 +89,8 @@
 	h.Stop()
 	h.FinishStop()
 	if flow.migrations != 1 || len(pending.answers) != 1 || pending.answers[0] != "rejected" || pending.inFlight != 0 || h.ActiveRequests() != 0 {
-		t.Errorf("flow migrated %d times; pending request: answers %v, %d in flight; %d active requests; want 1, a rejection, 0, 0", flow.migrations, pending.answers, pending.inFlight, h.ActiveRequests())
+		t.Errorf("flow migrated %d times; pending request: answers %v, %d in flight; %d active requests; want 1, a rejection, 0, 0",
+			flow.migrations, pending.answers, pending.inFlight, h.ActiveRequests())
 	}
 }
 
@@ -97,7 +102,8 @@
 	h.Stop()
 	h.advance(h.StopTimeout())
 	if h.StopTimeout() > 1200*time.Millisecond || h.ActiveRequests() > 0 {
-		t.Errorf("StopTimeout = %v, want at most 1.2s; %d active requests after it, want 0", h.StopTimeout(), h.ActiveRequests())
+		t.Errorf("StopTimeout = %v, want at most 1.2s; %d active requests after it, want 0",
+			h.StopTimeout(), h.ActiveRequests())
 	}
 }
 
@@ -108,12 +114,14 @@
 		h := newHarnessWith(t, classesText, testMembers(2, policy.Ready))
 		sent, mayHaveRun, neverRan := h.openThree(class)
 		if sent.inFlight != 1 || neverRan.inFlight != 0 || neverRan.answerText() != "" {
-			t.Fatalf("class %d: %d and %d attempts in flight, answers %v; want 1, 0, none", class, sent.inFlight, neverRan.inFlight, neverRan.answers)
+			t.Fatalf("class %d: %d and %d attempts in flight, answers %v; want 1, 0, none",
+				class, sent.inFlight, neverRan.inFlight, neverRan.answers)
 		}
 		h.Stop()
 		h.FinishStop()
 		if sent.answerText() != want || mayHaveRun.answerText() != want || neverRan.answerText() != "rejected" || h.ActiveRequests() != 0 {
-			t.Errorf("class %d: answers with an attempt in flight %q, after one that may have run %q, want %q; without one that can have run %q, want rejected; %d active requests, want 0",
+			t.Errorf("class %d: answers with an attempt in flight %q, after one that may have run %q, want %q; "+
+				"without one that can have run %q, want rejected; %d active requests, want 0",
 				class, sent.answerText(), mayHaveRun.answerText(), want, neverRan.answerText(), h.ActiveRequests())
 		}
 	}
--- a/internal/window/acknowledgement.go
+++ b/internal/window/acknowledgement.go
@@ -47,10 +47,11 @@
 // acknowledged. The link can then be closed without any accepted message being sent a second time.
 func (w *Window) Settled() bool { return w.awaitingAcks && w.acked == w.sent }
 
-// LinkClosed handles the end of the link; written is the number of bytes that were written to
-// it. Every message in flight waits again, in its original order. For each of them LinkClosed
-// calls ended with how the attempt ended. If no further attempt is allowed, it then calls
-// failed, which is the final answer of the message.
+// LinkClosed handles the end of the link; written is the number of bytes that were written to it.
+// It must be called only when the member can accept nothing more on the link. For each message in
+// flight LinkClosed calls ended with how the attempt ended. The messages then wait again, in their
+// original order, except those for which no further attempt is allowed: for them it calls failed,
+// which is their final answer.
 func (w *Window) LinkClosed(written uint64, ended func(*Message, Result), failed func(*Message)) {
 	var newestAccepted map[uint64]uint64 // by subject, the number of its newest accepted message
 	if w.awaitingAcks {
--- a/internal/window/window_test.go
+++ b/internal/window/window_test.go
@@ -205,7 +205,8 @@
 		finish := func(m *Message, outcome string) {
 			state := states[m.ID]
 			if state.outcome != "" || state.inFlight && outcome != "served" {
-				t.Fatalf("seed %d: message %d %s, but its outcome was %q, in flight %v", seed, m.ID, outcome, state.outcome, state.inFlight)
+				t.Fatalf("seed %d: message %d %s, but its outcome was %q, in flight %v",
+					seed, m.ID, outcome, state.outcome, state.inFlight)
 			}
 			if string(w.Text(m)) != fmt.Sprintf("text of %d;", m.ID) {
 				t.Fatalf("seed %d: message %d has text %q, want the text that was put", seed, m.ID, w.Text(m))
@@ -216,7 +217,8 @@
 			finish(m, "served")
 			subject := states[m.ID].subject
 			if newestServed[subject] > m.ID {
-				t.Fatalf("seed %d: message %d of subject %d was served after message %d", seed, m.ID, subject, newestServed[subject])
+				t.Fatalf("seed %d: message %d of subject %d was served after message %d",
+					seed, m.ID, subject, newestServed[subject])
 			}
 			newestServed[subject] = m.ID
 		}
@@ -239,7 +241,8 @@
 					w.Begin(now)
 					state := states[m.ID]
 					if state.attempts++; state.inFlight || state.outcome != "" || state.attempts > 3 || state.attempts != m.Attempts || m.ID <= lastSent {
-						t.Fatalf("seed %d: message %d (attempt %d) was sent in state %+v after message %d", seed, m.ID, m.Attempts, *state, lastSent)
+						t.Fatalf("seed %d: message %d (attempt %d) was sent in state %+v after message %d",
+							seed, m.ID, m.Attempts, *state, lastSent)
 					}
 					state.inFlight, lastSent, m.Offset = true, m.ID, m.ID
 				}
@@ -256,7 +259,8 @@
 				}
 				w.Expire(now, func(m *Message, mayHaveRun bool) {
 					if mayHaveRun && states[m.ID].attempts == 0 {
-						t.Fatalf("seed %d: message %d expired as one that may have run, but was never sent", seed, m.ID)
+						t.Fatalf("seed %d: message %d expired as one that may have run, but was never sent",
+							seed, m.ID)
 					}
 					finish(m, "expired")
 				})
