--- a/internal/core/feed.go
+++ b/internal/core/feed.go
@@ -56,7 +56,7 @@
 	feedIdleTimeout = 30 * time.Second
 	// feedRetryDelay is the backoff of a feed whose rejection gave no Retry-After.
 	feedRetryDelay = 150 * time.Millisecond
-	// feedMinBytes is how many bytes each feed may hold, whatever the memory limit of all feeds.
+	// feedMinBytes is how many bytes each feed may hold even if all feeds exceed FeedMemoryLimit.
 	feedMinBytes = 4 << 10
 	// feedTurnMessages is how many messages a feed may send to a member in slow start before the
 	// other feeds have their turn.
--- a/internal/core/feed_answers.go
+++ b/internal/core/feed_answers.go
@@ -15,10 +15,10 @@
 	f.transport.Answer(m, text[len(f.window.Buffer(0)):], Rejected, retryAfter)
 }
 
-// answerExpired rejects a message whose deadline is over, or fails it if a member may have accepted
+// answerExpired rejects a message whose deadline is over, or fails it if a member may have processed
 // it.
-func (f *Feed) answerExpired(m *window.Message, maybeAccepted bool, retryAfter time.Duration) {
-	if maybeAccepted {
+func (f *Feed) answerExpired(m *window.Message, maybeProcessed bool, retryAfter time.Duration) {
+	if maybeProcessed {
 		f.answerMessage(m, Failed, 0)
 	} else {
 		f.answerMessage(m, Rejected, retryAfter)
--- a/internal/core/feed_flow.go
+++ b/internal/core/feed_flow.go
@@ -51,8 +51,8 @@
 		retryAfter, expireBy = max(retryAfter, stopRetryAfter), forever
 	}
 	f.state, f.retryAt = feedBackoff, now+retryAfter
-	f.window.Expire(expireBy, func(m *window.Message, maybeAccepted bool) {
-		f.answerExpired(m, maybeAccepted, retryAfter)
+	f.window.Expire(expireBy, func(m *window.Message, maybeProcessed bool) {
+		f.answerExpired(m, maybeProcessed, retryAfter)
 	})
 	f.updateMemoryUse()
 	f.scheduleTimer()
@@ -102,8 +102,8 @@
 		}
 		f.core.Counts.Messages.Retried++
 	}, func(m *window.Message) { f.answerMessage(m, Failed, 0) })
-	f.window.Expire(f.core.Clock(), func(m *window.Message, maybeAccepted bool) {
-		f.answerExpired(m, maybeAccepted, feedRetryDelay)
+	f.window.Expire(f.core.Clock(), func(m *window.Message, maybeProcessed bool) {
+		f.answerExpired(m, maybeProcessed, feedRetryDelay)
 	})
 	f.releaseSlowStart(inFlight, 0)
 	if f.member != nil {
--- a/internal/core/feed_timer.go
+++ b/internal/core/feed_timer.go
@@ -56,8 +56,8 @@
 		f.sendPending(now)
 	}
 	if _, inFlight := f.window.AckDeadline(); !inFlight {
-		f.window.Expire(now, func(m *window.Message, maybeAccepted bool) {
-			f.answerExpired(m, maybeAccepted, feedRetryDelay)
+		f.window.Expire(now, func(m *window.Message, maybeProcessed bool) {
+			f.answerExpired(m, maybeProcessed, feedRetryDelay)
 		})
 	}
 	f.updateMemoryUse()
--- a/internal/core/lifecycle.go
+++ b/internal/core/lifecycle.go
@@ -71,7 +71,7 @@
 	deadline    time.Duration
 	state       state
 	attempts    int     // begun so far
-	policySends int     // sends that the policy decided on, including blocked ones: the policy's attempt numbers
+	policySends int     // sends that the policy decided on, including blocked ones; it numbers attempts by them
 	member      *member // of the attempt in flight, or of the open flow
 	sentAt      time.Duration
 	firstRun    *firstRun // nil if no attempt that has ended may have run
--- a/internal/core/removals.go
+++ b/internal/core/removals.go
@@ -11,9 +11,9 @@
 // Removal is the removal of a member that the fleet has agreed on.
 type Removal struct {
 	SpreadOver time.Duration // the period over which the flows are migrated; 0: at once
-	// Ejection says that an operator ejected the member. It may be another process when it is
-	// reinstated, so it goes through slow start. Otherwise the member is drained by agreement; if
-	// that is revoked, it counts as warm.
+	// Ejection is set if an operator ejected the member. By the time it is reinstated, the member may
+	// be a new process, so it goes through slow start. Otherwise the member is being drained; if that
+	// is revoked, it is not warmed up again.
 	Ejection bool
 }
 
--- a/internal/window/acknowledgement.go
+++ b/internal/window/acknowledgement.go
@@ -102,7 +102,7 @@
 	w.compact()
 }
 
-// markMayHaveRun records that the member may have accepted the latest attempt of a message.
+// markMayHaveRun records that the member may have processed the latest attempt of a message.
 // After the first such attempt the message may be retried only within the DedupWindow, so its
 // deadline is moved forward to the end of that window.
 func (w *Window) markMayHaveRun(m *Message) {
@@ -113,7 +113,7 @@
 }
 
 // Expire gives up the oldest waiting messages whose deadlines are at or before by. It calls
-// expired for each; mayHaveRun says whether the member may have accepted it. While a message is
+// expired for each; mayHaveRun says whether a member may have processed it. While a message is
 // in flight nothing expires: the link must end first.
 func (w *Window) Expire(by time.Duration, expired func(m *Message, mayHaveRun bool)) {
 	for w.head == w.sent && w.head < w.next {
--- a/internal/window/window.go
+++ b/internal/window/window.go
@@ -6,7 +6,8 @@
 
 import "time"
 
-// InitialWindow is the limit of messages in flight of a feed when its link is new.
+// InitialWindow is how many messages of a feed may be in flight when its link is new, and how many of
+// all feeds may be in flight at a member when its slow start begins.
 const InitialWindow = 16
 
 // An acknowledgement that takes less than growBelow of the latency objective lets the window
@@ -23,7 +24,7 @@
 	MaxBytes         int           // of text, of all messages together
 	MaxAttempts      int           // of one message
 	LatencyObjective time.Duration // for an acknowledgement
-	Repeatable       bool          // a message that the member may have accepted may be sent again
+	Repeatable       bool          // a message that the member may have processed may be sent again
 	DedupWindow      time.Duration // how long after the first such attempt that is allowed; 0: no limit
 }
 
@@ -38,7 +39,7 @@
 	Offset             uint64        // bytes of the link up to the end of this message; set by the transport
 	ReplyExpected      bool          // the publisher gave a reply subject and wants no-responders replies
 	Attempts           int           // begun so far
-	mayHaveRun         bool          // the member may have accepted an attempt
+	mayHaveRun         bool          // the member may have processed an attempt
 	state              state
 	textStart, textEnd int // position of its text, counted from the first byte ever put into the window
 }
@@ -49,7 +50,7 @@
 const (
 	waiting state = iota
 	inFlight
-	rejected // by the member, which did not accept it
+	rejected // by the member; its link has not been closed yet
 	answered // it has its final answer
 )
 
@@ -58,9 +59,9 @@
 
 // The results.
 const (
-	NotWritten Result = iota // it was not fully written to the link, so the member cannot have accepted it
-	AckLost                  // it was written, so the member may have accepted it
-	Rejected                 // the member rejected it
+	NotWritten Result = iota // it was not fully written to the link, so the member cannot have processed it
+	AckLost                  // it was written, so the member may have processed it
+	Rejected                 // the member rejected it; that counts as possibly processed
 )
 
 // Window holds the messages of one feed. Messages are numbered in the order in which they were
