--- a/internal/core/feed_answers.go
+++ b/internal/core/feed_answers.go
@@ -9,15 +9,16 @@
 
 // This file answers and records the messages of feeds.
 
-// rejectUnaccepted answers a message that the window has not taken in.
+// rejectUnaccepted rejects a message that was not put into the window.
 func (f *Feed) rejectUnaccepted(m *window.Message, text []byte, retryAfter time.Duration) {
 	f.recordAnswer(m, Rejected)
 	f.transport.Answer(m, text[len(f.window.Buffer(0)):], Rejected, retryAfter)
 }
 
-// answerExpired rejects a message whose time is over, or fails one that may have been accepted.
-func (f *Feed) answerExpired(m *window.Message, ran bool, retryAfter time.Duration) {
-	if ran {
+// answerExpired rejects a message whose deadline is over, or fails it if a member may have processed
+// it.
+func (f *Feed) answerExpired(m *window.Message, maybeProcessed bool, retryAfter time.Duration) {
+	if maybeProcessed {
 		f.answerMessage(m, Failed, 0)
 	} else {
 		f.answerMessage(m, Rejected, retryAfter)
@@ -33,14 +34,14 @@
 
 // recordAnswer counts and records the final answer of a message.
 func (f *Feed) recordAnswer(m *window.Message, a Answer) {
-	n := &f.core.Counts.Messages
+	counts := &f.core.Counts.Messages
 	switch a {
 	case Served:
-		n.Served++
+		counts.Served++
 	case Rejected:
-		n.Rejected++
+		counts.Rejected++
 	default:
-		n.Failed++
+		counts.Failed++
 	}
 	if f.core.Recorder != nil {
 		q := f.request
--- a/internal/core/feed_timer.go
+++ b/internal/core/feed_timer.go
@@ -9,8 +9,9 @@
 
 // This file holds the timer of a feed.
 
-// scheduleTimer has onTimer called when something may be due. A feed has one timer at most, which is not moved with
-// each message: if it expires too early, it is set again.
+// scheduleTimer sets the timer to the next time at which onTimer may have something to do. A feed
+// has at most one timer, which is not moved with each message: if it expires too early, onTimer
+// sets it again.
 func (f *Feed) scheduleTimer() {
 	at, ok := f.window.Deadline()
 	if ackBy, inFlight := f.window.AckDeadline(); inFlight {
@@ -55,8 +56,10 @@
 		f.sendPending(now)
 	}
 	if _, inFlight := f.window.AckDeadline(); !inFlight {
-		f.window.Expire(now, func(m *window.Message, ran bool) { f.answerExpired(m, ran, feedRetryDelay) })
+		f.window.Expire(now, func(m *window.Message, maybeProcessed bool) {
+			f.answerExpired(m, maybeProcessed, feedRetryDelay)
+		})
 	}
-	f.updateUsage()
+	f.updateMemoryUse()
 	f.scheduleTimer()
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -6,10 +6,11 @@
 	"dahliarudder/policy"
 )
 
-// This file holds the effects of the events of a request. Each event goes through transition first, and takes effect
-// only if the state of the request allows it.
+// This file handles the events of a request. Each event goes through transition first, and takes
+// effect only if the state of the request allows it.
 
-// Open takes a request. The final answer comes through d, perhaps at once.
+// Open accepts a request and returns its ID. The final answer is passed to d, possibly before Open
+// returns.
 func (c *Core) Open(q Request, d Downstream) ID {
 	now := c.Clock()
 	c.lastID++
@@ -32,18 +33,18 @@
 	return r.id
 }
 
-// resumeFlow forwards a flow to the member that already holds it.
+// resumeFlow sends a request to the member that already has its flow.
 func (c *Core) resumeFlow(now time.Duration, r *request) {
 	m := c.byName[r.CurrentMember]
 	if m == nil {
 		c.answer(r, Failed, 0)
 		return
 	}
-	if m.ejected {
+	if m.removed {
 		c.answer(r, Rejected, stopRetryAfter)
 		return
 	}
-	r.preexisting, r.policySends = true, 1 // the policy counts it as sent once
+	r.preexisting, r.policySends = true, 1 // for the policy the flow counts as one send
 	c.setTimer(r.deadline, r.id, timerDeadline)
 	c.startAttempt(now, r, m, r.TimeLeft)
 	c.scheduleTick()
@@ -54,7 +55,8 @@
 		Deadline: r.deadline, Load: r.Load, Reconnect: r.Reconnect}
 }
 
-// currentAttempt is the request whose attempt of that number is in flight or open; nil if there is none.
+// currentAttempt returns the request if the attempt with that number is in flight or an open flow,
+// and nil otherwise.
 func (c *Core) currentAttempt(id ID, attempt int) *request {
 	if r := c.requests[id]; r != nil && r.state.atMember() && r.attempts-1 == attempt {
 		return r
@@ -62,8 +64,8 @@
 	return nil
 }
 
-// FlowEstablished says that a server-side flow is established. It returns whether the
-// client may be told so.
+// FlowEstablished reports that an attempt has become an open flow. It returns whether the client
+// may be told that its request is served.
 func (c *Core) FlowEstablished(id ID, attempt int) bool {
 	r := c.currentAttempt(id, attempt)
 	if r == nil || !c.transition(r, attemptEstablished) {
@@ -87,35 +89,35 @@
 	return true
 }
 
-// AttemptEnded says how a server-side flow ended, before it was established or after.
-// An attempt that was served to its end has its final answer by that.
+// AttemptEnded reports how an attempt ended, before or after it became an open flow. If the result
+// of an attempt that did not become a flow is policy.OK, its request is served.
 func (c *Core) AttemptEnded(id ID, attempt int, result policy.Result, report policy.Report) {
 	if r := c.currentAttempt(id, attempt); r != nil {
 		c.endAttempt(r, result, report)
 	}
 }
 
-// ClientGone says that the client of a request went away. It returns whether a client that still listens may be
-// answered that a retry is harmless.
+// ClientGone reports that the client of a request went away. It returns whether the client, if it
+// still reads, may be told that a retry is harmless.
 func (c *Core) ClientGone(id ID) (safeToRetry bool) {
 	r := c.requests[id]
 	if r == nil {
 		return false
 	}
-	was := r.state
-	safeToRetry = c.safeToRetry(r)
+	previous := r.state
+	safeToRetry = c.clientMayRetry(r)
 	c.transition(r, clientGone)
-	if !was.final() {
+	if !previous.final() {
 		c.recordAnswer(r, ClientGone)
 		if !r.preexisting {
 			c.notifyPolicy(policy.ClientGone{ID: id})
 		}
 	}
-	c.abandon(r, was)
+	c.abandon(r, previous)
 	return safeToRetry
 }
 
-// startAttempt sends an attempt.
+// startAttempt sends an attempt to a member.
 func (c *Core) startAttempt(now time.Duration, r *request, m *member, timeout time.Duration) {
 	if !c.transition(r, attemptStarted) {
 		return
@@ -124,16 +126,16 @@
 	m.flows++
 	r.attempts++
 	c.Counts.Attempts++
-	if m.ejected && now-m.unavailableSince > c.drainGrace {
-		c.Counts.SentAfterGrace++ // mayStart prevents this: the count is of what was done, as a check on it
+	if m.removed && now-m.unavailableSince > c.drainGrace {
+		c.Counts.SentAfterGrace++ // mayStart prevents this: counting what was actually sent verifies it
 	}
 	r.downstream.Send(r.id, &m.Member, r.attempts-1, timeout)
 }
 
-// endAttempt handles the end of an attempt or of an open flow.
+// endAttempt handles the end of an attempt or an open flow.
 func (c *Core) endAttempt(r *request, result policy.Result, report policy.Report) {
-	was, e := r.state, attemptEnded
-	if was == attempting && result == policy.OK {
+	previous, e := r.state, attemptEnded
+	if previous == attempting && result == policy.OK {
 		e = servedWithoutFlow
 	}
 	if !c.transition(r, e) {
@@ -142,38 +144,38 @@
 	if e == servedWithoutFlow {
 		c.recordAnswer(r, Served)
 	}
-	c.releaseAttempt(r, was, result, report)
-	if r.preexisting && r.state == placing { // no other member holds the flow
+	c.releaseAttempt(r, previous, result, report)
+	if r.preexisting && r.state == placing { // no other member has the flow, so there is no retry
 		c.answer(r, Failed, 0)
 	}
 }
 
-// abandon cancels the attempt or flow of a request that is over.
-func (c *Core) abandon(r *request, was state) {
-	if was.atMember() {
+// abandon cancels the attempt or the open flow, if there was one, of a request that has finished.
+func (c *Core) abandon(r *request, previous state) {
+	if previous.atMember() {
 		r.downstream.Cancel(r.attempts - 1)
-		c.releaseAttempt(r, was, policy.Cancelled, policy.NoReport)
+		c.releaseAttempt(r, previous, policy.Cancelled, policy.NoReport)
 	}
 }
 
-// releaseAttempt closes the accounts of an attempt or an open flow that is over, and notifies the policy.
-func (c *Core) releaseAttempt(r *request, was state, result policy.Result, report policy.Report) {
+// releaseAttempt counts and records the end of an attempt or an open flow, and notifies the policy.
+func (c *Core) releaseAttempt(r *request, previous state, result policy.Result, report policy.Report) {
 	m, attempt := r.member, r.attempts-1
 	r.member = nil
 	if r.firstRun == nil && mayHaveRun(result) {
 		r.firstRun = &firstRun{r.sentAt, m.Endpoint}
 	}
 	m.flows--
-	if result != policy.OK || was == attempting { // an open flow was counted when it was established
+	if result != policy.OK || previous == attempting { // an open flow was counted when it was established
 		c.countResult(m, result)
 	}
-	if kind, ok := eventKinds[attemptEnd{was == serving, result}]; ok {
+	if kind, ok := memberEventKinds[attemptEnd{previous == serving, result}]; ok {
 		c.emitMemberEvent(r, m, kind, c.Clock()-r.sentAt)
 	}
 	if c.Recorder != nil {
 		c.Recorder.RecordAttempt(&r.Request, r.id, attempt, m.Name, r.sentAt, c.Clock(), result)
 	}
-	if r.preexisting && was != serving { // the policy does not know of it
+	if r.preexisting && previous != serving { // the policy learns of a preexisting flow only when it is established
 		return
 	}
 	c.notifyPolicy(policy.AttemptEnded{ID: r.id, Attempt: r.policySends - 1, Member: m.ID, Result: result,
