--- a/internal/consensus/applier.go
+++ b/internal/consensus/applier.go
@@ -18,23 +18,23 @@
 // applier applies committed entries to the machine and keeps the recent ones for followers. Calls that change it come from one goroutine,
 // or from the model.
 type applier struct {
-	machine          Machine
-	snapshotInterval int    // in entries: snapshotEntries
-	initialMachine   []byte // the machine's snapshot when the process started
+	machine             Machine
+	snapshotInterval    int    // in entries: snapshotEntries
+	initialMachineState []byte // the machine's snapshot when the process started
 
 	mu                   sync.Mutex
 	current              recordSnapshot   // without the machine's state
 	recent               []committedEntry // without gaps, up to current.index
 	recentBytes          int
 	lastSnapshot         *recordSnapshot // recent has all entries after it
-	lastEncoded          []byte          // lastSnapshot, encoded
+	lastSnapshotEncoded  []byte          // lastSnapshot, encoded
 	entriesSinceSnapshot int
 	bytesSinceSnapshot   int
 	changed              chan struct{} // closed and replaced at each change
 }
 
 func newApplier(m Machine) *applier {
-	return &applier{machine: m, snapshotInterval: snapshotEntries, initialMachine: m.Snapshot(), changed: make(chan struct{})}
+	return &applier{machine: m, snapshotInterval: snapshotEntries, initialMachineState: m.Snapshot(), changed: make(chan struct{})}
 }
 
 func (a *applier) notifyChanged() {
@@ -54,7 +54,7 @@
 	}
 	a.current, a.recent, a.recentBytes, a.entriesSinceSnapshot, a.bytesSinceSnapshot = s, nil, 0, 0, 0
 	a.current.machineState = nil
-	a.lastSnapshot, a.lastEncoded = &s, s.encode()
+	a.lastSnapshot, a.lastSnapshotEncoded = &s, s.encode()
 	a.notifyChanged()
 	return true, nil
 }
@@ -107,8 +107,8 @@
 	if len(taken.machineState) > MaxSnapshotSize {
 		return nil, nil
 	}
-	a.lastSnapshot, a.lastEncoded = &taken, taken.encode()
-	return &taken, a.lastEncoded
+	a.lastSnapshot, a.lastSnapshotEncoded = &taken, taken.encode()
+	return &taken, a.lastSnapshotEncoded
 }
 
 // expireSnapshot makes a snapshot due.
@@ -122,7 +122,7 @@
 func (a *applier) latestSnapshot() (s *recordSnapshot, encoded []byte) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.lastSnapshot, a.lastEncoded
+	return a.lastSnapshot, a.lastSnapshotEncoded
 }
 
 // position returns the record and the index of the last applied entry; changed is closed when they change.
@@ -176,7 +176,7 @@
 		if a.lastSnapshot == nil || a.lastSnapshot.index+1 < first {
 			return streamBatch{}, a.changed // snapshotDue has the apply loop take one soon
 		}
-		b.snapshot, index = a.lastEncoded, a.lastSnapshot.index
+		b.snapshot, index = a.lastSnapshotEncoded, a.lastSnapshot.index
 	}
 	b.index = index
 	if index >= a.current.index {
--- a/internal/consensus/bootstrap.go
+++ b/internal/consensus/bootstrap.go
@@ -36,7 +36,7 @@
 	if current, _, _ := n.applier.position(); current != 0 {
 		return
 	}
-	s, err := bootstrapSnapshot(recordID, voters, n.applier.initialMachine)
+	s, err := bootstrapSnapshot(recordID, voters, n.applier.initialMachineState)
 	if err != nil {
 		return
 	}
--- a/internal/consensus/client.go
+++ b/internal/consensus/client.go
@@ -87,8 +87,8 @@
 	return &response{ReadCloser: resp.Body, tag: tag, start: start}, nil
 }
 
-// updateFreshness takes the epoch or start from a response that refused the request's. The request may then be sent again, since it was not read.
-func (c *client) updateFreshness(name string, requestStart uint64, body []byte) (refused bool) {
+// updateEpochOrStart takes the epoch or start from a response that refused the request's. The request may then be sent again, since it was not read.
+func (c *client) updateEpochOrStart(name string, requestStart uint64, body []byte) (rejected bool) {
 	if len(body) != 9 || body[0] != codeWrongEpoch && body[0] != codeStaleStart {
 		return false
 	}
@@ -119,11 +119,11 @@
 		if err != nil {
 			return nil, err
 		}
-		b, err = verifyAnswer(c.node.options.Keys[0], resp.tag, 0, b)
+		b, err = verifyResponse(c.node.options.Keys[0], resp.tag, 0, b)
 		if err != nil || len(b) == 0 {
 			return nil, fmt.Errorf("answer of %s: %w", to.name, gossip.ErrBadTag)
 		}
-		if !c.updateFreshness(to.name, resp.start, b) {
+		if !c.updateEpochOrStart(to.name, resp.start, b) {
 			return b, nil
 		}
 	}
--- a/internal/consensus/disk_checksum.go
+++ b/internal/consensus/disk_checksum.go
@@ -36,8 +36,8 @@
 
 // encodeChecksum encodes the checksum over all pairs with the transaction's number, so that an older page in the place of a newer one is
 // detected, with all that it refers to.
-func encodeChecksum(checksum, transaction uint64) []byte {
-	return append(uint64Key(checksum), uint64Key(transaction)...)
+func encodeChecksum(checksum, txID uint64) []byte {
+	return append(uint64Key(checksum), uint64Key(txID)...)
 }
 
 func uint64Key(v uint64) []byte { return binary.BigEndian.AppendUint64(nil, v) }
--- a/internal/consensus/disk_load.go
+++ b/internal/consensus/disk_load.go
@@ -20,7 +20,7 @@
 
 // loadFile decodes a file and verifies its checksums.
 func loadFile(file []byte) (stored storedState, err error) {
-	transaction, meta, log, err := readPages(file)
+	txID, meta, log, err := readPages(file)
 	if err != nil {
 		return stored, err
 	}
@@ -33,7 +33,7 @@
 		return stored, err
 	}
 	identity := values[string(keyIdentity)]
-	if len(identity) != 8 || !bytes.Equal(values[string(keyChecksum)], encodeChecksum(metaChecksum^logChecksum, transaction)) {
+	if len(identity) != 8 || !bytes.Equal(values[string(keyChecksum)], encodeChecksum(metaChecksum^logChecksum, txID)) {
 		return stored, errDamaged
 	}
 	stored = storedState{identity: binary.BigEndian.Uint64(identity), snapshot: values[string(keySnapshot)], hardState: &pb.HardState{}, entries: entries}
@@ -43,7 +43,7 @@
 	if stored.acknowledged, err = loadPositions(values[string(keyAcknowledged)]); err != nil || stored.snapshot == nil {
 		return stored, err
 	}
-	err = stored.align()
+	err = stored.alignWithSnapshot()
 	return stored, err
 }
 
@@ -93,9 +93,9 @@
 	return positions, r.err
 }
 
-// align checks the entries and the hard state against the snapshot. The file also holds some entries up to the snapshot, for voters that lag
+// alignWithSnapshot checks the entries and the hard state against the snapshot. The file also holds some entries up to the snapshot, for voters that lag
 // a little; raft's log begins after it.
-func (s *storedState) align() error {
+func (s *storedState) alignWithSnapshot() error {
 	snapshot, err := decodeSnapshot(s.snapshot)
 	if err != nil {
 		return err
--- a/internal/consensus/disk_pages.go
+++ b/internal/consensus/disk_pages.go
@@ -40,9 +40,9 @@
 }
 
 // readPages reads the two buckets, and the number of the last transaction.
-func readPages(file []byte) (transaction uint64, meta, log []keyValue, err error) {
+func readPages(file []byte) (txID uint64, meta, log []keyValue, err error) {
 	p := pageReader{file: file, pageSize: uint64(os.Getpagesize()), visited: map[uint64]bool{0: true, 1: true}}
-	transaction, root, err := p.readMetaPages()
+	txID, root, err := p.readMetaPages()
 	if err != nil {
 		return 0, nil, nil, err
 	}
@@ -60,12 +60,12 @@
 	if meta == nil || log == nil {
 		return 0, nil, nil, errDamaged
 	}
-	return transaction, meta, log, nil
+	return txID, meta, log, nil
 }
 
 // readMetaPages reads the two meta pages, which hold the last two transactions in turn. A damaged one is no reason to fall back to the other:
 // what this voter acknowledged last would be forgotten.
-func (p *pageReader) readMetaPages() (transaction, root uint64, err error) {
+func (p *pageReader) readMetaPages() (txID, root uint64, err error) {
 	if uint64(len(p.file)) < 2*p.pageSize {
 		return 0, 0, fmt.Errorf("%w: %d bytes", errDamaged, len(p.file))
 	}
@@ -81,14 +81,14 @@
 		if number%2 != i {
 			return 0, 0, fmt.Errorf("%w: first page %d is of transaction %d", errDamaged, i, number)
 		}
-		if number >= transaction {
-			transaction, root, p.pageCount = number, order.Uint64(m[16:]), order.Uint64(m[40:])
+		if number >= txID {
+			txID, root, p.pageCount = number, order.Uint64(m[16:]), order.Uint64(m[40:])
 		}
 	}
 	if p.pageCount > uint64(len(p.file))/p.pageSize {
 		return 0, 0, fmt.Errorf("%w: %d bytes of %d pages", errDamaged, len(p.file), p.pageCount)
 	}
-	return transaction, root, nil
+	return txID, root, nil
 }
 
 // readBucket reads a bucket's pairs; they are not nil.
--- a/internal/consensus/disk_test.go
+++ b/internal/consensus/disk_test.go
@@ -76,10 +76,10 @@
 // TestLostDirectory: whatever happened to a voter's directory, it never votes under its old identity, and votes again under a new one.
 func TestLostDirectory(t *testing.T) {
 	t.Parallel()
-	for _, how := range []string{"emptied", "in memory", "damaged", "older"} {
-		t.Run(how, func(t *testing.T) {
+	for _, failure := range []string{"emptied", "in memory", "damaged", "older"} {
+		t.Run(failure, func(t *testing.T) {
 			t.Parallel()
-			f := newCluster(t, 3, how != "in memory")
+			f := newCluster(t, 3, failure != "in memory")
 			f.startVoters()
 			f.propose("v1", "a")
 			f.waitSameState()
@@ -90,7 +90,7 @@
 			if err != nil && f.dirs["v2"] != "" {
 				t.Fatal(err)
 			}
-			if how == "older" {
+			if failure == "older" {
 				f.start("v2")
 				f.wait("it votes", func() bool { return f.nodes["v2"].Status().Role != RoleJoining })
 				f.propose("v2", "forgotten")
@@ -98,10 +98,10 @@
 				time.Sleep(3 * heartbeatTicks * tickInterval) // until the others know what it acknowledged
 				f.stop("v2")
 			}
-			if how == "damaged" {
+			if failure == "damaged" {
 				file[os.Getpagesize()+pageHeaderSize+20] ^= 1
 			}
-			if how == "emptied" {
+			if failure == "emptied" {
 				err = os.Remove(path)
 			} else if f.dirs["v2"] != "" {
 				err = os.WriteFile(path, file, 0o600)
@@ -113,7 +113,7 @@
 			f.start("v2")
 			f.wait("its status says so, and it votes again", func() bool {
 				s := f.nodes["v2"].Status()
-				return s.Identity != id && (s.Role == RoleVoter || s.Role == RoleLeader) && (strings.Contains(s.IdentityReason, how) || how == "emptied" || how == "in memory")
+				return s.Identity != id && (s.Role == RoleVoter || s.Role == RoleLeader) && (strings.Contains(s.IdentityReason, failure) || failure == "emptied" || failure == "in memory")
 			})
 			f.waitChangeDone("v2")
 			f.stop("v1")
@@ -125,8 +125,8 @@
 	}
 }
 
-// filledFile is a voter's file of that many entries, as bbolt wrote it, and what it holds.
-func filledFile(t *testing.T, entries int) (file []byte, h storedState) {
+// writeSampleFile is a voter's file of that many entries, as bbolt wrote it, and what it holds.
+func writeSampleFile(t *testing.T, entries int) (file []byte, stored storedState) {
 	d := &disk{directory: t.TempDir()}
 	if _, _, err := d.open(5); err != nil {
 		t.Fatal(err)
@@ -154,19 +154,19 @@
 	must(d.close())
 	file, err = os.ReadFile(filepath.Join(d.directory, databaseFile))
 	must(err)
-	h, err = loadFile(file)
+	stored, err = loadFile(file)
 	must(err)
-	if n := len(h.entries); h.identity != 5 || n == 0 || h.entries[0].GetIndex() != s.index+1 || h.entries[n-1].GetTerm() != 2 || h.hardState.GetVote() != 5 || h.acknowledged[7].term != 2 {
-		t.Fatalf("not read as written: %+v", h)
+	if n := len(stored.entries); stored.identity != 5 || n == 0 || stored.entries[0].GetIndex() != s.index+1 || stored.entries[n-1].GetTerm() != 2 || stored.hardState.GetVote() != 5 || stored.acknowledged[7].term != 2 {
+		t.Fatalf("not read as written: %+v", stored)
 	}
-	return file, h
+	return file, stored
 }
 
 // TestFileRoundTrip compares the file, as it is read without bbolt, with the model's.
 func TestFileRoundTrip(t *testing.T) {
 	t.Parallel()
 	rng := rand.New(rand.NewPCG(3, 1))
-	d, n, w := &disk{directory: t.TempDir()}, &modelNode{disk: storedState{identity: 5}}, &world{}
+	d, node, w := &disk{directory: t.TempDir()}, &modelNode{disk: storedState{identity: 5}}, &world{}
 	if _, _, err := d.open(5); err != nil {
 		t.Fatal(err)
 	}
@@ -204,34 +204,34 @@
 		if err := d.write(dw); err != nil {
 			t.Fatal(err)
 		}
-		n.writing = &dw
-		w.completeWrite(n)
+		node.writing = &dw
+		w.completeWrite(node)
 		file, err := os.ReadFile(filepath.Join(d.directory, databaseFile))
 		if err != nil {
 			t.Fatal(err)
 		}
-		h, err := loadFile(file)
+		stored, err := loadFile(file)
 		if err != nil {
 			t.Fatalf("write %d: %v", i, err)
 		}
-		want := n.disk
+		want := node.disk
 		for len(want.entries) > 0 && want.entries[0].GetIndex() <= s.index {
 			want.entries = want.entries[1:]
 		}
-		show := func(h storedState) string {
+		format := func(h storedState) string {
 			return fmt.Sprint(h.identity, h.snapshot, h.hardState, h.entries, h.acknowledged)
 		}
-		if show(h) != show(want) {
-			t.Fatalf("write %d: %d entries are read, %d were written", i, len(h.entries), len(want.entries))
+		if format(stored) != format(want) {
+			t.Fatalf("write %d: %d entries are read, %d were written", i, len(stored.entries), len(want.entries))
 		}
 		if i%20 == 19 {
 			if err := d.close(); err != nil {
 				t.Fatal(err)
 			}
-			if _, note, err := d.open(6); note != "" || err != nil {
-				t.Fatal(note, err)
+			if _, damage, err := d.open(6); damage != "" || err != nil {
+				t.Fatal(damage, err)
 			}
-			n.disk.entries = h.entries
+			node.disk.entries = stored.entries
 		}
 	}
 	if err := d.close(); err != nil {
@@ -242,25 +242,25 @@
 // TestDamagedFile truncates the file at each length and flips bits: it is then rejected, or read as before. The directory is then a new voter's.
 func TestDamagedFile(t *testing.T) {
 	t.Parallel()
-	good, stored := filledFile(t, 60)
+	good, stored := writeSampleFile(t, 60)
 	step := 199 // coprime to 8 and the page size: each bit of a byte, and each byte of a page, has its turn
 	if os.Getenv("CONSENSUS_SEEDS") != "" {
 		step = 1
 	}
 	for n := 0; n < len(good); n += step {
-		if h, err := loadFile(good[:n]); err == nil && !reflect.DeepEqual(h, stored) { // the file is longer than its pages in use
+		if got, err := loadFile(good[:n]); err == nil && !reflect.DeepEqual(got, stored) { // the file is longer than its pages in use
 			t.Fatalf("truncated at %d, and something else is read", n)
 		}
 	}
-	same, refused := 0, 0
+	unaffected, rejected := 0, 0
 	b := bytes.Clone(good)
 	for bit := 0; bit < 8*len(b); bit += step {
 		b[bit/8] ^= 1 << (bit % 8)
-		switch h, err := loadFile(b); {
+		switch got, err := loadFile(b); {
 		case err != nil:
-			refused++
-		case reflect.DeepEqual(h, stored): // in a free page, or in unused space
-			same++
+			rejected++
+		case reflect.DeepEqual(got, stored): // in a free page, or in unused space
+			unaffected++
 		default:
 			t.Fatalf("bit %d flipped, and something else is read", bit)
 		}
@@ -270,7 +270,7 @@
 	for from := 0; from < len(b); from += size { // each page in the place of each other, under its number: such as an older one
 		for to := 0; to < len(b); to += size {
 			copy(b[to+8:to+size], good[from+8:from+size])
-			if h, err := loadFile(b); err == nil && !reflect.DeepEqual(h, stored) {
+			if got, err := loadFile(b); err == nil && !reflect.DeepEqual(got, stored) {
 				t.Fatalf("page at %d in the place of %d, and something else is read", from, to)
 			}
 			copy(b[to:to+size], good[to:to+size])
@@ -279,13 +279,13 @@
 	for id := 0; id < len(b)/size; id++ { // a page that is its own child: a reader that loops does not end
 		if p := b[id*size:]; binary.NativeEndian.Uint16(p[8:]) == pageKindBranch {
 			binary.NativeEndian.PutUint64(p[pageHeaderSize+8:], uint64(id))
-			if h, err := loadFile(b); err == nil && !reflect.DeepEqual(h, stored) {
+			if got, err := loadFile(b); err == nil && !reflect.DeepEqual(got, stored) {
 				t.Fatalf("page %d is its own child, and accepted", id)
 			}
 		}
 	}
-	t.Log(same, refused)
-	if same == 0 || refused == 0 {
+	t.Log(unaffected, rejected)
+	if unaffected == 0 || rejected == 0 {
 		t.Error("nothing was tried")
 	}
 	dir := t.TempDir()
@@ -297,9 +297,9 @@
 			t.Fatal(err)
 		}
 		d := &disk{directory: dir}
-		h, note, err := d.open(6)
-		if err != nil || h.identity != c.id || (note == "") != (c.id == 5) || (h.snapshot == nil) != (c.id == 6) {
-			t.Fatalf("%d: %v %q, identity %d", i, err, note, h.identity)
+		got, damage, err := d.open(6)
+		if err != nil || got.identity != c.id || (damage == "") != (c.id == 5) || (got.snapshot == nil) != (c.id == 6) {
+			t.Fatalf("%d: %v %q, identity %d", i, err, damage, got.identity)
 		}
 		if i == 2 {
 			if _, _, err := (&disk{directory: dir}).open(7); !errors.Is(err, errInUse) {
--- a/internal/consensus/engine.go
+++ b/internal/consensus/engine.go
@@ -34,18 +34,18 @@
 	ended        chan struct{}
 
 	// Owned by run; err and removed are read by others once ended is closed.
-	err                error // why it ended; nil if it was stopped or removed
-	removed            bool  // this voter is not in the configuration any more
-	ready              *pendingReady
-	writing            bool
-	afterWrite         func()
-	diskError          error // the disk fails: the voter neither votes nor sends until it is rewritten
-	diskRetryAt        time.Time
-	silentUntilTick    int // a voter whose disk failed does not claim to lead before: others may long have elected another leader
-	announcedLeading   bool
-	announcedTerm      uint64
-	ownSnapshot        *recordSnapshot // to compact the log with
-	ownSnapshotEncoded []byte
+	err                   error // why it ended; nil if it was stopped or removed
+	removed               bool  // this voter is not in the configuration any more
+	ready                 *pendingReady
+	writing               bool
+	afterWrite            func()
+	diskError             error // the disk fails: the voter neither votes nor sends until it is rewritten
+	diskRetryAt           time.Time
+	noLeadershipUntilTick int // a voter whose disk failed does not claim to lead before: others may long have elected another leader
+	announcedLeading      bool
+	announcedTerm         uint64
+	ownSnapshot           *recordSnapshot // to compact the log with
+	ownSnapshotEncoded    []byte
 
 	view atomic.Pointer[engineView]
 }
@@ -159,7 +159,7 @@
 
 // startCall proposes a call's command, or requests its read index.
 func (e *engine) startCall(call *pendingCall) {
-	if e.diskError != nil || e.core.tickCount < e.silentUntilTick {
+	if e.diskError != nil || e.core.tickCount < e.noLeadershipUntilTick {
 		e.node.pendingCalls.fail(call, errNoLeader)
 		return
 	}
--- a/internal/consensus/engine_disk.go
+++ b/internal/consensus/engine_disk.go
@@ -12,8 +12,8 @@
 )
 
 // startWrite hands a write to the disk's goroutine; then is called once it has succeeded.
-func (e *engine) startWrite(write func() error, then func()) {
-	e.writing, e.afterWrite = true, then
+func (e *engine) startWrite(write func() error, onSuccess func()) {
+	e.writing, e.afterWrite = true, onSuccess
 	e.writes <- write
 }
 
@@ -28,11 +28,11 @@
 	}
 	if e.diskError != nil {
 		e.node.log().Warn("consensus: the disk works again: this voter votes")
-		e.diskError, e.silentUntilTick = nil, e.core.tickCount+electionTicks+1
+		e.diskError, e.noLeadershipUntilTick = nil, e.core.tickCount+electionTicks+1
 	}
-	if then := e.afterWrite; then != nil {
+	if onSuccess := e.afterWrite; onSuccess != nil {
 		e.afterWrite = nil
-		then()
+		onSuccess()
 	}
 	e.publishView()
 }
--- a/internal/consensus/engine_view.go
+++ b/internal/consensus/engine_view.go
@@ -26,7 +26,7 @@
 // publishView makes the state visible to other goroutines, and announces a change of leadership.
 func (e *engine) publishView() {
 	status := e.core.status()
-	v := &engineView{isLeader: status.RaftState == raft.StateLeader && e.diskError == nil && e.core.tickCount >= e.silentUntilTick,
+	v := &engineView{isLeader: status.RaftState == raft.StateLeader && e.diskError == nil && e.core.tickCount >= e.noLeadershipUntilTick,
 		unverified: e.core.unverified, inJointConfig: e.core.inJointConfig(), leader: status.Lead, term: status.GetTerm(), commitIndex: status.GetCommit(), snapshotIndex: e.core.snapshotIndex, snapshotSize: e.core.snapshotSize,
 		voters: e.core.voters, acknowledged: maps.Clone(e.core.acknowledged), changeBlocked: e.core.changeBlocked, diskError: e.diskError}
 	v.firstIndex, _ = e.core.storage.FirstIndex()
--- a/internal/consensus/envelope.go
+++ b/internal/consensus/envelope.go
@@ -26,9 +26,9 @@
 
 // Labels of the key derivations. They are part of the wire format.
 const (
-	keyIDLabel  = "accord mark "
-	tagLabel    = "accord\x00"
-	answerLabel = "answer"
+	keyIDLabel    = "accord mark "
+	tagLabel      = "accord\x00"
+	responseLabel = "answer"
 )
 
 // errWrongReceiver rejects a request for another relay. The other reasons are those of gossip's envelopes; all texts are keys of
@@ -119,22 +119,22 @@
 	return req, nil
 }
 
-// sealAnswer seals a part of the response to the request with that tag: a frame of a stream, or 0 for the only one.
-func sealAnswer(key, requestTag []byte, part uint64, body []byte) []byte {
-	return append(answerTag(key, requestTag, part, body), body...)
+// sealResponse seals a part of the response to the request with that tag: a frame of a stream, or 0 for the only one.
+func sealResponse(key, requestTag []byte, part uint64, body []byte) []byte {
+	return append(responseTag(key, requestTag, part, body), body...)
 }
 
-// verifyAnswer returns the body that sealAnswer sealed.
-func verifyAnswer(key, requestTag []byte, part uint64, b []byte) ([]byte, error) {
+// verifyResponse returns the body that sealResponse sealed.
+func verifyResponse(key, requestTag []byte, part uint64, b []byte) ([]byte, error) {
 	if len(b) < tagSize {
 		return nil, gossip.ErrSize
 	}
-	if !hmac.Equal(answerTag(key, requestTag, part, b[tagSize:]), b[:tagSize]) {
+	if !hmac.Equal(responseTag(key, requestTag, part, b[tagSize:]), b[:tagSize]) {
 		return nil, gossip.ErrBadTag
 	}
 	return b[tagSize:], nil
 }
 
-func answerTag(key, requestTag []byte, part uint64, body []byte) []byte {
-	return computeTag(key, []byte(answerLabel), requestTag, binary.BigEndian.AppendUint64(nil, part), body)
+func responseTag(key, requestTag []byte, part uint64, body []byte) []byte {
+	return computeTag(key, []byte(responseLabel), requestTag, binary.BigEndian.AppendUint64(nil, part), body)
 }
--- a/internal/consensus/envelope_test.go
+++ b/internal/consensus/envelope_test.go
@@ -19,20 +19,20 @@
 	f.propose("r1", "a")
 	f.stop("r1")
 	f.start("r1")
-	named := map[string]bool{}
+	reported := map[string]bool{}
 	f.wait("they are found", func() bool {
 		for name, n := range f.nodes {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			n.Barrier(ctx) // any request; it may fail
 			cancel()
-			for _, twin := range n.Status().DuplicateNames {
-				if twin != "r0" {
-					t.Fatalf("%s names %s", name, twin)
+			for _, duplicate := range n.Status().DuplicateNames {
+				if duplicate != "r0" {
+					t.Fatalf("%s names %s", name, duplicate)
 				}
-				named[name] = true
+				reported[name] = true
 			}
 		}
-		return named["r0"] && named["its duplicate"] && (named["v0"] || named["v1"] || named["v2"])
+		return reported["r0"] && reported["its duplicate"] && (reported["v0"] || reported["v1"] || reported["v2"])
 	})
 }
 
@@ -45,8 +45,8 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r, err := verifyRequest(keys, "to", b)
 		if err == nil && !bytes.Equal(b, good) {
-			again, _ := sealRequest(r.key, r.epoch, r.start, r.sequence, r.kind, r.from, "to", r.body)
-			if !bytes.Equal(again, b) {
+			resealed, _ := sealRequest(r.key, r.epoch, r.start, r.sequence, r.kind, r.from, "to", r.body)
+			if !bytes.Equal(resealed, b) {
 				t.Fatal("accepted, and not sealed so")
 			}
 		}
@@ -55,14 +55,14 @@
 
 func TestEnvelope(t *testing.T) {
 	keys := [][]byte{[]byte("key one"), []byte("key two")}
-	f := replayGuard{epoch: 4}
+	guard := replayGuard{epoch: 4}
 	check := func(epoch, start, seq uint64) error {
 		b, _ := sealRequest(keys[0], epoch, start, seq, requestPropose, "a", "b", []byte("x"))
 		r, err := verifyRequest(keys, "b", b)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, err = f.admit(r)
+		_, err = guard.admit(r)
 		return err
 	}
 	for _, c := range []struct {
@@ -81,21 +81,21 @@
 		t.Errorf("for another: %v", err)
 	}
 	for i := range b {
-		c := bytes.Clone(b)
-		c[i] ^= 1
-		if _, err := verifyRequest(keys, "b", c); err == nil {
+		flipped := bytes.Clone(b)
+		flipped[i] ^= 1
+		if _, err := verifyRequest(keys, "b", flipped); err == nil {
 			t.Fatalf("byte %d flipped, and accepted", i)
 		}
 	}
-	a := sealAnswer(keys[0], tag, 0, []byte("yes"))
-	if got, err := verifyAnswer(keys[0], tag, 0, a); err != nil || string(got) != "yes" {
+	sealedResponse := sealResponse(keys[0], tag, 0, []byte("yes"))
+	if got, err := verifyResponse(keys[0], tag, 0, sealedResponse); err != nil || string(got) != "yes" {
 		t.Fatal(err)
 	}
-	_, other := sealRequest(keys[0], 1, 2, 4, requestPropose, "a", "b", nil)
-	if _, err := verifyAnswer(keys[0], other, 0, a); err == nil {
+	_, otherTag := sealRequest(keys[0], 1, 2, 4, requestPropose, "a", "b", nil)
+	if _, err := verifyResponse(keys[0], otherTag, 0, sealedResponse); err == nil {
 		t.Error("a response to another request")
 	}
-	if _, err := verifyAnswer(keys[0], tag, binary.MaxVarintLen16, a); err == nil {
+	if _, err := verifyResponse(keys[0], tag, binary.MaxVarintLen16, sealedResponse); err == nil {
 		t.Error("a response's other part")
 	}
 }
--- a/internal/consensus/server.go
+++ b/internal/consensus/server.go
@@ -106,7 +106,7 @@
 
 // respond writes a sealed response.
 func (n *Node) respond(w http.ResponseWriter, req envelope, body []byte) {
-	sealed := sealAnswer(req.key, req.tag, 0, body)
+	sealed := sealResponse(req.key, req.tag, 0, body)
 	if req.kind == requestFollow { // the response is a frame of a stream
 		sealed = append(binary.BigEndian.AppendUint32(nil, uint32(len(sealed))), sealed...)
 	}
--- a/internal/consensus/stream_follower.go
+++ b/internal/consensus/stream_follower.go
@@ -100,7 +100,7 @@
 		if err != nil {
 			return err
 		}
-		if number == 0 && n.client.updateFreshness(f.source.name, stream.start, frame) {
+		if number == 0 && n.client.updateEpochOrStart(f.source.name, stream.start, frame) {
 			return errStreamRetry
 		}
 		timeout.Reset(streamTimeout)
@@ -134,7 +134,7 @@
 	if err != nil {
 		return nil, err
 	}
-	frame, err := verifyAnswer(f.node.options.Keys[0], stream.tag, number, sealed)
+	frame, err := verifyResponse(f.node.options.Keys[0], stream.tag, number, sealed)
 	if err != nil || len(frame) == 0 {
 		return nil, gossip.ErrBadTag
 	}
--- a/internal/consensus/stream_server.go
+++ b/internal/consensus/stream_server.go
@@ -29,7 +29,7 @@
 	if err := s.rc.SetWriteDeadline(time.Now().Add(timeout)); err != nil {
 		return err
 	}
-	b := sealAnswer(s.req.key, s.req.tag, s.frame, append([]byte{kind}, body...))
+	b := sealResponse(s.req.key, s.req.tag, s.frame, append([]byte{kind}, body...))
 	s.frame++
 	if _, err := s.w.Write(binary.BigEndian.AppendUint32(nil, uint32(len(b)))); err != nil {
 		return err
