--- a/internal/consensus/applier.go
+++ b/internal/consensus/applier.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// A snapshot is taken after so many entries, or bytes of entries.
+	// A snapshot is due after this many entries, or this many bytes of entries.
 	snapshotEntries = 4096
 	snapshotBytes   = 1 << 20
-	// The recent entries for followers are at most twice snapshotEntries and maxRecentBytes, so that the last snapshot and what follows it are
-	// always at hand.
+	// The recent entries kept for followers are limited to 2*snapshotEntries entries and
+	// maxRecentBytes, so that they normally reach back to the last snapshot.
 	maxRecentBytes = 4 << 20
 )
 
-// applier applies committed entries to the machine and keeps the recent ones for followers. Calls that change it come from one goroutine,
-// or from the model.
+// applier applies committed entries to the machine and keeps recent ones for followers. The methods
+// that change it are called from one goroutine: the apply loop's, or the model test's.
 type applier struct {
 	machine             Machine
-	snapshotInterval    int    // in entries: snapshotEntries
-	initialMachineState []byte // the machine's snapshot when the process started
+	snapshotInterval    int    // in entries; snapshotEntries except in tests
+	initialMachineState []byte // the machine's snapshot at the start of the process
 
 	mu                   sync.Mutex
-	current              recordSnapshot   // without the machine's state
-	recent               []committedEntry // without gaps, up to current.index
+	current              recordSnapshot   // state after the last applied entry, without the machine's part
+	recent               []committedEntry // last applied entries without gaps, up to current.index
 	recentBytes          int
-	lastSnapshot         *recordSnapshot // recent has all entries after it
-	lastSnapshotEncoded  []byte          // lastSnapshot, encoded
+	lastSnapshot         *recordSnapshot // nil: a snapshot is due
+	lastSnapshotEncoded  []byte
 	entriesSinceSnapshot int
 	bytesSinceSnapshot   int
 	changed              chan struct{} // closed and replaced at each change
@@ -42,7 +42,8 @@
 	a.changed = make(chan struct{})
 }
 
-// restore replaces the whole state by a snapshot, if that is newer or of another record.
+// restore replaces the whole state with a snapshot if that is newer or of another record. It reports
+// whether it did.
 func (a *applier) restore(s recordSnapshot) (bool, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -59,7 +60,8 @@
 	return true, nil
 }
 
-// apply applies the next entry. An entry that is already applied is skipped: raft and a stream may both deliver it.
+// apply applies the next entry. It skips an entry that is already applied, since raft and a stream may
+// both deliver it.
 func (a *applier) apply(e committedEntry) (result []byte, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -90,14 +92,15 @@
 	return result, true
 }
 
-// snapshotDue says whether a snapshot has to be taken.
+// snapshotDue reports whether a snapshot has to be taken.
 func (a *applier) snapshotDue() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.current.recordID != 0 && (a.entriesSinceSnapshot >= a.snapshotInterval || a.bytesSinceSnapshot >= snapshotBytes || a.lastSnapshot == nil)
 }
 
-// takeSnapshot returns a snapshot of the current state, or nil if the machine's part is too large.
+// takeSnapshot takes a snapshot of the current state and makes it the latest one. It returns nil if
+// the machine's part exceeds MaxSnapshotSize.
 func (a *applier) takeSnapshot() (s *recordSnapshot, encoded []byte) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -111,21 +114,22 @@
 	return &taken, a.lastSnapshotEncoded
 }
 
-// expireSnapshot makes a snapshot due.
+// expireSnapshot discards the latest snapshot, so that a new one is due.
 func (a *applier) expireSnapshot() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.lastSnapshot = nil
 }
 
-// latestSnapshot returns the last snapshot and its encoding.
+// latestSnapshot returns the latest snapshot and its encoding.
 func (a *applier) latestSnapshot() (s *recordSnapshot, encoded []byte) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.lastSnapshot, a.lastSnapshotEncoded
 }
 
-// position returns the record and the index of the last applied entry; changed is closed when they change.
+// position returns the record's ID and the index of the last applied entry. The channel is closed when
+// either changes.
 func (a *applier) position() (recordID, index uint64, changed <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -137,21 +141,21 @@
 	return voters
 }
 
-// voterSetAt returns the voters, and the index at which they were committed.
+// voterSetAt returns the voters and the index at which they were committed.
 func (a *applier) voterSetAt() (voterSet, uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.current.voters, a.current.votersIndex
 }
 
-// logBytes is the size of the recent entries.
+// logBytes returns the size of the recent entries.
 func (a *applier) logBytes() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.recentBytes
 }
 
-// streamBatch is what a follower is sent next.
+// streamBatch is the next part of a follower's stream: a snapshot, entries after it, or both.
 type streamBatch struct {
 	snapshot []byte // encoded; nil if the follower needs none
 	entries  []committedEntry
@@ -160,8 +164,10 @@
 
 func (b streamBatch) empty() bool { return b.snapshot == nil && len(b.entries) == 0 }
 
-// entriesAfter returns what a follower at an index of a record is sent next: entries of about maxBytes, with a snapshot before them if the
-// recent entries do not reach back to its index. It is empty if there is nothing, or no snapshot yet; changed is closed at the next change.
+// entriesAfter returns the next batch for a follower that has applied the given index of the given
+// record. The batch has about maxBytes of entries, preceded by a snapshot if the recent entries do not
+// reach back to the index. It is empty if there is nothing new, or if a snapshot is needed and none
+// exists yet. The channel is closed at the next change.
 func (a *applier) entriesAfter(recordID, index uint64, maxBytes int) (b streamBatch, changed <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -174,7 +180,7 @@
 	}
 	if recordID != a.current.recordID || index+1 < first {
 		if a.lastSnapshot == nil || a.lastSnapshot.index+1 < first {
-			return streamBatch{}, a.changed // snapshotDue has the apply loop take one soon
+			return streamBatch{}, a.changed // snapshotDue makes the apply loop take one soon
 		}
 		b.snapshot, index = a.lastSnapshotEncoded, a.lastSnapshot.index
 	}
--- a/internal/consensus/apply_loop.go
+++ b/internal/consensus/apply_loop.go
@@ -1,15 +1,15 @@
 package consensus
 
-const applyQueueSize = 64 // batches that wait to be applied
+const applyQueueSize = 64 // batches
 
 // applyBatch is work for the apply loop: a snapshot, or entries after it.
 type applyBatch struct {
 	snapshot *recordSnapshot
 	entries  []committedEntry
-	done     chan error // holds one; nil if nobody waits
+	done     chan error // receives the outcome; buffered, or nil if nobody waits
 }
 
-// applyLoop is the only caller of the machine once the node runs.
+// applyLoop applies batches and takes snapshots. While the node runs it is the machine's only caller.
 func (n *Node) applyLoop() {
 	for {
 		select {
@@ -47,7 +47,8 @@
 	return err
 }
 
-// snapshotIfDue has the engine compact its log with a new snapshot.
+// snapshotIfDue takes a snapshot if one is due and passes it to the engine, which compacts its log. It
+// does nothing on a relay without an engine.
 func (n *Node) snapshotIfDue() {
 	if n.engine() == nil || !n.applier.snapshotDue() {
 		return
@@ -60,7 +61,7 @@
 	n.onEngine(func(e *engine) { e.ownSnapshot, e.ownSnapshotEncoded = s, encoded })
 }
 
-// applyAndWait hands a batch to the apply loop and waits until it is applied.
+// applyAndWait queues a batch for the apply loop and waits until it is applied.
 func (n *Node) applyAndWait(b applyBatch) error {
 	b.done = make(chan error, 1)
 	select {
@@ -76,7 +77,7 @@
 	}
 }
 
-// snapshotNow has the apply loop take a snapshot of what is applied now.
+// snapshotNow makes the apply loop take a snapshot of the current state, and returns it.
 func (n *Node) snapshotNow() (*recordSnapshot, []byte) {
 	n.applier.expireSnapshot()
 	done := make(chan struct{})
@@ -91,7 +92,7 @@
 	return n.applier.latestSnapshot()
 }
 
-// requestSnapshot asks the apply loop for a snapshot, if one is due, and does not wait.
+// requestSnapshot asks the apply loop to take a snapshot if one is due. It does not wait.
 func (n *Node) requestSnapshot() {
 	select {
 	case n.snapshotRequests <- make(chan struct{}):
--- a/internal/consensus/bootstrap.go
+++ b/internal/consensus/bootstrap.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// bootstrapReservation is how long a relay is reserved for one bootstrap.
+// bootstrapReservation is how long a relay stays reserved for one bootstrap.
 const bootstrapReservation = 10 * time.Second
 
-// bootstrap begins a record, if this relay is the first by name of the voters, and all of them are up and empty. A voter that has a record or
-// a log says so: a voter that comes back with nothing never begins a second record.
+// bootstrap creates the record if this relay's name is the first of the voters' in sorted order and all
+// voters are up and empty. A voter that has a record or a log reports so, and the bootstrap is
+// abandoned: therefore a voter that returns with an empty directory cannot create a second record.
 func (n *Node) bootstrap(identity uint64) {
 	names := slices.Sorted(maps.Keys(n.options.Voters))
 	if names[0] != n.options.Name {
@@ -18,7 +19,7 @@
 	}
 	recordID := randomID()
 	voters := voterSet{identity: {n.options.Name, n.options.Voters[n.options.Name]}}
-	for _, bootstrapID := range []uint64{0, recordID} { // the second time reserves them
+	for _, bootstrapID := range []uint64{0, recordID} { // the first pass only checks, the second reserves
 		for _, name := range names[1:] {
 			v := voter{name, n.options.Voters[name]}
 			status, err := n.queryPeer(v, identity, bootstrapID)
--- a/internal/consensus/calls.go
+++ b/internal/consensus/calls.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	barrierAttemptTimeout = 2 * time.Second // of one attempt of a barrier, which may be retried
+	barrierAttemptTimeout = 2 * time.Second // per attempt of a barrier, which can safely be retried
 	retryDelay            = 50 * time.Millisecond
-	maxHops               = 2 // how often a call is forwarded at most
+	maxHops               = 2 // how many times a call may be forwarded
 )
 
-// Propose has a command committed, from any relay. It returns the machine's result and the index once a relay that knows has applied it;
-// this relay's machine may still be behind (WaitApplied). A command is never proposed twice: an error other than ErrOutcomeUnknown says
-// that nothing was committed.
+// Propose proposes a command; it may be called on any relay. It returns the machine's result and the
+// entry's index once the relay that proposed it to raft has applied it. This relay's machine may still
+// be behind (see WaitApplied). A command is never proposed twice: any error except ErrOutcomeUnknown
+// means that nothing was committed.
 func (n *Node) Propose(ctx context.Context, command []byte) (result []byte, index uint64, err error) {
 	if len(command) > MaxCommandSize {
 		return nil, 0, ErrTooLarge
@@ -24,7 +25,8 @@
 	return r.answer, r.index, r.err
 }
 
-// Barrier returns when all that was committed before the call is applied here. It needs a quorum, and adds nothing to the log.
+// Barrier returns once this relay has applied everything that was committed before the call. It needs a
+// quorum and adds nothing to the log.
 func (n *Node) Barrier(ctx context.Context) (index uint64, err error) {
 	r := n.callWithRetry(ctx, nil, true)
 	if r.err != nil {
@@ -33,7 +35,7 @@
 	return r.index, n.WaitApplied(ctx, r.index)
 }
 
-// WaitApplied returns when the machine here has applied the entries up to index.
+// WaitApplied returns once this relay's machine has applied the entries up to index.
 func (n *Node) WaitApplied(ctx context.Context, index uint64) error {
 	for {
 		_, applied, changed := n.applier.position()
@@ -50,7 +52,7 @@
 	}
 }
 
-// callWithRetry makes attempts until one was sent to a relay that may have acted on it, or the time is over.
+// callWithRetry makes attempts until one has a final result or the time is up.
 func (n *Node) callWithRetry(ctx context.Context, command []byte, barrier bool) callResult {
 	ctx, cancel := context.WithTimeout(ctx, ProposeTimeout)
 	defer cancel()
@@ -58,7 +60,7 @@
 		if r, final := n.attemptCall(ctx, command, barrier, func(ctx context.Context, call *pendingCall) callResult { return n.routeCall(ctx, call, 0) }); final {
 			return r
 		}
-		for _, v := range n.otherVoters() { // no leader is known here: a voter may know it
+		for _, v := range n.otherVoters() { // this relay knows no leader, but a voter may
 			if ctx.Err() != nil {
 				break
 			}
@@ -76,8 +78,8 @@
 	}
 }
 
-// attemptCall makes one attempt, under a proposal id of its own. The result is final unless another attempt is safe: nobody can have acted on
-// this one, or it is a barrier.
+// attemptCall makes one attempt under a new proposal ID. The result is final unless another attempt is
+// safe: because no relay can have acted on this one, or because the call is a barrier.
 func (n *Node) attemptCall(ctx context.Context, command []byte, barrier bool, send func(context.Context, *pendingCall) callResult) (r callResult, final bool) {
 	call := &pendingCall{command: command, barrier: barrier, done: make(chan callResult, 1)}
 	copy(call.id[:8], n.proposalIDBase[:])
@@ -91,7 +93,8 @@
 	return r, !errors.Is(r.err, errNoLeader) && !(barrier && errors.Is(r.err, ErrOutcomeUnknown))
 }
 
-// routeCall makes a call at the leader, here or by forwarding it. It was forwarded hops times already.
+// routeCall makes a call at the leader, either locally or by forwarding it. hops is how many times the
+// call has been forwarded so far.
 func (n *Node) routeCall(ctx context.Context, call *pendingCall, hops int) callResult {
 	leader, isSelf, known := n.knownLeader()
 	switch {
@@ -103,7 +106,7 @@
 	return n.forwardCall(ctx, leader, call, hops+1)
 }
 
-// callLocally makes a call at this node's own engine.
+// callLocally makes a call at this node's engine and waits for its result.
 func (n *Node) callLocally(ctx context.Context, call *pendingCall) callResult {
 	e := n.engine()
 	if e == nil {
@@ -130,7 +133,8 @@
 	return <-call.done
 }
 
-// forwardCall sends a call to another relay. An answer that is not the relay's own, or none, leaves the outcome unknown.
+// forwardCall sends a call to another relay. If the request was sent but no valid response arrives, the
+// outcome is unknown.
 func (n *Node) forwardCall(ctx context.Context, to voter, call *pendingCall, hops int) callResult {
 	remaining := ProposeTimeout
 	if deadline, ok := ctx.Deadline(); ok {
@@ -151,7 +155,7 @@
 	return decodeCallResult(response)
 }
 
-// handleCall handles a call that another relay forwarded.
+// handleCall serves a call that another relay has forwarded.
 func (n *Node) handleCall(ctx context.Context, req envelope) []byte {
 	r := reader{rest: req.body}
 	hops, remaining := r.uint(), r.uint()
@@ -180,7 +184,7 @@
 	return []byte{codeOutcomeUnknown}
 }
 
-// decodeCallResult decodes a response, which is not empty.
+// decodeCallResult decodes a response, which must not be empty.
 func decodeCallResult(response []byte) callResult {
 	switch response[0] {
 	case codeOK:
--- a/internal/consensus/client.go
+++ b/internal/consensus/client.go
@@ -18,20 +18,23 @@
 
 const (
 	dialTimeout     = time.Second
-	maxCallAttempts = 4 // each refused unread, for its epoch or start
+	maxCallAttempts = 4 // of one request, if the receiver rejects its epoch or start
 )
 
-// errNotSent says that nobody has acted on a request.
+// errNotSent means that no relay has acted on a request: it was not sent, or was rejected unread. The
+// text can reach an operator in the HTTP response to a replacement of a voter.
 var errNotSent = errors.New("not sent")
 
-// client makes requests to other relays.
+// client sends requests to other relays.
 type client struct {
-	node     *Node
-	http     *http.Client
-	mu       sync.Mutex
-	start    uint64 // with random low bits: two relays of one name never have the same, or they would share sequence numbers unnoticed
+	node *Node
+	http *http.Client
+	mu   sync.Mutex
+	// start identifies this process in its requests; see envelope. Its low bits are random: if two
+	// relays of one name had the same start, each would use the other's sequence numbers undetected.
+	start    uint64
 	sequence uint64
-	epochs   map[string]uint64 // of the receivers, by name
+	epochs   map[string]uint64 // the receivers' epochs, by name
 }
 
 func newClient(n *Node) *client {
@@ -47,14 +50,14 @@
 	return &client{node: n, http: &http.Client{Transport: transport}, start: uint64(time.Now().UnixMilli())<<20 + randomID()>>42, epochs: map[string]uint64{}}
 }
 
-// response is an unread response, with what its tag covers of the request.
+// response is a response whose body is unread, with the request's tag and start.
 type response struct {
 	io.ReadCloser
 	tag   []byte
 	start uint64
 }
 
-// send sends a request. An error that is errNotSent says that nobody has acted on it.
+// send sends a request. An error that wraps errNotSent means that no relay has acted on it.
 func (c *client) send(ctx context.Context, to voter, kind requestKind, body []byte) (*response, error) {
 	address := to.address
 	if override, ok := c.node.options.DialAddresses[to.name]; ok {
@@ -81,13 +84,14 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		resp.Body.Close()
-		// A status is not sealed, so anyone may have sent it: it does not prove that nobody has acted.
+		// The status is not authenticated, so it does not prove that no relay has acted on the request.
 		return nil, fmt.Errorf("status %d", resp.StatusCode)
 	}
 	return &response{ReadCloser: resp.Body, tag: tag, start: start}, nil
 }
 
-// updateEpochOrStart takes the epoch or start from a response that refused the request's. The request may then be sent again, since it was not read.
+// updateEpochOrStart reports whether a response rejects its request's epoch or start. If so, it adopts
+// the values in the response. The request can then be sent again, since its body was not handled.
 func (c *client) updateEpochOrStart(name string, requestStart uint64, body []byte) (rejected bool) {
 	if len(body) != 9 || body[0] != codeWrongEpoch && body[0] != codeStaleStart {
 		return false
@@ -100,14 +104,14 @@
 			clear(c.epochs)
 		}
 		c.epochs[name] = value
-	} else if value >= c.start && requestStart == c.start { // otherwise it was raised since
+	} else if value >= c.start && requestStart == c.start { // unless c.start was raised in the meantime
 		c.start, c.sequence = value+1+randomID()>>42, 0
 		c.node.replayGuard.noteOwnRestart(c.node.options.Name)
 	}
 	return true
 }
 
-// call sends a request and returns the response from its code on; it is not empty.
+// call sends a request and returns the verified response, which begins with its code and is not empty.
 func (c *client) call(ctx context.Context, to voter, kind requestKind, body []byte) ([]byte, error) {
 	for range maxCallAttempts {
 		resp, err := c.send(ctx, to, kind, body)
--- a/internal/consensus/codec.go
+++ b/internal/consensus/codec.go
@@ -5,9 +5,11 @@
 	"errors"
 )
 
+// errMalformed means that data ended early or could not be decoded. The text is sent in rejections.
 var errMalformed = errors.New("short or malformed")
 
-// reader decodes what the put functions encode. The first error is kept, and all that is read after it is empty.
+// reader decodes what the put functions encode. After the first error all further reads return zero
+// values; finish returns the error.
 type reader struct {
 	rest []byte
 	err  error
@@ -36,7 +38,8 @@
 	return b
 }
 
-// count reads the number of elements that follow. Each takes at least one byte, which bounds the number.
+// count reads the number of elements that follow. Each takes at least one byte, so a count larger than
+// the remaining bytes is an error.
 func (r *reader) count() int {
 	n := r.uint()
 	if n > uint64(len(r.rest)) {
@@ -46,7 +49,7 @@
 	return int(n)
 }
 
-// list reads byte strings; more than limit are an error.
+// list reads a list of at most limit byte strings; a longer one is an error.
 func (r *reader) list(limit int) (l [][]byte) {
 	n := r.count()
 	if n > limit {
@@ -61,7 +64,7 @@
 
 func (r *reader) string() string { return string(r.bytes()) }
 
-// finish returns the first error, or one if there are bytes left.
+// finish returns the first error. Bytes that are left over are an error too.
 func (r *reader) finish() error {
 	if r.err == nil && len(r.rest) > 0 {
 		return errMalformed
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -9,24 +9,26 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// A tick is tickInterval. Without a leader, an election begins after electionTicks to twice that. docs/design/consensus.md has the times
-// that follow from this.
+// Raft's parameters. Without a leader, a voter starts an election after a random number of ticks
+// between electionTicks and twice that. docs/design/consensus.md lists the resulting times.
 const (
-	heartbeatTicks      = 2
-	electionTicks       = 12
+	heartbeatTicks      = 2  // of tickInterval each
+	electionTicks       = 12 // of tickInterval each
 	maxMessageSize      = 256 << 10
 	maxInflightMessages = 64
-	maxUncommittedSize  = 8 << 20 // bytes proposed and not yet committed
+	maxUncommittedSize  = 8 << 20 // bytes of proposed entries that are not committed yet
 	maxCommittedSize    = 1 << 20 // bytes of committed entries in one Ready
 )
 
-// errOutdatedDirectory: the voter may not vote with this directory. The text is part of Status.IdentityReason.
+// errOutdatedDirectory means that the voter must not vote with this directory: it lacks entries or terms
+// that the voter has acknowledged. The text is part of Status.IdentityReason.
 var errOutdatedDirectory = errors.New("this directory is older than what this voter has acknowledged")
 
+// errNoLeader means that a call was not proposed: no leader is known, or the leader cannot take calls.
 var errNoLeader = errors.New("no leader")
 
-// core is one voter's raft state machine around a RawNode. It is driven by messages, ticks, and the completion of writes; it does no I/O
-// and reads no clock.
+// core is one voter's raft state machine, built on raft.RawNode. Its inputs are messages, ticks and
+// completed writes; it does no I/O and reads no clock.
 type core struct {
 	id             uint64
 	rawNode        *raft.RawNode
@@ -34,19 +36,19 @@
 	voters         voterSet
 	confState      *pb.ConfState
 	recordID       uint64
-	unverified     bool // whether its directory is outdated is not yet known: it neither votes nor campaigns
-	acknowledged   map[uint64]logPosition
+	unverified     bool                      // the directory may be outdated: this voter neither votes nor campaigns
+	acknowledged   map[uint64]logPosition    // highest position known of each voter, by identity
 	proposals      map[string]changeProposal // by the new voter's name
-	lastContact    map[uint64]int            // the tick of a voter's last response
+	lastContact    map[uint64]int            // tick of a voter's last response, by identity
 	tickCount      int
-	inProgress     *pendingReady
-	lastChangeTick int // of the last change of voters that was proposed
+	inProgress     *pendingReady // not advanced yet; nil if there is none
+	lastChangeTick int           // of the last proposed change of voters
 	snapshotIndex  uint64
 	snapshotSize   int
-	changeBlocked  string // why the last change of voters was not proposed
+	changeBlocked  string // why a pending change of voters was not proposed at the last check
 }
 
-// newCore starts from storage, which holds the last snapshot, decoded as s, and what follows it.
+// newCore creates a core from a storage that holds a snapshot, decoded as s, and the entries after it.
 func newCore(id uint64, storage *raft.MemoryStorage, s recordSnapshot, unverified bool, log raft.Logger) (c *core, err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -75,13 +77,13 @@
 
 func (c *core) inJointConfig() bool { return len(c.confState.GetVotersOutgoing()) > 0 }
 
-// tick advances raft's logical clock by one tick.
+// tick advances raft's logical clock by one tick, or by two for a candidate.
 func (c *core) tick() {
 	c.tickCount++
 	if !c.unverified {
 		c.rawNode.Tick()
 		if state := c.status().RaftState; state == raft.StateCandidate || state == raft.StatePreCandidate {
-			c.rawNode.Tick() // a split vote is retried in half the time: otherwise the next leader may take over 2 s
+			c.rawNode.Tick() // retries a split vote after half the time: otherwise an election can take over 2 s
 		}
 	}
 	for name, p := range c.proposals {
@@ -94,7 +96,8 @@
 	}
 }
 
-// step takes a message from another voter. It fails with errOutdatedDirectory if the message shows that this directory is outdated.
+// step handles a message from another voter. It returns errOutdatedDirectory if the message shows that
+// this voter's directory is outdated.
 func (c *core) step(m *pb.Message) error {
 	from := m.GetFrom()
 	if m.GetTo() != c.id || from == c.id || from == raft.None || raft.IsLocalMsg(m.GetType()) || raft.IsLocalMsgTarget(from) {
@@ -102,8 +105,8 @@
 	}
 	switch m.GetType() {
 	case pb.MsgProp, pb.MsgReadIndex, pb.MsgReadIndexResp, pb.MsgTransferLeader, pb.MsgForgetLeader:
-		return errMalformed // calls are forwarded by HTTP: no voter sends any of these
-	case pb.MsgPreVote, pb.MsgPreVoteResp: // their terms are not yet anyone's
+		return errMalformed // voters do not send these: calls are forwarded as HTTP requests
+	case pb.MsgPreVote, pb.MsgPreVoteResp: // the term may be one that no voter has adopted yet
 	case pb.MsgAppResp, pb.MsgHeartbeatResp:
 		c.lastContact[from] = c.tickCount
 		p := logPosition{term: m.GetTerm()}
@@ -121,12 +124,12 @@
 		}
 	}
 	if m.GetType() == pb.MsgHeartbeat && m.GetTerm() >= c.status().GetTerm() && m.GetCommit() > c.lastUnstableIndex() {
-		return errOutdatedDirectory // a leader's commit index covers only what this voter has acknowledged
+		return errOutdatedDirectory // a leader sends a commit index no higher than this voter has acknowledged
 	}
 	return c.rawNode.Step(m)
 }
 
-// lastUnstableIndex is the index of the last entry, written or not.
+// lastUnstableIndex returns the index of the last entry, including entries that are being written.
 func (c *core) lastUnstableIndex() uint64 {
 	last := c.lastIndex()
 	if c.inProgress != nil {
@@ -140,7 +143,7 @@
 	return last
 }
 
-// propose appends data to the log; only the leader can.
+// propose appends data to the log. It returns errNoLeader if this voter is not the leader.
 func (c *core) propose(data []byte) error {
 	if !c.isLeader() || c.unverified {
 		return errNoLeader
@@ -152,7 +155,8 @@
 	return err
 }
 
-// readIndex requests an index up to which all that was committed before is applied; only the leader can.
+// readIndex requests a read index: once this node has applied it, everything committed before the request
+// is applied. It returns errNoLeader if this voter is not the leader.
 func (c *core) readIndex(id []byte) error {
 	if !c.isLeader() || c.unverified {
 		return errNoLeader
--- a/internal/consensus/core_changes.go
+++ b/internal/consensus/core_changes.go
@@ -11,21 +11,24 @@
 )
 
 const (
-	healthyTicks       = 3 * heartbeatTicks // a voter without a response for longer is unhealthy
-	changeProposalTTL  = 60                 // ticks after which a change proposal expires, unless it is repeated
-	maxLag             = 1024               // entries that a voter may lack and still count as healthy
+	healthyTicks       = 3 * heartbeatTicks // a voter that has not responded for longer is unhealthy
+	changeProposalTTL  = 60                 // ticks until a change proposal expires, unless it is repeated
+	maxLag             = 1024               // committed entries that a healthy voter may lack
 	maxChangeProposals = 16
 )
 
-// Why a change of voters is not proposed now. The texts are sent in rejections.
+// Reasons why a change of voters cannot be proposed now. The texts are sent in rejections and shown in
+// Status.EngineError.
 var (
-	errUnhealthyVoters  = errors.New("not all other voters are sound")
+	errUnhealthyVoters  = errors.New("not all other voters are sound") // another voter does not respond, or lags
 	errChangeInProgress = errors.New("another change of voters is under way")
-	errVoterAlive       = errors.New("the one in its place still answers: are there two relays of this name?")
-	errUnknownVoter     = errors.New("no such voter")
+	// The voter to be replaced still responds, which suggests that two relays have its name.
+	errVoterAlive   = errors.New("the one in its place still answers: are there two relays of this name?")
+	errUnknownVoter = errors.New("no such voter")
 )
 
-// changeProposal asks the leader for a change of voters: by a voter that came back under a new identity, or by an operator (Replace).
+// changeProposal is a request to the leader to change the voters. It comes from a voter that has a new
+// identity, or from an operator (Replace).
 type changeProposal struct {
 	oldName, newName, address string
 	newID                     uint64
@@ -41,7 +44,8 @@
 	return changeProposal{byOperator: r.uint() == 1, newID: r.uint(), oldName: r.string(), newName: r.string(), address: r.string()}
 }
 
-// addProposal keeps a change proposal at the leader until it can be proposed. A voter's own does not replace an operator's.
+// addProposal stores a change proposal until the leader can propose it to raft. A voter's own proposal
+// does not replace an operator's for the same name.
 func (c *core) addProposal(p changeProposal) {
 	if c.voters[p.newID].name == p.newName && c.voters[p.newID].address == p.address {
 		return
@@ -58,10 +62,12 @@
 	c.proposals[p.newName] = p
 }
 
-// errInvalidChange rejects a change of voters whose names or address are too long. The text is sent too.
+// errInvalidChange rejects a change that would give one identity two names, or one name two identities.
+// The text is sent in rejections and shown in Status.EngineError.
 var errInvalidChange = errors.New("size")
 
-// checkChange says whether a change may be proposed now: one at a time, and only while all other voters are healthy.
+// checkChange returns an error if a change may not be proposed now. Only one change is allowed at a time,
+// and only while all other voters are healthy. oldID is the identity of the voter to be replaced.
 func (c *core) checkChange(p changeProposal) (oldID uint64, err error) {
 	oldID = c.voters.idOf(p.oldName)
 	switch {
@@ -89,7 +95,7 @@
 	return oldID, err
 }
 
-// proposeChange proposes the first pending change that is allowed, in the order of names.
+// proposeChange proposes the first pending change, in the order of names, that checkChange allows.
 func (c *core) proposeChange() {
 	if c.tickCount-c.lastChangeTick < electionTicks {
 		return
@@ -107,7 +113,7 @@
 		change := &pb.ConfChangeV2{Context: context, Changes: []*pb.ConfChangeSingle{
 			{Type: pb.ConfChangeType_ConfChangeRemoveNode.Enum(), NodeId: new(oldID)},
 			{Type: pb.ConfChangeType_ConfChangeAddNode.Enum(), NodeId: new(p.newID)}}}
-		if oldID == p.newID { // only the address changes
+		if oldID == p.newID { // only the voter's address changes
 			change.Changes = []*pb.ConfChangeSingle{{Type: pb.ConfChangeType_ConfChangeUpdateNode.Enum(), NodeId: new(oldID)}}
 		}
 		if err := c.rawNode.ProposeConfChange(change); err != nil {
--- a/internal/consensus/core_ready.go
+++ b/internal/consensus/core_ready.go
@@ -8,22 +8,26 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// pendingReady is a raft Ready whose entries, hard state and snapshot have to be written before the messages that depend on them are sent.
+// pendingReady is a raft Ready. Its entries, hard state and snapshot have to be written before afterSync
+// is sent.
 type pendingReady struct {
-	rd            raft.Ready
-	entries       []*pb.Entry
-	hardState     *pb.HardState
-	snapshot      *pb.Snapshot
-	beforeSync    []*pb.Message // may be sent before the write
-	afterSync     []*pb.Message
-	acknowledged  map[uint64]logPosition
-	changesVoters bool // its commit index has to outlast a restart, or this voter would count votes by its old configuration again
+	rd           raft.Ready
+	entries      []*pb.Entry
+	hardState    *pb.HardState
+	snapshot     *pb.Snapshot
+	beforeSync   []*pb.Message // may be sent before the write
+	afterSync    []*pb.Message // must be sent after the write
+	acknowledged map[uint64]logPosition
+	// changesVoters: a committed entry changes the voters. The commit index has to be on disk before
+	// the change takes effect, or after a restart this voter would count votes by the old configuration.
+	changesVoters bool
 }
 
-// mustSync says whether it has to be on disk before it is advanced.
+// mustSync reports whether the write has to be on disk before advance is called.
 func (p *pendingReady) mustSync() bool { return p.rd.MustSync || p.snapshot != nil || p.changesVoters }
 
-// nextReady returns the next Ready, or nil if there is none or the last one is not advanced yet.
+// nextReady returns the next Ready. It returns nil if there is none, or if the previous one is not
+// advanced yet.
 func (c *core) nextReady() *pendingReady {
 	if c.inProgress != nil || !c.rawNode.HasReady() {
 		return nil
@@ -44,7 +48,7 @@
 	}
 	for _, m := range rd.Messages {
 		switch m.GetType() {
-		case pb.MsgApp, pb.MsgHeartbeat, pb.MsgSnap: // a leader may send its entries while it writes them itself
+		case pb.MsgApp, pb.MsgHeartbeat, pb.MsgSnap: // a leader may send entries while it writes them itself
 			p.beforeSync = append(p.beforeSync, m)
 		default:
 			p.afterSync = append(p.afterSync, m)
@@ -54,7 +58,8 @@
 	return p
 }
 
-// advance ends the Ready in progress, which is written. It returns what has to be applied: the snapshot first, if there is one.
+// advance completes the Ready in progress, whose write has succeeded. It returns what has to be applied:
+// the snapshot, if there is one, and then the entries.
 func (c *core) advance() (snapshot *recordSnapshot, entries []committedEntry, err error) {
 	p := c.inProgress
 	c.inProgress = nil
@@ -88,7 +93,7 @@
 	return snapshot, entries, nil
 }
 
-// commitEntry decodes a committed entry. A change of voters takes effect here.
+// commitEntry decodes a committed entry. If the entry changes the voters, the change takes effect here.
 func (c *core) commitEntry(e *pb.Entry) (committedEntry, error) {
 	entry := committedEntry{index: e.GetIndex(), term: e.GetTerm()}
 	if e.GetType() == pb.EntryNormal {
@@ -102,7 +107,7 @@
 		return entry, fmt.Errorf("change of voters at %d: %w", e.GetIndex(), errMalformed)
 	}
 	c.confState = c.rawNode.ApplyConfChange(confChange)
-	if len(confChange.GetChanges()) > 0 { // the entry that leaves the joint configuration has none
+	if len(confChange.GetChanges()) > 0 { // empty in the entry that leaves the joint configuration
 		change, err := decodeVoterChange(confChange.GetContext())
 		if err != nil {
 			return entry, err
@@ -119,7 +124,8 @@
 	return entry, err
 }
 
-// compact truncates the log up to a snapshot, except for the last entries: at most retain, and retainedBytes in size.
+// compact truncates the log up to a snapshot. It keeps the last entries before the snapshot: at most
+// retain entries, and about retainedBytes.
 func (c *core) compact(s recordSnapshot, encoded []byte, retain uint64) error {
 	confState := &pb.ConfState{}
 	if err := proto.Unmarshal(s.confState, confState); err != nil {
@@ -130,7 +136,7 @@
 	}
 	c.snapshotIndex, c.snapshotSize = s.index, len(encoded)
 	first, _ := c.storage.FirstIndex()
-	last := s.index // the last entry that is dropped
+	last := s.index // the last entry to be dropped
 	for size := 0; last >= first && s.index-last < retain; last-- {
 		entries, err := c.storage.Entries(last, last+1, 0)
 		if err != nil {
