--- a/internal/consensus/applier.go
+++ b/internal/consensus/applier.go
@@ -26,7 +26,7 @@
 	current              recordSnapshot   // state after the last applied entry, without the machine's part
 	recent               []committedEntry // last applied entries without gaps, up to current.index
 	recentBytes          int
-	lastSnapshot         *recordSnapshot // nil: a snapshot is due
+	lastSnapshot         *recordSnapshot // recent normally has all entries after it; nil: a snapshot is due
 	lastSnapshotEncoded  []byte
 	entriesSinceSnapshot int
 	bytesSinceSnapshot   int
--- a/internal/consensus/disk.go
+++ b/internal/consensus/disk.go
@@ -13,18 +13,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// A voter's directory holds one file. Each value in it has a checksum, and a checksum over all of them stands beside them. At the start the
-// file is read without bbolt (disk_pages.go) and then rewritten, so that bbolt never meets a damaged page: it would loop, or end the process.
-// A file that fails its checksums is set aside, and the relay comes back under a new identity, since nobody knows what it has voted for.
+// A voter's directory holds one database file. Each value in it has a checksum, and the file also holds a
+// checksum over all key/value pairs. At the start the file is read without bbolt (disk_pages.go) and then
+// rewritten, so that bbolt never opens a damaged file: on a damaged page it could loop forever or crash
+// the process. A file that fails its checksums is renamed, and the relay starts with a new identity, since
+// it cannot tell what it voted for under the old one.
 const (
 	databaseFile  = "accord.db"
 	lockFile      = "accord.lock" // locked while a process uses the directory
 	damagedSuffix = ".bad"
-	newSuffix     = ".new"
+	newSuffix     = ".new" // of a file that is not complete yet
 	lockTimeout   = time.Second
 )
 
-// The operations at which tests inject faults.
+// Operations for which tests inject faults.
 const (
 	faultOpen   = "open"
 	faultWrite  = "write"
@@ -32,18 +34,19 @@
 	faultRename = "rename"
 )
 
+// The texts are shown in Status: errDamaged in IdentityReason and DiskError, the others in DiskError.
 var (
-	errDamaged = errors.New("damaged")
+	errDamaged = errors.New("damaged") // a file, page or value is malformed or fails its checksum
 	errInUse   = errors.New("another process has this directory")
-	errNoFile  = errors.New("no file")
+	errNoFile  = errors.New("no file") // the database is not open
 )
 
-// disk is a voter's file. All calls come from one goroutine at a time.
+// disk is a voter's directory with its database file. Its methods must not be called concurrently.
 type disk struct {
 	directory   string
 	db          *bbolt.DB
 	lock        *os.File
-	injectFault func(op string) error
+	injectFault func(op string) error // for tests; nil otherwise
 }
 
 func (d *disk) faultAt(op string) error {
@@ -53,7 +56,8 @@
 	return d.injectFault(op)
 }
 
-// recoverFaults runs f, which accesses the mapped file: a page that is no longer there is an error, not the end of the process.
+// recoverFaults runs f, which accesses the memory-mapped file. A fault, such as a page that is no longer
+// there, becomes an error instead of crashing the process.
 func recoverFaults(f func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -64,8 +68,9 @@
 	return f()
 }
 
-// open reads what the directory holds and rewrites it. If there is no file, or a damaged one, which it sets aside, it makes one with a new
-// identity. damage says what was wrong with the file.
+// open reads the directory's file and rewrites it. If there is no file or it is damaged, open creates one
+// with newIdentity; a damaged file is renamed first. damage describes the damage; it is empty if there
+// was none.
 func (d *disk) open(newIdentity uint64) (stored storedState, damage string, err error) {
 	defer func() {
 		if err != nil {
@@ -94,13 +99,13 @@
 		}
 	case errors.Is(err, fs.ErrNotExist):
 		stored = storedState{identity: newIdentity}
-	default: // it cannot be read now, but nothing says that its content is damaged
+	default: // the file cannot be read now, which does not mean that its content is damaged
 		return stored, "", err
 	}
 	return stored, damage, d.rewrite(stored, nil)
 }
 
-// lockDirectory locks the directory, so that no two processes write it.
+// lockDirectory locks the directory against other processes.
 func (d *disk) lockDirectory() error {
 	if d.lock != nil {
 		return nil
@@ -120,8 +125,9 @@
 	}
 }
 
-// rewrite writes a new file with all that is stored, and pending if it is not nil, and puts it in the place of the old one. This is how a
-// voter comes back after a failed write: nobody knows what a file holds after a failed fsync, but what this voter acknowledged is in memory.
+// rewrite replaces the file by a new one with the stored state, followed by pending if that is not nil. A
+// voter recovers from a failed write in this way: after a failed fsync the file's content is unknown, but
+// everything that this voter has acknowledged is in memory.
 func (d *disk) rewrite(stored storedState, pending *diskWrite) error {
 	if err := d.faultAt(faultOpen); err != nil {
 		return err
@@ -130,7 +136,7 @@
 	if d.db != nil {
 		old := d.db
 		d.db = nil
-		_ = recoverFaults(old.Close) // it failed before, and is replaced
+		_ = recoverFaults(old.Close) // an error does not matter: the file is replaced
 	}
 	if err := os.Remove(path + newSuffix); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
@@ -147,7 +153,7 @@
 	return nil
 }
 
-// fillNewFile writes the new file and renames it.
+// fillNewFile writes the new file and renames it to path.
 func (d *disk) fillNewFile(path string, stored storedState, pending *diskWrite) error {
 	err := recoverFaults(func() error {
 		return d.db.Update(func(tx *bbolt.Tx) error {
--- a/internal/consensus/disk_checksum.go
+++ b/internal/consensus/disk_checksum.go
@@ -10,12 +10,12 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// withChecksum makes a stored value: the checksum, then the content.
+// withChecksum returns a value as it is stored: a checksum followed by the content.
 func withChecksum(content []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(nil, crc32.Checksum(content, castagnoli)), content...)
 }
 
-// verifyChecksum returns a copy of a stored value's content.
+// verifyChecksum checks a stored value and returns a copy of its content.
 func verifyChecksum(value []byte) ([]byte, error) {
 	if len(value) < checksumSize || binary.BigEndian.Uint32(value) != crc32.Checksum(value[checksumSize:], castagnoli) {
 		return nil, errDamaged
@@ -23,7 +23,8 @@
 	return append([]byte(nil), value[checksumSize:]...), nil
 }
 
-// pairChecksum is a pair's part of the checksum over all pairs; the parts are combined by exclusive or. A value begins with its own checksum.
+// pairChecksum returns a pair's share of the checksum over all pairs, which is the exclusive or of all
+// shares. A stored value begins with its own checksum, so only that part is hashed.
 func pairChecksum(key, value []byte) uint64 {
 	if len(value) < checksumSize {
 		return 0
@@ -34,8 +35,8 @@
 	return h.Sum64()
 }
 
-// encodeChecksum encodes the checksum over all pairs with the transaction's number, so that an older page in the place of a newer one is
-// detected, with all that it refers to.
+// encodeChecksum encodes the checksum over all pairs together with the transaction's ID. The ID detects
+// an older page that replaced a newer one, even if everything that the page refers to is consistent.
 func encodeChecksum(checksum, txID uint64) []byte {
 	return append(uint64Key(checksum), uint64Key(txID)...)
 }
--- a/internal/consensus/disk_load.go
+++ b/internal/consensus/disk_load.go
@@ -9,16 +9,16 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// storedState is what a voter's directory holds.
+// storedState is the content of a voter's database file.
 type storedState struct {
 	identity     uint64
-	snapshot     []byte // encoded; nil if it never voted
+	snapshot     []byte // encoded; nil if this relay has not been a voter under this identity
 	hardState    *pb.HardState
 	entries      []*pb.Entry // after the snapshot
 	acknowledged map[uint64]logPosition
 }
 
-// loadFile decodes a file and verifies its checksums.
+// loadFile decodes the content of a database file and verifies its checksums.
 func loadFile(file []byte) (stored storedState, err error) {
 	txID, meta, log, err := readPages(file)
 	if err != nil {
@@ -47,7 +47,8 @@
 	return stored, err
 }
 
-// loadMeta verifies the pairs of bucketMeta. The checksum is that over all of them.
+// loadMeta verifies the pairs of bucketMeta and returns their contents and their part of the checksum over
+// all pairs.
 func loadMeta(pairs []keyValue) (values map[string][]byte, checksum uint64, err error) {
 	values = map[string][]byte{}
 	for _, p := range pairs {
@@ -63,7 +64,8 @@
 	return values, checksum, nil
 }
 
-// loadEntries verifies the pairs of bucketLog: entries without gaps. The checksum is that over all of them.
+// loadEntries verifies the pairs of bucketLog, whose indexes must have no gaps. It returns the entries and
+// their part of the checksum over all pairs.
 func loadEntries(pairs []keyValue) (entries []*pb.Entry, checksum uint64, err error) {
 	for _, p := range pairs {
 		content, err := verifyChecksum(p.value)
@@ -93,8 +95,8 @@
 	return positions, r.err
 }
 
-// alignWithSnapshot checks the entries and the hard state against the snapshot. The file also holds some entries up to the snapshot, for voters that lag
-// a little; raft's log begins after it.
+// alignWithSnapshot checks the entries and the hard state against the snapshot. It drops the entries up to
+// the snapshot, which the file keeps for voters that lag a little: raft's log begins after the snapshot.
 func (s *storedState) alignWithSnapshot() error {
 	snapshot, err := decodeSnapshot(s.snapshot)
 	if err != nil {
@@ -119,7 +121,7 @@
 	return nil
 }
 
-// stateToStore is what a voter's storage holds.
+// stateToStore returns the content of a new database file for a voter's raft storage.
 func stateToStore(identity uint64, storage *raft.MemoryStorage, acknowledged map[uint64]logPosition) (storedState, error) {
 	snapshot, err := storage.Snapshot()
 	if err != nil {
--- a/internal/consensus/disk_pages.go
+++ b/internal/consensus/disk_pages.go
@@ -8,23 +8,24 @@
 	"os"
 )
 
-// The file as bbolt writes it (version 2 of its format), read without it: each page that is reached is within the file, has its own number in
-// its header, is reached once, and holds its elements within itself; keys ascend.
+// The format of a bbolt file (version 2), which is read here without bbolt. The reader checks that each page
+// it reaches is within the file, has its own number in its header, is reached only once and contains all of
+// its elements, and that a bucket's keys ascend.
 const (
 	pageHeaderSize = 16 // page number, kind, number of elements, number of overflow pages
 	elementSize    = 16
-	bucketSize     = 16 // of a bucket's header in a leaf's value: root page and sequence
+	bucketSize     = 16 // of the bucket header in a leaf element's value: root page and sequence
 	pageKindBranch = 1
 	pageKindLeaf   = 2
 	leafFlagBucket = 1
 	boltMagic      = 0xED0CDAED
 	boltVersion    = 2
-	metaPageSize   = 64 // magic, version, page size, flags, root, sequence, freelist, pages, transaction, checksum
+	metaPageSize   = 64 // magic, version, page size, flags, root, sequence, freelist, pages, transaction ID, checksum
 )
 
 type keyValue struct{ key, value []byte }
 
-// pageReader reads a file's pages.
+// pageReader reads the pages of a bbolt file.
 type pageReader struct {
 	file      []byte
 	pageSize  uint64
@@ -32,14 +33,15 @@
 	visited   map[uint64]bool
 }
 
-// pageElement is an element of a page: a key with a value, with a bucket, or with another page.
+// pageElement is an element of a page: a key with a value or a bucket in a leaf, or with a child page in a
+// branch.
 type pageElement struct {
 	keyValue
 	child    uint64 // page number; 0 in a leaf
 	isBucket bool
 }
 
-// readPages reads the two buckets, and the number of the last transaction.
+// readPages returns the pairs of the two buckets and the ID of the last transaction.
 func readPages(file []byte) (txID uint64, meta, log []keyValue, err error) {
 	p := pageReader{file: file, pageSize: uint64(os.Getpagesize()), visited: map[uint64]bool{0: true, 1: true}}
 	txID, root, err := p.readMetaPages()
@@ -63,8 +65,9 @@
 	return txID, meta, log, nil
 }
 
-// readMetaPages reads the two meta pages, which hold the last two transactions in turn. A damaged one is no reason to fall back to the other:
-// what this voter acknowledged last would be forgotten.
+// readMetaPages reads the two meta pages, which are written alternately and hold the last two transactions.
+// If one is damaged, the other is not used instead: that could drop what this voter acknowledged last. The
+// errors call the meta pages the first pages; they are shown in Status.IdentityReason.
 func (p *pageReader) readMetaPages() (txID, root uint64, err error) {
 	if uint64(len(p.file)) < 2*p.pageSize {
 		return 0, 0, fmt.Errorf("%w: %d bytes", errDamaged, len(p.file))
@@ -91,7 +94,7 @@
 	return txID, root, nil
 }
 
-// readBucket reads a bucket's pairs; they are not nil.
+// readBucket returns a bucket's pairs; the result is not nil.
 func (p *pageReader) readBucket(bucket pageElement) (pairs []keyValue, err error) {
 	if !bucket.isBucket || len(bucket.value) < bucketSize {
 		return nil, errDamaged
@@ -99,7 +102,7 @@
 	var elements []pageElement
 	if root := binary.NativeEndian.Uint64(bucket.value); root != 0 {
 		elements, err = p.readTree(nil, root)
-	} else { // a small bucket's page is inline, in the value
+	} else { // the page of a small bucket is inline, in the value
 		elements, err = readElements(bucket.value[bucketSize:])
 	}
 	if err != nil {
@@ -115,7 +118,7 @@
 	return pairs, nil
 }
 
-// readTree appends the elements of the leaves under a page.
+// readTree appends the elements of all leaves below a page.
 func (p *pageReader) readTree(elements []pageElement, number uint64) ([]pageElement, error) {
 	if number >= p.pageCount || p.visited[number] {
 		return nil, fmt.Errorf("%w: page %d", errDamaged, number)
@@ -159,7 +162,7 @@
 	for i := range count {
 		b := page[pageHeaderSize+elementSize*i:]
 		var e pageElement
-		var position, keySize, valueSize uint64 // the position is relative to the element
+		var position, keySize, valueSize uint64 // position is relative to the element's start
 		if kind == pageKindBranch {
 			position, keySize, e.child = uint64(order.Uint32(b)), uint64(order.Uint32(b[4:])), order.Uint64(b[8:])
 			if e.child == 0 {
--- a/internal/consensus/disk_write.go
+++ b/internal/consensus/disk_write.go
@@ -10,7 +10,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The file's buckets, and the keys of bucketMeta. Entries are in bucketLog, under their index.
+// The file's buckets, and the keys in bucketMeta. In bucketLog an entry's key is its index. These names are
+// part of the stored format.
 var (
 	bucketMeta      = []byte("meta")
 	bucketLog       = []byte("log")
@@ -21,17 +22,17 @@
 	keyChecksum     = []byte("sum")
 )
 
-// logFillPercent suits a bucket that is written in order.
+// logFillPercent is higher than bbolt's default because entries are written in ascending order.
 const logFillPercent = 0.95
 
-// diskWrite is one transaction: whatever is set.
+// diskWrite is the content of one transaction. Fields with the zero value are not written.
 type diskWrite struct {
 	identity       uint64
-	snapshot       []byte // replaces the log
+	snapshot       []byte // the log begins with it: it replaces all stored entries
 	compaction     []byte // this voter's own snapshot; entries up to compactedIndex are deleted
 	compactedIndex uint64
 	hardState      *pb.HardState
-	entries        []*pb.Entry // replace all from the first one's index on
+	entries        []*pb.Entry // replace all stored entries from the first one's index on
 	acknowledged   map[uint64]logPosition
 }
 
@@ -93,7 +94,7 @@
 	return t.finish()
 }
 
-// transaction keeps the checksum over all pairs.
+// transaction is a bbolt transaction that updates the checksum over all pairs.
 type transaction struct {
 	tx        *bbolt.Tx
 	meta, log *bbolt.Bucket
@@ -126,7 +127,8 @@
 	return t.put(b, key, content)
 }
 
-// putEntries appends entries. What stood at their indexes and behind was another leader's.
+// putEntries writes entries. Stored entries at these and higher indexes are deleted first: another leader
+// proposed them, and they were not committed.
 func (t *transaction) putEntries(entries []*pb.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -142,7 +144,7 @@
 	return nil
 }
 
-// deleteEntries deletes the entries from one index to another.
+// deleteEntries deletes the entries with indexes from..to, both inclusive.
 func (t *transaction) deleteEntries(from, to uint64) error {
 	c := t.log.Cursor()
 	for key, value := c.Seek(uint64Key(from)); len(key) == 8 && binary.BigEndian.Uint64(key) <= to; key, value = c.Seek(uint64Key(from)) {
--- a/internal/consensus/engine.go
+++ b/internal/consensus/engine.go
@@ -14,37 +14,40 @@
 	tickInterval     = 50 * time.Millisecond
 	messageQueueSize = 1024 // batches of messages that wait for the engine
 	callQueueSize    = 256
-	maxBatch         = 64 // messages or calls taken at once: one write for many
-	maxCatchUpTicks  = 4  // ticks made up for after a pause
+	maxBatch         = 64 // messages or calls handled together, so that one write serves many
+	maxCatchUpTicks  = 4  // after a pause of the process, ticks are repeated up to this number
 )
 
-// engine runs a core on one goroutine, and its disk's writes on another.
+// engine runs a core on one goroutine and the writes to its disk on another.
 type engine struct {
 	node         *Node
-	id           uint64
+	id           uint64 // this voter's identity
 	core         *core
-	disk         *disk // nil: memory only
+	disk         *disk // nil if nothing is stored
 	messages     chan peerMessages
 	calls        chan *pendingCall
-	tasks        chan func() // of the node's other goroutines
+	tasks        chan func() // functions to run on the engine's goroutine
 	writes       chan func() error
 	writeResults chan error
 	writer       sync.WaitGroup
 	quit         chan struct{}
 	ended        chan struct{}
 
-	// Owned by run; err and removed are read by others once ended is closed.
-	err                   error // why it ended; nil if it was stopped or removed
-	removed               bool  // this voter is not in the configuration any more
-	ready                 *pendingReady
-	writing               bool
-	afterWrite            func()
-	diskError             error // the disk fails: the voter neither votes nor sends until it is rewritten
-	diskRetryAt           time.Time
-	noLeadershipUntilTick int // a voter whose disk failed does not claim to lead before: others may long have elected another leader
+	// The following fields are used by run's goroutine only, except that others read err and removed
+	// after ended is closed.
+	err         error // why the engine ended; nil if it was stopped or removed
+	removed     bool  // this voter is no longer in the configuration
+	ready       *pendingReady
+	writing     bool
+	afterWrite  func() // called when the write has succeeded; nil if there is nothing to do
+	diskError   error  // of the last write; until the file is rewritten, the voter neither votes nor sends
+	diskRetryAt time.Time
+	// Before this tick, a voter whose disk had failed does not act as leader even if raft says it is
+	// one: the other voters may have elected another leader in the meantime.
+	noLeadershipUntilTick int
 	announcedLeading      bool
 	announcedTerm         uint64
-	ownSnapshot           *recordSnapshot // to compact the log with
+	ownSnapshot           *recordSnapshot // to compact the log with; nil if there is none
 	ownSnapshotEncoded    []byte
 
 	view atomic.Pointer[engineView]
@@ -66,7 +69,7 @@
 	go e.run()
 }
 
-// stop ends the engine and waits for it, the disk's last write included.
+// stop ends the engine and waits for it and for a write in progress.
 func (e *engine) stop() {
 	select {
 	case <-e.quit:
@@ -121,7 +124,7 @@
 	e.publishView()
 }
 
-// tick advances the core, or retries a failed disk.
+// tick advances the core, or retries a disk that failed.
 func (e *engine) tick(now time.Time, ticks int) {
 	for range ticks {
 		if e.diskError == nil {
@@ -134,7 +137,7 @@
 	e.publishView()
 }
 
-// step takes messages from another voter.
+// step handles messages from another voter. It drops them while the disk fails.
 func (e *engine) step(p peerMessages) {
 	if e.diskError != nil {
 		return
@@ -149,7 +152,7 @@
 			e.node.countDropped(droppedSender)
 			continue
 		}
-		// Any other error is of a message that does not count: raft allows for lost messages.
+		// Other errors are ignored: the message is dropped, and raft tolerates lost messages.
 		if err := e.core.step(m); errors.Is(err, errOutdatedDirectory) {
 			e.err = err
 			return
@@ -157,7 +160,7 @@
 	}
 }
 
-// startCall proposes a call's command, or requests its read index.
+// startCall proposes a call's command or, for a barrier, requests a read index.
 func (e *engine) startCall(call *pendingCall) {
 	if e.diskError != nil || e.core.tickCount < e.noLeadershipUntilTick {
 		e.node.pendingCalls.fail(call, errNoLeader)
@@ -174,7 +177,7 @@
 	}
 }
 
-// noteProposals notes the indexes of the proposals in entries that this node's calls wait for.
+// noteProposals records the log indexes of the proposals that this node's calls wait for.
 func (e *engine) noteProposals(entries []*pb.Entry) {
 	for _, entry := range entries {
 		if id, _, ok := decodeCommand(entry.GetData()); ok && entry.GetType() == pb.EntryNormal {
--- a/internal/consensus/engine_disk.go
+++ b/internal/consensus/engine_disk.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	diskRetryInterval = time.Second // between attempts to rewrite a failed disk
-	retainedEntries   = 1024        // entries kept behind a snapshot, for voters that lag a little
+	diskRetryInterval = time.Second // between attempts to rewrite the file after a failed write
+	retainedEntries   = 1024        // entries kept before a snapshot, for voters that lag a little
 	retainedBytes     = 1 << 20
 )
 
-// startWrite hands a write to the disk's goroutine; then is called once it has succeeded.
+// startWrite passes a write to the disk's goroutine. onSuccess, if not nil, is called once it has succeeded.
 func (e *engine) startWrite(write func() error, onSuccess func()) {
 	e.writing, e.afterWrite = true, onSuccess
 	e.writes <- write
@@ -37,7 +37,7 @@
 	e.publishView()
 }
 
-// rewriteDisk writes all that this voter has acknowledged into a new file, and the write that failed.
+// rewriteDisk writes everything that this voter has acknowledged, and the write that failed, to a new file.
 func (e *engine) rewriteDisk() {
 	stored, err := stateToStore(e.id, e.core.storage, maps.Clone(e.core.acknowledged))
 	if err != nil {
@@ -54,7 +54,8 @@
 	e.startWrite(func() error { return e.disk.rewrite(stored, failed) }, e.afterWrite)
 }
 
-// compact compacts the log with this voter's own snapshot.
+// compact compacts the log with ownSnapshot, unless the snapshot is of another record, not newer than the
+// last one, or ahead of the core.
 func (e *engine) compact() {
 	s, encoded := e.ownSnapshot, e.ownSnapshotEncoded
 	e.ownSnapshot, e.ownSnapshotEncoded = nil, nil
--- a/internal/consensus/engine_ready.go
+++ b/internal/consensus/engine_ready.go
@@ -6,7 +6,8 @@
 	"go.etcd.io/raft/v3"
 )
 
-// processReady handles Readys while the apply queue has capacity and no write is in progress.
+// processReady handles Readys until there is none, a write is in progress, the disk has failed, or the apply
+// queue is nearly full.
 func (e *engine) processReady() {
 	for e.err == nil && e.ready == nil && e.diskError == nil && !e.writing {
 		if e.ownSnapshot != nil {
@@ -35,7 +36,8 @@
 	}
 }
 
-// completeReady advances a Ready that is written: its messages are sent, its committed entries applied.
+// completeReady advances the Ready in progress after its write: it sends the remaining messages and queues
+// the committed entries for the apply loop.
 func (e *engine) completeReady() {
 	ready := e.ready
 	e.ready = nil
--- a/internal/consensus/engine_view.go
+++ b/internal/consensus/engine_view.go
@@ -6,11 +6,11 @@
 	"go.etcd.io/raft/v3"
 )
 
-// engineView is the engine's state as other goroutines see it.
+// engineView is a copy of the engine's state for other goroutines.
 type engineView struct {
 	isLeader, unverified      bool
 	inJointConfig             bool
-	leader, term, commitIndex uint64 // leader is 0 if none is known, or if the disk fails
+	leader, term, commitIndex uint64 // leader is 0 if none is known, or while the disk fails
 	firstIndex, lastIndex     uint64
 	snapshotIndex             uint64
 	snapshotSize              int
@@ -20,10 +20,10 @@
 	changeBlocked             string
 }
 
-// hasLeader says whether the engine takes part with a known leader.
+// hasLeader reports whether the disk works and a leader is known.
 func (v *engineView) hasLeader() bool { return v.leader != 0 && v.diskError == nil }
 
-// publishView makes the state visible to other goroutines, and announces a change of leadership.
+// publishView updates the view for other goroutines and announces a change of leadership.
 func (e *engine) publishView() {
 	status := e.core.status()
 	v := &engineView{isLeader: status.RaftState == raft.StateLeader && e.diskError == nil && e.core.tickCount >= e.noLeadershipUntilTick,
--- a/internal/consensus/entry.go
+++ b/internal/consensus/entry.go
@@ -1,30 +1,31 @@
 package consensus
 
-// entryKind says what a committed entry holds. Its values are part of the log's and the streams' encoding.
+// entryKind is the kind of a committed entry. Its values are part of the encoding of the log and the streams.
 type entryKind byte
 
 const (
-	entryEmpty   entryKind = 0 // raft's own
+	entryEmpty   entryKind = 0 // has no command, such as raft's own entries
 	entryCommand entryKind = 1
 	entryVoters  entryKind = 2
 )
 
 const proposalIDSize = 16
 
-// proposalID tells a proposal from all others: the random part of its node, and a number.
+// proposalID identifies a proposal. It consists of its node's random part and a sequence number.
 type proposalID [proposalIDSize]byte
 
-// committedEntry is an entry as it is applied and sent to followers. A change of voters carries its result, so that followers need no raft.
+// committedEntry is a committed entry as it is applied and sent to followers. A change of voters carries
+// the resulting voters and configuration, so that followers do not need raft.
 type committedEntry struct {
 	index, term uint64
 	kind        entryKind
 	proposalID  proposalID
 	command     []byte
 	voters      voterSet
-	confState   []byte // raft's own encoding of the configuration
+	confState   []byte // raft's configuration as an encoded raftpb.ConfState
 }
 
-// size estimates the memory that the entry takes.
+// size estimates the entry's memory size in bytes.
 func (e committedEntry) size() int { return 64 + len(e.command) + len(e.confState) + 64*len(e.voters) }
 
 func putEntry(b []byte, e committedEntry) []byte {
@@ -60,12 +61,13 @@
 	return e
 }
 
-// encodeCommand makes the data of a raft entry.
+// encodeCommand encodes a command as the data of a raft entry.
 func encodeCommand(id proposalID, command []byte) []byte {
 	return append(append([]byte{byte(entryCommand)}, id[:]...), command...)
 }
 
-// decodeCommand decodes the data of a normal raft entry. What is no command counts as an empty entry: it changes nothing, at any relay.
+// decodeCommand decodes the data of a normal raft entry. If it is not a command, ok is false, and every
+// relay treats the entry as empty.
 func decodeCommand(b []byte) (id proposalID, command []byte, ok bool) {
 	if len(b) < 1+proposalIDSize || b[0] != byte(entryCommand) {
 		return id, nil, false
--- a/internal/consensus/envelope.go
+++ b/internal/consensus/envelope.go
@@ -9,33 +9,37 @@
 	"dahliarudder/internal/gossip"
 )
 
-// The envelope of a request: version, key id, the receiver's epoch, the sender's start and sequence number, kind, the names of both, the
-// body, and a tag over all of it. The tag of a response covers the request's tag, so that it answers that request and no other.
+// A request's envelope consists of the version, the key ID, the receiver's epoch, the sender's start and
+// sequence number, the request kind, the names of sender and receiver, the body, and an HMAC tag over all of
+// it. The tag of a response covers the request's tag, so that a response is valid for one request only.
 //
-// The envelope of internal/gossip is made for datagrams in order: its window of 64 would reject requests that run side by side over several
-// connections, and it relies on clocks. Here the receiver draws an epoch when it starts. It rejects a request that names another one unread,
-// with the current epoch in the response, so that nothing recorded before a restart counts after it; within an epoch each sequence number
-// counts once (replayGuard). No clock is read.
+// The envelope of internal/gossip is not used here because it is made for datagrams that arrive in order: its
+// replay window of 64 would reject concurrent requests on several connections, and it relies on clocks. Here
+// the receiver draws a random epoch when it starts. It rejects a request with another epoch without handling
+// its body and returns the current epoch, so that a request recorded before a restart is not accepted after
+// it. Within an epoch, each sequence number of a sender's start is accepted once (replayGuard). The start
+// identifies the sender's process; requests with a lower start than the last one are rejected. The receiver
+// reads no clock.
 const (
 	envelopeVersion   = 2
 	keyIDSize         = 4
 	tagSize           = 32
-	envelopeFixedSize = 1 + keyIDSize + 8 + 8 + 8 + 1 // up to the kind
+	envelopeFixedSize = 1 + keyIDSize + 8 + 8 + 8 + 1 // version to kind
 	maxNameSize       = 255
 )
 
-// Labels of the key derivations. They are part of the wire format.
+// Labels of the key ID and of the tags. They are part of the wire format.
 const (
 	keyIDLabel    = "accord mark "
 	tagLabel      = "accord\x00"
 	responseLabel = "answer"
 )
 
-// errWrongReceiver rejects a request for another relay. The other reasons are those of gossip's envelopes; all texts are keys of
-// Status.Rejected.
+// errWrongReceiver rejects a request for another relay. verifyRequest's other errors are gossip's. The text
+// of each is a key of Status.Rejected.
 var errWrongReceiver = errors.New("for another relay")
 
-// keyID tells which of the installation's keys sealed an envelope.
+// keyID identifies the key that an envelope is sealed with.
 func keyID(key []byte) []byte {
 	sum := sha256.Sum256(append([]byte(keyIDLabel), key...))
 	return sum[:keyIDSize]
@@ -50,7 +54,7 @@
 	return h.Sum(nil)
 }
 
-// envelope is a verified request.
+// envelope is a request whose tag is verified.
 type envelope struct {
 	from     string
 	kind     requestKind
@@ -62,7 +66,7 @@
 	sequence uint64
 }
 
-// sealRequest makes an envelope. It returns the tag too, which the response has to cover.
+// sealRequest returns a request in its envelope, and the tag, which the response has to cover.
 func sealRequest(key []byte, epoch, start, sequence uint64, kind requestKind, from, to string, body []byte) (sealed, tag []byte) {
 	b := make([]byte, 0, envelopeFixedSize+2+len(from)+len(to)+len(body)+tagSize)
 	b = append(append(b, envelopeVersion), keyID(key)...)
@@ -76,7 +80,7 @@
 	return append(b, tag...), tag
 }
 
-// verifyRequest checks an envelope, except for its epoch, start and sequence number.
+// verifyRequest verifies an envelope and decodes it. It does not check the epoch, start and sequence number.
 func verifyRequest(keys gossip.Keys, self string, b []byte) (req envelope, err error) {
 	if len(b) < envelopeFixedSize+2+tagSize {
 		return req, gossip.ErrSize
@@ -119,12 +123,13 @@
 	return req, nil
 }
 
-// sealResponse seals a part of the response to the request with that tag: a frame of a stream, or 0 for the only one.
+// sealResponse seals a part of the response to the request with the given tag. The part is a stream's frame
+// number, or 0 for a response that is not a stream.
 func sealResponse(key, requestTag []byte, part uint64, body []byte) []byte {
 	return append(responseTag(key, requestTag, part, body), body...)
 }
 
-// verifyResponse returns the body that sealResponse sealed.
+// verifyResponse verifies a part of a response and returns the body that sealResponse was given.
 func verifyResponse(key, requestTag []byte, part uint64, b []byte) ([]byte, error) {
 	if len(b) < tagSize {
 		return nil, gossip.ErrSize
