--- a/internal/consensus/apply_loop.go
+++ b/internal/consensus/apply_loop.go
@@ -34,7 +34,7 @@
 func (n *Node) applyBatch(b applyBatch) (err error) {
 	if b.snapshot != nil {
 		if _, err = n.applier.restore(*b.snapshot); err != nil {
-			n.log().WithField("error", err.Error()).Error("consensus: the machine rejected a snapshot")
+			n.log().WithField("error", err.Error()).Error("consensus: restoring the state machine from a snapshot failed")
 		}
 	}
 	for _, e := range b.entries {
@@ -55,7 +55,7 @@
 	}
 	s, encoded := n.applier.takeSnapshot()
 	if s == nil {
-		n.log().Error("consensus: the machine's snapshot is too large: the log is not compacted")
+		n.log().Error("consensus: the state machine's snapshot exceeds the size limit: the log is not compacted")
 		return
 	}
 	n.onEngine(func(e *engine) { e.ownSnapshot, e.ownSnapshotEncoded = s, encoded })
--- a/internal/consensus/bootstrap.go
+++ b/internal/consensus/bootstrap.go
@@ -45,6 +45,6 @@
 		return
 	}
 	if err := n.startFromSnapshot(identity, n.currentDisk(), s, s.encode()); err != nil {
-		n.log().WithField("error", err.Error()).Error("consensus: the bootstrap failed")
+		n.log().WithField("error", err.Error()).Error("consensus: starting the engine after the bootstrap failed")
 	}
 }
--- a/internal/consensus/engine_disk.go
+++ b/internal/consensus/engine_disk.go
@@ -20,14 +20,14 @@
 func (e *engine) writeDone(err error) {
 	if err != nil {
 		if e.diskError == nil {
-			e.node.log().WithField("error", err.Error()).Error("consensus: the disk failed: this voter does not vote until it works again")
+			e.node.log().WithField("error", err.Error()).Error("consensus: writing to the disk failed: this voter does not vote until its file is rewritten")
 		}
 		e.diskError, e.diskRetryAt = err, time.Now().Add(diskRetryInterval)
 		e.publishView()
 		return
 	}
 	if e.diskError != nil {
-		e.node.log().Warn("consensus: the disk works again: this voter votes")
+		e.node.log().Warn("consensus: the file is rewritten after a disk failure: this voter votes again")
 		e.diskError, e.noLeadershipUntilTick = nil, e.core.tickCount+electionTicks+1
 	}
 	if onSuccess := e.afterWrite; onSuccess != nil {
