--- a/internal/consensus/codec_test.go
+++ b/internal/consensus/codec_test.go
@@ -8,6 +8,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
+// encodedSamples returns one valid encoding of each kind that FuzzDecode decodes.
 func encodedSamples(t interface{ Fatal(...any) }) [][]byte {
 	s, err := bootstrapSnapshot(3, voterSet{7: {"a", "b"}, 9: {"c", "d"}}, []byte("machine"))
 	if err != nil {
@@ -25,7 +26,8 @@
 	return [][]byte{s.encode(), encodeMessages(7, map[uint64]logPosition{9: {1, 2}}, [][]byte{m}), entries, status, voterChange{7, 9, "a", "b"}.encode(), encodeCommand(proposalID{2}, []byte("c"))}
 }
 
-// FuzzDecode: nothing that a relay may be sent ends it or makes it allocate more than arrived; what is decoded is encoded the same way.
+// FuzzDecode guards against input from another relay that crashes a decoder or makes it allocate more
+// elements than bytes arrived, and against decoded values that do not survive encoding and decoding.
 func FuzzDecode(f *testing.F) {
 	for _, b := range encodedSamples(f) {
 		f.Add(b)
@@ -36,16 +38,17 @@
 		if s, err := decodeSnapshot(b); err == nil {
 			redecoded, err := decodeSnapshot(s.encode())
 			if err != nil || !bytes.Equal(redecoded.encode(), s.encode()) {
-				t.Fatal("snapshot")
+				t.Fatalf("decodeSnapshot(s.encode()) does not return s = %+v; error %v", s, err)
 			}
 		}
 		if p, err := decodeMessages(b); err == nil {
 			if len(p.acknowledged)+len(p.messages) > len(b) {
-				t.Fatal("more than came", p.from)
+				t.Fatalf("decodeMessages(%d bytes) = %d positions and %d messages from %d, want no more than bytes",
+					len(b), len(p.acknowledged), len(p.messages), p.from)
 			}
 		}
 		if _, err := decodePeerStatus(b); err == nil && b[0] != codeOK {
-			t.Fatal("peer status")
+			t.Fatalf("decodePeerStatus accepts a response with code %d, want only code %d", b[0], codeOK)
 		}
 		_, _ = decodeVoterChange(b)
 		_, _, _ = decodeCommand(b)
@@ -55,13 +58,13 @@
 			if entry := r.entry(); r.err == nil {
 				r2 := reader{rest: putEntry(nil, entry)}
 				if redecoded := r2.entry(); r2.finish() != nil || redecoded.index != entry.index || !bytes.Equal(redecoded.command, entry.command) {
-					t.Fatal("entry")
+					t.Fatalf("entry read from its own encoding = %+v, error %v; want %+v", redecoded, r2.finish(), entry)
 				}
 			}
 			decoded++
 		}
 		if decoded > len(b) {
-			t.Fatal("more than came")
+			t.Fatalf("reader.count() allows %d entries in %d bytes, want no more entries than bytes", decoded, len(b))
 		}
 	})
 }
--- a/internal/consensus/disk_test.go
+++ b/internal/consensus/disk_test.go
@@ -17,6 +17,8 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
+// TestDiskFails checks that a voter whose disk fails stops voting but still follows the record, and that it
+// votes again under the same identity, also after a restart, once the disk works again.
 func TestDiskFails(t *testing.T) {
 	t.Parallel()
 	ops := []string{"sync"}
@@ -38,16 +40,16 @@
 		for i := range 3 {
 			f.propose("v0", fmt.Sprint("b", i))
 		}
-		f.wait("its status says so", func() bool { s := f.nodes["v1"].Status(); return s.Role == RoleDiskFailed && s.DiskError != "" })
+		f.wait("v1's status reports the disk failure", func() bool { s := f.nodes["v1"].Status(); return s.Role == RoleDiskFailed && s.DiskError != "" })
 		f.propose("v2", "c")
-		f.wait("it follows nevertheless", func() bool { n, _ := f.machines["v1"].state(); return n == 5 })
+		f.wait("v1 applies all 5 commands while its disk fails", func() bool { n, _ := f.machines["v1"].state(); return n == 5 })
 		failing.Store(false)
-		f.wait("it votes again", func() bool { s := f.nodes["v1"].Status(); return s.Role != RoleDiskFailed && s.DiskError == "" })
+		f.wait("v1 votes again", func() bool { s := f.nodes["v1"].Status(); return s.Role != RoleDiskFailed && s.DiskError == "" })
 		other := "v0"
 		if f.leader() == other {
 			other = "v2"
 		}
-		f.stop(other) // so that its vote is needed
+		f.stop(other) // now a majority needs v1's vote
 		f.propose("v1", "d")
 		id := f.nodes["v1"].Status().Identity
 		f.stop("v1")
@@ -56,11 +58,12 @@
 		f.propose("v1", "e")
 		f.waitSameState()
 		if now := f.nodes["v1"].Status().Identity; now != id {
-			t.Fatalf("identity %d, then %d", id, now)
+			t.Fatalf("identity of v1 after a restart = %d, want %d as before", now, id)
 		}
 	}
 }
 
+// TestUnusableDirectory checks that a voter whose directory cannot be created starts and reports the error.
 func TestUnusableDirectory(t *testing.T) {
 	t.Parallel()
 	f := newCluster(t, 1, false)
@@ -70,10 +73,11 @@
 	}
 	f.dirs["v0"] = filepath.Join(file, "dir") // cannot be created
 	f.start("v0")
-	f.wait("its status says so", func() bool { s := f.nodes["v0"].Status(); return s.DiskError != "" && s.Role == RoleDiskFailed })
+	f.wait("v0's status reports the disk failure", func() bool { s := f.nodes["v0"].Status(); return s.DiskError != "" && s.Role == RoleDiskFailed })
 }
 
-// TestLostDirectory: whatever happened to a voter's directory, it never votes under its old identity, and votes again under a new one.
+// TestLostDirectory checks that a voter whose directory was lost, damaged or replaced by an older copy does
+// not vote under its old identity, and votes again under a new one.
 func TestLostDirectory(t *testing.T) {
 	t.Parallel()
 	for _, failure := range []string{"emptied", "in memory", "damaged", "older"} {
@@ -92,10 +96,10 @@
 			}
 			if failure == "older" {
 				f.start("v2")
-				f.wait("it votes", func() bool { return f.nodes["v2"].Status().Role != RoleJoining })
+				f.wait("v2 votes", func() bool { return f.nodes["v2"].Status().Role != RoleJoining })
 				f.propose("v2", "forgotten")
 				f.waitSameState()
-				time.Sleep(3 * heartbeatTicks * tickInterval) // until the others know what it acknowledged
+				time.Sleep(3 * heartbeatTicks * tickInterval) // lets the others learn what v2 has acknowledged
 				f.stop("v2")
 			}
 			if failure == "damaged" {
@@ -111,13 +115,13 @@
 			}
 			f.propose("v1", "b")
 			f.start("v2")
-			f.wait("its status says so, and it votes again", func() bool {
+			f.wait("v2 votes under a new identity, and its status gives the reason", func() bool {
 				s := f.nodes["v2"].Status()
 				return s.Identity != id && (s.Role == RoleVoter || s.Role == RoleLeader) && (strings.Contains(s.IdentityReason, failure) || failure == "emptied" || failure == "in memory")
 			})
 			f.waitChangeDone("v2")
 			f.stop("v1")
-			f.propose("v2", "c") // its vote is needed
+			f.propose("v2", "c") // a majority needs v2's vote
 			f.start("v1")
 			f.propose("v1", "d")
 			f.waitSameState()
@@ -125,7 +129,8 @@
 	}
 }
 
-// writeSampleFile is a voter's file of that many entries, as bbolt wrote it, and what it holds.
+// writeSampleFile writes a database file with the given number of entries, one of which is then replaced, and
+// a compaction. It returns the file and the state that loadFile reads from it.
 func writeSampleFile(t *testing.T, entries int) (file []byte, stored storedState) {
 	d := &disk{directory: t.TempDir()}
 	if _, _, err := d.open(5); err != nil {
@@ -148,7 +153,7 @@
 	for i := range uint64(entries) {
 		must(d.write(entry(i+2, 1, 300+int(i%7)*40)))
 	}
-	must(d.write(entry(uint64(entries)/2, 2, 9000))) // more than a page; the entries behind it are gone
+	must(d.write(entry(uint64(entries)/2, 2, 9000))) // larger than a page; deletes the entries after it
 	s.index, s.machineState = uint64(entries)/4, bytes.Repeat([]byte("m"), 6000)
 	must(d.write(diskWrite{compaction: s.encode(), compactedIndex: s.index - 3}))
 	must(d.close())
@@ -157,12 +162,13 @@
 	stored, err = loadFile(file)
 	must(err)
 	if n := len(stored.entries); stored.identity != 5 || n == 0 || stored.entries[0].GetIndex() != s.index+1 || stored.entries[n-1].GetTerm() != 2 || stored.hardState.GetVote() != 5 || stored.acknowledged[7].term != 2 {
-		t.Fatalf("not read as written: %+v", stored)
+		t.Fatalf("loadFile() does not return what was written: got %+v, want identity and vote 5, entries from index %d with the last of term 2, and term 2 acknowledged by voter 7", stored, s.index+1)
 	}
 	return file, stored
 }
 
-// TestFileRoundTrip compares the file, as it is read without bbolt, with the model's.
+// TestFileRoundTrip writes random transactions and checks that the file, read without bbolt, holds the same
+// state as the model test's disk after the same writes.
 func TestFileRoundTrip(t *testing.T) {
 	t.Parallel()
 	rng := rand.New(rand.NewPCG(3, 1))
@@ -182,15 +188,15 @@
 			kind = 0
 		}
 		switch kind {
-		case 0: // another's snapshot
+		case 0: // another voter's snapshot
 			last += uint64(rng.IntN(3))
 			s.index, s.term, s.machineState = last, term, make([]byte, rng.IntN(20000))
 			dw.snapshot = s.encode()
-		case 1: // its own
+		case 1: // this voter's own snapshot, which compacts the log
 			s.index += uint64(rng.IntN(int(last-s.index) + 1))
 			s.machineState = make([]byte, rng.IntN(20000))
 			dw.compaction, dw.compactedIndex = s.encode(), s.index-min(s.index, uint64(rng.IntN(10)))
-		default: // entries, some of which replace others
+		default: // entries, some of which replace earlier ones
 			if rng.IntN(3) == 0 && last > s.index {
 				term++
 				last -= uint64(rng.IntN(int(last - s.index)))
@@ -212,7 +218,7 @@
 		}
 		stored, err := loadFile(file)
 		if err != nil {
-			t.Fatalf("write %d: %v", i, err)
+			t.Fatalf("loadFile after write %d: %v", i, err)
 		}
 		want := node.disk
 		for len(want.entries) > 0 && want.entries[0].GetIndex() <= s.index {
@@ -222,14 +228,14 @@
 			return fmt.Sprint(h.identity, h.snapshot, h.hardState, h.entries, h.acknowledged)
 		}
 		if format(stored) != format(want) {
-			t.Fatalf("write %d: %d entries are read, %d were written", i, len(stored.entries), len(want.entries))
+			t.Fatalf("loadFile after write %d returns %d entries and differs from the model's disk, which has %d", i, len(stored.entries), len(want.entries))
 		}
 		if i%20 == 19 {
 			if err := d.close(); err != nil {
 				t.Fatal(err)
 			}
 			if _, damage, err := d.open(6); damage != "" || err != nil {
-				t.Fatal(damage, err)
+				t.Fatalf("open of an intact directory: damage %q, error %v; want neither", damage, err)
 			}
 			node.disk.entries = stored.entries
 		}
@@ -239,17 +245,19 @@
 	}
 }
 
-// TestDamagedFile truncates the file at each length and flips bits: it is then rejected, or read as before. The directory is then a new voter's.
+// TestDamagedFile truncates a file, flips bits, copies pages over others and makes pages their own children.
+// loadFile must reject each such file or return the original state. Then it checks that open creates a new
+// identity for a damaged file, keeps the identity of an intact one, and locks the directory.
 func TestDamagedFile(t *testing.T) {
 	t.Parallel()
 	good, stored := writeSampleFile(t, 60)
-	step := 199 // coprime to 8 and the page size: each bit of a byte, and each byte of a page, has its turn
+	step := 199 // coprime to 8 and to the page size, so that the flips cover each bit position and page offset
 	if os.Getenv("CONSENSUS_SEEDS") != "" {
 		step = 1
 	}
 	for n := 0; n < len(good); n += step {
-		if got, err := loadFile(good[:n]); err == nil && !reflect.DeepEqual(got, stored) { // the file is longer than its pages in use
-			t.Fatalf("truncated at %d, and something else is read", n)
+		if got, err := loadFile(good[:n]); err == nil && !reflect.DeepEqual(got, stored) { // a file may end after unused pages
+			t.Fatalf("loadFile accepts a file truncated to %d bytes and returns another state", n)
 		}
 	}
 	unaffected, rejected := 0, 0
@@ -259,34 +267,36 @@
 		switch got, err := loadFile(b); {
 		case err != nil:
 			rejected++
-		case reflect.DeepEqual(got, stored): // in a free page, or in unused space
+		case reflect.DeepEqual(got, stored): // the bit is in a free page or in unused space
 			unaffected++
 		default:
-			t.Fatalf("bit %d flipped, and something else is read", bit)
+			t.Fatalf("loadFile accepts a file with bit %d flipped and returns another state", bit)
 		}
 		b[bit/8] ^= 1 << (bit % 8)
 	}
 	size := os.Getpagesize()
-	for from := 0; from < len(b); from += size { // each page in the place of each other, under its number: such as an older one
+	// Each page replaces each other page but keeps the page number of the replaced one, as an older
+	// version of that page would.
+	for from := 0; from < len(b); from += size {
 		for to := 0; to < len(b); to += size {
 			copy(b[to+8:to+size], good[from+8:from+size])
 			if got, err := loadFile(b); err == nil && !reflect.DeepEqual(got, stored) {
-				t.Fatalf("page at %d in the place of %d, and something else is read", from, to)
+				t.Fatalf("loadFile accepts a file with the page at %d copied to %d and returns another state", from, to)
 			}
 			copy(b[to:to+size], good[to:to+size])
 		}
 	}
-	for id := 0; id < len(b)/size; id++ { // a page that is its own child: a reader that loops does not end
+	for id := 0; id < len(b)/size; id++ { // a page that is its own child would make a naive reader loop forever
 		if p := b[id*size:]; binary.NativeEndian.Uint16(p[8:]) == pageKindBranch {
 			binary.NativeEndian.PutUint64(p[pageHeaderSize+8:], uint64(id))
 			if got, err := loadFile(b); err == nil && !reflect.DeepEqual(got, stored) {
-				t.Fatalf("page %d is its own child, and accepted", id)
+				t.Fatalf("loadFile accepts a file whose page %d is its own child and returns another state", id)
 			}
 		}
 	}
-	t.Log(unaffected, rejected)
+	t.Logf("bit flips: %d in unused space, %d rejected", unaffected, rejected)
 	if unaffected == 0 || rejected == 0 {
-		t.Error("nothing was tried")
+		t.Errorf("bit flips: %d in unused space, %d rejected; want some of both", unaffected, rejected)
 	}
 	dir := t.TempDir()
 	for i, c := range []struct {
@@ -299,11 +309,11 @@
 		d := &disk{directory: dir}
 		got, damage, err := d.open(6)
 		if err != nil || got.identity != c.id || (damage == "") != (c.id == 5) || (got.snapshot == nil) != (c.id == 6) {
-			t.Fatalf("%d: %v %q, identity %d", i, err, damage, got.identity)
+			t.Fatalf("open, case %d: error %v, damage %q, identity %d; want identity %d", i, err, damage, got.identity, c.id)
 		}
 		if i == 2 {
 			if _, _, err := (&disk{directory: dir}).open(7); !errors.Is(err, errInUse) {
-				t.Errorf("opened twice: %v", err)
+				t.Errorf("second open of a directory in use: error %v, want %v", err, errInUse)
 			}
 		}
 		if err := d.close(); err != nil {
--- a/internal/consensus/envelope_test.go
+++ b/internal/consensus/envelope_test.go
@@ -8,31 +8,32 @@
 	"time"
 )
 
-// TestDuplicateNames: two relays of one name are found, by those that receive from them and by themselves; one that is restarted is not.
+// TestDuplicateNames checks that two relays with the same name are reported by the relays that receive from
+// them and by themselves, and that a relay that is restarted once is not reported.
 func TestDuplicateNames(t *testing.T) {
 	t.Parallel()
 	f := newCluster(t, 3, false)
 	f.startVoters()
 	f.start("r1")
-	f.nodes["its duplicate"], f.addrs["r0"] = f.start("r0"), freeAddr(t)
+	f.nodes["duplicate of r0"], f.addrs["r0"] = f.start("r0"), freeAddr(t)
 	f.start("r0")
 	f.propose("r1", "a")
 	f.stop("r1")
 	f.start("r1")
 	reported := map[string]bool{}
-	f.wait("they are found", func() bool {
+	f.wait("both relays named r0 and a voter report the duplicate name", func() bool {
 		for name, n := range f.nodes {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-			n.Barrier(ctx) // any request; it may fail
+			n.Barrier(ctx) // sends a request; it may fail
 			cancel()
 			for _, duplicate := range n.Status().DuplicateNames {
 				if duplicate != "r0" {
-					t.Fatalf("%s names %s", name, duplicate)
+					t.Fatalf("%s reports the duplicate name %s, want only r0", name, duplicate)
 				}
 				reported[name] = true
 			}
 		}
-		return reported["r0"] && reported["its duplicate"] && (reported["v0"] || reported["v1"] || reported["v2"])
+		return reported["r0"] && reported["duplicate of r0"] && (reported["v0"] || reported["v1"] || reported["v2"])
 	})
 }
 
@@ -47,7 +48,7 @@
 		if err == nil && !bytes.Equal(b, good) {
 			resealed, _ := sealRequest(r.key, r.epoch, r.start, r.sequence, r.kind, r.from, "to", r.body)
 			if !bytes.Equal(resealed, b) {
-				t.Fatal("accepted, and not sealed so")
+				t.Fatalf("verifyRequest accepts %x, but sealRequest with its fields returns %x", b, resealed)
 			}
 		}
 	})
@@ -73,29 +74,29 @@
 		{4, 9, 500 + replayWindow, nil}, {4, 9, 500, errReplayed}, {4, 9, 501, nil}, {4, 9, 501, errReplayed}, {4, 8, 900, errStaleStart}, {4, 10, 1, nil}, {4, 9, 9000, errStaleStart},
 	} {
 		if err := check(c.epoch, c.start, c.seq); err != c.want {
-			t.Errorf("%v: %v", c, err)
+			t.Errorf("admit(epoch %d, start %d, sequence %d) = %v, want %v", c.epoch, c.start, c.seq, err, c.want)
 		}
 	}
 	b, tag := sealRequest(keys[0], 1, 2, 3, requestPropose, "a", "b", nil)
 	if _, err := verifyRequest(keys, "c", b); err != errWrongReceiver {
-		t.Errorf("for another: %v", err)
+		t.Errorf("verifyRequest of a request for b at c: error %v, want %v", err, errWrongReceiver)
 	}
 	for i := range b {
 		flipped := bytes.Clone(b)
 		flipped[i] ^= 1
 		if _, err := verifyRequest(keys, "b", flipped); err == nil {
-			t.Fatalf("byte %d flipped, and accepted", i)
+			t.Fatalf("verifyRequest accepts a request with a flipped bit in byte %d", i)
 		}
 	}
 	sealedResponse := sealResponse(keys[0], tag, 0, []byte("yes"))
 	if got, err := verifyResponse(keys[0], tag, 0, sealedResponse); err != nil || string(got) != "yes" {
-		t.Fatal(err)
+		t.Fatalf("verifyResponse of a sealed response = %q, %v; want %q and no error", got, err, "yes")
 	}
 	_, otherTag := sealRequest(keys[0], 1, 2, 4, requestPropose, "a", "b", nil)
 	if _, err := verifyResponse(keys[0], otherTag, 0, sealedResponse); err == nil {
-		t.Error("a response to another request")
+		t.Error("verifyResponse accepts a response to another request")
 	}
 	if _, err := verifyResponse(keys[0], tag, binary.MaxVarintLen16, sealedResponse); err == nil {
-		t.Error("a response's other part")
+		t.Error("verifyResponse accepts another part of the same response")
 	}
 }
