--- a/internal/consensus/api.go
+++ b/internal/consensus/api.go
@@ -15,8 +15,8 @@
 )
 
 // Errors of Propose, Barrier and Replace for calls whose request may have been sent. Once it was sent,
-// the end of the caller's context is reported as ErrOutcomeUnknown. The texts of these errors and of
-// those below are sent to operators in HTTP responses.
+// Propose and Replace report the end of the caller's context as ErrOutcomeUnknown. The texts of these
+// errors and of those below are sent to operators in HTTP responses.
 var (
 	// ErrNoQuorum means that this call committed nothing and will commit nothing later. It may be retried.
 	ErrNoQuorum = errors.New("no majority: nothing was agreed")
@@ -25,11 +25,11 @@
 	ErrOutcomeUnknown = errors.New("in doubt: it may have been agreed")
 )
 
-// Errors of Propose, Barrier and Replace for calls that were not made.
+// Errors of Propose, Barrier and Replace for calls that had no effect.
 var (
 	// ErrQueueFull means that a queue was full; this call committed nothing.
 	ErrQueueFull = errors.New("full: nothing was agreed")
-	// ErrClosed means that the node is closed.
+	// ErrClosed means that the node is closed. Replace may return it after it has submitted the change.
 	ErrClosed = errors.New("closed")
 	// ErrTooLarge means that a command exceeds MaxCommandSize or a report MaxReportSize.
 	ErrTooLarge = errors.New("too large")
--- a/internal/consensus/engine.go
+++ b/internal/consensus/engine.go
@@ -15,7 +15,7 @@
 	messageQueueSize = 1024 // batches of messages that wait for the engine
 	callQueueSize    = 256
 	maxBatch         = 64 // messages or calls handled together, so that one write serves many
-	maxCatchUpTicks  = 4  // after a pause of the process, ticks are repeated up to this number
+	maxCatchUpTicks  = 4  // ticks that are made up for after a pause of the process, at most
 )
 
 // engine runs a core on one goroutine and the writes to its disk on another.
