--- a/internal/consensus/engine_disk.go
+++ b/internal/consensus/engine_disk.go
@@ -6,38 +6,38 @@
 )
 
 const (
-	diskRetryInterval = time.Second // between attempts to rewrite a failed disk
-	retainedEntries   = 1024        // entries kept behind a snapshot, for voters that lag a little
+	diskRetryInterval = time.Second // between attempts to rewrite the file after a failed write
+	retainedEntries   = 1024        // entries kept before a snapshot, for voters that lag a little
 	retainedBytes     = 1 << 20
 )
 
-// startWrite hands a write to the disk's goroutine; then is called once it has succeeded.
-func (e *engine) startWrite(write func() error, then func()) {
-	e.writing, e.afterWrite = true, then
+// startWrite passes a write to the disk's goroutine. onSuccess, if not nil, is called once it has succeeded.
+func (e *engine) startWrite(write func() error, onSuccess func()) {
+	e.writing, e.afterWrite = true, onSuccess
 	e.writes <- write
 }
 
 func (e *engine) writeDone(err error) {
 	if err != nil {
 		if e.diskError == nil {
-			e.node.log().WithField("error", err.Error()).Error("consensus: the disk failed: this voter does not vote until it works again")
+			e.node.log().WithField("error", err.Error()).Error("consensus: writing to the disk failed: this voter does not vote until its file is rewritten")
 		}
 		e.diskError, e.diskRetryAt = err, time.Now().Add(diskRetryInterval)
 		e.publishView()
 		return
 	}
 	if e.diskError != nil {
-		e.node.log().Warn("consensus: the disk works again: this voter votes")
-		e.diskError, e.silentUntilTick = nil, e.core.tickCount+electionTicks+1
+		e.node.log().Warn("consensus: the file is rewritten after a disk failure: this voter votes again")
+		e.diskError, e.noLeadershipUntilTick = nil, e.core.tickCount+electionTicks+1
 	}
-	if then := e.afterWrite; then != nil {
+	if onSuccess := e.afterWrite; onSuccess != nil {
 		e.afterWrite = nil
-		then()
+		onSuccess()
 	}
 	e.publishView()
 }
 
-// rewriteDisk writes all that this voter has acknowledged into a new file, and the write that failed.
+// rewriteDisk writes everything that this voter has acknowledged, and the write that failed, to a new file.
 func (e *engine) rewriteDisk() {
 	stored, err := stateToStore(e.id, e.core.storage, maps.Clone(e.core.acknowledged))
 	if err != nil {
@@ -54,7 +54,8 @@
 	e.startWrite(func() error { return e.disk.rewrite(stored, failed) }, e.afterWrite)
 }
 
-// compact compacts the log with this voter's own snapshot.
+// compact compacts the log with ownSnapshot, unless the snapshot is of another record, not newer than the
+// last one, or ahead of the core.
 func (e *engine) compact() {
 	s, encoded := e.ownSnapshot, e.ownSnapshotEncoded
 	e.ownSnapshot, e.ownSnapshotEncoded = nil, nil
--- a/internal/consensus/envelope_test.go
+++ b/internal/consensus/envelope_test.go
@@ -8,31 +8,32 @@
 	"time"
 )
 
-// TestDuplicateNames: two relays of one name are found, by those that receive from them and by themselves; one that is restarted is not.
+// TestDuplicateNames checks that two relays with the same name are reported by the relays that receive from
+// them and by themselves, and that a relay that is restarted once is not reported.
 func TestDuplicateNames(t *testing.T) {
 	t.Parallel()
 	f := newCluster(t, 3, false)
 	f.startVoters()
 	f.start("r1")
-	f.nodes["its duplicate"], f.addrs["r0"] = f.start("r0"), freeAddr(t)
+	f.nodes["duplicate of r0"], f.addrs["r0"] = f.start("r0"), freeAddr(t)
 	f.start("r0")
 	f.propose("r1", "a")
 	f.stop("r1")
 	f.start("r1")
-	named := map[string]bool{}
-	f.wait("they are found", func() bool {
+	reported := map[string]bool{}
+	f.wait("both relays named r0 and a voter report the duplicate name", func() bool {
 		for name, n := range f.nodes {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-			n.Barrier(ctx) // any request; it may fail
+			n.Barrier(ctx) // sends a request; it may fail
 			cancel()
-			for _, twin := range n.Status().DuplicateNames {
-				if twin != "r0" {
-					t.Fatalf("%s names %s", name, twin)
+			for _, duplicate := range n.Status().DuplicateNames {
+				if duplicate != "r0" {
+					t.Fatalf("%s reports the duplicate name %s, want only r0", name, duplicate)
 				}
-				named[name] = true
+				reported[name] = true
 			}
 		}
-		return named["r0"] && named["its duplicate"] && (named["v0"] || named["v1"] || named["v2"])
+		return reported["r0"] && reported["duplicate of r0"] && (reported["v0"] || reported["v1"] || reported["v2"])
 	})
 }
 
@@ -45,9 +46,9 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r, err := verifyRequest(keys, "to", b)
 		if err == nil && !bytes.Equal(b, good) {
-			again, _ := sealRequest(r.key, r.epoch, r.start, r.sequence, r.kind, r.from, "to", r.body)
-			if !bytes.Equal(again, b) {
-				t.Fatal("accepted, and not sealed so")
+			resealed, _ := sealRequest(r.key, r.epoch, r.start, r.sequence, r.kind, r.from, "to", r.body)
+			if !bytes.Equal(resealed, b) {
+				t.Fatalf("verifyRequest accepts %x, but sealRequest with its fields returns %x", b, resealed)
 			}
 		}
 	})
@@ -55,14 +56,14 @@
 
 func TestEnvelope(t *testing.T) {
 	keys := [][]byte{[]byte("key one"), []byte("key two")}
-	f := replayGuard{epoch: 4}
+	guard := replayGuard{epoch: 4}
 	check := func(epoch, start, seq uint64) error {
 		b, _ := sealRequest(keys[0], epoch, start, seq, requestPropose, "a", "b", []byte("x"))
 		r, err := verifyRequest(keys, "b", b)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, err = f.admit(r)
+		_, err = guard.admit(r)
 		return err
 	}
 	for _, c := range []struct {
@@ -73,29 +74,29 @@
 		{4, 9, 500 + replayWindow, nil}, {4, 9, 500, errReplayed}, {4, 9, 501, nil}, {4, 9, 501, errReplayed}, {4, 8, 900, errStaleStart}, {4, 10, 1, nil}, {4, 9, 9000, errStaleStart},
 	} {
 		if err := check(c.epoch, c.start, c.seq); err != c.want {
-			t.Errorf("%v: %v", c, err)
+			t.Errorf("admit(epoch %d, start %d, sequence %d) = %v, want %v", c.epoch, c.start, c.seq, err, c.want)
 		}
 	}
 	b, tag := sealRequest(keys[0], 1, 2, 3, requestPropose, "a", "b", nil)
 	if _, err := verifyRequest(keys, "c", b); err != errWrongReceiver {
-		t.Errorf("for another: %v", err)
+		t.Errorf("verifyRequest of a request for b at c: error %v, want %v", err, errWrongReceiver)
 	}
 	for i := range b {
-		c := bytes.Clone(b)
-		c[i] ^= 1
-		if _, err := verifyRequest(keys, "b", c); err == nil {
-			t.Fatalf("byte %d flipped, and accepted", i)
+		flipped := bytes.Clone(b)
+		flipped[i] ^= 1
+		if _, err := verifyRequest(keys, "b", flipped); err == nil {
+			t.Fatalf("verifyRequest accepts a request with a flipped bit in byte %d", i)
 		}
 	}
-	a := sealAnswer(keys[0], tag, 0, []byte("yes"))
-	if got, err := verifyAnswer(keys[0], tag, 0, a); err != nil || string(got) != "yes" {
-		t.Fatal(err)
+	sealedResponse := sealResponse(keys[0], tag, 0, []byte("yes"))
+	if got, err := verifyResponse(keys[0], tag, 0, sealedResponse); err != nil || string(got) != "yes" {
+		t.Fatalf("verifyResponse of a sealed response = %q, %v; want %q and no error", got, err, "yes")
 	}
-	_, other := sealRequest(keys[0], 1, 2, 4, requestPropose, "a", "b", nil)
-	if _, err := verifyAnswer(keys[0], other, 0, a); err == nil {
-		t.Error("a response to another request")
+	_, otherTag := sealRequest(keys[0], 1, 2, 4, requestPropose, "a", "b", nil)
+	if _, err := verifyResponse(keys[0], otherTag, 0, sealedResponse); err == nil {
+		t.Error("verifyResponse accepts a response to another request")
 	}
-	if _, err := verifyAnswer(keys[0], tag, binary.MaxVarintLen16, a); err == nil {
-		t.Error("a response's other part")
+	if _, err := verifyResponse(keys[0], tag, binary.MaxVarintLen16, sealedResponse); err == nil {
+		t.Error("verifyResponse accepts another part of the same response")
 	}
 }
