--- a/internal/fleet/agreed_state.go
+++ b/internal/fleet/agreed_state.go
@@ -79,7 +79,7 @@
 }
 
 // fillIn overrides a desired state where the record, as far as it has been received, is older than the saved state.
-func (a agreedState) fillIn(desired *DesiredState) {
+func (a agreedState) replaceOlderParts(desired *DesiredState) {
 	if desired.RecordVersion < a.Version {
 		desired.Exclusions = a.Exclusions
 	}
@@ -110,7 +110,7 @@
 			return
 		}
 		if err := state.write(s.Dir); err != nil {
-			s.noteFailure(opSave, err)
+			s.countFailure(opSave, err)
 			return
 		}
 		saved = state
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -45,17 +45,17 @@
 
 // Intervals and timeouts. Each follows from a time that the protocol or another package fixes.
 const (
-	reportInterval     = time.Second            // of a relay's status reports
-	silenceTimeout     = 4 * reportInterval     // four reports lost: datagrams and a change of the leader cost two
-	flowExpiry         = 7 * time.Second        // by then the client has given up a flow whose relay is silent, by the protocol
-	maxDrain           = 20 * time.Second       // a relay drains for 3 s and stops for 3 s; a member's flows go as fast as others can take them
-	defaultStartMS     = 30_000                 // what the platform takes until a relay is ready
-	planInterval       = 200 * time.Millisecond // of the leader's control loop
-	planFreshness      = 3 * time.Second        // from a view to the agreement on its plan: a new leader takes two
-	maxDriftBlock      = 10 * time.Second       // drift of that age halts a release
-	permitWindowMS     = 30_000                 // within which a granted permit must begin
-	maxClockDrift      = 0.01                   // between machines: a hundred times that of quartz
-	defaultServiceLoss = 0.05                   // of Disruption.MaxServiceLoss
+	reportInterval        = time.Second            // of a relay's status reports
+	silenceTimeout        = 4 * reportInterval     // four reports lost: datagrams and a change of the leader cost two
+	flowExpiry            = 7 * time.Second        // by then the client has given up a flow whose relay is silent, by the protocol
+	drainTimeout          = 20 * time.Second       // a relay drains for 3 s and stops for 3 s; a member's flows go as fast as others can take them
+	defaultStartTimeoutMS = 30_000                 // what the platform takes until a relay is ready
+	planInterval          = 200 * time.Millisecond // of the leader's control loop
+	viewMaxAge            = 3 * time.Second        // from a view to the agreement on its plan: a new leader takes two
+	driftHaltAfter        = 10 * time.Second       // drift of that age halts a release
+	permitWindowMS        = 30_000                 // within which a granted permit must begin
+	maxClockDrift         = 0.01                   // between machines: a hundred times that of quartz
+	defaultServiceLoss    = 0.05                   // of Disruption.MaxServiceLoss
 )
 
 // Check validates the setting and completes it. Dir is the configuration's directory, relays the number of relays that should run, and warmup
@@ -89,9 +89,9 @@
 		return errors.New("start_ms: below zero")
 	}
 	c.budgets = rollout.Budgets{CapacityReserve: c.Disruption.SpareLoad, ServiceTolerance: cmp.Or(c.Disruption.MaxServiceLoss, defaultServiceLoss),
-		SilentAfterMS: silenceTimeout.Milliseconds(), FlowHoldMS: (silenceTimeout + flowExpiry).Milliseconds(), ViewMaxAgeMS: planFreshness.Milliseconds(),
-		DrainTimeoutMS: maxDrain.Milliseconds(), StartTimeoutMS: cmp.Or(c.StartTimeoutMS, defaultStartMS), WarmupMS: warmup.Milliseconds(),
-		PermitWindowMS: permitWindowMS, ClockDrift: maxClockDrift, DriftHaltMS: maxDriftBlock.Milliseconds()}
+		SilentAfterMS: silenceTimeout.Milliseconds(), FlowHoldMS: (silenceTimeout + flowExpiry).Milliseconds(), ViewMaxAgeMS: viewMaxAge.Milliseconds(),
+		DrainTimeoutMS: drainTimeout.Milliseconds(), StartTimeoutMS: cmp.Or(c.StartTimeoutMS, defaultStartTimeoutMS), WarmupMS: warmup.Milliseconds(),
+		PermitWindowMS: permitWindowMS, ClockDrift: maxClockDrift, DriftHaltMS: driftHaltAfter.Milliseconds()}
 	relayBudget, memberBudget := &c.budgets.Relays, &c.budgets.Members
 	for _, limit := range []struct {
 		name, text string
--- a/internal/fleet/controller.go
+++ b/internal/fleet/controller.go
@@ -23,7 +23,7 @@
 
 	// Derived from the record and from reports, at each evaluateDrift.
 	releaseSections map[string]map[string]string // by release: its configuration's items, as reported by the relays that run it
-	contested       map[string]bool              // sections without intent that at least half of the relays have: any value will do
+	acceptAnyValue  map[string]bool              // sections without intent that at least half of the relays have: any value will do
 	blockReason     string                       // drift that holds up all releases but those that repair it; "" if none
 	blockReasons    map[string]string            // the drift that holds up a release, by release; "" stands for those that repair nothing
 
--- a/internal/fleet/desired_state.go
+++ b/internal/fleet/desired_state.go
@@ -77,7 +77,7 @@
 	})
 	desired.CanaryWeights, desired.CanaryVersion = s.record.canaryWeights()
 	if !caughtUp {
-		s.savedState.fillIn(&desired)
+		s.savedState.replaceOlderParts(&desired)
 	}
 	s.Post(func() { s.ApplyDesired(desired); done() })
 	return desired.RecordVersion
--- a/internal/fleet/drift_evaluation.go
+++ b/internal/fleet/drift_evaluation.go
@@ -13,17 +13,17 @@
 	c.refresh()
 	c.fleet.updateLists(now)
 	c.learnReleaseSections()
-	var counted []string // relays whose drift holds up releases
+	var blockingRelays []string // relays whose drift holds up releases
 	for _, r := range v.Relays {
 		c.updateExpected(now, r.Name)
 		liveness := c.liveness(&r)
 		c.driftMonitor.SetLiveness(r.Name, liveness)
 		if _, quarantined := c.quarantined[r.Name]; liveness == drift.Alive && !quarantined { // in quarantine it counts as out instead
-			counted = append(counted, r.Name)
+			blockingRelays = append(blockingRelays, r.Name)
 		}
 	}
 	changes := c.driftMonitor.Tick(now)
-	c.findBlockReasons(now, counted, v)
+	c.findBlockReasons(now, blockingRelays, v)
 	return changes
 }
 
--- a/internal/fleet/expected_items.go
+++ b/internal/fleet/expected_items.go
@@ -46,7 +46,7 @@
 	if status.reports(drift.ItemConfig) {
 		config := c.expectedConfig(relay, status)
 		for section, value := range status.ConfigSections {
-			if name := configItem(section); c.contested[name] && len(config) > 0 && config[name] == "" {
+			if name := configItem(section); c.acceptAnyValue[name] && len(config) > 0 && config[name] == "" {
 				config = maps.Clone(config)
 				config[name] = value
 			}
@@ -168,7 +168,7 @@
 			c.releaseSections[release][configItem(section)] = value
 		}
 	}
-	c.findContested()
+	c.updateAcceptAnyValue()
 }
 
 // mostVotes is the candidate with the most votes; of several, the least.
@@ -181,18 +181,18 @@
 	return best
 }
 
-func (c *controller) findContested() {
-	having, reporting := map[string]int{}, 0 // relays by section; relays in all
+func (c *controller) updateAcceptAnyValue() {
+	relaysWithSection, relayCount := map[string]int{}, 0 // relays by section; relays in all
 	for _, status := range c.fleet.relays {
 		if status.reports(drift.ItemConfig) {
-			reporting++
+			relayCount++
 			for section := range status.ConfigSections {
-				having[configItem(section)]++
+				relaysWithSection[configItem(section)]++
 			}
 		}
 	}
-	c.contested = map[string]bool{}
-	for name, n := range having {
-		c.contested[name] = 2*n >= reporting && len(c.intent.Items[name]) == 0
+	c.acceptAnyValue = map[string]bool{}
+	for name, n := range relaysWithSection {
+		c.acceptAnyValue[name] = 2*n >= relayCount && len(c.intent.Items[name]) == 0
 	}
 }
--- a/internal/fleet/intent.go
+++ b/internal/fleet/intent.go
@@ -78,7 +78,7 @@
 	if reason := c.check(); reason != "" {
 		return n, rollout.Result{Error: reason}
 	}
-	edit := intentEdit{intent: n.clone(releases), at: at, by: by[:min(len(by), rollout.MaxNameBytes)], next: n.Version + 1}
+	edit := intentEdit{intent: n.clone(releases), at: at, by: by[:min(len(by), rollout.MaxNameBytes)], nextVersion: n.Version + 1}
 	if reason := edit.apply(&c, releases); reason != "" {
 		return n, rollout.Result{Error: reason}
 	}
--- a/internal/fleet/intent_edit.go
+++ b/internal/fleet/intent_edit.go
@@ -12,9 +12,9 @@
 // intentEdit applies one command to a copy of the intent.
 type intentEdit struct {
 	*intent
-	at   int64
-	by   string
-	next uint64 // the version, if the command changes anything
+	at          int64
+	by          string
+	nextVersion uint64 // the version, if the command changes anything
 }
 
 // apply is why a command is rejected; "" if it was applied.
@@ -59,7 +59,7 @@
 func (e *intentEdit) set(name, value string) {
 	for relay, items := range e.PerRelay {
 		if _, ok := items[name]; ok {
-			e.Version = e.next
+			e.Version = e.nextVersion
 		}
 		if delete(items, name); len(items) == 0 {
 			delete(e.PerRelay, relay)
@@ -69,8 +69,8 @@
 	if len(values) > 0 && values[0].Value == value {
 		return
 	}
-	e.Version = e.next
-	values = append([]intendedValue{{value, e.next, e.at, e.by}}, values...)
+	e.Version = e.nextVersion
+	values = append([]intendedValue{{value, e.nextVersion, e.at, e.by}}, values...)
 	e.Items[name] = values[:min(len(values), 1+maxFormerValues)]
 }
 
@@ -80,7 +80,7 @@
 	for name := range e.Items {
 		if dropped(name) {
 			delete(e.Items, name)
-			e.Version = e.next
+			e.Version = e.nextVersion
 		}
 	}
 	for relay, values := range e.PerRelay {
@@ -96,11 +96,11 @@
 	if current, ok := e.valueFor(relay, name); ok && current.Value == value {
 		return
 	}
-	e.Version = e.next
+	e.Version = e.nextVersion
 	if e.PerRelay[relay] == nil {
 		e.PerRelay[relay] = map[string]intendedValue{}
 	}
-	e.PerRelay[relay][name] = intendedValue{value, e.next, e.at, e.by}
+	e.PerRelay[relay][name] = intendedValue{value, e.nextVersion, e.at, e.by}
 }
 
 // followRelease adopts the values of a completed release of relays, or restores what was intended before one that was rolled back. The
@@ -124,7 +124,7 @@
 func (e *intentEdit) adopt(release *rollout.ReleaseStatus, reported map[string]string) {
 	previous := map[string]string{}
 	for name, values := range e.Items {
-		if specChanges(&release.Spec, name) {
+		if specChangesItem(&release.Spec, name) {
 			previous[name] = values[0].Value
 		}
 	}
@@ -182,9 +182,9 @@
 		return
 	}
 	for name := range values {
-		if specChanges(&release.Spec, name) {
+		if specChangesItem(&release.Spec, name) {
 			delete(values, name)
-			e.Version = e.next
+			e.Version = e.nextVersion
 		}
 	}
 	if len(values) == 0 {
--- a/internal/fleet/leader.go
+++ b/internal/fleet/leader.go
@@ -104,13 +104,13 @@
 func (s *Service) proposeStep(step controlStep) {
 	for _, c := range step.canaries {
 		if err := s.proposeCanary(context.Background(), c); err != nil {
-			s.noteFailure(opCanary+string(c.Op), err)
+			s.countFailure(opCanary+string(c.Op), err)
 			return
 		}
 	}
 	for _, c := range step.intents {
 		if result, err := s.proposeIntent(context.Background(), c); err != nil || result.Error != "" {
-			s.noteFailure(opIntent, cmp.Or(err, rejection(result)))
+			s.countFailure(opIntent, cmp.Or(err, rejection(result)))
 		}
 	}
 	var plan []rollout.Command
@@ -123,7 +123,7 @@
 	for _, c := range s.gateOnCanary(plan) {
 		result, err := s.propose(context.Background(), c)
 		if err = cmp.Or(err, rejection(result)); err != nil {
-			s.noteFailure(opPlan+string(c.Kind), err)
+			s.countFailure(opPlan+string(c.Kind), err)
 			return
 		}
 	}
--- a/internal/fleet/list_tracker.go
+++ b/internal/fleet/list_tracker.go
@@ -18,11 +18,11 @@
 // listTracker finds out which generation of the endpoint list each relay should have, from what relays report. In a large fleet the
 // generation rises many times a second, so that no two relays report the same one; and it restarts at a low number if discovery loses it.
 type listTracker struct {
-	newest      uint64 // generation that at least two relays have reached, or the newest of two relays: one alone may be wrong
-	floor, next uint64 // newest as it was one to two lags ago; the next floor
-	rotatedAt   int64  // when next became floor
-	startedAt   int64
-	restarted   bool // discovery has restarted
+	newest           uint64 // generation that at least two relays have reached, or the newest of two relays: one alone may be wrong
+	floor, nextFloor uint64 // newest as it was one to two lags ago; the next floor
+	rotatedAt        int64  // when next became floor
+	startedAt        int64
+	restarted        bool // discovery has restarted
 }
 
 // relayList is what is known of one relay's endpoint list.
@@ -82,7 +82,7 @@
 		t.newest = first
 	}
 	if now-t.rotatedAt >= maxListLagMS {
-		t.floor, t.next, t.rotatedAt = t.next, t.newest, now
+		t.floor, t.nextFloor, t.rotatedAt = t.nextFloor, t.newest, now
 	}
 }
 
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -18,11 +18,11 @@
 )
 
 // seedCount is how many seeds a test runs: few in CI, or as many as FLEET_SEEDS says.
-func seedCount(few uint64) uint64 {
+func seedCount(defaultCount uint64) uint64 {
 	if n, err := strconv.ParseUint(os.Getenv("FLEET_SEEDS"), 10, 64); err == nil {
 		return n
 	}
-	return few
+	return defaultCount
 }
 
 // model is a fleet in virtual time, without sockets: relays with a record, an event loop and a reporter each, one of them the leader; reports
@@ -63,15 +63,15 @@
 	listDelayMS            int64             // until it receives a new list
 }
 
-func newModel(t testing.TB, seed uint64, n int) *model {
-	c := Config{Listen: "127.0.0.1:1", APIListen: "127.0.0.1:2", Voters: map[string]string{"n0": "127.0.0.1:1"}}
-	c.Disruption.Relays.Total = "2"
-	if err := c.Check("", n, 0); err != nil {
+func newModel(t testing.TB, seed uint64, relayCount int) *model {
+	config := Config{Listen: "127.0.0.1:1", APIListen: "127.0.0.1:2", Voters: map[string]string{"n0": "127.0.0.1:1"}}
+	config.Disruption.Relays.Total = "2"
+	if err := config.Check("", relayCount, 0); err != nil {
 		t.Fatal(err)
 	}
 	m := &model{t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: 1_700_000_000_000, messages: map[int64][]func(){}, listGeneration: 500, plantedDrift: map[string]drift.State{},
-		foundDrift: map[string]bool{}, budgets: c.Budgets()}
-	for i := range n {
+		foundDrift: map[string]bool{}, budgets: config.Budgets()}
+	for i := range relayCount {
 		r := &modelRelay{name: fmt.Sprintf("n%d", i), program: "p1", config: "c1", record: NewRecord(), overriddenSections: map[string]string{}, stuckItems: map[string]bool{}}
 		m.relays = append(m.relays, r)
 		m.start(r)
@@ -92,13 +92,13 @@
 	m.leader, m.leaderSince, m.controller = r, m.now, newController(r.record)
 }
 
-func (m *model) after(late int64, do func()) {
-	when := m.now + max(late/100*100, 100)
-	m.messages[when] = append(m.messages[when], do)
+func (m *model) schedule(delayMS int64, deliver func()) {
+	deliverAt := m.now + max(delayMS/100*100, 100)
+	m.messages[deliverAt] = append(m.messages[deliverAt], deliver)
 }
 
-func (m *model) catchUp(r *modelRelay, to int) {
-	for ; r.appliedCommands < to; r.appliedCommands++ {
+func (m *model) catchUp(r *modelRelay, commands int) {
+	for ; r.appliedCommands < commands; r.appliedCommands++ {
 		r.record.Apply(uint64(r.appliedCommands), m.log[r.appliedCommands])
 	}
 	if r.restartsAt == 0 {
@@ -109,51 +109,51 @@
 // applyRecord is the event loop: it applies the record, except for stuckItems.
 func (m *model) applyRecord(r *modelRelay) {
 	before := r.observed
-	r.record.read(func(s *rollout.State, h recordItems) {
-		o := s.Orders(r.name)
-		ejected, draining := splitExclusions(o.Exclusions)
+	r.record.read(func(state *rollout.State, items recordItems) {
+		orders := state.Orders(r.name)
+		ejected, draining := splitExclusions(orders.Exclusions)
 		r.observed.AppliedExclusions = slices.DeleteFunc(append(ejected, draining...), func(n string) bool {
 			return r.stuckItems[drift.ItemEjections] && slices.Contains(ejected, n) || r.stuckItems[drift.ItemDrains] && slices.Contains(draining, n)
 		})
-		r.observed.AppliedVersion, r.observed.PermitsVersion, r.observed.CanaryVersion, r.observed.QuarantineOrder = s.Version(), permitsVersion(h), h.CanaryWeights.Version, 0
+		r.observed.AppliedVersion, r.observed.PermitsVersion, r.observed.CanaryVersion, r.observed.QuarantineOrder = state.Version(), permitsVersion(items), items.CanaryWeights.Version, 0
 		if r.stuckItems[drift.ItemPermits] {
 			r.observed.PermitsVersion = max(before.PermitsVersion, 1)
 		}
 		if r.stuckItems[drift.ItemCanaryWeights] {
 			r.observed.CanaryVersion = before.CanaryVersion
 		}
-		if o.Quarantine != nil && o.Quarantine.StartNumber >= r.incarnation {
-			r.observed.QuarantineOrder = o.Quarantine.Number
+		if orders.Quarantine != nil && orders.Quarantine.StartNumber >= r.incarnation {
+			r.observed.QuarantineOrder = orders.Quarantine.Number
 		}
 		if !r.leaving {
 			r.observed.Phase = map[bool]RelayPhase{false: RelayServing, true: RelayDraining}[r.observed.QuarantineOrder != 0]
 		}
-		if o.Leave != nil && o.Leave.StartNumber >= r.incarnation && !r.leaving {
+		if orders.Leave != nil && orders.Leave.StartNumber >= r.incarnation && !r.leaving {
 			r.leaving, r.observed.Phase = true, RelayLeaving
-			m.after(3000, func() {
-				r.restartsAt, r.program = m.now+2000+m.rng.Int64N(9000), cmp.Or(o.Leave.Program, r.program)
+			m.schedule(3000, func() {
+				r.restartsAt, r.program = m.now+2000+m.rng.Int64N(9000), cmp.Or(orders.Leave.Program, r.program)
 				if !r.rejectsConfig {
-					r.config = cmp.Or(o.Leave.Config, r.config)
+					r.config = cmp.Or(orders.Leave.Config, r.config)
 				}
 			})
 		}
 	})
 }
 
-func (m *model) commit(part string, body []byte) (a rollout.Result) {
+func (m *model) commit(part string, body []byte) (result rollout.Result) {
 	text, _ := json.Marshal(command{part, m.now, m.leader.name, body})
 	m.log = append(m.log, text)
 	n := len(m.log)
 	for _, r := range m.relays {
 		if r != m.leader {
-			m.after(m.rng.Int64N(400), func() { m.catchUp(r, n) })
+			m.schedule(m.rng.Int64N(400), func() { m.catchUp(r, n) })
 		}
 	}
 	m.catchUp(m.leader, n-1)
-	json.Unmarshal(m.leader.record.Apply(uint64(n), text), &a)
+	json.Unmarshal(m.leader.record.Apply(uint64(n), text), &result)
 	m.leader.appliedCommands = n
 	m.applyRecord(m.leader)
-	return a
+	return result
 }
 
 func (m *model) propose(c rollout.Command) {
@@ -162,40 +162,40 @@
 	}
 }
 
-func (m *model) openRelease(name string, w rollout.ReleaseSpec) {
-	m.propose(rollout.Command{Kind: rollout.CommandOpen, Name: name, Release: &w})
+func (m *model) openRelease(name string, spec rollout.ReleaseSpec) {
+	m.propose(rollout.Command{Kind: rollout.CommandOpen, Name: name, Release: &spec})
 }
 
 func (m *model) releaseState(name string) rollout.ReleaseState {
-	a, _ := m.leader.record.rollout.Release(name)
-	return a.State
+	status, _ := m.leader.record.rollout.Release(name)
+	return status.State
 }
 
 // sendReport sends a relay's report, and the reply to it.
 func (m *model) sendReport(r *modelRelay) {
-	l, voters := r.observed, drift.Item{Name: drift.ItemVoters, Version: 7, Digest: 1}
-	l.ConfigSections = map[string]string{"settings": r.config + "s", "limits": r.config + "l"}
-	maps.Copy(l.ConfigSections, r.overriddenSections)
+	observed, voters := r.observed, drift.Item{Name: drift.ItemVoters, Version: 7, Digest: 1}
+	observed.ConfigSections = map[string]string{"settings": r.config + "s", "limits": r.config + "l"}
+	maps.Copy(observed.ConfigSections, r.overriddenSections)
 	if r.rejectsConfig {
-		l.RejectedItems = map[string]string{"config.settings": "no such key"}
+		observed.RejectedItems = map[string]string{"config.settings": "no such key"}
 	}
 	if r.stuckItems[drift.ItemVoters] {
 		voters.Version = 3
 	}
-	text, _ := json.Marshal(r.reporter.buildReport(m.now, l, r.record, voters))
-	h, start := m.controller, r.incarnation
+	text, _ := json.Marshal(r.reporter.buildReport(m.now, observed, r.record, voters))
+	controllerAtSend, incarnation := m.controller, r.incarnation
 	m.send(func() {
-		w, err := decodeStatusReport(text)
+		report, err := decodeStatusReport(text)
 		if err != nil {
 			m.t.Fatal(err)
 		}
-		if h != m.controller {
+		if controllerAtSend != m.controller {
 			return
 		}
-		answer := h.receive(m.now, r.name, w)
+		reply := controllerAtSend.receive(m.now, r.name, report)
 		m.checkFindings()
 		m.send(func() {
-			if a, err := drift.DecodeReply(answer); err == nil && r.incarnation == start && r.restartsAt == 0 && len(r.reporter.driftReporter.HandleReply(a)) > 0 {
+			if decoded, err := drift.DecodeReply(reply); err == nil && r.incarnation == incarnation && r.restartsAt == 0 && len(r.reporter.driftReporter.HandleReply(decoded)) > 0 {
 				m.applyRecord(r)
 			}
 		})
@@ -203,9 +203,9 @@
 }
 
 // send delivers a report or a reply; one in twenty is lost.
-func (m *model) send(arrive func()) {
+func (m *model) send(deliver func()) {
 	if m.rng.Float64() >= 0.05 {
-		m.after(m.rng.Int64N(300), arrive)
+		m.schedule(m.rng.Int64N(300), deliver)
 	}
 }
 
@@ -282,28 +282,28 @@
 }
 
 // publishList delivers a new list to all relays that are not stuck, one after another. Generation 3 stands for a restart of discovery.
-func (m *model) publishList(gen uint64) {
-	if m.listGeneration = gen; gen == 3 {
+func (m *model) publishList(generation uint64) {
+	if m.listGeneration = generation; generation == 3 {
 		m.discoveryEpoch++
 	}
 	epoch := m.discoveryEpoch
 	for _, r := range m.relays {
-		late := r.listDelayMS + m.rng.Int64N(1500)
-		if gen == 3 { // relays reconnect one by one
-			late *= 6
+		delayMS := r.listDelayMS + m.rng.Int64N(1500)
+		if generation == 3 { // relays reconnect one by one
+			delayMS *= 6
 		}
-		m.after(late, func() {
-			if !r.stuckItems[drift.ItemEndpointList] && epoch == m.discoveryEpoch && (r.observed.ListGeneration < gen || gen == 3) {
-				r.observed.ListGeneration = gen
+		m.schedule(delayMS, func() {
+			if !r.stuckItems[drift.ItemEndpointList] && epoch == m.discoveryEpoch && (r.observed.ListGeneration < generation || generation == 3) {
+				r.observed.ListGeneration = generation
 			}
 		})
 	}
 }
 
-func (m *model) requireNoFalseFindings(what string) {
+func (m *model) requireNoFalseFindings(phase string) {
 	m.t.Helper()
 	if len(m.falseFindings) > 0 {
-		m.t.Fatalf("%s: %d false findings, first: %s", what, len(m.falseFindings), m.falseFindings[0])
+		m.t.Fatalf("%s: %d false findings, first: %s", phase, len(m.falseFindings), m.falseFindings[0])
 	}
 }
 
@@ -322,8 +322,8 @@
 // TestModelPlanted: drift of each kind is found at the leader, although another relay becomes leader three seconds after the drift began, and is
 // cleared once it is repaired. Guards against an item that relays do not report, that the leader does not expect, or that a new leader accepts.
 func TestModelPlanted(t *testing.T) {
-	eject := func(m *model) { m.propose(rollout.Command{Kind: rollout.CommandEject, Names: []string{"m1"}}) }
-	for _, k := range []struct {
+	proposeEjection := func(m *model) { m.propose(rollout.Command{Kind: rollout.CommandEject, Names: []string{"m1"}}) }
+	for _, c := range []struct {
 		item  string
 		state drift.State
 		plant func(m *model, r *modelRelay)
@@ -348,7 +348,7 @@
 			r.stuckItems[drift.ItemEndpointList] = true
 			m.publishList(m.listGeneration + 1)
 		}},
-		{drift.ItemEjections, drift.Lagging, func(m *model, r *modelRelay) { r.stuckItems[drift.ItemEjections] = true; eject(m) }},
+		{drift.ItemEjections, drift.Lagging, func(m *model, r *modelRelay) { r.stuckItems[drift.ItemEjections] = true; proposeEjection(m) }},
 		{drift.ItemEjections, drift.Overridden, func(m *model, r *modelRelay) { r.observed.LocalEjections = []string{"m2"} }},
 		{drift.ItemDrains, drift.Lagging, func(m *model, r *modelRelay) {
 			r.stuckItems[drift.ItemDrains] = true
@@ -370,14 +370,14 @@
 		}},
 		{drift.ItemVoters, drift.Lagging, func(m *model, r *modelRelay) { r.stuckItems[drift.ItemVoters] = true }},
 	} {
-		t.Run(k.item+" "+k.state.String(), func(t *testing.T) {
+		t.Run(c.item+" "+c.state.String(), func(t *testing.T) {
 			t.Parallel()
 			for seed := range seedCount(3) {
 				m := settledModel(t, seed, 5)
 				r := m.relays[3]
-				key := r.name + " " + k.item
-				m.plantedDrift[key] = k.state
-				k.plant(m, r)
+				key := r.name + " " + c.item
+				m.plantedDrift[key] = c.state
+				c.plant(m, r)
 				m.run(3000, nil)
 				m.elect(m.relays[1])
 				clear(m.foundDrift)
@@ -391,7 +391,7 @@
 				r.overriddenSections, r.stuckItems, r.rejectsConfig, r.program = maps.Clone(m.relays[0].overriddenSections), map[string]bool{}, false, m.relays[0].program
 				m.start(r)
 				if !m.run(120_000, func() bool {
-					return m.controller.driftMonitor.FullyInSync(r.name) && m.controller.driftMonitor.StateOf(r.name, k.item) == drift.InSync
+					return m.controller.driftMonitor.FullyInSync(r.name) && m.controller.driftMonitor.StateOf(r.name, c.item) == drift.InSync
 				}) {
 					t.Fatalf("seed %d: repaired, yet %+v", seed, m.controller.driftMonitor.Findings())
 				}
@@ -410,11 +410,11 @@
 	for seed := range seedCount(3) {
 		m := settledModel(t, seed, 6)
 		m.blockedRounds = 0
-		part := []string{"n0", "n1", "n2"}
-		rest := []string{"n3", "n4", "n5"}
-		through := func(name string, state rollout.ReleaseState, first, last, next string) {
+		firstHalf := []string{"n0", "n1", "n2"}
+		secondHalf := []string{"n3", "n4", "n5"}
+		expectOutcome := func(name string, state rollout.ReleaseState, wantN0, wantN5, wantNewRelay string) {
 			from := m.now
-			ended := m.run(300_000, func() bool {
+			reachedState := m.run(300_000, func() bool {
 				if m.now%500 == 0 {
 					m.publishList(m.listGeneration + 1)
 				}
@@ -428,34 +428,34 @@
 			})
 			m.run(15_000, nil)
 			m.requireNoFalseFindings(name)
-			for relay, want := range map[string]string{"n0": first, "n5": last, "one that comes": next} {
+			for relay, want := range map[string]string{"n0": wantN0, "n5": wantN5, "one that comes": wantNewRelay} {
 				program, _ := m.leader.record.intent.valueFor(relay, drift.ItemProgram)
 				limits, _ := m.leader.record.intent.valueFor(relay, "config.limits")
-				if got := program.Value + " " + limits.Value; !ended || got != want || m.blockedRounds > 0 {
+				if got := program.Value + " " + limits.Value; !reachedState || got != want || m.blockedRounds > 0 {
 					t.Fatalf("seed %d: %s is %s, %d looks held up; %s: %s, not %s", seed, name, m.releaseState(name), m.blockedRounds, relay, got, want)
 				}
 			}
 		}
 		m.openRelease("all", rollout.ReleaseSpec{Kind: rollout.KindRelay, All: true, Program: "p2", Config: "c2"})
-		through("all", rollout.ReleaseCompleted, "p2 c2l", "p2 c2l", "p2 c2l")
+		expectOutcome("all", rollout.ReleaseCompleted, "p2 c2l", "p2 c2l", "p2 c2l")
 		m.propose(rollout.Command{Kind: rollout.CommandRollBack, Name: "all"})
-		through("all", rollout.ReleaseRolledBack, "p1 c1l", "p1 c1l", "p1 c1l")
-		m.openRelease("part", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: part, Program: "p3", Config: "c3"})
-		through("part", rollout.ReleaseCompleted, "p3 c3l", "p1 c1l", "p1 c1l")
+		expectOutcome("all", rollout.ReleaseRolledBack, "p1 c1l", "p1 c1l", "p1 c1l")
+		m.openRelease("part", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: firstHalf, Program: "p3", Config: "c3"})
+		expectOutcome("part", rollout.ReleaseCompleted, "p3 c3l", "p1 c1l", "p1 c1l")
 		m.propose(rollout.Command{Kind: rollout.CommandRollBack, Name: "part"})
-		through("part", rollout.ReleaseRolledBack, "p1 c1l", "p1 c1l", "p1 c1l")
-		m.openRelease("again", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: part, Program: "p3", Config: "c3"})
-		through("again", rollout.ReleaseCompleted, "p3 c3l", "p1 c1l", "p1 c1l")
+		expectOutcome("part", rollout.ReleaseRolledBack, "p1 c1l", "p1 c1l", "p1 c1l")
+		m.openRelease("again", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: firstHalf, Program: "p3", Config: "c3"})
+		expectOutcome("again", rollout.ReleaseCompleted, "p3 c3l", "p1 c1l", "p1 c1l")
 		if r := NewRecord(); r.Restore(1, m.leader.record.Snapshot()) != nil || string(r.Snapshot()) != string(m.leader.record.Snapshot()) || len(r.intent.PerRelay) != 3 {
 			t.Fatalf("a snapshot loses some: %+v", r.intent)
 		}
-		m.openRelease("rest", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: rest, Program: "p3", Config: "c3"})
-		through("rest", rollout.ReleaseCompleted, "p3 c3l", "p3 c3l", "p3 c3l")
+		m.openRelease("rest", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: secondHalf, Program: "p3", Config: "c3"})
+		expectOutcome("rest", rollout.ReleaseCompleted, "p3 c3l", "p3 c3l", "p3 c3l")
 		if len(m.leader.record.intent.PerRelay) > 0 {
 			t.Fatalf("%+v", m.leader.record.intent)
 		}
 		m.relays[5].rejectsConfig, m.plantedDrift["n5 config.settings"] = true, drift.Rejected
-		m.openRelease("bad", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: rest, Config: "c4"})
+		m.openRelease("bad", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: secondHalf, Config: "c4"})
 		if m.run(60_000, func() bool { return len(m.foundDrift) > 0 }); len(m.foundDrift) == 0 {
 			t.Fatalf("seed %d: %+v", seed, m.controller.driftMonitor.Findings())
 		}
@@ -480,15 +480,15 @@
 	m.run(5000, nil)
 	m.openRelease("repair", rollout.ReleaseSpec{Kind: rollout.KindRelay, All: true})
 	// A relay that was told to leave no longer counts.
-	out := func() bool { return len(m.leader.record.rollout.Orders("").Exclusions) > 0 }
-	early := false
-	ended := m.run(300_000, func() bool {
+	excluded := func() bool { return len(m.leader.record.rollout.Orders("").Exclusions) > 0 }
+	drainedEarly := false
+	completed := m.run(300_000, func() bool {
 		r.stuckItems[drift.ItemEndpointList] = r.incarnation == 1
-		early = early || out() && r.incarnation == 1 && m.leader.record.rollout.Orders(r.name).Leave == nil
+		drainedEarly = drainedEarly || excluded() && r.incarnation == 1 && m.leader.record.rollout.Orders(r.name).Leave == nil
 		return m.releaseState("repair") == rollout.ReleaseCompleted
 	})
-	if !ended || early || !m.run(60_000, out) {
-		t.Fatalf("%s, drained early %v, %+v", m.releaseState("repair"), early, m.controller.driftMonitor.Findings())
+	if !completed || drainedEarly || !m.run(60_000, excluded) {
+		t.Fatalf("%s, drained early %v, %+v", m.releaseState("repair"), drainedEarly, m.controller.driftMonitor.Findings())
 	}
 	m.requireNoFalseFindings("repaired")
 }
@@ -498,40 +498,40 @@
 func TestModelLists(t *testing.T) {
 	for seed := range seedCount(3) {
 		m := settledModel(t, seed, 7)
-		churn := func(s int) {
-			for range s {
+		publishEachSecond := func(seconds int) {
+			for range seconds {
 				m.publishList(m.listGeneration + 1)
 				m.run(1000, nil)
 			}
 		}
-		churn(20)
-		stuck := func(on bool) {
+		publishEachSecond(20)
+		setListsStuck := func(stuck bool) {
 			for _, r := range m.relays[4:6] {
-				r.stuckItems[drift.ItemEndpointList], m.plantedDrift[r.name+" list"] = on, drift.Lagging
+				r.stuckItems[drift.ItemEndpointList], m.plantedDrift[r.name+" list"] = stuck, drift.Lagging
 			}
 		}
-		stuck(true)
+		setListsStuck(true)
 		m.publishList(3)
 		m.run(9000, nil)
-		churn(40)
+		publishEachSecond(40)
 		if m.requireNoFalseFindings("restarted"); len(m.foundDrift) != 2 {
 			t.Fatalf("%+v, %+v", m.foundDrift, m.controller.driftMonitor.Findings())
 		}
 		clear(m.foundDrift)
 		m.elect(m.relays[2])
-		churn(60)
+		publishEachSecond(60)
 		if m.requireNoFalseFindings("restarted, another leader"); len(m.foundDrift) != 2 {
 			t.Fatalf("%+v, %+v", m.foundDrift, m.controller.driftMonitor.Findings())
 		}
-		stuck(false)
+		setListsStuck(false)
 		m.relays[4].observed.ListGeneration, m.relays[5].observed.ListGeneration = m.listGeneration, m.listGeneration
-		churn(40)
+		publishEachSecond(40)
 		clear(m.plantedDrift)
 		clear(m.foundDrift)
 		m.plantedDrift["n4 list"] = drift.Ahead
 		m.relays[4].stuckItems[drift.ItemEndpointList], m.relays[4].observed.ListGeneration = true, 1<<60
 		m.relays[3].listDelayMS = 3000
-		churn(400)
+		publishEachSecond(400)
 		if m.requireNoFalseFindings("a high generation"); !m.foundDrift["n4 list"] || m.controller.driftMonitor.LagBound(drift.ItemPermits) < 15_000 { // lists are no measure of how long a permit takes
 			t.Fatalf("%+v, %d", m.controller.driftMonitor.Findings(), m.controller.driftMonitor.LagBound(drift.ItemPermits))
 		}
@@ -590,50 +590,50 @@
 	for seed := range seedCount(4) {
 		m := settledModel(t, seed, 8)
 		m.quarantineDrifted = true
-		most, first := 0, ""
-		out := func() (n int) {
+		maxOut, restoredRelay := 0, ""
+		countOut := func() (n int) {
 			for _, r := range m.relays {
 				if r.observed.Phase != RelayServing || r.restartsAt != 0 {
 					n++
 				}
-				if r.restartsAt != 0 || r.name == first { // its host restores the file
+				if r.restartsAt != 0 || r.name == restoredRelay { // its host restores the file
 					r.overriddenSections = map[string]string{}
 				}
 			}
-			most = max(most, n)
+			maxOut = max(maxOut, n)
 			return n
 		}
-		until := func(what string, ms int64, done func() bool) {
+		requireWithin := func(condition string, ms int64, done func() bool) {
 			if !m.run(ms, done) {
-				t.Fatalf("seed %d: not %s: out %d, %+v, %+v, %s", seed, what, out(), m.leader.record.rollout.Quarantines(), m.controller.driftMonitor.Findings(), m.view.Drift)
+				t.Fatalf("seed %d: not %s: out %d, %+v, %+v, %s", seed, condition, countOut(), m.leader.record.rollout.Quarantines(), m.controller.driftMonitor.Findings(), m.view.Drift)
 			}
 		}
 		for _, r := range m.relays[4:] {
 			m.plantedDrift[r.name+" config.limits"] = drift.Ahead
 			r.overriddenSections["limits"] = "mine"
 		}
-		until("quarantined", 120_000, func() bool { return out() == 2 })
+		requireWithin("quarantined", 120_000, func() bool { return countOut() == 2 })
 		m.elect(m.relays[1])
-		if m.run(90_000, func() bool { return out() < 2 }) {
+		if m.run(90_000, func() bool { return countOut() < 2 }) {
 			t.Fatalf("seed %d: a new leader readmits them: %+v", seed, m.view.Unfit)
 		}
-		first = m.leader.record.rollout.Quarantines()[0].Name
-		until("the next in its place", 120_000, func() bool {
+		restoredRelay = m.leader.record.rollout.Quarantines()[0].Name
+		requireWithin("the next in its place", 120_000, func() bool {
 			all := m.leader.record.rollout.Quarantines()
-			return out() == 2 && len(all) == 2 && all[0].Name != first && all[1].Name != first
+			return countOut() == 2 && len(all) == 2 && all[0].Name != restoredRelay && all[1].Name != restoredRelay
 		})
 		m.openRelease("repair", rollout.ReleaseSpec{Kind: rollout.KindRelay, All: true})
-		until("repaired", 600_000, func() bool { return out() >= 0 && m.releaseState("repair") == rollout.ReleaseCompleted })
-		until("readmitted", 60_000, func() bool { return out() == 0 })
-		first = ""
+		requireWithin("repaired", 600_000, func() bool { return countOut() >= 0 && m.releaseState("repair") == rollout.ReleaseCompleted })
+		requireWithin("readmitted", 60_000, func() bool { return countOut() == 0 })
+		restoredRelay = ""
 		m.relays[5].overriddenSections["limits"] = "mine"
-		until("quarantined again", 120_000, func() bool { return out() == 1 })
+		requireWithin("quarantined again", 120_000, func() bool { return countOut() == 1 })
 		m.openRelease("drain", rollout.ReleaseSpec{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}}) // which a relay in quarantine does not block
-		until("drained", 10_000, func() bool { return len(m.leader.record.rollout.Orders("").Exclusions) > 0 })
+		requireWithin("drained", 10_000, func() bool { return len(m.leader.record.rollout.Orders("").Exclusions) > 0 })
 		m.quarantineDrifted = false
-		until("readmitted without the setting", 60_000, func() bool { return out() == 0 })
-		if m.requireNoFalseFindings("quarantine"); most > 2 {
-			t.Fatalf("seed %d: %d were out", seed, most)
+		requireWithin("readmitted without the setting", 60_000, func() bool { return countOut() == 0 })
+		if m.requireNoFalseFindings("quarantine"); maxOut > 2 {
+			t.Fatalf("seed %d: %d were out", seed, maxOut)
 		}
 	}
 }
--- a/internal/fleet/propose.go
+++ b/internal/fleet/propose.go
@@ -109,11 +109,11 @@
 		ctx, cancel := context.WithTimeout(s.ctx, callTimeout)
 		defer cancel()
 		_, err := s.node.Barrier(ctx)
-		stands := false
+		inForce := false
 		s.record.read(func(r *rollout.State, _ recordItems) {
 			leave := r.Orders(s.Name).Leave
-			stands = leave != nil && leave.Number == number && leave.StartNumber >= s.Incarnation
+			inForce = leave != nil && leave.Number == number && leave.StartNumber >= s.Incarnation
 		})
-		s.Post(func() { done(stands, err == nil) })
+		s.Post(func() { done(inForce, err == nil) })
 	})
 }
--- a/internal/fleet/relay_release.go
+++ b/internal/fleet/relay_release.go
@@ -44,9 +44,9 @@
 }
 
 // changes tells whether the release brings a new value of an item.
-func (r *relayRelease) changes(item string) bool { return specChanges(&r.release.Spec, item) }
+func (r *relayRelease) changes(item string) bool { return specChangesItem(&r.release.Spec, item) }
 
-func specChanges(spec *rollout.ReleaseSpec, item string) bool {
+func specChangesItem(spec *rollout.ReleaseSpec, item string) bool {
 	if item == drift.ItemProgram {
 		return spec.Program != ""
 	}
--- a/internal/fleet/release_with_canary_test.go
+++ b/internal/fleet/release_with_canary_test.go
@@ -11,12 +11,12 @@
 
 // TestOpenReleaseWithCanary: a release and its canary are opened together, and the rejection of either leaves neither.
 func TestOpenReleaseWithCanary(t *testing.T) {
-	spec := canary.Spec{Salt: 7, Steps: []int{10, 1000}, MinAttempts: 100, MaxStepMS: 600_000, FalsePositiveRate: 0.01, Guardrails: []canary.Guardrail{{Metric: canary.Failures, MarginPerMille: 20}}}
-	release := rollout.ReleaseSpec{Kind: rollout.KindMember, All: true}
+	canarySpec := canary.Spec{Salt: 7, Steps: []int{10, 1000}, MinAttempts: 100, MaxStepMS: 600_000, FalsePositiveRate: 0.01, Guardrails: []canary.Guardrail{{Metric: canary.Failures, MarginPerMille: 20}}}
+	releaseSpec := rollout.ReleaseSpec{Kind: rollout.KindMember, All: true}
 	for _, c := range []struct {
-		what string
-		edit func(*releaseWithCanary, *rollout.ReleaseSpec)
-		want string // in the rejection
+		name   string
+		modify func(*releaseWithCanary, *rollout.ReleaseSpec)
+		want   string // in the rejection
 	}{
 		{"valid", func(*releaseWithCanary, *rollout.ReleaseSpec) {}, ""},
 		{"steps that fall", func(o *releaseWithCanary, _ *rollout.ReleaseSpec) { o.Canary.Steps = []int{50, 10} }, "rise"},
@@ -24,21 +24,21 @@
 		{"of nothing", func(_ *releaseWithCanary, w *rollout.ReleaseSpec) { w.All = false }, ""},
 	} {
 		r := NewRecord()
-		w := release
-		o := releaseWithCanary{Canary: spec}
-		c.edit(&o, &w)
-		o.Release = rollout.Command{Kind: rollout.CommandOpen, Name: "b", Requester: "anna", Release: &w}.Encode()
-		body, _ := json.Marshal(o)
+		spec := releaseSpec
+		open := releaseWithCanary{Canary: canarySpec}
+		c.modify(&open, &spec)
+		open.Release = rollout.Command{Kind: rollout.CommandOpen, Name: "b", Requester: "anna", Release: &spec}.Encode()
+		body, _ := json.Marshal(open)
 		text, _ := json.Marshal(command{Part: partReleaseWithCanary, At: 5000, By: "n1", Body: body})
 		answer := r.Apply(1, text)
 		_, opened := r.rollout.Release("b")
-		k, canaryOpened := r.canary.Canary("b")
-		valid := c.what == "valid"
+		openedCanary, canaryOpened := r.canary.Canary("b")
+		valid := c.name == "valid"
 		if isRejection(answer) == valid || opened != valid || canaryOpened != valid || !strings.Contains(string(answer), c.want) {
-			t.Errorf("%s: %s; release %v, canary %v", c.what, answer, opened, canaryOpened)
+			t.Errorf("%s: %s; release %v, canary %v", c.name, answer, opened, canaryOpened)
 		}
-		if valid && k.Target.Since != 5000 {
-			t.Errorf("the canary is of %+v, not of all that start from now on", k.Target)
+		if valid && openedCanary.Target.Since != 5000 {
+			t.Errorf("the canary is of %+v, not of all that start from now on", openedCanary.Target)
 		}
 	}
 }
--- a/internal/fleet/reporting.go
+++ b/internal/fleet/reporting.go
@@ -44,7 +44,7 @@
 		err = s.node.Report(text)
 	}
 	if err != nil {
-		s.noteFailure(opReport, err)
+		s.countFailure(opReport, err)
 	}
 }
 
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -149,7 +149,7 @@
 )
 
 // noteFailure counts a failed operation for the status page and logs the first one: the caller tries again anyway.
-func (s *Service) noteFailure(operation string, err error) {
+func (s *Service) countFailure(operation string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.failures[operation]++; s.failures[operation] == 1 {
--- a/internal/fleet/status_reporter.go
+++ b/internal/fleet/status_reporter.go
@@ -60,8 +60,8 @@
 		last[m.Name] = m
 	}
 	for _, m := range members {
-		before, known := last[m.Name]
-		attempted := m.Successes != before.Successes || m.Failures != before.Failures || !known && m.Successes+m.Failures > 0
+		previous, known := last[m.Name]
+		attempted := m.Successes != previous.Successes || m.Failures != previous.Failures || !known && m.Successes+m.Failures > 0
 		if m.Flows > 0 || attempted {
 			reports = append(reports, memberReport{m.Name, m.Flows, m.Capacity, m.Successes, m.Failures})
 		}
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -122,15 +122,15 @@
 // setUsableCapacity sets what each member can serve now. A new member of unknown capacity is given the mean of the known ones: without a
 // capacity its warm-up would not show.
 func setUsableCapacity(now int64, pool map[string]*rollout.Member, warmup slowStart) {
-	known, sum := 0.0, 0.0
+	knownCount, sum := 0.0, 0.0
 	for _, name := range slices.Sorted(maps.Keys(pool)) { // sorted, so that the sum is the same each time
 		if c := pool[name].Capacity; c > 0 {
-			known, sum = known+1, sum+c
+			knownCount, sum = knownCount+1, sum+c
 		}
 	}
 	for _, m := range pool {
-		if m.Capacity == 0 && known > 0 {
-			m.Capacity = sum / known
+		if m.Capacity == 0 && knownCount > 0 {
+			m.Capacity = sum / knownCount
 		}
 		m.UsableCapacity = m.Capacity
 		if m.Started > 0 {
--- a/internal/fleet/view_test.go
+++ b/internal/fleet/view_test.go
@@ -6,7 +6,7 @@
 	"dahliarudder/internal/rollout"
 )
 
-func member(v rollout.View, name string) (m rollout.Member) {
+func memberNamed(v rollout.View, name string) (m rollout.Member) {
 	for _, m = range v.Members {
 		if m.Name == name {
 			return m
@@ -19,26 +19,26 @@
 // reported yet; flows count while a relay reports them; old failures are forgotten; a report of an earlier process, or one that was overtaken,
 // changes nothing; a relay is in service only if gossip sees this very process serve.
 func TestBuildView(t *testing.T) {
-	s, warmup := newFleetStatus(), slowStart{0.25, 8000}
+	status, warmup := newFleetStatus(), slowStart{0.25, 8000}
 	const now = 1_000_000
 	own := ObservedState{Members: []MemberState{{Name: "old", DiscoveryState: "ready", Capacity: 40}, {Name: "new", DiscoveryState: "ready", StartedAt: now - 4000}},
 		Peers: []Peer{{Name: "b", Alive: true, Serving: true, Incarnation: 70}, {Name: "c", Gone: true, Incarnation: 5}}}
-	of := func(start, asked, bad uint64, flows int) statusReport {
-		return statusReport{Incarnation: start, Phase: RelayServing, DemandMS: asked, ServedMS: asked, Members: []memberReport{{Name: "old", Flows: flows, Failures: bad}}}
+	newReport := func(start, demandMS, failures uint64, flows int) statusReport {
+		return statusReport{Incarnation: start, Phase: RelayServing, DemandMS: demandMS, ServedMS: demandMS, Members: []memberReport{{Name: "old", Flows: flows, Failures: failures}}}
 	}
-	s.receive(now-3000, "a", of(50, 10, 0, 3))
-	s.receive(now-2500, "b", of(71, 20, 0, 4))
-	s.receive(now-2000, "b", of(71, 30, 5, 6))
-	s.receive(now-1500, "b", of(70, 90, 90, 90)) // an earlier process
-	s.receive(now-1400, "b", of(71, 25, 5, 90))  // overtaken
-	v := s.buildView(now, now-9000, 8000, "a", own, warmup)
-	if m := member(v, "new"); m.Capacity != 40 || m.UsableCapacity != 25 {
+	status.receive(now-3000, "a", newReport(50, 10, 0, 3))
+	status.receive(now-2500, "b", newReport(71, 20, 0, 4))
+	status.receive(now-2000, "b", newReport(71, 30, 5, 6))
+	status.receive(now-1500, "b", newReport(70, 90, 90, 90)) // an earlier process
+	status.receive(now-1400, "b", newReport(71, 25, 5, 90))  // overtaken
+	v := status.buildView(now, now-9000, 8000, "a", own, warmup)
+	if m := memberNamed(v, "new"); m.Capacity != 40 || m.UsableCapacity != 25 {
 		t.Errorf("a member that is warming up has %v of %v", m.UsableCapacity, m.Capacity)
 	}
-	if m := member(v, "old"); m.FlowsByRelay["a"].Flows != 3 || m.FlowsByRelay["b"].Flows != 6 || !m.Failing || m.UsableCapacity != 40 || v.Load != 9 {
+	if m := memberNamed(v, "old"); m.FlowsByRelay["a"].Flows != 3 || m.FlowsByRelay["b"].Flows != 6 || !m.Failing || m.UsableCapacity != 40 || v.Load != 9 {
 		t.Errorf("%+v, load %v", m, v.Load)
 	}
-	if m := member(s.buildView(now+attemptWindowMS, now-9000, 8000, "a", own, warmup), "old"); m.Failing {
+	if m := memberNamed(status.buildView(now+attemptWindowMS, now-9000, 8000, "a", own, warmup), "old"); m.Failing {
 		t.Error("failures of long ago count")
 	}
 	for _, r := range v.Relays {
@@ -47,25 +47,25 @@
 			t.Errorf("%+v", r)
 		}
 	}
-	later := s.buildView(now+60_000, now-9000, 8000, "a", own, warmup).Relays
+	later := status.buildView(now+60_000, now-9000, 8000, "a", own, warmup).Relays
 	if later[0].ReportAgeMS != 63_000 || later[1].ReportAgeMS != 8000 || later[2].ReportAgeMS != 69_000 {
 		t.Errorf("silent for %d, %d (alive by gossip), %d (never)", later[0].ReportAgeMS, later[1].ReportAgeMS, later[2].ReportAgeMS)
 	}
 	own.Peers[0].Incarnation = 71
-	if v := s.buildView(now, now-9000, 8000, "a", own, warmup); !v.Relays[1].InService {
+	if v := status.buildView(now, now-9000, 8000, "a", own, warmup); !v.Relays[1].InService {
 		t.Errorf("%+v", v.Relays[1])
 	}
-	s.receive(now-1000, "a", of(50, 14, 0, 0))
-	if m := member(s.buildView(now, now-9000, 8000, "a", own, warmup), "old"); len(m.FlowsByRelay) != 1 {
+	status.receive(now-1000, "a", newReport(50, 14, 0, 0))
+	if m := memberNamed(status.buildView(now, now-9000, 8000, "a", own, warmup), "old"); len(m.FlowsByRelay) != 1 {
 		t.Errorf("flows %v", m.FlowsByRelay)
 	}
-	if n := len(s.serviceWindows); n == 0 || s.serviceWindows[n-1].Served == 0 {
-		t.Errorf("windows %v", s.serviceWindows)
+	if n := len(status.serviceWindows); n == 0 || status.serviceWindows[n-1].Served == 0 {
+		t.Errorf("windows %v", status.serviceWindows)
 	}
-	s.receive(now, "c", statusReport{Incarnation: 5, Members: []memberReport{{Name: "ended", Flows: 2}}})
+	status.receive(now, "c", statusReport{Incarnation: 5, Members: []memberReport{{Name: "ended", Flows: 2}}})
 	for _, next := range []Peer{own.Peers[1], {Name: "c", Alive: true, Incarnation: 6}} {
 		own.Peers[1] = next
-		if m := member(s.buildView(now, now-9000, 8000, "a", own, warmup), "ended"); m.Name != "" {
+		if m := memberNamed(status.buildView(now, now-9000, 8000, "a", own, warmup), "ended"); m.Name != "" {
 			t.Errorf("flows of a process that has ended keep a member in the view: %+v", m)
 		}
 	}
