--- a/internal/fleet/agreed_state.go
+++ b/internal/fleet/agreed_state.go
@@ -13,15 +13,19 @@
 	"dahliarudder/internal/rollout"
 )
 
-// agreedFile is the file below fleet.dir in which each relay saves what was last agreed, followers included, as they have no log. A relay that
-// starts while the record is out of reach would know of no exclusion, and would send to a canary's members as to any other. With the file
-// it keeps excluded members out and gives the canary nothing (canary.WeightResolver) until the record is received.
+// agreedFile is the file in fleet.dir in which every relay saves the exclusions and canary weights
+// that it last received from the record; followers do so too, as they have no log. A relay that
+// starts while it cannot reach the record would otherwise not know of any exclusion, and would send
+// requests to a canary's members as to any other member. With the file, the relay keeps excluded
+// members out of use and sends no flows to the canary (see canary.WeightResolver) until it receives
+// the record.
 const agreedFile = "agreed.json"
 
-// maxAgreedBytes bounds what is read of the file.
+// maxAgreedBytes limits the size of an agreed.json that is read.
 const maxAgreedBytes = 4 << 20
 
-// agreedState is the file's content. Orders to this relay's process are left out: they do not apply to the next process.
+// agreedState is the content of agreedFile. It leaves out the orders to this relay's process, which
+// do not apply to the next process.
 type agreedState struct {
 	Version       uint64                       `json:"version"`
 	Exclusions    map[string]rollout.Exclusion `json:"out,omitempty"`
@@ -29,7 +33,8 @@
 	CanaryWeights []canary.Weight              `json:"weights,omitempty"`
 }
 
-// readAgreedState reads the file from a directory; without a file or a directory the state is empty. An error comes with an empty state.
+// readAgreedState reads agreedFile from dir. The state is empty if dir is "", if the file does not
+// exist, and on an error.
 func readAgreedState(dir string) (state agreedState, err error) {
 	if dir == "" {
 		return agreedState{}, nil
@@ -42,7 +47,7 @@
 	case err != nil:
 		return agreedState{}, err
 	case info.Size() > maxAgreedBytes:
-		return agreedState{}, fmt.Errorf("%s: over %d bytes", path, maxAgreedBytes)
+		return agreedState{}, fmt.Errorf("%s has %d bytes, limit is %d", path, info.Size(), maxAgreedBytes)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -54,7 +59,7 @@
 	return state, nil
 }
 
-// write replaces the file atomically.
+// write replaces agreedFile in dir atomically. It creates dir if needed.
 func (a agreedState) write(dir string) error {
 	text, err := json.Marshal(a)
 	if err != nil {
@@ -78,7 +83,8 @@
 	return err
 }
 
-// fillIn overrides a desired state where the record, as far as it has been received, is older than the saved state.
+// replaceOlderParts replaces the exclusions and the canary weights of desired by the saved ones,
+// each if the record that this relay has received so far has an older version of it.
 func (a agreedState) replaceOlderParts(desired *DesiredState) {
 	if desired.RecordVersion < a.Version {
 		desired.Exclusions = a.Exclusions
@@ -88,7 +94,8 @@
 	}
 }
 
-// saveLoop saves the agreed state when it has changed. It has a goroutine of its own, as a disk may be slow.
+// saveLoop saves the agreed state whenever it has changed. It runs in its own goroutine because
+// writing to the disk may be slow.
 func (s *Service) saveLoop() {
 	if s.Dir == "" {
 		return
@@ -98,7 +105,7 @@
 		s.mu.Lock()
 		caughtUp := s.caughtUp
 		s.mu.Unlock()
-		if !caughtUp { // what this relay has received of the record may be older than the saved state
+		if !caughtUp { // the received part of the record may be older than the saved state
 			return
 		}
 		var state agreedState
--- a/internal/fleet/api.go
+++ b/internal/fleet/api.go
@@ -14,20 +14,21 @@
 	"dahliarudder/internal/rollout"
 )
 
-// Bounds of an API call.
+// Limits of the API.
 const (
 	maxBodyBytes       = 256 << 10
 	maxConcurrentCalls = 32
 	headerTimeout      = 5 * time.Second
 )
 
-// route is a call of the API.
+// route is one method and path of the API with its handler.
 type route struct {
-	pattern string // of http.ServeMux
+	pattern string // as http.ServeMux takes it
 	handle  http.HandlerFunc
 }
 
-// routes are all calls of the API. Those that only show the record answer from this relay's copy once it is current, see ensureCurrent.
+// routes returns all routes of the API. The GET routes for intent, releases and canaries answer from
+// this relay's copy of the record, once it is current (see ensureCurrent).
 func (s *Service) routes() []route {
 	return []route{
 		{"GET /-/fleet", s.handleStatus},
@@ -48,7 +49,7 @@
 	}
 }
 
-// startAPI serves the API until Close.
+// startAPI listens on fleet.calls and serves the API until Close.
 func (s *Service) startAPI() error {
 	listener, err := net.Listen("tcp4", s.APIListen)
 	if err != nil {
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// limitConcurrency answers 503 beyond maxConcurrentCalls.
+// limitConcurrency answers 503 to calls beyond maxConcurrentCalls at a time.
 func limitConcurrency(next http.Handler) http.Handler {
 	slots := make(chan struct{}, maxConcurrentCalls)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -82,8 +83,10 @@
 	})
 }
 
-// ensureCurrent waits until this relay's record includes all that was agreed before the call, or answers with an error: an answer from an
-// older record would be taken for the present state. The query parameter `stale` skips it.
+// ensureCurrent waits until this relay's copy of the record includes everything that was committed
+// before the call. If that fails it answers with an error and returns false: a caller would take an
+// answer from an older copy for the present state. With the query parameter `stale` it returns true
+// without waiting.
 func (s *Service) ensureCurrent(w http.ResponseWriter, r *http.Request) bool {
 	if r.URL.Query().Has("stale") {
 		return true
@@ -103,6 +106,8 @@
 	writeResult(w, result, err)
 }
 
+// writeResult answers 409 if the record rejected the command, and as in statusCode if proposing it
+// failed.
 func writeResult(w http.ResponseWriter, result rollout.Result, err error) {
 	switch {
 	case err != nil:
@@ -114,7 +119,9 @@
 	}
 }
 
-// statusCode is 503 where a call may be repeated, and 504 where it is not known whether it took effect: the record shows it.
+// statusCode returns the HTTP status for an error of the consensus node: 503 if the call had no
+// effect and may be repeated, 413 if the command is too large, and 504 if it is unknown whether the
+// command took effect; the caller has to look at the record.
 func statusCode(err error) int {
 	switch {
 	case errors.Is(err, consensus.ErrNoQuorum), errors.Is(err, consensus.ErrQueueFull), errors.Is(err, consensus.ErrClosed):
@@ -129,7 +136,7 @@
 // decodeBody decodes the request's JSON body, or answers 400.
 func decodeBody(w http.ResponseWriter, r *http.Request, into any) bool {
 	d := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes))
-	d.DisallowUnknownFields() // a misspelt limit must not pass as an absent one
+	d.DisallowUnknownFields() // otherwise a misspelt limit would pass as an absent one
 	if err := d.Decode(into); err != nil {
 		writeError(w, http.StatusBadRequest, err.Error())
 		return false
@@ -137,6 +144,7 @@
 	return true
 }
 
+// writeError answers with a JSON body that has the text as its error.
 func writeError(w http.ResponseWriter, code int, text string) {
 	writeJSON(w, code, rollout.Result{Error: text})
 }
--- a/internal/fleet/api_canaries.go
+++ b/internal/fleet/api_canaries.go
@@ -10,7 +10,7 @@
 	"dahliarudder/internal/rollout"
 )
 
-// handleListCanaries shows all canaries, and at the leader the judge's verdict.
+// handleListCanaries answers with all canaries, and at the leader with the judge's last verdict.
 func (s *Service) handleListCanaries(w http.ResponseWriter, r *http.Request) {
 	if !s.ensureCurrent(w, r) {
 		return
@@ -25,7 +25,8 @@
 	writeJSON(w, http.StatusOK, body)
 }
 
-// handleOpenCanary opens a canary of a release. Without a target, it is the members that start after the release was opened.
+// handleOpenCanary opens a canary of a release. If the body names no target, the target is all
+// members that start after the release was opened.
 func (s *Service) handleOpenCanary(w http.ResponseWriter, r *http.Request) {
 	var spec canary.Spec
 	if !decodeBody(w, r, &spec) {
@@ -41,11 +42,14 @@
 	s.proposeCanaryAndAnswer(w, r, canary.Command{Op: canary.OpOpen, Release: spec.Release, Spec: &spec})
 }
 
+// handleControlCanary pauses, resumes, rolls back or closes a canary.
 func (s *Service) handleControlCanary(w http.ResponseWriter, r *http.Request) {
 	c := canary.Command{Op: canary.Op(r.PathValue("verb")), Release: r.PathValue("name"), Reason: r.URL.Query().Get("why")}
 	switch c.Op {
 	case canary.OpPause:
-		s.Post(func() { s.PauseCanary(c.Release) }) // at once and by gossip, without a majority; the record follows
+		// Pause at once, here and through gossip, as that needs no majority. The command to the
+		// record follows below.
+		s.Post(func() { s.PauseCanary(c.Release) })
 	case canary.OpResume, canary.OpRollBack, canary.OpClose:
 	default:
 		writeError(w, http.StatusNotFound, "a canary can be told to pause, resume, go back, or be closed")
@@ -54,13 +58,18 @@
 	s.proposeCanaryAndAnswer(w, r, c)
 }
 
+// proposeCanaryAndAnswer proposes a canary command and answers with its result: 409 if the record
+// rejects it, and as in statusCode if it could not be proposed.
 func (s *Service) proposeCanaryAndAnswer(w http.ResponseWriter, r *http.Request, c canary.Command) {
 	err := s.proposeCanary(r.Context(), c)
 	var rejected rejectedError
 	switch {
 	case errors.As(err, &rejected):
 		writeError(w, http.StatusConflict, err.Error())
-	case err != nil && c.Op == canary.OpPause: // the pause is in force already: without the state, the caller would think that the canary still takes traffic
+	case err != nil && c.Op == canary.OpPause:
+		// The pause is in force already, here and at the relays that gossip reaches. The state says
+		// so, as the caller would otherwise think that the canary still receives traffic, and asks
+		// to repeat the call once there is a majority.
 		writeJSON(w, statusCode(err), rollout.Result{Error: err.Error(), State: "paused here, and at all that can be reached; say it again when there is a majority"})
 	case err != nil:
 		writeError(w, statusCode(err), err.Error())
@@ -69,7 +78,8 @@
 	}
 }
 
-// ensureSalt draws the salt by which flows are routed to the canary, if the caller gave none.
+// ensureSalt sets a random salt if the caller gave none. The salt decides which flows are routed to
+// the canary.
 func ensureSalt(spec *canary.Spec) {
 	for spec.Salt == 0 {
 		var b [8]byte
--- a/internal/fleet/api_releases.go
+++ b/internal/fleet/api_releases.go
@@ -22,7 +22,7 @@
 		body.Releases, body.Permits, body.Ejections = state.Releases(), state.Permits(), state.Ejections()
 	})
 	for i := range body.Releases {
-		body.Releases[i].Units = nil // shown for a single release
+		body.Releases[i].Units = nil // only GET /-/releases/{name} includes units
 	}
 	writeJSON(w, http.StatusOK, body)
 }
@@ -44,8 +44,9 @@
 	}{release, s.waitReason(release.Name)})
 }
 
-// waitReason is why no unit of a release may proceed now, as far as the leader knows: a budget that never fits a zone with few units would
-// otherwise look like a release that merely takes its time.
+// waitReason returns why no unit of a release may proceed now, as far as the leader knows, and ""
+// at other relays. Without it a release would merely look slow when its budget can never allow a
+// unit, for example in a zone with few units.
 func (s *Service) waitReason(release string) (reason string) {
 	s.mu.Lock()
 	leaderSince, view := s.leaderSince, s.lastView
@@ -85,6 +86,7 @@
 	writeResult(w, result, err)
 }
 
+// handleControlRelease halts, resumes or rolls back a release.
 func (s *Service) handleControlRelease(w http.ResponseWriter, r *http.Request) {
 	c := rollout.Command{Kind: rollout.CommandKind(r.PathValue("verb")), Name: r.PathValue("name"), Requester: r.RemoteAddr, Reason: r.URL.Query().Get("why")}
 	switch c.Kind {
@@ -109,6 +111,7 @@
 	}
 }
 
+// handleUpdatePermit reports that the holder of a permit has begun to use it, or is done.
 func (s *Service) handleUpdatePermit(w http.ResponseWriter, r *http.Request) {
 	number, err := strconv.ParseUint(r.PathValue("number"), 10, 64)
 	c := rollout.Command{PermitNumber: number}
@@ -119,6 +122,7 @@
 		c.Kind = rollout.CommandReturnPermit
 	}
 	if err != nil || c.Kind == "" {
+		// This call needs the number of a permit and the verb "begin" or "done".
 		writeError(w, http.StatusNotFound, "a permit's number, and begin or done")
 		return
 	}
--- a/internal/fleet/api_status.go
+++ b/internal/fleet/api_status.go
@@ -8,7 +8,8 @@
 	"dahliarudder/internal/rollout"
 )
 
-// handleStatus shows this relay's part in the fleet, and at the leader also what it knows of all relays.
+// handleStatus answers with this relay's own status, and at the leader also with the status of all
+// relays.
 func (s *Service) handleStatus(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, s.statusPage())
 }
@@ -36,7 +37,8 @@
 	return page
 }
 
-// handleDrift answers at the leader alone, which receives all reports; another relay names the leader.
+// handleDrift answers with the drift findings. Only the leader has them, as it receives all reports;
+// any other relay answers with the leader's name.
 func (s *Service) handleDrift(w http.ResponseWriter, _ *http.Request) {
 	leader := s.node.Status().Leader
 	s.mu.Lock()
@@ -55,7 +57,8 @@
 	writeJSON(w, http.StatusOK, s.record.currentIntent())
 }
 
-// handleSetIntent makes what a relay runs the intent. The leader alone knows what it runs.
+// handleSetIntent sets the intent to what a relay currently runs. Only the leader knows what that
+// relay runs.
 func (s *Service) handleSetIntent(w http.ResponseWriter, r *http.Request) {
 	leader := s.node.Status().Leader
 	query := r.URL.Query()
@@ -74,7 +77,7 @@
 	}
 }
 
-// handleReplaceVoter replaces a voter of the consensus.
+// handleReplaceVoter replaces one voter of the consensus by another relay.
 func (s *Service) handleReplaceVoter(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), callTimeout)
 	defer cancel()
@@ -85,6 +88,7 @@
 	writeJSON(w, http.StatusOK, rollout.Result{State: "replaced"})
 }
 
+// writeNotLeader answers 421 with the leader's name in the body and in the header Leader.
 func writeNotLeader(w http.ResponseWriter, leader string) {
 	w.Header().Set("Leader", leader)
 	writeJSON(w, http.StatusMisdirectedRequest, rollout.Result{Error: "ask the leader", Name: leader})
--- a/internal/fleet/canary.go
+++ b/internal/fleet/canary.go
@@ -10,8 +10,9 @@
 	"dahliarudder/internal/rollout"
 )
 
-// evaluateCanary asks the running canary's judge for a verdict and returns the commands to propose. A canary that is no longer running marks
-// its release as degraded in the view, so that the release halts. Called with the lock held.
+// evaluateCanary asks the judge of the current canary for a verdict and returns the canary commands
+// to propose. If the canary is paused, rolled back or otherwise not progressing, it marks the
+// canary's release as degraded in the view, so that the release halts. The caller holds s.mu.
 func (s *Service) evaluateCanary(now int64, v *rollout.View) (plan []canary.Command) {
 	s.record.mu.RLock()
 	defer s.record.mu.RUnlock()
@@ -20,7 +21,7 @@
 		s.judge = nil
 		return nil
 	}
-	c := all[0] // one at a time
+	c := all[0] // the record allows one canary at a time
 	switch {
 	case s.judge == nil || s.judgedCanary.Salt != c.Salt:
 		s.judge = canary.NewJudge(canary.JudgeSettings{Spec: c.Spec, Epoch: c.Epoch, Step: c.Step, Checkpoint: s.record.canary.Checkpoint(c.Release)})
@@ -48,8 +49,9 @@
 	return s.record.canary.Plan(max(now, s.record.items.At), s.verdict, applied)
 }
 
-// gateOnCanary withholds a release's grants while its canary is not over and the release has begun; grants of a rollback are
-// never held back. A release whose canary went back is rolled back too.
+// gateOnCanary removes from a plan the grants of a release whose canary is not completed, once the
+// release has begun; grants of a rollback stay. If a canary was rolled back, it adds the rollback of
+// the canary's release.
 func (s *Service) gateOnCanary(plan []rollout.Command) (gated []rollout.Command) {
 	s.record.mu.RLock()
 	defer s.record.mu.RUnlock()
@@ -67,7 +69,8 @@
 	return append(gated, dropGrants(plan, func(g rollout.Grant) bool { return gatedReleases[g.Release] })...)
 }
 
-// dropGrants returns a plan without the grants for which drop says so, and without steps that are left with none.
+// dropGrants returns a plan without the grants for which drop returns true, and without the step
+// commands that have no grants left.
 func dropGrants(plan []rollout.Command, drop func(rollout.Grant) bool) (rest []rollout.Command) {
 	for _, c := range plan {
 		if c.Kind == rollout.CommandStep {
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -1,11 +1,12 @@
-// Package fleet connects a relay to the fleet's agreed record: it carries commands, reports and desired states between the consensus node
-// (consensus), the modules that decide on releases, canaries and drift (rollout, canary, drift), the relay's core, and operators. The relay's
-// event loop never waits for it. The design is in docs/design/fleet-record.md; docs/releases.md is for operators.
+// Package fleet connects a relay to the replicated record of the fleet. It carries commands, status
+// reports and desired states between the consensus node (package consensus), the packages that
+// decide on releases, canaries and drift (rollout, canary, drift), the relay's core, and operators.
+// The relay's event loop never waits for this package. docs/design/fleet-record.md describes the
+// design; docs/releases.md is for operators.
 package fleet
 
 import (
 	"cmp"
-	"errors"
 	"fmt"
 	"net/netip"
 	"path/filepath"
@@ -14,52 +15,73 @@
 	"dahliarudder/internal/rollout"
 )
 
-// Config is the setting `fleet`.
+// Config is the configuration section `fleet`.
 type Config struct {
-	Listen        string            `json:"listen"` // between relays: HTTP, sealed with the gossip key
-	APIListen     string            `json:"calls"`  // for operators and owners of members: HTTP
-	Dir           string            `json:"dir"`    // where the record is stored; "" keeps it in memory
-	Voters        map[string]string `json:"voters"` // listen addresses by name: 1, 3 or 5 relays; all others follow
-	DialAddresses map[string]string `json:"reach"`  // by name: where this relay reaches another, if not at its listen address
+	Listen        string            `json:"listen"` // address for other relays: HTTP, sealed with the gossip key
+	APIListen     string            `json:"calls"`  // address of the API for operators and owners of members: HTTP
+	Dir           string            `json:"dir"`    // directory of the record; "" keeps it in memory
+	Voters        map[string]string `json:"voters"` // listen addresses of 1, 3 or 5 relays by name; all other relays are followers
+	DialAddresses map[string]string `json:"reach"`  // by relay name: address to dial instead of that relay's listen address
 	Disruption    struct {
 		Relays  Budget `json:"relays"`
 		Members Budget `json:"members"`
-		// SpareLoad is the share of the present load that the remaining members must be able to carry on top of it.
+		// SpareLoad is the load that the remaining members must be able to carry beyond the present
+		// load, as a share of the present load.
 		SpareLoad float64 `json:"headroom"`
-		// MaxServiceLoss is the share of the service before a release that it may cost, beyond noise, until it halts.
+		// MaxServiceLoss is the share of the service level before a release that the release may
+		// cost, beyond noise, before it halts.
 		MaxServiceLoss float64 `json:"cost"`
 	} `json:"out"`
-	// QuarantineDrifted makes drifted relays take no clients, as far as the budget allows. Otherwise drift is only shown.
+	// QuarantineDrifted puts drifted relays into quarantine, where they take no clients, as far as the
+	// budget allows. Otherwise drift is only shown.
 	QuarantineDrifted bool   `json:"take_out"`
-	Program           string `json:"program"`  // what this relay reports as its program; absent: its version and the digest of its file
-	StartTimeoutMS    int64  `json:"start_ms"` // how long a replacement may take until it serves; 30,000 if absent
+	Program           string `json:"program"`  // what this relay reports as its program; default: its version and the digest of its file
+	StartTimeoutMS    int64  `json:"start_ms"` // how long a replacement may take until it serves; default: 30,000
 
 	budgets rollout.Budgets
 }
 
-// Budget is how many may be out at once, each a number ("2") or a share ("25%").
+// Budget limits how many relays or members may be out of service at once. Each limit is a number
+// ("2") or a share ("25%").
 type Budget struct {
-	Total string `json:"whole"` // "1" if absent
-	Zone  string `json:"zone"`  // of each zone's; as Total if absent
+	Total string `json:"whole"` // limit for the fleet; default: "1"
+	Zone  string `json:"zone"`  // limit for each zone; default: only Total applies
 }
 
-// Intervals and timeouts. Each follows from a time that the protocol or another package fixes.
+// Intervals, timeouts and limits. Each time follows from one that the protocol or another package
+// fixes.
 const (
-	reportInterval        = time.Second            // of a relay's status reports
-	silenceTimeout        = 4 * reportInterval     // four reports lost: datagrams and a change of the leader cost two
-	flowExpiry            = 7 * time.Second        // by then the client has given up a flow whose relay is silent, by the protocol
-	drainTimeout          = 20 * time.Second       // a relay drains for 3 s and stops for 3 s; a member's flows go as fast as others can take them
-	defaultStartTimeoutMS = 30_000                 // what the platform takes until a relay is ready
-	planInterval          = 200 * time.Millisecond // of the leader's control loop
-	viewMaxAge            = 3 * time.Second        // from a view to the agreement on its plan: a new leader takes two
-	driftHaltAfter        = 10 * time.Second       // drift of that age halts a release
-	permitWindowMS        = 30_000                 // within which a granted permit must begin
-	maxClockDrift         = 0.01                   // between machines: a hundred times that of quartz
-	defaultServiceLoss    = 0.05                   // of Disruption.MaxServiceLoss
+	reportInterval = time.Second // between two status reports of a relay
+
+	// silenceTimeout is the age of its last report at which a relay counts as silent. Four reports: lost
+	// datagrams and a change of the leader cost two.
+	silenceTimeout = 4 * reportInterval
+
+	// flowExpiry is the time after which, by the protocol, a client has given up a flow whose relay is
+	// silent.
+	flowExpiry = 7 * time.Second
+
+	// drainTimeout limits a drain. A relay drains for 3 s and stops for 3 s; a member's flows migrate as
+	// fast as other members can take them.
+	drainTimeout = 20 * time.Second
+
+	defaultStartTimeoutMS = 30_000 // time that the platform takes until a relay is ready
+
+	planInterval = 200 * time.Millisecond // between two rounds of the leader's control loop
+
+	// viewMaxAge is the greatest age of a view when the commands planned from it are committed: a new
+	// leader takes 2 s.
+	viewMaxAge = 3 * time.Second
+
+	driftHaltAfter     = 10 * time.Second // drift that blocks releases for longer halts them
+	permitWindowMS     = 30_000           // time in which a granted permit must begin
+	maxClockDrift      = 0.01             // relative rate error of a machine's clock: 100 times that of quartz
+	defaultServiceLoss = 0.05             // default of Disruption.MaxServiceLoss
 )
 
-// Check validates the setting and completes it. Dir is the configuration's directory, relays the number of relays that should run, and warmup
-// how long a member's slow start takes.
+// Check validates the configuration and sets defaults. Dir is the directory of the configuration
+// file, relays is the number of relays that should run, and warmup is the duration of a member's
+// slow start. Errors begin with the name of the setting inside `fleet`.
 func (c *Config) Check(dir string, relays int, warmup time.Duration) (err error) {
 	for _, address := range []struct{ name, text string }{{"listen", c.Listen}, {"calls", c.APIListen}} {
 		if _, err := netip.ParseAddrPort(address.text); err != nil {
@@ -67,12 +89,12 @@
 		}
 	}
 	if n := len(c.Voters); n != 1 && n != 3 && n != 5 {
-		return fmt.Errorf("voters: %d of them: 3 or 5 outlive a loss, 1 is for trials, an even number outlives no more than one less", n)
+		return fmt.Errorf("voters: got %d, must be 1, 3 or 5 (1 is for trials and tolerates no failure; an even number tolerates no more failures than one voter less)", n)
 	}
 	for _, addresses := range []map[string]string{c.Voters, c.DialAddresses} {
 		for name, address := range addresses {
 			if _, err := netip.ParseAddrPort(address); name == "" || err != nil {
-				return fmt.Errorf("%q: %w", name, err)
+				return fmt.Errorf("voters or reach: address of relay %q: %w", name, err)
 			}
 		}
 	}
@@ -80,13 +102,13 @@
 		c.Dir = filepath.Join(dir, c.Dir)
 	}
 	if c.Disruption.SpareLoad < 0 || c.Disruption.SpareLoad > 10 {
-		return fmt.Errorf("out.headroom: %v is no part of the load", c.Disruption.SpareLoad)
+		return fmt.Errorf("out.headroom: must be from 0 to 10 (a share of the load), got %v", c.Disruption.SpareLoad)
 	}
 	if !(c.Disruption.MaxServiceLoss >= 0 && c.Disruption.MaxServiceLoss < 1) {
-		return fmt.Errorf("out.cost: %v is no part of the service", c.Disruption.MaxServiceLoss)
+		return fmt.Errorf("out.cost: must be at least 0 and less than 1 (a share of the service), got %v", c.Disruption.MaxServiceLoss)
 	}
 	if c.StartTimeoutMS < 0 {
-		return errors.New("start_ms: below zero")
+		return fmt.Errorf("start_ms: must not be negative, got %d", c.StartTimeoutMS)
 	}
 	c.budgets = rollout.Budgets{CapacityReserve: c.Disruption.SpareLoad, ServiceTolerance: cmp.Or(c.Disruption.MaxServiceLoss, defaultServiceLoss),
 		SilentAfterMS: silenceTimeout.Milliseconds(), FlowHoldMS: (silenceTimeout + flowExpiry).Milliseconds(), ViewMaxAgeMS: viewMaxAge.Milliseconds(),
@@ -115,5 +137,5 @@
 	return nil
 }
 
-// Budgets returns how much may be out at once, and the times that go with it.
+// Budgets returns the limits and timeouts that rollout uses. They are set by Check.
 func (c *Config) Budgets() rollout.Budgets { return c.budgets }
--- a/internal/fleet/controller.go
+++ b/internal/fleet/controller.go
@@ -5,29 +5,30 @@
 	"dahliarudder/internal/rollout"
 )
 
-// controller is the leader's picture of the fleet: it compares what relays report with the record, and plans changes of intent. It does no
-// I/O and has no clock; a new leader starts with an empty one. Service.mu guards it.
+// controller is the leader's view of the fleet. It compares what relays report with the record, and
+// plans changes of intent. It does no I/O and takes the time as an argument; a new leader starts with
+// an empty controller. Service.mu guards it.
 type controller struct {
 	record       *Record
 	fleet        *fleetStatus
 	driftMonitor *drift.Monitor
-	voters       drift.Item // in force
+	voters       drift.Item // the current set of voters, as the leader's consensus node has it
 
-	// Derived from the record when its change count was recordChanges.
+	// Derived from the record by refresh, when its count of changes was recordChanges.
 	recordChanges   uint64
 	recordItems     recordItems
 	intent          *intent
 	pendingReleases map[string]relayRelease // by relay
-	unadopted       []rollout.ReleaseStatus // releases that are over and that intent does not follow yet
+	unadopted       []rollout.ReleaseStatus // releases that are over and whose outcome intent does not reflect yet
 	quarantined     map[string]rollout.Quarantine
 
 	// Derived from the record and from reports, at each evaluateDrift.
-	releaseSections map[string]map[string]string // by release: its configuration's items, as reported by the relays that run it
-	acceptAnyValue  map[string]bool              // sections without intent that at least half of the relays have: any value will do
-	blockReason     string                       // drift that holds up all releases but those that repair it; "" if none
-	blockReasons    map[string]string            // the drift that holds up a release, by release; "" stands for those that repair nothing
+	releaseSections map[string]map[string]string // by release: the items of its configuration, as reported by relays that run it
+	acceptAnyValue  map[string]bool              // section items without intent that at least half of the relays have: any value is accepted
+	blockReason     string                       // drift that blocks all releases except those that repair it; "" if none
+	blockReasons    map[string]string            // drift that blocks a release, by release; the key "" is for releases that repair nothing
 
-	candidates map[string]candidateValue // by item without intent
+	candidates map[string]candidateValue // by name of an item without intent
 }
 
 func newController(r *Record) *controller {
@@ -35,7 +36,7 @@
 		driftMonitor: drift.NewMonitor(drift.Settings{ReportInterval: reportInterval.Milliseconds(), UnmeasuredGroups: []string{drift.ItemEndpointList}})}
 }
 
-// refresh derives anew what depends on the record alone, if the record has changed.
+// refresh updates the fields that depend only on the record, if the record has changed.
 func (c *controller) refresh() {
 	r := c.record
 	r.mu.RLock()
@@ -56,7 +57,7 @@
 	}
 }
 
-// receive takes a relay's status report. The reply is encoded; nil if there is none.
+// receive processes a relay's status report. It returns the encoded reply, nil if there is none.
 func (c *controller) receive(now int64, from string, report statusReport) (reply []byte) {
 	c.refresh()
 	c.fleet.receive(now, from, report)
