--- a/internal/fleet/desired_state.go
+++ b/internal/fleet/desired_state.go
@@ -7,19 +7,19 @@
 	"dahliarudder/internal/rollout"
 )
 
-// DesiredState is what the record wants of a relay.
+// DesiredState is the state that the record asks a relay to apply.
 type DesiredState struct {
 	rollout.Orders
-	RecordVersion     uint64
+	RecordVersion     uint64 // version of the rollout state
 	CanaryWeights     []canary.Weight
-	CanaryVersion     uint64 // of the canary state
-	PermitsVersion    uint64 // of the permits in force; never 0. The event loop keeps it for its ObservedState
+	CanaryVersion     uint64 // version of the canary state
+	PermitsVersion    uint64 // version of the permits in force, never 0; the event loop repeats it in ObservedState
 	AppliedIndex      uint64 // index of the last log entry that this state includes
-	MajorityConfirmed bool   // a majority was behind this state just now
+	MajorityConfirmed bool   // when the state was read, a majority was available and every committed entry was applied here
 }
 
-// applyLoop posts the desired state whenever the record has changed, and again while the relay has not applied it. Changes that arrive
-// while a post is pending are combined.
+// applyLoop posts the desired state to the event loop whenever the record has changed, and again as
+// long as the relay has not applied it. Changes that arrive while a post is pending are combined.
 func (s *Service) applyLoop() {
 	retry := time.NewTicker(planInterval)
 	defer retry.Stop()
@@ -37,8 +37,10 @@
 			due = true
 		case <-retry.C:
 			s.mu.Lock()
-			// Again until this relay has caught up; while there is a canary, as an unconfirmed weight falls; and while the relay has
-			// not applied what was posted, which may have been from before the record was restored.
+			// Post again until this relay has caught up with the record. Later, post again once per
+			// reportInterval in two cases: while there is a canary, as a canary weight that is not confirmed
+			// falls with time; and while the relay has not applied the posted state, which may have been read
+			// before the record was restored.
 			due = !s.caughtUp || time.Since(postedAt) >= reportInterval && (s.lastObserved.AppliedVersion != postedVersion || s.canaryActive)
 			s.mu.Unlock()
 		}
@@ -60,13 +62,14 @@
 	}
 }
 
-// postDesired applies the current desired state on the event loop and then calls done there. States are posted in the order in which they
-// were read, so that an older one never follows a newer one.
+// postDesired applies the current desired state on the event loop and then calls done there. It
+// returns the version of the posted state. States are posted in the order in which they were read,
+// so that an older one never follows a newer one.
 func (s *Service) postDesired(done func()) (version uint64) {
 	s.postMu.Lock()
 	defer s.postMu.Unlock()
 	var desired DesiredState
-	status := s.node.Status() // read before the record: what is applied in between is in the record too
+	status := s.node.Status() // read before the record, so that the record includes at least the entries up to status.Applied
 	desired.AppliedIndex, desired.MajorityConfirmed = status.Applied, status.HasQuorum && status.Applied == status.Committed
 	s.mu.Lock()
 	s.caughtUp = s.caughtUp || desired.MajorityConfirmed
--- a/internal/fleet/drift_evaluation.go
+++ b/internal/fleet/drift_evaluation.go
@@ -8,17 +8,19 @@
 	"dahliarudder/internal/rollout"
 )
 
-// evaluateDrift brings the drift monitor up to date, puts the drift that holds up releases into the view, and returns what has changed.
+// evaluateDrift updates the drift monitor, puts the drift that blocks releases into the view, and
+// returns the changes of drift states since the last call.
 func (c *controller) evaluateDrift(now int64, v *rollout.View) []drift.Change {
 	c.refresh()
 	c.fleet.updateLists(now)
 	c.learnReleaseSections()
-	var blockingRelays []string // relays whose drift holds up releases
+	var blockingRelays []string // relays whose drift blocks releases
 	for _, r := range v.Relays {
 		c.updateExpected(now, r.Name)
 		liveness := c.liveness(&r)
 		c.driftMonitor.SetLiveness(r.Name, liveness)
-		if _, quarantined := c.quarantined[r.Name]; liveness == drift.Alive && !quarantined { // in quarantine it counts as out instead
+		// A relay in quarantine counts as out of service instead.
+		if _, quarantined := c.quarantined[r.Name]; liveness == drift.Alive && !quarantined {
 			blockingRelays = append(blockingRelays, r.Name)
 		}
 	}
@@ -27,6 +29,7 @@
 	return changes
 }
 
+// liveness returns what gossip, reports and orders tell of a relay's process.
 func (c *controller) liveness(r *rollout.Relay) drift.Liveness {
 	unit := c.pendingReleases[r.Name].unit
 	switch {
@@ -40,7 +43,8 @@
 	return drift.Alive
 }
 
-// findBlockReasons finds the drift that holds up releases: for those that repair some of it themselves, only the rest.
+// findBlockReasons updates blockReason and blockReasons, and puts the drift that no release under
+// way repairs into the view. A release is not blocked by drift that it repairs itself.
 func (c *controller) findBlockReasons(now int64, relays []string, v *rollout.View) {
 	var since int64
 	if v.Drift, since = c.driftMonitor.BlockReason(relays, c.repairedBy("")); since > 0 {
@@ -59,8 +63,10 @@
 	}
 }
 
-// repairedBy tells which drift a release repairs by itself; "" stands for any release. It is what a relay applies at its start, if the
-// release still has to restart it. Ejections and drains are not: nothing may be moved while relays disagree on them.
+// repairedBy returns a function that reports whether a release repairs the drift of an item at a
+// relay; release "" stands for any release. A release repairs what a relay applies at its start, if
+// the release still has to restart that relay. It does not repair ejections and drains: no traffic
+// may move while relays disagree on them.
 func (c *controller) repairedBy(release string) func(relay, item string) bool {
 	return func(relay, item string) bool {
 		r := c.pendingReleases[relay]
@@ -68,8 +74,8 @@
 	}
 }
 
-// dropBlockedGrants removes from a plan the grants of releases that are held up by drift which they do not repair. A rollback is never held
-// up, nor is a permit.
+// dropBlockedGrants removes from a plan the grants of releases that are blocked by drift which they
+// do not repair. Rollbacks and permits are never blocked.
 func (c *controller) dropBlockedGrants(plan []rollout.Command) []rollout.Command {
 	if len(c.blockReasons) == 0 {
 		return plan
@@ -90,9 +96,10 @@
 	return status.RollingBack
 }
 
-// markUnfit puts the relays that belong into quarantine into the view, the worst first. A relay that is in quarantine stays there until it
-// reports and is in sync, or has restarted: a new leader knows nothing of it yet, and a silent relay has not recovered. A relay that is only
-// ahead of others with its endpoint list is not unfit: its list may be the right one.
+// markUnfit puts the relays that belong into quarantine into the view, the worst first. A relay in
+// quarantine stays there until it reports and is in sync, or has restarted: a new leader has no
+// findings on it yet, and a silent relay has not recovered. A relay that drifts only because its
+// endpoint list is ahead of those of other relays is fit, as its list may be the right one.
 func (c *controller) markUnfit(v *rollout.View) {
 	v.UnfitOrder, v.Unfit = nil, map[string]string{}
 	mark := func(relay, reason string) {
--- a/internal/fleet/drift_status.go
+++ b/internal/fleet/drift_status.go
@@ -11,22 +11,23 @@
 // driftStatus is the body of GET /-/drift.
 type driftStatus struct {
 	Findings    []driftFinding     `json:"rows"`
-	BlockReason string             `json:"blocks,omitempty"` // drift that holds up all releases but those that repair it
-	LagBounds   map[string]int64   `json:"bounds_ms"`        // by group: how long a new version may take until it is applied
+	BlockReason string             `json:"blocks,omitempty"` // drift that blocks all releases except those that repair it
+	LagBounds   map[string]int64   `json:"bounds_ms"`        // by group: time in which a relay has to apply a new version
 	Quarantined []quarantinedRelay `json:"shut"`
 	Counts      drift.Counts       `json:"counts"`
 }
 
+// driftFinding is the state of one item at one relay.
 type driftFinding struct {
 	Relay           string   `json:"relay"`
-	Item            string   `json:"item,omitempty"` // none: the relay does not report
+	Item            string   `json:"item,omitempty"` // "" if the relay does not report
 	State           string   `json:"state"`
-	SinceMS         int64    `json:"since_ms"`            // how long it has been in that state
-	BehindMS        int64    `json:"behind_ms,omitempty"` // how long it has not been in sync
+	SinceMS         int64    `json:"since_ms"`            // time in this state
+	BehindMS        int64    `json:"behind_ms,omitempty"` // time since the item was last in sync
 	IntendedVersion uint64   `json:"intent"`
 	AppliedVersion  uint64   `json:"applied"`
-	Intended        string   `json:"meant,omitempty"` // value of a program or section
-	Running         string   `json:"runs,omitempty"`
+	Intended        string   `json:"meant,omitempty"` // value; only for the program and configuration sections
+	Running         string   `json:"runs,omitempty"`  // value; only for the program and configuration sections
 	Reason          string   `json:"why,omitempty"`
 	Evidence        []string `json:"evidence,omitempty"`
 }
@@ -38,6 +39,7 @@
 	Acknowledged bool   `json:"heeds"` // the relay reports that it follows the order
 }
 
+// driftStatus returns the current findings, quarantines and limits.
 func (c *controller) driftStatus(now int64) driftStatus {
 	c.refresh()
 	status := driftStatus{Findings: []driftFinding{}, BlockReason: c.blockReason, LagBounds: map[string]int64{}, Quarantined: []quarantinedRelay{},
@@ -64,7 +66,8 @@
 	return status
 }
 
-// itemValues are the expected value of an item and the one that a relay reports; "" unless it is the program or a section.
+// itemValues returns the value of an item that a relay is expected to run and the value that it
+// reports. Both are "" unless the item is the program or a configuration section.
 func (c *controller) itemValues(relay, item string, status *relayStatus) (expected, running string) {
 	switch drift.GroupOf(item) {
 	case drift.ItemProgram:
--- a/internal/fleet/expected_items.go
+++ b/internal/fleet/expected_items.go
@@ -9,7 +9,9 @@
 	"dahliarudder/internal/rollout"
 )
 
-// updateExpected gives the drift monitor the items that a relay is expected to have applied.
+// updateExpected passes the items that a relay is expected to have applied to the drift monitor. If
+// list.resetMonitor is set and the list has not drifted yet, it first removes the list from the
+// expected items: the monitor then starts anew with this item.
 func (c *controller) updateExpected(now int64, relay string) {
 	items := c.expectedItems(now, relay)
 	status := c.fleet.relays[relay]
@@ -31,7 +33,8 @@
 	status.expected = items
 }
 
-// expectedItems are the items that a relay is expected to have applied, as far as it reports them: one of an older version reports fewer.
+// expectedItems returns the items that a relay is expected to have applied, limited to the groups
+// that it reports: a relay of an earlier version reports fewer groups.
 func (c *controller) expectedItems(now int64, relay string) []drift.Item {
 	items := []drift.Item{c.recordItems.Ejections, c.recordItems.Drains}
 	status := c.fleet.relays[relay]
@@ -70,8 +73,9 @@
 	return items
 }
 
-// expectedProgram is the program that a relay is expected to run; "" if there is no intent. During a release it is the new one once the
-// relay is done, the previous one while it waits, and either while it restarts.
+// expectedProgram returns the program that a relay is expected to run, "" if there is no intent.
+// During a release, a relay that is done must run the new program and a relay that waits must run
+// the previous one; while a relay restarts, either is accepted.
 func (c *controller) expectedProgram(relay string, status *relayStatus) string {
 	intended, _ := c.intent.valueFor(relay, drift.ItemProgram)
 	release, ok := c.pendingReleases[relay]
@@ -90,7 +94,8 @@
 	return previous
 }
 
-// expectedConfig is the same for the configuration: the expected values by item.
+// expectedConfig returns the expected values of the configuration sections by item, under the same
+// rules as expectedProgram.
 func (c *controller) expectedConfig(relay string, status *relayStatus) map[string]string {
 	intended := map[string]string{}
 	for _, name := range c.intent.itemNames(relay) {
@@ -115,23 +120,25 @@
 	return previous
 }
 
-// withRejected expects the next value of each item that a relay rejected: it restarted in order to get it.
+// withRejected returns the previous values, with the next value for each item that the relay
+// rejected: the relay restarted in order to apply it.
 func withRejected(previous, next map[string]string, rejected []string, release string) map[string]string {
 	for _, name := range rejected {
 		if drift.GroupOf(name) == drift.ItemConfig && previous[name] != "" {
 			previous = maps.Clone(previous)
 			if previous[name] = next[name]; previous[name] == "" {
-				previous[name] = "that of " + release // no relay has reported the new value: any but the previous one
+				// No relay has reported the new value yet: expect a text that differs from every value.
+				previous[name] = "that of " + release
 			}
 		}
 	}
 	return previous
 }
 
-// configItem is the item of a section of the configuration.
+// configItem returns the name of the drift item of a configuration section.
 func configItem(section string) string { return drift.ItemConfig + "." + section }
 
-// configItems returns the items that are sections of the configuration.
+// configItems returns the items that are configuration sections: all but the program.
 func configItems(items map[string]string) map[string]string {
 	config := map[string]string{}
 	for name, value := range items {
@@ -142,8 +149,8 @@
 	return config
 }
 
-// learnReleaseSections updates releaseSections and contested from the relays' reports. Of a release's configuration, the sections are those
-// that most of the relays that run it report.
+// learnReleaseSections updates releaseSections and acceptAnyValue from the relays' reports. The
+// sections of a release's configuration are those that most of the relays that run it report.
 func (c *controller) learnReleaseSections() {
 	votes := map[string]map[string]int{} // by release and encoded sections
 	for relay, release := range c.pendingReleases {
@@ -171,7 +178,7 @@
 	c.updateAcceptAnyValue()
 }
 
-// mostVotes is the candidate with the most votes; of several, the least.
+// mostVotes returns the candidate with the most votes; if several have as many, the smallest string.
 func mostVotes(votes map[string]int) (best string) {
 	for candidate, n := range votes {
 		if best == "" || n > votes[best] || n == votes[best] && candidate < best {
@@ -181,8 +188,10 @@
 	return best
 }
 
+// updateAcceptAnyValue finds the sections without intent that at least half of the reporting relays
+// have.
 func (c *controller) updateAcceptAnyValue() {
-	relaysWithSection, relayCount := map[string]int{}, 0 // relays by section; relays in all
+	relaysWithSection, relayCount := map[string]int{}, 0 // relayCount: relays that report sections
 	for _, status := range c.fleet.relays {
 		if status.reports(drift.ItemConfig) {
 			relayCount++
--- a/internal/fleet/fleet_status.go
+++ b/internal/fleet/fleet_status.go
@@ -9,41 +9,42 @@
 	"dahliarudder/internal/rollout"
 )
 
-// relayStatus is a relay's last status report, and what the leader derives from it and earlier ones.
+// relayStatus is a relay's last status report, with what the leader derives from this report and
+// earlier ones.
 type relayStatus struct {
 	statusReport
 	receivedAt int64
 	attempts   map[string]*memberAttempts // by member
 	list       relayList
 
-	expected []drift.Item // as given to the drift monitor
+	expected []drift.Item // the items that the drift monitor was last given
 }
 
-// reports tells whether a relay reports the items of a group.
+// reports reports whether the relay reports the items of a group.
 func (r *relayStatus) reports(group string) bool { return slices.Contains(r.ReportedGroups, group) }
 
-// memberAttempts is how one relay's recent attempts at a member went.
+// memberAttempts counts the recent attempts of one relay at a member.
 type memberAttempts struct {
 	flows               int
 	capacity            float64
-	successes, failures uint64 // as last reported
+	successes, failures uint64 // totals as last reported
 	samples             []attemptSample
 }
 
-// attemptSample is the change from one report to the next.
+// attemptSample is the change of the totals from one report to the next.
 type attemptSample struct {
 	at                  int64
 	successes, failures uint64
 }
 
-// Windows of the leader's statistics.
+// Time windows of the leader's statistics.
 const (
-	attemptWindowMS   = 10_000 // of attempts at a member: some ten reports
-	serviceWindowMS   = 2_000  // of service: two reports of each relay
-	maxServiceWindows = 90
+	attemptWindowMS   = 10_000 // for attempts at a member: about ten reports
+	serviceWindowMS   = 2_000  // for the service level: two reports of each relay
+	maxServiceWindows = 90     // 3 minutes
 )
 
-// fleetStatus is what relays have reported to the leader. It decides nothing.
+// fleetStatus collects what relays have reported to the leader. It makes no decisions.
 type fleetStatus struct {
 	relays         map[string]*relayStatus
 	serviceWindows []rollout.ServiceWindow
@@ -55,7 +56,8 @@
 	return &fleetStatus{relays: map[string]*relayStatus{}, maxRelays: 1024}
 }
 
-// receive takes a relay's status report. One of an earlier process, or that a later one has overtaken, is ignored.
+// receive stores a relay's status report. It ignores a report of an earlier process of the relay, and
+// one that arrives after a later report.
 func (f *fleetStatus) receive(now int64, from string, report statusReport) {
 	relay := f.relays[from]
 	switch {
@@ -78,7 +80,8 @@
 	relay.list.observe(now, report.ListGeneration, report.ListRestarted, f.lists)
 }
 
-// receiveMembers updates the attempts by member. The relay has no flows at members that its report leaves out.
+// receiveMembers updates the attempts by member. A member that the report leaves out has no flows of
+// this relay.
 func (r *relayStatus) receiveMembers(now int64, members []memberReport) {
 	for _, a := range r.attempts {
 		a.flows = 0
@@ -100,7 +103,7 @@
 	})
 }
 
-// countService adds clients' time in seconds to the current window.
+// countService adds clients' time in seconds to the current service window.
 func (f *fleetStatus) countService(now int64, demand, served float64) {
 	end := now - now%serviceWindowMS + serviceWindowMS
 	if n := len(f.serviceWindows); n == 0 || f.serviceWindows[n-1].EndsAt < end {
--- a/internal/fleet/intent.go
+++ b/internal/fleet/intent.go
@@ -12,20 +12,21 @@
 	"dahliarudder/internal/rollout"
 )
 
-// Bounds of intent.
+// Limits of intent.
 const (
-	maxIntentItems  = 48 // sections of a configuration among them; a relay's other reported items fit beside them
+	maxIntentItems  = 48 // includes the configuration sections; leaves room for a relay's other drift items
 	maxFormerValues = 3  // kept per item, to recognize a relay that went back to one of them
 	maxIntentValue  = rollout.MaxNameBytes
 )
 
-// intent is what relays are meant to run where no order says so: the program, and the configuration by section. It is one of the record's
-// parts. An intent that was handed out is never modified: a command makes a new one.
+// intent is what relays should run where no order says otherwise: the program, and the configuration
+// by section. It is one of the parts of the record. An intent that readers may have is never
+// modified: a command makes a new one.
 type intent struct {
-	Version  uint64                              `json:"version"`            // of the last change
-	Items    map[string][]intendedValue          `json:"items,omitempty"`    // of all relays; newest value first
-	PerRelay map[string]map[string]intendedValue `json:"of,omitempty"`       // of single relays, after a release of some of them
-	Adopted  map[string]adoptedRelease           `json:"releases,omitempty"` // completed releases that intent follows, by name
+	Version  uint64                              `json:"version"`            // version of the last change
+	Items    map[string][]intendedValue          `json:"items,omitempty"`    // for all relays, by item; newest value first
+	PerRelay map[string]map[string]intendedValue `json:"of,omitempty"`       // for single relays, by relay and item, after a release of some relays
+	Adopted  map[string]adoptedRelease           `json:"releases,omitempty"` // completed releases whose values intent has adopted, by name
 }
 
 // intendedValue is the value of an item, with the version and time of the change that set it.
@@ -36,28 +37,32 @@
 	By      string `json:"by"`
 }
 
-// adoptedRelease is what is needed to undo the adoption of a release.
+// adoptedRelease is the data that is needed to undo the adoption of a release.
 type adoptedRelease struct {
-	OpenedAt int64             `json:"opened"`           // tells releases of the same name apart
-	Previous map[string]string `json:"before,omitempty"` // intent for all relays before it
+	OpenedAt int64             `json:"opened"`           // distinguishes releases of the same name
+	Previous map[string]string `json:"before,omitempty"` // intent for all relays before the adoption
 }
 
-// adoptAction is the one action of an intentCommand.
+// adoptAction is the only action of an intentCommand.
 const adoptAction = "adopt"
 
-// intentCommand changes intent. With Release it follows a release that is completed or rolled back; with Operator it is an operator's; with
-// neither it is the controller's, and sets only items without intent, so that a late one changes nothing.
+// intentCommand changes intent. If Release is set, intent follows that release, which is completed or
+// rolled back. If Operator is set, the command is an operator's. If neither is set, the command is
+// the controller's and, unless Uniform is set, changes only items without intent, so that a late
+// command changes nothing.
 type intentCommand struct {
 	Action      string            `json:"do"`
 	Items       map[string]string `json:"items,omitempty"`
-	ReplaceAll  bool              `json:"whole,omitempty"` // sections that Items does not name lose their intent
+	ReplaceAll  bool              `json:"whole,omitempty"` // removes the intent of sections that Items does not name
 	Release     string            `json:"release,omitempty"`
 	Operator    string            `json:"who,omitempty"`
-	Uniform     bool              `json:"even,omitempty"` // the intent of all known relays has become the same; applies only to BaseVersion
+	Uniform     bool              `json:"even,omitempty"` // the intent of single relays is now the same for all; rejected unless intent has BaseVersion
 	BaseVersion uint64            `json:"base,omitempty"`
 }
 
-// checkIntentItem is why an item cannot have intent, or not that value; "" if it can.
+// checkIntentItem returns why an item cannot have intent, or cannot have this value; "" if it can. The
+// reason is sent as the answer to a command, so the texts must not change; the first one means that
+// the name is neither the program nor a configuration section, or is too long.
 func checkIntentItem(name, value string) string {
 	section, ok := strings.CutPrefix(name, drift.ItemConfig+".")
 	switch {
@@ -69,7 +74,8 @@
 	return ""
 }
 
-// apply returns the intent after a command. A rejected command changes nothing.
+// apply returns the intent after a command, and the answer to the command. A rejected command returns
+// n unchanged.
 func (n *intent) apply(at int64, by string, body []byte, releases *rollout.State) (*intent, rollout.Result) {
 	var c intentCommand
 	if err := json.Unmarshal(body, &c); err != nil {
@@ -88,7 +94,7 @@
 	return edit.intent, rollout.Result{State: "meant", Number: edit.Version}
 }
 
-// check is why a command is malformed; "" if it is not.
+// check returns why a command is malformed; "" if it is valid.
 func (c *intentCommand) check() string {
 	if c.Action != adoptAction {
 		return fmt.Sprintf("no such command: %.40q", c.Action)
@@ -104,7 +110,7 @@
 	return ""
 }
 
-// clone copies an intent, without the adopted releases that the record no longer knows.
+// clone copies an intent, without the adopted releases that are no longer in the record.
 func (n *intent) clone(releases *rollout.State) *intent {
 	c := &intent{Version: n.Version, Items: map[string][]intendedValue{}, PerRelay: map[string]map[string]intendedValue{}, Adopted: map[string]adoptedRelease{}}
 	maps.Copy(c.Items, n.Items)
@@ -119,7 +125,8 @@
 	return c
 }
 
-// releaseAdoption tells whether intent has adopted a release's values, and whether that is settled: whether it fits the release's outcome.
+// releaseAdoption reports whether intent has adopted the values of a release, and whether that is
+// settled: a completed release is adopted, a rolled back one is not.
 func (n *intent) releaseAdoption(release *rollout.ReleaseStatus) (adopted, settled bool) {
 	a, ok := n.Adopted[release.Name]
 	adopted = ok && a.OpenedAt == release.OpenedAt
@@ -132,7 +139,7 @@
 	return adopted, false
 }
 
-// valueFor is the intent of an item at a relay.
+// valueFor returns the intended value of an item at a relay; false if it has none.
 func (n *intent) valueFor(relay, name string) (intendedValue, bool) {
 	if value, ok := n.PerRelay[relay][name]; ok {
 		return value, true
@@ -143,7 +150,7 @@
 	return intendedValue{}, false
 }
 
-// itemNames are the names of all items with intent at a relay, sorted.
+// itemNames returns the sorted names of all items that have intent at a relay.
 func (n *intent) itemNames(relay string) []string {
 	names := slices.Collect(maps.Keys(n.Items))
 	for name := range n.PerRelay[relay] {
@@ -155,8 +162,9 @@
 	return names
 }
 
-// driftItem is the drift item of a value at a relay. A former value has its former version; a value that never was intent has the current
-// version, so that it is not taken for an old one. A relay and the leader compute the same.
+// driftItem returns the drift item of a value that a relay runs. A former intended value has its former
+// version. A value that was never intended has the current version, so that it does not count as an
+// outdated one. A relay and the leader compute the same item.
 func (n *intent) driftItem(relay, name, value string) drift.Item {
 	item := drift.Item{Name: name, Digest: digestOf([]string{value})}
 	current, ok := n.valueFor(relay, name)
@@ -175,7 +183,7 @@
 
 var errIntentBounds = errors.New("intent: a state beyond its bounds")
 
-// decodeIntent decodes the part of a snapshot; a snapshot of an earlier version has none.
+// decodeIntent decodes the intent of a snapshot. A snapshot of an earlier version has none.
 func decodeIntent(text []byte) (*intent, error) {
 	n := &intent{}
 	if len(text) == 0 {
--- a/internal/fleet/intent_edit.go
+++ b/internal/fleet/intent_edit.go
@@ -14,16 +14,18 @@
 	*intent
 	at          int64
 	by          string
-	nextVersion uint64 // the version, if the command changes anything
+	nextVersion uint64 // the version of the intent if the command changes anything
 }
 
-// apply is why a command is rejected; "" if it was applied.
+// apply applies a command and returns "", or returns why the command is rejected. The reasons are
+// answers to commands and must not change.
 func (e *intentEdit) apply(c *intentCommand, releases *rollout.State) string {
 	switch {
 	case c.Release != "":
 		return e.followRelease(c, releases)
 	case c.Uniform:
 		if c.BaseVersion != e.Version {
+			// Intent has changed since the controller planned this command.
 			return fmt.Sprintf("it was reckoned from version %d, this is %d", c.BaseVersion, e.Version)
 		}
 		e.setAll(c.Items)
@@ -39,14 +41,14 @@
 	return ""
 }
 
-// setAll sets the intent of all relays.
+// setAll sets the intent of the items for all relays.
 func (e *intentEdit) setAll(items map[string]string) {
 	for name, value := range items {
 		e.set(name, value)
 	}
 }
 
-// setMissing does so for items without intent.
+// setMissing does the same for those items that have no intent.
 func (e *intentEdit) setMissing(items map[string]string) {
 	for name, value := range items {
 		if len(e.Items[name]) == 0 {
@@ -55,7 +57,7 @@
 	}
 }
 
-// set sets the intent of an item for all relays, in place of that of single ones.
+// set sets the intent of an item for all relays and removes the intent of single relays for it.
 func (e *intentEdit) set(name, value string) {
 	for relay, items := range e.PerRelay {
 		if _, ok := items[name]; ok {
@@ -74,7 +76,7 @@
 	e.Items[name] = values[:min(len(values), 1+maxFormerValues)]
 }
 
-// dropSectionsExcept removes the intent of all sections that have no value in items.
+// dropSectionsExcept removes the intent of all configuration sections that have no value in items.
 func (e *intentEdit) dropSectionsExcept(items map[string]string) {
 	dropped := func(name string) bool { return items[name] == "" && name != drift.ItemProgram }
 	for name := range e.Items {
@@ -91,7 +93,7 @@
 	}
 }
 
-// setFor sets the intent of an item for one relay.
+// setFor sets the intent of an item for a single relay.
 func (e *intentEdit) setFor(relay, name, value string) {
 	if current, ok := e.valueFor(relay, name); ok && current.Value == value {
 		return
@@ -103,8 +105,10 @@
 	e.PerRelay[relay][name] = intendedValue{value, e.nextVersion, e.at, e.by}
 }
 
-// followRelease adopts the values of a completed release of relays, or restores what was intended before one that was rolled back. The
-// program is the one that the release names; the sections are those that the leader's command has from relays that run the configuration.
+// followRelease adopts the values of a completed release of relays, or restores the intent from
+// before a release that was rolled back. The program is the one that the release names. The
+// configuration sections come with the command: the leader has them from relays that run the
+// configuration.
 func (e *intentEdit) followRelease(c *intentCommand, releases *rollout.State) string {
 	release, ok := releases.Release(c.Release)
 	_, adopted := e.Adopted[c.Release]
@@ -121,6 +125,7 @@
 	return ""
 }
 
+// adopt sets intent to the values of a completed release and stores the previous intent.
 func (e *intentEdit) adopt(release *rollout.ReleaseStatus, reported map[string]string) {
 	previous := map[string]string{}
 	for name, values := range e.Items {
@@ -154,6 +159,7 @@
 	}
 }
 
+// revert restores the intent from before an adopted release that was rolled back.
 func (e *intentEdit) revert(release *rollout.ReleaseStatus) {
 	previous := e.Adopted[release.Name].Previous
 	delete(e.Adopted, release.Name)
@@ -166,7 +172,7 @@
 	}
 	for _, unit := range release.Units {
 		if unit.Updated {
-			continue // not rolled back
+			continue // this unit was not rolled back
 		}
 		e.dropChanged(unit.Name, release)
 		if release.Spec.Program != "" && unit.PreviousProgram != "" {
@@ -175,7 +181,7 @@
 	}
 }
 
-// dropChanged removes a relay's own intent of the items that a release changes.
+// dropChanged removes a relay's own intent for the items that a release changes.
 func (e *intentEdit) dropChanged(relay string, release *rollout.ReleaseStatus) {
 	values := e.PerRelay[relay]
 	if values == nil {
--- a/internal/fleet/intent_planning.go
+++ b/internal/fleet/intent_planning.go
@@ -9,21 +9,23 @@
 	"dahliarudder/internal/rollout"
 )
 
-// candidateValue is the value that most relays run of an item without intent, and since when (wall clock, ms).
+// candidateValue is the value that most relays run of an item without intent, and the time since when
+// they do (wall clock, ms).
 type candidateValue struct {
 	value string
 	since int64
 }
 
-// planIntent returns the changes of intent to propose: what follows from releases that are over, an item that relays have come to agree on,
-// and what most relays run of items without intent.
+// planIntent returns the changes of intent to propose. They come from releases that are over, from an
+// item whose intent has become the same at all relays, and from values that most relays run of items
+// without intent.
 func (c *controller) planIntent(now int64, v *rollout.View) (plan []intentCommand) {
 	for _, release := range c.unadopted {
 		command := intentCommand{Action: adoptAction, Release: release.Name}
 		if release.State == rollout.ReleaseCompleted && release.Spec.Config != "" {
 			command.Items = c.releaseSections[release.Name]
 			if command.Items == nil && slices.ContainsFunc(release.Units, func(u rollout.Unit) bool { return u.Updated }) {
-				continue // until a relay that runs the configuration has reported it
+				continue // wait until a relay that runs the configuration has reported its sections
 			}
 		}
 		plan = append(plan, command)
@@ -37,8 +39,8 @@
 	return plan
 }
 
-// majorityItems returns the items without intent of which more than half of all known relays have run the same value for silenceTimeout.
-// Silent relays are counted as known, but not as running anything.
+// majorityItems returns the items without intent of which more than half of all known relays have
+// run the same value for silenceTimeout. Silent relays count as known but run no value.
 func (c *controller) majorityItems(now int64, v *rollout.View) map[string]string {
 	candidates, items := map[string]candidateValue{}, map[string]string{}
 	for name, byValue := range c.countValues(v) {
@@ -60,7 +62,8 @@
 	return items
 }
 
-// countValues counts by item without intent how many relays run which value. A relay does not count for what an unsettled release changes.
+// countValues returns how many relays run each value of each item without intent. A relay is not
+// counted for items that its unsettled release changes.
 func (c *controller) countValues(v *rollout.View) map[string]map[string]int {
 	counts := map[string]map[string]int{}
 	add := func(name, value string) {
@@ -89,7 +92,8 @@
 	return counts
 }
 
-// uniformItem finds an item whose intent of single relays has become the same for all known relays: then it is the intent of future ones too.
+// uniformItem returns a command for an item whose intent at single relays has become the same for all
+// known relays. The command makes it the intent for all relays, so that it applies to new ones too.
 func (c *controller) uniformItem(v *rollout.View) (intentCommand, bool) {
 	if len(c.intent.PerRelay) == 0 || len(c.unadopted) > 0 || len(v.Relays) == 0 {
 		return intentCommand{}, false
@@ -107,7 +111,9 @@
 	return intentCommand{}, false
 }
 
-// intentFromRelay is an operator's command that makes what a relay reported last the intent: of one item, or of all if item is "".
+// intentFromRelay returns an operator's command that makes what a relay last reported the intent: of
+// one item, or of all items if item is "". The errors say that this leader has no report of the
+// relay, or none of the item. The API sends them, so their text must not change.
 func (c *controller) intentFromRelay(relay, item, operator string) (intentCommand, error) {
 	status := c.fleet.relays[relay]
 	if status == nil {
--- a/internal/fleet/leader.go
+++ b/internal/fleet/leader.go
@@ -11,7 +11,8 @@
 	"dahliarudder/internal/rollout"
 )
 
-// handleReport takes a relay's status report at the leader. The reply is what drift detection wants of that relay, encoded.
+// handleReport processes a relay's status report at the leader. It returns the encoded reply of drift
+// detection to that relay, nil if there is none.
 func (s *Service) handleReport(from string, text []byte) (reply []byte) {
 	report, err := decodeStatusReport(text)
 	s.mu.Lock()
@@ -32,8 +33,8 @@
 	return reply
 }
 
-// leadershipChanged is called when this relay begins or ceases to lead. A new leader starts with an empty controller: reports from an
-// earlier term do not show the fleet as it is now.
+// leadershipChanged is called when this relay becomes the leader or ceases to be it. A new leader
+// starts with an empty controller, as reports from an earlier term do not show the present state.
 func (s *Service) leadershipChanged(leads bool, term uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,7 +46,7 @@
 	s.Log.WithFields(logrus.Fields{"leads": leads, "term": term}).Info("fleet: leadership changed")
 }
 
-// controlStep is what one round of the control loop found out and wants to propose.
+// controlStep is the result of one round of the control loop: the view and the commands to propose.
 type controlStep struct {
 	now      int64
 	view     rollout.View
@@ -53,7 +54,8 @@
 	intents  []intentCommand
 }
 
-// controlLoop is the leader's: it evaluates the fleet at each interval and proposes the next commands.
+// controlLoop evaluates the fleet and proposes the next commands, at each planInterval while this
+// relay is the leader.
 func (s *Service) controlLoop() {
 	var loggedStates map[string]string
 	s.every(planInterval, func() {
@@ -66,8 +68,9 @@
 	})
 }
 
-// evaluate brings the controller, the canary's judge and the view up to date. It is not ready unless this relay leads, and has received a
-// report from each relay that it knows of or waited for the silence timeout.
+// evaluate updates the controller, the canary's judge and the view, and plans the next commands. It
+// is not ready if this relay is not the leader, or if a known relay has not reported yet and the
+// silence timeout since the start of the leadership has not passed.
 func (s *Service) evaluate() (step controlStep, ready bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,19 +91,19 @@
 	return controlStep{now: now, view: view, canaries: canaries, intents: intents}, true
 }
 
-// evaluateDrift compares what relays run with what was agreed. Called with the lock held.
+// evaluateDrift compares what relays run with the record. The caller holds s.mu.
 func (s *Service) evaluateDrift(now int64, view *rollout.View) {
 	s.controller.voters = votersDriftItem(s.node.Status())
 	for _, c := range s.controller.evaluateDrift(now, view) {
 		s.Log.WithFields(logrus.Fields{"relay": c.Relay, "item": c.Item, "from": c.From.String(), "to": c.To.String(), "why": c.Reason}).Warn("fleet: drift state changed")
 	}
-	if s.QuarantineDrifted { // else no relay is unfit, and those in quarantine are readmitted
+	if s.QuarantineDrifted { // otherwise no relay is unfit, and those in quarantine are readmitted
 		s.controller.markUnfit(view)
 	}
 }
 
-// proposeStep proposes the commands of a step in their order. It stops at the first that fails, as the next round plans anew; intent
-// commands are independent of all others.
+// proposeStep proposes the commands of a step in order. It stops at the first command that fails, as
+// the next round plans again; intent commands do not depend on any other command.
 func (s *Service) proposeStep(step controlStep) {
 	for _, c := range step.canaries {
 		if err := s.proposeCanary(context.Background(), c); err != nil {
--- a/internal/fleet/list_tracker.go
+++ b/internal/fleet/list_tracker.go
@@ -6,39 +6,42 @@
 	"dahliarudder/internal/drift"
 )
 
-// How far a relay's endpoint list may be behind that of others.
+// Limits of how far a relay's endpoint list may be behind the lists of other relays.
 const (
-	// maxListLagMS is the age of the list that a relay must have reached: discovery delivers within 2 s, reports take two more.
+	// maxListLagMS is how old the newest list may be before every relay must have it: discovery
+	// delivers a list within 2 s, and reports take another 2 s.
 	maxListLagMS = int64(silenceTimeout / 1e6)
-	// listRestartGraceMS is how long a list may stay at a lower generation than others' after it fell: by then the others have followed if
-	// discovery has restarted.
+	// listRestartGraceMS is how long a list whose generation fell may stay at a lower generation
+	// than the others. If discovery has restarted, the other lists have fallen too by then.
 	listRestartGraceMS = 15_000
 )
 
-// listTracker finds out which generation of the endpoint list each relay should have, from what relays report. In a large fleet the
-// generation rises many times a second, so that no two relays report the same one; and it restarts at a low number if discovery loses it.
+// listTracker derives from the relays' reports which generation of the endpoint list each relay should
+// have. In a large fleet the generation rises many times a second, so that no two relays report the
+// same one. It restarts at a low number if discovery loses it.
 type listTracker struct {
-	newest           uint64 // generation that at least two relays have reached, or the newest of two relays: one alone may be wrong
-	floor, nextFloor uint64 // newest as it was one to two lags ago; the next floor
-	rotatedAt        int64  // when next became floor
+	newest           uint64 // second highest reported generation, as a single relay may be wrong; with at most two relays the highest
+	floor, nextFloor uint64 // newest as it was one to two maxListLagMS ago; the next value of floor
+	rotatedAt        int64  // when nextFloor became floor
 	startedAt        int64
 	restarted        bool // discovery has restarted
 }
 
-// relayList is what is known of one relay's endpoint list.
+// relayList is what the leader knows of one relay's endpoint list.
 type relayList struct {
-	generation   uint64 // as last reported; 0 never
-	fell         bool   // the generation went down, at fellAt, and has not caught up
+	generation   uint64 // as last reported; 0: never reported
+	fell         bool   // the generation went down at fellAt and has not reached the floor again
 	fellAt       int64
-	stale        bool   // discovery has restarted and this list has not followed: it is ignored until it changes
-	ahead        uint64 // reported at aheadSince, beyond newest, which has not reached it since; 0 none
+	stale        bool   // discovery has restarted and this list did not follow: it is ignored until its generation changes
+	ahead        uint64 // generation reported at aheadSince that newest has not reached since; 0: none
 	aheadSince   int64
-	aheadTooLong bool // and that for more than the lag
-	resetMonitor bool // the drift monitor's state of the item is void
+	aheadTooLong bool // the list has been ahead for more than maxListLagMS
+	resetMonitor bool // the drift monitor must drop its state of this item
 }
 
-// observe takes a relay's reported generation. A relay whose generation falls is not taken for outdated at once, as discovery may have
-// restarted. Restarted is the relay's word that it fell earlier in this process, which a new leader has not seen.
+// observe processes a reported generation. A relay whose generation falls does not count as outdated
+// at once, as discovery may have restarted. Restarted is the relay's statement that its generation
+// fell earlier in this process, which a new leader has not seen.
 func (l *relayList) observe(now int64, generation uint64, restarted bool, tracker listTracker) {
 	switch {
 	case generation == 0 || generation == l.generation:
@@ -55,7 +58,8 @@
 	l.generation = generation
 }
 
-// updateLists computes the tracker's state from all relays that are not silent.
+// updateLists updates the tracker from the lists of all relays that are not silent. If most of these
+// lists fell, discovery has restarted.
 func (f *fleetStatus) updateLists(now int64) {
 	t := &f.lists
 	if t.startedAt == 0 {
@@ -70,7 +74,7 @@
 			}
 		}
 	}
-	if 2*fell > live && now-t.startedAt >= maxListLagMS { // earlier, too few relays have reported to be a majority
+	if 2*fell > live && now-t.startedAt >= maxListLagMS { // earlier than that, too few relays have reported for a majority
 		*t = listTracker{startedAt: t.startedAt, rotatedAt: now, restarted: true}
 		for _, r := range f.relays {
 			r.list.stale, r.list.fell, r.list.ahead = !r.list.fell, false, 0
@@ -86,7 +90,7 @@
 	}
 }
 
-// newestGenerations are the two highest generations among relays that are neither silent nor stale.
+// newestGenerations returns the two highest generations of relays that are neither silent nor stale.
 func (f *fleetStatus) newestGenerations(now int64) (first, second uint64) {
 	for _, r := range f.relays {
 		switch g := r.list.generation; {
@@ -100,12 +104,13 @@
 	return first, second
 }
 
-// silent tells whether the relay has not reported for the silence timeout.
+// silent reports whether the relay's last report is older than the silence timeout.
 func (r *relayStatus) silent(now int64) bool {
 	return now-r.receivedAt > silenceTimeout.Milliseconds()
 }
 
-// expectedList is the list that a relay should have: its own while that is new enough, and not too far ahead for too long.
+// expectedList returns the list that a relay should have: its own list, unless that is outdated,
+// stale, or has been ahead of the others for too long.
 func (f *fleetStatus) expectedList(now int64, l *relayList) drift.Item {
 	newest, floor := f.lists.newest, min(f.lists.floor, f.lists.newest)
 	switch {
@@ -118,7 +123,8 @@
 		l.fell = false
 	}
 	tooLong := l.ahead > 0 && newest > 0 && now-l.aheadSince > maxListLagMS
-	// Its own generation was the expected one until now. That must not make it look outdated.
+	// Until now the relay's own generation was expected. The expected generation is about to fall,
+	// which must not make the relay look outdated.
 	l.resetMonitor = l.resetMonitor || tooLong && !l.aheadTooLong
 	l.aheadTooLong = tooLong
 	outdated := l.generation < floor && !(l.fell && now-l.fellAt < listRestartGraceMS)
@@ -128,7 +134,7 @@
 	return listDriftItem(l.generation)
 }
 
-// listDriftItem is the drift item of a generation of the endpoint list.
+// listDriftItem returns the drift item of a generation of the endpoint list.
 func listDriftItem(generation uint64) drift.Item {
 	return drift.Item{Name: drift.ItemEndpointList, Version: generation, Digest: digestOf([]string{strconv.FormatUint(generation, 10)})}
 }
--- a/internal/fleet/propose.go
+++ b/internal/fleet/propose.go
@@ -9,15 +9,15 @@
 	"dahliarudder/internal/rollout"
 )
 
-// callTimeout is how long a call waits for a majority.
+// callTimeout is how long a call waits for the consensus.
 const callTimeout = 4 * time.Second
 
-// rejectedError is the record's reason for rejecting a command.
+// rejectedError is the reason why the record rejected a command.
 type rejectedError string
 
 func (e rejectedError) Error() string { return string(e) }
 
-// rejection is the error of a result; nil if the command was accepted.
+// rejection returns the error of a result, nil if the command was accepted.
 func rejection(r rollout.Result) error {
 	if r.Error == "" {
 		return nil
@@ -25,7 +25,8 @@
 	return rejectedError(r.Error)
 }
 
-// propose has a rollout command agreed, and waits until this relay's own record has applied it.
+// propose gets a rollout command committed and waits until this relay's record has applied it. A
+// rejection is in the result, not in the error.
 func (s *Service) propose(ctx context.Context, c rollout.Command) (rollout.Result, error) {
 	return s.submit(ctx, partRollout, c.Encode())
 }
@@ -39,7 +40,8 @@
 	return s.submit(ctx, partIntent, body)
 }
 
-// submit has a command agreed for a part that answers with a rollout.Result. A rejection is in the result, not in the error.
+// submit gets a command committed for a part that answers with a rollout.Result, and waits until this
+// relay's record has applied it. A rejection is in the result, not in the error.
 func (s *Service) submit(ctx context.Context, part string, body []byte) (rollout.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -48,11 +50,11 @@
 	if err != nil {
 		return rollout.Result{}, err
 	}
-	s.node.WaitApplied(ctx, index) // a timeout here is no error: the command is agreed all the same
+	s.node.WaitApplied(ctx, index) // a timeout here is not an error, as the command is committed
 	return result, nil
 }
 
-// proposeCanary has a canary command agreed; a rejection is a rejectedError.
+// proposeCanary gets a canary command committed. A rejection is a rejectedError.
 func (s *Service) proposeCanary(ctx context.Context, c canary.Command) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -68,7 +70,8 @@
 	return nil
 }
 
-// proposeCommand proposes a command and decodes the record's answer. Its errors are those of consensus, unwrapped: the API shows them.
+// proposeCommand proposes a command and decodes the record's answer. It returns the errors of
+// consensus unchanged, as the API sends their text.
 func (s *Service) proposeCommand(ctx context.Context, part string, body []byte, answer any) (index uint64, err error) {
 	text, err := json.Marshal(command{Part: part, At: s.now(), By: s.Name, Body: body})
 	if err != nil {
@@ -81,8 +84,8 @@
 	return index, json.Unmarshal(encoded, answer)
 }
 
-// SetEjected ejects a member at all relays, or reinstates it. It is called on the event loop; done is called there, once, after this relay
-// has applied the change.
+// SetEjected ejects a member at all relays, or reinstates it. It must be called on the event loop. It
+// calls done there once: with nil after this relay has applied the change, or with the error.
 func (s *Service) SetEjected(member string, ejected bool, done func(error)) {
 	s.run(func() {
 		c := rollout.Command{Kind: rollout.CommandReinstate, Names: []string{member}}
@@ -101,9 +104,9 @@
 	})
 }
 
-// ConfirmLeave asks a majority whether this relay's order to leave of that number still stands, which cannot be taken back once it is
-// carried out: this process may have been suspended since it received the order. It is called on the event loop, and so is done; its answer
-// is not confirmed if no majority could be asked.
+// ConfirmLeave asks a majority whether this relay's order to leave with that number is still in force.
+// Leaving cannot be undone, and this process may have been suspended since it received the order. It
+// must be called on the event loop and calls done there. Confirmed is false if no majority answered.
 func (s *Service) ConfirmLeave(number uint64, done func(stands, confirmed bool)) {
 	s.run(func() {
 		ctx, cancel := context.WithTimeout(s.ctx, callTimeout)
--- a/internal/fleet/record.go
+++ b/internal/fleet/record.go
@@ -14,26 +14,28 @@
 	"dahliarudder/internal/rollout"
 )
 
-// Record is this relay's copy of what the fleet has agreed on. It is the consensus.Machine: it applies commands to its parts in log order,
-// and nothing else changes it. Any goroutine may read it.
+// Record is this relay's copy of the replicated state. It implements consensus.Machine: it applies
+// commands to its parts in log order, and only commands and snapshots change it. Any goroutine may
+// read it.
 type Record struct {
 	mu      sync.RWMutex
 	items   recordItems
 	rollout *rollout.State
 	canary  *canary.State
 	intent  *intent
-	changes uint64        // counts commands and restores, so that readers may cache what they derive
-	changed chan struct{} // has a token after a change, for the one reader that waits
+	changes uint64        // number of commands and restores, so that readers can cache what they derive
+	changed chan struct{} // has a token after a change, for applyLoop
 }
 
-// recordItems is what the record keeps beside its parts: its clock, and the drift items of what relays have to apply.
+// recordItems is what the record stores besides its parts: its clock, and the drift items of the state
+// that relays have to apply.
 type recordItems struct {
 	At        int64      `json:"at"` // wall clock in ms of the last command; never decreases
 	Ejections drift.Item `json:"bans"`
 	Drains    drift.Item `json:"drains"`
 
-	Permits       drift.Item `json:"permits"` // granted or begun
-	CanaryWeights drift.Item `json:"weights"` // the canary state
+	Permits       drift.Item `json:"permits"` // permits that are granted or begun
+	CanaryWeights drift.Item `json:"weights"` // the whole canary state
 }
 
 // recordSnapshot is the stored form of a Record.
@@ -44,14 +46,14 @@
 	Intent  json.RawMessage `json:"intent,omitempty"`
 }
 
-// The parts that a command may address; partReleaseWithCanary is another.
+// Parts that a command may address, besides partReleaseWithCanary.
 const (
 	partRollout = "rollout"
 	partCanary  = "canary"
 	partIntent  = "intent"
 )
 
-// command is a log entry.
+// command is the content of a log entry.
 type command struct {
 	Part string          `json:"part"`
 	At   int64           `json:"at"` // the proposer's wall clock, ms
@@ -66,7 +68,7 @@
 			CanaryWeights: drift.Item{Name: drift.ItemCanaryWeights}}}
 }
 
-// Apply implements consensus.Machine. The answer depends on the commands alone.
+// Apply implements consensus.Machine. The answer depends only on the commands applied so far.
 func (r *Record) Apply(_ uint64, text []byte) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -91,7 +93,8 @@
 		r.intent, result = r.intent.apply(r.items.At, c.By, c.Body, r.rollout)
 		answer, _ = json.Marshal(result)
 	default:
-		return rejectionAnswer("no such part: " + c.Part) // of a newer version: all relays of this one reject it alike
+		// The part may be one of a later version: all relays of this version reject the command alike.
+		return rejectionAnswer("no such part: " + c.Part)
 	}
 	r.updateItems()
 	r.changes++
@@ -99,7 +102,7 @@
 	return answer
 }
 
-// currentIntent returns the intent, which is never modified: a command replaces it.
+// currentIntent returns the intent. It is never modified: a command replaces it.
 func (r *Record) currentIntent() *intent {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -120,7 +123,8 @@
 	return r.canary.Weights(), r.canary.Version()
 }
 
-// canaryConflict is the reason why a command may not open a canary; "" if it may. There is one at a time, as relays route to one alone.
+// canaryConflict returns why a command must not open a canary; "" if it may. There is one canary at a
+// time, as relays route to one only.
 func (r *Record) canaryConflict(body []byte) string {
 	var c canary.Command
 	if json.Unmarshal(body, &c) != nil || c.Op != canary.OpOpen {
@@ -132,7 +136,7 @@
 	return ""
 }
 
-// rejectionAnswer is the answer to a command that no part has seen.
+// rejectionAnswer returns the answer to a command that is rejected before it reaches a part.
 func rejectionAnswer(reason string) []byte {
 	text, _ := json.Marshal(map[string]string{"error": reason})
 	return text
@@ -146,7 +150,8 @@
 	}
 }
 
-// updateItems gives each drift item that has changed the version at which its part changed.
+// updateItems recomputes the drift items. An item that has changed gets the current version of its
+// part.
 func (r *Record) updateItems() {
 	ejected, draining := splitExclusions(r.rollout.Orders("").Exclusions)
 	var permits []string
@@ -170,7 +175,7 @@
 	}
 }
 
-// splitExclusions returns the names of ejected and of draining members, each sorted.
+// splitExclusions returns the names of ejected members and of draining members, each sorted.
 func splitExclusions(exclusions map[string]rollout.Exclusion) (ejected, draining []string) {
 	for name, e := range exclusions {
 		if e.Reason == rollout.ExcludedByEjection {
@@ -184,7 +189,8 @@
 	return ejected, draining
 }
 
-// digestOf is a digest of a list of names. Only the empty list has the digest 0: nothing agreed equals nothing applied.
+// digestOf returns a digest of a list of names. Only the empty list has the digest 0, so that a relay
+// that has applied nothing matches a record with nothing to apply.
 func digestOf(names []string) uint64 {
 	if len(names) == 0 {
 		return 0
@@ -235,7 +241,7 @@
 	return nil
 }
 
-// read calls f with the record locked; f must not keep what it is given.
+// read calls f with the record locked for reading. F must not retain its arguments.
 func (r *Record) read(f func(*rollout.State, recordItems)) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
--- a/internal/fleet/relay_release.go
+++ b/internal/fleet/relay_release.go
@@ -5,16 +5,18 @@
 	"dahliarudder/internal/rollout"
 )
 
-// relayRelease is a relay's part in a release of relays that is not settled yet: the release is under way, or intent does not follow its
-// outcome yet. The zero value is that of a relay without such a release.
+// relayRelease is the state of one relay in a release of relays that is not settled: the release is
+// under way, or intent does not reflect its outcome yet. The zero value is for a relay without such a
+// release.
 type relayRelease struct {
-	release  rollout.ReleaseStatus // without its units
+	release  rollout.ReleaseStatus // its Units are nil
 	unit     rollout.Unit
-	adopted  bool              // intent follows the completed release, although it is now rolled back
-	previous map[string]string // intent before that, by item
+	adopted  bool              // intent has adopted the release, although it may be rolled back by now
+	previous map[string]string // intent before the adoption, by item
 }
 
-// unsettledReleases returns each relay's unsettled release. A release under way takes precedence over one that is over.
+// unsettledReleases returns the unsettled release of each relay that has one. A release under way takes
+// precedence over one that is over.
 func unsettledReleases(releases []rollout.ReleaseStatus, in *intent) map[string]relayRelease {
 	byRelay := map[string]relayRelease{}
 	for _, over := range []bool{true, false} {
@@ -33,17 +35,19 @@
 	return byRelay
 }
 
-// isOver tells whether a release is completed or rolled back. A completed one may still be rolled back.
+// isOver reports whether a release is completed or rolled back. A completed release can still be rolled
+// back.
 func isOver(release *rollout.ReleaseStatus) bool {
 	return release.State == rollout.ReleaseCompleted || release.State == rollout.ReleaseRolledBack
 }
 
-// changesIntent tells whether intent has to follow a release: one of relays, with a new program or configuration.
+// changesIntent reports whether a release changes intent: it is one of relays and brings a program or
+// a configuration.
 func changesIntent(release *rollout.ReleaseStatus) bool {
 	return release.Spec.Kind == rollout.KindRelay && release.Spec.Program+release.Spec.Config != ""
 }
 
-// changes tells whether the release brings a new value of an item.
+// changes reports whether the release brings a new value of an item.
 func (r *relayRelease) changes(item string) bool { return specChangesItem(&r.release.Spec, item) }
 
 func specChangesItem(spec *rollout.ReleaseSpec, item string) bool {
@@ -53,7 +57,8 @@
 	return spec.Config != "" && drift.GroupOf(item) == drift.ItemConfig
 }
 
-// restarting tells whether the relay may run either value: the new or the previous one.
+// restarting reports whether the relay is being restarted, so that it may run the previous or the new
+// value.
 func (r *relayRelease) restarting() bool {
 	switch r.unit.Phase {
 	case rollout.PhaseLeaving, rollout.PhaseDrained, rollout.PhaseReplaced, rollout.PhaseRevoked:
@@ -62,7 +67,7 @@
 	return r.unit.Stranded
 }
 
-// restartPending tells whether the release still has to restart the relay, or is doing so.
+// restartPending reports whether the release is restarting the relay or still has to.
 func (r *relayRelease) restartPending() bool {
 	switch {
 	case r.release.Name == "" || r.unit.Phase == rollout.PhaseMissing:
--- a/internal/fleet/release_log.go
+++ b/internal/fleet/release_log.go
@@ -6,8 +6,9 @@
 	"dahliarudder/internal/rollout"
 )
 
-// logReleases logs each release whose state or cause of a halt has changed since the last call, so that the leader's log says when and why
-// a release halted. It takes the states that it logged last and returns those of now.
+// logReleases logs each release whose state or cause of a halt differs from the given states, so that
+// the leader's log shows when and why a release halted. It returns the current states by release, to
+// pass to the next call.
 func (s *Service) logReleases(logged map[string]string) map[string]string {
 	var all []rollout.ReleaseStatus
 	s.record.read(func(r *rollout.State, _ recordItems) { all = r.Releases() })
--- a/internal/fleet/release_with_canary.go
+++ b/internal/fleet/release_with_canary.go
@@ -7,14 +7,15 @@
 	"dahliarudder/internal/rollout"
 )
 
-// partReleaseWithCanary opens a release together with its canary, or neither. With two commands, the release's first members would leave
-// before the canary withholds the others.
+// partReleaseWithCanary is the part for commands that open a release and its canary together, or
+// neither. With two separate commands, the release's first members would leave before the canary
+// withholds the grants of the others.
 const partReleaseWithCanary = "both"
 
-// releaseWithCanary is the body of such a command.
+// releaseWithCanary is the body of a command for partReleaseWithCanary.
 type releaseWithCanary struct {
-	Release json.RawMessage `json:"release"` // a rollout command of the kind open
-	Canary  canary.Spec     `json:"canary"`  // without the release's name; without a target: the members that start from now on
+	Release json.RawMessage `json:"release"` // a rollout command of the kind rollout.CommandOpen
+	Canary  canary.Spec     `json:"canary"`  // the release's name is ignored; without a target: the members that start from now on
 }
 
 // openWithCanary applies a releaseWithCanary command.
@@ -43,7 +44,7 @@
 	if a := r.canary.Apply(at, by, openCanary); isRejection(a) {
 		undone, err := rollout.Decode(before)
 		if err != nil {
-			panic(err) // it was encoded just now
+			panic(err) // cannot happen: Encode has just written it
 		}
 		r.rollout = undone
 		return a
@@ -51,7 +52,7 @@
 	return answer
 }
 
-// isRejection tells whether an answer of a part rejects the command.
+// isRejection reports whether a part's answer rejects the command.
 func isRejection(answer []byte) bool {
 	var a struct{ Error string }
 	return json.Unmarshal(answer, &a) != nil || a.Error != ""
--- a/internal/fleet/reporting.go
+++ b/internal/fleet/reporting.go
@@ -10,14 +10,15 @@
 	"dahliarudder/internal/drift"
 )
 
-// reportLoop reports this relay's state to the leader. It does not wait for an event loop that is stuck: the leader then sees the silence.
+// reportLoop reports this relay's state to the leader at each reportInterval. It sends no report while
+// the event loop does not respond: the leader then counts the relay as silent.
 func (s *Service) reportLoop() {
 	observations := make(chan ObservedState, 1)
 	pending := false
 	s.every(reportInterval, func() {
 		if !pending {
 			pending = true
-			s.Post(func() { observations <- s.Observe() }) // one is pending at most, so the send never blocks
+			s.Post(func() { observations <- s.Observe() }) // at most one is pending, so the send never blocks
 		}
 		select {
 		case observed := <-observations:
@@ -48,7 +49,8 @@
 	}
 }
 
-// votersDriftItem is the set of voters as this relay's consensus node has it; without a digest while the node knows of no record.
+// votersDriftItem returns the drift item of the set of voters that this relay's consensus node has.
+// It has no digest while the node has no record.
 func votersDriftItem(status consensus.Status) drift.Item {
 	item := drift.Item{Name: drift.ItemVoters}
 	if status.RecordID == 0 {
@@ -62,8 +64,9 @@
 	return item
 }
 
-// handleReply takes the leader's reply to a report: the details that it asks for go into the next reports, and the desired state is posted
-// again if this relay lacks some of it.
+// handleReply processes the leader's reply to a report. The details that the leader asks for go into
+// the next reports. If the reply shows that this relay lacks part of the record's state, the desired
+// state is posted again.
 func (s *Service) handleReply(_ string, text []byte) {
 	reply, err := drift.DecodeReply(text)
 	s.mu.Lock()
--- a/internal/fleet/service.go
+++ b/internal/fleet/service.go
@@ -14,11 +14,12 @@
 	"dahliarudder/internal/rollout"
 )
 
-// Options configures a Service. Callbacks marked as running on the event loop are only ever called through Post.
+// Options configures a Service. Callbacks that are marked "on the event loop" run only through Post.
 type Options struct {
 	Config
 	Name, Zone string
-	// Incarnation numbers this process; it exceeds that of every earlier process of the relay, as a wall clock in milliseconds does.
+	// Incarnation numbers this process. It must be higher than that of every earlier process of the
+	// relay; a wall clock in milliseconds satisfies that.
 	Incarnation  uint64
 	Program      string // identifies the program that this relay runs
 	ConfigDigest string // digest of the configuration that all relays share
@@ -29,18 +30,21 @@
 	SlowStartDuration time.Duration
 	WallClock         func() time.Time
 	Log               logrus.FieldLogger
-	// Post runs f on the relay's event loop. The service has at most one observation and one desired state posted at a time.
+	// Post runs f on the relay's event loop. At most one observation and one desired state are pending
+	// at a time, besides the callbacks of API calls, SetEjected and ConfirmLeave.
 	Post func(f func())
-	// Observe returns the relay's current state; on the event loop.
+	// Observe returns the relay's current state. It runs on the event loop.
 	Observe func() ObservedState
-	// ApplyDesired makes the relay follow the record; on the event loop.
+	// ApplyDesired applies the state that the record asks for. It runs on the event loop.
 	ApplyDesired func(DesiredState)
-	// PauseCanary sets a canary's weight to zero at this relay and gossips the pause, without the record; on the event loop.
+	// PauseCanary sets a canary's weight to zero at this relay and gossips the pause, without the
+	// record. It runs on the event loop.
 	PauseCanary func(release string)
 }
 
-// Service is one relay's part in the fleet. It owns these goroutines: reportLoop, applyLoop, saveLoop, controlLoop, the API server, and one
-// for each pending SetEjected or ConfirmLeave. The consensus node has its own.
+// Service connects one relay to the fleet. It owns these goroutines: reportLoop, applyLoop, saveLoop,
+// controlLoop, the API server, and one for each pending SetEjected or ConfirmLeave. The consensus node
+// owns others.
 type Service struct {
 	Options
 	record *Record
@@ -50,21 +54,21 @@
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 
-	savedState agreedState // what the previous process saved
+	savedState agreedState // what an earlier process of this relay saved
 	postMu     sync.Mutex  // held from reading the record until the desired state is posted
 
-	mu           sync.Mutex    // guards what follows
+	mu           sync.Mutex    // guards the fields below
 	lastObserved ObservedState // as last reported
 	reporter     *statusReporter
-	caughtUp     bool // this relay has once applied the record as a majority has it
+	caughtUp     bool // this relay's record has once included everything that a majority had committed
 	canaryActive bool
-	failures     map[string]int // failed operations by name
+	failures     map[string]int // number of failures by operation
 
 	controller   *controller
-	leaderSince  int64 // wall clock in ms; 0 while this relay does not lead
+	leaderSince  int64 // wall clock in ms; 0 while this relay is not the leader
 	lastView     rollout.View
-	judge        *canary.Judge // of the running canary; nil if there is none
-	judgedCanary canary.Canary // as it was when the judge last began
+	judge        *canary.Judge // judge of the current canary; nil if there is none
+	judgedCanary canary.Canary // the canary as the judge last saw it
 	verdict      canary.Verdict
 
 	malformedReports   int // reports and replies that could not be decoded
@@ -72,17 +76,18 @@
 	reportBytes        int // bytes of status reports sent
 }
 
-// Start joins the fleet. A consensus node that cannot use its directory is no error: its status says so.
+// Start joins the fleet. It returns an error if an address cannot be used. It is not an error if the
+// consensus node cannot use its directory: the node's status shows that.
 func Start(o Options) (*Service, error) {
 	s := &Service{Options: o, record: NewRecord(), reporter: newStatusReporter(&o), failures: map[string]int{}}
 	s.controller = newController(s.record)
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	if o.Dir == "" {
-		o.Log.Warn("fleet: the record is in memory only, as fleet.dir is not set: if all voters stop at once, releases, drains and ejections are lost")
+		o.Log.Warn("fleet: fleet.dir is not set, the record is kept in memory only: releases, drains and ejections are lost if all voters are stopped at the same time")
 	}
 	var err error
 	if s.savedState, err = readAgreedState(o.Dir); err != nil {
-		o.Log.WithError(err).Warn("fleet: the state saved by the previous process cannot be read: ejections apply again once the record is received")
+		o.Log.WithError(err).Warn("fleet: cannot read the state saved by the previous process: exclusions and canary weights apply only after the record is received")
 	}
 	s.node, err = consensus.Start(consensus.Options{Name: o.Name, Voters: o.Voters, DialAddresses: o.DialAddresses, Listen: o.Listen, Dir: o.Dir, Keys: o.Keys,
 		Machine: s.record, OnReport: s.handleReport, OnReply: s.handleReply, OnLeadership: s.leadershipChanged, Log: o.Log})
@@ -125,7 +130,7 @@
 
 func (s *Service) now() int64 { return s.WallClock().UnixMilli() }
 
-// every calls f until Close.
+// every calls f once per interval until Close.
 func (s *Service) every(interval time.Duration, f func()) {
 	t := time.NewTicker(interval)
 	defer t.Stop()
@@ -139,20 +144,21 @@
 	}
 }
 
-// Names of operations that may fail, as the "failed" object of GET /-/fleet has them.
+// Names of operations that may fail. They are keys of the object "failed" in GET /-/fleet.
 const (
-	opReport = "say"
-	opSave   = "keep"
-	opIntent = "intent"
-	opPlan   = "plan "   // and the kind of the command
-	opCanary = "canary " // and its operation
+	opReport = "say"     // sending a status report
+	opSave   = "keep"    // saving agreedFile
+	opIntent = "intent"  // proposing a change of intent
+	opPlan   = "plan "   // proposing a rollout command; followed by the command's kind
+	opCanary = "canary " // proposing a canary command; followed by its operation
 )
 
-// noteFailure counts a failed operation for the status page and logs the first one: the caller tries again anyway.
+// countFailure counts a failed operation for the status page. It logs only the first failure of each
+// operation, as the caller tries again.
 func (s *Service) countFailure(operation string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.failures[operation]++; s.failures[operation] == 1 {
-		s.Log.WithError(err).WithField("operation", operation).Debug("fleet: operation failed and is retried")
+		s.Log.WithError(err).WithField("operation", operation).Debug("fleet: operation failed, will retry; further failures are only counted")
 	}
 }
--- a/internal/fleet/status_reporter.go
+++ b/internal/fleet/status_reporter.go
@@ -8,7 +8,8 @@
 	"dahliarudder/internal/drift"
 )
 
-// statusReporter builds a relay's status reports from what the relay is doing, not from what it was told to do. No I/O.
+// statusReporter builds a relay's status reports from its actual state, not from the state that it was
+// ordered to have. It does no I/O.
 type statusReporter struct {
 	relay, zone, program, configDigest string
 	incarnation                        uint64
@@ -16,12 +17,12 @@
 	driftReporter  *drift.Reporter
 	lastState      ObservedState // as last reported
 	listGeneration uint64
-	listRestarted  bool                    // the list's generation has fallen
+	listRestarted  bool                    // the list's generation has fallen during this process
 	rejected       map[string]rejectedItem // as last recorded, by item
-	sections       map[string]bool         // those that driftReporter knows
+	sections       map[string]bool         // sections that driftReporter has
 }
 
-// rejectedItem is an item whose intended value a relay has rejected.
+// rejectedItem is an item of which a relay has rejected the intended value.
 type rejectedItem struct {
 	running drift.Item
 	version uint64 // of the intended value
@@ -31,11 +32,12 @@
 func newStatusReporter(o *Options) *statusReporter {
 	r := &statusReporter{relay: o.Name, zone: o.Zone, program: o.Program, configDigest: o.ConfigDigest, incarnation: o.Incarnation,
 		driftReporter: drift.NewReporter(o.Name, o.Incarnation), rejected: map[string]rejectedItem{}, sections: map[string]bool{}}
-	r.driftReporter.CountActivity(drift.ItemEjections, drift.KindRemovedMember, 0, 0) // from zero, so that the first misrouted flow is a change
+	// Start the count at zero, so that the first misrouted flow is reported as a change.
+	r.driftReporter.CountActivity(drift.ItemEjections, drift.KindRemovedMember, 0, 0)
 	return r
 }
 
-// buildReport returns the report of the observed state.
+// buildReport returns the status report of the observed state.
 func (r *statusReporter) buildReport(now int64, observed ObservedState, record *Record, voters drift.Item) statusReport {
 	if observed.ListGeneration > 0 {
 		r.listRestarted = r.listRestarted || observed.ListGeneration < r.listGeneration
@@ -53,7 +55,7 @@
 	return report
 }
 
-// memberReports are those of members with flows, or with attempts since the last report.
+// memberReports returns the reports on members that have flows, or attempts since the last report.
 func (r *statusReporter) memberReports(members []MemberState) (reports []memberReport) {
 	last := map[string]MemberState{}
 	for _, m := range r.lastState.Members {
@@ -69,7 +71,8 @@
 	return reports
 }
 
-// reportableSections are the digests of the sections that fit into a report. Without sections, configDigest stands for all of them.
+// reportableSections returns the sections that fit into a report, with their digests. If observed has
+// no sections, configDigest is reported as the section "settings".
 func reportableSections(observed ObservedState, configDigest string) map[string]string {
 	sections := observed.ConfigSections
 	if sections == nil {
@@ -84,15 +87,15 @@
 	return reportable
 }
 
-// reportableRejections are the names of the rejected items that fit into a report.
+// reportableRejections returns the names of the rejected items that fit into a report.
 func reportableRejections(observed ObservedState) []string {
 	names := slices.Sorted(maps.Keys(observed.RejectedItems))
 	names = slices.DeleteFunc(names, func(n string) bool { return len(n) > drift.MaxNameBytes })
 	return names[:min(len(names), maxIntentItems)]
 }
 
-// recordItems records what the relay has applied with the drift reporter. It returns the groups of items that the relay reports: those alone
-// are expected of it.
+// recordItems passes the items that the relay has applied to the drift reporter. It returns the groups
+// of items that the relay reports; the leader expects only items of these groups.
 func (r *statusReporter) recordItems(now int64, observed ObservedState, record *Record, sections map[string]string, voters drift.Item) (groups []string) {
 	record.mu.RLock()
 	items, intent := record.items, record.intent
@@ -139,6 +142,8 @@
 	return groups
 }
 
+// removeSectionsExcept removes the sections that the configuration no longer has from the drift
+// reporter.
 func (r *statusReporter) removeSectionsExcept(sections map[string]string) {
 	for name := range r.sections {
 		if _, ok := sections[name]; !ok {
@@ -149,11 +154,13 @@
 	}
 }
 
-// permitsVersion is DesiredState.PermitsVersion.
+// permitsVersion returns DesiredState.PermitsVersion. It is one more than the version of the permits,
+// so that it is never 0.
 func permitsVersion(items recordItems) uint64 { return items.Permits.Version + 1 }
 
-// recordIntended records the running value of the program or of a section. A rejection is reported only while the relay runs something else
-// than intended, or a release restarts it for the new value: a relay that runs what is intended has nothing to reject.
+// recordIntended passes the running value of the program or of a section to the drift reporter. A
+// rejection is reported only while the relay runs something other than the intended value, or while a
+// release restarts it for a new value; otherwise it has nothing to reject.
 func (r *statusReporter) recordIntended(now int64, observed ObservedState, in *intent, release relayRelease, name, value string) {
 	running := in.driftItem(r.relay, name, value)
 	reason, rejected := observed.RejectedItems[name]
@@ -171,7 +178,8 @@
 	}
 }
 
-// recordExclusions records ejections and drains as the core has applied them. Local ejections count as an override of the record.
+// recordExclusions passes ejections and drains, as the core has applied them, to the drift reporter.
+// Local ejections are reported as an override of the record.
 func (r *statusReporter) recordExclusions(now int64, observed ObservedState, items recordItems, ejected, draining []string) {
 	applied := func(names []string) (in []string) {
 		for _, n := range names {
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -8,13 +8,13 @@
 	"dahliarudder/internal/rollout"
 )
 
-// slowStart is how a member's usable capacity rises after its start.
+// slowStart describes how a member's usable capacity rises after its start.
 type slowStart struct {
-	startShare float64 // of its capacity, at the start
-	durationMS int64   // until it is all usable
+	startShare float64 // usable share of the capacity at the start
+	durationMS int64   // time until the whole capacity is usable
 }
 
-// shareAt is the usable share of the capacity of a member that started so many milliseconds ago.
+// shareAt returns the usable share of the capacity of a member that started age milliseconds ago.
 func (s slowStart) shareAt(age int64) float64 {
 	if age >= s.durationMS || s.durationMS <= 0 {
 		return 1
@@ -22,9 +22,10 @@
 	return s.startShare + (1-s.startShare)*float64(max(age, 0))/float64(s.durationMS)
 }
 
-// buildView is what the leader knows of the fleet: from reports, and from its own endpoint list and gossip. A relay that has not reported
-// since this relay leads is silent for that long. One that gossip sees alive is silent for flowHoldMS at most, whatever keeps its reports
-// from arriving: it may still have flows.
+// buildView combines the relays' reports with the leader's own endpoint list and gossip into the
+// leader's view of the fleet. If a relay has not reported since this relay became the leader, its
+// report age is the time since then. If gossip sees a relay alive, its report age is at most
+// flowHoldMS, whatever delays its reports: its flows may still be open.
 func (f *fleetStatus) buildView(now, leaderSince, flowHoldMS int64, self string, own ObservedState, warmup slowStart) rollout.View {
 	v := rollout.View{At: now}
 	for _, w := range f.serviceWindows {
@@ -45,7 +46,8 @@
 		if status := f.relays[name]; status != nil {
 			r.Zone, r.ReportAgeMS, r.StartNumber, r.Phase, r.Program = status.Zone, now-status.receivedAt, status.Incarnation, string(status.Phase), status.Program
 			r.Config, r.AppliedVersion, r.Flows = status.Config, status.AppliedVersion, status.Flows
-			// In service only if this very process serves by gossip too. Of itself the leader needs no confirmation.
+			// A relay is in service only if gossip, too, sees this process serve. The leader needs no
+			// confirmation of itself.
 			confirmed := name == self || known && peer.Alive && peer.Serving && peer.Incarnation >= status.Incarnation
 			r.InService = status.Phase == RelayServing && confirmed
 		}
@@ -62,7 +64,8 @@
 	return v
 }
 
-// addMembers adds the members to a view that has the relays: those of the leader's endpoint list, and those at which a relay has flows.
+// addMembers adds members to a view that already has the relays: the members of the leader's endpoint
+// list, and those at which a relay has flows.
 func (f *fleetStatus) addMembers(now int64, own ObservedState, warmup slowStart, v *rollout.View) {
 	pool := map[string]*rollout.Member{}
 	for _, m := range own.Members {
@@ -77,7 +80,7 @@
 		relay := f.relays[name]
 		for member, a := range relay.attempts {
 			m := pool[member]
-			if m == nil { // in that relay's endpoint list alone
+			if m == nil { // the member is not in the leader's endpoint list
 				if a.flows == 0 {
 					continue
 				}
@@ -99,13 +102,14 @@
 	setUsableCapacity(now, pool, warmup)
 	for _, name := range slices.Sorted(maps.Keys(pool)) {
 		m := pool[name]
-		m.Failing = failures[name] >= 2 && failures[name] > successes[name] // a single failure is no evidence
+		m.Failing = failures[name] >= 2 && failures[name] > successes[name] // a single failure is not enough evidence
 		v.Members = append(v.Members, *m)
 	}
 }
 
-// endedProcesses tells for which relays the last report is from a process that has ended: its flows must not keep a member in the view. The
-// next process may run already, and have sent no report yet.
+// endedProcesses returns the relays whose last report is from a process that has ended. The flows of
+// that process must not keep a member in the view. The next process may run already without having
+// sent a report.
 func (f *fleetStatus) endedProcesses(peers []Peer, relays []rollout.Relay) map[string]bool {
 	ended := map[string]bool{}
 	for _, r := range relays {
@@ -119,11 +123,11 @@
 	return ended
 }
 
-// setUsableCapacity sets what each member can serve now. A new member of unknown capacity is given the mean of the known ones: without a
-// capacity its warm-up would not show.
+// setUsableCapacity sets the capacity that each member can serve now. A member of unknown capacity
+// gets the mean of the known ones, as its warm-up would not show without a capacity.
 func setUsableCapacity(now int64, pool map[string]*rollout.Member, warmup slowStart) {
 	knownCount, sum := 0.0, 0.0
-	for _, name := range slices.Sorted(maps.Keys(pool)) { // sorted, so that the sum is the same each time
+	for _, name := range slices.Sorted(maps.Keys(pool)) { // sorted, so that rounding is the same in each call
 		if c := pool[name].Capacity; c > 0 {
 			knownCount, sum = knownCount+1, sum+c
 		}
