--- a/internal/fleet/intent.go
+++ b/internal/fleet/intent.go
@@ -91,6 +91,7 @@
 	if len(edit.Items) > maxIntentItems || len(edit.PerRelay) > drift.MaxRelays {
 		return n, rollout.Result{Error: fmt.Sprintf("over %d items, or %d relays", maxIntentItems, drift.MaxRelays)}
 	}
+	// "meant" is sent to the caller: the command is applied; the number is the version of the intent.
 	return edit.intent, rollout.Result{State: "meant", Number: edit.Version}
 }
 
--- a/internal/fleet/intent_edit.go
+++ b/internal/fleet/intent_edit.go
@@ -114,12 +114,14 @@
 	_, adopted := e.Adopted[c.Release]
 	switch {
 	case !ok || !changesIntent(&release):
+		// The record has no such release, or it is one that does not change intent.
 		return "no release of a program or a configuration: " + c.Release
 	case release.State == rollout.ReleaseCompleted && !adopted:
 		e.adopt(&release, c.Items)
 	case release.State == rollout.ReleaseRolledBack && adopted:
 		e.revert(&release)
 	default:
+		// Intent follows a release only when it completes, and when an adopted one has been rolled back.
 		return fmt.Sprintf("release %q is %s, nothing follows from it now", c.Release, cmp.Or(release.State, "not there"))
 	}
 	return ""
--- a/internal/fleet/release_with_canary.go
+++ b/internal/fleet/release_with_canary.go
@@ -26,6 +26,7 @@
 		return rejectionAnswer("malformed: a release and its canary are wanted")
 	}
 	if release.Release.Kind != rollout.KindMember || release.Release.Drain {
+		// A canary needs a release that replaces members: not one of relays, and not a drain.
 		return rejectionAnswer("a canary is of members that are replaced")
 	}
 	spec := open.Canary
--- a/internal/fleet/status_reporter.go
+++ b/internal/fleet/status_reporter.go
@@ -170,7 +170,7 @@
 		r.driftReporter.RecordApplied(now, running, "file")
 		return
 	}
-	item := rejectedItem{running, intended.Version, cmp.Or(reason, "refused")}
+	item := rejectedItem{running, intended.Version, cmp.Or(reason, "refused")} // the reason is sent to the leader and shown in GET /-/drift
 	if r.rejected[name] != item {
 		r.rejected[name] = item
 		r.driftReporter.RecordApplied(now, running, "file")
@@ -195,7 +195,7 @@
 		all := append(applied(ejected), local...)
 		slices.Sort(all)
 		ejections.Digest = digestOf(all)
-		r.driftReporter.RecordOverride(now, ejections, "an operator's call")
+		r.driftReporter.RecordOverride(now, ejections, "an operator's call") // the source is sent to the leader
 	} else if ejections.Digest == items.Ejections.Digest {
 		r.driftReporter.RecordApplied(now, ejections, "record")
 	}
