--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -17,7 +17,7 @@
 	"dahliarudder/internal/rollout"
 )
 
-// seedCount is how many seeds a test runs: few in CI, or as many as FLEET_SEEDS says.
+// seedCount returns how many seeds a test runs: FLEET_SEEDS if that is set, else defaultCount.
 func seedCount(defaultCount uint64) uint64 {
 	if n, err := strconv.ParseUint(os.Getenv("FLEET_SEEDS"), 10, 64); err == nil {
 		return n
@@ -25,15 +25,16 @@
 	return defaultCount
 }
 
-// model is a fleet in virtual time, without sockets: relays with a record, an event loop and a reporter each, one of them the leader; reports
-// and replies are delayed and get lost. Any drift that is found and was not planted is a false finding.
+// model simulates a fleet in virtual time without sockets. Each relay has a record, an event loop and
+// a reporter, and one relay is the leader; reports and replies are delayed or lost. A drift finding
+// that the test did not plant is a false finding.
 type model struct {
 	t                 testing.TB
 	rng               *rand.Rand
 	now               int64
-	log               [][]byte
+	log               [][]byte // all committed commands
 	relays            []*modelRelay
-	messages          map[int64][]func()
+	messages          map[int64][]func() // by time of delivery
 	leader            *modelRelay
 	leaderSince       int64
 	controller        *controller
@@ -42,25 +43,25 @@
 	budgets           rollout.Budgets
 	quarantineDrifted bool
 	listGeneration    uint64
-	discoveryEpoch    int                    // restarts of discovery
+	discoveryEpoch    int                    // number of restarts of discovery
 	plantedDrift      map[string]drift.State // by relay and item
-	foundDrift        map[string]bool
+	foundDrift        map[string]bool        // planted drift that was found, by relay and item
 	falseFindings     []string
-	blockedRounds     int // rounds in which drift blocked releases
+	blockedRounds     int // control rounds in which drift blocked releases
 }
 
 type modelRelay struct {
 	name, program, config  string
 	incarnation            uint64
-	restartsAt             int64 // the relay is down until then; 0: it is up
+	restartsAt             int64 // the relay is down until this time; 0: it runs
 	record                 *Record
 	appliedCommands        int
 	reporter               *statusReporter
 	observed               ObservedState
 	overriddenSections     map[string]string // sections changed locally
 	stuckItems             map[string]bool   // items that its event loop does not apply
-	rejectsConfig, leaving bool              // new configurations; by order of the record
-	listDelayMS            int64             // until it receives a new list
+	rejectsConfig, leaving bool              // it rejects new configurations; it leaves by order of the record
+	listDelayMS            int64             // delay of new lists at this relay, beyond the random one
 }
 
 func newModel(t testing.TB, seed uint64, relayCount int) *model {
@@ -80,6 +81,7 @@
 	return m
 }
 
+// start starts the next process of a relay.
 func (m *model) start(r *modelRelay) {
 	r.incarnation++
 	r.restartsAt, r.leaving, r.observed = 0, false, ObservedState{Phase: RelayServing, ListGeneration: m.listGeneration}
@@ -87,16 +89,19 @@
 	m.applyRecord(r)
 }
 
+// elect makes a relay the leader, with an empty controller.
 func (m *model) elect(r *modelRelay) {
 	m.catchUp(r, len(m.log))
 	m.leader, m.leaderSince, m.controller = r, m.now, newController(r.record)
 }
 
+// schedule calls deliver after delayMS, rounded down to the simulation's step of 100 ms.
 func (m *model) schedule(delayMS int64, deliver func()) {
 	deliverAt := m.now + max(delayMS/100*100, 100)
 	m.messages[deliverAt] = append(m.messages[deliverAt], deliver)
 }
 
+// catchUp applies the first commands of the log to a relay's record.
 func (m *model) catchUp(r *modelRelay, commands int) {
 	for ; r.appliedCommands < commands; r.appliedCommands++ {
 		r.record.Apply(uint64(r.appliedCommands), m.log[r.appliedCommands])
@@ -106,7 +111,7 @@
 	}
 }
 
-// applyRecord is the event loop: it applies the record, except for stuckItems.
+// applyRecord does what the event loop does: it applies the record, except for stuckItems.
 func (m *model) applyRecord(r *modelRelay) {
 	before := r.observed
 	r.record.read(func(state *rollout.State, items recordItems) {
@@ -140,6 +145,7 @@
 	})
 }
 
+// commit commits a command, applies it at the leader at once and at the other relays later.
 func (m *model) commit(part string, body []byte) (result rollout.Result) {
 	text, _ := json.Marshal(command{part, m.now, m.leader.name, body})
 	m.log = append(m.log, text)
@@ -158,7 +164,7 @@
 
 func (m *model) propose(c rollout.Command) {
 	if a := m.commit(partRollout, c.Encode()); a.Error != "" {
-		m.t.Fatal(a.Error)
+		m.t.Fatalf("command %s rejected: %s", c.Kind, a.Error)
 	}
 }
 
@@ -171,7 +177,7 @@
 	return status.State
 }
 
-// sendReport sends a relay's report, and the reply to it.
+// sendReport sends a relay's report to the leader, and the leader's reply back to the relay.
 func (m *model) sendReport(r *modelRelay) {
 	observed, voters := r.observed, drift.Item{Name: drift.ItemVoters, Version: 7, Digest: 1}
 	observed.ConfigSections = map[string]string{"settings": r.config + "s", "limits": r.config + "l"}
@@ -187,7 +193,7 @@
 	m.send(func() {
 		report, err := decodeStatusReport(text)
 		if err != nil {
-			m.t.Fatal(err)
+			m.t.Fatalf("decodeStatusReport(report of %s): %v", r.name, err)
 		}
 		if controllerAtSend != m.controller {
 			return
@@ -202,13 +208,14 @@
 	})
 }
 
-// send delivers a report or a reply; one in twenty is lost.
+// send delivers a report or a reply after a random delay; one in twenty is lost.
 func (m *model) send(deliver func()) {
 	if m.rng.Float64() >= 0.05 {
 		m.schedule(m.rng.Int64N(300), deliver)
 	}
 }
 
+// controlRound is one round of the leader's control loop.
 func (m *model) controlRound() {
 	m.leaderState = ObservedState{Members: []MemberState{{Name: "m1", DiscoveryState: "ready", Capacity: 9}, {Name: "m2", DiscoveryState: "ready", Capacity: 9}}}
 	for _, r := range m.relays {
@@ -239,7 +246,7 @@
 	}
 }
 
-// checkFindings compares the findings with the planted drift.
+// checkFindings compares the drift findings with the planted drift.
 func (m *model) checkFindings() {
 	for _, r := range m.controller.driftMonitor.Findings() {
 		key := r.Relay + " " + r.Agreed.Name
@@ -254,7 +261,7 @@
 	}
 }
 
-// run lets time pass until done, or for ms.
+// run advances the virtual time until done returns true, at most by ms. It reports whether done did.
 func (m *model) run(ms int64, done func() bool) bool {
 	for end := m.now + ms; m.now < end; {
 		m.now += 100
@@ -281,7 +288,8 @@
 	return false
 }
 
-// publishList delivers a new list to all relays that are not stuck, one after another. Generation 3 stands for a restart of discovery.
+// publishList delivers a new list to all relays that are not stuck, each after its own delay.
+// Generation 3 simulates a restart of discovery.
 func (m *model) publishList(generation uint64) {
 	if m.listGeneration = generation; generation == 3 {
 		m.discoveryEpoch++
@@ -303,24 +311,27 @@
 func (m *model) requireNoFalseFindings(phase string) {
 	m.t.Helper()
 	if len(m.falseFindings) > 0 {
-		m.t.Fatalf("%s: %d false findings, first: %s", phase, len(m.falseFindings), m.falseFindings[0])
+		m.t.Fatalf("%s: %d drift findings that were not planted, first: %s", phase, len(m.falseFindings), m.falseFindings[0])
 	}
 }
 
-// settledModel runs until there is a baseline of intent, and the drift monitor has learned a little of how fast the fleet applies changes.
+// settledModel returns a model that has run until all three items have intent, and for 20 s more, so
+// that the drift monitor has learned how fast the fleet applies changes.
 func settledModel(t *testing.T, seed uint64, n int) *model {
 	t.Helper()
 	m := newModel(t, seed, n)
 	if !m.run(20_000, func() bool { return len(m.leader.record.intent.Items) == 3 }) {
-		t.Fatalf("no baseline: %+v", m.leader.record.intent)
+		t.Fatalf("intent after 20 s: %+v, want 3 items", m.leader.record.intent)
 	}
 	m.run(20_000, nil)
 	m.requireNoFalseFindings("at the start")
 	return m
 }
 
-// TestModelPlanted: drift of each kind is found at the leader, although another relay becomes leader three seconds after the drift began, and is
-// cleared once it is repaired. Guards against an item that relays do not report, that the leader does not expect, or that a new leader accepts.
+// TestModelPlanted: the leader finds drift of each kind, although another relay becomes leader three
+// seconds after the drift began, and the finding is cleared once the drift is repaired. Guards against
+// an item that relays do not report, that the leader does not expect, or whose drift a new leader
+// accepts as the intended state.
 func TestModelPlanted(t *testing.T) {
 	proposeEjection := func(m *model) { m.propose(rollout.Command{Kind: rollout.CommandEject, Names: []string{"m1"}}) }
 	for _, c := range []struct {
@@ -329,7 +340,7 @@
 		plant func(m *model, r *modelRelay)
 	}{
 		{drift.ItemProgram, drift.Ahead, func(m *model, r *modelRelay) { r.program = "other"; m.start(r) }},
-		{drift.ItemProgram, drift.Lagging, func(m *model, r *modelRelay) { // it went back
+		{drift.ItemProgram, drift.Lagging, func(m *model, r *modelRelay) { // the relay goes back to the previous program
 			for _, x := range m.relays {
 				x.program = map[bool]string{false: "p2", true: "p1"}[x == r]
 				m.start(x)
@@ -359,7 +370,7 @@
 			m.commit(partCanary, canary.Command{Op: canary.OpOpen, Release: "c", Spec: &canary.Spec{Release: "c", Salt: 5, Steps: []int{10}, MinAttempts: 9, MaxStepMS: 9e8,
 				FalsePositiveRate: 0.1, Guardrails: []canary.Guardrail{{Metric: canary.Failures, MarginPerMille: 10}}, Target: canary.Selector{Members: []string{"m1"}}}}.Encode())
 			if m.leader.record.canary.Version() == 0 {
-				m.t.Fatal("no canary")
+				m.t.Fatal("canary not opened")
 			}
 		}},
 		{drift.ItemPermits, drift.Lagging, func(m *model, r *modelRelay) {
@@ -385,15 +396,15 @@
 				found := m.run(180_000, func() bool { return m.foundDrift[key] })
 				m.requireNoFalseFindings("planted")
 				if !found {
-					t.Fatalf("seed %d: not found; %+v", seed, m.controller.driftMonitor.Findings())
+					t.Fatalf("seed %d: planted drift not found within 180 s; findings %+v", seed, m.controller.driftMonitor.Findings())
 				}
-				t.Logf("found %.1f s after the new leader", float64(m.now-from)/1000)
+				t.Logf("drift found %.1f s after the change of leader", float64(m.now-from)/1000)
 				r.overriddenSections, r.stuckItems, r.rejectsConfig, r.program = maps.Clone(m.relays[0].overriddenSections), map[string]bool{}, false, m.relays[0].program
 				m.start(r)
 				if !m.run(120_000, func() bool {
 					return m.controller.driftMonitor.FullyInSync(r.name) && m.controller.driftMonitor.StateOf(r.name, c.item) == drift.InSync
 				}) {
-					t.Fatalf("seed %d: repaired, yet %+v", seed, m.controller.driftMonitor.Findings())
+					t.Fatalf("seed %d: not in sync 120 s after the repair; findings %+v", seed, m.controller.driftMonitor.Findings())
 				}
 				delete(m.plantedDrift, key)
 				m.run(20_000, nil)
@@ -403,9 +414,10 @@
 	}
 }
 
-// TestModelRelease: releases of program and configuration, of all relays and of some, completed and rolled back, under two leaders and with a
-// list that changes twice a second, cause no finding and are not blocked; then intent has the new values for the relays that run them. A relay
-// that rejects the configuration it was restarted for is found. Guards against a release that is taken for drift.
+// TestModelRelease: releases of a program and configuration, of all relays or some, completed or rolled
+// back, under two leaders and with a list that changes twice a second, cause no finding and are not
+// blocked. Afterwards intent has the new values for the relays that run them. A relay that rejects the
+// configuration for which it was restarted is found. Guards against a release that counts as drift.
 func TestModelRelease(t *testing.T) {
 	for seed := range seedCount(3) {
 		m := settledModel(t, seed, 6)
@@ -419,7 +431,7 @@
 					m.publishList(m.listGeneration + 1)
 				}
 				switch m.now - from {
-				case 12_000, 72_000: // it is halted half way for long
+				case 12_000, 72_000: // halt the release for a minute, then resume it
 					m.commit(partRollout, rollout.Command{Kind: []rollout.CommandKind{rollout.CommandHalt, rollout.CommandResume}[(m.now-from)/72_000], Name: name}.Encode())
 				case 15_000:
 					m.elect(m.relays[(m.listGeneration+seed)%3])
@@ -428,11 +440,11 @@
 			})
 			m.run(15_000, nil)
 			m.requireNoFalseFindings(name)
-			for relay, want := range map[string]string{"n0": wantN0, "n5": wantN5, "one that comes": wantNewRelay} {
+			for relay, want := range map[string]string{"n0": wantN0, "n5": wantN5, "new relay": wantNewRelay} {
 				program, _ := m.leader.record.intent.valueFor(relay, drift.ItemProgram)
 				limits, _ := m.leader.record.intent.valueFor(relay, "config.limits")
 				if got := program.Value + " " + limits.Value; !reachedState || got != want || m.blockedRounds > 0 {
-					t.Fatalf("seed %d: %s is %s, %d looks held up; %s: %s, not %s", seed, name, m.releaseState(name), m.blockedRounds, relay, got, want)
+					t.Fatalf("seed %d: release %s is %s, want %s; %d blocked rounds, want 0; intent of %s: %s, want %s", seed, name, m.releaseState(name), state, m.blockedRounds, relay, got, want)
 				}
 			}
 		}
@@ -447,26 +459,27 @@
 		m.openRelease("again", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: firstHalf, Program: "p3", Config: "c3"})
 		expectOutcome("again", rollout.ReleaseCompleted, "p3 c3l", "p1 c1l", "p1 c1l")
 		if r := NewRecord(); r.Restore(1, m.leader.record.Snapshot()) != nil || string(r.Snapshot()) != string(m.leader.record.Snapshot()) || len(r.intent.PerRelay) != 3 {
-			t.Fatalf("a snapshot loses some: %+v", r.intent)
+			t.Fatalf("restored snapshot differs from the record, or has not 3 relays with their own intent: %+v", r.intent)
 		}
 		m.openRelease("rest", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: secondHalf, Program: "p3", Config: "c3"})
 		expectOutcome("rest", rollout.ReleaseCompleted, "p3 c3l", "p3 c3l", "p3 c3l")
 		if len(m.leader.record.intent.PerRelay) > 0 {
-			t.Fatalf("%+v", m.leader.record.intent)
+			t.Fatalf("intent of single relays remains after all relays got the release: %+v", m.leader.record.intent)
 		}
 		m.relays[5].rejectsConfig, m.plantedDrift["n5 config.settings"] = true, drift.Rejected
 		m.openRelease("bad", rollout.ReleaseSpec{Kind: rollout.KindRelay, Names: secondHalf, Config: "c4"})
 		if m.run(60_000, func() bool { return len(m.foundDrift) > 0 }); len(m.foundDrift) == 0 {
-			t.Fatalf("seed %d: %+v", seed, m.controller.driftMonitor.Findings())
+			t.Fatalf("seed %d: rejected configuration not found within 60 s; findings %+v", seed, m.controller.driftMonitor.Findings())
 		}
-		m.requireNoFalseFindings("refused")
+		m.requireNoFalseFindings("rejected configuration")
 	}
 	if r := NewRecord(); r.Restore(1, []byte(`{"held":{},"rollout":{},"canary":{}}`)) != nil || len(r.intent.Items) > 0 {
-		t.Fatal("a snapshot of before there was intent")
+		t.Fatal("a snapshot of a version without intent cannot be restored, or has intent afterwards")
 	}
 }
 
-// TestModelRepairs: a relay whose list is stuck blocks a drain of members, and not the release that restarts it.
+// TestModelRepairs: a relay whose list is stuck blocks a drain of members, but not the release that
+// restarts this relay.
 func TestModelRepairs(t *testing.T) {
 	m := settledModel(t, 1, 5)
 	r := m.relays[3]
@@ -474,12 +487,12 @@
 	r.stuckItems[drift.ItemEndpointList] = true
 	m.publishList(m.listGeneration + 1)
 	if !m.run(180_000, func() bool { return m.foundDrift["n3 list"] }) {
-		t.Fatal("not found")
+		t.Fatal("stuck list of n3 not found within 180 s")
 	}
 	m.openRelease("drain", rollout.ReleaseSpec{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}})
 	m.run(5000, nil)
 	m.openRelease("repair", rollout.ReleaseSpec{Kind: rollout.KindRelay, All: true})
-	// A relay that was told to leave no longer counts.
+	// The drain may begin once the relay has the order to leave, as its drift no longer counts then.
 	excluded := func() bool { return len(m.leader.record.rollout.Orders("").Exclusions) > 0 }
 	drainedEarly := false
 	completed := m.run(300_000, func() bool {
@@ -488,13 +501,15 @@
 		return m.releaseState("repair") == rollout.ReleaseCompleted
 	})
 	if !completed || drainedEarly || !m.run(60_000, excluded) {
-		t.Fatalf("%s, drained early %v, %+v", m.releaseState("repair"), drainedEarly, m.controller.driftMonitor.Findings())
+		t.Fatalf("release is %s, want completed; drained before n3 was ordered to leave: %v; findings %+v", m.releaseState("repair"), drainedEarly, m.controller.driftMonitor.Findings())
 	}
 	m.requireNoFalseFindings("repaired")
 }
 
-// TestModelLists: discovery restarts at a lower generation, and two relays do not notice; one relay alone reports a high generation; one is
-// always three seconds behind lists that change each second. The first two and the one ahead are found under any leader, and no other.
+// TestModelLists: discovery restarts at a lower generation and two relays do not notice; one relay
+// reports a high generation that no other has; one is always three seconds behind lists that change
+// each second. The first two and the one with the high generation are found under any leader, and no
+// other relay is.
 func TestModelLists(t *testing.T) {
 	for seed := range seedCount(3) {
 		m := settledModel(t, seed, 7)
@@ -515,13 +530,13 @@
 		m.run(9000, nil)
 		publishEachSecond(40)
 		if m.requireNoFalseFindings("restarted"); len(m.foundDrift) != 2 {
-			t.Fatalf("%+v, %+v", m.foundDrift, m.controller.driftMonitor.Findings())
+			t.Fatalf("drift found %+v, want the lists of n4 and n5; findings %+v", m.foundDrift, m.controller.driftMonitor.Findings())
 		}
 		clear(m.foundDrift)
 		m.elect(m.relays[2])
 		publishEachSecond(60)
 		if m.requireNoFalseFindings("restarted, another leader"); len(m.foundDrift) != 2 {
-			t.Fatalf("%+v, %+v", m.foundDrift, m.controller.driftMonitor.Findings())
+			t.Fatalf("under a new leader: drift found %+v, want the lists of n4 and n5; findings %+v", m.foundDrift, m.controller.driftMonitor.Findings())
 		}
 		setListsStuck(false)
 		m.relays[4].observed.ListGeneration, m.relays[5].observed.ListGeneration = m.listGeneration, m.listGeneration
@@ -532,17 +547,19 @@
 		m.relays[4].stuckItems[drift.ItemEndpointList], m.relays[4].observed.ListGeneration = true, 1<<60
 		m.relays[3].listDelayMS = 3000
 		publishEachSecond(400)
-		if m.requireNoFalseFindings("a high generation"); !m.foundDrift["n4 list"] || m.controller.driftMonitor.LagBound(drift.ItemPermits) < 15_000 { // lists are no measure of how long a permit takes
-			t.Fatalf("%+v, %d", m.controller.driftMonitor.Findings(), m.controller.driftMonitor.LagBound(drift.ItemPermits))
+		// The time that lists take must not lower the lag bound of permits.
+		if m.requireNoFalseFindings("a high generation"); !m.foundDrift["n4 list"] || m.controller.driftMonitor.LagBound(drift.ItemPermits) < 15_000 {
+			t.Fatalf("list of n4 found %v, want true; lag bound of permits %d ms, want at least 15000; findings %+v", m.foundDrift["n4 list"], m.controller.driftMonitor.LagBound(drift.ItemPermits), m.controller.driftMonitor.Findings())
 		}
 		if m.controller.markUnfit(&m.view); len(m.view.Unfit) > 0 {
-			t.Fatalf("%v would be quarantined", m.view.Unfit)
+			t.Fatalf("relays to quarantine: %v, want none for a list that is ahead", m.view.Unfit)
 		}
 	}
 }
 
-// TestModelBaseline: what only half of the relays run does not become intent; what more run does, after a while, and the others drift. A single
-// relay's configuration becomes intent once an operator says so.
+// TestModelBaseline: a value that only half of the relays run does not become intent. A value that more
+// relays run does after a while, and the other relays then drift. A single relay's configuration
+// becomes intent by an operator's command.
 func TestModelBaseline(t *testing.T) {
 	m := newModel(t, 1, 6)
 	for i := range 3 {
@@ -551,12 +568,12 @@
 	}
 	m.run(30_000, nil)
 	if in := m.leader.record.intent; len(in.Items) != 1 || in.Items["config.settings"][0].Value != "c1s" {
-		t.Fatalf("%+v", in)
+		t.Fatalf("intent %+v, want only config.settings = c1s, as no other value has a majority", in)
 	}
 	delete(m.relays[2].overriddenSections, "limits")
 	m.plantedDrift["n0 config.limits"], m.plantedDrift["n1 config.limits"] = drift.Ahead, drift.Ahead
 	if !m.run(120_000, func() bool { return len(m.foundDrift) == 2 }) {
-		t.Fatalf("%+v", m.controller.driftMonitor.Findings())
+		t.Fatalf("drift of n0 and n1 not found within 120 s; findings %+v", m.controller.driftMonitor.Findings())
 	}
 	c, err := m.controller.intentFromRelay("n1", "config.limits", "ann")
 	if err != nil {
@@ -570,33 +587,36 @@
 	if !m.run(60_000, func() bool {
 		return m.controller.driftMonitor.FullyInSync("n0") && m.controller.driftMonitor.FullyInSync("n5")
 	}) {
-		t.Fatalf("%+v", m.controller.driftMonitor.Findings())
+		t.Fatalf("n0 and n5 not in sync with the operator's intent within 60 s; findings %+v", m.controller.driftMonitor.Findings())
 	}
-	m.requireNoFalseFindings("by an operator")
+	m.requireNoFalseFindings("intent set by an operator")
 	if a := m.commit(partIntent, []byte(`{"do":"adopt","items":{"config.limits":"y"}}`)); a.Error != "" || m.leader.record.intent.Items["config.limits"][0].Value != "x" {
-		t.Fatal("a late command of the controller changed what was agreed")
+		t.Fatal("a late command of the controller was rejected, or changed existing intent")
 	}
 	for _, bad := range []string{`{"do":"adopt","items":{"bans":"y"}}`, `{"do":"x"}`, `{"do":"adopt","items":{"program":"` + strings.Repeat("y", 200) + `"}}`,
 		`{"do":"adopt","release":"none"}`, `[`} {
 		if a := m.commit(partIntent, []byte(bad)); a.Error == "" {
-			t.Error("accepted:", bad)
+			t.Errorf("malformed intent command accepted: %s", bad)
 		}
 	}
 }
 
-// TestModelQuarantine: half of the fleet drifts, and two relays may be out. There are never more, under two leaders and while a release restarts
-// all of them, which repairs them; a repaired relay takes clients again, and all do once the setting is off.
+// TestModelQuarantine: half of the fleet drifts, and two relays may be out of service. Never are more
+// out, under two leaders and while a release restarts all relays, which repairs them. A repaired relay
+// takes clients again, and all relays do once QuarantineDrifted is off.
 func TestModelQuarantine(t *testing.T) {
 	for seed := range seedCount(4) {
 		m := settledModel(t, seed, 8)
 		m.quarantineDrifted = true
 		maxOut, restoredRelay := 0, ""
+		// countOut returns how many relays are out of service and updates maxOut. It also restores the
+		// configuration of relays that restart, and of restoredRelay, as their hosts do.
 		countOut := func() (n int) {
 			for _, r := range m.relays {
 				if r.observed.Phase != RelayServing || r.restartsAt != 0 {
 					n++
 				}
-				if r.restartsAt != 0 || r.name == restoredRelay { // its host restores the file
+				if r.restartsAt != 0 || r.name == restoredRelay {
 					r.overriddenSections = map[string]string{}
 				}
 			}
@@ -605,40 +625,41 @@
 		}
 		requireWithin := func(condition string, ms int64, done func() bool) {
 			if !m.run(ms, done) {
-				t.Fatalf("seed %d: not %s: out %d, %+v, %+v, %s", seed, condition, countOut(), m.leader.record.rollout.Quarantines(), m.controller.driftMonitor.Findings(), m.view.Drift)
+				t.Fatalf("seed %d: %s: not reached within %d ms: %d relays out, quarantines %+v, findings %+v, blocking drift %q", seed, condition, ms, countOut(), m.leader.record.rollout.Quarantines(), m.controller.driftMonitor.Findings(), m.view.Drift)
 			}
 		}
 		for _, r := range m.relays[4:] {
 			m.plantedDrift[r.name+" config.limits"] = drift.Ahead
 			r.overriddenSections["limits"] = "mine"
 		}
-		requireWithin("quarantined", 120_000, func() bool { return countOut() == 2 })
+		requireWithin("two relays in quarantine", 120_000, func() bool { return countOut() == 2 })
 		m.elect(m.relays[1])
 		if m.run(90_000, func() bool { return countOut() < 2 }) {
-			t.Fatalf("seed %d: a new leader readmits them: %+v", seed, m.view.Unfit)
+			t.Fatalf("seed %d: a new leader readmits relays that still drift; unfit %+v", seed, m.view.Unfit)
 		}
 		restoredRelay = m.leader.record.rollout.Quarantines()[0].Name
-		requireWithin("the next in its place", 120_000, func() bool {
+		requireWithin("restored relay replaced by another in quarantine", 120_000, func() bool {
 			all := m.leader.record.rollout.Quarantines()
 			return countOut() == 2 && len(all) == 2 && all[0].Name != restoredRelay && all[1].Name != restoredRelay
 		})
 		m.openRelease("repair", rollout.ReleaseSpec{Kind: rollout.KindRelay, All: true})
-		requireWithin("repaired", 600_000, func() bool { return countOut() >= 0 && m.releaseState("repair") == rollout.ReleaseCompleted })
-		requireWithin("readmitted", 60_000, func() bool { return countOut() == 0 })
+		requireWithin("release repair completed", 600_000, func() bool { return countOut() >= 0 && m.releaseState("repair") == rollout.ReleaseCompleted })
+		requireWithin("all relays readmitted after the release", 60_000, func() bool { return countOut() == 0 })
 		restoredRelay = ""
 		m.relays[5].overriddenSections["limits"] = "mine"
-		requireWithin("quarantined again", 120_000, func() bool { return countOut() == 1 })
-		m.openRelease("drain", rollout.ReleaseSpec{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}}) // which a relay in quarantine does not block
-		requireWithin("drained", 10_000, func() bool { return len(m.leader.record.rollout.Orders("").Exclusions) > 0 })
+		requireWithin("one relay in quarantine again", 120_000, func() bool { return countOut() == 1 })
+		m.openRelease("drain", rollout.ReleaseSpec{Kind: rollout.KindMember, Drain: true, Names: []string{"m1"}}) // a relay in quarantine does not block it
+		requireWithin("member drained", 10_000, func() bool { return len(m.leader.record.rollout.Orders("").Exclusions) > 0 })
 		m.quarantineDrifted = false
-		requireWithin("readmitted without the setting", 60_000, func() bool { return countOut() == 0 })
+		requireWithin("all relays readmitted without QuarantineDrifted", 60_000, func() bool { return countOut() == 0 })
 		if m.requireNoFalseFindings("quarantine"); maxOut > 2 {
-			t.Fatalf("seed %d: %d were out", seed, maxOut)
+			t.Fatalf("seed %d: %d relays out at once, want at most 2", seed, maxOut)
 		}
 	}
 }
 
-// BenchmarkEvaluateDrift evaluates 300 relays with ten sections each, which the leader does five times a second.
+// BenchmarkEvaluateDrift evaluates 300 relays with ten sections each. The leader does this five times
+// a second.
 func BenchmarkEvaluateDrift(b *testing.B) {
 	m := newModel(b, 1, 300)
 	for _, r := range m.relays {
--- a/internal/fleet/release_with_canary_test.go
+++ b/internal/fleet/release_with_canary_test.go
@@ -9,7 +9,8 @@
 	"dahliarudder/internal/rollout"
 )
 
-// TestOpenReleaseWithCanary: a release and its canary are opened together, and the rejection of either leaves neither.
+// TestOpenReleaseWithCanary: a release and its canary are opened together. If either is rejected,
+// neither is opened.
 func TestOpenReleaseWithCanary(t *testing.T) {
 	canarySpec := canary.Spec{Salt: 7, Steps: []int{10, 1000}, MinAttempts: 100, MaxStepMS: 600_000, FalsePositiveRate: 0.01, Guardrails: []canary.Guardrail{{Metric: canary.Failures, MarginPerMille: 20}}}
 	releaseSpec := rollout.ReleaseSpec{Kind: rollout.KindMember, All: true}
@@ -19,9 +20,9 @@
 		want   string // in the rejection
 	}{
 		{"valid", func(*releaseWithCanary, *rollout.ReleaseSpec) {}, ""},
-		{"steps that fall", func(o *releaseWithCanary, _ *rollout.ReleaseSpec) { o.Canary.Steps = []int{50, 10} }, "rise"},
-		{"of relays", func(_ *releaseWithCanary, w *rollout.ReleaseSpec) { w.Kind = rollout.KindRelay }, "members"},
-		{"of nothing", func(_ *releaseWithCanary, w *rollout.ReleaseSpec) { w.All = false }, ""},
+		{"falling canary steps", func(o *releaseWithCanary, _ *rollout.ReleaseSpec) { o.Canary.Steps = []int{50, 10} }, "rise"},
+		{"release of relays", func(_ *releaseWithCanary, w *rollout.ReleaseSpec) { w.Kind = rollout.KindRelay }, "members"},
+		{"release of no units", func(_ *releaseWithCanary, w *rollout.ReleaseSpec) { w.All = false }, ""},
 	} {
 		r := NewRecord()
 		spec := releaseSpec
@@ -35,10 +36,10 @@
 		openedCanary, canaryOpened := r.canary.Canary("b")
 		valid := c.name == "valid"
 		if isRejection(answer) == valid || opened != valid || canaryOpened != valid || !strings.Contains(string(answer), c.want) {
-			t.Errorf("%s: %s; release %v, canary %v", c.name, answer, opened, canaryOpened)
+			t.Errorf("%s: answer %s, release opened %v, canary opened %v; want opened %v, answer containing %q", c.name, answer, opened, canaryOpened, valid, c.want)
 		}
 		if valid && openedCanary.Target.Since != 5000 {
-			t.Errorf("the canary is of %+v, not of all that start from now on", openedCanary.Target)
+			t.Errorf("canary target %+v, want all members that start from 5000 on", openedCanary.Target)
 		}
 	}
 }
--- a/internal/fleet/stored_test.go
+++ b/internal/fleet/stored_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// TestStoredFormsRecord: the fleet record's snapshot and log written by release 63fa232 are restored and applied, and give the same bytes again.
+// TestStoredFormsRecord: a snapshot of the record and a log, both written by commit 63fa232, can be
+// restored and applied, and give the same bytes again.
 func TestStoredFormsRecord(t *testing.T) {
 	dir := filepath.Join("testdata", "head")
 	snapshot, err := os.ReadFile(filepath.Join(dir, "snapshot.json"))
@@ -19,7 +20,7 @@
 		t.Fatal(err)
 	}
 	if again := restored.Snapshot(); !bytes.Equal(again, snapshot) {
-		t.Errorf("restored and taken again:\n%s\nwritten by 63fa232:\n%s", again, snapshot)
+		t.Errorf("Snapshot() after Restore:\n%s\nwant, as written by 63fa232:\n%s", again, snapshot)
 	}
 	commands, err := os.ReadFile(filepath.Join(dir, "commands.jsonl"))
 	if err != nil {
@@ -33,10 +34,10 @@
 	applied := NewRecord()
 	for i, command := range bytes.Split(bytes.TrimSuffix(commands, []byte("\n")), []byte("\n")) {
 		if answer := applied.Apply(uint64(i+1), command); !bytes.Equal(answer, wantAnswers[i]) {
-			t.Errorf("command %d answered %s, at 63fa232 %s", i, answer, wantAnswers[i])
+			t.Errorf("Apply(command %d) = %s, want as at 63fa232: %s", i, answer, wantAnswers[i])
 		}
 	}
 	if again := applied.Snapshot(); !bytes.Equal(again, snapshot) {
-		t.Errorf("applied anew:\n%s\nwritten by 63fa232:\n%s", again, snapshot)
+		t.Errorf("Snapshot() after applying all commands:\n%s\nwant, as written by 63fa232:\n%s", again, snapshot)
 	}
 }
