--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -89,7 +89,8 @@
 		}
 	}
 	if n := len(c.Voters); n != 1 && n != 3 && n != 5 {
-		return fmt.Errorf("voters: got %d, must be 1, 3 or 5 (1 is for trials and tolerates no failure; an even number tolerates no more failures than one voter less)", n)
+		return fmt.Errorf("voters: got %d, must be 1, 3 or 5 (1 is for trials and tolerates no failure; "+
+			"an even number tolerates no more failures than one voter less)", n)
 	}
 	for _, addresses := range []map[string]string{c.Voters, c.DialAddresses} {
 		for name, address := range addresses {
--- a/internal/fleet/expected_items.go
+++ b/internal/fleet/expected_items.go
@@ -11,7 +11,7 @@
 
 // updateExpected passes the items that a relay is expected to have applied to the drift monitor. If
 // list.resetMonitor is set and the list has not drifted yet, it first removes the list from the
-// expected items: the monitor then starts anew with this item.
+// expected items: the monitor then starts over with this item.
 func (c *controller) updateExpected(now int64, relay string) {
 	items := c.expectedItems(now, relay)
 	status := c.fleet.relays[relay]
--- a/internal/fleet/model_test.go
+++ b/internal/fleet/model_test.go
@@ -444,7 +444,8 @@
 				program, _ := m.leader.record.intent.valueFor(relay, drift.ItemProgram)
 				limits, _ := m.leader.record.intent.valueFor(relay, "config.limits")
 				if got := program.Value + " " + limits.Value; !reachedState || got != want || m.blockedRounds > 0 {
-					t.Fatalf("seed %d: release %s is %s, want %s; %d blocked rounds, want 0; intent of %s: %s, want %s", seed, name, m.releaseState(name), state, m.blockedRounds, relay, got, want)
+					t.Fatalf("seed %d: release %s is %s, want %s; %d blocked rounds, want 0; intent of %s: %s, want %s",
+						seed, name, m.releaseState(name), state, m.blockedRounds, relay, got, want)
 				}
 			}
 		}
@@ -501,7 +502,8 @@
 		return m.releaseState("repair") == rollout.ReleaseCompleted
 	})
 	if !completed || drainedEarly || !m.run(60_000, excluded) {
-		t.Fatalf("release is %s, want completed; drained before n3 was ordered to leave: %v; findings %+v", m.releaseState("repair"), drainedEarly, m.controller.driftMonitor.Findings())
+		t.Fatalf("release is %s, want completed; drained before n3 was ordered to leave: %v; findings %+v",
+			m.releaseState("repair"), drainedEarly, m.controller.driftMonitor.Findings())
 	}
 	m.requireNoFalseFindings("repaired")
 }
@@ -549,7 +551,8 @@
 		publishEachSecond(400)
 		// The time that lists take must not lower the lag bound of permits.
 		if m.requireNoFalseFindings("a high generation"); !m.foundDrift["n4 list"] || m.controller.driftMonitor.LagBound(drift.ItemPermits) < 15_000 {
-			t.Fatalf("list of n4 found %v, want true; lag bound of permits %d ms, want at least 15000; findings %+v", m.foundDrift["n4 list"], m.controller.driftMonitor.LagBound(drift.ItemPermits), m.controller.driftMonitor.Findings())
+			t.Fatalf("list of n4 found %v, want true; lag bound of permits %d ms, want at least 15000; findings %+v",
+				m.foundDrift["n4 list"], m.controller.driftMonitor.LagBound(drift.ItemPermits), m.controller.driftMonitor.Findings())
 		}
 		if m.controller.markUnfit(&m.view); len(m.view.Unfit) > 0 {
 			t.Fatalf("relays to quarantine: %v, want none for a list that is ahead", m.view.Unfit)
@@ -625,7 +628,8 @@
 		}
 		requireWithin := func(condition string, ms int64, done func() bool) {
 			if !m.run(ms, done) {
-				t.Fatalf("seed %d: %s: not reached within %d ms: %d relays out, quarantines %+v, findings %+v, blocking drift %q", seed, condition, ms, countOut(), m.leader.record.rollout.Quarantines(), m.controller.driftMonitor.Findings(), m.view.Drift)
+				t.Fatalf("seed %d: %s: not reached within %d ms: %d relays out, quarantines %+v, findings %+v, blocking drift %q",
+					seed, condition, ms, countOut(), m.leader.record.rollout.Quarantines(), m.controller.driftMonitor.Findings(), m.view.Drift)
 			}
 		}
 		for _, r := range m.relays[4:] {
--- a/internal/fleet/release_with_canary_test.go
+++ b/internal/fleet/release_with_canary_test.go
@@ -36,7 +36,8 @@
 		openedCanary, canaryOpened := r.canary.Canary("b")
 		valid := c.name == "valid"
 		if isRejection(answer) == valid || opened != valid || canaryOpened != valid || !strings.Contains(string(answer), c.want) {
-			t.Errorf("%s: answer %s, release opened %v, canary opened %v; want opened %v, answer containing %q", c.name, answer, opened, canaryOpened, valid, c.want)
+			t.Errorf("%s: answer %s, release opened %v, canary opened %v; want opened %v, answer containing %q",
+				c.name, answer, opened, canaryOpened, valid, c.want)
 		}
 		if valid && openedCanary.Target.Since != 5000 {
 			t.Errorf("canary target %+v, want all members that start from 5000 on", openedCanary.Target)
--- a/internal/fleet/view_test.go
+++ b/internal/fleet/view_test.go
@@ -51,7 +51,8 @@
 	}
 	later := status.buildView(now+60_000, now-9000, 8000, "a", own, warmup).Relays
 	if later[0].ReportAgeMS != 63_000 || later[1].ReportAgeMS != 8000 || later[2].ReportAgeMS != 69_000 {
-		t.Errorf("report ages %d (a), %d (b, alive by gossip), %d (c, never reported); want 63000, 8000, 69000", later[0].ReportAgeMS, later[1].ReportAgeMS, later[2].ReportAgeMS)
+		t.Errorf("report ages %d (a), %d (b, alive by gossip), %d (c, never reported); want 63000, 8000, 69000",
+			later[0].ReportAgeMS, later[1].ReportAgeMS, later[2].ReportAgeMS)
 	}
 	own.Peers[0].Incarnation = 71
 	if v := status.buildView(now, now-9000, 8000, "a", own, warmup); !v.Relays[1].InService {
