--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -39,29 +39,29 @@
 
 // hashMachine is a machine that depends on the order: a hash over all commands, and their number.
 type hashMachine struct {
-	mu   sync.Mutex
-	n    uint64
-	hash uint64
-	last string
-	pad  int
+	mu              sync.Mutex
+	applied         uint64
+	hash            uint64
+	last            string
+	snapshotPadding int
 }
 
 func (s *hashMachine) Apply(index uint64, c []byte) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.n++
+	s.applied++
 	for _, b := range c {
 		s.hash = (s.hash ^ uint64(b)) * 1099511628211
 	}
 	s.last = string(c)
-	return fmt.Appendf(nil, "%d:%s", s.n, c)
+	return fmt.Appendf(nil, "%d:%s", s.applied, c)
 }
 
 func (s *hashMachine) Snapshot() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	b := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, s.n), s.hash)
-	return append(b, make([]byte, s.pad)...)
+	b := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, s.applied), s.hash)
+	return append(b, make([]byte, s.snapshotPadding)...)
 }
 
 func (s *hashMachine) Restore(index uint64, b []byte) error {
@@ -70,14 +70,14 @@
 	if len(b) < 16 {
 		return errMalformed
 	}
-	s.n, s.hash = binary.BigEndian.Uint64(b), binary.BigEndian.Uint64(b[8:])
+	s.applied, s.hash = binary.BigEndian.Uint64(b), binary.BigEndian.Uint64(b[8:])
 	return nil
 }
 
 func (s *hashMachine) state() (n, hash uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.n, s.hash
+	return s.applied, s.hash
 }
 
 // cluster is several nodes in one process.
@@ -96,11 +96,11 @@
 	onReply       func(at, from, answer string)
 }
 
-var hosts atomic.Uint32
+var loopbackHosts atomic.Uint32
 
 // freeAddr is on a loopback address of its own: no other test, and no outgoing connection, takes the port while a node is down.
 func freeAddr(t testing.TB) string {
-	h := hosts.Add(1)
+	h := loopbackHosts.Add(1)
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+os.Getpid()%250, h/250, 1+h%250))
 	if err != nil {
 		t.Fatal(err)
@@ -157,14 +157,14 @@
 	delete(f.nodes, name)
 }
 
-func (f *cluster) wait(what string, ok func() bool) {
+func (f *cluster) wait(condition string, ok func() bool) {
 	f.t.Helper()
 	for end := time.Now().Add(30 * time.Second); !ok(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			for name, n := range f.nodes {
 				f.t.Logf("%s: %+v", name, n.Status())
 			}
-			f.t.Fatalf("not in 30 s: %s", what)
+			f.t.Fatalf("not in 30 s: %s", condition)
 		}
 	}
 }
@@ -172,12 +172,12 @@
 func (f *cluster) propose(name, command string) uint64 {
 	f.t.Helper()
 	f.wait("a leader that it knows", func() bool { // otherwise a call may rightly have an unknown outcome: it contacts all in turn, one that is down too
-		l, e := f.nodes[f.nodes[name].Status().Leader], f.nodes[name].engine()
-		return l != nil && l.Status().Role == RoleLeader && (e == nil || e.view.Load().leader != 0)
+		leader, voterEngine := f.nodes[f.nodes[name].Status().Leader], f.nodes[name].engine()
+		return leader != nil && leader.Status().Role == RoleLeader && (voterEngine == nil || voterEngine.view.Load().leader != 0)
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	a, index, err := f.nodes[name].Propose(ctx, []byte(command))
+	result, index, err := f.nodes[name].Propose(ctx, []byte(command))
 	if err != nil {
 		for name, n := range f.nodes {
 			f.t.Logf("%s: %+v", name, n.Status())
@@ -186,8 +186,8 @@
 	}
 	var n int
 	var c string
-	if _, err := fmt.Sscanf(string(a), "%d:%s", &n, &c); err != nil || c != command {
-		f.t.Fatalf("answer %q", a)
+	if _, err := fmt.Sscanf(string(result), "%d:%s", &n, &c); err != nil || c != command {
+		f.t.Fatalf("answer %q", result)
 	}
 	return index
 }
@@ -213,11 +213,11 @@
 		var n, hash uint64
 		first := true
 		for _, m := range f.machines {
-			a, b := m.state()
+			count, machineHash := m.state()
 			if first {
-				n, hash, first = a, b, false
+				n, hash, first = count, machineHash, false
 			}
-			if a != n || b != hash {
+			if count != n || machineHash != hash {
 				return false
 			}
 		}
--- a/internal/consensus/fault_test.go
+++ b/internal/consensus/fault_test.go
@@ -16,11 +16,11 @@
 	f.startVoters()
 	f.start("r0")
 	f.propose("r0", "a")
-	l := f.leader()
-	f.stop(l)
+	firstLeader := f.leader()
+	f.stop(firstLeader)
 	f.propose("r0", "b")
-	second := f.leader()
-	f.stop(second)
+	secondLeader := f.leader()
+	f.stop(secondLeader)
 	f.wait("no remaining relay knows a leader", func() bool { // a call that is still forwarded to the old leader has an unknown outcome, rightly
 		for _, n := range f.nodes {
 			if s := n.Status(); s.HasQuorum || s.Leader != "" {
@@ -40,8 +40,8 @@
 		t.Fatalf("barrier without a majority: %v", err)
 	}
 	cancel()
-	f.start(l)
-	f.start(second)
+	f.start(firstLeader)
+	f.start(secondLeader)
 	f.propose("r0", "c")
 	f.waitSameState()
 	if n, _ := f.machines["r0"].state(); n != 3 {
@@ -52,38 +52,38 @@
 func TestSilentLinks(t *testing.T) {
 	t.Parallel()
 	f := newCluster(t, 3, true)
-	ws := f.linkAll("v0", "v1", "v2", "r0")
+	links := f.linkAll("v0", "v1", "v2", "r0")
 	f.startVoters()
 	f.start("r0")
 	f.propose("r0", "a")
 	// The follower's stream falls silent: it follows another voter.
 	f.wait("a stream", func() bool { return f.nodes["r0"].Status().StreamSource != "" })
-	via := f.nodes["r0"].Status().StreamSource
-	ws["r0>"+via].cut.Store(true)
-	f.wait("another voter", func() bool { s := f.nodes["r0"].Status().StreamSource; return s != "" && s != via })
-	ws["r0>"+via].cut.Store(false)
+	source := f.nodes["r0"].Status().StreamSource
+	links["r0>"+source].cut.Store(true)
+	f.wait("another voter", func() bool { s := f.nodes["r0"].Status().StreamSource; return s != "" && s != source })
+	links["r0>"+source].cut.Store(false)
 	// The leader is cut off from the voters: they elect another, it steps down.
-	l := f.leader()
-	for way, w := range ws {
-		if !strings.HasPrefix(way, "r0") && strings.Contains(way, l) {
+	leader := f.leader()
+	for way, w := range links {
+		if !strings.HasPrefix(way, "r0") && strings.Contains(way, leader) {
 			w.cut.Store(true)
 		}
 	}
-	f.wait("the old one steps down", func() bool { return f.nodes[l].Status().Role == RoleVoter })
+	f.wait("the old one steps down", func() bool { return f.nodes[leader].Status().Role == RoleVoter })
 	f.wait("a new one", func() bool {
 		for name, n := range f.nodes {
-			if name != l && n.Status().Role == RoleLeader {
+			if name != leader && n.Status().Role == RoleLeader {
 				return true
 			}
 		}
 		return false
 	})
 	for name := range f.voters {
-		if name != l {
+		if name != leader {
 			f.propose(name, "b"+name)
 		}
 	}
-	for _, w := range ws {
+	for _, w := range links {
 		w.cut.Store(false)
 	}
 	f.propose("r0", "c")
@@ -98,26 +98,26 @@
 	f.propose("r0", "a")
 	f.waitSameState()
 	f.stop("r0")
-	l := f.leader()
-	gone := "v0"
-	if l == gone {
-		gone = "v1"
+	leader := f.leader()
+	stoppedVoter := "v0"
+	if leader == stoppedVoter {
+		stoppedVoter = "v1"
 	}
-	f.stop(gone)
-	big := strings.Repeat("x", 200<<10)
+	f.stop(stoppedVoter)
+	largeCommand := strings.Repeat("x", 200<<10)
 	for range 30 { // more than the recent entries and the log hold
-		f.propose(l, big)
+		f.propose(leader, largeCommand)
 	}
-	s := f.nodes[l].Status()
+	s := f.nodes[leader].Status()
 	if s.LogBytes > maxRecentBytes+MaxCommandSize || s.SnapshotIndex == 0 {
 		t.Fatalf("%+v", s)
 	}
-	f.wait("the log is compacted", func() bool { s := f.nodes[l].Status(); return s.LogLast-s.LogFirst < 16 })
-	info, err := os.Stat(filepath.Join(f.dirs[l], databaseFile))
+	f.wait("the log is compacted", func() bool { s := f.nodes[leader].Status(); return s.LogLast-s.LogFirst < 16 })
+	info, err := os.Stat(filepath.Join(f.dirs[leader], databaseFile))
 	if err != nil || info.Size() > 16<<20 {
 		t.Fatalf("file of %d bytes: %v", info.Size(), err)
 	}
-	f.start(gone)
+	f.start(stoppedVoter)
 	f.start("r0")
 	f.propose("r0", "z")
 	f.waitSameState()
--- a/internal/consensus/figures_test.go
+++ b/internal/consensus/figures_test.go
@@ -81,10 +81,10 @@
 }
 
 // processes are voters as processes of their own; the cluster has the followers, in this one.
-func processes(t *testing.T) (f *cluster, ps map[string]*process, up func(name string)) {
-	f, ps = newCluster(t, 3, true), map[string]*process{}
+func startVoterProcesses(t *testing.T) (f *cluster, processes map[string]*process, startProcess func(name string)) {
+	f, processes = newCluster(t, 3, true), map[string]*process{}
 	f.onReport = func(string, []byte) []byte { return nil }
-	up = func(name string) {
+	startProcess = func(name string) {
 		args, err := json.Marshal(map[string]any{"Name": name, "Voters": f.voters, "Listen": f.addrs[name], "Dir": f.dirs[name], "Keys": f.keys})
 		if err != nil {
 			t.Fatal(err)
@@ -102,18 +102,18 @@
 		if err := p.cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
-		ps[name] = p
+		processes[name] = p
 	}
 	t.Cleanup(func() {
-		for _, p := range ps {
+		for _, p := range processes {
 			p.cmd.Process.Kill()
 			p.cmd.Wait()
 		}
 	})
 	for name := range f.voters {
-		up(name)
+		startProcess(name)
 	}
-	return f, ps, up
+	return f, processes, startProcess
 }
 
 // proposeUntilCommitted proposes at a follower until a command is committed. Each call is a new command, not a retry.
@@ -168,13 +168,13 @@
 		t.Logf("%d proposals at once: %.0f a second", workers, workers*each/time.Since(begin).Seconds())
 	})
 	t.Run("killed", func(t *testing.T) {
-		f, ps, up := processes(t)
+		f, processes, startProcess := startVoterProcesses(t)
 		f.start("r0")
 		h := hdrhistogram.New(1, 60e6, 3)
 		for i := range 40 {
 			f.wait("all vote", func() bool {
 				n := 0
-				for _, p := range ps {
+				for _, p := range processes {
 					if u := p.usage(); u.Votes {
 						n++
 						if u.IdentityReason != "" {
@@ -182,17 +182,20 @@
 						}
 					}
 				}
-				return n == len(ps)
+				return n == len(processes)
 			})
 			f.proposeUntilCommitted("r0", "before")
-			l := ""
-			f.wait("a leader", func() bool { l = f.nodes["r0"].Status().Leader; return l != "" && ps[l].usage().Role == RoleLeader })
+			leader := ""
+			f.wait("a leader", func() bool {
+				leader = f.nodes["r0"].Status().Leader
+				return leader != "" && processes[leader].usage().Role == RoleLeader
+			})
 			for range 32 { // writes are in progress
 				go f.nodes["r0"].Propose(context.Background(), make([]byte, 5000))
 			}
 			time.Sleep(time.Duration(i%8) * time.Millisecond)
 			begin := time.Now()
-			if err := ps[l].cmd.Process.Kill(); err != nil {
+			if err := processes[leader].cmd.Process.Kill(); err != nil {
 				t.Fatal(err)
 			}
 			f.proposeUntilCommitted("r0", fmt.Sprint("after ", i))
@@ -201,8 +204,8 @@
 			if took > 1300*time.Millisecond { // more than one election
 				t.Logf("kill %d: %v; load %s", i, took.Round(time.Millisecond), load())
 			}
-			ps[l].cmd.Wait()
-			up(l)
+			processes[leader].cmd.Wait()
+			startProcess(leader)
 		}
 		t.Logf("leader's process killed until the next commit (%d): p50 %.0f ms, p99 %.0f ms, most %.0f ms; load %s", h.TotalCount(), ms(h, 50), ms(h, 99), float64(h.Max())/1000, load())
 	})
@@ -214,7 +217,7 @@
 				crand.Reader = rand.NewChaCha8([32]byte{byte(seed), byte(seed >> 8)})
 				w := newModel(seed, 3, 0)
 				w.delay = delay
-				led := func() *modelNode {
+				currentLeader := func() *modelNode {
 					for _, n := range w.nodes {
 						if n.core != nil && n.core.isLeader() {
 							return n
@@ -222,12 +225,12 @@
 					}
 					return nil
 				}
-				for w.run(4*time.Second + time.Duration(seed%100)*time.Millisecond); led() == nil; {
+				for w.run(4*time.Second + time.Duration(seed%100)*time.Millisecond); currentLeader() == nil; {
 					w.run(w.now + tickInterval)
 				}
-				w.kill(led())
+				w.kill(currentLeader())
 				begin := w.now
-				for led() == nil {
+				for currentLeader() == nil {
 					w.run(w.now + time.Millisecond)
 				}
 				h.RecordValue((w.now - begin).Microseconds())
@@ -237,7 +240,7 @@
 	})
 	for _, followers := range []int{12, 40, 300} {
 		t.Run(fmt.Sprint("bytes", followers), func(t *testing.T) {
-			f, ps, _ := processes(t)
+			f, processes, _ := startVoterProcesses(t)
 			for i := range followers {
 				f.start(fmt.Sprintf("r%d", i))
 			}
@@ -246,9 +249,9 @@
 			time.Sleep(preferredRetryInterval + 3*time.Second)
 			for _, busy := range []bool{false, true} {
 				time.Sleep(2 * time.Second)
-				look := func() map[string]usage {
+				collectUsage := func() map[string]usage {
 					m := map[string]usage{}
-					for name, p := range ps {
+					for name, p := range processes {
 						m[name] = p.usage()
 					}
 					for name, n := range f.nodes {
@@ -260,7 +263,7 @@
 					}
 					return m
 				}
-				before, begin, proposed := look(), time.Now(), 0
+				before, begin, proposed := collectUsage(), time.Now(), 0
 				for i := 0; time.Since(begin) < 10*time.Second; i++ {
 					if busy {
 						f.proposeUntilCommitted("r1", fmt.Sprintf("%0500d", i))
@@ -271,32 +274,32 @@
 									t.Error(err)
 								}
 							}
-							for _, p := range ps {
+							for _, p := range processes {
 								fmt.Fprintln(p.in, "report")
 							}
 						}
 					}
 					time.Sleep(100*time.Millisecond - time.Since(begin)%(100*time.Millisecond))
 				}
-				after, secs := look(), time.Since(begin).Seconds()
+				after, secs := collectUsage(), time.Since(begin).Seconds()
 				type row struct{ n, in, out, cpu, heap float64 }
 				rows := map[string]row{}
 				streams := map[string]int{}
 				for name, u := range after {
-					role, b := u.Role, before[name]
-					k := rows[role]
-					k.n++
-					k.in += float64(u.BytesIn-b.BytesIn) / secs
-					k.out += float64(u.BytesOut-b.BytesOut) / secs
-					k.cpu += float64(u.CPU-b.CPU) / 1e6 / secs
-					k.heap += float64(u.Heap) / 1e6
-					rows[role] = k
+					role, earlier := u.Role, before[name]
+					totals := rows[role]
+					totals.n++
+					totals.in += float64(u.BytesIn-earlier.BytesIn) / secs
+					totals.out += float64(u.BytesOut-earlier.BytesOut) / secs
+					totals.cpu += float64(u.CPU-earlier.CPU) / 1e6 / secs
+					totals.heap += float64(u.Heap) / 1e6
+					rows[role] = totals
 					streams[u.StreamSource]++
 				}
 				t.Logf("%d followers, busy %v: %.1f proposals a second, streams %v, load %s", followers, busy, float64(proposed)/secs, streams, load())
 				for _, role := range []string{RoleLeader, RoleVoter, RoleFollower} {
-					k := rows[role]
-					t.Logf("  %s: %.0f in, %.0f out B/s, %.2f ms a second, %.2f MB; of %v", role, k.in/k.n, k.out/k.n, k.cpu/k.n, k.heap/k.n, k.n)
+					totals := rows[role]
+					t.Logf("  %s: %.0f in, %.0f out B/s, %.2f ms a second, %.2f MB; of %v", role, totals.in/totals.n, totals.out/totals.n, totals.cpu/totals.n, totals.heap/totals.n, totals.n)
 				}
 				t.Logf("  all voters: %.0f in, %.0f out B/s; all %.0f ms a second", rows[RoleLeader].in+rows[RoleVoter].in, rows[RoleLeader].out+rows[RoleVoter].out,
 					rows[RoleLeader].cpu+rows[RoleVoter].cpu+rows[RoleFollower].cpu)
--- a/internal/consensus/lifecycle.go
+++ b/internal/consensus/lifecycle.go
@@ -110,7 +110,7 @@
 func (n *Node) startEngine(c *core, d *disk) {
 	e := newEngine(n, c, d)
 	n.mu.Lock()
-	n.current, n.engineError, n.leaderlessSince = e, "", time.Now()
+	n.currentEngine, n.engineError, n.leaderlessSince = e, "", time.Now()
 	n.mu.Unlock()
 	n.transport.setPeers(c.voters, c.id)
 	e.start()
@@ -122,7 +122,7 @@
 // engineEnded handles an engine that ended by itself: it was removed, its directory is outdated, or it failed.
 func (n *Node) engineEnded(e *engine) {
 	n.mu.Lock()
-	n.current = nil
+	n.currentEngine = nil
 	d := n.disk
 	n.mu.Unlock()
 	n.announceLeadership(false, 0)
--- a/internal/consensus/link_test.go
+++ b/internal/consensus/link_test.go
@@ -21,26 +21,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &link{ln: ln, to: to}
+	l := &link{ln: ln, to: to}
 	go func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			d, err := net.Dial("tcp", to)
+			upstream, err := net.Dial("tcp", to)
 			if err != nil {
 				c.Close()
 				continue
 			}
-			w.mu.Lock()
-			w.conns = append(w.conns, c, d)
-			w.mu.Unlock()
-			pass := func(from, to net.Conn) {
+			l.mu.Lock()
+			l.conns = append(l.conns, c, upstream)
+			l.mu.Unlock()
+			forward := func(from, to net.Conn) {
 				b := make([]byte, 32<<10)
 				for {
 					n, err := from.Read(b)
-					if !w.cut.Load() {
+					if !l.cut.Load() {
 						if _, werr := to.Write(b[:n]); werr != nil || err != nil {
 							from.Close()
 							to.Close()
@@ -51,32 +51,32 @@
 					}
 				}
 			}
-			go pass(c, d)
-			go pass(d, c)
+			go forward(c, upstream)
+			go forward(upstream, c)
 		}
 	}()
 	t.Cleanup(func() {
 		ln.Close()
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		for _, c := range w.conns {
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		for _, c := range l.conns {
 			c.Close()
 		}
 	})
-	return w
+	return l
 }
 
 // linkAll has all connections between these relays go through links.
 func (f *cluster) linkAll(names ...string) map[string]*link {
-	ws := map[string]*link{}
+	links := map[string]*link{}
 	for _, a := range names {
 		f.dialAddresses[a] = map[string]string{}
 		for b, addr := range f.voters {
 			if a != b {
-				ws[a+">"+b] = newLink(f.t, addr)
-				f.dialAddresses[a][b] = ws[a+">"+b].ln.Addr().String()
+				links[a+">"+b] = newLink(f.t, addr)
+				f.dialAddresses[a][b] = links[a+">"+b].ln.Addr().String()
 			}
 		}
 	}
-	return ws
+	return links
 }
--- a/internal/consensus/model_test.go
+++ b/internal/consensus/model_test.go
@@ -71,36 +71,36 @@
 	writeDelay         time.Duration
 	verifiedBy         map[int]bool
 	startedAt          time.Duration
-	waiting            map[proposalID]func(callResult)
-	waiters            map[proposalID]*pendingCall
+	callbacks          map[proposalID]func(callResult)
+	callsByID          map[proposalID]*pendingCall
 	ownSnapshot        *recordSnapshot
 	ownSnapshotEncoded []byte
 }
 
 type world struct {
-	now           time.Duration
-	rng           *rand.Rand
-	queue         []event // the next one last
-	order         int
-	nodes         []*modelNode
-	voters        int
-	cut           map[[2]int]bool
-	loss          float64
-	delay         time.Duration
-	trace         uint64
-	agreed        map[uint64]uint64 // by index: the machine's hash after it, with the voters' index
-	log           map[proposalID]uint64
-	acked         map[proposalID]uint64
-	rejected      map[proposalID]bool // it must never be committed
-	ops           []porcupine.Operation
-	nextID        uint64
-	noFaults      bool
-	ending        bool
-	failure       string
-	earlyAnswers  bool // planted fault: answers before commit
-	keepsIdentity bool // planted fault: a lost directory keeps its identity
-	quiet         logrus.FieldLogger
-	counts        map[string]int
+	now                 time.Duration
+	rng                 *rand.Rand
+	queue               []event // the next one last
+	order               int
+	nodes               []*modelNode
+	voters              int
+	cut                 map[[2]int]bool
+	loss                float64
+	delay               time.Duration
+	trace               uint64
+	stateHashes         map[uint64]uint64 // by index: the machine's hash after it, with the voters' index
+	committedIndexes    map[proposalID]uint64
+	ackedIndexes        map[proposalID]uint64
+	rejected            map[proposalID]bool // it must never be committed
+	ops                 []porcupine.Operation
+	nextID              uint64
+	noFaults            bool
+	ending              bool
+	failure             string
+	answersBeforeCommit bool // planted fault: answers before commit
+	reusesIdentity      bool // planted fault: a lost directory keeps its identity
+	discardLog          logrus.FieldLogger
+	counts              map[string]int
 }
 
 func (w *world) fail(format string, a ...any) {
@@ -109,16 +109,16 @@
 	}
 }
 
-func (w *world) push(after time.Duration, n *modelNode, do func()) {
+func (w *world) schedule(delay time.Duration, n *modelNode, do func()) {
 	w.order++
-	e := event{at: w.now + after, order: w.order, node: -1, do: do}
+	e := event{at: w.now + delay, order: w.order, node: -1, do: do}
 	if n != nil {
 		e.node, e.incarnation = n.i, n.incarnation
 	}
-	w.put(e)
+	w.insertEvent(e)
 }
 
-func (w *world) put(e event) {
+func (w *world) insertEvent(e event) {
 	i, _ := slices.BinarySearchFunc(w.queue, e, func(a, b event) int { return cmp.Or(cmp.Compare(b.at, a.at), cmp.Compare(b.order, a.order)) })
 	w.queue = slices.Insert(w.queue, i, e)
 }
@@ -152,7 +152,7 @@
 	d := time.Millisecond/2 + time.Duration(w.rng.Float64()*float64(w.delay))
 	w.order++
 	incarnation := to.incarnation
-	w.put(event{at: w.now + d, order: w.order, node: to.i, incarnation: incarnation, do: func() {
+	w.insertEvent(event{at: w.now + d, order: w.order, node: to.i, incarnation: incarnation, do: func() {
 		if to.up {
 			do()
 		}
@@ -160,22 +160,22 @@
 }
 
 func newModel(seed uint64, voters, followers int) *world {
-	l := logrus.New()
-	l.SetOutput(io.Discard)
-	l.SetLevel(logrus.PanicLevel)
-	w := &world{rng: rand.New(rand.NewPCG(seed, 31)), voters: voters, cut: map[[2]int]bool{}, delay: 10 * time.Millisecond, agreed: map[uint64]uint64{},
-		log: map[proposalID]uint64{}, acked: map[proposalID]uint64{}, rejected: map[proposalID]bool{}, quiet: l, counts: map[string]int{}}
-	ms := voterSet{}
+	discardLog := logrus.New()
+	discardLog.SetOutput(io.Discard)
+	discardLog.SetLevel(logrus.PanicLevel)
+	w := &world{rng: rand.New(rand.NewPCG(seed, 31)), voters: voters, cut: map[[2]int]bool{}, delay: 10 * time.Millisecond, stateHashes: map[uint64]uint64{},
+		committedIndexes: map[proposalID]uint64{}, ackedIndexes: map[proposalID]uint64{}, rejected: map[proposalID]bool{}, discardLog: discardLog, counts: map[string]int{}}
+	initialVoters := voterSet{}
 	for i := range voters + followers {
 		n := &modelNode{i: i, name: fmt.Sprintf("n%d", i), voter: i < voters, id: w.rng.Uint64()>>2 | 1}
 		n.tick = time.Duration((0.9 + 0.2*w.rng.Float64()) * float64(tickInterval))
 		w.nodes = append(w.nodes, n)
 		n.disk.identity = n.id
 		if n.voter {
-			ms[n.id] = voter{n.name, n.name}
+			initialVoters[n.id] = voter{n.name, n.name}
 		}
 	}
-	s, err := bootstrapSnapshot(77, ms, (&register{}).Snapshot())
+	s, err := bootstrapSnapshot(77, initialVoters, (&register{}).Snapshot())
 	if err != nil {
 		panic(err)
 	}
@@ -195,39 +195,39 @@
 	n.applier = newApplier(n.machine)
 	n.applier.snapshotInterval = 12
 	n.writeDelay = time.Duration(w.rng.Float64() * 8 * float64(time.Millisecond))
-	n.waiting, n.waiters, n.ownSnapshot = map[proposalID]func(callResult){}, map[proposalID]*pendingCall{}, nil
+	n.callbacks, n.callsByID, n.ownSnapshot = map[proposalID]func(callResult){}, map[proposalID]*pendingCall{}, nil
 	if n.disk.snapshot != nil {
 		s, err := decodeSnapshot(n.disk.snapshot)
 		if err != nil {
 			panic(err)
 		}
 		w.restore(n, s)
-		hard := proto.Clone(n.disk.hardState).(*pb.HardState)
-		if hard.GetCommit() < s.index {
-			hard.Commit = new(s.index)
+		hardState := proto.Clone(n.disk.hardState).(*pb.HardState)
+		if hardState.GetCommit() < s.index {
+			hardState.Commit = new(s.index)
 		}
 		entries := n.disk.entries
 		for len(entries) > 0 && entries[0].GetIndex() <= s.index {
 			entries = entries[1:]
 		}
-		st, err := newStorage(s, n.disk.snapshot, hard, append([]*pb.Entry(nil), entries...))
+		storage, err := newStorage(s, n.disk.snapshot, hardState, append([]*pb.Entry(nil), entries...))
 		if err != nil {
 			panic(err)
 		}
-		w.engine(n, st, s, w.now > 0 && !w.keepsIdentity)
+		w.startCore(n, storage, s, w.now > 0 && !w.reusesIdentity)
 		for id, m := range n.disk.acknowledged {
 			n.core.noteAcknowledged(id, m)
 		}
 	}
-	w.push(time.Duration(w.rng.Float64()*float64(n.tick)), n, func() { w.tick(n) })
-	w.push(time.Duration(w.rng.Float64()*100)*time.Millisecond, n, func() { w.followStream(n) })
+	w.schedule(time.Duration(w.rng.Float64()*float64(n.tick)), n, func() { w.tick(n) })
+	w.schedule(time.Duration(w.rng.Float64()*100)*time.Millisecond, n, func() { w.followStream(n) })
 	if n.voter {
-		w.push(100*time.Millisecond, n, func() { w.supervise(n) })
+		w.schedule(100*time.Millisecond, n, func() { w.supervise(n) })
 	}
 }
 
-func (w *world) engine(n *modelNode, st *raft.MemoryStorage, s recordSnapshot, unsure bool) {
-	c, err := newCore(n.id, st, s, unsure, raftLogger{w.quiet})
+func (w *world) startCore(n *modelNode, storage *raft.MemoryStorage, s recordSnapshot, unverified bool) {
+	c, err := newCore(n.id, storage, s, unverified, raftLogger{w.discardLog})
 	if err != nil {
 		w.fail("engine of %s: %v", n.name, err)
 		return
@@ -239,30 +239,30 @@
 	if _, err := n.applier.restore(s); err != nil {
 		w.fail("restore: %v", err)
 	}
-	w.check(n)
+	w.checkAgreement(n)
 }
 
 // check compares what a node has applied with what any other had at that index.
-func (w *world) check(n *modelNode) {
+func (w *world) checkAgreement(n *modelNode) {
 	_, index, _ := n.applier.position()
 	_, voters := n.applier.voterSetAt()
 	hash := n.machine.hash ^ voters<<32
-	if h, ok := w.agreed[index]; ok && h != hash {
+	if h, ok := w.stateHashes[index]; ok && h != hash {
 		w.fail("%s differs at %d", n.name, index)
 	}
-	w.agreed[index] = hash
+	w.stateHashes[index] = hash
 }
 
-func (w *world) apply(n *modelNode, it committedEntry) {
-	answer, ok := n.applier.apply(it)
+func (w *world) apply(n *modelNode, entry committedEntry) {
+	answer, ok := n.applier.apply(entry)
 	if !ok {
 		return
 	}
-	w.check(n)
-	if it.kind == entryCommand {
-		w.log[it.proposalID] = it.index
+	w.checkAgreement(n)
+	if entry.kind == entryCommand {
+		w.committedIndexes[entry.proposalID] = entry.index
 	}
-	n.pendingCalls.completeApplied(it.index, it.proposalID, answer)
+	n.pendingCalls.completeApplied(entry.index, entry.proposalID, answer)
 	if n.core != nil && n.applier.snapshotDue() {
 		n.ownSnapshot, n.ownSnapshotEncoded = n.applier.takeSnapshot()
 	}
@@ -270,7 +270,7 @@
 
 // tick is a tick, by this node's own clock.
 func (w *world) tick(n *modelNode) {
-	w.push(n.tick, n, func() { w.tick(n) })
+	w.schedule(n.tick, n, func() { w.tick(n) })
 	if n.core != nil {
 		n.core.tick()
 		w.processReady(n)
@@ -291,36 +291,36 @@
 				return
 			}
 		}
-		k := n.core.nextReady()
-		if k == nil {
+		ready := n.core.nextReady()
+		if ready == nil {
 			break
 		}
-		for _, e := range k.entries {
+		for _, e := range ready.entries {
 			if id, c, ok := decodeCommand(e.GetData()); ok && e.GetType() == pb.EntryNormal {
 				n.pendingCalls.assignIndex(id, e.GetIndex())
-				if w.earlyAnswers && n.waiters[id] != nil {
+				if w.answersBeforeCommit && n.callsByID[id] != nil {
 					n.pendingCalls.completeApplied(e.GetIndex(), id, binary.BigEndian.AppendUint64(nil, n.machine.value))
 					_ = c
 				}
 			}
 		}
-		w.sendMessages(n, k.beforeSync)
-		if !k.mustSync() {
-			w.completeReady(n, k)
+		w.sendMessages(n, ready.beforeSync)
+		if !ready.mustSync() {
+			w.completeReady(n, ready)
 			continue
 		}
-		dw := diskWrite{hardState: k.hardState, entries: k.entries, acknowledged: maps.Clone(k.acknowledged)}
-		if k.snapshot != nil {
-			dw.snapshot = k.snapshot.GetData()
+		write := diskWrite{hardState: ready.hardState, entries: ready.entries, acknowledged: maps.Clone(ready.acknowledged)}
+		if ready.snapshot != nil {
+			write.snapshot = ready.snapshot.GetData()
 		}
-		w.write(n, dw, func() { w.completeReady(n, k) })
+		w.write(n, write, func() { w.completeReady(n, ready) })
 	}
 	w.deliverResults(n)
 }
 
-func (w *world) write(n *modelNode, dw diskWrite, then func()) {
-	n.writing = &dw
-	w.push(time.Millisecond/4+time.Duration(w.rng.Float64()*float64(n.writeDelay)), n, func() {
+func (w *world) write(n *modelNode, write diskWrite, then func()) {
+	n.writing = &write
+	w.schedule(time.Millisecond/4+time.Duration(w.rng.Float64()*float64(n.writeDelay)), n, func() {
 		w.completeWrite(n)
 		then()
 		w.processReady(n)
@@ -329,51 +329,51 @@
 
 // completeWrite does the write that was in progress: atomically, as the file's transactions are.
 func (w *world) completeWrite(n *modelNode) {
-	dw := n.writing
+	write := n.writing
 	n.writing = nil
-	if dw == nil {
+	if write == nil {
 		return
 	}
-	h := &n.disk
-	if dw.snapshot != nil {
-		h.snapshot, h.entries = dw.snapshot, nil
+	stored := &n.disk
+	if write.snapshot != nil {
+		stored.snapshot, stored.entries = write.snapshot, nil
 	}
-	if dw.compaction != nil {
-		h.snapshot = dw.compaction
-		for len(h.entries) > 0 && h.entries[0].GetIndex() <= dw.compactedIndex {
-			h.entries = h.entries[1:]
+	if write.compaction != nil {
+		stored.snapshot = write.compaction
+		for len(stored.entries) > 0 && stored.entries[0].GetIndex() <= write.compactedIndex {
+			stored.entries = stored.entries[1:]
 		}
 	}
-	if dw.hardState != nil {
-		h.hardState = dw.hardState
+	if write.hardState != nil {
+		stored.hardState = write.hardState
 	}
-	if len(dw.entries) > 0 {
-		at := dw.entries[0].GetIndex()
-		for len(h.entries) > 0 && h.entries[len(h.entries)-1].GetIndex() >= at {
-			h.entries = h.entries[: len(h.entries)-1 : len(h.entries)-1]
+	if len(write.entries) > 0 {
+		firstIndex := write.entries[0].GetIndex()
+		for len(stored.entries) > 0 && stored.entries[len(stored.entries)-1].GetIndex() >= firstIndex {
+			stored.entries = stored.entries[: len(stored.entries)-1 : len(stored.entries)-1]
 		}
-		h.entries = append(h.entries, dw.entries...)
+		stored.entries = append(stored.entries, write.entries...)
 	}
-	if dw.acknowledged != nil {
-		h.acknowledged = dw.acknowledged
+	if write.acknowledged != nil {
+		stored.acknowledged = write.acknowledged
 	}
 }
 
-func (w *world) completeReady(n *modelNode, k *pendingReady) {
-	snap, items, err := n.core.advance()
+func (w *world) completeReady(n *modelNode, ready *pendingReady) {
+	snapshot, entries, err := n.core.advance()
 	if err != nil {
 		w.fail("%s: %v", n.name, err)
 		return
 	}
-	w.sendMessages(n, k.afterSync)
-	if snap != nil {
+	w.sendMessages(n, ready.afterSync)
+	if snapshot != nil {
 		w.counts["snapshots"]++
-		w.restore(n, *snap)
+		w.restore(n, *snapshot)
 	}
-	for _, it := range items {
-		w.apply(n, it)
+	for _, entry := range entries {
+		w.apply(n, entry)
 	}
-	for _, rs := range k.rd.ReadStates {
+	for _, rs := range ready.rd.ReadStates {
 		var id proposalID
 		copy(id[:], rs.RequestCtx)
 		n.pendingCalls.completeBarrier(id, rs.Index)
@@ -389,8 +389,8 @@
 	return nil
 }
 
-func (w *world) sendMessages(n *modelNode, ms []*pb.Message) {
-	for _, m := range ms {
+func (w *world) sendMessages(n *modelNode, messages []*pb.Message) {
+	for _, m := range messages {
 		to := w.byID(m.GetTo())
 		if to == nil {
 			continue
@@ -399,22 +399,22 @@
 		if err != nil {
 			panic(err)
 		}
-		var marks map[uint64]logPosition
+		var acknowledged map[uint64]logPosition
 		if m.GetType() == pb.MsgHeartbeat {
-			marks = maps.Clone(n.core.acknowledged)
-			marks[n.id] = n.core.ownPosition()
+			acknowledged = maps.Clone(n.core.acknowledged)
+			acknowledged[n.id] = n.core.ownPosition()
 		}
-		body := encodeMessages(n.id, marks, [][]byte{b})
+		body := encodeMessages(n.id, acknowledged, [][]byte{b})
 		w.send(n, to, func() { w.step(to, body) })
 		if m.GetType() == pb.MsgSnap {
-			how := raft.SnapshotFinish
+			status := raft.SnapshotFinish
 			if w.rng.IntN(3) == 0 {
-				how = raft.SnapshotFailure
+				status = raft.SnapshotFailure
 			}
 			id := m.GetTo()
-			w.push(50*time.Millisecond, n, func() {
+			w.schedule(50*time.Millisecond, n, func() {
 				if n.core != nil {
-					n.core.rawNode.ReportSnapshot(id, how)
+					n.core.rawNode.ReportSnapshot(id, status)
 				}
 			})
 		}
@@ -437,7 +437,7 @@
 	}
 	for _, m := range p.messages {
 		if err := n.core.step(m); errors.Is(err, errOutdatedDirectory) {
-			if !w.keepsIdentity {
+			if !w.reusesIdentity {
 				w.fail("%s was found outdated, with a complete directory", n.name)
 			}
 			w.kill(n)
@@ -451,7 +451,7 @@
 // deliverResults delivers the results of calls that have ended.
 func (w *world) deliverResults(n *modelNode) {
 	var ids []uint64
-	for id := range n.waiters {
+	for id := range n.callsByID {
 		ids = append(ids, binary.BigEndian.Uint64(id[8:]))
 	}
 	slices.Sort(ids)
@@ -459,11 +459,11 @@
 		var id proposalID
 		binary.BigEndian.PutUint64(id[8:], v)
 		select {
-		case r := <-n.waiters[id].done:
-			f := n.waiting[id]
-			delete(n.waiters, id)
-			delete(n.waiting, id)
-			w.push(0, n, func() { f(r) })
+		case r := <-n.callsByID[id].done:
+			f := n.callbacks[id]
+			delete(n.callsByID, id)
+			delete(n.callbacks, id)
+			w.schedule(0, n, func() { f(r) })
 		default:
 		}
 	}
@@ -471,7 +471,7 @@
 
 // followStream is a stream of a follower or a joining voter: one batch at a time.
 func (w *world) followStream(n *modelNode) {
-	w.push(time.Duration(20+w.rng.IntN(80))*time.Millisecond, n, func() { w.followStream(n) })
+	w.schedule(time.Duration(20+w.rng.IntN(80))*time.Millisecond, n, func() { w.followStream(n) })
 	if n.core != nil {
 		return
 	}
@@ -513,19 +513,19 @@
 
 // supervise is what a Node's supervisor does: it joins, proposes changes, verifies its directory.
 func (w *world) supervise(n *modelNode) {
-	w.push(superviseInterval, n, func() { w.supervise(n) })
+	w.schedule(superviseInterval, n, func() { w.supervise(n) })
 	record, index, _ := n.applier.position()
 	switch {
 	case n.core == nil && record != 0 && n.applier.voterSet()[n.id].name == n.name:
-		s, raw := n.applier.takeSnapshot()
-		hard := &pb.HardState{Term: new(s.term), Commit: new(index)}
-		st, err := newStorage(*s, raw, hard, nil)
+		s, encoded := n.applier.takeSnapshot()
+		hardState := &pb.HardState{Term: new(s.term), Commit: new(index)}
+		storage, err := newStorage(*s, encoded, hardState, nil)
 		if err != nil {
 			panic(err)
 		}
-		n.disk = storedState{identity: n.id, snapshot: raw, hardState: hard}
+		n.disk = storedState{identity: n.id, snapshot: encoded, hardState: hardState}
 		w.counts["joined"]++
-		w.engine(n, st, *s, false)
+		w.startCore(n, storage, *s, false)
 	case n.core == nil:
 		c := voterChange{newID: n.id, newName: n.name, address: n.name}
 		for _, v := range w.nodes[:w.voters] {
@@ -586,11 +586,11 @@
 	return true
 }
 
-func (w *world) chaos() {
+func (w *world) injectFault() {
 	if w.noFaults {
 		return
 	}
-	w.push(time.Duration(100+w.rng.IntN(900))*time.Millisecond, nil, w.chaos)
+	w.schedule(time.Duration(100+w.rng.IntN(900))*time.Millisecond, nil, w.injectFault)
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
 	switch w.rng.IntN(9) {
 	case 0, 1:
@@ -622,7 +622,7 @@
 		if n.up && !n.paused {
 			n.paused = true
 			incarnation := n.incarnation
-			w.push(time.Duration(w.rng.IntN(3000))*time.Millisecond, nil, func() {
+			w.schedule(time.Duration(w.rng.IntN(3000))*time.Millisecond, nil, func() {
 				if n.incarnation == incarnation {
 					w.resume(n)
 				}
@@ -633,7 +633,7 @@
 		if w.mayLoseVoter() {
 			w.counts["emptied"]++
 			w.kill(n)
-			if !w.keepsIdentity {
+			if !w.reusesIdentity {
 				n.id = w.rng.Uint64()>>2 | 1
 				n.disk = storedState{identity: n.id}
 			} else {
@@ -659,7 +659,7 @@
 	n.paused = false
 	for _, e := range n.pausedEvents {
 		w.order++
-		w.put(event{at: w.now, order: w.order, node: e.node, incarnation: e.incarnation, do: e.do})
+		w.insertEvent(event{at: w.now, order: w.order, node: e.node, incarnation: e.incarnation, do: e.do})
 	}
 	n.pausedEvents = nil
 }
@@ -677,14 +677,14 @@
 const callTimeout = 3 * time.Second
 
 // client makes one call after another, at any node.
-func (w *world) client(id int) {
-	again := func() { w.push(time.Duration(w.rng.IntN(250))*time.Millisecond, nil, func() { w.client(id) }) }
+func (w *world) runClient(id int) {
+	callNext := func() { w.schedule(time.Duration(w.rng.IntN(250))*time.Millisecond, nil, func() { w.runClient(id) }) }
 	if w.ending {
 		return
 	}
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
 	if !n.up || n.paused {
-		w.push(50*time.Millisecond, nil, func() { w.client(id) })
+		w.schedule(50*time.Millisecond, nil, func() { w.runClient(id) })
 		return
 	}
 	w.nextID++
@@ -692,7 +692,7 @@
 	binary.BigEndian.PutUint64(pid[8:], w.nextID)
 	in := opIn{write: w.rng.IntN(3) > 0, value: w.nextID}
 	call, ended := w.now, false
-	end := func(out opOut, record bool) {
+	finish := func(out opOut, record bool) {
 		if ended {
 			return
 		}
@@ -704,25 +704,25 @@
 			}
 			w.ops = append(w.ops, porcupine.Operation{ClientId: id, Input: in, Call: int64(call), Output: out, Return: ret})
 		}
-		again()
+		callNext()
 	}
-	w.push(callTimeout, nil, func() { end(opOut{}, in.write) })
+	w.schedule(callTimeout, nil, func() { finish(opOut{}, in.write) })
 	w.call(n, pid, in, 0, func(r callResult) {
 		switch {
 		case ended:
 		case r.err == nil && in.write:
 			w.counts["acked"]++
-			w.acked[pid] = r.index
-			end(opOut{true, binary.BigEndian.Uint64(r.answer)}, true)
+			w.ackedIndexes[pid] = r.index
+			finish(opOut{true, binary.BigEndian.Uint64(r.answer)}, true)
 		case r.err == nil: // a barrier: it waits here, and reads here
 			incarnation := n.incarnation
 			var wait func()
 			wait = func() {
 				if _, index, _ := n.applier.position(); index >= r.index {
 					w.counts["reads"]++
-					end(opOut{true, n.machine.value}, true)
+					finish(opOut{true, n.machine.value}, true)
 				} else if !ended && n.incarnation == incarnation && n.up {
-					w.push(20*time.Millisecond, n, wait)
+					w.schedule(20*time.Millisecond, n, wait)
 				}
 			}
 			wait()
@@ -730,16 +730,16 @@
 			if in.write {
 				w.rejected[pid] = true
 			}
-			end(opOut{}, false)
+			finish(opOut{}, false)
 		}
 	})
 }
 
-func (w *world) call(n *modelNode, pid proposalID, in opIn, hops int, back func(callResult)) {
+func (w *world) call(n *modelNode, pid proposalID, in opIn, hops int, reply func(callResult)) {
 	if n.core != nil && n.core.isLeader() {
-		k := &pendingCall{id: pid, barrier: !in.write, done: make(chan callResult, 1)}
-		n.pendingCalls.add(k)
-		n.waiters[pid], n.waiting[pid] = k, back
+		call := &pendingCall{id: pid, barrier: !in.write, done: make(chan callResult, 1)}
+		n.pendingCalls.add(call)
+		n.callsByID[pid], n.callbacks[pid] = call, reply
 		var err error
 		if in.write {
 			err = n.core.propose(encodeCommand(pid, binary.BigEndian.AppendUint64(nil, in.value)))
@@ -747,7 +747,7 @@
 			err = n.core.readIndex(pid[:])
 		}
 		if err != nil {
-			n.pendingCalls.fail(k, err)
+			n.pendingCalls.fail(call, err)
 		}
 		w.processReady(n)
 		return
@@ -755,16 +755,16 @@
 	to := w.nodes[w.rng.IntN(w.voters)]
 	if n.core != nil {
 		if to = w.byID(n.core.status().Lead); to == nil {
-			back(callResult{err: errNoLeader})
+			reply(callResult{err: errNoLeader})
 			return
 		}
 	}
 	if hops >= 2 || to == n {
-		back(callResult{err: errNoLeader})
+		reply(callResult{err: errNoLeader})
 		return
 	}
 	w.send(n, to, func() {
-		w.call(to, pid, in, hops+1, func(r callResult) { w.send(to, n, func() { back(r) }) })
+		w.call(to, pid, in, hops+1, func(r callResult) { w.send(to, n, func() { reply(r) }) })
 	})
 }
 
@@ -783,22 +783,22 @@
 }
 
 // runModel runs a seed; the world's failure says what was wrong.
-func runModel(seed uint64, plant func(*world)) (w *world) {
+func runModel(seed uint64, configure func(*world)) (w *world) {
 	old := crand.Reader
 	crand.Reader = rand.NewChaCha8([32]byte{byte(seed), byte(seed >> 8), byte(seed >> 16), 1}) // raft draws its election times from it
 	defer func() { crand.Reader = old }()
 	w = newModel(seed, 3+2*int(seed%2), 2)
-	if plant != nil {
-		plant(w)
+	if configure != nil {
+		configure(w)
 	}
 	defer func() {
 		if p := recover(); p != nil {
 			w.fail("panic: %v", p)
 		}
 	}()
-	w.push(time.Second, nil, w.chaos)
+	w.schedule(time.Second, nil, w.injectFault)
 	for i := range 4 {
-		w.push(time.Duration(i)*100*time.Millisecond, nil, func() { w.client(i) })
+		w.schedule(time.Duration(i)*100*time.Millisecond, nil, func() { w.runClient(i) })
 	}
 	w.run(20 * time.Second)
 	w.noFaults, w.loss, w.delay = true, 0, 10*time.Millisecond
@@ -812,23 +812,23 @@
 		}
 	}
 	w.run(30 * time.Second)
-	had := w.counts["acked"]
+	ackedBefore := w.counts["acked"]
 	w.run(32 * time.Second)
 	w.ending = true
 	w.run(32*time.Second + 2*callTimeout) // until every call has ended
-	if w.counts["acked"] == had {
+	if w.counts["acked"] == ackedBefore {
 		w.fail("nothing is committed any more")
 	}
-	if !w.mayLoseVoter() && !w.keepsIdentity {
+	if !w.mayLoseVoter() && !w.reusesIdentity {
 		w.fail("a replaced voter did not join")
 	}
-	for pid := range w.acked {
-		if at := w.log[pid]; at != w.acked[pid] {
-			w.fail("acknowledged at %d, in the log at %d", w.acked[pid], at)
+	for pid := range w.ackedIndexes {
+		if at := w.committedIndexes[pid]; at != w.ackedIndexes[pid] {
+			w.fail("acknowledged at %d, in the log at %d", w.ackedIndexes[pid], at)
 		}
 	}
 	for pid := range w.rejected {
-		if w.log[pid] != 0 {
+		if w.committedIndexes[pid] != 0 {
 			w.fail("rejected, and committed")
 		}
 	}
@@ -839,7 +839,7 @@
 			if in := o.Input.(opIn); !o.Output.(opOut).answered {
 				var pid proposalID
 				binary.BigEndian.PutUint64(pid[8:], in.value)
-				if w.log[pid] == 0 {
+				if w.committedIndexes[pid] == 0 {
 					continue
 				}
 			}
@@ -850,13 +850,13 @@
 		}
 	}
 	h := fnv.New64a()
-	fmt.Fprint(h, w.trace, len(w.ops), len(w.agreed), w.counts)
+	fmt.Fprint(h, w.trace, len(w.ops), len(w.stateHashes), w.counts)
 	w.trace = h.Sum64()
 	return w
 }
 
-func seeds(short int) (first, n uint64) {
-	n = uint64(short)
+func seedRange(defaultCount int) (first, n uint64) {
+	n = uint64(defaultCount)
 	if v, err := strconv.ParseUint(os.Getenv("CONSENSUS_SEEDS"), 10, 64); err == nil {
 		n = v
 	}
@@ -865,7 +865,7 @@
 }
 
 func TestModel(t *testing.T) {
-	first, n := seeds(30)
+	first, n := seedRange(30)
 	total := map[string]int{}
 	for seed := first; seed < first+n; seed++ {
 		w := runModel(seed, nil)
@@ -876,7 +876,7 @@
 			total[k] += v
 		}
 		if seed%50 == 0 {
-			if again := runModel(seed, nil); again.trace != w.trace {
+			if replay := runModel(seed, nil); replay.trace != w.trace {
 				t.Errorf("seed %d: two plays differ", seed)
 			}
 		}
@@ -886,13 +886,13 @@
 
 // TestPlantedFaults has the model find planted faults.
 func TestPlantedFaults(t *testing.T) {
-	for name, plant := range map[string]func(*world){
-		"an answer before commit":       func(w *world) { w.earlyAnswers = true },
-		"a vote after a lost directory": func(w *world) { w.keepsIdentity = true },
+	for name, configure := range map[string]func(*world){
+		"an answer before commit":       func(w *world) { w.answersBeforeCommit = true },
+		"a vote after a lost directory": func(w *world) { w.reusesIdentity = true },
 	} {
 		found := 0
 		for seed := range uint64(60) {
-			if w := runModel(seed, plant); w.failure != "" {
+			if w := runModel(seed, configure); w.failure != "" {
 				if found++; found == 1 {
 					t.Logf("%s: seed %d: %s", name, seed, w.failure)
 				}
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -55,7 +55,7 @@
 	injectFault       func(op string) error // of the disk, for tests; nil otherwise
 
 	mu                  sync.Mutex
-	current             *engine // nil while this relay does not vote
+	currentEngine       *engine // nil while this relay does not vote
 	identity            uint64
 	disk                *disk
 	diskError           string
@@ -142,7 +142,7 @@
 	n.wg.Go(n.supervise)
 	n.wg.Go(n.followLoop)
 	n.wg.Go(n.reportLoop)
-	consume(n, n.incomingReports, n.handleReport)
+	consume(n, n.incomingReports, n.callOnReport)
 	consume(n, n.incomingReplies, func(r incomingReply) {
 		if n.options.OnReply != nil {
 			n.options.OnReply(r.leader, r.content)
@@ -195,7 +195,7 @@
 func (n *Node) engine() *engine {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.current
+	return n.currentEngine
 }
 
 // tryOnEngine runs f on the engine's goroutine, unless its queue is full.
--- a/internal/consensus/replace_test.go
+++ b/internal/consensus/replace_test.go
@@ -15,42 +15,42 @@
 	f.start("r1")
 	f.propose("r0", "a")
 	f.waitSameState()
-	votersAt := func() (at uint64, same bool) {
-		at, same = f.nodes["r1"].Status().VotersIndex, true
+	commonVotersIndex := func() (index uint64, same bool) {
+		index, same = f.nodes["r1"].Status().VotersIndex, true
 		for _, n := range f.nodes {
-			same = same && n.Status().VotersIndex == at
+			same = same && n.Status().VotersIndex == index
 		}
-		return at, same
+		return index, same
 	}
-	if at, same := votersAt(); at != 0 || !same {
+	if at, same := commonVotersIndex(); at != 0 || !same {
 		t.Fatal("as bootstrapped, and voters at ", at)
 	}
-	old := f.leader() // the leader itself
-	if err := f.nodes["v1"].Replace(context.Background(), old, "r0", f.addrs["r0"]); err != nil {
+	oldLeader := f.leader() // the leader itself
+	if err := f.nodes["v1"].Replace(context.Background(), oldLeader, "r0", f.addrs["r0"]); err != nil {
 		t.Fatal(err)
 	}
 	f.wait("the new one votes", func() bool { s := f.nodes["r0"].Status().Role; return s == RoleVoter || s == RoleLeader })
-	f.wait("the old one follows", func() bool { return f.nodes[old].Status().Role == RoleFollower })
-	f.wait("all know the index", func() bool { at, same := votersAt(); return at > 1 && same })
+	f.wait("the old one follows", func() bool { return f.nodes[oldLeader].Status().Role == RoleFollower })
+	f.wait("all know the index", func() bool { at, same := commonVotersIndex(); return at > 1 && same })
 	f.waitChangeDone("r0")
-	f.propose(old, "b")
+	f.propose(oldLeader, "b")
 	f.waitSameState()
 	other := "v0"
-	if old == other {
+	if oldLeader == other {
 		other = "v1"
 	}
 	id := f.nodes[other].Status().Identity
 	f.stop(other)
-	f.propose(old, "c") // the new one's vote is needed
+	f.propose(oldLeader, "c") // the new one's vote is needed
 	f.wait("the leader counts it as unhealthy", func() bool {
-		gone, e := make(chan bool, 1), f.nodes[f.leader()].engine()
-		e.tasks <- func() { gone <- e.core.tickCount-e.core.lastContact[id] > healthyTicks }
-		return <-gone
+		unhealthy, e := make(chan bool, 1), f.nodes[f.leader()].engine()
+		e.tasks <- func() { unhealthy <- e.core.tickCount-e.core.lastContact[id] > healthyTicks }
+		return <-unhealthy
 	})
-	if err := f.nodes["r0"].Replace(context.Background(), "r0", old, f.addrs[old]); err == nil {
+	if err := f.nodes["r0"].Replace(context.Background(), "r0", oldLeader, f.addrs[oldLeader]); err == nil {
 		t.Fatal("replaced while another voter is down")
 	}
 	f.start(other)
-	f.propose(old, "d")
+	f.propose(oldLeader, "d")
 	f.waitSameState()
 }
--- a/internal/consensus/reports.go
+++ b/internal/consensus/reports.go
@@ -154,8 +154,8 @@
 	return replies
 }
 
-// handleReport calls OnReport and passes the reply to the request that waits for it.
-func (n *Node) handleReport(r incomingReport) {
+// callOnReport calls OnReport and passes the reply to the request that waits for it.
+func (n *Node) callOnReport(r incomingReport) {
 	var reply []byte
 	if n.options.OnReport != nil {
 		reply = n.options.OnReport(r.from, r.content)
--- a/internal/consensus/stored_test.go
+++ b/internal/consensus/stored_test.go
@@ -17,16 +17,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h, err := loadFile(written)
+	loaded, err := loadFile(written)
 	if err != nil {
 		t.Fatal(err)
 	}
 	const identity = 4286738726500800039
-	if h.identity != identity || h.hardState.GetTerm() != 2 || h.hardState.GetCommit() != 1 {
-		t.Errorf("identity %d, hard state %v", h.identity, h.hardState)
+	if loaded.identity != identity || loaded.hardState.GetTerm() != 2 || loaded.hardState.GetCommit() != 1 {
+		t.Errorf("identity %d, hard state %v", loaded.identity, loaded.hardState)
 	}
 	var commands []string
-	for _, e := range h.entries {
+	for _, e := range loaded.entries {
 		if e.GetType() == pb.EntryNormal && len(e.GetData()) > 0 {
 			commands = append(commands, string(e.GetData()))
 		}
@@ -41,14 +41,14 @@
 		t.Fatal(err)
 	}
 	d := &disk{directory: dir}
-	opened, note, err := d.open(1)
-	if err != nil || note != "" {
-		t.Fatalf("opened with %v: %s", err, note)
+	opened, damage, err := d.open(1)
+	if err != nil || damage != "" {
+		t.Fatalf("opened with %v: %s", err, damage)
 	}
 	if err := d.close(); err != nil {
 		t.Fatal(err)
 	}
-	if opened.identity != identity || len(opened.entries) != len(h.entries) {
-		t.Errorf("opened as %d with %d entries, read as %d with %d", opened.identity, len(opened.entries), h.identity, len(h.entries))
+	if opened.identity != identity || len(opened.entries) != len(loaded.entries) {
+		t.Errorf("opened as %d with %d entries, read as %d with %d", opened.identity, len(opened.entries), loaded.identity, len(loaded.entries))
 	}
 }
--- a/internal/consensus/stream_follower.go
+++ b/internal/consensus/stream_follower.go
@@ -70,7 +70,7 @@
 func (n *Node) streamNotNeeded() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.current != nil && (n.leaderlessSince.IsZero() || time.Since(n.leaderlessSince) < leaderlessLimit)
+	return n.currentEngine != nil && (n.leaderlessSince.IsZero() || time.Since(n.leaderlessSince) < leaderlessLimit)
 }
 
 // streamFollower follows one voter's stream.
@@ -147,7 +147,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.followState.source, n.followState.updatedAt = f.source.name, time.Now()
-	return n.current != nil, n.current == nil || !n.leaderlessSince.IsZero()
+	return n.currentEngine != nil, n.currentEngine == nil || !n.leaderlessSince.IsZero()
 }
 
 // errOtherRecord ends a stream whose snapshot is of another record.
--- a/internal/consensus/supervisor.go
+++ b/internal/consensus/supervisor.go
@@ -16,7 +16,7 @@
 	n.openDirectory()
 	ticker := time.NewTicker(superviseInterval)
 	defer ticker.Stop()
-	var lastChangeSent, lastOpened time.Time
+	var lastChangeSent, lastOpenAttempt time.Time
 	windowStart := time.Now()
 	for {
 		e := n.engine()
@@ -42,14 +42,14 @@
 		case e != nil:
 		case n.directoryFailed():
 			n.setRole(n.roleWithoutDisk())
-			if time.Since(lastOpened) > reopenInterval {
-				lastOpened = time.Now()
+			if time.Since(lastOpenAttempt) > reopenInterval {
+				lastOpenAttempt = time.Now()
 				n.openDirectory()
 			}
 		case n.engineFailed():
 			n.setRole(RoleDiskFailed)
 		default:
-			lastChangeSent = n.seekVote(lastChangeSent)
+			lastChangeSent = n.tryBecomeVoter(lastChangeSent)
 		}
 	}
 }
@@ -66,9 +66,9 @@
 	}
 }
 
-// seekVote starts the engine if the record has this relay as a voter, bootstraps the record, or asks the leader to add this voter under its
+// tryBecomeVoter starts the engine if the record has this relay as a voter, bootstraps the record, or asks the leader to add this voter under its
 // new identity. It returns when it last did the latter.
-func (n *Node) seekVote(lastChangeSent time.Time) time.Time {
+func (n *Node) tryBecomeVoter(lastChangeSent time.Time) time.Time {
 	n.mu.Lock()
 	id := n.identity
 	n.mu.Unlock()
