--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -8,15 +8,18 @@
 	"time"
 )
 
-const forwardTimeout = time.Second // of a request to the leader that may be lost
+// forwardTimeout limits one attempt to send reports or a change proposal to the leader. Both may be
+// lost.
+const forwardTimeout = time.Second
 
-// leadershipChange is a call of OnLeadership.
+// leadershipChange holds the arguments of a queued call of Options.OnLeadership.
 type leadershipChange struct {
 	leading bool
 	term    uint64
 }
 
-// announceLeadership queues a call of OnLeadership. A full queue drops the oldest: the last state is always delivered.
+// announceLeadership queues a call of OnLeadership. If the queue is full, it drops the oldest call,
+// so that the latest state is always delivered.
 func (n *Node) announceLeadership(leading bool, term uint64) {
 	for {
 		select {
@@ -32,8 +35,9 @@
 	}
 }
 
-// otherVoters are the voters that this relay contacts, by the record or else by the options. The order begins at a place that depends on
-// this relay's name, so that followers spread over the voters.
+// otherVoters returns the voters except this relay: those in the record, and those in the options
+// that the record does not name. The list is rotated by a hash of this relay's name, so that the
+// followers spread over the voters.
 func (n *Node) otherVoters() (list []voter) {
 	voters := n.applier.voterSet()
 	addresses := map[string]string{}
@@ -56,7 +60,8 @@
 	return list
 }
 
-// knownLeader is the leader as far as this relay knows, by its engine or by the stream that it follows.
+// knownLeader returns the leader that this relay knows, from its engine or else from the stream that
+// it follows.
 func (n *Node) knownLeader() (leader voter, isSelf, known bool) {
 	if e := n.engine(); e != nil {
 		v := e.view.Load()
@@ -80,7 +85,8 @@
 	return voter{}, false, false
 }
 
-// leaderCandidates are the relays to contact in order to reach the leader: the leader itself if it is known, then the voters.
+// leaderCandidates returns the relays to contact in order to reach the leader: the leader itself if
+// it is known, then the voters.
 func (n *Node) leaderCandidates() []voter {
 	list := n.otherVoters()
 	if leader, isSelf, ok := n.knownLeader(); ok && !isSelf {
@@ -89,7 +95,8 @@
 	return list
 }
 
-// handleAtLeader has the leader handle a request: here, or by forwarding it once. A body begins with the number of times it was forwarded.
+// handleAtLeader handles a request here if this relay is the leader, and otherwise forwards it to
+// the leader. A request is forwarded once at most: its body begins with the number of times it was.
 func (n *Node) handleAtLeader(ctx context.Context, kind requestKind, body []byte, handle func(reader) []byte) []byte {
 	r := reader{rest: body}
 	hops := r.uint()
--- a/internal/consensus/lifecycle.go
+++ b/internal/consensus/lifecycle.go
@@ -8,10 +8,12 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// reasonReplaced is part of Status.IdentityReason, as are the errors that a directory was found damaged or outdated with.
+// reasonReplaced is a value of Status.IdentityReason. The other values are texts of the errors that
+// report a damaged or outdated directory.
 const reasonReplaced = "replaced as a voter"
 
-// openDirectory reads the directory, and starts the engine if it held a voter's log.
+// openDirectory opens the directory, and starts the engine if the directory holds a voter's log. A
+// relay without a directory only draws an identity.
 func (n *Node) openDirectory() {
 	if n.options.Dir == "" {
 		n.mu.Lock()
@@ -48,7 +50,7 @@
 	}
 }
 
-// resumeEngine starts the engine with the log that the directory held.
+// resumeEngine starts the engine with the log that the directory holds.
 func (n *Node) resumeEngine(stored storedState, d *disk) error {
 	s, err := decodeSnapshot(stored.snapshot)
 	if err != nil {
@@ -72,7 +74,8 @@
 	return nil
 }
 
-// joinAsVoter starts the engine of a relay that the record has made a voter, with the state that it has applied as a follower.
+// joinAsVoter starts the engine of a relay that the record lists as a voter, with the state that the
+// relay has applied as a follower.
 func (n *Node) joinAsVoter() {
 	s, encoded := n.snapshotNow()
 	n.mu.Lock()
@@ -119,7 +122,9 @@
 	}
 }
 
-// engineEnded handles an engine that ended by itself: it was removed, its directory is outdated, or it failed.
+// engineEnded handles an engine that ended without a call of stop. If this voter was removed or its
+// directory is outdated, the relay gets a new identity. If the engine failed, the relay does not vote
+// until it is restarted.
 func (n *Node) engineEnded(e *engine) {
 	n.mu.Lock()
 	n.currentEngine = nil
@@ -139,7 +144,8 @@
 	}
 }
 
-// resetIdentity gives this relay a new identity and an empty log: whatever it has voted for belongs to the old identity.
+// resetIdentity gives this relay a new identity and an empty log. The votes that the relay has cast
+// belong to the old identity.
 func (n *Node) resetIdentity(d *disk, reason string) {
 	id := randomID()
 	if d != nil {
@@ -154,7 +160,7 @@
 	n.log().Warn("consensus: " + reason + ": a new identity")
 }
 
-// abandonDisk closes a disk that failed; the supervisor opens the directory again.
+// abandonDisk closes a disk that failed. The supervisor opens the directory again.
 func (n *Node) abandonDisk(err error) {
 	n.mu.Lock()
 	d := n.disk
--- a/internal/consensus/messages.go
+++ b/internal/consensus/messages.go
@@ -7,14 +7,16 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// peerMessages are raft messages from another voter, with the positions that it knows of all voters if one is a heartbeat.
+// peerMessages are raft messages from another voter. With a heartbeat, the sender also passes on the
+// log positions of all voters that it knows.
 type peerMessages struct {
 	from         uint64
 	acknowledged map[uint64]logPosition
 	messages     []*pb.Message
 }
 
-// encodeMessages encodes raft messages for one voter. They carry the sender's identity; its name is in the envelope.
+// encodeMessages encodes raft messages for one voter. They carry the sender's identity; the sender's
+// name is in the envelope of the request.
 func encodeMessages(from uint64, acknowledged map[uint64]logPosition, messages [][]byte) []byte {
 	b := putUints(nil, from, uint64(len(acknowledged)))
 	return putList(putPositions(b, acknowledged), messages)
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -20,7 +20,7 @@
 	leadershipQueueSize      = 16
 )
 
-// Node is one relay's part in the record.
+// Node runs one relay's copy of the record, as a voter or as a follower.
 type Node struct {
 	options   Options
 	address   string
@@ -35,8 +35,8 @@
 	transport    *transport
 	replayGuard  replayGuard
 	server       *http.Server
-	requestSlots chan struct{} // one for each request being served, streams excepted
-	largeSlot    chan struct{} // for one large request
+	requestSlots chan struct{} // holds one element for each request being served, except streams
+	largeSlot    chan struct{} // holds one element while a large request is served
 	streamCount  atomic.Int64
 
 	applier          *applier
@@ -49,7 +49,7 @@
 	leadership      chan leadershipChange
 	incomingReports chan incomingReport
 	incomingReplies chan incomingReply
-	replyWaiters    chan struct{} // one for each request that waits for replies
+	replyWaiters    chan struct{} // holds one element for each request that waits for replies
 
 	bytesIn, bytesOut atomic.Uint64
 	injectFault       func(op string) error // of the disk, for tests; nil otherwise
@@ -63,7 +63,7 @@
 	identityReason      string
 	duplicateNames      []string
 	role                string
-	bootstrapID         uint64 // the record that another voter is about to bootstrap with this one
+	bootstrapID         uint64 // the record for whose bootstrap by another voter this relay is reserved; 0 for none
 	bootstrapReservedAt time.Time
 	dropped             map[string]uint64
 	rejected            map[string]uint64
@@ -72,16 +72,18 @@
 	followState         followStatus
 	hasQuorum           bool
 	quorumSince         time.Time
-	leaderlessSince     time.Time // since when the engine knows no leader; zero if it knows one
+	leaderlessSince     time.Time // when the engine started or lost its leader; zero if it knows one, or without an engine
 }
 
+// randomID returns a random, non-zero number of at most 62 bits.
 func randomID() uint64 {
 	var b [8]byte
-	_, _ = crand.Read(b[:]) // it never fails: the process would end first
+	_, _ = crand.Read(b[:]) // returns no error: crypto/rand ends the process instead
 	return binary.BigEndian.Uint64(b[:])>>2 | 1
 }
 
-// Start starts a node. An unusable directory is no error: the node starts without a vote and reports it in Status.
+// Start starts a node. It fails if the options are invalid or the relay cannot listen. A directory
+// that cannot be used is not an error: the node starts without a vote and reports it in Status.
 func Start(o Options) (*Node, error) { return startWithFaults(o, nil) }
 
 // startWithFaults starts a node whose disk fails where injectFault returns an error.
@@ -174,7 +176,7 @@
 	})
 }
 
-// Close stops the node and waits for its goroutines; it closes its connections and files.
+// Close stops the node, waits for its goroutines, and closes its connections and files.
 func (n *Node) Close() error {
 	n.closeOnce.Do(func() {
 		close(n.quit)
@@ -186,19 +188,20 @@
 	return n.closeErr
 }
 
-// Addr is the address that the node listens on.
+// Addr returns the address that the node listens on.
 func (n *Node) Addr() string { return n.address }
 
 func (n *Node) log() logrus.FieldLogger { return n.options.Log }
 
-// engine is this voter's engine; nil while this relay does not vote.
+// engine returns this voter's engine, or nil while this relay does not vote.
 func (n *Node) engine() *engine {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.currentEngine
 }
 
-// tryOnEngine runs f on the engine's goroutine, unless its queue is full.
+// tryOnEngine queues f to run on the engine's goroutine. If the queue is full, f is dropped and
+// counted.
 func (n *Node) tryOnEngine(f func(*engine)) {
 	if e := n.engine(); e != nil {
 		select {
@@ -209,7 +212,7 @@
 	}
 }
 
-// onEngine runs f on the engine's goroutine, as soon as its queue has capacity. It does not wait.
+// onEngine queues f to run on the engine's goroutine once the queue has capacity. It does not block.
 func (n *Node) onEngine(f func(*engine)) {
 	e := n.engine()
 	if e == nil {
--- a/internal/consensus/peer_status.go
+++ b/internal/consensus/peer_status.go
@@ -7,23 +7,24 @@
 
 const peerStatusTimeout = time.Second
 
-// The states of a relay for a voter that wants to bootstrap a record.
+// The states that a relay reports to a voter that wants to bootstrap a record.
 const (
-	peerEmpty       = 0 // it knows no record, and its directory holds no log
+	peerEmpty       = 0 // it has no record, and its directory holds no log
 	peerHasRecord   = 1
-	peerUnavailable = 2 // neither: it is reserved for another bootstrap, or cannot vote
+	peerUnavailable = 2 // it is reserved for another bootstrap, or cannot vote
 )
 
-// peerStatus is what a relay tells another of itself.
+// peerStatus is a relay's status as it reports it to another relay.
 type peerStatus struct {
 	state, identity, recordID, index uint64
 	voters                           voterSet
-	acknowledged                     logPosition // the asking voter's, as this one remembers it
-	knowsVoter                       bool        // it has an engine whose voters include the asking one
-	hasQuorum                        bool        // it has an engine that knows a leader
+	acknowledged                     logPosition // of the asking voter, as far as this relay knows
+	knowsVoter                       bool        // this relay runs an engine whose voters include the asking one
+	hasQuorum                        bool        // this relay runs an engine that knows a leader
 }
 
-// handlePeerStatus answers a request for this relay's status. With a bootstrap id it also reserves this relay for that bootstrap.
+// handlePeerStatus answers a request for this relay's status. A bootstrap id other than 0 also
+// reserves this relay for that bootstrap.
 func (n *Node) handlePeerStatus(body []byte) []byte {
 	r := reader{rest: body}
 	identity, bootstrapID := r.uint(), r.uint()
@@ -44,7 +45,8 @@
 	return status.encode()
 }
 
-// reserveForBootstrap returns this relay's state and identity. If it is empty it is reserved for that bootstrap; 0 reserves nothing.
+// reserveForBootstrap returns this relay's state and identity. If the relay is empty and bootstrapID
+// is not 0, the relay is reserved for that bootstrap.
 func (n *Node) reserveForBootstrap(bootstrapID, recordID uint64, e *engine) (state, identity uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -75,7 +77,8 @@
 	return s, r.finish()
 }
 
-// queryPeer asks a relay for its status, as the voter of that identity (0: none), and reserves it for a bootstrap (0: none).
+// queryPeer asks a relay for its status. The identity is that of the asking voter, or 0. A
+// bootstrapID other than 0 also reserves the relay for that bootstrap.
 func (n *Node) queryPeer(to voter, identity, bootstrapID uint64) (s peerStatus, err error) {
 	ctx, cancel := context.WithTimeout(n.ctx, peerStatusTimeout)
 	defer cancel()
--- a/internal/consensus/pending_calls.go
+++ b/internal/consensus/pending_calls.go
@@ -4,7 +4,7 @@
 
 const maxPendingCalls = 1024
 
-// pendingCalls are this relay's proposals and barriers that wait for their results.
+// pendingCalls holds the proposals and barriers at this relay's engine that wait for their results.
 type pendingCalls struct {
 	mu      sync.Mutex
 	byID    map[proposalID]*pendingCall
@@ -14,9 +14,9 @@
 type pendingCall struct {
 	id      proposalID
 	command []byte
-	index   uint64 // of the proposal's entry; 0 before it has one
+	index   uint64 // of the proposal's log entry; 0 before it is assigned
 	barrier bool
-	done    chan callResult // holds one
+	done    chan callResult // has capacity for the result
 }
 
 type callResult struct {
@@ -38,7 +38,7 @@
 	return true
 }
 
-// assignIndex notes the index of a proposal's entry.
+// assignIndex records the index of a proposal's log entry.
 func (p *pendingCalls) assignIndex(id proposalID, index uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -53,12 +53,14 @@
 	p.completeCommitted(index, id, callResult{answer: answer, index: index})
 }
 
-// completeSkipped completes the call of a proposal that a stream had applied before this node knew of the call: its result is lost.
+// completeSkipped completes the call of a proposal whose entry was already applied from a stream
+// before the call was registered: its result is lost.
 func (p *pendingCalls) completeSkipped(index uint64, id proposalID) {
 	p.completeCommitted(index, id, callResult{err: ErrOutcomeUnknown})
 }
 
-// completeCommitted completes the call of a committed proposal. Another proposal that had this index will never be committed.
+// completeCommitted completes the call of a committed proposal. A different proposal that had the
+// same index can no longer be committed, and fails with ErrNoQuorum.
 func (p *pendingCalls) completeCommitted(index uint64, id proposalID, r callResult) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,7 +81,7 @@
 	}
 }
 
-// fail completes a call with an error, unless it is complete.
+// fail completes a call with an error, unless the call is already complete.
 func (p *pendingCalls) fail(call *pendingCall, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -94,7 +96,7 @@
 	}
 }
 
-// complete needs p.mu.
+// complete removes a call and delivers its result, unless that is already done. The caller holds p.mu.
 func (p *pendingCalls) complete(call *pendingCall, r callResult) {
 	if p.byID[call.id] != call {
 		return
--- a/internal/consensus/raft_logger.go
+++ b/internal/consensus/raft_logger.go
@@ -6,7 +6,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// raftLogger is the raft library's log, at debug level. Where the library wants the process to end it panics, which ends the engine alone.
+// raftLogger passes on the log of the raft library, with info messages and formatted warnings at
+// debug level. Where the library expects the process to end, it panics, which ends only the engine.
 type raftLogger struct{ logrus.FieldLogger }
 
 func (r raftLogger) Info(v ...any)                    { r.Debug(v...) }
--- a/internal/consensus/replace.go
+++ b/internal/consensus/replace.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// changeInterval is how often a voter under a new identity repeats its change proposal.
+// changeInterval is the interval at which a voter under a new identity repeats its change proposal.
 const changeInterval = time.Second
 
-// Replace makes the relay newName, at address, a voter in the place of oldName. The new relay has to run already. It returns when the
-// record has the change; it is rejected unless all other voters are healthy, or while another change is in progress. If both names are
-// equal, only the address changes.
+// Replace makes the relay newName, at address, a voter in place of oldName, and returns once the
+// record contains the change. The new relay must be running. The leader rejects the change if any
+// other voter is unhealthy or another change is in progress. If both names are equal, only the
+// address changes.
 func (n *Node) Replace(ctx context.Context, oldName, newName, address string) error {
 	ctx, cancel := context.WithTimeout(ctx, ProposeTimeout)
 	defer cancel()
@@ -39,7 +40,7 @@
 	}
 }
 
-// replacementIdentity is the identity of the relay that becomes a voter.
+// replacementIdentity returns the identity of the relay that becomes a voter.
 func (n *Node) replacementIdentity(oldName, newName, address string) (identity uint64, err error) {
 	switch newName {
 	case oldName:
@@ -64,7 +65,8 @@
 	return identity, nil
 }
 
-// submitChange has the leader take an operator's change proposal. It makes attempts until a relay has acted on one.
+// submitChange sends an operator's change proposal to the leader. It makes attempts until a relay
+// has accepted or rejected one, or may have acted on it.
 func (n *Node) submitChange(ctx context.Context, body []byte) error {
 	for {
 		var candidates []voter
@@ -99,7 +101,7 @@
 	}
 }
 
-// sendChange asks the leader to add this voter under its new identity.
+// sendChange asks the leader to make this relay a voter under its new identity.
 func (n *Node) sendChange(p changeProposal) {
 	for _, v := range n.leaderCandidates() {
 		ctx, cancel := context.WithTimeout(n.ctx, forwardTimeout)
@@ -111,7 +113,8 @@
 	}
 }
 
-// handleChange takes a change proposal at the leader. An operator's is rejected if it is not allowed now; a voter's own waits.
+// handleChange adds a change proposal at the leader. An operator's proposal is rejected if the change
+// is not allowed now; a voter's own proposal waits until it is.
 func (n *Node) handleChange(ctx context.Context, body []byte) []byte {
 	return n.handleAtLeader(ctx, requestChange, body, func(r reader) []byte {
 		p := r.changeProposal()
--- a/internal/consensus/replay_guard.go
+++ b/internal/consensus/replay_guard.go
@@ -9,27 +9,32 @@
 )
 
 const (
-	replayWindow       = 4096 // how far behind the newest sequence number a request may come; at most maxRequests are in flight
-	maxSenders         = 1024
-	duplicateThreshold = 3 // restarts of a name within duplicateWindow, if two relays have it
+	// replayWindow is how far a sequence number may be behind the newest one. It exceeds maxRequests,
+	// the number of requests that a relay serves at a time.
+	replayWindow = 4096
+	maxSenders   = 1024
+	// duplicateThreshold is the number of restarts of a name within duplicateWindow from which two
+	// relays are taken to have that name.
+	duplicateThreshold = 3
 )
 
-// Why a verified request is rejected. The texts are keys of Status.Rejected.
+// Reasons to reject a verified request. The text of errReplayed is a key of Status.Rejected.
+// errWrongEpoch and errStaleStart are answered with codeWrongEpoch and codeStaleStart, uncounted.
 var (
-	errWrongEpoch = errors.New("epoch")
-	errStaleStart = errors.New("old")
-	errReplayed   = errors.New("repeated")
+	errWrongEpoch = errors.New("epoch")    // sealed for another process of the receiver
+	errStaleStart = errors.New("old")      // the sender's start is lower than one already received
+	errReplayed   = errors.New("repeated") // the sequence number was received before, or is too old
 )
 
-// replayGuard rejects requests that were received before. Its memory is bounded.
+// replayGuard rejects requests that were received before. It remembers at most maxSenders senders.
 type replayGuard struct {
 	mu       sync.Mutex
-	epoch    uint64 // drawn at the start; it never changes
+	epoch    uint64 // random, drawn when the node starts
 	senders  map[string]*senderWindow
-	restarts map[string]int // by name: how often a start increased, in this window
+	restarts map[string]int // by name: how often a start increased in the current duplicateWindow
 }
 
-// senderWindow is a sender's start, and which of its last sequence numbers were received.
+// senderWindow is a sender's start, and which of its last replayWindow sequence numbers were received.
 type senderWindow struct {
 	start, newest uint64
 	received      [replayWindow / 64]uint64
@@ -39,7 +44,8 @@
 	return &w.received[sequence%replayWindow/64], 1 << (sequence % 64)
 }
 
-// admit says whether a request counts. With errStaleStart it returns the start that the sender has to exceed.
+// admit returns nil for a request that was not received before, and records it. With errStaleStart it
+// also returns the start that the sender has to exceed.
 func (g *replayGuard) admit(req envelope) (start uint64, err error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -77,7 +83,7 @@
 	return 0, nil
 }
 
-// noteRestart notes that a name's start increased. It needs g.mu.
+// noteRestart counts an increase of a name's start. The caller holds g.mu.
 func (g *replayGuard) noteRestart(name string) {
 	if g.restarts == nil {
 		g.restarts = map[string]int{}
@@ -91,8 +97,9 @@
 	g.noteRestart(name)
 }
 
-// duplicateNames are the names under which two relays seem to send: each makes the other's numbers stale, so that both restart repeatedly. A
-// relay that is restarted does so once.
+// duplicateNames returns the names under which two relays seem to send. Each of the two makes the
+// other's start stale, so that both raise their starts repeatedly; a relay that is restarted does so
+// once. At the end of a window the counts are reset.
 func (g *replayGuard) duplicateNames(endOfWindow bool) (names []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/consensus/reports.go
+++ b/internal/consensus/reports.go
@@ -11,26 +11,30 @@
 	reportInterval       = time.Second
 	maxQueuedReports     = 256
 	maxQueuedReportBytes = 256 << 10
-	reportQueueSize      = 1024                   // reports that wait for OnReport
-	replyQueueSize       = 256                    // replies that wait for OnReply
-	maxReplyWaiters      = 256                    // requests that wait for replies: half of maxRequests
-	replyTimeout         = 300 * time.Millisecond // less than forwardTimeout: a sender that gave up would send its reports again elsewhere
+	reportQueueSize      = 1024 // reports that wait for OnReport
+	replyQueueSize       = 256  // replies that wait for OnReply
+	maxReplyWaiters      = 256  // requests that wait for replies: half of maxRequests
+	// replyTimeout is less than forwardTimeout: a sender whose request timed out would send the same
+	// reports to another voter.
+	replyTimeout = 300 * time.Millisecond
 )
 
-// incomingReport is a call of OnReport.
+// incomingReport holds the arguments of a queued call of OnReport, and the channel for its reply.
 type incomingReport struct {
 	from    string
 	content []byte
 	reply   chan<- []byte // has capacity for the reply
 }
 
-// incomingReply is a call of OnReply.
+// incomingReply holds the arguments of a queued call of OnReply.
 type incomingReply struct {
 	leader  string
 	content []byte
 }
 
-// Report sends a report to the leader, within about a second, possibly never: a full queue drops it (ErrQueueFull) and counts.
+// Report queues a report to the leader, which is sent within about a second and may be lost. It
+// returns ErrTooLarge if the report exceeds MaxReportSize, and ErrQueueFull if the queue is full: the
+// report is then dropped and counted in Status.Dropped.
 func (n *Node) Report(report []byte) error {
 	if len(report) > MaxReportSize {
 		return ErrTooLarge
@@ -46,7 +50,8 @@
 	return nil
 }
 
-// reportLoop sends the queued reports to the leader. What does not arrive is lost, and counted.
+// reportLoop sends the queued reports to the leader every reportInterval. A batch that no relay
+// accepts is lost, and counted once.
 func (n *Node) reportLoop() {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
@@ -66,7 +71,8 @@
 	}
 }
 
-// deliverReports sends reports to the leader, by another voter if need be, and queues the replies.
+// deliverReports sends reports to the leader, directly or through another voter, and queues the
+// replies. It returns false if no relay accepted the reports.
 func (n *Node) deliverReports(reports [][]byte) bool {
 	if _, isSelf, _ := n.knownLeader(); isSelf {
 		n.queueReplies(n.options.Name, n.processReports(n.ctx, n.options.Name, reports))
@@ -92,7 +98,8 @@
 	return false
 }
 
-// reportCandidates are the leader candidates, with the voter whose stream is followed first: it has a connection to the leader.
+// reportCandidates returns the leader candidates, beginning with the voter whose stream this relay
+// follows, since that voter has a connection to the leader.
 func (n *Node) reportCandidates() []voter {
 	candidates := n.leaderCandidates()
 	n.mu.Lock()
@@ -104,7 +111,8 @@
 	return candidates
 }
 
-// handleReports takes the reports of another relay, or forwards them to the leader.
+// handleReports processes the reports of another relay if this one is the leader, and otherwise
+// forwards them to the leader.
 func (n *Node) handleReports(ctx context.Context, body []byte) []byte {
 	return n.handleAtLeader(ctx, requestReport, body, func(r reader) []byte {
 		from, reports := r.string(), r.list(maxQueuedReports)
@@ -115,8 +123,8 @@
 	})
 }
 
-// processReports queues reports at the leader and waits for the replies: for replyTimeout at most, and not if too many requests wait
-// already. The reports count in any case.
+// processReports queues reports at the leader and waits for the replies, for at most replyTimeout.
+// If maxReplyWaiters requests wait already, it queues the reports and returns without replies.
 func (n *Node) processReports(ctx context.Context, from string, reports [][]byte) (replies [][]byte) {
 	reply := make(chan []byte, len(reports))
 	queued := 0
--- a/internal/consensus/server.go
+++ b/internal/consensus/server.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	maxRequests = 512 // in flight at a time, streams excepted
+	maxRequests = 512 // served at a time, except streams
 	readTimeout = 10 * time.Second
 )
 
@@ -37,7 +37,7 @@
 		return
 	}
 	timeout := readTimeout
-	if r.ContentLength > maxSmallRequest { // its sender is not verified yet: one at a time
+	if r.ContentLength > maxSmallRequest { // one at a time, since the sender is not verified yet
 		select {
 		case n.largeSlot <- struct{}{}:
 			defer func() { <-n.largeSlot }()
@@ -61,7 +61,8 @@
 	n.respond(w, req, n.handle(r.Context(), req))
 }
 
-// readRequest reads a request and checks its envelope. If it is not ok, the request is answered.
+// readRequest reads a request and verifies its envelope. If it returns false, the request is already
+// answered or counted, and the caller has nothing left to do.
 func (n *Node) readRequest(w http.ResponseWriter, rc *http.ResponseController, r *http.Request, timeout time.Duration) (req envelope, ok bool) {
 	body, rejected := readBody(rc, r, timeout)
 	if rejected != "" {
@@ -89,7 +90,8 @@
 	return req, false
 }
 
-// readBody reads a request's body within a timeout. It returns the key to count a failure under.
+// readBody reads a request's body within timeout. If that fails, it returns the key of
+// Status.Rejected to count the request under.
 func readBody(rc *http.ResponseController, r *http.Request, timeout time.Duration) (body []byte, rejected string) {
 	if err := rc.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		return nil, rejectedDeadline
@@ -107,7 +109,7 @@
 // respond writes a sealed response.
 func (n *Node) respond(w http.ResponseWriter, req envelope, body []byte) {
 	sealed := sealAnswer(req.key, req.tag, 0, body)
-	if req.kind == requestFollow { // the response is a frame of a stream
+	if req.kind == requestFollow { // the sender expects a frame of a stream
 		sealed = append(binary.BigEndian.AppendUint32(nil, uint32(len(sealed))), sealed...)
 	}
 	w.Header()["Date"] = nil
@@ -133,7 +135,7 @@
 	return rejection(errMalformed)
 }
 
-// handleMessages hands raft messages to the engine.
+// handleMessages passes raft messages to the engine.
 func (n *Node) handleMessages(body []byte) []byte {
 	p, err := decodeMessages(body)
 	e := n.engine()
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -8,14 +8,14 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// recordSnapshot is the whole record as of an index.
+// recordSnapshot is the complete record as of an index.
 type recordSnapshot struct {
 	recordID     uint64
 	index, term  uint64
 	confState    []byte
 	voters       voterSet
 	machineState []byte
-	votersIndex  uint64 // the index at which voters were committed; 0 as bootstrapped
+	votersIndex  uint64 // the index at which voters were committed; 0 for the voters of the bootstrap
 }
 
 func (s recordSnapshot) encode() []byte {
@@ -33,13 +33,15 @@
 	return s, proto.Unmarshal(s.confState, &confState)
 }
 
-// bootstrapSnapshot is the beginning of a record, at index 1, with the voters that bootstrap it.
+// bootstrapSnapshot returns the first snapshot of a record, at index 1, with the voters that
+// bootstrap it.
 func bootstrapSnapshot(recordID uint64, voters voterSet, machineState []byte) (recordSnapshot, error) {
 	confState, err := proto.MarshalOptions{Deterministic: true}.Marshal(&pb.ConfState{Voters: voters.ids(), AutoLeave: new(false)})
 	return recordSnapshot{recordID: recordID, index: 1, term: 1, confState: confState, voters: voters, machineState: machineState}, err
 }
 
-// newStorage makes raft's storage of a snapshot, decoded and encoded, and what follows it.
+// newStorage returns raft storage with a snapshot, given both decoded and encoded, and with the hard
+// state and entries that follow it. The hard state may be nil.
 func newStorage(s recordSnapshot, encoded []byte, hardState *pb.HardState, entries []*pb.Entry) (*raft.MemoryStorage, error) {
 	confState := &pb.ConfState{}
 	if err := proto.Unmarshal(s.confState, confState); err != nil {
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -8,51 +8,54 @@
 
 // Roles in a Status. Their values are part of the status page's JSON.
 const (
-	RoleLeader     = "leader"
-	RoleVoter      = "voter"
-	RoleFollower   = "follower" // not a voter: it follows a voter's stream
-	RoleJoining    = "waiting"  // a voter by name that is not yet in the raft configuration: it bootstraps the record or waits to be added; it follows meanwhile
-	RoleDiskFailed = "mute"     // a voter whose disk fails: it does not vote, and follows
+	RoleLeader   = "leader"
+	RoleVoter    = "voter"
+	RoleFollower = "follower" // not a voter: it follows a voter's stream
+	// RoleJoining is the role of a relay that has a voter's name but is not in the raft configuration
+	// yet. It bootstraps the record or waits until it is added, and follows a voter's stream meanwhile.
+	RoleJoining    = "waiting"
+	RoleDiskFailed = "mute" // a voter whose disk or engine failed: it does not vote, and follows a stream
 )
 
 // The keys of Status.Dropped, which are part of the status page's JSON.
 const (
-	droppedTasks           = "others"      // the engine's queue was full
+	droppedTasks           = "others"      // functions queued by tryOnEngine: the engine's queue was full
 	droppedMessages        = "steps"       // raft messages from other voters: the engine's queue was full
 	droppedSender          = "sender"      // raft messages that name another sender than their request
-	droppedCalls           = "calls"       // the engine's queue was full
-	droppedPendingCalls    = "pending"     // too many calls in flight
+	droppedCalls           = "calls"       // proposals and barriers: the engine's queue was full
+	droppedPendingCalls    = "pending"     // proposals and barriers: maxPendingCalls wait already
 	droppedRaftMessages    = "engine"      // raft messages to another voter: its queue was full
 	droppedMarshal         = "marshal"     // raft messages that could not be encoded
-	droppedUnreachable     = "unreachable" // raft messages that another voter did not acknowledge
-	droppedRequests        = "requests"    // too many requests in flight
-	droppedLargeRequests   = "large"
-	droppedResponses       = "answers" // the connection failed
-	droppedStreams         = "streams" // too many followers, or a malformed request
-	droppedLeadership      = "led"     // changes of leadership that a newer one replaced
-	droppedReports         = "said"    // this relay's reports: its queue was full
-	droppedUndelivered     = "unheard" // this relay's reports: no voter took them
-	droppedIncomingReports = "heard"   // reports at the leader: its queue was full
-	droppedUnanswered      = "unanswered"
-	droppedReplySize       = "answersize"
-	droppedReplies         = "told" // replies to this relay: its queue was full
+	droppedUnreachable     = "unreachable" // requests with raft messages that another voter did not answer
+	droppedRequests        = "requests"    // requests: maxRequests are served already
+	droppedLargeRequests   = "large"       // large requests: another one is served already
+	droppedResponses       = "answers"     // responses: the connection failed
+	droppedStreams         = "streams"     // streams: too many followers, or a malformed request
+	droppedLeadership      = "led"         // changes of leadership: the queue was full, and a newer one replaced them
+	droppedReports         = "said"        // this relay's reports: its queue was full
+	droppedUndelivered     = "unheard"     // batches of this relay's reports: no voter accepted them
+	droppedIncomingReports = "heard"       // reports at the leader: its queue was full
+	droppedUnanswered      = "unanswered"  // requests with reports: no wait for the replies, or a time-out
+	droppedReplySize       = "answersize"  // replies: larger than MaxReplySize
+	droppedReplies         = "told"        // replies to this relay: its queue was full
 )
 
-// The keys of Status.Rejected beside the errors of the envelope check.
+// The keys of Status.Rejected, besides the texts of the errors that the envelope check returns.
 const (
-	rejectedPath     = "path"
-	rejectedSize     = "size"
-	rejectedDeadline = "deadline"
-	rejectedRead     = "read"
+	rejectedPath     = "path"     // not a POST to endpointPath
+	rejectedSize     = "size"     // no content length, or more than maxLargeRequest
+	rejectedDeadline = "deadline" // the connection's read deadline could not be set
+	rejectedRead     = "read"     // the body could not be read in time
 )
 
 // duplicateWindow is the period over which restarts of one name are counted.
 const duplicateWindow = 5 * time.Second
 
-// Status is a node's view of itself and of the record. The JSON names are those of the status page.
+// Status is a node's own state and its view of the record. The JSON names are those of the status
+// page.
 type Status struct {
 	Name, Role, Leader string
-	RecordID           uint64 `json:"Record"` // drawn at the bootstrap; 0 before
+	RecordID           uint64 `json:"Record"` // random, drawn at the bootstrap; 0 before
 	Identity           uint64 // of this relay's directory; a voter's raft id
 	Term               uint64
 	Applied, Committed uint64
@@ -64,15 +67,17 @@
 	QuorumSince        time.Time `json:"Since"`    // when HasQuorum last changed
 	StreamSource       string    `json:"Follows"`  // the voter whose stream is followed, if any
 	Voters             map[string]string
-	VotersIndex        uint64 `json:"VotersAt"` // the index at which these voters were committed; 0 as bootstrapped
+	VotersIndex        uint64 `json:"VotersAt"` // the index at which these voters were committed; 0 for those of the bootstrap
 	BytesIn, BytesOut  uint64 // of HTTP connections, headers included
 	Dropped            map[string]uint64
 	Rejected           map[string]uint64 `json:"Refused"` // requests rejected by the envelope check, by reason
 	DiskError          string            `json:"Disk"`    // the disk's last error; "" if it works
-	EngineError        string            `json:"Engine"`  // why the engine ended, or what blocks a change of voters; "" if nothing does
-	// DuplicateNames are names, its own included, under which two relays seem to send, or one that restarts repeatedly, as seen in the last seconds.
+	EngineError        string            `json:"Engine"`  // why the engine failed, or what blocks a change of voters; "" if neither
+	// DuplicateNames are the names, this relay's own included, under which two relays seem to send or
+	// one relay restarts repeatedly, as seen in the last seconds.
 	DuplicateNames []string `json:"Twins"`
-	// IdentityReason says how this voter got its identity if that was not its first: such as after it lost its directory.
+	// IdentityReason says why this relay took a new identity since its process started: its directory
+	// was damaged or outdated, or it was replaced as a voter. It is empty otherwise.
 	IdentityReason string `json:"Taken"`
 }
 
@@ -110,7 +115,8 @@
 	return s
 }
 
-// updateQuorum notes whether a leader with a quorum is known, and for how long a voter has known none.
+// updateQuorum updates whether a leader with a quorum is known, since when the engine knows no
+// leader, and the role.
 func (n *Node) updateQuorum() {
 	hasQuorum := false
 	role := ""
@@ -146,7 +152,8 @@
 	}
 }
 
-// updateDuplicateNames adds newly found duplicate names; at the end of a window it drops those not found in it.
+// updateDuplicateNames adds newly found duplicate names. At the end of a window it drops the names
+// that were not found in it.
 func (n *Node) updateDuplicateNames(endOfWindow bool) {
 	names := n.replayGuard.duplicateNames(endOfWindow)
 	n.mu.Lock()
@@ -168,14 +175,15 @@
 	n.role = role
 }
 
-// countDropped counts what a full queue or a failed connection lost, under one of the dropped keys.
+// countDropped counts a loss under one of the dropped keys.
 func (n *Node) countDropped(key string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.dropped[key]++
 }
 
-// countRejected counts a request that was not let in, under one of the rejected keys or an envelope error.
+// countRejected counts a rejected request under one of the rejected keys, or under the text of an
+// error of the envelope check.
 func (n *Node) countRejected(key string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/consensus/stream_follower.go
+++ b/internal/consensus/stream_follower.go
@@ -12,19 +12,24 @@
 )
 
 const (
-	streamTimeout          = 2 * time.Second  // a silent stream is broken after this
-	preferredRetryInterval = 10 * time.Second // how often a follower of another voter checks whether its preferred one is healthy again
-	leaderlessLimit        = 2 * time.Second  // a voter without a leader for longer follows a stream too: it may have been replaced
-	followRetryDelay       = 50 * time.Millisecond
+	// streamTimeout is the longest time between two frames of a stream that works.
+	streamTimeout = 2 * time.Second
+	// preferredRetryInterval is how often a follower of another voter checks whether its preferred one
+	// is healthy again.
+	preferredRetryInterval = 10 * time.Second
+	// leaderlessLimit is how long a voter may be without a leader before it follows a stream too: it
+	// may have been replaced.
+	leaderlessLimit  = 2 * time.Second
+	followRetryDelay = 50 * time.Millisecond
 )
 
-// Why a stream that did not fail is ended, to be opened again at once if it is still needed.
+// Reasons to end a stream that did not fail. It is opened again at once if it is still needed.
 var (
 	errStreamNotNeeded = errors.New("the engine knows a leader again")
 	errStreamRetry     = errors.New("rejected unread: sent again with the current epoch and start")
 )
 
-// followStatus is what the followed stream last reported.
+// followStatus is the state that the followed stream last reported.
 type followStatus struct {
 	source, leader string // names of voters
 	hasQuorum      bool
@@ -32,7 +37,7 @@
 	commitIndex    uint64
 }
 
-// followLoop follows a voter's stream whenever this node has no engine that knows a leader.
+// followLoop follows a voter's stream while this node has no engine that knows a leader.
 func (n *Node) followLoop() {
 	next := 0
 	for {
@@ -66,7 +71,7 @@
 	}
 }
 
-// streamNotNeeded says whether the engine knows a leader, or knew one a moment ago.
+// streamNotNeeded reports whether the engine knows a leader, or lost it less than leaderlessLimit ago.
 func (n *Node) streamNotNeeded() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -78,11 +83,12 @@
 	node               *Node
 	source, preferred  voter
 	preferredCheckedAt time.Time
-	leaderlessSince    time.Time // since when the source has no quorum; zero if it has one
+	leaderlessSince    time.Time // when the source lost its quorum; zero while it has one
 }
 
-// run follows the stream until it fails, falls silent, or its source has no leader for long; or until preferred, the voter that this relay
-// would follow first, is healthy again: otherwise all would stay with the voter that was up first.
+// run follows the stream until the stream fails or falls silent, until its source has had no quorum
+// for streamTimeout, or until the preferred voter is healthy again. Without this return to the
+// preferred voter, all followers would stay with the voter that was up first.
 func (f *streamFollower) run() error {
 	n := f.node
 	ctx, cancel := context.WithCancel(n.ctx)
@@ -111,13 +117,13 @@
 		if err := f.handleFrame(frame[0], frame[1:], hasEngine); err != nil {
 			return err
 		}
-		if hasEngine { // a voter without a leader: it may have been replaced
+		if hasEngine { // this voter knows no leader: it may have been replaced
 			n.checkRemoved()
 		}
 	}
 }
 
-// readFrame reads and verifies one frame; it is not empty.
+// readFrame reads and verifies one frame. The frame is not empty.
 func (f *streamFollower) readFrame(stream *response, number uint64, timeout *time.Timer) ([]byte, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(stream, head[:]); err != nil {
@@ -141,7 +147,8 @@
 	return frame, nil
 }
 
-// noteFrame notes that the stream works. The stream is not needed if this node has an engine that knows a leader.
+// noteFrame records that the stream works. It returns whether this node has an engine, and whether it
+// needs the stream: it does not if its engine knows a leader.
 func (f *streamFollower) noteFrame() (hasEngine, needed bool) {
 	n := f.node
 	n.mu.Lock()
@@ -177,7 +184,7 @@
 	return errMalformed
 }
 
-// Why a stream that did not fail is ended in favour of another voter.
+// Reasons to end a stream that did not fail in favour of another voter's.
 var (
 	errPreferredBack    = errors.New("the preferred voter is healthy again")
 	errSourceLeaderless = errors.New("the followed voter knows no leader")
@@ -211,8 +218,9 @@
 	return nil
 }
 
-// acceptsRecord says whether a snapshot of that record may replace this relay's state: one with an engine keeps its record, and one that is
-// reserved for a bootstrap waits for that.
+// acceptsRecord reports whether a snapshot of a record may replace this relay's state. A relay with
+// an engine accepts only its own record. A relay that is reserved for a bootstrap accepts only the
+// record of that bootstrap until the reservation expires.
 func (n *Node) acceptsRecord(recordID uint64, hasEngine bool) bool {
 	if current, _, _ := n.applier.position(); hasEngine && current != recordID {
 		return false
@@ -222,7 +230,7 @@
 	return n.bootstrapID == 0 || n.bootstrapID == recordID || time.Since(n.bootstrapReservedAt) >= bootstrapReservation
 }
 
-// checkRemoved ends the engine of a voter that the stream shows to be replaced.
+// checkRemoved ends the engine if the voters received over the stream do not include this one.
 func (n *Node) checkRemoved() {
 	e := n.engine()
 	if e == nil {
@@ -237,7 +245,7 @@
 	}
 }
 
-// readExactly reads size bytes, and allocates memory only as they arrive.
+// readExactly reads size bytes. It allocates memory only as the bytes arrive.
 func readExactly(r io.Reader, size int) ([]byte, error) {
 	var b bytes.Buffer
 	if n, err := io.CopyN(&b, r, int64(size)); err != nil || n != int64(size) {
--- a/internal/consensus/stream_server.go
+++ b/internal/consensus/stream_server.go
@@ -9,8 +9,8 @@
 
 const (
 	maxStreams           = 1024
-	streamStatusInterval = 500 * time.Millisecond // on a stream without entries
-	maxEntriesFrame      = 256 << 10              // bytes of entries in a frame, about
+	streamStatusInterval = 500 * time.Millisecond // between status frames on a stream without entries
+	maxEntriesFrame      = 256 << 10              // approximate limit in bytes of the entries in one frame
 )
 
 // streamWriter writes the frames of one follower's stream.
@@ -18,7 +18,7 @@
 	w     http.ResponseWriter
 	rc    *http.ResponseController
 	req   envelope
-	frame uint64 // number of the next one
+	frame uint64 // number of the next frame
 }
 
 func (s *streamWriter) write(kind byte, body []byte) error {
@@ -40,7 +40,8 @@
 	return s.rc.Flush()
 }
 
-// serveStream sends a follower the record from its position on, until the connection fails or this relay is no voter any more.
+// serveStream sends the record to a follower, from the follower's position on, until the connection
+// fails or this relay does not vote any more.
 func (n *Node) serveStream(ctx context.Context, w http.ResponseWriter, rc *http.ResponseController, req envelope) {
 	r := reader{rest: req.body}
 	recordID, index := r.uint(), r.uint()
@@ -93,7 +94,8 @@
 	}
 }
 
-// statusFrame is the body of a status frame, which also shows that the stream works: the commit index, whether there is a quorum, and the leader's name.
+// statusFrame returns the body of a status frame: the commit index, whether there is a quorum, and
+// the leader's name. The frame also shows that the stream works.
 func statusFrame(e *engine) []byte {
 	v := e.view.Load()
 	return putBytes(putUints(nil, v.commitIndex, boolToUint(v.hasLeader())), v.voters[v.leader].name)
--- a/internal/consensus/supervisor.go
+++ b/internal/consensus/supervisor.go
@@ -9,8 +9,8 @@
 	reopenInterval    = 5 * time.Second // between attempts to open a directory that failed
 )
 
-// supervise decides what this relay is: a voter, one that bootstraps the record or waits to be added, or a follower. It owns the engine and
-// the disk.
+// supervise decides whether this relay votes, follows, or has to become a voter by a bootstrap or a
+// change of voters. It owns the engine and the disk.
 func (n *Node) supervise() {
 	defer n.stopVoting()
 	n.openDirectory()
@@ -66,8 +66,9 @@
 	}
 }
 
-// tryBecomeVoter starts the engine if the record has this relay as a voter, bootstraps the record, or asks the leader to add this voter under its
-// new identity. It returns when it last did the latter.
+// tryBecomeVoter starts the engine if the record lists this relay's identity as a voter. Otherwise, if
+// the relay has a voter's name, it bootstraps the record or, if there is one, asks the leader to add
+// the relay under its new identity. It returns when it last asked the leader.
 func (n *Node) tryBecomeVoter(lastChangeSent time.Time) time.Time {
 	n.mu.Lock()
 	id := n.identity
@@ -94,7 +95,8 @@
 	return lastChangeSent
 }
 
-// isVoter says whether this relay's name is a voter's: by the record, or before there is one by the options.
+// isVoter reports whether a voter has this relay's name in the record, or in the options if there is
+// no record yet.
 func (n *Node) isVoter() bool {
 	if voters := n.applier.voterSet(); len(voters) > 0 {
 		return voters.idOf(n.options.Name) != 0
--- a/internal/consensus/transport.go
+++ b/internal/consensus/transport.go
@@ -15,29 +15,30 @@
 )
 
 const (
-	messagesTimeout = 800 * time.Millisecond // raft messages that are later than this are worthless
+	messagesTimeout = 800 * time.Millisecond // raft has no use for messages that arrive later
 	snapshotTimeout = 30 * time.Second
 	peerQueueSize   = 512
-	maxMessagesSize = 1 << 20 // bytes of raft messages in one request
+	maxMessagesSize = 1 << 20 // approximate limit in bytes of the raft messages in one request
 )
 
-// transport sends raft messages to the other voters, with a queue and a goroutine for each, and one more for snapshots.
+// transport sends raft messages to the other voters. For each voter it has a queue and a goroutine for
+// snapshots, and another queue and goroutine for all other messages.
 type transport struct {
 	node  *Node
 	mu    sync.Mutex
 	peers map[uint64]*peer
 }
 
-// peer is another voter.
+// peer is another voter, with the queues of messages for it.
 type peer struct {
 	voter
 	id, self            uint64
 	messages, snapshots chan *pb.Message
 	quit                chan struct{}
-	acknowledged        atomic.Pointer[map[uint64]logPosition] // to be sent with the next heartbeat
+	acknowledged        atomic.Pointer[map[uint64]logPosition] // positions to send with the next heartbeat
 }
 
-// setPeers has queues for these voters, except self, and for no others.
+// setPeers makes the given voters, except self, the only peers. It starts and ends their goroutines.
 func (t *transport) setPeers(voters voterSet, self uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -57,7 +58,7 @@
 	}
 }
 
-// send queues raft messages. Those for which a queue is full are dropped: raft sends them again.
+// send queues raft messages. If a queue is full, the message is dropped: raft sends it again.
 func (t *transport) send(c *core, messages []*pb.Message) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -89,7 +90,8 @@
 	}
 }
 
-// nextMessage waits for a message of a peer's queue. It returns nil once the peer is removed or the node is closed.
+// nextMessage waits for a message in a peer's queue. It returns nil once the peer is removed or the
+// node is closed.
 func (n *Node) nextMessage(p *peer, queue <-chan *pb.Message) *pb.Message {
 	select {
 	case <-p.quit:
@@ -101,7 +103,8 @@
 	}
 }
 
-// sendMessages sends a peer's messages, those that wait together in one request, until the peer is removed.
+// sendMessages sends a peer's queued messages until the peer is removed. Messages that wait together
+// go into one request.
 func (n *Node) sendMessages(p *peer) {
 	for {
 		m := n.nextMessage(p, p.messages)
@@ -122,7 +125,7 @@
 	}
 }
 
-// marshalQueued encodes a message and those that wait behind it, up to about maxMessagesSize.
+// marshalQueued encodes a message and those queued behind it, up to about maxMessagesSize.
 func (n *Node) marshalQueued(m *pb.Message, queue <-chan *pb.Message) (messages [][]byte) {
 	size := 0
 	for {
@@ -143,7 +146,8 @@
 	}
 }
 
-// sendSnapshots sends a peer's snapshots, and reports to raft what became of them, until the peer is removed.
+// sendSnapshots sends a peer's snapshots, and reports the outcome of each to raft, until the peer is
+// removed.
 func (n *Node) sendSnapshots(p *peer) {
 	for {
 		m := n.nextMessage(p, p.snapshots)
--- a/internal/consensus/verify.go
+++ b/internal/consensus/verify.go
@@ -2,10 +2,12 @@
 
 import "time"
 
-// verifyTimeout is how long a voter that starts waits for all others; after it, enough of them for a majority will do.
+// verifyTimeout is how long a starting voter waits for answers from all other voters. After that, the
+// answers of enough voters for a majority with itself suffice.
 const verifyTimeout = time.Second
 
-// verifyDirectory asks the other voters what this one has acknowledged, before it votes again: its directory may be an outdated one.
+// verifyDirectory asks the other voters which position this voter has acknowledged, before this voter
+// votes again: its directory may be outdated.
 func (n *Node) verifyDirectory(e *engine) {
 	start := time.Now()
 	for {
@@ -27,7 +29,7 @@
 				continue
 			}
 			replies++
-			n.onEngine(func(e *engine) { // compared there, since the engine writes on meanwhile
+			n.onEngine(func(e *engine) { // compared on the engine's goroutine, since the engine keeps writing
 				if e.core.isOutdatedBy(status.acknowledged) {
 					e.err = errOutdatedDirectory
 				}
--- a/internal/consensus/voters.go
+++ b/internal/consensus/voters.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// voter is a voter as the record has it.
+// voter is the name and address of a voter in the record.
 type voter struct{ name, address string }
 
-// voterSet holds the voters by identity, which is a voter's id in raft.
+// voterSet maps each voter's identity, which is its raft id, to its name and address.
 type voterSet map[uint64]voter
 
 func (s voterSet) ids() []uint64 { return slices.Sorted(maps.Keys(s)) }
 
-// idOf is the identity of the voter with that name; 0 if there is none.
+// idOf returns the identity of the voter with that name, or 0 if there is none.
 func (s voterSet) idOf(name string) uint64 {
 	for _, id := range s.ids() {
 		if s[id].name == name {
@@ -40,7 +40,8 @@
 	return s
 }
 
-// voterChange is the context of a raft configuration change: what becomes of the voter set.
+// voterChange is the context of a raft configuration change: the voter newID, with that name and
+// address, replaces the voter oldID.
 type voterChange struct {
 	oldID, newID     uint64
 	newName, address string
