--- a/internal/consensus/lifecycle.go
+++ b/internal/consensus/lifecycle.go
@@ -39,14 +39,14 @@
 	}
 	n.mu.Unlock()
 	if damage != "" {
-		n.log().Warn("consensus: " + damage + ": it comes back as a new voter")
+		n.log().Warn("consensus: " + damage + ": this relay continues under a new identity")
 	}
 	if stored.snapshot == nil {
 		return
 	}
 	if err := n.resumeEngine(stored, d); err != nil {
 		n.setEngineError(err)
-		n.log().WithField("error", err.Error()).Error("consensus: the engine does not start from its directory")
+		n.log().WithField("error", err.Error()).Error("consensus: the engine cannot start from the log in its directory")
 	}
 }
 
@@ -157,7 +157,7 @@
 	n.mu.Lock()
 	n.identity, n.identityReason = id, reason
 	n.mu.Unlock()
-	n.log().Warn("consensus: " + reason + ": a new identity")
+	n.log().Warn("consensus: " + reason + ": this relay continues under a new identity")
 }
 
 // abandonDisk closes a disk that failed. The supervisor opens the directory again.
@@ -168,7 +168,7 @@
 	n.mu.Unlock()
 	if d != nil {
 		if err := d.close(); err != nil {
-			n.log().WithField("error", err.Error()).Error("consensus: closing the directory")
+			n.log().WithField("error", err.Error()).Error("consensus: cannot close the directory")
 		}
 	}
 }
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -103,7 +103,7 @@
 	n := newNode(o, injectFault)
 	n.address = listener.Addr().String()
 	if o.Dir == "" {
-		n.log().Warn("consensus: no directory: this relay forgets the record when it ends, and a voter comes back as a new one; if a majority of voters end at once, the record is lost")
+		n.log().Warn("consensus: no directory is configured: this relay loses the record when its process ends, and a voter restarts under a new identity; if a majority of voters end at once, the record is lost")
 	}
 	n.startGoroutines(&countingListener{listener, &n.bytesIn, &n.bytesOut})
 	return n, nil
@@ -112,11 +112,11 @@
 func (o Options) check() error {
 	switch {
 	case o.Name == "" || len(o.Name) > maxNameSize:
-		return fmt.Errorf("consensus: name of %d bytes", len(o.Name))
+		return fmt.Errorf("consensus: relay name has %d bytes, want 1 to %d", len(o.Name), maxNameSize)
 	case len(o.Keys) == 0:
-		return errors.New("consensus: no key")
+		return errors.New("consensus: no key is configured")
 	case o.Machine == nil:
-		return errors.New("consensus: no machine")
+		return errors.New("consensus: Options.Machine is not set")
 	case len(o.Voters)%2 == 0 || len(o.Voters) > 5:
 		return fmt.Errorf("consensus: %d voters: 1, 3 or 5 are required", len(o.Voters))
 	}
@@ -157,7 +157,7 @@
 	})
 	n.wg.Go(func() {
 		if err := n.server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			n.log().WithField("error", err.Error()).Error("consensus: the listener ended")
+			n.log().WithField("error", err.Error()).Error("consensus: the HTTP server stopped: other relays cannot reach this one")
 		}
 	})
 }
--- a/internal/consensus/stream_follower.go
+++ b/internal/consensus/stream_follower.go
@@ -26,7 +26,7 @@
 // Reasons to end a stream that did not fail. It is opened again at once if it is still needed.
 var (
 	errStreamNotNeeded = errors.New("the engine knows a leader again")
-	errStreamRetry     = errors.New("rejected unread: sent again with the current epoch and start")
+	errStreamRetry     = errors.New("stream request had an old epoch or start: send it again with the current one")
 )
 
 // followStatus is the state that the followed stream last reported.
@@ -157,8 +157,8 @@
 	return n.currentEngine != nil, n.currentEngine == nil || !n.leaderlessSince.IsZero()
 }
 
-// errOtherRecord ends a stream whose snapshot is of another record.
-var errOtherRecord = errors.New("snapshot of another record")
+// errOtherRecord ends a stream that sent a snapshot of another record.
+var errOtherRecord = errors.New("stream sent a snapshot of another record")
 
 func (f *streamFollower) handleFrame(kind byte, body []byte, hasEngine bool) error {
 	n := f.node
--- a/internal/consensus/supervisor.go
+++ b/internal/consensus/supervisor.go
@@ -61,7 +61,7 @@
 	}
 	if d := n.currentDisk(); d != nil {
 		if err := d.close(); err != nil {
-			n.log().WithField("error", err.Error()).Error("consensus: closing the directory")
+			n.log().WithField("error", err.Error()).Error("consensus: cannot close the directory")
 		}
 	}
 }
