--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -19,11 +19,12 @@
 	}
 }
 
-// waitChangeDone waits until a change of voters has left the joint configuration: before that it takes a majority of the old voters too.
+// waitChangeDone waits until all voters have the new voter and have left the joint configuration. In
+// the joint configuration a commit also needs a majority of the old voters.
 func (f *cluster) waitChangeDone(name string) {
 	f.t.Helper()
 	id := f.nodes[name].Status().Identity
-	f.wait("all voters know, and the change is done", func() bool {
+	f.wait(name+" is a voter at all voters, and none is in a joint configuration", func() bool {
 		n := 0
 		for _, node := range f.nodes {
 			if e := node.engine(); e != nil {
@@ -37,7 +38,8 @@
 	})
 }
 
-// hashMachine is a machine that depends on the order: a hash over all commands, and their number.
+// hashMachine is a machine whose state depends on the order of the commands: a hash over all of them,
+// and their number.
 type hashMachine struct {
 	mu              sync.Mutex
 	applied         uint64
@@ -80,7 +82,7 @@
 	return s.applied, s.hash
 }
 
-// cluster is several nodes in one process.
+// cluster runs several nodes in one process. Its maps are keyed by the names of the nodes.
 type cluster struct {
 	t             testing.TB
 	keys          [][]byte
@@ -98,7 +100,8 @@
 
 var loopbackHosts atomic.Uint32
 
-// freeAddr is on a loopback address of its own: no other test, and no outgoing connection, takes the port while a node is down.
+// freeAddr returns an address with a free port on a loopback host of its own, so that no other test
+// and no outgoing connection takes the port while a node is down.
 func freeAddr(t testing.TB) string {
 	h := loopbackHosts.Add(1)
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+os.Getpid()%250, h/250, 1+h%250))
@@ -120,7 +123,7 @@
 			f.dirs[name] = filepath.Join(f.directory, name)
 		}
 	}
-	t.Cleanup(func() { // before the directory above is removed: a node that still runs would write into it
+	t.Cleanup(func() { // runs before the directory above is removed: a running node would still write into it
 		var wg sync.WaitGroup
 		for _, n := range f.nodes {
 			wg.Go(func() { n.Close() })
@@ -164,14 +167,16 @@
 			for name, n := range f.nodes {
 				f.t.Logf("%s: %+v", name, n.Status())
 			}
-			f.t.Fatalf("not in 30 s: %s", condition)
+			f.t.Fatalf("condition not met within 30 s: %s", condition)
 		}
 	}
 }
 
 func (f *cluster) propose(name, command string) uint64 {
 	f.t.Helper()
-	f.wait("a leader that it knows", func() bool { // otherwise a call may rightly have an unknown outcome: it contacts all in turn, one that is down too
+	// Without a leader that is up, the outcome of a call may be unknown: the node contacts all voters in
+	// turn, including one that is down.
+	f.wait(name+" knows a leader that is up", func() bool {
 		leader, voterEngine := f.nodes[f.nodes[name].Status().Leader], f.nodes[name].engine()
 		return leader != nil && leader.Status().Role == RoleLeader && (voterEngine == nil || voterEngine.view.Load().leader != 0)
 	})
@@ -182,19 +187,19 @@
 		for name, n := range f.nodes {
 			f.t.Logf("%s: %+v", name, n.Status())
 		}
-		f.t.Fatalf("%s at %s: %v", command, name, err)
+		f.t.Fatalf("Propose(%.40q) at %s: %v", command, name, err)
 	}
 	var n int
 	var c string
 	if _, err := fmt.Sscanf(string(result), "%d:%s", &n, &c); err != nil || c != command {
-		f.t.Fatalf("answer %q", result)
+		f.t.Fatalf("Propose(%.40q) at %s = %.40q, want <number>:<command>", command, name, result)
 	}
 	return index
 }
 
 func (f *cluster) leader() string {
 	name := ""
-	f.wait("a leader", func() bool {
+	f.wait("a leader is elected", func() bool {
 		for n := range f.nodes {
 			if f.nodes[n].Status().Role == RoleLeader {
 				name = n
@@ -206,10 +211,10 @@
 	return name
 }
 
-// waitSameState waits until all have applied the same.
+// waitSameState waits until all machines have applied the same commands.
 func (f *cluster) waitSameState() {
 	f.t.Helper()
-	f.wait("all the same", func() bool {
+	f.wait("all machines have the same state", func() bool {
 		var n, hash uint64
 		first := true
 		for _, m := range f.machines {
--- a/internal/consensus/fault_test.go
+++ b/internal/consensus/fault_test.go
@@ -21,7 +21,8 @@
 	f.propose("r0", "b")
 	secondLeader := f.leader()
 	f.stop(secondLeader)
-	f.wait("no remaining relay knows a leader", func() bool { // a call that is still forwarded to the old leader has an unknown outcome, rightly
+	// While a relay still forwards a call to the stopped leader, the outcome of the call is unknown.
+	f.wait("no remaining relay knows a leader", func() bool {
 		for _, n := range f.nodes {
 			if s := n.Status(); s.HasQuorum || s.Leader != "" {
 				return false
@@ -33,11 +34,11 @@
 	_, _, err := f.nodes["r0"].Propose(ctx, []byte("refused"))
 	cancel()
 	if !errors.Is(err, ErrNoQuorum) {
-		t.Fatalf("without a majority: %v", err)
+		t.Fatalf("Propose without a majority: got %v, want ErrNoQuorum", err)
 	}
 	ctx, cancel = context.WithTimeout(context.Background(), time.Second)
 	if _, err := f.nodes["r0"].Barrier(ctx); !errors.Is(err, ErrNoQuorum) {
-		t.Fatalf("barrier without a majority: %v", err)
+		t.Fatalf("Barrier without a majority: got %v, want ErrNoQuorum", err)
 	}
 	cancel()
 	f.start(firstLeader)
@@ -45,10 +46,12 @@
 	f.propose("r0", "c")
 	f.waitSameState()
 	if n, _ := f.machines["r0"].state(); n != 3 {
-		t.Fatalf("%d commands: one that was rejected is committed", n)
+		t.Fatalf("r0 applied %d commands, want 3: a rejected command may have been committed", n)
 	}
 }
 
+// TestSilentLinks cuts connections that stay open: a follower changes to another voter's stream, and
+// the voters replace a leader that they cannot reach.
 func TestSilentLinks(t *testing.T) {
 	t.Parallel()
 	f := newCluster(t, 3, true)
@@ -56,21 +59,21 @@
 	f.startVoters()
 	f.start("r0")
 	f.propose("r0", "a")
-	// The follower's stream falls silent: it follows another voter.
-	f.wait("a stream", func() bool { return f.nodes["r0"].Status().StreamSource != "" })
+	// The link of the follower's stream is cut: the follower changes to another voter.
+	f.wait("r0 follows a stream", func() bool { return f.nodes["r0"].Status().StreamSource != "" })
 	source := f.nodes["r0"].Status().StreamSource
 	links["r0>"+source].cut.Store(true)
-	f.wait("another voter", func() bool { s := f.nodes["r0"].Status().StreamSource; return s != "" && s != source })
+	f.wait("r0 follows another voter's stream", func() bool { s := f.nodes["r0"].Status().StreamSource; return s != "" && s != source })
 	links["r0>"+source].cut.Store(false)
-	// The leader is cut off from the voters: they elect another, it steps down.
+	// The leader is cut off from the other voters: it steps down, and they elect another leader.
 	leader := f.leader()
 	for way, w := range links {
 		if !strings.HasPrefix(way, "r0") && strings.Contains(way, leader) {
 			w.cut.Store(true)
 		}
 	}
-	f.wait("the old one steps down", func() bool { return f.nodes[leader].Status().Role == RoleVoter })
-	f.wait("a new one", func() bool {
+	f.wait("the old leader steps down", func() bool { return f.nodes[leader].Status().Role == RoleVoter })
+	f.wait("another voter leads", func() bool {
 		for name, n := range f.nodes {
 			if name != leader && n.Status().Role == RoleLeader {
 				return true
@@ -90,6 +93,8 @@
 	f.waitSameState()
 }
 
+// TestGapGetsSnapshot commits more than the log and the recent entries hold while a voter and a
+// follower are down: the log is compacted, and both catch up with a snapshot.
 func TestGapGetsSnapshot(t *testing.T) {
 	t.Parallel()
 	f := newCluster(t, 3, true)
@@ -105,17 +110,17 @@
 	}
 	f.stop(stoppedVoter)
 	largeCommand := strings.Repeat("x", 200<<10)
-	for range 30 { // more than the recent entries and the log hold
+	for range 30 { // more than the log and the recent entries hold
 		f.propose(leader, largeCommand)
 	}
 	s := f.nodes[leader].Status()
 	if s.LogBytes > maxRecentBytes+MaxCommandSize || s.SnapshotIndex == 0 {
-		t.Fatalf("%+v", s)
+		t.Fatalf("LogBytes = %d, want at most %d; SnapshotIndex = %d, want above 0", s.LogBytes, maxRecentBytes+MaxCommandSize, s.SnapshotIndex)
 	}
 	f.wait("the log is compacted", func() bool { s := f.nodes[leader].Status(); return s.LogLast-s.LogFirst < 16 })
 	info, err := os.Stat(filepath.Join(f.dirs[leader], databaseFile))
 	if err != nil || info.Size() > 16<<20 {
-		t.Fatalf("file of %d bytes: %v", info.Size(), err)
+		t.Fatalf("the leader's file has %d bytes, want at most %d: %v", info.Size(), 16<<20, err)
 	}
 	f.start(stoppedVoter)
 	f.start("r0")
--- a/internal/consensus/figures_test.go
+++ b/internal/consensus/figures_test.go
@@ -20,10 +20,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// usage is a process's report of its node and of itself.
+// usage is the status and the resource usage that a relay's process reports.
 type usage struct {
 	Status
-	Votes bool // it votes, and may be killed again
+	Votes bool // it votes, so that the leader may be killed again
 	CPU   time.Duration
 	Heap  uint64
 }
@@ -43,11 +43,12 @@
 	return u
 }
 
-// TestRelayProcess is no test: TestFigures runs it as the process of a relay, which answers each line that it reads.
+// TestRelayProcess is not a test: TestFigures runs it as the process of a relay. For each line on
+// standard input, the process sends a report ("report") or prints its usage.
 func TestRelayProcess(t *testing.T) {
 	args := os.Getenv("CONSENSUS_RELAY")
 	if args == "" {
-		t.Skip("a process of TestFigures")
+		t.Skip("runs only as a process that TestFigures starts")
 	}
 	var o Options
 	if err := json.Unmarshal([]byte(args), &o); err != nil {
@@ -80,7 +81,8 @@
 	return u
 }
 
-// processes are voters as processes of their own; the cluster has the followers, in this one.
+// startVoterProcesses starts each voter in a process of its own. The cluster runs the followers, in
+// this process. startProcess starts a voter's process again after it was killed.
 func startVoterProcesses(t *testing.T) (f *cluster, processes map[string]*process, startProcess func(name string)) {
 	f, processes = newCluster(t, 3, true), map[string]*process{}
 	f.onReport = func(string, []byte) []byte { return nil }
@@ -116,7 +118,8 @@
 	return f, processes, startProcess
 }
 
-// proposeUntilCommitted proposes at a follower until a command is committed. Each call is a new command, not a retry.
+// proposeUntilCommitted proposes commands at a node until one is committed. Each attempt is a new
+// command, not a retry.
 func (f *cluster) proposeUntilCommitted(name, command string) {
 	for i := 0; ; i++ {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
@@ -131,10 +134,11 @@
 	}
 }
 
-// TestFigures measures, and judges nothing: CONSENSUS_FIGURES=1 go test -run TestFigures -v -timeout 30m ./internal/consensus
+// TestFigures measures latency, failover and traffic, and checks no limits. To run it:
+// CONSENSUS_FIGURES=1 go test -run TestFigures -v -timeout 30m ./internal/consensus
 func TestFigures(t *testing.T) {
 	if os.Getenv("CONSENSUS_FIGURES") == "" {
-		t.Skip("measures: CONSENSUS_FIGURES=1")
+		t.Skip("only measures; set CONSENSUS_FIGURES=1 to run it")
 	}
 	load := func() string { b, _ := os.ReadFile("/proc/loadavg"); return string(b[:min(4, len(b))]) }
 	ms := func(h *hdrhistogram.Histogram, p float64) float64 { return float64(h.ValueAtQuantile(p)) / 1000 }
@@ -150,7 +154,7 @@
 				f.nodes[at].Propose(context.Background(), fmt.Appendf(nil, "c%d", i))
 				h.RecordValue(time.Since(begin).Microseconds())
 			}
-			t.Logf("commit at %s (r0 follows, v leads): p50 %.2f ms, p99 %.2f ms; load %s", at, ms(h, 50), ms(h, 99), load())
+			t.Logf("commit at %s (r0 is a follower, the other the leader): p50 %.2f ms, p99 %.2f ms; load %s", at, ms(h, 50), ms(h, 99), load())
 		}
 		var wg sync.WaitGroup
 		begin := time.Now()
@@ -165,20 +169,20 @@
 			})
 		}
 		wg.Wait()
-		t.Logf("%d proposals at once: %.0f a second", workers, workers*each/time.Since(begin).Seconds())
+		t.Logf("%d concurrent proposers: %.0f commits per second", workers, workers*each/time.Since(begin).Seconds())
 	})
 	t.Run("killed", func(t *testing.T) {
 		f, processes, startProcess := startVoterProcesses(t)
 		f.start("r0")
 		h := hdrhistogram.New(1, 60e6, 3)
 		for i := range 40 {
-			f.wait("all vote", func() bool {
+			f.wait("all voters vote", func() bool {
 				n := 0
 				for _, p := range processes {
 					if u := p.usage(); u.Votes {
 						n++
 						if u.IdentityReason != "" {
-							t.Errorf("a killed process left its directory so that its identity is new: %s", u.IdentityReason)
+							t.Errorf("a killed voter came back under a new identity: %s", u.IdentityReason)
 						}
 					}
 				}
@@ -186,11 +190,11 @@
 			})
 			f.proposeUntilCommitted("r0", "before")
 			leader := ""
-			f.wait("a leader", func() bool {
+			f.wait("r0 knows the leader, and the leader's process agrees", func() bool {
 				leader = f.nodes["r0"].Status().Leader
 				return leader != "" && processes[leader].usage().Role == RoleLeader
 			})
-			for range 32 { // writes are in progress
+			for range 32 { // so that writes are in progress when the leader is killed
 				go f.nodes["r0"].Propose(context.Background(), make([]byte, 5000))
 			}
 			time.Sleep(time.Duration(i%8) * time.Millisecond)
@@ -201,15 +205,15 @@
 			f.proposeUntilCommitted("r0", fmt.Sprint("after ", i))
 			took := time.Since(begin)
 			h.RecordValue(took.Microseconds())
-			if took > 1300*time.Millisecond { // more than one election
-				t.Logf("kill %d: %v; load %s", i, took.Round(time.Millisecond), load())
+			if took > 1300*time.Millisecond { // takes more than one election
+				t.Logf("kill %d: next commit after %v; load %s", i, took.Round(time.Millisecond), load())
 			}
 			processes[leader].cmd.Wait()
 			startProcess(leader)
 		}
-		t.Logf("leader's process killed until the next commit (%d): p50 %.0f ms, p99 %.0f ms, most %.0f ms; load %s", h.TotalCount(), ms(h, 50), ms(h, 99), float64(h.Max())/1000, load())
+		t.Logf("from the kill of the leader's process to the next commit (%d kills): p50 %.0f ms, p99 %.0f ms, max %.0f ms; load %s", h.TotalCount(), ms(h, 50), ms(h, 99), float64(h.Max())/1000, load())
 	})
-	t.Run("virtual", func(t *testing.T) { // the model: delays up to so much each way, disks up to 8 ms
+	t.Run("virtual", func(t *testing.T) { // the model in virtual time: one-way delays up to delay, disk writes up to 8 ms
 		defer func(r io.Reader) { crand.Reader = r }(crand.Reader)
 		for _, delay := range []time.Duration{2 * time.Millisecond, 10 * time.Millisecond, 40 * time.Millisecond} {
 			h := hdrhistogram.New(1, 60e6, 3)
@@ -235,7 +239,7 @@
 				}
 				h.RecordValue((w.now - begin).Microseconds())
 			}
-			t.Logf("delays to %v, %d kills: a leader after p50 %.0f ms, p99 %.0f ms, most %.0f ms", delay, h.TotalCount(), ms(h, 50), ms(h, 99), ms(h, 100))
+			t.Logf("one-way delays up to %v, %d kills: a leader after p50 %.0f ms, p99 %.0f ms, max %.0f ms", delay, h.TotalCount(), ms(h, 50), ms(h, 99), ms(h, 100))
 		}
 	})
 	for _, followers := range []int{12, 40, 300} {
@@ -255,7 +259,7 @@
 						m[name] = p.usage()
 					}
 					for name, n := range f.nodes {
-						if name == "r1" {
+						if name == "r1" { // all followers share this process, so its usage is counted once
 							m[name] = usageOf(n)
 						} else {
 							m[name] = usage{Status: n.Status()}
@@ -296,12 +300,12 @@
 					rows[role] = totals
 					streams[u.StreamSource]++
 				}
-				t.Logf("%d followers, busy %v: %.1f proposals a second, streams %v, load %s", followers, busy, float64(proposed)/secs, streams, load())
+				t.Logf("%d followers, busy %v: %.1f proposals per second, streams by source %v, load %s", followers, busy, float64(proposed)/secs, streams, load())
 				for _, role := range []string{RoleLeader, RoleVoter, RoleFollower} {
 					totals := rows[role]
-					t.Logf("  %s: %.0f in, %.0f out B/s, %.2f ms a second, %.2f MB; of %v", role, totals.in/totals.n, totals.out/totals.n, totals.cpu/totals.n, totals.heap/totals.n, totals.n)
+					t.Logf("  %s: mean of %v relays: %.0f B/s in, %.0f B/s out, %.2f ms CPU per second, %.2f MB", role, totals.n, totals.in/totals.n, totals.out/totals.n, totals.cpu/totals.n, totals.heap/totals.n)
 				}
-				t.Logf("  all voters: %.0f in, %.0f out B/s; all %.0f ms a second", rows[RoleLeader].in+rows[RoleVoter].in, rows[RoleLeader].out+rows[RoleVoter].out,
+				t.Logf("  all voters: %.0f B/s in, %.0f B/s out; CPU of all relays: %.0f ms per second", rows[RoleLeader].in+rows[RoleVoter].in, rows[RoleLeader].out+rows[RoleVoter].out,
 					rows[RoleLeader].cpu+rows[RoleVoter].cpu+rows[RoleFollower].cpu)
 			}
 		})
--- a/internal/consensus/link_test.go
+++ b/internal/consensus/link_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// link forwards the connections from one relay to another. It can be cut silently: the connections stay open, and nothing passes.
+// link forwards the connections from one relay to another. While it is cut, the connections stay open
+// but no data passes.
 type link struct {
 	ln    net.Listener
 	to    string
@@ -66,7 +67,8 @@
 	return l
 }
 
-// linkAll has all connections between these relays go through links.
+// linkAll makes these relays reach each voter through a link. The keys of the result have the form
+// "from>to".
 func (f *cluster) linkAll(names ...string) map[string]*link {
 	links := map[string]*link{}
 	for _, a := range names {
--- a/internal/consensus/node_test.go
+++ b/internal/consensus/node_test.go
@@ -6,6 +6,8 @@
 	"testing"
 )
 
+// TestAgreement commits commands at a voter and a follower, restarts all nodes, and commits another:
+// all machines agree, and no command is lost.
 func TestAgreement(t *testing.T) {
 	t.Parallel()
 	for _, voters := range []int{1, 3} {
@@ -29,7 +31,7 @@
 			f.propose("r0", "after")
 			f.waitSameState()
 			if n, _ := f.machines["r0"].state(); n != 21 {
-				t.Fatalf("%d commands", n)
+				t.Fatalf("r0 applied %d commands, want 21", n)
 			}
 		})
 	}
--- a/internal/consensus/replace_test.go
+++ b/internal/consensus/replace_test.go
@@ -6,6 +6,8 @@
 	"testing"
 )
 
+// TestReplace replaces the leader by a follower. A second replacement is rejected while another voter
+// is down.
 func TestReplace(t *testing.T) {
 	t.Parallel()
 	f := newCluster(t, 3, true)
@@ -23,15 +25,15 @@
 		return index, same
 	}
 	if at, same := commonVotersIndex(); at != 0 || !same {
-		t.Fatal("as bootstrapped, and voters at ", at)
+		t.Fatalf("VotersIndex after the bootstrap = %d (the same at all nodes: %v), want 0 at all nodes", at, same)
 	}
-	oldLeader := f.leader() // the leader itself
+	oldLeader := f.leader() // the leader itself is replaced
 	if err := f.nodes["v1"].Replace(context.Background(), oldLeader, "r0", f.addrs["r0"]); err != nil {
 		t.Fatal(err)
 	}
-	f.wait("the new one votes", func() bool { s := f.nodes["r0"].Status().Role; return s == RoleVoter || s == RoleLeader })
-	f.wait("the old one follows", func() bool { return f.nodes[oldLeader].Status().Role == RoleFollower })
-	f.wait("all know the index", func() bool { at, same := commonVotersIndex(); return at > 1 && same })
+	f.wait("r0 votes", func() bool { s := f.nodes["r0"].Status().Role; return s == RoleVoter || s == RoleLeader })
+	f.wait("the old leader follows", func() bool { return f.nodes[oldLeader].Status().Role == RoleFollower })
+	f.wait("all nodes have the same VotersIndex above 1", func() bool { at, same := commonVotersIndex(); return at > 1 && same })
 	f.waitChangeDone("r0")
 	f.propose(oldLeader, "b")
 	f.waitSameState()
@@ -41,14 +43,14 @@
 	}
 	id := f.nodes[other].Status().Identity
 	f.stop(other)
-	f.propose(oldLeader, "c") // the new one's vote is needed
-	f.wait("the leader counts it as unhealthy", func() bool {
+	f.propose(oldLeader, "c") // needs the vote of r0
+	f.wait("the leader considers the stopped voter unhealthy", func() bool {
 		unhealthy, e := make(chan bool, 1), f.nodes[f.leader()].engine()
 		e.tasks <- func() { unhealthy <- e.core.tickCount-e.core.lastContact[id] > healthyTicks }
 		return <-unhealthy
 	})
 	if err := f.nodes["r0"].Replace(context.Background(), "r0", oldLeader, f.addrs[oldLeader]); err == nil {
-		t.Fatal("replaced while another voter is down")
+		t.Fatal("Replace succeeded while another voter was down, want an error")
 	}
 	f.start(other)
 	f.propose(oldLeader, "d")
--- a/internal/consensus/reports_test.go
+++ b/internal/consensus/reports_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// TestReports: reports reach the leader and its replies come back, by another voter too; a slow or full relay delays no other.
+// TestReports checks that reports reach the leader and replies come back, also through another voter,
+// and that a slow callback or a full queue at one relay does not delay the other relays.
 func TestReports(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
@@ -44,7 +45,7 @@
 	f.startVoters()
 	f.propose("v0", "a")
 	leader := f.leader()
-	f.dialAddresses["r0"] = map[string]string{leader: freeAddr(t)} // nobody is there: all its reports go by another voter
+	f.dialAddresses["r0"] = map[string]string{leader: freeAddr(t)} // nothing listens there: all reports of r0 go through another voter
 	f.start("r0")
 	send := func(name, report string) {
 		if err := f.nodes[name].Report([]byte(report)); err != nil && !errors.Is(err, ErrQueueFull) {
@@ -54,7 +55,7 @@
 	reportUntil := func(condition, report string, met func() bool) {
 		f.wait(condition, func() bool { send("r0", report); return met() })
 	}
-	dropped := func(key string) bool { // at any node: the leader may change under load
+	dropped := func(key string) bool { // at any node, since the leader may change under load
 		for _, n := range f.nodes {
 			if n.Status().Dropped[key] > 0 {
 				return true
@@ -62,7 +63,7 @@
 		}
 		return false
 	}
-	f.wait("all reports and replies arrive, but for those too large", func() bool {
+	f.wait("all reports and replies arrive, except replies that are too large", func() bool {
 		done := dropped("answersize")
 		for name := range f.nodes {
 			send(name, "I am "+name)
@@ -71,33 +72,33 @@
 		}
 		return done
 	})
-	reportUntil("a slow reply is given up, the next reports count", "slow", func() bool {
+	reportUntil("the wait for a slow reply times out, and the queue of reports at the leader overflows", "slow", func() bool {
 		for name := range f.voters {
 			f.nodes[name].processReports(f.nodes[name].ctx, "r0", make([][]byte, reportQueueSize/8))
 		}
 		return dropped("unanswered") && dropped("heard")
 	})
 	close(releaseSlow)
-	reportUntil("a relay whose OnReply blocks", "blocked", func() bool { send("r0", "after it"); return wasCalled("r0", "got reply", "blocked") })
+	reportUntil("OnReply of r0 blocks", "blocked", func() bool { send("r0", "after it"); return wasCalled("r0", "got reply", "blocked") })
 	f.nodes["r0"].queueReplies(leader, make([][]byte, replyQueueSize+1))
 	if !dropped("told") {
-		t.Error("the queue of replies has no bound")
+		t.Errorf("queueReplies(%d replies) dropped none, want a limit of %d queued replies", replyQueueSize+1, replyQueueSize)
 	}
 	close(releaseBlocked)
-	reportUntil("it gets replies again", "after it", func() bool { return wasCalled("r0", "got reply", "after it") })
-	for name := range f.voters { // as if so many requests waited
+	reportUntil("r0 gets replies again", "after it", func() bool { return wasCalled("r0", "got reply", "after it") })
+	for name := range f.voters { // as if maxReplyWaiters requests waited for replies at each voter
 		for range maxReplyWaiters {
 			f.nodes[name].replyWaiters <- struct{}{}
 		}
 	}
-	reportUntil("reports count without a place to wait", "alone", func() bool { return wasCalled("r0", "reported", "alone") })
+	reportUntil("a report arrives although its request cannot wait for the reply", "alone", func() bool { return wasCalled("r0", "reported", "alone") })
 	for range maxQueuedReports + 1 {
 		send("r0", "x")
 	}
 	if wasCalled("r0", "got reply", "alone") || wasCalled("r0", "got reply", string(make([]byte, MaxReplySize+1))) {
-		t.Error("a reply that nobody could wait for, or that is too large")
+		t.Error("r0 got a reply although no request could wait for it, or a reply over MaxReplySize")
 	}
 	if !dropped("said") {
-		t.Error("the queue of reports has no bound")
+		t.Errorf("Report dropped none of %d reports, want a limit of %d queued reports", maxQueuedReports+1, maxQueuedReports)
 	}
 }
--- a/internal/consensus/status_test.go
+++ b/internal/consensus/status_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// TestStatusJSON: the names in the status page's JSON stay those of earlier releases, whatever the fields are called.
+// TestStatusJSON checks that the JSON names of the status page stay those of earlier releases when
+// fields are renamed.
 func TestStatusJSON(t *testing.T) {
 	b, err := json.Marshal(Status{})
 	if err != nil {
@@ -20,6 +21,6 @@
 	want := []string{"Applied", "BytesIn", "BytesOut", "Committed", "Disk", "Dropped", "Engine", "Follows", "Identity", "Leader", "LogBytes", "LogFirst", "LogLast",
 		"Majority", "Name", "Record", "Refused", "Role", "Since", "SnapshotBytes", "SnapshotIndex", "Taken", "Term", "Twins", "Voters", "VotersAt"}
 	if names := slices.Sorted(maps.Keys(got)); !slices.Equal(names, want) {
-		t.Errorf("%q, not %q", names, want)
+		t.Errorf("JSON names of Status = %q, want %q", names, want)
 	}
 }
--- a/internal/consensus/stored_test.go
+++ b/internal/consensus/stored_test.go
@@ -10,8 +10,8 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// TestStoredFormsDataDir: a voter's directory written by release 63fa232 (one voter, three commands agreed; its hard state as the disk last had it) is read whole and opened
-// under the identity it holds, with its hard state and entries.
+// TestStoredFormsDataDir opens a voter's directory that release 63fa232 wrote, with one voter and three
+// committed commands. The file is read completely, and opened with its identity, hard state and entries.
 func TestStoredFormsDataDir(t *testing.T) {
 	written, err := os.ReadFile(filepath.Join("testdata", "head", databaseFile))
 	if err != nil {
@@ -23,7 +23,7 @@
 	}
 	const identity = 4286738726500800039
 	if loaded.identity != identity || loaded.hardState.GetTerm() != 2 || loaded.hardState.GetCommit() != 1 {
-		t.Errorf("identity %d, hard state %v", loaded.identity, loaded.hardState)
+		t.Errorf("loadFile: identity %d, hard state %v, want identity %d, term 2, commit index 1", loaded.identity, loaded.hardState, uint64(identity))
 	}
 	var commands []string
 	for _, e := range loaded.entries {
@@ -33,7 +33,7 @@
 	}
 	for _, c := range []string{"alpha", "beta", "gamma"} {
 		if !slices.ContainsFunc(commands, func(data string) bool { return strings.Contains(data, c) }) {
-			t.Errorf("no entry carries %q: %q", c, commands)
+			t.Errorf("no entry contains the command %q; commands: %q", c, commands)
 		}
 	}
 	dir := t.TempDir()
@@ -43,12 +43,12 @@
 	d := &disk{directory: dir}
 	opened, damage, err := d.open(1)
 	if err != nil || damage != "" {
-		t.Fatalf("opened with %v: %s", err, damage)
+		t.Fatalf("open: error %v, damage %q, want neither", err, damage)
 	}
 	if err := d.close(); err != nil {
 		t.Fatal(err)
 	}
 	if opened.identity != identity || len(opened.entries) != len(loaded.entries) {
-		t.Errorf("opened as %d with %d entries, read as %d with %d", opened.identity, len(opened.entries), loaded.identity, len(loaded.entries))
+		t.Errorf("open: identity %d with %d entries, want %d with %d as read by loadFile", opened.identity, len(opened.entries), uint64(identity), len(loaded.entries))
 	}
 }
