--- a/internal/consensus/model_test.go
+++ b/internal/consensus/model_test.go
@@ -23,10 +23,12 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The model runs the same core, applier and encodings as a Node, on a network and disks in virtual time: loss, delay, reordered messages,
-// one-way cuts, pauses, kills with a write in progress, lost directories, clocks that drift.
+// The model runs the core, applier and encodings of a Node on a simulated network and simulated disks in
+// virtual time. It injects lost, delayed and reordered messages, one-way cuts, pauses, kills during a
+// write, lost directories and clocks that drift.
 
-// register returns the previous value for each write; its hash is over all that it ever applied.
+// register is a machine that holds one value. Each write returns the previous value; the hash covers all
+// writes that the register has applied.
 type register struct{ value, hash uint64 }
 
 func (g *register) Apply(index uint64, c []byte) []byte {
@@ -45,11 +47,12 @@
 	return nil
 }
 
+// event is a call of do at a virtual time. Events of the same time run by order.
 type event struct {
 	at          time.Duration
 	order       int
-	node        int // its incarnation must be the same; -1: of no node
-	incarnation int
+	node        int // index of the node, or -1 for none: an event of a paused node waits until the node resumes
+	incarnation int // the event is dropped if the node was started or killed since
 	do          func()
 }
 
@@ -59,56 +62,59 @@
 	voter              bool
 	incarnation        int
 	up, paused         bool
-	pausedEvents       []event
-	tick               time.Duration
+	pausedEvents       []event       // events that came due during the pause
+	tick               time.Duration // interval of the node's ticks, up to 10 % off tickInterval
 	id                 uint64
 	core               *core
 	machine            *register
 	applier            *applier
 	pendingCalls       *pendingCalls
 	disk               storedState
-	writing            *diskWrite
-	writeDelay         time.Duration
-	verifiedBy         map[int]bool
+	writing            *diskWrite    // the write in progress; nil if there is none
+	writeDelay         time.Duration // maximum random part of a write's duration
+	verifiedBy         map[int]bool  // indexes of the voters that have answered the verification of the directory
 	startedAt          time.Duration
-	callbacks          map[proposalID]func(callResult)
-	callsByID          map[proposalID]*pendingCall
+	callbacks          map[proposalID]func(callResult) // of the calls in callsByID
+	callsByID          map[proposalID]*pendingCall     // at this node's core
 	ownSnapshot        *recordSnapshot
 	ownSnapshotEncoded []byte
 }
 
+// world is the state of the model. It draws all random numbers from one seed.
 type world struct {
 	now                 time.Duration
 	rng                 *rand.Rand
-	queue               []event // the next one last
+	queue               []event // in descending order of time: the next event is the last
 	order               int
 	nodes               []*modelNode
-	voters              int
-	cut                 map[[2]int]bool
+	voters              int             // the first of the nodes
+	cut                 map[[2]int]bool // by sender and receiver
 	loss                float64
 	delay               time.Duration
-	trace               uint64
-	stateHashes         map[uint64]uint64 // by index: the machine's hash after it, with the voters' index
+	trace               uint64            // hash of all events, to compare two runs of a seed
+	stateHashes         map[uint64]uint64 // by index: hash of the machine's state and of the voters' index
 	committedIndexes    map[proposalID]uint64
 	ackedIndexes        map[proposalID]uint64
-	rejected            map[proposalID]bool // it must never be committed
+	rejected            map[proposalID]bool // proposals that must never be committed
 	ops                 []porcupine.Operation
 	nextID              uint64
-	noFaults            bool
-	ending              bool
+	noFaults            bool // injectFault does nothing any more
+	ending              bool // clients make no more calls
 	failure             string
-	answersBeforeCommit bool // planted fault: answers before commit
-	reusesIdentity      bool // planted fault: a lost directory keeps its identity
+	answersBeforeCommit bool // planted fault: a write is answered before it is committed
+	reusesIdentity      bool // planted fault: a voter that lost its directory keeps its identity
 	discardLog          logrus.FieldLogger
 	counts              map[string]int
 }
 
+// fail records the first failure.
 func (w *world) fail(format string, a ...any) {
 	if w.failure == "" {
 		w.failure = fmt.Sprintf("at %v: ", w.now) + fmt.Sprintf(format, a...)
 	}
 }
 
+// schedule runs do after a delay, at node n if that is not nil.
 func (w *world) schedule(delay time.Duration, n *modelNode, do func()) {
 	w.order++
 	e := event{at: w.now + delay, order: w.order, node: -1, do: do}
@@ -123,6 +129,7 @@
 	w.queue = slices.Insert(w.queue, i, e)
 }
 
+// run runs the events up to a time, or until the first failure.
 func (w *world) run(until time.Duration) {
 	for last := len(w.queue) - 1; last >= 0 && w.queue[last].at <= until && w.failure == ""; last = len(w.queue) - 1 {
 		e := w.queue[last]
@@ -144,7 +151,7 @@
 	w.now = until
 }
 
-// send delivers something to a node, or loses it.
+// send runs do at the receiver after a random delay, unless the message is lost.
 func (w *world) send(from, to *modelNode, do func()) {
 	if w.cut[[2]int{from.i, to.i}] || w.rng.Float64() < w.loss {
 		return
@@ -188,6 +195,7 @@
 	return w
 }
 
+// start starts a node with what its disk holds.
 func (w *world) start(n *modelNode) {
 	n.incarnation++
 	n.up, n.paused, n.pausedEvents, n.writing, n.core = true, false, nil, nil, nil
@@ -229,7 +237,7 @@
 func (w *world) startCore(n *modelNode, storage *raft.MemoryStorage, s recordSnapshot, unverified bool) {
 	c, err := newCore(n.id, storage, s, unverified, raftLogger{w.discardLog})
 	if err != nil {
-		w.fail("engine of %s: %v", n.name, err)
+		w.fail("newCore for %s: %v", n.name, err)
 		return
 	}
 	n.core, n.verifiedBy, n.startedAt = c, map[int]bool{}, w.now
@@ -237,18 +245,18 @@
 
 func (w *world) restore(n *modelNode, s recordSnapshot) {
 	if _, err := n.applier.restore(s); err != nil {
-		w.fail("restore: %v", err)
+		w.fail("restore at %s: %v", n.name, err)
 	}
 	w.checkAgreement(n)
 }
 
-// check compares what a node has applied with what any other had at that index.
+// checkAgreement compares a node's state with the state that other nodes had at the same index.
 func (w *world) checkAgreement(n *modelNode) {
 	_, index, _ := n.applier.position()
 	_, voters := n.applier.voterSetAt()
 	hash := n.machine.hash ^ voters<<32
 	if h, ok := w.stateHashes[index]; ok && h != hash {
-		w.fail("%s differs at %d", n.name, index)
+		w.fail("state of %s at index %d differs from another node's", n.name, index)
 	}
 	w.stateHashes[index] = hash
 }
@@ -268,7 +276,7 @@
 	}
 }
 
-// tick is a tick, by this node's own clock.
+// tick runs a tick of a node, and schedules the next one by the node's own clock.
 func (w *world) tick(n *modelNode) {
 	w.schedule(n.tick, n, func() { w.tick(n) })
 	if n.core != nil {
@@ -283,7 +291,7 @@
 			n.ownSnapshot = nil
 			if s.index <= n.core.status().Applied && s.index <= n.core.lastIndex() && s.index > n.core.snapshotIndex {
 				if err := n.core.compact(*s, n.ownSnapshotEncoded, 3); err != nil {
-					w.fail("compact: %v", err)
+					w.fail("compact at %s: %v", n.name, err)
 					return
 				}
 				first, _ := n.core.storage.FirstIndex()
@@ -327,7 +335,7 @@
 	})
 }
 
-// completeWrite does the write that was in progress: atomically, as the file's transactions are.
+// completeWrite performs the write in progress atomically, as a transaction of the file does.
 func (w *world) completeWrite(n *modelNode) {
 	write := n.writing
 	n.writing = nil
@@ -362,7 +370,7 @@
 func (w *world) completeReady(n *modelNode, ready *pendingReady) {
 	snapshot, entries, err := n.core.advance()
 	if err != nil {
-		w.fail("%s: %v", n.name, err)
+		w.fail("advance at %s: %v", n.name, err)
 		return
 	}
 	w.sendMessages(n, ready.afterSync)
@@ -427,7 +435,7 @@
 	}
 	p, err := decodeMessages(body)
 	if err != nil {
-		w.fail("batch: %v", err)
+		w.fail("decodeMessages at %s: %v", n.name, err)
 		return
 	}
 	for id, m := range p.acknowledged {
@@ -438,7 +446,7 @@
 	for _, m := range p.messages {
 		if err := n.core.step(m); errors.Is(err, errOutdatedDirectory) {
 			if !w.reusesIdentity {
-				w.fail("%s was found outdated, with a complete directory", n.name)
+				w.fail("step at %s reported an outdated directory, but the directory is complete", n.name)
 			}
 			w.kill(n)
 			w.start(n)
@@ -448,7 +456,7 @@
 	w.processReady(n)
 }
 
-// deliverResults delivers the results of calls that have ended.
+// deliverResults schedules the callbacks of the calls that are complete, in the order of their ids.
 func (w *world) deliverResults(n *modelNode) {
 	var ids []uint64
 	for id := range n.callsByID {
@@ -469,7 +477,8 @@
 	}
 }
 
-// followStream is a stream of a follower or a joining voter: one batch at a time.
+// followStream models the stream of a follower or a joining voter. It requests one batch at a time from
+// a random voter.
 func (w *world) followStream(n *modelNode) {
 	w.schedule(time.Duration(20+w.rng.IntN(80))*time.Millisecond, n, func() { w.followStream(n) })
 	if n.core != nil {
@@ -494,14 +503,14 @@
 				w.counts["streamed snapshots"]++
 				s, err := decodeSnapshot(batch.snapshot)
 				if err != nil {
-					w.fail("streamed snapshot: %v", err)
+					w.fail("decode a streamed snapshot at %s: %v", n.name, err)
 					return
 				}
 				w.restore(n, s)
 			}
 			entries, err := decodeEntries(b)
 			if err != nil {
-				w.fail("entries: %v", err)
+				w.fail("decode streamed entries at %s: %v", n.name, err)
 			}
 			for _, e := range entries {
 				w.apply(n, e)
@@ -511,7 +520,8 @@
 	})
 }
 
-// supervise is what a Node's supervisor does: it joins, proposes changes, verifies its directory.
+// supervise models a Node's supervisor: it joins as a voter, proposes a change of voters, or verifies
+// the directory.
 func (w *world) supervise(n *modelNode) {
 	w.schedule(superviseInterval, n, func() { w.supervise(n) })
 	record, index, _ := n.applier.position()
@@ -552,7 +562,7 @@
 						return
 					}
 					if n.core.isOutdatedBy(m) {
-						w.fail("%s was verified as outdated with a complete directory: %v of %v", n.name, m, n.core.ownPosition())
+						w.fail("verification found the directory of %s outdated, but it is complete: another voter knows %v, the directory holds %v", n.name, m, n.core.ownPosition())
 					}
 					n.verifiedBy[id] = true
 					if len(n.verifiedBy) == w.voters-1 || len(n.verifiedBy) >= w.voters/2 && w.now-n.startedAt > verifyTimeout {
@@ -564,7 +574,7 @@
 	}
 }
 
-// kill ends a node. A write in progress may have completed, or not at all.
+// kill ends a node. A write in progress either completes or does not happen at all.
 func (w *world) kill(n *modelNode) {
 	if n.writing != nil && w.rng.IntN(2) == 0 {
 		w.completeWrite(n)
@@ -573,8 +583,9 @@
 	n.incarnation++
 }
 
-// mayLoseVoter says whether the loss of one more voter's directory is tolerated: all are up and have the same voters. One that is down and
-// does not have the last change yet counts, by its own old configuration, as a second loss.
+// mayLoseVoter reports whether the record survives the loss of one more voter's directory: all voters
+// are up and have the same voter set. A voter that is down and lacks the last change of voters would
+// count as a second loss, by its own old configuration.
 func (w *world) mayLoseVoter() bool {
 	for _, n := range w.nodes[:w.voters] {
 		for _, v := range w.nodes[:w.voters] {
@@ -586,6 +597,7 @@
 	return true
 }
 
+// injectFault injects a random fault, or repairs some, and schedules the next call of itself.
 func (w *world) injectFault() {
 	if w.noFaults {
 		return
@@ -628,7 +640,7 @@
 				}
 			})
 		}
-	case 7: // a lost directory: one at a time, otherwise the record is rightly lost
+	case 7: // a lost directory: one at a time, since the loss of a majority loses the record
 		n = w.nodes[w.rng.IntN(w.voters)]
 		if w.mayLoseVoter() {
 			w.counts["emptied"]++
@@ -644,7 +656,7 @@
 			w.start(n)
 		}
 	case 8:
-		if w.rng.IntN(4) == 0 { // all at once
+		if w.rng.IntN(4) == 0 { // restart all nodes at once
 			for _, n := range w.nodes {
 				if n.up {
 					w.kill(n)
@@ -664,11 +676,13 @@
 	n.pausedEvents = nil
 }
 
+// opIn is the input of a call: a write of value, or a read.
 type opIn struct {
 	write bool
 	value uint64
 }
 
+// opOut is the result of a call: the previous value for a write, the current one for a read.
 type opOut struct {
 	answered bool
 	value    uint64
@@ -676,7 +690,7 @@
 
 const callTimeout = 3 * time.Second
 
-// client makes one call after another, at any node.
+// runClient makes one call after another, each at a random node.
 func (w *world) runClient(id int) {
 	callNext := func() { w.schedule(time.Duration(w.rng.IntN(250))*time.Millisecond, nil, func() { w.runClient(id) }) }
 	if w.ending {
@@ -714,7 +728,7 @@
 			w.counts["acked"]++
 			w.ackedIndexes[pid] = r.index
 			finish(opOut{true, binary.BigEndian.Uint64(r.answer)}, true)
-		case r.err == nil: // a barrier: it waits here, and reads here
+		case r.err == nil: // a read: it waits until this node has applied the barrier's index, and reads here
 			incarnation := n.incarnation
 			var wait func()
 			wait = func() {
@@ -735,6 +749,7 @@
 	})
 }
 
+// call makes a call at the leader, here or by forwarding it. It was forwarded hops times already.
 func (w *world) call(n *modelNode, pid proposalID, in opIn, hops int, reply func(callResult)) {
 	if n.core != nil && n.core.isLeader() {
 		call := &pendingCall{id: pid, barrier: !in.write, done: make(chan callResult, 1)}
@@ -782,10 +797,10 @@
 	},
 }
 
-// runModel runs a seed; the world's failure says what was wrong.
+// runModel runs the model with a seed. The failure of the returned world is empty if all checks pass.
 func runModel(seed uint64, configure func(*world)) (w *world) {
 	old := crand.Reader
-	crand.Reader = rand.NewChaCha8([32]byte{byte(seed), byte(seed >> 8), byte(seed >> 16), 1}) // raft draws its election times from it
+	crand.Reader = rand.NewChaCha8([32]byte{byte(seed), byte(seed >> 8), byte(seed >> 16), 1}) // raft draws its election time-outs from it
 	defer func() { crand.Reader = old }()
 	w = newModel(seed, 3+2*int(seed%2), 2)
 	if configure != nil {
@@ -815,25 +830,25 @@
 	ackedBefore := w.counts["acked"]
 	w.run(32 * time.Second)
 	w.ending = true
-	w.run(32*time.Second + 2*callTimeout) // until every call has ended
+	w.run(32*time.Second + 2*callTimeout) // until all calls have ended
 	if w.counts["acked"] == ackedBefore {
-		w.fail("nothing is committed any more")
+		w.fail("no write was committed after 30 s, although the faults ended at 20 s")
 	}
 	if !w.mayLoseVoter() && !w.reusesIdentity {
-		w.fail("a replaced voter did not join")
+		w.fail("not all voters run and have all others in their voter set: a voter with a new identity may not have joined")
 	}
 	for pid := range w.ackedIndexes {
 		if at := w.committedIndexes[pid]; at != w.ackedIndexes[pid] {
-			w.fail("acknowledged at %d, in the log at %d", w.ackedIndexes[pid], at)
+			w.fail("a write was acknowledged at index %d, but the log has it at index %d (0: nowhere)", w.ackedIndexes[pid], at)
 		}
 	}
 	for pid := range w.rejected {
 		if w.committedIndexes[pid] != 0 {
-			w.fail("rejected, and committed")
+			w.fail("a rejected write was committed at index %d", w.committedIndexes[pid])
 		}
 	}
 	if w.failure == "" {
-		// A write of unknown outcome counts if it is in the log, and was never made otherwise.
+		// A write of unknown outcome is part of the history only if the log has it.
 		ops := w.ops[:0:0]
 		for _, o := range w.ops {
 			if in := o.Input.(opIn); !o.Output.(opOut).answered {
@@ -855,6 +870,8 @@
 	return w
 }
 
+// seedRange returns the first seed and the number of seeds, from CONSENSUS_FIRST and CONSENSUS_SEEDS if
+// they are set.
 func seedRange(defaultCount int) (first, n uint64) {
 	n = uint64(defaultCount)
 	if v, err := strconv.ParseUint(os.Getenv("CONSENSUS_SEEDS"), 10, 64); err == nil {
@@ -864,6 +881,8 @@
 	return first, n
 }
 
+// TestModel runs the model with a range of seeds, and some seeds twice to check that a run is
+// deterministic.
 func TestModel(t *testing.T) {
 	first, n := seedRange(30)
 	total := map[string]int{}
@@ -877,14 +896,14 @@
 		}
 		if seed%50 == 0 {
 			if replay := runModel(seed, nil); replay.trace != w.trace {
-				t.Errorf("seed %d: two plays differ", seed)
+				t.Errorf("seed %d: two runs of the model differ: trace %x, then %x", seed, w.trace, replay.trace)
 			}
 		}
 	}
 	t.Log(total)
 }
 
-// TestPlantedFaults has the model find planted faults.
+// TestPlantedFaults checks that the model finds faults that are planted in it.
 func TestPlantedFaults(t *testing.T) {
 	for name, configure := range map[string]func(*world){
 		"an answer before commit":       func(w *world) { w.answersBeforeCommit = true },
@@ -902,7 +921,7 @@
 			}
 		}
 		if found == 0 {
-			t.Errorf("%s: not found", name)
+			t.Errorf("%s: the model did not find this fault in 60 seeds", name)
 		}
 	}
 }
