--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -96,7 +96,8 @@
 }
 
 // handleAtLeader handles a request here if this relay is the leader, and otherwise forwards it to
-// the leader. A request is forwarded once at most: its body begins with the number of times it was.
+// the leader. The body begins with the number of times that the request was forwarded: it is
+// forwarded once at most.
 func (n *Node) handleAtLeader(ctx context.Context, kind requestKind, body []byte, handle func(reader) []byte) []byte {
 	r := reader{rest: body}
 	hops := r.uint()
--- a/internal/consensus/lifecycle.go
+++ b/internal/consensus/lifecycle.go
@@ -8,8 +8,8 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// reasonReplaced is a value of Status.IdentityReason. The other values are texts of the errors that
-// report a damaged or outdated directory.
+// reasonReplaced is a value of Status.IdentityReason. The other values say that the directory was
+// damaged or is outdated.
 const reasonReplaced = "replaced as a voter"
 
 // openDirectory opens the directory, and starts the engine if the directory holds a voter's log. A
--- a/internal/consensus/peer_status.go
+++ b/internal/consensus/peer_status.go
@@ -18,7 +18,7 @@
 type peerStatus struct {
 	state, identity, recordID, index uint64
 	voters                           voterSet
-	acknowledged                     logPosition // of the asking voter, as far as this relay knows
+	acknowledged                     logPosition // of the asking voter, as this relay knows it
 	knowsVoter                       bool        // this relay runs an engine whose voters include the asking one
 	hasQuorum                        bool        // this relay runs an engine that knows a leader
 }
--- a/internal/consensus/pending_calls.go
+++ b/internal/consensus/pending_calls.go
@@ -96,7 +96,8 @@
 	}
 }
 
-// complete removes a call and delivers its result, unless that is already done. The caller holds p.mu.
+// complete removes a call and delivers its result, unless the call is already complete. The caller
+// holds p.mu.
 func (p *pendingCalls) complete(call *pendingCall, r callResult) {
 	if p.byID[call.id] != call {
 		return
--- a/internal/consensus/reports.go
+++ b/internal/consensus/reports.go
@@ -32,8 +32,8 @@
 	content []byte
 }
 
-// Report queues a report to the leader, which is sent within about a second and may be lost. It
-// returns ErrTooLarge if the report exceeds MaxReportSize, and ErrQueueFull if the queue is full: the
+// Report queues a report for the leader. The report is sent within about a second and may be lost.
+// Report returns ErrTooLarge if the report exceeds MaxReportSize, and ErrQueueFull if the queue is full: the
 // report is then dropped and counted in Status.Dropped.
 func (n *Node) Report(report []byte) error {
 	if len(report) > MaxReportSize {
