--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -19,11 +19,12 @@
 	}
 }
 
-// waitChangeDone waits until a change of voters has left the joint configuration: before that it takes a majority of the old voters too.
+// waitChangeDone waits until all voters have the new voter and have left the joint configuration. In
+// the joint configuration a commit also needs a majority of the old voters.
 func (f *cluster) waitChangeDone(name string) {
 	f.t.Helper()
 	id := f.nodes[name].Status().Identity
-	f.wait("all voters know, and the change is done", func() bool {
+	f.wait(name+" is a voter at all voters, and none is in a joint configuration", func() bool {
 		n := 0
 		for _, node := range f.nodes {
 			if e := node.engine(); e != nil {
@@ -37,31 +38,32 @@
 	})
 }
 
-// hashMachine is a machine that depends on the order: a hash over all commands, and their number.
+// hashMachine is a machine whose state depends on the order of the commands: a hash over all of them,
+// and their number.
 type hashMachine struct {
-	mu   sync.Mutex
-	n    uint64
-	hash uint64
-	last string
-	pad  int
+	mu              sync.Mutex
+	applied         uint64
+	hash            uint64
+	last            string
+	snapshotPadding int
 }
 
 func (s *hashMachine) Apply(index uint64, c []byte) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.n++
+	s.applied++
 	for _, b := range c {
 		s.hash = (s.hash ^ uint64(b)) * 1099511628211
 	}
 	s.last = string(c)
-	return fmt.Appendf(nil, "%d:%s", s.n, c)
+	return fmt.Appendf(nil, "%d:%s", s.applied, c)
 }
 
 func (s *hashMachine) Snapshot() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	b := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, s.n), s.hash)
-	return append(b, make([]byte, s.pad)...)
+	b := binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, s.applied), s.hash)
+	return append(b, make([]byte, s.snapshotPadding)...)
 }
 
 func (s *hashMachine) Restore(index uint64, b []byte) error {
@@ -70,17 +72,17 @@
 	if len(b) < 16 {
 		return errMalformed
 	}
-	s.n, s.hash = binary.BigEndian.Uint64(b), binary.BigEndian.Uint64(b[8:])
+	s.applied, s.hash = binary.BigEndian.Uint64(b), binary.BigEndian.Uint64(b[8:])
 	return nil
 }
 
 func (s *hashMachine) state() (n, hash uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.n, s.hash
+	return s.applied, s.hash
 }
 
-// cluster is several nodes in one process.
+// cluster runs several nodes in one process. Its maps are keyed by the names of the nodes.
 type cluster struct {
 	t             testing.TB
 	keys          [][]byte
@@ -96,11 +98,12 @@
 	onReply       func(at, from, answer string)
 }
 
-var hosts atomic.Uint32
+var loopbackHosts atomic.Uint32
 
-// freeAddr is on a loopback address of its own: no other test, and no outgoing connection, takes the port while a node is down.
+// freeAddr returns an address with a free port on a loopback host of its own, so that no other test
+// and no outgoing connection takes the port while a node is down.
 func freeAddr(t testing.TB) string {
-	h := hosts.Add(1)
+	h := loopbackHosts.Add(1)
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+os.Getpid()%250, h/250, 1+h%250))
 	if err != nil {
 		t.Fatal(err)
@@ -120,7 +123,7 @@
 			f.dirs[name] = filepath.Join(f.directory, name)
 		}
 	}
-	t.Cleanup(func() { // before the directory above is removed: a node that still runs would write into it
+	t.Cleanup(func() { // runs before the directory above is removed: a running node would still write into it
 		var wg sync.WaitGroup
 		for _, n := range f.nodes {
 			wg.Go(func() { n.Close() })
@@ -157,44 +160,46 @@
 	delete(f.nodes, name)
 }
 
-func (f *cluster) wait(what string, ok func() bool) {
+func (f *cluster) wait(condition string, ok func() bool) {
 	f.t.Helper()
 	for end := time.Now().Add(30 * time.Second); !ok(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			for name, n := range f.nodes {
 				f.t.Logf("%s: %+v", name, n.Status())
 			}
-			f.t.Fatalf("not in 30 s: %s", what)
+			f.t.Fatalf("condition not met within 30 s: %s", condition)
 		}
 	}
 }
 
 func (f *cluster) propose(name, command string) uint64 {
 	f.t.Helper()
-	f.wait("a leader that it knows", func() bool { // otherwise a call may rightly have an unknown outcome: it contacts all in turn, one that is down too
-		l, e := f.nodes[f.nodes[name].Status().Leader], f.nodes[name].engine()
-		return l != nil && l.Status().Role == RoleLeader && (e == nil || e.view.Load().leader != 0)
+	// Without a leader that is up, the outcome of a call may be unknown: the node contacts all voters in
+	// turn, including one that is down.
+	f.wait(name+" knows a leader that is up", func() bool {
+		leader, voterEngine := f.nodes[f.nodes[name].Status().Leader], f.nodes[name].engine()
+		return leader != nil && leader.Status().Role == RoleLeader && (voterEngine == nil || voterEngine.view.Load().leader != 0)
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	a, index, err := f.nodes[name].Propose(ctx, []byte(command))
+	result, index, err := f.nodes[name].Propose(ctx, []byte(command))
 	if err != nil {
 		for name, n := range f.nodes {
 			f.t.Logf("%s: %+v", name, n.Status())
 		}
-		f.t.Fatalf("%s at %s: %v", command, name, err)
+		f.t.Fatalf("Propose(%.40q) at %s: %v", command, name, err)
 	}
 	var n int
 	var c string
-	if _, err := fmt.Sscanf(string(a), "%d:%s", &n, &c); err != nil || c != command {
-		f.t.Fatalf("answer %q", a)
+	if _, err := fmt.Sscanf(string(result), "%d:%s", &n, &c); err != nil || c != command {
+		f.t.Fatalf("Propose(%.40q) at %s = %.40q, want <number>:<command>", command, name, result)
 	}
 	return index
 }
 
 func (f *cluster) leader() string {
 	name := ""
-	f.wait("a leader", func() bool {
+	f.wait("a leader is elected", func() bool {
 		for n := range f.nodes {
 			if f.nodes[n].Status().Role == RoleLeader {
 				name = n
@@ -206,18 +211,18 @@
 	return name
 }
 
-// waitSameState waits until all have applied the same.
+// waitSameState waits until all machines have applied the same commands.
 func (f *cluster) waitSameState() {
 	f.t.Helper()
-	f.wait("all the same", func() bool {
+	f.wait("all machines have the same state", func() bool {
 		var n, hash uint64
 		first := true
 		for _, m := range f.machines {
-			a, b := m.state()
+			count, machineHash := m.state()
 			if first {
-				n, hash, first = a, b, false
+				n, hash, first = count, machineHash, false
 			}
-			if a != n || b != hash {
+			if count != n || machineHash != hash {
 				return false
 			}
 		}
--- a/internal/consensus/lifecycle.go
+++ b/internal/consensus/lifecycle.go
@@ -8,10 +8,12 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// reasonReplaced is part of Status.IdentityReason, as are the errors that a directory was found damaged or outdated with.
+// reasonReplaced is a value of Status.IdentityReason. The other values say that the directory was
+// damaged or is outdated.
 const reasonReplaced = "replaced as a voter"
 
-// openDirectory reads the directory, and starts the engine if it held a voter's log.
+// openDirectory opens the directory, and starts the engine if the directory holds a voter's log. A
+// relay without a directory only draws an identity.
 func (n *Node) openDirectory() {
 	if n.options.Dir == "" {
 		n.mu.Lock()
@@ -37,18 +39,18 @@
 	}
 	n.mu.Unlock()
 	if damage != "" {
-		n.log().Warn("consensus: " + damage + ": it comes back as a new voter")
+		n.log().Warn("consensus: " + damage + ": this relay continues under a new identity")
 	}
 	if stored.snapshot == nil {
 		return
 	}
 	if err := n.resumeEngine(stored, d); err != nil {
 		n.setEngineError(err)
-		n.log().WithField("error", err.Error()).Error("consensus: the engine does not start from its directory")
+		n.log().WithField("error", err.Error()).Error("consensus: the engine cannot start from the log in its directory")
 	}
 }
 
-// resumeEngine starts the engine with the log that the directory held.
+// resumeEngine starts the engine with the log that the directory holds.
 func (n *Node) resumeEngine(stored storedState, d *disk) error {
 	s, err := decodeSnapshot(stored.snapshot)
 	if err != nil {
@@ -72,7 +74,8 @@
 	return nil
 }
 
-// joinAsVoter starts the engine of a relay that the record has made a voter, with the state that it has applied as a follower.
+// joinAsVoter starts the engine of a relay that the record lists as a voter, with the state that the
+// relay has applied as a follower.
 func (n *Node) joinAsVoter() {
 	s, encoded := n.snapshotNow()
 	n.mu.Lock()
@@ -110,7 +113,7 @@
 func (n *Node) startEngine(c *core, d *disk) {
 	e := newEngine(n, c, d)
 	n.mu.Lock()
-	n.current, n.engineError, n.leaderlessSince = e, "", time.Now()
+	n.currentEngine, n.engineError, n.leaderlessSince = e, "", time.Now()
 	n.mu.Unlock()
 	n.transport.setPeers(c.voters, c.id)
 	e.start()
@@ -119,10 +122,12 @@
 	}
 }
 
-// engineEnded handles an engine that ended by itself: it was removed, its directory is outdated, or it failed.
+// engineEnded handles an engine that ended without a call of stop. If this voter was removed or its
+// directory is outdated, the relay gets a new identity. If the engine failed, the relay does not vote
+// until it is restarted.
 func (n *Node) engineEnded(e *engine) {
 	n.mu.Lock()
-	n.current = nil
+	n.currentEngine = nil
 	d := n.disk
 	n.mu.Unlock()
 	n.announceLeadership(false, 0)
@@ -139,7 +144,8 @@
 	}
 }
 
-// resetIdentity gives this relay a new identity and an empty log: whatever it has voted for belongs to the old identity.
+// resetIdentity gives this relay a new identity and an empty log. The votes that the relay has cast
+// belong to the old identity.
 func (n *Node) resetIdentity(d *disk, reason string) {
 	id := randomID()
 	if d != nil {
@@ -151,10 +157,10 @@
 	n.mu.Lock()
 	n.identity, n.identityReason = id, reason
 	n.mu.Unlock()
-	n.log().Warn("consensus: " + reason + ": a new identity")
+	n.log().Warn("consensus: " + reason + ": this relay continues under a new identity")
 }
 
-// abandonDisk closes a disk that failed; the supervisor opens the directory again.
+// abandonDisk closes a disk that failed. The supervisor opens the directory again.
 func (n *Node) abandonDisk(err error) {
 	n.mu.Lock()
 	d := n.disk
@@ -162,7 +168,7 @@
 	n.mu.Unlock()
 	if d != nil {
 		if err := d.close(); err != nil {
-			n.log().WithField("error", err.Error()).Error("consensus: closing the directory")
+			n.log().WithField("error", err.Error()).Error("consensus: cannot close the directory")
 		}
 	}
 }
--- a/internal/consensus/model_test.go
+++ b/internal/consensus/model_test.go
@@ -23,10 +23,12 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The model runs the same core, applier and encodings as a Node, on a network and disks in virtual time: loss, delay, reordered messages,
-// one-way cuts, pauses, kills with a write in progress, lost directories, clocks that drift.
+// The model runs the core, applier and encodings of a Node on a simulated network and simulated disks in
+// virtual time. It injects lost, delayed and reordered messages, one-way cuts, pauses, kills during a
+// write, lost directories and clocks that drift.
 
-// register returns the previous value for each write; its hash is over all that it ever applied.
+// register is a machine that holds one value. Each write returns the previous value; the hash covers all
+// writes that the register has applied.
 type register struct{ value, hash uint64 }
 
 func (g *register) Apply(index uint64, c []byte) []byte {
@@ -45,11 +47,12 @@
 	return nil
 }
 
+// event is a call of do at a virtual time. Events of the same time run by order.
 type event struct {
 	at          time.Duration
 	order       int
-	node        int // its incarnation must be the same; -1: of no node
-	incarnation int
+	node        int // index of the node, or -1 for none: an event of a paused node waits until the node resumes
+	incarnation int // the event is dropped if the node was started or killed since
 	do          func()
 }
 
@@ -59,70 +62,74 @@
 	voter              bool
 	incarnation        int
 	up, paused         bool
-	pausedEvents       []event
-	tick               time.Duration
+	pausedEvents       []event       // events that came due during the pause
+	tick               time.Duration // interval of the node's ticks, up to 10 % off tickInterval
 	id                 uint64
 	core               *core
 	machine            *register
 	applier            *applier
 	pendingCalls       *pendingCalls
 	disk               storedState
-	writing            *diskWrite
-	writeDelay         time.Duration
-	verifiedBy         map[int]bool
+	writing            *diskWrite    // the write in progress; nil if there is none
+	writeDelay         time.Duration // maximum random part of a write's duration
+	verifiedBy         map[int]bool  // indexes of the voters that have answered the verification of the directory
 	startedAt          time.Duration
-	waiting            map[proposalID]func(callResult)
-	waiters            map[proposalID]*pendingCall
+	callbacks          map[proposalID]func(callResult) // of the calls in callsByID
+	callsByID          map[proposalID]*pendingCall     // at this node's core
 	ownSnapshot        *recordSnapshot
 	ownSnapshotEncoded []byte
 }
 
+// world is the state of the model. It draws all random numbers from one seed.
 type world struct {
-	now           time.Duration
-	rng           *rand.Rand
-	queue         []event // the next one last
-	order         int
-	nodes         []*modelNode
-	voters        int
-	cut           map[[2]int]bool
-	loss          float64
-	delay         time.Duration
-	trace         uint64
-	agreed        map[uint64]uint64 // by index: the machine's hash after it, with the voters' index
-	log           map[proposalID]uint64
-	acked         map[proposalID]uint64
-	rejected      map[proposalID]bool // it must never be committed
-	ops           []porcupine.Operation
-	nextID        uint64
-	noFaults      bool
-	ending        bool
-	failure       string
-	earlyAnswers  bool // planted fault: answers before commit
-	keepsIdentity bool // planted fault: a lost directory keeps its identity
-	quiet         logrus.FieldLogger
-	counts        map[string]int
-}
-
+	now                 time.Duration
+	rng                 *rand.Rand
+	queue               []event // in descending order of time: the next event is the last
+	order               int
+	nodes               []*modelNode
+	voters              int             // the first of the nodes
+	cut                 map[[2]int]bool // by sender and receiver
+	loss                float64
+	delay               time.Duration
+	trace               uint64            // hash of all events, to compare two runs of a seed
+	stateHashes         map[uint64]uint64 // by index: hash of the machine's state and of the voters' index
+	committedIndexes    map[proposalID]uint64
+	ackedIndexes        map[proposalID]uint64
+	rejected            map[proposalID]bool // proposals that must never be committed
+	ops                 []porcupine.Operation
+	nextID              uint64
+	noFaults            bool // injectFault does nothing any more
+	ending              bool // clients make no more calls
+	failure             string
+	answersBeforeCommit bool // planted fault: a write is answered before it is committed
+	reusesIdentity      bool // planted fault: a voter that lost its directory keeps its identity
+	discardLog          logrus.FieldLogger
+	counts              map[string]int
+}
+
+// fail records the first failure.
 func (w *world) fail(format string, a ...any) {
 	if w.failure == "" {
 		w.failure = fmt.Sprintf("at %v: ", w.now) + fmt.Sprintf(format, a...)
 	}
 }
 
-func (w *world) push(after time.Duration, n *modelNode, do func()) {
+// schedule runs do after a delay, at node n if that is not nil.
+func (w *world) schedule(delay time.Duration, n *modelNode, do func()) {
 	w.order++
-	e := event{at: w.now + after, order: w.order, node: -1, do: do}
+	e := event{at: w.now + delay, order: w.order, node: -1, do: do}
 	if n != nil {
 		e.node, e.incarnation = n.i, n.incarnation
 	}
-	w.put(e)
+	w.insertEvent(e)
 }
 
-func (w *world) put(e event) {
+func (w *world) insertEvent(e event) {
 	i, _ := slices.BinarySearchFunc(w.queue, e, func(a, b event) int { return cmp.Or(cmp.Compare(b.at, a.at), cmp.Compare(b.order, a.order)) })
 	w.queue = slices.Insert(w.queue, i, e)
 }
 
+// run runs the events up to a time, or until the first failure.
 func (w *world) run(until time.Duration) {
 	for last := len(w.queue) - 1; last >= 0 && w.queue[last].at <= until && w.failure == ""; last = len(w.queue) - 1 {
 		e := w.queue[last]
@@ -144,7 +151,7 @@
 	w.now = until
 }
 
-// send delivers something to a node, or loses it.
+// send runs do at the receiver after a random delay, unless the message is lost.
 func (w *world) send(from, to *modelNode, do func()) {
 	if w.cut[[2]int{from.i, to.i}] || w.rng.Float64() < w.loss {
 		return
@@ -152,7 +159,7 @@
 	d := time.Millisecond/2 + time.Duration(w.rng.Float64()*float64(w.delay))
 	w.order++
 	incarnation := to.incarnation
-	w.put(event{at: w.now + d, order: w.order, node: to.i, incarnation: incarnation, do: func() {
+	w.insertEvent(event{at: w.now + d, order: w.order, node: to.i, incarnation: incarnation, do: func() {
 		if to.up {
 			do()
 		}
@@ -160,22 +167,22 @@
 }
 
 func newModel(seed uint64, voters, followers int) *world {
-	l := logrus.New()
-	l.SetOutput(io.Discard)
-	l.SetLevel(logrus.PanicLevel)
-	w := &world{rng: rand.New(rand.NewPCG(seed, 31)), voters: voters, cut: map[[2]int]bool{}, delay: 10 * time.Millisecond, agreed: map[uint64]uint64{},
-		log: map[proposalID]uint64{}, acked: map[proposalID]uint64{}, rejected: map[proposalID]bool{}, quiet: l, counts: map[string]int{}}
-	ms := voterSet{}
+	discardLog := logrus.New()
+	discardLog.SetOutput(io.Discard)
+	discardLog.SetLevel(logrus.PanicLevel)
+	w := &world{rng: rand.New(rand.NewPCG(seed, 31)), voters: voters, cut: map[[2]int]bool{}, delay: 10 * time.Millisecond, stateHashes: map[uint64]uint64{},
+		committedIndexes: map[proposalID]uint64{}, ackedIndexes: map[proposalID]uint64{}, rejected: map[proposalID]bool{}, discardLog: discardLog, counts: map[string]int{}}
+	initialVoters := voterSet{}
 	for i := range voters + followers {
 		n := &modelNode{i: i, name: fmt.Sprintf("n%d", i), voter: i < voters, id: w.rng.Uint64()>>2 | 1}
 		n.tick = time.Duration((0.9 + 0.2*w.rng.Float64()) * float64(tickInterval))
 		w.nodes = append(w.nodes, n)
 		n.disk.identity = n.id
 		if n.voter {
-			ms[n.id] = voter{n.name, n.name}
+			initialVoters[n.id] = voter{n.name, n.name}
 		}
 	}
-	s, err := bootstrapSnapshot(77, ms, (&register{}).Snapshot())
+	s, err := bootstrapSnapshot(77, initialVoters, (&register{}).Snapshot())
 	if err != nil {
 		panic(err)
 	}
@@ -188,6 +195,7 @@
 	return w
 }
 
+// start starts a node with what its disk holds.
 func (w *world) start(n *modelNode) {
 	n.incarnation++
 	n.up, n.paused, n.pausedEvents, n.writing, n.core = true, false, nil, nil, nil
@@ -195,41 +203,41 @@
 	n.applier = newApplier(n.machine)
 	n.applier.snapshotInterval = 12
 	n.writeDelay = time.Duration(w.rng.Float64() * 8 * float64(time.Millisecond))
-	n.waiting, n.waiters, n.ownSnapshot = map[proposalID]func(callResult){}, map[proposalID]*pendingCall{}, nil
+	n.callbacks, n.callsByID, n.ownSnapshot = map[proposalID]func(callResult){}, map[proposalID]*pendingCall{}, nil
 	if n.disk.snapshot != nil {
 		s, err := decodeSnapshot(n.disk.snapshot)
 		if err != nil {
 			panic(err)
 		}
 		w.restore(n, s)
-		hard := proto.Clone(n.disk.hardState).(*pb.HardState)
-		if hard.GetCommit() < s.index {
-			hard.Commit = new(s.index)
+		hardState := proto.Clone(n.disk.hardState).(*pb.HardState)
+		if hardState.GetCommit() < s.index {
+			hardState.Commit = new(s.index)
 		}
 		entries := n.disk.entries
 		for len(entries) > 0 && entries[0].GetIndex() <= s.index {
 			entries = entries[1:]
 		}
-		st, err := newStorage(s, n.disk.snapshot, hard, append([]*pb.Entry(nil), entries...))
+		storage, err := newStorage(s, n.disk.snapshot, hardState, append([]*pb.Entry(nil), entries...))
 		if err != nil {
 			panic(err)
 		}
-		w.engine(n, st, s, w.now > 0 && !w.keepsIdentity)
+		w.startCore(n, storage, s, w.now > 0 && !w.reusesIdentity)
 		for id, m := range n.disk.acknowledged {
 			n.core.noteAcknowledged(id, m)
 		}
 	}
-	w.push(time.Duration(w.rng.Float64()*float64(n.tick)), n, func() { w.tick(n) })
-	w.push(time.Duration(w.rng.Float64()*100)*time.Millisecond, n, func() { w.followStream(n) })
+	w.schedule(time.Duration(w.rng.Float64()*float64(n.tick)), n, func() { w.tick(n) })
+	w.schedule(time.Duration(w.rng.Float64()*100)*time.Millisecond, n, func() { w.followStream(n) })
 	if n.voter {
-		w.push(100*time.Millisecond, n, func() { w.supervise(n) })
+		w.schedule(100*time.Millisecond, n, func() { w.supervise(n) })
 	}
 }
 
-func (w *world) engine(n *modelNode, st *raft.MemoryStorage, s recordSnapshot, unsure bool) {
-	c, err := newCore(n.id, st, s, unsure, raftLogger{w.quiet})
+func (w *world) startCore(n *modelNode, storage *raft.MemoryStorage, s recordSnapshot, unverified bool) {
+	c, err := newCore(n.id, storage, s, unverified, raftLogger{w.discardLog})
 	if err != nil {
-		w.fail("engine of %s: %v", n.name, err)
+		w.fail("newCore for %s: %v", n.name, err)
 		return
 	}
 	n.core, n.verifiedBy, n.startedAt = c, map[int]bool{}, w.now
@@ -237,40 +245,40 @@
 
 func (w *world) restore(n *modelNode, s recordSnapshot) {
 	if _, err := n.applier.restore(s); err != nil {
-		w.fail("restore: %v", err)
+		w.fail("restore at %s: %v", n.name, err)
 	}
-	w.check(n)
+	w.checkAgreement(n)
 }
 
-// check compares what a node has applied with what any other had at that index.
-func (w *world) check(n *modelNode) {
+// checkAgreement compares a node's state with the state that other nodes had at the same index.
+func (w *world) checkAgreement(n *modelNode) {
 	_, index, _ := n.applier.position()
 	_, voters := n.applier.voterSetAt()
 	hash := n.machine.hash ^ voters<<32
-	if h, ok := w.agreed[index]; ok && h != hash {
-		w.fail("%s differs at %d", n.name, index)
+	if h, ok := w.stateHashes[index]; ok && h != hash {
+		w.fail("state of %s at index %d differs from another node's", n.name, index)
 	}
-	w.agreed[index] = hash
+	w.stateHashes[index] = hash
 }
 
-func (w *world) apply(n *modelNode, it committedEntry) {
-	answer, ok := n.applier.apply(it)
+func (w *world) apply(n *modelNode, entry committedEntry) {
+	answer, ok := n.applier.apply(entry)
 	if !ok {
 		return
 	}
-	w.check(n)
-	if it.kind == entryCommand {
-		w.log[it.proposalID] = it.index
+	w.checkAgreement(n)
+	if entry.kind == entryCommand {
+		w.committedIndexes[entry.proposalID] = entry.index
 	}
-	n.pendingCalls.completeApplied(it.index, it.proposalID, answer)
+	n.pendingCalls.completeApplied(entry.index, entry.proposalID, answer)
 	if n.core != nil && n.applier.snapshotDue() {
 		n.ownSnapshot, n.ownSnapshotEncoded = n.applier.takeSnapshot()
 	}
 }
 
-// tick is a tick, by this node's own clock.
+// tick runs a tick of a node, and schedules the next one by the node's own clock.
 func (w *world) tick(n *modelNode) {
-	w.push(n.tick, n, func() { w.tick(n) })
+	w.schedule(n.tick, n, func() { w.tick(n) })
 	if n.core != nil {
 		n.core.tick()
 		w.processReady(n)
@@ -283,7 +291,7 @@
 			n.ownSnapshot = nil
 			if s.index <= n.core.status().Applied && s.index <= n.core.lastIndex() && s.index > n.core.snapshotIndex {
 				if err := n.core.compact(*s, n.ownSnapshotEncoded, 3); err != nil {
-					w.fail("compact: %v", err)
+					w.fail("compact at %s: %v", n.name, err)
 					return
 				}
 				first, _ := n.core.storage.FirstIndex()
@@ -291,89 +299,89 @@
 				return
 			}
 		}
-		k := n.core.nextReady()
-		if k == nil {
+		ready := n.core.nextReady()
+		if ready == nil {
 			break
 		}
-		for _, e := range k.entries {
+		for _, e := range ready.entries {
 			if id, c, ok := decodeCommand(e.GetData()); ok && e.GetType() == pb.EntryNormal {
 				n.pendingCalls.assignIndex(id, e.GetIndex())
-				if w.earlyAnswers && n.waiters[id] != nil {
+				if w.answersBeforeCommit && n.callsByID[id] != nil {
 					n.pendingCalls.completeApplied(e.GetIndex(), id, binary.BigEndian.AppendUint64(nil, n.machine.value))
 					_ = c
 				}
 			}
 		}
-		w.sendMessages(n, k.beforeSync)
-		if !k.mustSync() {
-			w.completeReady(n, k)
+		w.sendMessages(n, ready.beforeSync)
+		if !ready.mustSync() {
+			w.completeReady(n, ready)
 			continue
 		}
-		dw := diskWrite{hardState: k.hardState, entries: k.entries, acknowledged: maps.Clone(k.acknowledged)}
-		if k.snapshot != nil {
-			dw.snapshot = k.snapshot.GetData()
+		write := diskWrite{hardState: ready.hardState, entries: ready.entries, acknowledged: maps.Clone(ready.acknowledged)}
+		if ready.snapshot != nil {
+			write.snapshot = ready.snapshot.GetData()
 		}
-		w.write(n, dw, func() { w.completeReady(n, k) })
+		w.write(n, write, func() { w.completeReady(n, ready) })
 	}
 	w.deliverResults(n)
 }
 
-func (w *world) write(n *modelNode, dw diskWrite, then func()) {
-	n.writing = &dw
-	w.push(time.Millisecond/4+time.Duration(w.rng.Float64()*float64(n.writeDelay)), n, func() {
+func (w *world) write(n *modelNode, write diskWrite, then func()) {
+	n.writing = &write
+	w.schedule(time.Millisecond/4+time.Duration(w.rng.Float64()*float64(n.writeDelay)), n, func() {
 		w.completeWrite(n)
 		then()
 		w.processReady(n)
 	})
 }
 
-// completeWrite does the write that was in progress: atomically, as the file's transactions are.
+// completeWrite performs the write in progress atomically, as a transaction of the file does.
 func (w *world) completeWrite(n *modelNode) {
-	dw := n.writing
+	write := n.writing
 	n.writing = nil
-	if dw == nil {
+	if write == nil {
 		return
 	}
-	h := &n.disk
-	if dw.snapshot != nil {
-		h.snapshot, h.entries = dw.snapshot, nil
+	stored := &n.disk
+	if write.snapshot != nil {
+		stored.snapshot, stored.entries = write.snapshot, nil
 	}
-	if dw.compaction != nil {
-		h.snapshot = dw.compaction
-		for len(h.entries) > 0 && h.entries[0].GetIndex() <= dw.compactedIndex {
-			h.entries = h.entries[1:]
+	if write.compaction != nil {
+		stored.snapshot = write.compaction
+		for len(stored.entries) > 0 && stored.entries[0].GetIndex() <= write.compactedIndex {
+			stored.entries = stored.entries[1:]
 		}
 	}
-	if dw.hardState != nil {
-		h.hardState = dw.hardState
+	if write.hardState != nil {
+		stored.hardState = write.hardState
 	}
-	if len(dw.entries) > 0 {
-		at := dw.entries[0].GetIndex()
-		for len(h.entries) > 0 && h.entries[len(h.entries)-1].GetIndex() >= at {
-			h.entries = h.entries[: len(h.entries)-1 : len(h.entries)-1]
+	if len(write.entries) > 0 {
+		firstIndex := write.entries[0].GetIndex()
+		for len(stored.entries) > 0 && stored.entries[len(stored.entries)-1].GetIndex() >= firstIndex {
+			stored.entries = stored.entries[: len(stored.entries)-1 : len(stored.entries)-1]
 		}
-		h.entries = append(h.entries, dw.entries...)
+		stored.entries = append(stored.entries, write.entries...)
 	}
-	if dw.acknowledged != nil {
-		h.acknowledged = dw.acknowledged
+	if write.acknowledged != nil {
+		stored.acknowledged = write.acknowledged
 	}
 }
 
-func (w *world) completeReady(n *modelNode, k *pendingReady) {
-	snap, items, err := n.core.advance()
+func (w *world) completeReady(n *modelNode, ready *pendingReady) {
+	snapshot, entries, err := n.core.advance()
 	if err != nil {
-		w.fail("%s: %v", n.name, err)
+		w.fail("advance at %s: %v", n.name, err)
 		return
 	}
-	w.sendMessages(n, k.afterSync)
-	if snap != nil {
+	w.sendMessages(n, ready.afterSync)
+	if snapshot != nil {
 		w.counts["snapshots"]++
-		w.restore(n, *snap)
+		w.restore(n, *snapshot)
 	}
-	for _, it := range items {
-		w.apply(n, it)
+	for _, entry := range entries {
+		w.apply(n, entry)
 	}
-	for _, rs := range k.rd.ReadStates {
+	for _, rs := range ready.rd.ReadStates {
 		var id proposalID
 		copy(id[:], rs.RequestCtx)
 		n.pendingCalls.completeBarrier(id, rs.Index)
@@ -389,8 +397,8 @@
 	return nil
 }
 
-func (w *world) sendMessages(n *modelNode, ms []*pb.Message) {
-	for _, m := range ms {
+func (w *world) sendMessages(n *modelNode, messages []*pb.Message) {
+	for _, m := range messages {
 		to := w.byID(m.GetTo())
 		if to == nil {
 			continue
@@ -399,22 +407,22 @@
 		if err != nil {
 			panic(err)
 		}
-		var marks map[uint64]logPosition
+		var acknowledged map[uint64]logPosition
 		if m.GetType() == pb.MsgHeartbeat {
-			marks = maps.Clone(n.core.acknowledged)
-			marks[n.id] = n.core.ownPosition()
+			acknowledged = maps.Clone(n.core.acknowledged)
+			acknowledged[n.id] = n.core.ownPosition()
 		}
-		body := encodeMessages(n.id, marks, [][]byte{b})
+		body := encodeMessages(n.id, acknowledged, [][]byte{b})
 		w.send(n, to, func() { w.step(to, body) })
 		if m.GetType() == pb.MsgSnap {
-			how := raft.SnapshotFinish
+			status := raft.SnapshotFinish
 			if w.rng.IntN(3) == 0 {
-				how = raft.SnapshotFailure
+				status = raft.SnapshotFailure
 			}
 			id := m.GetTo()
-			w.push(50*time.Millisecond, n, func() {
+			w.schedule(50*time.Millisecond, n, func() {
 				if n.core != nil {
-					n.core.rawNode.ReportSnapshot(id, how)
+					n.core.rawNode.ReportSnapshot(id, status)
 				}
 			})
 		}
@@ -427,7 +435,7 @@
 	}
 	p, err := decodeMessages(body)
 	if err != nil {
-		w.fail("batch: %v", err)
+		w.fail("decodeMessages at %s: %v", n.name, err)
 		return
 	}
 	for id, m := range p.acknowledged {
@@ -437,8 +445,8 @@
 	}
 	for _, m := range p.messages {
 		if err := n.core.step(m); errors.Is(err, errOutdatedDirectory) {
-			if !w.keepsIdentity {
-				w.fail("%s was found outdated, with a complete directory", n.name)
+			if !w.reusesIdentity {
+				w.fail("step at %s reported an outdated directory, but the directory is complete", n.name)
 			}
 			w.kill(n)
 			w.start(n)
@@ -448,10 +456,10 @@
 	w.processReady(n)
 }
 
-// deliverResults delivers the results of calls that have ended.
+// deliverResults schedules the callbacks of the calls that are complete, in the order of their ids.
 func (w *world) deliverResults(n *modelNode) {
 	var ids []uint64
-	for id := range n.waiters {
+	for id := range n.callsByID {
 		ids = append(ids, binary.BigEndian.Uint64(id[8:]))
 	}
 	slices.Sort(ids)
@@ -459,19 +467,20 @@
 		var id proposalID
 		binary.BigEndian.PutUint64(id[8:], v)
 		select {
-		case r := <-n.waiters[id].done:
-			f := n.waiting[id]
-			delete(n.waiters, id)
-			delete(n.waiting, id)
-			w.push(0, n, func() { f(r) })
+		case r := <-n.callsByID[id].done:
+			f := n.callbacks[id]
+			delete(n.callsByID, id)
+			delete(n.callbacks, id)
+			w.schedule(0, n, func() { f(r) })
 		default:
 		}
 	}
 }
 
-// followStream is a stream of a follower or a joining voter: one batch at a time.
+// followStream models the stream of a follower or a joining voter. It requests one batch at a time from
+// a random voter.
 func (w *world) followStream(n *modelNode) {
-	w.push(time.Duration(20+w.rng.IntN(80))*time.Millisecond, n, func() { w.followStream(n) })
+	w.schedule(time.Duration(20+w.rng.IntN(80))*time.Millisecond, n, func() { w.followStream(n) })
 	if n.core != nil {
 		return
 	}
@@ -494,14 +503,14 @@
 				w.counts["streamed snapshots"]++
 				s, err := decodeSnapshot(batch.snapshot)
 				if err != nil {
-					w.fail("streamed snapshot: %v", err)
+					w.fail("decode a streamed snapshot at %s: %v", n.name, err)
 					return
 				}
 				w.restore(n, s)
 			}
 			entries, err := decodeEntries(b)
 			if err != nil {
-				w.fail("entries: %v", err)
+				w.fail("decode streamed entries at %s: %v", n.name, err)
 			}
 			for _, e := range entries {
 				w.apply(n, e)
@@ -511,21 +520,22 @@
 	})
 }
 
-// supervise is what a Node's supervisor does: it joins, proposes changes, verifies its directory.
+// supervise models a Node's supervisor: it joins as a voter, proposes a change of voters, or verifies
+// the directory.
 func (w *world) supervise(n *modelNode) {
-	w.push(superviseInterval, n, func() { w.supervise(n) })
+	w.schedule(superviseInterval, n, func() { w.supervise(n) })
 	record, index, _ := n.applier.position()
 	switch {
 	case n.core == nil && record != 0 && n.applier.voterSet()[n.id].name == n.name:
-		s, raw := n.applier.takeSnapshot()
-		hard := &pb.HardState{Term: new(s.term), Commit: new(index)}
-		st, err := newStorage(*s, raw, hard, nil)
+		s, encoded := n.applier.takeSnapshot()
+		hardState := &pb.HardState{Term: new(s.term), Commit: new(index)}
+		storage, err := newStorage(*s, encoded, hardState, nil)
 		if err != nil {
 			panic(err)
 		}
-		n.disk = storedState{identity: n.id, snapshot: raw, hardState: hard}
+		n.disk = storedState{identity: n.id, snapshot: encoded, hardState: hardState}
 		w.counts["joined"]++
-		w.engine(n, st, *s, false)
+		w.startCore(n, storage, *s, false)
 	case n.core == nil:
 		c := voterChange{newID: n.id, newName: n.name, address: n.name}
 		for _, v := range w.nodes[:w.voters] {
@@ -552,7 +562,7 @@
 						return
 					}
 					if n.core.isOutdatedBy(m) {
-						w.fail("%s was verified as outdated with a complete directory: %v of %v", n.name, m, n.core.ownPosition())
+						w.fail("verification found the directory of %s outdated, but it is complete: another voter knows %v, the directory holds %v", n.name, m, n.core.ownPosition())
 					}
 					n.verifiedBy[id] = true
 					if len(n.verifiedBy) == w.voters-1 || len(n.verifiedBy) >= w.voters/2 && w.now-n.startedAt > verifyTimeout {
@@ -564,7 +574,7 @@
 	}
 }
 
-// kill ends a node. A write in progress may have completed, or not at all.
+// kill ends a node. A write in progress either completes or does not happen at all.
 func (w *world) kill(n *modelNode) {
 	if n.writing != nil && w.rng.IntN(2) == 0 {
 		w.completeWrite(n)
@@ -573,8 +583,9 @@
 	n.incarnation++
 }
 
-// mayLoseVoter says whether the loss of one more voter's directory is tolerated: all are up and have the same voters. One that is down and
-// does not have the last change yet counts, by its own old configuration, as a second loss.
+// mayLoseVoter reports whether the record survives the loss of one more voter's directory: all voters
+// are up and have the same voter set. A voter that is down and lacks the last change of voters would
+// count as a second loss, by its own old configuration.
 func (w *world) mayLoseVoter() bool {
 	for _, n := range w.nodes[:w.voters] {
 		for _, v := range w.nodes[:w.voters] {
@@ -586,11 +597,12 @@
 	return true
 }
 
-func (w *world) chaos() {
+// injectFault injects a random fault, or repairs some, and schedules the next call of itself.
+func (w *world) injectFault() {
 	if w.noFaults {
 		return
 	}
-	w.push(time.Duration(100+w.rng.IntN(900))*time.Millisecond, nil, w.chaos)
+	w.schedule(time.Duration(100+w.rng.IntN(900))*time.Millisecond, nil, w.injectFault)
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
 	switch w.rng.IntN(9) {
 	case 0, 1:
@@ -622,18 +634,18 @@
 		if n.up && !n.paused {
 			n.paused = true
 			incarnation := n.incarnation
-			w.push(time.Duration(w.rng.IntN(3000))*time.Millisecond, nil, func() {
+			w.schedule(time.Duration(w.rng.IntN(3000))*time.Millisecond, nil, func() {
 				if n.incarnation == incarnation {
 					w.resume(n)
 				}
 			})
 		}
-	case 7: // a lost directory: one at a time, otherwise the record is rightly lost
+	case 7: // a lost directory: one at a time, since the loss of a majority loses the record
 		n = w.nodes[w.rng.IntN(w.voters)]
 		if w.mayLoseVoter() {
 			w.counts["emptied"]++
 			w.kill(n)
-			if !w.keepsIdentity {
+			if !w.reusesIdentity {
 				n.id = w.rng.Uint64()>>2 | 1
 				n.disk = storedState{identity: n.id}
 			} else {
@@ -644,7 +656,7 @@
 			w.start(n)
 		}
 	case 8:
-		if w.rng.IntN(4) == 0 { // all at once
+		if w.rng.IntN(4) == 0 { // restart all nodes at once
 			for _, n := range w.nodes {
 				if n.up {
 					w.kill(n)
@@ -659,16 +671,18 @@
 	n.paused = false
 	for _, e := range n.pausedEvents {
 		w.order++
-		w.put(event{at: w.now, order: w.order, node: e.node, incarnation: e.incarnation, do: e.do})
+		w.insertEvent(event{at: w.now, order: w.order, node: e.node, incarnation: e.incarnation, do: e.do})
 	}
 	n.pausedEvents = nil
 }
 
+// opIn is the input of a call: a write of value, or a read.
 type opIn struct {
 	write bool
 	value uint64
 }
 
+// opOut is the result of a call: the previous value for a write, the current one for a read.
 type opOut struct {
 	answered bool
 	value    uint64
@@ -676,15 +690,15 @@
 
 const callTimeout = 3 * time.Second
 
-// client makes one call after another, at any node.
-func (w *world) client(id int) {
-	again := func() { w.push(time.Duration(w.rng.IntN(250))*time.Millisecond, nil, func() { w.client(id) }) }
+// runClient makes one call after another, each at a random node.
+func (w *world) runClient(id int) {
+	callNext := func() { w.schedule(time.Duration(w.rng.IntN(250))*time.Millisecond, nil, func() { w.runClient(id) }) }
 	if w.ending {
 		return
 	}
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
 	if !n.up || n.paused {
-		w.push(50*time.Millisecond, nil, func() { w.client(id) })
+		w.schedule(50*time.Millisecond, nil, func() { w.runClient(id) })
 		return
 	}
 	w.nextID++
@@ -692,7 +706,7 @@
 	binary.BigEndian.PutUint64(pid[8:], w.nextID)
 	in := opIn{write: w.rng.IntN(3) > 0, value: w.nextID}
 	call, ended := w.now, false
-	end := func(out opOut, record bool) {
+	finish := func(out opOut, record bool) {
 		if ended {
 			return
 		}
@@ -704,25 +718,25 @@
 			}
 			w.ops = append(w.ops, porcupine.Operation{ClientId: id, Input: in, Call: int64(call), Output: out, Return: ret})
 		}
-		again()
+		callNext()
 	}
-	w.push(callTimeout, nil, func() { end(opOut{}, in.write) })
+	w.schedule(callTimeout, nil, func() { finish(opOut{}, in.write) })
 	w.call(n, pid, in, 0, func(r callResult) {
 		switch {
 		case ended:
 		case r.err == nil && in.write:
 			w.counts["acked"]++
-			w.acked[pid] = r.index
-			end(opOut{true, binary.BigEndian.Uint64(r.answer)}, true)
-		case r.err == nil: // a barrier: it waits here, and reads here
+			w.ackedIndexes[pid] = r.index
+			finish(opOut{true, binary.BigEndian.Uint64(r.answer)}, true)
+		case r.err == nil: // a read: it waits until this node has applied the barrier's index, and reads here
 			incarnation := n.incarnation
 			var wait func()
 			wait = func() {
 				if _, index, _ := n.applier.position(); index >= r.index {
 					w.counts["reads"]++
-					end(opOut{true, n.machine.value}, true)
+					finish(opOut{true, n.machine.value}, true)
 				} else if !ended && n.incarnation == incarnation && n.up {
-					w.push(20*time.Millisecond, n, wait)
+					w.schedule(20*time.Millisecond, n, wait)
 				}
 			}
 			wait()
@@ -730,16 +744,17 @@
 			if in.write {
 				w.rejected[pid] = true
 			}
-			end(opOut{}, false)
+			finish(opOut{}, false)
 		}
 	})
 }
 
-func (w *world) call(n *modelNode, pid proposalID, in opIn, hops int, back func(callResult)) {
+// call makes a call at the leader, here or by forwarding it. It was forwarded hops times already.
+func (w *world) call(n *modelNode, pid proposalID, in opIn, hops int, reply func(callResult)) {
 	if n.core != nil && n.core.isLeader() {
-		k := &pendingCall{id: pid, barrier: !in.write, done: make(chan callResult, 1)}
-		n.pendingCalls.add(k)
-		n.waiters[pid], n.waiting[pid] = k, back
+		call := &pendingCall{id: pid, barrier: !in.write, done: make(chan callResult, 1)}
+		n.pendingCalls.add(call)
+		n.callsByID[pid], n.callbacks[pid] = call, reply
 		var err error
 		if in.write {
 			err = n.core.propose(encodeCommand(pid, binary.BigEndian.AppendUint64(nil, in.value)))
@@ -747,7 +762,7 @@
 			err = n.core.readIndex(pid[:])
 		}
 		if err != nil {
-			n.pendingCalls.fail(k, err)
+			n.pendingCalls.fail(call, err)
 		}
 		w.processReady(n)
 		return
@@ -755,16 +770,16 @@
 	to := w.nodes[w.rng.IntN(w.voters)]
 	if n.core != nil {
 		if to = w.byID(n.core.status().Lead); to == nil {
-			back(callResult{err: errNoLeader})
+			reply(callResult{err: errNoLeader})
 			return
 		}
 	}
 	if hops >= 2 || to == n {
-		back(callResult{err: errNoLeader})
+		reply(callResult{err: errNoLeader})
 		return
 	}
 	w.send(n, to, func() {
-		w.call(to, pid, in, hops+1, func(r callResult) { w.send(to, n, func() { back(r) }) })
+		w.call(to, pid, in, hops+1, func(r callResult) { w.send(to, n, func() { reply(r) }) })
 	})
 }
 
@@ -782,23 +797,23 @@
 	},
 }
 
-// runModel runs a seed; the world's failure says what was wrong.
-func runModel(seed uint64, plant func(*world)) (w *world) {
+// runModel runs the model with a seed. The failure of the returned world is empty if all checks pass.
+func runModel(seed uint64, configure func(*world)) (w *world) {
 	old := crand.Reader
-	crand.Reader = rand.NewChaCha8([32]byte{byte(seed), byte(seed >> 8), byte(seed >> 16), 1}) // raft draws its election times from it
+	crand.Reader = rand.NewChaCha8([32]byte{byte(seed), byte(seed >> 8), byte(seed >> 16), 1}) // raft draws its election time-outs from it
 	defer func() { crand.Reader = old }()
 	w = newModel(seed, 3+2*int(seed%2), 2)
-	if plant != nil {
-		plant(w)
+	if configure != nil {
+		configure(w)
 	}
 	defer func() {
 		if p := recover(); p != nil {
 			w.fail("panic: %v", p)
 		}
 	}()
-	w.push(time.Second, nil, w.chaos)
+	w.schedule(time.Second, nil, w.injectFault)
 	for i := range 4 {
-		w.push(time.Duration(i)*100*time.Millisecond, nil, func() { w.client(i) })
+		w.schedule(time.Duration(i)*100*time.Millisecond, nil, func() { w.runClient(i) })
 	}
 	w.run(20 * time.Second)
 	w.noFaults, w.loss, w.delay = true, 0, 10*time.Millisecond
@@ -812,34 +827,34 @@
 		}
 	}
 	w.run(30 * time.Second)
-	had := w.counts["acked"]
+	ackedBefore := w.counts["acked"]
 	w.run(32 * time.Second)
 	w.ending = true
-	w.run(32*time.Second + 2*callTimeout) // until every call has ended
-	if w.counts["acked"] == had {
-		w.fail("nothing is committed any more")
+	w.run(32*time.Second + 2*callTimeout) // until all calls have ended
+	if w.counts["acked"] == ackedBefore {
+		w.fail("no write was committed after 30 s, although the faults ended at 20 s")
 	}
-	if !w.mayLoseVoter() && !w.keepsIdentity {
-		w.fail("a replaced voter did not join")
+	if !w.mayLoseVoter() && !w.reusesIdentity {
+		w.fail("not all voters run and have all others in their voter set: a voter with a new identity may not have joined")
 	}
-	for pid := range w.acked {
-		if at := w.log[pid]; at != w.acked[pid] {
-			w.fail("acknowledged at %d, in the log at %d", w.acked[pid], at)
+	for pid := range w.ackedIndexes {
+		if at := w.committedIndexes[pid]; at != w.ackedIndexes[pid] {
+			w.fail("a write was acknowledged at index %d, but the log has it at index %d (0: nowhere)", w.ackedIndexes[pid], at)
 		}
 	}
 	for pid := range w.rejected {
-		if w.log[pid] != 0 {
-			w.fail("rejected, and committed")
+		if w.committedIndexes[pid] != 0 {
+			w.fail("a rejected write was committed at index %d", w.committedIndexes[pid])
 		}
 	}
 	if w.failure == "" {
-		// A write of unknown outcome counts if it is in the log, and was never made otherwise.
+		// A write of unknown outcome is part of the history only if the log has it.
 		ops := w.ops[:0:0]
 		for _, o := range w.ops {
 			if in := o.Input.(opIn); !o.Output.(opOut).answered {
 				var pid proposalID
 				binary.BigEndian.PutUint64(pid[8:], in.value)
-				if w.log[pid] == 0 {
+				if w.committedIndexes[pid] == 0 {
 					continue
 				}
 			}
@@ -850,13 +865,15 @@
 		}
 	}
 	h := fnv.New64a()
-	fmt.Fprint(h, w.trace, len(w.ops), len(w.agreed), w.counts)
+	fmt.Fprint(h, w.trace, len(w.ops), len(w.stateHashes), w.counts)
 	w.trace = h.Sum64()
 	return w
 }
 
-func seeds(short int) (first, n uint64) {
-	n = uint64(short)
+// seedRange returns the first seed and the number of seeds, from CONSENSUS_FIRST and CONSENSUS_SEEDS if
+// they are set.
+func seedRange(defaultCount int) (first, n uint64) {
+	n = uint64(defaultCount)
 	if v, err := strconv.ParseUint(os.Getenv("CONSENSUS_SEEDS"), 10, 64); err == nil {
 		n = v
 	}
@@ -864,8 +881,10 @@
 	return first, n
 }
 
+// TestModel runs the model with a range of seeds, and some seeds twice to check that a run is
+// deterministic.
 func TestModel(t *testing.T) {
-	first, n := seeds(30)
+	first, n := seedRange(30)
 	total := map[string]int{}
 	for seed := first; seed < first+n; seed++ {
 		w := runModel(seed, nil)
@@ -876,23 +895,23 @@
 			total[k] += v
 		}
 		if seed%50 == 0 {
-			if again := runModel(seed, nil); again.trace != w.trace {
-				t.Errorf("seed %d: two plays differ", seed)
+			if replay := runModel(seed, nil); replay.trace != w.trace {
+				t.Errorf("seed %d: two runs of the model differ: trace %x, then %x", seed, w.trace, replay.trace)
 			}
 		}
 	}
 	t.Log(total)
 }
 
-// TestPlantedFaults has the model find planted faults.
+// TestPlantedFaults checks that the model finds faults that are planted in it.
 func TestPlantedFaults(t *testing.T) {
-	for name, plant := range map[string]func(*world){
-		"an answer before commit":       func(w *world) { w.earlyAnswers = true },
-		"a vote after a lost directory": func(w *world) { w.keepsIdentity = true },
+	for name, configure := range map[string]func(*world){
+		"an answer before commit":       func(w *world) { w.answersBeforeCommit = true },
+		"a vote after a lost directory": func(w *world) { w.reusesIdentity = true },
 	} {
 		found := 0
 		for seed := range uint64(60) {
-			if w := runModel(seed, plant); w.failure != "" {
+			if w := runModel(seed, configure); w.failure != "" {
 				if found++; found == 1 {
 					t.Logf("%s: seed %d: %s", name, seed, w.failure)
 				}
@@ -902,7 +921,7 @@
 			}
 		}
 		if found == 0 {
-			t.Errorf("%s: not found", name)
+			t.Errorf("%s: the model did not find this fault in 60 seeds", name)
 		}
 	}
 }
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -20,7 +20,7 @@
 	leadershipQueueSize      = 16
 )
 
-// Node is one relay's part in the record.
+// Node runs one relay's copy of the record, as a voter or as a follower.
 type Node struct {
 	options   Options
 	address   string
@@ -35,8 +35,8 @@
 	transport    *transport
 	replayGuard  replayGuard
 	server       *http.Server
-	requestSlots chan struct{} // one for each request being served, streams excepted
-	largeSlot    chan struct{} // for one large request
+	requestSlots chan struct{} // holds one element for each request being served, except streams
+	largeSlot    chan struct{} // holds one element while a large request is served
 	streamCount  atomic.Int64
 
 	applier          *applier
@@ -49,13 +49,13 @@
 	leadership      chan leadershipChange
 	incomingReports chan incomingReport
 	incomingReplies chan incomingReply
-	replyWaiters    chan struct{} // one for each request that waits for replies
+	replyWaiters    chan struct{} // holds one element for each request that waits for replies
 
 	bytesIn, bytesOut atomic.Uint64
 	injectFault       func(op string) error // of the disk, for tests; nil otherwise
 
 	mu                  sync.Mutex
-	current             *engine // nil while this relay does not vote
+	currentEngine       *engine // nil while this relay does not vote
 	identity            uint64
 	disk                *disk
 	diskError           string
@@ -63,7 +63,7 @@
 	identityReason      string
 	duplicateNames      []string
 	role                string
-	bootstrapID         uint64 // the record that another voter is about to bootstrap with this one
+	bootstrapID         uint64 // the record for whose bootstrap by another voter this relay is reserved; 0 for none
 	bootstrapReservedAt time.Time
 	dropped             map[string]uint64
 	rejected            map[string]uint64
@@ -72,16 +72,18 @@
 	followState         followStatus
 	hasQuorum           bool
 	quorumSince         time.Time
-	leaderlessSince     time.Time // since when the engine knows no leader; zero if it knows one
+	leaderlessSince     time.Time // when the engine started or lost its leader; zero if it knows one, or without an engine
 }
 
+// randomID returns a random, non-zero number of at most 62 bits.
 func randomID() uint64 {
 	var b [8]byte
-	_, _ = crand.Read(b[:]) // it never fails: the process would end first
+	_, _ = crand.Read(b[:]) // returns no error: crypto/rand ends the process instead
 	return binary.BigEndian.Uint64(b[:])>>2 | 1
 }
 
-// Start starts a node. An unusable directory is no error: the node starts without a vote and reports it in Status.
+// Start starts a node. It fails if the options are invalid or the relay cannot listen. A directory
+// that cannot be used is not an error: the node starts without a vote and reports it in Status.
 func Start(o Options) (*Node, error) { return startWithFaults(o, nil) }
 
 // startWithFaults starts a node whose disk fails where injectFault returns an error.
@@ -101,7 +103,7 @@
 	n := newNode(o, injectFault)
 	n.address = listener.Addr().String()
 	if o.Dir == "" {
-		n.log().Warn("consensus: no directory: this relay forgets the record when it ends, and a voter comes back as a new one; if a majority of voters end at once, the record is lost")
+		n.log().Warn("consensus: no directory is configured: this relay loses the record when its process ends, and a voter restarts under a new identity; if a majority of voters end at once, the record is lost")
 	}
 	n.startGoroutines(&countingListener{listener, &n.bytesIn, &n.bytesOut})
 	return n, nil
@@ -110,11 +112,11 @@
 func (o Options) check() error {
 	switch {
 	case o.Name == "" || len(o.Name) > maxNameSize:
-		return fmt.Errorf("consensus: name of %d bytes", len(o.Name))
+		return fmt.Errorf("consensus: relay name has %d bytes, want 1 to %d", len(o.Name), maxNameSize)
 	case len(o.Keys) == 0:
-		return errors.New("consensus: no key")
+		return errors.New("consensus: no key is configured")
 	case o.Machine == nil:
-		return errors.New("consensus: no machine")
+		return errors.New("consensus: Options.Machine is not set")
 	case len(o.Voters)%2 == 0 || len(o.Voters) > 5:
 		return fmt.Errorf("consensus: %d voters: 1, 3 or 5 are required", len(o.Voters))
 	}
@@ -142,7 +144,7 @@
 	n.wg.Go(n.supervise)
 	n.wg.Go(n.followLoop)
 	n.wg.Go(n.reportLoop)
-	consume(n, n.incomingReports, n.handleReport)
+	consume(n, n.incomingReports, n.callOnReport)
 	consume(n, n.incomingReplies, func(r incomingReply) {
 		if n.options.OnReply != nil {
 			n.options.OnReply(r.leader, r.content)
@@ -155,7 +157,7 @@
 	})
 	n.wg.Go(func() {
 		if err := n.server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			n.log().WithField("error", err.Error()).Error("consensus: the listener ended")
+			n.log().WithField("error", err.Error()).Error("consensus: the HTTP server stopped: other relays cannot reach this one")
 		}
 	})
 }
@@ -174,7 +176,7 @@
 	})
 }
 
-// Close stops the node and waits for its goroutines; it closes its connections and files.
+// Close stops the node, waits for its goroutines, and closes its connections and files.
 func (n *Node) Close() error {
 	n.closeOnce.Do(func() {
 		close(n.quit)
@@ -186,19 +188,20 @@
 	return n.closeErr
 }
 
-// Addr is the address that the node listens on.
+// Addr returns the address that the node listens on.
 func (n *Node) Addr() string { return n.address }
 
 func (n *Node) log() logrus.FieldLogger { return n.options.Log }
 
-// engine is this voter's engine; nil while this relay does not vote.
+// engine returns this voter's engine, or nil while this relay does not vote.
 func (n *Node) engine() *engine {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.current
+	return n.currentEngine
 }
 
-// tryOnEngine runs f on the engine's goroutine, unless its queue is full.
+// tryOnEngine queues f to run on the engine's goroutine. If the queue is full, f is dropped and
+// counted.
 func (n *Node) tryOnEngine(f func(*engine)) {
 	if e := n.engine(); e != nil {
 		select {
@@ -209,7 +212,7 @@
 	}
 }
 
-// onEngine runs f on the engine's goroutine, as soon as its queue has capacity. It does not wait.
+// onEngine queues f to run on the engine's goroutine once the queue has capacity. It does not block.
 func (n *Node) onEngine(f func(*engine)) {
 	e := n.engine()
 	if e == nil {
--- a/internal/consensus/stored_test.go
+++ b/internal/consensus/stored_test.go
@@ -10,30 +10,30 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// TestStoredFormsDataDir: a voter's directory written by release 63fa232 (one voter, three commands agreed; its hard state as the disk last had it) is read whole and opened
-// under the identity it holds, with its hard state and entries.
+// TestStoredFormsDataDir opens a voter's directory that release 63fa232 wrote, with one voter and three
+// committed commands. The file is read completely, and opened with its identity, hard state and entries.
 func TestStoredFormsDataDir(t *testing.T) {
 	written, err := os.ReadFile(filepath.Join("testdata", "head", databaseFile))
 	if err != nil {
 		t.Fatal(err)
 	}
-	h, err := loadFile(written)
+	loaded, err := loadFile(written)
 	if err != nil {
 		t.Fatal(err)
 	}
 	const identity = 4286738726500800039
-	if h.identity != identity || h.hardState.GetTerm() != 2 || h.hardState.GetCommit() != 1 {
-		t.Errorf("identity %d, hard state %v", h.identity, h.hardState)
+	if loaded.identity != identity || loaded.hardState.GetTerm() != 2 || loaded.hardState.GetCommit() != 1 {
+		t.Errorf("loadFile: identity %d, hard state %v, want identity %d, term 2, commit index 1", loaded.identity, loaded.hardState, uint64(identity))
 	}
 	var commands []string
-	for _, e := range h.entries {
+	for _, e := range loaded.entries {
 		if e.GetType() == pb.EntryNormal && len(e.GetData()) > 0 {
 			commands = append(commands, string(e.GetData()))
 		}
 	}
 	for _, c := range []string{"alpha", "beta", "gamma"} {
 		if !slices.ContainsFunc(commands, func(data string) bool { return strings.Contains(data, c) }) {
-			t.Errorf("no entry carries %q: %q", c, commands)
+			t.Errorf("no entry contains the command %q; commands: %q", c, commands)
 		}
 	}
 	dir := t.TempDir()
@@ -41,14 +41,14 @@
 		t.Fatal(err)
 	}
 	d := &disk{directory: dir}
-	opened, note, err := d.open(1)
-	if err != nil || note != "" {
-		t.Fatalf("opened with %v: %s", err, note)
+	opened, damage, err := d.open(1)
+	if err != nil || damage != "" {
+		t.Fatalf("open: error %v, damage %q, want neither", err, damage)
 	}
 	if err := d.close(); err != nil {
 		t.Fatal(err)
 	}
-	if opened.identity != identity || len(opened.entries) != len(h.entries) {
-		t.Errorf("opened as %d with %d entries, read as %d with %d", opened.identity, len(opened.entries), h.identity, len(h.entries))
+	if opened.identity != identity || len(opened.entries) != len(loaded.entries) {
+		t.Errorf("open: identity %d with %d entries, want %d with %d as read by loadFile", opened.identity, len(opened.entries), uint64(identity), len(loaded.entries))
 	}
 }
--- a/internal/consensus/supervisor.go
+++ b/internal/consensus/supervisor.go
@@ -9,14 +9,14 @@
 	reopenInterval    = 5 * time.Second // between attempts to open a directory that failed
 )
 
-// supervise decides what this relay is: a voter, one that bootstraps the record or waits to be added, or a follower. It owns the engine and
-// the disk.
+// supervise decides whether this relay votes, follows, or has to become a voter by a bootstrap or a
+// change of voters. It owns the engine and the disk.
 func (n *Node) supervise() {
 	defer n.stopVoting()
 	n.openDirectory()
 	ticker := time.NewTicker(superviseInterval)
 	defer ticker.Stop()
-	var lastChangeSent, lastOpened time.Time
+	var lastChangeSent, lastOpenAttempt time.Time
 	windowStart := time.Now()
 	for {
 		e := n.engine()
@@ -42,14 +42,14 @@
 		case e != nil:
 		case n.directoryFailed():
 			n.setRole(n.roleWithoutDisk())
-			if time.Since(lastOpened) > reopenInterval {
-				lastOpened = time.Now()
+			if time.Since(lastOpenAttempt) > reopenInterval {
+				lastOpenAttempt = time.Now()
 				n.openDirectory()
 			}
 		case n.engineFailed():
 			n.setRole(RoleDiskFailed)
 		default:
-			lastChangeSent = n.seekVote(lastChangeSent)
+			lastChangeSent = n.tryBecomeVoter(lastChangeSent)
 		}
 	}
 }
@@ -61,14 +61,15 @@
 	}
 	if d := n.currentDisk(); d != nil {
 		if err := d.close(); err != nil {
-			n.log().WithField("error", err.Error()).Error("consensus: closing the directory")
+			n.log().WithField("error", err.Error()).Error("consensus: cannot close the directory")
 		}
 	}
 }
 
-// seekVote starts the engine if the record has this relay as a voter, bootstraps the record, or asks the leader to add this voter under its
-// new identity. It returns when it last did the latter.
-func (n *Node) seekVote(lastChangeSent time.Time) time.Time {
+// tryBecomeVoter starts the engine if the record lists this relay's identity as a voter. Otherwise, if
+// the relay has a voter's name, it bootstraps the record or, if there is one, asks the leader to add
+// the relay under its new identity. It returns when it last asked the leader.
+func (n *Node) tryBecomeVoter(lastChangeSent time.Time) time.Time {
 	n.mu.Lock()
 	id := n.identity
 	n.mu.Unlock()
@@ -94,7 +95,8 @@
 	return lastChangeSent
 }
 
-// isVoter says whether this relay's name is a voter's: by the record, or before there is one by the options.
+// isVoter reports whether a voter has this relay's name in the record, or in the options if there is
+// no record yet.
 func (n *Node) isVoter() bool {
 	if voters := n.applier.voterSet(); len(voters) > 0 {
 		return voters.idOf(n.options.Name) != 0
