--- a/internal/gossip/envelope.go
+++ b/internal/gossip/envelope.go
@@ -92,7 +92,7 @@
 	if b[0] != envelopeVersion {
 		return "", nil, ErrVersion
 	}
-	body, sum := b[:len(b)-tagSize], b[len(b)-tagSize:]
+	body, tag := b[:len(b)-tagSize], b[len(b)-tagSize:]
 	var key []byte
 	for _, k := range o.Keys {
 		if bytes.Equal(keyID(k), b[1:1+keyIDSize]) {
@@ -102,7 +102,7 @@
 	if key == nil {
 		return "", nil, ErrUnknownKey
 	}
-	if !hmac.Equal(authTag(key, body), sum) {
+	if !hmac.Equal(authTag(key, body), tag) {
 		return "", nil, ErrBadTag
 	}
 	h, content, ok := parseHeader(body)
--- a/internal/gossip/envelope_test.go
+++ b/internal/gossip/envelope_test.go
@@ -22,51 +22,51 @@
 func TestEnvelope(t *testing.T) {
 	const now = time.Hour
 	wall := uint64(1_800_000_000_000)
-	far := wall - 5*60_000 // the sender's clock
+	senderClock := wall - 5*60_000 // the sender's clock
 	s := Sealer{Keys: Keys{oldKey}, Name: "n1", Start: 7000}
 	o := Opener{Keys: Keys{newKey, oldKey}}
 	var sealed [][]byte
 	for i := range 80 {
-		sealed = append(sealed, s.Seal([]byte{byte(i)}, far+uint64(i)))
+		sealed = append(sealed, s.Seal([]byte{byte(i)}, senderClock+uint64(i)))
 	}
-	take := func(b []byte, at time.Duration, want error) {
+	expectOpen := func(b []byte, at time.Duration, want error) {
 		t.Helper()
 		name, content, err := o.Open(at, wall+uint64((at-now).Milliseconds()), "10.0.0.1:7", b)
 		if !errors.Is(err, want) || want == nil && (name != "n1" || len(content) != 1) {
 			t.Errorf("%q %v: %v, want %v", name, content, err, want)
 		}
 	}
-	take(sealed[0], now, nil)
-	take(sealed[2], now, nil)
-	take(sealed[1], now, nil)
-	take(sealed[1], now, ErrReplayed)
-	take(sealed[2], now, ErrReplayed)
-	take(sealed[79], now, nil)
-	take(sealed[10], now, ErrReplayed) // too far behind to know
-	take(sealed[20], now, nil)
-	take(sealed[20], now, ErrReplayed)
-	take(sealed[50], now+31*time.Second, ErrTooOld)
-	take(sealed[3][:30], now, ErrSize)
-	take(make([]byte, 9000), now, ErrSize)
+	expectOpen(sealed[0], now, nil)
+	expectOpen(sealed[2], now, nil)
+	expectOpen(sealed[1], now, nil)
+	expectOpen(sealed[1], now, ErrReplayed)
+	expectOpen(sealed[2], now, ErrReplayed)
+	expectOpen(sealed[79], now, nil)
+	expectOpen(sealed[10], now, ErrReplayed) // too far behind to know
+	expectOpen(sealed[20], now, nil)
+	expectOpen(sealed[20], now, ErrReplayed)
+	expectOpen(sealed[50], now+31*time.Second, ErrTooOld)
+	expectOpen(sealed[3][:30], now, ErrSize)
+	expectOpen(make([]byte, 9000), now, ErrSize)
 	changed := bytes.Clone(sealed[4])
 	changed[len(changed)-1] ^= 1
-	take(changed, now, ErrBadTag)
-	other := Sealer{Keys: Keys{[]byte("a key that nobody here has, 32 and more")}, Name: "n1", Start: 9000}
-	take(other.Seal([]byte{1}, far), now, ErrUnknownKey)
-	newer := bytes.Clone(sealed[5])
-	newer[0] = 2
-	take(newer, now, ErrVersion)
+	expectOpen(changed, now, ErrBadTag)
+	foreignKey := Sealer{Keys: Keys{[]byte("a key that nobody here has, 32 and more")}, Name: "n1", Start: 9000}
+	expectOpen(foreignKey.Seal([]byte{1}, senderClock), now, ErrUnknownKey)
+	unknownVersion := bytes.Clone(sealed[5])
+	unknownVersion[0] = 2
+	expectOpen(unknownVersion, now, ErrVersion)
 
-	next := Sealer{Keys: Keys{newKey}, Name: "n1", Start: 8000} // it was restarted, and signs by the new key
-	take(next.Seal([]byte{1}, far+1000), now+time.Second, nil)
-	take(sealed[60], now+time.Second, ErrTooOld) // of the process before
-	name, _, err := o.Open(now+time.Second, wall, "10.0.0.2:7", s.Seal([]byte{1}, far+1000))
+	restarted := Sealer{Keys: Keys{newKey}, Name: "n1", Start: 8000} // it was restarted, and signs by the new key
+	expectOpen(restarted.Seal([]byte{1}, senderClock+1000), now+time.Second, nil)
+	expectOpen(sealed[60], now+time.Second, ErrTooOld) // of the process before
+	name, _, err := o.Open(now+time.Second, wall, "10.0.0.2:7", s.Seal([]byte{1}, senderClock+1000))
 	if !errors.Is(err, ErrNameConflict) {
 		t.Errorf("two of one name: %q, %v", name, err)
 	}
-	back := Sealer{Keys: Keys{newKey}, Name: "n1", Start: 100} // its clock was set back
-	take(back.Seal([]byte{1}, far+2000), now+2*time.Second, ErrTooOld)
-	take(back.Seal([]byte{1}, far), now+2*senderReset, nil)
+	clockSetBack := Sealer{Keys: Keys{newKey}, Name: "n1", Start: 100} // its clock was set back
+	expectOpen(clockSetBack.Seal([]byte{1}, senderClock+2000), now+2*time.Second, ErrTooOld)
+	expectOpen(clockSetBack.Seal([]byte{1}, senderClock), now+2*senderReset, nil)
 	if o.Rejected["repeated"] != 4 || o.Rejected["tag"] != 1 {
 		t.Errorf("counted %v", o.Rejected)
 	}
@@ -110,10 +110,10 @@
 		if len(m.Updates) > maxUpdates {
 			t.Fatalf("%d updates", len(m.Updates))
 		}
-		again, n := m.Append(nil, 1<<20)
-		same, err := Decode(again)
-		if err != nil || n != len(m.Updates) || !reflect.DeepEqual(m, same) {
-			t.Errorf("%+v became %+v: %v", m, same, err)
+		encoded, n := m.Append(nil, 1<<20)
+		decoded, err := Decode(encoded)
+		if err != nil || n != len(m.Updates) || !reflect.DeepEqual(m, decoded) {
+			t.Errorf("%+v became %+v: %v", m, decoded, err)
 		}
 	})
 }
@@ -121,13 +121,13 @@
 // FuzzOpen: no bytes but those that a key has sealed are opened.
 func FuzzOpen(f *testing.F) {
 	s := Sealer{Keys: Keys{oldKey}, Name: "n1", Start: 1}
-	whole := s.Seal([]byte("content"), 5)
-	f.Add(whole)
-	f.Add(whole[:len(whole)-1])
+	sealed := s.Seal([]byte("content"), 5)
+	f.Add(sealed)
+	f.Add(sealed[:len(sealed)-1])
 	f.Add([]byte{envelopeVersion})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		o := Opener{Keys: Keys{oldKey}}
-		if _, _, err := o.Open(time.Hour, 5, "a", b); err == nil && !bytes.Equal(b, whole) {
+		if _, _, err := o.Open(time.Hour, 5, "a", b); err == nil && !bytes.Equal(b, sealed) {
 			t.Errorf("opened %x", b)
 		}
 	})
--- a/internal/gossip/fields.go
+++ b/internal/gossip/fields.go
@@ -50,7 +50,7 @@
 }
 
 // decodeFields calls take with each field. Those that take does not know, for which it returns false, are returned as they are.
-func decodeFields(b []byte, take func(n protowire.Number, v uint64, s []byte) bool) (unknown []byte, err error) {
+func decodeFields(b []byte, handle func(n protowire.Number, v uint64, s []byte) bool) (unknown []byte, err error) {
 	for len(b) > 0 {
 		n, kind, tagSize := protowire.ConsumeTag(b)
 		if tagSize < 0 {
@@ -70,7 +70,7 @@
 		if size < 0 {
 			return nil, ErrMalformed
 		}
-		if !take(n, v, s) {
+		if !handle(n, v, s) {
 			unknown = append(unknown, b[:tagSize+size]...)
 		}
 		b = b[tagSize+size:]
--- a/internal/gossip/membership_test.go
+++ b/internal/gossip/membership_test.go
@@ -74,7 +74,7 @@
 
 // TestDeterministic: a seed gives the same messages again.
 func TestDeterministic(t *testing.T) {
-	play := func() uint64 {
+	run := func() uint64 {
 		w := newNetwork(5, 12)
 		w.lossRate = 0.1
 		w.advance(10 * time.Second)
@@ -82,7 +82,7 @@
 		w.advance(10 * time.Second)
 		return w.trace
 	}
-	if a, b := play(), play(); a != b {
+	if a, b := run(), run(); a != b {
 		t.Errorf("traces %x and %x", a, b)
 	}
 }
@@ -155,8 +155,8 @@
 	}
 }
 
-// TestBytesFlat: what a relay sends does not grow with their number.
-func TestBytesFlat(t *testing.T) {
+// TestBandwidthIndependentOfGroupSize: what a relay sends does not grow with their number.
+func TestBandwidthIndependentOfGroupSize(t *testing.T) {
 	rate := map[int]float64{}
 	for _, n := range []int{10, 50, 200} {
 		w := newNetwork(1, n)
@@ -171,14 +171,14 @@
 	}
 }
 
-// TestBudget: whatever is partitioned, killed or stopped, all relays together never take more than a third over the budget that
+// TestBudgetNotOverspent: whatever is partitioned, killed or stopped, all relays together never take more than a third over the budget that
 // they divide, and where most of them are gone for certain the rest take more than their old parts.
-func TestBudget(t *testing.T) {
+func TestBudgetNotOverspent(t *testing.T) {
 	eachSeed(t, 16, func(t *testing.T, seed uint64) {
 		n := 12
 		w := newNetwork(seed, n)
 		w.advance(15 * time.Second)
-		check := func() {
+		checkBudget := func() {
 			sum := 0.0
 			for _, nd := range w.nodes {
 				if nd.up && !nd.stopped {
@@ -195,17 +195,17 @@
 				t.Fatalf("seed %d at %v: %.2f of the budget:%s", seed, w.now, sum, detail)
 			}
 		}
-		watch := func(d time.Duration) {
+		advanceAndCheck := func(d time.Duration) {
 			for end := w.now + d; w.now < end; {
 				w.advance(100 * time.Millisecond)
-				check()
+				checkBudget()
 			}
 		}
 		if seed%2 == 1 { // many at once, before they are parted or all come back
 			for range w.rng.IntN(n - 1) {
 				w.nodes[w.rng.IntN(n)].up = false
 			}
-			watch(time.Duration(w.rng.IntN(15)) * time.Second)
+			advanceAndCheck(time.Duration(w.rng.IntN(15)) * time.Second)
 		}
 		for range 5 {
 			i, side := w.rng.IntN(n), w.rng.IntN(n)
@@ -227,7 +227,7 @@
 					w.start(i)
 				}
 			}
-			watch(time.Duration(w.rng.IntN(20)) * time.Second)
+			advanceAndCheck(time.Duration(w.rng.IntN(20)) * time.Second)
 		}
 	})
 	w := newNetwork(99, 12)
@@ -248,9 +248,9 @@
 	}
 }
 
-// TestClaims: 2,000 claimed relays are not tracked beyond the bound and move no budget, and a relay that is repeatedly claimed to
+// TestFalseClaims: 2,000 claimed relays are not tracked beyond the bound and move no budget, and a relay that is repeatedly claimed to
 // be dead refutes that each time.
-func TestClaims(t *testing.T) {
+func TestFalseClaims(t *testing.T) {
 	w := newNetwork(2, 5)
 	w.advance(15 * time.Second)
 	liar, victim := w.nodes[1], w.nodes[3]
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -141,24 +141,24 @@
 // Decode reads a message. Names, addresses and the number of updates are bounded; unknown fields of an update are retained.
 func Decode(b []byte) (Message, error) {
 	var m Message
-	var inner error
+	var fieldErr error
 	known := append(m.header(), m.target()...)
 	_, err := decodeFields(b, func(n protowire.Number, v uint64, s []byte) bool {
 		switch n {
 		case updateField:
 			u, err := decodeUpdate(s)
 			if err != nil || len(m.Updates) == maxUpdates {
-				inner = ErrMalformed
+				fieldErr = ErrMalformed
 			}
 			m.Updates = append(m.Updates, u)
 		case observedField:
 			digest, err := decodeDigest(s)
 			if m.Observed = digest; err != nil {
-				inner = ErrMalformed
+				fieldErr = ErrMalformed
 			}
 		case userDataField:
 			if m.UserData = s; len(s) > MaxUserData {
-				inner = ErrMalformed
+				fieldErr = ErrMalformed
 			}
 		default:
 			setField(known, n, v, s)
@@ -166,9 +166,9 @@
 		return true
 	})
 	if len(m.Target) > maxNameLen || len(m.TargetAddr) > maxAddrLen {
-		inner = ErrMalformed
+		fieldErr = ErrMalformed
 	}
-	return m, errors.Join(err, inner)
+	return m, errors.Join(err, fieldErr)
 }
 
 func decodeUpdate(b []byte) (u Update, err error) {
--- a/internal/gossip/network_test.go
+++ b/internal/gossip/network_test.go
@@ -97,13 +97,13 @@
 	heap.Push(&w.events, e)
 }
 
-func (w *network) index(at string) int {
+func (w *network) nodeIndex(at string) int {
 	return slices.IndexFunc(w.nodes, func(n *node) bool { return addr(n.at) == at })
 }
 
 func (w *network) deliver(from int, outs []Outbound) {
 	for _, o := range outs {
-		to := w.index(o.Addr)
+		to := w.nodeIndex(o.Addr)
 		if to < 0 {
 			continue
 		}
@@ -126,8 +126,8 @@
 		w.trace = h.Sum64()
 		for range 1 + map[bool]int{true: 1}[w.rng.Float64() < w.repeatRate] {
 			if w.rng.Float64() >= w.lossRate && !w.partitioned(from, to) {
-				late := time.Millisecond + time.Duration(w.rng.Float64()*float64(w.delay))
-				w.push(event{at: w.now + late, to: to, from: from, bytes: b})
+				latency := time.Millisecond + time.Duration(w.rng.Float64()*float64(w.delay))
+				w.push(event{at: w.now + latency, to: to, from: from, bytes: b})
 			}
 		}
 	}
@@ -212,19 +212,19 @@
 }
 
 // seeds is how many seeds a test runs: a few in CI, as many as GOSSIP_SEEDS says by hand.
-func seeds(few int) uint64 {
+func seedCount(defaultCount int) uint64 {
 	if n, err := strconv.Atoi(os.Getenv("GOSSIP_SEEDS")); err == nil {
 		return uint64(n)
 	}
-	return uint64(few)
+	return uint64(defaultCount)
 }
 
 // eachSeed runs a test with each seed, on all processors.
-func eachSeed(t *testing.T, few int, play func(t *testing.T, seed uint64)) {
-	for seed := range seeds(few) {
+func eachSeed(t *testing.T, defaultCount int, run func(t *testing.T, seed uint64)) {
+	for seed := range seedCount(defaultCount) {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
 			t.Parallel()
-			play(t, seed)
+			run(t, seed)
 		})
 	}
 }
--- a/internal/gossip/observations.go
+++ b/internal/gossip/observations.go
@@ -52,14 +52,14 @@
 const (
 	zones subject = iota
 	members
-	subjects
+	numSubjects
 )
 
 // ObservationWindow counts the outcomes that this relay sees, over the last windowSpan to twice that. It does no I/O; the
 // time is passed in.
 type ObservationWindow struct {
 	rotatedAt         time.Duration
-	current, previous [subjects]map[string]*outcomeCounts
+	current, previous [numSubjects]map[string]*outcomeCounts
 }
 
 type outcomeCounts struct {
@@ -70,7 +70,7 @@
 // Record counts one attempt or probe.
 func (w *ObservationWindow) Record(now time.Duration, member, zone string, outcome Outcome) {
 	w.rotate(now)
-	for kind, name := range [subjects]string{zones: zone, members: member} {
+	for kind, name := range [numSubjects]string{zones: zone, members: member} {
 		if w.current[kind] == nil {
 			w.current[kind] = map[string]*outcomeCounts{}
 		}
@@ -92,7 +92,7 @@
 	if now-w.rotatedAt < windowSpan {
 		return
 	}
-	if w.previous, w.current = w.current, [subjects]map[string]*outcomeCounts{}; now-w.rotatedAt >= 2*windowSpan {
+	if w.previous, w.current = w.current, [numSubjects]map[string]*outcomeCounts{}; now-w.rotatedAt >= 2*windowSpan {
 		w.previous = w.current
 	}
 	w.rotatedAt = now
@@ -157,7 +157,7 @@
 }
 
 func decodeDigest(b []byte) (d Digest, err error) {
-	var inner error
+	var fieldErr error
 	_, err = decodeFields(b, func(n protowire.Number, _ uint64, s []byte) bool {
 		list := &d.Zones
 		if n == memberField {
@@ -173,11 +173,11 @@
 			return true
 		})
 		if err != nil || len(o.Name) > maxNameLen || len(*list) >= maxObservations {
-			inner = ErrMalformed
+			fieldErr = ErrMalformed
 			return true
 		}
 		*list = append(*list, o)
 		return true
 	})
-	return d, cmp.Or(err, inner)
+	return d, cmp.Or(err, fieldErr)
 }
--- a/internal/gossip/stale_list_test.go
+++ b/internal/gossip/stale_list_test.go
@@ -11,7 +11,7 @@
 		return &Peer{Update: Update{State: state, Phase: Serving, Generation: generation}, LastContact: 1}
 	}
 	for _, c := range []struct {
-		what  string
+		name  string
 		peers []*Peer
 		polls int // in a minute
 	}{
@@ -31,7 +31,7 @@
 			}
 		}
 		if polls != c.polls || polls > 0 && first != 2*time.Second {
-			t.Errorf("%s: %d polls, the first after %v", c.what, polls, first)
+			t.Errorf("%s: %d polls, the first after %v", c.name, polls, first)
 		}
 	}
 	var s StaleListDetector
--- a/internal/gossiptransport/service.go
+++ b/internal/gossiptransport/service.go
@@ -208,14 +208,14 @@
 }
 
 // LiveAddresses are those of the relays that are alive, as this one reaches them.
-func (s *Service) LiveAddresses() (all []string) {
+func (s *Service) LiveAddresses() (addrs []string) {
 	for _, p := range s.membership.Peers() {
 		if p.State <= gossip.Suspect {
 			addr, _ := s.addressOf(p.Name, p.Addr)
-			all = append(all, addr)
+			addrs = append(addrs, addr)
 		}
 	}
-	return all
+	return addrs
 }
 
 // Incarnation is this process's first incarnation: its updates have that or a higher one.
--- a/internal/gossiptransport/service_test.go
+++ b/internal/gossiptransport/service_test.go
@@ -24,35 +24,35 @@
 }
 
 // among makes services that know of each other, each with a wall clock that the test steps.
-func among(t *testing.T, b *looptest.Harness, n int) (all []*Service, steps []time.Duration) {
+func newServices(t *testing.T, b *looptest.Harness, n int) (all []*Service, steps []time.Duration) {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(t.Output())
 	steps = make([]time.Duration, n)
-	var known []string
+	var seeds []string
 	for i := range n {
 		addr := freeAddress(t)
-		s := New(Options{Loop: b.Loop, Log: log, Name: fmt.Sprint("n", i), Listen: addr, Address: addr, Seeds: known, Keys: gossip.Keys{[]byte("a key of thirty-two bytes or more")},
+		s := New(Options{Loop: b.Loop, Log: log, Name: fmt.Sprint("n", i), Listen: addr, Address: addr, Seeds: seeds, Keys: gossip.Keys{[]byte("a key of thirty-two bytes or more")},
 			Configured: n, Seed: uint64(i), WallClock: func() time.Time { return time.UnixMilli(1700000000000).Add(b.Loop.Now() + steps[i]) },
 			LocalStatus:  func() (gossip.Phase, uint64, uint64, uint64) { return gossip.Serving, 1, 0, 0 },
 			Observations: func() gossip.Digest { return gossip.Digest{} }, OnStaleList: func() {}, OnDivisorChange: func(float64) {}})
 		if s.socket == nil {
 			t.Fatal("no address")
 		}
-		known = []string{addr}
+		seeds = []string{addr}
 		t.Cleanup(s.Leave)
 		all = append(all, s)
 	}
 	return all, steps
 }
 
-// TestWallStepped: relays whose wall clocks are stepped by an hour, either way, go on hearing each other: budgets stay
+// TestWallClockSteps: relays whose wall clocks are stepped by an hour, either way, go on hearing each other: budgets stay
 // divided by all that live.
-func TestWallStepped(t *testing.T) {
+func TestWallClockSteps(t *testing.T) {
 	for _, step := range []time.Duration{time.Hour, -time.Hour} {
 		b := looptest.New(t, 64)
-		all, steps := among(t, b, 3)
-		live := func() int {
+		all, steps := newServices(t, b, 3)
+		minLive := func() int {
 			least := len(all)
 			for _, s := range all {
 				n, _ := s.BudgetDivisor()
@@ -60,20 +60,20 @@
 			}
 			return least
 		}
-		passes := func(d time.Duration) {
+		advance := func(d time.Duration) {
 			for range int(d / (20 * time.Millisecond)) {
 				b.Advance(20 * time.Millisecond)
 			}
 		}
-		passes(10 * time.Second)
-		if n := live(); n != len(all)-1 && n != len(all) {
+		advance(10 * time.Second)
+		if n := minLive(); n != len(all)-1 && n != len(all) {
 			t.Fatalf("%d of %d live before any step", n, len(all))
 		}
-		before := live()
+		before := minLive()
 		for i := range all {
 			steps[i] += step
-			passes(20 * time.Second)
-			if n := live(); n != before {
+			advance(20 * time.Second)
+			if n := minLive(); n != before {
 				t.Fatalf("stepped by %v at %d: %d live, %d before", step, i, n, before)
 			}
 		}
--- a/internal/pool/endpoint_list.go
+++ b/internal/pool/endpoint_list.go
@@ -74,7 +74,7 @@
 // member.
 func (m MemberMapper) member(i Instance) core.Member {
 	member := core.Member{Name: i.ID, Addr: i.Addr}
-	member.ID, member.Cell, member.Weight = DeriveServerID(i.ID), i.Cell, i.Weight
+	member.ID, member.Cell, member.Weight = DeriveMemberID(i.ID), i.Cell, i.Weight
 	for number, zone := range m.Settings.Zones {
 		if string(zone) == i.Zone {
 			member.Zone = number
@@ -94,9 +94,9 @@
 	return member
 }
 
-// DeriveServerID is the member's number in the decision module. It depends on the name alone, so that all relays partition
+// DeriveMemberID is the member's number in the decision module. It depends on the name alone, so that all relays partition
 // the members alike: the eight hexadecimal digits that end it, or a hash.
-func DeriveServerID(name string) policy.MemberID {
+func DeriveMemberID(name string) policy.MemberID {
 	if i := strings.LastIndexByte(name, '-'); len(name)-i-1 == 8 {
 		if n, err := strconv.ParseUint(name[i+1:], 16, 32); err == nil {
 			return policy.MemberID(n)
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -13,29 +13,29 @@
 	"dahliarudder/policy"
 )
 
-const entry = `{"instanceId":"s-5be2a07c","hostPort":"127.0.0.1:9","zone":"b","machineType":"m2","cell":3,"lifecycle":"SERVING","weight":1.5,"startedAtMs":1700000000500}`
+const instanceJSON = `{"instanceId":"s-5be2a07c","hostPort":"127.0.0.1:9","zone":"b","machineType":"m2","cell":3,"lifecycle":"SERVING","weight":1.5,"startedAtMs":1700000000500}`
 
-func names() MemberMapper {
+func newMapper() MemberMapper {
 	return MemberMapper{Settings: &settings.Settings{Zones: []settings.Zone{"a", "b"}, HostTypes: []string{"m1", "m2"}},
 		StartTimes: &StartTimes{Clock: func() time.Duration { return time.Second }, WallClock: func() time.Time { return time.UnixMilli(1700000001000) }}}
 }
 
 // TestMembers: an instance of the list as the decision module gets it.
 func TestMembers(t *testing.T) {
-	l, err := Decode([]byte(`{"generation":41,"reset":true,"instances":[` + entry + `]}`))
+	l, err := Decode([]byte(`{"generation":41,"reset":true,"instances":[` + instanceJSON + `]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := names().Members(l)[0]
+	m := newMapper().Members(l)[0]
 	if m.ID != 0x5be2a07c || m.Zone != 1 || m.Kind != 1 || m.Cell != 3 || m.State != policy.Ready || m.Weight != 1.5 ||
 		m.Started != 500*time.Millisecond || m.Name != "s-5be2a07c" || m.Addr != "127.0.0.1:9" || l.Generation != 41 || !l.Full {
 		t.Errorf("%+v of %+v", m, l)
 	}
-	odd, err := Decode([]byte(`{"instances":[{"instanceId":"one","lifecycle":"NAPPING"}]}`))
+	unknownLifecycle, err := Decode([]byte(`{"instances":[{"instanceId":"one","lifecycle":"NAPPING"}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m := names().Members(odd)[0]; m.State != policy.Draining || m.Started != 0 || m.ID != DeriveServerID("one") || m.ID == DeriveServerID("two") {
+	if m := newMapper().Members(unknownLifecycle)[0]; m.State != policy.Draining || m.Started != 0 || m.ID != DeriveMemberID("one") || m.ID == DeriveMemberID("two") {
 		t.Errorf("odd entry %+v", m)
 	}
 	for _, bad := range []string{``, `[]`, `{"instances":[{}]}`, `{"generation":-1}`, `{"instances":[{"instanceId":"a","cell":"x"}]}`} {
@@ -46,10 +46,10 @@
 }
 
 // watch is a watcher with an initial list.
-func watch(b *looptest.Harness, at *looptest.Server, updates func(policy.ListKind, []core.Member)) *Watcher {
+func newTestWatcher(b *looptest.Harness, at *looptest.Server, updates func(policy.ListKind, []core.Member)) *Watcher {
 	log := logrus.New()
 	log.SetOutput(b.T.Output())
-	w := &Watcher{Loop: b.Loop, Addr: at.Addr(), Mapper: names(), Log: log, OnUpdate: updates, Random: func() float64 { return 1 }, Dial: b.NewDescriptorReserve(MaxDescriptors).Dial}
+	w := &Watcher{Loop: b.Loop, Addr: at.Addr(), Mapper: newMapper(), Log: log, OnUpdate: updates, Random: func() float64 { return 1 }, Dial: b.NewDescriptorReserve(MaxDescriptors).Dial}
 	w.SetInitialList(&EndpointList{Generation: 41})
 	return w
 }
@@ -60,7 +60,7 @@
 	b := looptest.New(t, 8)
 	old, next := b.Listen(), b.Listen()
 	updates := 0
-	w := watch(b, old, func(kind policy.ListKind, list []core.Member) { updates += 100*int(kind) + len(list) })
+	w := newTestWatcher(b, old, func(kind policy.ListKind, list []core.Member) { updates += 100*int(kind) + len(list) })
 	w.Start()
 	before := old.Accept()
 	w.SwitchAddress(next.Addr())
--- a/internal/pool/start_times.go
+++ b/internal/pool/start_times.go
@@ -98,8 +98,8 @@
 // ListReceived records that a list has come from discovery, and that Resolve was called for its instances.
 func (s *StartTimes) ListReceived() { s.lastListAt = s.Clock() }
 
-// ObserveServerDate records what discovery's own clock showed when it answered.
-func (s *StartTimes) ObserveServerDate(date time.Time) {
+// ObserveDiscoveryDate records what discovery's own clock showed when it answered.
+func (s *StartTimes) ObserveDiscoveryDate(date time.Time) {
 	now := s.Clock()
 	s.observeWallClock(now)
 	s.addOffset(time.Duration(date.UnixNano())-now, minDateSkew)
@@ -115,11 +115,11 @@
 }
 
 // remember stores a start, and drops those that were not listed for longest when there are too many.
-func (s *StartTimes) remember(name string, read start) {
+func (s *StartTimes) remember(name string, resolved start) {
 	if s.starts == nil {
 		s.starts = map[string]start{}
 	}
-	s.starts[name] = read
+	s.starts[name] = resolved
 	if len(s.starts) <= 2*maxStarts {
 		return
 	}
--- a/internal/pool/timing.go
+++ b/internal/pool/timing.go
@@ -4,7 +4,7 @@
 
 // The protocol counts a change as delivered deliveryDeadline after discovery had it and could be reached, whether or not
 // it came, and what a long poll has missed deliveryAfterWait after its wait. The steps below are what a watch takes of that
-// in the worst order; docs/design/crossings.md, "The budget of a watch", adds them up, and TestBudget does.
+// in the worst order; docs/design/crossings.md, "The budget of a watch", adds them up, and TestDeliveryBudget does.
 const (
 	deliveryDeadline  = 6 * time.Second
 	deliveryAfterWait = 2 * time.Second
--- a/internal/pool/watcher.go
+++ b/internal/pool/watcher.go
@@ -150,7 +150,7 @@
 func (w *Watcher) handleAnswer(p *poll) {
 	list, err := w.decodeAnswer(p)
 	if !p.parser.Date.IsZero() {
-		w.Mapper.StartTimes.ObserveServerDate(p.parser.Date)
+		w.Mapper.StartTimes.ObserveDiscoveryDate(p.parser.Date)
 	}
 	if err != nil {
 		w.handleFailure(p, err)
--- a/internal/pool/watcher_test.go
+++ b/internal/pool/watcher_test.go
@@ -22,7 +22,7 @@
 func newRig(t *testing.T) *rig {
 	r := &rig{Harness: looptest.New(t, 16)}
 	r.server = r.Listen()
-	r.Watcher = watch(r.Harness, r.server, func(kind policy.ListKind, list []core.Member) {
+	r.Watcher = newTestWatcher(r.Harness, r.server, func(kind policy.ListKind, list []core.Member) {
 		names := ""
 		for _, m := range list {
 			names += fmt.Sprintf(" %s:%d", m.Name, m.State)
@@ -33,23 +33,23 @@
 }
 
 // text is the request of a poll that continues from a generation and waits for a time.
-func (r *rig) text(since int, wait time.Duration) string {
+func (r *rig) pollRequest(since int, wait time.Duration) string {
 	return fmt.Sprintf("GET /api/targets?since=%d&timeout_ms=%d HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n", since, wait.Milliseconds(), r.server.Addr())
 }
 
-func message(body string) string {
+func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
 // changes is an answer in which the member of entry drains.
-func changes(generation int) string {
-	return message(fmt.Sprintf(`{"generation":%d,"reset":false,"instances":[{"instanceId":"s-5be2a07c","hostPort":"127.0.0.1:9","lifecycle":"DRAINING"}]}`, generation))
+func drainingDelta(generation int) string {
+	return okResponse(fmt.Sprintf(`{"generation":%d,"reset":false,"instances":[{"instanceId":"s-5be2a07c","hostPort":"127.0.0.1:9","lifecycle":"DRAINING"}]}`, generation))
 }
 
-var drained = fmt.Sprint(policy.ListDelta, " s-5be2a07c:", int(policy.Draining))
+var drainingUpdate = fmt.Sprint(policy.ListDelta, " s-5be2a07c:", int(policy.Draining))
 
 // want fails unless just these updates were handed on.
-func (r *rig) want(updates ...string) {
+func (r *rig) expectUpdates(updates ...string) {
 	r.T.Helper()
 	if fmt.Sprint(r.updates) != fmt.Sprint(updates) {
 		r.T.Fatalf("updates %q, want %q", r.updates, updates)
@@ -57,7 +57,7 @@
 }
 
 // mute says that nothing has come since, and that the connection stands.
-func mute(t *testing.T, p *looptest.Peer) {
+func expectIdle(t *testing.T, p *looptest.Peer) {
 	t.Helper()
 	if p.Poll(); len(p.Received) > 0 || p.EndErr != nil {
 		t.Fatalf("got %q, ended %v", p.Received, p.EndErr)
@@ -70,46 +70,46 @@
 	r := newRig(t)
 	r.Start()
 	p := r.server.Accept()
-	p.Expect(r.text(41, longPollWait))
-	p.Send(changes(43))
-	p.Expect(r.text(43, longPollWait))
-	p.Send(message(`{"generation":44,"reset":true,"instances":[]}`))
-	p.Expect(r.text(44, longPollWait))
-	r.want(drained, fmt.Sprint(policy.ListFull, ""))
+	p.Expect(r.pollRequest(41, longPollWait))
+	p.Send(drainingDelta(43))
+	p.Expect(r.pollRequest(43, longPollWait))
+	p.Send(okResponse(`{"generation":44,"reset":true,"instances":[]}`))
+	p.Expect(r.pollRequest(44, longPollWait))
+	r.expectUpdates(drainingUpdate, fmt.Sprint(policy.ListFull, ""))
 	r.Stop()
 	r.Start()
 	p.ExpectEOF()
 	if r.Advance(time.Hour); r.OpenDescriptors() > 2 { // the loop's own wakeup is not counted; the connection may linger
 		t.Errorf("%d descriptors after the stop", r.OpenDescriptors())
 	}
-	r.want(drained, fmt.Sprint(policy.ListFull, ""))
+	r.expectUpdates(drainingUpdate, fmt.Sprint(policy.ListFull, ""))
 }
 
-// TestWatchForms: an answer counts whatever allowed form it comes in.
-func TestWatchForms(t *testing.T) {
+// TestWatchAnswerFormats: an answer counts whatever allowed form it comes in.
+func TestWatchAnswerFormats(t *testing.T) {
 	indented := "{\n  \"generation\": 43,\n  \"reset\": false,\n  \"instances\": [\n    {\n      \"instanceId\": \"s-5be2a07c\",\n      \"hostPort\": \"127.0.0.1:9\",\n      \"lifecycle\": \"DRAINING\"\n    }\n  ]\n}\n"
-	whole := `{"generation":43,"reset":true,"instances":[{"instanceId":"s-5be2a07c","hostPort":"127.0.0.1:9","lifecycle":"DRAINING"}]}`
+	fullList := `{"generation":43,"reset":true,"instances":[{"instanceId":"s-5be2a07c","hostPort":"127.0.0.1:9","lifecycle":"DRAINING"}]}`
 	for name, c := range map[string]struct {
-		answer string
-		want   string
-		pieces int  // bytes that come together; 0: all
-		closes bool // discovery ends the connection with it
+		answer    string
+		want      string
+		pieceSize int  // bytes that come together; 0: all
+		closes    bool // discovery ends the connection with it
 	}{
-		"indented":       {message(indented), drained, 0, false},
-		"whole":          {message(whole), fmt.Sprint(policy.ListFull, " s-5be2a07c:", int(policy.Draining)), 0, false},
-		"in pieces":      {message(indented), drained, 7, false},
-		"byte by byte":   {changes(43), drained, 1, false},
-		"chunked":        {fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n", indented[:5], len(indented)-5, indented[5:]), drained, 3, false},
-		"to the end":     {"HTTP/1.1 200 OK\r\n\r\n" + indented, drained, 11, true},
-		"closes":         {"HTTP/1.1 200 OK\r\nConnection: close\r\n" + changes(43)[len("HTTP/1.1 200 OK\r\n"):], drained, 0, true},
-		"interim before": {"HTTP/1.1 100 Continue\r\n\r\n" + changes(43), drained, 0, false},
+		"indented":       {okResponse(indented), drainingUpdate, 0, false},
+		"whole":          {okResponse(fullList), fmt.Sprint(policy.ListFull, " s-5be2a07c:", int(policy.Draining)), 0, false},
+		"in pieces":      {okResponse(indented), drainingUpdate, 7, false},
+		"byte by byte":   {drainingDelta(43), drainingUpdate, 1, false},
+		"chunked":        {fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n", indented[:5], len(indented)-5, indented[5:]), drainingUpdate, 3, false},
+		"to the end":     {"HTTP/1.1 200 OK\r\n\r\n" + indented, drainingUpdate, 11, true},
+		"closes":         {"HTTP/1.1 200 OK\r\nConnection: close\r\n" + drainingDelta(43)[len("HTTP/1.1 200 OK\r\n"):], drainingUpdate, 0, true},
+		"interim before": {"HTTP/1.1 100 Continue\r\n\r\n" + drainingDelta(43), drainingUpdate, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
 			r.Start()
 			p := r.server.Accept()
-			p.Expect(r.text(41, longPollWait))
-			step := c.pieces
+			p.Expect(r.pollRequest(41, longPollWait))
+			step := c.pieceSize
 			if step == 0 {
 				step = len(c.answer)
 			}
@@ -123,8 +123,8 @@
 				p.CloseWrite()
 				p = r.server.Accept()
 			}
-			p.Expect(r.text(43, longPollWait))
-			r.want(c.want)
+			p.Expect(r.pollRequest(43, longPollWait))
+			r.expectUpdates(c.want)
 		})
 	}
 }
@@ -137,16 +137,16 @@
 	r.Start()
 	began := r.Now()
 	silent := r.server.Accept()
-	silent.Expect(r.text(41, longPollWait))
+	silent.Expect(r.pollRequest(41, longPollWait))
 	r.Advance(longPollWait)
-	mute(t, silent)
+	expectIdle(t, silent)
 	r.Advance(overdueMargin)
 	second := r.server.Accept()
-	second.Expect(r.text(41, 0))
-	mute(t, silent) // its answer may only be late: it goes on
-	second.Send(changes(43))
-	second.Expect(r.text(43, longPollWait))
-	r.want(drained)
+	second.Expect(r.pollRequest(41, 0))
+	expectIdle(t, silent) // its answer may only be late: it goes on
+	second.Send(drainingDelta(43))
+	second.Expect(r.pollRequest(43, longPollWait))
+	r.expectUpdates(drainingUpdate)
 	silent.ExpectEOF()
 	if late := r.Now() - began - deliveryDeadline; late >= 0 {
 		t.Errorf("delivered %v too late", late)
@@ -158,14 +158,14 @@
 	r := newRig(t)
 	r.Start()
 	first := r.server.Accept()
-	first.Expect(r.text(41, longPollWait))
+	first.Expect(r.pollRequest(41, longPollWait))
 	r.Advance(longPollWait + overdueMargin)
 	second := r.server.Accept()
-	second.Expect(r.text(41, 0))
-	first.Send(changes(43))
-	first.Expect(r.text(43, longPollWait))
+	second.Expect(r.pollRequest(41, 0))
+	first.Send(drainingDelta(43))
+	first.Expect(r.pollRequest(43, longPollWait))
 	second.ExpectEOF()
-	r.want(drained)
+	r.expectUpdates(drainingUpdate)
 }
 
 // TestSecondPollFails: while the first poll is silent, the second one is sent again after each kind of failure, and the change
@@ -176,26 +176,26 @@
 		"reset":    (*looptest.Peer).Reset,
 		"ended":    (*looptest.Peer).CloseWrite,
 		"rubbish":  func(p *looptest.Peer) { p.Send("rubbish\r\n") },
-		"no list":  func(p *looptest.Peer) { p.Send(message("[]")) },
-		"half one": func(p *looptest.Peer) { p.Send(changes(43)[:90]); p.CloseWrite() },
+		"no list":  func(p *looptest.Peer) { p.Send(okResponse("[]")) },
+		"half one": func(p *looptest.Peer) { p.Send(drainingDelta(43)[:90]); p.CloseWrite() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
 			r.Start()
 			began := r.Now()
 			silent := r.server.Accept()
-			silent.Expect(r.text(41, longPollWait))
+			silent.Expect(r.pollRequest(41, longPollWait))
 			r.Advance(longPollWait + overdueMargin)
 			second := r.server.Accept()
-			second.Expect(r.text(41, 0))
+			second.Expect(r.pollRequest(41, 0))
 			fail(second)
 			r.WaitFor("the failure", func() bool { return r.state == watchBackingOff })
 			r.Advance(initialBackoff)
 			third := r.server.Accept()
-			third.Expect(r.text(41, 0))
-			third.Send(changes(43))
-			third.Expect(r.text(43, longPollWait))
-			r.want(drained)
+			third.Expect(r.pollRequest(41, 0))
+			third.Send(drainingDelta(43))
+			third.Expect(r.pollRequest(43, longPollWait))
+			r.expectUpdates(drainingUpdate)
 			if late := r.Now() - began - deliveryDeadline; late >= 0 {
 				t.Errorf("delivered %v too late", late)
 			}
@@ -211,7 +211,7 @@
 	failures := 0
 	for i, fail := range []func(*looptest.Peer){
 		func(p *looptest.Peer) { p.Send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n") },
-		func(p *looptest.Peer) { p.Send(message("[]")) },
+		func(p *looptest.Peer) { p.Send(okResponse("[]")) },
 		func(p *looptest.Peer) { p.Send("rubbish\r\n") },
 		(*looptest.Peer).Reset,
 		(*looptest.Peer).CloseWrite,
@@ -221,7 +221,7 @@
 			wait = longPollWait
 		}
 		p := r.server.Accept()
-		p.Expect(r.text(41, wait))
+		p.Expect(r.pollRequest(41, wait))
 		fail(p)
 		failures++
 		r.WaitFor("the failure", func() bool { return r.failures == failures })
@@ -236,39 +236,39 @@
 		r.Advance(time.Millisecond)
 	}
 	p := r.server.Accept()
-	p.Expect(r.text(41, 0))
-	p.Send(changes(43))
-	p.Expect(r.text(43, longPollWait))
-	r.want(drained)
+	p.Expect(r.pollRequest(41, 0))
+	p.Send(drainingDelta(43))
+	p.Expect(r.pollRequest(43, longPollWait))
+	r.expectUpdates(drainingUpdate)
 	if r.failures != 0 {
 		t.Errorf("%d failures counted after an answer", r.failures)
 	}
 }
 
-// TestReturn: discovery swallows polls and comes back at the worst moment, right after one: a further poll is sent beside it
+// TestDiscoveryReturns: discovery swallows polls and comes back at the worst moment, right after one: a further poll is sent beside it
 // early enough that there is time for the longest queue. The first one goes on until it is abandoned.
-func TestReturn(t *testing.T) {
-	const queue = 3 * time.Second // the longest of three sites after which discovery rejects a poll
-	if left := deliveryDeadline - maxQueueTime - dialTimeout; left < queue {
+func TestDiscoveryReturns(t *testing.T) {
+	const longestQueue = 3 * time.Second // the longest of three sites after which discovery rejects a poll
+	if left := deliveryDeadline - maxQueueTime - dialTimeout; left < longestQueue {
 		t.Fatalf("%v are left for the answer of the call after the return", left)
 	}
-	if left := deliveryDeadline - maxBackoff - dialTimeout; left < queue {
+	if left := deliveryDeadline - maxBackoff - dialTimeout; left < longestQueue {
 		t.Fatalf("%v are left after a refused call", left)
 	}
 	r := newRig(t)
 	r.Start()
 	p := r.server.Accept()
-	p.Expect(r.text(41, longPollWait))
+	p.Expect(r.pollRequest(41, longPollWait))
 	p.Reset()
 	r.WaitFor("the failure", func() bool { return r.state == watchBackingOff })
 	r.Advance(initialBackoff)
 	first := r.server.Accept()
-	first.Expect(r.text(41, 0))
+	first.Expect(r.pollRequest(41, 0))
 	r.Advance(maxQueueTime)
 	second := r.server.Accept()
-	second.Expect(r.text(41, 0))
+	second.Expect(r.pollRequest(41, 0))
 	r.Advance(maxQueueTime - time.Millisecond)
-	mute(t, first)
+	expectIdle(t, first)
 	if len(r.polls) != maxPolls {
 		t.Fatalf("%d calls", len(r.polls))
 	}
@@ -276,51 +276,51 @@
 	first.ExpectEOF()
 	r.Advance(maxBackoff)
 	third := r.server.Accept()
-	third.Expect(r.text(41, 0))
-	third.Send(changes(43))
-	third.Expect(r.text(43, longPollWait))
+	third.Expect(r.pollRequest(41, 0))
+	third.Send(drainingDelta(43))
+	third.Expect(r.pollRequest(43, longPollWait))
 	second.ExpectEOF()
-	r.want(drained)
+	r.expectUpdates(drainingUpdate)
 }
 
-// TestQueue: a poll that stands in discovery's queue for as long as that may be is not abandoned, and its answer counts. Before,
+// TestQueuedPollAnswered: a poll that stands in discovery's queue for as long as that may be is not abandoned, and its answer counts. Before,
 // polls were abandoned after 2 s where discovery let them queue for 2.5 s, and nobody was answered.
-func TestQueue(t *testing.T) {
+func TestQueuedPollAnswered(t *testing.T) {
 	r := newRig(t)
 	r.Start()
 	p := r.server.Accept()
-	p.Expect(r.text(41, longPollWait))
+	p.Expect(r.pollRequest(41, longPollWait))
 	p.Reset()
 	r.WaitFor("the failure", func() bool { return r.state == watchBackingOff })
 	r.Advance(initialBackoff)
 	queued := r.server.Accept()
-	queued.Expect(r.text(41, 0))
+	queued.Expect(r.pollRequest(41, 0))
 	r.Advance(maxQueueTime)
 	refused := r.server.Accept()
-	refused.Expect(r.text(41, 0))
+	refused.Expect(r.pollRequest(41, 0))
 	refused.Send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
 	r.WaitFor("the failure", func() bool { return r.state == watchBackingOff })
 	r.Advance(time.Second)
-	queued.Send(changes(43))
-	queued.Expect(r.text(43, longPollWait))
-	r.want(drained)
+	queued.Send(drainingDelta(43))
+	queued.Expect(r.pollRequest(43, longPollWait))
+	r.expectUpdates(drainingUpdate)
 }
 
 // TestQueueAfterRejection: discovery that has rejected a poll is up, and overloaded. The next poll has no second one beside it for
 // as long as it may stand in the longest queue, since discovery that rejects the second may fail both; a poll that was swallowed
 // has one after that.
 func TestQueueAfterRejection(t *testing.T) {
-	const queue = 3 * time.Second // the longest of three sites
+	const longestQueue = 3 * time.Second // the longest of three sites
 	r := newRig(t)
 	r.Start()
 	p := r.server.Accept()
-	p.Expect(r.text(41, longPollWait))
+	p.Expect(r.pollRequest(41, longPollWait))
 	p.Send("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
 	r.WaitFor("the failure", func() bool { return r.state == watchBackingOff })
 	r.Advance(initialBackoff)
 	queued := r.server.Accept()
-	queued.Expect(r.text(41, 0))
-	r.Advance(queue)
+	queued.Expect(r.pollRequest(41, 0))
+	r.Advance(longestQueue)
 	if len(r.polls) != 1 {
 		t.Fatalf("%d calls while one stands in the queue", len(r.polls))
 	}
@@ -328,18 +328,18 @@
 	if len(r.polls) != maxPolls {
 		t.Fatalf("%d calls after the longest queue", len(r.polls))
 	}
-	r.server.Accept().Expect(r.text(41, 0))
-	queued.Send(changes(43))
-	queued.Expect(r.text(43, longPollWait))
-	r.want(drained)
+	r.server.Accept().Expect(r.pollRequest(41, 0))
+	queued.Send(drainingDelta(43))
+	queued.Expect(r.pollRequest(43, longPollWait))
+	r.expectUpdates(drainingUpdate)
 }
 
-// TestBudget: the steps of a watch in the worst order add up to less than the deadline, each failure once.
-func TestBudget(t *testing.T) {
-	const noticed = longPollWait + overdueMargin                          // the watch fell silent as its poll was sent
-	const again = dialTimeout + initialBackoff                            // the connection of the second poll never comes up
-	const answered = noticed + again + dialTimeout                        // that of the third takes as long as it may
-	if left := deliveryDeadline - answered; left < 200*time.Millisecond { // the gap that the protocol allows between polls
+// TestDeliveryBudget: the steps of a watch in the worst order add up to less than the deadline, each failure once.
+func TestDeliveryBudget(t *testing.T) {
+	const overdueAt = longPollWait + overdueMargin                           // the watch fell silent as its poll was sent
+	const retryDelay = dialTimeout + initialBackoff                          // the connection of the second poll never comes up
+	const connectedAt = overdueAt + retryDelay + dialTimeout                 // that of the third takes as long as it may
+	if left := deliveryDeadline - connectedAt; left < 200*time.Millisecond { // the gap that the protocol allows between polls
 		t.Errorf("a silent watch: %v are left for the answer", left)
 	}
 	if longPollWait+deliveryAfterWait > deliveryDeadline {
@@ -360,14 +360,14 @@
 // answer is within the deadline, and within the longest time between polls if that is shorter; processes that start together are
 // spread.
 func TestInitialDelay(t *testing.T) {
-	const queue = 3 * time.Second
+	const longestQueue = 3 * time.Second
 	for askWithin, most := range map[time.Duration]time.Duration{10 * time.Second: maxInitialDelay, 2 * time.Second: time.Second} {
 		if low, high := InitialDelay(askWithin, func() float64 { return 0 }), InitialDelay(askWithin, func() float64 { return 1 }); low != 0 || high != most {
 			t.Errorf("asking within %v: from %v to %v", askWithin, low, high)
 		}
 	}
-	if maxInitialDelay+queue > deliveryDeadline {
-		t.Errorf("a first call after %v may be answered %v too late", maxInitialDelay, maxInitialDelay+queue-deliveryDeadline)
+	if maxInitialDelay+longestQueue > deliveryDeadline {
+		t.Errorf("a first call after %v may be answered %v too late", maxInitialDelay, maxInitialDelay+longestQueue-deliveryDeadline)
 	}
 }
 
@@ -377,29 +377,29 @@
 	r.Refresh(func() { t.Error("refreshed a watch that had not begun") })
 	r.Start()
 	p := r.server.Accept()
-	p.Expect(r.text(41, longPollWait))
+	p.Expect(r.pollRequest(41, longPollWait))
 	done := 0
 	r.Refresh(func() { done++ })
 	p.ExpectEOF()
 	p = r.server.Accept()
-	p.Expect(r.text(41, 0))
+	p.Expect(r.pollRequest(41, 0))
 	p.Reset()
 	r.WaitFor("the failure", func() bool { return r.state == watchBackingOff })
 	r.Refresh(func() { done += 10 })
 	p = r.server.Accept()
-	p.Expect(r.text(41, 0))
-	p.Send(changes(43))
-	p.Expect(r.text(43, longPollWait))
-	r.want(drained)
+	p.Expect(r.pollRequest(41, 0))
+	p.Send(drainingDelta(43))
+	p.Expect(r.pollRequest(43, longPollWait))
+	r.expectUpdates(drainingUpdate)
 	if r.Advance(maxBackoff); done != 10 {
 		t.Errorf("done %d", done)
 	}
-	mute(t, p)
+	expectIdle(t, p)
 }
 
 // TestSwitchAddressAmidFailure: a new address is used at once, whatever was under way at the old one.
 func TestSwitchAddressAmidFailure(t *testing.T) {
-	for name, before := range map[string]func(*rig, *looptest.Peer){
+	for name, setUp := range map[string]func(*rig, *looptest.Peer){
 		"late": func(r *rig, p *looptest.Peer) { r.Advance(longPollWait + overdueMargin); r.server.Accept() },
 		"pausing": func(r *rig, p *looptest.Peer) {
 			p.Reset()
@@ -411,12 +411,12 @@
 			next := r.Listen()
 			r.Start()
 			p := r.server.Accept()
-			p.Expect(r.text(41, longPollWait))
-			before(r, p)
+			p.Expect(r.pollRequest(41, longPollWait))
+			setUp(r, p)
 			r.SwitchAddress(next.Addr())
 			q := next.Accept()
 			q.Expect("GET /api/targets HTTP/1.1\r\nHost: " + next.Addr() + "\r\nAccept: application/json\r\n\r\n")
-			q.Send(message(`{"generation":3,"reset":true,"instances":[]}`))
+			q.Send(okResponse(`{"generation":3,"reset":true,"instances":[]}`))
 			r.WaitFor("the list", func() bool { return len(r.updates) == 1 })
 			r.Advance(maxBackoff)
 			if len(r.polls) != 1 || r.state != watchPolling {
