--- a/internal/gossip/dissemination.go
+++ b/internal/gossip/dissemination.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	gossipInterval = 100 * time.Millisecond // between rounds of gossip, while there are updates to pass on
-	retransmitMult = 3                      // times log2 of the group: how often an update is passed on
-	maxPiggybacked = 8                      // updates that ride on one message
+	gossipInterval = 100 * time.Millisecond // between gossip rounds while there are updates to pass on
+	retransmitMult = 3                      // an update is sent retransmitMult*log2(group size) times
+	maxPiggybacked = 8                      // updates attached to one message
 )
 
-// SetStatus changes the status that this relay publishes. A new phase is passed on at once; the figures travel with this
-// relay's own messages alone.
+// SetStatus changes the status that this relay publishes. A new phase is gossiped at once; the
+// other values travel only with messages that this relay sends itself.
 func (m *Membership) SetStatus(now time.Duration, phase Phase, generation, flows, rate uint64) {
 	m.self.Generation, m.self.Flows, m.self.Rate = generation, flows, rate
 	if phase != m.self.Phase {
@@ -26,11 +26,13 @@
 	}
 }
 
-// SetObservations changes the digest that this relay publishes. It rides on pings and acks, so to one relay or two in each
-// probe interval: its size bounds its bytes a second.
+// SetObservations changes the digest that this relay publishes. It is attached only to pings and
+// acks, so it is sent to one or two relays per probe interval and its size bounds its bandwidth.
 func (m *Membership) SetObservations(d Digest) { m.observed = d }
 
-// SetUserData changes the user data that rides on all that this relay sends. New data spreads as fast as an update.
+// SetUserData changes the user data that is attached to every message of this relay, except for
+// those that exchange the full state. New data spreads as fast as an update. Data longer than
+// MaxUserData is ignored.
 func (m *Membership) SetUserData(now time.Duration, userData []byte) {
 	if len(userData) > MaxUserData || bytes.Equal(userData, m.userData) {
 		return
@@ -40,18 +42,19 @@
 	}
 }
 
-// queueBroadcast has a changed update passed on: its count of transmits starts anew, and gossip is due soon.
+// queueBroadcast resets the transmit count of a changed update and schedules a gossip round.
 func (m *Membership) queueBroadcast(now time.Duration, transmits *int) {
 	*transmits = 0
 	m.due.gossip = min(m.due.gossip, now+m.jitter(gossipInterval)/2)
 }
 
-// transmitLimit is how often an update is passed on.
+// transmitLimit returns how many times an update is passed on.
 func (m *Membership) transmitLimit() int {
 	return retransmitMult * int(math.Ceil(math.Log2(float64(len(m.peers)+2))))
 }
 
-// gossip passes updates on to a few peers, until each was passed on often enough.
+// gossip sends the queued updates to a few peers. It reschedules itself until each update has
+// reached its transmit limit.
 func (m *Membership) gossip(now time.Duration, out []Outbound) []Outbound {
 	m.due.gossip = never
 	for _, p := range m.randomLivePeers(fanout, "") {
@@ -63,7 +66,8 @@
 	return out
 }
 
-// piggyback completes a message by this relay's own update, the given ones, and those that were passed on least.
+// piggyback adds to msg this relay's own update, the updates in first, the queued updates with the
+// fewest transmits, and the user data; to a ping or an ack also the observations.
 func (m *Membership) piggyback(msg Message, first []Update) Message {
 	msg.Updates, msg.UserData = append([]Update{m.self}, first...), m.userData
 	if msg.Kind == Ping || msg.Kind == Ack {
@@ -82,7 +86,7 @@
 	return msg
 }
 
-// appendMessage appends a message to a peer, with what rides on it.
+// appendMessage appends msg, addressed to p and with piggybacked updates, to out.
 func (m *Membership) appendMessage(out []Outbound, p *Peer, msg Message) []Outbound {
 	return append(out, Outbound{Name: p.Name, Addr: p.Addr, Message: m.piggyback(msg, nil)})
 }
--- a/internal/gossip/envelope.go
+++ b/internal/gossip/envelope.go
@@ -8,45 +8,60 @@
 	"time"
 )
 
-// Why Opener rejects a datagram, before a byte of its content is read. The texts are the keys of the counts at /-/peers.
+// The reasons why Opener rejects a datagram before it decodes the content. The texts are the keys
+// of Opener.Rejected and of the counters in the answer to GET /-/peers, so they must not change.
+// Package consensus counts its rejected requests under the same keys.
 var (
-	ErrSize         = errors.New("size")
-	ErrVersion      = errors.New("version")
-	ErrUnknownKey   = errors.New("key")
-	ErrBadTag       = errors.New("tag")
-	ErrTooOld       = errors.New("old")
-	ErrReplayed     = errors.New("repeated")
+	// ErrSize: the datagram or the name in it is too short or too long, or there are maxSenders
+	// senders already.
+	ErrSize = errors.New("size")
+	// ErrVersion: the envelope version is not supported.
+	ErrVersion = errors.New("version")
+	// ErrUnknownKey: the key ID matches none of the configured keys.
+	ErrUnknownKey = errors.New("key")
+	// ErrBadTag: the authentication tag does not match the datagram.
+	ErrBadTag = errors.New("tag")
+	// ErrTooOld: the datagram is from an earlier process of the sender, or was delayed for more
+	// than maxDelay.
+	ErrTooOld = errors.New("old")
+	// ErrReplayed: the sequence number was received before, or is too far behind the highest one
+	// to tell.
+	ErrReplayed = errors.New("repeated")
+	// ErrNameConflict: two processes with the same relay name are sending from different addresses.
 	ErrNameConflict = errors.New("two relays of one name")
 )
 
-// An envelope is the version, the key's ID, the sender's start, sequence number and clock, the length of its name, the name,
-// the content and the authentication tag. A later version could add a signature of the sender's own after the tag.
+// An envelope consists of the version, the key ID, the sender's start time, sequence number and
+// clock, the length of its name, the name, the content and the authentication tag. A later version
+// could add a signature of the sender after the tag.
 const (
 	envelopeVersion = 1
 	keyIDSize       = 4
 	tagSize         = 16
 	headerSize      = 1 + keyIDSize + 8 + 8 + 8 + 1
-	// Overhead is what an envelope adds at most.
+	// Overhead is the maximum size in bytes that an envelope adds to its content.
 	Overhead = headerSize + maxNameLen + tagSize
-	// replayWindow is how far behind the highest sequence number a datagram may come.
+	// replayWindow is how far the sequence number of a datagram may be behind the highest one.
 	replayWindow = 64
-	// maxDelay is how much later than the least delayed one a datagram may come. The clocks of the two sides start anywhere,
-	// so only changes of their offset count.
+	// maxDelay is how much longer a datagram may take than the fastest one of its sender. The clocks
+	// of the two sides have arbitrary zeros, so only changes of their offset are compared.
 	maxDelay = 30 * time.Second
-	// senderReset is after what silence a sender may begin anew with an earlier start: its clock was set back.
+	// senderReset is how long a sender must be silent before an earlier start time is accepted from
+	// it: its clock was set back.
 	senderReset = time.Minute
 	maxSenders  = 1024
 )
 
-// Sealer packs content into authenticated envelopes.
+// Sealer wraps content in authenticated envelopes.
 type Sealer struct {
 	Keys  Keys
 	Name  string
-	Start uint64 // when this process began, by its wall clock in milliseconds
+	Start uint64 // wall-clock time in Unix milliseconds when this process started
 	seq   uint64
 }
 
-// Seal returns an envelope. Clock is the sender's, in milliseconds from any zero; it is monotonic.
+// Seal returns an envelope around content. Clock is the sender's monotonic clock in milliseconds,
+// with an arbitrary zero.
 func (s *Sealer) Seal(content []byte, clock uint64) []byte {
 	s.seq++
 	b := append([]byte{envelopeVersion}, keyID(s.Keys[0])...)
@@ -57,12 +72,12 @@
 	return append(b, authTag(s.Keys[0], b)...)
 }
 
-// sender is the state of one sender, against replayed and delayed datagrams.
+// sender is the state kept for one sender to detect replayed and delayed datagrams.
 type sender struct {
 	start          uint64
 	highestSeq     uint64
-	window         uint64 // bit n: the datagram of highestSeq-1-n has come
-	minClockOffset int64  // the least offset of the two clocks that was seen, in milliseconds
+	window         uint64 // bit n is set if the datagram highestSeq-1-n was received
+	minClockOffset int64  // the smallest offset of the two clocks seen so far, in milliseconds
 	lastContact    time.Duration
 	addr           string
 }
@@ -71,10 +86,11 @@
 type Opener struct {
 	Keys     Keys
 	senders  map[string]*sender
-	Rejected map[string]int // by reason
+	Rejected map[string]int // number of rejected datagrams by error text
 }
 
-// Open returns the sender's name and the content. Clock is the receiver's, in milliseconds from any zero; it is monotonic.
+// Open verifies an envelope and returns the sender's name and the content. Clock is the receiver's
+// monotonic clock in milliseconds, with an arbitrary zero. From is the sender's address.
 func (o *Opener) Open(now time.Duration, clock uint64, from string, b []byte) (name string, content []byte, err error) {
 	if name, content, err = o.open(now, clock, from, b); err != nil {
 		if o.Rejected == nil {
@@ -112,13 +128,14 @@
 	return h.name, content, o.checkReplay(now, from, h, int64(clock)-int64(h.clock))
 }
 
-// envelopeHeader is what a sender states of itself in an envelope.
+// envelopeHeader holds the sender's fields of an envelope.
 type envelopeHeader struct {
 	start, seq, clock uint64
 	name              string
 }
 
-// parseHeader takes an envelope without its tag apart; false if the sizes do not fit.
+// parseHeader splits an envelope without its tag into header and content. It returns false if the
+// name is empty, too long or truncated.
 func parseHeader(body []byte) (h envelopeHeader, content []byte, ok bool) {
 	fields, rest := body[1+keyIDSize:headerSize-1], body[headerSize:]
 	h.start, h.seq, h.clock = binary.BigEndian.Uint64(fields), binary.BigEndian.Uint64(fields[8:]), binary.BigEndian.Uint64(fields[16:])
@@ -130,7 +147,8 @@
 	return h, rest[nameLen:], true
 }
 
-// checkReplay rejects what is replayed, too much delayed, or from an earlier process of that name.
+// checkReplay rejects datagrams that are replayed, delayed too long, or sent by an earlier process
+// of the same name.
 func (o *Opener) checkReplay(now time.Duration, from string, h envelopeHeader, clockOffset int64) error {
 	if o.senders == nil {
 		o.senders = map[string]*sender{}
@@ -145,7 +163,7 @@
 	}
 	switch {
 	case h.start < s.start && now-s.lastContact < maxDelay && from != s.addr:
-		return ErrNameConflict // an earlier process runs on beside the later one
+		return ErrNameConflict // an earlier process still runs beside the later one
 	case h.start < s.start, clockOffset-s.minClockOffset > maxDelay.Milliseconds():
 		return ErrTooOld
 	case h.seq > s.highestSeq:
@@ -164,7 +182,7 @@
 	return nil
 }
 
-// Prune drops senders that have been silent for long.
+// Prune drops senders from which nothing was received for 10 times senderReset.
 func (o *Opener) Prune(now time.Duration) {
 	for name, s := range o.senders {
 		if now-s.lastContact > 10*senderReset {
--- a/internal/gossip/fields.go
+++ b/internal/gossip/fields.go
@@ -2,14 +2,14 @@
 
 import "google.golang.org/protobuf/encoding/protowire"
 
-// field binds the number of a protobuf field to the variable that it is encoded from and decoded into: text or value.
+// field maps a protobuf field number to the variable that holds its value: either text or value.
 type field struct {
 	number protowire.Number
 	text   *string
 	value  *uint64
 }
 
-// zeroFields says what appendFields does with a field whose variable is zero.
+// zeroFields tells appendFields whether to encode a field whose value is zero.
 type zeroFields bool
 
 const (
@@ -17,7 +17,7 @@
 	keepZero zeroFields = false
 )
 
-// appendFields encodes fields in their order.
+// appendFields encodes the fields in the given order.
 func appendFields(b []byte, fields []field, zero zeroFields) []byte {
 	for _, f := range fields {
 		switch {
@@ -34,7 +34,7 @@
 	return protowire.AppendBytes(protowire.AppendTag(b, n, protowire.BytesType), content)
 }
 
-// setField sets the variable of a decoded field; false if the number is none of theirs.
+// setField stores a decoded value in the field with number n. It returns false if there is none.
 func setField(fields []field, n protowire.Number, v uint64, s []byte) bool {
 	for _, f := range fields {
 		if f.number == n {
@@ -49,7 +49,8 @@
 	return false
 }
 
-// decodeFields calls take with each field. Those that take does not know, for which it returns false, are returned as they are.
+// decodeFields calls handle for each field of b. It returns the encoded bytes of the fields for
+// which handle returned false.
 func decodeFields(b []byte, handle func(n protowire.Number, v uint64, s []byte) bool) (unknown []byte, err error) {
 	for len(b) > 0 {
 		n, kind, tagSize := protowire.ConsumeTag(b)
--- a/internal/gossip/keys.go
+++ b/internal/gossip/keys.go
@@ -10,13 +10,13 @@
 
 const (
 	minKeyLen = 32 // characters
-	maxKeys   = 2  // the new one and the old one while keys are rotated
+	maxKeys   = 2  // the new key and the old one during a rotation
 )
 
-// Keys are the shared keys of the installation: the first one signs, all of them verify.
+// Keys are the shared keys of the installation. The first one signs, all of them verify.
 type Keys [][]byte
 
-// ReadKeys reads one or two keys, a line each, from a file that nobody but its owner may read.
+// ReadKeys reads one or two keys, one per line, from a file that only its owner may access.
 func ReadKeys(path string) (Keys, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -45,13 +45,13 @@
 	return keys, nil
 }
 
-// keyID names a key on the wire without disclosing it.
+// keyID returns the ID that identifies a key on the wire without disclosing it.
 func keyID(key []byte) []byte {
 	sum := sha256.Sum256(key)
 	return sum[:keyIDSize]
 }
 
-// authTag is the truncated HMAC of an envelope.
+// authTag returns the truncated HMAC-SHA256 of b.
 func authTag(key, b []byte) []byte {
 	h := hmac.New(sha256.New, key)
 	h.Write(b)
--- a/internal/gossip/membership.go
+++ b/internal/gossip/membership.go
@@ -1,7 +1,8 @@
-// Package gossip is the membership protocol by which the relays of one installation know of each other: who is alive, and
-// the status that each publishes. It is a state machine in the manner of SWIM with Lifeguard. It does no I/O and reads no
-// clock: received messages, the time and the randomness are passed in, messages to send are returned. docs/design/peers.md
-// says what it follows and where it departs; docs/peers.md is for operators.
+// Package gossip implements the protocol with which the relays of one installation track each
+// other: which relays are alive, and the status that each one publishes. It is a state machine that
+// follows SWIM with the Lifeguard extensions. It does no I/O and reads no clock: received messages,
+// the time and the randomness are passed in, and messages to send are returned.
+// docs/design/peers.md describes where it departs from SWIM; docs/peers.md is for operators.
 package gossip
 
 import (
@@ -13,17 +14,18 @@
 	"time"
 )
 
-// MaxPeers bounds the relays that are tracked, whatever is claimed.
+// MaxPeers is the maximum number of relays that are tracked, however many other relays claim exist.
 const MaxPeers = 1024
 
-// never is the due time of what is not scheduled.
+// never is the due time of a task that is not scheduled.
 const never time.Duration = math.MaxInt64
 
-// Outbound is something to send: to a relay by its name, or to an address where no name is known.
+// Outbound is a message to send to Addr. Name is the relay's name, empty if it is not known.
 type Outbound struct {
 	Name, Addr string
 	Message    Message
-	// DialProbe asks for a TCP connection in place of a message: call ConnectionRefused if it is refused.
+	// DialProbe asks for a TCP connection instead of a message. If the connection is refused, the
+	// caller calls ConnectionRefused.
 	DialProbe bool
 }
 
@@ -31,9 +33,9 @@
 type Peer struct {
 	Update
 	Since       time.Duration // when it entered its state
-	LastContact time.Duration // when a datagram of its own last came; 0 for never
+	LastContact time.Duration // when the last datagram from it was received; 0 if none was
 	Observed    Digest        // the observations that it last sent
-	ObservedAt  time.Duration // when it sent them; 0 for never
+	ObservedAt  time.Duration // when they were received; 0 if none were
 
 	suspectedAt       time.Duration
 	suspicionDeadline time.Duration // when a suspect is declared dead
@@ -41,13 +43,13 @@
 	transmits         int           // how often its update was passed on since it changed
 }
 
-// Membership is one relay's view of the group. All calls come from one goroutine.
+// Membership is one relay's view of the group. All calls must come from one goroutine.
 type Membership struct {
 	// OnUserData receives the user data of other relays, if set.
 	OnUserData func(from string, userData []byte)
-	// NameConflicts counts datagrams that another relay sent under this one's name.
+	// NameConflicts counts datagrams that another relay sent under this relay's name.
 	NameConflicts int
-	// RejectedPeers counts relays that were claimed beyond MaxPeers.
+	// RejectedPeers counts updates about new relays that were dropped because of MaxPeers.
 	RejectedPeers int
 
 	self          Update
@@ -57,49 +59,51 @@
 	leaving       bool
 
 	peers      map[string]*Peer
-	suspects   map[string]*Peer // those of peers that are suspects
-	broadcasts map[string]*Peer // those of peers whose update is still to be passed on
+	suspects   map[string]*Peer // the peers in state Suspect
+	broadcasts map[string]*Peer // the peers with an update that is still to be passed on
 	seeds      []string         // configured addresses
 
-	probeOrder     []string // names still to be probed in this round
-	probeTarget    *Peer    // the one being probed; nil once it has answered
+	probeOrder     []string // names of the peers that are still to be probed in this round
+	probeTarget    *Peer    // the peer being probed; nil once it has answered
 	probeSeq       uint64
 	indirectProbes map[uint64]indirectProbe
 	seq            uint64
 	syncCount      int
 
-	awareness int // how slow this relay takes itself to be: 0 to maxAwareness
+	awareness int // Lifeguard's local health: how slow this relay considers itself, 0 to maxAwareness
 	lastTick  time.Duration
 	due       schedule
 	rng       *rand.Rand
 }
 
-// New makes a Membership. Self has Name, Addr, Zone and an incarnation above all that this relay ever used, such as a wall
-// clock in milliseconds; if the group knows a higher one, the relay goes above that as soon as it learns of it.
+// New returns a Membership. Self must have Name, Addr, Zone and an incarnation higher than any that
+// this relay used before, such as the wall clock in milliseconds. If the group has a higher one, the
+// relay exceeds it as soon as it receives it.
 func New(now time.Duration, self Update, seeds []string, rng *rand.Rand) *Membership {
 	self.State, self.Phase = Alive, cmp.Or(self.Phase, Starting)
 	m := &Membership{self: self, seeds: seeds, rng: rng, peers: map[string]*Peer{}, suspects: map[string]*Peer{},
 		broadcasts: map[string]*Peer{}, indirectProbes: map[uint64]indirectProbe{}, lastTick: now}
 	m.due.probe = now + m.jitter(probeInterval)
-	m.due.sync = now // at once: no peer is known
+	m.due.sync = now // at once, since no peer is known yet
 	m.due.reconnect, m.due.expire = now+reconnectInterval, now+goneRetention
 	m.due.pingReq, m.due.gossip = never, never
 	return m
 }
 
-// Self is this relay's own update.
+// Self returns this relay's own update.
 func (m *Membership) Self() Update { return m.self }
 
-// Observations is the digest that this relay publishes.
+// Observations returns the digest that this relay publishes.
 func (m *Membership) Observations() Digest { return m.observed }
 
-// Peers is every other relay that is tracked, ordered by name.
+// Peers returns all other tracked relays, sorted by name.
 func (m *Membership) Peers() []*Peer {
 	return slices.SortedFunc(maps.Values(m.peers), func(x, y *Peer) int { return cmp.Compare(x.Name, y.Name) })
 }
 
-// Counts is how many relays are alive, this one included, and how many are known for certain to be down: this relay has had
-// a datagram of theirs, and they said that they leave or their address refused a connection.
+// Counts returns how many relays are alive, this one included, and how many are certain to be down.
+// A relay is certain to be down if this relay has received a datagram from it before, and it has
+// announced that it leaves or its address has refused a connection.
 func (m *Membership) Counts() (live, down int) {
 	live = 1
 	for _, p := range m.peers {
@@ -113,7 +117,8 @@
 	return live, down
 }
 
-// randomLivePeers draws up to n peers that are alive, without the named one.
+// randomLivePeers returns up to n randomly chosen peers that are alive or suspect, without the peer
+// named by except.
 func (m *Membership) randomLivePeers(n int, except string) []*Peer {
 	var live []*Peer
 	for _, p := range m.Peers() {
@@ -125,7 +130,8 @@
 	return live[:min(n, len(live))]
 }
 
-// merge takes an update over if it is newer than the current one. FromItself says that its subject has sent it.
+// merge applies an update if it is newer than the current one. FromItself tells that the relay that
+// the update is about has sent it.
 func (m *Membership) merge(now time.Duration, u Update, fromItself bool) {
 	if u.Name == m.self.Name {
 		m.refute(now, u)
@@ -153,7 +159,7 @@
 	}
 }
 
-// setState replaces a peer's update by one of a new state or incarnation, and has it passed on.
+// setState stores an update with a new state or incarnation and queues it for broadcast.
 func (m *Membership) setState(now time.Duration, p *Peer, u Update) {
 	p.Update, p.Since, p.accusers = u, now, nil
 	delete(m.suspects, p.Name)
@@ -165,7 +171,7 @@
 	m.queueBroadcast(now, &p.transmits)
 }
 
-// declare is setState by this relay's own verdict.
+// declare sets a peer's state to the one that this relay has determined.
 func (m *Membership) declare(now time.Duration, p *Peer, state State) {
 	u := p.Update
 	u.State, u.Accuser = state, m.self.Name
@@ -173,11 +179,14 @@
 }
 
 const (
-	goneRetention = 2 * time.Minute // a relay that left or is gone is remembered so long, so that an old update does not revive it
+	// goneRetention is how long a relay that left or is gone stays in the table, so that an old
+	// update does not bring it back.
+	goneRetention = 2 * time.Minute
 	deadRetention = 10 * time.Minute
 )
 
-// removeExpired forgets peers that have been down for long, and indirect probes that nobody answered.
+// removeExpired drops peers that have been down longer than their retention time, and indirect
+// probes that were not answered.
 func (m *Membership) removeExpired(now time.Duration) {
 	m.due.expire = now + goneRetention
 	for name, p := range m.peers {
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -6,46 +6,46 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// ErrMalformed is wrapped by every error about bytes that are no message.
+// ErrMalformed is wrapped by every error about bytes that cannot be decoded as a message.
 var ErrMalformed = errors.New("malformed message")
 
-// Bounds of one datagram's content.
+// Limits on the content of one datagram, in bytes except for maxUpdates.
 const (
 	maxNameLen    = 64
 	maxAddrLen    = 64
 	maxUpdates    = 64
-	maxUnknownLen = 256 // unknown fields of one update
-	// MaxUserData bounds a message's user data.
+	maxUnknownLen = 256 // of the unknown fields of one update
+	// MaxUserData is the maximum length of a message's user data.
 	MaxUserData = 400
-	// MaxDatagramSize fits one packet on any path, with a reserve for headers.
+	// MaxDatagramSize fits into one packet on any network path, with room for headers.
 	MaxDatagramSize = 1200
 )
 
-// Kind is what a message asks for or answers.
+// Kind is the kind of a message.
 type Kind uint64
 
-// The kinds. The updates on a message of an unknown kind are still merged.
+// The message kinds. The updates in a message of an unknown kind are merged nevertheless.
 const (
-	Ping    Kind = 1 // answer with Ack
+	Ping    Kind = 1 // to be answered with Ack
 	Ack     Kind = 2
-	PingReq Kind = 3 // ping Target on the sender's behalf, and pass its Ack on
+	PingReq Kind = 3 // asks the receiver to ping Target and to pass its Ack on
 	Gossip  Kind = 4
-	Sync    Kind = 5 // answer with the full state
+	Sync    Kind = 5 // to be answered with the full state
 )
 
 // State is a relay's membership state.
 type State uint64
 
-// The states, in the order in which one of the same incarnation takes precedence.
+// The states. Between updates of the same incarnation, the higher state takes precedence.
 const (
 	Alive   State = 1
 	Suspect State = 2
-	Dead    State = 3 // it does not answer; it may be partitioned away
-	Gone    State = 4 // its address refuses connections: no process is there
-	Left    State = 5 // it has announced its end
+	Dead    State = 3 // does not answer; may be partitioned away
+	Gone    State = 4 // its address refuses connections: no process is running
+	Left    State = 5 // has announced that it stops
 )
 
-// Phase is the phase of its operation that a relay publishes.
+// Phase is the operating phase that a relay publishes.
 type Phase uint64
 
 // The phases.
@@ -57,39 +57,39 @@
 	Leaving    Phase = 5
 )
 
-// Update is an assertion about one relay. All of it but State and Accuser originates from that relay itself.
+// Update is a statement about one relay. All fields but State and Accuser originate from that relay.
 type Update struct {
 	Name, Addr  string
 	State       State
 	Incarnation uint64
 	Zone        string
 	Phase       Phase
-	Generation  uint64 // of its endpoint list
-	Flows       uint64 // open
-	Rate        uint64 // requests a second
-	Accuser     string // the relay that has declared the state, where that is not the subject
-	Unknown     []byte // fields of newer versions, passed on as they came
+	Generation  uint64 // of the relay's endpoint list
+	Flows       uint64 // open flows
+	Rate        uint64 // requests per second
+	Accuser     string // the relay that declared the state, unless it is the relay itself
+	Unknown     []byte // encoded fields of newer protocol versions, passed on unchanged
 }
 
 // Message is one datagram's content.
 type Message struct {
 	Kind       Kind
 	Seq        uint64
-	Target     string // of PingReq: the relay to ping; of an Ack that was passed on: the relay that it is from
-	TargetAddr string // of PingReq
+	Target     string // in a PingReq, the relay to ping; in a forwarded Ack, the relay that sent it
+	TargetAddr string // in a PingReq, the address of Target
 	Updates    []Update
-	Observed   Digest // the sender's observations, with Ping and Ack
-	UserData   []byte // for other packages than this one; at most MaxUserData bytes
+	Observed   Digest // the sender's observations; only in Ping and Ack
+	UserData   []byte // opaque data of other packages, at most MaxUserData bytes
 }
 
-// Field numbers of a message beyond those of header and target.
+// Field numbers of a message besides those in header and target.
 const (
 	updateField   protowire.Number = 5
 	observedField protowire.Number = 6
 	userDataField protowire.Number = 7
 )
 
-// header is the fields that every message has.
+// header returns the fields that every message has.
 func (m *Message) header() []field {
 	return []field{{number: 1, value: (*uint64)(&m.Kind)}, {number: 2, value: &m.Seq}}
 }
@@ -117,7 +117,8 @@
 	return append(appendFields(b, u.fields(), omitZero), u.Unknown...)
 }
 
-// Append encodes the message, with as many of its updates as stay within maxSize bytes; it returns how many did.
+// Append encodes the message to b, with as many updates as fit into maxSize bytes, and returns the
+// number of updates encoded.
 func (m *Message) Append(b []byte, maxSize int) ([]byte, int) {
 	b = appendFields(b, m.header(), keepZero)
 	b = appendFields(b, m.target(), omitZero)
@@ -130,7 +131,7 @@
 	}
 	for i := range m.Updates {
 		buf = m.Updates[i].append(buf[:0])
-		if len(b)+len(buf)+4 > maxSize { // with the tag and the length
+		if len(b)+len(buf)+4 > maxSize { // 4 bytes for the field's tag and length
 			return b, i
 		}
 		b = appendBytes(b, updateField, buf)
@@ -138,7 +139,8 @@
 	return b, len(m.Updates)
 }
 
-// Decode reads a message. Names, addresses and the number of updates are bounded; unknown fields of an update are retained.
+// Decode decodes a message. Names, addresses and the number of updates are limited; unknown fields
+// of an update are retained.
 func Decode(b []byte) (Message, error) {
 	var m Message
 	var fieldErr error
--- a/internal/gossip/observations.go
+++ b/internal/gossip/observations.go
@@ -9,30 +9,31 @@
 )
 
 const (
-	maxObservations = 8 // of members, and of zones, in a digest
-	// windowSpan is how long an outcome is counted at least; it is forgotten after twice that.
+	maxObservations = 8 // of members, and of zones, in one digest
+	// windowSpan is the minimum time for which an outcome is counted. It is dropped after at most
+	// twice that time.
 	windowSpan = 5 * time.Second
-	// maxCounted bounds the members, and the zones, that are counted.
+	// maxCounted is the maximum number of members, and of zones, that are counted.
 	maxCounted = 4096
 )
 
-// Outcome is how one attempt or probe went.
+// Outcome is the outcome of one attempt or probe.
 type Outcome int
 
 // The outcomes.
 const (
-	Success Outcome = iota // an answer came, be it that the member is full
-	Failure                // an error, a reset, a connection that did not come up
+	Success Outcome = iota // the member answered, possibly that it is at capacity
+	Failure                // an error, a reset, or a failed connection attempt
 	Timeout                // no answer in time
 )
 
-// Observation is what a relay saw itself of one member or zone in the last seconds.
+// Observation counts the outcomes that one relay saw for a member or zone in the last seconds.
 type Observation struct {
 	Name      string `json:"name"`
 	Successes uint64 `json:"good"`
 	Failures  uint64 `json:"bad"`
 	Timeouts  uint64 `json:"silent"`
-	AgeMS     uint64 `json:"age_ms"` // of the last one, when the digest was made
+	AgeMS     uint64 `json:"age_ms"` // age of the last outcome when the digest was made
 }
 
 func (o *Observation) fields() []field {
@@ -40,13 +41,14 @@
 		{number: 4, value: &o.Timeouts}, {number: 5, value: &o.AgeMS}}
 }
 
-// Digest is the observations that a relay publishes: of its zones, and of the members that fail most.
+// Digest holds the observations that a relay publishes: those of its zones, and those of the members
+// with the most failures.
 type Digest struct {
 	Zones   []Observation `json:"zones"`
 	Members []Observation `json:"members"`
 }
 
-// subject is what observations are of.
+// subject distinguishes observations of zones from those of members.
 type subject int
 
 const (
@@ -55,8 +57,8 @@
 	numSubjects
 )
 
-// ObservationWindow counts the outcomes that this relay sees, over the last windowSpan to twice that. It does no I/O; the
-// time is passed in.
+// ObservationWindow counts the outcomes that this relay saw during the last windowSpan to twice
+// windowSpan. It does no I/O; the time is passed in.
 type ObservationWindow struct {
 	rotatedAt         time.Duration
 	current, previous [numSubjects]map[string]*outcomeCounts
@@ -67,7 +69,7 @@
 	last     time.Duration
 }
 
-// Record counts one attempt or probe.
+// Record counts the outcome of one attempt or probe.
 func (w *ObservationWindow) Record(now time.Duration, member, zone string, outcome Outcome) {
 	w.rotate(now)
 	for kind, name := range [numSubjects]string{zones: zone, members: member} {
@@ -87,7 +89,7 @@
 	}
 }
 
-// rotate begins a new span, and forgets what is older than two.
+// rotate starts a new span when the current one is over, and drops spans before the previous one.
 func (w *ObservationWindow) rotate(now time.Duration) {
 	if now-w.rotatedAt < windowSpan {
 		return
@@ -98,7 +100,7 @@
 	w.rotatedAt = now
 }
 
-// Digest is what to publish now: of members only those that fail.
+// Digest returns the observations to publish. Members without failures are left out.
 func (w *ObservationWindow) Digest(now time.Duration) Digest {
 	w.rotate(now)
 	failing := func(o Observation) bool { return o.Failures+o.Timeouts > 0 }
@@ -108,7 +110,7 @@
 	}
 }
 
-// worst is the observations of one kind that fail most.
+// worst returns the published observations of one kind, those with the most failures first.
 func (w *ObservationWindow) worst(now time.Duration, kind subject, published func(Observation) bool) (list []Observation) {
 	sums := map[string]*Observation{}
 	for _, span := range []map[string]*outcomeCounts{w.current[kind], w.previous[kind]} {
@@ -164,7 +166,7 @@
 			list = &d.Members
 		}
 		if n > memberField {
-			return true // of a newer version
+			return true // a field of a newer version
 		}
 		var o Observation
 		known := o.fields()
--- a/internal/gossip/probe.go
+++ b/internal/gossip/probe.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// Times are for an awareness of 0.
+// The durations apply at awareness 0; probeInterval and pingReqDelay grow with it.
 const (
-	probeInterval     = 500 * time.Millisecond // one peer is pinged in each
-	pingReqDelay      = 200 * time.Millisecond // without an answer by then, others are asked to ping it
-	reconnectInterval = 2 * time.Second        // how often a peer that looks down is pinged
+	probeInterval     = 500 * time.Millisecond // between probes; one peer is pinged in each interval
+	pingReqDelay      = 200 * time.Millisecond // without an answer by then, other relays are asked to ping
+	reconnectInterval = 2 * time.Second        // between pings of peers that look down
 
-	fanout            = 3   // peers drawn for a ping request or a round of gossip
-	maxIndirectProbes = 256 // pings on behalf of others that are under way
+	fanout            = 3   // peers chosen for a ping request or a gossip round
+	maxIndirectProbes = 256 // unanswered pings on behalf of other relays
 )
 
-// indirectProbe is a ping that another relay has asked for.
+// indirectProbe is a ping that another relay has requested.
 type indirectProbe struct {
 	requester string
-	seq       uint64 // the requester's
+	seq       uint64 // the sequence number of the requester's probe
 	expires   time.Duration
 }
 
-// probe ends the last probe, which makes its target a suspect if it has not answered, and begins the next.
+// probe ends the previous probe and starts the next one. A target that has not answered becomes a
+// suspect.
 func (m *Membership) probe(now time.Duration, out []Outbound) []Outbound {
 	if target := m.probeTarget; target != nil {
 		m.probeTarget, m.due.pingReq = nil, never
@@ -43,7 +44,7 @@
 	return out
 }
 
-// startProbeRound draws the order in which every peer is probed once.
+// startProbeRound shuffles the peers into the order in which each is probed once.
 func (m *Membership) startProbeRound() {
 	for _, p := range m.Peers() {
 		m.probeOrder = append(m.probeOrder, p.Name)
@@ -51,10 +52,10 @@
 	m.rng.Shuffle(len(m.probeOrder), func(i, j int) { m.probeOrder[i], m.probeOrder[j] = m.probeOrder[j], m.probeOrder[i] })
 }
 
-// probeFailed suspects a peer. It is the first to be sent the suspicion, so that it can refute it, and its port is dialled:
-// a refusal there ends all doubt.
+// probeFailed suspects a peer. The peer itself is sent the suspicion first, so that it can refute it,
+// and its port is dialed: a refused connection proves that no process is running.
 func (m *Membership) probeFailed(now time.Duration, p *Peer, out []Outbound) []Outbound {
-	m.lowerHealth() // the fault may be this relay's own
+	m.lowerHealth() // this relay itself may be the slow one
 	if p.State == Suspect {
 		m.confirmSuspicion(now, p, m.self.Name)
 	} else {
@@ -65,7 +66,8 @@
 		Outbound{Name: p.Name, Addr: p.Addr, DialProbe: true, Message: Message{Updates: []Update{p.Update}}})
 }
 
-// probeIndirectly has other relays ping the target, and pings it once more: the first ping may have been lost.
+// probeIndirectly asks other relays to ping the target, and pings it again in case the first ping
+// was lost.
 func (m *Membership) probeIndirectly(out []Outbound) []Outbound {
 	target := m.probeTarget
 	if target == nil {
@@ -78,7 +80,7 @@
 	return out
 }
 
-// handlePingReq pings a relay on behalf of another.
+// handlePingReq pings a relay on behalf of the relay named from.
 func (m *Membership) handlePingReq(now time.Duration, from string, msg Message, out []Outbound) []Outbound {
 	if len(m.indirectProbes) >= maxIndirectProbes || msg.TargetAddr == "" {
 		return out
@@ -88,7 +90,8 @@
 	return append(out, Outbound{Name: msg.Target, Addr: msg.TargetAddr, Message: m.piggyback(Message{Kind: Ping, Seq: m.seq}, nil)})
 }
 
-// handleAck ends the probe that it answers, or passes the answer on to the relay that asked for an indirect probe.
+// handleAck ends the probe that is answered, or forwards the ack to the relay that requested an
+// indirect probe.
 func (m *Membership) handleAck(from string, msg Message, out []Outbound) []Outbound {
 	if m.probeTarget != nil && msg.Seq == m.probeSeq && (from == m.probeTarget.Name || msg.Target == m.probeTarget.Name) {
 		m.probeTarget, m.due.pingReq = nil, never
@@ -103,8 +106,9 @@
 	return out
 }
 
-// probeUnreachable pings one peer that looks down. A relay that was cut off, or is back at its old address and knows no
-// peer, learns so what the group holds of it, and answers with a higher incarnation.
+// probeUnreachable pings one random peer that looks down. A relay that was partitioned away, or that
+// restarted at its old address without any peers, learns from the ping how the group sees it and
+// answers with a higher incarnation.
 func (m *Membership) probeUnreachable(now time.Duration, out []Outbound) []Outbound {
 	var down []*Peer
 	for _, p := range m.Peers() {
--- a/internal/gossip/receive.go
+++ b/internal/gossip/receive.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Receive takes a message that a relay has sent, and returns the answers.
+// Receive processes a message from the relay named from and returns the answers.
 func (m *Membership) Receive(now time.Duration, from string, msg Message) []Outbound {
 	if from == m.self.Name {
 		m.NameConflicts++
@@ -14,7 +14,7 @@
 	}
 	p := m.peers[from]
 	if p == nil {
-		return nil // beyond the bound, or the message has no update of its sender
+		return nil // MaxPeers is reached, or the message lacks an update about its sender
 	}
 	p.LastContact = now
 	if len(msg.UserData) > 0 && m.OnUserData != nil {
@@ -25,7 +25,8 @@
 	}
 	var out []Outbound
 	if wasDown && p.State == Alive {
-		out = m.appendFullState(out, from, p.Addr, Sync) // it may know no peer, or the view of the other side of a partition
+		// The sender may know no peer, or may have the view of the other side of a partition.
+		out = m.appendFullState(out, from, p.Addr, Sync)
 	}
 	switch msg.Kind {
 	case Ping:
@@ -38,7 +39,8 @@
 		out = m.appendFullState(out, from, p.Addr, Gossip)
 	}
 	if p.State != Alive && msg.Kind != Sync {
-		// It is alive, yet only its own refutation with a higher incarnation convinces the others: it has to learn what it refutes.
+		// The sender is alive, but only its own refutation with a higher incarnation convinces the
+		// other relays. This message tells it what to refute.
 		out = append(out, Outbound{Name: p.Name, Addr: p.Addr, Message: m.piggyback(Message{Kind: Gossip}, []Update{p.Update})})
 	}
 	return out
--- a/internal/gossip/schedule.go
+++ b/internal/gossip/schedule.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// schedule is when each periodic duty is due.
+// schedule holds the times at which the periodic tasks are due.
 type schedule struct{ probe, pingReq, gossip, sync, reconnect, expire time.Duration }
 
-// stallThreshold is how late a tick may be before this process is taken to have been stopped, or starved of CPU.
+// stallThreshold is how late a tick may be before the process is assumed to have been stopped or
+// starved of CPU. Tick adds one probe interval, scaled by awareness.
 const stallThreshold = 2 * probeInterval
 
-// jitter is a duration drawn from half to one and a half of d, so that relays do not act in step.
+// jitter returns a random duration between d/2 and 3*d/2, so that relays do not act in lockstep.
 func (m *Membership) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.5 + m.rng.Float64()))
 }
 
-// NextTick is when Tick is due.
+// NextTick returns the time at which Tick is due.
 func (m *Membership) NextTick() time.Duration {
 	next := min(m.due.probe, m.due.pingReq, m.due.gossip, m.due.sync, m.due.reconnect, m.due.expire)
 	for _, p := range m.suspects {
@@ -22,7 +23,7 @@
 	return next
 }
 
-// Tick runs every duty that is due.
+// Tick runs all tasks that are due and returns the messages to send.
 func (m *Membership) Tick(now time.Duration) (out []Outbound) {
 	if now-m.lastTick > stallThreshold+m.scaleByAwareness(probeInterval) {
 		m.recoverFromStall(now)
@@ -52,8 +53,9 @@
 	return out
 }
 
-// recoverFromStall drops the verdicts that were pending while this process stood still: that no answer came then says
-// nothing of the others, and its own view is old.
+// recoverFromStall drops the current probe, restarts the deadlines of all suspicions and schedules a
+// sync at once. While this process was not running, missing answers say nothing about other relays,
+// and its own view has become outdated.
 func (m *Membership) recoverFromStall(now time.Duration) {
 	m.awareness, m.probeTarget, m.due.pingReq = maxAwareness, nil, never
 	for _, p := range m.suspects {
--- a/internal/gossip/suspicion.go
+++ b/internal/gossip/suspicion.go
@@ -7,15 +7,18 @@
 )
 
 const (
-	// minSuspicion times log10 of the group is how long a suspect has to refute when maxAccusers suspect it.
+	// minSuspicion, times the log10 of the number of live relays (at least 1), is how long a suspect
+	// has to refute the suspicion if maxAccusers further relays confirm it, or in a group of up to
+	// three.
 	minSuspicion = 800 * time.Millisecond
-	// maxSuspicionFactor times that is how long it has with one accuser.
+	// maxSuspicionFactor times as long is the time it has in a larger group with one accuser.
 	maxSuspicionFactor = 2.5
-	maxAccusers        = 3
+	maxAccusers        = 3 // besides the first one
 	maxAwareness       = 4
 )
 
-// scaleByAwareness lengthens a timeout by how slow this relay takes itself to be (Lifeguard's local health).
+// scaleByAwareness extends a timeout according to how slow this relay considers itself (Lifeguard's
+// local health).
 func (m *Membership) scaleByAwareness(d time.Duration) time.Duration {
 	return d * time.Duration(1+m.awareness)
 }
@@ -23,7 +26,7 @@
 func (m *Membership) lowerHealth() { m.awareness = min(m.awareness+1, maxAwareness) }
 func (m *Membership) raiseHealth() { m.awareness = max(m.awareness-1, 0) }
 
-// confirmSuspicion adds an accuser of a suspect: the more there are, the sooner it is declared dead.
+// confirmSuspicion adds an accuser to a suspect. The more accusers, the sooner it is declared dead.
 func (m *Membership) confirmSuspicion(now time.Duration, p *Peer, accuser string) {
 	if slices.Contains(p.accusers, accuser) || len(p.accusers) > maxAccusers {
 		return
@@ -31,7 +34,7 @@
 	p.accusers = append(p.accusers, accuser)
 	live, _ := m.Counts()
 	shortest := minSuspicion.Seconds() * max(1, math.Log10(float64(live)))
-	progress := 1.0 // from the longest timeout to the shortest
+	progress := 1.0 // 0 for the longest timeout, 1 for the shortest
 	if needed := min(maxAccusers, live-3); needed > 0 {
 		progress = min(math.Log(float64(len(p.accusers)))/math.Log(float64(needed+1)), 1)
 	}
@@ -43,7 +46,7 @@
 	}
 }
 
-// expireSuspicions declares dead whoever has not refuted a suspicion in time.
+// expireSuspicions declares the suspects dead that have not refuted the suspicion in time.
 func (m *Membership) expireSuspicions(now time.Duration) {
 	for _, p := range m.suspects {
 		if now >= p.suspicionDeadline {
@@ -52,19 +55,21 @@
 	}
 }
 
-// refute answers an update about this relay that is not its own by a higher incarnation.
+// refute handles an update about this relay in a message of another relay. If the update would
+// override this relay's own, refute publishes a higher incarnation.
 func (m *Membership) refute(now time.Duration, u Update) {
 	if u.Incarnation < m.self.Incarnation || u.Incarnation == m.self.Incarnation && (u.State == Alive || m.leaving) {
 		return
 	}
 	if u.State == Suspect {
-		m.lowerHealth() // others found this relay slow
+		m.lowerHealth() // other relays did not get answers in time
 	}
 	m.self.Incarnation = u.Incarnation + 1
 	m.queueBroadcast(now, &m.selfTransmits)
 }
 
-// ConnectionRefused says that a relay's address refused a connection: no process is there.
+// ConnectionRefused reports that a relay's address refused a connection, so no process is running
+// there. It is ignored if the relay's incarnation has changed meanwhile.
 func (m *Membership) ConnectionRefused(now time.Duration, name string, incarnation uint64) {
 	if p := m.peers[name]; p != nil && p.Incarnation == incarnation && (p.State == Suspect || p.State == Dead) {
 		m.declare(now, p, Gone)
--- a/internal/gossip/sync.go
+++ b/internal/gossip/sync.go
@@ -3,13 +3,14 @@
 import "time"
 
 const (
-	syncInterval      = 15 * time.Second // between state exchanges with one peer, in a group of up to syncIntervalPeers
-	syncIntervalPeers = 20               // a larger group takes as much longer, so that bytes a second do not grow
-	joinInterval      = time.Second      // between tries of the configured addresses while no peer is known
-	seedSyncRatio     = 8                // one in so many exchanges is also made with a configured address
+	syncInterval      = 15 * time.Second // between state exchanges, in a group of up to syncIntervalPeers
+	syncIntervalPeers = 20               // in larger groups the interval grows in proportion, to limit bandwidth
+	joinInterval      = time.Second      // between attempts to reach the seeds while no peer is known
+	seedSyncRatio     = 8                // every eighth exchange also includes a seed
 )
 
-// sync exchanges the full state with one peer, now and then also with a configured address.
+// sync exchanges the full state with one peer, and in every seedSyncRatio-th call with a seed too.
+// Without a live peer it exchanges it with all seeds.
 func (m *Membership) sync(now time.Duration, out []Outbound) []Outbound {
 	live := m.randomLivePeers(1, "")
 	m.syncCount++
@@ -28,8 +29,9 @@
 	return out
 }
 
-// appendFullState appends all that is known, in as many datagrams as it takes. Each datagram stands for itself, so a lost
-// one costs only its own updates, until the next exchange. Only the first one asks for a state in return.
+// appendFullState appends messages with all updates, in as many datagrams as needed. Each datagram is
+// self-contained: if one is lost, only its updates are missing until the next exchange. Only the
+// first one has the given kind, so that a Sync is answered once.
 func (m *Membership) appendFullState(out []Outbound, name, addr string, kind Kind) []Outbound {
 	updates := []Update{m.self}
 	for _, p := range m.Peers() {
