--- a/internal/gossip/suspicion.go
+++ b/internal/gossip/suspicion.go
@@ -8,10 +8,11 @@
 
 const (
 	// minSuspicion, times the log10 of the number of live relays (at least 1), is how long a suspect
-	// has to refute the suspicion if maxAccusers further relays confirm it, or in a group of up to
-	// three.
+	// has to refute the suspicion once maxAccusers further relays have confirmed it. A group of
+	// fewer than six live relays needs fewer confirmations, one of up to three needs none.
 	minSuspicion = 800 * time.Millisecond
-	// maxSuspicionFactor times as long is the time it has in a larger group with one accuser.
+	// maxSuspicionFactor times as long is the time a suspect has while confirmations are needed and
+	// there are none.
 	maxSuspicionFactor = 2.5
 	maxAccusers        = 3 // besides the first one
 	maxAwareness       = 4
--- a/internal/gossiptransport/dial_probe.go
+++ b/internal/gossiptransport/dial_probe.go
@@ -9,8 +9,9 @@
 	"dahliarudder/internal/netloop"
 )
 
-// dialProbe connects once to a relay that does not answer. A connection that is refused shows that no process is there; one that
-// comes up shows nothing, since a stopped process has one too.
+// dialProbe dials a relay that does not answer, once. A refused connection shows that no process is
+// running there. An established one shows nothing, since the kernel also accepts connections for a
+// stopped process.
 type dialProbe struct {
 	service     *Service
 	conn        *netloop.Conn
@@ -18,13 +19,13 @@
 	incarnation uint64
 }
 
-// startDialProbe dials a relay and reports to the membership if it is refused.
+// startDialProbe dials a relay and reports a refused connection to the membership.
 func (s *Service) startDialProbe(addr string, u gossip.Update) {
 	d := &dialProbe{service: s, name: u.Name, incarnation: u.Incarnation}
 	d.conn = s.Loop.Dial(addr, dialProbeTimeout, d)
 }
 
-// Open implements netloop.Handler: something listens there.
+// Open implements netloop.Handler. The address accepts connections, so the probe is over.
 func (d *dialProbe) Open() { d.conn.Finish() }
 
 // Data implements netloop.Handler.
@@ -42,7 +43,8 @@
 	d.conn.Finish()
 }
 
-// closeHandler is the handler of the probes that others dial: that the connection came up was the answer.
+// closeHandler handles the connections of other relays' dial probes. The established connection is
+// all that they need.
 type closeHandler struct{}
 
 func (closeHandler) Open()             {}
--- a/internal/gossiptransport/service.go
+++ b/internal/gossiptransport/service.go
@@ -1,5 +1,6 @@
-// Package gossiptransport runs the membership protocol of package gossip on the event loop: it sends and receives its
-// datagrams, dials the relays that it suspects, and publishes this relay's status. It decides nothing.
+// Package gossiptransport runs the protocol of package gossip on the event loop: it sends and receives
+// the datagrams, dials suspected relays and publishes this relay's status. All decisions are made by
+// package gossip.
 package gossiptransport
 
 import (
@@ -15,9 +16,10 @@
 const (
 	dialProbeTimeout = time.Second
 	statusInterval   = time.Second
-	// maxProbeConns is how many connections of other relays' dial probes are open at once.
+	// maxProbeConns is the maximum number of open connections from other relays' dial probes.
 	maxProbeConns = 16
-	// listenRetryInterval is when an address is tried again that another process still has: the one that this one replaces.
+	// listenRetryInterval is the time between attempts to listen on an address that is still in use
+	// by the process that this one replaces.
 	listenRetryInterval = 500 * time.Millisecond
 )
 
@@ -27,26 +29,28 @@
 	Log              logrus.FieldLogger
 	Name, Zone       string
 	Listen           string
-	Address          string            // as others reach it
-	Seeds            []string          // addresses of some relays to join by
-	AddressOverrides map[string]string // by name, where a relay is reached if not at the address that it publishes
+	Address          string            // the address at which other relays reach this one
+	Seeds            []string          // addresses of some relays, used to join the group
+	AddressOverrides map[string]string // by relay name, the address to use instead of the published one
 	Keys             gossip.Keys
-	Configured       int // relays
+	Configured       int // number of relays in the installation
 	Seed             uint64
-	WallClock        func() time.Time // its start gives this process an incarnation above the earlier ones of its name
-	// LocalStatus is the status to publish: the phase, the generation of the endpoint list, the open flows, and the requests so far.
+	WallClock        func() time.Time // the start time is the first incarnation, higher than those of earlier processes
+	// LocalStatus returns the status to publish: the phase, the generation of the endpoint list, the
+	// number of open flows, and the number of requests since the start.
 	LocalStatus func() (phase gossip.Phase, generation, flows, requests uint64)
-	// Observations is the digest to publish.
+	// Observations returns the digest to publish.
 	Observations func() gossip.Digest
-	// OnStaleList is called when others have had a newer endpoint list than this relay for a while.
+	// OnStaleList is called when other relays have had a newer endpoint list for some time.
 	OnStaleList func()
 	// OnUserData receives the user data of other relays, if set.
 	OnUserData func(from string, userData []byte)
-	// OnDivisorChange is called when the number changes by which the budgets are divided that all relays share.
+	// OnDivisorChange is called when the number changes by which the budgets shared by all relays are
+	// divided.
 	OnDivisorChange func(divideBy float64)
 }
 
-// Service is this relay's membership of the group.
+// Service runs this relay's membership in the group.
 type Service struct {
 	Options
 	membership        *gossip.Membership
@@ -59,13 +63,13 @@
 	stale             gossip.StaleListDetector
 	divideBy          float64
 	malformed         int
-	lastRequests      uint64         // the requests so far when the status was last published
-	bytesIn, bytesOut map[string]int // bytes, by name
+	lastRequests      uint64         // the number of requests when the status was last published
+	bytesIn, bytesOut map[string]int // bytes received and sent, by relay name
 	closed            bool
 	incarnation       uint64
 }
 
-// New starts the service. If another process still has the address, it is tried again later.
+// New starts the service. If the address is still in use by another process, the service retries later.
 func New(o Options) *Service {
 	start := uint64(o.WallClock().UnixMilli())
 	s := &Service{Options: o, sealer: gossip.Sealer{Keys: o.Keys, Name: o.Name, Start: start}, opener: gossip.Opener{Keys: o.Keys},
@@ -78,7 +82,7 @@
 	return s
 }
 
-// SetUserData changes the user data that rides on each datagram; new data is sent at once.
+// SetUserData changes the user data that is attached to the datagrams; new data is sent at once.
 func (s *Service) SetUserData(userData []byte) {
 	s.membership.SetUserData(s.Loop.Now(), userData)
 	if !s.closed && s.socket != nil {
@@ -86,8 +90,9 @@
 	}
 }
 
-// listen opens the sockets, and tries again what fails. Datagrams do not wait for the TCP listener: without that, this relay can
-// only be taken for gone while it is silent; without datagrams it is no member at all.
+// listen opens the UDP socket and the TCP listener, and retries those that fail. Datagrams do not wait
+// for the listener: without it, other relays can only conclude that this one is gone while it is
+// silent, but without datagrams this relay takes no part in the group.
 func (s *Service) listen() {
 	if s.closed {
 		return
@@ -109,14 +114,15 @@
 	}
 }
 
-// publishStatus publishes this relay's status, and updates what follows from that of the others.
+// publishStatus publishes this relay's status and evaluates the status of the other relays.
 func (s *Service) publishStatus() {
 	if s.closed {
 		return
 	}
 	phase, generation, flows, requests := s.LocalStatus()
 	now := s.Loop.Now()
-	s.membership.SetStatus(now, phase, generation, flows, requests-s.lastRequests) // a rate, since statusInterval is a second
+	// The difference is a rate per second, since statusInterval is one second.
+	s.membership.SetStatus(now, phase, generation, flows, requests-s.lastRequests)
 	s.lastRequests = requests
 	s.membership.SetObservations(s.Observations())
 	if s.stale.ShouldRefresh(now, generation, s.membership.Peers()) {
@@ -132,7 +138,7 @@
 	s.Loop.After(statusInterval, s.publishStatus)
 }
 
-// tick runs what is due in the membership and schedules the next tick.
+// tick runs the due tasks of the membership and schedules the next tick.
 func (s *Service) tick() {
 	s.tickTimer.Stop()
 	if s.closed {
@@ -142,8 +148,8 @@
 	s.tickTimer = s.Loop.After(s.membership.NextTick()-s.Loop.Now(), s.tick)
 }
 
-// milliseconds is the relay's monotonic clock as it is sent on a datagram. Only its differences count, so it need not be the
-// wall clock, which may be stepped.
+// milliseconds converts the relay's monotonic clock to the form sent in datagrams. Receivers only use
+// its differences, so the wall clock, which may be stepped, is not needed.
 func milliseconds(now time.Duration) uint64 { return uint64(now.Milliseconds()) }
 
 // receive verifies a datagram and hands it to the membership.
@@ -151,7 +157,7 @@
 	now := s.Loop.Now()
 	name, content, err := s.opener.Open(now, milliseconds(now), from, b)
 	if err != nil {
-		return // the opener has counted it by its reason
+		return // the opener has counted the rejected datagram
 	}
 	m, err := gossip.Decode(content)
 	if err != nil {
@@ -172,7 +178,7 @@
 	for _, o := range out {
 		to, overridden := s.addressOf(o.Name, o.Addr)
 		if o.DialProbe {
-			if !overridden { // a refusal by a forwarder says nothing of the relay behind it
+			if !overridden { // a refusal by a forwarder does not show that the relay behind it is down
 				s.startDialProbe(to, o.Message.Updates[0])
 			}
 			continue
@@ -186,7 +192,7 @@
 	}
 }
 
-// Leave announces that this relay stops, and closes the sockets. A nil Service may leave.
+// Leave announces that this relay stops, and closes the sockets. It may be called on a nil Service.
 func (s *Service) Leave() {
 	if s == nil || s.closed {
 		return
@@ -199,7 +205,8 @@
 	s.listener.Close()
 }
 
-// addressOf is where a relay is reached, given the address that it publishes, and whether the configuration overrides that.
+// addressOf returns the address at which a relay is reached, given the address that it publishes,
+// and whether the configuration overrides the published one.
 func (s *Service) addressOf(name, published string) (addr string, overridden bool) {
 	if addr, overridden = s.AddressOverrides[name]; !overridden {
 		addr = published
@@ -207,7 +214,7 @@
 	return addr, overridden
 }
 
-// LiveAddresses are those of the relays that are alive, as this one reaches them.
+// LiveAddresses returns the addresses at which this relay reaches the relays that are alive or suspect.
 func (s *Service) LiveAddresses() (addrs []string) {
 	for _, p := range s.membership.Peers() {
 		if p.State <= gossip.Suspect {
@@ -218,13 +225,14 @@
 	return addrs
 }
 
-// Incarnation is this process's first incarnation: its updates have that or a higher one.
+// Incarnation returns the first incarnation of this process. Its updates have that or a higher one.
 func (s *Service) Incarnation() uint64 { return s.incarnation }
 
-// Peers is every other relay that is tracked.
+// Peers returns all other tracked relays.
 func (s *Service) Peers() []*gossip.Peer { return s.membership.Peers() }
 
-// BudgetDivisor is how many relays are alive, and by how many the shared budgets are divided.
+// BudgetDivisor returns the number of live relays and the number by which the shared budgets are
+// divided.
 func (s *Service) BudgetDivisor() (live int, divideBy float64) {
 	live, _ = s.membership.Counts()
 	return live, s.divideBy
--- a/internal/gossiptransport/status.go
+++ b/internal/gossiptransport/status.go
@@ -14,7 +14,7 @@
 		gossip.Draining: "draining", gossip.Leaving: "leaving"}
 )
 
-// PeerStatus is the status of one relay in the answer to GET /-/peers. Times are milliseconds ago.
+// PeerStatus is the status of one relay in the answer to GET /-/peers. Ages are in milliseconds.
 type PeerStatus struct {
 	Name        string `json:"name"`
 	Address     string `json:"address"`
@@ -26,11 +26,12 @@
 	Flows       uint64 `json:"flows"`
 	Rate        uint64 `json:"requests_per_s"`
 	Since       int64  `json:"since_ms"`
-	LastContact int64  `json:"heard_ms"` // -1: no datagram of its own has come
+	LastContact int64  `json:"heard_ms"` // -1 if no datagram was received from it
 	BytesIn     int    `json:"bytes_in"`
 	BytesOut    int    `json:"bytes_out"`
 	Accuser     string `json:"accuser,omitempty"`
-	// Observed is its own observations of zones and of the members that fail most; ObservedAgo is when it sent them, -1: never.
+	// Observed holds the relay's own observations of zones and of the members with the most failures.
+	// ObservedAgo is their age, -1 if none were received.
 	Observed    gossip.Digest `json:"seen"`
 	ObservedAgo int64         `json:"seen_ms"`
 }
@@ -42,13 +43,13 @@
 	Down          int            `json:"down"`
 	Configured    int            `json:"configured"`
 	DivideBy      float64        `json:"budgets_divided_by"`
-	Rejected      map[string]int `json:"refused"` // datagrams, by reason
+	Rejected      map[string]int `json:"refused"` // number of rejected datagrams by reason
 	NameConflicts int            `json:"clashes"`
 	RejectedPeers int            `json:"beyond_the_bound"`
 	Peers         []PeerStatus   `json:"peers"`
 }
 
-// StatusJSON is the answer to GET /-/peers.
+// StatusJSON returns the answer to GET /-/peers.
 func (s *Service) StatusJSON() string {
 	live, down := s.membership.Counts()
 	status := groupStatus{Self: s.updateStatus(s.membership.Self()), Live: live, Down: down, Configured: s.Configured, DivideBy: s.divideBy,
@@ -61,11 +62,11 @@
 	for _, p := range s.membership.Peers() {
 		status.Peers = append(status.Peers, s.peerStatus(p))
 	}
-	text, _ := json.MarshalIndent(status, "", " ") // it has no type that cannot be encoded
+	text, _ := json.MarshalIndent(status, "", " ") // no field has a type that cannot be encoded
 	return string(text)
 }
 
-// updateStatus is the part of a relay's status that its update has.
+// updateStatus returns the part of a relay's status that is taken from its update.
 func (s *Service) updateStatus(u gossip.Update) PeerStatus {
 	return PeerStatus{Name: u.Name, Address: u.Addr, Zone: u.Zone, State: stateNames[u.State], Phase: phaseNames[u.Phase],
 		Incarnation: u.Incarnation, Generation: u.Generation, Flows: u.Flows, Rate: u.Rate, Accuser: u.Accuser,
