--- a/internal/gossip/keys.go
+++ b/internal/gossip/keys.go
@@ -23,7 +23,7 @@
 		return nil, err
 	}
 	if info.Mode().Perm()&0o077 != 0 {
-		return nil, fmt.Errorf("%s: mode %04o lets others read it: 0600 is wanted", path, info.Mode().Perm())
+		return nil, fmt.Errorf("key file %s: mode %04o gives access to group or others, want 0600", path, info.Mode().Perm())
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -35,12 +35,12 @@
 			continue
 		}
 		if len(line) < minKeyLen {
-			return nil, fmt.Errorf("%s: a key of %d characters: 32 at least", path, len(line))
+			return nil, fmt.Errorf("key file %s: key has %d characters, want at least %d", path, len(line), minKeyLen)
 		}
 		keys = append(keys, []byte(line))
 	}
 	if len(keys) == 0 || len(keys) > maxKeys {
-		return nil, fmt.Errorf("%s: %d keys: one or two are wanted", path, len(keys))
+		return nil, fmt.Errorf("key file %s: found %d keys, want 1 to %d", path, len(keys), maxKeys)
 	}
 	return keys, nil
 }
--- a/internal/gossip/message.go
+++ b/internal/gossip/message.go
@@ -7,7 +7,7 @@
 )
 
 // ErrMalformed is wrapped by every error about bytes that cannot be decoded as a message.
-var ErrMalformed = errors.New("malformed message")
+var ErrMalformed = errors.New("gossip: malformed message")
 
 // Limits on the content of one datagram, in bytes except for maxUpdates.
 const (
