--- a/internal/pool/endpoint_list.go
+++ b/internal/pool/endpoint_list.go
@@ -1,5 +1,6 @@
-// Package pool follows discovery's endpoint list, the list of pool members: it decodes the list, watches for its changes
-// by long polls over HTTP/1.1, and hands both on. It decides nothing.
+// Package pool follows discovery's endpoint list, which lists the pool members: it decodes the list,
+// watches for changes with long polls over HTTP/1.1, and hands both on. It makes no decisions about
+// members.
 package pool
 
 import (
@@ -15,17 +16,17 @@
 	"dahliarudder/policy"
 )
 
-// ErrMalformed is wrapped by every error about bytes that are no endpoint list.
+// ErrMalformed is wrapped by every error about bytes that cannot be decoded as an endpoint list.
 var ErrMalformed = errors.New("malformed list")
 
-// EndpointList is discovery's list, or a delta of it, in its wire form.
+// EndpointList is the wire form of discovery's endpoint list, or of a delta to it.
 type EndpointList struct {
 	Generation uint64     `json:"generation"`
 	Full       bool       `json:"reset"`
 	Instances  []Instance `json:"instances"`
 }
 
-// Instance is one member in its wire form.
+// Instance is the wire form of one member.
 type Instance struct {
 	ID        string  `json:"instanceId"`
 	Addr      string  `json:"hostPort"`
@@ -37,7 +38,7 @@
 	Started   float64 `json:"startedAtMs"`
 }
 
-// Decode decodes a list.
+// Decode decodes an endpoint list. Every instance must have an ID.
 func Decode(text []byte) (*EndpointList, error) {
 	l := &EndpointList{}
 	if err := json.Unmarshal(text, l); err != nil {
@@ -61,7 +62,7 @@
 	"SERVING": policy.Ready, "DRAINING": policy.Draining, "DELETED": policy.Gone,
 }
 
-// Members are the instances of a list as members.
+// Members returns the instances of a list as members.
 func (m MemberMapper) Members(l *EndpointList) []core.Member {
 	members := make([]core.Member, 0, len(l.Instances))
 	for _, instance := range l.Instances {
@@ -70,8 +71,8 @@
 	return members
 }
 
-// member maps one instance. An unknown lifecycle counts as draining, the state that neither takes new flows nor removes the
-// member.
+// member maps one instance. An unknown lifecycle is treated as draining, the state in which a member
+// neither gets new flows nor is removed.
 func (m MemberMapper) member(i Instance) core.Member {
 	member := core.Member{Name: i.ID, Addr: i.Addr}
 	member.ID, member.Cell, member.Weight = DeriveMemberID(i.ID), i.Cell, i.Weight
@@ -94,8 +95,9 @@
 	return member
 }
 
-// DeriveMemberID is the member's number in the decision module. It depends on the name alone, so that all relays partition
-// the members alike: the eight hexadecimal digits that end it, or a hash.
+// DeriveMemberID returns the member's ID in the decision module. It depends only on the name, so that
+// all relays partition the members alike: it is the value of the eight hexadecimal digits after the
+// name's last "-", or else a hash of the name.
 func DeriveMemberID(name string) policy.MemberID {
 	if i := strings.LastIndexByte(name, '-'); len(name)-i-1 == 8 {
 		if n, err := strconv.ParseUint(name[i+1:], 16, 32); err == nil {
--- a/internal/pool/poll.go
+++ b/internal/pool/poll.go
@@ -16,23 +16,23 @@
 type pollState int
 
 const (
-	pollDialing pollState = iota // its connection is being set up
-	pollWaiting                  // it is sent, and discovery may hold it until something changes
-	pollOverdue                  // the answer should have come and has not
-	pollDone                     // answered, failed or abandoned: nothing that comes for it counts any more
+	pollDialing pollState = iota // the connection is being established
+	pollWaiting                  // the request is sent; discovery may delay the answer until a change
+	pollOverdue                  // the answer is late
+	pollDone                     // answered, failed or abandoned: data received for it is ignored
 )
 
 // pollEvent is an event of a poll.
 type pollEvent int
 
 const (
-	pollConnected pollEvent = iota // its connection is established
-	pollReused                     // its connection is used for the next poll
-	pollTimedOut                   // the timeout of its state has passed
-	pollEnded                      // it is answered, has failed or is abandoned
+	pollConnected pollEvent = iota // the connection is established
+	pollReused                     // the connection is used for the next poll
+	pollTimedOut                   // the timeout of the current state has expired
+	pollEnded                      // the poll was answered, has failed or is abandoned
 )
 
-// next is the transition function of a poll. An event that does not apply in a state leaves it as it is.
+// next is the transition function of a poll. An event that does not apply to the state is ignored.
 func (s pollState) next(e pollEvent) pollState {
 	switch {
 	case e == pollEnded:
@@ -47,18 +47,18 @@
 	return s
 }
 
-// poll is one request to discovery. It owns the connection that it is sent on.
+// poll is one request to discovery. It owns the connection on which it is sent.
 type poll struct {
 	watcher      *Watcher
 	conn         *netloop.Conn
 	parser       http1.Parser
 	state        pollState
-	maxWait      time.Duration // how long discovery may hold it; 0 for an immediate answer
-	overdueAfter time.Duration // how long after it was sent the answer is overdue
+	maxWait      time.Duration // how long discovery may delay the answer; 0 for an immediate answer
+	overdueAfter time.Duration // time from sending the request until the answer is overdue
 	timer        *netloop.Timer
 }
 
-// dial sends a poll on a new connection.
+// dial starts a poll on a new connection.
 func (w *Watcher) dial(wait time.Duration) {
 	p := &poll{watcher: w, maxWait: wait}
 	w.polls = append(w.polls, p)
@@ -73,7 +73,8 @@
 	p.send()
 }
 
-// send sends the request. Without a list to continue from it asks for the full one, which is answered at once.
+// send sends the request. Without a list to continue from it requests the full list, which discovery
+// answers at once.
 func (p *poll) send() {
 	p.parser = http1.Parser{}
 	path := "/api/targets"
@@ -87,7 +88,7 @@
 	p.setTimer(p.overdueAfter, p.handleOverdue)
 }
 
-// answerTimeout is how long after it is sent the answer is overdue.
+// answerTimeout returns the time from sending the request until the answer is overdue.
 func (p *poll) answerTimeout() time.Duration {
 	switch {
 	case p.maxWait > 0:
@@ -98,7 +99,7 @@
 	return p.watcher.timing().answer
 }
 
-// abandonAfter is how long after its answer was overdue the poll is abandoned.
+// abandonAfter returns the time from the answer becoming overdue until the poll is abandoned.
 func (p *poll) abandonAfter() time.Duration {
 	if p.maxWait > 0 {
 		return p.maxWait + abandonMargin - p.overdueAfter
@@ -111,10 +112,10 @@
 	p.timer = p.watcher.Loop.After(d, then)
 }
 
-// pending reports whether the poll may still be answered before it is overdue.
+// pending reports whether the poll is in flight and its answer not yet overdue.
 func (p *poll) pending() bool { return p.state == pollDialing || p.state == pollWaiting }
 
-// handleOverdue starts a second poll beside one that should have been answered by now. The first one goes on until it is abandoned.
+// handleOverdue starts a second poll beside an overdue one, which continues until it is abandoned.
 func (p *poll) handleOverdue() {
 	p.state = p.state.next(pollTimedOut)
 	p.watcher.lastRejected = false
@@ -137,7 +138,7 @@
 
 // Data implements netloop.Handler.
 func (p *poll) Data(b []byte) int {
-	if p.state == pollDone { // no answer is due on this connection
+	if p.state == pollDone { // no answer is expected on this connection
 		return len(b)
 	}
 	n, done, err := p.parser.Feed(b)
@@ -158,7 +159,7 @@
 	p.watcher.handleFailure(p, fmt.Errorf("discovery: %w", err))
 }
 
-// close ends the poll, and its connection unless the next poll is to use it.
+// close ends the poll, and closes its connection unless keepConn is set for the next poll.
 func (p *poll) close(keepConn bool) {
 	p.state = p.state.next(pollEnded)
 	p.timer.Stop()
--- a/internal/pool/timing.go
+++ b/internal/pool/timing.go
@@ -2,62 +2,73 @@
 
 import "time"
 
-// The protocol counts a change as delivered deliveryDeadline after discovery had it and could be reached, whether or not
-// it came, and what a long poll has missed deliveryAfterWait after its wait. The steps below are what a watch takes of that
-// in the worst order; docs/design/crossings.md, "The budget of a watch", adds them up, and TestDeliveryBudget does.
+// The protocol counts a change as delivered deliveryDeadline after discovery had the change and was
+// reachable, whether or not the relay received it. A change that a long poll has missed counts as
+// delivered deliveryAfterWait after the poll's wait. The constants below split that time between the
+// steps of a watch in the worst order; docs/design/crossings.md, "The budget of a watch", adds them
+// up, and TestDeliveryBudget checks the sums.
 const (
 	deliveryDeadline  = 6 * time.Second
 	deliveryAfterWait = 2 * time.Second
 
-	// longPollWait is how long a poll asks discovery to wait for a change: the longest wait after which all of
-	// deliveryAfterWait is left. A shorter one costs discovery more polls and brings nothing sooner.
+	// longPollWait is how long a poll asks discovery to wait for a change: the longest wait that
+	// leaves all of deliveryAfterWait. With a shorter wait, discovery would get more polls and no
+	// change would arrive sooner.
 	longPollWait = deliveryDeadline - deliveryAfterWait
-	// overdueMargin is how long after that wait an answer is taken to be overdue. A second poll is sent then, on a connection
-	// of its own; the first one goes on, since it may only stand in discovery's queue.
+	// overdueMargin is how long after that wait an answer becomes overdue. Then a second poll is sent
+	// on a connection of its own. The first one continues, since it may just be waiting in
+	// discovery's queue.
 	overdueMargin = deliveryAfterWait / 4
-	// maxQueueTime is how long the answer to an immediate poll may take before a second one is sent. Discovery answers
-	// polls one after another and rejects at once what would queue for too long; where that is 2 to 3 s (three sites), a
-	// poll that was accepted has its answer by then or shortly after.
+	// maxQueueTime is how long the answer to an immediate poll may take before a second poll is sent.
+	// Discovery answers polls one after another and rejects at once those that would queue for too
+	// long. Where that limit is 2 to 3 s (three sites), an accepted poll is answered by then or
+	// shortly after.
 	maxQueueTime = deliveryAfterWait
-	// maxQueueTimeAfterRejection is the same after discovery has rejected a poll: it is up then, and overloaded. The longest
-	// queue of three sites lets a poll stand for 3 s, half of deliveryDeadline. A second poll beside one that stands so long
-	// would be rejected, and discovery may fail the first one with it: 17 of 32 relays had none for 9 to 22 s
-	// (throng+brink, ferry-boarding).
+	// maxQueueTimeAfterRejection is the same after discovery has rejected a poll: discovery is up
+	// then, and overloaded. The longest queue of three sites delays a poll by 3 s, half of
+	// deliveryDeadline. A second poll beside a queued one would be rejected, and discovery may then
+	// fail the first one too, which left 17 of 32 relays without an answer for 9 to 22 s (scenarios
+	// throng+brink and ferry-boarding).
 	maxQueueTimeAfterRejection = deliveryDeadline/2 + overdueMargin/2
-	// abandonMargin is how long after its wait a poll is abandoned. Sooner, the relay would leave a queue in which it has
-	// stood for nothing, and discovery would answer nobody.
+	// abandonMargin is how long after its wait a poll is abandoned. If polls were abandoned sooner,
+	// they would leave the queue after waiting in vain, and discovery would answer no relay.
 	abandonMargin = 2 * deliveryAfterWait
-	// dialTimeout is how long a connection to discovery may take: a lost packet leaves time for a second one.
+	// dialTimeout is how long connecting to discovery may take. After the loss of a packet there is
+	// time left for a second attempt.
 	dialTimeout = deliveryAfterWait / 4
-	// After failures the next poll comes after a backoff that is drawn between the half and the whole of a span, so that
-	// relays which failed together come back spread out. The span doubles from the initial one to the longest.
+	// After a failure, the backoff before the next poll is a random duration from half a span to the
+	// whole span, so that relays that failed together do not return together. The span doubles with
+	// each failure, from initialBackoff to maxBackoff.
 	initialBackoff = 250 * time.Millisecond
 	maxBackoff     = time.Second
 )
 
-// timing is the timeouts of an immediate poll and the backoffs after failures.
+// timing holds the timeouts of an immediate poll and the backoff spans.
 type timing struct {
 	dial                 time.Duration // until the connection is established
 	answer               time.Duration // until the answer is overdue
 	answerAfterRejection time.Duration // the same if the last poll was rejected
 	abandon              time.Duration // until the poll is abandoned
-	initialBackoff       time.Duration // the span of the backoff after the first failure
-	maxBackoff           time.Duration // and after many
+	initialBackoff       time.Duration // span of the backoff after the first failure
+	maxBackoff           time.Duration // maximum span
 }
 
-// pollTiming is for polls of discovery itself: it is one service for all relays, with a queue.
+// pollTiming applies to polls of discovery itself: one service with a queue for all relays.
 var pollTiming = timing{dial: dialTimeout, answer: maxQueueTime, answerAfterRejection: maxQueueTimeAfterRejection, abandon: abandonMargin,
 	initialBackoff: initialBackoff, maxBackoff: maxBackoff}
 
-// pushTiming is for polls of an agent of the relay's own, to which lists are pushed. What the agent has counts as delivered
-// at once, also when it comes back after an outage. From then on there is the grace for sends that were under way: in the
-// worst order the last step before its return was swallowed, so a step and a backoff have to take less than that together.
+// pushTiming applies to polls of a local agent to which discovery pushes lists. A change counts as
+// delivered as soon as the agent has it, also when the agent returns after an outage. From then on the
+// grace applies, the time for sends that were already in progress. In the worst order, the last step
+// before the agent's return was lost, so one step and one backoff together must be shorter than the
+// grace.
 func pushTiming(grace time.Duration) timing {
 	step := grace / 4
 	return timing{dial: step, answer: step, answerAfterRejection: step, abandon: step, initialBackoff: step, maxBackoff: step}
 }
 
-// backoff is how long to wait before the next poll after so many failures in a row; random is from 0 to 1.
+// backoff returns how long to wait before the next poll after the given number of consecutive
+// failures. Random is in [0, 1].
 func (t timing) backoff(failures int, random float64) time.Duration {
 	span := t.initialBackoff
 	for i := 1; i < failures && span < t.maxBackoff; i++ {
@@ -67,15 +78,17 @@
 	return span/2 + time.Duration(random*float64(span/2))
 }
 
-// maxInitialDelay is the time over which the first polls of processes that start together are spread. A change that
-// discovery had before a process started counts as delivered by the same deadline; half of that is left for a crowd's queue.
+// maxInitialDelay is the time over which the first polls of processes that start together are spread.
+// A change that discovery had before a process started counts as delivered by the same deadline. The
+// other half of it is left for the queue that many starting relays cause.
 const maxInitialDelay = deliveryDeadline / 2
 
-// InitialDelay is when a watch is started at the latest; random draws from 0 to 1. The relay has to poll within deadline anyway.
+// InitialDelay returns the random delay after which a watch starts. Random returns a value in [0, 1].
+// Deadline is the time within which the relay must poll anyway.
 func InitialDelay(deadline time.Duration, random func() float64) time.Duration {
 	return time.Duration(random() * float64(min(maxInitialDelay, deadline/2)))
 }
 
-// MaxDescriptors is how many a watch may use: two polls, and the ended connections that linger, of which the backoffs let
-// no more than six come in the second that they linger for.
+// MaxDescriptors is the maximum number of file descriptors of a watch: two polls, and the closed
+// connections that linger for a second each. The backoffs allow at most six of those.
 const MaxDescriptors = 8
--- a/internal/pool/watcher.go
+++ b/internal/pool/watcher.go
@@ -13,41 +13,42 @@
 	"dahliarudder/policy"
 )
 
-// Watcher keeps the endpoint list up to date by long polls of discovery, one after another. A poll that is overdue gets a
-// second one beside it, and after failures the next one comes after a backoff: whatever fails, a change has to arrive
-// within the deadline of timing.go.
+// Watcher keeps the endpoint list up to date with consecutive long polls of discovery. When a poll is
+// overdue, a second one is sent beside it, and after failures the next poll waits for a backoff.
+// Whatever fails, a change must arrive within deliveryDeadline.
 type Watcher struct {
 	Loop     *netloop.Loop
 	Addr     string
 	Mapper   MemberMapper
 	OnUpdate func(kind policy.ListKind, list []core.Member)
 	Log      logrus.FieldLogger
-	// Dial connects to discovery, with descriptors that clients cannot use up.
+	// Dial connects to discovery. It uses file descriptors that are reserved, so that clients cannot
+	// exhaust them.
 	Dial func(addr string, within time.Duration, h netloop.Handler) *netloop.Conn
-	// PushGrace is set where an agent of the relay's own has lists pushed to it: the grace after which what the agent has counts
-	// as delivered. It is 0 where discovery itself is polled.
+	// PushGrace is set if Addr is a local agent to which discovery pushes lists: it is the grace
+	// period that pushTiming divides. It is 0 if discovery itself is polled.
 	PushGrace time.Duration
-	// Random draws from 0 to 1, for backoffs.
+	// Random returns a random number in [0, 1], used for backoffs.
 	Random func() float64
 
 	generation   uint64
-	hasList      bool                // a poll can continue from the list of that generation
+	hasList      bool                // a poll can continue from the list of this generation
 	instances    map[string]Instance // the list, by instance ID
 	state        watchState
 	polls        []*poll // in flight, the oldest first
-	failures     int     // in a row
-	lastRejected bool    // the last failure was an answer: discovery is up, and overloaded or failing
+	failures     int     // consecutive failures
+	lastRejected bool    // the last failure was an answer, so discovery is up but overloaded or failing
 	backoffTimer *netloop.Timer
-	onRefreshed  func() // called once when the poll in flight is answered
+	onRefreshed  func() // called once, after the next answer
 }
 
 // watchState is the state of a watch.
 type watchState int
 
 const (
-	watchIdle       watchState = iota // it has not started
-	watchPolling                      // a poll is in flight that may still be answered in time
-	watchBackingOff                   // none is, until the backoff is over; an overdue one may still be in flight
+	watchIdle       watchState = iota // not started
+	watchPolling                      // a poll is in flight that is not overdue
+	watchBackingOff                   // waiting for the backoff; an overdue poll may still be in flight
 	watchStopped
 )
 
@@ -55,15 +56,16 @@
 type watchEvent int
 
 const (
-	watchStart       watchEvent = iota // it is to start
-	watchPollsFailed                   // the last poll that could be answered in time has failed
+	watchStart       watchEvent = iota // Start was called
+	watchPollsFailed                   // a poll has failed and no poll is left that is not overdue
 	watchBackoffOver                   // the backoff has passed
-	watchRestart                       // it is to start anew, in whatever state it is
-	watchAnswered                      // a poll is answered, and the next one is sent
+	watchRestart                       // Refresh or SwitchAddress was called
+	watchAnswered                      // a poll was answered, and the next one is to be sent
 	watchStop
 )
 
-// next is the transition function of a watch; false says that the event does not apply in that state.
+// next is the transition function of a watch. It returns false if the event does not apply to the
+// state.
 func (s watchState) next(e watchEvent) (watchState, bool) {
 	switch {
 	case s == watchStopped:
@@ -102,7 +104,7 @@
 	}
 }
 
-// Snapshot is the current list, and whether a watch can continue from it.
+// Snapshot returns the current list, and whether a watch can continue from it.
 func (w *Watcher) Snapshot() (l *EndpointList, resumable bool) {
 	l = &EndpointList{Generation: w.generation, Full: true}
 	for _, instance := range w.instances {
@@ -111,15 +113,15 @@
 	return l, w.hasList
 }
 
-// Start starts the watch. Once started it goes on by itself, and this does nothing.
+// Start starts the watch, which then continues by itself. On a started watch it does nothing.
 func (w *Watcher) Start() {
 	if w.transition(watchStart) {
 		w.dial(longPollWait)
 	}
 }
 
-// Refresh polls for changes at once, in place of the polls in flight, whose answers may be as old as they are; done is
-// called after OnUpdate. Before the watch has started it does nothing.
+// Refresh polls for changes at once. It replaces the polls in flight, whose answers may be as old as
+// the polls. Done is called after OnUpdate. Before the watch has started, Refresh does nothing.
 func (w *Watcher) Refresh(done func()) {
 	if w.state == watchIdle || !w.transition(watchRestart) {
 		return
@@ -129,8 +131,8 @@
 	w.dial(0)
 }
 
-// SwitchAddress continues the watch at another address. The first poll there asks for the full list: a generation means
-// nothing but where it was issued.
+// SwitchAddress continues the watch at another address. The first poll there requests the full list,
+// since a generation is only valid at the discovery that issued it.
 func (w *Watcher) SwitchAddress(addr string) {
 	if addr == w.Addr || !w.transition(watchRestart) {
 		return
@@ -146,7 +148,8 @@
 	w.abandonPolls()
 }
 
-// handleAnswer applies the answer of a poll and sends the next one. Others in flight asked for the same, and are abandoned.
+// handleAnswer applies the answer of a poll and sends the next poll. Other polls in flight would bring
+// the same changes and are abandoned.
 func (w *Watcher) handleAnswer(p *poll) {
 	list, err := w.decodeAnswer(p)
 	if !p.parser.Date.IsZero() {
@@ -162,7 +165,7 @@
 	w.abandonPolls()
 	w.failures, w.lastRejected = 0, false
 	w.applyList(list)
-	if keepConn { // before the update is handed on: the gap between two polls is bounded
+	if keepConn { // poll before calling OnUpdate: the protocol limits the gap between two polls
 		p.reuse(longPollWait)
 	} else {
 		w.dial(longPollWait)
@@ -187,16 +190,16 @@
 	return Decode(p.parser.Body)
 }
 
-// statusError is the HTTP status with which discovery rejected a poll.
+// statusError is the HTTP status of an answer other than 200.
 type statusError int
 
-// Error names the status.
+// Error returns a text that names the status.
 func (e statusError) Error() string { return fmt.Sprintf("discovery answered %d", int(e)) }
 
-// maxPolls is how many polls are in flight at once: one that is overdue, and one beside it.
+// maxPolls is the maximum number of polls in flight: an overdue one and the one beside it.
 const maxPolls = 2
 
-// startSecondPoll polls on a second connection, beside a poll that is overdue.
+// startSecondPoll sends a poll on a second connection, beside an overdue poll.
 func (w *Watcher) startSecondPoll() {
 	if len(w.polls) < maxPolls {
 		w.Log.Debug("discovery answer overdue: starting a second poll")
@@ -204,7 +207,7 @@
 	}
 }
 
-// handleFailure ends a poll that has failed, and backs off unless another one may still be answered in time.
+// handleFailure ends a failed poll, and starts a backoff unless another poll is pending.
 func (w *Watcher) handleFailure(p *poll, err error) {
 	w.removePoll(p, false)
 	var status statusError
@@ -220,7 +223,7 @@
 	w.backoffTimer = w.Loop.After(w.timing().backoff(w.failures, w.Random()), w.retry)
 }
 
-// timing is that of immediate polls.
+// timing returns the timeouts of immediate polls.
 func (w *Watcher) timing() timing {
 	if w.PushGrace > 0 {
 		return pushTiming(w.PushGrace)
@@ -228,7 +231,8 @@
 	return pollTiming
 }
 
-// retry polls after a backoff. The poll is immediate, so that it shows at once whether discovery answers.
+// retry polls after a backoff. It asks for an immediate answer, to find out at once whether discovery
+// answers.
 func (w *Watcher) retry() {
 	if w.transition(watchBackoffOver) {
 		w.dial(0)
@@ -240,7 +244,7 @@
 	w.polls = slices.DeleteFunc(w.polls, func(other *poll) bool { return other == p })
 }
 
-// abandonPolls ends all polls in flight, and a backoff.
+// abandonPolls ends all polls in flight, and the backoff.
 func (w *Watcher) abandonPolls() {
 	w.backoffTimer.Stop()
 	for _, p := range w.polls {
