--- a/internal/pool/endpoint_list.go
+++ b/internal/pool/endpoint_list.go
@@ -17,7 +17,7 @@
 )
 
 // ErrMalformed is wrapped by every error about bytes that cannot be decoded as an endpoint list.
-var ErrMalformed = errors.New("malformed list")
+var ErrMalformed = errors.New("malformed endpoint list")
 
 // EndpointList is the wire form of discovery's endpoint list, or of a delta to it.
 type EndpointList struct {
@@ -46,7 +46,7 @@
 	}
 	for i, instance := range l.Instances {
 		if instance.ID == "" {
-			return nil, fmt.Errorf("%w: entry %d has no id", ErrMalformed, i)
+			return nil, fmt.Errorf("%w: instance %d has no instanceId", ErrMalformed, i)
 		}
 	}
 	return l, nil
--- a/internal/pool/poll.go
+++ b/internal/pool/poll.go
@@ -10,7 +10,7 @@
 )
 
 // ErrTimeout is wrapped by the error of a poll that was not answered in time.
-var ErrTimeout = errors.New("no answer in time")
+var ErrTimeout = errors.New("discovery sent no answer in time")
 
 // pollState is the state of a poll.
 type pollState int
--- a/internal/pool/watcher.go
+++ b/internal/pool/watcher.go
@@ -194,7 +194,7 @@
 type statusError int
 
 // Error returns a text that names the status.
-func (e statusError) Error() string { return fmt.Sprintf("discovery answered %d", int(e)) }
+func (e statusError) Error() string { return fmt.Sprintf("discovery answered with status %d", int(e)) }
 
 // maxPolls is the maximum number of polls in flight: an overdue one and the one beside it.
 const maxPolls = 2
