--- a/internal/gossip/envelope_test.go
+++ b/internal/gossip/envelope_test.go
@@ -17,12 +17,14 @@
 	newKey = []byte("the key that comes into use, 32 and more")
 )
 
-// TestEnvelope: what a peer has sent is taken once, also out of order and with a clock minutes away, by either key while both are
-// in the file; what is cut, changed, foreign, repeated, too old, or of an earlier process is refused by its reason.
+// TestEnvelope checks that each datagram of a peer is accepted once, also out of order and with a
+// clock that is minutes off, and with either key while the key file has both. Datagrams that are
+// truncated, altered, of an unknown key, replayed, too old or of an earlier process are rejected with
+// the matching error.
 func TestEnvelope(t *testing.T) {
 	const now = time.Hour
 	wall := uint64(1_800_000_000_000)
-	senderClock := wall - 5*60_000 // the sender's clock
+	senderClock := wall - 5*60_000
 	s := Sealer{Keys: Keys{oldKey}, Name: "n1", Start: 7000}
 	o := Opener{Keys: Keys{newKey, oldKey}}
 	var sealed [][]byte
@@ -33,7 +35,7 @@
 		t.Helper()
 		name, content, err := o.Open(at, wall+uint64((at-now).Milliseconds()), "10.0.0.1:7", b)
 		if !errors.Is(err, want) || want == nil && (name != "n1" || len(content) != 1) {
-			t.Errorf("%q %v: %v, want %v", name, content, err, want)
+			t.Errorf("Open = %q, %v, error %v; want error %v", name, content, err, want)
 		}
 	}
 	expectOpen(sealed[0], now, nil)
@@ -42,7 +44,7 @@
 	expectOpen(sealed[1], now, ErrReplayed)
 	expectOpen(sealed[2], now, ErrReplayed)
 	expectOpen(sealed[79], now, nil)
-	expectOpen(sealed[10], now, ErrReplayed) // too far behind to know
+	expectOpen(sealed[10], now, ErrReplayed) // too far behind to tell whether it was received
 	expectOpen(sealed[20], now, nil)
 	expectOpen(sealed[20], now, ErrReplayed)
 	expectOpen(sealed[50], now+31*time.Second, ErrTooOld)
@@ -57,26 +59,27 @@
 	unknownVersion[0] = 2
 	expectOpen(unknownVersion, now, ErrVersion)
 
-	restarted := Sealer{Keys: Keys{newKey}, Name: "n1", Start: 8000} // it was restarted, and signs by the new key
+	restarted := Sealer{Keys: Keys{newKey}, Name: "n1", Start: 8000} // a restarted process that signs with the new key
 	expectOpen(restarted.Seal([]byte{1}, senderClock+1000), now+time.Second, nil)
-	expectOpen(sealed[60], now+time.Second, ErrTooOld) // of the process before
+	expectOpen(sealed[60], now+time.Second, ErrTooOld) // from the previous process
 	name, _, err := o.Open(now+time.Second, wall, "10.0.0.2:7", s.Seal([]byte{1}, senderClock+1000))
 	if !errors.Is(err, ErrNameConflict) {
-		t.Errorf("two of one name: %q, %v", name, err)
+		t.Errorf("Open of a datagram from a second relay with the same name = %q, error %v; want %v", name, err, ErrNameConflict)
 	}
-	clockSetBack := Sealer{Keys: Keys{newKey}, Name: "n1", Start: 100} // its clock was set back
+	clockSetBack := Sealer{Keys: Keys{newKey}, Name: "n1", Start: 100} // a process whose clock was set back
 	expectOpen(clockSetBack.Seal([]byte{1}, senderClock+2000), now+2*time.Second, ErrTooOld)
 	expectOpen(clockSetBack.Seal([]byte{1}, senderClock), now+2*senderReset, nil)
 	if o.Rejected["repeated"] != 4 || o.Rejected["tag"] != 1 {
-		t.Errorf("counted %v", o.Rejected)
+		t.Errorf("Rejected = %v, want 4 under \"repeated\" and 1 under \"tag\"", o.Rejected)
 	}
 	o.Prune(now + time.Hour)
 	if len(o.senders) != 0 {
-		t.Error("a sender long gone is kept")
+		t.Errorf("Prune kept %d senders that have been silent for an hour, want none", len(o.senders))
 	}
 }
 
-// TestReadKeys: one or two keys, of some length, from a file that others cannot read.
+// TestReadKeys checks that one or two keys of sufficient length are read from a file that only its
+// owner may access, and that other files are rejected.
 func TestReadKeys(t *testing.T) {
 	for _, tt := range []struct {
 		text string
@@ -89,12 +92,13 @@
 			t.Fatal(err)
 		}
 		if keys, err := ReadKeys(path); len(keys) != tt.keys || (err == nil) != (tt.keys > 0) {
-			t.Errorf("%q: %d keys, %v", tt.text, len(keys), err)
+			t.Errorf("ReadKeys of %q with mode %04o = %d keys, error %v; want %d keys", tt.text, tt.mode, len(keys), err, tt.keys)
 		}
 	}
 }
 
-// FuzzDecode: whatever the bytes, decoding ends within its bounds, and what was read is written and read the same.
+// FuzzDecode checks that decoding respects its limits for any input, and that a decoded message is
+// the same after it is encoded and decoded again.
 func FuzzDecode(f *testing.F) {
 	m := Message{Kind: PingReq, Seq: 7, Target: "n2", TargetAddr: "10.0.0.2:1", Updates: []Update{{Name: "n1", Addr: "10.0.0.1:1", State: Suspect,
 		Incarnation: math.MaxUint64, Zone: "a", Phase: Draining, Generation: 4, Flows: 5, Rate: 6, Accuser: "n3", Unknown: []byte{0x78, 1}}}}
@@ -108,17 +112,17 @@
 			return
 		}
 		if len(m.Updates) > maxUpdates {
-			t.Fatalf("%d updates", len(m.Updates))
+			t.Fatalf("Decode returned %d updates, want at most %d", len(m.Updates), maxUpdates)
 		}
 		encoded, n := m.Append(nil, 1<<20)
 		decoded, err := Decode(encoded)
 		if err != nil || n != len(m.Updates) || !reflect.DeepEqual(m, decoded) {
-			t.Errorf("%+v became %+v: %v", m, decoded, err)
+			t.Errorf("message %+v encoded and decoded again = %+v with %d of %d updates, error %v", m, decoded, n, len(m.Updates), err)
 		}
 	})
 }
 
-// FuzzOpen: no bytes but those that a key has sealed are opened.
+// FuzzOpen checks that only bytes sealed with a configured key are accepted.
 func FuzzOpen(f *testing.F) {
 	s := Sealer{Keys: Keys{oldKey}, Name: "n1", Start: 1}
 	sealed := s.Seal([]byte("content"), 5)
@@ -128,7 +132,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		o := Opener{Keys: Keys{oldKey}}
 		if _, _, err := o.Open(time.Hour, 5, "a", b); err == nil && !bytes.Equal(b, sealed) {
-			t.Errorf("opened %x", b)
+			t.Errorf("Open accepted %x, which was not sealed with the key", b)
 		}
 	})
 }
--- a/internal/gossip/membership_test.go
+++ b/internal/gossip/membership_test.go
@@ -10,8 +10,9 @@
 	"time"
 )
 
-// TestConvergence simulates random loss, delay, repetition, one-way cuts, partitions, kills, stops, leaves and restarts without
-// state. After the faults all views agree within a bound, and no state has grown.
+// TestConvergence simulates random loss, delay, duplication, one-way cuts, partitions, kills, stops,
+// leaves and restarts without state. After the faults, all views must agree within a time limit and
+// no table may have grown beyond its bound.
 func TestConvergence(t *testing.T) {
 	eachSeed(t, 40, func(t *testing.T, seed uint64) {
 		n := []int{3, 5, 12, 30}[seed%4]
@@ -23,7 +24,7 @@
 			case 0:
 				w.lossRate, w.repeatRate = 0.3*w.rng.Float64(), 0.2
 			case 1:
-				w.delay = time.Duration(w.rng.Float64() * 0.8 * float64(time.Second)) // beyond the time of a ping
+				w.delay = time.Duration(w.rng.Float64() * 0.8 * float64(time.Second)) // longer than a probe's timeout
 			case 2:
 				w.partitioned = func(from, to int) bool { return from == i || to == j }
 			case 3:
@@ -59,20 +60,21 @@
 		}
 		took := w.settle(t, 90*time.Second)
 		if took > 60*time.Second {
-			t.Errorf("seed %d, %d relays: agreed only after %v", seed, n, took)
+			t.Errorf("seed %d, %d relays: views agreed after %v, want at most 60s", seed, n, took)
 		}
 		for _, nd := range w.nodes {
 			if len(nd.peers) >= n || len(nd.indirectProbes) > maxIndirectProbes || len(nd.probeOrder) > n {
-				t.Errorf("seed %d: %d peers, %d indirect probes", seed, len(nd.peers), len(nd.indirectProbes))
+				t.Errorf("seed %d: relay has %d peers, %d indirect probes, %d names in the probe order; want at most %d, %d, %d",
+					seed, len(nd.peers), len(nd.indirectProbes), len(nd.probeOrder), n-1, maxIndirectProbes, n)
 			}
 		}
 		if w.largest > MaxDatagramSize {
-			t.Errorf("seed %d: a datagram of %d bytes", seed, w.largest)
+			t.Errorf("seed %d: largest datagram has %d bytes, want at most %d", seed, w.largest, MaxDatagramSize)
 		}
 	})
 }
 
-// TestDeterministic: a seed gives the same messages again.
+// TestDeterministic checks that the same seed produces the same messages.
 func TestDeterministic(t *testing.T) {
 	run := func() uint64 {
 		w := newNetwork(5, 12)
@@ -83,12 +85,13 @@
 		return w.trace
 	}
 	if a, b := run(), run(); a != b {
-		t.Errorf("traces %x and %x", a, b)
+		t.Errorf("two runs with the same seed have different message traces: %x and %x", a, b)
 	}
 }
 
-// TestFailureDetection: all notice a killed relay within seconds, by the refusal at its address if there is one, and by its
-// silence if its machine is gone; no live relay is taken for dead meanwhile.
+// TestFailureDetection checks that all relays detect a killed one within seconds: by the refused
+// connection if its machine is up, and by its silence if the machine is down too. Meanwhile no live
+// relay may be declared dead.
 func TestFailureDetection(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
@@ -103,7 +106,7 @@
 				w.advance(20 * time.Second)
 				w.onDead = func(at int, p *Peer) {
 					if p.Name != name(7) {
-						t.Errorf("seed %d: n%d takes %s for dead", seed, at, p.Name)
+						t.Errorf("seed %d: n%d declared the live relay %s dead", seed, at, p.Name)
 					}
 				}
 				w.nodes[7].up = false
@@ -121,20 +124,21 @@
 					}
 				}
 				if len(seen) < 49 {
-					t.Fatalf("seed %d: %d of 49 have noticed", seed, len(seen))
+					t.Fatalf("seed %d: %d of 49 relays detected the failure within 30s", seed, len(seen))
 				}
 			}
 			slices.Sort(took)
 			p50, p99 := took[len(took)/2], took[len(took)*99/100]
-			t.Logf("noticed: p50 %v, p99 %v", p50, p99)
+			t.Logf("failure detection time: p50 %v, p99 %v", p50, p99)
 			if p99 > tt.p99 {
-				t.Errorf("p99 %v, want at most %v", p99, tt.p99)
+				t.Errorf("failure detection time p99 = %v, want at most %v", p99, tt.p99)
 			}
 		})
 	}
 }
 
-// TestNoFalseDeaths: loss alone makes suspects, and none of them dead. GOSSIP_MINUTES runs it longer.
+// TestNoFalseDeaths checks that packet loss alone makes relays suspect but not dead. GOSSIP_MINUTES
+// sets the simulated minutes.
 func TestNoFalseDeaths(t *testing.T) {
 	minutes, err := strconv.Atoi(os.Getenv("GOSSIP_MINUTES"))
 	if err != nil {
@@ -147,15 +151,16 @@
 		dead := map[string]bool{}
 		w.onDead = func(at int, p *Peer) { dead[fmt.Sprintf("%s by %d at %v", p.Name, at, p.Since)] = true }
 		w.advance(time.Duration(minutes) * time.Minute)
-		t.Logf("loss %.2f: %d taken for dead in %d minutes, %.0f bytes a second each", loss, len(dead), minutes,
+		t.Logf("loss %.2f: %d live relays declared dead in %d minutes, %.0f bytes/s per relay", loss, len(dead), minutes,
 			float64(w.bytes)/50/(float64(minutes)*60))
 		if len(dead) > 0 && loss < 0.1 {
-			t.Errorf("loss %.2f: %v", loss, dead)
+			t.Errorf("loss %.2f: live relays were declared dead: %v", loss, dead)
 		}
 	}
 }
 
-// TestBandwidthIndependentOfGroupSize: what a relay sends does not grow with their number.
+// TestBandwidthIndependentOfGroupSize checks that the bytes a relay sends do not grow with the number
+// of relays.
 func TestBandwidthIndependentOfGroupSize(t *testing.T) {
 	rate := map[int]float64{}
 	for _, n := range []int{10, 50, 200} {
@@ -165,14 +170,15 @@
 		w.advance(time.Minute)
 		rate[n] = float64(w.bytes) / float64(n) / 60
 	}
-	t.Logf("bytes a second each: %v", rate)
+	t.Logf("bytes/s per relay by group size: %v", rate)
 	if rate[200] > 2*rate[10] || rate[50] > 1500 {
-		t.Errorf("bytes a second each: %v", rate)
+		t.Errorf("bytes/s per relay by group size = %v, want at 200 relays at most twice that at 10, and at 50 at most 1500", rate)
 	}
 }
 
-// TestBudgetNotOverspent: whatever is partitioned, killed or stopped, all relays together never take more than a third over the budget that
-// they divide, and where most of them are gone for certain the rest take more than their old parts.
+// TestBudgetNotOverspent checks that under partitions, kills and restarts all relays together never use
+// more than 4/3 of the shared budget. If most of them are certain to be down, the others must use
+// more than their original shares.
 func TestBudgetNotOverspent(t *testing.T) {
 	eachSeed(t, 16, func(t *testing.T, seed uint64) {
 		n := 12
@@ -192,7 +198,7 @@
 					live, down := nd.Counts()
 					detail += fmt.Sprintf(" n%d(up %v) %d live %d down /%.1f;", nd.at, nd.up, live, down, nd.divisor.current)
 				}
-				t.Fatalf("seed %d at %v: %.2f of the budget:%s", seed, w.now, sum, detail)
+				t.Fatalf("seed %d at %v: the relays use %.2f of the budget, want at most 1.33:%s", seed, w.now, sum, detail)
 			}
 		}
 		advanceAndCheck := func(d time.Duration) {
@@ -201,7 +207,7 @@
 				checkBudget()
 			}
 		}
-		if seed%2 == 1 { // many at once, before they are parted or all come back
+		if seed%2 == 1 { // kill many at once, before the partitions and restarts
 			for range w.rng.IntN(n - 1) {
 				w.nodes[w.rng.IntN(n)].up = false
 			}
@@ -244,12 +250,13 @@
 	}
 	live, down := w.nodes[9].Counts()
 	if got := w.nodes[9].divisor.Update(w.now, live, down); got > 7.51 {
-		t.Errorf("four of twelve live, %d known to be down, and the budget is divided by %.1f", down, got)
+		t.Errorf("with 4 of 12 relays live and %d certain to be down, the divisor is %.1f, want at most 7.51", down, got)
 	}
 }
 
-// TestFalseClaims: 2,000 claimed relays are not tracked beyond the bound and move no budget, and a relay that is repeatedly claimed to
-// be dead refutes that each time.
+// TestFalseClaims checks that relays that do not exist, which one relay claims by the thousand, are not
+// tracked beyond MaxPeers and do not change the budget. A live relay that is repeatedly claimed dead
+// must refute that each time.
 func TestFalseClaims(t *testing.T) {
 	w := newNetwork(2, 5)
 	w.advance(15 * time.Second)
@@ -270,15 +277,15 @@
 					worst = max(worst, w.now-p.Since)
 				}
 				if live, down := nd.Counts(); down > 0 || live > 5 {
-					t.Fatalf("%d live, %d down", live, down)
+					t.Fatalf("Counts with false claims = %d live, %d down; want at most 5 live, none down", live, down)
 				}
 				if len(nd.peers) > MaxPeers {
-					t.Fatalf("%d peers", len(nd.peers))
+					t.Fatalf("%d peers are tracked, want at most %d", len(nd.peers), MaxPeers)
 				}
 			}
 		}
 	}
 	if worst > 2*time.Second {
-		t.Errorf("believed dead for %v while it answers", worst)
+		t.Errorf("the live relay n3 was considered dead for %v, want at most 2s", worst)
 	}
 }
--- a/internal/gossip/network_test.go
+++ b/internal/gossip/network_test.go
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// network is a network in virtual time: every message is encoded and decoded, delayed, lost, repeated, or cut off.
+// network simulates a network in virtual time. Every message is encoded and decoded; it may be delayed,
+// lost, duplicated or cut off.
 type network struct {
 	now         time.Duration
 	rng         *rand.Rand
@@ -21,20 +22,20 @@
 	order       int
 	lossRate    float64
 	repeatRate  float64
-	delay       time.Duration // at most, beside 1 ms
+	delay       time.Duration // maximum random delay, in addition to 1 ms
 	partitioned func(from, to int) bool
 	sent        int
 	bytes       int
 	largest     int
 	trace       uint64
-	onDead      func(at int, p *Peer) // called for each relay that some node takes for dead
+	onDead      func(at int, p *Peer) // called for each peer p that node at considers dead
 }
 
 type node struct {
 	*Membership
 	at                 int
 	up                 bool
-	stopped            bool // SIGSTOP
+	stopped            bool // simulates SIGSTOP
 	queuedWhileStopped []event
 	divisor            BudgetDivisor
 	incarnation        uint64
@@ -44,8 +45,8 @@
 	at          time.Duration
 	order       int
 	to, from    int
-	incarnation uint64 // of the node that it is for; 0 for any
-	bytes       []byte // nil for a tick
+	incarnation uint64 // of the receiving node; 0 if the event is for any incarnation
+	bytes       []byte // the datagram; nil for a tick
 	refusal     []byte
 }
 
@@ -79,7 +80,7 @@
 func addr(i int) string { return fmt.Sprintf("10.0.%d.%d:7400", i/250, i%250) }
 func name(i int) string { return fmt.Sprintf("n%d", i) }
 
-// start starts a relay without any state.
+// start starts relay i without any state.
 func (w *network) start(i int) {
 	nd := w.nodes[i]
 	nd.incarnation++
@@ -87,7 +88,7 @@
 	self := Update{Name: name(i), Addr: addr(i), Zone: "z" + strconv.Itoa(i%3), Incarnation: nd.incarnation << 20, Phase: Serving}
 	nd.Membership = New(w.now, self, []string{addr(0), addr(len(w.nodes) - 1)}, rand.New(rand.NewPCG(w.rng.Uint64(), uint64(i))))
 	nd.divisor = BudgetDivisor{Configured: len(w.nodes)}
-	nd.divisor.Update(w.now, 1, 0) // as the service does: no peer is known yet
+	nd.divisor.Update(w.now, 1, 0) // like the service, before any peer is known
 	w.push(event{at: w.now, to: i, incarnation: nd.incarnation})
 }
 
@@ -116,7 +117,7 @@
 		}
 		b, n := o.Message.Append(nil, MaxDatagramSize-Overhead)
 		if n < len(o.Message.Updates) && o.Message.Kind != Gossip && n == 0 {
-			panic("nothing fits")
+			panic("no update fits into the datagram")
 		}
 		w.sent++
 		w.bytes += len(b) + headerSize + tagSize + len(name(from))
@@ -133,7 +134,7 @@
 	}
 }
 
-// run simulates until a time.
+// run simulates the network until the given time.
 func (w *network) run(until time.Duration) {
 	for len(w.events) > 0 && w.events[0].at <= until {
 		e := heap.Pop(&w.events).(event)
@@ -171,7 +172,7 @@
 
 func (w *network) advance(d time.Duration) { w.run(w.now + d) }
 
-// resume is SIGCONT: all that was queued comes at once.
+// resume simulates SIGCONT: the node receives all queued events at once.
 func (w *network) resume(i int) {
 	nd := w.nodes[i]
 	nd.stopped = false
@@ -182,7 +183,8 @@
 	nd.queuedWhileStopped = nil
 }
 
-// disagreement describes a wrong view, if there is one: every live relay should take exactly the live ones for alive.
+// disagreement describes a wrong view, or returns "" if there is none. In every live relay's view
+// exactly the live relays should be alive.
 func (w *network) disagreement() string {
 	for _, a := range w.nodes {
 		for _, b := range w.nodes {
@@ -198,7 +200,7 @@
 	return ""
 }
 
-// settle waits until all views agree, up to a limit.
+// settle advances the network until all views agree, and fails the test after limit.
 func (w *network) settle(t *testing.T, limit time.Duration) time.Duration {
 	t.Helper()
 	began := w.now
@@ -211,7 +213,7 @@
 	return w.now - began
 }
 
-// seeds is how many seeds a test runs: a few in CI, as many as GOSSIP_SEEDS says by hand.
+// seedCount returns the number of seeds that a test runs: GOSSIP_SEEDS if that is set.
 func seedCount(defaultCount int) uint64 {
 	if n, err := strconv.Atoi(os.Getenv("GOSSIP_SEEDS")); err == nil {
 		return uint64(n)
@@ -219,7 +221,7 @@
 	return uint64(defaultCount)
 }
 
-// eachSeed runs a test with each seed, on all processors.
+// eachSeed runs a parallel subtest for each seed.
 func eachSeed(t *testing.T, defaultCount int, run func(t *testing.T, seed uint64)) {
 	for seed := range seedCount(defaultCount) {
 		t.Run(strconv.FormatUint(seed, 10), func(t *testing.T) {
