--- a/internal/gossiptransport/service_test.go
+++ b/internal/gossiptransport/service_test.go
@@ -12,7 +12,7 @@
 	"dahliarudder/internal/netloop/looptest"
 )
 
-// freeAddress is an address of the loopback that nobody has now.
+// freeAddress returns a loopback address whose port is currently free.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	c, err := net.ListenPacket("udp4", "127.0.0.1:0")
@@ -23,7 +23,8 @@
 	return c.LocalAddr().String()
 }
 
-// among makes services that know of each other, each with a wall clock that the test steps.
+// newServices starts n services that can reach each other. Adding to steps[i] steps the wall clock of
+// service i.
 func newServices(t *testing.T, b *looptest.Harness, n int) (all []*Service, steps []time.Duration) {
 	t.Helper()
 	log := logrus.New()
@@ -37,7 +38,7 @@
 			LocalStatus:  func() (gossip.Phase, uint64, uint64, uint64) { return gossip.Serving, 1, 0, 0 },
 			Observations: func() gossip.Digest { return gossip.Digest{} }, OnStaleList: func() {}, OnDivisorChange: func(float64) {}})
 		if s.socket == nil {
-			t.Fatal("no address")
+			t.Fatalf("New could not listen on %s", addr)
 		}
 		seeds = []string{addr}
 		t.Cleanup(s.Leave)
@@ -46,8 +47,8 @@
 	return all, steps
 }
 
-// TestWallClockSteps: relays whose wall clocks are stepped by an hour, either way, go on hearing each other: budgets stay
-// divided by all that live.
+// TestWallClockSteps checks that relays whose wall clocks are stepped by an hour, forward or back, still
+// accept each other's datagrams, so that budgets stay divided by all live relays.
 func TestWallClockSteps(t *testing.T) {
 	for _, step := range []time.Duration{time.Hour, -time.Hour} {
 		b := looptest.New(t, 64)
@@ -67,14 +68,14 @@
 		}
 		advance(10 * time.Second)
 		if n := minLive(); n != len(all)-1 && n != len(all) {
-			t.Fatalf("%d of %d live before any step", n, len(all))
+			t.Fatalf("%d of %d relays are live before the first step, want at least %d", n, len(all), len(all)-1)
 		}
 		before := minLive()
 		for i := range all {
 			steps[i] += step
 			advance(20 * time.Second)
 			if n := minLive(); n != before {
-				t.Fatalf("stepped by %v at %d: %d live, %d before", step, i, n, before)
+				t.Fatalf("after a step of %v at relay %d, %d relays are live, want %d as before", step, i, n, before)
 			}
 		}
 	}
