--- a/internal/pool/start_times_test.go
+++ b/internal/pool/start_times_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// machine is a relay's machine whose wall clock the test steps. All its times are spans since it was switched on.
+// machine is a relay's machine whose wall clock the test steps. Times are relative to its boot.
 type machine struct {
-	now      time.Duration // its monotonic clock
-	clockLag time.Duration // by how much its wall clock is wrong
+	now      time.Duration // monotonic clock
+	clockLag time.Duration // how much the wall clock is behind the correct time
 }
 
-// switchedOn is when by a right wall clock.
+// bootTime is the correct wall-clock time of the boot.
 var bootTime = time.UnixMilli(1700000000000)
 
 func (m *machine) newStartTimes() *StartTimes {
@@ -19,22 +19,25 @@
 		MaxListingDelay: 10 * time.Second}
 }
 
-// stamp is the start that discovery lists of a member, by a clock that is behind by so much.
+// listedStart returns the start time that discovery lists for a member that started at the given time
+// and whose machine's clock is behind by clockLag.
 func listedStart(at, clockLag time.Duration) float64 {
 	return float64(bootTime.Add(at - clockLag).UnixMilli())
 }
 
-// steps are steps that a wall clock may make.
+// clockSteps are the steps of a wall clock that the tests try.
 var clockSteps = []time.Duration{-time.Hour, -2 * time.Second, 2 * time.Second, time.Hour}
 
-// warmUpTime is about how long a member takes to warm up, and startsOff by how much its start may be off.
+// warmUpTime is the approximate warm-up time of a member. startTolerance is the allowed error of a
+// converted start time.
 const (
 	warmUpTime     = 8600 * time.Millisecond
 	startTolerance = 200 * time.Millisecond
 )
 
-// TestStartTimesClockStepped: whatever steps the wall clock makes, a member that has just started looks no older than it is, and not
-// started after now; one that has been up for long stays warmed up.
+// TestStartTimesClockStepped checks that after any step of the wall clock, a member that has just
+// started is not considered older than it is, nor started in the future, and that the start of a
+// member that has been up for long does not change.
 func TestStartTimesClockStepped(t *testing.T) {
 	for _, step := range clockSteps {
 		for scope, allMachines := range map[string]bool{"this machine alone": false, "all machines": true} {
@@ -49,10 +52,11 @@
 					t.Helper()
 					at := s.Resolve(name, listedStart(began, memberClockLag))
 					if at < began-startTolerance || at > m.now {
-						t.Errorf("%s, up for %v: taken for up for %v", name, m.now-began, m.now-at)
+						t.Errorf("%s has been up for %v, Resolve says %v; want at most %v more and no start in the future",
+							name, m.now-began, m.now-at, startTolerance)
 					}
 					if again := s.Resolve(name, listedStart(began, memberClockLag)); again != at {
-						t.Errorf("%s: %v, listed again %v", name, at, again)
+						t.Errorf("%s: second Resolve of the same start = %v, want %v", name, again, at)
 					}
 				}
 				for round, name := range []string{"one", "two", "three"} {
@@ -62,7 +66,7 @@
 					if m.clockLag -= step; allMachines {
 						memberClockLag -= step
 					}
-					if round == 2 { // and back again
+					if round == 2 { // all clocks are corrected again
 						m.clockLag, memberClockLag = 0, 0
 					}
 					m.now += 2 * time.Second
@@ -71,14 +75,15 @@
 					s.ListReceived()
 				}
 				if again := s.Resolve("warm", warm); again != first {
-					t.Errorf("a member that is up for long: %v, then %v", first, again)
+					t.Errorf("Resolve for a member that has been up for long = %v after the steps, want %v", again, first)
 				}
 			})
 		}
 	}
 }
 
-// TestStartTimesRestartedMember: a member whose start has changed is another process, whatever its clock says of the order of the two.
+// TestStartTimesRestartedMember checks that a changed start time is treated as a new process, even if
+// the member's clock puts it before the previous start.
 func TestStartTimesRestartedMember(t *testing.T) {
 	for _, step := range clockSteps {
 		m := &machine{now: time.Hour}
@@ -87,16 +92,19 @@
 		s.ListReceived()
 		m.now += 5 * time.Second
 		again := s.Resolve("s", listedStart(m.now-time.Second, -step))
-		// Two seconds back of that member's machine alone cannot be distinguished from a start two seconds earlier.
+		// A step back by two seconds of the member's clock alone cannot be distinguished from a start
+		// two seconds earlier.
 		earliest := m.now - time.Second - startTolerance + min(0, step%time.Hour)
 		if again <= first || again > m.now || again < earliest {
-			t.Errorf("its clock stepped by %v: first up at %v, then at %v, it is %v", step, first, again, m.now)
+			t.Errorf("member restarted after a clock step of %v: first start %v, second start %v; want the second after the first, from %v to %v",
+				step, first, again, earliest, m.now)
 		}
 	}
 }
 
-// TestStartTimesClockWrongAtStart: a relay whose clock is wrong when it starts. A start ahead of its clock is taken for one just now;
-// one that is first listed while the relay watches cannot be older than that; and discovery's own clock shows how wrong this one is.
+// TestStartTimesClockWrongAtStart starts a relay with a wrong wall clock. A start time in the future is
+// treated as just now, a member that is first listed while the relay watches cannot have started much
+// before that, and the Date header of discovery's answers shows the error of the relay's clock.
 func TestStartTimesClockWrongAtStart(t *testing.T) {
 	for _, clockLag := range clockSteps {
 		t.Run(clockLag.String(), func(t *testing.T) {
@@ -104,27 +112,27 @@
 			s := m.newStartTimes()
 			long := s.Resolve("long", listedStart(m.now-24*time.Hour, 0))
 			if m.now-long < warmUpTime {
-				t.Errorf("a member that is up for a day is taken for up for %v", m.now-long)
+				t.Errorf("Resolve for a member that has been up for a day: up for %v, want at least %v", m.now-long, warmUpTime)
 			}
 			if at := s.Resolve("known", listedStart(m.now-time.Second, 0)); at > m.now {
-				t.Errorf("a start %v ahead of now", at-m.now)
+				t.Errorf("Resolve returned a start %v in the future", at-m.now)
 			}
 			s.ListReceived()
 			m.now += 3 * time.Second
 			if at := s.Resolve("joined", listedStart(m.now-time.Second, 0)); m.now-at > 3*time.Second+s.MaxListingDelay {
-				t.Errorf("one that was listed within 3 s is taken for up for %v", m.now-at)
+				t.Errorf("Resolve for a member first listed 3s after the previous list: up for %v, want at most %v", m.now-at, 3*time.Second+s.MaxListingDelay)
 			}
 			s.ListReceived()
 			s.ObserveDiscoveryDate(bootTime.Add(m.now).Truncate(time.Second))
 			m.now += 3 * time.Second
 			if at := s.Resolve("later", listedStart(m.now-time.Second, 0)); clockLag.Abs() > time.Minute && (at > m.now || m.now-at > time.Second+startTolerance) {
-				t.Errorf("up for 1 s, with discovery's date: taken for up for %v", m.now-at)
+				t.Errorf("Resolve for a member up for 1s, with discovery's date known: up for %v, want 0s to %v", m.now-at, time.Second+startTolerance)
 			}
 		})
 	}
 }
 
-// TestStartTimesBounded: the remembered starts of members that are gone do not grow without end.
+// TestStartTimesBounded checks that the stored start times and offsets do not grow without limit.
 func TestStartTimesBounded(t *testing.T) {
 	m := &machine{now: time.Hour}
 	s := m.newStartTimes()
@@ -134,6 +142,6 @@
 		s.Resolve(m.now.String(), listedStart(m.now, 0))
 	}
 	if len(s.starts) > 2*maxStarts || len(s.offsets) > maxOffsets {
-		t.Errorf("%d starts and %d offsets are kept", len(s.starts), len(s.offsets))
+		t.Errorf("%d starts and %d offsets are stored, want at most %d and %d", len(s.starts), len(s.offsets), 2*maxStarts, maxOffsets)
 	}
 }
