--- a/internal/gossip/membership.go
+++ b/internal/gossip/membership.go
@@ -101,7 +101,8 @@
 	return slices.SortedFunc(maps.Values(m.peers), func(x, y *Peer) int { return cmp.Compare(x.Name, y.Name) })
 }
 
-// Counts returns how many relays are alive, this one included, and how many are certain to be down.
+// Counts returns how many relays are alive or suspect, this one included, and how many are certain to
+// be down.
 // A relay is certain to be down if this relay has received a datagram from it before, and it has
 // announced that it leaves or its address has refused a connection.
 func (m *Membership) Counts() (live, down int) {
--- a/internal/pool/timing.go
+++ b/internal/pool/timing.go
@@ -80,10 +80,11 @@
 
 // maxInitialDelay is the time over which the first polls of processes that start together are spread.
 // A change that discovery had before a process started counts as delivered by the same deadline. The
-// other half of it is left for the queue that many starting relays cause.
+// other half of that deadline is left for the queue that many starting relays cause.
 const maxInitialDelay = deliveryDeadline / 2
 
-// InitialDelay returns the random delay after which a watch starts. Random returns a value in [0, 1].
+// InitialDelay returns the random delay after which a watch is started if it was not started before.
+// Random returns a value in [0, 1].
 // Deadline is the time within which the relay must poll anyway.
 func InitialDelay(deadline time.Duration, random func() float64) time.Duration {
 	return time.Duration(random() * float64(min(maxInitialDelay, deadline/2)))
