--- a/internal/gossip/keys.go
+++ b/internal/gossip/keys.go
@@ -10,20 +10,20 @@
 
 const (
 	minKeyLen = 32 // characters
-	maxKeys   = 2  // the new one and the old one while keys are rotated
+	maxKeys   = 2  // the new key and the old one during a rotation
 )
 
-// Keys are the shared keys of the installation: the first one signs, all of them verify.
+// Keys are the shared keys of the installation. The first one signs, all of them verify.
 type Keys [][]byte
 
-// ReadKeys reads one or two keys, a line each, from a file that nobody but its owner may read.
+// ReadKeys reads one or two keys, one per line, from a file that only its owner may access.
 func ReadKeys(path string) (Keys, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if info.Mode().Perm()&0o077 != 0 {
-		return nil, fmt.Errorf("%s: mode %04o lets others read it: 0600 is wanted", path, info.Mode().Perm())
+		return nil, fmt.Errorf("key file %s: mode %04o gives access to group or others, want 0600", path, info.Mode().Perm())
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -35,23 +35,23 @@
 			continue
 		}
 		if len(line) < minKeyLen {
-			return nil, fmt.Errorf("%s: a key of %d characters: 32 at least", path, len(line))
+			return nil, fmt.Errorf("key file %s: key has %d characters, want at least %d", path, len(line), minKeyLen)
 		}
 		keys = append(keys, []byte(line))
 	}
 	if len(keys) == 0 || len(keys) > maxKeys {
-		return nil, fmt.Errorf("%s: %d keys: one or two are wanted", path, len(keys))
+		return nil, fmt.Errorf("key file %s: found %d keys, want 1 to %d", path, len(keys), maxKeys)
 	}
 	return keys, nil
 }
 
-// keyID names a key on the wire without disclosing it.
+// keyID returns the ID that identifies a key on the wire without disclosing it.
 func keyID(key []byte) []byte {
 	sum := sha256.Sum256(key)
 	return sum[:keyIDSize]
 }
 
-// authTag is the truncated HMAC of an envelope.
+// authTag returns the truncated HMAC-SHA256 of b.
 func authTag(key, b []byte) []byte {
 	h := hmac.New(sha256.New, key)
 	h.Write(b)
--- a/internal/gossip/observations.go
+++ b/internal/gossip/observations.go
@@ -9,30 +9,31 @@
 )
 
 const (
-	maxObservations = 8 // of members, and of zones, in a digest
-	// windowSpan is how long an outcome is counted at least; it is forgotten after twice that.
+	maxObservations = 8 // of members, and of zones, in one digest
+	// windowSpan is the minimum time for which an outcome is counted. It is dropped after at most
+	// twice that time.
 	windowSpan = 5 * time.Second
-	// maxCounted bounds the members, and the zones, that are counted.
+	// maxCounted is the maximum number of members, and of zones, that are counted.
 	maxCounted = 4096
 )
 
-// Outcome is how one attempt or probe went.
+// Outcome is the outcome of one attempt or probe.
 type Outcome int
 
 // The outcomes.
 const (
-	Success Outcome = iota // an answer came, be it that the member is full
-	Failure                // an error, a reset, a connection that did not come up
+	Success Outcome = iota // the member answered, possibly that it is at capacity
+	Failure                // an error, a reset, or a failed connection attempt
 	Timeout                // no answer in time
 )
 
-// Observation is what a relay saw itself of one member or zone in the last seconds.
+// Observation counts the outcomes that one relay saw for a member or zone in the last seconds.
 type Observation struct {
 	Name      string `json:"name"`
 	Successes uint64 `json:"good"`
 	Failures  uint64 `json:"bad"`
 	Timeouts  uint64 `json:"silent"`
-	AgeMS     uint64 `json:"age_ms"` // of the last one, when the digest was made
+	AgeMS     uint64 `json:"age_ms"` // age of the last outcome when the digest was made
 }
 
 func (o *Observation) fields() []field {
@@ -40,26 +41,27 @@
 		{number: 4, value: &o.Timeouts}, {number: 5, value: &o.AgeMS}}
 }
 
-// Digest is the observations that a relay publishes: of its zones, and of the members that fail most.
+// Digest holds the observations that a relay publishes: those of its zones, and those of the members
+// with the most failures.
 type Digest struct {
 	Zones   []Observation `json:"zones"`
 	Members []Observation `json:"members"`
 }
 
-// subject is what observations are of.
+// subject distinguishes observations of zones from those of members.
 type subject int
 
 const (
 	zones subject = iota
 	members
-	subjects
+	numSubjects
 )
 
-// ObservationWindow counts the outcomes that this relay sees, over the last windowSpan to twice that. It does no I/O; the
-// time is passed in.
+// ObservationWindow counts the outcomes that this relay saw during the last windowSpan to twice
+// windowSpan. It does no I/O; the time is passed in.
 type ObservationWindow struct {
 	rotatedAt         time.Duration
-	current, previous [subjects]map[string]*outcomeCounts
+	current, previous [numSubjects]map[string]*outcomeCounts
 }
 
 type outcomeCounts struct {
@@ -67,10 +69,10 @@
 	last     time.Duration
 }
 
-// Record counts one attempt or probe.
+// Record counts the outcome of one attempt or probe.
 func (w *ObservationWindow) Record(now time.Duration, member, zone string, outcome Outcome) {
 	w.rotate(now)
-	for kind, name := range [subjects]string{zones: zone, members: member} {
+	for kind, name := range [numSubjects]string{zones: zone, members: member} {
 		if w.current[kind] == nil {
 			w.current[kind] = map[string]*outcomeCounts{}
 		}
@@ -87,18 +89,18 @@
 	}
 }
 
-// rotate begins a new span, and forgets what is older than two.
+// rotate starts a new span when the current one is over, and drops spans before the previous one.
 func (w *ObservationWindow) rotate(now time.Duration) {
 	if now-w.rotatedAt < windowSpan {
 		return
 	}
-	if w.previous, w.current = w.current, [subjects]map[string]*outcomeCounts{}; now-w.rotatedAt >= 2*windowSpan {
+	if w.previous, w.current = w.current, [numSubjects]map[string]*outcomeCounts{}; now-w.rotatedAt >= 2*windowSpan {
 		w.previous = w.current
 	}
 	w.rotatedAt = now
 }
 
-// Digest is what to publish now: of members only those that fail.
+// Digest returns the observations to publish. Members without failures are left out.
 func (w *ObservationWindow) Digest(now time.Duration) Digest {
 	w.rotate(now)
 	failing := func(o Observation) bool { return o.Failures+o.Timeouts > 0 }
@@ -108,7 +110,7 @@
 	}
 }
 
-// worst is the observations of one kind that fail most.
+// worst returns the published observations of one kind, those with the most failures first.
 func (w *ObservationWindow) worst(now time.Duration, kind subject, published func(Observation) bool) (list []Observation) {
 	sums := map[string]*Observation{}
 	for _, span := range []map[string]*outcomeCounts{w.current[kind], w.previous[kind]} {
@@ -157,14 +159,14 @@
 }
 
 func decodeDigest(b []byte) (d Digest, err error) {
-	var inner error
+	var fieldErr error
 	_, err = decodeFields(b, func(n protowire.Number, _ uint64, s []byte) bool {
 		list := &d.Zones
 		if n == memberField {
 			list = &d.Members
 		}
 		if n > memberField {
-			return true // of a newer version
+			return true // a field of a newer version
 		}
 		var o Observation
 		known := o.fields()
@@ -173,11 +175,11 @@
 			return true
 		})
 		if err != nil || len(o.Name) > maxNameLen || len(*list) >= maxObservations {
-			inner = ErrMalformed
+			fieldErr = ErrMalformed
 			return true
 		}
 		*list = append(*list, o)
 		return true
 	})
-	return d, cmp.Or(err, inner)
+	return d, cmp.Or(err, fieldErr)
 }
