--- a/internal/atomicfile/atomicfile.go
+++ b/internal/atomicfile/atomicfile.go
@@ -22,7 +22,7 @@
 	rename func(from, to string) error
 }
 
-var kernel = fileCalls{write: (*os.File).Write, sync: (*os.File).Sync, close: (*os.File).Close, rename: os.Rename}
+var osCalls = fileCalls{write: (*os.File).Write, sync: (*os.File).Sync, close: (*os.File).Close, rename: os.Rename}
 
 // Write replaces a file's content, or creates the file, readable by its owner only. After an error the file has its old
 // content, except if the last step fails, the sync of the directory: then it has the new content, which a power failure may
@@ -41,11 +41,11 @@
 		os.Remove(temp)
 		return err
 	}
-	if err := kernel.rename(temp, path); err != nil {
+	if err := osCalls.rename(temp, path); err != nil {
 		os.Remove(temp)
 		return err
 	}
-	return kernel.sync(dir)
+	return osCalls.sync(dir)
 }
 
 // lockDir waits until no other process has the lock of a directory.
@@ -67,9 +67,9 @@
 	if err != nil {
 		return err
 	}
-	_, err = kernel.write(f, content)
+	_, err = osCalls.write(f, content)
 	if err == nil {
-		err = kernel.sync(f)
+		err = osCalls.sync(f)
 	}
-	return errors.Join(err, kernel.close(f))
+	return errors.Join(err, osCalls.close(f))
 }
--- a/internal/atomicfile/atomicfile_test.go
+++ b/internal/atomicfile/atomicfile_test.go
@@ -35,7 +35,7 @@
 		} {
 			t.Run(step+" "+unix.ErrnoName(errno), func(t *testing.T) {
 				path := filepath.Join(t.TempDir(), "file")
-				holds := func(want string) {
+				checkContent := func(want string) {
 					t.Helper()
 					if text, err := os.ReadFile(path); err != nil || string(text) != want {
 						t.Errorf("holds %q, %v, want %q", text, err, want)
@@ -47,22 +47,22 @@
 				if err := Write(path, []byte("the old content")); err != nil {
 					t.Fatal(err)
 				}
-				working := kernel
-				failing(&kernel)
+				original := osCalls
+				failing(&osCalls)
 				err := Write(path, []byte("another one"))
-				kernel = working
+				osCalls = original
 				if !errors.Is(err, errno) {
 					t.Errorf("ended with %v", err)
 				}
 				if step == "sync of the directory" {
-					holds("another one")
+					checkContent("another one")
 				} else {
-					holds("the old content")
+					checkContent("the old content")
 				}
 				if err := Write(path, []byte("the last one")); err != nil {
 					t.Fatal(err)
 				}
-				holds("the last one")
+				checkContent("the last one")
 			})
 		}
 	}
