--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -33,11 +33,11 @@
 	Date            time.Time // when the response was made, by the server's clock; zero if it has no date
 	Body            []byte
 
-	state     parserState
-	lines     int
-	remaining int  // bytes of the body, or of its chunk, that are still to come
-	sized     bool // Content-Length was given
-	chunked   bool
+	state            parserState
+	lines            int
+	remaining        int  // bytes of the body, or of its chunk, that are still to come
+	hasContentLength bool // Content-Length was given
+	chunked          bool
 }
 
 // parserState is what the parser reads next.
@@ -59,15 +59,15 @@
 func (p *Parser) Feed(b []byte) (used int, done bool, err error) {
 	for p.state != readDone {
 		var n int
-		var more bool
+		var needMore bool
 		switch p.state {
 		case readBody, readToEnd, readChunk:
-			n, more, err = p.feedBody(b[used:])
+			n, needMore, err = p.feedBody(b[used:])
 		default:
-			n, more, err = p.feedLine(b[used:])
+			n, needMore, err = p.feedLine(b[used:])
 		}
 		used += n
-		if err != nil || more {
+		if err != nil || needMore {
 			return used, false, err
 		}
 	}
@@ -75,7 +75,7 @@
 }
 
 // feedBody parses bytes of the body, or of a chunk of it. More says that it needs more bytes to go on.
-func (p *Parser) feedBody(b []byte) (used int, more bool, err error) {
+func (p *Parser) feedBody(b []byte) (used int, needMore bool, err error) {
 	n := len(b)
 	if p.state != readToEnd {
 		n = min(n, p.remaining)
@@ -99,7 +99,7 @@
 }
 
 // feedLine parses one line. More says that the line is not complete.
-func (p *Parser) feedLine(b []byte) (used int, more bool, err error) {
+func (p *Parser) feedLine(b []byte) (used int, needMore bool, err error) {
 	end := bytes.IndexByte(b, '\n')
 	if end > maxLineLen || end < 0 && len(b) > maxLineLen { // the same limit, however the bytes are split
 		return 0, false, fmt.Errorf("%w: header line too long", ErrMalformed)
@@ -188,10 +188,10 @@
 	switch name {
 	case "content-length":
 		n, err := strconv.ParseUint(value, 10, 31)
-		if err != nil || p.sized && int(n) != p.remaining {
+		if err != nil || p.hasContentLength && int(n) != p.remaining {
 			return fmt.Errorf("%w: content length %q", ErrMalformed, value)
 		}
-		p.remaining, p.sized = int(n), true
+		p.remaining, p.hasContentLength = int(n), true
 	case "transfer-encoding":
 		if value != "chunked" {
 			return fmt.Errorf("%w: transfer encoding %q", ErrMalformed, value)
@@ -221,9 +221,9 @@
 		p.state = readDone
 	case p.chunked:
 		p.remaining, p.state = 0, readChunkSize
-	case p.sized && p.remaining == 0:
+	case p.hasContentLength && p.remaining == 0:
 		p.state = readDone
-	case p.sized:
+	case p.hasContentLength:
 		p.state = readBody
 	case p.Request: // without a length a request has no body
 		p.state = readDone
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -29,13 +29,13 @@
 	f.Fuzz(func(t *testing.T, text []byte, step uint8, call bool) {
 		read := func(step int) (p Parser, done bool, err error) {
 			p.Request = call
-			held := []byte{}
+			unread := []byte{}
 			for rest := text; len(rest) > 0 && !done && err == nil; {
 				n := min(step, len(rest))
-				held, rest = append(held, rest[:n]...), rest[n:]
+				unread, rest = append(unread, rest[:n]...), rest[n:]
 				var used int
-				used, done, err = p.Feed(held)
-				held = held[used:]
+				used, done, err = p.Feed(unread)
+				unread = unread[used:]
 			}
 			return p, done, err
 		}
@@ -79,16 +79,16 @@
 // TestRequest: the calls of operators, and what is none.
 func TestRequest(t *testing.T) {
 	for text, want := range map[string]string{
-		"GET /-/ready HTTP/1.1\r\nHost: relay\r\n\r\n":                "GET /-/ready  true",
-		"PUT /-/drain HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}":        "PUT /-/drain {} true",
-		"PUT /-/drain HTTP/1.1\r\nContent-Length: 2\r\n\r\n{":         "PUT /-/drain { false",
-		"GET /-/ready HTTP/1.1\r\nHost: relay\r\n":                    "GET /-/ready  false",
-		"GET /-/ready\r\n\r\n":                                        "malformed",
-		"GET  /-/ready HTTP/1.1\r\n\r\n":                              "malformed",
-		"GET /-/ready SPDY/3\r\n\r\n":                                 "malformed",
-		"PUT /-/drain HTTP/1.1\r\nContent-Length: -1\r\n\r\n":         "malformed",
-		"PUT / HTTP/1.1\r\nContent-Length: 5000\r\n\r\n" + long(5000): "malformed",
-		"GET /" + long(5000) + " HTTP/1.1\r\n\r\n":                    "malformed",
+		"GET /-/ready HTTP/1.1\r\nHost: relay\r\n\r\n":                   "GET /-/ready  true",
+		"PUT /-/drain HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}":           "PUT /-/drain {} true",
+		"PUT /-/drain HTTP/1.1\r\nContent-Length: 2\r\n\r\n{":            "PUT /-/drain { false",
+		"GET /-/ready HTTP/1.1\r\nHost: relay\r\n":                       "GET /-/ready  false",
+		"GET /-/ready\r\n\r\n":                                           "malformed",
+		"GET  /-/ready HTTP/1.1\r\n\r\n":                                 "malformed",
+		"GET /-/ready SPDY/3\r\n\r\n":                                    "malformed",
+		"PUT /-/drain HTTP/1.1\r\nContent-Length: -1\r\n\r\n":            "malformed",
+		"PUT / HTTP/1.1\r\nContent-Length: 5000\r\n\r\n" + repeatX(5000): "malformed",
+		"GET /" + repeatX(5000) + " HTTP/1.1\r\n\r\n":                    "malformed",
 	} {
 		p := Parser{Request: true}
 		_, done, err := p.Feed([]byte(text))
@@ -102,7 +102,7 @@
 	}
 }
 
-func long(n int) string { return strings.Repeat("x", n) }
+func repeatX(n int) string { return strings.Repeat("x", n) }
 
 // TestDate: when an answer was made is read where it says so in the usual form.
 func TestDate(t *testing.T) {
