--- a/internal/auth/authenticator_test.go
+++ b/internal/auth/authenticator_test.go
@@ -66,45 +66,45 @@
 		p, _ := k.PublicKey()
 		return k, p
 	}
-	operator, op := pair(nkeys.CreateOperator())
-	account, acc := pair(nkeys.CreateAccount())
-	signer, sig := pair(nkeys.CreateAccount())
+	operator, operatorPublicKey := pair(nkeys.CreateOperator())
+	account, accountPublicKey := pair(nkeys.CreateAccount())
+	signingKey, signingPublicKey := pair(nkeys.CreateAccount())
 	_, user := pair(nkeys.CreateUser())
 	now := time.Now()
-	enter := func(change func(*jwt.AccountClaims), by nkeys.KeyPair, named string) error {
-		claims := jwt.NewAccountClaims(acc)
-		claims.SigningKeys.Add(sig)
+	logIn := func(change func(*jwt.AccountClaims), signer nkeys.KeyPair, issuerAccount string) error {
+		claims := jwt.NewAccountClaims(accountPublicKey)
+		claims.SigningKeys.Add(signingPublicKey)
 		change(claims)
 		text, err := claims.Encode(operator)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b, err := NewAuthenticator(&Config{JWT: &JWTTrust{Operators: []string{op}, Accounts: []string{text}}})
+		authenticator, err := NewAuthenticator(&Config{JWT: &JWTTrust{Operators: []string{operatorPublicKey}, Accounts: []string{text}}})
 		if err != nil {
 			t.Fatal(err)
 		}
 		u := jwt.NewUserClaims(user)
-		u.BearerToken, u.IssuerAccount = true, named
-		token, err := u.Encode(by)
+		u.BearerToken, u.IssuerAccount = true, issuerAccount
+		token, err := u.Encode(signer)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, err = b.Authenticate(&Credentials{JWT: token}, "", now)
+		_, err = authenticator.Authenticate(&Credentials{JWT: token}, "", now)
 		return err
 	}
 	for name, c := range map[string]struct {
-		change func(*jwt.AccountClaims)
-		by     nkeys.KeyPair
-		named  string
-		want   error
+		change        func(*jwt.AccountClaims)
+		signer        nkeys.KeyPair
+		issuerAccount string
+		want          error
 	}{
 		"its own key":      {func(*jwt.AccountClaims) {}, account, "", nil},
-		"a signing key":    {func(*jwt.AccountClaims) {}, signer, acc, nil},
-		"for another":      {func(*jwt.AccountClaims) {}, signer, sig, ErrDenied},
+		"a signing key":    {func(*jwt.AccountClaims) {}, signingKey, accountPublicKey, nil},
+		"for another":      {func(*jwt.AccountClaims) {}, signingKey, signingPublicKey, ErrDenied},
 		"revoked":          {func(a *jwt.AccountClaims) { a.RevokeAt(user, now.Add(time.Hour)) }, account, "", ErrRevoked},
 		"an ended account": {func(a *jwt.AccountClaims) { a.Expires = now.Add(-time.Minute).Unix() }, account, "", ErrExpired},
 	} {
-		if err := enter(c.change, c.by, c.named); err != c.want {
+		if err := logIn(c.change, c.signer, c.issuerAccount); err != c.want {
 			t.Errorf("%s: %v, want %v", name, err, c.want)
 		}
 	}
--- a/internal/auth/permissions.go
+++ b/internal/auth/permissions.go
@@ -62,7 +62,7 @@
 // Denies reports whether a message on a subscription with wildcards must not be delivered.
 func (p *Permissions) Denies(subject string) bool {
 	for _, d := range p.Subscribe.Deny {
-		if pattern, _, named := strings.Cut(d, " "); !named && Covers(pattern, subject) {
+		if pattern, _, hasGroup := strings.Cut(d, " "); !hasGroup && Covers(pattern, subject) {
 			return true
 		}
 	}
@@ -85,23 +85,23 @@
 
 // coversQueue is Covers for a pattern that may name a queue group; without one it covers every group.
 func coversQueue(pattern, subject, queue string) bool {
-	pattern, group, named := strings.Cut(pattern, " ")
-	return Covers(pattern, subject) && (!named || queue != "" && Covers(group, queue))
+	pattern, group, hasGroup := strings.Cut(pattern, " ")
+	return Covers(pattern, subject) && (!hasGroup || queue != "" && Covers(group, queue))
 }
 
 // Covers reports whether a pattern matches all that a subject, itself perhaps with wildcards, matches.
 func Covers(pattern, subject string) bool {
 	for {
-		p, rest, more := strings.Cut(pattern, ".")
-		s, tail, longer := strings.Cut(subject, ".")
+		p, patternRest, patternContinues := strings.Cut(pattern, ".")
+		s, subjectRest, subjectContinues := strings.Cut(subject, ".")
 		switch {
 		case p == ">":
 			return true
 		case s == ">", p != "*" && p != s:
 			return false
-		case !more || !longer:
-			return more == longer
+		case !patternContinues || !subjectContinues:
+			return patternContinues == subjectContinues
 		}
-		pattern, subject = rest, tail
+		pattern, subject = patternRest, subjectRest
 	}
 }
