--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -29,9 +29,9 @@
 	return s
 }
 
-func waitFor(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("timed out waiting for %s", what)
 		}
