--- a/internal/ejections/file_test.go
+++ b/internal/ejections/file_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-func read(t *testing.T, f File) []string {
+func readNames(t *testing.T, f File) []string {
 	t.Helper()
 	names, err := f.Read()
 	if err != nil {
@@ -33,7 +33,7 @@
 		if err := f.Set(step.name, step.ejected); err != nil {
 			t.Fatal(err)
 		}
-		if got := read(t, f); !slices.Equal(got, step.want) {
+		if got := readNames(t, f); !slices.Equal(got, step.want) {
 			t.Errorf("after %s %v: %v, want %v", step.name, step.ejected, got, step.want)
 		}
 	}
@@ -52,7 +52,7 @@
 	if err := f.Set("c", true); err != nil {
 		t.Fatal(err)
 	}
-	if got := read(t, f); !slices.Equal(got, []string{"c"}) {
+	if got := readNames(t, f); !slices.Equal(got, []string{"c"}) {
 		t.Errorf("%v", got)
 	}
 }
@@ -78,7 +78,7 @@
 		}()
 	}
 	wait.Wait()
-	if got := read(t, File{dir}); len(got) != 40 {
+	if got := readNames(t, File{dir}); len(got) != 40 {
 		t.Errorf("%d names of 40", len(got))
 	}
 	if left, _ := filepath.Glob(filepath.Join(dir, "bans?*")); !slices.Equal(left, []string{filepath.Join(dir, "bans.json")}) {
