--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -32,14 +32,14 @@
 // newTestFront starts a front for a fake relay on a test loop, and returns its address.
 func newTestFront(t testing.TB) (*looptest.Harness, *fakeRelay, string) {
 	t.Helper()
-	b, r, log := looptest.New(t, 8), &fakeRelay{ready: true}, logrus.New()
+	h, r, log := looptest.New(t, 8), &fakeRelay{ready: true}, logrus.New()
 	log.SetOutput(t.Output())
-	f := &Front{Loop: b.Loop, Relay: r, Log: log}
-	l, err := b.ListenReserved("127.0.0.1:0", MaxCallers, f.Accept)
+	f := &Front{Loop: h.Loop, Relay: r, Log: log}
+	l, err := h.ListenReserved("127.0.0.1:0", MaxCallers, f.Accept)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return b, r, l.Addr()
+	return h, r, l.Addr()
 }
 
 // readStatus reads the status code of a response.
@@ -51,7 +51,7 @@
 
 // TestCalls: the status code of each call, and what the relay is called for.
 func TestCalls(t *testing.T) {
-	b, r, addr := newTestFront(t)
+	h, r, addr := newTestFront(t)
 	for _, tt := range []struct{ request, status, call string }{
 		{"GET /-/ready", "200", ""},
 		{"GET /-/ready?verbose=1", "200", ""},
@@ -74,7 +74,7 @@
 		{"PUT /-/drain HTTP/1.1\r\nContent-Length: x", "400", ""},
 	} {
 		r.calls, r.finishEjection = nil, nil
-		p := b.Dial(addr)
+		p := h.Dial(addr)
 		text := tt.request
 		if !strings.Contains(text, "HTTP/1.1") && text != "OPEN" {
 			text += " HTTP/1.1\r\nHost: relay"
@@ -82,13 +82,13 @@
 		for i := range len(text) + 4 { // byte by byte, as on a slow network
 			p.Send((text + "\r\n\r\n")[i : i+1])
 			if i%7 == 0 {
-				b.RunOnce()
+				h.RunOnce()
 			}
 			if tt.status == "400" && i > len(text) {
 				break // the connection may be closed by now
 			}
 		}
-		b.WaitFor("the relay to be called", func() bool { p.Poll(); return r.finishEjection != nil || len(p.Received) > 0 })
+		h.WaitFor("the relay to be called", func() bool { p.Poll(); return r.finishEjection != nil || len(p.Received) > 0 })
 		if r.finishEjection != nil {
 			r.finishEjection(nil)
 		}
@@ -96,23 +96,23 @@
 			t.Errorf("%s: status %s, calls %q", tt.request, status, r.calls)
 		}
 		p.Received = nil
-		b.WaitFor("the end", func() bool { p.Poll(); return p.EndErr != nil })
+		h.WaitFor("the end", func() bool { p.Poll(); return p.EndErr != nil })
 	}
 }
 
 // TestErrorStatus: a relay that is not ready, and an ejection that could not be stored, have an error status.
 func TestErrorStatus(t *testing.T) {
-	b, r, addr := newTestFront(t)
+	h, r, addr := newTestFront(t)
 	r.ready = false
-	p := b.Dial(addr)
+	p := h.Dial(addr)
 	p.Send("GET /-/ready HTTP/1.1\r\n\r\n")
 	if status := readStatus(p); status != "503" {
 		t.Errorf("not ready: status %s", status)
 	}
-	p = b.Dial(addr)
+	p = h.Dial(addr)
 	p.Send("PUT /-/backends/s-1/disable HTTP/1.1\r\n\r\n")
 	p.CloseWrite() // a caller that half-closes its connection still waits for the answer
-	b.WaitFor("the relay to be called", func() bool { return r.finishEjection != nil })
+	h.WaitFor("the relay to be called", func() bool { return r.finishEjection != nil })
 	r.finishEjection(errors.New("no disk"))
 	if status := readStatus(p); status != "500" {
 		t.Errorf("not stored: status %s", status)
@@ -122,23 +122,23 @@
 // TestSlowCallers: callers that send nothing or half a request do not keep others out, though they use all connections of the front and the
 // loop has no descriptor left; they are answered and closed in time.
 func TestSlowCallers(t *testing.T) {
-	b, _, addr := newTestFront(t)
-	for b.FreeDescriptors() > 0 {
-		b.Loop.Dial(addr, callTimeout, idleConn{})
+	h, _, addr := newTestFront(t)
+	for h.FreeDescriptors() > 0 {
+		h.Loop.Dial(addr, callTimeout, idleConn{})
 	}
 	var slow []*looptest.Peer
 	for range 3 * MaxCallers {
-		p := b.Dial(addr)
+		p := h.Dial(addr)
 		p.Send("GET /-/ready HTTP")
-		b.RunOnce()
+		h.RunOnce()
 		slow = append(slow, p)
 	}
-	p := b.Dial(addr)
+	p := h.Dial(addr)
 	p.Send("GET /-/ready HTTP/1.1\r\n\r\n")
 	if status := readStatus(p); status != "200" {
 		t.Errorf("among slow callers: status %s", status)
 	}
-	b.Advance(callTimeout)
+	h.Advance(callTimeout)
 	for _, p := range slow {
 		if status := readStatus(p); status != "408" {
 			t.Errorf("a slow caller: status %s", status)
