--- a/internal/handover/frames.go
+++ b/internal/handover/frames.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxFrame bounds a frame on the socket; a message may need several. The first byte of a
-// frame says whether more follow.
+// maxFrame is the largest payload of one frame on the socket, in bytes; a longer message is split.
+// The first byte of each frame says whether more frames of the message follow.
 const maxFrame = 60 << 10
 
 const (
@@ -21,10 +21,11 @@
 	}
 }
 
-// messageAssembler joins the frames of a message.
+// messageAssembler joins the payloads of consecutive frames to one message.
 type messageAssembler struct{ text []byte }
 
-// add returns the message that a frame completes, nil if more frames follow.
+// add appends a frame. It returns the decoded message if the frame is the last one of it, and nil
+// if more frames follow.
 func (p *messageAssembler) add(frame []byte) (*Message, error) {
 	p.text = append(p.text, frame[1:]...)
 	if frame[0] == frameContinues {
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,5 +1,9 @@
-// Package handover is the protocol between the two processes of a relay during an upgrade (a hot restart): JSON messages on a Unix
-// socket, which also passes descriptors. It decides nothing; cmd/dahliarudder acts on the messages. See docs/design.md, "Upgrades".
+// Package handover implements the protocol between the two processes of a relay during a hot
+// restart: JSON messages on a Unix socket, which also passes file descriptors. Package
+// cmd/dahliarudder acts on the messages. See docs/design.md, "Upgrades".
+//
+// The older process serves clients when the newer one is started beside it. Each of the two is the
+// other process, or peer, of the other.
 package handover
 
 import (
@@ -10,51 +14,53 @@
 	"dahliarudder/internal/pool"
 )
 
-// Versions of the protocol. Two processes use the lower one of theirs.
+// Versions of the protocol. Two processes use the lower one of their versions.
 const (
-	versionUnconfirmed = 1 // transfers of connections are not confirmed
-	versionConfirmed   = 2 // transfers are confirmed
+	versionUnconfirmed = 1 // the receiver of a connection does not confirm the transfer
+	versionConfirmed   = 2 // the receiver of a connection confirms the transfer
 	version            = versionConfirmed
 )
 
-// Message is one message of the protocol. Exactly one field is set, besides Transfer.
+// Message is one message of the protocol. Exactly one field is set; a message that carries a
+// connection may have Transfer set in addition.
 type Message struct {
-	Transfer  uint64 `json:"transfer,omitempty"`  // number of a message that carries a connection, if it is to be confirmed
-	Confirmed uint64 `json:"confirmed,omitempty"` // number of a transfer that the sender has taken over
+	Transfer  uint64 `json:"transfer,omitempty"`  // number of this transfer of a connection; 0 if no confirmation is expected
+	Confirmed uint64 `json:"confirmed,omitempty"` // number of a transfer whose connection the sender now serves
 
-	Hello            int               `json:"hello,omitempty"` // the newer process's version
-	State            *State            `json:"state,omitempty"` // the older process's answer, with the listening sockets
-	Serving          bool              `json:"serving,omitempty"`
+	Hello            int               `json:"hello,omitempty"`    // protocol version of the newer process
+	State            *State            `json:"state,omitempty"`    // the older process's answer to Hello, with the listening sockets
+	Serving          bool              `json:"serving,omitempty"`  // the newer process accepts clients
 	Stopping         bool              `json:"leaving,omitempty"`  // the sender is shutting down
-	TakingOver       bool              `json:"relieves,omitempty"` // the sender accepts the clients, and the other may end
-	EjectionsChanged bool              `json:"bans,omitempty"`     // the ejection file has changed
-	Drain            *bool             `json:"drain,omitempty"`    // an operator has drained the relay, or resumed
-	OpenRequests     *OpenRequests     `json:"open,omitempty"`     // requests that are open at the older process
-	Flow             *line.FlowHandoff `json:"flow,omitempty"`     // an open flow, with the client's socket and the member's
-	Client           *line.IdleConn    `json:"client,omitempty"`   // a client without a request, with its socket
+	TakingOver       bool              `json:"relieves,omitempty"` // the sender accepts the clients; the receiver may exit
+	EjectionsChanged bool              `json:"bans,omitempty"`     // the sender has changed the ejection file
+	Drain            *bool             `json:"drain,omitempty"`    // an operator has drained the relay (true) or resumed it (false)
+	OpenRequests     *OpenRequests     `json:"open,omitempty"`     // requests that are open in the older process
+	Flow             *line.FlowHandoff `json:"flow,omitempty"`     // an open flow, with the sockets of the client and the member
+	Client           *line.IdleConn    `json:"client,omitempty"`   // a client connection without a request, with its socket
 }
 
-// OpenRequests is what is open at the older process: ids of requests at the line front, and the
-// descriptor limit of that process from now on.
+// OpenRequests lists the requests that are open at the line front of the older process, and sets
+// that process's descriptor limit.
 type OpenRequests struct {
 	IDs   []uint64 `json:"ids"`
-	Limit int      `json:"limit"`
+	Limit int      `json:"limit"` // descriptors that the older process uses at most from now on
 }
 
-// State is what the newer process starts with.
+// State is the state with which the newer process starts.
 type State struct {
-	Version       int                `json:"version"`
-	Fronts        []string           `json:"fronts"` // fronts whose listening sockets come with the message, in their order
-	Limit         int                `json:"limit"`
+	Version       int                `json:"version"` // of the protocol: the lower version of the two processes
+	Fronts        []string           `json:"fronts"`  // fronts whose listening sockets are attached, in the order of the descriptors
+	Limit         int                `json:"limit"`   // descriptors that the older process uses at most from now on
 	Pool          *pool.EndpointList `json:"pool"`
-	DiscoveryAddr string             `json:"watched"` // discovery at which Pool can be continued; empty if at none
+	DiscoveryAddr string             `json:"watched"` // discovery whose watch can continue from Pool; empty if none can
 	Learned       core.LearnedState  `json:"learned"`
 }
 
-// NewState returns a state for a newer process of the given version.
+// NewState returns a state for a newer process that speaks version hello of the protocol.
 func NewState(l core.LearnedState, hello int) *State {
 	return &State{Version: min(version, hello), Learned: l}
 }
 
-// Path is the socket on which a process of that state directory listens for its successor.
+// Path returns the path of the socket, in state directory dir, on which a process of the relay
+// listens for the newer process that will replace it.
 func Path(dir string) string { return filepath.Join(dir, "upgrade.sock") }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -15,8 +15,8 @@
 	"dahliarudder/internal/pool"
 )
 
-// servePredecessor stands for the process that serves: it answers a hello with the state and a descriptor, and returns the messages that it
-// receives.
+// servePredecessor acts as the older process: it answers Hello with the state and one descriptor.
+// It returns the messages that it receives.
 func servePredecessor(h *looptest.Harness, dir string, state *State) (received *[]*Message) {
 	received = &[]*Message{}
 	_, err := h.ListenChannel(Path(dir), func(fd int) {
@@ -36,7 +36,7 @@
 	return received
 }
 
-// requestState requests the predecessor's state while the loop runs.
+// requestState calls RequestState while the event loop of the older process runs.
 func requestState(h *looptest.Harness, dir string) (fd int, state *State, fds []int, err error) {
 	done := make(chan struct{})
 	go func() {
@@ -54,8 +54,9 @@
 	return fd, state, fds, err
 }
 
-// TestRequestStateDyingProcess: a process that is being killed resets the connections to it, and then is gone; the next one starts without a
-// predecessor.
+// TestRequestStateDyingProcess: a process that is being killed resets connections to it until its
+// socket is closed. RequestState retries and then reports that there is no older process, so that
+// the newer one starts without its state.
 func TestRequestStateDyingProcess(t *testing.T) {
 	h := looptest.New(t, 16)
 	dir := t.TempDir()
@@ -75,7 +76,8 @@
 	}
 }
 
-// TestRequestStateNoProcess: without another process there is no predecessor, also if the socket of one that died is left over.
+// TestRequestStateNoProcess: RequestState returns no state and no error if the socket does not
+// exist, or is left over from a process that has ended.
 func TestRequestStateNoProcess(t *testing.T) {
 	dir := t.TempDir()
 	if fd, state, _, err := RequestState(dir); fd >= 0 || state != nil || err != nil {
@@ -95,7 +97,8 @@
 	os.Remove(Path(dir))
 }
 
-// TestRequestState: a state larger than one frame arrives complete, with its descriptors, and messages can follow it.
+// TestRequestState: a state larger than one frame arrives complete, with its descriptor, and
+// further messages can be sent on the same socket.
 func TestRequestState(t *testing.T) {
 	h, dir := looptest.New(t, 16), t.TempDir()
 	state := NewState(core.LearnedState{}, version)
@@ -123,7 +126,7 @@
 	p.Close()
 }
 
-// TestUnsupportedVersion: the state of a later version is an error.
+// TestUnsupportedVersion: RequestState returns an error for a state of a later protocol version.
 func TestUnsupportedVersion(t *testing.T) {
 	h, dir := looptest.New(t, 16), t.TempDir()
 	servePredecessor(h, dir, &State{Version: version + 1, Fronts: []string{"line"}})
@@ -162,7 +165,8 @@
 	return p
 }
 
-// sendPipe transfers a pipe's write end, and returns its read end, which reports the end of file once no process has the write end open.
+// sendPipe transfers the write end of a pipe to the receiver. It returns the read end, on which
+// isClosed reports whether any process still has the write end open.
 func (p *peerPair) sendPipe(name string) (readEnd int) {
 	ends := make([]int, 2)
 	if err := unix.Pipe2(ends, unix.O_CLOEXEC|unix.O_NONBLOCK); err != nil {
@@ -194,8 +198,8 @@
 	}
 }
 
-// TestTransferUnconfirmed: connections that the other process did not confirm before it ended are returned, in order and open, so that their
-// clients are not cut off.
+// TestTransferUnconfirmed: connections that the other process did not confirm before it ended are
+// returned once, in the order sent and still open, so that their clients are not disconnected.
 func TestTransferUnconfirmed(t *testing.T) {
 	p := newPeerPair(t, version)
 	readEnds := []int{p.sendPipe("a"), p.sendPipe("b")}
@@ -216,7 +220,8 @@
 	}
 }
 
-// TestTransferWithoutConfirmation: a process of the earlier version confirms nothing, and nothing waits for it.
+// TestTransferWithoutConfirmation: if the other process speaks the version without confirmations,
+// a transfer has no number, is complete once sent, and its descriptors are closed at once.
 func TestTransferWithoutConfirmation(t *testing.T) {
 	p := newPeerPair(t, versionUnconfirmed)
 	readEnd := p.sendPipe("a")
@@ -229,7 +234,8 @@
 	}
 }
 
-// TestEarlierVersion: a process can take over from one of the earlier version, and sends its own state in that version.
+// TestEarlierVersion: the newer process accepts a state of the earlier protocol version, and the
+// older process sends its state in that version to a newer process that speaks it.
 func TestEarlierVersion(t *testing.T) {
 	h, dir := looptest.New(t, 16), t.TempDir()
 	servePredecessor(h, dir, &State{Version: versionUnconfirmed, Fronts: []string{"line"}})
--- a/internal/handover/peer.go
+++ b/internal/handover/peer.go
@@ -9,24 +9,26 @@
 	"dahliarudder/internal/netloop"
 )
 
-// Transfer is a connection that was sent and is not confirmed yet, with this process's own descriptors of it.
+// Transfer is a connection that was sent to the other process and is not confirmed yet. FDs are
+// this process's own descriptors of the connection.
 type Transfer struct {
 	Message Message
 	FDs     []int
 }
 
-// Peer is the other process.
+// Peer is the connection to the other process of the relay.
 type Peer struct {
 	channel           *netloop.Channel
 	assembler         messageAssembler
-	fds               []int
-	confirmsTransfers bool // both speak the version in which transfers are confirmed
-	lastTransfer      uint64
-	unconfirmed       map[uint64]Transfer // not confirmed yet
+	fds               []int               // descriptors of the message that is being received
+	confirmsTransfers bool                // both processes speak versionConfirmed or later
+	lastTransfer      uint64              // number of the last transfer sent
+	unconfirmed       map[uint64]Transfer // transfers not confirmed yet, by number
 }
 
-// NewPeer exchanges messages with the other process on a connected socket. onMessage owns the descriptors that it gets; onEnd is called
-// once, when the other process is gone or sends what is no message.
+// NewPeer exchanges messages with the other process on a connected socket. onMessage owns the
+// descriptors that it receives. onEnd is called once, when the other process is gone or a message
+// from it cannot be decoded; the connection is closed by then.
 func NewPeer(loop *netloop.Loop, fd int, onMessage func(m *Message, fds []int), onEnd func(error)) (*Peer, error) {
 	p := &Peer{unconfirmed: map[uint64]Transfer{}}
 	var err error
@@ -48,13 +50,15 @@
 	return p, err
 }
 
-// SetVersion sets the version of the other process; before that it is the first version.
+// SetVersion sets the protocol version that the other process speaks. Until it is called, the first
+// version is assumed, in which transfers are not confirmed.
 func (p *Peer) SetVersion(version int) { p.confirmsTransfers = version >= versionConfirmed }
 
-// ConfirmsTransfers reports whether transfers are confirmed.
+// ConfirmsTransfers reports whether the two processes confirm transfers.
 func (p *Peer) ConfirmsTransfers() bool { return p.confirmsTransfers }
 
-// dispatch handles confirmations, passes on all other messages, and confirms transfers.
+// dispatch handles a confirmation itself and passes any other message to onMessage. If the message
+// has a transfer number, dispatch confirms it afterwards.
 func (p *Peer) dispatch(m *Message, fds []int, onMessage func(m *Message, fds []int)) {
 	if m.Confirmed > 0 {
 		closeAll(p.unconfirmed[m.Confirmed].FDs)
@@ -63,12 +67,14 @@
 	}
 	onMessage(m, fds)
 	if m.Transfer > 0 {
-		p.Send(Message{Confirmed: m.Transfer}) // if that fails, the other process has gone
+		p.Send(Message{Confirmed: m.Transfer}) // the error is ignored: it means that the other process is gone
 	}
 }
 
-// SendConnection sends a connection and takes over its descriptors. They stay open until the other process confirms the transfer;
-// transfers that are not confirmed when it is gone come back by Unconfirmed. On an error the descriptors stay the caller's.
+// SendConnection sends a connection and takes ownership of its descriptors. They stay open until
+// the other process confirms the transfer; if it ends before, Unconfirmed returns them. On an error
+// the caller keeps ownership. If the other process does not confirm transfers, the descriptors are
+// closed as soon as the message is sent.
 func (p *Peer) SendConnection(m Message, fds ...int) error {
 	if !p.confirmsTransfers {
 		err := p.Send(m, fds...)
@@ -86,10 +92,10 @@
 	return nil
 }
 
-// Pending is the number of transfers that are not confirmed.
+// Pending returns the number of transfers that are not confirmed yet.
 func (p *Peer) Pending() int { return len(p.unconfirmed) }
 
-// PendingFDs is the number of their descriptors.
+// PendingFDs returns the number of descriptors of the transfers that are not confirmed yet.
 func (p *Peer) PendingFDs() (count int) {
 	for _, t := range p.unconfirmed {
 		count += len(t.FDs)
@@ -97,7 +103,8 @@
 	return count
 }
 
-// Unconfirmed takes back the transfers that are not confirmed, in the order in which they were sent.
+// Unconfirmed removes the transfers that are not confirmed and returns them in the order in which
+// they were sent. The caller owns their descriptors.
 func (p *Peer) Unconfirmed() (all []Transfer) {
 	for _, number := range slices.Sorted(maps.Keys(p.unconfirmed)) {
 		all = append(all, p.unconfirmed[number])
@@ -106,7 +113,7 @@
 	return all
 }
 
-// Send sends a message. The descriptors stay the caller's.
+// Send sends a message. The caller keeps ownership of the descriptors.
 func (p *Peer) Send(m Message, fds ...int) error {
 	text, err := json.Marshal(m)
 	if err != nil {
@@ -125,10 +132,10 @@
 	return nil
 }
 
-// Idle reports whether all messages have left and all transfers are confirmed.
+// Idle reports whether all messages have been sent and all transfers are confirmed.
 func (p *Peer) Idle() bool { return p.channel.Idle() && len(p.unconfirmed) == 0 }
 
-// Close closes the channel without a call of onEnd.
+// Close closes the connection to the other process. It does not call onEnd.
 func (p *Peer) Close() {
 	closeAll(p.fds)
 	p.fds = nil
--- a/internal/handover/request.go
+++ b/internal/handover/request.go
@@ -12,15 +12,18 @@
 	"dahliarudder/internal/netloop"
 )
 
-// dialTimeout is how long a start waits for the older process to answer.
+// dialTimeout limits each blocking call on the socket to the older process, and the time during
+// which a reset connection is retried.
 const dialTimeout = 2 * time.Second
 
-// retryInterval is the pause before a request is retried after a reset.
+// retryInterval is the pause before a retry after a connection reset.
 const retryInterval = 20 * time.Millisecond
 
-// RequestState requests the state of the process that serves with this state directory. Without such a process state is nil and fd is
-// -1. The descriptors are in the order of State.Fronts; they and fd are the caller's. A process that was just killed may still accept
-// a connection and reset it, so a reset is retried.
+// RequestState requests the state from the process of the relay that serves with this state
+// directory. If there is none, state is nil and fd is -1. Otherwise fd is the connected socket and
+// fds are the listening sockets in the order of State.Fronts; the caller owns all of them. A
+// process that was just killed may still accept a connection and then reset it, so a reset is
+// retried.
 func RequestState(dir string) (fd int, state *State, fds []int, err error) {
 	for end := time.Now().Add(dialTimeout); ; time.Sleep(retryInterval) {
 		fd, state, fds, err = requestStateOnce(dir)
@@ -36,7 +39,7 @@
 func requestStateOnce(dir string) (fd int, state *State, fds []int, err error) {
 	fd, err = netloop.DialChannel(Path(dir), dialTimeout)
 	switch {
-	case errors.Is(err, fs.ErrNotExist), errors.Is(err, unix.ECONNREFUSED): // none, or one that is dead
+	case errors.Is(err, fs.ErrNotExist), errors.Is(err, unix.ECONNREFUSED): // no process, or the socket of a dead one
 		return -1, nil, nil, nil
 	case err != nil:
 		return -1, nil, nil, fmt.Errorf("handover: %w", err)
--- a/internal/handover/stored_test.go
+++ b/internal/handover/stored_test.go
@@ -11,8 +11,8 @@
 	"dahliarudder/internal/encodingtest"
 )
 
-// TestEncodedForms: a message with all fields set is encoded as by release 63fa232, and that release's encoding can be decoded, so that
-// either version can take over from the other.
+// TestEncodedForms: a message with all fields set is encoded exactly as release 63fa232 encoded it,
+// and that release's encoding can be decoded. Either version can then take over from the other.
 func TestEncodedForms(t *testing.T) {
 	written, err := os.ReadFile(filepath.Join("testdata", "head", "message.json"))
 	if err != nil {
