--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -43,7 +43,7 @@
 		defer close(done)
 		fd, state, fds, err = RequestState(dir)
 	}()
-	h.WaitFor("an answer", func() bool {
+	h.WaitFor("RequestState to return", func() bool {
 		select {
 		case <-done:
 			return true
@@ -72,7 +72,7 @@
 		t.Fatal(err)
 	}
 	if fd, state, _, err := requestState(h, dir); fd >= 0 || state != nil || err != nil || requests != 3 {
-		t.Errorf("%d, %v, %v after %d requests", fd, state, err, requests)
+		t.Errorf("RequestState = fd %d, state %v, error %v after %d requests; want fd -1, no state, no error after 3", fd, state, err, requests)
 	}
 }
 
@@ -81,7 +81,7 @@
 func TestRequestStateNoProcess(t *testing.T) {
 	dir := t.TempDir()
 	if fd, state, _, err := RequestState(dir); fd >= 0 || state != nil || err != nil {
-		t.Errorf("no socket: %d, %v, %v", fd, state, err)
+		t.Errorf("RequestState without a socket = fd %d, state %v, error %v; want fd -1, no state, no error", fd, state, err)
 	}
 	addr := &unix.SockaddrUnix{Name: filepath.Join(dir, filepath.Base(Path(dir)))}
 	fd, err := unix.Socket(unix.AF_UNIX, unix.SOCK_SEQPACKET, 0)
@@ -92,7 +92,7 @@
 		t.Fatal(err)
 	}
 	if fd, state, _, err := RequestState(dir); fd >= 0 || state != nil || err != nil {
-		t.Errorf("socket of a dead process: %d, %v, %v", fd, state, err)
+		t.Errorf("RequestState with the socket of a dead process = fd %d, state %v, error %v; want fd -1, no state, no error", fd, state, err)
 	}
 	os.Remove(Path(dir))
 }
@@ -109,7 +109,7 @@
 	received := servePredecessor(h, dir, state)
 	fd, got, fds, err := requestState(h, dir)
 	if err != nil || got == nil || len(fds) != 1 || got.Limit != 77 || len(got.Pool.Instances) != 3000 || got.Pool.Instances[2999].ID != "s-2999" {
-		t.Fatalf("%v, %d descriptors, %v", got, len(fds), err)
+		t.Fatalf("RequestState = state %v, %d descriptors, error %v; want the state that was sent, with 1 descriptor", got, len(fds), err)
 	}
 	closeAll(fds)
 	p, err := NewPeer(h.Loop, fd, func(*Message, []int) {}, func(error) {})
@@ -119,9 +119,9 @@
 	if err := p.Send(Message{Serving: true}); err != nil {
 		t.Fatal(err)
 	}
-	h.WaitFor("the message", func() bool { return len(*received) == 2 })
+	h.WaitFor("the Serving message", func() bool { return len(*received) == 2 })
 	if !(*received)[1].Serving {
-		t.Errorf("received %+v", (*received)[1])
+		t.Errorf("second message = %+v, want Serving", (*received)[1])
 	}
 	p.Close()
 }
@@ -131,7 +131,7 @@
 	h, dir := looptest.New(t, 16), t.TempDir()
 	servePredecessor(h, dir, &State{Version: version + 1, Fronts: []string{"line"}})
 	if fd, state, _, err := requestState(h, dir); err == nil || fd >= 0 || state != nil {
-		t.Errorf("%d, %v, %v", fd, state, err)
+		t.Errorf("RequestState = fd %d, state %v, error %v; want fd -1, no state, an error", fd, state, err)
 	}
 }
 
@@ -190,11 +190,13 @@
 	p := newPeerPair(t, version)
 	readEnd := p.sendPipe("a")
 	if p.sender.Pending() != 1 || p.sender.PendingFDs() != 1 || p.sender.Idle() || isClosed(readEnd) {
-		t.Fatalf("%d pending with %d descriptors", p.sender.Pending(), p.sender.PendingFDs())
+		t.Fatalf("before the confirmation: %d transfers pending with %d descriptors, want 1 with 1, and the connection open",
+			p.sender.Pending(), p.sender.PendingFDs())
 	}
 	p.harness.WaitFor("the confirmation", func() bool { return p.sender.Idle() })
 	if len(p.received) != 1 || p.sender.Pending() != 0 || !isClosed(readEnd) {
-		t.Errorf("%d received, %d pending", len(p.received), p.sender.Pending())
+		t.Errorf("after the confirmation: %d messages received, %d transfers pending, connection closed %v; want 1, 0, true",
+			len(p.received), p.sender.Pending(), isClosed(readEnd))
 	}
 }
 
@@ -204,19 +206,19 @@
 	p := newPeerPair(t, version)
 	readEnds := []int{p.sendPipe("a"), p.sendPipe("b")}
 	p.receiver.Close() // before it has read anything
-	p.harness.WaitFor("the end", func() bool { return p.senderEnded })
+	p.harness.WaitFor("the sender to notice that the receiver is gone", func() bool { return p.senderEnded })
 	unconfirmed := p.sender.Unconfirmed()
 	if len(unconfirmed) != 2 || string(unconfirmed[0].Message.Client.Unread) != "a" || string(unconfirmed[1].Message.Client.Unread) != "b" {
-		t.Fatalf("unconfirmed: %+v", unconfirmed)
+		t.Fatalf("Unconfirmed() = %+v, want the connections a and b", unconfirmed)
 	}
 	for i, transfer := range unconfirmed {
 		if isClosed(readEnds[i]) {
-			t.Errorf("%d is closed", i)
+			t.Errorf("connection %d is closed, want it open", i)
 		}
 		closeAll(transfer.FDs)
 	}
 	if p.sender.Pending() != 0 || len(p.sender.Unconfirmed()) != 0 {
-		t.Error("returned twice")
+		t.Errorf("after Unconfirmed(): %d transfers pending, want 0, and none returned again", p.sender.Pending())
 	}
 }
 
@@ -226,11 +228,11 @@
 	p := newPeerPair(t, versionUnconfirmed)
 	readEnd := p.sendPipe("a")
 	if p.sender.Pending() != 0 || !p.sender.Idle() {
-		t.Errorf("%d pending", p.sender.Pending())
+		t.Errorf("%d transfers pending, Idle() = %v; want 0, true", p.sender.Pending(), p.sender.Idle())
 	}
 	p.harness.WaitFor("the message", func() bool { return len(p.received) == 1 })
 	if p.received[0].Transfer != 0 || !isClosed(readEnd) {
-		t.Errorf("transfer %d", p.received[0].Transfer)
+		t.Errorf("transfer number %d, connection closed %v; want 0, true", p.received[0].Transfer, isClosed(readEnd))
 	}
 }
 
@@ -241,10 +243,10 @@
 	servePredecessor(h, dir, &State{Version: versionUnconfirmed, Fronts: []string{"line"}})
 	fd, state, fds, err := requestState(h, dir)
 	if err != nil || state == nil || state.Version != versionUnconfirmed {
-		t.Fatalf("%v, %v", state, err)
+		t.Fatalf("RequestState = state %v, error %v; want a state of version %d", state, err, versionUnconfirmed)
 	}
 	closeAll(append(fds, fd))
 	if state := NewState(core.LearnedState{}, versionUnconfirmed); state.Version != versionUnconfirmed {
-		t.Errorf("state of version %d", state.Version)
+		t.Errorf("NewState(_, %d) has version %d, want the same", versionUnconfirmed, state.Version)
 	}
 }
--- a/internal/handover/request.go
+++ b/internal/handover/request.go
@@ -33,8 +33,9 @@
 	}
 }
 
-// errIncompatible: the older process speaks another version, or its state does not fit its descriptors.
-var errIncompatible = errors.New("the older process speaks another version of the protocol")
+// errIncompatible is returned for an answer without a state, a state of an unsupported version, or
+// one whose fronts do not match the descriptors that came with it.
+var errIncompatible = errors.New("the older process speaks an unsupported version of the handover protocol, or sent an incomplete state")
 
 func requestStateOnce(dir string) (fd int, state *State, fds []int, err error) {
 	fd, err = netloop.DialChannel(Path(dir), dialTimeout)
--- a/internal/handover/stored_test.go
+++ b/internal/handover/stored_test.go
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	if got := append(text, '\n'); !bytes.Equal(got, written) {
-		t.Errorf("sent:\n%s\nby 63fa232:\n%s", got, written)
+		t.Errorf("encoded message:\n%s\nwant the encoding of release 63fa232:\n%s", got, written)
 	}
 	read, decoder := Message{}, json.NewDecoder(bytes.NewReader(written))
 	decoder.DisallowUnknownFields()
@@ -33,6 +33,6 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(read, sent) {
-		t.Errorf("read %+v, sent %+v", read, sent)
+		t.Errorf("decoded message = %+v, want %+v", read, sent)
 	}
 }
