--- a/internal/snapshot/file.go
+++ b/internal/snapshot/file.go
@@ -12,14 +12,15 @@
 	"dahliarudder/internal/atomicfile"
 )
 
-const fileName = "snapshot"
+const fileName = "snapshot" // in the state directory
 
-// Write replaces the snapshot in a directory atomically.
+// Write atomically replaces the snapshot in directory dir with b, the result of Encode.
 func Write(dir string, b []byte) error { return atomicfile.Write(filepath.Join(dir, fileName), b) }
 
-// Read reads the snapshot in a directory; nil without an error if there is none.
+// Read reads and decodes the snapshot in directory dir. It returns nil without an error if there is
+// none. GET /-/recovery shows the text of an error, so the texts of this package must not change.
 func Read(dir string) (*Snapshot, error) {
-	// Without O_NONBLOCK opening a FIFO would block.
+	// Without O_NONBLOCK, opening a FIFO at this path would block the start of the relay.
 	f, err := os.OpenFile(filepath.Join(dir, fileName), os.O_RDONLY|unix.O_NONBLOCK, 0)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -25,7 +25,8 @@
 			ReinstatedAges: map[string]time.Duration{"s-1": time.Second}}}
 }
 
-// TestDecode: an encoded snapshot can be decoded; one that is truncated or changed at any byte, or of another version, cannot.
+// TestDecode: an encoded snapshot can be decoded. One that is truncated at any byte, changed at any
+// byte, or of another version cannot.
 func TestDecode(t *testing.T) {
 	b, err := testSnapshot().Encode()
 	if err != nil {
@@ -51,16 +52,17 @@
 	}
 }
 
-// TestValidate: which parts of a snapshot are used, by its age and by the relay that wrote it.
+// TestValidate: the age of a snapshot, the relay that wrote it and the generation of its endpoint
+// list decide which parts of it are used.
 func TestValidate(t *testing.T) {
 	limits := LimitsFor(10 * time.Second)
 	for _, c := range []struct {
 		name       string
 		relay      string
 		age        time.Duration
-		generation uint64 // of the list that the relay has
+		generation uint64 // of the endpoint list that the relay already has
 		err        error
-		discarded  int
+		discarded  int // number of discarded parts
 	}{
 		{"fresh", "n1", 2 * time.Second, 6, nil, 0},
 		{"list not newer", "n1", 2 * time.Second, 7, nil, 1},
@@ -90,8 +92,9 @@
 	}
 }
 
-// TestValidateSteppedClock: until a reboot the age of a snapshot does not depend on the wall clock. After a reboot the wall clock may be
-// wrong, so it does not add to the uptime of members.
+// TestValidateSteppedClock: until the machine reboots, the age of a snapshot does not depend on the
+// wall clock. After a reboot only the wall clock is left, which may have been stepped, so its time
+// is not added to the uptime of members: a member still in slow start would count as warmed up.
 func TestValidateSteppedClock(t *testing.T) {
 	limits := LimitsFor(10 * time.Second)
 	const down = 2 * time.Second
@@ -112,8 +115,9 @@
 	}
 }
 
-// TestFile: no snapshot in the directory is no error; a directory that is missing, or has something else at the file's name, is one. A
-// failed write leaves the earlier snapshot.
+// TestFile: Read returns no error if the directory has no snapshot, and an error if a directory has
+// the snapshot's name. Write returns an error for a missing directory; a failed write leaves the
+// earlier snapshot in place.
 func TestFile(t *testing.T) {
 	dir := t.TempDir()
 	if s, err := Read(dir); s != nil || err != nil {
@@ -123,7 +127,8 @@
 	if err := Write(dir, b); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Mkdir(filepath.Join(dir, fileName+".new"), 0o700); err != nil { // the next write fails
+	// A directory with the name of the temporary file makes the next write fail.
+	if err := os.Mkdir(filepath.Join(dir, fileName+".new"), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	if err := Write(dir, b[:10]); err == nil {
@@ -144,13 +149,14 @@
 	}
 }
 
-// TestConcurrentWriters: two processes of one relay, as during an upgrade, never leave a partial snapshot.
+// TestConcurrentWriters: two processes of one relay write the snapshot at the same time during a hot
+// restart. A reader never finds a partial file.
 func TestConcurrentWriters(t *testing.T) {
 	dir := t.TempDir()
 	var writers sync.WaitGroup
 	for n := range 2 {
 		s := testSnapshot()
-		s.Peers = slices.Repeat([]string{"127.0.0.1:2"}, 60*n) // of another length
+		s.Peers = slices.Repeat([]string{"127.0.0.1:2"}, 60*n) // the two writers' files differ in length
 		b, err := s.Encode()
 		if err != nil {
 			t.Fatal(err)
--- a/internal/snapshot/stored_test.go
+++ b/internal/snapshot/stored_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// TestStoredFormsSnapshot: a snapshot file of release 63fa232 is decoded completely, and encoded again to the same bytes.
+// TestStoredFormsSnapshot: a snapshot file written by release 63fa232 is decoded completely, and
+// encoding it again yields the same bytes.
 func TestStoredFormsSnapshot(t *testing.T) {
 	dir := filepath.Join("testdata", "head")
 	s, err := Read(dir)
--- a/internal/snapshot/validity.go
+++ b/internal/snapshot/validity.go
@@ -9,12 +9,14 @@
 	"dahliarudder/policy"
 )
 
-// Limits are the ages past which parts of a snapshot expire.
+// Limits are the ages beyond which parts of a snapshot are not used.
 type Limits struct {
-	// Transient is for what changes by itself: a member's load and failures, the fill of zones, the rate of admission. An endpoint
-	// list of this age counts as new, so it is the longest poll interval that the settings allow.
+	// Transient is the limit for state that changes within seconds: the load and the failures of a
+	// member, the fill of zones, the admission rate. In normal operation the relay works with an
+	// endpoint list of up to the longest poll interval's age, so that interval is the limit.
 	Transient time.Duration
-	// Learned is for what changes with machines and programs only: the capacity of a kind of member, the load of a connection.
+	// Learned is the limit for state that changes only with hardware or software: the capacity of a
+	// kind of member, the load of a connection. A snapshot older than this is not used at all.
 	Learned time.Duration
 	// ClockSkew is how far the clock that wrote the snapshot may have been ahead of this one.
 	ClockSkew time.Duration
@@ -25,19 +27,20 @@
 	return Limits{Transient: maxPollInterval, Learned: 24 * time.Hour, ClockSkew: time.Minute}
 }
 
-// DiscardedPart is a part of a snapshot that was not used, and why.
+// DiscardedPart is a part of a snapshot that was not used, with the reason. GET /-/recovery shows
+// both texts in thrown_away.
 type DiscardedPart struct {
 	What string `json:"what"`
 	Why  string `json:"why"`
 }
 
-// Stamp sets when the snapshot was made.
+// Stamp sets the time at which the snapshot was made.
 func (s *Snapshot) Stamp(now Clocks) {
 	s.Written, s.Boot, s.Up = now.Wall.UnixMilli(), now.Boot, int64(now.Up)
 }
 
-// age is how long ago the snapshot was made. It is exact if the machine has not been booted since; otherwise it is by the wall clock,
-// which may have been stepped.
+// age returns how long ago the snapshot was made. The age is exact if the machine has not rebooted
+// since; otherwise it is measured by the wall clock, which may have been stepped.
 func (s *Snapshot) age(now Clocks) (age time.Duration, exact bool) {
 	if s.Boot != "" && s.Boot == now.Boot {
 		return now.Up - time.Duration(s.Up), true
@@ -45,15 +48,22 @@
 	return now.Wall.Sub(time.UnixMilli(s.Written)), false
 }
 
-// Errors of Validate. None of them stops a start.
+// Errors of Validate. None of them stops a start: the relay starts without the snapshot.
+// GET /-/recovery shows their texts in thrown_away, so the texts must not change.
 var (
+	// ErrOtherRelay means that a relay of another name wrote the snapshot.
 	ErrOtherRelay = errors.New("of another relay")
-	ErrFuture     = errors.New("from the future")
-	ErrExpired    = errors.New("too old")
+	// ErrFuture means that the snapshot was written later than now by more than Limits.ClockSkew.
+	ErrFuture = errors.New("from the future")
+	// ErrExpired means that the snapshot is older than Limits.Learned.
+	ErrExpired = errors.New("too old")
 )
 
-// Validate removes the expired parts of a snapshot and adds its age to the ages in it. The generation is that of the endpoint list that
-// the relay has otherwise; a list that is no newer is discarded. After an error nothing of the snapshot is to be used.
+// Validate removes the expired parts of a snapshot and adds its age to the ages stored in it. The
+// generation is that of the endpoint list that the relay already has; an endpoint list of the same
+// or an older generation is removed too. The removed parts are returned as discarded, with texts
+// that GET /-/recovery shows and that must not change. After an error the caller must not use any
+// part of the snapshot.
 func (s *Snapshot) Validate(now Clocks, name string, generation uint64, l Limits) (age time.Duration, discarded []DiscardedPart, err error) {
 	age, exact := s.age(now)
 	switch {
@@ -66,16 +76,19 @@
 	}
 	age = max(age, 0)
 	if s.List != nil && s.List.Generation <= generation {
+		// The text means: the snapshot's list has the first generation; the relay already has the second.
 		discarded = append(discarded, DiscardedPart{"list", fmt.Sprintf("generation %d, held is %d", s.List.Generation, generation)})
 		s.List = nil
 	}
 	expired := age > l.Transient
 	if expired {
+		// The text means: this state (daring is the admission rate) is older than Limits.Transient.
 		discarded = append(discarded, DiscardedPart{"fill of zones, daring, failures and loads of members",
 			fmt.Sprintf("%v old, believed for %v", age.Round(time.Second), l.Transient)})
 		resetTransient(&s.Learned.Policy)
 	}
-	certainAge := time.Duration(0) // by a clock that may have been stepped, nothing has certainly become older
+	// The wall clock may have been stepped, so an age by the wall clock proves no passage of time.
+	certainAge := time.Duration(0)
 	if exact {
 		certainAge = age
 	}
@@ -83,13 +96,14 @@
 	return age, discarded, nil
 }
 
-// noLoad is the load of a member without a report.
+// noLoad is the value of Load for a member without a load report.
 const noLoad = -1
 
-// initialZoneFill is the fill of a zone at a start that knows nothing, as policy assumes it.
+// initialZoneFill is the zone fill that package policy assumes at a start without a snapshot.
 const initialZoneFill = 0.65
 
-// resetTransient sets the transient state that is not of a member to that of a start that knows nothing.
+// resetTransient resets the zone fills and the admission rate to their values at a start without a
+// snapshot. addAge resets the transient state of the members.
 func resetTransient(p *policy.LearnedState) {
 	for i := range p.ZoneFill {
 		p.ZoneFill[i] = initialZoneFill
@@ -97,8 +111,9 @@
 	p.AdmissionRate = 1
 }
 
-// addAge makes the learned state older. What counts as slow start grows by the certain age only. If the transient state has expired, it
-// is reset for each member.
+// addAge adds the age of the snapshot to the ages in the learned state. Only the certain age counts
+// towards the end of a slow start: it is added to the uptimes and the ages of reinstatements. If
+// the transient state has expired, that of each member is reset.
 func (s *Snapshot) addAge(age, certainAge time.Duration, expired bool) {
 	p := &s.Learned.Policy
 	p.Age += age
