--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -33,22 +33,22 @@
 		t.Fatal(err)
 	}
 	if s, err := Decode(b); err != nil || !reflect.DeepEqual(s, testSnapshot()) {
-		t.Fatalf("%v, %+v", err, s)
+		t.Fatalf("Decode(Encode(s)) = %+v, %v; want s", s, err)
 	}
 	for i := range b {
 		if _, err := Decode(b[:i]); !errors.Is(err, ErrCorrupt) {
-			t.Fatalf("truncated at %d: %v", i, err)
+			t.Fatalf("Decode(first %d bytes): error %v, want ErrCorrupt", i, err)
 		}
 		changed := append([]byte(nil), b...)
 		changed[i] ^= 0x10
 		if _, err := Decode(changed); err == nil {
-			t.Fatalf("changed at byte %d, and decoded", i)
+			t.Fatalf("Decode succeeded with byte %d changed, want an error", i)
 		}
 	}
 	newer := append([]byte(nil), b...)
 	newer[len(magic)+1]++
 	if _, err := Decode(newer); !errors.Is(err, ErrVersion) {
-		t.Errorf("another version: %v", err)
+		t.Errorf("Decode(another version): error %v, want ErrVersion", err)
 	}
 }
 
@@ -76,7 +76,7 @@
 			s := testSnapshot()
 			age, discarded, err := s.Validate(Clocks{Wall: testTime.Add(c.age)}, c.relay, c.generation, limits)
 			if !errors.Is(err, c.err) || len(discarded) != c.discarded {
-				t.Errorf("%v, discarded %v", err, discarded)
+				t.Errorf("Validate: discarded %v, error %v; want %d discarded parts, error %v", discarded, err, c.discarded, c.err)
 				return
 			}
 			if err != nil {
@@ -86,7 +86,8 @@
 			expired := c.age > limits.Transient
 			if (s.List == nil) != (c.generation >= 7) || age < 0 || m.Ejected == expired || (m.Load < 0) != expired || (s.Learned.Policy.AdmissionRate == 1) != expired ||
 				m.Capacity != 40 || m.Uptime != 4*time.Second || m.Backoff != max(3*time.Second-age, 0) || s.Learned.Policy.Age != age {
-				t.Errorf("age %v, %+v, admission rate %v", age, m, s.Learned.Policy.AdmissionRate)
+				t.Errorf("Validate: wrong state after it (expired %v): age %v, member %+v, admission rate %v, has list %v",
+					expired, age, m, s.Learned.Policy.AdmissionRate, s.List != nil)
 			}
 		})
 	}
@@ -103,14 +104,15 @@
 		age, _, err := s.Validate(Clocks{testTime.Add(down + step), "b1", time.Hour + down}, "n1", 6, limits)
 		m := s.Learned.Policy.Members[5]
 		if err != nil || age != down || m.Uptime != 4*time.Second+down || s.Learned.ReinstatedAges["s-1"] != time.Second+down || m.Backoff != time.Second {
-			t.Errorf("clock stepped by %v: %v, age %v, %+v, reinstated %v", step, err, age, m, s.Learned.ReinstatedAges)
+			t.Errorf("clock stepped by %v: age %v, member %+v, reinstated %v, error %v; want age %v, added to the uptime and the reinstatement",
+				step, age, m, s.Learned.ReinstatedAges, err, down)
 		}
 		s = testSnapshot()
 		if _, _, err := s.Validate(Clocks{testTime.Add(down + step), "b2", down}, "n1", 6, limits); err != nil {
 			continue
 		}
 		if m := s.Learned.Policy.Members[5]; m.Uptime != 4*time.Second || s.Learned.ReinstatedAges["s-1"] != time.Second {
-			t.Errorf("rebooted, clock stepped by %v: %+v, reinstated %v", step, m, s.Learned.ReinstatedAges)
+			t.Errorf("rebooted, clock stepped by %v: member %+v, reinstated %v; want uptime and reinstatement unchanged", step, m, s.Learned.ReinstatedAges)
 		}
 	}
 }
@@ -121,7 +123,7 @@
 func TestFile(t *testing.T) {
 	dir := t.TempDir()
 	if s, err := Read(dir); s != nil || err != nil {
-		t.Errorf("no snapshot: %v, %v", s, err)
+		t.Errorf("Read(empty directory) = %v, %v; want nil, nil", s, err)
 	}
 	b, _ := testSnapshot().Encode()
 	if err := Write(dir, b); err != nil {
@@ -132,20 +134,20 @@
 		t.Fatal(err)
 	}
 	if err := Write(dir, b[:10]); err == nil {
-		t.Error("no error for a failed write")
+		t.Error("Write over a directory with the temporary file's name succeeded, want an error")
 	}
 	if s, err := Read(dir); err != nil || !reflect.DeepEqual(s, testSnapshot()) {
-		t.Errorf("after a failed write: %v", err)
+		t.Errorf("Read after a failed Write = %+v, %v; want the earlier snapshot", s, err)
 	}
 	if err := Write(filepath.Join(dir, "none"), b); err == nil {
-		t.Error("no error for a missing directory")
+		t.Error("Write to a missing directory succeeded, want an error")
 	}
 	other := t.TempDir()
 	if err := os.Mkdir(filepath.Join(other, fileName), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Read(other); err == nil {
-		t.Error("a directory is read as a snapshot")
+		t.Error("Read succeeded although the snapshot's path is a directory, want an error")
 	}
 }
 
@@ -170,7 +172,7 @@
 					return
 				}
 				if s, err := Read(dir); err != nil || s == nil {
-					t.Errorf("read %v, %v", s, err)
+					t.Errorf("Read during concurrent writes = %v, %v; want a complete snapshot", s, err)
 					return
 				}
 			}
--- a/internal/snapshot/stored_test.go
+++ b/internal/snapshot/stored_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(s, testSnapshot()) {
-		t.Fatalf("read %+v", s)
+		t.Fatalf("snapshot of release 63fa232 decoded as %+v, want %+v", s, testSnapshot())
 	}
 	written, err := os.ReadFile(filepath.Join(dir, fileName))
 	if err != nil {
@@ -28,6 +28,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(again, written) {
-		t.Errorf("encoded anew:\n%q\nwritten by 63fa232:\n%q", again, written)
+		t.Errorf("Encode of the decoded snapshot:\n%q\nwant the bytes of release 63fa232:\n%q", again, written)
 	}
 }
