--- a/internal/ejections/file.go
+++ b/internal/ejections/file.go
@@ -1,5 +1,5 @@
-// Package ejections stores the names of the members that operators have ejected at one
-// relay, in a file that outlives the process. It decides nothing.
+// Package ejections stores the names of the members that operators have ejected at one relay, in a
+// file that outlives the process.
 package ejections
 
 import (
@@ -17,16 +17,16 @@
 	"dahliarudder/internal/atomicfile"
 )
 
-// Names of files in the state directory. fileName stays as it was first written, so
-// that a new version of the relay finds what an older one stored.
+// Names of files in the state directory. Older versions of the relay wrote bans.json, and newer ones
+// must find it, so the name cannot change.
 const (
 	fileName = "bans.json"
 	lockName = "lock"
 )
 
-// StateDir makes the directory in which a relay of that name stores its state, below the
-// system's directory for temporary files. Others may write there too, so it must be
-// this user's own.
+// StateDir creates the state directory of the relay with the given name, if it does not exist yet,
+// and returns its path. The directory is in the system's directory for temporary files, where other
+// users may create files too, so StateDir returns an error unless it is owned by this user.
 func StateDir(relay string) (string, error) {
 	dir := filepath.Join(os.TempDir(), "dahliarudder-"+fmt.Sprintf("%x", relay))
 	if err := os.Mkdir(dir, 0o700); err != nil && !errors.Is(err, fs.ErrExist) {
@@ -42,13 +42,13 @@
 	return dir, nil
 }
 
-// File is the file of ejected members in a state directory.
+// File is the file of ejected members in the state directory Dir.
 type File struct{ Dir string }
 
 func (f File) path() string { return filepath.Join(f.Dir, fileName) }
 
-// Read returns the names of the ejected members. A missing file has none, and neither has
-// one that cannot be read: its error must not keep a relay from starting.
+// Read returns the names of the ejected members; none if the file does not exist. A relay also
+// starts without ejections if Read returns an error.
 func (f File) Read() ([]string, error) {
 	text, err := os.ReadFile(f.path())
 	if errors.Is(err, fs.ErrNotExist) {
@@ -64,9 +64,9 @@
 	return names, nil
 }
 
-// Set adds a member, or removes it. Two processes may do so at once: each reads
-// what the other has written, under a lock, and the new file is complete before it
-// replaces the old one.
+// Set adds a member to the file, or removes it. The two processes of a hot restart may call Set at
+// the same time: a lock makes each read what the other has written, and the file is replaced
+// atomically.
 func (f File) Set(member string, ejected bool) error {
 	lock, err := os.OpenFile(filepath.Join(f.Dir, lockName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -78,7 +78,7 @@
 	}
 	names, err := f.Read()
 	if err != nil {
-		names = nil // a torn file is written anew
+		names = nil // the file is unreadable or truncated; it is replaced
 	}
 	switch listed := slices.Contains(names, member); {
 	case listed == ejected && err == nil:
--- a/internal/ejections/file_test.go
+++ b/internal/ejections/file_test.go
@@ -19,7 +19,7 @@
 	return names
 }
 
-// TestSet: a member that is ejected twice is listed once, and one reinstatement undoes both.
+// TestSet: a member that is ejected twice is listed once, and one reinstatement removes it.
 func TestSet(t *testing.T) {
 	f := File{t.TempDir()}
 	for _, step := range []struct {
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestTornFile: a file that is cut short is an error and counts as empty, and the next ejection
-// writes it anew. Guards against a start that fails for a file torn by a full disk.
+// TestTornFile: Read returns an error and no names for a truncated file, and Set replaces it. Guards
+// against a relay that does not start because a full disk has truncated the file.
 func TestTornFile(t *testing.T) {
 	f := File{t.TempDir()}
 	if err := os.WriteFile(f.path(), []byte(`["a","b`), 0o600); err != nil {
@@ -57,9 +57,9 @@
 	}
 }
 
-// TestConcurrentWriters: two processes that write at once lose nothing of each other's, nobody
-// ever reads a part of a file, and no temporary file is left. Each File opens the
-// lock by itself, as processes do.
+// TestConcurrentWriters: two processes that call Set at the same time lose none of each other's
+// names, a reader never finds a partial file, and no temporary file is left over. Set opens the lock
+// file in each call, so goroutines exclude each other here as processes do.
 func TestConcurrentWriters(t *testing.T) {
 	dir := t.TempDir()
 	var wait sync.WaitGroup
@@ -86,15 +86,16 @@
 	}
 }
 
-// TestUnwritable: what cannot be stored is an error, so that it is not confirmed.
+// TestUnwritable: Set returns an error if it cannot store the ejection, so that the operator's call
+// is not answered as successful.
 func TestUnwritable(t *testing.T) {
 	if err := (File{filepath.Join(t.TempDir(), "gone")}).Set("a", true); err == nil {
 		t.Error("no error")
 	}
 }
 
-// TestStateDir: a directory is found again by the relay's name, and what another user or
-// program may have put in its place is not taken.
+// TestStateDir: the same relay name yields the same directory, another name another one. A symbolic
+// link in its place, which another user may have created, is an error.
 func TestStateDir(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	first, err := StateDir("n/../1")
--- a/internal/ejections/stored_test.go
+++ b/internal/ejections/stored_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// TestStoredFormsEjections: the file of ejected members written by release 63fa232 is read, and a change to it is written in the same form.
+// TestStoredFormsEjections: the file of ejected members written by release 63fa232 can be read, and
+// Set writes the same format.
 func TestStoredFormsEjections(t *testing.T) {
 	written, err := os.ReadFile(filepath.Join("testdata", "head", "bans.json"))
 	if err != nil {
