--- a/internal/ejections/file.go
+++ b/internal/ejections/file.go
@@ -37,7 +37,7 @@
 		return "", fmt.Errorf("state: %w", err)
 	}
 	if owner, ok := info.Sys().(*syscall.Stat_t); !info.IsDir() || ok && int(owner.Uid) != os.Geteuid() {
-		return "", fmt.Errorf("state: %s is not this user's directory", dir)
+		return "", fmt.Errorf("state: %s is not a directory owned by the user of this process", dir)
 	}
 	return dir, nil
 }
--- a/internal/ejections/file_test.go
+++ b/internal/ejections/file_test.go
@@ -34,7 +34,7 @@
 			t.Fatal(err)
 		}
 		if got := readNames(t, f); !slices.Equal(got, step.want) {
-			t.Errorf("after %s %v: %v, want %v", step.name, step.ejected, got, step.want)
+			t.Errorf("names after Set(%s, %v) = %v, want %v", step.name, step.ejected, got, step.want)
 		}
 	}
 }
@@ -47,13 +47,13 @@
 		t.Fatal(err)
 	}
 	if names, err := f.Read(); err == nil || len(names) > 0 {
-		t.Errorf("%v, %v from a torn file", names, err)
+		t.Errorf("Read(truncated file) = %v, %v; want no names and an error", names, err)
 	}
 	if err := f.Set("c", true); err != nil {
 		t.Fatal(err)
 	}
 	if got := readNames(t, f); !slices.Equal(got, []string{"c"}) {
-		t.Errorf("%v", got)
+		t.Errorf("names after Set on a truncated file = %v, want [c]", got)
 	}
 }
 
@@ -79,10 +79,10 @@
 	}
 	wait.Wait()
 	if got := readNames(t, File{dir}); len(got) != 40 {
-		t.Errorf("%d names of 40", len(got))
+		t.Errorf("%d names after 40 ejections by two writers, want 40", len(got))
 	}
 	if left, _ := filepath.Glob(filepath.Join(dir, "bans?*")); !slices.Equal(left, []string{filepath.Join(dir, "bans.json")}) {
-		t.Errorf("left over: %v", left)
+		t.Errorf("files in the directory: %v, want bans.json only", left)
 	}
 }
 
@@ -90,7 +90,7 @@
 // is not answered as successful.
 func TestUnwritable(t *testing.T) {
 	if err := (File{filepath.Join(t.TempDir(), "gone")}).Set("a", true); err == nil {
-		t.Error("no error")
+		t.Error("Set in a missing directory succeeded, want an error")
 	}
 }
 
@@ -103,16 +103,16 @@
 		t.Fatal(err)
 	}
 	if again, err := StateDir("n/../1"); err != nil || again != first || filepath.Dir(first) != os.TempDir() {
-		t.Errorf("%s, then %s, %v", first, again, err)
+		t.Errorf("second StateDir(n/../1) = %s, %v; want %s in the directory for temporary files", again, err, first)
 	}
 	if other, err := StateDir("n2"); err != nil || other == first {
-		t.Errorf("%s for another name, %v", other, err)
+		t.Errorf("StateDir(n2) = %s, %v; want another directory than %s", other, err, first)
 	}
 	os.Remove(first)
 	if err := os.Symlink(os.TempDir(), first); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := StateDir("n/../1"); err == nil {
-		t.Error("a link was taken for the directory")
+		t.Error("StateDir accepted a symbolic link as the directory, want an error")
 	}
 }
--- a/internal/ejections/stored_test.go
+++ b/internal/ejections/stored_test.go
@@ -16,7 +16,7 @@
 	}
 	names, err := File{Dir: filepath.Join("testdata", "head")}.Read()
 	if err != nil || !slices.Equal(names, []string{"s-7", "s-9"}) {
-		t.Fatalf("read %q, %v", names, err)
+		t.Fatalf("Read(file of release 63fa232) = %q, %v; want [s-7 s-9]", names, err)
 	}
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "bans.json"), written, 0o600); err != nil {
@@ -31,6 +31,6 @@
 	}
 	changed, err := os.ReadFile(filepath.Join(dir, "bans.json"))
 	if err != nil || string(changed) != `["s-9","s-1"]` {
-		t.Errorf("written %q, %v", changed, err)
+		t.Errorf("file after the changes = %q, %v; want [\"s-9\",\"s-1\"]", changed, err)
 	}
 }
