--- a/internal/atomicfile/atomicfile.go
+++ b/internal/atomicfile/atomicfile.go
@@ -1,5 +1,5 @@
-// Package atomicfile replaces files atomically: a reader finds the old content or the new one and nothing in between, also
-// after a crash or a failed write.
+// Package atomicfile replaces files atomically: a reader finds either the old content or the new
+// one, also after a crash or a failed write.
 package atomicfile
 
 import (
@@ -11,10 +11,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// tempSuffix is appended to the name of a file for the one beside it that its new content is written to.
+// tempSuffix is appended to the name of a file to name the temporary file for its new content.
 const tempSuffix = ".new"
 
-// fileCalls are the system calls that a replacement makes. Tests replace some of them by ones that fail.
+// fileCalls are the system calls that a replacement makes. Tests replace some of them with failing
+// ones.
 type fileCalls struct {
 	write  func(f *os.File, b []byte) (int, error)
 	sync   func(f *os.File) error
@@ -24,9 +25,10 @@
 
 var osCalls = fileCalls{write: (*os.File).Write, sync: (*os.File).Sync, close: (*os.File).Close, rename: os.Rename}
 
-// Write replaces a file's content, or creates the file, readable by its owner only. After an error the file has its old
-// content, except if the last step fails, the sync of the directory: then it has the new content, which a power failure may
-// undo. Processes that write files in the same directory wait for each other.
+// Write replaces the content of a file, or creates the file, readable by its owner only. After an
+// error the file has its old content, with one exception: if the sync of the directory fails, which
+// is the last step, the file has the new content, and a power failure may undo the replacement.
+// Write locks the directory, so concurrent calls for one directory wait for each other.
 func Write(path string, content []byte) error {
 	dir, err := os.Open(filepath.Dir(path))
 	if err != nil {
@@ -48,7 +50,7 @@
 	return osCalls.sync(dir)
 }
 
-// lockDir waits until no other process has the lock of a directory.
+// lockDir waits for an exclusive lock on a directory. Closing dir releases the lock.
 func lockDir(dir *os.File) error {
 	for {
 		err := unix.Flock(int(dir.Fd()), unix.LOCK_EX)
@@ -61,7 +63,8 @@
 	}
 }
 
-// writeAndSync writes a file. Its content is on the disk when it returns.
+// writeAndSync creates or truncates a file and writes its content. On success the content is on the
+// disk when it returns.
 func writeAndSync(path string, content []byte) error {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
--- a/internal/atomicfile/atomicfile_test.go
+++ b/internal/atomicfile/atomicfile_test.go
@@ -9,8 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestWriteFails: whichever step fails, with any error of a full or broken disk, the file has its complete old content or the
-// new one; the error is returned, nothing is left beside the file, and the next write succeeds.
+// TestWriteFails: whichever step fails, with any error of a full or broken disk, Write returns the
+// error, the file has its complete old or new content, no temporary file is left over, and the next
+// Write succeeds.
 func TestWriteFails(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ENOSPC, unix.EIO, unix.EDQUOT} {
 		for step, failing := range map[string]func(c *fileCalls){
@@ -68,7 +69,8 @@
 	}
 }
 
-// TestHalfWritten: what a process that was killed during a write has left behind is not read, and does not disturb the next write.
+// TestHalfWritten: the temporary file of a process that was killed during Write is not read and does
+// not disturb the next Write.
 func TestHalfWritten(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "file")
 	if err := Write(path, []byte("the old content")); err != nil {
