--- a/internal/atomicfile/atomicfile_test.go
+++ b/internal/atomicfile/atomicfile_test.go
@@ -39,10 +39,10 @@
 				checkContent := func(want string) {
 					t.Helper()
 					if text, err := os.ReadFile(path); err != nil || string(text) != want {
-						t.Errorf("holds %q, %v, want %q", text, err, want)
+						t.Errorf("content %q, error %v; want %q", text, err, want)
 					}
 					if all, err := os.ReadDir(filepath.Dir(path)); err != nil || len(all) != 1 {
-						t.Errorf("%v beside the file, %v", all, err)
+						t.Errorf("files in the directory: %v, error %v; want one file", all, err)
 					}
 				}
 				if err := Write(path, []byte("the old content")); err != nil {
@@ -53,7 +53,7 @@
 				err := Write(path, []byte("another one"))
 				osCalls = original
 				if !errors.Is(err, errno) {
-					t.Errorf("ended with %v", err)
+					t.Errorf("Write = %v, want %v", err, errno)
 				}
 				if step == "sync of the directory" {
 					checkContent("another one")
@@ -80,12 +80,12 @@
 		t.Fatal(err)
 	}
 	if text, err := os.ReadFile(path); err != nil || string(text) != "the old content" {
-		t.Errorf("%q, %v", text, err)
+		t.Errorf("content beside a left-over temporary file = %q, %v; want the old content", text, err)
 	}
 	if err := Write(path, []byte("new")); err != nil {
 		t.Fatal(err)
 	}
 	if text, err := os.ReadFile(path); err != nil || string(text) != "new" {
-		t.Errorf("%q, %v", text, err)
+		t.Errorf("content after Write over a left-over temporary file = %q, %v; want \"new\"", text, err)
 	}
 }
