--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,6 @@
-// Package store keeps the record of requests: each request's final answer and each
-// attempt, in SQLite or PostgreSQL. The relay's loop hands over records and never waits;
-// one goroutine writes them in batches. See docs/design.md, "The store".
+// Package store writes the record of requests, each request's final answer and each of its attempts,
+// to SQLite or PostgreSQL. The event loop queues records and never waits; one goroutine writes them
+// in batches. See docs/design.md, "The store".
 package store
 
 import (
@@ -12,9 +12,9 @@
 	"sync"
 	"time"
 
-	_ "github.com/jackc/pgx/v5/stdlib" // the driver "pgx"
+	_ "github.com/jackc/pgx/v5/stdlib" // registers the driver "pgx"
 	"github.com/sirupsen/logrus"
-	_ "modernc.org/sqlite" // the driver "sqlite"
+	_ "modernc.org/sqlite" // registers the driver "sqlite"
 
 	"dahliarudder/internal/core"
 	"dahliarudder/policy"
@@ -24,10 +24,10 @@
 type Config struct {
 	Driver string `json:"driver"` // sqlite or postgres
 	DSN    string `json:"dsn"`
-	Queue  int    `json:"queue"` // records that may wait before new requests are rejected
+	Queue  int    `json:"queue"` // queued records at which new requests are rejected; 0 for defaultQueue
 }
 
-// Check says what is wrong with the configuration.
+// Check returns an error if the configuration is not valid.
 func (c *Config) Check() error {
 	if c.Driver != "sqlite" && c.Driver != "postgres" {
 		return fmt.Errorf("unknown driver %q: sqlite or postgres", c.Driver)
@@ -42,15 +42,15 @@
 }
 
 const (
-	defaultQueue = 4096
-	maxBatch     = 512
-	writeTimeout = 5 * time.Second
+	defaultQueue = 4096            // records
+	maxBatch     = 512             // records in one transaction
+	writeTimeout = 5 * time.Second // for one transaction, and for creating the tables
 	minBackoff   = 50 * time.Millisecond
 	maxBackoff   = 2 * time.Second
 )
 
-// schema makes the tables. A run is one process of one relay: request ids start anew
-// with each.
+// schema creates the tables. The column run identifies one process of one relay, since request ids
+// start again in each process.
 var schema = []string{
 	`CREATE TABLE IF NOT EXISTS requests (run TEXT NOT NULL, id BIGINT NOT NULL, name TEXT NOT NULL,
  class BIGINT NOT NULL, tenant BIGINT NOT NULL, answer TEXT NOT NULL, tries BIGINT NOT NULL,
@@ -60,8 +60,8 @@
  PRIMARY KEY (run, request, try))`,
 }
 
-// insertStatement is an INSERT that changes nothing if the record exists, so that a batch
-// whose commit was in doubt may be repeated.
+// insertStatement returns an INSERT that does nothing if the row exists. A batch whose commit may or
+// may not have succeeded can therefore be written again.
 func insertStatement(driver, table, columns string) string {
 	n := strings.Count(columns, ",") + 1
 	placeholders := make([]string, n)
@@ -73,9 +73,9 @@
 	return fmt.Sprintf("INSERT INTO %s (%s) VALUES (%s) ON CONFLICT DO NOTHING", table, columns, strings.Join(placeholders, ", "))
 }
 
-// record is a row of one of the tables.
+// record is one row of either table.
 type record struct {
-	isAttempt bool // a row of attempts; otherwise of requests
+	isAttempt bool // a row of the table attempts; otherwise of requests
 	values    []any
 }
 
@@ -83,9 +83,9 @@
 type Store struct {
 	db            *sql.DB
 	log           logrus.FieldLogger
-	run           string
-	epoch         time.Time
-	queueLimit    int
+	run           string    // value of the column run
+	epoch         time.Time // wall-clock time of clock time 0
+	queueLimit    int       // queued records from which on Ready reports false
 	insertAttempt string
 	insertRequest string
 
@@ -99,13 +99,14 @@
 	stopWriter context.CancelFunc
 }
 
-// Open connects, makes the tables and starts the writer. Clock times count from epoch.
+// Open connects to the database, creates missing tables and starts the writer goroutine. The times
+// passed to RecordAttempt and RecordAnswer count from epoch.
 func Open(cfg Config, run string, epoch time.Time, log logrus.FieldLogger) (*Store, error) {
 	db, err := sql.Open(dataSource(cfg))
 	if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	db.SetMaxOpenConns(1) // one writer; SQLite allows no more
+	db.SetMaxOpenConns(1) // one goroutine writes, and SQLite allows one writer only
 	if err := makeTables(db); err != nil {
 		db.Close()
 		return nil, err
@@ -123,7 +124,7 @@
 	return s, nil
 }
 
-// dataSource is the name of the driver and its data source.
+// dataSource returns the name of the driver and the data source name for it.
 func dataSource(cfg Config) (driver, dsn string) {
 	if cfg.Driver == "postgres" {
 		return "pgx", cfg.DSN
@@ -131,7 +132,7 @@
 	if strings.Contains(cfg.DSN, "busy_timeout") {
 		return cfg.Driver, cfg.DSN
 	}
-	// Two processes write during an upgrade: each waits for the other's lock.
+	// During a hot restart two processes write; each waits up to 4000 ms for the other's lock.
 	separator := "?"
 	if strings.Contains(cfg.DSN, "?") {
 		separator = "&"
@@ -150,42 +151,43 @@
 	return nil
 }
 
-// Ready reports whether what follows will be recorded: the writer works and keeps up. Records
-// of requests that were accepted are always taken, so these may exceed the queue's limit.
+// Ready reports whether new requests would be recorded: writes succeed, the store is not closing, and
+// the queue is below its limit. Records of requests that were accepted are queued regardless, so the
+// queue may exceed the limit.
 func (s *Store) Ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.failing && !s.closing && len(s.queue) < s.queueLimit
 }
 
-// resultNames are the results as stored.
+// resultNames are the results as stored in the column result; they must not change.
 var resultNames = map[policy.Result]string{
 	policy.OK: "ok", policy.Error: "error", policy.Full: "full", policy.Timeout: "timeout",
 	policy.ConnectFailed: "connect_failed", policy.Reset: "reset", policy.Cancelled: "cancelled", policy.NotSent: "moot",
 }
 
-// RecordAttempt records the end of an attempt.
+// RecordAttempt queues a record of an attempt that has ended. The first attempt has number 0.
 func (s *Store) RecordAttempt(_ *core.Request, id core.ID, attempt int, member string, start, end time.Duration, result policy.Result) {
 	s.enqueue(record{true, []any{s.run, int64(id), int64(attempt), member, resultNames[result], s.timestamp(start),
 		s.timestamp(end)}})
 }
 
-// RecordAnswer records a final answer.
+// RecordAnswer queues a record of a request's final answer.
 func (s *Store) RecordAnswer(q *core.Request, id core.ID, at time.Duration, answer core.Answer, attempts int) {
 	s.enqueue(record{false, []any{s.run, int64(id), sanitizeText(q.Name), int64(q.Class), int64(q.Tenant), string(answer),
 		int64(attempts), s.timestamp(at)}})
 }
 
-// sanitizeText makes a client's name fit for a column of text: one that the database
-// refuses would block the whole batch forever.
+// sanitizeText replaces bytes that a text column cannot store. A name that the database rejects
+// would make its batch fail on every retry.
 func sanitizeText(name string) string {
 	return strings.ReplaceAll(strings.ToValidUTF8(name, "?"), "\x00", "?")
 }
 
 func (s *Store) timestamp(at time.Duration) int64 { return s.epoch.Add(at).UnixMicro() }
 
-// Close writes the queue, for at most that long, stops the writer and closes the
-// database. Its error says how many records were not written.
+// Close writes the queued records, waits at most timeout for that, stops the writer and closes the
+// database. It returns an error with the number of records that were not written.
 func (s *Store) Close(timeout time.Duration) error {
 	s.mu.Lock()
 	s.closing = true
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -12,7 +12,7 @@
 	"dahliarudder/policy"
 )
 
-// openStore opens a new store whose queue holds so many records; 0 is the default.
+// openStore opens a new store with the given queue limit; 0 is the default.
 func openStore(t *testing.T, queue int) *Store {
 	t.Helper()
 	return openStoreAt(t, Config{Driver: "sqlite", DSN: filepath.Join(t.TempDir(), "record.db"), Queue: queue}, "run", time.UnixMicro(0))
@@ -52,7 +52,8 @@
 	return n
 }
 
-// TestRecord: records can be read back, also with a name that is not valid text; a record that is written twice is stored once.
+// TestRecord: records can be read back, also one with a name that is not valid UTF-8; a record that
+// is written twice is stored once.
 func TestRecord(t *testing.T) {
 	s := openStore(t, 0)
 	request := &core.Request{Name: "a\x00\xff", Class: 1, Tenant: 2}
@@ -72,7 +73,8 @@
 	}
 }
 
-// TestQueueLimit: a store that cannot write is not ready, loses no queued record, and is ready again once it can write.
+// TestQueueLimit: a store that cannot write is not ready and loses no queued record, also above the
+// queue limit; it is ready again once it can write.
 func TestQueueLimit(t *testing.T) {
 	s := openStore(t, 4)
 	if _, err := s.db.Exec("ALTER TABLE requests RENAME TO elsewhere"); err != nil {
@@ -95,7 +97,8 @@
 	}
 }
 
-// TestCloseTimeout: the last flush ends in time, with an error if records were not written.
+// TestCloseTimeout: Close returns after its timeout although writes fail, with an error for the
+// records that were not written.
 func TestCloseTimeout(t *testing.T) {
 	s := openStore(t, 0)
 	if _, err := s.db.Exec("DROP TABLE requests"); err != nil {
@@ -107,7 +110,8 @@
 	}
 }
 
-// TestLogsFailures: an outage of the store is logged once, and its end once, whatever the number of retries.
+// TestLogsFailures: each outage of the store is logged once when it begins and once when it ends,
+// however many retries fail in between.
 func TestLogsFailures(t *testing.T) {
 	s := openStore(t, 0)
 	log, hook := test.NewNullLogger()
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -12,7 +12,8 @@
 	"dahliarudder/policy"
 )
 
-// TestStoredFormsStore: a SQLite store written by release 63fa232 can be opened, written to, and read by its column names.
+// TestStoredFormsStore: a SQLite store written by release 63fa232 can be opened, extended, and read
+// by its column names.
 func TestStoredFormsStore(t *testing.T) {
 	written, err := os.ReadFile(filepath.Join("testdata", "head", "record.db"))
 	if err != nil {
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// This file writes the queue.
-
+// enqueue appends a record to the queue and wakes the writer.
 func (s *Store) enqueue(r record) {
 	s.mu.Lock()
 	s.queue = append(s.queue, r)
@@ -15,7 +14,7 @@
 	s.wakeWriter()
 }
 
-// wakeWriter has the writer look at the queue; it never blocks.
+// wakeWriter makes the writer check the queue. It never blocks.
 func (s *Store) wakeWriter() {
 	select {
 	case s.wake <- struct{}{}:
@@ -23,8 +22,8 @@
 	}
 }
 
-// runWriter is the writer's goroutine. It ends when the store closes and the queue is empty, or when ctx is done and
-// a write has failed.
+// runWriter is the writer goroutine. It ends when the store is closing and the queue is empty, or
+// when ctx is done and a write has failed.
 func (s *Store) runWriter(ctx context.Context) {
 	defer close(s.writerDone)
 	backoff := minBackoff
@@ -50,7 +49,7 @@
 		s.mu.Unlock()
 		if err == nil {
 			if wasFailing {
-				s.log.Info("the store works again")
+				s.log.Info("the store works again") // logged once per outage, like the error below
 			}
 			backoff = minBackoff
 			continue
