--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -30,13 +30,13 @@
 // Check returns an error if the configuration is not valid.
 func (c *Config) Check() error {
 	if c.Driver != "sqlite" && c.Driver != "postgres" {
-		return fmt.Errorf("unknown driver %q: sqlite or postgres", c.Driver)
+		return fmt.Errorf("driver %q is unknown: want sqlite or postgres", c.Driver)
 	}
 	if c.DSN == "" {
-		return errors.New("no dsn")
+		return errors.New("dsn is empty")
 	}
 	if c.Queue < 0 {
-		return errors.New("queue below zero")
+		return fmt.Errorf("queue is %d: want 0 or more", c.Queue)
 	}
 	return nil
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -41,7 +41,7 @@
 // waitWritten waits until no record is queued.
 func (s *Store) waitWritten(t *testing.T) {
 	t.Helper()
-	waitFor(t, "the records", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.queue) == 0 })
+	waitFor(t, "the queue to be written", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.queue) == 0 })
 }
 
 func (s *Store) countRows(t *testing.T, query string) (n int) {
@@ -63,13 +63,13 @@
 	}
 	s.waitWritten(t)
 	if n := s.countRows(t, "SELECT count(*) FROM requests WHERE name = 'a??' AND answer = 'failed' AND at_us = 3000000"); n != 1 {
-		t.Errorf("%d such answers", n)
+		t.Errorf("%d rows for the answer in table requests, want 1", n)
 	}
 	if n := s.countRows(t, "SELECT count(*) FROM attempts WHERE result = 'reset' AND end_us - start_us = 1000000"); n != 1 {
-		t.Errorf("%d such attempts", n)
+		t.Errorf("%d rows for the attempt in table attempts, want 1", n)
 	}
 	if err := s.Close(20 * time.Second); err != nil || s.Ready() {
-		t.Errorf("closed with %v, ready %v", err, s.Ready())
+		t.Errorf("Close() = %v, then Ready() = %v; want nil, false", err, s.Ready())
 	}
 }
 
@@ -83,15 +83,15 @@
 	for id := range core.ID(9) {
 		s.RecordAnswer(&core.Request{}, id, 0, core.Served, 0)
 	}
-	waitFor(t, "the failure", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.failing })
+	waitFor(t, "a write to fail", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.failing })
 	if s.Ready() {
-		t.Error("ready while writes fail")
+		t.Error("Ready() = true while writes fail, want false")
 	}
 	if _, err := s.db.Exec("ALTER TABLE elsewhere RENAME TO requests"); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the recovery", s.Ready)
-	waitFor(t, "all nine", func() bool { return s.countRows(t, "SELECT count(*) FROM requests") == 9 })
+	waitFor(t, "the store to be ready again", s.Ready)
+	waitFor(t, "all nine records to be written", func() bool { return s.countRows(t, "SELECT count(*) FROM requests") == 9 })
 	if err := s.Close(20 * time.Second); err != nil {
 		t.Error(err)
 	}
@@ -106,7 +106,7 @@
 	}
 	s.RecordAnswer(&core.Request{}, 1, 0, core.Served, 0)
 	if err := s.Close(10 * time.Millisecond); err == nil {
-		t.Error("no error for a lost record")
+		t.Error("Close() = nil with an unwritten record, want an error")
 	}
 }
 
@@ -129,15 +129,15 @@
 			t.Fatal(err)
 		}
 		s.RecordAnswer(&core.Request{}, core.ID(outage), 0, core.Served, 0)
-		waitFor(t, "the failure", func() bool { return !s.Ready() })
-		time.Sleep(3 * minBackoff) // some retries
+		waitFor(t, "the outage to be noticed", func() bool { return !s.Ready() })
+		time.Sleep(3 * minBackoff) // time for some retries
 		if _, err := s.db.Exec("ALTER TABLE elsewhere RENAME TO requests"); err != nil {
 			t.Fatal(err)
 		}
-		waitFor(t, "the recovery", s.Ready)
-		waitFor(t, "the log entry of it", func() bool { return logged(logrus.InfoLevel) >= outage })
+		waitFor(t, "the store to be ready again", s.Ready)
+		waitFor(t, "the end of the outage to be logged", func() bool { return logged(logrus.InfoLevel) >= outage })
 		if failures, recoveries := logged(logrus.ErrorLevel), logged(logrus.InfoLevel); failures != outage || recoveries != outage {
-			t.Errorf("after %d outages: %d failures logged, %d recoveries", outage, failures, recoveries)
+			t.Errorf("after %d outages: %d failures and %d recoveries logged, want %d each", outage, failures, recoveries, outage)
 		}
 	}
 	if err := s.Close(20 * time.Second); err != nil {
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -44,10 +44,10 @@
 		"run-new 1 0 s-3 ok 1800000001000000 1800000002000000",
 	}
 	if !slices.Equal(requests, wantRequests) {
-		t.Errorf("requests %q", requests)
+		t.Errorf("rows of requests = %q, want %q", requests, wantRequests)
 	}
 	if !slices.Equal(attempts, wantAttempts) {
-		t.Errorf("attempts %q", attempts)
+		t.Errorf("rows of attempts = %q, want %q", attempts, wantAttempts)
 	}
 }
 
