--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,6 @@
-// Package operator serves the operators' address of the relay: HTTP/1.1 calls that query its readiness, eject and restore members, and
-// drain it. Each connection carries one call. It decides nothing. See docs/design.md, "The operators' address".
+// Package operator serves the HTTP/1.1 address for operators. Its calls query the relay's readiness,
+// gossip state and recovery report, eject and restore members, and drain the relay. Each connection
+// carries one call. See docs/design.md, "The operators' address".
 package operator
 
 import (
@@ -16,54 +17,59 @@
 )
 
 const (
-	// MaxCallers bounds the connections that are open at once.
+	// MaxCallers is the largest number of connections that are open at once.
 	MaxCallers = 12
-	// callTimeout is how long a caller has to send its request.
+	// callTimeout is how long a caller may take to send its request.
 	callTimeout = 5 * time.Second
 )
 
-// Relay is what the calls act on. Its methods are called on the loop.
+// Relay is the relay that the calls act on. Its methods are called on the event loop.
 type Relay interface {
 	// Ready reports whether this process can serve clients.
 	Ready() bool
-	// Known reports whether there is a member of that name.
+	// Known reports whether the relay has a member of that name.
 	Known(member string) bool
-	// SetEjected ejects a member or restores it, and then calls done once, on the loop.
+	// SetEjected ejects a member or restores it. It calls done once, on the event loop, when that
+	// is stored or has failed.
 	SetEjected(member string, ejected bool, done func(error))
-	// Drain drains the relay until Resume.
+	// Drain drains the relay until Resume is called.
 	Drain()
 	// Resume ends a drain.
 	Resume()
-	// Peers is the gossip state as JSON; empty where gossip is off.
+	// Peers returns the gossip state as JSON, or an empty string if gossip is off.
 	Peers() string
-	// Recovery is the recovery report as JSON; empty where no state directory is configured.
+	// Recovery returns the recovery report as JSON, or an empty string if no state directory is
+	// configured.
 	Recovery() string
 }
 
-// Front serves the operators' address.
+// Front is the front for operators. The texts of its responses are part of the interface to
+// operators' tools and must not change.
 type Front struct {
 	Loop  *netloop.Loop
 	Relay Relay
 	Log   logrus.FieldLogger
 }
 
-// Accept serves a connection of an operator.
+// Accept reads one call from a new connection and answers it.
 func (f *Front) Accept(conn *netloop.Conn) {
 	c := &caller{front: f, conn: conn}
 	c.parser.Request = true
+	// The text means: the request was not received completely, in time or before the connection was
+	// needed for another caller.
 	timedOut := func() { c.answer(http.StatusRequestTimeout, "no whole call came") }
 	c.timer = f.Loop.After(callTimeout, timedOut)
 	conn.SetEvictable(timedOut)
 	conn.SetHandler(c)
 }
 
-// caller is one connection, good for one call.
+// caller is one connection. It serves one call.
 type caller struct {
 	front  *Front
 	conn   *netloop.Conn
 	parser http1.Parser
-	timer  *netloop.Timer
-	called bool
+	timer  *netloop.Timer // for callTimeout
+	called bool           // the request is complete, or an error has been answered
 }
 
 // Open implements netloop.Handler.
@@ -89,15 +95,15 @@
 	return used
 }
 
-// End implements netloop.Handler. A caller that has closed its sending side may still wait for
-// its answer.
+// End implements netloop.Handler. A caller that has sent its complete request may close its sending
+// side and still gets its answer; an incomplete request is an error.
 func (c *caller) End(error) {
 	if !c.called {
 		c.answer(http.StatusBadRequest, "no whole call came")
 	}
 }
 
-// The paths of the calls.
+// Paths of the calls.
 const (
 	pathReady    = "/-/ready"
 	pathDrain    = "/-/drain"
@@ -107,7 +113,7 @@
 	pathBackends = "/-/backends/"
 )
 
-// route is one call: its method, and what it does.
+// route is one call: its HTTP method and its handler.
 type route struct {
 	method string
 	handle func(c *caller)
@@ -139,7 +145,8 @@
 	r.handle(c)
 }
 
-// parseBackendCall parses the path of a call that disables or enables a member.
+// parseBackendCall parses the path of a call that disables (ejects) or enables (restores) a member:
+// /-/backends/MEMBER/disable or /-/backends/MEMBER/enable.
 func parseBackendCall(path string) (member string, disable, valid bool) {
 	rest, isBackend := strings.CutPrefix(path, pathBackends)
 	id, verb, ok := strings.Cut(rest, "/")
@@ -158,8 +165,10 @@
 	}
 }
 
+// The text means: gossip is off.
 func (c *caller) peers() { c.answerIfSet(c.front.Relay.Peers(), "peers are not set up") }
 
+// The text means: no state directory is configured.
 func (c *caller) recovery() { c.answerIfSet(c.front.Relay.Recovery(), "no state is kept") }
 
 // answerIfSet answers with a text, and with 404 and the reason if it is empty.
@@ -189,7 +198,8 @@
 	})
 }
 
-// answer responds to the call and closes the connection.
+// answer sends the response, logs the call and closes the connection. A text for status 405 must be
+// "use " and the allowed method, which it also sends in the Allow header.
 func (c *caller) answer(status int, text string) {
 	c.called = true
 	c.timer.Stop()
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -11,7 +11,7 @@
 	"dahliarudder/internal/netloop/looptest"
 )
 
-// fakeRelay keeps the calls that it receives. The test finishes an ejection by finishEjection.
+// fakeRelay records the calls that it receives. An ejection ends when the test calls finishEjection.
 type fakeRelay struct {
 	peers          string
 	ready          bool
@@ -29,7 +29,8 @@
 	r.calls, r.finishEjection = append(r.calls, fmt.Sprint(id, " ", ejected)), done
 }
 
-// newTestFront starts a front for a fake relay on a test loop, and returns its address.
+// newTestFront starts a front for a fake relay on a test loop. It returns the harness, the relay and
+// the front's address.
 func newTestFront(t testing.TB) (*looptest.Harness, *fakeRelay, string) {
 	t.Helper()
 	h, r, log := looptest.New(t, 8), &fakeRelay{ready: true}, logrus.New()
@@ -42,14 +43,14 @@
 	return h, r, l.Addr()
 }
 
-// readStatus reads the status code of a response.
+// readStatus reads the status code of the response that p receives.
 func readStatus(p *looptest.Peer) string {
 	_, rest, _ := strings.Cut(p.ReadLine(), " ")
 	status, _, _ := strings.Cut(rest, " ")
 	return status
 }
 
-// TestCalls: the status code of each call, and what the relay is called for.
+// TestCalls: each request gets the right status code, and the relay receives the right calls.
 func TestCalls(t *testing.T) {
 	h, r, addr := newTestFront(t)
 	for _, tt := range []struct{ request, status, call string }{
@@ -100,7 +101,8 @@
 	}
 }
 
-// TestErrorStatus: a relay that is not ready, and an ejection that could not be stored, have an error status.
+// TestErrorStatus: a readiness query to a relay that is not ready, and an ejection that could not be
+// stored, get an error status.
 func TestErrorStatus(t *testing.T) {
 	h, r, addr := newTestFront(t)
 	r.ready = false
@@ -119,8 +121,9 @@
 	}
 }
 
-// TestSlowCallers: callers that send nothing or half a request do not keep others out, though they use all connections of the front and the
-// loop has no descriptor left; they are answered and closed in time.
+// TestSlowCallers: callers that send half a request and stop do not keep others out, even if they
+// use all connections of the front and the loop has no descriptor left. They get status 408 once the
+// time to send a request is over.
 func TestSlowCallers(t *testing.T) {
 	h, _, addr := newTestFront(t)
 	for h.FreeDescriptors() > 0 {
