--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -171,10 +171,10 @@
 // The text means: no state directory is configured.
 func (c *caller) recovery() { c.answerIfSet(c.front.Relay.Recovery(), "no state is kept") }
 
-// answerIfSet answers with a text, and with 404 and the reason if it is empty.
-func (c *caller) answerIfSet(text, otherwise string) {
+// answerIfSet responds with text, or with status 404 and the reason if text is empty.
+func (c *caller) answerIfSet(text, reason string) {
 	if text == "" {
-		c.answer(http.StatusNotFound, otherwise)
+		c.answer(http.StatusNotFound, reason)
 		return
 	}
 	c.answer(http.StatusOK, text)
@@ -188,8 +188,8 @@
 	c.front.Relay.SetEjected(member, ejected, func(err error) {
 		switch {
 		case err != nil:
-			c.front.Log.WithError(err).WithField("member", member).Error("an operator's call failed")
-			c.answer(http.StatusInternalServerError, "could not be kept")
+			c.front.Log.WithError(err).WithField("member", member).Error("operator call to eject or restore a member failed")
+			c.answer(http.StatusInternalServerError, "could not be kept") // the ejection could not be stored
 		case ejected:
 			c.answer(http.StatusOK, "disabled")
 		default:
@@ -204,7 +204,7 @@
 	c.called = true
 	c.timer.Stop()
 	if c.parser.Target != "" {
-		c.front.Log.WithFields(logrus.Fields{"call": c.parser.Method + " " + c.parser.Target, "status": status}).Info("operator")
+		c.front.Log.WithFields(logrus.Fields{"call": c.parser.Method + " " + c.parser.Target, "status": status}).Info("operator call answered")
 	}
 	allow := ""
 	if status == http.StatusMethodNotAllowed {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -89,15 +89,15 @@
 				break // the connection may be closed by now
 			}
 		}
-		h.WaitFor("the relay to be called", func() bool { p.Poll(); return r.finishEjection != nil || len(p.Received) > 0 })
+		h.WaitFor("an ejection or a response to "+tt.request, func() bool { p.Poll(); return r.finishEjection != nil || len(p.Received) > 0 })
 		if r.finishEjection != nil {
 			r.finishEjection(nil)
 		}
 		if status := readStatus(p); status != tt.status || strings.Join(r.calls, ",") != tt.call {
-			t.Errorf("%s: status %s, calls %q", tt.request, status, r.calls)
+			t.Errorf("%s: status %s, calls %q; want status %s, calls %q", tt.request, status, r.calls, tt.status, tt.call)
 		}
 		p.Received = nil
-		h.WaitFor("the end", func() bool { p.Poll(); return p.EndErr != nil })
+		h.WaitFor("the connection to be closed", func() bool { p.Poll(); return p.EndErr != nil })
 	}
 }
 
@@ -109,15 +109,15 @@
 	p := h.Dial(addr)
 	p.Send("GET /-/ready HTTP/1.1\r\n\r\n")
 	if status := readStatus(p); status != "503" {
-		t.Errorf("not ready: status %s", status)
+		t.Errorf("readiness of a relay that is not ready: status %s, want 503", status)
 	}
 	p = h.Dial(addr)
 	p.Send("PUT /-/backends/s-1/disable HTTP/1.1\r\n\r\n")
 	p.CloseWrite() // a caller that half-closes its connection still waits for the answer
-	h.WaitFor("the relay to be called", func() bool { return r.finishEjection != nil })
+	h.WaitFor("the ejection", func() bool { return r.finishEjection != nil })
 	r.finishEjection(errors.New("no disk"))
 	if status := readStatus(p); status != "500" {
-		t.Errorf("not stored: status %s", status)
+		t.Errorf("ejection that could not be stored: status %s, want 500", status)
 	}
 }
 
@@ -139,12 +139,12 @@
 	p := h.Dial(addr)
 	p.Send("GET /-/ready HTTP/1.1\r\n\r\n")
 	if status := readStatus(p); status != "200" {
-		t.Errorf("among slow callers: status %s", status)
+		t.Errorf("caller beside slow callers: status %s, want 200", status)
 	}
 	h.Advance(callTimeout)
 	for _, p := range slow {
 		if status := readStatus(p); status != "408" {
-			t.Errorf("a slow caller: status %s", status)
+			t.Errorf("slow caller: status %s, want 408", status)
 		}
 	}
 }
