--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,4 +1,5 @@
-// Package http1 parses HTTP/1.1 messages incrementally: discovery's responses, and the requests of operators.
+// Package http1 parses HTTP/1.1 messages incrementally: responses of discovery and requests of
+// operators.
 package http1
 
 import (
@@ -10,52 +11,56 @@
 	"time"
 )
 
-// ErrMalformed is wrapped by every error about bytes that are no HTTP message.
+// ErrMalformed is wrapped by every error about bytes that are not a valid HTTP message or exceed the
+// limits. The operators' address sends the text of an error about a request in its response, so
+// these texts must not change.
 var ErrMalformed = errors.New("malformed HTTP")
 
-// Bounds of a message.
+// Limits of a message, in bytes and lines.
 const (
 	maxLineLen      = 4 << 10
-	maxHeaderLines  = 100
+	maxHeaderLines  = 100 // with the request line or status line
 	maxResponseBody = 4 << 20
 	maxRequestBody  = 4 << 10
 )
 
-// dateLayout is the layout of a date in a header (RFC 9110, section 5.6.7), in lower case as header values are read.
+// dateLayout is the layout of the Date header (RFC 9110, section 5.6.7), in lower case since the
+// parser converts header values to lower case.
 const dateLayout = "Mon, 02 Jan 2006 15:04:05 gmt"
 
 // Parser parses one HTTP/1.1 message. Its zero value is ready for a response.
 type Parser struct {
-	Request         bool // it parses a request
+	Request         bool // set by the caller to parse a request
 	Method, Target  string
 	Status          int
-	ConnectionClose bool      // the connection closes after this response
-	Date            time.Time // when the response was made, by the server's clock; zero if it has no date
+	ConnectionClose bool      // the server closes the connection after this response
+	Date            time.Time // Date header: when the response was made, by the server's clock; zero if absent or invalid
 	Body            []byte
 
 	state            parserState
-	lines            int
-	remaining        int  // bytes of the body, or of its chunk, that are still to come
+	lines            int  // lines parsed
+	remaining        int  // bytes of the body, or of the current chunk, not received yet
 	hasContentLength bool // Content-Length was given
 	chunked          bool
 }
 
-// parserState is what the parser reads next.
+// parserState is the part of the message that the parser reads next.
 type parserState int
 
 const (
-	readStart parserState = iota
+	readStart parserState = iota // request line or status line
 	readHeader
-	readBody
-	readToEnd
+	readBody  // of known length
+	readToEnd // a body that ends with the connection
 	readChunkSize
 	readChunk
-	readChunkEnd
+	readChunkEnd // the line end after a chunk
 	readTrailer
 	readDone
 )
 
-// Feed parses bytes. It returns how many it used and whether the message is complete.
+// Feed parses bytes. It returns how many it used and whether the message is complete. The caller
+// passes the unused bytes again, together with those that follow.
 func (p *Parser) Feed(b []byte) (used int, done bool, err error) {
 	for p.state != readDone {
 		var n int
@@ -74,7 +79,8 @@
 	return used, true, nil
 }
 
-// feedBody parses bytes of the body, or of a chunk of it. More says that it needs more bytes to go on.
+// feedBody parses bytes of the body or of a chunk. needMore is true if it has used all bytes and the
+// body or chunk is not complete.
 func (p *Parser) feedBody(b []byte) (used int, needMore bool, err error) {
 	n := len(b)
 	if p.state != readToEnd {
@@ -98,10 +104,10 @@
 	return n, false, nil
 }
 
-// feedLine parses one line. More says that the line is not complete.
+// feedLine parses one line. needMore is true if the line is not complete.
 func (p *Parser) feedLine(b []byte) (used int, needMore bool, err error) {
 	end := bytes.IndexByte(b, '\n')
-	if end > maxLineLen || end < 0 && len(b) > maxLineLen { // the same limit, however the bytes are split
+	if end > maxLineLen || end < 0 && len(b) > maxLineLen { // the result must not depend on how the bytes are split
 		return 0, false, fmt.Errorf("%w: header line too long", ErrMalformed)
 	}
 	if end < 0 {
@@ -117,7 +123,8 @@
 	return maxResponseBody
 }
 
-// FinishAtEOF reports whether the end of the connection completes the response.
+// FinishAtEOF is called when the connection has ended. It reports whether that completes the
+// response.
 func (p *Parser) FinishAtEOF() bool {
 	if p.state == readToEnd {
 		p.state = readDone
@@ -178,7 +185,7 @@
 func (p *Parser) parseRequestLine(s string) error {
 	parts := strings.Split(s, " ")
 	if len(parts) != 3 || parts[0] == "" || parts[1] == "" || !strings.HasPrefix(parts[2], "HTTP/1.") {
-		return fmt.Errorf("%w: call %q", ErrMalformed, s)
+		return fmt.Errorf("%w: call %q", ErrMalformed, s) // a malformed request line
 	}
 	p.Method, p.Target, p.state = parts[0], parts[1], readHeader
 	return nil
@@ -212,7 +219,7 @@
 	return nil
 }
 
-// endHeader decides by the header what follows it.
+// endHeader chooses, from the header, which part of the message comes next.
 func (p *Parser) endHeader() {
 	switch {
 	case !p.Request && p.Status < 200: // an interim response: the final one follows
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// FuzzParser: an answer is read the same however it is cut up, and no bytes make
-// the parser panic or hold more than its bounds.
+// FuzzParser: the result does not depend on how the bytes are split, and no input makes the parser
+// panic.
 func FuzzParser(f *testing.F) {
 	for _, s := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
@@ -47,7 +47,8 @@
 	})
 }
 
-// TestParser: what the seed corpus says, word for word.
+// TestParser: status, body and ConnectionClose of valid responses, and the responses that are
+// malformed.
 func TestParser(t *testing.T) {
 	for text, want := range map[string]string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello":                                            "200 hello false",
@@ -76,7 +77,8 @@
 	}
 }
 
-// TestRequest: the calls of operators, and what is none.
+// TestRequest: method, target, body and completeness of valid requests, and the requests that are
+// malformed.
 func TestRequest(t *testing.T) {
 	for text, want := range map[string]string{
 		"GET /-/ready HTTP/1.1\r\nHost: relay\r\n\r\n":                   "GET /-/ready  true",
@@ -104,7 +106,7 @@
 
 func repeatX(n int) string { return strings.Repeat("x", n) }
 
-// TestDate: when an answer was made is read where it says so in the usual form.
+// TestDate: a Date header in the standard format is parsed; any other value is ignored.
 func TestDate(t *testing.T) {
 	for value, want := range map[string]int64{"Wed, 02 Dec 2026 12:30:45 GMT": 1796214645, "soon": 0, "": 0} {
 		p := &Parser{}
