--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -42,7 +42,8 @@
 		p, done, err := read(len(text) + 1)
 		q, done2, err2 := read(int(step)%7 + 1)
 		if done != done2 || (err == nil) != (err2 == nil) || err == nil && (p.Status != q.Status || p.Method != q.Method || p.Target != q.Target || string(p.Body) != string(q.Body)) {
-			t.Errorf("whole: %v %v %d %q, cut: %v %v %d %q", done, err, p.Status, p.Body, done2, err2, q.Status, q.Body)
+			t.Errorf("Feed of all bytes at once: done %v, error %v, status %d, body %q; in steps: done %v, error %v, status %d, body %q",
+				done, err, p.Status, p.Body, done2, err2, q.Status, q.Body)
 		}
 	})
 }
@@ -69,10 +70,10 @@
 		if errors.Is(err, ErrMalformed) {
 			got = "malformed"
 		} else if !done {
-			got = "not whole"
+			got = "incomplete"
 		}
 		if got != want {
-			t.Errorf("%.60q: %q, want %q", text, got, want)
+			t.Errorf("response %.60q parsed as %q, want %q", text, got, want)
 		}
 	}
 }
@@ -99,7 +100,7 @@
 			got = "malformed"
 		}
 		if got != want {
-			t.Errorf("%.60q: %q, want %q", text, got, want)
+			t.Errorf("request %.60q parsed as %q, want %q", text, got, want)
 		}
 	}
 }
@@ -111,10 +112,10 @@
 	for value, want := range map[string]int64{"Wed, 02 Dec 2026 12:30:45 GMT": 1796214645, "soon": 0, "": 0} {
 		p := &Parser{}
 		if _, done, err := p.Feed([]byte("HTTP/1.1 200 OK\r\nDate: " + value + "\r\nContent-Length: 0\r\n\r\n")); !done || err != nil {
-			t.Fatalf("%q: done %v, %v", value, done, err)
+			t.Fatalf("Feed with date %q: done %v, error %v; want a complete response", value, done, err)
 		}
 		if want == 0 && !p.Date.IsZero() || want != 0 && p.Date.Unix() != want {
-			t.Errorf("%q: read as %v", value, p.Date)
+			t.Errorf("date %q parsed as %v, want Unix time %d (0: no date)", value, p.Date, want)
 		}
 	}
 }
