--- a/internal/encodingtest/fill.go
+++ b/internal/encodingtest/fill.go
@@ -1,5 +1,6 @@
-// Package encodingtest supports tests that compare the encoding of a value with a fixture of an earlier version: it sets every
-// field of the value, so that a field left out of the encoding, or encoded under another name, shows.
+// Package encodingtest supports tests that compare the encoding of a value with a fixture of an
+// earlier version. It sets every field of the value, so that the comparison fails if a field is left
+// out of the encoding or encoded under another name.
 package encodingtest
 
 import (
@@ -7,14 +8,15 @@
 	"reflect"
 )
 
-// FillConstant sets every exported field reachable from pointer to the constant of its kind. Arrays stay zero: the fixtures of
-// internal/handover were written so.
+// FillConstant sets every exported field reachable from pointer to a constant for its kind. Arrays
+// stay zero, as in the fixtures of internal/handover.
 func FillConstant(pointer any) {
 	fill(reflect.ValueOf(pointer).Elem(), constantFiller{})
 }
 
-// Counter fills values with numbers that differ from field to field, in the order of the declarations, so that two fields of one
-// type that change places show too. Its zero value starts at one; each further value filled goes on from the last number.
+// Counter fills values with numbers that differ from field to field, in the order of the
+// declarations, so that a comparison also fails if two fields of one type change places. The zero
+// value starts with 1; a further call of Fill continues after the last number.
 type Counter struct{ last int }
 
 // Fill sets every exported field reachable from pointer to a number of its own.
@@ -22,7 +24,8 @@
 	fill(reflect.ValueOf(pointer).Elem(), c)
 }
 
-// filler sets the values without parts of their own; visit comes before each value, composite or not.
+// filler supplies the values for fill. fill calls visit before it sets a value, also a composite
+// one; the other methods return the value for a kind.
 type filler interface {
 	visit()
 	fillsArrays() bool
@@ -41,7 +44,7 @@
 func (constantFiller) unsigned() uint64  { return 7 }
 func (constantFiller) float() float64    { return 1.5 }
 
-// Composite values take a number too: the fixtures were written so.
+// visit also counts composite values, as in the fixtures.
 func (c *Counter) visit()            { c.last++ }
 func (c *Counter) fillsArrays() bool { return true }
 func (c *Counter) text() string      { return fmt.Sprint("s", c.last) }
@@ -49,7 +52,7 @@
 func (c *Counter) unsigned() uint64  { return uint64(c.last) }
 func (c *Counter) float() float64    { return float64(c.last) / 2 }
 
-// fill panics on a kind it does not know, rather than leave a field unset that the test takes for compared.
+// fill panics on an unsupported kind: a field left unset would not be compared.
 func fill(v reflect.Value, f filler) {
 	f.visit()
 	switch v.Kind() {
