--- a/internal/auth/authenticator.go
+++ b/internal/auth/authenticator.go
@@ -11,16 +11,16 @@
 	"golang.org/x/crypto/bcrypt"
 )
 
-// Authenticator decides who may log in, by a validated Config.
+// Authenticator decides which clients may log in. It is made from a Config by NewAuthenticator.
 type Authenticator struct {
 	usersByName   map[string]*User
 	usersByKey    map[string]*User
 	tokenUsers    []*User
-	accounts      map[string]*jwt.AccountClaims // by the public keys that sign for them; nil if only the key is configured
+	accounts      map[string]*jwt.AccountClaims // by the public keys that sign for the account; nil if only its public key is configured
 	requiresNonce bool                          // some users log in by signing a nonce
 }
 
-// Credentials is the credentials in a client's CONNECT.
+// Credentials are the credentials in a client's CONNECT.
 type Credentials struct {
 	User      string `json:"user"`
 	Pass      string `json:"pass"`
@@ -30,40 +30,45 @@
 	JWT       string `json:"jwt"`
 }
 
-// ParseConnect decodes the credentials of a CONNECT.
+// ParseConnect decodes the credentials in the JSON of a CONNECT.
 func ParseConnect(connect []byte) (*Credentials, error) {
 	c := &Credentials{}
 	return c, json.Unmarshal(connect, c)
 }
 
-// StripCredentials removes the credentials from a CONNECT, for a member that gets another login.
+// StripCredentials removes the client's credentials from a CONNECT that is sent to a member with
+// another login.
 func StripCredentials(connect map[string]any) {
 	for _, key := range []string{"user", "pass", "auth_token", "nkey", "sig", "jwt"} {
 		delete(connect, key)
 	}
 }
 
-// Identity is a client that has logged in.
+// Identity identifies a client that has logged in.
 type Identity struct {
 	Name        string
-	Permissions *Permissions // nil: all is allowed
+	Permissions *Permissions // nil: everything is allowed
 	Expires     time.Time    // zero: never
 }
 
-// Errors of Authenticate.
+// Errors of Authenticate. Their texts are logged only; the client gets the NATS protocol's texts.
 var (
 	ErrDenied  = errors.New("unknown user or wrong credentials")
 	ErrExpired = errors.New("expired")
 	ErrRevoked = errors.New("revoked")
 )
 
+// RequiresNonce reports whether some users log in by signing a nonce, which the INFO must then have.
+
 // RequiresNonce reports whether clients need a nonce to sign.
 func (a *Authenticator) RequiresNonce() bool { return a.requiresNonce }
 
-// UsesBcrypt reports whether Authenticate would check a bcrypt hash, which takes a tenth of a second or more.
+// UsesBcrypt reports whether Authenticate may check a bcrypt hash for these credentials, which takes
+// a tenth of a second or more.
 func (a *Authenticator) UsesBcrypt(c *Credentials) bool { return c.JWT == "" && c.NKey == "" }
 
-// Authenticate identifies a client. It changes nothing and may run in any goroutine.
+// Authenticate identifies a client by its credentials. It changes nothing and may be called in any
+// goroutine.
 func (a *Authenticator) Authenticate(c *Credentials, nonce string, now time.Time) (*Identity, error) {
 	switch {
 	case c.JWT != "":
@@ -89,7 +94,8 @@
 func (a *Authenticator) authenticateByName(c *Credentials) (*Identity, error) {
 	u := a.usersByName[c.User]
 	if u == nil {
-		for _, other := range a.usersByName { // as much work, so that the time does not disclose which users exist
+		// A hash of another user is checked, so that the time taken does not disclose which users exist.
+		for _, other := range a.usersByName {
 			bcrypt.CompareHashAndPassword([]byte(other.PassHash), []byte(c.Pass))
 			break
 		}
@@ -101,7 +107,8 @@
 	return &Identity{Name: u.User, Permissions: u.Permissions}, nil
 }
 
-// verifySignature checks a client's signature of the nonce, by a public NKey.
+// verifySignature reports whether signature is the base64 signature of the nonce by the private key
+// that belongs to the public NKey key.
 func verifySignature(key, signature, nonce string) bool {
 	sig, err := base64.RawURLEncoding.DecodeString(signature)
 	if err != nil {
@@ -111,7 +118,8 @@
 	return err == nil && keyErr == nil && public.Verify([]byte(nonce), sig) == nil
 }
 
-// authenticateJWT identifies a client by a user's JWT, signed by its account, and by the user's signature of the nonce.
+// authenticateJWT identifies a client by a user's JWT, signed with a key of an accepted account, and
+// by the user's signature of the nonce. A bearer token needs no signature of the nonce.
 func (a *Authenticator) authenticateJWT(c *Credentials, nonce string, now time.Time) (*Identity, error) {
 	claims, err := jwt.DecodeUserClaims(c.JWT) // checks the issuer's signature
 	if err != nil {
@@ -126,7 +134,7 @@
 		accountKey = account.Subject
 	}
 	if claims.IssuerAccount != "" && claims.IssuerAccount != accountKey {
-		return nil, ErrDenied // signed by a key that is not that account's
+		return nil, ErrDenied // signed with a key that does not belong to the account the JWT names
 	}
 	expires := claims.Expires
 	if account != nil {
--- a/internal/auth/authenticator_test.go
+++ b/internal/auth/authenticator_test.go
@@ -9,7 +9,7 @@
 	"github.com/nats-io/nkeys"
 )
 
-// TestCovers: a pattern covers what takes no more than it.
+// TestCovers: a pattern covers a subject if it matches everything that the subject matches.
 func TestCovers(t *testing.T) {
 	for _, c := range []struct {
 		pattern, subject string
@@ -24,7 +24,8 @@
 	}
 }
 
-// TestPermissions: deny goes before allow, groups are named, wildcards are filtered.
+// TestPermissions: denied subjects take precedence over allowed ones, a pattern may name a queue
+// group, and messages of a subscription with wildcards are filtered.
 func TestPermissions(t *testing.T) {
 	p := &Permissions{Publish: SubjectRules{Allow: []string{"a.>"}, Deny: []string{"a.x"}}, Subscribe: SubjectRules{Allow: []string{"s.*", "w crew.*"}, Deny: []string{"s.x"}}}
 	got := fmt.Sprint(p.CanPublish("a.b"), p.CanPublish("a.x"), p.CanPublish("b"), " ", p.CanSubscribe("s.a", ""), p.CanSubscribe("s.x", ""), p.CanSubscribe("s.>", ""),
@@ -38,7 +39,8 @@
 	}
 }
 
-// TestReplyTracker: so many answers, for so long, to the newest requests.
+// TestReplyTracker: replies are allowed up to the configured number and time, to at most
+// maxPendingReplies of the newest requests.
 func TestReplyTracker(t *testing.T) {
 	r := NewReplyTracker(&Permissions{Responses: &Responses{Max: 2, ExpiresMS: 1000}})
 	r.RecordRequest(0, []byte("box"))
@@ -60,7 +62,9 @@
 	}
 }
 
-// TestRevoked: an account's JWT may revoke users, sign by other keys, and end all its users with it.
+// TestRevoked: a user's JWT is accepted if the account's key or one of its signing keys signed it,
+// and rejected if the signing key belongs to another account than the JWT names, if the account has
+// revoked the user, or if the account has expired.
 func TestRevoked(t *testing.T) {
 	pair := func(k nkeys.KeyPair, err error) (nkeys.KeyPair, string) {
 		p, _ := k.PublicKey()
--- a/internal/auth/config.go
+++ b/internal/auth/config.go
@@ -9,31 +9,32 @@
 	"golang.org/x/crypto/bcrypt"
 )
 
-// User is a user that may log in: by name and password, by a token, or by an NKey.
+// User is a user that may log in with a name and password, with a token, or with an NKey.
 type User struct {
 	User        string       `json:"user"`
-	PassHash    string       `json:"password"` // bcrypt
-	TokenHash   string       `json:"token"`    // bcrypt
-	NKey        string       `json:"nkey"`     // the public key
+	PassHash    string       `json:"password"` // bcrypt hash
+	TokenHash   string       `json:"token"`    // bcrypt hash
+	NKey        string       `json:"nkey"`     // public key
 	Permissions *Permissions `json:"permissions"`
 }
 
-// JWTTrust is the operators and accounts whose JWTs are accepted.
+// JWTTrust lists the operators and accounts whose JWTs are accepted.
 type JWTTrust struct {
-	Operators []string `json:"operators"` // public keys, signing keys among them
+	Operators []string `json:"operators"` // public keys, including signing keys
 	Accounts  []string `json:"accounts"`  // public keys, or JWTs signed by one of the operators
 }
 
-// Config is the users and accounts that may log in.
+// Config lists the users and accounts that may log in.
 type Config struct {
 	Users []User    `json:"users"`
 	JWT   *JWTTrust `json:"jwt"`
 }
 
-// maxBcryptCost bounds the work of checking a configured hash: at 14 one check takes a second.
+// maxBcryptCost limits the cost of a configured hash: at cost 14 one check takes a second.
 const maxBcryptCost = 14
 
-// NewAuthenticator validates a configuration. Errors name the key.
+// NewAuthenticator validates a configuration. Errors begin with the key that is wrong, relative to
+// the configuration's section auth.
 func NewAuthenticator(c *Config) (*Authenticator, error) {
 	a := &Authenticator{usersByName: map[string]*User{}, usersByKey: map[string]*User{}, accounts: map[string]*jwt.AccountClaims{}}
 	for i := range c.Users {
@@ -52,7 +53,7 @@
 	return a, nil
 }
 
-// ExactlyOne reports whether exactly one of the settings is set.
+// ExactlyOne reports whether exactly one of the settings is not empty.
 func ExactlyOne(settings ...string) bool {
 	n := 0
 	for _, s := range settings {
@@ -101,7 +102,7 @@
 	return nil
 }
 
-// addTrust adds the accounts whose users may log in by JWT.
+// addTrust adds the accounts whose users may log in with a JWT.
 func (a *Authenticator) addTrust(t *JWTTrust) error {
 	operators := map[string]bool{}
 	for i, key := range t.Operators {
--- a/internal/auth/reply_tracker.go
+++ b/internal/auth/reply_tracker.go
@@ -2,22 +2,24 @@
 
 import "time"
 
-// ReplyTracker tracks the reply subjects that a client may publish to. It is bounded: the oldest is dropped.
+// ReplyTracker tracks the reply subjects that a client may publish to under its Responses rule. It
+// tracks at most maxPendingReplies requests and drops the oldest ones beyond that.
 type ReplyTracker struct {
 	limits  Responses
-	pending map[string]pendingReply
-	order   []string // of pending, the oldest first
+	pending map[string]pendingReply // by reply subject
+	order   []string                // reply subjects, also answered ones, the oldest first
 }
 
 type pendingReply struct {
-	remaining int // replies
-	expires   time.Duration
+	remaining int           // replies that are still allowed; negative: unlimited
+	expires   time.Duration // clock time
 }
 
-// maxPendingReplies is how many requests a client may leave unanswered before the oldest is dropped.
+// maxPendingReplies is the largest number of unanswered requests that are tracked for one client.
 const maxPendingReplies = 1024
 
-// NewReplyTracker makes a tracker for a user; nil if its permissions have no rule for responses.
+// NewReplyTracker returns a tracker for a user's permissions, or nil if they have no rule for
+// responses. A nil tracker allows no replies.
 func NewReplyTracker(p *Permissions) *ReplyTracker {
 	if p == nil || p.Responses == nil {
 		return nil
@@ -32,7 +34,7 @@
 	return r
 }
 
-// RecordRequest records that the client received a request.
+// RecordRequest records that the client received a request with this reply subject.
 func (r *ReplyTracker) RecordRequest(now time.Duration, subject []byte) {
 	if r == nil || len(subject) == 0 {
 		return
