--- a/internal/auth/authenticator.go
+++ b/internal/auth/authenticator.go
@@ -54,8 +54,8 @@
 // Errors of Authenticate. Their texts are logged only; the client gets the NATS protocol's texts.
 var (
 	ErrDenied  = errors.New("unknown user or wrong credentials")
-	ErrExpired = errors.New("expired")
-	ErrRevoked = errors.New("revoked")
+	ErrExpired = errors.New("the JWT of the user or of its account has expired")
+	ErrRevoked = errors.New("the account has revoked the JWT of the user")
 )
 
 // RequiresNonce reports whether some users log in by signing a nonce, which the INFO must then have.
--- a/internal/auth/authenticator_test.go
+++ b/internal/auth/authenticator_test.go
@@ -19,7 +19,7 @@
 		{"a.>", "a", false}, {">", "a.b", true}, {"a.b", "a.*", false}, {"a", "a.b", false}, {"a.b", "a", false}, {"*.b", "a.b", true}, {"*", ">", false},
 	} {
 		if Covers(c.pattern, c.subject) != c.want {
-			t.Errorf("%s covers %s: %v", c.pattern, c.subject, !c.want)
+			t.Errorf("Covers(%q, %q) = %v, want %v", c.pattern, c.subject, !c.want, c.want)
 		}
 	}
 }
@@ -31,11 +31,11 @@
 	got := fmt.Sprint(p.CanPublish("a.b"), p.CanPublish("a.x"), p.CanPublish("b"), " ", p.CanSubscribe("s.a", ""), p.CanSubscribe("s.x", ""), p.CanSubscribe("s.>", ""),
 		p.CanSubscribe("w", ""), p.CanSubscribe("w", "crew.1"), " ", p.NeedsFilter("s.*"), p.NeedsFilter("s.a"), p.Denies("s.x"), p.Denies("s.a"))
 	if want := "true false false true false false false true true false true false"; got != want {
-		t.Errorf("got  %s\nwant %s", got, want)
+		t.Errorf("CanPublish, CanSubscribe, NeedsFilter and Denies:\ngot  %s\nwant %s", got, want)
 	}
 	var none *Permissions
 	if !none.CanPublish("x") || !none.CanSubscribe("x", "q") || none.NeedsFilter("*") {
-		t.Error("no permissions are a bound")
+		t.Error("nil permissions restrict the client, want everything allowed")
 	}
 }
 
@@ -45,20 +45,20 @@
 	r := NewReplyTracker(&Permissions{Responses: &Responses{Max: 2, ExpiresMS: 1000}})
 	r.RecordRequest(0, []byte("box"))
 	if !r.AllowReply(1, "box") || !r.AllowReply(2, "box") || r.AllowReply(3, "box") || r.AllowReply(3, "other") {
-		t.Error("not two answers to one request")
+		t.Error("AllowReply did not allow exactly two replies to one request")
 	}
 	r.RecordRequest(0, []byte("late"))
 	if r.AllowReply(time.Second, "late") {
-		t.Error("an answer after its time")
+		t.Error("AllowReply allowed a reply after the request had expired")
 	}
 	for i := range 3 * maxPendingReplies {
 		r.RecordRequest(time.Minute, fmt.Append(nil, i))
 	}
 	if len(r.pending) > maxPendingReplies || len(r.order) > maxPendingReplies || !r.AllowReply(time.Minute, fmt.Sprint(3*maxPendingReplies-1)) {
-		t.Errorf("%d requests are kept", len(r.pending))
+		t.Errorf("%d requests tracked, %d in order; want at most %d, with the newest among them", len(r.pending), len(r.order), maxPendingReplies)
 	}
 	if NewReplyTracker(&Permissions{}).AllowReply(0, "x") {
-		t.Error("answers without a rule")
+		t.Error("AllowReply allowed a reply without a rule for responses")
 	}
 }
 
@@ -102,14 +102,14 @@
 		issuerAccount string
 		want          error
 	}{
-		"its own key":      {func(*jwt.AccountClaims) {}, account, "", nil},
-		"a signing key":    {func(*jwt.AccountClaims) {}, signingKey, accountPublicKey, nil},
-		"for another":      {func(*jwt.AccountClaims) {}, signingKey, signingPublicKey, ErrDenied},
-		"revoked":          {func(a *jwt.AccountClaims) { a.RevokeAt(user, now.Add(time.Hour)) }, account, "", ErrRevoked},
-		"an ended account": {func(a *jwt.AccountClaims) { a.Expires = now.Add(-time.Minute).Unix() }, account, "", ErrExpired},
+		"the account's own key":            {func(*jwt.AccountClaims) {}, account, "", nil},
+		"a signing key of the account":     {func(*jwt.AccountClaims) {}, signingKey, accountPublicKey, nil},
+		"a JWT that names another account": {func(*jwt.AccountClaims) {}, signingKey, signingPublicKey, ErrDenied},
+		"a revoked user":                   {func(a *jwt.AccountClaims) { a.RevokeAt(user, now.Add(time.Hour)) }, account, "", ErrRevoked},
+		"an expired account":               {func(a *jwt.AccountClaims) { a.Expires = now.Add(-time.Minute).Unix() }, account, "", ErrExpired},
 	} {
 		if err := logIn(c.change, c.signer, c.issuerAccount); err != c.want {
-			t.Errorf("%s: %v, want %v", name, err, c.want)
+			t.Errorf("%s: Authenticate returned %v, want %v", name, err, c.want)
 		}
 	}
 }
--- a/internal/auth/config.go
+++ b/internal/auth/config.go
@@ -48,7 +48,7 @@
 			return nil, fmt.Errorf("jwt.%w", err)
 		}
 	} else if len(c.Users) == 0 {
-		return nil, errors.New("users: nobody could enter")
+		return nil, errors.New("users: is empty and jwt is not set, so no client could log in")
 	}
 	return a, nil
 }
@@ -74,23 +74,23 @@
 	}
 	if u.NKey == "" {
 		if n, err := bcrypt.Cost([]byte(hash)); err != nil {
-			return fmt.Errorf(".%s: is no bcrypt hash", key)
+			return fmt.Errorf(".%s: is not a bcrypt hash", key)
 		} else if n > maxBcryptCost {
-			return fmt.Errorf(".%s: a bcrypt cost of %d is over %d", key, n, maxBcryptCost)
+			return fmt.Errorf(".%s: has a bcrypt cost of %d, want at most %d", key, n, maxBcryptCost)
 		}
 	}
 	switch {
 	case u.User != "":
 		if a.usersByName[u.User] != nil {
-			return fmt.Errorf(".user: %q stands twice", u.User)
+			return fmt.Errorf(".user: %q is configured twice", u.User)
 		}
 		a.usersByName[u.User] = u
 	case u.TokenHash != "":
 		a.tokenUsers = append(a.tokenUsers, u)
 	case !nkeys.IsValidPublicUserKey(u.NKey):
-		return errors.New(".nkey: is no public user key")
+		return errors.New(".nkey: is not a public user key")
 	case a.usersByKey[u.NKey] != nil:
-		return errors.New(".nkey: stands twice")
+		return errors.New(".nkey: is configured twice")
 	default:
 		a.usersByKey[u.NKey], a.requiresNonce = u, true
 	}
@@ -107,12 +107,12 @@
 	operators := map[string]bool{}
 	for i, key := range t.Operators {
 		if !nkeys.IsValidPublicOperatorKey(key) {
-			return fmt.Errorf("operators[%d]: is no public operator key", i)
+			return fmt.Errorf("operators[%d]: is not a public operator key", i)
 		}
 		operators[key] = true
 	}
 	if len(t.Accounts) == 0 {
-		return errors.New("accounts: is empty, so that nobody could enter")
+		return errors.New("accounts: is empty, so no client could log in with a JWT")
 	}
 	for i, text := range t.Accounts {
 		if nkeys.IsValidPublicAccountKey(text) {
@@ -124,7 +124,7 @@
 			return fmt.Errorf("accounts[%d]: is neither a public account key nor an account's JWT: %w", i, err)
 		}
 		if !operators[claims.Issuer] {
-			return fmt.Errorf("accounts[%d]: its issuer %s is not among operators", i, claims.Issuer)
+			return fmt.Errorf("accounts[%d]: the issuer %s of the JWT is not in operators", i, claims.Issuer)
 		}
 		a.accounts[claims.Subject] = claims
 		for key := range claims.SigningKeys {
--- a/internal/auth/permissions.go
+++ b/internal/auth/permissions.go
@@ -39,7 +39,7 @@
 		for i, s := range list.patterns {
 			subject, _, _ := strings.Cut(s, " ")
 			if subject == "" || strings.Contains("."+subject+".", "..") || strings.Contains(subject, ">.") {
-				return fmt.Errorf("%s[%d]: %q is no subject", list.key, i, s)
+				return fmt.Errorf("%s[%d]: %q is not a valid subject", list.key, i, s)
 			}
 		}
 	}
