--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -15,9 +15,9 @@
 	"dahliarudder/internal/pool"
 )
 
-// servePredecessor acts as the older process: it answers Hello with the state and one descriptor.
+// serveOlderProcess acts as the older process: it answers Hello with the state and one descriptor.
 // It returns the messages that it receives.
-func servePredecessor(h *looptest.Harness, dir string, state *State) (received *[]*Message) {
+func serveOlderProcess(h *looptest.Harness, dir string, state *State) (received *[]*Message) {
 	received = &[]*Message{}
 	_, err := h.ListenChannel(Path(dir), func(fd int) {
 		var p *Peer
@@ -106,7 +106,7 @@
 	for n := range 3000 {
 		state.Pool.Instances = append(state.Pool.Instances, pool.Instance{ID: fmt.Sprint("s-", n), Addr: "127.0.0.1:9", Zone: "a"})
 	}
-	received := servePredecessor(h, dir, state)
+	received := serveOlderProcess(h, dir, state)
 	fd, got, fds, err := requestState(h, dir)
 	if err != nil || got == nil || len(fds) != 1 || got.Limit != 77 || len(got.Pool.Instances) != 3000 || got.Pool.Instances[2999].ID != "s-2999" {
 		t.Fatalf("RequestState = state %v, %d descriptors, error %v; want the state that was sent, with 1 descriptor", got, len(fds), err)
@@ -129,7 +129,7 @@
 // TestUnsupportedVersion: RequestState returns an error for a state of a later protocol version.
 func TestUnsupportedVersion(t *testing.T) {
 	h, dir := looptest.New(t, 16), t.TempDir()
-	servePredecessor(h, dir, &State{Version: version + 1, Fronts: []string{"line"}})
+	serveOlderProcess(h, dir, &State{Version: version + 1, Fronts: []string{"line"}})
 	if fd, state, _, err := requestState(h, dir); err == nil || fd >= 0 || state != nil {
 		t.Errorf("RequestState = fd %d, state %v, error %v; want fd -1, no state, an error", fd, state, err)
 	}
@@ -185,7 +185,8 @@
 	return n == 0 && err == nil
 }
 
-// TestTransferConfirmed: a transferred descriptor stays open here until the other process has confirmed it.
+// TestTransferConfirmed: the sender keeps a transferred descriptor open until the other process has
+// confirmed the transfer.
 func TestTransferConfirmed(t *testing.T) {
 	p := newPeerPair(t, version)
 	readEnd := p.sendPipe("a")
@@ -240,7 +241,7 @@
 // older process sends its state in that version to a newer process that speaks it.
 func TestEarlierVersion(t *testing.T) {
 	h, dir := looptest.New(t, 16), t.TempDir()
-	servePredecessor(h, dir, &State{Version: versionUnconfirmed, Fronts: []string{"line"}})
+	serveOlderProcess(h, dir, &State{Version: versionUnconfirmed, Fronts: []string{"line"}})
 	fd, state, fds, err := requestState(h, dir)
 	if err != nil || state == nil || state.Version != versionUnconfirmed {
 		t.Fatalf("RequestState = state %v, error %v; want a state of version %d", state, err, versionUnconfirmed)
