--- a/internal/atomicfile/atomicfile_test.go
+++ b/internal/atomicfile/atomicfile_test.go
@@ -9,8 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestWriteFails: whichever step fails, with any error of a full or broken disk, the file has its complete old content or the
-// new one; the error is returned, nothing is left beside the file, and the next write succeeds.
+// TestWriteFails: whichever step fails, with any error of a full or broken disk, Write returns the
+// error, the file has its complete old or new content, no temporary file is left over, and the next
+// Write succeeds.
 func TestWriteFails(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ENOSPC, unix.EIO, unix.EDQUOT} {
 		for step, failing := range map[string]func(c *fileCalls){
@@ -35,40 +36,41 @@
 		} {
 			t.Run(step+" "+unix.ErrnoName(errno), func(t *testing.T) {
 				path := filepath.Join(t.TempDir(), "file")
-				holds := func(want string) {
+				checkContent := func(want string) {
 					t.Helper()
 					if text, err := os.ReadFile(path); err != nil || string(text) != want {
-						t.Errorf("holds %q, %v, want %q", text, err, want)
+						t.Errorf("content %q, error %v; want %q", text, err, want)
 					}
 					if all, err := os.ReadDir(filepath.Dir(path)); err != nil || len(all) != 1 {
-						t.Errorf("%v beside the file, %v", all, err)
+						t.Errorf("files in the directory: %v, error %v; want one file", all, err)
 					}
 				}
 				if err := Write(path, []byte("the old content")); err != nil {
 					t.Fatal(err)
 				}
-				working := kernel
-				failing(&kernel)
+				original := osCalls
+				failing(&osCalls)
 				err := Write(path, []byte("another one"))
-				kernel = working
+				osCalls = original
 				if !errors.Is(err, errno) {
-					t.Errorf("ended with %v", err)
+					t.Errorf("Write = %v, want %v", err, errno)
 				}
 				if step == "sync of the directory" {
-					holds("another one")
+					checkContent("another one")
 				} else {
-					holds("the old content")
+					checkContent("the old content")
 				}
 				if err := Write(path, []byte("the last one")); err != nil {
 					t.Fatal(err)
 				}
-				holds("the last one")
+				checkContent("the last one")
 			})
 		}
 	}
 }
 
-// TestHalfWritten: what a process that was killed during a write has left behind is not read, and does not disturb the next write.
+// TestHalfWritten: the temporary file of a process that was killed during Write is not read and does
+// not disturb the next Write.
 func TestHalfWritten(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "file")
 	if err := Write(path, []byte("the old content")); err != nil {
@@ -78,12 +80,12 @@
 		t.Fatal(err)
 	}
 	if text, err := os.ReadFile(path); err != nil || string(text) != "the old content" {
-		t.Errorf("%q, %v", text, err)
+		t.Errorf("content beside a left-over temporary file = %q, %v; want the old content", text, err)
 	}
 	if err := Write(path, []byte("new")); err != nil {
 		t.Fatal(err)
 	}
 	if text, err := os.ReadFile(path); err != nil || string(text) != "new" {
-		t.Errorf("%q, %v", text, err)
+		t.Errorf("content after Write over a left-over temporary file = %q, %v; want \"new\"", text, err)
 	}
 }
--- a/internal/auth/config.go
+++ b/internal/auth/config.go
@@ -9,31 +9,32 @@
 	"golang.org/x/crypto/bcrypt"
 )
 
-// User is a user that may log in: by name and password, by a token, or by an NKey.
+// User is a user that may log in with a name and password, with a token, or with an NKey.
 type User struct {
 	User        string       `json:"user"`
-	PassHash    string       `json:"password"` // bcrypt
-	TokenHash   string       `json:"token"`    // bcrypt
-	NKey        string       `json:"nkey"`     // the public key
+	PassHash    string       `json:"password"` // bcrypt hash
+	TokenHash   string       `json:"token"`    // bcrypt hash
+	NKey        string       `json:"nkey"`     // public key
 	Permissions *Permissions `json:"permissions"`
 }
 
-// JWTTrust is the operators and accounts whose JWTs are accepted.
+// JWTTrust lists the operators and accounts whose JWTs are accepted.
 type JWTTrust struct {
-	Operators []string `json:"operators"` // public keys, signing keys among them
+	Operators []string `json:"operators"` // public keys, including signing keys
 	Accounts  []string `json:"accounts"`  // public keys, or JWTs signed by one of the operators
 }
 
-// Config is the users and accounts that may log in.
+// Config lists the users and accounts that may log in.
 type Config struct {
 	Users []User    `json:"users"`
 	JWT   *JWTTrust `json:"jwt"`
 }
 
-// maxBcryptCost bounds the work of checking a configured hash: at 14 one check takes a second.
+// maxBcryptCost limits the cost of a configured hash: at cost 14 one check takes a second.
 const maxBcryptCost = 14
 
-// NewAuthenticator validates a configuration. Errors name the key.
+// NewAuthenticator validates a configuration. Errors begin with the key that is wrong, relative to
+// the configuration's section auth.
 func NewAuthenticator(c *Config) (*Authenticator, error) {
 	a := &Authenticator{usersByName: map[string]*User{}, usersByKey: map[string]*User{}, accounts: map[string]*jwt.AccountClaims{}}
 	for i := range c.Users {
@@ -47,12 +48,12 @@
 			return nil, fmt.Errorf("jwt.%w", err)
 		}
 	} else if len(c.Users) == 0 {
-		return nil, errors.New("users: nobody could enter")
+		return nil, errors.New("users: is empty and jwt is not set, so no client could log in")
 	}
 	return a, nil
 }
 
-// ExactlyOne reports whether exactly one of the settings is set.
+// ExactlyOne reports whether exactly one of the settings is not empty.
 func ExactlyOne(settings ...string) bool {
 	n := 0
 	for _, s := range settings {
@@ -73,23 +74,23 @@
 	}
 	if u.NKey == "" {
 		if n, err := bcrypt.Cost([]byte(hash)); err != nil {
-			return fmt.Errorf(".%s: is no bcrypt hash", key)
+			return fmt.Errorf(".%s: is not a bcrypt hash", key)
 		} else if n > maxBcryptCost {
-			return fmt.Errorf(".%s: a bcrypt cost of %d is over %d", key, n, maxBcryptCost)
+			return fmt.Errorf(".%s: has a bcrypt cost of %d, want at most %d", key, n, maxBcryptCost)
 		}
 	}
 	switch {
 	case u.User != "":
 		if a.usersByName[u.User] != nil {
-			return fmt.Errorf(".user: %q stands twice", u.User)
+			return fmt.Errorf(".user: %q is configured twice", u.User)
 		}
 		a.usersByName[u.User] = u
 	case u.TokenHash != "":
 		a.tokenUsers = append(a.tokenUsers, u)
 	case !nkeys.IsValidPublicUserKey(u.NKey):
-		return errors.New(".nkey: is no public user key")
+		return errors.New(".nkey: is not a public user key")
 	case a.usersByKey[u.NKey] != nil:
-		return errors.New(".nkey: stands twice")
+		return errors.New(".nkey: is configured twice")
 	default:
 		a.usersByKey[u.NKey], a.requiresNonce = u, true
 	}
@@ -101,17 +102,17 @@
 	return nil
 }
 
-// addTrust adds the accounts whose users may log in by JWT.
+// addTrust adds the accounts whose users may log in with a JWT.
 func (a *Authenticator) addTrust(t *JWTTrust) error {
 	operators := map[string]bool{}
 	for i, key := range t.Operators {
 		if !nkeys.IsValidPublicOperatorKey(key) {
-			return fmt.Errorf("operators[%d]: is no public operator key", i)
+			return fmt.Errorf("operators[%d]: is not a public operator key", i)
 		}
 		operators[key] = true
 	}
 	if len(t.Accounts) == 0 {
-		return errors.New("accounts: is empty, so that nobody could enter")
+		return errors.New("accounts: is empty, so no client could log in with a JWT")
 	}
 	for i, text := range t.Accounts {
 		if nkeys.IsValidPublicAccountKey(text) {
@@ -123,7 +124,7 @@
 			return fmt.Errorf("accounts[%d]: is neither a public account key nor an account's JWT: %w", i, err)
 		}
 		if !operators[claims.Issuer] {
-			return fmt.Errorf("accounts[%d]: its issuer %s is not among operators", i, claims.Issuer)
+			return fmt.Errorf("accounts[%d]: the issuer %s of the JWT is not in operators", i, claims.Issuer)
 		}
 		a.accounts[claims.Subject] = claims
 		for key := range claims.SigningKeys {
--- a/internal/ejections/file_test.go
+++ b/internal/ejections/file_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-func read(t *testing.T, f File) []string {
+func readNames(t *testing.T, f File) []string {
 	t.Helper()
 	names, err := f.Read()
 	if err != nil {
@@ -19,7 +19,7 @@
 	return names
 }
 
-// TestSet: a member that is ejected twice is listed once, and one reinstatement undoes both.
+// TestSet: a member that is ejected twice is listed once, and one reinstatement removes it.
 func TestSet(t *testing.T) {
 	f := File{t.TempDir()}
 	for _, step := range []struct {
@@ -33,33 +33,33 @@
 		if err := f.Set(step.name, step.ejected); err != nil {
 			t.Fatal(err)
 		}
-		if got := read(t, f); !slices.Equal(got, step.want) {
-			t.Errorf("after %s %v: %v, want %v", step.name, step.ejected, got, step.want)
+		if got := readNames(t, f); !slices.Equal(got, step.want) {
+			t.Errorf("names after Set(%s, %v) = %v, want %v", step.name, step.ejected, got, step.want)
 		}
 	}
 }
 
-// TestTornFile: a file that is cut short is an error and counts as empty, and the next ejection
-// writes it anew. Guards against a start that fails for a file torn by a full disk.
+// TestTornFile: Read returns an error and no names for a truncated file, and Set replaces it. Guards
+// against a relay that does not start because a full disk has truncated the file.
 func TestTornFile(t *testing.T) {
 	f := File{t.TempDir()}
 	if err := os.WriteFile(f.path(), []byte(`["a","b`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if names, err := f.Read(); err == nil || len(names) > 0 {
-		t.Errorf("%v, %v from a torn file", names, err)
+		t.Errorf("Read(truncated file) = %v, %v; want no names and an error", names, err)
 	}
 	if err := f.Set("c", true); err != nil {
 		t.Fatal(err)
 	}
-	if got := read(t, f); !slices.Equal(got, []string{"c"}) {
-		t.Errorf("%v", got)
+	if got := readNames(t, f); !slices.Equal(got, []string{"c"}) {
+		t.Errorf("names after Set on a truncated file = %v, want [c]", got)
 	}
 }
 
-// TestConcurrentWriters: two processes that write at once lose nothing of each other's, nobody
-// ever reads a part of a file, and no temporary file is left. Each File opens the
-// lock by itself, as processes do.
+// TestConcurrentWriters: two processes that call Set at the same time lose none of each other's
+// names, a reader never finds a partial file, and no temporary file is left over. Set opens the lock
+// file in each call, so goroutines exclude each other here as processes do.
 func TestConcurrentWriters(t *testing.T) {
 	dir := t.TempDir()
 	var wait sync.WaitGroup
@@ -78,23 +78,24 @@
 		}()
 	}
 	wait.Wait()
-	if got := read(t, File{dir}); len(got) != 40 {
-		t.Errorf("%d names of 40", len(got))
+	if got := readNames(t, File{dir}); len(got) != 40 {
+		t.Errorf("%d names after 40 ejections by two writers, want 40", len(got))
 	}
 	if left, _ := filepath.Glob(filepath.Join(dir, "bans?*")); !slices.Equal(left, []string{filepath.Join(dir, "bans.json")}) {
-		t.Errorf("left over: %v", left)
+		t.Errorf("files in the directory: %v, want bans.json only", left)
 	}
 }
 
-// TestUnwritable: what cannot be stored is an error, so that it is not confirmed.
+// TestUnwritable: Set returns an error if it cannot store the ejection, so that the operator's call
+// is not answered as successful.
 func TestUnwritable(t *testing.T) {
 	if err := (File{filepath.Join(t.TempDir(), "gone")}).Set("a", true); err == nil {
-		t.Error("no error")
+		t.Error("Set in a missing directory succeeded, want an error")
 	}
 }
 
-// TestStateDir: a directory is found again by the relay's name, and what another user or
-// program may have put in its place is not taken.
+// TestStateDir: the same relay name yields the same directory, another name another one. A symbolic
+// link in its place, which another user may have created, is an error.
 func TestStateDir(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	first, err := StateDir("n/../1")
@@ -102,16 +103,16 @@
 		t.Fatal(err)
 	}
 	if again, err := StateDir("n/../1"); err != nil || again != first || filepath.Dir(first) != os.TempDir() {
-		t.Errorf("%s, then %s, %v", first, again, err)
+		t.Errorf("second StateDir(n/../1) = %s, %v; want %s in the directory for temporary files", again, err, first)
 	}
 	if other, err := StateDir("n2"); err != nil || other == first {
-		t.Errorf("%s for another name, %v", other, err)
+		t.Errorf("StateDir(n2) = %s, %v; want another directory than %s", other, err, first)
 	}
 	os.Remove(first)
 	if err := os.Symlink(os.TempDir(), first); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := StateDir("n/../1"); err == nil {
-		t.Error("a link was taken for the directory")
+		t.Error("StateDir accepted a symbolic link as the directory, want an error")
 	}
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -15,9 +15,9 @@
 	"dahliarudder/internal/pool"
 )
 
-// servePredecessor stands for the process that serves: it answers a hello with the state and a descriptor, and returns the messages that it
-// receives.
-func servePredecessor(h *looptest.Harness, dir string, state *State) (received *[]*Message) {
+// serveOlderProcess acts as the older process: it answers Hello with the state and one descriptor.
+// It returns the messages that it receives.
+func serveOlderProcess(h *looptest.Harness, dir string, state *State) (received *[]*Message) {
 	received = &[]*Message{}
 	_, err := h.ListenChannel(Path(dir), func(fd int) {
 		var p *Peer
@@ -36,14 +36,14 @@
 	return received
 }
 
-// requestState requests the predecessor's state while the loop runs.
+// requestState calls RequestState while the event loop of the older process runs.
 func requestState(h *looptest.Harness, dir string) (fd int, state *State, fds []int, err error) {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		fd, state, fds, err = RequestState(dir)
 	}()
-	h.WaitFor("an answer", func() bool {
+	h.WaitFor("RequestState to return", func() bool {
 		select {
 		case <-done:
 			return true
@@ -54,8 +54,9 @@
 	return fd, state, fds, err
 }
 
-// TestRequestStateDyingProcess: a process that is being killed resets the connections to it, and then is gone; the next one starts without a
-// predecessor.
+// TestRequestStateDyingProcess: a process that is being killed resets connections to it until its
+// socket is closed. RequestState retries and then reports that there is no older process, so that
+// the newer one starts without its state.
 func TestRequestStateDyingProcess(t *testing.T) {
 	h := looptest.New(t, 16)
 	dir := t.TempDir()
@@ -71,15 +72,16 @@
 		t.Fatal(err)
 	}
 	if fd, state, _, err := requestState(h, dir); fd >= 0 || state != nil || err != nil || requests != 3 {
-		t.Errorf("%d, %v, %v after %d requests", fd, state, err, requests)
+		t.Errorf("RequestState = fd %d, state %v, error %v after %d requests; want fd -1, no state, no error after 3", fd, state, err, requests)
 	}
 }
 
-// TestRequestStateNoProcess: without another process there is no predecessor, also if the socket of one that died is left over.
+// TestRequestStateNoProcess: RequestState returns no state and no error if the socket does not
+// exist, or is left over from a process that has ended.
 func TestRequestStateNoProcess(t *testing.T) {
 	dir := t.TempDir()
 	if fd, state, _, err := RequestState(dir); fd >= 0 || state != nil || err != nil {
-		t.Errorf("no socket: %d, %v, %v", fd, state, err)
+		t.Errorf("RequestState without a socket = fd %d, state %v, error %v; want fd -1, no state, no error", fd, state, err)
 	}
 	addr := &unix.SockaddrUnix{Name: filepath.Join(dir, filepath.Base(Path(dir)))}
 	fd, err := unix.Socket(unix.AF_UNIX, unix.SOCK_SEQPACKET, 0)
@@ -90,12 +92,13 @@
 		t.Fatal(err)
 	}
 	if fd, state, _, err := RequestState(dir); fd >= 0 || state != nil || err != nil {
-		t.Errorf("socket of a dead process: %d, %v, %v", fd, state, err)
+		t.Errorf("RequestState with the socket of a dead process = fd %d, state %v, error %v; want fd -1, no state, no error", fd, state, err)
 	}
 	os.Remove(Path(dir))
 }
 
-// TestRequestState: a state larger than one frame arrives complete, with its descriptors, and messages can follow it.
+// TestRequestState: a state larger than one frame arrives complete, with its descriptor, and
+// further messages can be sent on the same socket.
 func TestRequestState(t *testing.T) {
 	h, dir := looptest.New(t, 16), t.TempDir()
 	state := NewState(core.LearnedState{}, version)
@@ -103,10 +106,10 @@
 	for n := range 3000 {
 		state.Pool.Instances = append(state.Pool.Instances, pool.Instance{ID: fmt.Sprint("s-", n), Addr: "127.0.0.1:9", Zone: "a"})
 	}
-	received := servePredecessor(h, dir, state)
+	received := serveOlderProcess(h, dir, state)
 	fd, got, fds, err := requestState(h, dir)
 	if err != nil || got == nil || len(fds) != 1 || got.Limit != 77 || len(got.Pool.Instances) != 3000 || got.Pool.Instances[2999].ID != "s-2999" {
-		t.Fatalf("%v, %d descriptors, %v", got, len(fds), err)
+		t.Fatalf("RequestState = state %v, %d descriptors, error %v; want the state that was sent, with 1 descriptor", got, len(fds), err)
 	}
 	closeAll(fds)
 	p, err := NewPeer(h.Loop, fd, func(*Message, []int) {}, func(error) {})
@@ -116,19 +119,19 @@
 	if err := p.Send(Message{Serving: true}); err != nil {
 		t.Fatal(err)
 	}
-	h.WaitFor("the message", func() bool { return len(*received) == 2 })
+	h.WaitFor("the Serving message", func() bool { return len(*received) == 2 })
 	if !(*received)[1].Serving {
-		t.Errorf("received %+v", (*received)[1])
+		t.Errorf("second message = %+v, want Serving", (*received)[1])
 	}
 	p.Close()
 }
 
-// TestUnsupportedVersion: the state of a later version is an error.
+// TestUnsupportedVersion: RequestState returns an error for a state of a later protocol version.
 func TestUnsupportedVersion(t *testing.T) {
 	h, dir := looptest.New(t, 16), t.TempDir()
-	servePredecessor(h, dir, &State{Version: version + 1, Fronts: []string{"line"}})
+	serveOlderProcess(h, dir, &State{Version: version + 1, Fronts: []string{"line"}})
 	if fd, state, _, err := requestState(h, dir); err == nil || fd >= 0 || state != nil {
-		t.Errorf("%d, %v, %v", fd, state, err)
+		t.Errorf("RequestState = fd %d, state %v, error %v; want fd -1, no state, an error", fd, state, err)
 	}
 }
 
@@ -162,7 +165,8 @@
 	return p
 }
 
-// sendPipe transfers a pipe's write end, and returns its read end, which reports the end of file once no process has the write end open.
+// sendPipe transfers the write end of a pipe to the receiver. It returns the read end, on which
+// isClosed reports whether any process still has the write end open.
 func (p *peerPair) sendPipe(name string) (readEnd int) {
 	ends := make([]int, 2)
 	if err := unix.Pipe2(ends, unix.O_CLOEXEC|unix.O_NONBLOCK); err != nil {
@@ -181,64 +185,69 @@
 	return n == 0 && err == nil
 }
 
-// TestTransferConfirmed: a transferred descriptor stays open here until the other process has confirmed it.
+// TestTransferConfirmed: the sender keeps a transferred descriptor open until the other process has
+// confirmed the transfer.
 func TestTransferConfirmed(t *testing.T) {
 	p := newPeerPair(t, version)
 	readEnd := p.sendPipe("a")
 	if p.sender.Pending() != 1 || p.sender.PendingFDs() != 1 || p.sender.Idle() || isClosed(readEnd) {
-		t.Fatalf("%d pending with %d descriptors", p.sender.Pending(), p.sender.PendingFDs())
+		t.Fatalf("before the confirmation: %d transfers pending with %d descriptors, want 1 with 1, and the connection open",
+			p.sender.Pending(), p.sender.PendingFDs())
 	}
 	p.harness.WaitFor("the confirmation", func() bool { return p.sender.Idle() })
 	if len(p.received) != 1 || p.sender.Pending() != 0 || !isClosed(readEnd) {
-		t.Errorf("%d received, %d pending", len(p.received), p.sender.Pending())
+		t.Errorf("after the confirmation: %d messages received, %d transfers pending, connection closed %v; want 1, 0, true",
+			len(p.received), p.sender.Pending(), isClosed(readEnd))
 	}
 }
 
-// TestTransferUnconfirmed: connections that the other process did not confirm before it ended are returned, in order and open, so that their
-// clients are not cut off.
+// TestTransferUnconfirmed: connections that the other process did not confirm before it ended are
+// returned once, in the order sent and still open, so that their clients are not disconnected.
 func TestTransferUnconfirmed(t *testing.T) {
 	p := newPeerPair(t, version)
 	readEnds := []int{p.sendPipe("a"), p.sendPipe("b")}
 	p.receiver.Close() // before it has read anything
-	p.harness.WaitFor("the end", func() bool { return p.senderEnded })
+	p.harness.WaitFor("the sender to notice that the receiver is gone", func() bool { return p.senderEnded })
 	unconfirmed := p.sender.Unconfirmed()
 	if len(unconfirmed) != 2 || string(unconfirmed[0].Message.Client.Unread) != "a" || string(unconfirmed[1].Message.Client.Unread) != "b" {
-		t.Fatalf("unconfirmed: %+v", unconfirmed)
+		t.Fatalf("Unconfirmed() = %+v, want the connections a and b", unconfirmed)
 	}
 	for i, transfer := range unconfirmed {
 		if isClosed(readEnds[i]) {
-			t.Errorf("%d is closed", i)
+			t.Errorf("connection %d is closed, want it open", i)
 		}
 		closeAll(transfer.FDs)
 	}
 	if p.sender.Pending() != 0 || len(p.sender.Unconfirmed()) != 0 {
-		t.Error("returned twice")
+		t.Errorf("after Unconfirmed(): %d transfers pending, want 0, and none returned again", p.sender.Pending())
 	}
 }
 
-// TestTransferWithoutConfirmation: a process of the earlier version confirms nothing, and nothing waits for it.
+// TestTransferWithoutConfirmation: if the other process speaks the version without confirmations,
+// a transfer has no number, is complete once sent, and its descriptors are closed at once.
 func TestTransferWithoutConfirmation(t *testing.T) {
 	p := newPeerPair(t, versionUnconfirmed)
 	readEnd := p.sendPipe("a")
 	if p.sender.Pending() != 0 || !p.sender.Idle() {
-		t.Errorf("%d pending", p.sender.Pending())
+		t.Errorf("%d transfers pending, Idle() = %v; want 0, true", p.sender.Pending(), p.sender.Idle())
 	}
 	p.harness.WaitFor("the message", func() bool { return len(p.received) == 1 })
 	if p.received[0].Transfer != 0 || !isClosed(readEnd) {
-		t.Errorf("transfer %d", p.received[0].Transfer)
+		t.Errorf("transfer number %d, connection closed %v; want 0, true", p.received[0].Transfer, isClosed(readEnd))
 	}
 }
 
-// TestEarlierVersion: a process can take over from one of the earlier version, and sends its own state in that version.
+// TestEarlierVersion: the newer process accepts a state of the earlier protocol version, and the
+// older process sends its state in that version to a newer process that speaks it.
 func TestEarlierVersion(t *testing.T) {
 	h, dir := looptest.New(t, 16), t.TempDir()
-	servePredecessor(h, dir, &State{Version: versionUnconfirmed, Fronts: []string{"line"}})
+	serveOlderProcess(h, dir, &State{Version: versionUnconfirmed, Fronts: []string{"line"}})
 	fd, state, fds, err := requestState(h, dir)
 	if err != nil || state == nil || state.Version != versionUnconfirmed {
-		t.Fatalf("%v, %v", state, err)
+		t.Fatalf("RequestState = state %v, error %v; want a state of version %d", state, err, versionUnconfirmed)
 	}
 	closeAll(append(fds, fd))
 	if state := NewState(core.LearnedState{}, versionUnconfirmed); state.Version != versionUnconfirmed {
-		t.Errorf("state of version %d", state.Version)
+		t.Errorf("NewState(_, %d) has version %d, want the same", versionUnconfirmed, state.Version)
 	}
 }
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// FuzzParser: an answer is read the same however it is cut up, and no bytes make
-// the parser panic or hold more than its bounds.
+// FuzzParser: the result does not depend on how the bytes are split, and no input makes the parser
+// panic.
 func FuzzParser(f *testing.F) {
 	for _, s := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
@@ -29,25 +29,27 @@
 	f.Fuzz(func(t *testing.T, text []byte, step uint8, call bool) {
 		read := func(step int) (p Parser, done bool, err error) {
 			p.Request = call
-			held := []byte{}
+			unread := []byte{}
 			for rest := text; len(rest) > 0 && !done && err == nil; {
 				n := min(step, len(rest))
-				held, rest = append(held, rest[:n]...), rest[n:]
+				unread, rest = append(unread, rest[:n]...), rest[n:]
 				var used int
-				used, done, err = p.Feed(held)
-				held = held[used:]
+				used, done, err = p.Feed(unread)
+				unread = unread[used:]
 			}
 			return p, done, err
 		}
 		p, done, err := read(len(text) + 1)
 		q, done2, err2 := read(int(step)%7 + 1)
 		if done != done2 || (err == nil) != (err2 == nil) || err == nil && (p.Status != q.Status || p.Method != q.Method || p.Target != q.Target || string(p.Body) != string(q.Body)) {
-			t.Errorf("whole: %v %v %d %q, cut: %v %v %d %q", done, err, p.Status, p.Body, done2, err2, q.Status, q.Body)
+			t.Errorf("Feed of all bytes at once: done %v, error %v, status %d, body %q; in steps: done %v, error %v, status %d, body %q",
+				done, err, p.Status, p.Body, done2, err2, q.Status, q.Body)
 		}
 	})
 }
 
-// TestParser: what the seed corpus says, word for word.
+// TestParser: status, body and ConnectionClose of valid responses, and the responses that are
+// malformed.
 func TestParser(t *testing.T) {
 	for text, want := range map[string]string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello":                                            "200 hello false",
@@ -68,27 +70,28 @@
 		if errors.Is(err, ErrMalformed) {
 			got = "malformed"
 		} else if !done {
-			got = "not whole"
+			got = "incomplete"
 		}
 		if got != want {
-			t.Errorf("%.60q: %q, want %q", text, got, want)
+			t.Errorf("response %.60q parsed as %q, want %q", text, got, want)
 		}
 	}
 }
 
-// TestRequest: the calls of operators, and what is none.
+// TestRequest: method, target, body and completeness of valid requests, and the requests that are
+// malformed.
 func TestRequest(t *testing.T) {
 	for text, want := range map[string]string{
-		"GET /-/ready HTTP/1.1\r\nHost: relay\r\n\r\n":                "GET /-/ready  true",
-		"PUT /-/drain HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}":        "PUT /-/drain {} true",
-		"PUT /-/drain HTTP/1.1\r\nContent-Length: 2\r\n\r\n{":         "PUT /-/drain { false",
-		"GET /-/ready HTTP/1.1\r\nHost: relay\r\n":                    "GET /-/ready  false",
-		"GET /-/ready\r\n\r\n":                                        "malformed",
-		"GET  /-/ready HTTP/1.1\r\n\r\n":                              "malformed",
-		"GET /-/ready SPDY/3\r\n\r\n":                                 "malformed",
-		"PUT /-/drain HTTP/1.1\r\nContent-Length: -1\r\n\r\n":         "malformed",
-		"PUT / HTTP/1.1\r\nContent-Length: 5000\r\n\r\n" + long(5000): "malformed",
-		"GET /" + long(5000) + " HTTP/1.1\r\n\r\n":                    "malformed",
+		"GET /-/ready HTTP/1.1\r\nHost: relay\r\n\r\n":                   "GET /-/ready  true",
+		"PUT /-/drain HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}":           "PUT /-/drain {} true",
+		"PUT /-/drain HTTP/1.1\r\nContent-Length: 2\r\n\r\n{":            "PUT /-/drain { false",
+		"GET /-/ready HTTP/1.1\r\nHost: relay\r\n":                       "GET /-/ready  false",
+		"GET /-/ready\r\n\r\n":                                           "malformed",
+		"GET  /-/ready HTTP/1.1\r\n\r\n":                                 "malformed",
+		"GET /-/ready SPDY/3\r\n\r\n":                                    "malformed",
+		"PUT /-/drain HTTP/1.1\r\nContent-Length: -1\r\n\r\n":            "malformed",
+		"PUT / HTTP/1.1\r\nContent-Length: 5000\r\n\r\n" + repeatX(5000): "malformed",
+		"GET /" + repeatX(5000) + " HTTP/1.1\r\n\r\n":                    "malformed",
 	} {
 		p := Parser{Request: true}
 		_, done, err := p.Feed([]byte(text))
@@ -97,22 +100,22 @@
 			got = "malformed"
 		}
 		if got != want {
-			t.Errorf("%.60q: %q, want %q", text, got, want)
+			t.Errorf("request %.60q parsed as %q, want %q", text, got, want)
 		}
 	}
 }
 
-func long(n int) string { return strings.Repeat("x", n) }
+func repeatX(n int) string { return strings.Repeat("x", n) }
 
-// TestDate: when an answer was made is read where it says so in the usual form.
+// TestDate: a Date header in the standard format is parsed; any other value is ignored.
 func TestDate(t *testing.T) {
 	for value, want := range map[string]int64{"Wed, 02 Dec 2026 12:30:45 GMT": 1796214645, "soon": 0, "": 0} {
 		p := &Parser{}
 		if _, done, err := p.Feed([]byte("HTTP/1.1 200 OK\r\nDate: " + value + "\r\nContent-Length: 0\r\n\r\n")); !done || err != nil {
-			t.Fatalf("%q: done %v, %v", value, done, err)
+			t.Fatalf("Feed with date %q: done %v, error %v; want a complete response", value, done, err)
 		}
 		if want == 0 && !p.Date.IsZero() || want != 0 && p.Date.Unix() != want {
-			t.Errorf("%q: read as %v", value, p.Date)
+			t.Errorf("date %q parsed as %v, want Unix time %d (0: no date)", value, p.Date, want)
 		}
 	}
 }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -25,42 +25,44 @@
 			ReinstatedAges: map[string]time.Duration{"s-1": time.Second}}}
 }
 
-// TestDecode: an encoded snapshot can be decoded; one that is truncated or changed at any byte, or of another version, cannot.
+// TestDecode: an encoded snapshot can be decoded. One that is truncated at any byte, changed at any
+// byte, or of another version cannot.
 func TestDecode(t *testing.T) {
 	b, err := testSnapshot().Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s, err := Decode(b); err != nil || !reflect.DeepEqual(s, testSnapshot()) {
-		t.Fatalf("%v, %+v", err, s)
+		t.Fatalf("Decode(Encode(s)) = %+v, %v; want s", s, err)
 	}
 	for i := range b {
 		if _, err := Decode(b[:i]); !errors.Is(err, ErrCorrupt) {
-			t.Fatalf("truncated at %d: %v", i, err)
+			t.Fatalf("Decode(first %d bytes): error %v, want ErrCorrupt", i, err)
 		}
 		changed := append([]byte(nil), b...)
 		changed[i] ^= 0x10
 		if _, err := Decode(changed); err == nil {
-			t.Fatalf("changed at byte %d, and decoded", i)
+			t.Fatalf("Decode succeeded with byte %d changed, want an error", i)
 		}
 	}
 	newer := append([]byte(nil), b...)
 	newer[len(magic)+1]++
 	if _, err := Decode(newer); !errors.Is(err, ErrVersion) {
-		t.Errorf("another version: %v", err)
+		t.Errorf("Decode(another version): error %v, want ErrVersion", err)
 	}
 }
 
-// TestValidate: which parts of a snapshot are used, by its age and by the relay that wrote it.
+// TestValidate: the age of a snapshot, the relay that wrote it and the generation of its endpoint
+// list decide which parts of it are used.
 func TestValidate(t *testing.T) {
 	limits := LimitsFor(10 * time.Second)
 	for _, c := range []struct {
 		name       string
 		relay      string
 		age        time.Duration
-		generation uint64 // of the list that the relay has
+		generation uint64 // of the endpoint list that the relay already has
 		err        error
-		discarded  int
+		discarded  int // number of discarded parts
 	}{
 		{"fresh", "n1", 2 * time.Second, 6, nil, 0},
 		{"list not newer", "n1", 2 * time.Second, 7, nil, 1},
@@ -74,7 +76,7 @@
 			s := testSnapshot()
 			age, discarded, err := s.Validate(Clocks{Wall: testTime.Add(c.age)}, c.relay, c.generation, limits)
 			if !errors.Is(err, c.err) || len(discarded) != c.discarded {
-				t.Errorf("%v, discarded %v", err, discarded)
+				t.Errorf("Validate: discarded %v, error %v; want %d discarded parts, error %v", discarded, err, c.discarded, c.err)
 				return
 			}
 			if err != nil {
@@ -84,14 +86,16 @@
 			expired := c.age > limits.Transient
 			if (s.List == nil) != (c.generation >= 7) || age < 0 || m.Ejected == expired || (m.Load < 0) != expired || (s.Learned.Policy.AdmissionRate == 1) != expired ||
 				m.Capacity != 40 || m.Uptime != 4*time.Second || m.Backoff != max(3*time.Second-age, 0) || s.Learned.Policy.Age != age {
-				t.Errorf("age %v, %+v, admission rate %v", age, m, s.Learned.Policy.AdmissionRate)
+				t.Errorf("Validate: wrong state after it (expired %v): age %v, member %+v, admission rate %v, has list %v",
+					expired, age, m, s.Learned.Policy.AdmissionRate, s.List != nil)
 			}
 		})
 	}
 }
 
-// TestValidateSteppedClock: until a reboot the age of a snapshot does not depend on the wall clock. After a reboot the wall clock may be
-// wrong, so it does not add to the uptime of members.
+// TestValidateSteppedClock: until the machine reboots, the age of a snapshot does not depend on the
+// wall clock. After a reboot only the wall clock is left, which may have been stepped, so its time
+// is not added to the uptime of members: a member still in slow start would count as warmed up.
 func TestValidateSteppedClock(t *testing.T) {
 	limits := LimitsFor(10 * time.Second)
 	const down = 2 * time.Second
@@ -100,57 +104,61 @@
 		age, _, err := s.Validate(Clocks{testTime.Add(down + step), "b1", time.Hour + down}, "n1", 6, limits)
 		m := s.Learned.Policy.Members[5]
 		if err != nil || age != down || m.Uptime != 4*time.Second+down || s.Learned.ReinstatedAges["s-1"] != time.Second+down || m.Backoff != time.Second {
-			t.Errorf("clock stepped by %v: %v, age %v, %+v, reinstated %v", step, err, age, m, s.Learned.ReinstatedAges)
+			t.Errorf("clock stepped by %v: age %v, member %+v, reinstated %v, error %v; want age %v, added to the uptime and the reinstatement",
+				step, age, m, s.Learned.ReinstatedAges, err, down)
 		}
 		s = testSnapshot()
 		if _, _, err := s.Validate(Clocks{testTime.Add(down + step), "b2", down}, "n1", 6, limits); err != nil {
 			continue
 		}
 		if m := s.Learned.Policy.Members[5]; m.Uptime != 4*time.Second || s.Learned.ReinstatedAges["s-1"] != time.Second {
-			t.Errorf("rebooted, clock stepped by %v: %+v, reinstated %v", step, m, s.Learned.ReinstatedAges)
+			t.Errorf("rebooted, clock stepped by %v: member %+v, reinstated %v; want uptime and reinstatement unchanged", step, m, s.Learned.ReinstatedAges)
 		}
 	}
 }
 
-// TestFile: no snapshot in the directory is no error; a directory that is missing, or has something else at the file's name, is one. A
-// failed write leaves the earlier snapshot.
+// TestFile: Read returns no error if the directory has no snapshot, and an error if a directory has
+// the snapshot's name. Write returns an error for a missing directory; a failed write leaves the
+// earlier snapshot in place.
 func TestFile(t *testing.T) {
 	dir := t.TempDir()
 	if s, err := Read(dir); s != nil || err != nil {
-		t.Errorf("no snapshot: %v, %v", s, err)
+		t.Errorf("Read(empty directory) = %v, %v; want nil, nil", s, err)
 	}
 	b, _ := testSnapshot().Encode()
 	if err := Write(dir, b); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Mkdir(filepath.Join(dir, fileName+".new"), 0o700); err != nil { // the next write fails
+	// A directory with the name of the temporary file makes the next write fail.
+	if err := os.Mkdir(filepath.Join(dir, fileName+".new"), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	if err := Write(dir, b[:10]); err == nil {
-		t.Error("no error for a failed write")
+		t.Error("Write over a directory with the temporary file's name succeeded, want an error")
 	}
 	if s, err := Read(dir); err != nil || !reflect.DeepEqual(s, testSnapshot()) {
-		t.Errorf("after a failed write: %v", err)
+		t.Errorf("Read after a failed Write = %+v, %v; want the earlier snapshot", s, err)
 	}
 	if err := Write(filepath.Join(dir, "none"), b); err == nil {
-		t.Error("no error for a missing directory")
+		t.Error("Write to a missing directory succeeded, want an error")
 	}
 	other := t.TempDir()
 	if err := os.Mkdir(filepath.Join(other, fileName), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Read(other); err == nil {
-		t.Error("a directory is read as a snapshot")
+		t.Error("Read succeeded although the snapshot's path is a directory, want an error")
 	}
 }
 
-// TestConcurrentWriters: two processes of one relay, as during an upgrade, never leave a partial snapshot.
+// TestConcurrentWriters: two processes of one relay write the snapshot at the same time during a hot
+// restart. A reader never finds a partial file.
 func TestConcurrentWriters(t *testing.T) {
 	dir := t.TempDir()
 	var writers sync.WaitGroup
 	for n := range 2 {
 		s := testSnapshot()
-		s.Peers = slices.Repeat([]string{"127.0.0.1:2"}, 60*n) // of another length
+		s.Peers = slices.Repeat([]string{"127.0.0.1:2"}, 60*n) // the two writers' files differ in length
 		b, err := s.Encode()
 		if err != nil {
 			t.Fatal(err)
@@ -164,7 +172,7 @@
 					return
 				}
 				if s, err := Read(dir); err != nil || s == nil {
-					t.Errorf("read %v, %v", s, err)
+					t.Errorf("Read during concurrent writes = %v, %v; want a complete snapshot", s, err)
 					return
 				}
 			}
--- a/internal/snapshot/stored_test.go
+++ b/internal/snapshot/stored_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// TestStoredFormsSnapshot: a snapshot file of release 63fa232 is decoded completely, and encoded again to the same bytes.
+// TestStoredFormsSnapshot: a snapshot file written by release 63fa232 is decoded completely, and
+// encoding it again yields the same bytes.
 func TestStoredFormsSnapshot(t *testing.T) {
 	dir := filepath.Join("testdata", "head")
 	s, err := Read(dir)
@@ -16,7 +17,7 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(s, testSnapshot()) {
-		t.Fatalf("read %+v", s)
+		t.Fatalf("snapshot of release 63fa232 decoded as %+v, want %+v", s, testSnapshot())
 	}
 	written, err := os.ReadFile(filepath.Join(dir, fileName))
 	if err != nil {
@@ -27,6 +28,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(again, written) {
-		t.Errorf("encoded anew:\n%q\nwritten by 63fa232:\n%q", again, written)
+		t.Errorf("Encode of the decoded snapshot:\n%q\nwant the bytes of release 63fa232:\n%q", again, written)
 	}
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -12,7 +12,7 @@
 	"dahliarudder/policy"
 )
 
-// openStore opens a new store whose queue holds so many records; 0 is the default.
+// openStore opens a new store with the given queue limit; 0 is the default.
 func openStore(t *testing.T, queue int) *Store {
 	t.Helper()
 	return openStoreAt(t, Config{Driver: "sqlite", DSN: filepath.Join(t.TempDir(), "record.db"), Queue: queue}, "run", time.UnixMicro(0))
@@ -29,9 +29,9 @@
 	return s
 }
 
-func waitFor(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("timed out waiting for %s", what)
 		}
@@ -41,7 +41,7 @@
 // waitWritten waits until no record is queued.
 func (s *Store) waitWritten(t *testing.T) {
 	t.Helper()
-	waitFor(t, "the records", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.queue) == 0 })
+	waitFor(t, "the queue to be written", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.queue) == 0 })
 }
 
 func (s *Store) countRows(t *testing.T, query string) (n int) {
@@ -52,7 +52,8 @@
 	return n
 }
 
-// TestRecord: records can be read back, also with a name that is not valid text; a record that is written twice is stored once.
+// TestRecord: records can be read back, also one with a name that is not valid UTF-8; a record that
+// is written twice is stored once.
 func TestRecord(t *testing.T) {
 	s := openStore(t, 0)
 	request := &core.Request{Name: "a\x00\xff", Class: 1, Tenant: 2}
@@ -62,17 +63,18 @@
 	}
 	s.waitWritten(t)
 	if n := s.countRows(t, "SELECT count(*) FROM requests WHERE name = 'a??' AND answer = 'failed' AND at_us = 3000000"); n != 1 {
-		t.Errorf("%d such answers", n)
+		t.Errorf("%d rows for the answer in table requests, want 1", n)
 	}
 	if n := s.countRows(t, "SELECT count(*) FROM attempts WHERE result = 'reset' AND end_us - start_us = 1000000"); n != 1 {
-		t.Errorf("%d such attempts", n)
+		t.Errorf("%d rows for the attempt in table attempts, want 1", n)
 	}
 	if err := s.Close(20 * time.Second); err != nil || s.Ready() {
-		t.Errorf("closed with %v, ready %v", err, s.Ready())
+		t.Errorf("Close() = %v, then Ready() = %v; want nil, false", err, s.Ready())
 	}
 }
 
-// TestQueueLimit: a store that cannot write is not ready, loses no queued record, and is ready again once it can write.
+// TestQueueLimit: a store that cannot write is not ready and loses no queued record, also above the
+// queue limit; it is ready again once it can write.
 func TestQueueLimit(t *testing.T) {
 	s := openStore(t, 4)
 	if _, err := s.db.Exec("ALTER TABLE requests RENAME TO elsewhere"); err != nil {
@@ -81,21 +83,22 @@
 	for id := range core.ID(9) {
 		s.RecordAnswer(&core.Request{}, id, 0, core.Served, 0)
 	}
-	waitFor(t, "the failure", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.failing })
+	waitFor(t, "a write to fail", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.failing })
 	if s.Ready() {
-		t.Error("ready while writes fail")
+		t.Error("Ready() = true while writes fail, want false")
 	}
 	if _, err := s.db.Exec("ALTER TABLE elsewhere RENAME TO requests"); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the recovery", s.Ready)
-	waitFor(t, "all nine", func() bool { return s.countRows(t, "SELECT count(*) FROM requests") == 9 })
+	waitFor(t, "the store to be ready again", s.Ready)
+	waitFor(t, "all nine records to be written", func() bool { return s.countRows(t, "SELECT count(*) FROM requests") == 9 })
 	if err := s.Close(20 * time.Second); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestCloseTimeout: the last flush ends in time, with an error if records were not written.
+// TestCloseTimeout: Close returns after its timeout although writes fail, with an error for the
+// records that were not written.
 func TestCloseTimeout(t *testing.T) {
 	s := openStore(t, 0)
 	if _, err := s.db.Exec("DROP TABLE requests"); err != nil {
@@ -103,11 +106,12 @@
 	}
 	s.RecordAnswer(&core.Request{}, 1, 0, core.Served, 0)
 	if err := s.Close(10 * time.Millisecond); err == nil {
-		t.Error("no error for a lost record")
+		t.Error("Close() = nil with an unwritten record, want an error")
 	}
 }
 
-// TestLogsFailures: an outage of the store is logged once, and its end once, whatever the number of retries.
+// TestLogsFailures: each outage of the store is logged once when it begins and once when it ends,
+// however many retries fail in between.
 func TestLogsFailures(t *testing.T) {
 	s := openStore(t, 0)
 	log, hook := test.NewNullLogger()
@@ -125,15 +129,15 @@
 			t.Fatal(err)
 		}
 		s.RecordAnswer(&core.Request{}, core.ID(outage), 0, core.Served, 0)
-		waitFor(t, "the failure", func() bool { return !s.Ready() })
-		time.Sleep(3 * minBackoff) // some retries
+		waitFor(t, "the outage to be noticed", func() bool { return !s.Ready() })
+		time.Sleep(3 * minBackoff) // time for some retries
 		if _, err := s.db.Exec("ALTER TABLE elsewhere RENAME TO requests"); err != nil {
 			t.Fatal(err)
 		}
-		waitFor(t, "the recovery", s.Ready)
-		waitFor(t, "the log entry of it", func() bool { return logged(logrus.InfoLevel) >= outage })
+		waitFor(t, "the store to be ready again", s.Ready)
+		waitFor(t, "the end of the outage to be logged", func() bool { return logged(logrus.InfoLevel) >= outage })
 		if failures, recoveries := logged(logrus.ErrorLevel), logged(logrus.InfoLevel); failures != outage || recoveries != outage {
-			t.Errorf("after %d outages: %d failures logged, %d recoveries", outage, failures, recoveries)
+			t.Errorf("after %d outages: %d failures and %d recoveries logged, want %d each", outage, failures, recoveries, outage)
 		}
 	}
 	if err := s.Close(20 * time.Second); err != nil {
--- a/internal/store/stored_test.go
+++ b/internal/store/stored_test.go
@@ -12,7 +12,8 @@
 	"dahliarudder/policy"
 )
 
-// TestStoredFormsStore: a SQLite store written by release 63fa232 can be opened, written to, and read by its column names.
+// TestStoredFormsStore: a SQLite store written by release 63fa232 can be opened, extended, and read
+// by its column names.
 func TestStoredFormsStore(t *testing.T) {
 	written, err := os.ReadFile(filepath.Join("testdata", "head", "record.db"))
 	if err != nil {
@@ -43,10 +44,10 @@
 		"run-new 1 0 s-3 ok 1800000001000000 1800000002000000",
 	}
 	if !slices.Equal(requests, wantRequests) {
-		t.Errorf("requests %q", requests)
+		t.Errorf("rows of requests = %q, want %q", requests, wantRequests)
 	}
 	if !slices.Equal(attempts, wantAttempts) {
-		t.Errorf("attempts %q", attempts)
+		t.Errorf("rows of attempts = %q, want %q", attempts, wantAttempts)
 	}
 }
 
