--- a/internal/netloop/channel.go
+++ b/internal/netloop/channel.go
@@ -67,19 +67,19 @@
 	}
 	m := message{text: text}
 	for _, fd := range fds {
-		twin, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0)
+		duplicate, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0)
 		if err != nil {
-			m.close()
+			m.closeFDs()
 			return fmt.Errorf("channel: %w", err)
 		}
-		m.fds = append(m.fds, twin)
+		m.fds = append(m.fds, duplicate)
 	}
 	c.pending = append(c.pending, m)
 	c.updateInterest()
 	return nil
 }
 
-func (m *message) close() {
+func (m *message) closeFDs() {
 	for _, fd := range m.fds {
 		unix.Close(fd)
 	}
@@ -91,7 +91,7 @@
 		return
 	}
 	for _, m := range c.pending {
-		m.close()
+		m.closeFDs()
 	}
 	c.retryTimer.Stop()
 	c.loop.unregister(c.fd, &c.loop.descriptorBudget)
@@ -109,7 +109,7 @@
 			c.sendErr = err // messages that came before it are received first
 			break
 		}
-		m.close()
+		m.closeFDs()
 		if c.pending = c.pending[1:]; len(c.pending) == 0 {
 			c.updateInterest()
 		}
@@ -170,23 +170,23 @@
 func receive(fd, flags int) ([]byte, []int, error) {
 	// Sized for the largest, and cut to what came.
 	text, rights := make([]byte, maxMessageSize), make([]byte, unix.CmsgSpace(4*maxMessageFDs))
-	n, m, got, _, err := unix.Recvmsg(fd, text, rights, flags|unix.MSG_CMSG_CLOEXEC)
+	n, controlLen, receivedFlags, _, err := unix.Recvmsg(fd, text, rights, flags|unix.MSG_CMSG_CLOEXEC)
 	if err != nil {
 		return nil, nil, err
 	}
 	var fds []int
-	if parts, err := unix.ParseSocketControlMessage(rights[:m]); err == nil {
-		for i := range parts {
-			if some, err := unix.ParseUnixRights(&parts[i]); err == nil {
-				fds = append(fds, some...)
+	if controlMessages, err := unix.ParseSocketControlMessage(rights[:controlLen]); err == nil {
+		for i := range controlMessages {
+			if passed, err := unix.ParseUnixRights(&controlMessages[i]); err == nil {
+				fds = append(fds, passed...)
 			}
 		}
 	}
 	if n == 0 {
 		return nil, nil, io.EOF
 	}
-	if got&(unix.MSG_TRUNC|unix.MSG_CTRUNC) != 0 {
-		(&message{fds: fds}).close()
+	if receivedFlags&(unix.MSG_TRUNC|unix.MSG_CTRUNC) != 0 {
+		(&message{fds: fds}).closeFDs()
 		return nil, nil, errors.New("channel: a message came cut short")
 	}
 	return text[:n], fds, nil
@@ -194,7 +194,7 @@
 
 // unixAddr is a path as a socket's address. It goes by a descriptor of its directory, since an address has at most 107 bytes.
 // Done closes that.
-func unixAddr(path string) (at unix.Sockaddr, done func(), err error) {
+func unixAddr(path string) (sockaddr unix.Sockaddr, closeDir func(), err error) {
 	dir, err := unix.Open(filepath.Dir(path), unix.O_PATH|unix.O_DIRECTORY|unix.O_CLOEXEC, 0)
 	if err != nil {
 		return nil, nil, err
@@ -205,11 +205,11 @@
 // DialChannel connects to the process that listens at a path. SendBlocking and ReceiveBlocking on the socket block for at most
 // the timeout; that is meant for a start, before the loop runs.
 func DialChannel(path string, timeout time.Duration) (int, error) {
-	at, done, err := unixAddr(path)
+	sockaddr, closeDir, err := unixAddr(path)
 	if err != nil {
 		return -1, err
 	}
-	defer done()
+	defer closeDir()
 	fd, err := unix.Socket(unix.AF_UNIX, unix.SOCK_SEQPACKET|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return -1, err
@@ -221,7 +221,7 @@
 		}
 	}
 	if err == nil {
-		err = unix.Connect(fd, at)
+		err = unix.Connect(fd, sockaddr)
 	}
 	if err != nil {
 		unix.Close(fd)
@@ -238,18 +238,18 @@
 
 // ListenChannel accepts processes that connect at a path. A socket that a process left behind there is replaced.
 func (l *Loop) ListenChannel(path string, accept func(fd int)) (*Listener, error) {
-	at, done, err := unixAddr(path)
+	sockaddr, closeDir, err := unixAddr(path)
 	if err != nil {
 		return nil, fmt.Errorf("channel: %w", err)
 	}
-	defer done()
+	defer closeDir()
 	fd, err := unix.Socket(unix.AF_UNIX, unix.SOCK_SEQPACKET|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return nil, fmt.Errorf("channel: %w", err)
 	}
 	os.Remove(path)
 	s := &Listener{loop: l, fd: fd, onAcceptFD: accept, budget: &l.descriptorBudget}
-	if err = unix.Bind(fd, at); err == nil {
+	if err = unix.Bind(fd, sockaddr); err == nil {
 		err = s.start(1)
 	}
 	if err != nil {
--- a/internal/netloop/channel_test.go
+++ b/internal/netloop/channel_test.go
@@ -16,25 +16,25 @@
 )
 
 // ends is one end of a channel and the events that it got.
-type ends struct {
-	c    *netloop.Channel
-	got  [][]byte
-	fds  []int
-	over error
+type channelEnd struct {
+	channel  *netloop.Channel
+	messages [][]byte
+	fds      []int
+	endErr   error
 }
 
-func (e *ends) join(b *looptest.Harness, fd int) {
+func (e *channelEnd) serve(b *looptest.Harness, fd int) {
 	b.T.Helper()
 	var err error
-	e.c, err = b.ServeChannel(fd, func(text []byte, fds []int) { e.got, e.fds = append(e.got, text), append(e.fds, fds...) },
-		func(err error) { e.over = err })
+	e.channel, err = b.ServeChannel(fd, func(text []byte, fds []int) { e.messages, e.fds = append(e.messages, text), append(e.fds, fds...) },
+		func(err error) { e.endErr = err })
 	if err != nil {
 		b.T.Fatal(err)
 	}
 }
 
 // channel is both ends of one, on a path longer than fits an address.
-func channel(b *looptest.Harness) (near, far *ends) {
+func connectChannel(b *looptest.Harness) (near, far *channelEnd) {
 	b.T.Helper()
 	dir := filepath.Join(b.T.TempDir(), strings.Repeat("d", 120))
 	if err := os.Mkdir(dir, 0o700); err != nil {
@@ -44,9 +44,9 @@
 	if _, err := netloop.DialChannel(path, looptest.Timeout); !os.IsNotExist(err) {
 		b.T.Errorf("nobody is there: %v", err)
 	}
-	near, far = &ends{}, &ends{}
+	near, far = &channelEnd{}, &channelEnd{}
 	for range 2 { // the second replaces what the first has left behind
-		l, err := b.ListenChannel(path, func(fd int) { near.join(b, fd) })
+		l, err := b.ListenChannel(path, func(fd int) { near.serve(b, fd) })
 		if err != nil {
 			b.T.Fatal(err)
 		}
@@ -56,8 +56,8 @@
 	if err != nil {
 		b.T.Fatal(err)
 	}
-	far.join(b, fd)
-	b.WaitFor("the other end", func() bool { return near.c != nil })
+	far.serve(b, fd)
+	b.WaitFor("the other end", func() bool { return near.channel != nil })
 	return near, far
 }
 
@@ -65,7 +65,7 @@
 // other end is notified of the end, once.
 func TestChannel(t *testing.T) {
 	b := looptest.New(t, 32)
-	near, far := channel(b)
+	near, far := connectChannel(b)
 	r, w, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -74,14 +74,14 @@
 	const many = 300
 	for n := range many {
 		text := bytes.Repeat([]byte(fmt.Sprintf("%03d", n)), 1000)
-		if err := near.c.Send(text, int(w.Fd())); err != nil {
+		if err := near.channel.Send(text, int(w.Fd())); err != nil {
 			t.Fatal(err)
 		}
 		if n%100 == 99 { // descriptors on their way are bounded
-			b.WaitFor("the messages", func() bool { return len(far.got) == n+1 })
+			b.WaitFor("the messages", func() bool { return len(far.messages) == n+1 })
 		}
 	}
-	for n, text := range far.got {
+	for n, text := range far.messages {
 		if !bytes.Equal(text, bytes.Repeat([]byte(fmt.Sprintf("%03d", n)), 1000)) {
 			t.Fatalf("message %d is %.20q of %d bytes", n, text, len(text))
 		}
@@ -97,12 +97,12 @@
 	if text, err := io.ReadAll(r); err != nil || string(text) != "by the passed end" {
 		t.Errorf("read %q, %v: a descriptor was left open, or was none", text, err)
 	}
-	if near.c.Send(make([]byte, 1<<20)) == nil {
+	if near.channel.Send(make([]byte, 1<<20)) == nil {
 		t.Error("a message over the bound was taken")
 	}
-	near.c.Close()
-	b.WaitFor("the end", func() bool { return far.over != nil })
-	if far.c.Send([]byte("more")) == nil || near.over != nil {
+	near.channel.Close()
+	b.WaitFor("the end", func() bool { return far.endErr != nil })
+	if far.channel.Send([]byte("more")) == nil || near.endErr != nil {
 		t.Error("the end is not the end")
 	}
 }
@@ -113,16 +113,16 @@
 	b := looptest.New(t, 16)
 	e, p := pair(b)
 	p.Send("hello, ")
-	b.WaitFor("bytes", func() bool { return e.offers == len("hello, ") })
-	fd, unread := e.c.Detach()
+	b.WaitFor("bytes", func() bool { return e.lastOffered == len("hello, ") })
+	fd, unread := e.conn.Detach()
 	if b.RunOnce(); fd < 0 || string(unread) != "hello, " || b.OpenDescriptors() != 0 {
 		t.Fatalf("descriptor %d, %q unread, %d held", fd, unread, b.OpenDescriptors())
 	}
 	p.Send("world")
-	next := &end{take: 1 << 10}
-	c := b.Attach(fd, unread, next)
+	attached := &recordingHandler{consumable: 1 << 10}
+	c := b.Attach(fd, unread, attached)
 	c.ResumeReading()
-	b.WaitFor("the rest", func() bool { return string(next.got) == "hello, world" })
+	b.WaitFor("the rest", func() bool { return string(attached.received) == "hello, world" })
 	c.Write([]byte("back"))
 	p.Expect("back")
 	c.Finish()
@@ -130,8 +130,8 @@
 		t.Error("an ending connection was taken off")
 	}
 	p.ExpectEOF()
-	if len(e.over) > 0 {
-		t.Errorf("the first handler was told %v", e.over)
+	if len(e.endErrs) > 0 {
+		t.Errorf("the first handler was told %v", e.endErrs)
 	}
 }
 
@@ -139,51 +139,51 @@
 // against closing a socket that is not shared, which resets the connections in its backlog.
 func TestInherit(t *testing.T) {
 	b := looptest.New(t, 32)
-	var got []string
-	listener := func(name string) func(*netloop.Conn) {
-		return func(c *netloop.Conn) { got = append(got, name); c.SetHandler(&end{}) }
+	var acceptedBy []string
+	recordAccept := func(name string) func(*netloop.Conn) {
+		return func(c *netloop.Conn) { acceptedBy = append(acceptedBy, name); c.SetHandler(&recordingHandler{}) }
 	}
-	old, err := b.Loop.Listen("127.0.0.1:0", listener("old"))
+	original, err := b.Loop.Listen("127.0.0.1:0", recordAccept("old"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	twin, err := unix.FcntlInt(uintptr(old.FD()), unix.F_DUPFD_CLOEXEC, 0)
+	duplicate, err := unix.FcntlInt(uintptr(original.FD()), unix.F_DUPFD_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !netloop.IsBoundTo(twin, old.Addr()) || netloop.IsBoundTo(twin, "127.0.0.1:1") || !netloop.IsBoundTo(twin, "127.0.0.1:0") {
+	if !netloop.IsBoundTo(duplicate, original.Addr()) || netloop.IsBoundTo(duplicate, "127.0.0.1:1") || !netloop.IsBoundTo(duplicate, "127.0.0.1:0") {
 		t.Error("where it listens is not known")
 	}
-	heir, err := b.ListenInherited(twin, listener("heir"))
+	inherited, err := b.ListenInherited(duplicate, recordAccept("heir"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	old.SetPaused(true)
-	heir.SetPaused(true)
+	original.SetPaused(true)
+	inherited.SetPaused(true)
 	for range 5 {
-		b.Dial(old.Addr())
+		b.Dial(original.Addr())
 	}
 	b.RunOnce()
-	if len(got) > 0 {
-		t.Errorf("taken in by %v", got)
+	if len(acceptedBy) > 0 {
+		t.Errorf("taken in by %v", acceptedBy)
 	}
-	old.Close()
+	original.Close()
 	b.RunOnce()
-	heir.SetPaused(false)
-	b.WaitFor("those that waited", func() bool { return len(got) == 5 })
-	if strings.Join(got, "") != strings.Repeat("heir", 5) {
-		t.Errorf("taken in by %v", got)
+	inherited.SetPaused(false)
+	b.WaitFor("those that waited", func() bool { return len(acceptedBy) == 5 })
+	if strings.Join(acceptedBy, "") != strings.Repeat("heir", 5) {
+		t.Errorf("taken in by %v", acceptedBy)
 	}
 }
 
 // TestChannelResetAfterMessages: what the other process has sent before it ended is received, though it left unread what was
 // sent to it: the kernel shows that as a reset, before the messages.
 func TestChannelResetAfterMessages(t *testing.T) {
-	for what, send := range map[string]bool{"heard": false, "found by a send": true} {
+	for name, sendAfterClose := range map[string]bool{"heard": false, "found by a send": true} {
 		b := looptest.New(t, 32)
-		near := &ends{}
+		near := &channelEnd{}
 		path := filepath.Join(t.TempDir(), "sock")
-		l, err := b.ListenChannel(path, func(fd int) { near.join(b, fd) })
+		l, err := b.ListenChannel(path, func(fd int) { near.serve(b, fd) })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -192,8 +192,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.WaitFor("the other end", func() bool { return near.c != nil })
-		if err := near.c.Send([]byte("unread")); err != nil {
+		b.WaitFor("the other end", func() bool { return near.channel != nil })
+		if err := near.channel.Send([]byte("unread")); err != nil {
 			t.Fatal(err)
 		}
 		for n := range 3 {
@@ -202,12 +202,12 @@
 			}
 		}
 		unix.Close(far) // before a round of the loop
-		if send {
-			near.c.Send([]byte("more"))
+		if sendAfterClose {
+			near.channel.Send([]byte("more"))
 		}
-		b.WaitFor("the end", func() bool { return near.over != nil })
-		if got := string(bytes.Join(near.got, []byte(","))); got != "note 0,note 1,note 2" {
-			t.Errorf("%s: got %q, ended with %v", what, got, near.over)
+		b.WaitFor("the end", func() bool { return near.endErr != nil })
+		if got := string(bytes.Join(near.messages, []byte(","))); got != "note 0,note 1,note 2" {
+			t.Errorf("%s: got %q, ended with %v", name, got, near.endErr)
 		}
 	}
 }
--- a/internal/netloop/conn.go
+++ b/internal/netloop/conn.go
@@ -105,15 +105,15 @@
 
 // RemoteIP is the peer's IP address; empty if the connection has ended.
 func (c *Conn) RemoteIP() string {
-	at, err := unix.Getpeername(c.fd)
+	sockaddr, err := unix.Getpeername(c.fd)
 	if err != nil {
 		return ""
 	}
-	ip, err := netip.ParseAddrPort(formatSockaddr(at))
+	addrPort, err := netip.ParseAddrPort(formatSockaddr(sockaddr))
 	if err != nil {
 		return ""
 	}
-	return ip.Addr().Unmap().String()
+	return addrPort.Addr().Unmap().String()
 }
 
 // SetEvictable lets the connection be ended when descriptors run short: then onEvict is called, and what has been sent by
@@ -137,9 +137,9 @@
 
 // countBuffered updates the loop's count of buffered bytes.
 func (c *Conn) countBuffered() {
-	now := c.unread.size() + c.unsent()
-	c.loop.bufferedBytes += now - c.countedBytes
-	c.countedBytes = now
+	size := c.unread.size() + c.unsent()
+	c.loop.bufferedBytes += size - c.countedBytes
+	c.countedBytes = size
 }
 
 func (c *Conn) ready(events uint32) {
--- a/internal/netloop/conn_dial.go
+++ b/internal/netloop/conn_dial.go
@@ -8,8 +8,8 @@
 )
 
 // Dial starts a connection. A failure, also an immediate one, is reported by the handler's End, never from within Dial.
-func (l *Loop) Dial(addr string, within time.Duration, h Handler) *Conn {
-	return l.dial(addr, within, h, &l.descriptorBudget)
+func (l *Loop) Dial(addr string, timeout time.Duration, h Handler) *Conn {
+	return l.dial(addr, timeout, h, &l.descriptorBudget)
 }
 
 // DescriptorReserve is a descriptor budget for dials of one purpose beside the loop's limit: what the rest of the loop has open
@@ -26,24 +26,24 @@
 
 // Dial is the loop's Dial within the reserve. If that is used up, a connection that has ended and lingers is closed, so that
 // the next dial finds a descriptor.
-func (r *DescriptorReserve) Dial(addr string, within time.Duration, h Handler) *Conn {
+func (r *DescriptorReserve) Dial(addr string, timeout time.Duration, h Handler) *Conn {
 	if r.FreeDescriptors() <= 0 {
 		r.evictOldest()
 	}
-	return r.loop.dial(addr, within, h, &r.descriptorBudget)
+	return r.loop.dial(addr, timeout, h, &r.descriptorBudget)
 }
 
-func (l *Loop) dial(addr string, within time.Duration, h Handler, budget *descriptorBudget) *Conn {
+func (l *Loop) dial(addr string, timeout time.Duration, h Handler, budget *descriptorBudget) *Conn {
 	c := newConn(l, -1, budget)
 	c.handler = h
-	if err := c.connect(addr, within); err != nil {
+	if err := c.connect(addr, timeout); err != nil {
 		c.dialTimer = l.After(0, func() { c.fail(err) })
 	}
 	return c
 }
 
-func (c *Conn) connect(addr string, within time.Duration) error {
-	at, family, err := parseSockaddr(addr)
+func (c *Conn) connect(addr string, timeout time.Duration) error {
+	sockaddr, family, err := parseSockaddr(addr)
 	if err != nil {
 		return err
 	}
@@ -54,12 +54,12 @@
 	if err != nil {
 		return localError(err)
 	}
-	if err = c.loop.syscalls.Connect(fd, at); err != nil && !inProgress(err) {
+	if err = c.loop.syscalls.Connect(fd, sockaddr); err != nil && !inProgress(err) {
 		unix.Close(fd)
 		return connectError(err)
 	}
 	c.adopt(fd)
-	c.dialTimer = c.loop.After(within, func() { c.fail(ErrDialTimeout) })
+	c.dialTimer = c.loop.After(timeout, func() { c.fail(ErrDialTimeout) })
 	c.updateInterest()
 	return nil
 }
--- a/internal/netloop/conn_test.go
+++ b/internal/netloop/conn_test.go
@@ -14,35 +14,35 @@
 )
 
 // end is a handler that records its events.
-type end struct {
-	c      *netloop.Conn
-	take   int // how many more bytes it consumes
-	got    []byte
-	offers int // bytes offered last
-	opened bool
-	over   []error
+type recordingHandler struct {
+	conn        *netloop.Conn
+	consumable  int // how many more bytes it consumes
+	received    []byte
+	lastOffered int // bytes offered last
+	opened      bool
+	endErrs     []error
 }
 
-func (e *end) Open()    { e.opened = true }
-func (e *end) Drained() {}
-func (e *end) Data(b []byte) int {
-	e.offers = len(b)
-	n := min(e.take, len(b))
-	e.take -= n
-	e.got = append(e.got, b[:n]...)
+func (e *recordingHandler) Open()    { e.opened = true }
+func (e *recordingHandler) Drained() {}
+func (e *recordingHandler) Data(b []byte) int {
+	e.lastOffered = len(b)
+	n := min(e.consumable, len(b))
+	e.consumable -= n
+	e.received = append(e.received, b[:n]...)
 	return n
 }
-func (e *end) End(err error) { e.over = append(e.over, err) }
+func (e *recordingHandler) End(err error) { e.endErrs = append(e.endErrs, err) }
 
 // pair is a connection of the loop and the peer that dialled it.
-func pair(b *looptest.Harness) (*end, *looptest.Peer) {
-	e := &end{}
-	l, err := b.Loop.Listen("127.0.0.1:0", func(c *netloop.Conn) { e.c = c; c.SetHandler(e) })
+func pair(b *looptest.Harness) (*recordingHandler, *looptest.Peer) {
+	e := &recordingHandler{}
+	l, err := b.Loop.Listen("127.0.0.1:0", func(c *netloop.Conn) { e.conn = c; c.SetHandler(e) })
 	if err != nil {
 		b.T.Fatal(err)
 	}
 	p := b.Dial(l.Addr())
-	b.WaitFor("accepting", func() bool { return e.c != nil })
+	b.WaitFor("accepting", func() bool { return e.conn != nil })
 	l.Close()
 	b.RunOnce()
 	return e, p
@@ -61,70 +61,70 @@
 		b := looptest.New(t, 16)
 		free := b.FreeDescriptors()
 		e, p := pair(b)
-		var sent, written []byte // by the peer, by us
-		peerOver, weOver, reset := false, false, false
+		var sentByPeer, writtenByLoop []byte // by the peer, by us
+		peerClosed, loopClosed, reset := false, false, false
 		for i := 0; i+1 < len(steps) && i < 128; i += 2 {
 			n := int(steps[i+1])
 			chunk := bytes.Repeat([]byte{byte(i)}, n*16)
 			switch steps[i] % 9 {
 			case 0: // the peer sends, if that cannot block
-				if !peerOver && !reset && len(sent)-len(e.got)+len(chunk) < netloop.DefaultReadLimit {
+				if !peerClosed && !reset && len(sentByPeer)-len(e.received)+len(chunk) < netloop.DefaultReadLimit {
 					p.Send(string(chunk))
-					sent = append(sent, chunk...)
+					sentByPeer = append(sentByPeer, chunk...)
 				}
 			case 1: // the handler consumes more
-				e.take += n * 16
-				e.c.ResumeReading()
+				e.consumable += n * 16
+				e.conn.ResumeReading()
 			case 2: // we write
-				if !weOver && len(e.over) == 0 && e.c.WriteCapacity() >= len(chunk) {
-					e.c.Write(chunk)
-					written = append(written, chunk...)
+				if !loopClosed && len(e.endErrs) == 0 && e.conn.WriteCapacity() >= len(chunk) {
+					e.conn.Write(chunk)
+					writtenByLoop = append(writtenByLoop, chunk...)
 				}
 			case 3:
 				p.Poll()
 			case 4:
-				if !peerOver {
+				if !peerClosed {
 					p.CloseWrite()
-					peerOver = true
+					peerClosed = true
 				}
 			case 5:
 				p.Reset()
-				peerOver, reset = true, true
+				peerClosed, reset = true, true
 			case 6:
-				e.c.Finish()
-				weOver = true
+				e.conn.Finish()
+				loopClosed = true
 			case 7:
 				b.RunOnce()
 			case 8:
-				e.c.Reset()
-				weOver, reset = true, true
+				e.conn.Reset()
+				loopClosed, reset = true, true
 			}
-			if !bytes.HasPrefix(sent, e.got) {
+			if !bytes.HasPrefix(sentByPeer, e.received) {
 				t.Fatalf("step %d: bytes out of order", i)
 			}
-			if len(e.over) > 1 {
-				t.Fatalf("step %d: ended %d times", i, len(e.over))
+			if len(e.endErrs) > 1 {
+				t.Fatalf("step %d: ended %d times", i, len(e.endErrs))
 			}
 		}
-		told := len(e.over)
+		endsBeforeFinish := len(e.endErrs)
 		if !reset {
-			e.take = 1 << 20
-			e.c.ResumeReading()
-			if !weOver {
-				b.WaitFor("all that was sent", func() bool { return bytes.Equal(e.got, sent) })
+			e.consumable = 1 << 20
+			e.conn.ResumeReading()
+			if !loopClosed {
+				b.WaitFor("all that was sent", func() bool { return bytes.Equal(e.received, sentByPeer) })
 			}
-			e.c.Finish()
-			if !peerOver {
+			e.conn.Finish()
+			if !peerClosed {
 				b.WaitFor("all that was written", func() bool { p.Poll(); return p.EndErr != nil })
-				if p.EndErr != io.EOF || !bytes.Equal(p.Received, written) {
-					t.Fatalf("the peer got %d of %d bytes, then %v", len(p.Received), len(written), p.EndErr)
+				if p.EndErr != io.EOF || !bytes.Equal(p.Received, writtenByLoop) {
+					t.Fatalf("the peer got %d of %d bytes, then %v", len(p.Received), len(writtenByLoop), p.EndErr)
 				}
 			}
 		}
-		e.c.Finish()
+		e.conn.Finish()
 		p.Close()
 		b.WaitFor("the descriptor", func() bool { b.Advance(time.Second); return b.FreeDescriptors() == free })
-		if weOver && told == 0 && len(e.over) > 0 {
+		if loopClosed && endsBeforeFinish == 0 && len(e.endErrs) > 0 {
 			t.Fatal("told of the end after ending it")
 		}
 	})
@@ -149,14 +149,14 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			b := looptest.New(t, tt.limit)
-			e := &end{}
-			e.c = b.Loop.Dial(tt.addr, time.Second, e)
-			if len(e.over) > 0 {
+			e := &recordingHandler{}
+			e.conn = b.Loop.Dial(tt.addr, time.Second, e)
+			if len(e.endErrs) > 0 {
 				t.Fatal("told from within Dial")
 			}
-			b.WaitFor("the end", func() bool { return len(e.over) > 0 })
-			if !tt.want(e.over[0]) || e.opened || b.FreeDescriptors() != tt.limit {
-				t.Errorf("ended %v, opened %v, %d free", e.over, e.opened, b.FreeDescriptors())
+			b.WaitFor("the end", func() bool { return len(e.endErrs) > 0 })
+			if !tt.want(e.endErrs[0]) || e.opened || b.FreeDescriptors() != tt.limit {
+				t.Errorf("ended %v, opened %v, %d free", e.endErrs, e.opened, b.FreeDescriptors())
 			}
 		})
 	}
@@ -165,34 +165,34 @@
 // TestDialAbandoned: a handler that finishes a dial which has already failed is not notified of its end any more.
 func TestDialAbandoned(t *testing.T) {
 	b := looptest.New(t, 8)
-	e := &end{}
+	e := &recordingHandler{}
 	b.Loop.Dial("nowhere", time.Second, e).Finish()
 	b.RunOnce()
 	b.RunOnce()
-	if len(e.over) > 0 {
-		t.Errorf("told %v", e.over)
+	if len(e.endErrs) > 0 {
+		t.Errorf("told %v", e.endErrs)
 	}
 }
 
-// TestExhaustion: with no descriptor left the listener pauses instead of spinning, and accepts the waiting connection once there
+// TestListenerPausesWithoutDescriptors: with no descriptor left the listener pauses instead of spinning, and accepts the waiting connection once there
 // is one again.
-func TestExhaustion(t *testing.T) {
+func TestListenerPausesWithoutDescriptors(t *testing.T) {
 	b := looptest.New(t, 2)
-	var taken []*netloop.Conn
-	l, err := b.Loop.Listen("127.0.0.1:0", func(c *netloop.Conn) { c.SetHandler(&end{c: c}); taken = append(taken, c) })
+	var accepted []*netloop.Conn
+	l, err := b.Loop.Listen("127.0.0.1:0", func(c *netloop.Conn) { c.SetHandler(&recordingHandler{conn: c}); accepted = append(accepted, c) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	b.Dial(l.Addr())
 	b.Dial(l.Addr())
-	b.WaitFor("the first", func() bool { return len(taken) == 1 })
+	b.WaitFor("the first", func() bool { return len(accepted) == 1 })
 	b.RunOnce()
 	b.Advance(time.Second)
-	if len(taken) != 1 || b.FreeDescriptors() != 0 {
-		t.Fatalf("%d taken, %d free", len(taken), b.FreeDescriptors())
+	if len(accepted) != 1 || b.FreeDescriptors() != 0 {
+		t.Fatalf("%d taken, %d free", len(accepted), b.FreeDescriptors())
 	}
-	taken[0].Reset()
-	b.WaitFor("the second", func() bool { b.Advance(time.Second); return len(taken) == 2 })
+	accepted[0].Reset()
+	b.WaitFor("the second", func() bool { b.Advance(time.Second); return len(accepted) == 2 })
 }
 
 // TestEvict: when descriptors run short, evictable connections are ended for new ones, the oldest first, and no others. Guards
@@ -200,18 +200,18 @@
 func TestEvict(t *testing.T) {
 	const limit = 16
 	b := looptest.New(t, limit)
-	var taken []*netloop.Conn
-	var given []int
+	var accepted []*netloop.Conn
+	var evicted []int
 	l, err := b.Loop.Listen("127.0.0.1:0", func(c *netloop.Conn) {
-		n := len(taken)
-		taken = append(taken, c)
-		c.SetHandler(&end{c: c})
-		c.SetEvictable(func() { given = append(given, n); c.Write([]byte("bye")) })
+		n := len(accepted)
+		accepted = append(accepted, c)
+		c.SetHandler(&recordingHandler{conn: c})
+		c.SetEvictable(func() { evicted = append(evicted, n); c.Write([]byte("bye")) })
 		if n == 0 {
 			c.SetEvictable(nil)
 		}
 		if n == 3 {
-			taken[1].SetEvictable(func() { given = append(given, 1) })
+			accepted[1].SetEvictable(func() { evicted = append(evicted, 1) })
 		}
 	})
 	if err != nil {
@@ -220,18 +220,18 @@
 	var peers []*looptest.Peer
 	for n := range 2 * limit {
 		peers = append(peers, b.Dial(l.Addr()))
-		b.WaitFor("accepting", func() bool { return len(taken) == n+1 })
+		b.WaitFor("accepting", func() bool { return len(accepted) == n+1 })
 		if b.FreeDescriptors() == 0 {
 			t.Fatalf("none free after %d connections", n+1)
 		}
 	}
-	if len(given) < limit || given[0] != 2 || given[1] != 3 || given[2] != 1 || given[3] != 4 {
-		t.Errorf("given up: %v", given)
+	if len(evicted) < limit || evicted[0] != 2 || evicted[1] != 3 || evicted[2] != 1 || evicted[3] != 4 {
+		t.Errorf("given up: %v", evicted)
 	}
 	peers[2].Expect("bye")
 	peers[2].ExpectEOF()
 	peers[0].Send("still here")
-	taken[0].Write([]byte("yes"))
+	accepted[0].Write([]byte("yes"))
 	peers[0].Expect("yes")
 }
 
@@ -240,10 +240,10 @@
 func TestEvictNew(t *testing.T) {
 	const limit = 16
 	b := looptest.New(t, limit)
-	var last *end
+	var last *recordingHandler
 	full := false
 	l, err := b.Loop.Listen("127.0.0.1:0", func(c *netloop.Conn) {
-		last = &end{c: c, take: 100}
+		last = &recordingHandler{conn: c, consumable: 100}
 		c.SetHandler(last)
 		if full {
 			c.SetEvictable(func() { t.Error("given up") })
@@ -259,7 +259,7 @@
 	full = true
 	p := b.Dial(l.Addr())
 	p.Send("hello")
-	b.WaitFor("the word", func() bool { return string(last.got) == "hello" })
+	b.WaitFor("the word", func() bool { return string(last.received) == "hello" })
 }
 
 // TestFlood: a peer that sends without end has its turn and no more, and after Finish is read only up to a bound, so that it
@@ -267,7 +267,7 @@
 func TestFlood(t *testing.T) {
 	b := looptest.New(t, 8)
 	e, p := pair(b)
-	e.take = 1 << 30
+	e.consumable = 1 << 30
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -277,15 +277,15 @@
 			}
 		}
 	}()
-	b.WaitFor("bytes", func() bool { return len(e.got) > 0 })
+	b.WaitFor("bytes", func() bool { return len(e.received) > 0 })
 	for range 20 {
-		before := len(e.got)
+		before := len(e.received)
 		b.RunOnce()
-		if n := len(e.got) - before; n > 8*netloop.DefaultReadLimit {
+		if n := len(e.received) - before; n > 8*netloop.DefaultReadLimit {
 			t.Fatalf("%d bytes read in one turn", n)
 		}
 	}
-	e.c.Finish()
+	e.conn.Finish()
 	b.WaitFor("the descriptor", func() bool { return b.FreeDescriptors() == 8 }) // the clock stands still
 	<-done
 }
@@ -295,39 +295,39 @@
 func TestMemory(t *testing.T) {
 	b := looptest.New(t, 16)
 	b.SetMemoryLimit(128 << 10)
-	grow := func() (*end, *looptest.Peer) {
+	largePair := func() (*recordingHandler, *looptest.Peer) {
 		e, p := pair(b)
-		e.c.SetBufferLimits(1<<20, 1<<20)
+		e.conn.SetBufferLimits(1<<20, 1<<20)
 		return e, p
 	}
-	var big []*end
+	var big []*recordingHandler
 	for range 4 {
-		e, p := grow()
+		e, p := largePair()
 		big = append(big, e)
 		p.Send(strings.Repeat("x", 60<<10))
 		for range 40 {
 			b.RunOnce()
 		}
 	}
-	over := 0
+	ended := 0
 	for _, e := range big {
-		if len(e.over) > 0 && errors.Is(e.over[0], netloop.ErrOverflow) {
-			over++
+		if len(e.endErrs) > 0 && errors.Is(e.endErrs[0], netloop.ErrOverflow) {
+			ended++
 		}
 	}
-	if over == 0 || over == len(big) {
-		t.Fatalf("%d of %d ended", over, len(big))
+	if ended == 0 || ended == len(big) {
+		t.Fatalf("%d of %d ended", ended, len(big))
 	}
-	small, p := grow()
+	small, p := largePair()
 	p.Send("hello")
-	small.take = 5
-	b.WaitFor("a small message", func() bool { return string(small.got) == "hello" })
+	small.consumable = 5
+	b.WaitFor("a small message", func() bool { return string(small.received) == "hello" })
 	for _, e := range big { // their memory is free again
-		e.c.Reset()
+		e.conn.Reset()
 	}
-	e, p := grow()
+	e, p := largePair()
 	p.Send(strings.Repeat("y", 60<<10))
-	b.WaitFor("all of it", func() bool { e.take = 1 << 20; e.c.ResumeReading(); return len(e.got) == 60<<10 })
+	b.WaitFor("all of it", func() bool { e.consumable = 1 << 20; e.conn.ResumeReading(); return len(e.received) == 60<<10 })
 }
 
 // TestTimers: they run in order of time, none before its time, a stopped one never, and one that sets itself again lets the
@@ -338,10 +338,10 @@
 	b.After(2*time.Second, func() { ran = append(ran, 2) })
 	b.After(time.Second, func() { ran = append(ran, 1) })
 	b.After(time.Second, func() { ran = append(ran, 9) }).Stop()
-	var again func()
+	var reschedule func()
 	rounds := 0
-	again = func() { rounds++; b.After(0, again) }
-	again()
+	reschedule = func() { rounds++; b.After(0, reschedule) }
+	reschedule()
 	b.RunOnce()
 	if len(ran) != 0 || rounds != 2 {
 		t.Errorf("ran %v, %d rounds", ran, rounds)
--- a/internal/netloop/datagram.go
+++ b/internal/netloop/datagram.go
@@ -19,7 +19,7 @@
 
 // ListenUDP opens a UDP socket. OnDatagram must not retain b. The loop's buffer is longer than any datagram.
 func (l *Loop) ListenUDP(addr string, onDatagram func(from string, b []byte)) (*UDPSocket, error) {
-	at, family, err := parseSockaddr(addr)
+	sockaddr, family, err := parseSockaddr(addr)
 	if err != nil {
 		return nil, err
 	}
@@ -28,7 +28,7 @@
 		return nil, fmt.Errorf("datagrams at %s: %w", addr, err)
 	}
 	d := &UDPSocket{loop: l, fd: fd, onDatagram: onDatagram}
-	if err = unix.Bind(fd, at); err == nil {
+	if err = unix.Bind(fd, sockaddr); err == nil {
 		err = l.register(fd, unix.EPOLLIN, d, &l.descriptorBudget)
 	}
 	if err != nil {
@@ -43,9 +43,9 @@
 
 // Send sends a datagram, or drops it if the socket cannot take it: nothing is buffered.
 func (d *UDPSocket) Send(to string, b []byte) {
-	at, _, err := parseSockaddr(to)
+	sockaddr, _, err := parseSockaddr(to)
 	if err == nil && d.fd >= 0 {
-		err = unix.Sendto(d.fd, b, unix.MSG_DONTWAIT, at)
+		err = unix.Sendto(d.fd, b, unix.MSG_DONTWAIT, sockaddr)
 	}
 	if err != nil {
 		d.Dropped++
--- a/internal/netloop/ending_test.go
+++ b/internal/netloop/ending_test.go
@@ -16,46 +16,46 @@
 // TestEarlyEOF: the end of a peer that has sent more than is read is reported while its bytes are unread, once, to a handler that
 // has asked for that, and to others only after the bytes.
 func TestEarlyEOF(t *testing.T) {
-	for _, first := range []bool{true, false} {
+	for _, early := range []bool{true, false} {
 		b := looptest.New(t, 8)
 		e, p := pair(b)
-		e.c.SetEarlyEOF(first)
+		e.conn.SetEarlyEOF(early)
 		p.Send(string(bytes.Repeat([]byte("x"), 2*netloop.DefaultReadLimit)))
 		p.CloseWrite()
-		b.WaitFor("a full buffer", func() bool { return e.offers == netloop.DefaultReadLimit })
+		b.WaitFor("a full buffer", func() bool { return e.lastOffered == netloop.DefaultReadLimit })
 		for range 10 {
 			b.RunOnce()
 		}
-		if first {
-			b.WaitFor("the end", func() bool { return len(e.over) > 0 })
-		} else if len(e.over) > 0 {
-			t.Fatalf("told of the end before the bytes: %v", e.over)
+		if early {
+			b.WaitFor("the end", func() bool { return len(e.endErrs) > 0 })
+		} else if len(e.endErrs) > 0 {
+			t.Fatalf("told of the end before the bytes: %v", e.endErrs)
 		}
-		e.take = 1 << 20
-		e.c.ResumeReading()
-		b.WaitFor("the end", func() bool { return len(e.over) > 0 })
-		if b.RunOnce(); len(e.over) != 1 || e.over[0] != io.EOF {
-			t.Errorf("ended with %v", e.over)
+		e.consumable = 1 << 20
+		e.conn.ResumeReading()
+		b.WaitFor("the end", func() bool { return len(e.endErrs) > 0 })
+		if b.RunOnce(); len(e.endErrs) != 1 || e.endErrs[0] != io.EOF {
+			t.Errorf("ended with %v", e.endErrs)
 		}
-		if !first && len(e.got) != 2*netloop.DefaultReadLimit {
-			t.Errorf("%d bytes before the end", len(e.got))
+		if !early && len(e.received) != 2*netloop.DefaultReadLimit {
+			t.Errorf("%d bytes before the end", len(e.received))
 		}
-		e.c.Reset()
+		e.conn.Reset()
 	}
 }
 
 // TestListenerCloseAcceptsBacklog: connections in the backlog when listening ends are accepted and can be answered.
 func TestListenerCloseAcceptsBacklog(t *testing.T) {
 	b := looptest.New(t, 8)
-	var taken []*netloop.Conn
-	l, err := b.Loop.Listen("127.0.0.1:0", func(c *netloop.Conn) { c.SetHandler(&end{}); taken = append(taken, c) })
+	var accepted []*netloop.Conn
+	l, err := b.Loop.Listen("127.0.0.1:0", func(c *netloop.Conn) { c.SetHandler(&recordingHandler{}); accepted = append(accepted, c) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	first, second := b.Dial(l.Addr()), b.Dial(l.Addr()) // no round of the loop until Close
 	second.Send("a request")
 	l.Close()
-	for _, c := range taken {
+	for _, c := range accepted {
 		c.Write([]byte("answer"))
 		c.Finish()
 	}
@@ -69,7 +69,7 @@
 // TestNoResetAfterAnswer: bytes that come after the last answer, and are unread when the connection is closed after lingering or as
 // the loop ends, do not reset it.
 func TestNoResetAfterAnswer(t *testing.T) {
-	for name, over := range map[string]func(*looptest.Harness, func()){
+	for name, closeConn := range map[string]func(*looptest.Harness, func()){
 		"time": func(b *looptest.Harness, say func()) {
 			b.Loop.After(0, say) // after the round's events, before the connection has lingered long enough
 			b.Advance(time.Hour)
@@ -82,10 +82,10 @@
 		t.Run(name, func(t *testing.T) {
 			b := looptest.New(t, 8)
 			e, p := pair(b)
-			e.c.Write([]byte("answer"))
-			e.c.Finish()
+			e.conn.Write([]byte("answer"))
+			e.conn.Finish()
 			b.RunOnce()
-			over(b, func() { p.Send("more of the request") })
+			closeConn(b, func() { p.Send("more of the request") })
 			p.Expect("answer")
 			p.ExpectEOF()
 			if state := tcpState(t, p); state != closeWait {
@@ -119,22 +119,22 @@
 // reserve allows; one that has ended and lingers is closed for a new one.
 func TestDescriptorReserve(t *testing.T) {
 	b := looptest.New(t, 1)
-	other := b.Listen()
-	b.Loop.Dial(other.Addr(), time.Second, &end{})
-	full := &end{}
-	b.Loop.Dial(other.Addr(), time.Second, full)
-	b.WaitFor("exhaustion", func() bool { return len(full.over) == 1 })
+	server := b.Listen()
+	b.Loop.Dial(server.Addr(), time.Second, &recordingHandler{})
+	rejected := &recordingHandler{}
+	b.Loop.Dial(server.Addr(), time.Second, rejected)
+	b.WaitFor("exhaustion", func() bool { return len(rejected.endErrs) == 1 })
 	reserve := b.Loop.NewDescriptorReserve(1)
-	kept := &end{}
-	c := reserve.Dial(other.Addr(), time.Second, kept)
-	b.WaitFor("a connection", func() bool { return kept.opened })
-	over := &end{}
-	reserve.Dial(other.Addr(), time.Second, over)
-	b.WaitFor("the reserve's end", func() bool { return len(over.over) == 1 && over.over[0] == netloop.ErrNoDescriptors })
+	first := &recordingHandler{}
+	c := reserve.Dial(server.Addr(), time.Second, first)
+	b.WaitFor("a connection", func() bool { return first.opened })
+	overLimit := &recordingHandler{}
+	reserve.Dial(server.Addr(), time.Second, overLimit)
+	b.WaitFor("the reserve's end", func() bool { return len(overLimit.endErrs) == 1 && overLimit.endErrs[0] == netloop.ErrNoDescriptors })
 	c.Finish()
-	reserve.Dial(other.Addr(), time.Second, &end{}) // closes the one that lingers
+	reserve.Dial(server.Addr(), time.Second, &recordingHandler{}) // closes the one that lingers
 	b.RunOnce()
-	again := &end{}
-	reserve.Dial(other.Addr(), time.Second, again)
+	again := &recordingHandler{}
+	reserve.Dial(server.Addr(), time.Second, again)
 	b.WaitFor("a connection again", func() bool { return again.opened })
 }
--- a/internal/netloop/faults_test.go
+++ b/internal/netloop/faults_test.go
@@ -13,9 +13,9 @@
 // transientErrors are what read and write may return on a connection that is intact.
 var transientErrors = []unix.Errno{unix.EAGAIN, unix.EINTR, unix.ENOBUFS, unix.ENOMEM}
 
-// TestBytesFail: a connection on which reads and writes fail for a moment, or move a byte at a time, stays intact: all bytes pass,
+// TestTransientReadWriteErrors: a connection on which reads and writes fail for a moment, or move a byte at a time, stays intact: all bytes pass,
 // in order, both ways, and its end after them.
-func TestBytesFail(t *testing.T) {
+func TestTransientReadWriteErrors(t *testing.T) {
 	text := bytes.Repeat([]byte("0123456789abcdef"), 16)
 	plans := map[string][]looptest.Fault{
 		"short": {{Syscall: "Read", Short: true}, {Syscall: "Write", Short: true}},
@@ -27,17 +27,17 @@
 			{Syscall: "Read", Short: true, Probability: 0.3}, {Syscall: "Write", Short: true, Probability: 0.3}}
 	}
 	for name, plan := range plans {
-		for how, write := range map[string]func(*netloop.Conn, []byte){"Write": (*netloop.Conn).Write, "Queue": (*netloop.Conn).Queue} {
-			t.Run(name+" "+how, func(t *testing.T) {
-				b, f := faulty(t)
+		for method, write := range map[string]func(*netloop.Conn, []byte){"Write": (*netloop.Conn).Write, "Queue": (*netloop.Conn).Queue} {
+			t.Run(name+" "+method, func(t *testing.T) {
+				b, f := newFaultyHarness(t)
 				e, p := pair(b)
-				e.take = 1 << 20
+				e.consumable = 1 << 20
 				f.Set(plan...)
 				p.Send(string(text))
-				write(e.c, text[:100])
-				write(e.c, text[100:])
-				e.c.Finish()
-				passUntil(b, "all bytes and the end", func() bool { p.Poll(); return p.EndErr != nil || len(e.over) > 0 })
+				write(e.conn, text[:100])
+				write(e.conn, text[100:])
+				e.conn.Finish()
+				advanceUntil(b, "all bytes and the end", func() bool { p.Poll(); return p.EndErr != nil || len(e.endErrs) > 0 })
 				if !bytes.Equal(p.Received, text) {
 					t.Errorf("%d of %d bytes came", len(p.Received), len(text))
 				}
@@ -45,13 +45,13 @@
 				p.ExpectEOF()
 
 				e, p = pair(b)
-				e.take = 1 << 20
+				e.consumable = 1 << 20
 				f.Set(plan...)
 				p.Send(string(text))
 				p.CloseWrite()
-				passUntil(b, "the end", func() bool { return len(e.over) > 0 })
-				if !bytes.Equal(e.got, text) {
-					t.Errorf("%d of %d bytes came, ended with %v", len(e.got), len(text), e.over)
+				advanceUntil(b, "the end", func() bool { return len(e.endErrs) > 0 })
+				if !bytes.Equal(e.received, text) {
+					t.Errorf("%d of %d bytes came, ended with %v", len(e.received), len(text), e.endErrs)
 				}
 			})
 		}
@@ -63,17 +63,17 @@
 	for _, errno := range []unix.Errno{unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.EPIPE, unix.ECONNABORTED} {
 		for _, call := range []string{"Read", "Write"} {
 			t.Run(call+" "+unix.ErrnoName(errno), func(t *testing.T) {
-				b, f := faulty(t)
+				b, f := newFaultyHarness(t)
 				free := b.FreeDescriptors()
 				e, p := pair(b)
-				e.take = 1 << 20
+				e.consumable = 1 << 20
 				f.Set(looptest.Fault{Syscall: call, Errno: errno})
 				p.Send("x")
-				e.c.Write([]byte("y"))
-				passUntil(b, "its end", func() bool { return len(e.over) > 0 })
-				b.Advance(moment)
-				if b.RunOnce(); len(e.over) != 1 || e.over[0] != errno || b.FreeDescriptors() != free {
-					t.Errorf("ended with %v, %d descriptors left", e.over, free-b.FreeDescriptors())
+				e.conn.Write([]byte("y"))
+				advanceUntil(b, "its end", func() bool { return len(e.endErrs) > 0 })
+				b.Advance(recoveryTimeout)
+				if b.RunOnce(); len(e.endErrs) != 1 || e.endErrs[0] != errno || b.FreeDescriptors() != free {
+					t.Errorf("ended with %v, %d descriptors left", e.endErrs, free-b.FreeDescriptors())
 				}
 			})
 		}
@@ -82,9 +82,9 @@
 
 // TestWaitInterrupted: waits that signals interrupt lose no event and no timer.
 func TestWaitInterrupted(t *testing.T) {
-	b, f := faulty(t)
+	b, f := newFaultyHarness(t)
 	e, p := pair(b)
-	e.take = 1 << 20
+	e.consumable = 1 << 20
 	f.Set(looptest.Fault{Syscall: "EpollWait", Errno: unix.EINTR, Probability: 0.7})
 	fired := 0
 	for range 20 {
@@ -92,7 +92,7 @@
 		p.Send("x")
 		b.Advance(1)
 	}
-	passUntil(b, "all bytes", func() bool { return len(e.got) == 20 })
+	advanceUntil(b, "all bytes", func() bool { return len(e.received) == 20 })
 	if fired != 20 {
 		t.Errorf("%d of 20 timers", fired)
 	}
@@ -101,28 +101,28 @@
 // TestNoDelay: small writes leave at once on every kind of connection: one that the kernel still delayed would be lost by a reset.
 func TestNoDelay(t *testing.T) {
 	calls := netloop.KernelSyscalls()
-	set := map[int]bool{} // descriptors
+	noDelayFDs := map[int]bool{} // descriptors
 	calls.SetsockoptInt = func(fd, level, option, value int) error {
 		if level == unix.IPPROTO_TCP && option == unix.TCP_NODELAY && value == 1 {
-			set[fd] = true
+			noDelayFDs[fd] = true
 		}
 		return unix.SetsockoptInt(fd, level, option, value)
 	}
 	b := looptest.NewWithSyscalls(t, 16, calls)
-	wants := func(what string, n int) {
+	expectNoDelay := func(what string, n int) {
 		t.Helper()
-		if len(set) != n {
-			t.Errorf("%s: held back on all but %d connections, want %d", what, len(set), n)
+		if len(noDelayFDs) != n {
+			t.Errorf("%s: held back on all but %d connections, want %d", what, len(noDelayFDs), n)
 		}
-		clear(set)
+		clear(noDelayFDs)
 	}
 	e, _ := pair(b)
-	wants("accepted", 1)
-	fd, _ := e.c.Detach()
+	expectNoDelay("accepted", 1)
+	fd, _ := e.conn.Detach()
 	b.RunOnce()
 	b.Loop.Attach(fd, nil, e)
-	wants("attached", 1)
+	expectNoDelay("attached", 1)
 	s := b.Listen()
-	b.Loop.Dial(s.Addr(), moment, &end{})
-	wants("dialled", 1)
+	b.Loop.Dial(s.Addr(), recoveryTimeout, &recordingHandler{})
+	expectNoDelay("dialled", 1)
 }
--- a/internal/netloop/listener.go
+++ b/internal/netloop/listener.go
@@ -44,7 +44,7 @@
 }
 
 func (l *Loop) listen(addr string, accept func(*Conn), budget *descriptorBudget) (*Listener, error) {
-	at, family, err := parseSockaddr(addr)
+	sockaddr, family, err := parseSockaddr(addr)
 	if err != nil {
 		return nil, err
 	}
@@ -55,7 +55,7 @@
 	s := &Listener{loop: l, fd: fd, onAccept: accept, budget: budget}
 	err = l.syscalls.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
 	if err == nil {
-		err = l.syscalls.Bind(fd, at)
+		err = l.syscalls.Bind(fd, sockaddr)
 	}
 	if err == nil {
 		err = s.start(4096)
--- a/internal/netloop/loop.go
+++ b/internal/netloop/loop.go
@@ -37,15 +37,15 @@
 	maxStall    time.Duration
 	onStall     func(time.Duration)
 
-	bufferedBytes int    // in the buffers of all connections
-	maxBuffered   int    // the bound of that; 0 for none
-	readBuffer    []byte // for one read
-	tlsReadBuffer []byte // for decrypted TLS records; nil until there are any
-	discardBuffer []byte // for what is written to connections that have ended
-	freeBuffers   [][]byte
-	freeBytes     int            // the capacity of freeBuffers
-	handshakes    int            // TLS handshakes under way
-	handshakers   sync.WaitGroup // their goroutines
+	bufferedBytes       int    // in the buffers of all connections
+	maxBuffered         int    // the bound of that; 0 for none
+	readBuffer          []byte // for one read
+	tlsReadBuffer       []byte // for decrypted TLS records; nil until there are any
+	discardBuffer       []byte // for what is written to connections that have ended
+	freeBuffers         [][]byte
+	freeBytes           int            // the capacity of freeBuffers
+	handshakes          int            // TLS handshakes under way
+	handshakeGoroutines sync.WaitGroup // their goroutines
 
 	mu     sync.Mutex
 	posted []func()
@@ -92,9 +92,9 @@
 
 // updateUtilization takes the last round, and the wait before it, into the average.
 func (l *Loop) updateUtilization(slept time.Duration) {
-	if all := l.lastRound + slept; all > 0 {
-		weight := 1 - math.Exp(-all.Seconds()/utilizationWindow.Seconds())
-		l.utilization += weight * (l.lastRound.Seconds()/all.Seconds() - l.utilization)
+	if elapsed := l.lastRound + slept; elapsed > 0 {
+		weight := 1 - math.Exp(-elapsed.Seconds()/utilizationWindow.Seconds())
+		l.utilization += weight * (l.lastRound.Seconds()/elapsed.Seconds() - l.utilization)
 	}
 }
 
@@ -187,7 +187,7 @@
 	l.closeReleased()
 	unix.Close(l.epollFD)
 	l.sources = nil
-	l.handshakers.Wait()
+	l.handshakeGoroutines.Wait()
 }
 
 func (l *Loop) epollCtl(op, fd int, events uint32) error {
--- a/internal/netloop/looptest/faults.go
+++ b/internal/netloop/looptest/faults.go
@@ -55,7 +55,7 @@
 }
 
 // draw is the fault of a call: an error to return, or that it is cut short.
-func (f *Faults) draw(call string) (errno unix.Errno, short bool) {
+func (f *Faults) selectFault(call string) (errno unix.Errno, short bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range f.plan {
@@ -72,7 +72,7 @@
 
 // fail is the error that a call which moves no bytes is to return; nil if it is to be made.
 func (f *Faults) fail(call string) error {
-	if errno, _ := f.draw(call); errno != 0 {
+	if errno, _ := f.selectFault(call); errno != 0 {
 		return errno
 	}
 	return nil
@@ -95,16 +95,16 @@
 }
 
 // transfer is Read or Write with faults.
-func (f *Faults) transfer(call string, move func(int, []byte) (int, error)) func(int, []byte) (int, error) {
+func (f *Faults) transfer(call string, transferBytes func(int, []byte) (int, error)) func(int, []byte) (int, error) {
 	return func(fd int, p []byte) (int, error) {
-		errno, short := f.draw(call)
+		errno, short := f.selectFault(call)
 		if errno != 0 {
 			return -1, errno
 		}
 		if short && len(p) > 1 {
 			p = p[:1]
 		}
-		return move(fd, p)
+		return transferBytes(fd, p)
 	}
 }
 
--- a/internal/netloop/looptest/looptest.go
+++ b/internal/netloop/looptest/looptest.go
@@ -33,10 +33,10 @@
 func NewWithSyscalls(t testing.TB, limit int, calls netloop.Syscalls) *Harness {
 	t.Helper()
 	b := &Harness{T: t, now: time.Hour}
-	system := netloop.DefaultSyscalls
+	previous := netloop.DefaultSyscalls
 	netloop.DefaultSyscalls = calls
 	l, err := netloop.New(func() time.Duration { return b.now }, limit)
-	netloop.DefaultSyscalls = system
+	netloop.DefaultSyscalls = previous
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,11 +61,11 @@
 }
 
 // WaitFor runs rounds until ok, without moving the clock.
-func (b *Harness) WaitFor(what string, ok func() bool) {
+func (b *Harness) WaitFor(description string, done func() bool) {
 	b.T.Helper()
-	for end := time.Now().Add(Timeout); !ok(); {
+	for end := time.Now().Add(Timeout); !done(); {
 		if time.Now().After(end) {
-			b.T.Fatalf("timed out waiting for: %s", what)
+			b.T.Fatalf("timed out waiting for: %s", description)
 		}
 		b.RunOnce()
 	}
@@ -74,7 +74,7 @@
 // Peer is the other end of a connection.
 type Peer struct {
 	net.Conn
-	b        *Harness
+	harness  *Harness
 	Received []byte // what has come and was not expected yet
 	EndErr   error  // how it ended; nil while it has not
 }
@@ -91,13 +91,13 @@
 
 func (b *Harness) peer(c net.Conn) *Peer {
 	b.T.Cleanup(func() { c.Close() })
-	return &Peer{Conn: c, b: b}
+	return &Peer{Conn: c, harness: b}
 }
 
 // Server is a listener of the test's own.
 type Server struct {
 	net.Listener
-	b *Harness
+	harness *Harness
 }
 
 // Listen makes one on a loopback address.
@@ -116,15 +116,15 @@
 
 // Accept accepts the next connection, running the loop meanwhile.
 func (s *Server) Accept() *Peer {
-	s.b.T.Helper()
+	s.harness.T.Helper()
 	var c net.Conn
-	s.b.WaitFor("a connection", func() bool {
+	s.harness.WaitFor("a connection", func() bool {
 		s.Listener.(*net.TCPListener).SetDeadline(time.Now().Add(time.Millisecond))
 		got, err := s.Listener.Accept()
 		c = got
 		return err == nil
 	})
-	return s.b.peer(c)
+	return s.harness.peer(c)
 }
 
 // Poll reads what has come.
@@ -143,37 +143,37 @@
 
 // Send sends text.
 func (p *Peer) Send(text string) {
-	p.b.T.Helper()
+	p.harness.T.Helper()
 	if _, err := p.Write([]byte(text)); err != nil {
-		p.b.T.Fatalf("sending %q: %v", text, err)
+		p.harness.T.Fatalf("sending %q: %v", text, err)
 	}
 }
 
 // Expect waits until text, and no more, has come, and clears Received.
 func (p *Peer) Expect(text string) {
-	p.b.T.Helper()
-	p.b.WaitFor("bytes", func() bool { p.Poll(); return len(p.Received) >= len(text) || p.EndErr != nil })
+	p.harness.T.Helper()
+	p.harness.WaitFor("bytes", func() bool { p.Poll(); return len(p.Received) >= len(text) || p.EndErr != nil })
 	if string(p.Received) != text {
-		p.b.T.Fatalf("got %q (ended: %v), want %q", p.Received, p.EndErr, text)
+		p.harness.T.Fatalf("got %q (ended: %v), want %q", p.Received, p.EndErr, text)
 	}
 	p.Received = nil
 }
 
 // ExpectEOF waits for an orderly end.
 func (p *Peer) ExpectEOF() {
-	p.b.T.Helper()
-	p.b.WaitFor("the end", func() bool { p.Poll(); return p.EndErr != nil })
+	p.harness.T.Helper()
+	p.harness.WaitFor("the end", func() bool { p.Poll(); return p.EndErr != nil })
 	if p.EndErr != io.EOF || len(p.Received) > 0 {
-		p.b.T.Fatalf("ended with %v after %q, want an orderly end", p.EndErr, p.Received)
+		p.harness.T.Fatalf("ended with %v after %q, want an orderly end", p.EndErr, p.Received)
 	}
 }
 
 // ExpectReset waits for a reset.
 func (p *Peer) ExpectReset() {
-	p.b.T.Helper()
-	p.b.WaitFor("the reset", func() bool { p.Poll(); return p.EndErr != nil })
+	p.harness.T.Helper()
+	p.harness.WaitFor("the reset", func() bool { p.Poll(); return p.EndErr != nil })
 	if p.EndErr == io.EOF {
-		p.b.T.Fatal("ended in order, want a reset")
+		p.harness.T.Fatal("ended in order, want a reset")
 	}
 }
 
--- a/internal/netloop/looptest/relay.go
+++ b/internal/netloop/looptest/relay.go
@@ -82,32 +82,32 @@
 // AcceptAny accepts the next connection to any member, and returns which. The clock moves on by step between tries.
 func (r *Relay) AcceptAny(step time.Duration) (int, *Peer) {
 	r.T.Helper()
-	at, c := -1, net.Conn(nil)
+	member, c := -1, net.Conn(nil)
 	r.WaitFor("a connection to a member", func() bool {
 		r.Advance(step)
 		for i, s := range r.servers {
 			s.Listener.(*net.TCPListener).SetDeadline(time.Now().Add(time.Millisecond))
 			if got, err := s.Listener.Accept(); err == nil {
-				at, c = i, got
+				member, c = i, got
 				return true
 			}
 		}
 		return false
 	})
-	return at, r.peer(c)
+	return member, r.peer(c)
 }
 
 // ReadLine waits for a line and removes it from Received.
 func (p *Peer) ReadLine() string {
-	p.b.T.Helper()
+	p.harness.T.Helper()
 	end := -1
-	p.b.WaitFor("a line", func() bool {
+	p.harness.WaitFor("a line", func() bool {
 		p.Poll()
 		end = bytes.IndexByte(p.Received, '\n')
 		return end >= 0 || p.EndErr != nil
 	})
 	if end < 0 {
-		p.b.T.Fatalf("ended with %v after %q, want a line", p.EndErr, p.Received)
+		p.harness.T.Fatalf("ended with %v after %q, want a line", p.EndErr, p.Received)
 	}
 	line := string(bytes.TrimSuffix(p.Received[:end], []byte("\r")))
 	p.Received = p.Received[end+1:]
@@ -116,10 +116,10 @@
 
 // ExpectLines waits for these lines.
 func (p *Peer) ExpectLines(want ...string) {
-	p.b.T.Helper()
+	p.harness.T.Helper()
 	for _, w := range want {
 		if got := p.ReadLine(); got != w {
-			p.b.T.Fatalf("got line %q, want %q", got, w)
+			p.harness.T.Fatalf("got line %q, want %q", got, w)
 		}
 	}
 }
--- a/internal/netloop/stall_test.go
+++ b/internal/netloop/stall_test.go
@@ -13,16 +13,16 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	told := []time.Duration{}
+	stalls := []time.Duration{}
 	now += 5 * time.Second // a slow start
-	l.OnStall(time.Second, func(gap time.Duration) { told = append(told, gap) })
+	l.OnStall(time.Second, func(gap time.Duration) { stalls = append(stalls, gap) })
 	for _, pass := range []time.Duration{0, 900 * time.Millisecond, 10 * time.Second, 100 * time.Millisecond} {
 		now += pass
 		if err := l.RunOnce(0); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if len(told) != 1 || told[0] != 10*time.Second {
-		t.Errorf("told of %v, want one of 10 s", told)
+	if len(stalls) != 1 || stalls[0] != 10*time.Second {
+		t.Errorf("told of %v, want one of 10 s", stalls)
 	}
 }
--- a/internal/netloop/syscalls.go
+++ b/internal/netloop/syscalls.go
@@ -4,13 +4,13 @@
 
 // Syscalls is the system calls by which a loop reaches the kernel. Tests put calls that fail in the place of some of them.
 type Syscalls struct {
-	EpollWait     func(poll int, events []unix.EpollEvent, milliseconds int) (int, error)
-	EpollCtl      func(poll, op, fd int, event *unix.EpollEvent) error
+	EpollWait     func(epollFD int, events []unix.EpollEvent, milliseconds int) (int, error)
+	EpollCtl      func(epollFD, op, fd int, event *unix.EpollEvent) error
 	Socket        func(domain, kind, protocol int) (int, error)
-	Bind          func(fd int, at unix.Sockaddr) error
+	Bind          func(fd int, addr unix.Sockaddr) error
 	Listen        func(fd, backlog int) error
 	Accept        func(fd, flags int) (int, unix.Sockaddr, error)
-	Connect       func(fd int, to unix.Sockaddr) error
+	Connect       func(fd int, addr unix.Sockaddr) error
 	Read          func(fd int, p []byte) (int, error)
 	Write         func(fd int, p []byte) (int, error)
 	SetsockoptInt func(fd, level, option, value int) error
--- a/internal/netloop/syscalls_test.go
+++ b/internal/netloop/syscalls_test.go
@@ -17,19 +17,19 @@
 var resourceErrors = []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM}
 
 // moment is after how long a transient fault is over at the latest in these tests.
-const moment = time.Second
+const recoveryTimeout = time.Second
 
 // faulty is a loop whose system calls fail by the returned plan.
-func faulty(t *testing.T) (*looptest.Harness, *looptest.Faults) {
+func newFaultyHarness(t *testing.T) (*looptest.Harness, *looptest.Faults) {
 	f := looptest.NewFaults(1)
 	return looptest.NewWithSyscalls(t, 64, f.Syscalls()), f
 }
 
 // answering is a listener that greets each connection and closes it.
-func answering(b *looptest.Harness) *netloop.Listener {
+func listenAndGreet(b *looptest.Harness) *netloop.Listener {
 	b.T.Helper()
 	l, err := b.Loop.Listen("127.0.0.1:0", func(c *netloop.Conn) {
-		c.SetHandler(&end{take: 1 << 20})
+		c.SetHandler(&recordingHandler{consumable: 1 << 20})
 		c.Write([]byte("hello"))
 		c.Finish()
 	})
@@ -40,9 +40,9 @@
 }
 
 // passUntil moves the clock on until ok, for a moment at most.
-func passUntil(b *looptest.Harness, what string, ok func() bool) {
+func advanceUntil(b *looptest.Harness, what string, ok func() bool) {
 	b.T.Helper()
-	for range int(moment / time.Millisecond) {
+	for range int(recoveryTimeout / time.Millisecond) {
 		if ok() {
 			return
 		}
@@ -52,9 +52,9 @@
 }
 
 // greeted checks that each peer is greeted within a moment of the loop's clock.
-func greeted(b *looptest.Harness, peers ...*looptest.Peer) {
+func expectGreetings(b *looptest.Harness, peers ...*looptest.Peer) {
 	b.T.Helper()
-	passUntil(b, "an answer for each", func() bool {
+	advanceUntil(b, "an answer for each", func() bool {
 		for _, p := range peers {
 			if p.Poll(); string(p.Received) != "hello" && p.EndErr == nil {
 				return false
@@ -77,35 +77,35 @@
 func TestAcceptFails(t *testing.T) {
 	for _, errno := range acceptErrors {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
-			b, f := faulty(t)
-			l := answering(b)
+			b, f := newFaultyHarness(t)
+			l := listenAndGreet(b)
 			first, second := b.Dial(l.Addr()), b.Dial(l.Addr())
 			f.Set(looptest.Fault{Syscall: "Accept", Errno: errno, MaxCount: 5})
-			greeted(b, first, second)
+			expectGreetings(b, first, second)
 			f.Set(looptest.Fault{Syscall: "Accept", Errno: errno})
 			before, third := f.Injected("Accept"), b.Dial(l.Addr())
 			const rounds = 200
 			for range rounds {
 				b.Advance(time.Millisecond)
 			}
-			most := rounds * 16 // the backlog is not accepted without end in one round
+			maxCalls := rounds * 16 // the backlog is not accepted without end in one round
 			if slices.Contains(resourceErrors, errno) {
-				most = rounds / 10 // nor is accept called while the system is out of resources
+				maxCalls = rounds / 10 // nor is accept called while the system is out of resources
 			}
-			if asked := f.Injected("Accept") - before; asked < 2 || asked > most {
-				t.Errorf("asked %d times in %d ms, %d at most", asked, rounds, most)
+			if calls := f.Injected("Accept") - before; calls < 2 || calls > maxCalls {
+				t.Errorf("asked %d times in %d ms, %d at most", calls, rounds, maxCalls)
 			}
 			f.Set()
-			greeted(b, third)
+			expectGreetings(b, third)
 		})
 		t.Run(unix.ErrnoName(errno)+" at the end", func(t *testing.T) {
-			b, f := faulty(t)
-			l := answering(b)
+			b, f := newFaultyHarness(t)
+			l := listenAndGreet(b)
 			first, second := b.Dial(l.Addr()), b.Dial(l.Addr())
 			f.Set(looptest.Fault{Syscall: "Accept", Errno: errno, MaxCount: 5})
 			l.Close()
-			greeted(b, first, second)
-			passUntil(b, "the end of listening", l.Closed)
+			expectGreetings(b, first, second)
+			advanceUntil(b, "the end of listening", l.Closed)
 		})
 	}
 }
@@ -114,65 +114,65 @@
 // is lost.
 func TestEpollCtlFails(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ENOMEM, unix.ENOSPC} {
-		fails := looptest.Fault{Syscall: "EpollCtl", Errno: errno, MaxCount: 5}
+		transientFault := looptest.Fault{Syscall: "EpollCtl", Errno: errno, MaxCount: 5}
 		t.Run(unix.ErrnoName(errno)+" accepted", func(t *testing.T) {
-			b, f := faulty(t)
-			e := &end{take: 1 << 20}
-			l, err := b.Loop.Listen("127.0.0.1:0", func(c *netloop.Conn) { e.c = c; c.SetHandler(e) })
+			b, f := newFaultyHarness(t)
+			e := &recordingHandler{consumable: 1 << 20}
+			l, err := b.Loop.Listen("127.0.0.1:0", func(c *netloop.Conn) { e.conn = c; c.SetHandler(e) })
 			if err != nil {
 				t.Fatal(err)
 			}
 			p := b.Dial(l.Addr())
 			p.Send("a request")
-			f.Set(fails)
-			passUntil(b, "the request", func() bool { return string(e.got) == "a request" })
+			f.Set(transientFault)
+			advanceUntil(b, "the request", func() bool { return string(e.received) == "a request" })
 		})
 		t.Run(unix.ErrnoName(errno)+" dialled", func(t *testing.T) {
-			b, f := faulty(t)
+			b, f := newFaultyHarness(t)
 			s := b.Listen()
-			e := &end{take: 1 << 20}
-			f.Set(fails)
-			e.c = b.Loop.Dial(s.Addr(), moment, e)
+			e := &recordingHandler{consumable: 1 << 20}
+			f.Set(transientFault)
+			e.conn = b.Loop.Dial(s.Addr(), recoveryTimeout, e)
 			p := s.Accept()
-			passUntil(b, "the connection", func() bool { return e.opened || len(e.over) > 0 })
-			if len(e.over) > 0 {
-				t.Fatalf("ended with %v", e.over)
+			advanceUntil(b, "the connection", func() bool { return e.opened || len(e.endErrs) > 0 })
+			if len(e.endErrs) > 0 {
+				t.Fatalf("ended with %v", e.endErrs)
 			}
-			e.c.Write([]byte("a line"))
+			e.conn.Write([]byte("a line"))
 			p.Expect("a line")
 		})
 		t.Run(unix.ErrnoName(errno)+" going on", func(t *testing.T) {
-			b, f := faulty(t)
+			b, f := newFaultyHarness(t)
 			e, p := pair(b)
 			p.Send("x")
-			b.WaitFor("a byte", func() bool { return e.offers == 1 })
-			e.c.PauseReading()
+			b.WaitFor("a byte", func() bool { return e.lastOffered == 1 })
+			e.conn.PauseReading()
 			p.Send("more")
 			b.RunOnce() // from here on epoll_ctl is not called
 			b.RunOnce()
-			f.Set(fails)
-			e.take = 1 << 20
-			e.c.ResumeReading()
-			passUntil(b, "the rest", func() bool { return string(e.got) == "xmore" })
+			f.Set(transientFault)
+			e.consumable = 1 << 20
+			e.conn.ResumeReading()
+			advanceUntil(b, "the rest", func() bool { return string(e.received) == "xmore" })
 		})
 		t.Run(unix.ErrnoName(errno)+" listening again", func(t *testing.T) {
-			b, f := faulty(t)
-			l := answering(b)
+			b, f := newFaultyHarness(t)
+			l := listenAndGreet(b)
 			l.SetPaused(true)
 			p := b.Dial(l.Addr())
-			f.Set(fails)
+			f.Set(transientFault)
 			l.SetPaused(false)
-			greeted(b, p)
+			expectGreetings(b, p)
 		})
 		t.Run(unix.ErrnoName(errno)+" attached", func(t *testing.T) {
-			b, f := faulty(t)
+			b, f := newFaultyHarness(t)
 			e, p := pair(b)
-			fd, unread := e.c.Detach()
-			again := &end{take: 1 << 20}
-			f.Set(fails)
+			fd, unread := e.conn.Detach()
+			again := &recordingHandler{consumable: 1 << 20}
+			f.Set(transientFault)
 			b.Loop.Attach(fd, unread, again)
 			p.Send("more")
-			passUntil(b, "what came after", func() bool { return string(again.got) == "more" })
+			advanceUntil(b, "what came after", func() bool { return string(again.received) == "more" })
 		})
 	}
 }
@@ -181,9 +181,9 @@
 // goes on; any other failure is the peer's.
 func TestConnectFails(t *testing.T) {
 	for _, c := range []struct {
-		call   string
-		errnos []unix.Errno
-		own    bool
+		call          string
+		errnos        []unix.Errno
+		localShortage bool
 	}{
 		{"Socket", resourceErrors, true},
 		{"Connect", []unix.Errno{unix.EADDRNOTAVAIL, unix.EAGAIN, unix.ENOBUFS, unix.ENOMEM, unix.ENETUNREACH, unix.ECONNABORTED, unix.EPERM, unix.EACCES, unix.EADDRINUSE}, true},
@@ -191,14 +191,14 @@
 	} {
 		for _, errno := range c.errnos {
 			t.Run(fmt.Sprint(c.call, " ", unix.ErrnoName(errno)), func(t *testing.T) {
-				b, f := faulty(t)
+				b, f := newFaultyHarness(t)
 				s, free := b.Listen(), b.FreeDescriptors()
 				f.Set(looptest.Fault{Syscall: c.call, Errno: errno, MaxCount: 1})
-				e := &end{}
-				b.Loop.Dial(s.Addr(), moment, e)
-				passUntil(b, "its end", func() bool { return len(e.over) > 0 })
-				if err := e.over[0]; errors.Is(err, netloop.ErrNoDescriptors) != c.own || !errors.Is(err, errno) {
-					t.Errorf("ended with %v, the relay's own want: %v", err, c.own)
+				e := &recordingHandler{}
+				b.Loop.Dial(s.Addr(), recoveryTimeout, e)
+				advanceUntil(b, "its end", func() bool { return len(e.endErrs) > 0 })
+				if err := e.endErrs[0]; errors.Is(err, netloop.ErrNoDescriptors) != c.localShortage || !errors.Is(err, errno) {
+					t.Errorf("ended with %v, the relay's own want: %v", err, c.localShortage)
 				}
 				if b.RunOnce(); b.FreeDescriptors() != free {
 					t.Errorf("%d descriptors are left", free-b.FreeDescriptors())
@@ -207,14 +207,14 @@
 		}
 	}
 	t.Run("EINTR", func(t *testing.T) {
-		b, f := faulty(t)
+		b, f := newFaultyHarness(t)
 		s := b.Listen()
 		f.Set(looptest.Fault{Syscall: "Connect", Errno: unix.EINTR, MaxCount: 1})
-		e := &end{}
-		b.Loop.Dial(s.Addr(), moment, e)
-		passUntil(b, "the connection", func() bool { return e.opened || len(e.over) > 0 })
-		if len(e.over) > 0 {
-			t.Errorf("ended with %v", e.over)
+		e := &recordingHandler{}
+		b.Loop.Dial(s.Addr(), recoveryTimeout, e)
+		advanceUntil(b, "the connection", func() bool { return e.opened || len(e.endErrs) > 0 })
+		if len(e.endErrs) > 0 {
+			t.Errorf("ended with %v", e.endErrs)
 		}
 	})
 }
--- a/internal/netloop/tls.go
+++ b/internal/netloop/tls.go
@@ -34,7 +34,7 @@
 
 // StartTLS has all further bytes go by TLS: what was written before is sent as it is. Done is called from the loop once the
 // handshake has succeeded; if it fails the handler's End is called.
-func (c *Conn) StartTLS(cfg *tls.Config, client bool, within time.Duration, done func(tls.ConnectionState)) {
+func (c *Conn) StartTLS(cfg *tls.Config, client bool, timeout time.Duration, onEstablished func(tls.ConnectionState)) {
 	if c.fd < 0 || c.tls != nil || c.failTimer != nil {
 		return
 	}
@@ -65,11 +65,11 @@
 		c.unread.free(c.loop)
 	}
 	c.tls, c.readPaused = s, false
-	s.handshakeTimer = c.loop.After(within, func() { c.fail(ErrDialTimeout) })
+	s.handshakeTimer = c.loop.After(timeout, func() { c.fail(ErrDialTimeout) })
 	c.updateInterest()
-	c.loop.handshakers.Go(func() {
+	c.loop.handshakeGoroutines.Go(func() {
 		err := s.tls.Handshake()
-		c.loop.Post(func() { s.finishHandshake(err, done) })
+		c.loop.Post(func() { s.finishHandshake(err, onEstablished) })
 	})
 }
 
@@ -77,7 +77,7 @@
 func (c *Conn) IsTLS() bool { return c.tls != nil && c.tls.established }
 
 // finishHandshake takes the TLS connection over from the handshake's goroutine.
-func (s *tlsState) finishHandshake(err error, done func(tls.ConnectionState)) {
+func (s *tlsState) finishHandshake(err error, onEstablished func(tls.ConnectionState)) {
 	c := s.conn
 	c.loop.handshakes--
 	s.handshakeTimer.Stop()
@@ -96,7 +96,7 @@
 	s.transport.nonBlocking = true
 	s.transport.send = func(b []byte) { s.encrypted.append(c.loop, b) }
 	s.transport.mu.Unlock()
-	done(s.tls.ConnectionState())
+	onEstablished(s.tls.ConnectionState())
 	c.flush()
 	s.read()
 	c.updateInterest()
@@ -127,9 +127,9 @@
 		if c.fd < 0 || err == nil {
 			continue
 		}
-		var late net.Error
+		var netErr net.Error
 		switch {
-		case errors.As(err, &late) && late.Timeout():
+		case errors.As(err, &netErr) && netErr.Timeout():
 		case err == io.EOF:
 			c.handleEOF()
 		default:
@@ -216,12 +216,12 @@
 // Write implements net.Conn.
 func (p *memoryPipe) Write(b []byte) (int, error) {
 	p.mu.Lock()
-	over, polled, send := p.closed, p.nonBlocking, p.send
+	closed, nonBlocking, send := p.closed, p.nonBlocking, p.send
 	p.mu.Unlock()
-	if over {
+	if closed {
 		return 0, net.ErrClosed
 	}
-	if !polled {
+	if !nonBlocking {
 		b = append([]byte(nil), b...) // the loop sends it later
 	}
 	send(b)
--- a/internal/netloop/tls_test.go
+++ b/internal/netloop/tls_test.go
@@ -21,7 +21,7 @@
 )
 
 // certificate is a certificate for tests, which nobody verifies.
-func certificate(t *testing.T) *tls.Config {
+func selfSignedConfig(t *testing.T) *tls.Config {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -36,19 +36,19 @@
 }
 
 // talker is the peer of a TLS connection, in goroutines of its own.
-type talker struct {
+type tlsPeer struct {
 	*tls.Conn
-	got chan []byte // all that came, once it has ended
+	received chan []byte // all that came, once it has ended
 }
 
-func (a *talker) listen() {
-	a.got = make(chan []byte, 1)
+func (a *tlsPeer) startReading() {
+	a.received = make(chan []byte, 1)
 	go func() {
 		all, err := io.ReadAll(a.Conn)
 		if err != nil {
 			all = append(all, err.Error()...)
 		}
-		a.got <- all
+		a.received <- all
 	}()
 }
 
@@ -59,13 +59,13 @@
 		for _, client := range []bool{false, true} {
 			b := looptest.New(t, 32)
 			e, p := pair(b)
-			cfg := certificate(t)
+			cfg := selfSignedConfig(t)
 			cfg.MaxVersion = version
-			e.c.SetBufferLimits(1<<20, 1<<20)
-			e.take = 1 << 20
-			up := false
-			e.c.Write([]byte("plain\n"))
-			e.c.StartTLS(cfg, client, looptest.Timeout, func(tls.ConnectionState) { up = true })
+			e.conn.SetBufferLimits(1<<20, 1<<20)
+			e.consumable = 1 << 20
+			established := false
+			e.conn.Write([]byte("plain\n"))
+			e.conn.StartTLS(cfg, client, looptest.Timeout, func(tls.ConnectionState) { established = true })
 			// No more than that is read: a client's first record may be right behind it.
 			plain := make([]byte, len("plain\n"))
 			p.SetReadDeadline(time.Now().Add(looptest.Timeout))
@@ -73,52 +73,52 @@
 				t.Fatalf("got %q (%v) before the handshake", plain, err)
 			}
 			p.SetReadDeadline(time.Time{})
-			far := &talker{}
+			remote := &tlsPeer{}
 			if client {
-				far.Conn = tls.Server(p.Conn, cfg)
+				remote.Conn = tls.Server(p.Conn, cfg)
 			} else {
-				far.Conn = tls.Client(p.Conn, cfg)
+				remote.Conn = tls.Client(p.Conn, cfg)
 			}
-			shaken := make(chan error, 1)
-			go func() { shaken <- far.Handshake() }()
-			b.WaitFor("the handshake", func() bool { return up })
-			if err := <-shaken; err != nil {
+			handshakeErr := make(chan error, 1)
+			go func() { handshakeErr <- remote.Handshake() }()
+			b.WaitFor("the handshake", func() bool { return established })
+			if err := <-handshakeErr; err != nil {
 				t.Fatal(err)
 			}
-			far.listen()
-			rng, own := random.New(random.NewPCG(uint64(version), 3)), random.New(random.NewPCG(uint64(version), 4))
-			there, back := strings.Repeat("to the loop ", 20000), strings.Repeat("from the loop ", 20000)
+			remote.startReading()
+			peerRand, loopRand := random.New(random.NewPCG(uint64(version), 3)), random.New(random.NewPCG(uint64(version), 4))
+			toLoop, fromLoop := strings.Repeat("to the loop ", 20000), strings.Repeat("from the loop ", 20000)
 			go func() {
-				for rest := there; len(rest) > 0; {
-					n := min(1+rng.IntN(30000), len(rest))
-					io.WriteString(far.Conn, rest[:n])
+				for rest := toLoop; len(rest) > 0; {
+					n := min(1+peerRand.IntN(30000), len(rest))
+					io.WriteString(remote.Conn, rest[:n])
 					rest = rest[n:]
 				}
 			}()
-			for rest := back; len(rest) > 0; {
-				n := min(1+own.IntN(30000), len(rest))
-				e.c.Write([]byte(rest[:n]))
+			for rest := fromLoop; len(rest) > 0; {
+				n := min(1+loopRand.IntN(30000), len(rest))
+				e.conn.Write([]byte(rest[:n]))
 				rest = rest[n:]
 				b.RunOnce()
 			}
-			b.WaitFor("all bytes", func() bool { return len(e.got) == len(there) })
-			if string(e.got) != there {
+			b.WaitFor("all bytes", func() bool { return len(e.received) == len(toLoop) })
+			if string(e.received) != toLoop {
 				t.Error("other bytes came")
 			}
-			e.c.Finish()
+			e.conn.Finish()
 			var got []byte
 			b.WaitFor("the end", func() bool {
 				select {
-				case got = <-far.got:
+				case got = <-remote.received:
 					return true
 				default:
 					return false
 				}
 			})
-			if string(got) != back {
-				t.Errorf("%d of %d bytes went out, ending in %.60q", len(got), len(back), got[max(0, len(got)-60):])
+			if string(got) != fromLoop {
+				t.Errorf("%d of %d bytes went out, ending in %.60q", len(got), len(fromLoop), got[max(0, len(got)-60):])
 			}
-			far.Close()
+			remote.Close()
 		}
 	}
 }
@@ -127,58 +127,58 @@
 // handler, and their goroutines.
 func TestTLSFails(t *testing.T) {
 	b := looptest.New(t, 16)
-	cfg := certificate(t)
-	start := func() (*end, *looptest.Peer) {
+	cfg := selfSignedConfig(t)
+	start := func() (*recordingHandler, *looptest.Peer) {
 		e, p := pair(b)
-		e.c.StartTLS(cfg, false, time.Second, func(tls.ConnectionState) { t.Error("a handshake succeeded") })
+		e.conn.StartTLS(cfg, false, time.Second, func(tls.ConnectionState) { t.Error("a handshake succeeded") })
 		return e, p
 	}
 	e, p := start()
 	p.Send(strings.Repeat("no handshake ", 100))
-	b.WaitFor("its end", func() bool { return len(e.over) > 0 })
+	b.WaitFor("its end", func() bool { return len(e.endErrs) > 0 })
 	e, p = start()
 	p.CloseWrite()
-	b.WaitFor("its end", func() bool { return len(e.over) > 0 })
+	b.WaitFor("its end", func() bool { return len(e.endErrs) > 0 })
 
 	// On a loop of its own: those that ended above may count as handshakes for a while yet.
 	b = looptest.New(t, 512)
-	var slow []*end
+	var slow []*recordingHandler
 	for range 64 {
 		e, _ := start()
 		slow = append(slow, e)
 	}
 	e, _ = start()
-	b.WaitFor("the refusal", func() bool { return len(e.over) > 0 })
-	if !errors.Is(e.over[0], netloop.ErrHandshakes) {
-		t.Errorf("one too many ends with %v", e.over[0])
+	b.WaitFor("the refusal", func() bool { return len(e.endErrs) > 0 })
+	if !errors.Is(e.endErrs[0], netloop.ErrHandshakes) {
+		t.Errorf("one too many ends with %v", e.endErrs[0])
 	}
 	b.Advance(time.Second)
 	for _, e := range slow {
-		if len(e.over) != 1 || !errors.Is(e.over[0], netloop.ErrDialTimeout) {
-			t.Fatalf("a slow handshake ends with %v", e.over)
+		if len(e.endErrs) != 1 || !errors.Is(e.endErrs[0], netloop.ErrDialTimeout) {
+			t.Fatalf("a slow handshake ends with %v", e.endErrs)
 		}
 	}
 	b.WaitFor("a handshake for others", func() bool {
 		e, p := pair(b)
-		up := false
-		e.c.StartTLS(cfg, false, looptest.Timeout, func(tls.ConnectionState) { up = true })
+		established := false
+		e.conn.StartTLS(cfg, false, looptest.Timeout, func(tls.ConnectionState) { established = true })
 		p.SetReadDeadline(time.Time{})
 		go tls.Client(p.Conn, cfg).Handshake()
-		b.WaitFor("a handshake or a refusal", func() bool { return up || len(e.over) > 0 })
-		if !up {
+		b.WaitFor("a handshake or a refusal", func() bool { return established || len(e.endErrs) > 0 })
+		if !established {
 			p.Close()
 		}
-		return up
+		return established
 	})
 }
 
 // TestCloseEndsHandshakes: when a loop is closed, no goroutine of a handshake is left, also of one whose peer sends nothing.
 func TestCloseEndsHandshakes(t *testing.T) {
 	b := looptest.New(t, 16)
-	cfg := certificate(t)
+	cfg := selfSignedConfig(t)
 	for range 3 {
 		e, _ := pair(b)
-		e.c.StartTLS(cfg, false, time.Minute, func(tls.ConnectionState) { t.Error("a handshake succeeded") })
+		e.conn.StartTLS(cfg, false, time.Minute, func(tls.ConnectionState) { t.Error("a handshake succeeded") })
 	}
 	b.Close()
 	stacks := make([]byte, 1<<20)
