--- a/internal/netloop/address.go
+++ b/internal/netloop/address.go
@@ -7,7 +7,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// parseSockaddr parses an IP address and port for the system calls, with the address family.
+// parseSockaddr parses an IP address with a port and returns it as a socket address, along with its
+// address family.
 func parseSockaddr(addr string) (unix.Sockaddr, int, error) {
 	addrPort, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -19,6 +20,7 @@
 	return &unix.SockaddrInet6{Port: int(addrPort.Port()), Addr: addrPort.Addr().As16()}, unix.AF_INET6, nil
 }
 
+// localAddr returns the address that fd is bound to, or "" if the kernel does not report one.
 func localAddr(fd int) string {
 	sockaddr, err := unix.Getsockname(fd)
 	if err != nil {
@@ -27,6 +29,7 @@
 	return formatSockaddr(sockaddr)
 }
 
+// formatSockaddr returns an IP socket address as "host:port", or "" for other address families.
 func formatSockaddr(sockaddr unix.Sockaddr) string {
 	switch sockaddr := sockaddr.(type) {
 	case *unix.SockaddrInet4:
@@ -37,7 +40,7 @@
 	return ""
 }
 
-// IsBoundTo reports whether a socket is bound to an address.
+// IsBoundTo reports whether a socket is bound to addr. Port 0 in addr matches any port.
 func IsBoundTo(fd int, addr string) bool {
 	want, err := netip.ParseAddrPort(addr)
 	if err != nil {
--- a/internal/netloop/buffer.go
+++ b/internal/netloop/buffer.go
@@ -1,15 +1,16 @@
 package netloop
 
-// buffer is a queue of bytes, in a buffer from the loop's pool.
+// buffer is a byte queue. Its memory comes from the loop's buffer pool.
 type buffer struct {
 	buf   []byte
-	start int // of the bytes that are not consumed
+	start int // index in buf of the first byte that is not consumed
 }
 
 func (s *buffer) size() int    { return len(s.buf) - s.start }
 func (s *buffer) data() []byte { return s.buf[s.start:] }
 
-// reserve is the buffer with capacity for so many bytes more, to be appended to.
+// reserve returns the buffered bytes as a slice with capacity for at least more further bytes. The
+// caller appends to it and stores the result in buf.
 func (s *buffer) reserve(l *Loop, more int) []byte {
 	if s.buf == nil {
 		s.buf = l.getBuffer(more)
@@ -35,19 +36,19 @@
 	}
 }
 
-// free drops all bytes and gives the buffer back to the pool.
+// free drops all bytes and returns the memory to the pool.
 func (s *buffer) free(l *Loop) {
 	l.putBuffer(s.buf)
 	s.buf, s.start = nil, 0
 }
 
-// Empty buffers are pooled: none larger than maxPooledBuffer, and maxPooledBytes bytes together. Without this every round of a
-// busy connection has a buffer grow anew.
+// Limits of the pool of empty buffers. Without the pool, a busy connection would allocate and grow a
+// buffer in every round of the loop.
 const (
-	readSize        = 64 << 10 // the most that one read returns
-	maxPooledBuffer = 2 * readSize
-	maxPooledBytes  = 4 << 20
-	minBuffer       = 512
+	readSize        = 64 << 10     // most bytes that one read returns; smallest buffer in the pool
+	maxPooledBuffer = 2 * readSize // capacity of the largest buffer in the pool, in bytes
+	maxPooledBytes  = 4 << 20      // total capacity of the pool, in bytes
+	minBuffer       = 512          // capacity of the smallest buffer, in bytes; not pooled
 )
 
 func (l *Loop) getBuffer(capacity int) []byte {
@@ -73,12 +74,13 @@
 	}
 }
 
-// SetMemoryLimit bounds the bytes in all buffers together; 0 for no bound. While they have more, a connection that has more
-// than its default share is ended when it needs yet more: each may have the memory for one large message, all at once may not.
+// SetMemoryLimit limits the bytes buffered by all connections together; 0 means no limit. While the
+// limit is exceeded, a connection that needs more than its default share of buffer ends with
+// ErrOverflow. Any one connection may therefore buffer a large message, but not all of them at once.
 func (l *Loop) SetMemoryLimit(limit int) { l.maxBuffered = limit }
 
-// MemoryPressure reports whether the buffers have more than half of the limit. Callers that can do with less should then,
-// well before connections are ended for it.
+// MemoryPressure reports whether more than half of the memory limit is in use. Callers should then
+// reduce their memory use, so that no connection has to be ended.
 func (l *Loop) MemoryPressure() bool { return l.maxBuffered > 0 && l.bufferedBytes > l.maxBuffered/2 }
 
 func (l *Loop) overMemoryLimit() bool { return l.maxBuffered > 0 && l.bufferedBytes > l.maxBuffered }
--- a/internal/netloop/channel.go
+++ b/internal/netloop/channel.go
@@ -12,31 +12,33 @@
 	"golang.org/x/sys/unix"
 )
 
-// Bounds of a channel: one message, the descriptors that go with it, and the messages that may wait for the other process.
+// Limits of a channel: bytes and descriptors in one message, and messages that wait to be sent.
 const (
 	maxMessageSize     = 128 << 10
 	maxMessageFDs      = 8
 	maxPendingMessages = 4096
 )
 
-// Channel is a connection to another process of this machine, which carries messages and descriptors with them.
+// Channel is a connection to another process on the same host. It carries messages, and descriptors
+// along with them.
 type Channel struct {
 	loop       *Loop
-	fd         int // -1 once given back
+	fd         int // -1 once closed
 	pending    []message
-	sendErr    error  // how sending ended, while messages that came before are still received
-	retryTimer *Timer // until updateInterest is tried again
+	sendErr    error  // why sending failed; messages already received by the kernel are delivered first
+	retryTimer *Timer // runs updateInterest again after epoll_ctl has failed
 	onMessage  func(text []byte, fds []int)
 	onEnd      func(error)
 }
 
 type message struct {
 	text []byte
-	fds  []int // duplicates, closed once sent
+	fds  []int // duplicates of the sender's descriptors, closed once the message is sent
 }
 
-// ServeChannel serves a connected socket. OnMessage must take the descriptors that come over or close them; onEnd is called once, when
-// the other process is gone.
+// ServeChannel serves a connected socket and takes ownership of it, also on an error. onMessage owns
+// the descriptors that it is passed. onEnd is called at most once, when the other process has closed
+// the channel or the channel has failed.
 func (l *Loop) ServeChannel(fd int, onMessage func(text []byte, fds []int), onEnd func(error)) (*Channel, error) {
 	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_SNDBUF, 2*maxMessageSize)
 	c := &Channel{loop: l, fd: fd, onMessage: onMessage, onEnd: onEnd}
@@ -51,7 +53,8 @@
 	return c, nil
 }
 
-// Send sends a message. The descriptors stay the caller's.
+// Send sends a message, or queues it if the socket's buffer is full. The caller keeps ownership of the
+// descriptors.
 func (c *Channel) Send(text []byte, fds ...int) error {
 	if c.fd < 0 {
 		return io.ErrClosedPipe
@@ -85,7 +88,7 @@
 	}
 }
 
-// Close closes the channel without a call of onEnd.
+// Close closes the channel without calling onEnd.
 func (c *Channel) Close() {
 	if c.fd < 0 {
 		return
@@ -106,7 +109,7 @@
 			break
 		}
 		if err != nil {
-			c.sendErr = err // messages that came before it are received first
+			c.sendErr = err // reported after the messages that are still in the receive queue
 			break
 		}
 		m.closeFDs()
@@ -123,7 +126,7 @@
 		case errors.Is(err, unix.EAGAIN) && c.sendErr == nil:
 			return
 		case errors.Is(err, unix.ECONNRESET) && c.sendErr == nil:
-			c.sendErr = err // the kernel reports it once, before the messages that wait
+			c.sendErr = err // the kernel reports a reset once, ahead of the messages in the receive queue
 			continue
 		case err != nil:
 			c.fail(cmp.Or(c.sendErr, err))
@@ -133,8 +136,8 @@
 	}
 }
 
-// updateInterest has epoll watch for messages, and while some are pending for space to send them. If the system is out of resources
-// it is tried again.
+// updateInterest makes epoll watch for messages to receive and, while messages are pending, for space
+// to send them. If epoll_ctl fails, the call is repeated after resourceRetryDelay.
 func (c *Channel) updateInterest() {
 	if c.fd < 0 {
 		return
@@ -168,7 +171,7 @@
 }
 
 func receive(fd, flags int) ([]byte, []int, error) {
-	// Sized for the largest, and cut to what came.
+	// Buffers for the largest possible message; the result is cut to the received size.
 	text, rights := make([]byte, maxMessageSize), make([]byte, unix.CmsgSpace(4*maxMessageFDs))
 	n, controlLen, receivedFlags, _, err := unix.Recvmsg(fd, text, rights, flags|unix.MSG_CMSG_CLOEXEC)
 	if err != nil {
@@ -192,8 +195,9 @@
 	return text[:n], fds, nil
 }
 
-// unixAddr is a path as a socket's address. It goes by a descriptor of its directory, since an address has at most 107 bytes.
-// Done closes that.
+// unixAddr returns the socket address of a path. The address refers to the path's directory by a
+// descriptor under /proc/self/fd, because a Unix socket address holds at most 107 bytes. closeDir
+// closes that descriptor.
 func unixAddr(path string) (sockaddr unix.Sockaddr, closeDir func(), err error) {
 	dir, err := unix.Open(filepath.Dir(path), unix.O_PATH|unix.O_DIRECTORY|unix.O_CLOEXEC, 0)
 	if err != nil {
@@ -202,8 +206,9 @@
 	return &unix.SockaddrUnix{Name: fmt.Sprintf("/proc/self/fd/%d/%s", dir, filepath.Base(path))}, func() { unix.Close(dir) }, nil
 }
 
-// DialChannel connects to the process that listens at a path. SendBlocking and ReceiveBlocking on the socket block for at most
-// the timeout; that is meant for a start, before the loop runs.
+// DialChannel connects to the process that listens at path and returns the socket, which is in
+// blocking mode. SendBlocking and ReceiveBlocking on it block for at most timeout. It is meant for the
+// start of a process, before the loop runs.
 func DialChannel(path string, timeout time.Duration) (int, error) {
 	sockaddr, closeDir, err := unixAddr(path)
 	if err != nil {
@@ -230,13 +235,14 @@
 	return fd, nil
 }
 
-// SendBlocking sends a message on a socket of DialChannel's.
+// SendBlocking sends a message on a socket returned by DialChannel.
 func SendBlocking(fd int, text []byte) error { return send(fd, text, nil) }
 
-// ReceiveBlocking waits for a message on a socket of DialChannel's.
+// ReceiveBlocking waits for a message on a socket returned by DialChannel. The caller owns fds.
 func ReceiveBlocking(fd int) (text []byte, fds []int, err error) { return receive(fd, 0) }
 
-// ListenChannel accepts processes that connect at a path. A socket that a process left behind there is replaced.
+// ListenChannel listens at path and calls accept with the socket of each process that connects. It
+// replaces a socket file left at path by an earlier process.
 func (l *Loop) ListenChannel(path string, accept func(fd int)) (*Listener, error) {
 	sockaddr, closeDir, err := unixAddr(path)
 	if err != nil {
@@ -259,5 +265,5 @@
 	return s, nil
 }
 
-// Idle reports whether no message waits to be sent.
+// Idle reports whether no message is waiting to be sent.
 func (c *Channel) Idle() bool { return len(c.pending) == 0 }
--- a/internal/netloop/conn.go
+++ b/internal/netloop/conn.go
@@ -9,76 +9,80 @@
 	"golang.org/x/sys/unix"
 )
 
-// Bounds of a connection's buffers unless SetBufferLimits sets others, and of how long an ended one lingers.
+// Default buffer limits of a connection, and limits for closing it.
 const (
-	DefaultReadLimit  = 8 << 10  // unread bytes; with more, reading pauses
-	DefaultWriteLimit = 64 << 10 // unsent bytes at which WriteCapacity is 0
-	writeMargin       = 32 << 10 // what may be written beyond that, for answers
-	lingerTimeout     = time.Second
-	// maxLingerBytes is how much is still read on a connection that has ended, so that a peer which sends without end costs
-	// no more than that.
+	DefaultReadLimit  = 8 << 10     // unread bytes at which reading pauses
+	DefaultWriteLimit = 64 << 10    // unsent bytes at which WriteCapacity is 0
+	writeMargin       = 32 << 10    // bytes beyond the write limit that are still buffered, for final answers
+	lingerTimeout     = time.Second // longest time that a connection stays open after Finish
+	// maxLingerBytes is how many bytes are read and discarded after Finish. The limit bounds the
+	// work for a peer that never stops sending.
 	maxLingerBytes = 256 << 10
-	// resourceRetryDelay is how long to wait after the system was out of resources: trying again at once would spin.
+	// resourceRetryDelay is the pause after a call failed for lack of system resources. An immediate
+	// retry would spin.
 	resourceRetryDelay = 20 * time.Millisecond
-	// maxReadsPerEvent is how many times a connection is read before others have a turn.
+	// maxReadsPerEvent is how often one connection is read before others have their turn.
 	maxReadsPerEvent = 8
 )
 
-// ErrDialTimeout is how a dial ends that took too long.
+// ErrDialTimeout is reported when a dial or a TLS handshake does not complete in time.
 var ErrDialTimeout = errors.New("the connection did not come up in time")
 
-// ErrOverflow is how a connection ends whose peer reads nothing while more is written.
+// ErrOverflow is reported when a connection has more unsent bytes than its limit allows, usually because
+// the peer does not read, or needs more buffer while the loop's memory limit is exceeded.
 var ErrOverflow = errors.New("too much unsent")
 
-// Handler receives the events of a connection. There are none after End.
+// Handler receives the events of a connection. After End with an error other than io.EOF, and after
+// Finish or Reset, there are no more events.
 type Handler interface {
-	// Open: a dialled connection is established.
+	// Open is called when a dialled connection is established.
 	Open()
-	// Data hands over all unread bytes and returns how many were consumed. The rest comes again with more bytes, or after
-	// ResumeReading.
+	// Data receives all unread bytes and returns how many it consumed. The rest is passed again when
+	// more bytes arrive or ResumeReading is called. b is valid only during the call.
 	Data(b []byte) int
-	// Drained: all written bytes are sent.
+	// Drained is called when all written bytes have been sent.
 	Drained()
-	// End: the peer ended the connection. With io.EOF it was closed in order, and writing goes on until Finish; with another
-	// error the connection is over.
+	// End is called once, when the peer ends the connection or it fails. After io.EOF, which means that
+	// the peer has closed its side, writing continues until Finish. After any other error the
+	// connection is closed.
 	End(err error)
 }
 
-// Conn is a connection. It owns its descriptor and its buffers.
+// Conn is a TCP connection, with or without TLS. It owns its descriptor and its buffers.
 type Conn struct {
 	loop    *Loop
-	fd      int // -1 once given back
+	fd      int // -1 before the dial has a socket and after release
 	handler Handler
 	budget  *descriptorBudget
 	tls     *tlsState // nil without TLS
 
 	unread, unsentBuf    buffer
 	maxUnread, maxUnsent int
-	countedBytes         int  // what the loop has counted of the buffers
-	flushQueued          bool // queued bytes are flushed at the end of the round
-	inData               bool // in a call of the handler's Data
+	countedBytes         int  // this connection's share of the loop's bufferedBytes
+	flushQueued          bool // the connection is in the loop's list of connections to flush in this round
+	inData               bool // the handler's Data is running
 
 	registered bool   // epoll watches the descriptor
-	interest   uint32 // the events that it watches for
-	readPaused bool   // until ResumeReading
-	earlyEOF   bool   // the peer's end is reported also while earlier bytes are unread
-	stalled    bool   // nothing is read or written until retryTimer, for want of system resources
+	interest   uint32 // events that epoll watches for
+	readPaused bool   // set by PauseReading, cleared by ResumeReading
+	earlyEOF   bool   // report the peer's EOF even while earlier bytes are unread
+	stalled    bool   // no reads or writes until retryTimer, because the system is out of memory
 	retryTimer *Timer
 
-	dialTimer   *Timer // until a dialled connection is established
-	failTimer   *Timer // until an error is reported to the handler
-	lingerTimer *Timer // until a connection is closed after Finish
+	dialTimer   *Timer // set while a dial is in progress or has failed; reports the timeout or the failure
+	failTimer   *Timer // reports an error to the handler in a later call from the loop
+	lingerTimer *Timer // closes the connection lingerTimeout after Finish
 	eof         bool   // the peer has closed its side
 	finishing   bool   // Finish was called
-	writeClosed bool   // this side is closed
-	unsentAtEnd int    // bytes that were unsent when it broke
-	discarded   int    // bytes that were thrown away after Finish
+	writeClosed bool   // the sending side is shut down
+	unsentAtEnd int    // bytes that were unsent when the connection ended
+	discarded   int    // bytes discarded after Finish
 
-	evictElement *list.Element // in the budget's list of evictable connections
+	evictElement *list.Element // element in the budget's list of evictable connections, or nil
 	onEvict      func()
 }
 
-// newConn makes a connection; fd is -1 if it has no descriptor yet.
+// newConn returns a connection for fd, or one without a descriptor if fd is -1.
 func newConn(l *Loop, fd int, budget *descriptorBudget) *Conn {
 	c := &Conn{loop: l, fd: -1, maxUnread: DefaultReadLimit, maxUnsent: DefaultWriteLimit, budget: budget}
 	if fd >= 0 {
@@ -87,23 +91,24 @@
 	return c
 }
 
-// adopt takes over the connection's descriptor, with Nagle's algorithm off: what is written leaves at once.
+// adopt takes ownership of the connection's descriptor. It sets TCP_NODELAY, so that small writes are
+// sent at once.
 func (c *Conn) adopt(fd int) {
 	c.loop.syscalls.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	c.fd = fd
 	c.loop.track(fd, c, c.budget)
 }
 
-// SetHandler sets who receives events from now on.
+// SetHandler sets the handler of all further events.
 func (c *Conn) SetHandler(h Handler) { c.handler = h }
 
-// SetBufferLimits sets how many bytes may be unread and unsent.
+// SetBufferLimits sets how many bytes may be unread and how many unsent.
 func (c *Conn) SetBufferLimits(unread, unsent int) { c.maxUnread, c.maxUnsent = unread, unsent }
 
-// LocalAddr is the address of this side.
+// LocalAddr is the local address as "host:port", or "" if the connection has ended.
 func (c *Conn) LocalAddr() string { return localAddr(c.fd) }
 
-// RemoteIP is the peer's IP address; empty if the connection has ended.
+// RemoteIP is the peer's IP address, or "" if the connection has ended.
 func (c *Conn) RemoteIP() string {
 	sockaddr, err := unix.Getpeername(c.fd)
 	if err != nil {
@@ -116,8 +121,10 @@
 	return addrPort.Addr().Unmap().String()
 }
 
-// SetEvictable lets the connection be ended when descriptors run short: then onEvict is called, and what has been sent by
-// then still arrives. The connection that has been evictable for longest goes first. Nil takes it back.
+// SetEvictable allows the loop to end the connection when descriptors run short. The loop then calls
+// onEvict and closes the connection; the peer still receives what onEvict writes, as far as the kernel
+// accepts it at once. The connection that has been evictable for longest is evicted first. With nil the
+// connection is no longer evictable.
 func (c *Conn) SetEvictable(onEvict func()) {
 	if c.evictElement != nil {
 		c.budget.evictable.Remove(c.evictElement)
@@ -128,14 +135,15 @@
 	}
 }
 
-// failLater reports an error from the loop, since it was met inside a call of the handler's.
+// failLater reports an error in a later call from the loop, because the caller may be running inside a
+// call of the handler.
 func (c *Conn) failLater(err error) {
 	if c.failTimer == nil {
 		c.failTimer = c.loop.After(0, func() { c.fail(err) })
 	}
 }
 
-// countBuffered updates the loop's count of buffered bytes.
+// countBuffered updates the loop's total of buffered bytes.
 func (c *Conn) countBuffered() {
 	size := c.unread.size() + c.unsent()
 	c.loop.bufferedBytes += size - c.countedBytes
@@ -158,7 +166,8 @@
 	c.updateInterest()
 }
 
-// updateInterest has epoll watch for the events that the connection can use now.
+// updateInterest makes epoll watch for the events that the connection can handle now. If epoll_ctl
+// fails, it is retried after resourceRetryDelay.
 func (c *Conn) updateInterest() {
 	if c.fd < 0 {
 		return
@@ -178,7 +187,7 @@
 	c.registered, c.interest = true, want
 }
 
-// retryLater tries again a little later what the system has no resources for now.
+// retryLater flushes and updates the epoll interest again after resourceRetryDelay.
 func (c *Conn) retryLater() {
 	c.retryTimer.Stop()
 	c.retryTimer = c.loop.After(resourceRetryDelay, func() {
@@ -190,16 +199,17 @@
 	})
 }
 
-// stall pauses reading and writing for a moment: epoll would report the connection as ready all the time.
+// stall pauses reading and writing for resourceRetryDelay. Without the pause, epoll would report the
+// connection as ready over and over.
 func (c *Conn) stall() {
 	c.stalled = true
 	c.retryLater()
 }
 
-// outOfMemory reports whether a call has failed for want of the system's memory, and may be made again.
+// outOfMemory reports whether a system call has failed for lack of kernel memory and can be retried.
 func outOfMemory(err error) bool { return err == unix.ENOBUFS || err == unix.ENOMEM }
 
-// wantedEvents is the events that epoll is to watch for.
+// wantedEvents returns the events that epoll should watch for.
 func (c *Conn) wantedEvents() (want uint32) {
 	if c.stalled {
 		return 0
@@ -215,7 +225,8 @@
 	return want
 }
 
-// canSend reports whether there are bytes that may be sent now: with TLS, plain ones only after the handshake.
+// canSend reports whether there are bytes that can be sent now. With TLS, application bytes have to
+// wait for the end of the handshake.
 func (c *Conn) canSend() bool {
 	if c.tls == nil {
 		return c.unsentBuf.size() > 0
@@ -223,7 +234,7 @@
 	return c.tls.encrypted.size() > 0 || c.tls.established && c.unsentBuf.size() > 0
 }
 
-// discardHandler is the handler of a connection after Finish.
+// discardHandler replaces the handler of a connection after Finish or release.
 type discardHandler struct{}
 
 func (discardHandler) Open()             {}
--- a/internal/netloop/conn_dial.go
+++ b/internal/netloop/conn_dial.go
@@ -7,25 +7,28 @@
 	"golang.org/x/sys/unix"
 )
 
-// Dial starts a connection. A failure, also an immediate one, is reported by the handler's End, never from within Dial.
+// Dial starts a connection to addr, an IP address with a port. A failure, even an immediate one, is
+// reported by a later call of the handler's End, never from within Dial: ErrDialTimeout after timeout,
+// ErrNoDescriptors for a failure on this host, otherwise the error of the address or the system call.
 func (l *Loop) Dial(addr string, timeout time.Duration, h Handler) *Conn {
 	return l.dial(addr, timeout, h, &l.descriptorBudget)
 }
 
-// DescriptorReserve is a descriptor budget for dials of one purpose beside the loop's limit: what the rest of the loop has open
-// cannot keep them from being dialled.
+// DescriptorReserve is a descriptor budget for the dials of one purpose, separate from the loop's limit.
+// Descriptors that the rest of the loop has open do not count against it.
 type DescriptorReserve struct {
 	loop *Loop
 	descriptorBudget
 }
 
-// NewDescriptorReserve makes a reserve for so many connections.
+// NewDescriptorReserve returns a reserve for limit connections.
 func (l *Loop) NewDescriptorReserve(limit int) *DescriptorReserve {
 	return &DescriptorReserve{l, descriptorBudget{limit: limit}}
 }
 
-// Dial is the loop's Dial within the reserve. If that is used up, a connection that has ended and lingers is closed, so that
-// the next dial finds a descriptor.
+// Dial is like Loop.Dial, but counts against the reserve. If the reserve is exhausted, Dial closes one
+// of its connections that is lingering after Finish. This dial still fails with ErrNoDescriptors; the
+// descriptor is free for a dial in a later round.
 func (r *DescriptorReserve) Dial(addr string, timeout time.Duration, h Handler) *Conn {
 	if r.FreeDescriptors() <= 0 {
 		r.evictOldest()
@@ -64,10 +67,11 @@
 	return nil
 }
 
-// inProgress reports whether a connection is being set up, though connect has not waited for it.
+// inProgress reports whether connect has returned err while the connection is still being set up.
 func inProgress(err error) bool { return err == unix.EINPROGRESS || err == unix.EINTR }
 
-// connectError classifies an error of connect itself. The peer can only have caused these three.
+// connectError classifies an error returned by connect. Only these three can be caused by the peer or
+// the network; any other is a local error.
 func connectError(err error) error {
 	switch err {
 	case unix.ECONNREFUSED, unix.EHOSTUNREACH, unix.ETIMEDOUT:
@@ -76,10 +80,11 @@
 	return localError(err)
 }
 
-// localError marks an error as a lack of this machine's own resources, which the peer has nothing to do with.
+// localError marks an error as a failure on this host that the peer did not cause.
 func localError(err error) error { return fmt.Errorf("%w: %w", ErrNoDescriptors, err) }
 
-// finishDial finishes a dial; false if the connection is still being set up, or over.
+// finishDial completes a dial once the socket is writable. It returns false if the connection is not
+// established yet, has failed, or was closed by the handler's Open.
 func (c *Conn) finishDial() bool {
 	code, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	if err == nil && code != 0 {
--- a/internal/netloop/conn_end.go
+++ b/internal/netloop/conn_end.go
@@ -4,8 +4,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Finish closes the connection in order: what is unsent is still sent, then the peer sees EOF. The handler receives no more
-// events.
+// Finish closes the connection in order: unsent bytes are sent, then the peer sees EOF. If a dial is
+// still in progress, it is abandoned. The handler receives no more events.
 func (c *Conn) Finish() {
 	if c.fd < 0 || c.dialTimer != nil || c.failTimer != nil {
 		c.release()
@@ -17,14 +17,14 @@
 	c.finishing, c.handler = true, discardHandler{}
 	c.dropUnread()
 	c.countBuffered()
-	// A peer that neither reads nor closes must not keep the descriptor.
+	// A peer that neither reads nor closes must not hold the descriptor for longer than this.
 	c.lingerTimer = c.loop.After(lingerTimeout, c.release)
 	c.SetEvictable(c.release)
 	c.finishWriting()
 	c.updateInterest()
 }
 
-// Reset ends the connection at once; the peer sees a reset.
+// Reset closes the connection at once; the peer sees a TCP reset. The handler receives no more events.
 func (c *Conn) Reset() {
 	if c.fd >= 0 {
 		unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
@@ -32,13 +32,15 @@
 	c.release()
 }
 
-// Detachable reports whether Detach would work: the connection is established, is not ending, and has nothing to send.
+// Detachable reports whether the connection can be detached: it is established, has no TLS, is not
+// ending, and has no unsent bytes.
 func (c *Conn) Detachable() bool {
 	return c.fd >= 0 && c.dialTimer == nil && c.failTimer == nil && !c.finishing && !c.eof && c.unsentBuf.size() == 0 && c.tls == nil
 }
 
-// Detach takes the connection off the loop without ending it, and returns its descriptor, which is the caller's then, and the
-// bytes that were not consumed. It returns -1 if that is not possible.
+// Detach removes the connection from the loop without ending it. It returns the connection's descriptor,
+// which the caller then owns, and the bytes that the handler has not consumed. fd is -1 if the connection
+// is not Detachable or its descriptor cannot be duplicated.
 func (c *Conn) Detach() (fd int, unread []byte) {
 	if !c.Detachable() {
 		return -1, nil
@@ -52,8 +54,8 @@
 	return fd, unread
 }
 
-// Attach takes over a descriptor that was detached, here or in another process, and the bytes that were not consumed there;
-// ResumeReading hands them to the handler.
+// Attach takes ownership of a descriptor that was detached in this or another process, along with the
+// unconsumed bytes. ResumeReading passes these bytes to the handler.
 func (l *Loop) Attach(fd int, unread []byte, h Handler) *Conn {
 	c := newConn(l, fd, &l.descriptorBudget)
 	c.handler = h
@@ -65,7 +67,7 @@
 	return c
 }
 
-// release gives back all that the connection owns. Every connection ends here.
+// release frees everything that the connection owns. Every connection ends with it.
 func (c *Conn) release() {
 	for _, t := range []*Timer{c.dialTimer, c.failTimer, c.lingerTimer, c.retryTimer} {
 		t.Stop()
@@ -88,7 +90,8 @@
 	}
 }
 
-// shutdownOnExit closes the connection when the loop closes: the peer gets what the kernel has accepted, and EOF after it.
+// shutdownOnExit shuts down the sending side when the loop closes: the peer receives what the kernel has
+// accepted, then EOF. Unread bytes are discarded so that closing the socket does not reset the connection.
 func (c *Conn) shutdownOnExit() {
 	if c.dialTimer == nil {
 		unix.Shutdown(c.fd, unix.SHUT_WR)
@@ -96,7 +99,8 @@
 	}
 }
 
-// dropUnread throws unread bytes away. Inside Data their memory is left to the handler, which may still read it.
+// dropUnread discards unread bytes. While Data runs, their memory is not returned to the pool, because
+// the handler may still read it.
 func (c *Conn) dropUnread() {
 	if c.inData {
 		c.unread = buffer{}
@@ -105,7 +109,7 @@
 	}
 }
 
-// fail ends the connection on an error.
+// fail closes the connection and reports err to the handler, unless EOF was reported before.
 func (c *Conn) fail(err error) {
 	h, reported := c.handler, c.eof
 	c.release()
--- a/internal/netloop/conn_read.go
+++ b/internal/netloop/conn_read.go
@@ -6,18 +6,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// PauseReading stops reading until ResumeReading: for a handler that leaves bytes because it cannot use them now, not because
-// it needs more of them. Without this, bytes are read and buffered up to the limit.
+// PauseReading stops reading until ResumeReading. A handler calls it when it leaves bytes because it
+// cannot use them yet. Otherwise bytes that Data has not consumed are taken for an incomplete message,
+// and more is read and buffered up to the read limit.
 func (c *Conn) PauseReading() { c.readPaused = true }
 
-// SetEarlyEOF has the peer's end reported as soon as it comes, or, by default, only after all bytes that came before it: for a
-// handler that leaves bytes in the kernel, and to which they mean nothing once their sender has gone.
+// SetEarlyEOF sets whether the peer's EOF is reported as soon as it arrives, even while earlier bytes are
+// unread. By default it is reported after them. It is meant for a handler that leaves bytes in the kernel
+// and has no use for them once their sender has gone.
 func (c *Conn) SetEarlyEOF(on bool) {
 	c.earlyEOF = on
 	c.updateInterest()
 }
 
-// ResumeReading hands over the bytes that the handler left, and reads on.
+// ResumeReading passes unconsumed bytes to the handler and continues reading.
 func (c *Conn) ResumeReading() {
 	c.readPaused = false
 	if c.fd < 0 || c.inData || c.dialTimer != nil || c.failTimer != nil {
@@ -30,8 +32,8 @@
 	c.updateInterest()
 }
 
-// discardUnread reads and throws away what has come: closing a socket with unread bytes would reset the connection, and the
-// last answer with it.
+// discardUnread reads and discards the received bytes. Closing a socket that has unread bytes would reset
+// the connection, and the peer could lose the last answer.
 func (c *Conn) discardUnread() {
 	for c.discarded <= maxLingerBytes {
 		n, err := c.loop.syscalls.Read(c.fd, c.loop.readBuffer)
@@ -42,7 +44,8 @@
 	}
 }
 
-// read reads what has come. What comes after Finish is thrown away: closing a socket with unread bytes would reset it.
+// read reads from the socket. Bytes received after Finish are discarded, because closing a socket that
+// has unread bytes would reset the connection.
 func (c *Conn) read(events uint32) {
 	for range maxReadsPerEvent {
 		if c.fd < 0 || c.eof {
@@ -87,7 +90,7 @@
 	}
 }
 
-// readLimit is how many bytes to read at once; 0 for none now.
+// readLimit returns how many bytes to read at once; 0 if the connection should not be read now.
 func (c *Conn) readLimit() int {
 	limit := len(c.loop.readBuffer)
 	if c.finishing {
@@ -96,7 +99,7 @@
 	if limit = min(limit, c.maxUnread-c.unread.size()); limit == 0 || c.readPaused {
 		return 0
 	}
-	if c.loop.MemoryPressure() { // no more than fits the default limit, or completes a large message
+	if c.loop.MemoryPressure() { // read only up to the default limit, or the next part of a larger message
 		if limit = min(limit, DefaultReadLimit); c.unread.size() < DefaultReadLimit {
 			limit = min(limit, DefaultReadLimit-c.unread.size())
 		}
@@ -104,7 +107,7 @@
 	return limit
 }
 
-// checkReset fails a connection that is not read now if the peer has reset it.
+// checkReset fails a connection that is not being read if the peer has reset it.
 func (c *Conn) checkReset(events uint32) {
 	if code, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR); err == nil && code != 0 {
 		c.fail(unix.Errno(code))
@@ -113,7 +116,7 @@
 	}
 }
 
-// handleEOF handles that the peer has closed its side.
+// handleEOF handles EOF from the peer.
 func (c *Conn) handleEOF() {
 	if c.eof {
 		return
@@ -132,7 +135,7 @@
 	c.handler.End(io.EOF)
 }
 
-// receive handles bytes that were just read.
+// receive handles bytes read from the socket.
 func (c *Conn) receive(b []byte) {
 	if c.tls != nil {
 		c.tls.receive(b)
@@ -141,8 +144,8 @@
 	}
 }
 
-// receivePlain hands over bytes that were just read. If no earlier ones are unread they go straight from the loop's buffer, and
-// only what the handler leaves is copied.
+// receivePlain passes unencrypted bytes to the handler. If no earlier bytes are unread, b is passed without
+// a copy, and only what the handler does not consume is copied.
 func (c *Conn) receivePlain(b []byte) {
 	if c.unread.size() > 0 {
 		c.unread.append(c.loop, b)
@@ -158,7 +161,7 @@
 	c.countBuffered()
 }
 
-// offerUnread hands the unread bytes to the handler.
+// offerUnread passes the unread bytes to the handler.
 func (c *Conn) offerUnread() {
 	if c.unread.size() == 0 {
 		return
--- a/internal/netloop/conn_write.go
+++ b/internal/netloop/conn_write.go
@@ -4,7 +4,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Unsent is how many written bytes are not sent; it stays after the end.
+// Unsent is the number of written bytes that the kernel has not accepted. With TLS, bytes that are already
+// encrypted count with the overhead of their records. After the end it is the number that was never sent.
 func (c *Conn) Unsent() int { return c.unsentAtEnd + c.unsent() }
 
 func (c *Conn) unsent() int {
@@ -14,11 +15,11 @@
 	return c.unsentBuf.size()
 }
 
-// WriteCapacity is how many bytes may be written before the source of them should pause.
+// WriteCapacity is the number of bytes that can be written before the sender should pause.
 func (c *Conn) WriteCapacity() int { return max(0, c.maxUnsent-c.unsentBuf.size()) }
 
-// Write sends b, and buffers what cannot be sent yet. It must not be called before Open on a dialled connection. After the end
-// it does nothing.
+// Write sends b, and buffers what cannot be sent yet. On a dialled connection it must not be called before
+// Open. After the end of the connection it does nothing.
 func (c *Conn) Write(b []byte) {
 	if c.fd < 0 || c.finishing || c.failTimer != nil {
 		return
@@ -52,19 +53,20 @@
 	c.updateInterest()
 }
 
-// Queue is Write for callers that write often: b is sent at the end of this round of the loop, with all that is queued in it.
+// Queue is like Write, but sends b at the end of the current round of the loop, together with everything
+// else queued in the round. It is meant for callers that write often.
 func (c *Conn) Queue(b []byte) { c.Commit(append(c.Buffer(len(b)), b...)) }
 
-// Buffer is the unsent bytes, for a caller that appends so many more to them and at once calls Commit with the result. This
-// spares a copy.
+// Buffer returns the unsent bytes as a slice with capacity for at least more further bytes. The caller
+// appends to it and passes the result to Commit at once. Compared with Queue this saves a copy.
 func (c *Conn) Buffer(more int) []byte {
 	if c.fd < 0 || c.finishing || c.failTimer != nil {
-		return c.loop.discardBuffer[:0] // Commit throws it away
+		return c.loop.discardBuffer[:0] // Commit discards it
 	}
 	return c.unsentBuf.reserve(c.loop, more)
 }
 
-// Commit queues what was appended to the result of Buffer.
+// Commit queues the bytes that were appended to the result of Buffer.
 func (c *Conn) Commit(out []byte) {
 	if c.fd < 0 || c.finishing || c.failTimer != nil {
 		c.loop.discardBuffer = out
@@ -81,7 +83,7 @@
 	}
 }
 
-// flushQueue sends what was queued in this round.
+// flushQueue sends the bytes queued in this round.
 func (c *Conn) flushQueue() {
 	c.flushQueued = false
 	if c.fd >= 0 && c.dialTimer == nil && c.failTimer == nil && c.interest&unix.EPOLLOUT == 0 {
@@ -101,7 +103,7 @@
 			return
 		}
 		if from = &c.tls.encrypted; from.size() == 0 {
-			return // the handshake is not over
+			return // the handshake is in progress
 		}
 	}
 	n, err := c.loop.syscalls.Write(c.fd, from.data())
@@ -125,7 +127,7 @@
 	c.handler.Drained()
 }
 
-// finishWriting closes this side once Finish was called and all is sent.
+// finishWriting shuts down the sending side once Finish was called and all bytes are sent.
 func (c *Conn) finishWriting() {
 	if !c.finishing || c.unsent() > 0 || c.writeClosed || c.fd < 0 {
 		return
--- a/internal/netloop/datagram.go
+++ b/internal/netloop/datagram.go
@@ -6,18 +6,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// datagramBurst bounds the datagrams that are read before other sockets have a turn.
+// datagramBurst is how many datagrams one socket reads before other sockets have their turn.
 const datagramBurst = 64
 
 // UDPSocket is a UDP socket.
 type UDPSocket struct {
 	loop       *Loop
-	fd         int // -1 once given back
+	fd         int // -1 once closed
 	onDatagram func(from string, b []byte)
-	Dropped    int // datagrams that could not be sent; none is sent again
+	Dropped    int // datagrams that could not be sent; they are not retried
 }
 
-// ListenUDP opens a UDP socket. OnDatagram must not retain b. The loop's buffer is longer than any datagram.
+// ListenUDP opens a UDP socket bound to addr and calls onDatagram for each datagram. b is valid only
+// during the call. Datagrams arrive whole: the read buffer is larger than any of them.
 func (l *Loop) ListenUDP(addr string, onDatagram func(from string, b []byte)) (*UDPSocket, error) {
 	sockaddr, family, err := parseSockaddr(addr)
 	if err != nil {
@@ -41,7 +42,8 @@
 // Addr is the address that the socket is bound to.
 func (d *UDPSocket) Addr() string { return localAddr(d.fd) }
 
-// Send sends a datagram, or drops it if the socket cannot take it: nothing is buffered.
+// Send sends a datagram to an IP address with a port. Nothing is buffered: if the socket does not accept
+// the datagram at once, it is dropped and counted in Dropped.
 func (d *UDPSocket) Send(to string, b []byte) {
 	sockaddr, _, err := parseSockaddr(to)
 	if err == nil && d.fd >= 0 {
@@ -67,7 +69,7 @@
 		}
 		n, from, err := unix.Recvfrom(d.fd, d.loop.readBuffer, unix.MSG_DONTWAIT)
 		switch {
-		case err == unix.EINTR || err == unix.ECONNREFUSED: // the latter is about a datagram that was sent
+		case err == unix.EINTR || err == unix.ECONNREFUSED: // ECONNREFUSED refers to an earlier Send
 			continue
 		case err != nil:
 			return
--- a/internal/netloop/listener.go
+++ b/internal/netloop/listener.go
@@ -8,14 +8,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// closeTimeout is how long Close waits for system resources to accept what is in the backlog.
+// closeTimeout is how long Close keeps trying to accept the backlog when system resources are short.
 const closeTimeout = 300 * time.Millisecond
 
-// acceptBurst bounds the connections accepted before other sockets have a turn.
+// acceptBurst is how many connections a listener accepts before other sockets have their turn.
 const acceptBurst = 16
 
-// evictPause is how long a listener without descriptors pauses if connections were evicted for it: their descriptors are free
-// after the round.
+// evictPause is how long a listener without free descriptors pauses after it has evicted connections. Their
+// descriptors are closed at the end of the round.
 const evictPause = time.Millisecond
 
 // Listener accepts connections.
@@ -23,22 +23,24 @@
 	loop         *Loop
 	fd           int
 	onAccept     func(*Conn)
-	onAcceptFD   func(fd int) // in place of onAccept, for connections that are not served by a Conn
+	onAcceptFD   func(fd int) // replaces onAccept for connections that are not served by a Conn
 	pauseTimer   *Timer
 	paused       bool
-	closing      bool              // it is closed once its backlog is empty
-	closeTimer   *Timer            // or after this
-	abortedInRow int               // connections in a row that had ended before they were accepted
-	budget       *descriptorBudget // of the connections that it accepts
+	closing      bool              // Close was called; the socket is closed once the backlog is empty
+	closeTimer   *Timer            // closes the socket closeTimeout after Close
+	abortedInRow int               // consecutive connections that had ended before they were accepted
+	budget       *descriptorBudget // budget of the accepted connections
 }
 
-// Listen opens a listening socket. For each connection it calls accept, which must set a handler.
+// Listen opens a listening socket at addr, an IP address with a port. It calls accept for each connection;
+// accept must set a handler.
 func (l *Loop) Listen(addr string, accept func(*Conn)) (*Listener, error) {
 	return l.listen(addr, accept, &l.descriptorBudget)
 }
 
-// ListenReserved does the same with a budget of so many connections beside the loop's limit: what the rest of the loop has
-// open cannot keep them out, nor they the rest.
+// ListenReserved is like Listen, but its connections have a descriptor budget of their own, separate from
+// the loop's limit: up to limit connections can be open however many descriptors the rest of the loop uses,
+// and they take none from it.
 func (l *Loop) ListenReserved(addr string, limit int, accept func(*Conn)) (*Listener, error) {
 	return l.listen(addr, accept, &descriptorBudget{limit: limit})
 }
@@ -67,8 +69,8 @@
 	return s, nil
 }
 
-// IsTransientListenError reports whether listening has failed for a reason that may be over in a moment: another process has the
-// address, or the system is out of resources.
+// IsTransientListenError reports whether listening has failed for a reason that may pass: another process
+// uses the address, the address is not available yet, or the system is short of resources.
 func IsTransientListenError(err error) bool {
 	for _, transient := range []unix.Errno{unix.EADDRINUSE, unix.EADDRNOTAVAIL, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM,
 		unix.ENOSPC, unix.EINTR, unix.EAGAIN} {
@@ -86,7 +88,8 @@
 	return s.loop.register(s.fd, unix.EPOLLIN, s, &s.loop.descriptorBudget)
 }
 
-// ListenInherited listens on a socket that another process has opened and listens on too.
+// ListenInherited listens on a socket opened by another process, which may listen on it at the same time.
+// It takes ownership of fd, also on an error.
 func (l *Loop) ListenInherited(fd int, accept func(*Conn)) (*Listener, error) {
 	s := &Listener{loop: l, fd: fd, onAccept: accept, budget: &l.descriptorBudget}
 	if err := l.register(fd, unix.EPOLLIN, s, &l.descriptorBudget); err != nil {
@@ -96,10 +99,11 @@
 	return s, nil
 }
 
-// FD is the socket, to be handed over to another process.
+// FD is the listening socket, to be passed to another process; -1 once the listener is closed.
 func (s *Listener) FD() int { return s.fd }
 
-// SetPaused has the listener accept nothing, or go on. The backlog of a socket that another process shares is left to that one.
+// SetPaused stops or resumes accepting connections. While this listener is paused, another process that
+// shares the socket accepts its backlog.
 func (s *Listener) SetPaused(paused bool) {
 	if s.paused = paused; s.fd >= 0 {
 		s.pauseTimer.Stop()
@@ -107,18 +111,20 @@
 	}
 }
 
-// Addr is the address that the socket is bound to.
+// Addr is the address that the socket is bound to, or "" once the listener is closed.
 func (s *Listener) Addr() string { return localAddr(s.fd) }
 
-// Close ends listening; accepted connections stay. Those in the backlog are accepted first: closing the socket would reset
-// them. If the system is out of resources for that, listening ends once they are accepted, or after closeTimeout. A nil
-// Listener may be closed.
+// Close stops listening; accepted connections stay open. Connections in the backlog are accepted first,
+// because closing the socket would reset them. If system resources are short, the socket is closed when
+// they have been accepted, or after closeTimeout. Closing a nil Listener does nothing.
 func (s *Listener) Close() {
 	if s == nil || s.fd < 0 || s.closing {
 		return
 	}
 	s.closing = true
-	if s.onAcceptFD != nil || s.paused { // the backlog is another process's, or no client's
+	// The backlog of a channel's listener has no clients. The backlog of a paused listener is left to
+	// the process that shares the socket.
+	if s.onAcceptFD != nil || s.paused {
 		s.closeSocket()
 		return
 	}
@@ -126,19 +132,19 @@
 	s.drainBacklog()
 }
 
-// drainBacklog accepts what is in the backlog, and closes the socket after that.
+// drainBacklog accepts the connections in the backlog and closes the socket when the backlog is empty.
 func (s *Listener) drainBacklog() {
 	for s.fd >= 0 {
 		switch s.acceptNext() {
 		case backlogEmpty:
 			s.closeSocket()
 		case backlogStuck:
-			return // it is tried again
+			return // acceptNext has set a timer for a retry
 		}
 	}
 }
 
-// closeSocket closes the socket.
+// closeSocket closes the socket without accepting the backlog.
 func (s *Listener) closeSocket() {
 	s.pauseTimer.Stop()
 	s.closeTimer.Stop()
@@ -146,7 +152,7 @@
 	s.fd = -1
 }
 
-// Closed reports whether listening has ended.
+// Closed reports whether the socket is closed.
 func (s *Listener) Closed() bool { return s.fd < 0 }
 
 func (s *Listener) ready(uint32) {
@@ -161,16 +167,16 @@
 	}
 }
 
-// acceptResult is what an attempt to accept shows of the listener's backlog.
+// acceptResult is what acceptNext found in the backlog.
 type acceptResult int
 
 const (
-	acceptTaken acceptResult = iota // there may be more
+	acceptTaken acceptResult = iota // one connection was accepted, or had ended already; there may be more
 	backlogEmpty
-	backlogStuck // nothing can be accepted now; it is tried again after a pause
+	backlogStuck // nothing can be accepted now; accepting resumes after a pause
 )
 
-// acceptNext accepts one connection.
+// acceptNext accepts one connection. If descriptors or system resources are short, it pauses the listener.
 func (s *Listener) acceptNext() acceptResult {
 	if s.budget.FreeDescriptors() <= 0 {
 		delay := resourceRetryDelay
@@ -197,14 +203,16 @@
 		s.onAcceptFD(fd)
 		return acceptTaken
 	}
-	s.budget.evictIfLow() // before the new one is evictable: it has had no turn yet
+	// Evict before onAccept makes the new connection evictable: it must be read at least once.
+	s.budget.evictIfLow()
 	c := newConn(s.loop, fd, s.budget)
 	s.onAccept(c)
 	c.updateInterest()
 	return acceptTaken
 }
 
-// isAborted reports whether accept has met a connection that has ended already, or a signal: the next one may be well.
+// isAborted reports whether accept failed because the connection had ended already or a signal interrupted
+// the call. The next accept may succeed.
 func isAborted(err error) bool {
 	switch err {
 	case unix.EINTR, unix.ECONNABORTED, unix.EPROTO, unix.EPERM, unix.ENETDOWN, unix.ENOPROTOOPT, unix.EHOSTDOWN,
@@ -214,14 +222,16 @@
 	return false
 }
 
-// pause guards against spinning on a backlog that cannot be accepted.
+// pause stops accepting for d. Without it, epoll would report a backlog that cannot be accepted again
+// and again.
 func (s *Listener) pause(d time.Duration) {
-	s.loop.epollCtl(unix.EPOLL_CTL_MOD, s.fd, 0) // if that fails the listener spins until the pause is over
+	// If this fails, accept is called in every round until the pause ends.
+	s.loop.epollCtl(unix.EPOLL_CTL_MOD, s.fd, 0)
 	s.pauseTimer.Stop()
 	s.pauseTimer = s.loop.After(d, s.updateInterest)
 }
 
-// updateInterest has epoll watch for connections in the backlog, unless the listener is paused.
+// updateInterest makes epoll watch for connections in the backlog, unless the listener is paused.
 func (s *Listener) updateInterest() {
 	var want uint32
 	if !s.paused {
--- a/internal/netloop/loop.go
+++ b/internal/netloop/loop.go
@@ -1,8 +1,9 @@
-// Package netloop is the event loop on which all sockets of the relay live: one goroutine, epoll, timers, non-blocking
-// connects and bounded buffers.
+// Package netloop is the event loop that serves all sockets of the relay: a single goroutine with epoll,
+// timers, non-blocking connects and bounded buffers.
 //
-// Ownership is in docs/design.md, "The loop": a Conn owns its descriptor and both buffers, and gives them back in release,
-// once. Everything but Post must be called from the loop's own goroutine, that is from its callbacks or before Run.
+// A Conn owns its descriptor and its buffers, and release frees them once; see docs/design.md, "The loop".
+// Every function except Post must be called from the loop's goroutine, that is from its callbacks, or before
+// Run.
 package netloop
 
 import (
@@ -19,40 +20,43 @@
 
 // Loop is an event loop.
 type Loop struct {
-	descriptorBudget // of all but listeners and dials that have their own
+	descriptorBudget // of all descriptors except connections that have a budget of their own
 
 	syscalls        Syscalls
 	epollFD, wakeFD int
 	events          [256]unix.EpollEvent
 	sources         map[int]eventSource
-	released        []releasedFD // to be closed after the batch, so that no event of it meets a new descriptor of the same number
-	timers          timerQueue
-	queued          []*Conn // that have queued bytes to flush at the end of the round
-	stopped         bool
+	// released are descriptors to close at the end of the round. If they were closed earlier, a pending
+	// event could be delivered to a new descriptor with the same number.
+	released []releasedFD
+	timers   timerQueue
+	queued   []*Conn // connections to flush at the end of the round
+	stopped  bool
 
 	now         func() time.Duration
 	roundStart  time.Duration
-	lastRound   time.Duration // how long the last round took
+	lastRound   time.Duration // duration of the last round, without its wait for events
 	utilization float64
-	maxStall    time.Duration
+	maxStall    time.Duration // onStall is called for longer stalls
 	onStall     func(time.Duration)
 
-	bufferedBytes       int    // in the buffers of all connections
-	maxBuffered         int    // the bound of that; 0 for none
-	readBuffer          []byte // for one read
-	tlsReadBuffer       []byte // for decrypted TLS records; nil until there are any
-	discardBuffer       []byte // for what is written to connections that have ended
+	bufferedBytes       int    // bytes in the buffers of all connections
+	maxBuffered         int    // limit of bufferedBytes; 0 for none
+	readBuffer          []byte // buffer of a single read
+	tlsReadBuffer       []byte // buffer for decrypted TLS records; nil until it is needed
+	discardBuffer       []byte // result of Conn.Buffer on connections that have ended
 	freeBuffers         [][]byte
-	freeBytes           int            // the capacity of freeBuffers
-	handshakes          int            // TLS handshakes under way
-	handshakeGoroutines sync.WaitGroup // their goroutines
+	freeBytes           int            // total capacity of freeBuffers
+	handshakes          int            // TLS handshakes in progress
+	handshakeGoroutines sync.WaitGroup // goroutines of the TLS handshakes
 
 	mu     sync.Mutex
 	posted []func()
-	closed bool // nothing is posted any more
+	closed bool // Post does nothing any more
 }
 
-// New makes a loop that reads its time from now. It lets at most limit descriptors of its own be open at once.
+// New returns a loop that reads its time from now. At most limit descriptors may be open at once, not
+// counting the loop's epoll and wake-up descriptors.
 func New(now func() time.Duration, limit int) (*Loop, error) {
 	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
@@ -74,23 +78,25 @@
 	return l, nil
 }
 
-// Now is the loop's clock.
+// Now is the current time of the loop's clock.
 func (l *Loop) Now() time.Duration { return l.now() }
 
-// RoundStart is when this round began, for callers that need the time often and not to the microsecond.
+// RoundStart is the time at which the current round began. It is cheaper than Now, for callers that need the
+// time often and only roughly.
 func (l *Loop) RoundStart() time.Duration { return l.roundStart }
 
-// LastRoundDuration is how long the last round took: what is timed by this loop may be later by so much, for the loop's own
-// work.
+// LastRoundDuration is how long the last round took, without its wait for events. Times that the loop
+// measures may be too late by as much, because of the loop's own work.
 func (l *Loop) LastRoundDuration() time.Duration { return l.lastRound }
 
-// utilizationWindow is over what time Utilization is averaged.
+// utilizationWindow is the time constant of the moving average that Utilization returns.
 const utilizationWindow = 500 * time.Millisecond
 
-// Utilization is the part of the last half second or so that the loop has worked and not waited.
+// Utilization is the fraction of time, from 0 to 1, that the loop spent working and not waiting for events.
+// It is a moving average over about half a second.
 func (l *Loop) Utilization() float64 { return l.utilization }
 
-// updateUtilization takes the last round, and the wait before it, into the average.
+// updateUtilization adds the last round and the wait that followed it to the average.
 func (l *Loop) updateUtilization(slept time.Duration) {
 	if elapsed := l.lastRound + slept; elapsed > 0 {
 		weight := 1 - math.Exp(-elapsed.Seconds()/utilizationWindow.Seconds())
@@ -98,28 +104,31 @@
 	}
 }
 
-// Post has f run on the loop. It may be called from any goroutine. After Close it does nothing.
+// Post schedules f to run on the loop's goroutine. It may be called from any goroutine. After Close it does
+// nothing.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
-	defer l.mu.Unlock() // until it is written: a descriptor that Close has given back may be another's at once
+	defer l.mu.Unlock() // after the write: once Close has closed wakeFD, its number may belong to another file
 	if l.closed {
 		return
 	}
 	l.posted = append(l.posted, f)
 	one := [8]byte{1}
-	unix.Write(l.wakeFD, one[:]) // a full counter wakes the loop as well
+	unix.Write(l.wakeFD, one[:]) // an error can be ignored: a full counter wakes the loop as well
 }
 
-// OnStall has stalled called, before anything else of its round, when this process has stood still for longer than
-// threshold: it was stopped, its machine was suspended, or one round took as long.
+// OnStall sets a function that is called, before any other callback of a round, if the process did not
+// run for longer than threshold, because it was stopped or its host was suspended, or if the previous
+// round took longer than threshold. The argument is the duration of the stall.
 func (l *Loop) OnStall(threshold time.Duration, stalled func(time.Duration)) {
-	l.maxStall, l.onStall, l.roundStart = threshold, stalled, l.now() // a start that took its time is none
+	// Measuring starts now, so that a slow start of the process does not count as a stall.
+	l.maxStall, l.onStall, l.roundStart = threshold, stalled, l.now()
 }
 
 // Stop ends Run after the current round.
 func (l *Loop) Stop() { l.stopped = true }
 
-// Run serves until Stop, then closes the loop.
+// Run runs rounds until Stop is called, then closes the loop.
 func (l *Loop) Run() error {
 	defer l.Close()
 	for !l.stopped {
@@ -130,12 +139,13 @@
 	return nil
 }
 
-// RunOnce does one round: it waits for events for at most timeoutMS milliseconds (without end if that is negative), handles
-// them and runs the timers that are due.
+// RunOnce runs one round: it waits for events for at most timeoutMS milliseconds (without limit if negative),
+// handles them, runs the timers that are due and sends queued bytes.
 func (l *Loop) RunOnce(timeoutMS int) error {
 	n, err := l.syscalls.EpollWait(l.epollFD, l.events[:], timeoutMS)
 	if err == unix.EINTR {
-		// So ends the wait of a process that was stopped and goes on: what has come meanwhile goes before what is overdue.
+		// A process that is stopped and continued gets EINTR here. Poll again without waiting, so that events
+		// received in the meantime are handled before overdue timers.
 		n, err = l.syscalls.EpollWait(l.epollFD, l.events[:], 0)
 	}
 	if err != nil && err != unix.EINTR {
@@ -157,7 +167,7 @@
 		}
 	}
 	l.runTimers()
-	for len(l.queued) > 0 { // a handler of Drained may queue more
+	for len(l.queued) > 0 { // handlers may queue more bytes in Drained
 		batch := l.queued
 		l.queued = nil
 		for _, c := range batch {
@@ -168,7 +178,7 @@
 	return nil
 }
 
-// Close closes every descriptor of the loop, and waits for the goroutines of TLS handshakes, which end at once.
+// Close closes all descriptors of the loop and waits for the goroutines of TLS handshakes, which end at once.
 func (l *Loop) Close() {
 	if l.sources == nil {
 		return
@@ -197,7 +207,7 @@
 	return nil
 }
 
-// wakeup runs posted functions when Post has written to wakeFD.
+// wakeup runs the posted functions after Post has written to wakeFD.
 type wakeup struct{ l *Loop }
 
 func (w wakeup) ready(uint32) {
--- a/internal/netloop/looptest/faults.go
+++ b/internal/netloop/looptest/faults.go
@@ -9,16 +9,17 @@
 	"dahliarudder/internal/netloop"
 )
 
-// Fault is how some calls of one kind fail.
+// Fault describes how calls of one system call fail.
 type Fault struct {
-	Syscall     string     // the name of its field in netloop.Syscalls
-	Errno       unix.Errno // 0: the call is made
-	Short       bool       // of Read and Write: only one byte is moved
-	Probability float64    // for each call; 0: every call fails
-	MaxCount    int        // the fault ends after so many; 0: it goes on
+	Syscall     string     // name of the field in netloop.Syscalls
+	Errno       unix.Errno // error to return; 0 makes the call
+	Short       bool       // for Read and Write: transfer only one byte
+	Probability float64    // probability for each call; 0 means every call
+	MaxCount    int        // number of calls that fail; 0 means no limit
 }
 
-// Faults injects failures into system calls by a plan and a seed. It may be used from any goroutine.
+// Faults injects failures into system calls according to a plan. Random choices come from a seed. It may be
+// used from any goroutine.
 type Faults struct {
 	mu       sync.Mutex
 	rng      *rand.Rand
@@ -26,13 +27,13 @@
 	injected map[string]int
 }
 
-// plannedFault is a fault and how many calls it was injected into.
+// plannedFault is a fault and the number of calls that it was injected into.
 type plannedFault struct {
 	Fault
 	count int
 }
 
-// NewFaults lets all calls through until Set.
+// NewFaults returns Faults with an empty plan: every call succeeds until Set is called.
 func NewFaults(seed uint64) *Faults {
 	return &Faults{rng: rand.New(rand.NewPCG(seed, 0)), injected: map[string]int{}}
 }
@@ -47,14 +48,15 @@
 	}
 }
 
-// Injected is how many calls of a kind a fault was injected into.
+// Injected is the number of calls of one kind that a fault was injected into.
 func (f *Faults) Injected(call string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.injected[call]
 }
 
-// draw is the fault of a call: an error to return, or that it is cut short.
+// selectFault selects the fault for a call and counts it. errno is the error to return, or 0; short means
+// that only one byte is transferred.
 func (f *Faults) selectFault(call string) (errno unix.Errno, short bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -70,7 +72,7 @@
 	return 0, false
 }
 
-// fail is the error that a call which moves no bytes is to return; nil if it is to be made.
+// fail returns the error to inject into a call that transfers no bytes, or nil if the call should be made.
 func (f *Faults) fail(call string) error {
 	if errno, _ := f.selectFault(call); errno != 0 {
 		return errno
@@ -78,7 +80,7 @@
 	return nil
 }
 
-// failOr makes a call unless it is to fail.
+// failOr makes a call unless a fault is injected.
 func (f *Faults) failOr(call string, invoke func() error) error {
 	if err := f.fail(call); err != nil {
 		return err
@@ -86,7 +88,7 @@
 	return invoke()
 }
 
-// failOrInt does the same with a call that returns a number, of a descriptor or of events.
+// failOrInt is like failOr for calls that return a number, such as a descriptor or a count of events.
 func (f *Faults) failOrInt(call string, invoke func() (int, error)) (int, error) {
 	if err := f.fail(call); err != nil {
 		return -1, err
@@ -94,7 +96,7 @@
 	return invoke()
 }
 
-// transfer is Read or Write with faults.
+// transfer wraps Read or Write with injected errors and short transfers.
 func (f *Faults) transfer(call string, transferBytes func(int, []byte) (int, error)) func(int, []byte) (int, error) {
 	return func(fd int, p []byte) (int, error) {
 		errno, short := f.selectFault(call)
@@ -108,7 +110,7 @@
 	}
 }
 
-// Syscalls are those of the kernel, except for calls that a fault is drawn for.
+// Syscalls returns the kernel's system calls with faults injected according to the plan.
 func (f *Faults) Syscalls() netloop.Syscalls {
 	kernel := netloop.KernelSyscalls()
 	return netloop.Syscalls{
@@ -118,7 +120,7 @@
 			return f.failOrInt("EpollWait", func() (int, error) { return kernel.EpollWait(epollFD, events, ms) })
 		},
 		EpollCtl: func(epollFD, op, fd int, event *unix.EpollEvent) error {
-			if op == unix.EPOLL_CTL_DEL { // which takes no memory, so that it does not fail
+			if op == unix.EPOLL_CTL_DEL { // needs no memory, so it does not fail
 				return kernel.EpollCtl(epollFD, op, fd, event)
 			}
 			return f.failOr("EpollCtl", func() error { return kernel.EpollCtl(epollFD, op, fd, event) })
@@ -140,7 +142,7 @@
 		},
 		Connect: func(fd int, addr unix.Sockaddr) error {
 			err := f.fail("Connect")
-			if err == unix.EINTR { // the connection goes on to be set up
+			if err == unix.EINTR { // an interrupted connect continues in the background
 				kernel.Connect(fd, addr)
 			}
 			if err != nil {
--- a/internal/netloop/looptest/looptest.go
+++ b/internal/netloop/looptest/looptest.go
@@ -1,5 +1,5 @@
-// Package looptest is the harness for tests of network code: it runs a loop round by round, on a clock that the test sets, and
-// plays the peers of its connections.
+// Package looptest is a test harness for network code. It runs an event loop round by round, on a clock that
+// the test sets, and acts as the peers of the loop's connections.
 package looptest
 
 import (
@@ -13,23 +13,23 @@
 	"dahliarudder/internal/netloop"
 )
 
-// Timeout is how long a test waits for what must come; only a failing test waits that long.
+// Timeout is how long a test waits for an expected event. Only a failing test waits that long.
 const Timeout = 20 * time.Second
 
-// Harness is a loop and its clock.
+// Harness is an event loop with a clock that the test sets.
 type Harness struct {
 	*netloop.Loop
 	T   testing.TB
 	now time.Duration
 }
 
-// New makes a loop that may have limit descriptors open.
+// New returns a harness whose loop may have limit descriptors open.
 func New(t testing.TB, limit int) *Harness {
 	t.Helper()
 	return NewWithSyscalls(t, limit, netloop.KernelSyscalls())
 }
 
-// NewWithSyscalls makes one with other system calls than the kernel's.
+// NewWithSyscalls is like New, with the given system calls in place of the kernel's.
 func NewWithSyscalls(t testing.TB, limit int, calls netloop.Syscalls) *Harness {
 	t.Helper()
 	b := &Harness{T: t, now: time.Hour}
@@ -45,7 +45,7 @@
 	return b
 }
 
-// Advance moves the clock on and runs one round.
+// Advance advances the clock and runs one round.
 func (b *Harness) Advance(d time.Duration) {
 	b.T.Helper()
 	b.now += d
@@ -60,7 +60,8 @@
 	}
 }
 
-// WaitFor runs rounds until ok, without moving the clock.
+// WaitFor runs rounds until done returns true, without advancing the clock. description names the expected
+// event in the failure message.
 func (b *Harness) WaitFor(description string, done func() bool) {
 	b.T.Helper()
 	for end := time.Now().Add(Timeout); !done(); {
@@ -71,12 +72,12 @@
 	}
 }
 
-// Peer is the other end of a connection.
+// Peer is the test's end of a connection with the loop.
 type Peer struct {
 	net.Conn
 	harness  *Harness
-	Received []byte // what has come and was not expected yet
-	EndErr   error  // how it ended; nil while it has not
+	Received []byte // received bytes that no Expect call has consumed
+	EndErr   error  // how the connection ended; nil while it is open
 }
 
 // Dial connects a peer to a listener of the loop.
@@ -89,18 +90,19 @@
 	return b.peer(c)
 }
 
+// peer returns a Peer for c, which is closed at the end of the test.
 func (b *Harness) peer(c net.Conn) *Peer {
 	b.T.Cleanup(func() { c.Close() })
 	return &Peer{Conn: c, harness: b}
 }
 
-// Server is a listener of the test's own.
+// Server is a listener that the test runs outside the loop.
 type Server struct {
 	net.Listener
 	harness *Harness
 }
 
-// Listen makes one on a loopback address.
+// Listen starts a Server on a loopback address.
 func (b *Harness) Listen() *Server {
 	b.T.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -111,10 +113,10 @@
 	return &Server{l, b}
 }
 
-// Addr is where it listens.
+// Addr is the address that the server listens at.
 func (s *Server) Addr() string { return s.Listener.Addr().String() }
 
-// Accept accepts the next connection, running the loop meanwhile.
+// Accept accepts the next connection. It runs the loop while it waits.
 func (s *Server) Accept() *Peer {
 	s.harness.T.Helper()
 	var c net.Conn
@@ -127,7 +129,7 @@
 	return s.harness.peer(c)
 }
 
-// Poll reads what has come.
+// Poll appends the bytes that have arrived to Received, and sets EndErr if the connection has ended.
 func (p *Peer) Poll() {
 	buf := make([]byte, 64<<10)
 	for p.EndErr == nil {
@@ -141,7 +143,7 @@
 	}
 }
 
-// Send sends text.
+// Send writes text to the connection.
 func (p *Peer) Send(text string) {
 	p.harness.T.Helper()
 	if _, err := p.Write([]byte(text)); err != nil {
@@ -149,7 +151,7 @@
 	}
 }
 
-// Expect waits until text, and no more, has come, and clears Received.
+// Expect waits until text, and nothing else, has been received, and clears Received.
 func (p *Peer) Expect(text string) {
 	p.harness.T.Helper()
 	p.harness.WaitFor("bytes", func() bool { p.Poll(); return len(p.Received) >= len(text) || p.EndErr != nil })
@@ -159,7 +161,7 @@
 	p.Received = nil
 }
 
-// ExpectEOF waits for an orderly end.
+// ExpectEOF waits until the connection ends with EOF, without further bytes.
 func (p *Peer) ExpectEOF() {
 	p.harness.T.Helper()
 	p.harness.WaitFor("the end", func() bool { p.Poll(); return p.EndErr != nil })
@@ -168,7 +170,7 @@
 	}
 }
 
-// ExpectReset waits for a reset.
+// ExpectReset waits until the connection ends with an error other than EOF.
 func (p *Peer) ExpectReset() {
 	p.harness.T.Helper()
 	p.harness.WaitFor("the reset", func() bool { p.Poll(); return p.EndErr != nil })
@@ -177,11 +179,11 @@
 	}
 }
 
-// Reset ends the connection by a reset.
+// Reset closes the connection with a TCP reset.
 func (p *Peer) Reset() {
 	p.Conn.(*net.TCPConn).SetLinger(0)
 	p.Conn.Close()
 }
 
-// CloseWrite closes the peer's side; it still reads.
+// CloseWrite closes the peer's sending side; the peer can still receive.
 func (p *Peer) CloseWrite() { p.Conn.(*net.TCPConn).CloseWrite() }
--- a/internal/netloop/looptest/relay.go
+++ b/internal/netloop/looptest/relay.go
@@ -22,7 +22,7 @@
  "limits":{"max-attempts":3,"cancel":true,"probes":false,"connect-timeout-ms":250},
  "guarantees":{"answer-slack-ms":8,"drain-grace-ms":250},"extra":{"message-aim-ms":[90]}}`
 
-// Relay is a core on a loop, with members that the test plays.
+// Relay is a core on an event loop, with members that the test acts for.
 type Relay struct {
 	*Harness
 	Core    *core.Core
@@ -31,12 +31,12 @@
 	servers []*Server
 }
 
-// NewRelay makes one with so many members.
+// NewRelay returns a Relay with the given number of members, on a harness of its own.
 func NewRelay(t testing.TB, members int) *Relay {
 	return NewRelayOn(New(t, 1024), members)
 }
 
-// NewRelayOn makes one on that loop.
+// NewRelayOn is like NewRelay on an existing harness.
 func NewRelayOn(b *Harness, members int) *Relay {
 	t := b.T
 	r := &Relay{Harness: b, Log: logrus.New()}
@@ -63,7 +63,8 @@
 	return r
 }
 
-// Serve listens with a front and returns its address.
+// Serve listens on the loop, passes each connection to accept, which is usually a front's, and returns the
+// address.
 func (r *Relay) Serve(accept func(*netloop.Conn)) string {
 	r.T.Helper()
 	l, err := r.Loop.Listen("127.0.0.1:0", accept)
@@ -73,13 +74,14 @@
 	return l.Addr()
 }
 
-// Drain has discovery list a member as draining.
+// Drain updates the member list so that member i is draining.
 func (r *Relay) Drain(i int) {
 	r.Members[i].State = policy.Draining
 	r.Core.UpdateMembers(policy.ListDelta, r.Members[i:i+1])
 }
 
-// AcceptAny accepts the next connection to any member, and returns which. The clock moves on by step between tries.
+// AcceptAny accepts the next connection to any member, and returns the member's index and the connection. It
+// advances the clock by step before each attempt.
 func (r *Relay) AcceptAny(step time.Duration) (int, *Peer) {
 	r.T.Helper()
 	member, c := -1, net.Conn(nil)
@@ -97,7 +99,7 @@
 	return member, r.peer(c)
 }
 
-// ReadLine waits for a line and removes it from Received.
+// ReadLine waits for a line, removes it from Received and returns it without its line end.
 func (p *Peer) ReadLine() string {
 	p.harness.T.Helper()
 	end := -1
@@ -114,7 +116,7 @@
 	return line
 }
 
-// ExpectLines waits for these lines.
+// ExpectLines waits for the given lines, in this order.
 func (p *Peer) ExpectLines(want ...string) {
 	p.harness.T.Helper()
 	for _, w := range want {
--- a/internal/netloop/syscalls.go
+++ b/internal/netloop/syscalls.go
@@ -2,7 +2,7 @@
 
 import "golang.org/x/sys/unix"
 
-// Syscalls is the system calls by which a loop reaches the kernel. Tests put calls that fail in the place of some of them.
+// Syscalls holds the system calls that a loop makes. Tests replace some of them to inject failures.
 type Syscalls struct {
 	EpollWait     func(epollFD int, events []unix.EpollEvent, milliseconds int) (int, error)
 	EpollCtl      func(epollFD, op, fd int, event *unix.EpollEvent) error
@@ -16,11 +16,11 @@
 	SetsockoptInt func(fd, level, option, value int) error
 }
 
-// KernelSyscalls is the calls of the system itself.
+// KernelSyscalls returns the real system calls.
 func KernelSyscalls() Syscalls {
 	return Syscalls{EpollWait: unix.EpollWait, EpollCtl: unix.EpollCtl, Socket: unix.Socket, Bind: unix.Bind, Listen: unix.Listen,
 		Accept: unix.Accept4, Connect: unix.Connect, Read: unix.Read, Write: unix.Write, SetsockoptInt: unix.SetsockoptInt}
 }
 
-// DefaultSyscalls is the calls of the loops that are made from now on. Only tests change it.
+// DefaultSyscalls is used by loops that New creates from now on. Only tests change it.
 var DefaultSyscalls = KernelSyscalls()
--- a/internal/netloop/timer.go
+++ b/internal/netloop/timer.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Timer is a call that is due once.
+// Timer is a function call scheduled to run once.
 type Timer struct {
-	at    time.Duration
-	order uint64
-	index int
+	at    time.Duration // time of the call by the loop's clock
+	order uint64        // order of creation; decides between equal times
+	index int           // position in the heap; -1 once the timer has run or was stopped
 	call  func()
 	loop  *Loop
 }
 
-// After runs call once the time has passed, never from within After.
+// After schedules call to run on the loop once d has passed. It never runs from within After.
 func (l *Loop) After(d time.Duration, call func()) *Timer {
 	t := &Timer{at: l.Now() + max(d, 0), order: l.timers.order, call: call, loop: l}
 	l.timers.order++
@@ -22,14 +22,15 @@
 	return t
 }
 
-// Stop cancels a timer. A nil Timer, or one that has run, may be stopped too.
+// Stop cancels a timer. Stopping a nil Timer, or one that has already run, does nothing.
 func (t *Timer) Stop() {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&t.loop.timers, t.index)
 	}
 }
 
-// pollTimeout is how many milliseconds epoll may wait until a timer is due; -1 for no end.
+// pollTimeout returns how many milliseconds epoll may wait until the next timer is due, at most a minute; -1
+// if there is no timer.
 func (l *Loop) pollTimeout() int {
 	if len(l.timers.heap) == 0 {
 		return -1
@@ -38,8 +39,8 @@
 	return int(max(0, min(wait+time.Millisecond-1, time.Minute)) / time.Millisecond)
 }
 
-// runTimers runs the timers that are due. One that is set meanwhile waits for the next round, so that a timer which sets itself
-// again cannot keep the sockets waiting.
+// runTimers runs the timers that are due. A timer created during this waits for the next round, so that one
+// that reschedules itself cannot starve the sockets.
 func (l *Loop) runTimers() {
 	now, order := l.Now(), l.timers.order
 	for len(l.timers.heap) > 0 && l.timers.heap[0].at <= now && l.timers.heap[0].order < order {
@@ -47,9 +48,10 @@
 	}
 }
 
+// timerQueue is a heap of timers, ordered by time and then by creation. It implements heap.Interface.
 type timerQueue struct {
 	heap  []*Timer
-	order uint64
+	order uint64 // order of the next timer that is created
 }
 
 func (t *timerQueue) Len() int { return len(t.heap) }
--- a/internal/netloop/tls.go
+++ b/internal/netloop/tls.go
@@ -9,31 +9,34 @@
 	"time"
 )
 
-// maxHandshakes is how many TLS handshakes may be under way at once; each has a goroutine, and a peer may be slow on purpose.
-// Further ones fail at once.
+// maxHandshakes is how many TLS handshakes may be in progress at once. The limit bounds the number of
+// goroutines, because a peer may delay its handshake on purpose. Further handshakes fail at once.
 const maxHandshakes = 64
 
-// maxUndecrypted is how many bytes of a peer are buffered during a handshake.
+// maxUndecrypted is how many bytes from the peer are buffered during a handshake. A peer that sends more is
+// disconnected.
 const maxUndecrypted = 64 << 10
 
-// ErrHandshakes is how a connection ends when maxHandshakes are under way.
+// ErrHandshakes is reported by a connection whose TLS handshake cannot start because maxHandshakes are in
+// progress.
 var ErrHandshakes = errors.New("too many TLS handshakes")
 
-// tlsState is the TLS layer of a connection. The handshake runs in a goroutine on a pipe in memory, which the loop feeds; it ends
-// when the handshake is over or the pipe is closed. After it only the loop calls the TLS connection, on the same pipe, whose Read
-// no longer blocks.
+// tlsState is the TLS layer of a connection. The handshake runs in a goroutine of its own, on an
+// in-memory pipe that the loop feeds. The goroutine ends when the handshake is complete or the pipe is
+// closed. After that only the loop uses the TLS connection, with the pipe in non-blocking mode.
 type tlsState struct {
 	conn            *Conn
 	tls             *tls.Conn
 	transport       memoryPipe
-	encrypted       buffer // encrypted and unsent
-	established     bool
+	encrypted       buffer // encrypted bytes that are not sent
+	established     bool   // the handshake has succeeded
 	handshakeTimer  *Timer
-	closeNotifySent bool // the peer was notified that nothing more comes
+	closeNotifySent bool // close_notify was sent: the peer knows that no more data follows
 }
 
-// StartTLS has all further bytes go by TLS: what was written before is sent as it is. Done is called from the loop once the
-// handshake has succeeded; if it fails the handler's End is called.
+// StartTLS switches the connection to TLS. Bytes written before are sent unencrypted. onEstablished is called
+// from the loop when the handshake succeeds. If it fails or takes longer than timeout, the handler's End is
+// called.
 func (c *Conn) StartTLS(cfg *tls.Config, client bool, timeout time.Duration, onEstablished func(tls.ConnectionState)) {
 	if c.fd < 0 || c.tls != nil || c.failTimer != nil {
 		return
@@ -60,7 +63,7 @@
 		s.tls = tls.Server(&s.transport, cfg)
 	}
 	s.encrypted, c.unsentBuf = c.unsentBuf, buffer{}
-	if c.unread.size() > 0 { // the peer has already begun
+	if c.unread.size() > 0 { // the peer has already started its handshake
 		s.transport.feed(c.unread.data())
 		c.unread.free(c.loop)
 	}
@@ -76,7 +79,7 @@
 // IsTLS reports whether the TLS handshake has succeeded.
 func (c *Conn) IsTLS() bool { return c.tls != nil && c.tls.established }
 
-// finishHandshake takes the TLS connection over from the handshake's goroutine.
+// finishHandshake hands the TLS connection from the handshake's goroutine to the loop.
 func (s *tlsState) finishHandshake(err error, onEstablished func(tls.ConnectionState)) {
 	c := s.conn
 	c.loop.handshakes--
@@ -86,7 +89,7 @@
 	}
 	if err != nil {
 		if s.encrypted.size() > 0 {
-			c.flush() // the alert that has the reason
+			c.flush() // sends the TLS alert with the reason of the failure
 		}
 		c.fail(err)
 		return
@@ -102,7 +105,7 @@
 	c.updateInterest()
 }
 
-// receive handles encrypted bytes that were read.
+// receive handles encrypted bytes read from the socket.
 func (s *tlsState) receive(b []byte) {
 	s.transport.feed(b)
 	if s.established {
@@ -112,11 +115,11 @@
 	}
 }
 
-// read decrypts what has come and hands it on, while the handler consumes it.
+// read decrypts received bytes and passes them to the handler until its read limit is reached.
 func (s *tlsState) read() {
 	c := s.conn
 	if c.loop.tlsReadBuffer == nil {
-		c.loop.tlsReadBuffer = make([]byte, 16<<10) // a record is no longer
+		c.loop.tlsReadBuffer = make([]byte, 16<<10) // the maximum size of a TLS record's content
 	}
 	chunk := c.loop.tlsReadBuffer
 	for s.established && c.fd >= 0 && !c.readPaused && c.unread.size() < c.maxUnread {
@@ -139,7 +142,7 @@
 	}
 }
 
-// write encrypts unsent bytes, as far as the kernel may accept them soon.
+// write encrypts unsent bytes until DefaultWriteLimit bytes are encrypted and waiting for the kernel.
 func (s *tlsState) write() error {
 	c := s.conn
 	for s.established && c.unsentBuf.size() > 0 && s.encrypted.size() < DefaultWriteLimit {
@@ -153,7 +156,7 @@
 	return nil
 }
 
-// closeNotify sends the close_notify alert once, and reports whether there are bytes to send for it.
+// closeNotify sends the close_notify alert once. It returns true if the alert is ready to be flushed.
 func (s *tlsState) closeNotify() bool {
 	if s.closeNotifySent || !s.established {
 		return false
@@ -163,20 +166,20 @@
 	return s.encrypted.size() > 0
 }
 
-// end gives back what the TLS layer has, and ends the handshake's goroutine.
+// end frees the resources of the TLS layer and ends the handshake's goroutine.
 func (s *tlsState) end() {
 	s.handshakeTimer.Stop()
 	s.encrypted.free(s.conn.loop)
 	s.transport.Close()
 }
 
-// memoryPipe is the net.Conn in memory under the TLS connection.
+// memoryPipe is the in-memory net.Conn below the TLS connection.
 type memoryPipe struct {
 	mu          sync.Mutex
 	readable    *sync.Cond
 	received    []byte
 	closed      bool
-	nonBlocking bool // Read does not wait: only the loop reads now
+	nonBlocking bool // Read returns errWouldBlock instead of waiting, because only the loop reads now
 	send        func(b []byte)
 }
 
@@ -222,13 +225,13 @@
 		return 0, net.ErrClosed
 	}
 	if !nonBlocking {
-		b = append([]byte(nil), b...) // the loop sends it later
+		b = append([]byte(nil), b...) // copied, because the loop sends it later
 	}
 	send(b)
 	return len(b), nil
 }
 
-// Close implements net.Conn: a handshake that waits ends.
+// Close implements net.Conn. It ends a handshake that is waiting for data.
 func (p *memoryPipe) Close() error {
 	p.mu.Lock()
 	p.closed = true
@@ -237,14 +240,15 @@
 	return nil
 }
 
-// The rest of net.Conn, which crypto/tls does not need here.
+// The remaining methods of net.Conn do nothing; crypto/tls does not need them here.
 func (p *memoryPipe) LocalAddr() net.Addr              { return &net.TCPAddr{} }
 func (p *memoryPipe) RemoteAddr() net.Addr             { return &net.TCPAddr{} }
 func (p *memoryPipe) SetDeadline(time.Time) error      { return nil }
 func (p *memoryPipe) SetReadDeadline(time.Time) error  { return nil }
 func (p *memoryPipe) SetWriteDeadline(time.Time) error { return nil }
 
-// errWouldBlock is that nothing has come yet. crypto/tls keeps its state over a temporary error, and goes on with the next Read.
+// errWouldBlock means that no data has arrived. It is a temporary error, so crypto/tls keeps its state and
+// continues with the next Read.
 type errWouldBlock struct{}
 
 func (errWouldBlock) Error() string   { return "nothing has come yet" }
