--- a/internal/netloop/channel.go
+++ b/internal/netloop/channel.go
@@ -48,7 +48,7 @@
 	}
 	if err != nil {
 		unix.Close(fd)
-		return nil, fmt.Errorf("channel: %w", err)
+		return nil, fmt.Errorf("channel: serving socket: %w", err)
 	}
 	return c, nil
 }
@@ -60,7 +60,8 @@
 		return io.ErrClosedPipe
 	}
 	if len(text) > maxMessageSize || len(fds) > maxMessageFDs || len(c.pending) >= maxPendingMessages {
-		return fmt.Errorf("channel: %d bytes, %d descriptors, %d waiting", len(text), len(fds), len(c.pending))
+		return fmt.Errorf("channel: cannot send %d bytes with %d descriptors, %d messages pending; limits are %d, %d and %d",
+			len(text), len(fds), len(c.pending), maxMessageSize, maxMessageFDs, maxPendingMessages)
 	}
 	if len(c.pending) == 0 {
 		err := send(c.fd, text, fds)
@@ -73,7 +74,7 @@
 		duplicate, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0)
 		if err != nil {
 			m.closeFDs()
-			return fmt.Errorf("channel: %w", err)
+			return fmt.Errorf("channel: duplicating descriptor %d: %w", fd, err)
 		}
 		m.fds = append(m.fds, duplicate)
 	}
@@ -190,7 +191,8 @@
 	}
 	if receivedFlags&(unix.MSG_TRUNC|unix.MSG_CTRUNC) != 0 {
 		(&message{fds: fds}).closeFDs()
-		return nil, nil, errors.New("channel: a message came cut short")
+		return nil, nil, fmt.Errorf("channel: received message truncated; limits are %d bytes and %d descriptors",
+			maxMessageSize, maxMessageFDs)
 	}
 	return text[:n], fds, nil
 }
@@ -246,12 +248,12 @@
 func (l *Loop) ListenChannel(path string, accept func(fd int)) (*Listener, error) {
 	sockaddr, closeDir, err := unixAddr(path)
 	if err != nil {
-		return nil, fmt.Errorf("channel: %w", err)
+		return nil, fmt.Errorf("channel: opening the directory of %s: %w", path, err)
 	}
 	defer closeDir()
 	fd, err := unix.Socket(unix.AF_UNIX, unix.SOCK_SEQPACKET|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return nil, fmt.Errorf("channel: %w", err)
+		return nil, fmt.Errorf("channel: creating socket: %w", err)
 	}
 	os.Remove(path)
 	s := &Listener{loop: l, fd: fd, onAcceptFD: accept, budget: &l.descriptorBudget}
@@ -260,7 +262,7 @@
 	}
 	if err != nil {
 		unix.Close(fd)
-		return nil, fmt.Errorf("channel: %w", err)
+		return nil, fmt.Errorf("channel: listening at %s: %w", path, err)
 	}
 	return s, nil
 }
--- a/internal/netloop/conn.go
+++ b/internal/netloop/conn.go
@@ -26,11 +26,11 @@
 )
 
 // ErrDialTimeout is reported when a dial or a TLS handshake does not complete in time.
-var ErrDialTimeout = errors.New("the connection did not come up in time")
+var ErrDialTimeout = errors.New("connection or TLS handshake timed out")
 
 // ErrOverflow is reported when a connection has more unsent bytes than its limit allows, usually because
 // the peer does not read, or needs more buffer while the loop's memory limit is exceeded.
-var ErrOverflow = errors.New("too much unsent")
+var ErrOverflow = errors.New("connection buffer limit exceeded")
 
 // Handler receives the events of a connection. After End with an error other than io.EOF, and after
 // Finish or Reset, there are no more events.
--- a/internal/netloop/datagram.go
+++ b/internal/netloop/datagram.go
@@ -26,7 +26,7 @@
 	}
 	fd, err := unix.Socket(family, unix.SOCK_DGRAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return nil, fmt.Errorf("datagrams at %s: %w", addr, err)
+		return nil, fmt.Errorf("UDP socket at %s: %w", addr, err)
 	}
 	d := &UDPSocket{loop: l, fd: fd, onDatagram: onDatagram}
 	if err = unix.Bind(fd, sockaddr); err == nil {
@@ -34,7 +34,7 @@
 	}
 	if err != nil {
 		unix.Close(fd)
-		return nil, fmt.Errorf("datagrams at %s: %w", addr, err)
+		return nil, fmt.Errorf("UDP socket at %s: %w", addr, err)
 	}
 	return d, nil
 }
--- a/internal/netloop/descriptors.go
+++ b/internal/netloop/descriptors.go
@@ -10,7 +10,7 @@
 // ErrNoDescriptors is reported when a dial fails for a reason on this host, not at the peer: the
 // descriptor limit is reached, or socket or connect returned an error that the peer cannot have caused
 // (see connectError). That error is wrapped along with it.
-var ErrNoDescriptors = errors.New("no descriptors left")
+var ErrNoDescriptors = errors.New("no descriptors left or other local failure")
 
 // Thresholds for a shortage of descriptors. With less than limit/evictFraction free, two evictable
 // connections are ended for each one that is accepted. With less than limit/lowFraction free, fronts
--- a/internal/netloop/listener.go
+++ b/internal/netloop/listener.go
@@ -94,7 +94,7 @@
 	s := &Listener{loop: l, fd: fd, onAccept: accept, budget: &l.descriptorBudget}
 	if err := l.register(fd, unix.EPOLLIN, s, &l.descriptorBudget); err != nil {
 		unix.Close(fd)
-		return nil, fmt.Errorf("listening: %w", err)
+		return nil, fmt.Errorf("listening on inherited socket: %w", err)
 	}
 	return s, nil
 }
--- a/internal/netloop/loop.go
+++ b/internal/netloop/loop.go
@@ -60,12 +60,12 @@
 func New(now func() time.Duration, limit int) (*Loop, error) {
 	epollFD, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
-		return nil, fmt.Errorf("epoll: %w", err)
+		return nil, fmt.Errorf("creating epoll instance: %w", err)
 	}
 	wakeFD, err := unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC)
 	if err != nil {
 		unix.Close(epollFD)
-		return nil, fmt.Errorf("eventfd: %w", err)
+		return nil, fmt.Errorf("creating eventfd: %w", err)
 	}
 	l := &Loop{syscalls: DefaultSyscalls, epollFD: epollFD, wakeFD: wakeFD, now: now, roundStart: now(), sources: map[int]eventSource{},
 		descriptorBudget: descriptorBudget{limit: limit}, readBuffer: make([]byte, readSize)}
@@ -149,7 +149,7 @@
 		n, err = l.syscalls.EpollWait(l.epollFD, l.events[:], 0)
 	}
 	if err != nil && err != unix.EINTR {
-		return fmt.Errorf("epoll: %w", err)
+		return fmt.Errorf("epoll_wait: %w", err)
 	}
 	slept := l.now() - l.roundStart - l.lastRound
 	late := max(slept-time.Duration(timeoutMS)*time.Millisecond, l.lastRound)
@@ -202,7 +202,7 @@
 
 func (l *Loop) epollCtl(op, fd int, events uint32) error {
 	if err := l.syscalls.EpollCtl(l.epollFD, op, fd, &unix.EpollEvent{Events: events, Fd: int32(fd)}); err != nil {
-		return fmt.Errorf("epoll: %w", err)
+		return fmt.Errorf("epoll_ctl: %w", err)
 	}
 	return nil
 }
--- a/internal/netloop/looptest/looptest.go
+++ b/internal/netloop/looptest/looptest.go
@@ -147,16 +147,16 @@
 func (p *Peer) Send(text string) {
 	p.harness.T.Helper()
 	if _, err := p.Write([]byte(text)); err != nil {
-		p.harness.T.Fatalf("sending %q: %v", text, err)
+		p.harness.T.Fatalf("Send(%q): %v", text, err)
 	}
 }
 
 // Expect waits until text, and nothing else, has been received, and clears Received.
 func (p *Peer) Expect(text string) {
 	p.harness.T.Helper()
-	p.harness.WaitFor("bytes", func() bool { p.Poll(); return len(p.Received) >= len(text) || p.EndErr != nil })
+	p.harness.WaitFor("bytes for the peer", func() bool { p.Poll(); return len(p.Received) >= len(text) || p.EndErr != nil })
 	if string(p.Received) != text {
-		p.harness.T.Fatalf("got %q (ended: %v), want %q", p.Received, p.EndErr, text)
+		p.harness.T.Fatalf("peer received %q (connection error: %v), want %q", p.Received, p.EndErr, text)
 	}
 	p.Received = nil
 }
@@ -164,18 +164,18 @@
 // ExpectEOF waits until the connection ends with EOF, without further bytes.
 func (p *Peer) ExpectEOF() {
 	p.harness.T.Helper()
-	p.harness.WaitFor("the end", func() bool { p.Poll(); return p.EndErr != nil })
+	p.harness.WaitFor("EOF at the peer", func() bool { p.Poll(); return p.EndErr != nil })
 	if p.EndErr != io.EOF || len(p.Received) > 0 {
-		p.harness.T.Fatalf("ended with %v after %q, want an orderly end", p.EndErr, p.Received)
+		p.harness.T.Fatalf("connection ended with %v after bytes %q, want EOF after no bytes", p.EndErr, p.Received)
 	}
 }
 
 // ExpectReset waits until the connection ends with an error other than EOF.
 func (p *Peer) ExpectReset() {
 	p.harness.T.Helper()
-	p.harness.WaitFor("the reset", func() bool { p.Poll(); return p.EndErr != nil })
+	p.harness.WaitFor("a reset at the peer", func() bool { p.Poll(); return p.EndErr != nil })
 	if p.EndErr == io.EOF {
-		p.harness.T.Fatal("ended in order, want a reset")
+		p.harness.T.Fatal("connection ended with EOF, want a reset")
 	}
 }
 
--- a/internal/netloop/looptest/relay.go
+++ b/internal/netloop/looptest/relay.go
@@ -109,7 +109,7 @@
 		return end >= 0 || p.EndErr != nil
 	})
 	if end < 0 {
-		p.harness.T.Fatalf("ended with %v after %q, want a line", p.EndErr, p.Received)
+		p.harness.T.Fatalf("connection ended with %v after bytes %q, want a line", p.EndErr, p.Received)
 	}
 	line := string(bytes.TrimSuffix(p.Received[:end], []byte("\r")))
 	p.Received = p.Received[end+1:]
@@ -121,7 +121,7 @@
 	p.harness.T.Helper()
 	for _, w := range want {
 		if got := p.ReadLine(); got != w {
-			p.harness.T.Fatalf("got line %q, want %q", got, w)
+			p.harness.T.Fatalf("peer received line %q, want %q", got, w)
 		}
 	}
 }
--- a/internal/netloop/tls.go
+++ b/internal/netloop/tls.go
@@ -3,6 +3,7 @@
 import (
 	"crypto/tls"
 	"errors"
+	"fmt"
 	"io"
 	"net"
 	"sync"
@@ -19,7 +20,7 @@
 
 // ErrHandshakes is reported by a connection whose TLS handshake cannot start because maxHandshakes are in
 // progress.
-var ErrHandshakes = errors.New("too many TLS handshakes")
+var ErrHandshakes = errors.New("too many TLS handshakes in progress")
 
 // tlsState is the TLS layer of a connection. The handshake runs in a goroutine of its own, on an
 // in-memory pipe that the loop feeds. The goroutine ends when the handshake is complete or the pipe is
@@ -111,7 +112,7 @@
 	if s.established {
 		s.read()
 	} else if s.transport.size() > maxUndecrypted {
-		s.conn.fail(errors.New("too much before the end of a TLS handshake"))
+		s.conn.fail(fmt.Errorf("peer sent more than %d bytes before the TLS handshake ended", maxUndecrypted))
 	}
 }
 
@@ -251,6 +252,6 @@
 // continues with the next Read.
 type errWouldBlock struct{}
 
-func (errWouldBlock) Error() string   { return "nothing has come yet" }
+func (errWouldBlock) Error() string   { return "no data received yet" }
 func (errWouldBlock) Timeout() bool   { return true }
 func (errWouldBlock) Temporary() bool { return true }
