--- a/internal/netloop/channel_test.go
+++ b/internal/netloop/channel_test.go
@@ -71,8 +71,8 @@
 		t.Fatal(err)
 	}
 	defer r.Close()
-	const many = 300
-	for n := range many {
+	const count = 300
+	for n := range count {
 		text := bytes.Repeat([]byte(fmt.Sprintf("%03d", n)), 1000)
 		if err := near.channel.Send(text, int(w.Fd())); err != nil {
 			t.Fatal(err)
@@ -87,8 +87,8 @@
 		}
 	}
 	w.Close()
-	if len(far.fds) != many {
-		t.Fatalf("%d descriptors of %d", len(far.fds), many)
+	if len(far.fds) != count {
+		t.Fatalf("%d descriptors of %d", len(far.fds), count)
 	}
 	unix.Write(far.fds[0], []byte("by the passed end"))
 	for _, fd := range far.fds {
--- a/internal/netloop/ending_test.go
+++ b/internal/netloop/ending_test.go
@@ -70,12 +70,12 @@
 // the loop ends, do not reset it.
 func TestNoResetAfterAnswer(t *testing.T) {
 	for name, closeConn := range map[string]func(*looptest.Harness, func()){
-		"time": func(b *looptest.Harness, say func()) {
-			b.Loop.After(0, say) // after the round's events, before the connection has lingered long enough
+		"time": func(b *looptest.Harness, sendMore func()) {
+			b.Loop.After(0, sendMore) // after the round's events, before the connection has lingered long enough
 			b.Advance(time.Hour)
 		},
-		"loop end": func(b *looptest.Harness, say func()) {
-			say()
+		"loop end": func(b *looptest.Harness, sendMore func()) {
+			sendMore()
 			b.Loop.Close()
 		},
 	} {
@@ -134,7 +134,7 @@
 	c.Finish()
 	reserve.Dial(server.Addr(), time.Second, &recordingHandler{}) // closes the one that lingers
 	b.RunOnce()
-	again := &recordingHandler{}
-	reserve.Dial(server.Addr(), time.Second, again)
-	b.WaitFor("a connection again", func() bool { return again.opened })
+	second := &recordingHandler{}
+	reserve.Dial(server.Addr(), time.Second, second)
+	b.WaitFor("a connection again", func() bool { return second.opened })
 }
--- a/internal/netloop/faults_test.go
+++ b/internal/netloop/faults_test.go
@@ -109,10 +109,10 @@
 		return unix.SetsockoptInt(fd, level, option, value)
 	}
 	b := looptest.NewWithSyscalls(t, 16, calls)
-	expectNoDelay := func(what string, n int) {
+	expectNoDelay := func(kind string, n int) {
 		t.Helper()
 		if len(noDelayFDs) != n {
-			t.Errorf("%s: held back on all but %d connections, want %d", what, len(noDelayFDs), n)
+			t.Errorf("%s: held back on all but %d connections, want %d", kind, len(noDelayFDs), n)
 		}
 		clear(noDelayFDs)
 	}
--- a/internal/netloop/syscalls_test.go
+++ b/internal/netloop/syscalls_test.go
@@ -40,15 +40,15 @@
 }
 
 // passUntil moves the clock on until ok, for a moment at most.
-func advanceUntil(b *looptest.Harness, what string, ok func() bool) {
+func advanceUntil(b *looptest.Harness, description string, done func() bool) {
 	b.T.Helper()
 	for range int(recoveryTimeout / time.Millisecond) {
-		if ok() {
+		if done() {
 			return
 		}
 		b.Advance(time.Millisecond)
 	}
-	b.T.Fatalf("not within a moment: %s", what)
+	b.T.Fatalf("not within a moment: %s", description)
 }
 
 // greeted checks that each peer is greeted within a moment of the loop's clock.
@@ -168,11 +168,11 @@
 			b, f := newFaultyHarness(t)
 			e, p := pair(b)
 			fd, unread := e.conn.Detach()
-			again := &recordingHandler{consumable: 1 << 20}
+			attached := &recordingHandler{consumable: 1 << 20}
 			f.Set(transientFault)
-			b.Loop.Attach(fd, unread, again)
+			b.Loop.Attach(fd, unread, attached)
 			p.Send("more")
-			advanceUntil(b, "what came after", func() bool { return string(again.received) == "more" })
+			advanceUntil(b, "what came after", func() bool { return string(attached.received) == "more" })
 		})
 	}
 }
