--- a/internal/netloop/channel.go
+++ b/internal/netloop/channel.go
@@ -53,8 +53,8 @@
 	return c, nil
 }
 
-// Send sends a message, or queues it if the socket's buffer is full. The caller keeps ownership of the
-// descriptors.
+// Send sends a message, or queues it if the socket's buffer is full. The caller keeps ownership of
+// the descriptors.
 func (c *Channel) Send(text []byte, fds ...int) error {
 	if c.fd < 0 {
 		return io.ErrClosedPipe
@@ -209,8 +209,8 @@
 }
 
 // DialChannel connects to the process that listens at path and returns the socket, which is in
-// blocking mode. SendBlocking and ReceiveBlocking on it block for at most timeout. It is meant for the
-// start of a process, before the loop runs.
+// blocking mode. SendBlocking and ReceiveBlocking on it block for at most timeout. It is meant for
+// the start of a process, before the loop runs.
 func DialChannel(path string, timeout time.Duration) (int, error) {
 	sockaddr, closeDir, err := unixAddr(path)
 	if err != nil {
--- a/internal/netloop/channel_test.go
+++ b/internal/netloop/channel_test.go
@@ -15,7 +15,8 @@
 	"dahliarudder/internal/netloop/looptest"
 )
 
-// ends is one end of a channel and the events that it got.
+// channelEnd is one end of a channel. It records the messages, descriptors and the end that it
+// receives.
 type channelEnd struct {
 	channel  *netloop.Channel
 	messages [][]byte
@@ -23,6 +24,7 @@
 	endErr   error
 }
 
+// serve serves fd as this end of the channel.
 func (e *channelEnd) serve(b *looptest.Harness, fd int) {
 	b.T.Helper()
 	var err error
@@ -33,7 +35,8 @@
 	}
 }
 
-// channel is both ends of one, on a path longer than fits an address.
+// connectChannel returns both ends of a channel. Its path is longer than a Unix socket address can
+// hold.
 func connectChannel(b *looptest.Harness) (near, far *channelEnd) {
 	b.T.Helper()
 	dir := filepath.Join(b.T.TempDir(), strings.Repeat("d", 120))
@@ -45,7 +48,7 @@
 		b.T.Errorf("DialChannel without a listener = %v, want a not-exist error", err)
 	}
 	near, far = &channelEnd{}, &channelEnd{}
-	for range 2 { // the second replaces what the first has left behind
+	for range 2 { // the second listener replaces the socket file of the first
 		l, err := b.ListenChannel(path, func(fd int) { near.serve(b, fd) })
 		if err != nil {
 			b.T.Fatal(err)
@@ -61,8 +64,9 @@
 	return near, far
 }
 
-// TestChannel: messages arrive complete, in order and with their descriptors, also more than the kernel takes at once; then the
-// other end is notified of the end, once.
+// TestChannel: messages arrive complete, in order and with their descriptors, even when the kernel
+// cannot take all of them at once. When one end closes, the other end's onEnd is called and its own
+// is not.
 func TestChannel(t *testing.T) {
 	b := looptest.New(t, 32)
 	near, far := connectChannel(b)
@@ -77,7 +81,7 @@
 		if err := near.channel.Send(text, int(w.Fd())); err != nil {
 			t.Fatal(err)
 		}
-		if n%100 == 99 { // descriptors on their way are bounded
+		if n%100 == 99 { // the kernel limits the number of descriptors in flight
 			b.WaitFor("all messages sent so far", func() bool { return len(far.messages) == n+1 })
 		}
 	}
@@ -107,8 +111,9 @@
 	}
 }
 
-// TestDetach: a connection that is detached from the loop and attached again keeps its bytes, those that were not consumed among
-// them, and its peer notices nothing; one that is ending cannot be detached.
+// TestDetach: a connection that is detached from the loop and attached again loses no bytes, not
+// even those that its handler has not consumed, and its peer notices nothing. A connection that is
+// ending cannot be detached.
 func TestDetach(t *testing.T) {
 	b := looptest.New(t, 16)
 	e, p := pair(b)
@@ -135,8 +140,9 @@
 	}
 }
 
-// TestInherit: a socket that two listeners share serves on when one is paused or closed; nothing in its backlog is lost. Guards
-// against closing a socket that is not shared, which resets the connections in its backlog.
+// TestInherit: when two listeners share a socket, connections in its backlog survive if one
+// listener is closed while both are paused; the other accepts them. Guards against closing the last
+// copy of a socket, which resets the connections in its backlog.
 func TestInherit(t *testing.T) {
 	b := looptest.New(t, 32)
 	var acceptedBy []string
@@ -176,8 +182,9 @@
 	}
 }
 
-// TestChannelResetAfterMessages: what the other process has sent before it ended is received, though it left unread what was
-// sent to it: the kernel shows that as a reset, before the messages.
+// TestChannelResetAfterMessages: messages that the other process sent before it exited are
+// received, even if it left messages to it unread. In that case the kernel reports a reset ahead of
+// the messages.
 func TestChannelResetAfterMessages(t *testing.T) {
 	for name, sendAfterClose := range map[string]bool{"end detected by receiving": false, "end detected by sending": true} {
 		b := looptest.New(t, 32)
@@ -201,7 +208,7 @@
 				t.Fatal(err)
 			}
 		}
-		unix.Close(far) // before a round of the loop
+		unix.Close(far) // before the loop runs a round
 		if sendAfterClose {
 			near.channel.Send([]byte("more"))
 		}
--- a/internal/netloop/conn.go
+++ b/internal/netloop/conn.go
@@ -28,8 +28,8 @@
 // ErrDialTimeout is reported when a dial or a TLS handshake does not complete in time.
 var ErrDialTimeout = errors.New("connection or TLS handshake timed out")
 
-// ErrOverflow is reported when a connection has more unsent bytes than its limit allows, usually because
-// the peer does not read, or needs more buffer while the loop's memory limit is exceeded.
+// ErrOverflow is reported when a connection has more unsent bytes than its limit allows, usually
+// because the peer does not read, or needs more buffer while the loop's memory limit is exceeded.
 var ErrOverflow = errors.New("connection buffer limit exceeded")
 
 // Handler receives the events of a connection. After End with an error other than io.EOF, and after
@@ -42,8 +42,8 @@
 	Data(b []byte) int
 	// Drained is called when all written bytes have been sent.
 	Drained()
-	// End is called once, when the peer ends the connection or it fails. After io.EOF, which means that
-	// the peer has closed its side, writing continues until Finish. After any other error the
+	// End is called once, when the peer ends the connection or it fails. After io.EOF, which means
+	// that the peer has closed its side, writing continues until Finish. After any other error the
 	// connection is closed.
 	End(err error)
 }
@@ -121,10 +121,10 @@
 	return addrPort.Addr().Unmap().String()
 }
 
-// SetEvictable allows the loop to end the connection when descriptors run short. The loop then calls
-// onEvict and closes the connection; the peer still receives what onEvict writes, as far as the kernel
-// accepts it at once. The connection that has been evictable for longest is evicted first. With nil the
-// connection is no longer evictable.
+// SetEvictable allows the loop to end the connection when descriptors run short. The loop then
+// calls onEvict and closes the connection; the peer still receives what onEvict writes, as far as
+// the kernel accepts it at once. The connection that has been evictable for longest is evicted
+// first. With nil the connection is no longer evictable.
 func (c *Conn) SetEvictable(onEvict func()) {
 	if c.evictElement != nil {
 		c.budget.evictable.Remove(c.evictElement)
@@ -135,8 +135,8 @@
 	}
 }
 
-// failLater reports an error in a later call from the loop, because the caller may be running inside a
-// call of the handler.
+// failLater reports an error in a later call from the loop, because the caller may be running
+// inside a call of the handler.
 func (c *Conn) failLater(err error) {
 	if c.failTimer == nil {
 		c.failTimer = c.loop.After(0, func() { c.fail(err) })
--- a/internal/netloop/conn_dial.go
+++ b/internal/netloop/conn_dial.go
@@ -8,14 +8,15 @@
 )
 
 // Dial starts a connection to addr, an IP address with a port. A failure, even an immediate one, is
-// reported by a later call of the handler's End, never from within Dial: ErrDialTimeout after timeout,
-// ErrNoDescriptors for a failure on this host, otherwise the error of the address or the system call.
+// reported by a later call of the handler's End, never from within Dial: ErrDialTimeout after
+// timeout, ErrNoDescriptors for a failure on this host, otherwise the error of the address or the
+// system call.
 func (l *Loop) Dial(addr string, timeout time.Duration, h Handler) *Conn {
 	return l.dial(addr, timeout, h, &l.descriptorBudget)
 }
 
-// DescriptorReserve is a descriptor budget for the dials of one purpose, separate from the loop's limit.
-// Descriptors that the rest of the loop has open do not count against it.
+// DescriptorReserve is a descriptor budget for the dials of one purpose, separate from the loop's
+// limit. Descriptors that the rest of the loop has open do not count against it.
 type DescriptorReserve struct {
 	loop *Loop
 	descriptorBudget
@@ -26,9 +27,9 @@
 	return &DescriptorReserve{l, descriptorBudget{limit: limit}}
 }
 
-// Dial is like Loop.Dial, but counts against the reserve. If the reserve is exhausted, Dial closes one
-// of its connections that is lingering after Finish. This dial still fails with ErrNoDescriptors; the
-// descriptor is free for a dial in a later round.
+// Dial is like Loop.Dial, but counts against the reserve. If the reserve is exhausted, Dial closes
+// one of its connections that is lingering after Finish. This dial still fails with
+// ErrNoDescriptors; the descriptor is free for a dial in a later round.
 func (r *DescriptorReserve) Dial(addr string, timeout time.Duration, h Handler) *Conn {
 	if r.FreeDescriptors() <= 0 {
 		r.evictOldest()
--- a/internal/netloop/conn_end.go
+++ b/internal/netloop/conn_end.go
@@ -24,7 +24,8 @@
 	c.updateInterest()
 }
 
-// Reset closes the connection at once; the peer sees a TCP reset. The handler receives no more events.
+// Reset closes the connection at once; the peer sees a TCP reset. The handler receives no more
+// events.
 func (c *Conn) Reset() {
 	if c.fd >= 0 {
 		unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
@@ -38,9 +39,9 @@
 	return c.fd >= 0 && c.dialTimer == nil && c.failTimer == nil && !c.finishing && !c.eof && c.unsentBuf.size() == 0 && c.tls == nil
 }
 
-// Detach removes the connection from the loop without ending it. It returns the connection's descriptor,
-// which the caller then owns, and the bytes that the handler has not consumed. fd is -1 if the connection
-// is not Detachable or its descriptor cannot be duplicated.
+// Detach removes the connection from the loop without ending it. It returns the connection's
+// descriptor, which the caller then owns, and the bytes that the handler has not consumed. fd is -1
+// if the connection is not Detachable or its descriptor cannot be duplicated.
 func (c *Conn) Detach() (fd int, unread []byte) {
 	if !c.Detachable() {
 		return -1, nil
@@ -90,8 +91,9 @@
 	}
 }
 
-// shutdownOnExit shuts down the sending side when the loop closes: the peer receives what the kernel has
-// accepted, then EOF. Unread bytes are discarded so that closing the socket does not reset the connection.
+// shutdownOnExit shuts down the sending side when the loop closes: the peer receives what the
+// kernel has accepted, then EOF. Unread bytes are discarded so that closing the socket does not
+// reset the connection.
 func (c *Conn) shutdownOnExit() {
 	if c.dialTimer == nil {
 		unix.Shutdown(c.fd, unix.SHUT_WR)
@@ -99,8 +101,8 @@
 	}
 }
 
-// dropUnread discards unread bytes. While Data runs, their memory is not returned to the pool, because
-// the handler may still read it.
+// dropUnread discards unread bytes. While Data runs, their memory is not returned to the pool,
+// because the handler may still read it.
 func (c *Conn) dropUnread() {
 	if c.inData {
 		c.unread = buffer{}
--- a/internal/netloop/conn_read.go
+++ b/internal/netloop/conn_read.go
@@ -6,14 +6,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// PauseReading stops reading until ResumeReading. A handler calls it when it leaves bytes because it
-// cannot use them yet. Otherwise bytes that Data has not consumed are taken for an incomplete message,
-// and more is read and buffered up to the read limit.
+// PauseReading stops reading until ResumeReading. A handler calls it when it leaves bytes because
+// it cannot use them yet. Otherwise bytes that Data has not consumed are taken for an incomplete
+// message, and more is read and buffered up to the read limit.
 func (c *Conn) PauseReading() { c.readPaused = true }
 
-// SetEarlyEOF sets whether the peer's EOF is reported as soon as it arrives, even while earlier bytes are
-// unread. By default it is reported after them. It is meant for a handler that leaves bytes in the kernel
-// and has no use for them once their sender has gone.
+// SetEarlyEOF sets whether the peer's EOF is reported as soon as it arrives, even while earlier
+// bytes are unread. By default it is reported after them. It is meant for a handler that leaves
+// bytes in the kernel and has no use for them once their sender has gone.
 func (c *Conn) SetEarlyEOF(on bool) {
 	c.earlyEOF = on
 	c.updateInterest()
@@ -32,8 +32,8 @@
 	c.updateInterest()
 }
 
-// discardUnread reads and discards the received bytes. Closing a socket that has unread bytes would reset
-// the connection, and the peer could lose the last answer.
+// discardUnread reads and discards the received bytes. Closing a socket that has unread bytes would
+// reset the connection, and the peer could lose the last answer.
 func (c *Conn) discardUnread() {
 	for c.discarded <= maxLingerBytes {
 		n, err := c.loop.syscalls.Read(c.fd, c.loop.readBuffer)
@@ -44,8 +44,8 @@
 	}
 }
 
-// read reads from the socket. Bytes received after Finish are discarded, because closing a socket that
-// has unread bytes would reset the connection.
+// read reads from the socket. Bytes received after Finish are discarded, because closing a socket
+// that has unread bytes would reset the connection.
 func (c *Conn) read(events uint32) {
 	for range maxReadsPerEvent {
 		if c.fd < 0 || c.eof {
@@ -144,8 +144,8 @@
 	}
 }
 
-// receivePlain passes unencrypted bytes to the handler. If no earlier bytes are unread, b is passed without
-// a copy, and only what the handler does not consume is copied.
+// receivePlain passes unencrypted bytes to the handler. If no earlier bytes are unread, b is passed
+// without a copy, and only what the handler does not consume is copied.
 func (c *Conn) receivePlain(b []byte) {
 	if c.unread.size() > 0 {
 		c.unread.append(c.loop, b)
--- a/internal/netloop/conn_test.go
+++ b/internal/netloop/conn_test.go
@@ -13,12 +13,12 @@
 	"dahliarudder/internal/netloop/looptest"
 )
 
-// end is a handler that records its events.
+// recordingHandler is a handler that records its events.
 type recordingHandler struct {
 	conn        *netloop.Conn
-	consumable  int // how many more bytes it consumes
+	consumable  int // bytes that it will still consume
 	received    []byte
-	lastOffered int // bytes offered last
+	lastOffered int // bytes passed to the last call of Data
 	opened      bool
 	endErrs     []error
 }
@@ -34,7 +34,7 @@
 }
 func (e *recordingHandler) End(err error) { e.endErrs = append(e.endErrs, err) }
 
-// pair is a connection of the loop and the peer that dialled it.
+// pair connects a peer to the loop and returns the handler of the loop's connection and the peer.
 func pair(b *looptest.Harness) (*recordingHandler, *looptest.Peer) {
 	e := &recordingHandler{}
 	l, err := b.Loop.Listen("127.0.0.1:0", func(c *netloop.Conn) { e.conn = c; c.SetHandler(e) })
@@ -48,9 +48,9 @@
 	return e, p
 }
 
-// FuzzConn makes random steps on a connection and checks it against a model of its states: bytes arrive in order and none is lost
-// while the connection is up, a handler is notified of the end at most once and of nothing after its own Finish or Reset, and the
-// descriptor is given back.
+// FuzzConn takes random steps on a connection and checks it against a model of its states. While
+// the connection is up, bytes arrive in order and none is lost. End is called at most once, and not
+// after the handler's own Finish or Reset. The descriptor is closed in the end.
 func FuzzConn(f *testing.F) {
 	f.Add([]byte{0, 9, 1, 4, 2, 200, 5, 0, 3, 255, 7, 0})
 	f.Add([]byte{0, 255, 0, 255, 1, 9, 6, 0, 2, 9, 7, 0})
@@ -61,13 +61,13 @@
 		b := looptest.New(t, 16)
 		free := b.FreeDescriptors()
 		e, p := pair(b)
-		var sentByPeer, writtenByLoop []byte // by the peer, by us
+		var sentByPeer, writtenByLoop []byte
 		peerClosed, loopClosed, reset := false, false, false
 		for i := 0; i+1 < len(steps) && i < 128; i += 2 {
 			n := int(steps[i+1])
 			chunk := bytes.Repeat([]byte{byte(i)}, n*16)
 			switch steps[i] % 9 {
-			case 0: // the peer sends, if that cannot block
+			case 0: // the peer sends, unless that could block
 				if !peerClosed && !reset && len(sentByPeer)-len(e.received)+len(chunk) < netloop.DefaultReadLimit {
 					p.Send(string(chunk))
 					sentByPeer = append(sentByPeer, chunk...)
@@ -75,7 +75,7 @@
 			case 1: // the handler consumes more
 				e.consumable += n * 16
 				e.conn.ResumeReading()
-			case 2: // we write
+			case 2: // the loop writes
 				if !loopClosed && len(e.endErrs) == 0 && e.conn.WriteCapacity() >= len(chunk) {
 					e.conn.Write(chunk)
 					writtenByLoop = append(writtenByLoop, chunk...)
@@ -130,7 +130,8 @@
 	})
 }
 
-// TestDial: a dial reports its end by End, never from within, and gives its descriptor back however it ends.
+// TestDial: a failed dial calls End, never from within Dial, and closes its descriptor whatever the
+// failure.
 func TestDial(t *testing.T) {
 	refused, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -162,7 +163,8 @@
 	}
 }
 
-// TestDialAbandoned: a handler that finishes a dial which has already failed is not notified of its end any more.
+// TestDialAbandoned: if the handler calls Finish on a dial that has already failed, End is not
+// called.
 func TestDialAbandoned(t *testing.T) {
 	b := looptest.New(t, 8)
 	e := &recordingHandler{}
@@ -174,8 +176,8 @@
 	}
 }
 
-// TestListenerPausesWithoutDescriptors: with no descriptor left the listener pauses instead of spinning, and accepts the waiting connection once there
-// is one again.
+// TestListenerPausesWithoutDescriptors: a listener without a free descriptor pauses, and accepts
+// the waiting connection once a descriptor is free.
 func TestListenerPausesWithoutDescriptors(t *testing.T) {
 	b := looptest.New(t, 2)
 	var accepted []*netloop.Conn
@@ -195,8 +197,9 @@
 	b.WaitFor("the second connection", func() bool { b.Advance(time.Second); return len(accepted) == 2 })
 }
 
-// TestEvict: when descriptors run short, evictable connections are ended for new ones, the oldest first, and no others. Guards
-// against connections that send nothing keeping others out.
+// TestEvict: when descriptors run short, evictable connections are ended in favour of new ones,
+// beginning with the one that has been evictable for longest. Other connections stay. Guards
+// against clients that lock out others by connections on which they send nothing.
 func TestEvict(t *testing.T) {
 	const limit = 16
 	b := looptest.New(t, limit)
@@ -235,8 +238,9 @@
 	peers[0].Expect("yes")
 }
 
-// TestEvictNew: while descriptors are short and no other connection is evictable, a new one is read before it may be evicted.
-// Guards against a relay full of open flows rejecting every client unread.
+// TestEvictNew: while descriptors are short and no other connection is evictable, a new connection
+// is read before it can be evicted. Guards against a relay full of open flows that rejects every
+// new client unread.
 func TestEvictNew(t *testing.T) {
 	const limit = 16
 	b := looptest.New(t, limit)
@@ -262,8 +266,8 @@
 	b.WaitFor("the new connection's bytes", func() bool { return string(last.received) == "hello" })
 }
 
-// TestFlood: a peer that sends without end has its turn and no more, and after Finish is read only up to a bound, so that it
-// cannot keep the loop from others.
+// TestFlood: a peer that never stops sending is read only up to a limit in each round, and up to a
+// limit in total after Finish. Guards against such a peer starving other connections.
 func TestFlood(t *testing.T) {
 	b := looptest.New(t, 8)
 	e, p := pair(b)
@@ -290,8 +294,9 @@
 	<-done
 }
 
-// TestMemory: each connection may buffer a large message, but while all together buffer more than the limit, one that needs yet
-// more is ended, and one within its default share is not. Guards against large values sent slowly over many connections.
+// TestMemory: a single connection may buffer a large message. While all connections together exceed
+// the memory limit, one that needs more buffer is ended, and one within its default share is not.
+// Guards against memory exhaustion by large messages sent slowly over many connections.
 func TestMemory(t *testing.T) {
 	b := looptest.New(t, 16)
 	b.SetMemoryLimit(128 << 10)
@@ -322,7 +327,7 @@
 	p.Send("hello")
 	small.consumable = 5
 	b.WaitFor("a small message", func() bool { return string(small.received) == "hello" })
-	for _, e := range big { // their memory is free again
+	for _, e := range big { // frees their memory
 		e.conn.Reset()
 	}
 	e, p := largePair()
@@ -330,8 +335,8 @@
 	b.WaitFor("all bytes of a large message", func() bool { e.consumable = 1 << 20; e.conn.ResumeReading(); return len(e.received) == 60<<10 })
 }
 
-// TestTimers: they run in order of time, none before its time, a stopped one never, and one that sets itself again lets the
-// sockets have their turn.
+// TestTimers: timers run in order of their time, none early and none after Stop. A timer that
+// reschedules itself at once runs only once in a round, so that the sockets are not starved.
 func TestTimers(t *testing.T) {
 	b := looptest.New(t, 1)
 	var ran []int
@@ -352,7 +357,7 @@
 	}
 }
 
-// TestPost: a call posted by another goroutine wakes the loop.
+// TestPost: a function posted by another goroutine wakes the loop.
 func TestPost(t *testing.T) {
 	b := looptest.New(t, 1)
 	go b.Post(b.Stop)
--- a/internal/netloop/conn_write.go
+++ b/internal/netloop/conn_write.go
@@ -4,8 +4,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Unsent is the number of written bytes that the kernel has not accepted. With TLS, bytes that are already
-// encrypted count with the overhead of their records. After the end it is the number that was never sent.
+// Unsent is the number of written bytes that the kernel has not accepted. With TLS, bytes that are
+// already encrypted count with the overhead of their records. After the end it is the number that
+// was never sent.
 func (c *Conn) Unsent() int { return c.unsentAtEnd + c.unsent() }
 
 func (c *Conn) unsent() int {
@@ -18,8 +19,8 @@
 // WriteCapacity is the number of bytes that can be written before the sender should pause.
 func (c *Conn) WriteCapacity() int { return max(0, c.maxUnsent-c.unsentBuf.size()) }
 
-// Write sends b, and buffers what cannot be sent yet. On a dialled connection it must not be called before
-// Open. After the end of the connection it does nothing.
+// Write sends b, and buffers what cannot be sent yet. On a dialled connection it must not be called
+// before Open. After the end of the connection it does nothing.
 func (c *Conn) Write(b []byte) {
 	if c.fd < 0 || c.finishing || c.failTimer != nil {
 		return
@@ -53,12 +54,13 @@
 	c.updateInterest()
 }
 
-// Queue is like Write, but sends b at the end of the current round of the loop, together with everything
-// else queued in the round. It is meant for callers that write often.
+// Queue is like Write, but sends b at the end of the current round of the loop, together with
+// everything else queued in the round. It is meant for callers that write often.
 func (c *Conn) Queue(b []byte) { c.Commit(append(c.Buffer(len(b)), b...)) }
 
-// Buffer returns the unsent bytes as a slice with capacity for at least more further bytes. The caller
-// appends to it and passes the result to Commit at once. Compared with Queue this saves a copy.
+// Buffer returns the unsent bytes as a slice with capacity for at least more further bytes. The
+// caller appends to it and passes the result to Commit at once. Compared with Queue this saves a
+// copy.
 func (c *Conn) Buffer(more int) []byte {
 	if c.fd < 0 || c.finishing || c.failTimer != nil {
 		return c.loop.discardBuffer[:0] // Commit discards it
--- a/internal/netloop/datagram.go
+++ b/internal/netloop/datagram.go
@@ -42,8 +42,8 @@
 // Addr is the address that the socket is bound to.
 func (d *UDPSocket) Addr() string { return localAddr(d.fd) }
 
-// Send sends a datagram to an IP address with a port. Nothing is buffered: if the socket does not accept
-// the datagram at once, it is dropped and counted in Dropped.
+// Send sends a datagram to an IP address with a port. Nothing is buffered: if the socket does not
+// accept the datagram at once, it is dropped and counted in Dropped.
 func (d *UDPSocket) Send(to string, b []byte) {
 	sockaddr, _, err := parseSockaddr(to)
 	if err == nil && d.fd >= 0 {
--- a/internal/netloop/descriptors.go
+++ b/internal/netloop/descriptors.go
@@ -8,8 +8,8 @@
 )
 
 // ErrNoDescriptors is reported when a dial fails for a reason on this host, not at the peer: the
-// descriptor limit is reached, or socket or connect returned an error that the peer cannot have caused
-// (see connectError). That error is wrapped along with it.
+// descriptor limit is reached, or socket or connect returned an error that the peer cannot have
+// caused (see connectError). That error is wrapped along with it.
 var ErrNoDescriptors = errors.New("no descriptors left or other local failure")
 
 // Thresholds for a shortage of descriptors. With less than limit/evictFraction free, two evictable
@@ -27,7 +27,8 @@
 	evictable   list.List // of *Conn that may be ended; the one that has been evictable for longest is first
 }
 
-// releasedFD is a descriptor to close at the end of the round. It counts against its budget until then.
+// releasedFD is a descriptor to close at the end of the round. It counts against its budget until
+// then.
 type releasedFD struct {
 	fd     int
 	budget *descriptorBudget
@@ -41,19 +42,19 @@
 	return b.FreeDescriptors() < max(b.limit/lowFraction, minLowMark)
 }
 
-// SetDescriptorLimit sets how many descriptors the loop may have open. Connections with a budget of their
-// own (ListenReserved, DescriptorReserve) do not count.
+// SetDescriptorLimit sets how many descriptors the loop may have open. Connections with a budget of
+// their own (ListenReserved, DescriptorReserve) do not count.
 func (l *Loop) SetDescriptorLimit(limit int) { l.limit = limit }
 
 // OpenDescriptors is the number of descriptors that count against the loop's limit.
 func (l *Loop) OpenDescriptors() int { return l.open }
 
-// RaiseDescriptorLimit raises the limit by the number of descriptors received from another process, which
-// no longer has them open.
+// RaiseDescriptorLimit raises the limit by the number of descriptors received from another process,
+// which no longer has them open.
 func (l *Loop) RaiseDescriptorLimit(more int) { l.limit += more }
 
-// evictIfLow ends up to two evictable connections if descriptors run short, so that clients that connect
-// and send nothing cannot lock out others. It reports whether it ended any.
+// evictIfLow ends up to two evictable connections if descriptors run short, so that clients that
+// connect and send nothing cannot lock out others. It reports whether it ended any.
 func (b *descriptorBudget) evictIfLow() (evicted bool) {
 	for range 2 {
 		if b.FreeDescriptors() < max(b.limit/evictFraction, 1) && b.evictOldest() {
@@ -63,7 +64,8 @@
 	return evicted
 }
 
-// evictOldest ends the connection that has been evictable for longest. It returns false if there is none.
+// evictOldest ends the connection that has been evictable for longest. It returns false if there is
+// none.
 func (b *descriptorBudget) evictOldest() bool {
 	e := b.evictable.Front()
 	if e == nil {
@@ -90,8 +92,9 @@
 	budget.open++
 }
 
-// unregister removes a descriptor from epoll and schedules it to be closed at the end of the round. Every
-// descriptor except the loop's epoll and wake-up descriptors goes through it while the loop runs.
+// unregister removes a descriptor from epoll and schedules it to be closed at the end of the round.
+// Every descriptor except the loop's epoll and wake-up descriptors goes through it while the loop
+// runs.
 func (l *Loop) unregister(fd int, budget *descriptorBudget) {
 	delete(l.sources, fd)
 	l.epollCtl(unix.EPOLL_CTL_DEL, fd, 0)
--- a/internal/netloop/ending_test.go
+++ b/internal/netloop/ending_test.go
@@ -13,8 +13,9 @@
 	"dahliarudder/internal/netloop/looptest"
 )
 
-// TestEarlyEOF: the end of a peer that has sent more than is read is reported while its bytes are unread, once, to a handler that
-// has asked for that, and to others only after the bytes.
+// TestEarlyEOF: the peer has sent more bytes than the read limit, then EOF. With SetEarlyEOF, EOF
+// is reported while the bytes are unread, and only once. Without it, EOF is reported after the
+// bytes.
 func TestEarlyEOF(t *testing.T) {
 	for _, early := range []bool{true, false} {
 		b := looptest.New(t, 8)
@@ -44,7 +45,8 @@
 	}
 }
 
-// TestListenerCloseAcceptsBacklog: connections in the backlog when listening ends are accepted and can be answered.
+// TestListenerCloseAcceptsBacklog: Close of a listener accepts the connections in its backlog, and
+// they can be answered.
 func TestListenerCloseAcceptsBacklog(t *testing.T) {
 	b := looptest.New(t, 8)
 	var accepted []*netloop.Conn
@@ -52,7 +54,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, second := b.Dial(l.Addr()), b.Dial(l.Addr()) // no round of the loop until Close
+	first, second := b.Dial(l.Addr()), b.Dial(l.Addr()) // the loop runs no round before Close
 	second.Send("a request")
 	l.Close()
 	for _, c := range accepted {
@@ -66,12 +68,13 @@
 	}
 }
 
-// TestNoResetAfterAnswer: bytes that come after the last answer, and are unread when the connection is closed after lingering or as
-// the loop ends, do not reset it.
+// TestNoResetAfterAnswer: bytes that arrive after the last answer and are unread when the
+// connection is closed, after lingering or with the loop, do not reset the connection. A reset
+// could destroy the answer.
 func TestNoResetAfterAnswer(t *testing.T) {
 	for name, closeConn := range map[string]func(*looptest.Harness, func()){
 		"linger timeout": func(b *looptest.Harness, sendMore func()) {
-			b.Loop.After(0, sendMore) // after the round's events, before the connection has lingered long enough
+			b.Loop.After(0, sendMore) // runs after the round's events and before the linger timeout
 			b.Advance(time.Hour)
 		},
 		"loop closed": func(b *looptest.Harness, sendMore func()) {
@@ -95,9 +98,10 @@
 	}
 }
 
-// closeWait is the state of a TCP connection that the other side has closed in order.
+// closeWait is TCP_CLOSE_WAIT: the other side has closed its sending side in order.
 const closeWait = 8
 
+// tcpState returns the kernel's state of the peer's TCP connection.
 func tcpState(t *testing.T, p *looptest.Peer) (state uint8) {
 	raw, err := p.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -115,8 +119,9 @@
 	return state
 }
 
-// TestDescriptorReserve: connections of a reserve are dialled however many the rest of the loop has open, and no more than the
-// reserve allows; one that has ended and lingers is closed for a new one.
+// TestDescriptorReserve: a dial within a reserve succeeds even if the loop has no descriptor left,
+// and fails if the reserve is exhausted. A connection that lingers after Finish is closed to make
+// room for a new one.
 func TestDescriptorReserve(t *testing.T) {
 	b := looptest.New(t, 1)
 	server := b.Listen()
@@ -132,7 +137,7 @@
 	reserve.Dial(server.Addr(), time.Second, overLimit)
 	b.WaitFor("a dial to fail at the reserve's limit", func() bool { return len(overLimit.endErrs) == 1 && overLimit.endErrs[0] == netloop.ErrNoDescriptors })
 	c.Finish()
-	reserve.Dial(server.Addr(), time.Second, &recordingHandler{}) // closes the one that lingers
+	reserve.Dial(server.Addr(), time.Second, &recordingHandler{}) // fails, and closes the lingering connection
 	b.RunOnce()
 	second := &recordingHandler{}
 	reserve.Dial(server.Addr(), time.Second, second)
--- a/internal/netloop/faults_test.go
+++ b/internal/netloop/faults_test.go
@@ -10,11 +10,11 @@
 	"dahliarudder/internal/netloop/looptest"
 )
 
-// transientErrors are what read and write may return on a connection that is intact.
+// transientErrors are errors that read and write may return on an intact connection.
 var transientErrors = []unix.Errno{unix.EAGAIN, unix.EINTR, unix.ENOBUFS, unix.ENOMEM}
 
-// TestTransientReadWriteErrors: a connection on which reads and writes fail for a moment, or move a byte at a time, stays intact: all bytes pass,
-// in order, both ways, and its end after them.
+// TestTransientReadWriteErrors: a connection stays intact while reads and writes fail for a moment
+// or transfer one byte at a time. All bytes arrive in order in both directions, then EOF.
 func TestTransientReadWriteErrors(t *testing.T) {
 	text := bytes.Repeat([]byte("0123456789abcdef"), 16)
 	plans := map[string][]looptest.Fault{
@@ -58,7 +58,8 @@
 	}
 }
 
-// TestConnectionBreaks: a broken connection is reported once, whatever the error, and gives its descriptor back.
+// TestConnectionBreaks: End is called once for a broken connection, whatever the error, and its
+// descriptor is closed.
 func TestConnectionBreaks(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ECONNRESET, unix.ETIMEDOUT, unix.EHOSTUNREACH, unix.EPIPE, unix.ECONNABORTED} {
 		for _, call := range []string{"Read", "Write"} {
@@ -80,7 +81,7 @@
 	}
 }
 
-// TestWaitInterrupted: waits that signals interrupt lose no event and no timer.
+// TestWaitInterrupted: no event and no timer is lost when signals interrupt epoll_wait.
 func TestWaitInterrupted(t *testing.T) {
 	b, f := newFaultyHarness(t)
 	e, p := pair(b)
@@ -98,10 +99,11 @@
 	}
 }
 
-// TestNoDelay: small writes leave at once on every kind of connection: one that the kernel still delayed would be lost by a reset.
+// TestNoDelay: every kind of connection has TCP_NODELAY set. Without it the kernel may hold back a
+// small write, and a reset would then discard it.
 func TestNoDelay(t *testing.T) {
 	calls := netloop.KernelSyscalls()
-	noDelayFDs := map[int]bool{} // descriptors
+	noDelayFDs := map[int]bool{}
 	calls.SetsockoptInt = func(fd, level, option, value int) error {
 		if level == unix.IPPROTO_TCP && option == unix.TCP_NODELAY && value == 1 {
 			noDelayFDs[fd] = true
--- a/internal/netloop/listener.go
+++ b/internal/netloop/listener.go
@@ -14,8 +14,8 @@
 // acceptBurst is how many connections a listener accepts before other sockets have their turn.
 const acceptBurst = 16
 
-// evictPause is how long a listener without free descriptors pauses after it has evicted connections. Their
-// descriptors are closed at the end of the round.
+// evictPause is how long a listener without free descriptors pauses after it has evicted
+// connections. Their descriptors are closed at the end of the round.
 const evictPause = time.Millisecond
 
 // Listener accepts connections.
@@ -32,15 +32,15 @@
 	budget       *descriptorBudget // budget of the accepted connections
 }
 
-// Listen opens a listening socket at addr, an IP address with a port. It calls accept for each connection;
-// accept must set a handler.
+// Listen opens a listening socket at addr, an IP address with a port. It calls accept for each
+// connection; accept must set a handler.
 func (l *Loop) Listen(addr string, accept func(*Conn)) (*Listener, error) {
 	return l.listen(addr, accept, &l.descriptorBudget)
 }
 
-// ListenReserved is like Listen, but its connections have a descriptor budget of their own, separate from
-// the loop's limit: up to limit connections can be open however many descriptors the rest of the loop uses,
-// and they take none from it.
+// ListenReserved is like Listen, but its connections have a descriptor budget of their own,
+// separate from the loop's limit: up to limit connections can be open however many descriptors the
+// rest of the loop uses, and they take none from it.
 func (l *Loop) ListenReserved(addr string, limit int, accept func(*Conn)) (*Listener, error) {
 	return l.listen(addr, accept, &descriptorBudget{limit: limit})
 }
@@ -69,8 +69,8 @@
 	return s, nil
 }
 
-// IsTransientListenError reports whether listening has failed for a reason that may pass: another process
-// uses the address, the address is not available yet, or the system is short of resources.
+// IsTransientListenError reports whether listening has failed for a reason that may pass: another
+// process uses the address, the address is not available yet, or the system is short of resources.
 func IsTransientListenError(err error) bool {
 	for _, transient := range []unix.Errno{unix.EADDRINUSE, unix.EADDRNOTAVAIL, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM,
 		unix.ENOSPC, unix.EINTR, unix.EAGAIN} {
@@ -88,8 +88,8 @@
 	return s.loop.register(s.fd, unix.EPOLLIN, s, &s.loop.descriptorBudget)
 }
 
-// ListenInherited listens on a socket opened by another process, which may listen on it at the same time.
-// It takes ownership of fd, also on an error.
+// ListenInherited listens on a socket opened by another process, which may listen on it at the same
+// time. It takes ownership of fd, also on an error.
 func (l *Loop) ListenInherited(fd int, accept func(*Conn)) (*Listener, error) {
 	s := &Listener{loop: l, fd: fd, onAccept: accept, budget: &l.descriptorBudget}
 	if err := l.register(fd, unix.EPOLLIN, s, &l.descriptorBudget); err != nil {
@@ -102,8 +102,8 @@
 // FD is the listening socket, to be passed to another process; -1 once the listener is closed.
 func (s *Listener) FD() int { return s.fd }
 
-// SetPaused stops or resumes accepting connections. While this listener is paused, another process that
-// shares the socket accepts its backlog.
+// SetPaused stops or resumes accepting connections. While this listener is paused, another process
+// that shares the socket accepts its backlog.
 func (s *Listener) SetPaused(paused bool) {
 	if s.paused = paused; s.fd >= 0 {
 		s.pauseTimer.Stop()
@@ -114,9 +114,9 @@
 // Addr is the address that the socket is bound to, or "" once the listener is closed.
 func (s *Listener) Addr() string { return localAddr(s.fd) }
 
-// Close stops listening; accepted connections stay open. Connections in the backlog are accepted first,
-// because closing the socket would reset them. If system resources are short, the socket is closed when
-// they have been accepted, or after closeTimeout. Closing a nil Listener does nothing.
+// Close stops listening; accepted connections stay open. Connections in the backlog are accepted
+// first, because closing the socket would reset them. If system resources are short, the socket is
+// closed when they have been accepted, or after closeTimeout. Closing a nil Listener does nothing.
 func (s *Listener) Close() {
 	if s == nil || s.fd < 0 || s.closing {
 		return
@@ -132,7 +132,8 @@
 	s.drainBacklog()
 }
 
-// drainBacklog accepts the connections in the backlog and closes the socket when the backlog is empty.
+// drainBacklog accepts the connections in the backlog and closes the socket when the backlog is
+// empty.
 func (s *Listener) drainBacklog() {
 	for s.fd >= 0 {
 		switch s.acceptNext() {
@@ -176,7 +177,8 @@
 	backlogStuck // nothing can be accepted now; accepting resumes after a pause
 )
 
-// acceptNext accepts one connection. If descriptors or system resources are short, it pauses the listener.
+// acceptNext accepts one connection. If descriptors or system resources are short, it pauses the
+// listener.
 func (s *Listener) acceptNext() acceptResult {
 	if s.budget.FreeDescriptors() <= 0 {
 		delay := resourceRetryDelay
@@ -211,8 +213,8 @@
 	return acceptTaken
 }
 
-// isAborted reports whether accept failed because the connection had ended already or a signal interrupted
-// the call. The next accept may succeed.
+// isAborted reports whether accept failed because the connection had ended already or a signal
+// interrupted the call. The next accept may succeed.
 func isAborted(err error) bool {
 	switch err {
 	case unix.EINTR, unix.ECONNABORTED, unix.EPROTO, unix.EPERM, unix.ENETDOWN, unix.ENOPROTOOPT, unix.EHOSTDOWN,
--- a/internal/netloop/loop.go
+++ b/internal/netloop/loop.go
@@ -1,9 +1,9 @@
-// Package netloop is the event loop that serves all sockets of the relay: a single goroutine with epoll,
-// timers, non-blocking connects and bounded buffers.
+// Package netloop is the event loop that serves all sockets of the relay: a single goroutine with
+// epoll, timers, non-blocking connects and bounded buffers.
 //
-// A Conn owns its descriptor and its buffers, and release frees them once; see docs/design.md, "The loop".
-// Every function except Post must be called from the loop's goroutine, that is from its callbacks, or before
-// Run.
+// A Conn owns its descriptor and its buffers, and release frees them once; see docs/design.md, "The
+// loop". Every function except Post must be called from the loop's goroutine, that is from its
+// callbacks, or before Run.
 package netloop
 
 import (
@@ -26,8 +26,8 @@
 	epollFD, wakeFD int
 	events          [256]unix.EpollEvent
 	sources         map[int]eventSource
-	// released are descriptors to close at the end of the round. If they were closed earlier, a pending
-	// event could be delivered to a new descriptor with the same number.
+	// released are descriptors to close at the end of the round. If they were closed earlier, a
+	// pending event could be delivered to a new descriptor with the same number.
 	released []releasedFD
 	timers   timerQueue
 	queued   []*Conn // connections to flush at the end of the round
@@ -81,8 +81,8 @@
 // Now is the current time of the loop's clock.
 func (l *Loop) Now() time.Duration { return l.now() }
 
-// RoundStart is the time at which the current round began. It is cheaper than Now, for callers that need the
-// time often and only roughly.
+// RoundStart is the time at which the current round began. It is cheaper than Now, for callers that
+// need the time often and only roughly.
 func (l *Loop) RoundStart() time.Duration { return l.roundStart }
 
 // LastRoundDuration is how long the last round took, without its wait for events. Times that the loop
@@ -92,8 +92,8 @@
 // utilizationWindow is the time constant of the moving average that Utilization returns.
 const utilizationWindow = 500 * time.Millisecond
 
-// Utilization is the fraction of time, from 0 to 1, that the loop spent working and not waiting for events.
-// It is a moving average over about half a second.
+// Utilization is the fraction of time, from 0 to 1, that the loop spent working and not waiting for
+// events. It is a moving average over about half a second.
 func (l *Loop) Utilization() float64 { return l.utilization }
 
 // updateUtilization adds the last round and the wait that followed it to the average.
@@ -104,8 +104,8 @@
 	}
 }
 
-// Post schedules f to run on the loop's goroutine. It may be called from any goroutine. After Close it does
-// nothing.
+// Post schedules f to run on the loop's goroutine. It may be called from any goroutine. After Close
+// it does nothing.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock() // after the write: once Close has closed wakeFD, its number may belong to another file
@@ -117,9 +117,9 @@
 	unix.Write(l.wakeFD, one[:]) // an error can be ignored: a full counter wakes the loop as well
 }
 
-// OnStall sets a function that is called, before any other callback of a round, if the process did not
-// run for longer than threshold, because it was stopped or its host was suspended, or if the previous
-// round took longer than threshold. The argument is the duration of the stall.
+// OnStall sets a function that is called, before any other callback of a round, if the process did
+// not run for longer than threshold, because it was stopped or its host was suspended, or if the
+// previous round took longer than threshold. The argument is the duration of the stall.
 func (l *Loop) OnStall(threshold time.Duration, stalled func(time.Duration)) {
 	// Measuring starts now, so that a slow start of the process does not count as a stall.
 	l.maxStall, l.onStall, l.roundStart = threshold, stalled, l.now()
@@ -139,13 +139,13 @@
 	return nil
 }
 
-// RunOnce runs one round: it waits for events for at most timeoutMS milliseconds (without limit if negative),
-// handles them, runs the timers that are due and sends queued bytes.
+// RunOnce runs one round: it waits for events for at most timeoutMS milliseconds (without limit if
+// negative), handles them, runs the timers that are due and sends queued bytes.
 func (l *Loop) RunOnce(timeoutMS int) error {
 	n, err := l.syscalls.EpollWait(l.epollFD, l.events[:], timeoutMS)
 	if err == unix.EINTR {
-		// A process that is stopped and continued gets EINTR here. Poll again without waiting, so that events
-		// received in the meantime are handled before overdue timers.
+		// A process that is stopped and continued gets EINTR here. Poll again without waiting, so
+		// that events received in the meantime are handled before overdue timers.
 		n, err = l.syscalls.EpollWait(l.epollFD, l.events[:], 0)
 	}
 	if err != nil && err != unix.EINTR {
@@ -178,7 +178,8 @@
 	return nil
 }
 
-// Close closes all descriptors of the loop and waits for the goroutines of TLS handshakes, which end at once.
+// Close closes all descriptors of the loop and waits for the goroutines of TLS handshakes, which
+// end at once.
 func (l *Loop) Close() {
 	if l.sources == nil {
 		return
--- a/internal/netloop/looptest/faults.go
+++ b/internal/netloop/looptest/faults.go
@@ -18,8 +18,8 @@
 	MaxCount    int        // number of calls that fail; 0 means no limit
 }
 
-// Faults injects failures into system calls according to a plan. Random choices come from a seed. It may be
-// used from any goroutine.
+// Faults injects failures into system calls according to a plan. Random choices come from a seed.
+// It may be used from any goroutine.
 type Faults struct {
 	mu       sync.Mutex
 	rng      *rand.Rand
@@ -55,8 +55,8 @@
 	return f.injected[call]
 }
 
-// selectFault selects the fault for a call and counts it. errno is the error to return, or 0; short means
-// that only one byte is transferred.
+// selectFault selects the fault for a call and counts it. errno is the error to return, or 0; short
+// means that only one byte is transferred.
 func (f *Faults) selectFault(call string) (errno unix.Errno, short bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -72,7 +72,8 @@
 	return 0, false
 }
 
-// fail returns the error to inject into a call that transfers no bytes, or nil if the call should be made.
+// fail returns the error to inject into a call that transfers no bytes, or nil if the call should
+// be made.
 func (f *Faults) fail(call string) error {
 	if errno, _ := f.selectFault(call); errno != 0 {
 		return errno
--- a/internal/netloop/looptest/looptest.go
+++ b/internal/netloop/looptest/looptest.go
@@ -1,5 +1,5 @@
-// Package looptest is a test harness for network code. It runs an event loop round by round, on a clock that
-// the test sets, and acts as the peers of the loop's connections.
+// Package looptest is a test harness for network code. It runs an event loop round by round, on a
+// clock that the test sets, and acts as the peers of the loop's connections.
 package looptest
 
 import (
@@ -60,8 +60,8 @@
 	}
 }
 
-// WaitFor runs rounds until done returns true, without advancing the clock. description names the expected
-// event in the failure message.
+// WaitFor runs rounds until done returns true, without advancing the clock. description names the
+// expected event in the failure message.
 func (b *Harness) WaitFor(description string, done func() bool) {
 	b.T.Helper()
 	for end := time.Now().Add(Timeout); !done(); {
--- a/internal/netloop/looptest/relay.go
+++ b/internal/netloop/looptest/relay.go
@@ -63,8 +63,8 @@
 	return r
 }
 
-// Serve listens on the loop, passes each connection to accept, which is usually a front's, and returns the
-// address.
+// Serve listens on the loop, passes each connection to accept, which is usually a front's, and
+// returns the address.
 func (r *Relay) Serve(accept func(*netloop.Conn)) string {
 	r.T.Helper()
 	l, err := r.Loop.Listen("127.0.0.1:0", accept)
@@ -80,8 +80,8 @@
 	r.Core.UpdateMembers(policy.ListDelta, r.Members[i:i+1])
 }
 
-// AcceptAny accepts the next connection to any member, and returns the member's index and the connection. It
-// advances the clock by step before each attempt.
+// AcceptAny accepts the next connection to any member, and returns the member's index and the
+// connection. It advances the clock by step before each attempt.
 func (r *Relay) AcceptAny(step time.Duration) (int, *Peer) {
 	r.T.Helper()
 	member, c := -1, net.Conn(nil)
--- a/internal/netloop/post_test.go
+++ b/internal/netloop/post_test.go
@@ -8,14 +8,15 @@
 	"dahliarudder/internal/netloop/looptest"
 )
 
-// TestPostAfterClose: a goroutine that ends late writes nothing to the new owner of the loop's descriptors, and nothing that it
-// posts runs.
+// TestPostAfterClose: Post after Close neither runs the function nor writes to the closed wake-up
+// descriptor, whose number may belong to another file by then. Guards against goroutines that
+// outlive the loop.
 func TestPostAfterClose(t *testing.T) {
 	b := looptest.New(t, 16)
 	b.Post(func() { t.Error("a function posted before Close ran") })
 	b.Close()
 	var pairs [][2]int
-	for range 8 { // one of these has the number of the wake descriptor
+	for range 8 { // one of these sockets gets the number of the wake-up descriptor
 		p, err := unix.Socketpair(unix.AF_UNIX, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/netloop/stall_test.go
+++ b/internal/netloop/stall_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestOnStall: that a process stood still is reported, before anything else; a start that took its time, and a usual wait, are not.
+// TestOnStall: a gap in which the process did not run is reported. A slow start, before OnStall is
+// called, and a wait below the threshold are not.
 func TestOnStall(t *testing.T) {
 	now := time.Hour
 	l, err := New(func() time.Duration { return now }, 8)
--- a/internal/netloop/syscalls_test.go
+++ b/internal/netloop/syscalls_test.go
@@ -13,19 +13,21 @@
 	"dahliarudder/internal/netloop/looptest"
 )
 
-// resourceErrors are what the system returns when it is out of resources for a moment.
+// resourceErrors are errors that the system returns while it is out of resources.
 var resourceErrors = []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM}
 
-// moment is after how long a transient fault is over at the latest in these tests.
+// recoveryTimeout is the time by the loop's clock within which the loop has to recover from a
+// transient fault.
 const recoveryTimeout = time.Second
 
-// faulty is a loop whose system calls fail by the returned plan.
+// newFaultyHarness returns a harness whose system calls fail according to the plan set on the
+// returned Faults.
 func newFaultyHarness(t *testing.T) (*looptest.Harness, *looptest.Faults) {
 	f := looptest.NewFaults(1)
 	return looptest.NewWithSyscalls(t, 64, f.Syscalls()), f
 }
 
-// answering is a listener that greets each connection and closes it.
+// listenAndGreet returns a listener that writes "hello" to each connection and closes it.
 func listenAndGreet(b *looptest.Harness) *netloop.Listener {
 	b.T.Helper()
 	l, err := b.Loop.Listen("127.0.0.1:0", func(c *netloop.Conn) {
@@ -39,7 +41,7 @@
 	return l
 }
 
-// passUntil moves the clock on until ok, for a moment at most.
+// advanceUntil advances the clock until done returns true, for at most recoveryTimeout.
 func advanceUntil(b *looptest.Harness, description string, done func() bool) {
 	b.T.Helper()
 	for range int(recoveryTimeout / time.Millisecond) {
@@ -51,7 +53,8 @@
 	b.T.Fatalf("not within %v of the loop's clock: %s", recoveryTimeout, description)
 }
 
-// greeted checks that each peer is greeted within a moment of the loop's clock.
+// expectGreetings checks that each peer receives "hello" and EOF within recoveryTimeout by the
+// loop's clock.
 func expectGreetings(b *looptest.Harness, peers ...*looptest.Peer) {
 	b.T.Helper()
 	advanceUntil(b, "an answer for each peer", func() bool {
@@ -68,12 +71,12 @@
 	}
 }
 
-// acceptErrors are all that accept(2) and the protocol below it may return.
+// acceptErrors are the errors that accept(2) can return, its own and those of the network below.
 var acceptErrors = append([]unix.Errno{unix.EINTR, unix.ECONNABORTED, unix.EPROTO, unix.EPERM, unix.ENETDOWN, unix.ENOPROTOOPT, unix.EHOSTDOWN,
 	unix.ENONET, unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ETIMEDOUT, unix.EINVAL}, resourceErrors...)
 
-// TestAcceptFails: accept that fails for a moment does not end listening, also during Close, and is not called without a pause as
-// long as it fails.
+// TestAcceptFails: transient errors of accept do not stop a listener, neither in normal operation
+// nor during Close. While the errors last, accept is retried, but the number of calls is limited.
 func TestAcceptFails(t *testing.T) {
 	for _, errno := range acceptErrors {
 		t.Run(unix.ErrnoName(errno), func(t *testing.T) {
@@ -88,9 +91,9 @@
 			for range rounds {
 				b.Advance(time.Millisecond)
 			}
-			maxCalls := rounds * 16 // the backlog is not accepted without end in one round
+			maxCalls := rounds * 16 // acceptBurst calls in each round
 			if slices.Contains(resourceErrors, errno) {
-				maxCalls = rounds / 10 // nor is accept called while the system is out of resources
+				maxCalls = rounds / 10 // a pause follows each call while the system is out of resources
 			}
 			if calls := f.Injected("Accept") - before; calls < 2 || calls > maxCalls {
 				t.Errorf("accept called %d times in %d ms, want 2 to %d", calls, rounds, maxCalls)
@@ -110,8 +113,8 @@
 	}
 }
 
-// TestEpollCtlFails: a descriptor that epoll cannot watch for a moment is watched after it: nobody waits in vain, and no connection
-// is lost.
+// TestEpollCtlFails: if epoll_ctl fails for a moment, the descriptor is added to epoll afterwards. No
+// connection is lost or waits forever.
 func TestEpollCtlFails(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.ENOMEM, unix.ENOSPC} {
 		transientFault := looptest.Fault{Syscall: "EpollCtl", Errno: errno, MaxCount: 5}
@@ -148,7 +151,7 @@
 			b.WaitFor("the first byte", func() bool { return e.lastOffered == 1 })
 			e.conn.PauseReading()
 			p.Send("more")
-			b.RunOnce() // from here on epoll_ctl is not called
+			b.RunOnce() // from here on no epoll_ctl call is needed
 			b.RunOnce()
 			f.Set(transientFault)
 			e.consumable = 1 << 20
@@ -177,8 +180,8 @@
 	}
 }
 
-// TestConnectFails: a dial that fails for want of the relay's own resources reports that, and one that a signal has interrupted
-// goes on; any other failure is the peer's.
+// TestConnectFails: a dial that fails for a reason on this host ends with ErrNoDescriptors, and one
+// that fails because of the peer does not. A connect that a signal has interrupted continues.
 func TestConnectFails(t *testing.T) {
 	for _, c := range []struct {
 		call          string
--- a/internal/netloop/timer.go
+++ b/internal/netloop/timer.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// pollTimeout returns how many milliseconds epoll may wait until the next timer is due, at most a minute; -1
-// if there is no timer.
+// pollTimeout returns how many milliseconds epoll may wait until the next timer is due, at most a
+// minute; -1 if there is no timer.
 func (l *Loop) pollTimeout() int {
 	if len(l.timers.heap) == 0 {
 		return -1
@@ -39,8 +39,8 @@
 	return int(max(0, min(wait+time.Millisecond-1, time.Minute)) / time.Millisecond)
 }
 
-// runTimers runs the timers that are due. A timer created during this waits for the next round, so that one
-// that reschedules itself cannot starve the sockets.
+// runTimers runs the timers that are due. A timer created during this waits for the next round, so
+// that one that reschedules itself cannot starve the sockets.
 func (l *Loop) runTimers() {
 	now, order := l.Now(), l.timers.order
 	for len(l.timers.heap) > 0 && l.timers.heap[0].at <= now && l.timers.heap[0].order < order {
--- a/internal/netloop/tls.go
+++ b/internal/netloop/tls.go
@@ -14,17 +14,17 @@
 // goroutines, because a peer may delay its handshake on purpose. Further handshakes fail at once.
 const maxHandshakes = 64
 
-// maxUndecrypted is how many bytes from the peer are buffered during a handshake. A peer that sends more is
-// disconnected.
+// maxUndecrypted is how many bytes from the peer are buffered during a handshake. A peer that sends
+// more is disconnected.
 const maxUndecrypted = 64 << 10
 
-// ErrHandshakes is reported by a connection whose TLS handshake cannot start because maxHandshakes are in
-// progress.
+// ErrHandshakes is reported by a connection whose TLS handshake cannot start because maxHandshakes
+// are in progress.
 var ErrHandshakes = errors.New("too many TLS handshakes in progress")
 
 // tlsState is the TLS layer of a connection. The handshake runs in a goroutine of its own, on an
-// in-memory pipe that the loop feeds. The goroutine ends when the handshake is complete or the pipe is
-// closed. After that only the loop uses the TLS connection, with the pipe in non-blocking mode.
+// in-memory pipe that the loop feeds. The goroutine ends when the handshake is complete or the pipe
+// is closed. After that only the loop uses the TLS connection, with the pipe in non-blocking mode.
 type tlsState struct {
 	conn            *Conn
 	tls             *tls.Conn
@@ -35,9 +35,9 @@
 	closeNotifySent bool // close_notify was sent: the peer knows that no more data follows
 }
 
-// StartTLS switches the connection to TLS. Bytes written before are sent unencrypted. onEstablished is called
-// from the loop when the handshake succeeds. If it fails or takes longer than timeout, the handler's End is
-// called.
+// StartTLS switches the connection to TLS. Bytes written before are sent unencrypted. onEstablished
+// is called from the loop when the handshake succeeds. If it fails or takes longer than timeout,
+// the handler's End is called.
 func (c *Conn) StartTLS(cfg *tls.Config, client bool, timeout time.Duration, onEstablished func(tls.ConnectionState)) {
 	if c.fd < 0 || c.tls != nil || c.failTimer != nil {
 		return
@@ -248,8 +248,8 @@
 func (p *memoryPipe) SetReadDeadline(time.Time) error  { return nil }
 func (p *memoryPipe) SetWriteDeadline(time.Time) error { return nil }
 
-// errWouldBlock means that no data has arrived. It is a temporary error, so crypto/tls keeps its state and
-// continues with the next Read.
+// errWouldBlock means that no data has arrived. It is a temporary error, so crypto/tls keeps its
+// state and continues with the next Read.
 type errWouldBlock struct{}
 
 func (errWouldBlock) Error() string   { return "no data received yet" }
--- a/internal/netloop/tls_test.go
+++ b/internal/netloop/tls_test.go
@@ -20,7 +20,8 @@
 	"dahliarudder/internal/netloop/looptest"
 )
 
-// certificate is a certificate for tests, which nobody verifies.
+// selfSignedConfig returns a TLS configuration with a new self-signed certificate that peers do not
+// verify.
 func selfSignedConfig(t *testing.T) *tls.Config {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -35,12 +36,13 @@
 	return &tls.Config{Certificates: []tls.Certificate{{Certificate: [][]byte{der}, PrivateKey: key}}, InsecureSkipVerify: true}
 }
 
-// talker is the peer of a TLS connection, in goroutines of its own.
+// tlsPeer is the peer of a TLS connection. It runs in goroutines of its own.
 type tlsPeer struct {
 	*tls.Conn
-	received chan []byte // all that came, once it has ended
+	received chan []byte // gets all received bytes once the connection has ended, with the error if not EOF
 }
 
+// startReading reads until the connection ends and then sends the bytes to received.
 func (a *tlsPeer) startReading() {
 	a.received = make(chan []byte, 1)
 	go func() {
@@ -52,8 +54,8 @@
 	}()
 }
 
-// TestTLS: bytes pass both ways in pieces of any size, by both versions, as client and as server, and an
-// orderly end is one on both sides.
+// TestTLS: bytes pass in both directions in pieces of any size, with TLS 1.2 and 1.3, as client and
+// as server, and an orderly end arrives as EOF.
 func TestTLS(t *testing.T) {
 	for _, version := range []uint16{tls.VersionTLS12, tls.VersionTLS13} {
 		for _, client := range []bool{false, true} {
@@ -66,7 +68,7 @@
 			established := false
 			e.conn.Write([]byte("plain\n"))
 			e.conn.StartTLS(cfg, client, looptest.Timeout, func(tls.ConnectionState) { established = true })
-			// No more than that is read: a client's first record may be right behind it.
+			// Read no more than this line: a client's first TLS record may follow it directly.
 			plain := make([]byte, len("plain\n"))
 			p.SetReadDeadline(time.Now().Add(looptest.Timeout))
 			if _, err := io.ReadFull(p, plain); err != nil || string(plain) != "plain\n" {
@@ -123,8 +125,9 @@
 	}
 }
 
-// TestTLSFails: bytes that are no handshake, one that does not come, and one too many end the connection with a notification of the
-// handler, and their goroutines.
+// TestTLSFails: the connection ends and End is called if the peer sends bytes that are not TLS,
+// closes its side or is too slow during the handshake, or if there are too many handshakes. Ended
+// handshakes make room for others.
 func TestTLSFails(t *testing.T) {
 	b := looptest.New(t, 16)
 	cfg := selfSignedConfig(t)
@@ -140,7 +143,7 @@
 	p.CloseWrite()
 	b.WaitFor("the end after EOF during the handshake", func() bool { return len(e.endErrs) > 0 })
 
-	// On a loop of its own: those that ended above may count as handshakes for a while yet.
+	// On a new loop: the handshakes that failed above may still count for a while.
 	b = looptest.New(t, 512)
 	var slow []*recordingHandler
 	for range 64 {
@@ -172,7 +175,8 @@
 	})
 }
 
-// TestCloseEndsHandshakes: when a loop is closed, no goroutine of a handshake is left, also of one whose peer sends nothing.
+// TestCloseEndsHandshakes: after Close of a loop no handshake goroutine is left, even if a peer
+// sends nothing.
 func TestCloseEndsHandshakes(t *testing.T) {
 	b := looptest.New(t, 16)
 	cfg := selfSignedConfig(t)
