--- a/internal/netloop/looptest/looptest.go
+++ b/internal/netloop/looptest/looptest.go
@@ -1,5 +1,5 @@
-// Package looptest is the harness for tests of network code: it runs a loop round by round, on a clock that the test sets, and
-// plays the peers of its connections.
+// Package looptest is a test harness for network code. It runs an event loop round by round, on a
+// clock that the test sets, and acts as the peers of the loop's connections.
 package looptest
 
 import (
@@ -13,30 +13,30 @@
 	"dahliarudder/internal/netloop"
 )
 
-// Timeout is how long a test waits for what must come; only a failing test waits that long.
+// Timeout is how long a test waits for an expected event. Only a failing test waits that long.
 const Timeout = 20 * time.Second
 
-// Harness is a loop and its clock.
+// Harness is an event loop with a clock that the test sets.
 type Harness struct {
 	*netloop.Loop
 	T   testing.TB
 	now time.Duration
 }
 
-// New makes a loop that may have limit descriptors open.
+// New returns a harness whose loop may have limit descriptors open.
 func New(t testing.TB, limit int) *Harness {
 	t.Helper()
 	return NewWithSyscalls(t, limit, netloop.KernelSyscalls())
 }
 
-// NewWithSyscalls makes one with other system calls than the kernel's.
+// NewWithSyscalls is like New, with the given system calls in place of the kernel's.
 func NewWithSyscalls(t testing.TB, limit int, calls netloop.Syscalls) *Harness {
 	t.Helper()
 	b := &Harness{T: t, now: time.Hour}
-	system := netloop.DefaultSyscalls
+	previous := netloop.DefaultSyscalls
 	netloop.DefaultSyscalls = calls
 	l, err := netloop.New(func() time.Duration { return b.now }, limit)
-	netloop.DefaultSyscalls = system
+	netloop.DefaultSyscalls = previous
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,7 +45,7 @@
 	return b
 }
 
-// Advance moves the clock on and runs one round.
+// Advance advances the clock and runs one round.
 func (b *Harness) Advance(d time.Duration) {
 	b.T.Helper()
 	b.now += d
@@ -60,23 +60,24 @@
 	}
 }
 
-// WaitFor runs rounds until ok, without moving the clock.
-func (b *Harness) WaitFor(what string, ok func() bool) {
+// WaitFor runs rounds until done returns true, without advancing the clock. description names the
+// expected event in the failure message.
+func (b *Harness) WaitFor(description string, done func() bool) {
 	b.T.Helper()
-	for end := time.Now().Add(Timeout); !ok(); {
+	for end := time.Now().Add(Timeout); !done(); {
 		if time.Now().After(end) {
-			b.T.Fatalf("timed out waiting for: %s", what)
+			b.T.Fatalf("timed out waiting for: %s", description)
 		}
 		b.RunOnce()
 	}
 }
 
-// Peer is the other end of a connection.
+// Peer is the test's end of a connection with the loop.
 type Peer struct {
 	net.Conn
-	b        *Harness
-	Received []byte // what has come and was not expected yet
-	EndErr   error  // how it ended; nil while it has not
+	harness  *Harness
+	Received []byte // received bytes that no Expect call has consumed
+	EndErr   error  // how the connection ended; nil while it is open
 }
 
 // Dial connects a peer to a listener of the loop.
@@ -89,18 +90,19 @@
 	return b.peer(c)
 }
 
+// peer returns a Peer for c, which is closed at the end of the test.
 func (b *Harness) peer(c net.Conn) *Peer {
 	b.T.Cleanup(func() { c.Close() })
-	return &Peer{Conn: c, b: b}
+	return &Peer{Conn: c, harness: b}
 }
 
-// Server is a listener of the test's own.
+// Server is a listener that the test runs outside the loop.
 type Server struct {
 	net.Listener
-	b *Harness
+	harness *Harness
 }
 
-// Listen makes one on a loopback address.
+// Listen starts a Server on a loopback address.
 func (b *Harness) Listen() *Server {
 	b.T.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -111,23 +113,23 @@
 	return &Server{l, b}
 }
 
-// Addr is where it listens.
+// Addr is the address that the server listens at.
 func (s *Server) Addr() string { return s.Listener.Addr().String() }
 
-// Accept accepts the next connection, running the loop meanwhile.
+// Accept accepts the next connection. It runs the loop while it waits.
 func (s *Server) Accept() *Peer {
-	s.b.T.Helper()
+	s.harness.T.Helper()
 	var c net.Conn
-	s.b.WaitFor("a connection", func() bool {
+	s.harness.WaitFor("a connection", func() bool {
 		s.Listener.(*net.TCPListener).SetDeadline(time.Now().Add(time.Millisecond))
 		got, err := s.Listener.Accept()
 		c = got
 		return err == nil
 	})
-	return s.b.peer(c)
+	return s.harness.peer(c)
 }
 
-// Poll reads what has come.
+// Poll appends the bytes that have arrived to Received, and sets EndErr if the connection has ended.
 func (p *Peer) Poll() {
 	buf := make([]byte, 64<<10)
 	for p.EndErr == nil {
@@ -141,47 +143,47 @@
 	}
 }
 
-// Send sends text.
+// Send writes text to the connection.
 func (p *Peer) Send(text string) {
-	p.b.T.Helper()
+	p.harness.T.Helper()
 	if _, err := p.Write([]byte(text)); err != nil {
-		p.b.T.Fatalf("sending %q: %v", text, err)
+		p.harness.T.Fatalf("Send(%q): %v", text, err)
 	}
 }
 
-// Expect waits until text, and no more, has come, and clears Received.
+// Expect waits until text, and nothing else, has been received, and clears Received.
 func (p *Peer) Expect(text string) {
-	p.b.T.Helper()
-	p.b.WaitFor("bytes", func() bool { p.Poll(); return len(p.Received) >= len(text) || p.EndErr != nil })
+	p.harness.T.Helper()
+	p.harness.WaitFor("bytes for the peer", func() bool { p.Poll(); return len(p.Received) >= len(text) || p.EndErr != nil })
 	if string(p.Received) != text {
-		p.b.T.Fatalf("got %q (ended: %v), want %q", p.Received, p.EndErr, text)
+		p.harness.T.Fatalf("peer received %q (connection error: %v), want %q", p.Received, p.EndErr, text)
 	}
 	p.Received = nil
 }
 
-// ExpectEOF waits for an orderly end.
+// ExpectEOF waits until the connection ends with EOF, without further bytes.
 func (p *Peer) ExpectEOF() {
-	p.b.T.Helper()
-	p.b.WaitFor("the end", func() bool { p.Poll(); return p.EndErr != nil })
+	p.harness.T.Helper()
+	p.harness.WaitFor("EOF at the peer", func() bool { p.Poll(); return p.EndErr != nil })
 	if p.EndErr != io.EOF || len(p.Received) > 0 {
-		p.b.T.Fatalf("ended with %v after %q, want an orderly end", p.EndErr, p.Received)
+		p.harness.T.Fatalf("connection ended with %v after bytes %q, want EOF after no bytes", p.EndErr, p.Received)
 	}
 }
 
-// ExpectReset waits for a reset.
+// ExpectReset waits until the connection ends with an error other than EOF.
 func (p *Peer) ExpectReset() {
-	p.b.T.Helper()
-	p.b.WaitFor("the reset", func() bool { p.Poll(); return p.EndErr != nil })
+	p.harness.T.Helper()
+	p.harness.WaitFor("a reset at the peer", func() bool { p.Poll(); return p.EndErr != nil })
 	if p.EndErr == io.EOF {
-		p.b.T.Fatal("ended in order, want a reset")
+		p.harness.T.Fatal("connection ended with EOF, want a reset")
 	}
 }
 
-// Reset ends the connection by a reset.
+// Reset closes the connection with a TCP reset.
 func (p *Peer) Reset() {
 	p.Conn.(*net.TCPConn).SetLinger(0)
 	p.Conn.Close()
 }
 
-// CloseWrite closes the peer's side; it still reads.
+// CloseWrite closes the peer's sending side; the peer can still receive.
 func (p *Peer) CloseWrite() { p.Conn.(*net.TCPConn).CloseWrite() }
