--- a/internal/front/nats/client.go
+++ b/internal/front/nats/client.go
@@ -150,8 +150,8 @@
 
 // handleConnect handles CONNECT.
 func (c *client) handleConnect(text []byte) {
-	var check map[string]any
-	if json.Unmarshal(text, &check) != nil || json.Unmarshal(text, &c.options) != nil {
+	var object map[string]any
+	if json.Unmarshal(text, &object) != nil || json.Unmarshal(text, &c.options) != nil {
 		c.fail(errParse)
 		return
 	}
@@ -219,8 +219,8 @@
 	for _, s := range c.subscriptions {
 		s.end()
 	}
-	for id, a := range c.proxied {
-		a.remove()
+	for id, p := range c.proxied {
+		p.remove()
 		c.front.Core.ClientGone(id)
 	}
 	for _, l := range append([]*link(nil), c.links...) {
--- a/internal/front/nats/client_auth.go
+++ b/internal/front/nats/client_auth.go
@@ -47,25 +47,25 @@
 }
 
 // addSecurityInfo adds the TLS and authentication options to INFO.
-func (f *Front) addSecurityInfo(c *client, v map[string]any) {
+func (f *Front) addSecurityInfo(c *client, info map[string]any) {
 	if f.security.server != nil {
-		v["tls_required"] = !f.TLS.Optional
+		info["tls_required"] = !f.TLS.Optional
 		if f.TLS.Optional {
-			v["tls_available"] = true
+			info["tls_available"] = true
 		}
 		if f.TLS.Verify {
-			v["tls_verify"] = true
+			info["tls_verify"] = true
 		}
 	}
 	if f.security.authenticator != nil {
-		v["auth_required"] = true
+		info["auth_required"] = true
 		if f.security.authenticator.RequiresNonce() {
 			if c.nonce == "" {
 				var b [16]byte
 				rand.Read(b[:])
 				c.nonce = base64.RawURLEncoding.EncodeToString(b[:])
 			}
-			v["nonce"] = c.nonce
+			info["nonce"] = c.nonce
 		}
 	}
 }
@@ -90,10 +90,10 @@
 }
 
 // authenticate checks a client's credentials, on a worker if that takes long, and then calls then.
-func (c *client) authenticate(connect []byte, then func()) {
+func (c *client) authenticate(connect []byte, onSuccess func()) {
 	authenticator := c.front.security.authenticator
 	if authenticator == nil {
-		then()
+		onSuccess()
 		return
 	}
 	claims, err := auth.ParseConnect(connect)
@@ -120,7 +120,7 @@
 		if !id.Expires.IsZero() {
 			c.expiryTimer = c.front.Loop.After(time.Until(id.Expires), func() { c.fail(errAuthExpired) })
 		}
-		then()
+		onSuccess()
 	}
 	if !authenticator.UsesBcrypt(claims) {
 		decide(authenticator.Authenticate(claims, c.nonce, time.Now()))
--- a/internal/front/nats/config.go
+++ b/internal/front/nats/config.go
@@ -57,7 +57,7 @@
 func (c *Config) intSettings() []intSetting {
 	return []intSetting{
 		{"max_payload", &c.MaxPayload, 1 << 20, 1, 8 << 20},
-		{"max_control_line", &c.MaxControlLine, maxControl, 256, maxInfo},
+		{"max_control_line", &c.MaxControlLine, maxControlLine, 256, maxInfo},
 		{"max_subscriptions", &c.MaxSubscriptions, 4096, 1, 1 << 20},
 		{"max_connections", &c.MaxConnections, 0, 0, 1 << 20},
 		{"ping_interval_ms", &c.PingIntervalMS, 30_000, 100, 3_600_000},
@@ -70,9 +70,9 @@
 }
 
 func (c *Config) setDefaults() {
-	for _, b := range c.intSettings() {
-		if *b.value == 0 {
-			*b.value = b.defaultValue
+	for _, s := range c.intSettings() {
+		if *s.value == 0 {
+			*s.value = s.defaultValue
 		}
 	}
 }
@@ -84,9 +84,9 @@
 
 // Validate returns what is wrong with the configuration, by its key.
 func (c *Config) Validate(set *settings.Settings) error {
-	for _, b := range c.intSettings() {
-		if n := *b.value; n != 0 && (n < b.min || n > b.max) {
-			return fmt.Errorf("%s: %d is not between %d and %d", b.key, n, b.min, b.max)
+	for _, s := range c.intSettings() {
+		if n := *s.value; n != 0 && (n < s.min || n > s.max) {
+			return fmt.Errorf("%s: %d is not between %d and %d", s.key, n, s.min, s.max)
 		}
 	}
 	if c.LoadSubject != "" && !validSubject(c.LoadSubject, false) {
@@ -101,18 +101,18 @@
 		}
 	}
 	for i, r := range append([]Route{{">", c.Class, c.Tenant}}, c.Routes...) {
-		at := ""
+		prefix := ""
 		if i > 0 {
-			at = fmt.Sprintf("routes[%d].", i-1)
+			prefix = fmt.Sprintf("routes[%d].", i-1)
 		}
 		if !validSubject(r.Subject, true) {
-			return fmt.Errorf("%ssubject: %q is no subject", at, r.Subject)
+			return fmt.Errorf("%ssubject: %q is no subject", prefix, r.Subject)
 		}
 		if _, ok := set.Class(r.Class); r.Class != "" && !ok {
-			return fmt.Errorf("%sclass: unknown class %q", at, r.Class)
+			return fmt.Errorf("%sclass: unknown class %q", prefix, r.Class)
 		}
 		if _, ok := set.Tenant(r.Tenant); r.Tenant != "" && !ok {
-			return fmt.Errorf("%stenant: unknown tenant %q", at, r.Tenant)
+			return fmt.Errorf("%stenant: unknown tenant %q", prefix, r.Tenant)
 		}
 	}
 	return nil
--- a/internal/front/nats/config_test.go
+++ b/internal/front/nats/config_test.go
@@ -10,8 +10,8 @@
 	"dahliarudder/internal/settings"
 )
 
-// TestFaults: each fault of the configuration is named by its key.
-func TestFaults(t *testing.T) {
+// TestConfigErrors: each fault of the configuration is named by its key.
+func TestConfigErrors(t *testing.T) {
 	set, err := settings.Decode([]byte(`{"classes":[{"name":"pay"}],"tenants":[{"name":"water"}],"limits":{"probes":false}}`))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/front/nats/health_check.go
+++ b/internal/front/nats/health_check.go
@@ -25,7 +25,7 @@
 }
 
 // checkReplySubject is where a member sends its load report.
-const checkReplySubject = "_dahlia.load.reply"
+const healthCheckReplySubject = "_dahlia.load.reply"
 
 // CheckHealth requests a load report from a member; the answer goes to the core. For a member without load
 // reports an estimate takes its place.
@@ -39,13 +39,13 @@
 	}
 	h := &healthCheck{front: f, id: to.ID, addr: to.Addr}
 	f.healthChecks[to.ID] = h
-	h.timer = f.Loop.After(checkTimeout, func() { h.finish(policy.Timeout, policy.NoReport) })
+	h.timer = f.Loop.After(healthCheckTimeout, func() { h.finish(policy.Timeout, policy.NoReport) })
 	h.conn = f.Loop.Dial(to.Addr, f.Core.PolicySettings().ConnectTimeout, h)
 }
 
 // Open implements netloop's handler.
 func (h *healthCheck) Open() {
-	h.front.startTLSFirst(h.conn, h.addr, checkTimeout)
+	h.front.startTLSFirst(h.conn, h.addr, healthCheckTimeout)
 }
 
 // Drained implements netloop's handler.
@@ -55,7 +55,7 @@
 func (h *healthCheck) Data(b []byte) int {
 	used := 0
 	for h.front.healthChecks[h.id] == h {
-		m, n, err := parseCommand(b[used:], maxControl, netloop.DefaultReadLimit)
+		m, n, err := parseCommand(b[used:], maxControlLine, netloop.DefaultReadLimit)
 		if err != nil {
 			h.finish(policy.Error, policy.NoReport)
 		}
@@ -81,11 +81,11 @@
 		h.conn.PauseReading()
 		h.front.Loop.After(0, func() {
 			if h.front.healthChecks[h.id] == h {
-				h.conn.StartTLS(cfg, true, checkTimeout, func(tls.ConnectionState) { h.sendRequest(info) })
+				h.conn.StartTLS(cfg, true, healthCheckTimeout, func(tls.ConnectionState) { h.sendRequest(info) })
 			}
 		})
 	case opPong:
-		if took, known := h.front.answerTime(h.sentAt); known {
+		if took, valid := h.front.responseTime(h.sentAt); valid {
 			h.front.loadEstimate.ObserveLatency(h.id, took)
 		}
 		if h.front.LoadSubject == "" {
@@ -110,7 +110,7 @@
 	text, _ := json.Marshal(options)
 	out := fmt.Sprintf("CONNECT %s\r\n", text)
 	if h.front.LoadSubject != "" {
-		out += fmt.Sprintf("SUB %s 1\r\nPUB %s %s 0\r\n\r\n", checkReplySubject, h.front.LoadSubject, checkReplySubject)
+		out += fmt.Sprintf("SUB %s 1\r\nPUB %s %s 0\r\n\r\n", healthCheckReplySubject, h.front.LoadSubject, healthCheckReplySubject)
 	}
 	h.sentAt = h.front.Loop.Now()
 	h.conn.Queue([]byte(out + pingLine))
--- a/internal/front/nats/info.go
+++ b/internal/front/nats/info.go
@@ -67,19 +67,19 @@
 		return
 	}
 	f.memberInfos[id] = received
-	now := advertisedInfo{maxPayload: f.MaxPayload}
+	updated := advertisedInfo{maxPayload: f.MaxPayload}
 	for id, m := range f.memberInfos {
 		if !f.Core.Reachable(id) {
 			delete(f.memberInfos, id)
 			continue
 		}
-		now.jetstream = now.jetstream || m.JetStream
+		updated.jetstream = updated.jetstream || m.JetStream
 		if m.MaxPayload > 0 {
-			now.maxPayload = min(now.maxPayload, m.MaxPayload)
+			updated.maxPayload = min(updated.maxPayload, m.MaxPayload)
 		}
 	}
-	if now != f.advertised {
-		f.advertised = now
+	if updated != f.advertised {
+		f.advertised = updated
 		f.broadcastInfo()
 	}
 }
--- a/internal/front/nats/link.go
+++ b/internal/front/nats/link.go
@@ -95,11 +95,11 @@
 		return
 	}
 	l.front.Loop.After(0, func() {
-		all := l.batchedAcks
+		acks := l.batchedAcks
 		l.batchedAcks = nil
 		if !l.closed {
 			l.afterPing(func() {
-				for _, f := range all {
+				for _, f := range acks {
 					f()
 				}
 			})
@@ -107,16 +107,16 @@
 	})
 }
 
-// addFence calls the fence's linkPassed when the member has processed what was written so far, or the link is closed.
-func (l *link) addFence(b *fence) {
-	l.fences = append(l.fences, b)
-	l.afterBatchedPing(func() { l.passFence(b) })
+// addFence calls the fence's linkDone when the member has processed what was written so far, or the link is closed.
+func (l *link) addFence(f *fence) {
+	l.fences = append(l.fences, f)
+	l.afterBatchedPing(func() { l.completeFence(f) })
 }
 
-func (l *link) passFence(b *fence) {
-	if i := slices.Index(l.fences, b); i >= 0 {
+func (l *link) completeFence(f *fence) {
+	if i := slices.Index(l.fences, f); i >= 0 {
 		l.fences = slices.Delete(l.fences, i, i+1)
-		b.linkPassed()
+		f.linkDone()
 	}
 }
 
@@ -161,7 +161,7 @@
 			l.readPaused = true
 			return used
 		}
-		m, n, err := parseCommand(b[used:], 2*maxControl, l.front.MaxPayload+maxInfo)
+		m, n, err := parseCommand(b[used:], 2*maxControlLine, l.front.MaxPayload+maxInfo)
 		if err != nil {
 			l.fail(err)
 			break
@@ -295,10 +295,10 @@
 	if errors.Is(err, netloop.ErrNoDescriptors) { // the relay's own shortage, not the member's fault
 		result = policy.NotSent
 	}
-	left := l.written - min(l.written, uint64(l.conn.Unsent()))
+	sent := l.written - min(l.written, uint64(l.conn.Unsent()))
 	l.reset()
 	if l.publisher != nil {
-		l.publisher.linkLost(result, left)
+		l.publisher.linkLost(result, sent)
 		return
 	}
 	for sid, s := range l.subscriptions {
@@ -335,8 +335,8 @@
 	l.pongHandlers, l.onReady = nil, nil
 	fences := l.fences
 	l.fences = nil
-	for _, b := range fences {
-		b.linkPassed()
+	for _, f := range fences {
+		f.linkDone()
 	}
 	for i, x := range l.client.links {
 		if x == l {
--- a/internal/front/nats/link_liveness.go
+++ b/internal/front/nats/link_liveness.go
@@ -17,9 +17,9 @@
 	case l.pingSentAt == 0 && l.ready && len(l.subscriptions) > 0 && now-l.lastPingAt >= memberPingInterval:
 		l.pingSentAt, l.lastPingAt, l.readPaused = now, now, false
 		l.afterPing(func() {
-			took, known := l.front.answerTime(l.pingSentAt)
+			took, valid := l.front.responseTime(l.pingSentAt)
 			l.pingSentAt = 0
-			if l.readPaused || !known { // the answer has waited in this process
+			if l.readPaused || !valid { // the answer has waited in this process
 				return
 			}
 			for _, s := range l.subscriptions {
@@ -33,12 +33,12 @@
 	}
 }
 
-// maxUtilization is the loop's utilization up to which members' answers are timed. Beyond it answers wait for the
+// maxTimedUtilization is the loop's utilization up to which members' answers are timed. Beyond it answers wait for the
 // loop, and members would be blamed for that.
-const maxUtilization = 0.8
+const maxTimedUtilization = 0.8
 
-// answerTime is how long a member has taken for an answer, less the loop's own delay; false if the loop is too busy
+// responseTime is how long a member has taken for an answer, less the loop's own delay; false if the loop is too busy
 // to know.
-func (f *Front) answerTime(since time.Duration) (time.Duration, bool) {
-	return max(f.Loop.Now()-since-2*f.Loop.LastRoundDuration(), 0), f.Loop.Utilization() < maxUtilization
+func (f *Front) responseTime(since time.Duration) (time.Duration, bool) {
+	return max(f.Loop.Now()-since-2*f.Loop.LastRoundDuration(), 0), f.Loop.Utilization() < maxTimedUtilization
 }
--- a/internal/front/nats/nats.go
+++ b/internal/front/nats/nats.go
@@ -25,7 +25,7 @@
 	memberPingInterval   = 2 * time.Second        // on links with subscriptions
 	memberSilenceTimeout = 5 * time.Second        // for a member's PONG, after which it is lost
 	linkIdleTimeout      = 5 * time.Second        // of a link without subscriptions
-	checkTimeout         = 400 * time.Millisecond // of a health check
+	healthCheckTimeout   = 400 * time.Millisecond // of a health check
 	resubscribeBackoff   = 150 * time.Millisecond // before a failed subscription is placed again
 	drainTimeout         = 250 * time.Millisecond // for the last messages of a member that a subscription is moved off
 	verdictRetention     = 10 * time.Second       // of a final verdict that no proxy has taken
--- a/internal/front/nats/nats_test.go
+++ b/internal/front/nats/nats_test.go
@@ -22,7 +22,7 @@
 		f.Add([]byte(s), uint8(3))
 	}
 	f.Fuzz(func(t *testing.T, text []byte, step uint8) {
-		read := func(step int) (out string, err error) {
+		parseAll := func(step int) (out string, err error) {
 			var unread []byte
 			for rest := text; len(rest) > 0 && err == nil; {
 				n := min(step, len(rest))
@@ -30,14 +30,14 @@
 				for {
 					var m command
 					var used int
-					if m, used, err = parseCommand(unread, maxControl, 1024); err != nil || used == 0 {
+					if m, used, err = parseCommand(unread, maxControlLine, 1024); err != nil || used == 0 {
 						break
 					}
 					if m.payload != nil {
-						again, n, err := parseCommand(m.appendMessage(nil, "1"), maxControl, 1024)
-						if err != nil || n == 0 || string(again.payload) != string(m.payload) || again.headerLen != m.headerLen ||
-							string(again.subject) != string(m.subject) || string(again.reply) != string(m.reply) {
-							t.Fatalf("%+v was written and read as %+v, %v", m, again, err)
+						reparsed, n, err := parseCommand(m.appendMessage(nil, "1"), maxControlLine, 1024)
+						if err != nil || n == 0 || string(reparsed.payload) != string(m.payload) || reparsed.headerLen != m.headerLen ||
+							string(reparsed.subject) != string(m.subject) || string(reparsed.reply) != string(m.reply) {
+							t.Fatalf("%+v was written and read as %+v, %v", m, reparsed, err)
 						}
 					}
 					out += fmt.Sprintf("%d %q %q %q %q %q %q %d %d\n", m.op, m.args, m.subject, m.sid, m.reply, m.queue, m.payload, m.maxMessages, m.headerLen)
@@ -46,16 +46,16 @@
 			}
 			return out, err
 		}
-		uncut, err := read(len(text) + 1)
-		cut, err2 := read(int(step)%7 + 1)
-		if uncut != cut || (err == nil) != (err2 == nil) {
-			t.Errorf("uncut: %s%v\ncut: %s%v", uncut, err, cut, err2)
+		whole, wholeErr := parseAll(len(text) + 1)
+		chunked, chunkedErr := parseAll(int(step)%7 + 1)
+		if whole != chunked || (wholeErr == nil) != (chunkedErr == nil) {
+			t.Errorf("uncut: %s%v\ncut: %s%v", whole, wholeErr, chunked, chunkedErr)
 		}
 	})
 }
 
-// TestMatches: the wildcards of subscriptions.
-func TestMatches(t *testing.T) {
+// TestSubjects: the wildcards of subscriptions.
+func TestSubjects(t *testing.T) {
 	for pattern, want := range map[string]string{
 		"a.b": "a.b", "a.*": "a.b a.c", "a.>": "a.b a.c a.b.c", ">": "a a.b a.c a.b.c", "*": "a", "*.b": "a.b",
 	} {
@@ -77,29 +77,29 @@
 	if !validSubject("a.*.>", true) || validSubject("a.>.b", true) {
 		t.Error("wildcards")
 	}
-	if _, _, err := parseCommand([]byte("PUB a 2000\r\n"), maxControl, 1024); !errors.Is(err, errPayload) {
+	if _, _, err := parseCommand([]byte("PUB a 2000\r\n"), maxControlLine, 1024); !errors.Is(err, errMaxPayload) {
 		t.Errorf("payload over the limit: %v", err)
 	}
 }
 
-// site is a front before members that the test plays, and its client.
-type site struct {
+// testFront is a front before members that the test plays, and its client.
+type testFront struct {
 	*looptest.Relay
-	c *looptest.Peer
+	client *looptest.Peer
 }
 
-func newSite(t *testing.T, members int) *site {
+func newTestFront(t *testing.T, members int) *testFront {
 	r := looptest.NewRelay(t, members)
 	f := New(r.Loop, r.Core, r.Log, "n0", Config{Class: "pay", Tenant: "water"}, &Security{})
-	s := &site{r, r.Dial(r.Serve(f.Accept))}
-	s.c.ReadLine()
-	s.c.Send("CONNECT {\"verbose\":true}\r\n")
-	s.c.ExpectLines("+OK")
+	s := &testFront{r, r.Dial(r.Serve(f.Accept))}
+	s.client.ReadLine()
+	s.client.Send("CONNECT {\"verbose\":true}\r\n")
+	s.client.ExpectLines("+OK")
 	return s
 }
 
-// link takes in the next connection to a member and greets it.
-func (s *site) link(step time.Duration) (int, *looptest.Peer) {
+// acceptLink takes in the next connection to a member and greets it.
+func (s *testFront) acceptLink(step time.Duration) (int, *looptest.Peer) {
 	s.T.Helper()
 	i, m := s.AcceptAny(step)
 	m.Send("INFO {\"headers\":true}\r\n")
@@ -111,21 +111,21 @@
 	return i, m
 }
 
-// TestDrainAtOnce: the clock stands still from the update that a member drains until
+// TestDrainMovesSubscription: the clock stands still from the update that a member drains until
 // its subscription has moved to another one, so the 250 ms are met; the
 // member never has to end anything itself, and it is never active at two members at once.
-func TestDrainAtOnce(t *testing.T) {
-	s := newSite(t, 2)
-	s.c.Send("SUB feed q 7\r\n")
-	i, m := s.link(0)
+func TestDrainMovesSubscription(t *testing.T) {
+	s := newTestFront(t, 2)
+	s.client.Send("SUB feed q 7\r\n")
+	i, m := s.acceptLink(0)
 	m.ExpectLines("SUB feed q 1", "PING")
 	m.Send("PONG\r\nMSG feed 1 2\r\nhi\r\n")
-	s.c.ExpectLines("+OK", "MSG feed 7 2", "hi")
+	s.client.ExpectLines("+OK", "MSG feed 7 2", "hi")
 	s.Drain(i)
 	m.ExpectLines("UNSUB 1", "PING")
 	m.Send("MSG feed 1 4\r\nsent\r\n") // before it knew
-	s.c.ExpectLines("MSG feed 7 4", "sent")
-	j, n := s.link(0)
+	s.client.ExpectLines("MSG feed 7 4", "sent")
+	j, n := s.acceptLink(0)
 	if j == i {
 		t.Fatal("placed on the draining member again")
 	}
@@ -134,7 +134,7 @@
 	m.Send("PONG\r\nMSG feed 1 4\r\nlate\r\n") // now it is no longer active there
 	n.ExpectLines("SUB feed q 1", "PING")
 	n.Send("PONG\r\nMSG feed 1 3\r\nnew\r\n")
-	s.c.ExpectLines("MSG feed 7 3", "new")
+	s.client.ExpectLines("MSG feed 7 3", "new")
 	if c := s.Core.Counts; c.Requests != 2 || c.Served != 2 || c.Migrations != 1 {
 		t.Errorf("%+v", c)
 	}
@@ -143,19 +143,19 @@
 // TestPublishRetry: after a fast failure, and after silence, the next attempt
 // starts only when the last one is over, its connection ended.
 func TestPublishRetry(t *testing.T) {
-	s := newSite(t, 3)
-	s.c.Send("PUB job 1\r\nx\r\nPING\r\n")
-	_, m := s.link(0)
+	s := newTestFront(t, 3)
+	s.client.Send("PUB job 1\r\nx\r\nPING\r\n")
+	_, m := s.acceptLink(0)
 	m.ExpectLines("PUB job 1", "x", "PING")
 	m.Reset()
-	_, n := s.link(0)
+	_, n := s.acceptLink(0)
 	n.ExpectLines("PUB job 1", "x", "PING")
 	n.Send("PONG\r\n")
-	s.c.ExpectLines("+OK", "PONG")
+	s.client.ExpectLines("+OK", "PONG")
 	if c := s.Core.Counts.Messages; c.Attempts != 2 || c.Served != 1 || c.Retried != 1 {
 		t.Errorf("%+v", c)
 	}
-	s.c.Send("PUB job 1\r\ny\r\n")
+	s.client.Send("PUB job 1\r\ny\r\n")
 	silent := n
 	silent.ExpectLines("PUB job 1", "y", "PING")
 	s.WaitFor("the end of the silent attempt", func() bool {
@@ -167,23 +167,23 @@
 
 // TestLinkLost: subscriptions on a connection that breaks are placed again.
 func TestLinkLost(t *testing.T) {
-	s := newSite(t, 2)
-	s.c.Send("SUB feed 7\r\n")
-	_, m := s.link(0)
+	s := newTestFront(t, 2)
+	s.client.Send("SUB feed 7\r\n")
+	_, m := s.acceptLink(0)
 	m.ExpectLines("SUB feed 1", "PING")
 	m.Send("PONG\r\n")
-	s.c.ExpectLines("+OK")
+	s.client.ExpectLines("+OK")
 	m.Reset()
-	_, n := s.link(0)
+	_, n := s.acceptLink(0)
 	n.ExpectLines("SUB feed 1", "PING")
 	n.Send("PONG\r\nMSG feed 1 2\r\nhi\r\n")
-	s.c.ExpectLines("MSG feed 7 2", "hi")
+	s.client.ExpectLines("MSG feed 7 2", "hi")
 }
 
-// TestConnectWithin: a client that sends no CONNECT, or half of one, gets an error well before
+// TestConnectTimeout: a client that sends no CONNECT, or half of one, gets an error well before
 // 3 s; who has connected stays.
-func TestConnectWithin(t *testing.T) {
-	s := newSite(t, 1)
+func TestConnectTimeout(t *testing.T) {
+	s := newTestFront(t, 1)
 	f := New(s.Loop, s.Core, s.Log, "n0", Config{Class: "pay", Tenant: "water"}, &Security{})
 	silent := s.Dial(s.Serve(f.Accept))
 	silent.ReadLine()
@@ -191,8 +191,8 @@
 	s.Advance(connectTimeout)
 	silent.ExpectLines("-ERR 'Authentication Timeout'")
 	silent.ExpectEOF()
-	s.c.Send("PING\r\n")
-	s.c.ExpectLines("PONG")
+	s.client.Send("PING\r\n")
+	s.client.ExpectLines("PONG")
 }
 
 // TestLameDuck: a drained relay sends its clients INFO, closes the idle ones
@@ -201,25 +201,25 @@
 	r := looptest.NewRelay(t, 1)
 	f := New(r.Loop, r.Core, r.Log, "n0", Config{Class: "pay", Tenant: "water"}, &Security{})
 	c := r.Dial(r.Serve(f.Accept))
-	info := func(ldm bool) {
+	expectLameDuck := func(ldm bool) {
 		t.Helper()
 		if line := c.ReadLine(); !strings.Contains(line, fmt.Sprintf(`"ldm":%v`, ldm)) {
 			t.Fatalf("got %q, want ldm %v", line, ldm)
 		}
 	}
-	info(false)
+	expectLameDuck(false)
 	c.Send("CONNECT {\"verbose\":true,\"protocol\":1}\r\n")
 	c.ExpectLines("+OK")
 	f.EnterLameDuck()
-	info(true)
+	expectLameDuck(true)
 	r.Advance(core.StopNotice - time.Millisecond)
 	f.ExitLameDuck()
-	info(false)
+	expectLameDuck(false)
 	r.Advance(sweepInterval)
 	c.Send("PING\r\n")
 	c.ExpectLines("PONG")
 	f.EnterLameDuck()
-	info(true)
+	expectLameDuck(true)
 	r.Advance(core.StopNotice)
 	r.Advance(sweepInterval)
 	c.ExpectEOF()
@@ -228,8 +228,8 @@
 // TestMemberLeftWhileConnecting: a member that has left while the connection to it was being set up gets no
 // subscription; another one is.
 func TestMemberLeftWhileConnecting(t *testing.T) {
-	s := newSite(t, 2)
-	s.c.Send("SUB a.b 1\r\n")
+	s := newTestFront(t, 2)
+	s.client.Send("SUB a.b 1\r\n")
 	first, m := s.AcceptAny(0)
 	m.Send("INFO {\"headers\":true}\r\n")
 	if got := m.ReadLine(); !strings.HasPrefix(got, "CONNECT {") {
@@ -238,7 +238,7 @@
 	m.ExpectLines("PING")
 	s.Drain(first) // before the member has confirmed
 	m.Send("PONG\r\n")
-	second, other := s.link(0)
+	second, other := s.acceptLink(0)
 	if second == first {
 		t.Fatal("the member that has left is connected to again")
 	}
@@ -261,7 +261,7 @@
 	if got := m.ReadLine(); !strings.HasPrefix(got, "CONNECT {") {
 		t.Fatalf("got %q", got)
 	}
-	m.ExpectLines("SUB "+checkReplySubject+" 1", "PUB node.load "+checkReplySubject+" 0", "", "PING")
-	m.Send("MSG " + checkReplySubject + " 1 9\r\n{\"x0\":0.5}\r\n")
+	m.ExpectLines("SUB "+healthCheckReplySubject+" 1", "PUB node.load "+healthCheckReplySubject+" 0", "", "PING")
+	m.Send("MSG " + healthCheckReplySubject + " 1 9\r\n{\"x0\":0.5}\r\n")
 	r.WaitFor("the answer", func() bool { return len(f.healthChecks) == 0 })
 }
--- a/internal/front/nats/parse.go
+++ b/internal/front/nats/parse.go
@@ -6,23 +6,23 @@
 
 // Limits of a control line. CONNECT and INFO may have maxInfo bytes.
 const (
-	maxControl = 4 << 10
-	maxInfo    = 32 << 10
+	maxControlLine = 4 << 10
+	maxInfo        = 32 << 10
 )
 
 // parseOperation parses the first word of a line, which is case-insensitive.
 func parseOperation(name []byte) op {
-	var up [8]byte
-	if len(name) > len(up) {
+	var upper [8]byte
+	if len(name) > len(upper) {
 		return opNone
 	}
 	for i, b := range name {
 		if 'a' <= b && b <= 'z' {
 			b -= 'a' - 'A'
 		}
-		up[i] = b
+		upper[i] = b
 	}
-	switch string(up[:len(name)]) {
+	switch string(upper[:len(name)]) {
 	case "PUB":
 		return opPub
 	case "HPUB":
@@ -81,25 +81,25 @@
 
 // parseCommand parses one message off b, given the maximum lengths of a control line and a payload. If used is 0 and
 // there is no error, the message is incomplete.
-func parseCommand(b []byte, control, payload int) (m command, used int, err error) {
+func parseCommand(b []byte, maxLine, maxPayload int) (m command, used int, err error) {
 	end := bytes.IndexByte(b[:min(len(b), maxInfo)], '\n')
 	if end < 0 {
-		if len(b) >= maxInfo || len(b) >= control && !allowsLongLine(b) {
-			return m, 0, errControl
+		if len(b) >= maxInfo || len(b) >= maxLine && !allowsLongLine(b) {
+			return m, 0, errMaxControlLine
 		}
 		return m, 0, nil
 	}
-	if end >= control && !allowsLongLine(b) {
-		return m, 0, errControl
+	if end >= maxLine && !allowsLongLine(b) {
+		return m, 0, errMaxControlLine
 	}
 	used = end + 1
 	line := bytes.TrimSuffix(b[:end], []byte("\r"))
-	at := 0
-	for at < len(line) && !isBlank(line[at]) {
-		at++
+	opEnd := 0
+	for opEnd < len(line) && !isBlank(line[opEnd]) {
+		opEnd++
 	}
-	m.op = parseOperation(line[:at])
-	line = line[at:]
+	m.op = parseOperation(line[:opEnd])
+	line = line[opEnd:]
 	switch m.op {
 	case opConnect, opInfo, opErr:
 		m.args = bytes.TrimSpace(line)
@@ -127,13 +127,13 @@
 			}
 		}
 	case opPub:
-		return m.parsePayload(b, used, splitFields(line), false, false, payload)
+		return m.parsePayload(b, used, splitFields(line), false, false, maxPayload)
 	case opHPub:
-		return m.parsePayload(b, used, splitFields(line), false, true, payload)
+		return m.parsePayload(b, used, splitFields(line), false, true, maxPayload)
 	case opMsg:
-		return m.parsePayload(b, used, splitFields(line), true, false, payload)
+		return m.parsePayload(b, used, splitFields(line), true, false, maxPayload)
 	case opHMsg:
-		return m.parsePayload(b, used, splitFields(line), true, true, payload)
+		return m.parsePayload(b, used, splitFields(line), true, true, maxPayload)
 	default:
 		return m, 0, errProtocol
 	}
@@ -162,29 +162,29 @@
 }
 
 // parsePayload parses a message with a payload: subject [sid] [reply] [header length] length.
-func (m command) parsePayload(b []byte, used int, fields lineFields, sid, header bool, payload int) (command, int, error) {
-	least := 2
-	if sid {
-		least++
+func (m command) parsePayload(b []byte, used int, fields lineFields, hasSID, hasHeader bool, maxPayload int) (command, int, error) {
+	minFields := 2
+	if hasSID {
+		minFields++
 	}
-	if header {
-		least++
+	if hasHeader {
+		minFields++
 	}
-	if fields.count != least && fields.count != least+1 {
+	if fields.count != minFields && fields.count != minFields+1 {
 		return m, 0, errParse
 	}
 	m.subject = fields.values[0]
 	i := 1
-	if sid {
+	if hasSID {
 		m.sid = fields.values[i]
 		i++
 	}
-	if fields.count > least {
+	if fields.count > minFields {
 		m.reply = fields.values[i]
 		i++
 	}
 	ok := true
-	if header {
+	if hasHeader {
 		m.headerLen, ok = parseNumber(fields.values[i])
 		i++
 	}
@@ -192,8 +192,8 @@
 	if !ok || !sizeOK || m.headerLen > size {
 		return m, 0, errParse
 	}
-	if size > payload {
-		return m, 0, errPayload
+	if size > maxPayload {
+		return m, 0, errMaxPayload
 	}
 	if len(b) < used+size+2 {
 		return m, 0, nil
--- a/internal/front/nats/processor.go
+++ b/internal/front/nats/processor.go
@@ -128,14 +128,14 @@
 // handlePick opens a request, or resumes the open one of the same key.
 func (c *client) handlePick(q pickRequest, reply string) {
 	key := c.requestKey(q.Name)
-	if a := c.front.proxied[key]; a != nil {
-		a.resume(c, q, reply)
+	if p := c.front.proxied[key]; p != nil {
+		p.resume(c, q, reply)
 		return
 	}
 	set := c.front.Core.Settings
-	class, ok := set.Class(q.Class)
-	tenant, ok2 := set.Tenant(q.Tenant)
-	if !ok || !ok2 {
+	class, classOK := set.Class(q.Class)
+	tenant, tenantOK := set.Tenant(q.Tenant)
+	if !classOK || !tenantOK {
 		c.sendVerdict(reply, verdict{Verdict: verdictError, Error: "unknown class or tenant"})
 		return
 	}
@@ -153,11 +153,11 @@
 		c.sendVerdict(reply, verdict{Verdict: verdictReject, AfterMS: verdictRetention.Milliseconds()})
 		return
 	}
-	a := &proxiedRequest{client: c, replySubject: reply, controlSubject: q.Control}
-	a.requestID = c.front.Core.Open(r, a)
-	if !a.finished {
-		a.key = key
-		a.assignTo(c)
+	p := &proxiedRequest{client: c, replySubject: reply, controlSubject: q.Control}
+	p.requestID = c.front.Core.Open(r, p)
+	if !p.finished {
+		p.key = key
+		p.assignTo(c)
 	}
 }
 
@@ -179,142 +179,142 @@
 }
 
 // assignTo attaches the request to a client.
-func (a *proxiedRequest) assignTo(c *client) {
+func (p *proxiedRequest) assignTo(c *client) {
 	if c.proxied == nil {
 		c.proxied = map[core.ID]*proxiedRequest{}
 	}
-	a.client, c.proxied[a.requestID] = c, a
-	if a.key != "" {
-		c.front.proxied[a.key] = a
+	p.client, c.proxied[p.requestID] = c, p
+	if p.key != "" {
+		c.front.proxied[p.key] = p
 	}
 }
 
 // resume handles a repeated call for an open request, whose proxy has missed an earlier answer. It gets the current
 // verdict, or the next one.
-func (a *proxiedRequest) resume(c *client, q pickRequest, reply string) {
-	delete(a.client.proxied, a.requestID)
-	a.assignTo(c)
+func (p *proxiedRequest) resume(c *client, q pickRequest, reply string) {
+	delete(p.client.proxied, p.requestID)
+	p.assignTo(c)
 	if q.Control != "" {
-		a.controlSubject = q.Control
+		p.controlSubject = q.Control
 	}
 	switch {
-	case a.undelivered != nil:
-		a.replySubject = reply
-		a.deliver(*a.undelivered)
-	case a.current != nil:
-		v := *a.current
+	case p.undelivered != nil:
+		p.replySubject = reply
+		p.deliver(*p.undelivered)
+	case p.current != nil:
+		v := *p.current
 		if v.WaitMS > 0 {
-			v.WaitMS = max(1, (a.deadline - c.front.Loop.Now()).Milliseconds())
+			v.WaitMS = max(1, (p.deadline - c.front.Loop.Now()).Milliseconds())
 		}
 		c.sendVerdict(reply, v)
 	default:
-		a.replySubject = reply
+		p.replySubject = reply
 	}
 }
 
 // handleReport applies a proxy's report to its request.
 func (c *client) handleReport(o outcomeReport, reply string) {
-	a := c.proxied[o.ID]
-	if a == nil {
+	p := c.proxied[o.ID]
+	if p == nil {
 		c.sendVerdict(reply, verdict{Verdict: verdictUnknown, ID: o.ID})
 		return
 	}
 	result, known := outcomes[o.Outcome]
 	switch {
-	case a.undelivered != nil: // the attempt is over already
-		a.replySubject = reply
-		a.deliver(*a.undelivered)
+	case p.undelivered != nil: // the attempt is over already
+		p.replySubject = reply
+		p.deliver(*p.undelivered)
 		return
-	case o.Attempt != a.attempt || a.finished:
+	case o.Attempt != p.attempt || p.finished:
 		c.sendVerdict(reply, verdict{Verdict: verdictUnknown, ID: o.ID, Attempt: o.Attempt})
 		return
 	case o.Outcome == outcomeUp:
-		v := verdict{Verdict: verdictUp, ID: a.requestID, Attempt: a.attempt}
-		if c.front.Core.FlowEstablished(a.requestID, a.attempt) {
-			a.current = &v
+		v := verdict{Verdict: verdictUp, ID: p.requestID, Attempt: p.attempt}
+		if c.front.Core.FlowEstablished(p.requestID, p.attempt) {
+			p.current = &v
 		} else {
 			v.Verdict = verdictUnknown
 		}
 		c.sendVerdict(reply, v)
 	case o.Outcome == outcomeMessage:
-		c.front.Core.ObserveMessageLatency(a.requestID, settings.Duration(o.Message))
-		c.sendVerdict(reply, verdict{Verdict: verdictUp, ID: a.requestID, Attempt: a.attempt})
+		c.front.Core.ObserveMessageLatency(p.requestID, settings.Duration(o.Message))
+		c.sendVerdict(reply, verdict{Verdict: verdictUp, ID: p.requestID, Attempt: p.attempt})
 	case !known:
-		c.sendVerdict(reply, verdict{Verdict: verdictError, ID: a.requestID, Attempt: a.attempt, Error: "unknown outcome"})
+		c.sendVerdict(reply, verdict{Verdict: verdictError, ID: p.requestID, Attempt: p.attempt, Error: "unknown outcome"})
 	default:
-		a.replySubject, a.current = reply, nil
-		c.front.Core.AttemptEnded(a.requestID, a.attempt, result, settings.Report(o.Load))
-		if !c.front.Core.IsActive(a.requestID) && !a.finished { // the report has ended it
-			v := verdict{Verdict: verdictEnded, ID: a.requestID, Attempt: a.attempt}
+		p.replySubject, p.current = reply, nil
+		c.front.Core.AttemptEnded(p.requestID, p.attempt, result, settings.Report(o.Load))
+		if !c.front.Core.IsActive(p.requestID) && !p.finished { // the report has ended it
+			v := verdict{Verdict: verdictEnded, ID: p.requestID, Attempt: p.attempt}
 			if result == policy.OK {
 				v.Verdict = verdictServed
 			}
-			a.finish(v)
+			p.finish(v)
 		}
 	}
 }
 
 // deliver delivers a verdict on the subject that awaits it, or keeps it if there is none.
-func (a *proxiedRequest) deliver(v verdict) {
-	a.undelivered = nil
+func (p *proxiedRequest) deliver(v verdict) {
+	p.undelivered = nil
 	switch {
-	case a.replySubject != "":
-		a.client.sendVerdict(a.replySubject, v)
-		a.replySubject = ""
-	case a.controlSubject != "":
-		a.client.sendVerdict(a.controlSubject, v)
+	case p.replySubject != "":
+		p.client.sendVerdict(p.replySubject, v)
+		p.replySubject = ""
+	case p.controlSubject != "":
+		p.client.sendVerdict(p.controlSubject, v)
 	default:
-		a.undelivered = &v
+		p.undelivered = &v
 		return
 	}
-	if a.finished {
-		a.remove()
+	if p.finished {
+		p.remove()
 	}
 }
 
 // finish delivers the final verdict; one that nobody takes is retained for verdictRetention.
-func (a *proxiedRequest) finish(v verdict) {
-	a.finished, a.current = true, nil
-	a.expiryTimer.Stop()
-	a.expiryTimer = a.client.front.Loop.After(verdictRetention, a.remove)
-	a.deliver(v)
+func (p *proxiedRequest) finish(v verdict) {
+	p.finished, p.current = true, nil
+	p.expiryTimer.Stop()
+	p.expiryTimer = p.client.front.Loop.After(verdictRetention, p.remove)
+	p.deliver(v)
 }
 
 // remove forgets the request.
-func (a *proxiedRequest) remove() {
-	a.expiryTimer.Stop()
-	delete(a.client.proxied, a.requestID)
-	if a.client.front.proxied[a.key] == a {
-		delete(a.client.front.proxied, a.key)
+func (p *proxiedRequest) remove() {
+	p.expiryTimer.Stop()
+	delete(p.client.proxied, p.requestID)
+	if p.client.front.proxied[p.key] == p {
+		delete(p.client.front.proxied, p.key)
 	}
 }
 
 // Send has the proxy make an attempt. The core's timeout ends the attempt if the proxy never reports.
-func (a *proxiedRequest) Send(id core.ID, to *core.Member, attempt int, wait time.Duration) {
+func (p *proxiedRequest) Send(id core.ID, to *core.Member, attempt int, wait time.Duration) {
 	v := verdict{Verdict: verdictSend, ID: id, Attempt: attempt, Member: to.Name, Addr: to.Addr, WaitMS: wait.Milliseconds()}
-	a.requestID, a.attempt, a.current, a.deadline = id, attempt, &v, a.client.front.Loop.Now()+wait
-	a.deliver(v)
+	p.requestID, p.attempt, p.current, p.deadline = id, attempt, &v, p.client.front.Loop.Now()+wait
+	p.deliver(v)
 }
 
 // Cancel has the proxy abandon its attempt, if it has a control subject.
-func (a *proxiedRequest) Cancel(attempt int) {
-	a.current = nil
-	if a.controlSubject != "" {
-		a.client.sendVerdict(a.controlSubject, verdict{Verdict: verdictCancel, ID: a.requestID, Attempt: attempt})
+func (p *proxiedRequest) Cancel(attempt int) {
+	p.current = nil
+	if p.controlSubject != "" {
+		p.client.sendVerdict(p.controlSubject, verdict{Verdict: verdictCancel, ID: p.requestID, Attempt: attempt})
 	}
 }
 
 // Reject delivers the final answer.
-func (a *proxiedRequest) Reject(after time.Duration) {
-	a.finish(verdict{Verdict: verdictReject, ID: a.requestID, Attempt: a.attempt, AfterMS: after.Milliseconds()})
+func (p *proxiedRequest) Reject(after time.Duration) {
+	p.finish(verdict{Verdict: verdictReject, ID: p.requestID, Attempt: p.attempt, AfterMS: after.Milliseconds()})
 }
 
 // Fail delivers the final answer.
-func (a *proxiedRequest) Fail() {
-	a.finish(verdict{Verdict: verdictFail, ID: a.requestID, Attempt: a.attempt})
+func (p *proxiedRequest) Fail() {
+	p.finish(verdict{Verdict: verdictFail, ID: p.requestID, Attempt: p.attempt})
 }
 
 // Migrate has the proxy migrate its client.
-func (a *proxiedRequest) Migrate() {
-	a.finish(verdict{Verdict: verdictMove, ID: a.requestID, Attempt: a.attempt})
+func (p *proxiedRequest) Migrate() {
+	p.finish(verdict{Verdict: verdictMove, ID: p.requestID, Attempt: p.attempt})
 }
--- a/internal/front/nats/publisher.go
+++ b/internal/front/nats/publisher.go
@@ -28,10 +28,10 @@
 func (c *client) publish(m *command) bool {
 	switch {
 	case m.headerLen > 0 && !c.options.Headers:
-		c.fail(errHeaders)
+		c.fail(errHeadersNotSupported)
 		return true
 	case len(m.payload) > c.front.advertised.maxPayload:
-		c.fail(errPayload)
+		c.fail(errMaxPayload)
 		return true
 	case isReserved(m.subject):
 		if !c.canPublish(m.subject) {
@@ -61,9 +61,9 @@
 		return false
 	}
 	c.publishSeq++
-	q := window.Message{Subject: subjectHash(m.subject), Sequence: c.publishSeq, ReplyExpected: len(m.reply) > 0 && c.options.NoResponders}
+	message := window.Message{Subject: subjectHash(m.subject), Sequence: c.publishSeq, ReplyExpected: len(m.reply) > 0 && c.options.NoResponders}
 	if c.front.Core.Recorder != nil {
-		q.Name = "PUB " + string(m.subject)
+		message.Name = "PUB " + string(m.subject)
 	}
 	if c.options.Verbose {
 		c.responses = append(c.responses, response{seq: c.publishSeq, text: okLine})
@@ -71,7 +71,7 @@
 	if !c.wantsEcho() {
 		m = c.addOrigin(m)
 	}
-	p.feed.Publish(q, m.appendPublication(p.feed.Buffer(m.encodedSize(""))))
+	p.feed.Publish(message, m.appendPublication(p.feed.Buffer(m.encodedSize(""))))
 	return true
 }
 
@@ -132,9 +132,9 @@
 func (p *publisher) linkReady() { p.feed.Connected() }
 
 // linkLost notifies the feed that the link is gone, and how many of its bytes had been sent.
-func (p *publisher) linkLost(result policy.Result, left uint64) {
+func (p *publisher) linkLost(result policy.Result, sent uint64) {
 	p.link = nil
-	p.feed.Disconnected(result, left)
+	p.feed.Disconnected(result, sent)
 }
 
 // linkError handles the member's -ERR.
@@ -158,8 +158,8 @@
 func (p *publisher) WriteMessage(text []byte, m *window.Message) {
 	l := p.link
 	if m.ReplyExpected {
-		if q, _, err := parseCommand(text, len(text)+1, len(text)); err == nil && len(q.reply) > 0 {
-			out := append(append(l.conn.Buffer(len(q.reply)+lineOverhead), "SUB "...), q.reply...)
+		if publication, _, err := parseCommand(text, len(text)+1, len(text)); err == nil && len(publication.reply) > 0 {
+			out := append(append(l.conn.Buffer(len(publication.reply)+lineOverhead), "SUB "...), publication.reply...)
 			out = strconv.AppendInt(append(out, ' '), int64(p.nextReplySID), 10)
 			l.commit(append(out, '\r', '\n'))
 			p.nextReplySID++
@@ -210,9 +210,9 @@
 		return 0
 	}
 	p.link = nil
-	left := l.written - uint64(l.conn.Unsent())
+	sent := l.written - uint64(l.conn.Unsent())
 	l.reset()
-	return left
+	return sent
 }
 
 // Answer reports the final answer of a message to the client. For one that was served there is only the +OK of a
@@ -234,16 +234,16 @@
 	if a == core.Rejected {
 		reason = fmt.Sprintf("rejected, come again in %d ms", after.Milliseconds())
 	}
-	q, _, err := parseCommand(text, len(text)+1, len(text))
+	publication, _, err := parseCommand(text, len(text)+1, len(text))
 	if err != nil {
 		return
 	}
-	if c.wantsStatus(q.reply) {
-		c.deliverStatus(q.reply, "503 "+reason)
+	if c.wantsStatus(publication.reply) {
+		c.deliverStatus(publication.reply, "503 "+reason)
 		return
 	}
 	// The one kind of error after which clients keep the connection.
-	c.sendError(fmt.Sprintf("Permissions Violation for Publish to %q: %s", q.subject, reason))
+	c.sendError(fmt.Sprintf("Permissions Violation for Publish to %q: %s", publication.subject, reason))
 }
 
 // OnCapacity resumes the client's commands.
--- a/internal/front/nats/responses.go
+++ b/internal/front/nats/responses.go
@@ -21,36 +21,36 @@
 	remaining int
 }
 
-// linkPassed records that one link has answered.
-func (b *fence) linkPassed() {
-	if b.remaining--; b.remaining == 0 {
-		b.client.fencedSeq, b.client.fenceActive = b.seq, false
-		b.client.scheduleResume()
+// linkDone records that one link has answered.
+func (f *fence) linkDone() {
+	if f.remaining--; f.remaining == 0 {
+		f.client.fencedSeq, f.client.fenceActive = f.seq, false
+		f.client.scheduleResume()
 	}
 }
 
-// linksPast reports whether the messages caused by the publications up to seq have arrived on all links. If not, it
+// ensureFenced reports whether the messages caused by the publications up to seq have arrived on all links. If not, it
 // starts a fence, which calls scheduleResume.
-func (c *client) linksPast(seq uint64) bool {
+func (c *client) ensureFenced(seq uint64) bool {
 	if c.fencedSeq >= seq {
 		return true
 	}
 	if c.fenceActive {
 		return false
 	}
-	b := &fence{client: c, seq: seq, remaining: 1}
+	f := &fence{client: c, seq: seq, remaining: 1}
 	c.fenceActive = true
 	for _, l := range c.links {
 		if l.publisher == nil && l.ready {
-			b.remaining++
-			l.addFence(b)
+			f.remaining++
+			l.addFence(f)
 		}
 	}
-	if b.remaining == 1 {
+	if f.remaining == 1 {
 		c.fencedSeq, c.fenceActive = seq, false
 		return true
 	}
-	b.remaining--
+	f.remaining--
 	return false
 }
 
@@ -104,7 +104,7 @@
 		if r.seq >= oldest || r.subscription != nil && !r.subscriptionSettled() {
 			return
 		}
-		if r.fence && !c.linksPast(r.seq) {
+		if r.fence && !c.ensureFenced(r.seq) {
 			return
 		}
 		c.responses = c.responses[1:]
--- a/internal/front/nats/security.go
+++ b/internal/front/nats/security.go
@@ -87,11 +87,11 @@
 		s.member = cfg
 	}
 	if c.Auth != nil {
-		book, err := auth.NewAuthenticator(c.Auth)
+		authenticator, err := auth.NewAuthenticator(c.Auth)
 		if err != nil {
 			return nil, fmt.Errorf("auth.%w", err)
 		}
-		s.authenticator = book
+		s.authenticator = authenticator
 	}
 	if c.MemberLogin != nil {
 		if err := s.loadLogin(c.MemberLogin, c.resolvePath); err != nil {
@@ -113,8 +113,8 @@
 type tlsFiles struct{ cert, key, ca string }
 
 // loadTLS loads one side's certificate and authorities. Errors name the key below section.
-func loadTLS(section string, files tlsFiles, caKey, minVersion string, needed bool) (*tls.Config, *x509.CertPool, error) {
-	cfg, err := loadKeyPair(section, files.cert, files.key, minVersion, needed)
+func loadTLS(section string, files tlsFiles, caKey, minVersion string, required bool) (*tls.Config, *x509.CertPool, error) {
+	cfg, err := loadKeyPair(section, files.cert, files.key, minVersion, required)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -123,66 +123,66 @@
 }
 
 // loadKeyPair loads a certificate with its key.
-func loadKeyPair(at, cert, key, version string, needed bool) (*tls.Config, error) {
+func loadKeyPair(section, cert, key, minVersion string, required bool) (*tls.Config, error) {
 	cfg := &tls.Config{MinVersion: tls.VersionTLS12}
-	switch version {
+	switch minVersion {
 	case "", "1.2":
 	case "1.3":
 		cfg.MinVersion = tls.VersionTLS13
 	default:
-		return nil, fmt.Errorf("%s.min_version: %q is neither 1.2 nor 1.3", at, version)
+		return nil, fmt.Errorf("%s.min_version: %q is neither 1.2 nor 1.3", section, minVersion)
 	}
-	if cert == "" && key == "" && !needed {
+	if cert == "" && key == "" && !required {
 		return cfg, nil
 	}
-	for name, path := range map[string]string{"cert": cert, "key": key} {
+	for keyName, path := range map[string]string{"cert": cert, "key": key} {
 		if _, err := os.Stat(path); err != nil {
-			return nil, fmt.Errorf("%s.%s: %w", at, name, err)
+			return nil, fmt.Errorf("%s.%s: %w", section, keyName, err)
 		}
 	}
 	c, err := tls.LoadX509KeyPair(cert, key)
 	if err != nil {
-		return nil, fmt.Errorf("%s.cert: %w", at, err)
+		return nil, fmt.Errorf("%s.cert: %w", section, err)
 	}
 	if c.Leaf != nil && time.Now().After(c.Leaf.NotAfter) {
-		return nil, fmt.Errorf("%s.cert: has expired on %s", at, c.Leaf.NotAfter.Format(time.DateOnly))
+		return nil, fmt.Errorf("%s.cert: has expired on %s", section, c.Leaf.NotAfter.Format(time.DateOnly))
 	}
 	cfg.Certificates = []tls.Certificate{c}
 	return cfg, nil
 }
 
 // loadCertPool loads CA certificates; it returns nil if path is empty.
-func loadCertPool(at, path string) (*x509.CertPool, error) {
+func loadCertPool(configKey, path string) (*x509.CertPool, error) {
 	if path == "" {
 		return nil, nil
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", at, err)
+		return nil, fmt.Errorf("%s: %w", configKey, err)
 	}
 	p := x509.NewCertPool()
 	if !p.AppendCertsFromPEM(text) {
-		return nil, fmt.Errorf("%s: %s holds no certificate", at, path)
+		return nil, fmt.Errorf("%s: %s holds no certificate", configKey, path)
 	}
 	return p, nil
 }
 
 // loadLogin loads the relay's own login at members.
-func (s *Security) loadLogin(l *MemberLogin, file func(string) string) error {
+func (s *Security) loadLogin(l *MemberLogin, resolvePath func(string) string) error {
 	if !auth.ExactlyOne(l.User, l.Token, l.NKeySeedFile, l.CredentialsFile) {
 		return errors.New("user: want exactly one of user, token, nkey_seed_file and credentials_file")
 	}
-	at, path := "nkey_seed_file", l.NKeySeedFile
+	configKey, path := "nkey_seed_file", l.NKeySeedFile
 	if l.CredentialsFile != "" {
-		at, path = "credentials_file", l.CredentialsFile
+		configKey, path = "credentials_file", l.CredentialsFile
 	}
 	if path == "" {
 		return nil
 	}
-	path = file(path)
+	path = resolvePath(path)
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return fmt.Errorf("%s: %w", at, err)
+		return fmt.Errorf("%s: %w", configKey, err)
 	}
 	if l.CredentialsFile != "" {
 		if s.jwt, err = jwt.ParseDecoratedJWT(text); err == nil {
@@ -192,7 +192,7 @@
 		s.nkey, err = nkeys.FromSeed([]byte(strings.TrimSpace(string(text))))
 	}
 	if err != nil {
-		return fmt.Errorf("%s: %s: %w", at, path, err)
+		return fmt.Errorf("%s: %s: %w", configKey, path, err)
 	}
 	return nil
 }
--- a/internal/front/nats/subject.go
+++ b/internal/front/nats/subject.go
@@ -11,7 +11,7 @@
 func subjectHash(subject []byte) uint64 { return maphash.Bytes(hashSeed, subject) }
 
 // validSubject reports whether s may be published to or, with wild, subscribed to.
-func validSubject[T string | []byte](s T, wild bool) bool {
+func validSubject[T string | []byte](s T, wildcards bool) bool {
 	start := 0
 	for i := 0; i <= len(s); i++ {
 		if i < len(s) && s[i] != '.' {
@@ -21,7 +21,7 @@
 		case 0:
 			return false
 		case 1:
-			if s[start] == '*' && !wild || s[start] == '>' && (!wild || i < len(s)) {
+			if s[start] == '*' && !wildcards || s[start] == '>' && (!wildcards || i < len(s)) {
 				return false
 			}
 		}
@@ -34,20 +34,20 @@
 func subjectMatches[S string | []byte](pattern string, subject S) bool {
 	p, s := 0, 0
 	for p <= len(pattern) && s <= len(subject) {
-		pe, se := p, s
-		for pe < len(pattern) && pattern[pe] != '.' {
-			pe++
+		patternEnd, subjectEnd := p, s
+		for patternEnd < len(pattern) && pattern[patternEnd] != '.' {
+			patternEnd++
 		}
-		for se < len(subject) && subject[se] != '.' {
-			se++
+		for subjectEnd < len(subject) && subject[subjectEnd] != '.' {
+			subjectEnd++
 		}
-		switch token := pattern[p:pe]; {
+		switch token := pattern[p:patternEnd]; {
 		case token == ">":
 			return true
-		case token != "*" && token != string(subject[s:se]):
+		case token != "*" && token != string(subject[s:subjectEnd]):
 			return false
 		}
-		p, s = pe+1, se+1
+		p, s = patternEnd+1, subjectEnd+1
 	}
 	return p > len(pattern) && s > len(subject)
 }
--- a/internal/front/nats/subscription.go
+++ b/internal/front/nats/subscription.go
@@ -112,13 +112,13 @@
 		return
 	}
 	f := s.client.front
-	q := f.newRequest("", f.destination([]byte(s.subject)))
+	request := f.newRequest("", f.destination([]byte(s.subject)))
 	if f.Core.Recorder != nil {
-		q.Name = "SUB " + s.subject
+		request.Name = "SUB " + s.subject
 	}
-	q.Key = hash(s.subject)
-	q.Group, q.Reconnect = q.Key, s.wasActive
-	s.requestID = f.Core.Open(q, s)
+	request.Key = hash(s.subject)
+	request.Group, request.Reconnect = request.Key, s.wasActive
+	s.requestID = f.Core.Open(request, s)
 }
 
 // Send subscribes at a member.
