--- a/internal/front/nats/client.go
+++ b/internal/front/nats/client.go
@@ -12,14 +12,14 @@
 	"dahliarudder/internal/netloop"
 )
 
-// client is the connection of a NATS client. Its commands take effect in order and do not wait
-// for each other, except that publications wait for the subscriptions before them.
+// client is the connection of a NATS client. Its commands take effect in order and do not wait for
+// each other, except that a publication waits until the subscriptions before it are acknowledged.
 type client struct {
 	front   *Front
 	conn    *netloop.Conn
 	id      uint64
-	local   string // the relay's address that it has connected to
-	remote  string // its own address, without the port
+	local   string // address of the relay that the client connected to
+	remote  string // IP address of the client, without the port
 	options struct {
 		Verbose      bool  `json:"verbose"`
 		Pedantic     bool  `json:"pedantic"`
@@ -28,35 +28,35 @@
 		Protocol     int   `json:"protocol"`
 		Echo         *bool `json:"echo"`
 	}
-	connect        []byte // the options of CONNECT; nil before it
+	connect        []byte // the JSON options of CONNECT; nil until the client is authenticated
 	subscriptions  map[string]*subscription
 	links          []*link
 	publishers     []*publisher
-	publisherCache map[string]*publisher // by subject, for the subjects that were published to
-	lastPublisher  *publisher            // of lastSubject
+	publisherCache map[string]*publisher // by subject; has at most maxCachedSubjects entries
+	lastPublisher  *publisher            // the publisher for lastSubject
 	proxied        map[core.ID]*proxiedRequest
 
-	lastSubject       string     // the subject published to last
+	lastSubject       string     // the subject that was added to publisherCache last
 	publishSeq        uint64     // sequence number of the newest publication
-	responses         []response // not sent yet, in order
-	pendingSubscribes int        // subscriptions and unsubscriptions that publications wait for
-	pingsOut          int        // without an answer
+	responses         []response // not sent yet, in the order of their commands
+	pendingSubscribes int        // number of SUB and UNSUB commands that publications wait for
+	pingsOut          int        // number of unanswered PINGs
 	timer             *netloop.Timer
-	nonce             string             // the challenge for its signature
+	nonce             string             // the challenge that the client signs to authenticate
 	permissions       *auth.Permissions  // nil allows everything
-	replies           *auth.ReplyTracker // reply subjects that it may publish to in addition; nil for none
-	expiryTimer       *netloop.Timer     // ends it when its credentials expire
-	tlsChecked        bool               // its first byte has been inspected
-	authenticating    bool               // a worker checks its password
-	slowSince         time.Duration      // since when its links are not read; 0 if they are
+	replies           *auth.ReplyTracker // further subjects that the client may reply to; nil for none
+	expiryTimer       *netloop.Timer     // closes the connection when the credentials expire
+	tlsChecked        bool               // checkTLS has inspected the first byte
+	authenticating    bool               // a worker is checking the password
+	slowSince         time.Duration      // when the unsent bytes exceeded the high-water mark; 0 if they do not
 	resumeScheduled   bool               // a call of scheduleResume is pending
 	fenceActive       bool               // a fence is pending
-	fencedSeq         uint64             // what all links have delivered the effects of
-	halfClosed        bool               // the client has closed its sending side, and some of its commands are pending
+	fencedSeq         uint64             // the messages of publications up to this one have arrived on all links
+	halfClosed        bool               // the client has closed its sending side while commands were pending
 	closed            bool
 }
 
-// maxCachedSubjects bounds a client's publisherCache.
+// maxCachedSubjects is the maximum size of a client's publisherCache. A full cache is emptied.
 const maxCachedSubjects = 256
 
 func (c *client) write(b []byte) { c.conn.Queue(b) }
@@ -72,7 +72,8 @@
 	}
 }
 
-// overHighWater reports whether the client is slow to read; its links are then not read until it has caught up.
+// overHighWater reports whether the client reads too slowly. Its links are then not read until it
+// has caught up.
 func (c *client) overHighWater() bool {
 	if c.conn.Unsent() <= c.front.unsentLimit(clientHighWater) {
 		return false
@@ -116,7 +117,7 @@
 	c.close()
 }
 
-// execute executes a command; it returns false if the command has to wait.
+// execute executes a command. It returns false if the command has to wait.
 func (c *client) execute(m *command) bool {
 	if c.authenticating {
 		return false
@@ -126,7 +127,7 @@
 		return true
 	}
 	if len(c.responses) > c.front.MaxSubscriptions+c.front.WindowMessages {
-		return false // bounds the memory of a client that sends commands without end
+		return false // limits the memory for a client that keeps sending commands while responses are pending
 	}
 	switch m.op {
 	case opConnect:
@@ -148,7 +149,7 @@
 	return true
 }
 
-// handleConnect handles CONNECT.
+// handleConnect handles CONNECT, which authenticates the client and sets its options.
 func (c *client) handleConnect(text []byte) {
 	var object map[string]any
 	if json.Unmarshal(text, &object) != nil || json.Unmarshal(text, &c.options) != nil {
@@ -171,7 +172,7 @@
 // wantsEcho reports whether the client receives its own publications.
 func (c *client) wantsEcho() bool { return c.options.Echo == nil || *c.options.Echo }
 
-// schedulePing pings the client at intervals, and closes it when it no longer answers.
+// schedulePing pings the client at intervals, and closes it when MaxPingsOut PINGs are unanswered.
 func (c *client) schedulePing() {
 	c.timer.Stop()
 	c.timer = c.front.Loop.After(c.front.pingInterval(), func() {
@@ -184,7 +185,8 @@
 	})
 }
 
-// isIdle reports whether the client has no pending request and no subscription, so that closing it loses nothing.
+// isIdle reports whether the client has no pending request and no subscription, so that closing it
+// loses nothing.
 func (c *client) isIdle() bool {
 	for _, s := range c.subscriptions {
 		if !s.local {
@@ -203,8 +205,8 @@
 	c.close()
 }
 
-// close ends the client with its publishers, subscriptions, proxied requests and links. Each path that ends one leads
-// here.
+// close ends the client with its publishers, subscriptions, proxied requests and links. Every path
+// that ends a client calls it.
 func (c *client) close() {
 	if c.closed {
 		return
@@ -229,7 +231,8 @@
 	c.conn.Finish()
 }
 
-// deliverLocal delivers a message from the relay itself to the client's subscription for its subject.
+// deliverLocal delivers a message from the relay itself to a subscription of the client that
+// matches its subject.
 func (c *client) deliverLocal(m command) {
 	for _, s := range c.subscriptions {
 		if subjectMatches(s.subject, m.subject) {
@@ -240,11 +243,12 @@
 	}
 }
 
-// deliverStatus delivers a status from the relay itself on a reply subject.
+// deliverStatus delivers a status message from the relay itself on a reply subject.
 func (c *client) deliverStatus(reply []byte, status string) {
 	head := "NATS/1.0 " + status + "\r\n\r\n"
 	c.deliverLocal(command{subject: reply, headerLen: len(head), payload: []byte(head)})
 }
 
-// wantsStatus reports whether the client takes the status of a lost publication on its reply subject.
+// wantsStatus reports whether the client receives a status message on the reply subject if its
+// publication is not delivered.
 func (c *client) wantsStatus(reply []byte) bool { return len(reply) > 0 && c.options.NoResponders }
--- a/internal/front/nats/client_auth.go
+++ b/internal/front/nats/client_auth.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// authWorkers check passwords, each a tenth of a second of work; authQueueSize clients may wait for
-	// them, and further ones are rejected at once.
+	// authWorkers is the number of goroutines that check passwords; a check takes about 0.1 s.
+	// Up to authQueueSize clients wait for them, and further ones are rejected at once.
 	authWorkers   = 2
 	authQueueSize = 256
 )
 
-// ReloadSecurity replaces the security files' content. Authenticated clients stay connected.
+// ReloadSecurity replaces the content of the security files and starts the workers that check
+// passwords. Clients that are already authenticated stay connected.
 func (f *Front) ReloadSecurity(s *Security) {
 	f.stopAuthWorkers()
 	if s.authenticator != nil {
@@ -33,14 +34,15 @@
 	f.security = s
 }
 
-// stopAuthWorkers closes the queue of the workers that check passwords: they finish it and exit.
+// stopAuthWorkers closes the queue of the workers that check passwords. They finish the queued
+// checks and exit.
 func (f *Front) stopAuthWorkers() {
 	if f.security != nil && f.security.authQueue != nil {
 		close(f.security.authQueue)
 	}
 }
 
-// Close ends the goroutines of the front once its loop has ended, and waits for them.
+// Close stops the goroutines of the front and waits for them. The loop must have ended.
 func (f *Front) Close() {
 	f.stopAuthWorkers()
 	f.authWorkers.Wait()
@@ -70,8 +72,9 @@
 	}
 }
 
-// checkTLS starts TLS if a client's first byte begins a handshake, and rejects the client if it does not but has to. It
-// reports whether the client's bytes may be read as they are.
+// checkTLS inspects the first byte of a client. It starts TLS if the byte begins a handshake, and
+// rejects the client if it does not although TLS is required. It reports whether the client's bytes
+// may be parsed as they are.
 func (c *client) checkTLS(first byte) bool {
 	c.tlsChecked = true
 	const handshakeRecord = 0x16 // the first byte of a TLS handshake
@@ -89,7 +92,8 @@
 	return false
 }
 
-// authenticate checks a client's credentials, on a worker if that takes long, and then calls then.
+// authenticate checks a client's credentials, on a worker if that takes long, and calls onSuccess if
+// they are valid.
 func (c *client) authenticate(connect []byte, onSuccess func()) {
 	authenticator := c.front.security.authenticator
 	if authenticator == nil {
@@ -142,7 +146,8 @@
 	}
 }
 
-// canPublish reports whether the client may publish to a subject.
+// canPublish reports whether the client may publish to a subject, by its permissions or as a reply
+// to a request that it has received. It counts the reply.
 func (c *client) canPublish(subject []byte) bool {
 	if c.permissions == nil || c.permissions.CanPublish(string(subject)) {
 		return true
--- a/internal/front/nats/command.go
+++ b/internal/front/nats/command.go
@@ -4,7 +4,7 @@
 	"strconv"
 )
 
-// op is an operation of the protocol.
+// op is a protocol operation.
 type op uint8
 
 const (
@@ -23,7 +23,8 @@
 	opUnsub
 )
 
-// command is one protocol message, of either side. Its slices point into the parsed buffer.
+// command is one protocol message from a client or a member. Its slices refer to the buffer that it
+// was parsed from.
 type command struct {
 	op          op
 	args        []byte // the rest of the line, for CONNECT, INFO and -ERR
@@ -31,20 +32,20 @@
 	sid         []byte
 	reply       []byte
 	queue       []byte
-	maxMessages int // of UNSUB
+	maxMessages int // the limit that UNSUB sets; 0 for none
 	headerLen   int // length of the header block at the start of payload
 	payload     []byte
 }
 
-// lineOverhead is how many bytes a line takes besides subjects and names, at most.
+// lineOverhead is the maximum size in bytes of a protocol line without its subjects and names.
 const lineOverhead = 64
 
-// encodedSize is how many bytes the encoded message takes, at most.
+// encodedSize returns an upper bound for the size of the encoded message in bytes.
 func (m *command) encodedSize(sid string) int {
 	return len(m.subject) + len(sid) + len(m.reply) + len(m.payload) + lineOverhead
 }
 
-// appendMessage encodes a message to a subscriber.
+// appendMessage appends the message to a buffer as MSG or HMSG, for the subscription sid.
 func (m *command) appendMessage(to []byte, sid string) []byte {
 	if m.headerLen > 0 {
 		to = append(to, "HMSG "...)
@@ -56,7 +57,7 @@
 	return m.appendRest(to)
 }
 
-// appendPublication encodes a publication.
+// appendPublication appends the message to a buffer as PUB or HPUB.
 func (m *command) appendPublication(to []byte) []byte {
 	if m.headerLen > 0 {
 		to = append(to, "HPUB "...)
@@ -67,7 +68,7 @@
 	return m.appendRest(to)
 }
 
-// appendRest encodes what follows the subject.
+// appendRest appends what follows the subject and the sid: reply subject, lengths and payload.
 func (m *command) appendRest(to []byte) []byte {
 	if len(m.reply) > 0 {
 		to = append(append(to, m.reply...), ' ')
--- a/internal/front/nats/config.go
+++ b/internal/front/nats/config.go
@@ -9,25 +9,25 @@
 	"dahliarudder/internal/settings"
 )
 
-// Config is the front's section of the configuration file. A zero stands for the default.
+// Config is the front's section of the configuration file. An integer of zero stands for the default.
 type Config struct {
 	Listen           string `json:"listen"`
-	MaxPayload       int    `json:"max_payload"`       // bytes; 1 MiB
-	MaxControlLine   int    `json:"max_control_line"`  // bytes; 4 KiB
-	MaxSubscriptions int    `json:"max_subscriptions"` // of one client; 4096
-	MaxConnections   int    `json:"max_connections"`   // of all clients; no bound but descriptors
-	PingIntervalMS   int    `json:"ping_interval_ms"`  // 30,000
-	MaxPingsOut      int    `json:"ping_max"`          // unanswered pings that close a client; 2
-	SlowAfterMS      int    `json:"slow_after_ms"`     // how long a client may leave 64 KiB unread; 2,000
-	WindowMessages   int    `json:"window_messages"`   // of one feed; 512
-	WindowBytes      int    `json:"window_bytes"`      // likewise; 1 MiB
-	// LoadSubject is where members answer a request with their load report; empty
-	// if they do not.
+	MaxPayload       int    `json:"max_payload"`       // in bytes; default 1 MiB
+	MaxControlLine   int    `json:"max_control_line"`  // in bytes; default 4 KiB
+	MaxSubscriptions int    `json:"max_subscriptions"` // per client; default 4096
+	MaxConnections   int    `json:"max_connections"`   // of all clients; default: limited by descriptors only
+	PingIntervalMS   int    `json:"ping_interval_ms"`  // default 30,000
+	MaxPingsOut      int    `json:"ping_max"`          // unanswered PINGs after which a client is closed; default 2
+	SlowAfterMS      int    `json:"slow_after_ms"`     // how long a client may leave 64 KiB unread; default 2,000
+	WindowMessages   int    `json:"window_messages"`   // per feed; default 512
+	WindowBytes      int    `json:"window_bytes"`      // per feed; default 1 MiB
+	// LoadSubject is the subject on which members answer requests for their load report; empty if
+	// they do not.
 	LoadSubject string   `json:"load_subject"`
-	MemberFlows int      `json:"member_flows"` // that fill a member without load reports; 10,000
-	ConnectURLs []string `json:"connect_urls"` // of other relays, advertised to clients
-	Class       string   `json:"class"`        // of subjects that match no route
-	Tenant      string   `json:"tenant"`       // likewise
+	MemberFlows int      `json:"member_flows"` // capacity of a member without load reports, in flows; default 10,000
+	ConnectURLs []string `json:"connect_urls"` // addresses of other relays, advertised to clients
+	Class       string   `json:"class"`        // class of subjects that match no route
+	Tenant      string   `json:"tenant"`       // tenant of subjects that match no route
 	Routes      []Route  `json:"routes"`
 
 	TLS         *ServerTLS   `json:"tls"`          // nil: plain TCP to clients
@@ -35,18 +35,19 @@
 	Auth        *auth.Config `json:"auth"`         // nil: no authentication
 	MemberLogin *MemberLogin `json:"member_login"` // nil: the client's own credentials are forwarded
 
-	Dir            string `json:"-"` // of the file, for relative paths
-	noHealthChecks bool   // the settings allow none: load is only estimated
+	Dir            string `json:"-"` // directory of the configuration file, for relative paths
+	noHealthChecks bool   // limits.probes is false in the settings: load is only estimated
 }
 
-// Route sets the class and tenant of matching subjects; the first that matches counts.
+// Route sets the class and tenant of the subjects that match its pattern. The first matching route
+// applies.
 type Route struct {
 	Subject string `json:"subject"`
 	Class   string `json:"class"`
 	Tenant  string `json:"tenant"`
 }
 
-// intSetting is an integer of the configuration with its default and range.
+// intSetting is an integer setting with its default and its range.
 type intSetting struct {
 	key          string
 	value        *int
@@ -82,7 +83,7 @@
 	return time.Duration(c.PingIntervalMS) * time.Millisecond
 }
 
-// Validate returns what is wrong with the configuration, by its key.
+// Validate checks the configuration. The error begins with the key of the invalid value.
 func (c *Config) Validate(set *settings.Settings) error {
 	for _, s := range c.intSettings() {
 		if n := *s.value; n != 0 && (n < s.min || n > s.max) {
@@ -118,8 +119,8 @@
 	return nil
 }
 
-// AdaptSettings changes the settings for a relay whose members are all NATS servers: each member then has a load
-// report, its own or an estimate.
+// AdaptSettings changes the settings for a relay whose members are all NATS servers: each member then
+// has a load report, either its own or an estimate.
 func (c *Config) AdaptSettings(set *settings.Settings) {
 	c.noHealthChecks = !set.Limits.Probes
 	set.Limits.Probes, set.Report.Source = true, "on_probe"
--- a/internal/front/nats/errors.go
+++ b/internal/front/nats/errors.go
@@ -1,6 +1,6 @@
 package nats
 
-// protocolError is an error of the public protocol; its text follows -ERR.
+// protocolError is an error of the NATS protocol. Its text is sent to the client after -ERR.
 type protocolError string
 
 func (e protocolError) Error() string { return string(e) }
--- a/internal/front/nats/health_check.go
+++ b/internal/front/nats/health_check.go
@@ -14,7 +14,7 @@
 	"dahliarudder/policy"
 )
 
-// healthCheck is one health check of a member, on a connection of its own.
+// healthCheck is one health check of a member, on a separate connection.
 type healthCheck struct {
 	front  *Front
 	id     policy.MemberID
@@ -24,11 +24,11 @@
 	timer  *netloop.Timer
 }
 
-// checkReplySubject is where a member sends its load report.
+// healthCheckReplySubject is the reply subject of the request for a load report.
 const healthCheckReplySubject = "_dahlia.load.reply"
 
-// CheckHealth requests a load report from a member; the answer goes to the core. For a member without load
-// reports an estimate takes its place.
+// CheckHealth requests a load report from a member and passes the result to the core. For a member
+// without load reports, the load is estimated.
 func (f *Front) CheckHealth(to *core.Member) {
 	if f.noHealthChecks {
 		f.Core.ProbeResult(to.ID, policy.OK, f.loadEstimate.Report(to.ID, f.Core.FlowCount(to.ID)))
@@ -93,14 +93,14 @@
 		}
 	case opMsg:
 		h.finish(policy.OK, h.front.loadEstimate.FillMissing(parseReport(m.payload)))
-	case opHMsg: // 503: the member has no load reports
+	case opHMsg: // status 503: nobody subscribes to LoadSubject, so the member has no load reports
 		h.finishEstimated()
 	case opErr:
 		h.finish(policy.Error, policy.NoReport)
 	}
 }
 
-// sendRequest sends CONNECT and the request for the load report.
+// sendRequest sends CONNECT, the request for the load report if LoadSubject is set, and PING.
 func (h *healthCheck) sendRequest(info []byte) {
 	options := map[string]any{"verbose": false, "headers": true, "no_responders": true, "lang": "dahliarudder", "version": "1"}
 	if err := h.front.addCredentials(options, info); err != nil {
@@ -116,7 +116,7 @@
 	h.conn.Queue([]byte(out + pingLine))
 }
 
-// finishEstimated reports the estimated load.
+// finishEstimated ends the health check with the estimated load.
 func (h *healthCheck) finishEstimated() {
 	h.finish(policy.OK, h.front.loadEstimate.Report(h.id, h.front.Core.FlowCount(h.id)))
 }
@@ -135,7 +135,7 @@
 	}
 }
 
-// finish reports the result to the core, once, and closes the connection.
+// finish reports the result to the core and closes the connection. Only the first call has an effect.
 func (h *healthCheck) finish(result policy.Result, report policy.Report) {
 	if h.front.healthChecks[h.id] != h {
 		return
--- a/internal/front/nats/info.go
+++ b/internal/front/nats/info.go
@@ -14,14 +14,14 @@
 	MaxPayload int  `json:"max_payload"`
 }
 
-// advertisedInfo is the part of the relay's own INFO that depends on the members'.
+// advertisedInfo is the part of the relay's own INFO that depends on the INFO of the members.
 type advertisedInfo struct {
 	jetstream  bool
 	maxPayload int
 }
 
-// EnterLameDuck announces to clients that the relay shuts down or drains. The core then migrates their
-// subscriptions, which closes their connections; sweep closes idle clients.
+// EnterLameDuck announces to clients that the relay shuts down or drains. The core then migrates
+// their subscriptions, which closes their connections; sweep closes idle clients.
 func (f *Front) EnterLameDuck() {
 	f.lameDuck, f.lameDuckSince = true, f.Loop.Now()
 	f.broadcastInfo()
@@ -42,7 +42,7 @@
 	}
 }
 
-// infoLine is the INFO line for a client.
+// infoLine returns the INFO line for a client.
 func (f *Front) infoLine(c *client) []byte {
 	v := map[string]any{"server_id": f.Name, "server_name": f.Name, "version": "2.10.0", "proto": 1, "go": "dahliarudder",
 		"headers": true, "max_payload": f.advertised.maxPayload, "client_id": c.id, "ldm": f.lameDuck, "jetstream": f.advertised.jetstream}
@@ -60,7 +60,8 @@
 	return fmt.Appendf(nil, "INFO %s\r\n", text)
 }
 
-// updateMemberInfo records a member's INFO. If that changes what clients may do, they get INFO again.
+// updateMemberInfo records a member's INFO. If that changes what the relay advertises, clients
+// receive INFO again.
 func (f *Front) updateMemberInfo(id policy.MemberID, info []byte) {
 	received := &memberInfo{}
 	if json.Unmarshal(info, received) != nil {
--- a/internal/front/nats/link.go
+++ b/internal/front/nats/link.go
@@ -15,9 +15,9 @@
 	"dahliarudder/policy"
 )
 
-// link is a client's connection to a member. There is one for each feed, since closing it is the only way to
-// abandon messages in flight, and one for all subscriptions at the member. The member acknowledges what was sent by its
-// PONG to a following PING.
+// link is a connection to a member on behalf of one client. Each feed has a link of its own, since
+// closing the connection is the only way to abandon messages in flight; all subscriptions at the
+// member share another link. The member acknowledges what was sent by its PONG to a following PING.
 type link struct {
 	front         *Front
 	conn          *netloop.Conn
@@ -27,15 +27,15 @@
 	ready         bool       // the member has accepted CONNECT
 	infoReceived  bool
 	written       uint64   // bytes handed to the connection
-	onReady       []func() // called once it is
+	onReady       []func() // called once the link is ready
 	pongHandlers  []func() // one for each pending PING
 	fences        []*fence
 	subscriptions map[int]*subscription
-	lastSID       int           // the newest sid
-	batchedAcks   []func()      // share the PING at the end of this loop iteration
-	pingSentAt    time.Duration // when the PING of checkLiveness was sent; 0 if none is pending
-	lastPingAt    time.Duration // when the last one was
-	readPaused    bool          // reading was paused since then
+	lastSID       int           // the sid that was assigned last
+	batchedAcks   []func()      // the callbacks of the shared PING at the end of this loop iteration
+	pingSentAt    time.Duration // when checkLiveness sent the pending PING; 0 if none is pending
+	lastPingAt    time.Duration // when checkLiveness last sent a PING
+	readPaused    bool          // reading has been paused since lastPingAt
 	idleTimer     *netloop.Timer
 	closed        bool
 }
@@ -52,7 +52,7 @@
 	return l
 }
 
-// subscriptionLink finds or opens the link for the client's subscriptions at a member.
+// subscriptionLink returns the link for the client's subscriptions at a member, and opens it if needed.
 func (c *client) subscriptionLink(to *core.Member) *link {
 	for _, l := range c.links {
 		if l.publisher == nil && l.member.ID == to.ID && !l.closed {
@@ -64,7 +64,7 @@
 	return l
 }
 
-// whenReady calls f once the link is ready.
+// whenReady calls f when the link is ready, at once if it already is.
 func (l *link) whenReady(f func()) {
 	l.idleTimer.Stop()
 	if l.ready {
@@ -74,7 +74,7 @@
 	l.onReady = append(l.onReady, f)
 }
 
-// commit writes a buffer of the connection, and counts its bytes.
+// commit queues a buffer obtained from conn.Buffer, and counts its bytes.
 func (l *link) commit(out []byte) {
 	before := l.conn.Unsent()
 	l.conn.Commit(out)
@@ -89,7 +89,7 @@
 	l.pongHandlers = append(l.pongHandlers, f)
 }
 
-// afterBatchedPing does the same with one PING for all calls in this iteration of the loop.
+// afterBatchedPing is like afterPing, but all calls in the same loop iteration share one PING.
 func (l *link) afterBatchedPing(f func()) {
 	if l.batchedAcks = append(l.batchedAcks, f); len(l.batchedAcks) > 1 {
 		return
@@ -107,7 +107,8 @@
 	})
 }
 
-// addFence calls the fence's linkDone when the member has processed what was written so far, or the link is closed.
+// addFence calls the fence's linkDone when the member has processed what was written so far, or when
+// the link is closed.
 func (l *link) addFence(f *fence) {
 	l.fences = append(l.fences, f)
 	l.afterBatchedPing(func() { l.completeFence(f) })
@@ -126,7 +127,7 @@
 	return l.lastSID
 }
 
-// removeSubscription removes a sid.
+// removeSubscription removes the subscription with the given sid.
 func (l *link) removeSubscription(sid int) {
 	delete(l.subscriptions, sid)
 	l.startIdleTimer()
@@ -204,12 +205,12 @@
 	}
 }
 
-// Open implements netloop's handler. The member sends INFO first, unless TLS comes before that.
+// Open implements netloop's handler. It starts TLS if the handshake comes before the member's INFO.
 func (l *link) Open() {
 	l.front.startTLSFirst(l.conn, l.member.Addr, l.front.Core.PolicySettings().ConnectTimeout)
 }
 
-// handleInfo answers the member's INFO, after a TLS handshake if one is configured.
+// handleInfo answers the member's INFO with CONNECT, after a TLS handshake if one is configured.
 func (l *link) handleInfo(info []byte) {
 	cfg := l.front.memberTLS(l.member.Addr)
 	if cfg == nil || l.conn.IsTLS() {
@@ -222,12 +223,12 @@
 	})
 }
 
-// sendConnect sends CONNECT with the client's options, except those that are the relay's own.
+// sendConnect sends CONNECT with the client's options, except those that the relay sets itself.
 func (l *link) sendConnect(info []byte) {
 	options := map[string]any{}
 	err := errors.Join(json.Unmarshal(l.client.connect, &options), l.front.addCredentials(options, info))
 	options["verbose"], options["pedantic"], options["headers"], options["no_responders"] = false, false, true, true
-	options["echo"] = true // see originHeader
+	options["echo"] = true // the relay drops echoes itself, see originHeader
 	if _, ok := options["lang"]; !ok {
 		options["lang"], options["version"] = "dahliarudder", "1"
 	}
@@ -251,15 +252,15 @@
 	})
 }
 
-// handleError handles the member's -ERR. One that concerns a publication ends that
-// attempt; after any other that matters the member closes the connection.
+// handleError handles the member's -ERR. An error about a publication or a subscription ends that
+// attempt; after any other serious error the member closes the connection itself.
 func (l *link) handleError(text []byte) {
 	l.front.Log.WithField("member", l.member.Name).WithField("error", string(text)).Debug("member returned -ERR")
 	if l.publisher != nil {
 		l.publisher.linkError(text)
 		return
 	}
-	for sid, s := range l.subscriptions { // the text names its subject, or none
+	for sid, s := range l.subscriptions {
 		if !s.active && s.link == l && s.linkSID == sid && l.ready && errorConcerns(text, s.subject) {
 			delete(l.subscriptions, sid)
 			s.linkLost(policy.Error)
@@ -267,7 +268,8 @@
 	}
 }
 
-// errorConcerns reports whether an error's text names that subject, or is about an unnamed subscription.
+// errorConcerns reports whether an error text concerns the subscription to a subject: it names that
+// subject in quotes, or it names no subject but mentions a subscription.
 func errorConcerns(text []byte, subject string) bool {
 	_, rest, ok := bytes.Cut(text, []byte(`"`))
 	if !ok {
@@ -280,7 +282,7 @@
 // End implements netloop's handler.
 func (l *link) End(err error) { l.fail(err) }
 
-// fail closes a link that broke, and notifies its publisher or subscriptions.
+// fail closes the link after its connection has failed, and notifies its publisher or subscriptions.
 func (l *link) fail(err error) {
 	if l.closed {
 		return
@@ -290,9 +292,9 @@
 		result = policy.ConnectFailed
 	}
 	if l.infoReceived && !l.ready && errors.Is(err, io.EOF) {
-		result = policy.Error // it rejected CONNECT
+		result = policy.Error // the member rejected CONNECT
 	}
-	if errors.Is(err, netloop.ErrNoDescriptors) { // the relay's own shortage, not the member's fault
+	if errors.Is(err, netloop.ErrNoDescriptors) { // the relay is out of descriptors; the member did not fail
 		result = policy.NotSent
 	}
 	sent := l.written - min(l.written, uint64(l.conn.Unsent()))
@@ -328,7 +330,7 @@
 	}
 }
 
-// release releases what the link holds besides its connection.
+// release releases everything that the link owns except its connection.
 func (l *link) release() {
 	l.closed = true
 	l.idleTimer.Stop()
--- a/internal/front/nats/link_liveness.go
+++ b/internal/front/nats/link_liveness.go
@@ -6,10 +6,11 @@
 	"dahliarudder/internal/netloop"
 )
 
-// checkLiveness pings the member of a link with subscriptions, times its answer, and fails the link if none comes.
+// checkLiveness pings the member of a link with subscriptions at intervals, measures the response
+// time, and fails the link if no PONG arrives.
 func (l *link) checkLiveness(now time.Duration) {
 	switch {
-	case l.pingSentAt > 0 && l.client.slowSince > 0: // the link is not read
+	case l.pingSentAt > 0 && l.client.slowSince > 0: // the link is not read, so a PONG would go unnoticed
 		l.pingSentAt = now
 	case l.pingSentAt > 0 && now-l.pingSentAt > memberSilenceTimeout:
 		l.front.Log.WithField("member", l.member.Name).Warn("member has gone silent")
@@ -19,7 +20,7 @@
 		l.afterPing(func() {
 			took, valid := l.front.responseTime(l.pingSentAt)
 			l.pingSentAt = 0
-			if l.readPaused || !valid { // the answer has waited in this process
+			if l.readPaused || !valid { // the PONG may have waited in this process
 				return
 			}
 			for _, s := range l.subscriptions {
@@ -33,12 +34,12 @@
 	}
 }
 
-// maxTimedUtilization is the loop's utilization up to which members' answers are timed. Beyond it answers wait for the
-// loop, and members would be blamed for that.
+// maxTimedUtilization is the utilization of the loop up to which response times are measured. Above
+// it, responses wait for the loop, and that delay would be attributed to the members.
 const maxTimedUtilization = 0.8
 
-// responseTime is how long a member has taken for an answer, less the loop's own delay; false if the loop is too busy
-// to know.
+// responseTime returns how long a member took to respond, less the delay of the loop itself. The
+// second result is false if the loop is too busy for a valid measurement.
 func (f *Front) responseTime(since time.Duration) (time.Duration, bool) {
 	return max(f.Loop.Now()-since-2*f.Loop.LastRoundDuration(), 0), f.Loop.Utilization() < maxTimedUtilization
 }
--- a/internal/front/nats/member_auth.go
+++ b/internal/front/nats/member_auth.go
@@ -11,7 +11,7 @@
 	"dahliarudder/internal/netloop"
 )
 
-// memberTLS is the TLS configuration for a member at that address; nil for plain TCP.
+// memberTLS returns the TLS configuration for the member at addr, or nil for plain TCP.
 func (f *Front) memberTLS(addr string) *tls.Config {
 	if f.security.member == nil {
 		return nil
@@ -26,18 +26,19 @@
 	return cfg
 }
 
-// startTLSFirst starts the TLS handshake on a connection to a member if the configuration has it come before INFO.
+// startTLSFirst starts the TLS handshake on a connection to a member if it is configured to come
+// before INFO.
 func (f *Front) startTLSFirst(conn *netloop.Conn, addr string, timeout time.Duration) {
 	if cfg := f.memberTLS(addr); cfg != nil && f.MemberTLS.HandshakeFirst {
 		conn.StartTLS(cfg, true, timeout, func(tls.ConnectionState) {})
 	}
 }
 
-// addCredentials puts the relay's own login into a CONNECT if one is configured, and removes those credentials of the
-// client's that cannot be forwarded.
+// addCredentials replaces the client's credentials in the options of a CONNECT with the relay's own
+// login if one is configured. Otherwise it removes only those that cannot be forwarded.
 func (f *Front) addCredentials(connect map[string]any, info []byte) error {
 	if f.MemberLogin == nil {
-		for _, key := range []string{"nkey", "sig", "jwt"} { // the client's answers to the relay's challenge
+		for _, key := range []string{"nkey", "sig", "jwt"} { // they answer the relay's challenge, not the member's
 			delete(connect, key)
 		}
 		return nil
--- a/internal/front/nats/nats.go
+++ b/internal/front/nats/nats.go
@@ -1,6 +1,6 @@
-// Package nats is the front for the NATS client protocol. To clients the relay is a NATS server,
-// to pool members a client. The core places flows: one for a client's publications of one class and
-// tenant (a feed), and one for each subscription. Other proxies call the decision module itself by
+// Package nats is the front for the NATS client protocol. The relay is a NATS server to clients and
+// a NATS client to pool members. The core places flows: one for a client's publications of one class
+// and tenant (a feed), and one for each subscription. Other proxies call the decision module by
 // request and reply on reserved subjects. See docs/design/nats.md.
 package nats
 
@@ -20,25 +20,25 @@
 
 // Timeouts and intervals of this front.
 const (
-	connectTimeout       = 2 * time.Second        // for a client's CONNECT; 3 s are allowed
+	connectTimeout       = 2 * time.Second        // for a client's CONNECT, and for a TLS handshake; it has to be below 3 s
 	sweepInterval        = 500 * time.Millisecond // between searches for slow clients and silent members
 	memberPingInterval   = 2 * time.Second        // on links with subscriptions
-	memberSilenceTimeout = 5 * time.Second        // for a member's PONG, after which it is lost
-	linkIdleTimeout      = 5 * time.Second        // of a link without subscriptions
-	healthCheckTimeout   = 400 * time.Millisecond // of a health check
+	memberSilenceTimeout = 5 * time.Second        // for a member's PONG, after which the link is closed
+	linkIdleTimeout      = 5 * time.Second        // for a link without subscriptions
+	healthCheckTimeout   = 400 * time.Millisecond
 	resubscribeBackoff   = 150 * time.Millisecond // before a failed subscription is placed again
-	drainTimeout         = 250 * time.Millisecond // for the last messages of a member that a subscription is moved off
-	verdictRetention     = 10 * time.Second       // of a final verdict that no proxy has taken
+	drainTimeout         = 250 * time.Millisecond // for the last messages of the member that a subscription leaves
+	verdictRetention     = 10 * time.Second       // for a final verdict that no proxy has received
 )
 
-// clientHighWater is how many unsent bytes to a client stop the reading of its links.
+// clientHighWater is the number of unsent bytes to a client above which its links are not read.
 const clientHighWater = 64 << 10
 
-// linkHighWater is how many unsent bytes on a link stop its feed; one more message still fits the
-// loop's buffers.
+// linkHighWater is the number of unsent bytes on a link from which its feed stops writing. One more
+// message still fits into the loop's buffers.
 const linkHighWater = 48 << 10
 
-// unsentLimit is a limit of unsent bytes, lowered while the loop is short of buffer memory.
+// unsentLimit returns limit, or a quarter of it while the loop is short of buffer memory.
 func (f *Front) unsentLimit(limit int) int {
 	if f.Loop.MemoryPressure() {
 		return limit / 4
@@ -55,24 +55,24 @@
 	Name string
 
 	clients       map[*client]struct{}
-	proxied       map[string]*proxiedRequest // requests that proxies carry themselves, by requestKey
+	proxied       map[string]*proxiedRequest // requests whose attempts proxies make themselves, by requestKey
 	healthChecks  map[policy.MemberID]*healthCheck
 	routes        []route
 	loadEstimate  *loadestimate.Estimator
 	memberInfos   map[policy.MemberID]*memberInfo
 	advertised    advertisedInfo
 	lastClientID  uint64
-	lameDuck      bool          // the relay shuts down or is drained
-	lameDuckSince time.Duration // when that began
+	lameDuck      bool          // the relay is shutting down or draining
+	lameDuckSince time.Duration // when EnterLameDuck was called
 	Counts        Counts
 	security      *Security
-	authWorkers   sync.WaitGroup // checks passwords
+	authWorkers   sync.WaitGroup // the goroutines that check passwords
 }
 
 // Counts counts the clients and messages that this front has rejected.
 type Counts struct{ SlowConsumers, Rejected, Denied int }
 
-// route is a resolved Route.
+// route is a Route with its class and tenant resolved.
 type route struct {
 	subject string
 	to      destination
@@ -81,7 +81,7 @@
 // destination is a class and a tenant. A client has one feed for each destination that it publishes to.
 type destination struct{ class, tenant int }
 
-// New returns a front that places flows by the core.
+// New returns a front that places flows through the core.
 func New(loop *netloop.Loop, c *core.Core, log logrus.FieldLogger, name string, cfg Config, sec *Security) *Front {
 	cfg.setDefaults()
 	f := &Front{Loop: loop, Core: c, Log: log, Config: cfg, Name: name, clients: map[*client]struct{}{}, proxied: map[string]*proxiedRequest{},
@@ -119,7 +119,7 @@
 	c.timer = f.Loop.After(connectTimeout, func() { c.fail(errAuthTimeout) })
 }
 
-// destination is the class and tenant of a subject, by the first route that matches.
+// destination returns the class and tenant of a subject, by the first route that matches.
 func (f *Front) destination(subject []byte) destination {
 	for i := range f.routes {
 		if subjectMatches(f.routes[i].subject, subject) {
@@ -129,7 +129,7 @@
 	return destination{}
 }
 
-// newRequest is a request to the core.
+// newRequest returns a request to the core with the deadline of its class.
 func (f *Front) newRequest(name string, to destination) core.Request {
 	return core.Request{Name: name, Class: to.class, Tenant: to.tenant, TimeLeft: f.Core.PolicySettings().Classes[to.class].Deadline}
 }
@@ -140,8 +140,8 @@
 	return h.Sum64()
 }
 
-// sweep pings members with subscriptions, fails links on which they have gone silent, closes
-// clients that are too slow, and in lame duck mode closes idle clients.
+// sweep pings members with subscriptions, fails links whose member does not answer, closes clients
+// that are too slow, and in lame duck mode closes idle clients.
 func (f *Front) sweep() {
 	now := f.Loop.Now()
 	for c := range f.clients {
--- a/internal/front/nats/origin.go
+++ b/internal/front/nats/origin.go
@@ -5,14 +5,15 @@
 	"strconv"
 )
 
-// originHeader marks the publications of a client with echo off, so that the relay recognizes them on the client's
-// subscriptions: these use other connections to members than its feed.
+// originHeader marks the publications of a client with echo off, so that the relay can recognize and
+// drop them on the client's subscriptions: a feed and the subscriptions use different connections,
+// so the members cannot recognize them.
 const originHeader = "Dahlia-Origin: "
 
-// originID is the header's value for this client.
+// originID returns the value of originHeader for this client.
 func (c *client) originID() string { return c.front.Name + "-" + strconv.FormatUint(c.id, 10) }
 
-// addOrigin adds the origin to a publication's headers.
+// addOrigin returns a copy of a publication with originHeader added.
 func (c *client) addOrigin(m *command) *command {
 	line := originHeader + c.originID() + "\r\n"
 	marked := *m
@@ -28,7 +29,7 @@
 	return &marked
 }
 
-// removeOrigin removes the origin from a message's headers, and returns it.
+// removeOrigin removes originHeader from a message, and returns its value, or nil if it is absent.
 func removeOrigin(m *command) (origin []byte) {
 	start := bytes.Index(m.payload[:m.headerLen], []byte("\r\n"+originHeader))
 	if start < 0 {
@@ -41,8 +42,8 @@
 	}
 	origin = append(origin, m.payload[start+len(originHeader):start+end]...)
 	lineLen := end + 2
-	// The message is in the link's buffer, which is read once: the bytes before the line are
-	// moved up to its end.
+	// The message may be changed, since each byte of the link's buffer is parsed only once: the
+	// bytes before the header line are shifted over it.
 	copy(m.payload[lineLen:start+lineLen], m.payload[:start])
 	m.payload, m.headerLen = m.payload[lineLen:], m.headerLen-lineLen
 	if string(m.payload[:m.headerLen]) == "NATS/1.0\r\n\r\n" {
--- a/internal/front/nats/parse.go
+++ b/internal/front/nats/parse.go
@@ -4,13 +4,14 @@
 	"bytes"
 )
 
-// Limits of a control line. CONNECT and INFO may have maxInfo bytes.
+// Limits of a protocol line in bytes. maxInfo is the limit of CONNECT and INFO, maxControlLine the
+// default limit of the other operations.
 const (
 	maxControlLine = 4 << 10
 	maxInfo        = 32 << 10
 )
 
-// parseOperation parses the first word of a line, which is case-insensitive.
+// parseOperation parses the first word of a line. Case is ignored.
 func parseOperation(name []byte) op {
 	var upper [8]byte
 	if len(name) > len(upper) {
@@ -51,8 +52,8 @@
 	return opNone
 }
 
-// lineFields are the fields of a line behind its operation. One more than the protocol has is counted, so that
-// parsing fails.
+// lineFields are the fields of a line after its operation. values has room for more fields than any
+// operation takes; count includes fields beyond that, and parsing then fails.
 type lineFields struct {
 	values [6][]byte
 	count  int
@@ -79,8 +80,9 @@
 	return f
 }
 
-// parseCommand parses one message off b, given the maximum lengths of a control line and a payload. If used is 0 and
-// there is no error, the message is incomplete.
+// parseCommand parses the first message in b. maxLine and maxPayload are the maximum sizes of a
+// control line and a payload in bytes. used is the size of the message in b; if it is 0 and there is
+// no error, the message is incomplete.
 func parseCommand(b []byte, maxLine, maxPayload int) (m command, used int, err error) {
 	end := bytes.IndexByte(b[:min(len(b), maxInfo)], '\n')
 	if end < 0 {
@@ -140,7 +142,7 @@
 	return m, used, nil
 }
 
-// allowsLongLine reports whether b begins with an operation whose line may be long.
+// allowsLongLine reports whether b begins with CONNECT or INFO, whose lines may have maxInfo bytes.
 func allowsLongLine(b []byte) bool {
 	name, _, found := bytes.Cut(b[:min(len(b), 8)], []byte(" "))
 	o := parseOperation(name)
--- a/internal/front/nats/processor.go
+++ b/internal/front/nats/processor.go
@@ -10,14 +10,16 @@
 	"dahliarudder/policy"
 )
 
-// The reserved subjects. Subscriptions below them stand at the relay itself, not at members.
+// The reserved subjects. The relay serves subscriptions to them itself and does not place them at
+// members.
 const (
 	reservedPrefix = "_dahlia."
-	pickSubject    = reservedPrefix + "pick"   // request a verdict on a request
-	reportSubject  = reservedPrefix + "report" // report an attempt's outcome, get the next verdict
+	pickSubject    = reservedPrefix + "pick"   // opens a request; the answer is the first verdict
+	reportSubject  = reservedPrefix + "report" // reports an attempt's outcome; the answer is the next verdict
 )
 
-// pickRequest is a proxy's call for the first verdict on a request.
+// pickRequest is a proxy's call for the first verdict on a request. The name of the type appears in
+// JSON errors that are sent to proxies in verdict.Error.
 type pickRequest struct {
 	Name    string  `json:"name"`
 	Class   string  `json:"class"`
@@ -26,19 +28,20 @@
 	Group   string  `json:"group"`
 	WaitMS  float64 `json:"wait_ms"`
 	Load    float64 `json:"load"`
-	Control string  `json:"control"` // where unsolicited verdicts go
+	Control string  `json:"control"` // subject for unsolicited verdicts
 }
 
-// outcomeReport is a proxy's report of an attempt's outcome.
+// outcomeReport is a proxy's report of an attempt's outcome. The name of the type appears in JSON
+// errors that are sent to proxies in verdict.Error.
 type outcomeReport struct {
 	ID      core.ID            `json:"id"`
 	Attempt int                `json:"try"`
 	Outcome string             `json:"outcome"`
 	Load    map[string]float64 `json:"load"`
-	Message float64            `json:"message_ms"` // how long a message took on the open flow
+	Message float64            `json:"message_ms"` // the latency of a message on the open flow
 }
 
-// verdictKind is what a proxy has to do, or the state of its request.
+// verdictKind tells a proxy what to do, or the state of its request.
 type verdictKind string
 
 const (
@@ -72,24 +75,25 @@
 	outcomeMessage = "message"
 )
 
-// outcomes are the results of attempts by the names that proxies report.
+// outcomes maps the outcomes that proxies report to the results of attempts.
 var outcomes = map[string]policy.Result{
 	"ok": policy.OK, "error": policy.Error, "full": policy.Full, "timeout": policy.Timeout,
 	"connect_failed": policy.ConnectFailed, "reset": policy.Reset, "cancelled": policy.Cancelled,
 }
 
-// proxiedRequest is a request whose attempts another proxy makes itself. It is the core's downstream for that request.
+// proxiedRequest is a request whose attempts another proxy makes itself. It is the core's downstream
+// for that request.
 type proxiedRequest struct {
 	client         *client
 	requestID      core.ID
 	attempt        int
 	replySubject   string        // where the proxy awaits a verdict; empty if it does not
-	controlSubject string        // where it takes unsolicited verdicts; may be empty
-	undelivered    *verdict      // the last verdict, if there was no subject for it
+	controlSubject string        // where the proxy receives unsolicited verdicts; may be empty
+	undelivered    *verdict      // the last verdict, if there was no subject to deliver it to
 	deadline       time.Duration // of the attempt in flight
-	current        *verdict      // the last verdict, send or up, on the attempt in flight or the open flow; nil if there is none
+	current        *verdict      // the send or up verdict on the attempt in flight or the open flow; nil if there is none
 	key            string        // see requestKey
-	finished       bool          // it has its final answer
+	finished       bool          // the final answer has been given
 	expiryTimer    *netloop.Timer
 }
 
@@ -125,7 +129,7 @@
 	c.deliverLocal(command{subject: []byte(subject), payload: text})
 }
 
-// handlePick opens a request, or resumes the open one of the same key.
+// handlePick opens a request, or resumes the open request with the same key.
 func (c *client) handlePick(q pickRequest, reply string) {
 	key := c.requestKey(q.Name)
 	if p := c.front.proxied[key]; p != nil {
@@ -149,7 +153,7 @@
 	if q.Group != "" {
 		r.Group = hash(q.Group)
 	}
-	if len(c.proxied) >= c.front.MaxSubscriptions { // each takes memory until it is removed
+	if len(c.proxied) >= c.front.MaxSubscriptions { // limits the memory for requests that are not removed yet
 		c.sendVerdict(reply, verdict{Verdict: verdictReject, AfterMS: verdictRetention.Milliseconds()})
 		return
 	}
@@ -161,8 +165,8 @@
 	}
 }
 
-// requestKey identifies a request of that name among all connections of the same login. It is empty without a name:
-// such a request is never resumed.
+// requestKey returns a key that identifies the request of that name among all connections with the
+// same login. It is empty without a name: such a request is never resumed.
 func (c *client) requestKey(name string) string {
 	if name == "" {
 		return ""
@@ -173,7 +177,7 @@
 		NKey  string `json:"nkey"`
 		JWT   string `json:"jwt"`
 	}
-	json.Unmarshal(c.connect, &login) // it was valid when it came
+	json.Unmarshal(c.connect, &login) // cannot fail on syntax: handleConnect has checked it
 	text, _ := json.Marshal(login)
 	return string(text) + name
 }
@@ -189,8 +193,8 @@
 	}
 }
 
-// resume handles a repeated call for an open request, whose proxy has missed an earlier answer. It gets the current
-// verdict, or the next one.
+// resume handles a repeated call for an open request. A proxy repeats the call if it has missed an
+// earlier answer. It receives the current verdict, or the next one if there is none.
 func (p *proxiedRequest) resume(c *client, q pickRequest, reply string) {
 	delete(p.client.proxied, p.requestID)
 	p.assignTo(c)
@@ -221,7 +225,7 @@
 	}
 	result, known := outcomes[o.Outcome]
 	switch {
-	case p.undelivered != nil: // the attempt is over already
+	case p.undelivered != nil: // the attempt has ended already; this verdict follows it
 		p.replySubject = reply
 		p.deliver(*p.undelivered)
 		return
@@ -254,7 +258,8 @@
 	}
 }
 
-// deliver delivers a verdict on the subject that awaits it, or keeps it if there is none.
+// deliver delivers a verdict on the reply subject or, if the proxy awaits none there, on the control
+// subject. Without either, it stores the verdict for the proxy's next call.
 func (p *proxiedRequest) deliver(v verdict) {
 	p.undelivered = nil
 	switch {
@@ -272,7 +277,8 @@
 	}
 }
 
-// finish delivers the final verdict; one that nobody takes is retained for verdictRetention.
+// finish delivers the final verdict. If the proxy does not take it, it is dropped after
+// verdictRetention.
 func (p *proxiedRequest) finish(v verdict) {
 	p.finished, p.current = true, nil
 	p.expiryTimer.Stop()
@@ -280,7 +286,7 @@
 	p.deliver(v)
 }
 
-// remove forgets the request.
+// remove deletes the request from its client and from the front.
 func (p *proxiedRequest) remove() {
 	p.expiryTimer.Stop()
 	delete(p.client.proxied, p.requestID)
@@ -289,14 +295,15 @@
 	}
 }
 
-// Send has the proxy make an attempt. The core's timeout ends the attempt if the proxy never reports.
+// Send tells the proxy to make an attempt. If the proxy never reports, the core's timeout ends the
+// attempt.
 func (p *proxiedRequest) Send(id core.ID, to *core.Member, attempt int, wait time.Duration) {
 	v := verdict{Verdict: verdictSend, ID: id, Attempt: attempt, Member: to.Name, Addr: to.Addr, WaitMS: wait.Milliseconds()}
 	p.requestID, p.attempt, p.current, p.deadline = id, attempt, &v, p.client.front.Loop.Now()+wait
 	p.deliver(v)
 }
 
-// Cancel has the proxy abandon its attempt, if it has a control subject.
+// Cancel tells the proxy to abandon its attempt, if it has a control subject.
 func (p *proxiedRequest) Cancel(attempt int) {
 	p.current = nil
 	if p.controlSubject != "" {
@@ -304,17 +311,17 @@
 	}
 }
 
-// Reject delivers the final answer.
+// Reject delivers the final answer that the request may be retried after the given time.
 func (p *proxiedRequest) Reject(after time.Duration) {
 	p.finish(verdict{Verdict: verdictReject, ID: p.requestID, Attempt: p.attempt, AfterMS: after.Milliseconds()})
 }
 
-// Fail delivers the final answer.
+// Fail delivers the final answer that the request may have run.
 func (p *proxiedRequest) Fail() {
 	p.finish(verdict{Verdict: verdictFail, ID: p.requestID, Attempt: p.attempt})
 }
 
-// Migrate has the proxy migrate its client.
+// Migrate tells the proxy to migrate its client. That is the final answer.
 func (p *proxiedRequest) Migrate() {
 	p.finish(verdict{Verdict: verdictMove, ID: p.requestID, Attempt: p.attempt})
 }
--- a/internal/front/nats/publisher.go
+++ b/internal/front/nats/publisher.go
@@ -11,8 +11,8 @@
 	"dahliarudder/policy"
 )
 
-// publisher is the wire's side of a feed: it carries messages to a member and what became of
-// them to the client.
+// publisher is the protocol side of a feed: it sends messages to a member and reports their final
+// answers to the client.
 type publisher struct {
 	client         *client
 	destination    destination
@@ -23,8 +23,8 @@
 	nextReplySID   int // next sid for a reply subject
 }
 
-// publish hands a publication to its feed; it returns false if the feed is full, or subscriptions before it
-// are pending.
+// publish passes a publication to its feed. It returns false if the feed is full or earlier
+// subscriptions are pending.
 func (c *client) publish(m *command) bool {
 	switch {
 	case m.headerLen > 0 && !c.options.Headers:
@@ -75,10 +75,11 @@
 	return true
 }
 
-// authorizedPublisher finds the publisher for a subject that is not cached; if the client may not publish to it, the
-// client gets an error, and the result is nil.
+// authorizedPublisher returns the publisher for a subject that is not in the cache. If the client may
+// not publish to the subject, it sends an error to the client and returns nil.
 func (c *client) authorizedPublisher(subject []byte) *publisher {
-	if c.options.Pedantic && !validSubject(subject, false) { // other clients may publish to wildcards, as key-value watches do
+	// Clients that are not pedantic may publish to wildcards, as key-value watches do.
+	if c.options.Pedantic && !validSubject(subject, false) {
 		c.sendError(string(errInvalidPublish))
 		return nil
 	}
@@ -89,15 +90,15 @@
 		c.denyPublish(subject)
 		return nil
 	}
-	return c.publisherTo(c.front.destination(subject)) // allowed this once, so not cached
+	return c.publisherTo(c.front.destination(subject)) // only this reply is allowed, so it is not cached
 }
 
-// denyPublish reports a subject that the client may not publish to.
+// denyPublish sends the error for a subject that the client may not publish to.
 func (c *client) denyPublish(subject []byte) {
 	c.sendError(fmt.Sprintf("Permissions Violation for Publish to %q", subject))
 }
 
-// publisherFor finds the publisher for a subject, and caches it.
+// publisherFor returns the publisher for a subject, and caches it.
 func (c *client) publisherFor(subject []byte) *publisher {
 	p := c.publisherTo(c.front.destination(subject))
 	if len(c.publisherCache) >= maxCachedSubjects || c.publisherCache == nil {
@@ -108,7 +109,7 @@
 	return p
 }
 
-// publisherTo finds or creates the client's publisher to a destination.
+// publisherTo returns the client's publisher to a destination, and creates it if needed.
 func (c *client) publisherTo(to destination) *publisher {
 	for _, p := range c.publishers {
 		if p.destination == to {
@@ -122,16 +123,16 @@
 	return p
 }
 
-// Connect opens a link for a new flow.
+// Connect opens the link of a new flow.
 func (p *publisher) Connect(to *core.Member, _ time.Duration) {
 	p.unpinged, p.oldestReplySID = 0, p.nextReplySID
 	p.link = p.client.dial(to, p)
 }
 
-// linkReady notifies the feed that the link has its connection.
+// linkReady notifies the feed that the link is established.
 func (p *publisher) linkReady() { p.feed.Connected() }
 
-// linkLost notifies the feed that the link is gone, and how many of its bytes had been sent.
+// linkLost notifies the feed that the link has ended, and how many bytes were sent on it.
 func (p *publisher) linkLost(result policy.Result, sent uint64) {
 	p.link = nil
 	p.feed.Disconnected(result, sent)
@@ -139,8 +140,8 @@
 
 // linkError handles the member's -ERR.
 func (p *publisher) linkError(text []byte) {
-	// Only an error with a subject in quotes concerns one message; after others the member closes the
-	// connection.
+	// Only an error with a subject in quotes concerns one message; after other errors the member
+	// closes the connection.
 	if _, rest, ok := bytes.Cut(text, []byte(`"`)); ok {
 		if subject, _, ok := bytes.Cut(rest, []byte(`"`)); ok {
 			p.feed.MessageRejected(subjectHash(subject))
@@ -148,13 +149,15 @@
 	}
 }
 
-// Writable reports whether the link has sent most of what it was given; if not, the feed's OnWritable follows.
+// Writable reports whether the link takes more bytes now. If not, the feed's OnWritable is called when
+// the link has sent what was written.
 func (p *publisher) Writable() bool {
 	return p.link.conn.Unsent() < p.client.front.unsentLimit(linkHighWater)
 }
 
-// WriteMessage writes a message to the link. It subscribes to the reply subject if the client wants to know that there
-// are no responders: members report that on the publishing connection only.
+// WriteMessage writes a message to the link. If the client wants to be notified that there are no
+// responders, it subscribes to the reply subject first: members send that status on the publishing
+// connection only.
 func (p *publisher) WriteMessage(text []byte, m *window.Message) {
 	l := p.link
 	if m.ReplyExpected {
@@ -172,7 +175,7 @@
 	}
 }
 
-// requestAck requests the acknowledgement of all messages of this loop iteration.
+// requestAck sends the PING whose answer acknowledges all messages of this loop iteration.
 func (p *publisher) requestAck(l *link) {
 	if p.link != l || p.unpinged == 0 {
 		return
@@ -196,14 +199,14 @@
 	})
 }
 
-// handleStatus forwards the status that a message's subject has no responders.
+// handleStatus forwards a member's status that a message has no responders.
 func (p *publisher) handleStatus(m *command) {
 	if m.headerLen > 0 && bytes.HasPrefix(m.payload, []byte("NATS/1.0 503")) {
 		p.client.deliverLocal(*m)
 	}
 }
 
-// Disconnect resets the link, if there is one, and returns how many of its bytes had been sent.
+// Disconnect resets the link, if there is one, and returns how many bytes were sent on it.
 func (p *publisher) Disconnect() uint64 {
 	l := p.link
 	if l == nil {
@@ -215,8 +218,8 @@
 	return sent
 }
 
-// Answer reports the final answer of a message to the client. For one that was served there is only the +OK of a
-// verbose client.
+// Answer reports the final answer of a message to the client. The only report of a served message is
+// the +OK to a verbose client.
 func (p *publisher) Answer(m *window.Message, text []byte, a core.Answer, after time.Duration) {
 	c := p.client
 	c.scheduleResume()
@@ -224,7 +227,7 @@
 		return
 	}
 	c.front.Counts.Rejected++
-	for i := range c.responses { // its +OK will not come
+	for i := range c.responses { // a message that was not served gets no +OK
 		if r := &c.responses[i]; r.seq == m.Sequence && r.text == okLine {
 			r.text = ""
 			break
@@ -232,7 +235,7 @@
 	}
 	reason := "failed"
 	if a == core.Rejected {
-		reason = fmt.Sprintf("rejected, come again in %d ms", after.Milliseconds())
+		reason = fmt.Sprintf("rejected, come again in %d ms", after.Milliseconds()) // the client may retry then
 	}
 	publication, _, err := parseCommand(text, len(text)+1, len(text))
 	if err != nil {
@@ -242,7 +245,7 @@
 		c.deliverStatus(publication.reply, "503 "+reason)
 		return
 	}
-	// The one kind of error after which clients keep the connection.
+	// Permissions Violation is the only kind of error after which clients keep the connection.
 	c.sendError(fmt.Sprintf("Permissions Violation for Publish to %q: %s", publication.subject, reason))
 }
 
--- a/internal/front/nats/responses.go
+++ b/internal/front/nats/responses.go
@@ -1,27 +1,27 @@
 package nats
 
 // response is the answer to a command. Responses are sent in the order of the commands, each once
-// its conditions hold.
+// the conditions in its fields hold.
 type response struct {
 	seq          uint64        // publications up to this one have their final answer
-	subscription *subscription // this subscription is acknowledged
-	untilEnded   bool          // the subscription has ended, instead
-	// What members have sent to the client by then goes first: a publication and the
-	// subscription that receives it are on different links.
+	subscription *subscription // this subscription is acknowledged; nil for no condition
+	untilEnded   bool          // the subscription has ended, instead of being acknowledged
+	// fence: the messages that members sent before they answered a PING have arrived. It is needed
+	// since a publication and the subscription that receives it are on different links.
 	fence bool
-	text  string
-	then  func()
+	text  string // sent to the client; may be empty
+	then  func() // called after that; may be nil
 }
 
-// fence waits until a PING on each link with subscriptions is answered. Members had taken the publications up to
-// seq before it began, so their messages precede the answers.
+// fence waits until each link with subscriptions has answered a PING. Members have accepted the
+// publications up to seq before the fence starts, so the resulting messages precede the answers.
 type fence struct {
 	client    *client
 	seq       uint64
 	remaining int
 }
 
-// linkDone records that one link has answered.
+// linkDone records that one link has answered or is closed.
 func (f *fence) linkDone() {
 	if f.remaining--; f.remaining == 0 {
 		f.client.fencedSeq, f.client.fenceActive = f.seq, false
@@ -29,8 +29,8 @@
 	}
 }
 
-// ensureFenced reports whether the messages caused by the publications up to seq have arrived on all links. If not, it
-// starts a fence, which calls scheduleResume.
+// ensureFenced reports whether the messages caused by the publications up to seq have arrived on all
+// links. If not, it starts a fence, which calls scheduleResume when it is complete.
 func (c *client) ensureFenced(seq uint64) bool {
 	if c.fencedSeq >= seq {
 		return true
@@ -54,7 +54,7 @@
 	return false
 }
 
-// scheduleResume has the loop send the responses that are due and resume the commands that wait.
+// scheduleResume schedules a call that sends the responses that are due and resumes commands that wait.
 func (c *client) scheduleResume() {
 	if c.resumeScheduled || c.closed {
 		return
@@ -75,8 +75,8 @@
 	return c.pendingSubscribes == 0 && len(c.responses) == 0 && c.oldestUnanswered() > c.publishSeq
 }
 
-// oldestUnanswered is the sequence number of the oldest publication without a final answer, or the next one if there is
-// none.
+// oldestUnanswered returns the sequence number of the oldest publication without a final answer, or
+// the next sequence number if there is none.
 func (c *client) oldestUnanswered() uint64 {
 	oldest := c.publishSeq + 1
 	for _, p := range c.publishers {
@@ -87,7 +87,8 @@
 	return oldest
 }
 
-// subscriptionSettled reports whether the response's subscription is in the state that the response waits for.
+// subscriptionSettled reports whether the response's subscription is in the state that the response
+// waits for.
 func (r *response) subscriptionSettled() bool {
 	s := r.subscription
 	return s.acknowledged && !r.untilEnded || s.ended && !s.draining
@@ -120,7 +121,7 @@
 	}
 }
 
-// respond queues a response behind all commands so far.
+// respond queues a response after the responses to all earlier commands.
 func (c *client) respond(r response) {
 	r.seq = c.publishSeq
 	if c.responses = append(c.responses, r); len(c.responses) == 1 {
@@ -128,7 +129,7 @@
 	}
 }
 
-// respondOK answers a command of a verbose client.
+// respondOK queues +OK if the client is verbose.
 func (c *client) respondOK() {
 	if c.options.Verbose {
 		c.respond(response{text: okLine})
--- a/internal/front/nats/security.go
+++ b/internal/front/nats/security.go
@@ -20,16 +20,16 @@
 type ServerTLS struct {
 	Cert           string `json:"cert"`
 	Key            string `json:"key"`
-	ClientCA       string `json:"client_ca"`       // issuer of clients' certificates
-	Verify         bool   `json:"verify"`          // clients have to present one
-	HandshakeFirst bool   `json:"handshake_first"` // before INFO
+	ClientCA       string `json:"client_ca"`       // file of the CA certificates for clients' certificates
+	Verify         bool   `json:"verify"`          // clients must present a certificate
+	HandshakeFirst bool   `json:"handshake_first"` // the handshake comes before INFO
 	Optional       bool   `json:"optional"`        // clients may use plain TCP
-	MinVersion     string `json:"min_version"`     // "1.2" or "1.3"; 1.2 if empty
+	MinVersion     string `json:"min_version"`     // "1.2" or "1.3"; default 1.2
 }
 
 // MemberTLS configures TLS with members.
 type MemberTLS struct {
-	CA             string `json:"ca"` // the system's if empty
+	CA             string `json:"ca"` // file of the CA certificates; the system's if empty
 	Cert           string `json:"cert"`
 	Key            string `json:"key"`
 	ServerName     string `json:"server_name"` // the member's address if empty
@@ -43,7 +43,7 @@
 	Password        string `json:"password"`
 	Token           string `json:"token"`
 	NKeySeedFile    string `json:"nkey_seed_file"`
-	CredentialsFile string `json:"credentials_file"` // a user's JWT and seed
+	CredentialsFile string `json:"credentials_file"` // contains a user's JWT and seed
 }
 
 // Security is the content of the files that a Config names. It can be reloaded while the relay runs.
@@ -53,10 +53,10 @@
 	authenticator *auth.Authenticator // nil: no authentication
 	nkey          nkeys.KeyPair
 	jwt           string
-	authQueue     chan func() // to the workers that check passwords
+	authQueue     chan func() // tasks of the workers that check passwords
 }
 
-// LoadSecurity reads the files that the configuration names. Errors name the key.
+// LoadSecurity reads the files that the configuration names. Errors begin with the key.
 func (c *Config) LoadSecurity() (*Security, error) {
 	s := &Security{}
 	if t := c.TLS; t != nil {
@@ -109,10 +109,10 @@
 	return filepath.Join(c.Dir, path)
 }
 
-// tlsFiles are the paths of one side's certificate, key and authorities; empty where the key is absent.
+// tlsFiles are the paths of a certificate, its key and the CA certificates; empty if not configured.
 type tlsFiles struct{ cert, key, ca string }
 
-// loadTLS loads one side's certificate and authorities. Errors name the key below section.
+// loadTLS loads the files of one TLS section of the configuration. Errors begin with the key.
 func loadTLS(section string, files tlsFiles, caKey, minVersion string, required bool) (*tls.Config, *x509.CertPool, error) {
 	cfg, err := loadKeyPair(section, files.cert, files.key, minVersion, required)
 	if err != nil {
@@ -122,7 +122,8 @@
 	return cfg, ca, err
 }
 
-// loadKeyPair loads a certificate with its key.
+// loadKeyPair loads a certificate with its key. If neither is configured, that is an error only if
+// required is set.
 func loadKeyPair(section, cert, key, minVersion string, required bool) (*tls.Config, error) {
 	cfg := &tls.Config{MinVersion: tls.VersionTLS12}
 	switch minVersion {
--- a/internal/front/nats/subject.go
+++ b/internal/front/nats/subject.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// hashSeed is random for each process: the hashes never leave it.
+// hashSeed is random for each process. The hashes do not leave the process.
 var hashSeed = maphash.MakeSeed()
 
 func subjectHash(subject []byte) uint64 { return maphash.Bytes(hashSeed, subject) }
 
-// validSubject reports whether s may be published to or, with wild, subscribed to.
+// validSubject reports whether s may be published to or, if wildcards is set, subscribed to.
 func validSubject[T string | []byte](s T, wildcards bool) bool {
 	start := 0
 	for i := 0; i <= len(s); i++ {
@@ -52,5 +52,5 @@
 	return p > len(pattern) && s > len(subject)
 }
 
-// isReserved reports whether a subject is the relay's own.
+// isReserved reports whether the relay itself serves a subject.
 func isReserved(subject []byte) bool { return strings.HasPrefix(string(subject), reservedPrefix) }
--- a/internal/front/nats/subscription.go
+++ b/internal/front/nats/subscription.go
@@ -10,36 +10,37 @@
 	"dahliarudder/policy"
 )
 
-// subscription is a subscription: a flow that stays. While its client holds it, the relay places it
-// again whenever it is moved, refused or its member is lost, each time as a new request.
+// subscription is a client's subscription, a flow that stays open. Until the client unsubscribes, the
+// relay places it again whenever it is migrated, is rejected or loses its member, each time as a new
+// request.
 type subscription struct {
 	client          *client
 	sid             string
 	subject         string
 	queue           string
-	maxMessages     int  // messages after which it ends; 0 for none
-	delivered       int  // messages so far
-	deliveredBefore int  // messages before it came to its member
-	local           bool // on the relay's own subjects
-	filtered        bool // its client may not see some of the matching messages
-	acknowledged    bool // it has been active, or its client got an error that it is not yet
+	maxMessages     int  // number of messages after which it ends; 0 for no limit
+	delivered       int  // number of messages delivered so far
+	deliveredBefore int  // number of messages delivered before it was sent to its current member
+	local           bool // the subject is reserved
+	filtered        bool // the client may not receive some of the matching messages
+	acknowledged    bool // it has been active or has ended, or the client got an error that it is pending
 	wasActive       bool // it has been active at some member
-	warned          bool // its client got an error since it was last active
+	warned          bool // the client got an error since it was last active
 	requestID       core.ID
 	attempt         int
 	link            *link
-	linkSID         int           // its sid there
-	active          bool          // its member has acknowledged it
-	pendingSince    time.Duration // when it was created, or lost its member
+	linkSID         int           // its sid on link
+	active          bool          // the member has acknowledged it
+	pendingSince    time.Duration // when it was created or lost its member
 	retryTimer      *netloop.Timer
 	ended           bool
 
-	// The member that the subscription is moved off delivers its last messages before another gets it.
+	// The previous member delivers its last messages before the subscription is sent to another one.
 	oldLink    *link
 	oldLinkSID int
 	drainTimer *netloop.Timer
-	afterDrain func() // called once that is done
-	draining   bool   // the subscription has ended, except for that
+	afterDrain func() // called when the previous member has delivered its last messages
+	draining   bool   // the subscription has ended, but its last messages are still delivered
 }
 
 // subscribe handles SUB.
@@ -56,7 +57,7 @@
 		c.sendError(text)
 		return
 	}
-	if c.subscriptions[string(m.sid)] != nil { // as at a NATS server: the first one stays
+	if c.subscriptions[string(m.sid)] != nil { // as on a NATS server, the first subscription stays
 		c.respondOK()
 		return
 	}
@@ -94,7 +95,8 @@
 		s.end() // before it was ever active
 		c.respondOK()
 	default:
-		// Earlier publications still count for it; later ones wait until the limit holds.
+		// Messages of earlier publications are still delivered; later publications wait until the
+		// limit is set.
 		limit := m.maxMessages
 		c.pendingSubscribes++
 		c.respond(response{subscription: s, fence: true, then: func() {
@@ -106,7 +108,7 @@
 	}
 }
 
-// place has the core place the subscription.
+// place requests a member for the subscription from the core.
 func (s *subscription) place() {
 	if s.ended {
 		return
@@ -121,7 +123,7 @@
 	s.requestID = f.Core.Open(request, s)
 }
 
-// Send subscribes at a member.
+// Send subscribes at a member when its link is ready and the previous member has drained.
 func (s *subscription) Send(id core.ID, to *core.Member, attempt int, _ time.Duration) {
 	s.requestID, s.attempt = id, attempt
 	l := s.client.subscriptionLink(to)
@@ -137,13 +139,13 @@
 	})
 }
 
-// subscribeAt sends SUB to the member, once the previous one has delivered its last messages.
+// subscribeAt sends SUB to the member. The previous member must have drained.
 func (s *subscription) subscribeAt(l *link) {
 	s.afterDrain = nil
 	if s.link != l {
 		return
 	}
-	if !s.client.front.Core.MaySend(s.requestID, s.attempt) { // the member has gone while the connection was being set up
+	if !s.client.front.Core.MaySend(s.requestID, s.attempt) { // e.g. the member left during the connection set-up
 		l.removeSubscription(s.linkSID)
 		s.linkLost(policy.NotSent)
 		return
@@ -166,7 +168,7 @@
 	})
 }
 
-// acknowledge resumes the publications that wait for the subscription.
+// acknowledge marks the subscription as acknowledged and resumes the publications that wait for it.
 func (s *subscription) acknowledge() {
 	if !s.acknowledged {
 		s.acknowledged = true
@@ -176,7 +178,8 @@
 	}
 }
 
-// leaveMember unsubscribes at the member, but still delivers what the member sends until it has processed that.
+// leaveMember unsubscribes at the member. Messages that the member sends before it has processed that
+// are still delivered, until drainTimeout.
 func (s *subscription) leaveMember() {
 	l := s.link
 	if l == nil {
@@ -216,7 +219,7 @@
 	}
 }
 
-// Cancel abandons the attempt, or the subscription at its member.
+// Cancel abandons the attempt, or ends the active subscription at its member.
 func (s *subscription) Cancel(int) {
 	if l := s.link; l != nil {
 		if l.ready {
@@ -227,19 +230,19 @@
 	}
 }
 
-// Migrate moves the subscription to another member; in lame duck mode it closes the client instead, which then
-// connects to another relay.
+// Migrate moves the subscription to another member. In lame duck mode it closes the client instead,
+// which then connects to another relay.
 func (s *subscription) Migrate() {
 	s.leaveMember()
 	if s.client.front.lameDuck {
-		s.client.front.Loop.After(0, s.client.close) // the client connects to another relay
+		s.client.front.Loop.After(0, s.client.close)
 		return
 	}
 	s.pendingSince = s.client.front.Loop.Now()
 	s.placeAfter(0)
 }
 
-// placeAfter places the subscription again, after the core is done with its last request.
+// placeAfter places the subscription again, once the core has finished its last request.
 func (s *subscription) placeAfter(after time.Duration) {
 	s.retryTimer.Stop()
 	s.retryTimer = s.client.front.Loop.After(after, s.place)
@@ -251,8 +254,8 @@
 // Fail retries after a fixed backoff.
 func (s *subscription) Fail() { s.retry(resubscribeBackoff) }
 
-// retry places the subscription again until the client unsubscribes. The client gets one error when the
-// subscription has been inactive for its class's deadline.
+// retry places the subscription again until the client unsubscribes. The client gets one error when
+// the subscription has been inactive for the deadline of its class.
 func (s *subscription) retry(after time.Duration) {
 	f := s.client.front
 	if f.lameDuck {
@@ -262,13 +265,14 @@
 	if to := f.destination([]byte(s.subject)); !s.warned && f.Loop.Now()+after-s.pendingSince >= f.Core.PolicySettings().Classes[to.class].Deadline {
 		s.warned = true
 		f.Counts.Rejected++
+		// "asked for again" means that the relay retries the subscription after that time.
 		s.client.sendError(fmt.Sprintf("Permissions Violation for Subscription to %q: rejected, asked for again in %d ms", s.subject, after.Milliseconds()))
 		s.acknowledge()
 	}
 	s.placeAfter(max(after, resubscribeBackoff))
 }
 
-// linkLost ends the attempt, or the active subscription, when the link is gone.
+// linkLost ends the attempt, or the active subscription, after the link has ended.
 func (s *subscription) linkLost(result policy.Result) {
 	wasActive := s.active
 	s.link, s.active, s.afterDrain = nil, false, nil
@@ -301,16 +305,16 @@
 	s.countDelivered()
 }
 
-// countDelivered counts a delivered message, and ends the subscription after
-// its last one.
+// countDelivered counts a delivered message, and ends the subscription after the last one.
 func (s *subscription) countDelivered() {
 	if s.delivered++; s.maxMessages > 0 && s.delivered >= s.maxMessages && !s.ended {
-		s.maxMessages = -1 // the member has ended it too
+		s.maxMessages = -1 // the member has ended it as well
 		s.end()
 	}
 }
 
-// setMaxMessages applies the client's UNSUB.
+// setMaxMessages applies the limit of the client's UNSUB. The subscription ends at once if the limit is
+// 0 or has been reached.
 func (s *subscription) setMaxMessages(limit int) {
 	if s.ended {
 		return
@@ -333,7 +337,7 @@
 	}
 }
 
-// end ends the subscription. Each path that ends one leads here.
+// end ends the subscription. Every path that ends a subscription calls it.
 func (s *subscription) end() {
 	if s.ended {
 		return
