--- a/internal/front/nats/client_auth.go
+++ b/internal/front/nats/client_auth.go
@@ -111,7 +111,7 @@
 		}
 		if err != nil {
 			c.front.Counts.Denied++
-			c.front.Log.WithError(err).WithField("client", c.remote).Info("denied")
+			c.front.Log.WithError(err).WithField("client", c.remote).Info("client authentication failed")
 			if errors.Is(err, auth.ErrExpired) {
 				c.fail(errAuthExpired)
 			} else {
--- a/internal/front/nats/config.go
+++ b/internal/front/nats/config.go
@@ -91,10 +91,10 @@
 		}
 	}
 	if c.LoadSubject != "" && !validSubject(c.LoadSubject, false) {
-		return fmt.Errorf("load_subject: %q is no subject", c.LoadSubject)
+		return fmt.Errorf("load_subject: %q is not a valid subject without wildcards", c.LoadSubject)
 	}
 	if c.LoadSubject != "" && !set.Limits.Probes {
-		return fmt.Errorf("load_subject: settings.limits.probes is false, so that nothing would ask there")
+		return fmt.Errorf("load_subject: settings.limits.probes is false, so no load reports would be requested")
 	}
 	for i, u := range c.ConnectURLs {
 		if _, err := netip.ParseAddrPort(u); err != nil {
@@ -107,7 +107,7 @@
 			prefix = fmt.Sprintf("routes[%d].", i-1)
 		}
 		if !validSubject(r.Subject, true) {
-			return fmt.Errorf("%ssubject: %q is no subject", prefix, r.Subject)
+			return fmt.Errorf("%ssubject: %q is not a valid subject", prefix, r.Subject)
 		}
 		if _, ok := set.Class(r.Class); r.Class != "" && !ok {
 			return fmt.Errorf("%sclass: unknown class %q", prefix, r.Class)
--- a/internal/front/nats/link_liveness.go
+++ b/internal/front/nats/link_liveness.go
@@ -13,7 +13,7 @@
 	case l.pingSentAt > 0 && l.client.slowSince > 0: // the link is not read, so a PONG would go unnoticed
 		l.pingSentAt = now
 	case l.pingSentAt > 0 && now-l.pingSentAt > memberSilenceTimeout:
-		l.front.Log.WithField("member", l.member.Name).Warn("member has gone silent")
+		l.front.Log.WithField("member", l.member.Name).Warn("member did not answer PING; closing its connection")
 		l.fail(netloop.ErrDialTimeout)
 	case l.pingSentAt == 0 && l.ready && len(l.subscriptions) > 0 && now-l.lastPingAt >= memberPingInterval:
 		l.pingSentAt, l.lastPingAt, l.readPaused = now, now, false
--- a/internal/front/nats/security.go
+++ b/internal/front/nats/security.go
@@ -67,9 +67,9 @@
 		cfg.ClientCAs = ca
 		switch {
 		case t.Verify && cfg.ClientCAs == nil:
-			return nil, errors.New("tls.verify: needs tls.client_ca")
+			return nil, errors.New("tls.verify: requires tls.client_ca")
 		case t.Optional && t.HandshakeFirst:
-			return nil, errors.New("tls.optional: cannot be with tls.handshake_first")
+			return nil, errors.New("tls.optional: cannot be combined with tls.handshake_first")
 		case t.Verify:
 			cfg.ClientAuth = tls.RequireAndVerifyClientCert
 		case cfg.ClientCAs != nil:
@@ -146,7 +146,7 @@
 		return nil, fmt.Errorf("%s.cert: %w", section, err)
 	}
 	if c.Leaf != nil && time.Now().After(c.Leaf.NotAfter) {
-		return nil, fmt.Errorf("%s.cert: has expired on %s", section, c.Leaf.NotAfter.Format(time.DateOnly))
+		return nil, fmt.Errorf("%s.cert: certificate expired on %s", section, c.Leaf.NotAfter.Format(time.DateOnly))
 	}
 	cfg.Certificates = []tls.Certificate{c}
 	return cfg, nil
@@ -163,7 +163,7 @@
 	}
 	p := x509.NewCertPool()
 	if !p.AppendCertsFromPEM(text) {
-		return nil, fmt.Errorf("%s: %s holds no certificate", configKey, path)
+		return nil, fmt.Errorf("%s: %s contains no PEM certificate", configKey, path)
 	}
 	return p, nil
 }
