--- a/internal/front/nats/config_test.go
+++ b/internal/front/nats/config_test.go
@@ -10,7 +10,7 @@
 	"dahliarudder/internal/settings"
 )
 
-// TestConfigErrors: each fault of the configuration is named by its key.
+// TestConfigErrors checks that the error for an invalid value begins with the key of the value.
 func TestConfigErrors(t *testing.T) {
 	set, err := settings.Decode([]byte(`{"classes":[{"name":"pay"}],"tenants":[{"name":"water"}],"limits":{"probes":false}}`))
 	if err != nil {
@@ -51,7 +51,7 @@
 	} {
 		c := &Config{}
 		if err := json.Unmarshal([]byte("{"+text+"}"), c); err != nil {
-			t.Fatal(text, err)
+			t.Fatalf("json.Unmarshal({%s}) = %v", text, err)
 		}
 		c.Dir = dir
 		err := c.Validate(set)
@@ -60,9 +60,9 @@
 		}
 		switch {
 		case key == "" && err != nil:
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("%s: Validate or LoadSecurity = %v, want no error", text, err)
 		case key != "" && (err == nil || !strings.HasPrefix(err.Error(), key)):
-			t.Errorf("%s: %v, want %s", text, err, key)
+			t.Errorf("%s: Validate or LoadSecurity = %v, want an error that begins with %q", text, err, key)
 		}
 	}
 }
--- a/internal/front/nats/nats_test.go
+++ b/internal/front/nats/nats_test.go
@@ -11,8 +11,8 @@
 	"dahliarudder/internal/netloop/looptest"
 )
 
-// FuzzParse: a stream of messages is read the same however it is cut up, and what
-// was read can be written and read again.
+// FuzzParse checks that a stream of messages is parsed the same however it is split into chunks, and
+// that a parsed message can be encoded and parsed again.
 func FuzzParse(f *testing.F) {
 	for _, s := range []string{
 		"PUB a.b 5\r\nhello\r\nPING\r\n", "pub a inbox 0\r\n\r\n", "HPUB a 12 14\r\nNATS/1.0\r\n\r\nhi\r\n",
@@ -37,7 +37,7 @@
 						reparsed, n, err := parseCommand(m.appendMessage(nil, "1"), maxControlLine, 1024)
 						if err != nil || n == 0 || string(reparsed.payload) != string(m.payload) || reparsed.headerLen != m.headerLen ||
 							string(reparsed.subject) != string(m.subject) || string(reparsed.reply) != string(m.reply) {
-							t.Fatalf("%+v was written and read as %+v, %v", m, reparsed, err)
+							t.Fatalf("%+v encoded and parsed again = %+v, error %v", m, reparsed, err)
 						}
 					}
 					out += fmt.Sprintf("%d %q %q %q %q %q %q %d %d\n", m.op, m.args, m.subject, m.sid, m.reply, m.queue, m.payload, m.maxMessages, m.headerLen)
@@ -49,12 +49,13 @@
 		whole, wholeErr := parseAll(len(text) + 1)
 		chunked, chunkedErr := parseAll(int(step)%7 + 1)
 		if whole != chunked || (wholeErr == nil) != (chunkedErr == nil) {
-			t.Errorf("uncut: %s%v\ncut: %s%v", whole, wholeErr, chunked, chunkedErr)
+			t.Errorf("parsed whole: %s%v\nparsed in chunks: %s%v", whole, wholeErr, chunked, chunkedErr)
 		}
 	})
 }
 
-// TestSubjects: the wildcards of subscriptions.
+// TestSubjects checks the matching of wildcards, the validation of subjects, and the payload limit of
+// a publication.
 func TestSubjects(t *testing.T) {
 	for pattern, want := range map[string]string{
 		"a.b": "a.b", "a.*": "a.b a.c", "a.>": "a.b a.c a.b.c", ">": "a a.b a.c a.b.c", "*": "a", "*.b": "a.b",
@@ -66,23 +67,23 @@
 			}
 		}
 		if strings.Join(got, " ") != want {
-			t.Errorf("%s matches %v, want %s", pattern, got, want)
+			t.Errorf("subjects that match %s = %v, want %s", pattern, got, want)
 		}
 	}
 	for s, want := range map[string]bool{"a.b": true, "a..b": false, "": false, "a.*": false, "a.>": false} {
 		if validSubject(s, false) != want {
-			t.Errorf("%q: valid %v", s, !want)
+			t.Errorf("validSubject(%q, false) = %v, want %v", s, !want, want)
 		}
 	}
 	if !validSubject("a.*.>", true) || validSubject("a.>.b", true) {
-		t.Error("wildcards")
+		t.Error("validSubject with wildcards: want a.*.> valid and a.>.b invalid")
 	}
 	if _, _, err := parseCommand([]byte("PUB a 2000\r\n"), maxControlLine, 1024); !errors.Is(err, errMaxPayload) {
-		t.Errorf("payload over the limit: %v", err)
+		t.Errorf("parseCommand with a payload over the limit: error %v, want %v", err, errMaxPayload)
 	}
 }
 
-// testFront is a front before members that the test plays, and its client.
+// testFront is a front with one connected client. The test plays the client and the members.
 type testFront struct {
 	*looptest.Relay
 	client *looptest.Peer
@@ -98,22 +99,23 @@
 	return s
 }
 
-// acceptLink takes in the next connection to a member and greets it.
+// acceptLink accepts the next connection to any member and answers its CONNECT. It returns the index
+// of the member and the connection.
 func (s *testFront) acceptLink(step time.Duration) (int, *looptest.Peer) {
 	s.T.Helper()
 	i, m := s.AcceptAny(step)
 	m.Send("INFO {\"headers\":true}\r\n")
 	if got := m.ReadLine(); !strings.HasPrefix(got, "CONNECT {") {
-		s.T.Fatalf("got %q", got)
+		s.T.Fatalf("first line to the member = %q, want CONNECT", got)
 	}
 	m.ExpectLines("PING")
 	m.Send("PONG\r\n")
 	return i, m
 }
 
-// TestDrainMovesSubscription: the clock stands still from the update that a member drains until
-// its subscription has moved to another one, so the 250 ms are met; the
-// member never has to end anything itself, and it is never active at two members at once.
+// TestDrainMovesSubscription checks that a subscription leaves a draining member at once: the clock
+// stands still until it has moved to another member, so the limit of 250 ms is met. The relay ends it
+// with UNSUB, without help from the member, and it is never active at two members at once.
 func TestDrainMovesSubscription(t *testing.T) {
 	s := newTestFront(t, 2)
 	s.client.Send("SUB feed q 7\r\n")
@@ -123,25 +125,26 @@
 	s.client.ExpectLines("+OK", "MSG feed 7 2", "hi")
 	s.Drain(i)
 	m.ExpectLines("UNSUB 1", "PING")
-	m.Send("MSG feed 1 4\r\nsent\r\n") // before it knew
+	m.Send("MSG feed 1 4\r\nsent\r\n") // sent before the member processed UNSUB
 	s.client.ExpectLines("MSG feed 7 4", "sent")
 	j, n := s.acceptLink(0)
 	if j == i {
-		t.Fatal("placed on the draining member again")
+		t.Fatal("the subscription was placed on the draining member again")
 	}
 	n.Send("PING\r\n")
-	n.ExpectLines("PONG")                      // and nothing else, while it is active at the first
-	m.Send("PONG\r\nMSG feed 1 4\r\nlate\r\n") // now it is no longer active there
+	n.ExpectLines("PONG")                      // and no SUB while the subscription is active at the first member
+	m.Send("PONG\r\nMSG feed 1 4\r\nlate\r\n") // the PONG ends the subscription there, so the message is dropped
 	n.ExpectLines("SUB feed q 1", "PING")
 	n.Send("PONG\r\nMSG feed 1 3\r\nnew\r\n")
 	s.client.ExpectLines("MSG feed 7 3", "new")
 	if c := s.Core.Counts; c.Requests != 2 || c.Served != 2 || c.Migrations != 1 {
-		t.Errorf("%+v", c)
+		t.Errorf("core counts = %+v, want 2 requests, 2 served, 1 migration", c)
 	}
 }
 
-// TestPublishRetry: after a fast failure, and after silence, the next attempt
-// starts only when the last one is over, its connection ended.
+// TestPublishRetry checks that a publication is attempted again after its connection has failed, and
+// that the relay closes the connection of an attempt that the member does not answer, so that the
+// attempt is over before the next one starts.
 func TestPublishRetry(t *testing.T) {
 	s := newTestFront(t, 3)
 	s.client.Send("PUB job 1\r\nx\r\nPING\r\n")
@@ -153,19 +156,19 @@
 	n.Send("PONG\r\n")
 	s.client.ExpectLines("+OK", "PONG")
 	if c := s.Core.Counts.Messages; c.Attempts != 2 || c.Served != 1 || c.Retried != 1 {
-		t.Errorf("%+v", c)
+		t.Errorf("message counts = %+v, want 2 attempts, 1 served, 1 retried", c)
 	}
 	s.client.Send("PUB job 1\r\ny\r\n")
 	silent := n
 	silent.ExpectLines("PUB job 1", "y", "PING")
-	s.WaitFor("the end of the silent attempt", func() bool {
+	s.WaitFor("the end of the connection of the unanswered attempt", func() bool {
 		s.Advance(10 * time.Millisecond)
 		silent.Poll()
 		return silent.EndErr != nil
 	})
 }
 
-// TestLinkLost: subscriptions on a connection that breaks are placed again.
+// TestLinkLost checks that a subscription is placed again when its connection to the member breaks.
 func TestLinkLost(t *testing.T) {
 	s := newTestFront(t, 2)
 	s.client.Send("SUB feed 7\r\n")
@@ -180,8 +183,8 @@
 	s.client.ExpectLines("MSG feed 7 2", "hi")
 }
 
-// TestConnectTimeout: a client that sends no CONNECT, or half of one, gets an error well before
-// 3 s; who has connected stays.
+// TestConnectTimeout checks that a client that has not sent a complete CONNECT gets an error after
+// connectTimeout, well before 3 s, and that a client that has connected stays.
 func TestConnectTimeout(t *testing.T) {
 	s := newTestFront(t, 1)
 	f := New(s.Loop, s.Core, s.Log, "n0", Config{Class: "pay", Tenant: "water"}, &Security{})
@@ -195,8 +198,8 @@
 	s.client.ExpectLines("PONG")
 }
 
-// TestLameDuck: a drained relay sends its clients INFO, closes the idle ones
-// once they have had time to react, and resumed in time closes none.
+// TestLameDuck checks that a draining relay sends INFO to its clients and closes idle clients after
+// they have had time to react, and that it closes none if it resumes before that.
 func TestLameDuck(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	f := New(r.Loop, r.Core, r.Log, "n0", Config{Class: "pay", Tenant: "water"}, &Security{})
@@ -204,7 +207,7 @@
 	expectLameDuck := func(ldm bool) {
 		t.Helper()
 		if line := c.ReadLine(); !strings.Contains(line, fmt.Sprintf(`"ldm":%v`, ldm)) {
-			t.Fatalf("got %q, want ldm %v", line, ldm)
+			t.Fatalf("INFO = %q, want ldm %v", line, ldm)
 		}
 	}
 	expectLameDuck(false)
@@ -225,33 +228,33 @@
 	c.ExpectEOF()
 }
 
-// TestMemberLeftWhileConnecting: a member that has left while the connection to it was being set up gets no
-// subscription; another one is.
+// TestMemberLeftWhileConnecting checks that a member that leaves while the connection to it is being
+// set up receives no subscription, and that the subscription is placed at another member.
 func TestMemberLeftWhileConnecting(t *testing.T) {
 	s := newTestFront(t, 2)
 	s.client.Send("SUB a.b 1\r\n")
 	first, m := s.AcceptAny(0)
 	m.Send("INFO {\"headers\":true}\r\n")
 	if got := m.ReadLine(); !strings.HasPrefix(got, "CONNECT {") {
-		t.Fatalf("got %q", got)
+		t.Fatalf("first line to the member = %q, want CONNECT", got)
 	}
 	m.ExpectLines("PING")
-	s.Drain(first) // before the member has confirmed
+	s.Drain(first) // before the member has answered the PING after CONNECT
 	m.Send("PONG\r\n")
 	second, other := s.acceptLink(0)
 	if second == first {
-		t.Fatal("the member that has left is connected to again")
+		t.Fatal("the relay connected again to the member that has left")
 	}
 	if got := other.ReadLine(); !strings.HasPrefix(got, "SUB a.b ") {
-		t.Fatalf("got %q", got)
+		t.Fatalf("first line to the other member = %q, want SUB a.b", got)
 	}
 	if m.Poll(); strings.Contains(string(m.Received), "SUB") {
-		t.Errorf("the member that has left got %q", m.Received)
+		t.Errorf("the member that has left received %q, want no SUB", m.Received)
 	}
 }
 
-// TestHealthCheckRequestsLoad: the request for a member's load is a complete message without a payload, by which the member's
-// next command is read as it is.
+// TestHealthCheckRequestsLoad checks that the request for a member's load report is a complete message
+// with an empty payload, so that the member does not take the following command for the payload.
 func TestHealthCheckRequestsLoad(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	f := New(r.Loop, r.Core, r.Log, "n0", Config{Class: "pay", Tenant: "water", LoadSubject: "node.load"}, &Security{})
@@ -259,9 +262,9 @@
 	_, m := r.AcceptAny(0)
 	m.Send("INFO {\"headers\":true}\r\n")
 	if got := m.ReadLine(); !strings.HasPrefix(got, "CONNECT {") {
-		t.Fatalf("got %q", got)
+		t.Fatalf("first line to the member = %q, want CONNECT", got)
 	}
 	m.ExpectLines("SUB "+healthCheckReplySubject+" 1", "PUB node.load "+healthCheckReplySubject+" 0", "", "PING")
 	m.Send("MSG " + healthCheckReplySubject + " 1 9\r\n{\"x0\":0.5}\r\n")
-	r.WaitFor("the answer", func() bool { return len(f.healthChecks) == 0 })
+	r.WaitFor("the end of the health check", func() bool { return len(f.healthChecks) == 0 })
 }
