--- a/internal/front/nats/health_check.go
+++ b/internal/front/nats/health_check.go
@@ -85,8 +85,8 @@
 			}
 		})
 	case opPong:
-		if took, valid := h.front.responseTime(h.sentAt); valid {
-			h.front.loadEstimate.ObserveLatency(h.id, took)
+		if latency, valid := h.front.responseTime(h.sentAt); valid {
+			h.front.loadEstimate.ObserveLatency(h.id, latency)
 		}
 		if h.front.LoadSubject == "" {
 			h.finishEstimated()
--- a/internal/front/nats/info.go
+++ b/internal/front/nats/info.go
@@ -44,19 +44,19 @@
 
 // infoLine returns the INFO line for a client.
 func (f *Front) infoLine(c *client) []byte {
-	v := map[string]any{"server_id": f.Name, "server_name": f.Name, "version": "2.10.0", "proto": 1, "go": "dahliarudder",
+	fields := map[string]any{"server_id": f.Name, "server_name": f.Name, "version": "2.10.0", "proto": 1, "go": "dahliarudder",
 		"headers": true, "max_payload": f.advertised.maxPayload, "client_id": c.id, "ldm": f.lameDuck, "jetstream": f.advertised.jetstream}
 	if host, port, ok := strings.Cut(c.local, ":"); ok && !strings.Contains(port, ":") {
-		v["host"], v["port"] = host, json.Number(port)
+		fields["host"], fields["port"] = host, json.Number(port)
 	}
 	if c.remote != "" {
-		v["client_ip"] = c.remote
+		fields["client_ip"] = c.remote
 	}
-	f.addSecurityInfo(c, v)
+	f.addSecurityInfo(c, fields)
 	if len(f.ConnectURLs) > 0 {
-		v["connect_urls"] = f.ConnectURLs
+		fields["connect_urls"] = f.ConnectURLs
 	}
-	text, _ := json.Marshal(v)
+	text, _ := json.Marshal(fields)
 	return fmt.Appendf(nil, "INFO %s\r\n", text)
 }
 
--- a/internal/front/nats/link_liveness.go
+++ b/internal/front/nats/link_liveness.go
@@ -18,18 +18,18 @@
 	case l.pingSentAt == 0 && l.ready && len(l.subscriptions) > 0 && now-l.lastPingAt >= memberPingInterval:
 		l.pingSentAt, l.lastPingAt, l.readPaused = now, now, false
 		l.afterPing(func() {
-			took, valid := l.front.responseTime(l.pingSentAt)
+			latency, valid := l.front.responseTime(l.pingSentAt)
 			l.pingSentAt = 0
 			if l.readPaused || !valid { // the PONG may have waited in this process
 				return
 			}
 			for _, s := range l.subscriptions {
 				if s.active {
-					l.front.Core.ObserveMessageLatency(s.requestID, took)
+					l.front.Core.ObserveMessageLatency(s.requestID, latency)
 					break
 				}
 			}
-			l.front.loadEstimate.ObserveLatency(l.member.ID, took)
+			l.front.loadEstimate.ObserveLatency(l.member.ID, latency)
 		})
 	}
 }
