--- a/internal/front/nats/client_auth.go
+++ b/internal/front/nats/client_auth.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// authWorkers check passwords, each a tenth of a second of work; authQueueSize clients may wait for
-	// them, and further ones are rejected at once.
+	// authWorkers is the number of goroutines that check passwords; a check takes about 0.1 s.
+	// Up to authQueueSize clients wait for them, and further ones are rejected at once.
 	authWorkers   = 2
 	authQueueSize = 256
 )
 
-// ReloadSecurity replaces the security files' content. Authenticated clients stay connected.
+// ReloadSecurity replaces the content of the security files and starts the workers that check
+// passwords. Clients that are already authenticated stay connected.
 func (f *Front) ReloadSecurity(s *Security) {
 	f.stopAuthWorkers()
 	if s.authenticator != nil {
@@ -33,45 +34,47 @@
 	f.security = s
 }
 
-// stopAuthWorkers closes the queue of the workers that check passwords: they finish it and exit.
+// stopAuthWorkers closes the queue of the workers that check passwords. They finish the queued
+// checks and exit.
 func (f *Front) stopAuthWorkers() {
 	if f.security != nil && f.security.authQueue != nil {
 		close(f.security.authQueue)
 	}
 }
 
-// Close ends the goroutines of the front once its loop has ended, and waits for them.
+// Close stops the goroutines of the front and waits for them. The loop must have ended.
 func (f *Front) Close() {
 	f.stopAuthWorkers()
 	f.authWorkers.Wait()
 }
 
 // addSecurityInfo adds the TLS and authentication options to INFO.
-func (f *Front) addSecurityInfo(c *client, v map[string]any) {
+func (f *Front) addSecurityInfo(c *client, info map[string]any) {
 	if f.security.server != nil {
-		v["tls_required"] = !f.TLS.Optional
+		info["tls_required"] = !f.TLS.Optional
 		if f.TLS.Optional {
-			v["tls_available"] = true
+			info["tls_available"] = true
 		}
 		if f.TLS.Verify {
-			v["tls_verify"] = true
+			info["tls_verify"] = true
 		}
 	}
 	if f.security.authenticator != nil {
-		v["auth_required"] = true
+		info["auth_required"] = true
 		if f.security.authenticator.RequiresNonce() {
 			if c.nonce == "" {
 				var b [16]byte
 				rand.Read(b[:])
 				c.nonce = base64.RawURLEncoding.EncodeToString(b[:])
 			}
-			v["nonce"] = c.nonce
+			info["nonce"] = c.nonce
 		}
 	}
 }
 
-// checkTLS starts TLS if a client's first byte begins a handshake, and rejects the client if it does not but has to. It
-// reports whether the client's bytes may be read as they are.
+// checkTLS inspects the first byte of a client. It starts TLS if the byte begins a handshake, and
+// rejects the client if it does not although TLS is required. It reports whether the client's bytes
+// may be parsed as they are.
 func (c *client) checkTLS(first byte) bool {
 	c.tlsChecked = true
 	const handshakeRecord = 0x16 // the first byte of a TLS handshake
@@ -89,11 +92,12 @@
 	return false
 }
 
-// authenticate checks a client's credentials, on a worker if that takes long, and then calls then.
-func (c *client) authenticate(connect []byte, then func()) {
+// authenticate checks a client's credentials, on a worker if that takes long, and calls onSuccess if
+// they are valid.
+func (c *client) authenticate(connect []byte, onSuccess func()) {
 	authenticator := c.front.security.authenticator
 	if authenticator == nil {
-		then()
+		onSuccess()
 		return
 	}
 	claims, err := auth.ParseConnect(connect)
@@ -107,7 +111,7 @@
 		}
 		if err != nil {
 			c.front.Counts.Denied++
-			c.front.Log.WithError(err).WithField("client", c.remote).Info("denied")
+			c.front.Log.WithError(err).WithField("client", c.remote).Info("client authentication failed")
 			if errors.Is(err, auth.ErrExpired) {
 				c.fail(errAuthExpired)
 			} else {
@@ -120,7 +124,7 @@
 		if !id.Expires.IsZero() {
 			c.expiryTimer = c.front.Loop.After(time.Until(id.Expires), func() { c.fail(errAuthExpired) })
 		}
-		then()
+		onSuccess()
 	}
 	if !authenticator.UsesBcrypt(claims) {
 		decide(authenticator.Authenticate(claims, c.nonce, time.Now()))
@@ -142,7 +146,8 @@
 	}
 }
 
-// canPublish reports whether the client may publish to a subject.
+// canPublish reports whether the client may publish to a subject, by its permissions or as a reply
+// to a request that it has received. It counts the reply.
 func (c *client) canPublish(subject []byte) bool {
 	if c.permissions == nil || c.permissions.CanPublish(string(subject)) {
 		return true
--- a/internal/front/nats/health_check.go
+++ b/internal/front/nats/health_check.go
@@ -14,7 +14,7 @@
 	"dahliarudder/policy"
 )
 
-// healthCheck is one health check of a member, on a connection of its own.
+// healthCheck is one health check of a member, on a separate connection.
 type healthCheck struct {
 	front  *Front
 	id     policy.MemberID
@@ -24,11 +24,11 @@
 	timer  *netloop.Timer
 }
 
-// checkReplySubject is where a member sends its load report.
-const checkReplySubject = "_dahlia.load.reply"
+// healthCheckReplySubject is the reply subject of the request for a load report.
+const healthCheckReplySubject = "_dahlia.load.reply"
 
-// CheckHealth requests a load report from a member; the answer goes to the core. For a member without load
-// reports an estimate takes its place.
+// CheckHealth requests a load report from a member and passes the result to the core. For a member
+// without load reports, the load is estimated.
 func (f *Front) CheckHealth(to *core.Member) {
 	if f.noHealthChecks {
 		f.Core.ProbeResult(to.ID, policy.OK, f.loadEstimate.Report(to.ID, f.Core.FlowCount(to.ID)))
@@ -39,13 +39,13 @@
 	}
 	h := &healthCheck{front: f, id: to.ID, addr: to.Addr}
 	f.healthChecks[to.ID] = h
-	h.timer = f.Loop.After(checkTimeout, func() { h.finish(policy.Timeout, policy.NoReport) })
+	h.timer = f.Loop.After(healthCheckTimeout, func() { h.finish(policy.Timeout, policy.NoReport) })
 	h.conn = f.Loop.Dial(to.Addr, f.Core.PolicySettings().ConnectTimeout, h)
 }
 
 // Open implements netloop's handler.
 func (h *healthCheck) Open() {
-	h.front.startTLSFirst(h.conn, h.addr, checkTimeout)
+	h.front.startTLSFirst(h.conn, h.addr, healthCheckTimeout)
 }
 
 // Drained implements netloop's handler.
@@ -55,7 +55,7 @@
 func (h *healthCheck) Data(b []byte) int {
 	used := 0
 	for h.front.healthChecks[h.id] == h {
-		m, n, err := parseCommand(b[used:], maxControl, netloop.DefaultReadLimit)
+		m, n, err := parseCommand(b[used:], maxControlLine, netloop.DefaultReadLimit)
 		if err != nil {
 			h.finish(policy.Error, policy.NoReport)
 		}
@@ -81,26 +81,26 @@
 		h.conn.PauseReading()
 		h.front.Loop.After(0, func() {
 			if h.front.healthChecks[h.id] == h {
-				h.conn.StartTLS(cfg, true, checkTimeout, func(tls.ConnectionState) { h.sendRequest(info) })
+				h.conn.StartTLS(cfg, true, healthCheckTimeout, func(tls.ConnectionState) { h.sendRequest(info) })
 			}
 		})
 	case opPong:
-		if took, known := h.front.answerTime(h.sentAt); known {
-			h.front.loadEstimate.ObserveLatency(h.id, took)
+		if latency, valid := h.front.responseTime(h.sentAt); valid {
+			h.front.loadEstimate.ObserveLatency(h.id, latency)
 		}
 		if h.front.LoadSubject == "" {
 			h.finishEstimated()
 		}
 	case opMsg:
 		h.finish(policy.OK, h.front.loadEstimate.FillMissing(parseReport(m.payload)))
-	case opHMsg: // 503: the member has no load reports
+	case opHMsg: // status 503: nobody subscribes to LoadSubject, so the member has no load reports
 		h.finishEstimated()
 	case opErr:
 		h.finish(policy.Error, policy.NoReport)
 	}
 }
 
-// sendRequest sends CONNECT and the request for the load report.
+// sendRequest sends CONNECT, the request for the load report if LoadSubject is set, and PING.
 func (h *healthCheck) sendRequest(info []byte) {
 	options := map[string]any{"verbose": false, "headers": true, "no_responders": true, "lang": "dahliarudder", "version": "1"}
 	if err := h.front.addCredentials(options, info); err != nil {
@@ -110,13 +110,13 @@
 	text, _ := json.Marshal(options)
 	out := fmt.Sprintf("CONNECT %s\r\n", text)
 	if h.front.LoadSubject != "" {
-		out += fmt.Sprintf("SUB %s 1\r\nPUB %s %s 0\r\n\r\n", checkReplySubject, h.front.LoadSubject, checkReplySubject)
+		out += fmt.Sprintf("SUB %s 1\r\nPUB %s %s 0\r\n\r\n", healthCheckReplySubject, h.front.LoadSubject, healthCheckReplySubject)
 	}
 	h.sentAt = h.front.Loop.Now()
 	h.conn.Queue([]byte(out + pingLine))
 }
 
-// finishEstimated reports the estimated load.
+// finishEstimated ends the health check with the estimated load.
 func (h *healthCheck) finishEstimated() {
 	h.finish(policy.OK, h.front.loadEstimate.Report(h.id, h.front.Core.FlowCount(h.id)))
 }
@@ -135,7 +135,7 @@
 	}
 }
 
-// finish reports the result to the core, once, and closes the connection.
+// finish reports the result to the core and closes the connection. Only the first call has an effect.
 func (h *healthCheck) finish(result policy.Result, report policy.Report) {
 	if h.front.healthChecks[h.id] != h {
 		return
