--- a/internal/front/line/attempt_test.go
+++ b/internal/front/line/attempt_test.go
@@ -11,17 +11,17 @@
 )
 
 // expectFinished waits until the relay has ended a connection.
-func (g *rig) expectFinished(p *looptest.Peer) {
+func (g *rig) waitClosed(p *looptest.Peer) {
 	g.T.Helper()
 	g.WaitFor("the end", func() bool { p.Poll(); return p.EndErr != nil })
 }
 
 // late is what a member sends when nobody may be listening any more.
-func late(m *looptest.Peer, text string) { m.Write([]byte(text)) }
+func writeIgnoringError(m *looptest.Peer, text string) { m.Write([]byte(text)) }
 
 // badAnswers is what a member may do instead of answering well, and the result of the attempt then.
 var badAnswers = map[string]struct {
-	does func(g *rig, m *looptest.Peer)
+	act  func(g *rig, m *looptest.Peer)
 	want policy.Result
 }{
 	"resets":                      {func(_ *rig, m *looptest.Peer) { m.Reset() }, policy.Reset},
@@ -29,9 +29,9 @@
 	"resets after half a line":    {func(g *rig, m *looptest.Peer) { m.Send("UP"); g.RunOnce(); m.Reset() }, policy.Reset},
 	"ends after half a line":      {func(_ *rig, m *looptest.Peer) { m.Send("UP x"); m.CloseWrite() }, policy.Reset},
 	"ends within its CRLF":        {func(_ *rig, m *looptest.Peer) { m.Send("UP x\r"); m.CloseWrite() }, policy.Reset},
-	"says nothing":                {func(g *rig, m *looptest.Peer) { g.passTimeout(m) }, policy.Timeout},
-	"says half a line":            {func(g *rig, m *looptest.Peer) { m.Send("UP x"); g.RunOnce(); g.passTimeout(m) }, policy.Timeout},
-	"says UP once it is too late": {func(g *rig, m *looptest.Peer) { g.passTimeout(m); late(m, "UP x\r\n") }, policy.Timeout},
+	"says nothing":                {func(g *rig, m *looptest.Peer) { g.advanceUntilClosed(m) }, policy.Timeout},
+	"says half a line":            {func(g *rig, m *looptest.Peer) { m.Send("UP x"); g.RunOnce(); g.advanceUntilClosed(m) }, policy.Timeout},
+	"says UP once it is too late": {func(g *rig, m *looptest.Peer) { g.advanceUntilClosed(m); writeIgnoringError(m, "UP x\r\n") }, policy.Timeout},
 	"says a line over the bound":  {func(_ *rig, m *looptest.Peer) { m.Send("UP " + strings.Repeat("x", maxLineBytes) + "\r\n") }, policy.Error},
 	"says a line without end":     {func(_ *rig, m *looptest.Peer) { m.Send(strings.Repeat("x", 64*maxLineBytes)) }, policy.Error},
 	"says UP without CR":          {func(_ *rig, m *looptest.Peer) { m.Send("UP x\n") }, policy.Error},
@@ -40,22 +40,22 @@
 	"says UPPER":                  {func(_ *rig, m *looptest.Peer) { m.Send("UPPER x\r\n") }, policy.Error},
 	"says ERR":                    {func(_ *rig, m *looptest.Peer) { m.Send("ERR\r\n") }, policy.Error},
 	"says ERR and UP":             {func(_ *rig, m *looptest.Peer) { m.Send("ERR\r\nUP x\r\n") }, policy.Error},
-	"says ERR, and UP later":      {func(g *rig, m *looptest.Peer) { m.Send("ERR\r\n"); g.RunOnce(); late(m, "UP x\r\n") }, policy.Error},
+	"says ERR, and UP later":      {func(g *rig, m *looptest.Peer) { m.Send("ERR\r\n"); g.RunOnce(); writeIgnoringError(m, "UP x\r\n") }, policy.Error},
 	"says BUSY":                   {func(_ *rig, m *looptest.Peer) { m.Send("BUSY\r\n") }, policy.Full},
 	"says BUSY and UP":            {func(_ *rig, m *looptest.Peer) { m.Send("BUSY\r\nUP x\r\n") }, policy.Full},
-	"says BUSY, and UP later":     {func(g *rig, m *looptest.Peer) { m.Send("BUSY\r\n"); g.RunOnce(); late(m, "UP x\r\n") }, policy.Full},
-	"says BUSY in pieces":         {func(g *rig, m *looptest.Peer) { g.pieces(m, "BUSY\r\n") }, policy.Full},
+	"says BUSY, and UP later":     {func(g *rig, m *looptest.Peer) { m.Send("BUSY\r\n"); g.RunOnce(); writeIgnoringError(m, "UP x\r\n") }, policy.Full},
+	"says BUSY in pieces":         {func(g *rig, m *looptest.Peer) { g.sendByteByByte(m, "BUSY\r\n") }, policy.Full},
 	"says MOVE":                   {func(_ *rig, m *looptest.Peer) { m.Send("MOVE\r\n") }, policy.Cancelled},
 }
 
 // passTimeout passes the time of the attempt that is out.
-func (g *rig) passTimeout(m *looptest.Peer) {
+func (g *rig) advanceUntilClosed(m *looptest.Peer) {
 	g.T.Helper()
 	g.WaitFor("the end of the attempt", func() bool { g.Advance(10 * time.Millisecond); m.Poll(); return m.EndErr != nil })
 }
 
 // pieces sends text byte by byte, with a loop iteration after each.
-func (g *rig) pieces(p *looptest.Peer, text string) {
+func (g *rig) sendByteByByte(p *looptest.Peer, text string) {
 	for i := range text {
 		p.Send(text[i : i+1])
 		g.RunOnce()
@@ -65,32 +65,32 @@
 // TestAttempts: whatever a member does in the place of answering well, the attempt has the one result that it should,
 // the next one goes out when this one is over, and the client gets the one answer that the next member gives.
 func TestAttempts(t *testing.T) {
-	for name, one := range badAnswers {
+	for name, tc := range badAnswers {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 2)
-			var ended results
-			g.Core.Recorder = &ended
+			var results resultRecorder
+			g.Core.Recorder = &results
 			c := g.sendRequest(firstLine)
-			at, m := g.anyAttempt()
-			one.does(g, m)
+			at, m := g.acceptAnyAttempt()
+			tc.act(g, m)
 			g.WaitFor("the next attempt", func() bool { g.Advance(time.Millisecond); return g.Core.Counts.Attempts == 2 })
-			if len(ended) != 1 || ended[0] != one.want {
-				t.Errorf("results %v, want %v", ended, one.want)
+			if len(results) != 1 || results[0] != tc.want {
+				t.Errorf("results %v, want %v", results, tc.want)
 			}
-			if one.want != policy.Reset { // its own end
-				g.expectFinished(m)
+			if tc.want != policy.Reset { // its own end
+				g.waitClosed(m)
 			}
-			next := g.attempt(1 - at)
+			next := g.acceptAttempt(1 - at)
 			if c.Poll(); len(c.Received) > 0 {
 				t.Errorf("the client got %q", c.Received)
 			}
-			late(m, "UP late\r\n")
+			writeIgnoringError(m, "UP late\r\n")
 			g.RunOnce()
 			next.Send("UP y\r\n")
 			c.ExpectLines("UP y")
 			next.CloseWrite()
 			c.ExpectEOF()
-			g.clean()
+			g.expectNoLeaks()
 			if n := g.Core.Counts; n.Served != 1 || n.Rejected+n.Failed+n.ClientsGone != 0 || n.Attempts != 2 {
 				t.Errorf("%+v", n)
 			}
@@ -101,25 +101,25 @@
 // TestAttemptsExhausted: where every member does so, the client gets one complete answer in time, after at most as many
 // attempts as are allowed, never two out.
 func TestAttemptsExhausted(t *testing.T) {
-	for name, one := range badAnswers {
+	for name, tc := range badAnswers {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 2)
 			c := g.sendRequest(firstLine)
 			until := g.Now() + 1900*time.Millisecond
 			for g.Core.ActiveRequests() > 0 {
-				out := 0
-				for i := range g.servers {
-					out += g.Core.FlowCount(policy.MemberID(i + 1))
+				inFlight := 0
+				for i := range g.fakeMembers {
+					inFlight += g.Core.FlowCount(policy.MemberID(i + 1))
 				}
-				if out > 1 {
-					t.Fatalf("%d attempts are out", out)
+				if inFlight > 1 {
+					t.Fatalf("%d attempts are out", inFlight)
 				}
-				if out == 0 {
+				if inFlight == 0 {
 					g.Advance(time.Millisecond)
 				} else {
-					_, m := g.anyAttempt()
+					_, m := g.acceptAnyAttempt()
 					before := g.Core.Counts.Attempts
-					one.does(g, m)
+					tc.act(g, m)
 					g.WaitFor("the result", func() bool {
 						g.RunOnce()
 						return g.Core.ActiveRequests() == 0 || g.Core.Counts.Attempts > before || g.Core.FlowCount(1)+g.Core.FlowCount(2) == 0
@@ -133,7 +133,7 @@
 				t.Errorf("got %q", got)
 			}
 			c.ExpectEOF()
-			g.clean()
+			g.expectNoLeaks()
 			if n := g.Core.Counts; n.Attempts > 3 || n.Rejected+n.Failed != 1 {
 				t.Errorf("%+v", n)
 			}
@@ -144,9 +144,9 @@
 // TestAttemptConnectionRefused: members that refuse connections cost attempts and no second answer.
 func TestAttemptConnectionRefused(t *testing.T) {
 	g := newRig(t, 2)
-	var ended results
-	g.Core.Recorder = &ended
-	for _, s := range g.servers {
+	var results resultRecorder
+	g.Core.Recorder = &results
+	for _, s := range g.fakeMembers {
 		s.Listener.Close()
 	}
 	c := g.sendRequest(firstLine)
@@ -155,14 +155,14 @@
 		t.Errorf("got %q", got)
 	}
 	c.ExpectEOF()
-	g.clean()
-	for _, result := range ended {
+	g.expectNoLeaks()
+	for _, result := range results {
 		if result != policy.ConnectFailed {
-			t.Errorf("results %v", ended)
+			t.Errorf("results %v", results)
 		}
 	}
-	if len(ended) == 0 || len(ended) > 3 {
-		t.Errorf("%d attempts", len(ended))
+	if len(results) == 0 || len(results) > 3 {
+		t.Errorf("%d attempts", len(results))
 	}
 }
 
@@ -170,24 +170,24 @@
 // round in which its time is up is used.
 func TestAttemptConnectsLate(t *testing.T) {
 	g := newRig(t, 0)
-	var ended results
-	g.Core.Recorder = &ended
-	g.addMember(fullQueue(t))
+	var results resultRecorder
+	g.Core.Recorder = &results
+	g.addMember(fullBacklogAddr(t))
 	c := g.sendRequest(firstLine)
-	g.Advance(g.f.connectTimeout)
-	if len(ended) == 0 || ended[0] != policy.ConnectFailed {
-		t.Errorf("results %v", ended)
+	g.Advance(g.front.connectTimeout)
+	if len(results) == 0 || results[0] != policy.ConnectFailed {
+		t.Errorf("results %v", results)
 	}
 	g.WaitFor("the answer", func() bool { g.Advance(10 * time.Millisecond); return g.Core.ActiveRequests() == 0 })
 	if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
 		t.Errorf("got %q", got)
 	}
-	g.clean()
+	g.expectNoLeaks()
 
 	g = newRig(t, 1)
 	c = g.sendRequest(firstLine)
-	g.Advance(g.f.connectTimeout)
-	g.attempt(0).Send("UP x\r\n")
+	g.Advance(g.front.connectTimeout)
+	g.acceptAttempt(0).Send("UP x\r\n")
 	c.ExpectLines("UP x")
 	if g.Core.Counts.Attempts != 1 {
 		t.Errorf("%+v", g.Core.Counts)
@@ -196,20 +196,20 @@
 
 // TestAnswersAfterUp: what follows UP is the flow's and passes unchanged, another UP too; it is no second answer.
 func TestAnswersAfterUp(t *testing.T) {
-	for _, more := range []string{"UP x\r\n", "BUSY\r\n", "ERR\r\n"} {
-		for _, once := range []bool{true, false} {
+	for _, after := range []string{"UP x\r\n", "BUSY\r\n", "ERR\r\n"} {
+		for _, together := range []bool{true, false} {
 			g := newRig(t, 1)
 			c := g.sendRequest(firstLine)
-			m := g.attempt(0)
-			if once {
-				m.Send("UP x\r\n" + more)
+			m := g.acceptAttempt(0)
+			if together {
+				m.Send("UP x\r\n" + after)
 			} else {
 				m.Send("UP x\r\n")
 				c.ExpectLines("UP x")
-				m.Send(more)
+				m.Send(after)
 				c.Received = append([]byte("UP x\r\n"), c.Received...)
 			}
-			c.Expect("UP x\r\n" + more)
+			c.Expect("UP x\r\n" + after)
 			if n := g.Core.Counts; n.Served != 1 || n.Attempts != 1 || g.Core.ActiveRequests() != 1 {
 				t.Errorf("%+v", n)
 			}
@@ -221,12 +221,12 @@
 // asked to retry.
 func TestAttemptWithoutDescriptor(t *testing.T) {
 	g := newRig(t, 1)
-	var ended results
-	g.Core.Recorder = &ended
-	saw := 0
+	var results resultRecorder
+	g.Core.Recorder = &results
+	memberFaults := 0
 	g.Core.OnResult = func(_ *core.Member, result policy.Result) {
 		if result != policy.NotSent {
-			saw++
+			memberFaults++
 		}
 	}
 	g.Core.PauseDispatch()
@@ -237,7 +237,7 @@
 	if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
 		t.Errorf("got %q", got)
 	}
-	if len(ended) == 0 || ended[0] != policy.NotSent || saw != 0 {
-		t.Errorf("results %v, %d blamed", ended, saw)
+	if len(results) == 0 || results[0] != policy.NotSent || memberFaults != 0 {
+		t.Errorf("results %v, %d blamed", results, memberFaults)
 	}
 }
--- a/internal/front/line/client.go
+++ b/internal/front/line/client.go
@@ -154,7 +154,7 @@
 		return err
 	}
 	if c.front.requests[line.id] != nil || c.front.remoteIDs[line.id] {
-		return malformed(duplicateID, "the id of an open request")
+		return malformedf(duplicateID, "the id of an open request")
 	}
 	c.openLine = line
 	c.handle(eventOpen)
@@ -203,11 +203,11 @@
 }
 
 // Send implements core.Downstream: it starts an attempt at a member.
-func (c *clientConn) Send(id core.ID, to *core.Member, attempt int, wait time.Duration) {
+func (c *clientConn) Send(id core.ID, member *core.Member, attempt int, wait time.Duration) {
 	c.requestID = id
-	u := &upstream{client: c, member: to, attempt: attempt, deadline: c.front.Loop.Now() + wait, report: policy.NoReport}
+	u := &upstream{client: c, member: member, attempt: attempt, deadline: c.front.Loop.Now() + wait, report: policy.NoReport}
 	c.upstream = u
-	u.conn = c.front.Loop.Dial(to.Addr, min(c.front.connectTimeout, wait), u)
+	u.conn = c.front.Loop.Dial(member.Addr, min(c.front.connectTimeout, wait), u)
 }
 
 // Cancel abandons the attempt.
--- a/internal/front/line/client_leave_test.go
+++ b/internal/front/line/client_leave_test.go
@@ -11,15 +11,15 @@
 
 // TestClientClosesWithinFirstLine: a client that closes within its first line was no request.
 func TestClientClosesWithinFirstLine(t *testing.T) {
-	forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+	forEachClose(t, 1, func(t *testing.T, g *rig, closeConn func(*looptest.Peer)) {
 		c := g.Dial(g.addr)
 		c.Send(firstLine[:20])
-		g.WaitFor("the connection", func() bool { return len(g.f.idle) == 1 })
+		g.WaitFor("the connection", func() bool { return len(g.front.idle) == 1 })
 		g.RunOnce()
-		leave(c)
-		g.WaitFor("its end", func() bool { return len(g.f.idle) == 0 })
-		g.unsent()
-		g.clean()
+		closeConn(c)
+		g.WaitFor("its end", func() bool { return len(g.front.idle) == 0 })
+		g.expectNothingSent()
+		g.expectNoLeaks()
 		if g.Core.Counts.Requests != 0 {
 			t.Errorf("%+v", g.Core.Counts)
 		}
@@ -29,9 +29,9 @@
 // expectReleased waits until the relay has seen that the client is gone, and checks that it has let go of its request.
 func (g *rig) expectReleased() {
 	g.T.Helper()
-	g.WaitFor("the client's end", func() bool { return len(g.f.requests) == 0 })
-	g.unsent()
-	g.clean()
+	g.WaitFor("the client's end", func() bool { return len(g.front.requests) == 0 })
+	g.expectNothingSent()
+	g.expectNoLeaks()
 	if g.Core.Counts.ClientsGone != 1 {
 		g.T.Errorf("%+v", g.Core.Counts)
 	}
@@ -40,19 +40,19 @@
 // TestClientClosesWhileQueued: of a client that closes while its request is queued no attempt begins, whether a member comes
 // or the list update that the relay waits for.
 func TestClientClosesWhileQueued(t *testing.T) {
-	forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+	forEachClose(t, 1, func(t *testing.T, g *rig, closeConn func(*looptest.Peer)) {
 		g.setMemberState(0, policy.Draining)
 		c := g.sendRequest(firstLine)
-		leave(c)
-		g.WaitFor("the client's end", func() bool { return len(g.f.requests) == 0 })
+		closeConn(c)
+		g.WaitFor("the client's end", func() bool { return len(g.front.requests) == 0 })
 		g.setMemberState(0, policy.Ready)
 		g.expectReleased()
 	})
-	forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+	forEachClose(t, 1, func(t *testing.T, g *rig, closeConn func(*looptest.Peer)) {
 		g.Core.PauseDispatch()
 		c := g.sendRequest(firstLine)
-		leave(c)
-		g.WaitFor("the client's end", func() bool { return len(g.f.requests) == 0 })
+		closeConn(c)
+		g.WaitFor("the client's end", func() bool { return len(g.front.requests) == 0 })
 		g.Core.ResumeDispatch()
 		g.expectReleased()
 	})
@@ -60,14 +60,14 @@
 
 // TestClientClosesBetweenAttempts: nor between two attempts.
 func TestClientClosesBetweenAttempts(t *testing.T) {
-	forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+	forEachClose(t, 1, func(t *testing.T, g *rig, closeConn func(*looptest.Peer)) {
 		c := g.sendRequest(firstLine)
-		g.attempt(0).Send("BUSY\r\n")
+		g.acceptAttempt(0).Send("BUSY\r\n")
 		g.WaitFor("the answer", func() bool { return g.Core.FlowCount(1) == 0 })
 		if g.Core.ActiveRequests() != 1 {
 			t.Fatal("the request is not held for another attempt")
 		}
-		leave(c)
+		closeConn(c)
 		g.expectReleased()
 	})
 }
@@ -75,22 +75,22 @@
 // TestClientClosesWhileDialing: nor is the first line sent where the connection to the member is not up yet, also if it comes
 // up in the same loop iteration in which the client goes.
 func TestClientClosesWhileDialing(t *testing.T) {
-	forEachClose(t, 0, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
-		g.addMember(fullQueue(t))
+	forEachClose(t, 0, func(t *testing.T, g *rig, closeConn func(*looptest.Peer)) {
+		g.addMember(fullBacklogAddr(t))
 		c := g.sendRequest(firstLine)
 		if g.Core.Counts.Attempts != 1 {
 			t.Fatalf("%+v", g.Core.Counts)
 		}
-		leave(c)
+		closeConn(c)
 		g.expectReleased()
 	})
-	forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+	forEachClose(t, 1, func(t *testing.T, g *rig, closeConn func(*looptest.Peer)) {
 		c := g.sendRequest(firstLine) // the member's kernel has taken the connection in by now
-		conn := g.pending(0)
+		conn := g.pendingConn(0)
 		if conn == nil {
 			t.Fatal("no connection")
 		}
-		leave(c)
+		closeConn(c)
 		g.expectReleased()
 		conn.SetReadDeadline(time.Now().Add(looptest.Timeout))
 		if sent, _ := io.ReadAll(conn); len(sent) > 0 {
@@ -101,17 +101,17 @@
 
 // TestClientClosesAsConnected: the same where the loop handles the connection's event before the client's.
 func TestClientClosesAsConnected(t *testing.T) {
-	forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+	forEachClose(t, 1, func(t *testing.T, g *rig, closeConn func(*looptest.Peer)) {
 		g.Core.PauseDispatch()
 		c := g.sendRequest(firstLine)
 		g.RunOnce() // the client's connection is no longer among those that have an event
 		g.RunOnce()
 		g.Core.ResumeDispatch()
-		conn := g.pending(0)
+		conn := g.pendingConn(0)
 		if conn == nil {
 			t.Fatal("no connection")
 		}
-		leave(c)
+		closeConn(c)
 		g.expectReleased()
 		conn.SetReadDeadline(time.Now().Add(looptest.Timeout))
 		if sent, _ := io.ReadAll(conn); len(sent) > 0 {
@@ -122,12 +122,12 @@
 
 // TestClientClosesInFlight: an attempt that is out is abandoned, and no other begins.
 func TestClientClosesInFlight(t *testing.T) {
-	forEachClose(t, 2, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+	forEachClose(t, 2, func(t *testing.T, g *rig, closeConn func(*looptest.Peer)) {
 		c := g.sendRequest(firstLine)
-		at, m := g.anyAttempt()
+		at, m := g.acceptAnyAttempt()
 		m.Send("half an ans")
 		g.RunOnce()
-		leave(c)
+		closeConn(c)
 		g.WaitFor("the end of the attempt", func() bool { m.Poll(); return m.EndErr != nil })
 		if len(m.Received) > 0 {
 			t.Errorf("member %d got %q", at, m.Received)
@@ -139,20 +139,20 @@
 // TestClientClosesAtUp: UP and the client's end in one loop iteration, in either order, end the flow.
 func TestClientClosesAtUp(t *testing.T) {
 	for _, upFirst := range []bool{true, false} {
-		forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+		forEachClose(t, 1, func(t *testing.T, g *rig, closeConn func(*looptest.Peer)) {
 			c := g.sendRequest(firstLine)
-			m := g.attempt(0)
+			m := g.acceptAttempt(0)
 			if upFirst {
 				m.Send("UP x\r\n")
-				leave(c)
+				closeConn(c)
 			} else {
-				leave(c)
+				closeConn(c)
 				m.Send("UP x\r\n")
 			}
 			g.WaitFor("the end of the flow", func() bool { m.Poll(); return m.EndErr != nil })
 			g.WaitFor("the end of the request", func() bool { return g.Core.ActiveRequests() == 0 })
-			g.unsent()
-			g.clean()
+			g.expectNothingSent()
+			g.expectNoLeaks()
 			if n := g.Core.Counts; n.ClientsGone+n.Served != 1 || n.Attempts != 1 {
 				t.Errorf("%+v", n)
 			}
@@ -161,46 +161,46 @@
 }
 
 // anyAttempt takes in the next attempt, wherever it goes.
-func (g *rig) anyAttempt() (int, *looptest.Peer) {
+func (g *rig) acceptAnyAttempt() (int, *looptest.Peer) {
 	g.T.Helper()
 	at := -1
 	g.WaitFor("an attempt", func() bool {
-		for i := range g.servers {
+		for i := range g.fakeMembers {
 			if g.Core.FlowCount(policy.MemberID(i+1)) > 0 {
 				at = i
 			}
 		}
 		return at >= 0
 	})
-	return at, g.attempt(at)
+	return at, g.acceptAttempt(at)
 }
 
 // TestClientClosesDuringHealthCheck: of a client that closes while its request waits for a health check's answer no attempt begins.
 func TestClientClosesDuringHealthCheck(t *testing.T) {
-	forEachClose(t, 2, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+	forEachClose(t, 2, func(t *testing.T, g *rig, closeConn func(*looptest.Peer)) {
 		g.enableHealthChecks()
 		c := g.sendRequest(firstLine)
-		if len(g.f.healthChecks) == 0 || g.Core.Counts.Attempts > 0 {
-			t.Fatalf("%d probes, %+v", len(g.f.healthChecks), g.Core.Counts)
+		if len(g.front.healthChecks) == 0 || g.Core.Counts.Attempts > 0 {
+			t.Fatalf("%d probes, %+v", len(g.front.healthChecks), g.Core.Counts)
 		}
-		leave(c)
-		g.WaitFor("the client's end", func() bool { return len(g.f.requests) == 0 })
-		for i, p := range g.servers {
-			if g.f.healthChecks[policy.MemberID(i+1)] != nil {
+		closeConn(c)
+		g.WaitFor("the client's end", func() bool { return len(g.front.requests) == 0 })
+		for i, p := range g.fakeMembers {
+			if g.front.healthChecks[policy.MemberID(i+1)] != nil {
 				m := p.Accept()
 				m.ExpectLines("STATS")
 				m.Send("PONG x0=0.1\r\n")
 			}
 		}
 		g.WaitFor("the answers", func() bool {
-			for _, p := range g.f.healthChecks {
+			for _, p := range g.front.healthChecks {
 				if p.state.isPending() {
 					return false
 				}
 			}
 			return true
 		})
-		g.Advance(g.f.checkIdleTimeout)
+		g.Advance(g.front.checkIdleTimeout)
 		g.expectReleased()
 	})
 }
--- a/internal/front/line/crossing_test.go
+++ b/internal/front/line/crossing_test.go
@@ -15,44 +15,44 @@
 )
 
 // crossing is one case of TestCrossings: one client, two members, and what happens to them in a drawn order.
-type crossing struct {
+type eventOrderCase struct {
 	*rig
-	rng      *rand.Rand
-	client   net.Conn
-	got      []byte // by the client
-	said     string // of the first line
-	gone     bool   // the client is, by its own doing
-	attempts []*attemptSeen
-	stopped  bool
-	doubting bool
-	log      []string
+	rng            *rand.Rand
+	client         net.Conn
+	received       []byte // by the client
+	sent           string // of the first line
+	clientClosed   bool   // the client is, by its own doing
+	attempts       []*observedAttempt
+	stopping       bool
+	dispatchPaused bool
+	stepLog        []string
 }
 
 // attemptSeen is an attempt as its member sees it.
-type attemptSeen struct {
+type observedAttempt struct {
 	net.Conn
-	got  []byte
-	said string
-	over bool
+	received []byte
+	sent     string
+	closed   bool
 }
 
 // step has one thing happen.
-func (x *crossing) step() {
-	what := x.rng.IntN(16)
-	x.log = append(x.log, strconv.Itoa(what))
-	switch what {
+func (x *eventOrderCase) step() {
+	choice := x.rng.IntN(16)
+	x.stepLog = append(x.stepLog, strconv.Itoa(choice))
+	switch choice {
 	case 0, 1: // the client goes on with its line, and with what follows it
-		if text := firstLine + "\r\nmore\r\n"; !x.gone && len(x.said) < len(text) {
-			part := text[len(x.said):]
+		if text := firstLine + "\r\nmore\r\n"; !x.clientClosed && len(x.sent) < len(text) {
+			part := text[len(x.sent):]
 			if x.rng.IntN(2) == 0 {
 				part = part[:1+x.rng.IntN(len(part))]
 			}
 			x.client.Write([]byte(part))
-			x.said += part
+			x.sent += part
 		}
 	case 2:
-		if x.rng.IntN(4) == 0 && !x.gone {
-			x.gone = true
+		if x.rng.IntN(4) == 0 && !x.clientClosed {
+			x.clientClosed = true
 			x.closeClient()
 		}
 	case 3, 4, 5, 6:
@@ -61,14 +61,14 @@
 		x.setMemberState(x.rng.IntN(2), []policy.MemberState{policy.Ready, policy.Draining, policy.Gone}[x.rng.IntN(3)])
 	case 8:
 		x.Core.PauseDispatch()
-		x.doubting = true
+		x.dispatchPaused = true
 	case 9:
 		x.Core.ResumeDispatch()
-		x.doubting = false
+		x.dispatchPaused = false
 	case 10:
 		if x.rng.IntN(8) == 0 {
 			x.Core.Stop()
-			x.stopped = true
+			x.stopping = true
 		}
 	case 11:
 		x.Advance(time.Duration(x.rng.IntN([]int{50, 300, 1500}[x.rng.IntN(3)])) * time.Millisecond)
@@ -79,7 +79,7 @@
 }
 
 // closeClient closes the client's connection in one of the ways there are.
-func (x *crossing) closeClient() {
+func (x *eventOrderCase) closeClient() {
 	switch c := x.client.(*net.TCPConn); x.rng.IntN(3) {
 	case 0:
 		c.CloseWrite()
@@ -92,17 +92,17 @@
 }
 
 // answerLastAttempt has the member of the last attempt send or do something.
-func (x *crossing) answerLastAttempt() {
+func (x *eventOrderCase) answerLastAttempt() {
 	if len(x.attempts) == 0 {
 		return
 	}
 	m := x.attempts[len(x.attempts)-1]
 	answers := []string{"UP x\r\n", "UP x\r\n", "UP", "BUSY\r\n", "ERR\r\n", "BYE\r\n", "MOVE\r\n", "\r\n", "half", "line\r\n", "LOAD 7\r\n"}
 	switch n := x.rng.IntN(len(answers) + 3); {
-	case m.over:
+	case m.closed:
 	case n < len(answers):
 		m.Write([]byte(answers[n]))
-		m.said += answers[n]
+		m.sent += answers[n]
 	case n == len(answers):
 		m.Conn.(*net.TCPConn).CloseWrite()
 	case n == len(answers)+1:
@@ -112,66 +112,66 @@
 }
 
 // observe takes in what members and the client have got, and checks what holds at any time.
-func (x *crossing) observe() {
-	for i := range x.servers {
-		for c := x.pending(i); c != nil; c = x.pending(i) {
-			x.attempts = append(x.attempts, &attemptSeen{Conn: c})
+func (x *eventOrderCase) observe() {
+	for i := range x.fakeMembers {
+		for c := x.pendingConn(i); c != nil; c = x.pendingConn(i) {
+			x.attempts = append(x.attempts, &observedAttempt{Conn: c})
 		}
 	}
 	for i, m := range x.attempts {
-		before := len(m.got)
-		if !m.over {
-			m.over = read(m.Conn, &m.got)
+		before := len(m.received)
+		if !m.closed {
+			m.closed = readAvailable(m.Conn, &m.received)
 		}
-		if before == 0 && len(m.got) > 0 {
-			if !bytes.HasPrefix(m.got, []byte("OPEN 00000000000000aa ")) {
-				x.fail("a member was sent %q", m.got)
+		if before == 0 && len(m.received) > 0 {
+			if !bytes.HasPrefix(m.received, []byte("OPEN 00000000000000aa ")) {
+				x.fail("a member was sent %q", m.received)
 			}
 			for _, earlier := range x.attempts[:i] {
-				if len(earlier.got) > 0 && !earlier.over {
-					if earlier.over = read(earlier.Conn, &earlier.got); !earlier.over {
+				if len(earlier.received) > 0 && !earlier.closed {
+					if earlier.closed = readAvailable(earlier.Conn, &earlier.received); !earlier.closed {
 						x.fail("an attempt goes out while another one is")
 					}
 				}
 			}
 		}
 	}
-	out := x.Core.FlowCount(1) + x.Core.FlowCount(2)
-	if out > 1 || x.Core.Counts.Attempts > 3 {
-		x.fail("%d attempts are out, %d in all", out, x.Core.Counts.Attempts)
+	inFlight := x.Core.FlowCount(1) + x.Core.FlowCount(2)
+	if inFlight > 1 || x.Core.Counts.Attempts > 3 {
+		x.fail("%d attempts are out, %d in all", inFlight, x.Core.Counts.Attempts)
 	}
 }
 
-func (x *crossing) fail(format string, args ...any) {
+func (x *eventOrderCase) fail(format string, args ...any) {
 	x.T.Helper()
-	x.T.Fatalf("%s (steps %s)", fmt.Sprintf(format, args...), strings.Join(x.log, " "))
+	x.T.Fatalf("%s (steps %s)", fmt.Sprintf(format, args...), strings.Join(x.stepLog, " "))
 }
 
 // finish closes the client's connection, and checks that nothing begins after that and that nothing is left.
-func (x *crossing) finish() {
-	if !x.gone {
+func (x *eventOrderCase) finish() {
+	if !x.clientClosed {
 		x.checkAnswers()
 		x.closeClient()
 	}
-	x.WaitFor("the client's end", func() bool { return len(x.f.requests)+len(x.f.idle) == 0 })
+	x.WaitFor("the client's end", func() bool { return len(x.front.requests)+len(x.front.idle) == 0 })
 	for _, m := range x.attempts {
-		x.WaitFor("the end of the attempt", func() bool { m.over = m.over || read(m.Conn, &m.got); return m.over })
+		x.WaitFor("the end of the attempt", func() bool { m.closed = m.closed || readAvailable(m.Conn, &m.received); return m.closed })
 		m.Close()
 	}
 	x.Core.ResumeDispatch()
-	for i := range x.servers {
+	for i := range x.fakeMembers {
 		x.setMemberState(i, policy.Ready)
 	}
-	x.unsent()
-	x.clean()
+	x.expectNothingSent()
+	x.expectNoLeaks()
 }
 
 // checkAnswers checks what the client has got by now: at most one answer, and after it what its member said and at most one MOVE.
-func (x *crossing) checkAnswers() {
-	over := read(x.client, &x.got)
-	text := string(x.got)
+func (x *eventOrderCase) checkAnswers() {
+	closed := readAvailable(x.client, &x.received)
+	text := string(x.received)
 	switch {
-	case text == "" && over && strings.Contains(x.said, "\r\n"):
+	case text == "" && closed && strings.Contains(x.sent, "\r\n"):
 		x.fail("the client's end without an answer")
 	case strings.HasPrefix(text, "BUSY"), strings.HasPrefix(text, "ERR"):
 		if strings.Count(text, "\n") != 1 || !strings.HasSuffix(text, "\r\n") {
@@ -180,11 +180,11 @@
 	case text != "":
 		text = strings.TrimSuffix(text, "MOVE\r\n")
 		for _, m := range x.attempts {
-			if strings.HasPrefix(m.said, string(x.got)) || strings.HasPrefix(m.said, text) && strings.HasSuffix(text, "\r\n") {
+			if strings.HasPrefix(m.sent, string(x.received)) || strings.HasPrefix(m.sent, text) && strings.HasSuffix(text, "\r\n") {
 				return
 			}
 		}
-		x.fail("the client got %q, which no member said", x.got)
+		x.fail("the client got %q, which no member said", x.received)
 	}
 }
 
@@ -198,9 +198,9 @@
 	}
 	for seed := range cases {
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
-			x := &crossing{rig: newRig(t, 2), rng: rand.New(rand.NewPCG(uint64(seed), 1))}
+			x := &eventOrderCase{rig: newRig(t, 2), rng: rand.New(rand.NewPCG(uint64(seed), 1))}
 			x.client = x.Dial(x.addr).Conn
-			x.WaitFor("the connection", func() bool { return len(x.f.idle) == 1 })
+			x.WaitFor("the connection", func() bool { return len(x.front.idle) == 1 })
 			for range 40 {
 				x.step()
 			}
--- a/internal/front/line/early_data_test.go
+++ b/internal/front/line/early_data_test.go
@@ -15,7 +15,7 @@
 	c := g.sendRequest(firstLine)
 	c.Send(string(bytes.Repeat([]byte("more\r\n"), 4<<10)))
 	c.CloseWrite()
-	g.WaitFor("the client's end", func() bool { return len(g.f.requests) == 0 })
+	g.WaitFor("the client's end", func() bool { return len(g.front.requests) == 0 })
 	g.setMemberState(0, policy.Ready)
 	g.expectReleased()
 }
@@ -25,7 +25,7 @@
 func TestEarlyDataOverLimit(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.sendRequest(firstLine)
-	m := g.attempt(0)
+	m := g.acceptAttempt(0)
 	early := bytes.Repeat([]byte("more\r\n"), 32<<10)
 	c.Send(string(early))
 	for range 8 {
@@ -44,13 +44,13 @@
 func TestEarlyDataForwarded(t *testing.T) {
 	g := newRig(t, 2)
 	c := g.sendRequest(firstLine)
-	at, m := g.anyAttempt()
+	at, m := g.acceptAnyAttempt()
 	early := bytes.Repeat([]byte("more\r\n"), 5<<10)
 	c.Send(string(early))
 	g.RunOnce()
 	m.Send("BUSY\r\n")
 	g.WaitFor("the answer", func() bool { return g.Core.Counts.Attempts == 2 })
-	if _, m = at, g.attempt(1-at); len(m.Received) > 0 {
+	if _, m = at, g.acceptAttempt(1-at); len(m.Received) > 0 {
 		t.Errorf("with the first line came %q", m.Received)
 	}
 	m.Send("UP x\r\n")
--- a/internal/front/line/first_line_test.go
+++ b/internal/front/line/first_line_test.go
@@ -15,14 +15,14 @@
 func TestFirstLineInPieces(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.Dial(g.addr)
-	g.WaitFor("the connection", func() bool { return len(g.f.idle) == 1 })
+	g.WaitFor("the connection", func() bool { return len(g.front.idle) == 1 })
 	each := firstLineTimeout / time.Duration(len(firstLine)+3)
 	for _, b := range []byte(firstLine + "\r\n") {
 		c.Send(string(b))
 		g.RunOnce()
 		g.Advance(each)
 	}
-	g.attempt(0).Send("UP x\r\n")
+	g.acceptAttempt(0).Send("UP x\r\n")
 	c.ExpectLines("UP x")
 }
 
@@ -30,33 +30,33 @@
 func TestFirstLineTooSlow(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.Dial(g.addr)
-	g.WaitFor("the connection", func() bool { return len(g.f.idle) == 1 })
+	g.WaitFor("the connection", func() bool { return len(g.front.idle) == 1 })
 	c.Send(firstLine[:30])
 	g.RunOnce()
 	g.Advance(firstLineTimeout)
-	late(c, firstLine[30:]+"\r\n"+firstLine+"\r\n")
+	writeIgnoringError(c, firstLine[30:]+"\r\n"+firstLine+"\r\n")
 	c.ExpectLines("ERR")
 	c.ExpectEOF()
 	c.Close()
-	g.unsent()
-	g.clean()
+	g.expectNothingSent()
+	g.expectNoLeaks()
 }
 
 // TestPipelined: PING any number of times before OPEN, in one write or byte by byte, is answered that often and in order;
 // what follows OPEN is data of its flow, a second OPEN too, and once the final answer is given nobody's.
 func TestPipelined(t *testing.T) {
 	const other = "OPEN 00000000000000cc 00000000000000bb c=pay,t=water,d=1900\r\n"
-	for _, all := range []bool{true, false} {
+	for _, atOnce := range []bool{true, false} {
 		g := newRig(t, 1)
 		c := g.Dial(g.addr)
 		text := "PING\r\nPING\r\n" + firstLine + "\r\n" + other + "data"
-		if all {
+		if atOnce {
 			c.Send(text)
 		} else {
-			g.pieces(c, text)
+			g.sendByteByByte(c, text)
 		}
 		c.ExpectLines("PONG", "PONG")
-		m := g.attempt(0)
+		m := g.acceptAttempt(0)
 		if g.RunOnce(); len(m.Received) > 0 || g.Core.Counts.Requests != 1 {
 			t.Errorf("%q, %+v", m.Received, g.Core.Counts)
 		}
@@ -65,7 +65,7 @@
 		m.Expect(other + "data")
 		m.CloseWrite()
 		c.ExpectEOF()
-		g.clean()
+		g.expectNoLeaks()
 		if g.Core.Counts.Requests != 1 {
 			t.Errorf("%+v", g.Core.Counts)
 		}
@@ -77,14 +77,14 @@
 	g := newRig(t, 1)
 	g.Core.Stop()
 	c := g.sendRequest(firstLine)
-	late(c, firstLine+"\r\n")
+	writeIgnoringError(c, firstLine+"\r\n")
 	if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
 		t.Errorf("got %q", got)
 	}
 	c.ExpectEOF()
 	c.Close()
-	g.unsent()
-	g.clean()
+	g.expectNothingSent()
+	g.expectNoLeaks()
 	if g.Core.Counts.Requests != 1 {
 		t.Errorf("%+v", g.Core.Counts)
 	}
@@ -125,7 +125,7 @@
 			good, m := g.openFlow()
 			before, free := g.Core.Counts, g.FreeDescriptors()
 			c := g.Dial(g.addr)
-			late(c, text+"\r\n"+firstLine+"\r\n")
+			writeIgnoringError(c, text+"\r\n"+firstLine+"\r\n")
 			g.WaitFor("the end", func() bool { c.Poll(); return c.EndErr != nil })
 			if !bytes.Equal(c.Received, []byte("ERR\r\n")) {
 				t.Errorf("got %q", c.Received)
@@ -134,7 +134,7 @@
 			g.Advance(time.Second)
 			good.Send("hello\r\n")
 			m.ExpectLines("hello")
-			if g.Core.Counts != before || g.FreeDescriptors() != free || g.pending(0) != nil {
+			if g.Core.Counts != before || g.FreeDescriptors() != free || g.pendingConn(0) != nil {
 				t.Errorf("%+v, %d descriptors", g.Core.Counts, free-g.FreeDescriptors())
 			}
 		})
@@ -145,21 +145,21 @@
 func TestMalformedThenClose(t *testing.T) {
 	for name, text := range malformedLines {
 		t.Run(name, func(t *testing.T) {
-			forEachClose(t, 1, func(t *testing.T, g *rig, leave func(*looptest.Peer)) {
+			forEachClose(t, 1, func(t *testing.T, g *rig, closeConn func(*looptest.Peer)) {
 				c := g.Dial(g.addr)
-				g.WaitFor("the connection", func() bool { return len(g.f.idle) == 1 })
-				late(c, text)
-				leave(c)
-				g.WaitFor("the connection's end", func() bool { return len(g.f.idle) == 0 && g.FreeDescriptors() == g.free })
-				g.unsent()
-				g.clean()
+				g.WaitFor("the connection", func() bool { return len(g.front.idle) == 1 })
+				writeIgnoringError(c, text)
+				closeConn(c)
+				g.WaitFor("the connection's end", func() bool { return len(g.front.idle) == 0 && g.FreeDescriptors() == g.initialFree })
+				g.expectNothingSent()
+				g.expectNoLeaks()
 			})
 		})
 	}
 }
 
 // longestLine is the protocol's, its CRLF included.
-const longestLine = 4096
+const maxLineLength = 4096
 
 // TestFirstLineLimit: a first line of the longest length is a request and is forwarded unchanged; one byte more is none.
 func TestFirstLineLimit(t *testing.T) {
@@ -167,16 +167,16 @@
 		g := newRig(t, 1)
 		c := g.Dial(g.addr)
 		pad := ",x="
-		pad += strings.Repeat("y", longestLine+extra-len(firstLine)-len(pad)-2)
+		pad += strings.Repeat("y", maxLineLength+extra-len(firstLine)-len(pad)-2)
 		c.Send(firstLine + pad + "\r\n")
 		if !served {
 			c.ExpectLines("ERR")
 			c.ExpectEOF()
-			g.unsent()
+			g.expectNothingSent()
 			continue
 		}
-		m := g.servers[0].Accept()
-		if got := m.ReadLine(); !strings.HasSuffix(got, pad) || len(got) > longestLine-2 {
+		m := g.fakeMembers[0].Accept()
+		if got := m.ReadLine(); !strings.HasSuffix(got, pad) || len(got) > maxLineLength-2 {
 			t.Errorf("the member got %d bytes", len(got))
 		}
 		m.Send("UP x\r\n")
@@ -196,7 +196,7 @@
 	m.ReadLine()
 	m.Send("UP y\r\n")
 	c.ExpectLines("UP y")
-	g.f.CheckHealth(&g.Members[0])
+	g.front.CheckHealth(&g.Members[0])
 	next.Accept().ExpectLines("STATS")
 }
 
--- a/internal/front/line/flow_fuzz_test.go
+++ b/internal/front/line/flow_fuzz_test.go
@@ -27,7 +27,7 @@
 		c, m := sendOpenTo(r, from)
 		m.Send("UP x\r\n")
 		c.ExpectLines("UP x")
-		var byClient, byMember, seen []byte
+		var byClient, byMember, before []byte
 		drained, between, ended := false, false, false
 		for i := 0; i+1 < len(steps) && i < 80; i += 2 {
 			chunk := bytes.Repeat([]byte{'a' + byte(i%26)}, int(steps[i+1])*4)
@@ -83,12 +83,12 @@
 			r.WaitFor("the member's bytes", func() bool { c.Poll(); return len(c.Received) >= len(byMember) })
 			r.WaitFor("the client's bytes", func() bool { m.Poll(); return len(m.Received) >= len(byClient) })
 		}
-		seen, moved := bytes.CutSuffix(c.Received, []byte("MOVE\r\n"))
-		if !bytes.HasPrefix(byMember, seen) || !bytes.HasPrefix(byClient, m.Received) {
+		before, moved := bytes.CutSuffix(c.Received, []byte("MOVE\r\n"))
+		if !bytes.HasPrefix(byMember, before) || !bytes.HasPrefix(byClient, m.Received) {
 			t.Errorf("client got %q of %q, member %q of %q", c.Received, byMember, m.Received, byClient)
 		}
-		if moved != (drained && between) || moved && len(seen) > 0 && !bytes.HasSuffix(seen, []byte("\n")) {
-			t.Errorf("moved %v, drained %v between lines %v, after %q", moved, drained, between, seen)
+		if moved != (drained && between) || moved && len(before) > 0 && !bytes.HasSuffix(before, []byte("\n")) {
+			t.Errorf("moved %v, drained %v between lines %v, after %q", moved, drained, between, before)
 		}
 		r.WaitFor("the flow's end", func() bool { return r.Core.ActiveRequests() == 0 || !(drained || ended) })
 	})
--- a/internal/front/line/flow_test.go
+++ b/internal/front/line/flow_test.go
@@ -14,24 +14,24 @@
 // flowRig is a rig with one open flow, and how its attempts ended.
 type flowRig struct {
 	*rig
-	c, m  *looptest.Peer
-	ended results
+	c, m    *looptest.Peer
+	results resultRecorder
 }
 
-func newFlow(t testing.TB) *flowRig {
+func newFlowRig(t testing.TB) *flowRig {
 	g := &flowRig{rig: newRig(t, 1)}
-	g.Core.Recorder = &g.ended
+	g.Core.Recorder = &g.results
 	g.c, g.m = g.openFlow()
 	return g
 }
 
 // finished checks that the flow has ended so, once, and that nothing is left of it.
-func (g *flowRig) finished(want policy.Result) {
+func (g *flowRig) expectResult(want policy.Result) {
 	g.T.Helper()
 	g.WaitFor("the end of the request", func() bool { return g.Core.ActiveRequests() == 0 })
-	g.clean()
-	if len(g.ended) != 1 || g.ended[0] != want {
-		g.T.Errorf("results %v, want %v", g.ended, want)
+	g.expectNoLeaks()
+	if len(g.results) != 1 || g.results[0] != want {
+		g.T.Errorf("results %v, want %v", g.results, want)
 	}
 	if n := g.Core.Counts; n.Served != 1 || n.Attempts != 1 || n.Rejected+n.Failed+n.ClientsGone != 0 {
 		g.T.Errorf("%+v", n)
@@ -39,11 +39,11 @@
 }
 
 // ends waits for a graceful close on both sides, after these bytes.
-func (g *flowRig) ends(toClient, toMember string) {
+func (g *flowRig) expectBothClosed(toClient, toMember string) {
 	g.T.Helper()
 	for p, want := range map[*looptest.Peer]string{g.c: toClient, g.m: toMember} {
 		if p.EndErr == nil {
-			g.expectFinished(p)
+			g.waitClosed(p)
 		}
 		if string(p.Received) != want {
 			g.T.Errorf("got %q, want %q", p.Received, want)
@@ -61,24 +61,24 @@
 		"half a li": policy.Reset, "BYE": policy.Reset, "BYE\r\nline\r\n": policy.OK, "LOAD 7\r\nBYE\r\n": policy.OK,
 	} {
 		t.Run(text, func(t *testing.T) {
-			g := newFlow(t)
+			g := newFlowRig(t)
 			g.m.Send(text)
 			g.m.CloseWrite()
-			g.ends(text, "")
-			g.finished(want)
+			g.expectBothClosed(text, "")
+			g.expectResult(want)
 		})
 	}
 	t.Run("reset", func(t *testing.T) {
-		g := newFlow(t)
+		g := newFlowRig(t)
 		g.m.Reset()
 		g.c.ExpectReset()
-		g.finished(policy.Reset)
+		g.expectResult(policy.Reset)
 	})
 }
 
 // TestBothSidesClose: both sides end in one loop iteration, in either order.
 func TestBothSidesClose(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, tc := range map[string]struct {
 		first, second func(g *flowRig)
 		want          []policy.Result
 	}{
@@ -88,21 +88,21 @@
 		"BYE, client":    {func(g *flowRig) { g.m.Send("BYE\r\n"); g.m.CloseWrite() }, func(g *flowRig) { g.c.CloseWrite() }, []policy.Result{policy.OK}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newFlow(t)
+			g := newFlowRig(t)
 			g.RunOnce()
 			g.RunOnce() // neither connection has an event now
-			one.first(g)
-			one.second(g)
-			g.expectFinished(g.c)
-			g.expectFinished(g.m)
-			g.finished(one.want[0])
+			tc.first(g)
+			tc.second(g)
+			g.waitClosed(g.c)
+			g.waitClosed(g.m)
+			g.expectResult(tc.want[0])
 		})
 	}
 }
 
 // TestMoveWithinUnendedLine: where the member does not end its line, the flow is over within MoveTimeout, with no MOVE in the line.
 func TestMoveWithinUnendedLine(t *testing.T) {
-	g := newFlow(t)
+	g := newFlowRig(t)
 	g.m.Send("half a ")
 	g.c.Expect("half a ")
 	g.setMemberState(0, policy.Draining)
@@ -114,8 +114,8 @@
 		t.Fatal("ended too soon")
 	}
 	g.Advance(time.Millisecond)
-	g.ends("", "")
-	g.finished(policy.Cancelled)
+	g.expectBothClosed("", "")
+	g.expectResult(policy.Cancelled)
 }
 
 // TestMoveCrossesClose: one end in the place of the line's while MOVE waits for it is the flow's end, and no second one is reported.
@@ -131,18 +131,18 @@
 		"member gone as well": func(g *flowRig) { g.setMemberState(0, policy.Gone); g.m.Send("line\r\n") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newFlow(t)
+			g := newFlowRig(t)
 			g.m.Send("half a ")
 			g.c.Expect("half a ")
 			g.setMemberState(0, policy.Draining)
 			g.RunOnce()
 			end(g)
-			g.WaitFor("the end", func() bool { return len(g.f.requests) == 0 })
+			g.WaitFor("the end", func() bool { return len(g.front.requests) == 0 })
 			if !strings.HasPrefix(name, "client") && !strings.HasPrefix(name, "member ") || strings.HasPrefix(name, "member gone") {
 				g.c.ExpectLines("line", "MOVE")
 				g.c.ExpectEOF()
 			}
-			g.finished(policy.Cancelled)
+			g.expectResult(policy.Cancelled)
 			if g.Core.Counts.Migrations != 1 {
 				t.Errorf("%+v", g.Core.Counts)
 			}
@@ -152,44 +152,44 @@
 
 // TestDrainAndStop: a member that drains as the relay stops costs its client one MOVE.
 func TestDrainAndStop(t *testing.T) {
-	g := newFlow(t)
+	g := newFlowRig(t)
 	g.Core.Stop()
 	g.setMemberState(0, policy.Draining)
 	g.Core.FinishStop()
-	g.ends("MOVE\r\n", "")
-	g.finished(policy.Cancelled)
+	g.expectBothClosed("MOVE\r\n", "")
+	g.expectResult(policy.Cancelled)
 }
 
 // TestNeverReads: a client that does not read takes no more of the relay's memory than its buffers' bounds, and the flow
 // is over once the client owes its own line, or its answers stay away for too long.
 func TestNeverReads(t *testing.T) {
-	for _, talks := range []bool{true, false} {
-		g := newFlow(t)
-		narrow(g.c)
-		v := g.onlyFlow()
-		g.fill(g.m, func() bool { return v.conn.WriteCapacity() == 0 })
+	for _, clientSends := range []bool{true, false} {
+		g := newFlowRig(t)
+		shrinkReceiveBuffer(g.c)
+		conn := g.onlyFlow()
+		g.sendUntil(g.m, func() bool { return conn.conn.WriteCapacity() == 0 })
 		for range 8 {
-			late(g.m, string(bytes.Repeat([]byte("x"), 4<<10)))
+			writeIgnoringError(g.m, string(bytes.Repeat([]byte("x"), 4<<10)))
 			g.RunOnce()
 		}
-		if unsent := v.conn.Unsent(); unsent > netloop.DefaultWriteLimit {
+		if unsent := conn.conn.Unsent(); unsent > netloop.DefaultWriteLimit {
 			t.Errorf("%d bytes wait for the client", unsent)
 		}
-		if v.upstream.blockedBytes > netloop.DefaultReadLimit {
-			t.Errorf("%d bytes of the member's wait", v.upstream.blockedBytes)
+		if conn.upstream.blockedBytes > netloop.DefaultReadLimit {
+			t.Errorf("%d bytes of the member's wait", conn.upstream.blockedBytes)
 		}
 		start := g.Now()
 		for at := start; g.Core.ActiveRequests() > 0; at += clientInterval {
-			if talks {
-				late(g.c, "hello\r\n")
+			if clientSends {
+				writeIgnoringError(g.c, "hello\r\n")
 				g.RunOnce()
 			}
 			g.Advance(clientInterval)
 			g.Advance(sweepInterval)
-			if g.Now()-start > clientSilenceTimeout+2*clientInterval || talks && g.Now()-start > maxSilence+clientInterval {
+			if g.Now()-start > clientSilenceTimeout+2*clientInterval || clientSends && g.Now()-start > maxSilence+clientInterval {
 				t.Fatalf("still held after %v", g.Now()-start)
 			}
 		}
-		g.clean()
+		g.expectNoLeaks()
 	}
 }
--- a/internal/front/line/graceful_shutdown_test.go
+++ b/internal/front/line/graceful_shutdown_test.go
@@ -14,7 +14,7 @@
 func TestShutdownInFlight(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.sendRequest(firstLine)
-	m := g.attempt(0)
+	m := g.acceptAttempt(0)
 	g.Core.Stop()
 	g.Advance(100 * time.Millisecond)
 	m.Send("UP x\r\n")
@@ -24,7 +24,7 @@
 	c.ExpectLines("MOVE")
 	c.ExpectEOF()
 	m.ExpectEOF()
-	g.clean()
+	g.expectNoLeaks()
 	if n := g.Core.Counts; n.Served != 1 || n.Migrations != 1 || n.Rejected+n.Failed+n.ClientsGone != 0 {
 		t.Errorf("%+v", n)
 	}
@@ -40,7 +40,7 @@
 			}
 			c := g.sendRequest(firstLine)
 			if !queued {
-				g.attempt(0).Send("half an ans")
+				g.acceptAttempt(0).Send("half an ans")
 			}
 			g.Core.Stop()
 			g.RunOnce()
@@ -51,8 +51,8 @@
 			c.ExpectEOF()
 			c.Close()
 			g.Core.ResumeDispatch()
-			g.unsent()
-			g.clean()
+			g.expectNothingSent()
+			g.expectNoLeaks()
 			if n := g.Core.Counts; n.Rejected != 1 || n.Served+n.Failed+n.ClientsGone != 0 {
 				t.Errorf("%+v", n)
 			}
@@ -66,7 +66,7 @@
 	g := newRig(t, 1)
 	half, front := g.Dial(g.addr), g.Dial(g.addr)
 	half.Send(firstLine[:20])
-	g.WaitFor("both", func() bool { return len(g.f.idle) == 2 })
+	g.WaitFor("both", func() bool { return len(g.front.idle) == 2 })
 	g.RunOnce()
 	g.Core.Stop()
 	half.Send(firstLine[20:] + "\r\n")
@@ -84,8 +84,8 @@
 		c.ExpectEOF()
 		c.Close()
 	}
-	g.unsent()
-	g.clean()
+	g.expectNothingSent()
+	g.expectNoLeaks()
 	if n := g.Core.Counts; n.Rejected != 3 || n.Attempts != 0 {
 		t.Errorf("%+v", n)
 	}
@@ -98,14 +98,14 @@
 	front.Send("PING\r\n")
 	front.ExpectLines("PONG")
 	half.Send(firstLine[:20])
-	g.WaitFor("all", func() bool { return len(g.f.idle) == 3 })
+	g.WaitFor("all", func() bool { return len(g.front.idle) == 3 })
 	g.RunOnce()
 	g.Core.Stop()
 	g.Core.FinishStop()
-	g.f.CloseIdle()
-	late(silent, firstLine+"\r\n")
-	late(front, firstLine+"\r\n")
-	late(half, firstLine[20:]+"\r\n")
+	g.front.CloseIdle()
+	writeIgnoringError(silent, firstLine+"\r\n")
+	writeIgnoringError(front, firstLine+"\r\n")
+	writeIgnoringError(half, firstLine[20:]+"\r\n")
 	for _, c := range []interface {
 		ExpectLines(...string)
 		ExpectEOF()
@@ -115,8 +115,8 @@
 		c.ExpectEOF()
 		c.Close()
 	}
-	g.unsent()
-	g.clean()
+	g.expectNothingSent()
+	g.expectNoLeaks()
 	if g.Core.Counts != (core.Counts{}) {
 		t.Errorf("%+v", g.Core.Counts)
 	}
@@ -125,7 +125,7 @@
 // TestShutdownPartialLine: of a member's half line at the end of a stop MOVE waits, and no longer than the relay has left.
 func TestShutdownPartialLine(t *testing.T) {
 	for _, lineEnds := range []bool{true, false} {
-		g := newFlow(t)
+		g := newFlowRig(t)
 		g.m.Send("half a ")
 		g.c.Expect("half a ")
 		g.Core.Stop()
@@ -137,8 +137,8 @@
 			g.c.ExpectEOF()
 		} else {
 			g.Advance(MoveTimeout)
-			g.ends("", "")
+			g.expectBothClosed("", "")
 		}
-		g.finished(policy.Cancelled)
+		g.expectResult(policy.Cancelled)
 	}
 }
--- a/internal/front/line/handoff.go
+++ b/internal/front/line/handoff.go
@@ -15,7 +15,7 @@
 
 // HandOffIdle hands at most limit connections without a request to give, which then owns the descriptor. The others, which
 // are to follow, are no longer read.
-func (f *Front) HandOffIdle(limit int, give func(handoff IdleConn, fd int)) {
+func (f *Front) HandOffIdle(limit int, handOver func(handoff IdleConn, fd int)) {
 	for c := range f.idle {
 		if limit <= 0 {
 			c.conn.PauseReading()
@@ -26,7 +26,7 @@
 		if fd, handoff.Unread = c.conn.Detach(); fd >= 0 {
 			limit--
 			c.close()
-			give(handoff, fd)
+			handOver(handoff, fd)
 		}
 	}
 }
@@ -64,7 +64,7 @@
 // HandOffFlows hands at most limit open flows, with the sockets to the client and to
 // the member, to give, which then owns these. A flow with unsent bytes, or one that is being
 // migrated, stays for now.
-func (f *Front) HandOffFlows(limit int, give func(handoff FlowHandoff, client, member int)) {
+func (f *Front) HandOffFlows(limit int, handOver func(handoff FlowHandoff, client, member int)) {
 	now := f.Loop.Now()
 	for c := range f.flows {
 		u := c.upstream
@@ -86,7 +86,7 @@
 		handoff.Placement, _ = f.Core.ReleaseFlow(c.requestID)
 		handoff.Placement.Request.Load = u.load
 		c.close()
-		give(handoff, client, member)
+		handOver(handoff, client, member)
 	}
 }
 
--- a/internal/front/line/handoff_test.go
+++ b/internal/front/line/handoff_test.go
@@ -35,12 +35,12 @@
 	c, m := sendOpenTo(r, f)
 	m.Send("UP x\r\n")
 	c.ExpectLines("UP x")
-	given := 0
+	handedOff := 0
 	withDescriptors(t, 1, func() {
-		f.HandOffFlows(1, func(FlowHandoff, int, int) { given++ })
+		f.HandOffFlows(1, func(FlowHandoff, int, int) { handedOff++ })
 	})
-	if given != 0 {
-		t.Errorf("%d flows were given", given)
+	if handedOff != 0 {
+		t.Errorf("%d flows were given", handedOff)
 	}
 	c.Send("still here\r\n")
 	m.ExpectLines("still here")
--- a/internal/front/line/health_check.go
+++ b/internal/front/line/health_check.go
@@ -29,24 +29,24 @@
 }
 
 // CheckHealth requests a load report from a member; the answer goes to the core.
-func (f *Front) CheckHealth(to *core.Member) {
-	h := f.healthChecks[to.ID]
+func (f *Front) CheckHealth(member *core.Member) {
+	h := f.healthChecks[member.ID]
 	if h == nil {
-		h = &healthCheck{front: f, id: to.ID}
-		f.healthChecks[to.ID] = h
+		h = &healthCheck{front: f, id: member.ID}
+		f.healthChecks[member.ID] = h
 	}
 	if h.state.isPending() {
 		return
 	}
 	h.timer.Stop()
 	h.timer = f.Loop.After(checkTimeout, func() { h.finish(policy.Timeout, policy.NoReport) })
-	if h.state == checkConnIdle && h.addr == to.Addr {
+	if h.state == checkConnIdle && h.addr == member.Addr {
 		h.state = h.state.next(eventCheckDueReusable)
 		h.conn.Write(statsLine)
 		return
 	}
 	h.closeConn()
-	h.addr = to.Addr
+	h.addr = member.Addr
 	h.state = h.state.next(eventCheckDue)
 	h.dial()
 }
--- a/internal/front/line/health_check_test.go
+++ b/internal/front/line/health_check_test.go
@@ -24,13 +24,13 @@
 }
 
 // check checks the health of a member.
-func (p *checkRig) check(member int) { p.f.CheckHealth(&p.Members[member]) }
+func (p *checkRig) check(member int) { p.front.CheckHealth(&p.Members[member]) }
 
 // acceptCheck is the member's end of a health check that has been sent on a new connection.
 func (p *checkRig) acceptCheck(member int) *looptest.Peer {
 	p.T.Helper()
 	p.check(member)
-	m := p.servers[member].Accept()
+	m := p.fakeMembers[member].Accept()
 	m.ExpectLines("STATS")
 	return m
 }
@@ -48,8 +48,8 @@
 func (p *checkRig) expectNoCheck() {
 	p.T.Helper()
 	n := len(p.results)
-	p.Advance(p.f.checkIdleTimeout)
-	p.clean()
+	p.Advance(p.front.checkIdleTimeout)
+	p.expectNoLeaks()
 	if len(p.results) != n {
 		p.T.Errorf("results %v", p.results)
 	}
@@ -57,8 +57,8 @@
 
 // TestHealthCheckAnswers: each health check has one result, whatever the member does.
 func TestHealthCheckAnswers(t *testing.T) {
-	for name, one := range map[string]struct {
-		does func(p *checkRig, m *looptest.Peer)
+	for name, tc := range map[string]struct {
+		act  func(p *checkRig, m *looptest.Peer)
 		want policy.Result
 	}{
 		"PONG":                  {func(_ *checkRig, m *looptest.Peer) { m.Send("PONG x0=0.5\r\n") }, policy.OK},
@@ -81,8 +81,8 @@
 		t.Run(name, func(t *testing.T) {
 			p := newCheckRig(t, 1)
 			m := p.acceptCheck(0)
-			one.does(p, m)
-			p.wantResults(one.want)
+			tc.act(p, m)
+			p.wantResults(tc.want)
 			p.expectNoCheck()
 		})
 	}
@@ -91,16 +91,16 @@
 // TestHealthCheckConnects: a connection that is refused, or that does not come up, is distinguished.
 func TestHealthCheckConnects(t *testing.T) {
 	p := newCheckRig(t, 1)
-	p.servers[0].Listener.Close()
+	p.fakeMembers[0].Listener.Close()
 	p.check(0)
 	p.wantResults(policy.ConnectFailed)
 	p.expectNoCheck()
 
 	p = newCheckRig(t, 0)
-	p.addMember(fullQueue(t))
+	p.addMember(fullBacklogAddr(t))
 	p.check(0)
 	p.RunOnce()
-	p.Advance(p.f.connectTimeout)
+	p.Advance(p.front.connectTimeout)
 	p.wantResults(policy.Timeout)
 	p.expectNoCheck()
 }
@@ -148,7 +148,7 @@
 	p.setMemberState(0, policy.Draining)
 	p.Advance(time.Duration(p.Core.Settings.Guarantees.DrainGrace)*time.Millisecond + time.Millisecond)
 	p.wantResults(policy.OK, policy.Reset)
-	if p.pending(0) != nil {
+	if p.pendingConn(0) != nil {
 		t.Error("a connection to a member that has left")
 	}
 	p.expectNoCheck()
@@ -174,35 +174,35 @@
 	p.setMemberState(0, policy.Draining)
 	p.Advance(time.Duration(p.Core.Settings.Guarantees.DrainGrace)*time.Millisecond + time.Millisecond)
 	p.wantResults(policy.NotSent)
-	p.unsent()
+	p.expectNothingSent()
 	p.expectNoCheck()
 }
 
 // TestHealthChecksRemoved: of members that come and go nothing stays.
 func TestHealthChecksRemoved(t *testing.T) {
 	p := newCheckRig(t, 3)
-	for i := range p.servers {
+	for i := range p.fakeMembers {
 		p.acceptCheck(i).Send("PONG\r\n")
 		p.WaitFor("the result", func() bool { return len(p.results) == i+1 })
 	}
 	p.expectNoCheck()
-	if len(p.f.healthChecks) != 0 {
-		t.Errorf("%d are remembered", len(p.f.healthChecks))
+	if len(p.front.healthChecks) != 0 {
+		t.Errorf("%d are remembered", len(p.front.healthChecks))
 	}
 }
 
 // TestHealthCheckSecondAnswerAtOnce: nor where the next health check begins as the first is answered.
 func TestHealthCheckSecondAnswerAtOnce(t *testing.T) {
 	p := newCheckRig(t, 1)
-	saw := p.Core.OnResult
+	record := p.Core.OnResult
 	p.Core.OnResult = func(m *core.Member, result policy.Result) {
-		if saw(m, result); len(p.results) == 1 {
+		if record(m, result); len(p.results) == 1 {
 			p.check(0)
 		}
 	}
 	m := p.acceptCheck(0)
 	m.Send("PONG x0=0.1\r\nERR\r\n")
-	m = p.servers[0].Accept()
+	m = p.fakeMembers[0].Accept()
 	m.ExpectLines("STATS")
 	m.Send("PONG x0=0.2\r\n")
 	p.wantResults(policy.OK, policy.OK)
--- a/internal/front/line/idle_after_pong_test.go
+++ b/internal/front/line/idle_after_pong_test.go
@@ -9,18 +9,18 @@
 
 // TestIdleUntilRequest: a request that arrives in the loop iteration in which the time of an idle connection is up is placed.
 func TestIdleUntilRequest(t *testing.T) {
-	for name, rest := range map[string]time.Duration{"new": firstLineTimeout, "answered PONG": idleTimeout} {
+	for name, timeout := range map[string]time.Duration{"new": firstLineTimeout, "answered PONG": idleTimeout} {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1)
 			c := g.Dial(g.addr)
-			if rest == idleTimeout {
+			if timeout == idleTimeout {
 				c.Send("PING\r\n")
 				c.ExpectLines("PONG")
 			}
-			g.WaitFor("the connection", func() bool { return len(g.f.idle) == 1 })
+			g.WaitFor("the connection", func() bool { return len(g.front.idle) == 1 })
 			c.Send(firstLine + "\r\n")
-			g.Advance(rest)
-			g.attempt(0).Send("UP x\r\n")
+			g.Advance(timeout)
+			g.acceptAttempt(0).Send("UP x\r\n")
 			c.ExpectLines("UP x")
 		})
 	}
@@ -61,14 +61,14 @@
 // TestShedUnread: a connection that is evicted for a new one in the loop iteration in which its first line has come, unread, gets
 // one complete answer, and its request is none.
 func TestShedUnread(t *testing.T) {
-	for name, one := range map[string]struct{ first, answer string }{
+	for name, tc := range map[string]struct{ first, answer string }{
 		"new": {"", "ERR\r\n"}, "answered PONG": {"PING\r\n", "BUSY\r\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1)
 			c := g.Dial(g.addr)
-			g.WaitFor("the connection", func() bool { return len(g.f.idle) == 1 })
-			if c.Send(one.first); one.first != "" {
+			g.WaitFor("the connection", func() bool { return len(g.front.idle) == 1 })
+			if c.Send(tc.first); tc.first != "" {
 				c.ExpectLines("PONG")
 			}
 			g.RunOnce()
@@ -78,10 +78,10 @@
 			c.Send(firstLine + "\r\n")
 			g.RunOnce()
 			g.WaitFor("the end", func() bool { c.Poll(); return c.EndErr != nil })
-			if string(c.Received) != one.answer {
+			if string(c.Received) != tc.answer {
 				t.Errorf("got %q, ended with %v", c.Received, c.EndErr)
 			}
-			if g.Core.Counts != (core.Counts{}) || g.pending(0) != nil {
+			if g.Core.Counts != (core.Counts{}) || g.pendingConn(0) != nil {
 				t.Errorf("%+v", g.Core.Counts)
 			}
 		})
--- a/internal/front/line/line_test.go
+++ b/internal/front/line/line_test.go
@@ -50,7 +50,7 @@
 }
 
 // openedFlow is the same, up.
-func openedFlow(t testing.TB) (*looptest.Relay, *looptest.Peer, *looptest.Peer) {
+func startFlow(t testing.TB) (*looptest.Relay, *looptest.Peer, *looptest.Peer) {
 	r, c, m := sendOpen(t)
 	m.Send("UP x\r\n")
 	c.ExpectLines("UP x")
@@ -59,7 +59,7 @@
 
 // TestMoveWaits: MOVE that is requested within a line comes after it.
 func TestMoveWaits(t *testing.T) {
-	r, c, m := openedFlow(t)
+	r, c, m := startFlow(t)
 	m.Send("half a ")
 	c.Expect("half a ")
 	r.Drain(0)
@@ -71,10 +71,10 @@
 
 // TestResets: a reset is answered by a reset, both ways.
 func TestResets(t *testing.T) {
-	_, c, m := openedFlow(t)
+	_, c, m := startFlow(t)
 	m.Reset()
 	c.ExpectReset()
-	_, c, m = openedFlow(t)
+	_, c, m = startFlow(t)
 	c.Reset()
 	m.ExpectReset()
 }
@@ -141,7 +141,7 @@
 // TestDuplicateID: the id of an open request is no new request's, however it is written;
 // the open one continues, and once it has ended the id is free.
 func TestDuplicateID(t *testing.T) {
-	r, c, m := openedFlow(t)
+	r, c, m := startFlow(t)
 	addr := r.Serve(New(r.Loop, r.Core, r.Log).Accept)
 	first := r.Dial(addr)
 	first.Send(firstLine + "\r\n")
@@ -165,13 +165,13 @@
 }
 
 // results is a ledger of how attempts ended.
-type results []policy.Result
+type resultRecorder []policy.Result
 
-func (l *results) Ready() bool { return true }
-func (l *results) RecordAttempt(_ *core.Request, _ core.ID, _ int, _ string, _, _ time.Duration, r policy.Result) {
+func (l *resultRecorder) Ready() bool { return true }
+func (l *resultRecorder) RecordAttempt(_ *core.Request, _ core.ID, _ int, _ string, _, _ time.Duration, r policy.Result) {
 	*l = append(*l, r)
 }
-func (l *results) RecordAnswer(*core.Request, core.ID, time.Duration, core.Answer, int) {}
+func (l *resultRecorder) RecordAnswer(*core.Request, core.ID, time.Duration, core.Answer, int) {}
 
 // TestLocalShortageIsNotMemberFault: an attempt that failed for want of the relay's own descriptors is not
 // the member's failure; one that the member refused is.
@@ -180,18 +180,18 @@
 		netloop.ErrNoDescriptors: policy.NotSent, netloop.ErrDialTimeout: policy.ConnectFailed, io.EOF: policy.ConnectFailed,
 	} {
 		r := looptest.NewRelay(t, 1)
-		var ended results
-		r.Core.Recorder = &ended
+		var results resultRecorder
+		r.Core.Recorder = &results
 		f := New(r.Loop, r.Core, r.Log)
 		c := r.Dial(r.Serve(f.Accept))
 		c.Send(firstLine + "\r\n")
 		r.WaitFor("the request", func() bool { return r.Core.Counts.Attempts == 1 })
-		for _, v := range f.requests {
-			v.upstream.state = attemptDialing
-			v.upstream.End(fmt.Errorf("dialling: %w", err))
+		for _, conn := range f.requests {
+			conn.upstream.state = attemptDialing
+			conn.upstream.End(fmt.Errorf("dialling: %w", err))
 		}
-		if len(ended) == 0 || ended[0] != want {
-			t.Errorf("%v: %v, want %v", err, ended, want)
+		if len(results) == 0 || results[0] != want {
+			t.Errorf("%v: %v, want %v", err, results, want)
 		}
 	}
 }
@@ -199,10 +199,10 @@
 // TestReopenReported: the module learns which clients reconnect after a loss or a migration.
 func TestReopenReported(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
-	for more, want := range map[string]bool{"": false, ",again=1": true, ",again=0": false} {
-		open, err := parseOpen(r.Core.Settings, firstLine+more)
+	for suffix, want := range map[string]bool{"": false, ",again=1": true, ",again=0": false} {
+		open, err := parseOpen(r.Core.Settings, firstLine+suffix)
 		if err != nil || open.request.Reconnect != want {
-			t.Errorf("%q: %v, %v", more, open.request.Reconnect, err)
+			t.Errorf("%q: %v, %v", suffix, open.request.Reconnect, err)
 		}
 	}
 }
@@ -240,20 +240,20 @@
 // what has come of their line, requests stay, and ids that are open elsewhere are
 // refused until they no longer are.
 func TestHandOffIdle(t *testing.T) {
-	r, c, m := openedFlow(t)
+	r, c, m := startFlow(t)
 	f, next := New(r.Loop, r.Core, r.Log), New(r.Loop, r.Core, r.Log)
 	addr := r.Serve(f.Accept)
 	half, quiet := r.Dial(addr), r.Dial(addr)
 	half.Send(firstLine[:20])
 	r.WaitFor("both", func() bool { return len(f.idle) == 2 })
 	r.RunOnce()
-	given := 0
+	handedOff := 0
 	f.HandOffIdle(2, func(p IdleConn, fd int) {
-		given++
+		handedOff++
 		next.AdoptIdle(p, fd)
 	})
-	if given != 2 || len(f.idle) != 0 || len(next.idle) != 2 {
-		t.Fatalf("%d given, %d left, %d taken", given, len(f.idle), len(next.idle))
+	if handedOff != 2 || len(f.idle) != 0 || len(next.idle) != 2 {
+		t.Fatalf("%d given, %d left, %d taken", handedOff, len(f.idle), len(next.idle))
 	}
 	next.SetRemoteIDs([]uint64{0xaa})
 	half.Send(firstLine[20:] + "\r\n")
@@ -291,7 +291,7 @@
 	c.ExpectLines("MOVE")
 	c.ExpectEOF()
 
-	for _, unlike := range []func(*FlowHandoff){
+	for _, change := range []func(*FlowHandoff){
 		func(p *FlowHandoff) { p.Placement.Member = "unheard of" },
 		func(*FlowHandoff) { r.Drain(0) },
 	} {
@@ -299,7 +299,7 @@
 		m.Send("UP y\r\n")
 		c.ExpectLines("UP y")
 		first.HandOffFlows(1, func(p FlowHandoff, client, member int) {
-			unlike(&p)
+			change(&p)
 			second.AdoptFlow(p, client, member)
 		})
 		r.Advance(time.Millisecond)
--- a/internal/front/line/liveness_test.go
+++ b/internal/front/line/liveness_test.go
@@ -11,7 +11,7 @@
 // TestMemberSilent: a member that answers no line for too long is left, and the client
 // is migrated; one that answers is not.
 func TestMemberSilent(t *testing.T) {
-	r, c, m := openedFlow(t)
+	r, c, m := startFlow(t)
 	c.Send("hello\r\n")
 	m.ExpectLines("hello")
 	r.Advance(memberSilenceTimeout)
@@ -34,15 +34,15 @@
 func TestSilenceBound(t *testing.T) {
 	for seed := range uint64(16) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		r, c, m := openedFlow(t)
+		r, c, m := startFlow(t)
 		const step = 100 * time.Millisecond
 		start, back := r.Now(), r.Now()
-		stops := start + time.Duration(rng.IntN(120))*step
-		next, pieces, half, parting := start+time.Duration(rng.IntN(20))*step, []string(nil), false, time.Duration(0)
+		answersUntil := start + time.Duration(rng.IntN(120))*step
+		nextLine, pieces, answerSplit, finalCommandAt := start+time.Duration(rng.IntN(20))*step, []string(nil), false, time.Duration(0)
 		for r.Core.ActiveRequests() > 0 {
 			now := r.Now()
-			if now >= next { // the client's next line, in up to three pieces
-				next = now + clientInterval
+			if now >= nextLine { // the client's next line, in up to three pieces
+				nextLine = now + clientInterval
 				pieces = append(pieces, []string{"line\r\n", "li", "l"}[rng.IntN(3)])
 				if joined := pieces[len(pieces)-1]; joined != "line\r\n" {
 					pieces = append(pieces, strings.TrimPrefix("line\r\n", joined))
@@ -54,33 +54,33 @@
 				r.WaitFor("the client's bytes", func() bool { m.Poll(); return bytes.Contains(m.Received, []byte("l")) || r.Core.ActiveRequests() == 0 })
 			}
 			switch {
-			case now < stops:
+			case now < answersUntil:
 				if bytes.Contains(m.Received, []byte("\n")) {
 					m.Send("back\r\n")
 					back, m.Received = now, nil
 				}
-			case half || parting > 0:
+			case answerSplit || finalCommandAt > 0:
 			case seed%4 == 0:
 				m.Send("LOAD 7\r\n")
 			case seed%4 == 1 && bytes.Contains(m.Received, []byte("\n")):
 				m.Send("bac")
-				half = true
+				answerSplit = true
 			case seed%4 == 2:
 				m.Send("BYE\r\n")
-				parting = now
+				finalCommandAt = now
 			}
 			if now == back && now > start {
 				r.WaitFor("the answer", func() bool { c.Poll(); return len(c.Received) > 0 })
 			}
 			c.Received = nil
 			r.Advance(step)
-			if r.Core.ActiveRequests() == 0 && r.Now() < stops {
+			if r.Core.ActiveRequests() == 0 && r.Now() < answersUntil {
 				t.Fatalf("seed %d: a flow that was answered is over", seed)
 			}
 			if late := r.Now() - back; late > maxSilence-step {
 				t.Fatalf("seed %d: still held %v after the last line", seed, late)
 			}
-			if late := r.Now() - parting; parting > 0 && late > maxLinger {
+			if late := r.Now() - finalCommandAt; finalCommandAt > 0 && late > maxLinger {
 				t.Fatalf("seed %d: still held %v after its last word", seed, late)
 			}
 		}
@@ -89,7 +89,7 @@
 
 // TestPartialLineIsNotSilence: a client that takes long over a line is not sent away for the member's silence, nor as the line ends.
 func TestPartialLineIsNotSilence(t *testing.T) {
-	r, c, m := openedFlow(t)
+	r, c, m := startFlow(t)
 	c.Send("hel")
 	m.Expect("hel")
 	for range 30 {
@@ -108,7 +108,7 @@
 
 // TestClientGone: a client's machine that vanished must not occupy a flow for ever.
 func TestClientGone(t *testing.T) {
-	r, c, m := openedFlow(t)
+	r, c, m := startFlow(t)
 	r.Advance(clientSilenceTimeout)
 	c.Send("still here\r\n")
 	m.ExpectLines("still here")
--- a/internal/front/line/long_idle_test.go
+++ b/internal/front/line/long_idle_test.go
@@ -17,7 +17,7 @@
 		for range 100 {
 			g.Advance(quiet / 100)
 		}
-		c, at, m := g.flowAnywhere()
+		c, at, m := g.openFlowAtAnyMember()
 		c.Send("a line\r\n")
 		m.ExpectLines("a line")
 		for range 7 * 4 { // nothing comes back
@@ -31,7 +31,7 @@
 		g.setMemberState(at, policy.Draining)
 		before := g.Core.Counts.Attempts
 		c = g.sendRequest(firstLine)
-		other, m := g.anyAttempt()
+		other, m := g.acceptAnyAttempt()
 		if other == at {
 			t.Errorf("%v: an attempt at a member that drains", quiet)
 		}
@@ -39,8 +39,8 @@
 		c.ExpectLines("BUSY")
 		c.ExpectEOF()
 		m.ExpectReset()
-		g.unsent()
-		g.clean()
+		g.expectNothingSent()
+		g.expectNoLeaks()
 		if g.Core.Counts.Attempts != before+1 {
 			t.Errorf("%v: %d attempts, %d before", quiet, g.Core.Counts.Attempts, before)
 		}
@@ -48,10 +48,10 @@
 }
 
 // flowAnywhere is a client whose flow is open, and its member.
-func (g *rig) flowAnywhere() (c *looptest.Peer, at int, m *looptest.Peer) {
+func (g *rig) openFlowAtAnyMember() (c *looptest.Peer, at int, m *looptest.Peer) {
 	g.T.Helper()
 	c = g.sendRequest(firstLine)
-	at, m = g.anyAttempt()
+	at, m = g.acceptAnyAttempt()
 	m.Send("UP x\r\n")
 	c.ExpectLines("UP x")
 	return c, at, m
--- a/internal/front/line/malformed.go
+++ b/internal/front/line/malformed.go
@@ -42,7 +42,7 @@
 // maxShownValue is how many bytes of a client's value an error shows.
 const maxShownValue = 32
 
-func malformed(c cause, format string, args ...any) error {
+func malformedf(c cause, format string, args ...any) error {
 	return &malformedError{c, fmt.Sprintf(format, args...)}
 }
 
@@ -59,13 +59,13 @@
 // countMalformed counts a rejected client by the cause of err. It logs the first of each cause, and then at most every
 // rejectionLogInterval how many followed.
 func (f *Front) countMalformed(err error) {
-	var malformed *malformedError
-	if !errors.As(err, &malformed) {
+	var lineErr *malformedError
+	if !errors.As(err, &lineErr) {
 		return
 	}
-	r, now := &f.rejections[malformed.cause], f.Loop.Now()
+	r, now := &f.rejections[lineErr.cause], f.Loop.Now()
 	r.count++
-	entry := f.Log.WithError(err).WithField("cause", malformed.cause)
+	entry := f.Log.WithError(err).WithField("cause", lineErr.cause)
 	if r.logged > 0 && now-r.loggedAt < rejectionLogInterval {
 		entry.Debug("client rejected")
 		return
--- a/internal/front/line/malformed_test.go
+++ b/internal/front/line/malformed_test.go
@@ -22,9 +22,9 @@
 // after it once in a while, how many they are.
 func TestMalformedLogged(t *testing.T) {
 	g := newRig(t, 1)
-	var said warnings
+	var logged warnings
 	g.Log.SetOutput(io.Discard)
-	g.Log.AddHook(&said)
+	g.Log.AddHook(&logged)
 	send := func(text string) {
 		t.Helper()
 		c := g.Dial(g.addr)
@@ -36,16 +36,16 @@
 		send("HELLO\r\n")
 		send("OPEN 00000000000000aa 00000000000000bb c=none,t=water\r\n")
 	}
-	if got := strings.Join(said, ", "); got != "not OPEN: 1, class: 1" {
+	if got := strings.Join(logged, ", "); got != "not OPEN: 1, class: 1" {
 		t.Errorf("the log says %s", got)
 	}
-	if n := malformedCounts(g.f); n["not OPEN"] != 50 || n["class"] != 50 || len(n) != 2 {
+	if n := malformedCounts(g.front); n["not OPEN"] != 50 || n["class"] != 50 || len(n) != 2 {
 		t.Errorf("%v", n)
 	}
 	g.Advance(rejectionLogInterval)
 	send("HELLO\r\n")
 	send("HELLO\r\n")
-	if got := strings.Join(said, ", "); got != "not OPEN: 1, class: 1, not OPEN: 50" {
+	if got := strings.Join(logged, ", "); got != "not OPEN: 1, class: 1, not OPEN: 50" {
 		t.Errorf("the log says %s", got)
 	}
 }
--- a/internal/front/line/member_change_test.go
+++ b/internal/front/line/member_change_test.go
@@ -16,7 +16,7 @@
 	for range 4 {
 		g.RunOnce()
 	}
-	if dialled := g.pending(0); dialled != nil {
+	if dialled := g.pendingConn(0); dialled != nil {
 		buffer := make([]byte, 100)
 		if n, _ := dialled.Read(buffer); n > 0 {
 			t.Errorf("the member was sent %q amid the doubt", buffer[:n])
@@ -26,7 +26,7 @@
 	for range 8 { // the module looks for a place again
 		g.Advance(50 * time.Millisecond)
 	}
-	m := g.attempt(0)
+	m := g.acceptAttempt(0)
 	m.Send("UP x\r\n")
 	c.ExpectLines("UP x")
 }
@@ -35,7 +35,7 @@
 func TestUpAtDraining(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.sendRequest(firstLine)
-	m := g.attempt(0)
+	m := g.acceptAttempt(0)
 	g.setMemberState(0, policy.Draining)
 	m.Send("UP x\r\n")
 	c.ExpectLines("UP x")
@@ -46,5 +46,5 @@
 	})
 	c.ExpectLines("MOVE")
 	c.ExpectEOF()
-	g.clean()
+	g.expectNoLeaks()
 }
--- a/internal/front/line/open_line.go
+++ b/internal/front/line/open_line.go
@@ -29,20 +29,20 @@
 	var o openLine
 	args := strings.Split(text, " ")
 	if len(args) != 4 || args[0] != commandOpen {
-		return o, malformed(notOpen, "not OPEN with an id, a key and a list")
+		return o, malformedf(notOpen, "not OPEN with an id, a key and a list")
 	}
 	for _, b := range []byte(text) {
 		if b < ' ' || b > '~' {
-			return o, malformed(badByte, "byte %#x", b)
+			return o, malformedf(badByte, "byte %#x", b)
 		}
 	}
 	var err error
 	if o.id, err = strconv.ParseUint(args[1], 16, 64); err != nil {
-		return o, malformed(badID, "id %.*q", maxShownValue, args[1])
+		return o, malformedf(badID, "id %.*q", maxShownValue, args[1])
 	}
 	key, err := strconv.ParseUint(args[2], 16, 64)
 	if err != nil {
-		return o, malformed(badKey, "key %.*q", maxShownValue, args[2])
+		return o, malformedf(badKey, "key %.*q", maxShownValue, args[2])
 	}
 	o.request = core.Request{Name: args[1], Key: key, Class: -1, Tenant: -1}
 	if err := o.parseFields(set, text, len(text)-len(args[3])); err != nil {
@@ -58,7 +58,7 @@
 	for _, pair := range strings.Split(text[offset:], ",") {
 		name, value, ok := strings.Cut(pair, "=")
 		if !ok || name == "" || value == "" || seen[name] {
-			return malformed(badPair, "%.*q", maxShownValue, pair)
+			return malformedf(badPair, "%.*q", maxShownValue, pair)
 		}
 		seen[name] = true
 		if err := parseField(&o.request, set, name, value); err != nil {
@@ -71,7 +71,7 @@
 		offset += len(pair) + 1
 	}
 	if o.request.Class < 0 || o.request.Tenant < 0 && len(set.Tenants) > 0 {
-		return malformed(missingField, "no class or tenant")
+		return malformedf(missingField, "no class or tenant")
 	}
 	o.request.Tenant = max(o.request.Tenant, 0)
 	return nil
@@ -91,38 +91,38 @@
 }
 
 // parseField parses one of the named values; other names are only forwarded.
-func parseField(q *core.Request, set *settings.Settings, name, value string) error {
+func parseField(request *core.Request, set *settings.Settings, name, value string) error {
 	var known bool
 	var err error
 	switch name {
 	case "c":
-		if q.Class, known = set.Class(value); !known {
-			return malformed(unknownClass, "class %.*q", maxShownValue, value)
+		if request.Class, known = set.Class(value); !known {
+			return malformedf(unknownClass, "class %.*q", maxShownValue, value)
 		}
 	case "t":
-		if q.Tenant, known = set.Tenant(value); !known {
-			return malformed(unknownTenant, "tenant %.*q", maxShownValue, value)
+		if request.Tenant, known = set.Tenant(value); !known {
+			return malformedf(unknownTenant, "tenant %.*q", maxShownValue, value)
 		}
 	case "d":
 		var ms float64
 		if ms, err = strconv.ParseFloat(value, 64); err == nil && (math.IsNaN(ms) || ms < 0 || ms > 1e9) {
 			err = strconv.ErrRange
 		}
-		q.TimeLeft = settings.Duration(ms)
+		request.TimeLeft = settings.Duration(ms)
 	case "g":
-		q.Group, err = strconv.ParseUint(value, 16, 64)
+		request.Group, err = strconv.ParseUint(value, 16, 64)
 	case "h":
 		var ms float64
 		if ms, err = strconv.ParseFloat(value, 64); ms > 0 && !math.IsInf(ms, 0) {
-			q.Load = ms / 1e3
+			request.Load = ms / 1e3
 		}
 	case "again":
-		q.Reconnect = value == "1"
+		request.Reconnect = value == "1"
 	case "at":
-		q.CurrentMember = value
+		request.CurrentMember = value
 	}
 	if err != nil {
-		return malformed(badValue, "%s=%.*q", name, maxShownValue, value)
+		return malformedf(badValue, "%s=%.*q", name, maxShownValue, value)
 	}
 	return nil
 }
--- a/internal/front/line/partial_line_test.go
+++ b/internal/front/line/partial_line_test.go
@@ -11,7 +11,7 @@
 
 // badClientWithin is what the operators owe a client that stops in the middle of a request and stays: its error or the
 // end of its connection.
-const badClientWithin = 3 * time.Second
+const partialLineTimeout = 3 * time.Second
 
 // TestPartialLineAfterPong: a client that was answered PONG and stops within its next line is answered ERR as soon as one
 // that was not; one that sends the rest in time is served, and another PING lets it be idle again.
@@ -19,8 +19,8 @@
 	for name, pings := range map[string]int{"one PONG": 1, "three": 3} {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1)
-			stays, goesOn, rests := g.Dial(g.addr), g.Dial(g.addr), g.Dial(g.addr)
-			all := []*looptest.Peer{stays, goesOn, rests}
+			stops, completes, pingsAgain := g.Dial(g.addr), g.Dial(g.addr), g.Dial(g.addr)
+			all := []*looptest.Peer{stops, completes, pingsAgain}
 			for range pings {
 				for _, c := range all {
 					c.Send("PING\r\n")
@@ -28,25 +28,25 @@
 				}
 			}
 			g.Advance(20 * time.Second) // they rest, as they may
-			stays.Send(firstLine[:20])
-			goesOn.Send(firstLine[:20])
-			rests.Send("PI")
+			stops.Send(firstLine[:20])
+			completes.Send(firstLine[:20])
+			pingsAgain.Send("PI")
 			g.RunOnce()
 			g.RunOnce()
-			g.Advance(badClientWithin / 2)
-			goesOn.Send(firstLine[20:] + "\r\n")
-			rests.Send("NG\r\n")
-			rests.ExpectLines("PONG")
-			g.attempt(0).Send("UP x\r\n")
-			goesOn.ExpectLines("UP x")
-			g.Advance(badClientWithin / 2)
-			if len(g.f.idle) != 1 {
-				t.Fatalf("%d connections without a first line, want the resting one", len(g.f.idle))
+			g.Advance(partialLineTimeout / 2)
+			completes.Send(firstLine[20:] + "\r\n")
+			pingsAgain.Send("NG\r\n")
+			pingsAgain.ExpectLines("PONG")
+			g.acceptAttempt(0).Send("UP x\r\n")
+			completes.ExpectLines("UP x")
+			g.Advance(partialLineTimeout / 2)
+			if len(g.front.idle) != 1 {
+				t.Fatalf("%d connections without a first line, want the resting one", len(g.front.idle))
 			}
-			stays.ExpectLines("ERR")
-			stays.ExpectEOF()
+			stops.ExpectLines("ERR")
+			stops.ExpectEOF()
 			g.Advance(20 * time.Second)
-			if len(g.f.idle) != 1 {
+			if len(g.front.idle) != 1 {
 				t.Error("a client that was answered PONG once more may rest")
 			}
 		})
@@ -59,25 +59,25 @@
 	"doubted": func(g *rig) *looptest.Peer { g.Core.PauseDispatch(); return g.sendRequest(firstLine) },
 	"dialled": func(g *rig) *looptest.Peer {
 		g.setMemberState(0, policy.Gone)
-		g.addMember(fullQueue(g.T))
+		g.addMember(fullBacklogAddr(g.T))
 		return g.sendRequest(firstLine)
 	},
-	"asked": func(g *rig) *looptest.Peer { c := g.sendRequest(firstLine); g.attempt(0); return c },
+	"asked": func(g *rig) *looptest.Peer { c := g.sendRequest(firstLine); g.acceptAttempt(0); return c },
 	"half answered": func(g *rig) *looptest.Peer {
 		c := g.sendRequest(firstLine)
-		g.attempt(0).Send("UP ")
+		g.acceptAttempt(0).Send("UP ")
 		g.RunOnce()
 		return c
 	},
 	"between two attempts": func(g *rig) *looptest.Peer {
 		c := g.sendRequest(firstLine)
-		g.attempt(0).Send("BUSY\r\n")
+		g.acceptAttempt(0).Send("BUSY\r\n")
 		g.WaitFor("the answer", func() bool { return g.Core.FlowCount(1) == 0 })
 		return c
 	},
 	"with bytes behind its line": func(g *rig) *looptest.Peer {
 		c := g.sendRequest(firstLine + "\r\nmore")
-		g.attempt(0)
+		g.acceptAttempt(0)
 		return c
 	},
 }
@@ -85,10 +85,10 @@
 // TestClientHalfCloses: a client that ends its sending after its request may have gone, so no attempt begins; or it
 // waits for its answer, so it gets one before the end of its connection.
 func TestClientHalfCloses(t *testing.T) {
-	for name, bring := range waitingClients {
+	for name, setUp := range waitingClients {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1)
-			c := bring(g)
+			c := setUp(g)
 			before := g.Core.Counts.Attempts
 			c.CloseWrite()
 			c.ExpectLines("BUSY")
@@ -97,8 +97,8 @@
 				t.Errorf("%+v, %d attempts before", n, before)
 			}
 			g.Core.ResumeDispatch()
-			g.unsent()
-			g.clean()
+			g.expectNothingSent()
+			g.expectNoLeaks()
 		})
 	}
 	t.Run("at once with its request", func(t *testing.T) {
@@ -108,8 +108,8 @@
 		c.CloseWrite()
 		c.ExpectLines("BUSY")
 		c.ExpectEOF()
-		g.unsent()
-		g.clean()
+		g.expectNothingSent()
+		g.expectNoLeaks()
 		if n := g.Core.Counts; n != (core.Counts{Requests: 1, Attempts: n.Attempts, ClientsGone: 1}) {
 			t.Errorf("%+v", n)
 		}
--- a/internal/front/line/report_test.go
+++ b/internal/front/line/report_test.go
@@ -19,9 +19,9 @@
 		if len(f.flows) != 1 {
 			t.Fatalf("%d open flows", len(f.flows))
 		}
-		for v := range f.flows {
-			if v.upstream.report != policy.NoReport {
-				t.Errorf("a flow with no report would end with %+v", v.upstream.report)
+		for conn := range f.flows {
+			if conn.upstream.report != policy.NoReport {
+				t.Errorf("a flow with no report would end with %+v", conn.upstream.report)
 			}
 		}
 		handOffFlows(t, first, second)
--- a/internal/front/line/rig_test.go
+++ b/internal/front/line/rig_test.go
@@ -21,23 +21,23 @@
 // client gets, and how many descriptors are open.
 type rig struct {
 	*looptest.Relay
-	f       *Front
-	addr    string // where clients connect
-	servers []*looptest.Server
-	free    int // descriptors before anything came
+	front       *Front
+	addr        string // where clients connect
+	fakeMembers []*looptest.Server
+	initialFree int // descriptors before anything came
 }
 
 // newRig makes one with so many members.
 func newRig(t testing.TB, members int) *rig {
 	r := looptest.NewRelay(t, 0)
-	g := &rig{Relay: r, f: New(r.Loop, r.Core, r.Log)}
+	g := &rig{Relay: r, front: New(r.Loop, r.Core, r.Log)}
 	for range members {
 		s := r.Listen()
-		g.servers = append(g.servers, s)
+		g.fakeMembers = append(g.fakeMembers, s)
 		g.addMember(s.Addr())
 	}
-	g.addr = r.Serve(g.f.Accept)
-	g.free = r.FreeDescriptors()
+	g.addr = r.Serve(g.front.Accept)
+	g.initialFree = r.FreeDescriptors()
 	return g
 }
 
@@ -60,9 +60,9 @@
 }
 
 // attempt takes in the next attempt, of which the first line has come.
-func (g *rig) attempt(member int) *looptest.Peer {
+func (g *rig) acceptAttempt(member int) *looptest.Peer {
 	g.T.Helper()
-	m := g.servers[member].Accept()
+	m := g.fakeMembers[member].Accept()
 	m.ReadLine()
 	return m
 }
@@ -71,7 +71,7 @@
 func (g *rig) openFlow() (c, m *looptest.Peer) {
 	g.T.Helper()
 	c = g.sendRequest(firstLine)
-	m = g.attempt(0)
+	m = g.acceptAttempt(0)
 	m.Send("UP x\r\n")
 	c.ExpectLines("UP x")
 	return c, m
@@ -84,13 +84,13 @@
 }
 
 // pending takes a connection that waits at a member; nil if none does.
-func (g *rig) pending(member int) (c net.Conn) {
+func (g *rig) pendingConn(member int) (c net.Conn) {
 	g.T.Helper()
-	raw, err := g.servers[member].Listener.(*net.TCPListener).SyscallConn()
+	raw, err := g.fakeMembers[member].Listener.(*net.TCPListener).SyscallConn()
 	if err == nil {
 		err = raw.Control(func(fd uintptr) {
-			if at, _, err := unix.Accept4(int(fd), unix.SOCK_CLOEXEC|unix.SOCK_NONBLOCK); err == nil {
-				file := os.NewFile(uintptr(at), "")
+			if connFD, _, err := unix.Accept4(int(fd), unix.SOCK_CLOEXEC|unix.SOCK_NONBLOCK); err == nil {
+				file := os.NewFile(uintptr(connFD), "")
 				defer file.Close()
 				c, _ = net.FileConn(file)
 			}
@@ -106,7 +106,7 @@
 }
 
 // read takes in what has come on a connection, without waiting; true if it has ended.
-func read(c net.Conn, got *[]byte) (ended bool) {
+func readAvailable(c net.Conn, got *[]byte) (ended bool) {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return true
@@ -127,15 +127,15 @@
 }
 
 // unsent checks that no member gets a first line, whatever time passes.
-func (g *rig) unsent() {
+func (g *rig) expectNothingSent() {
 	g.T.Helper()
 	for range 30 {
 		g.Advance(100 * time.Millisecond)
 	}
-	for i := range g.servers {
-		for c := g.pending(i); c != nil; c = g.pending(i) {
+	for i := range g.fakeMembers {
+		for c := g.pendingConn(i); c != nil; c = g.pendingConn(i) {
 			var sent []byte
-			if read(c, &sent); len(sent) > 0 {
+			if readAvailable(c, &sent); len(sent) > 0 {
 				g.T.Errorf("member %d was sent %q", i, sent)
 			}
 			c.Close()
@@ -144,38 +144,38 @@
 }
 
 // clean checks that nothing is left, neither a request nor a descriptor.
-func (g *rig) clean() {
+func (g *rig) expectNoLeaks() {
 	g.T.Helper()
 	if active := g.Core.ActiveRequests(); active != 0 {
 		g.T.Errorf("%d requests are active", active)
 	}
-	if len(g.f.flows)+len(g.f.idle)+len(g.f.requests) != 0 {
-		g.T.Errorf("%d open, %d fresh, %d ids", len(g.f.flows), len(g.f.idle), len(g.f.requests))
+	if len(g.front.flows)+len(g.front.idle)+len(g.front.requests) != 0 {
+		g.T.Errorf("%d open, %d fresh, %d ids", len(g.front.flows), len(g.front.idle), len(g.front.requests))
 	}
 	g.Advance(time.Second) // for which ended connections may linger
 	g.RunOnce()
-	if open := g.free - g.FreeDescriptors(); open != 0 {
+	if open := g.initialFree - g.FreeDescriptors(); open != 0 {
 		g.T.Errorf("%d descriptors are open", open)
 	}
 }
 
 // leaving is the ways in which a client closes.
-var leaving = map[string]func(*looptest.Peer){
+var closeMethods = map[string]func(*looptest.Peer){
 	"closes":      func(c *looptest.Peer) { c.Close() },
 	"resets":      func(c *looptest.Peer) { c.Reset() },
 	"half-closes": func(c *looptest.Peer) { c.CloseWrite() },
 }
 
 // forEachClose runs a test for each of them.
-func forEachClose(t *testing.T, members int, test func(t *testing.T, g *rig, leave func(*looptest.Peer))) {
-	for name, leave := range leaving {
-		t.Run(name, func(t *testing.T) { test(t, newRig(t, members), leave) })
+func forEachClose(t *testing.T, members int, test func(t *testing.T, g *rig, closeConn func(*looptest.Peer))) {
+	for name, closeConn := range closeMethods {
+		t.Run(name, func(t *testing.T) { test(t, newRig(t, members), closeConn) })
 	}
 }
 
 // fullQueue is the address of a listener that takes no connection in: one that is dialled to it neither comes up
 // nor fails.
-func fullQueue(t testing.TB) string {
+func fullBacklogAddr(t testing.TB) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -188,11 +188,11 @@
 	if err := unix.Listen(fd, 0); err != nil {
 		t.Fatal(err)
 	}
-	at, err := unix.Getsockname(fd)
+	bound, err := unix.Getsockname(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := (&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: at.(*unix.SockaddrInet4).Port}).String()
+	addr := (&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: bound.(*unix.SockaddrInet4).Port}).String()
 	c, err := net.Dial("tcp", addr) // a queue of 0 takes one
 	if err != nil {
 		t.Fatal(err)
@@ -201,7 +201,7 @@
 	return addr
 }
 
-const probingText = `{"balancers":1,"zones":["a"],
+const healthCheckSettings = `{"balancers":1,"zones":["a"],
  "classes":[{"name":"pay","aim-ms":400,"deadline-ms":2000,"effect":"read_like","key-scope":"all"}],
  "tenants":[{"name":"water","share":1}],
  "limits":{"max-attempts":3,"cancel":true,"probes":true,"connect-timeout-ms":250},
@@ -211,19 +211,19 @@
 // enableHealthChecks gives the rig a core that may check health.
 func (g *rig) enableHealthChecks() {
 	g.T.Helper()
-	set, err := settings.Decode([]byte(probingText))
+	set, err := settings.Decode([]byte(healthCheckSettings))
 	if err != nil {
 		g.T.Fatal(err)
 	}
 	var next *netloop.Timer
 	g.Core = core.New(core.Options{Settings: set, Seed: 7, Clock: g.Now, Watch: func() {},
-		Probe: func(to *core.Member) { g.f.CheckHealth(to) },
+		Probe: func(to *core.Member) { g.front.CheckHealth(to) },
 		Wake: func(at time.Duration) {
 			next.Stop()
 			if at < math.MaxInt64 {
 				next = g.After(at-g.Now(), func() { g.Core.Tick() })
 			}
 		}})
-	g.f.Core = g.Core
+	g.front.Core = g.Core
 	g.Core.UpdateMembers(policy.ListCached, g.Members)
 }
--- a/internal/front/line/send_first_line_test.go
+++ b/internal/front/line/send_first_line_test.go
@@ -12,13 +12,13 @@
 // TestRemainingDeadlineForwarded: d is how long the relay waits from when the line is sent, not from when the connection
 // was begun.
 func TestRemainingDeadlineForwarded(t *testing.T) {
-	forwarded := func(late time.Duration) int {
+	forwarded := func(connectDelay time.Duration) int {
 		g := newRig(t, 1)
 		g.Core.PauseDispatch()
 		g.sendRequest(firstLine)
 		g.Core.ResumeDispatch()
-		g.Advance(late) // the connection comes up in this loop iteration
-		line := g.servers[0].Accept().ReadLine()
+		g.Advance(connectDelay) // the connection comes up in this loop iteration
+		line := g.fakeMembers[0].Accept().ReadLine()
 		var d int
 		if _, err := fmt.Sscanf(line[strings.Index(line, ",d="):], ",d=%d", &d); err != nil {
 			t.Fatalf("%q: %v", line, err)
@@ -37,10 +37,10 @@
 	c := g.sendRequest(firstLine)
 	g.setMemberState(0, policy.Draining)
 	g.Advance(time.Duration(g.Core.Settings.Guarantees.DrainGrace)*time.Millisecond + time.Millisecond)
-	g.unsent()
+	g.expectNothingSent()
 	if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
 		t.Errorf("got %q", got)
 	}
 	c.ExpectEOF()
-	g.clean()
+	g.expectNoLeaks()
 }
--- a/internal/front/line/shutdown_test.go
+++ b/internal/front/line/shutdown_test.go
@@ -64,14 +64,14 @@
 	r := looptest.NewRelay(t, 1)
 	f := New(r.Loop, r.Core, r.Log)
 	at := r.Serve(f.Accept)
-	resting, asking := r.Dial(at), r.Dial(at)
-	resting.Send("PING\r\n")
-	resting.Expect("PONG\r\n")
+	idle, sending := r.Dial(at), r.Dial(at)
+	idle.Send("PING\r\n")
+	idle.Expect("PONG\r\n")
 	r.WaitFor("both", func() bool { return len(f.idle) == 2 })
 	r.Core.Stop()
-	asking.Send(firstLine + "\r\n")
+	sending.Send(firstLine + "\r\n")
 	f.CloseIdle()
-	for _, c := range []*looptest.Peer{resting, asking} {
+	for _, c := range []*looptest.Peer{idle, sending} {
 		c.Expect("BUSY 500\r\n")
 		c.ExpectEOF()
 	}
--- a/internal/front/line/upstream.go
+++ b/internal/front/line/upstream.go
@@ -42,20 +42,20 @@
 func (u *upstream) abandon() { u.terminate(u.conn.Reset) }
 
 // terminate closes the connection by end, unless the attempt is finished already.
-func (u *upstream) terminate(end func()) {
+func (u *upstream) terminate(closeConn func()) {
 	if u.state == attemptFinished {
 		return
 	}
 	u.state, _, _ = u.state.next(eventAbandoned)
-	end()
+	closeConn()
 }
 
 // closeForClient closes an open flow by end, because its client has closed. If the member had already sent BYE or MOVE,
 // that decides the flow's result.
-func (u *upstream) closeForClient(end func()) {
+func (u *upstream) closeForClient(closeConn func()) {
 	_, result, _ := u.state.next(eventConnLost)
 	finalCommandReceived := u.state.finalCommand() != ""
-	u.terminate(end)
+	u.terminate(closeConn)
 	if finalCommandReceived {
 		u.client.front.Core.AttemptEnded(u.client.requestID, u.attempt, result, u.report)
 	} else {
@@ -252,7 +252,7 @@
 		u.finalCommandAt = u.client.front.Loop.Now()
 		u.handle(eventMove)
 	}
-	if took, owed := u.noteAnswer(u.client.front.Loop.Now()); owed {
+	if took, awaited := u.noteAnswer(u.client.front.Loop.Now()); awaited {
 		u.client.front.Core.ObserveMessageLatency(u.client.requestID, took)
 	}
 }
