--- a/internal/front/line/attempt_state.go
+++ b/internal/front/line/attempt_state.go
@@ -2,37 +2,38 @@
 
 import "dahliarudder/policy"
 
-// attemptState is the state of an attempt, and of the open flow that it becomes.
+// attemptState is the state of an attempt and of the open flow that results from it.
 type attemptState int
 
 const (
-	attemptDialing   attemptState = iota // its connection is being set up
-	attemptConnected                     // its connection is open, the first line is not written
-	attemptSent                          // the first line is written, no answer has come
+	attemptDialing   attemptState = iota // the connection is being set up
+	attemptConnected                     // the connection is open, the first line is not written
+	attemptSent                          // the first line is written, no answer has arrived
 	attemptOpen                          // the flow is open
 	attemptGotBye                        // the flow is open, and the member has sent BYE
 	attemptGotMove                       // the flow is open, and the member has sent MOVE
-	attemptFinished                      // it is answered, closed or abandoned
+	attemptFinished                      // the attempt is answered, closed or abandoned
 )
 
 // attemptEvent is an event of an attempt.
 type attemptEvent int
 
 const (
-	eventConnected        attemptEvent = iota // its connection is open
+	eventConnected        attemptEvent = iota // the connection is open
 	eventOpenSent                             // the first line is written
-	eventUp                                   // UP came
-	eventBusy                                 // BUSY came
-	eventBye                                  // BYE came, as the answer or on the open flow
-	eventMove                                 // MOVE came, likewise
-	eventUnexpectedAnswer                     // any other answer came, or no valid line
+	eventUp                                   // the member answered UP
+	eventBusy                                 // the member answered BUSY
+	eventBye                                  // the member sent BYE, as its answer or on the open flow
+	eventMove                                 // the member sent MOVE, as its answer or on the open flow
+	eventUnexpectedAnswer                     // the member answered something else or a malformed line
 	eventNoConnection                         // the relay is short of descriptors or memory, or may not use the connection
-	eventConnLostUnsent                       // its connection was lost before the first line was sent
-	eventConnLost                             // its connection was closed or lost after that
-	eventAbandoned                            // its answer is no longer awaited
+	eventConnLostUnsent                       // the connection was lost before the first line was sent completely
+	eventConnLost                             // the connection was closed or lost after that
+	eventAbandoned                            // the answer is no longer needed
 )
 
-// next is the transition function. ended reports that the attempt is finished by this event, with the result.
+// next returns the state after an event. ended is true if the event finishes the attempt, and
+// result is then its result.
 func (s attemptState) next(e attemptEvent) (next attemptState, result policy.Result, ended bool) {
 	switch s {
 	case attemptDialing, attemptConnected, attemptSent:
@@ -43,7 +44,7 @@
 	return s, 0, false
 }
 
-// nextAnswer is next before the flow is open.
+// nextAnswer is next for the states before the flow is open.
 func (s attemptState) nextAnswer(e attemptEvent) (attemptState, policy.Result, bool) {
 	switch e {
 	case eventConnected:
@@ -60,7 +61,7 @@
 		return attemptFinished, policy.Cancelled, true
 	case eventUnexpectedAnswer:
 		return attemptFinished, policy.Error, true
-	case eventNoConnection: // not the member's failure
+	case eventNoConnection: // not a failure of the member
 		return attemptFinished, policy.NotSent, true
 	case eventConnLostUnsent:
 		return attemptFinished, policy.ConnectFailed, true
@@ -72,7 +73,7 @@
 	return s, 0, false
 }
 
-// nextOpen is next on an open flow.
+// nextOpen is next for the states of an open flow.
 func (s attemptState) nextOpen(e attemptEvent) (attemptState, policy.Result, bool) {
 	switch e {
 	case eventBye:
@@ -87,7 +88,7 @@
 	return s, 0, false
 }
 
-// closeResult is the result of an open flow whose connection the member closes in this state.
+// closeResult returns the result of an open flow if the member closes its connection in this state.
 func (s attemptState) closeResult() policy.Result {
 	switch s {
 	case attemptGotBye:
@@ -106,7 +107,8 @@
 	return s == attemptOpen || s == attemptGotBye || s == attemptGotMove
 }
 
-// finalCommand is the command, BYE or MOVE, by which the member has announced the flow's end; empty if it has not.
+// finalCommand returns the command, BYE or MOVE, with which the member has announced the end of the
+// flow, or "" if it has not.
 func (s attemptState) finalCommand() string {
 	switch s {
 	case attemptGotBye:
@@ -117,7 +119,8 @@
 	return ""
 }
 
-// openStateAfter is the state of an open flow on which that final command has come; the inverse of finalCommand.
+// openStateAfter returns the state of an open flow on which the given final command, if any, has
+// arrived. It is the inverse of finalCommand.
 func openStateAfter(command string) attemptState {
 	switch command {
 	case commandBye:
--- a/internal/front/line/client.go
+++ b/internal/front/line/client.go
@@ -11,27 +11,28 @@
 	"dahliarudder/policy"
 )
 
-// clientConn is the connection of a client. It carries at most one request, for which it is the core's Downstream.
+// clientConn is a client's connection. It carries at most one request, and is the core's Downstream
+// for it.
 type clientConn struct {
 	front        *Front
 	conn         *netloop.Conn
 	requestID    core.ID
 	state        clientState
 	openLine     openLine
-	upstream     *upstream      // of the attempt in flight, or of the open flow; nil if there is none
-	timer        *netloop.Timer // ends the time that the state may last
-	retryAfter   time.Duration  // goes to the client with BUSY, if above 0
-	blockedBytes int            // bytes of the client's that the member's send buffer had no room for
+	upstream     *upstream      // the attempt in flight or the member's side of the open flow; nil before the first attempt
+	timer        *netloop.Timer // fires eventTimeout when the time limit of the state has passed
+	retryAfter   time.Duration  // sent to the client with BUSY if above 0
+	blockedBytes int            // bytes from the client that did not fit in the send buffer to the member
 }
 
-// handle applies an event.
+// handle applies an event: it changes the state and performs the action.
 func (c *clientConn) handle(e clientEvent) {
 	next, action := c.state.next(e)
 	c.setState(next)
 	c.perform(action)
 }
 
-// setState changes the state, and with it the front's sets of connections.
+// setState changes the state and updates the front's sets of connections.
 func (c *clientConn) setState(next clientState) {
 	if next == c.state {
 		return
@@ -62,12 +63,12 @@
 	case sendBusy:
 		c.sendBusy()
 	case openFlow:
-		c.conn.SetEarlyEOF(false) // what the client has sent by then is forwarded
+		c.conn.SetEarlyEOF(false) // EOF is reported only after all bytes before it have been forwarded
 		c.front.Loop.After(0, c.conn.ResumeReading)
 	case closeClient:
 		c.close()
 	case resetClient:
-		c.conn.Reset() // before close, which would end it gracefully
+		c.conn.Reset() // before close, because close would end the connection gracefully
 		c.close()
 	case cancelRequest:
 		c.cancelRequest()
@@ -78,7 +79,7 @@
 		c.close()
 		c.upstream.closeForClient(c.upstream.conn.Reset)
 	case flushThenCloseFlow:
-		c.upstream.closeForClient(func() {}) // its connection ends once its send buffer is empty
+		c.upstream.closeForClient(func() {}) // the connection closes once its send buffer is empty
 		c.startTimer(MoveTimeout)
 	case awaitLineEnd:
 		c.startTimer(MoveTimeout)
@@ -95,19 +96,19 @@
 	}
 }
 
-// startTimer limits how long the state may last.
+// startTimer limits how long the current state may last.
 func (c *clientConn) startTimer(after time.Duration) {
 	c.timer.Stop()
 	c.timer = c.front.Loop.After(after, func() { c.handle(eventTimeout) })
 }
 
-// allowShedding lets the loop close the connection when descriptors run short.
+// allowShedding lets the event loop close the connection when descriptors run short.
 func (c *clientConn) allowShedding() { c.conn.SetEvictable(func() { c.handle(eventShed) }) }
 
-// Open implements netloop's handler; the connection is open already.
+// Open implements netloop.Handler. An accepted connection is open from the start.
 func (c *clientConn) Open() {}
 
-// Data implements netloop's handler.
+// Data implements netloop.Handler.
 func (c *clientConn) Data(b []byte) int {
 	used := 0
 	for c.state.awaitsFirstLine() && used < len(b) {
@@ -134,7 +135,8 @@
 	return used
 }
 
-// forwardToMember forwards as many of the client's bytes as there is buffer space for, and returns how many.
+// forwardToMember forwards the client's bytes as far as the send buffer has room, and returns how
+// many it took.
 func (c *clientConn) forwardToMember(b []byte) int {
 	n := c.upstream.forwardToMember(b)
 	if c.blockedBytes = len(b) - n; c.blockedBytes == 0 {
@@ -143,7 +145,7 @@
 	return n
 }
 
-// handleFirstLine handles PING or OPEN.
+// handleFirstLine handles a PING or OPEN line. It returns an error if the line is malformed.
 func (c *clientConn) handleFirstLine(text string) error {
 	if text == commandPing {
 		c.handle(eventPing)
@@ -171,7 +173,7 @@
 	c.allowShedding()
 }
 
-// placeRequest hands the request to the core, or rejects it if descriptors are short.
+// placeRequest hands the request to the core, or rejects it if the relay is short of descriptors.
 func (c *clientConn) placeRequest() {
 	c.timer.Stop()
 	c.conn.SetEvictable(nil)
@@ -183,14 +185,14 @@
 	c.requestID = c.front.Core.Open(c.openLine.request, c)
 }
 
-// Drained implements netloop's handler.
+// Drained implements netloop.Handler.
 func (c *clientConn) Drained() {
 	if c.state.isOpen() || c.state == clientFlushingToClient {
 		c.upstream.conn.ResumeReading()
 	}
 }
 
-// End implements netloop's handler.
+// End implements netloop.Handler.
 func (c *clientConn) End(err error) {
 	switch {
 	case errors.Is(err, io.EOF) && c.blockedBytes > 0:
@@ -202,7 +204,7 @@
 	}
 }
 
-// Send implements core.Downstream: it starts an attempt at a member.
+// Send implements core.Downstream. It starts an attempt at a member.
 func (c *clientConn) Send(id core.ID, member *core.Member, attempt int, wait time.Duration) {
 	c.requestID = id
 	u := &upstream{client: c, member: member, attempt: attempt, deadline: c.front.Loop.Now() + wait, report: policy.NoReport}
@@ -210,7 +212,7 @@
 	u.conn = c.front.Loop.Dial(member.Addr, min(c.front.connectTimeout, wait), u)
 }
 
-// Cancel abandons the attempt.
+// Cancel implements core.Downstream. It abandons the attempt.
 func (c *clientConn) Cancel(int) {
 	if c.upstream != nil {
 		c.upstream.abandon()
@@ -218,14 +220,15 @@
 	}
 }
 
-// Reject answers BUSY: the client may retry, after the given time.
+// Reject implements core.Downstream. It answers BUSY: the client may retry after the given time.
 func (c *clientConn) Reject(after time.Duration) {
 	c.retryAfter = after
 	c.handle(eventRejected)
 }
 
-// cancelRequest ends a request whose client has closed its sending side. Such a client has gone, or it still reads: no
-// further attempt is made, and it gets its final answer.
+// cancelRequest ends a request whose client has closed its sending side. The client may be gone or
+// may still read: no further attempt is made, and it is sent a final answer. BUSY says that a retry
+// is harmless, ERR that the request may have run.
 func (c *clientConn) cancelRequest() {
 	if c.front.Core.ClientGone(c.requestID) {
 		c.sendBusy()
@@ -248,10 +251,11 @@
 	c.close()
 }
 
-// Fail answers ERR: the request may have run.
+// Fail implements core.Downstream. It answers ERR: the request may have run.
 func (c *clientConn) Fail() { c.handle(eventFailed) }
 
-// Migrate migrates the client: it sends MOVE between two lines and closes both sides.
+// Migrate implements core.Downstream. It sends MOVE, after the end of a line that has been forwarded
+// in part, and closes both sides.
 func (c *clientConn) Migrate() { c.handle(eventMigrate) }
 
 func (c *clientConn) closeBoth() {
@@ -259,7 +263,8 @@
 	c.close()
 }
 
-// close ends the client connection gracefully. Each path that ends one leads here.
+// close closes the client's connection gracefully and removes it from the front. Every way in which a
+// connection ends or is handed off goes through it.
 func (c *clientConn) close() {
 	c.timer.Stop()
 	c.setState(clientClosed)
--- a/internal/front/line/client_state.go
+++ b/internal/front/line/client_state.go
@@ -4,15 +4,15 @@
 type clientState int
 
 const (
-	clientNew              clientState = iota // no first line has come, or only a part of one
-	clientIdle                                // the last first line was PING; it has been answered, and the next is awaited
-	clientPending                             // its request is queued or has an attempt in flight
-	clientOpen                                // its flow is open, and the client has got whole lines only
-	clientMidLine                             // its flow is open, and a part of a line of the member's has been forwarded
-	clientMigrating                           // the same; MOVE follows the end of that line
-	clientFlushingToClient                    // the member has closed; what it sent still goes to the client
-	clientFlushingToMember                    // the client has closed; what it sent still goes to the member
-	clientClosed                              // its connection is closed
+	clientNew              clientState = iota // no complete first line has arrived
+	clientIdle                                // PING was answered, and the next line has not begun
+	clientPending                             // the request is queued or has an attempt in flight
+	clientOpen                                // the flow is open, and the client has received complete lines only
+	clientMidLine                             // the flow is open, and part of a line from the member has been forwarded
+	clientMigrating                           // like clientMidLine, and MOVE is to be sent after the end of that line
+	clientFlushingToClient                    // the member has closed; its remaining bytes are being forwarded to the client
+	clientFlushingToMember                    // the client has closed; its remaining bytes are being forwarded to the member
+	clientClosed                              // the client's connection is closed
 	clientStateCount                          // the number of states
 )
 
@@ -20,57 +20,57 @@
 type clientEvent int
 
 const (
-	eventPing             clientEvent = iota // PING came as the first line
-	eventPartialFirstLine                    // a part of the first line came
-	eventOpen                                // OPEN came as the first line
-	eventMalformed                           // anything else came as the first line
-	eventTimeout                             // the state has lasted as long as it may
-	eventShed                                // the loop needs its descriptor
+	eventPing             clientEvent = iota // the first line is PING
+	eventPartialFirstLine                    // part of a first line arrived
+	eventOpen                                // the first line is a valid OPEN
+	eventMalformed                           // the first line is anything else
+	eventTimeout                             // the time limit of the state has passed
+	eventShed                                // the event loop needs the descriptor of this connection
 	eventShutdown                            // the relay shuts down
-	eventAttemptUp                           // a member has answered UP
-	eventAttemptServed                       // a member has answered BYE without UP
-	eventRejected                            // the core rejects the request
-	eventFailed                              // the core fails it
-	eventAttemptAbandoned                    // an attempt is abandoned
-	eventPartialLine                         // a part of a line of the member's has been forwarded, without its end
-	eventLineEnd                             // the end of one has been forwarded
+	eventAttemptUp                           // a member answered UP
+	eventAttemptServed                       // a member answered BYE without UP
+	eventRejected                            // the core rejected the request
+	eventFailed                              // the core reported the request as failed
+	eventAttemptAbandoned                    // the core cancelled the attempt
+	eventPartialLine                         // part of a line from the member was forwarded, without its end
+	eventLineEnd                             // the end of a line from the member was forwarded
 	eventMigrate                             // the client is to be migrated
-	eventClientEOF                           // the client has closed its sending side
-	eventClientEOFBlocked                    // the same, and some of what it sent has not been forwarded yet
-	eventClientFlushed                       // all that the client sent has been forwarded
+	eventClientEOF                           // the client closed its sending side
+	eventClientEOFBlocked                    // like eventClientEOF, with bytes from the client still to be forwarded
+	eventClientFlushed                       // all bytes received from the client have been forwarded
 	eventClientReset                         // the client's connection was reset or lost
-	eventMemberEOF                           // the member has closed its sending side, on an open flow
-	eventMemberEOFBlocked                    // the same, and some of what it sent has not been forwarded yet
-	eventMemberFlushed                       // all that the member sent has been forwarded
+	eventMemberEOF                           // the member closed its sending side, on an open flow
+	eventMemberEOFBlocked                    // like eventMemberEOF, with bytes from the member still to be forwarded
+	eventMemberFlushed                       // all bytes received from the member have been forwarded
 	eventMemberReset                         // the member's connection was reset or lost, on an open flow
 	clientEventCount                         // the number of events
 )
 
-// clientAction is what an event has the connection do.
+// clientAction is what the connection does on an event.
 type clientAction int
 
 const (
 	doNothing          clientAction = iota
-	sendPong                        // answer PING, and await the next first line
-	awaitFirstLine                  // await the rest of the first line, for at most firstLineTimeout
+	sendPong                        // answer PING and wait for the next line
+	awaitFirstLine                  // wait for the rest of the first line, for at most firstLineTimeout
 	placeRequest                    // hand the request to the core
 	sendError                       // answer ERR and close
 	sendBusy                        // answer BUSY and close
-	openFlow                        // forward what the client has sent early; the member's UP has gone to it
+	openFlow                        // forward the bytes that the client sent early; UP has already been forwarded to it
 	closeClient                     // close the client's side gracefully
 	resetClient                     // reset the client's side
-	cancelRequest                   // report to the core that the client has left, answer it in case it still reads, and close its side
-	closeFlow                       // the same, and close the member's side gracefully
-	resetFlow                       // the same, and reset the member's side
-	flushThenCloseFlow              // report to the core that the client has left, and keep forwarding what it sent, for at most MoveTimeout
-	awaitLineEnd                    // await the end of the line, for at most MoveTimeout
+	cancelRequest                   // report to the core that the client left, send a final answer in case it still reads, and close its side
+	closeFlow                       // report to the core that the client left, and close both sides gracefully
+	resetFlow                       // like closeFlow, but reset the member's side
+	flushThenCloseFlow              // report to the core that the client left, and keep forwarding its bytes for at most MoveTimeout
+	awaitLineEnd                    // wait for the end of the line, for at most MoveTimeout
 	sendMove                        // send MOVE and close both sides
 	closeBothSides                  // close both sides gracefully
-	awaitFlush                      // keep forwarding what the member sent, for at most lingerTimeout
-	finishAttempt                   // close the client's side gracefully, and report the flow's result to the core
+	awaitFlush                      // keep forwarding the member's bytes, for at most lingerTimeout
+	finishAttempt                   // close the client's side gracefully and report the flow's result to the core
 )
 
-// awaitsFirstLine reports whether no request has come.
+// awaitsFirstLine reports whether no request has arrived yet.
 func (s clientState) awaitsFirstLine() bool { return s == clientNew || s == clientIdle }
 
 // isOpen reports whether the flow is open.
@@ -78,10 +78,11 @@
 	return s == clientOpen || s == clientMidLine || s == clientMigrating
 }
 
-// isEstablished reports whether the flow is open and is not being migrated.
+// isEstablished reports whether the flow is open and not being migrated.
 func (s clientState) isEstablished() bool { return s == clientOpen || s == clientMidLine }
 
-// openStateFor is the state of an open flow, by whether a part of a line has been forwarded to the client.
+// openStateFor returns the state of an open flow; midLine says whether part of a line has been
+// forwarded to the client.
 func openStateFor(midLine bool) clientState {
 	if midLine {
 		return clientMidLine
@@ -89,7 +90,7 @@
 	return clientOpen
 }
 
-// clientRule is the transition from each of the states in, by an event.
+// clientRule is a transition: in any of the states in, the event on leads to next by action.
 type clientRule struct {
 	in     []clientState
 	on     clientEvent
@@ -97,7 +98,7 @@
 	action clientAction
 }
 
-// clientRules are all transitions. An event without a rule for a state changes nothing.
+// clientRules are all transitions. An event without a rule for the current state has no effect.
 var clientRules = []clientRule{
 	{[]clientState{clientNew, clientIdle}, eventPing, clientIdle, sendPong},
 	{[]clientState{clientIdle}, eventPartialFirstLine, clientNew, awaitFirstLine},
@@ -145,13 +146,13 @@
 	{[]clientState{clientFlushingToMember}, eventMemberReset, clientClosed, closeBothSides},
 }
 
-// clientTransition is where an event leads from a state, and what it has the connection do.
+// clientTransition is the next state and the action for an event in a state.
 type clientTransition struct {
 	next   clientState
 	action clientAction
 }
 
-// clientTransitions is clientRules by state and event.
+// clientTransitions is clientRules indexed by state and event.
 var clientTransitions = func() (table [clientStateCount][clientEventCount]clientTransition) {
 	for s := range clientStateCount {
 		for e := range clientEventCount {
@@ -166,7 +167,7 @@
 	return table
 }()
 
-// next is the transition function.
+// next returns the next state and the action for an event.
 func (s clientState) next(e clientEvent) (clientState, clientAction) {
 	t := &clientTransitions[s][e]
 	return t.next, t.action
--- a/internal/front/line/handoff.go
+++ b/internal/front/line/handoff.go
@@ -7,14 +7,14 @@
 	"dahliarudder/policy"
 )
 
-// IdleConn is a client connection without a request that is handed to another process of the same relay.
+// IdleConn is a client connection without a request that is handed to another process of this relay.
 type IdleConn struct {
-	Unread    []byte `json:"unread"`            // what has come of the first line
-	AfterPong bool   `json:"resting,omitempty"` // PING has been answered on it
+	Unread    []byte `json:"unread"`            // the part of the first line that has arrived
+	AfterPong bool   `json:"resting,omitempty"` // whether a PING has been answered on it, and no other line has begun
 }
 
-// HandOffIdle hands at most limit connections without a request to give, which then owns the descriptor. The others, which
-// are to follow, are no longer read.
+// HandOffIdle passes at most limit connections without a request to handOver, which then owns the
+// descriptor. It stops reading from the others, which are handed off later or resumed by ResumeIdle.
 func (f *Front) HandOffIdle(limit int, handOver func(handoff IdleConn, fd int)) {
 	for c := range f.idle {
 		if limit <= 0 {
@@ -31,39 +31,40 @@
 	}
 }
 
-// IdleCount is the number of connections without a request.
+// IdleCount returns the number of connections without a request.
 func (f *Front) IdleCount() int { return len(f.idle) }
 
-// ResumeIdle reads again from the connections that HandOffIdle has left.
+// ResumeIdle resumes reading from the connections that HandOffIdle has not handed off.
 func (f *Front) ResumeIdle() {
 	for c := range f.idle {
 		f.Loop.After(0, c.conn.ResumeReading)
 	}
 }
 
-// AdoptIdle serves a connection that another process has handed off.
+// AdoptIdle serves a connection without a request that another process has handed off.
 func (f *Front) AdoptIdle(handoff IdleConn, fd int) {
 	conn := f.Loop.Attach(fd, handoff.Unread, nil)
 	f.accept(conn, handoff.AfterPong)
 	f.Loop.After(0, conn.ResumeReading)
 }
 
-// FlowHandoff is an open flow that is handed to another process. Times are ages.
+// FlowHandoff is an open flow that is handed to another process. Its durations count back from the
+// time of the handoff.
 type FlowHandoff struct {
 	ClientID      uint64            `json:"id"` // the id in the client's first line
 	Placement     core.FlowTransfer `json:"flow"`
-	FromClient    []byte            `json:"from_client"` // received, but not forwarded yet
-	FromMember    []byte            `json:"from_member"`
-	MidLine       bool              `json:"within"` // a part of a line of the member's has been forwarded
-	LinePrefix    []byte            `json:"tail"`   // the start of that line
-	FinalCommand  string            `json:"last"`   // BYE or MOVE, or empty
-	AnswerPending time.Duration     `json:"asked"`  // how long the client has waited for an answer; 0 if it does not
-	ClientQuiet   time.Duration     `json:"heard"`  // how long the client has sent nothing
+	FromClient    []byte            `json:"from_client"` // received from the client, not forwarded yet
+	FromMember    []byte            `json:"from_member"` // received from the member, not forwarded yet
+	MidLine       bool              `json:"within"`      // whether part of a line from the member has been forwarded
+	LinePrefix    []byte            `json:"tail"`        // the start of that line
+	FinalCommand  string            `json:"last"`        // BYE or MOVE if the member has sent it, or empty
+	AnswerPending time.Duration     `json:"asked"`       // how long the client has waited for an answer; 0 if it is not waiting
+	ClientQuiet   time.Duration     `json:"heard"`       // how long the client has sent nothing
 }
 
-// HandOffFlows hands at most limit open flows, with the sockets to the client and to
-// the member, to give, which then owns these. A flow with unsent bytes, or one that is being
-// migrated, stays for now.
+// HandOffFlows passes at most limit open flows to handOver, which then owns the descriptors of the
+// sockets to the client and to the member. A flow with unsent bytes is skipped; so is one that is
+// being migrated. The caller may try again later.
 func (f *Front) HandOffFlows(limit int, handOver func(handoff FlowHandoff, client, member int)) {
 	now := f.Loop.Now()
 	for c := range f.flows {
@@ -81,7 +82,7 @@
 		}
 		client, member := f.detach(c, &handoff)
 		if client < 0 {
-			return // out of descriptors
+			return // no free descriptor
 		}
 		handoff.Placement, _ = f.Core.ReleaseFlow(c.requestID)
 		handoff.Placement.Request.Load = u.load
@@ -90,8 +91,8 @@
 	}
 }
 
-// detach takes both sides of an open flow off the loop. If there is no descriptor for either it returns -1, and the flow
-// continues here.
+// detach takes both sockets of an open flow off the event loop and returns their descriptors. If
+// either has none to spare it returns -1, and the flow continues in this process.
 func (f *Front) detach(c *clientConn, handoff *FlowHandoff) (client, member int) {
 	if client, handoff.FromClient = c.conn.Detach(); client < 0 {
 		return -1, -1
@@ -104,7 +105,8 @@
 	return -1, -1
 }
 
-// AdoptFlow continues a flow that another process has handed off. If its member is not known here, the client is migrated.
+// AdoptFlow continues a flow that another process has handed off. It migrates the client if the
+// flow's member is not known here.
 func (f *Front) AdoptFlow(handoff FlowHandoff, client, member int) {
 	now := f.Loop.Now()
 	c := &clientConn{front: f, state: openStateFor(handoff.MidLine), openLine: openLine{id: handoff.ClientID}}
@@ -127,7 +129,7 @@
 	f.Loop.After(0, func() { c.conn.ResumeReading(); u.conn.ResumeReading() })
 }
 
-// OpenRequestIDs are the client ids of the open requests of this process.
+// OpenRequestIDs returns the client ids of the open requests of this process.
 func (f *Front) OpenRequestIDs() []uint64 {
 	ids := make([]uint64, 0, len(f.requests))
 	for id := range f.requests {
@@ -136,7 +138,8 @@
 	return ids
 }
 
-// SetRemoteIDs sets the client ids of the open requests of another process; they are rejected here.
+// SetRemoteIDs sets the client ids of the open requests of another process. This front answers ERR
+// to a request with one of them.
 func (f *Front) SetRemoteIDs(ids []uint64) {
 	clear(f.remoteIDs)
 	for _, id := range ids {
--- a/internal/front/line/health_check.go
+++ b/internal/front/line/health_check.go
@@ -11,24 +11,26 @@
 )
 
 const (
-	checkTimeout = 400 * time.Millisecond
-	// checkIdleFraction is the fraction of the settings' keepalive for which an idle connection to a member is kept: one
-	// that the member closes just as it is used costs a second connection.
+	checkTimeout = 400 * time.Millisecond // for the answer, connecting included
+	// checkIdleFraction is the fraction of the keepalive setting for which an idle connection to a
+	// member is reused. If the member closes a connection just as it is reused, the check needs a
+	// second connection.
 	checkIdleFraction = 0.8
-	defaultKeepalive  = 5 * time.Second // where the settings have none
+	defaultKeepalive  = 5 * time.Second // if the settings have no keepalive
 )
 
-// healthCheck is the connection on which the health of one member is checked.
+// healthCheck checks the health of one member over a connection that it reuses.
 type healthCheck struct {
 	front *Front
 	id    policy.MemberID
 	addr  string
 	conn  *netloop.Conn
 	state healthCheckState
-	timer *netloop.Timer // for the answer, or for the idle connection
+	timer *netloop.Timer // time limit for the answer, or for the idle connection
 }
 
-// CheckHealth requests a load report from a member; the answer goes to the core.
+// CheckHealth requests a load report from a member. The result goes to the core's ProbeResult. It
+// does nothing if a check of the member is already pending.
 func (f *Front) CheckHealth(member *core.Member) {
 	h := f.healthChecks[member.ID]
 	if h == nil {
@@ -60,21 +62,21 @@
 	}
 }
 
-// closeIdle closes a connection that has been idle for long enough.
+// closeIdle closes a connection that is not used for a check at the moment.
 func (h *healthCheck) closeIdle() {
 	h.state = h.state.next(eventCheckIdleTimeout)
 	h.closeConn()
 	h.remove()
 }
 
-// remove takes a health check without a connection off the front's list.
+// remove removes a health check without a connection from the front.
 func (h *healthCheck) remove() {
 	if h.front.healthChecks[h.id] == h {
 		delete(h.front.healthChecks, h.id)
 	}
 }
 
-// Open implements netloop's handler.
+// Open implements netloop.Handler.
 func (h *healthCheck) Open() {
 	if !h.front.Core.Reachable(h.id) {
 		h.finish(policy.NotSent, policy.NoReport)
@@ -84,16 +86,16 @@
 	h.conn.Write(statsLine)
 }
 
-// Drained implements netloop's handler.
+// Drained implements netloop.Handler.
 func (h *healthCheck) Drained() {}
 
-// Data implements netloop's handler.
+// Data implements netloop.Handler.
 func (h *healthCheck) Data(b []byte) int {
 	text, n, err := cutLine(b)
 	if n == 0 && err == nil {
 		return 0
 	}
-	if !h.state.isPending() { // unsolicited; it would be taken for the answer to the next check
+	if !h.state.isPending() { // unsolicited: it would be mistaken for the answer to the next check
 		h.timer.Stop()
 		h.closeIdle()
 		return len(b)
@@ -112,7 +114,7 @@
 	return n
 }
 
-// End implements netloop's handler.
+// End implements netloop.Handler.
 func (h *healthCheck) End(err error) {
 	h.closeConn()
 	if !h.state.isPending() {
@@ -129,15 +131,16 @@
 	h.finish(h.connLostResult(err), policy.NoReport)
 }
 
-// isLocalShortage reports whether a connection failed because this host is short of descriptors or memory.
+// isLocalShortage reports whether a connection failed because this host is short of descriptors or
+// memory.
 func isLocalShortage(err error) bool { return errors.Is(err, netloop.ErrNoDescriptors) }
 
-// connLostResult is the result of a health check whose connection was lost.
+// connLostResult returns the result of a pending health check whose connection was lost.
 func (h *healthCheck) connLostResult(err error) policy.Result {
 	switch {
 	case isLocalShortage(err):
 		return policy.NotSent
-	case errors.Is(err, netloop.ErrDialTimeout): // the member does not respond at all
+	case errors.Is(err, netloop.ErrDialTimeout): // the member did not respond at all
 		return policy.Timeout
 	case h.state == checkDialing:
 		return policy.ConnectFailed
@@ -145,12 +148,13 @@
 	return policy.Reset
 }
 
-// finish reports a result after which the connection is not reused.
+// finish reports a result to the core and closes the connection.
 func (h *healthCheck) finish(result policy.Result, report policy.Report) {
 	h.report(result, report, false)
 }
 
-// report reports the result to the core. A connection that brought exactly one good answer is kept for the next check.
+// report reports a result to the core. With reuse, the connection is kept for the next check; that
+// is for a connection that brought PONG and nothing after it.
 func (h *healthCheck) report(result policy.Result, report policy.Report, reuse bool) {
 	h.timer.Stop()
 	if reuse {
--- a/internal/front/line/health_check_state.go
+++ b/internal/front/line/health_check_state.go
@@ -1,14 +1,14 @@
 package line
 
-// healthCheckState is the state of the connection on which the health of a member is checked.
+// healthCheckState is the state of the health check of one member.
 type healthCheckState int
 
 const (
 	checkDisconnected  healthCheckState = iota // there is no connection
-	checkConnIdle                              // the connection has brought an answer, and is kept for the next check
-	checkDialing                               // a check is pending, the connection is being set up
+	checkConnIdle                              // the connection brought an answer and is kept for the next check
+	checkDialing                               // a check is pending, and its connection is being set up
 	checkPending                               // a check is pending on a new connection
-	checkPendingReused                         // a check is pending on a connection that has brought an answer before
+	checkPendingReused                         // a check is pending on a reused connection
 )
 
 // healthCheckEvent is an event of a health check.
@@ -18,17 +18,17 @@
 	eventCheckDue               healthCheckEvent = iota // the core requests a check, and there is no idle connection to the member's address
 	eventCheckDueReusable                               // the core requests a check, and the idle connection can be used
 	eventCheckConnected                                 // the connection is open
-	eventCheckAnswered                                  // the member has answered PONG
-	eventCheckFailed                                    // it has answered anything else or more than one line, or has taken too long
+	eventCheckAnswered                                  // the member answered PONG and nothing else
+	eventCheckFailed                                    // another answer, more than one line, no answer in time, or the check was not sent
 	eventCheckConnLost                                  // the connection was closed or lost
-	eventCheckConnLostRetryable                         // the same, and it may be set up again
-	eventCheckIdleTimeout                               // the idle connection has been kept for long enough
+	eventCheckConnLostRetryable                         // a reused connection was closed or lost, and a new one may be dialled
+	eventCheckIdleTimeout                               // the idle connection is closed: its time limit passed or it brought unsolicited data
 )
 
-// isPending reports whether an answer is awaited.
+// isPending reports whether a check has no result yet.
 func (s healthCheckState) isPending() bool { return s >= checkDialing }
 
-// next is the transition function. An event that has no meaning in a state changes nothing.
+// next returns the state after an event. An event that has no meaning in a state does not change it.
 func (s healthCheckState) next(e healthCheckEvent) healthCheckState {
 	switch e {
 	case eventCheckDue:
@@ -50,7 +50,7 @@
 	case eventCheckFailed, eventCheckConnLost, eventCheckIdleTimeout:
 		return checkDisconnected
 	case eventCheckConnLostRetryable:
-		if s == checkPendingReused { // the member may have closed it as idle just then
+		if s == checkPendingReused { // the member may have closed the idle connection just before
 			return checkDialing
 		}
 		return checkDisconnected
--- a/internal/front/line/line.go
+++ b/internal/front/line/line.go
@@ -1,6 +1,7 @@
-// Package line is the front for the platform's protocol: lines of text between
-// clients, the relay and pool members. A clientConn is the connection of a client, and the core's
-// Downstream for its request; an upstream is one attempt at a member. See docs/design.md, "The line front".
+// Package line is the front for the platform's line protocol: lines of text between clients, the
+// relay and pool members. A clientConn is a client's connection, and the core's Downstream for its
+// request. An upstream is one attempt at a member and, once the flow is open, the member's side of
+// it. See docs/design.md, "The line front".
 package line
 
 import (
@@ -19,31 +20,31 @@
 
 // Timeouts and intervals of this front.
 const (
-	firstLineTimeout     = 2 * time.Second        // for a first line to come; 3 s are allowed
-	idleTimeout          = 30 * time.Second       // for a request on a connection that was answered PONG
-	clientSilenceTimeout = 30 * time.Second       // after which a client that sends nothing has gone; each sends a line every 2 s
+	firstLineTimeout     = 2 * time.Second        // for a complete first line; the protocol allows 3 s
+	idleTimeout          = 30 * time.Second       // for the next line on a connection that was answered PONG
+	clientSilenceTimeout = 30 * time.Second       // after which a client that sends nothing is taken for gone; clients send a line every 2 s
 	sweepInterval        = 250 * time.Millisecond // between searches for silent clients and members
-	MoveTimeout          = 500 * time.Millisecond // for the member to end the line that MOVE has to follow; a shutdown waits for it too
-	shortageRetryAfter   = 500 * time.Millisecond // sent with BUSY to clients that are rejected for want of descriptors
+	MoveTimeout          = 500 * time.Millisecond // for the line that MOVE has to follow to end; a shutdown waits as long
+	shortageRetryAfter   = 500 * time.Millisecond // sent with BUSY to clients that are rejected for lack of descriptors
 )
 
-// Front serves the platform's protocol.
+// Front serves clients that speak the platform's line protocol.
 type Front struct {
 	Loop *netloop.Loop
 	Core *core.Core
 	Log  logrus.FieldLogger
 
 	connectTimeout   time.Duration
-	checkIdleTimeout time.Duration            // how long the connection of a health check is kept for the next one
-	flows            map[*clientConn]struct{} // whose flow is established
-	idle             map[*clientConn]struct{} // no request has come yet
-	requests         map[uint64]*clientConn   // by the client's id, from its first line to its end
+	checkIdleTimeout time.Duration            // how long the idle connection of a health check is reused
+	flows            map[*clientConn]struct{} // clients with an established flow
+	idle             map[*clientConn]struct{} // clients that have not sent a request yet
+	requests         map[uint64]*clientConn   // open requests by the client's id
 	remoteIDs        map[uint64]bool          // client ids of the open requests of another process of this relay
 	healthChecks     map[policy.MemberID]*healthCheck
 	rejections       [causeCount]rejectionCount
 }
 
-// New returns a front that places requests by the core.
+// New returns a front that hands its requests to the core c.
 func New(loop *netloop.Loop, c *core.Core, log logrus.FieldLogger) *Front {
 	f := &Front{Loop: loop, Core: c, Log: log, connectTimeout: c.PolicySettings().ConnectTimeout,
 		checkIdleTimeout: time.Duration(checkIdleFraction * float64(cmp.Or(settings.Duration(c.Settings.Limits.Keepalive), defaultKeepalive))),
@@ -56,7 +57,7 @@
 // Accept serves a client's connection.
 func (f *Front) Accept(conn *netloop.Conn) { f.accept(conn, false) }
 
-// accept serves a connection that is new, or that another process has answered PONG.
+// accept serves a new connection, or one that another process has answered PONG.
 func (f *Front) accept(conn *netloop.Conn, afterPong bool) {
 	c := &clientConn{front: f, conn: conn}
 	f.idle[c] = struct{}{}
@@ -69,12 +70,12 @@
 	conn.SetHandler(c)
 }
 
-// OpenRequests is how many requests are open: queued, with an attempt in flight, with an established flow, or about to be
-// migrated.
+// OpenRequests returns the number of open requests: those that are queued, have an attempt in
+// flight, have an established flow, or are being migrated.
 func (f *Front) OpenRequests() int { return len(f.requests) }
 
-// CloseIdle closes the connections on which no request has come. It answers BUSY first, for a request that is just on
-// its way.
+// CloseIdle closes the connections on which no request has arrived. It answers BUSY first, because
+// a request may be on its way.
 func (f *Front) CloseIdle() {
 	for c := range f.idle {
 		c.retryAfter = f.Core.RetryAfter(shortageRetryAfter)
@@ -82,8 +83,8 @@
 	}
 }
 
-// sweep migrates clients whose member has gone silent, and closes flows whose client has. A host that is lost
-// closes no connection.
+// sweep migrates clients whose member has stopped answering, and closes flows whose client has
+// stopped sending. A host that fails does not close its connections, so no other event reports it.
 func (f *Front) sweep() {
 	now := f.Loop.Now()
 	for c := range f.flows {
@@ -100,8 +101,8 @@
 	f.Loop.After(sweepInterval, f.sweep)
 }
 
-// cutLine reads one line off b. If b holds no whole line, used is 0, and err is set if none can
-// follow any more.
+// cutLine cuts the first line off b and returns its text, without CRLF, and the number of bytes
+// used. If b holds no complete line, used is 0; err is set if the line is already too long.
 func cutLine(b []byte) (text string, used int, err error) {
 	end := bytes.IndexByte(b[:min(len(b), maxLineBytes)], '\n')
 	if end < 0 {
--- a/internal/front/line/liveness.go
+++ b/internal/front/line/liveness.go
@@ -2,33 +2,35 @@
 
 import "time"
 
-// What the protocol allows and what its clients do.
+// Limits of the protocol and behavior of its clients.
 const (
-	maxSilence     = 7 * time.Second // a connection on which nothing comes back has to be closed by then
-	clientInterval = 2 * time.Second // between the lines of a client
-	maxLinger      = time.Second     // a connection that its member has closed has to be closed by then
+	maxSilence     = 7 * time.Second // a flow on which the member sends nothing back must be closed within this time
+	clientInterval = 2 * time.Second // interval between the lines of a client
+	maxLinger      = time.Second     // a flow whose member has closed or sent its final command must be closed within this time
 )
 
-// memberSilenceTimeout is how long a member may owe an answer. The 7 s count from the last line that came back, and the
-// client's next line may start 2 s later: a timeout of 5 s from there exceeded them by the sweep. What is left has to do
-// for the sweep, for a partial line that MOVE waits for, and for a busy loop.
+// memberSilenceTimeout is how long a member may leave a client's line unanswered. maxSilence counts
+// from the last line that the member sent, and the client's next line may start clientInterval
+// later. A timeout of 5 s from that line would exceed maxSilence by the sweep interval. The
+// remaining terms leave time for the sweep, for a partial line that MOVE waits for, and for a delay
+// of the event loop.
 const memberSilenceTimeout = maxSilence - clientInterval - sweepInterval - MoveTimeout - maxLoopDelay
 
 const (
-	lingerTimeout = maxLinger - sweepInterval - maxLoopDelay // after a member's final command, when no close of the connection follows
-	maxLoopDelay  = 250 * time.Millisecond                   // of the event loop itself
+	lingerTimeout = maxLinger - sweepInterval - maxLoopDelay // after a member's final command, if it does not close the connection
+	maxLoopDelay  = 250 * time.Millisecond                   // assumed upper limit for a delay of the event loop
 )
 
-// liveness tracks whether the two sides of an open flow are still there. It does no I/O and reads no clock. A time of
-// 0 stands for none.
+// liveness tracks whether both sides of an open flow are still active. It does no I/O and reads no
+// clock. Its fields are times of the event loop's clock; 0 means not set.
 type liveness struct {
-	unansweredSince time.Duration // when the first byte was forwarded to which no answer has come
-	lineSentAt      time.Duration // when the first whole line was, to time the answer
+	unansweredSince time.Duration // when the first byte was forwarded that the member has not answered
+	lineSentAt      time.Duration // when the first complete line was forwarded that the member has not answered
 	finalCommandAt  time.Duration // when the member sent BYE or MOVE
 	clientActiveAt  time.Duration // when the client last sent something
 }
 
-// noteSent records that bytes of the client's were forwarded, and whether they ended a line.
+// noteSent records that bytes from the client were forwarded; line says whether they ended a line.
 func (l *liveness) noteSent(now time.Duration, line bool) {
 	l.clientActiveAt = now
 	if l.unansweredSince == 0 {
@@ -39,8 +41,8 @@
 	}
 }
 
-// noteAnswer records a whole line of the member's, and returns how long it took if a line of the client's awaited an
-// answer.
+// noteAnswer records a complete line from the member. awaited is true if a line of the client was
+// unanswered, and took is then the time since it was forwarded.
 func (l *liveness) noteAnswer(now time.Duration) (took time.Duration, awaited bool) {
 	if awaited = l.lineSentAt > 0; awaited {
 		took = now - l.lineSentAt
@@ -49,18 +51,19 @@
 	return took, awaited
 }
 
-// memberSilent reports whether the member has stopped answering. A partial line needs no answer, and one that was long on
-// its way leaves the member at least MoveTimeout.
+// memberSilent reports whether the member has stopped answering. A partial line needs no answer. If
+// a line took long to complete, the member still has at least MoveTimeout from its end.
 func (l *liveness) memberSilent(now time.Duration) bool {
 	return l.lineSentAt > 0 && now-l.unansweredSince > memberSilenceTimeout && now-l.lineSentAt > MoveTimeout
 }
 
-// memberLingers reports whether the member has sent its final command but has not closed the connection in time.
+// memberLingers reports whether the member has sent its final command but has not closed the
+// connection within lingerTimeout.
 func (l *liveness) memberLingers(now time.Duration) bool {
 	return l.finalCommandAt > 0 && now-l.finalCommandAt > lingerTimeout
 }
 
-// clientSilent reports whether the client has sent nothing for so long that it has gone.
+// clientSilent reports whether the client has sent nothing for clientSilenceTimeout.
 func (l *liveness) clientSilent(now time.Duration) bool {
 	return now-l.clientActiveAt > clientSilenceTimeout
 }
--- a/internal/front/line/load_report.go
+++ b/internal/front/line/load_report.go
@@ -8,7 +8,8 @@
 	"dahliarudder/policy"
 )
 
-// parseReport parses a load report, `name=value,name=value`.
+// parseReport parses a load report, `name=value,name=value`. It skips values that are not numbers,
+// and returns policy.NoReport for an empty text.
 func parseReport(text string) policy.Report {
 	if text == "" {
 		return policy.NoReport
--- a/internal/front/line/open_line.go
+++ b/internal/front/line/open_line.go
@@ -10,21 +10,21 @@
 	"dahliarudder/internal/settings"
 )
 
-// maxLineBytes is the longest line, its CRLF included.
+// maxLineBytes is the length limit of a line, including its CRLF.
 const maxLineBytes = 4 << 10
 
-// reopenWait is how long a client whose flow was migrated waits for a new one.
+// reopenWait limits how long a client whose flow was migrated waits for its new flow.
 const reopenWait = 40 * time.Second
 
-// openLine is a client's first line, parsed.
+// openLine is a parsed OPEN line, the first line of a request.
 type openLine struct {
-	prefix, suffix string // the line before and after the value of d
-	hasDeadline    bool   // the line has a d
+	prefix, suffix string // the text before and after the value of d; prefix is the whole line if there is no d
+	hasDeadline    bool   // whether the line has a d field
 	id             uint64
 	request        core.Request
 }
 
-// parseOpen parses `OPEN id key fields`, without its CRLF.
+// parseOpen parses `OPEN id key fields`. text does not include the CRLF.
 func parseOpen(set *settings.Settings, text string) (openLine, error) {
 	var o openLine
 	args := strings.Split(text, " ")
@@ -52,7 +52,7 @@
 	return o, nil
 }
 
-// parseFields parses the line's `name=value,name=value`, which starts at the given offset.
+// parseFields parses the fields, `name=value,name=value`, which start at the given offset in text.
 func (o *openLine) parseFields(set *settings.Settings, text string, offset int) error {
 	seen := map[string]bool{}
 	for _, pair := range strings.Split(text[offset:], ",") {
@@ -77,7 +77,8 @@
 	return nil
 }
 
-// boundWait limits how long the request may wait by its class.
+// boundWait limits the time that the request may wait to its class's deadline, or to reopenWait if
+// the client had a flow before.
 func (o *openLine) boundWait(set *settings.Settings, text string) {
 	limit := settings.Duration(set.Classes[o.request.Class].Deadline)
 	if o.request.CurrentMember != "" {
@@ -85,12 +86,12 @@
 	}
 	if !o.hasDeadline {
 		o.prefix, o.request.TimeLeft = text, limit
-	} else if limit > 0 { // an absurd d must not queue a request for days
+	} else if limit > 0 { // otherwise a huge d could queue a request for days
 		o.request.TimeLeft = min(o.request.TimeLeft, limit)
 	}
 }
 
-// parseField parses one of the named values; other names are only forwarded.
+// parseField parses one field. Fields with other names are only forwarded.
 func parseField(request *core.Request, set *settings.Settings, name, value string) error {
 	var known bool
 	var err error
@@ -127,7 +128,8 @@
 	return nil
 }
 
-// forMember is the line that a member gets: the client's, with the remaining wait as d.
+// forMember returns the line to send to the member: the client's line, with d, if present, set to
+// the remaining wait in milliseconds, at least 1.
 func (o openLine) forMember(wait time.Duration) []byte {
 	if !o.hasDeadline {
 		return []byte(o.prefix + "\r\n")
--- a/internal/front/line/upstream.go
+++ b/internal/front/line/upstream.go
@@ -13,7 +13,7 @@
 	"dahliarudder/policy"
 )
 
-// upstream is the connection to a member: one attempt at first, then the member's side of the open flow.
+// upstream is a connection to a member: first one attempt, then the member's side of the open flow.
 type upstream struct {
 	client   *clientConn
 	conn     *netloop.Conn
@@ -22,13 +22,14 @@
 	deadline time.Duration // when the attempt is abandoned
 	state    attemptState
 	liveness
-	linePrefix   []byte  // the start of the member's line that is being forwarded, at most maxInspectedBytes
+	linePrefix   []byte  // the first bytes of the member's line that is being forwarded, at most maxInspectedBytes
 	load         float64 // the flow's load as the member last reported it
 	report       policy.Report
-	blockedBytes int // bytes of the member's that the client's send buffer had no room for
+	blockedBytes int // bytes from the member that did not fit in the send buffer to the client
 }
 
-// handle applies an event. One that ends the attempt, or the open flow, is reported to the core.
+// handle applies an event. If it ends the attempt or the open flow, it reports the result to the
+// core.
 func (u *upstream) handle(e attemptEvent) {
 	next, result, ended := u.state.next(e)
 	u.state = next
@@ -38,10 +39,11 @@
 	}
 }
 
-// abandon resets the connection; whatever still arrives on it is discarded.
+// abandon resets the connection. Bytes that still arrive on it are discarded.
 func (u *upstream) abandon() { u.terminate(u.conn.Reset) }
 
-// terminate closes the connection by end, unless the attempt is finished already.
+// terminate marks the attempt as abandoned and calls closeConn, unless the attempt is already
+// finished.
 func (u *upstream) terminate(closeConn func()) {
 	if u.state == attemptFinished {
 		return
@@ -50,8 +52,8 @@
 	closeConn()
 }
 
-// closeForClient closes an open flow by end, because its client has closed. If the member had already sent BYE or MOVE,
-// that decides the flow's result.
+// closeForClient ends an open flow whose client has closed, and closes the member's side with
+// closeConn. If the member has already sent BYE or MOVE, that decides the flow's result.
 func (u *upstream) closeForClient(closeConn func()) {
 	_, result, _ := u.state.next(eventConnLost)
 	finalCommandReceived := u.state.finalCommand() != ""
@@ -63,35 +65,36 @@
 	}
 }
 
-// Open implements netloop's handler. The first line is written only after all events of this loop iteration have been
-// handled: the client's close may be among them.
+// Open implements netloop.Handler. The first line is written only after all events of this loop
+// iteration have been handled, because the client's close may be among them.
 func (u *upstream) Open() {
 	u.handle(eventConnected)
 	u.client.front.Loop.After(0, u.sendFirstLine)
 }
 
-// sendFirstLine forwards the client's first line.
+// sendFirstLine forwards the client's first line, unless the attempt is over or may no longer be
+// sent.
 func (u *upstream) sendFirstLine() {
 	if u.state != attemptConnected {
 		return
 	}
-	if !u.client.front.Core.MaySend(u.client.requestID, u.attempt) { // the member may have gone while the connection was being set up
+	if !u.client.front.Core.MaySend(u.client.requestID, u.attempt) { // for example, the member left while the connection was being set up
 		u.handle(eventNoConnection)
 		return
 	}
 	u.handle(eventOpenSent)
 	u.conn.Write(u.client.openLine.forMember(u.deadline - u.client.front.Loop.Now()))
-	u.conn.ResumeReading() // the member may have sent bytes before the first line
+	u.conn.ResumeReading() // Data leaves bytes unread that arrive before the first line is sent
 }
 
-// Drained implements netloop's handler.
+// Drained implements netloop.Handler.
 func (u *upstream) Drained() {
 	if u.state.isOpen() || u.client.state == clientFlushingToMember {
 		u.client.conn.ResumeReading()
 	}
 }
 
-// Data implements netloop's handler.
+// Data implements netloop.Handler.
 func (u *upstream) Data(b []byte) int {
 	if u.state.isOpen() {
 		return u.forwardToClient(b)
@@ -113,8 +116,8 @@
 	return u.handleAnswer(text, b, n)
 }
 
-// handleAnswer handles the member's answer to the first line, which is the first n bytes of b. It returns how many bytes
-// it consumed.
+// handleAnswer handles the member's answer to the first line: text, in the first n bytes of b. It
+// returns how many bytes it consumed.
 func (u *upstream) handleAnswer(text string, b []byte, n int) int {
 	command, rest, _ := strings.Cut(text, " ")
 	if command == commandUp {
@@ -138,7 +141,7 @@
 	return len(b)
 }
 
-// openFlow forwards UP and what follows it.
+// openFlow forwards UP, the first n bytes of b, and the bytes that follow it.
 func (u *upstream) openFlow(b []byte, n int) int {
 	c := u.client
 	if !c.front.Core.FlowEstablished(c.requestID, u.attempt) {
@@ -154,7 +157,7 @@
 	return n
 }
 
-// End implements netloop's handler.
+// End implements netloop.Handler.
 func (u *upstream) End(err error) {
 	open := u.state.isOpen()
 	if open && errors.Is(err, io.EOF) && u.blockedBytes > 0 {
@@ -174,7 +177,8 @@
 	}
 }
 
-// closeClient closes the client's side the way the member closed its own.
+// closeClient closes the client's side in the way in which the member closed its own: gracefully or
+// by a reset.
 func (u *upstream) closeClient(err error) {
 	if errors.Is(err, io.EOF) {
 		u.client.handle(eventMemberEOF)
@@ -183,7 +187,8 @@
 	}
 }
 
-// forwardToMember forwards as many of a client's bytes as there is buffer space for, and notes when a whole line went.
+// forwardToMember forwards a client's bytes as far as the send buffer has room, and returns how many
+// it took. It records for the liveness check what was forwarded.
 func (u *upstream) forwardToMember(b []byte) int {
 	n := min(len(b), u.conn.WriteCapacity())
 	u.conn.Write(b[:n])
@@ -193,10 +198,11 @@
 	return n
 }
 
-// maxInspectedBytes is how much of a forwarded line is inspected.
+// maxInspectedBytes is how many bytes of each forwarded line are inspected for a command.
 const maxInspectedBytes = 256
 
-// forwardToClient forwards as many of a member's bytes as there is buffer space for, and returns how many.
+// forwardToClient forwards a member's bytes as far as the send buffer has room, and returns how many
+// it took.
 func (u *upstream) forwardToClient(b []byte) int {
 	n := u.forwardLines(b)
 	if u.blockedBytes = len(b) - n; u.blockedBytes == 0 {
@@ -205,7 +211,7 @@
 	return n
 }
 
-// forwardLines forwards a member's bytes line by line, and inspects each line.
+// forwardLines forwards a member's bytes line by line and inspects each complete line.
 func (u *upstream) forwardLines(b []byte) int {
 	c := u.client
 	b = b[:min(len(b), c.conn.WriteCapacity())]
@@ -235,7 +241,7 @@
 	return used
 }
 
-// handleFlowLine interprets a complete line that a member sent on an open flow.
+// handleFlowLine interprets the start of a complete line that a member sent on an open flow.
 func (u *upstream) handleFlowLine(text string) {
 	command, rest, _ := strings.Cut(text, " ")
 	switch command {
