--- a/internal/front/line/client.go
+++ b/internal/front/line/client.go
@@ -156,7 +156,7 @@
 		return err
 	}
 	if c.front.requests[line.id] != nil || c.front.remoteIDs[line.id] {
-		return malformedf(duplicateID, "the id of an open request")
+		return malformedf(duplicateID, "id of a request that is already open")
 	}
 	c.openLine = line
 	c.handle(eventOpen)
--- a/internal/front/line/line.go
+++ b/internal/front/line/line.go
@@ -107,12 +107,12 @@
 	end := bytes.IndexByte(b[:min(len(b), maxLineBytes)], '\n')
 	if end < 0 {
 		if len(b) >= maxLineBytes {
-			err = malformedf(tooLong, "over %d bytes", maxLineBytes)
+			err = malformedf(tooLong, "longer than %d bytes", maxLineBytes)
 		}
 		return "", 0, err
 	}
 	if end == 0 || b[end-1] != '\r' {
-		return "", end + 1, malformedf(noCRLF, "no CRLF")
+		return "", end + 1, malformedf(noCRLF, "does not end in CRLF")
 	}
 	return string(b[:end-1]), end + 1, nil
 }
--- a/internal/front/line/malformed.go
+++ b/internal/front/line/malformed.go
@@ -69,7 +69,7 @@
 	r.count++
 	entry := f.Log.WithError(err).WithField("cause", lineErr.cause)
 	if r.logged > 0 && now-r.loggedAt < rejectionLogInterval {
-		entry.Debug("client rejected")
+		entry.Debug("client rejected for a malformed first line")
 		return
 	}
 	entry.WithField("clients", r.count-r.logged).Warn("clients rejected for malformed first lines")
--- a/internal/front/line/open_line.go
+++ b/internal/front/line/open_line.go
@@ -29,20 +29,20 @@
 	var o openLine
 	args := strings.Split(text, " ")
 	if len(args) != 4 || args[0] != commandOpen {
-		return o, malformedf(notOpen, "not OPEN with an id, a key and a list")
+		return o, malformedf(notOpen, "neither PING nor OPEN with an id, a key and a list of fields")
 	}
 	for _, b := range []byte(text) {
 		if b < ' ' || b > '~' {
-			return o, malformedf(badByte, "byte %#x", b)
+			return o, malformedf(badByte, "byte %#x is not printable ASCII", b)
 		}
 	}
 	var err error
 	if o.id, err = strconv.ParseUint(args[1], 16, 64); err != nil {
-		return o, malformedf(badID, "id %.*q", maxShownValue, args[1])
+		return o, malformedf(badID, "id %.*q is not a 64-bit hexadecimal number", maxShownValue, args[1])
 	}
 	key, err := strconv.ParseUint(args[2], 16, 64)
 	if err != nil {
-		return o, malformedf(badKey, "key %.*q", maxShownValue, args[2])
+		return o, malformedf(badKey, "key %.*q is not a 64-bit hexadecimal number", maxShownValue, args[2])
 	}
 	o.request = core.Request{Name: args[1], Key: key, Class: -1, Tenant: -1}
 	if err := o.parseFields(set, text, len(text)-len(args[3])); err != nil {
@@ -58,7 +58,7 @@
 	for _, pair := range strings.Split(text[offset:], ",") {
 		name, value, ok := strings.Cut(pair, "=")
 		if !ok || name == "" || value == "" || seen[name] {
-			return malformedf(badPair, "%.*q", maxShownValue, pair)
+			return malformedf(badPair, "field %.*q is not name=value or repeats a name", maxShownValue, pair)
 		}
 		seen[name] = true
 		if err := parseField(&o.request, set, name, value); err != nil {
@@ -71,7 +71,7 @@
 		offset += len(pair) + 1
 	}
 	if o.request.Class < 0 || o.request.Tenant < 0 && len(set.Tenants) > 0 {
-		return malformedf(missingField, "no class or tenant")
+		return malformedf(missingField, "no class (c) or no tenant (t)")
 	}
 	o.request.Tenant = max(o.request.Tenant, 0)
 	return nil
@@ -98,11 +98,11 @@
 	switch name {
 	case "c":
 		if request.Class, known = set.Class(value); !known {
-			return malformedf(unknownClass, "class %.*q", maxShownValue, value)
+			return malformedf(unknownClass, "class %.*q is not in the settings", maxShownValue, value)
 		}
 	case "t":
 		if request.Tenant, known = set.Tenant(value); !known {
-			return malformedf(unknownTenant, "tenant %.*q", maxShownValue, value)
+			return malformedf(unknownTenant, "tenant %.*q is not in the settings", maxShownValue, value)
 		}
 	case "d":
 		var ms float64
@@ -123,7 +123,7 @@
 		request.CurrentMember = value
 	}
 	if err != nil {
-		return malformedf(badValue, "%s=%.*q", name, maxShownValue, value)
+		return malformedf(badValue, "invalid value in field %s=%.*q", name, maxShownValue, value)
 	}
 	return nil
 }
