--- a/internal/front/line/attempt_test.go
+++ b/internal/front/line/attempt_test.go
@@ -10,16 +10,16 @@
 	"dahliarudder/policy"
 )
 
-// expectFinished waits until the relay has ended a connection.
+// waitClosed waits until the relay has ended a connection.
 func (g *rig) waitClosed(p *looptest.Peer) {
 	g.T.Helper()
 	g.WaitFor("the end", func() bool { p.Poll(); return p.EndErr != nil })
 }
 
-// late is what a member sends when nobody may be listening any more.
+// writeIgnoringError sends text on a connection that the relay may already have closed.
 func writeIgnoringError(m *looptest.Peer, text string) { m.Write([]byte(text)) }
 
-// badAnswers is what a member may do instead of answering well, and the result of the attempt then.
+// badAnswers are things that a member may do instead of answering UP, with the attempt's result.
 var badAnswers = map[string]struct {
 	act  func(g *rig, m *looptest.Peer)
 	want policy.Result
@@ -48,13 +48,13 @@
 	"says MOVE":                   {func(_ *rig, m *looptest.Peer) { m.Send("MOVE\r\n") }, policy.Cancelled},
 }
 
-// passTimeout passes the time of the attempt that is out.
+// advanceUntilClosed advances the clock until the relay has ended the attempt's connection.
 func (g *rig) advanceUntilClosed(m *looptest.Peer) {
 	g.T.Helper()
 	g.WaitFor("the end of the attempt", func() bool { g.Advance(10 * time.Millisecond); m.Poll(); return m.EndErr != nil })
 }
 
-// pieces sends text byte by byte, with a loop iteration after each.
+// sendByteByByte sends text byte by byte, with a loop iteration after each byte.
 func (g *rig) sendByteByByte(p *looptest.Peer, text string) {
 	for i := range text {
 		p.Send(text[i : i+1])
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestAttempts: whatever a member does in the place of answering well, the attempt has the one result that it should,
-// the next one goes out when this one is over, and the client gets the one answer that the next member gives.
+// TestAttempts checks that an attempt that is answered badly has exactly one result, the right one,
+// that the next attempt is sent after it, and that the client receives only the next member's answer.
 func TestAttempts(t *testing.T) {
 	for name, tc := range badAnswers {
 		t.Run(name, func(t *testing.T) {
@@ -98,8 +98,8 @@
 	}
 }
 
-// TestAttemptsExhausted: where every member does so, the client gets one complete answer in time, after at most as many
-// attempts as are allowed, never two out.
+// TestAttemptsExhausted checks that if every member answers badly the client receives one complete
+// answer in time, after at most the allowed number of attempts, of which no two are in flight at once.
 func TestAttemptsExhausted(t *testing.T) {
 	for name, tc := range badAnswers {
 		t.Run(name, func(t *testing.T) {
@@ -141,7 +141,8 @@
 	}
 }
 
-// TestAttemptConnectionRefused: members that refuse connections cost attempts and no second answer.
+// TestAttemptConnectionRefused checks that refused connections count as attempts and that the client
+// receives one answer.
 func TestAttemptConnectionRefused(t *testing.T) {
 	g := newRig(t, 2)
 	var results resultRecorder
@@ -166,8 +167,9 @@
 	}
 }
 
-// TestAttemptConnectsLate: a connection that does not come up in time could not be made; one that does in the very
-// round in which its time is up is used.
+// TestAttemptConnectsLate checks that a connection that is not established within connectTimeout
+// fails the attempt, and that one that is established in the same loop iteration in which the time
+// runs out is used.
 func TestAttemptConnectsLate(t *testing.T) {
 	g := newRig(t, 0)
 	var results resultRecorder
@@ -194,7 +196,8 @@
 	}
 }
 
-// TestAnswersAfterUp: what follows UP is the flow's and passes unchanged, another UP too; it is no second answer.
+// TestAnswersAfterUp checks that lines after UP, even a second UP, are forwarded unchanged as data of
+// the flow and not taken for another answer.
 func TestAnswersAfterUp(t *testing.T) {
 	for _, after := range []string{"UP x\r\n", "BUSY\r\n", "ERR\r\n"} {
 		for _, together := range []bool{true, false} {
@@ -217,8 +220,8 @@
 	}
 }
 
-// TestAttemptWithoutDescriptor: an attempt for which the relay has no descriptor is no fault of the member, and the client is
-// asked to retry.
+// TestAttemptWithoutDescriptor checks that an attempt for which the relay has no free descriptor is
+// not reported as a failure of the member, and that the client is answered BUSY.
 func TestAttemptWithoutDescriptor(t *testing.T) {
 	g := newRig(t, 1)
 	var results resultRecorder
--- a/internal/front/line/client_leave_test.go
+++ b/internal/front/line/client_leave_test.go
@@ -9,7 +9,8 @@
 	"dahliarudder/policy"
 )
 
-// TestClientClosesWithinFirstLine: a client that closes within its first line was no request.
+// TestClientClosesWithinFirstLine checks that a client that closes before the end of its first line
+// is not counted as a request.
 func TestClientClosesWithinFirstLine(t *testing.T) {
 	forEachClose(t, 1, func(t *testing.T, g *rig, closeConn func(*looptest.Peer)) {
 		c := g.Dial(g.addr)
@@ -26,7 +27,8 @@
 	})
 }
 
-// expectReleased waits until the relay has seen that the client is gone, and checks that it has let go of its request.
+// expectReleased waits until the relay has noticed that the client is gone, and checks that it has
+// released the request and sends nothing more for it.
 func (g *rig) expectReleased() {
 	g.T.Helper()
 	g.WaitFor("the client's end", func() bool { return len(g.front.requests) == 0 })
@@ -37,8 +39,8 @@
 	}
 }
 
-// TestClientClosesWhileQueued: of a client that closes while its request is queued no attempt begins, whether a member comes
-// or the list update that the relay waits for.
+// TestClientClosesWhileQueued checks that no attempt is made for a client that closed while its
+// request was queued: neither when a member becomes ready nor when paused dispatch resumes.
 func TestClientClosesWhileQueued(t *testing.T) {
 	forEachClose(t, 1, func(t *testing.T, g *rig, closeConn func(*looptest.Peer)) {
 		g.setMemberState(0, policy.Draining)
@@ -58,7 +60,8 @@
 	})
 }
 
-// TestClientClosesBetweenAttempts: nor between two attempts.
+// TestClientClosesBetweenAttempts checks that no further attempt is made for a client that closes
+// between two attempts.
 func TestClientClosesBetweenAttempts(t *testing.T) {
 	forEachClose(t, 1, func(t *testing.T, g *rig, closeConn func(*looptest.Peer)) {
 		c := g.sendRequest(firstLine)
@@ -72,8 +75,8 @@
 	})
 }
 
-// TestClientClosesWhileDialing: nor is the first line sent where the connection to the member is not up yet, also if it comes
-// up in the same loop iteration in which the client goes.
+// TestClientClosesWhileDialing checks that the first line is not sent if the client closes before the
+// connection to the member is established, or in the same loop iteration.
 func TestClientClosesWhileDialing(t *testing.T) {
 	forEachClose(t, 0, func(t *testing.T, g *rig, closeConn func(*looptest.Peer)) {
 		g.addMember(fullBacklogAddr(t))
@@ -99,7 +102,8 @@
 	})
 }
 
-// TestClientClosesAsConnected: the same where the loop handles the connection's event before the client's.
+// TestClientClosesAsConnected is like TestClientClosesWhileDialing, with the event of the member's
+// connection handled before that of the client's.
 func TestClientClosesAsConnected(t *testing.T) {
 	forEachClose(t, 1, func(t *testing.T, g *rig, closeConn func(*looptest.Peer)) {
 		g.Core.PauseDispatch()
@@ -120,7 +124,8 @@
 	})
 }
 
-// TestClientClosesInFlight: an attempt that is out is abandoned, and no other begins.
+// TestClientClosesInFlight checks that the client's close abandons the attempt in flight and that no
+// other attempt is made.
 func TestClientClosesInFlight(t *testing.T) {
 	forEachClose(t, 2, func(t *testing.T, g *rig, closeConn func(*looptest.Peer)) {
 		c := g.sendRequest(firstLine)
@@ -136,7 +141,8 @@
 	})
 }
 
-// TestClientClosesAtUp: UP and the client's end in one loop iteration, in either order, end the flow.
+// TestClientClosesAtUp checks that UP and the client's close in one loop iteration, in either order,
+// end the flow.
 func TestClientClosesAtUp(t *testing.T) {
 	for _, upFirst := range []bool{true, false} {
 		forEachClose(t, 1, func(t *testing.T, g *rig, closeConn func(*looptest.Peer)) {
@@ -160,7 +166,8 @@
 	}
 }
 
-// anyAttempt takes in the next attempt, wherever it goes.
+// acceptAnyAttempt accepts the next attempt, at whichever member it is made. It returns the member's
+// index and the connection.
 func (g *rig) acceptAnyAttempt() (int, *looptest.Peer) {
 	g.T.Helper()
 	at := -1
@@ -175,7 +182,8 @@
 	return at, g.acceptAttempt(at)
 }
 
-// TestClientClosesDuringHealthCheck: of a client that closes while its request waits for a health check's answer no attempt begins.
+// TestClientClosesDuringHealthCheck checks that no attempt is made for a client that closes while its
+// request waits for the result of a health check.
 func TestClientClosesDuringHealthCheck(t *testing.T) {
 	forEachClose(t, 2, func(t *testing.T, g *rig, closeConn func(*looptest.Peer)) {
 		g.enableHealthChecks()
--- a/internal/front/line/crossing_test.go
+++ b/internal/front/line/crossing_test.go
@@ -14,7 +14,7 @@
 	"dahliarudder/policy"
 )
 
-// crossing is one case of TestCrossings: one client, two members, and what happens to them in a drawn order.
+// eventOrderCase is one case of TestCrossings: one client, two members, and a random order of events.
 type eventOrderCase struct {
 	*rig
 	rng            *rand.Rand
@@ -28,7 +28,7 @@
 	stepLog        []string
 }
 
-// attemptSeen is an attempt as its member sees it.
+// observedAttempt is an attempt as its member sees it.
 type observedAttempt struct {
 	net.Conn
 	received []byte
@@ -36,7 +36,7 @@
 	closed   bool
 }
 
-// step has one thing happen.
+// step performs one random event and checks the invariants after it.
 func (x *eventOrderCase) step() {
 	choice := x.rng.IntN(16)
 	x.stepLog = append(x.stepLog, strconv.Itoa(choice))
@@ -78,7 +78,7 @@
 	x.observe()
 }
 
-// closeClient closes the client's connection in one of the ways there are.
+// closeClient closes the client's connection: half, by a reset, or gracefully.
 func (x *eventOrderCase) closeClient() {
 	switch c := x.client.(*net.TCPConn); x.rng.IntN(3) {
 	case 0:
@@ -91,7 +91,7 @@
 	}
 }
 
-// answerLastAttempt has the member of the last attempt send or do something.
+// answerLastAttempt makes the member of the last attempt send a line, close or reset.
 func (x *eventOrderCase) answerLastAttempt() {
 	if len(x.attempts) == 0 {
 		return
@@ -111,7 +111,8 @@
 	}
 }
 
-// observe takes in what members and the client have got, and checks what holds at any time.
+// observe reads what the members have received and checks the invariants: every attempt begins with
+// the client's first line, at most one attempt is in flight, and there are at most 3 in all.
 func (x *eventOrderCase) observe() {
 	for i := range x.fakeMembers {
 		for c := x.pendingConn(i); c != nil; c = x.pendingConn(i) {
@@ -147,7 +148,8 @@
 	x.T.Fatalf("%s (steps %s)", fmt.Sprintf(format, args...), strings.Join(x.stepLog, " "))
 }
 
-// finish closes the client's connection, and checks that nothing begins after that and that nothing is left.
+// finish closes the client's connection, and checks that no attempt begins after that and that
+// nothing is left.
 func (x *eventOrderCase) finish() {
 	if !x.clientClosed {
 		x.checkAnswers()
@@ -166,7 +168,8 @@
 	x.expectNoLeaks()
 }
 
-// checkAnswers checks what the client has got by now: at most one answer, and after it what its member said and at most one MOVE.
+// checkAnswers checks what the client has received so far: at most one answer, and after an answer
+// from a member only what that member sent and at most one MOVE.
 func (x *eventOrderCase) checkAnswers() {
 	closed := readAvailable(x.client, &x.received)
 	text := string(x.received)
@@ -188,9 +191,10 @@
 	}
 }
 
-// TestCrossings plays drawn orders of what clients, members, discovery and the relay itself do. In each of them no two
-// attempts are out, none goes out once the client has closed, the client gets one complete answer that is the relay's or its
-// member's, and nothing is left at the end. LINE_SEEDS says how many cases.
+// TestCrossings plays random orders of events at clients, members, discovery and the relay itself. In
+// each of them at most one attempt is in flight, none is sent after the client has closed, the client
+// receives one complete answer, from the relay or from a member, and nothing is left at the end. The
+// environment variable LINE_SEEDS sets the number of cases.
 func TestCrossings(t *testing.T) {
 	cases := 500
 	if n, err := strconv.Atoi(os.Getenv("LINE_SEEDS")); err == nil {
--- a/internal/front/line/early_data_test.go
+++ b/internal/front/line/early_data_test.go
@@ -7,8 +7,8 @@
 	"dahliarudder/policy"
 )
 
-// TestEarlyDataThenClose: a client that sends more than its line while its request is queued, and closes, takes the request
-// with it.
+// TestEarlyDataThenClose checks that a client that sends data after its first line while its request
+// is queued, and then closes, ends its request.
 func TestEarlyDataThenClose(t *testing.T) {
 	g := newRig(t, 1)
 	g.setMemberState(0, policy.Draining)
@@ -20,8 +20,8 @@
 	g.expectReleased()
 }
 
-// TestEarlyDataOverLimit: one that sends more than the relay buffers while it waits loses nothing of it once its flow is
-// open, and is not read further until then.
+// TestEarlyDataOverLimit checks that a client that sends more than the relay buffers before its flow
+// is open loses none of it: the relay stops reading until the flow is open.
 func TestEarlyDataOverLimit(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.sendRequest(firstLine)
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestEarlyDataForwarded: what a client sends while it waits goes to the member that is up, after the first line, all of it
-// and in order.
+// TestEarlyDataForwarded checks that data that a client sends before its flow is open goes to the
+// member that answers UP, after the first line, complete and in order.
 func TestEarlyDataForwarded(t *testing.T) {
 	g := newRig(t, 2)
 	c := g.sendRequest(firstLine)
--- a/internal/front/line/first_line_test.go
+++ b/internal/front/line/first_line_test.go
@@ -11,7 +11,8 @@
 	"dahliarudder/policy"
 )
 
-// TestFirstLineInPieces: a first line that comes byte by byte, in less than the time for it, is one.
+// TestFirstLineInPieces checks that a first line that arrives byte by byte within firstLineTimeout
+// is accepted.
 func TestFirstLineInPieces(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.Dial(g.addr)
@@ -26,7 +27,8 @@
 	c.ExpectLines("UP x")
 }
 
-// TestFirstLineTooSlow: one that takes longer gets one answer, and its rest is no second request.
+// TestFirstLineTooSlow checks that a first line that takes longer than firstLineTimeout is answered
+// ERR once, and that the rest of it is not taken for a request.
 func TestFirstLineTooSlow(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.Dial(g.addr)
@@ -42,8 +44,8 @@
 	g.expectNoLeaks()
 }
 
-// TestPipelined: PING any number of times before OPEN, in one write or byte by byte, is answered that often and in order;
-// what follows OPEN is data of its flow, a second OPEN too, and once the final answer is given nobody's.
+// TestPipelined checks that each PING before OPEN is answered, in order, whether the lines arrive in
+// one write or byte by byte, and that what follows OPEN, even a second OPEN, is data of the flow.
 func TestPipelined(t *testing.T) {
 	const other = "OPEN 00000000000000cc 00000000000000bb c=pay,t=water,d=1900\r\n"
 	for _, atOnce := range []bool{true, false} {
@@ -72,7 +74,7 @@
 	}
 }
 
-// TestSecondOpen: a second OPEN on a connection that has its final answer is none.
+// TestSecondOpen checks that a second OPEN after the final answer is ignored.
 func TestSecondOpen(t *testing.T) {
 	g := newRig(t, 1)
 	g.Core.Stop()
@@ -90,7 +92,8 @@
 	}
 }
 
-// malformedLines is first lines that are none, by cause. Their id is none that is open: that would be a cause by itself.
+// malformedLines are malformed first lines. None has the id of an open request, which would be a
+// cause of rejection by itself.
 var malformedLines = map[string]string{
 	"empty":            "\r\n",
 	"no CR":            firstLineOf(0xac) + "\n",
@@ -116,8 +119,8 @@
 	"PING and more":    "PING x\r\n",
 }
 
-// TestMalformed: a first line that is none is answered ERR, once and completely, with whatever follows, and costs nothing
-// beyond its own connection: a request beside it goes on, and no member receives any of it.
+// TestMalformed checks that a malformed first line is answered ERR once, whatever follows it, that no
+// member receives any of it, and that a flow on another connection is not affected.
 func TestMalformed(t *testing.T) {
 	for name, text := range malformedLines {
 		t.Run(name, func(t *testing.T) {
@@ -141,7 +144,8 @@
 	}
 }
 
-// TestMalformedThenClose: nor does a client that sends such a thing and closes at once.
+// TestMalformedThenClose checks that a client that sends a malformed first line and closes at once
+// leaves nothing behind, and that no member receives any of it.
 func TestMalformedThenClose(t *testing.T) {
 	for name, text := range malformedLines {
 		t.Run(name, func(t *testing.T) {
@@ -158,10 +162,11 @@
 	}
 }
 
-// longestLine is the protocol's, its CRLF included.
+// maxLineLength is the protocol's limit in bytes, including CRLF.
 const maxLineLength = 4096
 
-// TestFirstLineLimit: a first line of the longest length is a request and is forwarded unchanged; one byte more is none.
+// TestFirstLineLimit checks that a first line of maxLineLength is forwarded unchanged and that one
+// that is a byte longer is answered ERR.
 func TestFirstLineLimit(t *testing.T) {
 	for extra, served := range map[int]bool{0: true, 1: false} {
 		g := newRig(t, 1)
@@ -184,7 +189,8 @@
 	}
 }
 
-// TestAddressChanges: a member's address that discovery has changed is the one that the next attempt and the next health check go to.
+// TestAddressChanges checks that the next attempt and the next health check go to a member's new
+// address after discovery has changed it.
 func TestAddressChanges(t *testing.T) {
 	g := newRig(t, 1)
 	next := g.Listen()
--- a/internal/front/line/flow_end_test.go
+++ b/internal/front/line/flow_end_test.go
@@ -9,7 +9,7 @@
 	"dahliarudder/internal/netloop/looptest"
 )
 
-// onlyFlow is the one client connection whose flow is open.
+// onlyFlow returns the client connection of the only open flow.
 func (g *rig) onlyFlow() *clientConn {
 	g.T.Helper()
 	if len(g.front.flows) != 1 {
@@ -21,10 +21,10 @@
 	return nil
 }
 
-// narrow keeps the kernel from buffering much for a peer that does not read.
+// shrinkReceiveBuffer keeps the kernel from buffering much for a peer that does not read.
 func shrinkReceiveBuffer(p *looptest.Peer) { p.Conn.(*net.TCPConn).SetReadBuffer(4 << 10) }
 
-// fill has one side send lines that the other does not read, until full.
+// sendUntil sends lines that the other side does not read until full returns true.
 func (g *rig) sendUntil(from *looptest.Peer, full func() bool) (sent []byte) {
 	g.T.Helper()
 	line := append(bytes.Repeat([]byte{'x'}, 4<<10-2), "\r\n"...)
@@ -37,7 +37,7 @@
 	return sent
 }
 
-// readAll reads what comes until the end, which has to be graceful.
+// readToEOF reads until the connection ends, which must be gracefully.
 func (g *rig) readToEOF(p *looptest.Peer) []byte {
 	g.T.Helper()
 	p.Conn.(*net.TCPConn).SetReadBuffer(4 << 20) // or the system's own timers set the pace
@@ -48,7 +48,8 @@
 	return p.Received
 }
 
-// TestClientEOFUndelivered: what a client sent before it closed gracefully still reaches a member that is slow to read.
+// TestClientEOFUndelivered checks that bytes that a client sent before it closed gracefully still
+// reach a member that reads slowly.
 func TestClientEOFUndelivered(t *testing.T) {
 	g := newRig(t, 1)
 	c, m := g.openFlow()
@@ -63,8 +64,9 @@
 	g.expectNoLeaks()
 }
 
-// TestClientEOFBufferFull: the same of what did not fit in the relay's buffers to the member; to the core the client has
-// left at once, and a member that never reads is waited for no longer than MoveTimeout.
+// TestClientEOFBufferFull is like TestClientEOFUndelivered with more bytes than the relay's buffer to
+// the member holds. The core sees the client leave at once, and the relay waits for a member that
+// never reads for at most MoveTimeout.
 func TestClientEOFBufferFull(t *testing.T) {
 	for _, reads := range []bool{true, false} {
 		g := newRig(t, 1)
@@ -85,8 +87,8 @@
 	}
 }
 
-// TestMemberEOFUndelivered: what a member sent before it closed gracefully still reaches a client that is slow to read, also
-// what did not fit in the relay's buffers to it.
+// TestMemberEOFUndelivered checks that bytes that a member sent before it closed gracefully still
+// reach a client that reads slowly, including bytes that did not fit in the relay's buffer.
 func TestMemberEOFUndelivered(t *testing.T) {
 	g := newRig(t, 1)
 	c, m := g.openFlow()
@@ -106,8 +108,8 @@
 	g.expectNoLeaks()
 }
 
-// TestMemberEOFNeverRead: a client that does not read occupies neither the flow nor a descriptor for longer than a
-// connection may outlive its member's.
+// TestMemberEOFNeverRead checks that after the member's close a client that does not read keeps its
+// flow and its descriptor for at most lingerTimeout.
 func TestMemberEOFNeverRead(t *testing.T) {
 	g := newRig(t, 1)
 	c, m := g.openFlow()
--- a/internal/front/line/flow_fuzz_test.go
+++ b/internal/front/line/flow_fuzz_test.go
@@ -8,11 +8,10 @@
 	"dahliarudder/internal/netloop/looptest"
 )
 
-// FuzzFlow plays random steps on an open flow and checks them against a model:
-// each side gets a prefix of what the other sent, all of it while nobody ends
-// the flow; MOVE comes only between two lines, comes at most once, and comes
-// whenever the member drains between two lines. Passing the flow on to another process
-// changes nothing of that.
+// FuzzFlow plays random steps on an open flow and checks them against a model: each side receives a
+// prefix of what the other sent, and all of it unless the flow ends; MOVE is sent at most once, only
+// between two lines, and always if the member drains between two lines. Handing the flow off to
+// another process changes none of this.
 func FuzzFlow(f *testing.F) {
 	f.Add([]byte{0, 10, 1, 20, 2, 0, 1, 3})
 	f.Add([]byte{1, 7, 2, 0, 4, 0, 1, 8, 2, 0})
--- a/internal/front/line/flow_test.go
+++ b/internal/front/line/flow_test.go
@@ -11,7 +11,7 @@
 	"dahliarudder/policy"
 )
 
-// flowRig is a rig with one open flow, and how its attempts ended.
+// flowRig is a rig with one open flow and the results of its attempts.
 type flowRig struct {
 	*rig
 	c, m    *looptest.Peer
@@ -25,7 +25,7 @@
 	return g
 }
 
-// finished checks that the flow has ended so, once, and that nothing is left of it.
+// expectResult checks that the flow has ended with this result, once, and that nothing is left of it.
 func (g *flowRig) expectResult(want policy.Result) {
 	g.T.Helper()
 	g.WaitFor("the end of the request", func() bool { return g.Core.ActiveRequests() == 0 })
@@ -38,7 +38,7 @@
 	}
 }
 
-// ends waits for a graceful close on both sides, after these bytes.
+// expectBothClosed waits for a graceful close on both sides, and checks what each received before.
 func (g *flowRig) expectBothClosed(toClient, toMember string) {
 	g.T.Helper()
 	for p, want := range map[*looptest.Peer]string{g.c: toClient, g.m: toMember} {
@@ -53,8 +53,8 @@
 	}
 }
 
-// TestMemberCloses: each way in which a member may end an open flow ends the client's side in the same manner, and is reported
-// for what it is.
+// TestMemberCloses checks that the client's side of an open flow closes in the way in which the
+// member closed, and that the flow has the result that follows from the member's last lines.
 func TestMemberCloses(t *testing.T) {
 	for text, want := range map[string]policy.Result{
 		"": policy.Reset, "BYE\r\n": policy.OK, "line\r\nBYE x0=0.5\r\n": policy.OK, "MOVE\r\n": policy.Cancelled,
@@ -76,7 +76,7 @@
 	})
 }
 
-// TestBothSidesClose: both sides end in one loop iteration, in either order.
+// TestBothSidesClose checks a flow whose sides both close in one loop iteration, in either order.
 func TestBothSidesClose(t *testing.T) {
 	for name, tc := range map[string]struct {
 		first, second func(g *flowRig)
@@ -100,7 +100,8 @@
 	}
 }
 
-// TestMoveWithinUnendedLine: where the member does not end its line, the flow is over within MoveTimeout, with no MOVE in the line.
+// TestMoveWithinUnendedLine checks that a migration that waits for a line that the member does not
+// end closes the flow after MoveTimeout, without MOVE in the middle of the line.
 func TestMoveWithinUnendedLine(t *testing.T) {
 	g := newFlowRig(t)
 	g.m.Send("half a ")
@@ -118,7 +119,8 @@
 	g.expectResult(policy.Cancelled)
 }
 
-// TestMoveCrossesClose: one end in the place of the line's while MOVE waits for it is the flow's end, and no second one is reported.
+// TestMoveCrossesClose checks that an event that ends the flow while MOVE waits for the end of a line
+// ends the flow with one result, and that no second one is reported.
 func TestMoveCrossesClose(t *testing.T) {
 	for name, end := range map[string]func(g *flowRig){
 		"member ends":         func(g *flowRig) { g.m.CloseWrite() },
@@ -150,7 +152,7 @@
 	}
 }
 
-// TestDrainAndStop: a member that drains as the relay stops costs its client one MOVE.
+// TestDrainAndStop checks that a client receives one MOVE if its member drains while the relay stops.
 func TestDrainAndStop(t *testing.T) {
 	g := newFlowRig(t)
 	g.Core.Stop()
@@ -160,8 +162,9 @@
 	g.expectResult(policy.Cancelled)
 }
 
-// TestNeverReads: a client that does not read takes no more of the relay's memory than its buffers' bounds, and the flow
-// is over once the client owes its own line, or its answers stay away for too long.
+// TestNeverReads checks that a client that does not read uses no more of the relay's memory than the
+// buffer limits, and that its flow is closed: after about clientSilenceTimeout if it sends nothing,
+// and after about maxSilence if it sends lines whose answers cannot be forwarded.
 func TestNeverReads(t *testing.T) {
 	for _, clientSends := range []bool{true, false} {
 		g := newFlowRig(t)
--- a/internal/front/line/graceful_shutdown_test.go
+++ b/internal/front/line/graceful_shutdown_test.go
@@ -9,8 +9,8 @@
 	"dahliarudder/policy"
 )
 
-// TestShutdownInFlight: a request that is on its way as the relay begins to stop is answered, by the member that has it, and
-// what comes up is moved before the stop is over.
+// TestShutdownInFlight checks that a request with an attempt in flight when the relay begins to stop
+// is answered by its member, and that the new flow is migrated before the stop ends.
 func TestShutdownInFlight(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.sendRequest(firstLine)
@@ -30,7 +30,8 @@
 	}
 }
 
-// TestShutdownUnanswered: one that has no answer by the end of the stop is rejected then, once, and its attempt is over.
+// TestShutdownUnanswered checks that a request without an answer at the end of the stop is answered
+// BUSY once and that its attempt is ended.
 func TestShutdownUnanswered(t *testing.T) {
 	for name, queued := range map[string]bool{"queued": true, "attempt out": false} {
 		t.Run(name, func(t *testing.T) {
@@ -60,8 +61,9 @@
 	}
 }
 
-// TestShutdownArrival: a request that arrives after the stop began is answered BUSY at once and never sent on, also one whose
-// first line began before; PING reports that no clients should be sent here, and the connection may still send a request.
+// TestShutdownArrival checks that a request that arrives after the stop began is answered BUSY at
+// once and never sent to a member, even if its first line began before. PING is answered ERR then, so
+// that no clients are sent here, and the connection may still send a request.
 func TestShutdownArrival(t *testing.T) {
 	g := newRig(t, 1)
 	half, front := g.Dial(g.addr), g.Dial(g.addr)
@@ -91,7 +93,8 @@
 	}
 }
 
-// TestShutdownIdle: a connection that is idle as the relay ends gets an answer for a request that crosses its end.
+// TestShutdownIdle checks that an idle connection is answered BUSY when the relay ends, so that a
+// request that is on its way has an answer.
 func TestShutdownIdle(t *testing.T) {
 	g := newRig(t, 1)
 	silent, front, half := g.Dial(g.addr), g.Dial(g.addr), g.Dial(g.addr)
@@ -122,7 +125,8 @@
 	}
 }
 
-// TestShutdownPartialLine: of a member's half line at the end of a stop MOVE waits, and no longer than the relay has left.
+// TestShutdownPartialLine checks that at the end of a stop MOVE waits for the end of a line of the
+// member that has been forwarded in part, but for at most MoveTimeout.
 func TestShutdownPartialLine(t *testing.T) {
 	for _, lineEnds := range []bool{true, false} {
 		g := newFlowRig(t)
--- a/internal/front/line/handoff_test.go
+++ b/internal/front/line/handoff_test.go
@@ -9,8 +9,9 @@
 	"dahliarudder/internal/netloop/looptest"
 )
 
-// TestHandOffIdleAfterPong: a connection that was answered PONG has as long for its request in the other process as in this one. Guards against ERR to a
-// idle client, which it would take for the answer to its next line.
+// TestHandOffIdleAfterPong checks that a connection that was answered PONG keeps idleTimeout in the
+// process that adopts it. With firstLineTimeout there, an idle client would be sent ERR and take it
+// for the answer to its next line.
 func TestHandOffIdleAfterPong(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	f, next := New(r.Loop, r.Core, r.Log), New(r.Loop, r.Core, r.Log)
@@ -28,7 +29,8 @@
 	c.ExpectEOF()
 }
 
-// TestHandOffWithoutDescriptors: a flow of which one side alone can be handed over continues here. Guards against a client that is cut off.
+// TestHandOffWithoutDescriptors checks that a flow continues in this process if there is a descriptor
+// for one of its sides only. Otherwise its client would be cut off.
 func TestHandOffWithoutDescriptors(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	f := New(r.Loop, r.Core, r.Log)
@@ -48,7 +50,7 @@
 	c.ExpectLines("GOT")
 }
 
-// withDescriptors runs f while the process may open so many more descriptors.
+// withDescriptors runs f while the process may open only the given number of further descriptors.
 func withDescriptors(t *testing.T, more uint64, f func()) {
 	t.Helper()
 	next, err := unix.Dup(0)
--- a/internal/front/line/health_check_test.go
+++ b/internal/front/line/health_check_test.go
@@ -11,7 +11,7 @@
 	"dahliarudder/policy"
 )
 
-// checkRig is a rig and the results of its members' health checks.
+// checkRig is a rig that records the results of health checks.
 type checkRig struct {
 	*rig
 	results []policy.Result
@@ -23,10 +23,10 @@
 	return p
 }
 
-// check checks the health of a member.
+// check starts a health check of a member.
 func (p *checkRig) check(member int) { p.front.CheckHealth(&p.Members[member]) }
 
-// acceptCheck is the member's end of a health check that has been sent on a new connection.
+// acceptCheck starts a health check on a new connection and returns the member's end of it.
 func (p *checkRig) acceptCheck(member int) *looptest.Peer {
 	p.T.Helper()
 	p.check(member)
@@ -35,7 +35,7 @@
 	return m
 }
 
-// wantResults waits for the results of all health checks so far.
+// wantResults waits for these results of all health checks so far.
 func (p *checkRig) wantResults(results ...policy.Result) {
 	p.T.Helper()
 	p.WaitFor("the results", func() bool { return len(p.results) >= len(results) })
@@ -44,7 +44,7 @@
 	}
 }
 
-// expectNoCheck checks that no health check is pending and none of its connections left.
+// expectNoCheck checks that no health check is pending and that none of the connections is left.
 func (p *checkRig) expectNoCheck() {
 	p.T.Helper()
 	n := len(p.results)
@@ -55,7 +55,8 @@
 	}
 }
 
-// TestHealthCheckAnswers: each health check has one result, whatever the member does.
+// TestHealthCheckAnswers checks that each health check has exactly one result, whatever the member
+// does.
 func TestHealthCheckAnswers(t *testing.T) {
 	for name, tc := range map[string]struct {
 		act  func(p *checkRig, m *looptest.Peer)
@@ -88,7 +89,8 @@
 	}
 }
 
-// TestHealthCheckConnects: a connection that is refused, or that does not come up, is distinguished.
+// TestHealthCheckConnects checks that a refused connection and one that is not established in time
+// have different results.
 func TestHealthCheckConnects(t *testing.T) {
 	p := newCheckRig(t, 1)
 	p.fakeMembers[0].Listener.Close()
@@ -105,7 +107,8 @@
 	p.expectNoCheck()
 }
 
-// TestHealthCheckLateAnswer: nor is one that comes before the next health check; its connection is used no more.
+// TestHealthCheckLateAnswer checks that a second answer that arrives between two health checks is not
+// taken for the answer to the next one, and that its connection is closed.
 func TestHealthCheckLateAnswer(t *testing.T) {
 	p := newCheckRig(t, 1)
 	m := p.acceptCheck(0)
@@ -118,8 +121,8 @@
 	p.expectNoCheck()
 }
 
-// TestHealthCheckConnClosedAsReused: an idle connection that the member closes just as it is used again costs a
-// second connection, and no result.
+// TestHealthCheckConnClosedAsReused checks that if the member closes an idle connection just as it is
+// reused, the health check dials a second connection and the close has no result.
 func TestHealthCheckConnClosedAsReused(t *testing.T) {
 	for name, end := range map[string]func(*looptest.Peer){
 		"ends": func(m *looptest.Peer) { m.Close() }, "half-closes": func(m *looptest.Peer) { m.CloseWrite() }, "resets": func(m *looptest.Peer) { m.Reset() },
@@ -137,7 +140,8 @@
 	}
 }
 
-// TestHealthCheckConnClosedAsMemberLeft: and none where the member has left for longer than the grace meanwhile.
+// TestHealthCheckConnClosedAsMemberLeft checks that no second connection is dialled if the member has
+// been draining for longer than the grace.
 func TestHealthCheckConnClosedAsMemberLeft(t *testing.T) {
 	p := newCheckRig(t, 1)
 	m := p.acceptCheck(0)
@@ -154,7 +158,8 @@
 	p.expectNoCheck()
 }
 
-// TestHealthCheckSecondAnswer: a second answer that came with the first is not taken for the next health check's.
+// TestHealthCheckSecondAnswer checks that a second answer that arrives together with the first is not
+// taken for the answer to the next health check.
 func TestHealthCheckSecondAnswer(t *testing.T) {
 	p := newCheckRig(t, 1)
 	m := p.acceptCheck(0)
@@ -166,8 +171,8 @@
 	p.expectNoCheck()
 }
 
-// TestNoHealthCheckOfDepartedMember: a connection that comes up when its member has been leaving for longer than the grace
-// is not used.
+// TestNoHealthCheckOfDepartedMember checks that a connection is not used if it is established after
+// its member has been draining for longer than the grace.
 func TestNoHealthCheckOfDepartedMember(t *testing.T) {
 	p := newCheckRig(t, 1)
 	p.check(0)
@@ -178,7 +183,7 @@
 	p.expectNoCheck()
 }
 
-// TestHealthChecksRemoved: of members that come and go nothing stays.
+// TestHealthChecksRemoved checks that the front forgets health checks whose connection has ended.
 func TestHealthChecksRemoved(t *testing.T) {
 	p := newCheckRig(t, 3)
 	for i := range p.fakeMembers {
@@ -191,7 +196,8 @@
 	}
 }
 
-// TestHealthCheckSecondAnswerAtOnce: nor where the next health check begins as the first is answered.
+// TestHealthCheckSecondAnswerAtOnce is like TestHealthCheckSecondAnswer, with the next health check
+// started from the callback that receives the first result.
 func TestHealthCheckSecondAnswerAtOnce(t *testing.T) {
 	p := newCheckRig(t, 1)
 	record := p.Core.OnResult
--- a/internal/front/line/idle_after_pong_test.go
+++ b/internal/front/line/idle_after_pong_test.go
@@ -7,7 +7,8 @@
 	"dahliarudder/internal/core"
 )
 
-// TestIdleUntilRequest: a request that arrives in the loop iteration in which the time of an idle connection is up is placed.
+// TestIdleUntilRequest checks that a request is placed if it arrives in the loop iteration in which
+// the time limit of its idle connection runs out.
 func TestIdleUntilRequest(t *testing.T) {
 	for name, timeout := range map[string]time.Duration{"new": firstLineTimeout, "answered PONG": idleTimeout} {
 		t.Run(name, func(t *testing.T) {
@@ -26,8 +27,8 @@
 	}
 }
 
-// TestIdleTooLong: one that arrives as the relay has just closed an idle connection gets one complete answer: it was not
-// forwarded, and a retry is harmless.
+// TestIdleTooLong checks that a request that arrives just after the relay has closed its idle
+// connection is answered BUSY once. It was not forwarded, so a retry is harmless.
 func TestIdleTooLong(t *testing.T) {
 	for name, end := range map[string]func(*rig){
 		"idle": func(g *rig) { g.Advance(idleTimeout) },
@@ -58,8 +59,8 @@
 	}
 }
 
-// TestShedUnread: a connection that is evicted for a new one in the loop iteration in which its first line has come, unread, gets
-// one complete answer, and its request is none.
+// TestShedUnread checks that a connection that is closed in favor of a new one, in the loop iteration
+// in which its first line has arrived but is unread, gets one answer, and that no request is placed.
 func TestShedUnread(t *testing.T) {
 	for name, tc := range map[string]struct{ first, answer string }{
 		"new": {"", "ERR\r\n"}, "answered PONG": {"PING\r\n", "BUSY\r\n"},
--- a/internal/front/line/line_test.go
+++ b/internal/front/line/line_test.go
@@ -16,8 +16,8 @@
 
 const firstLine = "OPEN 00000000000000aa 00000000000000bb c=pay,t=water,d=1900"
 
-// sendOpen sends a request that its only member has got: the relay, the client and the
-// member.
+// sendOpen sends a request to a relay with one member and waits until the member has received it.
+// It returns the relay, the client and the member.
 func sendOpen(t testing.TB) (*looptest.Relay, *looptest.Peer, *looptest.Peer) {
 	r := looptest.NewRelay(t, 1)
 	c, m := sendOpenTo(r, New(r.Loop, r.Core, r.Log))
@@ -32,8 +32,8 @@
 	return c, m
 }
 
-// handOffFlows hands all open flows that can be from one front to another, through the text
-// that goes between processes.
+// handOffFlows hands off all open flows that it can from one front to another, encoded as JSON as
+// between processes.
 func handOffFlows(t testing.TB, from, to *Front) {
 	t.Helper()
 	from.HandOffFlows(100, func(p FlowHandoff, client, member int) {
@@ -49,7 +49,7 @@
 	})
 }
 
-// openedFlow is the same, up.
+// startFlow is sendOpen, followed by the member's UP.
 func startFlow(t testing.TB) (*looptest.Relay, *looptest.Peer, *looptest.Peer) {
 	r, c, m := sendOpen(t)
 	m.Send("UP x\r\n")
@@ -57,7 +57,7 @@
 	return r, c, m
 }
 
-// TestMoveWaits: MOVE that is requested within a line comes after it.
+// TestMoveWaits checks that a MOVE that is due in the middle of a line is sent after the line.
 func TestMoveWaits(t *testing.T) {
 	r, c, m := startFlow(t)
 	m.Send("half a ")
@@ -69,7 +69,7 @@
 	c.ExpectEOF()
 }
 
-// TestResets: a reset is answered by a reset, both ways.
+// TestResets checks that a reset on one side of a flow resets the other side, in both directions.
 func TestResets(t *testing.T) {
 	_, c, m := startFlow(t)
 	m.Reset()
@@ -79,7 +79,8 @@
 	m.ExpectReset()
 }
 
-// TestClientLeaves: who leaves before an answer leaves no attempt behind, and may still read its one answer.
+// TestClientLeaves checks that a client's close before an answer ends the attempt, and that a client
+// that still reads receives one answer.
 func TestClientLeaves(t *testing.T) {
 	r, c, m := sendOpen(t)
 	c.CloseWrite()
@@ -91,8 +92,8 @@
 	}
 }
 
-// TestAnswers: what a member may answer to a first line, and what the client then
-// gets after the only member was tried.
+// TestAnswers checks, for each answer that a member may give to the first line, what the client
+// receives when there is no other member.
 func TestAnswers(t *testing.T) {
 	for answer, want := range map[string]string{
 		"BUSY x0=1":  "BUSY",
@@ -113,8 +114,9 @@
 	}
 }
 
-// TestFirstLine: a client that sends nothing, or no complete line, gets an error well before 3 s
-// and takes no descriptor for longer; one that was answered PONG may stay a while.
+// TestFirstLine checks that a client that sends no complete line is answered ERR before the
+// protocol's limit of 3 s and that its descriptor is released, while a client that was answered PONG
+// may stay for idleTimeout.
 func TestFirstLine(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	addr := r.Serve(New(r.Loop, r.Core, r.Log).Accept)
@@ -138,8 +140,8 @@
 	front.ExpectEOF()
 }
 
-// TestDuplicateID: the id of an open request is no new request's, however it is written;
-// the open one continues, and once it has ended the id is free.
+// TestDuplicateID checks that a request with the id of an open request is answered ERR, however the
+// id is written, that the open request continues, and that the id can be used again after its end.
 func TestDuplicateID(t *testing.T) {
 	r, c, m := startFlow(t)
 	addr := r.Serve(New(r.Loop, r.Core, r.Log).Accept)
@@ -164,7 +166,7 @@
 	m.ExpectLines("hello")
 }
 
-// results is a ledger of how attempts ended.
+// resultRecorder is a core.Recorder that keeps the results of all attempts.
 type resultRecorder []policy.Result
 
 func (l *resultRecorder) Ready() bool { return true }
@@ -173,8 +175,8 @@
 }
 func (l *resultRecorder) RecordAnswer(*core.Request, core.ID, time.Duration, core.Answer, int) {}
 
-// TestLocalShortageIsNotMemberFault: an attempt that failed for want of the relay's own descriptors is not
-// the member's failure; one that the member refused is.
+// TestLocalShortageIsNotMemberFault checks that an attempt that fails because the relay has no free
+// descriptor is reported as not sent, and one that fails to connect as the member's failure.
 func TestLocalShortageIsNotMemberFault(t *testing.T) {
 	for err, want := range map[error]policy.Result{
 		netloop.ErrNoDescriptors: policy.NotSent, netloop.ErrDialTimeout: policy.ConnectFailed, io.EOF: policy.ConnectFailed,
@@ -196,7 +198,8 @@
 	}
 }
 
-// TestReopenReported: the module learns which clients reconnect after a loss or a migration.
+// TestReopenReported checks that again=1 in the first line sets Reconnect, which says that the
+// client reconnects after a loss or a migration.
 func TestReopenReported(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	for suffix, want := range map[string]bool{"": false, ",again=1": true, ",again=0": false} {
@@ -207,8 +210,8 @@
 	}
 }
 
-// TestWaitBound: no first line has the relay wait longer than its class is given, or, for
-// a flow that was open before, than such a one may take.
+// TestWaitBound checks that a first line cannot make a request wait longer than the deadline of its
+// class, or longer than reopenWait if the client had a flow before.
 func TestWaitBound(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	for d, want := range map[string]time.Duration{
@@ -222,7 +225,8 @@
 	}
 }
 
-// TestLineLengthLimit: a line within the bound is read, a longer one is not waited for.
+// TestLineLengthLimit checks that cutLine accepts a line of maxLineBytes and rejects a longer one
+// without waiting for its end.
 func TestLineLengthLimit(t *testing.T) {
 	long := strings.Repeat("x", maxLineBytes-2)
 	if text, n, err := cutLine([]byte(long + "\r\n")); err != nil || n != maxLineBytes || text != long {
@@ -236,9 +240,9 @@
 	}
 }
 
-// TestHandOffIdle: connections without a request are handed to another process with
-// what has come of their line, requests stay, and ids that are open elsewhere are
-// refused until they no longer are.
+// TestHandOffIdle checks that connections without a request are handed to another process together
+// with the part of the first line that has arrived, that requests stay, and that ids of requests
+// that are open in the other process are rejected until those requests end.
 func TestHandOffIdle(t *testing.T) {
 	r, c, m := startFlow(t)
 	f, next := New(r.Loop, r.Core, r.Log), New(r.Loop, r.Core, r.Log)
@@ -271,9 +275,9 @@
 	c.ExpectLines("GOT")
 }
 
-// TestAdoptFlow: a flow that was handed off keeps its state: an unanswered line counts
-// from when it was sent, a member that has left meanwhile or is not known here costs
-// the client a move and no more, and the id stays taken.
+// TestAdoptFlow checks that a flow keeps its state in a handoff: the time that a line has been
+// unanswered still counts from when the line was forwarded, a client whose member has left or is not
+// known here is sent MOVE and nothing else, and the id stays in use.
 func TestAdoptFlow(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	first, second := New(r.Loop, r.Core, r.Log), New(r.Loop, r.Core, r.Log)
--- a/internal/front/line/liveness_test.go
+++ b/internal/front/line/liveness_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestMemberSilent: a member that answers no line for too long is left, and the client
-// is migrated; one that answers is not.
+// TestMemberSilent checks that a client is migrated if its member answers no line for longer than
+// memberSilenceTimeout, and that a member that answers keeps the flow.
 func TestMemberSilent(t *testing.T) {
 	r, c, m := startFlow(t)
 	c.Send("hello\r\n")
@@ -28,9 +28,10 @@
 	}
 }
 
-// TestSilenceBound: whatever a member does and in which pieces lines come, a flow that brings nothing back is over
-// 7 s after the last line that came, whatever load it reports meanwhile; one that is answered stays, and one
-// whose member has sent its final command is over within a second although no end of the connection comes.
+// TestSilenceBound checks that a flow is closed within 7 s (maxSilence) of the member's last answer,
+// in whichever pieces the client's lines arrive and even if the member reports loads; that a flow
+// that is answered stays open; and that a flow whose member has sent BYE is closed within 1 s
+// (maxLinger) although the member does not close the connection.
 func TestSilenceBound(t *testing.T) {
 	for seed := range uint64(16) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -87,7 +88,8 @@
 	}
 }
 
-// TestPartialLineIsNotSilence: a client that takes long over a line is not sent away for the member's silence, nor as the line ends.
+// TestPartialLineIsNotSilence checks that a client that takes long to complete a line is not migrated
+// for the member's silence, neither before nor when the line ends.
 func TestPartialLineIsNotSilence(t *testing.T) {
 	r, c, m := startFlow(t)
 	c.Send("hel")
@@ -106,7 +108,8 @@
 	}
 }
 
-// TestClientGone: a client's machine that vanished must not occupy a flow for ever.
+// TestClientGone checks that the flow of a client that has sent nothing for clientSilenceTimeout is
+// closed, so that a client whose machine has failed does not keep a flow forever.
 func TestClientGone(t *testing.T) {
 	r, c, m := startFlow(t)
 	r.Advance(clientSilenceTimeout)
--- a/internal/front/line/long_idle_test.go
+++ b/internal/front/line/long_idle_test.go
@@ -8,9 +8,9 @@
 	"dahliarudder/policy"
 )
 
-// TestLongIdle: after hours without any event the first request is served by its first attempt; a fault that
-// begins then is handled as at any time: a member that drains gets nothing, a silent one is left in time, a client that closes is
-// noticed.
+// TestLongIdle checks that after hours without any event the first request is served by its first
+// attempt, and that faults are handled as usual: a silent member loses its flow in time, a member that
+// drains gets no attempt, and a client's close ends its attempt.
 func TestLongIdle(t *testing.T) {
 	for _, quiet := range []time.Duration{time.Hour, 30 * 24 * time.Hour} {
 		g := newRig(t, 2)
@@ -47,7 +47,8 @@
 	}
 }
 
-// flowAnywhere is a client whose flow is open, and its member.
+// openFlowAtAnyMember opens a flow and returns its client, the index of its member, and the member's
+// end.
 func (g *rig) openFlowAtAnyMember() (c *looptest.Peer, at int, m *looptest.Peer) {
 	g.T.Helper()
 	c = g.sendRequest(firstLine)
--- a/internal/front/line/malformed_test.go
+++ b/internal/front/line/malformed_test.go
@@ -9,7 +9,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// warnings is what is logged at warning level.
+// warnings is a logrus hook that keeps the cause and the number of clients of each warning.
 type warnings []string
 
 func (*warnings) Levels() []logrus.Level { return []logrus.Level{logrus.WarnLevel} }
@@ -18,8 +18,8 @@
 	return nil
 }
 
-// TestMalformedLogged: malformed first lines are counted by cause; the first of a cause is logged, and of those
-// after it once in a while, how many they are.
+// TestMalformedLogged checks that malformed first lines are counted by cause, that the first of each
+// cause is logged, and that later ones are logged as a number at most once per rejectionLogInterval.
 func TestMalformedLogged(t *testing.T) {
 	g := newRig(t, 1)
 	var logged warnings
@@ -50,7 +50,8 @@
 	}
 }
 
-// TestMalformedCauses: the detail is short whatever a client sends, and each cause has a name.
+// TestMalformedCauses checks that the error for a malformed line is short, whatever a client sends,
+// and that each cause has a name of its own.
 func TestMalformedCauses(t *testing.T) {
 	for name, text := range malformedLines {
 		line := strings.TrimSuffix(text, "\r\n")
@@ -73,7 +74,7 @@
 	}
 }
 
-// malformedCounts is how many clients were rejected for malformed lines, by cause, without the causes of which there were none.
+// malformedCounts returns the number of rejected clients by cause, without the causes that have none.
 func malformedCounts(f *Front) map[string]uint64 {
 	counts := map[string]uint64{}
 	for c, r := range f.rejections {
--- a/internal/front/line/member_change_test.go
+++ b/internal/front/line/member_change_test.go
@@ -7,8 +7,8 @@
 	"dahliarudder/policy"
 )
 
-// TestSuspicionWhileDialing: an attempt whose connection comes up during a suspicion is not sent on it. After that the
-// request continues.
+// TestSuspicionWhileDialing checks that nothing is sent on a connection that is established while
+// dispatch is paused, and that the request continues after that.
 func TestSuspicionWhileDialing(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.sendRequest(firstLine)
@@ -31,7 +31,7 @@
 	c.ExpectLines("UP x")
 }
 
-// TestUpAtDraining: a flow that comes up at a member that has begun to drain since is moved off it.
+// TestUpAtDraining checks that a flow is migrated if its member began to drain before it answered UP.
 func TestUpAtDraining(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.sendRequest(firstLine)
--- a/internal/front/line/partial_line_test.go
+++ b/internal/front/line/partial_line_test.go
@@ -9,12 +9,13 @@
 	"dahliarudder/policy"
 )
 
-// badClientWithin is what the operators owe a client that stops in the middle of a request and stays: its error or the
-// end of its connection.
+// partialLineTimeout is the protocol's limit for a client that stops in the middle of its first line
+// and stays: within it, the client must be answered ERR or its connection closed.
 const partialLineTimeout = 3 * time.Second
 
-// TestPartialLineAfterPong: a client that was answered PONG and stops within its next line is answered ERR as soon as one
-// that was not; one that sends the rest in time is served, and another PING lets it be idle again.
+// TestPartialLineAfterPong checks that a client that was answered PONG and stops in the middle of its
+// next line is answered ERR as soon as a new one would be, that a client that sends the rest in time
+// is served, and that a client that sends another PING may be idle again.
 func TestPartialLineAfterPong(t *testing.T) {
 	for name, pings := range map[string]int{"one PONG": 1, "three": 3} {
 		t.Run(name, func(t *testing.T) {
@@ -53,7 +54,8 @@
 	}
 }
 
-// waitingClients is the situations in which a request waits for its answer, each with what brings it about.
+// waitingClients are the situations in which a request waits for its answer, each with a function that
+// brings it about and returns the client.
 var waitingClients = map[string]func(g *rig) *looptest.Peer{
 	"held":    func(g *rig) *looptest.Peer { g.setMemberState(0, policy.Draining); return g.sendRequest(firstLine) },
 	"doubted": func(g *rig) *looptest.Peer { g.Core.PauseDispatch(); return g.sendRequest(firstLine) },
@@ -82,8 +84,8 @@
 	},
 }
 
-// TestClientHalfCloses: a client that ends its sending after its request may have gone, so no attempt begins; or it
-// waits for its answer, so it gets one before the end of its connection.
+// TestClientHalfCloses checks a client that closes its sending side after its request. It may be gone,
+// so no further attempt is made; it may also still read, so it is answered BUSY before the close.
 func TestClientHalfCloses(t *testing.T) {
 	for name, setUp := range waitingClients {
 		t.Run(name, func(t *testing.T) {
--- a/internal/front/line/report_test.go
+++ b/internal/front/line/report_test.go
@@ -7,8 +7,8 @@
 	"dahliarudder/policy"
 )
 
-// TestNoReport: a flow on which the member has sent no load report ends with none. One of zeros would say that
-// the member is idle, just as it resets its flows.
+// TestNoReport checks that a flow whose member has sent no load report ends with policy.NoReport, also
+// after a handoff. A report of zeros would describe as idle a member that may be resetting its flows.
 func TestNoReport(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	first, second := New(r.Loop, r.Core, r.Log), New(r.Loop, r.Core, r.Log)
--- a/internal/front/line/rig_test.go
+++ b/internal/front/line/rig_test.go
@@ -17,8 +17,8 @@
 	"dahliarudder/policy"
 )
 
-// rig is a front before members that the test plays, watched from outside: what each member is sent, what each
-// client gets, and how many descriptors are open.
+// rig is a front with fake members that the test controls. Tests check from outside what each member
+// and each client receives and how many descriptors are open.
 type rig struct {
 	*looptest.Relay
 	front       *Front
@@ -27,7 +27,7 @@
 	initialFree int // descriptors before anything came
 }
 
-// newRig makes one with so many members.
+// newRig returns a rig with the given number of members.
 func newRig(t testing.TB, members int) *rig {
 	r := looptest.NewRelay(t, 0)
 	g := &rig{Relay: r, front: New(r.Loop, r.Core, r.Log)}
@@ -41,7 +41,7 @@
 	return g
 }
 
-// addMember has discovery report that a member came.
+// addMember adds a ready member to the endpoint list and passes the list to the core.
 func (g *rig) addMember(addr string) {
 	n := len(g.Members) + 1
 	m := core.Member{Name: "s-" + strings.Repeat("0", 7) + string(rune('0'+n)), Addr: addr}
@@ -50,7 +50,7 @@
 	g.Core.UpdateMembers(policy.ListFull, g.Members)
 }
 
-// sendRequest sends a request and waits until the relay has taken it.
+// sendRequest sends a request and waits until the core has counted it.
 func (g *rig) sendRequest(line string) *looptest.Peer {
 	g.T.Helper()
 	c, before := g.Dial(g.addr), g.Core.Counts.Requests
@@ -59,7 +59,7 @@
 	return c
 }
 
-// attempt takes in the next attempt, of which the first line has come.
+// acceptAttempt accepts the next connection to a member and reads the first line from it.
 func (g *rig) acceptAttempt(member int) *looptest.Peer {
 	g.T.Helper()
 	m := g.fakeMembers[member].Accept()
@@ -67,7 +67,7 @@
 	return m
 }
 
-// openFlow is a client whose flow is open, and its member.
+// openFlow opens a flow at the first member and returns its client and its member.
 func (g *rig) openFlow() (c, m *looptest.Peer) {
 	g.T.Helper()
 	c = g.sendRequest(firstLine)
@@ -77,13 +77,13 @@
 	return c, m
 }
 
-// setMemberState has discovery report a member's state.
+// setMemberState passes a new state of a member to the core as an endpoint list update.
 func (g *rig) setMemberState(member int, state policy.MemberState) {
 	g.Members[member].State = state
 	g.Core.UpdateMembers(policy.ListDelta, g.Members[member:member+1])
 }
 
-// pending takes a connection that waits at a member; nil if none does.
+// pendingConn accepts a connection that is waiting at a member, or returns nil if there is none.
 func (g *rig) pendingConn(member int) (c net.Conn) {
 	g.T.Helper()
 	raw, err := g.fakeMembers[member].Listener.(*net.TCPListener).SyscallConn()
@@ -105,7 +105,8 @@
 	return c
 }
 
-// read takes in what has come on a connection, without waiting; true if it has ended.
+// readAvailable appends to got what can be read from a connection without waiting. It returns true
+// if the connection has ended.
 func readAvailable(c net.Conn, got *[]byte) (ended bool) {
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -126,7 +127,7 @@
 	return ended || err != nil
 }
 
-// unsent checks that no member gets a first line, whatever time passes.
+// expectNothingSent lets 3 s pass and checks that no member receives anything on a new connection.
 func (g *rig) expectNothingSent() {
 	g.T.Helper()
 	for range 30 {
@@ -143,7 +144,7 @@
 	}
 }
 
-// clean checks that nothing is left, neither a request nor a descriptor.
+// expectNoLeaks checks that no request, connection or descriptor is left.
 func (g *rig) expectNoLeaks() {
 	g.T.Helper()
 	if active := g.Core.ActiveRequests(); active != 0 {
@@ -159,22 +160,22 @@
 	}
 }
 
-// leaving is the ways in which a client closes.
+// closeMethods are the ways in which a client can close its connection.
 var closeMethods = map[string]func(*looptest.Peer){
 	"closes":      func(c *looptest.Peer) { c.Close() },
 	"resets":      func(c *looptest.Peer) { c.Reset() },
 	"half-closes": func(c *looptest.Peer) { c.CloseWrite() },
 }
 
-// forEachClose runs a test for each of them.
+// forEachClose runs a test for each of closeMethods.
 func forEachClose(t *testing.T, members int, test func(t *testing.T, g *rig, closeConn func(*looptest.Peer))) {
 	for name, closeConn := range closeMethods {
 		t.Run(name, func(t *testing.T) { test(t, newRig(t, members), closeConn) })
 	}
 }
 
-// fullQueue is the address of a listener that takes no connection in: one that is dialled to it neither comes up
-// nor fails.
+// fullBacklogAddr returns the address of a listener whose backlog is full: a connection to it is
+// neither established nor refused.
 func fullBacklogAddr(t testing.TB) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -208,7 +209,7 @@
  "report":{"names":["x0"],"source":"on_probe"},
  "guarantees":{"answer-slack-ms":8,"drain-grace-ms":250},"extra":{"message-aim-ms":[90]}}`
 
-// enableHealthChecks gives the rig a core that may check health.
+// enableHealthChecks replaces the rig's core with one whose settings allow health checks.
 func (g *rig) enableHealthChecks() {
 	g.T.Helper()
 	set, err := settings.Decode([]byte(healthCheckSettings))
--- a/internal/front/line/send_first_line_test.go
+++ b/internal/front/line/send_first_line_test.go
@@ -9,8 +9,8 @@
 	"dahliarudder/policy"
 )
 
-// TestRemainingDeadlineForwarded: d is how long the relay waits from when the line is sent, not from when the connection
-// was begun.
+// TestRemainingDeadlineForwarded checks that d in the forwarded line is the remaining time when the
+// line is sent, not when the connection is dialled.
 func TestRemainingDeadlineForwarded(t *testing.T) {
 	forwarded := func(connectDelay time.Duration) int {
 		g := newRig(t, 1)
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestNoAttemptAtDepartedMember: a connection that comes up when its member has been leaving for longer than the grace is not
-// used; the request continues without it.
+// TestNoAttemptAtDepartedMember checks that a connection is not used if it is established after its
+// member has been draining for longer than the grace, and that the request continues without it.
 func TestNoAttemptAtDepartedMember(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.sendRequest(firstLine)
--- a/internal/front/line/shutdown_test.go
+++ b/internal/front/line/shutdown_test.go
@@ -8,8 +8,8 @@
 	"dahliarudder/internal/netloop/looptest"
 )
 
-// TestMemberLeftWhileDialing: a member that has left while the connection to it was on its way gets no line on it, and
-// the request goes to another member.
+// TestMemberLeftWhileDialing checks that a member that leaves while a connection to it is being set up
+// receives nothing on it, and that the request goes to another member.
 func TestMemberLeftWhileDialing(t *testing.T) {
 	r := looptest.NewRelay(t, 2)
 	f := New(r.Loop, r.Core, r.Log)
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestOpenWhileMigrating: a client whose migration waits for the end of a line stays open until it has got MOVE, so that a shutdown
-// does not end before.
+// TestOpenWhileMigrating checks that a request counts as open until its client has been sent a MOVE
+// that waits for the end of a line, so that a shutdown does not end before that.
 func TestOpenWhileMigrating(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	f := New(r.Loop, r.Core, r.Log)
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestCloseIdle: at the end of a shutdown an idle connection is closed with an answer, which is also that of a request
-// that arrives just then; it is never sent on.
+// TestCloseIdle checks that at the end of a shutdown an idle connection is answered BUSY and closed,
+// and that a request that arrives at that moment has this answer too and is not sent to a member.
 func TestCloseIdle(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	f := New(r.Loop, r.Core, r.Log)
@@ -80,7 +80,8 @@
 	}
 }
 
-// TestClientGoneUndelivered: a client that has sent more than is buffered, and has gone, is noticed, and its attempt given up.
+// TestClientGoneUndelivered checks that the relay notices the close of a client that has sent more
+// than is buffered, and abandons its attempt.
 func TestClientGoneUndelivered(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	f := New(r.Loop, r.Core, r.Log)
--- a/internal/front/line/state_test.go
+++ b/internal/front/line/state_test.go
@@ -6,8 +6,9 @@
 	"dahliarudder/policy"
 )
 
-// TestClientStates walks all states and events of a client connection: what ends it leaves it closed, nothing
-// is done once it is closed, and each action comes only where the protocol allows it.
+// TestClientStates checks all states and events of a client connection: each action that ends the
+// connection leads to clientClosed, a closed connection does nothing, and each action occurs only in
+// the states in which the protocol allows it.
 func TestClientStates(t *testing.T) {
 	ends := map[clientAction]bool{sendError: true, sendBusy: true, closeClient: true, resetClient: true, cancelRequest: true,
 		closeFlow: true, resetFlow: true, sendMove: true, closeBothSides: true, finishAttempt: true}
@@ -46,7 +47,8 @@
 	}
 }
 
-// TestClientRulesUnique: no two rules are for the same state and event, where the later one would win silently.
+// TestClientRulesUnique checks that no two rules are for the same state and event: the later one
+// would silently replace the earlier one.
 func TestClientRulesUnique(t *testing.T) {
 	var seen [clientStateCount][clientEventCount]bool
 	for _, r := range clientRules {
@@ -59,7 +61,8 @@
 	}
 }
 
-// TestAttemptStates walks all states and events of an attempt: it has one result, at its end, and none twice.
+// TestAttemptStates checks all states and events of an attempt: it has exactly one result, which is
+// reported when it is finished.
 func TestAttemptStates(t *testing.T) {
 	for s := attemptDialing; s <= attemptFinished; s++ {
 		for e := eventConnected; e <= eventAbandoned; e++ {
@@ -83,8 +86,8 @@
 	}
 }
 
-// TestHealthCheckStates walks all states and events of a health check: it begins only where no answer is pending, and an answer
-// that was owed is, whatever ends it, owed no more.
+// TestHealthCheckStates checks all states and events of a health check: a check begins only where
+// none is pending, and every event that ends a pending check leaves it not pending.
 func TestHealthCheckStates(t *testing.T) {
 	for s := checkDisconnected; s <= checkPendingReused; s++ {
 		for e := eventCheckDue; e <= eventCheckIdleTimeout; e++ {
