--- a/internal/front/line/attempt_test.go
+++ b/internal/front/line/attempt_test.go
@@ -13,7 +13,7 @@
 // waitClosed waits until the relay has ended a connection.
 func (g *rig) waitClosed(p *looptest.Peer) {
 	g.T.Helper()
-	g.WaitFor("the end", func() bool { p.Poll(); return p.EndErr != nil })
+	g.WaitFor("the connection to end", func() bool { p.Poll(); return p.EndErr != nil })
 }
 
 // writeIgnoringError sends text on a connection that the relay may already have closed.
@@ -29,29 +29,29 @@
 	"resets after half a line":    {func(g *rig, m *looptest.Peer) { m.Send("UP"); g.RunOnce(); m.Reset() }, policy.Reset},
 	"ends after half a line":      {func(_ *rig, m *looptest.Peer) { m.Send("UP x"); m.CloseWrite() }, policy.Reset},
 	"ends within its CRLF":        {func(_ *rig, m *looptest.Peer) { m.Send("UP x\r"); m.CloseWrite() }, policy.Reset},
-	"says nothing":                {func(g *rig, m *looptest.Peer) { g.advanceUntilClosed(m) }, policy.Timeout},
-	"says half a line":            {func(g *rig, m *looptest.Peer) { m.Send("UP x"); g.RunOnce(); g.advanceUntilClosed(m) }, policy.Timeout},
-	"says UP once it is too late": {func(g *rig, m *looptest.Peer) { g.advanceUntilClosed(m); writeIgnoringError(m, "UP x\r\n") }, policy.Timeout},
-	"says a line over the bound":  {func(_ *rig, m *looptest.Peer) { m.Send("UP " + strings.Repeat("x", maxLineBytes) + "\r\n") }, policy.Error},
-	"says a line without end":     {func(_ *rig, m *looptest.Peer) { m.Send(strings.Repeat("x", 64*maxLineBytes)) }, policy.Error},
-	"says UP without CR":          {func(_ *rig, m *looptest.Peer) { m.Send("UP x\n") }, policy.Error},
-	"says an empty line":          {func(_ *rig, m *looptest.Peer) { m.Send("\r\nUP x\r\n") }, policy.Error},
-	"says what is no text":        {func(_ *rig, m *looptest.Peer) { m.Send("\x00\xff\x16\x03\r\n") }, policy.Error},
-	"says UPPER":                  {func(_ *rig, m *looptest.Peer) { m.Send("UPPER x\r\n") }, policy.Error},
-	"says ERR":                    {func(_ *rig, m *looptest.Peer) { m.Send("ERR\r\n") }, policy.Error},
-	"says ERR and UP":             {func(_ *rig, m *looptest.Peer) { m.Send("ERR\r\nUP x\r\n") }, policy.Error},
-	"says ERR, and UP later":      {func(g *rig, m *looptest.Peer) { m.Send("ERR\r\n"); g.RunOnce(); writeIgnoringError(m, "UP x\r\n") }, policy.Error},
-	"says BUSY":                   {func(_ *rig, m *looptest.Peer) { m.Send("BUSY\r\n") }, policy.Full},
-	"says BUSY and UP":            {func(_ *rig, m *looptest.Peer) { m.Send("BUSY\r\nUP x\r\n") }, policy.Full},
-	"says BUSY, and UP later":     {func(g *rig, m *looptest.Peer) { m.Send("BUSY\r\n"); g.RunOnce(); writeIgnoringError(m, "UP x\r\n") }, policy.Full},
-	"says BUSY in pieces":         {func(g *rig, m *looptest.Peer) { g.sendByteByByte(m, "BUSY\r\n") }, policy.Full},
-	"says MOVE":                   {func(_ *rig, m *looptest.Peer) { m.Send("MOVE\r\n") }, policy.Cancelled},
+	"sends nothing":               {func(g *rig, m *looptest.Peer) { g.advanceUntilClosed(m) }, policy.Timeout},
+	"sends half a line":           {func(g *rig, m *looptest.Peer) { m.Send("UP x"); g.RunOnce(); g.advanceUntilClosed(m) }, policy.Timeout},
+	"sends UP after the timeout":  {func(g *rig, m *looptest.Peer) { g.advanceUntilClosed(m); writeIgnoringError(m, "UP x\r\n") }, policy.Timeout},
+	"sends a line over the limit": {func(_ *rig, m *looptest.Peer) { m.Send("UP " + strings.Repeat("x", maxLineBytes) + "\r\n") }, policy.Error},
+	"sends a line without end":    {func(_ *rig, m *looptest.Peer) { m.Send(strings.Repeat("x", 64*maxLineBytes)) }, policy.Error},
+	"sends UP without CR":         {func(_ *rig, m *looptest.Peer) { m.Send("UP x\n") }, policy.Error},
+	"sends an empty line":         {func(_ *rig, m *looptest.Peer) { m.Send("\r\nUP x\r\n") }, policy.Error},
+	"sends binary data":           {func(_ *rig, m *looptest.Peer) { m.Send("\x00\xff\x16\x03\r\n") }, policy.Error},
+	"sends UPPER":                 {func(_ *rig, m *looptest.Peer) { m.Send("UPPER x\r\n") }, policy.Error},
+	"sends ERR":                   {func(_ *rig, m *looptest.Peer) { m.Send("ERR\r\n") }, policy.Error},
+	"sends ERR and UP":            {func(_ *rig, m *looptest.Peer) { m.Send("ERR\r\nUP x\r\n") }, policy.Error},
+	"sends ERR, and UP later":     {func(g *rig, m *looptest.Peer) { m.Send("ERR\r\n"); g.RunOnce(); writeIgnoringError(m, "UP x\r\n") }, policy.Error},
+	"sends BUSY":                  {func(_ *rig, m *looptest.Peer) { m.Send("BUSY\r\n") }, policy.Full},
+	"sends BUSY and UP":           {func(_ *rig, m *looptest.Peer) { m.Send("BUSY\r\nUP x\r\n") }, policy.Full},
+	"sends BUSY, and UP later":    {func(g *rig, m *looptest.Peer) { m.Send("BUSY\r\n"); g.RunOnce(); writeIgnoringError(m, "UP x\r\n") }, policy.Full},
+	"sends BUSY in pieces":        {func(g *rig, m *looptest.Peer) { g.sendByteByByte(m, "BUSY\r\n") }, policy.Full},
+	"sends MOVE":                  {func(_ *rig, m *looptest.Peer) { m.Send("MOVE\r\n") }, policy.Cancelled},
 }
 
 // advanceUntilClosed advances the clock until the relay has ended the attempt's connection.
 func (g *rig) advanceUntilClosed(m *looptest.Peer) {
 	g.T.Helper()
-	g.WaitFor("the end of the attempt", func() bool { g.Advance(10 * time.Millisecond); m.Poll(); return m.EndErr != nil })
+	g.WaitFor("the attempt's connection to end", func() bool { g.Advance(10 * time.Millisecond); m.Poll(); return m.EndErr != nil })
 }
 
 // sendByteByByte sends text byte by byte, with a loop iteration after each byte.
@@ -75,14 +75,14 @@
 			tc.act(g, m)
 			g.WaitFor("the next attempt", func() bool { g.Advance(time.Millisecond); return g.Core.Counts.Attempts == 2 })
 			if len(results) != 1 || results[0] != tc.want {
-				t.Errorf("results %v, want %v", results, tc.want)
+				t.Errorf("results = %v, want only %v", results, tc.want)
 			}
-			if tc.want != policy.Reset { // its own end
+			if tc.want != policy.Reset { // with Reset, the member itself has closed the connection
 				g.waitClosed(m)
 			}
 			next := g.acceptAttempt(1 - at)
 			if c.Poll(); len(c.Received) > 0 {
-				t.Errorf("the client got %q", c.Received)
+				t.Errorf("client got %q before a good answer, want nothing", c.Received)
 			}
 			writeIgnoringError(m, "UP late\r\n")
 			g.RunOnce()
@@ -92,7 +92,7 @@
 			c.ExpectEOF()
 			g.expectNoLeaks()
 			if n := g.Core.Counts; n.Served != 1 || n.Rejected+n.Failed+n.ClientsGone != 0 || n.Attempts != 2 {
-				t.Errorf("%+v", n)
+				t.Errorf("counts = %+v, want Served 1, Attempts 2 and no other answer", n)
 			}
 		})
 	}
@@ -112,7 +112,7 @@
 					inFlight += g.Core.FlowCount(policy.MemberID(i + 1))
 				}
 				if inFlight > 1 {
-					t.Fatalf("%d attempts are out", inFlight)
+					t.Fatalf("%d attempts in flight, want at most 1", inFlight)
 				}
 				if inFlight == 0 {
 					g.Advance(time.Millisecond)
@@ -120,22 +120,22 @@
 					_, m := g.acceptAnyAttempt()
 					before := g.Core.Counts.Attempts
 					tc.act(g, m)
-					g.WaitFor("the result", func() bool {
+					g.WaitFor("the result of the attempt", func() bool {
 						g.RunOnce()
 						return g.Core.ActiveRequests() == 0 || g.Core.Counts.Attempts > before || g.Core.FlowCount(1)+g.Core.FlowCount(2) == 0
 					})
 				}
 				if g.Now() > until {
-					t.Fatal("no answer in time")
+					t.Fatal("no answer within the request's deadline")
 				}
 			}
 			if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") && got != "ERR" {
-				t.Errorf("got %q", got)
+				t.Errorf("client got %q, want BUSY or ERR", got)
 			}
 			c.ExpectEOF()
 			g.expectNoLeaks()
 			if n := g.Core.Counts; n.Attempts > 3 || n.Rejected+n.Failed != 1 {
-				t.Errorf("%+v", n)
+				t.Errorf("counts = %+v, want at most 3 attempts and one rejection or failure", n)
 			}
 		})
 	}
@@ -151,19 +151,19 @@
 		s.Listener.Close()
 	}
 	c := g.sendRequest(firstLine)
-	g.WaitFor("the answer", func() bool { g.Advance(10 * time.Millisecond); return g.Core.ActiveRequests() == 0 })
+	g.WaitFor("the request to end", func() bool { g.Advance(10 * time.Millisecond); return g.Core.ActiveRequests() == 0 })
 	if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
-		t.Errorf("got %q", got)
+		t.Errorf("client got %q, want BUSY", got)
 	}
 	c.ExpectEOF()
 	g.expectNoLeaks()
 	for _, result := range results {
 		if result != policy.ConnectFailed {
-			t.Errorf("results %v", results)
+			t.Errorf("results = %v, want only %v", results, policy.ConnectFailed)
 		}
 	}
 	if len(results) == 0 || len(results) > 3 {
-		t.Errorf("%d attempts", len(results))
+		t.Errorf("%d attempts, want 1 to 3", len(results))
 	}
 }
 
@@ -178,11 +178,11 @@
 	c := g.sendRequest(firstLine)
 	g.Advance(g.front.connectTimeout)
 	if len(results) == 0 || results[0] != policy.ConnectFailed {
-		t.Errorf("results %v", results)
+		t.Errorf("results = %v, want first %v", results, policy.ConnectFailed)
 	}
-	g.WaitFor("the answer", func() bool { g.Advance(10 * time.Millisecond); return g.Core.ActiveRequests() == 0 })
+	g.WaitFor("the request to end", func() bool { g.Advance(10 * time.Millisecond); return g.Core.ActiveRequests() == 0 })
 	if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
-		t.Errorf("got %q", got)
+		t.Errorf("client got %q, want BUSY", got)
 	}
 	g.expectNoLeaks()
 
@@ -192,7 +192,7 @@
 	g.acceptAttempt(0).Send("UP x\r\n")
 	c.ExpectLines("UP x")
 	if g.Core.Counts.Attempts != 1 {
-		t.Errorf("%+v", g.Core.Counts)
+		t.Errorf("counts = %+v, want 1 attempt", g.Core.Counts)
 	}
 }
 
@@ -214,7 +214,7 @@
 			}
 			c.Expect("UP x\r\n" + after)
 			if n := g.Core.Counts; n.Served != 1 || n.Attempts != 1 || g.Core.ActiveRequests() != 1 {
-				t.Errorf("%+v", n)
+				t.Errorf("counts = %+v with %d active requests, want Served 1, Attempts 1 and 1 active", n, g.Core.ActiveRequests())
 			}
 		}
 	}
@@ -236,11 +236,11 @@
 	c := g.sendRequest(firstLine)
 	g.SetDescriptorLimit(g.OpenDescriptors())
 	g.Core.ResumeDispatch()
-	g.WaitFor("the answer", func() bool { g.Advance(10 * time.Millisecond); return g.Core.ActiveRequests() == 0 })
+	g.WaitFor("the request to end", func() bool { g.Advance(10 * time.Millisecond); return g.Core.ActiveRequests() == 0 })
 	if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
-		t.Errorf("got %q", got)
+		t.Errorf("client got %q, want BUSY", got)
 	}
 	if len(results) == 0 || results[0] != policy.NotSent || memberFaults != 0 {
-		t.Errorf("results %v, %d blamed", results, memberFaults)
+		t.Errorf("results = %v, want first %v; %d results reported about the member, want 0", results, policy.NotSent, memberFaults)
 	}
 }
--- a/internal/front/line/client_leave_test.go
+++ b/internal/front/line/client_leave_test.go
@@ -18,11 +18,11 @@
 		g.WaitFor("the connection", func() bool { return len(g.front.idle) == 1 })
 		g.RunOnce()
 		closeConn(c)
-		g.WaitFor("its end", func() bool { return len(g.front.idle) == 0 })
+		g.WaitFor("the connection to end", func() bool { return len(g.front.idle) == 0 })
 		g.expectNothingSent()
 		g.expectNoLeaks()
 		if g.Core.Counts.Requests != 0 {
-			t.Errorf("%+v", g.Core.Counts)
+			t.Errorf("counts = %+v, want Requests 0", g.Core.Counts)
 		}
 	})
 }
@@ -31,11 +31,11 @@
 // released the request and sends nothing more for it.
 func (g *rig) expectReleased() {
 	g.T.Helper()
-	g.WaitFor("the client's end", func() bool { return len(g.front.requests) == 0 })
+	g.WaitFor("the relay to notice the client's close", func() bool { return len(g.front.requests) == 0 })
 	g.expectNothingSent()
 	g.expectNoLeaks()
 	if g.Core.Counts.ClientsGone != 1 {
-		g.T.Errorf("%+v", g.Core.Counts)
+		g.T.Errorf("counts = %+v, want ClientsGone 1", g.Core.Counts)
 	}
 }
 
@@ -46,7 +46,7 @@
 		g.setMemberState(0, policy.Draining)
 		c := g.sendRequest(firstLine)
 		closeConn(c)
-		g.WaitFor("the client's end", func() bool { return len(g.front.requests) == 0 })
+		g.WaitFor("the relay to notice the client's close", func() bool { return len(g.front.requests) == 0 })
 		g.setMemberState(0, policy.Ready)
 		g.expectReleased()
 	})
@@ -54,7 +54,7 @@
 		g.Core.PauseDispatch()
 		c := g.sendRequest(firstLine)
 		closeConn(c)
-		g.WaitFor("the client's end", func() bool { return len(g.front.requests) == 0 })
+		g.WaitFor("the relay to notice the client's close", func() bool { return len(g.front.requests) == 0 })
 		g.Core.ResumeDispatch()
 		g.expectReleased()
 	})
@@ -66,9 +66,9 @@
 	forEachClose(t, 1, func(t *testing.T, g *rig, closeConn func(*looptest.Peer)) {
 		c := g.sendRequest(firstLine)
 		g.acceptAttempt(0).Send("BUSY\r\n")
-		g.WaitFor("the answer", func() bool { return g.Core.FlowCount(1) == 0 })
+		g.WaitFor("the attempt to end", func() bool { return g.Core.FlowCount(1) == 0 })
 		if g.Core.ActiveRequests() != 1 {
-			t.Fatal("the request is not held for another attempt")
+			t.Fatal("the request has ended, want it to wait for another attempt")
 		}
 		closeConn(c)
 		g.expectReleased()
@@ -82,22 +82,22 @@
 		g.addMember(fullBacklogAddr(t))
 		c := g.sendRequest(firstLine)
 		if g.Core.Counts.Attempts != 1 {
-			t.Fatalf("%+v", g.Core.Counts)
+			t.Fatalf("counts = %+v, want Attempts 1", g.Core.Counts)
 		}
 		closeConn(c)
 		g.expectReleased()
 	})
 	forEachClose(t, 1, func(t *testing.T, g *rig, closeConn func(*looptest.Peer)) {
-		c := g.sendRequest(firstLine) // the member's kernel has taken the connection in by now
+		c := g.sendRequest(firstLine) // the kernel has established the connection to the member by now
 		conn := g.pendingConn(0)
 		if conn == nil {
-			t.Fatal("no connection")
+			t.Fatal("no connection to the member")
 		}
 		closeConn(c)
 		g.expectReleased()
 		conn.SetReadDeadline(time.Now().Add(looptest.Timeout))
 		if sent, _ := io.ReadAll(conn); len(sent) > 0 {
-			t.Errorf("the member was sent %q", sent)
+			t.Errorf("member received %q, want nothing", sent)
 		}
 	})
 }
@@ -108,18 +108,18 @@
 	forEachClose(t, 1, func(t *testing.T, g *rig, closeConn func(*looptest.Peer)) {
 		g.Core.PauseDispatch()
 		c := g.sendRequest(firstLine)
-		g.RunOnce() // the client's connection is no longer among those that have an event
+		g.RunOnce() // the client's connection has no event now
 		g.RunOnce()
 		g.Core.ResumeDispatch()
 		conn := g.pendingConn(0)
 		if conn == nil {
-			t.Fatal("no connection")
+			t.Fatal("no connection to the member")
 		}
 		closeConn(c)
 		g.expectReleased()
 		conn.SetReadDeadline(time.Now().Add(looptest.Timeout))
 		if sent, _ := io.ReadAll(conn); len(sent) > 0 {
-			t.Errorf("the member was sent %q", sent)
+			t.Errorf("member received %q, want nothing", sent)
 		}
 	})
 }
@@ -133,9 +133,9 @@
 		m.Send("half an ans")
 		g.RunOnce()
 		closeConn(c)
-		g.WaitFor("the end of the attempt", func() bool { m.Poll(); return m.EndErr != nil })
+		g.WaitFor("the attempt's connection to end", func() bool { m.Poll(); return m.EndErr != nil })
 		if len(m.Received) > 0 {
-			t.Errorf("member %d got %q", at, m.Received)
+			t.Errorf("member %d received %q after the first line, want nothing", at, m.Received)
 		}
 		g.expectReleased()
 	})
@@ -155,12 +155,12 @@
 				closeConn(c)
 				m.Send("UP x\r\n")
 			}
-			g.WaitFor("the end of the flow", func() bool { m.Poll(); return m.EndErr != nil })
+			g.WaitFor("the member's connection to end", func() bool { m.Poll(); return m.EndErr != nil })
 			g.WaitFor("the end of the request", func() bool { return g.Core.ActiveRequests() == 0 })
 			g.expectNothingSent()
 			g.expectNoLeaks()
 			if n := g.Core.Counts; n.ClientsGone+n.Served != 1 || n.Attempts != 1 {
-				t.Errorf("%+v", n)
+				t.Errorf("counts = %+v, want Attempts 1 and one of ClientsGone and Served 1", n)
 			}
 		})
 	}
@@ -189,10 +189,10 @@
 		g.enableHealthChecks()
 		c := g.sendRequest(firstLine)
 		if len(g.front.healthChecks) == 0 || g.Core.Counts.Attempts > 0 {
-			t.Fatalf("%d probes, %+v", len(g.front.healthChecks), g.Core.Counts)
+			t.Fatalf("%d health checks, counts = %+v; want a health check and Attempts 0", len(g.front.healthChecks), g.Core.Counts)
 		}
 		closeConn(c)
-		g.WaitFor("the client's end", func() bool { return len(g.front.requests) == 0 })
+		g.WaitFor("the relay to notice the client's close", func() bool { return len(g.front.requests) == 0 })
 		for i, p := range g.fakeMembers {
 			if g.front.healthChecks[policy.MemberID(i+1)] != nil {
 				m := p.Accept()
@@ -200,7 +200,7 @@
 				m.Send("PONG x0=0.1\r\n")
 			}
 		}
-		g.WaitFor("the answers", func() bool {
+		g.WaitFor("the results of the health checks", func() bool {
 			for _, p := range g.front.healthChecks {
 				if p.state.isPending() {
 					return false
--- a/internal/front/line/crossing_test.go
+++ b/internal/front/line/crossing_test.go
@@ -20,8 +20,8 @@
 	rng            *rand.Rand
 	client         net.Conn
 	received       []byte // by the client
-	sent           string // of the first line
-	clientClosed   bool   // the client is, by its own doing
+	sent           string // by the client, of its first line and what follows it
+	clientClosed   bool   // whether the test has closed the client's connection
 	attempts       []*observedAttempt
 	stopping       bool
 	dispatchPaused bool
@@ -41,7 +41,7 @@
 	choice := x.rng.IntN(16)
 	x.stepLog = append(x.stepLog, strconv.Itoa(choice))
 	switch choice {
-	case 0, 1: // the client goes on with its line, and with what follows it
+	case 0, 1: // the client sends more of its first line, or of the data after it
 		if text := firstLine + "\r\nmore\r\n"; !x.clientClosed && len(x.sent) < len(text) {
 			part := text[len(x.sent):]
 			if x.rng.IntN(2) == 0 {
@@ -126,12 +126,12 @@
 		}
 		if before == 0 && len(m.received) > 0 {
 			if !bytes.HasPrefix(m.received, []byte("OPEN 00000000000000aa ")) {
-				x.fail("a member was sent %q", m.received)
+				x.fail("a member received %q, want the client's OPEN", m.received)
 			}
 			for _, earlier := range x.attempts[:i] {
 				if len(earlier.received) > 0 && !earlier.closed {
 					if earlier.closed = readAvailable(earlier.Conn, &earlier.received); !earlier.closed {
-						x.fail("an attempt goes out while another one is")
+						x.fail("an attempt was sent while another one was in flight")
 					}
 				}
 			}
@@ -139,7 +139,7 @@
 	}
 	inFlight := x.Core.FlowCount(1) + x.Core.FlowCount(2)
 	if inFlight > 1 || x.Core.Counts.Attempts > 3 {
-		x.fail("%d attempts are out, %d in all", inFlight, x.Core.Counts.Attempts)
+		x.fail("%d attempts in flight, want at most 1; %d in all, want at most 3", inFlight, x.Core.Counts.Attempts)
 	}
 }
 
@@ -155,9 +155,9 @@
 		x.checkAnswers()
 		x.closeClient()
 	}
-	x.WaitFor("the client's end", func() bool { return len(x.front.requests)+len(x.front.idle) == 0 })
+	x.WaitFor("the relay to notice the client's close", func() bool { return len(x.front.requests)+len(x.front.idle) == 0 })
 	for _, m := range x.attempts {
-		x.WaitFor("the end of the attempt", func() bool { m.closed = m.closed || readAvailable(m.Conn, &m.received); return m.closed })
+		x.WaitFor("the attempt's connection to end", func() bool { m.closed = m.closed || readAvailable(m.Conn, &m.received); return m.closed })
 		m.Close()
 	}
 	x.Core.ResumeDispatch()
@@ -175,10 +175,10 @@
 	text := string(x.received)
 	switch {
 	case text == "" && closed && strings.Contains(x.sent, "\r\n"):
-		x.fail("the client's end without an answer")
+		x.fail("the client's connection ended without an answer")
 	case strings.HasPrefix(text, "BUSY"), strings.HasPrefix(text, "ERR"):
 		if strings.Count(text, "\n") != 1 || !strings.HasSuffix(text, "\r\n") {
-			x.fail("the client got %q", text)
+			x.fail("the client got %q, want one line", text)
 		}
 	case text != "":
 		text = strings.TrimSuffix(text, "MOVE\r\n")
@@ -187,7 +187,7 @@
 				return
 			}
 		}
-		x.fail("the client got %q, which no member said", x.received)
+		x.fail("the client got %q, which no member sent", x.received)
 	}
 }
 
@@ -204,7 +204,7 @@
 		t.Run(strconv.Itoa(seed), func(t *testing.T) {
 			x := &eventOrderCase{rig: newRig(t, 2), rng: rand.New(rand.NewPCG(uint64(seed), 1))}
 			x.client = x.Dial(x.addr).Conn
-			x.WaitFor("the connection", func() bool { return len(x.front.idle) == 1 })
+			x.WaitFor("the connection to be accepted", func() bool { return len(x.front.idle) == 1 })
 			for range 40 {
 				x.step()
 			}
--- a/internal/front/line/early_data_test.go
+++ b/internal/front/line/early_data_test.go
@@ -15,7 +15,7 @@
 	c := g.sendRequest(firstLine)
 	c.Send(string(bytes.Repeat([]byte("more\r\n"), 4<<10)))
 	c.CloseWrite()
-	g.WaitFor("the client's end", func() bool { return len(g.front.requests) == 0 })
+	g.WaitFor("the relay to notice the client's close", func() bool { return len(g.front.requests) == 0 })
 	g.setMemberState(0, policy.Ready)
 	g.expectReleased()
 }
@@ -33,9 +33,9 @@
 	}
 	m.Send("UP x\r\n")
 	c.ExpectLines("UP x")
-	g.WaitFor("the early lines", func() bool { m.Poll(); return len(m.Received) >= len(early) })
+	g.WaitFor("the member to receive the early lines", func() bool { m.Poll(); return len(m.Received) >= len(early) })
 	if !bytes.Equal(m.Received, early) {
-		t.Errorf("%d bytes of %d", len(m.Received), len(early))
+		t.Errorf("member received %d bytes, want exactly the %d bytes that the client sent early", len(m.Received), len(early))
 	}
 }
 
@@ -49,14 +49,14 @@
 	c.Send(string(early))
 	g.RunOnce()
 	m.Send("BUSY\r\n")
-	g.WaitFor("the answer", func() bool { return g.Core.Counts.Attempts == 2 })
+	g.WaitFor("the second attempt", func() bool { return g.Core.Counts.Attempts == 2 })
 	if _, m = at, g.acceptAttempt(1-at); len(m.Received) > 0 {
-		t.Errorf("with the first line came %q", m.Received)
+		t.Errorf("member received %q after the first line and before UP, want nothing", m.Received)
 	}
 	m.Send("UP x\r\n")
 	c.ExpectLines("UP x")
-	g.WaitFor("the early lines", func() bool { m.Poll(); return len(m.Received) >= len(early) })
+	g.WaitFor("the member to receive the early lines", func() bool { m.Poll(); return len(m.Received) >= len(early) })
 	if !bytes.Equal(m.Received, early) {
-		t.Errorf("%d bytes of %d", len(m.Received), len(early))
+		t.Errorf("member received %d bytes, want exactly the %d bytes that the client sent early", len(m.Received), len(early))
 	}
 }
--- a/internal/front/line/first_line_test.go
+++ b/internal/front/line/first_line_test.go
@@ -16,7 +16,7 @@
 func TestFirstLineInPieces(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.Dial(g.addr)
-	g.WaitFor("the connection", func() bool { return len(g.front.idle) == 1 })
+	g.WaitFor("the connection to be accepted", func() bool { return len(g.front.idle) == 1 })
 	each := firstLineTimeout / time.Duration(len(firstLine)+3)
 	for _, b := range []byte(firstLine + "\r\n") {
 		c.Send(string(b))
@@ -32,7 +32,7 @@
 func TestFirstLineTooSlow(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.Dial(g.addr)
-	g.WaitFor("the connection", func() bool { return len(g.front.idle) == 1 })
+	g.WaitFor("the connection to be accepted", func() bool { return len(g.front.idle) == 1 })
 	c.Send(firstLine[:30])
 	g.RunOnce()
 	g.Advance(firstLineTimeout)
@@ -60,7 +60,7 @@
 		c.ExpectLines("PONG", "PONG")
 		m := g.acceptAttempt(0)
 		if g.RunOnce(); len(m.Received) > 0 || g.Core.Counts.Requests != 1 {
-			t.Errorf("%q, %+v", m.Received, g.Core.Counts)
+			t.Errorf("before UP the member received %q after the first line, want nothing; counts = %+v, want Requests 1", m.Received, g.Core.Counts)
 		}
 		m.Send("UP x\r\n")
 		c.ExpectLines("UP x")
@@ -69,7 +69,7 @@
 		c.ExpectEOF()
 		g.expectNoLeaks()
 		if g.Core.Counts.Requests != 1 {
-			t.Errorf("%+v", g.Core.Counts)
+			t.Errorf("counts = %+v, want Requests 1", g.Core.Counts)
 		}
 	}
 }
@@ -81,14 +81,14 @@
 	c := g.sendRequest(firstLine)
 	writeIgnoringError(c, firstLine+"\r\n")
 	if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
-		t.Errorf("got %q", got)
+		t.Errorf("client got %q, want BUSY", got)
 	}
 	c.ExpectEOF()
 	c.Close()
 	g.expectNothingSent()
 	g.expectNoLeaks()
 	if g.Core.Counts.Requests != 1 {
-		t.Errorf("%+v", g.Core.Counts)
+		t.Errorf("counts = %+v, want Requests 1", g.Core.Counts)
 	}
 }
 
@@ -98,23 +98,23 @@
 	"empty":            "\r\n",
 	"no CR":            firstLineOf(0xac) + "\n",
 	"a word":           "HELLO\r\n",
-	"another protocol": "GET / HTTP/1.1\r\nHost: x\r\n\r\n",
-	"a handshake":      "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\n",
+	"HTTP":             "GET / HTTP/1.1\r\nHost: x\r\n\r\n",
+	"a TLS handshake":  "\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03\n",
 	"too long":         "OPEN " + strings.Repeat("x", maxLineBytes),
 	"no end":           strings.Repeat("x", 64*maxLineBytes),
-	"a byte":           "OPEN 00000000000000ac 00000000000000bb c=pay,t=water,g=\x00\r\n",
-	"an id":            "OPEN zz 00000000000000bb c=pay,t=water\r\n",
-	"an id of none":    "OPEN  00000000000000bb c=pay,t=water\r\n",
-	"a key":            "OPEN 00000000000000ac -1 c=pay,t=water\r\n",
-	"a class":          "OPEN 00000000000000ac 00000000000000bb c=none,t=water\r\n",
+	"unprintable byte": "OPEN 00000000000000ac 00000000000000bb c=pay,t=water,g=\x00\r\n",
+	"invalid id":       "OPEN zz 00000000000000bb c=pay,t=water\r\n",
+	"empty id":         "OPEN  00000000000000bb c=pay,t=water\r\n",
+	"invalid key":      "OPEN 00000000000000ac -1 c=pay,t=water\r\n",
+	"unknown class":    "OPEN 00000000000000ac 00000000000000bb c=none,t=water\r\n",
 	"no class":         "OPEN 00000000000000ac 00000000000000bb t=water\r\n",
-	"a tenant":         "OPEN 00000000000000ac 00000000000000bb c=pay,t=none\r\n",
+	"unknown tenant":   "OPEN 00000000000000ac 00000000000000bb c=pay,t=none\r\n",
 	"no tenant":        "OPEN 00000000000000ac 00000000000000bb c=pay\r\n",
-	"a value":          "OPEN 00000000000000ac 00000000000000bb c=pay,t=water,d=soon\r\n",
-	"a wait below 0":   "OPEN 00000000000000ac 00000000000000bb c=pay,t=water,d=-1\r\n",
-	"a pair":           "OPEN 00000000000000ac 00000000000000bb c=pay,t=water,d\r\n",
-	"a pair twice":     "OPEN 00000000000000ac 00000000000000bb c=pay,t=water,c=pay\r\n",
-	"no list":          "OPEN 00000000000000ac 00000000000000bb\r\n",
+	"invalid value":    "OPEN 00000000000000ac 00000000000000bb c=pay,t=water,d=soon\r\n",
+	"negative wait":    "OPEN 00000000000000ac 00000000000000bb c=pay,t=water,d=-1\r\n",
+	"no value":         "OPEN 00000000000000ac 00000000000000bb c=pay,t=water,d\r\n",
+	"repeated field":   "OPEN 00000000000000ac 00000000000000bb c=pay,t=water,c=pay\r\n",
+	"no fields":        "OPEN 00000000000000ac 00000000000000bb\r\n",
 	"too many words":   firstLineOf(0xac) + " more\r\n",
 	"PING and more":    "PING x\r\n",
 }
@@ -129,16 +129,16 @@
 			before, free := g.Core.Counts, g.FreeDescriptors()
 			c := g.Dial(g.addr)
 			writeIgnoringError(c, text+"\r\n"+firstLine+"\r\n")
-			g.WaitFor("the end", func() bool { c.Poll(); return c.EndErr != nil })
+			g.WaitFor("the connection to end", func() bool { c.Poll(); return c.EndErr != nil })
 			if !bytes.Equal(c.Received, []byte("ERR\r\n")) {
-				t.Errorf("got %q", c.Received)
+				t.Errorf("client got %q, want only ERR", c.Received)
 			}
 			c.Close()
 			g.Advance(time.Second)
 			good.Send("hello\r\n")
 			m.ExpectLines("hello")
 			if g.Core.Counts != before || g.FreeDescriptors() != free || g.pendingConn(0) != nil {
-				t.Errorf("%+v, %d descriptors", g.Core.Counts, free-g.FreeDescriptors())
+				t.Errorf("counts = %+v, want %+v; %d more descriptors open, want 0; and no new connection to the member", g.Core.Counts, before, free-g.FreeDescriptors())
 			}
 		})
 	}
@@ -151,10 +151,10 @@
 		t.Run(name, func(t *testing.T) {
 			forEachClose(t, 1, func(t *testing.T, g *rig, closeConn func(*looptest.Peer)) {
 				c := g.Dial(g.addr)
-				g.WaitFor("the connection", func() bool { return len(g.front.idle) == 1 })
+				g.WaitFor("the connection to be accepted", func() bool { return len(g.front.idle) == 1 })
 				writeIgnoringError(c, text)
 				closeConn(c)
-				g.WaitFor("the connection's end", func() bool { return len(g.front.idle) == 0 && g.FreeDescriptors() == g.initialFree })
+				g.WaitFor("the connection to end", func() bool { return len(g.front.idle) == 0 && g.FreeDescriptors() == g.initialFree })
 				g.expectNothingSent()
 				g.expectNoLeaks()
 			})
@@ -182,7 +182,7 @@
 		}
 		m := g.fakeMembers[0].Accept()
 		if got := m.ReadLine(); !strings.HasSuffix(got, pad) || len(got) > maxLineLength-2 {
-			t.Errorf("the member got %d bytes", len(got))
+			t.Errorf("member received %d bytes, want the padded line of at most %d bytes", len(got), maxLineLength-2)
 		}
 		m.Send("UP x\r\n")
 		c.ExpectLines("UP x")
--- a/internal/front/line/flow_end_test.go
+++ b/internal/front/line/flow_end_test.go
@@ -13,7 +13,7 @@
 func (g *rig) onlyFlow() *clientConn {
 	g.T.Helper()
 	if len(g.front.flows) != 1 {
-		g.T.Fatalf("%d open flows", len(g.front.flows))
+		g.T.Fatalf("%d open flows, want 1", len(g.front.flows))
 	}
 	for conn := range g.front.flows {
 		return conn
@@ -40,10 +40,10 @@
 // readToEOF reads until the connection ends, which must be gracefully.
 func (g *rig) readToEOF(p *looptest.Peer) []byte {
 	g.T.Helper()
-	p.Conn.(*net.TCPConn).SetReadBuffer(4 << 20) // or the system's own timers set the pace
-	g.WaitFor("the end", func() bool { p.Poll(); return p.EndErr != nil })
+	p.Conn.(*net.TCPConn).SetReadBuffer(4 << 20) // with a small buffer the kernel's timers would slow the transfer down
+	g.WaitFor("the connection to end", func() bool { p.Poll(); return p.EndErr != nil })
 	if p.EndErr != io.EOF {
-		g.T.Errorf("ended with %v", p.EndErr)
+		g.T.Errorf("connection ended with %v, want EOF", p.EndErr)
 	}
 	return p.Received
 }
@@ -59,7 +59,7 @@
 	c.CloseWrite()
 	g.WaitFor("the end of the request", func() bool { return g.Core.ActiveRequests() == 0 })
 	if got := g.readToEOF(m); !bytes.Equal(got, sent) {
-		t.Errorf("%d bytes of %d", len(got), len(sent))
+		t.Errorf("member received %d bytes, want exactly the %d bytes that the client sent", len(got), len(sent))
 	}
 	g.expectNoLeaks()
 }
@@ -81,7 +81,7 @@
 		if !reads {
 			g.Advance(MoveTimeout)
 		} else if got := g.readToEOF(m); !bytes.Equal(got, sent) {
-			t.Errorf("%d bytes of %d", len(got), len(sent))
+			t.Errorf("member received %d bytes, want exactly the %d bytes that the client sent", len(got), len(sent))
 		}
 		g.expectNoLeaks()
 	}
@@ -102,7 +102,7 @@
 		g.RunOnce()
 	}
 	if got := g.readToEOF(c); !bytes.Equal(got, sent) {
-		t.Errorf("%d bytes of %d", len(got), len(sent))
+		t.Errorf("client received %d bytes, want exactly the %d bytes that the member sent", len(got), len(sent))
 	}
 	g.WaitFor("the end of the request", func() bool { return g.Core.ActiveRequests() == 0 })
 	g.expectNoLeaks()
@@ -118,7 +118,7 @@
 	g.sendUntil(m, func() bool { return conn.conn.WriteCapacity() == 0 })
 	m.Send("the last line\r\n")
 	m.CloseWrite()
-	g.WaitFor("the member's end", func() bool { return len(g.front.flows) == 0 })
+	g.WaitFor("the member's close to be handled", func() bool { return len(g.front.flows) == 0 })
 	g.Advance(lingerTimeout)
 	g.expectNoLeaks()
 }
--- a/internal/front/line/flow_fuzz_test.go
+++ b/internal/front/line/flow_fuzz_test.go
@@ -34,7 +34,7 @@
 				chunk = append(chunk, "\r\n"...)
 			}
 			switch steps[i] % 8 {
-			case 7: // another process takes the relay's place
+			case 7: // hand the flow off to another process
 				handOffFlows(t, from, to)
 				from, to = to, from
 			case 0:
@@ -54,7 +54,7 @@
 				m.Poll()
 			case 4:
 				if !drained && !ended {
-					r.WaitFor("the member's bytes", func() bool { c.Poll(); return len(c.Received) == len(byMember) })
+					r.WaitFor("the client to receive the member's bytes", func() bool { c.Poll(); return len(c.Received) == len(byMember) })
 					drained, between = true, len(byMember) == 0 || bytes.HasSuffix(byMember, []byte("\n"))
 					r.Drain(0)
 				}
@@ -73,22 +73,22 @@
 		if drained || ended {
 			r.RunOnce()
 			r.Advance(MoveTimeout)
-			r.WaitFor("the client's end", func() bool { c.Poll(); return c.EndErr != nil })
-			r.WaitFor("the member's end", func() bool { m.Poll(); return m.EndErr != nil })
+			r.WaitFor("the client's connection to end", func() bool { c.Poll(); return c.EndErr != nil })
+			r.WaitFor("the member's connection to end", func() bool { m.Poll(); return m.EndErr != nil })
 			if c.EndErr != io.EOF || m.EndErr != io.EOF {
-				t.Errorf("ended with %v and %v", c.EndErr, m.EndErr)
+				t.Errorf("connections ended with %v (client) and %v (member), want EOF", c.EndErr, m.EndErr)
 			}
 		} else {
-			r.WaitFor("the member's bytes", func() bool { c.Poll(); return len(c.Received) >= len(byMember) })
-			r.WaitFor("the client's bytes", func() bool { m.Poll(); return len(m.Received) >= len(byClient) })
+			r.WaitFor("the client to receive the member's bytes", func() bool { c.Poll(); return len(c.Received) >= len(byMember) })
+			r.WaitFor("the member to receive the client's bytes", func() bool { m.Poll(); return len(m.Received) >= len(byClient) })
 		}
 		before, moved := bytes.CutSuffix(c.Received, []byte("MOVE\r\n"))
 		if !bytes.HasPrefix(byMember, before) || !bytes.HasPrefix(byClient, m.Received) {
-			t.Errorf("client got %q of %q, member %q of %q", c.Received, byMember, m.Received, byClient)
+			t.Errorf("client got %q of the member's %q, member got %q of the client's %q", c.Received, byMember, m.Received, byClient)
 		}
 		if moved != (drained && between) || moved && len(before) > 0 && !bytes.HasSuffix(before, []byte("\n")) {
-			t.Errorf("moved %v, drained %v between lines %v, after %q", moved, drained, between, before)
+			t.Errorf("MOVE sent: %v, want %v (drained between lines) and only after a complete line; client got %q before it", moved, drained && between, before)
 		}
-		r.WaitFor("the flow's end", func() bool { return r.Core.ActiveRequests() == 0 || !(drained || ended) })
+		r.WaitFor("the flow to end", func() bool { return r.Core.ActiveRequests() == 0 || !(drained || ended) })
 	})
 }
--- a/internal/front/line/flow_test.go
+++ b/internal/front/line/flow_test.go
@@ -31,10 +31,10 @@
 	g.WaitFor("the end of the request", func() bool { return g.Core.ActiveRequests() == 0 })
 	g.expectNoLeaks()
 	if len(g.results) != 1 || g.results[0] != want {
-		g.T.Errorf("results %v, want %v", g.results, want)
+		g.T.Errorf("results = %v, want only %v", g.results, want)
 	}
 	if n := g.Core.Counts; n.Served != 1 || n.Attempts != 1 || n.Rejected+n.Failed+n.ClientsGone != 0 {
-		g.T.Errorf("%+v", n)
+		g.T.Errorf("counts = %+v, want Served 1, Attempts 1 and no other answer", n)
 	}
 }
 
@@ -46,7 +46,7 @@
 			g.waitClosed(p)
 		}
 		if string(p.Received) != want {
-			g.T.Errorf("got %q, want %q", p.Received, want)
+			g.T.Errorf("received %q before the close, want %q", p.Received, want)
 		}
 		p.Received = nil
 		p.ExpectEOF()
@@ -90,7 +90,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := newFlowRig(t)
 			g.RunOnce()
-			g.RunOnce() // neither connection has an event now
+			g.RunOnce() // now neither connection has an event
 			tc.first(g)
 			tc.second(g)
 			g.waitClosed(g.c)
@@ -112,7 +112,7 @@
 	g.c.Expect("li")
 	g.Advance(MoveTimeout - time.Millisecond)
 	if g.c.Poll(); g.c.EndErr != nil {
-		t.Fatal("ended too soon")
+		t.Fatal("the flow ended before MoveTimeout")
 	}
 	g.Advance(time.Millisecond)
 	g.expectBothClosed("", "")
@@ -127,9 +127,9 @@
 		"member resets":       func(g *flowRig) { g.m.Reset() },
 		"client ends":         func(g *flowRig) { g.c.CloseWrite() },
 		"client resets":       func(g *flowRig) { g.c.Reset() },
-		"line ends, it ends":  func(g *flowRig) { g.m.Send("line\r\n"); g.m.CloseWrite() },
-		"line ends, as BYE":   func(g *flowRig) { g.m.Send("line\r\nBYE\r\n"); g.m.CloseWrite() },
-		"the planned stop":    func(g *flowRig) { g.Core.Stop(); g.Core.FinishStop(); g.m.Send("line\r\n") },
+		"line ends, then EOF": func(g *flowRig) { g.m.Send("line\r\n"); g.m.CloseWrite() },
+		"line ends, then BYE": func(g *flowRig) { g.m.Send("line\r\nBYE\r\n"); g.m.CloseWrite() },
+		"relay stops":         func(g *flowRig) { g.Core.Stop(); g.Core.FinishStop(); g.m.Send("line\r\n") },
 		"member gone as well": func(g *flowRig) { g.setMemberState(0, policy.Gone); g.m.Send("line\r\n") },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -139,14 +139,14 @@
 			g.setMemberState(0, policy.Draining)
 			g.RunOnce()
 			end(g)
-			g.WaitFor("the end", func() bool { return len(g.front.requests) == 0 })
+			g.WaitFor("the request to end", func() bool { return len(g.front.requests) == 0 })
 			if !strings.HasPrefix(name, "client") && !strings.HasPrefix(name, "member ") || strings.HasPrefix(name, "member gone") {
 				g.c.ExpectLines("line", "MOVE")
 				g.c.ExpectEOF()
 			}
 			g.expectResult(policy.Cancelled)
 			if g.Core.Counts.Migrations != 1 {
-				t.Errorf("%+v", g.Core.Counts)
+				t.Errorf("counts = %+v, want Migrations 1", g.Core.Counts)
 			}
 		})
 	}
@@ -176,10 +176,10 @@
 			g.RunOnce()
 		}
 		if unsent := conn.conn.Unsent(); unsent > netloop.DefaultWriteLimit {
-			t.Errorf("%d bytes wait for the client", unsent)
+			t.Errorf("%d bytes wait to be sent to the client, want at most %d", unsent, netloop.DefaultWriteLimit)
 		}
 		if conn.upstream.blockedBytes > netloop.DefaultReadLimit {
-			t.Errorf("%d bytes of the member's wait", conn.upstream.blockedBytes)
+			t.Errorf("%d bytes from the member wait to be forwarded, want at most %d", conn.upstream.blockedBytes, netloop.DefaultReadLimit)
 		}
 		start := g.Now()
 		for at := start; g.Core.ActiveRequests() > 0; at += clientInterval {
@@ -190,7 +190,7 @@
 			g.Advance(clientInterval)
 			g.Advance(sweepInterval)
 			if g.Now()-start > clientSilenceTimeout+2*clientInterval || clientSends && g.Now()-start > maxSilence+clientInterval {
-				t.Fatalf("still held after %v", g.Now()-start)
+				t.Fatalf("the flow is still open after %v (client sends: %v)", g.Now()-start, clientSends)
 			}
 		}
 		g.expectNoLeaks()
--- a/internal/front/line/graceful_shutdown_test.go
+++ b/internal/front/line/graceful_shutdown_test.go
@@ -26,14 +26,14 @@
 	m.ExpectEOF()
 	g.expectNoLeaks()
 	if n := g.Core.Counts; n.Served != 1 || n.Migrations != 1 || n.Rejected+n.Failed+n.ClientsGone != 0 {
-		t.Errorf("%+v", n)
+		t.Errorf("counts = %+v, want Served 1, Migrations 1 and no other answer", n)
 	}
 }
 
 // TestShutdownUnanswered checks that a request without an answer at the end of the stop is answered
 // BUSY once and that its attempt is ended.
 func TestShutdownUnanswered(t *testing.T) {
-	for name, queued := range map[string]bool{"queued": true, "attempt out": false} {
+	for name, queued := range map[string]bool{"queued": true, "attempt in flight": false} {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1)
 			if queued {
@@ -47,7 +47,7 @@
 			g.RunOnce()
 			g.Core.FinishStop()
 			if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
-				t.Errorf("got %q", got)
+				t.Errorf("client got %q, want BUSY", got)
 			}
 			c.ExpectEOF()
 			c.Close()
@@ -55,7 +55,7 @@
 			g.expectNothingSent()
 			g.expectNoLeaks()
 			if n := g.Core.Counts; n.Rejected != 1 || n.Served+n.Failed+n.ClientsGone != 0 {
-				t.Errorf("%+v", n)
+				t.Errorf("counts = %+v, want Rejected 1 and no other answer", n)
 			}
 		})
 	}
@@ -68,7 +68,7 @@
 	g := newRig(t, 1)
 	half, front := g.Dial(g.addr), g.Dial(g.addr)
 	half.Send(firstLine[:20])
-	g.WaitFor("both", func() bool { return len(g.front.idle) == 2 })
+	g.WaitFor("both connections to be accepted", func() bool { return len(g.front.idle) == 2 })
 	g.RunOnce()
 	g.Core.Stop()
 	half.Send(firstLine[20:] + "\r\n")
@@ -81,7 +81,7 @@
 		Close() error
 	}{half, front, g.sendRequest(strings.Replace(firstLine, "aa", "ac", 1))} {
 		if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
-			t.Errorf("got %q", got)
+			t.Errorf("client got %q, want BUSY", got)
 		}
 		c.ExpectEOF()
 		c.Close()
@@ -89,7 +89,7 @@
 	g.expectNothingSent()
 	g.expectNoLeaks()
 	if n := g.Core.Counts; n.Rejected != 3 || n.Attempts != 0 {
-		t.Errorf("%+v", n)
+		t.Errorf("counts = %+v, want Rejected 3, Attempts 0", n)
 	}
 }
 
@@ -101,7 +101,7 @@
 	front.Send("PING\r\n")
 	front.ExpectLines("PONG")
 	half.Send(firstLine[:20])
-	g.WaitFor("all", func() bool { return len(g.front.idle) == 3 })
+	g.WaitFor("all three connections to be accepted", func() bool { return len(g.front.idle) == 3 })
 	g.RunOnce()
 	g.Core.Stop()
 	g.Core.FinishStop()
@@ -121,7 +121,7 @@
 	g.expectNothingSent()
 	g.expectNoLeaks()
 	if g.Core.Counts != (core.Counts{}) {
-		t.Errorf("%+v", g.Core.Counts)
+		t.Errorf("counts = %+v, want all 0", g.Core.Counts)
 	}
 }
 
--- a/internal/front/line/handoff_test.go
+++ b/internal/front/line/handoff_test.go
@@ -42,7 +42,7 @@
 		f.HandOffFlows(1, func(FlowHandoff, int, int) { handedOff++ })
 	})
 	if handedOff != 0 {
-		t.Errorf("%d flows were given", handedOff)
+		t.Errorf("%d flows were handed off, want 0", handedOff)
 	}
 	c.Send("still here\r\n")
 	m.ExpectLines("still here")
--- a/internal/front/line/health_check_test.go
+++ b/internal/front/line/health_check_test.go
@@ -38,9 +38,9 @@
 // wantResults waits for these results of all health checks so far.
 func (p *checkRig) wantResults(results ...policy.Result) {
 	p.T.Helper()
-	p.WaitFor("the results", func() bool { return len(p.results) >= len(results) })
+	p.WaitFor("the results of the health checks", func() bool { return len(p.results) >= len(results) })
 	if !slices.Equal(p.results, results) {
-		p.T.Fatalf("results %v, want %v", p.results, results)
+		p.T.Fatalf("results = %v, want %v", p.results, results)
 	}
 }
 
@@ -51,7 +51,7 @@
 	p.Advance(p.front.checkIdleTimeout)
 	p.expectNoLeaks()
 	if len(p.results) != n {
-		p.T.Errorf("results %v", p.results)
+		p.T.Errorf("results = %v, want no more than the first %d", p.results, n)
 	}
 }
 
@@ -68,16 +68,16 @@
 		"ERR, PONG":             {func(_ *checkRig, m *looptest.Peer) { m.Send("ERR\r\nPONG\r\n") }, policy.Error},
 		"PONG, PONG":            {func(_ *checkRig, m *looptest.Peer) { m.Send("PONG\r\nPONG\r\n") }, policy.OK},
 		"no CRLF":               {func(_ *checkRig, m *looptest.Peer) { m.Send("PONG\n") }, policy.Error},
-		"a line over the bound": {func(_ *checkRig, m *looptest.Peer) { m.Send(strings.Repeat("x", maxLineBytes)) }, policy.Error},
-		"the end":               {func(_ *checkRig, m *looptest.Peer) { m.CloseWrite() }, policy.Reset},
-		"half a line, the end":  {func(_ *checkRig, m *looptest.Peer) { m.Send("PON"); m.CloseWrite() }, policy.Reset},
+		"a line over the limit": {func(_ *checkRig, m *looptest.Peer) { m.Send(strings.Repeat("x", maxLineBytes)) }, policy.Error},
+		"EOF":                   {func(_ *checkRig, m *looptest.Peer) { m.CloseWrite() }, policy.Reset},
+		"half a line, EOF":      {func(_ *checkRig, m *looptest.Peer) { m.Send("PON"); m.CloseWrite() }, policy.Reset},
 		"a reset":               {func(_ *checkRig, m *looptest.Peer) { m.Reset() }, policy.Reset},
 		"half a line, a reset":  {func(_ *checkRig, m *looptest.Peer) { m.Send("PON"); m.Reset() }, policy.Reset},
 		"half a line, nothing":  {func(p *checkRig, m *looptest.Peer) { m.Send("PON"); p.RunOnce(); p.Advance(checkTimeout) }, policy.Timeout},
 		"nothing":               {func(p *checkRig, _ *looptest.Peer) { p.Advance(checkTimeout) }, policy.Timeout},
-		"PONG once it is late":  {func(p *checkRig, m *looptest.Peer) { p.Advance(checkTimeout); m.Send("PONG\r\n") }, policy.Timeout},
-		"PONG as it becomes so": {func(p *checkRig, m *looptest.Peer) { m.Send("PONG\r\n"); p.Advance(checkTimeout) }, policy.OK},
-		"nobody is there":       {func(p *checkRig, m *looptest.Peer) { m.Close() }, policy.Reset},
+		"PONG after timeout":    {func(p *checkRig, m *looptest.Peer) { p.Advance(checkTimeout); m.Send("PONG\r\n") }, policy.Timeout},
+		"PONG at the timeout":   {func(p *checkRig, m *looptest.Peer) { m.Send("PONG\r\n"); p.Advance(checkTimeout) }, policy.OK},
+		"a full close":          {func(p *checkRig, m *looptest.Peer) { m.Close() }, policy.Reset},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newCheckRig(t, 1)
@@ -153,7 +153,7 @@
 	p.Advance(time.Duration(p.Core.Settings.Guarantees.DrainGrace)*time.Millisecond + time.Millisecond)
 	p.wantResults(policy.OK, policy.Reset)
 	if p.pendingConn(0) != nil {
-		t.Error("a connection to a member that has left")
+		t.Error("a connection was dialled to a member that has left, want none")
 	}
 	p.expectNoCheck()
 }
@@ -188,11 +188,11 @@
 	p := newCheckRig(t, 3)
 	for i := range p.fakeMembers {
 		p.acceptCheck(i).Send("PONG\r\n")
-		p.WaitFor("the result", func() bool { return len(p.results) == i+1 })
+		p.WaitFor("the result of the health check", func() bool { return len(p.results) == i+1 })
 	}
 	p.expectNoCheck()
 	if len(p.front.healthChecks) != 0 {
-		t.Errorf("%d are remembered", len(p.front.healthChecks))
+		t.Errorf("the front has %d health checks, want 0", len(p.front.healthChecks))
 	}
 }
 
--- a/internal/front/line/idle_after_pong_test.go
+++ b/internal/front/line/idle_after_pong_test.go
@@ -18,7 +18,7 @@
 				c.Send("PING\r\n")
 				c.ExpectLines("PONG")
 			}
-			g.WaitFor("the connection", func() bool { return len(g.front.idle) == 1 })
+			g.WaitFor("the connection to be accepted", func() bool { return len(g.front.idle) == 1 })
 			c.Send(firstLine + "\r\n")
 			g.Advance(timeout)
 			g.acceptAttempt(0).Send("UP x\r\n")
@@ -48,12 +48,12 @@
 			c.ExpectLines("PONG")
 			end(g)
 			c.Write([]byte(firstLine + "\r\n"))
-			g.WaitFor("the end", func() bool { c.Poll(); return c.EndErr != nil })
+			g.WaitFor("the connection to end", func() bool { c.Poll(); return c.EndErr != nil })
 			if string(c.Received) != "BUSY\r\n" {
-				t.Errorf("got %q", c.Received)
+				t.Errorf("client got %q, want only BUSY", c.Received)
 			}
 			if g.Core.Counts != (core.Counts{}) {
-				t.Errorf("%+v", g.Core.Counts)
+				t.Errorf("counts = %+v, want all 0", g.Core.Counts)
 			}
 		})
 	}
@@ -68,22 +68,22 @@
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1)
 			c := g.Dial(g.addr)
-			g.WaitFor("the connection", func() bool { return len(g.front.idle) == 1 })
+			g.WaitFor("the connection to be accepted", func() bool { return len(g.front.idle) == 1 })
 			if c.Send(tc.first); tc.first != "" {
 				c.ExpectLines("PONG")
 			}
 			g.RunOnce()
-			g.RunOnce() // it has no event now, so the loop handles the new one first
+			g.RunOnce() // the connection has no event now, so the loop handles the new one first
 			g.SetDescriptorLimit(g.OpenDescriptors() + 1)
 			g.Dial(g.addr)
 			c.Send(firstLine + "\r\n")
 			g.RunOnce()
-			g.WaitFor("the end", func() bool { c.Poll(); return c.EndErr != nil })
+			g.WaitFor("the connection to end", func() bool { c.Poll(); return c.EndErr != nil })
 			if string(c.Received) != tc.answer {
-				t.Errorf("got %q, ended with %v", c.Received, c.EndErr)
+				t.Errorf("client got %q before %v, want %q", c.Received, c.EndErr, tc.answer)
 			}
 			if g.Core.Counts != (core.Counts{}) || g.pendingConn(0) != nil {
-				t.Errorf("%+v", g.Core.Counts)
+				t.Errorf("counts = %+v, want all 0 and no connection to the member", g.Core.Counts)
 			}
 		})
 	}
--- a/internal/front/line/line_test.go
+++ b/internal/front/line/line_test.go
@@ -84,11 +84,11 @@
 func TestClientLeaves(t *testing.T) {
 	r, c, m := sendOpen(t)
 	c.CloseWrite()
-	r.WaitFor("the member's end", func() bool { m.Poll(); return m.EndErr != nil })
+	r.WaitFor("the member's connection to end", func() bool { m.Poll(); return m.EndErr != nil })
 	c.ExpectLines("BUSY")
 	c.ExpectEOF()
 	if r.Core.ActiveRequests() != 0 || r.Core.Counts.ClientsGone != 1 {
-		t.Errorf("held %d, %+v", r.Core.ActiveRequests(), r.Core.Counts)
+		t.Errorf("after the client's close: %d active requests, want 0; counts %+v, want ClientsGone 1", r.Core.ActiveRequests(), r.Core.Counts)
 	}
 }
 
@@ -105,9 +105,9 @@
 		t.Run(answer, func(t *testing.T) {
 			r, c, m := sendOpen(t)
 			m.Send(answer + "\r\n")
-			r.WaitFor("an answer", func() bool { r.Advance(50 * time.Millisecond); c.Poll(); return len(c.Received) > 0 })
+			r.WaitFor("an answer to the client", func() bool { r.Advance(50 * time.Millisecond); c.Poll(); return len(c.Received) > 0 })
 			if got := c.ReadLine(); !strings.HasPrefix(got, want) {
-				t.Errorf("got %q, want %q", got, want)
+				t.Errorf("client got %q, want prefix %q", got, want)
 			}
 			c.ExpectEOF()
 		})
@@ -125,14 +125,14 @@
 	slow.Send("OPEN 00")
 	front.Send("PING\r\n")
 	front.ExpectLines("PONG")
-	r.WaitFor("three connections", func() bool { return r.FreeDescriptors() == free-3 })
+	r.WaitFor("three connections to be accepted", func() bool { return r.FreeDescriptors() == free-3 })
 	r.Advance(firstLineTimeout)
 	for _, c := range []*looptest.Peer{silent, slow} {
 		c.ExpectLines("ERR")
 		c.ExpectEOF()
 		c.Close()
 	}
-	r.WaitFor("the descriptors", func() bool { return r.FreeDescriptors() == free-1 })
+	r.WaitFor("two descriptors to be released", func() bool { return r.FreeDescriptors() == free-1 })
 	front.Send("PING\r\n")
 	front.ExpectLines("PONG")
 	r.Advance(idleTimeout)
@@ -162,7 +162,7 @@
 	again := r.Dial(addr)
 	again.Send(firstLine + "\r\n")
 	r.AcceptAny(0)
-	c.Send("hello\r\n") // another front's, with the same id
+	c.Send("hello\r\n") // on the flow of the other front, which has the same id
 	m.ExpectLines("hello")
 }
 
@@ -187,13 +187,13 @@
 		f := New(r.Loop, r.Core, r.Log)
 		c := r.Dial(r.Serve(f.Accept))
 		c.Send(firstLine + "\r\n")
-		r.WaitFor("the request", func() bool { return r.Core.Counts.Attempts == 1 })
+		r.WaitFor("an attempt", func() bool { return r.Core.Counts.Attempts == 1 })
 		for _, conn := range f.requests {
 			conn.upstream.state = attemptDialing
 			conn.upstream.End(fmt.Errorf("dialling: %w", err))
 		}
 		if len(results) == 0 || results[0] != want {
-			t.Errorf("%v: %v, want %v", err, results, want)
+			t.Errorf("results after dial error %v = %v, want %v", err, results, want)
 		}
 	}
 }
@@ -205,7 +205,7 @@
 	for suffix, want := range map[string]bool{"": false, ",again=1": true, ",again=0": false} {
 		open, err := parseOpen(r.Core.Settings, firstLine+suffix)
 		if err != nil || open.request.Reconnect != want {
-			t.Errorf("%q: %v, %v", suffix, open.request.Reconnect, err)
+			t.Errorf("parseOpen with %q: Reconnect = %v, error %v; want %v", suffix, open.request.Reconnect, err, want)
 		}
 	}
 }
@@ -220,7 +220,7 @@
 	} {
 		open, err := parseOpen(r.Core.Settings, strings.Replace(firstLine, "d=1900", d, 1))
 		if err != nil || open.request.TimeLeft != want {
-			t.Errorf("%s: %v, %v, want %v", d, open.request.TimeLeft, err, want)
+			t.Errorf("parseOpen with %s: TimeLeft = %v, error %v; want %v", d, open.request.TimeLeft, err, want)
 		}
 	}
 }
@@ -230,13 +230,13 @@
 func TestLineLengthLimit(t *testing.T) {
 	long := strings.Repeat("x", maxLineBytes-2)
 	if text, n, err := cutLine([]byte(long + "\r\n")); err != nil || n != maxLineBytes || text != long {
-		t.Errorf("%d of a line at the bound, %v", n, err)
+		t.Errorf("cutLine of a line at the limit used %d bytes, error %v; want %d", n, err, maxLineBytes)
 	}
 	if _, _, err := cutLine([]byte(long + "x\r\n")); err == nil {
-		t.Error("a line over the bound was taken")
+		t.Error("cutLine accepted a line over the limit")
 	}
 	if _, n, err := cutLine([]byte(long)); n != 0 || err != nil {
-		t.Errorf("%d, %v of a line that has not ended", n, err)
+		t.Errorf("cutLine of an incomplete line used %d bytes, error %v; want 0 and no error", n, err)
 	}
 }
 
@@ -249,7 +249,7 @@
 	addr := r.Serve(f.Accept)
 	half, quiet := r.Dial(addr), r.Dial(addr)
 	half.Send(firstLine[:20])
-	r.WaitFor("both", func() bool { return len(f.idle) == 2 })
+	r.WaitFor("both connections", func() bool { return len(f.idle) == 2 })
 	r.RunOnce()
 	handedOff := 0
 	f.HandOffIdle(2, func(p IdleConn, fd int) {
@@ -257,7 +257,7 @@
 		next.AdoptIdle(p, fd)
 	})
 	if handedOff != 2 || len(f.idle) != 0 || len(next.idle) != 2 {
-		t.Fatalf("%d given, %d left, %d taken", handedOff, len(f.idle), len(next.idle))
+		t.Fatalf("handed off %d idle connections, %d left, %d adopted; want 2, 0, 2", handedOff, len(f.idle), len(next.idle))
 	}
 	next.SetRemoteIDs([]uint64{0xaa})
 	half.Send(firstLine[20:] + "\r\n")
@@ -269,7 +269,7 @@
 	m2.Send("UP y\r\n")
 	quiet.ExpectLines("UP y")
 	if ids := next.OpenRequestIDs(); len(ids) != 1 || ids[0] != 0xaa {
-		t.Errorf("ids %v", ids)
+		t.Errorf("OpenRequestIDs() = %v, want [170]", ids)
 	}
 	m.Send("GOT\r\n")
 	c.ExpectLines("GOT")
@@ -289,7 +289,8 @@
 	r.Advance(memberSilenceTimeout - time.Second)
 	handOffFlows(t, first, second)
 	if r.Core.ActiveRequests() != 1 || len(first.flows) != 0 || len(first.requests) != 0 || len(second.requests) != 1 {
-		t.Fatalf("held %d, %d left, %d taken", r.Core.ActiveRequests(), len(first.flows), len(second.flows))
+		t.Fatalf("after the handoff: %d active requests, %d flows left, %d flows adopted; want 1, 0, 1",
+			r.Core.ActiveRequests(), len(first.flows), len(second.flows))
 	}
 	r.Advance(2 * time.Second)
 	c.ExpectLines("MOVE")
--- a/internal/front/line/liveness_test.go
+++ b/internal/front/line/liveness_test.go
@@ -24,7 +24,7 @@
 	c.ExpectLines("MOVE")
 	c.ExpectEOF()
 	if r.Core.ActiveRequests() != 0 {
-		t.Error("the flow is still held")
+		t.Error("the flow is still open, want it migrated")
 	}
 }
 
@@ -37,7 +37,7 @@
 		rng := rand.New(rand.NewPCG(seed, 1))
 		r, c, m := startFlow(t)
 		const step = 100 * time.Millisecond
-		start, back := r.Now(), r.Now()
+		start, lastAnswer := r.Now(), r.Now()
 		answersUntil := start + time.Duration(rng.IntN(120))*step
 		nextLine, pieces, answerSplit, finalCommandAt := start+time.Duration(rng.IntN(20))*step, []string(nil), false, time.Duration(0)
 		for r.Core.ActiveRequests() > 0 {
@@ -52,13 +52,13 @@
 			if len(pieces) > 0 && c.EndErr == nil {
 				c.Send(pieces[0])
 				pieces = pieces[1:]
-				r.WaitFor("the client's bytes", func() bool { m.Poll(); return bytes.Contains(m.Received, []byte("l")) || r.Core.ActiveRequests() == 0 })
+				r.WaitFor("the member to receive the client's bytes", func() bool { m.Poll(); return bytes.Contains(m.Received, []byte("l")) || r.Core.ActiveRequests() == 0 })
 			}
 			switch {
 			case now < answersUntil:
 				if bytes.Contains(m.Received, []byte("\n")) {
 					m.Send("back\r\n")
-					back, m.Received = now, nil
+					lastAnswer, m.Received = now, nil
 				}
 			case answerSplit || finalCommandAt > 0:
 			case seed%4 == 0:
@@ -70,19 +70,19 @@
 				m.Send("BYE\r\n")
 				finalCommandAt = now
 			}
-			if now == back && now > start {
-				r.WaitFor("the answer", func() bool { c.Poll(); return len(c.Received) > 0 })
+			if now == lastAnswer && now > start {
+				r.WaitFor("the client to receive the answer", func() bool { c.Poll(); return len(c.Received) > 0 })
 			}
 			c.Received = nil
 			r.Advance(step)
 			if r.Core.ActiveRequests() == 0 && r.Now() < answersUntil {
-				t.Fatalf("seed %d: a flow that was answered is over", seed)
+				t.Fatalf("seed %d: the flow ended while the member was answering", seed)
 			}
-			if late := r.Now() - back; late > maxSilence-step {
-				t.Fatalf("seed %d: still held %v after the last line", seed, late)
+			if late := r.Now() - lastAnswer; late > maxSilence-step {
+				t.Fatalf("seed %d: the flow is still open %v after the last answer, want at most %v", seed, late, maxSilence-step)
 			}
 			if late := r.Now() - finalCommandAt; finalCommandAt > 0 && late > maxLinger {
-				t.Fatalf("seed %d: still held %v after its last word", seed, late)
+				t.Fatalf("seed %d: the flow is still open %v after BYE, want at most %v", seed, late, maxLinger)
 			}
 		}
 	}
@@ -104,7 +104,7 @@
 	c.ExpectLines("well")
 	r.Advance(sweepInterval)
 	if r.Core.ActiveRequests() != 1 {
-		t.Error("the flow is over")
+		t.Error("the flow has ended, want it open")
 	}
 }
 
@@ -121,6 +121,6 @@
 	r.Advance(sweepInterval)
 	m.ExpectEOF()
 	if r.Core.ActiveRequests() != 0 {
-		t.Error("the flow is still held")
+		t.Error("the flow is still open, want it closed")
 	}
 }
--- a/internal/front/line/long_idle_test.go
+++ b/internal/front/line/long_idle_test.go
@@ -20,7 +20,7 @@
 		c, at, m := g.openFlowAtAnyMember()
 		c.Send("a line\r\n")
 		m.ExpectLines("a line")
-		for range 7 * 4 { // nothing comes back
+		for range 7 * 4 { // the member sends nothing back
 			g.Advance(sweepInterval)
 		}
 		c.ExpectLines("MOVE")
@@ -33,7 +33,7 @@
 		c = g.sendRequest(firstLine)
 		other, m := g.acceptAnyAttempt()
 		if other == at {
-			t.Errorf("%v: an attempt at a member that drains", quiet)
+			t.Errorf("after %v: an attempt was sent to a draining member", quiet)
 		}
 		c.CloseWrite()
 		c.ExpectLines("BUSY")
@@ -42,7 +42,7 @@
 		g.expectNothingSent()
 		g.expectNoLeaks()
 		if g.Core.Counts.Attempts != before+1 {
-			t.Errorf("%v: %d attempts, %d before", quiet, g.Core.Counts.Attempts, before)
+			t.Errorf("after %v: %d attempts, want %d", quiet, g.Core.Counts.Attempts, before+1)
 		}
 	}
 }
--- a/internal/front/line/malformed_test.go
+++ b/internal/front/line/malformed_test.go
@@ -37,16 +37,16 @@
 		send("OPEN 00000000000000aa 00000000000000bb c=none,t=water\r\n")
 	}
 	if got := strings.Join(logged, ", "); got != "not OPEN: 1, class: 1" {
-		t.Errorf("the log says %s", got)
+		t.Errorf("warnings are %q, want one for the first client of each cause", got)
 	}
 	if n := malformedCounts(g.front); n["not OPEN"] != 50 || n["class"] != 50 || len(n) != 2 {
-		t.Errorf("%v", n)
+		t.Errorf("counts by cause = %v, want 50 for not OPEN and 50 for class", n)
 	}
 	g.Advance(rejectionLogInterval)
 	send("HELLO\r\n")
 	send("HELLO\r\n")
 	if got := strings.Join(logged, ", "); got != "not OPEN: 1, class: 1, not OPEN: 50" {
-		t.Errorf("the log says %s", got)
+		t.Errorf("warnings are %q, want one more for 50 clients after rejectionLogInterval", got)
 	}
 }
 
@@ -58,16 +58,16 @@
 		g := newRig(t, 0)
 		_, err := parseOpen(g.Core.Settings, line)
 		if err == nil {
-			continue // what is wrong with it is its end
+			continue // only the line's end is malformed, which parseOpen does not see
 		}
 		if len(err.Error()) > 200 {
-			t.Errorf("%s: %d bytes of detail", name, len(err.Error()))
+			t.Errorf("%s: the error has %d bytes, want at most 200", name, len(err.Error()))
 		}
 	}
 	seen := map[string]bool{}
 	for c := range causeCount {
 		if name := c.String(); name == "" || seen[name] {
-			t.Errorf("cause %d is called %q", c, name)
+			t.Errorf("cause(%d).String() = %q, want a name of its own", c, name)
 		} else {
 			seen[name] = true
 		}
--- a/internal/front/line/member_change_test.go
+++ b/internal/front/line/member_change_test.go
@@ -19,11 +19,11 @@
 	if dialled := g.pendingConn(0); dialled != nil {
 		buffer := make([]byte, 100)
 		if n, _ := dialled.Read(buffer); n > 0 {
-			t.Errorf("the member was sent %q amid the doubt", buffer[:n])
+			t.Errorf("member received %q while dispatch was paused, want nothing", buffer[:n])
 		}
 	}
 	g.Core.ResumeDispatch()
-	for range 8 { // the module looks for a place again
+	for range 8 { // time for the policy to pick a member again
 		g.Advance(50 * time.Millisecond)
 	}
 	m := g.acceptAttempt(0)
@@ -39,7 +39,7 @@
 	g.setMemberState(0, policy.Draining)
 	m.Send("UP x\r\n")
 	c.ExpectLines("UP x")
-	g.WaitFor("MOVE", func() bool {
+	g.WaitFor("the client to receive MOVE", func() bool {
 		g.Advance(50 * time.Millisecond)
 		c.Poll()
 		return len(c.Received) > 0 || g.Now() > time.Hour+4*time.Second
--- a/internal/front/line/partial_line_test.go
+++ b/internal/front/line/partial_line_test.go
@@ -17,7 +17,7 @@
 // next line is answered ERR as soon as a new one would be, that a client that sends the rest in time
 // is served, and that a client that sends another PING may be idle again.
 func TestPartialLineAfterPong(t *testing.T) {
-	for name, pings := range map[string]int{"one PONG": 1, "three": 3} {
+	for name, pings := range map[string]int{"one PONG": 1, "three PONGs": 3} {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1)
 			stops, completes, pingsAgain := g.Dial(g.addr), g.Dial(g.addr), g.Dial(g.addr)
@@ -28,7 +28,7 @@
 					c.ExpectLines("PONG")
 				}
 			}
-			g.Advance(20 * time.Second) // they rest, as they may
+			g.Advance(20 * time.Second) // less than idleTimeout
 			stops.Send(firstLine[:20])
 			completes.Send(firstLine[:20])
 			pingsAgain.Send("PI")
@@ -42,13 +42,13 @@
 			completes.ExpectLines("UP x")
 			g.Advance(partialLineTimeout / 2)
 			if len(g.front.idle) != 1 {
-				t.Fatalf("%d connections without a first line, want the resting one", len(g.front.idle))
+				t.Fatalf("%d idle connections, want only the one that was answered PONG again", len(g.front.idle))
 			}
 			stops.ExpectLines("ERR")
 			stops.ExpectEOF()
 			g.Advance(20 * time.Second)
 			if len(g.front.idle) != 1 {
-				t.Error("a client that was answered PONG once more may rest")
+				t.Error("the connection that was answered PONG again was closed before idleTimeout")
 			}
 		})
 	}
@@ -57,14 +57,14 @@
 // waitingClients are the situations in which a request waits for its answer, each with a function that
 // brings it about and returns the client.
 var waitingClients = map[string]func(g *rig) *looptest.Peer{
-	"held":    func(g *rig) *looptest.Peer { g.setMemberState(0, policy.Draining); return g.sendRequest(firstLine) },
-	"doubted": func(g *rig) *looptest.Peer { g.Core.PauseDispatch(); return g.sendRequest(firstLine) },
-	"dialled": func(g *rig) *looptest.Peer {
+	"queued":          func(g *rig) *looptest.Peer { g.setMemberState(0, policy.Draining); return g.sendRequest(firstLine) },
+	"dispatch paused": func(g *rig) *looptest.Peer { g.Core.PauseDispatch(); return g.sendRequest(firstLine) },
+	"dialling": func(g *rig) *looptest.Peer {
 		g.setMemberState(0, policy.Gone)
 		g.addMember(fullBacklogAddr(g.T))
 		return g.sendRequest(firstLine)
 	},
-	"asked": func(g *rig) *looptest.Peer { c := g.sendRequest(firstLine); g.acceptAttempt(0); return c },
+	"sent to a member": func(g *rig) *looptest.Peer { c := g.sendRequest(firstLine); g.acceptAttempt(0); return c },
 	"half answered": func(g *rig) *looptest.Peer {
 		c := g.sendRequest(firstLine)
 		g.acceptAttempt(0).Send("UP ")
@@ -74,10 +74,10 @@
 	"between two attempts": func(g *rig) *looptest.Peer {
 		c := g.sendRequest(firstLine)
 		g.acceptAttempt(0).Send("BUSY\r\n")
-		g.WaitFor("the answer", func() bool { return g.Core.FlowCount(1) == 0 })
+		g.WaitFor("the attempt to end", func() bool { return g.Core.FlowCount(1) == 0 })
 		return c
 	},
-	"with bytes behind its line": func(g *rig) *looptest.Peer {
+	"with data after its first line": func(g *rig) *looptest.Peer {
 		c := g.sendRequest(firstLine + "\r\nmore")
 		g.acceptAttempt(0)
 		return c
@@ -96,14 +96,14 @@
 			c.ExpectLines("BUSY")
 			c.ExpectEOF()
 			if n := g.Core.Counts; n.Attempts != before || n.ClientsGone != 1 {
-				t.Errorf("%+v, %d attempts before", n, before)
+				t.Errorf("counts = %+v, want Attempts %d and ClientsGone 1", n, before)
 			}
 			g.Core.ResumeDispatch()
 			g.expectNothingSent()
 			g.expectNoLeaks()
 		})
 	}
-	t.Run("at once with its request", func(t *testing.T) {
+	t.Run("together with its request", func(t *testing.T) {
 		g := newRig(t, 1)
 		c := g.Dial(g.addr)
 		c.Send(firstLine + "\r\n")
@@ -113,7 +113,7 @@
 		g.expectNothingSent()
 		g.expectNoLeaks()
 		if n := g.Core.Counts; n != (core.Counts{Requests: 1, Attempts: n.Attempts, ClientsGone: 1}) {
-			t.Errorf("%+v", n)
+			t.Errorf("counts = %+v, want Requests 1, ClientsGone 1 and no other answer", n)
 		}
 	})
 }
--- a/internal/front/line/report_test.go
+++ b/internal/front/line/report_test.go
@@ -17,11 +17,11 @@
 	c.ExpectLines("UP x")
 	for _, f := range []*Front{first, second} {
 		if len(f.flows) != 1 {
-			t.Fatalf("%d open flows", len(f.flows))
+			t.Fatalf("%d open flows, want 1", len(f.flows))
 		}
 		for conn := range f.flows {
 			if conn.upstream.report != policy.NoReport {
-				t.Errorf("a flow with no report would end with %+v", conn.upstream.report)
+				t.Errorf("report of a flow without a load report = %+v, want policy.NoReport", conn.upstream.report)
 			}
 		}
 		handOffFlows(t, first, second)
--- a/internal/front/line/rig_test.go
+++ b/internal/front/line/rig_test.go
@@ -22,9 +22,9 @@
 type rig struct {
 	*looptest.Relay
 	front       *Front
-	addr        string // where clients connect
+	addr        string // the address that clients connect to
 	fakeMembers []*looptest.Server
-	initialFree int // descriptors before anything came
+	initialFree int // free descriptors before the first connection
 }
 
 // newRig returns a rig with the given number of members.
@@ -55,7 +55,7 @@
 	g.T.Helper()
 	c, before := g.Dial(g.addr), g.Core.Counts.Requests
 	c.Send(line + "\r\n")
-	g.WaitFor("the request", func() bool { return g.Core.Counts.Requests > before })
+	g.WaitFor("the core to count the request", func() bool { return g.Core.Counts.Requests > before })
 	return c
 }
 
@@ -137,7 +137,7 @@
 		for c := g.pendingConn(i); c != nil; c = g.pendingConn(i) {
 			var sent []byte
 			if readAvailable(c, &sent); len(sent) > 0 {
-				g.T.Errorf("member %d was sent %q", i, sent)
+				g.T.Errorf("member %d received %q, want nothing", i, sent)
 			}
 			c.Close()
 		}
@@ -148,15 +148,16 @@
 func (g *rig) expectNoLeaks() {
 	g.T.Helper()
 	if active := g.Core.ActiveRequests(); active != 0 {
-		g.T.Errorf("%d requests are active", active)
+		g.T.Errorf("ActiveRequests() = %d, want 0", active)
 	}
 	if len(g.front.flows)+len(g.front.idle)+len(g.front.requests) != 0 {
-		g.T.Errorf("%d open, %d fresh, %d ids", len(g.front.flows), len(g.front.idle), len(g.front.requests))
+		g.T.Errorf("front has %d open flows, %d idle connections and %d request ids, want none",
+			len(g.front.flows), len(g.front.idle), len(g.front.requests))
 	}
-	g.Advance(time.Second) // for which ended connections may linger
+	g.Advance(time.Second) // a finished connection may stay open for this long
 	g.RunOnce()
 	if open := g.initialFree - g.FreeDescriptors(); open != 0 {
-		g.T.Errorf("%d descriptors are open", open)
+		g.T.Errorf("%d descriptors are still open, want 0", open)
 	}
 }
 
@@ -194,7 +195,7 @@
 		t.Fatal(err)
 	}
 	addr := (&net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: bound.(*unix.SockaddrInet4).Port}).String()
-	c, err := net.Dial("tcp", addr) // a queue of 0 takes one
+	c, err := net.Dial("tcp", addr) // a backlog of 0 takes one connection
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/front/line/send_first_line_test.go
+++ b/internal/front/line/send_first_line_test.go
@@ -17,16 +17,16 @@
 		g.Core.PauseDispatch()
 		g.sendRequest(firstLine)
 		g.Core.ResumeDispatch()
-		g.Advance(connectDelay) // the connection comes up in this loop iteration
+		g.Advance(connectDelay) // the connection is established in this loop iteration
 		line := g.fakeMembers[0].Accept().ReadLine()
 		var d int
 		if _, err := fmt.Sscanf(line[strings.Index(line, ",d="):], ",d=%d", &d); err != nil {
-			t.Fatalf("%q: %v", line, err)
+			t.Fatalf("no d in the forwarded line %q: %v", line, err)
 		}
 		return d
 	}
 	if at, late := forwarded(0), forwarded(100*time.Millisecond); at-late != 100 {
-		t.Errorf("d is %d, and %d where the connection took 100 ms", at, late)
+		t.Errorf("d = %d, and %d if connecting takes 100 ms; want a difference of 100", at, late)
 	}
 }
 
@@ -39,7 +39,7 @@
 	g.Advance(time.Duration(g.Core.Settings.Guarantees.DrainGrace)*time.Millisecond + time.Millisecond)
 	g.expectNothingSent()
 	if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
-		t.Errorf("got %q", got)
+		t.Errorf("client got %q, want BUSY", got)
 	}
 	c.ExpectEOF()
 	g.expectNoLeaks()
--- a/internal/front/line/shutdown_test.go
+++ b/internal/front/line/shutdown_test.go
@@ -20,7 +20,7 @@
 	if r.Core.FlowCount(r.Members[1].ID) == 1 {
 		first = 1
 	}
-	r.Drain(first) // before the loop's next iteration, in which the connection is open
+	r.Drain(first) // before the loop iteration in which the connection is established
 	for {
 		i, m := r.AcceptAny(0)
 		if i == first {
@@ -28,7 +28,7 @@
 			continue
 		}
 		if got := m.ReadLine(); !strings.HasPrefix(got, "OPEN 00000000000000aa") {
-			t.Fatalf("got %q", got)
+			t.Fatalf("member received %q, want the client's OPEN", got)
 		}
 		m.Send("UP x\r\n")
 		c.ExpectLines("UP x")
@@ -44,17 +44,17 @@
 	c, m := sendOpenTo(r, f)
 	m.Send("UP x\r\nhalf a ")
 	c.ExpectLines("UP x")
-	r.WaitFor("half a line", func() bool { c.Poll(); return string(c.Received) == "half a " })
+	r.WaitFor("half a line at the client", func() bool { c.Poll(); return string(c.Received) == "half a " })
 	r.Core.Stop()
 	r.Core.FinishStop()
 	if r.Core.ActiveRequests() != 0 || f.OpenRequests() != 1 {
-		t.Fatalf("the core holds %d, the front %d", r.Core.ActiveRequests(), f.OpenRequests())
+		t.Fatalf("core has %d active requests, front has %d open; want 0 and 1", r.Core.ActiveRequests(), f.OpenRequests())
 	}
 	m.Send("line\r\n")
 	c.ExpectLines("half a line", "MOVE")
 	c.ExpectEOF()
 	if f.OpenRequests() != 0 {
-		t.Errorf("the front holds %d", f.OpenRequests())
+		t.Errorf("OpenRequests() = %d after MOVE, want 0", f.OpenRequests())
 	}
 }
 
@@ -67,7 +67,7 @@
 	idle, sending := r.Dial(at), r.Dial(at)
 	idle.Send("PING\r\n")
 	idle.Expect("PONG\r\n")
-	r.WaitFor("both", func() bool { return len(f.idle) == 2 })
+	r.WaitFor("both connections to be accepted", func() bool { return len(f.idle) == 2 })
 	r.Core.Stop()
 	sending.Send(firstLine + "\r\n")
 	f.CloseIdle()
@@ -76,7 +76,7 @@
 		c.ExpectEOF()
 	}
 	if r.Core.Counts.Attempts != 0 || len(f.idle) != 0 {
-		t.Errorf("%d attempts, %d fresh", r.Core.Counts.Attempts, len(f.idle))
+		t.Errorf("%d attempts and %d idle connections, want 0 and 0", r.Core.Counts.Attempts, len(f.idle))
 	}
 }
 
@@ -89,9 +89,9 @@
 	c.Send(firstLine + "\r\n" + strings.Repeat("x", 2*netloop.DefaultReadLimit))
 	c.CloseWrite()
 	_, m := r.AcceptAny(0)
-	r.WaitFor("the client's end", func() bool { return r.Core.Counts.ClientsGone == 1 })
-	r.WaitFor("the attempt's end", func() bool { m.Poll(); return m.EndErr != nil })
+	r.WaitFor("the core to count the client as gone", func() bool { return r.Core.Counts.ClientsGone == 1 })
+	r.WaitFor("the attempt's connection to end", func() bool { m.Poll(); return m.EndErr != nil })
 	if f.OpenRequests() != 0 || r.Core.ActiveRequests() != 0 {
-		t.Errorf("the front holds %d, the core %d", f.OpenRequests(), r.Core.ActiveRequests())
+		t.Errorf("front has %d open requests, core has %d active; want 0 and 0", f.OpenRequests(), r.Core.ActiveRequests())
 	}
 }
