--- a/internal/front/line/state_test.go
+++ b/internal/front/line/state_test.go
@@ -13,7 +13,7 @@
 	ends := map[clientAction]bool{sendError: true, sendBusy: true, closeClient: true, resetClient: true, cancelRequest: true,
 		closeFlow: true, resetFlow: true, sendMove: true, closeBothSides: true, finishAttempt: true}
 	hasFlow := func(s clientState) bool { return s.isOpen() || s == clientFlushingToClient }
-	from := map[clientAction]func(clientState) bool{
+	allowedIn := map[clientAction]func(clientState) bool{
 		sendPong: clientState.awaitsFirstLine, placeRequest: clientState.awaitsFirstLine,
 		awaitFirstLine: func(s clientState) bool { return s == clientIdle },
 		sendError:      func(s clientState) bool { return !s.isOpen() },
@@ -35,7 +35,7 @@
 			if ends[action] != (next == clientClosed && s != clientClosed) {
 				t.Errorf("event %d in state %d: next state %d with action %d; want the closed state with an ending action only", e, s, next, action)
 			}
-			if only := from[action]; only != nil && !only(s) {
+			if allowed := allowedIn[action]; allowed != nil && !allowed(s) {
 				t.Errorf("event %d in state %d: action %d is not allowed in this state", e, s, action)
 			}
 		}
