--- a/internal/front/line/handoff.go
+++ b/internal/front/line/handoff.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// detach takes both sockets of an open flow off the event loop and returns their descriptors. If
-// either has none to spare it returns -1, and the flow continues in this process.
+// detach takes both connections of an open flow off the event loop and returns their descriptors. If
+// no descriptor is free for one of them, it returns -1 and the flow continues in this process.
 func (f *Front) detach(c *clientConn, handoff *FlowHandoff) (client, member int) {
 	if client, handoff.FromClient = c.conn.Detach(); client < 0 {
 		return -1, -1
--- a/internal/front/line/upstream.go
+++ b/internal/front/line/upstream.go
@@ -19,7 +19,7 @@
 	conn     *netloop.Conn
 	member   *core.Member
 	attempt  int
-	deadline time.Duration // when the attempt is abandoned
+	deadline time.Duration // when the core abandons the attempt
 	state    attemptState
 	liveness
 	linePrefix   []byte  // the first bytes of the member's line that is being forwarded, at most maxInspectedBytes
@@ -84,7 +84,7 @@
 	}
 	u.handle(eventOpenSent)
 	u.conn.Write(u.client.openLine.forMember(u.deadline - u.client.front.Loop.Now()))
-	u.conn.ResumeReading() // Data leaves bytes unread that arrive before the first line is sent
+	u.conn.ResumeReading() // until here, Data has left the member's bytes unread
 }
 
 // Drained implements netloop.Handler.
