--- a/internal/front/line/graceful_shutdown_test.go
+++ b/internal/front/line/graceful_shutdown_test.go
@@ -9,12 +9,12 @@
 	"dahliarudder/policy"
 )
 
-// TestShutdownInFlight: a request that is on its way as the relay begins to stop is answered, by the member that has it, and
-// what comes up is moved before the stop is over.
+// TestShutdownInFlight checks that a request with an attempt in flight when the relay begins to stop
+// is answered by its member, and that the new flow is migrated before the stop ends.
 func TestShutdownInFlight(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.sendRequest(firstLine)
-	m := g.attempt(0)
+	m := g.acceptAttempt(0)
 	g.Core.Stop()
 	g.Advance(100 * time.Millisecond)
 	m.Send("UP x\r\n")
@@ -24,15 +24,16 @@
 	c.ExpectLines("MOVE")
 	c.ExpectEOF()
 	m.ExpectEOF()
-	g.clean()
+	g.expectNoLeaks()
 	if n := g.Core.Counts; n.Served != 1 || n.Migrations != 1 || n.Rejected+n.Failed+n.ClientsGone != 0 {
-		t.Errorf("%+v", n)
+		t.Errorf("counts = %+v, want Served 1, Migrations 1 and no other answer", n)
 	}
 }
 
-// TestShutdownUnanswered: one that has no answer by the end of the stop is rejected then, once, and its attempt is over.
+// TestShutdownUnanswered checks that a request without an answer at the end of the stop is answered
+// BUSY once and that its attempt is ended.
 func TestShutdownUnanswered(t *testing.T) {
-	for name, queued := range map[string]bool{"queued": true, "attempt out": false} {
+	for name, queued := range map[string]bool{"queued": true, "attempt in flight": false} {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1)
 			if queued {
@@ -40,33 +41,34 @@
 			}
 			c := g.sendRequest(firstLine)
 			if !queued {
-				g.attempt(0).Send("half an ans")
+				g.acceptAttempt(0).Send("half an ans")
 			}
 			g.Core.Stop()
 			g.RunOnce()
 			g.Core.FinishStop()
 			if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
-				t.Errorf("got %q", got)
+				t.Errorf("client got %q, want BUSY", got)
 			}
 			c.ExpectEOF()
 			c.Close()
 			g.Core.ResumeDispatch()
-			g.unsent()
-			g.clean()
+			g.expectNothingSent()
+			g.expectNoLeaks()
 			if n := g.Core.Counts; n.Rejected != 1 || n.Served+n.Failed+n.ClientsGone != 0 {
-				t.Errorf("%+v", n)
+				t.Errorf("counts = %+v, want Rejected 1 and no other answer", n)
 			}
 		})
 	}
 }
 
-// TestShutdownArrival: a request that arrives after the stop began is answered BUSY at once and never sent on, also one whose
-// first line began before; PING reports that no clients should be sent here, and the connection may still send a request.
+// TestShutdownArrival checks that a request that arrives after the stop began is answered BUSY at
+// once and never sent to a member, even if its first line began before. PING is answered ERR then, so
+// that no clients are sent here, and the connection may still send a request.
 func TestShutdownArrival(t *testing.T) {
 	g := newRig(t, 1)
 	half, front := g.Dial(g.addr), g.Dial(g.addr)
 	half.Send(firstLine[:20])
-	g.WaitFor("both", func() bool { return len(g.f.idle) == 2 })
+	g.WaitFor("both connections to be accepted", func() bool { return len(g.front.idle) == 2 })
 	g.RunOnce()
 	g.Core.Stop()
 	half.Send(firstLine[20:] + "\r\n")
@@ -79,33 +81,34 @@
 		Close() error
 	}{half, front, g.sendRequest(strings.Replace(firstLine, "aa", "ac", 1))} {
 		if got := c.ReadLine(); !strings.HasPrefix(got, "BUSY") {
-			t.Errorf("got %q", got)
+			t.Errorf("client got %q, want BUSY", got)
 		}
 		c.ExpectEOF()
 		c.Close()
 	}
-	g.unsent()
-	g.clean()
+	g.expectNothingSent()
+	g.expectNoLeaks()
 	if n := g.Core.Counts; n.Rejected != 3 || n.Attempts != 0 {
-		t.Errorf("%+v", n)
+		t.Errorf("counts = %+v, want Rejected 3, Attempts 0", n)
 	}
 }
 
-// TestShutdownIdle: a connection that is idle as the relay ends gets an answer for a request that crosses its end.
+// TestShutdownIdle checks that an idle connection is answered BUSY when the relay ends, so that a
+// request that is on its way has an answer.
 func TestShutdownIdle(t *testing.T) {
 	g := newRig(t, 1)
 	silent, front, half := g.Dial(g.addr), g.Dial(g.addr), g.Dial(g.addr)
 	front.Send("PING\r\n")
 	front.ExpectLines("PONG")
 	half.Send(firstLine[:20])
-	g.WaitFor("all", func() bool { return len(g.f.idle) == 3 })
+	g.WaitFor("all three connections to be accepted", func() bool { return len(g.front.idle) == 3 })
 	g.RunOnce()
 	g.Core.Stop()
 	g.Core.FinishStop()
-	g.f.CloseIdle()
-	late(silent, firstLine+"\r\n")
-	late(front, firstLine+"\r\n")
-	late(half, firstLine[20:]+"\r\n")
+	g.front.CloseIdle()
+	writeIgnoringError(silent, firstLine+"\r\n")
+	writeIgnoringError(front, firstLine+"\r\n")
+	writeIgnoringError(half, firstLine[20:]+"\r\n")
 	for _, c := range []interface {
 		ExpectLines(...string)
 		ExpectEOF()
@@ -115,17 +118,18 @@
 		c.ExpectEOF()
 		c.Close()
 	}
-	g.unsent()
-	g.clean()
+	g.expectNothingSent()
+	g.expectNoLeaks()
 	if g.Core.Counts != (core.Counts{}) {
-		t.Errorf("%+v", g.Core.Counts)
+		t.Errorf("counts = %+v, want all 0", g.Core.Counts)
 	}
 }
 
-// TestShutdownPartialLine: of a member's half line at the end of a stop MOVE waits, and no longer than the relay has left.
+// TestShutdownPartialLine checks that at the end of a stop MOVE waits for the end of a line of the
+// member that has been forwarded in part, but for at most MoveTimeout.
 func TestShutdownPartialLine(t *testing.T) {
 	for _, lineEnds := range []bool{true, false} {
-		g := newFlow(t)
+		g := newFlowRig(t)
 		g.m.Send("half a ")
 		g.c.Expect("half a ")
 		g.Core.Stop()
@@ -137,8 +141,8 @@
 			g.c.ExpectEOF()
 		} else {
 			g.Advance(MoveTimeout)
-			g.ends("", "")
+			g.expectBothClosed("", "")
 		}
-		g.finished(policy.Cancelled)
+		g.expectResult(policy.Cancelled)
 	}
 }
--- a/internal/front/line/health_check_test.go
+++ b/internal/front/line/health_check_test.go
@@ -11,7 +11,7 @@
 	"dahliarudder/policy"
 )
 
-// checkRig is a rig and the results of its members' health checks.
+// checkRig is a rig that records the results of health checks.
 type checkRig struct {
 	*rig
 	results []policy.Result
@@ -23,42 +23,43 @@
 	return p
 }
 
-// check checks the health of a member.
-func (p *checkRig) check(member int) { p.f.CheckHealth(&p.Members[member]) }
+// check starts a health check of a member.
+func (p *checkRig) check(member int) { p.front.CheckHealth(&p.Members[member]) }
 
-// acceptCheck is the member's end of a health check that has been sent on a new connection.
+// acceptCheck starts a health check on a new connection and returns the member's end of it.
 func (p *checkRig) acceptCheck(member int) *looptest.Peer {
 	p.T.Helper()
 	p.check(member)
-	m := p.servers[member].Accept()
+	m := p.fakeMembers[member].Accept()
 	m.ExpectLines("STATS")
 	return m
 }
 
-// wantResults waits for the results of all health checks so far.
+// wantResults waits for these results of all health checks so far.
 func (p *checkRig) wantResults(results ...policy.Result) {
 	p.T.Helper()
-	p.WaitFor("the results", func() bool { return len(p.results) >= len(results) })
+	p.WaitFor("the results of the health checks", func() bool { return len(p.results) >= len(results) })
 	if !slices.Equal(p.results, results) {
-		p.T.Fatalf("results %v, want %v", p.results, results)
+		p.T.Fatalf("results = %v, want %v", p.results, results)
 	}
 }
 
-// expectNoCheck checks that no health check is pending and none of its connections left.
+// expectNoCheck checks that no health check is pending and that none of the connections is left.
 func (p *checkRig) expectNoCheck() {
 	p.T.Helper()
 	n := len(p.results)
-	p.Advance(p.f.checkIdleTimeout)
-	p.clean()
+	p.Advance(p.front.checkIdleTimeout)
+	p.expectNoLeaks()
 	if len(p.results) != n {
-		p.T.Errorf("results %v", p.results)
+		p.T.Errorf("results = %v, want no more than the first %d", p.results, n)
 	}
 }
 
-// TestHealthCheckAnswers: each health check has one result, whatever the member does.
+// TestHealthCheckAnswers checks that each health check has exactly one result, whatever the member
+// does.
 func TestHealthCheckAnswers(t *testing.T) {
-	for name, one := range map[string]struct {
-		does func(p *checkRig, m *looptest.Peer)
+	for name, tc := range map[string]struct {
+		act  func(p *checkRig, m *looptest.Peer)
 		want policy.Result
 	}{
 		"PONG":                  {func(_ *checkRig, m *looptest.Peer) { m.Send("PONG x0=0.5\r\n") }, policy.OK},
@@ -67,45 +68,47 @@
 		"ERR, PONG":             {func(_ *checkRig, m *looptest.Peer) { m.Send("ERR\r\nPONG\r\n") }, policy.Error},
 		"PONG, PONG":            {func(_ *checkRig, m *looptest.Peer) { m.Send("PONG\r\nPONG\r\n") }, policy.OK},
 		"no CRLF":               {func(_ *checkRig, m *looptest.Peer) { m.Send("PONG\n") }, policy.Error},
-		"a line over the bound": {func(_ *checkRig, m *looptest.Peer) { m.Send(strings.Repeat("x", maxLineBytes)) }, policy.Error},
-		"the end":               {func(_ *checkRig, m *looptest.Peer) { m.CloseWrite() }, policy.Reset},
-		"half a line, the end":  {func(_ *checkRig, m *looptest.Peer) { m.Send("PON"); m.CloseWrite() }, policy.Reset},
+		"a line over the limit": {func(_ *checkRig, m *looptest.Peer) { m.Send(strings.Repeat("x", maxLineBytes)) }, policy.Error},
+		"EOF":                   {func(_ *checkRig, m *looptest.Peer) { m.CloseWrite() }, policy.Reset},
+		"half a line, EOF":      {func(_ *checkRig, m *looptest.Peer) { m.Send("PON"); m.CloseWrite() }, policy.Reset},
 		"a reset":               {func(_ *checkRig, m *looptest.Peer) { m.Reset() }, policy.Reset},
 		"half a line, a reset":  {func(_ *checkRig, m *looptest.Peer) { m.Send("PON"); m.Reset() }, policy.Reset},
 		"half a line, nothing":  {func(p *checkRig, m *looptest.Peer) { m.Send("PON"); p.RunOnce(); p.Advance(checkTimeout) }, policy.Timeout},
 		"nothing":               {func(p *checkRig, _ *looptest.Peer) { p.Advance(checkTimeout) }, policy.Timeout},
-		"PONG once it is late":  {func(p *checkRig, m *looptest.Peer) { p.Advance(checkTimeout); m.Send("PONG\r\n") }, policy.Timeout},
-		"PONG as it becomes so": {func(p *checkRig, m *looptest.Peer) { m.Send("PONG\r\n"); p.Advance(checkTimeout) }, policy.OK},
-		"nobody is there":       {func(p *checkRig, m *looptest.Peer) { m.Close() }, policy.Reset},
+		"PONG after timeout":    {func(p *checkRig, m *looptest.Peer) { p.Advance(checkTimeout); m.Send("PONG\r\n") }, policy.Timeout},
+		"PONG at the timeout":   {func(p *checkRig, m *looptest.Peer) { m.Send("PONG\r\n"); p.Advance(checkTimeout) }, policy.OK},
+		"a full close":          {func(p *checkRig, m *looptest.Peer) { m.Close() }, policy.Reset},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newCheckRig(t, 1)
 			m := p.acceptCheck(0)
-			one.does(p, m)
-			p.wantResults(one.want)
+			tc.act(p, m)
+			p.wantResults(tc.want)
 			p.expectNoCheck()
 		})
 	}
 }
 
-// TestHealthCheckConnects: a connection that is refused, or that does not come up, is distinguished.
+// TestHealthCheckConnects checks that a refused connection and one that is not established in time
+// have different results.
 func TestHealthCheckConnects(t *testing.T) {
 	p := newCheckRig(t, 1)
-	p.servers[0].Listener.Close()
+	p.fakeMembers[0].Listener.Close()
 	p.check(0)
 	p.wantResults(policy.ConnectFailed)
 	p.expectNoCheck()
 
 	p = newCheckRig(t, 0)
-	p.addMember(fullQueue(t))
+	p.addMember(fullBacklogAddr(t))
 	p.check(0)
 	p.RunOnce()
-	p.Advance(p.f.connectTimeout)
+	p.Advance(p.front.connectTimeout)
 	p.wantResults(policy.Timeout)
 	p.expectNoCheck()
 }
 
-// TestHealthCheckLateAnswer: nor is one that comes before the next health check; its connection is used no more.
+// TestHealthCheckLateAnswer checks that a second answer that arrives between two health checks is not
+// taken for the answer to the next one, and that its connection is closed.
 func TestHealthCheckLateAnswer(t *testing.T) {
 	p := newCheckRig(t, 1)
 	m := p.acceptCheck(0)
@@ -118,8 +121,8 @@
 	p.expectNoCheck()
 }
 
-// TestHealthCheckConnClosedAsReused: an idle connection that the member closes just as it is used again costs a
-// second connection, and no result.
+// TestHealthCheckConnClosedAsReused checks that if the member closes an idle connection just as it is
+// reused, the health check dials a second connection and the close has no result.
 func TestHealthCheckConnClosedAsReused(t *testing.T) {
 	for name, end := range map[string]func(*looptest.Peer){
 		"ends": func(m *looptest.Peer) { m.Close() }, "half-closes": func(m *looptest.Peer) { m.CloseWrite() }, "resets": func(m *looptest.Peer) { m.Reset() },
@@ -137,7 +140,8 @@
 	}
 }
 
-// TestHealthCheckConnClosedAsMemberLeft: and none where the member has left for longer than the grace meanwhile.
+// TestHealthCheckConnClosedAsMemberLeft checks that no second connection is dialled if the member has
+// been draining for longer than the grace.
 func TestHealthCheckConnClosedAsMemberLeft(t *testing.T) {
 	p := newCheckRig(t, 1)
 	m := p.acceptCheck(0)
@@ -148,13 +152,14 @@
 	p.setMemberState(0, policy.Draining)
 	p.Advance(time.Duration(p.Core.Settings.Guarantees.DrainGrace)*time.Millisecond + time.Millisecond)
 	p.wantResults(policy.OK, policy.Reset)
-	if p.pending(0) != nil {
-		t.Error("a connection to a member that has left")
+	if p.pendingConn(0) != nil {
+		t.Error("a connection was dialled to a member that has left, want none")
 	}
 	p.expectNoCheck()
 }
 
-// TestHealthCheckSecondAnswer: a second answer that came with the first is not taken for the next health check's.
+// TestHealthCheckSecondAnswer checks that a second answer that arrives together with the first is not
+// taken for the answer to the next health check.
 func TestHealthCheckSecondAnswer(t *testing.T) {
 	p := newCheckRig(t, 1)
 	m := p.acceptCheck(0)
@@ -166,43 +171,44 @@
 	p.expectNoCheck()
 }
 
-// TestNoHealthCheckOfDepartedMember: a connection that comes up when its member has been leaving for longer than the grace
-// is not used.
+// TestNoHealthCheckOfDepartedMember checks that a connection is not used if it is established after
+// its member has been draining for longer than the grace.
 func TestNoHealthCheckOfDepartedMember(t *testing.T) {
 	p := newCheckRig(t, 1)
 	p.check(0)
 	p.setMemberState(0, policy.Draining)
 	p.Advance(time.Duration(p.Core.Settings.Guarantees.DrainGrace)*time.Millisecond + time.Millisecond)
 	p.wantResults(policy.NotSent)
-	p.unsent()
+	p.expectNothingSent()
 	p.expectNoCheck()
 }
 
-// TestHealthChecksRemoved: of members that come and go nothing stays.
+// TestHealthChecksRemoved checks that the front forgets health checks whose connection has ended.
 func TestHealthChecksRemoved(t *testing.T) {
 	p := newCheckRig(t, 3)
-	for i := range p.servers {
+	for i := range p.fakeMembers {
 		p.acceptCheck(i).Send("PONG\r\n")
-		p.WaitFor("the result", func() bool { return len(p.results) == i+1 })
+		p.WaitFor("the result of the health check", func() bool { return len(p.results) == i+1 })
 	}
 	p.expectNoCheck()
-	if len(p.f.healthChecks) != 0 {
-		t.Errorf("%d are remembered", len(p.f.healthChecks))
+	if len(p.front.healthChecks) != 0 {
+		t.Errorf("the front has %d health checks, want 0", len(p.front.healthChecks))
 	}
 }
 
-// TestHealthCheckSecondAnswerAtOnce: nor where the next health check begins as the first is answered.
+// TestHealthCheckSecondAnswerAtOnce is like TestHealthCheckSecondAnswer, with the next health check
+// started from the callback that receives the first result.
 func TestHealthCheckSecondAnswerAtOnce(t *testing.T) {
 	p := newCheckRig(t, 1)
-	saw := p.Core.OnResult
+	record := p.Core.OnResult
 	p.Core.OnResult = func(m *core.Member, result policy.Result) {
-		if saw(m, result); len(p.results) == 1 {
+		if record(m, result); len(p.results) == 1 {
 			p.check(0)
 		}
 	}
 	m := p.acceptCheck(0)
 	m.Send("PONG x0=0.1\r\nERR\r\n")
-	m = p.servers[0].Accept()
+	m = p.fakeMembers[0].Accept()
 	m.ExpectLines("STATS")
 	m.Send("PONG x0=0.2\r\n")
 	p.wantResults(policy.OK, policy.OK)
--- a/internal/front/line/idle_after_pong_test.go
+++ b/internal/front/line/idle_after_pong_test.go
@@ -7,27 +7,28 @@
 	"dahliarudder/internal/core"
 )
 
-// TestIdleUntilRequest: a request that arrives in the loop iteration in which the time of an idle connection is up is placed.
+// TestIdleUntilRequest checks that a request is placed if it arrives in the loop iteration in which
+// the time limit of its idle connection runs out.
 func TestIdleUntilRequest(t *testing.T) {
-	for name, rest := range map[string]time.Duration{"new": firstLineTimeout, "answered PONG": idleTimeout} {
+	for name, timeout := range map[string]time.Duration{"new": firstLineTimeout, "answered PONG": idleTimeout} {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1)
 			c := g.Dial(g.addr)
-			if rest == idleTimeout {
+			if timeout == idleTimeout {
 				c.Send("PING\r\n")
 				c.ExpectLines("PONG")
 			}
-			g.WaitFor("the connection", func() bool { return len(g.f.idle) == 1 })
+			g.WaitFor("the connection to be accepted", func() bool { return len(g.front.idle) == 1 })
 			c.Send(firstLine + "\r\n")
-			g.Advance(rest)
-			g.attempt(0).Send("UP x\r\n")
+			g.Advance(timeout)
+			g.acceptAttempt(0).Send("UP x\r\n")
 			c.ExpectLines("UP x")
 		})
 	}
 }
 
-// TestIdleTooLong: one that arrives as the relay has just closed an idle connection gets one complete answer: it was not
-// forwarded, and a retry is harmless.
+// TestIdleTooLong checks that a request that arrives just after the relay has closed its idle
+// connection is answered BUSY once. It was not forwarded, so a retry is harmless.
 func TestIdleTooLong(t *testing.T) {
 	for name, end := range map[string]func(*rig){
 		"idle": func(g *rig) { g.Advance(idleTimeout) },
@@ -47,42 +48,42 @@
 			c.ExpectLines("PONG")
 			end(g)
 			c.Write([]byte(firstLine + "\r\n"))
-			g.WaitFor("the end", func() bool { c.Poll(); return c.EndErr != nil })
+			g.WaitFor("the connection to end", func() bool { c.Poll(); return c.EndErr != nil })
 			if string(c.Received) != "BUSY\r\n" {
-				t.Errorf("got %q", c.Received)
+				t.Errorf("client got %q, want only BUSY", c.Received)
 			}
 			if g.Core.Counts != (core.Counts{}) {
-				t.Errorf("%+v", g.Core.Counts)
+				t.Errorf("counts = %+v, want all 0", g.Core.Counts)
 			}
 		})
 	}
 }
 
-// TestShedUnread: a connection that is evicted for a new one in the loop iteration in which its first line has come, unread, gets
-// one complete answer, and its request is none.
+// TestShedUnread checks that a connection that is closed in favor of a new one, in the loop iteration
+// in which its first line has arrived but is unread, gets one answer, and that no request is placed.
 func TestShedUnread(t *testing.T) {
-	for name, one := range map[string]struct{ first, answer string }{
+	for name, tc := range map[string]struct{ first, answer string }{
 		"new": {"", "ERR\r\n"}, "answered PONG": {"PING\r\n", "BUSY\r\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1)
 			c := g.Dial(g.addr)
-			g.WaitFor("the connection", func() bool { return len(g.f.idle) == 1 })
-			if c.Send(one.first); one.first != "" {
+			g.WaitFor("the connection to be accepted", func() bool { return len(g.front.idle) == 1 })
+			if c.Send(tc.first); tc.first != "" {
 				c.ExpectLines("PONG")
 			}
 			g.RunOnce()
-			g.RunOnce() // it has no event now, so the loop handles the new one first
+			g.RunOnce() // the connection has no event now, so the loop handles the new one first
 			g.SetDescriptorLimit(g.OpenDescriptors() + 1)
 			g.Dial(g.addr)
 			c.Send(firstLine + "\r\n")
 			g.RunOnce()
-			g.WaitFor("the end", func() bool { c.Poll(); return c.EndErr != nil })
-			if string(c.Received) != one.answer {
-				t.Errorf("got %q, ended with %v", c.Received, c.EndErr)
+			g.WaitFor("the connection to end", func() bool { c.Poll(); return c.EndErr != nil })
+			if string(c.Received) != tc.answer {
+				t.Errorf("client got %q before %v, want %q", c.Received, c.EndErr, tc.answer)
 			}
-			if g.Core.Counts != (core.Counts{}) || g.pending(0) != nil {
-				t.Errorf("%+v", g.Core.Counts)
+			if g.Core.Counts != (core.Counts{}) || g.pendingConn(0) != nil {
+				t.Errorf("counts = %+v, want all 0 and no connection to the member", g.Core.Counts)
 			}
 		})
 	}
--- a/internal/front/line/line_test.go
+++ b/internal/front/line/line_test.go
@@ -16,8 +16,8 @@
 
 const firstLine = "OPEN 00000000000000aa 00000000000000bb c=pay,t=water,d=1900"
 
-// sendOpen sends a request that its only member has got: the relay, the client and the
-// member.
+// sendOpen sends a request to a relay with one member and waits until the member has received it.
+// It returns the relay, the client and the member.
 func sendOpen(t testing.TB) (*looptest.Relay, *looptest.Peer, *looptest.Peer) {
 	r := looptest.NewRelay(t, 1)
 	c, m := sendOpenTo(r, New(r.Loop, r.Core, r.Log))
@@ -32,8 +32,8 @@
 	return c, m
 }
 
-// handOffFlows hands all open flows that can be from one front to another, through the text
-// that goes between processes.
+// handOffFlows hands off all open flows that it can from one front to another, encoded as JSON as
+// between processes.
 func handOffFlows(t testing.TB, from, to *Front) {
 	t.Helper()
 	from.HandOffFlows(100, func(p FlowHandoff, client, member int) {
@@ -49,17 +49,17 @@
 	})
 }
 
-// openedFlow is the same, up.
-func openedFlow(t testing.TB) (*looptest.Relay, *looptest.Peer, *looptest.Peer) {
+// startFlow is sendOpen, followed by the member's UP.
+func startFlow(t testing.TB) (*looptest.Relay, *looptest.Peer, *looptest.Peer) {
 	r, c, m := sendOpen(t)
 	m.Send("UP x\r\n")
 	c.ExpectLines("UP x")
 	return r, c, m
 }
 
-// TestMoveWaits: MOVE that is requested within a line comes after it.
+// TestMoveWaits checks that a MOVE that is due in the middle of a line is sent after the line.
 func TestMoveWaits(t *testing.T) {
-	r, c, m := openedFlow(t)
+	r, c, m := startFlow(t)
 	m.Send("half a ")
 	c.Expect("half a ")
 	r.Drain(0)
@@ -69,30 +69,31 @@
 	c.ExpectEOF()
 }
 
-// TestResets: a reset is answered by a reset, both ways.
+// TestResets checks that a reset on one side of a flow resets the other side, in both directions.
 func TestResets(t *testing.T) {
-	_, c, m := openedFlow(t)
+	_, c, m := startFlow(t)
 	m.Reset()
 	c.ExpectReset()
-	_, c, m = openedFlow(t)
+	_, c, m = startFlow(t)
 	c.Reset()
 	m.ExpectReset()
 }
 
-// TestClientLeaves: who leaves before an answer leaves no attempt behind, and may still read its one answer.
+// TestClientLeaves checks that a client's close before an answer ends the attempt, and that a client
+// that still reads receives one answer.
 func TestClientLeaves(t *testing.T) {
 	r, c, m := sendOpen(t)
 	c.CloseWrite()
-	r.WaitFor("the member's end", func() bool { m.Poll(); return m.EndErr != nil })
+	r.WaitFor("the member's connection to end", func() bool { m.Poll(); return m.EndErr != nil })
 	c.ExpectLines("BUSY")
 	c.ExpectEOF()
 	if r.Core.ActiveRequests() != 0 || r.Core.Counts.ClientsGone != 1 {
-		t.Errorf("held %d, %+v", r.Core.ActiveRequests(), r.Core.Counts)
+		t.Errorf("after the client's close: %d active requests, want 0; counts %+v, want ClientsGone 1", r.Core.ActiveRequests(), r.Core.Counts)
 	}
 }
 
-// TestAnswers: what a member may answer to a first line, and what the client then
-// gets after the only member was tried.
+// TestAnswers checks, for each answer that a member may give to the first line, what the client
+// receives when there is no other member.
 func TestAnswers(t *testing.T) {
 	for answer, want := range map[string]string{
 		"BUSY x0=1":  "BUSY",
@@ -104,17 +105,18 @@
 		t.Run(answer, func(t *testing.T) {
 			r, c, m := sendOpen(t)
 			m.Send(answer + "\r\n")
-			r.WaitFor("an answer", func() bool { r.Advance(50 * time.Millisecond); c.Poll(); return len(c.Received) > 0 })
+			r.WaitFor("an answer to the client", func() bool { r.Advance(50 * time.Millisecond); c.Poll(); return len(c.Received) > 0 })
 			if got := c.ReadLine(); !strings.HasPrefix(got, want) {
-				t.Errorf("got %q, want %q", got, want)
+				t.Errorf("client got %q, want prefix %q", got, want)
 			}
 			c.ExpectEOF()
 		})
 	}
 }
 
-// TestFirstLine: a client that sends nothing, or no complete line, gets an error well before 3 s
-// and takes no descriptor for longer; one that was answered PONG may stay a while.
+// TestFirstLine checks that a client that sends no complete line is answered ERR before the
+// protocol's limit of 3 s and that its descriptor is released, while a client that was answered PONG
+// may stay for idleTimeout.
 func TestFirstLine(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	addr := r.Serve(New(r.Loop, r.Core, r.Log).Accept)
@@ -123,14 +125,14 @@
 	slow.Send("OPEN 00")
 	front.Send("PING\r\n")
 	front.ExpectLines("PONG")
-	r.WaitFor("three connections", func() bool { return r.FreeDescriptors() == free-3 })
+	r.WaitFor("three connections to be accepted", func() bool { return r.FreeDescriptors() == free-3 })
 	r.Advance(firstLineTimeout)
 	for _, c := range []*looptest.Peer{silent, slow} {
 		c.ExpectLines("ERR")
 		c.ExpectEOF()
 		c.Close()
 	}
-	r.WaitFor("the descriptors", func() bool { return r.FreeDescriptors() == free-1 })
+	r.WaitFor("two descriptors to be released", func() bool { return r.FreeDescriptors() == free-1 })
 	front.Send("PING\r\n")
 	front.ExpectLines("PONG")
 	r.Advance(idleTimeout)
@@ -138,10 +140,10 @@
 	front.ExpectEOF()
 }
 
-// TestDuplicateID: the id of an open request is no new request's, however it is written;
-// the open one continues, and once it has ended the id is free.
+// TestDuplicateID checks that a request with the id of an open request is answered ERR, however the
+// id is written, that the open request continues, and that the id can be used again after its end.
 func TestDuplicateID(t *testing.T) {
-	r, c, m := openedFlow(t)
+	r, c, m := startFlow(t)
 	addr := r.Serve(New(r.Loop, r.Core, r.Log).Accept)
 	first := r.Dial(addr)
 	first.Send(firstLine + "\r\n")
@@ -160,55 +162,56 @@
 	again := r.Dial(addr)
 	again.Send(firstLine + "\r\n")
 	r.AcceptAny(0)
-	c.Send("hello\r\n") // another front's, with the same id
+	c.Send("hello\r\n") // on the flow of the other front, which has the same id
 	m.ExpectLines("hello")
 }
 
-// results is a ledger of how attempts ended.
-type results []policy.Result
+// resultRecorder is a core.Recorder that keeps the results of all attempts.
+type resultRecorder []policy.Result
 
-func (l *results) Ready() bool { return true }
-func (l *results) RecordAttempt(_ *core.Request, _ core.ID, _ int, _ string, _, _ time.Duration, r policy.Result) {
+func (l *resultRecorder) Ready() bool { return true }
+func (l *resultRecorder) RecordAttempt(_ *core.Request, _ core.ID, _ int, _ string, _, _ time.Duration, r policy.Result) {
 	*l = append(*l, r)
 }
-func (l *results) RecordAnswer(*core.Request, core.ID, time.Duration, core.Answer, int) {}
+func (l *resultRecorder) RecordAnswer(*core.Request, core.ID, time.Duration, core.Answer, int) {}
 
-// TestLocalShortageIsNotMemberFault: an attempt that failed for want of the relay's own descriptors is not
-// the member's failure; one that the member refused is.
+// TestLocalShortageIsNotMemberFault checks that an attempt that fails because the relay has no free
+// descriptor is reported as not sent, and one that fails to connect as the member's failure.
 func TestLocalShortageIsNotMemberFault(t *testing.T) {
 	for err, want := range map[error]policy.Result{
 		netloop.ErrNoDescriptors: policy.NotSent, netloop.ErrDialTimeout: policy.ConnectFailed, io.EOF: policy.ConnectFailed,
 	} {
 		r := looptest.NewRelay(t, 1)
-		var ended results
-		r.Core.Recorder = &ended
+		var results resultRecorder
+		r.Core.Recorder = &results
 		f := New(r.Loop, r.Core, r.Log)
 		c := r.Dial(r.Serve(f.Accept))
 		c.Send(firstLine + "\r\n")
-		r.WaitFor("the request", func() bool { return r.Core.Counts.Attempts == 1 })
-		for _, v := range f.requests {
-			v.upstream.state = attemptDialing
-			v.upstream.End(fmt.Errorf("dialling: %w", err))
+		r.WaitFor("an attempt", func() bool { return r.Core.Counts.Attempts == 1 })
+		for _, conn := range f.requests {
+			conn.upstream.state = attemptDialing
+			conn.upstream.End(fmt.Errorf("dialling: %w", err))
 		}
-		if len(ended) == 0 || ended[0] != want {
-			t.Errorf("%v: %v, want %v", err, ended, want)
+		if len(results) == 0 || results[0] != want {
+			t.Errorf("results after dial error %v = %v, want %v", err, results, want)
 		}
 	}
 }
 
-// TestReopenReported: the module learns which clients reconnect after a loss or a migration.
+// TestReopenReported checks that again=1 in the first line sets Reconnect, which says that the
+// client reconnects after a loss or a migration.
 func TestReopenReported(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
-	for more, want := range map[string]bool{"": false, ",again=1": true, ",again=0": false} {
-		open, err := parseOpen(r.Core.Settings, firstLine+more)
+	for suffix, want := range map[string]bool{"": false, ",again=1": true, ",again=0": false} {
+		open, err := parseOpen(r.Core.Settings, firstLine+suffix)
 		if err != nil || open.request.Reconnect != want {
-			t.Errorf("%q: %v, %v", more, open.request.Reconnect, err)
+			t.Errorf("parseOpen with %q: Reconnect = %v, error %v; want %v", suffix, open.request.Reconnect, err, want)
 		}
 	}
 }
 
-// TestWaitBound: no first line has the relay wait longer than its class is given, or, for
-// a flow that was open before, than such a one may take.
+// TestWaitBound checks that a first line cannot make a request wait longer than the deadline of its
+// class, or longer than reopenWait if the client had a flow before.
 func TestWaitBound(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	for d, want := range map[string]time.Duration{
@@ -217,43 +220,44 @@
 	} {
 		open, err := parseOpen(r.Core.Settings, strings.Replace(firstLine, "d=1900", d, 1))
 		if err != nil || open.request.TimeLeft != want {
-			t.Errorf("%s: %v, %v, want %v", d, open.request.TimeLeft, err, want)
+			t.Errorf("parseOpen with %s: TimeLeft = %v, error %v; want %v", d, open.request.TimeLeft, err, want)
 		}
 	}
 }
 
-// TestLineLengthLimit: a line within the bound is read, a longer one is not waited for.
+// TestLineLengthLimit checks that cutLine accepts a line of maxLineBytes and rejects a longer one
+// without waiting for its end.
 func TestLineLengthLimit(t *testing.T) {
 	long := strings.Repeat("x", maxLineBytes-2)
 	if text, n, err := cutLine([]byte(long + "\r\n")); err != nil || n != maxLineBytes || text != long {
-		t.Errorf("%d of a line at the bound, %v", n, err)
+		t.Errorf("cutLine of a line at the limit used %d bytes, error %v; want %d", n, err, maxLineBytes)
 	}
 	if _, _, err := cutLine([]byte(long + "x\r\n")); err == nil {
-		t.Error("a line over the bound was taken")
+		t.Error("cutLine accepted a line over the limit")
 	}
 	if _, n, err := cutLine([]byte(long)); n != 0 || err != nil {
-		t.Errorf("%d, %v of a line that has not ended", n, err)
+		t.Errorf("cutLine of an incomplete line used %d bytes, error %v; want 0 and no error", n, err)
 	}
 }
 
-// TestHandOffIdle: connections without a request are handed to another process with
-// what has come of their line, requests stay, and ids that are open elsewhere are
-// refused until they no longer are.
+// TestHandOffIdle checks that connections without a request are handed to another process together
+// with the part of the first line that has arrived, that requests stay, and that ids of requests
+// that are open in the other process are rejected until those requests end.
 func TestHandOffIdle(t *testing.T) {
-	r, c, m := openedFlow(t)
+	r, c, m := startFlow(t)
 	f, next := New(r.Loop, r.Core, r.Log), New(r.Loop, r.Core, r.Log)
 	addr := r.Serve(f.Accept)
 	half, quiet := r.Dial(addr), r.Dial(addr)
 	half.Send(firstLine[:20])
-	r.WaitFor("both", func() bool { return len(f.idle) == 2 })
+	r.WaitFor("both connections", func() bool { return len(f.idle) == 2 })
 	r.RunOnce()
-	given := 0
+	handedOff := 0
 	f.HandOffIdle(2, func(p IdleConn, fd int) {
-		given++
+		handedOff++
 		next.AdoptIdle(p, fd)
 	})
-	if given != 2 || len(f.idle) != 0 || len(next.idle) != 2 {
-		t.Fatalf("%d given, %d left, %d taken", given, len(f.idle), len(next.idle))
+	if handedOff != 2 || len(f.idle) != 0 || len(next.idle) != 2 {
+		t.Fatalf("handed off %d idle connections, %d left, %d adopted; want 2, 0, 2", handedOff, len(f.idle), len(next.idle))
 	}
 	next.SetRemoteIDs([]uint64{0xaa})
 	half.Send(firstLine[20:] + "\r\n")
@@ -265,15 +269,15 @@
 	m2.Send("UP y\r\n")
 	quiet.ExpectLines("UP y")
 	if ids := next.OpenRequestIDs(); len(ids) != 1 || ids[0] != 0xaa {
-		t.Errorf("ids %v", ids)
+		t.Errorf("OpenRequestIDs() = %v, want [170]", ids)
 	}
 	m.Send("GOT\r\n")
 	c.ExpectLines("GOT")
 }
 
-// TestAdoptFlow: a flow that was handed off keeps its state: an unanswered line counts
-// from when it was sent, a member that has left meanwhile or is not known here costs
-// the client a move and no more, and the id stays taken.
+// TestAdoptFlow checks that a flow keeps its state in a handoff: the time that a line has been
+// unanswered still counts from when the line was forwarded, a client whose member has left or is not
+// known here is sent MOVE and nothing else, and the id stays in use.
 func TestAdoptFlow(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	first, second := New(r.Loop, r.Core, r.Log), New(r.Loop, r.Core, r.Log)
@@ -285,13 +289,14 @@
 	r.Advance(memberSilenceTimeout - time.Second)
 	handOffFlows(t, first, second)
 	if r.Core.ActiveRequests() != 1 || len(first.flows) != 0 || len(first.requests) != 0 || len(second.requests) != 1 {
-		t.Fatalf("held %d, %d left, %d taken", r.Core.ActiveRequests(), len(first.flows), len(second.flows))
+		t.Fatalf("after the handoff: %d active requests, %d flows left, %d flows adopted; want 1, 0, 1",
+			r.Core.ActiveRequests(), len(first.flows), len(second.flows))
 	}
 	r.Advance(2 * time.Second)
 	c.ExpectLines("MOVE")
 	c.ExpectEOF()
 
-	for _, unlike := range []func(*FlowHandoff){
+	for _, change := range []func(*FlowHandoff){
 		func(p *FlowHandoff) { p.Placement.Member = "unheard of" },
 		func(*FlowHandoff) { r.Drain(0) },
 	} {
@@ -299,7 +304,7 @@
 		m.Send("UP y\r\n")
 		c.ExpectLines("UP y")
 		first.HandOffFlows(1, func(p FlowHandoff, client, member int) {
-			unlike(&p)
+			change(&p)
 			second.AdoptFlow(p, client, member)
 		})
 		r.Advance(time.Millisecond)
--- a/internal/front/line/liveness_test.go
+++ b/internal/front/line/liveness_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// TestMemberSilent: a member that answers no line for too long is left, and the client
-// is migrated; one that answers is not.
+// TestMemberSilent checks that a client is migrated if its member answers no line for longer than
+// memberSilenceTimeout, and that a member that answers keeps the flow.
 func TestMemberSilent(t *testing.T) {
-	r, c, m := openedFlow(t)
+	r, c, m := startFlow(t)
 	c.Send("hello\r\n")
 	m.ExpectLines("hello")
 	r.Advance(memberSilenceTimeout)
@@ -24,25 +24,26 @@
 	c.ExpectLines("MOVE")
 	c.ExpectEOF()
 	if r.Core.ActiveRequests() != 0 {
-		t.Error("the flow is still held")
+		t.Error("the flow is still open, want it migrated")
 	}
 }
 
-// TestSilenceBound: whatever a member does and in which pieces lines come, a flow that brings nothing back is over
-// 7 s after the last line that came, whatever load it reports meanwhile; one that is answered stays, and one
-// whose member has sent its final command is over within a second although no end of the connection comes.
+// TestSilenceBound checks that a flow is closed within 7 s (maxSilence) of the member's last answer,
+// in whichever pieces the client's lines arrive and even if the member reports loads; that a flow
+// that is answered stays open; and that a flow whose member has sent BYE is closed within 1 s
+// (maxLinger) although the member does not close the connection.
 func TestSilenceBound(t *testing.T) {
 	for seed := range uint64(16) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		r, c, m := openedFlow(t)
+		r, c, m := startFlow(t)
 		const step = 100 * time.Millisecond
-		start, back := r.Now(), r.Now()
-		stops := start + time.Duration(rng.IntN(120))*step
-		next, pieces, half, parting := start+time.Duration(rng.IntN(20))*step, []string(nil), false, time.Duration(0)
+		start, lastAnswer := r.Now(), r.Now()
+		answersUntil := start + time.Duration(rng.IntN(120))*step
+		nextLine, pieces, answerSplit, finalCommandAt := start+time.Duration(rng.IntN(20))*step, []string(nil), false, time.Duration(0)
 		for r.Core.ActiveRequests() > 0 {
 			now := r.Now()
-			if now >= next { // the client's next line, in up to three pieces
-				next = now + clientInterval
+			if now >= nextLine { // the client's next line, in up to three pieces
+				nextLine = now + clientInterval
 				pieces = append(pieces, []string{"line\r\n", "li", "l"}[rng.IntN(3)])
 				if joined := pieces[len(pieces)-1]; joined != "line\r\n" {
 					pieces = append(pieces, strings.TrimPrefix("line\r\n", joined))
@@ -51,45 +52,46 @@
 			if len(pieces) > 0 && c.EndErr == nil {
 				c.Send(pieces[0])
 				pieces = pieces[1:]
-				r.WaitFor("the client's bytes", func() bool { m.Poll(); return bytes.Contains(m.Received, []byte("l")) || r.Core.ActiveRequests() == 0 })
+				r.WaitFor("the member to receive the client's bytes", func() bool { m.Poll(); return bytes.Contains(m.Received, []byte("l")) || r.Core.ActiveRequests() == 0 })
 			}
 			switch {
-			case now < stops:
+			case now < answersUntil:
 				if bytes.Contains(m.Received, []byte("\n")) {
 					m.Send("back\r\n")
-					back, m.Received = now, nil
+					lastAnswer, m.Received = now, nil
 				}
-			case half || parting > 0:
+			case answerSplit || finalCommandAt > 0:
 			case seed%4 == 0:
 				m.Send("LOAD 7\r\n")
 			case seed%4 == 1 && bytes.Contains(m.Received, []byte("\n")):
 				m.Send("bac")
-				half = true
+				answerSplit = true
 			case seed%4 == 2:
 				m.Send("BYE\r\n")
-				parting = now
+				finalCommandAt = now
 			}
-			if now == back && now > start {
-				r.WaitFor("the answer", func() bool { c.Poll(); return len(c.Received) > 0 })
+			if now == lastAnswer && now > start {
+				r.WaitFor("the client to receive the answer", func() bool { c.Poll(); return len(c.Received) > 0 })
 			}
 			c.Received = nil
 			r.Advance(step)
-			if r.Core.ActiveRequests() == 0 && r.Now() < stops {
-				t.Fatalf("seed %d: a flow that was answered is over", seed)
+			if r.Core.ActiveRequests() == 0 && r.Now() < answersUntil {
+				t.Fatalf("seed %d: the flow ended while the member was answering", seed)
 			}
-			if late := r.Now() - back; late > maxSilence-step {
-				t.Fatalf("seed %d: still held %v after the last line", seed, late)
+			if late := r.Now() - lastAnswer; late > maxSilence-step {
+				t.Fatalf("seed %d: the flow is still open %v after the last answer, want at most %v", seed, late, maxSilence-step)
 			}
-			if late := r.Now() - parting; parting > 0 && late > maxLinger {
-				t.Fatalf("seed %d: still held %v after its last word", seed, late)
+			if late := r.Now() - finalCommandAt; finalCommandAt > 0 && late > maxLinger {
+				t.Fatalf("seed %d: the flow is still open %v after BYE, want at most %v", seed, late, maxLinger)
 			}
 		}
 	}
 }
 
-// TestPartialLineIsNotSilence: a client that takes long over a line is not sent away for the member's silence, nor as the line ends.
+// TestPartialLineIsNotSilence checks that a client that takes long to complete a line is not migrated
+// for the member's silence, neither before nor when the line ends.
 func TestPartialLineIsNotSilence(t *testing.T) {
-	r, c, m := openedFlow(t)
+	r, c, m := startFlow(t)
 	c.Send("hel")
 	m.Expect("hel")
 	for range 30 {
@@ -102,13 +104,14 @@
 	c.ExpectLines("well")
 	r.Advance(sweepInterval)
 	if r.Core.ActiveRequests() != 1 {
-		t.Error("the flow is over")
+		t.Error("the flow has ended, want it open")
 	}
 }
 
-// TestClientGone: a client's machine that vanished must not occupy a flow for ever.
+// TestClientGone checks that the flow of a client that has sent nothing for clientSilenceTimeout is
+// closed, so that a client whose machine has failed does not keep a flow forever.
 func TestClientGone(t *testing.T) {
-	r, c, m := openedFlow(t)
+	r, c, m := startFlow(t)
 	r.Advance(clientSilenceTimeout)
 	c.Send("still here\r\n")
 	m.ExpectLines("still here")
@@ -118,6 +121,6 @@
 	r.Advance(sweepInterval)
 	m.ExpectEOF()
 	if r.Core.ActiveRequests() != 0 {
-		t.Error("the flow is still held")
+		t.Error("the flow is still open, want it closed")
 	}
 }
--- a/internal/front/line/long_idle_test.go
+++ b/internal/front/line/long_idle_test.go
@@ -8,19 +8,19 @@
 	"dahliarudder/policy"
 )
 
-// TestLongIdle: after hours without any event the first request is served by its first attempt; a fault that
-// begins then is handled as at any time: a member that drains gets nothing, a silent one is left in time, a client that closes is
-// noticed.
+// TestLongIdle checks that after hours without any event the first request is served by its first
+// attempt, and that faults are handled as usual: a silent member loses its flow in time, a member that
+// drains gets no attempt, and a client's close ends its attempt.
 func TestLongIdle(t *testing.T) {
 	for _, quiet := range []time.Duration{time.Hour, 30 * 24 * time.Hour} {
 		g := newRig(t, 2)
 		for range 100 {
 			g.Advance(quiet / 100)
 		}
-		c, at, m := g.flowAnywhere()
+		c, at, m := g.openFlowAtAnyMember()
 		c.Send("a line\r\n")
 		m.ExpectLines("a line")
-		for range 7 * 4 { // nothing comes back
+		for range 7 * 4 { // the member sends nothing back
 			g.Advance(sweepInterval)
 		}
 		c.ExpectLines("MOVE")
@@ -31,27 +31,28 @@
 		g.setMemberState(at, policy.Draining)
 		before := g.Core.Counts.Attempts
 		c = g.sendRequest(firstLine)
-		other, m := g.anyAttempt()
+		other, m := g.acceptAnyAttempt()
 		if other == at {
-			t.Errorf("%v: an attempt at a member that drains", quiet)
+			t.Errorf("after %v: an attempt was sent to a draining member", quiet)
 		}
 		c.CloseWrite()
 		c.ExpectLines("BUSY")
 		c.ExpectEOF()
 		m.ExpectReset()
-		g.unsent()
-		g.clean()
+		g.expectNothingSent()
+		g.expectNoLeaks()
 		if g.Core.Counts.Attempts != before+1 {
-			t.Errorf("%v: %d attempts, %d before", quiet, g.Core.Counts.Attempts, before)
+			t.Errorf("after %v: %d attempts, want %d", quiet, g.Core.Counts.Attempts, before+1)
 		}
 	}
 }
 
-// flowAnywhere is a client whose flow is open, and its member.
-func (g *rig) flowAnywhere() (c *looptest.Peer, at int, m *looptest.Peer) {
+// openFlowAtAnyMember opens a flow and returns its client, the index of its member, and the member's
+// end.
+func (g *rig) openFlowAtAnyMember() (c *looptest.Peer, at int, m *looptest.Peer) {
 	g.T.Helper()
 	c = g.sendRequest(firstLine)
-	at, m = g.anyAttempt()
+	at, m = g.acceptAnyAttempt()
 	m.Send("UP x\r\n")
 	c.ExpectLines("UP x")
 	return c, at, m
--- a/internal/front/line/member_change_test.go
+++ b/internal/front/line/member_change_test.go
@@ -7,8 +7,8 @@
 	"dahliarudder/policy"
 )
 
-// TestSuspicionWhileDialing: an attempt whose connection comes up during a suspicion is not sent on it. After that the
-// request continues.
+// TestSuspicionWhileDialing checks that nothing is sent on a connection that is established while
+// dispatch is paused, and that the request continues after that.
 func TestSuspicionWhileDialing(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.sendRequest(firstLine)
@@ -16,35 +16,35 @@
 	for range 4 {
 		g.RunOnce()
 	}
-	if dialled := g.pending(0); dialled != nil {
+	if dialled := g.pendingConn(0); dialled != nil {
 		buffer := make([]byte, 100)
 		if n, _ := dialled.Read(buffer); n > 0 {
-			t.Errorf("the member was sent %q amid the doubt", buffer[:n])
+			t.Errorf("member received %q while dispatch was paused, want nothing", buffer[:n])
 		}
 	}
 	g.Core.ResumeDispatch()
-	for range 8 { // the module looks for a place again
+	for range 8 { // time for the policy to pick a member again
 		g.Advance(50 * time.Millisecond)
 	}
-	m := g.attempt(0)
+	m := g.acceptAttempt(0)
 	m.Send("UP x\r\n")
 	c.ExpectLines("UP x")
 }
 
-// TestUpAtDraining: a flow that comes up at a member that has begun to drain since is moved off it.
+// TestUpAtDraining checks that a flow is migrated if its member began to drain before it answered UP.
 func TestUpAtDraining(t *testing.T) {
 	g := newRig(t, 1)
 	c := g.sendRequest(firstLine)
-	m := g.attempt(0)
+	m := g.acceptAttempt(0)
 	g.setMemberState(0, policy.Draining)
 	m.Send("UP x\r\n")
 	c.ExpectLines("UP x")
-	g.WaitFor("MOVE", func() bool {
+	g.WaitFor("the client to receive MOVE", func() bool {
 		g.Advance(50 * time.Millisecond)
 		c.Poll()
 		return len(c.Received) > 0 || g.Now() > time.Hour+4*time.Second
 	})
 	c.ExpectLines("MOVE")
 	c.ExpectEOF()
-	g.clean()
+	g.expectNoLeaks()
 }
--- a/internal/front/line/partial_line_test.go
+++ b/internal/front/line/partial_line_test.go
@@ -9,109 +9,111 @@
 	"dahliarudder/policy"
 )
 
-// badClientWithin is what the operators owe a client that stops in the middle of a request and stays: its error or the
-// end of its connection.
-const badClientWithin = 3 * time.Second
+// partialLineTimeout is the protocol's limit for a client that stops in the middle of its first line
+// and stays: within it, the client must be answered ERR or its connection closed.
+const partialLineTimeout = 3 * time.Second
 
-// TestPartialLineAfterPong: a client that was answered PONG and stops within its next line is answered ERR as soon as one
-// that was not; one that sends the rest in time is served, and another PING lets it be idle again.
+// TestPartialLineAfterPong checks that a client that was answered PONG and stops in the middle of its
+// next line is answered ERR as soon as a new one would be, that a client that sends the rest in time
+// is served, and that a client that sends another PING may be idle again.
 func TestPartialLineAfterPong(t *testing.T) {
-	for name, pings := range map[string]int{"one PONG": 1, "three": 3} {
+	for name, pings := range map[string]int{"one PONG": 1, "three PONGs": 3} {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1)
-			stays, goesOn, rests := g.Dial(g.addr), g.Dial(g.addr), g.Dial(g.addr)
-			all := []*looptest.Peer{stays, goesOn, rests}
+			stops, completes, pingsAgain := g.Dial(g.addr), g.Dial(g.addr), g.Dial(g.addr)
+			all := []*looptest.Peer{stops, completes, pingsAgain}
 			for range pings {
 				for _, c := range all {
 					c.Send("PING\r\n")
 					c.ExpectLines("PONG")
 				}
 			}
-			g.Advance(20 * time.Second) // they rest, as they may
-			stays.Send(firstLine[:20])
-			goesOn.Send(firstLine[:20])
-			rests.Send("PI")
+			g.Advance(20 * time.Second) // less than idleTimeout
+			stops.Send(firstLine[:20])
+			completes.Send(firstLine[:20])
+			pingsAgain.Send("PI")
 			g.RunOnce()
 			g.RunOnce()
-			g.Advance(badClientWithin / 2)
-			goesOn.Send(firstLine[20:] + "\r\n")
-			rests.Send("NG\r\n")
-			rests.ExpectLines("PONG")
-			g.attempt(0).Send("UP x\r\n")
-			goesOn.ExpectLines("UP x")
-			g.Advance(badClientWithin / 2)
-			if len(g.f.idle) != 1 {
-				t.Fatalf("%d connections without a first line, want the resting one", len(g.f.idle))
+			g.Advance(partialLineTimeout / 2)
+			completes.Send(firstLine[20:] + "\r\n")
+			pingsAgain.Send("NG\r\n")
+			pingsAgain.ExpectLines("PONG")
+			g.acceptAttempt(0).Send("UP x\r\n")
+			completes.ExpectLines("UP x")
+			g.Advance(partialLineTimeout / 2)
+			if len(g.front.idle) != 1 {
+				t.Fatalf("%d idle connections, want only the one that was answered PONG again", len(g.front.idle))
 			}
-			stays.ExpectLines("ERR")
-			stays.ExpectEOF()
+			stops.ExpectLines("ERR")
+			stops.ExpectEOF()
 			g.Advance(20 * time.Second)
-			if len(g.f.idle) != 1 {
-				t.Error("a client that was answered PONG once more may rest")
+			if len(g.front.idle) != 1 {
+				t.Error("the connection that was answered PONG again was closed before idleTimeout")
 			}
 		})
 	}
 }
 
-// waitingClients is the situations in which a request waits for its answer, each with what brings it about.
+// waitingClients are the situations in which a request waits for its answer, each with a function that
+// brings it about and returns the client.
 var waitingClients = map[string]func(g *rig) *looptest.Peer{
-	"held":    func(g *rig) *looptest.Peer { g.setMemberState(0, policy.Draining); return g.sendRequest(firstLine) },
-	"doubted": func(g *rig) *looptest.Peer { g.Core.PauseDispatch(); return g.sendRequest(firstLine) },
-	"dialled": func(g *rig) *looptest.Peer {
+	"queued":          func(g *rig) *looptest.Peer { g.setMemberState(0, policy.Draining); return g.sendRequest(firstLine) },
+	"dispatch paused": func(g *rig) *looptest.Peer { g.Core.PauseDispatch(); return g.sendRequest(firstLine) },
+	"dialling": func(g *rig) *looptest.Peer {
 		g.setMemberState(0, policy.Gone)
-		g.addMember(fullQueue(g.T))
+		g.addMember(fullBacklogAddr(g.T))
 		return g.sendRequest(firstLine)
 	},
-	"asked": func(g *rig) *looptest.Peer { c := g.sendRequest(firstLine); g.attempt(0); return c },
+	"sent to a member": func(g *rig) *looptest.Peer { c := g.sendRequest(firstLine); g.acceptAttempt(0); return c },
 	"half answered": func(g *rig) *looptest.Peer {
 		c := g.sendRequest(firstLine)
-		g.attempt(0).Send("UP ")
+		g.acceptAttempt(0).Send("UP ")
 		g.RunOnce()
 		return c
 	},
 	"between two attempts": func(g *rig) *looptest.Peer {
 		c := g.sendRequest(firstLine)
-		g.attempt(0).Send("BUSY\r\n")
-		g.WaitFor("the answer", func() bool { return g.Core.FlowCount(1) == 0 })
+		g.acceptAttempt(0).Send("BUSY\r\n")
+		g.WaitFor("the attempt to end", func() bool { return g.Core.FlowCount(1) == 0 })
 		return c
 	},
-	"with bytes behind its line": func(g *rig) *looptest.Peer {
+	"with data after its first line": func(g *rig) *looptest.Peer {
 		c := g.sendRequest(firstLine + "\r\nmore")
-		g.attempt(0)
+		g.acceptAttempt(0)
 		return c
 	},
 }
 
-// TestClientHalfCloses: a client that ends its sending after its request may have gone, so no attempt begins; or it
-// waits for its answer, so it gets one before the end of its connection.
+// TestClientHalfCloses checks a client that closes its sending side after its request. It may be gone,
+// so no further attempt is made; it may also still read, so it is answered BUSY before the close.
 func TestClientHalfCloses(t *testing.T) {
-	for name, bring := range waitingClients {
+	for name, setUp := range waitingClients {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t, 1)
-			c := bring(g)
+			c := setUp(g)
 			before := g.Core.Counts.Attempts
 			c.CloseWrite()
 			c.ExpectLines("BUSY")
 			c.ExpectEOF()
 			if n := g.Core.Counts; n.Attempts != before || n.ClientsGone != 1 {
-				t.Errorf("%+v, %d attempts before", n, before)
+				t.Errorf("counts = %+v, want Attempts %d and ClientsGone 1", n, before)
 			}
 			g.Core.ResumeDispatch()
-			g.unsent()
-			g.clean()
+			g.expectNothingSent()
+			g.expectNoLeaks()
 		})
 	}
-	t.Run("at once with its request", func(t *testing.T) {
+	t.Run("together with its request", func(t *testing.T) {
 		g := newRig(t, 1)
 		c := g.Dial(g.addr)
 		c.Send(firstLine + "\r\n")
 		c.CloseWrite()
 		c.ExpectLines("BUSY")
 		c.ExpectEOF()
-		g.unsent()
-		g.clean()
+		g.expectNothingSent()
+		g.expectNoLeaks()
 		if n := g.Core.Counts; n != (core.Counts{Requests: 1, Attempts: n.Attempts, ClientsGone: 1}) {
-			t.Errorf("%+v", n)
+			t.Errorf("counts = %+v, want Requests 1, ClientsGone 1 and no other answer", n)
 		}
 	})
 }
--- a/internal/front/line/report_test.go
+++ b/internal/front/line/report_test.go
@@ -7,8 +7,8 @@
 	"dahliarudder/policy"
 )
 
-// TestNoReport: a flow on which the member has sent no load report ends with none. One of zeros would say that
-// the member is idle, just as it resets its flows.
+// TestNoReport checks that a flow whose member has sent no load report ends with policy.NoReport, also
+// after a handoff. A report of zeros would describe as idle a member that may be resetting its flows.
 func TestNoReport(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	first, second := New(r.Loop, r.Core, r.Log), New(r.Loop, r.Core, r.Log)
@@ -17,11 +17,11 @@
 	c.ExpectLines("UP x")
 	for _, f := range []*Front{first, second} {
 		if len(f.flows) != 1 {
-			t.Fatalf("%d open flows", len(f.flows))
+			t.Fatalf("%d open flows, want 1", len(f.flows))
 		}
-		for v := range f.flows {
-			if v.upstream.report != policy.NoReport {
-				t.Errorf("a flow with no report would end with %+v", v.upstream.report)
+		for conn := range f.flows {
+			if conn.upstream.report != policy.NoReport {
+				t.Errorf("report of a flow without a load report = %+v, want policy.NoReport", conn.upstream.report)
 			}
 		}
 		handOffFlows(t, first, second)
--- a/internal/front/line/shutdown_test.go
+++ b/internal/front/line/shutdown_test.go
@@ -8,8 +8,8 @@
 	"dahliarudder/internal/netloop/looptest"
 )
 
-// TestMemberLeftWhileDialing: a member that has left while the connection to it was on its way gets no line on it, and
-// the request goes to another member.
+// TestMemberLeftWhileDialing checks that a member that leaves while a connection to it is being set up
+// receives nothing on it, and that the request goes to another member.
 func TestMemberLeftWhileDialing(t *testing.T) {
 	r := looptest.NewRelay(t, 2)
 	f := New(r.Loop, r.Core, r.Log)
@@ -20,7 +20,7 @@
 	if r.Core.FlowCount(r.Members[1].ID) == 1 {
 		first = 1
 	}
-	r.Drain(first) // before the loop's next iteration, in which the connection is open
+	r.Drain(first) // before the loop iteration in which the connection is established
 	for {
 		i, m := r.AcceptAny(0)
 		if i == first {
@@ -28,7 +28,7 @@
 			continue
 		}
 		if got := m.ReadLine(); !strings.HasPrefix(got, "OPEN 00000000000000aa") {
-			t.Fatalf("got %q", got)
+			t.Fatalf("member received %q, want the client's OPEN", got)
 		}
 		m.Send("UP x\r\n")
 		c.ExpectLines("UP x")
@@ -36,51 +36,52 @@
 	}
 }
 
-// TestOpenWhileMigrating: a client whose migration waits for the end of a line stays open until it has got MOVE, so that a shutdown
-// does not end before.
+// TestOpenWhileMigrating checks that a request counts as open until its client has been sent a MOVE
+// that waits for the end of a line, so that a shutdown does not end before that.
 func TestOpenWhileMigrating(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	f := New(r.Loop, r.Core, r.Log)
 	c, m := sendOpenTo(r, f)
 	m.Send("UP x\r\nhalf a ")
 	c.ExpectLines("UP x")
-	r.WaitFor("half a line", func() bool { c.Poll(); return string(c.Received) == "half a " })
+	r.WaitFor("half a line at the client", func() bool { c.Poll(); return string(c.Received) == "half a " })
 	r.Core.Stop()
 	r.Core.FinishStop()
 	if r.Core.ActiveRequests() != 0 || f.OpenRequests() != 1 {
-		t.Fatalf("the core holds %d, the front %d", r.Core.ActiveRequests(), f.OpenRequests())
+		t.Fatalf("core has %d active requests, front has %d open; want 0 and 1", r.Core.ActiveRequests(), f.OpenRequests())
 	}
 	m.Send("line\r\n")
 	c.ExpectLines("half a line", "MOVE")
 	c.ExpectEOF()
 	if f.OpenRequests() != 0 {
-		t.Errorf("the front holds %d", f.OpenRequests())
+		t.Errorf("OpenRequests() = %d after MOVE, want 0", f.OpenRequests())
 	}
 }
 
-// TestCloseIdle: at the end of a shutdown an idle connection is closed with an answer, which is also that of a request
-// that arrives just then; it is never sent on.
+// TestCloseIdle checks that at the end of a shutdown an idle connection is answered BUSY and closed,
+// and that a request that arrives at that moment has this answer too and is not sent to a member.
 func TestCloseIdle(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	f := New(r.Loop, r.Core, r.Log)
 	at := r.Serve(f.Accept)
-	resting, asking := r.Dial(at), r.Dial(at)
-	resting.Send("PING\r\n")
-	resting.Expect("PONG\r\n")
-	r.WaitFor("both", func() bool { return len(f.idle) == 2 })
+	idle, sending := r.Dial(at), r.Dial(at)
+	idle.Send("PING\r\n")
+	idle.Expect("PONG\r\n")
+	r.WaitFor("both connections to be accepted", func() bool { return len(f.idle) == 2 })
 	r.Core.Stop()
-	asking.Send(firstLine + "\r\n")
+	sending.Send(firstLine + "\r\n")
 	f.CloseIdle()
-	for _, c := range []*looptest.Peer{resting, asking} {
+	for _, c := range []*looptest.Peer{idle, sending} {
 		c.Expect("BUSY 500\r\n")
 		c.ExpectEOF()
 	}
 	if r.Core.Counts.Attempts != 0 || len(f.idle) != 0 {
-		t.Errorf("%d attempts, %d fresh", r.Core.Counts.Attempts, len(f.idle))
+		t.Errorf("%d attempts and %d idle connections, want 0 and 0", r.Core.Counts.Attempts, len(f.idle))
 	}
 }
 
-// TestClientGoneUndelivered: a client that has sent more than is buffered, and has gone, is noticed, and its attempt given up.
+// TestClientGoneUndelivered checks that the relay notices the close of a client that has sent more
+// than is buffered, and abandons its attempt.
 func TestClientGoneUndelivered(t *testing.T) {
 	r := looptest.NewRelay(t, 1)
 	f := New(r.Loop, r.Core, r.Log)
@@ -88,9 +89,9 @@
 	c.Send(firstLine + "\r\n" + strings.Repeat("x", 2*netloop.DefaultReadLimit))
 	c.CloseWrite()
 	_, m := r.AcceptAny(0)
-	r.WaitFor("the client's end", func() bool { return r.Core.Counts.ClientsGone == 1 })
-	r.WaitFor("the attempt's end", func() bool { m.Poll(); return m.EndErr != nil })
+	r.WaitFor("the core to count the client as gone", func() bool { return r.Core.Counts.ClientsGone == 1 })
+	r.WaitFor("the attempt's connection to end", func() bool { m.Poll(); return m.EndErr != nil })
 	if f.OpenRequests() != 0 || r.Core.ActiveRequests() != 0 {
-		t.Errorf("the front holds %d, the core %d", f.OpenRequests(), r.Core.ActiveRequests())
+		t.Errorf("front has %d open requests, core has %d active; want 0 and 0", f.OpenRequests(), r.Core.ActiveRequests())
 	}
 }
--- a/internal/front/line/state_test.go
+++ b/internal/front/line/state_test.go
@@ -6,13 +6,14 @@
 	"dahliarudder/policy"
 )
 
-// TestClientStates walks all states and events of a client connection: what ends it leaves it closed, nothing
-// is done once it is closed, and each action comes only where the protocol allows it.
+// TestClientStates checks all states and events of a client connection: each action that ends the
+// connection leads to clientClosed, a closed connection does nothing, and each action occurs only in
+// the states in which the protocol allows it.
 func TestClientStates(t *testing.T) {
 	ends := map[clientAction]bool{sendError: true, sendBusy: true, closeClient: true, resetClient: true, cancelRequest: true,
 		closeFlow: true, resetFlow: true, sendMove: true, closeBothSides: true, finishAttempt: true}
 	hasFlow := func(s clientState) bool { return s.isOpen() || s == clientFlushingToClient }
-	from := map[clientAction]func(clientState) bool{
+	allowedIn := map[clientAction]func(clientState) bool{
 		sendPong: clientState.awaitsFirstLine, placeRequest: clientState.awaitsFirstLine,
 		awaitFirstLine: func(s clientState) bool { return s == clientIdle },
 		sendError:      func(s clientState) bool { return !s.isOpen() },
@@ -29,72 +30,74 @@
 		for e := eventPing; e <= eventMemberReset; e++ {
 			next, action := s.next(e)
 			if s == clientClosed && (next != s || action != doNothing) {
-				t.Errorf("event %d on a closed connection: state %d, action %d", e, next, action)
+				t.Errorf("event %d on a closed connection: next state %d, action %d; want no change and no action", e, next, action)
 			}
 			if ends[action] != (next == clientClosed && s != clientClosed) {
-				t.Errorf("event %d in state %d: state %d by action %d", e, s, next, action)
+				t.Errorf("event %d in state %d: next state %d with action %d; want the closed state with an ending action only", e, s, next, action)
 			}
-			if only := from[action]; only != nil && !only(s) {
-				t.Errorf("event %d in state %d: action %d", e, s, action)
+			if allowed := allowedIn[action]; allowed != nil && !allowed(s) {
+				t.Errorf("event %d in state %d: action %d is not allowed in this state", e, s, action)
 			}
 		}
 		for _, gone := range []clientEvent{eventClientEOF, eventClientReset} {
 			if next, _ := s.next(gone); next != clientClosed && next != clientFlushingToMember {
-				t.Errorf("state %d once the client has gone: %d", s, next)
+				t.Errorf("event %d in state %d: next state %d, want closed or flushing to the member", gone, s, next)
 			}
 		}
 	}
 }
 
-// TestClientRulesUnique: no two rules are for the same state and event, where the later one would win silently.
+// TestClientRulesUnique checks that no two rules are for the same state and event: the later one
+// would silently replace the earlier one.
 func TestClientRulesUnique(t *testing.T) {
 	var seen [clientStateCount][clientEventCount]bool
 	for _, r := range clientRules {
 		for _, s := range r.in {
 			if seen[s][r.on] {
-				t.Errorf("two rules for event %d in state %d", r.on, s)
+				t.Errorf("clientRules has two rules for event %d in state %d", r.on, s)
 			}
 			seen[s][r.on] = true
 		}
 	}
 }
 
-// TestAttemptStates walks all states and events of an attempt: it has one result, at its end, and none twice.
+// TestAttemptStates checks all states and events of an attempt: it has exactly one result, which is
+// reported when it is finished.
 func TestAttemptStates(t *testing.T) {
 	for s := attemptDialing; s <= attemptFinished; s++ {
 		for e := eventConnected; e <= eventAbandoned; e++ {
 			next, _, ended := s.next(e)
 			if ended != (next == attemptFinished && s != attemptFinished) {
-				t.Errorf("event %d in state %d: state %d, ended %v", e, s, next, ended)
+				t.Errorf("event %d in state %d: next state %d, ended = %v; want ended with the change to finished only", e, s, next, ended)
 			}
 			if s.isOpen() && !next.isOpen() && next != attemptFinished {
-				t.Errorf("event %d on an open flow: state %d", e, next)
+				t.Errorf("event %d on an open flow: next state %d, want open or finished", e, next)
 			}
 		}
 	}
 	for command, want := range map[string]policy.Result{"": policy.Reset, "BYE": policy.OK, "MOVE": policy.Cancelled} {
 		s := openStateAfter(command)
 		if s.finalCommand() != command {
-			t.Errorf("%q became %q", command, s.finalCommand())
+			t.Errorf("openStateAfter(%q).finalCommand() = %q", command, s.finalCommand())
 		}
 		if _, result, ended := s.next(eventConnLost); !ended || result != want {
-			t.Errorf("a flow that ends after %q: %v", command, result)
+			t.Errorf("connection lost after final command %q: result %v, ended = %v; want %v, true", command, result, ended, want)
 		}
 	}
 }
 
-// TestHealthCheckStates walks all states and events of a health check: it begins only where no answer is pending, and an answer
-// that was owed is, whatever ends it, owed no more.
+// TestHealthCheckStates checks all states and events of a health check: a check begins only where
+// none is pending, and every event that ends a pending check leaves it not pending.
 func TestHealthCheckStates(t *testing.T) {
 	for s := checkDisconnected; s <= checkPendingReused; s++ {
 		for e := eventCheckDue; e <= eventCheckIdleTimeout; e++ {
 			next := s.next(e)
 			if !s.isPending() && next.isPending() != (e == eventCheckDue || e == eventCheckDueReusable && s == checkConnIdle) {
-				t.Errorf("event %d in state %d: state %d", e, s, next)
+				t.Errorf("event %d in idle state %d: next state %d, want a pending state only if a check is due", e, s, next)
 			}
 			if s.isPending() && !next.isPending() != (e == eventCheckAnswered || e == eventCheckFailed || e == eventCheckConnLost || e == eventCheckIdleTimeout ||
 				e == eventCheckConnLostRetryable && s != checkPendingReused) {
-				t.Errorf("event %d in state %d: state %d", e, s, next)
+				t.Errorf("event %d in pending state %d: next state %d, want a state that is not pending only if the event ends the check", e, s, next)
 			}
 		}
 	}
