--- a/cmd/dahliarudder/build.go
+++ b/cmd/dahliarudder/build.go
@@ -65,13 +65,13 @@
 // buildCore makes the endpoint watch and the core, which call each other.
 func (r *relay) buildCore() {
 	cfg, loop := r.cfg, r.loop
-	r.watch = &pool.Watcher{Loop: loop, Addr: cfg.Discovery, Log: r.log, Mapper: r.names,
+	r.watch = &pool.Watcher{Loop: loop, Addr: cfg.Discovery, Log: r.log, Mapper: r.mapper,
 		Dial: loop.NewDescriptorReserve(pool.MaxDescriptors).Dial, Random: newRandom(cfg.SeedNumber())}
-	var ledger core.Recorder
+	var recorder core.Recorder
 	if r.store != nil { // a nil *store.Store in the interface would not be nil
-		ledger = r.store
+		recorder = r.store
 	}
-	r.core = core.New(core.Options{Settings: r.names.Settings, Seed: cfg.SeedNumber(), Clock: r.clock, LoopTime: loop.RoundStart, Recorder: ledger,
+	r.core = core.New(core.Options{Settings: r.mapper.Settings, Seed: cfg.SeedNumber(), Clock: r.clock, LoopTime: loop.RoundStart, Recorder: recorder,
 		Watch: r.watch.Start, FeedMemoryLimit: int(cfg.Limits.MemoryMB * feedMemoryFraction * (1 << 20)),
 		Probe: r.checkHealth, Wake: r.scheduleTick})
 	r.watch.OnUpdate = r.core.UpdateMembers
@@ -120,7 +120,7 @@
 	upgrading := r.inheritedState != nil
 	if known := r.cfg.KnownList(); known != nil && !upgrading {
 		r.watch.SetInitialList(known)
-		r.core.UpdateMembers(policy.ListCached, r.names.Members(known))
+		r.core.UpdateMembers(policy.ListCached, r.mapper.Members(known))
 	}
 	r.restorePredecessorState()
 	switch {
--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -42,13 +42,13 @@
 // startFleet starts the fleet record. Until the record has caught up nothing is dispatched, for catchUpTimeout at most: a member may
 // have been ejected while this relay was down.
 func (r *relay) startFleet(c fleet.Config) error {
-	set := r.names.Settings
+	set := r.mapper.Settings
 	program := cmp.Or(c.Program, version+"-"+fileDigest(os.Executable))
 	zone := ""
 	if set.Zone >= 0 && set.Zone < len(set.Zones) {
 		zone = string(set.Zones[set.Zone])
 	}
-	r.trial, r.configDigests = newCanaryTrial(r), r.cfg.Sections()
+	r.canary, r.configDigests = newCanaryState(r), r.cfg.Sections()
 	var err error
 	r.fleet, err = fleet.Start(fleet.Options{Config: c, Name: r.cfg.Name, Zone: zone, Incarnation: r.peers.Incarnation(), Program: program,
 		ConfigDigest: r.cfg.Digest(), Keys: r.cfg.Peers.Keys(), SlowStartShare: set.Guarantees.SlowStartMinCapacity, SlowStartDuration: settings.Duration(set.Guarantees.SlowStartDuration),
@@ -95,43 +95,43 @@
 // applyOrders applies the state that the fleet record wants of this relay.
 func (r *relay) applyOrders(o fleet.DesiredState) {
 	version := o.RecordVersion
-	r.trial.applyOrders(o)
-	out := map[string]core.Removal{}
+	r.canary.applyOrders(o)
+	removals := map[string]core.Removal{}
 	for name, i := range o.Exclusions {
-		out[name] = core.Removal{SpreadOver: time.Duration(i.MigrateOverMS) * time.Millisecond, Ejection: i.Reason == rollout.ExcludedByEjection}
+		removals[name] = core.Removal{SpreadOver: time.Duration(i.MigrateOverMS) * time.Millisecond, Ejection: i.Reason == rollout.ExcludedByEjection}
 	}
 	if o.MajorityConfirmed {
 		defer r.finishCatchUp()
 	}
-	names := slices.Sorted(maps.Keys(out))
-	if !slices.Equal(names, r.fleetEjected) {
+	names := slices.Sorted(maps.Keys(removals))
+	if !slices.Equal(names, r.excludedByFleet) {
 		r.log.WithFields(logrus.Fields{"out": names, "version": version}).Info("fleet: members that are out")
 	}
-	r.core.SetFleetRemovals(out)
-	r.fleetEjected, r.recordVersion, r.permits = names, version, o.PermitsVersion
-	mine := o.Leave != nil && o.Leave.StartNumber >= r.peers.Incarnation() // else it was for the process before this one
+	r.core.SetFleetRemovals(removals)
+	r.excludedByFleet, r.recordVersion, r.permitsVersion = names, version, o.PermitsVersion
+	leaveApplies := o.Leave != nil && o.Leave.StartNumber >= r.peers.Incarnation() // else it was for the process before this one
 	switch {
-	case mine && r.shutdownOrder == nil:
+	case leaveApplies && r.shutdownOrder == nil:
 		r.log.WithFields(logrus.Fields{"release": o.Leave.Release, "number": o.Leave.Number}).Info("fleet: ordered to leave")
 		r.shutdownOrder = &shutdownOrder{o.Leave.Number, r.loop.Now()}
 		r.applyDrainState()
 		r.exitWhenDrained()
-	case !mine && r.shutdownOrder != nil && !r.stopping:
+	case !leaveApplies && r.shutdownOrder != nil && !r.stopping:
 		r.log.Info("fleet: may stay")
 		r.shutdownOrder = nil
 		r.applyDrainState()
 	}
-	shut := uint64(0)
+	quarantine := uint64(0)
 	if o.Quarantine != nil && o.Quarantine.StartNumber >= r.peers.Incarnation() {
-		shut = o.Quarantine.Number
+		quarantine = o.Quarantine.Number
 	}
-	if shut != r.quarantineOrder && !r.stopping {
-		if shut != 0 {
-			r.log.WithFields(logrus.Fields{"number": shut, "why": o.Quarantine.Reason}).Warn("fleet: shut")
+	if quarantine != r.quarantineOrder && !r.stopping {
+		if quarantine != 0 {
+			r.log.WithFields(logrus.Fields{"number": quarantine, "why": o.Quarantine.Reason}).Warn("fleet: shut")
 		} else {
 			r.log.Info("fleet: admitted")
 		}
-		r.quarantineOrder = shut
+		r.quarantineOrder = quarantine
 		r.applyDrainState()
 	}
 }
@@ -139,16 +139,16 @@
 // exitWhenDrained ends this relay once its clients have migrated and a majority confirms that the order still stands. Without a
 // majority it stays drained.
 func (r *relay) exitWhenDrained() {
-	l := r.shutdownOrder
+	order := r.shutdownOrder
 	r.loop.After(orderedDrainPoll, func() {
 		switch {
-		case r.shutdownOrder != l || r.stopping: // the order was revoked or replaced, or it ends already
-		case r.core.ActiveRequests() > 0 && r.loop.Now()-l.since < orderedDrainTimeout, r.loop.Now()-l.since < core.StopNotice:
+		case r.shutdownOrder != order || r.stopping: // the order was revoked or replaced, or it ends already
+		case r.core.ActiveRequests() > 0 && r.loop.Now()-order.since < orderedDrainTimeout, r.loop.Now()-order.since < core.StopNotice:
 			r.exitWhenDrained()
 		default:
-			r.fleet.ConfirmLeave(l.number, func(stands, confirmed bool) {
+			r.fleet.ConfirmLeave(order.number, func(stands, confirmed bool) {
 				switch {
-				case r.shutdownOrder != l || r.stopping:
+				case r.shutdownOrder != order || r.stopping:
 				case !stands || !confirmed:
 					r.exitWhenDrained()
 				default:
--- a/cmd/dahliarudder/fleet_status.go
+++ b/cmd/dahliarudder/fleet_status.go
@@ -14,27 +14,27 @@
 
 // fleetStatus is the state of this relay that the fleet record compares with the agreed one.
 func (r *relay) fleetStatus() fleet.ObservedState {
-	set, n := r.names.Settings, r.core.Counts
+	set, counts := r.mapper.Settings, r.core.Counts
 	list, _ := r.watch.Snapshot()
 	now := r.loop.Now()
-	if r.statusAt > 0 {
-		r.flowTime += time.Duration(r.core.ActiveRequests()) * (now - r.statusAt)
+	if r.lastStatusAt > 0 {
+		r.flowTime += time.Duration(r.core.ActiveRequests()) * (now - r.lastStatusAt)
 	}
-	r.statusAt = now
-	l := fleet.ObservedState{Phase: fleet.RelayServing, Flows: r.core.ActiveRequests(), DemandMS: uint64((r.flowTime + n.BackoffTime).Milliseconds()), ServedMS: uint64(r.flowTime.Milliseconds()), MisroutedFlows: uint64(n.SentAfterGrace),
-		LocalEjections: r.core.Ejected(), AppliedExclusions: r.fleetEjected, AppliedVersion: r.recordVersion, ListGeneration: list.Generation, ConfigSections: r.configDigests, PermitsVersion: r.permits, QuarantineOrder: r.quarantineOrder}
+	r.lastStatusAt = now
+	observed := fleet.ObservedState{Phase: fleet.RelayServing, Flows: r.core.ActiveRequests(), DemandMS: uint64((r.flowTime + counts.BackoffTime).Milliseconds()), ServedMS: uint64(r.flowTime.Milliseconds()), MisroutedFlows: uint64(counts.SentAfterGrace),
+		LocalEjections: r.core.Ejected(), AppliedExclusions: r.excludedByFleet, AppliedVersion: r.recordVersion, ListGeneration: list.Generation, ConfigSections: r.configDigests, PermitsVersion: r.permitsVersion, QuarantineOrder: r.quarantineOrder}
 	if r.reloadError != "" {
-		l.RejectedItems = map[string]string{drift.ItemConfig + ".settings": r.reloadError}
+		observed.RejectedItems = map[string]string{drift.ItemConfig + ".settings": r.reloadError}
 	}
 	switch {
 	case r.stopping:
-		l.Phase = fleet.RelayLeaving
+		observed.Phase = fleet.RelayLeaving
 	case !r.accepting || !r.core.HasUsableMember() || !r.caughtUp:
-		l.Phase = fleet.RelayStarting
+		observed.Phase = fleet.RelayStarting
 	case r.quarantineOrder != 0:
-		l.Phase = fleet.RelayQuarantined
+		observed.Phase = fleet.RelayQuarantined
 	case !r.core.AcceptsClients():
-		l.Phase = fleet.RelayDraining
+		observed.Phase = fleet.RelayDraining
 	}
 	for _, m := range r.core.Members() {
 		p := fleet.MemberState{Name: m.Name, DiscoveryState: stateNames[m.State], Flows: m.Flows, Capacity: m.Capacity, Successes: m.Successes, Failures: m.Failures}
@@ -42,14 +42,14 @@
 			p.Zone = string(set.Zones[m.Zone])
 		}
 		if m.Started != 0 {
-			p.StartedAt = r.names.StartTimes.UnixMilli(m.Name, m.Started)
+			p.StartedAt = r.mapper.StartTimes.UnixMilli(m.Name, m.Started)
 		}
-		l.Members = append(l.Members, p)
+		observed.Members = append(observed.Members, p)
 	}
-	l.CanaryVersion, l.CanaryCounts = r.trial.appliedVersion, r.trial.counts()
+	observed.CanaryVersion, observed.CanaryCounts = r.canary.appliedVersion, r.canary.counts()
 	for _, p := range r.peers.Peers() {
-		l.Peers = append(l.Peers, fleet.Peer{Name: p.Name, Zone: p.Zone, Alive: p.State <= gossip.Suspect, Gone: p.State >= gossip.Gone,
+		observed.Peers = append(observed.Peers, fleet.Peer{Name: p.Name, Zone: p.Zone, Alive: p.State <= gossip.Suspect, Gone: p.State >= gossip.Gone,
 			Serving: p.Phase == gossip.Serving, Incarnation: p.Incarnation})
 	}
-	return l
+	return observed
 }
--- a/cmd/dahliarudder/gossip.go
+++ b/cmd/dahliarudder/gossip.go
@@ -16,7 +16,7 @@
 
 // startGossip joins the gossip with the other relays.
 func (r *relay) startGossip(p config.Peers) {
-	set := r.names.Settings
+	set := r.mapper.Settings
 	zone := ""
 	if set.Zone >= 0 && set.Zone < len(set.Zones) {
 		zone = string(set.Zones[set.Zone])
@@ -37,7 +37,7 @@
 	}
 	r.peers = gossiptransport.New(gossiptransport.Options{Observations: func() gossip.Digest { return observations.Digest(r.clock()) }, Loop: r.loop, Log: r.log, Name: r.cfg.Name, Zone: zone, Listen: p.Listen, Address: p.Address,
 		Seeds: known, AddressOverrides: p.Reach, Keys: p.Keys(), Configured: max(set.Balancers, 1), Seed: r.cfg.SeedNumber(), WallClock: wallClock,
-		OnDivisorChange: r.core.SetActiveRelays, OnUserData: func(_ string, note []byte) { r.trial.onNotices(note) }, OnStaleList: func() {
+		OnDivisorChange: r.core.SetActiveRelays, OnUserData: func(_ string, data []byte) { r.canary.onNotices(data) }, OnStaleList: func() {
 			r.log.Warn("other relays hold a newer list; the endpoint list is polled again")
 			r.watch.Refresh(func() {})
 		},
--- a/cmd/dahliarudder/keys.go
+++ b/cmd/dahliarudder/keys.go
@@ -31,7 +31,7 @@
 		Short: "Write an authority of one's own and a certificate by it, for trials",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := trialCertificate(dir, hosts); err != nil {
+			if err := writeTestCertificate(dir, hosts); err != nil {
 				return err
 			}
 			cmd.Printf("%s: ca.pem for clients, relay.pem and relay.key for the relay; good for 90 days\n", dir)
@@ -62,7 +62,7 @@
 
 // trialCertificate writes ca.pem, relay.pem and relay.key. The authority's key is discarded, so
 // that nobody can sign with it later.
-func trialCertificate(dir string, hosts []string) error {
+func writeTestCertificate(dir string, hosts []string) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
@@ -86,22 +86,22 @@
 			relay.DNSNames = append(relay.DNSNames, h)
 		}
 	}
-	caText, err := x509.CreateCertificate(rand.Reader, ca, ca, &authority.PublicKey, authority)
+	caDER, err := x509.CreateCertificate(rand.Reader, ca, ca, &authority.PublicKey, authority)
 	if err != nil {
 		return err
 	}
-	relayText, err := x509.CreateCertificate(rand.Reader, relay, ca, &key.PublicKey, authority)
+	relayDER, err := x509.CreateCertificate(rand.Reader, relay, ca, &key.PublicKey, authority)
 	if err != nil {
 		return err
 	}
-	keyText, err := x509.MarshalECPrivateKey(key)
+	keyDER, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
 		return err
 	}
 	for _, f := range []struct {
 		name, kind string
 		text       []byte
-	}{{"ca.pem", "CERTIFICATE", caText}, {"relay.pem", "CERTIFICATE", relayText}, {"relay.key", "EC PRIVATE KEY", keyText}} {
+	}{{"ca.pem", "CERTIFICATE", caDER}, {"relay.pem", "CERTIFICATE", relayDER}, {"relay.key", "EC PRIVATE KEY", keyDER}} {
 		out, err := os.OpenFile(filepath.Join(dir, f.name), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 		if err != nil {
 			return err
--- a/cmd/dahliarudder/main.go
+++ b/cmd/dahliarudder/main.go
@@ -15,10 +15,10 @@
 )
 
 func main() {
-	caught := catchSignals() // first of all: until then a SIGHUP would end the process
+	sigs := catchSignals() // first of all: until then a SIGHUP would end the process
 	log := logrus.New()
 	log.SetOutput(os.Stderr)
-	err := command(log, caught).Execute()
+	err := command(log, sigs).Execute()
 	var ordered orderedExit
 	switch {
 	case errors.As(err, &ordered):
@@ -34,7 +34,7 @@
 
 // loadUnlessStopped reads the configuration. It returns neither a configuration nor an error if a signal to end comes first: nobody has
 // been served yet.
-func loadUnlessStopped(load func() (*config.Config, error), caught *signals) (*config.Config, error) {
+func loadUnlessStopped(load func() (*config.Config, error), sigs *signals) (*config.Config, error) {
 	type loaded struct {
 		config *config.Config
 		err    error
@@ -47,13 +47,13 @@
 	select {
 	case l := <-done:
 		return l.config, l.err
-	case <-caught.stop:
+	case <-sigs.stop:
 		return nil, nil
 	}
 }
 
 // command is the command line. Every sub-command but serve leaves signals to their default actions.
-func command(log *logrus.Logger, caught *signals) *cobra.Command {
+func command(log *logrus.Logger, sigs *signals) *cobra.Command {
 	root := &cobra.Command{
 		Use:           "dahliarudder",
 		Short:         "A relay that places long-lived connections on pool members",
@@ -70,29 +70,29 @@
 			log.SetLevel(logrus.DebugLevel)
 		}
 		if cmd.Name() != serveName {
-			caught.release()
+			sigs.release()
 		}
 	}
 	load := func() (*config.Config, error) { return config.Load(path, os.Getenv) }
 	reload := func(old *config.Config) (*config.Config, error) { return old.Reload(path, os.Getenv) }
-	root.AddCommand(serveCommand(load, reload, caught, log), checkCommand(load), versionCommand())
+	root.AddCommand(serveCommand(load, reload, sigs, log), checkCommand(load), versionCommand())
 	root.AddCommand(keysCommand(), scenarioCommand())
 	root.SetOut(os.Stdout)
 	return root
 }
 
-func serveCommand(load func() (*config.Config, error), reload func(*config.Config) (*config.Config, error), caught *signals,
+func serveCommand(load func() (*config.Config, error), reload func(*config.Config) (*config.Config, error), sigs *signals,
 	log *logrus.Logger) *cobra.Command {
 	return &cobra.Command{
 		Use:   serveName,
 		Short: "Run the relay until SIGTERM; SIGHUP reads the configuration again",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			c, err := loadUnlessStopped(load, caught)
+			c, err := loadUnlessStopped(load, sigs)
 			if err != nil || c == nil {
 				return err
 			}
-			return serve(c, reload, caught, log)
+			return serve(c, reload, sigs, log)
 		},
 	}
 }
--- a/cmd/dahliarudder/relay.go
+++ b/cmd/dahliarudder/relay.go
@@ -27,7 +27,7 @@
 	log               *logrus.Logger
 	loop              *netloop.Loop
 	clock             func() time.Duration
-	names             pool.MemberMapper
+	mapper            pool.MemberMapper
 	watch             *pool.Watcher
 	core              *core.Core
 	coreTimer         *netloop.Timer           // until the core's next Tick
@@ -37,14 +37,14 @@
 	recovery          *recoveryReport          // nil if no state is kept
 	fleet             *fleet.Service           // nil if it is off
 	recordVersion     uint64                   // of the fleet record, as applied here
-	fleetEjected      []string                 // members that it excludes
+	excludedByFleet   []string                 // members that it excludes
 	flowTime          time.Duration            // summed over all flows, at statusAt
-	statusAt          time.Duration            // of the last fleetStatus
-	permits           uint64                   // version of the permits in force
+	lastStatusAt      time.Duration            // of the last fleetStatus
+	permitsVersion    uint64                   // version of the permits in force
 	quarantineOrder   uint64                   // number of the quarantine order in force; 0: none
 	configDigests     map[string]string        // digest by section of the running configuration
 	reloadError       string                   // why the last reload was refused; "" if it was not
-	trial             *canaryTrial             // nil without a fleet
+	canary            *canaryState             // nil without a fleet
 	drainedByOperator bool
 	shutdownOrder     *shutdownOrder // the order to leave in force; nil if none
 	exitOrdered       bool           // the process ends by that order
--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -54,8 +54,8 @@
 
 // steadyWall returns a wall clock that is read once and runs on by the monotonic clock, so that its differences are real time.
 func steadyWall() func() time.Time {
-	began := wallClock()
-	return func() time.Time { return began.Add(time.Since(began)) }
+	startedAt := wallClock()
+	return func() time.Time { return startedAt.Add(time.Since(startedAt)) }
 }
 
 // runName identifies this run of the relay in the store of record. The time alone could repeat after a clock step, and a record
@@ -65,12 +65,12 @@
 }
 
 // serve runs the relay until SIGTERM or an order of the fleet. reload reads the configuration again.
-func serve(cfg *config.Config, reload func(*config.Config) (*config.Config, error), caught *signals, log *logrus.Logger) error {
+func serve(cfg *config.Config, reload func(*config.Config) (*config.Config, error), sigs *signals, log *logrus.Logger) error {
 	applyRuntimeLimits(cfg)
 	set := cfg.Decoded()
-	began := time.Now()
-	clock := func() time.Duration { return clockStart + time.Since(began) }
-	r := &relay{cfg: cfg, log: log, clock: clock, signals: caught, background: newBackground(), names: pool.MemberMapper{Settings: set, StartTimes: &pool.StartTimes{Clock: clock, WallClock: wallClock, MaxListingDelay: policy.Normalize(set.Policy()).MaxPollInterval}},
+	startedAt := time.Now()
+	clock := func() time.Duration { return clockStart + time.Since(startedAt) }
+	r := &relay{cfg: cfg, log: log, clock: clock, signals: sigs, background: newBackground(), mapper: pool.MemberMapper{Settings: set, StartTimes: &pool.StartTimes{Clock: clock, WallClock: wallClock, MaxListingDelay: policy.Normalize(set.Policy()).MaxPollInterval}},
 		maxBufferBytes: int(cfg.Limits.MemoryMB * bufferMemoryFraction * (1 << 20))}
 	r.maxSockets = descriptorLimit(cfg) - reservedSockets - r.operatorDescriptors()
 	loop, err := netloop.New(clock, r.maxSockets)
@@ -90,12 +90,12 @@
 	}
 	r.background.run(func(quit <-chan struct{}) {
 		select {
-		case <-caught.stop:
+		case <-sigs.stop:
 			loop.Post(r.stop)
 		case <-quit:
 		}
 	})
-	r.background.run(func(quit <-chan struct{}) { r.watchReloads(quit, caught.reload, reload) })
+	r.background.run(func(quit <-chan struct{}) { r.watchReloads(quit, sigs.reload, reload) })
 	err = loop.Run()
 	r.fleet.Close()
 	r.stopBackground()
@@ -160,7 +160,7 @@
 	r.log.WithField("gap", gap).Warn("this process was suspended; the endpoint list is polled again")
 	r.core.PauseDispatch()
 	r.watch.Refresh(r.core.ResumeDispatch)
-	r.loop.After(settings.Duration(r.names.Settings.Guarantees.DrainGrace), r.core.ResumeDispatch)
+	r.loop.After(settings.Duration(r.mapper.Settings.Guarantees.DrainGrace), r.core.ResumeDispatch)
 }
 
 // reload applies what a running relay can change: the address of discovery, and the credentials of the NATS front.
--- a/cmd/dahliarudder/snapshot.go
+++ b/cmd/dahliarudder/snapshot.go
@@ -32,20 +32,20 @@
 
 // clocksNow reads both clocks of this machine. Where the system does not tell its uptime, only the wall clock is set.
 func clocksNow() snapshot.Clocks {
-	m := snapshot.Clocks{Wall: wallClock()}
+	clocks := snapshot.Clocks{Wall: wallClock()}
 	boot, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
-		return m
+		return clocks
 	}
 	text, err := os.ReadFile("/proc/uptime")
 	if err != nil {
-		return m
+		return clocks
 	}
 	seconds, _, _ := strings.Cut(string(text), " ")
 	if up, err := strconv.ParseFloat(seconds, 64); err == nil {
-		m.Boot, m.Up = strings.TrimSpace(string(boot)), time.Duration(up*float64(time.Second))
+		clocks.Boot, clocks.Up = strings.TrimSpace(string(boot)), time.Duration(up*float64(time.Second))
 	}
-	return m
+	return clocks
 }
 
 // resumeFromSnapshot restores the state from the snapshot, if there is a valid one. An endpoint list that is known already stays unless the
@@ -64,21 +64,21 @@
 	if !known || s.DiscoveryAddr != r.cfg.Discovery { // a generation means nothing but where it was given
 		current.Generation = 0
 	}
-	age, away, err := s.Validate(clocksNow(), r.cfg.Name, current.Generation, snapshot.LimitsFor(r.core.PolicySettings().MaxPollInterval))
+	age, discarded, err := s.Validate(clocksNow(), r.cfg.Name, current.Generation, snapshot.LimitsFor(r.core.PolicySettings().MaxPollInterval))
 	if err != nil {
 		r.discardSnapshot("snapshot", err)
 		return
 	}
 	r.recovery.From, r.recovery.Age, r.recovery.peers = "snapshot", age.Milliseconds(), s.Peers
-	r.recovery.Discarded = append(r.recovery.Discarded, away...)
-	for _, p := range away {
+	r.recovery.Discarded = append(r.recovery.Discarded, discarded...)
+	for _, p := range discarded {
 		r.log.WithField("what", p.What).WithField("why", p.Why).Info("state: discarded")
 	}
 	if s.List != nil {
 		if s.DiscoveryAddr == r.cfg.Discovery {
 			r.watch.SetInitialList(s.List)
 		}
-		r.core.UpdateMembers(policy.ListCached, r.names.Members(s.List))
+		r.core.UpdateMembers(policy.ListCached, r.mapper.Members(s.List))
 	}
 	r.core.Restore(s.Learned)
 	r.log.WithField("age", age).Info("state: restored from the snapshot")
--- a/cmd/dahliarudder/upgrade.go
+++ b/cmd/dahliarudder/upgrade.go
@@ -26,11 +26,11 @@
 )
 
 // siblingOrigin says which of the two processes of an upgrade the sibling is.
-type siblingOrigin int
+type siblingRole int
 
 const (
-	originNewer siblingOrigin = iota // it was started beside this one
-	originOlder                      // it was here first
+	roleSuccessor   siblingRole = iota // it was started beside this one
+	rolePredecessor                    // it was here first
 )
 
 // siblingStage is the phase of the sibling.
@@ -45,9 +45,9 @@
 // siblingProcess is the other process of this relay during an upgrade.
 type siblingProcess struct {
 	peer          *handover.Peer
-	origin        siblingOrigin
+	role          siblingRole
 	stage         siblingStage
-	sentOpen      handover.OpenRequests // what a newer one was sent last
+	lastSentOpen  handover.OpenRequests // what a newer one was sent last
 	handoverTimer *netloop.Timer        // until the next connections are handed over to it
 }
 
@@ -63,7 +63,7 @@
 		r.inheritedSockets[front] = fds[i]
 	}
 	r.inheritedState = state
-	r.sibling = &siblingProcess{origin: originOlder, stage: stageServing}
+	r.sibling = &siblingProcess{role: rolePredecessor, stage: stageServing}
 	r.limitToRemainingSockets(state.Limit)
 	if r.sibling.peer, err = handover.NewPeer(r.loop, fd, r.onMessage, r.onSiblingGone); err != nil {
 		return err
@@ -139,7 +139,7 @@
 		state.DiscoveryAddr = r.watch.Addr
 	}
 	r.limitToOwnSockets()
-	state.Limit = r.sibling.sentOpen.Limit
+	state.Limit = r.sibling.lastSentOpen.Limit
 	r.log.WithField("open_requests", r.core.ActiveRequests()).Info("a successor starts")
 	r.sendMessage(handover.Message{State: state}, fds...)
 	r.syncSibling()
@@ -149,10 +149,10 @@
 func (r *relay) limitToOwnSockets() {
 	inTransfer := r.sibling.peer.PendingFDs()
 	limit := r.loop.OpenDescriptors() + inTransfer + retrySockets
-	if r.sibling.sentOpen.Limit > 0 {
-		limit = min(limit, r.sibling.sentOpen.Limit)
+	if r.sibling.lastSentOpen.Limit > 0 {
+		limit = min(limit, r.sibling.lastSentOpen.Limit)
 	}
-	r.sibling.sentOpen.Limit = limit
+	r.sibling.lastSentOpen.Limit = limit
 	r.loop.SetDescriptorLimit(limit - inTransfer)
 	r.loop.SetMemoryLimit(r.maxBufferBytes / 2)
 }
@@ -169,7 +169,7 @@
 		return
 	}
 	switch {
-	case r.sibling.origin == originNewer:
+	case r.sibling.role == roleSuccessor:
 		r.sendOpenState()
 	case !r.accepting && !r.stopping && r.core.HasUsableMember():
 		r.startAccepting()
@@ -179,13 +179,13 @@
 
 // sendOpenState sends the successor the ids of the requests that are open here, if they have changed.
 func (r *relay) sendOpenState() {
-	before := r.sibling.sentOpen
+	before := r.sibling.lastSentOpen
 	r.limitToOwnSockets()
 	if r.lineFront != nil && r.sibling.stage == stageServing {
-		r.sibling.sentOpen.IDs = r.lineFront.OpenRequestIDs()
-		slices.Sort(r.sibling.sentOpen.IDs)
+		r.sibling.lastSentOpen.IDs = r.lineFront.OpenRequestIDs()
+		slices.Sort(r.sibling.lastSentOpen.IDs)
 	}
-	if now := r.sibling.sentOpen; now.Limit != before.Limit || !slices.Equal(now.IDs, before.IDs) {
+	if now := r.sibling.lastSentOpen; now.Limit != before.Limit || !slices.Equal(now.IDs, before.IDs) {
 		r.sendMessage(handover.Message{OpenRequests: &now})
 	}
 }
@@ -205,7 +205,7 @@
 	was := r.sibling
 	r.sibling, r.takeover = nil, takeoverNone
 	was.handoverTimer.Stop()
-	r.log.WithError(err).WithField("older", was.origin == originOlder).Info("the other process is gone")
+	r.log.WithError(err).WithField("older", was.role == rolePredecessor).Info("the other process is gone")
 	r.loop.SetDescriptorLimit(r.maxSockets)
 	r.loop.SetMemoryLimit(r.maxBufferBytes)
 	if r.lineFront != nil {
@@ -216,12 +216,12 @@
 		r.adoptConnection(&t.Message, t.FDs)
 	}
 	r.loop.SetDescriptorLimit(r.maxSockets)
-	if was.origin == originOlder && !r.accepting {
+	if was.role == rolePredecessor && !r.accepting {
 		r.startAccepting()
 		return
 	}
 	r.pauseAccepting(false)
-	if was.origin == originNewer {
+	if was.role == roleSuccessor {
 		r.awaitSuccessor()
 	}
 }
@@ -236,7 +236,7 @@
 		r.watch.SetInitialList(r.inheritedState.Pool)
 	}
 	if len(r.inheritedState.Pool.Instances) > 0 {
-		r.core.UpdateMembers(policy.ListCached, r.names.Members(r.inheritedState.Pool))
+		r.core.UpdateMembers(policy.ListCached, r.mapper.Members(r.inheritedState.Pool))
 	}
 	r.core.Restore(r.inheritedState.Learned)
 	r.inheritedState = nil
--- a/cmd/dahliarudder/upgrade_connections.go
+++ b/cmd/dahliarudder/upgrade_connections.go
@@ -46,7 +46,7 @@
 
 // handsOver reports whether connections go to a successor that serves.
 func (r *relay) handsOver() bool {
-	return r.sibling != nil && r.sibling.origin == originNewer && r.sibling.stage == stageServing && r.lineFront != nil
+	return r.sibling != nil && r.sibling.role == roleSuccessor && r.sibling.stage == stageServing && r.lineFront != nil
 }
 
 // handoverComplete reports whether nothing is left to send to the sibling, or to be confirmed by it.
--- a/cmd/dahliarudder/upgrade_takeover.go
+++ b/cmd/dahliarudder/upgrade_takeover.go
@@ -74,7 +74,7 @@
 		return
 	}
 	r.takeover = takeoverConfirmed
-	if r.sibling.origin == originOlder {
+	if r.sibling.role == rolePredecessor {
 		r.sibling.peer.Close()
 		r.sibling = nil
 	}
