--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.override(env)
+	c.applyEnvironment(env)
 	return c, c.validate()
 }
 
@@ -95,7 +95,7 @@
 	if err != nil {
 		return nil, err
 	}
-	fresh.override(env)
+	fresh.applyEnvironment(env)
 	switch fresh.discoveryInFile {
 	case c.discoveryInFile:
 		fresh.Discovery = c.Discovery
@@ -147,13 +147,13 @@
 }
 
 // override lets the variables take precedence.
-func (c *Config) override(env func(string) string) {
+func (c *Config) applyEnvironment(env func(string) string) {
 	for _, v := range []struct {
-		name string
-		to   *string
+		name   string
+		target *string
 	}{{"EDGE_NAME", &c.Name}, {"EDGE_LISTEN", &c.Listen}, {"EDGE_DISCOVERY", &c.Discovery}, {"EDGE_OPERATOR", &c.Operator}} {
 		if s := env(v.name); s != "" {
-			*v.to = s
+			*v.target = s
 		}
 	}
 }
--- a/internal/config/digest.go
+++ b/internal/config/digest.go
@@ -16,12 +16,12 @@
 	for name, section := range map[string]any{"settings": c.Settings, "limits": c.Limits, "fronts": c.Fronts, "store": c.Store, "peers": c.Peers,
 		"state": c.State, "fleet": c.Fleet, "counts_ms": c.CountsMS} {
 		text, err := json.Marshal(section)
-		var all any
-		if err != nil || json.Unmarshal(text, &all) != nil || all == nil {
+		var value any
+		if err != nil || json.Unmarshal(text, &value) != nil || value == nil {
 			continue
 		}
-		removeKeys(all, perRelayKeys)
-		text, _ = json.Marshal(all) // with sorted keys, so that equal sections have equal digests
+		removeKeys(value, perRelayKeys)
+		text, _ = json.Marshal(value) // with sorted keys, so that equal sections have equal digests
 		out[name] = digest(text)
 	}
 	return out
@@ -38,8 +38,8 @@
 	return hex.EncodeToString(sum[:4])
 }
 
-func removeKeys(all any, keys []string) {
-	switch x := all.(type) {
+func removeKeys(value any, keys []string) {
+	switch x := value.(type) {
 	case map[string]any:
 		for k, v := range x {
 			if slices.Contains(keys, k) {
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -30,8 +30,8 @@
 		p.Address = p.Listen
 	}
 	addresses := append([]string{p.Listen, p.Address}, p.Known...)
-	for _, at := range p.Reach {
-		addresses = append(addresses, at)
+	for _, addr := range p.Reach {
+		addresses = append(addresses, addr)
 	}
 	for _, at := range addresses {
 		if _, err := netip.ParseAddrPort(at); err != nil {
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -13,7 +13,7 @@
 }
 
 // The bounds of state.every_ms.
-const minStateMS, defaultStateMS, maxStateMS = 1000, 5000, 600_000
+const minSnapshotIntervalMS, defaultSnapshotIntervalMS, maxSnapshotIntervalMS = 1000, 5000, 600_000
 
 func (s *State) validate(dir string) error {
 	if s.Dir == "" {
@@ -23,10 +23,10 @@
 		s.Dir = filepath.Join(dir, s.Dir)
 	}
 	if s.EveryMS == 0 {
-		s.EveryMS = defaultStateMS
+		s.EveryMS = defaultSnapshotIntervalMS
 	}
-	if !(s.EveryMS >= minStateMS && s.EveryMS <= maxStateMS) {
-		return fmt.Errorf("state.every_ms: %v is not from %d to %d", s.EveryMS, minStateMS, maxStateMS)
+	if !(s.EveryMS >= minSnapshotIntervalMS && s.EveryMS <= maxSnapshotIntervalMS) {
+		return fmt.Errorf("state.every_ms: %v is not from %d to %d", s.EveryMS, minSnapshotIntervalMS, maxSnapshotIntervalMS)
 	}
 	return nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -167,8 +167,8 @@
 func Report(values map[string]float64) policy.Report {
 	report := policy.NoReport
 	for _, f := range []struct {
-		to    *float64
-		names [2]string
+		target *float64
+		names  [2]string
 	}{
 		{&report.Connections, [2]string{"outstanding", "inflight"}},
 		{&report.Load, [2]string{"x0", ""}},
@@ -177,7 +177,7 @@
 	} {
 		for _, name := range f.names {
 			if v, ok := values[name]; name != "" && ok && !math.IsNaN(v) && !math.IsInf(v, 0) {
-				*f.to = v
+				*f.target = v
 			}
 		}
 	}
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -18,7 +18,7 @@
 }
 
 // dayMS is the longest time that a setting may name.
-const dayMS = 86_400_000
+const maxDurationMS = 86_400_000
 
 // Validate names every setting that cannot work, in the order of docs/sites.md. A relay starts all the same, with
 // safe values in their place: an instance that does not start serves nobody. It is for those who write settings.
@@ -30,31 +30,31 @@
 	v.oneOf("discovery", s.Discovery, "subscribe", "automatic")
 	v.guarantees(s)
 	v.limits(s)
-	v.part("prices.cross-zone", s.Prices.CrossZone)
-	v.part("prices.probe", s.Prices.Probe)
+	v.fraction("prices.cross-zone", s.Prices.CrossZone)
+	v.fraction("prices.probe", s.Prices.Probe)
 	v.report(s)
 	v.tenants(s)
 	v.reject(s.Zone < 0 || s.Zone >= max(len(s.Zones), 1), "zone", s.Zone, "not the place of one of zones, from 0")
-	return v.found
+	return v.problems
 }
 
 // validator collects the settings that cannot work.
 type validator struct {
-	found []error
-	names map[string]bool
+	problems []error
+	names    map[string]bool
 }
 
-func (v *validator) reject(bad bool, key string, value any, reason string) {
-	if bad {
-		v.found = append(v.found, InvalidSetting{key, value, reason})
+func (v *validator) reject(invalid bool, key string, value any, reason string) {
+	if invalid {
+		v.problems = append(v.problems, InvalidSetting{key, value, reason})
 	}
 }
 
 func (v *validator) duration(key string, ms float64) {
-	v.reject(!(ms > 0 && ms <= dayMS), key, ms, "not over 0 and at most a day, in milliseconds")
+	v.reject(!(ms > 0 && ms <= maxDurationMS), key, ms, "not over 0 and at most a day, in milliseconds")
 }
 
-func (v *validator) part(key string, part float64) {
+func (v *validator) fraction(key string, part float64) {
 	v.reject(!(part >= 0 && part <= 1), key, part, "not from 0 to 1")
 }
 
--- a/internal/wire/encoder.go
+++ b/internal/wire/encoder.go
@@ -57,11 +57,11 @@
 }
 
 // Send implements policy.Executor, as do the methods below.
-func (e *Encoder) Send(id policy.RequestID, server policy.MemberID, timeout time.Duration) {
+func (e *Encoder) Send(id policy.RequestID, member policy.MemberID, timeout time.Duration) {
 	e.beginAction(acSend)
 	e.u64(uint64(id))
 	e.ms(timeout)
-	e.u32(uint32(server))
+	e.u32(uint32(member))
 }
 
 // Reject writes a rejection.
@@ -91,9 +91,9 @@
 }
 
 // Probe writes a probe.
-func (e *Encoder) Probe(server policy.MemberID) {
+func (e *Encoder) Probe(member policy.MemberID) {
 	e.beginAction(acProbe)
-	e.u32(uint32(server))
+	e.u32(uint32(member))
 }
 
 // Timer writes a timer.
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -12,7 +12,7 @@
 
 // decodeEvent decodes one record and passes it to the host. instance is -1 before one was named.
 func (d *Decoder) decodeEvent(c *cursor, code uint8, instance int, now time.Duration, h Host) error {
-	if code == evServerList {
+	if code == evEndpointList {
 		return d.decodeList(c)
 	}
 	if instance < 0 {
@@ -80,25 +80,25 @@
 }
 
 func (d *Decoder) decodeMembers(c *cursor, b *policy.Balancer, now time.Duration) error {
-	list, kindCode := c.u16(), c.u8()
+	number, kindCode := c.u16(), c.u8()
 	c.u32()
 	kind, known := listKinds[kindCode]
-	if !known || kind != policy.ListFailed && list >= maxLists {
-		return fmt.Errorf("%w: list %d of kind %d", ErrMalformed, list, kindCode)
+	if !known || kind != policy.ListFailed && number >= maxLists {
+		return fmt.Errorf("%w: list %d of kind %d", ErrMalformed, number, kindCode)
 	}
 	if c.truncated {
 		return nil
 	}
-	var servers []policy.Endpoint
+	var endpoints []policy.Endpoint
 	if kind != policy.ListFailed {
-		servers = d.serverLists[list]
+		endpoints = d.endpointLists[number]
 	}
-	b.UpdateEndpoints(now, kind, servers)
+	b.UpdateEndpoints(now, kind, endpoints)
 	return nil
 }
 
 func decodeRequest(c *cursor, b *policy.Balancer, now time.Duration) {
-	q := requestRecord{ID: policy.RequestID(c.u64()), Group: c.u64()}
+	q := decodedRequest{ID: policy.RequestID(c.u64()), Group: c.u64()}
 	q.Deadline = c.ms()
 	load := c.f64()
 	q.Tenant, q.Class = int(c.u32()), int(c.u8())
@@ -110,24 +110,24 @@
 }
 
 func decodeExisting(c *cursor, b *policy.Balancer, now time.Duration) {
-	q := requestRecord{ID: policy.RequestID(c.u64())}
+	q := decodedRequest{ID: policy.RequestID(c.u64())}
 	q.Class, q.Tenant, q.Key = int(c.u8()), int(c.u32()), c.u64()
 	q.Deadline = c.ms()
 	load := c.f64()
 	q.Group = c.u64()
 	q.setFlags(c.u16(), load)
-	if server := policy.MemberID(c.u32()); !c.truncated {
-		b.AddExisting(now, policy.Request(q), server)
+	if member := policy.MemberID(c.u32()); !c.truncated {
+		b.AddExisting(now, policy.Request(q), member)
 	}
 }
 
 func (d *Decoder) decodeProbeResult(c *cursor, b *policy.Balancer, id uint16, now time.Duration) error {
-	server := policy.MemberID(c.u32())
+	member := policy.MemberID(c.u32())
 	result, err := c.result()
 	c.skip(8)
 	report := c.report(d.reportNames[id])
 	if err == nil && !c.truncated {
-		b.ProbeResult(now, server, result, report)
+		b.ProbeResult(now, member, result, report)
 	}
 	return err
 }
@@ -135,11 +135,11 @@
 func decodeNote(c *cursor, b *policy.Balancer, now time.Duration) {
 	r := policy.RequestID(c.u64())
 	c.skip(1 + 4)
-	what, value := c.u8(), float64(c.f32())
+	noteKind, value := c.u8(), float64(c.f32())
 	if c.truncated {
 		return
 	}
-	switch what {
+	switch noteKind {
 	case noteLoad:
 		b.UpdateLoad(now, r, value/1e6)
 	case noteLatency:
@@ -180,7 +180,7 @@
 	for i := range list {
 		e := &list[i]
 		e.ID, e.Zone, e.Kind, e.Cell = policy.MemberID(c.u32()), int(c.u8()), int(c.u8()), int(c.u16())
-		state, known := states[c.u8()]
+		state, known := memberStates[c.u8()]
 		if !known {
 			return fmt.Errorf("%w: unknown server state", ErrMalformed)
 		}
@@ -188,7 +188,7 @@
 		e.Weight = float64(c.f32())
 		e.Started = c.ms()
 	}
-	d.serverLists[number] = list
+	d.endpointLists[number] = list
 	return nil
 }
 
@@ -197,7 +197,7 @@
 	0: policy.ListFailed, 1: policy.ListDelta, 3: policy.ListFull, 4: policy.ListCached,
 }
 
-var states = map[uint8]policy.MemberState{0: policy.Gone, 1: policy.Ready, 2: policy.Draining}
+var memberStates = map[uint8]policy.MemberState{0: policy.Gone, 1: policy.Ready, 2: policy.Draining}
 
 var results = [...]policy.Result{
 	0: policy.Error, 1: policy.OK, 2: policy.Full, 3: policy.Timeout,
@@ -212,10 +212,10 @@
 )
 
 // requestRecord is a policy.Request that is being decoded.
-type requestRecord policy.Request
+type decodedRequest policy.Request
 
 // setFlags decodes the flags, and the load hint, which counts only if they say so.
-func (q *requestRecord) setFlags(flags uint16, hint float64) {
+func (q *decodedRequest) setFlags(flags uint16, hint float64) {
 	q.MidFlow, q.Reconnect = flags&flagMidFlow != 0, flags&flagReconnect != 0
 	if flags&flagLoadHint != 0 {
 		q.Load = hint / 1e3
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -27,7 +27,7 @@
 	evProbeResult
 	evPeer
 	evStop
-	evServerList
+	evEndpointList
 	evExisting
 	evNote
 	evInstance
@@ -76,11 +76,11 @@
 
 // Decoder reads batches from a stream.
 type Decoder struct {
-	r           io.Reader
-	buf         []byte
-	serverLists [maxLists][]policy.Endpoint
-	reportNames map[uint16][]string // names of the report values, of each instance
-	encoder     *Encoder
+	r             io.Reader
+	buf           []byte
+	endpointLists [maxLists][]policy.Endpoint
+	reportNames   map[uint16][]string // names of the report values, of each instance
+	encoder       *Encoder
 }
 
 // NewDecoder returns a Decoder that reads from r and sets the instance of out.
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -67,12 +67,12 @@
  "extra":{"mode":"proxy","message-aim-ms":[150],"tenant-quota-connections":[40]},"discovery":"automatic"}`
 
 // launch starts an instance with a list of one server.
-func (f *frameBuilder) launch(inst uint16, list uint16) *frameBuilder {
-	f.u8(evServerList).u16(list).u32(1)
+func (f *frameBuilder) launch(inst uint16, listNumber uint16) *frameBuilder {
+	f.u8(evEndpointList).u16(listNumber).u32(1)
 	f.u32(0xfeed).u8(0, 0).u16(0).u8(1).f32(1).f64(0)
 	f.u8(evInstance).u16(inst).u8(evLaunch).u64(9).u32(uint32(len(settingsText)))
 	f.body = append(f.body, settingsText...)
-	return f.u8(evMembers).u16(list).u8(4).u32(1)
+	return f.u8(evMembers).u16(listNumber).u8(4).u32(1)
 }
 
 const launchRecords = 4
@@ -176,7 +176,7 @@
 // TestListsReused: a list number can be given to another list later in the same batch.
 func TestListsReused(t *testing.T) {
 	f := (&frameBuilder{}).launch(1, 0)
-	f.u8(evServerList).u16(0).u32(1)
+	f.u8(evEndpointList).u16(0).u32(1)
 	f.u32(0xbeef).u8(0, 0).u16(0).u8(1).f32(1).f64(0)
 	f.u8(evMembers).u16(0).u8(3).u32(2)
 	f.u8(evRequest).u64(7).u64(0).f64(3000).f64(0).u32(0).u8(0).u16(0).u64(0)
@@ -228,9 +228,9 @@
 		{"event without instance", (&frameBuilder{}).u8(evTimer).u64(1).batch(1, 1)},
 		{"event for an instance that does not run", (&frameBuilder{}).u8(evInstance).u16(1).u8(evTimer).u64(1).batch(1, 2)},
 		{"truncated record", (&frameBuilder{}).launch(1, 0).u8(evRequest).u32(1).batch(1, launchRecords+1)},
-		{"list larger than the frame", (&frameBuilder{}).u8(evServerList).u16(0).u32(math.MaxUint32).batch(1, 1)},
-		{"list number out of range", (&frameBuilder{}).u8(evServerList).u16(16).u32(0).batch(1, 1)},
-		{"unknown server state", (&frameBuilder{}).u8(evServerList).u16(0).u32(1).u32(1).u8(0, 0).u16(0).u8(9).f32(1).f64(0).batch(1, 1)},
+		{"list larger than the frame", (&frameBuilder{}).u8(evEndpointList).u16(0).u32(math.MaxUint32).batch(1, 1)},
+		{"list number out of range", (&frameBuilder{}).u8(evEndpointList).u16(16).u32(0).batch(1, 1)},
+		{"unknown server state", (&frameBuilder{}).u8(evEndpointList).u16(0).u32(1).u32(1).u8(0, 0).u16(0).u8(9).f32(1).f64(0).batch(1, 1)},
 		{"unknown list kind", (&frameBuilder{}).launch(1, 0).u8(evMembers).u16(0).u8(2).u32(0).batch(1, launchRecords+1)},
 		{"unknown result", (&frameBuilder{}).launch(1, 0).u8(evProbeResult).u32(1).u8(8).f64(1).u8(0).batch(1, launchRecords+1)},
 		{"bytes left over", (&frameBuilder{}).u8(1, 2, 3).batch(1, 0)},
