--- a/cmd/dahliarudder/background.go
+++ b/cmd/dahliarudder/background.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// backgroundStopTimeout is how long the end of the process waits for its goroutines: none of them may delay it past SIGKILL, which
-// comes 0.1 s after the latest end of a shutdown.
+// backgroundStopTimeout limits how long the process waits for its goroutines when it ends. SIGKILL
+// comes 0.1 s after the latest end of a shutdown, and the goroutines must not delay the end past it.
 const backgroundStopTimeout = 20 * time.Millisecond
 
-// background owns the goroutines of a relay beside its loop: those that wait for signals, the disk or a password check.
+// background owns the goroutines of a relay other than its event loop. They wait for signals, the
+// disk or password checks.
 type background struct {
 	quit chan struct{}
 	wg   sync.WaitGroup
@@ -17,11 +18,12 @@
 
 func newBackground() *background { return &background{quit: make(chan struct{})} }
 
-// run starts a goroutine, which returns once quit is closed.
+// run starts f on a goroutine. f must return once quit is closed.
 func (b *background) run(f func(quit <-chan struct{})) { b.wg.Go(func() { f(b.quit) }) }
 
-// stop ends the goroutines and calls closers, and waits for all of them, but not longer than backgroundStopTimeout: what a slow disk
-// still holds up is a file that is replaced atomically or not at all.
+// stop ends the goroutines, calls closers concurrently, and waits for all of them for at most
+// backgroundStopTimeout. A file write that a slow disk delays beyond that may be lost, but files are
+// replaced atomically, so none is left half written.
 func (b *background) stop(closers ...func()) {
 	close(b.quit)
 	for _, c := range closers {
@@ -35,7 +37,7 @@
 	}
 }
 
-// consume handles what comes through a queue until quit is closed, and then what is queued already.
+// consume handles the values of a queue until quit is closed, and then those that are still queued.
 func consume[T any](quit <-chan struct{}, queue <-chan T, handle func(T)) {
 	for {
 		select {
--- a/cmd/dahliarudder/background_test.go
+++ b/cmd/dahliarudder/background_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestBackgroundStop: what is queued at the stop is handled, all goroutines end, and one that is held up does not hold up the stop.
+// TestBackgroundStop checks that stop handles what is queued, ends all goroutines, and does not
+// wait for one that is blocked.
 func TestBackgroundStop(t *testing.T) {
 	b, queue, handled := newBackground(), make(chan int, 4), 0
 	first := make(chan struct{})
@@ -13,7 +14,7 @@
 		consume(quit, queue, func(n int) {
 			if n == 0 {
 				close(first)
-				<-quit // so that the rest is still queued at the stop
+				<-quit // leaves the rest queued until stop is called
 			}
 			handled++
 		})
@@ -24,7 +25,7 @@
 	<-first
 	closed := false
 	b.stop(func() { closed = true })
-	b.wg.Wait() // the stop itself waits for a short time only
+	b.wg.Wait() // stop itself waits only for backgroundStopTimeout
 	if handled != 4 || !closed {
 		t.Errorf("%d of 4 handled, closer called: %v", handled, closed)
 	}
--- a/cmd/dahliarudder/build.go
+++ b/cmd/dahliarudder/build.go
@@ -15,8 +15,8 @@
 	"dahliarudder/policy"
 )
 
-// build puts the relay together on its loop. The order matters: the decisions first, then what an earlier process or a
-// snapshot knew, then the listeners, and last what speaks to other relays.
+// build assembles the relay on its event loop. The order matters: first the core, then the state of
+// the predecessor or the snapshot, then the listeners, and last gossip and the fleet record.
 func (r *relay) build() error {
 	if err := r.openStore(); err != nil {
 		return err
@@ -41,7 +41,7 @@
 		r.writeSnapshots(time.Duration(r.cfg.State.EveryMS * float64(time.Millisecond)))
 	}
 	switch {
-	case r.sibling != nil: // it accepts clients once it has members to send to
+	case r.sibling != nil: // syncSibling starts accepting clients once there is a usable member
 		r.syncSibling()
 	default:
 		r.accepting = true
@@ -62,7 +62,7 @@
 	return err
 }
 
-// buildCore makes the endpoint watch and the core, which call each other.
+// buildCore creates the endpoint list watcher and the core, which call each other.
 func (r *relay) buildCore() {
 	cfg, loop := r.cfg, r.loop
 	r.watch = &pool.Watcher{Loop: loop, Addr: cfg.Discovery, Log: r.log, Mapper: r.mapper,
@@ -77,7 +77,8 @@
 	r.watch.OnUpdate = r.core.UpdateMembers
 }
 
-// checkHealth sends a health check by the line front if it is on, otherwise by the NATS front.
+// checkHealth sends a health check through the line front if that is enabled, otherwise through the
+// NATS front.
 func (r *relay) checkHealth(member *core.Member) {
 	if r.lineFront != nil {
 		r.lineFront.CheckHealth(member)
@@ -86,7 +87,7 @@
 	}
 }
 
-// scheduleTick has the core run again at a time; math.MaxInt64 is never.
+// scheduleTick schedules the core's next Tick at the given time; math.MaxInt64 means never.
 func (r *relay) scheduleTick(at time.Duration) {
 	r.coreTimer.Stop()
 	if at < math.MaxInt64 {
@@ -94,13 +95,13 @@
 	}
 }
 
-// startDiscovery begins to poll or watch the endpoint list.
+// startDiscovery starts to poll discovery, or to watch an agent to which discovery pushes the list.
 func (r *relay) startDiscovery() {
 	if set := r.core.PolicySettings(); set.Subscribe {
 		r.loop.After(pool.InitialDelay(set.MaxPollInterval, r.watch.Random), r.watch.Start)
 		return
 	}
-	r.watch.PushGrace = r.core.DrainGrace() // what the agent holds counts from the first moment
+	r.watch.PushGrace = r.core.DrainGrace() // the list that the agent has counts as delivered from the start
 	r.watch.Start()
 }
 
@@ -114,8 +115,8 @@
 	}
 }
 
-// restoreState takes over what is known from before: from the older process of an upgrade, which knows most, otherwise
-// from the configured endpoint list and the snapshot.
+// restoreState restores the endpoint list and the learned state: from the predecessor in a hot
+// restart, whose state is the most recent, otherwise from the configured list and the snapshot.
 func (r *relay) restoreState() {
 	upgrading := r.inheritedState != nil
 	if known := r.cfg.KnownList(); known != nil && !upgrading {
@@ -156,7 +157,7 @@
 	return err
 }
 
-// startClustering joins the gossip and the fleet record, as far as they are configured.
+// startClustering starts gossip and the fleet record if they are configured.
 func (r *relay) startClustering() error {
 	if r.cfg.Peers != nil {
 		r.startGossip(*r.cfg.Peers)
@@ -167,7 +168,8 @@
 	return nil
 }
 
-// watchRandomStream separates the watch's random numbers from those of the decision module, which use the same seed.
+// watchRandomStream separates the random numbers of the endpoint list watcher from those of package
+// policy, which uses the same seed.
 const watchRandomStream = 1
 
 func newRandom(seed uint64) func() float64 {
--- a/cmd/dahliarudder/canary.go
+++ b/cmd/dahliarudder/canary.go
@@ -15,28 +15,32 @@
 )
 
 const (
-	// staleRecordAfter is how long the record may be unreachable before a change of it no longer raises a weight: four missed reports.
+	// staleRecordAfter is how long a majority may not have confirmed the record before the record can
+	// no longer raise a weight: four report intervals.
 	staleRecordAfter = 4 * time.Second
-	// maxCountsBytes bounds the canary counts in one report to the leader.
+	// maxCountsBytes limits the size of the canary counts in one report to the leader.
 	maxCountsBytes = 600
-	// earlyEndWindow is how long after its start the end of a flow counts as early, see canary.Tally.
+	// earlyEndWindow is the age of a flow below which its end by the member counts as early, see
+	// canary.Tally.
 	earlyEndWindow = time.Minute
-	// maxTrackedFlows bounds the flows that are tracked at once; those beyond it do not count.
+	// maxTrackedFlows limits the flows that are tracked at once. The ends of flows beyond it are not
+	// counted.
 	maxTrackedFlows = 4096
 )
 
-// canaryTrial is this relay's part in a canary: the weights that it applies, and what it counts. The loop owns it.
+// canaryState holds the canary weights that this relay applies and the outcomes that it counts. It
+// belongs to the event loop.
 type canaryState struct {
 	r              *relay
 	weights        *canary.WeightResolver
 	appliedVersion uint64
-	applied        []canary.Weight // by the decision module
+	applied        []canary.Weight // weights set in the core
 	collector      *canary.Collector
 	salt           uint64
-	flows          map[*core.Request]trackedFlow // established and tracked
+	flows          map[*core.Request]trackedFlow // established flows whose end is counted
 }
 
-// trackedFlow is an established flow whose end will be counted.
+// trackedFlow is an established flow whose end is counted.
 type trackedFlow struct {
 	openedAt     time.Duration
 	stratum      canary.Stratum
@@ -50,7 +54,7 @@
 
 func (c *canaryState) now() int64 { return c.r.loop.Now().Milliseconds() }
 
-// applyOrders takes over the weights of the fleet record.
+// applyOrders applies the canary weights of the fleet record.
 func (c *canaryState) applyOrders(o fleet.DesiredState) {
 	c.weights.ApplyRecord(o.AppliedIndex, o.CanaryWeights)
 	if o.MajorityConfirmed {
@@ -60,7 +64,7 @@
 	c.appliedVersion = o.CanaryVersion
 }
 
-// onNotices handles notices that another relay gossips.
+// onNotices handles canary notices that another relay gossips. A nil canaryState ignores them.
 func (c *canaryState) onNotices(data []byte) {
 	var list []canary.Notice
 	if c == nil || json.Unmarshal(data, &list) != nil || len(list) > canary.MaxNotices {
@@ -75,7 +79,8 @@
 	}
 }
 
-// pauseCanary sets the weight of a canary to zero here and gossips that to the other relays, with or without a majority.
+// pauseCanary sets the weight of a canary to zero at this relay and gossips a notice to the other
+// relays. It needs no majority.
 func (r *relay) pauseCanary(release string) {
 	if _, known := r.canary.weights.Pause(release); known {
 		r.canary.applyWeights()
@@ -84,7 +89,7 @@
 	}
 }
 
-// applyWeights sets the effective weights in the decision module, and gossips the pauses known here.
+// applyWeights sets the effective weights in the core, and gossips the notices that this relay has.
 func (c *canaryState) applyWeights() {
 	weights := c.weights.EffectiveWeights(c.now())
 	c.r.peers.SetUserData(c.weights.EncodeNotices(gossip.MaxUserData))
@@ -109,7 +114,7 @@
 	})
 }
 
-// perMille is the weights by release, for the log.
+// perMille returns the weights by release, for the log.
 func perMille(weights []canary.Weight) map[string]int {
 	out := map[string]int{}
 	for _, w := range weights {
@@ -118,7 +123,8 @@
 	return out
 }
 
-// inCanary reports whether a member belongs to a canary: it is named, or it has started since the canary began.
+// inCanary reports whether a member belongs to a canary: the canary names it, or the member started
+// after the canary began.
 func (c *canaryState) inCanary(m *core.Member) bool {
 	return slices.ContainsFunc(c.applied, func(w canary.Weight) bool {
 		return slices.Contains(w.Target.Members, m.Name) ||
@@ -126,7 +132,8 @@
 	})
 }
 
-// observe counts an event at a member in its stratum: class, zone, and whether the member is warming up.
+// observe counts a member event in its stratum, which consists of the class, the zone, and whether
+// the member is warming up.
 func (c *canaryState) observe(e core.MemberEvent) {
 	f, tracked := c.flows[e.Request]
 	if !tracked {
@@ -169,7 +176,7 @@
 	}
 }
 
-// counts is the canary counts of the next report to the leader, nil without a canary.
+// counts returns the canary counts for the next report to the leader, nil without a canary.
 func (c *canaryState) counts() []byte {
 	if c.collector == nil {
 		return nil
--- a/cmd/dahliarudder/clock_test.go
+++ b/cmd/dahliarudder/clock_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// stepClock sets the wall clock off by the returned step, which the test may change.
+// stepClock replaces the wall clock by one that differs from it by the returned step, which the
+// test may change.
 func stepClock(t *testing.T) (step *time.Duration) {
 	step = new(time.Duration)
 	wallClock = func() time.Time { return time.Now().Add(*step) }
@@ -13,7 +14,8 @@
 	return step
 }
 
-// TestSteadyWall: the clock by which the fleet measures durations is not affected by steps of the wall clock.
+// TestSteadyWall checks that steps of the wall clock do not affect the clock that measures the
+// fleet's durations.
 func TestSteadyWall(t *testing.T) {
 	step := stepClock(t)
 	wall := steadyWall()
@@ -27,7 +29,8 @@
 	}
 }
 
-// TestRunName: two processes of one relay never share a run name in the store, even if the clock shows the same time twice.
+// TestRunName checks that two runs of one relay never have the same name in the store, even if the
+// clock shows the same time at both starts.
 func TestRunName(t *testing.T) {
 	at := time.UnixMilli(1700000000000)
 	seen := map[string]bool{}
--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -21,26 +21,27 @@
 	"dahliarudder/internal/settings"
 )
 
-// orderedExit is the error of a relay that ends by an order of the fleet: its exit status asks the supervisor to start it again.
+// orderedExit is the error of a relay that ends on an order of the fleet. Its value is the exit
+// status, which asks the supervisor to start the relay again.
 type orderedExit int
 
 func (e orderedExit) Error() string { return fmt.Sprintf("ordered to leave: exit status %d", int(e)) }
 
-// shutdownOrder is an order of the fleet to leave, and since when this relay follows it.
+// shutdownOrder is an order of the fleet to leave, and the time since which this relay follows it.
 type shutdownOrder struct {
 	number uint64
 	since  time.Duration
 }
 
-// orderedDrainTimeout is how long a relay that was ordered to leave waits for its last flows: its drain takes three seconds, and the
-// shutdown migrates the rest.
+// orderedDrainTimeout is how long a relay that was ordered to leave waits for its last flows. Its
+// drain takes three seconds; the shutdown migrates the flows that remain.
 const orderedDrainTimeout = 4 * time.Second
 
-// orderedDrainPoll is how often it checks whether it may end.
+// orderedDrainPoll is how often a relay that was ordered to leave checks whether it may end.
 const orderedDrainPoll = 100 * time.Millisecond
 
-// startFleet starts the fleet record. Until the record has caught up nothing is dispatched, for catchUpTimeout at most: a member may
-// have been ejected while this relay was down.
+// startFleet starts the fleet record. No attempt is dispatched until the record has caught up, or
+// catchUpTimeout has passed: a member may have been ejected while this relay was down.
 func (r *relay) startFleet(c fleet.Config) error {
 	set := r.mapper.Settings
 	program := cmp.Or(c.Program, version+"-"+fileDigest(os.Executable))
@@ -63,7 +64,8 @@
 	return nil
 }
 
-// catchUpTimeout is how long a start waits for the record: an election takes two seconds at most, and without a majority the relay serves.
+// catchUpTimeout is how long a starting relay waits for the record. An election takes at most two
+// seconds; without a majority, the relay then serves with the state that it has.
 const catchUpTimeout = 2 * time.Second
 
 func (r *relay) finishCatchUp() {
@@ -74,7 +76,8 @@
 	}
 }
 
-// fileDigest is a prefix of the SHA-256 of a file in hexadecimal, "unknown" if it cannot be read.
+// fileDigest returns the first 4 bytes of the SHA-256 of a file in hexadecimal, "unknown" if the file
+// cannot be read.
 func fileDigest(path func() (string, error)) string {
 	name, err := path()
 	if err != nil {
@@ -92,7 +95,7 @@
 	return hex.EncodeToString(h.Sum(nil)[:4])
 }
 
-// applyOrders applies the state that the fleet record wants of this relay.
+// applyOrders applies the state that the fleet record specifies for this relay.
 func (r *relay) applyOrders(o fleet.DesiredState) {
 	version := o.RecordVersion
 	r.canary.applyOrders(o)
@@ -109,7 +112,7 @@
 	}
 	r.core.SetFleetRemovals(removals)
 	r.excludedByFleet, r.recordVersion, r.permitsVersion = names, version, o.PermitsVersion
-	leaveApplies := o.Leave != nil && o.Leave.StartNumber >= r.peers.Incarnation() // else it was for the process before this one
+	leaveApplies := o.Leave != nil && o.Leave.StartNumber >= r.peers.Incarnation() // an earlier number is an order to a previous process
 	switch {
 	case leaveApplies && r.shutdownOrder == nil:
 		r.log.WithFields(logrus.Fields{"release": o.Leave.Release, "number": o.Leave.Number}).Info("fleet: ordered to leave")
@@ -136,13 +139,13 @@
 	}
 }
 
-// exitWhenDrained ends this relay once its clients have migrated and a majority confirms that the order still stands. Without a
-// majority it stays drained.
+// exitWhenDrained ends this relay once its clients have been migrated and a majority confirms that
+// the order still stands. Without a majority the relay stays drained.
 func (r *relay) exitWhenDrained() {
 	order := r.shutdownOrder
 	r.loop.After(orderedDrainPoll, func() {
 		switch {
-		case r.shutdownOrder != order || r.stopping: // the order was revoked or replaced, or it ends already
+		case r.shutdownOrder != order || r.stopping: // the order was revoked or replaced, or the relay is already stopping
 		case r.core.ActiveRequests() > 0 && r.loop.Now()-order.since < orderedDrainTimeout, r.loop.Now()-order.since < core.StopNotice:
 			r.exitWhenDrained()
 		default:
@@ -160,12 +163,13 @@
 	})
 }
 
-// ejectFleetWide ejects a member at all relays, or restores it. Without a majority the ejection holds at this relay alone, and shows as
-// drift once the majority is back.
+// ejectFleetWide ejects a member at all relays, or reinstates it. If the record cannot accept the
+// change (no majority, or too many queued changes), it applies to this relay only; once a majority
+// is back, it shows as drift.
 func (r *relay) ejectFleetWide(member string, ejected bool, done func(error)) {
 	r.fleet.SetEjected(member, ejected, func(err error) {
 		switch {
-		case err == nil && ejected: // agreed: an ejection of this relay's own would outlive it
+		case err == nil && ejected: // the record has it; an ejection by this relay itself would remain after the record's ends
 			done(nil)
 		case err == nil:
 			r.applyEjections(member, false, done)
--- a/cmd/dahliarudder/fleet_status.go
+++ b/cmd/dahliarudder/fleet_status.go
@@ -9,10 +9,10 @@
 	"dahliarudder/policy"
 )
 
-// stateNames are the names of discovery's states in the fleet record's status.
+// stateNames are the names of the member states of discovery in the fleet record's status.
 var stateNames = map[policy.MemberState]string{policy.Ready: "ready", policy.Draining: "draining", policy.Gone: "gone"}
 
-// fleetStatus is the state of this relay that the fleet record compares with the agreed one.
+// fleetStatus returns the state of this relay, which the fleet record compares with the agreed one.
 func (r *relay) fleetStatus() fleet.ObservedState {
 	set, counts := r.mapper.Settings, r.core.Counts
 	list, _ := r.watch.Snapshot()
--- a/cmd/dahliarudder/gossip.go
+++ b/cmd/dahliarudder/gossip.go
@@ -10,11 +10,12 @@
 	"dahliarudder/policy"
 )
 
-// outcomeOfResult maps the results that are evidence about a member; a cancelled attempt is none.
+// outcomeOfResult maps the results that say something about a member's health. A cancelled attempt
+// does not, so it has no outcome.
 var outcomeOfResult = map[policy.Result]gossip.Outcome{policy.OK: gossip.Success, policy.Full: gossip.Success, policy.Error: gossip.Failure, policy.Reset: gossip.Failure,
 	policy.ConnectFailed: gossip.Failure, policy.Timeout: gossip.Timeout}
 
-// startGossip joins the gossip with the other relays.
+// startGossip starts gossip with the other relays.
 func (r *relay) startGossip(p config.Peers) {
 	set := r.mapper.Settings
 	zone := ""
@@ -32,7 +33,7 @@
 		}
 	}
 	known := p.Known
-	if r.recovery != nil { // from the snapshot: all configured ones may be down
+	if r.recovery != nil { // add the peers of the snapshot, since all configured ones may be down
 		known = append(slices.Clone(known), r.recovery.peers...)
 	}
 	r.peers = gossiptransport.New(gossiptransport.Options{Observations: func() gossip.Digest { return observations.Digest(r.clock()) }, Loop: r.loop, Log: r.log, Name: r.cfg.Name, Zone: zone, Listen: p.Listen, Address: p.Address,
@@ -54,7 +55,7 @@
 		}})
 }
 
-// Peers is the gossip state as JSON; empty where gossip is off.
+// Peers returns the gossip state as JSON, or "" if gossip is off.
 func (r *relay) Peers() string {
 	if r.peers == nil {
 		return ""
--- a/cmd/dahliarudder/keys.go
+++ b/cmd/dahliarudder/keys.go
@@ -21,7 +21,7 @@
 	"golang.org/x/crypto/bcrypt"
 )
 
-// keysCommand makes what the configuration of logins and TLS needs.
+// keysCommand returns the command that creates certificates and password hashes for TLS and logins.
 func keysCommand() *cobra.Command {
 	keys := &cobra.Command{Use: "keys", Short: "Make what logins and TLS need"}
 	var dir string
@@ -60,7 +60,7 @@
 	return keys
 }
 
-// trialCertificate writes ca.pem, relay.pem and relay.key. The authority's key is discarded, so
+// writeTestCertificate writes ca.pem, relay.pem and relay.key. The authority's key is discarded, so
 // that nobody can sign with it later.
 func writeTestCertificate(dir string, hosts []string) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
--- a/cmd/dahliarudder/limits.go
+++ b/cmd/dahliarudder/limits.go
@@ -11,15 +11,18 @@
 )
 
 const (
-	// goMemoryFraction of the configured memory is the runtime's soft limit; the rest is for the kernel's buffers.
+	// goMemoryFraction of the configured memory is the Go runtime's soft limit. The rest is for the
+	// kernel's socket buffers.
 	goMemoryFraction = 0.7
-	// gcPercent lets the heap grow between collections: the live heap is small, and the soft limit rules when it is not.
+	// gcPercent lets the heap grow between collections. The live heap is usually small; when it is
+	// not, the soft limit triggers collections earlier.
 	gcPercent = 300
-	// maxDescriptors bounds the descriptors where the system names no limit.
+	// maxDescriptors is the limit on descriptors if the system sets none.
 	maxDescriptors = 1 << 20
 )
 
-// operatorDescriptors is how many descriptors are reserved for the operators' address and upgrades.
+// operatorDescriptors returns how many descriptors are reserved for the operators' address and for
+// hot restarts.
 func (r *relay) operatorDescriptors() int {
 	if r.cfg.Operator == "" {
 		return 0
@@ -27,7 +30,7 @@
 	return operator.MaxCallers + upgradeDescriptors
 }
 
-// applyRuntimeLimits sets the Go runtime to the configured processors and memory.
+// applyRuntimeLimits limits the Go runtime to the configured cores and memory.
 func applyRuntimeLimits(cfg *config.Config) {
 	if cores := cfg.Limits.Cores; cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(cores)))
@@ -38,7 +41,7 @@
 	}
 }
 
-// descriptorLimit is how many descriptors the process may have open.
+// descriptorLimit returns how many descriptors the process may have open.
 func descriptorLimit(cfg *config.Config) int {
 	limit := maxDescriptors
 	var r unix.Rlimit
--- a/cmd/dahliarudder/listen.go
+++ b/cmd/dahliarudder/listen.go
@@ -9,7 +9,7 @@
 	"dahliarudder/internal/netloop"
 )
 
-// listen opens the listener of a front for clients.
+// listen opens the listener of a front that serves clients.
 func (r *relay) listen(front, addr string, accept func(*netloop.Conn)) error {
 	l, err := r.inheritOrListen(front, addr, accept)
 	r.addListener(front, l, err)
@@ -20,13 +20,14 @@
 }
 
 const (
-	// listenTimeout is how long a start retries to listen at an address that is in use: the process before it may still be
-	// ending. It leaves half of the 10 s within which nine in ten restarted relays have to be ready.
+	// listenTimeout is how long a starting relay retries to listen at an address that is in use,
+	// since the previous process may still be ending. It leaves half of the 10 s within which nine
+	// of ten restarted relays have to be ready.
 	listenTimeout    = 5 * time.Second
 	listenRetryPause = 20 * time.Millisecond
 )
 
-// listenWithRetry listens, and retries transient errors until listenTimeout.
+// listenWithRetry listens, and retries after transient errors until listenTimeout has passed.
 func (r *relay) listenWithRetry(listen func() (*netloop.Listener, error)) (*netloop.Listener, error) {
 	deadline := r.clock() + listenTimeout
 	for logged := false; ; time.Sleep(listenRetryPause) {
@@ -41,7 +42,7 @@
 	}
 }
 
-// addListener registers a listener, unless listening failed.
+// addListener registers a listener, unless err is set.
 func (r *relay) addListener(front string, l *netloop.Listener, err error) {
 	if err == nil {
 		r.listeners = append(r.listeners, l)
@@ -49,7 +50,7 @@
 	}
 }
 
-// listenersClosed reports whether no listener accepts connections any more.
+// listenersClosed reports whether all listeners are closed.
 func (r *relay) listenersClosed() bool {
 	for _, l := range r.listeners {
 		if !l.Closed() {
@@ -59,7 +60,8 @@
 	return true
 }
 
-// closeUnusedSockets closes the older process's listening sockets of fronts that are off here.
+// closeUnusedSockets closes the listening sockets of the predecessor's fronts that this process
+// does not use.
 func (r *relay) closeUnusedSockets() {
 	for _, fd := range r.inheritedSockets {
 		unix.Close(fd)
@@ -67,7 +69,8 @@
 	r.inheritedSockets = nil
 }
 
-// inheritOrListen listens on the older process's socket, if it has one at that address, and paused until that process hands over.
+// inheritOrListen listens on the predecessor's socket for that front if it is bound to addr,
+// otherwise on a new one. An inherited listener is paused until startAccepting.
 func (r *relay) inheritOrListen(front, addr string, accept func(*netloop.Conn)) (*netloop.Listener, error) {
 	fd, ok := r.inheritedSockets[front]
 	delete(r.inheritedSockets, front)
@@ -85,7 +88,7 @@
 	return l, err
 }
 
-// listenOnNewSocket listens on a socket of its own.
+// listenOnNewSocket listens on a new socket.
 func (r *relay) listenOnNewSocket(addr string, accept func(*netloop.Conn)) (*netloop.Listener, error) {
 	return r.listenWithRetry(func() (*netloop.Listener, error) { return r.loop.Listen(addr, accept) })
 }
--- a/cmd/dahliarudder/main.go
+++ b/cmd/dahliarudder/main.go
@@ -15,7 +15,7 @@
 )
 
 func main() {
-	sigs := catchSignals() // first of all: until then a SIGHUP would end the process
+	sigs := catchSignals() // first, since until then a SIGHUP would end the process
 	log := logrus.New()
 	log.SetOutput(os.Stderr)
 	err := command(log, sigs).Execute()
@@ -29,11 +29,11 @@
 	}
 }
 
-// serveName is the one sub-command that handles signals itself.
+// serveName is the name of the only sub-command that handles signals itself.
 const serveName = "serve"
 
-// loadUnlessStopped reads the configuration. It returns neither a configuration nor an error if a signal to end comes first: nobody has
-// been served yet.
+// loadUnlessStopped loads the configuration. If SIGTERM or SIGINT comes first, it returns a nil
+// configuration and no error: no client has been served yet, so the process can simply end.
 func loadUnlessStopped(load func() (*config.Config, error), sigs *signals) (*config.Config, error) {
 	type loaded struct {
 		config *config.Config
@@ -52,7 +52,8 @@
 	}
 }
 
-// command is the command line. Every sub-command but serve leaves signals to their default actions.
+// command returns the root command. Every sub-command except serve leaves signals to their default
+// actions.
 func command(log *logrus.Logger, sigs *signals) *cobra.Command {
 	root := &cobra.Command{
 		Use:           "dahliarudder",
@@ -111,7 +112,7 @@
 				return fmt.Errorf("%w:\n%w", config.ErrInvalid, err)
 			}
 			cmd.Printf("%s: the configuration is sound\n", c.Name)
-			if c.Fleet != nil { // what a release of it names
+			if c.Fleet != nil { // a fleet release names a configuration by its digest
 				cmd.Printf("%s: its digest is %s\n", c.Name, c.Digest())
 			}
 			return nil
@@ -134,5 +135,5 @@
 	}
 }
 
-// version is the newest one in CHANGELOG.md.
+// version is the latest version in CHANGELOG.md.
 const version = "0.1.0"
--- a/cmd/dahliarudder/main_test.go
+++ b/cmd/dahliarudder/main_test.go
@@ -14,16 +14,18 @@
 	"dahliarudder/internal/netloop/looptest"
 )
 
-// faultPlanVariable names the file of the fault plan under which this test program runs as the relay.
+// faultPlanVariable is the environment variable that names the fault plan file. If it is set, this
+// test program runs as the relay.
 const faultPlanVariable = "RELAY_FAULT_PLAN"
 
-// faultPlanPollInterval is how often that file is read.
+// faultPlanPollInterval is how often the fault plan file is read.
 const faultPlanPollInterval = 5 * time.Millisecond
 
-// faultPlan is the content of that file. It may be replaced while the relay runs, by a plan with another number.
+// faultPlan is the content of the fault plan file. While the relay runs, the file may be replaced
+// by a plan with another number.
 type faultPlan struct {
 	Number  int     `json:"number"`
-	StepMS  float64 `json:"step_ms"` // the wall clock's error
+	StepMS  float64 `json:"step_ms"` // how far the wall clock is ahead
 	Failing []struct {
 		Call  string  `json:"call"`
 		Errno string  `json:"errno"`
@@ -33,7 +35,8 @@
 	} `json:"failing"`
 }
 
-// TestMain runs the relay itself under injected faults if the variable names a fault plan. The built program has no such switch.
+// TestMain runs the relay itself with injected faults if faultPlanVariable is set. The built
+// program cannot inject faults.
 func TestMain(m *testing.M) {
 	path := os.Getenv(faultPlanVariable)
 	if path == "" {
@@ -65,7 +68,8 @@
 	main()
 }
 
-// readFaultPlan reads the file, which its writer replaces by a rename; a missing file is a plan without faults.
+// readFaultPlan reads the fault plan file, which its writer replaces by a rename. A file that
+// cannot be read or decoded counts as a plan without faults.
 func readFaultPlan(path string) (plan faultPlan) {
 	text, err := os.ReadFile(path)
 	if err == nil {
@@ -77,7 +81,7 @@
 	return plan
 }
 
-// errnoByName returns 0 for a name that is empty or unknown.
+// errnoByName returns the error number of that name, 0 if the name is empty or unknown.
 func errnoByName(name string) unix.Errno {
 	for e := unix.Errno(1); name != "" && e < 200; e++ {
 		if unix.ErrnoName(e) == name {
--- a/cmd/dahliarudder/operator.go
+++ b/cmd/dahliarudder/operator.go
@@ -7,7 +7,8 @@
 	"dahliarudder/internal/handover"
 )
 
-// restoreEjections applies the ejections that an earlier process has stored, and starts the goroutine that writes them.
+// restoreEjections joins a predecessor if there is one, applies the stored ejections, and starts the
+// goroutine that writes the ejection file.
 func (r *relay) restoreEjections() error {
 	dir, err := ejections.StateDir(r.cfg.Name)
 	if err != nil {
@@ -20,7 +21,7 @@
 	if err := r.joinPredecessor(dir); err != nil {
 		return err
 	}
-	// Only now: the older process, if there is one, sends what changes from here on.
+	// The file is read only after joining: from then on the predecessor reports every change of it.
 	names, err := r.ejections.Read()
 	if err != nil {
 		r.log.WithError(err).Error("no ejection is in force")
@@ -32,14 +33,14 @@
 	return nil
 }
 
-// Ready reports whether clients can be served: every listener is up, and there is a
-// usable member.
+// Ready reports whether clients can be served: the relay accepts clients, and there is a usable
+// member.
 func (r *relay) Ready() bool { return r.accepting && r.core.HasUsableMember() }
 
-// Known reports whether there is a member of that name.
+// Known reports whether the endpoint list has a member of that name.
 func (r *relay) Known(member string) bool { return r.core.IsKnownMember(member) }
 
-// SetEjected ejects a member or restores it, at all relays if there is a fleet.
+// SetEjected ejects a member or reinstates it, at all relays if there is a fleet.
 func (r *relay) SetEjected(member string, ejected bool, done func(error)) {
 	if r.fleet != nil {
 		r.ejectFleetWide(member, ejected, done)
@@ -48,11 +49,13 @@
 	r.applyEjections(member, ejected, done)
 }
 
-// errTooManyCalls: the disk does not keep up with the operators' calls.
+// errTooManyCalls is returned if maxEjectionWrites calls are queued because the disk is too slow.
+// The text is sent to the operator.
 var errTooManyCalls = errors.New("too many calls are waiting")
 
-// applyEjections writes an ejection, if member names one, and then applies the file, which the sibling process may have
-// written too. It does so off the loop, which a slow disk must not block.
+// applyEjections writes the ejection of member, unless member is "", and then applies the whole
+// file, which the sibling process may have changed too. It does so on a goroutine, since a slow
+// disk must not block the event loop.
 func (r *relay) applyEjections(member string, ejected bool, done func(error)) {
 	write := func() {
 		var err error
@@ -78,14 +81,15 @@
 	}
 }
 
-// Drain drains the relay: its clients migrate, and new ones are rejected.
+// Drain drains the relay: its clients are migrated, and new ones are rejected.
 func (r *relay) Drain() { r.drainedByOperator = true; r.applyDrainState() }
 
-// Resume ends the operator's drain; one that the fleet has ordered goes on.
+// Resume ends the operator's drain. A drain that the fleet has ordered continues.
 func (r *relay) Resume() { r.drainedByOperator = false; r.applyDrainState() }
 
-// applyDrainState drains or resumes both processes of the relay. An operator, an order to leave and a quarantine each keep it drained, so
-// that the end of one does not end another.
+// applyDrainState drains or resumes this process and its sibling. There are three independent
+// reasons for a drain: an operator's call, an order to leave, and a quarantine. The relay resumes
+// when none is left.
 func (r *relay) applyDrainState() {
 	drain := r.drainedByOperator || r.shutdownOrder != nil || r.quarantineOrder != 0
 	r.setDraining(drain)
--- a/cmd/dahliarudder/relay.go
+++ b/cmd/dahliarudder/relay.go
@@ -18,8 +18,9 @@
 	"dahliarudder/internal/store"
 )
 
-// relay is one process of the relay: it owns the loop and all that runs on it. Its fields belong to the loop; what runs on another
-// goroutine posts to it. The resources are closed in serve and closeAndExit.
+// relay is one process of the relay. It owns the event loop and everything that runs on it. The
+// fields belong to the loop; other goroutines post functions to it. serve and closeAndExit close
+// the resources.
 type relay struct {
 	cfg               *config.Config
 	signals           *signals
@@ -30,40 +31,40 @@
 	mapper            pool.MemberMapper
 	watch             *pool.Watcher
 	core              *core.Core
-	coreTimer         *netloop.Timer           // until the core's next Tick
+	coreTimer         *netloop.Timer           // fires at the core's next Tick
 	natsFront         *nats.Front              // nil if it is off
 	store             *store.Store             // nil if it is off
 	peers             *gossiptransport.Service // nil if it is off
-	recovery          *recoveryReport          // nil if no state is kept
+	recovery          *recoveryReport          // nil if no state directory is configured
 	fleet             *fleet.Service           // nil if it is off
-	recordVersion     uint64                   // of the fleet record, as applied here
-	excludedByFleet   []string                 // members that it excludes
-	flowTime          time.Duration            // summed over all flows, at statusAt
-	lastStatusAt      time.Duration            // of the last fleetStatus
+	recordVersion     uint64                   // version of the fleet record that is applied here
+	excludedByFleet   []string                 // members that the fleet record excludes
+	flowTime          time.Duration            // sum of the durations of all flows until lastStatusAt
+	lastStatusAt      time.Duration            // time of the last fleetStatus
 	permitsVersion    uint64                   // version of the permits in force
 	quarantineOrder   uint64                   // number of the quarantine order in force; 0: none
 	configDigests     map[string]string        // digest by section of the running configuration
-	reloadError       string                   // why the last reload was refused; "" if it was not
+	reloadError       string                   // why the last reload failed; "" if it did not
 	canary            *canaryState             // nil without a fleet
 	drainedByOperator bool
 	shutdownOrder     *shutdownOrder // the order to leave in force; nil if none
-	exitOrdered       bool           // the process ends by that order
+	exitOrdered       bool           // the process ends because of shutdownOrder
 	stopping          bool
-	caughtUp          bool // with the fleet record, or catchUpTimeout has passed
+	caughtUp          bool // the fleet record has caught up, or catchUpTimeout has passed
 	listeners         []*netloop.Listener
 	maxSockets        int                          // descriptors that the loop may have open
-	maxBufferBytes    int                          // bytes that its buffers may hold
+	maxBufferBytes    int                          // bytes that the loop's buffers may have together
 	lineFront         *line.Front                  // nil if it is off
-	clientListeners   map[string]*netloop.Listener // by front: where clients connect
-	accepting         bool                         // clients
+	clientListeners   map[string]*netloop.Listener // listeners for clients, by front
+	accepting         bool                         // this process has begun to accept clients
 
-	// With an operators' address:
-	stateDir          string // of the files that outlive this process
+	// Used only with an operators' address:
+	stateDir          string // directory of the files that outlive this process
 	ejections         *ejections.File
 	ejectionWrites    chan func()       // writes of the ejection file, in order
 	successorListener *netloop.Listener // where a successor connects
-	sibling           *siblingProcess   // the other process of an upgrade; nil if there is none
-	takeover          takeoverState     // of the clients, by the sibling
-	inheritedSockets  map[string]int    // by front: listening sockets of the older process, until they are used
-	inheritedState    *handover.State   // of the older process, until it is restored
+	sibling           *siblingProcess   // the other process during a hot restart; nil if there is none
+	takeover          takeoverState     // of the clients by the sibling, during this process's shutdown
+	inheritedSockets  map[string]int    // the predecessor's listening sockets by front, until they are used
+	inheritedState    *handover.State   // the predecessor's state, until it is restored
 }
--- a/cmd/dahliarudder/scenario.go
+++ b/cmd/dahliarudder/scenario.go
@@ -9,11 +9,13 @@
 	"github.com/spf13/cobra"
 )
 
-// scenarioProgram runs scenario files. The build puts it in this program's directory.
+// scenarioProgram is the program that runs scenario files. The build puts it in this program's
+// directory.
 const scenarioProgram = "dahliarudder-scenario"
 
-// scenarioCommand replaces this process by scenarioProgram: the relay itself does not link the plotting library that the reports
-// need. The alias is the command's earlier name, which operators' scripts use.
+// scenarioCommand returns the command that replaces this process by scenarioProgram, which is
+// separate so that the relay does not link the plotting library of the reports. The alias is the
+// command's earlier name, which operators' scripts use.
 func scenarioCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:                "scenario FILE",
--- a/cmd/dahliarudder/scenario_test.go
+++ b/cmd/dahliarudder/scenario_test.go
@@ -6,8 +6,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// TestScenarioCommandNames: the command is found by its name and by the earlier one, which operators' scripts use, and takes all
-// that follows as its own arguments.
+// TestScenarioCommandNames checks that the scenario command is found by its name and by the earlier
+// one, which operators' scripts use, and passes on all arguments that follow.
 func TestScenarioCommandNames(t *testing.T) {
 	for _, name := range []string{"scenario", "rehearse"} {
 		found, rest, err := command(logrus.New(), nil).Find([]string{name, "--check", "file.json"})
--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -22,49 +22,56 @@
 )
 
 const (
-	// reservedSockets are the descriptors outside the loop's limit: standard streams, epoll,
-	// the wakeup, what the runtime opens, and the connections to discovery.
+	// reservedSockets are the descriptors outside the loop's limit: standard streams, epoll, the
+	// wakeup descriptor, those that the Go runtime opens, and the connections to discovery.
 	reservedSockets = 16 + pool.MaxDescriptors
-	// bufferMemoryFraction of the memory limit is for the buffers of all connections together;
-	// slices that grow take up to twice their length.
+	// bufferMemoryFraction of the memory limit is for the buffers of all connections together. Slices
+	// that grow take up to twice their length.
 	bufferMemoryFraction = 0.25
-	// feedMemoryFraction of the memory limit is for the messages of feeds, queued or in flight.
+	// feedMemoryFraction of the memory limit is for messages of feeds, queued or in flight.
 	feedMemoryFraction = 0.125
-	// storeFlushTimeout is how long the store has for its last records at the end.
+	// storeFlushTimeout is how long the store may take to write its last records when the process
+	// ends.
 	storeFlushTimeout = 3 * time.Second
-	// maxEjectionWrites is how many writes of the ejection file may be queued.
+	// maxEjectionWrites limits the queued writes of the ejection file.
 	maxEjectionWrites = 64
-	// suspensionFraction: a process that was suspended for longer than this part of the longest poll interval no longer
-	// trusts its endpoint list.
+	// suspensionFraction is the part (1/10) of the longest poll interval after which a process that
+	// was suspended no longer trusts its endpoint list.
 	suspensionFraction = 10
-	// stopPollInterval is how often a shutdown checks whether it is complete, and stopLingerTime how long the last
-	// answers have to leave.
+	// stopPollInterval is how often a shutdown checks whether it is complete. stopLingerTime is how
+	// long the last answers have to be sent.
 	stopPollInterval = 20 * time.Millisecond
 	stopLingerTime   = 200 * time.Millisecond
-	// stopOverrun is how long flows that are migrated at the very end have to complete a line. SIGKILL comes 0.7 s after
-	// the longest deadline, at which a shutdown ends at the latest.
+	// stopOverrun is how long flows that are migrated at the very end have to complete a line. A
+	// shutdown reaches its end at the longest deadline at the latest, and SIGKILL comes 0.7 s after
+	// that.
 	stopOverrun = line.MoveTimeout + stopLingerTime/2
 )
 
-// clockStart is the relay's clock at its start: no time of this process is the 0 that means "long ago" to the decision module.
+// clockStart is the value of the relay's clock at its start. It is above 0, since package policy
+// takes time 0 to mean unknown or long ago.
 const clockStart = time.Hour
 
-// wallClock is the machine's wall clock, which may be stepped: no duration is measured by it. Only tests replace it.
+// wallClock returns the time of the machine's wall clock, which may be stepped, so it does not
+// measure durations. Only tests replace it.
 var wallClock = time.Now
 
-// steadyWall returns a wall clock that is read once and runs on by the monotonic clock, so that its differences are real time.
+// steadyWall returns a clock that starts at the wall clock's current time and advances with the
+// monotonic clock, so that differences of its times are real durations.
 func steadyWall() func() time.Time {
 	startedAt := wallClock()
 	return func() time.Time { return startedAt.Add(time.Since(startedAt)) }
 }
 
-// runName identifies this run of the relay in the store of record. The time alone could repeat after a clock step, and a record
-// under a name that was used before would be taken for written.
+// runName returns a name that identifies this run of the relay in the store. It includes a random
+// number, since the time could repeat after a clock step, and the store would take a record under a
+// name that was used before as already written.
 func runName(name, seed string, at time.Time) string {
 	return fmt.Sprintf("%s/%s/%d-%08x", name, seed, at.UnixMicro(), rand.Uint32())
 }
 
-// serve runs the relay until SIGTERM or an order of the fleet. reload reads the configuration again.
+// serve runs the relay until SIGTERM, SIGINT or an order of the fleet. reload reads the
+// configuration again.
 func serve(cfg *config.Config, reload func(*config.Config) (*config.Config, error), sigs *signals, log *logrus.Logger) error {
 	applyRuntimeLimits(cfg)
 	set := cfg.Decoded()
@@ -106,7 +113,7 @@
 	return errors.Join(err, r.closeStore())
 }
 
-// stopBackground ends all goroutines of this process but its loop.
+// stopBackground ends all goroutines of this process except the event loop.
 func (r *relay) stopBackground() {
 	if r.natsFront != nil {
 		r.background.stop(r.natsFront.Close)
@@ -115,8 +122,8 @@
 	r.background.stop()
 }
 
-// watchReloads reads the configuration again for each SIGHUP, on a goroutine of its own: a slow disk delays neither the loop nor a
-// shutdown.
+// watchReloads reads the configuration again after each SIGHUP. It runs on a goroutine, so that a
+// slow disk delays neither the event loop nor a shutdown.
 func (r *relay) watchReloads(quit <-chan struct{}, hangups <-chan os.Signal, reload func(*config.Config) (*config.Config, error)) {
 	current := r.cfg
 	for {
@@ -136,8 +143,8 @@
 	}
 }
 
-// logCounts logs the core's counters of each interval: the relay's clock in seconds, then a field a counter, so that the
-// logs of many relays can be added up.
+// logCounts logs the core's counters of each interval: the relay's clock in seconds, and one field
+// per counter, so that the logs of many relays can be summed.
 func (r *relay) logCounts(every time.Duration, before core.Counts) {
 	r.loop.After(every, func() {
 		now := r.core.Counts
@@ -154,8 +161,8 @@
 	})
 }
 
-// afterSuspension runs when this process was suspended for so long that its endpoint list may be stale: nothing new is dispatched until
-// discovery has answered, or the grace of a change has passed.
+// afterSuspension runs after this process was suspended for so long that its endpoint list may be
+// stale. No attempt is dispatched until discovery has answered, or the drain grace has passed.
 func (r *relay) afterSuspension(gap time.Duration) {
 	r.log.WithField("gap", gap).Warn("this process was suspended; the endpoint list is polled again")
 	r.core.PauseDispatch()
@@ -163,7 +170,8 @@
 	r.loop.After(settings.Duration(r.mapper.Settings.Guarantees.DrainGrace), r.core.ResumeDispatch)
 }
 
-// reload applies what a running relay can change: the address of discovery, and the credentials of the NATS front.
+// reload applies the changes that need no restart: the discovery address, and the credentials of
+// the NATS front.
 func (r *relay) reload(fresh *config.Config) {
 	r.reloadError = ""
 	keys := r.cfg.KeysNeedingRestart(fresh)
--- a/cmd/dahliarudder/signals.go
+++ b/cmd/dahliarudder/signals.go
@@ -6,14 +6,15 @@
 	"syscall"
 )
 
-// signals are the channels on which this process receives signals. Each kind has a channel of its own that holds one: a pending signal
-// stands for all that come after it, and neither kind delays the other.
+// signals are the channels on which this process receives signals. Each kind has a channel of its
+// own, so that neither delays the other. A channel buffers one signal, which also covers later ones
+// of its kind.
 type signals struct {
 	stop   chan os.Signal // SIGTERM and SIGINT
 	reload chan os.Signal // SIGHUP
 }
 
-// catchSignals subscribes to the signals, whose default action would end the process.
+// catchSignals subscribes to the signals, whose default action is to end the process.
 func catchSignals() *signals {
 	s := &signals{stop: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
 	signal.Notify(s.stop, syscall.SIGTERM, syscall.SIGINT)
@@ -21,11 +22,11 @@
 	return s
 }
 
-// release restores the default actions.
+// release restores the default actions of the signals.
 func (s *signals) release() {
 	signal.Stop(s.stop)
 	signal.Stop(s.reload)
 }
 
-// stopping reports whether a signal to end is pending.
+// stopping reports whether SIGTERM or SIGINT is pending.
 func (s *signals) stopping() bool { return len(s.stop) > 0 }
--- a/cmd/dahliarudder/snapshot.go
+++ b/cmd/dahliarudder/snapshot.go
@@ -12,25 +12,27 @@
 	"dahliarudder/policy"
 )
 
-// recoveryReport is what this relay has restored at its start, as GET /-/recovery shows it, and the state of its snapshots.
+// recoveryReport describes what this relay restored at its start, and the state of its snapshots. GET
+// /-/recovery returns it.
 type recoveryReport struct {
-	From       string                   `json:"from"` // "snapshot", "an older process", or "nothing"
+	From       string                   `json:"from"` // "snapshot", "an older process" (the predecessor of a hot restart), or "nothing"
 	Age        int64                    `json:"age_ms"`
 	Discarded  []snapshot.DiscardedPart `json:"thrown_away"`
-	WrittenAgo int64                    `json:"written_ms_ago"` // since the last snapshot; -1: none yet
+	WrittenAgo int64                    `json:"written_ms_ago"` // ms since the last snapshot; -1: none yet
 	WriteError string                   `json:"write_failed,omitempty"`
-	peers      []string
-	writtenAt  time.Duration // of the last write
+	peers      []string                 // addresses of other relays in the restored snapshot
+	writtenAt  time.Duration            // time of the last successful write
 	dir        string
-	pending    chan []byte // encoded snapshot to be written; one waits at most
+	pending    chan []byte // encoded snapshots to be written, at most one
 }
 
-// newRecoveryReport reports a start that has restored its state from one source so far.
+// newRecoveryReport returns the report of a start that restores its state from one source.
 func newRecoveryReport(from, dir string) *recoveryReport {
 	return &recoveryReport{From: from, Discarded: []snapshot.DiscardedPart{}, dir: dir, pending: make(chan []byte, 1)}
 }
 
-// clocksNow reads both clocks of this machine. Where the system does not tell its uptime, only the wall clock is set.
+// clocksNow reads both clocks of this machine. If the system's uptime cannot be read, only the wall
+// clock is set.
 func clocksNow() snapshot.Clocks {
 	clocks := snapshot.Clocks{Wall: wallClock()}
 	boot, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
@@ -48,8 +50,8 @@
 	return clocks
 }
 
-// resumeFromSnapshot restores the state from the snapshot, if there is a valid one. An endpoint list that is known already stays unless the
-// snapshot has a newer one.
+// resumeFromSnapshot restores the state from the snapshot if there is a valid one. A known endpoint
+// list is replaced only by a newer one.
 func (r *relay) resumeFromSnapshot(c config.State) {
 	r.recovery = newRecoveryReport("nothing", c.Dir)
 	if err := os.MkdirAll(c.Dir, 0o700); err != nil {
@@ -61,7 +63,7 @@
 		return
 	}
 	current, known := r.watch.Snapshot()
-	if !known || s.DiscoveryAddr != r.cfg.Discovery { // a generation means nothing but where it was given
+	if !known || s.DiscoveryAddr != r.cfg.Discovery { // generations compare only at the same discovery address
 		current.Generation = 0
 	}
 	age, discarded, err := s.Validate(clocksNow(), r.cfg.Name, current.Generation, snapshot.LimitsFor(r.core.PolicySettings().MaxPollInterval))
@@ -84,7 +86,8 @@
 	r.log.WithField("age", age).Info("state: restored from the snapshot")
 }
 
-// discardSnapshot reports a part that could not be used; without an error there was none.
+// discardSnapshot reports a part of the snapshot that could not be used. It does nothing if err is
+// nil.
 func (r *relay) discardSnapshot(what string, err error) {
 	if err != nil {
 		r.recovery.Discarded = append(r.recovery.Discarded, snapshot.DiscardedPart{What: what, Why: err.Error()})
@@ -92,7 +95,7 @@
 	}
 }
 
-// onSnapshotWritten records the result of a write, and logs when that changes.
+// onSnapshotWritten records the result of a write, and logs changes between failure and success.
 func (r *relay) onSnapshotWritten(err error) {
 	failed := r.recovery.WriteError != ""
 	switch {
@@ -108,8 +111,8 @@
 	r.recovery.WriteError, r.recovery.writtenAt = "", r.clock()
 }
 
-// writeSnapshots writes a snapshot at intervals, on a goroutine of its own: a slow disk blocks nobody, and while it is busy snapshots are
-// skipped.
+// writeSnapshots writes a snapshot at intervals. A goroutine writes them, so that a slow disk does
+// not block the event loop; while a write is pending, further snapshots are skipped.
 func (r *relay) writeSnapshots(every time.Duration) {
 	c := r.recovery
 	r.background.run(func(quit <-chan struct{}) {
@@ -120,8 +123,8 @@
 	})
 	var write func()
 	write = func() {
-		if r.core.HasUsableMember() { // a relay that knows no member must not overwrite what it knew
-			if b, err := r.snapshot().Encode(); err != nil { // on the loop, which owns the learned state
+		if r.core.HasUsableMember() { // without a member, a snapshot would overwrite a better one
+			if b, err := r.snapshot().Encode(); err != nil { // on the event loop, which owns the learned state
 				r.onSnapshotWritten(err)
 			} else {
 				select {
@@ -135,7 +138,7 @@
 	r.loop.After(every, write)
 }
 
-// snapshot is what this relay would restore at its next start.
+// snapshot returns the state that this relay would restore at its next start.
 func (r *relay) snapshot() *snapshot.Snapshot {
 	list, _ := r.watch.Snapshot()
 	s := &snapshot.Snapshot{Name: r.cfg.Name, List: list, DiscoveryAddr: r.cfg.Discovery, Learned: r.core.LearnedState()}
@@ -146,7 +149,7 @@
 	return s
 }
 
-// Recovery is the recovery report as JSON; empty where no state directory is configured.
+// Recovery returns the recovery report as JSON, or "" if no state directory is configured.
 func (r *relay) Recovery() string {
 	if r.recovery == nil {
 		return ""
--- a/cmd/dahliarudder/stop.go
+++ b/cmd/dahliarudder/stop.go
@@ -4,15 +4,16 @@
 	"dahliarudder/internal/core"
 )
 
-// stop shuts the relay down gracefully: it ends once no request is open, and at the latest at the deadline.
+// stop shuts the relay down gracefully. The process ends once no request is open, at the latest at
+// the deadline.
 func (r *relay) stop() {
-	if r.stopping { // a signal and an order may both come
+	if r.stopping { // both a signal and an order may call stop
 		return
 	}
 	r.stopping = true
 	loop := r.loop
 	open := r.core.ActiveRequests()
-	r.peers.Leave() // nothing new is placed from here on
+	r.peers.Leave() // this relay dispatches no new requests from here on
 	deadline := loop.Now() + r.core.StopTimeout()
 	earliest := loop.Now() + core.StopNotice
 	if r.requestTakeover() {
@@ -21,7 +22,7 @@
 	} else {
 		r.core.Stop()
 	}
-	r.log.WithField("open_requests", open).Info("stopping") // once the sibling has its notice: what reads the log may rely on that
+	r.log.WithField("open_requests", open).Info("stopping") // after the message to the sibling, which readers of the log rely on
 	if r.natsFront != nil {
 		r.natsFront.EnterLameDuck()
 	}
@@ -31,7 +32,7 @@
 	}, r.closeAndExit)
 }
 
-// pollUntil checks a condition until it is true, and then calls next.
+// pollUntil polls done until it returns true, and then calls next.
 func (r *relay) pollUntil(done func() bool, next func()) {
 	if done() {
 		next()
@@ -40,7 +41,7 @@
 	r.loop.After(stopPollInterval, func() { r.pollUntil(done, next) })
 }
 
-// openRequests is how many requests have no final answer, or one that has not left yet.
+// openRequests returns how many requests have no final answer, or one that is not sent yet.
 func (r *relay) openRequests() int {
 	open := r.core.ActiveRequests()
 	if r.lineFront != nil {
@@ -49,16 +50,17 @@
 	return open
 }
 
-// closeAndExit is the last step of a shutdown: it closes the listeners, answers what waits, and ends the loop once the answers have left.
+// closeAndExit is the last step of a shutdown. It gives the remaining requests their final answers,
+// closes the listeners, and stops the event loop once the answers are sent.
 func (r *relay) closeAndExit() {
 	r.core.FinishStop()
-	r.closeIdleConnections() // their descriptors are needed for connections in a listener's queue
+	r.closeIdleConnections() // frees descriptors for connections that are still in a listener's queue
 	for _, l := range append(r.listeners, r.successorListener) {
 		l.Close()
 	}
 	earliest, latest := r.loop.Now()+stopLingerTime, r.loop.Now()+stopOverrun
 	r.pollUntil(func() bool {
-		r.closeIdleConnections() // those that were in the queue
+		r.closeIdleConnections() // those accepted from a listener's queue since
 		now := r.loop.Now()
 		return now >= latest || now >= earliest && r.openRequests() == 0 && r.listenersClosed()
 	}, r.loop.Stop)
--- a/cmd/dahliarudder/upgrade.go
+++ b/cmd/dahliarudder/upgrade.go
@@ -11,48 +11,53 @@
 	"dahliarudder/policy"
 )
 
+// This file implements hot restarts. A successor is a process that is started to replace a running
+// one, its predecessor. They serve side by side until the predecessor ends. Each calls the other,
+// in either role, its sibling.
+
 const (
 	// openStateInterval is how often a process sends its open requests to its successor.
 	openStateInterval = 50 * time.Millisecond
-	// retrySockets is how many descriptors the older process may open beyond those it has: for
+	// retrySockets is how many descriptors the predecessor may open beyond those that it has, for
 	// retries of requests in flight.
 	retrySockets = 16
-	// handoverBurst connections at most are in transfer at once; the older process looks again each handoverInterval.
+	// handoverBurst limits the connections in transfer at a time. The predecessor hands over more at
+	// each handoverInterval.
 	handoverBurst    = 8
 	handoverInterval = 5 * time.Millisecond
-	// upgradeDescriptors are reserved for the listener for successors, the channel to one,
-	// and a connection in transfer.
+	// upgradeDescriptors are the descriptors reserved for the listener for successors, the channel to
+	// one, and a connection in transfer.
 	upgradeDescriptors = 4
 )
 
-// siblingOrigin says which of the two processes of an upgrade the sibling is.
+// siblingRole is the role of the sibling in a hot restart.
 type siblingRole int
 
 const (
-	roleSuccessor   siblingRole = iota // it was started beside this one
-	rolePredecessor                    // it was here first
+	roleSuccessor   siblingRole = iota // the sibling was started to replace this process
+	rolePredecessor                    // this process was started to replace the sibling
 )
 
 // siblingStage is the phase of the sibling.
 type siblingStage int
 
 const (
-	stageStarting siblingStage = iota // it does not accept clients yet; only a newer process is in this stage
-	stageServing                      // it accepts clients, or did before this one
+	stageStarting siblingStage = iota // it does not accept clients yet; only a successor is in this stage
+	stageServing                      // it accepts clients, or accepted them before this process did
 	stageStopping                     // it is shutting down
 )
 
-// siblingProcess is the other process of this relay during an upgrade.
+// siblingProcess is the other process of this relay during a hot restart.
 type siblingProcess struct {
 	peer          *handover.Peer
 	role          siblingRole
 	stage         siblingStage
-	lastSentOpen  handover.OpenRequests // what a newer one was sent last
-	handoverTimer *netloop.Timer        // until the next connections are handed over to it
+	lastSentOpen  handover.OpenRequests // last state of the open requests sent to a successor
+	handoverTimer *netloop.Timer        // fires when the next connections are handed over to a successor
 }
 
-// joinPredecessor requests the state of the process that this one replaces, if there is
-// one, and takes its listening sockets.
+// joinPredecessor requests the state and the listening sockets of the predecessor. It does nothing
+// if there is none.
 func (r *relay) joinPredecessor(dir string) error {
 	fd, state, fds, err := handover.RequestState(dir)
 	if err != nil || state == nil {
@@ -72,12 +77,12 @@
 	return nil
 }
 
-// awaitSuccessor listens for a process that is started to replace this one.
+// awaitSuccessor listens for a successor.
 func (r *relay) awaitSuccessor() {
 	r.successorListener.Close()
 	var err error
 	r.successorListener, err = r.loop.ListenChannel(handover.Path(r.stateDir), func(fd int) {
-		if r.sibling != nil { // one at a time
+		if r.sibling != nil { // one successor at a time
 			unix.Close(fd)
 			return
 		}
@@ -92,7 +97,7 @@
 	}
 }
 
-// onMessage handles a message of the sibling. It owns the descriptors.
+// onMessage handles a message of the sibling. It owns fds.
 func (r *relay) onMessage(m *handover.Message, fds []int) {
 	switch {
 	case m.Hello > 0:
@@ -125,7 +130,8 @@
 	}
 }
 
-// sendStateToSuccessor sends a successor the state that it starts with, and the listening sockets.
+// sendStateToSuccessor sends a successor its initial state and the listening sockets. hello is the
+// successor's protocol version.
 func (r *relay) sendStateToSuccessor(hello int) {
 	r.sibling.peer.SetVersion(hello)
 	state := handover.NewState(r.core.LearnedState(), hello)
@@ -145,7 +151,8 @@
 	r.syncSibling()
 }
 
-// limitToOwnSockets leaves the descriptors that this process does not need to its successor.
+// limitToOwnSockets lowers this process's descriptor limit to what it needs, so that the successor
+// can use the rest.
 func (r *relay) limitToOwnSockets() {
 	inTransfer := r.sibling.peer.PendingFDs()
 	limit := r.loop.OpenDescriptors() + inTransfer + retrySockets
@@ -157,13 +164,16 @@
 	r.loop.SetMemoryLimit(r.maxBufferBytes / 2)
 }
 
-// limitToRemainingSockets takes the descriptors that the older process leaves.
+// limitToRemainingSockets sets the descriptor limit to what the predecessor, whose limit is theirs,
+// leaves.
 func (r *relay) limitToRemainingSockets(theirs int) {
 	r.loop.SetDescriptorLimit(r.maxSockets - theirs - reservedSockets - r.operatorDescriptors())
 	r.loop.SetMemoryLimit(r.maxBufferBytes / 2)
 }
 
-// syncSibling sends the sibling what changes, as long as there is one.
+// syncSibling runs every openStateInterval while there is a sibling. It sends a successor the
+// changes of the open requests, or starts accepting clients beside a predecessor once there is a
+// usable member.
 func (r *relay) syncSibling() {
 	if r.sibling == nil {
 		return
@@ -177,7 +187,8 @@
 	r.loop.After(openStateInterval, r.syncSibling)
 }
 
-// sendOpenState sends the successor the ids of the requests that are open here, if they have changed.
+// sendOpenState sends the successor the ids of the requests that are open here and this process's
+// descriptor limit, if either has changed.
 func (r *relay) sendOpenState() {
 	before := r.sibling.lastSentOpen
 	r.limitToOwnSockets()
@@ -199,8 +210,9 @@
 	}
 }
 
-// onSiblingGone goes on as the only process. The clients of a successor that has ended before it took over
-// stay with this one, and connections in transfer to it come back.
+// onSiblingGone continues as the only process after the sibling has ended. If a successor ended
+// before it took over, this process keeps its clients. Connections whose transfer was not confirmed
+// are adopted again.
 func (r *relay) onSiblingGone(err error) {
 	was := r.sibling
 	r.sibling, r.takeover = nil, takeoverNone
@@ -226,7 +238,8 @@
 	}
 }
 
-// restorePredecessorState takes over the endpoint list and the learned state of the older process, before the first client.
+// restorePredecessorState restores the predecessor's endpoint list and learned state. It runs
+// before the first client is accepted.
 func (r *relay) restorePredecessorState() {
 	if r.inheritedState == nil {
 		return
--- a/cmd/dahliarudder/upgrade_connections.go
+++ b/cmd/dahliarudder/upgrade_connections.go
@@ -5,7 +5,8 @@
 	"dahliarudder/internal/handover"
 )
 
-// adoptConnection takes over the connection that a message carries. It returns false, and does not own the descriptors, if it carries none.
+// adoptConnection takes over the connection that a message carries, with its descriptors. If the
+// message carries none, it returns false and the caller still owns the descriptors.
 func (r *relay) adoptConnection(m *handover.Message, fds []int) bool {
 	switch {
 	case r.lineFront == nil:
@@ -22,8 +23,9 @@
 	return true
 }
 
-// handOverConnections hands connections over to a successor that serves, a few at a time, so that the others are served meanwhile: those
-// without a request, and during shutdown the open flows.
+// handOverConnections hands connections over to a successor that serves: those without a request,
+// and during shutdown also the open flows. It hands over a few at a time, so that the others are
+// served meanwhile.
 func (r *relay) handOverConnections() {
 	if !r.handsOver() {
 		return
@@ -44,12 +46,13 @@
 	r.sibling.handoverTimer = r.loop.After(next, r.handOverConnections)
 }
 
-// handsOver reports whether connections go to a successor that serves.
+// handsOver reports whether this process hands connections over, that is, whether it has a
+// successor that serves.
 func (r *relay) handsOver() bool {
 	return r.sibling != nil && r.sibling.role == roleSuccessor && r.sibling.stage == stageServing && r.lineFront != nil
 }
 
-// handoverComplete reports whether nothing is left to send to the sibling, or to be confirmed by it.
+// handoverComplete reports whether everything is sent to the sibling and confirmed by it.
 func (r *relay) handoverComplete() bool {
 	if r.sibling == nil {
 		return true
@@ -57,10 +60,10 @@
 	return r.sibling.peer.Idle() && (!r.handsOver() || r.lineFront.IdleCount() == 0)
 }
 
-// handoverWindow is how many more connections may be in transfer now.
+// handoverWindow returns how many more connections may be in transfer now.
 func (r *relay) handoverWindow() int { return handoverBurst - r.sibling.peer.Pending() }
 
-// sendConnection hands a connection over. One that cannot be sent is served on here.
+// sendConnection hands a connection over. If it cannot be sent, this process continues to serve it.
 func (r *relay) sendConnection(m handover.Message, fds ...int) {
 	if err := r.sibling.peer.SendConnection(m, fds...); err != nil {
 		r.log.WithError(err).Error("cannot send to the other process")
--- a/cmd/dahliarudder/upgrade_takeover.go
+++ b/cmd/dahliarudder/upgrade_takeover.go
@@ -4,24 +4,24 @@
 	"dahliarudder/internal/handover"
 )
 
-// takeoverState says whether this process, which is shutting down, leaves its clients to the sibling.
+// takeoverState says whether a process that is shutting down leaves its clients to the sibling.
 type takeoverState int
 
 const (
-	takeoverNone      takeoverState = iota // it answers them itself
-	takeoverRequested                      // it accepts none, and the sibling has not confirmed that it does
-	takeoverConfirmed                      // the sibling accepts them
+	takeoverNone      takeoverState = iota // this process answers its clients itself
+	takeoverRequested                      // this process accepts none, and the sibling has not yet confirmed that it does
+	takeoverConfirmed                      // the sibling accepts the clients
 )
 
-// pauseAccepting pauses the listeners for clients, or resumes them.
+// pauseAccepting pauses the listeners for clients if paused is set, and resumes them otherwise.
 func (r *relay) pauseAccepting(paused bool) {
 	for _, l := range r.clientListeners {
 		l.SetPaused(paused)
 	}
 }
 
-// startAccepting accepts clients. The newer process of an upgrade does so once it has members
-// to send to.
+// startAccepting starts to accept clients, and tells the predecessor so. A successor calls it once
+// it has a usable member, or once the predecessor is gone.
 func (r *relay) startAccepting() {
 	if r.accepting {
 		return
@@ -32,9 +32,10 @@
 	r.awaitSuccessor()
 }
 
-// requestTakeover leaves the clients to the sibling, if that serves, and returns whether it does. The newer process of the two may be
-// stopped first and leaves them to the older one. The sibling may be shutting down too: only when it confirms the takeover may this
-// process end early.
+// requestTakeover leaves the clients to the sibling if that serves, and returns whether it does.
+// The sibling may be either process: if the successor is stopped first, it leaves its clients to
+// the predecessor. The sibling may be shutting down too, so this process may end early only once
+// the sibling confirms the takeover.
 func (r *relay) requestTakeover() bool {
 	if r.sibling == nil {
 		return false
@@ -45,20 +46,21 @@
 	}
 	r.pauseAccepting(true)
 	r.takeover = takeoverRequested
-	if !r.sibling.peer.ConfirmsTransfers() { // it speaks a version without confirmations
+	if !r.sibling.peer.ConfirmsTransfers() { // its protocol version has no confirmations
 		r.onTakeoverConfirmed()
 	}
 	return true
 }
 
-// onSiblingStopping: the sibling is shutting down. If this process is too, each answers its own clients.
+// onSiblingStopping handles the message that the sibling is shutting down. If both processes are,
+// each answers its own clients; otherwise this one confirms the takeover.
 func (r *relay) onSiblingStopping() {
 	r.sibling.stage = stageStopping
 	if r.lineFront != nil {
-		r.lineFront.ResumeIdle() // nothing more is handed over
+		r.lineFront.ResumeIdle() // no more connections are handed over
 	}
 	if !r.accepting {
-		return // it accepts no clients yet, and the sibling knows that
+		return // this process accepts no clients yet, and the sibling has no "serving" message from it
 	}
 	r.pauseAccepting(false)
 	if r.stopping {
@@ -68,7 +70,7 @@
 	r.sendMessage(handover.Message{TakingOver: true})
 }
 
-// onTakeoverConfirmed: the sibling accepts the clients.
+// onTakeoverConfirmed handles the sibling's confirmation that it accepts the clients.
 func (r *relay) onTakeoverConfirmed() {
 	if r.takeover != takeoverRequested {
 		return
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,6 +1,6 @@
-// Command drill runs instances of package policy for the simulator: it reads batches of
-// events in the simulator's protocol from standard input and writes a reply to each to
-// standard output. Instances share no state.
+// Command drill runs instances of package policy for the simulator. It reads batches of events in
+// the simulator's protocol from standard input and writes a reply to each batch to standard output.
+// Instances share no state.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	"dahliarudder/policy"
 )
 
-// host runs the instances of the simulator.
+// host holds the running instances of the simulator. It implements wire.Host.
 type host struct {
 	instances map[uint16]*policy.Balancer
 	encoder   *wire.Encoder
@@ -31,10 +31,10 @@
 
 func (h *host) Instance(instance uint16) *policy.Balancer { return h.instances[instance] }
 
-// bufferSize is that of standard input and output.
+// bufferSize is the size of the buffers for standard input and output, in bytes.
 const bufferSize = 1 << 20
 
-// run answers batches until the input ends.
+// run answers batches from in until its end.
 func run(in io.Reader, out io.Writer) error {
 	w := bufio.NewWriterSize(out, bufferSize)
 	encoder := wire.NewEncoder(w)
--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestRun answers each batch and ends cleanly with the input.
+// TestRun checks that run replies to each batch and returns no error at the end of the input.
 func TestRun(t *testing.T) {
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(make([]byte, 32)), &out); err != nil {
@@ -17,7 +17,7 @@
 	}
 }
 
-// TestRunMalformed ends with a plain message.
+// TestRunMalformed checks that run returns an error for input that is no frame.
 func TestRunMalformed(t *testing.T) {
 	err := run(strings.NewReader("no frame"), &bytes.Buffer{})
 	if err == nil || !strings.Contains(err.Error(), "malformed frame") {
