--- a/cmd/dahliarudder/background_test.go
+++ b/cmd/dahliarudder/background_test.go
@@ -27,7 +27,7 @@
 	b.stop(func() { closed = true })
 	b.wg.Wait() // stop itself waits only for backgroundStopTimeout
 	if handled != 4 || !closed {
-		t.Errorf("%d of 4 handled, closer called: %v", handled, closed)
+		t.Errorf("after stop: %d of 4 queued values handled, closer called = %v, want 4 and true", handled, closed)
 	}
 	b, held := newBackground(), make(chan struct{})
 	defer close(held)
@@ -37,6 +37,6 @@
 	select {
 	case <-returned:
 	case <-time.After(time.Minute):
-		t.Error("a goroutine that is held up holds up the stop")
+		t.Error("stop did not return within a minute while a goroutine was blocked")
 	}
 }
--- a/cmd/dahliarudder/clock_test.go
+++ b/cmd/dahliarudder/clock_test.go
@@ -23,7 +23,7 @@
 	for _, *step = range []time.Duration{time.Hour, -time.Hour, 2 * time.Second, 0} {
 		now := wall()
 		if passed := now.Sub(before); passed < 0 || passed > time.Minute {
-			t.Errorf("stepped by %v: %v have passed", *step, passed)
+			t.Errorf("wall clock stepped by %v: steadyWall advanced by %v, want 0 to 1m", *step, passed)
 		}
 		before = now
 	}
@@ -37,7 +37,7 @@
 	for range 1000 {
 		name := runName("n0", "8c1f30d27a5be964", at)
 		if seen[name] {
-			t.Fatalf("%q twice", name)
+			t.Fatalf("runName returned %q twice for the same time", name)
 		}
 		seen[name] = true
 	}
--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -25,7 +25,9 @@
 // status, which asks the supervisor to start the relay again.
 type orderedExit int
 
-func (e orderedExit) Error() string { return fmt.Sprintf("ordered to leave: exit status %d", int(e)) }
+func (e orderedExit) Error() string {
+	return fmt.Sprintf("stopped by an order of the fleet, exit status %d", int(e))
+}
 
 // shutdownOrder is an order of the fleet to leave, and the time since which this relay follows it.
 type shutdownOrder struct {
@@ -108,7 +110,7 @@
 	}
 	names := slices.Sorted(maps.Keys(removals))
 	if !slices.Equal(names, r.excludedByFleet) {
-		r.log.WithFields(logrus.Fields{"out": names, "version": version}).Info("fleet: members that are out")
+		r.log.WithFields(logrus.Fields{"out": names, "version": version}).Info("fleet: excluded members")
 	}
 	r.core.SetFleetRemovals(removals)
 	r.excludedByFleet, r.recordVersion, r.permitsVersion = names, version, o.PermitsVersion
@@ -120,7 +122,7 @@
 		r.applyDrainState()
 		r.exitWhenDrained()
 	case !leaveApplies && r.shutdownOrder != nil && !r.stopping:
-		r.log.Info("fleet: may stay")
+		r.log.Info("fleet: order to leave revoked")
 		r.shutdownOrder = nil
 		r.applyDrainState()
 	}
@@ -130,9 +132,9 @@
 	}
 	if quarantine != r.quarantineOrder && !r.stopping {
 		if quarantine != 0 {
-			r.log.WithFields(logrus.Fields{"number": quarantine, "why": o.Quarantine.Reason}).Warn("fleet: shut")
+			r.log.WithFields(logrus.Fields{"number": quarantine, "why": o.Quarantine.Reason}).Warn("fleet: quarantined")
 		} else {
-			r.log.Info("fleet: admitted")
+			r.log.Info("fleet: quarantine ended")
 		}
 		r.quarantineOrder = quarantine
 		r.applyDrainState()
@@ -174,7 +176,7 @@
 		case err == nil:
 			r.applyEjections(member, false, done)
 		case errors.Is(err, consensus.ErrNoQuorum), errors.Is(err, consensus.ErrQueueFull):
-			r.log.WithError(err).WithField("member", member).Warn("fleet: the call holds at this relay alone")
+			r.log.WithError(err).WithField("member", member).Warn("fleet: the record did not accept the change; it applies to this relay only")
 			r.applyEjections(member, ejected, done)
 		default:
 			done(err)
--- a/cmd/dahliarudder/keys.go
+++ b/cmd/dahliarudder/keys.go
@@ -23,23 +23,23 @@
 
 // keysCommand returns the command that creates certificates and password hashes for TLS and logins.
 func keysCommand() *cobra.Command {
-	keys := &cobra.Command{Use: "keys", Short: "Make what logins and TLS need"}
+	keys := &cobra.Command{Use: "keys", Short: "Create certificates and password hashes for TLS and logins"}
 	var dir string
 	var hosts []string
 	certificate := &cobra.Command{
 		Use:   "certificate",
-		Short: "Write an authority of one's own and a certificate by it, for trials",
+		Short: "Create a certificate authority and a certificate signed by it, for testing",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := writeTestCertificate(dir, hosts); err != nil {
 				return err
 			}
-			cmd.Printf("%s: ca.pem for clients, relay.pem and relay.key for the relay; good for 90 days\n", dir)
+			cmd.Printf("%s: ca.pem for clients, relay.pem and relay.key for the relay; valid for 90 days\n", dir)
 			return nil
 		},
 	}
-	certificate.Flags().StringVar(&dir, "dir", "tls", "where to; files that are there stay, and are an error")
-	certificate.Flags().StringSliceVar(&hosts, "host", []string{"127.0.0.1", "localhost"}, "names and addresses that clients connect to")
+	certificate.Flags().StringVar(&dir, "dir", "tls", "output directory; existing files are not overwritten but reported as an error")
+	certificate.Flags().StringSliceVar(&hosts, "host", []string{"127.0.0.1", "localhost"}, "host names and IP addresses that clients connect to")
 	keys.AddCommand(certificate, &cobra.Command{
 		Use:   "password",
 		Short: "Read a password or token from standard input and print its bcrypt hash",
--- a/cmd/dahliarudder/listen.go
+++ b/cmd/dahliarudder/listen.go
@@ -36,7 +36,7 @@
 			return l, err
 		}
 		if !logged {
-			r.log.WithError(err).Warn("cannot listen at the address yet, trying again")
+			r.log.WithError(err).Warn("cannot listen at the address yet, retrying")
 			logged = true
 		}
 	}
--- a/cmd/dahliarudder/main.go
+++ b/cmd/dahliarudder/main.go
@@ -101,7 +101,7 @@
 func checkCommand(load func() (*config.Config, error)) *cobra.Command {
 	return &cobra.Command{
 		Use:   "check",
-		Short: "Say whether the configuration can be used, and which settings cannot work",
+		Short: "Check the configuration and report settings with which the relay cannot work",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			c, err := load()
--- a/cmd/dahliarudder/operator.go
+++ b/cmd/dahliarudder/operator.go
@@ -24,7 +24,7 @@
 	// The file is read only after joining: from then on the predecessor reports every change of it.
 	names, err := r.ejections.Read()
 	if err != nil {
-		r.log.WithError(err).Error("no ejection is in force")
+		r.log.WithError(err).Error("cannot read the ejection file, no ejection is in force")
 	}
 	for _, name := range names {
 		r.core.Eject(name)
--- a/cmd/dahliarudder/scenario.go
+++ b/cmd/dahliarudder/scenario.go
@@ -20,7 +20,7 @@
 	return &cobra.Command{
 		Use:                "scenario FILE",
 		Aliases:            []string{"rehearse"},
-		Short:              "Start many relays among fakes of the systems around them, inject faults, and report what clients got",
+		Short:              "Run many relays with fakes of the systems around them, inject faults, and report the clients' results",
 		DisableFlagParsing: true,
 		RunE: func(_ *cobra.Command, args []string) error {
 			self, err := os.Executable()
@@ -29,7 +29,7 @@
 			}
 			path := filepath.Join(filepath.Dir(self), scenarioProgram)
 			if err := syscall.Exec(path, append([]string{path}, args...), os.Environ()); err != nil {
-				return fmt.Errorf("%s: %w; the build makes it beside this program", path, err)
+				return fmt.Errorf("%s: %w; the build has to put it beside this program", path, err)
 			}
 			return nil
 		},
--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -134,7 +134,7 @@
 		}
 		fresh, err := reload(current)
 		if err != nil {
-			r.log.WithError(err).Error("the old configuration stays")
+			r.log.WithError(err).Error("cannot use the new configuration, the old configuration stays")
 			r.loop.Post(func() { r.reloadError = err.Error() })
 			continue
 		}
@@ -176,7 +176,7 @@
 	r.reloadError = ""
 	keys := r.cfg.KeysNeedingRestart(fresh)
 	if len(keys) > 0 {
-		r.log.WithField("keys", keys).Warn("changed, but only a restart takes them")
+		r.log.WithField("keys", keys).Warn("these configuration changes need a restart to take effect")
 	}
 	r.log.WithField("discovery", fresh.Discovery).Info("configuration read again")
 	r.watch.SwitchAddress(fresh.Discovery)
--- a/cmd/dahliarudder/snapshot.go
+++ b/cmd/dahliarudder/snapshot.go
@@ -74,7 +74,7 @@
 	r.recovery.From, r.recovery.Age, r.recovery.peers = "snapshot", age.Milliseconds(), s.Peers
 	r.recovery.Discarded = append(r.recovery.Discarded, discarded...)
 	for _, p := range discarded {
-		r.log.WithField("what", p.What).WithField("why", p.Why).Info("state: discarded")
+		r.log.WithField("what", p.What).WithField("why", p.Why).Info("state: part of the snapshot discarded")
 	}
 	if s.List != nil {
 		if s.DiscoveryAddr == r.cfg.Discovery {
--- a/cmd/dahliarudder/upgrade.go
+++ b/cmd/dahliarudder/upgrade.go
@@ -88,12 +88,12 @@
 		}
 		r.sibling = &siblingProcess{}
 		if r.sibling.peer, err = handover.NewPeer(r.loop, fd, r.onMessage, r.onSiblingGone); err != nil {
-			r.log.WithError(err).Error("no channel to the successor")
+			r.log.WithError(err).Error("cannot open the channel to a successor")
 			r.sibling = nil
 		}
 	})
 	if err != nil {
-		r.log.WithError(err).Error("no successor can take over")
+		r.log.WithError(err).Error("cannot listen for a successor")
 	}
 }
 
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -47,10 +47,10 @@
 			return err
 		}
 		if err := encoder.Flush(); err != nil {
-			return fmt.Errorf("writing a reply: %w", err)
+			return fmt.Errorf("write reply: %w", err)
 		}
 		if err := w.Flush(); err != nil {
-			return fmt.Errorf("writing a reply: %w", err)
+			return fmt.Errorf("flush reply: %w", err)
 		}
 	}
 }
--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -13,7 +13,7 @@
 		t.Fatal(err)
 	}
 	if got := out.Bytes(); len(got) != 8 {
-		t.Errorf("two empty batches answered with % x", got)
+		t.Errorf("reply to two empty batches = % x, want 8 bytes", got)
 	}
 }
 
@@ -21,6 +21,6 @@
 func TestRunMalformed(t *testing.T) {
 	err := run(strings.NewReader("no frame"), &bytes.Buffer{})
 	if err == nil || !strings.Contains(err.Error(), "malformed frame") {
-		t.Errorf("error %v", err)
+		t.Errorf("run(malformed input): error %v, want one that contains %q", err, "malformed frame")
 	}
 }
--- a/integration/fleet_faults_test.go
+++ b/integration/fleet_faults_test.go
@@ -55,7 +55,7 @@
 // isLeaving reports whether a relay was ordered to leave, and not since then to stay.
 func isLeaving(r *relay) bool {
 	log := r.log.String()
-	return strings.LastIndex(log, "fleet: ordered to leave") > strings.LastIndex(log, "fleet: may stay")
+	return strings.LastIndex(log, "fleet: ordered to leave") > strings.LastIndex(log, "fleet: order to leave revoked")
 }
 
 // TestFleetConflictingRelease: a release that touches what another one touches is refused with that one's name, or queued if
@@ -301,7 +301,7 @@
 		t.Errorf("nobody has seen it serve: %+v", a)
 	}
 	r.cmd.Process.Signal(syscall.SIGCONT)
-	r.waitLogged("fleet: may stay")
+	r.waitLogged("fleet: order to leave revoked")
 	f.waitRelease(3, "o", rollout.ReleaseRolledBack)
 	for n := range 6 {
 		r.openFlow(1000+n, "").wantLine("UP ")
@@ -323,7 +323,7 @@
 	f.isolate(3, true)
 	f.setEverywhere(0, "s0", true)
 	for i := range 3 {
-		f.relays[i].waitLogged("fleet: members that are out")
+		f.relays[i].waitLogged("fleet: excluded members")
 		if n := f.flowsToMember(i, 12, 0); n > 0 {
 			t.Errorf("n%d: %d flows though it knows", i, n)
 		}
@@ -353,7 +353,7 @@
 	})
 	t.Logf("shown as %q", last)
 	f.isolate(3, false)
-	f.relays[3].waitLogged("fleet: members that are out")
+	f.relays[3].waitLogged("fleet: excluded members")
 	if n := f.flowsToMember(3, 12, 0); n > 0 {
 		t.Errorf("%d flows after it took the ban", n)
 	}
--- a/integration/fleet_test.go
+++ b/integration/fleet_test.go
@@ -246,7 +246,7 @@
 	f.setEverywhere(3, "s0", true)
 	f.start(2)
 	for i := range f.relays {
-		f.relays[i].waitLogged("fleet: members that are out")
+		f.relays[i].waitLogged("fleet: excluded members")
 		if n := f.flowsToMember(i, 12, 0); n > 0 {
 			t.Errorf("n%d: %d flows at a member that is banned everywhere", i, n)
 		}
@@ -481,7 +481,7 @@
 		}
 		return func(i int) bool { return strings.Count(f.relays[i].log.String(), text) > before[i] }
 	}
-	out, in := `members that are out" out="[s1]"`, `members that are out" out="[]"`
+	out, in := `excluded members" out="[s1]"`, `excluded members" out="[]"`
 	for k := range 5 {
 		name := fmt.Sprintf("d%d", k)
 		told := logs(out)
