--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -30,7 +30,7 @@
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
-	Operator  string `json:"operator"` // the second address, for operators; empty for none
+	Operator  string `json:"operator"` // address for operators' calls; empty: none
 	Seed      string `json:"seed"`
 	Limits    struct {
 		Cores    float64 `json:"cores"`
@@ -44,25 +44,26 @@
 	Peers    *Peers          `json:"peers"`  // nil: no gossip with other relays
 	State    *State          `json:"state"`  // nil: no snapshots
 	Fleet    *fleet.Config   `json:"fleet"`  // nil: no fleet record
-	// CountsMS is how often, in milliseconds, the relay logs what it has counted since the
-	// last time; 0: never.
+	// CountsMS is the interval, in milliseconds, at which the relay logs what it counted in the
+	// last interval; 0: never.
 	CountsMS float64 `json:"counts_ms"`
 
 	decoded         *settings.Settings
 	known           *pool.EndpointList
-	security        *nats.Security // of the NATS front
-	dir             string         // of the file
-	discoveryInFile string         // discovery as the file has it
+	security        *nats.Security // contents of the NATS front's files
+	dir             string         // directory of the configuration file
+	discoveryInFile string         // discovery address in the file, which a variable may override
 }
 
-// Fronts are the fronts that are on. Pool members speak the protocol of the
-// front that serves the request; they are probed by the line front if it is on.
+// Fronts are the fronts that are on. Pool members speak the protocol of the front that serves the
+// request. Health checks go through the line front if it is on.
 type Fronts struct {
-	Line *struct{}    `json:"line"` // listens at the configuration's address
+	Line *struct{}    `json:"line"` // listens at Config.Listen
 	NATS *nats.Config `json:"nats"`
 }
 
-// restartOnly is what needs a restart to change: credentials are read again on SIGHUP.
+// restartOnly returns the part of the configuration whose changes need a restart. Credentials do not:
+// they are read again on SIGHUP.
 func (f *Fronts) restartOnly() Fronts {
 	if f == nil {
 		return Fronts{}
@@ -76,8 +77,8 @@
 	return out
 }
 
-// Load reads the file, if path is not empty, and lets the variables that env
-// knows take precedence.
+// Load reads the configuration file, unless path is empty, and the environment variables, which take
+// precedence, and validates the result. Errors wrap ErrInvalid.
 func Load(path string, env func(string) string) (*Config, error) {
 	c, err := readFile(path)
 	if err != nil {
@@ -87,9 +88,9 @@
 	return c, c.validate()
 }
 
-// Reload reads the file again. The variables cannot change while the program
-// runs, so a discovery address that the file has changed since takes precedence
-// over them.
+// Reload reads the file again. Environment variables cannot change while the program runs, so a
+// discovery address that has changed in the file since the last load takes precedence over the
+// variable.
 func (c *Config) Reload(path string, env func(string) string) (*Config, error) {
 	fresh, err := readFile(path)
 	if err != nil {
@@ -106,7 +107,8 @@
 	return fresh, fresh.validate()
 }
 
-// KeysNeedingRestart names the keys in which fresh differs and which need a restart to take effect.
+// KeysNeedingRestart returns the keys whose values differ in fresh and take effect only after a
+// restart.
 func (c *Config) KeysNeedingRestart(fresh *Config) []string {
 	var keys []string
 	for _, k := range []struct {
@@ -146,7 +148,7 @@
 	return c, nil
 }
 
-// override lets the variables take precedence.
+// applyEnvironment sets the values that environment variables override.
 func (c *Config) applyEnvironment(env func(string) string) {
 	for _, v := range []struct {
 		name   string
@@ -158,9 +160,9 @@
 	}
 }
 
-// AdoptDiscovery takes over the discovery address of the process that this one replaces, if
-// the file has the same: the environment variable may be older than that process's last reload.
-// It returns whether both now use the same address.
+// AdoptDiscovery takes over the discovery address of the predecessor in a hot restart if the file has
+// the same one: the environment variable may be older than the predecessor's last reload. It returns
+// whether both processes now use the same address.
 func (c *Config) AdoptDiscovery(discovery string) bool {
 	if discovery != "" && c.discoveryInFile == discovery {
 		c.Discovery = discovery
@@ -168,16 +170,16 @@
 	return c.Discovery == discovery
 }
 
-// Security is what the files of the NATS front hold, nil if it is off.
+// Security returns the contents of the NATS front's files, nil if the front is off.
 func (c *Config) Security() *nats.Security { return c.security }
 
-// Decoded is the settings.
+// Decoded returns the decoded settings.
 func (c *Config) Decoded() *settings.Settings { return c.decoded }
 
-// KnownList is the configured list of members, nil if there is none.
+// KnownList returns the configured endpoint list, nil if there is none.
 func (c *Config) KnownList() *pool.EndpointList { return c.known }
 
-// SeedNumber is the seed of random numbers.
+// SeedNumber returns the seed for random numbers, 0 if none is configured.
 func (c *Config) SeedNumber() uint64 {
 	n, _ := strconv.ParseUint(c.Seed, 16, 64)
 	return n
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -21,8 +21,8 @@
 	return Load(path, func(name string) string { return env[name] })
 }
 
-// TestLoad: environment variables take precedence over the file, unknown keys are ignored, and without fronts only the line front is
-// enabled.
+// TestLoad checks that environment variables take precedence over the file, that unknown keys are
+// ignored, and that only the line front is on if no fronts are configured.
 func TestLoad(t *testing.T) {
 	c, err := loadText(t, `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964","more":[1],
 		"known":{"generation":7,"instances":[{"instanceId":"s-00000001"}]},`+settingsText+`}`,
@@ -39,7 +39,7 @@
 	}
 }
 
-// TestLoadInvalid: invalid values of the operator's keys are errors.
+// TestLoadInvalid checks that invalid values of the operator's keys are errors.
 func TestLoadInvalid(t *testing.T) {
 	const head = `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2",` + settingsText + `,`
 	if _, err := loadText(t, head+`"fronts":{"nats":{"listen":"127.0.0.1:4","class":"pay","tenant":"water"}},"store":{"driver":"sqlite","dsn":"x"},"counts_ms":1000}`, nil); err != nil {
@@ -67,7 +67,8 @@
 	}
 }
 
-// TestPeers: the operators' example is valid with a key file; invalid addresses, keys and names are errors.
+// TestPeers checks that the operators' example is valid with a key file, and that invalid
+// addresses, keys and names are errors.
 func TestPeers(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/peers.json")
 	if err != nil {
@@ -104,8 +105,9 @@
 	}
 }
 
-// TestReload: a discovery address that changes in the file takes precedence over the environment variable; one that does not change does
-// not restore an earlier address. Only the keys that need a restart are reported.
+// TestReload checks that a discovery address that changes in the file takes precedence over the
+// environment variable, that one that does not change does not restore an earlier address, and that
+// only keys that need a restart are reported.
 func TestReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := func(name string) string {
@@ -142,8 +144,9 @@
 	}
 }
 
-// TestAdoptDiscovery: a process that takes over adopts its predecessor's discovery address if the file has the same, over an environment
-// variable with an earlier one; it keeps its own if the predecessor has none. An operator address must be valid.
+// TestAdoptDiscovery checks that a successor adopts its predecessor's discovery address if the file
+// has the same one, even if an environment variable has an earlier one, and otherwise keeps its
+// own. It also checks that an invalid operator address is an error.
 func TestAdoptDiscovery(t *testing.T) {
 	for _, c := range []struct {
 		file, predecessor, want string
@@ -169,8 +172,9 @@
 	}
 }
 
-// TestSections: relays of one installation have equal digests, though their own names, zones and directories differ; any other difference
-// shows only in the digest of its section.
+// TestSections checks that relays of one installation have equal digests although their names,
+// zones and directories differ, and that any other difference changes only the digest of its
+// section.
 func TestSections(t *testing.T) {
 	text := func(name, extraLimits string, zone int) string {
 		return fmt.Sprintf(`{"name":%q,"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","limits":{"sockets":1024%s},"state":{"dir":%q},`+
--- a/internal/config/digest.go
+++ b/internal/config/digest.go
@@ -7,10 +7,12 @@
 	"slices"
 )
 
-// perRelayKeys are the keys, in any section, whose values differ between relays by design: locations, addresses and names.
+// perRelayKeys are the keys, in any section, whose values differ between relays by design:
+// locations, addresses and names.
 var perRelayKeys = []string{"zone", "me", "listen", "address", "calls", "reach", "known", "dir", "key_file", "program"}
 
-// Sections is a digest of each section that is set, equal for all relays of an installation.
+// Sections returns the digest of each section that is set. Relays of one installation have equal
+// digests if they have the same configuration, since perRelayKeys are left out.
 func (c *Config) Sections() map[string]string {
 	out := map[string]string{}
 	for name, section := range map[string]any{"settings": c.Settings, "limits": c.Limits, "fronts": c.Fronts, "store": c.Store, "peers": c.Peers,
@@ -21,13 +23,13 @@
 			continue
 		}
 		removeKeys(value, perRelayKeys)
-		text, _ = json.Marshal(value) // with sorted keys, so that equal sections have equal digests
+		text, _ = json.Marshal(value) // sorts the keys, so that equal sections have equal digests
 		out[name] = digest(text)
 	}
 	return out
 }
 
-// Digest is of all sections together. It identifies a configuration in releases.
+// Digest returns the digest of all sections together, by which releases identify a configuration.
 func (c *Config) Digest() string {
 	text, _ := json.Marshal(c.Sections())
 	return digest(text)
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -10,16 +10,16 @@
 
 // Peers configures the gossip between the relays of an installation.
 type Peers struct {
-	Listen  string            `json:"listen"`   // UDP, and TCP for reachability checks
-	Address string            `json:"address"`  // the address for other relays, if not Listen
+	Listen  string            `json:"listen"`   // for UDP, and for TCP reachability checks
+	Address string            `json:"address"`  // address that other relays use; default: Listen
 	Known   []string          `json:"known"`    // seed addresses
-	KeyFile string            `json:"key_file"` // one or two keys, a line each; relative to the configuration
-	Reach   map[string]string `json:"reach"`    // by name: overrides of other relays' addresses
+	KeyFile string            `json:"key_file"` // one or two keys, one per line; relative to the configuration file
+	Reach   map[string]string `json:"reach"`    // overrides of other relays' addresses, by relay name
 
 	keys gossip.Keys
 }
 
-// Keys is the content of the key file.
+// Keys returns the keys in the key file.
 func (p *Peers) Keys() gossip.Keys { return p.keys }
 
 func (p *Peers) validate(name, dir string) (err error) {
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -6,13 +6,13 @@
 	"path/filepath"
 )
 
-// State is where and how often a relay writes snapshots for its next start.
+// State configures the snapshots that a relay writes for its next start.
 type State struct {
-	Dir     string  `json:"dir"`      // relative to the configuration
-	EveryMS float64 `json:"every_ms"` // 5,000 if absent
+	Dir     string  `json:"dir"`      // relative to the configuration file
+	EveryMS float64 `json:"every_ms"` // interval in milliseconds; 5,000 if absent
 }
 
-// The bounds of state.every_ms.
+// Bounds and default of state.every_ms, in milliseconds.
 const minSnapshotIntervalMS, defaultSnapshotIntervalMS, maxSnapshotIntervalMS = 1000, 5000, 600_000
 
 func (s *State) validate(dir string) error {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -10,7 +10,9 @@
 	"dahliarudder/internal/settings"
 )
 
-// validate checks all sections, and decodes and loads what they name.
+// validate checks all sections, decodes the settings and the known list, and loads the files that
+// the sections name. An error of a reload is also reported to the fleet as the reason why the relay
+// rejected the configuration.
 func (c *Config) validate() error {
 	if c.Fronts == nil {
 		c.Fronts = &Fronts{Line: &struct{}{}}
@@ -132,7 +134,7 @@
 	return nil
 }
 
-// validateCounts guards against a log that costs the processor time it is meant to account for.
+// validateCounts rejects an interval so short that the log would itself take much processor time.
 func (c *Config) validateCounts() error {
 	if c.CountsMS != 0 && !(c.CountsMS >= minCountsMS && c.CountsMS <= maxCountsMS) {
 		return fmt.Errorf("counts_ms: %v is neither 0 nor from %d to %d", c.CountsMS, minCountsMS, maxCountsMS)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings holds the settings of a deployment: the JSON text that an instance
-// gets in the simulator's first message and a real relay in its configuration. It decodes,
-// validates and translates them for package policy.
+// Package settings decodes and validates the settings of a deployment, and translates them for
+// package policy. The settings are a JSON text, which an instance gets in the simulator's first
+// message and a real relay in its configuration.
 package settings
 
 import (
@@ -16,7 +16,8 @@
 // ErrMalformed is wrapped by every error about a text that does not decode as settings.
 var ErrMalformed = errors.New("malformed settings")
 
-// Settings is the settings text, as far as the program needs it; other keys are ignored. Times are in milliseconds.
+// Settings is the decoded settings text. Keys that the program does not use are ignored. Times are in
+// milliseconds.
 type Settings struct {
 	Balancers int `json:"balancers"`
 	Classes   []struct {
@@ -51,7 +52,7 @@
 		Keepalive      float64 `json:"keepalive-ms"`
 		MaxAttempts    int     `json:"max-attempts"`
 		MaxRetryAfter  float64 `json:"max-retry-after-ms"`
-		RetryAfter     *bool   `json:"retry-after"` // whether rejected clients are given a retry-after; absent: they are
+		RetryAfter     *bool   `json:"retry-after"` // whether rejections carry a retry-after; absent: true
 		Probes         bool    `json:"probes"`
 	} `json:"limits"`
 	Prices struct {
@@ -70,10 +71,11 @@
 	Zones []Zone `json:"zones"`
 }
 
-// Zone is the name of a zone. A value that is not a string has no name, but still counts as a zone.
+// Zone is the name of a zone. A JSON value that is not a string gives an empty name, but still
+// counts as a zone.
 type Zone string
 
-// UnmarshalJSON takes any value, and keeps it if it is a string.
+// UnmarshalJSON accepts any value, and stores it if it is a string.
 func (z *Zone) UnmarshalJSON(text []byte) error {
 	var name string
 	if json.Unmarshal(text, &name) == nil {
@@ -82,7 +84,8 @@
 	return nil
 }
 
-// Decode reads the settings text. Senseless values are left to Validate and to package policy.
+// Decode decodes the settings text. Invalid values are left to Validate and to package policy. Errors
+// wrap ErrMalformed.
 func Decode(text []byte) (*Settings, error) {
 	s := &Settings{}
 	if err := json.Unmarshal(text, s); err != nil {
@@ -91,7 +94,7 @@
 	return s, nil
 }
 
-// Policy translates the settings for package policy.
+// Policy returns the settings as package policy takes them.
 func (s *Settings) Policy() policy.Settings {
 	set := policy.Settings{
 		Balancers: s.Balancers, Zone: s.Zone, Zones: len(s.Zones), Groups: s.Extra.Groups,
@@ -120,7 +123,7 @@
 		case "read_like":
 		case "idempotency_key":
 			class.Idempotency = policy.IdempotencyKey
-		default: // unknown values are handled as the strictest one
+		default: // an unknown value is treated as the strictest one
 			class.Idempotency = policy.NonIdempotent
 		}
 		switch c.Scope {
@@ -142,7 +145,7 @@
 	return set
 }
 
-// Class is the index of the class of that name.
+// Class returns the index of the class of that name, and whether there is one.
 func (s *Settings) Class(name string) (int, bool) {
 	for i, c := range s.Classes {
 		if c.Name == name {
@@ -152,7 +155,8 @@
 	return 0, false
 }
 
-// Tenant is the index of the tenant of that name; a deployment may have none.
+// Tenant returns the index of the tenant of that name, and whether the name is valid. In a deployment
+// without tenants, only the empty name is.
 func (s *Settings) Tenant(name string) (int, bool) {
 	for i, t := range s.Tenants {
 		if t.Name == name {
@@ -162,8 +166,8 @@
 	return 0, len(s.Tenants) == 0 && name == ""
 }
 
-// Report makes a load report of named values. The wires use the simulator's names and
-// those of the settings.
+// Report returns the load report that consists of the named values. Both the simulator's names and
+// those of the settings are accepted. Values that are NaN or infinite are ignored.
 func Report(values map[string]float64) policy.Report {
 	report := policy.NoReport
 	for _, f := range []struct {
@@ -184,15 +188,15 @@
 	return report
 }
 
-// Duration is a number of milliseconds as a duration, 0 if it is out of range.
+// Duration converts milliseconds to a duration, 0 if they are out of range.
 func Duration(ms float64) time.Duration {
 	d, _ := ParseMillis(ms)
 	return d
 }
 
-// ParseMillis turns milliseconds into a duration; false if they are out of range.
+// ParseMillis converts milliseconds to a duration. It returns false if they are NaN or out of range.
 func ParseMillis(ms float64) (time.Duration, bool) {
-	const limit = 9e12 // some 285 years, what a time.Duration holds
+	const limit = 9e12 // about 285 years; a time.Duration covers 292
 	if math.IsNaN(ms) || ms < -limit || ms > limit {
 		return 0, false
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -18,7 +18,8 @@
  "guarantees":{"answer-slack-ms":20,"cold-ms":9000,"cold-from":0.3,"overload-factor":3,"ask-within-ms":10000},
  "extra":{"mode":"proxy","message-aim-ms":[150],"tenant-quota-connections":[40]},"discovery":"automatic"}`
 
-// TestDecode: the settings that the policy gets; unknown keys are ignored, missing ones have defaults.
+// TestDecode checks the settings that the policy gets. Unknown keys are ignored, missing ones have
+// defaults.
 func TestDecode(t *testing.T) {
 	s, err := Decode([]byte(settingsText))
 	if err != nil {
@@ -51,8 +52,8 @@
 	}
 }
 
-// TestValidate: the operators' examples are valid. A setting that cannot work, put into any of them, is the only error, with its key, its
-// value and the reason.
+// TestValidate checks that the operators' examples are valid, and that a setting that cannot work
+// is reported as the only error when put into any of them, with its key, its value and the reason.
 func TestValidate(t *testing.T) {
 	for _, file := range []string{"../../deploy/nats.json", "../../deploy/few-reports.json"} {
 		text, err := os.ReadFile(file)
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -5,23 +5,24 @@
 	"slices"
 )
 
-// InvalidSetting is a setting with which the relay would start, yet could not do its work.
+// InvalidSetting is a setting with which a relay starts but cannot work properly.
 type InvalidSetting struct {
 	Key    string
 	Value  any
 	Reason string
 }
 
-// Error names the setting, its value and the reason.
+// Error returns the key of the setting, its value, and the reason.
 func (s InvalidSetting) Error() string {
 	return fmt.Sprintf("settings.%s: %v: %s", s.Key, s.Value, s.Reason)
 }
 
-// dayMS is the longest time that a setting may name.
+// maxDurationMS is the longest duration that a setting may have: one day, in milliseconds.
 const maxDurationMS = 86_400_000
 
-// Validate names every setting that cannot work, in the order of docs/sites.md. A relay starts all the same, with
-// safe values in their place: an instance that does not start serves nobody. It is for those who write settings.
+// Validate returns an error for each setting that cannot work, in the order of docs/sites.md. It is
+// meant for those who write settings. A relay starts in spite of such settings, with safe values in
+// their place, since a relay that does not start serves nobody.
 func (s *Settings) Validate() []error {
 	v := &validator{names: map[string]bool{}}
 	v.reject(s.Balancers < 1, "balancers", s.Balancers, "under 1: it is how many relays share the members")
@@ -58,7 +59,7 @@
 	v.reject(!(part >= 0 && part <= 1), key, part, "not from 0 to 1")
 }
 
-// oneOf rejects a value that is none of those allowed.
+// oneOf rejects a value that is not one of those allowed.
 func (v *validator) oneOf(key, value string, allowed ...string) {
 	last := len(allowed) - 1
 	list := ""
@@ -71,7 +72,7 @@
 	v.reject(!slices.Contains(allowed, value), key, fmt.Sprintf("%q", value), "not "+list+" or "+allowed[last])
 }
 
-// uniqueName rejects an empty name and one that was seen before among those of its kind.
+// uniqueName rejects an empty name, and a name that an earlier entry of the same kind has.
 func (v *validator) uniqueName(kind, key, name string) {
 	v.reject(name == "" || v.names[kind+name], key, fmt.Sprintf("%q", name), "missing or duplicate")
 	v.names[kind+name] = true
--- a/internal/wire/cursor.go
+++ b/internal/wire/cursor.go
@@ -10,7 +10,7 @@
 	"dahliarudder/policy"
 )
 
-// cursor reads the fields of a record. Past the end it yields zeros and sets truncated.
+// cursor reads the fields of a record. Reading past the end returns zeros and sets truncated.
 type cursor struct {
 	data      []byte
 	truncated bool
@@ -44,7 +44,7 @@
 	return c.take(int(n))
 }
 
-// ms reads a clock time; one out of range counts as absent.
+// ms reads a time in milliseconds. A time that is out of range is read as 0.
 func (c *cursor) ms() time.Duration {
 	t, _ := settings.ParseMillis(c.f64())
 	return t
--- a/internal/wire/encoder.go
+++ b/internal/wire/encoder.go
@@ -9,11 +9,12 @@
 	"dahliarudder/policy"
 )
 
-// Encoder collects the actions of one batch and writes them as a reply. It is the policy.Executor of all instances.
+// Encoder collects the actions of one batch and writes them as a reply. It is the policy.Executor
+// of all instances.
 type Encoder struct {
 	w            io.Writer
 	buf          []byte
-	lastInstance int // named last in this reply, -1 if none
+	lastInstance int // instance of the last action in this reply, -1 if there is none
 	instance     uint16
 }
 
@@ -29,7 +30,7 @@
 	e.lastInstance = -1
 }
 
-// setInstance sets the instance whose actions follow.
+// setInstance sets the instance to which the following actions belong.
 func (e *Encoder) setInstance(instance uint16) { e.instance = instance }
 
 // Flush writes the reply to one batch.
@@ -40,7 +41,8 @@
 	return err
 }
 
-// beginAction begins an action record of the current instance.
+// beginAction starts an action record. If the last action in this reply belongs to another
+// instance, it first writes a record that names the current one.
 func (e *Encoder) beginAction(code uint8) {
 	if e.lastInstance != int(e.instance) {
 		e.buf = append(e.buf, acInstance)
@@ -56,7 +58,7 @@
 	e.u64(math.Float64bits(float64(d) / float64(time.Millisecond)))
 }
 
-// Send implements policy.Executor, as do the methods below.
+// Send writes an attempt. This method and those below implement policy.Executor.
 func (e *Encoder) Send(id policy.RequestID, member policy.MemberID, timeout time.Duration) {
 	e.beginAction(acSend)
 	e.u64(uint64(id))
@@ -103,7 +105,7 @@
 	e.u64(token)
 }
 
-// Watch writes a subscription to the server list.
+// Watch writes a subscription to the endpoint list.
 func (e *Encoder) Watch() {
 	e.beginAction(acWatch)
 	e.buf = append(e.buf, 1)
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -10,7 +10,8 @@
 
 // This file decodes the records of a batch. A truncated record has no effect; Next reports it.
 
-// decodeEvent decodes one record and passes it to the host. instance is -1 before one was named.
+// decodeEvent decodes one record and passes it to the host. instance is -1 until the batch has
+// named one.
 func (d *Decoder) decodeEvent(c *cursor, code uint8, instance int, now time.Duration, h Host) error {
 	if code == evEndpointList {
 		return d.decodeList(c)
@@ -164,7 +165,7 @@
 	return err
 }
 
-// decodeList reads a numbered list; instances refer to it by its number.
+// decodeList decodes a numbered endpoint list. Instances refer to it by its number.
 func (d *Decoder) decodeList(c *cursor) error {
 	number, n := c.u16(), c.u32()
 	if c.truncated {
@@ -192,7 +193,7 @@
 	return nil
 }
 
-// The codes of list kinds, server states and results.
+// The codes of list kinds, member states and results.
 var listKinds = map[uint8]policy.ListKind{
 	0: policy.ListFailed, 1: policy.ListDelta, 3: policy.ListFull, 4: policy.ListCached,
 }
@@ -211,10 +212,10 @@
 	flagReconnect = 16
 )
 
-// requestRecord is a policy.Request that is being decoded.
+// decodedRequest is a policy.Request whose fields are being decoded.
 type decodedRequest policy.Request
 
-// setFlags decodes the flags, and the load hint, which counts only if they say so.
+// setFlags decodes the flags. The load hint is used only if flagLoadHint is set.
 func (q *decodedRequest) setFlags(flags uint16, hint float64) {
 	q.MidFlow, q.Reconnect = flags&flagMidFlow != 0, flags&flagReconnect != 0
 	if flags&flagLoadHint != 0 {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -46,12 +46,12 @@
 	acInstance uint8 = 13
 )
 
-// Sizes and limits.
+// Sizes in bytes, and limits.
 const (
 	headerSize = 16
-	entrySize  = 21 // of a server list
-	maxLists   = 16
-	// maxBatch limits the size that a header may announce; real batches are a few megabytes.
+	entrySize  = 21 // an entry of an endpoint list
+	maxLists   = 16 // endpoint lists, numbered from 0
+	// maxBatch limits the size that a header may announce. Usual batches have a few megabytes.
 	maxBatch = 1 << 30
 	// maxReport is the largest number of values in a load report.
 	maxReport = 4
@@ -63,7 +63,7 @@
 	noteLatency = 2
 )
 
-// ErrMalformed is wrapped by every error about a frame that breaks the protocol.
+// ErrMalformed is wrapped by every error about input that violates the protocol.
 var ErrMalformed = errors.New("malformed frame")
 
 // Host runs the instances that the events are for.
@@ -79,11 +79,11 @@
 	r             io.Reader
 	buf           []byte
 	endpointLists [maxLists][]policy.Endpoint
-	reportNames   map[uint16][]string // names of the report values, of each instance
+	reportNames   map[uint16][]string // names of the values in load reports, by instance
 	encoder       *Encoder
 }
 
-// NewDecoder returns a Decoder that reads from r and sets the instance of out.
+// NewDecoder returns a Decoder that reads from r and sets the current instance of out.
 func NewDecoder(r io.Reader, out *Encoder) *Decoder {
 	return &Decoder{r: r, reportNames: map[uint16][]string{}, encoder: out}
 }
@@ -133,7 +133,8 @@
 	return nil
 }
 
-// readBody reads size bytes, growing the buffer only as they really arrive.
+// readBody reads size bytes. The buffer grows only as bytes arrive, so that a wrong size in a
+// header does not cause a huge allocation.
 func (d *Decoder) readBody(size int) error {
 	const step = 1 << 20
 	d.buf = d.buf[:0]
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -14,7 +14,7 @@
 	"dahliarudder/policy"
 )
 
-// frameBuilder encodes a batch field by field.
+// frameBuilder encodes the body of a batch field by field.
 type frameBuilder struct{ body []byte }
 
 func (f *frameBuilder) u8(v ...uint8) *frameBuilder { f.body = append(f.body, v...); return f }
@@ -33,13 +33,15 @@
 func (f *frameBuilder) f64(v float64) *frameBuilder { return f.u64(math.Float64bits(v)) }
 func (f *frameBuilder) f32(v float32) *frameBuilder { return f.u32(math.Float32bits(v)) }
 
-// batch returns the frame with its header.
+// batch returns the header and the body. clock is in milliseconds, and count is the number of
+// records.
 func (f *frameBuilder) batch(clock float64, count uint32) []byte {
 	h := (&frameBuilder{}).u32(uint32(len(f.body))).f64(clock).u32(count)
 	return append(h.body, f.body...)
 }
 
-// fakeHost runs balancers as the adapter does.
+// fakeHost runs balancers as command drill does, and stores the seeds and settings of launched
+// instances.
 type fakeHost struct {
 	instances map[uint16]*policy.Balancer
 	encoder   *Encoder
@@ -66,7 +68,7 @@
  "guarantees":{"answer-slack-ms":20,"cold-ms":9000,"cold-from":0.3,"overload-factor":3,"ask-within-ms":10000},
  "extra":{"mode":"proxy","message-aim-ms":[150],"tenant-quota-connections":[40]},"discovery":"automatic"}`
 
-// launch starts an instance with a list of one server.
+// launch appends the records that launch an instance with an endpoint list of one member.
 func (f *frameBuilder) launch(inst uint16, listNumber uint16) *frameBuilder {
 	f.u8(evEndpointList).u16(listNumber).u32(1)
 	f.u32(0xfeed).u8(0, 0).u16(0).u8(1).f32(1).f64(0)
@@ -75,9 +77,9 @@
 	return f.u8(evMembers).u16(listNumber).u8(4).u32(1)
 }
 
-const launchRecords = 4
+const launchRecords = 4 // records that launch appends
 
-// decodeStream passes a stream to a new decoder and returns the replies in hexadecimal.
+// decodeStream passes a stream to a new decoder. It returns the replies in hexadecimal, and the host.
 func decodeStream(stream []byte) (string, *fakeHost, error) {
 	var out bytes.Buffer
 	enc := NewEncoder(&out)
@@ -95,7 +97,7 @@
 	}
 }
 
-// TestEmptyBatch answers the smallest batch with the smallest reply.
+// TestEmptyBatch checks that the reply to a batch without records has no actions.
 func TestEmptyBatch(t *testing.T) {
 	got, _, err := decodeStream((&frameBuilder{}).batch(8412.25, 0))
 	if err != nil || got != "00000000" {
@@ -103,7 +105,8 @@
 	}
 }
 
-// TestEveryEvent decodes each record once; the request among them leads to a send to the listed server.
+// TestEveryEvent decodes each record type once. The request among them must lead to a send to the
+// listed member.
 func TestEveryEvent(t *testing.T) {
 	f := (&frameBuilder{}).launch(3, 15)
 	f.u8(evRequest).u64(77).u64(0).f64(3000).f64(12).u32(0).u8(0).u16(1).u64(5)
@@ -122,7 +125,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Of instance 3: a timer for the deadline, and the attempt with a timeout of six tenths of the time left.
+	// Actions of instance 3: a timer for the deadline, and the attempt with a timeout of 0.6 of the
+	// time left.
 	want := "0d0300" + "04" + "0000000000f09e40"
 	if !strings.Contains(got, want) {
 		t.Errorf("reply %s lacks the timer %s", got, want)
@@ -135,7 +139,8 @@
 	}
 }
 
-// TestEveryAction encodes each record once.
+// TestEveryAction encodes each action type, twice for the same instance, which must be named only
+// once.
 func TestEveryAction(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -173,7 +178,7 @@
 	}
 }
 
-// TestListsReused: a list number can be given to another list later in the same batch.
+// TestListsReused checks that a list number can be given to another list later in the same batch.
 func TestListsReused(t *testing.T) {
 	f := (&frameBuilder{}).launch(1, 0)
 	f.u8(evEndpointList).u16(0).u32(1)
@@ -186,7 +191,7 @@
 	}
 }
 
-// TestRestart: a stop and a second launch in one batch give a new instance.
+// TestRestart checks that a stop and a second launch in one batch give a running instance.
 func TestRestart(t *testing.T) {
 	f := (&frameBuilder{}).launch(1, 0).u8(evStop).launch(1, 0)
 	f.u8(evTimer).u64(1 << 56).u8(evRequestEnded).u64(4)
@@ -195,7 +200,7 @@
 	}
 }
 
-// TestLargeBatch: several megabytes and many instances in one batch.
+// TestLargeBatch decodes a batch of several megabytes with many instances.
 func TestLargeBatch(t *testing.T) {
 	f := &frameBuilder{}
 	const instances, requests = 300, 200
@@ -211,7 +216,8 @@
 	}
 }
 
-// TestMalformed: an invalid stream ends with ErrMalformed, without a panic or a huge allocation.
+// TestMalformed checks that decoding an invalid stream returns ErrMalformed, without a panic or a
+// huge allocation.
 func TestMalformed(t *testing.T) {
 	valid := (&frameBuilder{}).launch(1, 0).batch(1000, launchRecords)
 	tests := []struct {
@@ -245,7 +251,8 @@
 	}
 }
 
-// FuzzDecoder: no stream makes the decoder panic.
+// FuzzDecoder checks that no stream makes the decoder panic or return an error other than
+// ErrMalformed.
 func FuzzDecoder(f *testing.F) {
 	f.Add((&frameBuilder{}).launch(1, 0).batch(1000, launchRecords))
 	f.Add((&frameBuilder{}).launch(1, 0).u8(evRequest).u64(7).u64(0).f64(3000).f64(0).u32(0).u8(0).u16(0).u64(0).batch(1, launchRecords+1))
