--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -32,10 +32,10 @@
 	}
 	if c.Name != "n3" || c.Listen != "127.0.0.1:3" || c.Discovery != "127.0.0.1:2" || c.SeedNumber() != 0x8c1f30d27a5be964 ||
 		c.KnownList().Generation != 7 || len(c.Decoded().Classes) != 1 || c.Fronts.Line == nil || c.Fronts.NATS != nil || c.Store != nil {
-		t.Errorf("%+v", c)
+		t.Errorf("Load returned an unexpected configuration: %+v", c)
 	}
 	if _, err := Load("", func(string) string { return "" }); !errors.Is(err, ErrInvalid) {
-		t.Errorf("empty configuration: %v", err)
+		t.Errorf("Load without a file and variables: error %v, want %v", err, ErrInvalid)
 	}
 }
 
@@ -61,7 +61,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := loadText(t, head+rest, nil); !errors.Is(err, ErrInvalid) {
-				t.Errorf("error %v, want %v", err, ErrInvalid)
+				t.Errorf("Load: error %v, want %v", err, ErrInvalid)
 			}
 		})
 	}
@@ -96,10 +96,10 @@
 			}
 			c, err := Load(path, func(string) string { return "" })
 			if (err == nil) != tt.valid || err != nil && !errors.Is(err, ErrInvalid) {
-				t.Errorf("%s in place of %s: error %v", tt.new, tt.old, err)
+				t.Errorf("Load with %q in place of %q: error %v, want valid = %v", tt.new, tt.old, err, tt.valid)
 			}
 			if tt.valid && (c.Peers.Address != c.Peers.Listen || len(c.Peers.Keys()) != 1) {
-				t.Errorf("%+v", c.Peers)
+				t.Errorf("Load of the example: peers = %+v, want Address equal to Listen, and one key", c.Peers)
 			}
 		})
 	}
@@ -132,7 +132,8 @@
 			t.Fatal(err)
 		}
 		if got := fmt.Sprint(c.KeysNeedingRestart(reloaded)); reloaded.Discovery != step.discovery || got != step.restart {
-			t.Errorf("%s: discovery %s, restart for %s", step.text, reloaded.Discovery, got)
+			t.Errorf("Reload of %s: discovery %s, keys that need a restart %s, want %s and %s",
+				step.text, reloaded.Discovery, got, step.discovery, step.restart)
 		}
 		c = reloaded
 	}
@@ -140,7 +141,7 @@
 		t.Fatal(err)
 	}
 	if _, err := c.Reload(path, env); !errors.Is(err, ErrInvalid) {
-		t.Errorf("invalid address: %v", err)
+		t.Errorf("Reload with an invalid discovery address: error %v, want %v", err, ErrInvalid)
 	}
 }
 
@@ -163,12 +164,12 @@
 			t.Fatal(err)
 		}
 		if same := cfg.AdoptDiscovery(c.predecessor); same != c.same || cfg.Discovery != c.want || cfg.Operator != "127.0.0.1:5" {
-			t.Errorf("%+v: %s, same %v", c, cfg.Discovery, same)
+			t.Errorf("%+v: AdoptDiscovery = %v, discovery %s, operator %s", c, same, cfg.Discovery, cfg.Operator)
 		}
 	}
 	if _, err := loadText(t, `{`+settingsText+`}`, map[string]string{"EDGE_LISTEN": "127.0.0.1:1",
 		"EDGE_DISCOVERY": "127.0.0.1:2", "EDGE_OPERATOR": "here"}); !errors.Is(err, ErrInvalid) {
-		t.Errorf("invalid operator address: %v", err)
+		t.Errorf("Load with an invalid operator address: error %v, want %v", err, ErrInvalid)
 	}
 }
 
@@ -190,9 +191,9 @@
 	}
 	a, b, c := configs[0].Sections(), configs[1].Sections(), configs[2].Sections()
 	if !maps.Equal(a, b) || configs[0].Digest() != configs[1].Digest() {
-		t.Errorf("a relay's own keys are in the digests: %v, %v", a, b)
+		t.Errorf("digests of two relays of one installation differ: %v, %v", a, b)
 	}
 	if a["limits"] == c["limits"] || a["settings"] != c["settings"] || a["peers"] != "" {
-		t.Errorf("%v, %v", a, c)
+		t.Errorf("digests %v and %v, want different ones for limits only, and none for peers", a, c)
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -29,13 +29,13 @@
 	if set.Balancers != 2 || set.Zones != 2 || set.Classes[0].LatencyObjective != 400*time.Millisecond ||
 		set.Classes[0].MessageLatencyObjective != 150*time.Millisecond || set.Tenants[0].Quota != 40 || set.MaxAttempts != 3 ||
 		set.CanProbe || !set.CanCancel || set.Reports != policy.ReportsOnProbe || set.SlowStartMinCapacity != 0.3 || set.Subscribe {
-		t.Errorf("settings %+v", set)
+		t.Errorf("Policy() of the decoded settings = %+v, which differs from the text", set)
 	}
 	if len(names) != 2 || names[1] != "x0" {
-		t.Errorf("names %v", names)
+		t.Errorf("report names = %v, want [outstanding x0]", names)
 	}
 	if _, err := Decode([]byte(`{}`)); err != nil {
-		t.Errorf("empty settings: %v", err)
+		t.Errorf("Decode({}): error %v, want none", err)
 	}
 	unusual, err := Decode([]byte(`{"classes":[{"effect":"odd"},{"effect":"idempotency_key","key-scope":"zone"}],
 		"report":{"source":"inline"},"extra":{"mode":"pass","groups":true},"discovery":"subscribe"}`))
@@ -45,10 +45,10 @@
 	set = unusual.Policy()
 	if set.Classes[0].Idempotency != policy.NonIdempotent || set.Classes[1].Scope != policy.ScopeZone ||
 		!set.PassThrough || !set.Groups || !set.Subscribe || set.Reports != policy.ReportsInline {
-		t.Errorf("unusual settings %+v, %v", set, err)
+		t.Errorf("Policy() of the unusual settings = %+v, which differs from the text", set)
 	}
 	if _, err := Decode([]byte(`{"classes":7}`)); !errors.Is(err, ErrMalformed) {
-		t.Errorf("malformed settings: %v", err)
+		t.Errorf("Decode of malformed settings: error %v, want %v", err, ErrMalformed)
 	}
 }
 
@@ -111,7 +111,7 @@
 				key = "report.source" // which requires probes
 			}
 			if len(problems) != 1 || !strings.Contains(problems[0].Error(), key) || strings.HasSuffix(problems[0].Error(), ": ") {
-				t.Errorf("%s, %s = %v: %v", file, path, invalid, problems)
+				t.Errorf("Validate of %s with %s = %v: errors %v, want one that names %s and a reason", file, path, invalid, problems, key)
 			}
 		}
 	}
--- a/internal/settings/validate.go
+++ b/internal/settings/validate.go
@@ -25,7 +25,7 @@
 // their place, since a relay that does not start serves nobody.
 func (s *Settings) Validate() []error {
 	v := &validator{names: map[string]bool{}}
-	v.reject(s.Balancers < 1, "balancers", s.Balancers, "under 1: it is how many relays share the members")
+	v.reject(s.Balancers < 1, "balancers", s.Balancers, "must be at least 1, the number of relays that share the members")
 	v.classes(s)
 	v.extra(s)
 	v.oneOf("discovery", s.Discovery, "subscribe", "automatic")
@@ -35,7 +35,7 @@
 	v.fraction("prices.probe", s.Prices.Probe)
 	v.report(s)
 	v.tenants(s)
-	v.reject(s.Zone < 0 || s.Zone >= max(len(s.Zones), 1), "zone", s.Zone, "not the place of one of zones, from 0")
+	v.reject(s.Zone < 0 || s.Zone >= max(len(s.Zones), 1), "zone", s.Zone, "must be an index of zones, from 0")
 	return v.problems
 }
 
@@ -52,11 +52,11 @@
 }
 
 func (v *validator) duration(key string, ms float64) {
-	v.reject(!(ms > 0 && ms <= maxDurationMS), key, ms, "not over 0 and at most a day, in milliseconds")
+	v.reject(!(ms > 0 && ms <= maxDurationMS), key, ms, "must be over 0 and at most 86400000 ms (one day)")
 }
 
-func (v *validator) fraction(key string, part float64) {
-	v.reject(!(part >= 0 && part <= 1), key, part, "not from 0 to 1")
+func (v *validator) fraction(key string, value float64) {
+	v.reject(!(value >= 0 && value <= 1), key, value, "must be from 0 to 1")
 }
 
 // oneOf rejects a value that is not one of those allowed.
@@ -69,12 +69,12 @@
 		}
 		list += a
 	}
-	v.reject(!slices.Contains(allowed, value), key, fmt.Sprintf("%q", value), "not "+list+" or "+allowed[last])
+	v.reject(!slices.Contains(allowed, value), key, fmt.Sprintf("%q", value), "must be "+list+" or "+allowed[last])
 }
 
 // uniqueName rejects an empty name, and a name that an earlier entry of the same kind has.
 func (v *validator) uniqueName(kind, key, name string) {
-	v.reject(name == "" || v.names[kind+name], key, fmt.Sprintf("%q", name), "missing or duplicate")
+	v.reject(name == "" || v.names[kind+name], key, fmt.Sprintf("%q", name), "name is missing or duplicate")
 	v.names[kind+name] = true
 }
 
@@ -85,9 +85,9 @@
 		v.duration(key("aim-ms"), c.LatencyObjective)
 		v.duration(key("deadline-ms"), c.Deadline)
 		v.reject(c.LatencyObjective > c.Deadline, key("aim-ms"), c.LatencyObjective,
-			"over deadline-ms: later than the client waits")
+			"must be at most deadline-ms: the client does not wait longer")
 		v.reject(!(c.PriorityWeight > 0), key("worth"), c.PriorityWeight,
-			"not over 0: priorities in a shortage depend on it")
+			"must be over 0: it determines the priority in a shortage")
 		v.oneOf(key("effect"), c.Idempotency, "read_like", "idempotency_key", "non_idempotent")
 		if c.Idempotency == "idempotency_key" {
 			v.duration(key("window-ms"), c.DedupWindow)
@@ -98,31 +98,31 @@
 
 func (v *validator) extra(s *Settings) {
 	objectives := s.Extra.MessageLatencyObjective
-	v.reject(len(objectives) != len(s.Classes), "extra.message-aim-ms", objectives, "not one for each class")
+	v.reject(len(objectives) != len(s.Classes), "extra.message-aim-ms", objectives, "must have one value per class")
 	for i, ms := range objectives {
 		v.duration(fmt.Sprintf("extra.message-aim-ms[%d]", i), ms)
 	}
 	v.oneOf("extra.mode", s.Extra.Mode, "proxy", "pass")
 	quota := s.Extra.Quota
 	v.reject(len(quota) > 0 && len(quota) != len(s.Tenants), "extra.tenant-quota-connections", quota,
-		"not one for each tenant")
+		"must have one value per tenant")
 }
 
 func (v *validator) guarantees(s *Settings) {
 	g := s.Guarantees
 	v.reject(!(g.SlowStartMinCapacity > 0 && g.SlowStartMinCapacity <= 1), "guarantees.cold-from",
-		g.SlowStartMinCapacity, "not over 0 and at most 1")
+		g.SlowStartMinCapacity, "must be over 0 and at most 1")
 	v.duration("guarantees.cold-ms", g.SlowStartDuration)
 	v.duration("guarantees.fall-ms", g.OverloadWindow)
 	v.reject(!(g.OverloadFactor >= 1), "guarantees.overload-factor", g.OverloadFactor,
-		"under 1: a member would fall below its capacity")
+		"must be at least 1: otherwise a member counts as overloaded below its capacity")
 	v.duration("guarantees.ask-within-ms", g.MaxPollInterval)
 	v.duration("guarantees.drain-grace-ms", g.DrainGrace)
 }
 
 func (v *validator) limits(s *Settings) {
 	l := s.Limits
-	v.reject(l.MaxAttempts < 1, "limits.max-attempts", l.MaxAttempts, "under 1: nothing could be sent")
+	v.reject(l.MaxAttempts < 1, "limits.max-attempts", l.MaxAttempts, "must be at least 1: otherwise nothing can be sent")
 	v.duration("limits.connect-timeout-ms", l.ConnectTimeout)
 	v.duration("limits.keepalive-ms", l.Keepalive)
 }
@@ -131,17 +131,17 @@
 	r := s.Report
 	v.oneOf("report.source", r.Source, "inline", "on_probe", "off")
 	v.reject(r.Source == "on_probe" && !s.Limits.Probes, "report.source", fmt.Sprintf("%q", r.Source),
-		"reports come with probes alone, and limits.probes forbids them")
+		"needs limits.probes: with this source, only probes return reports")
 	reported := func(name string) bool { return slices.Contains(r.Names, name) }
 	v.reject(r.Source != "off" && !reported("x0") && !reported("utilization") && !reported("util"), "report.names",
-		r.Names, "neither x0 nor utilization: nothing shows how full a member is")
+		r.Names, "must include x0 or utilization: otherwise nothing shows how full a member is")
 	v.reject(r.Source != "off" && !reported("outstanding") && !reported("inflight"), "report.names", r.Names,
-		"no outstanding: nothing shows how many connections fill a member")
+		"must include outstanding: otherwise nothing shows how many connections make a member full")
 }
 
 func (v *validator) tenants(s *Settings) {
 	for i, t := range s.Tenants {
 		v.uniqueName("tenant ", fmt.Sprintf("tenants[%d].name", i), t.Name)
-		v.reject(!(t.Share > 0), fmt.Sprintf("tenants[%d].share", i), t.Share, "not over 0")
+		v.reject(!(t.Share > 0), fmt.Sprintf("tenants[%d].share", i), t.Share, "must be over 0")
 	}
 }
--- a/internal/wire/cursor.go
+++ b/internal/wire/cursor.go
@@ -53,7 +53,7 @@
 func (c *cursor) result() (policy.Result, error) {
 	code := c.u8()
 	if int(code) >= len(results) {
-		return 0, fmt.Errorf("%w: unknown result %d", ErrMalformed, code)
+		return 0, fmt.Errorf("%w: unknown result code %d", ErrMalformed, code)
 	}
 	return results[code], nil
 }
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -17,7 +17,7 @@
 		return d.decodeList(c)
 	}
 	if instance < 0 {
-		return fmt.Errorf("%w: code %d before any instance was named", ErrMalformed, code)
+		return fmt.Errorf("%w: event code %d before any instance is named", ErrMalformed, code)
 	}
 	id := uint16(instance)
 	if code == evLaunch {
@@ -25,7 +25,7 @@
 	}
 	b := h.Instance(id)
 	if b == nil {
-		return fmt.Errorf("%w: code %d for instance %d, which does not run", ErrMalformed, code, id)
+		return fmt.Errorf("%w: event code %d for instance %d, which is not running", ErrMalformed, code, id)
 	}
 	switch code {
 	case evMembers:
@@ -60,7 +60,7 @@
 	case evStop:
 		h.Stop(id)
 	default:
-		return fmt.Errorf("%w: unknown code %d", ErrMalformed, code)
+		return fmt.Errorf("%w: unknown event code %d", ErrMalformed, code)
 	}
 	return nil
 }
@@ -85,7 +85,7 @@
 	c.u32()
 	kind, known := listKinds[kindCode]
 	if !known || kind != policy.ListFailed && number >= maxLists {
-		return fmt.Errorf("%w: list %d of kind %d", ErrMalformed, number, kindCode)
+		return fmt.Errorf("%w: invalid list: number %d, kind code %d", ErrMalformed, number, kindCode)
 	}
 	if c.truncated {
 		return nil
@@ -172,10 +172,10 @@
 		return nil
 	}
 	if number >= maxLists {
-		return fmt.Errorf("%w: list number %d", ErrMalformed, number)
+		return fmt.Errorf("%w: list number %d, must be below %d", ErrMalformed, number, maxLists)
 	}
 	if uint64(n)*entrySize > uint64(len(c.data)) {
-		return fmt.Errorf("%w: %d list entries in %d bytes", ErrMalformed, n, len(c.data))
+		return fmt.Errorf("%w: %d list entries do not fit in %d bytes", ErrMalformed, n, len(c.data))
 	}
 	list := make([]policy.Endpoint, n)
 	for i := range list {
@@ -183,7 +183,7 @@
 		e.ID, e.Zone, e.Kind, e.Cell = policy.MemberID(c.u32()), int(c.u8()), int(c.u8()), int(c.u16())
 		state, known := memberStates[c.u8()]
 		if !known {
-			return fmt.Errorf("%w: unknown server state", ErrMalformed)
+			return fmt.Errorf("%w: unknown member state in a list entry", ErrMalformed)
 		}
 		e.State = state
 		e.Weight = float64(c.f32())
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -96,7 +96,7 @@
 		if err == io.EOF {
 			return err
 		}
-		return fmt.Errorf("%w: header cut short", ErrMalformed)
+		return fmt.Errorf("%w: truncated batch header", ErrMalformed)
 	}
 	size := binary.LittleEndian.Uint32(header[:])
 	count := binary.LittleEndian.Uint32(header[12:])
@@ -104,11 +104,11 @@
 	now, ok := settings.ParseMillis(clock)
 	switch {
 	case !ok:
-		return fmt.Errorf("%w: clock %v", ErrMalformed, clock)
+		return fmt.Errorf("%w: clock of %v ms is out of range", ErrMalformed, clock)
 	case size > maxBatch:
-		return fmt.Errorf("%w: size %d", ErrMalformed, size)
+		return fmt.Errorf("%w: batch of %d bytes, the limit is %d", ErrMalformed, size, maxBatch)
 	case count > size:
-		return fmt.Errorf("%w: %d records in %d bytes", ErrMalformed, count, size)
+		return fmt.Errorf("%w: %d records in a batch of %d bytes", ErrMalformed, count, size)
 	}
 	if err := d.readBody(int(size)); err != nil {
 		return err
@@ -124,11 +124,11 @@
 			return err
 		}
 		if c.truncated {
-			return fmt.Errorf("%w: record %d (code %d) cut short", ErrMalformed, i, code)
+			return fmt.Errorf("%w: record %d (code %d) is truncated", ErrMalformed, i, code)
 		}
 	}
 	if len(c.data) > 0 {
-		return fmt.Errorf("%w: %d bytes after the last record", ErrMalformed, len(c.data))
+		return fmt.Errorf("%w: %d unread bytes after the last record", ErrMalformed, len(c.data))
 	}
 	return nil
 }
@@ -146,7 +146,7 @@
 		}
 		d.buf = d.buf[:at+n]
 		if _, err := io.ReadFull(d.r, d.buf[at:]); err != nil {
-			return fmt.Errorf("%w: body cut short", ErrMalformed)
+			return fmt.Errorf("%w: truncated batch body, want %d bytes", ErrMalformed, size)
 		}
 	}
 	return nil
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -101,7 +101,7 @@
 func TestEmptyBatch(t *testing.T) {
 	got, _, err := decodeStream((&frameBuilder{}).batch(8412.25, 0))
 	if err != nil || got != "00000000" {
-		t.Errorf("reply %s, %v", got, err)
+		t.Errorf("reply to an empty batch = %s, error %v, want 00000000", got, err)
 	}
 }
 
@@ -135,7 +135,7 @@
 		t.Errorf("reply %s lacks the send %s", got, send)
 	}
 	if host.seeds[3] != 9 || host.instances[3] != nil {
-		t.Errorf("seed %d, still running %v", host.seeds[3], host.instances[3] != nil)
+		t.Errorf("instance 3: seed %d, still running = %v, want 9 and false", host.seeds[3], host.instances[3] != nil)
 	}
 }
 
@@ -169,10 +169,10 @@
 			}
 			got := hex.EncodeToString(out.Bytes()[4:])
 			if want := "0d0500" + tt.want + tt.want; got != want {
-				t.Errorf("encoded %s, want %s", got, want)
+				t.Errorf("encoded actions = %s, want %s", got, want)
 			}
 			if n := binary.LittleEndian.Uint32(out.Bytes()); int(n) != out.Len()-4 {
-				t.Errorf("length %d of %d", n, out.Len()-4)
+				t.Errorf("length field of the reply = %d, want %d", n, out.Len()-4)
 			}
 		})
 	}
@@ -187,7 +187,7 @@
 	f.u8(evRequest).u64(7).u64(0).f64(3000).f64(0).u32(0).u8(0).u16(0).u64(0)
 	got, _, err := decodeStream(f.batch(1000, launchRecords+3))
 	if err != nil || !strings.Contains(got, "efbe0000") || strings.Contains(got, "edfe0000") {
-		t.Errorf("sent to the replaced list: %s, %v", got, err)
+		t.Errorf("reply %s, error %v, want a send to 0xbeef of the new list and none to 0xfeed of the replaced list", got, err)
 	}
 }
 
@@ -196,7 +196,7 @@
 	f := (&frameBuilder{}).launch(1, 0).u8(evStop).launch(1, 0)
 	f.u8(evTimer).u64(1 << 56).u8(evRequestEnded).u64(4)
 	if _, host, err := decodeStream(f.batch(1000, 2*launchRecords+3)); err != nil || host.instances[1] == nil {
-		t.Errorf("instance %v, %v", host.instances[1], err)
+		t.Errorf("instance after stop and launch = %v, error %v, want a running one", host.instances[1], err)
 	}
 }
 
@@ -212,7 +212,8 @@
 	}
 	got, _, err := decodeStream(f.batch(1000, instances*(launchRecords+requests)))
 	if err != nil || len(f.body) < 2<<20 || len(got) < instances*requests*2*20 {
-		t.Errorf("%d bytes in, %d out, %v", len(f.body), len(got)/2, err)
+		t.Errorf("batch of %d bytes: reply of %d bytes, error %v, want at least %d and %d bytes",
+			len(f.body), len(got)/2, err, 2<<20, instances*requests*20)
 	}
 }
 
@@ -236,7 +237,7 @@
 		{"truncated record", (&frameBuilder{}).launch(1, 0).u8(evRequest).u32(1).batch(1, launchRecords+1)},
 		{"list larger than the frame", (&frameBuilder{}).u8(evEndpointList).u16(0).u32(math.MaxUint32).batch(1, 1)},
 		{"list number out of range", (&frameBuilder{}).u8(evEndpointList).u16(16).u32(0).batch(1, 1)},
-		{"unknown server state", (&frameBuilder{}).u8(evEndpointList).u16(0).u32(1).u32(1).u8(0, 0).u16(0).u8(9).f32(1).f64(0).batch(1, 1)},
+		{"unknown member state", (&frameBuilder{}).u8(evEndpointList).u16(0).u32(1).u32(1).u8(0, 0).u16(0).u8(9).f32(1).f64(0).batch(1, 1)},
 		{"unknown list kind", (&frameBuilder{}).launch(1, 0).u8(evMembers).u16(0).u8(2).u32(0).batch(1, launchRecords+1)},
 		{"unknown result", (&frameBuilder{}).launch(1, 0).u8(evProbeResult).u32(1).u8(8).f64(1).u8(0).batch(1, launchRecords+1)},
 		{"bytes left over", (&frameBuilder{}).u8(1, 2, 3).batch(1, 0)},
@@ -245,7 +246,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			if _, _, err := decodeStream(tt.stream); !errors.Is(err, ErrMalformed) {
-				t.Errorf("error %v", err)
+				t.Errorf("Next: error %v, want %v", err, ErrMalformed)
 			}
 		})
 	}
@@ -258,7 +259,7 @@
 	f.Add((&frameBuilder{}).launch(1, 0).u8(evRequest).u64(7).u64(0).f64(3000).f64(0).u32(0).u8(0).u16(0).u64(0).batch(1, launchRecords+1))
 	f.Fuzz(func(t *testing.T, stream []byte) {
 		if _, _, err := decodeStream(stream); err != nil && !errors.Is(err, ErrMalformed) {
-			t.Errorf("error %v", err)
+			t.Errorf("Next: error %v, want %v", err, ErrMalformed)
 		}
 	})
 }
