--- a/cmd/dahliarudder/canary.go
+++ b/cmd/dahliarudder/canary.go
@@ -15,16 +15,16 @@
 )
 
 const (
-	// staleRecordAfter is how long a majority may not have confirmed the record before the record can
-	// no longer raise a weight: four report intervals.
+	// staleRecordAfter is how long after the last confirmation by a majority the record can still raise
+	// a weight: four report intervals.
 	staleRecordAfter = 4 * time.Second
 	// maxCountsBytes limits the size of the canary counts in one report to the leader.
 	maxCountsBytes = 600
 	// earlyEndWindow is the age of a flow below which its end by the member counts as early, see
 	// canary.Tally.
 	earlyEndWindow = time.Minute
-	// maxTrackedFlows limits the flows that are tracked at once. The ends of flows beyond it are not
-	// counted.
+	// maxTrackedFlows limits the flows that are tracked at once. Flows beyond it count when they are
+	// established, but not when they end.
 	maxTrackedFlows = 4096
 )
 
--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -114,7 +114,8 @@
 	}
 	r.core.SetFleetRemovals(removals)
 	r.excludedByFleet, r.recordVersion, r.permitsVersion = names, version, o.PermitsVersion
-	leaveApplies := o.Leave != nil && o.Leave.StartNumber >= r.peers.Incarnation() // an earlier number is an order to a previous process
+	// An order with a lower start number was for a previous process of this relay.
+	leaveApplies := o.Leave != nil && o.Leave.StartNumber >= r.peers.Incarnation()
 	switch {
 	case leaveApplies && r.shutdownOrder == nil:
 		r.log.WithFields(logrus.Fields{"release": o.Leave.Release, "number": o.Leave.Number}).Info("fleet: ordered to leave")
@@ -147,7 +148,7 @@
 	order := r.shutdownOrder
 	r.loop.After(orderedDrainPoll, func() {
 		switch {
-		case r.shutdownOrder != order || r.stopping: // the order was revoked or replaced, or the relay is already stopping
+		case r.shutdownOrder != order || r.stopping: // revoked, replaced, or already stopping
 		case r.core.ActiveRequests() > 0 && r.loop.Now()-order.since < orderedDrainTimeout, r.loop.Now()-order.since < core.StopNotice:
 			r.exitWhenDrained()
 		default:
@@ -171,7 +172,7 @@
 func (r *relay) ejectFleetWide(member string, ejected bool, done func(error)) {
 	r.fleet.SetEjected(member, ejected, func(err error) {
 		switch {
-		case err == nil && ejected: // the record has it; an ejection by this relay itself would remain after the record's ends
+		case err == nil && ejected: // in the record; an ejection by this relay would outlast it
 			done(nil)
 		case err == nil:
 			r.applyEjections(member, false, done)
--- a/cmd/dahliarudder/limits.go
+++ b/cmd/dahliarudder/limits.go
@@ -12,7 +12,7 @@
 
 const (
 	// goMemoryFraction of the configured memory is the Go runtime's soft limit. The rest is for the
-	// kernel's socket buffers.
+	// kernel's buffers.
 	goMemoryFraction = 0.7
 	// gcPercent lets the heap grow between collections. The live heap is usually small; when it is
 	// not, the soft limit triggers collections earlier.
--- a/cmd/dahliarudder/snapshot.go
+++ b/cmd/dahliarudder/snapshot.go
@@ -15,7 +15,7 @@
 // recoveryReport describes what this relay restored at its start, and the state of its snapshots. GET
 // /-/recovery returns it.
 type recoveryReport struct {
-	From       string                   `json:"from"` // "snapshot", "an older process" (the predecessor of a hot restart), or "nothing"
+	From       string                   `json:"from"` // "snapshot", "an older process" (a predecessor), or "nothing"
 	Age        int64                    `json:"age_ms"`
 	Discarded  []snapshot.DiscardedPart `json:"thrown_away"`
 	WrittenAgo int64                    `json:"written_ms_ago"` // ms since the last snapshot; -1: none yet
--- a/cmd/dahliarudder/stop.go
+++ b/cmd/dahliarudder/stop.go
@@ -22,7 +22,8 @@
 	} else {
 		r.core.Stop()
 	}
-	r.log.WithField("open_requests", open).Info("stopping") // after the message to the sibling, which readers of the log rely on
+	// Logged after the message to the sibling is sent, since readers of the log may rely on that.
+	r.log.WithField("open_requests", open).Info("stopping")
 	if r.natsFront != nil {
 		r.natsFront.EnterLameDuck()
 	}
--- a/cmd/dahliarudder/upgrade.go
+++ b/cmd/dahliarudder/upgrade.go
@@ -12,8 +12,8 @@
 )
 
 // This file implements hot restarts. A successor is a process that is started to replace a running
-// one, its predecessor. They serve side by side until the predecessor ends. Each calls the other,
-// in either role, its sibling.
+// one, its predecessor. Both run until the predecessor has handed over its clients and ends. The
+// sibling of a process is the other one of the two, in either role.
 
 const (
 	// openStateInterval is how often a process sends its open requests to its successor.
--- a/cmd/dahliarudder/upgrade_takeover.go
+++ b/cmd/dahliarudder/upgrade_takeover.go
@@ -9,7 +9,7 @@
 
 const (
 	takeoverNone      takeoverState = iota // this process answers its clients itself
-	takeoverRequested                      // this process accepts none, and the sibling has not yet confirmed that it does
+	takeoverRequested                      // this process accepts none, the sibling has not confirmed yet
 	takeoverConfirmed                      // the sibling accepts the clients
 )
 
@@ -60,7 +60,7 @@
 		r.lineFront.ResumeIdle() // no more connections are handed over
 	}
 	if !r.accepting {
-		return // this process accepts no clients yet, and the sibling has no "serving" message from it
+		return // this process accepts no clients yet, so the sibling did not request a takeover
 	}
 	r.pauseAccepting(false)
 	if r.stopping {
