--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -21,34 +21,37 @@
 	"dahliarudder/internal/settings"
 )
 
-// orderedExit is the error of a relay that ends by an order of the fleet: its exit status asks the supervisor to start it again.
+// orderedExit is the error of a relay that ends on an order of the fleet. Its value is the exit
+// status, which asks the supervisor to start the relay again.
 type orderedExit int
 
-func (e orderedExit) Error() string { return fmt.Sprintf("ordered to leave: exit status %d", int(e)) }
+func (e orderedExit) Error() string {
+	return fmt.Sprintf("stopped by an order of the fleet, exit status %d", int(e))
+}
 
-// shutdownOrder is an order of the fleet to leave, and since when this relay follows it.
+// shutdownOrder is an order of the fleet to leave, and the time since which this relay follows it.
 type shutdownOrder struct {
 	number uint64
 	since  time.Duration
 }
 
-// orderedDrainTimeout is how long a relay that was ordered to leave waits for its last flows: its drain takes three seconds, and the
-// shutdown migrates the rest.
+// orderedDrainTimeout is how long a relay that was ordered to leave waits for its last flows. Its
+// drain takes three seconds; the shutdown migrates the flows that remain.
 const orderedDrainTimeout = 4 * time.Second
 
-// orderedDrainPoll is how often it checks whether it may end.
+// orderedDrainPoll is how often a relay that was ordered to leave checks whether it may end.
 const orderedDrainPoll = 100 * time.Millisecond
 
-// startFleet starts the fleet record. Until the record has caught up nothing is dispatched, for catchUpTimeout at most: a member may
-// have been ejected while this relay was down.
+// startFleet starts the fleet record. No attempt is dispatched until the record has caught up, or
+// catchUpTimeout has passed: a member may have been ejected while this relay was down.
 func (r *relay) startFleet(c fleet.Config) error {
-	set := r.names.Settings
+	set := r.mapper.Settings
 	program := cmp.Or(c.Program, version+"-"+fileDigest(os.Executable))
 	zone := ""
 	if set.Zone >= 0 && set.Zone < len(set.Zones) {
 		zone = string(set.Zones[set.Zone])
 	}
-	r.trial, r.configDigests = newCanaryTrial(r), r.cfg.Sections()
+	r.canary, r.configDigests = newCanaryState(r), r.cfg.Sections()
 	var err error
 	r.fleet, err = fleet.Start(fleet.Options{Config: c, Name: r.cfg.Name, Zone: zone, Incarnation: r.peers.Incarnation(), Program: program,
 		ConfigDigest: r.cfg.Digest(), Keys: r.cfg.Peers.Keys(), SlowStartShare: set.Guarantees.SlowStartMinCapacity, SlowStartDuration: settings.Duration(set.Guarantees.SlowStartDuration),
@@ -63,7 +66,8 @@
 	return nil
 }
 
-// catchUpTimeout is how long a start waits for the record: an election takes two seconds at most, and without a majority the relay serves.
+// catchUpTimeout is how long a starting relay waits for the record. An election takes at most two
+// seconds; without a majority, the relay then serves with the state that it has.
 const catchUpTimeout = 2 * time.Second
 
 func (r *relay) finishCatchUp() {
@@ -74,7 +78,8 @@
 	}
 }
 
-// fileDigest is a prefix of the SHA-256 of a file in hexadecimal, "unknown" if it cannot be read.
+// fileDigest returns the first 4 bytes of the SHA-256 of a file in hexadecimal, "unknown" if the file
+// cannot be read.
 func fileDigest(path func() (string, error)) string {
 	name, err := path()
 	if err != nil {
@@ -92,63 +97,64 @@
 	return hex.EncodeToString(h.Sum(nil)[:4])
 }
 
-// applyOrders applies the state that the fleet record wants of this relay.
+// applyOrders applies the state that the fleet record specifies for this relay.
 func (r *relay) applyOrders(o fleet.DesiredState) {
 	version := o.RecordVersion
-	r.trial.applyOrders(o)
-	out := map[string]core.Removal{}
+	r.canary.applyOrders(o)
+	removals := map[string]core.Removal{}
 	for name, i := range o.Exclusions {
-		out[name] = core.Removal{SpreadOver: time.Duration(i.MigrateOverMS) * time.Millisecond, Ejection: i.Reason == rollout.ExcludedByEjection}
+		removals[name] = core.Removal{SpreadOver: time.Duration(i.MigrateOverMS) * time.Millisecond, Ejection: i.Reason == rollout.ExcludedByEjection}
 	}
 	if o.MajorityConfirmed {
 		defer r.finishCatchUp()
 	}
-	names := slices.Sorted(maps.Keys(out))
-	if !slices.Equal(names, r.fleetEjected) {
-		r.log.WithFields(logrus.Fields{"out": names, "version": version}).Info("fleet: members that are out")
+	names := slices.Sorted(maps.Keys(removals))
+	if !slices.Equal(names, r.excludedByFleet) {
+		r.log.WithFields(logrus.Fields{"out": names, "version": version}).Info("fleet: excluded members")
 	}
-	r.core.SetFleetRemovals(out)
-	r.fleetEjected, r.recordVersion, r.permits = names, version, o.PermitsVersion
-	mine := o.Leave != nil && o.Leave.StartNumber >= r.peers.Incarnation() // else it was for the process before this one
+	r.core.SetFleetRemovals(removals)
+	r.excludedByFleet, r.recordVersion, r.permitsVersion = names, version, o.PermitsVersion
+	// An order with a lower start number was for a previous process of this relay.
+	leaveApplies := o.Leave != nil && o.Leave.StartNumber >= r.peers.Incarnation()
 	switch {
-	case mine && r.shutdownOrder == nil:
+	case leaveApplies && r.shutdownOrder == nil:
 		r.log.WithFields(logrus.Fields{"release": o.Leave.Release, "number": o.Leave.Number}).Info("fleet: ordered to leave")
 		r.shutdownOrder = &shutdownOrder{o.Leave.Number, r.loop.Now()}
 		r.applyDrainState()
 		r.exitWhenDrained()
-	case !mine && r.shutdownOrder != nil && !r.stopping:
-		r.log.Info("fleet: may stay")
+	case !leaveApplies && r.shutdownOrder != nil && !r.stopping:
+		r.log.Info("fleet: order to leave revoked")
 		r.shutdownOrder = nil
 		r.applyDrainState()
 	}
-	shut := uint64(0)
+	quarantine := uint64(0)
 	if o.Quarantine != nil && o.Quarantine.StartNumber >= r.peers.Incarnation() {
-		shut = o.Quarantine.Number
+		quarantine = o.Quarantine.Number
 	}
-	if shut != r.quarantineOrder && !r.stopping {
-		if shut != 0 {
-			r.log.WithFields(logrus.Fields{"number": shut, "why": o.Quarantine.Reason}).Warn("fleet: shut")
+	if quarantine != r.quarantineOrder && !r.stopping {
+		if quarantine != 0 {
+			r.log.WithFields(logrus.Fields{"number": quarantine, "why": o.Quarantine.Reason}).Warn("fleet: quarantined")
 		} else {
-			r.log.Info("fleet: admitted")
+			r.log.Info("fleet: quarantine ended")
 		}
-		r.quarantineOrder = shut
+		r.quarantineOrder = quarantine
 		r.applyDrainState()
 	}
 }
 
-// exitWhenDrained ends this relay once its clients have migrated and a majority confirms that the order still stands. Without a
-// majority it stays drained.
+// exitWhenDrained ends this relay once its clients have been migrated and a majority confirms that
+// the order still stands. Without a majority the relay stays drained.
 func (r *relay) exitWhenDrained() {
-	l := r.shutdownOrder
+	order := r.shutdownOrder
 	r.loop.After(orderedDrainPoll, func() {
 		switch {
-		case r.shutdownOrder != l || r.stopping: // the order was revoked or replaced, or it ends already
-		case r.core.ActiveRequests() > 0 && r.loop.Now()-l.since < orderedDrainTimeout, r.loop.Now()-l.since < core.StopNotice:
+		case r.shutdownOrder != order || r.stopping: // revoked, replaced, or already stopping
+		case r.core.ActiveRequests() > 0 && r.loop.Now()-order.since < orderedDrainTimeout, r.loop.Now()-order.since < core.StopNotice:
 			r.exitWhenDrained()
 		default:
-			r.fleet.ConfirmLeave(l.number, func(stands, confirmed bool) {
+			r.fleet.ConfirmLeave(order.number, func(stands, confirmed bool) {
 				switch {
-				case r.shutdownOrder != l || r.stopping:
+				case r.shutdownOrder != order || r.stopping:
 				case !stands || !confirmed:
 					r.exitWhenDrained()
 				default:
@@ -160,17 +166,18 @@
 	})
 }
 
-// ejectFleetWide ejects a member at all relays, or restores it. Without a majority the ejection holds at this relay alone, and shows as
-// drift once the majority is back.
+// ejectFleetWide ejects a member at all relays, or reinstates it. If the record cannot accept the
+// change (no majority, or too many queued changes), it applies to this relay only; once a majority
+// is back, it shows as drift.
 func (r *relay) ejectFleetWide(member string, ejected bool, done func(error)) {
 	r.fleet.SetEjected(member, ejected, func(err error) {
 		switch {
-		case err == nil && ejected: // agreed: an ejection of this relay's own would outlive it
+		case err == nil && ejected: // in the record; an ejection by this relay would outlast it
 			done(nil)
 		case err == nil:
 			r.applyEjections(member, false, done)
 		case errors.Is(err, consensus.ErrNoQuorum), errors.Is(err, consensus.ErrQueueFull):
-			r.log.WithError(err).WithField("member", member).Warn("fleet: the call holds at this relay alone")
+			r.log.WithError(err).WithField("member", member).Warn("fleet: the record did not accept the change; it applies to this relay only")
 			r.applyEjections(member, ejected, done)
 		default:
 			done(err)
--- a/cmd/dahliarudder/keys.go
+++ b/cmd/dahliarudder/keys.go
@@ -21,25 +21,25 @@
 	"golang.org/x/crypto/bcrypt"
 )
 
-// keysCommand makes what the configuration of logins and TLS needs.
+// keysCommand returns the command that creates certificates and password hashes for TLS and logins.
 func keysCommand() *cobra.Command {
-	keys := &cobra.Command{Use: "keys", Short: "Make what logins and TLS need"}
+	keys := &cobra.Command{Use: "keys", Short: "Create certificates and password hashes for TLS and logins"}
 	var dir string
 	var hosts []string
 	certificate := &cobra.Command{
 		Use:   "certificate",
-		Short: "Write an authority of one's own and a certificate by it, for trials",
+		Short: "Create a certificate authority and a certificate signed by it, for testing",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := trialCertificate(dir, hosts); err != nil {
+			if err := writeTestCertificate(dir, hosts); err != nil {
 				return err
 			}
-			cmd.Printf("%s: ca.pem for clients, relay.pem and relay.key for the relay; good for 90 days\n", dir)
+			cmd.Printf("%s: ca.pem for clients, relay.pem and relay.key for the relay; valid for 90 days\n", dir)
 			return nil
 		},
 	}
-	certificate.Flags().StringVar(&dir, "dir", "tls", "where to; files that are there stay, and are an error")
-	certificate.Flags().StringSliceVar(&hosts, "host", []string{"127.0.0.1", "localhost"}, "names and addresses that clients connect to")
+	certificate.Flags().StringVar(&dir, "dir", "tls", "output directory; existing files are not overwritten but reported as an error")
+	certificate.Flags().StringSliceVar(&hosts, "host", []string{"127.0.0.1", "localhost"}, "host names and IP addresses that clients connect to")
 	keys.AddCommand(certificate, &cobra.Command{
 		Use:   "password",
 		Short: "Read a password or token from standard input and print its bcrypt hash",
@@ -60,9 +60,9 @@
 	return keys
 }
 
-// trialCertificate writes ca.pem, relay.pem and relay.key. The authority's key is discarded, so
+// writeTestCertificate writes ca.pem, relay.pem and relay.key. The authority's key is discarded, so
 // that nobody can sign with it later.
-func trialCertificate(dir string, hosts []string) error {
+func writeTestCertificate(dir string, hosts []string) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
@@ -86,22 +86,22 @@
 			relay.DNSNames = append(relay.DNSNames, h)
 		}
 	}
-	caText, err := x509.CreateCertificate(rand.Reader, ca, ca, &authority.PublicKey, authority)
+	caDER, err := x509.CreateCertificate(rand.Reader, ca, ca, &authority.PublicKey, authority)
 	if err != nil {
 		return err
 	}
-	relayText, err := x509.CreateCertificate(rand.Reader, relay, ca, &key.PublicKey, authority)
+	relayDER, err := x509.CreateCertificate(rand.Reader, relay, ca, &key.PublicKey, authority)
 	if err != nil {
 		return err
 	}
-	keyText, err := x509.MarshalECPrivateKey(key)
+	keyDER, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
 		return err
 	}
 	for _, f := range []struct {
 		name, kind string
 		text       []byte
-	}{{"ca.pem", "CERTIFICATE", caText}, {"relay.pem", "CERTIFICATE", relayText}, {"relay.key", "EC PRIVATE KEY", keyText}} {
+	}{{"ca.pem", "CERTIFICATE", caDER}, {"relay.pem", "CERTIFICATE", relayDER}, {"relay.key", "EC PRIVATE KEY", keyDER}} {
 		out, err := os.OpenFile(filepath.Join(dir, f.name), os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 		if err != nil {
 			return err
--- a/cmd/dahliarudder/main.go
+++ b/cmd/dahliarudder/main.go
@@ -15,10 +15,10 @@
 )
 
 func main() {
-	caught := catchSignals() // first of all: until then a SIGHUP would end the process
+	sigs := catchSignals() // first, since until then a SIGHUP would end the process
 	log := logrus.New()
 	log.SetOutput(os.Stderr)
-	err := command(log, caught).Execute()
+	err := command(log, sigs).Execute()
 	var ordered orderedExit
 	switch {
 	case errors.As(err, &ordered):
@@ -29,12 +29,12 @@
 	}
 }
 
-// serveName is the one sub-command that handles signals itself.
+// serveName is the name of the only sub-command that handles signals itself.
 const serveName = "serve"
 
-// loadUnlessStopped reads the configuration. It returns neither a configuration nor an error if a signal to end comes first: nobody has
-// been served yet.
-func loadUnlessStopped(load func() (*config.Config, error), caught *signals) (*config.Config, error) {
+// loadUnlessStopped loads the configuration. If SIGTERM or SIGINT comes first, it returns a nil
+// configuration and no error: no client has been served yet, so the process can simply end.
+func loadUnlessStopped(load func() (*config.Config, error), sigs *signals) (*config.Config, error) {
 	type loaded struct {
 		config *config.Config
 		err    error
@@ -47,13 +47,14 @@
 	select {
 	case l := <-done:
 		return l.config, l.err
-	case <-caught.stop:
+	case <-sigs.stop:
 		return nil, nil
 	}
 }
 
-// command is the command line. Every sub-command but serve leaves signals to their default actions.
-func command(log *logrus.Logger, caught *signals) *cobra.Command {
+// command returns the root command. Every sub-command except serve leaves signals to their default
+// actions.
+func command(log *logrus.Logger, sigs *signals) *cobra.Command {
 	root := &cobra.Command{
 		Use:           "dahliarudder",
 		Short:         "A relay that places long-lived connections on pool members",
@@ -70,29 +71,29 @@
 			log.SetLevel(logrus.DebugLevel)
 		}
 		if cmd.Name() != serveName {
-			caught.release()
+			sigs.release()
 		}
 	}
 	load := func() (*config.Config, error) { return config.Load(path, os.Getenv) }
 	reload := func(old *config.Config) (*config.Config, error) { return old.Reload(path, os.Getenv) }
-	root.AddCommand(serveCommand(load, reload, caught, log), checkCommand(load), versionCommand())
+	root.AddCommand(serveCommand(load, reload, sigs, log), checkCommand(load), versionCommand())
 	root.AddCommand(keysCommand(), scenarioCommand())
 	root.SetOut(os.Stdout)
 	return root
 }
 
-func serveCommand(load func() (*config.Config, error), reload func(*config.Config) (*config.Config, error), caught *signals,
+func serveCommand(load func() (*config.Config, error), reload func(*config.Config) (*config.Config, error), sigs *signals,
 	log *logrus.Logger) *cobra.Command {
 	return &cobra.Command{
 		Use:   serveName,
 		Short: "Run the relay until SIGTERM; SIGHUP reads the configuration again",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			c, err := loadUnlessStopped(load, caught)
+			c, err := loadUnlessStopped(load, sigs)
 			if err != nil || c == nil {
 				return err
 			}
-			return serve(c, reload, caught, log)
+			return serve(c, reload, sigs, log)
 		},
 	}
 }
@@ -100,7 +101,7 @@
 func checkCommand(load func() (*config.Config, error)) *cobra.Command {
 	return &cobra.Command{
 		Use:   "check",
-		Short: "Say whether the configuration can be used, and which settings cannot work",
+		Short: "Check the configuration and report settings with which the relay cannot work",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			c, err := load()
@@ -111,7 +112,7 @@
 				return fmt.Errorf("%w:\n%w", config.ErrInvalid, err)
 			}
 			cmd.Printf("%s: the configuration is sound\n", c.Name)
-			if c.Fleet != nil { // what a release of it names
+			if c.Fleet != nil { // a fleet release names a configuration by its digest
 				cmd.Printf("%s: its digest is %s\n", c.Name, c.Digest())
 			}
 			return nil
@@ -134,5 +135,5 @@
 	}
 }
 
-// version is the newest one in CHANGELOG.md.
+// version is the latest version in CHANGELOG.md.
 const version = "0.1.0"
--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -6,21 +6,21 @@
 	"testing"
 )
 
-// TestRun answers each batch and ends cleanly with the input.
+// TestRun checks that run replies to each batch and returns no error at the end of the input.
 func TestRun(t *testing.T) {
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(make([]byte, 32)), &out); err != nil {
 		t.Fatal(err)
 	}
 	if got := out.Bytes(); len(got) != 8 {
-		t.Errorf("two empty batches answered with % x", got)
+		t.Errorf("reply to two empty batches = % x, want 8 bytes", got)
 	}
 }
 
-// TestRunMalformed ends with a plain message.
+// TestRunMalformed checks that run returns an error for input that is no frame.
 func TestRunMalformed(t *testing.T) {
 	err := run(strings.NewReader("no frame"), &bytes.Buffer{})
 	if err == nil || !strings.Contains(err.Error(), "malformed frame") {
-		t.Errorf("error %v", err)
+		t.Errorf("run(malformed input): error %v, want one that contains %q", err, "malformed frame")
 	}
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -21,8 +21,8 @@
 	return Load(path, func(name string) string { return env[name] })
 }
 
-// TestLoad: environment variables take precedence over the file, unknown keys are ignored, and without fronts only the line front is
-// enabled.
+// TestLoad checks that environment variables take precedence over the file, that unknown keys are
+// ignored, and that only the line front is on if no fronts are configured.
 func TestLoad(t *testing.T) {
 	c, err := loadText(t, `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f30d27a5be964","more":[1],
 		"known":{"generation":7,"instances":[{"instanceId":"s-00000001"}]},`+settingsText+`}`,
@@ -32,14 +32,14 @@
 	}
 	if c.Name != "n3" || c.Listen != "127.0.0.1:3" || c.Discovery != "127.0.0.1:2" || c.SeedNumber() != 0x8c1f30d27a5be964 ||
 		c.KnownList().Generation != 7 || len(c.Decoded().Classes) != 1 || c.Fronts.Line == nil || c.Fronts.NATS != nil || c.Store != nil {
-		t.Errorf("%+v", c)
+		t.Errorf("Load returned an unexpected configuration: %+v", c)
 	}
 	if _, err := Load("", func(string) string { return "" }); !errors.Is(err, ErrInvalid) {
-		t.Errorf("empty configuration: %v", err)
+		t.Errorf("Load without a file and variables: error %v, want %v", err, ErrInvalid)
 	}
 }
 
-// TestLoadInvalid: invalid values of the operator's keys are errors.
+// TestLoadInvalid checks that invalid values of the operator's keys are errors.
 func TestLoadInvalid(t *testing.T) {
 	const head = `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2",` + settingsText + `,`
 	if _, err := loadText(t, head+`"fronts":{"nats":{"listen":"127.0.0.1:4","class":"pay","tenant":"water"}},"store":{"driver":"sqlite","dsn":"x"},"counts_ms":1000}`, nil); err != nil {
@@ -61,13 +61,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := loadText(t, head+rest, nil); !errors.Is(err, ErrInvalid) {
-				t.Errorf("error %v, want %v", err, ErrInvalid)
+				t.Errorf("Load: error %v, want %v", err, ErrInvalid)
 			}
 		})
 	}
 }
 
-// TestPeers: the operators' example is valid with a key file; invalid addresses, keys and names are errors.
+// TestPeers checks that the operators' example is valid with a key file, and that invalid
+// addresses, keys and names are errors.
 func TestPeers(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/peers.json")
 	if err != nil {
@@ -95,17 +96,18 @@
 			}
 			c, err := Load(path, func(string) string { return "" })
 			if (err == nil) != tt.valid || err != nil && !errors.Is(err, ErrInvalid) {
-				t.Errorf("%s in place of %s: error %v", tt.new, tt.old, err)
+				t.Errorf("Load with %q in place of %q: error %v, want valid = %v", tt.new, tt.old, err, tt.valid)
 			}
 			if tt.valid && (c.Peers.Address != c.Peers.Listen || len(c.Peers.Keys()) != 1) {
-				t.Errorf("%+v", c.Peers)
+				t.Errorf("Load of the example: peers = %+v, want Address equal to Listen, and one key", c.Peers)
 			}
 		})
 	}
 }
 
-// TestReload: a discovery address that changes in the file takes precedence over the environment variable; one that does not change does
-// not restore an earlier address. Only the keys that need a restart are reported.
+// TestReload checks that a discovery address that changes in the file takes precedence over the
+// environment variable, that one that does not change does not restore an earlier address, and that
+// only keys that need a restart are reported.
 func TestReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := func(name string) string {
@@ -130,7 +132,8 @@
 			t.Fatal(err)
 		}
 		if got := fmt.Sprint(c.KeysNeedingRestart(reloaded)); reloaded.Discovery != step.discovery || got != step.restart {
-			t.Errorf("%s: discovery %s, restart for %s", step.text, reloaded.Discovery, got)
+			t.Errorf("Reload of %s: discovery %s, keys that need a restart %s, want %s and %s",
+				step.text, reloaded.Discovery, got, step.discovery, step.restart)
 		}
 		c = reloaded
 	}
@@ -138,12 +141,13 @@
 		t.Fatal(err)
 	}
 	if _, err := c.Reload(path, env); !errors.Is(err, ErrInvalid) {
-		t.Errorf("invalid address: %v", err)
+		t.Errorf("Reload with an invalid discovery address: error %v, want %v", err, ErrInvalid)
 	}
 }
 
-// TestAdoptDiscovery: a process that takes over adopts its predecessor's discovery address if the file has the same, over an environment
-// variable with an earlier one; it keeps its own if the predecessor has none. An operator address must be valid.
+// TestAdoptDiscovery checks that a successor adopts its predecessor's discovery address if the file
+// has the same one, even if an environment variable has an earlier one, and otherwise keeps its
+// own. It also checks that an invalid operator address is an error.
 func TestAdoptDiscovery(t *testing.T) {
 	for _, c := range []struct {
 		file, predecessor, want string
@@ -160,17 +164,18 @@
 			t.Fatal(err)
 		}
 		if same := cfg.AdoptDiscovery(c.predecessor); same != c.same || cfg.Discovery != c.want || cfg.Operator != "127.0.0.1:5" {
-			t.Errorf("%+v: %s, same %v", c, cfg.Discovery, same)
+			t.Errorf("%+v: AdoptDiscovery = %v, discovery %s, operator %s", c, same, cfg.Discovery, cfg.Operator)
 		}
 	}
 	if _, err := loadText(t, `{`+settingsText+`}`, map[string]string{"EDGE_LISTEN": "127.0.0.1:1",
 		"EDGE_DISCOVERY": "127.0.0.1:2", "EDGE_OPERATOR": "here"}); !errors.Is(err, ErrInvalid) {
-		t.Errorf("invalid operator address: %v", err)
+		t.Errorf("Load with an invalid operator address: error %v, want %v", err, ErrInvalid)
 	}
 }
 
-// TestSections: relays of one installation have equal digests, though their own names, zones and directories differ; any other difference
-// shows only in the digest of its section.
+// TestSections checks that relays of one installation have equal digests although their names,
+// zones and directories differ, and that any other difference changes only the digest of its
+// section.
 func TestSections(t *testing.T) {
 	text := func(name, extraLimits string, zone int) string {
 		return fmt.Sprintf(`{"name":%q,"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","limits":{"sockets":1024%s},"state":{"dir":%q},`+
@@ -186,9 +191,9 @@
 	}
 	a, b, c := configs[0].Sections(), configs[1].Sections(), configs[2].Sections()
 	if !maps.Equal(a, b) || configs[0].Digest() != configs[1].Digest() {
-		t.Errorf("a relay's own keys are in the digests: %v, %v", a, b)
+		t.Errorf("digests of two relays of one installation differ: %v, %v", a, b)
 	}
 	if a["limits"] == c["limits"] || a["settings"] != c["settings"] || a["peers"] != "" {
-		t.Errorf("%v, %v", a, c)
+		t.Errorf("digests %v and %v, want different ones for limits only, and none for peers", a, c)
 	}
 }
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -6,14 +6,14 @@
 	"path/filepath"
 )
 
-// State is where and how often a relay writes snapshots for its next start.
+// State configures the snapshots that a relay writes for its next start.
 type State struct {
-	Dir     string  `json:"dir"`      // relative to the configuration
-	EveryMS float64 `json:"every_ms"` // 5,000 if absent
+	Dir     string  `json:"dir"`      // relative to the configuration file
+	EveryMS float64 `json:"every_ms"` // interval in milliseconds; 5,000 if absent
 }
 
-// The bounds of state.every_ms.
-const minStateMS, defaultStateMS, maxStateMS = 1000, 5000, 600_000
+// Bounds and default of state.every_ms, in milliseconds.
+const minSnapshotIntervalMS, defaultSnapshotIntervalMS, maxSnapshotIntervalMS = 1000, 5000, 600_000
 
 func (s *State) validate(dir string) error {
 	if s.Dir == "" {
@@ -23,10 +23,10 @@
 		s.Dir = filepath.Join(dir, s.Dir)
 	}
 	if s.EveryMS == 0 {
-		s.EveryMS = defaultStateMS
+		s.EveryMS = defaultSnapshotIntervalMS
 	}
-	if !(s.EveryMS >= minStateMS && s.EveryMS <= maxStateMS) {
-		return fmt.Errorf("state.every_ms: %v is not from %d to %d", s.EveryMS, minStateMS, maxStateMS)
+	if !(s.EveryMS >= minSnapshotIntervalMS && s.EveryMS <= maxSnapshotIntervalMS) {
+		return fmt.Errorf("state.every_ms: %v is not from %d to %d", s.EveryMS, minSnapshotIntervalMS, maxSnapshotIntervalMS)
 	}
 	return nil
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -27,7 +27,7 @@
 	evProbeResult
 	evPeer
 	evStop
-	evServerList
+	evEndpointList
 	evExisting
 	evNote
 	evInstance
@@ -46,12 +46,12 @@
 	acInstance uint8 = 13
 )
 
-// Sizes and limits.
+// Sizes in bytes, and limits.
 const (
 	headerSize = 16
-	entrySize  = 21 // of a server list
-	maxLists   = 16
-	// maxBatch limits the size that a header may announce; real batches are a few megabytes.
+	entrySize  = 21 // an entry of an endpoint list
+	maxLists   = 16 // endpoint lists, numbered from 0
+	// maxBatch limits the size that a header may announce. Usual batches have a few megabytes.
 	maxBatch = 1 << 30
 	// maxReport is the largest number of values in a load report.
 	maxReport = 4
@@ -63,7 +63,7 @@
 	noteLatency = 2
 )
 
-// ErrMalformed is wrapped by every error about a frame that breaks the protocol.
+// ErrMalformed is wrapped by every error about input that violates the protocol.
 var ErrMalformed = errors.New("malformed frame")
 
 // Host runs the instances that the events are for.
@@ -76,14 +76,14 @@
 
 // Decoder reads batches from a stream.
 type Decoder struct {
-	r           io.Reader
-	buf         []byte
-	serverLists [maxLists][]policy.Endpoint
-	reportNames map[uint16][]string // names of the report values, of each instance
-	encoder     *Encoder
+	r             io.Reader
+	buf           []byte
+	endpointLists [maxLists][]policy.Endpoint
+	reportNames   map[uint16][]string // names of the values in load reports, by instance
+	encoder       *Encoder
 }
 
-// NewDecoder returns a Decoder that reads from r and sets the instance of out.
+// NewDecoder returns a Decoder that reads from r and sets the current instance of out.
 func NewDecoder(r io.Reader, out *Encoder) *Decoder {
 	return &Decoder{r: r, reportNames: map[uint16][]string{}, encoder: out}
 }
@@ -96,7 +96,7 @@
 		if err == io.EOF {
 			return err
 		}
-		return fmt.Errorf("%w: header cut short", ErrMalformed)
+		return fmt.Errorf("%w: truncated batch header", ErrMalformed)
 	}
 	size := binary.LittleEndian.Uint32(header[:])
 	count := binary.LittleEndian.Uint32(header[12:])
@@ -104,11 +104,11 @@
 	now, ok := settings.ParseMillis(clock)
 	switch {
 	case !ok:
-		return fmt.Errorf("%w: clock %v", ErrMalformed, clock)
+		return fmt.Errorf("%w: clock of %v ms is out of range", ErrMalformed, clock)
 	case size > maxBatch:
-		return fmt.Errorf("%w: size %d", ErrMalformed, size)
+		return fmt.Errorf("%w: batch of %d bytes, the limit is %d", ErrMalformed, size, maxBatch)
 	case count > size:
-		return fmt.Errorf("%w: %d records in %d bytes", ErrMalformed, count, size)
+		return fmt.Errorf("%w: %d records in a batch of %d bytes", ErrMalformed, count, size)
 	}
 	if err := d.readBody(int(size)); err != nil {
 		return err
@@ -124,16 +124,17 @@
 			return err
 		}
 		if c.truncated {
-			return fmt.Errorf("%w: record %d (code %d) cut short", ErrMalformed, i, code)
+			return fmt.Errorf("%w: record %d (code %d) is truncated", ErrMalformed, i, code)
 		}
 	}
 	if len(c.data) > 0 {
-		return fmt.Errorf("%w: %d bytes after the last record", ErrMalformed, len(c.data))
+		return fmt.Errorf("%w: %d unread bytes after the last record", ErrMalformed, len(c.data))
 	}
 	return nil
 }
 
-// readBody reads size bytes, growing the buffer only as they really arrive.
+// readBody reads size bytes. The buffer grows only as bytes arrive, so that a wrong size in a
+// header does not cause a huge allocation.
 func (d *Decoder) readBody(size int) error {
 	const step = 1 << 20
 	d.buf = d.buf[:0]
@@ -145,7 +146,7 @@
 		}
 		d.buf = d.buf[:at+n]
 		if _, err := io.ReadFull(d.r, d.buf[at:]); err != nil {
-			return fmt.Errorf("%w: body cut short", ErrMalformed)
+			return fmt.Errorf("%w: truncated batch body, want %d bytes", ErrMalformed, size)
 		}
 	}
 	return nil
