--- a/internal/fakes/attempt_counter.go
+++ b/internal/fakes/attempt_counter.go
@@ -42,7 +42,7 @@
 	}
 	overlaps := false
 	for other := range c.inFlight[requestID] {
-		if peerHasEnded(other.conn) {
+		if peerHasClosed(other.conn) {
 			delete(c.inFlight[requestID], other)
 		} else {
 			overlaps = true
@@ -71,8 +71,8 @@
 // tcpEstablished is the state of a TCP connection that neither side has begun to close (the kernel's TCP_ESTABLISHED).
 const tcpEstablished = 1
 
-// peerHasEnded reports whether the kernel knows that the other side has closed a connection, or its sending direction.
-func peerHasEnded(c net.Conn) bool {
+// peerHasClosed reports whether the kernel knows that the other side has closed a connection, or its sending direction.
+func peerHasClosed(c net.Conn) bool {
 	if wrapped, ok := c.(interface{ NetConn() net.Conn }); ok { // TLS
 		c = wrapped.NetConn()
 	}
--- a/internal/fakes/attempt_counter_test.go
+++ b/internal/fakes/attempt_counter_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// publisherTo is a connection to a node that may publish.
-func publisherTo(t *testing.T, n *NATSNode) net.Conn {
+// dialPublisher returns a connection to a node that has accepted its CONNECT.
+func dialPublisher(t *testing.T, n *NATSNode) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", n.Addr)
 	if err != nil {
@@ -27,8 +27,8 @@
 	return c
 }
 
-// publishes sends a publication and wants it acknowledged, if ack says so.
-func publishes(c net.Conn, text string, ack bool) {
+// publish sends a publication and, if ack is set, waits for its acknowledgement.
+func publish(c net.Conn, text string, ack bool) {
 	fmt.Fprintf(c, "PUB s %d\r\n%s\r\n", len(text), text)
 	if ack {
 		fmt.Fprint(c, "PING\r\n")
@@ -39,16 +39,16 @@
 // TestAttemptCounterOrder: an attempt has ended once its connection has: a sender that tries elsewhere as soon as the first
 // connection is over, by whoever's end, is not taken to have two out; one that does not wait is.
 func TestAttemptCounterOrder(t *testing.T) {
-	for what, over := range map[string]func(n *NATSNode, c net.Conn){
+	for name, endFirst := range map[string]func(n *NATSNode, c net.Conn){
 		"ended by the node":   func(n *NATSNode, c net.Conn) { n.ResetConnections(); io.ReadAll(c) },
 		"killed":              func(n *NATSNode, c net.Conn) { n.Kill(); io.ReadAll(c) },
 		"reset by the sender": func(_ *NATSNode, c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
 		"ended by the sender": func(_ *NATSNode, c net.Conn) { c.Close() },
 		"not ended":           nil,
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			const rounds = 200
-			broken := 0
+			roundsWithOverlap := 0
 			for range rounds {
 				k, err := NewNATSCluster(2)
 				if err != nil {
@@ -56,25 +56,25 @@
 				}
 				k.Attempts = NewAttemptCounter()
 				k.Nodes[0].SetMode(NodeSilent)
-				first, second := publisherTo(t, k.Nodes[0]), publisherTo(t, k.Nodes[1])
+				first, second := dialPublisher(t, k.Nodes[0]), dialPublisher(t, k.Nodes[1])
 				for n := range 16 {
-					publishes(first, fmt.Sprint("text ", n), false)
+					publish(first, fmt.Sprint("text ", n), false)
 				}
 				for k.Nodes[0].Published() < 16 {
 				}
-				if over != nil {
-					over(k.Nodes[0], first)
+				if endFirst != nil {
+					endFirst(k.Nodes[0], first)
 				}
 				for n := range 16 {
-					publishes(second, fmt.Sprint("text ", n), true)
+					publish(second, fmt.Sprint("text ", n), true)
 				}
 				if len(k.Attempts.Violations()) > 0 {
-					broken++
+					roundsWithOverlap++
 				}
 				k.Close()
 			}
-			if want := map[bool]int{true: rounds}[over == nil]; broken != want {
-				t.Errorf("two out in %d of %d rounds, want %d", broken, rounds, want)
+			if want := map[bool]int{true: rounds}[endFirst == nil]; roundsWithOverlap != want {
+				t.Errorf("two out in %d of %d rounds, want %d", roundsWithOverlap, rounds, want)
 			}
 		})
 	}
--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -227,16 +227,16 @@
 	for since == d.generation && !d.down {
 		updated := d.updated
 		d.mu.Unlock()
-		over := false
+		stopWaiting := false
 		select {
 		case <-updated:
 		case <-timeout:
-			over = true
+			stopWaiting = true
 		case <-gone:
-			over = true
+			stopWaiting = true
 		}
 		d.mu.Lock()
-		if over {
+		if stopWaiting {
 			return
 		}
 	}
--- a/internal/fakes/member_flow.go
+++ b/internal/fakes/member_flow.go
@@ -18,7 +18,7 @@
 	conn          net.Conn
 	in            *bufio.Reader
 	endedByMember bool // guarded by the member's lock
-	ended         func(endedByMember bool)
+	recordEnd     func(endedByMember bool)
 }
 
 // openLine is the form of a first line. Its last field is a list of settings.
@@ -87,7 +87,7 @@
 	}
 	f := m.newFlow(c, in, line, via)
 	endedByMember := true
-	defer func() { f.ended(endedByMember) }()
+	defer func() { f.recordEnd(endedByMember) }()
 	if m.Defect.appliesTo(via) {
 		time.Sleep(m.Defect.Delay)
 		if rand.Float64() < m.Defect.FailureRate {
@@ -100,7 +100,7 @@
 	}
 	if !m.admit(c, f) {
 		f.Rejected = true
-		f.ended(true)
+		f.recordEnd(true)
 		fmt.Fprint(c, "BUSY\r\n")
 		return
 	}
@@ -135,7 +135,7 @@
 		m.OnAttempt(f.Attempt)
 	}
 	var once sync.Once
-	f.ended = func(endedByMember bool) {
+	f.recordEnd = func(endedByMember bool) {
 		once.Do(func() {
 			if counted != nil {
 				counted.End()
@@ -154,10 +154,10 @@
 	switch mode {
 	case ModeBusy:
 		f.Rejected = true
-		f.ended(true)
+		f.recordEnd(true)
 		fmt.Fprint(f.conn, "BUSY inflight=9\r\n")
 	case ModeErr:
-		f.ended(true)
+		f.recordEnd(true)
 		fmt.Fprint(f.conn, "ERR\r\n")
 	case ModeReset:
 		f.conn.(*net.TCPConn).SetLinger(0)
--- a/internal/fakes/proxy_test.go
+++ b/internal/fakes/proxy_test.go
@@ -42,9 +42,9 @@
 		t.Fatal(err)
 	}
 	defer p.Close()
-	gone := make(chan string, 100)
-	p.OnCallerClosed = func(from string) { gone <- from }
-	open := func() (net.Conn, *bufio.Reader) {
+	callerClosed := make(chan string, 100)
+	p.OnCallerClosed = func(from string) { callerClosed <- from }
+	dial := func() (net.Conn, *bufio.Reader) {
 		t.Helper()
 		c, err := net.Dial("tcp", p.Addr())
 		if err != nil {
@@ -52,17 +52,17 @@
 		}
 		return c, bufio.NewReader(c)
 	}
-	says := func(c net.Conn, in *bufio.Reader, word string) {
+	expectEcho := func(c net.Conn, in *bufio.Reader, word string) {
 		t.Helper()
 		fmt.Fprintln(c, word)
 		if line, err := in.ReadString('\n'); err != nil || line != word+"\n" || <-got != line {
 			t.Fatalf("%q came back as %q, %v", word, line, err)
 		}
 	}
-	a, ain := open()
-	says(a, ain, "one")
-	b, bin := open()
-	says(b, bin, "two")
+	a, ain := dial()
+	expectEcho(a, ain, "one")
+	b, bin := dial()
+	expectEcho(b, bin, "two")
 	p.SetImpairment(Impairment{Cut: true}, Impairment{Cut: true})
 	if c, err := net.DialTimeout("tcp", p.Addr(), 300*time.Millisecond); err == nil {
 		t.Errorf("a connection came up behind a cut: %v", c.LocalAddr())
@@ -71,7 +71,7 @@
 	fmt.Fprintln(b, "given up")
 	time.Sleep(100 * time.Millisecond) // read by the pipe by now, or later: both must do
 	b.Close()
-	<-gone
+	<-callerClosed
 	if len(got) > 0 {
 		t.Errorf("%q passed a cut", <-got)
 	}
@@ -82,8 +82,8 @@
 	if line, _ := ain.ReadString('\n'); line != "waits\n" {
 		t.Errorf("back came %q", line)
 	}
-	c, in := open()
-	says(c, in, "three")
+	c, in := dial()
+	expectEcho(c, in, "three")
 	p.SetImpairment(Impairment{}, Impairment{Cut: true}) // one way: it arrives, and nothing comes back
 	fmt.Fprintln(c, "four")
 	if line := <-got; line != "four\n" {
@@ -95,8 +95,8 @@
 	}
 	p.Reset()
 	p.SetImpairment(Impairment{}, Impairment{})
-	c, in = open()
-	says(c, in, "five")
+	c, in = dial()
+	expectEcho(c, in, "five")
 }
 
 // TestUDPProxyRate: datagrams that come faster than a link's rate wait in turn.
@@ -146,20 +146,20 @@
 		t.Fatal(err)
 	}
 	defer p.Close()
-	gone := make(chan string, 1)
-	p.OnCallerClosed = func(from string) { gone <- from }
-	calling, err := net.Dial("tcp", p.Addr())
+	callerClosed := make(chan string, 1)
+	p.OnCallerClosed = func(from string) { callerClosed <- from }
+	caller, err := net.Dial("tcp", p.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer calling.Close()
-	far, err := l.Accept()
+	defer caller.Close()
+	target, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	far.(*net.TCPConn).SetLinger(0)
-	far.Close()
-	if _, err := calling.Read(make([]byte, 1)); err == nil {
+	target.(*net.TCPConn).SetLinger(0)
+	target.Close()
+	if _, err := caller.Read(make([]byte, 1)); err == nil {
 		t.Fatal("the reset did not pass")
 	}
 	for open := 1; open > 0; { // both ways have ended once the pipe holds nothing
@@ -167,7 +167,7 @@
 		open = len(p.conns)
 		p.mu.Unlock()
 	}
-	if len(gone) > 0 {
-		t.Errorf("%s counts as ended by the calling side", <-gone)
+	if len(callerClosed) > 0 {
+		t.Errorf("%s counts as ended by the calling side", <-callerClosed)
 	}
 }
--- a/internal/fakes/tcp_proxy.go
+++ b/internal/fakes/tcp_proxy.go
@@ -246,10 +246,10 @@
 
 // copyDirection forwards one direction of a connection. Data that was read waits behind a cut; the end of the reading side is
 // noticed all the same, and then reported by ended, if that is not nil.
-func (p *TCPProxy) copyDirection(d direction, to, from net.Conn, ended func()) {
+func (p *TCPProxy) copyDirection(d direction, to, from net.Conn, onReadEnd func()) {
 	read := make(chan []byte, maxQueuedReads)
 	var readErr error
-	var over atomic.Bool
+	var readEnded atomic.Bool
 	go func() {
 		defer close(read)
 		for {
@@ -260,9 +260,9 @@
 			}
 			if err != nil {
 				readErr = err
-				over.Store(true)
-				if ended != nil && !errors.Is(err, net.ErrClosed) { // else the proxy closed it, after the other side
-					ended()
+				readEnded.Store(true)
+				if onReadEnd != nil && !errors.Is(err, net.ErrClosed) { // else the proxy closed it, after the other side
+					onReadEnd()
 				}
 				return
 			}
@@ -271,7 +271,7 @@
 	for b := range read {
 		wasCut := p.isCut(d)
 		impairment := p.waitUntilOpen(d)
-		if wasCut && over.Load() {
+		if wasCut && readEnded.Load() {
 			break // what a side sent and then gave up behind a cut is not delivered later
 		}
 		wait := impairment.Delay + time.Duration(rand.Float64()*float64(impairment.Jitter))
--- a/internal/knownfailures/gotest/main.go
+++ b/internal/knownfailures/gotest/main.go
@@ -47,13 +47,13 @@
 	if err := checkExist(entries); err != nil {
 		return false, err
 	}
-	tests := knownfailures.NewRun()
-	exit, err := runCommand("go test -json "+arguments, func(line string) { tests.AddLine(line, out) })
+	testRun := knownfailures.NewRun()
+	exit, err := runCommand("go test -json "+arguments, func(line string) { testRun.AddLine(line, out) })
 	if err != nil {
 		return false, err
 	}
-	tests.Finish(out)
-	passes, report := tests.Judge(entries, exit)
+	testRun.Finish(out)
+	passes, report := testRun.Judge(entries, exit)
 	if !passes {
 		fmt.Fprintln(out, "FAIL")
 	}
@@ -91,7 +91,7 @@
 }
 
 // runCommand runs a shell command and calls take with each line of its output.
-func runCommand(command string, take func(line string)) (exit int, err error) {
+func runCommand(command string, handleLine func(line string)) (exit int, err error) {
 	shell := exec.Command("sh", "-c", command)
 	shell.Stderr = os.Stderr
 	output, err := shell.StdoutPipe()
@@ -105,16 +105,16 @@
 	for {
 		line, err := lines.ReadString('\n')
 		if line != "" {
-			take(strings.TrimSuffix(line, "\n"))
+			handleLine(strings.TrimSuffix(line, "\n"))
 		}
 		if err != nil {
 			break
 		}
 	}
 	err = shell.Wait()
-	var ended *exec.ExitError
-	if errors.As(err, &ended) {
-		return ended.ExitCode(), nil
+	var exitErr *exec.ExitError
+	if errors.As(err, &exitErr) {
+		return exitErr.ExitCode(), nil
 	}
 	return 0, err
 }
--- a/internal/knownfailures/gotest/main_test.go
+++ b/internal/knownfailures/gotest/main_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// module has a package for each way in which a run of go test can end.
-var module = map[string]string{
+// testModule has a package for each way in which a run of go test can end.
+var testModule = map[string]string{
 	"go.mod": "module trial\n\ngo 1.26\n",
 	"green/green_test.go": `package green
 import "testing"
@@ -50,7 +50,7 @@
 // TestRun runs go test on packages of the module, with lists of known failures.
 func TestRun(t *testing.T) {
 	dir := t.TempDir()
-	for name, text := range module {
+	for name, text := range testModule {
 		path := filepath.Join(dir, name)
 		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 			t.Fatal(err)
--- a/internal/knownfailures/knownfailures_test.go
+++ b/internal/knownfailures/knownfailures_test.go
@@ -57,20 +57,20 @@
 
 // Lines of go test -json for a package relay.
 const (
-	testRun     = `{"Action":"run","Package":"relay","Test":"TestRed"}`
-	testFail    = `{"Action":"fail","Package":"relay","Test":"TestRed"}`
-	testPass    = `{"Action":"pass","Package":"relay","Test":"TestRed"}`
-	testSkip    = `{"Action":"skip","Package":"relay","Test":"TestRed"}`
-	subtestRun  = `{"Action":"run","Package":"relay","Test":"TestRed/sub"}`
-	subtestFail = `{"Action":"fail","Package":"relay","Test":"TestRed/sub"}`
-	otherRun    = `{"Action":"run","Package":"relay","Test":"TestRedder"}`
-	otherFail   = `{"Action":"fail","Package":"relay","Test":"TestRedder"}`
-	verdict     = `{"Action":"output","Package":"relay","Output":"FAIL\n"}`
-	stray       = `{"Action":"output","Package":"relay","Output":"panic: after the tests\n"}`
-	closing     = `{"Action":"output","Package":"relay","Output":"FAIL\trelay\t0.1s\n"}`
-	packageFail = `{"Action":"fail","Package":"relay"}`
-	packagePass = `{"Action":"pass","Package":"relay"}`
-	buildFail   = `{"Action":"fail","Package":"relay","FailedBuild":"relay [relay.test]"}`
+	testRun            = `{"Action":"run","Package":"relay","Test":"TestRed"}`
+	testFail           = `{"Action":"fail","Package":"relay","Test":"TestRed"}`
+	testPass           = `{"Action":"pass","Package":"relay","Test":"TestRed"}`
+	testSkip           = `{"Action":"skip","Package":"relay","Test":"TestRed"}`
+	subtestRun         = `{"Action":"run","Package":"relay","Test":"TestRed/sub"}`
+	subtestFail        = `{"Action":"fail","Package":"relay","Test":"TestRed/sub"}`
+	otherRun           = `{"Action":"run","Package":"relay","Test":"TestRedder"}`
+	otherFail          = `{"Action":"fail","Package":"relay","Test":"TestRedder"}`
+	verdictLine        = `{"Action":"output","Package":"relay","Output":"FAIL\n"}`
+	outputAfterVerdict = `{"Action":"output","Package":"relay","Output":"panic: after the tests\n"}`
+	summaryLine        = `{"Action":"output","Package":"relay","Output":"FAIL\trelay\t0.1s\n"}`
+	packageFail        = `{"Action":"fail","Package":"relay"}`
+	packagePass        = `{"Action":"pass","Package":"relay"}`
+	buildFail          = `{"Action":"fail","Package":"relay","FailedBuild":"relay [relay.test]"}`
 )
 
 // TestJudge judges runs of a package whose TestRed is listed, not listed, and listed for another package.
@@ -83,25 +83,25 @@
 		passes bool
 		report string // must be contained in it
 	}{
-		{"it fails", []string{testRun, testFail, verdict, closing, packageFail}, 1, true, "cause (#1): failed"},
-		{"a subtest fails", []string{testRun, subtestRun, subtestFail, testFail, verdict, closing, packageFail}, 1, true, "failed"},
+		{"it fails", []string{testRun, testFail, verdictLine, summaryLine, packageFail}, 1, true, "cause (#1): failed"},
+		{"a subtest fails", []string{testRun, subtestRun, subtestFail, testFail, verdictLine, summaryLine, packageFail}, 1, true, "failed"},
 		{"it passes", []string{testRun, testPass, packagePass}, 0, true, "cause (#1): passed, its line can go"},
 		{"it is skipped", []string{testRun, testSkip, packagePass}, 0, true, "cause (#1): skipped"},
 		{"it does not run", []string{packagePass}, 0, true, "cause (#1): did not run"},
-		{"it passes the second time", []string{testRun, testFail, testRun, testPass, verdict, closing, packageFail}, 1, true, "failed"},
-		{"another fails too", []string{testRun, testFail, otherRun, otherFail, verdict, closing, packageFail}, 1, false, "relay.TestRedder failed"},
-		{"it panics", []string{testRun, testFail, closing, packageFail}, 1, false, "ended before its verdict"},
-		{"a panic after the tests", []string{testRun, testFail, verdict, stray, closing, packageFail}, 1, false, "ended before its verdict"},
-		{"another does not finish", []string{testRun, testFail, otherRun, verdict, closing, packageFail}, 1, false, "relay.TestRedder did not finish"},
-		{"it does not finish", []string{testRun, closing, packageFail}, 1, false, "cause (#1): did not finish"},
+		{"it passes the second time", []string{testRun, testFail, testRun, testPass, verdictLine, summaryLine, packageFail}, 1, true, "failed"},
+		{"another fails too", []string{testRun, testFail, otherRun, otherFail, verdictLine, summaryLine, packageFail}, 1, false, "relay.TestRedder failed"},
+		{"it panics", []string{testRun, testFail, summaryLine, packageFail}, 1, false, "ended before its verdict"},
+		{"a panic after the tests", []string{testRun, testFail, verdictLine, outputAfterVerdict, summaryLine, packageFail}, 1, false, "ended before its verdict"},
+		{"another does not finish", []string{testRun, testFail, otherRun, verdictLine, summaryLine, packageFail}, 1, false, "relay.TestRedder did not finish"},
+		{"it does not finish", []string{testRun, summaryLine, packageFail}, 1, false, "cause (#1): did not finish"},
 		{"its package does not build", []string{buildFail}, 1, false, "relay does not build"},
-		{"its package fails outside tests", []string{testRun, testPass, closing, packageFail}, 1, false, "failed outside its tests"},
+		{"its package fails outside tests", []string{testRun, testPass, summaryLine, packageFail}, 1, false, "failed outside its tests"},
 		{"its package has no result", []string{testRun, testFail}, 1, false, "relay has no result"},
-		{"go test is called wrongly", []string{testRun, testFail, verdict, closing, packageFail}, 2, false, "exit code 2"},
-		{"go test ends well all the same", []string{testRun, testFail, verdict, closing, packageFail}, 0, false, "exit code 0"},
+		{"go test is called wrongly", []string{testRun, testFail, verdictLine, summaryLine, packageFail}, 2, false, "exit code 2"},
+		{"go test ends well all the same", []string{testRun, testFail, verdictLine, summaryLine, packageFail}, 0, false, "exit code 0"},
 		{"go test fails without a package", []string{testRun, testPass, packagePass}, 1, false, "exit code 1"},
 		{"its package passes all the same", []string{testRun, testFail, packagePass}, 0, false, "passed though a test failed"},
-		{"a line is no event", []string{"pattern ./...: no Go files", testRun, testFail, verdict, closing, packageFail}, 1, false, "no event"},
+		{"a line is no event", []string{"pattern ./...: no Go files", testRun, testFail, verdictLine, summaryLine, packageFail}, 1, false, "no event"},
 		{"nothing runs", nil, 0, false, "ran no package"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -140,7 +140,7 @@
 		`{"Action":"output","Package":"relay/policy","Output":"PASS\n"}`,
 		`{"Action":"output","Package":"relay/policy","Output":"ok  \trelay/policy\t0.1s\n"}`,
 		`{"Action":"pass","Package":"relay/policy"}`,
-		verdict, closing, packageFail,
+		verdictLine, summaryLine, packageFail,
 		`{"Action":"output","Package":"relay/wire","Output":"cut off\n"}`,
 		"no event",
 	} {
--- a/internal/scenario/decode.go
+++ b/internal/scenario/decode.go
@@ -27,10 +27,10 @@
 		return nil, f.keyError(keys[0], "is no key of a scenario")
 	}
 	if err := json.Unmarshal(text, f); err != nil {
-		var wrong *json.UnmarshalTypeError
-		if errors.As(err, &wrong) {
-			line := 1 + bytes.Count(text[:min(int(wrong.Offset), len(text))], []byte("\n"))
-			return nil, fmt.Errorf("%w: line %d: %s: a %s is no %s", ErrInvalid, line, wrong.Field, wrong.Value, typeName(wrong.Type))
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) {
+			line := 1 + bytes.Count(text[:min(int(typeErr.Offset), len(text))], []byte("\n"))
+			return nil, fmt.Errorf("%w: line %d: %s: a %s is no %s", ErrInvalid, line, typeErr.Field, typeErr.Value, typeName(typeErr.Type))
 		}
 		return nil, fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
--- a/internal/scenario/judge.go
+++ b/internal/scenario/judge.go
@@ -46,7 +46,7 @@
 		memberUpdates: map[relayMember]memberUpdate{}, excuses: map[string][]span{}, idleFloods: map[string][]span{}}
 }
 
-func (j *Judge) violate(at time.Duration, rule Rule, relay, format string, args ...any) {
+func (j *Judge) addViolation(at time.Duration, rule Rule, relay, format string, args ...any) {
 	j.violations = append(j.violations, Violation{at, rule, relay, fmt.Sprintf(format, args...)})
 }
 
@@ -110,7 +110,7 @@
 
 // RelayCrashed records that a relay ended though nobody ended it.
 func (j *Judge) RelayCrashed(at time.Duration, relay, how string) {
-	j.violate(at, RelayCrash, relay, "%s", how)
+	j.addViolation(at, RelayCrash, relay, "%s", how)
 	j.BeginExcuse(at, relay) // what it leaves unanswered is the same finding
 }
 
@@ -118,10 +118,10 @@
 // clients came, and the peak memory with its limit, in MB; a limit of 0 is none.
 func (j *Judge) CheckResources(at time.Duration, relay string, descriptors, before int, memory, limit float64) {
 	if descriptors > before {
-		j.violate(at, DescriptorLeak, relay, "%d, before there were clients %d", descriptors, before)
+		j.addViolation(at, DescriptorLeak, relay, "%d, before there were clients %d", descriptors, before)
 	}
 	if limit > 0 && memory > limit {
-		j.violate(at, MemoryOverLimit, relay, "%.0f of %.0f MB", memory, limit)
+		j.addViolation(at, MemoryOverLimit, relay, "%.0f of %.0f MB", memory, limit)
 	}
 }
 
@@ -155,10 +155,10 @@
 			slow++
 		}
 		if s.took > maxReadyTime {
-			j.violate(s.at, NotReadyInTime, s.relay, "%v", s.took)
+			j.addViolation(s.at, NotReadyInTime, s.relay, "%v", s.took)
 		}
 	}
 	if 10*slow > len(j.starts) {
-		j.violate(0, NotReadyInTime, "", "%d of %d starts took over %v", slow, len(j.starts), usualReadyTime)
+		j.addViolation(0, NotReadyInTime, "", "%d of %d starts took over %v", slow, len(j.starts), usualReadyTime)
 	}
 }
--- a/internal/scenario/judge_attempts.go
+++ b/internal/scenario/judge_attempts.go
@@ -14,9 +14,9 @@
 
 // arrival is an attempt at a member in slow start.
 type arrival struct {
-	at         time.Duration
-	work       float64 // processor seconds
-	startKnown bool    // the relay had been notified of the member's start
+	at            time.Duration
+	work          float64 // processor seconds
+	relayNotified bool    // the relay had been notified of the member's start
 }
 
 // MemberStarted records a member's cores at full capacity and its start; 0: long ago.
@@ -31,7 +31,7 @@
 	if r == nil {
 		r = &request{relay: relay, sentAt: at, gaveUp: true}
 		j.requests[id] = r
-		j.violate(at, ForgedAnswer, relay, "%s: an attempt at %s that no client asked for", id, member)
+		j.addViolation(at, ForgedAnswer, relay, "%s: an attempt at %s that no client asked for", id, member)
 	}
 	j.checkAttemptAllowed(at, id, r)
 	r.attempts++
@@ -40,11 +40,11 @@
 		r.overlapSince, r.overlapMember = at, member
 	}
 	if r.attempts > j.Rules.MaxAttempts {
-		j.violate(at, TooManyAttempts, relay, "%s: %d, allowed are %d", id, r.attempts, j.Rules.MaxAttempts)
+		j.addViolation(at, TooManyAttempts, relay, "%s: %d, allowed are %d", id, r.attempts, j.Rules.MaxAttempts)
 	}
 	update := j.memberUpdates[relayMember{relay, member}]
 	if update.drainsSince > 0 && at > update.drainsSince+j.Rules.DrainGrace+j.tolerance() {
-		j.violate(at, SentToDraining, relay, "%s at %s, told %d ms before", id, member, (at - update.drainsSince).Milliseconds())
+		j.addViolation(at, SentToDraining, relay, "%s at %s, told %d ms before", id, member, (at - update.drainsSince).Milliseconds())
 	}
 	m := j.members[member]
 	if m == nil || m.down {
@@ -61,11 +61,11 @@
 // checkAttemptAllowed judges whether an attempt of a request may begin now.
 func (j *Judge) checkAttemptAllowed(at time.Duration, id string, r *request) {
 	if r.clientLeft > 0 && at > r.clientLeft+maxAfterClientGone+j.tolerance() {
-		j.violate(at, SentForGoneClient, r.relay, "%s: %v after", id, at-r.clientLeft)
+		j.addViolation(at, SentForGoneClient, r.relay, "%s: %v after", id, at-r.clientLeft)
 	}
 	outsideWindow := r.effect.Kind == IdempotencyKey && at > r.mayHaveRun+r.effect.Window+j.tolerance()
 	if r.mayHaveRun > 0 && (r.effect.Kind == NonIdempotent || outsideWindow) {
-		j.violate(at, DisallowedRepeat, r.relay, "%s: %v after the first attempt", id, at-r.mayHaveRun)
+		j.addViolation(at, DisallowedRepeat, r.relay, "%s: %v after the first attempt", id, at-r.mayHaveRun)
 	}
 }
 
@@ -75,10 +75,10 @@
 	for len(m.arrivals) > 0 && m.arrivals[0].at <= at-j.Rules.OverloadWindow {
 		m.arrivals = m.arrivals[1:]
 	}
-	work, workKnown := 0.0, 0.0
+	work, notifiedWork := 0.0, 0.0
 	for _, a := range m.arrivals {
-		if work += a.work; a.startKnown {
-			workKnown += a.work
+		if work += a.work; a.relayNotified {
+			notifiedWork += a.work
 		}
 	}
 	window := j.Rules.OverloadWindow.Seconds()
@@ -87,8 +87,8 @@
 		return false
 	}
 	m.down = true
-	if work == 0 || workKnown >= work*2/3 {
-		j.violate(at, OverloadedInSlowStart, "", "%s: %.2f s of work and %.2f cores held, it can do %.2f in %.1f s", member, work, m.load, capacity, window)
+	if work == 0 || notifiedWork >= work*2/3 {
+		j.addViolation(at, OverloadedInSlowStart, "", "%s: %.2f s of work and %.2f cores held, it can do %.2f in %.1f s", member, work, m.load, capacity, window)
 	}
 	return true
 }
@@ -97,7 +97,7 @@
 // seen at two sockets, in either order.
 func (j *Judge) checkOverlap(at time.Duration, id string, r *request) {
 	if at-r.overlapSince > j.tolerance() {
-		j.violate(r.overlapSince, ConcurrentAttempts, r.relay, "%s at %s, for %v", id, r.overlapMember, at-r.overlapSince)
+		j.addViolation(r.overlapSince, ConcurrentAttempts, r.relay, "%s at %s, for %v", id, r.overlapMember, at-r.overlapSince)
 	}
 }
 
--- a/internal/scenario/judge_requests.go
+++ b/internal/scenario/judge_requests.go
@@ -50,22 +50,22 @@
 		return
 	}
 	if r.answer != "" {
-		j.violate(at, MultipleAnswers, r.relay, "%s: %q after %q", id, line, r.answer)
+		j.addViolation(at, MultipleAnswers, r.relay, "%s: %q after %q", id, line, r.answer)
 		return
 	}
 	if r.effect.Kind == NonIdempotent && strings.HasPrefix(line, "BUSY") && (r.mayHaveRun > 0 || r.inFlight > 0) {
-		j.violate(at, WrongRejection, r.relay, "%s: %q", id, line)
+		j.addViolation(at, WrongRejection, r.relay, "%s: %q", id, line)
 	}
 	r.answer, r.answeredAt = line, at
 	if strings.HasPrefix(line, "UP ") && line != r.memberAnswer {
-		j.violate(at, ForgedAnswer, r.relay, "%s: %q, made was %q", id, line, r.memberAnswer)
+		j.addViolation(at, ForgedAnswer, r.relay, "%s: %q, made was %q", id, line, r.memberAnswer)
 	}
 }
 
 // LineUnanswered records that a client gives up a flow on which a line has had no answer since a time.
 func (j *Judge) LineUnanswered(at time.Duration, id string, since time.Duration) {
 	if r := j.requests[id]; r != nil && at-since > maxFlowSilence+j.tolerance() && !j.excused(r.relay, since, at) {
-		j.violate(at, FlowStalled, r.relay, "%s: nothing since %v", id, at-since)
+		j.addViolation(at, FlowStalled, r.relay, "%s: nothing since %v", id, at-since)
 	}
 }
 
@@ -84,13 +84,13 @@
 	due := r.sentAt + r.deadline + j.Rules.AnswerSlack + j.tolerance()
 	switch {
 	case r.answer == "" && !r.gaveUp && due < at && !j.excused(r.relay, r.sentAt, due) && !anyOverlap(j.idleFloods[r.relay], r.sentAt, due):
-		j.violate(due, NoAnswer, r.relay, "%s within %v", id, r.deadline)
+		j.addViolation(due, NoAnswer, r.relay, "%s within %v", id, r.deadline)
 	case r.answer != "" && r.answeredAt > due && !j.excused(r.relay, r.sentAt, r.answeredAt):
-		j.violate(r.answeredAt, NoAnswer, r.relay, "%s: %q %v after it was asked, the client waits %v", id, r.answer, r.answeredAt-r.sentAt, r.deadline)
+		j.addViolation(r.answeredAt, NoAnswer, r.relay, "%s: %q %v after it was asked, the client waits %v", id, r.answer, r.answeredAt-r.sentAt, r.deadline)
 	}
 	if r.flowEnded > 0 && strings.HasPrefix(r.answer, "UP ") &&
 		(r.endedByMember == 0 || r.endedByMember > r.flowEnded+simultaneousWindow) &&
 		!j.excused(r.relay, r.flowEnded-simultaneousWindow, r.flowEnded) {
-		j.violate(r.flowEnded, FlowCutOff, r.relay, "%s", id)
+		j.addViolation(r.flowEnded, FlowCutOff, r.relay, "%s", id)
 	}
 }
--- a/internal/scenario/key_lines.go
+++ b/internal/scenario/key_lines.go
@@ -14,7 +14,7 @@
 // keyLines returns the line of each key of a JSON text. Keys have the form "faults[2].at_ms".
 func keyLines(text []byte) (map[string]int, error) {
 	s := &keyScanner{text: text, decoder: json.NewDecoder(bytes.NewReader(text)), lines: map[string]int{}}
-	if err := s.value(""); err != nil {
+	if err := s.readValue(""); err != nil {
 		offset := s.decoder.InputOffset()
 		var syntax *json.SyntaxError
 		if errors.As(err, &syntax) {
@@ -38,8 +38,8 @@
 
 func (s *keyScanner) currentLine() int { return s.lineAt(s.decoder.InputOffset()) }
 
-// value reads the value of a key, and the keys in it.
-func (s *keyScanner) value(key string) error {
+// readValue reads the value of a key and records the lines of the keys in it.
+func (s *keyScanner) readValue(key string) error {
 	t, err := s.decoder.Token()
 	if err != nil {
 		return err
@@ -56,13 +56,13 @@
 			}
 			inner := joinKey(key, fmt.Sprint(name))
 			s.lines[inner] = s.currentLine()
-			if err := s.value(inner); err != nil {
+			if err := s.readValue(inner); err != nil {
 				return err
 			}
 		}
 	case json.Delim('['):
 		for i := 0; s.decoder.More(); i++ {
-			if err := s.value(fmt.Sprintf("%s[%d]", key, i)); err != nil {
+			if err := s.readValue(fmt.Sprintf("%s[%d]", key, i)); err != nil {
 				return err
 			}
 		}
--- a/internal/scenario/plan.go
+++ b/internal/scenario/plan.go
@@ -195,7 +195,7 @@
 }
 
 // FaultSpan returns the times of the first and the last step; false if there is none.
-func (p *Plan) FaultSpan() (first, last time.Duration, any bool) {
+func (p *Plan) FaultSpan() (first, last time.Duration, ok bool) {
 	if len(p.Steps) == 0 {
 		return 0, 0, false
 	}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-const sound = `{
+const validScenario = `{
  "config": "x.json", "seconds": 30, "seed": 4,
  "relays": {"count": 6}, "members": {"count": 4},
  "clients": {"per_second": 5, "standing": 20, "load": [0.01, 0.02]},
@@ -21,10 +21,10 @@
 
 // TestDecodeErrors: every error names the line and the key.
 func TestDecodeErrors(t *testing.T) {
-	if _, err := Decode([]byte(sound)); err != nil {
+	if _, err := Decode([]byte(validScenario)); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct{ was, is, want string }{
+	for _, c := range []struct{ old, replacement, want string }{
 		{`"seconds": 30`, `"seconds": 0`, "line 2: seconds: 0 is not from 1"},
 		{`"seconds": 30`, `"secs": 30`, "line 2: secs: is no key"},
 		{`"count": 6`, `"count": "six"`, "line 3: relays.count: a string is no int"},
@@ -40,16 +40,16 @@
 }`, ` }
 }`, "line 8: invalid character"},
 	} {
-		_, err := Decode([]byte(strings.Replace(sound, c.was, c.is, 1)))
+		_, err := Decode([]byte(strings.Replace(validScenario, c.old, c.replacement, 1)))
 		if err == nil || !errors.Is(err, ErrInvalid) || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, want %q", c.is, err, c.want)
+			t.Errorf("%s: %v, want %q", c.replacement, err, c.want)
 		}
 	}
 }
 
 // TestDraw: a seed draws the same again, another one differs, and a fault meets as many as it says, one after the other.
 func TestDraw(t *testing.T) {
-	f, err := Decode([]byte(sound))
+	f, err := Decode([]byte(validScenario))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,8 +99,8 @@
 	if v, at := s.Worst(10 * time.Second); v > 0.41 || at > 10*time.Second || at < 7*time.Second {
 		t.Errorf("worst %v at %v", v, at)
 	}
-	if back, ok := s.RecoveryTime(10*time.Second, 12*time.Second); !ok || back != 5*time.Second {
-		t.Errorf("back after %v, %v", back, ok)
+	if recovery, ok := s.RecoveryTime(10*time.Second, 12*time.Second); !ok || recovery != 5*time.Second {
+		t.Errorf("back after %v, %v", recovery, ok)
 	}
 	if _, ok := s.RecoveryTime(10*time.Second, 38*time.Second); ok {
 		t.Error("back for good within two seconds")
@@ -117,15 +117,15 @@
 // TestCompare: a difference counts from three plays on, where it is more than chance makes.
 func TestCompare(t *testing.T) {
 	for _, c := range []struct {
-		a, b []float64
-		real bool
+		a, b        []float64
+		significant bool
 	}{
 		{[]float64{1, 1.1, 0.9}, []float64{2, 2.1, 1.9}, true},
 		{[]float64{1, 2, 3}, []float64{2, 3, 2.5}, false},
 		{[]float64{1, 5, 9}, []float64{1.3, 5.2, 9.3}, true}, // draws that differ by more than the variants
 		{[]float64{1, 1}, []float64{2, 2}, false},
 	} {
-		if got := Compare(c.a, c.b); got.Significant != c.real {
+		if got := Compare(c.a, c.b); got.Significant != c.significant {
 			t.Errorf("%v against %v: %+v", c.b, c.a, got)
 		}
 	}
--- a/internal/scenario/soak_faults.go
+++ b/internal/scenario/soak_faults.go
@@ -55,7 +55,7 @@
 			return Fault{Action: ActionDie, Targets: d.oneOf(f.memberNames()), ForMs: d.floatBetween(500, 3000)}
 		},
 		func() Fault {
-			return Fault{Action: ActionDrain, Targets: d.oneOf(f.memberNames()), ForMs: f.Members.DrainMs + goneAfterMoveMs + d.floatBetween(0, 1500)}
+			return Fault{Action: ActionDrain, Targets: d.oneOf(f.memberNames()), ForMs: f.Members.DrainMs + maxExitAfterMoveMs + d.floatBetween(0, 1500)}
 		},
 		func() Fault { return Fault{Action: ActionReplace, Targets: d.oneOf(f.memberNames())} },
 	}
--- a/internal/scenario/validate.go
+++ b/internal/scenario/validate.go
@@ -7,18 +7,18 @@
 	"strings"
 )
 
-// goneAfterMoveMs is how long after its clients were moved a draining member is certainly gone.
-const goneAfterMoveMs = 1500
+// maxExitAfterMoveMs is how long a draining member takes at most, after its clients were moved, to end.
+const maxExitAfterMoveMs = 1500
 
-// figure is a number of the file with its bounds.
-type figure struct {
+// boundedNumber is a number of the file with its bounds.
+type boundedNumber struct {
 	key              string
 	value, low, high float64
 }
 
-// validateFigures reports the first figure beyond its bounds. Prefix comes before the figures' keys.
-func (f *File) validateFigures(prefix string, figures []figure) error {
-	for _, c := range figures {
+// checkBounds reports the first number that is out of its bounds. The prefix is put before each key.
+func (f *File) checkBounds(prefix string, numbers []boundedNumber) error {
+	for _, c := range numbers {
 		if !(c.value >= c.low && c.value <= c.high) {
 			return f.keyError(prefix+c.key, "%v is not from %v to %v", c.value, c.low, c.high)
 		}
@@ -28,7 +28,7 @@
 
 // validate reports the first error of the file.
 func (f *File) validate() error {
-	if err := f.validateFigures("", []figure{
+	if err := f.checkBounds("", []boundedNumber{
 		{"seconds", f.Seconds, 1, 3600}, {"from_ms", f.MeasureFromMs, 0, f.Seconds * 1000},
 		{"relays.count", float64(f.Relays.Count), 1, 900}, {"members.count", float64(f.Members.Count), 1, 3200},
 		{"relays.views_ms", f.Relays.PollPeersMs, 0, 1e5}, {"relays.host_ms", f.Relays.RestartDelayMs, 0, 1e5},
@@ -97,7 +97,7 @@
 	if !ok {
 		return f.keyError(key+".do", "%q is none of %v", x.Action, slices.Sorted(maps.Keys(actions)))
 	}
-	if err := f.validateFigures(key+".", []figure{
+	if err := f.checkBounds(key+".", []boundedNumber{
 		{"at_ms", x.AtMs, 0, f.Seconds * 1000}, {"for_ms", x.ForMs, 0, 1e8}, {"every_ms", x.EveryMs, 0, 1e7}, {"part", x.Fraction, 0, 1},
 		{"count", float64(x.Count), 0, 1e4}, {"loss", x.Loss, 0, 1}, {"repeat", x.Duplication, 0, 1}, {"delay_ms", x.DelayMs, 0, 1e5},
 		{"jitter_ms", x.JitterMs, 0, 1e5}, {"idle", float64(x.IdleConnections), 0, 10000}, {"kb_per_s", x.RateKBps, 0, 1e6},
@@ -108,8 +108,8 @@
 	if x.ForMs > 0 && action.undo == "" {
 		return f.keyError(key+".for_ms", "%q cannot be undone", x.Action)
 	}
-	if gone := f.Members.DrainMs + goneAfterMoveMs; x.Action == ActionDrain && x.ForMs > 0 && x.ForMs < gone {
-		return f.keyError(key+".for_ms", "%v: a member that drains is gone after %v", x.ForMs, gone)
+	if minForMs := f.Members.DrainMs + maxExitAfterMoveMs; x.Action == ActionDrain && x.ForMs > 0 && x.ForMs < minForMs {
+		return f.keyError(key+".for_ms", "%v: a member that drains is gone after %v", x.ForMs, minForMs)
 	}
 	switch action.target {
 	case TargetLink:
@@ -129,7 +129,7 @@
 		return f.keyError(key, "names nothing that the link should do")
 	}
 	for _, side := range []struct {
-		key, known      string
+		key, allowed    string
 		patterns, names []string
 	}{
 		{"from", "n0 and on, front", x.From, f.linkSources()},
@@ -137,7 +137,7 @@
 	} {
 		for i, p := range side.patterns {
 			if len(matching([]string{p}, side.names)) == 0 {
-				return f.keyError(fmt.Sprintf("%s.%s[%d]", key, side.key, i), "%q matches none of %s", p, side.known)
+				return f.keyError(fmt.Sprintf("%s.%s[%d]", key, side.key, i), "%q matches none of %s", p, side.allowed)
 			}
 		}
 	}
