--- a/internal/scenario/actions.go
+++ b/internal/scenario/actions.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Action is what a step of the timeline does. The values are the scenario file's.
+// Action is what a step of the timeline does. Its values appear in scenario files.
 type Action string
 
 // Actions on relays.
@@ -14,24 +14,24 @@
 	ActionStart        Action = "start"      // a new process
 	ActionTerminate    Action = "term"       // SIGTERM, then SIGKILL at the earliest time allowed
 	ActionStop         Action = "stop"       // SIGSTOP
-	ActionPause        Action = "pause"      // SIGSTOP, too short to excuse anything
+	ActionPause        Action = "pause"      // SIGSTOP for so short a time that the judge still expects every answer
 	ActionContinue     Action = "continue"   // SIGCONT
-	ActionCrowd        Action = "crowd"      // opens idle connections
-	ActionDisperse     Action = "disperse"   // closes them
-	ActionSystemFaults Action = "trouble"    // steps the wall clock, fails system calls
-	ActionSystemHealth Action = "calm"       // ends that
-	ActionCopyState    Action = "copy_state" // copies the state directory for a later start
-	ActionConfigure    Action = "configure"  // patches the configuration and sends SIGHUP
-	ActionCall         Action = "call"       // an operator calls the fleet's API
+	ActionCrowd        Action = "crowd"      // opens idle connections to the relay
+	ActionDisperse     Action = "disperse"   // closes the idle connections
+	ActionSystemFaults Action = "trouble"    // steps the relay's wall clock or makes its system calls fail
+	ActionSystemHealth Action = "calm"       // ends ActionSystemFaults
+	ActionCopyState    Action = "copy_state" // copies the state directory, for a later start with OldState
+	ActionConfigure    Action = "configure"  // patches the relay's configuration and sends SIGHUP
+	ActionCall         Action = "call"       // calls the fleet's HTTP API, as an operator does
 )
 
 // Actions on members.
 const (
-	ActionSilence Action = "silent"  // the member answers nothing
+	ActionSilence Action = "silent"  // the member stops answering
 	ActionFail    Action = "failing" // the member answers first lines with ERR
-	ActionRecover Action = "well"    // ends both
-	ActionDie     Action = "die"     // the member ends and is removed from discovery
-	ActionDrain   Action = "drain"   // the member drains, then ends
+	ActionRecover Action = "well"    // ends ActionSilence and ActionFail
+	ActionDie     Action = "die"     // the member exits and is removed from discovery
+	ActionDrain   Action = "drain"   // the member drains, then exits
 	ActionReturn  Action = "return"  // the member starts again
 	ActionReplace Action = "replace" // the member drains while a successor starts
 )
@@ -39,23 +39,23 @@
 // Actions on discovery.
 const (
 	ActionDiscoveryDown    Action = "down"    // calls and watches fail
-	ActionDiscoveryUp      Action = "up"      // ends that
+	ActionDiscoveryUp      Action = "up"      // ends ActionDiscoveryDown
 	ActionDiscoverySlow    Action = "late"    // answers are delayed
-	ActionDiscoveryFast    Action = "on_time" // ends that
-	ActionDiscoveryRestart Action = "old"     // generations begin again
+	ActionDiscoveryFast    Action = "on_time" // ends ActionDiscoverySlow
+	ActionDiscoveryRestart Action = "old"     // discovery restarts its generations, below those that relays have seen
 )
 
 // Actions on links.
 const (
-	ActionCut       Action = "cut"         // both directions
-	ActionCutOneWay Action = "cut_one_way" // the direction from From to To
-	ActionImpair    Action = "rough"       // loss, duplication, delay, jitter, rate
-	ActionHeal      Action = "heal"        // ends any of these
+	ActionCut       Action = "cut"         // forwards nothing in either direction
+	ActionCutOneWay Action = "cut_one_way" // forwards nothing in the direction from From to To
+	ActionImpair    Action = "rough"       // loses, duplicates, delays or throttles the traffic
+	ActionHeal      Action = "heal"        // ends ActionCut, ActionCutOneWay and ActionImpair
 	ActionReset     Action = "reset"       // resets the open connections
-	ActionStall     Action = "stall"       // silently stops the open connections
+	ActionStall     Action = "stall"       // silently stops forwarding on the open connections
 )
 
-// TargetKind is what an action applies to.
+// TargetKind is the kind of object that an action applies to.
 type TargetKind int
 
 // Kinds of targets.
@@ -66,16 +66,17 @@
 	TargetLink
 )
 
-// discoveryName and frontName are ends of links; discoveryName is also the target of actions on discovery.
+// discoveryName and frontName are names of link ends. discoveryName is also the target of actions on
+// discovery.
 const (
 	discoveryName = "discovery"
 	frontName     = "front"
 )
 
-// Leader as a target stands for the relay that leads the fleet at the time of the step.
+// Leader is the target that stands for the relay that is the fleet's leader at the time of the step.
 const Leader = "leader"
 
-// actions holds each action's kind of target, and the action that undoes it, if any.
+// actions holds, for each action, the kind of its target and the action that undoes it, if any.
 var actions = map[Action]struct {
 	target TargetKind
 	undo   Action
@@ -98,7 +99,7 @@
 	ActionHeal: {TargetLink, ""}, ActionReset: {TargetLink, ""}, ActionStall: {TargetLink, ""},
 }
 
-// targetNames are the names of the relays or of the members.
+// targetNames returns the names of the members for TargetMember, otherwise those of the relays.
 func (f *File) targetNames(kind TargetKind) []string {
 	if kind == TargetMember {
 		return f.memberNames()
@@ -106,15 +107,15 @@
 	return f.relayNames()
 }
 
-// linkSources are the names that a link can lead from.
+// linkSources returns the names of the ends at which a link can begin.
 func (f *File) linkSources() []string { return append(f.relayNames(), frontName) }
 
-// linkDestinations are the names that a link can lead to.
+// linkDestinations returns the names of the ends to which a link can lead.
 func (f *File) linkDestinations() []string {
 	return append(append(f.relayNames(), f.memberNames()...), discoveryName)
 }
 
-// matching returns the names that match some pattern.
+// matching returns the names that match at least one of the patterns, in the syntax of path.Match.
 func matching(patterns, names []string) (out []string) {
 	for _, n := range names {
 		if slices.ContainsFunc(patterns, func(p string) bool {
--- a/internal/scenario/compare.go
+++ b/internal/scenario/compare.go
@@ -5,22 +5,24 @@
 	"sort"
 )
 
-// Comparison is how a figure of one variant compares with that of the first variant.
+// Comparison compares a measured value of one variant with that of the first variant.
 type Comparison struct {
 	Mean, Min, Max float64
-	Difference     float64 // from the first variant's mean
-	Noise          float64 // bound of what chance alone makes of the difference, at 95%
-	Significant    bool    // the difference is larger than that
+	Difference     float64 // mean difference from the first variant
+	Noise          float64 // half-width of the 95% confidence interval of the difference
+	Significant    bool    // the difference is larger than Noise, and there are enough pairs
 }
 
-// studentQuantiles holds the two-sided 95% quantiles of Student's t by the number of pairs. The last one stands for all above.
+// studentQuantiles holds the two-sided 95% quantiles of Student's t distribution, indexed by the
+// number of pairs. The last one is used for all larger numbers.
 var studentQuantiles = []float64{0, 0, 12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.20, 2.18, 2.16, 2.14, 2.1}
 
-// minPairs is the least number of pairs from which a difference may be called significant.
+// minPairs is the minimum number of pairs for a difference to count as significant.
 const minPairs = 3
 
-// Compare compares the runs of a variant with those of the first one. They ran in turn on the same draws, so that each is paired with
-// the one of its own draw: variance between draws is not noise.
+// Compare compares a measured value of the runs of a variant with that of the runs of the first
+// variant. Runs with the same index used the same plan and are compared as a pair, so that the
+// variance between plans does not count as noise.
 func Compare(first, other []float64) Comparison {
 	c := Comparison{Min: math.Inf(1), Max: math.Inf(-1)}
 	for _, v := range other {
@@ -52,7 +54,8 @@
 	return mean, variance
 }
 
-// Quantile is the value below which a part of all values lie. It sorts the values.
+// Quantile returns the value below which the fraction part of all values lie, or 0 if there are no
+// values. It sorts the values in place.
 func Quantile(all []float64, part float64) float64 {
 	if len(all) == 0 {
 		return 0
--- a/internal/scenario/decode.go
+++ b/internal/scenario/decode.go
@@ -10,10 +10,11 @@
 	"strings"
 )
 
-// ErrInvalid is wrapped by every error about a file that cannot be used.
+// ErrInvalid is wrapped by every error about an invalid scenario file.
 var ErrInvalid = errors.New("invalid scenario")
 
-// Decode reads a file's text and validates it. Zones, which the configuration names, are validated later, by CheckZones.
+// Decode decodes and validates the text of a scenario file. It does not validate zones, because the
+// relays' configuration defines them: see CheckZones. Errors wrap ErrInvalid and name line and key.
 func Decode(text []byte) (*File, error) {
 	lines, err := keyLines(text)
 	if err != nil {
@@ -38,7 +39,7 @@
 	return f, f.validate()
 }
 
-// typeName names a Go type for the author of a file.
+// typeName returns the name of a Go type for error messages.
 func typeName(t reflect.Type) string {
 	if t.Kind() == reflect.String {
 		return "string"
@@ -46,16 +47,16 @@
 	return t.String()
 }
 
-// keyError is an error about a key, with its line.
+// keyError returns an error about a key, with the key's line.
 func (f *File) keyError(key, format string, args ...any) error {
 	line, ok := f.lines[key]
-	for parent := key; !ok && parent != ""; line, ok = f.lines[parent] { // an absent key is reported where its object begins
+	for parent := key; !ok && parent != ""; line, ok = f.lines[parent] { // an absent key is reported at the line where its object begins
 		parent = parent[:max(strings.LastIndexAny(parent, ".["), 0)]
 	}
 	return fmt.Errorf("%w: line %d: %s: %s", ErrInvalid, max(line, 1), key, fmt.Sprintf(format, args...))
 }
 
-// applyDefaults replaces absent values.
+// applyDefaults sets the fields that the file omits.
 func (f *File) applyDefaults() {
 	for _, d := range []struct {
 		field *float64
--- a/internal/scenario/file.go
+++ b/internal/scenario/file.go
@@ -1,5 +1,6 @@
-// Package scenario holds the decisions of a fault scenario, without I/O: the form of a scenario file, the plan that is drawn from its
-// seed, the judge of the relays' rules, and the measures of what clients got. Times are since the start of the run.
+// Package scenario implements the logic of a fault scenario without I/O: the format of a scenario
+// file, the plan that is drawn from its seed, the judge that finds violations of the relays' rules,
+// and the measurement of the service that clients got. Times count from the start of the run.
 package scenario
 
 import (
@@ -9,14 +10,15 @@
 	"time"
 )
 
-// File is a scenario file as an operator writes it. Fields whose names end in Ms are in milliseconds.
+// File is a scenario file, as an operator writes it. Fields whose names end in Ms are in
+// milliseconds.
 type File struct {
 	About         string          `json:"about"`
 	Config        string          `json:"config"` // path of the relays' configuration, relative to the file
 	Patch         json.RawMessage `json:"change"` // merged into the configuration (RFC 7386)
 	Seed          uint64          `json:"seed"`
-	Seconds       float64         `json:"seconds"` // for how long clients arrive
-	MeasureFromMs float64         `json:"from_ms"` // when measuring begins
+	Seconds       float64         `json:"seconds"` // duration of the run, during which clients arrive
+	MeasureFromMs float64         `json:"from_ms"` // start of the measured time
 	Relays        RelaySpec       `json:"relays"`
 	Members       MemberSpec      `json:"members"`
 	Discovery     DiscoverySpec   `json:"discovery"`
@@ -24,9 +26,9 @@
 	Clients       ClientSpec      `json:"clients"`
 	Faults        []Fault         `json:"faults"`
 	Variants      []Variant       `json:"variants"`
-	Repetitions   int             `json:"repetitions"` // of each draw
-	Seeds         int             `json:"seeds"`       // how many draws: of Seed and those after it
-	CheckLeaks    bool            `json:"settle"`      // at the end, compare the relays' resources with those before clients came
+	Repetitions   int             `json:"repetitions"` // runs of each seed
+	Seeds         int             `json:"seeds"`       // number of consecutive seeds, beginning with Seed
+	CheckLeaks    bool            `json:"settle"`      // at the end, compare the relays' resource use with that before clients came
 
 	lines map[string]int // the line of each key
 }
@@ -35,95 +37,96 @@
 type RelaySpec struct {
 	Count          int     `json:"count"`
 	PollPeersMs    float64 `json:"views_ms"` // interval of polling each relay's view of the others; 0: never
-	RestartDelayMs float64 `json:"host_ms"`  // from an ordered exit to the restart
-	Voters         int     `json:"voters"`   // with a fleet: how many relays, from the first, vote
+	RestartDelayMs float64 `json:"host_ms"`  // from an orderly exit to the restart
+	Voters         int     `json:"voters"`   // with a fleet: the first Voters relays vote
 }
 
 // MemberSpec describes the pool members.
 type MemberSpec struct {
 	Count            int        `json:"count"`
-	Cores            [2]float64 `json:"cores"`     // bounds of the draw
-	MaxConnections   int        `json:"most"`      // of one member; 0: unlimited
+	Cores            [2]float64 `json:"cores"`     // bounds of the random draw
+	MaxConnections   int        `json:"most"`      // limit of each member; 0: unlimited
 	ConnectionWorkMs float64    `json:"open_ms"`   // processor time for a new connection
-	GroupWorkMs      float64    `json:"group_ms"`  // further processor time for a group's first connection
+	GroupWorkMs      float64    `json:"group_ms"`  // additional processor time for a group's first connection
 	ReportAgeMs      float64    `json:"report_ms"` // maximum age of a load report
-	ReportError      float64    `json:"rough"`     // relative error of a load report, at most
-	Defect           Defect     `json:"flaw"`      // of members that replace others
-	DrainMs          float64    `json:"leave_ms"`  // from the start of draining until clients are moved
+	ReportError      float64    `json:"rough"`     // maximum relative error of a load report
+	Defect           Defect     `json:"flaw"`      // of the members that ActionReplace starts
+	DrainMs          float64    `json:"leave_ms"`  // from the start of draining until MOVE is sent to the clients
 }
 
 // DiscoverySpec describes the discovery service.
 type DiscoverySpec struct {
-	PropagationDelayMs float64 `json:"lag_ms"` // from a change until it is listed
+	PropagationDelayMs float64 `json:"lag_ms"` // from a change until discovery lists it
 }
 
 // FrontSpec describes the load balancer in front of each zone's relays.
 type FrontSpec struct {
 	PingMs           float64 `json:"ping_ms"`   // interval of health checks
-	FailureTimeoutMs float64 `json:"notice_ms"` // without an answer for so long, a relay gets no new clients
+	FailureTimeoutMs float64 `json:"notice_ms"` // a relay that has not answered for this long gets no new clients
 }
 
 // ClientSpec describes the clients.
 type ClientSpec struct {
-	Initial           int        `json:"standing"`   // arrive before measuring begins
+	Initial           int        `json:"standing"`   // number of clients that arrive before the measured time
 	ArrivalsPerSecond float64    `json:"per_second"` // of new clients
 	MeanStayMs        float64    `json:"stay_ms"`
-	Load              [2]float64 `json:"load"` // cores; bounds of the draw
+	Load              [2]float64 `json:"load"` // in cores; bounds of the random draw
 	Groups            int        `json:"groups"`
-	ReconnectMs       [2]float64 `json:"again_ms"` // wait after a failure; bounds of the draw
-	LineIntervalMs    float64    `json:"line_ms"`  // interval of a client's lines
-	AnswerWithinMs    float64    `json:"well_ms"`  // a later answer to a line counts as not served
-	AbandonRate       float64    `json:"leave"`    // part of the attempts whose client goes before its answer
+	ReconnectMs       [2]float64 `json:"again_ms"` // wait after a failure; bounds of the random draw
+	LineIntervalMs    float64    `json:"line_ms"`  // between two lines of a client
+	AnswerWithinMs    float64    `json:"well_ms"`  // a line that is answered later counts as not served
+	AbandonRate       float64    `json:"leave"`    // fraction of the connections that the client abandons before its answer
 }
 
-// Variant is a way of running the scenario, compared with others on the same draws.
+// Variant is one way of running the scenario. Variants are compared on the same plans.
 type Variant struct {
 	Name    string          `json:"name"`
-	Program string          `json:"program"` // path of the relay, relative to the file; empty: the runner's own
-	Patch   json.RawMessage `json:"change"`  // merged into the configuration after the file's
-	Faults  []Fault         `json:"faults"`  // in place of the file's; absent: the file's
-	Defect  *Defect         `json:"flaw"`    // likewise
+	Program string          `json:"program"` // path of the relay's program, relative to the file; empty: the runner's own
+	Patch   json.RawMessage `json:"change"`  // merged into the configuration after the file's patch
+	Faults  []Fault         `json:"faults"`  // replace the file's faults; absent: the file's apply
+	Defect  *Defect         `json:"flaw"`    // replaces the file's defect; absent: the file's applies
 }
 
-// Defect is the fault of a new build of the members.
+// Defect describes how a defective build of the members fails.
 type Defect struct {
-	FailureRate float64 `json:"fail"`     // part of the first lines answered with ERR
+	FailureRate float64 `json:"fail"`     // fraction of the first lines that are answered with ERR
 	DelayMs     float64 `json:"delay_ms"` // before each answer to a first line
-	Zone        string  `json:"zone"`     // only towards relays of this zone; empty: towards all
+	Zone        string  `json:"zone"`     // the defect shows only to relays of this zone; empty: to all
 }
 
-// Fault is one entry of the timeline. Only some fields apply to an action.
+// Fault is one entry of the timeline. Each action uses only some of the fields.
 type Fault struct {
 	AtMs     float64  `json:"at_ms"`
-	ForMs    float64  `json:"for_ms"` // until it is undone; 0: never
+	ForMs    float64  `json:"for_ms"` // time after which the fault is undone; 0: never
 	Action   Action   `json:"do"`
-	Targets  []string `json:"who"`  // patterns of names
-	Zone     string   `json:"zone"` // only targets of this zone; empty: of all
-	Count    int      `json:"count"`
-	Fraction float64  `json:"part"`
-	EveryMs  float64  `json:"every_ms"` // between targets; 0: all at once
-	From     []string `json:"from"`     // of links: patterns of names
-	To       []string `json:"to"`       // of links: patterns of names
+	Targets  []string `json:"who"`      // patterns of relay or member names, or Leader
+	Zone     string   `json:"zone"`     // only targets of this zone; empty: all zones
+	Count    int      `json:"count"`    // maximum number of targets, drawn at random; 0: no limit
+	Fraction float64  `json:"part"`     // fraction of the targets, drawn at random; 0: all
+	EveryMs  float64  `json:"every_ms"` // between two targets; 0: all at once
+	From     []string `json:"from"`     // of link actions: patterns of the names at which the links begin
+	To       []string `json:"to"`       // of link actions: patterns of the names at which the links end
 	Impairment
-	AnswerDelayMs   float64         `json:"late_ms"`    // of discovery
-	IdleConnections int             `json:"idle"`       // of a crowd, to each relay
-	SignalSeries    bool            `json:"series"`     // of term: several signals in a row
-	LoseState       bool            `json:"lose_state"` // the next start finds no state
-	OldState        bool            `json:"old_state"`  // the next start finds the state of the last copy_state
-	Call            string          `json:"call"`       // of the fleet's API, such as "POST /-/releases"; retried until accepted
+	AnswerDelayMs   float64         `json:"late_ms"`    // of ActionDiscoverySlow
+	IdleConnections int             `json:"idle"`       // of ActionCrowd: connections to each relay
+	SignalSeries    bool            `json:"series"`     // of ActionTerminate: several signals in a row
+	LoseState       bool            `json:"lose_state"` // the relay's next start finds an empty state directory
+	OldState        bool            `json:"old_state"`  // the relay's next start finds the state of the last copy_state
+	Call            string          `json:"call"`       // of the fleet's HTTP API, such as "POST /-/releases"; retried until accepted
 	Body            json.RawMessage `json:"body"`
 }
 
 // Impairment is what a fault does to a link's traffic.
 type Impairment struct {
-	Loss        float64 `json:"loss"`   // part of the datagrams
-	Duplication float64 `json:"repeat"` // part of the datagrams
+	Loss        float64 `json:"loss"`   // fraction of the datagrams that are dropped
+	Duplication float64 `json:"repeat"` // fraction of the datagrams that are duplicated
 	DelayMs     float64 `json:"delay_ms"`
 	JitterMs    float64 `json:"jitter_ms"`
 	RateKBps    float64 `json:"kb_per_s"`
 }
 
-// Resize replaces the numbers of relays and members and multiplies the clients; a zero leaves the file's.
+// Resize replaces the numbers of relays and members and multiplies the number of clients. A zero
+// keeps the file's value. It returns an error that wraps ErrInvalid if the result is out of bounds.
 func (f *File) Resize(relays, members int, clients float64) error {
 	if relays > 0 {
 		f.Relays.Count = relays
@@ -138,7 +141,7 @@
 	return f.validate()
 }
 
-// ForVariant returns the file as a variant runs it.
+// ForVariant returns a copy of the file with the faults and the defect of a variant.
 func (f *File) ForVariant(v Variant) *File {
 	own := *f
 	if v.Faults != nil {
@@ -150,10 +153,10 @@
 	return &own
 }
 
-// relayNames are n0 and on.
+// relayNames returns the names of the relays: n0, n1 and so on.
 func (f *File) relayNames() []string { return numberedNames(relayPrefix, f.Relays.Count) }
 
-// memberNames are s0 and on.
+// memberNames returns the names of the members: s0, s1 and so on.
 func (f *File) memberNames() []string { return numberedNames(memberPrefix, f.Members.Count) }
 
 // Prefixes of the names of relays and members.
@@ -169,5 +172,5 @@
 	return all
 }
 
-// Millis converts a figure of the file to a duration.
+// Millis converts a number of milliseconds to a duration.
 func Millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/scenario/judge.go
+++ b/internal/scenario/judge.go
@@ -7,23 +7,25 @@
 	"time"
 )
 
-// Judge finds the rules that relays broke. It is fed with what crossed the sockets of clients, members and discovery, and with what
-// was done to the relays, never with a relay's own account.
+// Judge finds violations of the rules by relays. Its input is what the fake clients, members and
+// discovery observed at their sockets, and which faults the runner caused. It does not use anything
+// that a relay reports about itself.
 type Judge struct {
 	Rules Rules
-	// RunnerDelay is how late the runner itself was at worst; it is set before Finish.
+	// RunnerDelay is the longest delay of the scenario runner's own actions, by which the judge
+	// extends all time limits. It is 0 until the runner sets it, before Finish.
 	RunnerDelay time.Duration
 
 	starts        []relayStart
 	requests      map[string]*request
 	members       map[string]*memberState
 	memberUpdates map[relayMember]memberUpdate
-	excuses       map[string][]span // by relay: when it, or its links, were broken
-	idleFloods    map[string][]span // by relay: when idle clients filled its descriptors, and it might close new connections unread
+	excuses       map[string][]span // by relay: when a fault of it or its links explains missing answers
+	idleFloods    map[string][]span // by relay: when idle clients used up its descriptors, so that it may close new connections unread
 	violations    []Violation
 }
 
-// relayStart is one start of a relay, and how long it took to be ready.
+// relayStart is one start of a relay, with the time it took until the relay was ready.
 type relayStart struct {
 	relay    string
 	at, took time.Duration
@@ -31,16 +33,16 @@
 
 type relayMember struct{ relay, member string }
 
-// memberUpdate is what a relay was last notified of a member.
+// memberUpdate is the last state of a member that discovery sent to a relay.
 type memberUpdate struct {
-	drainsSince time.Duration // 0: it serves
+	drainsSince time.Duration // 0: the member does not drain
 	started     time.Duration
 }
 
-// span is a stretch of time; it has not ended if to is 0.
+// span is a period of time. It has not ended if to is 0.
 type span struct{ from, to time.Duration }
 
-// NewJudge returns a judge that has seen nothing.
+// NewJudge returns a judge without any observations.
 func NewJudge(r Rules) *Judge {
 	return &Judge{Rules: r, requests: map[string]*request{}, members: map[string]*memberState{},
 		memberUpdates: map[relayMember]memberUpdate{}, excuses: map[string][]span{}, idleFloods: map[string][]span{}}
@@ -50,10 +52,11 @@
 	j.violations = append(j.violations, Violation{at, rule, relay, fmt.Sprintf(format, args...)})
 }
 
-// tolerance is how much later than allowed something may be seen.
+// tolerance returns by how much an observation may exceed a time limit.
 func (j *Judge) tolerance() time.Duration { return socketTolerance + j.RunnerDelay }
 
-// MemberUpdateSent records that a relay was sent discovery's entry of a member.
+// MemberUpdateSent records that discovery sent a relay its entry of a member: the lifecycle and the
+// start time.
 func (j *Judge) MemberUpdateSent(at time.Duration, relay, member, lifecycle string, started time.Duration) {
 	key := relayMember{relay, member}
 	u := j.memberUpdates[key]
@@ -66,13 +69,13 @@
 	j.memberUpdates[key] = u
 }
 
-// BeginExcuse excuses a relay's missing answers from now on: it was killed or stopped, or a link to its clients was broken. Each
-// BeginExcuse has its own EndExcuse.
+// BeginExcuse excuses missing answers of a relay from a time on, because the relay was killed or
+// stopped, or a link was broken. Each call has to be matched by its own EndExcuse.
 func (j *Judge) BeginExcuse(at time.Duration, relay string) {
 	j.excuses[relay] = append(j.excuses[relay], span{at, 0})
 }
 
-// EndExcuse ends the first excuse of a relay that has not ended.
+// EndExcuse ends the oldest open excuse of a relay.
 func (j *Judge) EndExcuse(at time.Duration, relay string) {
 	for i, s := range j.excuses[relay] {
 		if s.to == 0 {
@@ -82,24 +85,24 @@
 	}
 }
 
-// BeginIdleFlood records that idle clients fill a relay's descriptors from now on.
+// BeginIdleFlood records that idle clients use up a relay's descriptors from a time on.
 func (j *Judge) BeginIdleFlood(at time.Duration, relay string) {
 	j.idleFloods[relay] = append(j.idleFloods[relay], span{at, 0})
 }
 
-// EndIdleFlood ends the last idle flood of a relay.
+// EndIdleFlood ends the most recent idle flood of a relay.
 func (j *Judge) EndIdleFlood(at time.Duration, relay string) {
 	if all := j.idleFloods[relay]; len(all) > 0 {
 		all[len(all)-1].to = at
 	}
 }
 
-// RelayReady records how long a relay took from its start until it was ready.
+// RelayReady records that a relay became ready, and the time that took since its start.
 func (j *Judge) RelayReady(at time.Duration, relay string, took time.Duration) {
 	j.starts = append(j.starts, relayStart{relay, at, took})
 }
 
-// RelayRestarted records that a relay has lost what it was notified of.
+// RelayRestarted records that a relay's new process has lost the member updates sent to the old one.
 func (j *Judge) RelayRestarted(relay string) {
 	for k := range j.memberUpdates {
 		if k.relay == relay {
@@ -108,14 +111,16 @@
 	}
 }
 
-// RelayCrashed records that a relay ended though nobody ended it.
+// RelayCrashed records that a relay's process ended, or did not start, without a fault that explains
+// it. The relay's missing answers are excused from then on.
 func (j *Judge) RelayCrashed(at time.Duration, relay, how string) {
 	j.addViolation(at, RelayCrash, relay, "%s", how)
-	j.BeginExcuse(at, relay) // what it leaves unanswered is the same finding
+	j.BeginExcuse(at, relay) // missing answers are a consequence of the crash, not further violations
 }
 
-// CheckResources compares what a relay uses after its clients have gone with what it may use: the descriptors with those before the
-// clients came, and the peak memory with its limit, in MB; a limit of 0 is none.
+// CheckResources checks a relay's resource use after all clients have gone: the open descriptors
+// must not exceed those before the clients came, and the peak memory must not exceed its limit. Both
+// memory values are in MB; a limit of 0 means unlimited.
 func (j *Judge) CheckResources(at time.Duration, relay string, descriptors, before int, memory, limit float64) {
 	if descriptors > before {
 		j.addViolation(at, DescriptorLeak, relay, "%d, before there were clients %d", descriptors, before)
@@ -125,7 +130,7 @@
 	}
 }
 
-// excused reports whether a relay had an excuse at some time between.
+// excused reports whether a relay had an excuse at any time between from and to.
 func (j *Judge) excused(relay string, from, to time.Duration) bool {
 	return anyOverlap(j.excuses[relay], from, to)
 }
@@ -134,7 +139,8 @@
 	return slices.ContainsFunc(spans, func(s span) bool { return s.from <= to && (s.to == 0 || s.to >= from) })
 }
 
-// Finish judges what only the end shows, and returns all violations by time.
+// Finish makes the checks that are possible only at the end of the run and returns all violations,
+// sorted by time.
 func (j *Judge) Finish(at time.Duration) []Violation {
 	for id, r := range j.requests {
 		j.finishRequest(at, id, r)
@@ -147,7 +153,7 @@
 	return j.violations
 }
 
-// checkStarts judges how soon relays were ready.
+// checkStarts checks how long relays took to become ready.
 func (j *Judge) checkStarts() {
 	slow := 0
 	for _, s := range j.starts {
--- a/internal/scenario/judge_attempts.go
+++ b/internal/scenario/judge_attempts.go
@@ -2,30 +2,31 @@
 
 import "time"
 
-// memberState is what the judge knows of one member.
+// memberState is the judge's record of one member.
 type memberState struct {
-	cores     float64
-	started   time.Duration // 0: long ago
-	warmingUp bool          // it was started during the run
-	load      float64       // of its flows
-	arrivals  []arrival     // within the last overload window
-	down      bool
+	cores     float64       // at full capacity
+	started   time.Duration // 0: before the run
+	warmingUp bool          // the member was started during the run
+	load      float64       // of its flows, in cores
+	arrivals  []arrival     // in the current overload window
+	down      bool          // overload has brought the member down
 }
 
 // arrival is an attempt at a member in slow start.
 type arrival struct {
 	at            time.Duration
-	work          float64 // processor seconds
-	relayNotified bool    // the relay had been notified of the member's start
+	work          float64 // in processor seconds
+	relayNotified bool    // discovery had sent the relay an update with this start of the member
 }
 
-// MemberStarted records a member's cores at full capacity and its start; 0: long ago.
+// MemberStarted records the start of a member and its cores at full capacity. A start of 0 means
+// that the member started before the run and has its full capacity.
 func (j *Judge) MemberStarted(name string, cores float64, started time.Duration) {
 	j.members[name] = &memberState{cores: cores, started: started, warmingUp: started > 0}
 }
 
-// AttemptStarted records an attempt that has reached a member, with its work and load. It returns true if that brings the member
-// down.
+// AttemptStarted records an attempt that has reached a member, with its processor time and its load
+// in cores. It returns true if the attempt overloads the member in slow start so that it goes down.
 func (j *Judge) AttemptStarted(at time.Duration, id, relay, member string, work time.Duration, load float64) bool {
 	r := j.requests[id]
 	if r == nil {
@@ -58,7 +59,7 @@
 	return j.checkOverload(at, member, m)
 }
 
-// checkAttemptAllowed judges whether an attempt of a request may begin now.
+// checkAttemptAllowed checks whether a request may have another attempt now.
 func (j *Judge) checkAttemptAllowed(at time.Duration, id string, r *request) {
 	if r.clientLeft > 0 && at > r.clientLeft+maxAfterClientGone+j.tolerance() {
 		j.addViolation(at, SentForGoneClient, r.relay, "%s: %v after", id, at-r.clientLeft)
@@ -69,8 +70,10 @@
 	}
 }
 
-// checkOverload sums what a member in slow start was sent within the overload window. It returns true if that brings it down, which
-// the relays answer for if two thirds of the work came from relays that had been notified of the member's start.
+// checkOverload sums the work that was sent to a member in slow start within the overload window. It
+// returns true if that brings the member down. That is a violation only if relays that had been
+// notified of the member's start sent at least two thirds of the work: others could not know that
+// the member is in slow start.
 func (j *Judge) checkOverload(at time.Duration, member string, m *memberState) bool {
 	for len(m.arrivals) > 0 && m.arrivals[0].at <= at-j.Rules.OverloadWindow {
 		m.arrivals = m.arrivals[1:]
@@ -93,23 +96,25 @@
 	return true
 }
 
-// checkOverlap judges two attempts of a request that were in flight together until now. The end of one and the start of the next are
-// seen at two sockets, in either order.
+// checkOverlap checks how long two attempts of a request were in flight together, until now. A short
+// overlap is allowed because the end of one attempt and the start of the next are observed at two
+// sockets, in either order.
 func (j *Judge) checkOverlap(at time.Duration, id string, r *request) {
 	if at-r.overlapSince > j.tolerance() {
 		j.addViolation(r.overlapSince, ConcurrentAttempts, r.relay, "%s at %s, for %v", id, r.overlapMember, at-r.overlapSince)
 	}
 }
 
-// AttemptAccepted records the line with which a member accepts an attempt, before it is sent.
+// AttemptAccepted records the UP line with which a member accepts an attempt, before the line is
+// sent.
 func (j *Judge) AttemptAccepted(id, up string) {
 	if r := j.requests[id]; r != nil {
 		r.memberAnswer = up
 	}
 }
 
-// AttemptEnded records the end of an attempt: whether the member ended it, and whether the member rejected it, so that it has not
-// run.
+// AttemptEnded records the end of an attempt: whether the member ended it, and whether the member
+// rejected it, which means that the request has not run.
 func (j *Judge) AttemptEnded(at time.Duration, id, member string, load float64, endedByMember, rejected bool) {
 	if r := j.requests[id]; r != nil {
 		if !rejected && r.mayHaveRun == 0 {
--- a/internal/scenario/judge_requests.go
+++ b/internal/scenario/judge_requests.go
@@ -5,45 +5,48 @@
 	"time"
 )
 
-// request is what the judge knows of one request. A time of 0 means that the event has not happened.
+// request is the judge's record of one request. A time of 0 means that the event has not happened.
 type request struct {
 	relay              string
 	effect             Effect
 	sentAt, deadline   time.Duration // the deadline is relative to sentAt
-	clientLeft         time.Duration // its client has closed the connection, or its sending direction
-	gaveUp             bool          // its client no longer waits for an answer
+	clientLeft         time.Duration // the client closed the connection or its sending direction
+	gaveUp             bool          // the client no longer waits for an answer
 	answer             string
 	answeredAt         time.Duration
-	flowEnded          time.Duration // the client's side of the flow ended without MOVE or BYE
+	flowEnded          time.Duration // the client's connection ended without MOVE or BYE
 	attempts, inFlight int
 	lastAttempt        time.Duration
-	mayHaveRun         time.Duration // the first attempt that may have run
-	memberAnswer       string        // the UP that a member sent
+	mayHaveRun         time.Duration // start of the first attempt that may have run
+	memberAnswer       string        // the UP line that a member sent
 	endedByMember      time.Duration // a member ended the flow
-	overlapSince       time.Duration // two attempts are in flight
-	overlapMember      string        // where the second one went
+	overlapSince       time.Duration // start of the second attempt in flight
+	overlapMember      string        // member of the second attempt in flight
 }
 
-// RequestSent records a request that was sent completely to a relay, and how long its client waits.
+// RequestSent records a request that a client sends completely to a relay, how long the client waits
+// for the answer, and when the request may be repeated.
 func (j *Judge) RequestSent(at time.Duration, id, relay string, deadline time.Duration, effect Effect) {
 	j.requests[id] = &request{relay: relay, sentAt: at, deadline: deadline, effect: effect}
 }
 
-// ClientLeft records that a client closed its connection before an answer, or only its sending direction and still reads.
+// ClientLeft records that a client closed its connection before it got an answer. With reads, the
+// client closed only the sending direction and still waits for the answer.
 func (j *Judge) ClientLeft(at time.Duration, id string, reads bool) {
 	if r := j.requests[id]; r != nil && r.answer == "" {
 		r.clientLeft, r.gaveUp = at, !reads
 	}
 }
 
-// ClientGaveUp records that a client ended its own connection before an answer.
+// ClientGaveUp records that a client no longer waits for an answer and ends its connection.
 func (j *Judge) ClientGaveUp(id string) {
 	if r := j.requests[id]; r != nil {
 		r.gaveUp = true
 	}
 }
 
-// AnswerReceived records a line before the flow was up, or one after the final answer that does not belong to the flow.
+// AnswerReceived records a line that a client received as an answer: before the flow was up, or
+// after the final answer if the line does not belong to the flow.
 func (j *Judge) AnswerReceived(at time.Duration, id, line string) {
 	r := j.requests[id]
 	if r == nil {
@@ -62,21 +65,22 @@
 	}
 }
 
-// LineUnanswered records that a client gives up a flow on which a line has had no answer since a time.
+// LineUnanswered records that a client gives up a flow because a line that it sent at the time since
+// has not been answered.
 func (j *Judge) LineUnanswered(at time.Duration, id string, since time.Duration) {
 	if r := j.requests[id]; r != nil && at-since > maxFlowSilence+j.tolerance() && !j.excused(r.relay, since, at) {
 		j.addViolation(at, FlowStalled, r.relay, "%s: nothing since %v", id, at-since)
 	}
 }
 
-// FlowEnded records the end of a flow's connection at its client without MOVE or BYE.
+// FlowEnded records that the connection of a flow ended at its client without MOVE or BYE.
 func (j *Judge) FlowEnded(at time.Duration, id string) {
 	if r := j.requests[id]; r != nil && r.flowEnded == 0 {
 		r.flowEnded = at
 	}
 }
 
-// finishRequest judges what only the end shows of a request.
+// finishRequest makes the checks of a request that are possible only at the end of the run.
 func (j *Judge) finishRequest(at time.Duration, id string, r *request) {
 	if r.inFlight > 1 {
 		j.checkOverlap(at, id, r)
--- a/internal/scenario/key_lines.go
+++ b/internal/scenario/key_lines.go
@@ -11,7 +11,8 @@
 	"strings"
 )
 
-// keyLines returns the line of each key of a JSON text. Keys have the form "faults[2].at_ms".
+// keyLines returns the line of each key of a JSON text. Nested keys are written in full, as in
+// "faults[2].at_ms".
 func keyLines(text []byte) (map[string]int, error) {
 	s := &keyScanner{text: text, decoder: json.NewDecoder(bytes.NewReader(text)), lines: map[string]int{}}
 	if err := s.readValue(""); err != nil {
@@ -25,7 +26,7 @@
 	return s.lines, nil
 }
 
-// keyScanner walks a JSON text.
+// keyScanner reads a JSON text and records the line of each key.
 type keyScanner struct {
 	text    []byte
 	decoder *json.Decoder
@@ -77,7 +78,7 @@
 
 var arrayIndex = regexp.MustCompile(`\[\d+\]`)
 
-// unknownKeys lists the keys of a text that a type does not have.
+// unknownKeys returns the keys that the type t does not have.
 func unknownKeys(lines map[string]int, t reflect.Type) (keys []string) {
 	schema := keySchema{known: map[string]bool{"": true}}
 	schema.add("", t)
@@ -89,10 +90,10 @@
 	return keys
 }
 
-// keySchema is the keys that a type has. Indexes of arrays are left out, as in "faults[].at_ms".
+// keySchema holds the keys that a type has. Array indexes are omitted, as in "faults[].at_ms".
 type keySchema struct {
 	known map[string]bool
-	raw   []string // anything may stand below these
+	raw   []string // keys with arbitrary JSON values (json.RawMessage)
 }
 
 func (s *keySchema) add(key string, t reflect.Type) {
--- a/internal/scenario/patch.go
+++ b/internal/scenario/patch.go
@@ -5,7 +5,8 @@
 	"errors"
 )
 
-// MergePatch applies a JSON merge patch (RFC 7386): objects are merged, null removes a key, anything else replaces.
+// MergePatch applies a JSON merge patch (RFC 7386) to a JSON text: objects are merged, null removes
+// a key, any other value replaces the old one. An empty patch changes nothing.
 func MergePatch(text, patch json.RawMessage) (json.RawMessage, error) {
 	if len(patch) == 0 {
 		return text, nil
--- a/internal/scenario/peak.go
+++ b/internal/scenario/peak.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Peak finds the largest sum of counts within any window of time.
+// Peak finds the largest sum of counts within any sliding window of length Window.
 type Peak struct {
 	Window time.Duration
 	Max    float64
 	At     time.Duration // the end of the window with the largest sum
-	Total  float64
+	Total  float64       // sum of all counts
 
-	counts []timedCount // within the window
+	counts []timedCount // in the current window
 	sum    float64      // of counts
 }
 
@@ -18,7 +18,7 @@
 	n  float64
 }
 
-// Add adds a count. Times do not decrease.
+// Add adds a count of n at a time, which must not be before that of the previous call.
 func (p *Peak) Add(at time.Duration, n float64) {
 	p.counts = append(p.counts, timedCount{at, n})
 	p.sum += n
--- a/internal/scenario/plan.go
+++ b/internal/scenario/plan.go
@@ -9,31 +9,31 @@
 	"time"
 )
 
-// Plan is everything that a run does, drawn ahead.
+// Plan holds everything that a run does. It is drawn before the run starts.
 type Plan struct {
 	Seed             uint64
 	MeasureFrom, End time.Duration // the measured time
-	Sessions         []Session     // by arrival
-	Steps            []Step        // by time
+	Sessions         []Session     // sorted by arrival
+	Steps            []Step        // sorted by time
 	Cores            []float64     // of each member
 }
 
-// Session is one client's wish to be connected for a while.
+// Session is one client: it arrives and wants to be connected for the duration of its stay.
 type Session struct {
 	Arrival, Stay       time.Duration
 	Class, Tenant, Zone int // indexes
 	Group, Key          uint64
-	Load                float64
-	Seed                uint64 // of its waits
+	Load                float64 // in cores
+	Seed                uint64  // of the client's own random choices during the run, such as its waits
 }
 
-// Step applies an action to one relay, member or link, or to discovery.
+// Step applies an action to one relay, one member, one link or discovery.
 type Step struct {
 	At              time.Duration
 	Action          Action
 	Kind            TargetKind
-	Target          string // of a link: where it leads from
-	Peer            string // of a link: where it leads to
+	Target          string // of a link: the end at which it begins
+	Peer            string // of a link: the end to which it leads
 	Impairment      Impairment
 	AnswerDelay     time.Duration
 	IdleConnections int
@@ -45,23 +45,25 @@
 	Fault           int // index of the fault in the file
 }
 
-// Link names the two ends of a link. Datagrams have a link for each direction.
+// Link names the two ends of a network link. Between relays, which exchange datagrams, each
+// direction is a link of its own.
 type Link struct{ From, To string }
 
-// Link is the link that a step applies to.
+// Link returns the link that a step applies to.
 func (s *Step) Link() Link { return Link{s.Target, s.Peer} }
 
-// Site is the part of the settings that a plan is drawn from.
+// Site is the part of the relays' settings that Draw needs to draw a plan.
 type Site struct {
 	ClassWeights []float64 // priority weight of each class
 	TenantShares []float64 // share of each tenant's arrivals
 	Zones        []string
 }
 
-// Zone returns the zone of the relay or member with an index.
+// Zone returns the zone of the relay or member with index i.
 func (s Site) Zone(i int) string { return s.Zones[i%len(s.Zones)] }
 
-// Streams of random numbers that are drawn from a plan's seed. Fault number i has the stream faultStream+i.
+// Streams of the random number generators of a plan, which all use the plan's seed. Fault number i
+// has the stream faultStream+i.
 const (
 	planStream  = 1
 	faultStream = 1000
@@ -70,7 +72,7 @@
 // minStay is the shortest stay of a client.
 const minStay = 100 * time.Millisecond
 
-// Draw draws the plan of a file. The same seed draws the same plan.
+// Draw draws a plan for a scenario file at random. The same seed gives the same plan.
 func Draw(f *File, s Site, seed uint64) *Plan {
 	p := &Plan{Seed: seed, MeasureFrom: Millis(f.MeasureFromMs), End: time.Duration(f.Seconds * float64(time.Second))}
 	rng := rand.New(rand.NewPCG(seed, planStream))
@@ -85,8 +87,8 @@
 	return p
 }
 
-// drawSessions draws the clients: the initial ones spread over two thirds of the time before measuring, the others as a Poisson
-// process.
+// drawSessions draws the sessions of the clients. The initial clients arrive evenly spread over the
+// first two thirds of the time before measuring, the others as a Poisson process.
 func (p *Plan) drawSessions(f *File, s Site, rng *rand.Rand) {
 	meanStay := Millis(f.Clients.MeanStayMs)
 	add := func(arrival time.Duration) {
@@ -108,7 +110,7 @@
 	sort.SliceStable(p.Sessions, func(i, j int) bool { return p.Sessions[i].Arrival < p.Sessions[j].Arrival })
 }
 
-// addSteps draws a fault's targets and adds its steps, those that undo it included.
+// addSteps draws the targets of a fault and adds its steps to a plan, including those that undo it.
 func (f *File) addSteps(p *Plan, number int, s Site, rng *rand.Rand) {
 	x := f.Faults[number]
 	targets := f.faultTargets(&x, s)
@@ -123,7 +125,7 @@
 		rng.Shuffle(len(targets), func(i, j int) { targets[i], targets[j] = targets[j], targets[i] })
 		targets = targets[:count]
 	}
-	if x.Action == ActionCut { // datagrams have a link for each direction
+	if x.Action == ActionCut { // between relays, each direction is a link of its own
 		for _, l := range targets {
 			if back := (Link{l.To, l.From}); isRelayName(l.To) && l.From != frontName && !slices.Contains(targets, back) {
 				targets = append(targets, back)
@@ -143,7 +145,8 @@
 	}
 }
 
-// faultTargets lists all targets that a fault may have. A target other than a link is a Link without To.
+// faultTargets returns all targets that a fault may have. A relay, a member, discovery or the leader
+// is returned as a Link without To.
 func (f *File) faultTargets(x *Fault, s Site) (targets []Link) {
 	kind := actions[x.Action].target
 	switch {
@@ -167,7 +170,7 @@
 	return targets
 }
 
-// inZone returns the names of relays or members in a zone; all names if the zone is empty.
+// inZone returns those of the given relays or members that are in a zone; all if the zone is empty.
 func inZone(names []string, zone string, s Site) (out []string) {
 	for _, n := range names {
 		i := 0
@@ -183,7 +186,7 @@
 // IsRelayToRelay reports whether a link joins two relays.
 func (l Link) IsRelayToRelay() bool { return isRelayName(l.From) && isRelayName(l.To) }
 
-// BrokenLinks returns the links that some step applies to. Only these need a proxy.
+// BrokenLinks returns the links that at least one step applies to. Only these links need a proxy.
 func (p *Plan) BrokenLinks() map[Link]bool {
 	out := map[Link]bool{}
 	for _, s := range p.Steps {
@@ -194,7 +197,7 @@
 	return out
 }
 
-// FaultSpan returns the times of the first and the last step; false if there is none.
+// FaultSpan returns the times of the first and the last step; ok is false if there are no steps.
 func (p *Plan) FaultSpan() (first, last time.Duration, ok bool) {
 	if len(p.Steps) == 0 {
 		return 0, 0, false
@@ -202,7 +205,7 @@
 	return p.Steps[0].At, p.Steps[len(p.Steps)-1].At, true
 }
 
-// between draws a number between two bounds.
+// between draws a number uniformly between two bounds.
 func between(rng *rand.Rand, bounds [2]float64) float64 {
 	return bounds[0] + (bounds[1]-bounds[0])*rng.Float64()
 }
--- a/internal/scenario/service.go
+++ b/internal/scenario/service.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// binWidth is the resolution of the measures over time.
+// binWidth is the time resolution of the measurement.
 const binWidth = 100 * time.Millisecond
 
-// Service measures the connection seconds that clients wanted and those in which they were served well.
+// Service measures two sums of connection seconds: the demand, in which clients wanted to be
+// connected, and the served part of it, in which they were connected and got timely answers.
 type Service struct {
 	from, to time.Duration
 	all      series
 	byTag    map[string]*series // by tags such as "class pay" and "zone north"
 }
 
-// series is connection seconds by bin.
+// series holds connection seconds by bin of time.
 type series struct{ demand, served []float64 }
 
-// NewService returns a measure over the time between two times.
+// NewService returns an empty measurement of the time between from and to.
 func NewService(from, to time.Duration) *Service {
 	return &Service{from: from, to: to, all: newSeries(to), byTag: map[string]*series{}}
 }
 
-// Truncate ends the measured time earlier.
+// Truncate moves the end of the measured time to an earlier time.
 func (s *Service) Truncate(at time.Duration) { s.to = max(min(s.to, at), s.from+binWidth) }
 
 func newSeries(to time.Duration) series {
@@ -31,7 +32,8 @@
 	return series{make([]float64, n), make([]float64, n)}
 }
 
-// add adds the time between to the demand, or to what was served, of all clients and of each tag.
+// add adds the time between from and to to the demand, or to the served time if served is set, in
+// total and for each tag.
 func (s *Service) add(served bool, tags []string, from, to time.Duration) {
 	if to = min(to, s.to); from >= to {
 		return
@@ -51,7 +53,7 @@
 	}
 }
 
-// tagged returns the series of tags.
+// tagged returns the series of the given tags. It creates those that do not exist.
 func (s *Service) tagged(tags []string) (all []*series) {
 	for _, tag := range tags {
 		x := s.byTag[tag]
@@ -65,13 +67,13 @@
 	return all
 }
 
-// AddDemand adds a time in which a client wanted to be connected.
+// AddDemand adds a period in which one client wanted to be connected.
 func (s *Service) AddDemand(tags []string, from, to time.Duration) { s.add(false, tags, from, to) }
 
-// AddServed adds a time in which a client was connected and served well.
+// AddServed adds a period in which one client was connected and got timely answers.
 func (s *Service) AddServed(tags []string, from, to time.Duration) { s.add(true, tags, from, to) }
 
-// share is the served part of the demand between two times; 1 if there was none.
+// share returns the served fraction of the demand between two times, or 1 if there was no demand.
 func (x *series) share(from, to time.Duration) float64 {
 	demand, served := 0.0, 0.0
 	for i := int(from / binWidth); i < int(to/binWidth) && i < len(x.demand); i++ {
@@ -84,10 +86,11 @@
 	return served / demand
 }
 
-// Share is the served part of the demand.
+// Share returns the served fraction of the demand over the measured time.
 func (s *Service) Share() float64 { return s.all.share(s.from, s.to) }
 
-// Worst is the least share in any window of a length, and the time at which that begins.
+// Worst returns the lowest served fraction in any window of the given length, and the start of that
+// window.
 func (s *Service) Worst(window time.Duration) (share float64, at time.Duration) {
 	share = math.Inf(1)
 	for t := s.from; t == s.from || t+window <= s.to; t += binWidth {
@@ -98,7 +101,7 @@
 	return share, at
 }
 
-// ByTag is the share of each tag.
+// ByTag returns the served fraction of the demand for each tag.
 func (s *Service) ByTag() map[string]float64 {
 	out := map[string]float64{}
 	for tag, x := range s.byTag {
@@ -107,7 +110,7 @@
 	return out
 }
 
-// PerSecond is how many connections were wanted and served well, each second.
+// PerSecond returns the mean numbers of wanted and of served connections in each second.
 func (s *Service) PerSecond() (demand, served []float64) {
 	bins := int(time.Second / binWidth)
 	for i := 0; i+bins <= len(s.all.demand); i += bins {
@@ -122,13 +125,14 @@
 }
 
 const (
-	// recoveredShare is the part of the earlier service at which service counts as recovered, if it stays there for recoveredFor.
+	// Service counts as recovered when its share is at least recoveredShare times the share before
+	// the first fault, in each second of a period of recoveredFor.
 	recoveredShare = 0.99
 	recoveredFor   = 5 * time.Second
 )
 
-// RecoveryTime is how long after the last fault's end service was recovered to what it was before the first fault; false if it never
-// was.
+// RecoveryTime returns how long after the last step of the timeline the service had recovered to its
+// level before the first step. It returns false if the service did not recover in the measured time.
 func (s *Service) RecoveryTime(first, last time.Duration) (time.Duration, bool) {
 	before := 1.0
 	if first > s.from {
--- a/internal/scenario/soak.go
+++ b/internal/scenario/soak.go
@@ -6,12 +6,13 @@
 	"math/rand/v2"
 )
 
-// soakStream keeps a soak's random numbers apart from the plan's, which are drawn from the same seed.
+// soakStream separates the random numbers of a soak from those of its plan, which use the same seed.
 const soakStream = 7
 
-// DrawSoak draws a complete scenario from a seed: settings, sizes, members, and faults of all kinds, two or three of them at a time.
-// Config is the path of the configuration that has the other settings. With systemFaults the relay is a test program whose clock and
-// system calls can fail.
+// DrawSoak draws a complete scenario from a seed: settings, numbers of relays and members, clients,
+// and faults of all kinds, two or three of them at about the same time. Config is the path of a
+// configuration that provides the other settings. With systemFaults, the faults include steps of the
+// wall clock and failing system calls, which require a relay program that was built for them.
 func DrawSoak(seed uint64, config string, systemFaults bool) (*File, error) {
 	d := &soakDraw{rand.New(rand.NewPCG(seed, soakStream)), systemFaults}
 	f := &File{About: fmt.Sprintf("Soak, seed %d", seed), Config: config, Seed: seed, MeasureFromMs: 2000, CheckLeaks: true}
@@ -25,14 +26,15 @@
 	f.Clients.MeanStayMs, f.Clients.LineIntervalMs = float64(d.between(2000, 20000)), float64(d.between(50, 400))
 	f.Clients.Load, f.Clients.Groups = [2]float64{0.01, 0.03}, d.between(5, 100)
 	f.Clients.ReconnectMs, f.Clients.AbandonRate = [2]float64{float64(d.between(1, 50)), float64(d.between(100, 1500))}, 0.15
-	// A flow has two descriptors, and one relay may have all flows at a time: the descriptor limit has to fit that.
+	// A flow needs two descriptors, and one relay may carry all flows at some time: the descriptor
+	// limit must allow for that.
 	flows := float64(f.Clients.Initial) + f.Clients.ArrivalsPerSecond*min(f.Clients.MeanStayMs/1000, f.Seconds)
 	sockets := 150 + int(3*flows) + d.between(0, 200)
 	var err error
 	if f.Patch, err = json.Marshal(d.configPatch(f, sockets)); err != nil {
 		return nil, err
 	}
-	// The last window leaves time for its faults and their consequences.
+	// The last window ends early enough for its faults and their consequences to pass within the run.
 	windows := d.between(1, 2)
 	for w := range windows {
 		at := 2500 + float64(w)*(f.Seconds*1000-7500)/float64(windows)
@@ -46,7 +48,8 @@
 	return f, f.validate()
 }
 
-// soakDraw draws the parts of a soak. The order of its draws is part of what a seed means.
+// soakDraw draws the parts of a soak. The order of the draws must not change: it determines what a
+// seed stands for.
 type soakDraw struct {
 	*rand.Rand
 	systemFaults bool
@@ -58,10 +61,10 @@
 
 func (d *soakDraw) chance(probability float64) bool { return d.Float64() < probability }
 
-// oneOf draws one name.
+// oneOf draws one of the names and returns it as a list.
 func (d *soakDraw) oneOf(names []string) []string { return []string{names[d.IntN(len(names))]} }
 
-// configPatch draws what is merged into the configuration.
+// configPatch draws the patch that is merged into the configuration.
 func (d *soakDraw) configPatch(f *File, sockets int) map[string]any {
 	effects := []string{"read_like", "idempotency_key", "non_idempotent"}
 	var classes []map[string]any
--- a/internal/scenario/soak_faults.go
+++ b/internal/scenario/soak_faults.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// clockSteps are steps of a wall clock, in milliseconds.
+// clockSteps lists the steps of the wall clock that a soak draws from, in milliseconds.
 var clockSteps = []float64{-3_600_000, -2000, 2000, 3_600_000}
 
-// failingCalls are the ways in which system calls fail.
+// failingCalls lists the failures of system calls that a soak draws from.
 var failingCalls = []struct{ call, errno string }{
 	{"Accept", "ECONNABORTED"}, {"Accept", "ENFILE"}, {"Accept", "ENOBUFS"}, {"Socket", "ENFILE"}, {"Socket", "ENOBUFS"},
 	{"Connect", "EADDRNOTAVAIL"}, {"Connect", "ENETUNREACH"}, {"EpollCtl", "ENOMEM"}, {"EpollWait", "EINTR"}, {"Read", "EINTR"}, {"Read", "ENOMEM"},
 	{"Write", "ENOBUFS"}, {"Write", "EAGAIN"},
 }
 
-// faultDraw draws one fault of a kind.
+// faultDraw draws the details of one kind of fault.
 type faultDraw func() Fault
 
-// fault draws a fault of any kind.
+// fault draws a kind of fault and its details.
 func (d *soakDraw) fault(f *File, sockets int) Fault {
 	kinds := slices.Concat(d.processFaults(f), d.memberFaults(f), d.discoveryFaults(), d.linkFaults(f), d.relayLoadFaults(f, sockets))
 	if d.systemFaults {
@@ -27,7 +27,7 @@
 	return kinds[d.IntN(len(kinds))]()
 }
 
-// allRelays is the pattern of all relays' names.
+// allRelays is the pattern that matches the names of all relays.
 var allRelays = []string{relayPrefix + "*"}
 
 func (d *soakDraw) processFaults(f *File) []faultDraw {
--- a/internal/scenario/validate.go
+++ b/internal/scenario/validate.go
@@ -7,16 +7,18 @@
 	"strings"
 )
 
-// maxExitAfterMoveMs is how long a draining member takes at most, after its clients were moved, to end.
+// maxExitAfterMoveMs is the longest time that a draining member takes to exit after it has sent MOVE
+// to its clients, in milliseconds.
 const maxExitAfterMoveMs = 1500
 
-// boundedNumber is a number of the file with its bounds.
+// boundedNumber is a number in the file with its inclusive bounds.
 type boundedNumber struct {
 	key              string
 	value, low, high float64
 }
 
-// checkBounds reports the first number that is out of its bounds. The prefix is put before each key.
+// checkBounds returns an error about the first number that is out of its bounds. The prefix is put
+// before each key.
 func (f *File) checkBounds(prefix string, numbers []boundedNumber) error {
 	for _, c := range numbers {
 		if !(c.value >= c.low && c.value <= c.high) {
@@ -26,7 +28,7 @@
 	return nil
 }
 
-// validate reports the first error of the file.
+// validate returns the first error in the file.
 func (f *File) validate() error {
 	if err := f.checkBounds("", []boundedNumber{
 		{"seconds", f.Seconds, 1, 3600}, {"from_ms", f.MeasureFromMs, 0, f.Seconds * 1000},
@@ -120,7 +122,7 @@
 	return f.validateTargets(key, x, action.target)
 }
 
-// validateLinks validates a fault of links.
+// validateLinks validates a fault whose targets are links.
 func (f *File) validateLinks(key string, x *Fault) error {
 	if len(x.From) == 0 || len(x.To) == 0 {
 		return f.keyError(key, "%q needs from and to", x.Action)
@@ -144,7 +146,7 @@
 	return nil
 }
 
-// validateTargets validates the targets of a fault of relays or members.
+// validateTargets validates a fault whose targets are relays or members.
 func (f *File) validateTargets(key string, x *Fault, kind TargetKind) error {
 	if x.Action == ActionCall {
 		method, target, ok := strings.Cut(x.Call, " ")
@@ -167,7 +169,7 @@
 	return nil
 }
 
-// CheckZones reports the first fault whose zone is not among these.
+// CheckZones returns an error about the first fault whose zone is not one of the given zones.
 func (f *File) CheckZones(zones []string) error {
 	for i, x := range f.Faults {
 		if x.Zone != "" && !slices.Contains(zones, x.Zone) {
