--- a/internal/scenario/decode.go
+++ b/internal/scenario/decode.go
@@ -25,13 +25,13 @@
 		sort.Slice(keys, func(i, j int) bool {
 			return lines[keys[i]] < lines[keys[j]] || lines[keys[i]] == lines[keys[j]] && keys[i] < keys[j]
 		})
-		return nil, f.keyError(keys[0], "is no key of a scenario")
+		return nil, f.keyError(keys[0], "unknown key")
 	}
 	if err := json.Unmarshal(text, f); err != nil {
 		var typeErr *json.UnmarshalTypeError
 		if errors.As(err, &typeErr) {
 			line := 1 + bytes.Count(text[:min(int(typeErr.Offset), len(text))], []byte("\n"))
-			return nil, fmt.Errorf("%w: line %d: %s: a %s is no %s", ErrInvalid, line, typeErr.Field, typeErr.Value, typeName(typeErr.Type))
+			return nil, fmt.Errorf("%w: line %d: %s: got %s, want %s", ErrInvalid, line, typeErr.Field, typeErr.Value, typeName(typeErr.Type))
 		}
 		return nil, fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
--- a/internal/scenario/judge.go
+++ b/internal/scenario/judge.go
@@ -123,10 +123,10 @@
 // memory values are in MB; a limit of 0 means unlimited.
 func (j *Judge) CheckResources(at time.Duration, relay string, descriptors, before int, memory, limit float64) {
 	if descriptors > before {
-		j.addViolation(at, DescriptorLeak, relay, "%d, before there were clients %d", descriptors, before)
+		j.addViolation(at, DescriptorLeak, relay, "%d open descriptors, %d before the clients came", descriptors, before)
 	}
 	if limit > 0 && memory > limit {
-		j.addViolation(at, MemoryOverLimit, relay, "%.0f of %.0f MB", memory, limit)
+		j.addViolation(at, MemoryOverLimit, relay, "peak memory %.0f MB, limit %.0f MB", memory, limit)
 	}
 }
 
@@ -161,10 +161,10 @@
 			slow++
 		}
 		if s.took > maxReadyTime {
-			j.addViolation(s.at, NotReadyInTime, s.relay, "%v", s.took)
+			j.addViolation(s.at, NotReadyInTime, s.relay, "ready after %v, limit %v", s.took, maxReadyTime)
 		}
 	}
 	if 10*slow > len(j.starts) {
-		j.addViolation(0, NotReadyInTime, "", "%d of %d starts took over %v", slow, len(j.starts), usualReadyTime)
+		j.addViolation(0, NotReadyInTime, "", "%d of %d starts took longer than %v, one in ten may", slow, len(j.starts), usualReadyTime)
 	}
 }
--- a/internal/scenario/judge_attempts.go
+++ b/internal/scenario/judge_attempts.go
@@ -32,7 +32,7 @@
 	if r == nil {
 		r = &request{relay: relay, sentAt: at, gaveUp: true}
 		j.requests[id] = r
-		j.addViolation(at, ForgedAnswer, relay, "%s: an attempt at %s that no client asked for", id, member)
+		j.addViolation(at, ForgedAnswer, relay, "request %s: attempt at member %s, but no client sent this request", id, member)
 	}
 	j.checkAttemptAllowed(at, id, r)
 	r.attempts++
@@ -41,11 +41,12 @@
 		r.overlapSince, r.overlapMember = at, member
 	}
 	if r.attempts > j.Rules.MaxAttempts {
-		j.addViolation(at, TooManyAttempts, relay, "%s: %d, allowed are %d", id, r.attempts, j.Rules.MaxAttempts)
+		j.addViolation(at, TooManyAttempts, relay, "request %s: attempt %d, limit %d", id, r.attempts, j.Rules.MaxAttempts)
 	}
 	update := j.memberUpdates[relayMember{relay, member}]
 	if update.drainsSince > 0 && at > update.drainsSince+j.Rules.DrainGrace+j.tolerance() {
-		j.addViolation(at, SentToDraining, relay, "%s at %s, told %d ms before", id, member, (at - update.drainsSince).Milliseconds())
+		j.addViolation(at, SentToDraining, relay, "request %s: attempt %d ms after the relay was notified that member %s drains",
+			id, (at - update.drainsSince).Milliseconds(), member)
 	}
 	m := j.members[member]
 	if m == nil || m.down {
@@ -62,11 +63,11 @@
 // checkAttemptAllowed checks whether a request may have another attempt now.
 func (j *Judge) checkAttemptAllowed(at time.Duration, id string, r *request) {
 	if r.clientLeft > 0 && at > r.clientLeft+maxAfterClientGone+j.tolerance() {
-		j.addViolation(at, SentForGoneClient, r.relay, "%s: %v after", id, at-r.clientLeft)
+		j.addViolation(at, SentForGoneClient, r.relay, "request %s: attempt %v after its client left", id, at-r.clientLeft)
 	}
 	outsideWindow := r.effect.Kind == IdempotencyKey && at > r.mayHaveRun+r.effect.Window+j.tolerance()
 	if r.mayHaveRun > 0 && (r.effect.Kind == NonIdempotent || outsideWindow) {
-		j.addViolation(at, DisallowedRepeat, r.relay, "%s: %v after the first attempt", id, at-r.mayHaveRun)
+		j.addViolation(at, DisallowedRepeat, r.relay, "request %s: attempt %v after the first one that may have run", id, at-r.mayHaveRun)
 	}
 }
 
@@ -91,7 +92,8 @@
 	}
 	m.down = true
 	if work == 0 || notifiedWork >= work*2/3 {
-		j.addViolation(at, OverloadedInSlowStart, "", "%s: %.2f s of work and %.2f cores held, it can do %.2f in %.1f s", member, work, m.load, capacity, window)
+		j.addViolation(at, OverloadedInSlowStart, "", "member %s: %.2f s of work and flows with a load of %.2f cores, capacity %.2f s of work in %.1f s",
+			member, work, m.load, capacity, window)
 	}
 	return true
 }
@@ -101,7 +103,7 @@
 // sockets, in either order.
 func (j *Judge) checkOverlap(at time.Duration, id string, r *request) {
 	if at-r.overlapSince > j.tolerance() {
-		j.addViolation(r.overlapSince, ConcurrentAttempts, r.relay, "%s at %s, for %v", id, r.overlapMember, at-r.overlapSince)
+		j.addViolation(r.overlapSince, ConcurrentAttempts, r.relay, "request %s: second attempt at member %s, overlap %v", id, r.overlapMember, at-r.overlapSince)
 	}
 }
 
--- a/internal/scenario/judge_requests.go
+++ b/internal/scenario/judge_requests.go
@@ -53,15 +53,15 @@
 		return
 	}
 	if r.answer != "" {
-		j.addViolation(at, MultipleAnswers, r.relay, "%s: %q after %q", id, line, r.answer)
+		j.addViolation(at, MultipleAnswers, r.relay, "request %s: answer %q after answer %q", id, line, r.answer)
 		return
 	}
 	if r.effect.Kind == NonIdempotent && strings.HasPrefix(line, "BUSY") && (r.mayHaveRun > 0 || r.inFlight > 0) {
-		j.addViolation(at, WrongRejection, r.relay, "%s: %q", id, line)
+		j.addViolation(at, WrongRejection, r.relay, "request %s: answer %q, but an attempt may have run", id, line)
 	}
 	r.answer, r.answeredAt = line, at
 	if strings.HasPrefix(line, "UP ") && line != r.memberAnswer {
-		j.addViolation(at, ForgedAnswer, r.relay, "%s: %q, made was %q", id, line, r.memberAnswer)
+		j.addViolation(at, ForgedAnswer, r.relay, "request %s: client received %q, member sent %q", id, line, r.memberAnswer)
 	}
 }
 
@@ -69,7 +69,7 @@
 // has not been answered.
 func (j *Judge) LineUnanswered(at time.Duration, id string, since time.Duration) {
 	if r := j.requests[id]; r != nil && at-since > maxFlowSilence+j.tolerance() && !j.excused(r.relay, since, at) {
-		j.addViolation(at, FlowStalled, r.relay, "%s: nothing since %v", id, at-since)
+		j.addViolation(at, FlowStalled, r.relay, "request %s: a line was not answered for %v", id, at-since)
 	}
 }
 
@@ -88,13 +88,14 @@
 	due := r.sentAt + r.deadline + j.Rules.AnswerSlack + j.tolerance()
 	switch {
 	case r.answer == "" && !r.gaveUp && due < at && !j.excused(r.relay, r.sentAt, due) && !anyOverlap(j.idleFloods[r.relay], r.sentAt, due):
-		j.addViolation(due, NoAnswer, r.relay, "%s within %v", id, r.deadline)
+		j.addViolation(due, NoAnswer, r.relay, "request %s: no answer within %v", id, r.deadline)
 	case r.answer != "" && r.answeredAt > due && !j.excused(r.relay, r.sentAt, r.answeredAt):
-		j.addViolation(r.answeredAt, NoAnswer, r.relay, "%s: %q %v after it was asked, the client waits %v", id, r.answer, r.answeredAt-r.sentAt, r.deadline)
+		j.addViolation(r.answeredAt, NoAnswer, r.relay, "request %s: answer %q after %v, the client waits %v",
+			id, r.answer, r.answeredAt-r.sentAt, r.deadline)
 	}
 	if r.flowEnded > 0 && strings.HasPrefix(r.answer, "UP ") &&
 		(r.endedByMember == 0 || r.endedByMember > r.flowEnded+simultaneousWindow) &&
 		!j.excused(r.relay, r.flowEnded-simultaneousWindow, r.flowEnded) {
-		j.addViolation(r.flowEnded, FlowCutOff, r.relay, "%s", id)
+		j.addViolation(r.flowEnded, FlowCutOff, r.relay, "request %s: connection ended without MOVE or BYE", id)
 	}
 }
--- a/internal/scenario/judge_test.go
+++ b/internal/scenario/judge_test.go
@@ -14,7 +14,8 @@
 	return found
 }
 
-// TestJudgeStarts: nine in ten starts may take 10 s, none 30 s.
+// TestJudgeStarts checks that at most one start in ten may take longer than 10 s until the relay is
+// ready, and none longer than 30 s.
 func TestJudgeStarts(t *testing.T) {
 	for _, c := range []struct{ quick, slow, tooSlow, want int }{{10, 0, 0, 0}, {9, 1, 0, 0}, {8, 2, 0, 1}, {20, 0, 1, 1}, {0, 1, 1, 2}} {
 		j := NewJudge(Rules{})
@@ -24,26 +25,28 @@
 			}
 		}
 		if got := countByRule(j)[NotReadyInTime]; got != c.want {
-			t.Errorf("%+v: found %d", c, got)
+			t.Errorf("%d starts under 10 s, %d over 10 s, %d over 30 s: got %d NotReadyInTime violations, want %d",
+				c.quick, c.slow, c.tooSlow, got, c.want)
 		}
 	}
 }
 
-// TestJudgeResources: what a relay holds in the end, at the limits and beyond.
+// TestJudgeResources checks descriptors and memory at the end of a run, at their limits and above.
 func TestJudgeResources(t *testing.T) {
 	j := NewJudge(Rules{})
 	j.CheckResources(0, "n0", 20, 20, 64, 64)
 	j.CheckResources(0, "n0", 20, 20, 64, 0)
 	if found := countByRule(j); len(found) != 0 {
-		t.Errorf("found %v", found)
+		t.Errorf("resources at their limits: got violations %v, want none", found)
 	}
 	j.CheckResources(0, "n0", 21, 20, 65, 64)
 	if found := countByRule(j); found[DescriptorLeak] != 1 || found[MemoryOverLimit] != 1 {
-		t.Errorf("found %v", found)
+		t.Errorf("resources above their limits: got violations %v, want one DescriptorLeak and one MemoryOverLimit", found)
 	}
 }
 
-// TestJudgeEffects: what may be run again, refused, or sent for a client that has gone, at the limits and beyond.
+// TestJudgeEffects checks when a request may be repeated, rejected, or sent after its client has
+// left, at the time limits and beyond them.
 func TestJudgeEffects(t *testing.T) {
 	const ms = time.Millisecond
 	window := Effect{Kind: IdempotencyKey, Window: 500 * ms}
@@ -52,23 +55,23 @@
 		record func(j *Judge)
 		rule   Rule
 	}{
-		"a safe one again":                 {Effect{}, func(j *Judge) { j.playAttempt(0, false); j.playAttempt(900*ms, false) }, ""},
-		"within the window":                {window, func(j *Judge) { j.playAttempt(0, false); j.playAttempt(500*ms, false) }, ""},
-		"beyond it":                        {window, func(j *Judge) { j.playAttempt(1, false); j.playAttempt(600*ms, false) }, DisallowedRepeat},
-		"beyond it, the first turned away": {window, func(j *Judge) { j.playAttempt(1, true); j.playAttempt(600*ms, false) }, ""},
-		"an unsafe one again":              {Effect{Kind: NonIdempotent}, func(j *Judge) { j.playAttempt(1, false); j.playAttempt(600*ms, false) }, DisallowedRepeat},
-		"an unsafe one turned away":        {Effect{Kind: NonIdempotent}, func(j *Judge) { j.playAttempt(1, true); j.playAttempt(600*ms, false) }, ""},
-		"refused after it may have run":    {Effect{Kind: NonIdempotent}, func(j *Judge) { j.playAttempt(1, false); j.AnswerReceived(600*ms, "a", "BUSY 5") }, WrongRejection},
-		"refused after it was turned away": {Effect{Kind: NonIdempotent}, func(j *Judge) { j.playAttempt(1, true); j.AnswerReceived(600*ms, "a", "BUSY 5") }, ""},
-		"failed after it may have run":     {Effect{Kind: NonIdempotent}, func(j *Judge) { j.playAttempt(1, false); j.AnswerReceived(600*ms, "a", "ERR") }, ""},
-		"sent as its client goes":          {Effect{}, func(j *Judge) { j.ClientLeft(100*ms, "a", false); j.playAttempt(200*ms, false) }, ""},
-		"sent after that":                  {Effect{}, func(j *Judge) { j.ClientLeft(100*ms, "a", false); j.playAttempt(300*ms, false) }, SentForGoneClient},
-		"sent for one that still reads": {Effect{}, func(j *Judge) {
+		"idempotent request repeated":                             {Effect{}, func(j *Judge) { j.playAttempt(0, false); j.playAttempt(900*ms, false) }, ""},
+		"repeated within the idempotency window":                  {window, func(j *Judge) { j.playAttempt(0, false); j.playAttempt(500*ms, false) }, ""},
+		"repeated after the idempotency window":                   {window, func(j *Judge) { j.playAttempt(1, false); j.playAttempt(600*ms, false) }, DisallowedRepeat},
+		"repeated after the window, first attempt rejected":       {window, func(j *Judge) { j.playAttempt(1, true); j.playAttempt(600*ms, false) }, ""},
+		"non-idempotent request repeated":                         {Effect{Kind: NonIdempotent}, func(j *Judge) { j.playAttempt(1, false); j.playAttempt(600*ms, false) }, DisallowedRepeat},
+		"non-idempotent request repeated, first attempt rejected": {Effect{Kind: NonIdempotent}, func(j *Judge) { j.playAttempt(1, true); j.playAttempt(600*ms, false) }, ""},
+		"BUSY for a request that may have run":                    {Effect{Kind: NonIdempotent}, func(j *Judge) { j.playAttempt(1, false); j.AnswerReceived(600*ms, "a", "BUSY 5") }, WrongRejection},
+		"BUSY for a request that members rejected":                {Effect{Kind: NonIdempotent}, func(j *Judge) { j.playAttempt(1, true); j.AnswerReceived(600*ms, "a", "BUSY 5") }, ""},
+		"ERR for a request that may have run":                     {Effect{Kind: NonIdempotent}, func(j *Judge) { j.playAttempt(1, false); j.AnswerReceived(600*ms, "a", "ERR") }, ""},
+		"attempt just after the client left":                      {Effect{}, func(j *Judge) { j.ClientLeft(100*ms, "a", false); j.playAttempt(200*ms, false) }, ""},
+		"attempt long after the client left":                      {Effect{}, func(j *Judge) { j.ClientLeft(100*ms, "a", false); j.playAttempt(300*ms, false) }, SentForGoneClient},
+		"attempt after the client closed its sending direction": {Effect{}, func(j *Judge) {
 			j.ClientLeft(100*ms, "a", true)
 			j.playAttempt(300*ms, false)
 			j.AnswerReceived(400*ms, "a", "BUSY")
 		}, SentForGoneClient},
-		"no answer for one that reads": {Effect{}, func(j *Judge) { j.ClientLeft(100*ms, "a", true) }, NoAnswer},
+		"no answer for a client that still reads": {Effect{}, func(j *Judge) { j.ClientLeft(100*ms, "a", true) }, NoAnswer},
 	} {
 		j := NewJudge(Rules{MaxAttempts: 3})
 		j.RequestSent(0, "a", "n0", 2*time.Second, c.effect)
@@ -77,7 +80,7 @@
 			j.ClientGaveUp("a")
 		}
 		if found := countByRule(j); c.rule != "" && found[c.rule] != 1 || c.rule == "" && len(found) > 0 {
-			t.Errorf("%s: found %v, want %q", name, found, c.rule)
+			t.Errorf("%s: got violations %v, want only %q (none if empty)", name, found, c.rule)
 		}
 	}
 }
@@ -88,14 +91,15 @@
 	j.AttemptEnded(at, "a", "s0", 0, true, rejected)
 }
 
-// TestJudgeIdleFlood: while a crowd fills a relay's descriptors a new connection may be shut unread, and no longer.
+// TestJudgeIdleFlood checks that a missing answer is no violation while idle connections use up a
+// relay's descriptors, and is one after that.
 func TestJudgeIdleFlood(t *testing.T) {
 	j := NewJudge(Rules{})
 	j.BeginIdleFlood(time.Second, "n0")
-	j.RequestSent(2*time.Second, "amid", "n0", time.Second, Effect{})
+	j.RequestSent(2*time.Second, "during", "n0", time.Second, Effect{})
 	j.EndIdleFlood(3*time.Second, "n0")
 	j.RequestSent(5*time.Second, "after", "n0", time.Second, Effect{})
 	if found := j.Finish(time.Hour); len(found) != 1 || found[0].Rule != NoAnswer || found[0].At < 5*time.Second {
-		t.Errorf("found %v", found)
+		t.Errorf("got violations %v, want one NoAnswer after 5 s", found)
 	}
 }
--- a/internal/scenario/validate.go
+++ b/internal/scenario/validate.go
@@ -22,7 +22,7 @@
 func (f *File) checkBounds(prefix string, numbers []boundedNumber) error {
 	for _, c := range numbers {
 		if !(c.value >= c.low && c.value <= c.high) {
-			return f.keyError(prefix+c.key, "%v is not from %v to %v", c.value, c.low, c.high)
+			return f.keyError(prefix+c.key, "%v is out of range: want %v to %v", c.value, c.low, c.high)
 		}
 	}
 	return nil
@@ -52,7 +52,7 @@
 		return err
 	}
 	if f.Config == "" {
-		return f.keyError("config", "names no configuration of a relay")
+		return f.keyError("config", "path of the relays' configuration is missing")
 	}
 	if err := f.validateVariants(); err != nil {
 		return err
@@ -65,7 +65,7 @@
 	for i, v := range f.Variants {
 		key := fmt.Sprintf("variants[%d]", i)
 		if v.Name == "" || names[v.Name] {
-			return f.keyError(key+".name", "%q: each variant has a name of its own", v.Name)
+			return f.keyError(key+".name", "%q is empty or the name of another variant", v.Name)
 		}
 		names[v.Name] = true
 		if err := f.validateDefect(key+".flaw", v.Defect); err != nil {
@@ -80,7 +80,7 @@
 
 func (f *File) validateDefect(key string, d *Defect) error {
 	if d != nil && !(d.FailureRate >= 0 && d.FailureRate <= 1 && d.DelayMs >= 0 && d.DelayMs <= 1e4) {
-		return f.keyError(key, "fail is a part of all, delay_ms from 0 to 10,000")
+		return f.keyError(key, "fail must be from 0 to 1 and delay_ms from 0 to 10000")
 	}
 	return nil
 }
@@ -97,7 +97,7 @@
 func (f *File) validateFault(key string, x *Fault) error {
 	action, ok := actions[x.Action]
 	if !ok {
-		return f.keyError(key+".do", "%q is none of %v", x.Action, slices.Sorted(maps.Keys(actions)))
+		return f.keyError(key+".do", "unknown action %q, want one of %v", x.Action, slices.Sorted(maps.Keys(actions)))
 	}
 	if err := f.checkBounds(key+".", []boundedNumber{
 		{"at_ms", x.AtMs, 0, f.Seconds * 1000}, {"for_ms", x.ForMs, 0, 1e8}, {"every_ms", x.EveryMs, 0, 1e7}, {"part", x.Fraction, 0, 1},
@@ -111,7 +111,7 @@
 		return f.keyError(key+".for_ms", "%q cannot be undone", x.Action)
 	}
 	if minForMs := f.Members.DrainMs + maxExitAfterMoveMs; x.Action == ActionDrain && x.ForMs > 0 && x.ForMs < minForMs {
-		return f.keyError(key+".for_ms", "%v: a member that drains is gone after %v", x.ForMs, minForMs)
+		return f.keyError(key+".for_ms", "%v is too short: a draining member may need %v ms to exit", x.ForMs, minForMs)
 	}
 	switch action.target {
 	case TargetLink:
@@ -128,14 +128,14 @@
 		return f.keyError(key, "%q needs from and to", x.Action)
 	}
 	if x.Action == ActionImpair && x.Impairment == (Impairment{}) {
-		return f.keyError(key, "names nothing that the link should do")
+		return f.keyError(key, "%q needs loss, repeat, delay_ms, jitter_ms or kb_per_s", x.Action)
 	}
 	for _, side := range []struct {
 		key, allowed    string
 		patterns, names []string
 	}{
-		{"from", "n0 and on, front", x.From, f.linkSources()},
-		{"to", "n0 and on, s0 and on, discovery", x.To, f.linkDestinations()},
+		{"from", "n0, n1 and so on, front", x.From, f.linkSources()},
+		{"to", "n0, n1 and so on, s0, s1 and so on, discovery", x.To, f.linkDestinations()},
 	} {
 		for i, p := range side.patterns {
 			if len(matching([]string{p}, side.names)) == 0 {
@@ -151,11 +151,11 @@
 	if x.Action == ActionCall {
 		method, target, ok := strings.Cut(x.Call, " ")
 		if !ok || !strings.HasPrefix(target, "/-/") || method != "POST" && method != "PUT" {
-			return f.keyError(key+".call", "%q is no POST or PUT of a path below /-/", x.Call)
+			return f.keyError(key+".call", "%q is not POST or PUT with a path below /-/", x.Call)
 		}
 	}
 	if len(x.Targets) == 0 {
-		return f.keyError(key+".who", "names nobody")
+		return f.keyError(key+".who", "no target is given")
 	}
 	if kind == TargetRelay && slices.Equal(x.Targets, []string{Leader}) {
 		return nil
@@ -173,7 +173,7 @@
 func (f *File) CheckZones(zones []string) error {
 	for i, x := range f.Faults {
 		if x.Zone != "" && !slices.Contains(zones, x.Zone) {
-			return f.keyError(fmt.Sprintf("faults[%d].zone", i), "%q is none of %v", x.Zone, zones)
+			return f.keyError(fmt.Sprintf("faults[%d].zone", i), "unknown zone %q, want one of %v", x.Zone, zones)
 		}
 	}
 	return nil
