--- a/internal/fakes/attempt_counter.go
+++ b/internal/fakes/attempt_counter.go
@@ -9,10 +9,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxAttemptsPerRequest is how many attempts of one request AttemptCounter allows.
+// maxAttemptsPerRequest is the number of attempts of one request above which Violations reports it.
 const maxAttemptsPerRequest = 3
 
-// AttemptCounter counts the attempts of each request across all pool members.
+// AttemptCounter counts the attempts of each request across all pool members, and those that were in
+// flight at the same time. It is safe for concurrent use.
 type AttemptCounter struct {
 	mu       sync.Mutex
 	inFlight map[string]map[*CountedAttempt]bool // by request
@@ -20,20 +21,21 @@
 	overlaps int
 }
 
-// CountedAttempt is one attempt of a request, on the connection that brought it.
+// CountedAttempt is one attempt of a request, with the connection on which it arrived.
 type CountedAttempt struct {
 	counter   *AttemptCounter
 	requestID string
 	conn      net.Conn
 }
 
-// NewAttemptCounter returns a counter that has seen no attempt.
+// NewAttemptCounter returns a counter without attempts.
 func NewAttemptCounter() *AttemptCounter {
 	return &AttemptCounter{inFlight: map[string]map[*CountedAttempt]bool{}, total: map[string]int{}}
 }
 
-// Begin records the arrival of an attempt. Attempts of the same request that are in flight overlap with it, except those whose
-// sender has already ended the connection: the goroutine that serves such a connection may not have noticed yet.
+// Begin records the arrival of an attempt. It overlaps with the attempts of the same request that are
+// in flight. Attempts whose sender has already closed the connection do not count as in flight: the
+// goroutine that serves such a connection may not have noticed the end yet.
 func (c *AttemptCounter) Begin(requestID string, conn net.Conn) *CountedAttempt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,7 +59,8 @@
 	return a
 }
 
-// End records the end of an attempt. It is called before the attempt's sender can learn of the end. Further calls do nothing.
+// End records the end of an attempt. It must be called before the sender of the attempt can observe
+// the end, because the sender's next attempt may arrive at once. Further calls have no effect.
 func (a *CountedAttempt) End() {
 	a.counter.mu.Lock()
 	defer a.counter.mu.Unlock()
@@ -71,7 +74,8 @@
 // tcpEstablished is the state of a TCP connection that neither side has begun to close (the kernel's TCP_ESTABLISHED).
 const tcpEstablished = 1
 
-// peerHasClosed reports whether the kernel knows that the other side has closed a connection, or its sending direction.
+// peerHasClosed reports whether the kernel knows that the other side has closed the connection or its
+// sending direction, or has reset the connection.
 func peerHasClosed(c net.Conn) bool {
 	if wrapped, ok := c.(interface{ NetConn() net.Conn }); ok { // TLS
 		c = wrapped.NetConn()
@@ -93,7 +97,8 @@
 	return err != nil || state != tcpEstablished
 }
 
-// Violations lists the rules that were broken: attempts of one request that overlapped, or too many of them.
+// Violations describes the violations so far: overlapping attempts of one request, and requests with
+// more attempts than allowed.
 func (c *AttemptCounter) Violations() (all []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fakes/capacity.go
+++ b/internal/fakes/capacity.go
@@ -10,30 +10,33 @@
 	"dahliarudder/internal/scenario"
 )
 
-// Capacity is the load that a member can take. The zero value takes any load, at once.
+// Capacity is the load that a member can take. With the zero value the member takes any load without
+// delay.
 type Capacity struct {
-	Cores          float64            // of load; 0: unlimited
+	Cores          float64            // load at full capacity; 0: unlimited
 	MaxConnections int                // 0: unlimited
 	ConnectionWork time.Duration      // processor time for a new connection
-	GroupWork      time.Duration      // further processor time for a group's first connection
-	SlowStart      scenario.SlowStart // after the start
+	GroupWork      time.Duration      // additional processor time for a group's first connection
+	SlowStart      scenario.SlowStart // ramp of the capacity after Start
 	ReportInterval time.Duration      // maximum age of a load report
-	ReportError    float64            // relative error of a load report, at most
-	ReportFields   []string           // names of a load report's fields
+	ReportError    float64            // maximum relative error of a load report
+	ReportFields   []string           // names of the fields that a load report contains
 }
 
-// overloadDelay is how much later a line is answered for each time that the load exceeds the capacity, maxOverload times at most.
+// A line is answered later by overloadDelay multiplied with the relative overload (load/capacity - 1),
+// which is limited to maxOverload.
 const (
 	overloadDelay = time.Second
 	maxOverload   = 2
 )
 
-// currentCores is how many cores the member has while it may be in slow start. The caller holds the lock.
+// currentCores returns the member's capacity in cores, reduced during slow start. The caller holds the
+// lock.
 func (m *Member) currentCores(now time.Time) float64 {
 	return m.Capacity.Cores * m.Capacity.SlowStart.Share(now.Sub(m.started))
 }
 
-// loadReport is the member's load report, as old as the capacity allows.
+// loadReport returns the member's load report. It reuses the last one for Capacity.ReportInterval.
 func (m *Member) loadReport() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -60,7 +63,7 @@
 	return m.report
 }
 
-// answerDelay is how late a line is answered: more the further the load exceeds the capacity.
+// answerDelay returns the delay before a line is answered. It grows with the overload.
 func (m *Member) answerDelay() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -71,7 +74,8 @@
 	return time.Duration(max(0, min(overload, maxOverload)) * float64(overloadDelay))
 }
 
-// admit does the work of a new connection. It returns false if the member has as many connections as it can take.
+// admit adds a flow and blocks until the member has done the work of the new connection. It returns
+// false, without adding the flow, if the member has its maximum number of connections.
 func (m *Member) admit(c net.Conn, f *flow) bool {
 	m.mu.Lock()
 	if m.Capacity.MaxConnections > 0 && len(m.flows) >= m.Capacity.MaxConnections {
@@ -94,7 +98,7 @@
 	return true
 }
 
-// release gives back what admit took.
+// release removes a flow that admit has added.
 func (m *Member) release(c net.Conn, f *flow) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Entry is a pool member in discovery's list, in the form of its HTTP API.
+// Entry is a pool member in discovery's list, in the JSON form of discovery's HTTP API.
 type Entry struct {
 	ID        string  `json:"instanceId"`
 	Addr      string  `json:"hostPort"`
@@ -21,7 +21,8 @@
 	Started   int64   `json:"startedAtMs"`
 }
 
-// List is discovery's answer: all members, or those that have changed since the generation the reader named.
+// List is an answer of discovery: all members if Reset is set, otherwise the members that have
+// changed since the generation in the call.
 type List struct {
 	Generation int     `json:"generation"`
 	Reset      bool    `json:"reset"`
@@ -32,23 +33,25 @@
 const (
 	Serving  = "SERVING"  // takes new flows
 	Draining = "DRAINING" // takes no new flows
-	Deleted  = "DELETED"  // gone; listed among changes only
+	Deleted  = "DELETED"  // removed; appears only in lists of changes
 )
 
-// Discovery is a fake of the discovery service, with long polls. Its exported fields are set before it is opened.
+// Discovery is a fake discovery service with long polling. The exported fields must be set before
+// Open.
 type Discovery struct {
-	// OnDelivered is called, if set, with the entries of each list after it was written to a reader.
+	// OnDelivered is called, if set, with the entries of each list after the list was written to a
+	// reader.
 	OnDelivered func(reader string, entries []Entry)
-	// OnWritten is called, if set, with the size of each list after it was written to a reader.
+	// OnWritten is called, if set, with the size of each list after the list was written to a reader.
 	OnWritten func(reader string, bytes int)
 	// OnCall is called, if set, at the start of each call.
 	OnCall func(reader string)
 
 	mu               sync.Mutex
-	generation       int // of the newest change
+	generation       int // generation of the newest change
 	members          map[string]Entry
-	changedAt        map[string]int // the generation of each member's last change
-	updated          chan struct{}  // closed and replaced at each change
+	changedAt        map[string]int // generation of each member's last change
+	updated          chan struct{}  // closed and replaced at each update
 	down             bool
 	answerDelay      time.Duration
 	propagationDelay time.Duration
@@ -56,7 +59,7 @@
 	servers          []*http.Server
 }
 
-// NewDiscovery returns a discovery service that lists these members.
+// NewDiscovery returns a discovery service that lists the given members.
 func NewDiscovery(entries ...Entry) *Discovery {
 	d := &Discovery{generation: 1, members: map[string]Entry{}, changedAt: map[string]int{}, updated: make(chan struct{})}
 	for _, e := range entries {
@@ -65,8 +68,9 @@
 	return d
 }
 
-// Open serves the list at one more address, to the reader of that name. If addrOf is not nil it gives the address at which this
-// reader reaches a member.
+// Open opens another address at which discovery serves, and returns it. Reader is the name of the
+// relay that uses the address. If addrOf is not nil, it returns the address at which this reader
+// reaches a member.
 func (d *Discovery) Open(reader string, addrOf func(Entry) string) (string, error) {
 	l, err := net.Listen("tcp", Host+":0")
 	if err != nil {
@@ -89,7 +93,8 @@
 	}
 }
 
-// entriesSince returns what changed after a generation; all members if that is negative. The caller holds the lock.
+// entriesSince returns the members that changed after a generation, or all members if the generation
+// is negative. The caller holds the lock.
 func (d *Discovery) entriesSince(since int, addrOf func(Entry) string) List {
 	out := List{Generation: d.generation, Reset: since < 0, Instances: []Entry{}}
 	for id, e := range d.members {
@@ -104,7 +109,7 @@
 	return out
 }
 
-// Snapshot returns the complete list, as a relay's configuration contains it.
+// Snapshot returns the complete list of members, in the form that a relay's configuration contains.
 func (d *Discovery) Snapshot(addrOf func(Entry) string) List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -139,18 +144,19 @@
 	d.Put(e)
 }
 
-// SetDown makes all calls and watches fail, or ends that.
+// SetDown sets whether all calls fail, waiting long polls included.
 func (d *Discovery) SetDown(down bool) { d.update(func() { d.down = down }) }
 
-// SetAnswerDelay delays each answer.
+// SetAnswerDelay sets a delay before each answer.
 func (d *Discovery) SetAnswerDelay(delay time.Duration) { d.update(func() { d.answerDelay = delay }) }
 
-// SetPropagationDelay sets how long after Put and SetLifecycle a change is listed.
+// SetPropagationDelay sets the delay from a call of Put or SetLifecycle until the change is listed.
 func (d *Discovery) SetPropagationDelay(delay time.Duration) {
 	d.update(func() { d.propagationDelay = delay })
 }
 
-// Restart resets the generations, so that they are below those that readers have seen.
+// Restart simulates a restart of discovery that loses its generations: they begin at 1 again, below
+// those that readers have seen.
 func (d *Discovery) Restart() {
 	d.update(func() {
 		d.generation = 1
@@ -169,7 +175,7 @@
 	return d.calls
 }
 
-// update applies a change and wakes the waiting polls.
+// update calls f with the lock held and wakes the waiting long polls.
 func (d *Discovery) update(f func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -178,7 +184,8 @@
 	d.updated = make(chan struct{})
 }
 
-// serve answers one call. It waits for a change if the reader has the newest generation and allows a wait.
+// serve answers one call. If the reader already has the newest generation, serve waits for a change,
+// at most for the time that the call allows.
 func (d *Discovery) serve(reader string, addrOf func(Entry) string, w http.ResponseWriter, r *http.Request) {
 	if d.OnCall != nil {
 		d.OnCall(reader)
@@ -192,7 +199,7 @@
 	}
 	wait, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
 	d.waitForChange(since, time.After(time.Duration(wait)*time.Millisecond), r.Context().Done())
-	if since > d.generation { // from before a restart: no changes can be told from it
+	if since > d.generation { // a generation from before a restart: send the complete list
 		since = -1
 	}
 	if delay := d.answerDelay; delay > 0 {
@@ -221,8 +228,9 @@
 	}
 }
 
-// waitForChange returns once the generation differs from since, discovery is down, the timeout has passed or the caller has gone.
-// The caller holds the lock, which is released while it waits.
+// waitForChange waits until the generation differs from since, discovery is down, the timeout has
+// passed or the reader has ended its call. The caller holds the lock, which waitForChange releases
+// while it waits.
 func (d *Discovery) waitForChange(since int, timeout <-chan time.Time, gone <-chan struct{}) {
 	for since == d.generation && !d.down {
 		updated := d.updated
--- a/internal/fakes/member.go
+++ b/internal/fakes/member.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// MemberMode is how a member answers.
+// MemberMode is how a member answers requests.
 type MemberMode string
 
 // The modes of a member.
 const (
-	ModeHealthy      MemberMode = ""       // UP, and each line at once
+	ModeHealthy      MemberMode = ""       // accepts requests with UP and answers each line at once
 	ModeBusy         MemberMode = "busy"   // first lines are answered with BUSY
 	ModeErr          MemberMode = "err"    // first lines are answered with ERR
 	ModeReset        MemberMode = "reset"  // first lines are answered with a reset
@@ -24,40 +24,40 @@
 // Attempt is an attempt that has reached a member.
 type Attempt struct {
 	ID, Member string
-	Via        string // the name that the address it came to was opened for
-	From       string // the sending side's address
+	Via        string // the name for which the address that it used was opened
+	From       string // the sender's address
 	Group      string
-	Load       float64
+	Load       float64       // in cores
 	Work       time.Duration // processor time for the new connection
-	Rejected   bool          // at its end: it was rejected, and has not run
+	Rejected   bool          // set at the end: the member rejected the attempt, so that the request has not run
 }
 
-// Member is a fake pool member that speaks the platform's line protocol. Its exported fields are set before it is opened; all but ID
-// are optional.
+// Member is a fake pool member that speaks the platform's line protocol. The exported fields must be
+// set before Open; all but ID are optional.
 type Member struct {
 	ID           string
 	Capacity     Capacity
-	Defect       Defect // of its build
+	Defect       Defect // of the member's build
 	Attempts     *AttemptCounter
-	OnAttempt    func(Attempt)                       // called with each attempt
-	OnAccept     func(a Attempt, up string)          // called before an UP is sent
+	OnAttempt    func(Attempt)                       // called at the start of an attempt
+	OnAccept     func(a Attempt, up string)          // called before an UP line is sent
 	OnEnd        func(a Attempt, endedByMember bool) // called at the end of an attempt
-	OnProbe      func()                              // called with each health check
-	OnConnection func(via string)                    // called with each connection
+	OnProbe      func()                              // called at each health check
+	OnConnection func(via string)                    // called at each connection
 
 	mu           sync.Mutex
 	listeners    []*memberListener
 	mode         MemberMode
 	flows        map[net.Conn]*flow
 	conns        map[net.Conn]bool
-	groups       map[string]int // flows by group
-	load         float64
-	busyUntil    time.Time // when the work of the connections so far is done
+	groups       map[string]int // number of flows by group
+	load         float64        // of all flows, in cores
+	busyUntil    time.Time      // when the member has done the work of all connections so far
 	started      time.Time
-	report       string
+	report       string // the last load report
 	reportedAt   time.Time
 	firstLines   []string
-	invalidLines []string // first lines that no client may send
+	invalidLines []string // first lines that violate the protocol
 }
 
 // memberListener is one address of a member. The listener is nil while the member is down.
@@ -66,23 +66,24 @@
 	listener  net.Listener
 }
 
-// Defect is the fault of a build, towards some relays or all.
+// Defect describes how a defective build fails, for some relays or all.
 type Defect struct {
-	FailureRate float64       // part of the first lines answered with ERR
+	FailureRate float64       // fraction of the first lines that are answered with ERR
 	Delay       time.Duration // before each answer to a first line
-	Via         []string      // only towards these; empty: towards all
+	Via         []string      // only for connections to addresses opened for these names; empty: for all
 }
 
 func (d Defect) appliesTo(via string) bool {
 	return (d.FailureRate > 0 || d.Delay > 0) && (len(d.Via) == 0 || slices.Contains(d.Via, via))
 }
 
-// NewMember returns a member that started long ago.
+// NewMember returns a member that is not in slow start.
 func NewMember(id string) *Member {
 	return &Member{ID: id, flows: map[net.Conn]*flow{}, conns: map[net.Conn]bool{}, groups: map[string]int{}}
 }
 
-// Open serves the member at one more address and returns that. Via names who uses the address.
+// Open opens another address at which the member serves, and returns it. Via is the name of the
+// relay or client that uses the address.
 func (m *Member) Open(via string) (string, error) {
 	l := &memberListener{via: via, addr: Host + ":0"}
 	if err := m.listen(l); err != nil {
@@ -115,7 +116,8 @@
 // Addr returns the address that was opened first.
 func (m *Member) Addr() string { return m.listeners[0].addr }
 
-// Start begins a new process of the member, in slow start, at all its addresses.
+// Start simulates the start of a new process of the member: it serves at all its addresses and is in
+// slow start.
 func (m *Member) Start(now time.Time) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -130,7 +132,7 @@
 	return nil
 }
 
-// Kill ends the member as a killed process ends: its connections are reset and new ones refused.
+// Kill simulates a killed process: open connections are reset and new ones refused.
 func (m *Member) Kill() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -178,7 +180,7 @@
 	return len(m.flows)
 }
 
-// FirstLines returns all first lines received, and those among them that no client may send.
+// FirstLines returns all first lines received, and those among them that violate the protocol.
 func (m *Member) FirstLines() (all, invalid []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/fakes/member_flow.go
+++ b/internal/fakes/member_flow.go
@@ -12,19 +12,19 @@
 	"time"
 )
 
-// flow is an attempt with its connection.
+// flow is an attempt together with its connection.
 type flow struct {
 	Attempt
 	conn          net.Conn
 	in            *bufio.Reader
-	endedByMember bool // guarded by the member's lock
-	recordEnd     func(endedByMember bool)
+	endedByMember bool                     // guarded by the member's lock
+	recordEnd     func(endedByMember bool) // records the end of the attempt; only the first call counts
 }
 
-// openLine is the form of a first line. Its last field is a list of settings.
+// openLine matches a valid first line. Its last field is a list of settings.
 var openLine = regexp.MustCompile(`^OPEN [0-9a-f]{16} [0-9a-f]{16} \S+$`)
 
-// firstLineSetting returns a setting of a first line; "" if it is absent.
+// firstLineSetting returns the value of a setting in a first line, or "" if it is absent.
 func firstLineSetting(line, name string) string {
 	for _, f := range strings.Split(line[strings.LastIndexByte(line, ' ')+1:], ",") {
 		if v, ok := strings.CutPrefix(f, name+"="); ok {
@@ -34,7 +34,7 @@
 	return ""
 }
 
-// serve answers health checks on a connection, or one flow.
+// serve handles a connection, which carries either health checks or one flow.
 func (m *Member) serve(c net.Conn, via string) {
 	if m.OnConnection != nil {
 		m.OnConnection(via)
@@ -71,7 +71,7 @@
 	}
 }
 
-// serveFlow answers a first line, and the flow's further lines if it is accepted.
+// serveFlow answers a first line and, if the flow is accepted, the further lines of the flow.
 func (m *Member) serveFlow(c net.Conn, in *bufio.Reader, line, via string) {
 	valid := openLine.MatchString(line)
 	m.mu.Lock()
@@ -116,7 +116,7 @@
 	endedByMember = m.answerLines(f)
 }
 
-// newFlow records the start of the attempt that a first line brings.
+// newFlow returns the flow that a first line requests, and records the start of its attempt.
 func (m *Member) newFlow(c net.Conn, in *bufio.Reader, line, via string) *flow {
 	f := &flow{Attempt: Attempt{ID: strings.Fields(line)[1], Member: m.ID, Via: via, From: c.RemoteAddr().String(),
 		Group: firstLineSetting(line, "g")}, conn: c, in: in}
@@ -148,8 +148,9 @@
 	return f
 }
 
-// answerInMode answers a first line without accepting it. The attempt's end is recorded before the answer is written: the next
-// attempt may arrive before this goroutine continues.
+// answerInMode answers a first line as the mode requires, without accepting the flow. It records the
+// end of the attempt before it writes the answer, because the next attempt may arrive before this
+// goroutine continues.
 func (f *flow) answerInMode(mode MemberMode) {
 	switch mode {
 	case ModeBusy:
@@ -166,10 +167,12 @@
 	}
 }
 
-// unlimitedLoad is the load that a member with unlimited capacity reports for the flow's line number n.
+// unlimitedLoad returns the load that a member with unlimited capacity reports in its answer to line
+// number n of a flow.
 func unlimitedLoad(n int) float64 { return 50000 + float64(n) }
 
-// answerLines answers the lines of an accepted flow. It reports whether the member ended the flow.
+// answerLines answers the lines of an accepted flow until the flow ends. It reports whether the
+// member ended it.
 func (m *Member) answerLines(f *flow) (endedByMember bool) {
 	for n := 1; ; n++ {
 		line, err := f.in.ReadString('\n')
--- a/internal/fakes/nats_cluster.go
+++ b/internal/fakes/nats_cluster.go
@@ -16,29 +16,30 @@
 const (
 	NodeHealthy   NodeMode = iota
 	NodeRefuses            // answers publications with a permissions error
-	NodeSilent             // accepts publications and acknowledges nothing from then on
+	NodeSilent             // drops publications and acknowledges none on that connection from then on
 	NodeResets             // resets the connection at the first publication
 	NodeTruncates          // ends the connection after half of a delivered message
 )
 
-// NATSCluster is a cluster of fake servers of the NATS client protocol whose nodes share one space of subjects. Its exported fields
-// are set before clients connect; all are optional.
+// NATSCluster is a cluster of fake NATS servers. All nodes share one subject space: a message that
+// is published at one node is delivered to the subscriptions at every node. The exported fields must
+// be set before clients connect; all but Nodes are optional.
 type NATSCluster struct {
 	Nodes []*NATSNode
-	// Attempts counts publications by their payload.
+	// Attempts counts each publication as an attempt of the request that its payload identifies.
 	Attempts *AttemptCounter
-	// LoadReport answers requests on LoadSubject, for the node that received the request.
+	// LoadReport returns the answer of a node to a request on LoadSubject.
 	LoadSubject string
 	LoadReport  func(n *NATSNode) string
-	// Authorize decides on a CONNECT; nil accepts all.
+	// Authorize reports whether a CONNECT with the given options is accepted; nil accepts all.
 	Authorize func(connect map[string]any) bool
-	// TLS is required of clients if it is set.
+	// TLS, if set, makes the nodes require TLS.
 	TLS *tls.Config
 
 	mu        sync.RWMutex
 	exact     map[string]map[*subscription]bool // by subject
-	wild      map[*subscription]bool            // patterns with wildcards
-	queueTurn atomic.Int64                      // for round robin in queue groups
+	wild      map[*subscription]bool            // subscriptions with wildcards
+	queueTurn atomic.Int64                      // selects a member of each queue group in turn
 	onPublish func(subject, payload string)
 }
 
@@ -56,7 +57,7 @@
 	extraInfo map[string]any
 }
 
-// NewNATSCluster starts a cluster of n nodes on the loopback.
+// NewNATSCluster starts a cluster of n nodes on the loopback interface.
 func NewNATSCluster(n int) (*NATSCluster, error) {
 	k := &NATSCluster{exact: map[string]map[*subscription]bool{}, wild: map[*subscription]bool{}}
 	for i := range n {
@@ -77,7 +78,7 @@
 	}
 }
 
-// Subscriptions returns how many subscriptions on a pattern each node has.
+// Subscriptions returns the number of subscriptions with exactly this pattern at each node.
 func (k *NATSCluster) Subscriptions(pattern string) []int {
 	k.mu.RLock()
 	defer k.mu.RUnlock()
@@ -94,7 +95,8 @@
 	return out
 }
 
-// Watch calls f with every publication that a node accepts, in the order of acceptance.
+// Watch sets a function that is called with every publication that a node accepts, in the order of
+// acceptance. It replaces the function of an earlier call.
 func (k *NATSCluster) Watch(f func(subject, payload string)) {
 	k.mu.Lock()
 	k.onPublish = f
@@ -143,7 +145,7 @@
 	return conns
 }
 
-// Restart makes a killed node serve again at its address.
+// Restart starts a killed node again at its old address.
 func (o *NATSNode) Restart() error { return o.listen(o.Addr) }
 
 // SetMode sets how a node handles publications.
@@ -153,14 +155,14 @@
 	o.mu.Unlock()
 }
 
-// SetInfo sets further fields of a node's INFO for later connections.
+// SetInfo sets additional fields of the INFO that a node sends on later connections.
 func (o *NATSNode) SetInfo(fields map[string]any) {
 	o.mu.Lock()
 	o.extraInfo = fields
 	o.mu.Unlock()
 }
 
-// ResetConnections resets all connections of a node, which accepts new ones.
+// ResetConnections resets all connections of a node. The node continues to accept new ones.
 func (o *NATSNode) ResetConnections() {
 	o.mu.Lock()
 	conns := o.connections()
@@ -170,7 +172,8 @@
 	}
 }
 
-// Published returns how many counted publications a node has received.
+// Published returns how many publications a node has received. They are counted only if Attempts is
+// set.
 func (o *NATSNode) Published() int {
 	o.mu.RLock()
 	defer o.mu.RUnlock()
@@ -196,7 +199,7 @@
 	return info
 }
 
-// serve handles one client connection to its end.
+// serve handles one client connection until it ends.
 func (o *NATSNode) serve(conn net.Conn) {
 	c := newNATSConn(o, conn)
 	o.mu.Lock()
--- a/internal/fakes/nats_conn.go
+++ b/internal/fakes/nats_conn.go
@@ -14,10 +14,11 @@
 )
 
 const (
-	// maxUnsent is how many bytes may wait to be written to a connection before its publishers block.
+	// maxUnsent is how many bytes may wait to be written to a connection before publishers to it block.
 	maxUnsent      = 4 << 20
 	natsReadBuffer = 64 << 10
-	// rejectLinger is how long a connection stays open after its CONNECT was rejected, so that the error reaches the client.
+	// rejectLinger is how long a connection stays open after its CONNECT was rejected, so that the
+	// error reaches the client.
 	rejectLinger = 10 * time.Millisecond
 )
 
@@ -26,15 +27,15 @@
 	node           *NATSNode
 	conn           net.Conn
 	subscriptions  map[string]*subscription // by sid; guarded by the cluster's lock
-	noResponders   bool                     // the client wants to know of requests without a subscription
+	noResponders   bool                     // the client asked for a 503 message when its request has no subscriber
 	echo           bool                     // the client receives its own publications
 	unacknowledged []*CountedAttempt        // guarded by the cluster's lock
-	acksStopped    bool                     // acknowledges nothing any more
+	acksStopped    bool                     // the connection never acknowledges publications again
 
-	mu     sync.Mutex // guards what is written
-	ready  *sync.Cond // buffer is not empty, or closed
+	mu     sync.Mutex // guards buffer and closed
+	ready  *sync.Cond // buffer is not empty, or the connection is closed
 	buffer []byte
-	space  *sync.Cond // buffer is not full, or closed
+	space  *sync.Cond // buffer is not full, or the connection is closed
 	closed bool
 }
 
@@ -64,7 +65,7 @@
 	c.close()
 }
 
-// write sends what is queued, until the connection is closed.
+// write sends the queued bytes until the connection is closed.
 func (c *natsConn) write() {
 	var spare []byte
 	for {
@@ -89,7 +90,7 @@
 	}
 }
 
-// enqueue queues what add appends to the buffer. It blocks while too much is unsent.
+// enqueue calls add to append bytes to the buffer. It blocks while more than maxUnsent bytes wait.
 func (c *natsConn) enqueue(add func(b []byte) []byte) {
 	c.mu.Lock()
 	for len(c.buffer) > maxUnsent && !c.closed {
@@ -106,7 +107,7 @@
 	c.enqueue(func(b []byte) []byte { return append(append(b, text...), "\r\n"...) })
 }
 
-// read handles the client's operations until the connection is to end.
+// read handles the client's operations until one of them or an error ends the connection.
 func (c *natsConn) read() {
 	in := bufio.NewReaderSize(c.conn, natsReadBuffer)
 	for {
@@ -121,7 +122,7 @@
 	}
 }
 
-// operation handles one operation. It returns false if the connection is to end.
+// operation handles one operation. It returns false if the connection must be closed.
 func (c *natsConn) operation(in *bufio.Reader, line []byte, fields []string) bool {
 	switch strings.ToUpper(fields[0]) {
 	case "CONNECT":
@@ -158,7 +159,7 @@
 	return c.node.Authorize == nil || c.node.Authorize(options)
 }
 
-// ping acknowledges the publications before it.
+// ping answers a PING, which acknowledges the publications before it. A silent node does not answer.
 func (c *natsConn) ping() {
 	k := c.node.NATSCluster
 	if k.Attempts != nil {
@@ -210,8 +211,9 @@
 	}
 }
 
-// readPublication reads the rest of PUB <subject> [reply] <size> or HPUB <subject> [reply] <header size> <size> and publishes it.
-// It returns false if the connection is to end.
+// readPublication reads the payload of PUB <subject> [reply] <size> or
+// HPUB <subject> [reply] <header size> <size> and publishes it. It returns false if the connection
+// must be closed.
 func (c *natsConn) readPublication(in *bufio.Reader, fields []string) bool {
 	size, err := strconv.Atoi(fields[len(fields)-1])
 	if err != nil || len(fields) < 3 {
@@ -233,7 +235,8 @@
 	return c.publish(rest[0], reply, headerSize, payload[:size])
 }
 
-// publish handles a publication as the node's mode says. It returns false if the connection is to end.
+// publish handles a publication according to the node's mode. It returns false if the connection
+// must be closed.
 func (c *natsConn) publish(subject, reply string, headerSize int, payload []byte) bool {
 	k := c.node.NATSCluster
 	if subject == k.LoadSubject && subject != "" {
@@ -261,7 +264,7 @@
 	case NodeRefuses:
 		c.enqueueLine(fmt.Sprintf("-ERR 'Permissions Violation for Publish to \"%s\"'", subject))
 		return true
-	case NodeSilent: // for good: nothing after a lost publication may be accepted before it
+	case NodeSilent: // permanently: a later publication must not be accepted after an earlier one was lost
 		c.acksStopped = true
 		return true
 	case NodeResets:
--- a/internal/fakes/nats_subscriptions.go
+++ b/internal/fakes/nats_subscriptions.go
@@ -15,10 +15,11 @@
 	maxMessages    int // 0: unlimited; guarded by the cluster's lock
 }
 
-// noResponders is the message that tells a requester that its subject has no subscription.
+// noResponders is the message that informs a requester that its subject has no subscription.
 const noResponders = "NATS/1.0 503\r\n\r\n"
 
-// sendNoResponders tells a publishing connection that nobody subscribes to its request's subject.
+// sendNoResponders informs a publishing connection that the subject of its request has no
+// subscription.
 func (k *NATSCluster) sendNoResponders(c *natsConn, reply string) {
 	k.mu.RLock()
 	var to *subscription
@@ -33,7 +34,7 @@
 	}
 }
 
-// addSubscription makes a subscription receive. The caller holds the lock.
+// addSubscription adds a subscription to those that receive messages. The caller holds the lock.
 func (k *NATSCluster) addSubscription(s *subscription) {
 	if strings.ContainsAny(s.subject, "*>") {
 		k.wild[s] = true
@@ -55,8 +56,9 @@
 	}
 }
 
-// deliver sends a message to every matching subscription, and to one of each queue group, and returns to how many. A subscriber
-// that reads too slowly blocks the publisher, and nobody else.
+// deliver sends a message to every matching subscription without a queue group and to one of each
+// queue group. It returns the number of receivers. A subscriber that reads too slowly blocks only the
+// publisher.
 func (k *NATSCluster) deliver(from *natsConn, subject, reply string, headerSize int, payload []byte) int {
 	var buffer [16]*subscription
 	to := buffer[:0]
@@ -92,7 +94,8 @@
 	return len(to)
 }
 
-// send queues a message for the subscriber, unless the subscription has received as many as it may.
+// send queues a message for the subscriber. It does nothing if the subscription has already received
+// its maximum number of messages, and removes the subscription when that number is reached.
 func (s *subscription) send(subject, reply string, headerSize int, payload []byte) {
 	c, k := s.conn, s.conn.node.NATSCluster
 	delivered := int(s.delivered.Add(1))
@@ -119,7 +122,7 @@
 	}
 }
 
-// appendMessage appends a message as MSG, or as HMSG if it has a header.
+// appendMessage appends a message in the form MSG, or HMSG if it has a header.
 func (s *subscription) appendMessage(b []byte, subject, reply string, headerSize int, payload []byte) []byte {
 	if headerSize > 0 {
 		b = append(b, "HMSG "...)
--- a/internal/fakes/tcp_proxy.go
+++ b/internal/fakes/tcp_proxy.go
@@ -13,9 +13,9 @@
 
 // Impairment is what a TCPProxy does to one direction of its connections.
 type Impairment struct {
-	Cut    bool          // nothing is forwarded, and neither side is told
-	Delay  time.Duration // in this direction alone
-	Jitter time.Duration // upper bound of the random addition to Delay, drawn for each read
+	Cut    bool          // nothing is forwarded, and neither side is notified
+	Delay  time.Duration // in this direction only
+	Jitter time.Duration // upper bound of a random addition to Delay, drawn for each read
 	Rate   int           // bytes per second; 0: unlimited
 }
 
@@ -29,16 +29,18 @@
 )
 
 const (
-	// maxQueuedReads bounds the reads that wait in a cut direction of one connection.
+	// maxQueuedReads is how many reads of one connection may wait while the direction is cut.
 	maxQueuedReads = 16
 	readSize       = 16 << 10
 )
 
-// TCPProxy forwards TCP connections to a target. It can be cut, in one direction or both, delayed, throttled, stalled, and can
-// reset its connections. While it is cut, new connections are neither established nor refused, as with an unreachable machine.
+// TCPProxy forwards TCP connections to a target. It can cut one direction or both, delay and throttle
+// the traffic, stall the connections and reset them. While a direction is cut, new connections are
+// neither established nor refused, as if the target's machine could not be reached.
 type TCPProxy struct {
-	// OnCallerClosed is called, if set, when the calling side has ended a connection, with the address from which the target
-	// sees that connection: behind a cut the target does not learn of the end. It is set before the first connection.
+	// OnCallerClosed is called, if set, when the caller has ended a connection. Its argument is the
+	// remote address of the connection as the target sees it. During a cut the target itself does
+	// not observe the end. OnCallerClosed must be set before the first connection.
 	OnCallerClosed func(from string)
 
 	listener       net.Listener
@@ -49,10 +51,10 @@
 	changed        chan struct{} // closed and replaced when impairments change
 	conns          map[net.Conn]bool
 	stalledConns   map[net.Conn]bool // a subset of conns
-	backlogFillers []net.Conn        // keep the listener's accept queue full while the proxy is cut; nil: it is not
+	backlogFillers []net.Conn        // fill the listener's accept queue while a direction is cut; otherwise nil
 }
 
-// NewTCPProxy opens a proxy to the target on the loopback.
+// NewTCPProxy opens a proxy to the target. The proxy listens on Host.
 func NewTCPProxy(target string) (*TCPProxy, error) {
 	l, err := net.Listen("tcp", Host+":0")
 	if err != nil {
@@ -80,7 +82,8 @@
 // Addr returns the address at which the proxy accepts connections.
 func (p *TCPProxy) Addr() string { return p.listener.Addr().String() }
 
-// SetImpairment sets what the proxy does to both directions from now on.
+// SetImpairment sets the impairments of the two directions: there from the caller to the target, back
+// from the target to the caller.
 func (p *TCPProxy) SetImpairment(there, back Impairment) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,8 +105,9 @@
 	acceptTimeout     = 200 * time.Millisecond
 )
 
-// blockBacklog makes the kernel drop new handshakes, by a full accept queue, or ends that. It needs no privileges. The caller
-// holds the lock.
+// blockBacklog starts or stops the dropping of new handshakes. It fills the listener's accept queue,
+// so that the kernel drops further handshakes; unlike a packet filter this needs no privileges. The
+// caller holds the lock.
 func (p *TCPProxy) blockBacklog(block bool) {
 	if block == (p.backlogFillers != nil) {
 		return
@@ -124,7 +128,7 @@
 	}
 	p.backlogFillers = []net.Conn{}
 	accepted := p.accepted.Load()
-	for misses := 0; misses < 2 && len(p.backlogFillers) < maxBacklogFillers; { // a single miss may be a slow machine
+	for misses := 0; misses < 2 && len(p.backlogFillers) < maxBacklogFillers; { // a single timeout may be due to a slow machine
 		c, err := net.DialTimeout("tcp", p.Addr(), fillTimeout)
 		if err != nil {
 			misses++
@@ -132,14 +136,15 @@
 		}
 		misses = 0
 		p.backlogFillers = append(p.backlogFillers, c)
-		// The accept loop may be inside Accept: it takes one more connection, and frees its place, before it sees the cut.
+		// The accept loop may already be blocked in Accept. It then accepts one more connection, which
+		// frees a place in the queue, before it notices the cut.
 		for end := time.Now().Add(acceptTimeout); len(p.backlogFillers) == 1 && p.accepted.Load() == accepted && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
 	}
 }
 
-// isBacklogFiller reports whether an accepted connection is one that the proxy made itself.
+// isBacklogFiller reports whether the proxy itself opened an accepted connection, in blockBacklog.
 func (p *TCPProxy) isBacklogFiller(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -161,8 +166,8 @@
 	}
 }
 
-// Stall silently stops forwarding on the open connections, for good, as when a middlebox has lost their state. New connections are
-// forwarded.
+// Stall permanently stops forwarding on the open connections without notifying either side, as when a
+// middlebox has lost their state. New connections are forwarded.
 func (p *TCPProxy) Stall() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -192,7 +197,7 @@
 	p.mu.Unlock()
 }
 
-// waitUntilOpen blocks while a direction is cut, and returns its impairment.
+// waitUntilOpen blocks while a direction is cut, then returns its current impairment.
 func (p *TCPProxy) waitUntilOpen(d direction) Impairment {
 	for {
 		p.mu.Lock()
@@ -217,7 +222,7 @@
 	return p.impairments[d].Cut
 }
 
-// serve connects a caller to the target until both directions have ended.
+// serve forwards the connection of a caller to the target until both directions have ended.
 func (p *TCPProxy) serve(caller net.Conn) {
 	p.track(caller)
 	defer p.closeAndForget(caller)
@@ -244,8 +249,9 @@
 	}
 }
 
-// copyDirection forwards one direction of a connection. Data that was read waits behind a cut; the end of the reading side is
-// noticed all the same, and then reported by ended, if that is not nil.
+// copyDirection forwards one direction of a connection. During a cut, data that was read waits, but
+// the end of the side that is read from is still noticed. If onReadEnd is not nil, it is called at
+// that end.
 func (p *TCPProxy) copyDirection(d direction, to, from net.Conn, onReadEnd func()) {
 	read := make(chan []byte, maxQueuedReads)
 	var readErr error
@@ -261,7 +267,7 @@
 			if err != nil {
 				readErr = err
 				readEnded.Store(true)
-				if onReadEnd != nil && !errors.Is(err, net.ErrClosed) { // else the proxy closed it, after the other side
+				if onReadEnd != nil && !errors.Is(err, net.ErrClosed) { // on ErrClosed the proxy closed it, not the caller
 					onReadEnd()
 				}
 				return
@@ -272,7 +278,7 @@
 		wasCut := p.isCut(d)
 		impairment := p.waitUntilOpen(d)
 		if wasCut && readEnded.Load() {
-			break // what a side sent and then gave up behind a cut is not delivered later
+			break // the sender ended the connection during the cut: its data is not delivered later
 		}
 		wait := impairment.Delay + time.Duration(rand.Float64()*float64(impairment.Jitter))
 		if impairment.Rate > 0 {
@@ -291,6 +297,6 @@
 		to.(*net.TCPConn).CloseWrite()
 		return
 	}
-	to.(*net.TCPConn).SetLinger(0) // a reset is passed on as one
+	to.(*net.TCPConn).SetLinger(0) // forwards a reset as a reset
 	to.Close()
 }
--- a/internal/fakes/udp_proxy.go
+++ b/internal/fakes/udp_proxy.go
@@ -9,14 +9,15 @@
 
 const (
 	maxDatagram = 64 << 10
-	// maxRateDelay is how long a datagram may wait for its turn under a rate limit before it is dropped.
+	// maxRateDelay is the longest delay that the rate limit may cause. Datagrams that would have to
+	// wait longer are dropped.
 	maxRateDelay = time.Second
-	// udpProxyStream keeps a proxy's random numbers apart from those drawn elsewhere from the same seed.
+	// udpProxyStream separates a proxy's random numbers from others that use the same seed.
 	udpProxyStream = 3
 )
 
-// UDPProxy forwards datagrams from one relay to another, and can drop, duplicate, delay and throttle them. The sending relay's
-// configuration names the proxy in place of the other relay's address.
+// UDPProxy forwards datagrams from one relay to another, and can drop, duplicate, delay and throttle
+// them. The sending relay's configuration contains the proxy's address in place of the other relay's.
 type UDPProxy struct {
 	in      *net.UDPConn
 	out     *net.UDPConn
@@ -28,13 +29,13 @@
 	loss, duplication float64
 	delay, jitter     time.Duration
 	rate              int       // bytes per second; 0: unlimited
-	idleAt            time.Time // when everything forwarded so far has left, under the rate limit
+	idleAt            time.Time // when all datagrams accepted so far have been sent, under the rate limit
 	target            *net.UDPAddr
 	last              []byte
 	forwarded         int
 }
 
-// NewUDPProxy opens a proxy on the loopback. It forwards nothing until SetTarget is called.
+// NewUDPProxy opens a proxy that listens on Host. It drops all datagrams until SetTarget is called.
 func NewUDPProxy(seed uint64) (*UDPProxy, error) {
 	in, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.ParseIP(Host)})
 	if err != nil {
@@ -62,42 +63,44 @@
 	return err
 }
 
-// SetCut makes the proxy drop everything, or ends that.
+// SetCut sets whether the proxy drops all datagrams.
 func (p *UDPProxy) SetCut(cut bool) {
 	p.mu.Lock()
 	p.cut = cut
 	p.mu.Unlock()
 }
 
-// SetImpairment sets the parts of the datagrams that are lost and duplicated, and their delay. Jitter lets some overtake others.
+// SetImpairment sets the fractions of the datagrams that are lost and duplicated, and their delay.
+// Jitter is the upper bound of a random addition to the delay, which can reorder datagrams.
 func (p *UDPProxy) SetImpairment(loss, duplication float64, delay, jitter time.Duration) {
 	p.mu.Lock()
 	p.loss, p.duplication, p.delay, p.jitter = loss, duplication, delay, jitter
 	p.mu.Unlock()
 }
 
-// SetRate limits the bytes forwarded per second. Datagrams beyond the limit are delayed by up to maxRateDelay, then dropped.
+// SetRate limits the bytes forwarded per second; 0 means unlimited. Datagrams beyond the limit are
+// delayed, or dropped if the delay would exceed maxRateDelay.
 func (p *UDPProxy) SetRate(bytes int) {
 	p.mu.Lock()
 	p.rate, p.idleAt = bytes, time.Time{}
 	p.mu.Unlock()
 }
 
-// Last returns the last datagram received, and how many have been forwarded.
+// Last returns the last datagram received and the number of datagrams forwarded.
 func (p *UDPProxy) Last() ([]byte, int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]byte(nil), p.last...), p.forwarded
 }
 
-// Inject sends a datagram of the caller's own to the target.
+// Inject sends a datagram with the given content to the target.
 func (p *UDPProxy) Inject(b []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.out.WriteToUDP(b, p.target)
 }
 
-// Close stops the proxy.
+// Close stops the proxy and waits until it no longer reads.
 func (p *UDPProxy) Close() {
 	p.in.Close()
 	p.out.Close()
@@ -142,7 +145,8 @@
 	}
 }
 
-// reserve returns how long a datagram of that size waits under the rate limit; false if it is to be dropped.
+// reserve returns how long a datagram of the given size must wait under the rate limit. It returns
+// false if the datagram must be dropped. The caller holds the lock.
 func (p *UDPProxy) reserve(size int) (wait time.Duration, ok bool) {
 	if p.rate <= 0 {
 		return 0, true
