--- a/internal/fakes/attempt_counter_test.go
+++ b/internal/fakes/attempt_counter_test.go
@@ -36,15 +36,17 @@
 	}
 }
 
-// TestAttemptCounterOrder: an attempt has ended once its connection has: a sender that tries elsewhere as soon as the first
-// connection is over, by whoever's end, is not taken to have two out; one that does not wait is.
+// TestAttemptCounterOrder checks that an attempt counts as ended as soon as its connection has ended,
+// whichever side ended it. A sender that makes its next attempt only then must not be counted as
+// having two attempts in flight, although the goroutine that serves the first connection may not
+// have noticed the end yet. A sender that does not wait must be counted.
 func TestAttemptCounterOrder(t *testing.T) {
 	for name, endFirst := range map[string]func(n *NATSNode, c net.Conn){
-		"ended by the node":   func(n *NATSNode, c net.Conn) { n.ResetConnections(); io.ReadAll(c) },
-		"killed":              func(n *NATSNode, c net.Conn) { n.Kill(); io.ReadAll(c) },
-		"reset by the sender": func(_ *NATSNode, c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
-		"ended by the sender": func(_ *NATSNode, c net.Conn) { c.Close() },
-		"not ended":           nil,
+		"connections reset by the node":   func(n *NATSNode, c net.Conn) { n.ResetConnections(); io.ReadAll(c) },
+		"node killed":                     func(n *NATSNode, c net.Conn) { n.Kill(); io.ReadAll(c) },
+		"connection reset by the sender":  func(_ *NATSNode, c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() },
+		"connection closed by the sender": func(_ *NATSNode, c net.Conn) { c.Close() },
+		"connection still open":           nil,
 	} {
 		t.Run(name, func(t *testing.T) {
 			const rounds = 200
@@ -74,7 +76,7 @@
 				k.Close()
 			}
 			if want := map[bool]int{true: rounds}[endFirst == nil]; roundsWithOverlap != want {
-				t.Errorf("two out in %d of %d rounds, want %d", roundsWithOverlap, rounds, want)
+				t.Errorf("overlapping attempts reported in %d of %d rounds, want %d", roundsWithOverlap, rounds, want)
 			}
 		})
 	}
--- a/internal/fakes/proxy_test.go
+++ b/internal/fakes/proxy_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// TestTCPProxy: what passes, passes unchanged; in a cut, one way or both, nothing does and no connection comes up, until it is healed;
-// what was given up behind a cut is not delivered later.
+// TestTCPProxy checks that the proxy forwards data unchanged; that while one or both directions are
+// cut it forwards nothing there and establishes no connection; that it forwards waiting data after
+// the cut; and that it drops the data of a connection that its sender closed during the cut.
 func TestTCPProxy(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -56,7 +57,7 @@
 		t.Helper()
 		fmt.Fprintln(c, word)
 		if line, err := in.ReadString('\n'); err != nil || line != word+"\n" || <-got != line {
-			t.Fatalf("%q came back as %q, %v", word, line, err)
+			t.Fatalf("sent %q, got the echo %q, error %v", word, line, err)
 		}
 	}
 	a, ain := dial()
@@ -65,33 +66,33 @@
 	expectEcho(b, bin, "two")
 	p.SetImpairment(Impairment{Cut: true}, Impairment{Cut: true})
 	if c, err := net.DialTimeout("tcp", p.Addr(), 300*time.Millisecond); err == nil {
-		t.Errorf("a connection came up behind a cut: %v", c.LocalAddr())
+		t.Errorf("the proxy established a connection from %v during a cut", c.LocalAddr())
 	}
 	fmt.Fprintln(a, "waits")
 	fmt.Fprintln(b, "given up")
-	time.Sleep(100 * time.Millisecond) // read by the pipe by now, or later: both must do
+	time.Sleep(100 * time.Millisecond) // the proxy may have read the data by now or not: the test must pass in both cases
 	b.Close()
 	<-callerClosed
 	if len(got) > 0 {
-		t.Errorf("%q passed a cut", <-got)
+		t.Errorf("the target received %q during a cut", <-got)
 	}
 	p.SetImpairment(Impairment{}, Impairment{})
 	if line := <-got; line != "waits\n" {
-		t.Errorf("after the cut came %q", line)
+		t.Errorf("after the cut the target received %q, want %q", line, "waits\n")
 	}
 	if line, _ := ain.ReadString('\n'); line != "waits\n" {
-		t.Errorf("back came %q", line)
+		t.Errorf("after the cut the caller received %q, want %q", line, "waits\n")
 	}
 	c, in := dial()
 	expectEcho(c, in, "three")
-	p.SetImpairment(Impairment{}, Impairment{Cut: true}) // one way: it arrives, and nothing comes back
+	p.SetImpairment(Impairment{}, Impairment{Cut: true}) // only the direction to the caller: data arrives, its echo does not
 	fmt.Fprintln(c, "four")
 	if line := <-got; line != "four\n" {
-		t.Errorf("there came %q", line)
+		t.Errorf("the target received %q, want %q", line, "four\n")
 	}
 	c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if line, err := in.ReadString('\n'); err == nil {
-		t.Errorf("%q came back by a cut way", line)
+		t.Errorf("the caller received %q from a cut direction", line)
 	}
 	p.Reset()
 	p.SetImpairment(Impairment{}, Impairment{})
@@ -99,7 +100,7 @@
 	expectEcho(c, in, "five")
 }
 
-// TestUDPProxyRate: datagrams that come faster than a link's rate wait in turn.
+// TestUDPProxyRate checks that datagrams that arrive faster than the rate limit are delayed.
 func TestUDPProxyRate(t *testing.T) {
 	to, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -130,11 +131,12 @@
 		}
 	}
 	if took := time.Since(began); took < 600*time.Millisecond {
-		t.Errorf("800 bytes at 1000 a second took %v", took)
+		t.Errorf("800 bytes at 1000 bytes per second took %v, want at least 600ms", took)
 	}
 }
 
-// TestTCPProxyCallerClosed: a connection that the far side has reset is not one that the calling side has ended.
+// TestTCPProxyCallerClosed checks that OnCallerClosed is not called for a connection that the target
+// has reset.
 func TestTCPProxyCallerClosed(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -160,14 +162,14 @@
 	target.(*net.TCPConn).SetLinger(0)
 	target.Close()
 	if _, err := caller.Read(make([]byte, 1)); err == nil {
-		t.Fatal("the reset did not pass")
+		t.Fatal("the caller could read from a connection that the target had reset")
 	}
-	for open := 1; open > 0; { // both ways have ended once the pipe holds nothing
+	for open := 1; open > 0; { // both directions have ended once the proxy has no connection
 		p.mu.Lock()
 		open = len(p.conns)
 		p.mu.Unlock()
 	}
 	if len(callerClosed) > 0 {
-		t.Errorf("%s counts as ended by the calling side", <-callerClosed)
+		t.Errorf("OnCallerClosed(%s) was called, though the target reset the connection", <-callerClosed)
 	}
 }
