--- a/internal/knownfailures/gotest/main.go
+++ b/internal/knownfailures/gotest/main.go
@@ -2,8 +2,9 @@
 //
 //	gotest LIST COMMAND
 //
-// LIST need not exist. COMMAND is one line of a shell that begins with "go test ". What go test prints without -json is printed,
-// then what became of the listed tests. It exits with 0 if nothing failed but tests of the list, otherwise with 1.
+// LIST is the path of the list; a missing file is an empty list. COMMAND is one line of shell that
+// begins with "go test ". Gotest prints what go test prints without -json, then the results of the
+// listed tests. It exits with 0 if no test failed except listed ones, otherwise with 1.
 package main
 
 import (
@@ -74,7 +75,7 @@
 	return knownfailures.Parse(string(text))
 }
 
-// checkExist returns an error if a listed test does not exist.
+// checkExist returns an error if a listed test does not exist or its package's tests cannot be listed.
 func checkExist(entries []knownfailures.Entry) error {
 	for _, entry := range entries {
 		list := exec.Command("go", "test", "-list", "^"+entry.Test+"$", entry.Package)
@@ -90,7 +91,8 @@
 	return nil
 }
 
-// runCommand runs a shell command and calls take with each line of its output.
+// runCommand runs a shell command, calls handleLine with each line of its standard output, and
+// returns its exit code.
 func runCommand(command string, handleLine func(line string)) (exit int, err error) {
 	shell := exec.Command("sh", "-c", command)
 	shell.Stderr = os.Stderr
--- a/internal/knownfailures/gotest/main_test.go
+++ b/internal/knownfailures/gotest/main_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// testModule has a package for each way in which a run of go test can end.
+// testModule holds the files of a module that has a package for each way in which go test can end.
 var testModule = map[string]string{
 	"go.mod": "module trial\n\ngo 1.26\n",
 	"green/green_test.go": `package green
@@ -44,10 +44,11 @@
 `,
 }
 
-// listLine returns a line of the list for a test of the module.
+// listLine returns a line of KNOWN-RED.txt for a test of the module.
 func listLine(name, path string) string { return name + " | trial/" + path + " | the cause | #1\n" }
 
-// TestRun runs go test on packages of the module, with lists of known failures.
+// TestRun checks the verdict and the output for runs of go test on packages of the module, with
+// different lists of known failures.
 func TestRun(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range testModule {
--- a/internal/knownfailures/list.go
+++ b/internal/knownfailures/list.go
@@ -1,8 +1,9 @@
 // Package knownfailures judges a run of go test against a short list of tests that are known to fail.
 //
-// The list, KNOWN-RED.txt, has one line for each test: its full name, its package's import path, the cause and the issue,
-// with " | " between them. A run passes if nothing failed but tests of the list, by their own verdict: a package that does not
-// build, panics, times out or ends before its verdict is not excused.
+// The list, KNOWN-RED.txt, has one line for each test, with four fields separated by " | ": the full
+// name of the test, the import path of its package, the cause and the issue. A run passes if no test
+// failed except listed ones, and the packages of these ran to the end of their tests. A package that
+// does not build, panics, times out or exits early always fails the run.
 package knownfailures
 
 import (
@@ -11,7 +12,7 @@
 	"strings"
 )
 
-// MaxEntries is how many tests the list may name, by the project's rule on tests.
+// MaxEntries is the maximum number of tests in the list, which the project's rules on tests set.
 const MaxEntries = 3
 
 const (
@@ -20,19 +21,19 @@
 )
 
 var (
-	// testName is the name of a test as go test -list prints it; a subtest has no entry of its own.
+	// testName matches the name of a test as go test -list prints it. A subtest cannot be listed.
 	testName = regexp.MustCompile(`^(Test|Example|Fuzz)\w*$`)
-	// packagePath is the import path of one package; paths on disk and patterns are none.
+	// packagePath matches the import path of one package, but no file system path and no pattern.
 	packagePath = regexp.MustCompile(`^\w[\w-]*([./]\w[\w-]*)*$`)
 )
 
-// Name is a test's full name.
+// Name is the full name of a test.
 type Name struct {
 	Package string // import path
 	Test    string
 }
 
-// String returns the name as reports print it.
+// String returns the name in the form PACKAGE.TEST, as reports print it.
 func (n Name) String() string { return n.Package + "." + n.Test }
 
 // Entry is one line of the list.
@@ -42,13 +43,14 @@
 	Issue string
 }
 
-// ListError says why a list cannot be used. Line counts from 1; it is 0 if no single line is at fault.
+// ListError is the error for an invalid list. Line counts from 1; it is 0 if the error concerns the
+// whole list.
 type ListError struct {
 	Line   int
 	Reason string
 }
 
-// Error returns the reason, with the line if one is at fault.
+// Error returns the reason, with the line number if there is one.
 func (e *ListError) Error() string {
 	if e.Line == 0 {
 		return "known failures: " + e.Reason
@@ -56,7 +58,8 @@
 	return fmt.Sprintf("known failures, line %d: %s", e.Line, e.Reason)
 }
 
-// Parse parses the text of a list. Empty lines are ignored.
+// Parse parses the text of a list. It ignores empty lines. If the list is invalid, the error is a
+// *ListError.
 func Parse(text string) ([]Entry, error) {
 	var entries []Entry
 	seen := map[Name]bool{}
@@ -100,7 +103,7 @@
 	return Entry{Name: Name{Package: parts[1], Test: parts[0]}, Cause: parts[2], Issue: parts[3]}, ""
 }
 
-// Exists reports whether the output of go test -list contains the test.
+// Exists reports whether listing, the output of go test -list, contains the test.
 func (n Name) Exists(listing string) bool {
 	for _, line := range strings.Split(listing, "\n") {
 		if line == n.Test {
--- a/internal/knownfailures/run.go
+++ b/internal/knownfailures/run.go
@@ -10,7 +10,8 @@
 	"strings"
 )
 
-// Actions of go test -json (go doc test2json) that are used here. The last three are also results of tests and packages.
+// The actions of go test -json (see go doc test2json) that Run handles. The last three are also the
+// results of tests and packages.
 const (
 	actionOutput      = "output"
 	actionBuildOutput = "build-output"
@@ -20,13 +21,13 @@
 	actionSkip        = "skip"
 )
 
-// Results of a listed test without such an action.
+// Results of a listed test for which go test reported no result.
 const (
 	resultNotRun     = "did not run"
 	resultUnfinished = "did not finish"
 )
 
-// progressLine matches the output on a test's progress that go test prints only with -json or -v.
+// progressLine matches output about a test's progress that go test prints only with -json or -v.
 var progressLine = regexp.MustCompile(`^=== (RUN|PAUSE|CONT|NAME) `)
 
 // testEvent is one line of go test -json.
@@ -38,25 +39,26 @@
 	FailedBuild string
 }
 
-// Run is the state of a run of go test, as its events report it.
+// Run is the state of a run of go test, built from the events of go test -json.
 type Run struct {
 	packages  map[string]*packageRun
-	malformed bool // a line was not an event
+	malformed bool // at least one line was not an event
 }
 
 // packageRun is one package's part of a run.
 type packageRun struct {
-	result      string // pass, fail, skip; empty before
+	result      string // pass, fail or skip; empty until the package has ended
 	failedBuild string
-	tests       map[string]string // each test and subtest, with its result; empty before
+	tests       map[string]string // result of each test and subtest; empty until the test has ended
 	output      []testEvent
 }
 
-// NewRun returns a run without events.
+// NewRun returns a Run without events.
 func NewRun() *Run { return &Run{packages: map[string]*packageRun{}} }
 
-// AddLine adds one line of go test -json, and writes what go test would print without that flag: of a package that passes only its
-// last line, of others also the output of what did not pass.
+// AddLine adds one line of the output of go test -json. When a package ends, AddLine writes to out
+// what go test prints without -json: only the last line of a package that passed, otherwise all
+// output except that of passed tests. It writes build output, and lines that are not events, at once.
 func (r *Run) AddLine(line string, out io.Writer) {
 	var e testEvent
 	if err := json.Unmarshal([]byte(line), &e); err != nil || e.Action == "" {
@@ -80,7 +82,7 @@
 	}
 }
 
-// Finish writes the output of packages that came to no result.
+// Finish writes the output of the packages that ended without a result.
 func (r *Run) Finish(out io.Writer) {
 	for _, name := range slices.Sorted(maps.Keys(r.packages)) {
 		if p := r.packages[name]; p.result == "" {
@@ -89,13 +91,13 @@
 	}
 }
 
-// record adds an event. It reports whether that is the package's last.
+// record adds an event. It reports whether the event is the package's last.
 func (p *packageRun) record(e testEvent) (ended bool) {
 	switch e.Action {
 	case actionOutput:
 		p.output = append(p.output, e)
 	case actionRun:
-		if p.tests[e.Test] != actionFail { // with -count above 1 one failure counts
+		if p.tests[e.Test] != actionFail { // with -count above 1, a test that failed once has failed
 			p.tests[e.Test] = ""
 		}
 	case actionPass, actionFail, actionSkip:
@@ -127,14 +129,14 @@
 	return result == actionPass || result == actionSkip
 }
 
-// topLevelTest returns the test that a subtest belongs to.
+// topLevelTest returns the name of the test that a subtest belongs to, or the name itself.
 func topLevelTest(test string) string {
 	name, _, _ := strings.Cut(test, "/")
 	return name
 }
 
-// Judge reports whether a run passes, given go test's exit code. The report has a line for each listed test and one for each failure
-// that is not excused.
+// Judge reports whether the run passes, given the listed tests and the exit code of go test. The
+// report has a line for each listed test and one for each failure that the list does not excuse.
 func (r *Run) Judge(entries []Entry, exit int) (passes bool, report []string) {
 	listed := map[Name]bool{}
 	for _, entry := range entries {
@@ -153,7 +155,8 @@
 		}
 		failures = append(failures, p.unexcusedFailures(name, listed)...)
 	}
-	// go test exits with 1 if a package failed and with 0 if none did. Anything else is an error of the call.
+	// go test exits with 1 if a package failed and with 0 if none did. Any other exit code means that
+	// go test itself could not run as requested.
 	if want := min(failed, 1); exit != want {
 		failures = append(failures, fmt.Sprintf("go test ended with exit code %d and %d failed packages", exit, failed))
 	}
@@ -222,8 +225,9 @@
 	return failures
 }
 
-// ranToEnd reports whether the package ran to the end of its tests: it printed the testing package's FAIL, then go test's own line,
-// and nothing between. After a panic, a timeout or an exit the first is missing or something follows it.
+// ranToEnd reports whether a failed package ran to the end of its tests: its last two lines of output
+// are the testing package's FAIL and go test's own summary line. After a panic, a timeout or an exit
+// the first is missing or followed by other output.
 func (p *packageRun) ranToEnd() bool {
 	var last []string
 	for _, e := range p.output {
