--- a/internal/knownfailures/gotest/main_test.go
+++ b/internal/knownfailures/gotest/main_test.go
@@ -67,25 +67,25 @@
 		passes              bool
 		output              string // must be contained in it
 	}{
-		{"no list", "", "go test ./green", true, "ok  \ttrial/green"},
-		{"no list, and a failure", "", "go test ./red ./green", false, "trial/red.TestRed failed"},
+		{"no list, no failure", "", "go test ./green", true, "ok  \ttrial/green"},
+		{"no list, one failure", "", "go test ./red ./green", false, "trial/red.TestRed failed"},
 		{"a listed failure", listLine("TestRed", "red"), "go test ./red ./green", true, "the cause (#1): failed"},
 		{"a listed failure is printed", listLine("TestRed", "red"), "go test ./red", true, "FAIL\nFAIL\ttrial/red\t"},
-		{"its output is printed", listLine("TestRed", "red"), "go test ./red", true, "to be printed"},
-		{"a listed test passes", listLine("TestRed", "green"), "go test ./green", true, "passed, its line can go"},
-		{"listed for another package", listLine("TestRed", "green"), "go test ./red ./green", false, "trial/red.TestRed failed"},
-		{"a listed test panics", listLine("TestRed", "panics"), "go test ./panics", false, "ended before its verdict"},
-		{"a listed test is over the time limit", listLine("TestRed", "late"), "go test -timeout 100ms ./late", false, "panic: test timed out"},
-		{"its package exits", listLine("TestRed", "exits"), "go test ./exits", false, "trial/exits.TestZ did not finish"},
-		{"its package panics after the tests", listLine("TestRed", "after"), "go test ./after", false, "ended before its verdict"},
-		{"its package does not build", listLine("TestRed", "broken"), "go test ./broken", false, "cannot be listed"},
+		{"the output of a listed failure is printed", listLine("TestRed", "red"), "go test ./red", true, "to be printed"},
+		{"a listed test passes", listLine("TestRed", "green"), "go test ./green", true, "passed, its line can be removed"},
+		{"the failed test is listed for another package", listLine("TestRed", "green"), "go test ./red ./green", false, "trial/red.TestRed failed"},
+		{"a listed test panics", listLine("TestRed", "panics"), "go test ./panics", false, "did not end normally"},
+		{"a listed test times out", listLine("TestRed", "late"), "go test -timeout 100ms ./late", false, "panic: test timed out"},
+		{"a package with a listed failure exits early", listLine("TestRed", "exits"), "go test ./exits", false, "trial/exits.TestZ did not finish"},
+		{"a package with a listed failure panics after the tests", listLine("TestRed", "after"), "go test ./after", false, "did not end normally"},
+		{"the package of a listed test does not build", listLine("TestRed", "broken"), "go test ./broken", false, "cannot be listed"},
 		{"another package does not build", listLine("TestRed", "red"), "go test ./red ./broken", false, "trial/broken does not build"},
 		{"a listed test does not exist", listLine("TestNone", "green"), "go test ./green", false, "trial/green.TestNone does not exist"},
-		{"its package does not exist", listLine("TestRed", "none"), "go test ./green", false, "cannot be listed"},
+		{"the package of a listed test does not exist", listLine("TestRed", "none"), "go test ./green", false, "cannot be listed"},
 		{"a malformed line", "TestRed trial/green\n", "go test ./green", false, "line 1"},
 		{"four lines", listLine("TestRed", "red") + listLine("TestRed", "green") + listLine("TestGreen", "red") + listLine("TestGreen", "green"), "go test ./green", false, "at most 3"},
-		{"a wrong flag", listLine("TestRed", "red"), "go test -count=none ./red", false, "exit code 2"},
-		{"no package", "", "go test ./none", false, "./none does not build"},
+		{"an invalid flag", listLine("TestRed", "red"), "go test -count=none ./red", false, "exit code 2"},
+		{"a package that does not exist", "", "go test ./none", false, "./none does not build"},
 		{"another command", "", "true", false, "not one go test command"},
 		{"two commands", "", "go test ./green\ngo test ./red", false, "not one go test command"},
 	} {
@@ -103,7 +103,7 @@
 			}
 			text := out.String()
 			if passes != c.passes || !strings.Contains(text, c.output) || strings.Contains(text, "not to be printed") {
-				t.Errorf("passes %v\n%s", passes, text)
+				t.Errorf("run(%q): passes = %v, want %v and output that contains %q; output:\n%s", c.command, passes, c.passes, c.output, text)
 			}
 		})
 	}
--- a/internal/knownfailures/knownfailures_test.go
+++ b/internal/knownfailures/knownfailures_test.go
@@ -14,10 +14,10 @@
 		{Name{"relay/policy", "ExampleNew"}, "order of a map", "#7"},
 	}
 	if err != nil || !slices.Equal(entries, want) {
-		t.Fatalf("%v %v", entries, err)
+		t.Fatalf("Parse = %v, %v, want %v", entries, err, want)
 	}
 	if entries, err := Parse(""); err != nil || len(entries) != 0 {
-		t.Fatalf("empty list: %v %v", entries, err)
+		t.Fatalf("Parse of an empty list = %v, %v, want no entries", entries, err)
 	}
 }
 
@@ -26,12 +26,12 @@
 	for name, text := range map[string]string{
 		"three fields":    "TestOne | relay/policy | cause\n",
 		"five fields":     "TestOne | relay/policy | cause | #1 | more\n",
-		"no cause":        "TestOne | relay/policy |  | #1\n",
-		"no issue":        "TestOne | relay/policy | cause |\n",
+		"empty cause":     "TestOne | relay/policy |  | #1\n",
+		"empty issue":     "TestOne | relay/policy | cause |\n",
 		"a subtest":       "TestOne/sub" + end,
 		"a pattern":       "Test.*" + end,
-		"no test":         "Helper" + end,
-		"a path":          "TestOne | ./policy | cause | #1\n",
+		"not a test":      "Helper" + end,
+		"file path":       "TestOne | ./policy | cause | #1\n",
 		"all packages":    "TestOne | relay/... | cause | #1\n",
 		"a flag":          "TestOne | -count=0 | cause | #1\n",
 		"a test twice":    "TestOne" + end + "TestOne" + end,
@@ -39,23 +39,23 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if entries, err := Parse(text); err == nil {
-				t.Errorf("parsed as %v", entries)
+				t.Errorf("Parse(%q) = %v, want an error", text, entries)
 			}
 		})
 	}
 	if _, err := Parse("TestOne" + end + "TestTwo" + end + "TestThree" + end); err != nil {
-		t.Error("three tests: ", err)
+		t.Error("Parse of a list of three tests: ", err)
 	}
 }
 
 func TestExists(t *testing.T) {
 	name := Name{"relay/policy", "TestOne"}
 	if !name.Exists("TestOne\nok  \trelay/policy\t0.1s\n") || name.Exists("TestOneMore\nok  \trelay/policy\t0.1s\n") {
-		t.Fail()
+		t.Error("Exists must be true for a line with exactly the test's name, and false if only a longer name is listed")
 	}
 }
 
-// Lines of go test -json for a package relay.
+// Lines of the output of go test -json for a package named relay.
 const (
 	testRun            = `{"Action":"run","Package":"relay","Test":"TestRed"}`
 	testFail           = `{"Action":"fail","Package":"relay","Test":"TestRed"}`
@@ -73,7 +73,8 @@
 	buildFail          = `{"Action":"fail","Package":"relay","FailedBuild":"relay [relay.test]"}`
 )
 
-// TestJudge judges runs of a package whose TestRed is listed, not listed, and listed for another package.
+// TestJudge checks the verdict on runs of a package whose test TestRed is listed. A run in which
+// TestRed fails must not pass if the test is not listed or is listed for another package.
 func TestJudge(t *testing.T) {
 	listed := []Entry{{Name{"relay", "TestRed"}, "cause", "#1"}}
 	for _, c := range []struct {
@@ -83,26 +84,26 @@
 		passes bool
 		report string // must be contained in it
 	}{
-		{"it fails", []string{testRun, testFail, verdictLine, summaryLine, packageFail}, 1, true, "cause (#1): failed"},
+		{"the listed test fails", []string{testRun, testFail, verdictLine, summaryLine, packageFail}, 1, true, "cause (#1): failed"},
 		{"a subtest fails", []string{testRun, subtestRun, subtestFail, testFail, verdictLine, summaryLine, packageFail}, 1, true, "failed"},
-		{"it passes", []string{testRun, testPass, packagePass}, 0, true, "cause (#1): passed, its line can go"},
-		{"it is skipped", []string{testRun, testSkip, packagePass}, 0, true, "cause (#1): skipped"},
-		{"it does not run", []string{packagePass}, 0, true, "cause (#1): did not run"},
-		{"it passes the second time", []string{testRun, testFail, testRun, testPass, verdictLine, summaryLine, packageFail}, 1, true, "failed"},
-		{"another fails too", []string{testRun, testFail, otherRun, otherFail, verdictLine, summaryLine, packageFail}, 1, false, "relay.TestRedder failed"},
-		{"it panics", []string{testRun, testFail, summaryLine, packageFail}, 1, false, "ended before its verdict"},
-		{"a panic after the tests", []string{testRun, testFail, verdictLine, outputAfterVerdict, summaryLine, packageFail}, 1, false, "ended before its verdict"},
-		{"another does not finish", []string{testRun, testFail, otherRun, verdictLine, summaryLine, packageFail}, 1, false, "relay.TestRedder did not finish"},
-		{"it does not finish", []string{testRun, summaryLine, packageFail}, 1, false, "cause (#1): did not finish"},
-		{"its package does not build", []string{buildFail}, 1, false, "relay does not build"},
-		{"its package fails outside tests", []string{testRun, testPass, summaryLine, packageFail}, 1, false, "failed outside its tests"},
-		{"its package has no result", []string{testRun, testFail}, 1, false, "relay has no result"},
-		{"go test is called wrongly", []string{testRun, testFail, verdictLine, summaryLine, packageFail}, 2, false, "exit code 2"},
-		{"go test ends well all the same", []string{testRun, testFail, verdictLine, summaryLine, packageFail}, 0, false, "exit code 0"},
-		{"go test fails without a package", []string{testRun, testPass, packagePass}, 1, false, "exit code 1"},
-		{"its package passes all the same", []string{testRun, testFail, packagePass}, 0, false, "passed though a test failed"},
-		{"a line is no event", []string{"pattern ./...: no Go files", testRun, testFail, verdictLine, summaryLine, packageFail}, 1, false, "no event"},
-		{"nothing runs", nil, 0, false, "ran no package"},
+		{"the listed test passes", []string{testRun, testPass, packagePass}, 0, true, "cause (#1): passed, its line can be removed"},
+		{"the listed test is skipped", []string{testRun, testSkip, packagePass}, 0, true, "cause (#1): skipped"},
+		{"the listed test does not run", []string{packagePass}, 0, true, "cause (#1): did not run"},
+		{"the listed test fails, then passes", []string{testRun, testFail, testRun, testPass, verdictLine, summaryLine, packageFail}, 1, true, "failed"},
+		{"an unlisted test fails too", []string{testRun, testFail, otherRun, otherFail, verdictLine, summaryLine, packageFail}, 1, false, "relay.TestRedder failed"},
+		{"the listed test panics", []string{testRun, testFail, summaryLine, packageFail}, 1, false, "did not end normally"},
+		{"a panic after the tests", []string{testRun, testFail, verdictLine, outputAfterVerdict, summaryLine, packageFail}, 1, false, "did not end normally"},
+		{"an unlisted test does not finish", []string{testRun, testFail, otherRun, verdictLine, summaryLine, packageFail}, 1, false, "relay.TestRedder did not finish"},
+		{"the listed test does not finish", []string{testRun, summaryLine, packageFail}, 1, false, "cause (#1): did not finish"},
+		{"the package does not build", []string{buildFail}, 1, false, "relay does not build"},
+		{"the package fails outside its tests", []string{testRun, testPass, summaryLine, packageFail}, 1, false, "failed outside its tests"},
+		{"the package has no result", []string{testRun, testFail}, 1, false, "relay has no result"},
+		{"go test exits with 2", []string{testRun, testFail, verdictLine, summaryLine, packageFail}, 2, false, "exit code 2"},
+		{"go test exits with 0 though a package failed", []string{testRun, testFail, verdictLine, summaryLine, packageFail}, 0, false, "exit code 0"},
+		{"go test exits with 1 though no package failed", []string{testRun, testPass, packagePass}, 1, false, "exit code 1"},
+		{"the package passes though a test failed", []string{testRun, testFail, packagePass}, 0, false, "passed though a test failed"},
+		{"a line is not an event", []string{"pattern ./...: no Go files", testRun, testFail, verdictLine, summaryLine, packageFail}, 1, false, "not a JSON event"},
+		{"no package runs", nil, 0, false, "ran no package"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			run := NewRun()
@@ -111,20 +112,21 @@
 			}
 			passes, report := run.Judge(listed, c.exit)
 			if text := strings.Join(report, "\n"); passes != c.passes || !strings.Contains(text, c.report) {
-				t.Errorf("passes %v\n%s", passes, text)
+				t.Errorf("Judge: passes = %v, want %v and a report that contains %q; report:\n%s", passes, c.passes, c.report, text)
 			}
 			if passes, _ := run.Judge(nil, c.exit); passes && slices.Contains(c.lines, testFail) {
-				t.Error("not listed: passes")
+				t.Error("Judge passes the run though the failed test is not listed")
 			}
 			elsewhere := []Entry{{Name{"relay/core", "TestRed"}, "cause", "#1"}}
 			if passes, _ := run.Judge(elsewhere, c.exit); passes && slices.Contains(c.lines, testFail) {
-				t.Error("listed for another package: passes")
+				t.Error("Judge passes the run though the failed test is listed for another package")
 			}
 		})
 	}
 }
 
-// TestOutput: the whole output of a failed package is printed, without its passed tests, and one line of a package that passed.
+// TestOutput checks that AddLine and Finish print the output of a failed package without that of its
+// passed tests, and one line for a package that passed.
 func TestOutput(t *testing.T) {
 	run := NewRun()
 	var out strings.Builder
@@ -149,6 +151,6 @@
 	run.Finish(&out)
 	const want = "core.go:1:1: undefined\nok  \trelay/policy\t0.1s\n--- FAIL: TestRed (0.00s)\nFAIL\nFAIL\trelay\t0.1s\nno event\ncut off\n"
 	if out.String() != want {
-		t.Errorf("%q", out.String())
+		t.Errorf("printed %q, want %q", out.String(), want)
 	}
 }
--- a/internal/knownfailures/list.go
+++ b/internal/knownfailures/list.go
@@ -78,7 +78,7 @@
 		entries = append(entries, entry)
 	}
 	if len(entries) > MaxEntries {
-		return nil, &ListError{Reason: fmt.Sprintf("%d tests are listed, at most %d may be", len(entries), MaxEntries)}
+		return nil, &ListError{Reason: fmt.Sprintf("%d tests are listed, at most %d are allowed", len(entries), MaxEntries)}
 	}
 	return entries, nil
 }
--- a/internal/knownfailures/run.go
+++ b/internal/knownfailures/run.go
@@ -145,7 +145,7 @@
 	}
 	var failures []string
 	if r.malformed {
-		failures = append(failures, "go test printed a line that is no event")
+		failures = append(failures, "go test printed a line that is not a JSON event")
 	}
 	failed := 0
 	for _, name := range slices.Sorted(maps.Keys(r.packages)) {
@@ -158,7 +158,7 @@
 	// go test exits with 1 if a package failed and with 0 if none did. Any other exit code means that
 	// go test itself could not run as requested.
 	if want := min(failed, 1); exit != want {
-		failures = append(failures, fmt.Sprintf("go test ended with exit code %d and %d failed packages", exit, failed))
+		failures = append(failures, fmt.Sprintf("go test ended with exit code %d and %d failed packages, want exit code %d", exit, failed, want))
 	}
 	if len(r.packages) == 0 {
 		failures = append(failures, "go test ran no package")
@@ -172,7 +172,7 @@
 	case actionFail:
 		return text + "failed"
 	case actionPass:
-		return text + "passed, its line can go"
+		return text + "passed, its line can be removed"
 	case actionSkip:
 		return text + "skipped"
 	default:
@@ -220,7 +220,7 @@
 	case p.result == actionFail && !anyFailed:
 		failures = append(failures, name+" failed outside its tests")
 	case p.result == actionFail && !p.ranToEnd():
-		failures = append(failures, name+" ended before its verdict (panic, time limit or exit)")
+		failures = append(failures, name+" did not end normally (panic, timeout or exit)")
 	}
 	return failures
 }
