--- a/internal/scenario/actions.go
+++ b/internal/scenario/actions.go
@@ -10,19 +10,19 @@
 
 // Actions on relays.
 const (
-	ActionKill         Action = "kill"       // SIGKILL
-	ActionStart        Action = "start"      // a new process
-	ActionTerminate    Action = "term"       // SIGTERM, then SIGKILL at the earliest time allowed
-	ActionStop         Action = "stop"       // SIGSTOP
-	ActionPause        Action = "pause"      // SIGSTOP for so short a time that the judge still expects every answer
-	ActionContinue     Action = "continue"   // SIGCONT
-	ActionCrowd        Action = "crowd"      // opens idle connections to the relay
-	ActionDisperse     Action = "disperse"   // closes the idle connections
-	ActionSystemFaults Action = "trouble"    // steps the relay's wall clock or makes its system calls fail
-	ActionSystemHealth Action = "calm"       // ends ActionSystemFaults
-	ActionCopyState    Action = "copy_state" // copies the state directory, for a later start with OldState
-	ActionConfigure    Action = "configure"  // patches the relay's configuration and sends SIGHUP
-	ActionCall         Action = "call"       // calls the fleet's HTTP API, as an operator does
+	ActionKill            Action = "kill"       // SIGKILL
+	ActionStart           Action = "start"      // a new process
+	ActionTerminate       Action = "term"       // SIGTERM, then SIGKILL at the earliest time allowed
+	ActionStop            Action = "stop"       // SIGSTOP
+	ActionPause           Action = "pause"      // SIGSTOP for so short a time that the judge still expects every answer
+	ActionContinue        Action = "continue"   // SIGCONT
+	ActionOpenIdle        Action = "crowd"      // opens idle connections to the relay
+	ActionCloseIdle       Action = "disperse"   // closes the idle connections
+	ActionSystemFaults    Action = "trouble"    // steps the relay's wall clock or makes its system calls fail
+	ActionEndSystemFaults Action = "calm"       // ends ActionSystemFaults
+	ActionCopyState       Action = "copy_state" // copies the state directory, for a later start with OldState
+	ActionConfigure       Action = "configure"  // patches the relay's configuration and sends SIGHUP
+	ActionCall            Action = "call"       // calls the fleet's HTTP API, as an operator does
 )
 
 // Actions on members.
@@ -83,8 +83,8 @@
 }{
 	ActionKill: {TargetRelay, ActionStart}, ActionStart: {TargetRelay, ""}, ActionTerminate: {TargetRelay, ActionStart},
 	ActionStop: {TargetRelay, ActionContinue}, ActionPause: {TargetRelay, ActionContinue}, ActionContinue: {TargetRelay, ""},
-	ActionCrowd: {TargetRelay, ActionDisperse}, ActionDisperse: {TargetRelay, ""},
-	ActionSystemFaults: {TargetRelay, ActionSystemHealth}, ActionSystemHealth: {TargetRelay, ""},
+	ActionOpenIdle: {TargetRelay, ActionCloseIdle}, ActionCloseIdle: {TargetRelay, ""},
+	ActionSystemFaults: {TargetRelay, ActionEndSystemFaults}, ActionEndSystemFaults: {TargetRelay, ""},
 	ActionCopyState: {TargetRelay, ""}, ActionConfigure: {TargetRelay, ""}, ActionCall: {TargetRelay, ""},
 
 	ActionSilence: {TargetMember, ActionRecover}, ActionFail: {TargetMember, ActionRecover}, ActionRecover: {TargetMember, ""},
--- a/internal/scenario/file.go
+++ b/internal/scenario/file.go
@@ -108,7 +108,7 @@
 	To       []string `json:"to"`       // of link actions: patterns of the names at which the links end
 	Impairment
 	AnswerDelayMs   float64         `json:"late_ms"`    // of ActionDiscoverySlow
-	IdleConnections int             `json:"idle"`       // of ActionCrowd: connections to each relay
+	IdleConnections int             `json:"idle"`       // of ActionOpenIdle: connections to each relay
 	SignalSeries    bool            `json:"series"`     // of ActionTerminate: several signals in a row
 	LoseState       bool            `json:"lose_state"` // the relay's next start finds an empty state directory
 	OldState        bool            `json:"old_state"`  // the relay's next start finds the state of the last copy_state
--- a/internal/scenario/soak_faults.go
+++ b/internal/scenario/soak_faults.go
@@ -96,7 +96,7 @@
 			return Fault{Action: ActionConfigure, Targets: allRelays, EveryMs: d.floatBetween(1, 100), Body: json.RawMessage(`{}`)}
 		},
 		func() Fault {
-			return Fault{Action: ActionCrowd, Targets: d.oneOf(f.relayNames()), IdleConnections: 2 * sockets, ForMs: d.floatBetween(1000, 3000)}
+			return Fault{Action: ActionOpenIdle, Targets: d.oneOf(f.relayNames()), IdleConnections: 2 * sockets, ForMs: d.floatBetween(1000, 3000)}
 		},
 	}
 }
--- a/internal/scenariorunner/relay_faults.go
+++ b/internal/scenariorunner/relay_faults.go
@@ -28,9 +28,9 @@
 		n.signal(syscall.SIGSTOP, false)
 	case scenario.ActionContinue:
 		r.continueRelay(n, s)
-	case scenario.ActionCrowd:
+	case scenario.ActionOpenIdle:
 		r.openIdleConns(n, s.IdleConnections)
-	case scenario.ActionDisperse:
+	case scenario.ActionCloseIdle:
 		r.closeIdleConns(n)
 	default:
 		r.configureRelay(n, s)
@@ -52,8 +52,8 @@
 			return
 		}
 		n.signal(syscall.SIGHUP, false)
-	case scenario.ActionSystemFaults, scenario.ActionSystemHealth:
-		if s.Action == scenario.ActionSystemHealth {
+	case scenario.ActionSystemFaults, scenario.ActionEndSystemFaults:
+		if s.Action == scenario.ActionEndSystemFaults {
 			s.Body = nil
 		}
 		if err := n.setSystemFaults(s.Body); err != nil {
