--- a/internal/fakes/member.go
+++ b/internal/fakes/member.go
@@ -25,7 +25,7 @@
 type Attempt struct {
 	ID, Member string
 	Via        string // the name for which the address that it used was opened
-	From       string // the sender's address
+	From       string // the sender's network address
 	Group      string
 	Load       float64       // in cores
 	Work       time.Duration // processor time for the new connection
--- a/internal/fakes/tcp_proxy.go
+++ b/internal/fakes/tcp_proxy.go
@@ -106,8 +106,7 @@
 )
 
 // blockBacklog starts or stops the dropping of new handshakes. It fills the listener's accept queue,
-// so that the kernel drops further handshakes; unlike a packet filter this needs no privileges. The
-// caller holds the lock.
+// so that the kernel drops further handshakes, which needs no privileges. The caller holds the lock.
 func (p *TCPProxy) blockBacklog(block bool) {
 	if block == (p.backlogFillers != nil) {
 		return
--- a/internal/knownfailures/gotest/main_test.go
+++ b/internal/knownfailures/gotest/main_test.go
@@ -65,7 +65,7 @@
 	for _, c := range []struct {
 		name, list, command string
 		passes              bool
-		output              string // must be contained in it
+		output              string // text that the output must contain
 	}{
 		{"no list, no failure", "", "go test ./green", true, "ok  \ttrial/green"},
 		{"no list, one failure", "", "go test ./red ./green", false, "trial/red.TestRed failed"},
--- a/internal/knownfailures/knownfailures_test.go
+++ b/internal/knownfailures/knownfailures_test.go
@@ -82,7 +82,7 @@
 		lines  []string
 		exit   int
 		passes bool
-		report string // must be contained in it
+		report string // text that the report must contain
 	}{
 		{"the listed test fails", []string{testRun, testFail, verdictLine, summaryLine, packageFail}, 1, true, "cause (#1): failed"},
 		{"a subtest fails", []string{testRun, subtestRun, subtestFail, testFail, verdictLine, summaryLine, packageFail}, 1, true, "failed"},
--- a/internal/scenario/file.go
+++ b/internal/scenario/file.go
@@ -50,7 +50,7 @@
 	GroupWorkMs      float64    `json:"group_ms"`  // additional processor time for a group's first connection
 	ReportAgeMs      float64    `json:"report_ms"` // maximum age of a load report
 	ReportError      float64    `json:"rough"`     // maximum relative error of a load report
-	Defect           Defect     `json:"flaw"`      // of the members that ActionReplace starts
+	Defect           Defect     `json:"flaw"`      // of members that are started to replace others
 	DrainMs          float64    `json:"leave_ms"`  // from the start of draining until MOVE is sent to the clients
 }
 
--- a/internal/scenario/plan.go
+++ b/internal/scenario/plan.go
@@ -12,7 +12,7 @@
 // Plan holds everything that a run does. It is drawn before the run starts.
 type Plan struct {
 	Seed             uint64
-	MeasureFrom, End time.Duration // the measured time
+	MeasureFrom, End time.Duration // bounds of the measured time
 	Sessions         []Session     // sorted by arrival
 	Steps            []Step        // sorted by time
 	Cores            []float64     // of each member
