--- a/internal/knownfailures/gotest/main.go
+++ b/internal/knownfailures/gotest/main.go
@@ -2,8 +2,9 @@
 //
 //	gotest LIST COMMAND
 //
-// LIST need not exist. COMMAND is one line of a shell that begins with "go test ". What go test prints without -json is printed,
-// then what became of the listed tests. It exits with 0 if nothing failed but tests of the list, otherwise with 1.
+// LIST is the path of the list; a missing file is an empty list. COMMAND is one line of shell that
+// begins with "go test ". Gotest prints what go test prints without -json, then the results of the
+// listed tests. It exits with 0 if no test failed except listed ones, otherwise with 1.
 package main
 
 import (
@@ -47,13 +48,13 @@
 	if err := checkExist(entries); err != nil {
 		return false, err
 	}
-	tests := knownfailures.NewRun()
-	exit, err := runCommand("go test -json "+arguments, func(line string) { tests.AddLine(line, out) })
+	testRun := knownfailures.NewRun()
+	exit, err := runCommand("go test -json "+arguments, func(line string) { testRun.AddLine(line, out) })
 	if err != nil {
 		return false, err
 	}
-	tests.Finish(out)
-	passes, report := tests.Judge(entries, exit)
+	testRun.Finish(out)
+	passes, report := testRun.Judge(entries, exit)
 	if !passes {
 		fmt.Fprintln(out, "FAIL")
 	}
@@ -74,7 +75,7 @@
 	return knownfailures.Parse(string(text))
 }
 
-// checkExist returns an error if a listed test does not exist.
+// checkExist returns an error if a listed test does not exist or its package's tests cannot be listed.
 func checkExist(entries []knownfailures.Entry) error {
 	for _, entry := range entries {
 		list := exec.Command("go", "test", "-list", "^"+entry.Test+"$", entry.Package)
@@ -90,8 +91,9 @@
 	return nil
 }
 
-// runCommand runs a shell command and calls take with each line of its output.
-func runCommand(command string, take func(line string)) (exit int, err error) {
+// runCommand runs a shell command, calls handleLine with each line of its standard output, and
+// returns its exit code.
+func runCommand(command string, handleLine func(line string)) (exit int, err error) {
 	shell := exec.Command("sh", "-c", command)
 	shell.Stderr = os.Stderr
 	output, err := shell.StdoutPipe()
@@ -105,16 +107,16 @@
 	for {
 		line, err := lines.ReadString('\n')
 		if line != "" {
-			take(strings.TrimSuffix(line, "\n"))
+			handleLine(strings.TrimSuffix(line, "\n"))
 		}
 		if err != nil {
 			break
 		}
 	}
 	err = shell.Wait()
-	var ended *exec.ExitError
-	if errors.As(err, &ended) {
-		return ended.ExitCode(), nil
+	var exitErr *exec.ExitError
+	if errors.As(err, &exitErr) {
+		return exitErr.ExitCode(), nil
 	}
 	return 0, err
 }
--- a/internal/scenario/key_lines.go
+++ b/internal/scenario/key_lines.go
@@ -11,10 +11,11 @@
 	"strings"
 )
 
-// keyLines returns the line of each key of a JSON text. Keys have the form "faults[2].at_ms".
+// keyLines returns the line of each key of a JSON text. Nested keys are written in full, as in
+// "faults[2].at_ms".
 func keyLines(text []byte) (map[string]int, error) {
 	s := &keyScanner{text: text, decoder: json.NewDecoder(bytes.NewReader(text)), lines: map[string]int{}}
-	if err := s.value(""); err != nil {
+	if err := s.readValue(""); err != nil {
 		offset := s.decoder.InputOffset()
 		var syntax *json.SyntaxError
 		if errors.As(err, &syntax) {
@@ -25,7 +26,7 @@
 	return s.lines, nil
 }
 
-// keyScanner walks a JSON text.
+// keyScanner reads a JSON text and records the line of each key.
 type keyScanner struct {
 	text    []byte
 	decoder *json.Decoder
@@ -38,8 +39,8 @@
 
 func (s *keyScanner) currentLine() int { return s.lineAt(s.decoder.InputOffset()) }
 
-// value reads the value of a key, and the keys in it.
-func (s *keyScanner) value(key string) error {
+// readValue reads the value of a key and records the lines of the keys in it.
+func (s *keyScanner) readValue(key string) error {
 	t, err := s.decoder.Token()
 	if err != nil {
 		return err
@@ -56,13 +57,13 @@
 			}
 			inner := joinKey(key, fmt.Sprint(name))
 			s.lines[inner] = s.currentLine()
-			if err := s.value(inner); err != nil {
+			if err := s.readValue(inner); err != nil {
 				return err
 			}
 		}
 	case json.Delim('['):
 		for i := 0; s.decoder.More(); i++ {
-			if err := s.value(fmt.Sprintf("%s[%d]", key, i)); err != nil {
+			if err := s.readValue(fmt.Sprintf("%s[%d]", key, i)); err != nil {
 				return err
 			}
 		}
@@ -77,7 +78,7 @@
 
 var arrayIndex = regexp.MustCompile(`\[\d+\]`)
 
-// unknownKeys lists the keys of a text that a type does not have.
+// unknownKeys returns the keys that the type t does not have.
 func unknownKeys(lines map[string]int, t reflect.Type) (keys []string) {
 	schema := keySchema{known: map[string]bool{"": true}}
 	schema.add("", t)
@@ -89,10 +90,10 @@
 	return keys
 }
 
-// keySchema is the keys that a type has. Indexes of arrays are left out, as in "faults[].at_ms".
+// keySchema holds the keys that a type has. Array indexes are omitted, as in "faults[].at_ms".
 type keySchema struct {
 	known map[string]bool
-	raw   []string // anything may stand below these
+	raw   []string // keys with arbitrary JSON values (json.RawMessage)
 }
 
 func (s *keySchema) add(key string, t reflect.Type) {
--- a/internal/scenario/soak_faults.go
+++ b/internal/scenario/soak_faults.go
@@ -5,20 +5,20 @@
 	"slices"
 )
 
-// clockSteps are steps of a wall clock, in milliseconds.
+// clockSteps lists the steps of the wall clock that a soak draws from, in milliseconds.
 var clockSteps = []float64{-3_600_000, -2000, 2000, 3_600_000}
 
-// failingCalls are the ways in which system calls fail.
+// failingCalls lists the failures of system calls that a soak draws from.
 var failingCalls = []struct{ call, errno string }{
 	{"Accept", "ECONNABORTED"}, {"Accept", "ENFILE"}, {"Accept", "ENOBUFS"}, {"Socket", "ENFILE"}, {"Socket", "ENOBUFS"},
 	{"Connect", "EADDRNOTAVAIL"}, {"Connect", "ENETUNREACH"}, {"EpollCtl", "ENOMEM"}, {"EpollWait", "EINTR"}, {"Read", "EINTR"}, {"Read", "ENOMEM"},
 	{"Write", "ENOBUFS"}, {"Write", "EAGAIN"},
 }
 
-// faultDraw draws one fault of a kind.
+// faultDraw draws the details of one kind of fault.
 type faultDraw func() Fault
 
-// fault draws a fault of any kind.
+// fault draws a kind of fault and its details.
 func (d *soakDraw) fault(f *File, sockets int) Fault {
 	kinds := slices.Concat(d.processFaults(f), d.memberFaults(f), d.discoveryFaults(), d.linkFaults(f), d.relayLoadFaults(f, sockets))
 	if d.systemFaults {
@@ -27,7 +27,7 @@
 	return kinds[d.IntN(len(kinds))]()
 }
 
-// allRelays is the pattern of all relays' names.
+// allRelays is the pattern that matches the names of all relays.
 var allRelays = []string{relayPrefix + "*"}
 
 func (d *soakDraw) processFaults(f *File) []faultDraw {
@@ -55,7 +55,7 @@
 			return Fault{Action: ActionDie, Targets: d.oneOf(f.memberNames()), ForMs: d.floatBetween(500, 3000)}
 		},
 		func() Fault {
-			return Fault{Action: ActionDrain, Targets: d.oneOf(f.memberNames()), ForMs: f.Members.DrainMs + goneAfterMoveMs + d.floatBetween(0, 1500)}
+			return Fault{Action: ActionDrain, Targets: d.oneOf(f.memberNames()), ForMs: f.Members.DrainMs + maxExitAfterMoveMs + d.floatBetween(0, 1500)}
 		},
 		func() Fault { return Fault{Action: ActionReplace, Targets: d.oneOf(f.memberNames())} },
 	}
@@ -96,7 +96,7 @@
 			return Fault{Action: ActionConfigure, Targets: allRelays, EveryMs: d.floatBetween(1, 100), Body: json.RawMessage(`{}`)}
 		},
 		func() Fault {
-			return Fault{Action: ActionCrowd, Targets: d.oneOf(f.relayNames()), IdleConnections: 2 * sockets, ForMs: d.floatBetween(1000, 3000)}
+			return Fault{Action: ActionOpenIdle, Targets: d.oneOf(f.relayNames()), IdleConnections: 2 * sockets, ForMs: d.floatBetween(1000, 3000)}
 		},
 	}
 }
