--- a/cmd/dahliarudder-scenario/command.go
+++ b/cmd/dahliarudder-scenario/command.go
@@ -17,7 +17,7 @@
 )
 
 // errRuleBroken makes the exit code say that a rule was broken or a run was not valid.
-var errRuleBroken = errors.New("a rule was broken, or a run was not valid")
+var errRunFailed = errors.New("a rule was broken, or a run was not valid")
 
 // options are the command's flags. A zero leaves what the file says.
 type options struct {
@@ -48,7 +48,7 @@
 	c.Flags().IntVar(&o.relays, "relays", 0, "how many (default: the file's)")
 	c.Flags().IntVar(&o.members, "members", 0, "how many (default: the file's)")
 	c.Flags().Float64Var(&o.clients, "clients", 0, "as many times the file's clients")
-	c.Flags().StringVar(&o.program, "program", besideThisProgram("dahliarudder"), "the relay")
+	c.Flags().StringVar(&o.program, "program", siblingProgram("dahliarudder"), "the relay")
 	c.Flags().StringVar(&o.output, "out", "", "name of the JSON file and the page, without its ending (default: the file's name and -result, here)")
 	c.Flags().StringVar(&o.keepDir, "keep", "", "directory for the relays' files and logs (default: a new one, removed if all went well)")
 	c.Flags().BoolVar(&o.checkOnly, "check", false, "say whether the file can be used, and no more")
@@ -87,7 +87,7 @@
 	}
 	for _, x := range results {
 		if len(x.Violations) > 0 || x.Invalid != "" {
-			return fmt.Errorf("%w; the relays' logs are below %s", errRuleBroken, workDir)
+			return fmt.Errorf("%w; the relays' logs are below %s", errRunFailed, workDir)
 		}
 	}
 	if o.keepDir == "" {
@@ -151,7 +151,7 @@
 }
 
 // besideThisProgram is the path of a program in the directory of this one.
-func besideThisProgram(name string) string {
+func siblingProgram(name string) string {
 	self, err := os.Executable()
 	if err != nil {
 		return name
--- a/internal/scenariorunner/early_leave.go
+++ b/internal/scenariorunner/early_leave.go
@@ -56,7 +56,7 @@
 	case leaveByHalfClose:
 		tcp.CloseWrite()
 	}
-	reads := f.earlyLeave.mode == leaveByHalfClose
-	f.locked(func(at time.Duration) { f.judge.ClientLeft(at, f.id, reads) })
-	return !reads
+	stillReading := f.earlyLeave.mode == leaveByHalfClose
+	f.locked(func(at time.Duration) { f.judge.ClientLeft(at, f.id, stillReading) })
+	return !stillReading
 }
--- a/internal/scenariorunner/figures.go
+++ b/internal/scenariorunner/figures.go
@@ -2,10 +2,10 @@
 
 // figure is a number by which variants are compared.
 type figure struct {
-	name       string
-	of         func(*Result) float64
-	unit       string
-	ofPeerView bool // measured only where relays are asked for their view of each other
+	name           string
+	value          func(*Result) float64
+	unit           string
+	needsPeerViews bool // measured only where relays are asked for their view of each other
 }
 
 // figures are the rows of the table.
@@ -67,10 +67,10 @@
 }
 
 // mean is the mean over the relays.
-func (r *Result) mean(of func(RelayUsage) float64) float64 {
+func (r *Result) mean(value func(RelayUsage) float64) float64 {
 	sum := 0.0
 	for _, n := range r.Relays {
-		sum += of(n) / float64(len(r.Relays))
+		sum += value(n) / float64(len(r.Relays))
 	}
 	return sum
 }
--- a/internal/scenariorunner/fleet.go
+++ b/internal/scenariorunner/fleet.go
@@ -91,14 +91,14 @@
 		if fleetRequest("GET", n.fleetAddr, "/-/releases?stale", nil, &list) != http.StatusOK {
 			continue
 		}
-		for _, listed := range list.Releases {
+		for _, summary := range list.Releases {
 			var release rollout.ReleaseStatus
-			if fleetRequest("GET", n.fleetAddr, "/-/releases/"+listed.Name+"?stale", nil, &release) != http.StatusOK {
+			if fleetRequest("GET", n.fleetAddr, "/-/releases/"+summary.Name+"?stale", nil, &release) != http.StatusOK {
 				continue
 			}
 			r.locked(func(at time.Duration) {
 				if state := r.unavailability.recordRelease(at, release); state != "" {
-					r.event(at, "release %s is %s", listed.Name, state)
+					r.event(at, "release %s is %s", summary.Name, state)
 				}
 			})
 			for _, u := range release.Units {
--- a/internal/scenariorunner/floors_test.go
+++ b/internal/scenariorunner/floors_test.go
@@ -19,11 +19,11 @@
 // tenant and third of the day is served, and no relay rejects all that it gets for 4 s.
 func TestFloors(t *testing.T) {
 	program, config := buildRelay(t, "build"), deployedConfig(t)
-	for what, faults := range map[string]string{
+	for name, faults := range map[string]string{
 		"calm": ``,
 		"roll": `{"at_ms":3000,"do":"replace","who":["s*"],"part":0.5,"every_ms":1500},{"at_ms":3500,"do":"term","who":["n*"],"every_ms":2500,"for_ms":4000}`,
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			x := runScenario(t, program, `{"config":%q,"seed":9,"seconds":18,"from_ms":2000,
 			 "change":{"peers":null,"state":null,"counts_ms":0,"settings":{"zones":["north"],"guarantees":{"cold-ms":3000}}},
--- a/internal/scenariorunner/flow.go
+++ b/internal/scenariorunner/flow.go
@@ -140,17 +140,17 @@
 // openFlow is a flow that is up.
 type openFlow struct {
 	*flow
-	conn        net.Conn
-	tick        *time.Timer
-	wellSince   time.Duration // since when it is not yet known to have been served well
-	unanswered  bool          // a line has no answer yet
-	lineSentAt  time.Duration
-	clientEnded bool // the client has sent END
+	conn         net.Conn
+	tick         *time.Timer
+	countedUntil time.Duration // since when it is not yet known to have been served well
+	unanswered   bool          // a line has no answer yet
+	lineSentAt   time.Duration
+	clientEnded  bool // the client has sent END
 }
 
 // keepOpen sends lines on a flow that is up, to the end of its session.
 func (f *flow) keepOpen(ctx context.Context, c net.Conn) outcome {
-	o := &openFlow{flow: f, conn: c, wellSince: f.now()}
+	o := &openFlow{flow: f, conn: c, countedUntil: f.now()}
 	f.locked(func(at time.Duration) {
 		f.setupTimes.RecordValue(max((at - f.wantedSince).Microseconds(), 1))
 		f.openFlows++
@@ -179,20 +179,20 @@
 	return scenario.Millis(o.File.Clients.LineIntervalMs)
 }
 
-func (o *openFlow) answerWithin() time.Duration {
+func (o *openFlow) answerTimeout() time.Duration {
 	return scenario.Millis(o.File.Clients.AnswerWithinMs)
 }
 
 // addServed counts the time until now as served well.
 func (o *openFlow) addServed(at time.Duration) {
-	o.service.AddServed(o.tags, o.wellSince, min(at, o.end))
-	o.wellSince = at
+	o.service.AddServed(o.tags, o.countedUntil, min(at, o.end))
+	o.countedUntil = at
 }
 
 // cutShort ends the flow with the run. A line that is not late yet counts as answered.
 func (o *openFlow) cutShort() {
 	o.locked(func(time.Duration) {
-		if at := o.now(); !o.unanswered || at-o.lineSentAt <= o.answerWithin() {
+		if at := o.now(); !o.unanswered || at-o.lineSentAt <= o.answerTimeout() {
 			o.addServed(at)
 		}
 		o.judge.ClientGaveUp(o.id)
@@ -237,10 +237,10 @@
 		o.locked(func(at time.Duration) { o.judge.FlowEnded(at, o.id) })
 		return outcomeBroken
 	case strings.HasPrefix(line, "GOT "):
-		if o.unanswered && o.now()-o.lineSentAt <= o.answerWithin() {
+		if o.unanswered && o.now()-o.lineSentAt <= o.answerTimeout() {
 			o.locked(o.addServed)
 		} else {
-			o.wellSince = o.now()
+			o.countedUntil = o.now()
 		}
 		o.unanswered = false
 	case strings.HasPrefix(line, "LOAD "):
--- a/internal/scenariorunner/front.go
+++ b/internal/scenariorunner/front.go
@@ -70,11 +70,11 @@
 // recordReady records how long a process took to be ready, at its first healthy ping.
 func (f *front) recordReady(n *relay) {
 	f.locked(func(at time.Duration) {
-		if n.readyStart == n.starts {
+		if n.lastReadyStart == n.starts {
 			return
 		}
-		n.readyStart = n.starts
-		f.judge.RelayReady(at, n.name, at-n.began)
+		n.lastReadyStart = n.starts
+		f.judge.RelayReady(at, n.name, at-n.processStartedAt)
 	})
 }
 
--- a/internal/scenariorunner/growth_test.go
+++ b/internal/scenariorunner/growth_test.go
@@ -13,9 +13,9 @@
 // Bounds of the operators' page on what a relay may need over the same day at the usual size: a factor, what may be added,
 // and what may be added for each thousand members.
 var growthBounds = []struct {
-	what                 string
-	of                   func(x *Result) float64
-	times, plus, perMany float64
+	name                                 string
+	value                                func(x *Result) float64
+	factor, constant, perThousandMembers float64
 }{
 	{"processor seconds", func(x *Result) float64 { return x.Relays[0].CPU }, 1.4, 0.02, 0.03},
 	{"peak memory, MB", func(x *Result) float64 { return x.Relays[0].Memory }, 1.5, 8, 4},
@@ -35,27 +35,27 @@
 	if sizes == "" {
 		sizes = growthSizes
 	}
-	var usual *Result
+	var baseline *Result
 	for _, size := range strings.Split(sizes, ",") {
 		members, err := strconv.Atoi(size)
 		if err != nil {
 			t.Fatal(err)
 		}
 		x := runWithMembers(t, members, config, program)
-		if usual == nil {
-			usual = x
+		if baseline == nil {
+			baseline = x
 		}
 		for _, b := range growthBounds {
-			was, is := b.of(usual), b.of(x)
-			most := b.times*was + b.plus + b.perMany*float64(members)/1000
-			t.Logf("%d members: %s %.2f, at most %.2f", members, b.what, is, most)
-			if is > most {
-				t.Errorf("%d members: %s %.2f, the page allows %.2f over %.2f at the usual size", members, b.what, is, most, was)
+			baseValue, value := b.value(baseline), b.value(x)
+			limit := b.factor*baseValue + b.constant + b.perThousandMembers*float64(members)/1000
+			t.Logf("%d members: %s %.2f, at most %.2f", members, b.name, value, limit)
+			if value > limit {
+				t.Errorf("%d members: %s %.2f, the page allows %.2f over %.2f at the usual size", members, b.name, value, limit, baseValue)
 			}
 		}
 		t.Logf("%d members: %.3f served", members, x.Service)
-		if x.Service < minServedShare*usual.Service {
-			t.Errorf("%d members: %.3f served, %.3f at the usual size", members, x.Service, usual.Service)
+		if x.Service < minServedShare*baseline.Service {
+			t.Errorf("%d members: %.3f served, %.3f at the usual size", members, x.Service, baseline.Service)
 		}
 		if len(x.Violations) > 0 {
 			t.Errorf("%d members:\n%s", members, violationLines(x.Violations))
--- a/internal/scenariorunner/member.go
+++ b/internal/scenariorunner/member.go
@@ -33,7 +33,7 @@
 	f.idByOrigin[origin] = id
 }
 
-func (f *inFlight) find(origin string) (id string, ok bool) {
+func (f *inFlight) lookup(origin string) (id string, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	id, ok = f.idByOrigin[origin]
@@ -44,9 +44,9 @@
 func (f *inFlight) remove(origin, id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	was := f.idByOrigin[origin] == id
+	found := f.idByOrigin[origin] == id
 	delete(f.idByOrigin, origin)
-	return was
+	return found
 }
 
 // defaultHostType is members' host type if the settings name none.
@@ -72,7 +72,7 @@
 		}
 		// Behind a cut the member does not learn that the relay has closed the connection: the proxy does.
 		onCallerClosed := func(from string) {
-			if id, ok := m.inFlight.find(from); ok {
+			if id, ok := m.inFlight.lookup(from); ok {
 				r.attemptEnded(m, fakes.Attempt{ID: id, From: from}, false)
 			}
 		}
@@ -135,7 +135,7 @@
 }
 
 // share is the part of its full capacity that the member has. The caller holds the lock.
-func (m *member) share(now time.Time) float64 {
+func (m *member) capacityShare(now time.Time) float64 {
 	age := time.Duration(math.MaxInt64) // it started long ago
 	if m.entry.Started > 0 {
 		age = now.Sub(time.UnixMilli(m.entry.Started))
@@ -150,7 +150,7 @@
 		down = r.judge.AttemptStarted(at, a.ID, a.Via, m.name, a.Work, a.Load)
 		r.usage[a.Via].recordAttempt()
 		if work := a.Work.Seconds(); work > 0 {
-			r.memberLoad[m.ID].Add(at, work/(m.Capacity.Cores*m.share(time.Now())))
+			r.memberLoad[m.ID].Add(at, work/(m.Capacity.Cores*m.capacityShare(time.Now())))
 		}
 	})
 	if down {
--- a/internal/scenariorunner/member_updates.go
+++ b/internal/scenariorunner/member_updates.go
@@ -23,7 +23,7 @@
 			continue
 		}
 		delete(r.updatesBehindCut, key)
-		r.judgeUpdate(relay, e)
+		r.reportMemberUpdate(relay, e)
 	}
 }
 
@@ -36,7 +36,7 @@
 		}
 		delete(r.updatesBehindCut, key)
 		if e.Lifecycle == fakes.Serving {
-			r.judgeUpdate(relay, e)
+			r.reportMemberUpdate(relay, e)
 			continue
 		}
 		written := r.updatesWritten[key]
@@ -44,7 +44,7 @@
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			if r.updatesWritten[key] == written {
-				r.judgeUpdate(relay, e)
+				r.reportMemberUpdate(relay, e)
 			}
 		})
 	}
@@ -56,6 +56,6 @@
 	return l != nil && (l.forward.Cut || l.backward.Cut) && !r.closing
 }
 
-func (r *run) judgeUpdate(relay string, e fakes.Entry) {
+func (r *run) reportMemberUpdate(relay string, e fakes.Entry) {
 	r.judge.MemberUpdateSent(r.now(), relay, e.ID, e.Lifecycle, r.sinceStart(e.Started))
 }
--- a/internal/scenariorunner/page.go
+++ b/internal/scenariorunner/page.go
@@ -31,8 +31,8 @@
 	}
 	for _, p := range []struct {
 		title, unit string
-		of          func(*Result) []float64
-		asked       bool
+		values      func(*Result) []float64
+		withDemand  bool
 	}{
 		{"Connections well served", "connections", func(r *Result) []float64 { return r.Served }, true},
 		{"Well served, of those asked for", "%", func(r *Result) []float64 {
@@ -45,21 +45,21 @@
 			return out
 		}, false},
 	} {
-		svg, err := plotOverTime(p.title, p.unit, all, p.of, p.asked)
+		svg, err := plotOverTime(p.title, p.unit, all, p.values, p.withDemand)
 		if err != nil {
 			return err
 		}
 		data.Plots = append(data.Plots, svg)
 	}
 	var out bytes.Buffer
-	if err := page.Execute(&out, data); err != nil {
+	if err := pageTemplate.Execute(&out, data); err != nil {
 		return err
 	}
 	return os.WriteFile(path, out.Bytes(), 0o644)
 }
 
 // plotOverTime draws one figure over time as SVG: a line for each run, and a mark for each fault.
-func plotOverTime(title, unit string, all []*Result, of func(*Result) []float64, asked bool) (template.HTML, error) {
+func plotOverTime(title, unit string, all []*Result, valuesOf func(*Result) []float64, withDemand bool) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "s", unit
 	p.Y.Min, p.Legend.Top, p.Legend.Left = 0, false, true
@@ -82,18 +82,18 @@
 		}
 		return nil
 	}
-	number := map[string]int{}
+	colourIndex := map[string]int{}
 	for i, r := range all {
-		if i == 0 && asked {
+		if i == 0 && withDemand {
 			if err := add(r.Demand, color.Gray{0x88}, "asked for", true); err != nil {
 				return "", err
 			}
 		}
 		name := ""
-		if _, ok := number[r.Variant]; !ok {
-			number[r.Variant], name = len(number), r.Variant
+		if _, ok := colourIndex[r.Variant]; !ok {
+			colourIndex[r.Variant], name = len(colourIndex), r.Variant
 		}
-		if err := add(of(r), colours[number[r.Variant]%len(colours)], name, false); err != nil {
+		if err := add(valuesOf(r), colours[colourIndex[r.Variant]%len(colours)], name, false); err != nil {
 			return "", err
 		}
 	}
@@ -121,7 +121,7 @@
 	return template.HTML(text), nil
 }
 
-var page = template.Must(template.New("page").Parse(`<!doctype html>
+var pageTemplate = template.Must(template.New("page").Parse(`<!doctype html>
 <meta charset="utf-8">
 <title>Scenario</title>
 <style>body{font:15px/1.5 sans-serif;margin:2em auto;max-width:70em;padding:0 1em;color:#222}pre{overflow:auto;background:#f5f5f3;padding:1em}svg{max-width:100%;height:auto}li{font-variant-numeric:tabular-nums}</style>
--- a/internal/scenariorunner/relay.go
+++ b/internal/scenariorunner/relay.go
@@ -23,11 +23,11 @@
 	consensusAddr, fleetAddr                            string            // with a fleet
 	voterAddrs                                          map[string]string // by name; with a fleet
 
-	idleConns          idleConns
-	systemFaults       int           // how many times its system faults were set
-	readyStart         int           // the last of its starts that was ready
-	began              time.Duration // when its process started
-	initialDescriptors int           // when it was first ready
+	idleConns           idleConns
+	systemFaultsVersion int           // how many times its system faults were set
+	lastReadyStart      int           // the last of its starts that was ready
+	processStartedAt    time.Duration // when its process started
+	initialDescriptors  int           // when it was first ready
 
 	cmd          *exec.Cmd
 	done         chan struct{} // closed at the end of the process
@@ -73,7 +73,7 @@
 	n.mu.Lock()
 	n.cmd, n.done, n.exitStatus, n.exitExpected = cmd, done, "", false
 	n.starts++
-	n.began = n.now()
+	n.processStartedAt = n.now()
 	n.mu.Unlock()
 	go func() {
 		defer close(done)
@@ -93,11 +93,11 @@
 		n.exitStatus = err.Error()
 	}
 	n.endedCPU += (cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()).Seconds()
-	ordered := cmd.ProcessState.ExitCode() == rollout.ExitOrderedRestart
-	if ordered && !n.closing {
+	restartOrdered := cmd.ProcessState.ExitCode() == rollout.ExitOrderedRestart
+	if restartOrdered && !n.closing {
 		n.background.start(n.restartAfterExit)
 	}
-	if !n.exitExpected && !n.closing && !ordered {
+	if !n.exitExpected && !n.closing && !restartOrdered {
 		n.judge.RelayCrashed(n.now(), n.name, n.exitStatus)
 	}
 }
--- a/internal/scenariorunner/relay_config.go
+++ b/internal/scenariorunner/relay_config.go
@@ -128,14 +128,14 @@
 
 // setSystemFaults makes a test program's wall clock step and its system calls fail as the text says. An empty text ends that.
 func (n *relay) setSystemFaults(text json.RawMessage) error {
-	n.systemFaults++
+	n.systemFaultsVersion++
 	faults := object{}
 	if len(text) > 0 {
 		if err := json.Unmarshal(text, &faults); err != nil {
 			return err
 		}
 	}
-	faults["number"] = n.systemFaults
+	faults["number"] = n.systemFaultsVersion
 	numbered, err := json.Marshal(faults)
 	if err != nil {
 		return err
--- a/internal/scenariorunner/run.go
+++ b/internal/scenariorunner/run.go
@@ -82,9 +82,9 @@
 	if err != nil {
 		return nil, err
 	}
-	own := *r
-	own.File = r.File.ForVariant(v)
-	x := &run{Runner: &own, settings: decoded, config: config, program: r.Program, plan: scenario.Draw(own.File, site(decoded), seed),
+	runner := *r
+	runner.File = r.File.ForVariant(v)
+	x := &run{Runner: &runner, settings: decoded, config: config, program: r.Program, plan: scenario.Draw(runner.File, site(decoded), seed),
 		dir:       filepath.Join(r.WorkDir, fmt.Sprintf("%s-%d", strings.Map(fileNameRune, v.Name), repetition)),
 		usedAddrs: map[string]bool{}, leaderByFault: map[int]string{}, members: map[string]*member{}, links: map[scenario.Link]*link{},
 		updatesWritten: map[relayMember]int{}, updatesBehindCut: map[relayMember]fakes.Entry{}}
--- a/internal/scenariorunner/scripted_relay_test.go
+++ b/internal/scenariorunner/scripted_relay_test.go
@@ -41,7 +41,7 @@
 	var mu sync.Mutex
 	members := map[string]fakes.Entry{}
 	order := []string{}
-	learn := func(l fakes.List) {
+	addMembers := func(l fakes.List) {
 		mu.Lock()
 		defer mu.Unlock()
 		for _, e := range l.Instances {
@@ -51,18 +51,18 @@
 			members[e.ID] = e
 		}
 	}
-	learn(c.Known)
+	addMembers(c.Known)
 	go func() {
-		for at := 0; ; time.Sleep(20 * time.Millisecond) {
-			answer, err := http.Get(fmt.Sprintf("http://%s/api/targets?since=%d&timeout_ms=1000", c.Discovery, at))
+		for generation := 0; ; time.Sleep(20 * time.Millisecond) {
+			answer, err := http.Get(fmt.Sprintf("http://%s/api/targets?since=%d&timeout_ms=1000", c.Discovery, generation))
 			if err != nil {
 				continue
 			}
 			var l fakes.List
 			json.NewDecoder(answer.Body).Decode(&l)
 			answer.Body.Close()
-			learn(l)
-			at = l.Generation
+			addMembers(l)
+			generation = l.Generation
 		}
 	}()
 	// pick is a member with a lifecycle: the newest one for "overload in slow start", otherwise the first.
@@ -109,7 +109,7 @@
 	if err != nil {
 		return
 	}
-	at := pick("SERVING")
+	memberAddr := pick("SERVING")
 	if !repeatedScripts[script] && ruleBroken.Swap(true) {
 		script = "" // once is enough
 	}
@@ -118,11 +118,11 @@
 		io.WriteString(client, "BUSY 9000\r\nBUSY 9000\r\n")
 		return
 	case "no answer":
-		carry(io.Discard, in)
+		copyWithoutSplice(io.Discard, in)
 		return
 	case "forged answer":
 		io.WriteString(client, "UP s0/0000000000000000\r\n")
-		carry(io.Discard, in)
+		copyWithoutSplice(io.Discard, in)
 		return
 	case "crash":
 		os.Exit(1)
@@ -134,7 +134,7 @@
 		}
 	case "disallowed repeat", "wrong rejection":
 		for range 2 {
-			attemptAndClose(at, line)
+			attemptAndClose(memberAddr, line)
 			if script == "wrong rejection" {
 				io.WriteString(client, "BUSY 9000\r\n")
 				return
@@ -147,19 +147,19 @@
 		return
 	case "sent to draining":
 		if drains := pick("DRAINING"); drains != "" {
-			at = drains
+			memberAddr = drains
 		}
 	case "concurrent attempts":
-		if other, err := net.Dial("tcp", at); err == nil {
+		if other, err := net.Dial("tcp", memberAddr); err == nil {
 			defer other.Close()
 			io.WriteString(other, line)
 		}
 	case "too many attempts":
 		for range 4 {
-			attemptAndClose(at, line)
+			attemptAndClose(memberAddr, line)
 		}
 	}
-	member, err := net.Dial("tcp", at)
+	member, err := net.Dial("tcp", memberAddr)
 	if err != nil {
 		io.WriteString(client, "BUSY 200\r\n")
 		return
@@ -179,11 +179,11 @@
 		time.Sleep(10 * time.Second) // the member's side stays
 		return
 	case "flow stalled":
-		carry(io.Discard, in)
+		copyWithoutSplice(io.Discard, in)
 		return
 	}
-	go func() { carry(member, in); member.(*net.TCPConn).CloseWrite() }()
-	carry(client, out)
+	go func() { copyWithoutSplice(member, in); member.(*net.TCPConn).CloseWrite() }()
+	copyWithoutSplice(client, out)
 }
 
 // attemptAndClose makes an attempt at a member, and returns when the member has seen its end.
@@ -199,7 +199,7 @@
 }
 
 // carry copies without the system's splice, for which the runtime keeps pipes that would be taken for a leak.
-func carry(to io.Writer, from io.Reader) {
+func copyWithoutSplice(to io.Writer, from io.Reader) {
 	io.Copy(struct{ io.Writer }{to}, struct{ io.Reader }{from})
 }
 
--- a/internal/scenariorunner/table.go
+++ b/internal/scenariorunner/table.go
@@ -45,7 +45,7 @@
 	}
 	t.writeFigures(w, slices.ContainsFunc(all, func(r *Result) bool { return r.Peers != nil }))
 	for _, variant := range t.variants {
-		t.writeParts(w, variant)
+		t.writeVariantDetails(w, variant)
 	}
 	worstDelay := 0.0
 	for _, r := range all {
@@ -69,7 +69,7 @@
 	}
 	fmt.Fprintln(out)
 	for _, f := range figures {
-		if f.ofPeerView && !withPeerViews {
+		if f.needsPeerViews && !withPeerViews {
 			continue
 		}
 		fmt.Fprint(out, f.name)
@@ -84,7 +84,7 @@
 // values are a figure of all runs of a variant.
 func (t *resultTable) values(f *figure, variant string) (out []float64) {
 	for _, r := range t.byVariant[variant] {
-		out = append(out, f.of(r))
+		out = append(out, f.value(r))
 	}
 	return out
 }
@@ -110,7 +110,7 @@
 }
 
 // writeParts writes a variant's service by tag, and the rules that its runs broke.
-func (t *resultTable) writeParts(w io.Writer, variant string) {
+func (t *resultTable) writeVariantDetails(w io.Writer, variant string) {
 	results := t.byVariant[variant]
 	fmt.Fprintf(w, "\n%s, by part:", variant)
 	for _, tag := range slices.Sorted(maps.Keys(results[0].ByTag)) {
--- a/internal/scenariorunner/timeline.go
+++ b/internal/scenariorunner/timeline.go
@@ -151,7 +151,7 @@
 }
 
 // moveToExit is how long after it has moved its clients a draining member ends.
-const moveToExit = time.Second
+const exitDelay = time.Second
 
 // drainMember makes a member drain, and end in its time. The context ends with the timeline.
 func (r *run) drainMember(ctx context.Context, m *member) {
@@ -160,7 +160,7 @@
 	r.background.start(func(context.Context) {
 		if sleep(ctx, scenario.Millis(r.File.Members.DrainMs)) {
 			m.MoveClients()
-			sleep(ctx, moveToExit)
+			sleep(ctx, exitDelay)
 			m.Kill()
 			r.discovery.SetLifecycle(m.ID, fakes.Deleted)
 		}
--- a/internal/scenariorunner/unavailability.go
+++ b/internal/scenariorunner/unavailability.go
@@ -18,18 +18,18 @@
 }
 
 // recordRelease records a release's state. It returns the state if that is new.
-func (o *unavailability) recordRelease(at time.Duration, a rollout.ReleaseStatus) (changed string) {
+func (o *unavailability) recordRelease(at time.Duration, release rollout.ReleaseStatus) (changed string) {
 	if o.releaseStates == nil {
 		o.releaseStates, o.releaseEnds = map[string]string{}, map[string]time.Duration{}
 	}
-	state := string(a.State)
-	if a.Halt != nil && a.State == rollout.ReleaseHalted {
-		state += ": " + string(a.Halt.Cause) + ": " + a.Halt.Reason
+	state := string(release.State)
+	if release.Halt != nil && release.State == rollout.ReleaseHalted {
+		state += ": " + string(release.Halt.Cause) + ": " + release.Halt.Reason
 	}
-	if o.releaseStates[a.Name] == state {
+	if o.releaseStates[release.Name] == state {
 		return ""
 	}
-	o.releaseStates[a.Name], o.releaseEnds[a.Name] = state, at
+	o.releaseStates[release.Name], o.releaseEnds[release.Name] = state, at
 	return state
 }
 
@@ -59,7 +59,7 @@
 		r.locked(func(time.Duration) {
 			members, cores, lost, now := 0, 0.0, 0.0, time.Now()
 			for _, m := range r.memberByIndex {
-				share := m.share(now)
+				share := m.capacityShare(now)
 				if m.Down() {
 					share = 0
 				}
