--- a/cmd/dahliarudder-scenario/command.go
+++ b/cmd/dahliarudder-scenario/command.go
@@ -16,10 +16,10 @@
 	"dahliarudder/internal/scenariorunner"
 )
 
-// errRuleBroken makes the exit code say that a rule was broken or a run was not valid.
+// errRunFailed makes the program exit with status 1.
 var errRunFailed = errors.New("a rule was broken, or a run was not valid")
 
-// options are the command's flags. A zero leaves what the file says.
+// options are the command's flags. A zero value keeps what the scenario file says.
 type options struct {
 	seed               uint64
 	repetitions, seeds int
@@ -55,7 +55,7 @@
 	return c
 }
 
-// run runs the scenario file at path, or only checks it.
+// run runs the scenario file at path, or only validates it with --check.
 func (o *options) run(cmd *cobra.Command, path string) error {
 	f, err := o.load(path)
 	if err != nil {
@@ -124,7 +124,7 @@
 	return f, nil
 }
 
-// workDir is the absolute path of the directory for the relays' files and logs.
+// workDir returns the absolute path of the directory for the relays' files and logs.
 func (o *options) workDir() (string, error) {
 	dir := o.keepDir
 	if dir == "" {
@@ -150,7 +150,7 @@
 	return nil
 }
 
-// besideThisProgram is the path of a program in the directory of this one.
+// siblingProgram returns the path of a program in the same directory as this one.
 func siblingProgram(name string) string {
 	self, err := os.Executable()
 	if err != nil {
--- a/cmd/dahliarudder-scenario/main.go
+++ b/cmd/dahliarudder-scenario/main.go
@@ -1,5 +1,6 @@
-// Command dahliarudder-scenario runs a fault scenario. Operators start it as "dahliarudder scenario", which executes this program
-// in its place: the relay itself does not link the plotting library that the reports need.
+// Command dahliarudder-scenario runs a fault scenario. Operators start it as "dahliarudder scenario",
+// which executes this program in its place, so that the relay itself does not link the plotting
+// library that the reports need.
 package main
 
 import (
--- a/cmd/dahliarudder-scenario/progress.go
+++ b/cmd/dahliarudder-scenario/progress.go
@@ -9,7 +9,8 @@
 	"github.com/mattn/go-isatty"
 )
 
-// progressPrinter prints a run's progress. A line that is overwritten in place on a terminal becomes a line of its own elsewhere.
+// progressPrinter returns a function that prints a run's progress to a writer. Lines that are
+// overwritten in place on a terminal are printed as separate lines elsewhere.
 func progressPrinter(to io.Writer) func(format string, args ...any) {
 	if f, ok := to.(*os.File); ok && isatty.IsTerminal(f.Fd()) {
 		return func(format string, args ...any) { fmt.Fprintf(to, format, args...) }
--- a/internal/scenariorunner/background.go
+++ b/internal/scenariorunner/background.go
@@ -5,9 +5,9 @@
 	"sync"
 )
 
-// background owns the goroutines of a run that may outlive its clients and its timeline.
+// background owns the goroutines of a run that may outlive the clients and the timeline.
 type background struct {
-	ctx    context.Context // ends with the run
+	ctx    context.Context // cancelled when the run ends
 	cancel context.CancelFunc
 	all    sync.WaitGroup
 }
@@ -18,10 +18,10 @@
 	return b
 }
 
-// start runs f in a goroutine. The context ends with the run.
+// start runs f in a goroutine. The context passed to f is cancelled when the run ends.
 func (b *background) start(f func(ctx context.Context)) { b.all.Go(func() { f(b.ctx) }) }
 
-// stop makes the goroutines end; wait waits for them.
+// stop cancels the context of all goroutines; wait waits until they have returned.
 func (b *background) stop() { b.cancel() }
 
 func (b *background) wait() { b.all.Wait() }
--- a/internal/scenariorunner/drift.go
+++ b/internal/scenariorunner/drift.go
@@ -9,7 +9,7 @@
 	"dahliarudder/internal/drift"
 )
 
-// DriftSpan is a time in which the fleet's leader reported that an item of a relay drifts.
+// DriftSpan is a period in which the fleet's leader reported that an item of a relay drifts.
 type DriftSpan struct {
 	Relay string  `json:"relay"`
 	Item  string  `json:"item"`
@@ -20,17 +20,19 @@
 
 const (
 	maxDriftSpans = 1000
-	// maxDriftGap is how many seconds a report of drift may be absent within one span.
+	// maxDriftGap is the longest gap, in seconds, between two reports of a drift that count as
+	// one span.
 	maxDriftGap = 2
 )
 
 // driftReport is the answer to GET /-/drift.
 type driftReport struct {
-	Name string // the leader, or the relay that answers in its place
+	Name string // the leader, or the answering relay if it is not the leader
 	Rows []struct{ Relay, Item, State string }
 }
 
-// watchDrift asks the leader what drifts. What still propagates or is unknown is no drift.
+// watchDrift polls the leader's drift report and records the drifts. Items whose state is still
+// propagating or unknown are not counted as drift.
 func (r *run) watchDrift(ctx context.Context) {
 	leader := r.relays[0]
 	for sleep(ctx, fleetPollInterval) {
@@ -52,7 +54,7 @@
 	}
 }
 
-// recordDrift extends the span of a drift, or begins one. The caller holds the lock.
+// recordDrift extends the current span of a drift, or begins a new one. The caller holds the lock.
 func (r *run) recordDrift(at time.Duration, d DriftSpan) {
 	spans := &r.unavailability.drift
 	i := slices.IndexFunc(*spans, func(o DriftSpan) bool {
--- a/internal/scenariorunner/early_leave.go
+++ b/internal/scenariorunner/early_leave.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// earlyLeave is how a client goes before it has its answer.
+// earlyLeave is when and how a client disconnects before it has received its answer.
 type earlyLeave struct {
-	after time.Duration // since it sent its request
+	after time.Duration // since the request was sent
 	mode  leaveMode
 }
 
@@ -17,16 +17,16 @@
 const (
 	leaveByClose leaveMode = iota
 	leaveByReset
-	leaveByHalfClose // it ends its sending direction, and still reads
+	leaveByHalfClose // closes the sending direction and keeps reading
 	leaveModes
 )
 
-// drawEarlyLeave draws whether and how a client leaves early; nil: it does not.
+// drawEarlyLeave draws whether and how a client leaves early. It returns nil if the client stays.
 func (r *run) drawEarlyLeave(rng *rand.Rand, deadline time.Duration) *earlyLeave {
 	if rng.Float64() >= r.File.Clients.AbandonRate {
 		return nil
 	}
-	// Half of them leave at once, while the relay is still placing them.
+	// Half of these clients leave at once, while the relay is still choosing a member for them.
 	l := &earlyLeave{mode: leaveMode(rng.IntN(int(leaveModes)))}
 	if rng.IntN(2) == 0 {
 		l.after = time.Duration(rng.Float64() * float64(deadline) / 2)
@@ -34,7 +34,8 @@
 	return l
 }
 
-// leaveEarly leaves as drawn, unless an answer comes first. It returns true if the client does not read any more.
+// leaveEarly disconnects the client as drawn, unless an answer arrives first. It returns true if
+// the client no longer reads from the connection.
 func (f *flow) leaveEarly(c net.Conn) (gone bool) {
 	wait := time.NewTimer(f.earlyLeave.after)
 	defer wait.Stop()
@@ -44,7 +45,7 @@
 		if ok {
 			f.locked(func(at time.Duration) { f.judge.AnswerReceived(at, f.id, line) })
 		}
-		return true // the flow, if there is one, ends here
+		return true // the client closes the connection, and with it any flow that was opened
 	}
 	tcp := c.(*net.TCPConn)
 	switch f.earlyLeave.mode {
--- a/internal/scenariorunner/figures.go
+++ b/internal/scenariorunner/figures.go
@@ -1,14 +1,14 @@
 package scenariorunner
 
-// figure is a number by which variants are compared.
+// figure is a measured value by which variants are compared: one row of the table.
 type figure struct {
 	name           string
 	value          func(*Result) float64
 	unit           string
-	needsPeerViews bool // measured only where relays are asked for their view of each other
+	needsPeerViews bool // measured only if the runner polls the relays' views of each other
 }
 
-// figures are the rows of the table.
+// figures are the rows of the table, in order.
 var figures = []figure{
 	{"well served", func(r *Result) float64 { return 100 * r.Service }, "%", false},
 	{"worst 10 s", func(r *Result) float64 { return 100 * r.Worst }, "%", false},
@@ -36,7 +36,8 @@
 	{"rules broken", func(r *Result) float64 { return float64(len(r.Violations)) }, "", false},
 }
 
-// releasesDone is the time from the first call until all releases had ended: 0 without any, the run's length if one did not end.
+// releasesDone returns the seconds from the first accepted operator call until all releases had
+// ended. It returns 0 if there were no releases, and the length of the run if one did not end.
 func releasesDone(r *Result) float64 {
 	switch {
 	case r.ReleasesDoneAfter != nil:
@@ -47,7 +48,8 @@
 	return r.Seconds
 }
 
-// recoveredAfter is the time until service recovered: all that was left of the run if it never did.
+// recoveredAfter returns the seconds from the last fault until service recovered. It returns 0
+// without faults, and the time from the last fault to the end of the run if service never recovered.
 func recoveredAfter(r *Result) float64 {
 	if r.RecoveredAfter != nil {
 		return *r.RecoveredAfter
@@ -58,7 +60,7 @@
 	return max(r.Seconds-r.Faults[len(r.Faults)-1].At, 0)
 }
 
-// peers returns zeros if the views were not measured.
+// peers returns the measured peer views, or zeros if they were not measured.
 func (r *Result) peers() PeerViews {
 	if r.Peers == nil {
 		return PeerViews{}
@@ -66,7 +68,7 @@
 	return *r.Peers
 }
 
-// mean is the mean over the relays.
+// mean returns the mean of a value over all relays.
 func (r *Result) mean(value func(RelayUsage) float64) float64 {
 	sum := 0.0
 	for _, n := range r.Relays {
--- a/internal/scenariorunner/fleet.go
+++ b/internal/scenariorunner/fleet.go
@@ -15,21 +15,21 @@
 	"dahliarudder/internal/scenario"
 )
 
-// The runner plays an operator who calls the fleet's API, and the owner of the members, who replaces a member when the fleet reports
-// it as drained, never before.
+// The runner acts as an operator who calls the fleet's API, and as the owner of the members, who
+// replaces a member only after the fleet reports it as drained.
 
 const (
 	fleetPollInterval   = 200 * time.Millisecond
 	fleetRequestTimeout = 5 * time.Second
 	maxFleetAnswer      = 4 << 20 // bytes
-	// operatorCallTimeout is how long an operator retries a call that nobody can accept.
+	// operatorCallTimeout is how long a call is retried while no relay can accept it.
 	operatorCallTimeout = 15 * time.Second
 )
 
 var fleetClient = http.Client{Timeout: fleetRequestTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// fleetRequest makes one call of the fleet's API and decodes the answer into into, if that is not nil. It returns the status; 0 if
-// there is no answer.
+// fleetRequest makes one call to the fleet's API. Unless into is nil, it decodes the answer into
+// it. It returns the HTTP status, or 0 if there was no answer.
 func fleetRequest(method, addr, path string, body []byte, into any) int {
 	request, err := http.NewRequest(method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
@@ -47,7 +47,8 @@
 	return answer.StatusCode
 }
 
-// operatorCall makes a step's call, and retries while nobody can accept it.
+// operatorCall makes the call of a step. It retries until the call is accepted, rejected as invalid
+// or conflicting, or operatorCallTimeout has passed.
 func (r *run) operatorCall(ctx context.Context, n *relay, s scenario.Step) {
 	method, path, _ := strings.Cut(s.Call, " ")
 	for end := time.Now().Add(operatorCallTimeout); ctx.Err() == nil; sleep(ctx, fleetPollInterval) {
@@ -64,8 +65,9 @@
 	}
 }
 
-// resolveLeader is the name of the relay that leads the fleet; for a step that undoes a fault, of the one that led at the fault; "" if
-// nobody knows the leader.
+// resolveLeader returns the name of the relay that leads the fleet. For a step that undoes a fault,
+// it returns the relay that was the leader when the fault was injected. It returns "" if no relay
+// reports a leader.
 func (r *run) resolveLeader(s scenario.Step) string {
 	if leader := r.leaderByFault[s.Fault]; leader != "" {
 		return leader
@@ -82,7 +84,8 @@
 	return ""
 }
 
-// replaceDrainedMembers replaces members that a release has drained, and records the releases' states.
+// replaceDrainedMembers replaces the members that a release has drained, and records the state of
+// each release.
 func (r *run) replaceDrainedMembers(ctx context.Context) {
 	replaced := map[string]bool{}
 	for k := 0; sleep(ctx, fleetPollInterval); k++ {
@@ -102,7 +105,7 @@
 				}
 			})
 			for _, u := range release.Units {
-				name := cmp.Or(u.Successor, u.Name) // a rollback replaces the successor by the earlier build
+				name := cmp.Or(u.Successor, u.Name) // a rollback replaces the successor by the previous build
 				if u.Kind == rollout.KindMember && u.Phase == rollout.PhaseDrained && !replaced[name] {
 					replaced[name] = true
 					r.replaceMember(name, u.Reverting)
@@ -112,7 +115,8 @@
 	}
 }
 
-// replaceMember ends a member and starts its successor, of the earlier build in a rollback.
+// replaceMember ends a member and starts its successor. In a rollback the successor runs the
+// previous build, which has no defect.
 func (r *run) replaceMember(name string, rollback bool) {
 	r.mu.Lock()
 	m := r.members[name]
--- a/internal/scenariorunner/flow.go
+++ b/internal/scenariorunner/flow.go
@@ -19,14 +19,14 @@
 
 const (
 	outcomeEnded      outcome = "ended"      // the client ended its flow, or the relay did with BYE
-	outcomeMoved      outcome = "moved"      // the client was told to move
-	outcomeBroken     outcome = "broken"     // the flow broke
-	outcomeRejected   outcome = "rejected"   // BUSY
-	outcomeFailed     outcome = "failed"     // any other final answer
-	outcomeRefused    outcome = "refused"    // no connection
-	outcomeUnanswered outcome = "unanswered" // no final answer
+	outcomeMoved      outcome = "moved"      // the relay told the client to move
+	outcomeBroken     outcome = "broken"     // the flow ended unexpectedly or stopped answering
+	outcomeRejected   outcome = "rejected"   // the final answer was BUSY
+	outcomeFailed     outcome = "failed"     // any other final answer than UP and BUSY
+	outcomeRefused    outcome = "refused"    // connecting or sending the request failed
+	outcomeUnanswered outcome = "unanswered" // no final answer within the deadline and answerMargin
 	outcomeLeft       outcome = "left"       // the client left early
-	outcomeCutShort   outcome = "cut short"  // the run ended
+	outcomeCutShort   outcome = "cut short"  // the run ended during the attempt
 )
 
 // flow is one attempt of a session at a relay.
@@ -34,20 +34,23 @@
 	*session
 	relay        *relay
 	id, openLine string
-	earlyLeave   *earlyLeave // nil: the client waits for its answer
-	lines        chan string // from the relay; closed at the end of the connection
+	earlyLeave   *earlyLeave // nil if the client waits for its answer
+	lines        chan string // received from the relay; closed when the connection ends
 }
 
 const (
-	// answerMargin is how much longer than its deadline a client waits. The judge calls an answer after the deadline late.
+	// answerMargin is how much longer than its deadline a client waits for an answer, so that the
+	// judge sees and reports a late one.
 	answerMargin = 500 * time.Millisecond
-	// furtherAnswerWait is how long a client reads on after a final answer that ends the attempt.
+	// furtherAnswerWait is how long a client keeps reading after a final answer that ends the
+	// attempt, to detect a second answer.
 	furtherAnswerWait = 20 * time.Millisecond
-	// maxUnreadLines is how many lines may wait in flow.lines.
+	// maxUnreadLines is the capacity of flow.lines.
 	maxUnreadLines = 16
 )
 
-// attempt makes the attempt. It returns how that ended and, if it was rejected, after how long the client may retry.
+// attempt makes the attempt. It returns the outcome and, if the attempt was rejected, the delay
+// after which the client may retry.
 func (f *flow) attempt(ctx context.Context) (outcome, time.Duration) {
 	c, err := net.DialTimeout("tcp", f.front.addrs[f.relay.name], f.deadline)
 	if err != nil {
@@ -61,7 +64,7 @@
 	}
 	f.lines = make(chan string, maxUnreadLines)
 	go f.readLines(c)
-	defer func() { // the reader ends when the connection does
+	defer func() { // drains the channel until readLines returns, which closing the connection causes
 		c.Close()
 		for range f.lines {
 		}
@@ -98,10 +101,10 @@
 	}
 }
 
-// handleAnswer continues with the first answer.
+// handleAnswer handles the first answer to the request.
 func (f *flow) handleAnswer(ctx context.Context, c net.Conn, line string) (outcome, time.Duration) {
 	f.locked(func(at time.Duration) { f.judge.AnswerReceived(at, f.id, line) })
-	if f.earlyLeave != nil { // the client has ended its sending, and has its answer
+	if f.earlyLeave != nil { // the client has closed its sending direction and opens no flow
 		return outcomeLeft, 0
 	}
 	if strings.HasPrefix(line, "UP ") {
@@ -115,7 +118,7 @@
 	return outcomeFailed, 0
 }
 
-// reportFurtherAnswers gives the judge whatever follows a final answer at once.
+// reportFurtherAnswers passes lines that follow a final answer within furtherAnswerWait to the judge.
 func (f *flow) reportFurtherAnswers() {
 	end := time.After(furtherAnswerWait)
 	for {
@@ -131,24 +134,25 @@
 	}
 }
 
-// flowSilenceLimit is after how long a client ends a flow that brings nothing back: later than the judge's own limit.
+// flowSilenceLimit is how long a client waits for the answer to a line before it ends the flow. It
+// is longer than the judge's own limit.
 const flowSilenceLimit = 8 * time.Second
 
 // minLineInterval is the shortest interval between two ticks of an open flow.
 const minLineInterval = 10 * time.Millisecond
 
-// openFlow is a flow that is up.
+// openFlow is a flow that the relay has answered with UP.
 type openFlow struct {
 	*flow
 	conn         net.Conn
 	tick         *time.Timer
-	countedUntil time.Duration // since when it is not yet known to have been served well
-	unanswered   bool          // a line has no answer yet
+	countedUntil time.Duration // the time before it is already counted as served well or not
+	unanswered   bool          // the last line has no answer yet
 	lineSentAt   time.Duration
 	clientEnded  bool // the client has sent END
 }
 
-// keepOpen sends lines on a flow that is up, to the end of its session.
+// keepOpen sends lines on an open flow until the flow or its session ends.
 func (f *flow) keepOpen(ctx context.Context, c net.Conn) outcome {
 	o := &openFlow{flow: f, conn: c, countedUntil: f.now()}
 	f.locked(func(at time.Duration) {
@@ -183,13 +187,13 @@
 	return scenario.Millis(o.File.Clients.AnswerWithinMs)
 }
 
-// addServed counts the time until now as served well.
+// addServed counts the time since countedUntil as served well.
 func (o *openFlow) addServed(at time.Duration) {
 	o.service.AddServed(o.tags, o.countedUntil, min(at, o.end))
 	o.countedUntil = at
 }
 
-// cutShort ends the flow with the run. A line that is not late yet counts as answered.
+// cutShort ends the flow when the run ends. A line whose answer is not late yet counts as answered.
 func (o *openFlow) cutShort() {
 	o.locked(func(time.Duration) {
 		if at := o.now(); !o.unanswered || at-o.lineSentAt <= o.answerTimeout() {
@@ -199,7 +203,8 @@
 	})
 }
 
-// handleTick sends the next line, unless the last one is unanswered. It returns true if the client gives the flow up.
+// handleTick sends the next line, unless the last one is unanswered. It returns true if the last
+// line has been unanswered for longer than flowSilenceLimit, and the client gives up the flow.
 func (o *openFlow) handleTick() (stalled bool) {
 	now := o.now()
 	switch {
@@ -226,8 +231,8 @@
 	fmt.Fprint(o.conn, line)
 }
 
-// handleLine handles a line of the relay, or the end of the connection if ok is false. It returns how the flow ended; "" if it has
-// not.
+// handleLine handles a line from the relay, or the end of the connection if ok is false. It returns
+// the outcome, or "" if the flow continues.
 func (o *openFlow) handleLine(line string, ok bool) outcome {
 	switch {
 	case !ok:
--- a/internal/scenariorunner/front.go
+++ b/internal/scenariorunner/front.go
@@ -12,15 +12,15 @@
 	"dahliarudder/internal/scenario"
 )
 
-// front stands for the load balancers in front of the relays: it checks the relays' health and assigns the clients of each zone to
-// the relays of that zone.
+// front simulates the load balancers in front of the relays: it checks the relays' health and
+// assigns the clients of each zone to the relays of that zone.
 type front struct {
 	*run
-	addrs map[string]string // by relay
+	addrs map[string]string // by relay name
 
 	lock     sync.Mutex
 	lastPong map[string]time.Time
-	admitted map[string]bool // the relays that get clients
+	admitted map[string]bool // relays that clients are assigned to
 }
 
 func newFront(r *run) *front {
@@ -28,7 +28,7 @@
 }
 
 const (
-	// startingPingInterval is the longest interval of the pings of a relay that is not admitted.
+	// startingPingInterval is the longest interval between two pings of a relay that is not admitted.
 	startingPingInterval = 50 * time.Millisecond
 	pingTimeout          = time.Second
 )
@@ -55,7 +55,8 @@
 	}
 }
 
-// update takes in a ping's result and returns whether the relay is admitted.
+// update records the result of a ping and returns whether the relay is admitted. A relay is no
+// longer admitted when its last healthy ping is older than the failure timeout.
 func (f *front) update(name string, healthy bool) (admitted bool) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -67,7 +68,7 @@
 	return f.admitted[name]
 }
 
-// recordReady records how long a process took to be ready, at its first healthy ping.
+// recordReady reports to the judge, at the first healthy ping of a process, how long its start took.
 func (f *front) recordReady(n *relay) {
 	f.locked(func(at time.Duration) {
 		if n.lastReadyStart == n.starts {
@@ -114,7 +115,8 @@
 	f.admitted[name] = false
 }
 
-// pick assigns a client of a zone to a relay; nil if none is admitted.
+// pick assigns a client of a zone to a random admitted relay of that zone. It returns nil if none is
+// admitted.
 func (f *front) pick(zone int, rng *rand.Rand) *relay {
 	f.lock.Lock()
 	defer f.lock.Unlock()
--- a/internal/scenariorunner/member.go
+++ b/internal/scenariorunner/member.go
@@ -10,7 +10,7 @@
 	"dahliarudder/internal/scenario"
 )
 
-// member is one process of a pool member. A successor has the same index and the next generation.
+// member is one process of a pool member. Its successor has the same index and the next generation.
 type member struct {
 	*fakes.Member
 	name, zone  string
@@ -21,7 +21,8 @@
 	inFlight    inFlight
 }
 
-// inFlight holds the attempts at a member by the sending address, so that only the first of their two ends is reported.
+// inFlight holds the IDs of the attempts in flight at a member by their source address. The end of
+// an attempt may be seen twice, by the member and by a proxy; only the first one is reported.
 type inFlight struct {
 	mu         sync.Mutex
 	idByOrigin map[string]string
@@ -40,7 +41,7 @@
 	return id, ok
 }
 
-// remove returns whether the attempt was in flight.
+// remove removes an attempt and returns whether it was in flight.
 func (f *inFlight) remove(origin, id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -49,10 +50,11 @@
 	return found
 }
 
-// defaultHostType is members' host type if the settings name none.
+// defaultHostType is the host type of members if the settings define none.
 const defaultHostType = "m1"
 
-// newMember opens a member; generation counts the members of that index before it.
+// newMember opens the listeners of a member and makes it the current one of its index. The
+// generation is the number of earlier members with that index.
 func (r *run) newMember(index, generation int) (*member, error) {
 	zones := site(r.settings)
 	linkName := fmt.Sprintf("s%d", index)
@@ -70,7 +72,7 @@
 		if err != nil {
 			return nil, err
 		}
-		// Behind a cut the member does not learn that the relay has closed the connection: the proxy does.
+		// While the link is cut, a closed connection is visible to the proxy but not to the member.
 		onCallerClosed := func(from string) {
 			if id, ok := m.inFlight.lookup(from); ok {
 				r.attemptEnded(m, fakes.Attempt{ID: id, From: from}, false)
@@ -89,7 +91,7 @@
 	return m, nil
 }
 
-// successorDefect is the defect of members that replace others.
+// successorDefect returns the defect of the members that replace others.
 func (r *run) successorDefect(zones scenario.Site) fakes.Defect {
 	d := r.File.Members.Defect
 	defect := fakes.Defect{FailureRate: d.FailureRate, Delay: scenario.Millis(d.DelayMs)}
@@ -108,7 +110,7 @@
 		ReportError: f.ReportError, ReportFields: r.settings.Report.Names}
 }
 
-// observe feeds what reaches a member to the judge and the measures.
+// observe connects the events of a member to the judge and the measures.
 func (r *run) observe(m *member) {
 	m.OnAttempt = func(a fakes.Attempt) {
 		m.inFlight.add(a.From, a.ID)
@@ -134,16 +136,18 @@
 	r.judge.MemberStarted(m.name, r.plan.Cores[m.index], 0)
 }
 
-// share is the part of its full capacity that the member has. The caller holds the lock.
+// capacityShare returns the fraction of its full capacity that the member has at its age, which is
+// below 1 in slow start. The caller holds the lock.
 func (m *member) capacityShare(now time.Time) float64 {
-	age := time.Duration(math.MaxInt64) // it started long ago
+	age := time.Duration(math.MaxInt64) // without a start time: past slow start
 	if m.entry.Started > 0 {
 		age = now.Sub(time.UnixMilli(m.entry.Started))
 	}
 	return m.Capacity.SlowStart.Share(age)
 }
 
-// attemptStarted records an attempt at a member, which may bring the member down.
+// attemptStarted records an attempt at a member. If the judge finds that it overloads the member in
+// slow start, the member is killed.
 func (r *run) attemptStarted(m *member, a fakes.Attempt) {
 	down := false
 	r.locked(func(at time.Duration) {
@@ -159,14 +163,14 @@
 	}
 }
 
-// attemptEnded records the end of an attempt, if it was not recorded yet.
+// attemptEnded records the end of an attempt, unless that is already recorded.
 func (r *run) attemptEnded(m *member, a fakes.Attempt, endedByMember bool) {
 	if m.inFlight.remove(a.From, a.ID) {
 		r.locked(func(at time.Duration) { r.judge.AttemptEnded(at, a.ID, m.name, a.Load, endedByMember, a.Rejected) })
 	}
 }
 
-// startMember starts a process of a member and lists it.
+// startMember starts a process of a member and publishes it in discovery as serving.
 func (r *run) startMember(m *member) {
 	now := time.Now()
 	m.Start(now)
@@ -178,7 +182,7 @@
 	r.discovery.Put(entry)
 }
 
-// memberAddr is the address at which a relay reaches a member.
+// memberAddr returns the address at which a relay reaches a member.
 func (r *run) memberAddr(relay string, e fakes.Entry) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/scenariorunner/member_updates.go
+++ b/internal/scenariorunner/member_updates.go
@@ -7,11 +7,12 @@
 	"dahliarudder/internal/scenario"
 )
 
-// updateDeadline is how long after discovery became reachable again its changes count as delivered, whether or not they arrived.
+// updateDeadline is how long after its link to discovery is healed a relay is given to receive an
+// update that was written during the cut. After that the judge assumes that the relay has it.
 const updateDeadline = 6 * time.Second
 
-// recordMemberUpdates records the entries that discovery has written to a relay. Behind a cut only the proxy has received them;
-// deliverBehindCut continues.
+// recordMemberUpdates records the entries that discovery has written to a relay. While the link is
+// cut, only the proxy has received them: they are stored until deliverBehindCut.
 func (r *run) recordMemberUpdates(relay string, entries []fakes.Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -27,8 +28,9 @@
 	}
 }
 
-// deliverBehindCut is called when the link between a relay and discovery is healed. A serving member may be used from then on; any
-// other change counts as delivered after updateDeadline, unless a newer one was written. The caller holds the lock.
+// deliverBehindCut handles stored updates when the link between a relay and discovery is healed. A
+// serving member may be used from then on. Any other change counts as delivered after
+// updateDeadline, unless a newer one was written. The caller holds the lock.
 func (r *run) deliverBehindCut(relay string) {
 	for key, e := range r.updatesBehindCut {
 		if key.relay != relay {
--- a/internal/scenariorunner/page.go
+++ b/internal/scenariorunner/page.go
@@ -14,10 +14,10 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// colours are those of the variants, in their order.
+// colours are the line colours of the variants, in order.
 var colours = []color.Color{color.RGBA{0x1f, 0x5a, 0xa6, 255}, color.RGBA{0xc4, 0x4e, 0x1c, 255}, color.RGBA{0x2c, 0x7d, 0x4f, 255}, color.RGBA{0x7a, 0x3e, 0x8e, 255}}
 
-// WritePage writes an HTML page with the table and the plots.
+// WritePage writes an HTML page with the table, the plots and the timeline of all results.
 func WritePage(path, about string, all []*Result) error {
 	var table bytes.Buffer
 	WriteTable(&table, all)
@@ -58,7 +58,8 @@
 	return os.WriteFile(path, out.Bytes(), 0o644)
 }
 
-// plotOverTime draws one figure over time as SVG: a line for each run, and a mark for each fault.
+// plotOverTime draws a quantity over time as SVG, with a line for each run and a vertical mark for
+// each fault. With withDemand it also draws the demand as a dashed line.
 func plotOverTime(title, unit string, all []*Result, valuesOf func(*Result) []float64, withDemand bool) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "s", unit
--- a/internal/scenariorunner/peer_watch.go
+++ b/internal/scenariorunner/peer_watch.go
@@ -8,19 +8,20 @@
 	"dahliarudder/internal/scenario"
 )
 
-// relayPair is a relay that views another one.
+// relayPair is a relay and another relay whose state it reports.
 type relayPair struct{ viewer, viewed string }
 
-// peerWatch measures how soon relays notice that another one is down, and how often they suspect a live one. The run's lock guards it.
+// peerWatch measures how soon relays notice that another relay is down, and how often they suspect
+// a live one. It is guarded by the run's lock.
 type peerWatch struct {
 	run             *run
-	downSince       map[string]time.Duration // relays that were killed or stopped
-	upSince         map[string]time.Duration // relays that are back
-	noticed         []float64                // seconds until a live relay noticed an end
-	noticedBy       map[relayPair]bool       // who has noticed the current end
+	downSince       map[string]time.Duration // when relays that are down were killed or stopped
+	upSince         map[string]time.Duration // when relays were last back up
+	noticed         []float64                // seconds until a live relay noticed that another was down
+	noticedBy       map[relayPair]bool       // pairs whose viewer has noticed the current failure
 	lastState       map[relayPair]string
-	falseSuspicions int // of live relays
-	falseDeaths     int // live relays seen as dead, gone or left
+	falseSuspicions int // live relays reported as suspect
+	falseDeaths     int // live relays reported as dead, gone or left
 }
 
 func newPeerWatch(r *run) *peerWatch {
@@ -28,10 +29,10 @@
 		lastState: map[relayPair]string{}, noticedBy: map[relayPair]bool{}}
 }
 
-// reviveGrace is how long after its return a relay may still be seen as down.
+// reviveGrace is how long after a relay is back up another relay may still report it as down.
 const reviveGrace = 5 * time.Second
 
-// poll asks all relays for their views until the context ends.
+// poll polls the views of all relays until the context ends.
 func (w *peerWatch) poll(ctx context.Context) {
 	r := w.run
 	var all sync.WaitGroup
@@ -63,16 +64,16 @@
 	}
 }
 
-// relayUp records that a relay is back. The caller holds the lock.
+// relayUp records that a relay is back up. The caller holds the lock.
 func (w *peerWatch) relayUp(at time.Duration, name string) {
 	delete(w.downSince, name)
 	w.upSince[name] = at
 }
 
-// record takes in one relay's view of the others. The caller holds the lock.
+// record evaluates one relay's view of the others. The caller holds the lock.
 func (w *peerWatch) record(at time.Duration, viewer string, states []peerState) {
 	if _, down := w.downSince[viewer]; down || at-w.upSince[viewer] < reviveGrace {
-		return // its view may be from before it was down
+		return // the view may date from before the relay was down
 	}
 	for _, s := range states {
 		pair := relayPair{viewer, s.Name}
--- a/internal/scenariorunner/relay.go
+++ b/internal/scenariorunner/relay.go
@@ -12,7 +12,8 @@
 	"dahliarudder/internal/scenario"
 )
 
-// relay is one relay: its current process and those before it. The lock guards what belongs to the process.
+// relay is one relay with its current process. The fields of the process are guarded by the run's
+// lock.
 type relay struct {
 	*run
 	name        string
@@ -20,26 +21,26 @@
 	dir         string
 
 	listenAddr, operatorAddr, gossipAddr, discoveryAddr string
-	consensusAddr, fleetAddr                            string            // with a fleet
-	voterAddrs                                          map[string]string // by name; with a fleet
+	consensusAddr, fleetAddr                            string            // used only with a fleet
+	voterAddrs                                          map[string]string // by voter name; used only with a fleet
 
 	idleConns           idleConns
-	systemFaultsVersion int           // how many times its system faults were set
-	lastReadyStart      int           // the last of its starts that was ready
-	processStartedAt    time.Duration // when its process started
-	initialDescriptors  int           // when it was first ready
+	systemFaultsVersion int           // number of times the system faults were set
+	lastReadyStart      int           // the value of starts at which the relay was last ready
+	processStartedAt    time.Duration // when the current process was started
+	initialDescriptors  int           // open descriptors when the relay was first ready
 
 	cmd          *exec.Cmd
-	done         chan struct{} // closed at the end of the process
+	done         chan struct{} // closed when the process ends
 	exitStatus   string        // how the process ended; "" while it runs
-	exitExpected bool
+	exitExpected bool          // the runner has ended the process, so its exit is no crash
 	starts       int
-	endedCPU     float64 // seconds, of the processes that have ended
-	peakMemory   float64 // MB, of any process
-	gossipBytes  int     // sent to other relays by the processes that have ended
+	endedCPU     float64 // seconds used by the processes that have ended
+	peakMemory   float64 // MB, the highest of the processes whose usage was recorded
+	gossipBytes  int     // sent to other relays by the processes whose usage was recorded
 }
 
-// Names in a relay's directory.
+// Names of files and directories in a relay's directory.
 const (
 	configFile       = "config.json"
 	logFile          = "log"
@@ -49,7 +50,7 @@
 	systemFaultsFile = "fault-plan"
 )
 
-// start starts a process.
+// start starts a process of the relay.
 func (n *relay) start() error {
 	log, err := os.OpenFile(n.path(logFile), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -63,8 +64,9 @@
 	cmd := exec.Command(n.program, "serve", "--config", n.path(configFile))
 	cmd.Stderr, cmd.Stdout, cmd.Dir = log, log, state
 	cmd.Env = append(os.Environ(), "EDGE_NAME=", "EDGE_LISTEN=", "EDGE_DISCOVERY=", "EDGE_CONFIG=", "EDGE_OPERATOR=", "TMPDIR="+state,
-		"RELAY_FAULT_PLAN="+n.path(systemFaultsFile)) // read by test programs that start themselves as the relay
-	// A process group of its own: Ctrl-C is for the runner, which ends the relays itself. They never outlive it.
+		"RELAY_FAULT_PLAN="+n.path(systemFaultsFile)) // read by test binaries that run as the relay
+	// A process group of its own keeps Ctrl-C from the relays: the runner stops them itself.
+	// Pdeathsig ends them if the runner dies.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return err
@@ -84,7 +86,8 @@
 
 func (n *relay) path(name string) string { return filepath.Join(n.dir, name) }
 
-// recordExit records the end of a process. A relay that ended in order to be restarted is restarted.
+// recordExit records the end of a process. A relay that exited with ExitOrderedRestart is restarted;
+// any other exit that the runner did not cause is reported as a crash.
 func (n *relay) recordExit(cmd *exec.Cmd, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -102,7 +105,7 @@
 	}
 }
 
-// restartAfterExit restarts, as a service manager does, a relay that has ended for that.
+// restartAfterExit restarts a relay that has exited to be restarted, as a service manager does.
 func (n *relay) restartAfterExit(ctx context.Context) {
 	n.relayDown(n)
 	if sleep(ctx, scenario.Millis(n.File.Relays.RestartDelayMs)) {
@@ -110,14 +113,15 @@
 	}
 }
 
-// exitReason is how the process ended; "" while it runs.
+// exitReason returns how the process ended, or "" while it runs.
 func (n *relay) exitReason() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.exitStatus
 }
 
-// signal sends a signal to the process if it runs. With expectExit the end of the process is no crash.
+// signal sends a signal to the process if it runs, and returns whether it was sent. With expectExit
+// a later exit of the process is no crash.
 func (n *relay) signal(s syscall.Signal, expectExit bool) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -128,10 +132,11 @@
 	return n.cmd.Process.Signal(s) == nil
 }
 
-// stopTimeout is how long a process may take to end after SIGTERM when the run is over.
+// stopTimeout is how long a process may take to exit after SIGTERM at the end of the run.
 const stopTimeout = 5 * time.Second
 
-// stopGracefully ends the process, by SIGKILL if it does not end by SIGTERM.
+// stopGracefully ends the process with SIGTERM, and with SIGKILL if it has not exited within
+// stopTimeout.
 func (n *relay) stopGracefully() {
 	if n.done == nil {
 		return
--- a/internal/scenariorunner/relay_config.go
+++ b/internal/scenariorunner/relay_config.go
@@ -10,18 +10,18 @@
 	"dahliarudder/internal/scenario"
 )
 
-// object is a JSON object whose values are set by the runner.
+// object is a JSON object in which the runner sets values.
 type object map[string]any
 
 const (
-	// maxKnownPeers is how many other relays a relay's configuration names.
+	// maxKnownPeers is the number of other relays that a relay's configuration lists.
 	maxKnownPeers = 3
-	// seedStride spreads the relays' seeds.
+	// seedStride is the difference between the seeds of two relays with successive indexes.
 	seedStride = 7919
 	gossipKey  = "a key that lives as long as the scenario runs\n"
 )
 
-// writeConfig writes the relay's configuration and key.
+// writeConfig writes the relay's configuration file and gossip key.
 func (n *relay) writeConfig() error {
 	if err := os.MkdirAll(n.dir, 0o700); err != nil {
 		return err
@@ -36,13 +36,13 @@
 	}
 	maps.Copy(config, object{"settings": relaySettings, "name": n.name, "listen": n.listenAddr, "operator": n.operatorAddr,
 		"discovery": n.discoveryAddr, "seed": fmt.Sprintf("%x", n.plan.Seed+uint64(n.index)*seedStride+uint64(n.starts))})
-	list := n.discovery.Snapshot(nil) // before memberAddr, which takes the run's lock
+	list := n.discovery.Snapshot(nil) // taken before memberAddr, which takes the run's lock
 	for i, e := range list.Instances {
 		list.Instances[i].Addr = n.memberAddr(n.name, e)
 	}
-	config["known"] = list   // later processes start with the same list, which may be old by then
-	delete(config, "store")  // a scenario leaves no records
-	delete(config, "fronts") // clients speak the line protocol
+	config["known"] = list   // restarted processes read the same list, which may be outdated by then
+	delete(config, "store")  // a scenario writes no records to a store
+	delete(config, "fronts") // clients use the line protocol
 	for section, configure := range map[string]func(object) error{
 		"state": n.configureState, "fleet": n.configureFleet, "peers": n.configurePeers,
 	} {
@@ -63,7 +63,7 @@
 	return os.WriteFile(n.path(configFile), text, 0o600)
 }
 
-// relaySettings are the settings as this relay has them.
+// relaySettings returns the settings with the values that are specific to this relay.
 func (n *relay) relaySettings() (map[string]json.RawMessage, error) {
 	all := map[string]json.RawMessage{}
 	if err := json.Unmarshal(n.config["settings"], &all); err != nil {
@@ -75,7 +75,7 @@
 	return all, nil
 }
 
-// configureState keeps the relay's state in its own directory, never in the operator's.
+// configureState puts the relay's state into its own directory instead of the configured one.
 func (n *relay) configureState(state object) error {
 	state["dir"] = n.path(stateDir)
 	return nil
@@ -91,7 +91,8 @@
 	return nil
 }
 
-// configurePeers names the other relays, by their proxies where the plan breaks a link.
+// configurePeers lists the other relays, with the addresses of the proxies on links that the plan
+// breaks.
 func (n *relay) configurePeers(peers object) error {
 	reach, known := map[string]string{}, []string{}
 	for _, other := range n.relays {
@@ -113,7 +114,8 @@
 	return os.WriteFile(n.path(gossipKeyFile), []byte(gossipKey), 0o600)
 }
 
-// patchConfig merges a patch into the configuration file, which the process reads on SIGHUP and the next one at its start.
+// patchConfig merges a patch into the configuration file. The process reads the file on SIGHUP, and
+// a new process when it starts.
 func (n *relay) patchConfig(patch json.RawMessage) error {
 	path := n.path(configFile)
 	text, err := os.ReadFile(path)
@@ -126,7 +128,8 @@
 	return os.WriteFile(path, text, 0o600)
 }
 
-// setSystemFaults makes a test program's wall clock step and its system calls fail as the text says. An empty text ends that.
+// setSystemFaults writes the file from which a test binary that runs as the relay reads which wall
+// clock steps and system call failures to simulate. An empty text ends the faults.
 func (n *relay) setSystemFaults(text json.RawMessage) error {
 	n.systemFaultsVersion++
 	faults := object{}
@@ -143,7 +146,8 @@
 	return atomicfile.Write(n.path(systemFaultsFile), numbered)
 }
 
-// prepareState gives the next process no state, or an older one, if the step says so.
+// prepareState removes the state directory before the next start, or replaces it by the last copy,
+// if the step says so.
 func (n *relay) prepareState(s scenario.Step) error {
 	state := n.path(stateDir)
 	switch {
@@ -158,7 +162,8 @@
 	return nil
 }
 
-// copyState copies the state for a later start. The process may be writing it, as when a disk is copied.
+// copyState copies the state directory for a later start. The process may write to it meanwhile, so
+// the copy may be inconsistent, like a copy of a disk in use.
 func (n *relay) copyState() error {
 	old := n.path(stateCopyDir)
 	if err := os.RemoveAll(old); err != nil {
--- a/internal/scenariorunner/relay_faults.go
+++ b/internal/scenariorunner/relay_faults.go
@@ -24,7 +24,7 @@
 	case scenario.ActionStop:
 		r.relayDown(n)
 		n.signal(syscall.SIGSTOP, false)
-	case scenario.ActionPause: // too short to excuse anything
+	case scenario.ActionPause: // not excused: a pause this short must not affect clients
 		n.signal(syscall.SIGSTOP, false)
 	case scenario.ActionContinue:
 		r.continueRelay(n, s)
@@ -37,7 +37,7 @@
 	}
 }
 
-// configureRelay applies a step that changes a relay's files or calls it.
+// configureRelay applies a step that changes a relay's files or calls its API.
 func (r *run) configureRelay(n *relay, s scenario.Step) {
 	switch s.Action {
 	case scenario.ActionCall:
@@ -62,7 +62,7 @@
 	}
 }
 
-// relayDown records that a relay does not answer from now on.
+// relayDown records that a relay stops answering now.
 func (r *run) relayDown(n *relay) {
 	r.locked(func(at time.Duration) {
 		r.judge.BeginExcuse(at, n.name)
@@ -70,7 +70,7 @@
 	})
 }
 
-// continueRelay continues a stopped or paused relay.
+// continueRelay sends SIGCONT to a stopped or paused relay.
 func (r *run) continueRelay(n *relay, s scenario.Step) {
 	n.signal(syscall.SIGCONT, false)
 	if s.Fault >= 0 && r.File.Faults[s.Fault].Action == scenario.ActionPause {
@@ -82,7 +82,7 @@
 	})
 }
 
-// startAgain waits for the end of a relay's process and starts the next one.
+// startAgain waits until a relay's process has ended, and starts the next one.
 func (n *relay) startAgain(s scenario.Step) {
 	<-n.done
 	if err := n.prepareState(s); err != nil {
@@ -110,19 +110,22 @@
 }
 
 const (
-	// frontRemovalDelay is how long after SIGTERM the front still assigns clients; the protocol says 0.2 to 0.4 s.
+	// frontRemovalDelay is how long after SIGTERM the front still assigns clients to the relay; the
+	// protocol specifies 0.2 to 0.4 s.
 	frontRemovalDelay = 300 * time.Millisecond
-	// SIGKILL comes at the earliest after the longest deadline, counted as maxCountedDeadline at most, plus killMargin.
+	// SIGKILL follows SIGTERM after the longest deadline, limited to maxCountedDeadline, plus
+	// killMargin.
 	maxCountedDeadline = 3 * time.Second
 	killMargin         = 700 * time.Millisecond
 	seriesInterval     = 50 * time.Millisecond
 )
 
-// signalSeries are the signals that follow a SIGTERM with the option of a series.
+// signalSeries are the signals sent after the SIGTERM of a step that has the series option.
 var signalSeries = []syscall.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGTERM, syscall.SIGHUP}
 
-// terminate sends SIGTERM, and SIGKILL at the earliest time allowed. Nothing is excused: the judge expects an answer to everything
-// that the relay has accepted, and MOVE before each end.
+// terminate sends SIGTERM, and SIGKILL at the earliest time that the protocol allows. Nothing is
+// excused: the judge expects an answer to every request that the relay has accepted, and MOVE before
+// the end of each flow.
 func (r *run) terminate(n *relay, series bool) {
 	n.recordUsage()
 	n.signal(syscall.SIGTERM, true)
@@ -144,7 +147,7 @@
 	})
 }
 
-// killAfter is how long after SIGTERM SIGKILL comes at the earliest.
+// killAfter returns the shortest time after SIGTERM at which SIGKILL is allowed.
 func (r *run) killAfter() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range r.settings.Policy().Classes {
@@ -153,10 +156,11 @@
 	return min(longest, maxCountedDeadline) + killMargin
 }
 
-// idleDialTimeout is after how long no further idle connection is opened.
+// idleDialTimeout is how long opening one idle connection may take. After the first failure no more
+// are opened.
 const idleDialTimeout = time.Second
 
-// openIdleConns opens connections to a relay that send nothing.
+// openIdleConns opens connections to a relay on which nothing is sent.
 func (r *run) openIdleConns(n *relay, count int) {
 	r.locked(func(at time.Duration) { r.judge.BeginIdleFlood(at, n.name) })
 	r.background.start(func(context.Context) {
@@ -170,13 +174,13 @@
 	})
 }
 
-// closeIdleConns closes the connections that openIdleConns has opened.
+// closeIdleConns closes the connections that openIdleConns opened.
 func (r *run) closeIdleConns(n *relay) {
 	n.idleConns.closeAll()
 	r.locked(func(at time.Duration) { r.judge.EndIdleFlood(at+wakeUpExcuse, n.name) })
 }
 
-// idleConns are connections that send nothing.
+// idleConns holds connections on which nothing is sent.
 type idleConns struct {
 	mu    sync.Mutex
 	conns []net.Conn
--- a/internal/scenariorunner/relay_usage.go
+++ b/internal/scenariorunner/relay_usage.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	// userHertz is the unit of processor time in /proc.
+	// userHertz is the number of clock ticks per second of the processor times in /proc/PID/stat.
 	userHertz = 100
-	// Positions, after the command's name, of the processor times in /proc/PID/stat.
+	// Indexes of the processor times in /proc/PID/stat, counted from the field after the command name.
 	statUserTime, statSystemTime = 11, 12
 	peakMemoryLine               = "VmHWM:"
 	peerStatesTimeout            = time.Second
 	maxPeerStates                = 4 << 20 // bytes
 )
 
-// usage is what a relay has used of other systems, and the most descriptors that it was seen to have.
+// usage is a relay's use of other systems, and the highest number of descriptors that it had open.
 type usage struct {
 	connections, listBytes, descriptors int
 
 	rejections       int           // consecutive rejections, without an attempt at a member in between
-	firstRejection   time.Duration // the first of them
-	longestRejecting time.Duration // the longest series of minRejections or more
+	firstRejection   time.Duration // time of the first of them
+	longestRejecting time.Duration // length of the longest series of minRejections or more
 }
 
-// recordAnswer records a final answer of the relay.
+// recordAnswer records a final answer of the relay to a client.
 func (u *usage) recordAnswer(at time.Duration, rejected bool) {
 	if !rejected {
 		u.rejections = 0
@@ -45,10 +45,10 @@
 	}
 }
 
-// recordAttempt records an attempt of the relay at a member.
+// recordAttempt records an attempt of the relay at a member, which ends a series of rejections.
 func (u *usage) recordAttempt() { u.rejections = 0 }
 
-// openDescriptors is how many descriptors the process has.
+// openDescriptors returns the number of descriptors that the process has open.
 func (n *relay) openDescriptors() int {
 	n.mu.Lock()
 	pid := n.cmd.Process.Pid
@@ -57,8 +57,8 @@
 	return len(all)
 }
 
-// recordUsage records what the process has used, before it is ended: what the system reports of an ended process includes what its
-// parent had.
+// recordUsage records the process's usage before the process is ended. The peak memory that the
+// system reports for an ended process is not usable: it includes that of its parent.
 func (n *relay) recordUsage() {
 	_, memory, sent := n.readUsage()
 	n.mu.Lock()
@@ -66,8 +66,8 @@
 	n.peakMemory, n.gossipBytes = max(n.peakMemory, memory), n.gossipBytes+sent
 }
 
-// readUsage returns the processor seconds and the peak memory in MB of all processes so far, and the bytes that the current one has
-// sent to other relays.
+// readUsage returns the processor seconds and the peak memory in MB over all processes so far, and
+// the bytes that the current process has sent to other relays.
 func (n *relay) readUsage() (cpu, memory float64, gossipBytes int) {
 	n.mu.Lock()
 	cpu, memory = n.endedCPU, n.peakMemory
--- a/internal/scenariorunner/result.go
+++ b/internal/scenariorunner/result.go
@@ -11,28 +11,29 @@
 )
 
 const (
-	// minRejections is how many rejections in a row make a series, see Result.LongestRejecting.
+	// minRejections is how many rejections in a row count as a series; see Result.LongestRejecting.
 	minRejections = 15
-	// worstWindow is the window of Result.Worst.
+	// worstWindow is the length of the window of Result.Worst.
 	worstWindow = 10 * time.Second
-	// maxRunnerDelayMs is how late one in a hundred of the runner's own actions may be. Beyond it the figures show the runner.
+	// maxRunnerDelayMs is the highest p99 delay of the runner's own actions in a valid run. Above
+	// it, the measured times include the runner's delay.
 	maxRunnerDelayMs = 50.0
 )
 
-// Result is what one run showed. Times are in the unit in which the JSON name ends.
+// Result is the result of one run. The suffix of a JSON name gives the unit of a time.
 type Result struct {
 	Variant    string  `json:"variant"`
 	Repetition int     `json:"play"`
 	Seed       uint64  `json:"seed"`
 	Seconds    float64 `json:"seconds"`
-	// Invalid says why the run says nothing about the relays; empty if it does.
+	// Invalid is the reason why the run does not count as a measurement; empty for a valid run.
 	Invalid           string               `json:"invalid,omitempty"`
 	Violations        []scenario.Violation `json:"broken"`
-	Service           float64              `json:"service"` // served part of the connection seconds that clients wanted
+	Service           float64              `json:"service"` // share of the wanted connection seconds that were served well
 	Worst             float64              `json:"worst_10_s"`
 	WorstAt           float64              `json:"worst_10_s_at_s"`
 	ByTag             map[string]float64   `json:"by"`
-	RecoveredAfter    *float64             `json:"back_after_s"` // from the last fault; null: no faults, or never
+	RecoveredAfter    *float64             `json:"back_after_s"` // since the last fault; null without faults, or if service never recovered
 	SetupTimes        map[string]float64   `json:"set_up_ms"`    // by quantile
 	Answers           map[string]int       `json:"answers"`      // attempts by outcome
 	AttemptsPerClient float64              `json:"tries_a_client"`
@@ -41,27 +42,28 @@
 	PeakListCalls     float64              `json:"list_calls_in_100_ms_most"`
 	Probes            float64              `json:"probes_a_s"`
 	Relays            []RelayUsage         `json:"relays"`
-	// LongestRejecting is the longest time for which some relay rejected all that it got, minRejections or more.
+	// LongestRejecting is the longest time in which a relay rejected every request, over series of at
+	// least minRejections.
 	LongestRejecting  time.Duration      `json:"refusals_on_end_ns"`
 	Unavailable       Unavailable        `json:"out_at_once"`
-	Releases          map[string]string  `json:"releases,omitempty"` // the last state of each
+	Releases          map[string]string  `json:"releases,omitempty"` // last state by release name
 	ReleasesDoneAfter *float64           `json:"releases_done_after_s"`
 	Drift             []DriftSpan        `json:"drift,omitempty"`
-	RunnerDelay       map[string]float64 `json:"rehearsal_late_ms"` // by quantile
+	RunnerDelay       map[string]float64 `json:"rehearsal_late_ms"` // delay of the runner's own actions, by quantile
 	Peers             *PeerViews         `json:"peers,omitempty"`
-	Demand            []float64          `json:"asked"` // connections, each second
+	Demand            []float64          `json:"asked"` // wanted connections, by second
 	Served            []float64          `json:"served"`
 	Faults            []FaultMark        `json:"faults"`
 }
 
-// Unavailable is how much was out of service at the same time, at most.
+// Unavailable is the most that was out of service at the same time.
 type Unavailable struct {
-	Relays  int     `json:"relays"`          // that the front had not admitted
-	Members int     `json:"members"`         // that were down or in slow start
-	Cores   float64 `json:"cores_left_part"` // least part of the members' full capacity
+	Relays  int     `json:"relays"`          // not admitted by the front
+	Members int     `json:"members"`         // down or in slow start
+	Cores   float64 `json:"cores_left_part"` // lowest available share of the members' full capacity
 }
 
-// RelayUsage is what one relay used.
+// RelayUsage is the resources that one relay used.
 type RelayUsage struct {
 	Name        string  `json:"name"`
 	Starts      int     `json:"starts"`
@@ -69,29 +71,29 @@
 	Memory      float64 `json:"memory_mb"` // peak
 	Peers       int     `json:"bytes_to_relays"`
 	Connections int     `json:"connections_made"` // to members
-	ListBytes   int     `json:"list_bytes"`       // read from discovery
+	ListBytes   int     `json:"list_bytes"`       // endpoint lists received from discovery
 	Descriptors int     `json:"descriptors_most"`
 }
 
-// PeerViews is how relays saw each other.
+// PeerViews summarizes how soon relays noticed failed peers, and how often they suspected live ones.
 type PeerViews struct {
-	Noticed   int     `json:"noticed"` // ends of relays, by each live relay
+	Noticed   int     `json:"noticed"` // failures of relays, counted once for each live relay that noticed
 	P50       float64 `json:"noticed_p50_s"`
 	P99       float64 `json:"noticed_p99_s"`
 	Suspected int     `json:"live_suspected"`
 	Dead      int     `json:"live_held_for_dead"`
 }
 
-// FaultMark is a step on the time axis.
+// FaultMark is a fault step at its time in the run.
 type FaultMark struct {
 	At   float64 `json:"at_s"`
 	What string  `json:"what"`
 }
 
-// reportedQuantiles are the percentiles of times that a result holds, by name.
+// reportedQuantiles are the percentiles of times in a result, by name.
 var reportedQuantiles = map[string]float64{"p50": 50, "p90": 90, "p99": 99, "most": 100}
 
-// result judges the run and sums it up.
+// result ends the judge's evaluation and collects the result of the run.
 func (r *run) result(v scenario.Variant, repetition int) *Result {
 	x := &Result{Variant: v.Name, Repetition: repetition, Seed: r.plan.Seed, SetupTimes: map[string]float64{}, RunnerDelay: map[string]float64{},
 		Violations: []scenario.Violation{}}
@@ -129,7 +131,8 @@
 	return x
 }
 
-// addTimes adds the quantiles of setup times and of the runner's own delay, which may invalidate the run.
+// addTimes adds the quantiles of the set-up times and of the runner's own delay. A delay above
+// maxRunnerDelayMs marks the run as invalid.
 func (r *run) addTimes(x *Result) {
 	const microsPerMilli = 1000
 	for name, percentile := range reportedQuantiles {
--- a/internal/scenariorunner/run.go
+++ b/internal/scenariorunner/run.go
@@ -18,65 +18,66 @@
 	"dahliarudder/internal/settings"
 )
 
-// run is one run of a variant.
+// run is one run of a variant of the scenario.
 type run struct {
 	*Runner
 	plan          *scenario.Plan
 	settings      *settings.Settings
-	config        map[string]json.RawMessage // common to all relays
-	program       string                     // path of the relay
+	config        map[string]json.RawMessage // sections that all relays have in common
+	program       string                     // path of the relay program
 	dir           string
 	usedAddrs     map[string]bool
-	leaderByFault map[int]string // the leader that a fault was applied to; used by the timeline alone
+	leaderByFault map[int]string // leader at the time of each fault; accessed only by the timeline
 	began         time.Time
 	background    *background
 
-	mu               sync.Mutex // guards everything below, and the judge
+	mu               sync.Mutex // guards the fields below and the judge
 	closing          bool
 	judge            *scenario.Judge
 	service          *scenario.Service
 	relays           []*relay
-	members          map[string]*member // by current name
-	memberByIndex    []*member          // the current members s0 and on
+	members          map[string]*member // by member ID
+	memberByIndex    []*member          // current members, by index
 	links            map[scenario.Link]*link
 	front            *front
 	discovery        *fakes.Discovery
-	updatesWritten   map[relayMember]int         // how many times discovery has written a member's entry to a relay
-	updatesBehindCut map[relayMember]fakes.Entry // the last entry that was written while the relay was cut off
+	updatesWritten   map[relayMember]int         // how often discovery has written a member's entry to a relay
+	updatesBehindCut map[relayMember]fakes.Entry // last entry written to a relay while it was cut off
 	measures
 }
 
-// measures are what a run measures besides the judge's findings and the service.
+// measures are the measurements of a run, apart from the judge's findings and the service.
 type measures struct {
 	peerViews      *peerWatch
 	setupTimes     *hdrhistogram.Histogram // microseconds
-	runnerDelays   *hdrhistogram.Histogram // of the runner's own actions, microseconds
+	runnerDelays   *hdrhistogram.Histogram // delays of the runner's own actions, microseconds
 	listCalls      *scenario.Peak
 	probes         *scenario.Peak
-	memberLoad     map[string]*scenario.Peak // work of new connections at each member, relative to its capacity
+	memberLoad     map[string]*scenario.Peak // work of new connections by member ID, relative to its capacity
 	unavailability unavailability
-	answers        map[string]int    // attempts by outcome
-	usage          map[string]*usage // by relay
-	attempts       int               // of all sessions
-	maxAttempts    int               // of one session
+	answers        map[string]int    // number of attempts, by outcome
+	usage          map[string]*usage // by relay name
+	attempts       int               // total of all sessions
+	maxAttempts    int               // highest number of one session
 	openFlows      int
 }
 
 type relayMember struct{ relay, member string }
 
-// link is a broken link. All connections between its ends pass through its proxies; datagrams between relays pass through udp.
+// link is a link that the plan breaks. All TCP connections between its ends pass through proxies;
+// datagrams between relays pass through udp, which is nil for other links.
 type link struct {
 	forward, backward fakes.Impairment
 	proxies           []*fakes.TCPProxy
 	udp               *fakes.UDPProxy
 }
 
-// maxRecordedMicros is the largest duration that the histograms record.
+// maxRecordedMicros is the highest value, in microseconds, that the histograms record.
 const maxRecordedMicros = 600e6
 
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxRecordedMicros, 3) }
 
-// newRun prepares a run; nothing is started yet.
+// newRun prepares a run without starting anything.
 func (r *Runner) newRun(ctx context.Context, v scenario.Variant, repetition int, seed uint64) (*run, error) {
 	config, decoded, err := r.Settings(v)
 	if err != nil {
@@ -99,14 +100,15 @@
 	g := decoded.Guarantees
 	x.judge = scenario.NewJudge(scenario.Rules{MaxAttempts: decoded.Limits.MaxAttempts, AnswerSlack: settings.Duration(g.AnswerSlack),
 		DrainGrace: settings.Duration(g.DrainGrace), SlowStart: slowStart(decoded), OverloadFactor: g.OverloadFactor, OverloadWindow: settings.Duration(g.OverloadWindow)})
-	if err := os.RemoveAll(x.dir); err != nil { // of an earlier run
+	if err := os.RemoveAll(x.dir); err != nil { // files of an earlier run
 		return nil, err
 	}
 	x.began, x.background = time.Now(), newBackground(ctx)
 	return x, nil
 }
 
-// fileNameRune replaces a rune of a variant's name that a directory's name should not contain.
+// fileNameRune replaces a rune of a variant's name that is neither a letter nor a digit, so that the
+// name can be used as a directory name.
 func fileNameRune(c rune) rune {
 	if unicode.IsLetter(c) || unicode.IsDigit(c) {
 		return c
@@ -114,24 +116,25 @@
 	return '-'
 }
 
-// restartClock makes the run's time begin now.
+// restartClock sets the start of the run to the current time.
 func (r *run) restartClock() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.began = time.Now()
 }
 
-// now is the time since the run began.
+// now returns the time since the start of the run.
 func (r *run) now() time.Duration { return time.Since(r.began) }
 
-// locked calls f with the lock held and the current time.
+// locked calls f with the lock held, and passes it the time since the start of the run.
 func (r *run) locked(f func(at time.Duration)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(r.now())
 }
 
-// sinceStart converts a member's start to the run's time; 0: long ago.
+// sinceStart converts a member's start time to time since the start of the run. It returns 0 if the
+// member has no start time, which means that it is past slow start.
 func (r *run) sinceStart(startedMs int64) time.Duration {
 	if startedMs == 0 {
 		return 0
@@ -139,12 +142,12 @@
 	return max(time.UnixMilli(startedMs).Sub(r.began), 1)
 }
 
-// event prints a line of progress with a time. It overwrites the line that reportProgress has begun.
+// event prints a progress line with a time. It overwrites the unfinished line of reportProgress.
 func (r *run) event(at time.Duration, format string, args ...any) {
 	r.Progress("\r%7.1f s: %s%s\n", at.Seconds(), fmt.Sprintf(format, args...), strings.Repeat(" ", 40))
 }
 
-// readyTimeout is how long all relays together have to be ready before a run.
+// readyTimeout is how long all relays together may take to become ready before a run.
 const readyTimeout = 30 * time.Second
 
 // waitReady waits until the front has admitted every relay.
@@ -172,7 +175,7 @@
 	}
 }
 
-// execute runs the sessions and the timeline until the plan's end.
+// execute plays the sessions and the timeline until the end of the plan.
 func (r *run) execute(ctx context.Context) {
 	ctx, stop := context.WithDeadline(ctx, r.began.Add(r.plan.End))
 	defer stop()
@@ -202,16 +205,16 @@
 	})
 }
 
-// configured reports whether the relays' configuration has a section.
+// configured reports whether the relays' configuration contains a section.
 func (r *run) configured(section string) bool {
 	_, ok := r.config[section]
 	return ok
 }
 
-// watchesPeers reports whether relays are asked for their view of each other.
+// watchesPeers reports whether the runner polls the relays' views of each other.
 func (r *run) watchesPeers() bool { return r.configured("peers") && r.File.Relays.PollPeersMs > 0 }
 
-// measureRunnerDelay measures by how much the runner itself is late.
+// measureRunnerDelay measures how late the runner's own timers fire.
 func (r *run) measureRunnerDelay(ctx context.Context) {
 	const interval = 5 * time.Millisecond
 	for ctx.Err() == nil {
@@ -225,7 +228,7 @@
 	r.locked(func(time.Duration) { r.runnerDelays.RecordValue(max(delay.Microseconds(), 1)) })
 }
 
-// reportProgress prints each second how the run goes.
+// reportProgress prints the state of the run every second, and records the relays' descriptors.
 func (r *run) reportProgress(ctx context.Context) {
 	for sleep(ctx, time.Second) {
 		for _, n := range r.relays {
@@ -243,15 +246,17 @@
 }
 
 const (
-	// releaseTimeout is how long relays have to release what their clients used: connections that health checks keep open end
-	// after the settings' keepalive, and closed ones linger for a second.
+	// releaseTimeout is how long relays may take to close what their clients used. Connections that
+	// health checks keep open end after the keepalive time in the settings, and closed ones linger
+	// for a second.
 	releaseTimeout = 12 * time.Second
-	// descriptorAllowance is how many descriptors the judge allows beyond the initial ones: a call to discovery and one beside
-	// it, which may be under way at any time, and those that the Go runtime opens.
+	// descriptorAllowance is how many descriptors beyond the initial ones are no leak: up to two
+	// concurrent calls to discovery, and those that the Go runtime opens.
 	descriptorAllowance = 6
 )
 
-// checkLeaks compares, once all clients have gone, what each relay uses with what it used before they came.
+// checkLeaks checks, after all clients have left, that each relay has no more descriptors open than
+// before they came, with an allowance, and has used no more memory than its limit.
 func (r *run) checkLeaks(ctx context.Context) {
 	limits := struct {
 		Memory float64 `json:"memory_mb"`
@@ -273,7 +278,7 @@
 	}
 }
 
-// shutdown ends all processes and fakes.
+// shutdown ends all processes and closes all fakes.
 func (r *run) shutdown() {
 	r.mu.Lock()
 	r.closing = true
@@ -302,7 +307,7 @@
 	}
 }
 
-// sleep returns false if the context ends first.
+// sleep waits for d. It returns false if the context ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/scenariorunner/runner.go
+++ b/internal/scenariorunner/runner.go
@@ -1,5 +1,6 @@
-// Package scenariorunner runs a fault scenario: it starts relays among fakes of the systems around them, injects the faults of the
-// scenario file, feeds what crossed the sockets to the judge, and reports the result.
+// Package scenariorunner runs a fault scenario: it starts relay processes among fakes of the systems
+// around them, injects the faults of the scenario file, passes what it observes on the sockets to
+// the judge, and reports the result.
 package scenariorunner
 
 import (
@@ -15,16 +16,17 @@
 	"dahliarudder/internal/settings"
 )
 
-// Runner is a scenario file with what is needed to run it.
+// Runner runs a scenario file.
 type Runner struct {
 	File     *scenario.File
-	Dir      string // the file's directory, which its paths are relative to
-	Program  string // path of the relay
-	WorkDir  string // for the relays' files and logs
+	Dir      string // the directory of the file; relative paths in the file start here
+	Program  string // path of the relay program
+	WorkDir  string // directory for the relays' files and logs
 	Progress func(format string, args ...any)
 }
 
-// Settings returns the configuration that the file names, with the file's and the variant's patches, and the settings in it.
+// Settings returns the configuration that the file names, with the patches of the file and the
+// variant applied, and the settings decoded from it.
 func (r *Runner) Settings(v scenario.Variant) (map[string]json.RawMessage, *settings.Settings, error) {
 	path := r.resolvePath(r.File.Config)
 	text, err := os.ReadFile(path)
@@ -51,7 +53,7 @@
 	return config, decoded, r.File.CheckZones(site(decoded).Zones)
 }
 
-// resolvePath makes a path of the file absolute or relative to the working directory.
+// resolvePath resolves a path of the scenario file relative to the file's directory.
 func (r *Runner) resolvePath(path string) string {
 	if filepath.IsAbs(path) {
 		return path
@@ -59,7 +61,7 @@
 	return filepath.Join(r.Dir, path)
 }
 
-// site is the part of the settings that a plan is drawn from.
+// site returns the part of the settings that a plan is drawn from.
 func site(decoded *settings.Settings) scenario.Site {
 	s := scenario.Site{}
 	for _, c := range decoded.Classes {
@@ -77,14 +79,15 @@
 	return s
 }
 
-// slowStart is the ramp of members' capacity that the settings describe.
+// slowStart returns the capacity ramp of starting members that the settings define.
 func slowStart(decoded *settings.Settings) scenario.SlowStart {
 	return scenario.SlowStart{From: decoded.Guarantees.SlowStartMinCapacity, For: settings.Duration(decoded.Guarantees.SlowStartDuration)}
 }
 
-// RunAll runs every variant on every draw as often as the file says, in turn. It returns what it has when the context ends.
+// RunAll runs every variant with every seed as often as the file says. For each seed and repetition
+// it runs the variants in turn. If the context ends, it returns the results so far.
 func (r *Runner) RunAll(ctx context.Context) (all []*Result, err error) {
-	fakes.Host = fmt.Sprintf("127.%d.%d.1", 64+rand.IntN(128), rand.IntN(256)) // other runs on this machine have others
+	fakes.Host = fmt.Sprintf("127.%d.%d.1", 64+rand.IntN(128), rand.IntN(256)) // keeps concurrent runs on this machine apart
 	repetitions := r.File.Repetitions * r.File.Seeds
 	for k := range repetitions {
 		seed := r.File.Seed + uint64(k%r.File.Seeds)
@@ -104,7 +107,8 @@
 	return all, nil
 }
 
-// RunVariant runs one variant once. If the context ends, it returns what was measured until then, marked as invalid.
+// RunVariant runs one variant once. If the context ends, it returns the measurements so far, marked
+// as invalid.
 func (r *Runner) RunVariant(ctx context.Context, v scenario.Variant, repetition int, seed uint64) (*Result, error) {
 	x, err := r.newRun(ctx, v, repetition, seed)
 	if err != nil {
--- a/internal/scenariorunner/session.go
+++ b/internal/scenariorunner/session.go
@@ -11,10 +11,11 @@
 	"dahliarudder/policy"
 )
 
-// sessionStream keeps a session's random numbers apart from others that are drawn from the same seed.
+// sessionStream separates a session's random numbers from others drawn from the same seed.
 const sessionStream = 5
 
-// session is one client, from its arrival to its end. It connects again until it is served to its end.
+// session is one client from its arrival to its end. It reconnects until its stay is over, or until
+// it or the relay has ended its flow.
 type session struct {
 	*run
 	planned    scenario.Session
@@ -28,9 +29,9 @@
 	rng        *rand.Rand
 
 	attempts    int
-	wantedSince time.Duration // since when the client wants to be connected
-	reconnects  bool          // it was connected before
-	retries     bool          // its last attempt failed
+	wantedSince time.Duration // when the client began to wait for a connection
+	reconnects  bool          // the client was connected before
+	retries     bool          // the last attempt failed
 }
 
 func (r *run) newSession(plan scenario.Session) *session {
@@ -46,7 +47,7 @@
 	return s
 }
 
-// runSession plays one client to its end.
+// runSession plays one client from its arrival to its end.
 func (r *run) runSession(ctx context.Context, plan scenario.Session) {
 	s := r.newSession(plan)
 	r.locked(func(time.Duration) { r.service.AddDemand(s.tags, plan.Arrival, s.end) })
@@ -61,7 +62,7 @@
 			if over {
 				return
 			}
-			if retryAfter > 0 { // not all clients at once
+			if retryAfter > 0 { // jitter keeps clients from retrying all at once
 				wait = retryAfter + time.Duration(s.rng.Float64()*float64(retryAfter)/10)
 			}
 		}
@@ -71,7 +72,8 @@
 	}
 }
 
-// connect makes one attempt at a relay. It returns the wait that the relay asks for, and whether the session is over.
+// connect makes one attempt at a relay. It returns the wait that the relay asks for, and whether the
+// session is over.
 func (s *session) connect(ctx context.Context, n *relay) (retryAfter time.Duration, over bool) {
 	s.attempts++
 	f := s.newFlow(n)
@@ -105,7 +107,7 @@
 	return f
 }
 
-// effectOf translates a class's effect for the judge.
+// effectOf converts the idempotency of a class to the judge's effect.
 func effectOf(class policy.Class) scenario.Effect {
 	switch class.Idempotency {
 	case policy.NonIdempotent:
--- a/internal/scenariorunner/setup.go
+++ b/internal/scenariorunner/setup.go
@@ -29,7 +29,8 @@
 	return nil
 }
 
-// openLinks prepares the links that the plan breaks.
+// openLinks prepares the links that the plan breaks. Links between relays get a UDP proxy; route
+// adds the TCP proxies.
 func (r *run) openLinks() error {
 	for pair := range r.plan.BrokenLinks() {
 		l := &link{}
@@ -45,7 +46,7 @@
 	return nil
 }
 
-// addRelays names the relays and chooses their addresses.
+// addRelays creates the relays with their names and addresses.
 func (r *run) addRelays() error {
 	zones := site(r.settings).Zones
 	for i := range r.File.Relays.Count {
@@ -63,7 +64,7 @@
 	return nil
 }
 
-// openDiscovery opens the members, and discovery with them.
+// openDiscovery opens the members, and discovery with their entries.
 func (r *run) openDiscovery() error {
 	var entries []fakes.Entry
 	for i := range r.File.Members.Count {
@@ -81,7 +82,7 @@
 	return nil
 }
 
-// routeVoters gives each relay its addresses of the fleet's voters.
+// routeVoters sets the addresses at which each relay reaches the fleet's voters.
 func (r *run) routeVoters() error {
 	if !r.configured("fleet") {
 		return nil
@@ -99,10 +100,11 @@
 	return nil
 }
 
-// voters are the relays that vote, if there is a fleet.
+// voters returns the relays that vote in the fleet.
 func (r *run) voters() []*relay { return r.relays[:min(r.File.Relays.Voters, len(r.relays))] }
 
-// routeRelays gives each relay its address of discovery, and the front its address of each relay.
+// routeRelays sets the address at which each relay reaches discovery, and those at which the front
+// reaches the relays.
 func (r *run) routeRelays() error {
 	r.front = newFront(r)
 	for _, n := range r.relays {
@@ -120,7 +122,8 @@
 	return nil
 }
 
-// route returns the address at which one end of a link reaches the other: a proxy's if the plan breaks the link.
+// route returns the address at which one end of a link reaches the other: that of a proxy if the
+// plan breaks the link.
 func (r *run) route(from, to, addr string, onCallerClosed func(from string)) (string, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,12 +142,13 @@
 }
 
 const (
-	// Relays' ports are below those that the system assigns: an outgoing connection could take one while its relay is down.
+	// The relays' ports are below the ephemeral range: while a relay is down, an outgoing connection
+	// could take an ephemeral port.
 	firstRelayPort, lastRelayPort = 12000, 32000
 	maxPortTries                  = 200
 )
 
-// freeAddr returns a loopback address that nobody listens at, by TCP and UDP, and that it has not returned before.
+// freeAddr returns a loopback address that is free for TCP and UDP and was not returned before.
 func (r *run) freeAddr() (string, error) {
 	for range maxPortTries {
 		addr := fmt.Sprintf("%s:%d", fakes.Host, firstRelayPort+rand.IntN(lastRelayPort-firstRelayPort))
--- a/internal/scenariorunner/table.go
+++ b/internal/scenariorunner/table.go
@@ -10,19 +10,20 @@
 	"dahliarudder/internal/scenario"
 )
 
-// maxPrintedViolations is how many violations of one run the table prints.
+// maxPrintedViolations is the number of violations of one run that the table prints.
 const maxPrintedViolations = 8
 
-// minCompared is the least number of runs of a variant that are compared.
+// minCompared is the number of runs of each variant from which a difference is judged.
 const minCompared = 3
 
-// resultTable is the results by variant.
+// resultTable holds the results by variant.
 type resultTable struct {
 	variants  []string
 	byVariant map[string][]*Result
 }
 
-// newResultTable leaves out invalid results, which say nothing about their variant, unless the first one is invalid.
+// newResultTable groups results by variant. It omits invalid results, which say nothing about their
+// variant, except for the first result.
 func newResultTable(all []*Result) *resultTable {
 	t := &resultTable{byVariant: map[string][]*Result{}}
 	for i, r := range all {
@@ -37,7 +38,7 @@
 	return t
 }
 
-// WriteTable writes all results: a column of figures for each variant, then the broken rules and the invalid runs.
+// WriteTable writes a column of figures for each variant, the broken rules, and the invalid runs.
 func WriteTable(w io.Writer, all []*Result) {
 	t := newResultTable(all)
 	if len(t.variants) == 0 {
@@ -57,7 +58,8 @@
 	fmt.Fprintf(w, "\nseed %d and on; the rehearsal itself was late by %.1f ms at p99 at worst\n", all[0].Seed, worstDelay)
 }
 
-// writeFigures writes a row for each figure, with the first variant's mean, and each further one's with its difference.
+// writeFigures writes a row for each figure: the mean of each variant and, from the second variant
+// on, its difference from the first.
 func (t *resultTable) writeFigures(w io.Writer, withPeerViews bool) {
 	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprint(out, "\n")
@@ -81,7 +83,7 @@
 	out.Flush()
 }
 
-// values are a figure of all runs of a variant.
+// values returns a figure of all runs of a variant.
 func (t *resultTable) values(f *figure, variant string) (out []float64) {
 	for _, r := range t.byVariant[variant] {
 		out = append(out, f.value(r))
@@ -109,7 +111,8 @@
 	fmt.Fprintf(out, "\t%s\t%s\t%s", formatFigure(c.Difference, ""), formatFigure(c.Noise, ""), verdict)
 }
 
-// writeParts writes a variant's service by tag, and the rules that its runs broke.
+// writeVariantDetails writes a variant's service by tag, and the rules that its runs broke. The tags
+// are those of the first run.
 func (t *resultTable) writeVariantDetails(w io.Writer, variant string) {
 	results := t.byVariant[variant]
 	fmt.Fprintf(w, "\n%s, by part:", variant)
@@ -128,7 +131,7 @@
 	}
 }
 
-// formatFigure writes a number with three significant digits.
+// formatFigure formats a number with three significant digits, and its unit.
 func formatFigure(v float64, unit string) string {
 	text := fmt.Sprintf("%.2f", v)
 	if v >= 100 || v <= -100 {
--- a/internal/scenariorunner/timeline.go
+++ b/internal/scenariorunner/timeline.go
@@ -9,10 +9,11 @@
 	"dahliarudder/internal/scenario"
 )
 
-// wakeUpExcuse is how long a relay that was stopped or cut off is excused after that: everything that waited arrives at once.
+// wakeUpExcuse is how much longer a relay is excused after it was stopped or cut off, because
+// everything that was queued meanwhile arrives at once.
 const wakeUpExcuse = time.Second
 
-// runTimeline applies the plan's steps at their times.
+// runTimeline applies the steps of the plan at their times.
 func (r *run) runTimeline(ctx context.Context) {
 	for _, s := range r.plan.Steps {
 		if !sleep(ctx, s.At-r.now()) {
@@ -41,7 +42,7 @@
 	}
 }
 
-// nameIndex is the number in the name of a relay or member.
+// nameIndex returns the number in the name of a relay or member.
 func nameIndex(name string) int {
 	i, _ := strconv.Atoi(name[1:])
 	return i
@@ -71,7 +72,7 @@
 		l.udp.SetImpairment(s.Impairment.Loss, s.Impairment.Duplication, l.forward.Delay, l.forward.Jitter)
 		l.udp.SetRate(l.forward.Rate)
 	}
-	for _, p := range l.proxies { // between relays: the fleet's record
+	for _, p := range l.proxies { // on a link between relays, the proxies carry the fleet's consensus
 		switch s.Action {
 		case scenario.ActionReset:
 			p.Reset()
@@ -79,14 +80,15 @@
 			p.Stall()
 		default:
 			there, back := l.forward, l.backward
-			r.background.start(func(context.Context) { p.SetImpairment(there, back) }) // a cut takes a moment, and the timeline goes on
+			r.background.start(func(context.Context) { p.SetImpairment(there, back) }) // in the background: a cut takes a moment
 		}
 	}
 	r.excuseLink(s, l)
 }
 
-// excuseLink excuses what a step on a link may do to clients. A relay answers for the members and discovery behind it, but neither
-// for the link to its clients nor for that to other relays.
+// excuseLink excuses effects on clients of a step on a link. Only faults between the front and a
+// relay, and resets and stalls, excuse a relay: it has to cope with other faults of its links to
+// members and discovery, and with all faults of its links to other relays.
 func (r *run) excuseLink(s scenario.Step, l *link) {
 	at := r.now()
 	switch {
@@ -94,7 +96,7 @@
 	case s.Action == scenario.ActionReset || s.Action == scenario.ActionStall:
 		relay := s.Peer
 		if s.Target != "front" {
-			relay = s.Target // flows end with their member's side, as they should
+			relay = s.Target // its flows end when the connection to their member ends, as they should
 		}
 		r.judge.BeginExcuse(at, relay)
 		r.judge.EndExcuse(at+wakeUpExcuse, relay)
@@ -150,10 +152,11 @@
 	}
 }
 
-// moveToExit is how long after it has moved its clients a draining member ends.
+// exitDelay is the time between the moving of a draining member's clients and the member's end.
 const exitDelay = time.Second
 
-// drainMember makes a member drain, and end in its time. The context ends with the timeline.
+// drainMember makes a member drain, and ends it after the drain time, unless the context, which is
+// that of the timeline, ends first.
 func (r *run) drainMember(ctx context.Context, m *member) {
 	m.SetMode(fakes.ModeBusy)
 	r.discovery.SetLifecycle(m.ID, fakes.Draining)
--- a/internal/scenariorunner/unavailability.go
+++ b/internal/scenariorunner/unavailability.go
@@ -7,17 +7,18 @@
 	"dahliarudder/internal/rollout"
 )
 
-// unavailability is what was out of service, as processes and sockets show it, and the releases that may have caused it.
+// unavailability is the most that was out of service at the same time, as seen from outside the
+// relays, and the releases that may have caused it.
 type unavailability struct {
-	relays, members int     // out at the same time, at most
-	lostCapacity    float64 // part of the members' full capacity, at most
+	relays, members int     // highest number out of service at the same time
+	lostCapacity    float64 // highest missing share of the members' full capacity
 	drift           []DriftSpan
-	callTimes       []time.Duration          // of accepted operators' calls
-	releaseStates   map[string]string        // by release
-	releaseEnds     map[string]time.Duration // by release: when its state last changed
+	callTimes       []time.Duration          // of the accepted operator calls
+	releaseStates   map[string]string        // by release name
+	releaseEnds     map[string]time.Duration // by release name: when its state last changed
 }
 
-// recordRelease records a release's state. It returns the state if that is new.
+// recordRelease records the state of a release. It returns the state if it has changed, otherwise "".
 func (o *unavailability) recordRelease(at time.Duration, release rollout.ReleaseStatus) (changed string) {
 	if o.releaseStates == nil {
 		o.releaseStates, o.releaseEnds = map[string]string{}, map[string]time.Duration{}
@@ -33,7 +34,8 @@
 	return state
 }
 
-// releasesDone is the time from the first call until all releases had ended, in seconds; nil if one has not.
+// releasesDone returns the seconds from the first accepted call until all releases had ended, or nil
+// if one has not.
 func (o *unavailability) releasesDone() *float64 {
 	if len(o.releaseStates) == 0 || len(o.callTimes) == 0 {
 		return nil
@@ -51,8 +53,8 @@
 
 const unavailabilityInterval = 50 * time.Millisecond
 
-// watchUnavailability counts the relays that the front has not admitted, and the members that are down or in slow start, whatever the
-// cause.
+// watchUnavailability counts the relays that the front has not admitted, and the members that are
+// down or in slow start, for any reason.
 func (r *run) watchUnavailability(ctx context.Context) {
 	for sleep(ctx, unavailabilityInterval) {
 		relays := len(r.relays) - r.front.admittedCount()
