--- a/cmd/dahliarudder-scenario/command.go
+++ b/cmd/dahliarudder-scenario/command.go
@@ -17,7 +17,7 @@
 )
 
 // errRunFailed makes the program exit with status 1.
-var errRunFailed = errors.New("a rule was broken, or a run was not valid")
+var errRunFailed = errors.New("a relay broke a rule, or a run was invalid")
 
 // options are the command's flags. A zero value keeps what the scenario file says.
 type options struct {
@@ -42,16 +42,16 @@
 		RunE:          func(cmd *cobra.Command, args []string) error { return o.run(cmd, args[0]) },
 	}
 	c.SetOut(os.Stdout)
-	c.Flags().Uint64Var(&o.seed, "seed", 0, "of all that is drawn (default: the file's)")
-	c.Flags().IntVar(&o.repetitions, "repetitions", 0, "of each draw (default: the file's)")
-	c.Flags().IntVar(&o.seeds, "seeds", 0, "how many draws, from the seed on (default: the file's)")
-	c.Flags().IntVar(&o.relays, "relays", 0, "how many (default: the file's)")
-	c.Flags().IntVar(&o.members, "members", 0, "how many (default: the file's)")
-	c.Flags().Float64Var(&o.clients, "clients", 0, "as many times the file's clients")
-	c.Flags().StringVar(&o.program, "program", siblingProgram("dahliarudder"), "the relay")
-	c.Flags().StringVar(&o.output, "out", "", "name of the JSON file and the page, without its ending (default: the file's name and -result, here)")
-	c.Flags().StringVar(&o.keepDir, "keep", "", "directory for the relays' files and logs (default: a new one, removed if all went well)")
-	c.Flags().BoolVar(&o.checkOnly, "check", false, "say whether the file can be used, and no more")
+	c.Flags().Uint64Var(&o.seed, "seed", 0, "seed of all random choices (default: the file's)")
+	c.Flags().IntVar(&o.repetitions, "repetitions", 0, "number of runs of each variant with each seed (default: the file's)")
+	c.Flags().IntVar(&o.seeds, "seeds", 0, "number of consecutive seeds, beginning with --seed (default: the file's)")
+	c.Flags().IntVar(&o.relays, "relays", 0, "number of relays (default: the file's)")
+	c.Flags().IntVar(&o.members, "members", 0, "number of members (default: the file's)")
+	c.Flags().Float64Var(&o.clients, "clients", 0, "factor by which the file's number of clients is multiplied (default: 1)")
+	c.Flags().StringVar(&o.program, "program", siblingProgram("dahliarudder"), "path of the relay program")
+	c.Flags().StringVar(&o.output, "out", "", "path of the JSON and HTML result files, without extension (default: the scenario file's name with -result, in the working directory)")
+	c.Flags().StringVar(&o.keepDir, "keep", "", "directory in which the relays' files and logs are kept (default: a temporary one, removed if no rule was broken and every run was valid)")
+	c.Flags().BoolVar(&o.checkOnly, "check", false, "validate the scenario file and exit")
 	return c
 }
 
@@ -73,7 +73,7 @@
 		}
 	}
 	if o.checkOnly {
-		cmd.Printf("%s: the scenario is sound\n", path)
+		cmd.Printf("%s: the scenario file is valid\n", path)
 		return nil
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -146,7 +146,7 @@
 	if err := errors.Join(scenariorunner.WriteJSON(base+".json", results), scenariorunner.WritePage(base+".html", about, results)); err != nil {
 		return err
 	}
-	cmd.Printf("%s.html and %s.json hold the rest\n", base, base)
+	cmd.Printf("full results are in %s.html and %s.json\n", base, base)
 	return nil
 }
 
--- a/internal/scenariorunner/fleet.go
+++ b/internal/scenariorunner/fleet.go
@@ -59,7 +59,7 @@
 			return
 		}
 		if status == http.StatusConflict || status == http.StatusBadRequest || time.Now().After(end) {
-			r.Progress("\r%s %s at %s: %d %s\n", method, path, n.name, status, answer.Error)
+			r.Progress("\roperator call %s %s to relay %s failed: HTTP status %d %s\n", method, path, n.name, status, answer.Error)
 			return
 		}
 	}
@@ -76,11 +76,11 @@
 		var answer struct{ Engine struct{ Leader string } }
 		if fleetRequest("GET", n.fleetAddr, "/-/fleet", nil, &answer) == http.StatusOK && answer.Engine.Leader != "" {
 			r.leaderByFault[s.Fault] = answer.Engine.Leader
-			r.event(r.now(), "%s leads", answer.Engine.Leader)
+			r.event(r.now(), "%s is the leader", answer.Engine.Leader)
 			return answer.Engine.Leader
 		}
 	}
-	r.Progress("\rnobody says who leads\n")
+	r.Progress("\rno relay reports a leader of the fleet; the step is skipped\n")
 	return ""
 }
 
@@ -124,13 +124,13 @@
 	if m == nil {
 		return
 	}
-	r.event(r.now(), "the owner replaces %s", name)
+	r.event(r.now(), "replacing drained member %s", name)
 	successor, err := r.newMember(m.index, m.generation+1)
 	m.MoveClients()
 	m.Kill()
 	r.discovery.SetLifecycle(m.ID, fakes.Deleted)
 	if err != nil {
-		r.Progress("%s has no successor: %v\n", name, err)
+		r.Progress("cannot start a successor of member %s: %v\n", name, err)
 		return
 	}
 	if rollback {
--- a/internal/scenariorunner/member.go
+++ b/internal/scenariorunner/member.go
@@ -158,7 +158,7 @@
 		}
 	})
 	if down {
-		r.Progress("%s falls over: it was sent more than it can bear so soon after its start", m.name)
+		r.Progress("member %s goes down: it was overloaded during slow start", m.name)
 		m.Kill()
 	}
 }
--- a/internal/scenariorunner/page.go
+++ b/internal/scenariorunner/page.go
@@ -35,7 +35,7 @@
 		withDemand  bool
 	}{
 		{"Connections well served", "connections", func(r *Result) []float64 { return r.Served }, true},
-		{"Well served, of those asked for", "%", func(r *Result) []float64 {
+		{"Share of the wanted connections that are well served", "%", func(r *Result) []float64 {
 			out := make([]float64, len(r.Served))
 			for i := range out {
 				if out[i] = 100; r.Demand[i] > 0 {
@@ -86,7 +86,7 @@
 	colourIndex := map[string]int{}
 	for i, r := range all {
 		if i == 0 && withDemand {
-			if err := add(r.Demand, color.Gray{0x88}, "asked for", true); err != nil {
+			if err := add(r.Demand, color.Gray{0x88}, "wanted", true); err != nil {
 				return "", err
 			}
 		}
@@ -132,6 +132,6 @@
 {{end}}
 <h2>Figures</h2>
 <pre>{{.Table}}</pre>
-<h2>Time line</h2>
+<h2>Timeline</h2>
 <ul>{{range .Steps}}<li>{{printf "%.1f" .At}} s: {{.What}}</li>{{end}}</ul>
 `))
--- a/internal/scenariorunner/relay.go
+++ b/internal/scenariorunner/relay.go
@@ -91,7 +91,7 @@
 func (n *relay) recordExit(cmd *exec.Cmd, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.exitStatus = "with no error"
+	n.exitStatus = "exit status 0"
 	if err != nil {
 		n.exitStatus = err.Error()
 	}
--- a/internal/scenariorunner/relay_faults.go
+++ b/internal/scenariorunner/relay_faults.go
@@ -44,11 +44,11 @@
 		r.background.start(func(ctx context.Context) { r.operatorCall(ctx, n, s) })
 	case scenario.ActionCopyState:
 		if err := n.copyState(); err != nil {
-			r.Progress("%s's state is not copied: %v\n", n.name, err)
+			r.Progress("relay %s: cannot copy the state directory: %v\n", n.name, err)
 		}
 	case scenario.ActionConfigure:
 		if err := n.patchConfig(s.Body); err != nil {
-			r.Progress("%s keeps its configuration: %v\n", n.name, err)
+			r.Progress("relay %s: cannot patch the configuration: %v\n", n.name, err)
 			return
 		}
 		n.signal(syscall.SIGHUP, false)
@@ -57,7 +57,7 @@
 			s.Body = nil
 		}
 		if err := n.setSystemFaults(s.Body); err != nil {
-			r.Progress("%s has no system faults: %v\n", n.name, err)
+			r.Progress("relay %s: cannot set the system faults: %v\n", n.name, err)
 		}
 	}
 }
@@ -86,7 +86,7 @@
 func (n *relay) startAgain(s scenario.Step) {
 	<-n.done
 	if err := n.prepareState(s); err != nil {
-		n.Progress("%s starts with its own files: %v\n", n.name, err)
+		n.Progress("relay %s: cannot prepare the state directory for its next start: %v\n", n.name, err)
 	}
 	n.restart()
 }
--- a/internal/scenariorunner/result.go
+++ b/internal/scenariorunner/result.go
@@ -140,7 +140,8 @@
 		x.RunnerDelay[name] = float64(r.runnerDelays.ValueAtPercentile(percentile)) / microsPerMilli
 	}
 	if x.RunnerDelay["p99"] > maxRunnerDelayMs {
-		x.Invalid = fmt.Sprintf("the rehearsal itself was late: %.0f ms in one case of a hundred, %.0f ms are allowed", x.RunnerDelay["p99"], maxRunnerDelayMs)
+		x.Invalid = fmt.Sprintf("the runner itself was late: its delay was %.0f ms at p99, at most %.0f ms is allowed",
+			x.RunnerDelay["p99"], maxRunnerDelayMs)
 	}
 }
 
--- a/internal/scenariorunner/runner.go
+++ b/internal/scenariorunner/runner.go
@@ -95,7 +95,7 @@
 			if ctx.Err() != nil {
 				return all, nil
 			}
-			r.Progress("%s, play %d of %d, seed %d: %d relays, %d members\n", v.Name, k+1, repetitions, seed,
+			r.Progress("%s, repetition %d of %d, seed %d: %d relays, %d members\n", v.Name, k+1, repetitions, seed,
 				r.File.Relays.Count, r.File.Members.Count)
 			x, err := r.RunVariant(ctx, v, k+1, seed)
 			if err != nil {
@@ -128,7 +128,7 @@
 	}
 	out := x.result(v, repetition)
 	if ctx.Err() != nil {
-		out.Invalid = "it was cut short"
+		out.Invalid = "the run was interrupted"
 	}
 	return out, nil
 }
--- a/internal/scenariorunner/setup.go
+++ b/internal/scenariorunner/setup.go
@@ -167,5 +167,5 @@
 			return addr, nil
 		}
 	}
-	return "", fmt.Errorf("no address is free")
+	return "", fmt.Errorf("no free port on %s found in %d attempts", fakes.Host, maxPortTries)
 }
--- a/internal/scenariorunner/soak_test.go
+++ b/internal/scenariorunner/soak_test.go
@@ -85,7 +85,7 @@
 	r := &Runner{File: f, Dir: ".", Program: program, WorkDir: work, Progress: func(format string, a ...any) {
 		mu.Lock()
 		defer mu.Unlock()
-		if line := strings.TrimSpace(fmt.Sprintf(format, a...)); !strings.Contains(line, "connections asked for") {
+		if line := strings.TrimSpace(fmt.Sprintf(format, a...)); !strings.Contains(line, "connections wanted") {
 			fmt.Fprintln(&printed, line)
 		}
 	}}
--- a/internal/scenariorunner/table.go
+++ b/internal/scenariorunner/table.go
@@ -51,11 +51,11 @@
 	worstDelay := 0.0
 	for _, r := range all {
 		if r.Invalid != "" {
-			fmt.Fprintf(w, "%s, play %d is INVALID: %s\n", r.Variant, r.Repetition, r.Invalid)
+			fmt.Fprintf(w, "%s, repetition %d is INVALID: %s\n", r.Variant, r.Repetition, r.Invalid)
 		}
 		worstDelay = max(worstDelay, r.RunnerDelay["p99"])
 	}
-	fmt.Fprintf(w, "\nseed %d and on; the rehearsal itself was late by %.1f ms at p99 at worst\n", all[0].Seed, worstDelay)
+	fmt.Fprintf(w, "\nfirst seed %d; highest p99 delay of the runner itself %.1f ms\n", all[0].Seed, worstDelay)
 }
 
 // writeFigures writes a row for each figure: the mean of each variant and, from the second variant
@@ -101,12 +101,12 @@
 	if !compare {
 		return
 	}
-	verdict := "within it"
+	verdict := "within noise"
 	if c.Significant {
-		verdict = "larger"
+		verdict = "above noise"
 	}
 	if len(values) < minCompared || len(first) < minCompared {
-		verdict = "not known"
+		verdict = "too few runs"
 	}
 	fmt.Fprintf(out, "\t%s\t%s\t%s", formatFigure(c.Difference, ""), formatFigure(c.Noise, ""), verdict)
 }
@@ -115,7 +115,7 @@
 // are those of the first run.
 func (t *resultTable) writeVariantDetails(w io.Writer, variant string) {
 	results := t.byVariant[variant]
-	fmt.Fprintf(w, "\n%s, by part:", variant)
+	fmt.Fprintf(w, "\n%s, well served by class, zone and tenant:", variant)
 	for _, tag := range slices.Sorted(maps.Keys(results[0].ByTag)) {
 		fmt.Fprintf(w, "  %s %.1f%%", tag, 100*results[0].ByTag[tag])
 	}
@@ -123,10 +123,10 @@
 	for _, r := range results {
 		for i, v := range r.Violations {
 			if i == maxPrintedViolations {
-				fmt.Fprintf(w, "  and %d more\n", len(r.Violations)-i)
+				fmt.Fprintf(w, "  and %d more violations\n", len(r.Violations)-i)
 				break
 			}
-			fmt.Fprintf(w, "%s, play %d: RULE BROKEN at %.2f s, %s: %s: %s\n", variant, r.Repetition, v.At.Seconds(), v.Relay, v.Rule, v.What)
+			fmt.Fprintf(w, "%s, repetition %d: RULE BROKEN at %.2f s, %s: %s: %s\n", variant, r.Repetition, v.At.Seconds(), v.Relay, v.Rule, v.What)
 		}
 	}
 }
--- a/internal/scenariorunner/timeline.go
+++ b/internal/scenariorunner/timeline.go
@@ -145,7 +145,7 @@
 		r.drainMember(ctx, m)
 		successor, err := r.newMember(m.index, m.generation+1)
 		if err != nil {
-			r.Progress("%s has no successor: %v\n", m.name, err)
+			r.Progress("cannot start a successor of member %s: %v\n", m.name, err)
 			return
 		}
 		r.startMember(successor)
