--- a/internal/scenariorunner/floors_test.go
+++ b/internal/scenariorunner/floors_test.go
@@ -2,26 +2,26 @@
 
 import (
 	"fmt"
-	"strings"
 	"testing"
 	"time"
 )
 
-// minServed is the part of the demand that has to be served, in all, of each class, each tenant and in each third of a day on which
-// members have capacity. The operators require half of what a policy serves that sees the true state late; no policy serves more
-// than all.
+// minServed is the share of the demand that has to be served well: in total, for each class and
+// tenant, and in each third of a run. Operators require half of what a policy with a delayed view of
+// the true state serves; no policy serves more than the whole demand, so half of it always suffices.
 const minServed = 0.5
 
-// maxRejecting is for how long a relay may reject all that it gets, if that is minRejections or more.
+// maxRejecting is how long a relay may reject every request, in a series of at least minRejections.
 const maxRejecting = 4 * time.Second
 
-// TestFloors runs a calm day, and one on which members are replaced while all relays are restarted one after the other. Each class,
-// tenant and third of the day is served, and no relay rejects all that it gets for 4 s.
+// TestFloors guards against a policy that neglects some clients. It runs without faults, and while
+// half of the members are replaced and all relays are restarted one after another. Each class,
+// tenant and third of the run has to be served, and no relay may reject every request for 4 s.
 func TestFloors(t *testing.T) {
 	program, config := buildRelay(t, "build"), deployedConfig(t)
 	for name, faults := range map[string]string{
-		"calm": ``,
-		"roll": `{"at_ms":3000,"do":"replace","who":["s*"],"part":0.5,"every_ms":1500},{"at_ms":3500,"do":"term","who":["n*"],"every_ms":2500,"for_ms":4000}`,
+		"no faults":       ``,
+		"rolling restart": `{"at_ms":3000,"do":"replace","who":["s*"],"part":0.5,"every_ms":1500},{"at_ms":3500,"do":"term","who":["n*"],"every_ms":2500,"for_ms":4000}`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -42,15 +42,15 @@
 			}
 			for name, served := range parts {
 				if served < minServed {
-					t.Errorf("%s: %.2f served, at least %.2f", name, served, minServed)
+					t.Errorf("%s: share served well = %.2f, want at least %.2f", name, served, minServed)
 				}
 			}
 			if x.LongestRejecting > maxRejecting {
-				t.Errorf("a relay rejected all that it got for %v", x.LongestRejecting)
+				t.Errorf("a relay rejected every request for %v, want at most %v", x.LongestRejecting, maxRejecting)
 			}
-			t.Logf("%v, longest series of rejections %v, %d rules broken", parts, x.LongestRejecting, len(x.Violations))
+			t.Logf("shares served well %v, longest series of rejections %v, %d rule violations", parts, x.LongestRejecting, len(x.Violations))
 			if len(x.Violations) > 0 {
-				t.Error(strings.TrimSpace(violationLines(x.Violations)))
+				t.Errorf("rule violations, want none:\n%s", violationLines(x.Violations))
 			}
 		})
 	}
--- a/internal/scenariorunner/growth_test.go
+++ b/internal/scenariorunner/growth_test.go
@@ -7,11 +7,13 @@
 	"testing"
 )
 
-// growthSizesVariable names the variable for other sizes, the usual one first. By default a small pool and sixteen times as many.
+// growthSizesVariable is the environment variable that overrides growthSizes, the member counts to
+// run with. The first one is the usual size, which the others are compared with.
 const growthSizesVariable, growthSizes = "GROWTH_MEMBERS", "12,192"
 
-// Bounds of the operators' page on what a relay may need over the same day at the usual size: a factor, what may be added,
-// and what may be added for each thousand members.
+// growthBounds limit what a relay may use over the same run, as documented for operators. The limit
+// is the use at the usual size times factor, plus constant, plus perThousandMembers for each thousand
+// members.
 var growthBounds = []struct {
 	name                                 string
 	value                                func(x *Result) float64
@@ -24,11 +26,12 @@
 	{"bytes of lists", func(x *Result) float64 { return float64(x.Relays[0].ListBytes) }, 2, 64 << 10, 500 << 10},
 }
 
-// minServedShare is the part of the usual size's service that other sizes have to reach.
+// minServedShare is the share of the service at the usual size that other sizes have to reach.
 const minServedShare = 0.85
 
-// TestGrowth runs one relay with the same traffic and the same capacity of all members together, of which there are few or many. Some
-// are replaced, and discovery is down for a while. What the relay needs grows no more than allowed.
+// TestGrowth guards against a relay whose resource use grows too fast with the number of members. It
+// runs one relay with the same traffic and the same total capacity, split among few or many members.
+// Some members are replaced, and discovery is down for a while.
 func TestGrowth(t *testing.T) {
 	program, config := buildRelay(t, "build"), deployedConfig(t)
 	sizes := os.Getenv(growthSizesVariable)
@@ -39,7 +42,7 @@
 	for _, size := range strings.Split(sizes, ",") {
 		members, err := strconv.Atoi(size)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("%s: invalid number of members %q: %v", growthSizesVariable, size, err)
 		}
 		x := runWithMembers(t, members, config, program)
 		if baseline == nil {
@@ -48,25 +51,25 @@
 		for _, b := range growthBounds {
 			baseValue, value := b.value(baseline), b.value(x)
 			limit := b.factor*baseValue + b.constant + b.perThousandMembers*float64(members)/1000
-			t.Logf("%d members: %s %.2f, at most %.2f", members, b.name, value, limit)
+			t.Logf("%d members: %s = %.2f, limit %.2f", members, b.name, value, limit)
 			if value > limit {
-				t.Errorf("%d members: %s %.2f, the page allows %.2f over %.2f at the usual size", members, b.name, value, limit, baseValue)
+				t.Errorf("%d members: %s = %.2f, want at most %.2f (%.2f at the usual size)", members, b.name, value, limit, baseValue)
 			}
 		}
-		t.Logf("%d members: %.3f served", members, x.Service)
+		t.Logf("%d members: share served well = %.3f", members, x.Service)
 		if x.Service < minServedShare*baseline.Service {
-			t.Errorf("%d members: %.3f served, %.3f at the usual size", members, x.Service, baseline.Service)
+			t.Errorf("%d members: share served well = %.3f, want at least %.2f of %.3f at the usual size", members, x.Service, minServedShare, baseline.Service)
 		}
 		if len(x.Violations) > 0 {
-			t.Errorf("%d members:\n%s", members, violationLines(x.Violations))
+			t.Errorf("%d members: rule violations, want none:\n%s", members, violationLines(x.Violations))
 		}
 	}
 }
 
-// runWithMembers runs the day with a number of members.
+// runWithMembers runs the scenario of TestGrowth with a number of members.
 func runWithMembers(t *testing.T, members int, config, program string) *Result {
 	t.Helper()
-	const cores = 36.0 // of all members
+	const cores = 36.0 // of all members together
 	each := cores / float64(members)
 	return runScenario(t, program, `{"config":%q,"seed":5,"seconds":14,"from_ms":2000,
 	 "change":{"peers":null,"state":null,"counts_ms":0,"settings":{"zones":["north"],"guarantees":{"cold-ms":4000}}},
--- a/internal/scenariorunner/scripted_relay_test.go
+++ b/internal/scenariorunner/scripted_relay_test.go
@@ -22,7 +22,8 @@
 	"dahliarudder/internal/scenario"
 )
 
-// TestMain also serves as the relay under test: one that breaks the rule that its configuration's "script" names.
+// TestMain lets the test binary also run as the relay under test, which breaks the rule that "script"
+// in its configuration names.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "serve" {
 		serveScripted(os.Args[3])
@@ -30,7 +31,7 @@
 	os.Exit(m.Run())
 }
 
-// serveScripted is the simplest relay that follows all rules, except for what its script says.
+// serveScripted is a minimal relay that follows all rules, except for the one that its script breaks.
 func serveScripted(path string) {
 	var c struct {
 		Listen, Discovery, Script string
@@ -65,7 +66,8 @@
 			generation = l.Generation
 		}
 	}()
-	// pick is a member with a lifecycle: the newest one for "overload in slow start", otherwise the first.
+	// pick returns the address of a member with a lifecycle: the newest one for the script "overload
+	// in slow start", otherwise the first.
 	pick := func(lifecycle string) string {
 		mu.Lock()
 		defer mu.Unlock()
@@ -93,8 +95,9 @@
 	}
 }
 
-// repeatedScripts are the scripts that break their rule only under conditions of the scenario, and so have to try more than once.
-var repeatedScripts = map[string]bool{"overload in slow start": true, "sent to draining": true, "sent for gone client": true, "ignores half close": true, "ends at once": true}
+// repeatedScripts are the scripts that misbehave on every request, because their rule is broken only
+// under conditions that the scenario brings about at some time. The others misbehave once.
+var repeatedScripts = map[string]bool{"overload in slow start": true, "sent to draining": true, "sent for gone client": true, "ignores half close": true, "exits on SIGTERM": true}
 
 var ruleBroken atomic.Bool
 
@@ -111,7 +114,7 @@
 	}
 	memberAddr := pick("SERVING")
 	if !repeatedScripts[script] && ruleBroken.Swap(true) {
-		script = "" // once is enough
+		script = "" // one violation is enough
 	}
 	switch script {
 	case "multiple answers":
@@ -126,7 +129,7 @@
 		return
 	case "crash":
 		os.Exit(1)
-	case "sent for gone client": // whatever its client does meanwhile
+	case "sent for gone client": // makes its attempt after its client has left
 		time.Sleep(time.Second)
 	case "descriptor leak":
 		for range 40 {
@@ -142,7 +145,7 @@
 		}
 		io.WriteString(client, "ERR\r\n")
 		return
-	case "ignores half close": // a client that ends its sending direction is taken to have gone
+	case "ignores half close": // treats a client that closes its sending direction as gone
 		in.ReadByte()
 		return
 	case "sent to draining":
@@ -176,7 +179,7 @@
 	case "flow cut off":
 		time.Sleep(500 * time.Millisecond)
 		client.Close()
-		time.Sleep(10 * time.Second) // the member's side stays
+		time.Sleep(10 * time.Second) // keeps the connection to the member open
 		return
 	case "flow stalled":
 		copyWithoutSplice(io.Discard, in)
@@ -186,7 +189,7 @@
 	copyWithoutSplice(client, out)
 }
 
-// attemptAndClose makes an attempt at a member, and returns when the member has seen its end.
+// attemptAndClose makes an attempt at a member, closes it, and leaves the member time to notice that.
 func attemptAndClose(member, line string) {
 	c, err := net.Dial("tcp", member)
 	if err != nil {
@@ -198,13 +201,14 @@
 	time.Sleep(100 * time.Millisecond)
 }
 
-// carry copies without the system's splice, for which the runtime keeps pipes that would be taken for a leak.
+// copyWithoutSplice copies without the splice system call: the runtime keeps pipes for it, which
+// would count as a descriptor leak.
 func copyWithoutSplice(to io.Writer, from io.Reader) {
 	io.Copy(struct{ io.Writer }{to}, struct{ io.Reader }{from})
 }
 
-// TestScriptedRelays: the judge finds the rule that a scripted relay breaks, and nothing else; a relay that breaks none is found to
-// break none.
+// TestScriptedRelays checks that the judge reports the rule that a scripted relay breaks and no
+// other, and that it reports nothing for a relay that follows all rules.
 func TestScriptedRelays(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
@@ -223,7 +227,7 @@
 		"concurrent attempts": scenario.ConcurrentAttempts, "too many attempts": scenario.TooManyAttempts, "sent to draining": scenario.SentToDraining, "overload in slow start": scenario.OverloadedInSlowStart,
 		"flow cut off": scenario.FlowCutOff, "flow stalled": scenario.FlowStalled, "crash": scenario.RelayCrash,
 		"sent for gone client": scenario.SentForGoneClient, "disallowed repeat": scenario.DisallowedRepeat, "wrong rejection": scenario.WrongRejection, "descriptor leak": scenario.DescriptorLeak,
-		"ignores half close": scenario.NoAnswer, "ends at once": scenario.FlowCutOff,
+		"ignores half close": scenario.NoAnswer, "exits on SIGTERM": scenario.FlowCutOff,
 	} {
 		t.Run(script, func(t *testing.T) {
 			t.Parallel()
@@ -236,10 +240,10 @@
 			case "flow stalled":
 				seconds = 12
 			case "sent for gone client", "ignores half close":
-				leave, step = 1, "" // what waits a second would go to a member that drains by then
+				leave, step = 1, "" // without the drain: an attempt a second later would go to a draining member
 			case "disallowed repeat", "wrong rejection":
 				effect = "non_idempotent"
-			case "ends at once":
+			case "exits on SIGTERM":
 				step = `{"at_ms":3000,"do":"term","who":["n0"]}`
 			}
 			f, err := scenario.Decode(fmt.Appendf(nil, `{"config":"config.json","settle":true,"change":{"script":%q,"settings":{"classes":[{"name":"pay","aim-ms":500,"deadline-ms":2500,"worth":1,"effect":%q,"key-scope":"all"}]}},"seed":3,"seconds":%d,"from_ms":1000,
@@ -247,45 +251,45 @@
 			 "clients":{"standing":5,"per_second":%d,"stay_ms":20000,"load":[0.001,0.001],"line_ms":200,"leave":%g},"faults":[%s]}`,
 				script, effect, seconds, map[bool]int{true: 24, false: 6}[script == "overload in slow start"], leave, step))
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("scenario.Decode failed: %v", err)
 			}
 			r := &Runner{File: f, Dir: dir, Program: self, WorkDir: t.TempDir(), Progress: func(string, ...any) {}}
 			x, err := r.RunVariant(context.Background(), f.Variants[0], 1, f.Seed)
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("RunVariant failed: %v", err)
 			}
 			broken := map[scenario.Rule]int{}
 			for _, b := range x.Violations {
 				broken[b.Rule]++
 			}
-			if script == "ends at once" { // it may have taken a request just then, which is the same fault
+			if script == "exits on SIGTERM" { // a request that it has just accepted stays unanswered: the same fault
 				delete(broken, scenario.NoAnswer)
 			}
 			if rule != "" && broken[rule] == 0 || len(broken) > 1 || rule == "" && len(broken) > 0 {
-				t.Errorf("found %v, want %q\n%v", broken, rule, x.Violations)
+				t.Errorf("judge reported violations by rule %v, want only %q\n%v", broken, rule, x.Violations)
 			}
-			if rule == scenario.FlowCutOff && script == "ends at once" && broken[rule] < 3 {
-				t.Errorf("%d clients cut off as the relay ended at once", broken[rule])
+			if rule == scenario.FlowCutOff && script == "exits on SIGTERM" && broken[rule] < 3 {
+				t.Errorf("%d flows reported as cut off when the relay exited on SIGTERM, want at least 3", broken[rule])
 			}
 			if rule == "" && x.Service < 0.5 {
-				t.Errorf("%.2f well served; answers %v", x.Service, x.Answers)
+				t.Errorf("share served well = %.2f, want at least 0.5; answers %v", x.Service, x.Answers)
 			}
 			page := filepath.Join(r.WorkDir, "page.html")
 			if err := WritePage(page, "about", []*Result{x}); err != nil {
-				t.Fatal(err)
+				t.Fatalf("WritePage failed: %v", err)
 			}
 			if text, _ := os.ReadFile(page); strings.Count(string(text), "</svg>") != 2 || strings.Contains(string(text), "http") && strings.Contains(string(text), "src=") {
-				t.Error("the page has not its two plots, or needs something else")
+				t.Error("the page does not contain exactly two plots, or it refers to an external resource")
 			}
 		})
 	}
 }
 
-// TestFiles: the scenarios that are shipped can be used, with the configurations that they name.
+// TestFiles checks that the shipped scenarios are valid with the configurations that they name.
 func TestFiles(t *testing.T) {
 	all, err := filepath.Glob("../../deploy/scenarios/*.json")
 	if err != nil || len(all) == 0 {
-		t.Fatal(err, all)
+		t.Fatalf("glob of the shipped scenarios = %v, error %v, want at least one file", all, err)
 	}
 	for _, path := range all {
 		text, err := os.ReadFile(path)
@@ -294,26 +298,26 @@
 		}
 		f, err := scenario.Decode(text)
 		if err != nil {
-			t.Errorf("%s: %v", path, err)
+			t.Errorf("scenario.Decode(%s) failed: %v", path, err)
 			continue
 		}
 		for _, v := range f.Variants {
 			if _, _, err := (&Runner{File: f, Dir: filepath.Dir(path)}).Settings(v); err != nil {
-				t.Errorf("%s: %v", path, err)
+				t.Errorf("Settings of %s, variant %q, failed: %v", path, v.Name, err)
 			}
 		}
 	}
 }
 
-// TestFreeAddr: an address is returned once, though nobody listens at it yet.
+// TestFreeAddr checks that an address is returned only once, although nobody listens at it yet.
 func TestFreeAddr(t *testing.T) {
 	r := &run{usedAddrs: map[string]bool{}}
-	for range 900 { // enough for the same number to be drawn again
+	for range 900 { // enough for the same random port to be drawn again
 		if _, err := r.freeAddr(); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if len(r.usedAddrs) != 900 {
-		t.Errorf("%d addresses for 900", len(r.usedAddrs))
+		t.Errorf("freeAddr returned %d different addresses in 900 calls, want 900", len(r.usedAddrs))
 	}
 }
--- a/internal/scenariorunner/soak_test.go
+++ b/internal/scenariorunner/soak_test.go
@@ -14,7 +14,8 @@
 	"dahliarudder/internal/scenario"
 )
 
-// Variables that set a soak by hand: the first seed, how many seeds, how many runs at a time, and a directory to keep all logs in.
+// Environment variables of a soak by hand: the first seed, the number of seeds, the number of
+// concurrent runs, and a directory in which all logs are kept.
 const (
 	firstSeedVariable   = "SOAK_FROM"
 	seedCountVariable   = "SOAK_SEEDS"
@@ -22,14 +23,14 @@
 	keepDirVariable     = "SOAK_KEEP"
 )
 
-// Defaults of these. Each run takes about one core.
+// Default values of these variables. Each run uses about one core.
 const (
 	defaultFirstSeed   = 1
 	defaultSeedCount   = 4
 	defaultConcurrency = 2
 )
 
-// environmentNumber is the number that a variable holds.
+// environmentNumber returns the number in an environment variable, or byDefault if it is not set.
 func environmentNumber(t *testing.T, name string, byDefault int) int {
 	t.Helper()
 	text := os.Getenv(name)
@@ -38,16 +39,17 @@
 	}
 	n, err := strconv.Atoi(text)
 	if err != nil {
-		t.Fatalf("%s: %v", name, err)
+		t.Fatalf("%s is not a number: %v", name, err)
 	}
 	return n
 }
 
-// TestSoak runs relays among fakes, with settings, sizes and faults drawn from seeds. A violation is printed with the command that
-// runs its seed again.
+// TestSoak guards against faults that only unusual combinations bring about. It runs relays among
+// fakes, with settings, sizes and faults drawn from seeds. For a violation it prints the command that
+// runs the same seed again.
 func TestSoak(t *testing.T) {
 	program, config := buildRelay(t, "test", "-c"), deployedConfig(t)
-	if fakes.Host == "127.0.0.1" { // another run of the tests on this machine uses another
+	if fakes.Host == "127.0.0.1" { // keeps concurrent test processes on this machine apart
 		fakes.Host = fmt.Sprintf("127.%d.%d.2", 64+os.Getpid()%128, os.Getpid()/128%250)
 	}
 	seeds := make(chan uint64)
@@ -69,11 +71,11 @@
 	workers.Wait()
 }
 
-// soak runs one seed.
+// soak runs the scenario of one seed.
 func soak(t *testing.T, seed uint64, config, program string) {
 	f, err := scenario.DrawSoak(seed, config, true)
 	if err != nil {
-		t.Errorf("seed %d: %v", seed, err)
+		t.Errorf("seed %d: scenario.DrawSoak failed: %v", seed, err)
 		return
 	}
 	work := t.TempDir()
@@ -91,25 +93,25 @@
 	}}
 	x, err := r.RunVariant(context.Background(), f.Variants[0], 1, seed)
 	if err != nil {
-		t.Errorf("seed %d: %v", seed, err)
+		t.Errorf("seed %d: RunVariant failed: %v", seed, err)
 		return
 	}
-	verdict := "well"
+	verdict := "passed"
 	if len(x.Violations) > 0 {
-		verdict = "BROKEN"
+		verdict = "RULES BROKEN"
 	} else if x.Invalid != "" {
-		verdict = "not valid"
+		verdict = "run invalid"
 	}
 	var steps []string
 	for _, s := range x.Faults {
 		steps = append(steps, fmt.Sprintf("%.1f %s", s.At, s.What))
 	}
-	t.Logf("seed %d, %s", seed, strings.Join(steps, ", "))
-	t.Logf("seed %d: %s; %d relays, %d members, %.2f well served, answers %v, late %.0f ms", seed, verdict, f.Relays.Count, f.Members.Count,
+	t.Logf("seed %d: fault steps by second: %s", seed, strings.Join(steps, ", "))
+	t.Logf("seed %d: %s; %d relays, %d members, share served well %.2f, answers %v, p99 runner delay %.0f ms", seed, verdict, f.Relays.Count, f.Members.Count,
 		x.Service, x.Answers, x.RunnerDelay["p99"])
-	if verdict == "well" {
+	if verdict == "passed" {
 		return
 	}
-	t.Errorf("seed %d: %s %s\n%s%v\nagain: %s=%d %s=1 %s=logs go test -count=1 -run TestSoak ./internal/scenariorunner", seed, verdict, x.Invalid, printed.String(),
+	t.Errorf("seed %d: %s %s\n%s%v\nto run it again: %s=%d %s=1 %s=logs go test -count=1 -run TestSoak ./internal/scenariorunner", seed, verdict, x.Invalid, printed.String(),
 		violationLines(x.Violations), firstSeedVariable, seed, seedCountVariable, keepDirVariable)
 }
