--- a/internal/scenariorunner/page.go
+++ b/internal/scenariorunner/page.go
@@ -14,10 +14,10 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// colours are those of the variants, in their order.
+// colours are the line colours of the variants, in order.
 var colours = []color.Color{color.RGBA{0x1f, 0x5a, 0xa6, 255}, color.RGBA{0xc4, 0x4e, 0x1c, 255}, color.RGBA{0x2c, 0x7d, 0x4f, 255}, color.RGBA{0x7a, 0x3e, 0x8e, 255}}
 
-// WritePage writes an HTML page with the table and the plots.
+// WritePage writes an HTML page with the table, the plots and the timeline of all results.
 func WritePage(path, about string, all []*Result) error {
 	var table bytes.Buffer
 	WriteTable(&table, all)
@@ -31,11 +31,11 @@
 	}
 	for _, p := range []struct {
 		title, unit string
-		of          func(*Result) []float64
-		asked       bool
+		values      func(*Result) []float64
+		withDemand  bool
 	}{
 		{"Connections well served", "connections", func(r *Result) []float64 { return r.Served }, true},
-		{"Well served, of those asked for", "%", func(r *Result) []float64 {
+		{"Share of the wanted connections that are well served", "%", func(r *Result) []float64 {
 			out := make([]float64, len(r.Served))
 			for i := range out {
 				if out[i] = 100; r.Demand[i] > 0 {
@@ -45,21 +45,22 @@
 			return out
 		}, false},
 	} {
-		svg, err := plotOverTime(p.title, p.unit, all, p.of, p.asked)
+		svg, err := plotOverTime(p.title, p.unit, all, p.values, p.withDemand)
 		if err != nil {
 			return err
 		}
 		data.Plots = append(data.Plots, svg)
 	}
 	var out bytes.Buffer
-	if err := page.Execute(&out, data); err != nil {
+	if err := pageTemplate.Execute(&out, data); err != nil {
 		return err
 	}
 	return os.WriteFile(path, out.Bytes(), 0o644)
 }
 
-// plotOverTime draws one figure over time as SVG: a line for each run, and a mark for each fault.
-func plotOverTime(title, unit string, all []*Result, of func(*Result) []float64, asked bool) (template.HTML, error) {
+// plotOverTime draws a quantity over time as SVG, with a line for each run and a vertical mark for
+// each fault. With withDemand it also draws the demand as a dashed line.
+func plotOverTime(title, unit string, all []*Result, valuesOf func(*Result) []float64, withDemand bool) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "s", unit
 	p.Y.Min, p.Legend.Top, p.Legend.Left = 0, false, true
@@ -82,18 +83,18 @@
 		}
 		return nil
 	}
-	number := map[string]int{}
+	colourIndex := map[string]int{}
 	for i, r := range all {
-		if i == 0 && asked {
-			if err := add(r.Demand, color.Gray{0x88}, "asked for", true); err != nil {
+		if i == 0 && withDemand {
+			if err := add(r.Demand, color.Gray{0x88}, "wanted", true); err != nil {
 				return "", err
 			}
 		}
 		name := ""
-		if _, ok := number[r.Variant]; !ok {
-			number[r.Variant], name = len(number), r.Variant
+		if _, ok := colourIndex[r.Variant]; !ok {
+			colourIndex[r.Variant], name = len(colourIndex), r.Variant
 		}
-		if err := add(of(r), colours[number[r.Variant]%len(colours)], name, false); err != nil {
+		if err := add(valuesOf(r), colours[colourIndex[r.Variant]%len(colours)], name, false); err != nil {
 			return "", err
 		}
 	}
@@ -121,7 +122,7 @@
 	return template.HTML(text), nil
 }
 
-var page = template.Must(template.New("page").Parse(`<!doctype html>
+var pageTemplate = template.Must(template.New("page").Parse(`<!doctype html>
 <meta charset="utf-8">
 <title>Scenario</title>
 <style>body{font:15px/1.5 sans-serif;margin:2em auto;max-width:70em;padding:0 1em;color:#222}pre{overflow:auto;background:#f5f5f3;padding:1em}svg{max-width:100%;height:auto}li{font-variant-numeric:tabular-nums}</style>
@@ -131,6 +132,6 @@
 {{end}}
 <h2>Figures</h2>
 <pre>{{.Table}}</pre>
-<h2>Time line</h2>
+<h2>Timeline</h2>
 <ul>{{range .Steps}}<li>{{printf "%.1f" .At}} s: {{.What}}</li>{{end}}</ul>
 `))
--- a/internal/scenariorunner/table.go
+++ b/internal/scenariorunner/table.go
@@ -10,19 +10,20 @@
 	"dahliarudder/internal/scenario"
 )
 
-// maxPrintedViolations is how many violations of one run the table prints.
+// maxPrintedViolations is the number of violations of one run that the table prints.
 const maxPrintedViolations = 8
 
-// minCompared is the least number of runs of a variant that are compared.
+// minCompared is the number of runs of each variant from which a difference is judged.
 const minCompared = 3
 
-// resultTable is the results by variant.
+// resultTable holds the results by variant.
 type resultTable struct {
 	variants  []string
 	byVariant map[string][]*Result
 }
 
-// newResultTable leaves out invalid results, which say nothing about their variant, unless the first one is invalid.
+// newResultTable groups results by variant. It omits invalid results, which say nothing about their
+// variant, except for the first result.
 func newResultTable(all []*Result) *resultTable {
 	t := &resultTable{byVariant: map[string][]*Result{}}
 	for i, r := range all {
@@ -37,7 +38,7 @@
 	return t
 }
 
-// WriteTable writes all results: a column of figures for each variant, then the broken rules and the invalid runs.
+// WriteTable writes a column of figures for each variant, the broken rules, and the invalid runs.
 func WriteTable(w io.Writer, all []*Result) {
 	t := newResultTable(all)
 	if len(t.variants) == 0 {
@@ -45,19 +46,20 @@
 	}
 	t.writeFigures(w, slices.ContainsFunc(all, func(r *Result) bool { return r.Peers != nil }))
 	for _, variant := range t.variants {
-		t.writeParts(w, variant)
+		t.writeVariantDetails(w, variant)
 	}
 	worstDelay := 0.0
 	for _, r := range all {
 		if r.Invalid != "" {
-			fmt.Fprintf(w, "%s, play %d is INVALID: %s\n", r.Variant, r.Repetition, r.Invalid)
+			fmt.Fprintf(w, "%s, repetition %d is INVALID: %s\n", r.Variant, r.Repetition, r.Invalid)
 		}
 		worstDelay = max(worstDelay, r.RunnerDelay["p99"])
 	}
-	fmt.Fprintf(w, "\nseed %d and on; the rehearsal itself was late by %.1f ms at p99 at worst\n", all[0].Seed, worstDelay)
+	fmt.Fprintf(w, "\nfirst seed %d; highest p99 delay of the runner itself %.1f ms\n", all[0].Seed, worstDelay)
 }
 
-// writeFigures writes a row for each figure, with the first variant's mean, and each further one's with its difference.
+// writeFigures writes a row for each figure: the mean of each variant and, from the second variant
+// on, its difference from the first.
 func (t *resultTable) writeFigures(w io.Writer, withPeerViews bool) {
 	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprint(out, "\n")
@@ -69,7 +71,7 @@
 	}
 	fmt.Fprintln(out)
 	for _, f := range figures {
-		if f.ofPeerView && !withPeerViews {
+		if f.needsPeerViews && !withPeerViews {
 			continue
 		}
 		fmt.Fprint(out, f.name)
@@ -81,10 +83,10 @@
 	out.Flush()
 }
 
-// values are a figure of all runs of a variant.
+// values returns a figure of all runs of a variant.
 func (t *resultTable) values(f *figure, variant string) (out []float64) {
 	for _, r := range t.byVariant[variant] {
-		out = append(out, f.of(r))
+		out = append(out, f.value(r))
 	}
 	return out
 }
@@ -99,20 +101,21 @@
 	if !compare {
 		return
 	}
-	verdict := "within it"
+	verdict := "within noise"
 	if c.Significant {
-		verdict = "larger"
+		verdict = "above noise"
 	}
 	if len(values) < minCompared || len(first) < minCompared {
-		verdict = "not known"
+		verdict = "too few runs"
 	}
 	fmt.Fprintf(out, "\t%s\t%s\t%s", formatFigure(c.Difference, ""), formatFigure(c.Noise, ""), verdict)
 }
 
-// writeParts writes a variant's service by tag, and the rules that its runs broke.
-func (t *resultTable) writeParts(w io.Writer, variant string) {
+// writeVariantDetails writes a variant's service by tag, and the rules that its runs broke. The tags
+// are those of the first run.
+func (t *resultTable) writeVariantDetails(w io.Writer, variant string) {
 	results := t.byVariant[variant]
-	fmt.Fprintf(w, "\n%s, by part:", variant)
+	fmt.Fprintf(w, "\n%s, well served by class, zone and tenant:", variant)
 	for _, tag := range slices.Sorted(maps.Keys(results[0].ByTag)) {
 		fmt.Fprintf(w, "  %s %.1f%%", tag, 100*results[0].ByTag[tag])
 	}
@@ -120,15 +123,15 @@
 	for _, r := range results {
 		for i, v := range r.Violations {
 			if i == maxPrintedViolations {
-				fmt.Fprintf(w, "  and %d more\n", len(r.Violations)-i)
+				fmt.Fprintf(w, "  and %d more violations\n", len(r.Violations)-i)
 				break
 			}
-			fmt.Fprintf(w, "%s, play %d: RULE BROKEN at %.2f s, %s: %s: %s\n", variant, r.Repetition, v.At.Seconds(), v.Relay, v.Rule, v.What)
+			fmt.Fprintf(w, "%s, repetition %d: RULE BROKEN at %.2f s, %s: %s: %s\n", variant, r.Repetition, v.At.Seconds(), v.Relay, v.Rule, v.What)
 		}
 	}
 }
 
-// formatFigure writes a number with three significant digits.
+// formatFigure formats a number with three significant digits, and its unit.
 func formatFigure(v float64, unit string) string {
 	text := fmt.Sprintf("%.2f", v)
 	if v >= 100 || v <= -100 {
