--- a/integration/fleet_faults_test.go
+++ b/integration/fleet_faults_test.go
@@ -25,9 +25,9 @@
 }
 
 // waitForWithin is waitFor with its own time limit, for what takes several waits.
-func waitForWithin(t *testing.T, span time.Duration, what string, ok func() bool) {
+func waitForWithin(t *testing.T, timeout time.Duration, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(span); !ok(); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(timeout); !ok(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("waited in vain: %s", what)
 		}
@@ -90,8 +90,8 @@
 type rolloutWatch struct {
 	f     *fleetRig
 	name  string
-	ended map[int]int // by order
-	dead  int         // one that is down beside, -1 for none
+	exits map[int]int // by order
+	down  int         // one that is down beside, -1 for none
 }
 
 func (f *fleetRig) watch(name string) *rolloutWatch {
@@ -102,25 +102,25 @@
 // checkOneOut checks that at most one relay is out, by any record and by the relays' orders.
 func (w *rolloutWatch) checkOneOut() {
 	w.f.t.Helper()
-	told := 0
+	leaving := 0
 	for i, r := range w.f.relays {
 		if n := w.f.unavailableCount(i, w.name); n > 1 {
 			w.f.t.Errorf("n%d: %d are out by order", i, n)
 		}
-		if isLeaving(r) && i != w.dead {
-			told++
+		if isLeaving(r) && i != w.down {
+			leaving++
 		}
 	}
-	if told > 1 {
-		w.f.t.Errorf("%d relays leave at once", told)
+	if leaving > 1 {
+		w.f.t.Errorf("%d relays leave at once", leaving)
 	}
 }
 
 // restartOrdered starts who has ended by order.
-func (w *rolloutWatch) restartOrdered() {
+func (w *rolloutWatch) restartExited() {
 	for i := range w.f.relays {
-		if i != w.dead && w.f.restartOnExit(i) {
-			w.ended[i]++
+		if i != w.down && w.f.restartOnExit(i) {
+			w.exits[i]++
 		}
 	}
 }
@@ -137,19 +137,19 @@
 	other := -1
 	waitForWithin(t, patience, "one relay to have left, and another to leave that does not lead", func() bool {
 		w.checkOneOut()
-		w.restartOrdered()
+		w.restartExited()
 		l := f.leaderOrNone()
-		if len(w.ended) == 0 || l < 0 || isLeaving(f.relays[l]) {
+		if len(w.exits) == 0 || l < 0 || isLeaving(f.relays[l]) {
 			return false
 		}
 		for i, r := range f.relays {
 			if i != l && isLeaving(r) {
-				w.dead, other = l, i
+				w.down, other = l, i
 			}
 		}
 		return other >= 0
 	})
-	killed := w.dead
+	killed := w.down
 	f.kill(killed)
 	// The other one is not started again before the killed one: while it is out there is no room, so that all are told to leave once. If
 	// both vote, there is no majority and no leader until then.
@@ -158,12 +158,12 @@
 		return f.leaderOrNone() >= 0 || len(f.relays[other].done) > 0
 	})
 	f.start(killed)
-	w.dead = -1
-	waitForWithin(t, 2*patience, "all relays to have left by order", func() bool { w.checkOneOut(); w.restartOrdered(); return len(w.ended) == 4 })
+	w.down = -1
+	waitForWithin(t, 2*patience, "all relays to have left by order", func() bool { w.checkOneOut(); w.restartExited(); return len(w.exits) == 4 })
 	if a := f.waitRelease(killed, "r", rollout.ReleaseCompleted); a.Counts.Done != 4 {
 		t.Errorf("%+v", a)
 	}
-	for i, n := range w.ended {
+	for i, n := range w.exits {
 		if n != 1 {
 			t.Errorf("n%d left %d times", i, n)
 		}
@@ -179,30 +179,30 @@
 	f.waitLeader()
 	f.mustCall(3, "POST", "/-/releases", map[string]any{"name": "r", "kind": "relay", "all": true})
 	w := f.watch("r")
-	told := func() int { return slices.IndexFunc(f.relays, isLeaving) }
+	leavingRelay := func() int { return slices.IndexFunc(f.relays, isLeaving) }
 	waitForWithin(t, patience, "one relay to have left, and another to leave", func() bool {
 		w.checkOneOut()
-		w.restartOrdered()
-		return len(w.ended) > 0 && told() >= 0
+		w.restartExited()
+		return len(w.exits) > 0 && leavingRelay() >= 0
 	})
-	had := told()
+	ordered := leavingRelay()
 	f.kill(0, 1, 2, 3)
-	if left := <-f.relays[had].done; left != nil && strings.Contains(left.Error(), "75") {
-		w.ended[had]++ // just before
+	if exit := <-f.relays[ordered].done; exit != nil && strings.Contains(exit.Error(), "75") {
+		w.exits[ordered]++ // just before
 	}
 	for i := range f.relays {
 		f.start(i)
 	}
-	before := w.ended[had]
+	before := w.exits[ordered]
 	waitForWithin(t, 3*patience, "the release to end", func() bool {
 		w.checkOneOut()
-		w.restartOrdered()
+		w.restartExited()
 		var a rollout.ReleaseStatus
 		return f.call(3, "GET", "/-/releases/r", nil, &a) == 200 && a.State == rollout.ReleaseCompleted && a.Counts.Done == 4
 	})
 	for i := range f.relays {
-		if n := w.ended[i]; i != had && n != 1 || i == had && n != before {
-			t.Errorf("n%d left %d times by order; n%d was killed with one", i, n, had)
+		if n := w.exits[i]; i != ordered && n != 1 || i == ordered && n != before {
+			t.Errorf("n%d left %d times by order; n%d was killed with one", i, n, ordered)
 		}
 	}
 }
@@ -239,7 +239,7 @@
 	for i := range f.relays {
 		waitFor(t, "the first to be out", func() bool { return out(i) != "" })
 	}
-	empty := func(name string) {
+	waitDrained := func(name string) {
 		t.Helper()
 		waitForWithin(t, patience, name+" to be empty", func() bool {
 			for _, u := range f.waitRelease(3, "m", rollout.ReleaseRunning).Units {
@@ -251,17 +251,17 @@
 		})
 	}
 	first := out(l)
-	at := int(first[1] - '0')
-	empty(first) // its owner may replace it
+	firstIndex := int(first[1] - '0')
+	waitDrained(first) // its owner may replace it
 	f.isolate(l, true)
 	f.isolate((l+1)%3, true)
-	f.restartMember(at)
+	f.restartMember(firstIndex)
 	for end := time.Now().Add(6 * time.Second); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 		for i := range f.relays {
 			if got := out(i); got != first {
 				t.Fatalf("n%d has %q out, before the cut %q", i, got, first)
 			}
-			if n := f.flowsToMember(i, 1, at); n > 0 {
+			if n := f.flowsToMember(i, 1, firstIndex); n > 0 {
 				t.Errorf("n%d: a flow at a member that is out", i)
 			}
 		}
@@ -272,8 +272,8 @@
 	for i := range f.relays {
 		waitFor(t, "the next to be out", func() bool { return out(i) == other })
 	}
-	empty(other)
-	f.restartMember(1 - at)
+	waitDrained(other)
+	f.restartMember(1 - firstIndex)
 	if a := f.waitRelease(3, "m", rollout.ReleaseCompleted, rollout.ReleaseHalted); a.State != rollout.ReleaseCompleted {
 		t.Errorf("%+v", a)
 	}
@@ -285,11 +285,11 @@
 func TestFleetStaleOrder(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
-	old := (f.waitLeader() + 1) % 3
-	r := f.relays[old]
-	f.waitAccepting(old)
+	suspended := (f.waitLeader() + 1) % 3
+	r := f.relays[suspended]
+	f.waitAccepting(suspended)
 	r.openFlows(24)
-	f.mustCall(3, "POST", "/-/releases", map[string]any{"name": "o", "kind": "relay", "names": []string{fmt.Sprintf("n%d", old)}})
+	f.mustCall(3, "POST", "/-/releases", map[string]any{"name": "o", "kind": "relay", "names": []string{fmt.Sprintf("n%d", suspended)}})
 	f.logReleaseOnFailure("o")
 	r.waitLogged("fleet: ordered to leave")
 	r.cmd.Process.Signal(syscall.SIGSTOP)
@@ -331,7 +331,7 @@
 	if n := f.flowsToMember(3, 24, 0); n == 0 {
 		t.Error("the one that cannot know of the ban sends nothing there: nothing is shown here")
 	}
-	states := func() (all []string) {
+	driftRows := func() (all []string) {
 		var a struct {
 			Rows []struct{ Relay, Item, State string }
 		}
@@ -348,7 +348,7 @@
 	var last []string
 	waitFor(t, "n3 to be shown as not heard", func() bool {
 		time.Sleep(100 * time.Millisecond)
-		last = states()
+		last = driftRows()
 		return strings.Contains(strings.Join(last, ","), "not heard") || strings.Contains(strings.Join(last, ","), "late")
 	})
 	t.Logf("shown as %q", last)
@@ -357,7 +357,7 @@
 	if n := f.flowsToMember(3, 12, 0); n > 0 {
 		t.Errorf("%d flows after it took the ban", n)
 	}
-	waitForWithin(t, 2*patience, "the row to go", func() bool { last = states(); return len(last) == 0 })
+	waitForWithin(t, 2*patience, "the row to go", func() bool { last = driftRows(); return len(last) == 0 })
 }
 
 // TestFleetPausePartitioned: no two relays' records reach each other when an operator pauses a canary at one relay. The call cannot be agreed, yet every
@@ -375,7 +375,7 @@
 		}
 		return n
 	}
-	logged := func(weight string) { // the newest
+	waitWeight := func(weight string) { // the newest
 		t.Helper()
 		for i, r := range f.relays {
 			waitFor(t, fmt.Sprintf("n%d to go to %s", i, weight), func() bool {
@@ -385,18 +385,18 @@
 			})
 		}
 	}
-	logged("map[c:500]")
+	waitWeight("map[c:500]")
 	for i := range 3 {
 		f.isolate(i, true)
 	}
 	if flows() == 0 {
 		t.Error("nothing at the arm before the pause")
 	}
-	begun := time.Now()
+	paused := time.Now()
 	answered := make(chan int, 1)
 	go func() { answered <- f.call(3, "PUT", "/-/canaries/c/pause", nil, nil) }()
-	logged("map[c:0]")
-	t.Logf("zero everywhere after %v", time.Since(begun).Round(time.Millisecond))
+	waitWeight("map[c:0]")
+	t.Logf("zero everywhere after %v", time.Since(paused).Round(time.Millisecond))
 	if k := flows(); k > 0 {
 		t.Errorf("%d flows at the arm of a paused canary", k)
 	}
@@ -424,7 +424,7 @@
 		t.Errorf("%d flows at the arm after the pause was agreed", k)
 	}
 	f.mustCall(1, "PUT", "/-/canaries/c/resume", nil)
-	logged("map[c:500]")
+	waitWeight("map[c:500]")
 	if flows() == 0 {
 		t.Error("nothing at the arm after it was resumed")
 	}
@@ -441,17 +441,17 @@
 		f.waitAccepting(i)
 		r.openFlows(6) // so that what members bear is known
 	}
-	ask := func(i int, who, name string) rollout.Result {
+	requestPermit := func(i int, who, name string) rollout.Result {
 		t.Helper()
 		a := f.mustCall(i, "POST", "/-/permits", map[string]any{"kind": "member", "name": name, "who": who, "for_ms": 60000, "why": "a kernel"})
 		time.Sleep(100 * time.Millisecond)
 		return a
 	}
 	var a, b rollout.Result
-	first := ask(0, "ann", "s0")
-	second := ask(1, "bob", "s1")
-	waitFor(t, "the first to be granted", func() bool { a = ask(2, "ann", "s0"); return a.State == string(rollout.PermitGranted) })
-	if b = ask(3, "bob", "s1"); b.State != string(rollout.PermitWaiting) || b.Reason == "" || b.RetryAfterMS <= 0 {
+	first := requestPermit(0, "ann", "s0")
+	second := requestPermit(1, "bob", "s1")
+	waitFor(t, "the first to be granted", func() bool { a = requestPermit(2, "ann", "s0"); return a.State == string(rollout.PermitGranted) })
+	if b = requestPermit(3, "bob", "s1"); b.State != string(rollout.PermitWaiting) || b.Reason == "" || b.RetryAfterMS <= 0 {
 		t.Errorf("%+v", b)
 	}
 	if a.Number != first.Number || b.Number != second.Number || a.Number == b.Number || a.RemainingMS <= 0 {
@@ -461,12 +461,12 @@
 		t.Errorf("one that waits may begin: %d", code)
 	}
 	f.mustCall(1, "PUT", fmt.Sprintf("/-/permits/%d/begin", a.Number), nil)
-	begun := f.restartMember(0)
+	restarted := f.restartMember(0)
 	f.mustCall(2, "PUT", fmt.Sprintf("/-/permits/%d/done", a.Number), nil)
 	var took time.Duration
 	waitForWithin(t, patience, "the second to be granted", func() bool {
-		b = ask(3, "bob", "s1")
-		took = time.Since(begun)
+		b = requestPermit(3, "bob", "s1")
+		took = time.Since(restarted)
 		return b.State == string(rollout.PermitGranted)
 	})
 	if took < 7*time.Second { // the rule, not a measure: it is cold until then
@@ -494,7 +494,7 @@
 	f.isolate(1, true)
 	f.waitNoMajority(0, 1, 2, 3)
 	f.relays[3].mustPut("/-/backends/s2/disable")
-	check := func(when string) {
+	checkLocalOnly := func(when string) {
 		t.Helper()
 		if n := f.flowsToMember(3, 12, 2); n > 0 {
 			t.Errorf("%s: %d flows at a member that is disabled here", when, n)
@@ -505,11 +505,11 @@
 			}
 		}
 	}
-	check("without a majority")
+	checkLocalOnly("without a majority")
 	f.isolate(0, false)
 	f.isolate(1, false)
 	waitFor(t, "it to be shown as drift", func() bool { return f.localEjections(3) == 1 })
-	check("with the majority back")
+	checkLocalOnly("with the majority back")
 	f.relays[3].mustPut("/-/backends/s2/enable")
 	waitFor(t, "the drift to end", func() bool { return f.localEjections(3) == 0 })
 	waitFor(t, "n3 to use it again", func() bool { return f.flowsToMember(3, 1, 2) > 0 })
--- a/integration/fleet_test.go
+++ b/integration/fleet_test.go
@@ -28,7 +28,7 @@
 	relays      []*relay
 	conf        []string
 	recordAddrs []string // of the record
-	pipes       [][]*fakes.TCPProxy
+	proxies     [][]*fakes.TCPProxy
 	groups      int // of flows that were opened
 }
 
@@ -71,7 +71,7 @@
 			t.Cleanup(p.Close)
 			row[j], reach[fmt.Sprintf("n%d", j)] = p, p.Addr()
 		}
-		f.pipes = append(f.pipes, row)
+		f.proxies = append(f.proxies, row)
 		path := configure(t, f.d, map[string]any{"name": fmt.Sprintf("n%d", i), "operator": "127.0.0.1:0", "seed": fmt.Sprintf("%x", 99+i),
 			"settings": json.RawMessage(strings.Replace(settings, `"balancers":1`, fmt.Sprintf(`"balancers":%d`, n), 1)),
 			"peers":    map[string]any{"listen": gossip[i], "known": gossip[:min(2, n)], "key_file": "key"},
@@ -221,7 +221,7 @@
 }
 
 // restartOnExit restarts a relay whenever it exits by order.
-func (f *fleetRig) restartOnExit(i int) (ended bool) {
+func (f *fleetRig) restartOnExit(i int) (exited bool) {
 	r := f.relays[i]
 	select {
 	case err := <-r.done:
@@ -277,15 +277,15 @@
 			f.logRelease("r1")
 		}
 	})
-	ended := 0
+	exits := 0
 	waitFor(t, "all relays to have left once", func() bool {
 		for i := range f.relays {
 			if f.restartOnExit(i) {
-				ended++
+				exits++
 			}
 		}
 		time.Sleep(50 * time.Millisecond)
-		return ended == len(f.relays)
+		return exits == len(f.relays)
 	})
 	a := f.waitRelease(3, "r1", rollout.ReleaseCompleted, rollout.ReleaseHalted)
 	if a.State != rollout.ReleaseCompleted || a.Counts.Done != 4 {
@@ -333,11 +333,11 @@
 
 // isolate cuts a relay's record off from all others, or brings it back.
 func (f *fleetRig) isolate(i int, on bool) {
-	way := fakes.Impairment{Cut: on}
-	for from, row := range f.pipes {
+	impairment := fakes.Impairment{Cut: on}
+	for from, row := range f.proxies {
 		for to, p := range row {
 			if p != nil && (from == i || to == i) {
-				p.SetImpairment(way, way)
+				p.SetImpairment(impairment, impairment)
 			}
 		}
 	}
@@ -349,7 +349,7 @@
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
 	f.waitLeader()
-	at := func(what string, n int) {
+	waitEjected := func(what string, n int) {
 		t.Helper()
 		for i := range f.relays {
 			waitFor(t, fmt.Sprintf("n%d: %s", i, what), func() bool { return len(f.ejectedMembers(i)) == n })
@@ -361,16 +361,16 @@
 			f.logRelease("d1")
 		}
 	})
-	at("the drain", 1)
+	waitEjected("the drain", 1)
 	f.mustCall(2, "PUT", "/-/releases/d1/halt", nil)
 	l := f.waitLeader()
 	f.kill(l)
 	f.start(l)
 	f.waitRelease(3, "d1", rollout.ReleaseHalted)
 	f.mustCall(3, "PUT", "/-/releases/d1/resume", nil)
-	at("the drain again", 1)
+	waitEjected("the drain again", 1)
 	f.mustCall(3, "PUT", "/-/releases/d1/back", nil)
-	at("the way back", 0)
+	waitEjected("the way back", 0)
 	f.waitRelease(3, "d1", rollout.ReleaseRolledBack)
 }
 
@@ -407,14 +407,14 @@
 		f.relays[i].waitLogged("map[c1:300]")
 	}
 	before := map[string]int{}
-	flows := func(from, to int) {
+	openFlows := func(from, to int) {
 		for n := from; n < to; n++ {
 			c := f.relays[n%3].openFlow(n, "")
 			c.line()
 			c.Close()
 		}
 	}
-	flows(0, 120)
+	openFlows(0, 120)
 	for _, m := range f.members {
 		before[m.id] = len(m.firstLines())
 	}
@@ -422,7 +422,7 @@
 		t.Errorf("%d of 120 flows at an arm that is to get three in ten", n)
 	}
 	f.members[0].SetMode(fakes.ModeErr)
-	n := 120
+	next := 120
 	var all json.RawMessage
 	t.Cleanup(func() {
 		if t.Failed() {
@@ -430,8 +430,8 @@
 		}
 	})
 	waitForWithin(t, 3*patience, "a verdict on an arm that answers errors", func() bool { // which takes some seconds, however many flows there are
-		flows(n, n+30)
-		n += 30
+		openFlows(next, next+30)
+		next += 30
 		var a struct{ Canaries []struct{ Status string } }
 		if f.call(0, "GET", "/-/canaries", nil, &all) != 200 || json.Unmarshal(all, &a) != nil {
 			return false
@@ -454,7 +454,7 @@
 		f.call(l, "GET", "/-/fleet", nil, &a)
 		return len(a.Relays) == n
 	})
-	heed := func(what string, ok func(i int) bool) []time.Duration {
+	measure := func(what string, ok func(i int) bool) []time.Duration {
 		from, took := time.Now(), make([]time.Duration, n)
 		var all sync.WaitGroup
 		for i := range n {
@@ -474,37 +474,37 @@
 		t.Logf("%s: p50 %v, last %v of %d", what, took[n/2].Round(time.Millisecond), took[n-1].Round(time.Millisecond), n)
 		return took
 	}
-	logs := func(text string) func(int) bool {
+	loggedAgain := func(text string) func(int) bool {
 		before := make([]int, n)
 		for i, r := range f.relays {
 			before[i] = strings.Count(r.log.String(), text)
 		}
 		return func(i int) bool { return strings.Count(f.relays[i].log.String(), text) > before[i] }
 	}
-	out, in := `members that are out" out="[s1]"`, `members that are out" out="[]"`
+	ejectedLog, restoredLog := `members that are out" out="[s1]"`, `members that are out" out="[]"`
 	for k := range 5 {
 		name := fmt.Sprintf("d%d", k)
-		told := logs(out)
+		ejected := loggedAgain(ejectedLog)
 		f.mustCall(0, "POST", "/-/releases", map[string]any{"name": name, "kind": "member", "drain": true, "names": []string{"s1"}})
-		heed("a drain, from the call's answer", told)
-		halted := logs(in)
+		measure("a drain, from the call's answer", ejected)
+		restored := loggedAgain(restoredLog)
 		if f.call(k%n, "PUT", "/-/releases/"+name+"/halt", nil, nil) != 200 {
 			t.Fatal("no halt")
 		}
-		heed("a halt, from the call's answer", halted)
+		measure("a halt, from the call's answer", restored)
 		f.mustCall(0, "PUT", "/-/releases/"+name+"/back", nil)
 		f.waitRelease(0, name, rollout.ReleaseRolledBack)
 	}
-	weighed := logs("map[c1:300]")
+	weighted := loggedAgain("map[c1:300]")
 	f.mustCall(0, "POST", "/-/canaries", map[string]any{"release": "c1", "arm": map[string]any{"members": []string{"s0"}}, "ladder": []int{300, 1000},
 		"floor": 200, "longest": 120000, "error": 0.01, "guards": []map[string]any{{"metric": "failures", "points": 50}}})
-	heed("a canary's first weight", weighed)
+	measure("a canary's first weight", weighted)
 	for i := range 3 {
 		f.isolate(i, true)
 	}
 	pause := f.request(n-1, "PUT", "/-/canaries/c1/pause", nil)
 	go f.send(n-1, pause, nil)
-	heed("a pause without a majority", func(i int) bool { // one that has not reached the record for long may be at zero before
+	measure("a pause without a majority", func(i int) bool { // one that has not reached the record for long may be at zero before
 		log := f.relays[i].log.String()
 		return strings.LastIndex(log, "map[c1:0]") > strings.LastIndex(log, "map[c1:300]")
 	})
--- a/integration/fleet_voters_test.go
+++ b/integration/fleet_voters_test.go
@@ -54,38 +54,38 @@
 func TestFleetVoterReplaced(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 4, nil)
-	old := f.waitLeader()
-	a, b := (old+1)%3, (old+2)%3
-	f.kill(old)
-	f.isolate(old, true)
+	replaced := f.waitLeader()
+	a, b := (replaced+1)%3, (replaced+2)%3
+	f.kill(replaced)
+	f.isolate(replaced, true)
 	waitFor(t, "n3 to be a voter", func() bool { // the call is refused while those that are left have not settled
-		f.call(3, "PUT", fmt.Sprintf("/-/voters/n%d/n3?address=%s", old, f.recordAddrs[3]), nil, nil)
+		f.call(3, "PUT", fmt.Sprintf("/-/voters/n%d/n3?address=%s", replaced, f.recordAddrs[3]), nil, nil)
 		return f.consensusStatus(3).Voters["n3"] == f.recordAddrs[3]
 	})
 	f.waitVoter(3)
 	f.eject(0, 3, a, b)
 	f.kill(b, 3) // by the old one's disk, two of three are left
-	f.start(old)
-	f.isolate(old, false)
-	f.waitNoMajority(a, old)
+	f.start(replaced)
+	f.isolate(replaced, false)
+	f.waitNoMajority(a, replaced)
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) { // elections take 1.2 s
-		for _, i := range []int{old, a} {
+		for _, i := range []int{replaced, a} {
 			if e := f.consensusStatus(i); e.HasQuorum || e.Leader != "" {
 				t.Fatalf("n%d has a majority with one of three voters there: %+v", i, e)
 			}
 		}
 	}
-	for _, i := range []int{old, a} {
+	for _, i := range []int{replaced, a} {
 		if code := f.call(i, "POST", "/-/releases", map[string]any{"name": "x", "kind": "relay", "all": true}, nil); code == 200 {
 			t.Errorf("n%d has a call agreed with one of three voters there", i)
 		}
 	}
 	f.start(3) // its vote is needed, and that of the old one is not
-	f.eject(1, a, 3, old)
+	f.eject(1, a, 3, replaced)
 	f.start(b)
-	f.eject(2, old, 0, 1, 2, 3)
-	waitFor(t, "what was refused to be unknown", func() bool { return f.call(old, "GET", "/-/releases/x", nil, nil) == 404 })
-	if e := f.consensusStatus(old); e.Role != consensus.RoleFollower || e.Voters[e.Name] != "" {
+	f.eject(2, replaced, 0, 1, 2, 3)
+	waitFor(t, "what was refused to be unknown", func() bool { return f.call(replaced, "GET", "/-/releases/x", nil, nil) == 404 })
+	if e := f.consensusStatus(replaced); e.Role != consensus.RoleFollower || e.Voters[e.Name] != "" {
 		t.Errorf("%+v", e)
 	}
 }
@@ -99,49 +99,49 @@
 	l := f.waitLeader()
 	older, emptied := (l+1)%3, (l+2)%3
 	dir := func(i int) string { return filepath.Join(filepath.Dir(f.conf[i]), "record") }
-	out := 0
-	ban := func(at ...int) { f.eject(out, at...); out++ }
-	ban(3, 0, 1, 2)
-	record := f.consensusStatus(l).RecordID
+	ejected := 0
+	ejectNext := func(at ...int) { f.eject(ejected, at...); ejected++ }
+	ejectNext(3, 0, 1, 2)
+	recordID := f.consensusStatus(l).RecordID
 	f.kill(older)
-	kept := filepath.Join(t.TempDir(), "kept")
-	if err := os.CopyFS(kept, os.DirFS(dir(older))); err != nil {
+	backup := filepath.Join(t.TempDir(), "kept")
+	if err := os.CopyFS(backup, os.DirFS(dir(older))); err != nil {
 		t.Fatal(err)
 	}
 	f.start(older)
 	f.waitVoter(older)
-	ban(3, 0, 1, 2)
-	ban(older, 0, 1, 2, 3) // what it has acknowledged before the last one is known to the others
-	anew := func(i, other int, why, kept string) {
+	ejectNext(3, 0, 1, 2)
+	ejectNext(older, 0, 1, 2, 3) // what it has acknowledged before the last one is known to the others
+	restartWithDirectory := func(i, other int, reason, backup string) {
 		t.Helper()
 		id := f.consensusStatus(i).Identity
 		f.kill(i)
 		if err := os.RemoveAll(dir(i)); err != nil {
 			t.Fatal(err)
 		}
-		if kept != "" {
-			if err := os.CopyFS(dir(i), os.DirFS(kept)); err != nil {
+		if backup != "" {
+			if err := os.CopyFS(dir(i), os.DirFS(backup)); err != nil {
 				t.Fatal(err)
 			}
 		}
 		f.start(i)
 		waitFor(t, fmt.Sprintf("n%d to be another voter", i), func() bool {
 			e := f.consensusStatus(i)
-			return e.Identity != 0 && e.Identity != id && strings.Contains(e.IdentityReason, why)
+			return e.Identity != 0 && e.Identity != id && strings.Contains(e.IdentityReason, reason)
 		})
 		f.waitVoter(i)
-		ban(3, 0, 1, 2)
+		ejectNext(3, 0, 1, 2)
 		f.kill(other)
-		ban(3, i, 3-i-other) // its vote is needed
+		ejectNext(3, i, 3-i-other) // its vote is needed
 		f.start(other)
 		f.waitVoter(other)
-		ban(other, 0, 1, 2, 3)
+		ejectNext(other, 0, 1, 2, 3)
 	}
-	anew(older, emptied, "older", kept)
-	anew(emptied, older, "", "")
+	restartWithDirectory(older, emptied, "older", backup)
+	restartWithDirectory(emptied, older, "", "")
 	for i := range f.relays {
-		if e := f.consensusStatus(i); e.RecordID != record {
-			t.Errorf("n%d is of record %d, which was %d", i, e.RecordID, record)
+		if e := f.consensusStatus(i); e.RecordID != recordID {
+			t.Errorf("n%d is of record %d, which was %d", i, e.RecordID, recordID)
 		}
 	}
 }
--- a/integration/nats_bench_test.go
+++ b/integration/nats_bench_test.go
@@ -17,7 +17,7 @@
 )
 
 // benchBothWays takes every figure in two ways in one run: at the nodes directly, and through the relay before the same nodes.
-func benchBothWays(b *testing.B, run func(b *testing.B, url string, r *relay)) {
+func benchDirectAndRelay(b *testing.B, run func(b *testing.B, url string, r *relay)) {
 	k, err := fakes.NewNATSCluster(3)
 	if err != nil {
 		b.Fatal(err)
@@ -46,7 +46,7 @@
 }
 
 // cpu is the processor time that the relay has used.
-func (r *relay) cpu() time.Duration {
+func (r *relay) cpuTime() time.Duration {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", r.cmd.Process.Pid))
 	_, rest, _ := strings.Cut(string(text), ") ")
 	w := strings.Fields(rest)
@@ -74,7 +74,7 @@
 					name = "delivered"
 				}
 				b.Run(fmt.Sprintf("%s/%dB/%d", name, size, clients), func(b *testing.B) {
-					benchBothWays(b, func(b *testing.B, url string, r *relay) { benchPublish(b, url, r, delivered, size, clients) })
+					benchDirectAndRelay(b, func(b *testing.B, url string, r *relay) { benchPublish(b, url, r, delivered, size, clients) })
 				})
 			}
 		}
@@ -83,10 +83,10 @@
 
 func benchPublish(b *testing.B, url string, r *relay, delivered bool, size, clients int) {
 	all, payload := benchClients(b, url, clients), make([]byte, size)
-	var got atomic.Int64
+	var deliveries atomic.Int64
 	for i, c := range all {
 		if delivered {
-			s, err := c.Subscribe(fmt.Sprintf("feed.%d", i), func(*nats.Msg) { got.Add(1) })
+			s, err := c.Subscribe(fmt.Sprintf("feed.%d", i), func(*nats.Msg) { deliveries.Add(1) })
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -97,18 +97,18 @@
 			b.Fatal(err)
 		}
 	}
-	each := max(b.N/clients, 1)
-	var began time.Duration
+	perClient := max(b.N/clients, 1)
+	var cpuBefore time.Duration
 	if r != nil {
-		began = r.cpu()
+		cpuBefore = r.cpuTime()
 	}
-	got.Store(0)
+	deliveries.Store(0)
 	b.ResetTimer()
 	var wait sync.WaitGroup
 	for i, c := range all {
 		wait.Go(func() {
 			subject := fmt.Sprintf("feed.%d", i)
-			for range each {
+			for range perClient {
 				c.Publish(subject, payload)
 			}
 			if err := c.FlushTimeout(2 * patience); err != nil {
@@ -118,18 +118,18 @@
 	}
 	wait.Wait()
 	if delivered {
-		waitFor(b, "all deliveries", func() bool { return got.Load() >= int64(each*clients) })
+		waitFor(b, "all deliveries", func() bool { return deliveries.Load() >= int64(perClient*clients) })
 	}
 	b.StopTimer()
-	b.ReportMetric(float64(each*clients)/b.Elapsed().Seconds(), "msgs/s")
+	b.ReportMetric(float64(perClient*clients)/b.Elapsed().Seconds(), "msgs/s")
 	if r != nil {
-		b.ReportMetric(float64((r.cpu()-began).Nanoseconds())/float64(each*clients), "cpu-ns/msg")
+		b.ReportMetric(float64((r.cpuTime()-cpuBefore).Nanoseconds())/float64(perClient*clients), "cpu-ns/msg")
 	}
 }
 
 // BenchmarkNATSRequest: how long a request and its reply take, one at a time.
 func BenchmarkNATSRequest(b *testing.B) {
-	benchBothWays(b, func(b *testing.B, url string, r *relay) {
+	benchDirectAndRelay(b, func(b *testing.B, url string, r *relay) {
 		all := benchClients(b, url, 2)
 		if _, err := all[0].Subscribe("ask", func(m *nats.Msg) { m.Respond(m.Data) }); err != nil {
 			b.Fatal(err)
@@ -138,11 +138,11 @@
 		var took []time.Duration
 		b.ResetTimer()
 		for range b.N {
-			began := time.Now()
+			sent := time.Now()
 			if _, err := all[1].Request("ask", []byte("0123456789abcdef"), patience); err != nil {
 				b.Fatal(err)
 			}
-			took = append(took, time.Since(began))
+			took = append(took, time.Since(sent))
 		}
 		b.StopTimer()
 		slices.Sort(took)
--- a/integration/nats_chaos_test.go
+++ b/integration/nats_chaos_test.go
@@ -15,16 +15,16 @@
 )
 
 // ledger is what each publication's client has received, and the order in which members accepted the publications.
-type ledger struct {
-	mu      sync.Mutex
-	newest  map[string]int // of each client and subject, the latest number that a member took first
-	seen    map[string]bool
-	turned  map[string]int
-	unorder []string
+type publicationLog struct {
+	mu         sync.Mutex
+	latest     map[string]int // of each client and subject, the latest number that a member took first
+	seen       map[string]bool
+	rejected   map[string]int
+	outOfOrder []string
 }
 
 // record is called by the cluster.
-func (l *ledger) record(subject, payload string) {
+func (l *publicationLog) record(subject, payload string) {
 	var client, n int
 	if c, _ := fmt.Sscanf(payload, "c%d n%d", &client, &n); c != 2 {
 		return
@@ -36,10 +36,10 @@
 	}
 	l.seen[payload] = true
 	key := fmt.Sprint(client, " ", subject)
-	if l.newest[key] > n {
-		l.unorder = append(l.unorder, fmt.Sprintf("%s: %d after %d", key, n, l.newest[key]))
+	if l.latest[key] > n {
+		l.outOfOrder = append(l.outOfOrder, fmt.Sprintf("%s: %d after %d", key, n, l.latest[key]))
 	}
-	l.newest[key] = max(l.newest[key], n)
+	l.latest[key] = max(l.latest[key], n)
 }
 
 // TestNATSChaos: publications while members are killed, restarted, drained, refuse, reset and fall silent at random. Counted by
@@ -51,8 +51,8 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 9))
 			k := newCluster(t, 4)
-			led := &ledger{newest: map[string]int{}, seen: map[string]bool{}, turned: map[string]int{}}
-			k.Watch(led.record)
+			published := &publicationLog{latest: map[string]int{}, seen: map[string]bool{}, rejected: map[string]int{}}
+			k.Watch(published.record)
 			d := newDiscovery(t, natsMembers(k)...)
 			r := start(t, configure(t, d, map[string]any{"fronts": map[string]any{"nats": map[string]any{"listen": "127.0.0.1:0",
 				"class": "pay-status", "tenant": "water", "load_subject": "node.load"}}}), 1)
@@ -61,9 +61,9 @@
 			for i := range clients {
 				c, err := nats.Connect("nats://"+r.addrs["nats"], nats.Timeout(patience), nats.NoReconnect(),
 					nats.ErrorHandler(func(_ *nats.Conn, _ *nats.Subscription, err error) {
-						led.mu.Lock()
-						led.turned[fmt.Sprint(i)]++
-						led.mu.Unlock()
+						published.mu.Lock()
+						published.rejected[fmt.Sprint(i)]++
+						published.mu.Unlock()
 						if !strings.Contains(err.Error(), "ermissions") {
 							t.Errorf("client %d: %v", i, err)
 						}
@@ -78,20 +78,20 @@
 			}
 			sent := make([]int, clients)
 			for range rounds {
-				o := k.Nodes[rng.IntN(len(k.Nodes))]
+				node := k.Nodes[rng.IntN(len(k.Nodes))]
 				undo := func() {}
 				switch rng.IntN(6) {
 				case 0:
-					o.Kill()
-					undo = func() { waitFor(t, "a restart", func() bool { return o.Restart() == nil }) }
+					node.Kill()
+					undo = func() { waitFor(t, "a restart", func() bool { return node.Restart() == nil }) }
 				case 1:
-					d.SetLifecycle(o.ID, "DRAINING")
-					undo = func() { d.SetLifecycle(o.ID, "SERVING") }
+					d.SetLifecycle(node.ID, "DRAINING")
+					undo = func() { d.SetLifecycle(node.ID, "SERVING") }
 				case 2, 3, 4:
-					o.SetMode([]fakes.NodeMode{fakes.NodeRefuses, fakes.NodeResets, fakes.NodeSilent}[rng.IntN(3)])
-					undo = func() { o.SetMode(fakes.NodeHealthy) }
+					node.SetMode([]fakes.NodeMode{fakes.NodeRefuses, fakes.NodeResets, fakes.NodeSilent}[rng.IntN(3)])
+					undo = func() { node.SetMode(fakes.NodeHealthy) }
 				case 5:
-					o.ResetConnections()
+					node.ResetConnections()
 				}
 				for i, c := range all {
 					for range rng.IntN(burst) {
@@ -110,43 +110,43 @@
 				flush(t, c) // every publication before it has its answer
 				total += sent[i]
 			}
-			for _, broken := range k.Attempts.Violations() {
-				t.Error(broken)
+			for _, violation := range k.Attempts.Violations() {
+				t.Error(violation)
 			}
-			led.mu.Lock()
-			turned := 0
+			published.mu.Lock()
+			rejected := 0
 			for i := range clients {
 				lost := 0
 				for n := 1; n <= sent[i]; n++ {
-					if !led.seen[fmt.Sprintf("c%d n%d", i, n)] {
+					if !published.seen[fmt.Sprintf("c%d n%d", i, n)] {
 						lost++
 					}
 				}
-				if told := led.turned[fmt.Sprint(i)]; lost > told {
-					t.Errorf("client %d: %d publications never arrived, and %d were turned away", i, lost, told)
+				if reported := published.rejected[fmt.Sprint(i)]; lost > reported {
+					t.Errorf("client %d: %d publications never arrived, and %d were turned away", i, lost, reported)
 				}
-				turned += led.turned[fmt.Sprint(i)]
+				rejected += published.rejected[fmt.Sprint(i)]
 			}
-			for _, u := range led.unorder {
+			for _, u := range published.outOfOrder {
 				t.Error("out of order: ", u)
 			}
-			taken := len(led.seen)
-			led.mu.Unlock()
+			accepted := len(published.seen)
+			published.mu.Unlock()
 			waitFor(t, "one place for each subscription", func() bool {
 				for i := range clients {
-					held := 0
+					count := 0
 					for _, n := range k.Subscriptions(fmt.Sprint("stay.", i)) {
-						held += n
+						count += n
 					}
-					if held != 1 {
+					if count != 1 {
 						return false
 					}
 				}
 				return true
 			})
-			t.Logf("%d publications: %d taken, %d turned away", total, taken, turned)
-			if taken < total/2 {
-				t.Errorf("only %d of %d were taken: this run shows little", taken, total)
+			t.Logf("%d publications: %d taken, %d turned away", total, accepted, rejected)
+			if accepted < total/2 {
+				t.Errorf("only %d of %d were taken: this run shows little", accepted, total)
 			}
 		})
 	}
@@ -176,12 +176,12 @@
 			c.wantLine("PONG")
 		}
 		for n := range each {
-			held := 0
+			count := 0
 			for _, x := range k.Subscriptions(fmt.Sprint("herd.", n)) {
-				held += x
+				count += x
 			}
-			if held != clients {
-				t.Errorf("herd.%d stands %d times, want %d", n, held, clients)
+			if count != clients {
+				t.Errorf("herd.%d stands %d times, want %d", n, count, clients)
 			}
 		}
 		for _, c := range all {
@@ -197,7 +197,7 @@
 // TestNATSDrainUnderLoad: while clients publish, each node in turn drains: within the 250 ms of the rule, and a generous
 // allowance for a busy machine, it has no subscription, and each is at exactly one other node.
 func TestNATSDrainUnderLoad(t *testing.T) {
-	const allowance, many = 3 * time.Second, 60
+	const allowance, subscriptions = 3 * time.Second, 60
 	k := newCluster(t, 3)
 	k.Attempts = nil
 	d := newDiscovery(t, natsMembers(k)...)
@@ -205,7 +205,7 @@
 		"class": "pay-status", "tenant": "water"}}}), 1)
 	c := must[*nats.Conn](t)(nats.Connect("nats://"+r.addrs["nats"], nats.Timeout(patience), nats.NoReconnect()))
 	defer c.Close()
-	for i := range many {
+	for i := range subscriptions {
 		must[*nats.Subscription](t)(c.Subscribe(fmt.Sprint("load.", i), func(*nats.Msg) {}))
 	}
 	flush(t, c)
@@ -217,7 +217,7 @@
 			case <-stop:
 				return
 			default:
-				c.Publish(fmt.Sprint("load.", n%many), []byte("0123456789"))
+				c.Publish(fmt.Sprint("load.", n%subscriptions), []byte("0123456789"))
 				if n%50 == 0 {
 					time.Sleep(time.Millisecond)
 				}
@@ -226,32 +226,32 @@
 	}()
 	for at, o := range k.Nodes {
 		d.SetLifecycle(o.ID, "DRAINING")
-		began, last := time.Now(), ""
+		drained, last := time.Now(), ""
 		for {
-			held, left := map[int]int{}, 0
-			for i := range many {
+			count, remaining := map[int]int{}, 0
+			for i := range subscriptions {
 				for node, n := range k.Subscriptions(fmt.Sprint("load.", i)) {
-					held[i] += n
+					count[i] += n
 					if node == at {
-						left += n
+						remaining += n
 					}
 				}
 			}
-			wrong := left
-			for i := range many {
-				if held[i] != 1 {
+			wrong := remaining
+			for i := range subscriptions {
+				if count[i] != 1 {
 					wrong++
 				}
 			}
 			if wrong == 0 {
 				break
 			}
-			if last = fmt.Sprintf("%d at the draining node, %v held", left, held); time.Since(began) > 250*time.Millisecond+allowance {
-				t.Fatalf("%v after the word: %s", time.Since(began), last)
+			if last = fmt.Sprintf("%d at the draining node, %v held", remaining, count); time.Since(drained) > 250*time.Millisecond+allowance {
+				t.Fatalf("%v after the word: %s", time.Since(drained), last)
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
-		t.Logf("node %d is left after %v", at, time.Since(began))
+		t.Logf("node %d is left after %v", at, time.Since(drained))
 		d.SetLifecycle(o.ID, "SERVING")
 	}
 	close(stop)
@@ -266,16 +266,16 @@
 	d := newDiscovery(t, natsMembers(k)...)
 	r := start(t, configure(t, d, map[string]any{"operator": "127.0.0.1:0", "fronts": map[string]any{"nats": map[string]any{"listen": "127.0.0.1:0",
 		"class": "pay-status", "tenant": "water"}}}), 2)
-	again := make(chan bool, 10)
+	reconnected := make(chan bool, 10)
 	c := must[*nats.Conn](t)(nats.Connect("nats://"+r.addrs["nats"], nats.Timeout(patience), nats.MaxReconnects(-1), nats.ReconnectWait(20*time.Millisecond),
-		nats.ReconnectHandler(func(*nats.Conn) { again <- true }), nats.ErrorHandler(func(*nats.Conn, *nats.Subscription, error) {})))
+		nats.ReconnectHandler(func(*nats.Conn) { reconnected <- true }), nats.ErrorHandler(func(*nats.Conn, *nats.Subscription, error) {})))
 	defer c.Close()
 	sub := must[*nats.Subscription](t)(c.SubscribeSync("through"))
 	flush(t, c)
 	next := r.startSuccessor(2)
 	r.cmd.Process.Signal(syscall.SIGTERM)
 	select {
-	case <-again:
+	case <-reconnected:
 	case <-time.After(patience):
 		t.Fatal("the client never came again")
 	}
--- a/integration/nats_conformance_own_test.go
+++ b/integration/nats_conformance_own_test.go
@@ -135,14 +135,14 @@
 // ---- Clauses that need a relay of their own ----
 
 // quickHash is a quick bcrypt hash.
-func quickHash(word string) string {
+func minCostHash(word string) string {
 	h, _ := bcrypt.GenerateFromPassword([]byte(word), bcrypt.MinCost)
 	return string(h)
 }
 
 // withFront is a relay set up so, for one clause.
-func withFront(front map[string]any, play func(t *testing.T, s *conformanceRig)) func(*testing.T, *conformanceRig) {
-	return func(t *testing.T, _ *conformanceRig) { play(t, newConformanceRig(t, front)) }
+func withFront(front map[string]any, test func(t *testing.T, s *conformanceRig)) func(*testing.T, *conformanceRig) {
+	return func(t *testing.T, _ *conformanceRig) { test(t, newConformanceRig(t, front)) }
 }
 
 // connectError is the error of a connection by the library; nil if it is admitted.
@@ -154,14 +154,14 @@
 	return err
 }
 
-func (s *conformanceRig) wantAdmission(t *testing.T, yes bool, options ...nats.Option) {
+func (s *conformanceRig) wantAdmission(t *testing.T, admitted bool, options ...nats.Option) {
 	t.Helper()
-	if err := s.connectError(options...); (err == nil) != yes {
-		t.Errorf("entering: %v, want %v", err, yes)
+	if err := s.connectError(options...); (err == nil) != admitted {
+		t.Errorf("entering: %v, want %v", err, admitted)
 	}
 }
 
-var ownSites = []clause{
+var ownRelayClauses = []clause{
 	{name: "ping interval and stale connections", raw: withFront(map[string]any{"ping_interval_ms": 150, "ping_max": 2}, func(t *testing.T, s *conformanceRig) {
 		c := s.rawClient(t, "")
 		c.wantLines("PING")
@@ -183,14 +183,14 @@
 			c.sendLines("SUB flood 1", "PING")
 			c.wantLines("PONG")
 		}
-		const many = 3000
+		const messages = 3000
 		p, payload := s.libraryClient(t), make([]byte, 16<<10)
 		go func() {
-			for range many {
+			for range messages {
 				p.Publish("flood", payload)
 			}
 		}()
-		for range many {
+		for range messages {
 			quick.wantLine("MSG flood 1 16384")
 			quick.line()
 		}
@@ -218,7 +218,7 @@
 		}
 	})},
 	{name: "user and password, token", lib: withFront(map[string]any{"auth": map[string]any{"users": []any{
-		map[string]any{"user": "ann", "password": quickHash("one")}, map[string]any{"token": quickHash("two")}}}}, func(t *testing.T, s *conformanceRig) {
+		map[string]any{"user": "ann", "password": minCostHash("one")}, map[string]any{"token": minCostHash("two")}}}}, func(t *testing.T, s *conformanceRig) {
 		s.wantAdmission(t, true, nats.UserInfo("ann", "one"))
 		s.wantAdmission(t, true, nats.Token("two"))
 		s.wantAdmission(t, false, nats.UserInfo("ann", "two"))
@@ -241,8 +241,8 @@
 	}},
 	{name: "JWT credentials: signature, trust, expiry, permissions", lib: jwtCredentials},
 	{name: "permissions to publish and subscribe, allow_responses", raw: withFront(map[string]any{"auth": map[string]any{"users": []any{
-		map[string]any{"user": "all", "password": quickHash("w")},
-		map[string]any{"user": "few", "password": quickHash("w"), "permissions": map[string]any{
+		map[string]any{"user": "all", "password": minCostHash("w")},
+		map[string]any{"user": "few", "password": minCostHash("w"), "permissions": map[string]any{
 			"publish": map[string]any{"allow": []string{"out.>"}, "deny": []string{"out.secret"}}, "allow_responses": map[string]any{"max": 1},
 			"subscribe": map[string]any{"allow": []string{"in.>", "work.* crew"}, "deny": []string{"in.secret"}}}}}}}, func(t *testing.T, s *conformanceRig) {
 		few, all := s.rawClient(t, `"user":"few","pass":"w"`), s.rawClient(t, `"user":"all","pass":"w"`)
@@ -266,13 +266,13 @@
 				set[k] = v
 			}
 			s := newConformanceRig(t, map[string]any{"tls": set})
-			mine, mineKey := ca.issue(t, "client")
+			clientCert, clientKey := ca.issue(t, "client")
 			options := []nats.Option{nats.RootCAs(ca.file), nats.Secure()}
 			if name == "first" {
 				options = append(options, nats.TLSHandshakeFirst())
 			}
 			s.wantAdmission(t, false, options...) // shows no certificate
-			c := s.libraryClient(t, append(options, nats.ClientCert(mine, mineKey))...)
+			c := s.libraryClient(t, append(options, nats.ClientCert(clientCert, clientKey))...)
 			sub := must[*nats.Subscription](t)(c.SubscribeSync("secret"))
 			big := make([]byte, 60000)
 			for range 50 {
@@ -297,7 +297,7 @@
 		ca, next := newAuthority(t), newAuthority(t)
 		cert, key := ca.issue(t, "relay")
 		s := newConformanceRig(t, map[string]any{"tls": map[string]any{"cert": cert, "key": key}})
-		old := s.libraryClient(t, nats.RootCAs(ca.file))
+		connected := s.libraryClient(t, nats.RootCAs(ca.file))
 		writeFile(t, cert, "no certificate")
 		s.reload()
 		s.waitLogged("the old configuration stays")
@@ -310,7 +310,7 @@
 		s.reload()
 		waitFor(t, "the new certificate", func() bool { return s.connectError(nats.RootCAs(next.file)) == nil })
 		s.wantAdmission(t, false, nats.RootCAs(ca.file))
-		flush(t, old) // who has entered stays
+		flush(t, connected) // who has entered stays
 	}},
 	{name: "TLS and the relay's own login at members", lib: func(t *testing.T, _ *conformanceRig) {
 		ca := newAuthority(t)
@@ -325,24 +325,24 @@
 		}
 		t.Cleanup(k.Close)
 		var mu sync.Mutex
-		names := map[string]bool{}
+		logins := map[string]bool{}
 		k.TLS = &tls.Config{Certificates: []tls.Certificate{pair}}
 		k.Authorize = func(connect map[string]any) bool {
 			mu.Lock()
 			defer mu.Unlock()
-			names[fmt.Sprint(connect["user"], connect["pass"], connect["sig"])] = true
+			logins[fmt.Sprint(connect["user"], connect["pass"], connect["sig"])] = true
 			return connect["user"] == "relay" && connect["pass"] == "word"
 		}
 		s := &conformanceRig{k: k, relay: natsRelay(t, k, map[string]any{"member_tls": map[string]any{"ca": ca.file},
-			"member_login": map[string]any{"user": "relay", "password": "word"}, "auth": map[string]any{"users": []any{map[string]any{"user": "ann", "password": quickHash("one")}}}})}
+			"member_login": map[string]any{"user": "relay", "password": "word"}, "auth": map[string]any{"users": []any{map[string]any{"user": "ann", "password": minCostHash("one")}}}})}
 		c := s.libraryClient(t, nats.UserInfo("ann", "one"))
 		sub := must[*nats.Subscription](t)(c.SubscribeSync("by.tls"))
 		c.Publish("by.tls", []byte("x"))
 		must[*nats.Msg](t)(sub.NextMsg(patience))
 		mu.Lock()
 		defer mu.Unlock()
-		if len(names) != 1 || !names["relayword<nil>"] {
-			t.Errorf("members heard %v", names)
+		if len(logins) != 1 || !logins["relayword<nil>"] {
+			t.Errorf("members heard %v", logins)
 		}
 	}},
 }
@@ -371,17 +371,17 @@
 		t.Fatal(err)
 	}
 	s := newConformanceRig(t, map[string]any{"auth": map[string]any{"jwt": map[string]any{"operators": []string{public(operator)}, "accounts": []string{signed}}}})
-	by := func(text string, key nkeys.KeyPair) nats.Option {
+	credentials := func(text string, key nkeys.KeyPair) nats.Option {
 		return nats.UserJWT(func() (string, error) { return text, nil }, key.Sign)
 	}
-	s.wantAdmission(t, true, by(issue(account, time.Hour), user))
-	s.wantAdmission(t, true, by(issue(account, 0), user))
-	s.wantAdmission(t, false, by(issue(account, -time.Minute), user))
-	s.wantAdmission(t, false, by(issue(stranger, time.Hour), user))
+	s.wantAdmission(t, true, credentials(issue(account, time.Hour), user))
+	s.wantAdmission(t, true, credentials(issue(account, 0), user))
+	s.wantAdmission(t, false, credentials(issue(account, -time.Minute), user))
+	s.wantAdmission(t, false, credentials(issue(stranger, time.Hour), user))
 	other, _ := nkeys.CreateUser()
-	s.wantAdmission(t, false, by(issue(account, time.Hour), other))
+	s.wantAdmission(t, false, credentials(issue(account, time.Hour), other))
 	got := make(chan error, 10)
-	c := s.libraryClient(t, by(issue(account, 3*time.Second), user), nats.ErrorHandler(func(_ *nats.Conn, _ *nats.Subscription, err error) { got <- err }),
+	c := s.libraryClient(t, credentials(issue(account, 3*time.Second), user), nats.ErrorHandler(func(_ *nats.Conn, _ *nats.Subscription, err error) { got <- err }),
 		nats.ClosedHandler(func(c *nats.Conn) { got <- c.LastError() }))
 	c.Publish("theirs", nil)
 	for _, want := range []string{"Permissions Violation for Publish", "authentication expired"} {
--- a/integration/nats_conformance_test.go
+++ b/integration/nats_conformance_test.go
@@ -32,7 +32,7 @@
 }
 
 // page is the document that lists the cases; TestConformance compares it with the table.
-const page = "../docs/nats-conformance.md"
+const conformancePage = "../docs/nats-conformance.md"
 
 func newConformanceRig(t *testing.T, front map[string]any) *conformanceRig {
 	s := &conformanceRig{k: newCluster(t, 3)}
@@ -481,31 +481,31 @@
 
 // TestConformance runs every clause and reports how many hold.
 func TestConformance(t *testing.T) {
-	text, err := os.ReadFile(page)
+	text, err := os.ReadFile(conformancePage)
 	if err != nil {
 		t.Fatal(err)
 	}
-	held, played := 0, 0
-	play := func(s *conformanceRig, c clause) {
-		for way, f := range map[string]func(*testing.T, *conformanceRig){"raw": c.raw, "nats.go": c.lib} {
+	passed, total := 0, 0
+	runClause := func(s *conformanceRig, c clause) {
+		for clientKind, f := range map[string]func(*testing.T, *conformanceRig){"raw": c.raw, "nats.go": c.lib} {
 			if f == nil {
 				continue
 			}
-			played++
-			if t.Run(c.name+"/"+way, func(t *testing.T) { f(t, s) }) {
-				held++
+			total++
+			if t.Run(c.name+"/"+clientKind, func(t *testing.T) { f(t, s) }) {
+				passed++
 			}
 		}
 		if !strings.Contains(string(text), "| "+c.name+" |") {
-			t.Errorf("%s does not list %q", page, c.name)
+			t.Errorf("%s does not list %q", conformancePage, c.name)
 		}
 	}
 	s := newConformanceRig(t, nil)
 	for _, c := range clauses {
-		play(s, c)
+		runClause(s, c)
 	}
-	for _, c := range ownSites {
-		play(nil, c)
+	for _, c := range ownRelayClauses {
+		runClause(nil, c)
 	}
-	t.Logf("%d of %d hold", held, played)
+	t.Logf("%d of %d hold", passed, total)
 }
--- a/integration/nats_load_test.go
+++ b/integration/nats_load_test.go
@@ -41,10 +41,10 @@
 			k := newCluster(t, 3)
 			r := natsRelay(t, k, front)
 			var mu sync.Mutex
-			refused, got := 0, 0
+			rejected, got := 0, 0
 			c, err := nats.Connect("nats://"+r.addrs["nats"], nats.Timeout(patience), nats.ErrorHandler(func(_ *nats.Conn, _ *nats.Subscription, err error) {
 				mu.Lock()
-				refused++
+				rejected++
 				t.Log(err)
 				mu.Unlock()
 			}))
@@ -57,8 +57,8 @@
 				got++
 				mu.Unlock()
 			}))
-			const many = 2300
-			for i := range many {
+			const publications = 2300
+			for i := range publications {
 				if i < 60 { // paced as in the report that this guards against
 					time.Sleep(5 * time.Millisecond)
 				}
@@ -69,9 +69,9 @@
 			if err := c.FlushTimeout(patience); err != nil {
 				t.Fatal(err)
 			}
-			waitFor(t, "all messages", func() bool { mu.Lock(); defer mu.Unlock(); return got == many })
-			if refused > 0 {
-				t.Errorf("%d of %d refused", refused, many)
+			waitFor(t, "all messages", func() bool { mu.Lock(); defer mu.Unlock(); return got == publications })
+			if rejected > 0 {
+				t.Errorf("%d of %d refused", rejected, publications)
 			}
 			checkAttemptCounter(t, k.Attempts)
 		})
--- a/integration/nats_rig_test.go
+++ b/integration/nats_rig_test.go
@@ -16,8 +16,8 @@
 	t.Cleanup(k.Close)
 	k.Attempts, k.LoadSubject = fakes.NewAttemptCounter(), "node.load"
 	k.LoadReport = func(n *fakes.NATSNode) string {
-		held := 100 + n.Connections() // of a thousand
-		return fmt.Sprintf(`{"x0":%.3f,"x1":0,"inflight":%d}`, float64(held)/1000, held)
+		inFlight := 100 + n.Connections() // of a thousand
+		return fmt.Sprintf(`{"x0":%.3f,"x1":0,"inflight":%d}`, float64(inFlight)/1000, inFlight)
 	}
 	return k
 }
@@ -32,7 +32,7 @@
 // checkAttemptCounter fails the test if a request had two attempts out, or more than three.
 func checkAttemptCounter(t *testing.T, c *fakes.AttemptCounter) {
 	t.Helper()
-	for _, broken := range c.Violations() {
-		t.Error(broken)
+	for _, violation := range c.Violations() {
+		t.Error(violation)
 	}
 }
--- a/integration/nats_test.go
+++ b/integration/nats_test.go
@@ -142,8 +142,8 @@
 		must[*nats.Subscription](t)(c.ChanSubscribe("feed", got))
 	}
 	s.flush(c)
-	sum := func(held []int) (n int) {
-		for _, h := range held {
+	sum := func(counts []int) (n int) {
+		for _, h := range counts {
 			n += h
 		}
 		return n
@@ -156,8 +156,8 @@
 	}
 	s.d.SetLifecycle(s.k.Nodes[leaving].ID, "DRAINING")
 	waitFor(t, "the move", func() bool {
-		held := s.k.Subscriptions("feed")
-		return held[leaving] == 0 && sum(held) == 8
+		counts := s.k.Subscriptions("feed")
+		return counts[leaving] == 0 && sum(counts) == 8
 	})
 	p.Publish("feed", []byte("after"))
 	s.flush(p)
@@ -177,10 +177,10 @@
 
 // checkStored reads the store back: one answer for each request, its attempts one after another, three at most, and at least a
 // number of answers of each kind.
-func (s *natsRig) checkStored(least map[string]int) {
+func (s *natsRig) checkStored(minimum map[string]int) {
 	s.t.Helper()
 	count := s.queryCount
-	for answer, n := range least {
+	for answer, n := range minimum {
 		if got := count("SELECT count(*) FROM requests WHERE answer = '" + answer + "'"); got < n {
 			s.t.Errorf("%d of at least %d recorded as %s", got, n, answer)
 		}
@@ -289,13 +289,13 @@
 		t.Helper()
 		return call("report", fmt.Sprintf(`{"id":%d,"try":%d,"outcome":%q}`, v.ID, v.Try, outcome))
 	}
-	const ask = `{"name":"r1","class":"pay-status","tenant":"water","wait_ms":2900,"control":"_dahlia.control.one"}`
+	const pickRequest = `{"name":"r1","class":"pay-status","tenant":"water","wait_ms":2900,"control":"_dahlia.control.one"}`
 	for range 3 {
-		if v := call("pick", ask); v.Verdict != "send" || report(v, "ok").Verdict != "served" {
+		if v := call("pick", pickRequest); v.Verdict != "send" || report(v, "ok").Verdict != "served" {
 			t.Fatalf("verdict %+v", v)
 		}
 	}
-	first := call("pick", ask)
+	first := call("pick", pickRequest)
 	if first.Verdict != "send" || first.Try != 0 || first.Member == "" {
 		t.Fatalf("verdict %+v", first)
 	}
@@ -312,24 +312,24 @@
 	if v := report(second, "ok"); v.Verdict != "unknown" {
 		t.Errorf("a second report got %+v", v)
 	}
-	open := call("pick", ask)
+	open := call("pick", pickRequest)
 	if v := report(open, "up"); v.Verdict != "up" {
 		t.Errorf("verdict %+v", v)
 	}
 	s.d.SetLifecycle(open.Member, "DRAINING")
-	next := func(want string) {
+	wantControl := func(want string) {
 		t.Helper()
 		m := must[*nats.Msg](t)(control.NextMsg(patience))
 		if !strings.Contains(string(m.Data), `"verdict":"`+want+`"`) {
 			t.Fatalf("control got %s, want %s", m.Data, want)
 		}
 	}
-	next("move")
-	silent := call("pick", ask)
+	wantControl("move")
+	silent := call("pick", pickRequest)
 	if silent.Verdict != "send" || silent.Member == open.Member {
 		t.Fatalf("verdict %+v", silent)
 	}
-	next("cancel") // it is given up as any attempt that says nothing
+	wantControl("cancel") // it is given up as any attempt that says nothing
 	if v := call("pick", `{"class":"unheard-of"}`); v.Verdict != "error" {
 		t.Errorf("verdict %+v", v)
 	}
@@ -431,39 +431,39 @@
 		t.Helper()
 		return call(c, "report", fmt.Sprintf(`{"id":%d,"try":%d,"outcome":%q}`, v.ID, v.Try, outcome))
 	}
-	const ask = `{"name":"r1","class":"pay-status","tenant":"water","wait_ms":2900}`
-	same := func(what string, got, want processorVerdict) {
+	const pickRequest = `{"name":"r1","class":"pay-status","tenant":"water","wait_ms":2900}`
+	wantVerdict := func(what string, got, want processorVerdict) {
 		t.Helper()
 		if got != want {
 			t.Errorf("%s: %+v, want %+v", what, got, want)
 		}
 	}
-	v := call(first, "pick", ask)
-	again := call(first, "pick", ask)
-	same("asked again", again, v)
+	v := call(first, "pick", pickRequest)
+	repeated := call(first, "pick", pickRequest)
+	wantVerdict("asked again", repeated, v)
 	next := report(first, v, "connect_failed")
 	if next.Verdict != "send" || next.ID != v.ID || next.Try != 1 {
 		t.Fatalf("after a failed connection: %+v", next)
 	}
-	elsewhere := call(second, "pick", ask)
-	same("asked on another connection", elsewhere, next)
+	onSecond := call(second, "pick", pickRequest)
+	wantVerdict("asked on another connection", onSecond, next)
 	if late := report(second, v, "ok"); late.Verdict != "unknown" {
 		t.Errorf("a report of the attempt before: %+v", late)
 	}
 	if up := report(second, next, "up"); up.Verdict != "up" {
 		t.Errorf("up: %+v", up)
 	}
-	if up := call(second, "pick", ask); up.Verdict != "up" || up.ID != next.ID || up.Try != next.Try {
+	if up := call(second, "pick", pickRequest); up.Verdict != "up" || up.ID != next.ID || up.Try != next.Try {
 		t.Errorf("asked once more of an open flow: %+v", up)
 	}
 	first.Close() // it is the other one's by now
 	if done := report(second, next, "ok"); done.Verdict != "served" {
 		t.Errorf("at its end: %+v", done)
 	}
-	if fresh := call(second, "pick", ask); fresh.Verdict != "send" || fresh.ID == next.ID {
+	if fresh := call(second, "pick", pickRequest); fresh.Verdict != "send" || fresh.ID == next.ID {
 		t.Errorf("the name is free again: %+v", fresh)
 	}
-	if other := call(second, "pick", strings.Replace(ask, "r1", "r2", 1)); other.Verdict != "send" {
+	if other := call(second, "pick", strings.Replace(pickRequest, "r1", "r2", 1)); other.Verdict != "send" {
 		t.Errorf("another name: %+v", other)
 	}
 	second.Close()
@@ -484,17 +484,17 @@
 			c := r.natsDial()
 			c.wantLine("INFO ")
 			c.send("CONNECT {}\r\nPUB s 7\r\nleaving")
-			taken := func() (n int) {
+			published := func() (n int) {
 				for _, o := range k.Nodes {
 					n += o.Published()
 				}
 				return n
 			}
-			waitFor(t, "the first attempt", func() bool { return taken() > 0 })
+			waitFor(t, "the first attempt", func() bool { return published() > 0 })
 			c.Conn.(*net.TCPConn).SetLinger(0)
 			c.Close()
 			waitFor(t, "the end of its links", func() bool { return k.Nodes[0].Connections()+k.Nodes[1].Connections() == 0 })
-			before := taken()
+			before := published()
 			for _, o := range k.Nodes {
 				o.SetMode(fakes.NodeHealthy)
 			}
@@ -502,11 +502,11 @@
 			other.wantLine("INFO ")
 			other.send("CONNECT {}\r\nPUB s 5\r\nstays\r\nPING")
 			other.wantLine("PONG")
-			if n := taken() - before; n != 1 {
+			if n := published() - before; n != 1 {
 				t.Errorf("%d publications after the client had gone, one of them another's", n)
 			}
-			for _, broken := range k.Attempts.Violations() {
-				t.Error(broken)
+			for _, violation := range k.Attempts.Violations() {
+				t.Error(violation)
 			}
 		})
 	}
--- a/integration/peers_test.go
+++ b/integration/peers_test.go
@@ -220,13 +220,13 @@
 
 	// What no peer has sent, or has sent before, is refused by its reason.
 	l := c.links[0][1]
-	real, _ := l.Last()
-	l.Inject(real)
-	l.Inject(real)
-	l.Inject(real[:20])
-	l.Inject(append(append([]byte(nil), real[:len(real)-1]...), real[len(real)-1]^1))
+	datagram, _ := l.Last()
+	l.Inject(datagram)
+	l.Inject(datagram)
+	l.Inject(datagram[:20])
+	l.Inject(append(append([]byte(nil), datagram[:len(datagram)-1]...), datagram[len(datagram)-1]^1))
 	l.Inject(make([]byte, 9000))
-	foreign := append([]byte(nil), real...)
+	foreign := append([]byte(nil), datagram...)
 	foreign[2] ^= 1
 	l.Inject(foreign)
 	waitFor(t, "what was refused", func() bool {
@@ -248,7 +248,7 @@
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeFile(t, path, strings.Replace(string(text), c.addrs[2], reservePort(t), 1))
 	writeFile(t, filepath.Join(filepath.Dir(path), "key"), gossipRigKey+"\n")
-	second := start(t, path, 2)
+	duplicate := start(t, path, 2)
 	waitFor(t, "the clash to be counted", func() bool {
 		time.Sleep(30 * time.Millisecond)
 		return c.peersAnswer(0).Refused["two relays of one name"] > 0
@@ -256,7 +256,7 @@
 	c.waitSeen(0, 2, "alive")
 	c.waitSeen(0, 1, "alive")
 	c.waitSeen(1, 0, "alive")
-	second.cmd.Process.Kill()
+	duplicate.cmd.Process.Kill()
 	c.relays[2].cmd.Process.Kill()
 	c.start(2)
 	c.waitAllAlive()
@@ -312,17 +312,17 @@
 	a, b := newBackend(t, "s-5be2a000", fakes.NewAttemptCounter()), newBackend(t, "s-5be2a001", fakes.NewAttemptCounter())
 	c.d.Put(a.member())
 	c.d.Put(b.member())
-	pipe, err := fakes.NewTCPProxy(c.d.addr)
+	proxy, err := fakes.NewTCPProxy(c.d.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(pipe.Close)
-	c.relays[0].reload(c.d.addr, pipe.Addr())
+	t.Cleanup(proxy.Close)
+	c.relays[0].reload(c.d.addr, proxy.Addr())
 	c.waitAllAlive()
 	generation := func(i int) uint64 { return c.peersAnswer(i).Self.Generation }
 	waitFor(t, "the list", func() bool { return generation(0) == 3 && generation(1) == 3 && generation(2) == 3 })
 	time.Sleep(200 * time.Millisecond) // the next call is out
-	pipe.Stall()
+	proxy.Stall()
 	c.d.SetLifecycle(b.id, "DRAINING")
 	waitFor(t, "n0 to hold what the others hold", func() bool { time.Sleep(50 * time.Millisecond); return generation(0) == 4 })
 	c.relays[0].waitLogged("other relays hold a newer list")
@@ -367,12 +367,12 @@
 	time.Sleep(10 * time.Second)
 	var took []time.Duration
 	c.relays[n/2].cmd.Process.Kill()
-	began, seen := time.Now(), map[int]bool{n / 2: true}
-	for len(seen) < n && time.Since(began) < patience {
+	killed, seen := time.Now(), map[int]bool{n / 2: true}
+	for len(seen) < n && time.Since(killed) < patience {
 		for i := range n {
 			if !seen[i] && c.peersAnswer(i).Live < n {
 				seen[i] = true
-				took = append(took, time.Since(began))
+				took = append(took, time.Since(killed))
 			}
 		}
 	}
--- a/integration/postgres_rig_test.go
+++ b/integration/postgres_rig_test.go
@@ -17,14 +17,14 @@
 // description of its protocol. It knows as much as a store of records needs:
 // tables are made, rows are put in, transactions begin and end.
 type postgres struct {
-	l    net.Listener
-	mu   sync.Mutex
-	rows map[string]map[string][]string // by table and primary key
-	down bool                           // every transaction fails
+	l       net.Listener
+	mu      sync.Mutex
+	rows    map[string]map[string][]string // by table and primary key
+	failAll bool                           // every transaction fails
 }
 
 // keys is how many leading columns are a table's primary key.
-var keys = map[string]int{"requests": 2, "attempts": 3}
+var primaryKeyColumns = map[string]int{"requests": 2, "attempts": 3}
 
 func newPostgres(t *testing.T) *postgres {
 	p := &postgres{rows: map[string]map[string][]string{"requests": {}, "attempts": {}}}
@@ -36,10 +36,10 @@
 	return "postgres://relay@" + p.l.Addr().String() + "/record?sslmode=disable"
 }
 
-func (p *postgres) setDown(down bool) {
+func (p *postgres) setFailing(failAll bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.down = down
+	p.failAll = failAll
 }
 
 // tableRows is a copy of a table's rows.
@@ -54,13 +54,13 @@
 
 type pgSession struct {
 	*postgres
-	out        *bufio.Writer
-	status     byte // of the transaction: I, T or E
-	statements map[string]string
-	bound      string
-	values     []string
-	pending    [][]string // rows of the open transaction, the table first
-	skip       bool       // until Sync, after an error
+	out            *bufio.Writer
+	status         byte // of the transaction: I, T or E
+	statements     map[string]string
+	boundStatement string
+	boundValues    []string
+	pending        [][]string // rows of the open transaction, the table first
+	skipToSync     bool       // until Sync, after an error
 }
 
 func (p *postgres) serve(c net.Conn) {
@@ -86,7 +86,7 @@
 		if _, err := io.ReadFull(in, body); err != nil || kind == 'X' {
 			return
 		}
-		s.message(kind, body)
+		s.handle(kind, body)
 	}
 }
 
@@ -97,7 +97,7 @@
 }
 
 func (s *pgSession) sendReady() {
-	s.skip = false
+	s.skipToSync = false
 	s.send('Z', s.status)
 	s.out.Flush()
 }
@@ -107,7 +107,7 @@
 	if s.status == 'T' {
 		s.status = 'E'
 	}
-	s.skip = true
+	s.skipToSync = true
 }
 
 func cstring(b []byte) (string, []byte) {
@@ -115,8 +115,8 @@
 	return string(b[:end]), b[end+1:]
 }
 
-func (s *pgSession) message(kind byte, b []byte) {
-	if s.skip && kind != 'S' && kind != 'Q' {
+func (s *pgSession) handle(kind byte, b []byte) {
+	if s.skipToSync && kind != 'S' && kind != 'Q' {
 		return
 	}
 	switch kind {
@@ -131,16 +131,16 @@
 	case 'D':
 		if b[0] == 'S' {
 			name, _ := cstring(b[1:])
-			s.send('t', parameters(s.statements[name])...)
+			s.send('t', parameterTypes(s.statements[name])...)
 		}
 		s.send('n')
 	case 'B':
 		_, rest := cstring(b)
-		s.bound, rest = cstring(rest)
-		s.values = bindings(rest)
+		s.boundStatement, rest = cstring(rest)
+		s.boundValues = bindValues(rest)
 		s.send('2')
 	case 'E':
-		s.insert(s.statements[s.bound], s.values)
+		s.insert(s.statements[s.boundStatement], s.boundValues)
 	case 'C':
 		s.send('3')
 	case 'H':
@@ -152,14 +152,14 @@
 
 func (s *pgSession) simpleQuery(text string) {
 	s.mu.Lock()
-	down := s.down
+	failAll := s.failAll
 	s.mu.Unlock()
 	word, _, _ := strings.Cut(strings.ToLower(text), " ")
 	switch {
 	case text == "" || strings.HasPrefix(text, "--"):
 		s.send('I')
 		return
-	case down && word != "rollback":
+	case failAll && word != "rollback":
 		s.fail("the disk is full")
 		return
 	case word == "begin":
@@ -167,7 +167,7 @@
 	case word == "commit" && s.status == 'T':
 		s.mu.Lock()
 		for _, row := range s.pending {
-			table, key := row[0], strings.Join(row[1:1+keys[row[0]]], " ")
+			table, key := row[0], strings.Join(row[1:1+primaryKeyColumns[row[0]]], " ")
 			if s.rows[table][key] == nil {
 				s.rows[table][key] = row[1:]
 			}
@@ -183,14 +183,14 @@
 	s.send('C', []byte(strings.ToUpper(word)+"\x00")...)
 }
 
-var inserting = regexp.MustCompile(`^INSERT INTO (\w+) \(([\w, ]+)\) VALUES \(([$\d, ]+)\) ON CONFLICT DO NOTHING$`)
+var insertStatement = regexp.MustCompile(`^INSERT INTO (\w+) \(([\w, ]+)\) VALUES \(([$\d, ]+)\) ON CONFLICT DO NOTHING$`)
 
 // texts are the columns that contain text; the others contain numbers.
-var texts = regexp.MustCompile(`^(run|name|answer|member|result)$`)
+var textColumns = regexp.MustCompile(`^(run|name|answer|member|result)$`)
 
 // parameters describes the parameters of a statement by its columns.
-func parameters(statement string) []byte {
-	m := inserting.FindStringSubmatch(statement)
+func parameterTypes(statement string) []byte {
+	m := insertStatement.FindStringSubmatch(statement)
 	if m == nil {
 		return []byte{0, 0}
 	}
@@ -198,7 +198,7 @@
 	out := binary.BigEndian.AppendUint16(nil, uint16(len(columns)))
 	for _, c := range columns {
 		oid := uint32(20)
-		if texts.MatchString(c) {
+		if textColumns.MatchString(c) {
 			oid = 25
 		}
 		out = binary.BigEndian.AppendUint32(out, oid)
@@ -207,7 +207,7 @@
 }
 
 // bindings reads the values of a Bind: formats, then values.
-func bindings(b []byte) (values []string) {
+func bindValues(b []byte) (values []string) {
 	n := int(binary.BigEndian.Uint16(b))
 	formats := b[2 : 2+2*n]
 	b = b[2+2*n:]
@@ -228,7 +228,7 @@
 }
 
 func (s *pgSession) insert(statement string, values []string) {
-	m := inserting.FindStringSubmatch(statement)
+	m := insertStatement.FindStringSubmatch(statement)
 	if m == nil || s.status != 'T' {
 		s.fail("not known here: " + statement)
 		return
--- a/integration/store_test.go
+++ b/integration/store_test.go
@@ -22,7 +22,7 @@
 		c.wantLine(io.EOF.Error())
 	}
 	waitFor(t, "ten answers", func() bool { return len(p.tableRows("requests")) == 10 })
-	p.setDown(true)
+	p.setFailing(true)
 	n := 100
 	waitFor(t, "a reject", func() bool {
 		n++
@@ -39,7 +39,7 @@
 	if got := s.backends[1].firstLines(); len(got) != len(attempts) {
 		t.Error("a request was sent on that nothing records")
 	}
-	p.setDown(false)
+	p.setFailing(false)
 	waitFor(t, "service again", func() bool { n++; return strings.HasPrefix(s.openFlow(n, "").line(), "UP ") })
 	s.stop()
 	names, tries := map[string]int{}, 0
--- a/integration/upgrade_test.go
+++ b/integration/upgrade_test.go
@@ -38,30 +38,30 @@
 func TestUpgrade(t *testing.T) {
 	s := newOperatedRig(t, 3, nil)
 	held := s.openFlows(6)
-	quiet, half, front := s.dial(), s.dial(), s.dial()
-	fmt.Fprint(half, "OPEN 00000000000000aa 00000000000000bb c=pay-sta")
-	front.send("PING")
-	front.wantLine("PONG")
+	quiet, partial, upstream := s.dial(), s.dial(), s.dial()
+	fmt.Fprint(partial, "OPEN 00000000000000aa 00000000000000bb c=pay-sta")
+	upstream.send("PING")
+	upstream.wantLine("PONG")
 	next := s.startSuccessor(2)
 	if next.addrs["line"] != s.addrs["line"] {
 		t.Fatalf("serves at %s beside %s", next.addrs["line"], s.addrs["line"])
 	}
 	waitFor(t, "the open ids", func() bool { return next.openFlow(3, "").line() == "ERR" })
 	s.cmd.Process.Signal(syscall.SIGTERM)
-	fmt.Fprint(half, "tus,t=water,d=2000\r\n")
-	half.wantLine("UP ")
+	fmt.Fprint(partial, "tus,t=water,d=2000\r\n")
+	partial.wantLine("UP ")
 	quiet.send("OPEN 00000000000000ab 00000000000000bb c=pay-status,t=water,d=2000")
 	quiet.wantLine("UP ")
-	front.send("PING")
-	front.wantLine("PONG")
+	upstream.send("PING")
+	upstream.wantLine("PONG")
 	for n := range 20 {
 		next.openFlow(100+n, "").wantLine("UP ")
 	}
 	s.waitExit()
 	next.waitLogged("the other process is gone")
 	next.openFlow(3, "").wantLine("ERR") // that flow has passed over
-	all := append(held, quiet, half)
-	speak := func(n int) {
+	all := append(held, quiet, partial)
+	checkFlows := func(n int) {
 		t.Helper()
 		for _, c := range all {
 			c.send("still here")
@@ -69,11 +69,11 @@
 			c.wantLine(fmt.Sprintf("GOT %d still here", n))
 		}
 	}
-	speak(1)
+	checkFlows(1)
 	third := next.startSuccessor(2)
 	next.cmd.Process.Signal(syscall.SIGTERM)
 	next.waitExit()
-	speak(2)
+	checkFlows(2)
 	third.openFlow(200, "").wantLine("UP ")
 	held[0].send("END")
 	held[0].wantLine("BYE")
@@ -93,7 +93,7 @@
 	next := s.startSuccessor(2)
 	next.mustPut("/-/backends/" + second.id + "/disable")
 	n := 100
-	quiet := func(b *backend) {
+	wantNoFlows := func(b *backend) {
 		t.Helper()
 		for range 15 {
 			n++
@@ -105,8 +105,8 @@
 			c.wantLine("BYE")
 		}
 	}
-	quiet(first)
-	quiet(second)
+	wantNoFlows(first)
+	wantNoFlows(second)
 	s.mustPut("/-/backends/" + second.id + "/enable")
 	s.cmd.Process.Signal(syscall.SIGTERM)
 	s.waitExit()
@@ -114,7 +114,7 @@
 		n++
 		return s.memberOfFlow(next.openFlow(n, "").wantLine("UP ")) == second
 	})
-	quiet(first)
+	wantNoFlows(first)
 	next.stop()
 }
 
@@ -149,11 +149,11 @@
 func TestUpgradeDrain(t *testing.T) {
 	s := newOperatedRig(t, 2, nil)
 	next := s.startSuccessor(2)
-	front := next.dial()
+	upstream := next.dial()
 	s.mustPut("/-/drain")
-	waitFor(t, "the no", func() bool { front.send("PING"); return front.line() == "ERR" })
+	waitFor(t, "the no", func() bool { upstream.send("PING"); return upstream.line() == "ERR" })
 	s.mustPut("/-/resume")
-	waitFor(t, "the yes", func() bool { front.send("PING"); return front.line() == "PONG" })
+	waitFor(t, "the yes", func() bool { upstream.send("PING"); return upstream.line() == "PONG" })
 	next.stop()
 	s.stop()
 }
@@ -173,14 +173,14 @@
 			t.Fatalf("answer %q", answer)
 		}
 	}
-	count := func(r *relay) int {
-		held, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", r.cmd.Process.Pid))
+	countDescriptors := func(r *relay) int {
+		entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", r.cmd.Process.Pid))
 		if err != nil {
 			t.Fatal(err)
 		}
-		return len(held)
+		return len(entries)
 	}
-	if both := count(s.relay) + count(next); both > sockets {
+	if both := countDescriptors(s.relay) + countDescriptors(next); both > sockets {
 		t.Errorf("%d descriptors of %d", both, sockets)
 	}
 	s.cmd.Process.Signal(syscall.SIGTERM)
