--- a/integration/fleet_faults_test.go
+++ b/integration/fleet_faults_test.go
@@ -13,7 +13,7 @@
 	"dahliarudder/internal/rollout"
 )
 
-// leaderOrNone is the relay that reports itself as the leader; -1 if none does.
+// leaderOrNone returns the relay that reports itself as the leader, or -1 if none does.
 func (f *fleetRig) leaderOrNone() int {
 	for i := range f.relays {
 		var a struct{ Engine struct{ Role string } }
@@ -24,12 +24,13 @@
 	return -1
 }
 
-// waitForWithin is waitFor with its own time limit, for what takes several waits.
+// waitForWithin is waitFor with a time limit of its own, for events that take longer than patience
+// or for conditions that are expensive to check.
 func waitForWithin(t *testing.T, timeout time.Duration, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(timeout); !ok(); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain: %s", what)
+			t.Fatalf("timed out after %v waiting for: %s", timeout, what)
 		}
 	}
 }
@@ -43,7 +44,8 @@
 	})
 }
 
-// unavailableCount is how many things a release has out, by the record of a relay as it is.
+// unavailableCount returns how many units of a release are out, according to relay i's own copy of
+// the record, which may be stale. It returns 0 if the relay does not answer.
 func (f *fleetRig) unavailableCount(i int, name string) int {
 	var a rollout.ReleaseStatus
 	if f.call(i, "GET", "/-/releases/"+name+"?stale", nil, &a) != 200 {
@@ -52,14 +54,15 @@
 	return a.Counts.Out
 }
 
-// isLeaving reports whether a relay was ordered to leave, and not since then to stay.
+// isLeaving reports whether the relay's latest logged order is to leave and not to stay.
 func isLeaving(r *relay) bool {
 	log := r.log.String()
 	return strings.LastIndex(log, "fleet: ordered to leave") > strings.LastIndex(log, "fleet: may stay")
 }
 
-// TestFleetConflictingRelease: a release that touches what another one touches is refused with that one's name, or queued if
-// that is wanted; one that touches other things starts. Guards against two releases that contend for one unit.
+// TestFleetConflictingRelease: a release that includes a unit of another release is refused with the
+// other one's name, or queued if the caller asks for that; once the other release is rolled back the
+// queued one starts. Guards against two releases that act on the same unit.
 func TestFleetConflictingRelease(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 3, 3, nil)
@@ -68,30 +71,32 @@
 	var a rollout.Result
 	code := f.call(1, "POST", "/-/releases", map[string]any{"name": "b", "kind": "member", "drain": true, "names": []string{"s0", "s1"}}, &a)
 	if code != 409 || !strings.Contains(a.Error, `"a"`) {
-		t.Errorf("%d %+v", code, a)
+		t.Errorf("POST release b = %d %+v, want 409 and the name of the conflicting release a", code, a)
 	}
 	if code := f.call(2, "GET", "/-/releases/b", nil, nil); code != 404 {
-		t.Errorf("what was refused is answered with %d", code)
+		t.Errorf("GET of the refused release b = %d, want 404", code)
 	}
 	f.mustCall(1, "POST", "/-/releases", map[string]any{"name": "c", "kind": "member", "drain": true, "wait": true, "names": []string{"s0"}})
 	if a := f.waitRelease(2, "c", rollout.ReleaseQueued); a.QueuedBehind != "a" {
-		t.Errorf("behind %q", a.QueuedBehind)
+		t.Errorf("release c is queued behind %q, want a", a.QueuedBehind)
 	}
-	waitFor(t, "s0 to be out", func() bool { return len(f.ejectedMembers(2)) == 1 })
+	waitFor(t, "release a to eject s0", func() bool { return len(f.ejectedMembers(2)) == 1 })
 	f.mustCall(2, "PUT", "/-/releases/a/back", nil)
 	f.waitRelease(0, "a", rollout.ReleaseRolledBack)
 	if a := f.waitRelease(0, "c", rollout.ReleaseRunning, rollout.ReleaseCompleted); a.QueuedBehind != "" {
-		t.Errorf("still behind %q", a.QueuedBehind)
+		t.Errorf("release c is still queued behind %q after release a was rolled back", a.QueuedBehind)
 	}
-	waitFor(t, "s0 to be out for the one that waited", func() bool { return f.unavailableCount(1, "c") == 1 && len(f.ejectedMembers(1)) == 1 })
+	waitFor(t, "the formerly queued release c to eject s0", func() bool {
+		return f.unavailableCount(1, "c") == 1 && len(f.ejectedMembers(1)) == 1
+	})
 }
 
-// rolloutWatch is what is seen of a release that has relays leave, one at a time.
+// rolloutWatch observes a release that restarts relays one at a time.
 type rolloutWatch struct {
 	f     *fleetRig
 	name  string
-	exits map[int]int // by order
-	down  int         // one that is down beside, -1 for none
+	exits map[int]int // ordered exits, by relay
+	down  int         // the relay that the test kills, which the checks leave out; -1 for none
 }
 
 func (f *fleetRig) watch(name string) *rolloutWatch {
@@ -99,24 +104,25 @@
 	return &rolloutWatch{f, name, map[int]int{}, -1}
 }
 
-// checkOneOut checks that at most one relay is out, by any record and by the relays' orders.
+// checkOneOut checks that at most one relay is out, both in each relay's record and by the orders
+// that the relays have logged.
 func (w *rolloutWatch) checkOneOut() {
 	w.f.t.Helper()
 	leaving := 0
 	for i, r := range w.f.relays {
 		if n := w.f.unavailableCount(i, w.name); n > 1 {
-			w.f.t.Errorf("n%d: %d are out by order", i, n)
+			w.f.t.Errorf("n%d's record of release %s has %d relays out, want at most 1", i, w.name, n)
 		}
 		if isLeaving(r) && i != w.down {
 			leaving++
 		}
 	}
 	if leaving > 1 {
-		w.f.t.Errorf("%d relays leave at once", leaving)
+		w.f.t.Errorf("%d relays are leaving at once, want at most 1", leaving)
 	}
 }
 
-// restartOrdered starts who has ended by order.
+// restartExited restarts the relays that have exited by order, and counts their exits.
 func (w *rolloutWatch) restartExited() {
 	for i := range w.f.relays {
 		if i != w.down && w.f.restartOnExit(i) {
@@ -125,9 +131,10 @@
 	}
 }
 
-// TestFleetLeaderKilled: the leader is killed while another relay is out by order. The release continues under the next leader
-// once the killed relay is back; nothing more is ordered meanwhile, and each relay exits by order once. Guards against a new
-// leader that does not know its predecessor's orders, and against one that counts a lost relay as free budget.
+// TestFleetLeaderKilled: the leader is killed while another relay is out by order. The release
+// continues under the next leader once the killed relay is back; no further relay is ordered to leave
+// until then, and each relay exits by order once. Guards against a new leader that does not know its
+// predecessor's orders, and against one that counts a lost relay as free budget.
 func TestFleetLeaderKilled(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 4, map[string]any{"relays": map[string]string{"whole": "1"}})
@@ -135,7 +142,7 @@
 	f.mustCall(3, "POST", "/-/releases", map[string]any{"name": "r", "kind": "relay", "all": true})
 	w := f.watch("r")
 	other := -1
-	waitForWithin(t, patience, "one relay to have left, and another to leave that does not lead", func() bool {
+	waitForWithin(t, patience, "one relay to have exited, and another one that is not the leader to be leaving", func() bool {
 		w.checkOneOut()
 		w.restartExited()
 		l := f.leaderOrNone()
@@ -151,28 +158,34 @@
 	})
 	killed := w.down
 	f.kill(killed)
-	// The other one is not started again before the killed one: while it is out there is no room, so that all are told to leave once. If
-	// both vote, there is no majority and no leader until then.
-	waitForWithin(t, patience, "another leader, or the end of the other one", func() bool {
+	// The leaving relay is not restarted before the killed one: while it is out it uses up the budget,
+	// so that no relay is ordered to leave twice. If both relays are voters, there is no majority and
+	// no leader until the killed one is back.
+	waitForWithin(t, patience, "another leader, or the exit of the leaving relay", func() bool {
 		w.checkOneOut()
 		return f.leaderOrNone() >= 0 || len(f.relays[other].done) > 0
 	})
 	f.start(killed)
 	w.down = -1
-	waitForWithin(t, 2*patience, "all relays to have left by order", func() bool { w.checkOneOut(); w.restartExited(); return len(w.exits) == 4 })
+	waitForWithin(t, 2*patience, "all relays to have exited by order", func() bool {
+		w.checkOneOut()
+		w.restartExited()
+		return len(w.exits) == 4
+	})
 	if a := f.waitRelease(killed, "r", rollout.ReleaseCompleted); a.Counts.Done != 4 {
-		t.Errorf("%+v", a)
+		t.Errorf("release r is completed with status %+v, want 4 relays done", a)
 	}
 	for i, n := range w.exits {
 		if n != 1 {
-			t.Errorf("n%d left %d times", i, n)
+			t.Errorf("n%d exited %d times by order, want once", i, n)
 		}
 	}
 }
 
-// TestFleetAllKilled: all relays are killed at once while one has left by order and the next one has its order. Started again
-// they continue from their disks to the release's end: never more than one is out, and nobody leaves twice, not even the one
-// that was killed with its order. Guards against a release that is lost, restarted or blocked for ever by a loss of power.
+// TestFleetAllKilled: all relays are killed at once while one has exited by order and the next one
+// is leaving. Restarted, they continue the release to its end from their disks: at most one relay is
+// out at any time, and none exits twice, not even the one that was killed while it was leaving.
+// Guards against a release that is lost, restarted or blocked for ever by a loss of power.
 func TestFleetAllKilled(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 4, map[string]any{"relays": map[string]string{"whole": "1"}})
@@ -180,7 +193,7 @@
 	f.mustCall(3, "POST", "/-/releases", map[string]any{"name": "r", "kind": "relay", "all": true})
 	w := f.watch("r")
 	leavingRelay := func() int { return slices.IndexFunc(f.relays, isLeaving) }
-	waitForWithin(t, patience, "one relay to have left, and another to leave", func() bool {
+	waitForWithin(t, patience, "one relay to have exited, and another one to be leaving", func() bool {
 		w.checkOneOut()
 		w.restartExited()
 		return len(w.exits) > 0 && leavingRelay() >= 0
@@ -188,13 +201,13 @@
 	ordered := leavingRelay()
 	f.kill(0, 1, 2, 3)
 	if exit := <-f.relays[ordered].done; exit != nil && strings.Contains(exit.Error(), "75") {
-		w.exits[ordered]++ // just before
+		w.exits[ordered]++ // it exited by order just before the kill
 	}
 	for i := range f.relays {
 		f.start(i)
 	}
 	before := w.exits[ordered]
-	waitForWithin(t, 3*patience, "the release to end", func() bool {
+	waitForWithin(t, 3*patience, "the release to be completed with 4 relays done", func() bool {
 		w.checkOneOut()
 		w.restartExited()
 		var a rollout.ReleaseStatus
@@ -202,12 +215,13 @@
 	})
 	for i := range f.relays {
 		if n := w.exits[i]; i != ordered && n != 1 || i == ordered && n != before {
-			t.Errorf("n%d left %d times by order; n%d was killed with one", i, n, ordered)
+			t.Errorf("n%d exited %d times by order; want once, and for n%d, killed while leaving, %d times", i, n, ordered, before)
 		}
 	}
 }
 
-// restartMember starts a member again at its address, in slow start, as its owner does who replaces it.
+// restartMember restarts a member at its address, in slow start, as the member's owner does when it
+// replaces the member. It returns the start time.
 func (f *fleetRig) restartMember(i int) time.Time {
 	f.t.Helper()
 	b := f.members[i]
@@ -222,13 +236,14 @@
 	return now
 }
 
-// shortSlowStart are settings with a slow start of three seconds.
+// shortSlowStart is settingsText with a slow start of three seconds.
 var shortSlowStart = strings.Replace(settingsText, `"cold-ms":8600`, `"cold-ms":3000`, 1)
 
-// TestFleetNoMajority: two of three voters are cut off while one member of a release is out. Its owner replaces it meanwhile,
-// so that the next one would be due: it does not go out, the order holds at every relay, and after the cut the release
-// continues to its end. Guards against a leader that orders what no other voter knows, and against relays that forget an order
-// while the record is out of reach.
+// TestFleetNoMajority: two of three voters are cut off while one member of a release is out. The
+// member's owner replaces it meanwhile, so that the release would eject the next member: it does not,
+// the ejection of the first member lasts at every relay, and after the partition the release continues
+// to its end. Guards against a leader that orders what no other voter has recorded, and against relays
+// that forget an order while the record cannot be reached.
 func TestFleetNoMajority(t *testing.T) {
 	t.Parallel()
 	f := newFleetWithSettings(t, shortSlowStart, 4, 3, 3, nil)
@@ -237,11 +252,11 @@
 	f.logReleaseOnFailure("m")
 	out := func(i int) string { return strings.Join(f.ejectedMembers(i), " ") }
 	for i := range f.relays {
-		waitFor(t, "the first to be out", func() bool { return out(i) != "" })
+		waitFor(t, fmt.Sprintf("n%d to see the first member ejected", i), func() bool { return out(i) != "" })
 	}
 	waitDrained := func(name string) {
 		t.Helper()
-		waitForWithin(t, patience, name+" to be empty", func() bool {
+		waitForWithin(t, patience, name+" to be drained", func() bool {
 			for _, u := range f.waitRelease(3, "m", rollout.ReleaseRunning).Units {
 				if u.Name == name {
 					return u.Phase == rollout.PhaseDrained
@@ -252,17 +267,17 @@
 	}
 	first := out(l)
 	firstIndex := int(first[1] - '0')
-	waitDrained(first) // its owner may replace it
+	waitDrained(first) // from now on its owner may replace it
 	f.isolate(l, true)
 	f.isolate((l+1)%3, true)
 	f.restartMember(firstIndex)
 	for end := time.Now().Add(6 * time.Second); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 		for i := range f.relays {
 			if got := out(i); got != first {
-				t.Fatalf("n%d has %q out, before the cut %q", i, got, first)
+				t.Fatalf("n%d has ejected %q during the partition, want %q as before", i, got, first)
 			}
 			if n := f.flowsToMember(i, 1, firstIndex); n > 0 {
-				t.Errorf("n%d: a flow at a member that is out", i)
+				t.Errorf("n%d sent a flow to %s, which is ejected", i, first)
 			}
 		}
 	}
@@ -270,18 +285,19 @@
 	f.isolate((l+1)%3, false)
 	other := map[string]string{"s0": "s1", "s1": "s0"}[first]
 	for i := range f.relays {
-		waitFor(t, "the next to be out", func() bool { return out(i) == other })
+		waitFor(t, fmt.Sprintf("n%d to see %s ejected", i, other), func() bool { return out(i) == other })
 	}
 	waitDrained(other)
 	f.restartMember(1 - firstIndex)
 	if a := f.waitRelease(3, "m", rollout.ReleaseCompleted, rollout.ReleaseHalted); a.State != rollout.ReleaseCompleted {
-		t.Errorf("%+v", a)
+		t.Errorf("release m ended with %+v, want state %v", a, rollout.ReleaseCompleted)
 	}
 }
 
-// TestFleetStaleOrder: a relay that was ordered to leave is suspended before it can exit; meanwhile the release is halted and
-// rolled back. When the relay continues, its exit is long overdue, and it knows only the order: it asks the leader, stays, and
-// serves. Guards against an exit by a revoked order.
+// TestFleetStaleOrder: a relay that was ordered to leave is suspended before it can exit; meanwhile the
+// release is halted and rolled back. When the relay continues, its exit is overdue and it knows only
+// the order to leave: it asks the leader, stays, and accepts flows. Guards against an exit by a
+// revoked order.
 func TestFleetStaleOrder(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
@@ -296,9 +312,9 @@
 	t.Cleanup(func() { r.cmd.Process.Signal(syscall.SIGCONT) })
 	f.mustCall(3, "PUT", "/-/releases/o/halt", nil)
 	f.mustCall(3, "PUT", "/-/releases/o/back", nil)
-	time.Sleep(6 * time.Second) // beyond what a drain is waited for
+	time.Sleep(6 * time.Second) // longer than the relay waits for its flows to drain
 	if a := f.waitRelease(3, "o", rollout.ReleaseRollingBack); a.Counts.Out != 1 {
-		t.Errorf("nobody has seen it serve: %+v", a)
+		t.Errorf("while the relay is suspended the release has status %+v, want 1 relay out", a)
 	}
 	r.cmd.Process.Signal(syscall.SIGCONT)
 	r.waitLogged("fleet: may stay")
@@ -308,14 +324,15 @@
 	}
 	select {
 	case err := <-r.done:
-		t.Errorf("it has ended: %v", err)
+		t.Errorf("the relay has exited by a revoked order: %v", err)
 	default:
 	}
 }
 
-// TestFleetMissedEjection: a relay whose record is cut off does not learn of an ejection and still uses the member; the leader
-// reports it as unreachable. When the record is back the relay applies the ejection by itself, and the drift row goes. Guards
-// against drift that nobody sees.
+// TestFleetMissedEjection: a relay that is cut off from the record does not learn of an ejection and
+// still uses the member; the leader reports the relay as late or not heard. Once it reaches the record again
+// the relay applies the ejection by itself, and the drift row disappears. Guards against drift that is
+// not reported.
 func TestFleetMissedEjection(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
@@ -325,11 +342,11 @@
 	for i := range 3 {
 		f.relays[i].waitLogged("fleet: members that are out")
 		if n := f.flowsToMember(i, 12, 0); n > 0 {
-			t.Errorf("n%d: %d flows though it knows", i, n)
+			t.Errorf("n%d sent %d flows to s0 after it learned of the ejection", i, n)
 		}
 	}
 	if n := f.flowsToMember(3, 24, 0); n == 0 {
-		t.Error("the one that cannot know of the ban sends nothing there: nothing is shown here")
+		t.Error("n3, which cannot have learned of the ejection, sends no flows to s0: the test shows nothing")
 	}
 	driftRows := func() (all []string) {
 		var a struct {
@@ -346,39 +363,40 @@
 		return all
 	}
 	var last []string
-	waitFor(t, "n3 to be shown as not heard", func() bool {
+	waitFor(t, `n3 to be reported as "not heard" or "late"`, func() bool {
 		time.Sleep(100 * time.Millisecond)
 		last = driftRows()
 		return strings.Contains(strings.Join(last, ","), "not heard") || strings.Contains(strings.Join(last, ","), "late")
 	})
-	t.Logf("shown as %q", last)
+	t.Logf("drift rows of n3: %q", last)
 	f.isolate(3, false)
 	f.relays[3].waitLogged("fleet: members that are out")
 	if n := f.flowsToMember(3, 12, 0); n > 0 {
-		t.Errorf("%d flows after it took the ban", n)
+		t.Errorf("n3 sent %d flows to s0 after it applied the ejection", n)
 	}
-	waitForWithin(t, 2*patience, "the row to go", func() bool { last = driftRows(); return len(last) == 0 })
+	waitForWithin(t, 2*patience, "the drift rows of n3 to disappear", func() bool { last = driftRows(); return len(last) == 0 })
 }
 
-// TestFleetPausePartitioned: no two relays' records reach each other when an operator pauses a canary at one relay. The call cannot be agreed, yet every
-// relay goes to zero by what relays pass on in datagrams, and stays there when the record is back, until a resume is agreed. Guards against a
-// bad build that gets flows for as long as there is no majority.
+// TestFleetPausePartitioned: no relay's record reaches another one when an operator pauses a canary at
+// one relay. The pause cannot be recorded, yet every relay sets the canary's weight to zero, because
+// relays pass the pause on by gossip. The weight stays zero once the record is reachable again, until a
+// resume is recorded. Guards against a faulty build that gets flows as long as there is no majority.
 func TestFleetPausePartitioned(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 4, nil)
 	f.waitLeader()
 	f.mustCall(0, "POST", "/-/canaries", map[string]any{"release": "c", "arm": map[string]any{"members": []string{"s0"}}, "ladder": []int{500, 1000},
 		"floor": 100000, "longest": 600000, "error": 0.01, "guards": []map[string]any{{"metric": "failures", "points": 50}}})
-	flows := func() (n int) { // at the arm, of 40 at each relay
+	flows := func() (n int) { // flows that reach the canary's member, of 40 at each relay
 		for i := range f.relays {
 			n += f.flowsToMember(i, 40, 0)
 		}
 		return n
 	}
-	waitWeight := func(weight string) { // the newest
+	waitWeight := func(weight string) { // in the newest log line of each relay
 		t.Helper()
 		for i, r := range f.relays {
-			waitFor(t, fmt.Sprintf("n%d to go to %s", i, weight), func() bool {
+			waitFor(t, fmt.Sprintf("n%d to apply the canary weight %s", i, weight), func() bool {
 				log := r.log.String()
 				at := strings.LastIndex(log, "fleet: canary weights")
 				return at >= 0 && strings.Contains(log[at:], weight)
@@ -390,18 +408,18 @@
 		f.isolate(i, true)
 	}
 	if flows() == 0 {
-		t.Error("nothing at the arm before the pause")
+		t.Error("no flow reached the canary's member before the pause")
 	}
 	paused := time.Now()
 	answered := make(chan int, 1)
 	go func() { answered <- f.call(3, "PUT", "/-/canaries/c/pause", nil, nil) }()
 	waitWeight("map[c:0]")
-	t.Logf("zero everywhere after %v", time.Since(paused).Round(time.Millisecond))
+	t.Logf("weight zero at all relays after %v", time.Since(paused).Round(time.Millisecond))
 	if k := flows(); k > 0 {
-		t.Errorf("%d flows at the arm of a paused canary", k)
+		t.Errorf("%d flows reached the member of a paused canary", k)
 	}
 	if code := <-answered; code == 200 {
-		t.Error("a pause was agreed without a majority")
+		t.Error("PUT pause without a majority = 200, want a failure")
 	}
 	for i := range 3 {
 		f.isolate(i, false)
@@ -414,32 +432,34 @@
 		}
 	}
 	for i := range f.relays {
-		waitFor(t, "the pause in the record", func() bool {
+		waitFor(t, fmt.Sprintf("n%d to have the pause in its record", i), func() bool {
 			a.Canaries = nil
 			return f.call(i, "GET", "/-/canaries", nil, &a) == 200 && len(a.Canaries) == 1 && a.Canaries[0].PerMille == 0
 		})
 	}
-	t.Logf("agreed: %+v", a)
+	t.Logf("canaries after the pause was recorded: %+v", a)
 	if k := flows(); k > 0 {
-		t.Errorf("%d flows at the arm after the pause was agreed", k)
+		t.Errorf("%d flows reached the member of a paused canary after the pause was recorded", k)
 	}
 	f.mustCall(1, "PUT", "/-/canaries/c/resume", nil)
 	waitWeight("map[c:500]")
 	if flows() == 0 {
-		t.Error("nothing at the arm after it was resumed")
+		t.Error("no flow reached the canary's member after the resume")
 	}
 }
 
-// TestFleetPermits: two owners request one member each, and one may be out. The second one waits, is told why and when to
-// retry, and keeps its number. It is granted once the first member, restarted, has its full capacity, by the relays'
-// observations and not by its owner's statement. A finished number does nothing. Guards against a budget that is granted twice.
+// TestFleetPermits: two owners request a permit for one member each, and one member may be out. The
+// second request waits, is answered with a reason and a time to retry, and keeps its number. It is
+// granted once the first member, restarted, has its full capacity according to the relays'
+// observations, not according to its owner. Calls with a finished number are refused. Guards against a
+// budget that is granted twice.
 func TestFleetPermits(t *testing.T) {
 	t.Parallel()
 	f := newFleetWithSettings(t, strings.Replace(settingsText, `"cold-ms":8600`, `"cold-ms":7000`, 1), 4, 3, 3, nil)
 	f.waitLeader()
 	for i, r := range f.relays {
 		f.waitAccepting(i)
-		r.openFlows(6) // so that what members bear is known
+		r.openFlows(6) // so that the relays have observed the members' capacity
 	}
 	requestPermit := func(i int, who, name string) rollout.Result {
 		t.Helper()
@@ -450,42 +470,47 @@
 	var a, b rollout.Result
 	first := requestPermit(0, "ann", "s0")
 	second := requestPermit(1, "bob", "s1")
-	waitFor(t, "the first to be granted", func() bool { a = requestPermit(2, "ann", "s0"); return a.State == string(rollout.PermitGranted) })
+	waitFor(t, "ann's permit for s0 to be granted", func() bool {
+		a = requestPermit(2, "ann", "s0")
+		return a.State == string(rollout.PermitGranted)
+	})
 	if b = requestPermit(3, "bob", "s1"); b.State != string(rollout.PermitWaiting) || b.Reason == "" || b.RetryAfterMS <= 0 {
-		t.Errorf("%+v", b)
+		t.Errorf("bob's permit for s1 = %+v, want a waiting one with a reason and a retry time", b)
 	}
 	if a.Number != first.Number || b.Number != second.Number || a.Number == b.Number || a.RemainingMS <= 0 {
-		t.Errorf("%+v, before %+v; %+v, before %+v", a, first, b, second)
+		t.Errorf("ann's permit = %+v, first answered with %+v; bob's = %+v, first answered with %+v; want unchanged, different numbers and time left for ann's",
+			a, first, b, second)
 	}
 	if code := f.call(0, "PUT", fmt.Sprintf("/-/permits/%d/begin", b.Number), nil, nil); code != 409 {
-		t.Errorf("one that waits may begin: %d", code)
+		t.Errorf("begin of a waiting permit = %d, want 409", code)
 	}
 	f.mustCall(1, "PUT", fmt.Sprintf("/-/permits/%d/begin", a.Number), nil)
 	restarted := f.restartMember(0)
 	f.mustCall(2, "PUT", fmt.Sprintf("/-/permits/%d/done", a.Number), nil)
 	var took time.Duration
-	waitForWithin(t, patience, "the second to be granted", func() bool {
+	waitForWithin(t, patience, "bob's permit for s1 to be granted", func() bool {
 		b = requestPermit(3, "bob", "s1")
 		took = time.Since(restarted)
 		return b.State == string(rollout.PermitGranted)
 	})
-	if took < 7*time.Second { // the rule, not a measure: it is cold until then
-		t.Errorf("granted after %v, while the first was cold", took)
+	if took < 7*time.Second { // the slow start of the settings above: s0 lacks full capacity until then
+		t.Errorf("bob's permit was granted %v after s0 restarted, while s0 was in slow start", took)
 	}
 	if b.Number != second.Number {
-		t.Errorf("granted as %d, asked as %d", b.Number, second.Number)
+		t.Errorf("bob's permit was granted under number %d, want %d as first answered", b.Number, second.Number)
 	}
 	for _, verb := range []string{"begin", "done"} {
 		if code := f.call(0, "PUT", fmt.Sprintf("/-/permits/%d/%s", a.Number, verb), nil, nil); code != 409 {
-			t.Errorf("%s of an old number: %d", verb, code)
+			t.Errorf("%s of a finished permit = %d, want 409", verb, code)
 		}
 	}
 }
 
-// TestFleetDisablePartitioned: two of three voters are cut off, so that there is no majority, and an operator disables a member
-// at one relay. The call takes effect there and then, and at no other relay; with the majority back it still holds at that
-// relay alone, is shown as drift, and ends when it is lifted there. Guards against a call that does nothing during a partition,
-// and against one that enters the record later.
+// TestFleetDisablePartitioned: two of three voters are cut off, so that there is no majority, and an
+// operator disables a member at one relay. The call takes effect immediately at this relay and at no
+// other one. With the majority back it still applies to this relay alone, is reported as drift, and
+// ends when the operator enables the member there. Guards against a call that does nothing during a
+// partition, and against one that enters the record later.
 func TestFleetDisablePartitioned(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
@@ -497,26 +522,27 @@
 	checkLocalOnly := func(when string) {
 		t.Helper()
 		if n := f.flowsToMember(3, 12, 2); n > 0 {
-			t.Errorf("%s: %d flows at a member that is disabled here", when, n)
+			t.Errorf("%s: n3 sent %d flows to s2, which is disabled at n3", when, n)
 		}
 		for i := range 3 {
 			if f.flowsToMember(i, 24, 2) == 0 {
-				t.Errorf("%s: n%d was told nothing, and uses it no more", when, i)
+				t.Errorf("%s: n%d, where s2 is enabled, sent no flow to it", when, i)
 			}
 		}
 	}
 	checkLocalOnly("without a majority")
 	f.isolate(0, false)
 	f.isolate(1, false)
-	waitFor(t, "it to be shown as drift", func() bool { return f.localEjections(3) == 1 })
+	waitFor(t, "the ejection at n3 to be reported as drift", func() bool { return f.localEjections(3) == 1 })
 	checkLocalOnly("with the majority back")
 	f.relays[3].mustPut("/-/backends/s2/enable")
-	waitFor(t, "the drift to end", func() bool { return f.localEjections(3) == 0 })
-	waitFor(t, "n3 to use it again", func() bool { return f.flowsToMember(3, 1, 2) > 0 })
+	waitFor(t, "the drift of n3 to end", func() bool { return f.localEjections(3) == 0 })
+	waitFor(t, "n3 to use s2 again", func() bool { return f.flowsToMember(3, 1, 2) > 0 })
 }
 
-// TestFleetStartPartitioned: a voter and a follower that start while the record is out of reach keep what they knew: nothing
-// goes to an ejected member. Guards against a restart that bypasses an ejection.
+// TestFleetStartPartitioned: a voter and a follower that are restarted while they are cut off from the
+// record keep the ejections that they knew: they send no flow to an ejected member. Guards against a
+// restart that bypasses an ejection.
 func TestFleetStartPartitioned(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
@@ -524,7 +550,7 @@
 	f.setEverywhere(1, "s0", true)
 	for _, i := range []int{0, 3} {
 		path := filepath.Join(filepath.Dir(f.conf[i]), "record", "agreed.json")
-		waitFor(t, "the ban to be kept", func() bool {
+		waitFor(t, fmt.Sprintf("n%d to store the ejection of s0", i), func() bool {
 			text, _ := os.ReadFile(path)
 			return strings.Contains(string(text), `"s0"`)
 		})
@@ -534,12 +560,12 @@
 	for _, i := range []int{0, 3} {
 		f.start(i)
 		if n := f.flowsToMember(i, 24, 0); n > 0 {
-			t.Errorf("n%d: %d flows at a member that it knew to be banned", i, n)
+			t.Errorf("n%d sent %d flows to s0, which it knew to be ejected before the restart", i, n)
 		}
 		f.isolate(i, false)
 	}
 	f.setEverywhere(1, "s0", false)
 	for _, i := range []int{0, 3} {
-		waitFor(t, "it to be used again", func() bool { return f.flowsToMember(i, 1, 0) > 0 })
+		waitFor(t, fmt.Sprintf("n%d to use s0 again", i), func() bool { return f.flowsToMember(i, 1, 0) > 0 })
 	}
 }
--- a/integration/fleet_test.go
+++ b/integration/fleet_test.go
@@ -20,26 +20,28 @@
 	"dahliarudder/internal/rollout"
 )
 
-// fleetRig is several relays that agree on one record. The links of consensus pass through proxies that can be cut; gossip is direct.
+// fleetRig is several relays that share one record. The connections between the relays' consensus
+// engines pass through proxies, which a test can cut; gossip is direct.
 type fleetRig struct {
 	t           *testing.T
 	d           *discovery
 	members     []*backend
 	relays      []*relay
 	conf        []string
-	recordAddrs []string // of the record
-	proxies     [][]*fakes.TCPProxy
-	groups      int // of flows that were opened
+	recordAddrs []string            // where each relay's consensus engine listens
+	proxies     [][]*fakes.TCPProxy // by dialing relay and dialed relay; nil entries for none
+	groups      int                 // flow groups used so far
 }
 
 const fleetKey = gossipRigKey
 
-// newFleet starts n relays of which the first voters vote, and members with unlimited capacity.
+// newFleet starts n relays, of which the first voters relays are voters, and a number of members with
+// unlimited capacity. out is the section "out" of the fleet configuration, the disruption budgets.
 func newFleet(t *testing.T, n, voters, members int, out map[string]any) *fleetRig {
 	return newFleetWithSettings(t, settingsText, n, voters, members, out)
 }
 
-// newFleetWithSettings is the same with other settings.
+// newFleetWithSettings is newFleet with other settings than settingsText.
 func newFleetWithSettings(t *testing.T, settings string, n, voters, members int, out map[string]any) *fleetRig {
 	f := &fleetRig{t: t}
 	var list []member
@@ -60,7 +62,7 @@
 	for i := range n {
 		reach := map[string]string{}
 		row := make([]*fakes.TCPProxy, n)
-		for j := range min(n, 2*voters) { // those who vote, and as many that may take their place
+		for j := range min(n, 2*voters) { // the voters, and as many relays that may replace them
 			if i == j {
 				continue
 			}
@@ -87,7 +89,7 @@
 
 func (f *fleetRig) start(i int) { f.relays[i] = start(f.t, f.conf[i], 3) }
 
-// kill ends relays at once, as a loss of power does.
+// kill kills relays with SIGKILL, all of them before it waits for the first to exit, like a loss of power.
 func (f *fleetRig) kill(all ...int) {
 	for _, i := range all {
 		f.relays[i].cmd.Process.Kill()
@@ -98,7 +100,8 @@
 	}
 }
 
-// setEverywhere repeats an operator's call on a member until it is agreed: without a leader it holds at that relay alone.
+// setEverywhere disables or enables a member by calls at relay i until the record has it: without a
+// leader such a call applies to that relay alone.
 func (f *fleetRig) setEverywhere(i int, member string, out bool) {
 	f.t.Helper()
 	path := map[bool]string{true: "/disable", false: "/enable"}[out]
@@ -107,20 +110,21 @@
 	})
 }
 
-// waitAccepting waits until a relay accepts flows. Until it has received the record, or has waited for it, it answers BUSY.
+// waitAccepting waits until relay i accepts flows. Until it has received the record, or has given up
+// waiting for it, it answers BUSY.
 func (f *fleetRig) waitAccepting(i int) {
 	f.t.Helper()
-	waitFor(f.t, fmt.Sprintf("n%d to take flows", i), func() bool {
+	waitFor(f.t, fmt.Sprintf("n%d to accept flows", i), func() bool {
 		c := f.relays[i].openFlow(f.newGroup(), "")
 		defer c.Close()
 		return strings.HasPrefix(c.line(), "UP ")
 	})
 }
 
-// newGroup is a number for a flow of a group of its own.
+// newGroup returns a number for a flow that shares its group with no other flow.
 func (f *fleetRig) newGroup() int { f.groups++; return f.groups * 7919 }
 
-// flowsToMember opens n flows at a relay, one after another, and returns how many reached a member.
+// flowsToMember opens n flows at relay i, one after another, and returns how many reached the member.
 func (f *fleetRig) flowsToMember(i, n, member int) int {
 	f.t.Helper()
 	f.waitAccepting(i)
@@ -133,13 +137,14 @@
 	return len(f.members[member].firstLines()) - before
 }
 
-// call is one at a relay's address for calls; it returns the answer's status, 0 if there is none.
+// call sends a request to the fleet API of relay i, decodes the answer into into, and returns the
+// answer's status code, or 0 if there is no answer.
 func (f *fleetRig) call(i int, method, path string, body, into any) int {
 	f.t.Helper()
 	return f.send(i, f.request(i, method, path, body), into)
 }
 
-// request is a call that is not sent yet.
+// request returns a request for the fleet API of relay i without sending it.
 func (f *fleetRig) request(i int, method, path string, body any) *http.Request {
 	f.t.Helper()
 	var text []byte
@@ -153,7 +158,8 @@
 	return q
 }
 
-// send sends a request to a relay; it ends no test, so any goroutine may call it.
+// send sends a request to relay i and returns the status code, as call does. It never fails the test,
+// so that any goroutine may call it.
 func (f *fleetRig) send(i int, q *http.Request, into any) int {
 	f.t.Helper()
 	c := http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
@@ -172,10 +178,10 @@
 	return answer.StatusCode
 }
 
-// mustCall repeats a call until it is answered with yes: a leader may be sought just then.
+// mustCall repeats a call until it is answered with 200, as the fleet may have no leader for a moment.
 func (f *fleetRig) mustCall(i int, method, path string, body any) (a rollout.Result) {
 	f.t.Helper()
-	waitFor(f.t, method+" "+path, func() bool {
+	waitFor(f.t, fmt.Sprintf("n%d to answer %s %s with 200", i, method, path), func() bool {
 		a = rollout.Result{}
 		if f.call(i, method, path, body, &a) == 200 {
 			return true
@@ -186,7 +192,7 @@
 	return a
 }
 
-// waitRelease waits until one is in one of these states.
+// waitRelease waits until a release is in one of the states, as relay i reports it, and returns its status.
 func (f *fleetRig) waitRelease(i int, name string, states ...rollout.ReleaseState) (a rollout.ReleaseStatus) {
 	f.t.Helper()
 	waitFor(f.t, fmt.Sprintf("release %s to be %v", name, states), func() bool {
@@ -203,7 +209,7 @@
 	return a
 }
 
-// waitLeader is the relay that reports itself as the leader.
+// waitLeader waits until a relay reports itself as the leader, and returns it.
 func (f *fleetRig) waitLeader() (at int) {
 	f.t.Helper()
 	at = -1
@@ -220,14 +226,15 @@
 	return at
 }
 
-// restartOnExit restarts a relay whenever it exits by order.
+// restartOnExit restarts relay i if it has exited by order, and reports whether it had exited. Any
+// other exit fails the test.
 func (f *fleetRig) restartOnExit(i int) (exited bool) {
 	r := f.relays[i]
 	select {
 	case err := <-r.done:
 		r.done <- err
 		if err == nil || !strings.Contains(err.Error(), "75") {
-			f.t.Errorf("n%d ended with %v", i, err)
+			f.t.Errorf("n%d exited with %v, want exit status 75", i, err)
 		}
 		f.start(i)
 		return true
@@ -236,8 +243,8 @@
 	}
 }
 
-// TestFleetEjection: one call at any relay ejects a member at all relays, also at one that was down then; another call
-// reinstates it.
+// TestFleetEjection: one call at any relay ejects a member at all relays, including one that is down at
+// the time; another call reinstates the member at all relays.
 func TestFleetEjection(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
@@ -248,12 +255,12 @@
 	for i := range f.relays {
 		f.relays[i].waitLogged("fleet: members that are out")
 		if n := f.flowsToMember(i, 12, 0); n > 0 {
-			t.Errorf("n%d: %d flows at a member that is banned everywhere", i, n)
+			t.Errorf("n%d sent %d flows to s0, which is ejected at all relays", i, n)
 		}
 	}
 	f.setEverywhere(0, "s0", false)
 	for i := range f.relays {
-		waitFor(t, fmt.Sprintf("n%d to follow", i), func() bool {
+		waitFor(t, fmt.Sprintf("n%d to apply the newest record, without ejections", i), func() bool {
 			var a struct {
 				Version, Follows uint64
 				Orders           rollout.Orders
@@ -264,9 +271,8 @@
 	}
 }
 
-// TestFleetRelease: all relays are restarted by one order, the leader too, while clients stay connected through their moves:
-// never more are out than the budget allows, and each comes back. Then all members are drained and replaced by their owner, one
-// after another.
+// TestFleetRelease: one release restarts all relays, including the leader. Each relay exits by order
+// and comes back, and the release is completed.
 func TestFleetRelease(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 4, map[string]any{"relays": map[string]string{"whole": "1"}, "members": map[string]string{"whole": "1"}})
@@ -278,7 +284,7 @@
 		}
 	})
 	exits := 0
-	waitFor(t, "all relays to have left once", func() bool {
+	waitFor(t, "all relays to have exited by order once", func() bool {
 		for i := range f.relays {
 			if f.restartOnExit(i) {
 				exits++
@@ -289,31 +295,32 @@
 	})
 	a := f.waitRelease(3, "r1", rollout.ReleaseCompleted, rollout.ReleaseHalted)
 	if a.State != rollout.ReleaseCompleted || a.Counts.Done != 4 {
-		t.Fatalf("%+v", a)
+		t.Fatalf("release r1 ended with %+v, want it completed with 4 relays done", a)
 	}
 }
 
-// logRelease logs the leader's report, for a failing test.
+// logRelease logs the leader's fleet status, release and drift, to explain a failure.
 func (f *fleetRig) logRelease(release string) {
 	for i, r := range f.relays {
 		var a, b json.RawMessage
 		if r != nil && f.call(i, "GET", "/-/fleet", nil, &a) == 200 && bytes.Contains(a, []byte(`"Role": "leader"`)) {
 			f.call(i, "GET", "/-/releases/"+release+"?stale", nil, &b)
-			f.t.Logf("n%d leads: %s\n%s", i, a, b)
+			f.t.Logf("leader n%d: fleet %s\nrelease %s", i, a, b)
 			f.call(i, "GET", "/-/drift", nil, &b)
-			f.t.Logf("drift %s", b)
+			f.t.Logf("leader n%d: drift %s", i, b)
 		}
 	}
 }
 
-// ejectedMembers are the members that a relay's record has out, in order.
+// ejectedMembers returns the members that are ejected according to relay i's record, sorted.
 func (f *fleetRig) ejectedMembers(i int) []string {
 	var a struct{ Orders rollout.Orders }
 	f.call(i, "GET", "/-/fleet", nil, &a)
 	return slices.Sorted(maps.Keys(a.Orders.Exclusions))
 }
 
-// localEjections is how many rows of a relay's own ejections the leader shows; -1 if no relay reports itself as the leader.
+// localEjections returns how many drift rows the leader reports for ejections that apply to relay i
+// alone, or -1 if the leader does not answer.
 func (f *fleetRig) localEjections(i int) (n int) {
 	f.t.Helper()
 	time.Sleep(200 * time.Millisecond)
@@ -331,7 +338,7 @@
 	return n
 }
 
-// isolate cuts a relay's record off from all others, or brings it back.
+// isolate cuts relay i's consensus engine off from all others, or connects it again.
 func (f *fleetRig) isolate(i int, on bool) {
 	impairment := fakes.Impairment{Cut: on}
 	for from, row := range f.proxies {
@@ -343,8 +350,8 @@
 	}
 }
 
-// TestFleetRollback: a member is drained by all relays; halted, all use it again; resumed, it is drained; and the way back brings it in.
-// The relay that leads is killed half-way.
+// TestFleetRollback: a release drains a member at all relays; it is halted and the leader is killed,
+// then it is resumed and the member is drained again; the rollback reinstates the member.
 func TestFleetRollback(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
@@ -361,21 +368,22 @@
 			f.logRelease("d1")
 		}
 	})
-	waitEjected("the drain", 1)
+	waitEjected("the drained member to be ejected", 1)
 	f.mustCall(2, "PUT", "/-/releases/d1/halt", nil)
 	l := f.waitLeader()
 	f.kill(l)
 	f.start(l)
 	f.waitRelease(3, "d1", rollout.ReleaseHalted)
 	f.mustCall(3, "PUT", "/-/releases/d1/resume", nil)
-	waitEjected("the drain again", 1)
+	waitEjected("the member to be ejected after the resume", 1)
 	f.mustCall(3, "PUT", "/-/releases/d1/back", nil)
-	waitEjected("the way back", 0)
+	waitEjected("the member to be reinstated by the rollback", 0)
 	f.waitRelease(3, "d1", rollout.ReleaseRolledBack)
 }
 
-// TestFleetPartition: a relay that is cut off from the record gets nothing agreed, and answers so. An ejection at it takes
-// effect at it alone, and is shown as drift when the relay is back, until it is lifted there.
+// TestFleetPartition: a relay that is cut off from the record answers a new release with a failure. An
+// ejection there applies to that relay alone, and is reported as drift once the relay is back, until
+// an operator lifts it there.
 func TestFleetPartition(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
@@ -383,20 +391,20 @@
 	cut := (l + 1) % 3
 	f.isolate(cut, true)
 	if code := f.call(cut, "POST", "/-/releases", map[string]any{"name": "x", "kind": "relay", "all": true}, nil); code == 200 {
-		t.Error("a release was agreed without a majority")
+		t.Error("POST of a release without a majority = 200, want a failure")
 	}
 	f.relays[cut].mustPut("/-/backends/s2/disable")
 	if n := f.flowsToMember(cut, 12, 2); n > 0 {
-		t.Errorf("%d flows at a member that is banned here", n)
+		t.Errorf("n%d sent %d flows to s2, which is ejected there", cut, n)
 	}
 	f.isolate(cut, false)
-	waitFor(t, "the ban to be shown as drift", func() bool { return f.localEjections(cut) == 1 })
+	waitFor(t, fmt.Sprintf("the ejection at n%d to be reported as drift", cut), func() bool { return f.localEjections(cut) == 1 })
 	f.relays[cut].mustPut("/-/backends/s2/enable")
-	waitFor(t, "the drift to end", func() bool { return f.localEjections(cut) == 0 })
+	waitFor(t, fmt.Sprintf("the drift of n%d to end", cut), func() bool { return f.localEjections(cut) == 0 })
 }
 
-// TestFleetCanary: a member of a new build that answers errors gets a small share of new flows at every relay, the same groups
-// everywhere; the fleet finds it worse, sets it to zero everywhere, and rolls back.
+// TestFleetCanary: a canary's member gets its configured share of new flows from all relays. When it
+// answers errors, the fleet finds the canary worse than the other members and rolls it back.
 func TestFleetCanary(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 3, 3, 4, nil)
@@ -419,7 +427,7 @@
 		before[m.id] = len(m.firstLines())
 	}
 	if n := before["s0"]; n < 18 || n > 60 {
-		t.Errorf("%d of 120 flows at an arm that is to get three in ten", n)
+		t.Errorf("%d of 120 flows reached the canary's member, want about three in ten (18 to 60)", n)
 	}
 	f.members[0].SetMode(fakes.ModeErr)
 	next := 120
@@ -429,7 +437,8 @@
 			t.Logf("canaries: %s", all)
 		}
 	})
-	waitForWithin(t, 3*patience, "a verdict on an arm that answers errors", func() bool { // which takes some seconds, however many flows there are
+	// The verdict takes some seconds, however many flows there are.
+	waitForWithin(t, 3*patience, "the rollback of a canary whose member answers errors", func() bool {
 		openFlows(next, next+30)
 		next += 30
 		var a struct{ Canaries []struct{ Status string } }
@@ -440,8 +449,9 @@
 	})
 }
 
-// TestFleetMany measures, with FLEET_PROCESSES processes, how long until the last relay applies a halt, and a canary's pause
-// without a majority, and what a relay reports and uses.
+// TestFleetMany measures, with FLEET_PROCESSES relays, how long it takes until the last relay applies a
+// drain, a halt, a canary's weight, and a canary's pause without a majority. It logs what relays send
+// and their memory.
 func TestFleetMany(t *testing.T) {
 	n, _ := strconv.Atoi(os.Getenv("FLEET_PROCESSES"))
 	if n == 0 {
@@ -449,7 +459,7 @@
 	}
 	f := newFleet(t, n, 3, 4, nil)
 	l := f.waitLeader()
-	waitFor(t, "all to be heard", func() bool {
+	waitFor(t, "the leader to have reports of all relays", func() bool {
 		var a struct{ Relays map[string]any }
 		f.call(l, "GET", "/-/fleet", nil, &a)
 		return len(a.Relays) == n
@@ -465,13 +475,13 @@
 					time.Sleep(5 * time.Millisecond)
 				}
 				if took[i] = time.Since(from); !ok(i) {
-					t.Errorf("%s: n%d does not heed it", what, i) // all logs are shown
+					t.Errorf("%s: n%d did not apply it within %v", what, i, patience) // the failure logs the relays' output
 				}
 			}()
 		}
 		all.Wait()
 		slices.Sort(took)
-		t.Logf("%s: p50 %v, last %v of %d", what, took[n/2].Round(time.Millisecond), took[n-1].Round(time.Millisecond), n)
+		t.Logf("%s: p50 %v, last of %d relays %v", what, took[n/2].Round(time.Millisecond), n, took[n-1].Round(time.Millisecond))
 		return took
 	}
 	loggedAgain := func(text string) func(int) bool {
@@ -489,7 +499,7 @@
 		measure("a drain, from the call's answer", ejected)
 		restored := loggedAgain(restoredLog)
 		if f.call(k%n, "PUT", "/-/releases/"+name+"/halt", nil, nil) != 200 {
-			t.Fatal("no halt")
+			t.Fatalf("PUT halt of release %s failed, want 200", name)
 		}
 		measure("a halt, from the call's answer", restored)
 		f.mustCall(0, "PUT", "/-/releases/"+name+"/back", nil)
@@ -504,7 +514,8 @@
 	}
 	pause := f.request(n-1, "PUT", "/-/canaries/c1/pause", nil)
 	go f.send(n-1, pause, nil)
-	measure("a pause without a majority", func(i int) bool { // one that has not reached the record for long may be at zero before
+	// A relay that has not reached the record for long may have set the weight to zero before the pause.
+	measure("a pause without a majority", func(i int) bool {
 		log := f.relays[i].log.String()
 		return strings.LastIndex(log, "map[c1:0]") > strings.LastIndex(log, "map[c1:300]")
 	})
@@ -521,6 +532,7 @@
 				rss = strings.TrimSpace(line)
 			}
 		}
-		t.Logf("n%d (leads %v): said %d bytes, engine in %d out %d, %s", i, i == l, a.Said, a.Engine.BytesIn, a.Engine.BytesOut, rss)
+		t.Logf("n%d (leader: %v): report of %d bytes, engine received %d bytes and sent %d, %s",
+			i, i == l, a.Said, a.Engine.BytesIn, a.Engine.BytesOut, rss)
 	}
 }
--- a/integration/fleet_voters_test.go
+++ b/integration/fleet_voters_test.go
@@ -11,46 +11,51 @@
 	"dahliarudder/internal/consensus"
 )
 
-// consensusStatus is a relay's report on its part in the consensus.
+// consensusStatus returns the status of relay i's consensus engine.
 func (f *fleetRig) consensusStatus(i int) consensus.Status {
 	var a struct{ Engine consensus.Status }
 	f.call(i, "GET", "/-/fleet", nil, &a)
 	return a.Engine
 }
 
-// waitNoMajority waits until these relays know that there is no majority: a call before that may end in doubt, by rights.
+// waitNoMajority waits until the relays know that there is no majority. A call before that may
+// correctly end with an unknown result.
 func (f *fleetRig) waitNoMajority(all ...int) {
 	f.t.Helper()
 	for _, i := range all {
-		waitFor(f.t, fmt.Sprintf("n%d to miss the majority", i), func() bool {
+		waitFor(f.t, fmt.Sprintf("n%d to report that there is no majority", i), func() bool {
 			e := f.consensusStatus(i)
 			return e.Name != "" && !e.HasQuorum && e.Leader == ""
 		})
 	}
 }
 
-// waitVoter waits until a relay votes. Without an engine there is no term: its role is then what it was under an identity that it gave up. What is
-// agreed after this stands in the log behind the end of the change of voters.
+// waitVoter waits until relay i is a voter. The term is checked too because a relay without a running
+// engine reports term 0 and the role that it had under an earlier identity. Commands that are recorded
+// after this follow the end of the voter change in the log.
 func (f *fleetRig) waitVoter(i int) {
 	f.t.Helper()
-	waitFor(f.t, fmt.Sprintf("n%d to vote", i), func() bool {
+	waitFor(f.t, fmt.Sprintf("n%d to be a voter", i), func() bool {
 		e := f.consensusStatus(i)
 		return e.Term > 0 && (e.Role == consensus.RoleVoter || e.Role == consensus.RoleLeader)
 	})
 }
 
-// eject has the next member out at these relays, by a call at the first of them; s0 is the first.
+// eject ejects the member by a call at the first relay of at, and waits until all relays of at have
+// ejected it. Members have to be ejected in order, beginning with s0.
 func (f *fleetRig) eject(member int, at ...int) {
 	f.t.Helper()
 	f.setEverywhere(at[0], fmt.Sprintf("s%d", member), true)
 	for _, i := range at {
-		waitFor(f.t, fmt.Sprintf("n%d to follow", i), func() bool { return len(f.ejectedMembers(i)) == member+1 })
+		waitFor(f.t, fmt.Sprintf("n%d to have ejected %d members", i, member+1), func() bool { return len(f.ejectedMembers(i)) == member+1 })
 	}
 }
 
-// TestFleetVoterReplaced: the leader is killed and cut off, and an operator makes a follower vote in its place. The record
-// continues. The old process returns while the new voter and another one are down, with a disk by which it votes and two of
-// three are present: nothing is agreed and it follows, also when all are up again. Guards against two disjoint majorities.
+// TestFleetVoterReplaced: the leader is killed and cut off, and an operator replaces it as a voter by a
+// follower. The record continues. The old leader returns, with a disk that says that it votes, while
+// the new voter and another one are down, so that by its disk two of three voters are up: no command
+// is recorded, and it becomes a follower and stays one when all relays are up again. Guards against two
+// disjoint majorities.
 func TestFleetVoterReplaced(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 4, nil)
@@ -58,41 +63,42 @@
 	a, b := (replaced+1)%3, (replaced+2)%3
 	f.kill(replaced)
 	f.isolate(replaced, true)
-	waitFor(t, "n3 to be a voter", func() bool { // the call is refused while those that are left have not settled
+	waitFor(t, "n3 to be a voter", func() bool { // the call is refused until the remaining voters have elected a leader
 		f.call(3, "PUT", fmt.Sprintf("/-/voters/n%d/n3?address=%s", replaced, f.recordAddrs[3]), nil, nil)
 		return f.consensusStatus(3).Voters["n3"] == f.recordAddrs[3]
 	})
 	f.waitVoter(3)
 	f.eject(0, 3, a, b)
-	f.kill(b, 3) // by the old one's disk, two of three are left
+	f.kill(b, 3) // by the replaced relay's disk, two of three voters are left
 	f.start(replaced)
 	f.isolate(replaced, false)
 	f.waitNoMajority(a, replaced)
-	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) { // elections take 1.2 s
+	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(50 * time.Millisecond) { // an election takes 1.2 s
 		for _, i := range []int{replaced, a} {
 			if e := f.consensusStatus(i); e.HasQuorum || e.Leader != "" {
-				t.Fatalf("n%d has a majority with one of three voters there: %+v", i, e)
+				t.Fatalf("n%d reports a majority or a leader with one of three voters up: %+v", i, e)
 			}
 		}
 	}
 	for _, i := range []int{replaced, a} {
 		if code := f.call(i, "POST", "/-/releases", map[string]any{"name": "x", "kind": "relay", "all": true}, nil); code == 200 {
-			t.Errorf("n%d has a call agreed with one of three voters there", i)
+			t.Errorf("POST of a release at n%d with one of three voters up = 200, want a failure", i)
 		}
 	}
-	f.start(3) // its vote is needed, and that of the old one is not
+	f.start(3) // the majority needs its vote; the replaced relay's vote does not count
 	f.eject(1, a, 3, replaced)
 	f.start(b)
 	f.eject(2, replaced, 0, 1, 2, 3)
-	waitFor(t, "what was refused to be unknown", func() bool { return f.call(replaced, "GET", "/-/releases/x", nil, nil) == 404 })
+	waitFor(t, "the refused release to be answered with 404", func() bool { return f.call(replaced, "GET", "/-/releases/x", nil, nil) == 404 })
 	if e := f.consensusStatus(replaced); e.Role != consensus.RoleFollower || e.Voters[e.Name] != "" {
-		t.Errorf("%+v", e)
+		t.Errorf("consensus status of the replaced relay n%d = %+v, want a follower that is not among the voters", replaced, e)
 	}
 }
 
-// TestFleetVoterForgets: a voter is started with an older copy of its directory, and then another one with an emptied
-// directory. Each reports so, votes as a new voter, which is then needed, and receives all that was agreed. Guards against a
-// voter that votes twice or loses what it has acknowledged, and against a second record.
+// TestFleetVoterForgets: a voter is restarted with an older copy of its directory, and then another one
+// with an empty directory. Each reports this, votes under a new identity, and receives the whole
+// record; its vote is then needed for a majority. Guards against a voter that votes twice or loses
+// commands that it has acknowledged, and against a second record.
 func TestFleetVoterForgets(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 10, nil)
@@ -111,7 +117,7 @@
 	f.start(older)
 	f.waitVoter(older)
 	ejectNext(3, 0, 1, 2)
-	ejectNext(older, 0, 1, 2, 3) // what it has acknowledged before the last one is known to the others
+	ejectNext(older, 0, 1, 2, 3) // all relays have what this one has acknowledged up to here
 	restartWithDirectory := func(i, other int, reason, backup string) {
 		t.Helper()
 		id := f.consensusStatus(i).Identity
@@ -125,14 +131,14 @@
 			}
 		}
 		f.start(i)
-		waitFor(t, fmt.Sprintf("n%d to be another voter", i), func() bool {
+		waitFor(t, fmt.Sprintf("n%d to report a new identity", i), func() bool {
 			e := f.consensusStatus(i)
 			return e.Identity != 0 && e.Identity != id && strings.Contains(e.IdentityReason, reason)
 		})
 		f.waitVoter(i)
 		ejectNext(3, 0, 1, 2)
 		f.kill(other)
-		ejectNext(3, i, 3-i-other) // its vote is needed
+		ejectNext(3, i, 3-i-other) // with one voter down, the majority needs its vote
 		f.start(other)
 		f.waitVoter(other)
 		ejectNext(other, 0, 1, 2, 3)
@@ -141,7 +147,7 @@
 	restartWithDirectory(emptied, older, "", "")
 	for i := range f.relays {
 		if e := f.consensusStatus(i); e.RecordID != recordID {
-			t.Errorf("n%d is of record %d, which was %d", i, e.RecordID, recordID)
+			t.Errorf("n%d has record %d, want %d as before", i, e.RecordID, recordID)
 		}
 	}
 }
