--- a/integration/fleet_voters_test.go
+++ b/integration/fleet_voters_test.go
@@ -63,7 +63,7 @@
 	a, b := (replaced+1)%3, (replaced+2)%3
 	f.kill(replaced)
 	f.isolate(replaced, true)
-	waitFor(t, "n3 to be a voter", func() bool { // the call is refused until the remaining voters have elected a leader
+	waitFor(t, "n3 to be a voter", func() bool { // the call is refused while another voter counts as unhealthy
 		f.call(3, "PUT", fmt.Sprintf("/-/voters/n%d/n3?address=%s", replaced, f.recordAddrs[3]), nil, nil)
 		return f.consensusStatus(3).Voters["n3"] == f.recordAddrs[3]
 	})
--- a/integration/nats_bench_test.go
+++ b/integration/nats_bench_test.go
@@ -16,7 +16,8 @@
 	"dahliarudder/internal/fakes"
 )
 
-// benchBothWays takes every figure in two ways in one run: at the nodes directly, and through the relay before the same nodes.
+// benchDirectAndRelay runs a benchmark twice: with clients of the nodes, and with clients of a relay
+// in front of the same nodes. r is nil in the first run.
 func benchDirectAndRelay(b *testing.B, run func(b *testing.B, url string, r *relay)) {
 	k, err := fakes.NewNATSCluster(3)
 	if err != nil {
@@ -45,7 +46,7 @@
 	return all
 }
 
-// cpu is the processor time that the relay has used.
+// cpuTime returns the processor time that the relay's process has used.
 func (r *relay) cpuTime() time.Duration {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", r.cmd.Process.Pid))
 	_, rest, _ := strings.Cut(string(text), ") ")
@@ -55,7 +56,7 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// residentMemory is the relay's memory in bytes.
+// residentMemory returns the resident memory of the relay's process in bytes.
 func (r *relay) residentMemory() int {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.cmd.Process.Pid))
 	_, rest, _ := strings.Cut(string(text), "VmRSS:")
@@ -63,8 +64,8 @@
 	return n << 10
 }
 
-// BenchmarkNATSPublish: publications a second, and with a subscription for each client
-// deliveries too.
+// BenchmarkNATSPublish measures publications per second without and with a subscription for each
+// client, that is without and with deliveries.
 func BenchmarkNATSPublish(b *testing.B) {
 	for _, delivered := range []bool{false, true} {
 		for _, size := range []int{16, 128, 4096} {
@@ -127,7 +128,7 @@
 	}
 }
 
-// BenchmarkNATSRequest: how long a request and its reply take, one at a time.
+// BenchmarkNATSRequest measures how long a request and its reply take, one request at a time.
 func BenchmarkNATSRequest(b *testing.B) {
 	benchDirectAndRelay(b, func(b *testing.B, url string, r *relay) {
 		all := benchClients(b, url, 2)
@@ -151,8 +152,9 @@
 	})
 }
 
-// BenchmarkNATSIdle: the relay's memory for each client that has connected, has a subscription and sends nothing. The clients
-// use no library, which would need memory of its own.
+// BenchmarkNATSIdle measures the relay's memory for each client that has connected, has a subscription
+// and sends nothing. The clients do without the NATS library, which would add its own memory to the
+// test process.
 func BenchmarkNATSIdle(b *testing.B) {
 	for _, clients := range []int{1000, 7000} {
 		b.Run(strconv.Itoa(clients), func(b *testing.B) {
--- a/integration/nats_chaos_test.go
+++ b/integration/nats_chaos_test.go
@@ -14,16 +14,16 @@
 	"dahliarudder/internal/fakes"
 )
 
-// ledger is what each publication's client has received, and the order in which members accepted the publications.
+// publicationLog records the publications that nodes accept, and the rejections that clients receive.
 type publicationLog struct {
 	mu         sync.Mutex
-	latest     map[string]int // of each client and subject, the latest number that a member took first
-	seen       map[string]bool
-	rejected   map[string]int
-	outOfOrder []string
+	latest     map[string]int  // by client and subject: the highest number accepted so far
+	seen       map[string]bool // payloads that a node has accepted
+	rejected   map[string]int  // by client: rejections that the client received
+	outOfOrder []string        // first arrivals after one with a higher number
 }
 
-// record is called by the cluster.
+// record records a publication; the cluster calls it for each one that a node accepts.
 func (l *publicationLog) record(subject, payload string) {
 	var client, n int
 	if c, _ := fmt.Sscanf(payload, "c%d n%d", &client, &n); c != 2 {
@@ -31,21 +31,22 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.seen[payload] { // sent again, since its first answer was lost
+	if l.seen[payload] { // a retry of a publication whose first acknowledgement was lost
 		return
 	}
 	l.seen[payload] = true
 	key := fmt.Sprint(client, " ", subject)
 	if l.latest[key] > n {
-		l.outOfOrder = append(l.outOfOrder, fmt.Sprintf("%s: %d after %d", key, n, l.latest[key]))
+		l.outOfOrder = append(l.outOfOrder, fmt.Sprintf("%s: number %d after %d", key, n, l.latest[key]))
 	}
 	l.latest[key] = max(l.latest[key], n)
 }
 
-// TestNATSChaos: publications while members are killed, restarted, drained, refuse, reset and fall silent at random. Counted by
-// payload at the members: no publication has two attempts in flight, none has more than three; each is answered: the client's
-// flush returns, and what no member accepted was reported as rejected. First arrivals keep the order of their client and
-// subject. In the end every subscription is at exactly one member.
+// TestNATSChaos: clients publish while members are killed, restarted and drained, refuse, reset or
+// stop answering at random. Counted by payload at the members, no publication has two attempts in
+// flight or more than three attempts. Each publication is answered: the client's flush returns, and a
+// publication that no member accepted was reported as rejected. First arrivals keep the order of their
+// client and subject. In the end every subscription is at exactly one member.
 func TestNATSChaos(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -65,7 +66,7 @@
 						published.rejected[fmt.Sprint(i)]++
 						published.mu.Unlock()
 						if !strings.Contains(err.Error(), "ermissions") {
-							t.Errorf("client %d: %v", i, err)
+							t.Errorf("client %d: got error %v, want only permissions errors, by which the relay rejects", i, err)
 						}
 					}))
 				if err != nil {
@@ -83,7 +84,7 @@
 				switch rng.IntN(6) {
 				case 0:
 					node.Kill()
-					undo = func() { waitFor(t, "a restart", func() bool { return node.Restart() == nil }) }
+					undo = func() { waitFor(t, "the killed node to listen again", func() bool { return node.Restart() == nil }) }
 				case 1:
 					d.SetLifecycle(node.ID, "DRAINING")
 					undo = func() { d.SetLifecycle(node.ID, "SERVING") }
@@ -107,7 +108,7 @@
 			}
 			total := 0
 			for i, c := range all {
-				flush(t, c) // every publication before it has its answer
+				flush(t, c) // returns once every publication before it is answered
 				total += sent[i]
 			}
 			for _, violation := range k.Attempts.Violations() {
@@ -123,16 +124,16 @@
 					}
 				}
 				if reported := published.rejected[fmt.Sprint(i)]; lost > reported {
-					t.Errorf("client %d: %d publications never arrived, and %d were turned away", i, lost, reported)
+					t.Errorf("client %d: %d publications were accepted by no member, and only %d were reported as rejected", i, lost, reported)
 				}
 				rejected += published.rejected[fmt.Sprint(i)]
 			}
 			for _, u := range published.outOfOrder {
-				t.Error("out of order: ", u)
+				t.Error("publications of one client and subject out of order: ", u)
 			}
 			accepted := len(published.seen)
 			published.mu.Unlock()
-			waitFor(t, "one place for each subscription", func() bool {
+			waitFor(t, "each subscription to be at exactly one node", func() bool {
 				for i := range clients {
 					count := 0
 					for _, n := range k.Subscriptions(fmt.Sprint("stay.", i)) {
@@ -144,16 +145,16 @@
 				}
 				return true
 			})
-			t.Logf("%d publications: %d taken, %d turned away", total, accepted, rejected)
+			t.Logf("%d publications: %d accepted, %d rejections reported", total, accepted, rejected)
 			if accepted < total/2 {
-				t.Errorf("only %d of %d were taken: this run shows little", accepted, total)
+				t.Errorf("members accepted only %d of %d publications, want at least half: this run shows little", accepted, total)
 			}
 		})
 	}
 }
 
-// TestNATSReconnectStorm: the clients of a relay that is replaced reconnect together, each with many subscriptions; all are
-// restored, at one node each.
+// TestNATSReconnectStorm: the clients of a relay reconnect all at once, each with many subscriptions.
+// All subscriptions are restored, each at one node.
 func TestNATSReconnectStorm(t *testing.T) {
 	k := newCluster(t, 3)
 	r := natsRelay(t, k, nil)
@@ -181,21 +182,22 @@
 				count += x
 			}
 			if count != clients {
-				t.Errorf("herd.%d stands %d times, want %d", n, count, clients)
+				t.Errorf("the nodes have %d subscriptions to herd.%d, want %d", count, n, clients)
 			}
 		}
 		for _, c := range all {
 			c.Close()
 		}
 		all = nil
-		waitFor(t, "the end of them", func() bool {
+		waitFor(t, "the nodes to have no subscription to herd.0", func() bool {
 			return k.Subscriptions("herd.0")[0]+k.Subscriptions("herd.0")[1]+k.Subscriptions("herd.0")[2] == 0
 		})
 	}
 }
 
-// TestNATSDrainUnderLoad: while clients publish, each node in turn drains: within the 250 ms of the rule, and a generous
-// allowance for a busy machine, it has no subscription, and each is at exactly one other node.
+// TestNATSDrainUnderLoad: while a client publishes, each node in turn drains. Within the grace of
+// 250 ms, plus a large allowance for a busy machine, the node has no subscription, and each
+// subscription is at exactly one other node.
 func TestNATSDrainUnderLoad(t *testing.T) {
 	const allowance, subscriptions = 3 * time.Second, 60
 	k := newCluster(t, 3)
@@ -246,20 +248,21 @@
 			if wrong == 0 {
 				break
 			}
-			if last = fmt.Sprintf("%d at the draining node, %v held", remaining, count); time.Since(drained) > 250*time.Millisecond+allowance {
-				t.Fatalf("%v after the word: %s", time.Since(drained), last)
+			if last = fmt.Sprintf("%d subscriptions at the draining node, subscriptions by subject %v", remaining, count); time.Since(drained) > 250*time.Millisecond+allowance {
+				t.Fatalf("%v after the start of the drain: %s", time.Since(drained), last)
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
-		t.Logf("node %d is left after %v", at, time.Since(drained))
+		t.Logf("node %d has no subscription after %v", at, time.Since(drained))
 		d.SetLifecycle(o.ID, "SERVING")
 	}
 	close(stop)
 	<-done
 }
 
-// TestNATSUpgrade: a client of the library stays through an upgrade of the relay: it is notified, connects to the second
-// process, its subscription is restored there and its publications arrive.
+// TestNATSUpgrade: a client of the NATS library is migrated by a hot restart of the relay: it is
+// notified and connects to the new process, where its subscription is restored and its publications
+// arrive.
 func TestNATSUpgrade(t *testing.T) {
 	k := newCluster(t, 2)
 	k.Attempts = nil
@@ -277,13 +280,13 @@
 	select {
 	case <-reconnected:
 	case <-time.After(patience):
-		t.Fatal("the client never came again")
+		t.Fatalf("the client did not reconnect within %v", patience)
 	}
 	r.waitExit()
 	flush(t, c)
 	c.Publish("through", []byte("after"))
 	if m := must[*nats.Msg](t)(sub.NextMsg(patience)); string(m.Data) != "after" {
-		t.Errorf("got %s", m.Data)
+		t.Errorf("message after the upgrade = %q, want %q", m.Data, "after")
 	}
 	next.stop()
 }
--- a/integration/nats_conformance_own_test.go
+++ b/integration/nats_conformance_own_test.go
@@ -27,7 +27,7 @@
 	"dahliarudder/internal/fakes"
 )
 
-// nodeClient is a client of a node itself, which plays a service there.
+// nodeClient connects a library client directly to a node, where it acts as a service.
 func (s *conformanceRig) nodeClient(t *testing.T) *nats.Conn {
 	t.Helper()
 	c, err := nats.Connect("nats://"+s.k.Nodes[0].Addr, nats.Timeout(patience))
@@ -38,7 +38,8 @@
 	return c
 }
 
-// answerRequests answers requests on subjects by scripted JSON.
+// answerRequests subscribes to each subject and answers its requests with the result of the function;
+// an empty result is not sent.
 func answerRequests(t *testing.T, c *nats.Conn, answers map[string]func(m *nats.Msg) string) {
 	t.Helper()
 	for subject, f := range answers {
@@ -53,7 +54,8 @@
 
 func answerText(text string) func(*nats.Msg) string { return func(*nats.Msg) string { return text } }
 
-// jetStream: the relay knows nothing of JetStream; its requests and reply subjects pass.
+// jetStream checks that JetStream works through the relay, which does not know JetStream: it passes the
+// requests and the reply subjects on.
 func jetStream(t *testing.T, s *conformanceRig) {
 	server := s.nodeClient(t)
 	acks := make(chan string, 10)
@@ -74,23 +76,24 @@
 	})
 	js := must[nats.JetStreamContext](t)(s.libraryClient(t).JetStream())
 	if ack := must[*nats.PubAck](t)(js.Publish("orders.new", []byte("x"))); ack.Sequence != 7 {
-		t.Errorf("%+v", ack)
+		t.Errorf("JetStream publish acknowledged with %+v, want sequence 7", ack)
 	}
 	sub := must[*nats.Subscription](t)(js.PullSubscribe("orders.*", "work", nats.Bind("ORDERS", "work")))
 	for i, m := range must[[]*nats.Msg](t)(sub.Fetch(2, nats.MaxWait(patience))) {
 		if string(m.Data) != fmt.Sprint("order ", i+1) {
-			t.Errorf("message %d is %s", i, m.Data)
+			t.Errorf("message %d = %q, want %q", i, m.Data, fmt.Sprint("order ", i+1))
 		}
 		if err := m.Ack(); err != nil {
 			t.Error(err)
 		}
 		if got := <-acks; !strings.HasPrefix(got, fmt.Sprintf("$JS.ACK.ORDERS.work.1.%d.", i+1)) || !strings.HasSuffix(got, "+ACK") {
-			t.Errorf("acknowledged by %s", got)
+			t.Errorf("acknowledgement of message %d = %q, want +ACK on $JS.ACK.ORDERS.work.1.%d.", i, got, i+1)
 		}
 	}
 }
 
-// keyValue: a watch is an ordered push consumer on a subject of the client's.
+// keyValue checks a key-value watch, which is an ordered push consumer that delivers to a subject of
+// the client.
 func keyValue(t *testing.T, s *conformanceRig) {
 	server := s.nodeClient(t)
 	const stream = `{"type":"io.nats.jetstream.api.v1.stream_info_response","config":{"name":"KV_b","subjects":["$KV.b.>"],"max_msgs_per_subject":1,"allow_direct":true},"state":{"messages":1,"last_seq":1}}`
@@ -125,27 +128,27 @@
 	select {
 	case e := <-w.Updates():
 		if e == nil || string(e.Value()) != "12" {
-			t.Errorf("%+v", e)
+			t.Errorf("key-value update = %+v, want value 12", e)
 		}
 	case <-time.After(patience):
-		t.Error("no update came")
+		t.Errorf("no key-value update within %v", patience)
 	}
 }
 
 // ---- Clauses that need a relay of their own ----
 
-// quickHash is a quick bcrypt hash.
+// minCostHash returns a bcrypt hash of the least cost, which is quick to compute.
 func minCostHash(word string) string {
 	h, _ := bcrypt.GenerateFromPassword([]byte(word), bcrypt.MinCost)
 	return string(h)
 }
 
-// withFront is a relay set up so, for one clause.
+// withFront returns a clause test with a relay of its own, which has further keys of the NATS front.
 func withFront(front map[string]any, test func(t *testing.T, s *conformanceRig)) func(*testing.T, *conformanceRig) {
 	return func(t *testing.T, _ *conformanceRig) { test(t, newConformanceRig(t, front)) }
 }
 
-// connectError is the error of a connection by the library; nil if it is admitted.
+// connectError connects with the library and returns the error, or nil if the relay admits the client.
 func (s *conformanceRig) connectError(options ...nats.Option) error {
 	c, err := nats.Connect("nats://"+s.addrs["nats"], append(options, nats.Timeout(patience), nats.NoReconnect())...)
 	if err == nil {
@@ -157,10 +160,11 @@
 func (s *conformanceRig) wantAdmission(t *testing.T, admitted bool, options ...nats.Option) {
 	t.Helper()
 	if err := s.connectError(options...); (err == nil) != admitted {
-		t.Errorf("entering: %v, want %v", err, admitted)
+		t.Errorf("nats.Connect: error %v, want admitted: %v", err, admitted)
 	}
 }
 
+// ownRelayClauses are the clauses that each need a relay of their own.
 var ownRelayClauses = []clause{
 	{name: "ping interval and stale connections", raw: withFront(map[string]any{"ping_interval_ms": 150, "ping_max": 2}, func(t *testing.T, s *conformanceRig) {
 		c := s.rawClient(t, "")
@@ -199,7 +203,7 @@
 			line := slow.line()
 			if line == "EOF" || strings.Contains(line, "reset") {
 				if last != "" && last != "-ERR 'Slow Consumer'" && len(last) < 100 {
-					t.Errorf("its last line is %q", last)
+					t.Errorf("last line before the slow consumer's connection ended = %q, want -ERR 'Slow Consumer' or a payload", last)
 				}
 				return
 			}
@@ -214,7 +218,7 @@
 		select {
 		case <-lame:
 		case <-time.After(patience):
-			t.Error("the client never saw the notice")
+			t.Errorf("the client saw no lame duck notice within %v", patience)
 		}
 	})},
 	{name: "user and password, token", lib: withFront(map[string]any{"auth": map[string]any{"users": []any{
@@ -251,8 +255,10 @@
 			`-ERR 'Permissions Violation for Subscription to "other"'`, `-ERR 'Permissions Violation for Subscription to "in.secret"'`,
 			`-ERR 'Permissions Violation for Subscription to "work.a"'`, "PONG")
 		all.sendLines("SUB box 1", "PUB in.secret 1", "1", "PUB in.open box 1", "2", "PING")
-		all.wantLines("PONG")                     // before it is answered: PONG waits for all of a client's links, and the answer could pass it
-		few.wantLines("MSG in.open 5 box 1", "2") // what is denied is not delivered by the wildcard
+		// Read PONG before few replies: PONG waits for all links of this client, so that the reply on one
+		// of them could overtake it.
+		all.wantLines("PONG")
+		few.wantLines("MSG in.open 5 box 1", "2") // the wildcard subscription does not deliver a denied subject
 		few.sendLines("PUB box 2", "ok", "PUB box 2", "no", "PING")
 		few.wantLines(`-ERR 'Permissions Violation for Publish to "box"'`, "PONG")
 		all.wantLines("MSG box 1 2", "ok")
@@ -271,7 +277,7 @@
 			if name == "first" {
 				options = append(options, nats.TLSHandshakeFirst())
 			}
-			s.wantAdmission(t, false, options...) // shows no certificate
+			s.wantAdmission(t, false, options...) // without a client certificate
 			c := s.libraryClient(t, append(options, nats.ClientCert(clientCert, clientKey))...)
 			sub := must[*nats.Subscription](t)(c.SubscribeSync("secret"))
 			big := make([]byte, 60000)
@@ -280,7 +286,7 @@
 			}
 			for range 50 {
 				if m := must[*nats.Msg](t)(sub.NextMsg(patience)); len(m.Data) != len(big) {
-					t.Fatalf("%d bytes came", len(m.Data))
+					t.Fatalf("received a message of %d bytes, want %d", len(m.Data), len(big))
 				}
 			}
 			if name == "after INFO" {
@@ -310,7 +316,7 @@
 		s.reload()
 		waitFor(t, "the new certificate", func() bool { return s.connectError(nats.RootCAs(next.file)) == nil })
 		s.wantAdmission(t, false, nats.RootCAs(ca.file))
-		flush(t, connected) // who has entered stays
+		flush(t, connected) // the client that connected before stays connected
 	}},
 	{name: "TLS and the relay's own login at members", lib: func(t *testing.T, _ *conformanceRig) {
 		ca := newAuthority(t)
@@ -342,11 +348,13 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if len(logins) != 1 || !logins["relayword<nil>"] {
-			t.Errorf("members heard %v", logins)
+			t.Errorf("the members received the logins %v, want only user relay with password word", logins)
 		}
 	}},
 }
 
+// jwtCredentials checks that user tokens are admitted by signature, issuing account and expiry, and
+// that a client loses its connection when its token expires.
 func jwtCredentials(t *testing.T, _ *conformanceRig) {
 	operator, _ := nkeys.CreateOperator()
 	account, _ := nkeys.CreateAccount()
@@ -388,10 +396,10 @@
 		select {
 		case err := <-got:
 			if err == nil || !strings.Contains(strings.ToLower(err.Error()), strings.ToLower(want)) {
-				t.Errorf("the library hears %v, want %s", err, want)
+				t.Errorf("the library reported the error %v, want one with %q", err, want)
 			}
 		case <-time.After(patience):
-			t.Errorf("the library never hears %s", want)
+			t.Errorf("the library reported no error within %v, want one with %q", patience, want)
 		}
 	}
 }
@@ -424,7 +432,7 @@
 	return path
 }
 
-// issue writes a certificate for the loopback and its key.
+// issue writes a certificate for 127.0.0.1 and its key, and returns the paths of both files.
 func (a *authority) issue(t *testing.T, name string) (cert, key string) {
 	t.Helper()
 	k, _ := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
--- a/integration/nats_conformance_test.go
+++ b/integration/nats_conformance_test.go
@@ -16,27 +16,27 @@
 	"dahliarudder/internal/fakes"
 )
 
-// clause is a case of the conformance suite: a rule of the public protocol, and whether it is tested by raw bytes or by the
-// client library.
+// clause is a case of the conformance suite: a rule of the public protocol, and its tests with raw
+// bytes and with the client library. A rule has at least one of the two.
 type clause struct {
 	name string
 	raw  func(t *testing.T, s *conformanceRig)
 	lib  func(t *testing.T, s *conformanceRig)
 }
 
-// conformanceRig is a relay with small limits before three nodes.
+// conformanceRig is a relay with small limits in front of three nodes.
 type conformanceRig struct {
 	*relay
 	k *fakes.NATSCluster
 	d *discovery
 }
 
-// page is the document that lists the cases; TestConformance compares it with the table.
+// conformancePage is the document that lists the clauses; TestConformance checks that none is missing.
 const conformancePage = "../docs/nats-conformance.md"
 
 func newConformanceRig(t *testing.T, front map[string]any) *conformanceRig {
 	s := &conformanceRig{k: newCluster(t, 3)}
-	s.k.Attempts = nil // payloads repeat
+	s.k.Attempts = nil // requests are counted by payload, and these tests repeat payloads
 	s.d = newDiscovery(t, natsMembers(s.k)...)
 	set := map[string]any{"listen": "127.0.0.1:0", "class": "pay-status", "tenant": "water", "max_payload": 65536,
 		"max_subscriptions": 20, "connect_urls": []string{"127.0.0.1:4999"}}
@@ -47,7 +47,7 @@
 	return s
 }
 
-// rawClient connects without a library and sends CONNECT with these options.
+// rawClient connects without a library, reads INFO, and sends CONNECT with the options.
 func (s *conformanceRig) rawClient(t *testing.T, options string) *client {
 	t.Helper()
 	c := s.natsDial()
@@ -57,13 +57,13 @@
 	return c
 }
 
-// sendLines sends lines.
+// sendLines sends lines, each with CR LF.
 func (c *client) sendLines(lines ...string) {
 	c.t.Helper()
 	c.send(strings.Join(lines, "\r\n"))
 }
 
-// wantLines wants exactly these lines.
+// wantLines reads lines, which have to be exactly these.
 func (c *client) wantLines(lines ...string) {
 	c.t.Helper()
 	for _, want := range lines {
@@ -73,7 +73,7 @@
 	}
 }
 
-// libraryClient connects with the library.
+// libraryClient connects with the client library.
 func (s *conformanceRig) libraryClient(t *testing.T, options ...nats.Option) *nats.Conn {
 	t.Helper()
 	c, err := nats.Connect("nats://"+s.addrs["nats"], append([]nats.Option{nats.Timeout(patience), nats.NoReconnect(),
@@ -92,16 +92,16 @@
 	}
 }
 
-// moveSubscription drains the node that has a subscription until another one has it.
+// moveSubscription drains the node that has a subscription until another node has it instead.
 func (s *conformanceRig) moveSubscription(t *testing.T, subject string) {
 	t.Helper()
 	at := slices.IndexFunc(s.k.Subscriptions(subject), func(n int) bool { return n > 0 })
 	if at < 0 {
-		t.Fatal("no node holds the subscription")
+		t.Fatalf("no node has a subscription to %s", subject)
 	}
 	id := s.k.Nodes[at].ID
 	s.d.SetLifecycle(id, "DRAINING")
-	waitFor(t, "the move", func() bool {
+	waitFor(t, "the subscription to "+subject+" to move to another node", func() bool {
 		n := s.k.Subscriptions(subject)
 		return n[at] == 0 && slices.Max(n) > 0
 	})
@@ -132,7 +132,7 @@
 		}
 		if info.ClientID == 0 || info.ClientIP != "127.0.0.1" || info.ServerName == "" || info.ServerID == "" || info.Version == "" || info.Port == 0 ||
 			info.Proto != 1 || len(info.URLs) != 1 || info.MaxPayload != 65536 || !info.Headers || info.LDM {
-			t.Errorf("%s", line)
+			t.Errorf("INFO = %s, want all fields set, proto 1, max_payload 65536, one connect_urls entry, headers and not ldm", line)
 		}
 	}},
 	{name: "INFO comes again when members' offers change", raw: func(t *testing.T, s *conformanceRig) {
@@ -142,15 +142,15 @@
 		k := s.k.Nodes[0]
 		k.SetInfo(map[string]any{"jetstream": true, "max_payload": 4096})
 		defer k.SetInfo(nil)
-		k.ResetConnections() // who connects again hears it
+		k.ResetConnections() // links that reconnect to the node receive its new INFO
 		d := s.rawClient(t, "")
-		for i := range 9 { // some flow comes to that node in time
+		for i := range 9 { // so many subscriptions that one of them is placed at this node
 			d.sendLines(fmt.Sprintf("SUB again.%d %d", i, i+1), "PING")
 			d.wantLine("PONG")
 		}
 		line := c.wantLine("INFO ")
 		if !strings.Contains(line, `"jetstream":true`) || !strings.Contains(line, `"max_payload":4096`) {
-			t.Errorf("%s", line)
+			t.Errorf("INFO after the change = %s, want jetstream true and max_payload 4096", line)
 		}
 	}},
 	{name: "verbose: +OK to each command, in order", raw: func(t *testing.T, s *conformanceRig) {
@@ -158,7 +158,7 @@
 		c.sendLines("SUB v 1", "PUB v 1", "x", "UNSUB 1", "PING")
 		c.wantLines("+OK", "+OK")
 		got := []string{c.line(), c.line(), c.line(), c.line(), c.line()}
-		slices.Sort(got[:4]) // the message may come before or after the answer to its publication
+		slices.Sort(got[:4]) // the message may arrive before or after the +OK to its publication
 		if fmt.Sprint(got) != "[+OK +OK MSG v 1 1 x PONG]" {
 			t.Errorf("got %q", got)
 		}
@@ -188,7 +188,7 @@
 		c.sendLines("PING")
 		c.wantLines("PONG")
 		if seen.Load() != 100 {
-			t.Errorf("%d of 100 were taken when PONG came", seen.Load())
+			t.Errorf("the nodes had accepted %d of 100 publications when PONG arrived", seen.Load())
 		}
 	}},
 	{name: "headers pass unchanged", raw: func(t *testing.T, s *conformanceRig) {
@@ -203,7 +203,7 @@
 		m.Header.Add("A", "2")
 		c.PublishMsg(m)
 		if got := must[*nats.Msg](t)(sub.NextMsg(patience)); fmt.Sprint(got.Header.Values("A")) != "[1 2]" {
-			t.Errorf("%v", got.Header)
+			t.Errorf("header = %v, want A with the values 1 and 2", got.Header)
 		}
 	}},
 	{name: "a client without headers gets the payload alone", raw: func(t *testing.T, s *conformanceRig) {
@@ -242,9 +242,9 @@
 		for range 60 {
 			p.Publish("q.work", nil)
 		}
-		waitFor(t, "the jobs", func() bool { return got[0].Load()+got[1].Load() == 60 && got[2].Load() == 60 })
+		waitFor(t, "each queue group to receive 60 messages", func() bool { return got[0].Load()+got[1].Load() == 60 && got[2].Load() == 60 })
 		if got[0].Load() == 0 || got[1].Load() == 0 {
-			t.Error("one member of the group has all")
+			t.Errorf("the members of group a received %d and %d messages, want some at each", got[0].Load(), got[1].Load())
 		}
 	}},
 	{name: "queue groups across a move", lib: func(t *testing.T, s *conformanceRig) {
@@ -256,13 +256,13 @@
 		for range 20 {
 			p.Publish("q.moved", nil)
 		}
-		waitFor(t, "the jobs", func() bool { return got.Load() == 20 })
+		waitFor(t, "the queue group to receive 20 messages", func() bool { return got.Load() == 20 })
 	}},
 	{name: "UNSUB at once, and after so many", raw: func(t *testing.T, s *conformanceRig) {
 		c := s.rawClient(t, "")
 		c.sendLines("SUB u 1", "UNSUB 1 2", "PUB u 1", "1", "PUB u 1", "2", "PUB u 1", "3", "PING")
 		c.wantLines("MSG u 1 1", "1", "MSG u 1 1", "2", "PONG")
-		c.sendLines("SUB u 1", "PUB u 1", "4", "UNSUB 1 1", "PUB u 1", "5", "PING") // already reached
+		c.sendLines("SUB u 1", "PUB u 1", "4", "UNSUB 1 1", "PUB u 1", "5", "PING") // the limit is already reached
 		c.wantLines("MSG u 1 1", "4", "PONG")
 		c.sendLines("SUB u 1", "UNSUB 1", "PUB u 1", "6", "PING")
 		c.wantLines("PONG")
@@ -288,7 +288,7 @@
 		d.wantLines("PONG")
 		c.sendLines("PUB e 2", "me", "HPUB e 20 22", "NATS/1.0\r\nTag: 1\r\n\r\nme", "PING")
 		c.wantLines("PONG")
-		d.wantLines("MSG e 1 2", "me", "HMSG e 1 20 22", "NATS/1.0", "Tag: 1", "", "me") // and no trace of the relay's own header
+		d.wantLines("MSG e 1 2", "me", "HMSG e 1 20 22", "NATS/1.0", "Tag: 1", "", "me") // without the header that the relay adds
 		d.sendLines("PUB e 3", "you", "PING")
 		c.wantLines("MSG e 1 3", "you")
 	}, lib: func(t *testing.T, s *conformanceRig) {
@@ -297,7 +297,7 @@
 		c.Publish("e.lib", nil)
 		flush(t, c)
 		if n, _, _ := sub.Pending(); n != 0 {
-			t.Errorf("%d own messages came", n)
+			t.Errorf("a client with echo off received %d of its own messages", n)
 		}
 	}},
 	{name: "no_responders for each request that asks", raw: func(t *testing.T, s *conformanceRig) {
@@ -311,7 +311,7 @@
 		c.wantLines("PONG")
 	}, lib: func(t *testing.T, s *conformanceRig) {
 		if _, err := s.libraryClient(t).Request("nobody", nil, patience); err != nats.ErrNoResponders {
-			t.Error(err)
+			t.Errorf("request without a responder: error %v, want %v", err, nats.ErrNoResponders)
 		}
 	}},
 	{name: "order is kept for 3000 pipelined publications", lib: func(t *testing.T, s *conformanceRig) {
@@ -322,7 +322,7 @@
 		}
 		for i := range 3000 {
 			if m := must[*nats.Msg](t)(sub.NextMsg(patience)); string(m.Data) != fmt.Sprint(i) {
-				t.Fatalf("message %d is %s", i, m.Data)
+				t.Fatalf("message %d = %q, want %d", i, m.Data, i)
 			}
 		}
 	}},
@@ -339,11 +339,11 @@
 		b.PublishRequest("many", inbox, nil)
 		for i := range 5 {
 			if m := must[*nats.Msg](t)(sub.NextMsg(patience)); string(m.Data) != fmt.Sprint(i) {
-				t.Errorf("reply %d is %s", i, m.Data)
+				t.Errorf("reply %d = %q, want %d", i, m.Data, i)
 			}
 		}
 		if m := must[*nats.Msg](t)(b.Request("many", nil, patience)); string(m.Data) != "0" {
-			t.Errorf("reply %s", m.Data)
+			t.Errorf("first reply = %q, want 0", m.Data)
 		}
 	}},
 	{name: "drain of a subscription loses nothing that was sent", lib: func(t *testing.T, s *conformanceRig) {
@@ -354,11 +354,11 @@
 		for range 500 {
 			p.Publish("drained", nil)
 		}
-		flush(t, p) // a member has taken, and so has sent, all of them
+		flush(t, p) // a node has accepted, and therefore delivered, all publications
 		sub.Drain()
-		waitFor(t, "the end of the drain", func() bool { return !sub.IsValid() })
+		waitFor(t, "the drain of the subscription to end", func() bool { return !sub.IsValid() })
 		if got.Load() != 500 {
-			t.Errorf("%d of 500 came", got.Load())
+			t.Errorf("%d of 500 messages arrived", got.Load())
 		}
 	}},
 	{name: "drain of a connection", lib: func(t *testing.T, s *conformanceRig) {
@@ -376,10 +376,10 @@
 		select {
 		case <-closed:
 		case <-time.After(patience):
-			t.Fatal("the connection never closed")
+			t.Fatalf("the connection was not closed within %v of its drain", patience)
 		}
 		if got.Load() != 500 || c.LastError() != nil {
-			t.Errorf("%d of 500 came; %v", got.Load(), c.LastError())
+			t.Errorf("%d of 500 messages arrived; last error %v, want none", got.Load(), c.LastError())
 		}
 	}},
 	{name: "services API", lib: func(t *testing.T, s *conformanceRig) {
@@ -392,10 +392,10 @@
 		defer service.Stop()
 		flush(t, a)
 		if m := must[*nats.Msg](t)(b.Request("svc.balance", nil, patience)); string(m.Data) != "42" {
-			t.Errorf("%s", m.Data)
+			t.Errorf("reply of the service = %q, want 42", m.Data)
 		}
 		if m := must[*nats.Msg](t)(b.Request("$SRV.PING.balance", nil, patience)); !strings.Contains(string(m.Data), `"name":"balance"`) {
-			t.Errorf("%s", m.Data)
+			t.Errorf("reply to $SRV.PING.balance = %q, want one that names the service", m.Data)
 		}
 	}},
 	{name: "JetStream publishes, pulls and acknowledgements pass", lib: jetStream},
@@ -449,7 +449,7 @@
 		p.wantLines("PONG")
 		s.k.Nodes[at].SetMode(fakes.NodeHealthy)
 		stop := make(chan bool)
-		go func() { // some of these come before it has a place again, perhaps at the same node
+		go func() { // some of these arrive before the subscription is placed again, perhaps at the same node
 			for range time.Tick(20 * time.Millisecond) {
 				select {
 				case <-stop:
@@ -459,12 +459,13 @@
 				}
 			}
 		}()
-		c.wantLines("MSG torn 1 6", "second") // and nothing of the torn one
+		c.wantLines("MSG torn 1 6", "second") // and no part of the truncated message
 		close(stop)
 	}},
 }
 
-// wantError is a command that is answered by an error, which ends the connection or does not.
+// wantError returns a clause test that sends a command and expects a -ERR with the text; ends says
+// whether the error ends the connection.
 func wantError(command, text string, ends bool) func(t *testing.T, s *conformanceRig) {
 	return func(t *testing.T, s *conformanceRig) {
 		c := s.rawClient(t, "")
@@ -479,7 +480,8 @@
 	}
 }
 
-// TestConformance runs every clause and reports how many hold.
+// TestConformance runs the tests of every clause, reports how many pass, and checks that the
+// conformance page lists every clause.
 func TestConformance(t *testing.T) {
 	text, err := os.ReadFile(conformancePage)
 	if err != nil {
@@ -507,5 +509,5 @@
 	for _, c := range ownRelayClauses {
 		runClause(nil, c)
 	}
-	t.Logf("%d of %d hold", passed, total)
+	t.Logf("%d of %d conformance tests pass", passed, total)
 }
--- a/integration/nats_load_test.go
+++ b/integration/nats_load_test.go
@@ -13,15 +13,16 @@
 	"dahliarudder/internal/fakes"
 )
 
-// patientSettings have classes with such long deadlines that nothing is rejected for them on a busy machine; where members have
-// no health checks, it cannot have them ejected either.
+// patientSettings returns settingsText with deadlines so long that no request is rejected for them on
+// a busy machine. With probes false members have no health checks, so that a busy machine cannot have
+// them ejected either.
 func patientSettings(probes bool) json.RawMessage {
 	return json.RawMessage(strings.NewReplacer(`"deadline-ms":3000`, `"deadline-ms":25000`, `"deadline-ms":2000`, `"deadline-ms":25000`,
 		`"probes":true`, fmt.Sprintf(`"probes":%v`, probes)).Replace(settingsText))
 }
 
-// natsRelay starts a relay with the NATS front alone, set up so, before a cluster that counts
-// nothing and reports no load.
+// natsRelay starts a relay whose only front is NATS, with further keys of that front, for the nodes of
+// a cluster.
 func natsRelay(t testing.TB, k *fakes.NATSCluster, front map[string]any) *relay {
 	t.Helper()
 	d := newDiscovery(t, natsMembers(k)...)
@@ -33,8 +34,8 @@
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": 24000}}), 1)
 }
 
-// TestNATSNoRejections: with idle members a client's publications are never rejected, paced or all at once, whether members
-// report load or not.
+// TestNATSNoRejections: with idle members no publication of a client is rejected, whether it publishes
+// at intervals or all at once, and whether members report load or not.
 func TestNATSNoRejections(t *testing.T) {
 	for name, front := range map[string]map[string]any{"reports": {"load_subject": "node.load"}, "own view": {}} {
 		t.Run(name, func(t *testing.T) {
@@ -59,7 +60,7 @@
 			}))
 			const publications = 2300
 			for i := range publications {
-				if i < 60 { // paced as in the report that this guards against
+				if i < 60 { // at intervals first: the fault that this test guards against appeared at this pace
 					time.Sleep(5 * time.Millisecond)
 				}
 				if err := c.Publish(fmt.Sprintf("status.%d", i%7), fmt.Append(nil, i)); err != nil {
@@ -69,9 +70,9 @@
 			if err := c.FlushTimeout(patience); err != nil {
 				t.Fatal(err)
 			}
-			waitFor(t, "all messages", func() bool { mu.Lock(); defer mu.Unlock(); return got == publications })
+			waitFor(t, "all messages to arrive", func() bool { mu.Lock(); defer mu.Unlock(); return got == publications })
 			if rejected > 0 {
-				t.Errorf("%d of %d refused", rejected, publications)
+				t.Errorf("%d of %d publications were rejected, want none", rejected, publications)
 			}
 			checkAttemptCounter(t, k.Attempts)
 		})
