--- a/integration/nats_load_test.go
+++ b/integration/nats_load_test.go
@@ -37,7 +37,7 @@
 // TestNATSNoRejections: with idle members no publication of a client is rejected, whether it publishes
 // at intervals or all at once, and whether members report load or not.
 func TestNATSNoRejections(t *testing.T) {
-	for name, front := range map[string]map[string]any{"reports": {"load_subject": "node.load"}, "own view": {}} {
+	for name, front := range map[string]map[string]any{"members report load": {"load_subject": "node.load"}, "no load reports": {}} {
 		t.Run(name, func(t *testing.T) {
 			k := newCluster(t, 3)
 			r := natsRelay(t, k, front)
--- a/integration/nats_test.go
+++ b/integration/nats_test.go
@@ -18,12 +18,12 @@
 	_ "modernc.org/sqlite"
 )
 
-// natsRig is a relay with its NATS front on, before a cluster.
+// natsRig is a relay with a NATS front and a SQLite store, in front of a cluster.
 type natsRig struct {
 	*relay
 	k  *fakes.NATSCluster
 	d  *discovery
-	db string
+	db string // path of the store's file
 }
 
 func newNATSRig(t *testing.T, nodes int) *natsRig {
@@ -39,7 +39,7 @@
 	return s
 }
 
-// connect is a client of the public library.
+// connect returns a connected client of the NATS library that does not reconnect.
 func (s *natsRig) connect(options ...nats.Option) *nats.Conn {
 	s.t.Helper()
 	options = append(options, nats.Timeout(patience), nats.NoReconnect(),
@@ -52,6 +52,7 @@
 	return c
 }
 
+// must returns a function that fails the test if err is not nil, and returns v otherwise.
 func must[T any](t testing.TB) func(v T, err error) T {
 	return func(v T, err error) T {
 		t.Helper()
@@ -69,8 +70,8 @@
 	}
 }
 
-// TestNATS: the client protocol through the relay: messages with headers, replies, queue groups, a limit on a subscription's
-// messages, and requests without a responder.
+// TestNATS: the client protocol works through the relay: messages with headers, replies, queue groups,
+// a limit on the messages of a subscription, requests without a responder, and the payload limit.
 func TestNATS(t *testing.T) {
 	s := newNATSRig(t, 3)
 	a, b := s.connect(), s.connect()
@@ -84,15 +85,15 @@
 	}
 	got := must[*nats.Msg](t)(sub.NextMsg(patience))
 	if got.Subject != "status.one" || string(got.Data) != "paid" || got.Header.Get("Trace") != "7" {
-		t.Errorf("got %+v", got)
+		t.Errorf("got message %+v, want subject status.one, data paid and header Trace: 7", got)
 	}
 	must[*nats.Subscription](t)(a.Subscribe("refund.check", func(m *nats.Msg) { m.Respond(append([]byte("yes "), m.Data...)) }))
 	s.flush(a)
 	if got := must[*nats.Msg](t)(b.Request("refund.check", []byte("42"), patience)); string(got.Data) != "yes 42" {
-		t.Errorf("reply %q", got.Data)
+		t.Errorf("reply = %q, want %q", got.Data, "yes 42")
 	}
 	if _, err := b.Request("refund.nobody", nil, patience); !errors.Is(err, nats.ErrNoResponders) {
-		t.Errorf("nobody listens: %v", err)
+		t.Errorf("request without a responder: error %v, want %v", err, nats.ErrNoResponders)
 	}
 	shared := make(chan *nats.Msg, 100)
 	for _, c := range []*nats.Conn{a, b} {
@@ -109,11 +110,11 @@
 		case m := <-shared:
 			seen[string(m.Data)]++
 		case <-time.After(patience):
-			t.Fatalf("%d of 20 jobs came", len(seen))
+			t.Fatalf("%d of 20 jobs arrived within %v", len(seen), patience)
 		}
 	}
 	if len(seen) != 20 || len(shared) != 0 {
-		t.Errorf("jobs %v, %d more", seen, len(shared))
+		t.Errorf("the queue group received the jobs %v and %d more, want 20 jobs once each", seen, len(shared))
 	}
 	few := must[*nats.Subscription](t)(a.SubscribeSync("few"))
 	few.AutoUnsubscribe(2)
@@ -124,16 +125,16 @@
 	s.flush(b)
 	must[*nats.Msg](t)(few.NextMsg(patience))
 	must[*nats.Msg](t)(few.NextMsg(patience))
-	waitFor(t, "its end at the node", func() bool { return fmt.Sprint(s.k.Subscriptions("few")) == "[0 0 0]" })
+	waitFor(t, "the nodes to have no subscription to few", func() bool { return fmt.Sprint(s.k.Subscriptions("few")) == "[0 0 0]" })
 	if err := b.Publish("status.big", make([]byte, 70000)); !errors.Is(err, nats.ErrMaxPayload) {
-		t.Errorf("a payload over the limit: %v", err)
+		t.Errorf("publishing a payload over the limit: error %v, want %v", err, nats.ErrMaxPayload)
 	}
 	checkAttemptCounter(t, s.k.Attempts)
 	s.stop()
 }
 
-// TestNATSDrain: when a node starts to drain, the subscriptions on it move to others while it goes on serving them, and
-// messages keep arriving.
+// TestNATSDrain: when a node starts to drain, its subscriptions move to other nodes while it still
+// serves them, and messages keep arriving.
 func TestNATSDrain(t *testing.T) {
 	s := newNATSRig(t, 3)
 	c, p := s.connect(), s.connect()
@@ -155,7 +156,7 @@
 		}
 	}
 	s.d.SetLifecycle(s.k.Nodes[leaving].ID, "DRAINING")
-	waitFor(t, "the move", func() bool {
+	waitFor(t, "all 8 subscriptions to be at other nodes", func() bool {
 		counts := s.k.Subscriptions("feed")
 		return counts[leaving] == 0 && sum(counts) == 8
 	})
@@ -165,42 +166,43 @@
 		select {
 		case <-got:
 		case <-time.After(patience):
-			t.Fatalf("%d of 8 came after the drain", n)
+			t.Fatalf("%d of 8 messages arrived after the drain", n)
 		}
 	}
 	c.Close()
 	p.Close()
 	checkAttemptCounter(t, s.k.Attempts)
 	s.stop()
-	s.checkStored(map[string]int{"served": 8 + 1}) // the record also holds the moved ones
+	s.checkStored(map[string]int{"served": 8 + 1}) // a minimum: the moved subscriptions are recorded too
 }
 
-// checkStored reads the store back: one answer for each request, its attempts one after another, three at most, and at least a
-// number of answers of each kind.
+// checkStored checks the store's contents: each attempt has a recorded request, the attempts of a
+// request do not overlap, there are three at most, and their number is the recorded one. minimum is the
+// least number of requests with each final answer.
 func (s *natsRig) checkStored(minimum map[string]int) {
 	s.t.Helper()
 	count := s.queryCount
 	for answer, n := range minimum {
 		if got := count("SELECT count(*) FROM requests WHERE answer = '" + answer + "'"); got < n {
-			s.t.Errorf("%d of at least %d recorded as %s", got, n, answer)
+			s.t.Errorf("%d requests recorded with answer %s, want at least %d", got, answer, n)
 		}
 	}
 	if n := count("SELECT count(*) FROM requests WHERE tries > 3"); n > 0 {
-		s.t.Errorf("%d requests with over three attempts", n)
+		s.t.Errorf("%d requests recorded with more than three attempts", n)
 	}
 	if n := count(`SELECT count(*) FROM attempts a JOIN attempts b ON a.run = b.run AND a.request = b.request
 		AND a.try < b.try AND b.start_us < a.end_us`); n > 0 {
-		s.t.Errorf("%d overlapping attempts recorded", n)
+		s.t.Errorf("%d pairs of overlapping attempts of one request recorded", n)
 	}
 	if n := count(`SELECT count(*) FROM attempts a LEFT JOIN requests r ON a.run = r.run AND a.request = r.id WHERE r.id IS NULL`); n > 0 {
-		s.t.Errorf("%d attempts without a final answer", n)
+		s.t.Errorf("%d attempts recorded without a final answer of their request", n)
 	}
 	if a, t := count("SELECT count(*) FROM attempts"), count("SELECT coalesce(sum(tries), 0) FROM requests"); a != t {
-		s.t.Errorf("%d attempts recorded, %d counted", a, t)
+		s.t.Errorf("%d attempts recorded, but the requests count %d", a, t)
 	}
 }
 
-// queryCount reads one number from the store.
+// queryCount returns the one number that a query of the store selects.
 func (s *natsRig) queryCount(query string) (n int) {
 	s.t.Helper()
 	db := must[*sql.DB](s.t)(sql.Open("sqlite", s.db))
@@ -211,8 +213,8 @@
 	return n
 }
 
-// TestNATSRetry: a publication that a node refuses is retried at another one, and never has two attempts in flight; each has
-// one final answer.
+// TestNATSRetry: a publication that a node refuses, resets or does not answer is retried at another
+// node and never has two attempts in flight; each publication has one final answer.
 func TestNATSRetry(t *testing.T) {
 	for name, mode := range map[string]fakes.NodeMode{"err": fakes.NodeRefuses, "silent": fakes.NodeSilent, "reset": fakes.NodeResets} {
 		t.Run(name, func(t *testing.T) {
@@ -220,7 +222,7 @@
 			c := s.connect()
 			c.Publish("job.first", []byte("first"))
 			s.flush(c)
-			for _, n := range s.k.Nodes { // the feed stands here
+			for _, n := range s.k.Nodes { // set the mode of the node that the client's publications go to
 				if n.Published() > 0 {
 					n.SetMode(mode)
 				}
@@ -237,16 +239,16 @@
 			s.stop()
 			s.checkStored(map[string]int{"served": 1})
 			if n := s.queryCount("SELECT count(*) FROM requests WHERE name LIKE 'PUB job.%'"); n != jobs+1 {
-				t.Errorf("%d final answers for %d publications", n, jobs)
+				t.Errorf("%d final answers recorded for %d publications", n, jobs+1)
 			}
 			if n := s.queryCount("SELECT count(*) FROM attempts WHERE result NOT IN ('ok', 'cancelled')"); n == 0 {
-				t.Error("no attempt failed: nothing was tried")
+				t.Error("no attempt failed, so that the test shows no retry")
 			}
 		})
 	}
 }
 
-// TestNATSTerm: a relay that stops announces it, and its clients' connections end.
+// TestNATSTerm: a relay that stops notifies its clients and closes their connections.
 func TestNATSTerm(t *testing.T) {
 	s := newNATSRig(t, 2)
 	lame, closed := make(chan bool, 1), make(chan bool, 1)
@@ -255,15 +257,16 @@
 	must[*nats.Subscription](t)(c.SubscribeSync("feed"))
 	s.flush(c)
 	s.stop()
-	for what, ch := range map[string]chan bool{"the notice": lame, "the end": closed} {
+	for what, ch := range map[string]chan bool{"the lame duck notice": lame, "the end of its connection": closed} {
 		select {
 		case <-ch:
 		case <-time.After(patience):
-			t.Errorf("the client never saw %s", what)
+			t.Errorf("the client did not see %s within %v", what, patience)
 		}
 	}
 }
 
+// processorVerdict is the relay's answer to a processor.
 type processorVerdict struct {
 	Verdict string `json:"verdict"`
 	ID      uint64 `json:"id"`
@@ -271,7 +274,8 @@
 	Member  string `json:"member"`
 }
 
-// TestProcessor: another proxy carries requests itself and requests verdicts.
+// TestProcessor: another proxy, which sends requests to members itself, asks the relay for a verdict
+// on each attempt and reports the outcomes.
 func TestProcessor(t *testing.T) {
 	s := newNATSRig(t, 3)
 	c := s.connect(nats.CustomInboxPrefix("_dahlia.inbox"))
@@ -292,56 +296,57 @@
 	const pickRequest = `{"name":"r1","class":"pay-status","tenant":"water","wait_ms":2900,"control":"_dahlia.control.one"}`
 	for range 3 {
 		if v := call("pick", pickRequest); v.Verdict != "send" || report(v, "ok").Verdict != "served" {
-			t.Fatalf("verdict %+v", v)
+			t.Fatalf("pick answered with verdict %+v, want send, and served after the report ok", v)
 		}
 	}
 	first := call("pick", pickRequest)
 	if first.Verdict != "send" || first.Try != 0 || first.Member == "" {
-		t.Fatalf("verdict %+v", first)
+		t.Fatalf("pick answered with verdict %+v, want send, try 0 and a member", first)
 	}
 	second := report(first, "connect_failed")
 	if second.Verdict != "send" || second.Try != 1 || second.Member == first.Member {
-		t.Fatalf("verdict %+v after %+v failed", second, first)
+		t.Fatalf("verdict %+v after %+v failed, want send, try 1 and another member", second, first)
 	}
 	if late := report(first, "up"); late.Verdict != "unknown" {
-		t.Errorf("a late report got %+v", late)
+		t.Errorf("a report on an attempt that is over got verdict %+v, want unknown", late)
 	}
 	if v := report(second, "ok"); v.Verdict != "served" {
-		t.Errorf("verdict %+v", v)
+		t.Errorf("report ok got verdict %+v, want served", v)
 	}
 	if v := report(second, "ok"); v.Verdict != "unknown" {
-		t.Errorf("a second report got %+v", v)
+		t.Errorf("a second report ok got verdict %+v, want unknown", v)
 	}
 	open := call("pick", pickRequest)
 	if v := report(open, "up"); v.Verdict != "up" {
-		t.Errorf("verdict %+v", v)
+		t.Errorf("report up got verdict %+v, want up", v)
 	}
 	s.d.SetLifecycle(open.Member, "DRAINING")
 	wantControl := func(want string) {
 		t.Helper()
 		m := must[*nats.Msg](t)(control.NextMsg(patience))
 		if !strings.Contains(string(m.Data), `"verdict":"`+want+`"`) {
-			t.Fatalf("control got %s, want %s", m.Data, want)
+			t.Fatalf("control message = %s, want verdict %s", m.Data, want)
 		}
 	}
 	wantControl("move")
 	silent := call("pick", pickRequest)
 	if silent.Verdict != "send" || silent.Member == open.Member {
-		t.Fatalf("verdict %+v", silent)
+		t.Fatalf("pick answered with verdict %+v, want send to a member other than %s, which drains", silent, open.Member)
 	}
-	wantControl("cancel") // it is given up as any attempt that says nothing
+	wantControl("cancel") // an attempt without a report is cancelled like any attempt without an answer
 	if v := call("pick", `{"class":"unheard-of"}`); v.Verdict != "error" {
-		t.Errorf("verdict %+v", v)
+		t.Errorf("pick with an unknown class got verdict %+v, want error", v)
 	}
 	if _, err := c.Request("_dahlia.nothing", nil, patience); !errors.Is(err, nats.ErrNoResponders) {
-		t.Errorf("an unknown reserved subject: %v", err)
+		t.Errorf("request on an unknown reserved subject: error %v, want %v", err, nats.ErrNoResponders)
 	}
 	c.Close()
 	s.stop()
 	s.checkStored(map[string]int{"served": 5})
 }
 
-// TestNATSBadInput: invalid protocol ends that connection with an error, and the relay goes on.
+// TestNATSBadInput: input that violates the protocol ends that connection with an error, and the relay
+// still serves other clients.
 func TestNATSBadInput(t *testing.T) {
 	s := newNATSRig(t, 1)
 	connect := "CONNECT {\"verbose\":true}\r\n"
@@ -365,7 +370,7 @@
 			c.wantLine("+OK")
 		}
 		if got := c.line(); got != want {
-			t.Errorf("%.40q got %q, want %q", text, got, want)
+			t.Errorf("input %.40q: got %q, want %q", text, got, want)
 		}
 	}
 	c := s.connect()
@@ -373,26 +378,26 @@
 	s.stop()
 }
 
-// TestDeployed: the operator's file that is shipped works as docs/nats.md describes: with trial certificates, by TLS, for its
-// users.
+// TestDeployed: the shipped configuration deploy/nats.json works as docs/nats.md describes: with trial
+// certificates, over TLS, for its configured users.
 func TestDeployed(t *testing.T) {
 	dir := t.TempDir()
 	if out, err := run("keys", "certificate", "--dir", filepath.Join(dir, "tls")); err != nil {
-		t.Fatalf("%v, %s", err, out)
+		t.Fatalf("keys certificate: %v, output %s", err, out)
 	}
 	k := newCluster(t, 2)
 	text := string(must[[]byte](t)(os.ReadFile("../deploy/nats.json")))
 	for old, now := range map[string]string{"127.0.0.1:8500": newDiscovery(t, natsMembers(k)...).addr, `"listen": "127.0.0.1:4222"`: `"listen": "127.0.0.1:0"`,
 		`"operator": "127.0.0.1:9901",`: "", `"dahliarudder.db"`: fmt.Sprintf("%q", filepath.Join(dir, "record.db"))} {
 		if !strings.Contains(text, old) {
-			t.Errorf("the file does not name %s", old)
+			t.Errorf("deploy/nats.json does not contain %s", old)
 		}
 		text = strings.ReplaceAll(text, old, now)
 	}
 	path := filepath.Join(dir, "nats.json")
 	writeFile(t, path, text)
 	if out, err := run("check", "--config", path); err != nil {
-		t.Fatalf("%v, %s", err, out)
+		t.Fatalf("check of the configuration: %v, output %s", err, out)
 	}
 	r := start(t, path, 1)
 	ca := nats.RootCAs(filepath.Join(dir, "tls", "ca.pem"))
@@ -404,18 +409,19 @@
 	billing := must[*nats.Conn](t)(connect("billing", "billing-trial"))
 	defer billing.Close()
 	if _, err := connect("billing", "desk-trial"); err == nil {
-		t.Error("a wrong password enters")
+		t.Error("user billing is admitted with a wrong password")
 	}
 	sub := must[*nats.Subscription](t)(desk.SubscribeSync("status.>"))
 	flush(t, desk)
 	billing.Publish("status.paid", []byte("42"))
 	if m := must[*nats.Msg](t)(sub.NextMsg(patience)); string(m.Data) != "42" {
-		t.Errorf("got %s", m.Data)
+		t.Errorf("got message %q, want 42", m.Data)
 	}
 }
 
-// TestProcessorRetry: a proxy that has had no answer in time asks again, by the same name, on its connection or on another one
-// of its own. Both calls are about one request: there are never two attempts in flight.
+// TestProcessorRetry: a processor that has had no answer in time repeats its call with the same name,
+// on the same connection or another one of its own. Both calls are about one request: there are never
+// two attempts in flight.
 func TestProcessorRetry(t *testing.T) {
 	s := newNATSRig(t, 3)
 	first, second := s.connect(nats.CustomInboxPrefix("_dahlia.inbox")), s.connect(nats.CustomInboxPrefix("_dahlia.inbox"))
@@ -435,46 +441,46 @@
 	wantVerdict := func(what string, got, want processorVerdict) {
 		t.Helper()
 		if got != want {
-			t.Errorf("%s: %+v, want %+v", what, got, want)
+			t.Errorf("%s: verdict %+v, want %+v", what, got, want)
 		}
 	}
 	v := call(first, "pick", pickRequest)
 	repeated := call(first, "pick", pickRequest)
-	wantVerdict("asked again", repeated, v)
+	wantVerdict("pick repeated on the same connection", repeated, v)
 	next := report(first, v, "connect_failed")
 	if next.Verdict != "send" || next.ID != v.ID || next.Try != 1 {
-		t.Fatalf("after a failed connection: %+v", next)
+		t.Fatalf("report connect_failed got verdict %+v, want send of request %d with try 1", next, v.ID)
 	}
 	onSecond := call(second, "pick", pickRequest)
-	wantVerdict("asked on another connection", onSecond, next)
+	wantVerdict("pick repeated on another connection", onSecond, next)
 	if late := report(second, v, "ok"); late.Verdict != "unknown" {
-		t.Errorf("a report of the attempt before: %+v", late)
+		t.Errorf("a report on the previous attempt got verdict %+v, want unknown", late)
 	}
 	if up := report(second, next, "up"); up.Verdict != "up" {
-		t.Errorf("up: %+v", up)
+		t.Errorf("report up got verdict %+v, want up", up)
 	}
 	if up := call(second, "pick", pickRequest); up.Verdict != "up" || up.ID != next.ID || up.Try != next.Try {
-		t.Errorf("asked once more of an open flow: %+v", up)
+		t.Errorf("pick repeated for an open flow got verdict %+v, want up and the same attempt as %+v", up, next)
 	}
-	first.Close() // it is the other one's by now
+	first.Close() // the request belongs to the second connection by now
 	if done := report(second, next, "ok"); done.Verdict != "served" {
-		t.Errorf("at its end: %+v", done)
+		t.Errorf("report ok at the flow's end got verdict %+v, want served", done)
 	}
 	if fresh := call(second, "pick", pickRequest); fresh.Verdict != "send" || fresh.ID == next.ID {
-		t.Errorf("the name is free again: %+v", fresh)
+		t.Errorf("pick with the name of a finished request got verdict %+v, want send of a new request", fresh)
 	}
 	if other := call(second, "pick", strings.Replace(pickRequest, "r1", "r2", 1)); other.Verdict != "send" {
-		t.Errorf("another name: %+v", other)
+		t.Errorf("pick with another name got verdict %+v, want send", other)
 	}
 	second.Close()
 	s.stop()
 	s.checkStored(map[string]int{"served": 1, "left": 2})
 }
 
-// TestNATSClientGone: publications of a client that goes while they are out, or wait for a place, are not tried again; those of
-// others are.
+// TestNATSClientGone: a publication whose client disconnects while it is in flight or waits for another
+// attempt is not retried; publications of other clients are not affected.
 func TestNATSClientGone(t *testing.T) {
-	for what, mode := range map[string]fakes.NodeMode{"out at a silent node": fakes.NodeSilent, "refused by a node": fakes.NodeRefuses, "reset by a node": fakes.NodeResets} {
+	for what, mode := range map[string]fakes.NodeMode{"in flight at a silent node": fakes.NodeSilent, "refused by a node": fakes.NodeRefuses, "reset by a node": fakes.NodeResets} {
 		t.Run(what, func(t *testing.T) {
 			k := newCluster(t, 2)
 			r := natsRelay(t, k, nil)
@@ -490,20 +496,20 @@
 				}
 				return n
 			}
-			waitFor(t, "the first attempt", func() bool { return published() > 0 })
+			waitFor(t, "the first attempt to reach a node", func() bool { return published() > 0 })
 			c.Conn.(*net.TCPConn).SetLinger(0)
 			c.Close()
-			waitFor(t, "the end of its links", func() bool { return k.Nodes[0].Connections()+k.Nodes[1].Connections() == 0 })
+			waitFor(t, "the relay to close its connections to the nodes", func() bool { return k.Nodes[0].Connections()+k.Nodes[1].Connections() == 0 })
 			before := published()
 			for _, o := range k.Nodes {
 				o.SetMode(fakes.NodeHealthy)
 			}
-			other := r.natsDial() // what it says is taken after all that was under way
+			other := r.natsDial() // its publication follows everything that was still in progress
 			other.wantLine("INFO ")
 			other.send("CONNECT {}\r\nPUB s 5\r\nstays\r\nPING")
 			other.wantLine("PONG")
 			if n := published() - before; n != 1 {
-				t.Errorf("%d publications after the client had gone, one of them another's", n)
+				t.Errorf("the nodes accepted %d publications after the client had gone, want only the one of the other client", n)
 			}
 			for _, violation := range k.Attempts.Violations() {
 				t.Error(violation)
--- a/integration/peers_test.go
+++ b/integration/peers_test.go
@@ -19,18 +19,20 @@
 	"dahliarudder/internal/gossip"
 )
 
-// gossipRig is several relays that know of each other, each reaching each other by a link of its own.
+// gossipRig is several relays that are peers by gossip. If they are linked, each relay reaches each
+// other one through a proxy of its own.
 type gossipRig struct {
 	t      testing.TB
 	d      *discovery
 	relays []*relay
 	conf   []string
-	links  [][]*fakes.UDPProxy // from, to
-	addrs  []string
+	links  [][]*fakes.UDPProxy // by sending relay and receiving relay; nil entries for none
+	addrs  []string            // gossip addresses
 }
 
 const gossipRigKey = "a key of this installation, 32 characters and more"
 
+// newGossipRig starts n relays, with proxies between them if linked.
 func newGossipRig(t testing.TB, n int, linked bool) *gossipRig {
 	c := &gossipRig{t: t}
 	d := newDiscovery(t)
@@ -78,7 +80,7 @@
 
 func (c *gossipRig) start(i int) { c.relays[i] = start(c.t, c.conf[i], 2) }
 
-// peersAnswer is a relay's report of its peers.
+// peersAnswer is the part of a relay's report on its peers that the tests read.
 type peersAnswer struct {
 	Self  struct{ Incarnation, Generation uint64 }
 	Live  int
@@ -105,10 +107,10 @@
 	return a
 }
 
-// waitSeen waits until relay i sees another one in one of these states.
+// waitSeen waits until relay i reports relay j in one of the states.
 func (c *gossipRig) waitSeen(i, j int, states ...string) {
 	c.t.Helper()
-	waitFor(c.t, fmt.Sprintf("n%d to hold n%d for %v", i, j, states), func() bool {
+	waitFor(c.t, fmt.Sprintf("n%d to report n%d in one of the states %v", i, j, states), func() bool {
 		for _, p := range c.peersAnswer(i).Peers {
 			for _, s := range states {
 				if p.Name == fmt.Sprintf("n%d", j) && p.State == s {
@@ -132,7 +134,8 @@
 	}
 }
 
-// cut parts the relays before side from the others, both ways or one.
+// cut cuts the links from the relays below side to the others, or restores them; with both set, also
+// the links in the other direction.
 func (c *gossipRig) cut(side int, on, both bool) {
 	for i, row := range c.links {
 		for j, l := range row {
@@ -143,9 +146,10 @@
 	}
 }
 
-// TestPeersProcesses: relays that start together with one known address down find each other. A killed one is known to be gone
-// because its port refuses connections, and known again when it is back without its state; a suspended one is missed and taken
-// back; one that exits by itself has announced it.
+// TestPeersProcesses: relays that start together, with one known address down, find each other. A
+// killed relay is reported as gone, because its port refuses connections, and as alive again when it is
+// back without its state. A suspended relay is reported as dead and, when it continues, as alive. A
+// relay that exits by itself has announced this and is reported as left.
 func TestPeersProcesses(t *testing.T) {
 	c := newGossipRig(t, 4, false)
 	c.waitAllAlive()
@@ -155,14 +159,14 @@
 		c.waitSeen(i, 3, "gone")
 	}
 	if a := c.peersAnswer(0); a.Live != 3 || a.Down != 1 {
-		t.Errorf("%d live, %d down", a.Live, a.Down)
+		t.Errorf("n0 reports %d relays live and %d down, want 3 and 1", a.Live, a.Down)
 	}
 	c.start(3)
 	c.waitAllAlive()
 	for _, was := range before {
 		for _, is := range c.peersAnswer(1).Peers {
 			if was.Name == "n3" && is.Name == "n3" && is.Incarnation <= was.Incarnation {
-				t.Errorf("back with incarnation %d, before %d", is.Incarnation, was.Incarnation)
+				t.Errorf("n3 is back with incarnation %d, want more than %d as before", is.Incarnation, was.Incarnation)
 			}
 		}
 	}
@@ -177,28 +181,28 @@
 	}
 }
 
-// TestPeersLinks: the links between the processes fail. A cut in both directions and in one, loss, duplication and delays
-// beyond a ping's timeout. A relay in the minority uses half of its share of the common budgets, and all agree again
-// afterwards.
+// TestPeersLinks: the links between the relays fail: they are cut in both directions and in one, and
+// they lose, duplicate and delay datagrams beyond the timeout of a ping. A relay in the minority uses
+// half of its share of the common budgets, and all relays see each other as alive again afterwards.
 func TestPeersLinks(t *testing.T) {
 	c := newGossipRig(t, 5, true)
 	c.waitAllAlive()
-	waitFor(t, "budgets divided by five", func() bool { return c.peersAnswer(0).Share == 5 && c.peersAnswer(4).Share == 5 })
+	waitFor(t, "n0 and n4 to divide the budgets by five", func() bool { return c.peersAnswer(0).Share == 5 && c.peersAnswer(4).Share == 5 })
 	c.cut(2, true, true)
 	c.waitSeen(0, 4, "dead")
 	c.waitSeen(4, 0, "dead")
 	for i := range c.relays {
-		waitFor(t, fmt.Sprintf("n%d to divide budgets as its side may", i), func() bool {
+		waitFor(t, fmt.Sprintf("n%d to divide the budgets according to its side of the cut", i), func() bool {
 			if share := c.peersAnswer(i).Share; i >= 2 {
-				return share <= 4 && share >= 3 // three of five, and a fifth less at most in 5 s
+				return share <= 4 && share >= 3 // majority, three of five; the divisor falls by a fifth at most in 5 s
 			} else {
-				return share == 10 // two of five: half of a fifth
+				return share == 10 // minority, two of five: half of a fifth
 			}
 		})
 	}
 	c.cut(2, false, true)
 	c.waitAllAlive()
-	c.cut(1, true, false) // n0 is not heard, but hears
+	c.cut(1, true, false) // n0 receives, but what it sends is lost
 	c.waitSeen(4, 0, "suspect", "dead")
 	c.cut(1, false, false)
 	for _, row := range c.links {
@@ -208,7 +212,7 @@
 			}
 		}
 	}
-	time.Sleep(5 * time.Second) // so that there is something to recover from
+	time.Sleep(5 * time.Second) // long enough for the impairment to have an effect
 	for _, row := range c.links {
 		for _, l := range row {
 			if l != nil {
@@ -218,7 +222,7 @@
 	}
 	c.waitAllAlive()
 
-	// What no peer has sent, or has sent before, is refused by its reason.
+	// Datagrams that no peer has sent, or that repeat an earlier one, are refused and counted by reason.
 	l := c.links[0][1]
 	datagram, _ := l.Last()
 	l.Inject(datagram)
@@ -229,15 +233,16 @@
 	foreign := append([]byte(nil), datagram...)
 	foreign[2] ^= 1
 	l.Inject(foreign)
-	waitFor(t, "what was refused", func() bool {
+	waitFor(t, "n1 to count the refused datagrams", func() bool {
 		r := c.peersAnswer(1).Refused
 		return r["repeated"] > 0 && r["size"] > 1 && r["tag"] > 0 && r["key"] > 0
 	})
 	c.waitAllAlive()
 }
 
-// TestPeersDuplicateName: two processes have one name. The others accept the later one, refuse the earlier one with that
-// reason, and see nobody as dead; once one process with that name is left, restarted, all is as before.
+// TestPeersDuplicateName: two processes have one name. The others accept the later one, refuse the
+// earlier one with this reason, and report no relay as dead. Once both are killed and one process with
+// that name is started again, all relays see each other as alive.
 func TestPeersDuplicateName(t *testing.T) {
 	c := newGossipRig(t, 3, false)
 	c.waitAllAlive()
@@ -249,7 +254,7 @@
 	writeFile(t, path, strings.Replace(string(text), c.addrs[2], reservePort(t), 1))
 	writeFile(t, filepath.Join(filepath.Dir(path), "key"), gossipRigKey+"\n")
 	duplicate := start(t, path, 2)
-	waitFor(t, "the clash to be counted", func() bool {
+	waitFor(t, "n0 to count the datagrams refused for a duplicate name", func() bool {
 		time.Sleep(30 * time.Millisecond)
 		return c.peersAnswer(0).Refused["two relays of one name"] > 0
 	})
@@ -262,9 +267,9 @@
 	c.waitAllAlive()
 }
 
-// TestPeersPortTaken: another process has a relay's TCP port, while its UDP port is free. It is a peer of the others all the
-// same, and has its listener once the port is free. Guards against a relay that serves and receives nothing, not even a
-// canary's pause.
+// TestPeersPortTaken: another process has a relay's TCP port, while its UDP port is free. The relay
+// still becomes a peer of the others, and opens its TCP listener once the port is free. Guards against a
+// relay that serves but receives no gossip, not even the pause of a canary.
 func TestPeersPortTaken(t *testing.T) {
 	c := newGossipRig(t, 2, false)
 	c.waitAllAlive()
@@ -277,7 +282,7 @@
 	c.start(1)
 	c.waitAllAlive()
 	other.Close()
-	waitFor(t, "the door", func() bool {
+	waitFor(t, "n1 to listen on its TCP port", func() bool {
 		d, err := net.Dial("tcp", c.addrs[1])
 		if err == nil {
 			d.Close()
@@ -286,13 +291,13 @@
 	})
 }
 
-// TestPeersObservations: what one relay observes of its members reaches the others.
+// TestPeersObservations: a relay's observations of its members reach the other relays.
 func TestPeersObservations(t *testing.T) {
 	c := newGossipRig(t, 2, false)
 	b := newBackend(t, "s-5be2a000", fakes.NewAttemptCounter())
 	b.SetMode(fakes.ModeErr)
 	c.d.Put(b.member())
-	waitFor(t, "n1 to hear what n0 saw", func() bool {
+	waitFor(t, "n1 to report the failures that n0 observed", func() bool {
 		c.relays[0].openFlow(int(time.Now().UnixNano()&0xffffff), "").line()
 		for _, p := range c.peersAnswer(1).Peers {
 			if len(p.Seen.Members) == 1 && p.Seen.Members[0].Name == b.id && p.Seen.Members[0].Failures > 0 && p.Seen.Zones[0].Name == "a" {
@@ -304,9 +309,9 @@
 	})
 }
 
-// TestPeersStale: the link on which discovery notifies one relay of changes is silently dead. The relay learns from the others
-// that they have a newer list, polls again, and sends nothing more to the draining member, seconds before its own call would
-// have timed out.
+// TestPeersStale: the connection on which one relay waits for changes from discovery no longer carries
+// data but stays open. The relay learns by gossip that the others have a newer list, polls again, and
+// learns that a member drains, seconds before its own call times out.
 func TestPeersStale(t *testing.T) {
 	c := newGossipRig(t, 3, false)
 	a, b := newBackend(t, "s-5be2a000", fakes.NewAttemptCounter()), newBackend(t, "s-5be2a001", fakes.NewAttemptCounter())
@@ -320,47 +325,48 @@
 	c.relays[0].reload(c.d.addr, proxy.Addr())
 	c.waitAllAlive()
 	generation := func(i int) uint64 { return c.peersAnswer(i).Self.Generation }
-	waitFor(t, "the list", func() bool { return generation(0) == 3 && generation(1) == 3 && generation(2) == 3 })
-	time.Sleep(200 * time.Millisecond) // the next call is out
+	waitFor(t, "all relays to have the list of generation 3", func() bool { return generation(0) == 3 && generation(1) == 3 && generation(2) == 3 })
+	time.Sleep(200 * time.Millisecond) // until n0 has sent its next call to discovery
 	proxy.Stall()
 	c.d.SetLifecycle(b.id, "DRAINING")
-	waitFor(t, "n0 to hold what the others hold", func() bool { time.Sleep(50 * time.Millisecond); return generation(0) == 4 })
+	waitFor(t, "n0 to have the list of generation 4", func() bool { time.Sleep(50 * time.Millisecond); return generation(0) == 4 })
 	c.relays[0].waitLogged("other relays hold a newer list")
 	if strings.Contains(c.relays[0].log.String(), "no answer in time") {
-		t.Error("its own call was given up first")
+		t.Error("n0's own call to discovery timed out before it polled again")
 	}
 }
 
-// TestPeersOff: without the setting there is no account and no descriptor more; a key that others may read stops the start.
+// TestPeersOff: without the setting peers the report on peers does not exist; the configuration check
+// rejects a key file that other users may read.
 func TestPeersOff(t *testing.T) {
 	s := newLineRig(t, 1, map[string]any{"operator": "127.0.0.1:0"})
 	if code := s.call("GET", "/-/peers"); code != http.StatusNotFound {
-		t.Errorf("peers are off, and the call says %d", code)
+		t.Errorf("GET /-/peers without the setting peers = %d, want 404", code)
 	}
 	d := newDiscovery(t)
 	path := configure(t, d, map[string]any{"peers": map[string]any{"listen": "127.0.0.1:0", "key_file": "key"}})
 	key := filepath.Join(filepath.Dir(path), "key")
 	writeFile(t, key, gossipRigKey)
 	if out, err := run("check", "--config", path); err != nil {
-		t.Errorf("%v, %s", err, out)
+		t.Errorf("check with a private key file: %v, output %s", err, out)
 	}
 	if err := os.Chmod(key, 0o644); err != nil {
 		t.Fatal(err)
 	}
 	if out, err := run("check", "--config", path); err == nil || !strings.Contains(out, "0600") {
-		t.Errorf("%v, %s", err, out)
+		t.Errorf("check with a key file of mode 0644: %v, output %s; want an error that names mode 0600", err, out)
 	}
 }
 
-// TestPeersFifty measures with PEERS_PROCESSES processes how soon all others see a killed one as gone. It is not part of the
-// usual run.
+// TestPeersFifty measures, with PEERS_PROCESSES relays, how soon all others report a killed relay. It is
+// skipped unless PEERS_PROCESSES is set.
 func TestPeersFifty(t *testing.T) {
 	n, err := strconv.Atoi(os.Getenv("PEERS_PROCESSES"))
 	if err != nil {
 		t.Skip("PEERS_PROCESSES is not set")
 	}
 	c := newGossipRig(t, n, false)
-	waitFor(t, "all to see all", func() bool {
+	waitFor(t, "the first and the last relay to report all relays as live", func() bool {
 		time.Sleep(time.Second)
 		return c.peersAnswer(0).Live == n && c.peersAnswer(n-1).Live == n
 	})
@@ -377,7 +383,7 @@
 		}
 	}
 	slices.Sort(took)
-	t.Logf("%d of %d noticed; p50 %v, last %v", len(took), n-1, took[len(took)/2], took[len(took)-1])
+	t.Logf("%d of %d relays reported the killed one; p50 %v, last %v", len(took), n-1, took[len(took)/2], took[len(took)-1])
 	usage, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", c.relays[0].cmd.Process.Pid))
 	for line := range strings.Lines(string(usage)) {
 		if strings.HasPrefix(line, "VmRSS") {
@@ -386,5 +392,5 @@
 	}
 	stat, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", c.relays[0].cmd.Process.Pid))
 	f := strings.Fields(string(stat))
-	t.Logf("processor ticks, user %s, system %s", f[13], f[14])
+	t.Logf("processor time of n0 in clock ticks: user %s, system %s", f[13], f[14])
 }
--- a/integration/postgres_rig_test.go
+++ b/integration/postgres_rig_test.go
@@ -13,17 +13,16 @@
 	"testing"
 )
 
-// postgres is a fake PostgreSQL server, written from the public
-// description of its protocol. It knows as much as a store of records needs:
-// tables are made, rows are put in, transactions begin and end.
+// postgres is a fake PostgreSQL server, written from the public description of its protocol. It
+// supports what the relay's store needs: CREATE, INSERT of rows, and transactions.
 type postgres struct {
 	l       net.Listener
 	mu      sync.Mutex
 	rows    map[string]map[string][]string // by table and primary key
-	failAll bool                           // every transaction fails
+	failAll bool                           // every simple query but ROLLBACK fails, so that no transaction commits
 }
 
-// keys is how many leading columns are a table's primary key.
+// primaryKeyColumns is the number of leading columns that are the primary key, by table.
 var primaryKeyColumns = map[string]int{"requests": 2, "attempts": 3}
 
 func newPostgres(t *testing.T) *postgres {
@@ -42,7 +41,7 @@
 	p.failAll = failAll
 }
 
-// tableRows is a copy of a table's rows.
+// tableRows returns the rows of a table, in no order.
 func (p *postgres) tableRows(name string) (out [][]string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -52,15 +51,16 @@
 	return out
 }
 
+// pgSession is one client's connection.
 type pgSession struct {
 	*postgres
 	out            *bufio.Writer
-	status         byte // of the transaction: I, T or E
-	statements     map[string]string
-	boundStatement string
-	boundValues    []string
-	pending        [][]string // rows of the open transaction, the table first
-	skipToSync     bool       // until Sync, after an error
+	status         byte              // of the transaction: I (idle), T (open) or E (failed)
+	statements     map[string]string // prepared statements by name
+	boundStatement string            // name of the statement that the next Execute runs
+	boundValues    []string          // its values
+	pending        [][]string        // rows of the open transaction, each preceded by its table
+	skipToSync     bool              // after an error, messages are skipped until Sync
 }
 
 func (p *postgres) serve(c net.Conn) {
@@ -115,6 +115,7 @@
 	return string(b[:end]), b[end+1:]
 }
 
+// handle answers one message, whose type byte is kind.
 func (s *pgSession) handle(kind byte, b []byte) {
 	if s.skipToSync && kind != 'S' && kind != 'Q' {
 		return
@@ -177,7 +178,7 @@
 	case word == "commit", word == "rollback":
 		s.status, s.pending = 'I', nil
 	case word != "create":
-		s.fail("not known here: " + text)
+		s.fail("unsupported query: " + text)
 		return
 	}
 	s.send('C', []byte(strings.ToUpper(word)+"\x00")...)
@@ -185,10 +186,11 @@
 
 var insertStatement = regexp.MustCompile(`^INSERT INTO (\w+) \(([\w, ]+)\) VALUES \(([$\d, ]+)\) ON CONFLICT DO NOTHING$`)
 
-// texts are the columns that contain text; the others contain numbers.
+// textColumns matches the names of columns that contain text; all other columns contain numbers.
 var textColumns = regexp.MustCompile(`^(run|name|answer|member|result)$`)
 
-// parameters describes the parameters of a statement by its columns.
+// parameterTypes returns the body of the ParameterDescription of an INSERT: the count and the type of
+// each column.
 func parameterTypes(statement string) []byte {
 	m := insertStatement.FindStringSubmatch(statement)
 	if m == nil {
@@ -197,16 +199,16 @@
 	columns := strings.Split(m[2], ", ")
 	out := binary.BigEndian.AppendUint16(nil, uint16(len(columns)))
 	for _, c := range columns {
-		oid := uint32(20)
+		oid := uint32(20) // int8
 		if textColumns.MatchString(c) {
-			oid = 25
+			oid = 25 // text
 		}
 		out = binary.BigEndian.AppendUint32(out, oid)
 	}
 	return out
 }
 
-// bindings reads the values of a Bind: formats, then values.
+// bindValues decodes the values of a Bind message, from its parameter format codes on.
 func bindValues(b []byte) (values []string) {
 	n := int(binary.BigEndian.Uint16(b))
 	formats := b[2 : 2+2*n]
@@ -230,7 +232,7 @@
 func (s *pgSession) insert(statement string, values []string) {
 	m := insertStatement.FindStringSubmatch(statement)
 	if m == nil || s.status != 'T' {
-		s.fail("not known here: " + statement)
+		s.fail("unsupported statement, or no open transaction: " + statement)
 		return
 	}
 	s.pending = append(s.pending, append([]string{m[1]}, values...))
--- a/integration/store_test.go
+++ b/integration/store_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestPostgres: each final answer and each attempt is recorded; while the store
-// fails new requests are rejected, and what was served before is not lost.
+// TestPostgres: each final answer and each attempt is recorded. While the store fails new requests are
+// rejected, and the records of earlier requests are not lost.
 func TestPostgres(t *testing.T) {
 	p := newPostgres(t)
 	s := newLineRig(t, 3, map[string]any{"store": map[string]any{"driver": "postgres", "dsn": p.dsn()}})
@@ -21,10 +21,10 @@
 		}
 		c.wantLine(io.EOF.Error())
 	}
-	waitFor(t, "ten answers", func() bool { return len(p.tableRows("requests")) == 10 })
+	waitFor(t, "ten requests to be recorded", func() bool { return len(p.tableRows("requests")) == 10 })
 	p.setFailing(true)
 	n := 100
-	waitFor(t, "a reject", func() bool {
+	waitFor(t, "a request to be rejected because the store fails", func() bool {
 		n++
 		c := s.openFlow(n, "")
 		answer := c.line()
@@ -37,10 +37,10 @@
 	attempts := s.backends[1].firstLines()
 	s.openFlow(999, "").wantLine("BUSY ")
 	if got := s.backends[1].firstLines(); len(got) != len(attempts) {
-		t.Error("a request was sent on that nothing records")
+		t.Error("a request reached a member while the store could not record it")
 	}
 	p.setFailing(false)
-	waitFor(t, "service again", func() bool { n++; return strings.HasPrefix(s.openFlow(n, "").line(), "UP ") })
+	waitFor(t, "a request to be accepted again", func() bool { n++; return strings.HasPrefix(s.openFlow(n, "").line(), "UP ") })
 	s.stop()
 	names, tries := map[string]int{}, 0
 	for _, row := range p.tableRows("requests") {
@@ -51,24 +51,24 @@
 	}
 	for n := range 10 {
 		if names[fmt.Sprintf("%016x", n)] != 1 {
-			t.Errorf("request %d recorded %d times", n, names[fmt.Sprintf("%016x", n)])
+			t.Errorf("request %d recorded %d times, want once", n, names[fmt.Sprintf("%016x", n)])
 		}
 	}
 	if names[fmt.Sprintf("%016x", 999)] != 1 || len(names) != len(p.tableRows("requests")) {
-		t.Errorf("recorded %v", names)
+		t.Errorf("recorded the requests %v, want each name once and %016x among them", names, 999)
 	}
 	if got := len(p.tableRows("attempts")); got != tries {
-		t.Errorf("%d attempts recorded, %d counted", got, tries)
+		t.Errorf("%d attempts recorded, but the requests count %d", got, tries)
 	}
 	checkAttemptCounter(t, s.tries)
 }
 
-// TestStoreMissing: a relay that cannot reach its store does not start.
+// TestStoreMissing: a relay that cannot open its store does not start, and names the store in its error.
 func TestStoreMissing(t *testing.T) {
 	d := newDiscovery(t)
 	path := configure(t, d, map[string]any{"store": map[string]any{"driver": "sqlite", "dsn": "/nowhere/at/all/record.db"}})
 	out, err := run("serve", "--config", path)
 	if err == nil || !strings.Contains(out, "store") {
-		t.Errorf("%v, %s", err, out)
+		t.Errorf("serve with a store that cannot be opened: %v, output %s; want an error that names the store", err, out)
 	}
 }
--- a/integration/upgrade_test.go
+++ b/integration/upgrade_test.go
@@ -11,30 +11,33 @@
 	"time"
 )
 
-// startSuccessor starts a second process beside the first one, and waits until it is ready to take over.
+// startSuccessor starts a second process with the same configuration, and waits until it is ready and
+// the first one has noticed it.
 func (r *relay) startSuccessor(fronts int) *relay {
 	r.t.Helper()
 	next := start(r.t, r.configPath, fronts)
-	waitFor(r.t, "the successor's yes", func() bool { return next.call("GET", "/-/ready") == 200 })
+	waitFor(r.t, "the successor to be ready", func() bool { return next.call("GET", "/-/ready") == 200 })
 	r.waitLogged("a successor serves")
 	return next
 }
 
+// waitExit waits until the relay exits, which has to be without an error.
 func (r *relay) waitExit() {
 	r.t.Helper()
 	select {
 	case err := <-r.done:
 		if err != nil {
-			r.t.Errorf("ended with %v", err)
+			r.t.Errorf("the relay exited with %v, want no error", err)
 		}
 	case <-time.After(patience):
-		r.t.Fatal("the relay does not end")
+		r.t.Fatalf("the relay did not exit within %v", patience)
 	}
 }
 
-// TestUpgrade: a second process takes over without a rejection: clients that have connected to either and sent nothing yet, or
-// half a line, are served, open flows stay, through two upgrades, an id that is open at the first is refused at the second, and
-// only the first exits.
+// TestUpgrade: a second process takes over and no request is rejected: clients that have connected to
+// either process and sent nothing yet, or half a line, are served; open flows last through two upgrades;
+// the id of a flow that is open at the first process is refused at the second; only the process that is
+// told to stop exits.
 func TestUpgrade(t *testing.T) {
 	s := newOperatedRig(t, 3, nil)
 	held := s.openFlows(6)
@@ -44,9 +47,9 @@
 	upstream.wantLine("PONG")
 	next := s.startSuccessor(2)
 	if next.addrs["line"] != s.addrs["line"] {
-		t.Fatalf("serves at %s beside %s", next.addrs["line"], s.addrs["line"])
+		t.Fatalf("the successor listens at %s, want %s as the first process", next.addrs["line"], s.addrs["line"])
 	}
-	waitFor(t, "the open ids", func() bool { return next.openFlow(3, "").line() == "ERR" })
+	waitFor(t, "the successor to refuse the id of an open flow", func() bool { return next.openFlow(3, "").line() == "ERR" })
 	s.cmd.Process.Signal(syscall.SIGTERM)
 	fmt.Fprint(partial, "tus,t=water,d=2000\r\n")
 	partial.wantLine("UP ")
@@ -59,7 +62,7 @@
 	}
 	s.waitExit()
 	next.waitLogged("the other process is gone")
-	next.openFlow(3, "").wantLine("ERR") // that flow has passed over
+	next.openFlow(3, "").wantLine("ERR") // the open flow with this id was handed over
 	all := append(held, quiet, partial)
 	checkFlows := func(n int) {
 		t.Helper()
@@ -84,8 +87,8 @@
 	third.waitExit()
 }
 
-// TestUpgradeEjections: an ejection lasts through an upgrade, and while there are two processes a call to either counts for
-// both.
+// TestUpgradeEjections: an ejection lasts through an upgrade, and while there are two processes an
+// operator's call to either one applies to both.
 func TestUpgradeEjections(t *testing.T) {
 	s := newOperatedRig(t, 3, nil)
 	first, second := s.backends[0], s.backends[1]
@@ -99,9 +102,9 @@
 			n++
 			c := next.openFlow(n, "")
 			if s.memberOfFlow(c.wantLine("UP ")) == b {
-				t.Errorf("sent to %s, which was taken out", b.id)
+				t.Errorf("a flow was sent to %s, which is ejected", b.id)
 			}
-			c.send("END") // the members that are left have little room
+			c.send("END") // frees the little capacity of the members that are left
 			c.wantLine("BYE")
 		}
 	}
@@ -110,7 +113,7 @@
 	s.mustPut("/-/backends/" + second.id + "/enable")
 	s.cmd.Process.Signal(syscall.SIGTERM)
 	s.waitExit()
-	waitFor(t, "the member to be used again", func() bool {
+	waitFor(t, "the enabled member to be used again", func() bool {
 		n++
 		return s.memberOfFlow(next.openFlow(n, "").wantLine("UP ")) == second
 	})
@@ -118,8 +121,9 @@
 	next.stop()
 }
 
-// TestUpgradeFails: a second process that cannot be used, or ends before the first one is told to stop, leaves everything to
-// the first. Guards against a relay that is stuck with its listeners open.
+// TestUpgradeFails: a second process that does not start, or exits before the first one is told to
+// stop, changes nothing for the first one, and a later upgrade succeeds. Guards against a relay that
+// waits for its successor for ever.
 func TestUpgradeFails(t *testing.T) {
 	s := newOperatedRig(t, 2, nil)
 	c := s.openFlow(1, "")
@@ -127,7 +131,7 @@
 	bad := filepath.Join(filepath.Dir(s.configPath), "bad.json")
 	writeFile(t, bad, `{"name":"n0"}`)
 	if out, err := run("serve", "--config", bad); err == nil {
-		t.Errorf("it serves: %s", out)
+		t.Errorf("serve with an invalid configuration succeeded, want an error; output %s", out)
 	}
 	for n, end := range []syscall.Signal{syscall.SIGKILL, syscall.SIGTERM} {
 		next := s.startSuccessor(2)
@@ -145,21 +149,23 @@
 	next.stop()
 }
 
-// TestUpgradeDrain: a drain and its end reach both processes.
+// TestUpgradeDrain: a drain that an operator starts at the first process, and its end, also apply to the
+// second one.
 func TestUpgradeDrain(t *testing.T) {
 	s := newOperatedRig(t, 2, nil)
 	next := s.startSuccessor(2)
 	upstream := next.dial()
 	s.mustPut("/-/drain")
-	waitFor(t, "the no", func() bool { upstream.send("PING"); return upstream.line() == "ERR" })
+	waitFor(t, "the successor to answer PING with ERR during the drain", func() bool { upstream.send("PING"); return upstream.line() == "ERR" })
 	s.mustPut("/-/resume")
-	waitFor(t, "the yes", func() bool { upstream.send("PING"); return upstream.line() == "PONG" })
+	waitFor(t, "the successor to answer PING with PONG after the drain", func() bool { upstream.send("PING"); return upstream.line() == "PONG" })
 	next.stop()
 	s.stop()
 }
 
-// TestUpgradeBudget: two processes together have no more descriptors than one may, and without a free one clients are rejected
-// at once. Guards against clients that wait in an accept queue from which nobody may take them.
+// TestUpgradeBudget: two processes together use at most the descriptors that one may use, and without a
+// free one clients are rejected at once. Guards against clients that wait in an accept queue from which
+// no process may accept them.
 func TestUpgradeBudget(t *testing.T) {
 	const sockets = 160
 	s := newOperatedRig(t, 2, map[string]any{"limits": map[string]any{"cores": 1, "memory_mb": 32, "sockets": sockets}})
@@ -170,7 +176,7 @@
 	for n := range 60 {
 		answer := next.openFlow(100+n, "").line()
 		if !strings.HasPrefix(answer, "UP ") && !strings.HasPrefix(answer, "BUSY ") {
-			t.Fatalf("answer %q", answer)
+			t.Fatalf("answer to OPEN = %q, want UP or BUSY", answer)
 		}
 	}
 	countDescriptors := func(r *relay) int {
@@ -181,20 +187,19 @@
 		return len(entries)
 	}
 	if both := countDescriptors(s.relay) + countDescriptors(next); both > sockets {
-		t.Errorf("%d descriptors of %d", both, sockets)
+		t.Errorf("both processes together have %d descriptors open, want at most %d", both, sockets)
 	}
 	s.cmd.Process.Signal(syscall.SIGTERM)
 	s.waitExit()
 	n := 300
-	waitFor(t, "the first one's room", func() bool {
+	waitFor(t, "the successor to use the descriptors that the first process has freed", func() bool {
 		n++
 		return strings.HasPrefix(next.openFlow(n, "").line(), "UP ")
 	})
 	next.stop()
 }
 
-// TestUpgradeStore: two processes write to one SQLite file, and neither rejects for
-// it.
+// TestUpgradeStore: two processes write to one SQLite file, and neither rejects a request because of it.
 func TestUpgradeStore(t *testing.T) {
 	s := newOperatedRig(t, 2, map[string]any{"store": map[string]any{"driver": "sqlite",
 		"dsn": filepath.Join(t.TempDir(), "record.db")}})
@@ -209,7 +214,7 @@
 	s.waitExit()
 	next.openFlow(100, "").wantLine("UP ")
 	if log := s.log.String() + next.log.String(); strings.Contains(log, "the store fails") {
-		t.Error("the store failed")
+		t.Error("a process logged that the store fails")
 	}
 	next.stop()
 }
