--- a/integration/upgrade_test.go
+++ b/integration/upgrade_test.go
@@ -123,7 +123,7 @@
 
 // TestUpgradeFails: a second process that does not start, or exits before the first one is told to
 // stop, changes nothing for the first one, and a later upgrade succeeds. Guards against a relay that
-// waits for its successor for ever.
+// gets stuck with its listeners open.
 func TestUpgradeFails(t *testing.T) {
 	s := newOperatedRig(t, 2, nil)
 	c := s.openFlow(1, "")
