--- a/integration/fleet_faults_test.go
+++ b/integration/fleet_faults_test.go
@@ -330,9 +330,9 @@
 }
 
 // TestFleetMissedEjection: a relay that is cut off from the record does not learn of an ejection and
-// still uses the member; the leader reports the relay as late or not heard. Once it reaches the record again
-// the relay applies the ejection by itself, and the drift row disappears. Guards against drift that is
-// not reported.
+// still uses the member; the leader reports the relay as late or not heard. Once it reaches the record
+// again the relay applies the ejection by itself, and the drift rows disappear. Guards against drift
+// that is not reported.
 func TestFleetMissedEjection(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, 4, 3, 3, nil)
