--- a/integration/nats_conformance_own_test.go
+++ b/integration/nats_conformance_own_test.go
@@ -27,7 +27,7 @@
 	"dahliarudder/internal/fakes"
 )
 
-// nodeClient is a client of a node itself, which plays a service there.
+// nodeClient connects a library client directly to a node, where it acts as a service.
 func (s *conformanceRig) nodeClient(t *testing.T) *nats.Conn {
 	t.Helper()
 	c, err := nats.Connect("nats://"+s.k.Nodes[0].Addr, nats.Timeout(patience))
@@ -38,7 +38,8 @@
 	return c
 }
 
-// answerRequests answers requests on subjects by scripted JSON.
+// answerRequests subscribes to each subject and answers its requests with the result of the function;
+// an empty result is not sent.
 func answerRequests(t *testing.T, c *nats.Conn, answers map[string]func(m *nats.Msg) string) {
 	t.Helper()
 	for subject, f := range answers {
@@ -53,7 +54,8 @@
 
 func answerText(text string) func(*nats.Msg) string { return func(*nats.Msg) string { return text } }
 
-// jetStream: the relay knows nothing of JetStream; its requests and reply subjects pass.
+// jetStream checks that JetStream works through the relay, which does not know JetStream: it passes the
+// requests and the reply subjects on.
 func jetStream(t *testing.T, s *conformanceRig) {
 	server := s.nodeClient(t)
 	acks := make(chan string, 10)
@@ -74,23 +76,24 @@
 	})
 	js := must[nats.JetStreamContext](t)(s.libraryClient(t).JetStream())
 	if ack := must[*nats.PubAck](t)(js.Publish("orders.new", []byte("x"))); ack.Sequence != 7 {
-		t.Errorf("%+v", ack)
+		t.Errorf("JetStream publish acknowledged with %+v, want sequence 7", ack)
 	}
 	sub := must[*nats.Subscription](t)(js.PullSubscribe("orders.*", "work", nats.Bind("ORDERS", "work")))
 	for i, m := range must[[]*nats.Msg](t)(sub.Fetch(2, nats.MaxWait(patience))) {
 		if string(m.Data) != fmt.Sprint("order ", i+1) {
-			t.Errorf("message %d is %s", i, m.Data)
+			t.Errorf("message %d = %q, want %q", i, m.Data, fmt.Sprint("order ", i+1))
 		}
 		if err := m.Ack(); err != nil {
 			t.Error(err)
 		}
 		if got := <-acks; !strings.HasPrefix(got, fmt.Sprintf("$JS.ACK.ORDERS.work.1.%d.", i+1)) || !strings.HasSuffix(got, "+ACK") {
-			t.Errorf("acknowledged by %s", got)
+			t.Errorf("acknowledgement of message %d = %q, want +ACK on $JS.ACK.ORDERS.work.1.%d.", i, got, i+1)
 		}
 	}
 }
 
-// keyValue: a watch is an ordered push consumer on a subject of the client's.
+// keyValue checks a key-value watch, which is an ordered push consumer that delivers to a subject of
+// the client.
 func keyValue(t *testing.T, s *conformanceRig) {
 	server := s.nodeClient(t)
 	const stream = `{"type":"io.nats.jetstream.api.v1.stream_info_response","config":{"name":"KV_b","subjects":["$KV.b.>"],"max_msgs_per_subject":1,"allow_direct":true},"state":{"messages":1,"last_seq":1}}`
@@ -125,27 +128,27 @@
 	select {
 	case e := <-w.Updates():
 		if e == nil || string(e.Value()) != "12" {
-			t.Errorf("%+v", e)
+			t.Errorf("key-value update = %+v, want value 12", e)
 		}
 	case <-time.After(patience):
-		t.Error("no update came")
+		t.Errorf("no key-value update within %v", patience)
 	}
 }
 
 // ---- Clauses that need a relay of their own ----
 
-// quickHash is a quick bcrypt hash.
-func quickHash(word string) string {
+// minCostHash returns a bcrypt hash of the least cost, which is quick to compute.
+func minCostHash(word string) string {
 	h, _ := bcrypt.GenerateFromPassword([]byte(word), bcrypt.MinCost)
 	return string(h)
 }
 
-// withFront is a relay set up so, for one clause.
-func withFront(front map[string]any, play func(t *testing.T, s *conformanceRig)) func(*testing.T, *conformanceRig) {
-	return func(t *testing.T, _ *conformanceRig) { play(t, newConformanceRig(t, front)) }
+// withFront returns a clause test with a relay of its own, which has further keys of the NATS front.
+func withFront(front map[string]any, test func(t *testing.T, s *conformanceRig)) func(*testing.T, *conformanceRig) {
+	return func(t *testing.T, _ *conformanceRig) { test(t, newConformanceRig(t, front)) }
 }
 
-// connectError is the error of a connection by the library; nil if it is admitted.
+// connectError connects with the library and returns the error, or nil if the relay admits the client.
 func (s *conformanceRig) connectError(options ...nats.Option) error {
 	c, err := nats.Connect("nats://"+s.addrs["nats"], append(options, nats.Timeout(patience), nats.NoReconnect())...)
 	if err == nil {
@@ -154,14 +157,15 @@
 	return err
 }
 
-func (s *conformanceRig) wantAdmission(t *testing.T, yes bool, options ...nats.Option) {
+func (s *conformanceRig) wantAdmission(t *testing.T, admitted bool, options ...nats.Option) {
 	t.Helper()
-	if err := s.connectError(options...); (err == nil) != yes {
-		t.Errorf("entering: %v, want %v", err, yes)
+	if err := s.connectError(options...); (err == nil) != admitted {
+		t.Errorf("nats.Connect: error %v, want admitted: %v", err, admitted)
 	}
 }
 
-var ownSites = []clause{
+// ownRelayClauses are the clauses that each need a relay of their own.
+var ownRelayClauses = []clause{
 	{name: "ping interval and stale connections", raw: withFront(map[string]any{"ping_interval_ms": 150, "ping_max": 2}, func(t *testing.T, s *conformanceRig) {
 		c := s.rawClient(t, "")
 		c.wantLines("PING")
@@ -183,14 +187,14 @@
 			c.sendLines("SUB flood 1", "PING")
 			c.wantLines("PONG")
 		}
-		const many = 3000
+		const messages = 3000
 		p, payload := s.libraryClient(t), make([]byte, 16<<10)
 		go func() {
-			for range many {
+			for range messages {
 				p.Publish("flood", payload)
 			}
 		}()
-		for range many {
+		for range messages {
 			quick.wantLine("MSG flood 1 16384")
 			quick.line()
 		}
@@ -199,7 +203,7 @@
 			line := slow.line()
 			if line == "EOF" || strings.Contains(line, "reset") {
 				if last != "" && last != "-ERR 'Slow Consumer'" && len(last) < 100 {
-					t.Errorf("its last line is %q", last)
+					t.Errorf("last line before the slow consumer's connection ended = %q, want -ERR 'Slow Consumer' or a payload", last)
 				}
 				return
 			}
@@ -214,11 +218,11 @@
 		select {
 		case <-lame:
 		case <-time.After(patience):
-			t.Error("the client never saw the notice")
+			t.Errorf("the client saw no lame duck notice within %v", patience)
 		}
 	})},
 	{name: "user and password, token", lib: withFront(map[string]any{"auth": map[string]any{"users": []any{
-		map[string]any{"user": "ann", "password": quickHash("one")}, map[string]any{"token": quickHash("two")}}}}, func(t *testing.T, s *conformanceRig) {
+		map[string]any{"user": "ann", "password": minCostHash("one")}, map[string]any{"token": minCostHash("two")}}}}, func(t *testing.T, s *conformanceRig) {
 		s.wantAdmission(t, true, nats.UserInfo("ann", "one"))
 		s.wantAdmission(t, true, nats.Token("two"))
 		s.wantAdmission(t, false, nats.UserInfo("ann", "two"))
@@ -241,8 +245,8 @@
 	}},
 	{name: "JWT credentials: signature, trust, expiry, permissions", lib: jwtCredentials},
 	{name: "permissions to publish and subscribe, allow_responses", raw: withFront(map[string]any{"auth": map[string]any{"users": []any{
-		map[string]any{"user": "all", "password": quickHash("w")},
-		map[string]any{"user": "few", "password": quickHash("w"), "permissions": map[string]any{
+		map[string]any{"user": "all", "password": minCostHash("w")},
+		map[string]any{"user": "few", "password": minCostHash("w"), "permissions": map[string]any{
 			"publish": map[string]any{"allow": []string{"out.>"}, "deny": []string{"out.secret"}}, "allow_responses": map[string]any{"max": 1},
 			"subscribe": map[string]any{"allow": []string{"in.>", "work.* crew"}, "deny": []string{"in.secret"}}}}}}}, func(t *testing.T, s *conformanceRig) {
 		few, all := s.rawClient(t, `"user":"few","pass":"w"`), s.rawClient(t, `"user":"all","pass":"w"`)
@@ -251,8 +255,10 @@
 			`-ERR 'Permissions Violation for Subscription to "other"'`, `-ERR 'Permissions Violation for Subscription to "in.secret"'`,
 			`-ERR 'Permissions Violation for Subscription to "work.a"'`, "PONG")
 		all.sendLines("SUB box 1", "PUB in.secret 1", "1", "PUB in.open box 1", "2", "PING")
-		all.wantLines("PONG")                     // before it is answered: PONG waits for all of a client's links, and the answer could pass it
-		few.wantLines("MSG in.open 5 box 1", "2") // what is denied is not delivered by the wildcard
+		// Read PONG before few replies: PONG waits for all links of this client, so that the reply on one
+		// of them could overtake it.
+		all.wantLines("PONG")
+		few.wantLines("MSG in.open 5 box 1", "2") // the wildcard subscription does not deliver a denied subject
 		few.sendLines("PUB box 2", "ok", "PUB box 2", "no", "PING")
 		few.wantLines(`-ERR 'Permissions Violation for Publish to "box"'`, "PONG")
 		all.wantLines("MSG box 1 2", "ok")
@@ -266,13 +272,13 @@
 				set[k] = v
 			}
 			s := newConformanceRig(t, map[string]any{"tls": set})
-			mine, mineKey := ca.issue(t, "client")
+			clientCert, clientKey := ca.issue(t, "client")
 			options := []nats.Option{nats.RootCAs(ca.file), nats.Secure()}
 			if name == "first" {
 				options = append(options, nats.TLSHandshakeFirst())
 			}
-			s.wantAdmission(t, false, options...) // shows no certificate
-			c := s.libraryClient(t, append(options, nats.ClientCert(mine, mineKey))...)
+			s.wantAdmission(t, false, options...) // without a client certificate
+			c := s.libraryClient(t, append(options, nats.ClientCert(clientCert, clientKey))...)
 			sub := must[*nats.Subscription](t)(c.SubscribeSync("secret"))
 			big := make([]byte, 60000)
 			for range 50 {
@@ -280,7 +286,7 @@
 			}
 			for range 50 {
 				if m := must[*nats.Msg](t)(sub.NextMsg(patience)); len(m.Data) != len(big) {
-					t.Fatalf("%d bytes came", len(m.Data))
+					t.Fatalf("received a message of %d bytes, want %d", len(m.Data), len(big))
 				}
 			}
 			if name == "after INFO" {
@@ -297,7 +303,7 @@
 		ca, next := newAuthority(t), newAuthority(t)
 		cert, key := ca.issue(t, "relay")
 		s := newConformanceRig(t, map[string]any{"tls": map[string]any{"cert": cert, "key": key}})
-		old := s.libraryClient(t, nats.RootCAs(ca.file))
+		connected := s.libraryClient(t, nats.RootCAs(ca.file))
 		writeFile(t, cert, "no certificate")
 		s.reload()
 		s.waitLogged("the old configuration stays")
@@ -310,7 +316,7 @@
 		s.reload()
 		waitFor(t, "the new certificate", func() bool { return s.connectError(nats.RootCAs(next.file)) == nil })
 		s.wantAdmission(t, false, nats.RootCAs(ca.file))
-		flush(t, old) // who has entered stays
+		flush(t, connected) // the client that connected before stays connected
 	}},
 	{name: "TLS and the relay's own login at members", lib: func(t *testing.T, _ *conformanceRig) {
 		ca := newAuthority(t)
@@ -325,28 +331,30 @@
 		}
 		t.Cleanup(k.Close)
 		var mu sync.Mutex
-		names := map[string]bool{}
+		logins := map[string]bool{}
 		k.TLS = &tls.Config{Certificates: []tls.Certificate{pair}}
 		k.Authorize = func(connect map[string]any) bool {
 			mu.Lock()
 			defer mu.Unlock()
-			names[fmt.Sprint(connect["user"], connect["pass"], connect["sig"])] = true
+			logins[fmt.Sprint(connect["user"], connect["pass"], connect["sig"])] = true
 			return connect["user"] == "relay" && connect["pass"] == "word"
 		}
 		s := &conformanceRig{k: k, relay: natsRelay(t, k, map[string]any{"member_tls": map[string]any{"ca": ca.file},
-			"member_login": map[string]any{"user": "relay", "password": "word"}, "auth": map[string]any{"users": []any{map[string]any{"user": "ann", "password": quickHash("one")}}}})}
+			"member_login": map[string]any{"user": "relay", "password": "word"}, "auth": map[string]any{"users": []any{map[string]any{"user": "ann", "password": minCostHash("one")}}}})}
 		c := s.libraryClient(t, nats.UserInfo("ann", "one"))
 		sub := must[*nats.Subscription](t)(c.SubscribeSync("by.tls"))
 		c.Publish("by.tls", []byte("x"))
 		must[*nats.Msg](t)(sub.NextMsg(patience))
 		mu.Lock()
 		defer mu.Unlock()
-		if len(names) != 1 || !names["relayword<nil>"] {
-			t.Errorf("members heard %v", names)
+		if len(logins) != 1 || !logins["relayword<nil>"] {
+			t.Errorf("the members received the logins %v, want only user relay with password word", logins)
 		}
 	}},
 }
 
+// jwtCredentials checks that user tokens are admitted by signature, issuing account and expiry, and
+// that a client loses its connection when its token expires.
 func jwtCredentials(t *testing.T, _ *conformanceRig) {
 	operator, _ := nkeys.CreateOperator()
 	account, _ := nkeys.CreateAccount()
@@ -371,27 +379,27 @@
 		t.Fatal(err)
 	}
 	s := newConformanceRig(t, map[string]any{"auth": map[string]any{"jwt": map[string]any{"operators": []string{public(operator)}, "accounts": []string{signed}}}})
-	by := func(text string, key nkeys.KeyPair) nats.Option {
+	credentials := func(text string, key nkeys.KeyPair) nats.Option {
 		return nats.UserJWT(func() (string, error) { return text, nil }, key.Sign)
 	}
-	s.wantAdmission(t, true, by(issue(account, time.Hour), user))
-	s.wantAdmission(t, true, by(issue(account, 0), user))
-	s.wantAdmission(t, false, by(issue(account, -time.Minute), user))
-	s.wantAdmission(t, false, by(issue(stranger, time.Hour), user))
+	s.wantAdmission(t, true, credentials(issue(account, time.Hour), user))
+	s.wantAdmission(t, true, credentials(issue(account, 0), user))
+	s.wantAdmission(t, false, credentials(issue(account, -time.Minute), user))
+	s.wantAdmission(t, false, credentials(issue(stranger, time.Hour), user))
 	other, _ := nkeys.CreateUser()
-	s.wantAdmission(t, false, by(issue(account, time.Hour), other))
+	s.wantAdmission(t, false, credentials(issue(account, time.Hour), other))
 	got := make(chan error, 10)
-	c := s.libraryClient(t, by(issue(account, 3*time.Second), user), nats.ErrorHandler(func(_ *nats.Conn, _ *nats.Subscription, err error) { got <- err }),
+	c := s.libraryClient(t, credentials(issue(account, 3*time.Second), user), nats.ErrorHandler(func(_ *nats.Conn, _ *nats.Subscription, err error) { got <- err }),
 		nats.ClosedHandler(func(c *nats.Conn) { got <- c.LastError() }))
 	c.Publish("theirs", nil)
 	for _, want := range []string{"Permissions Violation for Publish", "authentication expired"} {
 		select {
 		case err := <-got:
 			if err == nil || !strings.Contains(strings.ToLower(err.Error()), strings.ToLower(want)) {
-				t.Errorf("the library hears %v, want %s", err, want)
+				t.Errorf("the library reported the error %v, want one with %q", err, want)
 			}
 		case <-time.After(patience):
-			t.Errorf("the library never hears %s", want)
+			t.Errorf("the library reported no error within %v, want one with %q", patience, want)
 		}
 	}
 }
@@ -424,7 +432,7 @@
 	return path
 }
 
-// issue writes a certificate for the loopback and its key.
+// issue writes a certificate for 127.0.0.1 and its key, and returns the paths of both files.
 func (a *authority) issue(t *testing.T, name string) (cert, key string) {
 	t.Helper()
 	k, _ := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
