--- a/cmd/dahliarudder/background_test.go
+++ b/cmd/dahliarudder/background_test.go
@@ -29,9 +29,9 @@
 	if handled != 4 || !closed {
 		t.Errorf("after stop: %d of 4 queued values handled, closer called = %v, want 4 and true", handled, closed)
 	}
-	b, held := newBackground(), make(chan struct{})
-	defer close(held)
-	b.run(func(<-chan struct{}) { <-held })
+	b, unblock := newBackground(), make(chan struct{})
+	defer close(unblock)
+	b.run(func(<-chan struct{}) { <-unblock })
 	returned := make(chan struct{})
 	go func() { b.stop(); close(returned) }()
 	select {
--- a/cmd/dahliarudder/fleet.go
+++ b/cmd/dahliarudder/fleet.go
@@ -143,7 +143,7 @@
 }
 
 // exitWhenDrained ends this relay once its clients have been migrated and a majority confirms that
-// the order still stands. Without a majority the relay stays drained.
+// the order is still in force. Without a majority the relay stays drained.
 func (r *relay) exitWhenDrained() {
 	order := r.shutdownOrder
 	r.loop.After(orderedDrainPoll, func() {
@@ -152,10 +152,10 @@
 		case r.core.ActiveRequests() > 0 && r.loop.Now()-order.since < orderedDrainTimeout, r.loop.Now()-order.since < core.StopNotice:
 			r.exitWhenDrained()
 		default:
-			r.fleet.ConfirmLeave(order.number, func(stands, confirmed bool) {
+			r.fleet.ConfirmLeave(order.number, func(inForce, confirmed bool) {
 				switch {
 				case r.shutdownOrder != order || r.stopping:
-				case !stands || !confirmed:
+				case !inForce || !confirmed:
 					r.exitWhenDrained()
 				default:
 					r.exitOrdered = true
--- a/cmd/dahliarudder/serve.go
+++ b/cmd/dahliarudder/serve.go
@@ -35,9 +35,9 @@
 	storeFlushTimeout = 3 * time.Second
 	// maxEjectionWrites limits the queued writes of the ejection file.
 	maxEjectionWrites = 64
-	// suspensionFraction is the part (1/10) of the longest poll interval after which a process that
-	// was suspended no longer trusts its endpoint list.
-	suspensionFraction = 10
+	// A process that was suspended for longer than the longest poll interval divided by
+	// suspensionDivisor no longer trusts its endpoint list.
+	suspensionDivisor = 10
 	// stopPollInterval is how often a shutdown checks whether it is complete. stopLingerTime is how
 	// long the last answers have to be sent.
 	stopPollInterval = 20 * time.Millisecond
@@ -91,7 +91,7 @@
 		r.stopBackground()
 		return errors.Join(err, r.closeStore())
 	}
-	loop.OnStall(r.core.PolicySettings().MaxPollInterval/suspensionFraction, r.afterSuspension)
+	loop.OnStall(r.core.PolicySettings().MaxPollInterval/suspensionDivisor, r.afterSuspension)
 	if cfg.CountsMS > 0 {
 		r.logCounts(time.Duration(cfg.CountsMS*float64(time.Millisecond)), core.Counts{})
 	}
--- a/cmd/dahliarudder/upgrade.go
+++ b/cmd/dahliarudder/upgrade.go
@@ -152,7 +152,7 @@
 }
 
 // limitToOwnSockets lowers this process's descriptor limit to what it needs, so that the successor
-// can use the rest.
+// can use the rest. Each of the two processes gets half of the memory for buffers.
 func (r *relay) limitToOwnSockets() {
 	inTransfer := r.sibling.peer.PendingFDs()
 	limit := r.loop.OpenDescriptors() + inTransfer + retrySockets
@@ -164,10 +164,10 @@
 	r.loop.SetMemoryLimit(r.maxBufferBytes / 2)
 }
 
-// limitToRemainingSockets sets the descriptor limit to what the predecessor, whose limit is theirs,
-// leaves.
-func (r *relay) limitToRemainingSockets(theirs int) {
-	r.loop.SetDescriptorLimit(r.maxSockets - theirs - reservedSockets - r.operatorDescriptors())
+// limitToRemainingSockets sets the descriptor limit to what remains beside the predecessor's limit,
+// and the memory limit to half of the memory for buffers.
+func (r *relay) limitToRemainingSockets(predecessorLimit int) {
+	r.loop.SetDescriptorLimit(r.maxSockets - predecessorLimit - reservedSockets - r.operatorDescriptors())
 	r.loop.SetMemoryLimit(r.maxBufferBytes / 2)
 }
 
